--- a/cmd/fieldrelay-region/check_test.go
+++ b/cmd/fieldrelay-region/check_test.go
@@ -59,14 +59,14 @@
 func TestCommandLine(t *testing.T) {
 	for _, role := range []string{"proxy", "agent", "control"} {
 		var commands commandLine
-		parser, err := kong.New(&commands, kong.Vars{"version": version()})
+		parser, err := kong.New(&commands, helpVariables())
 		require.NoError(t, err)
 		parsed, err := parser.Parse([]string{role})
 		require.NoError(t, err)
 		require.Equal(t, role, parsed.Command())
 	}
 	var commands commandLine
-	parser, err := kong.New(&commands, kong.Vars{"version": version()})
+	parser, err := kong.New(&commands, helpVariables())
 	require.NoError(t, err)
 	_, err = parser.Parse([]string{"dance"})
 	require.Error(t, err)
--- a/cmd/fieldrelay-region/main.go
+++ b/cmd/fieldrelay-region/main.go
@@ -3,15 +3,19 @@
 package main
 
 import (
+	"context"
 	"fmt"
 	"os"
 	"runtime/debug"
+	"strings"
 
 	"github.com/alecthomas/kong"
 	"github.com/cockroachdb/errors"
+	"go.uber.org/zap"
 
 	"fieldrelay/internal/agent"
 	"fieldrelay/internal/controlserver"
+	"fieldrelay/internal/policy"
 	"fieldrelay/internal/proxy"
 	"fieldrelay/internal/roleprocess"
 	"fieldrelay/internal/settings"
@@ -33,7 +37,7 @@
 		kong.Name("fieldrelay-region"),
 		kong.Description("One process of the regional system. The roles read the settings file that "+
 			settings.PathVariable+" names."),
-		kong.Vars{"version": version()},
+		helpVariables(),
 		kong.UsageOnError(),
 	)
 	if err := parsed.Run(); err != nil {
@@ -45,6 +49,11 @@
 	}
 }
 
+// helpVariables are what the help texts name.
+func helpVariables() kong.Vars {
+	return kong.Vars{"version": version(), "mechanisms": strings.Join(policy.Names(), ", ")}
+}
+
 // version tells the module's version and the commit that the program was built from, as far as known.
 func version() string {
 	info, known := debug.ReadBuildInfo()
@@ -61,10 +70,20 @@
 }
 
 // proxyCommand runs a proxy.
-type proxyCommand struct{}
+type proxyCommand struct {
+	Off []string `help:"Mechanisms of the policy to switch off, beside those of the settings: ${mechanisms}." placeholder:"NAME,..."`
+}
 
 // Run runs it until SIGTERM and its drain.
-func (proxyCommand) Run() error { return roleprocess.Run(proxy.Run) }
+func (c *proxyCommand) Run() error {
+	off, err := policy.Parse(c.Off)
+	if err != nil {
+		return err
+	}
+	return roleprocess.Run(func(ctx context.Context, initial *settings.Settings, logger *zap.Logger) error {
+		return proxy.RunWith(ctx, initial, logger, proxy.Options{Off: off})
+	})
+}
 
 // agentCommand runs an agent.
 type agentCommand struct{}
--- a/cmd/fieldrelay-region/status_test.go
+++ b/cmd/fieldrelay-region/status_test.go
@@ -13,7 +13,7 @@
 
 func TestStatusCommandLine(t *testing.T) {
 	var commands commandLine
-	parser, err := kong.New(&commands, kong.Vars{"version": version()})
+	parser, err := kong.New(&commands, helpVariables())
 	require.NoError(t, err)
 	parsed, err := parser.Parse([]string{"status", "--json", "--only", "10.0.0.1:7660"})
 	require.NoError(t, err)
--- a/internal/placement/admit.go
+++ b/internal/placement/admit.go
@@ -1,6 +1,10 @@
 package placement
 
-import "time"
+import (
+	"time"
+
+	"fieldrelay/internal/policy"
+)
 
 // Tuning of admission. It acts only while answers come late and servers show that requests wait there.
 const (
@@ -28,6 +32,9 @@
 // refused at once, because it would wait for too much of its aim; less urgent requests give way first. What comes
 // back after a refusal is let in.
 func (p *Placer) Admit(now time.Duration, request *Request) error {
+	if p.off(policy.Admission) {
+		return nil
+	}
 	owner := p.services[request.Service]
 	if owner == nil || request.Route == nil || request.Route.Target <= 0 || !p.crowded(now, owner) {
 		return nil
@@ -45,7 +52,7 @@
 	if request.Remaining > 0 {
 		excess = max(excess, expected-request.Remaining)
 	}
-	if excess <= 0 || owner.trickles(now, request.Route.Name) {
+	if excess <= 0 || (!p.off(policy.Trickle) && owner.trickles(now, request.Route.Name)) {
 		return nil
 	}
 	p.stats.Overload++
--- a/internal/placement/api.go
+++ b/internal/placement/api.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"fieldrelay/internal/limits"
+	"fieldrelay/internal/policy"
 	"fieldrelay/internal/route"
 )
 
@@ -17,6 +18,7 @@
 	Regions map[string]string // region of each zone
 	Seed    uint64
 	Cold    limits.ColdConfig
+	Off     policy.Switches // mechanisms that are switched off
 }
 
 // Part is one part of a prompt. Parts are shared between requests, but for the last one of a request, which
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -1,6 +1,10 @@
 package placement
 
-import "time"
+import (
+	"time"
+
+	"fieldrelay/internal/policy"
+)
 
 // Ejection of servers that fail.
 const (
@@ -126,7 +130,9 @@
 // refused takes in that a server was full: speed zero, but no failure.
 func (p *Placer) refused(now time.Duration, a *attempt) {
 	a.zero(now)
-	a.server.avoidUntil = max(a.server.avoidUntil, now+fullFor)
+	if !p.off(policy.RefusalRest) {
+		a.server.avoidUntil = max(a.server.avoidUntil, now+fullFor)
+	}
 	a.server.service.fullAt = now
 	a.server.service.walk.Leave(a.server)
 }
@@ -149,6 +155,9 @@
 // eject counts a failure, and lets the server rest if that is one too many.
 func (p *Placer) eject(now time.Duration, s *server, weight int) {
 	s.service.walk.Leave(s)
+	if p.off(policy.Ejection) {
+		return
+	}
 	s.failures = min(s.failures+weight, 2*ejectAfter)
 	if s.failures < ejectAfter || now < s.restUntil {
 		return
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"fieldrelay/internal/policy"
 	"fieldrelay/logic/selection"
 )
 
@@ -77,7 +78,7 @@
 	p.keeper.mark(&scratch.prompt, p.picks)
 	farthest := p.gather(now, owner, request)
 	p.choose(now, p.field(now), &scratch.prompt)
-	if len(scratch.chosen) > 0 && len(scratch.near) > 0 && len(scratch.far) > 0 {
+	if len(scratch.chosen) > 0 && len(scratch.near) > 0 && len(scratch.far) > 0 && !p.off(policy.Spill) {
 		p.spill(now, owner)
 	}
 	return farthest
@@ -121,11 +122,14 @@
 		return i
 	}
 	tau, walk := owner.slack.Temperature()
-	if walk {
+	if walk && !p.off(policy.Walk) {
 		p.stats.Walked++
 		return p.walk(now, owner)
 	}
 	p.stats.Drawn++
+	if p.off(policy.Softmax) {
+		return leastPriced(p.scratch.chosen)
+	}
 	speeds := p.scratch.speeds[:0]
 	for i := range p.scratch.chosen {
 		speeds = append(speeds, 1/p.scratch.chosen[i].priced.Seconds())
@@ -134,9 +138,23 @@
 	return selection.Softmax(speeds, tau, p.random.Float64())
 }
 
+// leastPriced is the place of the candidate whose priced time is least.
+func leastPriced(candidates []candidate) int {
+	least := 0
+	for i := range candidates {
+		if candidates[i].priced < candidates[least].priced {
+			least = i
+		}
+	}
+	return least
+}
+
 // seed gives a chosen server that needs a first answer or a trial, one at a time and only for a request that
 // need not read much anew there; below 0: none.
 func (p *Placer) seed(now time.Duration, owner *service) int {
+	if p.off(policy.Seeding) {
+		return -1
+	}
 	if owner.seedOut != nil && now-owner.seeding < seedPatience {
 		return -1
 	}
@@ -166,7 +184,7 @@
 		}
 	}
 	p.scratch.servers = servers
-	speed := func(s *server) float64 { return s.speedAt(now, owner.typicalSpeed(s.region == p.region)) }
+	speed := func(s *server) float64 { return p.speedAt(now, s) }
 	at := owner.walk.Pick(owner.servers, servers, speed)
 	for i := range p.scratch.chosen {
 		if p.scratch.chosen[i].server == at {
@@ -196,7 +214,7 @@
 	s.held += a.toHold
 	s.ahead += a.toRead
 	s.unanswered = append(s.unanswered, a)
-	if s.service.model() && len(request.Parts) > 0 {
+	if s.service.model() && len(request.Parts) > 0 && !p.off(policy.KeptParts) {
 		p.keeper.add(s, &p.scratch.prompt, p.keptCapacity(s.service))
 	}
 	if s.region != p.region {
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -9,6 +9,7 @@
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/limits"
+	"fieldrelay/internal/policy"
 	"fieldrelay/internal/route"
 	"fieldrelay/logic/selection"
 )
@@ -60,6 +61,9 @@
 	stats   Stats
 }
 
+// off tells whether a mechanism is switched off.
+func (p *Placer) off(m policy.Mechanism) bool { return p.config.Off.Off(m) }
+
 // New makes a Placer that knows no server.
 func New(config Config) *Placer {
 	return &Placer{
@@ -166,7 +170,7 @@
 // ServerLeaving takes in that a server seems about to end (its answers close the connection, or it no longer
 // passes its health check): it is avoided for a while; the list tells whether it drains.
 func (p *Placer) ServerLeaving(now time.Duration, serverID string) {
-	if known := p.servers[serverID]; known != nil {
+	if known := p.servers[serverID]; known != nil && !p.off(policy.LeavingRest) {
 		known.avoidUntil = max(known.avoidUntil, now+leavingFor)
 	}
 }
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -1,6 +1,10 @@
 package placement
 
-import "time"
+import (
+	"time"
+
+	"fieldrelay/internal/policy"
+)
 
 // Tuning of predictions and of what a choice costs besides.
 const (
@@ -26,14 +30,14 @@
 }
 
 // homesOf draws a prompt's homes from the servers that are left.
-func homesOf(p *prompt, servers []*server) homes {
+func (p *Placer) homesOf(q *prompt, servers []*server) homes {
 	var drawn homes
-	if p.shared == 0 && len(p.chains) == 0 {
+	if p.off(policy.PromptHomes) || (q.shared == 0 && len(q.chains) == 0) {
 		return drawn
 	}
 	var best, next uint64
 	for _, s := range servers {
-		weight := mix(uint64(p.key) ^ s.hash)
+		weight := mix(uint64(q.key) ^ s.hash)
 		switch {
 		case drawn.first == nil || weight > best:
 			drawn.second, next = drawn.first, best
@@ -42,6 +46,9 @@
 			drawn.second, next = s, weight
 		}
 	}
+	if p.off(policy.SecondHome) {
+		drawn.second = nil
+	}
 	return drawn
 }
 
@@ -49,9 +56,9 @@
 func (p *Placer) predict(now time.Duration, s *server, q *prompt, kept int, as place) candidate {
 	toRead := max(q.total-kept, 0)
 	cost := p.cost(s, toRead, q.toHold)
-	speed := s.speedAt(now, s.service.typicalSpeed(s.region == p.region))
-	priced := float64(cost+rereadPrice(s, q, kept, as)) / speed
-	if s.zone != p.config.Zone {
+	speed := p.speedAt(now, s)
+	priced := float64(cost+p.rereadPrice(s, q, kept, as)) / speed
+	if s.zone != p.config.Zone && !p.off(policy.ZonePreference) {
 		priced *= otherZone
 	}
 	if s.region != p.region {
@@ -67,13 +74,16 @@
 }
 
 // rereadPrice is the time that stands for the price of the shared tokens that a server must read anew.
-func rereadPrice(s *server, q *prompt, kept int, as place) time.Duration {
+func (p *Placer) rereadPrice(s *server, q *prompt, kept int, as place) time.Duration {
 	if !s.service.model() {
 		return 0
 	}
 	keptShared := min(kept, q.shared)
 	tokens := float64(q.shared-keptShared) * (rereadTimes - 1)
-	if as == elsewhere {
+	if p.off(policy.RereadPrice) {
+		tokens = 0
+	}
+	if as == elsewhere && !p.off(policy.KeptDoubt) {
 		tokens += keptDoubt * float64(keptShared) * rereadTimes
 	}
 	return time.Duration(tokens * float64(readPerToken))
@@ -138,20 +148,23 @@
 // choose predicts for the servers of a field: the prompt's homes, those that keep a part of it, and this
 // proxy's own subset.
 func (p *Placer) choose(now time.Duration, field []*server, q *prompt) {
-	drawn := homesOf(q, field)
+	drawn := p.homesOf(q, field)
 	if drawn.first != nil {
 		p.consider(now, drawn.first, q, firstHome)
 	}
 	if drawn.second != nil {
 		p.consider(now, drawn.second, q, secondHome)
 	}
-	inSubset := 0
+	inSubset, most := 0, subsetSize
+	if p.off(policy.Subset) {
+		most = len(field)
+	}
 	for _, s := range field {
 		if s == drawn.first || s == drawn.second {
 			continue
 		}
 		marked := s.markedBy == p.picks && s.markedTokens > 0
-		if inSubset >= subsetSize && !marked {
+		if inSubset >= most && !marked {
 			continue
 		}
 		if !marked {
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -7,6 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/policy"
 	"fieldrelay/logic/selection"
 )
 
@@ -67,14 +68,17 @@
 
 // speedAt is the estimate now, drawn to the typical speed as it ages. An attempt that has waited for longer
 // than predicted bounds it from above before its outcome is known.
-func (s *server) speedAt(now time.Duration, typical float64) float64 {
-	speed := typical
+func (p *Placer) speedAt(now time.Duration, s *server) float64 {
+	speed := s.service.typicalSpeed(s.region == p.region)
 	if s.estimate.Seeded() {
-		age := now - s.estimate.SampledAt()
-		keep := float64(speedForget) / float64(speedForget+age)
-		speed = typical + (s.estimate.Speed()-typical)*keep
+		keep := 1.0
+		if !p.off(policy.SpeedAging) {
+			age := now - s.estimate.SampledAt()
+			keep = float64(speedForget) / float64(speedForget+age)
+		}
+		speed += (s.estimate.Speed() - speed) * keep
 	}
-	if len(s.unanswered) > 0 {
+	if len(s.unanswered) > 0 && !p.off(policy.OverdueBound) {
 		oldest := s.unanswered[0]
 		if waited := now - oldest.sentAt; waited > oldest.cost {
 			speed = min(speed, float64(oldest.cost)/float64(waited))
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -10,6 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"fieldrelay/internal/placement"
+	"fieldrelay/internal/policy"
 	"fieldrelay/internal/proxy/upstream"
 	"fieldrelay/internal/route"
 )
@@ -38,6 +39,7 @@
 	memory     *memoryBound
 	counters   *counters
 	draw       func() float64 // uniform in [0, 1)
+	off        policy.Switches
 }
 
 // ServeHTTP answers one request. Where an answer has to end early, the client's connection ends with it, so
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -6,6 +6,7 @@
 	"github.com/cockroachdb/errors"
 
 	"fieldrelay/internal/placement"
+	"fieldrelay/internal/policy"
 )
 
 const (
@@ -50,6 +51,9 @@
 	if x.stream != nil {
 		return earlier(time.Now().Add(waitStream), x.deadline)
 	}
+	if x.handler.off.Off(policy.PlaceWait) {
+		return x.arrived
+	}
 	if x.place.Returned {
 		return x.arrived.Add(min(x.deadline.Sub(x.arrived)/waitReturned, longestReturned))
 	}
--- a/internal/proxy/process_test.go
+++ b/internal/proxy/process_test.go
@@ -42,7 +42,7 @@
 func startProcess(t *testing.T, graceSeconds float64) *running {
 	t.Helper()
 	configured := testSettings(graceSeconds)
-	p := newProcess(configured, zap.NewNop())
+	p := newProcess(configured, zap.NewNop(), Options{})
 	require.NoError(t, p.start(configured))
 	terminated, terminate := context.WithCancel(context.Background())
 	r := &running{
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -24,6 +24,7 @@
 	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
 	"fieldrelay/internal/limits"
 	"fieldrelay/internal/placement"
+	"fieldrelay/internal/policy"
 	"fieldrelay/internal/proxy/upstream"
 	"fieldrelay/internal/settings"
 )
@@ -51,6 +52,7 @@
 // process is a running proxy.
 type process struct {
 	options    Options
+	off        policy.Switches
 	logger     *zap.Logger
 	lifecycle  *lifecycle
 	state      *state
@@ -74,6 +76,8 @@
 type Options struct {
 	// Feed is the address, ip:port, at which the agent feeds the proxy.
 	Feed string
+	// Off are mechanisms that are switched off beside those of the settings.
+	Off policy.Switches
 }
 
 // Run serves until the context or SIGTERM ends it, and returns when the requests that it took are answered or
@@ -90,13 +94,12 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	defer signal.Stop(reload)
 
-	p := newProcess(configured, logger)
-	p.options = options
+	p := newProcess(configured, logger, options)
 	if err := p.start(configured); err != nil {
 		p.stop()
 		return err
 	}
-	logger.Info("proxy started", zap.String("edge", configured.Binds.Edge))
+	logger.Info("proxy started", zap.String("edge", configured.Binds.Edge), zap.Stringer("off", p.off))
 	p.serve(terminate.Done(), reload)
 	p.drain()
 	p.stop()
@@ -104,14 +107,16 @@
 	return nil
 }
 
-func newProcess(configured *settings.Settings, logger *zap.Logger) *process {
+func newProcess(configured *settings.Settings, logger *zap.Logger, options Options) *process {
 	bounds := configured.Bounds
+	off := configured.Policy.Switches().And(options.Off)
 	placer := placement.New(placement.Config{
 		Host:    configured.Hostname,
 		Zone:    configured.Zone,
 		Regions: configured.Zones,
 		Seed:    rand.Uint64(),
 		Cold:    limits.ColdConfig{Excess: bounds.WarmExcess, Extra: bounds.WarmExtra},
+		Off:     off,
 	})
 	budget := limits.NewRetryBudget(limits.RetryConfig{
 		Ratio:  bounds.RetryRatio,
@@ -119,10 +124,12 @@
 		Window: bounds.RetryWindow(),
 	}, configured.Hostname)
 	p := &process{
+		options:    options,
+		off:        off,
 		logger:     logger,
 		state:      newState(),
 		dispatcher: newDispatcher(placer, budget),
-		pool:       upstream.NewPool(),
+		pool:       upstream.NewPool(upstream.Config{KeepNone: off.Off(policy.KeptConnections)}),
 		memory:     newMemoryBound(int64(configured.Limits.MemoryMB * megabyte / bodyShare)),
 		counters:   &counters{},
 		contact:    &contact{logger: logger},
@@ -174,6 +181,7 @@
 		memory:     p.memory,
 		counters:   p.counters,
 		draw:       rand.Float64,
+		off:        p.off,
 	}
 }
 
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/rig_test.go
@@ -276,7 +276,7 @@
 	h := &handler{
 		state:      newState(),
 		dispatcher: newDispatcher(placer, budget),
-		pool:       upstream.NewPool(),
+		pool:       upstream.NewPool(upstream.Config{}),
 		memory:     newMemoryBound(16 << 20),
 		counters:   &counters{},
 		draw:       func() float64 { return 0.5 },
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"fieldrelay/internal/placement"
+	"fieldrelay/internal/policy"
 	"fieldrelay/internal/proxy/upstream"
 )
 
@@ -64,6 +65,9 @@
 	if aim <= 0 {
 		aim = longestContact
 	}
+	if x.handler.off.Off(policy.ContactWatch) {
+		return upstream.Patience{Dial: x.left(), Contact: x.left()}
+	}
 	patience := upstream.Patience{
 		Dial:    min(max(aim/dialShare, shortestDial), longestDial),
 		Contact: contactOnce,
@@ -77,6 +81,14 @@
 // gone tells whether the client left or the process ends.
 func (x *exchange) gone() bool { return x.request.Context().Err() != nil }
 
+// urgency is the Priority that a server is told.
+func (x *exchange) urgency(decision placement.Decision) int {
+	if x.handler.off.Off(policy.Priorities) {
+		return untoldPriority
+	}
+	return urgency(x.route.Priority, x.place.Prompt, decision.ToRead)
+}
+
 // send writes the request to a connection and reads the head of the answer.
 func (x *exchange) send(conn *upstream.Conn, decision placement.Decision) (*http.Response, error) {
 	buffer := buffers.Get().(*[]byte)
@@ -89,7 +101,7 @@
 		attemptID:  x.attemptID,
 		left:       x.left(),
 		server:     decision.ServerID,
-		priority:   urgency(x.route.Priority, x.place.Prompt, decision.ToRead),
+		priority:   x.urgency(decision),
 		tellLength: x.request.ContentLength == 0 && len(x.request.Header["Content-Length"]) > 0,
 	}
 	var body []byte
--- a/internal/proxy/upstream/answer_test.go
+++ b/internal/proxy/upstream/answer_test.go
@@ -25,7 +25,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			pool := NewPool()
+			pool := NewPool(Config{})
 			conn, _, err := exchange(t, pool, scriptedServer(t, answering(test.answer)))
 			var answerError *AnswerError
 			require.ErrorAs(t, err, &answerError)
@@ -58,7 +58,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			pool := NewPool()
+			pool := NewPool(Config{})
 			conn, response, err := exchange(t, pool, scriptedServer(t, test.script))
 			require.NoError(t, err)
 			require.True(t, EndsWithConnection(response))
@@ -81,7 +81,7 @@
 }
 
 func TestAnswerWithoutABodyNeedsNoLength(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	conn := connect(t, pool, scriptedServer(t, holding("HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\n")))
 	require.NoError(t, conn.Send([]byte(head), nil))
 	response, err := conn.Receive(http.MethodHead, "id1")
@@ -92,7 +92,7 @@
 }
 
 func TestEndlessHeadIsBounded(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	server := scriptedServer(t, func(conn *net.TCPConn) {
 		line := []byte("X-Filler: ffffffffffffffffffffffffffffffffffffffffffffffffffffffffffffff\r\n")
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n")
@@ -108,7 +108,7 @@
 }
 
 func TestInterimAnswersArePassedOver(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	server := scriptedServer(t, holding("HTTP/1.1 103 Early Hints\r\n\r\n"+goodAnswer))
 	_, response, err := exchange(t, pool, server)
 	require.NoError(t, err)
@@ -122,7 +122,7 @@
 	}
 	for name, answer := range answers {
 		t.Run(name, func(t *testing.T) {
-			conn, response, err := exchange(t, NewPool(), scriptedServer(t, answering(answer)))
+			conn, response, err := exchange(t, NewPool(Config{}), scriptedServer(t, answering(answer)))
 			require.NoError(t, err)
 			_, err = io.ReadAll(response.Body)
 			require.Error(t, err)
--- a/internal/proxy/upstream/explore_test.go
+++ b/internal/proxy/upstream/explore_test.go
@@ -27,7 +27,7 @@
 		if last != nil {
 			last.end()
 		}
-		last = &pooled{steps: steps, server: server, pool: NewPool()}
+		last = &pooled{steps: steps, server: server, pool: NewPool(Config{})}
 		return last
 	}, depth, 200_000)
 }
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -62,6 +62,7 @@
 
 // Pool keeps idle connections. It is safe for concurrent use.
 type Pool struct {
+	config Config
 	mu     sync.Mutex
 	hosts  map[Server]*host
 	idle   int
@@ -69,9 +70,14 @@
 	stats  Stats
 }
 
+// Config is what a pool is told once. The zero value is the usual one.
+type Config struct {
+	KeepNone bool // no connection is used again
+}
+
 // NewPool returns an empty pool.
-func NewPool() *Pool {
-	return &Pool{hosts: make(map[Server]*host)}
+func NewPool(config Config) *Pool {
+	return &Pool{config: config, hosts: make(map[Server]*host)}
 }
 
 // Connect returns a connection to the server whose reads and writes end at the deadline: an idle one, or
@@ -200,7 +206,7 @@
 func (p *Pool) keep(conn *Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.idle >= maxIdle {
+	if p.closed || p.config.KeepNone || p.idle >= maxIdle {
 		return false
 	}
 	known := p.hosts[conn.server]
--- a/internal/proxy/upstream/send_test.go
+++ b/internal/proxy/upstream/send_test.go
@@ -56,7 +56,7 @@
 		all, _ := io.ReadAll(rest)
 		got <- all
 	}))
-	pool := NewPool()
+	pool := NewPool(Config{})
 	conn, body, response, err := sendLong(t, pool, server)
 	require.NoError(t, err)
 	require.Equal(t, "ok", readAll(t, response))
@@ -89,7 +89,7 @@
 		answering(goodAnswer)(conn)
 		_, _ = io.Copy(io.Discard, conn)
 	}))
-	pool := NewPool()
+	pool := NewPool(Config{})
 	conn, body, response, err := sendLong(t, pool, server)
 	require.NoError(t, err)
 	require.Equal(t, "ok", readAll(t, response))
@@ -110,7 +110,7 @@
 		_ = conn.SetReadBuffer(64 << 10)
 		early(goodAnswer, func(*net.TCPConn, *bufio.Reader) { <-answered })(conn)
 	})
-	pool := NewPool()
+	pool := NewPool(Config{})
 	conn := connect(t, pool, server)
 	body := bytes.Repeat([]byte("x"), 512<<10)
 	require.NoError(t, conn.Send(fmt.Appendf(nil, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", len(body)), body))
@@ -126,7 +126,7 @@
 // A server that declines a long request without reading it closes with bytes unread, which resets the connection.
 func TestEarlyAnswerBeforeAResetIsSeen(t *testing.T) {
 	server := scriptedServer(t, early(goodAnswer, func(conn *net.TCPConn, _ *bufio.Reader) { _ = conn.Close() }))
-	pool := NewPool()
+	pool := NewPool(Config{})
 	conn, _, response, err := sendLong(t, pool, server)
 	require.NoError(t, err)
 	require.Equal(t, "ok", readAll(t, response))
@@ -139,7 +139,7 @@
 	unsized := "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\nbody"
 	server := scriptedServer(t, early(unsized, func(conn *net.TCPConn, _ *bufio.Reader) { _ = conn.SetLinger(0) }))
 	for range 20 {
-		pool := NewPool()
+		pool := NewPool(Config{})
 		conn, _, response, err := sendLong(t, pool, server)
 		require.NoError(t, err)
 		_, err = io.ReadAll(response.Body)
@@ -165,7 +165,7 @@
 		_, err := io.Copy(io.Discard, reader)
 		got <- err
 	})
-	pool := NewPool()
+	pool := NewPool(Config{})
 	conn := connect(t, pool, server)
 	head, body := longRequest()
 	require.NoError(t, conn.Send(head, body))
@@ -180,7 +180,7 @@
 
 // A connection of which the system took nothing carried no request.
 func TestLongRequestOfWhichNothingWasSent(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	conn := connect(t, pool, scriptedServer(t, holding()))
 	head, body := longRequest()
 	conn.Abort()
@@ -203,7 +203,7 @@
 	stays := make(chan struct{})
 	t.Cleanup(func() { close(stays) })
 	server := scriptedServer(t, func(*net.TCPConn) { <-stays })
-	pool := NewPool()
+	pool := NewPool(Config{})
 	conn := connect(t, pool, server)
 	head, body := longRequest()
 	require.NoError(t, conn.Send(head, body))
@@ -222,7 +222,7 @@
 	whole := string(head) + string(body)
 	for taken := range len(whole) {
 		got := make(chan string, 1)
-		pool := NewPool()
+		pool := NewPool(Config{})
 		conn := connect(t, pool, scriptedServer(t, func(conn *net.TCPConn) {
 			all := make([]byte, len(whole)-taken)
 			_, _ = io.ReadFull(conn, all)
--- a/internal/proxy/upstream/silent_test.go
+++ b/internal/proxy/upstream/silent_test.go
@@ -18,14 +18,14 @@
 	require.NoError(t, err)
 	dead := Server{ID: "i-1", Address: listener.Addr().String()}
 	require.NoError(t, listener.Close())
-	_, err = NewPool().Connect(context.Background(), dead, usual, time.Now().Add(patience))
+	_, err = NewPool(Config{}).Connect(context.Background(), dead, usual, time.Now().Add(patience))
 	var dialError *DialError
 	require.ErrorAs(t, err, &dialError)
 	require.False(t, dialError.Silent, "it refused")
 
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = NewPool().Connect(gone, dead, usual, time.Now().Add(patience))
+	_, err = NewPool(Config{}).Connect(gone, dead, usual, time.Now().Add(patience))
 	require.ErrorAs(t, err, &dialError)
 }
 
@@ -52,12 +52,12 @@
 func TestAMachineThatDoesNotAnswerADialIsSilent(t *testing.T) {
 	silent := fullListener(t)
 	patient := Patience{Dial: 60 * time.Millisecond}
-	_, err := NewPool().Connect(context.Background(), silent, patient, time.Now().Add(patience))
+	_, err := NewPool(Config{}).Connect(context.Background(), silent, patient, time.Now().Add(patience))
 	var dialError *DialError
 	require.ErrorAs(t, err, &dialError)
 	require.True(t, dialError.Silent)
 
-	_, err = NewPool().Connect(context.Background(), silent, usual, time.Now().Add(minDial))
+	_, err = NewPool(Config{}).Connect(context.Background(), silent, usual, time.Now().Add(minDial))
 	require.ErrorAs(t, err, &dialError)
 	require.False(t, dialError.Silent, "it was given too little time to tell")
 }
@@ -93,7 +93,7 @@
 }
 
 func TestAMachineThatTakesNothingInIsSilent(t *testing.T) {
-	conn := unanswered(t, NewPool())
+	conn := unanswered(t, NewPool(Config{}))
 	_, err := conn.Receive(http.MethodGet, "id1")
 	var answerError *AnswerError
 	require.ErrorAs(t, err, &answerError)
@@ -101,7 +101,7 @@
 }
 
 func TestASweepTellsOfSilentMachines(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	conn := unanswered(t, pool)
 	other := connect(t, pool, conn.server)
 	conn.broken, conn.contact = false, contactIdle // as if its request had been answered
@@ -117,7 +117,7 @@
 }
 
 func TestConnectionsToAForgottenServerAreClosed(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	server := scriptedServer(t, holding(goodAnswer))
 	pool.Release(connect(t, pool, server))
 	pool.Forget(Server{ID: "other"})
--- a/internal/proxy/upstream/upstream_test.go
+++ b/internal/proxy/upstream/upstream_test.go
@@ -93,7 +93,7 @@
 }
 
 func TestConnectionIsReused(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	server := scriptedServer(t, holding(goodAnswer, goodAnswer))
 	for range 2 {
 		conn, response, err := exchange(t, pool, server)
@@ -118,7 +118,7 @@
 	}
 	for name, answer := range cases {
 		t.Run(name, func(t *testing.T) {
-			pool := NewPool()
+			pool := NewPool(Config{})
 			server := scriptedServer(t, holding(answer))
 			conn, response, err := exchange(t, pool, server)
 			require.NoError(t, err)
@@ -139,7 +139,7 @@
 	}
 	for name, script := range scripts {
 		t.Run(name, func(t *testing.T) {
-			pool := NewPool()
+			pool := NewPool(Config{})
 			server := scriptedServer(t, script)
 			conn, response, err := exchange(t, pool, server)
 			require.NoError(t, err)
@@ -155,7 +155,7 @@
 }
 
 func TestLateSurplusAnswerIsSeenBeforeReuse(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	late := make(chan struct{})
 	server := scriptedServer(t, func(conn *net.TCPConn) {
 		answering(goodAnswer)(conn)
@@ -186,7 +186,7 @@
 }
 
 func TestSilenceEndsAtTheDeadline(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	server := scriptedServer(t, holding())
 	conn, err := pool.Connect(context.Background(), server, usual, time.Now().Add(30*time.Millisecond))
 	require.NoError(t, err)
@@ -198,7 +198,7 @@
 }
 
 func TestAbortEndsTheExchange(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	gone := make(chan struct{})
 	server := scriptedServer(t, func(conn *net.TCPConn) {
 		_, _ = io.Copy(io.Discard, conn)
@@ -228,7 +228,7 @@
 }
 
 func TestContactIsSetForEachUse(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	server := scriptedServer(t, holding(goodAnswer))
 	timeout := func(conn *Conn) (milliseconds int) {
 		require.NoError(t, conn.raw.Control(func(descriptor uintptr) {
@@ -249,7 +249,7 @@
 }
 
 func TestSendToClosedConnectionTellsWhatWasWritten(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	conn := connect(t, pool, scriptedServer(t, holding()))
 	conn.Abort()
 	err := conn.Send([]byte(head), []byte("body"))
@@ -259,7 +259,7 @@
 }
 
 func TestIdleConnectionsAreBoundedAndAge(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	server := scriptedServer(t, holding(goodAnswer))
 	var conns []*Conn
 	for range maxIdlePerServer + 3 {
@@ -278,7 +278,7 @@
 }
 
 func TestStaleConnectionsShortenTheIdleTime(t *testing.T) {
-	pool := NewPool()
+	pool := NewPool(Config{})
 	server := Server{ID: "i-1"}
 	pool.hosts[server] = &host{idleTime: maxIdleTime}
 	pool.noteStale(server, 2*time.Second)
--- a/internal/proxy/urgency.go
+++ b/internal/proxy/urgency.go
@@ -1,5 +1,8 @@
 package proxy
 
+// untoldPriority is what servers go by when they are told none.
+const untoldPriority = 5
+
 // sizeSteps are the numbers of prompt tokens from which on a request is less urgent by a step.
 var sizeSteps = [...]int{1_000, 2_500, 5_000, 10_000}
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,6 +14,8 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
+
+	"fieldrelay/internal/policy"
 )
 
 // PathVariable is the environment variable that holds the path of the settings file.
@@ -46,6 +48,18 @@
 	FaultBudget  FaultBudget       `toml:"fault-budget"`
 	Bounds       Bounds            `toml:"bounds"`
 	CloudAPI     CloudAPI          `toml:"cloud-api"`
+	Policy       Policy            `toml:"policy"`
+}
+
+// Policy is the operator's say in how a proxy decides. It holds from the start of the process.
+type Policy struct {
+	Off []string `toml:"off"` // names of mechanisms that are switched off (package policy)
+}
+
+// Switches gives the mechanisms that are off.
+func (p Policy) Switches() policy.Switches {
+	switches, _ := policy.Parse(p.Off) // checked when the settings were read
+	return switches
 }
 
 // Binds are the addresses, ip:port, that the process listens on for callers from outside; empty for what it
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,6 +12,17 @@
 	"fieldrelay/internal/settings"
 )
 
+func TestMechanismsThatAreSwitchedOffAreChecked(t *testing.T) {
+	read, err := settings.Parse([]byte(edge + "\n[policy]\noff = [\"spill\",\"walk\"]\n"))
+	require.NoError(t, err)
+	require.Equal(t, "walk,spill", read.Policy.Switches().String())
+	_, err = settings.Parse([]byte(edge + "\n[policy]\noff = [\"spil\"]\n"))
+	var faults *settings.FaultsError
+	require.ErrorAs(t, err, &faults)
+	require.ErrorContains(t, err, "policy.off")
+	require.ErrorContains(t, err, "spil;")
+}
+
 // edge is the page's example.
 const edge = `hostname = "edge-bdg-hall-a-1"
 node-role = "my-edge"
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -7,6 +7,7 @@
 	"github.com/cockroachdb/errors"
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 
+	"fieldrelay/internal/policy"
 	"fieldrelay/internal/tomlfile"
 )
 
@@ -20,15 +21,16 @@
 const highestPort = 65535
 
 var (
-	requiredText  = []validation.Rule{validation.Required}
-	ipAddress     = []validation.Rule{validation.Required, validation.By(isIPAddress)}
-	hostPort      = []validation.Rule{validation.By(isHostPort)}
-	hostPorts     = []validation.Rule{validation.Each(validation.Required, validation.By(isHostPort))}
-	ports         = []validation.Rule{validation.Required, validation.By(isPortRange)}
-	figure        = []validation.Rule{validation.By(isFigure), validation.Min(0.0)}
-	positive      = []validation.Rule{validation.By(isFigure), validation.By(isAboveZero)}
-	count         = []validation.Rule{validation.Min(0)}
-	regionsByZone = []validation.Rule{validation.Each(validation.Required)}
+	requiredText   = []validation.Rule{validation.Required}
+	ipAddress      = []validation.Rule{validation.Required, validation.By(isIPAddress)}
+	hostPort       = []validation.Rule{validation.By(isHostPort)}
+	hostPorts      = []validation.Rule{validation.Each(validation.Required, validation.By(isHostPort))}
+	ports          = []validation.Rule{validation.Required, validation.By(isPortRange)}
+	figure         = []validation.Rule{validation.By(isFigure), validation.Min(0.0)}
+	positive       = []validation.Rule{validation.By(isFigure), validation.By(isAboveZero)}
+	count          = []validation.Rule{validation.Min(0)}
+	mechanismNames = []validation.Rule{validation.By(areMechanisms)}
+	regionsByZone  = []validation.Rule{validation.Each(validation.Required)}
 )
 
 // validate returns every fault, without lines.
@@ -58,6 +60,7 @@
 		{"binds.ctl", s.Binds.Control, hostPort},
 		{"binds.dir", s.Binds.Directory, hostPort},
 		{"cloud-api.address", s.CloudAPI.Address, hostPort},
+		{"policy.off", s.Policy.Off, mechanismNames},
 	}
 }
 
@@ -132,6 +135,12 @@
 	return nil
 }
 
+// areMechanisms accepts the names of mechanisms that have a switch.
+func areMechanisms(value any) error {
+	_, err := policy.Parse(value.([]string))
+	return err
+}
+
 // isHostPort accepts the empty text: whether an address must be there is another rule's.
 func isHostPort(value any) error {
 	address := value.(string)
--- /dev/null
+++ b/internal/tools/compare/play.go
@@ -0,0 +1,143 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+)
+
+// pairing is what plays of two variants have in common.
+type pairing struct {
+	day  string
+	seed uint64
+}
+
+// play is the result of one day.
+type play struct {
+	variant *variant
+	pairing
+	worth  float64
+	broken []string // names of broken rules
+}
+
+// report is what is read of the bench's report.
+type report struct {
+	Worth  float64        `json:"G"`
+	Broken map[string]any `json:"breaks"`
+}
+
+// playAll plays every day on every seed with every variant.
+func playAll(given *options, variants []*variant) ([]play, error) {
+	if err := os.MkdirAll(given.Work, 0o755); err != nil {
+		return nil, err
+	}
+	for _, one := range variants {
+		if err := one.clone(given.Revision, given.Work); err != nil {
+			return nil, err
+		}
+		if err := command(one.folder, given.Bench, "build"); err != nil {
+			return nil, err
+		}
+	}
+	var mu sync.Mutex
+	var plays []play
+	var failures []error
+	var waiting sync.WaitGroup
+	places := make(chan struct{}, given.Jobs)
+	for _, day := range given.Day {
+		for _, seed := range given.Seed {
+			for _, one := range variants {
+				waiting.Add(1)
+				places <- struct{}{}
+				go func() {
+					defer waiting.Done()
+					defer func() { <-places }()
+					done, err := playOne(given, one, pairing{day, seed})
+					mu.Lock()
+					defer mu.Unlock()
+					if err != nil {
+						failures = append(failures, err)
+						return
+					}
+					plays = append(plays, done)
+				}()
+			}
+		}
+	}
+	waiting.Wait()
+	for _, one := range variants {
+		if err := copyJournal(one.folder, given.Journal); err != nil {
+			failures = append(failures, err)
+		}
+	}
+	for _, failure := range failures {
+		fmt.Fprintln(os.Stderr, "compare:", failure)
+	}
+	if len(plays) == 0 {
+		return nil, errors.Join(failures...)
+	}
+	return plays, nil
+}
+
+// playOne plays one day. The bench ends with an error where a rule was broken; the report is there all the same.
+func playOne(given *options, one *variant, what pairing) (play, error) {
+	file := filepath.Join(given.Work, fmt.Sprintf("%s-%s-%d.json", one.name, filepath.Base(what.day), what.seed))
+	why := fmt.Sprintf("%s (%s; off: %s)", given.Why, one.name, strings.Join(one.off, ","))
+	arguments := []string{"run", given.Site, what.day, "--seed", strconv.FormatUint(what.seed, 10), "--report", file, "--why", why}
+	if !given.Charge {
+		arguments = append(arguments, "--no-cpu")
+	}
+	if given.Small {
+		arguments = append(arguments, "--small")
+	}
+	playing := exec.Command(given.Bench, arguments...)
+	playing.Dir = one.folder
+	printed, playError := playing.CombinedOutput()
+	data, err := os.ReadFile(file)
+	if err != nil {
+		return play{}, fmt.Errorf("%s on %s, seed %d: %w: %s", one.name, what.day, what.seed, errors.Join(playError, err), lastLines(printed))
+	}
+	var told report
+	if err := json.Unmarshal(data, &told); err != nil {
+		return play{}, fmt.Errorf("%s: %w", file, err)
+	}
+	done := play{variant: one, pairing: what, worth: told.Worth}
+	for rule := range told.Broken {
+		done.broken = append(done.broken, rule)
+	}
+	return done, nil
+}
+
+// copyJournal copies the entries that a clone has beyond those it was made with.
+func copyJournal(clone, journal string) error {
+	if journal == "" {
+		return nil
+	}
+	listed := exec.Command("git", "status", "--porcelain", "--untracked-files=all", "--", "journal")
+	listed.Dir = clone
+	printed, err := listed.Output()
+	if err != nil {
+		return err
+	}
+	for line := range strings.Lines(string(printed)) {
+		name := strings.TrimSpace(line[2:])
+		data, err := os.ReadFile(filepath.Join(clone, name))
+		if err != nil {
+			return err
+		}
+		target := filepath.Join(journal, strings.TrimPrefix(name, "journal/"))
+		if err := os.MkdirAll(filepath.Dir(target), 0o755); err != nil {
+			return err
+		}
+		if err := os.WriteFile(target, data, 0o644); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/tools/compare/variant.go
@@ -0,0 +1,102 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+
+	"fieldrelay/internal/policy"
+)
+
+// variant is one form of the system.
+type variant struct {
+	name     string
+	revision string
+	off      []string // mechanisms
+	folder   string   // its clone
+}
+
+// VariantError tells that a variant cannot be read.
+type VariantError struct {
+	Text   string
+	Reason string
+}
+
+// Error implements error.
+func (e *VariantError) Error() string { return fmt.Sprintf("variant %q: %s", e.Text, e.Reason) }
+
+// parseVariants reads NAME=REVISION[:MECHANISM,...]. The error is a *VariantError.
+func parseVariants(texts []string) ([]*variant, error) {
+	seen := map[string]bool{}
+	var variants []*variant
+	for _, text := range texts {
+		name, rest, found := strings.Cut(text, "=")
+		if !found || name == "" || rest == "" {
+			return nil, &VariantError{Text: text, Reason: "must be NAME=REVISION[:MECHANISM,...]"}
+		}
+		if seen[name] {
+			return nil, &VariantError{Text: text, Reason: "another one has this name"}
+		}
+		seen[name] = true
+		read := &variant{name: name}
+		var off string
+		read.revision, off, _ = strings.Cut(rest, ":")
+		if off != "" {
+			read.off = strings.Split(off, ",")
+		}
+		if _, err := policy.Parse(read.off); err != nil {
+			return nil, &VariantError{Text: text, Reason: err.Error()}
+		}
+		variants = append(variants, read)
+	}
+	return variants, nil
+}
+
+const (
+	deployFile   = "deploy/system.toml"
+	proxyCommand = "fieldrelay-region proxy"
+)
+
+// clone makes the variant's own copy of the repository, whose proxies run with its mechanisms off.
+func (v *variant) clone(repository, work string) error {
+	v.folder = filepath.Join(work, v.name)
+	if err := command("", "git", "clone", "--quiet", repository, v.folder); err != nil {
+		return err
+	}
+	if err := command(v.folder, "git", "checkout", "--quiet", v.revision); err != nil {
+		return err
+	}
+	if len(v.off) == 0 {
+		return nil
+	}
+	path := filepath.Join(v.folder, deployFile)
+	deploy, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	switched := strings.Replace(string(deploy), proxyCommand, proxyCommand+" --off="+strings.Join(v.off, ","), 1)
+	return os.WriteFile(path, []byte(switched), 0o644)
+}
+
+// command runs a program in a folder; what it prints is part of its error.
+func command(folder, program string, arguments ...string) error {
+	running := exec.Command(program, arguments...)
+	running.Dir = folder
+	printed, err := running.CombinedOutput()
+	if err != nil {
+		return fmt.Errorf("%s %s: %w: %s", program, strings.Join(arguments, " "), err, lastLines(printed))
+	}
+	return nil
+}
+
+// lastBytes is how much of a program's output an error holds.
+const lastBytes = 400
+
+func lastLines(printed []byte) string {
+	if len(printed) > lastBytes {
+		printed = printed[len(printed)-lastBytes:]
+	}
+	return strings.TrimSpace(string(printed))
+}
