--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -41,6 +41,7 @@
 	a.before = memory{estimate: s.estimate, failures: s.failures}
 	s.answered(a)
 	p.seeded(a)
+	p.learnReading(a, now-a.sentAt)
 	s.estimate.Observe(now, a.sample(now-a.sentAt))
 	s.failures = 0
 	if !s.service.inTime(a.request.Route, now-a.request.Arrived) {
@@ -48,6 +49,16 @@
 	}
 }
 
+// learnReading takes in a first event that came after a known number of tokens was read. While answers come late it
+// learns nothing: then they tell of what waits at the servers.
+func (p *Placer) learnReading(a *attempt, latency time.Duration) {
+	owner := a.server.service
+	if !a.alone || !owner.model() || owner.slack.Share < admitSlack || p.off(policy.ReadingSpeed) {
+		return
+	}
+	owner.engine.learn(a.sentAt+latency, a.toRead, latency)
+}
+
 // sample is the speed that an answer after latency shows: cost over latency. Where it was a guess that the
 // prompt is kept there, the answer proves no more than a range.
 func (a *attempt) sample(latency time.Duration) float64 {
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -31,6 +31,7 @@
 	unread    time.Duration // the same, had the server kept nothing; over cost only when keeping was a guess
 	toRead    int
 	toHold    int  // tokens that it may take of the server's memory
+	alone     bool // nothing else was known to wait there, and how much it has to read was known
 	trial     bool // the one after a rest
 	throttled bool // counted at the gate to cold servers
 	startedAt time.Duration
@@ -212,6 +213,7 @@
 	}
 	s.open++
 	s.held += a.toHold
+	a.alone = c.known && s.ahead == 0 && s.region == p.region
 	s.ahead += a.toRead
 	s.unanswered = append(s.unanswered, a)
 	if s.service.model() && len(request.Parts) > 0 && !p.off(policy.KeptParts) {
@@ -254,7 +256,7 @@
 	}
 	a.request.Parts, a.request.Excluded = nil, nil
 	if !c.known && c.server.service.model() {
-		a.unread += time.Duration(p.scratch.prompt.total-c.toRead) * readPerToken
+		a.unread += c.server.service.engine.reading(p.scratch.prompt.total - c.toRead)
 	}
 	return a
 }
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -10,9 +10,9 @@
 const (
 	// regionWay is the way to another region and back, as long as answers have not told better.
 	regionWay = 40 * time.Millisecond
-	// rereadTimes is how many times its reading time a shared part counts that must be read anew: the reading
-	// itself is in the prediction, the rest is its price.
-	rereadTimes = 4.0
+	// rereadPrice is the time that stands for the price of a shared token that must be read anew; the reading itself
+	// is in the prediction.
+	rereadPrice = 78 * time.Microsecond
 	// keptDoubt is the part of the shared tokens kept away from a prompt's homes that counts as read anew: other
 	// proxies do not send there, so they may have given way, and a second copy takes memory.
 	keptDoubt = 0.3
@@ -57,7 +57,7 @@
 	toRead := max(q.total-kept, 0)
 	cost := p.cost(s, toRead, q.toHold)
 	speed := p.speedAt(now, s)
-	priced := float64(cost+p.rereadPrice(s, q, kept, as)) / speed
+	priced := float64(cost+p.priceOfReading(s, q, kept, as)) / speed
 	if s.zone != p.config.Zone && !p.off(policy.ZonePreference) {
 		priced *= otherZone
 	}
@@ -73,20 +73,20 @@
 	}
 }
 
-// rereadPrice is the time that stands for the price of the shared tokens that a server must read anew.
-func (p *Placer) rereadPrice(s *server, q *prompt, kept int, as place) time.Duration {
+// priceOfReading is the time that stands for the price of the shared tokens that a server must read anew.
+func (p *Placer) priceOfReading(s *server, q *prompt, kept int, as place) time.Duration {
 	if !s.service.model() {
 		return 0
 	}
 	keptShared := min(kept, q.shared)
-	tokens := float64(q.shared-keptShared) * (rereadTimes - 1)
-	if p.off(policy.RereadPrice) {
-		tokens = 0
+	var price time.Duration
+	if !p.off(policy.RereadPrice) {
+		price = time.Duration(q.shared-keptShared) * rereadPrice
 	}
 	if as == elsewhere && !p.off(policy.KeptDoubt) {
-		tokens += keptDoubt * float64(keptShared) * rereadTimes
+		price += time.Duration(keptDoubt * float64(keptShared) * float64(rereadPrice+s.service.engine.perToken))
 	}
-	return time.Duration(tokens * float64(readPerToken))
+	return price
 }
 
 // cost is the time to the first event at speed 1, for a prompt of which so many tokens are to be read after
@@ -99,7 +99,7 @@
 		if memory := s.service.config.Runtime.CacheTokens; memory > 0 {
 			tokens += max(s.held+toHold-memory, 0)
 		}
-		cost = modelBase + time.Duration(tokens)*readPerToken
+		cost = engineBase + s.service.engine.reading(tokens)
 	} else {
 		capacity := s.capacity
 		if capacity <= 0 {
@@ -118,7 +118,7 @@
 	if !owner.model() {
 		return owner.median
 	}
-	return modelBase + time.Duration(max(q.total-q.shared, 0))*readPerToken
+	return engineBase + owner.engine.reading(max(q.total-q.shared, 0))
 }
 
 // place tells what a server is to a prompt.
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -11,10 +11,6 @@
 
 // Tuning of what is expected of a service.
 const (
-	// readPerToken is the time to read a token of a prompt; where servers differ, their speeds tell.
-	readPerToken = 26 * time.Microsecond
-	// modelBase is the time to a first event beside reading: way, queue and the first steps.
-	modelBase = 30 * time.Millisecond
 	// plainBase is the first guess of an answer time of a service that is no model's.
 	plainBase = 20 * time.Millisecond
 	// leastBase and mostBase bound what is learnt of such a service.
@@ -45,8 +41,9 @@
 	servers  []*server      // by falling affinity
 	slack    selection.Slack
 	walk     selection.Walk[*server]
-	near     selection.Estimate       // typical speed of its servers in the own region
-	far      selection.Estimate       // and of those in other regions
+	near     selection.Estimate // typical speed of its servers in the own region
+	far      selection.Estimate // and of those in other regions
+	engine   engine
 	median   time.Duration            // recent median of the time to the first event or byte
 	spilling bool                     // requests go to other regions too
 	seeding  time.Duration            // when the last attempt that seeds an estimate was sent
@@ -60,6 +57,7 @@
 		name:     name,
 		slack:    selection.NewSlack(bands),
 		median:   plainBase,
+		engine:   newEngine(),
 		admitted: map[string]time.Duration{},
 	}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -25,6 +25,7 @@
 	Subset                           // a proxy spreads its requests over part of a region's servers
 	Spill                            // other regions while they answer sooner
 	ZonePreference                   // servers of the own zone count as nearer than they are
+	ReadingSpeed                     // the time to read a token is learnt from answers
 	Admission                        // refusals while answers come late and servers are full
 	Trickle                          // one request of each route is let in at times, however bad it looks
 	Ejection                         // rest after failures in a row
@@ -52,6 +53,7 @@
 	Subset:          "subset",
 	Spill:           "spill",
 	ZonePreference:  "zone-preference",
+	ReadingSpeed:    "reading-speed",
 	Admission:       "admission",
 	Trickle:         "trickle",
 	Ejection:        "ejection",
--- a/internal/proxy/pick.go
+++ b/internal/proxy/pick.go
@@ -31,6 +31,9 @@
 // pick opens an attempt at a server. While none has room, it waits for a short time.
 func (x *exchange) pick() (placement.Decision, error) {
 	patience := x.patience()
+	if x.handler.off.Off(policy.PlaceWait) {
+		patience = x.arrived
+	}
 	for {
 		decision, err := x.handler.dispatcher.pick(&x.place, x.deadline)
 		if err == nil {
@@ -51,9 +54,6 @@
 	if x.stream != nil {
 		return earlier(time.Now().Add(waitStream), x.deadline)
 	}
-	if x.handler.off.Off(policy.PlaceWait) {
-		return x.arrived
-	}
 	if x.place.Returned {
 		return x.arrived.Add(min(x.deadline.Sub(x.arrived)/waitReturned, longestReturned))
 	}
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -23,7 +23,11 @@
 		return x.unplaced(err)
 	}
 	server := upstream.Server{ID: decision.ServerID, Address: decision.Address}
-	conn, err := x.handler.pool.Connect(x.request.Context(), server, x.contactPatience(), x.deadline)
+	patience := x.contactPatience()
+	if x.handler.off.Off(policy.ContactWatch) {
+		patience = upstream.Patience{Dial: x.left(), Contact: x.left()}
+	}
+	conn, err := x.handler.pool.Connect(x.request.Context(), server, patience, x.deadline)
 	if err != nil {
 		return x.attemptFailed(decision, err)
 	}
@@ -65,9 +69,6 @@
 	if aim <= 0 {
 		aim = longestContact
 	}
-	if x.handler.off.Off(policy.ContactWatch) {
-		return upstream.Patience{Dial: x.left(), Contact: x.left()}
-	}
 	patience := upstream.Patience{
 		Dial:    min(max(aim/dialShare, shortestDial), longestDial),
 		Contact: contactOnce,
