--- a/internal/placement/announce_test.go
+++ b/internal/placement/announce_test.go
@@ -72,3 +72,15 @@
 	f.relist()
 	require.Empty(t, f.p.heard)
 }
+
+func TestABusyServerIsNotSeeded(t *testing.T) {
+	f := newFixture(t, 0, westAndEast())
+	for _, entry := range f.list {
+		if regions[entry.GetZone()] == west && entry.GetId() != f.list[0].GetId() {
+			f.p.Announced(f.now, Announcement{ServerID: entry.GetId(), Key: 1, Tokens: 40_000})
+		}
+	}
+	for i := range 5 { // the one that is free is seeded, and gets the others as well
+		require.Equal(t, f.list[0].GetId(), f.serve(f.greeting(i), func(string) float64 { return 0.1 }))
+	}
+}
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -17,6 +17,8 @@
 	// back included, before requests go there; spillStop is by how much less they come back.
 	spillStart = 150 * time.Millisecond
 	spillStop  = 50 * time.Millisecond
+	// seedWithin: a request seeds an estimate only where its priced time is within so many times the best.
+	seedWithin = 2
 	// walkWithin: the walk takes servers whose priced time is within so many times the best.
 	walkWithin = 2
 )
@@ -159,9 +161,10 @@
 	if owner.seedOut != nil && now-owner.seeding < seedPatience {
 		return -1
 	}
+	limit := seedWithin * p.scratch.chosen[leastPriced(p.scratch.chosen)].priced
 	for i := range p.scratch.chosen {
 		c := &p.scratch.chosen[i]
-		fresh := !c.server.estimate.Seeded() && c.server.open == 0
+		fresh := !c.server.estimate.Seeded() && c.server.open == 0 && c.priced <= limit
 		if !fresh && !c.server.wantsTrial(now) {
 			continue
 		}
