--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -6,6 +6,7 @@
 
 	"go.uber.org/zap"
 
+	"fieldrelay/internal/placement"
 	"fieldrelay/internal/proxy/upstream"
 )
 
@@ -130,3 +131,18 @@
 		zap.Int64("body-bytes", memory),
 	}
 }
+
+// placementFields are the counts of the placement for a line of the log.
+func placementFields(stats placement.Stats) []zap.Field {
+	return []zap.Field{
+		zap.Uint64("picks-seeded", stats.Seeded),
+		zap.Uint64("picks-drawn", stats.Drawn),
+		zap.Uint64("picks-walked", stats.Walked),
+		zap.Uint64("picks-cold", stats.Cold),
+		zap.Uint64("picks-other-region", stats.OtherRegion),
+		zap.Uint64("ejections", stats.Ejections),
+		zap.Uint64("in-time", stats.InTime),
+		zap.Uint64("late", stats.Late),
+		zap.Uint64("announcements-heard", stats.Announced),
+	}
+}
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -27,6 +27,7 @@
 	Finished(now time.Duration, attempt placement.AttemptID, outcome placement.Outcome)
 	RequestDone(now time.Duration, request *placement.Request, answered bool, latency time.Duration)
 	Slack() float64
+	Stats() placement.Stats
 }
 
 // dispatcher shares the placer and the retry budget, which keep no lock of their own, among requests. Each
@@ -166,6 +167,13 @@
 	d.budget.SetShares(shares)
 }
 
+// stats gives the counts of the placer.
+func (d *dispatcher) stats() placement.Stats {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.placer.Stats()
+}
+
 func (d *dispatcher) slack() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- /dev/null
+++ b/internal/proxy/placementfields_test.go
@@ -0,0 +1,21 @@
+package proxy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"go.uber.org/zap/zapcore"
+
+	"fieldrelay/internal/placement"
+)
+
+func TestCountersTellHowServersArePicked(t *testing.T) {
+	encoder := zapcore.NewMapObjectEncoder()
+	for _, field := range placementFields(placement.Stats{Seeded: 3, Drawn: 7, Late: 2, Announced: 5}) {
+		field.AddTo(encoder)
+	}
+	require.Equal(t, uint64(3), encoder.Fields["picks-seeded"])
+	require.Equal(t, uint64(7), encoder.Fields["picks-drawn"])
+	require.Equal(t, uint64(2), encoder.Fields["late"])
+	require.Equal(t, uint64(5), encoder.Fields["announcements-heard"])
+}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -288,6 +288,7 @@
 
 func (p *process) counterFields() []zap.Field {
 	fields := p.counters.fields(p.pool.Stats(), p.dispatcher.slack(), p.memory.used.Load())
+	fields = append(fields, placementFields(p.dispatcher.stats())...)
 	return append(fields, zap.Duration("agent-silence", p.contact.age(p.now())))
 }
 
--- a/internal/tools/compare/compare_test.go
+++ b/internal/tools/compare/compare_test.go
@@ -60,6 +60,7 @@
 
 func TestOnePairShowsNothing(t *testing.T) {
 	require.False(t, row{pairs: 1, mean: 1}.shown())
+	require.False(t, row{pairs: 9}.shown(), "nor do plays that agree to the last digit")
 }
 
 func TestBrokenRulesAreNamedInTheTable(t *testing.T) {
--- a/internal/tools/compare/rows.go
+++ b/internal/tools/compare/rows.go
@@ -22,7 +22,7 @@
 
 // shown tells whether the difference is more than chance.
 func (r row) shown() bool {
-	return r.pairs > 1 && math.Abs(r.mean) >= shownFrom*r.standardError()
+	return r.pairs > 1 && r.mean != 0 && math.Abs(r.mean) >= shownFrom*r.standardError()
 }
 
 // standardError is that of the mean difference.
