--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -135,7 +135,7 @@
 	if s.region == p.region {
 		owner.observeLatency(latency)
 	}
-	s.failures, s.rest = 0, 0
+	s.failures, s.rest, s.succeededAt = 0, 0, now
 }
 
 // refused takes in that a server was full: speed zero, but no failure.
--- /dev/null
+++ b/internal/placement/report.go
@@ -0,0 +1,63 @@
+package placement
+
+import (
+	"time"
+
+	"fieldrelay/internal/policy"
+)
+
+const (
+	// reportedFor is how long a report of a failure counts.
+	reportedFor = 2 * time.Second
+	// reportingZones is the number of zones whose proxies must have reported a server before this proxy leaves it
+	// without a failure of its own: a cut between two zones looks like that from one of them alone.
+	reportingZones = 2
+	// successCounts is how long an own success outweighs what others report.
+	successCounts = time.Second
+)
+
+// reports holds when the proxies of some zones last reported a server.
+type reports [reportingZones]struct {
+	zone string
+	at   time.Duration
+}
+
+// add notes a report and gives the number of zones whose reports count.
+func (r *reports) add(now time.Duration, zone string) int {
+	oldest := 0
+	for i := range r {
+		if r[i].zone == zone {
+			oldest = i
+			break
+		}
+		if r[i].at < r[oldest].at {
+			oldest = i
+		}
+	}
+	r[oldest].zone, r[oldest].at = zone, now
+	zones := 0
+	for i := range r {
+		if r[i].zone != "" && now-r[i].at < reportedFor {
+			zones++
+		}
+	}
+	return zones
+}
+
+// FailureReported takes in that another proxy, in a zone of the region, had a new connection to a server fail. One zone's
+// word makes the next failure of its own enough to leave the server; the word of more zones is enough by itself.
+func (p *Placer) FailureReported(now time.Duration, serverID, zone string) {
+	known := p.servers[serverID]
+	if known == nil || p.off(policy.FailureReports) {
+		return
+	}
+	p.stats.Reported++
+	if known.succeededAt > 0 && now-known.succeededAt < successCounts {
+		return
+	}
+	if known.reports.add(now, zone) >= reportingZones {
+		p.eject(now, known, ejectAfter)
+		return
+	}
+	known.failures = max(known.failures, ejectAfter-severedWeight)
+}
--- /dev/null
+++ b/internal/placement/report_test.go
@@ -0,0 +1,80 @@
+package placement
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"fieldrelay/internal/policy"
+)
+
+// ready tells whether a server may get a request now.
+func (f *fixture) ready(id string) bool {
+	return f.p.standing(f.now, f.p.servers[id], f.request(routeHelp)) == standingReady
+}
+
+func TestTheWordOfTwoZonesIsEnoughToLeaveAServer(t *testing.T) {
+	f := newFixture(t, 0, westAndEast())
+	id := f.list[0].GetId()
+	f.p.FailureReported(f.now, id, zoneA)
+	f.p.FailureReported(f.now, id, zoneA)
+	require.True(t, f.ready(id), "one zone may be cut off from the server")
+	f.p.FailureReported(f.now, id, zoneB)
+	require.False(t, f.ready(id))
+	require.Equal(t, uint64(3), f.p.Stats().Reported)
+	f.now += 2 * restFirst
+	require.True(t, f.p.servers[id].wantsTrial(f.now), "it is tried again as after failures of its own")
+}
+
+func TestOldReportsDoNotCount(t *testing.T) {
+	f := newFixture(t, 0, westAndEast())
+	id := f.list[0].GetId()
+	f.p.FailureReported(f.now, id, zoneA)
+	f.now += reportedFor
+	f.p.FailureReported(f.now, id, zoneB)
+	require.True(t, f.ready(id))
+}
+
+func TestAReportMakesOneOwnFailureEnough(t *testing.T) {
+	for _, reported := range []bool{false, true} {
+		f := newFixture(t, 0, westAndEast())
+		decision := f.pick(f.request(routeHelp, Part{ID: 3, Tokens: 100}))
+		if reported {
+			f.p.FailureReported(f.now, decision.ServerID, zoneB)
+		}
+		f.p.Finished(f.now, decision.Attempt, Reset)
+		require.Equal(t, !reported, f.ready(decision.ServerID))
+	}
+}
+
+func TestAnOwnSuccessOutweighsReports(t *testing.T) {
+	f := newFixture(t, 0, westAndEast())
+	id := f.serve(f.request(routeHelp, Part{ID: 3, Tokens: 100}), asPredicted)
+	f.p.FailureReported(f.now, id, zoneA)
+	f.p.FailureReported(f.now, id, zoneB)
+	require.True(t, f.ready(id))
+	f.now += successCounts
+	f.p.FailureReported(f.now, id, zoneA)
+	f.p.FailureReported(f.now, id, zoneB)
+	require.False(t, f.ready(id))
+}
+
+func TestRequestsAreServedHoweverManyServersAreReported(t *testing.T) {
+	f := newFixture(t, 0, westAndEast())
+	for _, entry := range f.list {
+		f.p.FailureReported(f.now, entry.GetId(), zoneA)
+		f.p.FailureReported(f.now, entry.GetId(), zoneB)
+	}
+	_, err := f.p.Pick(f.now, f.request(routeHelp))
+	require.NoError(t, err)
+	f.p.FailureReported(f.now, "unknown", zoneA)
+}
+
+func TestReportsCountForNothingWhereTheyAreSwitchedOff(t *testing.T) {
+	f := newFixture(t, 0, westAndEast())
+	f.p.config.Off = policy.Without(policy.FailureReports)
+	id := f.list[0].GetId()
+	f.p.FailureReported(f.now, id, zoneA)
+	f.p.FailureReported(f.now, id, zoneB)
+	require.True(t, f.ready(id))
+}
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -38,16 +38,18 @@
 	suspectUntil time.Duration // it may have turned cold: treated as cold until a newer list tells
 	avoidUntil   time.Duration // it was full or seems to leave: used only when no other is left
 
-	estimate   selection.Estimate
-	unanswered []*attempt    // oldest first
-	ahead      int           // prompt tokens of the unanswered that it has to read
-	busyUntil  time.Duration // it reads what others sent until then, as far as they told
-	open       int           // attempts that have not ended
-	held       int           // tokens that they may take of the server's memory
-	failures   int           // in a row
-	rest       time.Duration
-	restUntil  time.Duration
-	trying     bool // the one trial after a rest is out
+	estimate    selection.Estimate
+	unanswered  []*attempt    // oldest first
+	ahead       int           // prompt tokens of the unanswered that it has to read
+	busyUntil   time.Duration // it reads what others sent until then, as far as they told
+	open        int           // attempts that have not ended
+	held        int           // tokens that they may take of the server's memory
+	failures    int           // in a row
+	reports     reports       // of failures, by other proxies
+	succeededAt time.Duration // when it last answered this proxy whole; 0: never
+	rest        time.Duration
+	restUntil   time.Duration
+	trying      bool // the one trial after a rest is out
 
 	kept         keptList
 	markedBy     uint64 // number of the pick that the marks belong to
--- a/internal/placement/stats.go
+++ b/internal/placement/stats.go
@@ -10,6 +10,7 @@
 	OtherRegion uint64 // sent to another region
 	Ejections   uint64
 	Announced   uint64                 // long reads that other proxies told of
+	Reported    uint64                 // failures of servers that other proxies reported
 	Overload    uint64                 // requests that Admit did not let in
 	InTime      uint64                 // requests answered in time
 	Late        uint64                 // requests answered late or not at all
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -27,6 +27,7 @@
 	ZonePreference                   // servers of the own zone count as nearer than they are
 	ReadingSpeed                     // the time to read a token is learnt from answers
 	Announcements                    // long reads are told to the other proxies of the region
+	FailureReports                   // servers that break connections are told to the other proxies of the region
 	Admission                        // refusals while answers come late and servers are full
 	Trickle                          // one request of each route is let in at times, however bad it looks
 	Ejection                         // rest after failures in a row
@@ -56,6 +57,7 @@
 	ZonePreference:  "zone-preference",
 	ReadingSpeed:    "reading-speed",
 	Announcements:   "announcements",
+	FailureReports:  "failure-reports",
 	Admission:       "admission",
 	Trickle:         "trickle",
 	Ejection:        "ejection",
--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -30,22 +30,29 @@
 	maxReadFaults = 100
 )
 
-// announcer tells the other proxies of the region of long reads, and hears of theirs: one datagram each, which may be
-// lost. Its methods may be called on nil, and then do nothing.
+// announcer tells the other proxies of the region of long reads and of servers that fail, and hears of theirs: one
+// datagram each, which may be lost. Its methods may be called on nil, and then do nothing.
 type announcer struct {
 	socket  *net.UDPConn
 	region  string
+	zone    string
 	own     netip.Addr
 	port    uint16 // of all announcers
 	targets atomic.Pointer[[]netip.AddrPort]
-	untold  chan placement.Announcement
+	untold  chan *pb.ProxyNotice
 	ended   chan struct{}
 	once    sync.Once
-	heard   func(placement.Announcement)
+	heard   listener
+}
+
+// listener takes in what other proxies tell.
+type listener interface {
+	announced(told placement.Announcement)
+	failureReported(server, zone string)
 }
 
 // newAnnouncer opens the socket at an address, ip:port. What others tell goes to heard, one call at a time.
-func newAnnouncer(address, region string, heard func(placement.Announcement)) (*announcer, error) {
+func newAnnouncer(address, region, zone string, heard listener) (*announcer, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
@@ -57,9 +64,10 @@
 	return &announcer{
 		socket: socket,
 		region: region,
+		zone:   zone,
 		own:    at.Addr(),
 		port:   at.Port(),
-		untold: make(chan placement.Announcement, maxUntold),
+		untold: make(chan *pb.ProxyNotice, maxUntold),
 		ended:  make(chan struct{}),
 		heard:  heard,
 	}, nil
@@ -87,8 +95,22 @@
 	if a == nil || announced.Tokens <= 0 {
 		return
 	}
+	a.put(&pb.ProxyNotice{Notice: &pb.ProxyNotice_LongRead{LongRead: &pb.LongRead{
+		Server: announced.ServerID, Prompt: announced.Key, Tokens: uint32(announced.Tokens),
+	}}})
+}
+
+// report has a failure of a server reported to the other proxies of the region. It never waits.
+func (a *announcer) report(server string) {
+	if a == nil {
+		return
+	}
+	a.put(&pb.ProxyNotice{Notice: &pb.ProxyNotice_ServerFailed{ServerFailed: &pb.ServerFailed{Server: server, Zone: a.zone}}})
+}
+
+func (a *announcer) put(notice *pb.ProxyNotice) {
 	select {
-	case a.untold <- announced:
+	case a.untold <- notice:
 	default:
 	}
 }
@@ -97,21 +119,20 @@
 func (a *announcer) send() {
 	for {
 		select {
-		case announced := <-a.untold:
-			a.sendToAll(announced)
+		case notice := <-a.untold:
+			a.sendToAll(notice)
 		case <-a.ended:
 			return
 		}
 	}
 }
 
-func (a *announcer) sendToAll(announced placement.Announcement) {
+func (a *announcer) sendToAll(notice *pb.ProxyNotice) {
 	targets := a.targets.Load()
 	if targets == nil {
 		return
 	}
-	message := pb.LongRead{Server: announced.ServerID, Prompt: announced.Key, Tokens: uint32(announced.Tokens)}
-	datagram, err := proto.Marshal(&message)
+	datagram, err := proto.Marshal(notice)
 	if err != nil {
 		return
 	}
@@ -124,7 +145,7 @@
 // listen takes in announcements until close.
 func (a *announcer) listen() {
 	buffer := make([]byte, maxAnnouncement)
-	var message pb.LongRead
+	var notice pb.ProxyNotice
 	for faults := 0; faults < maxReadFaults; {
 		size, _, err := a.socket.ReadFromUDPAddrPort(buffer)
 		switch {
@@ -135,14 +156,23 @@
 			continue
 		}
 		faults = 0
-		if proto.Unmarshal(buffer[:size], &message) != nil {
-			continue
+		if proto.Unmarshal(buffer[:size], &notice) == nil {
+			a.take(&notice)
 		}
-		a.heard(placement.Announcement{
-			ServerID: message.GetServer(),
-			Key:      message.GetPrompt(),
-			Tokens:   int(message.GetTokens()),
+	}
+}
+
+// take hands on what a notice tells; an unknown kind is left.
+func (a *announcer) take(notice *pb.ProxyNotice) {
+	switch told := notice.GetNotice().(type) {
+	case *pb.ProxyNotice_LongRead:
+		a.heard.announced(placement.Announcement{
+			ServerID: told.LongRead.GetServer(),
+			Key:      told.LongRead.GetPrompt(),
+			Tokens:   int(told.LongRead.GetTokens()),
 		})
+	case *pb.ProxyNotice_ServerFailed:
+		a.heard.failureReported(told.ServerFailed.GetServer(), told.ServerFailed.GetZone())
 	}
 }
 
--- a/internal/proxy/announcer_test.go
+++ b/internal/proxy/announcer_test.go
@@ -12,11 +12,24 @@
 	"fieldrelay/internal/placement"
 )
 
+// ears is a listener that keeps what it hears.
+type ears struct {
+	told     chan placement.Announcement
+	failures chan [2]string // server and zone
+}
+
+func newEars() ears {
+	return ears{told: make(chan placement.Announcement, 16), failures: make(chan [2]string, 16)}
+}
+
+func (e ears) announced(told placement.Announcement) { e.told <- told }
+func (e ears) failureReported(server, zone string)   { e.failures <- [2]string{server, zone} }
+
 // announcerAt opens an announcer on an address of the loopback range, whose port all share, and gives what it hears.
-func announcerAt(t *testing.T, address netip.AddrPort) (*announcer, chan placement.Announcement) {
+func announcerAt(t *testing.T, address netip.AddrPort) (*announcer, ears) {
 	t.Helper()
-	heard := make(chan placement.Announcement, 16)
-	opened, err := newAnnouncer(address.String(), "west", func(told placement.Announcement) { heard <- told })
+	heard := newEars()
+	opened, err := newAnnouncer(address.String(), "west", "zone-a", heard)
 	require.NoError(t, err)
 	t.Cleanup(opened.close)
 	go opened.listen()
@@ -33,15 +46,14 @@
 	return socket.LocalAddr().(*net.UDPAddr).AddrPort().Port()
 }
 
-func nextHeard(t *testing.T, heard chan placement.Announcement) placement.Announcement {
+func nextHeard[T any](t *testing.T, heard chan T) (told T) {
 	t.Helper()
 	select {
-	case told := <-heard:
-		return told
+	case told = <-heard:
 	case <-time.After(10 * time.Second):
 		require.Fail(t, "nothing was heard")
-		return placement.Announcement{}
 	}
+	return told
 }
 
 func member(address, region string) *pb.Neighbour {
@@ -63,10 +75,13 @@
 	told := placement.Announcement{ServerID: "i-7f3a", Key: 1 << 63, Tokens: 9190}
 	sender.tell(told)
 	sender.tell(placement.Announcement{ServerID: "i-7f3a"}) // nothing to tell
-	require.Equal(t, told, nextHeard(t, near))
-	require.Empty(t, echo)
-	require.Empty(t, far)
-	require.Empty(t, near)
+	require.Equal(t, told, nextHeard(t, near.told))
+	sender.report("i-7f3b")
+	require.Equal(t, [2]string{"i-7f3b", "zone-a"}, nextHeard(t, near.failures))
+	for _, other := range []ears{echo, far, near} {
+		require.Empty(t, other.told)
+		require.Empty(t, other.failures)
+	}
 }
 
 func TestBytesThatAreNoAnnouncementAreLeft(t *testing.T) {
@@ -76,15 +91,15 @@
 	socket, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(at))
 	require.NoError(t, err)
 	defer func() { _ = socket.Close() }()
-	for _, datagram := range [][]byte{{0xff, 0xff}, []byte("GET / HTTP/1.1"), {0x0a, 0x01, 'x', 0x18, 0x05}} {
+	for _, datagram := range [][]byte{{0xff, 0xff}, []byte("GET / HTTP/1.1"), {0x0a, 0x05, 0x0a, 0x01, 'x', 0x18, 0x05}} {
 		_, err := socket.Write(datagram)
 		require.NoError(t, err)
 	}
-	require.Equal(t, placement.Announcement{ServerID: "x", Tokens: 5}, nextHeard(t, heard))
+	require.Equal(t, placement.Announcement{ServerID: "x", Tokens: 5}, nextHeard(t, heard.told))
 }
 
 func TestTellingNeverWaits(t *testing.T) {
-	opened, err := newAnnouncer("127.0.9.5:0", "west", func(placement.Announcement) {})
+	opened, err := newAnnouncer("127.0.9.5:0", "west", "zone-a", newEars())
 	require.NoError(t, err)
 	defer opened.close()
 	for range 10 * maxUntold { // nobody sends
@@ -95,17 +110,18 @@
 
 func TestAProxyWithoutAnAnnouncerTellsNothing(t *testing.T) {
 	var none *announcer
+	none.report("x")
 	none.tell(placement.Announcement{ServerID: "x", Tokens: 1})
 	none.setMembers(nil)
 	none.close()
 }
 
 func TestAnAddressInUseIsTold(t *testing.T) {
-	opened, err := newAnnouncer("127.0.9.6:0", "west", nil)
+	opened, err := newAnnouncer("127.0.9.6:0", "west", "zone-a", nil)
 	require.NoError(t, err)
 	defer opened.close()
-	_, err = newAnnouncer(opened.socket.LocalAddr().String(), "west", nil)
+	_, err = newAnnouncer(opened.socket.LocalAddr().String(), "west", "zone-a", nil)
 	require.Error(t, err)
-	_, err = newAnnouncer("nowhere", "west", nil)
+	_, err = newAnnouncer("nowhere", "west", "zone-a", nil)
 	require.Error(t, err)
 }
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -144,5 +144,6 @@
 		zap.Uint64("in-time", stats.InTime),
 		zap.Uint64("late", stats.Late),
 		zap.Uint64("announcements-heard", stats.Announced),
+		zap.Uint64("failures-reported", stats.Reported),
 	}
 }
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -20,6 +20,7 @@
 	ServerLeaving(now time.Duration, serverID string)
 	ServerUnreachable(now time.Duration, serverID string)
 	Announced(now time.Duration, told placement.Announcement)
+	FailureReported(now time.Duration, serverID, zone string)
 	Admit(now time.Duration, request *placement.Request) error
 	Pick(now time.Duration, request *placement.Request) (placement.Decision, error)
 	StillAllowed(now time.Duration, attempt placement.AttemptID) bool
@@ -167,6 +168,13 @@
 	d.budget.SetShares(shares)
 }
 
+// failureReported takes in that a server failed another proxy.
+func (d *dispatcher) failureReported(server, zone string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.placer.FailureReported(d.now(), server, zone)
+}
+
 // stats gives the counts of the placer.
 func (d *dispatcher) stats() placement.Stats {
 	d.mu.Lock()
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -7,6 +7,7 @@
 	"github.com/cockroachdb/errors"
 
 	"fieldrelay/internal/placement"
+	"fieldrelay/internal/policy"
 	"fieldrelay/internal/proxy/upstream"
 	"fieldrelay/internal/route"
 )
@@ -166,8 +167,9 @@
 	return verdictFailed
 }
 
-// attemptFailed closes an attempt that brought no answer.
-func (x *exchange) attemptFailed(decision placement.Decision, err error) verdict {
+// attemptFailed closes an attempt that brought no answer. On a fresh connection that tells of the server; one that had
+// rested may have been closed meanwhile.
+func (x *exchange) attemptFailed(decision placement.Decision, err error, fresh bool) verdict {
 	f := fateOfError(err)
 	x.record(f)
 	x.place.Excluded = append(x.place.Excluded, decision.ServerID)
@@ -175,7 +177,11 @@
 		x.finish(decision, placement.ClientGone)
 		return verdictGone
 	}
-	x.finish(decision, outcomeOfError(err))
+	outcome := outcomeOfError(err)
+	if fresh && (outcome == placement.Reset || outcome == placement.Unreachable) && !x.handler.off.Off(policy.FailureReports) {
+		x.handler.announcer.report(decision.ServerID)
+	}
+	x.finish(decision, outcome)
 	return verdictFailed
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -178,11 +178,11 @@
 // as well.
 func (p *process) startAnnouncer(configured *settings.Settings) {
 	ports := configured.PortRange
-	if p.off.Off(policy.Announcements) || ports[1]-ports[0] < announcePort {
+	if (p.off.Off(policy.Announcements) && p.off.Off(policy.FailureReports)) || ports[1]-ports[0] < announcePort {
 		return
 	}
 	region := configured.RegionOf(configured.Zone)
-	opened, err := newAnnouncer(configured.Port(announcePort), region, p.dispatcher.announced)
+	opened, err := newAnnouncer(configured.Port(announcePort), region, configured.Zone, p.dispatcher)
 	if err != nil {
 		p.logger.Warn("no announcements", zap.Error(err))
 		return
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/rig_test.go
@@ -50,6 +50,7 @@
 func (f *fakePlacer) ServerUnreachable(time.Duration, string)               {}
 func (f *fakePlacer) Slack() float64                                        { return 1 }
 func (f *fakePlacer) Stats() placement.Stats                                { return placement.Stats{} }
+func (f *fakePlacer) FailureReported(time.Duration, string, string)         {}
 func (f *fakePlacer) Announced(time.Duration, placement.Announcement)       {}
 func (f *fakePlacer) Admit(time.Duration, *placement.Request) error         { return f.overload }
 
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -29,7 +29,7 @@
 	}
 	conn, err := x.handler.pool.Connect(x.request.Context(), server, patience, x.deadline)
 	if err != nil {
-		return x.attemptFailed(decision, err)
+		return x.attemptFailed(decision, err, true)
 	}
 	// The last look: what changed while the connection came up counts as well.
 	if x.gone() || x.left() <= 0 || !x.handler.dispatcher.stillAllowed(decision.Attempt) {
@@ -41,7 +41,7 @@
 	if err != nil {
 		stop()
 		x.handler.pool.Discard(conn)
-		return x.attemptFailed(decision, err)
+		return x.attemptFailed(decision, err, !conn.Reused())
 	}
 	live := &attempt{exchange: x, decision: decision, conn: conn, response: response, stop: stop}
 	return live.receive()
