--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -161,10 +161,14 @@
 	if owner.seedOut != nil && now-owner.seeding < seedPatience {
 		return -1
 	}
-	limit := seedWithin * p.scratch.chosen[leastPriced(p.scratch.chosen)].priced
+	limit := time.Duration(-1) // not reckoned yet
 	for i := range p.scratch.chosen {
 		c := &p.scratch.chosen[i]
-		fresh := !c.server.estimate.Seeded() && c.server.open == 0 && c.priced <= limit
+		fresh := !c.server.estimate.Seeded() && c.server.open == 0
+		if fresh && limit < 0 {
+			limit = seedWithin * p.scratch.chosen[leastPriced(p.scratch.chosen)].priced
+		}
+		fresh = fresh && c.priced <= limit
 		if !fresh && !c.server.wantsTrial(now) {
 			continue
 		}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -16,10 +16,8 @@
 // The mechanisms.
 const (
 	PromptHomes     Mechanism = iota // a prompt's servers by rendezvous hashing of its shared parts
-	SecondHome                       // a second server that a prompt overflows to
 	KeptParts                        // memory of which prompts were sent where
 	RereadPrice                      // reading shared parts anew counts more than its time
-	KeptDoubt                        // parts kept away from their homes count as read in part
 	Softmax                          // picks drawn by speed; off: always the best
 	Walk                             // the walk over sorted servers while answers come late
 	Subset                           // a proxy spreads its requests over part of a region's servers
@@ -46,10 +44,8 @@
 // names are what settings and command line call the mechanisms.
 var names = [mechanisms]string{
 	PromptHomes:     "prompt-homes",
-	SecondHome:      "second-home",
 	KeptParts:       "kept-parts",
 	RereadPrice:     "reread-price",
-	KeptDoubt:       "kept-doubt",
 	Softmax:         "softmax",
 	Walk:            "walk",
 	Subset:          "subset",
