--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -46,14 +46,18 @@
 	table     *route.Table
 	evacuated map[string]bool
 	proxies   int // that share the servers; 0: unknown
+	// neighbours are the proxies of the own region, this one too; 0: unknown.
+	neighbours int
 
 	services map[string]*service
 	servers  map[string]*server // by id
+	byKey    map[uint32]*server // by ServerKey
 	attempts map[AttemptID]*attempt
 	lastID   AttemptID
 	spare    []*attempt // closed attempts, used again
 
-	heard   map[chain]heardPrompt
+	heard   map[uint32]heardPrompt // by prompt key
+	pace    announcePace
 	slack   selection.Slack // over all services
 	keeper  keeper
 	picks   uint64 // numbers surveys, for the marks of the keeper
@@ -80,7 +84,9 @@
 		attempts:  map[AttemptID]*attempt{},
 		slack:     selection.NewSlack(bands),
 		keeper:    newKeeper(),
-		heard:     map[chain]heardPrompt{},
+		heard:     map[uint32]heardPrompt{},
+		byKey:     map[uint32]*server{},
+		pace:      newAnnouncePace(),
 	}
 }
 
@@ -158,6 +164,12 @@
 	if shares.GetProxies() == 0 {
 		p.proxies = 0
 	}
+	p.neighbours = 0
+	for _, member := range shares.GetMembers() {
+		if member.GetRegion() == p.region {
+			p.neighbours++
+		}
+	}
 	p.gate.SetShares(now, shares)
 }
 
@@ -212,12 +224,16 @@
 	added.listedFrom = p.lists
 	owner.servers = append(owner.servers, added)
 	p.servers[added.id] = added
+	p.byKey[uint32(added.hash)] = added
 	return added
 }
 
 func (p *Placer) removeServer(known *server) {
 	known.gone = true
 	delete(p.servers, known.id)
+	if p.byKey[uint32(known.hash)] == known {
+		delete(p.byKey, uint32(known.hash))
+	}
 	known.service.servers = slices.DeleteFunc(known.service.servers, func(other *server) bool { return other == known })
 	p.keeper.forget(known)
 	p.forgetHeard(known)
--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcer.go
@@ -96,7 +96,7 @@
 		return
 	}
 	a.put(&pb.ProxyNotice{Notice: &pb.ProxyNotice_LongRead{LongRead: &pb.LongRead{
-		Server: announced.ServerID, Prompt: announced.Key, Tokens: uint32(announced.Tokens),
+		Server: announced.Server, Prompt: announced.Prompt, Tokens: uint32(announced.Tokens),
 	}}})
 }
 
@@ -167,9 +167,9 @@
 	switch told := notice.GetNotice().(type) {
 	case *pb.ProxyNotice_LongRead:
 		a.heard.announced(placement.Announcement{
-			ServerID: told.LongRead.GetServer(),
-			Key:      told.LongRead.GetPrompt(),
-			Tokens:   int(told.LongRead.GetTokens()),
+			Server: told.LongRead.GetServer(),
+			Prompt: told.LongRead.GetPrompt(),
+			Tokens: int(told.LongRead.GetTokens()),
 		})
 	case *pb.ProxyNotice_ServerFailed:
 		a.heard.failureReported(told.ServerFailed.GetServer(), told.ServerFailed.GetZone())
--- a/internal/proxy/announcer_test.go
+++ b/internal/proxy/announcer_test.go
@@ -72,9 +72,9 @@
 		member("127.0.9.1:7001", "west"), member("127.0.9.2:7001", "west"), member("127.0.9.3:7001", "east"),
 		member("no address", "west"),
 	})
-	told := placement.Announcement{ServerID: "i-7f3a", Key: 1 << 63, Tokens: 9190}
+	told := placement.Announcement{Server: placement.ServerKey("i-7f3a"), Prompt: 1 << 31, Tokens: 9190}
 	sender.tell(told)
-	sender.tell(placement.Announcement{ServerID: "i-7f3a"}) // nothing to tell
+	sender.tell(placement.Announcement{Server: 7}) // nothing to tell
 	require.Equal(t, told, nextHeard(t, near.told))
 	sender.report("i-7f3b")
 	require.Equal(t, [2]string{"i-7f3b", "zone-a"}, nextHeard(t, near.failures))
@@ -91,11 +91,11 @@
 	socket, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(at))
 	require.NoError(t, err)
 	defer func() { _ = socket.Close() }()
-	for _, datagram := range [][]byte{{0xff, 0xff}, []byte("GET / HTTP/1.1"), {0x0a, 0x05, 0x0a, 0x01, 'x', 0x18, 0x05}} {
+	for _, datagram := range [][]byte{{0xff, 0xff}, []byte("GET / HTTP/1.1"), {0x0a, 0x07, 0x0d, 0x09, 0x00, 0x00, 0x00, 0x18, 0x05}} {
 		_, err := socket.Write(datagram)
 		require.NoError(t, err)
 	}
-	require.Equal(t, placement.Announcement{ServerID: "x", Tokens: 5}, nextHeard(t, heard.told))
+	require.Equal(t, placement.Announcement{Server: 9, Tokens: 5}, nextHeard(t, heard.told))
 }
 
 func TestTellingNeverWaits(t *testing.T) {
@@ -103,7 +103,7 @@
 	require.NoError(t, err)
 	defer opened.close()
 	for range 10 * maxUntold { // nobody sends
-		opened.tell(placement.Announcement{ServerID: "x", Tokens: 1})
+		opened.tell(placement.Announcement{Server: 9, Tokens: 1})
 	}
 	require.Len(t, opened.untold, maxUntold)
 }
@@ -111,7 +111,7 @@
 func TestAProxyWithoutAnAnnouncerTellsNothing(t *testing.T) {
 	var none *announcer
 	none.report("x")
-	none.tell(placement.Announcement{ServerID: "x", Tokens: 1})
+	none.tell(placement.Announcement{Server: 9, Tokens: 1})
 	none.setMembers(nil)
 	none.close()
 }
@@ -125,3 +125,15 @@
 	_, err = newAnnouncer("nowhere", "west", "zone-a", nil)
 	require.Error(t, err)
 }
+
+func TestAServerIsReportedOnceASecond(t *testing.T) {
+	d := newDispatcher(&fakePlacer{}, nil)
+	require.True(t, d.mayReport("i-1"))
+	require.False(t, d.mayReport("i-1"))
+	require.True(t, d.mayReport("i-2"))
+	d.start = d.start.Add(-reportEvery)
+	require.True(t, d.mayReport("i-1"))
+	d.start = d.start.Add(-2 * reportEvery)
+	d.dropReported()
+	require.Empty(t, d.reported)
+}
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -40,14 +40,19 @@
 	budget *limits.RetryBudget
 	// closing counts the answers in a row with which a server closed the connection, by its id.
 	closing map[string]int
+	// reported tells when the other proxies were last told of a server's failure, by its id.
+	reported map[string]time.Duration
 }
 
+// reportEvery is the least time between two reports of one server.
+const reportEvery = time.Second
+
 // leavingAnswers is the number of answers in a row with Connection: close that show that a server leaves:
 // other servers close connections now and then as well.
 const leavingAnswers = 2
 
 func newDispatcher(placer placer, budget *limits.RetryBudget) *dispatcher {
-	return &dispatcher{start: time.Now(), placer: placer, budget: budget, closing: make(map[string]int)}
+	return &dispatcher{start: time.Now(), placer: placer, budget: budget, closing: make(map[string]int), reported: make(map[string]time.Duration)}
 }
 
 // now is the time of the placer's and the budget's calls. The caller holds the lock.
@@ -150,6 +155,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	clear(d.closing)
+	d.dropReported()
 	age := time.Duration(list.GetAgeMs()) * time.Millisecond
 	d.placer.SetServers(d.now(), list.GetServers(), age)
 }
@@ -175,6 +181,29 @@
 	d.placer.FailureReported(d.now(), server, zone)
 }
 
+// mayReport tells whether a server's failure is to be told to the other proxies, and notes it if so.
+func (d *dispatcher) mayReport(server string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.now()
+	last, told := d.reported[server]
+	if told && now-last < reportEvery {
+		return false
+	}
+	d.reported[server] = now
+	return true
+}
+
+// dropReported forgets reports that are over. The caller holds the lock.
+func (d *dispatcher) dropReported() {
+	now := d.now()
+	for server, last := range d.reported {
+		if now-last >= reportEvery {
+			delete(d.reported, server)
+		}
+	}
+}
+
 // stats gives the counts of the placer.
 func (d *dispatcher) stats() placement.Stats {
 	d.mu.Lock()
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -178,13 +178,21 @@
 		return verdictGone
 	}
 	outcome := outcomeOfError(err)
-	if fresh && (outcome == placement.Reset || outcome == placement.Unreachable) && !x.handler.off.Off(policy.FailureReports) {
-		x.handler.announcer.report(decision.ServerID)
+	if fresh && (outcome == placement.Reset || outcome == placement.Unreachable) {
+		x.report(decision.ServerID)
 	}
 	x.finish(decision, outcome)
 	return verdictFailed
 }
 
+// report tells the other proxies of the region that a server failed.
+func (x *exchange) report(server string) {
+	if x.handler.off.Off(policy.FailureReports) || !x.handler.dispatcher.mayReport(server) {
+		return
+	}
+	x.handler.announcer.report(server)
+}
+
 // finish tells placement how an attempt ended. Other connections to a machine out of reach are given up too.
 func (x *exchange) finish(decision placement.Decision, outcome placement.Outcome) {
 	if outcome == placement.Unreachable {
