--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -275,8 +275,8 @@
 		}
 		group, leader := f.core.Views().Voting()
 		role := func(name string) string {
-			if name == self.Name && !f.core.Views().Votes() {
-				return "" // one of its name did, before it was started anew
+			if name == self.Name && !f.core.Views().VoteCounts() {
+				return "" // one of its name did, before it was started anew, and may still be counted in its place
 			}
 			for _, voter := range group.Voters {
 				if voter.Name == name && name == leader {
--- a/internal/view/machine.go
+++ b/internal/view/machine.go
@@ -150,6 +150,12 @@
 // Votes tells whether this process votes.
 func (m *Machine) Votes() bool { return m.voter != nil }
 
+// VoteCounts tells whether this process votes under its own identity and no earlier group has to be heard any more: until
+// then an earlier one of its name may still be among those of whom a majority is needed, and another loss could take that.
+func (m *Machine) VoteCounts() bool {
+	return m.voter != nil && slices.Contains(m.voter.conf.GetVoters(), m.voter.id) && len(m.voter.conf.GetVotersOutgoing()) == 0
+}
+
 // Stamp goes with an answer. m.now is when the question was taken in, or earlier: the age is none too small.
 func (m *Machine) Stamp(now time.Duration) Stamp {
 	if !m.has {
