--- /dev/null
+++ b/internal/catalog/golden_test.go
@@ -0,0 +1,137 @@
+package catalog_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"google.golang.org/protobuf/proto"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/catalog"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// goldenChanges are the changes of 70 orders (more than one chunk of the record of taken orders), of amendments with
+// and without removals, and of evacuations that begin and end; and the state that they lead to.
+func goldenChanges(t *testing.T) (*catalog.Snapshot, []*pb.Change) {
+	t.Helper()
+	snapshot := catalog.Empty()
+	var changes []*pb.Change
+	take := func(change *pb.Change, err error) {
+		snapshot = taken(t, snapshot, change, err)
+		changes = append(changes, change)
+	}
+	for range 66 {
+		take(catalog.PrepareReplace(snapshot, snapshot.Generation(), goldenOrder(snapshot.Generation())))
+	}
+	take(catalog.PrepareEvacuation(snapshot, "hall-b", true))
+	take(catalog.PrepareEvacuation(snapshot, "hall-ä", true))
+	take(catalog.PrepareAmend(snapshot, 66, []byte(`{"gen":70,"upsert":{"routes":[`+route("added")+`],"backends":[{"name":"s3"}],"note":{"x":[1,2]}}}`)))
+	take(catalog.PrepareAmend(snapshot, 70, []byte(`{"gen":71,"remove":{"routes":["b"]}}`)))
+	take(catalog.PrepareEvacuation(snapshot, "hall-b", false))
+	take(catalog.PrepareReplace(snapshot, 71, configuration(80, route("a"), route("c"), route("added"))))
+	take(catalog.PrepareAmend(snapshot, 80, []byte(`{"gen":81,"upsert":{"backends":[{"name":"s4","note":"é"}]}}`)))
+	return snapshot, changes
+}
+
+// goldenOrder is the body of the order on one of the first generations.
+func goldenOrder(base uint64) []byte {
+	return configuration(base+1, route("a"), route("b", fmt.Sprintf(`"note":%d`, base/10)))
+}
+
+// goldenState is what an operator sees of the golden state, and what copies compare.
+type goldenState struct {
+	Sequence   uint64              `json:"sequence"`
+	Generation uint64              `json:"generation"`
+	Items      []string            `json:"items"` // kind, name, order, sequence, body
+	Evacuated  []string            `json:"evacuated"`
+	Orders     int                 `json:"taken-orders"`
+	Since      uint64              `json:"taken-since"`
+	Config     json.RawMessage     `json:"configuration"`
+	Digests    map[string][]uint64 `json:"digests"`
+}
+
+func describe(t *testing.T, snapshot *catalog.Snapshot) []byte {
+	t.Helper()
+	state := goldenState{Sequence: snapshot.Sequence(), Generation: snapshot.Generation(), Evacuated: snapshot.EvacuatedZones()}
+	for _, kind := range snapshot.Kinds() {
+		for _, item := range snapshot.Items(kind) {
+			state.Items = append(state.Items, fmt.Sprintf("%s %s %d %d %s",
+				item.GetKind(), item.GetName(), item.GetOrder(), item.GetSequence(), item.GetBody()))
+		}
+	}
+	state.Orders, state.Since = snapshot.TakenOrders()
+	state.Config = json.RawMessage(readBack(t, snapshot))
+	digests := snapshot.ReplicaDigests()
+	state.Digests = map[string][]uint64{"items": digests.GetDigests(), "taken": digests.GetTaken().GetChunks()}
+	text, err := json.MarshalIndent(state, "", " ")
+	require.NoError(t, err)
+	return append(text, '\n')
+}
+
+func golden(t *testing.T, name string, written []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		require.NoError(t, os.WriteFile(path, written, 0o600))
+	}
+	content, err := os.ReadFile(path)
+	require.NoError(t, err)
+	return content
+}
+
+// Guards the stored form of a snapshot: the same state is encoded to the very bytes, and the bytes of an earlier
+// program are read to the same state: items, evacuations, record of taken orders, digests.
+func TestGoldenSnapshot(t *testing.T) {
+	snapshot, _ := goldenChanges(t)
+	encoded, err := snapshot.Marshal()
+	require.NoError(t, err)
+	stored := golden(t, "golden-snapshot.bin", encoded)
+	require.True(t, bytes.Equal(stored, encoded), "the encoding differs from the golden one")
+	want := string(golden(t, "golden-snapshot.json", describe(t, snapshot)))
+	read, err := catalog.Unmarshal(stored)
+	require.NoError(t, err)
+	require.Equal(t, want, string(describe(t, read)))
+	require.True(t, read.SameAs(snapshot))
+	for base := range uint64(66) {
+		_, err = catalog.PrepareReplace(read, base, goldenOrder(base))
+		var again *catalog.AlreadyTakenError
+		require.ErrorAs(t, err, &again, "the order on %d", base)
+		_, err = catalog.PrepareReplace(read, base, configuration(base+1, route("other")))
+		var conflict *catalog.ConflictError
+		require.ErrorAs(t, err, &conflict, "another order on %d", base)
+	}
+}
+
+// Guards what orders make of a state, as it is written to disk and sent to others: each change is encoded to the very
+// bytes, and the changes of an earlier program lead to the same state.
+func TestGoldenChanges(t *testing.T) {
+	snapshot, changes := goldenChanges(t)
+	var written strings.Builder
+	for _, change := range changes {
+		encoded, err := proto.Marshal(change)
+		require.NoError(t, err)
+		fmt.Fprintf(&written, "%x\n", encoded)
+	}
+	stored := string(golden(t, "golden-changes.txt", []byte(written.String())))
+	require.Equal(t, stored, written.String())
+	state := catalog.Empty()
+	for line := range strings.Lines(stored) {
+		var encoded []byte
+		_, err := fmt.Sscanf(line, "%x\n", &encoded)
+		require.NoError(t, err)
+		change := &pb.Change{}
+		require.NoError(t, proto.Unmarshal(encoded, change))
+		state, err = state.Apply(change)
+		require.NoError(t, err)
+	}
+	require.True(t, state.SameAs(snapshot))
+}
--- /dev/null
+++ b/internal/migration/planfile/golden_test.go
@@ -0,0 +1,68 @@
+package planfile
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"fieldrelay/internal/migration/plan"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+func golden(t *testing.T, name string, written []byte) string {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		require.NoError(t, os.WriteFile(path, written, 0o600))
+	}
+	content, err := os.ReadFile(path)
+	require.NoError(t, err)
+	return string(content)
+}
+
+// Guards the file that a reviewer has in hands: a plan is written with its remarks to the very bytes; a file of an
+// earlier program is read, written again to the very bytes, named by the same digest, and its stages hold.
+func TestGoldenPlanFile(t *testing.T) {
+	file, err := Parse([]byte(good))
+	require.NoError(t, err)
+	input, err := file.Input(inventory(t))
+	require.NoError(t, err)
+	made, err := plan.Make(input)
+	require.NoError(t, err)
+	planned := file.WithPlan(made)
+	reviewed, err := planned.Write(made)
+	require.NoError(t, err)
+	require.Equal(t, golden(t, "golden-reviewed.toml", reviewed), string(reviewed))
+
+	bare, err := planned.Write(nil)
+	require.NoError(t, err)
+	stored := golden(t, "golden-plan.toml", bare)
+	read, err := Parse([]byte(stored))
+	require.NoError(t, err)
+	again, err := read.Write(nil)
+	require.NoError(t, err)
+	require.Equal(t, stored, string(again))
+	digest, err := read.Digest()
+	require.NoError(t, err)
+	require.Equal(t, golden(t, "golden-plan.digest", []byte(digest+"\n")), digest+"\n")
+
+	fromReview, err := Parse([]byte(golden(t, "golden-reviewed.toml", reviewed)))
+	require.NoError(t, err)
+	reviewedDigest, err := fromReview.Digest()
+	require.NoError(t, err)
+	require.Equal(t, digest, reviewedDigest, "remarks do not count")
+
+	checked, err := read.Plan(input)
+	require.NoError(t, err)
+	var order []string
+	for _, stage := range checked.Stages {
+		for _, one := range stage.Replacements {
+			order = append(order, one.Old.ID+" by "+one.New.ID)
+		}
+	}
+	require.Equal(t, len(file.Replacements), len(order))
+}
