--- /dev/null
+++ b/internal/daemon/golden_test.go
@@ -0,0 +1,49 @@
+package daemon
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"fieldrelay/internal/verdict"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// Guards what a sidecar leaves to the process after it: a file of an earlier program is found under its name and holds
+// what was suspended by hand and what the fleet said.
+// (The file's bytes hold the time of writing and are not compared.) With -update it is written anew.
+func TestGoldenKeptFileIsReadBack(t *testing.T) {
+	const name = "fieldrelay-golden.kept"
+	golden := filepath.Join("testdata", name)
+	names := []string{"node-1", "node-ä"}
+	words := []verdict.Word{
+		{Node: "node-1", Count: 3, By: "other", Suspended: true, Since: 1500 * time.Millisecond},
+		{Node: "node-2", Count: 1, By: "me"},
+	}
+	if *update {
+		folder := t.TempDir()
+		kept := keptFor(folder, "golden")
+		require.NoError(t, kept.write(keySuspended, []string{"early"}))
+		require.NoError(t, kept.write(keyWords, words))
+		require.NoError(t, kept.write(keySuspended, names))
+		content, err := os.ReadFile(filepath.Join(folder, name))
+		require.NoError(t, err)
+		require.NoError(t, os.WriteFile(golden, content, 0o600))
+	}
+	content, err := os.ReadFile(golden)
+	require.NoError(t, err)
+	folder := t.TempDir()
+	require.NoError(t, os.WriteFile(filepath.Join(folder, name), content, 0o600))
+	kept := keptFor(folder, "golden")
+	var readNames []string
+	require.NoError(t, kept.read("suspended", &readNames))
+	require.Equal(t, names, readNames)
+	var readWords []verdict.Word
+	require.NoError(t, kept.read("words", &readWords))
+	require.Equal(t, words, readWords)
+}
