--- /dev/null
+++ b/cmd/fieldrelay-region/interface_test.go
@@ -0,0 +1,21 @@
+package main
+
+import (
+	"flag"
+	"testing"
+
+	"github.com/alecthomas/kong"
+	"github.com/stretchr/testify/require"
+
+	"fieldrelay/internal/recordedtest"
+)
+
+var update = flag.Bool("update", false, "write the recorded copies")
+
+// The commands, arguments and flags are those that were recorded.
+func TestRecordedCommands(t *testing.T) {
+	var commands commandLine
+	parser, err := kong.New(&commands, kong.Name("fieldrelay-region"), helpVariables())
+	require.NoError(t, err)
+	recordedtest.Compare(t, *update, "testdata/commands.txt", recordedtest.Commands(parser.Model))
+}
--- /dev/null
+++ b/internal/proxy/interface_test.go
@@ -0,0 +1,23 @@
+package proxy
+
+import (
+	"flag"
+	"fmt"
+	"strings"
+	"testing"
+
+	"fieldrelay/internal/recordedtest"
+)
+
+var updateRecorded = flag.Bool("update", false, "write the recorded copies")
+
+// The names of the protocol's headers are those that were recorded.
+func TestRecordedHeaders(t *testing.T) {
+	var lines []string
+	for _, name := range []string{headerAttemptID, headerDeadline, headerExpectServer, headerServerSeal, headerNotExecuted, headerWarmup,
+		headerModel, headerTokenCount, headerPromptPrefix, headerPriority, headerLastEventID, protocolPrefix, "Host", "Content-Type",
+		"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Transfer-Encoding", "Upgrade", "Trailer", "Expect", "Content-Length"} {
+		lines = append(lines, fmt.Sprintf("%s: of one connection %t, set by the proxy %t", name, concernsConnection(name), setByProxy(name)))
+	}
+	recordedtest.Compare(t, *updateRecorded, "testdata/headers.txt", strings.Join(lines, "\n")+"\n")
+}
