--- a/internal/controlsim/host_test.go
+++ b/internal/controlsim/host_test.go
@@ -153,6 +153,9 @@
 // handle has the machine take an event now.
 func (h *host) handle(next control.Event) {
 	for _, action := range h.machine.Step(h.world.now, next) {
+		if watch := h.world.plan.mutation.watch; watch != nil {
+			watch(h, action)
+		}
 		if send, sends := action.(control.Send); sends {
 			send.Message = h.world.plan.mutation.onMessage(send.Message)
 			action = send
--- a/internal/controlsim/large_test.go
+++ b/internal/controlsim/large_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"fmt"
 	"net/http"
 	"slices"
@@ -156,6 +157,8 @@
 	share    float64 // of a core, for each machine
 	kinds    []string
 	loses    func(*world, *pb.Message) bool // what the network loses; nil: nothing
+	mutation mutation
+	lasts    time.Duration // 0: largeFor
 }
 
 // play runs the operators of a mixture on slow machines.
@@ -167,6 +170,7 @@
 		required:  usualRequirement,
 		calm:      true,
 		processor: m.share,
+		mutation:  m.mutation,
 	})
 	w.stateBytes = len(largeBody(1, "/1-1/", "b"))
 	w.acknowledgeOne(foundWithin)
@@ -180,7 +184,7 @@
 		operators = append(operators, operator)
 		w.after(w.upTo(100*time.Millisecond), operator.next)
 	}
-	w.run(largeFor)
+	w.run(cmp.Or(m.lasts, largeFor))
 	for _, operator := range operators {
 		operator.ended = true
 	}
--- a/internal/controlsim/mutation_test.go
+++ b/internal/controlsim/mutation_test.go
@@ -21,6 +21,8 @@
 
 	leaveSilently bool // a machine that is told to end just ends
 	strikeEarly   bool // an adversary does not wait for the fault budget
+
+	watch func(*host, control.Action) // plants nothing: is told of each action as the machine gave it; nil: nobody
 }
 
 func (m *mutation) onMessage(message *pb.Message) *pb.Message {
