--- a/internal/placement/sim_test.go
+++ b/internal/placement/sim_test.go
@@ -112,6 +112,32 @@
 	results map[string]*simResult // by route
 	offered int                   // shared tokens
 	told    bool                  // proxies of a region hear of each other's long reads at once
+	watch   simWatch
+}
+
+// simWatch is told of what the placers decide, and of how attempts go; the functions that are nil are not called.
+type simWatch struct {
+	refused func(now time.Duration, proxy int, err error)
+	picked  func(now time.Duration, proxy int, decision Decision)
+	ended   func(now time.Duration, decision Decision, label string)
+}
+
+func (w *simWatch) onRefused(now time.Duration, proxy int, err error) {
+	if w.refused != nil {
+		w.refused(now, proxy, err)
+	}
+}
+
+func (w *simWatch) onPicked(now time.Duration, proxy int, decision Decision) {
+	if w.picked != nil {
+		w.picked(now, proxy, decision)
+	}
+}
+
+func (w *simWatch) onEnded(now time.Duration, decision Decision, label string) {
+	if w.ended != nil {
+		w.ended(now, decision, label)
+	}
 }
 
 type simResult struct {
@@ -205,15 +231,18 @@
 	}
 	result := s.results[kind.route]
 	result.sent++
-	if p.Admit(now, request) != nil {
+	if err := p.Admit(now, request); err != nil {
+		s.watch.onRefused(now, proxy, err)
 		result.refused++
 		return
 	}
 	decision, err := p.Pick(now, request)
 	if err != nil {
+		s.watch.onRefused(now, proxy, err)
 		result.refused++
 		return
 	}
+	s.watch.onPicked(now, proxy, decision)
 	if s.told && decision.Announce.Tokens > 0 {
 		s.announce(now, proxy, decision.Announce)
 	}
@@ -237,6 +266,7 @@
 	if engine.slow == 0 { // down
 		s.after(now, way, func(now time.Duration) {
 			result.failed++
+			s.watch.onEnded(now, to, "reset")
 			p.Finished(now, to.Attempt, Reset)
 			p.RequestDone(now, request, false, 0)
 		})
@@ -250,6 +280,7 @@
 	first := engine.freeAt + simStep + way/2
 	s.after(first, 0, func(now time.Duration) {
 		latency := now - request.Arrived
+		s.watch.onEnded(now, to, "started")
 		if latency <= request.Route.Target {
 			result.inTime++
 		}
