--- /dev/null
+++ b/logic/digest_test.go
@@ -0,0 +1,46 @@
+package logic
+
+import (
+	"flag"
+	"fmt"
+	"testing"
+	"time"
+
+	"fieldrelay/internal/digesttest"
+)
+
+var update = flag.Bool("update", false, "record the digests of the runs anew")
+
+// A change that should change no behaviour changes none of the decisions under the random events of a seed.
+func TestDecisionsHaveTheRecordedDigests(t *testing.T) {
+	for seed := range uint64(8) {
+		name := fmt.Sprintf("events-%d", seed)
+		t.Run(name, func(t *testing.T) {
+			digesttest.Compare(t, name, *update, func() *digesttest.Recorder {
+				recorder := digesttest.New(time.Second)
+				watchRandom(t, seed, func(now time.Duration, a Action) { recordAction(t, recorder, now, a) })
+				return recorder
+			})
+		})
+	}
+}
+
+func recordAction(t *testing.T, recorder *digesttest.Recorder, now time.Duration, a Action) {
+	kinds := map[ActionKind]string{
+		ActSend: "send", ActCancel: "cancel", ActRefuse: "refuse", ActFail: "fail", ActWake: "wake",
+		ActWatch: "watch", ActRelease: "release", ActLog: "log",
+	}
+	timers := map[TimerKind]string{
+		TimerAim: "aim", TimerHeld: "held", TimerExpire: "expire", TimerAsk: "ask", TimerIdle: "idle",
+	}
+	label, known := kinds[a.Kind]
+	timer, knownTimer := timers[a.Timer.Kind]
+	if !known || !knownTimer {
+		t.Errorf("an action that the digests do not know: %+v", a)
+	}
+	entry := recorder.Entry(now, label).Number(a.Request).Number(a.Server).Number(uint64(a.Attempt)).Time(a.After).Time(a.At)
+	if a.Kind == ActWake {
+		entry.Text(timer).Number(a.Timer.ID)
+	}
+	entry.Text(a.Text)
+}
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -43,6 +43,7 @@
 	coldGot  map[uint64]int
 	history  []Action
 	nextID   uint64
+	watch    func(now time.Duration, a Action) // is told of each action; nil: nobody
 }
 
 func randomConfig(rng *rand.Rand) Config {
@@ -71,6 +72,9 @@
 	acts := c.b.Step(c.now, &ev, nil)
 	c.history = append(c.history, acts...)
 	for _, a := range acts {
+		if c.watch != nil {
+			c.watch(c.now, a)
+		}
 		c.check(a)
 	}
 }
@@ -298,7 +302,9 @@
 	}
 }
 
-func runRandom(t *testing.T, seed uint64) []Action {
+func runRandom(t *testing.T, seed uint64) []Action { return watchRandom(t, seed, nil) }
+
+func watchRandom(t *testing.T, seed uint64, watch func(time.Duration, Action)) []Action {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	cfg := randomConfig(rng)
 	b, err := New(cfg, seed)
@@ -307,7 +313,7 @@
 	}
 	c := &checker{t: t, cfg: cfg, rng: rng, b: b, now: time.Minute, list: map[uint64]*Server{},
 		banned: map[uint64]bool{}, requests: map[uint64]*seenRequest{}, cold: map[uint64]float64{},
-		coldGot: map[uint64]int{}}
+		coldGot: map[uint64]int{}, watch: watch}
 	var first []Server
 	for id := uint64(1); id <= 5; id++ {
 		s := Server{ID: id, Zone: "z" + string(rune('0'+id%2)), Cell: int(id % 3)}
