--- a/internal/agent/model_agent_test.go
+++ b/internal/agent/model_agent_test.go
@@ -49,7 +49,11 @@
 		return
 	}
 	before := a.core.held.Sequence()
-	for _, wanted := range a.core.step(a.model.now, happened) {
+	actions := a.core.step(a.model.now, happened)
+	if a.model.watch != nil {
+		a.model.watch(a, happened, actions)
+	}
+	for _, wanted := range actions {
 		a.call(wanted)
 	}
 	if a.core.broken.total() != 0 {
--- a/internal/agent/model_test.go
+++ b/internal/agent/model_test.go
@@ -27,7 +27,8 @@
 	cut      map[string]bool // addresses that nobody reaches and from which nothing comes
 	failures []string
 	plant    planted
-	links    *modelLinks // nil: of endless bandwidth
+	links    *modelLinks                                            // nil: of endless bandwidth
+	watch    func(who *modelAgent, happened event, wanted []action) // is told of each step; nil: nobody
 }
 
 // planted is a fault, to show that the model's checks find it. The zero value plants none.
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -47,6 +47,7 @@
 	flying   []message
 	pushes   int
 	compares int
+	watch    func(i int, actions []Action) // is told of each step; nil: nobody
 }
 
 func newSwarm(t *testing.T, seed uint64, size int) *swarm {
@@ -68,6 +69,9 @@
 
 func (s *swarm) step(i int, event Event) []Action {
 	actions := s.machines[i].Step(s.now, event)
+	if s.watch != nil {
+		s.watch(i, actions)
+	}
 	require.GreaterOrEqual(s.t, s.copies[i].Sequence(), s.floor[i], "sequences only rise")
 	s.floor[i] = s.copies[i].Sequence()
 	require.GreaterOrEqual(s.t, CompareVersions(s.copies[i].ListVersion(), s.lists[i]), 0, "list versions only rise")
--- /dev/null
+++ b/internal/registry/digest_test.go
@@ -0,0 +1,67 @@
+package registry
+
+import (
+	"flag"
+	"fmt"
+	"testing"
+	"time"
+
+	"fieldrelay/internal/digesttest"
+	"fieldrelay/internal/route"
+)
+
+var update = flag.Bool("update", false, "record the digests of the runs anew")
+
+// A change that should change no behaviour changes nothing that control machines tell each other of the servers, and
+// when they read the platform's list.
+func TestInventoriesHaveTheRecordedDigests(t *testing.T) {
+	digesttest.Compare(t, "inventories", *update, func() *digesttest.Recorder {
+		recorder := digesttest.New(5 * time.Second)
+		s := newSimulation(t, 3)
+		s.lossy = true
+		s.watch = func(host string, action Action) {
+			switch action := action.(type) {
+			case StartPoll:
+				recorder.Entry(s.now, "poll").Text(host)
+			case SendList:
+				recorder.Entry(s.now, "send").Text(host).Message(action.List)
+			case ListChanged:
+				recorder.Entry(s.now, "changed").Text(host)
+			default:
+				t.Errorf("an action that the digests do not know")
+			}
+		}
+		s.run(60*time.Second, func() {
+			if s.random.IntN(30) == 0 {
+				s.trouble()
+			}
+			for _, machine := range s.machines {
+				recorder.Entry(s.now, "told").Text(machine.host).Message(machine.inventory.Told()).Flag(machine.inventory.Holder())
+			}
+		})
+		return recorder
+	})
+}
+
+// The directory of a simulated edge: the addresses that each control machine names to clients of each region.
+func TestDirectoryHasTheRecordedDigests(t *testing.T) {
+	digesttest.Compare(t, "directory", *update, func() *digesttest.Recorder {
+		recorder := digesttest.New(5 * time.Second)
+		e := newSimulatedEdge(2)
+		for range 400 {
+			e.step()
+			for index, agents := range e.control {
+				members := agents.Refresh(e.now)
+				for region := range edgeRegions {
+					name := fmt.Sprintf("r%d", region)
+					client := Client{Region: name, Zone: name + "-z0", Homes: route.Homes{Unknown: true}}
+					entry := recorder.Entry(e.now, "named").Number(uint64(index)).Number(uint64(region))
+					for _, address := range members.Endpoints(e.now, client, uint64(e.now)) {
+						entry.Text(address)
+					}
+				}
+			}
+		}
+		return recorder
+	})
+}
--- a/internal/registry/inventory_sim_test.go
+++ b/internal/registry/inventory_sim_test.go
@@ -49,6 +49,7 @@
 	down     bool          // the platform answers nothing
 	lossy    bool          // messages are lost now and then
 	calls    []time.Duration
+	watch    func(host string, action Action) // is told of each action; nil: nobody
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
@@ -92,6 +93,9 @@
 func (s *simulation) step(index int, event Event) {
 	machine := s.machines[index]
 	for _, action := range machine.inventory.Step(s.now, event) {
+		if s.watch != nil {
+			s.watch(machine.host, action)
+		}
 		switch action := action.(type) {
 		case StartPoll:
 			s.startPoll(machine)
--- /dev/null
+++ b/internal/shuffle/digest_test.go
@@ -0,0 +1,49 @@
+package shuffle
+
+import (
+	"flag"
+	"testing"
+	"time"
+
+	"fieldrelay/internal/digesttest"
+)
+
+var update = flag.Bool("update", false, "record the digests of the runs anew")
+
+// A change that should change no behaviour changes no exchange between members, and no view.
+func TestSwarmHasTheRecordedDigests(t *testing.T) {
+	digesttest.Compare(t, "swarm", *update, func() *digesttest.Recorder {
+		recorder := digesttest.New(10 * time.Second)
+		s := newSwarm(t, 1)
+		s.loss = 0.1
+		s.watch = func(host string, action Action) {
+			switch action := action.(type) {
+			case Exchange:
+				entry := recorder.Entry(s.now, "exchange").Text(host)
+				recordMembers(entry, action.To, action.From)
+				recordMembers(entry, action.Sample...)
+			case Answer:
+				recordMembers(recorder.Entry(s.now, "answer").Text(host), action.Sample...)
+			default:
+				t.Errorf("an action that the digests do not know")
+			}
+		}
+		s.seedFew(3)
+		s.run(time.Minute)
+		for _, i := range s.random.Perm(swarmSize)[:swarmSize/4] {
+			s.dead[member(i).Host] = true
+		}
+		s.run(time.Minute)
+		for _, view := range s.members {
+			recordMembers(recorder.Entry(s.now, "end"), view.Neighbours()...)
+		}
+		return recorder
+	})
+}
+
+func recordMembers(entry *digesttest.Recorder, members ...Neighbour) {
+	entry.Number(uint64(len(members)))
+	for _, one := range members {
+		entry.Text(one.Host).Text(one.Address).Text(one.Zone).Text(one.Region).Number(uint64(one.Age))
+	}
+}
--- a/internal/shuffle/shuffle_test.go
+++ b/internal/shuffle/shuffle_test.go
@@ -24,6 +24,7 @@
 	dead    map[string]bool
 	now     time.Duration
 	loss    float64
+	watch   func(host string, action Action) // is told of each action; nil: nobody
 }
 
 func member(i int) Neighbour {
@@ -76,6 +77,9 @@
 func (s *swarm) deliver(from *View, actions []Action) {
 	for _, action := range actions {
 		exchange := action.(Exchange)
+		if s.watch != nil {
+			s.watch(from.self.Host, exchange)
+		}
 		require.LessOrEqual(s.t, len(exchange.Sample), ExchangeSize-1)
 		partner := s.members[s.index[exchange.To.Host]]
 		if s.dead[exchange.To.Host] || s.random.Float64() < s.loss {
@@ -83,6 +87,9 @@
 			continue
 		}
 		answer := partner.Step(s.now, Requested{From: exchange.From, Sample: exchange.Sample})[0].(Answer)
+		if s.watch != nil {
+			s.watch(exchange.To.Host, answer)
+		}
 		s.check(partner)
 		if s.random.Float64() < s.loss {
 			from.Step(s.now, Failed{Host: exchange.To.Host})
