--- a/internal/controlsim/digest_test.go
+++ b/internal/controlsim/digest_test.go
@@ -38,6 +38,20 @@
 			w.checkLiveness()
 			return w
 		},
+		"ending": func(t *testing.T, watched mutation) *world {
+			plan := calmPlan(4)
+			plan.mutation = watched
+			w := newCalmWorld(t, plan)
+			for _, host := range w.hosts {
+				w.after(w.upTo(300*time.Millisecond), func() { host.terminate(func(bool) {}) })
+			}
+			w.run(longestStay + 300*time.Millisecond)
+			for _, host := range w.hosts {
+				host.start()
+			}
+			w.checkLiveness()
+			return w
+		},
 		"adversary": func(_ *testing.T, watched mutation) *world {
 			w, _ := attack(deployments[4], 2, watched)
 			return w
