--- a/internal/placement/digest_test.go
+++ b/internal/placement/digest_test.go
@@ -108,9 +108,9 @@
 	w := newWorld(t)
 	var open []AttemptID
 	zones := []string{zoneA, zoneB, zoneE}
-	outcomes := []Outcome{Done, Done, Done, Done, Refused, Misdirected, Failed, Reset, TimedOut, Unreachable, ClientGone, NotSent}
-	for range 2500 {
-		w.now += time.Duration(random.IntN(120)) * time.Millisecond
+	outcomes := []Outcome{Refused, Refused, Failed, Reset, TimedOut, Unreachable, ClientGone, NotSent}
+	for range 6000 {
+		w.now += time.Duration(random.IntN(50_000)) * time.Microsecond
 		switch draw := random.IntN(40); {
 		case draw < 16:
 			if id, picked := w.pickSeeded(t, recorder, random); picked {
@@ -123,13 +123,18 @@
 				continue
 			}
 			recorder.Entry(w.now, "look").Flag(w.p.StillAllowed(w.now, open[i]))
-			outcome := outcomes[random.IntN(len(outcomes))]
+			outcome := Done
+			if random.IntN(200) == 0 {
+				outcome = Misdirected
+			} else if random.IntN(3) == 0 {
+				outcome = outcomes[random.IntN(len(outcomes))]
+			}
 			w.p.Finished(w.now, open[i], outcome)
 			w.p.RequestDone(w.now, w.greeting(1), outcome == Done, time.Duration(random.IntN(1000))*time.Millisecond)
 			open = slices.Delete(open, i, i+1)
 		case draw == 35:
 			w.changeSeeded(random)
-		case draw == 36:
+		case draw == 36 && random.IntN(4) == 0:
 			w.p.SetEvacuated(w.now, zones[:random.IntN(2)])
 		case draw == 37:
 			if err := w.p.Admit(w.now, w.greeting(1)); err != nil {
@@ -160,7 +165,7 @@
 	w.list = slices.Clone(w.list)
 	draw := random.IntN(5)
 	switch {
-	case draw < 2 || len(w.list) < 4:
+	case draw < 2 || len(w.list) < 9:
 		w.number++
 		made := listed(modelService, w.number, []string{zoneA, zoneB, zoneE}[random.IntN(3)])
 		made.WarmLeftMs = uint32(random.IntN(2) * 3000)
