--- a/internal/registry/digest_test.go
+++ b/internal/registry/digest_test.go
@@ -3,6 +3,8 @@
 import (
 	"flag"
 	"fmt"
+	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -65,3 +67,54 @@
 		return recorder
 	})
 }
+
+// What control machines say of proxies that are late, over agents that are cut off, proxies that start anew, and one
+// that takes no changes.
+func TestLatenessHasTheRecordedDigests(t *testing.T) {
+	digesttest.Compare(t, "lateness", *update, func() *digesttest.Recorder {
+		recorder := digesttest.New(5 * time.Second)
+		e := newFollowingEdge(4)
+		e.hosts[3].stuck = true
+		e.hosts[3].reportedBy = 2200 * time.Millisecond
+		told := 0
+		for e.now < followTime {
+			e.step()
+			// Agents are looked at in no certain order; what is said of one is in order.
+			said := slices.Clone(e.events[told:])
+			slices.SortStableFunc(said, func(a, b Action) int { return strings.Compare(hostOf(a), hostOf(b)) })
+			for _, action := range said {
+				recordLateness(t, recorder, e.now, action)
+			}
+			told = len(e.events)
+		}
+		recorder.Entry(e.now, "violations").Number(uint64(e.lateness.Figures(e.now).Violations))
+		return recorder
+	})
+}
+
+func hostOf(action Action) string {
+	switch action := action.(type) {
+	case AgentBehind:
+		return action.Host
+	case AgentCaughtUp:
+		return action.Host
+	case ProxyLate:
+		return action.Host
+	}
+	return ""
+}
+
+func recordLateness(t *testing.T, recorder *digesttest.Recorder, now time.Duration, action Action) {
+	switch action := action.(type) {
+	case AgentBehind:
+		recorder.Entry(now, "behind").Text(action.Host).Number(action.Reported).Number(action.Committed).
+			Time(action.Lag).Flag(action.Ready)
+	case AgentCaughtUp:
+		recorder.Entry(now, "caught-up").Text(action.Host).Number(action.Reported).Time(action.Longest).Flag(action.Unheard)
+	case ProxyLate:
+		recorder.Entry(now, "late").Text(action.Host).Number(action.Reported).Number(action.Committed).
+			Time(action.Lag).Time(action.Bound)
+	default:
+		t.Errorf("an action that the digests do not know")
+	}
+}
