--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -87,7 +87,7 @@
 func TestAgentThatLagsFarIsRepairedByDigests(t *testing.T) {
 	control, proxy := newFakeControl(t), newFakeProxy(t)
 	control.alter(func() {
-		older := gossip.NewCopy()
+		older := gossip.NewReplica()
 		older.ApplyChanges([]*pb.Change{change(1), change(2)})
 		_, err := control.held.Restore(nil, older.Snapshot().RepairFor(nil))
 		require.NoError(t, err)
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -23,7 +23,7 @@
 	identity identity
 	logger   *zap.Logger
 	grace    time.Duration
-	held     *gossip.Copy
+	held     *gossip.Replica
 	view     *shuffle.View
 	gossip   *gossip.Machine
 	members  membership
@@ -53,7 +53,7 @@
 
 // newCore makes the state of an agent that knows only the addresses of some control machines.
 func newCore(who identity, seeds []string, grace time.Duration, random *rand.Rand, logger *zap.Logger) *core {
-	held := gossip.NewCopy()
+	held := gossip.NewReplica()
 	view := shuffle.New(who.neighbour, random)
 	known := newTargets(who.neighbour.Zone, who.neighbour.Region, seeds, random)
 	made := newLink(known, random)
@@ -265,18 +265,18 @@
 	if response.GetSequence() < sequence {
 		c.counters.olderAnswers++
 	}
-	wanted := c.gossip.Step(now, gossip.Learned{
-		Changes: response.GetChanges(),
-		Base:    done.call.base,
-		Repair:  response.GetRepair(),
-		Packed:  response.GetPacked(),
-		List:    response.GetList(),
+	wanted := c.gossip.Step(now, gossip.UpdateReceived{
+		Changes:    response.GetChanges(),
+		Base:       done.call.base,
+		Repair:     response.GetRepair(),
+		Compressed: response.GetPacked(),
+		List:       response.GetList(),
 	})
 	viewChanged := c.link.takeView(response.GetView())
 	membersChanged := c.members.take(now, response.GetMembersSource(), response.GetMembers())
 	c.members.heard(now)
 	if membersChanged {
-		c.view.Step(now, shuffle.Known{Members: c.members.neighbours()})
+		c.view.Step(now, shuffle.MembersReceived{Members: c.members.neighbours()})
 	}
 	outcome := watchOutcome{
 		news: viewChanged ||
@@ -351,7 +351,7 @@
 	fields = append(fields, c.lateness.fields(now)...)
 	fields = append(fields, zap.Uint64("violations", c.broken.total()))
 	if c.held.ListVersion() != nil {
-		fields = append(fields, zap.Duration("list_age", now-c.held.ListNewsAt()))
+		fields = append(fields, zap.Duration("list_age", now-c.held.ListConfirmedAt()))
 	}
 	c.logger.Info("counters", append(fields, c.link.fields()...)...)
 }
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -137,7 +137,7 @@
 	require.False(t, s.core.feed.confirmed)
 	next := takeOne[watchCall](s)
 	require.NotNil(t, next.request.GetDigests())
-	held := gossip.NewCopy()
+	held := gossip.NewReplica()
 	held.ApplyChanges([]*pb.Change{change(1), change(2), change(3), change(4), change(5)})
 	s.step(watchDone{call: next, response: &pb.WatchResponse{
 		Authoritative: true,
@@ -196,7 +196,7 @@
 
 func TestNeighbourThatFailsIsDroppedAndABusyOneStays(t *testing.T) {
 	s := newSteps(t, "core-1:1")
-	s.core.view.Step(0, shuffle.Known{Members: []shuffle.Neighbour{
+	s.core.view.Step(0, shuffle.MembersReceived{Members: []shuffle.Neighbour{
 		{Host: "edge-2", Address: "a:1"},
 		{Host: "edge-3", Address: "b:1"},
 	}})
--- a/internal/agent/cutstart_test.go
+++ b/internal/agent/cutstart_test.go
@@ -40,7 +40,7 @@
 	reaches  time.Duration // when the agent reaches the others
 	deceives bool          // the planted fault: the cut machine calls its state agreed
 
-	proxy       *gossip.Copy
+	proxy       *gossip.Replica
 	confirmedAt time.Duration // 0: not yet
 	stale       time.Duration // age of the confirmed state
 }
@@ -52,7 +52,7 @@
 
 func newCutStart(t *testing.T, seed uint64) *cutStart {
 	random := rand.New(rand.NewPCG(seed, 3))
-	s := &cutStart{t: t, random: random, proxy: gossip.NewCopy(), cutAt: 5 * time.Second}
+	s := &cutStart{t: t, random: random, proxy: gossip.NewReplica(), cutAt: 5 * time.Second}
 	s.joinAt = s.cutAt + time.Duration(random.Int64N(int64(longestCut)))
 	s.now = s.cutAt + time.Duration(random.Int64N(int64(s.joinAt-s.cutAt)+1))
 	s.reaches = s.now
@@ -131,11 +131,11 @@
 }
 
 // states are copies by their sequence.
-var states = make(map[uint64]*gossip.Copy)
+var states = make(map[uint64]*gossip.Replica)
 
-func stateUpTo(sequence uint64) *gossip.Copy {
+func stateUpTo(sequence uint64) *gossip.Replica {
 	if states[sequence] == nil {
-		held := gossip.NewCopy()
+		held := gossip.NewReplica()
 		for next := uint64(1); next <= sequence; next++ {
 			held.ApplyChanges([]*pb.Change{change(next)})
 		}
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -46,7 +46,7 @@
 	address string
 
 	mu            sync.Mutex
-	held          *gossip.Copy
+	held          *gossip.Replica
 	members       *pb.Members
 	view          *pb.View
 	authoritative bool
@@ -56,7 +56,7 @@
 
 func newFakeControl(t *testing.T) *fakeControl {
 	control := &fakeControl{
-		held:          gossip.NewCopy(),
+		held:          gossip.NewReplica(),
 		authoritative: true,
 		changed:       make(chan struct{}),
 		requests:      make(chan *pb.WatchRequest, 1000),
@@ -159,7 +159,7 @@
 	address string
 
 	mu          sync.Mutex
-	held        *gossip.Copy
+	held        *gossip.Replica
 	incarnation uint64
 	ready       bool
 	needs       bool // it can't use changes, and tells its digests
@@ -170,7 +170,7 @@
 }
 
 func newFakeProxy(t *testing.T) *fakeProxy {
-	proxy := &fakeProxy{t: t, held: gossip.NewCopy(), incarnation: 1, events: make(chan struct{}, 1)}
+	proxy := &fakeProxy{t: t, held: gossip.NewReplica(), incarnation: 1, events: make(chan struct{}, 1)}
 	proxy.address = serve(t, func(mux *http.ServeMux) {
 		mux.Handle(fieldrelayv1connect.NewProxyFeedHandler(proxy))
 	})
@@ -181,7 +181,7 @@
 func (f *fakeProxy) restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.held = gossip.NewCopy()
+	f.held = gossip.NewReplica()
 	f.incarnation++
 	f.shares = nil
 	f.confirmed = false
@@ -213,7 +213,7 @@
 		f.repairs++
 		f.needs = false
 	}
-	if list := request.Msg.GetList(); list != nil && f.held.OfferList(time.Minute, list) == gossip.ListRefused {
+	if list := request.Msg.GetList(); list != nil && f.held.OfferList(time.Minute, list) == gossip.ListStale {
 		f.t.Errorf("an old list: %v", list.GetVersion())
 	}
 	if shares := request.Msg.GetShares(); shares != nil {
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -51,7 +51,7 @@
 }
 
 // next is the exchange that is due, nil if none is.
-func (f *feed) next(now time.Duration, held *gossip.Copy, members *membership) *feedCall {
+func (f *feed) next(now time.Duration, held *gossip.Replica, members *membership) *feedCall {
 	if f.inFlight {
 		return nil
 	}
@@ -80,7 +80,7 @@
 }
 
 // missing is what the proxy lacks, nil if it lacks nothing. Nothing older than what the proxy holds is in it.
-func (f *feed) missing(now time.Duration, held *gossip.Copy, members *membership) (*pb.ApplyRequest, attempt) {
+func (f *feed) missing(now time.Duration, held *gossip.Replica, members *membership) (*pb.ApplyRequest, attempt) {
 	apply := &pb.ApplyRequest{}
 	var tried attempt
 	wanted := f.addState(apply, held)
@@ -110,7 +110,7 @@
 }
 
 // addState adds the changes that the proxy lacks, or a repair if it can't use changes.
-func (f *feed) addState(apply *pb.ApplyRequest, held *gossip.Copy) bool {
+func (f *feed) addState(apply *pb.ApplyRequest, held *gossip.Replica) bool {
 	if held.Sequence() <= f.status.GetSequence() {
 		return false
 	}
@@ -176,7 +176,7 @@
 }
 
 // lacksChanges tells whether changes are on their way to the proxy.
-func (f *feed) lacksChanges(held *gossip.Copy) bool {
+func (f *feed) lacksChanges(held *gossip.Replica) bool {
 	return f.reachable && held.Sequence() > f.status.GetSequence()
 }
 
--- a/internal/agent/feed_test.go
+++ b/internal/agent/feed_test.go
@@ -20,7 +20,7 @@
 	t       *testing.T
 	now     time.Duration
 	feed    feed
-	held    *gossip.Copy
+	held    *gossip.Replica
 	members membership
 }
 
@@ -28,7 +28,7 @@
 	return &feeding{
 		t:       t,
 		now:     time.Second,
-		held:    gossip.NewCopy(),
+		held:    gossip.NewReplica(),
 		members: newMembership(shuffle.Neighbour{Host: "self"}, 5),
 	}
 }
--- a/internal/agent/lateness.go
+++ b/internal/agent/lateness.go
@@ -22,8 +22,8 @@
 // lateness measures, by this machine's steady clock, where a change of the control state is late: on its way to this
 // agent, or from here to the proxy. It decides nothing.
 type lateness struct {
-	told     lag.Marks // sequences that anybody told of
-	held     lag.Marks // sequences that this agent held
+	told     lag.Timeline // sequences that anybody told of
+	held     lag.Timeline // sequences that this agent held
 	reported proxyHolding
 	lastFeed time.Duration // from holding a sequence to the proxy's report of it
 	maxFeed  time.Duration
@@ -45,10 +45,10 @@
 
 // observe looks at the state after an event.
 func (l *lateness) observe(now time.Duration, happened event, held uint64, proxy *pb.ProxyStatus) {
-	l.told.Note(toldSequence(happened), now)
+	l.told.Record(toldSequence(happened), now)
 	if held > l.held.Newest() {
-		l.told.Note(held, now)
-		l.held.Note(held, now)
+		l.told.Record(held, now)
+		l.held.Record(held, now)
 		l.broughtBy = deliveryOf(happened)
 	}
 	if proxy != nil {
@@ -65,7 +65,7 @@
 	if status.GetSequence() <= l.reported.sequence {
 		return
 	}
-	if _, lacked := l.held.Lacking(l.reported.sequence); lacked {
+	if _, lacked := l.held.FirstMissing(l.reported.sequence); lacked {
 		l.lastFeed = l.feedLag(now)
 		l.maxFeed = max(l.maxFeed, l.lastFeed)
 	}
@@ -91,7 +91,7 @@
 // log writes a line when a delay goes over its limit, and when it is back.
 func (l *lateness) log(now time.Duration, logger *zap.Logger) {
 	copyLag := l.copyLag(now)
-	switch l.copyBehind.Look(copyLag, copyLate) {
+	switch l.copyBehind.Update(copyLag, copyLate) {
 	case lag.Began:
 		logger.Warn("copy late", zap.Uint64("held", l.held.Newest()), zap.Uint64("told", l.told.Newest()), zap.Duration("lag", copyLag))
 	case lag.Ended:
@@ -99,13 +99,13 @@
 			zap.Stringer("by", l.broughtBy))
 	}
 	feedLag := l.feedLag(now)
-	switch l.proxyBehind.Look(feedLag, proxyLate) {
+	switch l.proxyBehind.Update(feedLag, proxyLate) {
 	case lag.Began:
 		logger.Warn("proxy late", zap.Uint64("held", l.held.Newest()), zap.Uint64("reported", l.reported.sequence), zap.Duration("lag", feedLag))
 	case lag.Ended:
 		logger.Info("proxy up to date again", zap.Uint64("reported", l.reported.sequence), zap.Duration("longest", l.proxyBehind.Longest()))
 	}
-	switch l.unconfirmed.Look(now-l.confirmedAt, unconfirmedLate) {
+	switch l.unconfirmed.Update(now-l.confirmedAt, unconfirmedLate) {
 	case lag.Began:
 		logger.Warn("state unconfirmed", zap.Uint64("held", l.held.Newest()), zap.Duration("for", now-l.confirmedAt))
 	case lag.Ended:
--- a/internal/agent/model_control_test.go
+++ b/internal/agent/model_control_test.go
@@ -12,7 +12,7 @@
 type modelControl struct {
 	model         *model
 	address       string
-	held          *gossip.Copy
+	held          *gossip.Replica
 	authoritative bool
 	stuck         bool // it hears of nothing new
 	dead          bool // it answers nothing
--- a/internal/agent/model_proxy_test.go
+++ b/internal/agent/model_proxy_test.go
@@ -9,14 +9,14 @@
 // modelProxy takes in what it is fed as package proxy does: changes that follow, or a whole state.
 type modelProxy struct {
 	model *model
-	held  *gossip.Copy
+	held  *gossip.Replica
 	life  uint64
 	gap   bool
 	dead  bool
 }
 
 func (p *modelProxy) restart() {
-	p.held = gossip.NewCopy()
+	p.held = gossip.NewReplica()
 	p.life += 2
 	p.gap = false
 	p.dead = false
--- a/internal/agent/model_test.go
+++ b/internal/agent/model_test.go
@@ -71,7 +71,7 @@
 	for index := range controls {
 		address := fmt.Sprintf("core-%d:1", index)
 		seeds = append(seeds, address)
-		m.controls = append(m.controls, &modelControl{model: m, address: address, held: gossip.NewCopy(), authoritative: true})
+		m.controls = append(m.controls, &modelControl{model: m, address: address, held: gossip.NewReplica(), authoritative: true})
 	}
 	for index := range agents {
 		made := &modelAgent{
@@ -83,7 +83,7 @@
 				Zone:    fmt.Sprintf("zone-%d", index%3),
 				Region:  "region",
 			},
-			proxy: &modelProxy{model: m, held: gossip.NewCopy(), life: 1},
+			proxy: &modelProxy{model: m, held: gossip.NewReplica(), life: 1},
 		}
 		m.agents = append(m.agents, made)
 		m.after(m.upTo(100*time.Millisecond), made.start)
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -68,7 +68,7 @@
 }
 
 func (c *core) answerShuffle(now time.Duration, asked shuffleAsked) {
-	wanted := c.view.Step(now, shuffle.Requested{
+	wanted := c.view.Step(now, shuffle.ExchangeRequested{
 		From:   fromMessage(asked.request.GetFrom()),
 		Sample: fromMessages(asked.request.GetSample()),
 	})
@@ -80,7 +80,7 @@
 }
 
 func (c *core) answerPush(now time.Duration, asked pushAsked) []action {
-	wanted := c.gossip.Step(now, gossip.Pushed{
+	wanted := c.gossip.Step(now, gossip.PushRequested{
 		From:    fromMessage(asked.request.GetFrom()),
 		Changes: asked.request.GetChanges(),
 		List:    asked.request.GetList(),
@@ -94,11 +94,11 @@
 }
 
 func (c *core) answerCompare(now time.Duration, asked compareAsked) []action {
-	wanted := c.gossip.Step(now, gossip.Asked{
-		From:        fromMessage(asked.request.GetFrom()),
-		Digests:     asked.request.GetDigests(),
-		List:        asked.request.GetList(),
-		TakesPacked: asked.request.GetTakesPacked(),
+	wanted := c.gossip.Step(now, gossip.CompareRequested{
+		From:              fromMessage(asked.request.GetFrom()),
+		Digests:           asked.request.GetDigests(),
+		List:              asked.request.GetList(),
+		AcceptsCompressed: asked.request.GetTakesPacked(),
 	})
 	for _, reply := range wanted {
 		if answer, ok := reply.(gossip.CompareReply); ok {
--- a/internal/agent/repeat_test.go
+++ b/internal/agent/repeat_test.go
@@ -104,7 +104,7 @@
 
 	compare := func() *pb.CompareResponse {
 		return asked(s, func(answer chan<- *pb.CompareResponse) event {
-			return compareAsked{request: &pb.CompareRequest{From: from, Digests: gossip.NewCopy().Snapshot().Digests()}, answer: answer}
+			return compareAsked{request: &pb.CompareRequest{From: from, Digests: gossip.NewReplica().Snapshot().Digests()}, answer: answer}
 		})
 	}
 	require.Equal(t, compare(), compare())
--- a/internal/catalog/errors.go
+++ b/internal/catalog/errors.go
@@ -7,7 +7,7 @@
 )
 
 // OrderError is an answer to an operator's order that leads to no change. InvalidError, ConflictError,
-// AlreadyTakenError and ForgottenError are the only ones.
+// AlreadyExecutedError and ExecutionUnknownError are the only ones.
 type OrderError interface {
 	error
 	// Status is the HTTP status of the answer.
@@ -88,32 +88,32 @@
 // Status is 412.
 func (e *ConflictError) Status() int { return http.StatusPreconditionFailed }
 
-// AlreadyTakenError tells that the same order was taken before and needs no further change: it is
+// AlreadyExecutedError tells that the same order was taken before and needs no further change: it is
 // acknowledged.
-type AlreadyTakenError struct {
+type AlreadyExecutedError struct {
 	Generation uint64 // that the order brought into force
 }
 
-func (e *AlreadyTakenError) Error() string {
+func (e *AlreadyExecutedError) Error() string {
 	return fmt.Sprintf("the order was taken before, as generation %d", e.Generation)
 }
 
 // Status is 200.
-func (e *AlreadyTakenError) Status() int { return http.StatusOK }
+func (e *AlreadyExecutedError) Status() int { return http.StatusOK }
 
-// ForgottenError tells that it is not known any more whether an order was taken: it builds on a generation that
+// ExecutionUnknownError tells that it is not known any more whether an order was taken: it builds on a generation that
 // the record of taken orders no longer reaches.
-type ForgottenError struct {
+type ExecutionUnknownError struct {
 	Base   uint64 // generation that the order builds on
 	Oldest uint64 // generation up to which the record reaches back
 }
 
-func (e *ForgottenError) Error() string {
+func (e *ExecutionUnknownError) Error() string {
 	return fmt.Sprintf("the order builds on generation %d, orders are remembered from generation %d on", e.Base, e.Oldest)
 }
 
 // Status is 503: the order was perhaps taken, so it is not refused.
-func (e *ForgottenError) Status() int { return http.StatusServiceUnavailable }
+func (e *ExecutionUnknownError) Status() int { return http.StatusServiceUnavailable }
 
 // SequenceError refuses a change that does not follow the snapshot that it was applied to.
 type SequenceError struct {
--- a/internal/catalog/golden_test.go
+++ b/internal/catalog/golden_test.go
@@ -103,7 +103,7 @@
 	require.True(t, read.SameAs(snapshot))
 	for base := range uint64(66) {
 		_, err = catalog.PrepareReplace(read, base, goldenOrder(base))
-		var again *catalog.AlreadyTakenError
+		var again *catalog.AlreadyExecutedError
 		require.ErrorAs(t, err, &again, "the order on %d", base)
 		_, err = catalog.PrepareReplace(read, base, configuration(base+1, route("other")))
 		var conflict *catalog.ConflictError
--- a/internal/catalog/order.go
+++ b/internal/catalog/order.go
@@ -8,7 +8,7 @@
 
 // PrepareReplace checks an order that puts a whole configuration in force and returns the change that it
 // makes to the snapshot. base is the generation that the order builds on, 0 for the first. The change lists
-// only what differs. The error is an OrderError: *AlreadyTakenError, *ConflictError or *InvalidError.
+// only what differs. The error is an OrderError: *AlreadyExecutedError, *ConflictError or *InvalidError.
 func PrepareReplace(snapshot *Snapshot, base uint64, body []byte) (*pb.Change, error) {
 	return prepare(snapshot, orderReplace, base, body)
 }
--- a/internal/catalog/order_test.go
+++ b/internal/catalog/order_test.go
@@ -59,7 +59,7 @@
 	snapshot = amended(t, snapshot, amendment)
 	snapshot = evacuated(t, snapshot, "zone", true)
 
-	var already *catalog.AlreadyTakenError
+	var already *catalog.AlreadyExecutedError
 	_, err := catalog.PrepareReplace(snapshot, 0, first)
 	require.ErrorAs(t, err, &already)
 	require.Equal(t, uint64(5), already.Generation)
--- a/internal/catalog/prepare.go
+++ b/internal/catalog/prepare.go
@@ -44,10 +44,10 @@
 // force.
 func (s *Snapshot) judgeStale(kind orderKind, base uint64, body []byte) error {
 	if !s.taken.reaches(base) {
-		return &ForgottenError{Base: base, Oldest: s.taken.base}
+		return &ExecutionUnknownError{Base: base, Oldest: s.taken.base}
 	}
 	if order, found := s.taken.takenOn(base); found && order.digest == digestOrder(kind, base, body) {
-		return &AlreadyTakenError{Generation: order.generation}
+		return &AlreadyExecutedError{Generation: order.generation}
 	}
 	return &ConflictError{Base: base, Current: s.generation}
 }
--- a/internal/catalog/taken.go
+++ b/internal/catalog/taken.go
@@ -20,8 +20,8 @@
 	takenChunkLength = 64
 	// takenChunkLimit is the number of full chunks that are kept.
 	takenChunkLimit = 256
-	// TakenCapacity is the number of orders that are sure to be remembered.
-	TakenCapacity = takenChunkLimit * takenChunkLength
+	// ExecutedOrdersCapacity is the number of orders that are sure to be remembered.
+	ExecutedOrdersCapacity = takenChunkLimit * takenChunkLength
 
 	// orderDigestBytes is the length of the digest by which an order is known again.
 	orderDigestBytes = 16
--- a/internal/catalog/taken_bench_test.go
+++ b/internal/catalog/taken_bench_test.go
@@ -56,7 +56,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		_, err := catalog.PrepareReplace(snapshot, 0, body)
-		var already *catalog.AlreadyTakenError
+		var already *catalog.AlreadyExecutedError
 		require.ErrorAs(b, err, &already)
 	}
 }
--- a/internal/catalog/taken_test.go
+++ b/internal/catalog/taken_test.go
@@ -65,7 +65,7 @@
 	snapshot, orders := takeOrders(t, catalog.Empty(), changesOfADay, "a")
 	for _, order := range orders {
 		_, err := order.prepare(snapshot)
-		var already *catalog.AlreadyTakenError
+		var already *catalog.AlreadyExecutedError
 		require.ErrorAs(t, err, &already, "order on %d", order.base)
 		require.Equal(t, order.base+1, already.Generation)
 		require.Equal(t, http.StatusPreconditionFailed, answerTo(t, snapshot, orderOn(order.base, "b")),
@@ -75,7 +75,7 @@
 
 // An order on a generation that the record no longer reaches may have been taken or not: it must not be refused.
 func TestAnOrderThatIsForgottenIsNotRefused(t *testing.T) {
-	count := catalog.TakenCapacity + 1000
+	count := catalog.ExecutedOrdersCapacity + 1000
 	snapshot, orders := takeOrders(t, catalog.Empty(), count, "a")
 	forgotten := 0
 	for index, order := range orders {
@@ -89,8 +89,8 @@
 		forgotten++
 	}
 	require.Positive(t, forgotten)
-	require.GreaterOrEqual(t, count-forgotten, catalog.TakenCapacity)
-	require.Less(t, count-forgotten, catalog.TakenCapacity+64, "the record is bounded")
+	require.GreaterOrEqual(t, count-forgotten, catalog.ExecutedOrdersCapacity)
+	require.Less(t, count-forgotten, catalog.ExecutedOrdersCapacity+64, "the record is bounded")
 	held, since := snapshot.TakenOrders()
 	require.Equal(t, count-forgotten, held)
 	require.EqualValues(t, forgotten, since)
@@ -113,7 +113,7 @@
 	snapshot := replaced(t, catalog.Empty(), configuration(5))
 	snapshot = replaced(t, snapshot, first)
 	for range 2 {
-		var already *catalog.AlreadyTakenError
+		var already *catalog.AlreadyExecutedError
 		_, err := catalog.PrepareReplace(snapshot, 5, first)
 		require.ErrorAs(t, err, &already)
 		var conflict *catalog.ConflictError
@@ -185,10 +185,10 @@
 // The oldest orders of one replica's record are gone at another.
 func TestReplicasCatchUpOverTheEndOfTheRecord(t *testing.T) {
 	early, _ := takeOrders(t, catalog.Empty(), 3000, "a")
-	late, orders := takeOrders(t, early, catalog.TakenCapacity, "a")
+	late, orders := takeOrders(t, early, catalog.ExecutedOrdersCapacity, "a")
 	repaired, repair := repairReplica(t, early, late)
 	require.True(t, repaired.SameAs(late))
-	require.Less(t, len(repair.GetTaken().GetOrders()), (catalog.TakenCapacity+128)*24)
+	require.Less(t, len(repair.GetTaken().GetOrders()), (catalog.ExecutedOrdersCapacity+128)*24)
 	for _, order := range []takenOrder{orders[0], orders[len(orders)-1]} {
 		require.Equal(t, http.StatusOK, answerTo(t, repaired, order))
 	}
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -17,7 +17,7 @@
 		sent:     sent,
 		services: namesOf(next.Items(KindBackends)),
 		current:  current,
-		owners:   make(map[configitem.Place]string, len(routes)),
+		owners:   make(map[configitem.Match]string, len(routes)),
 		faults:   faults,
 	}
 	for _, item := range routes {
@@ -54,13 +54,13 @@
 	sent     sentRoutes
 	services map[string]bool // of the next configuration
 	current  *Snapshot
-	owners   map[configitem.Place]string // name of the route that has this place
+	owners   map[configitem.Match]string // name of the route that has this place
 	faults   *InvalidError
 }
 
 func (c *routeChecker) check(item *pb.Item) {
 	name := item.GetName()
-	route := configitem.TakeRoute(item.GetBody())
+	route := configitem.ParseRoute(item.GetBody())
 	c.checkPlace(name, &route)
 	if c.sent.includes(name) {
 		_, faults := route.Deadline()
@@ -78,7 +78,7 @@
 
 // checkPlace refuses a route that no request can be matched with, and two for the same requests.
 func (c *routeChecker) checkPlace(name string, route *configitem.Route) {
-	place, faults := route.Place()
+	place, faults := route.Match()
 	if faults != nil {
 		if c.sent.includes(name) {
 			c.add(name, faults)
--- a/internal/chain/append.go
+++ b/internal/chain/append.go
@@ -187,5 +187,5 @@
 }
 
 func (r *Replica) send(output *Output, to *pb.Replica, message *pb.Message) {
-	output.Messages = append(output.Messages, Outgoing{To: to, Message: message})
+	output.Messages = append(output.Messages, OutgoingMessage{To: to, Message: message})
 }
--- a/internal/chain/builder.go
+++ b/internal/chain/builder.go
@@ -24,13 +24,13 @@
 
 // begin takes over the members that are fit; it reports whether one of them holds the state and can be the head.
 func (b *builder) begin(members []*pb.Replica) bool {
-	survivors := b.voting(members, func(candidate Candidate) bool { return candidate.Fit })
+	survivors := b.voting(members, func(candidate Candidate) bool { return candidate.Healthy })
 	if staying := b.staying(survivors); b.required.MetBy(b.holding(staying), b.voters) {
 		survivors = staying
 	} else if !b.required.MetBy(b.holding(survivors), b.voters) {
-		b.waiting = b.voting(members, func(candidate Candidate) bool { return candidate.Heard && !candidate.Fit })
+		b.waiting = b.voting(members, func(candidate Candidate) bool { return candidate.Reachable && !candidate.Healthy })
 	}
-	head := slices.IndexFunc(survivors, func(member *pb.Replica) bool { return b.candidate(member).Holds })
+	head := slices.IndexFunc(survivors, func(member *pb.Replica) bool { return b.candidate(member).Synchronized })
 	if head < 0 {
 		return false
 	}
@@ -56,7 +56,7 @@
 
 func (b *builder) holding(replicas []*pb.Replica) []*pb.Replica {
 	return slices.DeleteFunc(slices.Clone(replicas), func(replica *pb.Replica) bool {
-		return !b.candidate(replica).Holds
+		return !b.candidate(replica).Synchronized
 	})
 }
 
@@ -116,10 +116,10 @@
 
 func (b *builder) mayBeAdded(voter *pb.Replica, urgent bool) bool {
 	candidate := b.candidate(voter)
-	if !candidate.Fit || candidate.Leaving || quorum.IndexOf(b.chain, voter.GetIdentity()) != quorum.NotFound {
+	if !candidate.Healthy || candidate.Leaving || quorum.IndexOf(b.chain, voter.GetIdentity()) != quorum.NotFound {
 		return false
 	}
-	return urgent || (candidate.Steady && candidate.Holds)
+	return urgent || (candidate.Stable && candidate.Synchronized)
 }
 
 // spreadsBetter reports whether a lies in a place with fewer members than that of other. Regions come first where
--- a/internal/chain/capacity_bench_test.go
+++ b/internal/chain/capacity_bench_test.go
@@ -42,7 +42,7 @@
 func (c *benchmarkChain) perform(self *pb.Replica, output Output) {
 	if len(output.Writes) > 0 {
 		c.writes++
-		c.perform(self, c.replicas[self.GetIdentity()].Saved())
+		c.perform(self, c.replicas[self.GetIdentity()].WritesPersisted())
 	}
 	for _, outgoing := range output.Messages {
 		c.messages++
@@ -73,7 +73,7 @@
 		b.Run(fmt.Sprint(length), func(b *testing.B) {
 			chain := newBenchmarkChain(b, length)
 			head := chain.replicas["id-0"]
-			if !head.IsOpen() {
+			if !head.AcceptsProposals() {
 				b.Fatal("the chain does not open")
 			}
 			self := &pb.Replica{Host: "core-0", Identity: "id-0"}
--- a/internal/chain/cluster_test.go
+++ b/internal/chain/cluster_test.go
@@ -32,7 +32,7 @@
 	replicas map[string]*Replica
 	disks    map[string][]Write
 	unsaved  map[string][][]Write
-	messages []Outgoing
+	messages []OutgoingMessage
 	cut      map[string]bool // machines that no message reaches or leaves
 	late     []*pb.Message   // messages that were held back
 	holdBack func(*pb.Message) bool
@@ -71,7 +71,7 @@
 	for len(c.unsaved[name]) > 0 {
 		c.disks[name] = append(c.disks[name], c.unsaved[name][0]...)
 		c.unsaved[name] = c.unsaved[name][1:]
-		c.take(name, c.replicas[name].Saved())
+		c.take(name, c.replicas[name].WritesPersisted())
 	}
 }
 
@@ -149,7 +149,7 @@
 }
 
 func (c *cluster) propose(name, content string) {
-	require.True(c.t, c.replicas[name].IsOpen(), "%s takes a change", name)
+	require.True(c.t, c.replicas[name].AcceptsProposals(), "%s takes a change", name)
 	output, err := c.replicas[name].Propose(c.change(name, content))
 	require.NoError(c.t, err)
 	c.take(name, output)
--- a/internal/chain/next.go
+++ b/internal/chain/next.go
@@ -42,11 +42,11 @@
 
 // Candidate is what is known of a voter that may be in the next chain.
 type Candidate struct {
-	Fit     bool // heard lately, and its disk works
-	Heard   bool // heard lately, whether its disk works or not
-	Holds   bool // as Published.Holds, in the view in force
-	Steady  bool // may be added to the chain without need
-	Leaving bool // was told to end: it stays only as long as the others do not hold enough copies
+	Healthy      bool // heard lately, and its disk works
+	Reachable    bool // heard lately, whether its disk works or not
+	Synchronized bool // as Published.Holds, in the view in force
+	Stable       bool // may be added to the chain without need
+	Leaving      bool // was told to end: it stays only as long as the others do not hold enough copies
 }
 
 // Change tells how a chain differs from the one before.
@@ -55,9 +55,9 @@
 	Addition bool // a member is new
 }
 
-// Next returns the chain that should follow that of the view, among the next voters, and how it differs. It
+// NextChain returns the chain that should follow that of the view, among the next voters, and how it differs. It
 // returns nil when no live replica holds the state.
-func Next(view *pb.View, voters []*pb.Replica, candidates map[string]Candidate, required Requirement) ([]*pb.Replica, Change) {
+func NextChain(view *pb.View, voters []*pb.Replica, candidates map[string]Candidate, required Requirement) ([]*pb.Replica, Change) {
 	next := builder{voters: voters, candidates: candidates, required: required}
 	if !next.begin(view.GetChain()) {
 		return nil, Change{}
@@ -70,13 +70,13 @@
 	return append(next.chain, next.waiting...), change
 }
 
-// First returns the chain of the first view: spread over places, ordered by region and zone.
-func First(voters []*pb.Replica, required Requirement) []*pb.Replica {
+// InitialChain returns the chain of the first view: spread over places, ordered by region and zone.
+func InitialChain(voters []*pb.Replica, required Requirement) []*pb.Replica {
 	ordered := slices.Clone(voters)
 	slices.SortFunc(ordered, byPlace)
 	first := builder{voters: ordered, candidates: make(map[string]Candidate, len(voters)), required: required}
 	for _, voter := range voters {
-		first.candidates[voter.GetIdentity()] = Candidate{Fit: true, Holds: true, Steady: true}
+		first.candidates[voter.GetIdentity()] = Candidate{Healthy: true, Synchronized: true, Stable: true}
 	}
 	first.extend()
 	slices.SortFunc(first.chain, byPlace)
--- a/internal/chain/next_test.go
+++ b/internal/chain/next_test.go
@@ -18,12 +18,12 @@
 }
 
 var (
-	good    = Candidate{Fit: true, Holds: true, Steady: true}
-	unfit   = Candidate{Holds: true, Steady: true}
-	lagging = Candidate{Fit: true, Steady: true}
-	fresh   = Candidate{Fit: true, Holds: true}
-	leaving = Candidate{Fit: true, Holds: true, Steady: true, Leaving: true}
-	full    = Candidate{Heard: true, Holds: true, Steady: true} // its disk refuses
+	good    = Candidate{Healthy: true, Synchronized: true, Stable: true}
+	unfit   = Candidate{Synchronized: true, Stable: true}
+	lagging = Candidate{Healthy: true, Stable: true}
+	fresh   = Candidate{Healthy: true, Synchronized: true}
+	leaving = Candidate{Healthy: true, Synchronized: true, Stable: true, Leaving: true}
+	full    = Candidate{Reachable: true, Synchronized: true, Stable: true} // its disk refuses
 )
 
 func TestNext(t *testing.T) {
@@ -134,7 +134,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			view := &pb.View{Chain: replicasNamed(strings.Fields(test.chain)...)}
 			voters := replicasNamed(strings.Fields(test.voters)...)
-			next, change := Next(view, voters, test.candidates, required)
+			next, change := NextChain(view, voters, test.candidates, required)
 			require.Equal(t, test.want, identities(next))
 			require.Equal(t, test.change, change)
 		})
@@ -151,7 +151,7 @@
 			Region:   "r" + zone,
 		})
 	}
-	require.Equal(t, "b c a g e", identities(First(voters, Requirement{Replicas: 2, Zones: 2})))
+	require.Equal(t, "b c a g e", identities(InitialChain(voters, Requirement{Replicas: 2, Zones: 2})))
 }
 
 func TestRequirement(t *testing.T) {
@@ -195,28 +195,28 @@
 	voters, candidates := inPlaces("aa1", "ab1", "ac1", "ba1", "ca1")
 	view := &pb.View{Chain: voters[:1]}
 	candidates["ca1"] = Candidate{}
-	near, _ := Next(view, voters, candidates, Requirement{Replicas: 2, Zones: 2, Regions: 1})
+	near, _ := NextChain(view, voters, candidates, Requirement{Replicas: 2, Zones: 2, Regions: 1})
 	require.Equal(t, "aa1 ab1 ac1 ba1", identities(near), "by zone, in the order of the voters")
-	far, _ := Next(view, voters, candidates, Requirement{Replicas: 2, Zones: 2, Regions: 2})
+	far, _ := NextChain(view, voters, candidates, Requirement{Replicas: 2, Zones: 2, Regions: 2})
 	require.Equal(t, "aa1 ba1 ab1 ac1", identities(far))
-	require.Equal(t, "aa1 ab1 ac1 ba1 ca1", identities(First(voters, Requirement{Replicas: 2, Zones: 2, Regions: 2})))
+	require.Equal(t, "aa1 ab1 ac1 ba1 ca1", identities(InitialChain(voters, Requirement{Replicas: 2, Zones: 2, Regions: 2})))
 }
 
 func TestFirstChainPrefersRegionsOnlyWhereTheLossOfOneMustBeBorne(t *testing.T) {
 	voters, _ := inPlaces("aa1", "ab1", "ac1", "ad1", "ae1", "ba1")
-	require.Equal(t, "aa1 ab1 ac1 ad1 ae1", identities(First(voters, Requirement{Replicas: 2, Zones: 2, Regions: 1})))
-	require.Equal(t, "aa1 ab1 ac1 ad1 ba1", identities(First(voters, Requirement{Replicas: 2, Zones: 2, Regions: 2})))
+	require.Equal(t, "aa1 ab1 ac1 ad1 ae1", identities(InitialChain(voters, Requirement{Replicas: 2, Zones: 2, Regions: 1})))
+	require.Equal(t, "aa1 ab1 ac1 ad1 ba1", identities(InitialChain(voters, Requirement{Replicas: 2, Zones: 2, Regions: 2})))
 }
 
 func TestFullChainInTooFewPlacesMakesRoom(t *testing.T) {
 	voters, candidates := inPlaces("aa1", "aa2", "aa3", "ab1", "ab2", "ba1")
 	required := Requirement{Replicas: 2, Zones: 3, Regions: 2}
 	view := &pb.View{Chain: voters[:5]}
-	wanted, change := Next(view, voters, candidates, required)
+	wanted, change := NextChain(view, voters, candidates, required)
 	require.Equal(t, "aa1 aa2 aa3 ab1 ba1", identities(wanted))
 	require.Equal(t, Change{Removal: true, Addition: true}, change)
 	candidates["ba1"] = Candidate{}
-	wanted, change = Next(view, voters, candidates, required)
+	wanted, change = NextChain(view, voters, candidates, required)
 	require.Equal(t, "aa1 aa2 aa3 ab1 ab2", identities(wanted), "nobody in another place is fit")
 	require.Equal(t, Change{}, change)
 }
--- a/internal/chain/overtaken_append_test.go
+++ b/internal/chain/overtaken_append_test.go
@@ -28,8 +28,8 @@
 		for range 2 {
 			c.take("a", c.replicas["a"].Tick())
 		}
-		beat := &pb.Heartbeat{ViewNumber: 1, Sequence: c.replicas["a"].Published().Sequence}
-		c.take("b", c.replicas["b"].Heard(replicaNamed("a"), beat))
+		beat := &pb.Heartbeat{ViewNumber: 1, Sequence: c.replicas["a"].Advertised().Sequence}
+		c.take("b", c.replicas["b"].ObserveHeartbeat(replicaNamed("a"), beat))
 	}
 	var again []*pb.Message
 	for len(c.messages) > 0 {
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -6,8 +6,8 @@
 	"fieldrelay/internal/quorum"
 )
 
-// Outgoing is a message for another control machine.
-type Outgoing struct {
+// OutgoingMessage is a message for another control machine.
+type OutgoingMessage struct {
 	To      *pb.Replica
 	Message *pb.Message
 }
@@ -17,25 +17,25 @@
 	// Writes must reach the disk together and in the order of the outputs; then Saved must be called once. No
 	// message in any output tells of a write that is not on disk.
 	Writes   []Write
-	Messages []Outgoing
+	Messages []OutgoingMessage
 	// Committed: the committed state is a newer one.
 	Committed bool
 }
 
-// Published is what other machines may be told about a replica: it is on disk.
-type Published struct {
+// Advertised is what other machines may be told about a replica: it is on disk.
+type Advertised struct {
 	ViewNumber uint64
 	Sequence   uint64
-	// Holds: a member of the chain is a source for the next view; a learner follows the tail.
-	Holds bool
+	// Synchronized: a member of the chain is a source for the next view; a learner follows the tail.
+	Synchronized bool
 }
 
 // Replica is one machine's part in the chain.
 type Replica struct {
-	self    string // identity
-	state   State  // after all writes that were handed out
-	unsaved int    // outputs with writes that are not on disk yet
-	shown   Published
+	self       string // identity
+	state      State  // after all writes that were handed out
+	unsaved    int    // outputs with writes that are not on disk yet
+	advertised Advertised
 
 	// of the view in force
 	synchronised bool   // holds the state of the view
@@ -49,9 +49,9 @@
 	answered     map[string]*pacing     // of answers to SyncRequests, by identity
 	standbys     []*pb.Replica          // machines without a vote that took their state from this one
 
-	previous  *catalog.Snapshot // before the last change; nil after a repair
-	committed *catalog.Snapshot // newest known; nil before the first
-	ticket    uint64
+	previous    *catalog.Snapshot // before the last change; nil after a repair
+	committed   *catalog.Snapshot // newest known; nil before the first
+	incarnation uint64
 }
 
 // maxWaiting bounds the early requests that a replica remembers.
@@ -61,9 +61,9 @@
 // earlier ones and must be another one after each start.
 func NewReplica(identity string, state State, ticket uint64) *Replica {
 	replica := &Replica{
-		self:   identity,
-		state:  state,
-		ticket: ticket,
+		self:        identity,
+		state:       state,
+		incarnation: ticket,
 	}
 	replica.enterView()
 	replica.publish()
@@ -73,8 +73,8 @@
 // State is the state after all writes that were handed out.
 func (r *Replica) State() State { return r.state }
 
-// Published is what other machines may be told.
-func (r *Replica) Published() Published { return r.shown }
+// Advertised is what other machines may be told.
+func (r *Replica) Advertised() Advertised { return r.advertised }
 
 // Committed is the newest state known to be committed; nil before the first is known.
 func (r *Replica) Committed() *catalog.Snapshot { return r.committed }
@@ -112,14 +112,14 @@
 	r.leaveView()
 	r.state.View = view
 	r.enterView()
-	r.write(&output, Write{View: view, Basis: r.state.Basis})
+	r.write(&output, Write{View: view, SynchronizedView: r.state.SynchronizedView})
 	return output
 }
 
 // leaveView counts the view as covered if nothing can have been committed in it.
 func (r *Replica) leaveView() {
 	if r.state.isSource(r.self) {
-		r.state.Basis = max(r.state.Basis, r.state.View.GetNumber())
+		r.state.SynchronizedView = max(r.state.SynchronizedView, r.state.View.GetNumber())
 	}
 }
 
@@ -127,10 +127,10 @@
 func (r *Replica) enterView() {
 	number := r.state.View.GetNumber()
 	position := r.state.position(r.self)
-	if position == 0 && r.state.Basis+1 == number {
-		r.state.Basis = number
+	if position == 0 && r.state.SynchronizedView+1 == number {
+		r.state.SynchronizedView = number
 	}
-	r.synchronised = position != quorum.NotFound && r.state.Basis == number
+	r.synchronised = position != quorum.NotFound && r.state.SynchronizedView == number
 	r.commitKnown = false
 	r.acknowledged = 0
 	r.passed = pacing{}
@@ -141,21 +141,21 @@
 	r.dropOldRequests()
 }
 
-// IsOpen reports whether the replica is the head and takes another change: the one before is committed.
-func (r *Replica) IsOpen() bool {
-	return r.isHead() && r.Settled()
+// AcceptsProposals reports whether the replica is the head and takes another change: the one before is committed.
+func (r *Replica) AcceptsProposals() bool {
+	return r.isHead() && r.FullyCommitted()
 }
 
-// Settled reports whether the replica holds the state of its view and knows all of it to be committed.
-func (r *Replica) Settled() bool {
+// FullyCommitted reports whether the replica holds the state of its view and knows all of it to be committed.
+func (r *Replica) FullyCommitted() bool {
 	if r.unsaved > 0 || !r.synchronised || !r.commitKnown {
 		return false
 	}
 	return r.committed.Sequence() == r.state.Newest.Sequence()
 }
 
-// Follows reports whether the replica knows what is committed in its view.
-func (r *Replica) Follows() bool { return r.synchronised && r.commitKnown }
+// KnowsCommitted reports whether the replica knows what is committed in its view.
+func (r *Replica) KnowsCommitted() bool { return r.synchronised && r.commitKnown }
 
 // Newest is the state that the next change builds on.
 func (r *Replica) Newest() *catalog.Snapshot { return r.state.Newest }
@@ -169,8 +169,8 @@
 	return output, nil
 }
 
-// Saved tells that the writes of the oldest output that had some are on disk.
-func (r *Replica) Saved() Output {
+// WritesPersisted tells that the writes of the oldest output that had some are on disk.
+func (r *Replica) WritesPersisted() Output {
 	var output Output
 	r.unsaved--
 	if r.unsaved == 0 {
@@ -201,8 +201,8 @@
 	return output
 }
 
-// Heard notes how far another machine's copy reaches. If the upstream stays ahead, its state is asked for.
-func (r *Replica) Heard(from *pb.Replica, heartbeat *pb.Heartbeat) Output {
+// Reachable notes how far another machine's copy reaches. If the upstream stays ahead, its state is asked for.
+func (r *Replica) ObserveHeartbeat(from *pb.Replica, heartbeat *pb.Heartbeat) Output {
 	var output Output
 	if !r.isUpstream(from) || heartbeat.GetViewNumber() != r.state.View.GetNumber() {
 		return output
@@ -219,10 +219,10 @@
 }
 
 func (r *Replica) publish() {
-	r.shown = Published{
-		ViewNumber: r.state.View.GetNumber(),
-		Sequence:   r.state.Newest.Sequence(),
-		Holds:      r.state.isSource(r.self) || (r.isLearner() && r.synchronised),
+	r.advertised = Advertised{
+		ViewNumber:   r.state.View.GetNumber(),
+		Sequence:     r.state.Newest.Sequence(),
+		Synchronized: r.state.isSource(r.self) || (r.isLearner() && r.synchronised),
 	}
 }
 
@@ -264,6 +264,6 @@
 	r.previous = r.state.Newest
 	r.state.Newest = next
 	r.state.History.Add(change)
-	r.write(output, Write{Change: change, Basis: r.state.Basis})
+	r.write(output, Write{Change: change, SynchronizedView: r.state.SynchronizedView})
 	return nil
 }
--- a/internal/chain/replica_test.go
+++ b/internal/chain/replica_test.go
@@ -16,7 +16,7 @@
 	c := newCluster(t, three...)
 	c.adopt(viewNamed(1, three, three...), three...)
 	c.settle(three...)
-	require.True(t, c.replicas["a"].IsOpen())
+	require.True(t, c.replicas["a"].AcceptsProposals())
 	return c
 }
 
@@ -25,7 +25,7 @@
 	c.propose("a", "x")
 	c.settle(three...)
 	c.requireCommitted("1 x", three...)
-	require.True(t, c.replicas["a"].IsOpen())
+	require.True(t, c.replicas["a"].AcceptsProposals())
 }
 
 func TestChangeIsNotCommittedWhileOneLacksIt(t *testing.T) {
@@ -35,7 +35,7 @@
 		c.propose("a", "x")
 		c.settle(three...)
 		c.requireCommitted("0", "a", "b", "c")
-		require.False(t, c.replicas["a"].IsOpen(), "one change at a time")
+		require.False(t, c.replicas["a"].AcceptsProposals(), "one change at a time")
 		c.cut[missing] = false
 		c.tick(shortestPause, three...)
 		c.requireCommitted("1 x", three...)
@@ -50,10 +50,10 @@
 	require.Len(t, c.messages, 1)
 	c.deliver("b", c.messages[0].Message)
 	require.Len(t, c.messages, 1, "b has not saved")
-	require.Equal(t, uint64(0), c.replicas["b"].Published().Sequence)
+	require.Equal(t, uint64(0), c.replicas["b"].Advertised().Sequence)
 	c.save("b")
 	require.Len(t, c.messages, 2)
-	require.Equal(t, uint64(1), c.replicas["b"].Published().Sequence)
+	require.Equal(t, uint64(1), c.replicas["b"].Advertised().Sequence)
 }
 
 func TestLearnerFollowsTheTail(t *testing.T) {
@@ -70,7 +70,7 @@
 	c.requireCommitted("1 x", "d")
 	c.cut["d"] = false
 	for range 2 { // heartbeats
-		c.take("d", c.replicas["d"].Heard(replicaNamed("c"), &pb.Heartbeat{ViewNumber: 1, Sequence: 2}))
+		c.take("d", c.replicas["d"].ObserveHeartbeat(replicaNamed("c"), &pb.Heartbeat{ViewNumber: 1, Sequence: 2}))
 	}
 	c.settle(four...)
 	c.requireCommitted("2 x y", "d")
@@ -88,7 +88,7 @@
 		c.propose("a", fmt.Sprintf("x%d", change))
 		c.settle(four...)
 		require.EqualValues(t, change+1, c.replicas["d"].Committed().Sequence())
-		require.True(t, c.replicas["d"].Follows())
+		require.True(t, c.replicas["d"].KnowsCommitted())
 	}
 	require.Len(t, c.replicas["c"].standbys, 1)
 	c.adopt(viewNamed(2, four, three...), four...)
@@ -109,7 +109,7 @@
 	c.adopt(viewNamed(2, three, "b", "c"), "b", "c")
 	c.settle("b", "c")
 	c.requireCommitted("2 x y", "b", "c")
-	require.True(t, c.replicas["b"].IsOpen())
+	require.True(t, c.replicas["b"].AcceptsProposals())
 }
 
 func TestReplicaDropsWhatItsPredecessorDoesNotHold(t *testing.T) {
@@ -193,10 +193,10 @@
 	for _, message := range old {
 		c.deliver("b", message)
 	}
-	require.False(t, c.replicas["b"].Settled())
+	require.False(t, c.replicas["b"].FullyCommitted())
 	require.Empty(t, c.unsaved["b"], "the answer was for another life's request")
 	c.tick(8, three...)
-	require.True(t, c.replicas["b"].Settled())
+	require.True(t, c.replicas["b"].FullyCommitted())
 	c.deliver("b", old[0])
 	require.Empty(t, c.unsaved["b"])
 }
@@ -205,10 +205,10 @@
 	c := founded(t)
 	c.adopt(viewNamed(2, three, three...), "b", "c")
 	c.settle("b", "c") // a has not learnt of the view
-	require.False(t, c.replicas["b"].Settled())
+	require.False(t, c.replicas["b"].FullyCommitted())
 	c.adopt(viewNamed(2, three, three...), "a")
 	c.settle(three...)
-	require.True(t, c.replicas["a"].IsOpen(), "no tick was needed")
+	require.True(t, c.replicas["a"].AcceptsProposals(), "no tick was needed")
 }
 
 func TestRestartedReplicasKnowWhatIsCommittedAgain(t *testing.T) {
@@ -221,7 +221,7 @@
 	}
 	c.tick(2, three...)
 	c.requireCommitted("1 x", three...)
-	require.True(t, c.replicas["a"].IsOpen())
+	require.True(t, c.replicas["a"].AcceptsProposals())
 }
 
 func TestRestartedHeadBringsAnUncommittedChangeThrough(t *testing.T) {
@@ -232,7 +232,7 @@
 	c.restart("a", 5000)
 	c.cut["b"] = false
 	for range 3 {
-		c.take("b", c.replicas["b"].Heard(replicaNamed("a"), &pb.Heartbeat{ViewNumber: 1, Sequence: 1}))
+		c.take("b", c.replicas["b"].ObserveHeartbeat(replicaNamed("a"), &pb.Heartbeat{ViewNumber: 1, Sequence: 1}))
 	}
 	c.tick(3, three...)
 	c.requireCommitted("1 x", three...)
@@ -310,9 +310,9 @@
 			c := founded(t)
 			test.run(c)
 			for name, want := range test.want {
-				require.Equal(t, want, c.replicas[name].Published().Holds, name)
+				require.Equal(t, want, c.replicas[name].Advertised().Synchronized, name)
 				c.restart(name, 9000)
-				require.Equal(t, want, c.replicas[name].Published().Holds, "%s after a restart", name)
+				require.Equal(t, want, c.replicas[name].Advertised().Synchronized, "%s after a restart", name)
 			}
 		})
 	}
@@ -322,6 +322,6 @@
 	state := EmptyState()
 	require.Error(t, state.Apply(Write{Change: &pb.Change{Sequence: 4}}))
 	require.Error(t, state.Apply(Write{Repair: &pb.Repair{Ranges: []*pb.Range{{Index: 99}}}}))
-	require.NoError(t, state.Apply(Write{Basis: 3}))
-	require.EqualValues(t, 3, state.Basis)
+	require.NoError(t, state.Apply(Write{SynchronizedView: 3}))
+	require.EqualValues(t, 3, state.SynchronizedView)
 }
--- a/internal/chain/state.go
+++ b/internal/chain/state.go
@@ -10,9 +10,9 @@
 
 // State is what a replica has on disk.
 type State struct {
-	View   *pb.View // in force; nil before founding or joining
-	Basis  uint64   // all that was committed in views up to this one is in Newest
-	Newest *catalog.Snapshot
+	View             *pb.View // in force; nil before founding or joining
+	SynchronizedView uint64   // all that was committed in views up to this one is in Newest
+	Newest           *catalog.Snapshot
 	// History keeps the last changes that led to Newest. It belongs to the replica that is made of the state.
 	History *catalog.History
 }
@@ -24,10 +24,10 @@
 
 // Write is one step of a State. Of View, Change and Repair at most one is set.
 type Write struct {
-	Basis  uint64
-	View   *pb.View
-	Change *pb.Change
-	Repair *pb.Repair
+	SynchronizedView uint64
+	View             *pb.View
+	Change           *pb.Change
+	Repair           *pb.Repair
 }
 
 // Apply brings the state forward by a write. The error is one of package catalog: the write does not fit.
@@ -45,7 +45,7 @@
 	if err != nil {
 		return errors.Wrap(err, "apply a write")
 	}
-	s.Basis = write.Basis
+	s.SynchronizedView = write.SynchronizedView
 	s.Newest = next
 	s.noteHistory(write)
 	return nil
@@ -68,5 +68,5 @@
 // isSource reports whether the replica holds all that was committed up to the view in force, or nothing can
 // have been committed there without it.
 func (s *State) isSource(identity string) bool {
-	return s.position(identity) != quorum.NotFound && s.Basis+1 >= s.View.GetNumber()
+	return s.position(identity) != quorum.NotFound && s.SynchronizedView+1 >= s.View.GetNumber()
 }
--- a/internal/chain/sync.go
+++ b/internal/chain/sync.go
@@ -40,20 +40,20 @@
 
 // ask sends a request for the upstream's state, or sends it again.
 func (r *Replica) ask(output *Output) {
-	r.ticket++
+	r.incarnation++
 	if r.request == nil || r.request.base != r.state.Newest {
-		r.request = &syncRequest{first: r.ticket, base: r.state.Newest, wait: firstRequestWait}
+		r.request = &syncRequest{first: r.incarnation, base: r.state.Newest, wait: firstRequestWait}
 	} else {
 		r.request.wait = min(2*r.request.wait, maxRequestWait)
 	}
-	r.request.last = r.ticket
+	r.request.last = r.incarnation
 	r.request.age = 0
 	upstream := r.upstream()
 	if upstream == nil {
 		return
 	}
 	digests := r.state.Newest.ReplicaDigests()
-	digests.Digests = append(digests.Digests, r.ticket)
+	digests.Digests = append(digests.Digests, r.incarnation)
 	r.send(output, upstream, &pb.Message{Body: &pb.Message_SyncRequest{SyncRequest: &pb.SyncRequest{
 		ViewNumber: r.state.View.GetNumber(),
 		Digests:    digests,
@@ -225,7 +225,7 @@
 	r.request = nil
 	r.lag = 0
 	if !r.isLearner() {
-		r.state.Basis = r.state.View.GetNumber()
+		r.state.SynchronizedView = r.state.View.GetNumber()
 	}
 	same := next.SameAs(r.state.Newest)
 	r.synchronised = true
@@ -235,11 +235,11 @@
 		return
 	}
 	if same {
-		r.write(output, Write{Basis: r.state.Basis})
+		r.write(output, Write{SynchronizedView: r.state.SynchronizedView})
 		return
 	}
 	r.previous = nil
 	r.state.Newest = next
 	r.state.History.Reset(next.Sequence())
-	r.write(output, Write{Repair: repair, Basis: r.state.Basis})
+	r.write(output, Write{Repair: repair, SynchronizedView: r.state.SynchronizedView})
 }
--- a/internal/chain/taken_test.go
+++ b/internal/chain/taken_test.go
@@ -20,7 +20,7 @@
 		base := newest.Generation()
 		change, err := catalog.PrepareReplace(newest, base, fmt.Appendf(nil, `{"gen":%d}`, base+1))
 		require.NoError(c.t, err)
-		require.True(c.t, c.replicas[head].IsOpen())
+		require.True(c.t, c.replicas[head].AcceptsProposals())
 		output, err := c.replicas[head].Propose(change)
 		require.NoError(c.t, err)
 		c.take(head, output)
@@ -106,7 +106,7 @@
 	c.settle(three...)
 	c.tick(8, three...)
 	c.requireSameState("b", "c", "a")
-	var taken *catalog.AlreadyTakenError
+	var taken *catalog.AlreadyExecutedError
 	var lost *catalog.ConflictError
 	_, err = catalog.PrepareReplace(c.replicas["a"].Newest(), 0, []byte(`{"gen":1}`))
 	require.ErrorAs(t, err, &taken)
--- a/internal/configitem/route.go
+++ b/internal/configitem/route.go
@@ -32,8 +32,8 @@
 	kind, target, gapAim, priority, tries, pinned, resumable, homes []byte
 }
 
-// TakeRoute takes the body of a route apart. One that is not a JSON object gives a route without members.
-func TakeRoute(body []byte) (route Route) {
+// ParseRoute takes the body of a route apart. One that is not a JSON object gives a route without members.
+func ParseRoute(body []byte) (route Route) {
 	if !jsonwalk.IsObject(body) {
 		return route
 	}
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Place is what a request is matched with. No two routes may share one.
-type Place struct {
+// Match is what a request is matched with. No two routes may share one.
+type Match struct {
 	Host   string // canonical
 	Prefix string // of the path; begins with a slash
 }
@@ -92,17 +92,17 @@
 	FaultPrefix = Fault{Field: fieldPrefix, Reason: "does not begin with a slash"}
 )
 
-// Place gives the route's place, or what is wrong with it.
-func (r *Route) Place() (Place, []Fault) {
+// Match gives the route's place, or what is wrong with it.
+func (r *Route) Match() (Match, []Fault) {
 	host := optionalText(r.host)
 	if host == "" {
-		return Place{}, []Fault{FaultHost}
+		return Match{}, []Fault{FaultHost}
 	}
 	prefix := optionalText(r.prefix)
 	if !strings.HasPrefix(prefix, "/") {
-		return Place{}, []Fault{FaultPrefix}
+		return Match{}, []Fault{FaultPrefix}
 	}
-	return Place{Host: CanonicalHost(host), Prefix: prefix}, nil
+	return Match{Host: CanonicalHost(host), Prefix: prefix}, nil
 }
 
 // optionalText decodes a JSON string; any other value gives the empty text.
@@ -137,8 +137,8 @@
 	return deadline, nil
 }
 
-// Share is one service of a route's split.
-type Share struct {
+// WeightedService is one service of a route's split.
+type WeightedService struct {
 	Service []byte  // its name, as by jsonwalk.Unquoted; empty if none is named
 	Weight  float64 // relative to the others; 0 or more
 }
@@ -149,7 +149,7 @@
 	// there are no shares.
 	Service []byte
 	// Shares are the elements of "split". The sum of their weights is finite.
-	Shares []Share
+	Shares []WeightedService
 }
 
 // Faults of a route's destination.
@@ -162,10 +162,10 @@
 	FaultSplitForm = Fault{Field: fieldSplit, Reason: "is not a list"}
 	// FaultNoWeight is the fault of a split whose shares add up to 0.
 	FaultNoWeight = Fault{Field: fieldSplit, Reason: "the shares add up to 0"}
-	// FaultShare is the fault of a share that is not a number or is negative; it counts as 0.
-	FaultShare = Fault{Field: fieldSplit, Reason: "a share is not a number of 0 or more"}
-	// FaultShareService is the fault of a share whose service is not text.
-	FaultShareService = Fault{Field: fieldSplit, Reason: "is not a name"}
+	// FaultWeight is the fault of a share that is not a number or is negative; it counts as 0.
+	FaultWeight = Fault{Field: fieldSplit, Reason: "a share is not a number of 0 or more"}
+	// FaultWeightService is the fault of a share whose service is not text.
+	FaultWeightService = Fault{Field: fieldSplit, Reason: "is not a name"}
 )
 
 // Destination gives the services that the route names, and what is wrong with them.
@@ -199,11 +199,11 @@
 
 // takeShares reads the list of a split and adds what is wrong with it to the faults. An element that cannot be read
 // is a share of 0 for no service.
-func takeShares(list []byte, faults []Fault) ([]Share, float64, []Fault) {
-	var shares []Share
+func takeShares(list []byte, faults []Fault) ([]WeightedService, float64, []Fault) {
+	var shares []WeightedService
 	total := 0.0
 	for element := range jsonwalk.Elements(list) {
-		var share Share
+		var share WeightedService
 		share, faults = takeShare(element, len(shares), faults)
 		shares = append(shares, share)
 		total += share.Weight
@@ -214,21 +214,21 @@
 	return shares, total, faults
 }
 
-func takeShare(element []byte, place int, faults []Fault) (Share, []Fault) {
-	var share Share
+func takeShare(element []byte, place int, faults []Fault) (WeightedService, []Fault) {
+	var share WeightedService
 	if !jsonwalk.IsObject(element) {
 		return share, append(faults, splitFault("element %d is not an object", place))
 	}
 	service := jsonwalk.Member(element, fieldService)
 	if !jsonwalk.IsString(service) {
-		faults = append(faults, FaultShareService)
+		faults = append(faults, FaultWeightService)
 	} else if share.Service = jsonwalk.Unquoted(service); len(share.Service) == 0 {
 		faults = append(faults, splitFault("element %d names no service", place))
 	}
 	if weight := jsonwalk.Member(element, fieldShare); weight != nil {
 		number, ok := jsonwalk.Number(weight)
 		if !ok || number < 0 {
-			return share, append(faults, FaultShare)
+			return share, append(faults, FaultWeight)
 		}
 		share.Weight = number
 	}
@@ -240,7 +240,7 @@
 }
 
 // scaleDown makes the sum of weights finite and leaves them in proportion.
-func scaleDown(shares []Share) {
+func scaleDown(shares []WeightedService) {
 	divisor := 2 * float64(len(shares)) // twice the number: the sum may be rounded up
 	for index := range shares {
 		shares[index].Weight /= divisor
--- a/internal/configitem/terms.go
+++ b/internal/configitem/terms.go
@@ -18,28 +18,28 @@
 
 // Terms are the members of a route that validation does not judge. Times are in milliseconds, 0 where not told.
 type Terms struct {
-	Kind      Kind // KindMutating, which may run at most once, where not told
-	Target    float64
-	GapAim    float64
-	Priority  float64
-	Tries     float64
-	Pinned    bool
-	Resumable bool
-	Homes     []string // the only regions that may serve the route; empty: any
+	Kind           Kind // KindMutating, which may run at most once, where not told
+	Target         float64
+	EventGapTarget float64
+	Priority       float64
+	MaxAttempts    float64
+	PromptAffinity bool
+	Resumable      bool
+	HomeRegions    []string // the only regions that may serve the route; empty: any
 }
 
 // Terms gives these members, and which of them cannot be used.
 func (r *Route) Terms() (Terms, []Fault) {
 	var odd decoder
 	terms := Terms{
-		Kind:      odd.kind(r.kind),
-		Target:    odd.figure(fieldTarget, r.target),
-		GapAim:    odd.figure(fieldGapAim, r.gapAim),
-		Priority:  odd.figure(fieldPriority, r.priority),
-		Tries:     odd.figure(fieldTries, r.tries),
-		Pinned:    odd.flag(fieldPinned, r.pinned),
-		Resumable: odd.flag(fieldResumable, r.resumable),
-		Homes:     odd.homes(r.homes),
+		Kind:           odd.kind(r.kind),
+		Target:         odd.figure(fieldTarget, r.target),
+		EventGapTarget: odd.figure(fieldGapAim, r.gapAim),
+		Priority:       odd.figure(fieldPriority, r.priority),
+		MaxAttempts:    odd.figure(fieldTries, r.tries),
+		PromptAffinity: odd.flag(fieldPinned, r.pinned),
+		Resumable:      odd.flag(fieldResumable, r.resumable),
+		HomeRegions:    odd.homes(r.homes),
 	}
 	return terms, odd.faults
 }
--- a/internal/control/authority.go
+++ b/internal/control/authority.go
@@ -10,11 +10,11 @@
 // behindLimit is how long a machine may lack a committed change that others have told of before it ceases to be
 // authoritative: changes follow the heartbeats that tell of them within a moment, unless a link is cut. It ceases
 // earlier if the silence limit ends before (see isOverdue).
-const behindLimit = 2 * HeartbeatPeriod
+const behindLimit = 2 * HeartbeatInterval
 
-// toldByPeers is the newest that heartbeats of other machines have told of. A machine that is cut off from the
+// peerAdvertisements is the newest that heartbeats of other machines have told of. A machine that is cut off from the
 // chain alone, or that hears but is not heard, learns by it that the state that it holds has grown old.
-type toldByPeers struct {
+type peerAdvertisements struct {
 	view     uint64 // newest view number
 	sequence uint64 // newest committed sequence, in the view in force
 	// behindSince is since when this machine has committed less than sequence; 0: it has not.
@@ -29,7 +29,7 @@
 // Authoritative reports whether the machine holds the state of the view in force, has had heartbeats of a
 // majority of the voters lately, and was told neither of a later view nor of changes that it does not get.
 func (m *Machine) Authoritative() bool {
-	return m.replica.Follows() && m.hasHeartbeats() && !m.isBehind()
+	return m.replica.KnowsCommitted() && m.hasHeartbeats() && !m.isBehind()
 }
 
 // hasHeartbeats reports whether heartbeats came lately of a majority of the voters, this one included, and of a
@@ -48,7 +48,7 @@
 	count := 0
 	for _, replica := range replicas {
 		found, known := m.peers.known[replica.GetIdentity()]
-		lately := known && found.heartbeat != nil && m.now-found.inTouchAt <= SilenceLimit
+		lately := known && found.heartbeat != nil && m.now-found.inTouchAt <= FailureTimeout
 		if lately || m.isSelf(replica) {
 			count++
 		}
@@ -57,30 +57,30 @@
 }
 
 func (m *Machine) isBehind() bool {
-	if m.told.view > m.View().GetNumber() || m.told.apart {
+	if m.advertisedByPeers.view > m.View().GetNumber() || m.advertisedByPeers.apart {
 		return true
 	}
-	return m.told.behindSince > 0 && m.isOverdue()
+	return m.advertisedByPeers.behindSince > 0 && m.isOverdue()
 }
 
 // isOverdue reports whether a change that this machine was told of has been missing for too long. It may have been
 // acknowledged at any time since the last heartbeat that did not tell of it, so that the silence limit runs from there.
 func (m *Machine) isOverdue() bool {
-	if m.now-m.told.behindSince >= behindLimit {
+	if m.now-m.advertisedByPeers.behindSince >= behindLimit {
 		return true
 	}
-	return m.told.currentAt == 0 || m.now-m.told.currentAt > SilenceLimit
+	return m.advertisedByPeers.currentAt == 0 || m.now-m.advertisedByPeers.currentAt > FailureTimeout
 }
 
 // noteTold remembers what another machine's heartbeat tells of. One that has just started does not know how much
 // of what it has on disk is committed: all of it may be.
 func (m *Machine) noteTold(from *pb.Replica, heartbeat *pb.Heartbeat) {
-	m.told.view = max(m.told.view, heartbeat.GetViewNumber())
+	m.advertisedByPeers.view = max(m.advertisedByPeers.view, heartbeat.GetViewNumber())
 	committed := heartbeat.GetCommitted()
 	if committed == 0 {
 		committed = heartbeat.GetSequence()
 	}
-	m.told.sequence = max(m.told.sequence, committed)
+	m.advertisedByPeers.sequence = max(m.advertisedByPeers.sequence, committed)
 	m.noteCurrent(from, committed)
 	m.compareWithTold()
 }
@@ -90,31 +90,31 @@
 func (m *Machine) noteCurrent(from *pb.Replica, committed uint64) {
 	inChain := quorum.IndexOf(m.View().GetChain(), from.GetIdentity()) != quorum.NotFound
 	if inChain && !m.wakesLate() && committed <= sequenceOf(m.replica.Committed()) {
-		m.told.currentAt = m.now
+		m.advertisedByPeers.currentAt = m.now
 	}
 }
 
 // compareWithTold keeps the time since when this machine lacks something that it was told of.
 func (m *Machine) compareWithTold() {
 	if !m.hasHeartbeats() {
-		m.told.apart = true
+		m.advertisedByPeers.apart = true
 	}
-	if sequenceOf(m.replica.Committed()) < m.told.sequence {
-		if m.told.behindSince == 0 {
-			m.told.behindSince = m.now
+	if sequenceOf(m.replica.Committed()) < m.advertisedByPeers.sequence {
+		if m.advertisedByPeers.behindSince == 0 {
+			m.advertisedByPeers.behindSince = m.now
 		}
 		return
 	}
-	m.told.behindSince = 0
+	m.advertisedByPeers.behindSince = 0
 	if m.hasHeartbeats() {
-		m.told.apart = false
+		m.advertisedByPeers.apart = false
 	}
 }
 
 // forgetTold forgets the sequence told of in an earlier view: whoever follows the new one holds all of it. It holds
 // what was acknowledged in the new view until now as well, for it is the head of that or asks for its state from now on.
 func (m *Machine) forgetTold() {
-	m.told.sequence = 0
-	m.told.behindSince = 0
-	m.told.currentAt = m.now
+	m.advertisedByPeers.sequence = 0
+	m.advertisedByPeers.behindSince = 0
+	m.advertisedByPeers.currentAt = m.now
 }
--- a/internal/control/authority_gap_test.go
+++ b/internal/control/authority_gap_test.go
@@ -12,11 +12,11 @@
 // acknowledged a silence limit ago.
 func TestContactLostBetweenTwoTicksEndsTheAuthority(t *testing.T) {
 	a := newAgreed(t)
-	a.pass(SilenceLimit / 2)
+	a.pass(FailureTimeout / 2)
 	a.told(1, &pb.Heartbeat{ViewNumber: 1})
-	a.pass(SilenceLimit / 2)
+	a.pass(FailureTimeout / 2)
 	require.True(t, a.machine.Authoritative())
-	a.now += TickPeriod / 2
+	a.now += TickInterval / 2
 	a.told(0, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
 	require.False(t, a.machine.Authoritative(), "the change may have come at any time in the silence")
 }
@@ -26,11 +26,11 @@
 func TestGraceForChangesOnTheirWayEndsWithTheSilenceLimit(t *testing.T) {
 	a := newAgreed(t)
 	heardAt := a.now
-	a.pass(SilenceLimit - TickPeriod)
-	for a.now < heardAt+SilenceLimit+TickPeriod {
+	a.pass(FailureTimeout - TickInterval)
+	for a.now < heardAt+FailureTimeout+TickInterval {
 		a.told(0, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
 		a.told(1, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
-		a.pass(TickPeriod)
+		a.pass(TickInterval)
 	}
 	require.False(t, a.machine.Authoritative(), "the change may have been acknowledged %v ago", a.now-heardAt)
 }
@@ -40,26 +40,26 @@
 	view := viewOfFive()
 	view.Chain = view.Chain[:3]
 	a := newAgreedIn(t, view)
-	a.pass(SilenceLimit-TickPeriod, 2, 3)
+	a.pass(FailureTimeout-TickInterval, 2, 3)
 	a.told(0, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
 	require.True(t, a.machine.Authoritative(), "the change may be on its way")
-	a.pass(2*TickPeriod, 2, 3)
+	a.pass(2*TickInterval, 2, 3)
 	require.False(t, a.machine.Authoritative())
 }
 
 // Heartbeats that have waited for a machine that stood still show nothing of the present.
 func TestHeartbeatsThatCameLateDoNotProlongTheGrace(t *testing.T) {
 	a := newAgreed(t)
-	a.now += lateWake
+	a.now += stallThreshold
 	hear(a.machine, a.now, a.peers[0])
 	hear(a.machine, a.now, a.peers[1])
 	a.machine.Step(a.now, Tick{})
-	a.pass(wakeCalm - wakeCalm%TickPeriod)
-	a.now += TickPeriod / 2
+	a.pass(stallGracePeriod - stallGracePeriod%TickInterval)
+	a.now += TickInterval / 2
 	a.told(2, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
 	a.told(3, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
 	require.True(t, a.machine.Authoritative(), "the change may be on its way")
-	a.pass(TickPeriod)
+	a.pass(TickInterval)
 	require.False(t, a.machine.Authoritative())
 }
 
@@ -67,8 +67,8 @@
 func TestANewViewBeginsWithTheWholeGrace(t *testing.T) {
 	a := newAgreed(t)
 	missing := &pb.Heartbeat{ViewNumber: 1, Committed: 1}
-	for range 2 * SilenceLimit / TickPeriod {
-		a.pass(TickPeriod)
+	for range 2 * FailureTimeout / TickInterval {
+		a.pass(TickInterval)
 		a.told(0, missing)
 		a.told(1, missing)
 	}
--- a/internal/control/authority_test.go
+++ b/internal/control/authority_test.go
@@ -32,7 +32,7 @@
 // pass lets time pass, in which some of the peers send heartbeats.
 func (a *agreed) pass(span time.Duration, from ...int) {
 	for end := a.now + span; a.now < end; {
-		a.now += TickPeriod
+		a.now += TickInterval
 		a.machine.Step(a.now, Tick{})
 		for _, index := range from {
 			hear(a.machine, a.now, a.peers[index])
@@ -51,10 +51,10 @@
 
 func TestAuthorityNeedsHeartbeatsOfAMajority(t *testing.T) {
 	a := newAgreed(t)
-	a.pass(SilenceLimit, 0)
-	a.pass(2*TickPeriod, 0)
+	a.pass(FailureTimeout, 0)
+	a.pass(2*TickInterval, 0)
 	require.False(t, a.machine.Authoritative())
-	a.pass(TickPeriod, 0, 1)
+	a.pass(TickInterval, 0, 1)
 	require.True(t, a.machine.Authoritative())
 }
 
@@ -63,18 +63,18 @@
 	view := viewOfFive()
 	view.Chain = view.Chain[3:]
 	machine, peers := startedIn(t, view)
-	hear(machine, TickPeriod, peers[0])
-	hear(machine, TickPeriod, peers[1])
+	hear(machine, TickInterval, peers[0])
+	hear(machine, TickInterval, peers[1])
 	require.True(t, machine.hearsMajority())
 	require.False(t, machine.hasHeartbeats())
-	hear(machine, TickPeriod, peers[3])
+	hear(machine, TickInterval, peers[3])
 	require.True(t, machine.hasHeartbeats())
 }
 
 func TestOtherMessagesThanHeartbeatsGiveNoAuthority(t *testing.T) {
 	a := newAgreed(t)
-	for range 2 * SilenceLimit / TickPeriod {
-		a.pass(TickPeriod)
+	for range 2 * FailureTimeout / TickInterval {
+		a.pass(TickInterval)
 		for index := range a.peers {
 			a.receive(index, &pb.Message{Body: &pb.Message_ViewCheck{ViewCheck: &pb.ViewCheck{ViewNumber: 1}}})
 		}
@@ -121,16 +121,16 @@
 	hear(a.machine, a.now, a.peers[0])
 	hear(a.machine, a.now, a.peers[1])
 	require.False(t, a.machine.Authoritative(), "before the first tick")
-	a.pass(wakeCalm-TickPeriod, 0, 1)
+	a.pass(stallGracePeriod-TickInterval, 0, 1)
 	require.False(t, a.machine.Authoritative())
-	a.pass(2*TickPeriod, 0, 1)
+	a.pass(2*TickInterval, 0, 1)
 	require.True(t, a.machine.Authoritative())
 }
 
 func TestThePictureThatAStandingLoopLeftGivesNoAuthority(t *testing.T) {
 	node := &Node{began: time.Now().Add(-time.Hour)}
 	node.status.Store(&Status{Authoritative: true})
-	node.stepped.Store(int64(time.Hour - lateWake))
+	node.stepped.Store(int64(time.Hour - stallThreshold))
 	require.False(t, node.Status().Authoritative)
 	node.stepped.Store(int64(time.Hour))
 	require.True(t, node.Status().Authoritative)
--- a/internal/control/check.go
+++ b/internal/control/check.go
@@ -74,7 +74,7 @@
 func (m *Machine) viewCheck(from *pb.Replica, check *pb.ViewCheck) {
 	number := check.GetViewNumber()
 	later := m.View().GetNumber() > number
-	accepted := m.acceptor.Number() > number && m.acceptor.HasAccepted()
+	accepted := m.acceptor.ViewNumber() > number && m.acceptor.HasAccepted()
 	m.send(from, &pb.Message{Body: &pb.Message_ViewCheckResult{ViewCheckResult: &pb.ViewCheckResult{
 		Id:         check.GetId(),
 		ViewNumber: number,
--- a/internal/control/confirm_test.go
+++ b/internal/control/confirm_test.go
@@ -73,10 +73,10 @@
 func TestEvacuationThatWasWithdrawnIsNotConfirmed(t *testing.T) {
 	l := newLone(t)
 	l.hold = true
-	l.step(Submitted{Request: 98, Order: replaceOrder(0, 3)})
-	l.step(Submitted{Request: 99, Order: &pb.Order{Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: "z"}})
+	l.step(OrderSubmitted{Request: 98, Order: replaceOrder(0, 3)})
+	l.step(OrderSubmitted{Request: 99, Order: &pb.Order{Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: "z"}})
 	require.Len(t, l.machine.origin.pending, 2)
-	l.step(Withdrawn{Request: 99})
+	l.step(OrderCanceled{Request: 99})
 	require.Len(t, l.machine.origin.pending, 1)
 	before := len(l.sent)
 	l.machine.orderResult(l.machine.Self(), &pb.OrderResult{Id: l.machine.origin.next, Status: statusConfirm, Body: []byte("1")})
--- a/internal/control/disk.go
+++ b/internal/control/disk.go
@@ -29,8 +29,8 @@
 type pendingWrite struct {
 	token   uint64
 	started time.Duration
-	chain   bool             // the replica waits for it
-	replies []chain.Outgoing // may leave when it is on disk
+	chain   bool                    // the replica waits for it
+	replies []chain.OutgoingMessage // may leave when it is on disk
 }
 
 // ringSizes decides when a snapshot is due.
@@ -42,7 +42,7 @@
 }
 
 // persist asks for records to be written, as a snapshot of everything when that is due.
-func (m *Machine) persist(records []ring.Record, forChain bool, replies []chain.Outgoing) {
+func (m *Machine) persist(records []ring.Record, forChain bool, replies []chain.OutgoingMessage) {
 	m.disk.next++
 	m.disk.waiting = append(m.disk.waiting, pendingWrite{
 		token:   m.disk.next,
@@ -75,10 +75,10 @@
 	records := []ring.Record{identityRecord(m.self.GetIdentity(), m.bootstrap)}
 	if state.Newest.Sequence() > 0 {
 		repair := state.Newest.ReplicaRepairFor(nil)
-		records = append(records, writeRecord(chain.Write{Repair: repair, Basis: state.Basis}))
+		records = append(records, writeRecord(chain.Write{Repair: repair, SynchronizedView: state.SynchronizedView}))
 	}
 	if state.View != nil {
-		records = append(records, writeRecord(chain.Write{View: state.View, Basis: state.Basis}))
+		records = append(records, writeRecord(chain.Write{View: state.View, SynchronizedView: state.SynchronizedView}))
 	}
 	if !m.acceptor.IsEmpty() {
 		records = append(records, promiseRecord(m.acceptor))
@@ -103,11 +103,11 @@
 // saved goes on with what the replica has on disk now. The others are told at once of a view or a copy that is there:
 // machines that wait to end, to join or to be copied go on by that.
 func (m *Machine) saved() {
-	before := m.replica.Published()
-	m.perform(m.replica.Saved())
+	before := m.replica.Advertised()
+	m.perform(m.replica.WritesPersisted())
 	m.settleOrders()
-	after := m.replica.Published()
-	if after.ViewNumber != before.ViewNumber || after.Holds != before.Holds {
+	after := m.replica.Advertised()
+	if after.ViewNumber != before.ViewNumber || after.Synchronized != before.Synchronized {
 		m.sendHeartbeats()
 	}
 }
@@ -126,5 +126,5 @@
 // voterReply queues an acceptor's answer behind its record.
 func (m *Machine) voterReply(to *pb.Replica, message *pb.Message) {
 	record := promiseRecord(m.acceptor)
-	m.persist([]ring.Record{record}, false, []chain.Outgoing{{To: to, Message: message}})
+	m.persist([]ring.Record{record}, false, []chain.OutgoingMessage{{To: to, Message: message}})
 }
--- a/internal/control/election.go
+++ b/internal/control/election.go
@@ -39,7 +39,7 @@
 	if view := m.View(); view != nil {
 		return view
 	}
-	return quorum.Unfounded(m.config.Seeds)
+	return quorum.BootstrapView(m.config.Seeds)
 }
 
 // votes reports whether this machine is a voter on the next view.
@@ -74,7 +74,7 @@
 }
 
 func (m *Machine) isRestless() bool {
-	return m.config.Restless != nil && m.View() != nil && m.votes() && m.config.Restless()
+	return m.config.SpuriousProposals != nil && m.View() != nil && m.votes() && m.config.SpuriousProposals()
 }
 
 // rank is this machine's place among the live voters in the order in which they propose.
@@ -131,11 +131,11 @@
 		return
 	}
 	highest := m.election.highest
-	if quorum.Compare(m.acceptor.Promised(), highest) > 0 {
+	if quorum.CompareProposalNumbers(m.acceptor.Promised(), highest) > 0 {
 		highest = m.acceptor.Promised()
 	}
 	name := m.self.GetHost() + "/" + m.self.GetIdentity() + "/" + strconv.FormatUint(m.incarnation, 36)
-	attempt := quorum.NewProposer(m.base(), quorum.NextBallot(highest, name))
+	attempt := quorum.NewProposer(m.base(), quorum.NextProposalNumber(highest, name))
 	m.election.attempt = attempt
 	m.election.began = m.now
 	m.toVoters(&pb.Message{Body: &pb.Message_Prepare{Prepare: attempt.Prepare()}})
@@ -173,7 +173,7 @@
 		message = &pb.Message{Body: &pb.Message_Accept{Accept: attempt.Accept()}}
 	}
 	for index, voter := range m.base().GetVoters() {
-		if attempt.Awaits(index) && !m.isSelf(voter) && m.isLiveVoter(voter) {
+		if attempt.AwaitsVoter(index) && !m.isSelf(voter) && m.isLiveVoter(voter) {
 			m.toVoter(voter, message)
 		}
 	}
@@ -181,7 +181,7 @@
 
 func (m *Machine) abandon() {
 	if m.election.attempt != nil {
-		m.election.highest = m.election.attempt.Highest()
+		m.election.highest = m.election.attempt.HighestObserved()
 	}
 	m.election.attempt = nil
 	m.election.retryAt = m.now + retryPause + time.Duration(m.random.Int64N(int64(retryPause)))
--- a/internal/control/event.go
+++ b/internal/control/event.go
@@ -12,7 +12,7 @@
 // Started must be the first event.
 type Started struct{}
 
-// Tick tells that time has passed; it is meant to come every TickPeriod.
+// Tick tells that time has passed; it is meant to come every TickInterval.
 type Tick struct{}
 
 // Received is a message of another control machine. The machine keeps it.
@@ -28,37 +28,37 @@
 // WriteFailed tells that the oldest Persist failed; it is tried again until it succeeds.
 type WriteFailed struct{}
 
-// Submitted is an order of the operator that arrived at this machine. The order's id is set by the machine.
-type Submitted struct {
+// OrderSubmitted is an order of the operator that arrived at this machine. The order's id is set by the machine.
+type OrderSubmitted struct {
 	Request uint64 // comes back in the Reply
 	Order   *pb.Order
 }
 
-// Withdrawn tells that nobody waits for the Reply to a Submitted order any more. The order may be carried out all
+// OrderCanceled tells that nobody waits for the Reply to a Submitted order any more. The order may be carried out all
 // the same if it is on its way; this machine does no more for it.
-type Withdrawn struct{ Request uint64 }
+type OrderCanceled struct{ Request uint64 }
 
-// Broadcast asks for a server list to be sent to the other control machines.
-type Broadcast struct{ List *pb.ServerList }
+// BroadcastServerList asks for a server list to be sent to the other control machines.
+type BroadcastServerList struct{ List *pb.ServerList }
 
 // SeedsChanged names other machines to ask when the known ones cannot be reached. It does not change who
 // founds the system.
 type SeedsChanged struct{ Seeds []string }
 
-// Leave tells the machine that it is to end. It goes on, for LeaveLimit at most, until the others go on without it.
+// Leave tells the machine that it is to end. It goes on, for LeaveTimeout at most, until the others go on without it.
 type Leave struct{}
 
-func (Started) isEvent()      {}
-func (Tick) isEvent()         {}
-func (Received) isEvent()     {}
-func (Undelivered) isEvent()  {}
-func (Persisted) isEvent()    {}
-func (WriteFailed) isEvent()  {}
-func (Submitted) isEvent()    {}
-func (Withdrawn) isEvent()    {}
-func (Broadcast) isEvent()    {}
-func (SeedsChanged) isEvent() {}
-func (Leave) isEvent()        {}
+func (Started) isEvent()             {}
+func (Tick) isEvent()                {}
+func (Received) isEvent()            {}
+func (Undelivered) isEvent()         {}
+func (Persisted) isEvent()           {}
+func (WriteFailed) isEvent()         {}
+func (OrderSubmitted) isEvent()      {}
+func (OrderCanceled) isEvent()       {}
+func (BroadcastServerList) isEvent() {}
+func (SeedsChanged) isEvent()        {}
+func (Leave) isEvent()               {}
 
 // Action is something that a Machine asks for.
 type Action interface{ isAction() }
@@ -94,25 +94,25 @@
 // ViewChanged tells of the view now in force.
 type ViewChanged struct{ View *pb.View }
 
-// HeartbeatHeard passes on the soft state of another machine.
-type HeartbeatHeard struct {
+// HeartbeatReceived passes on the soft state of another machine.
+type HeartbeatReceived struct {
 	From      *pb.Replica
 	Heartbeat *pb.Heartbeat
 }
 
-// ListHeard passes on a server list from another machine.
-type ListHeard struct{ List *pb.ServerList }
+// ServerListReceived passes on a server list from another machine.
+type ServerListReceived struct{ List *pb.ServerList }
 
 // Left tells, once after Leave, that the machine need not run any longer.
 type Left struct {
 	Agreed bool // a view without it is in force, and the copies required are elsewhere
 }
 
-func (Send) isAction()           {}
-func (Persist) isAction()        {}
-func (Reply) isAction()          {}
-func (Committed) isAction()      {}
-func (ViewChanged) isAction()    {}
-func (HeartbeatHeard) isAction() {}
-func (ListHeard) isAction()      {}
-func (Left) isAction()           {}
+func (Send) isAction()               {}
+func (Persist) isAction()            {}
+func (Reply) isAction()              {}
+func (Committed) isAction()          {}
+func (ViewChanged) isAction()        {}
+func (HeartbeatReceived) isAction()  {}
+func (ServerListReceived) isAction() {}
+func (Left) isAction()               {}
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -79,7 +79,7 @@
 		Number:  1,
 		Cluster: strconv.FormatUint(m.random.Uint64(), 36),
 		Voters:  voters,
-		Chain:   chain.First(voters, m.config.Requirement),
+		Chain:   chain.InitialChain(voters, m.config.Requirement),
 	}
 }
 
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -64,23 +64,23 @@
 	require.True(t, acceptor.Prepare(&pb.Prepare{ViewNumber: 4, Ballot: &pb.Ballot{Round: 2, Proposer: "core-1/identity1"}}).GetGranted())
 	snapshot = joinSnapshot([]ring.Record{
 		identityRecord("identity2", true),
-		writeRecord(chain.Write{Basis: 2, Repair: state.ReplicaRepairFor(nil)}),
-		writeRecord(chain.Write{Basis: 2, View: goldenView(3, 1, 2)}),
+		writeRecord(chain.Write{SynchronizedView: 2, Repair: state.ReplicaRepairFor(nil)}),
+		writeRecord(chain.Write{SynchronizedView: 2, View: goldenView(3, 1, 2)}),
 		promiseRecord(acceptor),
 	})
 	write := func(write chain.Write) { records = append(records, writeRecord(write)) }
-	change := func(change *pb.Change, err error) { write(chain.Write{Basis: 3, Change: take(change, err)}) }
-	write(chain.Write{Basis: 3})
+	change := func(change *pb.Change, err error) { write(chain.Write{SynchronizedView: 3, Change: take(change, err)}) }
+	write(chain.Write{SynchronizedView: 3})
 	change(catalog.PrepareEvacuation(state, "hall-1", true))
 	change(catalog.PrepareEvacuation(state, "hall-3", true))
 	change(catalog.PrepareReplace(state, 70, noteOrder(70).GetBody()))
 	change(catalog.PrepareAmend(state, 71, []byte(`{"gen":72,"upsert":{"backends":[{"name":"s1"},{"name":"s2"}]}}`)))
 	change(catalog.PrepareAmend(state, 72, []byte(`{"gen":73,"remove":{"backends":["s2"]}}`)))
 	change(catalog.PrepareEvacuation(state, "hall-1", false))
-	write(chain.Write{Basis: 3, View: goldenView(4, 2, 3)})
+	write(chain.Write{SynchronizedView: 3, View: goldenView(4, 2, 3)})
 	before := state.ReplicaDigests()
 	take(catalog.PrepareAmend(state, 73, []byte(`{"gen":74,"upsert":{"backends":[{"name":"s3"}]}}`)))
-	write(chain.Write{Basis: 4, Repair: state.ReplicaRepairFor(before)})
+	write(chain.Write{SynchronizedView: 4, Repair: state.ReplicaRepairFor(before)})
 	acceptor = quorum.NewAcceptor(5)
 	ballot := &pb.Ballot{Round: 3, Proposer: "core-3/identity3"}
 	require.True(t, acceptor.Accept(&pb.Accept{ViewNumber: 5, Ballot: ballot, Value: goldenView(5, 3, 1)}).GetGranted())
@@ -232,7 +232,7 @@
 		// orders that were taken are known again, others on the same generations are not
 		for base := range uint64(7) {
 			_, err = catalog.PrepareReplace(found.State, base, noteOrder(base).GetBody())
-			var again *catalog.AlreadyTakenError
+			var again *catalog.AlreadyExecutedError
 			require.ErrorAs(t, err, &again)
 			_, err = catalog.PrepareReplace(found.State, base, otherNoteOrder(base).GetBody())
 			var conflict *catalog.ConflictError
--- a/internal/control/head.go
+++ b/internal/control/head.go
@@ -111,7 +111,7 @@
 
 // pump gives the chain its next change while it takes one.
 func (m *Machine) pump() {
-	for m.head.active == nil && len(m.head.queue) > 0 && m.replica.IsOpen() {
+	for m.head.active == nil && len(m.head.queue) > 0 && m.replica.AcceptsProposals() {
 		next := m.head.takeNext()
 		if m.now < next.expires {
 			m.execute(next)
@@ -216,7 +216,7 @@
 // settleOrders answers the active order once its change is committed.
 func (m *Machine) settleOrders() {
 	active := m.head.active
-	if active == nil || !m.replica.Follows() || m.replica.Committed().Sequence() < active.sequence {
+	if active == nil || !m.replica.KnowsCommitted() || m.replica.Committed().Sequence() < active.sequence {
 		return
 	}
 	m.head.active = nil
@@ -249,7 +249,7 @@
 		return
 	}
 	isTail := m.replica.Tail().GetIdentity() == m.self.GetIdentity()
-	if m.View() == nil || !isTail || !m.replica.Follows() {
+	if m.View() == nil || !isTail || !m.replica.KnowsCommitted() {
 		m.result(from, unavailable(order.GetId()))
 		return
 	}
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -58,7 +58,7 @@
 	inspection.Identity = state.identity
 	inspection.Bootstrap = state.bootstrap
 	inspection.View = state.chain.View
-	inspection.Basis = state.chain.Basis
+	inspection.Basis = state.chain.SynchronizedView
 	inspection.State = state.chain.Newest
 	if acceptor := state.restoreAcceptor(); !acceptor.IsEmpty() {
 		inspection.Promise = acceptor.Record()
--- a/internal/control/leaving.go
+++ b/internal/control/leaving.go
@@ -10,8 +10,8 @@
 
 // Times of leaving, after Leave.
 const (
-	// LeaveLimit is how long a machine goes on at most.
-	LeaveLimit = 2 * time.Second
+	// LeaveTimeout is how long a machine goes on at most.
+	LeaveTimeout = 2 * time.Second
 	// leaveUnmet is when a machine counts as unfit for the chain, even if the copies required are not elsewhere.
 	leaveUnmet = 1500 * time.Millisecond
 )
@@ -41,7 +41,7 @@
 		return
 	}
 	agreed := m.hasLeft()
-	if agreed || !m.hasSuccessors() || m.now-m.leaving.since >= LeaveLimit {
+	if agreed || !m.hasSuccessors() || m.now-m.leaving.since >= LeaveTimeout {
 		m.leaving.told = true
 		m.actions = append(m.actions, Left{Agreed: agreed})
 	}
@@ -71,7 +71,7 @@
 	candidates := m.candidates(view.GetChain())
 	holders := slices.DeleteFunc(slices.Clone(view.GetChain()), func(member *pb.Replica) bool {
 		candidate := candidates[member.GetIdentity()]
-		return !candidate.Fit || !candidate.Holds || candidate.Leaving
+		return !candidate.Healthy || !candidate.Synchronized || candidate.Leaving
 	})
 	return m.config.Requirement.MetBy(holders, view.GetVoters())
 }
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -15,7 +15,7 @@
 
 // loop feeds the machine with events and carries out its actions.
 func (node *Node) loop(ctx context.Context) {
-	ticker := time.NewTicker(TickPeriod)
+	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
 	report := time.NewTicker(reportPeriod)
 	defer report.Stop()
@@ -55,11 +55,11 @@
 			node.committed(action)
 		case ViewChanged:
 			node.viewChanged(action.View)
-		case HeartbeatHeard:
+		case HeartbeatReceived:
 			if node.options.OnHeartbeat != nil {
 				node.options.OnHeartbeat(action.From, action.Heartbeat)
 			}
-		case ListHeard:
+		case ServerListReceived:
 			if node.options.OnServerList != nil {
 				node.options.OnServerList(action.List)
 			}
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -15,17 +15,17 @@
 
 // Periods and limits of a Machine.
 const (
-	// TickPeriod is the time between two Tick events.
-	TickPeriod = 150 * time.Millisecond
-	// HeartbeatPeriod is the time between two heartbeats to each other machine.
-	HeartbeatPeriod = 2 * TickPeriod
-	// SilenceLimit is how long a machine may be silent before it counts as not live.
-	SilenceLimit = 1200 * time.Millisecond
-	// lateWake is the gap between two ticks from which a machine blames itself for the silence of others.
-	lateWake = 4 * TickPeriod
-	// wakeCalm is how long after a late wake no orders are taken: they may have waited for the machine, and
+	// TickInterval is the time between two Tick events.
+	TickInterval = 150 * time.Millisecond
+	// HeartbeatInterval is the time between two heartbeats to each other machine.
+	HeartbeatInterval = 2 * TickInterval
+	// FailureTimeout is how long a machine may be silent before it counts as not live.
+	FailureTimeout = 1200 * time.Millisecond
+	// stallThreshold is the gap between two ticks from which a machine blames itself for the silence of others.
+	stallThreshold = 4 * TickInterval
+	// stallGracePeriod is how long after a late wake no orders are taken: they may have waited for the machine, and
 	// their senders given up.
-	wakeCalm = 500 * time.Millisecond
+	stallGracePeriod = 500 * time.Millisecond
 )
 
 // Config is what a Machine must know at its start.
@@ -40,9 +40,9 @@
 	Random *rand.Rand
 	// SnapshotRecords is the number of records after which the ring gets a new snapshot; 0: the default.
 	SnapshotRecords int
-	// Restless is asked at each tick whether to propose another view without need and out of turn; nil: never.
+	// SpuriousProposals is asked at each tick whether to propose another view without need and out of turn; nil: never.
 	// It is for simulations: proposals that compete must do no harm.
-	Restless func() bool
+	SpuriousProposals func() bool
 }
 
 // Machine is the whole of a control machine's part in agreement and replication.
@@ -54,25 +54,25 @@
 	incarnation uint64
 	contacts    []string // operator's addresses to ask when no majority is heard
 
-	now      time.Duration // of the event that is handled
-	lastTick time.Duration
-	woke     time.Duration // when the last late tick came; 0: none came
-	started  time.Duration
-	ticks    uint64
-	actions  []Action // of the event that is handled
-
-	acceptor *quorum.Acceptor
-	replica  *chain.Replica
-	peers    peerTable
-	disk     diskQueue
-	election election
-	leaving  leaving
-	origin   originOrders
-	head     headOrders
-	checks   viewChecks
-	told     toldByPeers
-	shown    *catalog.Snapshot // committed state that the shell was told last
-	sizes    ringSizes
+	now       time.Duration // of the event that is handled
+	lastTick  time.Duration
+	lastStall time.Duration // when the last late tick came; 0: none came
+	started   time.Duration
+	ticks     uint64
+	actions   []Action // of the event that is handled
+
+	acceptor          *quorum.Acceptor
+	replica           *chain.Replica
+	peers             peerTable
+	disk              diskQueue
+	election          election
+	leaving           leaving
+	origin            originOrders
+	head              headOrders
+	checks            viewChecks
+	advertisedByPeers peerAdvertisements
+	shown             *catalog.Snapshot // committed state that the shell was told last
+	sizes             ringSizes
 }
 
 // NewMachine resumes from what the ring held. The error is a *RecordError if that cannot be read.
@@ -134,11 +134,11 @@
 		m.persisted(event.Token)
 	case WriteFailed:
 		m.disk.failed = true
-	case Submitted:
+	case OrderSubmitted:
 		m.submit(event)
-	case Withdrawn:
+	case OrderCanceled:
 		m.withdraw(event.Request)
-	case Broadcast:
+	case BroadcastServerList:
 		m.broadcast(event.List)
 	case SeedsChanged:
 		m.contacts = event.Seeds
@@ -172,8 +172,8 @@
 
 // wakesLate reports whether what arrives now may have waited while the machine did not run.
 func (m *Machine) wakesLate() bool {
-	justWoke := m.woke > 0 && m.now-m.woke < wakeCalm
-	return justWoke || m.now-m.lastTick >= lateWake
+	justWoke := m.lastStall > 0 && m.now-m.lastStall < stallGracePeriod
+	return justWoke || m.now-m.lastTick >= stallThreshold
 }
 
 func (m *Machine) start() {
@@ -193,14 +193,14 @@
 	gap := m.now - m.lastTick
 	m.lastTick = m.now
 	m.ticks++
-	if gap >= lateWake {
-		m.woke = m.now
+	if gap >= stallThreshold {
+		m.lastStall = m.now
 		m.peers.excuse(gap, m.now)
 		m.election.concern = 0
 	}
 	m.peers.forget(m.now, m.View())
 	m.compareWithTold()
-	if m.View() == nil || m.ticks%uint64(HeartbeatPeriod/TickPeriod) == 0 {
+	if m.View() == nil || m.ticks%uint64(HeartbeatInterval/TickInterval) == 0 {
 		m.sendHeartbeats()
 	}
 	m.perform(m.replica.Tick())
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -85,7 +85,7 @@
 
 func (l *lone) tick(times int) {
 	for range times {
-		l.now += TickPeriod
+		l.now += TickInterval
 		l.step(Tick{})
 	}
 }
@@ -94,7 +94,7 @@
 func (l *lone) order(order *pb.Order) *pb.OrderResult {
 	l.request++
 	count := len(l.replies)
-	l.step(Submitted{Request: l.request, Order: order})
+	l.step(OrderSubmitted{Request: l.request, Order: order})
 	require.Len(l.t, l.replies, count+1)
 	return l.replies[count]
 }
@@ -148,7 +148,7 @@
 func TestLateConfirmationIsNotAnswered(t *testing.T) {
 	l := newLone(t)
 	l.hold = true
-	l.step(Submitted{Request: 99, Order: replaceOrder(0, 3)})
+	l.step(OrderSubmitted{Request: 99, Order: replaceOrder(0, 3)})
 	pending := l.machine.origin.pending[0]
 	body := pending.order.GetBody()
 	l.now += limitOf(pending.order)
@@ -178,7 +178,7 @@
 func TestNothingIsAcknowledgedWhileTheDiskHangs(t *testing.T) {
 	l := newLone(t)
 	l.hold = true
-	l.step(Submitted{Request: 50, Order: replaceOrder(0, 3)})
+	l.step(OrderSubmitted{Request: 50, Order: replaceOrder(0, 3)})
 	require.Empty(t, l.replies)
 	l.tick(7)
 	require.Len(t, l.replies, 1)
@@ -193,7 +193,7 @@
 func TestFailedWriteMakesTheDiskUnhealthyUntilOneSucceeds(t *testing.T) {
 	l := newLone(t)
 	l.hold = true
-	l.step(Submitted{Request: 50, Order: replaceOrder(0, 3)})
+	l.step(OrderSubmitted{Request: 50, Order: replaceOrder(0, 3)})
 	l.step(WriteFailed{})
 	require.False(t, l.machine.isFit())
 	l.hold = false
@@ -205,7 +205,7 @@
 	l := newLone(t)
 	l.hold = true
 	for request := range uint64(3 * maxOrders) {
-		l.step(Submitted{Request: request, Order: replaceOrder(0, request+1)})
+		l.step(OrderSubmitted{Request: request, Order: replaceOrder(0, request+1)})
 	}
 	require.Len(t, l.machine.origin.pending, maxOrders)
 	require.Len(t, l.replies, 2*maxOrders)
@@ -264,7 +264,7 @@
 		Body:       &pb.Message_Heartbeat{Heartbeat: &pb.Heartbeat{ViewNumber: 4}},
 	}})
 	var addresses []string
-	for _, action := range machine.Step(TickPeriod, Tick{}) {
+	for _, action := range machine.Step(TickInterval, Tick{}) {
 		if send, sends := action.(Send); sends {
 			addresses = append(addresses, send.Address)
 		}
@@ -282,7 +282,7 @@
 	require.NoError(t, err)
 	machine.Step(0, Started{})
 	machine.Step(time.Millisecond, SeedsChanged{Seeds: []string{"10.0.0.8:8146"}})
-	actions := machine.Step(TickPeriod, Tick{})
+	actions := machine.Step(TickInterval, Tick{})
 	require.Len(t, actions, 1)
 	require.Equal(t, "peer of 10.0.0.8:8146", actions[0].(Send).Address)
 }
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -93,7 +93,7 @@
 	case *pb.Message_ViewCheckResult:
 		m.viewCheckResult(from, body.ViewCheckResult)
 	case *pb.Message_ServerList:
-		m.actions = append(m.actions, ListHeard{List: body.ServerList})
+		m.actions = append(m.actions, ServerListReceived{List: body.ServerList})
 	}
 }
 
@@ -123,23 +123,23 @@
 
 // heartbeat notes another machine's state and tells it of a later view.
 func (m *Machine) heartbeat(from *pb.Replica, heartbeat *pb.Heartbeat) {
-	m.actions = append(m.actions, HeartbeatHeard{From: from, Heartbeat: heartbeat})
+	m.actions = append(m.actions, HeartbeatReceived{From: from, Heartbeat: heartbeat})
 	if view := m.View(); view != nil && heartbeat.GetViewNumber() < view.GetNumber() {
 		m.send(from, &pb.Message{Body: &pb.Message_Decided{Decided: &pb.Decided{View: view}}})
 	}
 	m.noteTold(from, heartbeat)
-	m.perform(m.replica.Heard(from, heartbeat))
+	m.perform(m.replica.ObserveHeartbeat(from, heartbeat))
 }
 
 // sendHeartbeats shows all machines that matter that this one lives.
 func (m *Machine) sendHeartbeats() {
-	published := m.replica.Published()
+	published := m.replica.Advertised()
 	message := &pb.Message{Body: &pb.Message_Heartbeat{Heartbeat: &pb.Heartbeat{
 		ViewNumber:     published.ViewNumber,
 		Sequence:       published.Sequence,
 		Committed:      sequenceOf(m.replica.Committed()),
 		StorageHealthy: m.isFit(),
-		Synchronised:   published.Holds,
+		Synchronised:   published.Synchronized,
 		Bootstrap:      m.bootstrap && m.View() == nil,
 		Incarnation:    m.incarnation,
 		Leaving:        m.leaving.begun,
--- a/internal/control/need.go
+++ b/internal/control/need.go
@@ -70,7 +70,7 @@
 func (m *Machine) wantedView() (*pb.View, need) {
 	view := m.View()
 	voters, changed := quorum.NextVoters(view, m.electorate())
-	members, change := chain.Next(view, voters, m.candidates(voters), m.config.Requirement)
+	members, change := chain.NextChain(view, voters, m.candidates(voters), m.config.Requirement)
 	if members == nil {
 		return nil, need{}
 	}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -26,7 +26,7 @@
 	eventQueue = 256
 	// submitSlack is added to an order's limit, to end the wait for a machine that does not answer at all.
 	submitSlack = time.Second
-	// leaveSlack is added to LeaveLimit, to end the wait for a machine that does not answer at all.
+	// leaveSlack is added to LeaveTimeout, to end the wait for a machine that does not answer at all.
 	leaveSlack = 200 * time.Millisecond
 	// deliverWait is how long a delivery waits for a machine that is behind.
 	deliverWait = 300 * time.Millisecond
@@ -172,7 +172,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limitOf(order)+submitSlack)
 	defer cancel()
 	select {
-	case node.events <- Submitted{Request: request, Order: order}:
+	case node.events <- OrderSubmitted{Request: request, Order: order}:
 	case <-ctx.Done():
 		return unavailable(0)
 	}
@@ -188,7 +188,7 @@
 // withdraw tells the machine that nobody waits for an order any more.
 func (node *Node) withdraw(request uint64) {
 	select {
-	case node.events <- Withdrawn{Request: request}:
+	case node.events <- OrderCanceled{Request: request}:
 	default: // the order ends at its deadline
 	}
 }
@@ -211,7 +211,7 @@
 // old.
 func (node *Node) Status() Status {
 	status := *node.status.Load()
-	if time.Since(node.began)-time.Duration(node.stepped.Load()) >= lateWake {
+	if time.Since(node.began)-time.Duration(node.stepped.Load()) >= stallThreshold {
 		status.Authoritative = false
 	}
 	return status
@@ -253,19 +253,19 @@
 	node.post(ctx, SeedsChanged{Seeds: seeds})
 }
 
-// Broadcast sends a server list to the other control machines, as far as they can be reached.
-func (node *Node) Broadcast(list *pb.ServerList) {
+// BroadcastServerList sends a server list to the other control machines, as far as they can be reached.
+func (node *Node) BroadcastServerList(list *pb.ServerList) {
 	select {
-	case node.events <- Broadcast{List: list}:
+	case node.events <- BroadcastServerList{List: list}:
 	default: // the next list follows soon
 	}
 }
 
 // Leave tells the other control machines that this one is to end, and returns when it may: the others go on
-// without it, or cannot, or LeaveLimit is over. It reports whether they agreed on that. It is called once; the node
+// without it, or cannot, or LeaveTimeout is over. It reports whether they agreed on that. It is called once; the node
 // works on until its context ends.
 func (node *Node) Leave(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, LeaveLimit+leaveSlack)
+	ctx, cancel := context.WithTimeout(ctx, LeaveTimeout+leaveSlack)
 	defer cancel()
 	node.post(ctx, Leave{})
 	select {
--- a/internal/control/origin.go
+++ b/internal/control/origin.go
@@ -50,7 +50,7 @@
 }
 
 // submit takes an order of the operator and forwards it.
-func (m *Machine) submit(event Submitted) {
+func (m *Machine) submit(event OrderSubmitted) {
 	full := len(m.origin.pending) >= maxOrders
 	if m.View() == nil || !m.hearsMajority() || m.wakesLate() || full {
 		m.actions = append(m.actions, Reply{Request: event.Request, Result: unavailable(0)})
--- a/internal/control/origin_test.go
+++ b/internal/control/origin_test.go
@@ -15,7 +15,7 @@
 	for _, kind := range []pb.Order_Kind{pb.Order_KIND_READ, pb.Order_KIND_REPLACE, pb.Order_KIND_EVACUATE_BEGIN} {
 		require.Empty(t, repliesTo(a, kind), "it is on its way")
 	}
-	a.pass(SilenceLimit+2*TickPeriod, 0)
+	a.pass(FailureTimeout+2*TickInterval, 0)
 	for _, kind := range []pb.Order_Kind{pb.Order_KIND_READ, pb.Order_KIND_REPLACE, pb.Order_KIND_EVACUATE_BEGIN} {
 		replies := repliesTo(a, kind)
 		require.Len(t, replies, 1)
@@ -26,7 +26,7 @@
 // repliesTo returns what is answered at once to an order.
 func repliesTo(a *agreed, kind pb.Order_Kind) []Reply {
 	var replies []Reply
-	for _, action := range a.machine.Step(a.now, Submitted{Order: &pb.Order{Kind: kind}}) {
+	for _, action := range a.machine.Step(a.now, OrderSubmitted{Order: &pb.Order{Kind: kind}}) {
 		if reply, isReply := action.(Reply); isReply {
 			replies = append(replies, reply)
 		}
@@ -37,7 +37,7 @@
 // pendingOn submits an order whose write hangs, so that it stays pending.
 func pendingOn(l *lone, base, generation uint64) *pendingOrder {
 	l.hold = true
-	l.step(Submitted{Request: generation, Order: replaceOrder(base, generation)})
+	l.step(OrderSubmitted{Request: generation, Order: replaceOrder(base, generation)})
 	require.NotEmpty(l.t, l.machine.origin.pending)
 	return l.machine.origin.pending[len(l.machine.origin.pending)-1]
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -66,7 +66,7 @@
 		}
 		found = &peer{liveSince: now}
 		t.known[replica.GetIdentity()] = found
-	} else if now-found.heard > SilenceLimit {
+	} else if now-found.heard > FailureTimeout {
 		found.liveSince = now
 	}
 	found.replica = replica
@@ -96,7 +96,7 @@
 		return true
 	}
 	found, known := m.peers.known[identity]
-	return known && m.now-found.heard <= SilenceLimit
+	return known && m.now-found.heard <= FailureTimeout
 }
 
 func (m *Machine) liveVoters() int {
@@ -123,7 +123,7 @@
 // isWell reports whether the disk works and the machine is not cut off. One that has just started, or knows no
 // view, has had no time to hear the others.
 func (m *Machine) isWell() bool {
-	hasHeard := m.View() == nil || m.now-m.started < SilenceLimit || m.hearsMajority()
+	hasHeard := m.View() == nil || m.now-m.started < FailureTimeout || m.hearsMajority()
 	return m.diskHealthy() && hasHeard
 }
 
@@ -145,22 +145,22 @@
 	for _, voter := range m.View().GetVoters() {
 		identity := voter.GetIdentity()
 		peers[identity] = quorum.Peer{
-			Replica: voter,
-			Silence: m.silence(identity),
-			Live:    m.isLive(identity),
-			Leaving: m.isLeaving(identity),
-			Left:    m.hasLeftChain(identity),
+			Replica:      voter,
+			SinceContact: m.silence(identity),
+			Live:         m.isLive(identity),
+			Leaving:      m.isLeaving(identity),
+			Left:         m.hasLeftChain(identity),
 		}
 	}
 	for identity, found := range m.peers.known {
 		peers[identity] = quorum.Peer{
-			Replica:   found.replica,
-			Silence:   m.silence(identity),
-			Age:       m.now - found.liveSince,
-			Live:      m.isLive(identity),
-			HoldsView: m.holdsView(found.heartbeat),
-			Leaving:   m.isLeaving(identity),
-			Left:      m.hasLeftChain(identity),
+			Replica:         found.replica,
+			SinceContact:    m.silence(identity),
+			ContactDuration: m.now - found.liveSince,
+			Live:            m.isLive(identity),
+			KnowsView:       m.holdsView(found.heartbeat),
+			Leaving:         m.isLeaving(identity),
+			Left:            m.hasLeftChain(identity),
 		}
 	}
 	return peers
@@ -185,30 +185,30 @@
 		if known {
 			candidates[identity] = m.peerCandidate(identity, found)
 		} else {
-			candidates[identity] = chain.Candidate{Fit: m.silence(identity) <= SilenceLimit, Heard: m.silence(identity) <= SilenceLimit}
+			candidates[identity] = chain.Candidate{Healthy: m.silence(identity) <= FailureTimeout, Reachable: m.silence(identity) <= FailureTimeout}
 		}
 	}
 	return candidates
 }
 
 func (m *Machine) ownCandidate() chain.Candidate {
-	published := m.replica.Published()
+	published := m.replica.Advertised()
 	return chain.Candidate{
-		Fit:     m.isFit(),
-		Heard:   true,
-		Holds:   published.Holds && published.ViewNumber == m.View().GetNumber(),
-		Steady:  m.now-m.started >= steadyFor && m.mayReturn(m.self.GetIdentity()),
-		Leaving: m.leaving.begun,
+		Healthy:      m.isFit(),
+		Reachable:    true,
+		Synchronized: published.Synchronized && published.ViewNumber == m.View().GetNumber(),
+		Stable:       m.now-m.started >= steadyFor && m.mayReturn(m.self.GetIdentity()),
+		Leaving:      m.leaving.begun,
 	}
 }
 
 func (m *Machine) peerCandidate(identity string, found *peer) chain.Candidate {
 	heartbeat := found.heartbeat
 	return chain.Candidate{
-		Fit:     m.isLive(identity) && heartbeat.GetStorageHealthy(),
-		Heard:   m.isLive(identity),
-		Holds:   heartbeat.GetSynchronised() && heartbeat.GetViewNumber() == m.View().GetNumber(),
-		Steady:  m.now-found.liveSince >= steadyFor && m.mayReturn(identity),
-		Leaving: heartbeat.GetLeaving(),
+		Healthy:      m.isLive(identity) && heartbeat.GetStorageHealthy(),
+		Reachable:    m.isLive(identity),
+		Synchronized: heartbeat.GetSynchronised() && heartbeat.GetViewNumber() == m.View().GetNumber(),
+		Stable:       m.now-found.liveSince >= steadyFor && m.mayReturn(identity),
+		Leaving:      heartbeat.GetLeaving(),
 	}
 }
--- a/internal/control/read_test.go
+++ b/internal/control/read_test.go
@@ -42,7 +42,7 @@
 
 // readPendingAt submits a read at the head of a chain, and returns what was sent to the tail.
 func readPendingAt(a *agreed) (*pb.Order, *pb.Replica) {
-	for _, action := range a.machine.Step(a.now, Submitted{Request: 5, Order: &pb.Order{Kind: pb.Order_KIND_READ}}) {
+	for _, action := range a.machine.Step(a.now, OrderSubmitted{Request: 5, Order: &pb.Order{Kind: pb.Order_KIND_READ}}) {
 		if sent, isSend := action.(Send); isSend {
 			return sent.Message.GetOrder(), a.machine.replica.Tail()
 		}
--- a/internal/control/record.go
+++ b/internal/control/record.go
@@ -104,7 +104,7 @@
 }
 
 func writeRecord(write chain.Write) ring.Record {
-	basis := binary.AppendUvarint(nil, write.Basis)
+	basis := binary.AppendUvarint(nil, write.SynchronizedView)
 	switch {
 	case write.View != nil:
 		return encode(recordView, basis, write.View)
@@ -122,7 +122,7 @@
 	if size <= 0 {
 		return chain.Write{}, errors.New("no basis")
 	}
-	write := chain.Write{Basis: basis}
+	write := chain.Write{SynchronizedView: basis}
 	var message proto.Message
 	switch record.Kind {
 	case recordView:
--- a/internal/control/start_test.go
+++ b/internal/control/start_test.go
@@ -42,7 +42,7 @@
 		Random:      rand.New(rand.NewPCG(1, 2)),
 	}, &ring.Recovered{Records: []ring.Record{
 		identityRecord(view.Voters[0].GetIdentity(), true),
-		writeRecord(chain.Write{View: view, Basis: 1}),
+		writeRecord(chain.Write{View: view, SynchronizedView: 1}),
 	}})
 	require.NoError(t, err)
 	machine.Step(0, Started{})
@@ -59,7 +59,7 @@
 
 // proposesAfter lets time pass, with heartbeats of some machines, and tells when a later view was first proposed.
 func proposesAfter(machine *Machine, heard []*pb.Replica, limit time.Duration) (time.Duration, bool) {
-	for now := TickPeriod; now <= limit; now += TickPeriod {
+	for now := TickInterval; now <= limit; now += TickInterval {
 		for _, other := range heard {
 			hear(machine, now, other)
 		}
@@ -74,13 +74,13 @@
 
 func TestAMachineThatJustStartedLeavesTheOthersTimeToSpeak(t *testing.T) {
 	machine, others := startedAgain(t)
-	_, proposed := proposesAfter(machine, others[:3], SilenceLimit)
+	_, proposed := proposesAfter(machine, others[:3], FailureTimeout)
 	require.False(t, proposed, "the last one may have started as long ago as this one")
 }
 
 func TestAMachineThatJustStartedGivesUpThoseThatStaySilent(t *testing.T) {
 	machine, others := startedAgain(t)
-	after, proposed := proposesAfter(machine, others[:3], 2*SilenceLimit)
+	after, proposed := proposesAfter(machine, others[:3], 2*FailureTimeout)
 	require.True(t, proposed)
-	require.Greater(t, after, SilenceLimit)
+	require.Greater(t, after, FailureTimeout)
 }
--- a/internal/control/voting.go
+++ b/internal/control/voting.go
@@ -33,14 +33,14 @@
 		m.send(from, &pb.Message{Body: &pb.Message_Decided{Decided: &pb.Decided{View: view}}})
 		return false
 	}
-	return number == m.acceptor.Number() && m.votes() && m.diskAccepts()
+	return number == m.acceptor.ViewNumber() && m.votes() && m.diskAccepts()
 }
 
 // agreesToChange keeps a voter outside of the chain, which may be cut off from one member only, from changing
 // a chain that works.
 func (m *Machine) agreesToChange(from *pb.Replica) bool {
 	view := m.View()
-	if view == nil || m.acceptor.HasAccepted() || m.config.Restless != nil {
+	if view == nil || m.acceptor.HasAccepted() || m.config.SpuriousProposals != nil {
 		return true
 	}
 	if quorum.IndexOf(view.GetChain(), from.GetIdentity()) != quorum.NotFound {
@@ -48,7 +48,7 @@
 	}
 	candidates := m.candidates(view.GetVoters())
 	for _, member := range view.GetChain() {
-		if !candidates[member.GetIdentity()].Fit {
+		if !candidates[member.GetIdentity()].Healthy {
 			return true
 		}
 	}
@@ -77,7 +77,7 @@
 		return
 	}
 	majority := attempt.Promised(from, promise)
-	if attempt.Phase() == quorum.Lost {
+	if attempt.Phase() == quorum.Superseded {
 		m.abandon()
 		return
 	}
@@ -85,7 +85,7 @@
 		return
 	}
 	wanted := m.chooseView()
-	if wanted == nil && attempt.MustKeep() == nil {
+	if wanted == nil && attempt.AcceptedEarlier() == nil {
 		m.abandon()
 		return
 	}
@@ -99,7 +99,7 @@
 		return m.foundingView()
 	}
 	wanted, need := m.wantedView()
-	if !need.any() && m.config.Restless == nil {
+	if !need.any() && m.config.SpuriousProposals == nil {
 		return nil
 	}
 	return wanted
@@ -112,7 +112,7 @@
 		return
 	}
 	decided := attempt.Accepted(from, accepted)
-	if attempt.Phase() == quorum.Lost {
+	if attempt.Phase() == quorum.Superseded {
 		m.abandon()
 		return
 	}
--- a/internal/controlserver/distance_test.go
+++ b/internal/controlserver/distance_test.go
@@ -21,7 +21,7 @@
 type farAgent struct {
 	t       *testing.T
 	process *process
-	held    *gossip.Copy
+	held    *gossip.Replica
 	digests bool // the last answer asked for them
 	alter   func(*pb.WatchResponse)
 }
@@ -63,7 +63,7 @@
 func newFarAgent(t *testing.T, distance uint64, restarted bool) (*farAgent, *fakeNode) {
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 1)
-	agent := &farAgent{t: t, process: p, held: gossip.NewCopy()}
+	agent := &farAgent{t: t, process: p, held: gossip.NewReplica()}
 	agent.ask(func() {})
 	require.True(t, agent.holdsNewest())
 	for generation := uint64(1); generation <= distance; generation++ {
--- a/internal/controlserver/fake_test.go
+++ b/internal/controlserver/fake_test.go
@@ -147,7 +147,7 @@
 	n.seeds = seeds
 }
 
-func (n *fakeNode) Broadcast(list *pb.ServerList) {
+func (n *fakeNode) BroadcastServerList(list *pb.ServerList) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.broadcast = append(n.broadcast, list)
--- a/internal/controlserver/lateness.go
+++ b/internal/controlserver/lateness.go
@@ -21,25 +21,25 @@
 }
 
 // SetLatenessBounds tells the lateness what bounds hold, and whether this machine holds the agreed state.
-func (s *softState) SetLatenessBounds(bounds registry.LatenessBounds, authoritative bool) {
+func (s *softState) SetLatenessBounds(bounds registry.LagBounds, authoritative bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lateness.SetBounds(bounds)
 	if !authoritative {
-		s.lateness.Unsure(s.now())
+		s.lateness.SuspendBounds(s.now())
 	}
 }
 
 // Lateness summarises which agents are behind.
-func (s *softState) Lateness() registry.LatenessFigures {
+func (s *softState) Lateness() registry.LagStats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.lateness.Figures(s.now())
+	return s.lateness.Stats(s.now())
 }
 
 // latenessBounds are the bounds of the settings.
-func latenessBounds(bounds settings.Bounds) registry.LatenessBounds {
-	return registry.LatenessBounds{
+func latenessBounds(bounds settings.Bounds) registry.LagBounds {
+	return registry.LagBounds{
 		Contact: bounds.ContactFor(),
 		Apply:   bounds.ApplyWithin(),
 		Stretch: bounds.Stretch(),
@@ -49,7 +49,7 @@
 // logLateness writes a line for an event of the lateness.
 func (p *process) logLateness(action registry.Action) {
 	switch event := action.(type) {
-	case registry.AgentBehind:
+	case registry.AgentLagging:
 		p.logger.Warn("agent late",
 			zap.String("host", event.Host),
 			zap.Uint64("reported", event.Reported),
@@ -62,7 +62,7 @@
 			zap.Uint64("reported", event.Reported),
 			zap.Duration("longest", event.Longest),
 			zap.Bool("unheard", event.Unheard))
-	case registry.ProxyLate:
+	case registry.ProxyBoundExceeded:
 		p.logger.Error("proxy breaks the bound on changes",
 			zap.String("host", event.Host),
 			zap.Uint64("reported", event.Reported),
@@ -73,7 +73,7 @@
 }
 
 // latenessFields are the figures for the counters' line.
-func latenessFields(figures registry.LatenessFigures) []zap.Field {
+func latenessFields(figures registry.LagStats) []zap.Field {
 	return []zap.Field{
 		zap.Int("agents_behind", figures.Behind),
 		zap.Duration("oldest_lag", figures.Oldest),
@@ -83,7 +83,7 @@
 }
 
 // latenessStatus is what people on call are told.
-func latenessStatus(figures registry.LatenessFigures) *pb.LatenessStatus {
+func latenessStatus(figures registry.LagStats) *pb.LatenessStatus {
 	return &pb.LatenessStatus{
 		AgentsBehind: uint32(figures.Behind),
 		OldestLagMs:  wholeMilliseconds(figures.Oldest),
--- a/internal/controlserver/link.go
+++ b/internal/controlserver/link.go
@@ -204,7 +204,7 @@
 }
 
 // addList adds the list of servers if it is newer than the agent's, else only how old its news is.
-func (l *link) addList(answer *pb.WatchResponse, held *pb.WatchRequest, list *registry.List) bool {
+func (l *link) addList(answer *pb.WatchResponse, held *pb.WatchRequest, list *registry.ServerList) bool {
 	if list == nil {
 		return false
 	}
--- a/internal/controlserver/node.go
+++ b/internal/controlserver/node.go
@@ -27,8 +27,8 @@
 	Deliver(ctx context.Context, request *connect.Request[pb.DeliverRequest]) (*connect.Response[pb.DeliverResponse], error)
 	// SetSeeds names other machines to ask, by their operator's addresses, when the known ones cannot be reached.
 	SetSeeds(ctx context.Context, seeds []string)
-	// Broadcast sends a server list to the other control machines.
-	Broadcast(list *pb.ServerList)
+	// BroadcastServerList sends a server list to the other control machines.
+	BroadcastServerList(list *pb.ServerList)
 	// Leave tells the other control machines that this one is to end and returns when it may, within a bounded time;
 	// it reports whether they have agreed to go on without it.
 	Leave(ctx context.Context) bool
--- a/internal/controlserver/process.go
+++ b/internal/controlserver/process.go
@@ -25,7 +25,7 @@
 	endpointsLifetime = time.Second
 
 	// pollTimeout bounds one reading of the platform's list, all pages together.
-	pollTimeout = registry.SlowestAnswer
+	pollTimeout = registry.PollTimeout
 
 	// longestLeaving and leavingShare (one in so many of the grace period) bound the time for which a proxy that drains
 	// may be named.
@@ -81,7 +81,7 @@
 	}
 	p.pollContext, p.stopPolls = context.WithCancel(context.Background())
 	agents := registry.NewAgents(random.Uint64N(1 << 62))
-	inventory := registry.NewInventory(initial.Hostname, initial.CloudAPI.Rate, random)
+	inventory := registry.NewServerInventory(initial.Hostname, initial.CloudAPI.Rate, random)
 	p.soft = newSoftState(p.now, agents, inventory, p.act)
 	return p
 }
@@ -118,10 +118,10 @@
 
 // homesOf tells where requests to a host may be served. While this machine is out of touch, its configuration may
 // be old: any host may be bound then.
-func (p *process) homesOf(host string) route.Homes {
+func (p *process) homesOf(host string) route.HomeRegions {
 	status := p.node.Status()
 	if !status.Authoritative || status.Committed == nil {
-		return route.Homes{Unknown: true}
+		return route.HomeRegions{Unreadable: true}
 	}
 	known := p.homes.Load()
 	if known == nil || known.snapshot != status.Committed {
@@ -155,7 +155,7 @@
 	case registry.StartPoll:
 		p.polls.Go(p.poll)
 	case registry.SendList:
-		p.node.Broadcast(action.List)
+		p.node.BroadcastServerList(action.List)
 	default:
 		p.logLateness(action)
 	}
@@ -180,9 +180,9 @@
 	status := p.node.Status()
 	var tick registry.Tick
 	if status.Founded && p.settings.Current().CloudAPI.Address != "" {
-		tick.Order = status.Live
-		tick.Place = placeOf(status)
-		tick.Apart = len(status.Live) < quorum.Majority(status.View)
+		tick.LiveHosts = status.Live
+		tick.Position = placeOf(status)
+		tick.Partitioned = len(status.Live) < quorum.Majority(status.View)
 	}
 	p.soft.NoteCommitted(status.Committed)
 	p.soft.SetLatenessBounds(latenessBounds(p.settings.Current().Bounds), status.Authoritative)
--- a/internal/controlserver/serve_test.go
+++ b/internal/controlserver/serve_test.go
@@ -93,9 +93,9 @@
 func TestTheDirectoryWaitsUntilItKnowsEnough(t *testing.T) {
 	p, _ := newTestProcess(t)
 	p.soft.Heard(testAgent("edge-1"), nil)
-	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.Homes{Unknown: true}}, 0))
+	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
 	p.started = p.started.Add(-directorySettling)
-	require.Equal(t, []string{"10.0.0.1:8144"}, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.Homes{Unknown: true}}, 0))
+	require.Equal(t, []string{"10.0.0.1:8144"}, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
 }
 
 // TestTheDirectoryFollowsTheHomesOfTheConfiguration: clients whose region has no proxy are sent to homes of their host.
@@ -144,9 +144,9 @@
 	starting.Ready = false
 	p.soft.Heard(starting, nil)
 	p.soft.Heard(testAgent("edge-1"), nil)
-	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.Homes{Unknown: true}}, 0))
+	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
 	p.soft.Heard(testAgent("edge-2"), nil)
-	require.Len(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.Homes{Unknown: true}}, 0), 2)
+	require.Len(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0), 2)
 }
 
 // TestServeAnswersWhatItTook starts all listeners and ends the process while an order is under way.
@@ -270,7 +270,7 @@
 func TestHostsWithHomesAreTold(t *testing.T) {
 	p, node := newTestProcess(t)
 	node.alter(func(status *control.Status) { status.Committed = nil })
-	require.Equal(t, route.Homes{Unknown: true}, p.homesOf("photos.example"), "no configuration is known")
+	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homesOf("photos.example"), "no configuration is known")
 	body := []byte(`{"gen":1,"routes":[{"name":"r","vhost":"photos.example","path-prefix":"/a/","deadline-ms":5,"backend":"b","home-regions":["west"]}],"backends":[{"name":"b"}]}`)
 	change, err := catalog.PrepareReplace(catalog.Empty(), 0, body)
 	require.NoError(t, err)
@@ -280,8 +280,8 @@
 		status.Committed = committed
 		status.Authoritative = true
 	})
-	require.Equal(t, route.Homes{Routes: 1, ByRegion: map[string]int{"west": 1}}, p.homesOf("photos.example"))
-	require.Equal(t, route.Homes{}, p.homesOf("tills.example"))
+	require.Equal(t, route.HomeRegions{Routes: 1, ByRegion: map[string]int{"west": 1}}, p.homesOf("photos.example"))
+	require.Equal(t, route.HomeRegions{}, p.homesOf("tills.example"))
 	node.alter(func(status *control.Status) { status.Authoritative = false })
-	require.Equal(t, route.Homes{Unknown: true}, p.homesOf("tills.example"))
+	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homesOf("tills.example"))
 }
--- a/internal/controlserver/softstate.go
+++ b/internal/controlserver/softstate.go
@@ -43,8 +43,8 @@
 // softPicture is what the soft state shows to readers. It never changes.
 type softPicture struct {
 	members *registry.Members
-	list    *registry.List // nil before the first
-	settled bool           // the members may be told to agents
+	list    *registry.ServerList // nil before the first
+	settled bool                 // the members may be told to agents
 
 	// toldVersion is the version of the members that agents are to know; that of members may be a little later.
 	toldVersion uint64
@@ -65,8 +65,8 @@
 
 	mutex        sync.Mutex
 	agents       *registry.Agents
-	inventory    *registry.Inventory
-	lateness     *registry.Lateness
+	inventory    *registry.ServerInventory
+	lateness     *registry.LagMonitor
 	settlingFrom time.Duration
 	calmFrom     time.Duration // what comes before may have waited for this process
 	lastTick     time.Duration
@@ -76,13 +76,13 @@
 }
 
 // newSoftState returns an empty state. act is called for every action of the inventory, never under a lock.
-func newSoftState(now func() time.Duration, agents *registry.Agents, inventory *registry.Inventory, act func(registry.Action)) *softState {
+func newSoftState(now func() time.Duration, agents *registry.Agents, inventory *registry.ServerInventory, act func(registry.Action)) *softState {
 	state := &softState{
 		now:          now,
 		act:          act,
 		agents:       agents,
 		inventory:    inventory,
-		lateness:     registry.NewLateness(),
+		lateness:     registry.NewLagMonitor(),
 		settlingFrom: now(),
 		lastTick:     now(),
 		changed:      make(chan struct{}),
@@ -108,12 +108,12 @@
 	s.update(func(now time.Duration) []registry.Action {
 		var late []registry.Action
 		if !s.mayHaveWaited(now) {
-			late = s.lateness.Heard(now, record)
-			if s.agents.Heard(now, record) {
+			late = s.lateness.Observe(now, record)
+			if s.agents.Observe(now, record) {
 				s.refresh(now)
 			}
 		}
-		return append(late, s.inventory.Step(now, registry.VersionSeen{Version: held})...)
+		return append(late, s.inventory.Step(now, registry.VersionObserved{Version: held})...)
 	})
 }
 
@@ -126,7 +126,7 @@
 				s.refresh(now)
 			}
 		}
-		return s.inventory.Step(now, registry.VersionSeen{Version: heartbeat.GetList(), Peer: true})
+		return s.inventory.Step(now, registry.VersionObserved{Version: heartbeat.GetList(), Peer: true})
 	})
 }
 
@@ -171,7 +171,7 @@
 func (s *softState) Report() ([]*pb.AgentRecord, *pb.ListVersion) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.agents.Report(s.now()), s.inventory.Told()
+	return s.agents.Report(s.now()), s.inventory.AdvertisedVersion()
 }
 
 // Endpoints returns the edge addresses for a client, none while too little is known.
@@ -181,7 +181,7 @@
 	settling := now < s.settlingFrom+directorySettling
 	s.mutex.Unlock()
 	members := s.Picture().members
-	served := members.MostlyServing(now) && (!client.Homes.Bound() || members.Serves(now, client.Region))
+	served := members.MostlyServing(now) && (!client.Homes.IsRestricted() || members.Serves(now, client.Region))
 	if settling && !served {
 		return nil
 	}
@@ -192,7 +192,7 @@
 func (s *softState) Holder() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.inventory.Holder()
+	return s.inventory.IsOwner()
 }
 
 // mayHaveWaited reports whether what arrives now may have waited while this process did not run. The lock is held.
--- a/internal/controlserver/softstate_test.go
+++ b/internal/controlserver/softstate_test.go
@@ -92,11 +92,11 @@
 		record.Region = "west"
 		p.soft.Heard(record, nil)
 	}
-	require.Len(t, p.soft.Endpoints(registry.Client{Region: "west", Homes: route.Homes{Unknown: true}}, 0), 2)
-	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "east", Homes: route.Homes{Unknown: true}}, 0), "its own proxies may not have been heard of yet")
+	require.Len(t, p.soft.Endpoints(registry.Client{Region: "west", Homes: route.HomeRegions{Unreadable: true}}, 0), 2)
+	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "east", Homes: route.HomeRegions{Unreadable: true}}, 0), "its own proxies may not have been heard of yet")
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east"}, 0), 2, "any proxy will do")
 	pass(p, directorySettling)
-	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east", Homes: route.Homes{Unknown: true}}, 0), 2, "it has none")
+	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east", Homes: route.HomeRegions{Unreadable: true}}, 0), 2, "it has none")
 }
 
 // TestManyAgentsWakeTheOthersOnce: members that change together are told together.
--- a/internal/controlserver/status.go
+++ b/internal/controlserver/status.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func (p *process) dutyStatus(list *registry.List) *pb.DutyStatus {
+func (p *process) dutyStatus(list *registry.ServerList) *pb.DutyStatus {
 	duty := &pb.DutyStatus{
 		Holder:      p.soft.Holder(),
 		Polls:       uint64(p.pollsGood.Load()),
@@ -83,7 +83,7 @@
 	statuses := make([]*pb.AgentStatus, 0, len(members.GetAgents()))
 	for _, record := range members.GetAgents() {
 		silent := time.Duration(record.GetAgeMs()) * time.Millisecond
-		statuses = append(statuses, &pb.AgentStatus{Record: record, Lost: silent >= registry.LiveFor})
+		statuses = append(statuses, &pb.AgentStatus{Record: record, Lost: silent >= registry.FailureTimeout})
 	}
 	return statuses
 }
--- a/internal/controlserver/status_test.go
+++ b/internal/controlserver/status_test.go
@@ -45,7 +45,7 @@
 		Servers: []*pb.Server{{Id: "i-1"}, {Id: "i-2", Draining: true}},
 	})
 	p.soft.Heard(testAgent("edge-1"), nil)
-	pass(p, registry.LiveFor)
+	pass(p, registry.FailureTimeout)
 	p.soft.Heard(testAgent("edge-2"), nil)
 	p.tick()
 
@@ -59,7 +59,7 @@
 	require.Equal(t, uint32(1), report.Catalog.Services)
 	require.Equal(t, []string{"brno-hala"}, report.Catalog.EvacuatedZones)
 	require.Equal(t, uint64(3), report.Duty.List.Epoch)
-	require.GreaterOrEqual(t, report.Duty.ListAgeMs, uint64(registry.LiveFor/time.Millisecond))
+	require.GreaterOrEqual(t, report.Duty.ListAgeMs, uint64(registry.FailureTimeout/time.Millisecond))
 	require.Equal(t, uint32(2), report.Duty.Servers)
 	require.Equal(t, uint32(1), report.Duty.Draining)
 	require.Len(t, report.Agents, 2)
--- a/internal/controlsim/authority_calm_test.go
+++ b/internal/controlsim/authority_calm_test.go
@@ -144,8 +144,8 @@
 	for _, changes := range []slowLargeChanges{
 		{sending: 100 * time.Millisecond, keeps: true},
 		{sending: 300 * time.Millisecond, keeps: true},
-		{sending: 2*control.HeartbeatPeriod - control.TickPeriod, keeps: true},
-		{sending: 2*control.HeartbeatPeriod + control.TickPeriod, keeps: false},
+		{sending: 2*control.HeartbeatInterval - control.TickInterval, keeps: true},
+		{sending: 2*control.HeartbeatInterval + control.TickInterval, keeps: false},
 	} {
 		t.Run(fmt.Sprint(changes.sending), func(t *testing.T) {
 			w, watch := changes.play(1)
--- a/internal/controlsim/authority_test.go
+++ b/internal/controlsim/authority_test.go
@@ -11,7 +11,7 @@
 	authorityPeriod = 25 * time.Millisecond
 	// authorityAge is how long after its acknowledgement a configuration may be missing in the state that a
 	// machine calls authoritative, where messages are on their way for authorityTravel at most.
-	authorityAge    = control.SilenceLimit + authorityTravel
+	authorityAge    = control.FailureTimeout + authorityTravel
 	authorityTravel = 300 * time.Millisecond
 	// longestLinger is the longest delay of messages in networks that hold some of them up.
 	longestLinger = 3 * time.Second
--- a/internal/controlsim/checker_test.go
+++ b/internal/controlsim/checker_test.go
@@ -192,17 +192,17 @@
 	identity := message.GetFrom().GetIdentity()
 	if promise := message.GetPromise(); promise.GetGranted() {
 		known := c.vote(identity, promise.GetViewNumber())
-		if quorum.Compare(promise.GetBallot(), known.promised) < 0 {
+		if quorum.CompareProposalNumbers(promise.GetBallot(), known.promised) < 0 {
 			c.fail("%s promises a lower ballot for view %d", message.GetFrom().GetHost(), promise.GetViewNumber())
 		}
-		if quorum.Compare(promise.GetAcceptedBallot(), known.accepted) < 0 {
+		if quorum.CompareProposalNumbers(promise.GetAcceptedBallot(), known.accepted) < 0 {
 			c.fail("%s forgets what it accepted for view %d", message.GetFrom().GetHost(), promise.GetViewNumber())
 		}
 		known.promised = promise.GetBallot()
 	}
 	if accepted := message.GetAccepted(); accepted.GetGranted() {
 		known := c.vote(identity, accepted.GetViewNumber())
-		if quorum.Compare(accepted.GetBallot(), known.promised) < 0 {
+		if quorum.CompareProposalNumbers(accepted.GetBallot(), known.promised) < 0 {
 			c.fail("%s breaks its promise for view %d", message.GetFrom().GetHost(), accepted.GetViewNumber())
 		}
 		known.promised = accepted.GetBallot()
--- a/internal/controlsim/digest_test.go
+++ b/internal/controlsim/digest_test.go
@@ -116,9 +116,9 @@
 		}
 	case control.ViewChanged:
 		begin("view").Message(action.View)
-	case control.HeartbeatHeard:
+	case control.HeartbeatReceived:
 		begin("heartbeat").Message(action.From).Message(action.Heartbeat)
-	case control.ListHeard:
+	case control.ServerListReceived:
 		begin("list").Message(action.List)
 	case control.Left:
 		begin("left").Flag(action.Agreed)
--- a/internal/controlsim/halves_test.go
+++ b/internal/controlsim/halves_test.go
@@ -22,7 +22,7 @@
 	longestFlapping = 60 * time.Second
 	// lastWord is how long after a cut a chain that is cut off as a whole may acknowledge: its origins notice the
 	// cut after the silence limit, and what they took by then has the limit of an order.
-	lastWord = control.SilenceLimit + 900*time.Millisecond + control.TickPeriod
+	lastWord = control.FailureTimeout + 900*time.Millisecond + control.TickInterval
 	// halvesSeeds is the number of runs.
 	halvesSeeds = 40
 )
--- a/internal/controlsim/heldorder_test.go
+++ b/internal/controlsim/heldorder_test.go
@@ -142,7 +142,7 @@
 	c.evacuator.world.after(c.evacuator.world.upTo(closeDelay), func() {
 		if c.host.machine != nil && c.host.life == c.life {
 			c.evacuator.withdrawn++
-			c.host.deliver(control.Withdrawn{Request: c.request})
+			c.host.deliver(control.OrderCanceled{Request: c.request})
 		}
 	})
 }
--- a/internal/controlsim/host_test.go
+++ b/internal/controlsim/host_test.go
@@ -95,13 +95,13 @@
 			Region:         h.region,
 			ControlAddress: h.control,
 		},
-		Seeds:           h.seeds,
-		Bootstrap:       h.boot,
-		Requirement:     h.world.plan.required,
-		PeerAddress:     h.world.peerOf,
-		Random:          rand.New(rand.NewPCG(h.world.random.Uint64(), h.world.random.Uint64())),
-		SnapshotRecords: cmp.Or(h.world.plan.snapshotRecords, usualSnapshotRecords),
-		Restless:        h.world.restless(),
+		Seeds:             h.seeds,
+		Bootstrap:         h.boot,
+		Requirement:       h.world.plan.required,
+		PeerAddress:       h.world.peerOf,
+		Random:            rand.New(rand.NewPCG(h.world.random.Uint64(), h.world.random.Uint64())),
+		SnapshotRecords:   cmp.Or(h.world.plan.snapshotRecords, usualSnapshotRecords),
+		SpuriousProposals: h.world.restless(),
 	}, recovered)
 	if err != nil {
 		h.world.checker.fail("%s cannot recover: %v", h.name, err)
@@ -125,7 +125,7 @@
 
 func (h *host) scheduleTick(life int) {
 	late := h.world.upTo(10 * time.Millisecond)
-	h.world.after(control.TickPeriod+late, func() {
+	h.world.after(control.TickInterval+late, func() {
 		if h.life != life || h.machine == nil {
 			return
 		}
--- a/internal/controlsim/leaving_test.go
+++ b/internal/controlsim/leaving_test.go
@@ -27,7 +27,7 @@
 	// answersLimit is how long a process that was told to end waits for the answers to the orders that it took.
 	answersLimit = time.Second
 	// longestStay bounds the time from the signal to the end of the process.
-	longestStay = control.LeaveLimit + 2*control.TickPeriod + answersLimit
+	longestStay = control.LeaveTimeout + 2*control.TickInterval + answersLimit
 )
 
 // terminate tells a machine to end, as SIGTERM does; done is called when its process has ended.
@@ -146,7 +146,7 @@
 
 func TestASilentEndIsFoundByItsGap(t *testing.T) {
 	gaps, _ := gapsAroundAnEnd(t, mutation{leaveSilently: true})
-	require.Greater(t, gaps.worst(), control.SilenceLimit)
+	require.Greater(t, gaps.worst(), control.FailureTimeout)
 }
 
 // Orders that are under way when the machine that took them, or the head, is told to end, are answered.
@@ -166,7 +166,7 @@
 		}
 		w.run(31 * time.Millisecond)
 		head.terminate(func(bool) {})
-		w.run(control.LeaveLimit)
+		w.run(control.LeaveTimeout)
 		require.Equal(t, map[uint32]int{http.StatusOK: 6}, answers, "seed %d", seed)
 	}
 }
--- a/internal/controlsim/lostchange_test.go
+++ b/internal/controlsim/lostchange_test.go
@@ -131,7 +131,7 @@
 	_, acknowledged := lost.play(t, span)
 	t.Logf("%d changes and %d states sent in %v", lost.changes, lost.states, span)
 	require.False(t, acknowledged)
-	most := int(span/(2*control.TickPeriod)) + 1
+	most := int(span/(2*control.TickInterval)) + 1
 	require.Positive(t, lost.changes)
 	require.LessOrEqual(t, lost.changes, most)
 	require.LessOrEqual(t, lost.states, most)
--- a/internal/controlsim/overtaken_test.go
+++ b/internal/controlsim/overtaken_test.go
@@ -52,7 +52,7 @@
 	w.acknowledgeEvacuation(t, head, pb.Order_KIND_EVACUATE_BEGIN)
 	w.acknowledgeEvacuation(t, head, pb.Order_KIND_EVACUATE_FINISH)
 	if withdraws {
-		origin.deliver(control.Withdrawn{Request: request})
+		origin.deliver(control.OrderCanceled{Request: request})
 	}
 	holds = false
 	head.deliver(control.Received{Message: held})
--- a/internal/controlsim/processor_test.go
+++ b/internal/controlsim/processor_test.go
@@ -66,7 +66,7 @@
 	case control.Received:
 		cost := messageCost + perKiB(proto.Size(next.Message), copyCostPerKiB)
 		return cost + h.validationCost(next.Message.GetOrder())
-	case control.Submitted:
+	case control.OrderSubmitted:
 		return messageCost + perKiB(len(next.Order.GetBody()), copyCostPerKiB)
 	default:
 		return tickCost
--- a/internal/controlsim/world_test.go
+++ b/internal/controlsim/world_test.go
@@ -171,7 +171,7 @@
 	if host.machine != nil && len(host.missed) < maxMissed {
 		host.waiting++
 	}
-	host.deliver(control.Submitted{Request: w.request, Order: order})
+	host.deliver(control.OrderSubmitted{Request: w.request, Order: order})
 }
 
 // living are the hosts that were not taken away.
--- a/internal/gossip/capacity_bench_test.go
+++ b/internal/gossip/capacity_bench_test.go
@@ -15,7 +15,7 @@
 	for i := range view {
 		view[i] = shuffle.Neighbour{Host: fmt.Sprint("edge-", i), Address: fmt.Sprintf("10.0.0.%d:7661", i)}
 	}
-	held := NewCopy()
+	held := NewReplica()
 	held.ApplyChanges(changes(1, 1500))
 	return New(held, view, rand.New(rand.NewPCG(1, 2)))
 }
@@ -27,7 +27,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		sequence++
-		pushed := Pushed{From: shuffle.Neighbour{Host: "edge-1"}, Changes: []*pb.Change{change(sequence)}}
+		pushed := PushRequested{From: shuffle.Neighbour{Host: "edge-1"}, Changes: []*pb.Change{change(sequence)}}
 		machine.Step(time.Minute, pushed)
 	}
 }
@@ -39,7 +39,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		compare := machine.compare(self)
-		reply := other.Step(time.Minute, Asked{From: self, Digests: compare.Digests, List: compare.List})
+		reply := other.Step(time.Minute, CompareRequested{From: self, Digests: compare.Digests, List: compare.List})
 		machine.Step(time.Minute, Compared{Request: compare, Response: reply[0].(CompareReply).Response})
 	}
 }
@@ -56,6 +56,6 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		next := &pb.ServerList{Version: version(1, "core-1", uint64(i)+1), Servers: lists[i%2].Servers}
-		machine.Step(time.Minute, Learned{List: next})
+		machine.Step(time.Minute, UpdateReceived{List: next})
 	}
 }
--- a/internal/gossip/copy.go
+++ b/internal/gossip/copy.go
@@ -10,40 +10,40 @@
 	"fieldrelay/internal/catalog"
 )
 
-// Copy is an agent's copy of the control state and of the server list. Its versions only rise, whoever offers
+// Replica is an agent's copy of the control state and of the server list. Its versions only rise, whoever offers
 // what and in whatever order. It is not safe for concurrent use; the snapshots it hands out are.
-type Copy struct {
+type Replica struct {
 	snapshot *catalog.Snapshot
 	history  *catalog.History
 	packed   packedNews
 	list     heldList
 }
 
-// NewCopy makes a copy that holds nothing.
-func NewCopy() *Copy {
-	return &Copy{snapshot: catalog.Empty(), history: catalog.NewHistory(0)}
+// NewReplica makes a copy that holds nothing.
+func NewReplica() *Replica {
+	return &Replica{snapshot: catalog.Empty(), history: catalog.NewHistory(0)}
 }
 
 // Snapshot is the control state held.
-func (c *Copy) Snapshot() *catalog.Snapshot { return c.snapshot }
+func (c *Replica) Snapshot() *catalog.Snapshot { return c.snapshot }
 
 // Sequence is the number of the last change held.
-func (c *Copy) Sequence() uint64 { return c.snapshot.Sequence() }
+func (c *Replica) Sequence() uint64 { return c.snapshot.Sequence() }
 
 // Since are the changes after a sequence, false when not all of them are kept.
-func (c *Copy) Since(sequence uint64) ([]*pb.Change, bool) { return c.history.Since(sequence) }
+func (c *Replica) Since(sequence uint64) ([]*pb.Change, bool) { return c.history.Since(sequence) }
 
 // ListVersion is the version of the server list held, nil when there is none.
-func (c *Copy) ListVersion() *pb.ListVersion { return c.list.message.GetVersion() }
+func (c *Replica) ListVersion() *pb.ListVersion { return c.list.message.GetVersion() }
 
-// ListNewsAt is when the platform was last known to have the list that is held.
-func (c *Copy) ListNewsAt() time.Duration { return c.list.newsAt }
+// ListConfirmedAt is when the platform was last known to have the list that is held.
+func (c *Replica) ListConfirmedAt() time.Duration { return c.list.newsAt }
 
 // List is the server list with its age at the time now, nil when there is none.
-func (c *Copy) List(now time.Duration) *pb.ServerList { return c.list.aged(now) }
+func (c *Replica) List(now time.Duration) *pb.ServerList { return c.list.aged(now) }
 
 // ApplyChanges applies those changes that follow what is held and returns them; the others are left out.
-func (c *Copy) ApplyChanges(changes []*pb.Change) (applied []*pb.Change) {
+func (c *Replica) ApplyChanges(changes []*pb.Change) (applied []*pb.Change) {
 	for _, change := range changes {
 		if change.GetSequence() != c.snapshot.Sequence()+1 {
 			continue
@@ -71,7 +71,7 @@
 // Restore takes a repair that was made against the digests of base; without a base it must be whole. It tells
 // whether the copy moved: a repair that is no newer than the copy changes nothing. A *catalog.RepairError or a
 // *PartialRepairError is returned for a repair that can't be used.
-func (c *Copy) Restore(base *catalog.Snapshot, repair *pb.Repair) (bool, error) {
+func (c *Replica) Restore(base *catalog.Snapshot, repair *pb.Repair) (bool, error) {
 	if repair.GetSequence() <= c.snapshot.Sequence() {
 		return false, nil
 	}
@@ -92,31 +92,31 @@
 
 // OfferList takes a server list unless it is older than the one held. A list of the version held confirms it: only
 // its age counts, whether it tells the servers or not.
-func (c *Copy) OfferList(now time.Duration, list *pb.ServerList) ListOutcome {
+func (c *Replica) OfferList(now time.Duration, list *pb.ServerList) ListOutcome {
 	if list.GetVersion() == nil {
-		return ListRefused
+		return ListStale
 	}
 	readAt := readTime(now, list)
 	offered := heldList{message: list, readAt: readAt, newsAt: readAt}
 	switch CompareVersions(list.GetVersion(), c.ListVersion()) {
 	case -1:
-		return ListRefused
+		return ListStale
 	case 0:
 		return c.confirm(offered.newsAt)
 	}
 	if sameContent(c.list, offered) {
 		c.list = offered
-		return ListRefreshed
+		return ListConfirmed
 	}
 	c.list = offered
 	return ListChanged
 }
 
 // confirm takes later news of the list held.
-func (c *Copy) confirm(newsAt time.Duration) ListOutcome {
+func (c *Replica) confirm(newsAt time.Duration) ListOutcome {
 	if newsAt <= c.list.newsAt {
-		return ListRefused
+		return ListStale
 	}
 	c.list.newsAt = newsAt
-	return ListRefreshed
+	return ListConfirmed
 }
--- a/internal/gossip/copy_test.go
+++ b/internal/gossip/copy_test.go
@@ -35,7 +35,7 @@
 }
 
 func stateAt(sequence uint64) *catalog.Snapshot {
-	held := NewCopy()
+	held := NewReplica()
 	held.ApplyChanges(changes(1, sequence))
 	return held.Snapshot()
 }
@@ -78,7 +78,7 @@
 		states[sequence] = stateAt(uint64(sequence))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		held := NewCopy()
+		held := NewReplica()
 		bases := []*catalog.Snapshot{nil}
 		now := time.Minute
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -113,7 +113,7 @@
 }
 
 func TestPartialRepairNeedsItsBase(t *testing.T) {
-	held := NewCopy()
+	held := NewReplica()
 	held.ApplyChanges(changes(1, 3))
 	base := held.Snapshot()
 	repair := stateAt(9).RepairFor(base.Digests())
@@ -141,21 +141,21 @@
 		offered *pb.ServerList
 		want    ListOutcome
 	}{
-		{"older", 2 * time.Second, warming(1, 0, 5000), ListRefused},
-		{"same and no later", 2 * time.Second, warming(2, 2000, 5000), ListRefused},
-		{"same and later", 2 * time.Second, warming(2, 100, 3100), ListRefreshed},
+		{"older", 2 * time.Second, warming(1, 0, 5000), ListStale},
+		{"same and no later", 2 * time.Second, warming(2, 2000, 5000), ListStale},
+		{"same and later", 2 * time.Second, warming(2, 100, 3100), ListConfirmed},
 		{"newer, cold a little longer", 3 * time.Second, warming(3, 0, 2200), ListChanged},
-		{"newer, cold a little shorter", 3 * time.Second, warming(3, 0, 1800), ListRefreshed},
-		{"newer, warming went on", 3 * time.Second, warming(3, 0, 2000), ListRefreshed},
-		{"newer, warm", 9 * time.Second, warming(3, 0, 0), ListRefreshed},
+		{"newer, cold a little shorter", 3 * time.Second, warming(3, 0, 1800), ListConfirmed},
+		{"newer, warming went on", 3 * time.Second, warming(3, 0, 2000), ListConfirmed},
+		{"newer, warm", 9 * time.Second, warming(3, 0, 0), ListConfirmed},
 		{"newer, cold again", 9 * time.Second, warming(3, 0, 5000), ListChanged},
 		{"newer, another server", 2 * time.Second, list(3, "i-2"), ListChanged},
 		{"newer, no server", 2 * time.Second, list(3), ListChanged},
-		{"no version", 2 * time.Second, &pb.ServerList{}, ListRefused},
+		{"no version", 2 * time.Second, &pb.ServerList{}, ListStale},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			held := NewCopy()
+			held := NewReplica()
 			require.Equal(t, ListChanged, held.OfferList(time.Second, warming(2, 1000, 5000)))
 			require.Equal(t, c.want, held.OfferList(c.now, c.offered))
 		})
@@ -163,17 +163,17 @@
 }
 
 func TestConfirmationLeavesTheSpansOfServersAsTheyAre(t *testing.T) {
-	held := NewCopy()
+	held := NewReplica()
 	held.OfferList(time.Second, list(1, "i-1"))
 	confirmation := &pb.ServerList{Version: version(1, "core-1", 1), AgeMs: 100}
-	require.Equal(t, ListRefreshed, held.OfferList(3*time.Second, confirmation))
-	require.Equal(t, 2900*time.Millisecond, held.ListNewsAt())
+	require.Equal(t, ListConfirmed, held.OfferList(3*time.Second, confirmation))
+	require.Equal(t, 2900*time.Millisecond, held.ListConfirmedAt())
 	require.EqualValues(t, 2000, held.List(3*time.Second).GetAgeMs(), "read two seconds ago")
 	require.Len(t, held.List(3*time.Second).GetServers(), 1)
 }
 
 func TestListAges(t *testing.T) {
-	held := NewCopy()
+	held := NewReplica()
 	require.Nil(t, held.List(time.Second))
 	first := list(1, "i-1")
 	first.AgeMs = 300
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -23,7 +23,7 @@
 			}
 		}
 		for sequence := uint64(1); sequence <= 20; sequence++ {
-			s.tell(s.random.IntN(len(s.machines)), Learned{
+			s.tell(s.random.IntN(len(s.machines)), UpdateReceived{
 				Changes: changes(1, sequence),
 				List:    list(sequence, fmt.Sprint("i-", sequence)),
 			})
--- a/internal/gossip/distance_test.go
+++ b/internal/gossip/distance_test.go
@@ -30,7 +30,7 @@
 		if host == "ahead" {
 			other = "behind"
 		}
-		held := NewCopy()
+		held := NewReplica()
 		held.ApplyChanges(changes(1, sequence))
 		view := fixedView{{Host: other, Address: other}}
 		made.machines[host] = New(held, view, rand.New(rand.NewPCG(ahead, 1)))
@@ -47,7 +47,7 @@
 		}
 		m.compared++
 		from := shuffle.Neighbour{Host: host, Address: host}
-		asked := Asked{From: from, Digests: compare.Digests, List: compare.List}
+		asked := CompareRequested{From: from, Digests: compare.Digests, List: compare.List}
 		for _, answer := range m.machines[compare.To.Host].Step(now, asked) {
 			if reply, isReply := answer.(CompareReply); isReply {
 				if m.alter != nil {
@@ -80,8 +80,8 @@
 	for _, distance := range farDistances {
 		t.Run(fmt.Sprint(distance), func(t *testing.T) {
 			met := newMeeting(10, 10+distance)
-			caught := met.let(2*ComparePeriod, 10+distance)
-			require.Less(t, caught, 2*ComparePeriod)
+			caught := met.let(2*CompareInterval, 10+distance)
+			require.Less(t, caught, 2*CompareInterval)
 			require.LessOrEqual(t, met.compared, 4, "two for versions, one of them with digests behind it")
 			require.EqualValues(t, 10+distance, met.sequence("ahead"), "it takes nothing older")
 			require.Equal(t, stateAt(10+distance).Digests().GetDigests(), met.machines["behind"].held.Snapshot().Digests().GetDigests())
@@ -92,12 +92,12 @@
 func TestComparisonWithoutStateLeavesAMemberBehind(t *testing.T) {
 	met := newMeeting(10, 1010)
 	met.alter = func(response *pb.CompareResponse) { response.Changes, response.Repair = nil, nil }
-	require.Equal(t, 2*ComparePeriod, met.let(2*ComparePeriod, 1010))
+	require.Equal(t, 2*CompareInterval, met.let(2*CompareInterval, 1010))
 }
 
 // A repair that comes late, or from an earlier life of a neighbour, changes nothing.
 func TestRepairsOfEarlierLivesAreLeft(t *testing.T) {
-	held := NewCopy()
+	held := NewReplica()
 	held.ApplyChanges(changes(1, 900))
 	machine := New(held, fixedView{}, rand.New(rand.NewPCG(1, 1)))
 	base := stateAt(10)
@@ -105,7 +105,7 @@
 		late := Compare{To: shuffle.Neighbour{Host: "edge-1"}, Digests: base.Digests(), Base: base}
 		response := &pb.CompareResponse{Sequence: sequence, Repair: stateAt(sequence).RepairFor(base.Digests())}
 		require.Empty(t, machine.Step(time.Second, Compared{Request: late, Response: response}))
-		require.Empty(t, machine.Step(time.Second, Learned{Repair: stateAt(sequence).RepairFor(nil)}))
+		require.Empty(t, machine.Step(time.Second, UpdateReceived{Repair: stateAt(sequence).RepairFor(nil)}))
 		require.EqualValues(t, 900, held.Sequence())
 	}
 	require.Zero(t, machine.Malformed())
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -21,8 +21,8 @@
 const (
 	// Fanout is the number of neighbours that news is passed on to.
 	Fanout = 3
-	// ComparePeriod is the mean time between two comparisons that a member begins.
-	ComparePeriod = 3 * time.Second
+	// CompareInterval is the mean time between two comparisons that a member begins.
+	CompareInterval = 3 * time.Second
 
 	// pullDelay is how long a member that hears of news waits for it to come by itself, from control.
 	pullDelay = 100 * time.Millisecond
@@ -36,17 +36,17 @@
 // Tick tells that time has passed. Ticks should come a few times a second.
 type Tick struct{}
 
-// Learned is news from outside the gossip: from a control machine.
-type Learned struct {
-	Changes []*pb.Change
-	Base    *catalog.Snapshot // whose digests Repair answers; nil: of nothing
-	Repair  *pb.Repair
-	Packed  *pb.PackedNews // that Changes or Repair were unpacked from, to be passed on; nil: they came as they are
-	List    *pb.ServerList
+// UpdateReceived is news from outside the gossip: from a control machine.
+type UpdateReceived struct {
+	Changes    []*pb.Change
+	Base       *catalog.Snapshot // whose digests Repair answers; nil: of nothing
+	Repair     *pb.Repair
+	Compressed *pb.PackedNews // that Changes or Repair were unpacked from, to be passed on; nil: they came as they are
+	List       *pb.ServerList
 }
 
-// Pushed is a neighbour's push; it is answered by a PushReply.
-type Pushed struct {
+// PushRequested is a neighbour's push; it is answered by a PushReply.
+type PushRequested struct {
 	From    shuffle.Neighbour
 	Changes []*pb.Change
 	List    *pb.ServerList
@@ -59,12 +59,12 @@
 	List     *pb.ListVersion
 }
 
-// Asked is a neighbour's comparison; it is answered by a CompareReply.
-type Asked struct {
-	From        shuffle.Neighbour
-	Digests     *pb.RangeDigests
-	List        *pb.ListVersion
-	TakesPacked bool // the answer may carry packed news
+// CompareRequested is a neighbour's comparison; it is answered by a CompareReply.
+type CompareRequested struct {
+	From              shuffle.Neighbour
+	Digests           *pb.RangeDigests
+	List              *pb.ListVersion
+	AcceptsCompressed bool // the answer may carry packed news
 }
 
 // Compared is the answer to a Compare.
@@ -73,12 +73,12 @@
 	Response *pb.CompareResponse
 }
 
-func (Tick) isEvent()         {}
-func (Learned) isEvent()      {}
-func (Pushed) isEvent()       {}
-func (PushAnswered) isEvent() {}
-func (Asked) isEvent()        {}
-func (Compared) isEvent()     {}
+func (Tick) isEvent()             {}
+func (UpdateReceived) isEvent()   {}
+func (PushRequested) isEvent()    {}
+func (PushAnswered) isEvent()     {}
+func (CompareRequested) isEvent() {}
+func (Compared) isEvent()         {}
 
 // Action is something that the caller of Step has to do.
 type Action interface{ isAction() }
@@ -117,7 +117,7 @@
 
 // Machine is one agent's part in the gossip. It is not safe for concurrent use.
 type Machine struct {
-	held        *Copy
+	held        *Replica
 	view        View
 	random      *rand.Rand
 	started     bool
@@ -135,7 +135,7 @@
 }
 
 // New makes the machine that keeps the copy held up to date and passes its news on.
-func New(held *Copy, view View, random *rand.Rand) *Machine {
+func New(held *Replica, view View, random *rand.Rand) *Machine {
 	return &Machine{held: held, view: view, random: random}
 }
 
@@ -147,13 +147,13 @@
 	switch event := event.(type) {
 	case Tick:
 		return m.tick(now)
-	case Learned:
+	case UpdateReceived:
 		return m.take(now, "", event)
-	case Pushed:
+	case PushRequested:
 		return m.pushed(now, event)
 	case PushAnswered:
 		m.heard(now, event.To, event.Sequence, event.List)
-	case Asked:
+	case CompareRequested:
 		return m.asked(now, event)
 	case Compared:
 		return m.compared(now, event)
@@ -165,7 +165,7 @@
 func (m *Machine) tick(now time.Duration) []Action {
 	if !m.started {
 		m.started = true
-		m.nextCompare = now + time.Duration(m.random.Int64N(int64(ComparePeriod)))
+		m.nextCompare = now + time.Duration(m.random.Int64N(int64(CompareInterval)))
 	}
 	if !m.behind() {
 		m.ahead = lead{}
@@ -178,7 +178,7 @@
 	if now < m.nextCompare {
 		return nil
 	}
-	m.nextCompare = now + m.jittered(ComparePeriod)
+	m.nextCompare = now + m.jittered(CompareInterval)
 	return m.compareAny()
 }
 
@@ -234,8 +234,8 @@
 }
 
 // pushed takes a neighbour's news and passes it on if it is news here.
-func (m *Machine) pushed(now time.Duration, push Pushed) []Action {
-	actions := m.take(now, push.From.Host, Learned{Changes: push.Changes, List: push.List})
+func (m *Machine) pushed(now time.Duration, push PushRequested) []Action {
+	actions := m.take(now, push.From.Host, UpdateReceived{Changes: push.Changes, List: push.List})
 	if last := len(push.Changes) - 1; last >= 0 {
 		m.heard(now, push.From, push.Changes[last].GetSequence(), nil)
 	}
@@ -244,7 +244,7 @@
 }
 
 // asked answers a comparison with what is newer here.
-func (m *Machine) asked(now time.Duration, asked Asked) []Action {
+func (m *Machine) asked(now time.Duration, asked CompareRequested) []Action {
 	theirs := asked.Digests.GetSequence()
 	response := &pb.CompareResponse{Sequence: m.held.Sequence()}
 	if theirs < m.held.Sequence() {
@@ -259,11 +259,11 @@
 
 // addState adds what a neighbour lacks. Large news is passed on as it came, and what follows it in changes; one that
 // lies far behind tells its digests when it asks again.
-func (m *Machine) addState(response *pb.CompareResponse, asked Asked) {
+func (m *Machine) addState(response *pb.CompareResponse, asked CompareRequested) {
 	changes, kept := m.held.Since(asked.Digests.GetSequence())
 	repairable := len(asked.Digests.GetDigests()) > 0 // a repair brings all, packed news perhaps a part
-	if asked.TakesPacked && (!kept && !repairable || isLarge(changes)) {
-		response.Packed = m.held.Packed(asked.Digests.GetSequence())
+	if asked.AcceptsCompressed && (!kept && !repairable || isLarge(changes)) {
+		response.Packed = m.held.Compressed(asked.Digests.GetSequence())
 	}
 	switch {
 	case response.Packed != nil:
@@ -278,12 +278,12 @@
 // compared takes what a neighbour holds beyond this member. If changes alone can't bring it, digests follow.
 func (m *Machine) compared(now time.Duration, answer Compared) []Action {
 	response := answer.Response
-	actions := m.take(now, answer.Request.To.Host, Learned{
-		Changes: response.GetChanges(),
-		Base:    answer.Request.Base,
-		Repair:  response.GetRepair(),
-		Packed:  response.GetPacked(),
-		List:    response.GetList(),
+	actions := m.take(now, answer.Request.To.Host, UpdateReceived{
+		Changes:    response.GetChanges(),
+		Base:       answer.Request.Base,
+		Repair:     response.GetRepair(),
+		Compressed: response.GetPacked(),
+		List:       response.GetList(),
 	})
 	if response.GetSequence() > m.held.Sequence() && answer.Request.Base == nil {
 		actions = append(actions, m.compareDigests(answer.Request.To))
@@ -292,11 +292,11 @@
 }
 
 // take applies news and passes on what was new, not to the neighbour that it came from.
-func (m *Machine) take(now time.Duration, from string, news Learned) []Action {
+func (m *Machine) take(now time.Duration, from string, news UpdateReceived) []Action {
 	before := m.held.Sequence()
 	repaired := m.restore(news)
 	applied := m.held.ApplyChanges(news.Changes)
-	m.held.KeepPacked(news.Packed)
+	m.held.AddCompressed(news.Compressed)
 	var list *pb.ServerList
 	if m.held.OfferList(now, news.List) == ListChanged {
 		list = m.held.List(now)
@@ -310,7 +310,7 @@
 	return m.spread(from, applied, repaired, list)
 }
 
-func (m *Machine) restore(news Learned) bool {
+func (m *Machine) restore(news UpdateReceived) bool {
 	if news.Repair == nil {
 		return false
 	}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -41,7 +41,7 @@
 	now      time.Duration
 	loss     float64
 	machines []*Machine
-	copies   []*Copy
+	copies   []*Replica
 	floor    []uint64
 	lists    []*pb.ListVersion
 	flying   []message
@@ -60,7 +60,7 @@
 				view = append(view, neighbour(other))
 			}
 		}
-		held := NewCopy()
+		held := NewReplica()
 		s.copies = append(s.copies, held)
 		s.machines = append(s.machines, New(held, view, rand.New(rand.NewPCG(seed, uint64(i)+2))))
 	}
@@ -123,7 +123,7 @@
 func (s *swarm) deliver(m message) {
 	switch action := m.action.(type) {
 	case Push:
-		event := Pushed{From: neighbour(m.from), Changes: action.Changes, List: action.List}
+		event := PushRequested{From: neighbour(m.from), Changes: action.Changes, List: action.List}
 		for _, answer := range s.step(m.to, event) {
 			if reply, ok := answer.(PushReply); ok {
 				s.answer(m.from, PushAnswered{To: action.To, Sequence: reply.Sequence, List: reply.List})
@@ -132,7 +132,7 @@
 			}
 		}
 	case Compare:
-		event := Asked{From: neighbour(m.from), Digests: action.Digests, List: action.List}
+		event := CompareRequested{From: neighbour(m.from), Digests: action.Digests, List: action.List}
 		for _, answer := range s.step(m.to, event) {
 			s.answer(m.from, Compared{Request: action, Response: answer.(CompareReply).Response})
 		}
@@ -172,7 +172,7 @@
 func TestUpdateReachesAllInFewRounds(t *testing.T) {
 	for seed := range uint64(5) {
 		s := newSwarm(t, seed, swarmSize)
-		s.tell(0, Learned{Changes: changes(1, 1), List: list(1, "i-1")})
+		s.tell(0, UpdateReceived{Changes: changes(1, 1), List: list(1, "i-1")})
 		s.rounds(12 * hop)
 		require.GreaterOrEqual(t, s.holding(1, version(1, "core-1", 1)), swarmSize*9/10, "by pushes alone")
 		require.LessOrEqual(t, s.pushes, swarmSize*Fanout)
@@ -187,7 +187,7 @@
 		s := newSwarm(t, seed, swarmSize)
 		s.loss = 0.3
 		for sequence := uint64(1); sequence <= 20; sequence++ {
-			s.tell(s.random.IntN(swarmSize), Learned{
+			s.tell(s.random.IntN(swarmSize), UpdateReceived{
 				Changes: changes(1, sequence),
 				List:    list(sequence, fmt.Sprint("i-", sequence)),
 			})
@@ -203,7 +203,7 @@
 	s := newSwarm(t, 1, swarmSize)
 	large := change(1)
 	large.Upserts[0].Body = bytes.Repeat([]byte("x"), 10*pushLimit)
-	s.tell(0, Learned{Changes: []*pb.Change{large}})
+	s.tell(0, UpdateReceived{Changes: []*pb.Change{large}})
 	s.rounds(15 * time.Second)
 	require.Equal(t, swarmSize, s.holding(1, nil))
 	require.Zero(t, s.pushes, "large news isn't pushed")
@@ -212,12 +212,12 @@
 func TestNewsThatAllHaveCostsNoFurtherMessages(t *testing.T) {
 	s := newSwarm(t, 1, 50)
 	for i := range s.machines {
-		s.tell(i, Learned{Changes: changes(1, 1)})
+		s.tell(i, UpdateReceived{Changes: changes(1, 1)})
 	}
 	s.rounds(time.Second)
 	require.LessOrEqual(t, s.pushes, 50*Fanout)
 	s.pushes = 0
-	require.Empty(t, s.step(0, Learned{Changes: changes(1, 1)}))
+	require.Empty(t, s.step(0, UpdateReceived{Changes: changes(1, 1)}))
 	s.rounds(10 * time.Second)
 	require.Zero(t, s.pushes)
 	require.LessOrEqual(t, s.compares, 50*(11/2+1), "about one comparison a period")
@@ -237,10 +237,10 @@
 func TestEqualVersionsAreAnsweredWithNothing(t *testing.T) {
 	s := newSwarm(t, 1, 2)
 	for i := range s.machines {
-		s.machines[i].Step(0, Learned{Changes: changes(1, 3), List: list(1, "i-1")})
+		s.machines[i].Step(0, UpdateReceived{Changes: changes(1, 3), List: list(1, "i-1")})
 	}
 	asked := s.machines[0].compare(neighbour(1))
-	reply := s.step(1, Asked{From: neighbour(0), Digests: asked.Digests, List: asked.List})[0].(CompareReply)
+	reply := s.step(1, CompareRequested{From: neighbour(0), Digests: asked.Digests, List: asked.List})[0].(CompareReply)
 	require.True(t, proto.Equal(&pb.CompareResponse{Sequence: 3}, reply.Response))
 	require.Empty(t, s.step(0, Compared{Request: asked, Response: reply.Response}))
 }
@@ -248,9 +248,9 @@
 func TestNewsGoesNotBackToWhereItCameFrom(t *testing.T) {
 	s := newSwarm(t, 1, 4)
 	for range 20 {
-		held := NewCopy()
+		held := NewReplica()
 		machine := New(held, fixedView{neighbour(1), neighbour(2), neighbour(3)}, s.random)
-		for _, action := range machine.Step(0, Pushed{From: neighbour(2), Changes: changes(1, 1)}) {
+		for _, action := range machine.Step(0, PushRequested{From: neighbour(2), Changes: changes(1, 1)}) {
 			if push, ok := action.(Push); ok {
 				require.NotEqual(t, neighbour(2).Host, push.To.Host)
 			}
@@ -259,17 +259,17 @@
 }
 
 func TestRefreshedListIsNotPassedOn(t *testing.T) {
-	machine := New(NewCopy(), fixedView{neighbour(1)}, rand.New(rand.NewPCG(1, 1)))
-	require.Len(t, machine.Step(0, Learned{List: list(1, "i-1")}), 1)
-	require.Empty(t, machine.Step(time.Second, Learned{List: list(2, "i-1")}))
-	require.Len(t, machine.Step(time.Second, Learned{List: list(3, "i-2")}), 1)
+	machine := New(NewReplica(), fixedView{neighbour(1)}, rand.New(rand.NewPCG(1, 1)))
+	require.Len(t, machine.Step(0, UpdateReceived{List: list(1, "i-1")}), 1)
+	require.Empty(t, machine.Step(time.Second, UpdateReceived{List: list(2, "i-1")}))
+	require.Len(t, machine.Step(time.Second, UpdateReceived{List: list(3, "i-2")}), 1)
 }
 
 func TestMalformedRepairIsCountedAndLeftOut(t *testing.T) {
-	held := NewCopy()
+	held := NewReplica()
 	machine := New(held, fixedView{}, rand.New(rand.NewPCG(1, 1)))
 	bad := &pb.Repair{Sequence: 5, Ranges: []*pb.Range{{Index: 99}}}
-	require.Empty(t, machine.Step(0, Learned{Repair: bad}))
+	require.Empty(t, machine.Step(0, UpdateReceived{Repair: bad}))
 	require.EqualValues(t, 1, machine.Malformed())
 	require.Zero(t, held.Sequence())
 }
--- a/internal/gossip/packed.go
+++ b/internal/gossip/packed.go
@@ -19,8 +19,8 @@
 // packedNews are the last pieces of packed news that a Copy has taken, the newest last.
 type packedNews []*pb.PackedNews
 
-// KeepPacked keeps news that the copy has taken, to be passed on as it came.
-func (c *Copy) KeepPacked(packed *pb.PackedNews) {
+// AddCompressed keeps news that the copy has taken, to be passed on as it came.
+func (c *Replica) AddCompressed(packed *pb.PackedNews) {
 	if packed == nil || packed.GetSequence() > c.Sequence() || c.packed.holds(packed) {
 		return
 	}
@@ -30,9 +30,9 @@
 	}
 }
 
-// Packed is the newest news kept that brings a copy at a sequence forward, nil if there is none: changes that follow on
+// Compressed is the newest news kept that brings a copy at a sequence forward, nil if there is none: changes that follow on
 // what it holds, or a whole state. Repairs of some ranges serve nobody but the copy whose digests they answer.
-func (c *Copy) Packed(sequence uint64) *pb.PackedNews {
+func (c *Replica) Compressed(sequence uint64) *pb.PackedNews {
 	for _, packed := range slices.Backward(c.packed) {
 		follows := packed.GetBase() <= sequence && sequence < packed.GetSequence()
 		if follows && (packed.GetWhole() || !packed.GetRepairs()) {
--- a/internal/gossip/packed_test.go
+++ b/internal/gossip/packed_test.go
@@ -26,18 +26,18 @@
 
 // holdingLarge is a member that holds changes up to 5, of which 4 is large and came packed.
 func holdingLarge(t *testing.T) *Machine {
-	machine := New(NewCopy(), fixedView{}, nil)
+	machine := New(NewReplica(), fixedView{}, nil)
 	large := largeChange(4)
-	machine.Step(0, Learned{Changes: changes(1, 3)})
-	machine.Step(0, Learned{Changes: []*pb.Change{large}, Packed: packedFrom(large)})
-	machine.Step(0, Learned{Changes: changes(5, 5)})
+	machine.Step(0, UpdateReceived{Changes: changes(1, 3)})
+	machine.Step(0, UpdateReceived{Changes: []*pb.Change{large}, Compressed: packedFrom(large)})
+	machine.Step(0, UpdateReceived{Changes: changes(5, 5)})
 	require.EqualValues(t, 5, machine.held.Sequence())
 	return machine
 }
 
 // answerTo is the answer to a neighbour at a sequence.
 func answerTo(machine *Machine, sequence uint64, takesPacked bool) *pb.CompareResponse {
-	asked := Asked{From: neighbour(1), Digests: &pb.RangeDigests{Sequence: sequence}, TakesPacked: takesPacked}
+	asked := CompareRequested{From: neighbour(1), Digests: &pb.RangeDigests{Sequence: sequence}, AcceptsCompressed: takesPacked}
 	return machine.Step(0, asked)[0].(CompareReply).Response
 }
 
@@ -68,23 +68,23 @@
 
 // A whole state serves every earlier copy, a repair of some ranges only the one that it was made for.
 func TestOnlyWholeRepairsArePassedOn(t *testing.T) {
-	copied := NewCopy()
+	copied := NewReplica()
 	copied.ApplyChanges(changes(1, 9))
-	copied.KeepPacked(&pb.PackedNews{Sequence: 8, Repairs: true, Whole: true})
-	copied.KeepPacked(&pb.PackedNews{Base: 2, Sequence: 9, Repairs: true})
-	require.EqualValues(t, 8, copied.Packed(2).GetSequence())
-	require.Nil(t, copied.Packed(8))
+	copied.AddCompressed(&pb.PackedNews{Sequence: 8, Repairs: true, Whole: true})
+	copied.AddCompressed(&pb.PackedNews{Base: 2, Sequence: 9, Repairs: true})
+	require.EqualValues(t, 8, copied.Compressed(2).GetSequence())
+	require.Nil(t, copied.Compressed(8))
 }
 
 func TestPackedNewsIsKeptWithinBounds(t *testing.T) {
-	copied := NewCopy()
+	copied := NewReplica()
 	copied.ApplyChanges(changes(1, 50))
 	for sequence := range uint64(50) {
-		copied.KeepPacked(&pb.PackedNews{Base: sequence, Sequence: sequence + 1, Deflated: make([]byte, 100<<10)})
-		copied.KeepPacked(&pb.PackedNews{Base: sequence, Sequence: sequence + 1, Deflated: make([]byte, 100<<10)})
+		copied.AddCompressed(&pb.PackedNews{Base: sequence, Sequence: sequence + 1, Deflated: make([]byte, 100<<10)})
+		copied.AddCompressed(&pb.PackedNews{Base: sequence, Sequence: sequence + 1, Deflated: make([]byte, 100<<10)})
 		require.LessOrEqual(t, len(copied.packed), maxPacked)
 		require.LessOrEqual(t, copied.packed.bytes(), maxPackedBytes)
 	}
-	copied.KeepPacked(&pb.PackedNews{Base: 50, Sequence: 51})
-	require.Nil(t, copied.Packed(50), "what the copy has not taken is not passed on")
+	copied.AddCompressed(&pb.PackedNews{Base: 50, Sequence: 51})
+	require.Nil(t, copied.Compressed(50), "what the copy has not taken is not passed on")
 }
--- a/internal/gossip/partial_test.go
+++ b/internal/gossip/partial_test.go
@@ -30,17 +30,17 @@
 	large := largeChange(11)
 	apply(large)
 
-	ahead := New(NewCopy(), fixedView{}, nil)
-	ahead.Step(0, Learned{Repair: whole, Packed: packedWhole})
-	ahead.Step(0, Learned{Changes: []*pb.Change{large}, Packed: packedFrom(large)})
+	ahead := New(NewReplica(), fixedView{}, nil)
+	ahead.Step(0, UpdateReceived{Repair: whole, Compressed: packedWhole})
+	ahead.Step(0, UpdateReceived{Changes: []*pb.Change{large}, Compressed: packedFrom(large)})
 	base := ahead.held.Snapshot()
 	for _, made := range changes(12, 40) {
 		apply(made)
 	}
-	ahead.Step(0, Learned{Base: base, Repair: source.RepairFor(base.Digests())})
+	ahead.Step(0, UpdateReceived{Base: base, Repair: source.RepairFor(base.Digests())})
 	require.EqualValues(t, 40, ahead.held.Sequence())
 
-	asker := New(NewCopy(), fixedView{}, nil)
+	asker := New(NewReplica(), fixedView{}, nil)
 	asks := []Compare{asker.compare(neighbour(1))}
 	answers := 0
 	for len(asks) > 0 {
@@ -48,7 +48,7 @@
 		asks = asks[1:]
 		answers++
 		require.Less(t, answers, 10, "it asks for ever")
-		reply := ahead.Step(0, Asked{From: neighbour(2), Digests: asked.Digests, TakesPacked: true})[0].(CompareReply)
+		reply := ahead.Step(0, CompareRequested{From: neighbour(2), Digests: asked.Digests, AcceptsCompressed: true})[0].(CompareReply)
 		response := reply.Response
 		if packed := response.GetPacked(); packed != nil {
 			news, err := packing.Unpack(packed)
--- a/internal/gossip/serverlist.go
+++ b/internal/gossip/serverlist.go
@@ -18,10 +18,10 @@
 type ListOutcome int
 
 const (
-	// ListRefused is a list no newer than the one held.
-	ListRefused ListOutcome = iota
-	// ListRefreshed is a list that tells the same servers at a later time, or the confirmation of the list held.
-	ListRefreshed
+	// ListStale is a list no newer than the one held.
+	ListStale ListOutcome = iota
+	// ListConfirmed is a list that tells the same servers at a later time, or the confirmation of the list held.
+	ListConfirmed
 	// ListChanged is a newer list with other content.
 	ListChanged
 )
--- a/internal/hollow/proxy.go
+++ b/internal/hollow/proxy.go
@@ -67,7 +67,7 @@
 	if list := request.Msg.GetList(); list != nil {
 		p.takeList(now, list)
 	}
-	if shares := request.Msg.GetShares(); shares != nil && !limits.Outdated(shares.GetVersion(), p.told) {
+	if shares := request.Msg.GetShares(); shares != nil && !limits.IsOutdated(shares.GetVersion(), p.told) {
 		p.told = shares.GetVersion()
 		if int(shares.GetProxies()) < p.shares {
 			p.sharesFell++
--- a/internal/lag/episode.go
+++ b/internal/lag/episode.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Turn tells what an Episode has just done.
-type Turn int
+// Transition tells what an Episode has just done.
+type Transition int
 
 // Turns of an Episode.
 const (
-	Unchanged Turn = iota
+	Unchanged Transition = iota
 	Began
 	Ended
 )
@@ -18,8 +18,8 @@
 	longest time.Duration
 }
 
-// Look judges the figure of now by its limit.
-func (e *Episode) Look(figure, limit time.Duration) Turn {
+// Update judges the figure of now by its limit.
+func (e *Episode) Update(figure, limit time.Duration) Transition {
 	switch above := figure > limit; {
 	case above && !e.running:
 		e.running = true
--- a/internal/lag/episode_test.go
+++ b/internal/lag/episode_test.go
@@ -12,7 +12,7 @@
 	const limit = time.Second
 	steps := []struct {
 		figure time.Duration
-		turn   Turn
+		turn   Transition
 	}{
 		{0, Unchanged},
 		{limit, Unchanged},
@@ -23,10 +23,10 @@
 		{0, Unchanged},
 	}
 	for index, step := range steps {
-		require.Equal(t, step.turn, episode.Look(step.figure, limit), "step %d", index)
+		require.Equal(t, step.turn, episode.Update(step.figure, limit), "step %d", index)
 		require.Equal(t, index >= 2 && index <= 4, episode.Running())
 	}
 	require.Equal(t, 3*time.Second, episode.Longest())
-	require.Equal(t, Began, episode.Look(2*time.Second, limit))
+	require.Equal(t, Began, episode.Update(2*time.Second, limit))
 	require.Equal(t, 2*time.Second, episode.Longest(), "of this episode")
 }
--- a/internal/lag/lag.go
+++ b/internal/lag/lag.go
@@ -13,24 +13,24 @@
 	at       time.Duration
 }
 
-// Marks remember when the latest sequence numbers were reached, in a ring of fixed size. The zero value is empty.
+// Timeline remember when the latest sequence numbers were reached, in a ring of fixed size. The zero value is empty.
 // Marks are not safe for concurrent use.
-type Marks struct {
+type Timeline struct {
 	ring  [markCount]mark
 	first int // place of the oldest mark
 	count int
 }
 
 // Newest is the highest sequence number noted, 0 before the first.
-func (m *Marks) Newest() uint64 {
+func (m *Timeline) Newest() uint64 {
 	if m.count == 0 {
 		return 0
 	}
 	return m.mark(m.count - 1).sequence
 }
 
-// Note remembers that a sequence number was reached. One that is not above the newest changes nothing.
-func (m *Marks) Note(sequence uint64, at time.Duration) {
+// Record remembers that a sequence number was reached. One that is not above the newest changes nothing.
+func (m *Timeline) Record(sequence uint64, at time.Duration) {
 	if sequence <= m.Newest() {
 		return
 	}
@@ -42,9 +42,9 @@
 	*m.mark(m.count - 1) = mark{sequence: sequence, at: at}
 }
 
-// Lacking is the time since when a reader that holds a sequence number lacks a change, and whether it lacks one. For a
+// FirstMissing is the time since when a reader that holds a sequence number lacks a change, and whether it lacks one. For a
 // reader that is further behind than the marks reach back, it is the time of the oldest mark: a lower bound of its lag.
-func (m *Marks) Lacking(held uint64) (since time.Duration, lacks bool) {
+func (m *Timeline) FirstMissing(held uint64) (since time.Duration, lacks bool) {
 	if held >= m.Newest() {
 		return 0, false
 	}
@@ -57,8 +57,8 @@
 
 // Lag is how long a reader that holds a sequence number has lacked a change, 0 if it lacks none. What was reached
 // before the time from counts from then on.
-func (m *Marks) Lag(now time.Duration, held uint64, from time.Duration) time.Duration {
-	since, lacks := m.Lacking(held)
+func (m *Timeline) Lag(now time.Duration, held uint64, from time.Duration) time.Duration {
+	since, lacks := m.FirstMissing(held)
 	if !lacks {
 		return 0
 	}
@@ -66,4 +66,4 @@
 }
 
 // mark is the one at a place counted from the oldest.
-func (m *Marks) mark(index int) *mark { return &m.ring[(m.first+index)%markCount] }
+func (m *Timeline) mark(index int) *mark { return &m.ring[(m.first+index)%markCount] }
--- a/internal/limits/cold.go
+++ b/internal/limits/cold.go
@@ -29,21 +29,21 @@
 	forgetAfter = 10 * time.Second
 )
 
-// ColdConfig holds the figures of the common bound on requests to a cold server: in each second, at most
+// SlowStartConfig holds the figures of the common bound on requests to a cold server: in each second, at most
 // Excess times the service's warm rate, and Extra besides.
-type ColdConfig struct {
+type SlowStartConfig struct {
 	Excess float64
 	Extra  float64
 }
 
-// ColdServer is a server that is cold now.
-type ColdServer struct {
+// WarmingServer is a server that is cold now.
+type WarmingServer struct {
 	ID       string
 	Region   string
 	WarmRate float64 // requests a second that it bears, by its service
 }
 
-// ColdGate keeps this proxy's part of the bound on requests to cold servers. Each cold server is given to a
+// SlowStartLimiter keeps this proxy's part of the bound on requests to cold servers. Each cold server is given to a
 // few proxies by rendezvous hashing, its own region's first; each of them has a bucket of one request that
 // fills at an equal rate, so that in any second it sends at most 1 + rate.
 //
@@ -53,8 +53,8 @@
 // that has lasted longer keeps the far side from the server's region too), which adds one place of either
 // kind: 1/2 + 1/4 + 1/(2k) + 1/(4j) of the bound, no more than the whole for k and j of 3 or more; with fewer
 // places there are no spare ones.
-type ColdGate struct {
-	config    ColdConfig
+type SlowStartLimiter struct {
+	config    SlowStartConfig
 	host      string
 	members   []member
 	named     bool          // the shares name enough members to cut the bound by them
@@ -77,13 +77,13 @@
 	lesser  float64 // rate of the spare places
 }
 
-// NewColdGate makes the gate of the proxy on a host. Until SetShares it does not know its share.
-func NewColdGate(config ColdConfig, host string) *ColdGate {
-	return &ColdGate{config: config, host: host, buckets: map[string]*bucket{}}
+// NewSlowStartLimiter makes the gate of the proxy on a host. Until SetQuotaMembers it does not know its share.
+func NewSlowStartLimiter(config SlowStartConfig, host string) *SlowStartLimiter {
+	return &SlowStartLimiter{config: config, host: host, buckets: map[string]*bucket{}}
 }
 
-// SetShares takes in which proxies share the bound.
-func (g *ColdGate) SetShares(now time.Duration, shares *pb.Shares) {
+// SetQuotaMembers takes in which proxies share the bound.
+func (g *SlowStartLimiter) SetQuotaMembers(now time.Duration, shares *pb.Shares) {
 	members := membersOf(shares)
 	same := len(members) == len(g.members)
 	for i := 0; same && i < len(members); i++ {
@@ -102,7 +102,7 @@
 
 // Allows tells whether a request may go to a cold server now. lastResort says that nothing but cold servers
 // is left to it.
-func (g *ColdGate) Allows(now time.Duration, server ColdServer, lastResort bool) bool {
+func (g *SlowStartLimiter) Allows(now time.Duration, server WarmingServer, lastResort bool) bool {
 	if !g.known(now) {
 		// One request of each would be too many: any number of proxies may have started at once.
 		return false
@@ -120,7 +120,7 @@
 }
 
 // Take counts a request to a cold server, which Allows allowed at the same instant.
-func (g *ColdGate) Take(now time.Duration, server ColdServer) {
+func (g *SlowStartLimiter) Take(now time.Duration, server WarmingServer) {
 	held := g.buckets[server.ID]
 	if held == nil {
 		held = &bucket{tokens: 1, usedAt: now}
@@ -131,7 +131,7 @@
 }
 
 // Wait is how long until a request may go to a server that Allows did not allow; false: no time is known.
-func (g *ColdGate) Wait(now time.Duration, server ColdServer) (time.Duration, bool) {
+func (g *SlowStartLimiter) Wait(now time.Duration, server WarmingServer) (time.Duration, bool) {
 	if !g.known(now) {
 		return g.namedAt + learning - now, g.named
 	}
@@ -148,10 +148,10 @@
 }
 
 // known tells whether this proxy knows its share.
-func (g *ColdGate) known(now time.Duration) bool { return g.named && now-g.namedAt >= learning }
+func (g *SlowStartLimiter) known(now time.Duration) bool { return g.named && now-g.namedAt >= learning }
 
 // share gives this proxy's rate to a cold server; false when it has none.
-func (g *ColdGate) share(now time.Duration, server ColdServer, lastResort bool) (float64, bool) {
+func (g *SlowStartLimiter) share(now time.Duration, server WarmingServer, lastResort bool) (float64, bool) {
 	place := g.place(server)
 	cut := g.cut(server.WarmRate)
 	switch {
@@ -166,7 +166,7 @@
 }
 
 // place is this proxy's place in the order for a server: of the members of its region, if there are any.
-func (g *ColdGate) place(server ColdServer) int {
+func (g *SlowStartLimiter) place(server WarmingServer) int {
 	inRegion := func(m member) bool { return m.region == server.Region }
 	for _, m := range g.members {
 		if inRegion(m) {
@@ -177,7 +177,7 @@
 }
 
 // cut divides the bound of a server into places.
-func (g *ColdGate) cut(warmRate float64) plan {
+func (g *SlowStartLimiter) cut(warmRate float64) plan {
 	bound := warmRate*g.config.Excess + g.config.Extra
 	holders, rate := places(plannedPart * bound)
 	spare, lesser := places(sparePart * bound)
@@ -204,7 +204,7 @@
 }
 
 // forget drops the accounts that have been full for long, and tells whether there was one.
-func (g *ColdGate) forget(now time.Duration) bool {
+func (g *SlowStartLimiter) forget(now time.Duration) bool {
 	dropped := false
 	for id, held := range g.buckets {
 		if now-held.usedAt >= forgetAfter {
--- a/internal/limits/cold_test.go
+++ b/internal/limits/cold_test.go
@@ -12,11 +12,11 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-var coldConfig = ColdConfig{Excess: 1.5, Extra: 5}
+var coldConfig = SlowStartConfig{Excess: 1.5, Extra: 5}
 
-func coldServer(id string) ColdServer { return ColdServer{ID: id, Region: "r", WarmRate: 9.2} }
+func coldServer(id string) WarmingServer { return WarmingServer{ID: id, Region: "r", WarmRate: 9.2} }
 
-func bound(config ColdConfig, server ColdServer) float64 {
+func bound(config SlowStartConfig, server WarmingServer) float64 {
 	return server.WarmRate*config.Excess + config.Extra
 }
 
@@ -32,9 +32,9 @@
 		"just learnt":         {sharesOf(5, upTo(5), oneRegion), 1},
 	}
 	for name, test := range tests {
-		gate := NewColdGate(coldConfig, hostName(0))
+		gate := NewSlowStartLimiter(coldConfig, hostName(0))
 		now := time.Minute
-		gate.SetShares(now, test.shares)
+		gate.SetQuotaMembers(now, test.shares)
 		now += learning - 1
 		require.False(t, gate.Allows(now, coldServer("a"), false), name)
 		require.False(t, gate.Allows(now, coldServer("a"), true), name)
@@ -52,8 +52,8 @@
 	for _, spare := range []bool{false, true} {
 		holders := 0
 		for i := range 20 {
-			gate := NewColdGate(coldConfig, hostName(i))
-			gate.SetShares(0, sharesOf(20, upTo(20), region))
+			gate := NewSlowStartLimiter(coldConfig, hostName(i))
+			gate.SetQuotaMembers(0, sharesOf(20, upTo(20), region))
 			if gate.Allows(time.Minute, coldServer("a"), spare) {
 				holders++
 				require.Equal(t, "r", region(i))
@@ -66,8 +66,8 @@
 func TestAllProxiesShareAServerOfARegionWithoutAny(t *testing.T) {
 	holders := 0
 	for i := range 9 {
-		gate := NewColdGate(coldConfig, hostName(i))
-		gate.SetShares(0, sharesOf(9, upTo(9), func(int) string { return "elsewhere" }))
+		gate := NewSlowStartLimiter(coldConfig, hostName(i))
+		gate.SetQuotaMembers(0, sharesOf(9, upTo(9), func(int) string { return "elsewhere" }))
 		if gate.Allows(time.Minute, coldServer("a"), false) {
 			holders++
 		}
@@ -76,19 +76,19 @@
 }
 
 func TestABoundTooSmallToShareIsNotUsed(t *testing.T) {
-	gate := NewColdGate(ColdConfig{Excess: 1, Extra: 0}, hostName(0))
-	gate.SetShares(0, sharesOf(1, upTo(1), oneRegion))
-	server := ColdServer{ID: "a", Region: "r", WarmRate: 2}
+	gate := NewSlowStartLimiter(SlowStartConfig{Excess: 1, Extra: 0}, hostName(0))
+	gate.SetQuotaMembers(0, sharesOf(1, upTo(1), oneRegion))
+	server := WarmingServer{ID: "a", Region: "r", WarmRate: 2}
 	require.False(t, gate.Allows(time.Minute, server, true))
 	_, ok := gate.Wait(time.Minute, server)
 	require.False(t, ok)
 }
 
 func TestSparePlacesWaitUntilTheMembersAreSettled(t *testing.T) {
-	var spare *ColdGate
+	var spare *SlowStartLimiter
 	for i := range 9 {
-		gate := NewColdGate(coldConfig, hostName(i))
-		gate.SetShares(time.Minute, sharesOf(9, upTo(9), oneRegion))
+		gate := NewSlowStartLimiter(coldConfig, hostName(i))
+		gate.SetQuotaMembers(time.Minute, sharesOf(9, upTo(9), oneRegion))
 		early := gate.Allows(time.Minute+settled-1, coldServer("a"), true)
 		if late := gate.Allows(time.Minute+settled, coldServer("a"), true); late && !early {
 			spare = gate
@@ -96,15 +96,15 @@
 	}
 	require.NotNil(t, spare)
 	again := time.Minute + settled
-	spare.SetShares(again, sharesOf(9, upTo(9), oneRegion))
+	spare.SetQuotaMembers(again, sharesOf(9, upTo(9), oneRegion))
 	require.True(t, spare.Allows(again, coldServer("a"), true), "the same members are no change")
-	spare.SetShares(again, sharesOf(10, upTo(10), oneRegion))
+	spare.SetQuotaMembers(again, sharesOf(10, upTo(10), oneRegion))
 	require.False(t, spare.Allows(again, coldServer("a"), true))
 }
 
 func TestAccountsAreBounded(t *testing.T) {
-	gate := NewColdGate(coldConfig, hostName(0))
-	gate.SetShares(0, sharesOf(1, upTo(1), oneRegion))
+	gate := NewSlowStartLimiter(coldConfig, hostName(0))
+	gate.SetQuotaMembers(0, sharesOf(1, upTo(1), oneRegion))
 	for i := range mostBuckets {
 		server := coldServer(hostName(i))
 		require.True(t, gate.Allows(time.Minute, server, false))
@@ -120,7 +120,7 @@
 func TestTheSumToAColdServerStaysUnderTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 40).Draw(t, "proxies")
-		config := ColdConfig{
+		config := SlowStartConfig{
 			Excess: rapid.Float64Range(1, 3).Draw(t, "excess"),
 			Extra:  rapid.Float64Range(0, 10).Draw(t, "extra"),
 		}
@@ -167,20 +167,20 @@
 	})
 }
 
-func requireCold(t *rapid.T, config ColdConfig, server ColdServer, proxies int, seed uint64, last bool,
+func requireCold(t *rapid.T, config SlowStartConfig, server WarmingServer, proxies int, seed uint64, last bool,
 	view func(proxy int, now time.Duration) []int,
 ) {
 	random := rand.New(rand.NewPCG(seed, 2))
-	gates := make([]*ColdGate, proxies)
+	gates := make([]*SlowStartLimiter, proxies)
 	for i := range gates {
-		gates[i] = NewColdGate(config, hostName(i))
+		gates[i] = NewSlowStartLimiter(config, hostName(i))
 	}
 	var sent []time.Duration
 	const tick = 20 * time.Millisecond
 	for now := time.Duration(0); now < 15*time.Second; now += tick {
 		for i, gate := range gates {
 			if now%time.Second == 0 {
-				gate.SetShares(now, sharesOf(proxies, view(i, now), oneRegion))
+				gate.SetQuotaMembers(now, sharesOf(proxies, view(i, now), oneRegion))
 			}
 			for gate.known(now) && random.Float64() < 0.3 && gate.Allows(now, server, last) {
 				gate.Take(now, server)
--- a/internal/limits/retry.go
+++ b/internal/limits/retry.go
@@ -35,14 +35,14 @@
 	services map[string]*counts
 }
 
-// NewRetryBudget makes the budget of the proxy on a host. Until SetShares, it has no part of the extra.
+// NewRetryBudget makes the budget of the proxy on a host. Until SetQuotaMembers, it has no part of the extra.
 func NewRetryBudget(config RetryConfig, host string) *RetryBudget {
 	config.Window = max(config.Window, 2*bucketWidth)
 	return &RetryBudget{config: config, host: host, services: map[string]*counts{}}
 }
 
-// SetShares takes in which proxies share the bound.
-func (b *RetryBudget) SetShares(shares *pb.Shares) {
+// SetQuotaMembers takes in which proxies share the bound.
+func (b *RetryBudget) SetQuotaMembers(shares *pb.Shares) {
 	b.members = membersOf(shares)
 	b.proxies = 0
 	if known(shares, b.members) {
@@ -67,8 +67,8 @@
 	return true
 }
 
-// GiveBack takes back a retry that was allowed within the last window, because it was not sent.
-func (b *RetryBudget) GiveBack(now time.Duration, service string) {
+// Refund takes back a retry that was allowed within the last window, because it was not sent.
+func (b *RetryBudget) Refund(now time.Duration, service string) {
 	c := b.counts(now, service)
 	if c == nil {
 		return
--- a/internal/limits/retry_test.go
+++ b/internal/limits/retry_test.go
@@ -48,7 +48,7 @@
 	}
 	require.InDelta(t, 13, allowed, 2) // 0.2 x 0.9 x 0.75 of 99
 	require.Zero(t, budget.Left(now, "s"))
-	budget.GiveBack(now, "s")
+	budget.Refund(now, "s")
 	require.Equal(t, 1, budget.Left(now, "s"))
 }
 
@@ -57,7 +57,7 @@
 		total := 0
 		for i := range proxies {
 			budget := NewRetryBudget(pageConfig, hostName(i))
-			budget.SetShares(sharesOf(proxies, upTo(proxies), oneRegion))
+			budget.SetQuotaMembers(sharesOf(proxies, upTo(proxies), oneRegion))
 			for budget.Take(pageConfig.Window, "s") {
 				total++
 			}
@@ -69,14 +69,14 @@
 
 func TestAFreshProcessHasLittleOfTheExtra(t *testing.T) {
 	budget := NewRetryBudget(pageConfig, hostName(0))
-	budget.SetShares(sharesOf(2, upTo(2), oneRegion))
+	budget.SetQuotaMembers(sharesOf(2, upTo(2), oneRegion))
 	require.Equal(t, 5, budget.Left(time.Second, "s"))
 	require.Equal(t, 21, budget.Left(pageConfig.Window, "s"))
 }
 
 func TestTheBudgetFollowsTheWindow(t *testing.T) {
 	budget := NewRetryBudget(pageConfig, hostName(0))
-	budget.SetShares(sharesOf(7, upTo(7), oneRegion))
+	budget.SetQuotaMembers(sharesOf(7, upTo(7), oneRegion))
 	for budget.Take(11*time.Second, "s") {
 	}
 	require.False(t, budget.Take(20900*time.Millisecond, "s"))
@@ -86,7 +86,7 @@
 
 func TestServicesAreBounded(t *testing.T) {
 	budget := NewRetryBudget(pageConfig, hostName(0))
-	budget.SetShares(sharesOf(1, upTo(1), oneRegion))
+	budget.SetQuotaMembers(sharesOf(1, upTo(1), oneRegion))
 	for i := range 3 * maxServices {
 		budget.Request(time.Second, fmt.Sprint("s", i))
 	}
@@ -117,7 +117,7 @@
 				}
 			}
 			shares[i] = sharesOf(proxies, members, oneRegion)
-			budgets[i].SetShares(shares[i])
+			budgets[i].SetQuotaMembers(shares[i])
 		}
 		const tick = 50 * time.Millisecond
 		const ticks = 1000
@@ -131,7 +131,7 @@
 			for i, budget := range budgets {
 				if at == restart {
 					budget = NewRetryBudget(config, hostName(i))
-					budget.SetShares(shares[i])
+					budget.SetQuotaMembers(shares[i])
 					budgets[i] = budget
 				}
 				if (at/clump)%2 == 0 && random.Float64() < rate/2 {
--- a/internal/limits/version.go
+++ b/internal/limits/version.go
@@ -2,9 +2,9 @@
 
 import pb "fieldrelay/api/fieldrelay/v1"
 
-// Outdated tells whether shares that are told now were followed by those held already. Only those of one agent process
+// IsOutdated tells whether shares that are told now were followed by those held already. Only those of one agent process
 // have an order: the time of day may jump between two of them.
-func Outdated(told, held *pb.SharesVersion) bool {
+func IsOutdated(told, held *pb.SharesVersion) bool {
 	if told == nil || held == nil || told.GetAgent() != held.GetAgent() {
 		return false
 	}
--- a/internal/limits/version_test.go
+++ b/internal/limits/version_test.go
@@ -24,6 +24,6 @@
 		"the first":                {version(1, 1), nil, false},
 	}
 	for name, test := range tests {
-		require.Equal(t, test.outdated, Outdated(test.told, test.held), name)
+		require.Equal(t, test.outdated, IsOutdated(test.told, test.held), name)
 	}
 }
--- a/internal/placement/admit_test.go
+++ b/internal/placement/admit_test.go
@@ -49,7 +49,7 @@
 		}
 		return count
 	}
-	greetings, help := admitted(f.greeting(0)), admitted(f.request(routeHelp, Part{3, 568}, Part{4, 600}))
+	greetings, help := admitted(f.greeting(0)), admitted(f.request(routeHelp, PromptChunk{3, 568}, PromptChunk{4, 600}))
 	require.Equal(t, 1, greetings, "the trickle")
 	require.Equal(t, 50, help)
 
@@ -72,7 +72,7 @@
 		f.now += 100 * time.Millisecond
 		for name, request := range map[string]*Request{
 			routeGreeting: f.greeting(0),
-			routeHelp:     f.request(routeHelp, Part{3, 568}, Part{4, 1800}),
+			routeHelp:     f.request(routeHelp, PromptChunk{3, 568}, PromptChunk{4, 1800}),
 			routeSummary:  f.summary(1, 1),
 		} {
 			if f.p.Admit(f.now, request) == nil {
--- a/internal/placement/announce.go
+++ b/internal/placement/announce.go
@@ -80,8 +80,8 @@
 	at     time.Duration
 }
 
-// Announced takes in what another proxy of the region has sent to a server.
-func (p *Placer) Announced(now time.Duration, told Announcement) {
+// AnnouncementReceived takes in what another proxy of the region has sent to a server.
+func (p *Placer) AnnouncementReceived(now time.Duration, told Announcement) {
 	known := p.byKey[told.Server]
 	if known == nil || told.Tokens <= 0 || p.off(policy.Announcements) {
 		return
--- a/internal/placement/announce_test.go
+++ b/internal/placement/announce_test.go
@@ -21,7 +21,7 @@
 func TestWhatOthersSentIsKeptThere(t *testing.T) {
 	first, second := newFixture(t, 0, westAndEast()), newFixture(t, 1, westAndEast())
 	told := first.pick(first.summary(1, 1)).Announce
-	second.p.Announced(second.now, told)
+	second.p.AnnouncementReceived(second.now, told)
 	second.now += 10 * time.Second
 	again := second.pick(second.summary(1, 2))
 	require.Equal(t, told.Server, ServerKey(again.ServerID), "both draw the same home")
@@ -35,7 +35,7 @@
 	f.now += 20 * time.Second
 	require.Equal(t, home, f.pick(f.summary(1, 2)).ServerID)
 	f.now += 20 * time.Second
-	f.p.Announced(f.now, Announcement{Server: ServerKey(home), Prompt: 7, Tokens: 60_000})
+	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(home), Prompt: 7, Tokens: 60_000})
 	require.NotEqual(t, home, f.pick(f.greeting(9999)).ServerID)
 	away := f.pick(f.summary(1, 3))
 	require.NotEqual(t, home, away.ServerID)
@@ -47,12 +47,12 @@
 	f := newFixture(t, 0, westAndEast())
 	id := f.list[0].GetId()
 	for i := range 3 * maxHeard {
-		f.p.Announced(f.now, Announcement{Server: ServerKey(id), Prompt: uint32(i), Tokens: 1 << 30})
+		f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(id), Prompt: uint32(i), Tokens: 1 << 30})
 		require.LessOrEqual(t, len(f.p.heard), maxHeard)
 	}
 	require.LessOrEqual(t, f.p.servers[id].busy(f.now), longestBusy)
-	f.p.Announced(f.now, Announcement{Server: ServerKey("unknown"), Prompt: 1, Tokens: 5000})
-	f.p.Announced(f.now, Announcement{Server: ServerKey(id), Prompt: 1, Tokens: -5})
+	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey("unknown"), Prompt: 1, Tokens: 5000})
+	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(id), Prompt: 1, Tokens: -5})
 	require.Equal(t, uint64(3*maxHeard), f.p.Stats().Announced)
 }
 
@@ -61,13 +61,13 @@
 	f.p.config.Off = policy.Without(policy.Announcements)
 	require.Zero(t, f.pick(f.summary(1, 1)).Announce)
 	id := f.list[0].GetId()
-	f.p.Announced(f.now, Announcement{Server: ServerKey(id), Prompt: 1, Tokens: 50_000})
+	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(id), Prompt: 1, Tokens: 50_000})
 	require.Zero(t, f.p.servers[id].busy(f.now))
 }
 
 func TestAServerThatIsGoneIsNotRemembered(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
-	f.p.Announced(f.now, Announcement{Server: ServerKey(f.list[0].GetId()), Prompt: 1, Tokens: 5000})
+	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(f.list[0].GetId()), Prompt: 1, Tokens: 5000})
 	f.list = f.list[1:]
 	f.relist()
 	require.Empty(t, f.p.heard)
@@ -77,7 +77,7 @@
 	f := newFixture(t, 0, westAndEast())
 	for _, entry := range f.list {
 		if regions[entry.GetZone()] == west && entry.GetId() != f.list[0].GetId() {
-			f.p.Announced(f.now, Announcement{Server: ServerKey(entry.GetId()), Prompt: 1, Tokens: 40_000})
+			f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(entry.GetId()), Prompt: 1, Tokens: 40_000})
 		}
 	}
 	for i := range 5 { // the one that is free is seeded, and gets the others as well
--- a/internal/placement/api.go
+++ b/internal/placement/api.go
@@ -13,17 +13,17 @@
 
 // Config is what a Placer is told once.
 type Config struct {
-	Host    string            // of this machine
-	Zone    string            // of this machine
-	Regions map[string]string // region of each zone
-	Seed    uint64
-	Cold    limits.ColdConfig
-	Off     policy.Switches // mechanisms that are switched off
+	Host      string            // of this machine
+	Zone      string            // of this machine
+	Regions   map[string]string // region of each zone
+	Seed      uint64
+	SlowStart limits.SlowStartConfig
+	Off       policy.Switches // mechanisms that are switched off
 }
 
-// Part is one part of a prompt. Parts are shared between requests, but for the last one of a request, which
+// PromptChunk is one part of a prompt. Parts are shared between requests, but for the last one of a request, which
 // belongs to the request itself or to its session.
-type Part struct {
+type PromptChunk struct {
 	ID     uint64 // hash of the part's name
 	Tokens int
 }
@@ -33,7 +33,7 @@
 	Route     *route.Route
 	Service   string        // picked from the route's split
 	Model     string        // X-Fieldrelay-Model
-	Parts     []Part        // X-Fieldrelay-Prompt-Prefix, in order
+	Chunks    []PromptChunk // X-Fieldrelay-Prompt-Prefix, in order
 	Prompt    int           // tokens of the whole prompt (X-Fieldrelay-Token-Count, first figure); 0: not told
 	Generate  int           // most tokens that it generates (second figure); 0: not told
 	Arrived   time.Duration // when the client's request was read
@@ -53,7 +53,7 @@
 	Zone           string
 	Region         string
 	Expected       time.Duration // predicted time to the first event or byte
-	ToRead         int           // tokens of the prompt that the server is expected to have to read
+	PrefillTokens  int           // tokens of the prompt that the server is expected to have to read
 	Announce       Announcement  // what the other proxies of the region are to be told once it is sent
 	MaxConnections int           // most connections that this proxy may have open to the server
 }
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -27,7 +27,7 @@
 	standingEvacuated: ReasonEvacuated,
 	standingAway:      ReasonHome,
 	standingExcluded:  ReasonExcluded,
-	standingCold:      ReasonCold,
+	standingCold:      ReasonWarmingUp,
 	standingFull:      ReasonFull,
 	standingResting:   ReasonNone,
 	standingReady:     ReasonNone,
@@ -101,8 +101,8 @@
 }
 
 // asCold describes the server to the gate.
-func (s *server) asCold() limits.ColdServer {
-	return limits.ColdServer{ID: s.id, Region: s.region, WarmRate: s.service.config.WarmRate}
+func (s *server) asCold() limits.WarmingServer {
+	return limits.WarmingServer{ID: s.id, Region: s.region, WarmRate: s.service.config.WarmRate}
 }
 
 // gather sorts the servers of a service by their standing, and tells the farthest.
@@ -168,7 +168,7 @@
 // retryAfter is when it is worth asking again after no server was found.
 func (p *Placer) retryAfter(now time.Duration, reason Reason) time.Duration {
 	switch reason {
-	case ReasonCold:
+	case ReasonWarmingUp:
 		return p.coldWait(now)
 	case ReasonFull:
 		return retryFull
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -9,7 +9,7 @@
 // homeOf is the home of a prompt among servers: the first, in the order of rendezvous hashing by its shared parts.
 // Every proxy of the region sends such prompts there, where they are kept. It is nil for a prompt without parts.
 func (p *Placer) homeOf(q *prompt, servers []*server) *server {
-	if p.off(policy.PromptHomes) || len(q.chains) == 0 {
+	if p.off(policy.PromptAffinity) || len(q.chains) == 0 {
 		return nil
 	}
 	var home *server
--- a/internal/placement/design_test.go
+++ b/internal/placement/design_test.go
@@ -140,7 +140,7 @@
 	lastTry := func() *Request {
 		request := f.request(routeBalance)
 		once := *request.Route
-		once.Tries = 1
+		once.MaxAttempts = 1
 		request.Route = &once
 		return request
 	}
--- a/internal/placement/digest_test.go
+++ b/internal/placement/digest_test.go
@@ -57,7 +57,7 @@
 
 func recordPick(recorder *digesttest.Recorder, now time.Duration, proxy int, to Decision) {
 	recorder.Entry(now, "pick").Number(uint64(proxy)).Number(uint64(to.Attempt)).Text(to.ServerID).Text(to.Address).
-		Text(to.Zone).Text(to.Region).Time(to.Expected).Number(uint64(to.ToRead)).Number(uint64(to.MaxConnections)).
+		Text(to.Zone).Text(to.Region).Time(to.Expected).Number(uint64(to.PrefillTokens)).Number(uint64(to.MaxConnections)).
 		Number(uint64(to.Announce.Server)).Number(uint64(to.Announce.Prompt)).Number(uint64(to.Announce.Tokens))
 }
 
@@ -84,7 +84,7 @@
 		return "home"
 	case ReasonExcluded:
 		return "excluded"
-	case ReasonCold:
+	case ReasonWarmingUp:
 		return "cold"
 	case ReasonFull:
 		return "full"
@@ -147,7 +147,7 @@
 
 func (w *world) pickSeeded(t *testing.T, recorder *digesttest.Recorder, random *rand.Rand) (AttemptID, bool) {
 	routes := []string{routeSummary, routeHelp, routeGreeting, routeEast, routeBalance}
-	request := w.request(routes[random.IntN(len(routes))], Part{1, 800}, Part{uint64(random.IntN(10)), 5000}, Part{7, 1000})
+	request := w.request(routes[random.IntN(len(routes))], PromptChunk{1, 800}, PromptChunk{uint64(random.IntN(10)), 5000}, PromptChunk{7, 1000})
 	if len(w.list) > 0 && random.IntN(3) == 0 {
 		request.Excluded = []string{w.list[random.IntN(len(w.list))].GetId()}
 	}
--- a/internal/placement/engine_test.go
+++ b/internal/placement/engine_test.go
@@ -71,7 +71,7 @@
 			request = f.summary(i%7, i)
 		}
 		decision := f.pick(request)
-		f.now += engineBase + time.Duration(decision.ToRead)*perToken
+		f.now += engineBase + time.Duration(decision.PrefillTokens)*perToken
 		f.p.Started(f.now, decision.Attempt)
 		f.p.Finished(f.now, decision.Attempt, Done)
 		f.p.RequestDone(f.now, request, true, f.now-request.Arrived)
@@ -88,7 +88,7 @@
 
 func TestReadingTimesStayAsGuessedWhereThatIsSwitchedOff(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
-	f.p.config.Off = policy.Without(policy.ReadingSpeed)
+	f.p.config.Off = policy.Without(policy.PrefillRate)
 	f.warm()
 	alternate(f, 60*time.Microsecond, 200)
 	require.Equal(t, firstPerToken, f.p.services[modelService].engine.perToken)
--- a/internal/placement/errors.go
+++ b/internal/placement/errors.go
@@ -14,7 +14,7 @@
 	ReasonEvacuated               // those left are in evacuated zones
 	ReasonHome                    // those left are outside the route's home regions
 	ReasonExcluded                // those left had the request already
-	ReasonCold                    // those left are cold and this proxy's share of them is used up
+	ReasonWarmingUp               // those left are cold and this proxy's share of them is used up
 	ReasonFull                    // those left have all connections or places in use that this proxy may take
 )
 
--- a/internal/placement/fixture_test.go
+++ b/internal/placement/fixture_test.go
@@ -86,10 +86,10 @@
 	f := &fixture{t: t, table: testTable(t), now: time.Minute, list: servers}
 	f.p = New(Config{
 		Host: hostName(host), Zone: zoneA, Regions: regions, Seed: uint64(host) + 1,
-		Cold: limits.ColdConfig{Excess: 1.5, Extra: 5},
+		SlowStart: limits.SlowStartConfig{Excess: 1.5, Extra: 5},
 	})
 	f.p.SetTable(f.now, f.table)
-	f.p.SetShares(0, testShares())
+	f.p.SetQuotaMembers(0, testShares())
 	f.relist()
 	return f
 }
@@ -118,7 +118,7 @@
 	return servers
 }
 
-func (f *fixture) request(routeName string, parts ...Part) *Request {
+func (f *fixture) request(routeName string, parts ...PromptChunk) *Request {
 	found, ok := f.table.Route(routeName)
 	require.True(f.t, ok)
 	tokens := 0
@@ -126,19 +126,19 @@
 		tokens += part.Tokens
 	}
 	return &Request{
-		Route: found, Service: found.Split[0].Service, Model: "m", Parts: parts, Prompt: tokens,
+		Route: found, Service: found.Split[0].Service, Model: "m", Chunks: parts, Prompt: tokens,
 		Arrived: f.now, Remaining: found.Deadline,
 	}
 }
 
 // summary is a request with a long shared part of a subject.
 func (f *fixture) summary(subject, own int) *Request {
-	return f.request(routeSummary, Part{ID: 1, Tokens: 800}, Part{ID: 100 + uint64(subject), Tokens: 5500},
-		Part{ID: 10_000 + uint64(own), Tokens: 2890})
+	return f.request(routeSummary, PromptChunk{ID: 1, Tokens: 800}, PromptChunk{ID: 100 + uint64(subject), Tokens: 5500},
+		PromptChunk{ID: 10_000 + uint64(own), Tokens: 2890})
 }
 
 func (f *fixture) greeting(own int) *Request {
-	return f.request(routeGreeting, Part{ID: 2, Tokens: 172}, Part{ID: 20_000 + uint64(own), Tokens: 543})
+	return f.request(routeGreeting, PromptChunk{ID: 2, Tokens: 172}, PromptChunk{ID: 20_000 + uint64(own), Tokens: 543})
 }
 
 func (f *fixture) pick(request *Request) Decision {
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -53,7 +53,7 @@
 // learns nothing: then they tell of what waits at the servers.
 func (p *Placer) learnReading(a *attempt, latency time.Duration) {
 	owner := a.server.service
-	if !a.alone || !owner.model() || owner.slack.Share < admitSlack || p.off(policy.ReadingSpeed) {
+	if !a.alone || !owner.model() || owner.slack.Share < admitSlack || p.off(policy.PrefillRate) {
 		return
 	}
 	owner.engine.learn(a.sentAt+latency, a.toRead, latency)
@@ -141,7 +141,7 @@
 // refused takes in that a server was full: speed zero, but no failure.
 func (p *Placer) refused(now time.Duration, a *attempt) {
 	a.zero(now)
-	if !p.off(policy.RefusalRest) {
+	if !p.off(policy.RejectionCooldown) {
 		a.server.avoidUntil = max(a.server.avoidUntil, now+fullFor)
 	}
 	a.server.service.fullAt = now
