--- a/internal/fleetsim/quota.go
+++ b/internal/fleetsim/quota.go
@@ -11,11 +11,10 @@
 type Sums struct {
 	Broken  []string
 	Looks   int
-	Most    quota.Unit    // the greatest sum
-	Used    float64       // of the limit, the mean over time of what demand could be served
-	Static  float64       // likewise, by an even split of the limit
-	CutOff  int           // looks at which somebody that runs held no lease
-	weight  time.Duration // looked at
+	Most    quota.Unit // the greatest sum
+	Used    float64    // of the limit, the mean over time of what demand could be served
+	Static  float64    // likewise, by an even split of the limit
+	CutOff  int        // looks at which somebody that runs held no lease
 	at      time.Duration
 	usedSum float64
 	evenSum float64
--- a/internal/fleetsim/quota_test.go
+++ b/internal/fleetsim/quota_test.go
@@ -1,7 +1,6 @@
 package fleetsim
 
 import (
-	"fmt"
 	"os"
 	"strconv"
 	"testing"
@@ -99,7 +98,7 @@
 		s := w.Sums(0, none)
 		s.at = w.Now()
 		w.Run(w.Now()+2*time.Minute, nil)
-		t.Log(fmt.Sprintf("%d members: %.3f of what could be served, %.3f by an even split", members, s.Used, s.Static))
+		t.Logf("%d members: %.3f of what could be served, %.3f by an even split", members, s.Used, s.Static)
 		if s.Used < 0.95 || len(s.Broken) > 0 {
 			t.Errorf("%d members: %.3f served, %q", members, s.Used, s.Broken)
 		}
--- a/internal/rig/client.go
+++ b/internal/rig/client.go
@@ -33,7 +33,7 @@
 	}
 	rng := rand.New(rand.NewPCG(r.opts.Seed, 0xc11e))
 	client := &fasthttp.Client{MaxConnsPerHost: mostOpen, ReadTimeout: budget + lastly, WriteTimeout: budget, NoDefaultUserAgentHeader: true,
-		RetryIf: func(*fasthttp.Request) bool { return false }, MaxIdemponentCallAttempts: 1,
+		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }, MaxIdemponentCallAttempts: 1,
 		Dial: func(addr string) (net.Conn, error) { return fasthttp.DialTimeout(addr, time.Second) }}
 	defer client.CloseIdleConnections()
 	var open sync.WaitGroup
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -201,7 +201,7 @@
 
 // write writes a sidecar's files.
 func (r *Rig) write(s *Sidecar) error {
-	known := fmt.Sprintf(`{"generation":0,"reset":true,"instances":[]}`)
+	known := `{"generation":0,"reset":true,"instances":[]}`
 	text := fmt.Sprintf(`{"name":%q,"listen":%q,"mgmt":%q,"discovery":%q,"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
 		s.Name, s.Front, s.Mgmt, r.links[linkID{s.Name, "discovery"}].Addr(), known, sidecarSettings)
 	if !json.Valid([]byte(text)) {
--- a/internal/store/bolt/bolt.go
+++ b/internal/store/bolt/bolt.go
@@ -14,6 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 
 	"fieldrelay/internal/store"
 )
@@ -73,9 +74,9 @@
 	s.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: max(o.Wait, time.Millisecond)})
 	switch {
 	case err == nil:
-	case errors.Is(err, bbolt.ErrTimeout):
+	case errors.Is(err, bbolterrors.ErrTimeout):
 		return found, fmt.Errorf("%s: %w", path, store.ErrBusy)
-	case errors.Is(err, bbolt.ErrInvalid), errors.Is(err, bbolt.ErrChecksum), errors.Is(err, bbolt.ErrVersionMismatch):
+	case errors.Is(err, bbolterrors.ErrInvalid), errors.Is(err, bbolterrors.ErrChecksum), errors.Is(err, bbolterrors.ErrVersionMismatch):
 		return found, fmt.Errorf("%w: %v", store.ErrForm, err)
 	case errors.Is(err, os.ErrPermission):
 		return found, err
