--- a/internal/controlserver/answers_test.go
+++ b/internal/controlserver/answers_test.go
@@ -18,32 +18,32 @@
 		p, node := newTestProcess(t)
 		replace(t, node, 0, 7)
 		replace(t, node, 7, 9)
-		link := newLink(p.node, p.soft, "control-1", p.ending)
+		link := newLinkService(p.node, p.soft, "control-1", p.shuttingDown)
 		ask := func(alter func(*pb.WatchRequest)) *pb.WatchResponse {
 			request := current(p)
 			alter(request)
 			return watchWith(context.Background(), link, request).answer
 		}
-		counted := link.answers
+		counted := link.counters
 
 		whole := ask(func(request *pb.WatchRequest) { request.Sequence = 0 })
 		require.EqualValues(t, 1, counted.repairs.Load())
-		require.EqualValues(t, proto.Size(whole), counted.largest.Load())
+		require.EqualValues(t, proto.Size(whole), counted.largestBytes.Load())
 		part := ask(func(request *pb.WatchRequest) { request.Sequence = 1 })
 		require.Less(t, proto.Size(part), proto.Size(whole))
 		require.EqualValues(t, 1, counted.changes.Load())
-		require.EqualValues(t, proto.Size(whole), counted.largest.Load(), "the largest stays")
+		require.EqualValues(t, proto.Size(whole), counted.largestBytes.Load(), "the largest stays")
 
 		ask(func(request *pb.WatchRequest) { request.HoldMs = 0 })
-		require.EqualValues(t, 1, counted.nothing.Load())
+		require.EqualValues(t, 1, counted.unchanged.Load())
 		ask(func(request *pb.WatchRequest) { request.ViewNumber = 0 })
-		require.EqualValues(t, 1, counted.otherNews.Load())
+		require.EqualValues(t, 1, counted.otherUpdates.Load())
 		ask(func(request *pb.WatchRequest) { request.Probe = true })
 		require.EqualValues(t, 1, counted.probes.Load())
 
 		node.forgetHistory()
 		ask(func(request *pb.WatchRequest) { request.Sequence = 1 })
-		require.EqualValues(t, 1, counted.digestsWanted.Load())
+		require.EqualValues(t, 1, counted.digestsRequested.Load())
 		ask(func(request *pb.WatchRequest) {
 			request.Sequence = 1
 			request.Digests = catalog.Empty().Digests()
@@ -56,17 +56,17 @@
 func TestCallsWithoutAnAnswerAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
-		link := newLink(p.node, p.soft, "control-1", p.ending)
+		link := newLinkService(p.node, p.soft, "control-1", p.shuttingDown)
 		ctx, leave := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer leave()
 		require.Error(t, watchWith(ctx, link, current(p)).err)
-		require.EqualValues(t, 1, link.answers.callerLeft.Load())
+		require.EqualValues(t, 1, link.counters.canceled.Load())
 
 		require.Error(t, watchWith(t.Context(), link, &pb.WatchRequest{}).err)
-		require.EqualValues(t, 1, link.answers.refused.Load())
-		close(p.ending)
+		require.EqualValues(t, 1, link.counters.rejected.Load())
+		close(p.shuttingDown)
 		require.Error(t, watchWith(t.Context(), link, current(p)).err)
-		require.EqualValues(t, 2, link.answers.refused.Load())
-		require.Zero(t, link.answers.nothing.Load())
+		require.EqualValues(t, 2, link.counters.rejected.Load())
+		require.Zero(t, link.counters.unchanged.Load())
 	})
 }
--- a/internal/controlserver/fake_test.go
+++ b/internal/controlserver/fake_test.go
@@ -178,7 +178,7 @@
 // newTestProcess returns a process with a fake node that reads no settings file.
 func newTestProcess(t *testing.T) (*process, *fakeNode) {
 	t.Helper()
-	p := newProcess(newSettingsWatch("", testSettings(), zap.NewNop()), zap.NewNop(), 1)
+	p := newProcess(newSettingsWatcher("", testSettings(), zap.NewNop()), zap.NewNop(), 1)
 	node := newFakeNode()
 	p.attach(node)
 	t.Cleanup(p.stopPolls)
--- a/internal/controlserver/found_test.go
+++ b/internal/controlserver/found_test.go
@@ -28,7 +28,7 @@
 // ends with the function returned.
 func start(t *testing.T, own *settings.Settings) (address string, end func()) {
 	t.Helper()
-	p := newProcess(newSettingsWatch("", own, zap.NewNop()), zap.NewNop(), 1)
+	p := newProcess(newSettingsWatcher("", own, zap.NewNop()), zap.NewNop(), 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	node, err := p.startNode(ctx)
 	require.NoError(t, err)
--- a/internal/controlserver/lateness.go
+++ b/internal/controlserver/lateness.go
@@ -9,36 +9,36 @@
 	"fieldrelay/internal/settings"
 )
 
-// NoteCommitted tells the lateness of the newest state that is committed here. It is cheap for one that is known.
-func (s *softState) NoteCommitted(committed *catalog.Snapshot) {
-	if committed == nil || committed.Sequence() <= s.committed.Load() {
+// ObserveCommitted tells the lateness of the newest state that is committed here. It is cheap for one that is known.
+func (s *softState) ObserveCommitted(committed *catalog.Snapshot) {
+	if committed == nil || committed.Sequence() <= s.observedSequence.Load() {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.lateness.Committed(s.now(), committed.Sequence())
-	s.committed.Store(max(s.committed.Load(), committed.Sequence()))
+	s.lagMonitor.Committed(s.now(), committed.Sequence())
+	s.observedSequence.Store(max(s.observedSequence.Load(), committed.Sequence()))
 }
 
-// SetLatenessBounds tells the lateness what bounds hold, and whether this machine holds the agreed state.
-func (s *softState) SetLatenessBounds(bounds registry.LagBounds, authoritative bool) {
+// SetLagBounds tells the lateness what bounds hold, and whether this machine holds the agreed state.
+func (s *softState) SetLagBounds(bounds registry.LagBounds, authoritative bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.lateness.SetBounds(bounds)
+	s.lagMonitor.SetBounds(bounds)
 	if !authoritative {
-		s.lateness.SuspendBounds(s.now())
+		s.lagMonitor.SuspendBounds(s.now())
 	}
 }
 
-// Lateness summarises which agents are behind.
-func (s *softState) Lateness() registry.LagStats {
+// LagStats summarises which agents are behind.
+func (s *softState) LagStats() registry.LagStats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.lateness.Stats(s.now())
+	return s.lagMonitor.Stats(s.now())
 }
 
-// latenessBounds are the bounds of the settings.
-func latenessBounds(bounds settings.Bounds) registry.LagBounds {
+// lagBounds are the bounds of the settings.
+func lagBounds(bounds settings.Bounds) registry.LagBounds {
 	return registry.LagBounds{
 		Contact: bounds.ContactFor(),
 		Apply:   bounds.ApplyWithin(),
@@ -46,8 +46,8 @@
 	}
 }
 
-// logLateness writes a line for an event of the lateness.
-func (p *process) logLateness(action registry.Action) {
+// logLagEvent writes a line for an event of the lateness.
+func (p *process) logLagEvent(action registry.Action) {
 	switch event := action.(type) {
 	case registry.AgentLagging:
 		p.logger.Warn("agent late",
@@ -72,8 +72,8 @@
 	}
 }
 
-// latenessFields are the figures for the counters' line.
-func latenessFields(figures registry.LagStats) []zap.Field {
+// lagFields are the figures for the counters' line.
+func lagFields(figures registry.LagStats) []zap.Field {
 	return []zap.Field{
 		zap.Int("agents_behind", figures.Behind),
 		zap.Duration("oldest_lag", figures.Oldest),
@@ -82,11 +82,11 @@
 	}
 }
 
-// latenessStatus is what people on call are told.
-func latenessStatus(figures registry.LagStats) *pb.LatenessStatus {
+// lagStatus is what people on call are told.
+func lagStatus(figures registry.LagStats) *pb.LatenessStatus {
 	return &pb.LatenessStatus{
 		AgentsBehind: uint32(figures.Behind),
-		OldestLagMs:  wholeMilliseconds(figures.Oldest),
+		OldestLagMs:  milliseconds(figures.Oldest),
 		OldestHost:   figures.OldestHost,
 		LateProxies:  figures.Violations,
 	}
--- a/internal/controlserver/lateness_test.go
+++ b/internal/controlserver/lateness_test.go
@@ -32,7 +32,7 @@
 		pass(p, step)
 		record := testAgent("edge-1")
 		record.Sequence = sequence
-		p.soft.Heard(record, nil)
+		p.soft.ObserveAgent(record, nil)
 	}
 }
 
@@ -40,11 +40,11 @@
 	p, node, logs := observedProcess(t)
 	replace(t, node, 0, 7)
 	passHearing(p, 2*time.Second, 1)
-	require.Zero(t, p.soft.Lateness().Behind)
+	require.Zero(t, p.soft.LagStats().Behind)
 
 	replace(t, node, 7, 9)
 	passHearing(p, 2*time.Second, 1)
-	figures := p.soft.Lateness()
+	figures := p.soft.LagStats()
 	require.Equal(t, 1, figures.Behind)
 	require.Equal(t, "edge-1", figures.OldestHost)
 	require.Zero(t, figures.Violations)
@@ -64,7 +64,7 @@
 
 	passHearing(p, 500*time.Millisecond, 2)
 	require.Len(t, logs.FilterMessage("agent late no more").All(), 1)
-	require.Zero(t, p.soft.Lateness().Behind)
+	require.Zero(t, p.soft.LagStats().Behind)
 	p.logCounters()
 	counted := logs.FilterMessage("counters").All()
 	require.Len(t, counted, 1)
@@ -82,10 +82,10 @@
 	request := current(p)
 	request.Sequence = 0
 	require.NoError(t, watch(p, request).err)
-	require.EqualValues(t, 1, p.soft.committed.Load(), "before the next tick")
-	p.soft.NoteCommitted(nil)
-	p.soft.NoteCommitted(node.Status().Committed)
-	require.EqualValues(t, 1, p.soft.committed.Load())
+	require.EqualValues(t, 1, p.soft.observedSequence.Load(), "before the next tick")
+	p.soft.ObserveCommitted(nil)
+	p.soft.ObserveCommitted(node.Status().Committed)
+	require.EqualValues(t, 1, p.soft.observedSequence.Load())
 }
 
 func TestMachineOutOfTouchJudgesMoreMildly(t *testing.T) {
@@ -95,7 +95,7 @@
 	replace(t, node, 7, 9)
 	node.alter(func(status *control.Status) { status.Authoritative = false })
 	passHearing(p, 4*time.Second, 1)
-	figures := p.soft.Lateness()
+	figures := p.soft.LagStats()
 	require.Equal(t, 1, figures.Behind)
 	require.Greater(t, figures.Oldest, p.settings.Current().Bounds.ApplyWithin())
 	require.Zero(t, figures.Violations)
--- a/internal/controlserver/link.go
+++ b/internal/controlserver/link.go
@@ -13,80 +13,80 @@
 )
 
 const (
-	// longestHold bounds the time for which an agent's call is held without news.
-	longestHold = time.Second
+	// maxWatchWait bounds the time for which an agent's call is held without news.
+	maxWatchWait = time.Second
 
-	// maxWatches bounds the agents that wait at this machine.
-	maxWatches = 1024
+	// maxConcurrentWatches bounds the agents that wait at this machine.
+	maxConcurrentWatches = 1024
 )
 
-// EndingError refuses a call because this process is ending.
-type EndingError struct{}
+// ShuttingDownError refuses a call because this process is ending.
+type ShuttingDownError struct{}
 
-func (*EndingError) Error() string { return "this control machine is ending" }
+func (*ShuttingDownError) Error() string { return "this control machine is ending" }
 
 // TooManyWatchesError refuses a call because as many agents as allowed wait already.
 type TooManyWatchesError struct{}
 
 func (*TooManyWatchesError) Error() string { return "too many agents wait at this control machine" }
 
-// NoAgentError refuses a call that does not name its agent.
-type NoAgentError struct{}
+// AgentMissingError refuses a call that does not name its agent.
+type AgentMissingError struct{}
 
-func (*NoAgentError) Error() string { return "the call names no agent" }
+func (*AgentMissingError) Error() string { return "the call names no agent" }
 
 // link serves the agents.
-type link struct {
-	node    Node
-	soft    *softState
-	host    string // of this machine
-	ending  <-chan struct{}
-	watches chan struct{} // one token for each call under way
-	packer  packing.Packer
-	answers *answerCounters
+type linkService struct {
+	node         Node
+	soft         *softState
+	host         string // of this machine
+	shuttingDown <-chan struct{}
+	watchSlots   chan struct{} // one token for each call under way
+	packer       packing.Packer
+	counters     *watchCounters
 }
 
-func newLink(node Node, soft *softState, host string, ending <-chan struct{}) *link {
-	return &link{
-		node:    node,
-		soft:    soft,
-		host:    host,
-		ending:  ending,
-		watches: make(chan struct{}, maxWatches),
-		answers: &answerCounters{},
+func newLinkService(node Node, soft *softState, host string, ending <-chan struct{}) *linkService {
+	return &linkService{
+		node:         node,
+		soft:         soft,
+		host:         host,
+		shuttingDown: ending,
+		watchSlots:   make(chan struct{}, maxConcurrentWatches),
+		counters:     &watchCounters{},
 	}
 }
 
 // Watch registers the agent and answers when something is newer than what it holds, at the latest after the
 // hold that it asks for.
-func (l *link) Watch(ctx context.Context, request *connect.Request[pb.WatchRequest]) (*connect.Response[pb.WatchResponse], error) {
+func (l *linkService) Watch(ctx context.Context, request *connect.Request[pb.WatchRequest]) (*connect.Response[pb.WatchResponse], error) {
 	select {
-	case l.watches <- struct{}{}:
-		defer func() { <-l.watches }()
+	case l.watchSlots <- struct{}{}:
+		defer func() { <-l.watchSlots }()
 	default:
-		l.answers.refused.Add(1)
+		l.counters.rejected.Add(1)
 		return nil, connect.NewError(connect.CodeResourceExhausted, &TooManyWatchesError{})
 	}
 	held := request.Msg
 	if held.GetAgent().GetHost() == "" {
-		l.answers.refused.Add(1)
-		return nil, connect.NewError(connect.CodeInvalidArgument, &NoAgentError{})
+		l.counters.rejected.Add(1)
+		return nil, connect.NewError(connect.CodeInvalidArgument, &AgentMissingError{})
 	}
-	if l.isEnding() {
-		l.answers.refused.Add(1)
-		return nil, connect.NewError(connect.CodeUnavailable, &EndingError{})
+	if l.isShuttingDown() {
+		l.counters.rejected.Add(1)
+		return nil, connect.NewError(connect.CodeUnavailable, &ShuttingDownError{})
 	}
-	l.soft.Heard(held.GetAgent(), held.GetList())
+	l.soft.ObserveAgent(held.GetAgent(), held.GetList())
 	compose := l.compose
 	if held.GetProbe() {
 		compose = l.composeProbe
 	}
 	answer, err := l.await(ctx, held, compose)
 	if err != nil {
-		l.answers.callerLeft.Add(1)
+		l.counters.canceled.Add(1)
 		return nil, err
 	}
-	l.answers.count(held, answer)
+	l.counters.count(held, answer)
 	return connect.NewResponse(answer), nil
 }
 
@@ -94,8 +94,8 @@
 type composer func(held *pb.WatchRequest) (answer *pb.WatchResponse, news bool)
 
 // await composes answers until one holds news or the hold is over.
-func (l *link) await(ctx context.Context, held *pb.WatchRequest, compose composer) (*pb.WatchResponse, error) {
-	hold := time.NewTimer(min(time.Duration(held.GetHoldMs())*time.Millisecond, longestHold))
+func (l *linkService) await(ctx context.Context, held *pb.WatchRequest, compose composer) (*pb.WatchResponse, error) {
+	hold := time.NewTimer(min(time.Duration(held.GetHoldMs())*time.Millisecond, maxWatchWait))
 	defer hold.Stop()
 	authoritative := l.node.Status().Authoritative
 	for {
@@ -111,7 +111,7 @@
 		case <-hold.C:
 			answer, _ = compose(held) // with the ages of now
 			return answer, nil
-		case <-l.ending:
+		case <-l.shuttingDown:
 			return answer, nil
 		case <-ctx.Done():
 			return nil, connect.NewError(connect.CodeCanceled, ctx.Err())
@@ -119,9 +119,9 @@
 	}
 }
 
-func (l *link) isEnding() bool {
+func (l *linkService) isShuttingDown() bool {
 	select {
-	case <-l.ending:
+	case <-l.shuttingDown:
 		return true
 	default:
 		return false
@@ -129,7 +129,7 @@
 }
 
 // composeProbe answers an agent that asks which control machine to turn to.
-func (l *link) composeProbe(held *pb.WatchRequest) (*pb.WatchResponse, bool) {
+func (l *linkService) composeProbe(held *pb.WatchRequest) (*pb.WatchResponse, bool) {
 	status := l.node.Status()
 	answer := &pb.WatchResponse{Authoritative: status.Authoritative, MembersSource: l.host}
 	if status.Committed != nil {
@@ -143,11 +143,11 @@
 }
 
 // compose returns the answer as of now and whether it holds something that the agent does not.
-func (l *link) compose(held *pb.WatchRequest) (*pb.WatchResponse, bool) {
+func (l *linkService) compose(held *pb.WatchRequest) (*pb.WatchResponse, bool) {
 	status := l.node.Status()
-	l.soft.NoteCommitted(status.Committed)
+	l.soft.ObserveCommitted(status.Committed)
 	answer := &pb.WatchResponse{Authoritative: status.Authoritative, MembersSource: l.host}
-	if isFirst(held) && len(status.View.GetVoters()) > 0 {
+	if isFirstRequest(held) && len(status.View.GetVoters()) > 0 {
 		answer.View = status.View
 		if status.Committed != nil {
 			// The agent must not take the nothing that it holds for confirmed.
@@ -162,20 +162,20 @@
 		answer.View = status.View
 		news = true
 	}
-	picture := l.soft.Picture()
+	picture := l.soft.Snapshot()
 	news = l.addList(answer, held, picture.list) || news
 	news = l.addMembers(answer, held, picture) || news
 	return answer, news
 }
 
-// isFirst tells whether an agent knows nothing yet. It is told of the control machines before anything large: until one
+// isFirstRequest tells whether an agent knows nothing yet. It is told of the control machines before anything large: until one
 // has answered it probes the others, and gives the call up for the first of them that does.
-func isFirst(held *pb.WatchRequest) bool {
+func isFirstRequest(held *pb.WatchRequest) bool {
 	return held.GetViewNumber() == 0 && held.GetSequence() == 0
 }
 
 // addState adds what the agent's copy of the control state lacks.
-func (l *link) addState(answer *pb.WatchResponse, held *pb.WatchRequest, committed *catalog.Snapshot) bool {
+func (l *linkService) addState(answer *pb.WatchResponse, held *pb.WatchRequest, committed *catalog.Snapshot) bool {
 	if committed == nil {
 		return false
 	}
@@ -204,7 +204,7 @@
 }
 
 // addList adds the list of servers if it is newer than the agent's, else only how old its news is.
-func (l *link) addList(answer *pb.WatchResponse, held *pb.WatchRequest, list *registry.ServerList) bool {
+func (l *linkService) addList(answer *pb.WatchResponse, held *pb.WatchRequest, list *registry.ServerList) bool {
 	if list == nil {
 		return false
 	}
@@ -220,11 +220,11 @@
 }
 
 // addMembers adds the members if the agent holds another version of them.
-func (l *link) addMembers(answer *pb.WatchResponse, held *pb.WatchRequest, picture *softPicture) bool {
-	if !picture.settled {
+func (l *linkService) addMembers(answer *pb.WatchResponse, held *pb.WatchRequest, picture *softSnapshot) bool {
+	if !picture.converged {
 		return false
 	}
-	if held.GetMembersSource() == l.host && picture.knows(held.GetMembersVersion()) {
+	if held.GetMembersSource() == l.host && picture.isCurrent(held.GetMembersVersion()) {
 		return false
 	}
 	answer.Members = picture.members.Message(l.soft.now())
--- a/internal/controlserver/link_test.go
+++ b/internal/controlserver/link_test.go
@@ -24,10 +24,10 @@
 
 // watch calls Watch directly.
 func watch(p *process, request *pb.WatchRequest) watched {
-	return watchWith(context.Background(), newLink(p.node, p.soft, "control-1", p.ending), request)
+	return watchWith(context.Background(), newLinkService(p.node, p.soft, "control-1", p.shuttingDown), request)
 }
 
-func watchWith(ctx context.Context, link *link, request *pb.WatchRequest) watched {
+func watchWith(ctx context.Context, link *linkService, request *pb.WatchRequest) watched {
 	began := time.Now()
 	response, err := link.Watch(ctx, connect.NewRequest(request))
 	result := watched{err: err, took: time.Since(began)}
@@ -44,9 +44,9 @@
 		Agent:          testAgent("edge-1"),
 		Sequence:       status.Committed.Sequence(),
 		ViewNumber:     status.View.GetNumber(),
-		MembersVersion: p.soft.Picture().members.Version(),
+		MembersVersion: p.soft.Snapshot().members.Version(),
 		MembersSource:  "control-1",
-		List:           p.soft.Picture().list.Version(),
+		List:           p.soft.Snapshot().list.Version(),
 		HoldMs:         800,
 	}
 }
@@ -64,7 +64,7 @@
 
 		long := current(p)
 		long.HoldMs = 60000
-		require.Equal(t, longestHold, watch(p, long).took)
+		require.Equal(t, maxWatchWait, watch(p, long).took)
 		none := current(p)
 		none.HoldMs = 0
 		require.Zero(t, watch(p, none).took)
@@ -191,17 +191,17 @@
 		request.MembersSource = "control-9"
 		require.Nil(t, watch(p, request).answer.Members, "a list that may be short is not told")
 
-		pass(p, membersSettling)
-		p.soft.Heard(testAgent("edge-2"), nil)
+		pass(p, membersConvergenceTime)
+		p.soft.ObserveAgent(testAgent("edge-2"), nil)
 		p.tick()
 		got := watch(p, request)
 		require.Zero(t, got.took)
 		require.Len(t, got.answer.Members.Agents, 2)
 		require.Equal(t, "control-1", got.answer.MembersSource)
 
-		pass(p, membersPeriod)
+		pass(p, membersNotifyInterval)
 		request = current(p)
-		time.AfterFunc(100*time.Millisecond, func() { p.soft.Heard(testAgent("edge-3"), nil) })
+		time.AfterFunc(100*time.Millisecond, func() { p.soft.ObserveAgent(testAgent("edge-3"), nil) })
 		time.AfterFunc(250*time.Millisecond, p.tick)
 		got = watch(p, request)
 		require.Equal(t, 250*time.Millisecond, got.took, "members are told at the next tick")
@@ -213,20 +213,20 @@
 func TestMembersAreToldOnceASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
-		pass(p, membersSettling)
-		ticks := time.NewTicker(tickEvery)
+		pass(p, membersConvergenceTime)
+		ticks := time.NewTicker(tickInterval)
 		defer ticks.Stop()
 		ended := make(chan struct{})
 		go func() {
 			for index := range 12 {
 				<-ticks.C
-				p.soft.Heard(testAgent(fmt.Sprintf("edge-%d", index)), nil)
+				p.soft.ObserveAgent(testAgent(fmt.Sprintf("edge-%d", index)), nil)
 				p.tick()
 			}
 			close(ended)
 		}()
 		lists, request := 0, current(p)
-		for began := time.Now(); time.Since(began) < 12*tickEvery; {
+		for began := time.Now(); time.Since(began) < 12*tickInterval; {
 			answer := watch(p, request).answer
 			if answer.Members == nil {
 				continue
@@ -235,7 +235,7 @@
 			request.MembersSource, request.MembersVersion = answer.MembersSource, answer.Members.Version
 		}
 		<-ended
-		require.InDelta(t, 12*tickEvery/membersPeriod, lists, 1)
+		require.InDelta(t, 12*tickInterval/membersNotifyInterval, lists, 1)
 	})
 }
 
@@ -243,7 +243,7 @@
 func TestProbesFindTheMachineThatHoldsTheAgreedState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
-		pass(p, membersSettling)
+		pass(p, membersConvergenceTime)
 		replace(t, node, 0, 7)
 		probe := &pb.WatchRequest{Agent: testAgent("edge-1"), HoldMs: 800, Probe: true}
 		got := watch(p, probe)
@@ -253,7 +253,7 @@
 		require.Equal(t, uint64(1), got.answer.View.Number)
 		require.Nil(t, got.answer.Repair)
 		require.Nil(t, got.answer.Members)
-		require.Equal(t, 1, p.soft.Picture().members.Live())
+		require.Equal(t, 1, p.soft.Snapshot().members.Live())
 
 		node.alter(func(status *control.Status) { status.Authoritative = false })
 		got = watch(p, probe)
@@ -274,7 +274,7 @@
 		request := current(p)
 		version := &pb.ListVersion{Epoch: 3, Holder: "control-2", Revision: 1}
 		list := &pb.ServerList{Version: version, AgeMs: 50, Servers: []*pb.Server{{Id: "i-1"}}}
-		time.AfterFunc(100*time.Millisecond, func() { p.serverList(list) })
+		time.AfterFunc(100*time.Millisecond, func() { p.serverListReceived(list) })
 		got := watch(p, request)
 		require.Equal(t, 100*time.Millisecond, got.took)
 		require.Len(t, got.answer.List.Servers, 1)
@@ -292,11 +292,11 @@
 		p, _ := newTestProcess(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(100*time.Millisecond, cancel)
-		got := watchWith(ctx, newLink(p.node, p.soft, "control-1", p.ending), current(p))
+		got := watchWith(ctx, newLinkService(p.node, p.soft, "control-1", p.shuttingDown), current(p))
 		require.Equal(t, connect.CodeCanceled, connect.CodeOf(got.err))
 		require.Equal(t, 100*time.Millisecond, got.took)
 
-		time.AfterFunc(200*time.Millisecond, func() { close(p.ending) })
+		time.AfterFunc(200*time.Millisecond, func() { close(p.shuttingDown) })
 		got = watch(p, current(p))
 		require.NoError(t, got.err)
 		require.Equal(t, 200*time.Millisecond, got.took)
@@ -309,14 +309,14 @@
 		p, _ := newTestProcess(t)
 		require.Equal(t, connect.CodeInvalidArgument, connect.CodeOf(watch(p, &pb.WatchRequest{}).err))
 
-		link := newLink(p.node, p.soft, "control-1", p.ending)
-		for range maxWatches {
+		link := newLinkService(p.node, p.soft, "control-1", p.shuttingDown)
+		for range maxConcurrentWatches {
 			go watchWith(context.Background(), link, current(p))
 		}
 		synctest.Wait()
 		got := watchWith(context.Background(), link, current(p))
 		require.Equal(t, connect.CodeResourceExhausted, connect.CodeOf(got.err))
-		close(p.ending)
+		close(p.shuttingDown)
 		synctest.Wait()
 	})
 }
@@ -328,5 +328,5 @@
 	require.NoError(t, err)
 	require.Equal(t, uint64(7), response.Msg.Generation)
 	require.NotNil(t, response.Msg.Repair)
-	require.Equal(t, 1, p.soft.Picture().members.Live())
+	require.Equal(t, 1, p.soft.Snapshot().members.Live())
 }
--- a/internal/controlserver/listen.go
+++ b/internal/controlserver/listen.go
@@ -23,9 +23,9 @@
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 16 << 10
 
-	// listenTries and listenPause bound the wait for an address that an earlier process still holds.
-	listenTries = 20
-	listenPause = 250 * time.Millisecond
+	// listenAttempts and listenBackoff bound the wait for an address that an earlier process still holds.
+	listenAttempts = 20
+	listenBackoff  = 250 * time.Millisecond
 )
 
 // setUserTimeout sets the user timeout of a socket; accepted connections inherit it from their listener.
@@ -43,7 +43,7 @@
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: time.Second, Count: 3},
 	}
 	var err error
-	for range listenTries {
+	for range listenAttempts {
 		var listener net.Listener
 		listener, err = config.Listen(ctx, "tcp", address)
 		if err == nil {
@@ -55,7 +55,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, errors.Wrapf(ctx.Err(), "listen on %s", address)
-		case <-time.After(listenPause):
+		case <-time.After(listenBackoff):
 		}
 	}
 	return nil, errors.Wrapf(err, "listen on %s", address)
--- a/internal/controlserver/packed_test.go
+++ b/internal/controlserver/packed_test.go
@@ -29,7 +29,7 @@
 func TestLargeChangeIsPackedOnceForAllAgents(t *testing.T) {
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 7)
-	link := newLink(p.node, p.soft, "control-1", p.ending)
+	link := newLinkService(p.node, p.soft, "control-1", p.shuttingDown)
 	request := current(p)
 	request.TakesPacked = true
 	addRoutes(t, node, 7, 8, 1400)
--- a/internal/controlserver/platform.go
+++ b/internal/controlserver/platform.go
@@ -130,22 +130,22 @@
 		Service:    entry.Backend,
 		Address:    entry.Address,
 		Zone:       entry.Az,
-		Capacity:   wholeNumber(entry.Capacity),
+		Capacity:   roundUp(entry.Capacity),
 		Draining:   entry.Phase != operator.Up,
-		WarmLeftMs: wholeNumber(pointed(entry.WarmLeftMs)),
-		Software:   pointed(entry.Gen),
+		WarmLeftMs: roundUp(valueOrZero(entry.WarmLeftMs)),
+		Software:   valueOrZero(entry.Gen),
 	}
 	if entry.ExpiresMs != nil {
-		server.ExpiresMs = max(1, wholeNumber(*entry.ExpiresMs))
+		server.ExpiresMs = max(1, roundUp(*entry.ExpiresMs))
 	}
-	for _, model := range pointed(entry.Models) {
+	for _, model := range valueOrZero(entry.Models) {
 		server.Models = append(server.Models, model.Name)
 	}
 	return server, true
 }
 
 // pointed is the value of an optional member, the zero value if it is missing.
-func pointed[T any](value *T) T {
+func valueOrZero[T any](value *T) T {
 	if value == nil {
 		var zero T
 		return zero
@@ -153,8 +153,8 @@
 	return *value
 }
 
-// wholeNumber rounds a figure up and bounds it.
-func wholeNumber(figure float64) uint32 {
+// roundUp rounds a figure up and bounds it.
+func roundUp(figure float64) uint32 {
 	if math.IsNaN(figure) {
 		return 0
 	}
--- a/internal/controlserver/platform_test.go
+++ b/internal/controlserver/platform_test.go
@@ -79,8 +79,8 @@
 	p.settings.current.Store(&current)
 	p.tick()
 	pass(p, time.Second)
-	require.True(t, p.soft.Holder())
-	require.Equal(t, int64(1), p.pollsGood.Load())
+	require.True(t, p.soft.IsOwner())
+	require.Equal(t, int64(1), p.pollsSucceeded.Load())
 	require.Len(t, node.broadcast, 1)
 	require.Len(t, node.broadcast[0].Servers, 1)
 	response := watch(p, &pb.WatchRequest{Agent: testAgent("edge-1")})
@@ -105,7 +105,7 @@
 	pass(p, 3*time.Second)
 	require.Equal(t, int64(3), calls.Load())
 	require.Equal(t, int64(2), p.pollsFailed.Load())
-	require.Equal(t, 1, p.soft.Picture().list.Len())
+	require.Equal(t, 1, p.soft.Snapshot().list.Len())
 }
 
 func withPlatform(address string) *settings.Settings {
--- a/internal/controlserver/reload.go
+++ b/internal/controlserver/reload.go
@@ -11,31 +11,31 @@
 	"fieldrelay/internal/settings"
 )
 
-// settingsCheckEvery is the time between two looks at the settings file.
-const settingsCheckEvery = time.Second
+// settingsCheckInterval is the time between two looks at the settings file.
+const settingsCheckInterval = time.Second
 
-// settingsWatch keeps the settings in force and follows the file that they came from.
-type settingsWatch struct {
+// settingsWatcher keeps the settings in force and follows the file that they came from.
+type settingsWatcher struct {
 	path    string // empty: no file is followed
 	logger  *zap.Logger
 	current atomic.Pointer[settings.Settings]
 
 	modified  time.Time
 	size      int64
-	lastFault string
+	lastError string
 }
 
-func newSettingsWatch(path string, initial *settings.Settings, logger *zap.Logger) *settingsWatch {
-	watch := &settingsWatch{path: path, logger: logger}
+func newSettingsWatcher(path string, initial *settings.Settings, logger *zap.Logger) *settingsWatcher {
+	watch := &settingsWatcher{path: path, logger: logger}
 	watch.current.Store(initial)
 	return watch
 }
 
 // Current returns the settings in force.
-func (w *settingsWatch) Current() *settings.Settings { return w.current.Load() }
+func (w *settingsWatcher) Current() *settings.Settings { return w.current.Load() }
 
 // stat tells the file's time of change and size; zero values if it cannot be read.
-func (w *settingsWatch) stat() (time.Time, int64) {
+func (w *settingsWatcher) stat() (time.Time, int64) {
 	info, err := os.Stat(w.path)
 	if err != nil {
 		return time.Time{}, 0
@@ -45,7 +45,7 @@
 
 // Check reads the file again if it looks changed, or in any case if forced, and reports whether other settings
 // are in force now. A faulty file is logged once and changes nothing.
-func (w *settingsWatch) Check(forced bool) bool {
+func (w *settingsWatcher) Check(forced bool) bool {
 	if w.path == "" {
 		return false
 	}
@@ -56,10 +56,10 @@
 	w.modified, w.size = modified, size
 	fresh, err := settings.Load(w.path)
 	if err != nil {
-		w.reportFault(err)
+		w.reportError(err)
 		return false
 	}
-	w.lastFault = ""
+	w.lastError = ""
 	if reflect.DeepEqual(fresh, w.Current()) {
 		return false
 	}
@@ -68,10 +68,10 @@
 	return true
 }
 
-func (w *settingsWatch) reportFault(err error) {
-	if err.Error() == w.lastFault {
+func (w *settingsWatcher) reportError(err error) {
+	if err.Error() == w.lastError {
 		return
 	}
-	w.lastFault = err.Error()
+	w.lastError = err.Error()
 	w.logger.Warn("the settings file is at fault; the old settings stay", zap.Error(err))
 }
--- a/internal/controlserver/run.go
+++ b/internal/controlserver/run.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// shutdownLimit bounds the time in which calls under way are answered after SIGTERM.
-	shutdownLimit = 2 * time.Second
+	// shutdownTimeout bounds the time in which calls under way are answered after SIGTERM.
+	shutdownTimeout = 2 * time.Second
 
-	// peersShutdownLimit bounds the time in which agents that waited get their answers.
-	peersShutdownLimit = 200 * time.Millisecond
+	// peersShutdownTimeout bounds the time in which agents that waited get their answers.
+	peersShutdownTimeout = 200 * time.Millisecond
 
-	// peerPort is the number of the port for messages of control machines and agents.
-	peerPort = 0
+	// peerPortIndex is the number of the port for messages of control machines and agents.
+	peerPortIndex = 0
 
 	// maxMessageBytes bounds one message from a control machine or an agent.
 	maxMessageBytes = 32 << 20
@@ -57,7 +57,7 @@
 	if err != nil {
 		path = ""
 	}
-	p := newProcess(newSettingsWatch(path, initial, logger), logger, rand.Uint64())
+	p := newProcess(newSettingsWatcher(path, initial, logger), logger, rand.Uint64())
 	p.options = options
 
 	nodeContext, stopNode := context.WithCancel(context.WithoutCancel(ctx))
@@ -84,8 +84,8 @@
 		ControlAddress: initial.Binds.Control,
 		Dial:           p.options.Dial,
 		Soft:           p.soft.Report,
-		OnHeartbeat:    p.heartbeat,
-		OnServerList:   p.serverList,
+		OnHeartbeat:    p.heartbeatReceived,
+		OnServerList:   p.serverListReceived,
 	})
 	return node, errors.Wrap(err, "start the replicated state")
 }
@@ -102,21 +102,21 @@
 		go func() { failed <- server.Serve() }()
 	}
 	p.logger.Info("control process serves", zap.String("host", p.settings.Current().Hostname))
-	err = p.work(ctx, hangups, failed)
+	err = p.runLoop(ctx, hangups, failed)
 	p.shutDown(servers, stopNode)
 	p.logCounters()
 	return err
 }
 
 // work follows time, signals and the settings file until ctx ends or a listener fails.
-func (p *process) work(ctx context.Context, hangups <-chan os.Signal, failed <-chan error) error {
-	ticks := time.NewTicker(startTick)
+func (p *process) runLoop(ctx context.Context, hangups <-chan os.Signal, failed <-chan error) error {
+	ticks := time.NewTicker(startupTickInterval)
 	defer ticks.Stop()
-	started := time.NewTimer(startTicksFor)
+	started := time.NewTimer(startupDuration)
 	defer started.Stop()
-	files := time.NewTicker(settingsCheckEvery)
+	files := time.NewTicker(settingsCheckInterval)
 	defer files.Stop()
-	counters := time.NewTicker(countersEvery)
+	counters := time.NewTicker(countersInterval)
 	defer counters.Stop()
 	for {
 		select {
@@ -127,7 +127,7 @@
 		case <-ticks.C:
 			p.tick()
 		case <-started.C:
-			ticks.Reset(tickEvery)
+			ticks.Reset(tickInterval)
 		case <-files.C:
 			p.checkSettings(ctx, false)
 		case <-hangups:
@@ -168,7 +168,7 @@
 		servers = append(servers, &listeningServer{
 			server:   newHTTPServer(handler),
 			listener: listener,
-			peers:    address == p.settings.Current().Port(peerPort),
+			peers:    address == p.settings.Current().Port(peerPortIndex),
 		})
 	}
 	return servers, nil
@@ -184,7 +184,7 @@
 	if address := current.Binds.Directory; address != "" {
 		services[address] = operatorapi.Services{Operator: services[address].Operator, Directory: true}
 	}
-	handlers := map[string]http.Handler{current.Port(peerPort): p.peerHandler(current.Hostname)}
+	handlers := map[string]http.Handler{current.Port(peerPortIndex): p.peerHandler(current.Hostname)}
 	calls := operatorapi.New(p.operatorOptions())
 	for address, chosen := range services {
 		handlers[address] = calls.Handler(chosen)
@@ -199,8 +199,8 @@
 		connect.WithCompression("gzip", nil, nil),
 		connect.WithReadMaxBytes(maxMessageBytes),
 	}
-	agents := newLink(p.node, p.soft, host, p.ending)
-	agents.answers = &p.answers
+	agents := newLinkService(p.node, p.soft, host, p.shuttingDown)
+	agents.counters = &p.watchCounters
 	mux := http.NewServeMux()
 	deliveries := append(slices.Clone(options), control.CompressedDeliveries())
 	mux.Handle(fieldrelayv1connect.NewControlPeerHandler(p.node, deliveries...))
@@ -212,20 +212,20 @@
 // shutDown lets the agents go, has the other control machines go on without this one and answers the calls that
 // were taken, for which the node and its peers are needed; then it stops the node and closes everything.
 func (p *process) shutDown(servers []*listeningServer, stopNode func()) {
-	close(p.ending)
+	close(p.shuttingDown)
 	p.stopPolls()
 	var group sync.WaitGroup
 	group.Go(p.leave)
 	for _, one := range servers {
 		if !one.peers {
-			group.Go(func() { one.shutDown(shutdownLimit) })
+			group.Go(func() { one.shutDown(shutdownTimeout) })
 		}
 	}
 	group.Wait()
 	stopNode()
 	for _, one := range servers {
 		if one.peers {
-			one.shutDown(peersShutdownLimit)
+			one.shutDown(peersShutdownTimeout)
 		}
 	}
 	p.polls.Wait()
--- a/internal/controlserver/serve_test.go
+++ b/internal/controlserver/serve_test.go
@@ -92,9 +92,9 @@
 
 func TestTheDirectoryWaitsUntilItKnowsEnough(t *testing.T) {
 	p, _ := newTestProcess(t)
-	p.soft.Heard(testAgent("edge-1"), nil)
+	p.soft.ObserveAgent(testAgent("edge-1"), nil)
 	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
-	p.started = p.started.Add(-directorySettling)
+	p.started = p.started.Add(-directoryConvergenceTime)
 	require.Equal(t, []string{"10.0.0.1:8144"}, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
 }
 
@@ -104,9 +104,9 @@
 	for host, region := range map[string]string{"edge-1": "west", "edge-2": "west", "edge-3": "east", "edge-4": "east"} {
 		record := testAgent(host)
 		record.Region, record.EdgeAddress = region, region+":"+host
-		p.soft.Heard(record, nil)
+		p.soft.ObserveAgent(record, nil)
 	}
-	p.started = p.started.Add(-directorySettling)
+	p.started = p.started.Add(-directoryConvergenceTime)
 	server := operatorServer(t, p)
 	named := func(name, region string) []string {
 		status, body := request(t, "GET", server.URL+"/api/lookup?name="+name+"&geo="+region, "", "")
@@ -142,10 +142,10 @@
 	p, _ := newTestProcess(t)
 	starting := testAgent("edge-3")
 	starting.Ready = false
-	p.soft.Heard(starting, nil)
-	p.soft.Heard(testAgent("edge-1"), nil)
+	p.soft.ObserveAgent(starting, nil)
+	p.soft.ObserveAgent(testAgent("edge-1"), nil)
 	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
-	p.soft.Heard(testAgent("edge-2"), nil)
+	p.soft.ObserveAgent(testAgent("edge-2"), nil)
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0), 2)
 }
 
@@ -178,7 +178,7 @@
 		p.shutDown(servers, func() {})
 		close(ended)
 	}()
-	<-p.ending
+	<-p.shuttingDown
 	close(node.block)
 	require.Equal(t, 200, <-answers)
 	<-ended
@@ -188,10 +188,10 @@
 	p, _ := newTestProcess(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.NoError(t, p.work(ctx, nil, nil))
+	require.NoError(t, p.runLoop(ctx, nil, nil))
 	failed := make(chan error, 1)
 	failed <- http.ErrServerClosed
-	require.ErrorIs(t, p.work(t.Context(), nil, failed), http.ErrServerClosed)
+	require.ErrorIs(t, p.runLoop(t.Context(), nil, failed), http.ErrServerClosed)
 }
 
 func TestRunServesUntilItsContextEnds(t *testing.T) {
@@ -227,7 +227,7 @@
 	initial, err := settings.Load(path)
 	require.NoError(t, err)
 	core, lines := observer.New(zap.InfoLevel)
-	watch := newSettingsWatch(path, initial, zap.New(core))
+	watch := newSettingsWatcher(path, initial, zap.New(core))
 
 	require.False(t, watch.Check(false), "the file is as it was")
 	require.False(t, watch.Check(true))
@@ -258,7 +258,7 @@
 	initial, err := settings.Load(path)
 	require.NoError(t, err)
 	p, node := newTestProcess(t)
-	p.settings = newSettingsWatch(path, initial, zap.NewNop())
+	p.settings = newSettingsWatcher(path, initial, zap.NewNop())
 	p.checkSettings(t.Context(), true)
 	require.Empty(t, node.seeds, "nothing changed")
 	require.NoError(t, os.WriteFile(path, []byte(seeds("10.0.0.2:80")), 0o600))
@@ -270,7 +270,7 @@
 func TestHostsWithHomesAreTold(t *testing.T) {
 	p, node := newTestProcess(t)
 	node.alter(func(status *control.Status) { status.Committed = nil })
-	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homesOf("photos.example"), "no configuration is known")
+	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homeRegionsOf("photos.example"), "no configuration is known")
 	body := []byte(`{"gen":1,"routes":[{"name":"r","vhost":"photos.example","path-prefix":"/a/","deadline-ms":5,"backend":"b","home-regions":["west"]}],"backends":[{"name":"b"}]}`)
 	change, err := catalog.PrepareReplace(catalog.Empty(), 0, body)
 	require.NoError(t, err)
@@ -280,8 +280,8 @@
 		status.Committed = committed
 		status.Authoritative = true
 	})
-	require.Equal(t, route.HomeRegions{Routes: 1, ByRegion: map[string]int{"west": 1}}, p.homesOf("photos.example"))
-	require.Equal(t, route.HomeRegions{}, p.homesOf("tills.example"))
+	require.Equal(t, route.HomeRegions{Routes: 1, ByRegion: map[string]int{"west": 1}}, p.homeRegionsOf("photos.example"))
+	require.Equal(t, route.HomeRegions{}, p.homeRegionsOf("tills.example"))
 	node.alter(func(status *control.Status) { status.Authoritative = false })
-	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homesOf("tills.example"))
+	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homeRegionsOf("tills.example"))
 }
--- a/internal/controlserver/softstate_test.go
+++ b/internal/controlserver/softstate_test.go
@@ -15,15 +15,15 @@
 // heartbeatBetween passes the soft part of a heartbeat from one process to another.
 func heartbeatBetween(from, to *process) {
 	agents, list := from.soft.Report()
-	to.heartbeat(nil, &pb.Heartbeat{Agents: agents, List: list})
+	to.heartbeatReceived(nil, &pb.Heartbeat{Agents: agents, List: list})
 }
 
 func TestAgentsAndListsReachOtherControlMachines(t *testing.T) {
 	first, node := newTestProcess(t)
 	second, _ := newTestProcess(t)
-	first.soft.Heard(testAgent("edge-1"), nil)
+	first.soft.ObserveAgent(testAgent("edge-1"), nil)
 	heartbeatBetween(first, second)
-	require.Equal(t, 1, second.soft.Picture().members.Live())
+	require.Equal(t, 1, second.soft.Snapshot().members.Live())
 
 	first.settings.current.Store(withPlatform(platform(t, map[string]string{"": `{"servers":[` + entry + `]}`})))
 	first.tick()
@@ -35,8 +35,8 @@
 	heartbeatBetween(second, first)
 	require.Len(t, node.broadcast, 2, "a machine without the list gets it again")
 
-	second.serverList(node.broadcast[1])
-	require.Equal(t, 1, second.soft.Picture().list.Len())
+	second.serverListReceived(node.broadcast[1])
+	require.Equal(t, 1, second.soft.Snapshot().list.Len())
 	pass(first, 500*time.Millisecond)
 	heartbeatBetween(second, first)
 	require.Len(t, node.broadcast, 3)
@@ -46,41 +46,41 @@
 func TestMembersSettleAgainAfterAStandstill(t *testing.T) {
 	p, _ := newTestProcess(t)
 	p.tick()
-	pass(p, membersSettling)
-	p.soft.Heard(testAgent("edge-1"), nil)
-	require.True(t, p.soft.Picture().settled)
+	pass(p, membersConvergenceTime)
+	p.soft.ObserveAgent(testAgent("edge-1"), nil)
+	require.True(t, p.soft.Snapshot().converged)
 	require.NotEmpty(t, p.soft.Endpoints(registry.Client{}, 0))
 
-	p.started = p.started.Add(-standstill)
+	p.started = p.started.Add(-stallThreshold)
 	p.tick()
-	pass(p, standstillCalm)
-	p.soft.Heard(testAgent("edge-1"), nil)
-	require.False(t, p.soft.Picture().settled)
+	pass(p, stallGracePeriod)
+	p.soft.ObserveAgent(testAgent("edge-1"), nil)
+	require.False(t, p.soft.Snapshot().converged)
 	require.Empty(t, p.soft.Endpoints(registry.Client{}, 0), "early addresses would draw all clients")
-	pass(p, directorySettling)
+	pass(p, directoryConvergenceTime)
 	require.NotEmpty(t, p.soft.Endpoints(registry.Client{}, 0))
-	pass(p, membersSettling)
-	require.True(t, p.soft.Picture().settled)
+	pass(p, membersConvergenceTime)
+	require.True(t, p.soft.Snapshot().converged)
 }
 
 // What has waited while this process stood still tells of machines that may be gone since.
 func TestWhatWaitedDuringAStandstillBringsNoAddresses(t *testing.T) {
 	p, _ := newTestProcess(t)
 	p.tick()
-	pass(p, membersSettling)
+	pass(p, membersConvergenceTime)
 	p.started = p.started.Add(-20 * time.Second)
 	told := func() {
-		p.soft.Heard(testAgent("edge-1"), nil)
+		p.soft.ObserveAgent(testAgent("edge-1"), nil)
 		p.soft.Heartbeat(&pb.Heartbeat{Agents: []*pb.AgentRecord{testAgent("edge-2")}})
 	}
 	told()
-	require.Zero(t, p.soft.Picture().members.Len(), "before the first tick")
+	require.Zero(t, p.soft.Snapshot().members.Len(), "before the first tick")
 	p.tick()
 	told()
-	require.Zero(t, p.soft.Picture().members.Len())
-	pass(p, standstillCalm)
+	require.Zero(t, p.soft.Snapshot().members.Len())
+	pass(p, stallGracePeriod)
 	told()
-	require.Equal(t, 2, p.soft.Picture().members.Len())
+	require.Equal(t, 2, p.soft.Snapshot().members.Len())
 }
 
 // TestEarlyAddressesAreOfTheClientsRegion: a control machine that has just started has not heard of all proxies.
@@ -90,12 +90,12 @@
 	for _, host := range []string{"edge-1", "edge-2"} {
 		record := testAgent(host)
 		record.Region = "west"
-		p.soft.Heard(record, nil)
+		p.soft.ObserveAgent(record, nil)
 	}
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "west", Homes: route.HomeRegions{Unreadable: true}}, 0), 2)
 	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "east", Homes: route.HomeRegions{Unreadable: true}}, 0), "its own proxies may not have been heard of yet")
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east"}, 0), 2, "any proxy will do")
-	pass(p, directorySettling)
+	pass(p, directoryConvergenceTime)
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east", Homes: route.HomeRegions{Unreadable: true}}, 0), 2, "it has none")
 }
 
@@ -104,10 +104,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
 		p.tick()
-		pass(p, membersSettling)
+		pass(p, membersConvergenceTime)
 		changed := p.soft.Changed()
 		for _, host := range []string{"edge-1", "edge-2", "edge-3"} {
-			p.soft.Heard(testAgent(host), nil)
+			p.soft.ObserveAgent(testAgent(host), nil)
 		}
 		select {
 		case <-changed:
@@ -129,13 +129,13 @@
 func TestTheListIsNotReadWithoutAViewOrAPlatform(t *testing.T) {
 	p, node := newTestProcess(t)
 	pass(p, 5*time.Second)
-	require.Zero(t, p.pollsGood.Load()+p.pollsFailed.Load(), "no platform is known")
+	require.Zero(t, p.pollsSucceeded.Load()+p.pollsFailed.Load(), "no platform is known")
 	p.settings.current.Store(withPlatform("127.0.0.1:1"))
 	node.status.Founded = false
 	pass(p, 5*time.Second)
-	require.Zero(t, p.pollsGood.Load()+p.pollsFailed.Load(), "no view is known")
+	require.Zero(t, p.pollsSucceeded.Load()+p.pollsFailed.Load(), "no view is known")
 	node.status.Founded = true
 	pass(p, time.Second)
 	require.Positive(t, p.pollsFailed.Load())
-	require.Nil(t, p.soft.Picture().list)
+	require.Nil(t, p.soft.Snapshot().list)
 }
--- a/internal/controlserver/status.go
+++ b/internal/controlserver/status.go
@@ -24,24 +24,24 @@
 // report describes the process and what it holds.
 func (p *process) report() *pb.ControlStatusReport {
 	held := p.node.Status()
-	picture := p.soft.Picture()
+	picture := p.soft.Snapshot()
 	return &pb.ControlStatusReport{
 		Self:           held.Self,
-		Software:       software(),
-		UptimeMs:       wholeMilliseconds(p.now()),
+		Software:       buildRevision(),
+		UptimeMs:       milliseconds(p.now()),
 		View:           held.View,
 		Authoritative:  held.Authoritative,
 		Live:           held.Live,
 		Catalog:        catalogStatus(held.Committed),
-		Duty:           p.dutyStatus(picture.list),
-		MembersSettled: picture.settled,
-		Lateness:       latenessStatus(p.soft.Lateness()),
+		Duty:           p.pollingRoleStatus(picture.list),
+		MembersSettled: picture.converged,
+		Lateness:       lagStatus(p.soft.LagStats()),
 		Agents:         agentStatuses(picture.members.Message(p.now())),
 		Orders: &pb.OrderCounters{
-			Acknowledged: uint64(p.calls.Acknowledged.Load()),
-			Refused:      uint64(p.calls.Refused.Load()),
-			Unavailable:  uint64(p.calls.Unavailable.Load()),
-			Lookups:      uint64(p.calls.Lookups.Load()),
+			Acknowledged: uint64(p.operatorCounters.Acknowledged.Load()),
+			Refused:      uint64(p.operatorCounters.Refused.Load()),
+			Unavailable:  uint64(p.operatorCounters.Unavailable.Load()),
+			Lookups:      uint64(p.operatorCounters.Lookups.Load()),
 		},
 	}
 }
@@ -59,17 +59,17 @@
 	}
 }
 
-func (p *process) dutyStatus(list *registry.ServerList) *pb.DutyStatus {
+func (p *process) pollingRoleStatus(list *registry.ServerList) *pb.DutyStatus {
 	duty := &pb.DutyStatus{
-		Holder:      p.soft.Holder(),
-		Polls:       uint64(p.pollsGood.Load()),
+		Holder:      p.soft.IsOwner(),
+		Polls:       uint64(p.pollsSucceeded.Load()),
 		PollsFailed: uint64(p.pollsFailed.Load()),
 	}
 	if list == nil {
 		return duty
 	}
 	duty.List = list.Version()
-	duty.ListAgeMs = wholeMilliseconds(list.Age(p.now()))
+	duty.ListAgeMs = milliseconds(list.Age(p.now()))
 	duty.Servers = uint32(list.Len())
 	for _, server := range list.Message(p.now()).GetServers() {
 		if server.GetDraining() {
@@ -88,10 +88,10 @@
 	return statuses
 }
 
-func wholeMilliseconds(duration time.Duration) uint64 { return uint64(max(0, duration.Milliseconds())) }
+func milliseconds(duration time.Duration) uint64 { return uint64(max(0, duration.Milliseconds())) }
 
 // software names the commit that the program was built from, as far as that is known.
-func software() string {
+func buildRevision() string {
 	info, known := debug.ReadBuildInfo()
 	if !known {
 		return ""
--- a/internal/controlserver/status_test.go
+++ b/internal/controlserver/status_test.go
@@ -40,13 +40,13 @@
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 7)
 	node.Submit(t.Context(), &pb.Order{Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: "brno-hala"})
-	p.serverList(&pb.ServerList{
+	p.serverListReceived(&pb.ServerList{
 		Version: &pb.ListVersion{Epoch: 3, Holder: "control-2", Revision: 1},
 		Servers: []*pb.Server{{Id: "i-1"}, {Id: "i-2", Draining: true}},
 	})
-	p.soft.Heard(testAgent("edge-1"), nil)
+	p.soft.ObserveAgent(testAgent("edge-1"), nil)
 	pass(p, registry.FailureTimeout)
-	p.soft.Heard(testAgent("edge-2"), nil)
+	p.soft.ObserveAgent(testAgent("edge-2"), nil)
 	p.tick()
 
 	report := describe(t, p)
