--- a/internal/controlserver/linkservice.go
+++ b/internal/controlserver/linkservice.go
@@ -13,106 +13,115 @@
 )
 
 const (
-	// maxWatchWait bounds the time for which an agent's call is held without news.
+	// maxWatchWait bounds the time for which a long poll of an agent stays open without an update.
 	maxWatchWait = time.Second
 
-	// maxConcurrentWatches bounds the agents that wait at this machine.
+	// maxConcurrentWatches bounds the long polls that are open at this machine.
 	maxConcurrentWatches = 1024
 )
 
-// ShuttingDownError refuses a call because this process is ending.
+// ShuttingDownError rejects a call because this process is shutting down.
 type ShuttingDownError struct{}
 
+// Error returns the text that the caller gets.
 func (*ShuttingDownError) Error() string { return "this control machine is ending" }
 
-// TooManyWatchesError refuses a call because as many agents as allowed wait already.
+// TooManyWatchesError rejects a call because maxConcurrentWatches are open already.
 type TooManyWatchesError struct{}
 
+// Error returns the text that the caller gets.
 func (*TooManyWatchesError) Error() string { return "too many agents wait at this control machine" }
 
-// AgentMissingError refuses a call that does not name its agent.
+// AgentMissingError rejects a call that does not name its agent.
 type AgentMissingError struct{}
 
+// Error returns the text that the caller gets.
 func (*AgentMissingError) Error() string { return "the call names no agent" }
 
-// link serves the agents.
+// linkService implements the ControlLink service, by which agents get updates. Each call is a long poll (RFC 6202):
+// it is answered at once if there is an update for the agent, otherwise with the next one or after the wait that the
+// agent asked for. It is safe for concurrent use; each call runs in the goroutine of its HTTP request.
 type linkService struct {
 	node         Node
 	soft         *softState
 	host         string // of this machine
 	shuttingDown <-chan struct{}
-	watchSlots   chan struct{} // one token for each call under way
+	watchSlots   chan struct{} // one token per open call
 	packer       packing.Packer
 	counters     *watchCounters
 }
 
-func newLinkService(node Node, soft *softState, host string, ending <-chan struct{}) *linkService {
+func newLinkService(node Node, soft *softState, host string, shuttingDown <-chan struct{}) *linkService {
 	return &linkService{
 		node:         node,
 		soft:         soft,
 		host:         host,
-		shuttingDown: ending,
+		shuttingDown: shuttingDown,
 		watchSlots:   make(chan struct{}, maxConcurrentWatches),
 		counters:     &watchCounters{},
 	}
 }
 
-// Watch registers the agent and answers when something is newer than what it holds, at the latest after the
-// hold that it asks for.
+// Watch records the agent's report and answers when there is an update for it, at the latest after the wait that it
+// asks for, which is bounded by maxWatchWait.
 func (l *linkService) Watch(ctx context.Context, request *connect.Request[pb.WatchRequest]) (*connect.Response[pb.WatchResponse], error) {
 	select {
 	case l.watchSlots <- struct{}{}:
 		defer func() { <-l.watchSlots }()
 	default:
-		l.counters.rejected.Add(1)
-		return nil, connect.NewError(connect.CodeResourceExhausted, &TooManyWatchesError{})
+		return nil, l.reject(connect.CodeResourceExhausted, &TooManyWatchesError{})
 	}
-	held := request.Msg
-	if held.GetAgent().GetHost() == "" {
-		l.counters.rejected.Add(1)
-		return nil, connect.NewError(connect.CodeInvalidArgument, &AgentMissingError{})
+	watch := request.Msg
+	if watch.GetAgent().GetHost() == "" {
+		return nil, l.reject(connect.CodeInvalidArgument, &AgentMissingError{})
 	}
 	if l.isShuttingDown() {
-		l.counters.rejected.Add(1)
-		return nil, connect.NewError(connect.CodeUnavailable, &ShuttingDownError{})
+		return nil, l.reject(connect.CodeUnavailable, &ShuttingDownError{})
 	}
-	l.soft.ObserveAgent(held.GetAgent(), held.GetList())
+	l.soft.ObserveAgent(watch.GetAgent(), watch.GetList())
 	compose := l.compose
-	if held.GetProbe() {
+	if watch.GetProbe() {
 		compose = l.composeProbe
 	}
-	answer, err := l.await(ctx, held, compose)
+	response, err := l.await(ctx, watch, compose)
 	if err != nil {
 		l.counters.canceled.Add(1)
 		return nil, err
 	}
-	l.counters.count(held, answer)
-	return connect.NewResponse(answer), nil
+	l.counters.count(watch, response)
+	return connect.NewResponse(response), nil
 }
 
-// composer makes the answer as of now, and tells whether it has to be sent at once.
-type composer func(held *pb.WatchRequest) (answer *pb.WatchResponse, news bool)
+// reject counts a rejected call and returns its error.
+func (l *linkService) reject(code connect.Code, cause error) error {
+	l.counters.rejected.Add(1)
+	return connect.NewError(code, cause)
+}
+
+// composer returns the response as of now, and whether it has an update, that is, must be sent at once.
+type composer func(watch *pb.WatchRequest) (response *pb.WatchResponse, hasUpdate bool)
 
-// await composes answers until one holds news or the hold is over.
-func (l *linkService) await(ctx context.Context, held *pb.WatchRequest, compose composer) (*pb.WatchResponse, error) {
-	hold := time.NewTimer(min(time.Duration(held.GetHoldMs())*time.Millisecond, maxWatchWait))
-	defer hold.Stop()
+// await composes responses until one has an update or the wait is over. A change of this machine's authority counts
+// as an update. The only error is that of a canceled ctx.
+func (l *linkService) await(ctx context.Context, watch *pb.WatchRequest, compose composer) (*pb.WatchResponse, error) {
+	wait := time.NewTimer(min(time.Duration(watch.GetHoldMs())*time.Millisecond, maxWatchWait))
+	defer wait.Stop()
 	authoritative := l.node.Status().Authoritative
 	for {
-		// The channels come first: a change after them is not missed.
+		// The channels are taken before the response is composed, so that no later change is missed.
 		stateChanged, softChanged := l.node.Changed(), l.soft.Changed()
-		answer, news := compose(held)
-		if news || answer.Authoritative != authoritative {
-			return answer, nil
+		response, hasUpdate := compose(watch)
+		if hasUpdate || response.Authoritative != authoritative {
+			return response, nil
 		}
 		select {
 		case <-stateChanged:
 		case <-softChanged:
-		case <-hold.C:
-			answer, _ = compose(held) // with the ages of now
-			return answer, nil
+		case <-wait.C:
+			response, _ = compose(watch) // again, since it carries ages
+			return response, nil
 		case <-l.shuttingDown:
-			return answer, nil
+			return response, nil
 		case <-ctx.Done():
 			return nil, connect.NewError(connect.CodeCanceled, ctx.Err())
 		}
@@ -128,105 +137,108 @@
 	}
 }
 
-// composeProbe answers an agent that asks which control machine to turn to.
-func (l *linkService) composeProbe(held *pb.WatchRequest) (*pb.WatchResponse, bool) {
+// composeProbe answers a probe: an agent looks for an authoritative control machine. It carries no state.
+func (l *linkService) composeProbe(watch *pb.WatchRequest) (*pb.WatchResponse, bool) {
 	status := l.node.Status()
-	answer := &pb.WatchResponse{Authoritative: status.Authoritative, MembersSource: l.host}
+	response := &pb.WatchResponse{Authoritative: status.Authoritative, MembersSource: l.host}
 	if status.Committed != nil {
-		answer.Sequence = status.Committed.Sequence()
-		answer.Generation = status.Committed.Generation()
+		response.Sequence = status.Committed.Sequence()
+		response.Generation = status.Committed.Generation()
 	}
-	if status.View.GetNumber() > held.GetViewNumber() {
-		answer.View = status.View // it names others that may be asked
+	if status.View.GetNumber() > watch.GetViewNumber() {
+		response.View = status.View // its voters are further machines to probe
 	}
-	return answer, status.Authoritative || answer.View != nil
+	return response, status.Authoritative || response.View != nil
 }
 
-// compose returns the answer as of now and whether it holds something that the agent does not.
-func (l *linkService) compose(held *pb.WatchRequest) (*pb.WatchResponse, bool) {
+// compose returns the response as of now and whether it has something that the agent lacks.
+func (l *linkService) compose(watch *pb.WatchRequest) (*pb.WatchResponse, bool) {
 	status := l.node.Status()
 	l.soft.ObserveCommitted(status.Committed)
-	answer := &pb.WatchResponse{Authoritative: status.Authoritative, MembersSource: l.host}
-	if isFirstRequest(held) && len(status.View.GetVoters()) > 0 {
-		answer.View = status.View
+	response := &pb.WatchResponse{Authoritative: status.Authoritative, MembersSource: l.host}
+	if isFirstRequest(watch) && len(status.View.GetVoters()) > 0 {
+		response.View = status.View
 		if status.Committed != nil {
-			// The agent must not take the nothing that it holds for confirmed.
-			answer.Sequence = status.Committed.Sequence()
-			answer.Generation = status.Committed.Generation()
+			// Without the sequence the agent would take its empty replica for confirmed.
+			response.Sequence = status.Committed.Sequence()
+			response.Generation = status.Committed.Generation()
 		}
-		return answer, true
-	}
-	news := l.addState(answer, held, status.Committed)
-	l.packer.PackAnswer(held, answer)
-	if status.View.GetNumber() > held.GetViewNumber() {
-		answer.View = status.View
-		news = true
-	}
-	picture := l.soft.Snapshot()
-	news = l.addList(answer, held, picture.list) || news
-	news = l.addMembers(answer, held, picture) || news
-	return answer, news
+		return response, true
+	}
+	hasUpdate := l.addState(response, watch, status.Committed)
+	l.packer.PackAnswer(watch, response)
+	if status.View.GetNumber() > watch.GetViewNumber() {
+		response.View = status.View
+		hasUpdate = true
+	}
+	snapshot := l.soft.Snapshot()
+	hasUpdate = l.addList(response, watch, snapshot.list) || hasUpdate
+	hasUpdate = l.addMembers(response, watch, snapshot) || hasUpdate
+	return response, hasUpdate
 }
 
-// isFirstRequest tells whether an agent knows nothing yet. It is told of the control machines before anything large: until one
-// has answered it probes the others, and gives the call up for the first of them that does.
-func isFirstRequest(held *pb.WatchRequest) bool {
-	return held.GetViewNumber() == 0 && held.GetSequence() == 0
+// isFirstRequest reports whether an agent knows nothing yet. It gets the view before anything large: until the first
+// answer it probes other control machines too, and cancels this call for the first of them that answers.
+func isFirstRequest(watch *pb.WatchRequest) bool {
+	return watch.GetViewNumber() == 0 && watch.GetSequence() == 0
 }
 
-// addState adds what the agent's copy of the control state lacks.
-func (l *linkService) addState(answer *pb.WatchResponse, held *pb.WatchRequest, committed *catalog.Snapshot) bool {
+// addState adds what the agent's replica of the control state lacks: the changes since its sequence as long as they
+// are in the history, else a repair by the digests of its ranges, which it is asked for if it sent none.
+func (l *linkService) addState(response *pb.WatchResponse, watch *pb.WatchRequest, committed *catalog.Snapshot) bool {
 	if committed == nil {
 		return false
 	}
-	answer.Sequence = committed.Sequence()
-	answer.Generation = committed.Generation()
-	if committed.Sequence() <= held.GetSequence() {
+	response.Sequence = committed.Sequence()
+	response.Generation = committed.Generation()
+	if committed.Sequence() <= watch.GetSequence() {
 		return false
 	}
-	if held.GetSequence() == 0 {
-		answer.Repair = committed.RepairFor(nil)
+	if watch.GetSequence() == 0 {
+		response.Repair = committed.RepairFor(nil)
 		return true
 	}
-	if changes, kept := l.node.Since(held.GetSequence()); kept && len(changes) > 0 {
-		answer.Changes = changes
+	if changes, available := l.node.Since(watch.GetSequence()); available && len(changes) > 0 {
+		response.Changes = changes
 		last := changes[len(changes)-1]
-		answer.Sequence = last.GetSequence()
-		answer.Generation = last.GetGeneration()
+		response.Sequence = last.GetSequence()
+		response.Generation = last.GetGeneration()
 		return true
 	}
-	if digests := held.GetDigests(); digests != nil && digests.GetSequence() == held.GetSequence() {
-		answer.Repair = committed.RepairFor(digests)
+	if digests := watch.GetDigests(); digests != nil && digests.GetSequence() == watch.GetSequence() {
+		response.Repair = committed.RepairFor(digests)
 		return true
 	}
-	answer.NeedDigests = true
+	response.NeedDigests = true
 	return true
 }
 
-// addList adds the list of servers if it is newer than the agent's, else only how old its news is.
-func (l *linkService) addList(answer *pb.WatchResponse, held *pb.WatchRequest, list *registry.ServerList) bool {
+// addList adds the server list if it is newer than the agent's; if it is the same version, only its age, which is no
+// update.
+func (l *linkService) addList(response *pb.WatchResponse, watch *pb.WatchRequest, list *registry.ServerList) bool {
 	if list == nil {
 		return false
 	}
-	difference := registry.CompareVersions(list.Version(), held.GetList())
+	difference := registry.CompareVersions(list.Version(), watch.GetList())
 	if difference > 0 {
-		answer.List = list.Message(l.soft.now())
+		response.List = list.Message(l.soft.now())
 		return true
 	}
 	if difference == 0 {
-		answer.List = list.Confirmation(l.soft.now())
+		response.List = list.Confirmation(l.soft.now())
 	}
 	return false
 }
 
-// addMembers adds the members if the agent holds another version of them.
-func (l *linkService) addMembers(answer *pb.WatchResponse, held *pb.WatchRequest, picture *softSnapshot) bool {
-	if !picture.converged {
+// addMembers adds the members if the agent has an older version of them, or one of another control machine: versions
+// of different machines cannot be compared.
+func (l *linkService) addMembers(response *pb.WatchResponse, watch *pb.WatchRequest, snapshot *softSnapshot) bool {
+	if !snapshot.converged {
 		return false
 	}
-	if held.GetMembersSource() == l.host && picture.isCurrent(held.GetMembersVersion()) {
+	if watch.GetMembersSource() == l.host && snapshot.isCurrent(watch.GetMembersVersion()) {
 		return false
 	}
-	answer.Members = picture.members.Message(l.soft.now())
+	response.Members = snapshot.members.Message(l.soft.now())
 	return true
 }
