--- a/internal/controlserver/compressed_test.go
+++ b/internal/controlserver/compressed_test.go
@@ -25,8 +25,8 @@
 	require.Equal(t, uint32(200), result.Status, "%s", result.Body)
 }
 
-// What many agents lack is packed once, and each answer is a fraction of what it holds.
-func TestLargeChangeIsPackedOnceForAllAgents(t *testing.T) {
+// What many agents lack is compressed once, and each response is a fraction of the size of its content.
+func TestLargeChangeIsCompressedOnceForAllAgents(t *testing.T) {
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 7)
 	link := newLinkService(p.node, p.soft, "control-1", p.shuttingDown)
@@ -38,17 +38,17 @@
 		request.Agent = testAgent(fmt.Sprint("edge-", agent))
 		got := watchWith(t.Context(), link, request)
 		require.NoError(t, got.err)
-		news, err := packing.Unpack(got.answer.GetPacked())
+		updates, err := packing.Unpack(got.answer.GetPacked())
 		require.NoError(t, err)
-		require.Len(t, news.GetChanges(), 1)
+		require.Len(t, updates.GetChanges(), 1)
 		require.Empty(t, got.answer.GetChanges())
-		plain = proto.Size(news)
+		plain = proto.Size(updates)
 		require.Less(t, 4*proto.Size(got.answer.GetPacked()), plain)
 	}
 	require.EqualValues(t, 1, link.packer.Packs())
 }
 
-func TestAgentsThatTakeNothingPackedGetChanges(t *testing.T) {
+func TestAgentsWithoutCompressionGetChanges(t *testing.T) {
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 7)
 	request := current(p)
@@ -58,8 +58,8 @@
 	require.Len(t, got.answer.GetChanges(), 1)
 }
 
-// An agent that holds nothing gets the whole state packed, one that is far behind the ranges that differ from its own.
-func TestRepairsArePackedForTheCopiesThatTheyServe(t *testing.T) {
+// An agent with an empty replica gets the complete state compressed, one that lags far behind the ranges that differ.
+func TestRepairsAreCompressedForTheReplicasThatTheyServe(t *testing.T) {
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 7)
 	behind := node.Status().Committed
@@ -77,9 +77,9 @@
 	partial := watch(p, request).answer
 	require.True(t, partial.GetPacked().GetRepairs())
 	require.False(t, partial.GetPacked().GetWhole())
-	news, err := packing.Unpack(partial.GetPacked())
+	updates, err := packing.Unpack(partial.GetPacked())
 	require.NoError(t, err)
-	restored, err := behind.Restore(news.GetRepair())
+	restored, err := behind.Restore(updates.GetRepair())
 	require.NoError(t, err)
 	require.True(t, proto.Equal(restored.Digests(), node.Status().Committed.Digests()))
 }
--- a/internal/controlserver/distance_test.go
+++ b/internal/controlserver/distance_test.go
@@ -14,24 +14,24 @@
 	"fieldrelay/internal/gossip"
 )
 
-// farDistances reach from what history keeps to twelve times that.
-var farDistances = []uint64{1, catalog.HistoryMaxChanges, catalog.HistoryMaxChanges + 1, 1000, 3000}
+// lags, in changes, reach from the length of the history to twelve times that.
+var lags = []uint64{1, catalog.HistoryMaxChanges, catalog.HistoryMaxChanges + 1, 1000, 3000}
 
-// farAgent is an agent's copy of the state, which it brings up to date by calls to one machine.
-type farAgent struct {
+// laggingAgent is an agent's replica of the state, which it updates by calls to one machine.
+type laggingAgent struct {
 	t       *testing.T
 	process *process
-	held    *gossip.Replica
+	replica *gossip.Replica
 	digests bool // the last answer asked for them
 	alter   func(*pb.WatchResponse)
 }
 
-// ask makes one call and takes its answer.
-func (a *farAgent) ask(between func()) *pb.WatchResponse {
+// ask makes one call and applies its response.
+func (a *laggingAgent) ask(between func()) *pb.WatchResponse {
 	request := current(a.process)
 	request.HoldMs = 0
-	request.Sequence = a.held.Sequence()
-	base := a.held.Snapshot()
+	request.Sequence = a.replica.Sequence()
+	base := a.replica.Snapshot()
 	if a.digests {
 		request.Digests = base.Digests()
 	}
@@ -41,29 +41,29 @@
 	if a.alter != nil {
 		a.alter(got.answer)
 	}
-	before := a.held.Sequence()
-	a.held.ApplyChanges(got.answer.GetChanges())
+	before := a.replica.Sequence()
+	a.replica.ApplyChanges(got.answer.GetChanges())
 	if repair := got.answer.GetRepair(); repair != nil {
 		if !a.digests {
 			base = nil
 		}
-		_, err := a.held.Restore(base, repair)
+		_, err := a.replica.Restore(base, repair)
 		require.NoError(a.t, err)
 	}
 	a.digests = got.answer.GetNeedDigests()
-	require.GreaterOrEqual(a.t, a.held.Sequence(), before)
+	require.GreaterOrEqual(a.t, a.replica.Sequence(), before)
 	return got.answer
 }
 
-func (a *farAgent) holdsNewest() bool {
-	return proto.Equal(a.held.Snapshot().Digests(), a.process.node.Status().Committed.Digests())
+func (a *laggingAgent) holdsNewest() bool {
+	return proto.Equal(a.replica.Snapshot().Digests(), a.process.node.Status().Committed.Digests())
 }
 
-// newFarAgent returns an agent that is so many changes behind a machine, which may have been started anew since.
-func newFarAgent(t *testing.T, distance uint64, restarted bool) (*farAgent, *fakeNode) {
+// newLaggingAgent returns an agent that is so many changes behind a machine, which may have been started anew since.
+func newLaggingAgent(t *testing.T, distance uint64, restarted bool) (*laggingAgent, *fakeNode) {
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 1)
-	agent := &farAgent{t: t, process: p, held: gossip.NewReplica()}
+	agent := &laggingAgent{t: t, process: p, replica: gossip.NewReplica()}
 	agent.ask(func() {})
 	require.True(t, agent.holdsNewest())
 	for generation := uint64(1); generation <= distance; generation++ {
@@ -83,12 +83,12 @@
 	require.EqualValues(t, 200, result.GetStatus())
 }
 
-// An agent has caught up with the second answer at the latest, with the first one while history reaches.
+// An agent has caught up with the second response at the latest, with the first one if the history reaches back.
 func TestAgentFarBehindCatchesUpWithTwoAnswers(t *testing.T) {
-	for _, distance := range farDistances {
+	for _, distance := range lags {
 		for _, restarted := range []bool{false, true} {
 			t.Run(fmt.Sprint(distance, " restarted ", restarted), func(t *testing.T) {
-				agent, _ := newFarAgent(t, distance, restarted)
+				agent, _ := newLaggingAgent(t, distance, restarted)
 				agent.ask(func() {})
 				if restarted || distance > catalog.HistoryMaxChanges {
 					require.False(t, agent.holdsNewest())
@@ -100,12 +100,12 @@
 	}
 }
 
-// Changes that come between an agent's call and its answer, the loss of history, and a machine that holds an older
-// state than the agent: the copy never falls, and is what its number stands for.
+// Changes between an agent's call and its response, the loss of history, and a machine with an older state than the
+// agent: the replica never goes back, and its content is that of its sequence.
 func TestAgentFarBehindWhileChangesGoOn(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		agent, node := newFarAgent(t, 1+random.Uint64N(600), random.IntN(2) == 0)
+		agent, node := newLaggingAgent(t, 1+random.Uint64N(600), random.IntN(2) == 0)
 		var older []*catalog.Snapshot
 		for range 40 {
 			older = append(older, node.Status().Committed)
@@ -125,15 +125,15 @@
 	}
 }
 
-// askOlder asks the machine while it holds an older state.
-func (a *farAgent) askOlder(node *fakeNode, older *catalog.Snapshot) {
+// askOlder makes a call while the machine has an older state.
+func (a *laggingAgent) askOlder(node *fakeNode, older *catalog.Snapshot) {
 	newest := node.Status().Committed
 	digests := a.digests
-	before := a.held.Snapshot()
+	before := a.replica.Snapshot()
 	node.alter(func(status *control.Status) { status.Committed = older })
 	answer := a.ask(func() {})
 	if older.Sequence() <= before.Sequence() {
-		require.Same(a.t, before, a.held.Snapshot())
+		require.Same(a.t, before, a.replica.Snapshot())
 		require.Nil(a.t, answer.GetRepair())
 		require.Empty(a.t, answer.GetChanges())
 	}
@@ -142,7 +142,7 @@
 }
 
 func TestAnswersWithoutStateLeaveAnAgentBehind(t *testing.T) {
-	agent, _ := newFarAgent(t, 1000, false)
+	agent, _ := newLaggingAgent(t, 1000, false)
 	agent.alter = func(answer *pb.WatchResponse) { answer.Changes, answer.Repair = nil, nil }
 	agent.ask(func() {})
 	agent.ask(func() {})
--- a/internal/controlserver/fake_test.go
+++ b/internal/controlserver/fake_test.go
@@ -32,7 +32,7 @@
 	seeds     []string      // as last set
 	block     chan struct{} // orders wait for it, if set
 	waiting   atomic.Int64  // orders that do
-	stays     chan struct{} // Leave waits for it, if set
+	leaving   chan struct{} // Leave waits for it, if set
 	left      atomic.Int64  // calls of Leave
 }
 
@@ -93,11 +93,11 @@
 	}
 	n.status.Committed = next
 	n.history.Add(change)
-	n.announce()
+	n.notify()
 }
 
-// announce tells the waiting that the status changed. The lock is held.
-func (n *fakeNode) announce() {
+// notify closes the channel of Changed. The lock is held.
+func (n *fakeNode) notify() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
@@ -107,7 +107,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	change(&n.status)
-	n.announce()
+	n.notify()
 }
 
 func (n *fakeNode) forgetHistory() {
@@ -155,8 +155,8 @@
 
 func (n *fakeNode) Leave(context.Context) bool {
 	n.left.Add(1)
-	if n.stays != nil {
-		<-n.stays
+	if n.leaving != nil {
+		<-n.leaving
 	}
 	return true
 }
@@ -203,7 +203,7 @@
 	return fieldrelayv1connect.NewControlLinkClient(server.Client(), server.URL)
 }
 
-// configuration is a valid one of a generation with a number of routes.
+// configuration returns a valid configuration of a generation with a number of routes.
 func configuration(generation, routes int) string {
 	text := fmt.Sprintf(`{"gen":%d,"backends":[{"name":"s"}],"routes":[`, generation)
 	for index := range routes {
--- a/internal/controlserver/lag.go
+++ b/internal/controlserver/lag.go
@@ -1,15 +1,14 @@
 package controlserver
 
 import (
-	"go.uber.org/zap"
-
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/catalog"
 	"fieldrelay/internal/registry"
 	"fieldrelay/internal/settings"
 )
 
-// ObserveCommitted tells the lateness of the newest state that is committed here. It is cheap for one that is known.
+// ObserveCommitted passes the newest snapshot committed at this machine to the lag monitor. For a known snapshot it
+// takes no lock.
 func (s *softState) ObserveCommitted(committed *catalog.Snapshot) {
 	if committed == nil || committed.Sequence() <= s.observedSequence.Load() {
 		return
@@ -20,7 +19,7 @@
 	s.observedSequence.Store(max(s.observedSequence.Load(), committed.Sequence()))
 }
 
-// SetLagBounds tells the lateness what bounds hold, and whether this machine holds the agreed state.
+// SetLagBounds sets the bounds of the lag monitor. While this machine is not authoritative they are suspended.
 func (s *softState) SetLagBounds(bounds registry.LagBounds, authoritative bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -30,14 +29,14 @@
 	}
 }
 
-// LagStats summarises which agents are behind.
+// LagStats returns how far agents lag behind the committed state.
 func (s *softState) LagStats() registry.LagStats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.lagMonitor.Stats(s.now())
 }
 
-// lagBounds are the bounds of the settings.
+// lagBounds returns the lag monitor's bounds by the settings.
 func lagBounds(bounds settings.Bounds) registry.LagBounds {
 	return registry.LagBounds{
 		Contact: bounds.ContactFor(),
@@ -46,48 +45,12 @@
 	}
 }
 
-// logLagEvent writes a line for an event of the lateness.
-func (p *process) logLagEvent(action registry.Action) {
-	switch event := action.(type) {
-	case registry.AgentLagging:
-		p.logger.Warn("agent late",
-			zap.String("host", event.Host),
-			zap.Uint64("reported", event.Reported),
-			zap.Uint64("committed", event.Committed),
-			zap.Duration("lag", event.Lag),
-			zap.Bool("ready", event.Ready))
-	case registry.AgentCaughtUp:
-		p.logger.Info("agent late no more",
-			zap.String("host", event.Host),
-			zap.Uint64("reported", event.Reported),
-			zap.Duration("longest", event.Longest),
-			zap.Bool("unheard", event.Unheard))
-	case registry.ProxyBoundExceeded:
-		p.logger.Error("proxy breaks the bound on changes",
-			zap.String("host", event.Host),
-			zap.Uint64("reported", event.Reported),
-			zap.Uint64("committed", event.Committed),
-			zap.Duration("lag", event.Lag),
-			zap.Duration("bound", event.Bound))
-	}
-}
-
-// lagFields are the figures for the counters' line.
-func lagFields(figures registry.LagStats) []zap.Field {
-	return []zap.Field{
-		zap.Int("agents_behind", figures.Behind),
-		zap.Duration("oldest_lag", figures.Oldest),
-		zap.String("oldest_lag_host", figures.OldestHost),
-		zap.Uint64("late_proxies", figures.Violations),
-	}
-}
-
-// lagStatus is what people on call are told.
-func lagStatus(figures registry.LagStats) *pb.LatenessStatus {
+// lagStatus is the part of a status report about lagging agents.
+func lagStatus(stats registry.LagStats) *pb.LatenessStatus {
 	return &pb.LatenessStatus{
-		AgentsBehind: uint32(figures.Behind),
-		OldestLagMs:  milliseconds(figures.Oldest),
-		OldestHost:   figures.OldestHost,
-		LateProxies:  figures.Violations,
+		AgentsBehind: uint32(stats.Behind),
+		OldestLagMs:  milliseconds(stats.Oldest),
+		OldestHost:   stats.OldestHost,
+		LateProxies:  stats.Violations,
 	}
 }
--- a/internal/controlserver/lag_test.go
+++ b/internal/controlserver/lag_test.go
@@ -11,7 +11,7 @@
 	"fieldrelay/internal/control"
 )
 
-// observedProcess is a process whose log a test reads, with bounds on changes.
+// observedProcess is a process whose log a test reads, with bounds on the lag.
 func observedProcess(t *testing.T) (*process, *fakeNode, *observer.ObservedLogs) {
 	p, node := newTestProcess(t)
 	logged, logs := observer.New(zap.DebugLevel)
@@ -25,8 +25,8 @@
 	return p, node, logs
 }
 
-// passHearing lets time go by while an agent reports what its proxy holds.
-func passHearing(p *process, duration time.Duration, sequence uint64) {
+// passObserving lets time go by while an agent reports the sequence of its proxy.
+func passObserving(p *process, duration time.Duration, sequence uint64) {
 	const step = 500 * time.Millisecond
 	for ; duration > 0; duration -= step {
 		pass(p, step)
@@ -36,47 +36,47 @@
 	}
 }
 
-func TestLateAgentIsLoggedCountedAndShown(t *testing.T) {
+func TestLaggingAgentIsLoggedCountedAndReported(t *testing.T) {
 	p, node, logs := observedProcess(t)
 	replace(t, node, 0, 7)
-	passHearing(p, 2*time.Second, 1)
+	passObserving(p, 2*time.Second, 1)
 	require.Zero(t, p.soft.LagStats().Behind)
 
 	replace(t, node, 7, 9)
-	passHearing(p, 2*time.Second, 1)
+	passObserving(p, 2*time.Second, 1)
 	figures := p.soft.LagStats()
 	require.Equal(t, 1, figures.Behind)
 	require.Equal(t, "edge-1", figures.OldestHost)
 	require.Zero(t, figures.Violations)
-	late := logs.FilterMessage("agent late").All()
+	late := logs.FilterMessage("agent lagging").All()
 	require.Len(t, late, 1)
 	require.Equal(t, "edge-1", late[0].ContextMap()["host"])
-	require.EqualValues(t, 1, late[0].ContextMap()["reported"])
-	require.EqualValues(t, 2, late[0].ContextMap()["committed"])
+	require.EqualValues(t, 1, late[0].ContextMap()["reported_sequence"])
+	require.EqualValues(t, 2, late[0].ContextMap()["committed_sequence"])
 
-	passHearing(p, 2*time.Second, 1)
-	require.Len(t, logs.FilterMessage("proxy breaks the bound on changes").All(), 1)
+	passObserving(p, 2*time.Second, 1)
+	require.Len(t, logs.FilterMessage("proxy exceeded the lag bound").All(), 1)
 	lateness := describe(t, p).GetLateness()
 	require.EqualValues(t, 1, lateness.GetAgentsBehind())
 	require.EqualValues(t, 1, lateness.GetLateProxies())
 	require.Equal(t, "edge-1", lateness.GetOldestHost())
 	require.Greater(t, lateness.GetOldestLagMs(), uint64(3000))
 
-	passHearing(p, 500*time.Millisecond, 2)
-	require.Len(t, logs.FilterMessage("agent late no more").All(), 1)
+	passObserving(p, 500*time.Millisecond, 2)
+	require.Len(t, logs.FilterMessage("agent lag ended").All(), 1)
 	require.Zero(t, p.soft.LagStats().Behind)
 	p.logCounters()
 	counted := logs.FilterMessage("counters").All()
 	require.Len(t, counted, 1)
 	line := counted[0].ContextMap()
-	require.EqualValues(t, 0, line["agents_behind"])
-	require.EqualValues(t, 1, line["late_proxies"])
-	require.Contains(t, line, "oldest_lag")
+	require.EqualValues(t, 0, line["agents_lagging"])
+	require.EqualValues(t, 1, line["lag_bound_violations"])
+	require.Contains(t, line, "max_lag")
 	require.Contains(t, line, "watches_changes")
-	require.Contains(t, line, "largest_answer")
+	require.Contains(t, line, "largest_response_bytes")
 }
 
-func TestChangeThatAWatchMetFirstCountsFromThen(t *testing.T) {
+func TestChangeObservedByAWatchFirstCountsFromThen(t *testing.T) {
 	p, node, _ := observedProcess(t)
 	replace(t, node, 0, 7)
 	request := current(p)
@@ -88,13 +88,13 @@
 	require.EqualValues(t, 1, p.soft.observedSequence.Load())
 }
 
-func TestMachineOutOfTouchJudgesMoreMildly(t *testing.T) {
+func TestLagBoundsAreSuspendedWithoutAuthority(t *testing.T) {
 	p, node, _ := observedProcess(t)
 	replace(t, node, 0, 7)
-	passHearing(p, 2*time.Second, 1)
+	passObserving(p, 2*time.Second, 1)
 	replace(t, node, 7, 9)
 	node.alter(func(status *control.Status) { status.Authoritative = false })
-	passHearing(p, 4*time.Second, 1)
+	passObserving(p, 4*time.Second, 1)
 	figures := p.soft.LagStats()
 	require.Equal(t, 1, figures.Behind)
 	require.Greater(t, figures.Oldest, p.settings.Current().Bounds.ApplyWithin())
--- a/internal/controlserver/leave_test.go
+++ b/internal/controlserver/leave_test.go
@@ -20,7 +20,7 @@
 // The others need this machine's node and peer port until they have agreed to go on without it.
 func TestNodeRunsUntilTheOthersGoOnWithoutIt(t *testing.T) {
 	p, node := newTestProcess(t)
-	node.stays = make(chan struct{})
+	node.leaving = make(chan struct{})
 	current := *testSettings()
 	current.Binds = settings.Binds{Control: "127.0.0.2:0", Directory: "127.0.0.3:0"}
 	p.settings.current.Store(&current)
@@ -52,7 +52,7 @@
 		require.Fail(t, "the peer port was closed before the node had left")
 	default:
 	}
-	close(node.stays)
+	close(node.leaving)
 	<-ended
 	<-stopped
 	<-closed[true]
@@ -95,7 +95,7 @@
 	}
 	for index := range size {
 		require.Eventually(t, func() bool {
-			return s.lines[index].FilterMessage("holds the agreed state").Len() > 0
+			return s.lines[index].FilterMessage("authority changed").Len() > 0
 		}, 10*time.Second, 10*time.Millisecond)
 	}
 	return s
@@ -103,9 +103,10 @@
 
 // freePort returns a port that is free, with the next one, at the loopback addresses of a system.
 func freePort(t *testing.T) int {
+	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.1.1:0")
 	require.NoError(t, err)
-	defer listener.Close()
+	defer func() { require.NoError(t, listener.Close()) }()
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
@@ -121,22 +122,22 @@
 	s.lines = append(s.lines, lines)
 }
 
-// TestRunLeavesWhenItIsToldToEnd ends one of three processes, as SIGTERM does: it tells the others, which have a view
-// without it before it has ended, and take an order.
+// TestRunLeavesWhenItIsToldToEnd ends one of three processes, as SIGTERM does: it announces that it leaves, the others have a
+// view without it before it has ended, and accept an order.
 func TestRunLeavesWhenItIsToldToEnd(t *testing.T) {
 	t.Setenv(settings.PathVariable, filepath.Join(t.TempDir(), "none"))
 	s := newSystem(t, 3)
 	until(t, "POST", "http://"+s.addresses[0]+"/api/conf/replace", "0", configuration(7, 5))
 	s.ends[0]()
 	require.NoError(t, <-s.ended[0])
-	leaves := s.lines[0].FilterMessage("leaves")
+	leaves := s.lines[0].FilterMessage("leave finished")
 	require.Equal(t, 1, leaves.Len())
 	require.Equal(t, true, leaves.All()[0].ContextMap()["agreed"])
 	require.NotContains(t, s.lastChain(1), "control-0")
 	until(t, "POST", "http://"+s.addresses[1]+"/api/conf/replace", "7", configuration(8, 5))
 	status, _ := request(t, http.MethodGet, "http://"+s.addresses[2]+"/api/conf/read", "", "")
 	require.Equal(t, http.StatusOK, status)
-	require.Zero(t, s.lines[1].FilterMessage("leaves").Len())
+	require.Zero(t, s.lines[1].FilterMessage("leave finished").Len())
 }
 
 // lastChain names the hosts of the chain of the last view that a machine has logged.
--- a/internal/controlserver/linkservice_test.go
+++ b/internal/controlserver/linkservice_test.go
@@ -15,7 +15,7 @@
 	"fieldrelay/internal/control"
 )
 
-// watched is the outcome of a Watch in a bubble of synctest.
+// watched is the result of a Watch in a bubble of synctest.
 type watched struct {
 	answer *pb.WatchResponse
 	err    error
@@ -37,7 +37,7 @@
 	return result
 }
 
-// current is a request of an agent that holds all that the process can tell.
+// current is a request of an agent that has all that the process knows.
 func current(p *process) *pb.WatchRequest {
 	status := p.node.Status()
 	return &pb.WatchRequest{
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestWatchHoldsWithoutNews(t *testing.T) {
+func TestWatchWaitsWithoutAnUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		replace(t, node, 0, 7)
@@ -71,7 +71,7 @@
 	})
 }
 
-func TestWatchTellsChangesAsTheyCome(t *testing.T) {
+func TestWatchSendsChangesAsTheyCome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		replace(t, node, 0, 7)
@@ -98,7 +98,7 @@
 	})
 }
 
-func TestWatchBringsAnEmptyCopyTheWholeState(t *testing.T) {
+func TestWatchSendsAnEmptyReplicaTheCompleteState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		replace(t, node, 0, 7)
@@ -111,7 +111,7 @@
 	})
 }
 
-func TestWatchRepairsAnOldCopy(t *testing.T) {
+func TestWatchRepairsAStaleReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		replace(t, node, 0, 7)
@@ -147,7 +147,7 @@
 	})
 }
 
-func TestWatchTellsAView(t *testing.T) {
+func TestWatchSendsAView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		request := current(p)
@@ -161,7 +161,7 @@
 
 // An agent that starts probes other machines while its first call is under way, and gives that call up for the first one
 // that answers: what is large would be sent in vain.
-func TestWatchTellsAnAgentThatKnowsNothingTheViewFirst(t *testing.T) {
+func TestWatchSendsAnAgentThatKnowsNothingTheViewFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		replace(t, node, 0, 7)
@@ -172,7 +172,7 @@
 		require.NoError(t, first.err)
 		require.Zero(t, first.took)
 		require.Equal(t, view, first.answer.GetView())
-		require.Equal(t, node.Status().Committed.Sequence(), first.answer.GetSequence(), "it is told that it lacks something")
+		require.Equal(t, node.Status().Committed.Sequence(), first.answer.GetSequence(), "it learns that it lacks something")
 		require.Nil(t, first.answer.GetRepair())
 		require.Nil(t, first.answer.GetPacked())
 		require.Nil(t, first.answer.GetMembers())
@@ -184,12 +184,12 @@
 	})
 }
 
-func TestWatchTellsMembersOnceSettled(t *testing.T) {
+func TestWatchSendsMembersOnceConverged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
 		request := current(p)
 		request.MembersSource = "control-9"
-		require.Nil(t, watch(p, request).answer.Members, "a list that may be short is not told")
+		require.Nil(t, watch(p, request).answer.Members, "a list that may be incomplete is not sent")
 
 		pass(p, membersConvergenceTime)
 		p.soft.ObserveAgent(testAgent("edge-2"), nil)
@@ -204,13 +204,13 @@
 		time.AfterFunc(100*time.Millisecond, func() { p.soft.ObserveAgent(testAgent("edge-3"), nil) })
 		time.AfterFunc(250*time.Millisecond, p.tick)
 		got = watch(p, request)
-		require.Equal(t, 250*time.Millisecond, got.took, "members are told at the next tick")
+		require.Equal(t, 250*time.Millisecond, got.took, "agents are notified of members at the next tick")
 		require.Len(t, got.answer.Members.Agents, 3)
 	})
 }
 
-// TestMembersAreToldOnceASecond: while many machines start, each change would cost a whole list for every agent.
-func TestMembersAreToldOnceASecond(t *testing.T) {
+// TestMembersAreNotifiedOncePerInterval: while many machines start, each change would cost a whole list for every agent.
+func TestMembersAreNotifiedOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
 		pass(p, membersConvergenceTime)
@@ -239,8 +239,8 @@
 	})
 }
 
-// TestProbesFindTheMachineThatHoldsTheAgreedState: they are answered as soon as this one does, with little.
-func TestProbesFindTheMachineThatHoldsTheAgreedState(t *testing.T) {
+// TestProbesFindAnAuthoritativeMachine: they are answered as soon as this one does, with little.
+func TestProbesFindAnAuthoritativeMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		pass(p, membersConvergenceTime)
@@ -258,7 +258,7 @@
 		node.alter(func(status *control.Status) { status.Authoritative = false })
 		got = watch(p, probe)
 		require.Zero(t, got.took)
-		require.Equal(t, uint64(1), got.answer.View.Number, "it names others that may be asked")
+		require.Equal(t, uint64(1), got.answer.View.Number, "its voters are further machines to probe")
 		probe.ViewNumber = 1
 		require.Equal(t, 800*time.Millisecond, watch(p, probe).took)
 		time.AfterFunc(100*time.Millisecond, func() {
@@ -268,7 +268,7 @@
 	})
 }
 
-func TestWatchTellsTheServerList(t *testing.T) {
+func TestWatchSendsTheServerList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
 		request := current(p)
@@ -282,7 +282,7 @@
 
 		got = watch(p, current(p))
 		require.Equal(t, 800*time.Millisecond, got.took)
-		require.Empty(t, got.answer.List.Servers, "the version held is only confirmed")
+		require.Empty(t, got.answer.List.Servers, "a known version is only confirmed")
 		require.Equal(t, uint32(850), got.answer.List.AgeMs)
 	})
 }
@@ -304,7 +304,7 @@
 	})
 }
 
-func TestWatchRefusals(t *testing.T) {
+func TestWatchRejections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
 		require.Equal(t, connect.CodeInvalidArgument, connect.CodeOf(watch(p, &pb.WatchRequest{}).err))
--- a/internal/controlserver/listeners.go
+++ b/internal/controlserver/listeners.go
@@ -6,37 +6,122 @@
 	"log"
 	"net"
 	"net/http"
+	"slices"
 	"syscall"
 	"time"
 
+	"connectrpc.com/connect"
 	"github.com/cockroachdb/errors"
 	"golang.org/x/sys/unix"
 
+	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
+	"fieldrelay/internal/control"
 	"fieldrelay/internal/operatorapi"
 )
 
 const (
-	// userTimeout ends a connection whose peer acknowledges nothing: the machine is gone or cut off.
+	// userTimeout is the TCP user timeout (RFC 5482): it closes a connection whose peer acknowledges nothing, since
+	// the machine has failed or is partitioned.
 	userTimeout = 3 * time.Second
 
 	headerTimeout  = 3 * time.Second
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 16 << 10
 
-	// listenAttempts and listenBackoff bound the wait for an address that an earlier process still holds.
+	// listenAttempts and listenBackoff bound the wait for an address that an earlier process still uses.
 	listenAttempts = 20
 	listenBackoff  = 250 * time.Millisecond
+
+	// peerPortIndex is the index, in the settings' port range, of the port for control machines and agents.
+	peerPortIndex = 0
+
+	// maxMessageBytes bounds one message from a control machine or an agent.
+	maxMessageBytes = 32 << 20
 )
 
+// listeningServer is an HTTP server with its listener.
+type listeningServer struct {
+	server   *http.Server
+	listener net.Listener
+	peers    bool // serves control machines and agents, not callers from outside
+}
+
+// Serve serves until the server is shut down. It always returns an error.
+func (s *listeningServer) Serve() error { return s.server.Serve(s.listener) }
+
+// shutDown closes the listener and waits for the open calls; at the timeout their connections are closed.
+func (s *listeningServer) shutDown(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	if s.server.Shutdown(ctx) != nil {
+		_ = s.server.Close() // the process ends, and nothing can be done about a socket that does not close
+	}
+}
+
+// listenAll opens all listeners, or none.
+func (p *process) listenAll(ctx context.Context) ([]*listeningServer, error) {
+	var servers []*listeningServer
+	for address, handler := range p.handlers() {
+		listener, err := listen(ctx, address)
+		if err != nil {
+			for _, opened := range servers {
+				_ = opened.listener.Close() // the error that counts is the one returned
+			}
+			return nil, err
+		}
+		servers = append(servers, &listeningServer{
+			server:   newHTTPServer(handler),
+			listener: listener,
+			peers:    address == p.settings.Current().Port(peerPortIndex),
+		})
+	}
+	return servers, nil
+}
+
+// handlers returns the handlers by listen address. The operator's API and the directory may share one.
+func (p *process) handlers() map[string]http.Handler {
+	current := p.settings.Current()
+	services := make(map[string]operatorapi.Services)
+	if address := current.Binds.Control; address != "" {
+		services[address] = operatorapi.Services{Operator: true}
+	}
+	if address := current.Binds.Directory; address != "" {
+		services[address] = operatorapi.Services{Operator: services[address].Operator, Directory: true}
+	}
+	handlers := map[string]http.Handler{current.Port(peerPortIndex): p.peerHandler(current.Hostname)}
+	operatorServer := operatorapi.New(p.operatorOptions())
+	for address, chosen := range services {
+		handlers[address] = operatorServer.Handler(chosen)
+	}
+	return handlers
+}
+
+// peerHandler serves the other control machines and the agents. Responses are not compressed one by one: a compressor
+// takes more memory than everything else here. What is large in them is compressed once for all agents.
+func (p *process) peerHandler(host string) http.Handler {
+	options := []connect.HandlerOption{
+		connect.WithCompression("gzip", nil, nil),
+		connect.WithReadMaxBytes(maxMessageBytes),
+	}
+	agents := newLinkService(p.node, p.soft, host, p.shuttingDown)
+	agents.counters = &p.watchCounters
+	mux := http.NewServeMux()
+	deliveries := append(slices.Clone(options), control.CompressedDeliveries())
+	mux.Handle(fieldrelayv1connect.NewControlPeerHandler(p.node, deliveries...))
+	mux.Handle(fieldrelayv1connect.NewControlLinkHandler(agents, options...))
+	mux.Handle(fieldrelayv1connect.NewControlStatusHandler(statusService{p}, options...))
+	return mux
+}
+
 // setUserTimeout sets the user timeout of a socket; accepted connections inherit it from their listener.
 func setUserTimeout(_, _ string, connection syscall.RawConn) error {
-	// A system that does not know the option merely notices dead peers later.
 	return connection.Control(func(descriptor uintptr) {
+		// A system without the option detects failed peers later, by keep-alives.
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
 	})
 }
 
-// listen opens a listener, waiting a little if the address is still in use.
+// listen opens a TCP listener, and retries while the address is in use.
 func listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{
 		Control:         setUserTimeout,
--- /dev/null
+++ b/internal/controlserver/logging.go
@@ -0,0 +1,77 @@
+package controlserver
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"fieldrelay/internal/registry"
+)
+
+// countersInterval is the time between two log lines with counters.
+const countersInterval = 30 * time.Second
+
+// logRoleChanges logs a change of this machine's authority, and of its ownership of the polling role.
+func (p *process) logRoleChanges(authoritative bool) {
+	if authoritative != p.wasAuthoritative {
+		p.wasAuthoritative = authoritative
+		p.logger.Info("authority changed", zap.Bool("authoritative", authoritative))
+	}
+	if owner := p.soft.IsOwner(); owner != p.wasOwner {
+		p.wasOwner = owner
+		p.logger.Info("server list polling role changed", zap.Bool("owner", owner))
+	}
+}
+
+// logLagEvent logs an event of the lag monitor; other actions are ignored.
+func (p *process) logLagEvent(action registry.Action) {
+	switch event := action.(type) {
+	case registry.AgentLagging:
+		p.logger.Warn("agent lagging",
+			zap.String("host", event.Host),
+			zap.Uint64("reported_sequence", event.Reported),
+			zap.Uint64("committed_sequence", event.Committed),
+			zap.Duration("lag", event.Lag),
+			zap.Bool("ready", event.Ready))
+	case registry.AgentCaughtUp:
+		p.logger.Info("agent lag ended",
+			zap.String("host", event.Host),
+			zap.Uint64("reported_sequence", event.Reported),
+			zap.Duration("max_lag", event.Longest),
+			zap.Bool("contact_lost", event.Unheard))
+	case registry.ProxyBoundExceeded:
+		p.logger.Error("proxy exceeded the lag bound",
+			zap.String("host", event.Host),
+			zap.Uint64("reported_sequence", event.Reported),
+			zap.Uint64("committed_sequence", event.Committed),
+			zap.Duration("lag", event.Lag),
+			zap.Duration("bound", event.Bound))
+	}
+}
+
+// logCounters logs the counters since the start, and present figures.
+func (p *process) logCounters() {
+	snapshot := p.soft.Snapshot()
+	fields := []zap.Field{
+		zap.Int64("orders_acknowledged", p.operatorCounters.Acknowledged.Load()),
+		zap.Int64("orders_rejected", p.operatorCounters.Refused.Load()),
+		zap.Int64("orders_unavailable", p.operatorCounters.Unavailable.Load()),
+		zap.Int64("lookups", p.operatorCounters.Lookups.Load()),
+		zap.Int64("polls_succeeded", p.pollsSucceeded.Load()),
+		zap.Int64("polls_failed", p.pollsFailed.Load()),
+		zap.Int("agents_live", snapshot.members.Live()),
+		zap.Int("servers", snapshot.list.Len()),
+	}
+	fields = append(fields, lagFields(p.soft.LagStats())...)
+	p.logger.Info("counters", append(fields, p.watchCounters.fields()...)...)
+}
+
+// lagFields are the figures of the lag monitor in the line of counters.
+func lagFields(stats registry.LagStats) []zap.Field {
+	return []zap.Field{
+		zap.Int("agents_lagging", stats.Behind),
+		zap.Duration("max_lag", stats.Oldest),
+		zap.String("max_lag_host", stats.OldestHost),
+		zap.Uint64("lag_bound_violations", stats.Violations),
+	}
+}
--- a/internal/controlserver/node.go
+++ b/internal/controlserver/node.go
@@ -1,7 +1,10 @@
-// Package controlserver is the control process: it joins the replicated control state (internal/control), the
-// soft state about edge machines and servers (internal/registry) and the operator's API
-// (internal/operatorapi), listens for all of them, reads the platform's list while that is its duty, and serves
-// the agents that wait for news.
+// Package controlserver is the control process. It connects the replicated control state (internal/control), the soft
+// state about edge machines and servers (internal/registry) and the operator's API (internal/operatorapi): it opens
+// their listeners, polls the platform's server list while this machine owns that role, answers the long polls of
+// agents and shuts everything down in order.
+//
+// It decides nothing about agreement, succession or placement; those are the packages that it connects. The design is
+// described in docs/design-regional.md, the operation in docs/region-control.md.
 package controlserver
 
 import (
@@ -13,23 +16,24 @@
 	"fieldrelay/internal/control"
 )
 
-// Node is the replicated control state as this package needs it; *control.Node is one.
+// Node is the replicated control state as this package uses it. *control.Node implements it. Its methods are safe for
+// concurrent use.
 type Node interface {
-	// Submit hands an order of the operator over and waits for its result.
+	// Submit submits an order of the operator and waits for its result.
 	Submit(ctx context.Context, order *pb.Order) *pb.OrderResult
-	// Status tells what the node holds now.
+	// Status returns the node's present status.
 	Status() control.Status
-	// Changed returns a channel that is closed at the next change of what Status tells.
+	// Changed returns a channel that is closed at the next change of Status.
 	Changed() <-chan struct{}
-	// Since returns the committed changes after a sequence; false when they are not kept any more.
+	// Since returns the committed changes after a sequence; false if they are no longer in the history.
 	Since(sequence uint64) ([]*pb.Change, bool)
-	// Deliver takes messages of the other control machines.
+	// Deliver receives messages of the other control machines.
 	Deliver(ctx context.Context, request *connect.Request[pb.DeliverRequest]) (*connect.Response[pb.DeliverResponse], error)
-	// SetSeeds names other machines to ask, by their operator's addresses, when the known ones cannot be reached.
+	// SetSeeds sets the operator addresses of machines to contact when no known one can be reached.
 	SetSeeds(ctx context.Context, seeds []string)
 	// BroadcastServerList sends a server list to the other control machines.
 	BroadcastServerList(list *pb.ServerList)
-	// Leave tells the other control machines that this one is to end and returns when it may, within a bounded time;
-	// it reports whether they have agreed to go on without it.
+	// Leave has the other control machines go on without this one. It returns when they do, or after a bounded time,
+	// and reports whether they have agreed.
 	Leave(ctx context.Context) bool
 }
--- a/internal/controlserver/platform.go
+++ b/internal/controlserver/platform.go
@@ -22,26 +22,28 @@
 	// platformTimeout bounds one call to the platform.
 	platformTimeout = time.Second
 
-	// maxPages bounds one reading of the list.
+	// maxPages bounds the pages of one poll.
 	maxPages = 200
 
 	// maxPageBytes bounds one page of the list.
 	maxPageBytes = 4 << 20
 )
 
-// PlatformStatusError tells that the platform answered a call with something else than 200.
+// PlatformStatusError is a response of the platform with another status than 200.
 type PlatformStatusError struct{ Status int }
 
+// Error names the status.
 func (e *PlatformStatusError) Error() string {
 	return fmt.Sprintf("the platform answered %d", e.Status)
 }
 
-// PlatformListError tells that the platform's list cannot be used.
+// PlatformListError is a server list of the platform that cannot be used.
 type PlatformListError struct{ Reason string }
 
+// Error names the reason.
 func (e *PlatformListError) Error() string { return "the platform's list is unusable: " + e.Reason }
 
-// platformClient reads the platform's list of servers.
+// platformClient reads the platform's server list over HTTP. It is safe for concurrent use; its calls share one connection.
 type platformClient struct {
 	client *http.Client
 }
@@ -62,8 +64,9 @@
 	}}
 }
 
-// Read reads the whole list, page by page, from the platform's address (ip:port). It also returns the number
-// of calls made, failed ones included.
+// Read reads the complete list, page by page, from the platform's address (ip:port). It also returns the number of calls
+// made, failed ones included, since the platform limits their rate. The error is a *PlatformStatusError, a
+// *PlatformListError or that of the connection.
 func (p *platformClient) Read(ctx context.Context, address string) ([]*pb.Server, int, error) {
 	var servers []*pb.Server
 	token := ""
@@ -73,7 +76,7 @@
 			return nil, pages, err
 		}
 		for _, entry := range page.Servers {
-			if server, usable := serverFrom(entry); usable {
+			if server, valid := serverFrom(entry); valid {
 				servers = append(servers, server)
 			}
 		}
@@ -85,6 +88,7 @@
 	return nil, maxPages, &PlatformListError{Reason: fmt.Sprintf("it has more than %d pages", maxPages)}
 }
 
+// readPage reads one page; token is that of the previous page, empty for the first.
 func (p *platformClient) readPage(ctx context.Context, address, token string) (*operator.ServerPage, error) {
 	target := url.URL{Scheme: "http", Host: address, Path: "/servers"}
 	if token != "" {
@@ -92,16 +96,16 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "form a call to the platform")
+		return nil, errors.Wrap(err, "create a request to the platform")
 	}
 	response, err := p.client.Do(request)
 	if err != nil {
 		return nil, errors.Wrap(err, "call the platform")
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // what counts is the error of reading
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "read the platform's answer")
+		return nil, errors.Wrap(err, "read the platform's response")
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, &PlatformStatusError{Status: response.StatusCode}
@@ -116,8 +120,8 @@
 	return page, nil
 }
 
-// serverFrom turns an entry of the list into a message. An entry that names no incarnation, service or usable
-// address is left out: nothing could be sent there.
+// serverFrom converts an entry of the list into a message. It reports false for an entry without instance, service or
+// valid address: no request could be sent there.
 func serverFrom(entry operator.ServerEntry) (*pb.Server, bool) {
 	if entry.InstID == "" || entry.Backend == "" {
 		return nil, false
@@ -144,7 +148,7 @@
 	return server, true
 }
 
-// pointed is the value of an optional member, the zero value if it is missing.
+// valueOrZero returns the value of an optional member, the zero value if it is missing.
 func valueOrZero[T any](value *T) T {
 	if value == nil {
 		var zero T
@@ -153,7 +157,7 @@
 	return *value
 }
 
-// roundUp rounds a figure up and bounds it.
+// roundUp rounds a figure of the list up to a whole number and clamps it to the range of uint32; NaN counts as 0.
 func roundUp(figure float64) uint32 {
 	if math.IsNaN(figure) {
 		return 0
--- a/internal/controlserver/platform_test.go
+++ b/internal/controlserver/platform_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"errors"
-	"fmt"
+	"io"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -26,7 +26,7 @@
 			http.Error(w, "over the rate", http.StatusTooManyRequests)
 			return
 		}
-		fmt.Fprint(w, page)
+		_, _ = io.WriteString(w, page)
 	}))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestThePlatformsListReachesAgents lets a process read the list as its duty.
+// TestThePlatformsListReachesAgents lets a process poll the list as owner of that role.
 func TestThePlatformsListReachesAgents(t *testing.T) {
 	p, node := newTestProcess(t)
 	current := *testSettings()
@@ -85,8 +85,8 @@
 	require.Len(t, node.broadcast[0].Servers, 1)
 	response := watch(p, &pb.WatchRequest{Agent: testAgent("edge-1")})
 	require.Equal(t, "i-7f3a91c2", response.answer.List.Servers[0].Id)
-	_, told := p.soft.Report()
-	require.Zero(t, registry.CompareVersions(told, response.answer.List.Version))
+	_, advertised := p.soft.Report()
+	require.Zero(t, registry.CompareVersions(advertised, response.answer.List.Version))
 }
 
 func TestAFailedReadingKeepsTheList(t *testing.T) {
@@ -97,7 +97,7 @@
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
-		fmt.Fprint(w, `{"servers":[`+entry+`]}`)
+		_, _ = io.WriteString(w, `{"servers":[`+entry+`]}`)
 	}))
 	t.Cleanup(server.Close)
 	p.settings.current.Store(withPlatform(strings.TrimPrefix(server.URL, "http://")))
--- a/internal/controlserver/process.go
+++ b/internal/controlserver/process.go
@@ -11,32 +11,20 @@
 	"go.uber.org/zap"
 
 	pb "fieldrelay/api/fieldrelay/v1"
-	"fieldrelay/internal/catalog"
 	"fieldrelay/internal/control"
 	"fieldrelay/internal/operatorapi"
 	"fieldrelay/internal/quorum"
 	"fieldrelay/internal/registry"
-	"fieldrelay/internal/route"
 	"fieldrelay/internal/settings"
 )
 
-const (
-	// maxEndpointsLifetime is how long clients may use the directory's addresses.
-	maxEndpointsLifetime = time.Second
-
-	// pollTimeout bounds one reading of the platform's list, all pages together.
-	pollTimeout = registry.PollTimeout
-
-	// maxDrainingEndpointTime and drainingGraceDivisor (one in so many of the grace period) bound the time for which a proxy that drains
-	// may be named.
-	maxDrainingEndpointTime = 2 * time.Second
-	drainingGraceDivisor    = 4
-
-	// countersInterval is the time between two lines of counters.
-	countersInterval = 30 * time.Second
-)
+// pollTimeout bounds one poll of the platform's server list, all pages together.
+const pollTimeout = registry.PollTimeout
 
 // process is one control process without its sockets.
+//
+// The goroutine of runLoop owns wasOwner and wasAuthoritative. Polls run in goroutines of the group polls, which
+// shutDown waits for. Everything else is safe for concurrent use once attach has returned.
 type process struct {
 	options          Options
 	logger           *zap.Logger
@@ -45,14 +33,14 @@
 	soft             *softState
 	platform         *platformClient
 	operatorCounters operatorapi.Counters
-	watchCounters    watchCounters // to agents
-	rotation         atomic.Uint64
-	homeIndex        atomic.Pointer[homeIndexCache] // of the newest configuration that a client asked for; nil: none did
-	shuttingDown     chan struct{}
+	watchCounters    watchCounters
+	rotation         atomic.Uint64                  // of the endpoints in answers of the directory
+	homeIndex        atomic.Pointer[homeIndexCache] // nil until the first lookup
+	shuttingDown     chan struct{}                  // closed when the shutdown begins
 	started          time.Time
 
 	polls          sync.WaitGroup
-	pollContext    context.Context
+	pollContext    context.Context // of all polls; canceled by stopPolls
 	stopPolls      context.CancelFunc
 	pollsSucceeded atomic.Int64
 	pollsFailed    atomic.Int64
@@ -61,20 +49,14 @@
 	wasAuthoritative bool
 }
 
-// homes are the home regions of hosts in one state of the configuration.
-type homeIndexCache struct {
-	snapshot *catalog.Snapshot
-	index    *route.HomeIndex
-}
-
-// newProcess returns a process that knows nothing yet. seed draws its epochs, its waits and the first version
-// of its members, and has to differ from start to start.
-func newProcess(watch *settingsWatcher, logger *zap.Logger, seed uint64) *process {
-	initial := watch.Current()
+// newProcess returns a process with empty state. seed determines its epochs, its random waits and the first version of
+// its members; it must differ from start to start.
+func newProcess(watcher *settingsWatcher, logger *zap.Logger, seed uint64) *process {
+	initial := watcher.Current()
 	random := rand.New(rand.NewPCG(seed, 0))
 	p := &process{
 		logger:       logger,
-		settings:     watch,
+		settings:     watcher,
 		platform:     newPlatformClient(),
 		shuttingDown: make(chan struct{}),
 		started:      time.Now(),
@@ -86,70 +68,14 @@
 	return p
 }
 
-// now is the steady time since the start.
+// now returns the monotonic time since the start.
 func (p *process) now() time.Duration { return time.Since(p.started) }
 
-// attach gives the process its node. It comes before every other call but those that the node itself makes.
+// attach sets the node. It must precede every other call but the node's own: the node is started with callbacks of the
+// process, which do not use it.
 func (p *process) attach(node Node) { p.node = node }
 
-// operatorOptions configures the operator's API and the directory.
-func (p *process) operatorOptions() operatorapi.Options {
-	return operatorapi.Options{
-		Orders:    p.node,
-		Ready:     func() bool { return p.node.Status().Founded },
-		InTouch:   func() bool { return p.node.Status().Authoritative },
-		ZoneKnown: p.knowsZone,
-		Endpoints: func(host, region, zone string) []string {
-			client := registry.Client{Region: region, Zone: zone, Homes: p.homeRegionsOf(host), Leaving: p.drainingEndpointTime()}
-			return p.soft.Endpoints(client, p.rotation.Add(1))
-		},
-		EndpointsLifetime: func() time.Duration {
-			return endpointsLifetime(p.settings.Current())
-		},
-		Counters: &p.operatorCounters,
-	}
-}
-
-// drainingEndpointTime is how long a proxy that drains may be named: it takes requests for a little longer, and clients keep its
-// address for a second or more.
-func (p *process) drainingEndpointTime() time.Duration {
-	return min(maxDrainingEndpointTime, p.settings.Current().Bounds.Grace()/drainingGraceDivisor)
-}
-
-// homeRegionsOf tells where requests to a host may be served. While this machine is out of touch, its configuration may
-// be old: any host may be bound then.
-func (p *process) homeRegionsOf(host string) route.HomeRegions {
-	status := p.node.Status()
-	if !status.Authoritative || status.Committed == nil {
-		return route.HomeRegions{Unreadable: true}
-	}
-	known := p.homeIndex.Load()
-	if known == nil || known.snapshot != status.Committed {
-		known = &homeIndexCache{snapshot: status.Committed, index: route.NewHomeIndex(status.Committed)}
-		p.homeIndex.Store(known)
-	}
-	return known.index.Of(host)
-}
-
-// knowsZone reports whether the deployment has a zone of this name. One that is evacuated is known wherever the
-// order for it arrives again, also to a machine whose settings do not name it, or not yet.
-func (p *process) knowsZone(zone string) bool {
-	if p.settings.Current().KnowsZone(zone) {
-		return true
-	}
-	committed := p.node.Status().Committed
-	return committed != nil && committed.Evacuated(zone)
-}
-
-func endpointsLifetime(current *settings.Settings) time.Duration {
-	longest := current.Bounds.TTLMax()
-	if longest <= 0 {
-		return maxEndpointsLifetime
-	}
-	return min(maxEndpointsLifetime, longest)
-}
-
-// act does what the inventory asks for.
+// execute executes an action of the soft state.
 func (p *process) execute(action registry.Action) {
 	switch action := action.(type) {
 	case registry.StartPoll:
@@ -161,7 +87,7 @@
 	}
 }
 
-// poll reads the platform's list once.
+// poll reads the platform's server list once and passes the result to the soft state.
 func (p *process) poll() {
 	ctx, cancel := context.WithTimeout(p.pollContext, pollTimeout)
 	defer cancel()
@@ -175,7 +101,8 @@
 	p.soft.PollDone(registry.PollDone{SentAt: sentAt, Pages: pages, Servers: servers, Failed: err != nil})
 }
 
-// tick does what time alone brings about.
+// tick advances the soft state by the node's present status. Without a view or an address of the platform this machine
+// is no candidate for the polling role: LiveHosts stays empty.
 func (p *process) tick() {
 	status := p.node.Status()
 	var tick registry.Tick
@@ -187,10 +114,11 @@
 	p.soft.ObserveCommitted(status.Committed)
 	p.soft.SetLagBounds(lagBounds(p.settings.Current().Bounds), status.Authoritative)
 	p.soft.Tick(tick)
-	p.logChanges(status.Authoritative)
+	p.logRoleChanges(status.Authoritative)
 }
 
-// successionPosition is the place of this machine among the voters; the last if it does not vote.
+// successionPosition returns the position of this machine among the voters, by which it takes the polling role over;
+// a machine that does not vote comes last.
 func successionPosition(status control.Status) int {
 	voters := status.View.GetVoters()
 	position := slices.IndexFunc(voters, func(voter *pb.Replica) bool {
@@ -202,44 +130,16 @@
 	return position
 }
 
-// logChanges writes a line when this machine's part changed.
-func (p *process) logChanges(authoritative bool) {
-	if authoritative != p.wasAuthoritative {
-		p.wasAuthoritative = authoritative
-		p.logger.Info("holds the agreed state", zap.Bool("authoritative", authoritative))
-	}
-	if holder := p.soft.IsOwner(); holder != p.wasOwner {
-		p.wasOwner = holder
-		p.logger.Info("duty of the platform's list", zap.Bool("holder", holder))
-	}
-}
-
-// logCounters writes the periodic line.
-func (p *process) logCounters() {
-	picture := p.soft.Snapshot()
-	fields := []zap.Field{
-		zap.Int64("acknowledged", p.operatorCounters.Acknowledged.Load()),
-		zap.Int64("refused", p.operatorCounters.Refused.Load()),
-		zap.Int64("unavailable", p.operatorCounters.Unavailable.Load()),
-		zap.Int64("lookups", p.operatorCounters.Lookups.Load()),
-		zap.Int64("polls", p.pollsSucceeded.Load()),
-		zap.Int64("polls_failed", p.pollsFailed.Load()),
-		zap.Int("agents_live", picture.members.Live()),
-		zap.Int("servers", picture.list.Len()),
-	}
-	fields = append(fields, lagFields(p.soft.LagStats())...)
-	p.logger.Info("counters", append(fields, p.watchCounters.fields()...)...)
-}
-
-// settingsChanged follows new settings.
-func (p *process) settingsChanged(ctx context.Context, fresh *settings.Settings) {
-	p.soft.SetRate(fresh.CloudAPI.Rate)
-	p.node.SetSeeds(ctx, fresh.Seeds)
+// settingsChanged applies new settings to what does not read them on each use.
+func (p *process) settingsChanged(ctx context.Context, current *settings.Settings) {
+	p.soft.SetRate(current.CloudAPI.Rate)
+	p.node.SetSeeds(ctx, current.Seeds)
 }
 
-// heartbeat and serverListReceived are what the node tells.
+// heartbeatReceived is the node's callback for heartbeats of other control machines.
 func (p *process) heartbeatReceived(_ *pb.Replica, heartbeat *pb.Heartbeat) {
 	p.soft.Heartbeat(heartbeat)
 }
 
+// serverListReceived is the node's callback for server lists of other control machines.
 func (p *process) serverListReceived(list *pb.ServerList) { p.soft.ServerList(list) }
--- a/internal/controlserver/serve_test.go
+++ b/internal/controlserver/serve_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -46,9 +47,8 @@
 	}
 	response, err := http.DefaultClient.Do(message)
 	require.NoError(t, err)
-	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
-	require.NoError(t, err)
+	require.NoError(t, errors.Join(err, response.Body.Close()))
 	return response.StatusCode, string(answer)
 }
 
@@ -98,7 +98,7 @@
 	require.Equal(t, []string{"10.0.0.1:8144"}, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
 }
 
-// TestTheDirectoryFollowsTheHomesOfTheConfiguration: clients whose region has no proxy are sent to homes of their host.
+// TestTheDirectoryFollowsTheHomesOfTheConfiguration: clients whose region has no proxy are sent to home regions of their host.
 func TestTheDirectoryFollowsTheHomesOfTheConfiguration(t *testing.T) {
 	p, _ := newTestProcess(t)
 	for host, region := range map[string]string{"edge-1": "west", "edge-2": "west", "edge-3": "east", "edge-4": "east"} {
@@ -204,12 +204,12 @@
 	ended := make(chan error, 1)
 	go func() { ended <- Run(ctx, loneMachine(filepath.Join(folder, "state")), zap.New(core)) }()
 	require.Eventually(t, func() bool {
-		return lines.FilterMessage("holds the agreed state").Len() > 0 &&
-			lines.FilterMessage("settings read again").Len() > 0
+		return lines.FilterMessage("authority changed").Len() > 0 &&
+			lines.FilterMessage("settings reloaded").Len() > 0
 	}, 10*time.Second, 10*time.Millisecond)
 	cancel()
 	require.NoError(t, <-ended)
-	require.Equal(t, 1, lines.FilterMessage("counters").FilterField(zap.Int64("polls", 0)).Len())
+	require.Equal(t, 1, lines.FilterMessage("counters").FilterField(zap.Int64("polls_succeeded", 0)).Len())
 }
 
 const settingsText = `
@@ -246,7 +246,7 @@
 	write("hostname = 3")
 	require.False(t, watch.Check(false))
 	require.False(t, watch.Check(true))
-	require.Equal(t, 1, lines.Len(), "a fault is told once")
+	require.Equal(t, 1, lines.Len(), "an error is logged once")
 	require.True(t, watch.Current().KnowsZone("olomouc-hala"))
 }
 
@@ -266,8 +266,8 @@
 	require.Equal(t, []string{"10.0.0.2:80"}, node.seeds)
 }
 
-// TestHostsWithHomesAreTold: while the machine is out of touch, every host counts as one.
-func TestHostsWithHomesAreTold(t *testing.T) {
+// TestHostsWithHomeRegionsAreKnown: without authority, every host counts as restricted.
+func TestHostsWithHomeRegionsAreKnown(t *testing.T) {
 	p, node := newTestProcess(t)
 	node.alter(func(status *control.Status) { status.Committed = nil })
 	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homeRegionsOf("photos.example"), "no configuration is known")
--- a/internal/controlserver/settingswatcher.go
+++ b/internal/controlserver/settingswatcher.go
@@ -11,30 +11,32 @@
 	"fieldrelay/internal/settings"
 )
 
-// settingsCheckInterval is the time between two looks at the settings file.
+// settingsCheckInterval is the time between two checks of the settings file.
 const settingsCheckInterval = time.Second
 
-// settingsWatcher keeps the settings in force and follows the file that they came from.
+// settingsWatcher has the settings in force and follows the file that they came from. Current is safe for concurrent
+// use; Check is called by one goroutine at a time.
 type settingsWatcher struct {
 	path    string // empty: no file is followed
 	logger  *zap.Logger
 	current atomic.Pointer[settings.Settings]
 
+	// Of the file as last read.
 	modified  time.Time
 	size      int64
-	lastError string
+	lastError string // empty if it was valid
 }
 
 func newSettingsWatcher(path string, initial *settings.Settings, logger *zap.Logger) *settingsWatcher {
-	watch := &settingsWatcher{path: path, logger: logger}
-	watch.current.Store(initial)
-	return watch
+	watcher := &settingsWatcher{path: path, logger: logger}
+	watcher.current.Store(initial)
+	return watcher
 }
 
 // Current returns the settings in force.
 func (w *settingsWatcher) Current() *settings.Settings { return w.current.Load() }
 
-// stat tells the file's time of change and size; zero values if it cannot be read.
+// stat returns the file's modification time and size; zero values if it cannot be read.
 func (w *settingsWatcher) stat() (time.Time, int64) {
 	info, err := os.Stat(w.path)
 	if err != nil {
@@ -43,8 +45,8 @@
 	return info.ModTime(), info.Size()
 }
 
-// Check reads the file again if it looks changed, or in any case if forced, and reports whether other settings
-// are in force now. A faulty file is logged once and changes nothing.
+// Check reads the file again if its modification time or size has changed, or in any case if forced, and reports
+// whether other settings are in force now. An invalid file is logged once and changes nothing.
 func (w *settingsWatcher) Check(forced bool) bool {
 	if w.path == "" {
 		return false
@@ -54,17 +56,17 @@
 		return false
 	}
 	w.modified, w.size = modified, size
-	fresh, err := settings.Load(w.path)
+	loaded, err := settings.Load(w.path)
 	if err != nil {
 		w.reportError(err)
 		return false
 	}
 	w.lastError = ""
-	if reflect.DeepEqual(fresh, w.Current()) {
+	if reflect.DeepEqual(loaded, w.Current()) {
 		return false
 	}
-	w.current.Store(fresh)
-	w.logger.Info("settings read again")
+	w.current.Store(loaded)
+	w.logger.Info("settings reloaded")
 	return true
 }
 
@@ -73,5 +75,5 @@
 		return
 	}
 	w.lastError = err.Error()
-	w.logger.Warn("the settings file is at fault; the old settings stay", zap.Error(err))
+	w.logger.Warn("settings reload failed, previous settings stay in force", zap.Error(err))
 }
--- a/internal/controlserver/softstate_test.go
+++ b/internal/controlserver/softstate_test.go
@@ -43,7 +43,7 @@
 	require.Empty(t, node.broadcast[2].Servers, "the next reading only confirms it")
 }
 
-func TestMembersSettleAgainAfterAStandstill(t *testing.T) {
+func TestMembersConvergeAgainAfterAStall(t *testing.T) {
 	p, _ := newTestProcess(t)
 	p.tick()
 	pass(p, membersConvergenceTime)
@@ -63,27 +63,27 @@
 	require.True(t, p.soft.Snapshot().converged)
 }
 
-// What has waited while this process stood still tells of machines that may be gone since.
+// Reports that were queued while this process was stalled are about machines that may have failed since.
 func TestWhatWaitedDuringAStandstillBringsNoAddresses(t *testing.T) {
 	p, _ := newTestProcess(t)
 	p.tick()
 	pass(p, membersConvergenceTime)
 	p.started = p.started.Add(-20 * time.Second)
-	told := func() {
+	report := func() {
 		p.soft.ObserveAgent(testAgent("edge-1"), nil)
 		p.soft.Heartbeat(&pb.Heartbeat{Agents: []*pb.AgentRecord{testAgent("edge-2")}})
 	}
-	told()
+	report()
 	require.Zero(t, p.soft.Snapshot().members.Len(), "before the first tick")
 	p.tick()
-	told()
+	report()
 	require.Zero(t, p.soft.Snapshot().members.Len())
 	pass(p, stallGracePeriod)
-	told()
+	report()
 	require.Equal(t, 2, p.soft.Snapshot().members.Len())
 }
 
-// TestEarlyAddressesAreOfTheClientsRegion: a control machine that has just started has not heard of all proxies.
+// TestEarlyAddressesAreOfTheClientsRegion: a control machine that has just started has not observed all proxies.
 func TestEarlyAddressesAreOfTheClientsRegion(t *testing.T) {
 	p, _ := newTestProcess(t)
 	p.tick()
@@ -93,13 +93,13 @@
 		p.soft.ObserveAgent(record, nil)
 	}
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "west", Homes: route.HomeRegions{Unreadable: true}}, 0), 2)
-	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "east", Homes: route.HomeRegions{Unreadable: true}}, 0), "its own proxies may not have been heard of yet")
+	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "east", Homes: route.HomeRegions{Unreadable: true}}, 0), "its own proxies may not have been observed yet")
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east"}, 0), 2, "any proxy will do")
 	pass(p, directoryConvergenceTime)
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east", Homes: route.HomeRegions{Unreadable: true}}, 0), 2, "it has none")
 }
 
-// TestManyAgentsWakeTheOthersOnce: members that change together are told together.
+// TestManyAgentsWakeTheOthersOnce: agents are notified once of members that change together.
 func TestManyAgentsWakeTheOthersOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
@@ -111,7 +111,7 @@
 		}
 		select {
 		case <-changed:
-			require.Fail(t, "told before the tick")
+			require.Fail(t, "notified before the tick")
 		default:
 		}
 		p.tick()
@@ -120,7 +120,7 @@
 		p.tick()
 		select {
 		case <-changed:
-			require.Fail(t, "told without news")
+			require.Fail(t, "notified without an update")
 		default:
 		}
 	})
--- a/internal/controlserver/statusservice.go
+++ b/internal/controlserver/statusservice.go
@@ -12,27 +12,27 @@
 	"fieldrelay/internal/registry"
 )
 
-// statusService tells people on call what this machine knows. It only reads: nothing is asked of other
-// machines, so that it answers also while they are gone.
+// statusService implements the ControlStatus service, which describes this machine for people on call. It makes no calls
+// to other machines, so it works while they are unreachable.
 type statusService struct{ process *process }
 
-// Describe returns what the machine knows now.
+// Describe returns a report as of now.
 func (s statusService) Describe(context.Context, *connect.Request[pb.ControlStatusRequest]) (*connect.Response[pb.ControlStatusReport], error) {
 	return connect.NewResponse(s.process.report()), nil
 }
 
-// report describes the process and what it holds.
+// report describes the process and its state.
 func (p *process) report() *pb.ControlStatusReport {
-	held := p.node.Status()
+	status := p.node.Status()
 	picture := p.soft.Snapshot()
 	return &pb.ControlStatusReport{
-		Self:           held.Self,
+		Self:           status.Self,
 		Software:       buildRevision(),
 		UptimeMs:       milliseconds(p.now()),
-		View:           held.View,
-		Authoritative:  held.Authoritative,
-		Live:           held.Live,
-		Catalog:        catalogStatus(held.Committed),
+		View:           status.View,
+		Authoritative:  status.Authoritative,
+		Live:           status.Live,
+		Catalog:        catalogStatus(status.Committed),
 		Duty:           p.pollingRoleStatus(picture.list),
 		MembersSettled: picture.converged,
 		Lateness:       lagStatus(p.soft.LagStats()),
@@ -46,6 +46,7 @@
 	}
 }
 
+// catalogStatus is the part of a report about the committed control state, nil before there is one.
 func catalogStatus(committed *catalog.Snapshot) *pb.CatalogStatus {
 	if committed == nil {
 		return nil
@@ -59,38 +60,41 @@
 	}
 }
 
+// pollingRoleStatus is the part of a report about the polling of the platform; the wire calls the role a duty.
 func (p *process) pollingRoleStatus(list *registry.ServerList) *pb.DutyStatus {
-	duty := &pb.DutyStatus{
+	role := &pb.DutyStatus{
 		Holder:      p.soft.IsOwner(),
 		Polls:       uint64(p.pollsSucceeded.Load()),
 		PollsFailed: uint64(p.pollsFailed.Load()),
 	}
 	if list == nil {
-		return duty
+		return role
 	}
-	duty.List = list.Version()
-	duty.ListAgeMs = milliseconds(list.Age(p.now()))
-	duty.Servers = uint32(list.Len())
+	role.List = list.Version()
+	role.ListAgeMs = milliseconds(list.Age(p.now()))
+	role.Servers = uint32(list.Len())
 	for _, server := range list.Message(p.now()).GetServers() {
 		if server.GetDraining() {
-			duty.Draining++
+			role.Draining++
 		}
 	}
-	return duty
+	return role
 }
 
+// agentStatuses describes the edge machines. One without contact for the failure timeout counts as lost.
 func agentStatuses(members *pb.Members) []*pb.AgentStatus {
 	statuses := make([]*pb.AgentStatus, 0, len(members.GetAgents()))
 	for _, record := range members.GetAgents() {
-		silent := time.Duration(record.GetAgeMs()) * time.Millisecond
-		statuses = append(statuses, &pb.AgentStatus{Record: record, Lost: silent >= registry.FailureTimeout})
+		sinceContact := time.Duration(record.GetAgeMs()) * time.Millisecond
+		statuses = append(statuses, &pb.AgentStatus{Record: record, Lost: sinceContact >= registry.FailureTimeout})
 	}
 	return statuses
 }
 
+// milliseconds returns a duration in whole milliseconds, 0 for a negative one.
 func milliseconds(duration time.Duration) uint64 { return uint64(max(0, duration.Milliseconds())) }
 
-// software names the commit that the program was built from, as far as that is known.
+// buildRevision returns the commit that the program was built from, its version if there is none, or "".
 func buildRevision() string {
 	info, known := debug.ReadBuildInfo()
 	if !known {
--- a/internal/controlserver/statusservice_test.go
+++ b/internal/controlserver/statusservice_test.go
@@ -27,7 +27,7 @@
 
 func TestStatusBeforeAnythingIsKnown(t *testing.T) {
 	p, node := newTestProcess(t)
-	node.alter(func(held *control.Status) { *held = control.Status{} })
+	node.alter(func(status *control.Status) { *status = control.Status{} })
 	report := describe(t, p)
 	require.Nil(t, report.View)
 	require.Nil(t, report.Catalog)
@@ -63,6 +63,6 @@
 	require.Equal(t, uint32(2), report.Duty.Servers)
 	require.Equal(t, uint32(1), report.Duty.Draining)
 	require.Len(t, report.Agents, 2)
-	require.True(t, report.Agents[0].Lost, "edge-1 has been silent")
+	require.True(t, report.Agents[0].Lost, "edge-1 has had no contact")
 	require.False(t, report.Agents[1].Lost)
 }
--- a/internal/controlserver/watchcounters_test.go
+++ b/internal/controlserver/watchcounters_test.go
@@ -57,8 +57,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
 		link := newLinkService(p.node, p.soft, "control-1", p.shuttingDown)
-		ctx, leave := context.WithTimeout(t.Context(), 100*time.Millisecond)
-		defer leave()
+		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
+		defer cancel()
 		require.Error(t, watchWith(ctx, link, current(p)).err)
 		require.EqualValues(t, 1, link.counters.canceled.Load())
 
