--- a/internal/controlserver/directory.go
+++ b/internal/controlserver/directory.go
@@ -29,10 +29,10 @@
 // operatorOptions configures the operator's API and the directory.
 func (p *process) operatorOptions() operatorapi.Options {
 	return operatorapi.Options{
-		Orders:    p.node,
-		Ready:     func() bool { return p.node.Status().Founded },
-		InTouch:   func() bool { return p.node.Status().Authoritative },
-		ZoneKnown: p.knowsZone,
+		Orders:        p.node,
+		Ready:         func() bool { return p.node.Status().Founded },
+		Authoritative: func() bool { return p.node.Status().Authoritative },
+		ZoneKnown:     p.knowsZone,
 		Endpoints: func(host, region, zone string) []string {
 			client := registry.Client{Region: region, Zone: zone, Homes: p.homeRegionsOf(host), Leaving: p.drainingEndpointTime()}
 			return p.soft.Endpoints(client, p.rotation.Add(1))
--- a/internal/controlserver/logging.go
+++ b/internal/controlserver/logging.go
@@ -54,7 +54,7 @@
 	snapshot := p.soft.Snapshot()
 	fields := []zap.Field{
 		zap.Int64("orders_acknowledged", p.operatorCounters.Acknowledged.Load()),
-		zap.Int64("orders_rejected", p.operatorCounters.Refused.Load()),
+		zap.Int64("orders_rejected", p.operatorCounters.Rejected.Load()),
 		zap.Int64("orders_unavailable", p.operatorCounters.Unavailable.Load()),
 		zap.Int64("lookups", p.operatorCounters.Lookups.Load()),
 		zap.Int64("polls_succeeded", p.pollsSucceeded.Load()),
--- a/internal/controlserver/statusservice.go
+++ b/internal/controlserver/statusservice.go
@@ -39,7 +39,7 @@
 		Agents:         agentStatuses(picture.members.Message(p.now())),
 		Orders: &pb.OrderCounters{
 			Acknowledged: uint64(p.operatorCounters.Acknowledged.Load()),
-			Refused:      uint64(p.operatorCounters.Refused.Load()),
+			Refused:      uint64(p.operatorCounters.Rejected.Load()),
 			Unavailable:  uint64(p.operatorCounters.Unavailable.Load()),
 			Lookups:      uint64(p.operatorCounters.Lookups.Load()),
 		},
--- a/internal/operatorapi/answers.go
+++ b/internal/operatorapi/answers.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// retryAfter is when a call that got 503 may be sent again, in seconds.
-	retryAfter = "0.2"
+	// retryAfterSeconds is when a call that got 503 may be sent again, in seconds.
+	retryAfterSeconds = "0.2"
 
 	contentTypeJSON = "application/json"
 )
@@ -22,7 +22,7 @@
 // Counters counts calls since the start.
 type Counters struct {
 	Acknowledged atomic.Int64 // orders and reads answered with 2xx
-	Refused      atomic.Int64 // answered with 4xx
+	Rejected     atomic.Int64 // answered with 4xx
 	Unavailable  atomic.Int64 // answered with 5xx
 	Lookups      atomic.Int64 // directory answers with addresses
 }
@@ -33,7 +33,7 @@
 	case status < http.StatusMultipleChoices:
 		c.Acknowledged.Add(1)
 	case status < http.StatusInternalServerError:
-		c.Refused.Add(1)
+		c.Rejected.Add(1)
 	default:
 		c.Unavailable.Add(1)
 	}
@@ -43,17 +43,17 @@
 func (s *Server) LookupEndpoints(w http.ResponseWriter, _ *http.Request, params operator.LookupEndpointsParams) {
 	endpoints := s.options.Endpoints(valueOf(params.Name), valueOf(params.Geo), valueOf(params.Az))
 	if len(endpoints) == 0 {
-		s.refuse(w, &NoEndpointsError{})
+		s.reject(w, &NoEndpointsError{})
 		return
 	}
 	s.options.Counters.Lookups.Add(1)
 	seconds := max(1, int(s.options.EndpointsLifetime()/time.Second))
 	body, err := json.Marshal(operator.Endpoints{Endpoints: endpoints, TTLS: seconds})
 	if err != nil {
-		s.refuse(w, &NoEndpointsError{})
+		s.reject(w, &NoEndpointsError{})
 		return
 	}
-	write(w, http.StatusOK, body)
+	writeJSON(w, http.StatusOK, body)
 }
 
 // valueOf is the value of an optional parameter, "" if it was not given.
@@ -65,46 +65,46 @@
 }
 
 // answer passes the result of an order on.
-func (s *Server) answer(w http.ResponseWriter, result *pb.OrderResult) {
+func (s *Server) writeResult(w http.ResponseWriter, result *pb.OrderResult) {
 	status := int(result.GetStatus())
 	if status < http.StatusOK || status > 599 {
 		status = http.StatusServiceUnavailable
 	}
 	body := result.GetBody()
 	if status >= http.StatusBadRequest {
-		body = typedRefusal(status, body)
+		body = structuredRejection(status, body)
 	}
 	if len(body) > 0 {
 		s.options.Counters.count(status)
-		write(w, status, body)
+		writeJSON(w, status, body)
 		return
 	}
 	if status < http.StatusMultipleChoices {
 		s.options.Counters.count(status)
-		write(w, status, []byte("{}"))
+		writeJSON(w, status, []byte("{}"))
 		return
 	}
-	s.refuse(w, &ResultError{HTTPStatus: status})
+	s.reject(w, &ResultError{HTTPStatus: status})
 }
 
 // refuse answers with a failure.
-func (s *Server) refuse(w http.ResponseWriter, err error) {
-	refusal, known := errors.AsType[RefusalError](err)
+func (s *Server) reject(w http.ResponseWriter, err error) {
+	refusal, known := errors.AsType[RejectionError](err)
 	if !known {
 		refusal = &ResultError{HTTPStatus: http.StatusServiceUnavailable}
 	}
 	s.options.Counters.count(refusal.Status())
 	detail := operator.RefusalDetail{Code: refusal.Code(), Message: refusal.Error()}
-	write(w, refusal.Status(), marshalRefusal(detail))
+	writeJSON(w, refusal.Status(), marshalRejection(detail))
 }
 
 // write sends a whole answer.
-func write(w http.ResponseWriter, status int, body []byte) {
+func writeJSON(w http.ResponseWriter, status int, body []byte) {
 	header := w.Header()
 	header.Set("Content-Type", contentTypeJSON)
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	if status == http.StatusServiceUnavailable {
-		header.Set("Retry-After", retryAfter)
+		header.Set("Retry-After", retryAfterSeconds)
 	}
 	w.WriteHeader(status)
 	// A failed write means that the caller is gone; it asks again.
--- a/internal/operatorapi/caller.go
+++ b/internal/operatorapi/caller.go
@@ -42,13 +42,13 @@
 // ConnContext is for the http.Server that serves a Handler: it keeps how old requests can be.
 func ConnContext(ctx context.Context, _ net.Conn) context.Context {
 	accepted := &connection{}
-	accepted.ready()
+	accepted.markReady()
 	return context.WithValue(ctx, connectionKey{}, accepted)
 }
 
-func (c *connection) ready() { c.readyAt.Store(int64(time.Since(epoch))) }
+func (c *connection) markReady() { c.readyAt.Store(int64(time.Since(epoch))) }
 
-func (c *connection) isYoung() bool {
+func (c *connection) isFresh() bool {
 	return time.Since(epoch)-time.Duration(c.readyAt.Load()) <= YoungFor
 }
 
@@ -58,21 +58,21 @@
 }
 
 // answered notes that the connection may bring another request from now on.
-func answered(r *http.Request) {
+func markReady(r *http.Request) {
 	if found := connectionOf(r); found != nil {
-		found.ready()
+		found.markReady()
 	}
 }
 
-// isYoung reports whether a request that arrives now was sent only just now.
-func isYoung(r *http.Request) bool {
+// isFresh reports whether a request that arrives now was sent only just now.
+func isFresh(r *http.Request) bool {
 	found := connectionOf(r)
-	return found != nil && found.isYoung()
+	return found != nil && found.isFresh()
 }
 
-// awaitCaller reports whether the caller of a request that may be old is still there. The body, which carries
+// callerRemains reports whether the caller of a request that may be old is still there. The body, which carries
 // nothing, is read first: the end of a connection is seen only behind it.
-func awaitCaller(r *http.Request) bool {
+func callerRemains(r *http.Request) bool {
 	_, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxIgnoredBytes))
 	if err != nil {
 		return false
--- a/internal/operatorapi/caller_test.go
+++ b/internal/operatorapi/caller_test.go
@@ -14,20 +14,20 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// heldFor is how long a cut holds the bytes of a request up in these tests.
-const heldFor = 20 * time.Second
+// networkDelay is how long a cut holds the bytes of a request up in these tests.
+const networkDelay = 20 * time.Second
 
 const beginEvacuation = "POST /api/drain/brno-hala/begin HTTP/1.1\r\nHost: core\r\n"
 
-// heldServer serves over TCP as if every request had reached it heldFor after its connection was ready.
-type heldServer struct {
+// delayedServer serves over TCP as if every request had reached it networkDelay after its connection was ready.
+type delayedServer struct {
 	*httptest.Server
 	orders *recordedOrders
 	done   chan struct{} // gets one element for each call that has ended
 }
 
-func newHeldServer(t *testing.T, held time.Duration) *heldServer {
-	s := &heldServer{orders: answering(http.StatusOK, "{}"), done: make(chan struct{}, 8)}
+func newDelayedServer(t *testing.T, held time.Duration) *delayedServer {
+	s := &delayedServer{orders: answeringWith(http.StatusOK, "{}"), done: make(chan struct{}, 8)}
 	calls := New(optionsWith(s.orders)).Handler(everything)
 	s.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		connectionOf(r).readyAt.Add(-int64(held))
@@ -41,7 +41,7 @@
 }
 
 // sendAndGiveUp sends a request and closes the connection.
-func (s *heldServer) sendAndGiveUp(t *testing.T, request string) {
+func (s *delayedServer) sendAndGiveUp(t *testing.T, request string) {
 	connection, err := net.Dial("tcp", s.Listener.Addr().String())
 	require.NoError(t, err)
 	_, err = io.WriteString(connection, request)
@@ -58,7 +58,7 @@
 		"in chunks, broken": beginEvacuation + "Transfer-Encoding: chunked\r\n\r\n2\r\n{",
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := newHeldServer(t, heldFor)
+			server := newDelayedServer(t, networkDelay)
 			server.sendAndGiveUp(t, request)
 			require.Empty(t, server.orders.orders)
 		})
@@ -67,13 +67,13 @@
 
 // The planted fault: a request of any age counts as young.
 func TestAgeIsWhatKeepsHeldEvacuationsBack(t *testing.T) {
-	server := newHeldServer(t, 0)
+	server := newDelayedServer(t, 0)
 	server.sendAndGiveUp(t, beginEvacuation+"\r\n")
 	require.Len(t, server.orders.orders, 1)
 }
 
 func TestHeldEvacuationWhoseCallerWaitsIsTaken(t *testing.T) {
-	server := newHeldServer(t, heldFor)
+	server := newDelayedServer(t, networkDelay)
 	for range 2 { // on one connection
 		answer, err := server.Client().Post(server.URL+"/api/drain/brno-hala/begin", "", nil)
 		require.NoError(t, err)
@@ -85,8 +85,8 @@
 	require.Len(t, server.orders.orders, 2)
 }
 
-func TestYoungEvacuationIsNotDelayed(t *testing.T) {
-	server := newHeldServer(t, 0)
+func TestFreshEvacuationIsNotDelayed(t *testing.T) {
+	server := newDelayedServer(t, 0)
 	began := time.Now()
 	answer, err := server.Client().Post(server.URL+"/api/drain/brno-hala/begin", "", nil)
 	require.NoError(t, err)
@@ -96,7 +96,7 @@
 }
 
 func TestOrderOfACallerThatLeavesIsWithdrawn(t *testing.T) {
-	server := newHeldServer(t, 0)
+	server := newDelayedServer(t, 0)
 	ended := make(chan error, 1)
 	server.orders.answer = func(ctx context.Context, _ *pb.Order) *pb.OrderResult {
 		<-ctx.Done()
@@ -108,9 +108,9 @@
 }
 
 func TestOutOfTouchUnknownZoneIsNotRefused(t *testing.T) {
-	options := optionsWith(answering(http.StatusOK, ""))
-	options.InTouch = func() bool { return false }
+	options := optionsWith(answeringWith(http.StatusOK, ""))
+	options.Authoritative = func() bool { return false }
 	recorder := call(options, "POST", "/api/drain/nowhere/begin", "", nil)
 	require.Equal(t, http.StatusServiceUnavailable, recorder.Code)
-	require.Equal(t, "out_of_touch", refusalIn(t, recorder).Code)
+	require.Equal(t, "out_of_touch", rejectionIn(t, recorder).Code)
 }
--- a/internal/operatorapi/errors.go
+++ b/internal/operatorapi/errors.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// RefusalError is a failure with an answer of its own: a status and a word for programs.
-type RefusalError interface {
+// RejectionError is a failure with an answer of its own: a status and a word for programs.
+type RejectionError interface {
 	error
 	// Status is the HTTP status of the answer.
 	Status() int
@@ -25,16 +25,16 @@
 // Code is not_ready.
 func (*NotReadyError) Code() string { return "not_ready" }
 
-// OutOfTouchError refuses a call because what this machine knows may be old.
-type OutOfTouchError struct{}
+// NotAuthoritativeError refuses a call because what this machine knows may be old.
+type NotAuthoritativeError struct{}
 
-func (*OutOfTouchError) Error() string { return "this machine is out of touch with the others" }
+func (*NotAuthoritativeError) Error() string { return "this machine is out of touch with the others" }
 
 // Status is 503.
-func (*OutOfTouchError) Status() int { return http.StatusServiceUnavailable }
+func (*NotAuthoritativeError) Status() int { return http.StatusServiceUnavailable }
 
 // Code is out_of_touch.
-func (*OutOfTouchError) Code() string { return "out_of_touch" }
+func (*NotAuthoritativeError) Code() string { return "out_of_touch" }
 
 // BusyError refuses an order because as many as allowed are under way.
 type BusyError struct{}
@@ -82,31 +82,33 @@
 // Code is body_too_large.
 func (*BodyTooLargeError) Code() string { return "body_too_large" }
 
-// BodySlowError refuses a body that did not arrive in time.
-type BodySlowError struct{}
+// BodyTimeoutError refuses a body that did not arrive in time.
+type BodyTimeoutError struct{}
 
-func (*BodySlowError) Error() string { return "the body did not arrive in time" }
+func (*BodyTimeoutError) Error() string { return "the body did not arrive in time" }
 
 // Status is 408.
-func (*BodySlowError) Status() int { return http.StatusRequestTimeout }
+func (*BodyTimeoutError) Status() int { return http.StatusRequestTimeout }
 
 // Code is body_slow.
-func (*BodySlowError) Code() string { return "body_slow" }
+func (*BodyTimeoutError) Code() string { return "body_slow" }
 
-// BodyBrokenError refuses a body that ended early or was malformed on the wire. It may come whole when it is
+// BodyIncompleteError refuses a body that ended early or was malformed on the wire. It may come whole when it is
 // sent again.
-type BodyBrokenError struct{ Cause error }
+type BodyIncompleteError struct{ Cause error }
 
-func (e *BodyBrokenError) Error() string { return "the body did not arrive whole: " + e.Cause.Error() }
+func (e *BodyIncompleteError) Error() string {
+	return "the body did not arrive whole: " + e.Cause.Error()
+}
 
 // Unwrap returns the cause.
-func (e *BodyBrokenError) Unwrap() error { return e.Cause }
+func (e *BodyIncompleteError) Unwrap() error { return e.Cause }
 
 // Status is 408.
-func (*BodyBrokenError) Status() int { return http.StatusRequestTimeout }
+func (*BodyIncompleteError) Status() int { return http.StatusRequestTimeout }
 
 // Code is body_broken.
-func (*BodyBrokenError) Code() string { return "body_broken" }
+func (*BodyIncompleteError) Code() string { return "body_broken" }
 
 // BadParameterError refuses a call whose header, path or query is missing something or malformed.
 type BadParameterError struct{ Cause error }
--- a/internal/operatorapi/interface_test.go
+++ b/internal/operatorapi/interface_test.go
@@ -27,36 +27,36 @@
 			answer.Header().Get("Content-Length"), answer.Header().Get("Retry-After"), answer.Body))
 	}
 	cause := errors.New("CAUSE")
-	for _, refusal := range []error{&NotReadyError{}, &OutOfTouchError{}, &BusyError{}, &CallerGoneError{}, &NoEndpointsError{},
-		&BodyTooLargeError{LimitBytes: 7}, &BodySlowError{}, &BodyBrokenError{Cause: cause}, &BadParameterError{Cause: cause},
+	for _, refusal := range []error{&NotReadyError{}, &NotAuthoritativeError{}, &BusyError{}, &CallerGoneError{}, &NoEndpointsError{},
+		&BodyTooLargeError{LimitBytes: 7}, &BodyTimeoutError{}, &BodyIncompleteError{Cause: cause}, &BadParameterError{Cause: cause},
 		&MissingBaseError{}, &UnknownZoneError{Zone: "z"}, cause} {
 		answer := httptest.NewRecorder()
-		server.refuse(answer, refusal)
+		server.reject(answer, refusal)
 		record("refused", answer)
 	}
 	for _, status := range []uint32{0, 200, 202, 400, 404, 409, 412, 413, 422, 500, 503, 600} {
 		for _, body := range []string{"", `{"error":"REASON"}`, `{"other":1}`, "no JSON"} {
 			answer := httptest.NewRecorder()
-			server.answer(answer, &pb.OrderResult{Status: status, Body: []byte(body)})
+			server.writeResult(answer, &pb.OrderResult{Status: status, Body: []byte(body)})
 			record(fmt.Sprintf("result %d %q", status, body), answer)
 		}
 	}
 	for _, document := range []string{"{", `{"gen":0}`, `{"gen":1,"routes":[{"name":"r"}],"nonsense":[]}`} {
 		_, err := catalog.PrepareReplace(catalog.Empty(), 0, []byte(document))
-		lines = append(lines, "configuration "+document+": "+refusalOf(t, err))
+		lines = append(lines, "configuration "+document+": "+rejectionOf(t, err))
 	}
 	_, err := catalog.PrepareReplace(catalog.Empty(), 3, []byte(`{"gen":1}`))
-	lines = append(lines, "configuration on another base: "+refusalOf(t, err))
+	lines = append(lines, "configuration on another base: "+rejectionOf(t, err))
 	recordedtest.Compare(t, *update, "testdata/refusals.txt", strings.Join(lines, "\n")+"\n")
 }
 
-func refusalOf(t *testing.T, err error) string {
+func rejectionOf(t *testing.T, err error) string {
 	t.Helper()
 	refusal, known := errors.AsType[catalog.OrderError](err)
 	if !known {
 		return fmt.Sprint("no refusal: ", err)
 	}
-	body := RefusalBody(refusal)
+	body := RejectionBody(refusal)
 	require.True(t, json.Valid(body))
 	return fmt.Sprint(refusal.Status(), " ", string(body))
 }
--- a/internal/operatorapi/orders.go
+++ b/internal/operatorapi/orders.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// submitLimit is the longest wait for the result of an order with a small body: the caller waits a second.
-	submitLimit = 900 * time.Millisecond
+	// submitTimeout is the longest wait for the result of an order with a small body: the caller waits a second.
+	submitTimeout = 900 * time.Millisecond
 
 	// smallBodyBytes is the size up to which a body counts as small.
 	smallBodyBytes = 64 << 10
 
-	// limitPerKiB lengthens the wait for each KiB beyond a small body: callers wait longer for large ones.
-	limitPerKiB = time.Millisecond
+	// submitTimeoutPerKiB lengthens the wait for each KiB beyond a small body: callers wait longer for large ones.
+	submitTimeoutPerKiB = time.Millisecond
 
-	// longestSubmitLimit bounds the wait whatever the size.
-	longestSubmitLimit = 5 * time.Second
+	// maxSubmitTimeout bounds the wait whatever the size.
+	maxSubmitTimeout = 5 * time.Second
 
-	// receiveLimit is the longest time in which a body may arrive.
-	receiveLimit = 10 * time.Second
+	// bodyReadTimeout is the longest time in which a body may arrive.
+	bodyReadTimeout = 10 * time.Second
 
-	// maxOrders bounds the orders under way at this machine.
-	maxOrders = 64
+	// maxConcurrentOrders bounds the orders under way at this machine.
+	maxConcurrentOrders = 64
 
-	// maxLargeBodies bounds the bodies in memory that are not small.
-	maxLargeBodies = 3
+	// maxConcurrentLargeBodies bounds the bodies in memory that are not small.
+	maxConcurrentLargeBodies = 3
 )
 
 // ReplaceConfiguration puts a whole configuration in force.
@@ -62,11 +62,11 @@
 
 func (s *Server) evacuate(w http.ResponseWriter, r *http.Request, order *pb.Order) {
 	if !s.options.ZoneKnown(order.Zone) {
-		s.refuse(w, s.unknownZone(order.Zone))
+		s.reject(w, s.unknownZone(order.Zone))
 		return
 	}
-	if !isYoung(r) && !awaitCaller(r) {
-		s.refuse(w, &CallerGoneError{})
+	if !isFresh(r) && !callerRemains(r) {
+		s.reject(w, &CallerGoneError{})
 		return
 	}
 	s.submit(w, r, order)
@@ -74,9 +74,9 @@
 
 // unknownZone is what an order on a zone that is not known here is refused with. A machine that is out of touch
 // may only have missed that it was added.
-func (s *Server) unknownZone(zone string) RefusalError {
-	if !s.options.InTouch() {
-		return &OutOfTouchError{}
+func (s *Server) unknownZone(zone string) RejectionError {
+	if !s.options.Authoritative() {
+		return &NotAuthoritativeError{}
 	}
 	return &UnknownZoneError{Zone: zone}
 }
@@ -84,22 +84,22 @@
 // configure reads the body of a configuration order and submits it.
 func (s *Server) configure(w http.ResponseWriter, r *http.Request, kind pb.Order_Kind, base *uint64) {
 	if base == nil {
-		s.refuse(w, &MissingBaseError{})
+		s.reject(w, &MissingBaseError{})
 		return
 	}
 	if !s.options.Ready() {
-		s.refuse(w, &NotReadyError{})
+		s.reject(w, &NotReadyError{})
 		return
 	}
 	if r.ContentLength > s.options.MaxBodyBytes {
-		s.refuse(w, &BodyTooLargeError{LimitBytes: s.options.MaxBodyBytes})
+		s.reject(w, &BodyTooLargeError{LimitBytes: s.options.MaxBodyBytes})
 		return
 	}
-	large := &largeBody{tokens: s.largeBodies}
+	large := &largeBodySlot{slots: s.largeBodySlots}
 	defer large.release()
 	body, err := s.readBody(w, r, large)
 	if err != nil {
-		s.refuse(w, err)
+		s.reject(w, err)
 		return
 	}
 	s.submit(w, r, &pb.Order{Kind: kind, Base: *base, Body: body})
@@ -108,53 +108,53 @@
 // submit hands an order over and answers with its result.
 func (s *Server) submit(w http.ResponseWriter, r *http.Request, order *pb.Order) {
 	if !s.options.Ready() {
-		s.refuse(w, &NotReadyError{})
+		s.reject(w, &NotReadyError{})
 		return
 	}
-	if !take(s.orders) {
-		s.refuse(w, &BusyError{})
+	if !tryAcquire(s.orderSlots) {
+		s.reject(w, &BusyError{})
 		return
 	}
-	defer release(s.orders)
-	ctx, cancel := context.WithTimeout(r.Context(), limitFor(len(order.Body)))
+	defer releaseSlot(s.orderSlots)
+	ctx, cancel := context.WithTimeout(r.Context(), submitTimeoutFor(len(order.Body)))
 	defer cancel()
-	s.answer(w, s.options.Orders.Submit(ctx, order))
+	s.writeResult(w, s.options.Orders.Submit(ctx, order))
 }
 
-// limitFor is the longest wait for the result of an order with a body of that size.
-func limitFor(bodyBytes int) time.Duration {
+// submitTimeoutFor is the longest wait for the result of an order with a body of that size.
+func submitTimeoutFor(bodyBytes int) time.Duration {
 	beyond := max(0, bodyBytes-smallBodyBytes)
-	limit := submitLimit + time.Duration(beyond>>10)*limitPerKiB
-	return min(limit, longestSubmitLimit)
+	limit := submitTimeout + time.Duration(beyond>>10)*submitTimeoutPerKiB
+	return min(limit, maxSubmitTimeout)
 }
 
-// largeBody is the place of one body among the large ones in memory, if it is large.
-type largeBody struct {
-	tokens chan struct{}
-	held   bool
+// largeBodySlot is the place of one body among the large ones in memory, if it is large.
+type largeBodySlot struct {
+	slots    chan struct{}
+	acquired bool
 }
 
 // claim takes a place. The error is a *BusyError if there is none.
-func (l *largeBody) claim() error {
-	if !take(l.tokens) {
+func (l *largeBodySlot) acquire() error {
+	if !tryAcquire(l.slots) {
 		return &BusyError{}
 	}
-	l.held = true
+	l.acquired = true
 	return nil
 }
 
-func (l *largeBody) release() {
-	if l.held {
-		release(l.tokens)
+func (l *largeBodySlot) release() {
+	if l.acquired {
+		releaseSlot(l.slots)
 	}
 }
 
 // readBody reads the whole body within the bounds of size and time.
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, large *largeBody) ([]byte, error) {
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request, large *largeBodySlot) ([]byte, error) {
 	// An error only means that the connection's own limits stay in force.
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(receiveLimit))
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	limited := http.MaxBytesReader(w, r.Body, s.options.MaxBodyBytes)
-	body, err := readWhole(limited, r.ContentLength, large)
+	body, err := readAll(limited, r.ContentLength, large)
 	if err == nil {
 		return body, nil
 	}
@@ -166,19 +166,19 @@
 		return nil, &BodyTooLargeError{LimitBytes: s.options.MaxBodyBytes}
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, &BodySlowError{}
+		return nil, &BodyTimeoutError{}
 	}
-	return nil, &BodyBrokenError{Cause: err}
+	return nil, &BodyIncompleteError{Cause: err}
 }
 
-// readWhole reads to the end, into a buffer of the right size if the length is known. A body claims its place
+// readAll reads to the end, into a buffer of the right size if the length is known. A body claims its place
 // once it is known to be large.
-func readWhole(reader io.Reader, length int64, large *largeBody) ([]byte, error) {
+func readAll(reader io.Reader, length int64, large *largeBodySlot) ([]byte, error) {
 	if length < 0 {
 		return readUnsized(reader, large)
 	}
 	if length > smallBodyBytes {
-		if err := large.claim(); err != nil {
+		if err := large.acquire(); err != nil {
 			return nil, err
 		}
 	}
@@ -191,12 +191,12 @@
 }
 
 // readUnsized reads a body whose length is not told.
-func readUnsized(reader io.Reader, large *largeBody) ([]byte, error) {
+func readUnsized(reader io.Reader, large *largeBodySlot) ([]byte, error) {
 	start, err := io.ReadAll(io.LimitReader(reader, smallBodyBytes+1))
 	if err != nil || len(start) <= smallBodyBytes {
 		return start, err
 	}
-	if err := large.claim(); err != nil {
+	if err := large.acquire(); err != nil {
 		return nil, err
 	}
 	rest, err := io.ReadAll(reader)
@@ -204,7 +204,7 @@
 }
 
 // take takes one token if there is room.
-func take(tokens chan struct{}) bool {
+func tryAcquire(tokens chan struct{}) bool {
 	select {
 	case tokens <- struct{}{}:
 		return true
@@ -213,4 +213,4 @@
 	}
 }
 
-func release(tokens chan struct{}) { <-tokens }
+func releaseSlot(tokens chan struct{}) { <-tokens }
--- a/internal/operatorapi/refusal.go
+++ b/internal/operatorapi/refusal.go
@@ -9,9 +9,9 @@
 	"fieldrelay/internal/catalog"
 )
 
-// RefusalBody is the body of the answer to an order that the catalog refused: with every fault, its item and
+// RejectionBody is the body of the answer to an order that the catalog refused: with every fault, its item and
 // its field.
-func RefusalBody(refusal catalog.OrderError) []byte {
+func RejectionBody(refusal catalog.OrderError) []byte {
 	result := &ResultError{HTTPStatus: refusal.Status()}
 	detail := operator.RefusalDetail{Code: result.Code(), Message: refusal.Error()}
 	if conflict, other := errors.AsType[*catalog.ConflictError](refusal); other {
@@ -23,7 +23,7 @@
 		detail.Faults = &faults
 		detail.Message = fmt.Sprintf("the configuration has %d faults", len(invalid.Faults)+invalid.Omitted)
 	}
-	return marshalRefusal(detail)
+	return marshalRejection(detail)
 }
 
 func faultsOf(invalid *catalog.InvalidError) []operator.Fault {
@@ -46,7 +46,7 @@
 	return &text
 }
 
-func marshalRefusal(detail operator.RefusalDetail) []byte {
+func marshalRejection(detail operator.RefusalDetail) []byte {
 	body, err := json.Marshal(operator.Refusal{Error: detail})
 	if err != nil {
 		return []byte("{}")
@@ -54,9 +54,9 @@
 	return body
 }
 
-// typedRefusal gives the body of a refusal that only tells its reason as a text the form of all refusals. Any
+// structuredRejection gives the body of a refusal that only tells its reason as a text the form of all refusals. Any
 // other body is returned as it is.
-func typedRefusal(status int, body []byte) []byte {
+func structuredRejection(status int, body []byte) []byte {
 	var plain struct {
 		Error string `json:"error"`
 	}
@@ -64,5 +64,5 @@
 		return body
 	}
 	code := (&ResultError{HTTPStatus: status}).Code()
-	return marshalRefusal(operator.RefusalDetail{Code: code, Message: plain.Error})
+	return marshalRejection(operator.RefusalDetail{Code: code, Message: plain.Error})
 }
--- a/internal/operatorapi/server.go
+++ b/internal/operatorapi/server.go
@@ -35,8 +35,8 @@
 	Orders Orders
 	// Ready reports whether orders can be handed over at all; they are answered 503 at once otherwise.
 	Ready func() bool
-	// InTouch reports whether this machine holds the agreed state.
-	InTouch func() bool
+	// Authoritative reports whether this machine holds the agreed state.
+	Authoritative func() bool
 	// ZoneKnown reports whether a zone of this name exists.
 	ZoneKnown func(zone string) bool
 	// Endpoints returns the edge addresses for clients of a host in a region and zone, none if none is known.
@@ -51,9 +51,9 @@
 
 // Server answers the operator's calls and the directory's.
 type Server struct {
-	options     Options
-	orders      chan struct{} // one token for each order under way
-	largeBodies chan struct{} // one token for each large body in memory
+	options        Options
+	orderSlots     chan struct{} // one token for each order under way
+	largeBodySlots chan struct{} // one token for each large body in memory
 }
 
 // New returns a server.
@@ -65,9 +65,9 @@
 		options.Counters = &Counters{}
 	}
 	return &Server{
-		options:     options,
-		orders:      make(chan struct{}, maxOrders),
-		largeBodies: make(chan struct{}, maxLargeBodies),
+		options:        options,
+		orderSlots:     make(chan struct{}, maxConcurrentOrders),
+		largeBodySlots: make(chan struct{}, maxConcurrentLargeBodies),
 	}
 }
 
@@ -81,7 +81,7 @@
 func (s *Server) Handler(services Services) http.Handler {
 	all := operator.HandlerWithOptions(s, operator.StdHTTPServerOptions{
 		ErrorHandlerFunc: func(w http.ResponseWriter, _ *http.Request, err error) {
-			s.refuse(w, &BadParameterError{Cause: err})
+			s.reject(w, &BadParameterError{Cause: err})
 		},
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -89,7 +89,7 @@
 			http.NotFound(w, r)
 			return
 		}
-		defer answered(r)
+		defer markReady(r)
 		all.ServeHTTP(w, r)
 	})
 }
--- a/internal/operatorapi/server_test.go
+++ b/internal/operatorapi/server_test.go
@@ -36,7 +36,7 @@
 	return r.answer(ctx, order)
 }
 
-func answering(status uint32, body string) *recordedOrders {
+func answeringWith(status uint32, body string) *recordedOrders {
 	return &recordedOrders{answer: func(context.Context, *pb.Order) *pb.OrderResult {
 		return &pb.OrderResult{Status: status, Body: []byte(body)}
 	}}
@@ -46,7 +46,7 @@
 	return Options{
 		Orders:            orders,
 		Ready:             func() bool { return true },
-		InTouch:           func() bool { return true },
+		Authoritative:     func() bool { return true },
 		ZoneKnown:         func(zone string) bool { return zone == "brno-hala" },
 		Endpoints:         func(host, region, zone string) []string { return []string{host + "/" + region + "/" + zone} },
 		EndpointsLifetime: func() time.Duration { return time.Second },
@@ -68,7 +68,7 @@
 	return recorder
 }
 
-func refusalIn(t *testing.T, recorder *httptest.ResponseRecorder) operator.RefusalDetail {
+func rejectionIn(t *testing.T, recorder *httptest.ResponseRecorder) operator.RefusalDetail {
 	t.Helper()
 	require.Equal(t, "application/json", recorder.Header().Get("Content-Type"))
 	var refusal operator.Refusal
@@ -76,7 +76,7 @@
 	return refusal.Error
 }
 
-func TestOrdersAreHandedOver(t *testing.T) {
+func TestOrdersAreSubmitted(t *testing.T) {
 	cases := map[string]struct {
 		method, path, base, body string
 		want                     *pb.Order
@@ -89,7 +89,7 @@
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			orders := answering(200, `{"gen":7}`)
+			orders := answeringWith(200, `{"gen":7}`)
 			recorder := call(optionsWith(orders), one.method, one.path, one.base, strings.NewReader(one.body))
 			require.Equal(t, 200, recorder.Code)
 			require.Equal(t, `{"gen":7}`, recorder.Body.String())
@@ -99,34 +99,34 @@
 	}
 }
 
-func TestResultsBecomeAnswers(t *testing.T) {
+func TestResultsBecomeResponses(t *testing.T) {
 	for _, status := range []uint32{400, 409, 412, 413, 422, 503} {
-		withBody := call(optionsWith(answering(status, `{"error":{}}`)), "GET", "/api/conf/read", "", nil)
+		withBody := call(optionsWith(answeringWith(status, `{"error":{}}`)), "GET", "/api/conf/read", "", nil)
 		require.Equal(t, int(status), withBody.Code)
 		require.Equal(t, `{"error":{}}`, withBody.Body.String())
 		require.Equal(t, status == 503, withBody.Header().Get("Retry-After") != "")
 
-		withoutBody := call(optionsWith(answering(status, "")), "GET", "/api/conf/read", "", nil)
+		withoutBody := call(optionsWith(answeringWith(status, "")), "GET", "/api/conf/read", "", nil)
 		require.Equal(t, int(status), withoutBody.Code)
-		require.NotEmpty(t, refusalIn(t, withoutBody).Code)
+		require.NotEmpty(t, rejectionIn(t, withoutBody).Code)
 	}
-	require.Equal(t, "{}", call(optionsWith(answering(200, "")), "GET", "/api/conf/read", "", nil).Body.String())
-	require.Equal(t, 503, call(optionsWith(answering(0, "")), "GET", "/api/conf/read", "", nil).Code)
-	require.Equal(t, 503, call(optionsWith(answering(99999, "x")), "GET", "/api/conf/read", "", nil).Code)
+	require.Equal(t, "{}", call(optionsWith(answeringWith(200, "")), "GET", "/api/conf/read", "", nil).Body.String())
+	require.Equal(t, 503, call(optionsWith(answeringWith(0, "")), "GET", "/api/conf/read", "", nil).Code)
+	require.Equal(t, 503, call(optionsWith(answeringWith(99999, "x")), "GET", "/api/conf/read", "", nil).Code)
 }
 
-func TestPlainReasonsBecomeTypedRefusals(t *testing.T) {
-	recorder := call(optionsWith(answering(412, `{"error":"the order builds on 3"}`)), "GET", "/api/conf/read", "", nil)
+func TestPlainReasonsBecomeStructuredRejections(t *testing.T) {
+	recorder := call(optionsWith(answeringWith(412, `{"error":"the order builds on 3"}`)), "GET", "/api/conf/read", "", nil)
 	require.Equal(t, 412, recorder.Code)
-	require.Equal(t, operator.RefusalDetail{Code: "wrong_base", Message: "the order builds on 3"}, refusalIn(t, recorder))
+	require.Equal(t, operator.RefusalDetail{Code: "wrong_base", Message: "the order builds on 3"}, rejectionIn(t, recorder))
 }
 
-func TestRefusalBodyNamesItemAndField(t *testing.T) {
+func TestRejectionBodyNamesItemAndField(t *testing.T) {
 	_, err := catalog.PrepareReplace(catalog.Empty(), 0, []byte(`{"gen":1,"routes":[{"name":"r","vhost":"h","path-prefix":"/a/","deadline-ms":0,"backend":"s"}],"backends":[{"name":"s"}]}`))
 	refusal, refused := errors.AsType[catalog.OrderError](err)
 	require.True(t, refused)
 	var body operator.Refusal
-	require.NoError(t, json.Unmarshal(RefusalBody(refusal), &body))
+	require.NoError(t, json.Unmarshal(RejectionBody(refusal), &body))
 	require.Equal(t, "invalid", body.Error.Code)
 	require.Len(t, *body.Error.Faults, 1)
 	fault := (*body.Error.Faults)[0]
@@ -134,7 +134,7 @@
 	require.Equal(t, "deadline-ms", *fault.Field)
 	require.NotEmpty(t, fault.Message)
 
-	require.NoError(t, json.Unmarshal(RefusalBody(&catalog.ConflictError{Base: 3, Current: 5}), &body))
+	require.NoError(t, json.Unmarshal(RejectionBody(&catalog.ConflictError{Base: 3, Current: 5}), &body))
 	require.Equal(t, "wrong_base", body.Error.Code)
 	require.Equal(t, int64(5), *body.Error.Gen)
 }
@@ -163,12 +163,12 @@
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			orders := answering(200, "")
+			orders := answeringWith(200, "")
 			options := optionsWith(orders)
 			one.change(&options)
 			recorder := call(options, one.method, one.path, one.base, one.body)
 			require.Equal(t, one.status, recorder.Code, recorder.Body.String())
-			refusal := refusalIn(t, recorder)
+			refusal := rejectionIn(t, recorder)
 			require.Equal(t, one.code, refusal.Code)
 			require.NotEmpty(t, refusal.Message)
 			require.Empty(t, orders.orders)
@@ -177,7 +177,7 @@
 }
 
 func TestLookup(t *testing.T) {
-	options := optionsWith(answering(200, ""))
+	options := optionsWith(answeringWith(200, ""))
 	recorder := call(options, "GET", "/api/lookup?name=ficu95.example&geo=cz-morava&az=brno-hala", "", nil)
 	require.Equal(t, 200, recorder.Code)
 	require.JSONEq(t, `{"endpoints":["ficu95.example/cz-morava/brno-hala"],"ttl-s":1}`, recorder.Body.String())
@@ -186,11 +186,11 @@
 	options.Endpoints = func(string, string, string) []string { return nil }
 	recorder = call(options, "GET", "/api/lookup?name=x", "", nil)
 	require.Equal(t, 503, recorder.Code)
-	require.Equal(t, "no_endpoints", refusalIn(t, recorder).Code)
+	require.Equal(t, "no_endpoints", rejectionIn(t, recorder).Code)
 }
 
 func TestOnlyChosenServicesAreServed(t *testing.T) {
-	server := New(optionsWith(answering(200, "")))
+	server := New(optionsWith(answeringWith(200, "")))
 	served := func(services Services, path string) int {
 		recorder := httptest.NewRecorder()
 		server.Handler(services).ServeHTTP(recorder, httptest.NewRequest("GET", path, nil))
@@ -206,15 +206,15 @@
 	require.Equal(t, 405, served(everything, "/api/conf/replace"))
 }
 
-func TestTheWaitIsBounded(t *testing.T) {
+func TestTheWaitForAResultIsBounded(t *testing.T) {
 	waiting := &recordedOrders{answer: func(ctx context.Context, _ *pb.Order) *pb.OrderResult {
 		<-ctx.Done()
 		return &pb.OrderResult{Status: 503}
 	}}
 	cases := map[int]time.Duration{
-		100:       submitLimit,
-		300 << 10: submitLimit + 236*time.Millisecond,
-		15 << 20:  longestSubmitLimit,
+		100:       submitTimeout,
+		300 << 10: submitTimeout + 236*time.Millisecond,
+		15 << 20:  maxSubmitTimeout,
 	}
 	for size, want := range cases {
 		synctest.Test(t, func(t *testing.T) {
@@ -234,8 +234,8 @@
 			return &pb.OrderResult{Status: 200}
 		}}
 		handler := New(optionsWith(blocked)).Handler(everything)
-		statuses := make(chan int, maxOrders+5)
-		for range maxOrders + 5 {
+		statuses := make(chan int, maxConcurrentOrders+5)
+		for range maxConcurrentOrders + 5 {
 			go func() {
 				recorder := httptest.NewRecorder()
 				handler.ServeHTTP(recorder, httptest.NewRequest("GET", "/api/conf/read", nil))
@@ -247,7 +247,7 @@
 			require.Equal(t, http.StatusServiceUnavailable, <-statuses)
 		}
 		close(let)
-		for range maxOrders {
+		for range maxConcurrentOrders {
 			require.Equal(t, http.StatusOK, <-statuses)
 		}
 	})
@@ -274,7 +274,7 @@
 			server.Handler(everything).ServeHTTP(recorder, request)
 			return recorder.Code
 		}
-		for index := range maxLargeBodies {
+		for index := range maxConcurrentLargeBodies {
 			go send(smallBodyBytes+1, index%2 == 0)
 		}
 		synctest.Wait()
@@ -286,20 +286,20 @@
 		close(finish)
 		synctest.Wait()
 		require.Equal(t, 200, send(2*smallBodyBytes, false), "the places are free again")
-		require.Empty(t, server.largeBodies)
+		require.Empty(t, server.largeBodySlots)
 	})
 }
 
-func TestCountersFollowAnswers(t *testing.T) {
+func TestCountersFollowResponses(t *testing.T) {
 	counters := &Counters{}
 	for _, status := range []uint32{200, 200, 412, 503} {
-		options := optionsWith(answering(status, "{}"))
+		options := optionsWith(answeringWith(status, "{}"))
 		options.Counters = counters
 		call(options, "GET", "/api/conf/read", "", nil)
 		call(options, "GET", "/api/lookup", "", nil)
 	}
 	require.Equal(t, int64(2), counters.Acknowledged.Load())
-	require.Equal(t, int64(1), counters.Refused.Load())
+	require.Equal(t, int64(1), counters.Rejected.Load())
 	require.Equal(t, int64(1), counters.Unavailable.Load())
 	require.Equal(t, int64(4), counters.Lookups.Load())
 }
