--- /dev/null
+++ b/internal/operatorapi/counters.go
@@ -0,0 +1,26 @@
+package operatorapi
+
+import (
+	"net/http"
+	"sync/atomic"
+)
+
+// Counters count calls since the start, by response. They are safe for concurrent use.
+type Counters struct {
+	Acknowledged atomic.Int64 // orders and reads answered with 2xx
+	Rejected     atomic.Int64 // answered with 4xx
+	Unavailable  atomic.Int64 // answered with 5xx
+	Lookups      atomic.Int64 // directory answers with addresses
+}
+
+// count counts the response to an order.
+func (c *Counters) count(status int) {
+	switch {
+	case status < http.StatusMultipleChoices:
+		c.Acknowledged.Add(1)
+	case status < http.StatusInternalServerError:
+		c.Rejected.Add(1)
+	default:
+		c.Unavailable.Add(1)
+	}
+}
--- a/internal/operatorapi/errors.go
+++ b/internal/operatorapi/errors.go
@@ -5,98 +5,106 @@
 	"net/http"
 )
 
-// RejectionError is a failure with an answer of its own: a status and a word for programs.
+// RejectionError is an error with its own response: an HTTP status, and a code for programs. Its text, from Error, is
+// the message of the response.
 type RejectionError interface {
 	error
-	// Status is the HTTP status of the answer.
+	// Status returns the HTTP status of the response.
 	Status() int
-	// Code names the kind of failure.
+	// Code returns the code of the response.
 	Code() string
 }
 
-// NotReadyError refuses a call because this machine knows no agreed view yet.
+// NotReadyError rejects a call because this machine knows no view yet.
 type NotReadyError struct{}
 
+// Error returns the message of the response.
 func (*NotReadyError) Error() string { return "this machine has not joined the others yet" }
 
-// Status is 503.
+// Status returns 503.
 func (*NotReadyError) Status() int { return http.StatusServiceUnavailable }
 
-// Code is not_ready.
+// Code returns not_ready.
 func (*NotReadyError) Code() string { return "not_ready" }
 
-// NotAuthoritativeError refuses a call because what this machine knows may be old.
+// NotAuthoritativeError rejects a call because this machine's knowledge may be stale.
 type NotAuthoritativeError struct{}
 
+// Error returns the message of the response.
 func (*NotAuthoritativeError) Error() string { return "this machine is out of touch with the others" }
 
-// Status is 503.
+// Status returns 503.
 func (*NotAuthoritativeError) Status() int { return http.StatusServiceUnavailable }
 
-// Code is out_of_touch.
+// Code returns out_of_touch.
 func (*NotAuthoritativeError) Code() string { return "out_of_touch" }
 
-// BusyError refuses an order because as many as allowed are under way.
+// BusyError rejects an order because as many as allowed are open.
 type BusyError struct{}
 
+// Error returns the message of the response.
 func (*BusyError) Error() string { return "too many orders are under way at this machine" }
 
-// Status is 503.
+// Status returns 503.
 func (*BusyError) Status() int { return http.StatusServiceUnavailable }
 
-// Code is busy.
+// Code returns busy.
 func (*BusyError) Code() string { return "busy" }
 
-// CallerGoneError refuses an order whose caller closed the connection before the order was taken.
+// CallerGoneError rejects an order whose caller closed the connection before the order was submitted.
 type CallerGoneError struct{}
 
+// Error returns the message of the response.
 func (*CallerGoneError) Error() string { return "the caller has given the order up" }
 
-// Status is 503.
+// Status returns 503.
 func (*CallerGoneError) Status() int { return http.StatusServiceUnavailable }
 
-// Code is caller_gone.
+// Code returns caller_gone.
 func (*CallerGoneError) Code() string { return "caller_gone" }
 
-// NoEndpointsError refuses a lookup because no proxy is known to take requests.
+// NoEndpointsError rejects a lookup because no proxy is known to accept requests.
 type NoEndpointsError struct{}
 
+// Error returns the message of the response.
 func (*NoEndpointsError) Error() string { return "no edge address is known here" }
 
-// Status is 503.
+// Status returns 503.
 func (*NoEndpointsError) Status() int { return http.StatusServiceUnavailable }
 
-// Code is no_endpoints.
+// Code returns no_endpoints.
 func (*NoEndpointsError) Code() string { return "no_endpoints" }
 
-// BodyTooLargeError refuses a body over the bound.
+// BodyTooLargeError rejects a body over the bound.
 type BodyTooLargeError struct{ LimitBytes int64 }
 
+// Error returns the message of the response.
 func (e *BodyTooLargeError) Error() string {
 	return fmt.Sprintf("the body exceeds %d bytes", e.LimitBytes)
 }
 
-// Status is 413.
+// Status returns 413.
 func (*BodyTooLargeError) Status() int { return http.StatusRequestEntityTooLarge }
 
-// Code is body_too_large.
+// Code returns body_too_large.
 func (*BodyTooLargeError) Code() string { return "body_too_large" }
 
-// BodyTimeoutError refuses a body that did not arrive in time.
+// BodyTimeoutError rejects a body that did not arrive in time.
 type BodyTimeoutError struct{}
 
+// Error returns the message of the response.
 func (*BodyTimeoutError) Error() string { return "the body did not arrive in time" }
 
-// Status is 408.
+// Status returns 408.
 func (*BodyTimeoutError) Status() int { return http.StatusRequestTimeout }
 
-// Code is body_slow.
+// Code returns body_slow.
 func (*BodyTimeoutError) Code() string { return "body_slow" }
 
-// BodyIncompleteError refuses a body that ended early or was malformed on the wire. It may come whole when it is
-// sent again.
+// BodyIncompleteError rejects a body that ended early or was malformed on the wire. A retry may succeed, hence 408.
 type BodyIncompleteError struct{ Cause error }
 
+// Error returns the message of the response.
 func (e *BodyIncompleteError) Error() string {
 	return "the body did not arrive whole: " + e.Cause.Error()
 }
@@ -104,51 +112,55 @@
 // Unwrap returns the cause.
 func (e *BodyIncompleteError) Unwrap() error { return e.Cause }
 
-// Status is 408.
+// Status returns 408.
 func (*BodyIncompleteError) Status() int { return http.StatusRequestTimeout }
 
-// Code is body_broken.
+// Code returns body_broken.
 func (*BodyIncompleteError) Code() string { return "body_broken" }
 
-// BadParameterError refuses a call whose header, path or query is missing something or malformed.
+// BadParameterError rejects a call whose header, path or query is missing something or malformed.
 type BadParameterError struct{ Cause error }
 
+// Error returns the message of the response.
 func (e *BadParameterError) Error() string { return e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *BadParameterError) Unwrap() error { return e.Cause }
 
-// Status is 400.
+// Status returns 400.
 func (*BadParameterError) Status() int { return http.StatusBadRequest }
 
-// Code is bad_parameter.
+// Code returns bad_parameter.
 func (*BadParameterError) Code() string { return "bad_parameter" }
 
-// MissingBaseError refuses a configuration that does not say what it builds on.
+// MissingBaseError rejects a configuration that does not name the generation that it is based on.
 type MissingBaseError struct{}
 
+// Error returns the message of the response.
 func (*MissingBaseError) Error() string { return "the header X-Fieldrelay-Base-Rev is missing" }
 
-// Status is 400.
+// Status returns 400.
 func (*MissingBaseError) Status() int { return http.StatusBadRequest }
 
-// Code is missing_base.
+// Code returns missing_base.
 func (*MissingBaseError) Code() string { return "missing_base" }
 
-// UnknownZoneError refuses the evacuation of a zone that does not exist.
+// UnknownZoneError rejects the evacuation of a zone that does not exist.
 type UnknownZoneError struct{ Zone string }
 
+// Error returns the message of the response.
 func (e *UnknownZoneError) Error() string { return fmt.Sprintf("no zone is named %q", e.Zone) }
 
-// Status is 404.
+// Status returns 404.
 func (*UnknownZoneError) Status() int { return http.StatusNotFound }
 
-// Code is unknown_zone.
+// Code returns unknown_zone.
 func (*UnknownZoneError) Code() string { return "unknown_zone" }
 
-// ResultError stands for the result of an order that came without a body.
+// ResultError is the result of an order that came without a body.
 type ResultError struct{ HTTPStatus int }
 
+// Error returns the message of the response.
 func (e *ResultError) Error() string {
 	if e.HTTPStatus == http.StatusServiceUnavailable {
 		return "the fate of the order is not known; it may be sent again"
@@ -156,10 +168,10 @@
 	return "the order was refused: " + http.StatusText(e.HTTPStatus)
 }
 
-// Status is that of the result.
+// Status returns the status of the result.
 func (e *ResultError) Status() int { return e.HTTPStatus }
 
-// Code follows the status.
+// Code returns the code for the status.
 func (e *ResultError) Code() string {
 	switch e.HTTPStatus {
 	case http.StatusBadRequest:
--- a/internal/operatorapi/caller_test.go
+++ b/internal/operatorapi/freshness_test.go
@@ -14,23 +14,24 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// networkDelay is how long a cut holds the bytes of a request up in these tests.
+// networkDelay is how long a partition delays the bytes of a request in these tests.
 const networkDelay = 20 * time.Second
 
 const beginEvacuation = "POST /api/drain/brno-hala/begin HTTP/1.1\r\nHost: core\r\n"
 
-// delayedServer serves over TCP as if every request had reached it networkDelay after its connection was ready.
+// delayedServer serves over TCP as if every request had reached it a delay after its connection was ready.
 type delayedServer struct {
 	*httptest.Server
 	orders *recordedOrders
 	done   chan struct{} // gets one element for each call that has ended
 }
 
-func newDelayedServer(t *testing.T, held time.Duration) *delayedServer {
+func newDelayedServer(t *testing.T, delay time.Duration) *delayedServer {
+	t.Helper()
 	s := &delayedServer{orders: answeringWith(http.StatusOK, "{}"), done: make(chan struct{}, 8)}
 	calls := New(optionsWith(s.orders)).Handler(everything)
 	s.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		connectionOf(r).readyAt.Add(-int64(held))
+		connectionOf(r).readyAt.Add(-int64(delay))
 		calls.ServeHTTP(w, r)
 		s.done <- struct{}{}
 	}))
@@ -42,6 +43,7 @@
 
 // sendAndGiveUp sends a request and closes the connection.
 func (s *delayedServer) sendAndGiveUp(t *testing.T, request string) {
+	t.Helper()
 	connection, err := net.Dial("tcp", s.Listener.Addr().String())
 	require.NoError(t, err)
 	_, err = io.WriteString(connection, request)
@@ -65,7 +67,7 @@
 	}
 }
 
-// The planted fault: a request of any age counts as young.
+// With the planted fault that a request of any age counts as fresh, the delayed order is submitted.
 func TestAgeIsWhatKeepsHeldEvacuationsBack(t *testing.T) {
 	server := newDelayedServer(t, 0)
 	server.sendAndGiveUp(t, beginEvacuation+"\r\n")
@@ -80,7 +82,7 @@
 		require.Equal(t, http.StatusOK, answer.StatusCode)
 		_, err = io.Copy(io.Discard, answer.Body)
 		require.NoError(t, err)
-		answer.Body.Close()
+		require.NoError(t, answer.Body.Close())
 	}
 	require.Len(t, server.orders.orders, 2)
 }
@@ -90,7 +92,7 @@
 	began := time.Now()
 	answer, err := server.Client().Post(server.URL+"/api/drain/brno-hala/begin", "", nil)
 	require.NoError(t, err)
-	answer.Body.Close()
+	require.NoError(t, answer.Body.Close())
 	require.Equal(t, http.StatusOK, answer.StatusCode)
 	require.Less(t, time.Since(began), CallerProof)
 }
--- a/internal/operatorapi/refusal.go
+++ b/internal/operatorapi/rejection.go
@@ -9,16 +9,16 @@
 	"fieldrelay/internal/catalog"
 )
 
-// RejectionBody is the body of the answer to an order that the catalog refused: with every fault, its item and
-// its field.
-func RejectionBody(refusal catalog.OrderError) []byte {
-	result := &ResultError{HTTPStatus: refusal.Status()}
-	detail := operator.RefusalDetail{Code: result.Code(), Message: refusal.Error()}
-	if conflict, other := errors.AsType[*catalog.ConflictError](refusal); other {
+// RejectionBody returns the body of the response to an order that the catalog rejected. It lists every fault with its
+// item and field.
+func RejectionBody(rejection catalog.OrderError) []byte {
+	result := &ResultError{HTTPStatus: rejection.Status()}
+	detail := operator.RefusalDetail{Code: result.Code(), Message: rejection.Error()}
+	if conflict, isConflict := errors.AsType[*catalog.ConflictError](rejection); isConflict {
 		current := int64(conflict.Current)
 		detail.Gen = &current
 	}
-	if invalid, faulty := errors.AsType[*catalog.InvalidError](refusal); faulty {
+	if invalid, isInvalid := errors.AsType[*catalog.InvalidError](rejection); isInvalid {
 		faults := faultsOf(invalid)
 		detail.Faults = &faults
 		detail.Message = fmt.Sprintf("the configuration has %d faults", len(invalid.Faults)+invalid.Omitted)
@@ -38,7 +38,7 @@
 	return faults
 }
 
-// optional is nil for an empty text.
+// optional returns nil for an empty text.
 func optional(text string) *string {
 	if text == "" {
 		return nil
@@ -54,8 +54,8 @@
 	return body
 }
 
-// structuredRejection gives the body of a refusal that only tells its reason as a text the form of all refusals. Any
-// other body is returned as it is.
+// structuredRejection converts the body of a rejection that has only a text, as the control state returns it, into the
+// form of all rejections. Any other body is returned unchanged.
 func structuredRejection(status int, body []byte) []byte {
 	var plain struct {
 		Error string `json:"error"`
--- /dev/null
+++ b/internal/operatorapi/responses.go
@@ -0,0 +1,67 @@
+package operatorapi
+
+import (
+	"errors"
+	"net/http"
+	"strconv"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/api/operator"
+)
+
+const (
+	// retryAfterSeconds is the Retry-After of responses with 503. RFC 9110 knows whole seconds only;
+	// api/operator.yaml allows fractions.
+	retryAfterSeconds = "0.2"
+
+	contentTypeJSON = "application/json"
+
+	maxHTTPStatus = 599
+)
+
+// writeResult responds with the result of an order. A status that is none of HTTP, or none at all, becomes 503.
+func (s *Server) writeResult(w http.ResponseWriter, result *pb.OrderResult) {
+	status := int(result.GetStatus())
+	if status < http.StatusOK || status > maxHTTPStatus {
+		status = http.StatusServiceUnavailable
+	}
+	body := result.GetBody()
+	if status >= http.StatusBadRequest {
+		body = structuredRejection(status, body)
+	}
+	if len(body) > 0 {
+		s.options.Counters.count(status)
+		writeJSON(w, status, body)
+		return
+	}
+	if status < http.StatusMultipleChoices {
+		s.options.Counters.count(status)
+		writeJSON(w, status, []byte("{}"))
+		return
+	}
+	s.reject(w, &ResultError{HTTPStatus: status})
+}
+
+// reject responds with an error. One that is no RejectionError becomes 503.
+func (s *Server) reject(w http.ResponseWriter, err error) {
+	rejection, known := errors.AsType[RejectionError](err)
+	if !known {
+		rejection = &ResultError{HTTPStatus: http.StatusServiceUnavailable}
+	}
+	s.options.Counters.count(rejection.Status())
+	detail := operator.RefusalDetail{Code: rejection.Code(), Message: rejection.Error()}
+	writeJSON(w, rejection.Status(), marshalRejection(detail))
+}
+
+// writeJSON sends a complete response.
+func writeJSON(w http.ResponseWriter, status int, body []byte) {
+	header := w.Header()
+	header.Set("Content-Type", contentTypeJSON)
+	header.Set("Content-Length", strconv.Itoa(len(body)))
+	if status == http.StatusServiceUnavailable {
+		header.Set("Retry-After", retryAfterSeconds)
+	}
+	w.WriteHeader(status)
+	// A failed write means that the caller is gone; it retries.
+	_, _ = w.Write(body)
+}
--- a/internal/operatorapi/server.go
+++ b/internal/operatorapi/server.go
@@ -1,62 +1,32 @@
-// Package operatorapi serves the operator's calls and the directory of a control machine over HTTP, as
-// described by api/operator.yaml. It checks form and size, hands orders to the replicated control state and
-// turns their results into answers; it keeps no state of its own.
+// Package operatorapi serves the operator's API and the directory of a control machine over HTTP, as specified by
+// api/operator.yaml. It checks form, size and freshness of a request, submits its order to the replicated control state
+// and converts the result into a response.
+//
+// It is not the place where orders are validated or executed (internal/catalog, internal/control), and it has no state
+// but counters and the slots of open calls. docs/region-control.md describes its responses.
 package operatorapi
 
 import (
-	"context"
 	"net/http"
 	"strings"
-	"time"
 
 	"fieldrelay/api/operator"
-
-	pb "fieldrelay/api/fieldrelay/v1"
 )
 
 const (
-	// DefaultMaxBodyBytes bounds the body of an order.
-	DefaultMaxBodyBytes = 16 << 20
-
-	operatorPrefixConfiguration = "/api/conf/"
-	operatorPrefixEvacuation    = "/api/drain/"
-	directoryPath               = "/api/lookup"
+	configurationPrefix = "/api/conf/"
+	evacuationPrefix    = "/api/drain/"
+	directoryPath       = "/api/lookup"
 )
 
-// Orders is the replicated control state as this package needs it.
-type Orders interface {
-	// Submit hands an order over and waits for its result, at most until the context ends. The status of the
-	// result is an HTTP status, 503 if the fate of the order is not known.
-	Submit(ctx context.Context, order *pb.Order) *pb.OrderResult
-}
-
-// Options configures a Server. All functions are safe for concurrent use and do not block.
-type Options struct {
-	Orders Orders
-	// Ready reports whether orders can be handed over at all; they are answered 503 at once otherwise.
-	Ready func() bool
-	// Authoritative reports whether this machine holds the agreed state.
-	Authoritative func() bool
-	// ZoneKnown reports whether a zone of this name exists.
-	ZoneKnown func(zone string) bool
-	// Endpoints returns the edge addresses for clients of a host in a region and zone, none if none is known.
-	Endpoints func(host, region, zone string) []string
-	// EndpointsLifetime is how long clients may use the addresses; whole seconds count, one at least.
-	EndpointsLifetime func() time.Duration
-	// MaxBodyBytes bounds the body of an order; 0 stands for DefaultMaxBodyBytes.
-	MaxBodyBytes int64
-	// Counters counts calls; nil: they are not counted.
-	Counters *Counters
-}
-
-// Server answers the operator's calls and the directory's.
+// Server implements the operations of api/operator.yaml. It is safe for concurrent use.
 type Server struct {
 	options        Options
-	orderSlots     chan struct{} // one token for each order under way
-	largeBodySlots chan struct{} // one token for each large body in memory
+	orderSlots     chan struct{} // one token per open order
+	largeBodySlots chan struct{} // one token per large body in memory
 }
 
-// New returns a server.
+// New returns a server with the defaults of options filled in.
 func New(options Options) *Server {
 	if options.MaxBodyBytes <= 0 {
 		options.MaxBodyBytes = DefaultMaxBodyBytes
@@ -71,15 +41,16 @@
 	}
 }
 
-// Services says which calls a handler serves; the rest is answered 404.
+// Services selects the operations that a handler serves; all others are answered with 404.
 type Services struct {
-	Operator  bool
-	Directory bool
+	Operator  bool // configuration and evacuations
+	Directory bool // lookup of endpoints
 }
 
-// Handler returns the handler of some of the calls.
+// Handler returns a handler of the selected operations. The http.Server that serves it must use ConnContext, else every
+// request counts as possibly delayed.
 func (s *Server) Handler(services Services) http.Handler {
-	all := operator.HandlerWithOptions(s, operator.StdHTTPServerOptions{
+	operations := operator.HandlerWithOptions(s, operator.StdHTTPServerOptions{
 		ErrorHandlerFunc: func(w http.ResponseWriter, _ *http.Request, err error) {
 			s.reject(w, &BadParameterError{Cause: err})
 		},
@@ -90,10 +61,11 @@
 			return
 		}
 		defer markReady(r)
-		all.ServeHTTP(w, r)
+		operations.ServeHTTP(w, r)
 	})
 }
 
+// include reports whether the operation at a path is selected.
 func (services Services) include(path string) bool {
 	if path == directoryPath {
 		return services.Directory
@@ -101,6 +73,6 @@
 	if !services.Operator {
 		return false
 	}
-	return strings.HasPrefix(path, operatorPrefixConfiguration) ||
-		strings.HasPrefix(path, operatorPrefixEvacuation)
+	return strings.HasPrefix(path, configurationPrefix) ||
+		strings.HasPrefix(path, evacuationPrefix)
 }
--- a/internal/operatorapi/server_test.go
+++ b/internal/operatorapi/server_test.go
@@ -22,7 +22,7 @@
 	"fieldrelay/internal/catalog"
 )
 
-// recordedOrders keeps the orders and answers them by a function.
+// recordedOrders records the orders and responds to them by a function.
 type recordedOrders struct {
 	mutex  sync.Mutex
 	orders []*pb.Order
@@ -36,6 +36,7 @@
 	return r.answer(ctx, order)
 }
 
+// answeringWith returns orders that all get one result.
 func answeringWith(status uint32, body string) *recordedOrders {
 	return &recordedOrders{answer: func(context.Context, *pb.Order) *pb.OrderResult {
 		return &pb.OrderResult{Status: status, Body: []byte(body)}
@@ -228,9 +229,9 @@
 
 func TestOrdersUnderWayAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		let := make(chan struct{})
+		finish := make(chan struct{})
 		blocked := &recordedOrders{answer: func(context.Context, *pb.Order) *pb.OrderResult {
-			<-let
+			<-finish
 			return &pb.OrderResult{Status: 200}
 		}}
 		handler := New(optionsWith(blocked)).Handler(everything)
@@ -246,14 +247,14 @@
 		for range 5 {
 			require.Equal(t, http.StatusServiceUnavailable, <-statuses)
 		}
-		close(let)
+		close(finish)
 		for range maxConcurrentOrders {
 			require.Equal(t, http.StatusOK, <-statuses)
 		}
 	})
 }
 
-// Large bodies that are under way keep other large ones out, but not small ones, whether their length is told or not.
+// Large bodies that are under way keep other large ones out, but not small ones, whether their length is known or not.
 func TestLargeBodiesUnderWayLeaveRoomForSmallOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		finish := make(chan struct{})
@@ -285,7 +286,7 @@
 		}
 		close(finish)
 		synctest.Wait()
-		require.Equal(t, 200, send(2*smallBodyBytes, false), "the places are free again")
+		require.Equal(t, 200, send(2*smallBodyBytes, false), "the slots are free again")
 		require.Empty(t, server.largeBodySlots)
 	})
 }
