--- a/internal/controlserver/logging.go
+++ b/internal/controlserver/logging.go
@@ -72,6 +72,6 @@
 		zap.Int("agents_lagging", stats.Behind),
 		zap.Duration("max_lag", stats.Oldest),
 		zap.String("max_lag_host", stats.OldestHost),
-		zap.Uint64("lag_bound_violations", stats.Violations),
+		zap.Uint64("lag_bound_exceeded", stats.Violations),
 	}
 }
