--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -3,20 +3,19 @@
 import "fieldrelay/internal/tomlfile"
 
 // Fault is one thing that is wrong with a settings file.
-type Fault = tomlfile.Fault
+type Fault = tomlfile.Fault //nolint:errname // an entry of a FaultsError; the name is that of package tomlfile
 
 // FaultsError lists everything that is wrong with a settings file, in the order of its lines.
 type FaultsError = tomlfile.FaultsError
 
 const formatName = "settings"
 
-// format ignores unknown keys: a newer file may tell more than this version knows.
+// format ignores unknown keys: a newer file may have keys that this version does not know.
 var format = tomlfile.Format[Settings]{
 	Name:     formatName,
 	New:      defaults,
 	Validate: (*Settings).validate,
 }
 
-// Parse reads the content of a settings file. If it is at fault, the error is a *FaultsError that lists all
-// faults.
+// Parse reads the content of a settings file. If it is invalid, the error is a *FaultsError that lists all faults.
 func Parse(data []byte) (*Settings, error) { return format.Parse(data) }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,13 @@
-// Package settings reads the settings file of a process of the regional system: where it runs, what it listens
-// on, whom it asks first, and the figures of the rules in force.
+// Package settings reads the settings file of a process of the regional system: where it runs, what it listens on,
+// whom it contacts first, and the figures of the rules in force.
 //
-// The file is TOML. Fields that are not known are ignored; known ones that are missing get defaults, except
-// for those without which no process can run (hostname, machine-class, ip-addr, az, port-range). What a role
-// needs beyond these it asks for with Require.
+// The file is TOML. Unknown keys are ignored, so that a newer file can be read by an older version. Missing keys get
+// defaults, except for those without which no process can run (hostname, machine-class, ip-addr, az, port-range). A
+// role checks with Require for the keys that it needs beyond these.
+//
+// The package neither watches the file nor applies anything; each role follows it itself. Which key has an effect at
+// once and which at the next start is described per role in docs/region-control.md, docs/region-agent.md and
+// docs/region-proxy.md.
 package settings
 
 import (
@@ -14,89 +18,97 @@
 	"time"
 
 	"github.com/cockroachdb/errors"
-
-	"fieldrelay/internal/policy"
 )
 
 // PathVariable is the environment variable that holds the path of the settings file.
 const PathVariable = "FIELDRELAY_SETTINGS"
 
-// MinimumPorts is the number of ports of a machine that the system's own messages use.
+// MinimumPorts is the minimum size of a machine's port range: control machines and agents, agents among themselves, and
+// the link between agent and proxy have a port each.
 const MinimumPorts = 3
 
-// Settings is the content of a settings file. It is not changed after it was read.
+// Settings is the content of a settings file. It is immutable once read and may be shared by goroutines.
 type Settings struct {
-	Hostname     string            `toml:"hostname"`
-	NodeRole     string            `toml:"node-role"`
-	MachineClass string            `toml:"machine-class"`
-	Roles        []string          `toml:"roles"` // what the process serves, such as "edge", "ctl", "dir"
-	Address      string            `toml:"ip-addr"`
-	Zone         string            `toml:"az"`
-	Region       string            `toml:"geo"`
-	PortRange    []int             `toml:"port-range"` // first and last port for own messages
-	Seeds        []string          `toml:"seed-nodes"` // ctl addresses known when the file was written
-	Bootstrap    bool              `toml:"bootstrap"`  // the whole system starts for the first time
-	QuorumMember bool              `toml:"quorum-member"`
-	StateDir     string            `toml:"state-dir"` // empty on a machine without a disk
-	Discovery    string            `toml:"disco"`
-	Ingress      string            `toml:"ingress"`
-	HeartbeatMS  float64           `toml:"heartbeat-ms"`
-	Clauses      []string          `toml:"clauses"` // the parts of the rules in force
-	Zones        map[string]string `toml:"zones"`   // region by zone
-	Binds        Binds             `toml:"binds"`
-	Limits       Limits            `toml:"req-limits"`
-	FaultBudget  FaultBudget       `toml:"fault-budget"`
-	Bounds       Bounds            `toml:"bounds"`
-	CloudAPI     CloudAPI          `toml:"cloud-api"`
-	Policy       Policy            `toml:"policy"`
-}
+	// Hostname is the name of the machine, unique in the deployment. Replicas, members and log lines are named by it.
+	// Required.
+	Hostname string `toml:"hostname"`
 
-// Policy is the operator's say in how a proxy decides. It holds from the start of the process.
-type Policy struct {
-	Off []string `toml:"off"` // names of mechanisms that are switched off (package policy)
-}
+	// NodeRole is the name of the machine's role in the deployment. It is not used.
+	NodeRole string `toml:"node-role"`
 
-// Switches gives the mechanisms that are off.
-func (p Policy) Switches() policy.Switches {
-	switches, _ := policy.Parse(p.Off) // checked when the settings were read
-	return switches
-}
+	// MachineClass is the platform's class of the machine, such as "core" or "edge". Required; it is not used
+	// otherwise.
+	MachineClass string `toml:"machine-class"`
 
-// Binds are the addresses, ip:port, that the process listens on for callers from outside; empty for what it
-// does not serve.
-type Binds struct {
-	Edge      string `toml:"edge"`   // requests of clients
-	Ready     string `toml:"readyz"` // the platform's checks
-	Control   string `toml:"ctl"`    // the operator
-	Directory string `toml:"dir"`    // clients that ask where to go
-}
+	// Roles are what the process serves, such as "edge", "ctl" and "dir"; see Serves. They are not used: the command
+	// line names the role, and Binds the listeners.
+	Roles []string `toml:"roles"`
 
-// Limits are what the machine gives the process.
-type Limits struct {
-	CPUFraction float64 `toml:"cpu-frac"` // of a core
-	Cores       float64 `toml:"ncpu"`
-	MemoryMB    float64 `toml:"ram-mb"`
-	Descriptors int     `toml:"max-fds"`
-	LinkMbps    float64 `toml:"nic-mbps"`
-	DiskMB      float64 `toml:"disk-mb"` // 0 on a machine without a disk
-}
+	// Address is the IP address of the machine at which others reach its ports. Required.
+	Address string `toml:"ip-addr"`
 
-// FaultBudget is what may be lost at once while the rules still hold: so many machines, or zones, or regions.
-type FaultBudget struct {
-	Hosts   int `toml:"hosts-lost"`
-	Zones   int `toml:"zones"`
-	Regions int `toml:"regions-lost"`
-}
+	// Zone is the failure domain of the machine. The chain of the control machines is spread over zones, and requests
+	// prefer servers that are near. Required.
+	Zone string `toml:"az"`
 
-// CloudAPI is the platform's list of servers.
-type CloudAPI struct {
-	Address  string  `toml:"address"`    // ip:port
-	Rate     float64 `toml:"rate-s"`     // calls a second, of all processes together
-	MaxLagMS float64 `toml:"max-lag-ms"` // age of the list that it answers
-}
+	// Region is the region of Zone. It counts only if Zones does not have that zone. Default: none.
+	Region string `toml:"geo"`
+
+	// PortRange is the first and the last port, both included, for messages of the system itself; see Port. It has at
+	// least MinimumPorts ports and must begin with the same port on all machines. Required.
+	PortRange []int `toml:"port-range"`
+
+	// Seeds are the operator addresses, ip:port, of control machines that were known when the file was written. They
+	// are contacted first; all others are learned from the view. At the first start they are the founders. More seeds
+	// make it more likely that a newcomer finds one that is up; all machines must have the same ones at the first
+	// start. Default: none.
+	Seeds []string `toml:"seed-nodes"`
+
+	// Bootstrap permits a control machine with an empty disk to found the system. It has no effect on a disk that has
+	// state. Default: false; it is true only at the first start of the whole system.
+	Bootstrap bool `toml:"bootstrap"`
+
+	// QuorumMember says that the machine is to be a control machine. It is not used: voters are decided by views.
+	QuorumMember bool `toml:"quorum-member"`
 
-// MaxLag is how far the platform's list may be behind.
-func (c CloudAPI) MaxLag() time.Duration { return milliseconds(c.MaxLagMS) }
+	// StateDir is the folder of the control state on disk. Required for control machines; empty on a machine without
+	// a disk.
+	StateDir string `toml:"state-dir"`
+
+	// Discovery names the way in which servers are discovered. It is not used.
+	Discovery string `toml:"disco"`
+
+	// Ingress names the way in which clients find a proxy. It is not used.
+	Ingress string `toml:"ingress"`
+
+	// HeartbeatMS is the usual interval of heartbeats in milliseconds; see Heartbeat. It is not used: control machines
+	// have an interval of their own. Default: 1200.
+	HeartbeatMS float64 `toml:"heartbeat-ms"`
+
+	// Clauses are the names of the parts of the rules in force; see HasClause. They are not used: all parts are kept.
+	Clauses []string `toml:"clauses"`
+
+	// Zones has the region of each zone of the deployment, by name. An evacuation of another zone is rejected.
+	Zones map[string]string `toml:"zones"`
+
+	// Binds are the addresses for callers from outside.
+	Binds Binds `toml:"binds"`
+
+	// Limits are the resources of the process.
+	Limits Limits `toml:"req-limits"`
+
+	// FaultBudget is the failures that acknowledged orders must survive.
+	FaultBudget FaultBudget `toml:"fault-budget"`
+
+	// Bounds are the figures of the rules in force.
+	Bounds Bounds `toml:"bounds"`
+
+	// CloudAPI is the platform's server list.
+	CloudAPI CloudAPI `toml:"cloud-api"`
+
+	// Policy switches mechanisms of the proxy off.
+	Policy Policy `toml:"policy"`
+}
 
 // Path returns the path of the settings file that the environment names.
 func Path() (string, error) {
@@ -107,7 +119,7 @@
 	return path, nil
 }
 
-// Load reads a settings file. If its content is at fault, the error is a *FaultsError.
+// Load reads a settings file. If its content is invalid, the error is a *FaultsError.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -116,20 +128,20 @@
 	return Parse(data)
 }
 
-// Heartbeat is the usual time between two signs of life.
+// Heartbeat returns HeartbeatMS as a duration.
 func (s *Settings) Heartbeat() time.Duration { return milliseconds(s.HeartbeatMS) }
 
-// Port is the address, ip:port, of the machine's n-th port for own messages, counted from 0.
+// Port returns the address, ip:port, of the machine's n-th port for messages of the system, counted from 0.
 func (s *Settings) Port(n int) string { return s.address(s.Address, n) }
 
-// LoopbackPort is the address of the machine's n-th port for own messages on the loopback interface.
+// LoopbackPort returns the address of the machine's n-th port for messages of the system on the loopback interface.
 func (s *Settings) LoopbackPort(n int) string { return s.address("127.0.0.1", n) }
 
 func (s *Settings) address(host string, n int) string {
 	return net.JoinHostPort(host, strconv.Itoa(s.PortRange[0]+n))
 }
 
-// RegionOf is the region of a zone, empty for an unknown one.
+// RegionOf returns the region of a zone, "" for an unknown one.
 func (s *Settings) RegionOf(zone string) string {
 	if region, known := s.Zones[zone]; known {
 		return region
@@ -146,9 +158,9 @@
 	return known || zone == s.Zone
 }
 
-// Serves reports whether the process serves something, such as "edge" or "ctl".
-func (s *Settings) Serves(name string) bool {
-	return slices.Contains(s.Roles, name)
+// Serves reports whether Roles has a role, such as "edge" or "ctl".
+func (s *Settings) Serves(role string) bool {
+	return slices.Contains(s.Roles, role)
 }
 
 // HasClause reports whether a part of the rules is in force.
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -11,14 +11,14 @@
 	"fieldrelay/internal/tomlfile"
 )
 
-// check is one value of the file with the rules that it must keep.
+// check is one value of the file with the rules that it must satisfy.
 type check struct {
 	key   string
 	value any
 	rules []validation.Rule
 }
 
-const highestPort = 65535
+const maxPort = 65535
 
 var (
 	requiredText   = []validation.Rule{validation.Required}
@@ -33,10 +33,10 @@
 	regionsByZone  = []validation.Rule{validation.Each(validation.Required)}
 )
 
-// validate returns every fault, without lines.
+// validate returns every fault, without line numbers: package tomlfile adds them.
 func (s *Settings) validate() []*Fault {
 	var faults []*Fault
-	for _, group := range [][]check{s.placeChecks(), s.limitChecks(), s.Bounds.checks()} {
+	for _, group := range [][]check{s.identityChecks(), s.limitChecks(), s.Bounds.checks()} {
 		for _, one := range group {
 			if err := validation.Validate(one.value, one.rules...); err != nil {
 				faults = append(faults, &Fault{Key: one.key, Reason: err.Error()})
@@ -46,7 +46,8 @@
 	return faults
 }
 
-func (s *Settings) placeChecks() []check {
+// identityChecks are those of names and addresses.
+func (s *Settings) identityChecks() []check {
 	return []check{
 		{"hostname", s.Hostname, requiredText},
 		{"machine-class", s.MachineClass, requiredText},
@@ -64,6 +65,7 @@
 	}
 }
 
+// limitChecks are those of figures but the bounds.
 func (s *Settings) limitChecks() []check {
 	return []check{
 		{"heartbeat-ms", s.HeartbeatMS, positive},
@@ -107,8 +109,9 @@
 	}
 }
 
-// Require checks that settings which may be missing are there, by key: "state-dir", "binds.edge",
-// "binds.readyz", "binds.ctl", "binds.dir", "cloud-api.address" or "seed-nodes". The error is a *FaultsError.
+// Require checks that the named keys have a value. It knows the optional keys that a role can need: "state-dir",
+// "binds.edge", "binds.readyz", "binds.ctl", "binds.dir", "cloud-api.address" and "seed-nodes". The error is a
+// *FaultsError.
 func (s *Settings) Require(keys ...string) error {
 	present := map[string]bool{
 		"state-dir":         s.StateDir != "",
@@ -135,13 +138,13 @@
 	return nil
 }
 
-// areMechanisms accepts the names of mechanisms that have a switch.
+// areMechanisms accepts names of mechanisms that have a switch.
 func areMechanisms(value any) error {
 	_, err := policy.Parse(value.([]string))
 	return err
 }
 
-// isHostPort accepts the empty text: whether an address must be there is another rule's.
+// isHostPort accepts an ip:port and the empty text: whether an address is required is another rule.
 func isHostPort(value any) error {
 	address := value.(string)
 	if address == "" {
@@ -153,14 +156,15 @@
 	return nil
 }
 
+// isPortRange accepts the first and the last of at least MinimumPorts ports.
 func isPortRange(value any) error {
 	bounds := value.([]int)
 	if len(bounds) != 2 {
 		return errors.New("must be the first and the last port")
 	}
 	first, last := bounds[0], bounds[1]
-	if first < 1 || last > highestPort || first > last {
-		return errors.Newf("must be two rising ports from 1 to %d", highestPort)
+	if first < 1 || last > maxPort || first > last {
+		return errors.Newf("must be two rising ports from 1 to %d", maxPort)
 	}
 	if last-first+1 < MinimumPorts {
 		return errors.Newf("must hold at least %d ports", MinimumPorts)
@@ -168,6 +172,7 @@
 	return nil
 }
 
+// isFigure accepts every finite number.
 func isFigure(value any) error {
 	number := value.(float64)
 	if math.IsNaN(number) || math.IsInf(number, 0) {
