--- a/cmd/fieldrelay-region/check_state.go
+++ b/cmd/fieldrelay-region/check_state.go
@@ -20,7 +20,7 @@
 	for _, file := range inspection.Ring.Files {
 		printRingFile(output, file)
 	}
-	printRecovered(output, inspection)
+	printRecoveredState(output, inspection)
 	if inspection.Failure != nil {
 		fmt.Fprintf(output, "%s: a control machine cannot start: %v\n", folder, inspection.Failure)
 		return &FaultyFileError{Path: folder, Faults: 1}
@@ -50,8 +50,8 @@
 	}
 }
 
-// printRecovered prints what a start would go on with.
-func printRecovered(output io.Writer, inspection *control.Inspection) {
+// printRecoveredState prints what a start would go on with.
+func printRecoveredState(output io.Writer, inspection *control.Inspection) {
 	if inspection.Ring.Recovered == nil {
 		return
 	}
--- a/cmd/fieldrelay-region/check_state_test.go
+++ b/cmd/fieldrelay-region/check_state_test.go
@@ -87,7 +87,7 @@
 		require.NoError(t, opened.Snapshot(bytes.Repeat([]byte{1}, 64)))
 	}
 	require.NoError(t, opened.Close())
-	spoilSnapshots(t, filepath.Join(folder, "control"))
+	corruptSnapshots(t, filepath.Join(folder, "control"))
 	var output bytes.Buffer
 	err = checkState(&output, folder)
 	var faulty *FaultyFileError
@@ -98,8 +98,8 @@
 	require.True(t, errors.As(checkState(&output, t.TempDir()), &none))
 }
 
-// spoilSnapshots changes a byte in the snapshot of every file of a ring.
-func spoilSnapshots(t *testing.T, folder string) {
+// corruptSnapshots changes a byte in the snapshot of every file of a ring.
+func corruptSnapshots(t *testing.T, folder string) {
 	t.Helper()
 	const inSnapshot = 100 // behind the headers of the file and of the frame
 	files, err := filepath.Glob(filepath.Join(folder, "*"))
--- a/cmd/fieldrelay-region/status.go
+++ b/cmd/fieldrelay-region/status.go
@@ -16,7 +16,7 @@
 
 // Run asks and prints. The exit code tells only whether the named machine answered.
 func (c statusCommand) Run() error {
-	survey, err := c.ask(context.Background())
+	survey, err := c.survey(context.Background())
 	if err != nil {
 		return err
 	}
@@ -26,8 +26,8 @@
 	return survey.WriteText(os.Stdout)
 }
 
-func (c statusCommand) ask(ctx context.Context) (*status.Survey, error) {
-	asker := status.NewAsker()
+func (c statusCommand) survey(ctx context.Context) (*status.Survey, error) {
+	asker := status.NewSurveyor()
 	if c.Only {
 		return asker.SurveyOne(ctx, c.Address)
 	}
--- a/cmd/fieldrelay-region/status_test.go
+++ b/cmd/fieldrelay-region/status_test.go
@@ -23,7 +23,7 @@
 	require.Error(t, err, "an address is needed")
 }
 
-func TestStatusOfASilentAddress(t *testing.T) {
+func TestStatusOfAnUnreachableAddress(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
--- a/internal/status/findings.go
+++ b/internal/status/findings.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// oldList is the age from which the news of servers counts as old: several readings were missed.
-	oldList = 5 * time.Second
+	// staleListAge is the age from which the news of servers counts as old: several readings were missed.
+	staleListAge = 5 * time.Second
 
-	// youngMachine is the time after its start in which a machine may still be learning.
-	youngMachine = 10 * time.Second
+	// startupDuration is the time after its start in which a machine may still be learning.
+	startupDuration = 10 * time.Second
 )
 
 // Severity tells how bad a finding is.
@@ -52,11 +52,11 @@
 func (s *Survey) Findings() []Finding {
 	var found findings
 	reports := s.reports()
-	found.agreement(s, reports)
-	found.duty(reports, s.isComplete())
-	found.lateness(reports)
-	if chosen := bestMembers(reports); chosen.GetMembersSettled() {
-		found.agents(chosen)
+	found.checkViews(s, reports)
+	found.checkPollingRole(reports, s.isComplete())
+	found.lag(reports)
+	if chosen := mostReliableMembers(reports); chosen.GetMembersSettled() {
+		found.checkAgents(chosen)
 	}
 	slices.SortStableFunc(found.list, func(one, other Finding) int { return int(other.Severity) - int(one.Severity) })
 	return found.list
@@ -90,19 +90,19 @@
 	return newest
 }
 
-// bestMembers is the report whose agents can best be relied on: of a machine that has been up for long enough and
+// mostReliableMembers is the report whose agents can best be relied on: of a machine that has been up for long enough and
 // is in touch with the others, if there is one. It is nil if there are no reports.
-func bestMembers(reports []*pb.ControlStatusReport) *pb.ControlStatusReport {
-	var best *pb.ControlStatusReport
+func mostReliableMembers(reports []*pb.ControlStatusReport) *pb.ControlStatusReport {
+	var chosen *pb.ControlStatusReport
 	for _, report := range reports {
-		if best == nil || reliance(report) > reliance(best) {
-			best = report
+		if chosen == nil || membersReliability(report) > membersReliability(chosen) {
+			chosen = report
 		}
 	}
-	return best
+	return chosen
 }
 
-func reliance(report *pb.ControlStatusReport) int {
+func membersReliability(report *pb.ControlStatusReport) int {
 	points := 0
 	if report.GetMembersSettled() {
 		points += 2
@@ -123,7 +123,7 @@
 }
 
 // agreement is about views, voters and the chain.
-func (f *findings) agreement(survey *Survey, reports []*pb.ControlStatusReport) {
+func (f *findings) checkViews(survey *Survey, reports []*pb.ControlStatusReport) {
 	view := newestView(reports)
 	if view == nil {
 		f.add(Alarm, "no machine knows a view: the system was not founded, or these machines have not joined it")
@@ -133,19 +133,19 @@
 	for _, report := range reports {
 		answered[report.GetSelf().GetHost()] = report
 	}
-	f.silentMachines(survey, view)
-	f.identities(view, answered)
-	f.behind(view, reports)
+	f.checkUnreachable(survey, view)
+	f.checkLostDisks(view, answered)
+	f.checkStaleViews(view, reports)
 	if survey.isComplete() {
-		f.authority(reports)
+		f.checkAuthority(reports)
 	}
 	if len(view.GetChain()) == 1 && len(view.GetVoters()) > 1 {
 		f.add(Warning, "the chain is %s alone", view.GetChain()[0].GetHost())
 	}
-	f.sequences(view, answered)
+	f.checkChainLag(view, answered)
 }
 
-func (f *findings) silentMachines(survey *Survey, view *pb.View) {
+func (f *findings) checkUnreachable(survey *Survey, view *pb.View) {
 	silent := 0
 	for _, machine := range survey.Machines {
 		if machine.Err != nil {
@@ -159,7 +159,7 @@
 }
 
 // identities finds voters whose disk was lost: the machine at the address is another replica now.
-func (f *findings) identities(view *pb.View, answered map[string]*pb.ControlStatusReport) {
+func (f *findings) checkLostDisks(view *pb.View, answered map[string]*pb.ControlStatusReport) {
 	for _, voter := range view.GetVoters() {
 		report := answered[voter.GetHost()]
 		if report != nil && report.GetSelf().GetIdentity() != voter.GetIdentity() {
@@ -168,15 +168,15 @@
 	}
 }
 
-func (f *findings) behind(view *pb.View, reports []*pb.ControlStatusReport) {
+func (f *findings) checkStaleViews(view *pb.View, reports []*pb.ControlStatusReport) {
 	for _, report := range reports {
-		if held := report.GetView().GetNumber(); held < view.GetNumber() {
-			f.add(Warning, "%s holds view %d, view %d is in force", report.GetSelf().GetHost(), held, view.GetNumber())
+		if known := report.GetView().GetNumber(); known < view.GetNumber() {
+			f.add(Warning, "%s holds view %d, view %d is in force", report.GetSelf().GetHost(), known, view.GetNumber())
 		}
 	}
 }
 
-func (f *findings) authority(reports []*pb.ControlStatusReport) {
+func (f *findings) checkAuthority(reports []*pb.ControlStatusReport) {
 	if !slices.ContainsFunc(reports, (*pb.ControlStatusReport).GetAuthoritative) {
 		f.add(Alarm, "no machine holds the agreed state and hears a majority: orders get 503, proxies serve on what they have")
 	}
@@ -184,40 +184,40 @@
 
 // sequences finds members of the chain whose committed state is behind. A change that was acknowledged a moment
 // ago may be on its way, so that one behind is not worth a word.
-func (f *findings) sequences(view *pb.View, answered map[string]*pb.ControlStatusReport) {
+func (f *findings) checkChainLag(view *pb.View, answered map[string]*pb.ControlStatusReport) {
 	var newest uint64
 	for _, report := range answered {
 		newest = max(newest, report.GetCatalog().GetSequence())
 	}
 	for _, replica := range view.GetChain() {
 		report := answered[replica.GetHost()]
-		if report == nil || report.GetUptimeMs() < milliseconds(youngMachine) {
+		if report == nil || report.GetUptimeMs() < milliseconds(startupDuration) {
 			continue
 		}
-		if held := report.GetCatalog().GetSequence(); held+1 < newest {
-			f.add(Warning, "%s is in the chain and knows sequence %d committed, others %d", replica.GetHost(), held, newest)
+		if committed := report.GetCatalog().GetSequence(); committed+1 < newest {
+			f.add(Warning, "%s is in the chain and knows sequence %d committed, others %d", replica.GetHost(), committed, newest)
 		}
 	}
 }
 
 // duty is about the reading of the platform's list. complete tells that all voters were asked.
-func (f *findings) duty(reports []*pb.ControlStatusReport, complete bool) {
-	var holders []string
+func (f *findings) checkPollingRole(reports []*pb.ControlStatusReport, complete bool) {
+	var owners []string
 	for _, report := range reports {
 		if report.GetDuty().GetHolder() {
-			holders = append(holders, report.GetSelf().GetHost())
+			owners = append(owners, report.GetSelf().GetHost())
 		}
 	}
 	switch {
-	case len(holders) == 0 && complete:
+	case len(owners) == 0 && complete:
 		f.add(Warning, "no machine that answers has the duty of reading the platform's list")
-	case len(holders) > 1:
-		f.add(Notice, "%s both take themselves for the holder of the list's duty; the higher epoch counts", strings.Join(holders, " and "))
+	case len(owners) > 1:
+		f.add(Notice, "%s both take themselves for the holder of the list's duty; the higher epoch counts", strings.Join(owners, " and "))
 	}
-	f.listAge(reports)
+	f.checkListAge(reports)
 }
 
-func (f *findings) listAge(reports []*pb.ControlStatusReport) {
+func (f *findings) checkListAge(reports []*pb.ControlStatusReport) {
 	known := false
 	freshest := time.Duration(math.MaxInt64)
 	for _, report := range reports {
@@ -230,13 +230,13 @@
 	switch {
 	case !known:
 		f.add(Alarm, "no machine that answers has a list of servers")
-	case freshest >= oldList:
+	case freshest >= staleListAge:
 		f.add(Alarm, "the newest list of servers is %s old: the platform does not answer, or nobody reads it", freshest)
 	}
 }
 
 // agents is about the edge machines, as one control machine knows them.
-func (f *findings) agents(report *pb.ControlStatusReport) {
+func (f *findings) checkAgents(report *pb.ControlStatusReport) {
 	newest := report.GetCatalog().GetSequence()
 	var lost, unready, behind []string
 	for _, agent := range report.GetAgents() {
@@ -251,31 +251,31 @@
 			behind = append(behind, record.GetHost())
 		}
 	}
-	f.hosts(Warning, lost, "lost: %s")
-	f.hosts(Warning, unready, "live but not ready for clients: %s")
-	f.hosts(Warning, behind, "more than one change behind: %s")
+	f.addHosts(Warning, lost, "lost: %s")
+	f.addHosts(Warning, unready, "live but not ready for clients: %s")
+	f.addHosts(Warning, behind, "more than one change behind: %s")
 	if len(report.GetAgents()) == len(lost) {
 		f.add(Alarm, "no edge machine is live")
 	}
 }
 
 // lateness is about changes that machines know to be committed and that proxies lack.
-func (f *findings) lateness(reports []*pb.ControlStatusReport) {
+func (f *findings) lag(reports []*pb.ControlStatusReport) {
 	for _, report := range reports {
-		host, lateness := report.GetSelf().GetHost(), report.GetLateness()
-		if lateness.GetAgentsBehind() > 0 {
+		host, lag := report.GetSelf().GetHost(), report.GetLateness()
+		if lag.GetAgentsBehind() > 0 {
 			f.add(Warning, "%s: %d agents it hears have lacked a change for more than a second, %s for %s",
-				host, lateness.GetAgentsBehind(), lateness.GetOldestHost(), duration(lateness.GetOldestLagMs()))
+				host, lag.GetAgentsBehind(), lag.GetOldestHost(), duration(lag.GetOldestLagMs()))
 		}
-		if lateness.GetLateProxies() > 0 {
+		if lag.GetLateProxies() > 0 {
 			f.add(Notice, "%s: since its start, proxies in contact were late by more than the bound %d times",
-				host, lateness.GetLateProxies())
+				host, lag.GetLateProxies())
 		}
 	}
 }
 
 // hosts adds a finding about several machines, if there are any.
-func (f *findings) hosts(severity Severity, hosts []string, format string) {
+func (f *findings) addHosts(severity Severity, hosts []string, format string) {
 	if len(hosts) > 0 {
 		f.add(severity, format, strings.Join(hosts, ", "))
 	}
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -227,7 +227,7 @@
 	return addresses
 }
 
-func TestSurveyAsksAllVoters(t *testing.T) {
+func TestSurveyQueriesAllVoters(t *testing.T) {
 	var machines []*machine
 	for _, one := range healthy().Machines {
 		machines = append(machines, &machine{report: one.Report})
@@ -241,7 +241,7 @@
 	closed.Close()
 	machines[0].report.View.Voters[2].Address = gone
 
-	survey, err := NewAsker().Survey(t.Context(), addresses[1])
+	survey, err := NewSurveyor().Survey(t.Context(), addresses[1])
 	require.NoError(t, err)
 	require.Len(t, survey.Machines, 3)
 	require.Equal(t, "core-b", survey.Machines[0].Host)
@@ -250,15 +250,15 @@
 	require.True(t, errors.As(survey.Machines[2].Err, &unreachable), "%v", survey.Machines[2].Err)
 	require.Equal(t, gone, unreachable.Address)
 
-	survey, err = NewAsker().SurveyOne(t.Context(), addresses[1])
+	survey, err = NewSurveyor().SurveyOne(t.Context(), addresses[1])
 	require.NoError(t, err)
 	require.Len(t, survey.Machines, 1)
 }
 
-func TestAskTellsWhatIsWrongAtAnAddress(t *testing.T) {
+func TestDescribeExplainsAWrongAddress(t *testing.T) {
 	other := httptest.NewServer(http.NotFoundHandler())
 	defer other.Close()
-	_, err := NewAsker().Survey(t.Context(), other.Listener.Addr().String())
+	_, err := NewSurveyor().Survey(t.Context(), other.Listener.Addr().String())
 	var wrong *NotControlError
 	require.True(t, errors.As(err, &wrong), "%v", err)
 	require.Contains(t, err.Error(), "port-range")
@@ -267,7 +267,7 @@
 	require.NoError(t, err)
 	address := listener.Addr().String()
 	require.NoError(t, listener.Close())
-	_, err = NewAsker().Survey(t.Context(), address)
+	_, err = NewSurveyor().Survey(t.Context(), address)
 	var unreachable *UnreachableError
 	require.True(t, errors.As(err, &unreachable), "%v", err)
 }
--- a/internal/status/survey.go
+++ b/internal/status/survey.go
@@ -69,29 +69,29 @@
 	Machines []Machine
 }
 
-// Asker asks machines.
-type Asker struct {
+// Surveyor asks machines.
+type Surveyor struct {
 	client *http.Client
 }
 
-// NewAsker returns an asker that opens a connection for each question.
-func NewAsker() *Asker {
-	return &Asker{client: &http.Client{
+// NewSurveyor returns an asker that opens a connection for each question.
+func NewSurveyor() *Surveyor {
+	return &Surveyor{client: &http.Client{
 		Timeout:   Timeout,
 		Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: Timeout}).DialContext, DisableKeepAlives: true},
 	}}
 }
 
-// Ask asks the control machine whose peer port is at an address, ip:port. The error is an *UnreachableError or
+// Describe asks the control machine whose peer port is at an address, ip:port. The error is an *UnreachableError or
 // a *NotControlError.
-func (a *Asker) Ask(ctx context.Context, address string) (*pb.ControlStatusReport, error) {
+func (a *Surveyor) Describe(ctx context.Context, address string) (*pb.ControlStatusReport, error) {
 	client := fieldrelayv1connect.NewControlStatusClient(a.client, "http://"+address,
 		connect.WithReadMaxBytes(maxReportBytes), connect.WithAcceptCompression("gzip", nil, nil))
 	response, err := client.Describe(ctx, connect.NewRequest(&pb.ControlStatusRequest{}))
 	switch {
 	case err == nil:
 		return response.Msg, nil
-	case answered(err):
+	case isHTTPResponse(err):
 		return nil, &NotControlError{Address: address, Cause: err}
 	default:
 		return nil, &UnreachableError{Address: address, Cause: err}
@@ -99,7 +99,7 @@
 }
 
 // answered reports whether an error came from something that speaks HTTP at the address.
-func answered(err error) bool {
+func isHTTPResponse(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeUnavailable, connect.CodeDeadlineExceeded, connect.CodeCanceled:
 		return false
@@ -109,8 +109,8 @@
 }
 
 // SurveyOne asks the machine at an address only.
-func (a *Asker) SurveyOne(ctx context.Context, address string) (*Survey, error) {
-	report, err := a.Ask(ctx, address)
+func (a *Surveyor) SurveyOne(ctx context.Context, address string) (*Survey, error) {
+	report, err := a.Describe(ctx, address)
 	if err != nil {
 		return nil, errors.Wrap(err, "ask the control machine")
 	}
@@ -119,7 +119,7 @@
 
 // Survey asks the machine at an address and then all voters of the view that it holds. The error is that of the
 // first machine.
-func (a *Asker) Survey(ctx context.Context, address string) (*Survey, error) {
+func (a *Surveyor) Survey(ctx context.Context, address string) (*Survey, error) {
 	survey, err := a.SurveyOne(ctx, address)
 	if err != nil {
 		return nil, err
@@ -137,7 +137,7 @@
 	for index := range others {
 		group.Go(func() {
 			one := &others[index]
-			one.Report, one.Err = a.Ask(ctx, one.Address)
+			one.Report, one.Err = a.Describe(ctx, one.Address)
 		})
 	}
 	group.Wait()
--- a/internal/status/text.go
+++ b/internal/status/text.go
@@ -20,7 +20,7 @@
 	s.writeFindings(&text)
 	s.writeView(&text)
 	s.writeMachines(&text)
-	if report := bestMembers(s.reports()); report != nil {
+	if report := mostReliableMembers(s.reports()); report != nil {
 		writeAgents(&text, report)
 	}
 	_, err := io.WriteString(output, text.String())
@@ -68,7 +68,7 @@
 	catalog, duty, orders := report.GetCatalog(), report.GetDuty(), report.GetOrders()
 	fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\n",
 		report.GetSelf().GetHost(), report.GetSelf().GetZone(), duration(report.GetUptimeMs()),
-		report.GetView().GetNumber(), part(report),
+		report.GetView().GetNumber(), machineState(report),
 		catalog.GetSequence(), catalog.GetGeneration(), orDash(strings.Join(catalog.GetEvacuatedZones(), ",")),
 		listVersion(duty.GetList()), listAge(duty),
 		servers(duty), polls(duty),
@@ -76,11 +76,11 @@
 }
 
 // part tells a machine's place in its view and whether it holds the agreed state.
-func part(report *pb.ControlStatusReport) string {
-	place := "outside"
+func machineState(report *pb.ControlStatusReport) string {
+	state := "outside"
 	for _, voter := range report.GetView().GetVoters() {
 		if voter.GetIdentity() == report.GetSelf().GetIdentity() {
-			place = "voter"
+			state = "voter"
 		}
 	}
 	chain := report.GetView().GetChain()
@@ -90,20 +90,20 @@
 		}
 		switch index {
 		case 0:
-			place = "head"
+			state = "head"
 		case len(chain) - 1:
-			place = "tail"
+			state = "tail"
 		default:
-			place = "middle"
+			state = "middle"
 		}
 	}
 	if !report.GetAuthoritative() {
-		place += ", cut off or behind"
+		state += ", cut off or behind"
 	}
 	if report.GetDuty().GetHolder() {
-		place += ", reads the list"
+		state += ", reads the list"
 	}
-	return place
+	return state
 }
 
 func writeAgents(text *strings.Builder, report *pb.ControlStatusReport) {
@@ -124,7 +124,7 @@
 		record := agent.GetRecord()
 		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%s ago\t%s\n",
 			record.GetHost(), record.GetZone(), agentState(agent), record.GetSequence(),
-			behind(report.GetCatalog().GetSequence(), record.GetSequence()),
+			lag(report.GetCatalog().GetSequence(), record.GetSequence()),
 			duration(uint64(record.GetAgeMs())), record.GetEdgeAddress())
 	}
 	table.Flush()
@@ -143,11 +143,11 @@
 	}
 }
 
-func behind(newest, held uint64) uint64 {
-	if held >= newest {
+func lag(newest, reported uint64) uint64 {
+	if reported >= newest {
 		return 0
 	}
-	return newest - held
+	return newest - reported
 }
 
 func listVersion(version *pb.ListVersion) string {
