--- a/cmd/fieldrelay-region/check.go
+++ b/cmd/fieldrelay-region/check.go
@@ -12,12 +12,13 @@
 	"fieldrelay/internal/settings"
 )
 
-// FaultyFileError tells that a checked file has faults, which were printed.
+// FaultyFileError says that a checked file has faults. They have been printed.
 type FaultyFileError struct {
 	Path   string
 	Faults int
 }
 
+// Error names the file and the number of its faults.
 func (e *FaultyFileError) Error() string { return fmt.Sprintf("%s: %d faults", e.Path, e.Faults) }
 
 // checkCommand checks a file or a state folder.
@@ -25,7 +26,7 @@
 	File string `arg:"" type:"path" help:"Settings file (TOML), configuration (JSON) or state folder of a control machine."`
 }
 
-// Run prints every fault of the file, or what the folder holds.
+// Run prints every fault of the file, or the content of the folder.
 func (c checkCommand) Run() error {
 	if info, err := os.Stat(c.File); err == nil && info.IsDir() {
 		return checkState(os.Stdout, c.File)
@@ -37,19 +38,20 @@
 	return check(os.Stdout, c.File, data)
 }
 
-// check prints every fault of a file's content, one a line, and returns a *FaultyFileError if there are any.
+// check prints every fault of a file's content, one per line, and returns a *FaultyFileError if there are any.
 func check(output io.Writer, path string, data []byte) error {
 	faults, err := faultsOf(data)
 	if err != nil {
 		return err
 	}
+	report := printer{output: output}
 	for _, fault := range faults {
-		fmt.Fprintf(output, "%s: %s\n", path, fault)
+		report.line("%s: %s", path, fault)
 	}
 	if len(faults) > 0 {
 		return &FaultyFileError{Path: path, Faults: len(faults)}
 	}
-	fmt.Fprintf(output, "%s: no faults\n", path)
+	report.line("%s: no faults", path)
 	return nil
 }
 
@@ -61,6 +63,7 @@
 	return settingsFaults(data)
 }
 
+// settingsFaults returns the faults of a settings file.
 func settingsFaults(data []byte) ([]string, error) {
 	_, err := settings.Parse(data)
 	var found *settings.FaultsError
@@ -74,7 +77,7 @@
 	return faults, nil
 }
 
-// configurationFaults checks a configuration as if it were the first one.
+// configurationFaults returns the faults of a configuration, checked as if it were the first one.
 func configurationFaults(data []byte) ([]string, error) {
 	_, err := catalog.PrepareReplace(catalog.Empty(), 0, data)
 	var found *catalog.InvalidError
--- a/cmd/fieldrelay-region/main.go
+++ b/cmd/fieldrelay-region/main.go
@@ -1,5 +1,5 @@
 // Command fieldrelay-region runs one process of the regional system: a control machine, an agent or a proxy. It
-// also checks settings and configuration files.
+// also checks settings, configurations and state folders, and shows the status of control machines.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	"fieldrelay/internal/settings"
 )
 
-// commandLine is what the program takes.
+// commandLine has the commands and flags of the program.
 type commandLine struct {
 	Proxy   proxyCommand     `cmd:"" help:"Run a proxy: it takes clients' requests and passes them on to servers."`
 	Agent   agentCommand     `cmd:"" help:"Run an agent: it keeps the link to the control machines and feeds the proxy beside it."`
@@ -49,12 +49,12 @@
 	}
 }
 
-// helpVariables are what the help texts name.
+// helpVariables are the variables of the help texts.
 func helpVariables() kong.Vars {
 	return kong.Vars{"version": version(), "mechanisms": strings.Join(policy.Names(), ", ")}
 }
 
-// version tells the module's version and the commit that the program was built from, as far as known.
+// version returns the module's version and the commit that the program was built from, as far as they are known.
 func version() string {
 	info, known := debug.ReadBuildInfo()
 	if !known {
@@ -74,7 +74,7 @@
 	Off []string `help:"Mechanisms of the policy to switch off, beside those of the settings: ${mechanisms}." placeholder:"NAME,..."`
 }
 
-// Run runs it until SIGTERM and its drain.
+// Run runs the proxy until it has drained after SIGTERM.
 func (c *proxyCommand) Run() error {
 	off, err := policy.Parse(c.Off)
 	if err != nil {
@@ -88,11 +88,11 @@
 // agentCommand runs an agent.
 type agentCommand struct{}
 
-// Run runs it until SIGTERM and until the proxy beside it needs it no more.
+// Run runs the agent until SIGTERM, and on until the proxy beside it has ended.
 func (agentCommand) Run() error { return roleprocess.Run(agent.Run) }
 
 // controlCommand runs a control machine.
 type controlCommand struct{}
 
-// Run runs it until SIGTERM.
+// Run runs the control machine until its shutdown after SIGTERM.
 func (controlCommand) Run() error { return roleprocess.Run(controlserver.Run) }
--- a/cmd/fieldrelay-region/status.go
+++ b/cmd/fieldrelay-region/status.go
@@ -7,14 +7,14 @@
 	"fieldrelay/internal/status"
 )
 
-// statusCommand shows what the control machines know.
+// statusCommand shows the status of the control machines.
 type statusCommand struct {
 	Address string `arg:"" help:"Peer port of any control machine, ip:port: the first port of its port-range."`
 	JSON    bool   `name:"json" help:"Write JSON, for programs."`
 	Only    bool   `help:"Ask this machine only, not the other voters of its view."`
 }
 
-// Run asks and prints. The exit code tells only whether the named machine answered.
+// Run queries and prints. The exit code says only whether the named machine answered.
 func (c statusCommand) Run() error {
 	survey, err := c.survey(context.Background())
 	if err != nil {
@@ -26,10 +26,11 @@
 	return survey.WriteText(os.Stdout)
 }
 
+// survey queries the machines that the arguments select.
 func (c statusCommand) survey(ctx context.Context) (*status.Survey, error) {
-	asker := status.NewSurveyor()
+	surveyor := status.NewSurveyor()
 	if c.Only {
-		return asker.SurveyOne(ctx, c.Address)
+		return surveyor.SurveyOne(ctx, c.Address)
 	}
-	return asker.Survey(ctx, c.Address)
+	return surveyor.Survey(ctx, c.Address)
 }
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -61,8 +61,8 @@
 	// RetryExtra is the number of retries in a window that are allowed beyond RetryRatio. Default: 10.
 	RetryExtra float64 `toml:"retry-extra"`
 
-	// WarmExcess is the factor on the rate of requests that a server which warms up may get from all proxies together,
-	// each of which uses its quota share. Default: 1.
+	// WarmExcess is the factor on the warm rate of a service, which bounds the requests per second to a server that warms
+	// up, from all proxies together; each of them uses its quota share. Default: 1.
 	WarmExcess float64 `toml:"warm-excess"`
 
 	// WarmExtra is the number of requests per second to such a server that are allowed beyond that. Default: 0.
--- a/internal/status/json.go
+++ b/internal/status/json.go
@@ -16,11 +16,13 @@
 	Report  json.RawMessage `json:"report,omitempty"` // a ControlStatusReport
 }
 
+// jsonFinding is one finding in the JSON form.
 type jsonFinding struct {
 	Severity string `json:"severity"`
 	Text     string `json:"text"`
 }
 
+// jsonSurvey is a survey in the JSON form.
 type jsonSurvey struct {
 	Findings []jsonFinding `json:"findings"`
 	Machines []jsonMachine `json:"machines"`
@@ -28,22 +30,23 @@
 
 // WriteJSON writes a survey for programs. The members of a report are named as in api/fieldrelay/v1/system.proto.
 func (s *Survey) WriteJSON(output io.Writer) error {
-	whole := jsonSurvey{Findings: []jsonFinding{}, Machines: []jsonMachine{}}
+	document := jsonSurvey{Findings: []jsonFinding{}, Machines: []jsonMachine{}}
 	for _, finding := range s.Findings() {
-		whole.Findings = append(whole.Findings, jsonFinding{Severity: finding.Severity.String(), Text: finding.Text})
+		document.Findings = append(document.Findings, jsonFinding{Severity: finding.Severity.String(), Text: finding.Text})
 	}
 	for _, machine := range s.Machines {
 		one, err := machineJSON(machine)
 		if err != nil {
 			return err
 		}
-		whole.Machines = append(whole.Machines, one)
+		document.Machines = append(document.Machines, one)
 	}
 	encoder := json.NewEncoder(output)
 	encoder.SetIndent("", "  ")
-	return errors.Wrap(encoder.Encode(whole), "write the survey")
+	return errors.Wrap(encoder.Encode(document), "write the survey")
 }
 
+// machineJSON converts a machine to the JSON form, its report by the names of the proto file.
 func machineJSON(machine Machine) (jsonMachine, error) {
 	one := jsonMachine{Host: machine.Host, Address: machine.Address}
 	if machine.Err != nil {
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -25,7 +25,7 @@
 	return &pb.Replica{Host: host, Identity: "id-" + host, Address: "10.0.0.1:7660", Zone: "zone-" + host}
 }
 
-// healthy returns what three machines say while all is well.
+// healthy returns the survey of three machines without findings.
 func healthy() *Survey {
 	view := &pb.View{Number: 4, Cluster: "c1"}
 	for _, host := range hosts {
@@ -55,40 +55,40 @@
 }
 
 func TestFindings(t *testing.T) {
-	silent := &UnreachableError{Address: "10.0.0.1:7660", Cause: context.DeadlineExceeded}
+	unreachable := &UnreachableError{Address: "10.0.0.1:7660", Cause: context.DeadlineExceeded}
 	cases := map[string]struct {
 		change func(s *Survey)
 		want   []string // beginnings, in order
 	}{
 		"nothing is wrong": {func(*Survey) {}, nil},
-		"one machine is asked": {func(s *Survey) {
+		"one machine is queried": {func(s *Survey) {
 			s.Machines = s.Machines[1:2]
 		}, nil},
-		"a voter is silent": {func(s *Survey) {
-			s.Machines[2] = Machine{Host: "core-c", Err: silent}
+		"a voter is unreachable": {func(s *Survey) {
+			s.Machines[2] = Machine{Host: "core-c", Err: unreachable}
 		}, []string{"WARNING: core-c: "}},
-		"a majority is silent": {func(s *Survey) {
-			s.Machines[1] = Machine{Host: "core-b", Err: silent}
-			s.Machines[2] = Machine{Host: "core-c", Err: silent}
+		"a majority is unreachable": {func(s *Survey) {
+			s.Machines[1] = Machine{Host: "core-b", Err: unreachable}
+			s.Machines[2] = Machine{Host: "core-c", Err: unreachable}
 			s.Machines[0].Report.Authoritative = false
 		}, []string{"ALARM: only 1 of 3 voters answer", "ALARM: no machine holds the agreed state", "WARNING: core-b", "WARNING: core-c"}},
 		"a disk was lost": {func(s *Survey) {
 			s.Machines[1].Report.Self = &pb.Replica{Host: "core-b", Identity: "other"}
 		}, []string{"WARNING: core-b lost its disk"}},
-		"a machine holds an older view": {func(s *Survey) {
+		"a machine knows an older view": {func(s *Survey) {
 			s.Machines[1].Report.View = &pb.View{Number: 3, Voters: s.Machines[0].Report.View.Voters}
 		}, []string{"WARNING: core-b holds view 3, view 4 is in force"}},
-		"a copy is behind": {func(s *Survey) {
+		"a replica lags": {func(s *Survey) {
 			s.Machines[2].Report.Catalog = &pb.CatalogStatus{Sequence: 10}
 		}, []string{"WARNING: core-c is in the chain and knows sequence 10 committed, others 12"}},
-		"a copy is one behind, as on its way": {func(s *Survey) {
+		"a replica lags by one change": {func(s *Survey) {
 			s.Machines[2].Report.Catalog = &pb.CatalogStatus{Sequence: 11}
 		}, nil},
 		"a machine has just started": {func(s *Survey) {
 			s.Machines[2].Report.Catalog = nil
 			s.Machines[2].Report.UptimeMs = 500
 		}, nil},
-		"founding is under way": {func(s *Survey) {
+		"the system is not founded": {func(s *Survey) {
 			for _, machine := range s.Machines {
 				machine.Report.View, machine.Report.Catalog = nil, nil
 			}
@@ -96,24 +96,24 @@
 		"one replica is left": {func(s *Survey) {
 			s.Machines[0].Report.View.Chain = s.Machines[0].Report.View.Chain[:1]
 		}, []string{"WARNING: the chain is core-a alone"}},
-		"nobody reads the list": {func(s *Survey) {
+		"no machine polls the list": {func(s *Survey) {
 			for _, machine := range s.Machines {
 				machine.Report.Duty.Holder = false
 				machine.Report.Duty.ListAgeMs = 7000
 			}
 		}, []string{"ALARM: the newest list of servers is 7s old", "WARNING: no machine that answers has the duty"}},
-		"no list was read yet": {func(s *Survey) {
+		"no list is known yet": {func(s *Survey) {
 			for _, machine := range s.Machines {
 				machine.Report.Duty.List = nil
 			}
 		}, []string{"ALARM: no machine that answers has a list"}},
-		"agents lack a change": {func(s *Survey) {
+		"agents lag": {func(s *Survey) {
 			s.Machines[1].Report.Lateness = &pb.LatenessStatus{AgentsBehind: 2, OldestLagMs: 2340, OldestHost: "edge-1"}
 		}, []string{"WARNING: core-b: 2 agents it hears have lacked a change for more than a second, edge-1 for 2.3s"}},
-		"a proxy was late": {func(s *Survey) {
+		"a proxy exceeded its bound": {func(s *Survey) {
 			s.Machines[1].Report.Lateness = &pb.LatenessStatus{OldestLagMs: 40, OldestHost: "edge-1", LateProxies: 3}
 		}, []string{"notice: core-b: since its start, proxies in contact were late by more than the bound 3 times"}},
-		"two hold the duty": {func(s *Survey) {
+		"two own the polling role": {func(s *Survey) {
 			s.Machines[1].Report.Duty.Holder = true
 		}, []string{"notice: core-a and core-b both"}},
 		"agents in every state": {func(s *Survey) {
--- a/internal/status/survey.go
+++ b/internal/status/survey.go
@@ -1,8 +1,8 @@
-// Package status asks control machines of the regional system what they know and puts it in a form for people
-// on call: one line a machine, one an agent, and findings that tell what is wrong.
+// Package status queries control machines of the regional system for their status and presents it to people on call: one
+// line per machine, one per agent, and findings about what is wrong. For programs there is a JSON form.
 //
-// It only reads. A machine that does not answer within Timeout is shown as silent; the others are shown all the
-// same.
+// It only reads, and needs no majority. A machine that does not answer within Timeout is shown as silent, beside the
+// others. docs/region-control.md describes findings and columns.
 package status
 
 import (
@@ -28,27 +28,29 @@
 	// maxReportBytes bounds one report.
 	maxReportBytes = 16 << 20
 
-	// maxMachines bounds the machines that are asked.
+	// maxMachines bounds the machines that are queried.
 	maxMachines = 64
 )
 
-// UnreachableError tells that a machine did not answer.
+// UnreachableError says that a machine did not answer.
 type UnreachableError struct {
 	Address string
 	Cause   error
 }
 
+// Error names address and cause.
 func (e *UnreachableError) Error() string { return e.Address + " does not answer: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// NotControlError tells that something answered at an address, but not a control machine's peer port.
+// NotControlError says that something else than the peer port of a control machine answered at an address.
 type NotControlError struct {
 	Address string
 	Cause   error
 }
 
+// Error names address, what belongs there, and cause.
 func (e *NotControlError) Error() string {
 	return e.Address + " is not the peer port of a control machine (the first port of its port-range): " + e.Cause.Error()
 }
@@ -64,17 +66,18 @@
 	Err     error // an *UnreachableError or a *NotControlError; nil with a report
 }
 
-// Survey is what several control machines said at about the same time. The machine that was named comes first.
+// Survey has the reports of control machines of about the same time. The machine that was named comes first, the others
+// are sorted by host.
 type Survey struct {
 	Machines []Machine
 }
 
-// Surveyor asks machines.
+// Surveyor queries control machines. It is safe for concurrent use.
 type Surveyor struct {
 	client *http.Client
 }
 
-// NewSurveyor returns an asker that opens a connection for each question.
+// NewSurveyor returns a surveyor that opens a connection for each query.
 func NewSurveyor() *Surveyor {
 	return &Surveyor{client: &http.Client{
 		Timeout:   Timeout,
@@ -82,10 +85,10 @@
 	}}
 }
 
-// Describe asks the control machine whose peer port is at an address, ip:port. The error is an *UnreachableError or
+// Describe queries the control machine whose peer port is at an address, ip:port. The error is an *UnreachableError or
 // a *NotControlError.
-func (a *Surveyor) Describe(ctx context.Context, address string) (*pb.ControlStatusReport, error) {
-	client := fieldrelayv1connect.NewControlStatusClient(a.client, "http://"+address,
+func (s *Surveyor) Describe(ctx context.Context, address string) (*pb.ControlStatusReport, error) {
+	client := fieldrelayv1connect.NewControlStatusClient(s.client, "http://"+address,
 		connect.WithReadMaxBytes(maxReportBytes), connect.WithAcceptCompression("gzip", nil, nil))
 	response, err := client.Describe(ctx, connect.NewRequest(&pb.ControlStatusRequest{}))
 	switch {
@@ -98,7 +101,7 @@
 	}
 }
 
-// answered reports whether an error came from something that speaks HTTP at the address.
+// isHTTPResponse reports whether an error is the response of something that speaks HTTP at the address.
 func isHTTPResponse(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeUnavailable, connect.CodeDeadlineExceeded, connect.CodeCanceled:
@@ -108,19 +111,19 @@
 	}
 }
 
-// SurveyOne asks the machine at an address only.
-func (a *Surveyor) SurveyOne(ctx context.Context, address string) (*Survey, error) {
-	report, err := a.Describe(ctx, address)
+// SurveyOne queries only the machine at an address.
+func (s *Surveyor) SurveyOne(ctx context.Context, address string) (*Survey, error) {
+	report, err := s.Describe(ctx, address)
 	if err != nil {
 		return nil, errors.Wrap(err, "ask the control machine")
 	}
 	return &Survey{Machines: []Machine{{Host: report.GetSelf().GetHost(), Address: address, Report: report}}}, nil
 }
 
-// Survey asks the machine at an address and then all voters of the view that it holds. The error is that of the
-// first machine.
-func (a *Surveyor) Survey(ctx context.Context, address string) (*Survey, error) {
-	survey, err := a.SurveyOne(ctx, address)
+// Survey queries the machine at an address and then, in parallel, all voters of the view that it knows. The error is that
+// of the first machine; those of others are in the survey.
+func (s *Surveyor) Survey(ctx context.Context, address string) (*Survey, error) {
+	survey, err := s.SurveyOne(ctx, address)
 	if err != nil {
 		return nil, err
 	}
@@ -137,7 +140,7 @@
 	for index := range others {
 		group.Go(func() {
 			one := &others[index]
-			one.Report, one.Err = a.Describe(ctx, one.Address)
+			one.Report, one.Err = s.Describe(ctx, one.Address)
 		})
 	}
 	group.Wait()
--- a/internal/status/text.go
+++ b/internal/status/text.go
@@ -13,8 +13,7 @@
 // columnPadding separates the columns of tables.
 const columnPadding = 2
 
-// WriteText writes a survey for people: the findings first, then the view, the control machines, the duty and
-// the agents.
+// WriteText writes a survey for people: the findings first, then the view, the control machines and the agents.
 func (s *Survey) WriteText(output io.Writer) error {
 	var text strings.Builder
 	s.writeFindings(&text)
@@ -27,6 +26,23 @@
 	return err
 }
 
+// table writes rows with aligned columns. Its writer is a strings.Builder, which does not fail.
+type table struct {
+	writer *tabwriter.Writer
+}
+
+func newTable(text *strings.Builder) *table {
+	return &table{writer: tabwriter.NewWriter(text, 0, 0, columnPadding, ' ', 0)}
+}
+
+// row writes one row; tabs separate its columns.
+func (t *table) row(format string, values ...any) {
+	_, _ = fmt.Fprintf(t.writer, format+"\n", values...)
+}
+
+// flush aligns and writes the rows.
+func (t *table) flush() { _ = t.writer.Flush() }
+
 func (s *Survey) writeFindings(text *strings.Builder) {
 	found := s.Findings()
 	if len(found) == 0 {
@@ -52,30 +68,31 @@
 
 func (s *Survey) writeMachines(text *strings.Builder) {
 	text.WriteString("\n")
-	table := tabwriter.NewWriter(text, 0, 0, columnPadding, ' ', 0)
-	fmt.Fprintln(table, "CONTROL\tZONE\tUP\tVIEW\tPART\tSEQUENCE\tGEN\tEVACUATED\tLIST\tAGE\tSERVERS\tPOLLS\tACKED\tREFUSED\t503")
+	rows := newTable(text)
+	rows.row("CONTROL\tZONE\tUP\tVIEW\tPART\tSEQUENCE\tGEN\tEVACUATED\tLIST\tAGE\tSERVERS\tPOLLS\tACKED\tREFUSED\t503")
 	for _, machine := range s.Machines {
 		if machine.Report == nil {
-			fmt.Fprintf(table, "%s\t%s\n", machine.Host, "silent")
+			rows.row("%s\t%s", machine.Host, "silent")
 			continue
 		}
-		writeMachine(table, machine.Report)
+		writeMachine(rows, machine.Report)
 	}
-	table.Flush()
+	rows.flush()
 }
 
-func writeMachine(table io.Writer, report *pb.ControlStatusReport) {
-	catalog, duty, orders := report.GetCatalog(), report.GetDuty(), report.GetOrders()
-	fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\n",
+// writeMachine writes the row of a control machine.
+func writeMachine(rows *table, report *pb.ControlStatusReport) {
+	catalog, polling, orders := report.GetCatalog(), report.GetDuty(), report.GetOrders()
+	rows.row("%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d",
 		report.GetSelf().GetHost(), report.GetSelf().GetZone(), duration(report.GetUptimeMs()),
 		report.GetView().GetNumber(), machineState(report),
 		catalog.GetSequence(), catalog.GetGeneration(), orDash(strings.Join(catalog.GetEvacuatedZones(), ",")),
-		listVersion(duty.GetList()), listAge(duty),
-		servers(duty), polls(duty),
+		listVersion(polling.GetList()), listAge(polling),
+		servers(polling), polls(polling),
 		orders.GetAcknowledged(), orders.GetRefused(), orders.GetUnavailable())
 }
 
-// part tells a machine's place in its view and whether it holds the agreed state.
+// machineState returns a machine's role in its view, whether it is authoritative and whether it polls the server list.
 func machineState(report *pb.ControlStatusReport) string {
 	state := "outside"
 	for _, voter := range report.GetView().GetVoters() {
@@ -106,6 +123,7 @@
 	return state
 }
 
+// writeAgents writes the table of the agents that one control machine knows.
 func writeAgents(text *strings.Builder, report *pb.ControlStatusReport) {
 	live := 0
 	for _, agent := range report.GetAgents() {
@@ -118,16 +136,16 @@
 	if !report.GetMembersSettled() {
 		text.WriteString("(it has just started: there may be more)\n")
 	}
-	table := tabwriter.NewWriter(text, 0, 0, columnPadding, ' ', 0)
-	fmt.Fprintln(table, "AGENT\tZONE\tSTATE\tSEQUENCE\tBEHIND\tHEARD\tEDGE")
+	rows := newTable(text)
+	rows.row("AGENT\tZONE\tSTATE\tSEQUENCE\tBEHIND\tHEARD\tEDGE")
 	for _, agent := range report.GetAgents() {
 		record := agent.GetRecord()
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%s ago\t%s\n",
+		rows.row("%s\t%s\t%s\t%d\t%d\t%s ago\t%s",
 			record.GetHost(), record.GetZone(), agentState(agent), record.GetSequence(),
 			lag(report.GetCatalog().GetSequence(), record.GetSequence()),
 			duration(uint64(record.GetAgeMs())), record.GetEdgeAddress())
 	}
-	table.Flush()
+	rows.flush()
 }
 
 func agentState(agent *pb.AgentStatus) string {
@@ -157,28 +175,28 @@
 	return fmt.Sprintf("%d/%s/%d", version.GetEpoch(), version.GetHolder(), version.GetRevision())
 }
 
-func listAge(duty *pb.DutyStatus) string {
-	if duty.GetList() == nil {
+func listAge(polling *pb.DutyStatus) string {
+	if polling.GetList() == nil {
 		return "-"
 	}
-	return duration(duty.GetListAgeMs())
+	return duration(polling.GetListAgeMs())
 }
 
-func servers(duty *pb.DutyStatus) string {
-	if duty.GetDraining() == 0 {
-		return fmt.Sprint(duty.GetServers())
+func servers(polling *pb.DutyStatus) string {
+	if polling.GetDraining() == 0 {
+		return fmt.Sprint(polling.GetServers())
 	}
-	return fmt.Sprintf("%d, %d draining", duty.GetServers(), duty.GetDraining())
+	return fmt.Sprintf("%d, %d draining", polling.GetServers(), polling.GetDraining())
 }
 
-func polls(duty *pb.DutyStatus) string {
-	if duty.GetPollsFailed() == 0 {
-		return fmt.Sprint(duty.GetPolls())
+func polls(polling *pb.DutyStatus) string {
+	if polling.GetPollsFailed() == 0 {
+		return fmt.Sprint(polling.GetPolls())
 	}
-	return fmt.Sprintf("%d, %d failed", duty.GetPolls(), duty.GetPollsFailed())
+	return fmt.Sprintf("%d, %d failed", polling.GetPolls(), polling.GetPollsFailed())
 }
 
-// duration is a time to a tenth of a second, or to the second when it is long.
+// duration formats a time to a tenth of a second, or to the second from a minute on.
 func duration(milliseconds uint64) string {
 	value := time.Duration(milliseconds) * time.Millisecond
 	if value >= time.Minute {
