--- a/internal/controlserver/statusservice.go
+++ b/internal/controlserver/statusservice.go
@@ -24,7 +24,7 @@
 // report describes the process and its state.
 func (p *process) report() *pb.ControlStatusReport {
 	status := p.node.Status()
-	picture := p.soft.Snapshot()
+	snapshot := p.soft.Snapshot()
 	return &pb.ControlStatusReport{
 		Self:           status.Self,
 		Software:       buildRevision(),
@@ -33,10 +33,10 @@
 		Authoritative:  status.Authoritative,
 		Live:           status.Live,
 		Catalog:        catalogStatus(status.Committed),
-		Duty:           p.pollingRoleStatus(picture.list),
-		MembersSettled: picture.converged,
+		Duty:           p.pollingRoleStatus(snapshot.list),
+		MembersSettled: snapshot.converged,
 		Lateness:       lagStatus(p.soft.LagStats()),
-		Agents:         agentStatuses(picture.members.Message(p.now())),
+		Agents:         agentStatuses(snapshot.members.Message(p.now())),
 		Orders: &pb.OrderCounters{
 			Acknowledged: uint64(p.operatorCounters.Acknowledged.Load()),
 			Refused:      uint64(p.operatorCounters.Rejected.Load()),
--- a/internal/operatorapi/body.go
+++ b/internal/operatorapi/body.go
@@ -15,8 +15,8 @@
 	// bodyReadTimeout is the longest time in which a body may arrive.
 	bodyReadTimeout = 10 * time.Second
 
-	// maxConcurrentLargeBodies bounds the bodies in memory that are not small. They are the bulk of the memory that
-	// orders take; small ones are bounded by maxConcurrentOrders.
+	// maxConcurrentLargeBodies bounds the bodies in memory that are not small: they are the bulk of the memory that
+	// orders take.
 	maxConcurrentLargeBodies = 3
 )
 
--- a/internal/operatorapi/rejection.go
+++ b/internal/operatorapi/rejection.go
@@ -26,6 +26,7 @@
 	return marshalRejection(detail)
 }
 
+// faultsOf converts the faults of a configuration to the form of the API.
 func faultsOf(invalid *catalog.InvalidError) []operator.Fault {
 	faults := make([]operator.Fault, 0, len(invalid.Faults))
 	for _, fault := range invalid.Faults {
@@ -46,6 +47,7 @@
 	return &text
 }
 
+// marshalRejection returns the body of a rejection.
 func marshalRejection(detail operator.RefusalDetail) []byte {
 	body, err := json.Marshal(operator.Refusal{Error: detail})
 	if err != nil {
--- a/internal/operatorapi/server.go
+++ b/internal/operatorapi/server.go
@@ -66,11 +66,11 @@
 }
 
 // include reports whether the operation at a path is selected.
-func (services Services) include(path string) bool {
+func (s Services) include(path string) bool {
 	if path == directoryPath {
-		return services.Directory
+		return s.Directory
 	}
-	if !services.Operator {
+	if !s.Operator {
 		return false
 	}
 	return strings.HasPrefix(path, configurationPrefix) ||
--- a/internal/status/findings.go
+++ b/internal/status/findings.go
@@ -101,8 +101,7 @@
 	return chosen
 }
 
-// membersReliability orders reports by the reliability of their agents. Convergence counts more than authority: a list
-// that is incomplete misleads more than one that is a little old.
+// membersReliability orders reports by the reliability of their agents; convergence counts more than authority.
 func membersReliability(report *pb.ControlStatusReport) int {
 	points := 0
 	if report.GetMembersSettled() {
@@ -119,6 +118,7 @@
 	list []Finding
 }
 
+// add adds a finding, with its text formatted as by fmt.Sprintf.
 func (f *findings) add(severity Severity, format string, values ...any) {
 	f.list = append(f.list, Finding{Severity: severity, Text: fmt.Sprintf(format, values...)})
 }
@@ -130,4 +130,5 @@
 	}
 }
 
+// milliseconds returns a duration in the unit of reports.
 func milliseconds(duration time.Duration) uint64 { return uint64(duration.Milliseconds()) }
