--- a/internal/controlserver/bootstrap_test.go
+++ b/internal/controlserver/bootstrap_test.go
@@ -15,8 +15,7 @@
 
 // loneMachine returns the settings of a control machine that is the only seed.
 func loneMachine(folder string) *settings.Settings {
-	own := testSettings()
-	own.Binds = settings.Binds{Control: "127.0.0.2:0", Directory: "127.0.0.3:0"}
+	own := servingSettings()
 	own.Seeds = []string{own.Binds.Control}
 	own.Bootstrap = true
 	own.QuorumMember = true
--- a/internal/controlserver/fake_test.go
+++ b/internal/controlserver/fake_test.go
@@ -175,6 +175,13 @@
 	}
 }
 
+// servingSettings are testSettings with listeners for the operator and the directory.
+func servingSettings() *settings.Settings {
+	own := testSettings()
+	own.Binds = settings.Binds{Control: "127.0.0.2:0", Directory: "127.0.0.3:0"}
+	return own
+}
+
 // newTestProcess returns a process with a fake node that reads no settings file.
 func newTestProcess(t *testing.T) (*process, *fakeNode) {
 	t.Helper()
--- a/internal/controlserver/leave_test.go
+++ b/internal/controlserver/leave_test.go
@@ -21,9 +21,7 @@
 func TestNodeRunsUntilTheOthersGoOnWithoutIt(t *testing.T) {
 	p, node := newTestProcess(t)
 	node.leaving = make(chan struct{})
-	current := *testSettings()
-	current.Binds = settings.Binds{Control: "127.0.0.2:0", Directory: "127.0.0.3:0"}
-	p.settings.current.Store(&current)
+	p.settings.current.Store(servingSettings())
 	servers, err := p.listenAll(t.Context())
 	require.NoError(t, err)
 	closed := make(map[bool]chan struct{})
--- a/internal/controlserver/serve_test.go
+++ b/internal/controlserver/serve_test.go
@@ -52,7 +52,7 @@
 	return response.StatusCode, string(answer)
 }
 
-// An evacuation that was taken at a machine whose settings name the zone is not refused by one whose do not.
+// An evacuation that was accepted at a machine whose settings name the zone is not rejected by one whose do not.
 func TestAnEvacuationThatWasTakenIsNotRefusedElsewhere(t *testing.T) {
 	p, node := newTestProcess(t)
 	server := operatorServer(t, p)
@@ -93,11 +93,14 @@
 func TestTheDirectoryWaitsUntilItKnowsEnough(t *testing.T) {
 	p, _ := newTestProcess(t)
 	p.soft.ObserveAgent(testAgent("edge-1"), nil)
-	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
+	require.Empty(t, p.soft.Endpoints(restrictedClient, 0))
 	p.started = p.started.Add(-directoryConvergenceTime)
-	require.Equal(t, []string{"10.0.0.1:8144"}, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
+	require.Equal(t, []string{"10.0.0.1:8144"}, p.soft.Endpoints(restrictedClient, 0))
 }
 
+// restrictedClient is a client that may be bound to its region.
+var restrictedClient = registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}
+
 // TestTheDirectoryFollowsTheHomesOfTheConfiguration: clients whose region has no proxy are sent to home regions of their host.
 func TestTheDirectoryFollowsTheHomesOfTheConfiguration(t *testing.T) {
 	p, _ := newTestProcess(t)
@@ -144,18 +147,16 @@
 	starting.Ready = false
 	p.soft.ObserveAgent(starting, nil)
 	p.soft.ObserveAgent(testAgent("edge-1"), nil)
-	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
+	require.Empty(t, p.soft.Endpoints(restrictedClient, 0))
 	p.soft.ObserveAgent(testAgent("edge-2"), nil)
-	require.Len(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0), 2)
+	require.Len(t, p.soft.Endpoints(restrictedClient, 0), 2)
 }
 
 // TestServeAnswersWhatItTook starts all listeners and ends the process while an order is under way.
 func TestServeAnswersWhatItTook(t *testing.T) {
 	p, node := newTestProcess(t)
 	node.block = make(chan struct{})
-	current := *testSettings()
-	current.Binds = settings.Binds{Control: "127.0.0.2:0", Directory: "127.0.0.3:0"}
-	p.settings.current.Store(&current)
+	p.settings.current.Store(servingSettings())
 	servers, err := p.listenAll(t.Context())
 	require.NoError(t, err)
 	require.Len(t, servers, 3)
@@ -227,27 +228,27 @@
 	initial, err := settings.Load(path)
 	require.NoError(t, err)
 	core, lines := observer.New(zap.InfoLevel)
-	watch := newSettingsWatcher(path, initial, zap.New(core))
+	watcher := newSettingsWatcher(path, initial, zap.New(core))
 
-	require.False(t, watch.Check(false), "the file is as it was")
-	require.False(t, watch.Check(true))
+	require.False(t, watcher.Check(false), "the file is as it was")
+	require.False(t, watcher.Check(true))
 	info, err := os.Stat(path)
 	require.NoError(t, err)
 	write(strings.Replace(settingsText, "core", "bore", 1))
 	require.NoError(t, os.Chtimes(path, info.ModTime(), info.ModTime()))
-	require.False(t, watch.Check(false), "the file looks as it was")
-	require.True(t, watch.Check(true), "upon a signal it is read anyway")
+	require.False(t, watcher.Check(false), "the file looks as it was")
+	require.True(t, watcher.Check(true), "upon a signal it is read anyway")
 
 	write(settingsText + "[zones]\nolomouc-hala = \"cz-morava\"\n")
-	require.True(t, watch.Check(false))
-	require.True(t, watch.Current().KnowsZone("olomouc-hala"))
+	require.True(t, watcher.Check(false))
+	require.True(t, watcher.Current().KnowsZone("olomouc-hala"))
 
 	lines.TakeAll()
 	write("hostname = 3")
-	require.False(t, watch.Check(false))
-	require.False(t, watch.Check(true))
+	require.False(t, watcher.Check(false))
+	require.False(t, watcher.Check(true))
 	require.Equal(t, 1, lines.Len(), "an error is logged once")
-	require.True(t, watch.Current().KnowsZone("olomouc-hala"))
+	require.True(t, watcher.Current().KnowsZone("olomouc-hala"))
 }
 
 // TestOtherSeedsReachTheNode: the known machines may all have been replaced.
