--- a/bench/cost/main.go
+++ b/bench/cost/main.go
@@ -6,6 +6,7 @@
 
 import (
 	"context"
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -45,13 +46,13 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	opts.Dir = dir
 	r, err := rig.New(opts)
 	if err != nil {
 		return err
 	}
-	defer r.Close()
+	defer func() { err = errors.Join(err, r.Close()) }()
 	if err := r.Start(); err != nil {
 		return err
 	}
--- a/bench/flood/main.go
+++ b/bench/flood/main.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	if opts.Binary == "" {
 		opts.Binary = filepath.Join(dir, "fieldrelay")
 		build := exec.Command("go", "build", "-o", opts.Binary, "fieldrelay/cmd/fieldrelay")
--- a/bench/transport/nodes.go
+++ b/bench/transport/nodes.go
@@ -44,7 +44,9 @@
 		counted := &countedListener{ln, all}
 		all.listeners = append(all.listeners, counted)
 		entries = append(entries, standin.Ready(fmt.Sprintf("n%d", i+1), ln.Addr().String()))
-		go (&fasthttp.Server{Handler: answer, NoDefaultServerHeader: true, NoDefaultDate: true}).Serve(counted)
+		go func() {
+			_ = (&fasthttp.Server{Handler: answer, NoDefaultServerHeader: true, NoDefaultDate: true}).Serve(counted)
+		}()
 	}
 	var err error
 	if all.discovery, err = standin.NewDiscovery(entries...); err != nil {
@@ -63,7 +65,7 @@
 
 func (n *nodes) close() {
 	for _, ln := range n.listeners {
-		ln.Close()
+		_ = ln.Close()
 	}
 	if n.discovery != nil {
 		n.discovery.Close()
--- a/bench/transport/process.go
+++ b/bench/transport/process.go
@@ -48,16 +48,16 @@
 	}
 	process := &process{front: front, dir: dir}
 	if process.log, err = os.Create(filepath.Join(dir, "log")); err != nil {
-		os.RemoveAll(dir)
+		_ = os.RemoveAll(dir)
 		return nil, err
 	}
-	defer process.log.Close() // the program has its own copy
+	defer func() { _ = process.log.Close() }() // the program has its own copy
 	if process.cmd, err = p.command(process, nodes); err == nil {
 		process.cmd.Stderr = process.log
 		err = process.cmd.Start()
 	}
 	if err != nil {
-		os.RemoveAll(dir)
+		_ = os.RemoveAll(dir)
 		return nil, err
 	}
 	if err := process.ready(); err != nil {
@@ -102,7 +102,7 @@
 		if err != nil {
 			continue
 		}
-		response.Body.Close()
+		_ = response.Body.Close()
 		if response.StatusCode == http.StatusOK {
 			return nil
 		}
@@ -111,9 +111,9 @@
 }
 
 func (p *process) end() {
-	p.cmd.Process.Kill()
-	p.cmd.Wait()
-	os.RemoveAll(p.dir)
+	_ = p.cmd.Process.Kill() // it may have ended by itself
+	_ = p.cmd.Wait()         // killed, it always ends with an error
+	_ = os.RemoveAll(p.dir)
 }
 
 func (p *process) cpu() (time.Duration, error) { return processorTime(p.cmd.Process.Pid) }
@@ -128,6 +128,6 @@
 	if err != nil {
 		return "", err
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	return strings.TrimSpace(ln.Addr().String()), nil
 }
--- a/cmd/fieldlab/chaos.go
+++ b/cmd/fieldlab/chaos.go
@@ -72,16 +72,16 @@
 		if opts.Dir, err = os.MkdirTemp("", "fieldlab-chaos-"); err != nil {
 			return err
 		}
-		defer os.RemoveAll(opts.Dir)
+		defer func() { _ = os.RemoveAll(opts.Dir) }()
 	}
 	var trace io.Writer
 	if c.Trace != "" {
-		f, err := os.Create(c.Trace)
-		if err != nil {
-			return err
+		file, openErr := os.Create(c.Trace)
+		if openErr != nil {
+			return openErr
 		}
-		defer f.Close()
-		trace = f
+		defer func() { err = errors.Join(err, file.Close()) }()
+		trace = file
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/fieldlab/main.go
+++ b/cmd/fieldlab/main.go
@@ -51,18 +51,18 @@
 	if len(policies) == 1 && policies[0] == "all" {
 		policies = emulate.Policies()
 	}
-	var out io.Writer = io.Discard
+	out := io.Discard
 	switch c.JSON {
 	case "":
 	case "-":
 		out = os.Stdout
 	default:
-		f, err := os.Create(c.JSON)
-		if err != nil {
-			return err
+		file, openErr := os.Create(c.JSON)
+		if openErr != nil {
+			return openErr
 		}
-		defer func() { err = errors.Join(err, f.Close()) }()
-		out = f
+		defer func() { err = errors.Join(err, file.Close()) }()
+		out = file
 	}
 	table := tabwriter.NewWriter(os.Stderr, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "policy\tclass\tasked\tserved\tin aim\trefused\tfailed\tmean ms\tp50\tp99\tworth\tbroken rules\trequests/s\t")
--- a/cmd/fieldlab/peers.go
+++ b/cmd/fieldlab/peers.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	r, err := rig.New(rig.Options{Binary: binary, Sidecars: n, Dir: dir, Seed: 1})
 	if err != nil {
 		return err
--- a/cmd/fieldrelayctl/fleet.go
+++ b/cmd/fieldrelayctl/fleet.go
@@ -111,8 +111,10 @@
 	if err != nil {
 		return nil, err
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(askTimeout))
+	defer func() { _ = nc.Close() }()
+	if err := nc.SetDeadline(time.Now().Add(askTimeout)); err != nil {
+		return nil, err
+	}
 	if _, err := fmt.Fprintln(nc, command); err != nil {
 		return nil, err
 	}
--- a/cmd/fieldrelayctl/fleet_test.go
+++ b/cmd/fieldrelayctl/fleet_test.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	go func() {
 		for {
 			nc, err := ln.Accept()
@@ -24,13 +24,13 @@
 			line, _ := bufio.NewReader(nc).ReadString('\n')
 			switch strings.TrimSpace(line) {
 			case "QUOTAS":
-				fmt.Fprint(nc, "ok\norders per_second limit=100 here=31.4\nretries retry_pct limit=10 let=7\neof\n")
+				_, _ = fmt.Fprint(nc, "ok\norders per_second limit=100 here=31.4\nretries retry_pct limit=10 let=7\neof\n")
 			case "PEERS":
-				fmt.Fprint(nc, "ok\ntill-1 self inc=3 heard=0ms addr=127.0.0.1:7 view=1.2\neof\n")
+				_, _ = fmt.Fprint(nc, "ok\ntill-1 self inc=3 heard=0ms addr=127.0.0.1:7 view=1.2\neof\n")
 			default:
-				fmt.Fprint(nc, "fail fleet.verdicts off\n")
+				_, _ = fmt.Fprint(nc, "fail fleet.verdicts off\n")
 			}
-			nc.Close()
+			_ = nc.Close()
 		}
 	}()
 	for word, c := range map[string]struct {
--- a/cmd/fieldrelayctl/main.go
+++ b/cmd/fieldrelayctl/main.go
@@ -12,6 +12,7 @@
 	"path/filepath"
 	"runtime"
 	"runtime/debug"
+	"strings"
 	"syscall"
 	"text/tabwriter"
 
@@ -60,11 +61,12 @@
 // command runs a command line and gives its exit code.
 func command(args []string, getenv func(string) string, out, errs io.Writer) int {
 	var c cli
-	ended := -1 // by a flag such as --help
+	ended := -1                                                                     // by a flag such as --help
+	complain := func(fault any) { _, _ = fmt.Fprintln(errs, "fieldrelay:", fault) } // nobody hears of a closed standard error
 	parser, err := kong.New(&c, kong.Name("fieldrelay"), kong.Description(description), kong.Writers(out, errs),
 		kong.Exit(func(code int) { ended = code }), kong.ConfigureHelp(kong.HelpOptions{NoExpandSubcommands: true}))
 	if err != nil {
-		fmt.Fprintln(errs, "fieldrelay:", err)
+		complain(err)
 		return exitFault
 	}
 	ctx, err := parser.Parse(args)
@@ -72,16 +74,16 @@
 		return ended
 	}
 	if err != nil {
-		fmt.Fprintf(errs, "fieldrelay: %v; see fieldrelay --help\n", err)
+		complain(fmt.Errorf("%w; see fieldrelay --help", err))
 		return exitUsage
 	}
 	if err := ctx.Run(&world{getenv: getenv, operator: c.Operator, out: out, errs: errs}); err != nil {
 		if faults := (config.Faults)(nil); errors.As(err, &faults) {
 			for _, f := range faults {
-				fmt.Fprintln(errs, "fieldrelay:", f)
+				complain(f)
 			}
 		} else {
-			fmt.Fprintln(errs, "fieldrelay:", err)
+			complain(err)
 		}
 		return exitFault
 	}
@@ -129,21 +131,23 @@
 			return err
 		}
 	}
-	fmt.Fprintf(w.out, "no fault in %d settings\n", len(cfg.Shown()))
+	var text strings.Builder
+	fmt.Fprintf(&text, "no fault in %d settings\n", len(cfg.Shown()))
 	if s := cfg.Operator.Fleet; s.Enabled() {
 		for _, line := range s.Bounds() {
-			fmt.Fprintln(w.out, line)
+			fmt.Fprintln(&text, line)
 		}
 		for _, q := range cfg.Operator.Quota {
-			fmt.Fprintln(w.out, q.Bound())
+			fmt.Fprintln(&text, q.Bound())
 		}
 		if r := cfg.Operator.Rules; r.On {
 			for _, line := range skew.Bounds(s.LeaseTime(), s.DriftPart()) {
-				fmt.Fprintln(w.out, line)
+				fmt.Fprintln(&text, line)
 			}
 		}
 	}
-	return nil
+	_, err = io.WriteString(w.out, text.String())
+	return err
 }
 
 type configCmd struct {
--- a/example/fleet/main.go
+++ b/example/fleet/main.go
@@ -6,6 +6,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"os/signal"
@@ -23,7 +24,7 @@
 	}
 }
 
-func run() error {
+func run() (err error) {
 	binary, err := filepath.Abs("bin/fieldrelay")
 	if err != nil {
 		return err
@@ -35,12 +36,12 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	r, err := rig.New(rig.Options{Binary: binary, Sidecars: 3, Nodes: 3, Work: 20 * time.Millisecond, Dir: dir, Direct: true})
 	if err != nil {
 		return err
 	}
-	defer r.Close()
+	defer func() { err = errors.Join(err, r.Close()) }()
 	if err := r.Start(); err != nil {
 		return err
 	}
--- a/example/region/calls.go
+++ b/example/region/calls.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err == nil && response.StatusCode != http.StatusOK {
 		err = &StatusError{Call: request.URL.Path, Status: response.StatusCode, Body: string(body)}
@@ -136,13 +136,15 @@
 	if err != nil {
 		return errors.Wrap(err, "send a request")
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		body, _ := io.ReadAll(response.Body) // what was read of it is told
 		return &StatusError{Call: path, Status: response.StatusCode, Body: string(body)}
 	}
-	fmt.Fprintf(output, "request %s: 200 after %s, seal %s\n", request.Header.Get("X-Fieldrelay-Attempt-Id"),
-		time.Since(began).Round(time.Millisecond), response.Header.Get("X-Fieldrelay-Server-Seal"))
+	if _, err := fmt.Fprintf(output, "request %s: 200 after %s, seal %s\n", request.Header.Get("X-Fieldrelay-Attempt-Id"),
+		time.Since(began).Round(time.Millisecond), response.Header.Get("X-Fieldrelay-Server-Seal")); err != nil {
+		return errors.Wrap(err, "print the answer's head")
+	}
 	return printEvents(response.Body, output)
 }
 
@@ -153,7 +155,9 @@
 	for lines.Scan() {
 		if data, found := strings.CutPrefix(lines.Text(), "data: "); found {
 			seen++
-			fmt.Fprintf(output, "  event: %s\n", data)
+			if _, err := fmt.Fprintf(output, "  event: %s\n", data); err != nil {
+				return errors.Wrap(err, "print an event")
+			}
 		}
 	}
 	if err := lines.Err(); err != nil {
--- a/example/region/main.go
+++ b/example/region/main.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return errors.Wrap(err, "make a folder")
 	}
-	defer os.RemoveAll(folder)
+	defer func() { _ = os.RemoveAll(folder) }()
 	if program == "" {
 		if program, err = build(ctx, folder); err != nil {
 			return err
@@ -77,7 +77,9 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(output, "started %d processes, a platform and %d model servers\n", len(started.list), len(servers))
+	if _, err := fmt.Fprintf(output, "started %d processes, a platform and %d model servers\n", len(started.list), len(servers)); err != nil {
+		return errors.Wrap(err, "print what was started")
+	}
 	if err := steps(ctx, layout, output); err != nil {
 		return errors.Wrapf(err, "logs of the processes:\n%s", started.logs())
 	}
@@ -90,12 +92,16 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(output, "configuration %d is acknowledged\n", generation)
+	if _, err := fmt.Fprintf(output, "configuration %d is acknowledged\n", generation); err != nil {
+		return errors.Wrap(err, "print the generation")
+	}
 	edge, err := lookUp(ctx, layout.controls[0].Binds.Directory)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(output, "the directory sends clients to %s\n", edge)
+	if _, err := fmt.Fprintf(output, "the directory sends clients to %s\n", edge); err != nil {
+		return errors.Wrap(err, "print the proxy's address")
+	}
 	return stream(ctx, edge, output)
 }
 
@@ -104,6 +110,8 @@
 	command := exec.CommandContext(ctx, program, "status", layout.controls[0].Port(0))
 	command.Stdout = output
 	command.Stderr = output
-	fmt.Fprintf(output, "\nfieldrelay-region status %s:\n", layout.controls[0].Port(0))
+	if _, err := fmt.Fprintf(output, "\nfieldrelay-region status %s:\n", layout.controls[0].Port(0)); err != nil {
+		return errors.Wrap(err, "print the command")
+	}
 	return errors.Wrap(command.Run(), "ask for the status")
 }
--- a/example/region/processes.go
+++ b/example/region/processes.go
@@ -91,10 +91,10 @@
 		<-p.ended
 	}
 	if p.err != nil {
-		fmt.Fprintf(output, "%s ended: %v\n%s", p.name, p.err, p.log.String())
+		_, _ = fmt.Fprintf(output, "%s ended: %v\n%s", p.name, p.err, p.log.String())
 		return
 	}
-	fmt.Fprintf(output, "%s ended in order\n", p.name)
+	_, _ = fmt.Fprintf(output, "%s ended in order\n", p.name)
 }
 
 // logs is what all processes wrote.
--- a/example/region/standins.go
+++ b/example/region/standins.go
@@ -40,7 +40,7 @@
 	return one, nil
 }
 
-func (s *standin) stop() { s.server.Close() }
+func (s *standin) stop() { _ = s.server.Close() }
 
 // platform stands in for the platform's list of servers.
 type platform struct {
@@ -121,7 +121,9 @@
 	w.Header().Set("X-Fieldrelay-Server-Seal", s.id+".seal")
 	w.Header().Set("Content-Type", "text/event-stream")
 	for id := 1; id <= events; id++ {
-		fmt.Fprintf(w, "id: %d\ndata: token %d from %s\n\n", id, id, s.id)
+		if _, err := fmt.Fprintf(w, "id: %d\ndata: token %d from %s\n\n", id, id, s.id); err != nil {
+			return // the caller has gone
+		}
 		w.(http.Flusher).Flush()
 	}
 }
--- a/example/toynode/main.go
+++ b/example/toynode/main.go
@@ -54,22 +54,22 @@
 func answer(addr string) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		time.Sleep(time.Duration(20+rand.IntN(80)) * time.Millisecond)
-		fmt.Fprintf(ctx, "%s %s, job %s, served by %s\n", ctx.Method(), ctx.Path(), ctx.Request.Header.Peek("X-Call-Id"), addr)
+		_, _ = fmt.Fprintf(ctx, "%s %s, job %s, served by %s\n", ctx.Method(), ctx.Path(), ctx.Request.Header.Peek("X-Call-Id"), addr)
 	}
 }
 
 // tell gives the whole list, and on a watch an empty line now and then to show that it lives.
 func tell(list []byte) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		ctx.Write(list)
+		_, _ = ctx.Write(list)
 		if !ctx.QueryArgs().Has("watch") {
 			return
 		}
 		ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-			w.Write(list)
+			_, _ = w.Write(list)
 			for w.Flush() == nil {
 				time.Sleep(heartbeat)
-				w.WriteString("\n")
+				_, _ = w.WriteString("\n")
 			}
 		})
 	}
