--- a/internal/store/bolt/bolt.go
+++ b/internal/store/bolt/bolt.go
@@ -77,19 +77,19 @@
 	case errors.Is(err, bbolterrors.ErrTimeout):
 		return found, fmt.Errorf("%s: %w", path, store.ErrBusy)
 	case errors.Is(err, bbolterrors.ErrInvalid), errors.Is(err, bbolterrors.ErrChecksum), errors.Is(err, bbolterrors.ErrVersionMismatch):
-		return found, fmt.Errorf("%w: %v", store.ErrForm, err)
+		return found, fmt.Errorf("%w: %w", store.ErrForm, err)
 	case errors.Is(err, os.ErrPermission):
 		return found, err
 	default: // shorter than a page, or a folder
 		if info, err2 := os.Stat(path); err2 != nil || info.IsDir() {
 			return found, err
 		}
-		return found, fmt.Errorf("%w: %v", store.ErrForm, err)
+		return found, fmt.Errorf("%w: %w", store.ErrForm, err)
 	}
 	earlier, begun := false, false
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		for fault := range tx.Check() {
-			return fmt.Errorf("%w: %v", store.ErrForm, fault)
+			return fmt.Errorf("%w: %w", store.ErrForm, fault)
 		}
 		meta := tx.Bucket(boltMeta)
 		if meta == nil {
@@ -130,7 +130,7 @@
 	var b store.Batch
 	if earlier && upgrade != nil {
 		if err := s.db.View(func(tx *bbolt.Tx) error { return upgrade(tx, &b) }); err != nil {
-			return found, fmt.Errorf("%w: %v", store.ErrForm, err)
+			return found, fmt.Errorf("%w: %w", store.ErrForm, err)
 		}
 	}
 	err = s.db.Update(func(tx *bbolt.Tx) error {
@@ -150,8 +150,8 @@
 
 // closeTorn closes a file that may not be what it should.
 func (s *Store) closeTorn() {
-	defer func() { recover() }()
-	s.db.Close()
+	defer func() { _ = recover() }() // its memory may be gone
+	_ = s.db.Close()                 // it is set aside, or not opened for another reason that is told
 	s.db = nil
 }
 
@@ -165,15 +165,15 @@
 
 func valueHash(key, value []byte) uint64 {
 	d := xxhash.New()
-	d.Write(key)
-	d.Write([]byte{0})
-	d.Write(value)
+	for _, part := range [][]byte{key, {0}, value} {
+		_, _ = d.Write(part) // a digest takes everything
+	}
 	return d.Sum64()
 }
 
 // Get gives a value.
 func (s *Store) Get(key string) (value []byte, ok bool) {
-	s.db.View(func(tx *bbolt.Tx) error {
+	_ = s.db.View(func(tx *bbolt.Tx) error { // it fails once the store is closed: there is no value then
 		if v := tx.Bucket(boltValues).Get([]byte(key)); v != nil {
 			value, ok = append([]byte{}, v[:len(v)-valueSum]...), true
 		}
--- a/internal/store/bolt/bolt_test.go
+++ b/internal/store/bolt/bolt_test.go
@@ -66,7 +66,9 @@
 		if v, ok := s.Get("hard"); !ok || string(v) != "h" {
 			t.Errorf("hard is %q", v)
 		}
-		s.Close()
+		if err := s.Close(); err != nil {
+			t.Fatal(err)
+		}
 	}
 	if _, err := os.Stat(path + ".bad"); err == nil {
 		t.Error("it was set aside")
--- a/internal/store/file.go
+++ b/internal/store/file.go
@@ -139,7 +139,7 @@
 		return h, fmt.Errorf("%w: its sum does not fit", ErrForm)
 	}
 	if err := json.Unmarshal(body[sumBytes:], &h); err != nil {
-		return h, fmt.Errorf("%w: %v", ErrForm, err)
+		return h, fmt.Errorf("%w: %w", ErrForm, err)
 	}
 	if h.Format > Format {
 		return h, fmt.Errorf("%w: %d, this program reads up to %d", ErrLater, h.Format, Format)
--- a/internal/store/layer.go
+++ b/internal/store/layer.go
@@ -10,12 +10,17 @@
 
 // Layer is the files under a File. The contract puts one in that tears, cuts and fills up.
 type Layer interface {
+	// MakeDir makes a folder, and those above it, if it is not there.
 	MakeDir(dir string) error
 	// ReadFile reads a file, most bytes of it at the most.
 	ReadFile(path string, most int) ([]byte, error)
-	WriteFile(path string, text []byte) error // kept once Sync has returned
+	// WriteFile replaces what is in a file, or makes one. It outlives a crash once Sync has returned.
+	WriteFile(path string, text []byte) error
+	// Sync flushes a file to the disk.
 	Sync(path string) error
-	Rename(from, to string) error // kept once SyncDir has returned
+	// Rename replaces to by from. It outlives a crash once SyncDir has returned.
+	Rename(from, to string) error
+	// SyncDir flushes the names in a folder to the disk.
 	SyncDir(dir string) error
 	// Lock takes a lock that ends with the process; ErrBusy: another one has it.
 	Lock(path string) (unlock func() error, err error)
@@ -33,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	return io.ReadAll(io.LimitReader(f, int64(most)))
 }
 
@@ -68,7 +73,7 @@
 		return nil, err
 	}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		f.Close()
+		_ = f.Close() // nothing was written
 		if errors.Is(err, unix.EWOULDBLOCK) {
 			return nil, ErrBusy
 		}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -74,7 +74,9 @@
 	if err := put([]byte("2")); !errors.Is(err, store.ErrBroken) {
 		t.Errorf("went on after a failure: %v", err)
 	}
-	f.Close()
+	if err := f.Close(); err != nil {
+		t.Errorf("closed after a failure: %v", err)
+	}
 	f = open()
 	if v, ok := f.Get("a"); !ok || string(v) != "1" {
 		t.Errorf("a is %q afterwards", v)
