--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -150,8 +150,11 @@
 
 // Seen is what a member knows of execute nodes by itself.
 type Seen interface {
+	// Evidence is what requests to each node have shown by now.
 	Evidence(now time.Duration) []verdict.Evidence
+	// Listed are the nodes on the member's list.
 	Listed() []verdict.Node
+	// Forget drops the evidence of a node.
 	Forget(node string)
 }
 
@@ -265,7 +268,7 @@
 			c.pass([]verdict.Word{w})
 		}
 	case Drains:
-		if w, new := c.drains.SayDrains(e.Node, c.cfg.Member.Name, e.Since, e.Drains); new && c.judge != nil {
+		if w, isNew := c.drains.SayDrains(e.Node, c.cfg.Member.Name, e.Since, e.Drains); isNew && c.judge != nil {
 			c.passDrains([]verdict.Word{w})
 		}
 	case Limits:
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -425,6 +425,8 @@
 		f.box.Close()
 		<-f.done
 		f.wake.Stop()
-		f.keeper.close()
+		if err := f.keeper.close(); err != nil {
+			f.log.Error().Err(err).Msg("voter's state not closed")
+		}
 	})
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -197,7 +197,7 @@
 }
 
 func (o *output) form(form string) {
-	var w io.Writer = o.raw
+	w := o.raw
 	if form == Console {
 		w = zerolog.ConsoleWriter{Out: o.raw, NoColor: true, TimeFormat: time.RFC3339}
 	}
--- a/internal/manage/command.go
+++ b/internal/manage/command.go
@@ -55,7 +55,7 @@
 	switch {
 	case !known:
 		return Command{}, errors.New("unknown command " + quote(fields[0]))
-	case withID && len(fields) != 2 && !(len(fields) == 3 && strings.EqualFold(fields[2], fleetWord)):
+	case withID && len(fields) != 2 && (len(fields) != 3 || !strings.EqualFold(fields[2], fleetWord)):
 		return Command{}, errors.New(string(verb) + " takes one id, and fleet behind it for the whole fleet")
 	case !withID && len(fields) != 1:
 		return Command{}, errors.New(string(verb) + " takes nothing more")
--- a/internal/manage/manage_test.go
+++ b/internal/manage/manage_test.go
@@ -95,21 +95,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	for range 8 {
 		nc, err := net.Dial("tcp", s.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nc.Close()
+		defer func() { _ = nc.Close() }()
 	}
 	nc, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(time.Second))
-	nc.Write([]byte("STATUS\r\n"))
+	defer func() { _ = nc.Close() }()
+	if err := nc.SetDeadline(time.Now().Add(time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := nc.Write([]byte("STATUS\r\n")); err != nil {
+		t.Fatal(err)
+	}
 	line, err := bufio.NewReader(nc).ReadString('\n')
 	if err != nil || line != "ok ready\n" {
 		t.Fatalf("%q %v", line, err)
--- a/internal/manage/server.go
+++ b/internal/manage/server.go
@@ -14,22 +14,29 @@
 
 // Handler carries out commands. Each method must come back at once: it may not wait for the data path.
 type Handler interface {
-	Ready() bool             // STATUS: whether the process takes clients
-	Figures() []string       // METRICS: StatsD lines without their ends
-	Suspend(id string) error // an unknown id is an error
-	Restore(id string) error // likewise
-	Pause()                  // send clients away
-	Resume()                 // take clients again
-	// PEERS: a line a member of the fleet; an error where there is none.
+	// Ready answers STATUS: whether the process takes clients.
+	Ready() bool
+	// Figures answers METRICS: StatsD lines without their ends.
+	Figures() []string
+	// Suspend carries out SUSPEND ID; an unknown id is an error.
+	Suspend(id string) error
+	// Restore carries out RESTORE ID; an unknown id is an error.
+	Restore(id string) error
+	// Pause sends clients away.
+	Pause()
+	// Resume takes clients again.
+	Resume()
+	// Peers answers PEERS: a line a member of the fleet; an error where there is none.
 	Peers() ([]string, error)
-	// QUOTAS: a line a limit of the fleet; an error where there is none.
+	// Quotas answers QUOTAS: a line a limit of the fleet; an error where there is none.
 	Quotas() ([]string, error)
-	// VERDICTS: a line for each execute node that is spoken of; an error where no verdicts are made.
+	// Verdicts answers VERDICTS: a line for each execute node that is spoken of; an error where no verdicts are made.
 	Verdicts() ([]string, error)
+	// Rules answers RULES: the rules in force and those on their way; an error where there are none.
 	Rules() ([]string, error)
-	// SUSPEND ID fleet and RESTORE ID fleet: for all members; an error where there is no fleet.
+	// SuspendFleet carries out SUSPEND ID fleet and RESTORE ID fleet: for all members; an error where there is no fleet.
 	SuspendFleet(id string, suspended bool) error
-	// RECOVER: the fleet's voters begin anew with this process; an error where there is no fleet.
+	// Recover carries out RECOVER: the fleet's voters begin anew with this process; an error where there is no fleet.
 	Recover() error
 }
 
@@ -93,7 +100,7 @@
 		select {
 		case s.places <- struct{}{}:
 		default:
-			nc.Close()
+			_ = nc.Close()
 			continue
 		}
 		s.wg.Add(1)
@@ -107,16 +114,20 @@
 
 // answer reads one line and writes its answer.
 func (s *Server) answer(nc net.Conn) {
-	defer nc.Close()
-	nc.SetReadDeadline(time.Now().Add(readTimeout))
+	defer func() { _ = nc.Close() }()
+	if nc.SetReadDeadline(time.Now().Add(readTimeout)) != nil {
+		return // it is closed already
+	}
 	line, err := bufio.NewReaderSize(nc, MostLine).ReadSlice('\n')
-	if err != nil && !(errors.Is(err, io.EOF) && len(line) > 0) {
+	if err != nil && (!errors.Is(err, io.EOF) || len(line) == 0) {
 		if len(line) >= MostLine {
 			s.write(nc, []string{"fail line longer than 512 bytes"})
 		}
 		return
 	}
-	nc.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if nc.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
+		return
+	}
 	s.write(nc, Do(s.handler, strings.TrimRight(string(line), "\r\n")))
 }
 
@@ -126,7 +137,7 @@
 		b.WriteString(l)
 		b.WriteByte('\n')
 	}
-	nc.Write([]byte(b.String()))
+	_, _ = nc.Write([]byte(b.String())) // the caller may have gone
 }
 
 // Do carries out one line and gives the lines of its answer.
--- a/internal/member/machine.go
+++ b/internal/member/machine.go
@@ -425,7 +425,7 @@
 			m.send(Record{Name: msg.Target.Name, Addr: msg.Target.Addr}, Message{Kind: Ping, Seq: h.seq, To: msg.Target.Name})
 		}
 	case Ack:
-		m.acked(from.Name, msg.Seq)
+		m.acked(msg.Seq)
 	case Nack:
 		if m.probe != nil && m.probe.seq == msg.Seq {
 			m.probe.nacks++
@@ -446,7 +446,7 @@
 	}
 }
 
-func (m *Machine) acked(from string, seq uint64) {
+func (m *Machine) acked(seq uint64) {
 	if p := m.probe; p != nil && p.seq == seq {
 		p.acked, p.directDue = true, 0
 		return
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -34,12 +34,12 @@
 )
 
 // request is what one request costs: a second of PerSecond.
-const request = int64(PerSecond) * int64(time.Second/time.Microsecond)
+const request = PerSecond * int64(time.Second/time.Microsecond)
 
 // NewGate makes a gate that lets one request through before it is told a part, or some repeats.
 func NewGate(kind Kind, burst time.Duration, now time.Duration) *Gate {
 	if kind == Again {
-		return &Gate{kind: kind, tokens: againSaved * int64(PerSecond)}
+		return &Gate{kind: kind, tokens: againSaved * PerSecond}
 	}
 	return &Gate{kind: kind, burst: burst, filled: now, counted: now, tokens: request}
 }
--- a/internal/reconfig/reconfig.go
+++ b/internal/reconfig/reconfig.go
@@ -6,8 +6,10 @@
 
 // Change is what a part has prepared. Exactly one of its calls follows.
 type Change interface {
-	Commit() // let it take effect; it cannot fail
-	Abort()  // give back what was prepared
+	// Commit lets the change take effect. It cannot fail.
+	Commit()
+	// Abort gives back what was prepared.
+	Abort()
 }
 
 // Part is a part of the program that has settings of type S.
--- a/internal/resident/resident.go
+++ b/internal/resident/resident.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return Sizes{}, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	var s Sizes
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		key, value, _ := strings.Cut(lines.Text(), ":")
--- a/internal/rules/file.go
+++ b/internal/rules/file.go
@@ -175,7 +175,7 @@
 	for _, p := range parts[:len(parts)-1] {
 		name, index, has := strings.Cut(p, "[")
 		if table += name; has {
-			fmt.Sscanf(index, "%d]", &nth)
+			_, _ = fmt.Sscanf(index, "%d]", &nth) // unreadable: the first one
 		}
 		table += "."
 	}
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -164,14 +164,14 @@
 	return b
 }
 
-// What keeps an edition from being read. Misread names which rule it is.
-type Misread struct {
+// MisreadError is what keeps an edition from being read, and by which of its rules.
+type MisreadError struct {
 	Kind   Kind
 	Format Format
 	Why    string // "kind not known", "format not read", "feature ...", ...
 }
 
-func (m *Misread) Error() string { return fmt.Sprintf("rules %s %s: %s", m.Kind, m.Format, m.Why) }
+func (m *MisreadError) Error() string { return fmt.Sprintf("rules %s %s: %s", m.Kind, m.Format, m.Why) }
 
 // Compiled is an edition as it is gone by.
 type Compiled struct {
@@ -180,7 +180,7 @@
 	Limits   *LimitRules
 }
 
-// Read reads an edition whole, as a program that reads what reads says. Its error is a *Misread, or says that the
+// Read reads an edition whole, as a program that reads what reads says. Its error is a *MisreadError, or says that the
 // edition is too long or has no form.
 func Read(e Edition, reads Reads) (*Compiled, error) {
 	c := &Compiled{Edition: e}
@@ -192,7 +192,7 @@
 	}
 	for i, r := range e.Rules {
 		bad := func(format string, args ...any) error {
-			return &Misread{r.Kind, r.Format, fmt.Sprintf(format, args...)}
+			return &MisreadError{r.Kind, r.Format, fmt.Sprintf(format, args...)}
 		}
 		if i > 0 && e.Rules[i-1].Kind == r.Kind {
 			return nil, bad("twice")
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -177,7 +177,7 @@
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, err, c.want)
 		}
-		var m *Misread
+		var m *MisreadError
 		if err != nil && !errors.As(err, &m) {
 			t.Errorf("%s: not said which rule: %v", name, err)
 		}
--- a/internal/skew/check_test.go
+++ b/internal/skew/check_test.go
@@ -179,15 +179,15 @@
 
 func (w *three) Hash() uint64 {
 	h := xxhash.New()
-	fmt.Fprint(h, w.leader, w.boots, w.decided.ID, w.decided.Rules, w.restarts, w.pushed, w.now)
+	_, _ = fmt.Fprint(h, w.leader, w.boots, w.decided.ID, w.decided.Rules, w.restarts, w.pushed, w.now)
 	for i, m := range w.machines {
-		fmt.Fprint(h, w.adopted[i].ID, m.forced, m.behind, m.pushed, m.mine != nil, m.phase, len(m.passed), len(m.queue))
+		_, _ = fmt.Fprint(h, w.adopted[i].ID, m.forced, m.behind, m.pushed, m.mine != nil, m.phase, len(m.passed), len(m.queue))
 		if o := m.offer; o != nil {
-			fmt.Fprint(h, o.digest, o.phase, o.proposed, len(o.readings), o.readings["a"].boot, o.readings["b"].boot, o.readings["c"].boot)
+			_, _ = fmt.Fprint(h, o.digest, o.phase, o.proposed, len(o.readings), o.readings["a"].boot, o.readings["b"].boot, o.readings["c"].boot)
 		}
 		for j := range 3 {
 			for _, msg := range w.links[[2]int{i, j}] {
-				fmt.Fprint(h, j, msg.Kind, msg.Digest, msg.Round, msg.Phase)
+				_, _ = fmt.Fprint(h, j, msg.Kind, msg.Digest, msg.Round, msg.Phase)
 			}
 		}
 	}
--- a/internal/socket/pair.go
+++ b/internal/socket/pair.go
@@ -18,7 +18,7 @@
 		if err == nil {
 			return tcp.(*net.TCPListener), udp.(*net.UDPConn), nil
 		}
-		tcp.Close()
+		_ = tcp.Close()
 		if _, port, _ := net.SplitHostPort(address); port != "0" || tries == 1 {
 			return nil, nil, err
 		}
--- a/internal/socket/socket_linux.go
+++ b/internal/socket/socket_linux.go
@@ -94,7 +94,7 @@
 	sc, ok := of.(syscall.Conn)
 	if ok {
 		if raw, err := sc.SyscallConn(); err == nil {
-			raw.Control(func(fd uintptr) { ask(int(fd)) }) // it fails on a closed connection: nothing is told then
+			_ = raw.Control(func(fd uintptr) { ask(int(fd)) }) // it fails on a closed connection: nothing is told then
 		}
 	}
 	return ok
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -1,6 +1,8 @@
 package socket
 
 import (
+	"errors"
+	"io"
 	"net"
 	"runtime"
 	"testing"
@@ -17,14 +19,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { far.Close() })
+	t.Cleanup(func() { _ = far.Close() })
 	if near, err = ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close() })
+	t.Cleanup(func() { _ = near.Close() })
 	return near, far
 }
 
+func write(t *testing.T, nc net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(nc, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func readByte(t *testing.T, nc net.Conn) {
+	t.Helper()
+	if _, err := nc.Read(make([]byte, 1)); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // What waits unread is seen without being taken: a byte, and the end of a connection.
 func TestUnread(t *testing.T) {
 	if runtime.GOOS != "linux" {
@@ -32,13 +48,15 @@
 	}
 	near, far := pair(t)
 	got := []bool{Unread(near)}
-	far.Write([]byte("x"))
+	write(t, far, "x")
 	for !Unread(near) {
 		runtime.Gosched()
 	}
-	near.Read(make([]byte, 1))
+	readByte(t, near)
 	got = append(got, Unread(near))
-	far.Close()
+	if err := far.Close(); err != nil {
+		t.Fatal(err)
+	}
 	for !Unread(near) {
 		runtime.Gosched()
 	}
@@ -52,19 +70,24 @@
 	if runtime.GOOS != "linux" {
 		t.Skip("known on Linux only")
 	}
-	for name, end := range map[string]func(far *net.TCPConn){
-		"half closed":      func(far *net.TCPConn) { far.CloseWrite() },
-		"closed":           func(far *net.TCPConn) { far.Close() },
-		"reset":            func(far *net.TCPConn) { far.SetLinger(0); far.Close() },
-		"closed in unread": func(far *net.TCPConn) { far.Write([]byte("more")); far.Close() },
+	for name, end := range map[string]func(far *net.TCPConn) error{
+		"half closed": func(far *net.TCPConn) error { return far.CloseWrite() },
+		"closed":      func(far *net.TCPConn) error { return far.Close() },
+		"reset":       func(far *net.TCPConn) error { return errors.Join(far.SetLinger(0), far.Close()) },
+		"closed in unread": func(far *net.TCPConn) error {
+			_, err := far.Write([]byte("more"))
+			return errors.Join(err, far.Close())
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := pair(t)
 			before := Departed(near)
-			far.Write([]byte("xy"))
+			write(t, far, "xy")
 			scenario.Await(t, "the bytes have come", func() bool { return Unread(near) })
 			unread := Departed(near)
-			end(far.(*net.TCPConn))
+			if err := end(far.(*net.TCPConn)); err != nil {
+				t.Fatal(err)
+			}
 			scenario.Await(t, "the end is seen", func() bool { return Departed(near) })
 			if diff := cmp.Diff([]bool{false, false}, []bool{before, unread}); diff != "" {
 				t.Errorf("departed while it was there (-want +got):\n%s", diff)
@@ -72,7 +95,9 @@
 		})
 	}
 	near, _ := pair(t)
-	near.Close()
+	if err := near.Close(); err != nil {
+		t.Fatal(err)
+	}
 	if !Departed(near) {
 		t.Error("a connection closed on this side passes for one whose other side is there")
 	}
@@ -89,13 +114,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
+	defer func() { _ = far.Close() }()
 	scenario.Await(t, "the connection waits", func() bool { return Pending(ln) })
 	near, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer near.Close()
+	defer func() { _ = near.Close() }()
 	got = append(got, Pending(ln))
 	if diff := cmp.Diff([]bool{false, false}, got); diff != "" {
 		t.Errorf("pending before and after (-want +got):\n%s", diff)
@@ -112,8 +137,8 @@
 	if got := Quiet(near); got < quiet/2 {
 		t.Errorf("%v after %v without a byte", got, quiet)
 	}
-	far.Write([]byte("x"))
-	near.Read(make([]byte, 1))
+	write(t, far, "x")
+	readByte(t, near)
 	if got := Quiet(near); got > quiet/2 {
 		t.Errorf("%v after a byte", got)
 	}
@@ -125,15 +150,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer tcp.Close()
-	defer udp.Close()
+	defer func() { _ = tcp.Close() }()
+	defer func() { _ = udp.Close() }()
 	if tcp.Addr().String() != udp.LocalAddr().String() {
 		t.Errorf("%v and %v", tcp.Addr(), udp.LocalAddr())
 	}
 	if _, _, err := Pair(tcp.Addr().String()); err == nil {
 		t.Error("bound twice")
 	}
-	tcp.Close() // its datagrams are still another's
+	_ = tcp.Close() // its datagrams are still another's
 	if _, _, err := Pair(udp.LocalAddr().String()); err == nil {
 		t.Error("bound for streams alone")
 	}
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -55,7 +55,9 @@
 	if _, err := a.Say("one more", "m", true); err == nil {
 		t.Error("it was taken")
 	}
-	a.Say("n7", "m", false) // restored, it makes room
+	if _, err := a.Say("n7", "m", false); err != nil { // restored, it makes room
+		t.Fatal(err)
+	}
 	if _, err := a.Say("one more", "m", true); err != nil || len(a.All()) != MostWords || slices.Contains(a.Suspended(), "n7") {
 		t.Error(err, len(a.All()))
 	}
--- a/internal/view/machine.go
+++ b/internal/view/machine.go
@@ -343,7 +343,7 @@
 		if !ours { // an answer to nothing says nothing about the time
 			return
 		}
-		m.learnGroup(from.Name, msg)
+		m.learnGroup(msg)
 		m.stamped(from.Name, msg.Stamp, asked, msg.View)
 	case Survey:
 		m.send(from.Name, m.surveyed(msg.Seq))
@@ -374,7 +374,7 @@
 }
 
 func (m *Machine) fromVoter(name string) bool {
-	_, ok := m.group.named(name)
+	ok := m.group.hasVoter(name)
 	return ok || slices.Contains(m.cfg.Voters, name)
 }
 
@@ -485,7 +485,7 @@
 }
 
 // learnGroup takes in who votes.
-func (m *Machine) learnGroup(from string, msg Message) {
+func (m *Machine) learnGroup(msg Message) {
 	if msg.Group.Era == 0 {
 		if msg.Voter != 0 && m.founds.era != 0 { // another one without a group
 			m.founds.due = min(m.founds.due, m.now+m.cfg.Pace)
@@ -564,7 +564,7 @@
 }
 
 func (m *Machine) promisedBy(from string, msg Message) {
-	if m.founds.era == 0 || msg.Seq != m.founds.era || !m.founder() && !(m.founds.safe && m.wantsGroup()) || !slices.Contains(m.cfg.Voters, from) || msg.Safe != m.founds.safe {
+	if m.founds.era == 0 || msg.Seq != m.founds.era || !m.founder() && (!m.founds.safe || !m.wantsGroup()) || !slices.Contains(m.cfg.Voters, from) || msg.Safe != m.founds.safe {
 		return
 	}
 	if msg.Voter == 0 { // it belongs to a group: this process has to join that one
@@ -623,7 +623,7 @@
 		if err != nil {
 			panic(err)
 		}
-		m.voter.node.Campaign()
+		_ = m.voter.node.Campaign() // one that may not stand now stands when its time comes
 		m.work()
 	})
 }
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -98,13 +98,9 @@
 	return Voter{}, false
 }
 
-func (g Group) named(name string) (Voter, bool) {
-	for _, v := range g.Voters {
-		if v.Name == name {
-			return v, true
-		}
-	}
-	return Voter{}, false
+// hasVoter reports whether a member of that name votes.
+func (g Group) hasVoter(name string) bool {
+	return slices.ContainsFunc(g.Voters, func(v Voter) bool { return v.Name == name })
 }
 
 // Stamp says which view its sender has, and how long ago that was surely the newest. It goes with answers: only who
--- a/internal/view/voter.go
+++ b/internal/view/voter.go
@@ -115,7 +115,7 @@
 		_, mine := v.decided.Group.voter(v.id)
 		if v.standAt <= m.now && (mine || v.applied > 0) {
 			m.heardLeader()
-			v.node.Campaign()
+			_ = v.node.Campaign() // one that may not stand now stands later
 		}
 	}
 	if m.voter.leads() {
@@ -248,7 +248,7 @@
 func (m *Machine) bestCandidate() Voter {
 	var best Voter
 	for name, c := range m.voter.candidates {
-		if _, votes := m.voter.decided.Group.named(name); votes {
+		if m.voter.decided.Group.hasVoter(name) {
 			continue
 		}
 		better := best.ID == 0 || slices.Contains(m.cfg.Voters, name) && !slices.Contains(m.cfg.Voters, best.Name)
@@ -262,7 +262,7 @@
 // invite asks one that is there and does not vote.
 func (m *Machine) invite() {
 	for _, r := range m.cfg.Members() {
-		if _, votes := m.voter.decided.Group.named(r.Name); !votes && r.State == member.Alive && r.Name != m.cfg.Name {
+		if !m.voter.decided.Group.hasVoter(r.Name) && r.State == member.Alive && r.Name != m.cfg.Name {
 			m.send(r.Name, Message{Kind: Invite})
 			return
 		}
@@ -348,17 +348,17 @@
 	c := Change{Voter: v.id, Era: v.decided.Group.Era}
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		c.Snapshot = marshal(rd.Snapshot)
-		v.store.ApplySnapshot(rd.Snapshot)
+		_ = v.store.ApplySnapshot(rd.Snapshot) // one that is out of date changes nothing
 	}
 	if !raft.IsEmptyHardState(rd.HardState) {
 		c.Hard = marshal(rd.HardState)
-		v.store.SetHardState(rd.HardState)
+		_ = v.store.SetHardState(rd.HardState) // in memory it never fails
 	}
 	for _, e := range rd.Entries {
 		c.Entries = append(c.Entries, Entry{Index: e.GetIndex(), Data: marshal(e)})
 	}
 	if len(rd.Entries) > 0 {
-		v.store.Append(rd.Entries)
+		_ = v.store.Append(rd.Entries) // likewise
 	}
 	if c.Hard != nil || c.Snapshot != nil || len(c.Entries) > 0 {
 		m.out = append(m.out, Save{c})
