--- a/internal/contract/channel.go
+++ b/internal/contract/channel.go
@@ -15,11 +15,13 @@
 
 // Channel is one sidecar's end of what passes between sidecars.
 type Channel interface {
+	// Addr is the address (host:port) at which it listens.
 	Addr() string
 	// Datagram sends a frame that may be lost. It does not block; a frame that is too long is the error.
 	Datagram(address string, frame []byte) error
 	// Stream queues a frame. It does not block; what a slow peer does not take is dropped, the oldest first.
 	Stream(address string, frame []byte)
+	// Close ends it and all that it has begun. A second call does nothing.
 	Close()
 }
 
@@ -228,14 +230,15 @@
 	if err != nil {
 		return err
 	}
-	defer ln.Close()
+	defer func() { _ = ln.Close() }()
 	came := make(chan error, 1)
 	go func() {
 		nc, err := ln.Accept()
 		if err == nil {
-			nc.SetReadDeadline(time.Now().Add(patience))
-			_, err = io.ReadFull(nc, make([]byte, 1))
-			nc.Close()
+			if err = nc.SetReadDeadline(time.Now().Add(patience)); err == nil {
+				_, err = io.ReadFull(nc, make([]byte, 1))
+			}
+			err = errors.Join(err, nc.Close())
 		}
 		came <- err
 	}()
@@ -263,8 +266,8 @@
 		if err != nil {
 			return err
 		}
-		io.WriteString(nc, text)
-		nc.Close()
+		_, _ = io.WriteString(nc, text) // the channel may end it early
+		_ = nc.Close()
 	}
 	a.Stream(to, []byte(lastFrame))
 	if err := until("a frame behind what strangers wrote", func() bool { return in.has(lastFrame) }); err != nil {
@@ -291,12 +294,14 @@
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	nc.Write([]byte{0, 0, 1, 0, 7})
-	nc.SetReadDeadline(time.Now().Add(m.Silence + patience))
+	defer func() { _ = nc.Close() }()
+	_, writeErr := nc.Write([]byte{0, 0, 1, 0, 7})
+	if err := errors.Join(writeErr, nc.SetReadDeadline(time.Now().Add(m.Silence+patience))); err != nil {
+		return err
+	}
 	from := time.Now()
 	if _, err := nc.Read(make([]byte, 1)); errors.Is(err, nil) || isTimeout(err) {
-		return fmt.Errorf("a frame that does not go on is no break after %v: %v", time.Since(from), err)
+		return errors.Join(fmt.Errorf("a frame that does not go on is no break after %v", time.Since(from)), err)
 	}
 	if took := time.Since(from); took < m.Silence/2 || took > m.Silence+patience/2 {
 		return fmt.Errorf("a break after %v, promised after %v", took, m.Silence)
@@ -324,7 +329,7 @@
 	end()
 	a.Close() // a second time does nothing
 	a.Stream(to, []byte("late"))
-	a.Datagram(to, []byte("late"))
+	_ = a.Datagram(to, []byte("late")) // an error, or lost
 	if took := time.Since(from); took > patience/2 {
 		return fmt.Errorf("close took %v", took)
 	}
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -14,8 +14,11 @@
 
 // T is what a contract reports to: a *testing.T, or, for implementations that are broken on purpose, a recorder.
 type T interface {
+	// Helper marks its caller as a helper, whose line a failure does not name.
 	Helper()
+	// TempDir returns a folder that is removed with the end of the test.
 	TempDir() string
+	// Logf writes to the test's log.
 	Logf(format string, args ...any)
 }
 
--- a/internal/contract/source.go
+++ b/internal/contract/source.go
@@ -15,7 +15,9 @@
 
 // Source follows a list of execute nodes.
 type Source interface {
-	Watch() // asks for the list from now on, in place of an earlier call
+	// Watch asks for the list from now on, in place of an earlier call.
+	Watch()
+	// Close ends all that it has begun.
 	Close()
 }
 
@@ -62,7 +64,7 @@
 				return
 			}
 			if _, err := http.ReadRequest(bufio.NewReader(nc)); err != nil {
-				nc.Close()
+				_ = nc.Close()
 				continue
 			}
 			d.calls <- nc
@@ -71,6 +73,9 @@
 	return d, nil
 }
 
+// close ends the taking of calls.
+func (d *discovery) close() { _ = d.ln.Close() }
+
 // call is the next call, answered.
 func (d *discovery) call() (net.Conn, error) {
 	select {
@@ -155,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	defer d.ln.Close()
+	defer d.close()
 	defer s.Close()
 	if err := errors.Join(write(nc, m.Change(2, "c", true)+m.Change(3, "a", false)), write(nc, m.Change(4, "a", true))); err != nil {
 		return err
@@ -168,9 +173,11 @@
 	if err != nil {
 		return err
 	}
-	defer d.ln.Close()
+	defer d.close()
 	defer s.Close()
-	nc.Close()
+	if err := nc.Close(); err != nil {
+		return err
+	}
 	if err := h.wait("ab", 1); err != nil {
 		return err
 	}
@@ -189,7 +196,7 @@
 	if err != nil {
 		return err
 	}
-	defer d.ln.Close()
+	defer d.close()
 	defer s.Close()
 	for range 3 {
 		<-time.After(m.Silence * 6 / 10)
@@ -218,7 +225,7 @@
 		}
 		err = errors.Join(write(nc, text), h.wait("ab", 1))
 		s.Close()
-		d.ln.Close()
+		d.close()
 		if err != nil {
 			return fmt.Errorf("after %.20q: %w", text, err)
 		}
@@ -231,14 +238,14 @@
 	if err != nil {
 		return err
 	}
-	defer d.ln.Close()
+	defer d.close()
 	defer s.Close()
 	s.Watch()
 	next, err := d.call()
 	if err != nil {
 		return err
 	}
-	write(nc, m.Change(2, "a", false)) // whether it can still be written or not
+	_ = write(nc, m.Change(2, "a", false)) // whether it can still be written or not
 	if err := write(next, m.Change(2, "c", true)); err != nil {
 		return err
 	}
@@ -252,8 +259,8 @@
 		return err
 	}
 	s.Close()
-	nc.Close()
-	d.ln.Close()
+	_ = nc.Close()
+	d.close()
 	for range d.calls {
 	}
 	if err := goleak.Find(before); err != nil {
--- a/internal/contract/store.go
+++ b/internal/contract/store.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }() // Commit has kept what counts
 	var b store.Batch
 	b.Put("a", []byte("1"))
 	b.Put("e/1", []byte("x"))
@@ -106,11 +106,11 @@
 		return err
 	}
 	if got, err := dump(s); err != nil || got != "a=2 e/2= e/3=z " {
-		return fmt.Errorf("holds %q, %v", got, err)
+		return errors.Join(fmt.Errorf("holds %q", got), err)
 	}
 	n := 0
 	if err := s.Each("e/", func(string, []byte) error { n++; return nil }); err != nil || n != 2 {
-		return fmt.Errorf("%d keys under e/, %v", n, err)
+		return errors.Join(fmt.Errorf("%d keys under e/", n), err)
 	}
 	v, ok := s.Get("a")
 	if !ok || string(v) != "2" {
@@ -134,12 +134,12 @@
 	if err != nil {
 		return err
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }() // Commit has kept what counts
 	if err := put(s, "a", "1"); err != nil {
 		return err
 	}
 	if err := put(s, "a", "2", "big", string(make([]byte, m.Most))); !errors.Is(err, store.ErrFull) {
-		return fmt.Errorf("a batch over the bound: %v", err)
+		return errors.Join(errors.New("a batch over the bound was not refused as one"), err)
 	}
 	if got, _ := dump(s); got != "a=1 " {
 		return fmt.Errorf("holds %q after a batch that was refused", got)
@@ -269,9 +269,9 @@
 	before := p.Bytes()
 	if s, _, err := p.Open(owner); !errors.Is(err, want) {
 		if err == nil {
-			s.Close()
+			return errors.Join(errors.New("opened"), s.Close())
 		}
-		return fmt.Errorf("opened with %v", err)
+		return fmt.Errorf("refused for another reason: %w", err)
 	}
 	if !bytes.Equal(before, p.Bytes()) {
 		return errors.New("it was changed")
@@ -306,9 +306,9 @@
 	if err != nil {
 		return err
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }() // Commit has kept what counts
 	if got, err := dump(s); err != nil || got != "a=1 " {
-		return fmt.Errorf("holds %q afterwards, %v", got, err)
+		return errors.Join(fmt.Errorf("holds %q afterwards", got), err)
 	}
 	return nil
 }
@@ -330,7 +330,7 @@
 	if err != nil {
 		return err
 	}
-	defer s.Close()
+	defer func() { _ = s.Close() }() // Commit has kept what counts
 	if v, ok := s.Get("a"); ok || found.Why == "" {
 		return fmt.Errorf("the copy's %q was taken, told %q", v, found.Why)
 	}
@@ -351,9 +351,9 @@
 	}
 	if other, _, err := p.Open(storeOwner); !errors.Is(err, store.ErrBusy) {
 		if err == nil {
-			other.Close()
+			return errors.Join(errors.New("opened twice"), other.Close())
 		}
-		return fmt.Errorf("opened twice: %v", err)
+		return fmt.Errorf("refused for another reason: %w", err)
 	}
 	if err := s.Close(); err != nil {
 		return err
--- a/internal/contract/transport.go
+++ b/internal/contract/transport.go
@@ -91,10 +91,10 @@
 }
 
 func (p *peer) close() {
-	p.ln.Close()
+	_ = p.ln.Close()
 	p.mu.Lock()
 	for _, nc := range p.conns {
-		nc.Close()
+		_ = nc.Close()
 	}
 	p.mu.Unlock()
 	p.wg.Wait()
@@ -142,17 +142,25 @@
 	return p, m.New(t).Open(relay.Member{Name: "n", Addr: p.ln.Addr().String(), Told: time.Now()}, r.add), r, nil
 }
 
+// send writes what a node answers. The transport may have ended the connection.
+func send(nc net.Conn, text string) { _, _ = io.WriteString(nc, text) }
+
+func sendAndClose(nc net.Conn, text string) {
+	send(nc, text)
+	_ = nc.Close()
+}
+
 func nodesOutcomes(t T, m NodesMaker) error {
 	for name, c := range map[string]struct {
 		behave func(m NodesMaker, nc net.Conn)
 		want   []logic.Outcome
 	}{
-		"an answer":              {func(m NodesMaker, nc net.Conn) { io.WriteString(nc, m.Answer("hi")) }, []logic.Outcome{logic.Done}},
-		"a close":                {func(_ NodesMaker, nc net.Conn) { nc.Close() }, []logic.Outcome{logic.Reset}},
-		"noise":                  {func(_ NodesMaker, nc net.Conn) { io.WriteString(nc, "\x00\x01noise\r\n\r\n"); nc.Close() }, []logic.Outcome{logic.Reset, logic.Errored}},
+		"an answer":              {func(m NodesMaker, nc net.Conn) { send(nc, m.Answer("hi")) }, []logic.Outcome{logic.Done}},
+		"a close":                {func(_ NodesMaker, nc net.Conn) { _ = nc.Close() }, []logic.Outcome{logic.Reset}},
+		"noise":                  {func(_ NodesMaker, nc net.Conn) { sendAndClose(nc, "\x00\x01noise\r\n\r\n") }, []logic.Outcome{logic.Reset, logic.Errored}},
 		"silence":                {func(NodesMaker, net.Conn) {}, []logic.Outcome{logic.TimedOut}},
-		"half an answer":         {func(m NodesMaker, nc net.Conn) { a := m.Answer("hi"); io.WriteString(nc, a[:len(a)-1]); nc.Close() }, []logic.Outcome{logic.Reset, logic.Errored}},
-		"an answer and one more": {func(m NodesMaker, nc net.Conn) { io.WriteString(nc, m.Answer("hi")+m.Answer("ho")) }, []logic.Outcome{logic.Done}},
+		"half an answer":         {func(m NodesMaker, nc net.Conn) { a := m.Answer("hi"); sendAndClose(nc, a[:len(a)-1]) }, []logic.Outcome{logic.Reset, logic.Errored}},
+		"an answer and one more": {func(m NodesMaker, nc net.Conn) { send(nc, m.Answer("hi")+m.Answer("ho")) }, []logic.Outcome{logic.Done}},
 	} {
 		p, node, r, err := m.open(t, func(nc net.Conn, _ int) { c.behave(m, nc) })
 		if err != nil {
@@ -185,12 +193,14 @@
 		return err
 	}
 	address := ln.Addr().String()
-	ln.Close()
+	if err := ln.Close(); err != nil {
+		return err
+	}
 	r := newReports()
 	node := m.New(t).Open(relay.Member{Addr: address, Told: time.Now()}, r.add)
 	defer node.Close()
 	if res, err := m.claim(node, r, 1, patience/10); err != nil || res.Outcome != logic.Refused {
-		return fmt.Errorf("nobody there: outcome %d, %v", res.Outcome, err)
+		return errors.Join(fmt.Errorf("nobody there: outcome %d", res.Outcome), err)
 	}
 	return nil
 }
@@ -199,9 +209,9 @@
 	// The node breaks each kept connection under the next request, which must not be written again.
 	p, node, r, err := m.open(t, func(nc net.Conn, n int) {
 		if n%2 == 1 {
-			io.WriteString(nc, m.Answer("hi"))
+			send(nc, m.Answer("hi"))
 		} else {
-			nc.Close()
+			_ = nc.Close()
 		}
 	})
 	if err != nil {
@@ -223,9 +233,9 @@
 func nodesOwn(t T, m NodesMaker) error {
 	// Behind its first answer the node sends another one at once: it must not serve the next claim.
 	p, node, r, err := m.open(t, func(nc net.Conn, n int) {
-		io.WriteString(nc, m.Answer(fmt.Sprint(n)))
+		send(nc, m.Answer(fmt.Sprint(n)))
 		if n == 1 {
-			io.WriteString(nc, m.Answer("stray"))
+			send(nc, m.Answer("stray"))
 		}
 	})
 	if err != nil {
@@ -252,7 +262,7 @@
 		return err
 	}
 	defer silent.close()
-	good, err := newPeer(m, func(nc net.Conn, _ int) { io.WriteString(nc, m.Answer("hi")) })
+	good, err := newPeer(m, func(nc net.Conn, _ int) { send(nc, m.Answer("hi")) })
 	if err != nil {
 		return err
 	}
@@ -267,7 +277,7 @@
 		a.Claim(relay.Claim{ID: claimID(n), Request: m.Request("s"), Deadline: time.Now().Add(time.Second)})
 	}
 	if res, err := m.claim(b, r, 1, patience); err != nil || res.Outcome != logic.Done {
-		return fmt.Errorf("beside a silent node: outcome %d, %v", res.Outcome, err)
+		return errors.Join(fmt.Errorf("beside a silent node: outcome %d", res.Outcome), err)
 	}
 	if took := time.Since(from); took > 900*time.Millisecond {
 		return fmt.Errorf("it waited %v for a silent node", took)
@@ -281,7 +291,7 @@
 }
 
 func nodesGone(t T, m NodesMaker) error {
-	p, node, r, err := m.open(t, func(nc net.Conn, _ int) { io.WriteString(nc, m.Answer("hi")) })
+	p, node, r, err := m.open(t, func(nc net.Conn, _ int) { send(nc, m.Answer("hi")) })
 	if err != nil {
 		return err
 	}
@@ -307,7 +317,7 @@
 	before := goleak.IgnoreCurrent()
 	p, node, r, err := m.open(t, func(nc net.Conn, n int) {
 		if n == 1 {
-			io.WriteString(nc, m.Answer("hi"))
+			send(nc, m.Answer("hi"))
 		}
 	})
 	if err != nil {
--- a/internal/faultline/faultline.go
+++ b/internal/faultline/faultline.go
@@ -93,16 +93,31 @@
 }
 
 func (s *stream) close() {
-	s.from.Close()
+	_ = s.from.Close()
 	if s.to != nil {
-		s.to.Close()
+		_ = s.to.Close()
 	}
 }
 
+// reset closes both connections so that their other ends see a reset. One that has ended already stays as it is.
+func (s *stream) reset() {
+	_ = s.from.SetLinger(0)
+	if s.to != nil {
+		_ = s.to.SetLinger(0)
+	}
+	s.close()
+}
+
+// resetConnection closes one connection so that its other end sees a reset.
+func resetConnection(connection *net.TCPConn) {
+	_ = connection.SetLinger(0)
+	_ = connection.Close()
+}
+
 // NewLink opens a link to target at a free port of host, for streams and for datagrams.
 func NewLink(name, host, target string, seed uint64) (*Link, error) {
 	h := fnv.New64a()
-	io.WriteString(h, name)
+	_, _ = io.WriteString(h, name) // a hash takes everything
 	tcp, udp, err := socket.Pair(net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
@@ -142,16 +157,12 @@
 	for s := range l.streams {
 		if half {
 			if s.to != nil {
-				s.to.CloseWrite()
+				_ = s.to.CloseWrite()
 				l.hits[hitHalf].Add(1)
 			}
 			continue
 		}
-		s.from.SetLinger(0)
-		if s.to != nil {
-			s.to.SetLinger(0)
-		}
-		s.close()
+		s.reset()
 		l.hits[hitCut].Add(1)
 	}
 }
@@ -172,8 +183,8 @@
 	}
 	l.closed = true
 	close(l.done)
-	l.udp.Close()
-	l.tcp.Close()
+	_ = l.udp.Close()
+	_ = l.tcp.Close()
 	for s := range l.streams {
 		s.close()
 	}
@@ -236,7 +247,7 @@
 	}
 	for range copies {
 		if wait == 0 {
-			l.udp.WriteToUDPAddrPort(b, to)
+			_, _ = l.udp.WriteToUDPAddrPort(b, to) // lost, as datagrams are
 			continue
 		}
 		if l.delayed.Add(1) > mostDelayed {
@@ -247,7 +258,7 @@
 		l.hits[hitDelayed].Add(1)
 		time.AfterFunc(wait, func() {
 			l.delayed.Add(-1)
-			l.udp.WriteToUDPAddrPort(b, to) // fails once the link is closed
+			_, _ = l.udp.WriteToUDPAddrPort(b, to) // fails once the link is closed
 		})
 	}
 }
@@ -273,8 +284,7 @@
 		l.hits[hitStreams].Add(1)
 		if full || f.Refuse {
 			l.hits[hitRefused].Add(1)
-			s.from.SetLinger(0)
-			s.from.Close()
+			resetConnection(s.from)
 			continue
 		}
 		go func() {
@@ -292,7 +302,7 @@
 func (l *Link) serve(s *stream, f Fault, target string, k uint64) {
 	if f.Hang {
 		l.hits[hitHung].Add(1)
-		io.Copy(io.Discard, s.from) // until the caller, or Close, ends it
+		_, _ = io.Copy(io.Discard, s.from) // until the caller, or Close, ends it
 		return
 	}
 	announces, open := l.awaitOpen()
@@ -301,7 +311,7 @@
 	}
 	nc, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
-		s.from.SetLinger(0)
+		_ = s.from.SetLinger(0) // the caller sees a reset
 		return
 	}
 	l.mu.Lock()
@@ -375,8 +385,7 @@
 				}
 			}
 			if _, werr := to.Write(b[:n]); werr != nil {
-				from.SetLinger(0)
-				from.Close()
+				resetConnection(from)
 				return
 			}
 		}
@@ -387,10 +396,9 @@
 				}
 			}
 			if errors.Is(err, io.EOF) {
-				to.CloseWrite()
+				_ = to.CloseWrite()
 			} else {
-				to.SetLinger(0)
-				to.Close()
+				resetConnection(to)
 			}
 			return
 		}
--- a/internal/faultline/faultline_test.go
+++ b/internal/faultline/faultline_test.go
@@ -21,7 +21,8 @@
 	if err != nil {
 		t.Skip("the port is taken for datagrams: ", err)
 	}
-	t.Cleanup(func() { tcp.Close(); udp.Close() })
+	t.Cleanup(func() { _ = tcp.Close() })
+	t.Cleanup(func() { _ = udp.Close() })
 	datagrams = make(chan string, 1024)
 	go func() {
 		b := make([]byte, 2048)
@@ -39,7 +40,10 @@
 			if err != nil {
 				return
 			}
-			go func() { io.Copy(nc, nc); nc.Close() }()
+			go func() {
+				_, _ = io.Copy(nc, nc)
+				_ = nc.Close()
+			}()
 		}
 	}()
 	return tcp.Addr().String(), datagrams
@@ -62,11 +66,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
+	defer func() { _ = nc.Close() }()
 	before := l.Hits()
 	var all strings.Builder
 	for i := range n {
-		nc.Write([]byte{'a' + byte(i%26)})
+		if _, err := nc.Write([]byte{'a' + byte(i%26)}); err != nil {
+			t.Fatal(err)
+		}
 		// One after another, so that the system's own order is no part of the test.
 		for end := time.Now().Add(10 * time.Second); l.Hits().Datagrams < before.Datagrams+int64(i)+1; time.Sleep(100 * time.Microsecond) {
 			if time.Now().After(end) {
@@ -127,8 +133,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(10 * time.Second))
+	t.Cleanup(func() { _ = nc.Close() })
+	if err := nc.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
 	return nc.(*net.TCPConn)
 }
 
@@ -150,7 +158,9 @@
 	echo(t, nc)
 
 	l.Set(Fault{Drop: true}, Fault{}) // stands still, and goes on where it was
-	nc.Write([]byte("on"))
+	if _, err := nc.Write([]byte("on")); err != nil {
+		t.Fatal(err)
+	}
 	for end := time.Now().Add(10 * time.Second); l.Hits().Held == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nothing was held")
@@ -175,24 +185,31 @@
 	l.Set(Fault{Refuse: true}, Fault{})
 	refused, err := net.Dial("tcp", l.Addr()) // the reset may come before the dial is over
 	if err == nil {
-		refused.SetReadDeadline(time.Now().Add(10 * time.Second))
+		if err := refused.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
+			t.Fatal(err)
+		}
 		_, err = refused.Read(b)
-		refused.Close()
+		_ = refused.Close()
 	}
 	if !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("refused: %v", err)
 	}
 	l.Set(Fault{Hang: true}, Fault{})
 	nc = dial(t, l)
-	nc.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	if err := nc.SetReadDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := nc.Read(b); err == nil || errors.Is(err, io.EOF) {
 		t.Errorf("hung: %v", err)
 	}
 	l.Set(Fault{Rate: 2000}, Fault{})
 	nc = dial(t, l)
 	from := time.Now()
-	nc.Write(make([]byte, 400))
-	io.ReadFull(nc, make([]byte, 400))
+	_, writeErr := nc.Write(make([]byte, 400))
+	_, readErr := io.ReadFull(nc, make([]byte, 400))
+	if err := errors.Join(writeErr, readErr); err != nil {
+		t.Fatal(err)
+	}
 	if took := time.Since(from); took < 150*time.Millisecond {
 		t.Errorf("400 bytes at 2,000 a second took %v", took)
 	}
--- a/internal/faultline/network.go
+++ b/internal/faultline/network.go
@@ -110,7 +110,7 @@
 		return nil, err
 	}
 	if err := awaitAnnouncement(ctx, connection); err != nil {
-		connection.Close()
+		_ = connection.Close()
 		return nil, errors.Wrapf(err, "connect to %s", address)
 	}
 	return connection, nil
--- a/internal/faultline/network_test.go
+++ b/internal/faultline/network_test.go
@@ -58,7 +58,7 @@
 func TestAnAnnouncingLinkTellsWhenTheTargetIsReached(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer target.Close()
+	defer func() { _ = target.Close() }()
 	link, err := NewLink("a b", "127.0.0.1", target.Addr().String(), 1)
 	require.NoError(t, err)
 	defer link.Close()
@@ -66,7 +66,7 @@
 	link.Set(Fault{}, Fault{Drop: true})
 	connection, err := net.Dial("tcp", link.Addr())
 	require.NoError(t, err)
-	defer connection.Close()
+	defer func() { _ = connection.Close() }()
 	first := make([]byte, 1)
 	require.NoError(t, connection.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
 	_, err = connection.Read(first)
--- a/internal/flood/cases.go
+++ b/internal/flood/cases.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -151,37 +152,47 @@
 // ask makes one request and waits for its answer.
 func (q request) ask(nc net.Conn) outcome {
 	start := time.Now()
-	nc.SetDeadline(start.Add(q.patience + grace))
-	sent := make(chan error, 1)
-	go func() { sent <- q.write(nc) }() // an answer may come before the last byte is taken
+	_ = nc.SetDeadline(start.Add(q.patience + grace)) // fails on a closed connection, as the write does
+	sent := make(chan struct{})
+	var sendErr error // set before sent is closed; an answer may come before the last byte is taken
+	go func() {
+		defer close(sent)
+		sendErr = q.write(nc)
+	}()
 	in := bufio.NewReader(nc)
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
-		nc.Close()
-		<-sent
-		late, ok := err.(net.Error)
-		return outcome{silent: ok && late.Timeout()}
+		_ = nc.Close()
+		<-sent // it ends with the connection
+		return outcome{silent: timedOut(err)}
 	}
+	defer func() { _ = resp.Body.Close() }()
 	o := outcome{code: resp.StatusCode}
 	if q.drip && o.code == http.StatusOK {
 		drip(resp.Body, q.patience+grace)
-		nc.Close()
+		_ = nc.Close()
 	} else if body, err := io.ReadAll(resp.Body); err != nil {
-		nc.Close()
+		_ = nc.Close()
 	} else if o.code != http.StatusOK {
 		o.text = q.class + ": " + string(body)
 	}
-	if err := <-sent; err != nil || resp.Close {
-		nc.Close()
+	if <-sent; sendErr != nil || resp.Close {
+		_ = nc.Close()
 	}
 	if in.Buffered() > 0 { // a second answer
 		o.code, o.text = http.StatusConflict, q.class+": answered twice"
-		nc.Close()
+		_ = nc.Close()
 	}
 	o.took = time.Since(start)
 	return o
 }
 
+// timedOut reports whether a connection's deadline ended a call.
+func timedOut(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
+}
+
 // drip reads one byte a second.
 func drip(body io.Reader, most time.Duration) {
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(time.Second) {
@@ -194,7 +205,7 @@
 func (r *rig) dial(small bool) (net.Conn, error) {
 	nc, err := net.DialTimeout("tcp", r.addr, patience)
 	if err == nil && small { // the system should take little of an answer for a submitter that does not read
-		nc.(*net.TCPConn).SetReadBuffer(4 << 10)
+		_ = nc.(*net.TCPConn).SetReadBuffer(4 << 10)
 	}
 	return nc, err
 }
@@ -228,7 +239,7 @@
 					}
 					t.add(o)
 					if o.code == 0 || q.drip {
-						nc.Close()
+						_ = nc.Close()
 						nc = nil
 					} else if nc.SetDeadline(time.Now()) != nil { // closed by what ask saw
 						nc = nil
@@ -237,7 +248,7 @@
 				}
 			}
 			if nc != nil {
-				nc.Close()
+				_ = nc.Close()
 			}
 		})
 	}
@@ -265,14 +276,16 @@
 	if err != nil {
 		return outcome{}
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(patience + grace))
+	defer func() { _ = nc.Close() }()
+	if nc.SetDeadline(time.Now().Add(patience+grace)) != nil {
+		return outcome{}
+	}
 	q := request{class: "tukar", body: large, patience: patience}
 	if in == "body" {
-		io.WriteString(nc, q.head()+strings.Repeat("x", large/2))
+		_, _ = io.WriteString(nc, q.head()+strings.Repeat("x", large/2)) // the sidecar may end it early
 	} else {
 		go func() { // a line now and then, without end
-			io.WriteString(nc, strings.TrimSuffix(q.head(), "\r\n"))
+			_, _ = io.WriteString(nc, strings.TrimSuffix(q.head(), "\r\n")) // the next line fails too
 			for {
 				if _, err := io.WriteString(nc, "X-More: "+strings.Repeat("y", 60)+"\r\n"); err != nil {
 					return
@@ -283,9 +296,10 @@
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
-		late, ok := err.(net.Error)
-		return outcome{silent: ok && late.Timeout()}
+		return outcome{silent: timedOut(err)}
 	}
+	_ = nc.Close() // first, so that closing the body does not wait for the rest of it
+	_ = resp.Body.Close()
 	return outcome{code: resp.StatusCode}
 }
 
@@ -302,7 +316,7 @@
 			all.Wait()
 			close(idle)
 			for nc := range idle {
-				nc.Close()
+				_ = nc.Close()
 			}
 			return
 		case <-ticker.C:
@@ -341,7 +355,7 @@
 			default:
 			}
 		}
-		nc.Close()
+		_ = nc.Close()
 		return
 	}
 }
--- a/internal/flood/changes.go
+++ b/internal/flood/changes.go
@@ -48,7 +48,9 @@
 		if err := os.WriteFile(r.own+".new", []byte(texts[i%len(texts)]), 0o600); err != nil {
 			return
 		}
-		os.Rename(r.own+".new", r.own)
+		if err := os.Rename(r.own+".new", r.own); err != nil {
+			return
+		}
 		r.signal(syscall.SIGHUP)
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/internal/flood/flood.go
+++ b/internal/flood/flood.go
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	defer out.Close()
+	defer func() { _ = out.Close() }() // the sidecar has its own copy
 	r.own = filepath.Join(r.opts.Dir, "operator.toml")
 	r.proc = exec.Command(r.opts.Binary)
 	r.proc.Env = append(os.Environ(), "LB_CONFIG="+r.config)
@@ -218,7 +218,7 @@
 		return err
 	}
 	go func() {
-		r.proc.Wait()
+		_ = r.proc.Wait() // it is killed, as a rule
 		close(r.ended)
 	}()
 	for range 500 {
@@ -227,7 +227,7 @@
 		}
 		if r.addr != "" {
 			if resp, err := http.Get("http://" + r.addr + "/ready"); err == nil {
-				resp.Body.Close()
+				_ = resp.Body.Close()
 				if resp.StatusCode == http.StatusOK {
 					http.DefaultClient.CloseIdleConnections()
 					return nil
@@ -276,14 +276,14 @@
 	return e.Jobs + e.Answers
 }
 
-func (r *rig) signal(s syscall.Signal) { syscall.Kill(r.pid(), s) }
+func (r *rig) signal(s syscall.Signal) { _ = syscall.Kill(r.pid(), s) } // it may have ended
 
 func (r *rig) close() {
 	if r.proc != nil && r.proc.Process != nil {
-		r.proc.Process.Kill()
+		_ = r.proc.Process.Kill()
 		<-r.ended
 		if last := r.pid(); last != r.proc.Process.Pid && !gone(last) {
-			syscall.Kill(last, syscall.SIGKILL)
+			_ = syscall.Kill(last, syscall.SIGKILL)
 		}
 	}
 	for _, f := range r.closers {
@@ -297,7 +297,7 @@
 	if err != nil {
 		return 0
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		if name, value, ok := strings.Cut(lines.Text(), ":"); ok && name == key {
 			kb, _ := strconv.Atoi(strings.Fields(value)[0])
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -61,12 +61,12 @@
 	if err != nil {
 		return 0, err
 	}
-	defer ready.Close()
-	defer said.Close()
+	defer func() { _ = ready.Close() }()
+	defer func() { _ = said.Close() }() // a second time, as a rule
 	fds := []uintptr{0, 1, 2, said.Fd()}
 	defer func() {
 		for _, fd := range fds[firstFile+1:] {
-			syscall.Close(int(fd))
+			_ = syscall.Close(int(fd))
 		}
 	}()
 	var addresses []string
@@ -91,12 +91,13 @@
 	if err != nil {
 		return 0, err
 	}
-	said.Close() // so that the pipe ends with the new process
-	ready.SetReadDeadline(time.Now().Add(patience))
-	defer context.AfterFunc(ctx, func() { ready.SetReadDeadline(time.Unix(1, 0)) })()
+	_ = said.Close() // so that the pipe ends with the new process
+	// A pipe takes deadlines until it is closed.
+	_ = ready.SetReadDeadline(time.Now().Add(patience))
+	defer context.AfterFunc(ctx, func() { _ = ready.SetReadDeadline(time.Unix(1, 0)) })()
 	if _, err := ready.Read(make([]byte, 1)); err != nil && !hasSaid(ready) {
-		proc.Kill()
-		proc.Wait()
+		_ = proc.Kill() // it may have ended
+		_, _ = proc.Wait()
 		if ctx.Err() != nil {
 			return 0, ErrGivenUp
 		}
@@ -105,7 +106,7 @@
 		}
 		return 0, ErrEnded
 	}
-	go proc.Wait() // it outlives this process, as a rule
+	go func() { _, _ = proc.Wait() }() // it outlives this process, as a rule
 	return proc.Pid, nil
 }
 
@@ -114,7 +115,7 @@
 func hasSaid(ready *os.File) bool {
 	said := false
 	if raw, err := ready.SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) {
+		_ = raw.Control(func(fd uintptr) { // fails once the pipe is closed: nothing was said then
 			n, err := unix.Read(int(fd), make([]byte, 1)) // the pipe does not block
 			said = err == nil && n == 1
 		})
@@ -154,7 +155,9 @@
 	if told == "" {
 		return in, nil
 	}
-	os.Unsetenv(variable)
+	if err := os.Unsetenv(variable); err != nil {
+		return nil, err
+	}
 	var addresses []string
 	if err := json.Unmarshal([]byte(told), &addresses); err != nil {
 		return nil, fmt.Errorf("%s: %w", variable, err)
@@ -163,7 +166,7 @@
 	for i, address := range addresses {
 		f := os.NewFile(uintptr(firstFile+1+i), address)
 		ln, err := net.FileListener(f)
-		f.Close()
+		_ = f.Close() // the listener has a descriptor of its own
 		if err != nil {
 			return nil, fmt.Errorf("handover: %s: %w", address, err)
 		}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -48,15 +48,17 @@
 				if err != nil {
 					return
 				}
-				fmt.Fprintf(nc, "new at %s", address)
-				nc.Close()
-				served <- true
+				_, err = fmt.Fprintf(nc, "new at %s", address)
+				served <- errors.Join(err, nc.Close()) == nil
 			}
 		}()
 	}
 	for range in.Listeners {
 		select {
-		case <-served:
+		case ok := <-served:
+			if !ok {
+				return 1
+			}
 		case <-time.After(20 * time.Second):
 			return 1
 		}
@@ -72,7 +74,7 @@
 		t.Fatal(err)
 	}
 	u.(*net.UnixListener).SetUnlinkOnClose(false)
-	t.Cleanup(func() { u.Close() })
+	t.Cleanup(func() { _ = u.Close() })
 	return map[string]net.Listener{"tcp": scenario.Listen(t), "unix": u}
 }
 
@@ -86,17 +88,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nc.Close()
+		defer func() { _ = nc.Close() }()
 		conns[address] = nc
 	}
 	if pid, err := Start(t.Context(), os.Args[0], nil, lns, 10*time.Second); err != nil || pid == 0 {
 		t.Fatal(pid, err)
 	}
 	for _, ln := range lns {
-		ln.Close()
+		if err := ln.Close(); err != nil {
+			t.Error(err)
+		}
 	}
 	for address, nc := range conns {
-		nc.SetDeadline(time.Now().Add(10 * time.Second))
+		if err := nc.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+			t.Fatal(err)
+		}
 		if text, err := io.ReadAll(nc); err != nil || string(text) != "new at "+address {
 			t.Errorf("%s: %q, %v", address, text, err)
 		}
@@ -124,7 +130,7 @@
 			go func() {
 				nc, err := ln.Accept()
 				if err == nil {
-					nc.Close()
+					err = nc.Close()
 				}
 				accepted <- err
 			}()
@@ -132,7 +138,9 @@
 			if err != nil {
 				t.Fatalf("%s, %s: %v", name, address, err)
 			}
-			nc.Close()
+			if err := nc.Close(); err != nil {
+				t.Error(err)
+			}
 			if err := <-accepted; err != nil {
 				t.Errorf("%s, %s: %v", name, address, err)
 			}
@@ -141,7 +149,9 @@
 				_, err := ln.Accept()
 				accepted <- err
 			}()
-			ln.Close()
+			if err := ln.Close(); err != nil {
+				t.Error(err)
+			}
 			select {
 			case err := <-accepted:
 				if !errors.Is(err, net.ErrClosed) {
@@ -192,27 +202,33 @@
 // nothing then. One that says nothing, or has ended, has not.
 func TestReadyIsSeenAfterItsTime(t *testing.T) {
 	for name, c := range map[string]struct {
-		say  func(w *os.File)
+		say  func(w *os.File) error
 		want bool
 	}{
-		"it has said so":              {func(w *os.File) { w.Write([]byte{1}) }, true},
-		"it has said so and ended":    {func(w *os.File) { w.Write([]byte{1}); w.Close() }, true},
-		"it has said nothing":         {func(*os.File) {}, false},
-		"it has ended without a word": {func(w *os.File) { w.Close() }, false},
+		"it has said so":              {sayReady, true},
+		"it has said so and ended":    {func(w *os.File) error { return errors.Join(sayReady(w), w.Close()) }, true},
+		"it has said nothing":         {func(*os.File) error { return nil }, false},
+		"it has ended without a word": {(*os.File).Close, false},
 	} {
 		r, w, err := os.Pipe()
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.say(w)
-		r.SetReadDeadline(time.Unix(1, 0))
+		if err := errors.Join(c.say(w), r.SetReadDeadline(time.Unix(1, 0))); err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
 		if _, err := r.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatalf("%s: the read gave %v", name, err)
 		}
 		if got := hasSaid(r); got != c.want {
 			t.Errorf("%s: seen %t", name, got)
 		}
-		r.Close()
-		w.Close()
+		_ = r.Close()
+		_ = w.Close() // some have closed it
 	}
 }
+
+func sayReady(w *os.File) error {
+	_, err := w.Write([]byte{1})
+	return err
+}
--- a/internal/onehost/onehost.go
+++ b/internal/onehost/onehost.go
@@ -152,7 +152,7 @@
 			if err != nil {
 				return false
 			}
-			listener.Close()
+			_ = listener.Close()
 		}
 	}
 	return true
--- a/internal/resettest/resettest.go
+++ b/internal/resettest/resettest.go
@@ -68,7 +68,7 @@
 }
 
 func (s *Server) serve(conn *net.TCPConn) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	for s.request(conn) {
 	}
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { _ = ln.Close() })
 	return ln
 }
 
@@ -63,7 +63,9 @@
 func Accepter(ln net.Listener) func(string) (net.Conn, error) {
 	return func(string) (net.Conn, error) {
 		if tcp, ok := ln.(*net.TCPListener); ok {
-			tcp.SetDeadline(time.Now().Add(patience))
+			if err := tcp.SetDeadline(time.Now().Add(patience)); err != nil {
+				return nil, err
+			}
 		}
 		return ln.Accept()
 	}
@@ -80,7 +82,7 @@
 	peers := map[string]*peer{}
 	defer func() {
 		for _, p := range peers {
-			p.Close()
+			_ = p.Close() // its peer may have ended it
 		}
 	}()
 	for line := range strings.Lines(script) {
@@ -142,7 +144,9 @@
 }
 
 func (p *peer) step(verb, text string) error {
-	p.SetDeadline(time.Now().Add(patience))
+	if err := p.SetDeadline(time.Now().Add(patience)); err != nil {
+		return err
+	}
 	switch verb {
 	case "send":
 		_, err := io.WriteString(p, text)
--- a/internal/soak/operator_test.go
+++ b/internal/soak/operator_test.go
@@ -233,7 +233,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, nil
@@ -253,7 +253,7 @@
 	if err != nil {
 		return
 	}
-	defer connection.Close()
+	defer func() { _ = connection.Close() }()
 	_ = connection.SetDeadline(time.Now().Add(callLimit))
 	if request.Write(connection) == nil {
 		c.backOff(ctx, random)
--- a/internal/soak/planted_test.go
+++ b/internal/soak/planted_test.go
@@ -162,7 +162,7 @@
 		schedule := scheduleOf(seed, 0, time.Minute, 3, 4)
 		require.Equal(t, schedule, scheduleOf(seed, 0, time.Minute, 3, 4))
 		require.Greater(t, len(schedule), 1)
-		var wiped moment = -forever
+		wiped := -forever
 		for _, one := range schedule {
 			if one.kind.does == wipes {
 				require.Greater(t, one.at-afterWipe, wiped)
--- a/internal/soak/prober_test.go
+++ b/internal/soak/prober_test.go
@@ -80,7 +80,7 @@
 	request.Header.Set("X-Fieldrelay-Deadline-Ms", strconv.FormatInt(probeLimit.Milliseconds()-100, 10))
 	if response, err := p.client.Do(request); err == nil {
 		_, err = io.Copy(io.Discard, response.Body)
-		response.Body.Close()
+		_ = response.Body.Close()
 		if err == nil {
 			own.take(response)
 		}
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return errors.Wrap(err, "open a log")
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), roleVariable+"="+string(p.role),
 		settings.PathVariable+"="+p.settingsPath, linksVariable+"="+linksPath(p.folder, p.machine))
--- a/internal/soak/standins_test.go
+++ b/internal/soak/standins_test.go
@@ -63,7 +63,7 @@
 		header.Set(headerService, strconv.Itoa(service))
 		header.Set(headerZone, zone)
 		header.Set(headerArrived, strconv.FormatInt(int64(s.history.now()), 10))
-		fmt.Fprintln(w, id)
+		_, _ = fmt.Fprintln(w, id) // the caller may have gone
 	})
 	return mux
 }
--- a/internal/soak/table_test.go
+++ b/internal/soak/table_test.go
@@ -48,7 +48,7 @@
 func (t table) sum() uint64 {
 	hash := fnv.New64a()
 	for _, prefix := range slices.Sorted(maps.Keys(t)) {
-		fmt.Fprintf(hash, "%s=%d;", prefix, t[prefix])
+		_, _ = fmt.Fprintf(hash, "%s=%d;", prefix, t[prefix])
 	}
 	return hash.Sum64()
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -69,7 +69,7 @@
 				n.Tally.Add()
 			}
 		}}
-	go server.Serve(ln)
+	go func() { _ = server.Serve(ln) }()
 	return n, nil
 }
 
@@ -77,7 +77,7 @@
 func (n *Node) Addr() string { return n.ln.Addr().String() }
 
 // Close ends the node's listener; what it has taken goes on.
-func (n *Node) Close() { n.ln.Close() }
+func (n *Node) Close() { _ = n.ln.Close() }
 
 // Tally keeps when something happened. The zero Tally is ready.
 type Tally struct {
@@ -206,18 +206,18 @@
 			if err != nil {
 				return
 			}
-			nc.(*net.TCPConn).SetReadBuffer(4 << 10)
+			_ = nc.(*net.TCPConn).SetReadBuffer(4 << 10)
 			mu.Lock()
 			held = append(held, nc)
 			mu.Unlock()
 		}
 	}()
 	return ln.Addr().String(), func() {
-		ln.Close()
+		_ = ln.Close()
 		mu.Lock()
 		defer mu.Unlock()
 		for _, nc := range held {
-			nc.Close()
+			_ = nc.Close()
 		}
 	}, nil
 }
@@ -254,7 +254,7 @@
 	}
 	d := &Discovery{ln: ln, changed: make(chan struct{})}
 	d.Tell(entries...)
-	go (&fasthttp.Server{Handler: d.serve, Logger: silent{}}).Serve(ln)
+	go func() { _ = (&fasthttp.Server{Handler: d.serve, Logger: silent{}}).Serve(ln) }()
 	return d, nil
 }
 
@@ -262,7 +262,7 @@
 func (d *Discovery) Addr() string { return d.ln.Addr().String() }
 
 // Close ends discovery's listener.
-func (d *Discovery) Close() { d.ln.Close() }
+func (d *Discovery) Close() { _ = d.ln.Close() }
 
 // Tell replaces the list. Every watch learns the whole of it.
 func (d *Discovery) Tell(entries ...Entry) {
@@ -297,19 +297,19 @@
 	}
 	if !ctx.QueryArgs().Has("watch") {
 		list, _ := d.now()
-		ctx.Write(list)
+		_, _ = ctx.Write(list)
 		return
 	}
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		list, changed := d.now()
-		w.Write(list)
+		_, _ = w.Write(list)
 		for w.Flush() == nil {
 			select {
 			case <-changed:
 				list, changed = d.now()
-				w.Write(list)
+				_, _ = w.Write(list)
 			case <-time.After(heartbeat):
-				w.WriteString("\n")
+				_, _ = w.WriteString("\n")
 			}
 		}
 	})
