--- a/internal/emulate/run.go
+++ b/internal/emulate/run.go
@@ -70,7 +70,7 @@
 }
 
 func (r *recorder) add(d time.Duration) {
-	r.hist.RecordValue(max(int64(d/time.Microsecond), 1))
+	_ = r.hist.RecordValue(max(int64(d/time.Microsecond), 1)) // more than an hour counts in the mean and the maximum alone
 	r.sum, r.n, r.max = r.sum+d, r.n+1, max(r.max, d)
 }
 
--- a/internal/emulate/scenario.go
+++ b/internal/emulate/scenario.go
@@ -157,7 +157,7 @@
 	table, index := section, 0
 	if i := strings.IndexByte(section, '['); i >= 0 {
 		table = section[:i]
-		fmt.Sscanf(section[i:], "[%d]", &index)
+		_, _ = fmt.Sscanf(section[i:], "[%d]", &index) // unreadable: the first one
 	}
 	here, found, seen := "", 1, -1
 	for i, line := range strings.Split(string(text), "\n") {
@@ -179,19 +179,19 @@
 }
 
 func (s *Scenario) fill() {
-	set := func(to *float64, v float64) {
+	defaultToOne := func(to *float64) {
 		if *to == 0 {
-			*to = v
+			*to = 1
 		}
 	}
 	if s.Load.Shape == "" {
 		s.Load.Shape = "steady"
 	}
-	set(&s.Load.Factor, 1)
+	defaultToOne(&s.Load.Factor)
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		set(&c.Share, 1)
-		set(&c.Worth, 1)
+		defaultToOne(&c.Share)
+		defaultToOne(&c.Worth)
 		if c.Dist == "" {
 			c.Dist = "exp"
 		}
@@ -201,8 +201,8 @@
 	}
 	for i := range s.Nodes {
 		n := &s.Nodes[i]
-		set(&n.Speed, 1)
-		set(&n.ColdFrom, 1)
+		defaultToOne(&n.Speed)
+		defaultToOne(&n.ColdFrom)
 		if n.Slots == 0 {
 			n.Slots = n.Cores
 		}
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -14,6 +14,7 @@
 
 // Policy decides for one sidecar. The decision module is one.
 type Policy interface {
+	// Step takes an event in and appends to acts what the policy wants done; see logic.Balancer.
 	Step(now time.Duration, ev *logic.Event, acts []logic.Action) []logic.Action
 }
 
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -7,10 +7,14 @@
 
 // System is what is explored. The same events from the start lead to the same state.
 type System interface {
-	Events() []string // that can happen now, named, in the same order for the same state
-	Do(event int)     // lets one of them happen
-	Hash() uint64     // equal for states from which the same can follow
-	Check() error     // what is broken now; nil: nothing
+	// Events names the events that can happen now, in the same order for the same state.
+	Events() []string
+	// Do lets the event of an index of Events happen.
+	Do(event int)
+	// Hash is equal for states from which the same can follow.
+	Hash() uint64
+	// Check returns the invariant that is broken now, or nil.
+	Check() error
 }
 
 // Result is how far an exploration came.
--- a/internal/fleetsim/quota_test.go
+++ b/internal/fleetsim/quota_test.go
@@ -137,12 +137,15 @@
 	}
 }
 
-// formed is a world of members that agree and have their parts.
-func formed(t *testing.T, o Options, start int) *World {
+// startedAtFirst is how many members of a formed world run.
+const startedAtFirst = 5
+
+// formed is a world whose first members agree and have their parts.
+func formed(t *testing.T, o Options) *World {
 	t.Helper()
 	o.Delay, o.Jitter, o.Seed = time.Millisecond, 5*time.Millisecond, o.Seed+1
 	w := New(o)
-	for _, n := range w.Nodes()[:start] {
+	for _, n := range w.Nodes()[:startedAtFirst] {
 		n.Start()
 	}
 	w.Run(w.Now()+40*time.Second, nil)
@@ -160,7 +163,7 @@
 func TestMembersAreDoubled(t *testing.T) {
 	all := limits(false)
 	all[0].Members = 10
-	w := formed(t, Options{Members: 10, Limits: all, Demand: func(int, time.Duration) quota.Unit { return 20 * quota.PerSecond }}, 5)
+	w := formed(t, Options{Members: 10, Limits: all, Demand: func(int, time.Duration) quota.Unit { return 20 * quota.PerSecond }})
 	s := w.Sums(0, none)
 	for i, n := range w.Nodes()[5:] {
 		w.At(w.Now()+time.Duration(i)*400*time.Millisecond, n.Start)
@@ -196,7 +199,7 @@
 				return 60 * quota.PerSecond
 			}
 			return 0
-		}}, 5)
+		}})
 		s := w.Sums(0, over)
 		before := part(w, 3) + part(w, 4)
 		w.Split(func(i int) int { return i / 3 })
@@ -219,7 +222,7 @@
 // where only others are, those who have the new file keep to it and the rest follows.
 func TestLimitIsLoweredOnSome(t *testing.T) {
 	for _, who := range [][]int{{0, 1, 2}, {3}} {
-		w := formed(t, Options{Members: 5, Limits: limits(false), Demand: func(int, time.Duration) quota.Unit { return 30 * quota.PerSecond }}, 5)
+		w := formed(t, Options{Members: 5, Limits: limits(false), Demand: func(int, time.Duration) quota.Unit { return 30 * quota.PerSecond }})
 		lower := limits(false)
 		lower[0].Most /= 2
 		for _, i := range who {
@@ -245,7 +248,7 @@
 			return 100 * quota.PerSecond
 		}
 		return 0
-	}}, 5)
+	}})
 	ok := w.Run(w.Now()+20*time.Second, func() bool { return part(w, 4) > 80 })
 	t.Logf("%.1f of 100 after %v", part(w, 4), w.Now()-from)
 	if !ok || w.Now()-from > 3*time.Second {
--- a/internal/fleetsim/verdict_test.go
+++ b/internal/fleetsim/verdict_test.go
@@ -30,10 +30,13 @@
 	return w
 }
 
-// failing has one node fail for everybody, or answer slowly, from a time until another.
-func failing(node int, from, until time.Duration, slow bool) func(int, int, time.Duration) (bool, time.Duration) {
+// failingNode is the index of n5, the node that fails.
+const failingNode = 4
+
+// failing has that node fail for everybody, or answer slowly, from a time until another.
+func failing(from, until time.Duration, slow bool) func(int, int, time.Duration) (bool, time.Duration) {
 	return func(_, n int, at time.Duration) (bool, time.Duration) {
-		if n != node || at < from || at >= until {
+		if n != failingNode || at < from || at >= until {
 			return false, 20 * time.Millisecond
 		}
 		return !slow, 200 * time.Millisecond
@@ -53,7 +56,7 @@
 				}
 				from := w.Now()
 				until := from + 3*time.Second
-				s.Outcome = failing(4, from, until, slow)
+				s.Outcome = failing(from, until, slow)
 				if !w.Run(from+10*time.Second, func() bool { return len(s.Avoiders("n5")) == members }) {
 					t.Fatalf("only %v avoid it after 10 s", s.Avoiders("n5"))
 				}
@@ -177,7 +180,7 @@
 	s := town(40)
 	w := inUse(t, Options{Members: 20, Seed: 5, Station: s})
 	from := w.Now()
-	s.Outcome = failing(4, from, from+time.Hour, false)
+	s.Outcome = failing(from, from+time.Hour, false)
 	w.Run(from+3*time.Second, nil)
 	failed := len(s.Sent)
 	w.Run(from+3*time.Minute, nil)
@@ -194,7 +197,7 @@
 	}
 	rounds := 0
 	for _, line := range w.Node(0).Core.Judge().Lines(w.Node(0).clock(w.Now())) {
-		fmt.Sscanf(line[slices.Index([]byte(line), 'r'):], "round=%d", &rounds)
+		_, _ = fmt.Sscanf(line[slices.Index([]byte(line), 'r'):], "round=%d", &rounds) // a line need not have one
 	}
 	if rounds > 9 { // 4, 8, 16, 32, 60, 60 s with the trials between
 		t.Errorf("condemned %d times in three minutes", rounds)
@@ -214,7 +217,7 @@
 		s.Mutate = m
 		w := inUse(t, Options{Members: 20, Seed: 5, Station: s})
 		from := w.Now()
-		s.Outcome = failing(4, from, from+3*time.Second, false)
+		s.Outcome = failing(from, from+3*time.Second, false)
 		w.Run(from+12*time.Second, nil)
 		ended := len(s.Avoiders("n5")) == 0
 		together := 0
@@ -256,7 +259,7 @@
 			w.Run(from, nil)
 			quiet += float64(sent()-before) / float64(members) / 5
 			before = sent()
-			s.Outcome = failing(4, from, from+20*time.Second, false)
+			s.Outcome = failing(from, from+20*time.Second, false)
 			if !w.Run(from+20*time.Second, func() bool { return len(s.Avoiders("n5")) == members }) {
 				t.Fatalf("%d members, seed %d: not all avoid it", members, seed+1)
 			}
--- a/internal/migration/plan/exhaustive_test.go
+++ b/internal/migration/plan/exhaustive_test.go
@@ -32,7 +32,7 @@
 		fresh := true
 		for index := range done {
 			stage[index] = set&(1<<index) != 0
-			fresh = fresh && !(stage[index] && done[index])
+			fresh = fresh && (!stage[index] || !done[index])
 		}
 		if !fresh {
 			continue
@@ -71,7 +71,7 @@
 	input := e.input
 	present := e.nodesIf(func(i int) (bool, bool) { return !done[i], done[i] })
 	without := e.nodesIf(func(i int) (bool, bool) {
-		return !done[i] && !(stage[i] && !input.Replacements[i].Beside), done[i]
+		return !done[i] && (!stage[i] || input.Replacements[i].Beside), done[i]
 	})
 	swapped := e.nodesIf(func(i int) (bool, bool) {
 		beside := input.Replacements[i].Beside
--- a/internal/migration/planfile/parse.go
+++ b/internal/migration/planfile/parse.go
@@ -2,9 +2,6 @@
 
 import "fieldrelay/internal/tomlfile"
 
-// Fault is one thing that is wrong with a file.
-type Fault = tomlfile.Fault
-
 // FaultsError lists everything that is wrong with a file, in the order of its lines.
 type FaultsError = tomlfile.FaultsError
 
--- a/internal/migration/planfile/validate.go
+++ b/internal/migration/planfile/validate.go
@@ -12,6 +12,7 @@
 	validation "github.com/go-ozzo/ozzo-validation/v4"
 
 	"fieldrelay/internal/migration/room"
+	"fieldrelay/internal/tomlfile"
 )
 
 const day = 24 * time.Hour
@@ -35,7 +36,7 @@
 )
 
 // checker collects the faults of a file, without their lines.
-type checker struct{ faults []*Fault }
+type checker struct{ faults []*tomlfile.Fault }
 
 func (c *checker) check(key string, value any, rules []validation.Rule) {
 	if err := validation.Validate(value, rules...); err != nil {
@@ -44,10 +45,10 @@
 }
 
 func (c *checker) add(key, reason string) {
-	c.faults = append(c.faults, &Fault{Key: key, Reason: reason})
+	c.faults = append(c.faults, &tomlfile.Fault{Key: key, Reason: reason})
 }
 
-func (f *File) validate() []*Fault {
+func (f *File) validate() []*tomlfile.Fault {
 	c := &checker{}
 	c.check("name", f.Name, text)
 	c.check("begin", f.Begin, ofDay)
