--- a/internal/rig/comeback_test.go
+++ b/internal/rig/comeback_test.go
@@ -60,7 +60,9 @@
 				worst.Lists, worst.Conns, worst.Requests = max(worst.Lists, b.Lists), max(worst.Conns, b.Conns), max(worst.Requests, b.Requests)
 				worst.ListsBefore, worst.ConnsBefore, worst.RequestsBefore = max(worst.ListsBefore, b.ListsBefore), max(worst.ConnsBefore, b.ConnsBefore), max(worst.RequestsBefore, b.RequestsBefore)
 				worst.Unanswered, worst.Asked = worst.Unanswered+b.Unanswered, worst.Asked+b.Asked
-				r.Close()
+				if err := r.Close(); err != nil {
+					t.Log(c.name, use, err)
+				}
 			}
 			fmt.Printf("%d sidecars, %s, load %.2f: one view %v; full service %v; never %d; in 100 ms lists %d (%d before), connections %d (%d), requests %d (%d); unanswered %d of %d\n",
 				size, c.name, use, spread(together), spread(full), missed, worst.Lists, worst.ListsBefore, worst.Conns, worst.ConnsBefore, worst.Requests, worst.RequestsBefore, worst.Unanswered, worst.Asked)
--- a/internal/rig/plan.go
+++ b/internal/rig/plan.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return p, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	if err := toml.NewDecoder(f).DisallowUnknownFields().Decode(&p); err != nil {
 		return p, fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -70,15 +70,15 @@
 	}
 	read, write, err := os.Pipe()
 	if err != nil {
-		log.Close()
+		_ = log.Close()
 		return err
 	}
 	cmd.Stderr = write
 	err = spawn.Start(cmd)
-	write.Close()
+	_ = write.Close() // the process has its own copy
 	if err != nil {
-		read.Close()
-		log.Close()
+		_ = read.Close()
+		_ = log.Close()
 		return err
 	}
 	s.cmd, s.asked, s.stopped, s.boots = cmd, false, false, s.boots+1
@@ -89,14 +89,14 @@
 
 // watch reads the log until the process ends.
 func (s *Sidecar) watch(cmd *exec.Cmd, read io.ReadCloser, log io.WriteCloser, ended, serving chan struct{}) {
-	defer log.Close()
-	defer read.Close()
+	defer func() { _ = log.Close() }()
+	defer func() { _ = read.Close() }()
 	in := bufio.NewScanner(read)
 	in.Buffer(nil, 1<<20)
 	last := ""
 	var once sync.Once
 	for in.Scan() {
-		fmt.Fprintln(log, in.Text())
+		_, _ = fmt.Fprintln(log, in.Text())
 		last = in.Text()
 		var line struct {
 			Message, Member, State, Mode string
@@ -167,7 +167,7 @@
 	}
 	if s.heir != nil {
 		if sig == syscall.SIGKILL { // the one before may still drain
-			s.cmd.Process.Signal(sig)
+			_ = s.cmd.Process.Signal(sig)
 		}
 		return s.heir.Signal(sig)
 	}
@@ -184,7 +184,7 @@
 		return nil
 	}
 	if stopped && sig != syscall.SIGKILL {
-		s.signal(syscall.SIGCONT)
+		_ = s.signal(syscall.SIGCONT) // the next signal tells whether it has ended
 	}
 	if err := s.signal(sig); err != nil {
 		return nil // it has just ended
@@ -305,8 +305,9 @@
 		return r, err
 	}
 	for line := range strings.Lines(string(status)) {
-		fmt.Sscanf(line, "VmRSS: %d kB", &r.ResidentKB)
-		fmt.Sscanf(line, "Threads: %d", &r.Threads)
+		// Each reads the line of its name, and fails at all others.
+		_, _ = fmt.Sscanf(line, "VmRSS: %d kB", &r.ResidentKB)
+		_, _ = fmt.Sscanf(line, "Threads: %d", &r.Threads)
 	}
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -326,9 +327,13 @@
 	if err != nil {
 		return nil, err
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(3 * time.Second))
-	fmt.Fprintln(nc, command)
+	defer func() { _ = nc.Close() }()
+	if err := nc.SetDeadline(time.Now().Add(3 * time.Second)); err != nil {
+		return nil, err
+	}
+	if _, err := fmt.Fprintln(nc, command); err != nil {
+		return nil, err
+	}
 	answer, err := io.ReadAll(nc)
 	return strings.Split(strings.TrimSpace(string(answer)), "\n"), err
 }
--- a/internal/rig/quota_test.go
+++ b/internal/rig/quota_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/require"
+
 	"fieldrelay/internal/checker"
 )
 
@@ -27,7 +29,7 @@
 		return -1, false
 	}
 	for _, f := range strings.Fields(lines[1]) {
-		fmt.Sscanf(f, "here=%g", &rate)
+		_, _ = fmt.Sscanf(f, "here=%g", &rate) // one field has it
 	}
 	return rate, !strings.Contains(lines[1], "lease=none")
 }
@@ -88,17 +90,17 @@
 	}
 
 	victim := r.Sidecar(leader(t, r))
-	victim.Kill()
+	require.NoError(t, victim.Kill())
 	until(t, r, 60*time.Second, "another one gives the parts, all of them", func() bool {
 		sum, leased := all()
 		return leased == 3 && sum > quotaRate*0.9
 	})
-	victim.Start()
+	require.NoError(t, victim.Start())
 	still := r.Sidecars[3]
-	still.Stop()
+	require.NoError(t, still.Stop())
 	from = time.Now()
 	until(t, r, 30*time.Second, "two leases", func() bool { return time.Since(from) > 2*r.opts.Lease })
-	still.Continue()
+	require.NoError(t, still.Continue())
 	until(t, r, 60*time.Second, "all have parts", func() bool { _, leased := all(); return leased == 4 })
 	end()
 	load.Wait()
@@ -164,9 +166,9 @@
 	say(r.Sidecars[3], "SUSPEND n1 fleet", "ok")
 	t.Log("all know after ", until(t, r, 20*time.Second, "all know", all(true)))
 	say(r.Sidecars[0], "RESTORE n1", "fail suspended for the fleet") // one alone cannot
-	r.Sidecars[3].Kill()
+	require.NoError(t, r.Sidecars[3].Kill())
 	for _, s := range r.Sidecars[:3] {
-		s.Kill()
+		require.NoError(t, s.Kill())
 	}
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
@@ -247,12 +249,12 @@
 	before, from := ran(), time.Now()
 	until(t, r, 30*time.Second, "three seconds", func() bool { return time.Since(from) > 3*time.Second })
 	t.Logf("%.2f of what the limits let through", float64(ran()-before)/time.Since(from).Seconds()*0.150/(3*most))
-	r.Sidecars[1].Kill()
-	r.Sidecars[3].Stop()
+	require.NoError(t, r.Sidecars[1].Kill())
+	require.NoError(t, r.Sidecars[3].Stop())
 	from = time.Now()
 	until(t, r, 30*time.Second, "a lease", func() bool { return time.Since(from) > r.opts.Lease+time.Second })
-	r.Sidecars[3].Continue()
-	r.Sidecars[1].Start()
+	require.NoError(t, r.Sidecars[3].Continue())
+	require.NoError(t, r.Sidecars[1].Start())
 	until(t, r, 60*time.Second, "all have parts again", leased)
 	end()
 	load.Wait()
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -94,7 +94,7 @@
 	}
 	defer func() {
 		if err != nil {
-			r.Close()
+			err = errors.Join(err, r.Close())
 		}
 	}()
 	for i := range opts.Nodes {
@@ -144,7 +144,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer tcp.Close()
+		defer func() { _ = tcp.Close() }()
 		addresses = append(addresses, tcp.Addr().String())
 	}
 	return addresses, nil
@@ -152,16 +152,16 @@
 
 // connect makes the links that begin at a sidecar, and its clients' one.
 func (r *Rig) connect(s *Sidecar) error {
-	link := func(from, to, target string) (string, error) {
+	link := func(from, to, target string) error {
 		l, err := faultline.NewLink(linkID{from, to}.String(), "127.0.0.1", target, r.opts.Seed)
 		if err != nil {
-			return "", err
+			return err
 		}
 		r.links[linkID{from, to}] = l
-		return l.Addr(), nil
+		return nil
 	}
 	for i, n := range r.nodes {
-		if _, err := link(s.Name, nodeName(i), n.Addr()); err != nil {
+		if err := link(s.Name, nodeName(i), n.Addr()); err != nil {
 			return err
 		}
 	}
@@ -170,10 +170,10 @@
 		return err
 	}
 	r.lists = append(r.lists, list)
-	if _, err := link(s.Name, "discovery", list.Addr()); err != nil {
+	if err := link(s.Name, "discovery", list.Addr()); err != nil {
 		return err
 	}
-	if _, err := link("client", s.Name, s.Front); err != nil {
+	if err := link("client", s.Name, s.Front); err != nil {
 		return err
 	}
 	if r.opts.Direct || r.opts.NoFleet {
@@ -181,7 +181,7 @@
 	}
 	for _, p := range r.Sidecars {
 		if p != s {
-			if _, err := link(s.Name, p.Name, p.Peer); err != nil {
+			if err := link(s.Name, p.Name, p.Peer); err != nil {
 				return err
 			}
 		}
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -11,6 +11,8 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/require"
+
 	"fieldrelay/internal/checker"
 	_ "fieldrelay/internal/daemon" // what the program that is built is made of: a change of it must run the tests again
 	"fieldrelay/internal/faultline"
@@ -37,7 +39,7 @@
 		os.Exit(1)
 	}
 	code := m.Run()
-	os.RemoveAll(dir)
+	_ = os.RemoveAll(dir)
 	os.Exit(code)
 }
 
@@ -73,9 +75,9 @@
 	if _, err := fmt.Fscan(out, &dir, &pid); err != nil || pid < 2 {
 		t.Fatal(pid, err)
 	}
-	defer os.RemoveAll(dir)
-	cmd.Process.Kill()
-	cmd.Wait()
+	defer func() { _ = os.RemoveAll(dir) }()
+	require.NoError(t, cmd.Process.Kill())
+	_ = cmd.Wait() // killed, it ends with an error
 	if _, ok := Until(20*time.Second, func() bool { _, err := os.Stat(fmt.Sprintf("/proc/%d/exe", pid)); return err != nil }); !ok {
 		t.Errorf("process %d goes on", pid)
 	}
@@ -142,7 +144,7 @@
 	r := running(t, Options{Sidecars: 5})
 	bound := member.Detection(5, pace) + 10*time.Second // a busy machine
 	victim := r.Sidecars[4]
-	victim.Kill()
+	require.NoError(t, victim.Kill())
 	t.Log("a crash is known after ", until(t, r, bound, "a crash", believe(r, victim, "failed")))
 	if err := victim.Start(); err != nil {
 		t.Fatal(err)
@@ -150,9 +152,9 @@
 	until(t, r, bound, "the crashed one is back", r.Whole)
 
 	stopped := r.Sidecars[1]
-	stopped.Stop()
+	require.NoError(t, stopped.Stop())
 	until(t, r, bound, "a stop", believe(r, stopped, "failed"))
-	stopped.Continue()
+	require.NoError(t, stopped.Continue())
 	until(t, r, bound, "the stopped one is back", r.Whole)
 
 	from := len(r.History.Entries())
@@ -164,12 +166,12 @@
 	if n := suspected(r, leaver, from); n > 0 {
 		t.Errorf("a planned leaving was suspected %d times", n)
 	}
-	leaver.Start()
+	require.NoError(t, leaver.Start())
 	until(t, r, bound, "the one that left is back", r.Whole)
 
 	quick := r.Sidecars[2] // started again sooner than anyone could notice
-	quick.Kill()
-	quick.Start()
+	require.NoError(t, quick.Kill())
+	require.NoError(t, quick.Start())
 	until(t, r, bound, "one fleet after a fast restart", r.Whole)
 }
 
@@ -185,8 +187,8 @@
 	if err := os.WriteFile(own, []byte(strings.Replace(string(text), "# end", "[replace]\nenabled = true\n# end", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.Terminate()
-	s.Start()
+	require.NoError(t, s.Terminate())
+	require.NoError(t, s.Start())
 	until(t, r, 30*time.Second, "one fleet", r.Whole)
 	from, before := len(r.History.Entries()), s.PID()
 	if err := s.Replace(20 * time.Second); err != nil {
@@ -259,7 +261,7 @@
 func TestAllKilledAtOnce(t *testing.T) {
 	r := running(t, Options{Sidecars: 4})
 	for _, s := range r.Sidecars {
-		s.Kill()
+		require.NoError(t, s.Kill())
 	}
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
@@ -307,7 +309,7 @@
 		}
 		texts[string(a)] = true
 		path := filepath.Join(t.TempDir(), "plan.toml")
-		os.WriteFile(path, a, 0o600)
+		require.NoError(t, os.WriteFile(path, a, 0o600))
 		if read, err := ReadPlan(path); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		} else if c, _ := read.Text(); !bytes.Equal(a, c) {
@@ -334,7 +336,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close()
+	defer func() { require.NoError(t, r.Close()) }()
 	var trace bytes.Buffer
 	if err := r.Play(context.Background(), plan, &trace); err != nil {
 		t.Fatal(err)
@@ -363,7 +365,7 @@
 		if err := os.WriteFile(own, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s.Hangup()
+		require.NoError(t, s.Hangup())
 	}
 	from := len(r.History.Entries())
 	write(strings.Replace(string(text), "pace_ms = 100", "pace_ms = 120", 1))
@@ -395,7 +397,7 @@
 	if err := os.WriteFile(filepath.Join(s.dir, "operator.toml"), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s.Hangup()
+	require.NoError(t, s.Hangup())
 	until(t, r, 30*time.Second, "it says that it will be joined", func() bool { return strings.Contains(s.Log(), "joined at the next start or replacement") })
 	if lines, err := s.Manage("PEERS"); err != nil || lines[0] != "fail fleet off" {
 		t.Error(lines, err)
--- a/internal/rig/rules_test.go
+++ b/internal/rig/rules_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/require"
+
 	"fieldrelay/internal/faultline"
 )
 
@@ -26,10 +28,10 @@
 }
 
 // ruled tells whether each process that runs says that it goes by an edition, and none is behind.
-func ruled(r *Rig, number int, but ...*Sidecar) func() bool {
+func ruled(r *Rig, number int) func() bool {
 	return func() bool {
 		for _, s := range r.Sidecars {
-			if _, runs := s.Running(); !runs || len(but) > 0 && s == but[0] {
+			if _, runs := s.Running(); !runs {
 				continue
 			}
 			lines, err := s.Manage("RULES")
@@ -59,7 +61,7 @@
 		t.Fatal(err)
 	}
 	until(t, r, 20*time.Second, "the edition is offered", func() bool { return strings.Contains(logs(r), "edition 2 (") })
-	r.Sidecars[4].Kill() // its part is done
+	require.NoError(t, r.Sidecars[4].Kill()) // its part is done
 	t.Log("edition 2, its pusher killed, after ", until(t, r, 60*time.Second, "edition 2 in force at all", ruled(r, 2)))
 	if lines, err := r.Sidecars[1].Manage("QUOTAS"); err != nil || len(lines) < 2 || !strings.HasPrefix(lines[1], "orders per_second limit=50 ") {
 		t.Errorf("its limits: %q, %v", lines, err)
@@ -74,9 +76,9 @@
 	if err := r.write(s2); err != nil {
 		t.Fatal(err)
 	}
-	s2.Start()
+	require.NoError(t, s2.Start())
 	rulesFile(t, path, 3, "")
-	r.Sidecars[4].Start() // reads the new file and pushes it
+	require.NoError(t, r.Sidecars[4].Start()) // reads the new file and pushes it
 	until(t, r, 60*time.Second, "one view of all again", r.Agreed)
 	until(t, r, 60*time.Second, "the old one is named", func() bool { return strings.Contains(logs(r), "s2 cannot read: it reads") })
 	until(t, r, 20*time.Second, "the old one says that it is behind", func() bool {
@@ -92,11 +94,11 @@
 	if err := r.write(s2); err != nil {
 		t.Fatal(err)
 	}
-	s2.Start()
+	require.NoError(t, s2.Start())
 	t.Log("edition 3, the old one upgraded, after ", until(t, r, 60*time.Second, "edition 3 in force at all", ruled(r, 3)))
 
 	for _, s := range r.Sidecars {
-		s.Kill()
+		require.NoError(t, s.Kill())
 	}
 	if err := r.Start(); err != nil {
 		t.Fatal(err)
@@ -120,7 +122,7 @@
 	r := running(t, Options{Sidecars: 1, Tail: rulesOn + fmt.Sprintf("file = %q\n", path)})
 	until(t, r, 60*time.Second, "edition 1", ruled(r, 1))
 	rulesFile(t, path, 2, "rates = 3\n[limits]\n[[limits.quota]]\nname = \"a\"\n")
-	r.Sidecars[0].Hangup()
+	require.NoError(t, r.Sidecars[0].Hangup())
 	until(t, r, 20*time.Second, "the faults are named", func() bool {
 		log := r.Sidecars[0].Log()
 		return strings.Contains(log, "configuration not reloaded") && strings.Contains(log, "7:1: sampling.rates: no such key") && strings.Contains(log, "limits.quota[0].per_second")
@@ -128,7 +130,7 @@
 	if !ruled(r, 1)() {
 		t.Error("the rules before do not go on")
 	}
-	r.Sidecars[0].Kill()
+	require.NoError(t, r.Sidecars[0].Kill())
 	if err := r.Sidecars[0].Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -1,6 +1,7 @@
 package rig
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -32,12 +33,13 @@
 
 // player plays a plan. Its fields belong to the goroutine of Play.
 type player struct {
-	r     *Rig
-	plan  Plan
-	from  time.Time
-	trace *json.Encoder
-	ways  map[linkID][]Step // that hold on a link now, in the order of their begin
-	again sync.WaitGroup
+	r        *Rig
+	plan     Plan
+	from     time.Time
+	trace    *json.Encoder
+	traceErr error             // the first of a line that could not be written
+	ways     map[linkID][]Step // that hold on a link now, in the order of their begin
+	again    sync.WaitGroup
 }
 
 // Play starts the fleet, plays a plan with load beside it, heals all and waits until the fleet is one again. trace has
@@ -75,6 +77,9 @@
 	r.History.Add(settled)
 	end()
 	load.Wait()
+	if p.traceErr != nil {
+		err = errors.Join(err, fmt.Errorf("write the trace: %w", p.traceErr))
+	}
 	return err
 }
 
@@ -128,7 +133,9 @@
 	if err != nil {
 		told.Err = err.Error()
 	}
-	p.trace.Encode(told)
+	if err := p.trace.Encode(told); err != nil {
+		p.traceErr = cmp.Or(p.traceErr, err)
+	}
 	if s.Do == "stop" {
 		return // it has told the history itself
 	}
@@ -163,7 +170,7 @@
 	case s.Do == "kill":
 		return c.Kill()
 	default: // it drains while the plan goes on
-		p.again.Go(func() { c.Terminate() })
+		p.again.Go(func() { _ = c.Terminate() }) // one that does not end in time is told by the judge
 	}
 	return nil
 }
--- a/internal/rig/verdict_test.go
+++ b/internal/rig/verdict_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/require"
+
 	"fieldrelay/internal/checker"
 	"fieldrelay/internal/faultline"
 )
@@ -33,10 +35,10 @@
 	at := time.Now()
 	r.lists[first.index].Tell(entries...)
 	until(t, r, 20*time.Second, "one other has heard of it", func() bool { return down(r.Sidecars[0], "1") || down(r.Sidecars[1], "1") })
-	first.Kill()
+	require.NoError(t, first.Kill())
 	until(t, r, 20*time.Second, "the others have", func() bool { return down(r.Sidecars[0], "1") && down(r.Sidecars[1], "1") && down(r.Sidecars[2], "1") })
 	t.Log("all know after ", time.Since(at), ", the kill among it")
-	first.Start()
+	require.NoError(t, first.Start())
 	before := len(r.History.Entries())
 	ctx, end := context.WithTimeout(context.Background(), 2*time.Second)
 	defer end()
--- a/internal/rig/view_test.go
+++ b/internal/rig/view_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/require"
+
 	"fieldrelay/internal/checker"
 	"fieldrelay/internal/faultline"
 )
@@ -26,9 +28,9 @@
 	if voter == nil {
 		t.Fatal("nobody leads")
 	}
-	voter.Kill()
+	require.NoError(t, voter.Kill())
 	t.Log("without its leader after ", until(t, r, 60*time.Second, "a view without the leader", r.Agreed))
-	voter.Start()
+	require.NoError(t, voter.Start())
 	t.Log("and with it after ", until(t, r, 60*time.Second, "a view with it", r.Agreed))
 	// Without its state it votes under a new identity; until it does, no other voter may be lost.
 	for i, s := range r.Sidecars[:3] {
@@ -37,9 +39,9 @@
 			before = voter
 		}
 		until(t, r, 60*time.Second, "the last one votes again", func() bool { return votes(before) })
-		s.Kill()
+		require.NoError(t, s.Kill())
 		until(t, r, 60*time.Second, "a view without "+s.Name, r.Agreed)
-		s.Start()
+		require.NoError(t, s.Start())
 		until(t, r, 60*time.Second, "a view with it", r.Agreed)
 	}
 	judged(t, r)
@@ -80,7 +82,7 @@
 			until(t, r, 60*time.Second, "one view", r.Agreed)
 			before, _ := r.Sidecars[0].View()
 			for _, s := range r.Sidecars {
-				s.Kill()
+				require.NoError(t, s.Kill())
 			}
 			if err := r.Start(); err != nil {
 				t.Fatal(err)
@@ -100,8 +102,8 @@
 func TestMajorityLostAndRecovered(t *testing.T) {
 	r := running(t, Options{Sidecars: 4, Nodes: 1})
 	until(t, r, 60*time.Second, "one view", r.Agreed)
-	r.Sidecars[0].Kill()
-	r.Sidecars[1].Kill()
+	require.NoError(t, r.Sidecars[0].Kill())
+	require.NoError(t, r.Sidecars[1].Kill())
 	until(t, r, 60*time.Second, "cut off", func() bool { return r.Sidecars[2].Mode() == "cut off" && r.Sidecars[3].Mode() == "cut off" })
 	until(t, r, 60*time.Second, "a loud line", func() bool {
 		return strings.Contains(r.Sidecars[2].Log(), "no majority of the voters is heard") && strings.Contains(r.Sidecars[3].Log(), "no majority of the voters is heard")
@@ -113,8 +115,8 @@
 		t.Fatal(lines, err)
 	}
 	until(t, r, 60*time.Second, "a view of the two that are left", r.Agreed)
-	r.Sidecars[0].Start()
-	r.Sidecars[1].Start()
+	require.NoError(t, r.Sidecars[0].Start())
+	require.NoError(t, r.Sidecars[1].Start())
 	until(t, r, 60*time.Second, "a view of all", r.Agreed)
 	judged(t, r)
 }
@@ -126,11 +128,11 @@
 	s := r.Sidecars[3]
 	for _, leases := range []float64{0.5, 1.1, 3} {
 		length := time.Duration(leases * float64(r.opts.Lease))
-		s.Stop()
+		require.NoError(t, s.Stop())
 		from := time.Now()
 		until(t, r, 60*time.Second, "it stood still long enough", func() bool { return time.Since(from) > length })
 		logged := len(s.Log())
-		s.Continue()
+		require.NoError(t, s.Continue())
 		if leases > 1 { // what it says first, of all that it does as a member, is that it holds nothing
 			until(t, r, 60*time.Second, "it knows", func() bool { return strings.Contains(s.Log()[logged:], `"mode":"cut off"`) })
 			said := s.Log()[logged:]
