--- a/internal/registry/agents.go
+++ b/internal/registry/agents.go
@@ -17,8 +17,8 @@
 	// jumped back, and a proxy may start anew beside its agent.
 	recordTolerance = 500 * time.Millisecond
 
-	// reportEvery is the time after which an unchanged agent is reported again to the other control machines.
-	reportEvery = 800 * time.Millisecond
+	// peerReportInterval is the time after which an unchanged agent is reported again to the other control machines.
+	peerReportInterval = 800 * time.Millisecond
 )
 
 // Agents is what one control machine knows of the edge machines, heard from themselves or from other control
@@ -31,9 +31,9 @@
 
 // knownAgent is the freshest that is known of one edge machine.
 type knownAgent struct {
-	record  *pb.AgentRecord // immutable; age_ms is 0
-	heardAt time.Duration
-	direct  bool // heard from the agent itself, not told by another control machine
+	record     *pb.AgentRecord // immutable; age_ms is 0
+	receivedAt time.Duration
+	direct     bool // heard from the agent itself, not told by another control machine
 	// drainingSince is when the machine was first heard to drain; it counts while the record says so.
 	drainingSince time.Duration
 
@@ -54,7 +54,7 @@
 // Observe takes a record that came from the agent itself and reports whether clients or other agents would be
 // told something new.
 func (a *Agents) Observe(now time.Duration, record *pb.AgentRecord) bool {
-	return a.learn(now, record, true)
+	return a.accept(now, record, true)
 }
 
 // Merge takes the records that another control machine heard, with their ages, and reports whether clients or
@@ -63,13 +63,13 @@
 	changed := false
 	for _, record := range records {
 		heardAt := now - time.Duration(record.GetAgeMs())*time.Millisecond
-		changed = a.learn(heardAt, record, false) || changed
+		changed = a.accept(heardAt, record, false) || changed
 	}
 	return changed
 }
 
 // learn keeps a record if it says more than what is known of the host.
-func (a *Agents) learn(heardAt time.Duration, record *pb.AgentRecord, direct bool) bool {
+func (a *Agents) accept(heardAt time.Duration, record *pb.AgentRecord, direct bool) bool {
 	if record.GetHost() == "" {
 		return false
 	}
@@ -80,7 +80,7 @@
 		}
 		agent = &knownAgent{}
 		a.known[record.Host] = agent
-	} else if !agent.yieldsTo(heardAt, record) {
+	} else if !agent.supersededBy(heardAt, record) {
 		return false
 	}
 	changed := agent.record == nil || !sameContent(agent.record, record)
@@ -88,15 +88,15 @@
 		agent.drainingSince = heardAt
 	}
 	agent.record = withoutAge(record)
-	agent.heardAt = heardAt
+	agent.receivedAt = heardAt
 	agent.direct = direct
 	return changed
 }
 
-// yieldsTo reports whether a record heard at a time says more than the one that is known: of two heard at about the
+// supersededBy reports whether a record heard at a time says more than the one that is known: of two heard at about the
 // same time the higher incarnation, then the one that drains, which comes last in a life; else the fresher one.
-func (agent *knownAgent) yieldsTo(heardAt time.Duration, record *pb.AgentRecord) bool {
-	difference := heardAt - agent.heardAt
+func (agent *knownAgent) supersededBy(heardAt time.Duration, record *pb.AgentRecord) bool {
+	difference := heardAt - agent.receivedAt
 	if difference.Abs() <= recordTolerance {
 		if record.Incarnation != agent.record.Incarnation {
 			return record.Incarnation > agent.record.Incarnation
@@ -140,12 +140,12 @@
 func (a *Agents) Report(now time.Duration) []*pb.AgentRecord {
 	var report []*pb.AgentRecord
 	for _, agent := range a.known {
-		age := now - agent.heardAt
+		age := now - agent.receivedAt
 		if !agent.direct || age >= FailureTimeout {
 			continue
 		}
 		known := agent.reported != nil && sameContent(agent.reported, agent.record)
-		if known && now-agent.reportedAt < reportEvery {
+		if known && now-agent.reportedAt < peerReportInterval {
 			continue
 		}
 		agent.reported = agent.record
@@ -160,14 +160,14 @@
 func (a *Agents) Refresh(now time.Duration) *Members {
 	list := make([]Member, 0, len(a.known))
 	for host, agent := range a.known {
-		age := now - agent.heardAt
+		age := now - agent.receivedAt
 		if age >= LostRetention {
 			delete(a.known, host)
 			continue
 		}
 		list = append(list, Member{
 			record:        agent.record,
-			heardAt:       agent.heardAt,
+			receivedAt:    agent.receivedAt,
 			drainingSince: agent.drainingSince,
 			lost:          age >= FailureTimeout,
 		})
--- a/internal/registry/edge_sim_test.go
+++ b/internal/registry/edge_sim_test.go
@@ -152,7 +152,7 @@
 	var near, far, spilt, gone int
 	for seed := range uint64(20) {
 		e := newSimulatedEdge(seed)
-		anyCut := warmUp - lossFresh - FailureTimeout
+		anyCut := warmUp - recentLossWindow - FailureTimeout
 		for range 600 {
 			e.step()
 			if slices.Contains(e.cut, true) {
@@ -205,7 +205,7 @@
 
 // checkNear wants a reason if addresses of other regions than the client's are named beside its own.
 func (e *simulatedEdge) checkNear(t *testing.T, seed uint64, index int, region string, addresses []string, anyCut time.Duration) reach {
-	if e.now-anyCut <= lossFresh+FailureTimeout {
+	if e.now-anyCut <= recentLossWindow+FailureTimeout {
 		return reachUnsettled
 	}
 	near, own := true, false
@@ -225,6 +225,6 @@
 	case !own:
 		return reachFar
 	}
-	require.Less(t, e.now-killed, lossFresh+heartbeatTime+stepTime, "seed %d, control machine %d: %v", seed, index, addresses)
+	require.Less(t, e.now-killed, recentLossWindow+heartbeatTime+stepTime, "seed %d, control machine %d: %v", seed, index, addresses)
 	return reachSpilt
 }
--- a/internal/registry/endpoints_test.go
+++ b/internal/registry/endpoints_test.go
@@ -73,8 +73,8 @@
 		"one drains":                {0, true, "east", false},
 		"one drained and ended":     {FailureTimeout, true, "east", false},
 		"one fell silent":           {FailureTimeout, false, "east", true},
-		"one fell silent a while":   {lossFresh - time.Millisecond, false, "east", true},
-		"one fell silent long ago":  {lossFresh, false, "east", false},
+		"one fell silent a while":   {recentLossWindow - time.Millisecond, false, "east", true},
+		"one fell silent long ago":  {recentLossWindow, false, "east", false},
 		"one fell silent elsewhere": {FailureTimeout, false, "north", false},
 	}
 	for name, one := range cases {
--- a/internal/registry/invariants.go
+++ b/internal/registry/invariants.go
@@ -16,13 +16,13 @@
 	if i.current == nil {
 		return nil
 	}
-	if i.current.version.GetEpoch() > i.highest {
-		return &InvariantError{Reason: fmt.Sprintf("epoch %d is above the highest seen, %d", i.current.version.GetEpoch(), i.highest)}
+	if i.current.version.GetEpoch() > i.highestEpoch {
+		return &InvariantError{Reason: fmt.Sprintf("epoch %d is above the highest seen, %d", i.current.version.GetEpoch(), i.highestEpoch)}
 	}
 	if len(i.current.servers) == 0 {
 		return &InvariantError{Reason: "the current list is empty"}
 	}
-	if i.current.news < i.current.readAt {
+	if i.current.confirmedAt < i.current.readAt {
 		return &InvariantError{Reason: "the news is older than the list"}
 	}
 	if i.IsOwner() && !slices.IsSortedFunc(i.current.servers, compareIncarnations) {
--- a/internal/registry/inventory.go
+++ b/internal/registry/inventory.go
@@ -17,58 +17,58 @@
 	// last answer; a reading that took longer is thrown away.
 	PollTimeout = 1500 * time.Millisecond
 
-	// staleAfter is the age of the news at which the next machine takes the duty over.
-	staleAfter = 2 * time.Second
+	// staleThreshold is the age of the news at which the next machine takes the duty over.
+	staleThreshold = 2 * time.Second
 
-	// rankWait is how much longer each further machine waits for the one before it.
-	rankWait = 700 * time.Millisecond
+	// rankDelay is how much longer each further machine waits for the one before it.
+	rankDelay = 700 * time.Millisecond
 
-	// longestJitter is added to every wait.
-	longestJitter = 300 * time.Millisecond
+	// maxJitter is added to every wait.
+	maxJitter = 300 * time.Millisecond
 
 	// introduction is the time after the start in which a machine that has no list only listens: whoever holds one
 	// sends it at the first heartbeat.
-	introduction = 60 * time.Millisecond
+	startupListenWindow = 60 * time.Millisecond
 
-	// firstReadingCalls is the number of calls to the platform that the first reading of a machine may need: so many
+	// callsPerInitialPoll is the number of calls to the platform that the first reading of a machine may need: so many
 	// machines read the list at once, right after the introduction, as the platform's rate allows for. A proxy
 	// serves nothing without a list, and a call costs less than one request that is refused.
-	firstReadingCalls = 10
+	callsPerInitialPoll = 10
 
-	// firstReadersWait is how long the next machines wait for those before them to read the first list.
-	firstReadersWait = 250 * time.Millisecond
+	// initialPollStagger is how long the next machines wait for those before them to read the first list.
+	initialPollStagger = 250 * time.Millisecond
 
-	// firstRetry is the shortest wait before a machine without a list tries again to read it; as much again is
+	// minInitialRetryDelay is the shortest wait before a machine without a list tries again to read it; as much again is
 	// added at random.
-	firstRetry = 300 * time.Millisecond
+	minInitialRetryDelay = 300 * time.Millisecond
 
 	// settling is the time after the start for which a machine waits for a list that another one says it holds, and
 	// before which it does not take the duty over.
-	settling = time.Second
+	startupGracePeriod = time.Second
 
-	// preemptAfter is how long a machine is the first in order, with another one in the duty, before it takes
+	// preemptionDelay is how long a machine is the first in order, with another one in the duty, before it takes
 	// the duty back.
-	preemptAfter = 3 * time.Second
+	preemptionDelay = 3 * time.Second
 
-	// slowestPeriod bounds the wait between failing readings of a machine that does not have the duty.
-	slowestPeriod = 2 * time.Second
+	// maxTakeoverBackoff bounds the wait between failing readings of a machine that does not have the duty.
+	maxTakeoverBackoff = 2 * time.Second
 
-	// resendEvery is the shortest time between two sendings of the whole list to machines that lag.
-	resendEvery = 500 * time.Millisecond
+	// resendInterval is the shortest time between two sendings of the whole list to machines that lag.
+	resendInterval = 500 * time.Millisecond
 
-	// resendFirst stands for resendEvery if the machine that lags has no list at all: it has just started, after
+	// initialResendInterval stands for resendInterval if the machine that lags has no list at all: it has just started, after
 	// the last sending, and the edge waits.
-	resendFirst = 100 * time.Millisecond
+	initialResendInterval = 100 * time.Millisecond
 
-	// firstEpochs is the number of epochs out of which the first one is drawn.
-	firstEpochs = 1 << 32
+	// initialEpochRange is the number of epochs out of which the first one is drawn.
+	initialEpochRange = 1 << 32
 
-	// rateShare is the part of the platform's rate (one call in so many) that the machine in the duty uses.
-	rateShare = 3
+	// rateDivisor is the part of the platform's rate (one call in so many) that the machine in the duty uses.
+	rateDivisor = 3
 
-	// apartShare is how much less of the rate a machine uses that does not hear most of the others: each part of a
+	// partitionedRateDivisor is how much less of the rate a machine uses that does not hear most of the others: each part of a
 	// core that is cut into many reads the list for itself.
-	apartShare = 4
+	partitionedRateDivisor = 4
 )
 
 // Event is something that an Inventory is told.
@@ -132,30 +132,30 @@
 	rate   float64 // calls a second that the platform accepts from all machines
 	random *rand.Rand
 
-	current *ServerList
-	highest uint64 // epoch seen
-
-	polling   bool
-	nextPoll  time.Duration
-	failures  int // in a row
-	lastPages int
-
-	startedAt  time.Duration
-	started    bool
-	now        time.Duration // of the last step
-	promised   bool          // another control machine holds a list that has not come yet
-	order      []string
-	place      int           // in order if all machines were live
-	apart      bool          // a majority is not heard
-	firstSince time.Duration // since when this machine was the first in order and another one had the duty
-	isFirst    bool
-	jitter     time.Duration
-	sentAt     time.Duration // when the whole list was last sent to the other control machines
+	current      *ServerList
+	highestEpoch uint64 // epoch seen
+
+	polling             bool
+	nextPollAt          time.Duration
+	consecutiveFailures int // in a row
+	lastPages           int
+
+	startedAt         time.Duration
+	started           bool
+	now               time.Duration // of the last step
+	epochAnnounced    bool          // another control machine holds a list that has not come yet
+	liveHosts         []string
+	position          int           // in order if all machines were live
+	partitioned       bool          // a majority is not heard
+	firstInOrderSince time.Duration // since when this machine was the first in order and another one had the duty
+	firstInOrder      bool
+	jitter            time.Duration
+	lastSentAt        time.Duration // when the whole list was last sent to the other control machines
 
 	// fenced tells that another control machine holds a list above this machine's own.
-	fenced bool
+	fencedByPeer bool
 	// overtaken tells that an agent holds a list above this machine's own.
-	overtaken bool
+	newerVersionAtAgent bool
 }
 
 // NewServerInventory returns the inventory of the control machine named self. rate is the number of calls a second
@@ -171,14 +171,14 @@
 
 // IsOwner reports whether this machine has the duty, as far as it knows.
 func (i *ServerInventory) IsOwner() bool {
-	return i.current != nil && i.current.version.GetHolder() == i.self && !i.fenced
+	return i.current != nil && i.current.version.GetHolder() == i.self && !i.fencedByPeer
 }
 
 // AdvertisedVersion is the version to tell the other control machines: the one held, or only an epoch, without a holder, if
 // a higher one was seen, or if this machine has had the duty in vain: whoever can read the list then goes above it.
 func (i *ServerInventory) AdvertisedVersion() *pb.ListVersion {
-	if i.highest > i.current.Version().GetEpoch() || i.isStale(i.now) {
-		return &pb.ListVersion{Epoch: i.highest}
+	if i.highestEpoch > i.current.Version().GetEpoch() || i.ownsStaleList(i.now) {
+		return &pb.ListVersion{Epoch: i.highestEpoch}
 	}
 	return i.current.Version()
 }
@@ -195,23 +195,23 @@
 	i.now = now
 	switch event := event.(type) {
 	case Tick:
-		i.order, i.place, i.apart = event.LiveHosts, event.Position, event.Partitioned
+		i.liveHosts, i.position, i.partitioned = event.LiveHosts, event.Position, event.Partitioned
 		return i.tick(now)
 	case PollDone:
-		return i.pollDone(now, event)
+		return i.finishPoll(now, event)
 	case ListReceived:
-		return i.listReceived(now, event.List)
+		return i.receiveList(now, event.List)
 	case VersionObserved:
-		return i.versionSeen(now, event)
+		return i.observeVersion(now, event)
 	}
 	return nil
 }
 
 func (i *ServerInventory) drawJitter() {
-	i.jitter = time.Duration(i.random.Int64N(int64(longestJitter)))
+	i.jitter = time.Duration(i.random.Int64N(int64(maxJitter)))
 }
 
-// seeEpoch remembers the highest epoch.
-func (i *ServerInventory) seeEpoch(version *pb.ListVersion) {
-	i.highest = max(i.highest, version.GetEpoch())
+// observeEpoch remembers the highest epoch.
+func (i *ServerInventory) observeEpoch(version *pb.ListVersion) {
+	i.highestEpoch = max(i.highestEpoch, version.GetEpoch())
 }
--- a/internal/registry/inventory_cut_test.go
+++ b/internal/registry/inventory_cut_test.go
@@ -15,8 +15,8 @@
 	// longestCut is how long a machine may be cut off.
 	longestCut = 22 * time.Second
 	// mayGoBack is how much older the content of a list may be than that of the one which it replaces: a holder
-	// whose readings fail counts until staleAfter, and a reading takes PollTimeout at most.
-	mayGoBack = staleAfter + PollTimeout
+	// whose readings fail counts until staleThreshold, and a reading takes PollTimeout at most.
+	mayGoBack = staleThreshold + PollTimeout
 )
 
 // contents remembers when the platform's list said what.
@@ -146,8 +146,8 @@
 // A machine that has no list gets even an old one: the platform may be out of reach of all.
 func TestAnOldListIsSentToAMachineWithoutOneAlone(t *testing.T) {
 	inventory, now := holding(t, serverNamed("a"))
-	now += staleAfter
-	for now < 2*staleAfter+time.Second {
+	now += staleThreshold
+	for now < 2*staleThreshold+time.Second {
 		now += 100 * time.Millisecond
 		inventory.Step(now, Tick{LiveHosts: []string{"m1", "m2"}})
 		inventory.Step(now, PollDone{SentAt: now, Pages: 1, Failed: true})
--- a/internal/registry/inventory_test.go
+++ b/internal/registry/inventory_test.go
@@ -55,9 +55,9 @@
 	for rank, order := range [][]string{{"m1"}, {"m2", "m1"}, {"m2", "m3", "m1"}} {
 		inventory := newTestInventory("m1")
 		require.Empty(t, inventory.Step(0, Tick{LiveHosts: order}), "who holds a list has the time to send it")
-		require.Equal(t, []Action{StartPoll{}}, inventory.Step(introduction, Tick{LiveHosts: order}), "rank %d", rank)
-		done := PollDone{SentAt: introduction, Pages: 1, Servers: []*pb.Server{serverNamed("a")}}
-		require.Len(t, inventory.Step(introduction+20*time.Millisecond, done), 2)
+		require.Equal(t, []Action{StartPoll{}}, inventory.Step(startupListenWindow, Tick{LiveHosts: order}), "rank %d", rank)
+		done := PollDone{SentAt: startupListenWindow, Pages: 1, Servers: []*pb.Server{serverNamed("a")}}
+		require.Len(t, inventory.Step(startupListenWindow+20*time.Millisecond, done), 2)
 		require.True(t, inventory.IsOwner())
 	}
 }
@@ -69,17 +69,17 @@
 		for place := range 9 {
 			inventory := NewServerInventory("m1", rate, rand.New(rand.NewPCG(1, uint64(place))))
 			for now := time.Duration(0); ; now += 10 * time.Millisecond {
-				require.LessOrEqual(t, now, introduction+8*firstReadersWait)
+				require.LessOrEqual(t, now, startupListenWindow+8*initialPollStagger)
 				if len(inventory.Step(now, Tick{LiveHosts: []string{"m1"}, Position: place})) > 0 {
-					calls[now] += firstReadingCalls
+					calls[now] += callsPerInitialPoll
 					break
 				}
 			}
 		}
 		for now, count := range calls {
-			require.LessOrEqual(t, count, max(rate, firstReadingCalls), "at %s", now)
+			require.LessOrEqual(t, count, max(rate, callsPerInitialPoll), "at %s", now)
 		}
-		require.Contains(t, calls, introduction)
+		require.Contains(t, calls, startupListenWindow)
 	}
 }
 
@@ -87,12 +87,12 @@
 func TestTheFirstReadingIsTriedAgainSoon(t *testing.T) {
 	inventory := newTestInventory("m1")
 	require.Empty(t, inventory.Step(0, Tick{LiveHosts: []string{"m1"}}))
-	now := introduction
+	now := startupListenWindow
 	for range 5 {
 		require.Equal(t, []Action{StartPoll{}}, inventory.Step(now, Tick{LiveHosts: []string{"m1"}}))
 		inventory.Step(now, PollDone{SentAt: now, Pages: 1, Failed: true})
-		require.Empty(t, inventory.Step(now+firstRetry-1, Tick{LiveHosts: []string{"m1"}}))
-		now += 2 * firstRetry
+		require.Empty(t, inventory.Step(now+minInitialRetryDelay-1, Tick{LiveHosts: []string{"m1"}}))
+		now += 2 * minInitialRetryDelay
 	}
 }
 
@@ -101,14 +101,14 @@
 	inventory := newTestInventory("m1")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m2", Revision: 1}
 	inventory.Step(0, VersionObserved{Version: version, Peer: true})
-	require.Empty(t, ticked(inventory, 0, settling-time.Millisecond, "m1", "m2"), "the list is under way")
-	inventory.Step(settling, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
-	require.Empty(t, ticked(inventory, settling, staleAfter, "m1", "m2"))
+	require.Empty(t, ticked(inventory, 0, startupGracePeriod-time.Millisecond, "m1", "m2"), "the list is under way")
+	inventory.Step(startupGracePeriod, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
+	require.Empty(t, ticked(inventory, startupGracePeriod, staleThreshold, "m1", "m2"))
 	require.Equal(t, "m2", inventory.Current().Version().GetHolder())
 
 	inventory = newTestInventory("m1")
 	inventory.Step(0, VersionObserved{Version: version, Peer: true})
-	require.Equal(t, []Action{StartPoll{}}, ticked(inventory, 0, settling, "m1", "m2"), "it never came")
+	require.Equal(t, []Action{StartPoll{}}, ticked(inventory, 0, startupGracePeriod, "m1", "m2"), "it never came")
 }
 
 func TestNoReadingWithoutAView(t *testing.T) {
@@ -245,9 +245,9 @@
 	inventory := newTestInventory("m2")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m1", Revision: 1}
 	inventory.Step(0, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
-	require.Empty(t, ticked(inventory, 0, staleAfter, "m1", "m2", "m3"))
-	require.Equal(t, []Action{StartPoll{}}, ticked(inventory, staleAfter, staleAfter+longestJitter, "m1", "m2", "m3"))
-	now := staleAfter + longestJitter
+	require.Empty(t, ticked(inventory, 0, staleThreshold, "m1", "m2", "m3"))
+	require.Equal(t, []Action{StartPoll{}}, ticked(inventory, staleThreshold, staleThreshold+maxJitter, "m1", "m2", "m3"))
+	now := staleThreshold + maxJitter
 	inventory.Step(now, PollDone{SentAt: now, Pages: 1, Servers: []*pb.Server{serverNamed("a")}})
 	require.True(t, inventory.IsOwner())
 	require.Equal(t, uint64(6), inventory.Current().Version().Epoch)
@@ -275,7 +275,7 @@
 			polledAt = now
 		}
 	}
-	require.GreaterOrEqual(t, polledAt, preemptAfter)
+	require.GreaterOrEqual(t, polledAt, preemptionDelay)
 	inventory.Step(polledAt, PollDone{SentAt: polledAt, Pages: 1, Servers: []*pb.Server{serverNamed("a")}})
 	require.Equal(t, uint64(6), inventory.Current().Version().Epoch)
 }
@@ -319,9 +319,9 @@
 		held  func(inventory *ServerInventory) *pb.ListVersion
 		pause time.Duration
 	}{
-		"one that has just started":    {func(*ServerInventory) *pb.ListVersion { return nil }, resendFirst},
-		"one that heard of the duty":   {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i)} }, resendFirst},
-		"one that holds an older list": {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i) - 1, Holder: "m2"} }, resendEvery},
+		"one that has just started":    {func(*ServerInventory) *pb.ListVersion { return nil }, initialResendInterval},
+		"one that heard of the duty":   {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i)} }, initialResendInterval},
+		"one that holds an older list": {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i) - 1, Holder: "m2"} }, resendInterval},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -334,7 +334,7 @@
 			require.Len(t, actions[0].(SendList).List.Servers, 1)
 			require.Empty(t, inventory.Step(now, lagging))
 			current := VersionObserved{Version: inventory.Current().Version(), Peer: true}
-			require.Empty(t, inventory.Step(now+resendEvery, current))
+			require.Empty(t, inventory.Step(now+resendInterval, current))
 		})
 	}
 }
--- a/internal/registry/lateness.go
+++ b/internal/registry/lateness.go
@@ -11,8 +11,8 @@
 	// LagThreshold is how long a proxy may lack a committed change before its agent counts as behind.
 	LagThreshold = time.Second
 
-	// usualSilence is the time within which an agent that gets its answers reports again: a call is held for a second.
-	usualSilence = time.Second
+	// expectedReportInterval is the time within which an agent that gets its answers reports again: a call is held for a second.
+	expectedReportInterval = time.Second
 )
 
 // LagBounds are the deployment's bounds on a change that was acknowledged.
@@ -26,26 +26,26 @@
 // steady clock. It decides nothing: its results are for logs and counters. Only agents that this machine heard last from
 // themselves are judged, so that each is judged by one machine.
 type LagMonitor struct {
-	committed  lag.Timeline
-	agents     map[string]*follower
-	bounds     LagBounds
-	unsure     bool          // this machine did not hold the agreed state at some time
-	unsureAt   time.Duration // when it last did not
-	violations uint64
+	committed        lag.Timeline
+	agents           map[string]*follower
+	bounds           LagBounds
+	unsynchronized   bool          // this machine did not hold the agreed state at some time
+	unsynchronizedAt time.Duration // when it last did not
+	violations       uint64
 }
 
 // follower is what is known of one agent and its proxy.
 type follower struct {
-	incarnation uint64 // of the agent
-	sequence    uint64 // that its proxy holds, as reported last
-	ready       bool
-	direct      bool          // the last report came from the agent itself
-	judged      bool          // there is a proxy, and it is not about to end
-	heardAt     time.Duration // of the last report
-	since       time.Duration // reports came without a longer break since then, from one life of agent and proxy
-	silence     time.Duration // beyond usualSilence, summed over the times between reports since the proxy was last not behind
-	late        lag.Episode
-	violated    bool // in this episode
+	incarnation  uint64 // of the agent
+	sequence     uint64 // that its proxy holds, as reported last
+	ready        bool
+	direct       bool          // the last report came from the agent itself
+	evaluated    bool          // there is a proxy, and it is not about to end
+	receivedAt   time.Duration // of the last report
+	contactSince time.Duration // reports came without a longer break since then, from one life of agent and proxy
+	overdueTime  time.Duration // beyond expectedReportInterval, summed over the times between reports since the proxy was last not behind
+	episode      lag.Episode
+	violated     bool // in this episode
 }
 
 // AgentLagging tells that an agent's proxy has begun to be late.
@@ -98,24 +98,24 @@
 
 // SuspendBounds tells that this machine does not hold the agreed state now.
 func (l *LagMonitor) SuspendBounds(now time.Duration) {
-	l.unsure = true
-	l.unsureAt = now
+	l.unsynchronized = true
+	l.unsynchronizedAt = now
 }
 
 // Observe takes a report that came from the agent itself.
 func (l *LagMonitor) Observe(now time.Duration, record *pb.AgentRecord) []Action {
-	agent := l.learn(now, record, true)
+	agent := l.accept(now, record, true)
 	if agent == nil {
 		return nil
 	}
-	events := l.look(now, record.GetHost(), agent)
-	return l.judge(events, now, record.GetHost(), agent)
+	events := l.updateEpisode(now, record.GetHost(), agent)
+	return l.checkBound(events, now, record.GetHost(), agent)
 }
 
 // Merge takes reports that another control machine heard, with their ages.
 func (l *LagMonitor) Merge(now time.Duration, records []*pb.AgentRecord) {
 	for _, record := range records {
-		l.learn(now-time.Duration(record.GetAgeMs())*time.Millisecond, record, false)
+		l.accept(now-time.Duration(record.GetAgeMs())*time.Millisecond, record, false)
 	}
 }
 
@@ -123,12 +123,12 @@
 func (l *LagMonitor) Step(now time.Duration) []Action {
 	var events []Action
 	for host, agent := range l.agents {
-		if now-agent.heardAt >= FailureTimeout {
-			events = agent.end(events, host)
+		if now-agent.receivedAt >= FailureTimeout {
+			events = agent.endEpisode(events, host)
 			delete(l.agents, host)
 			continue
 		}
-		events = append(events, l.look(now, host, agent)...)
+		events = append(events, l.updateEpisode(now, host, agent)...)
 	}
 	return events
 }
@@ -150,7 +150,7 @@
 }
 
 // learn takes a report unless a fresher one is known, and returns the agent if it did.
-func (l *LagMonitor) learn(heardAt time.Duration, record *pb.AgentRecord, direct bool) *follower {
+func (l *LagMonitor) accept(heardAt time.Duration, record *pb.AgentRecord, direct bool) *follower {
 	if record.GetHost() == "" {
 		return nil
 	}
@@ -159,87 +159,87 @@
 		if len(l.agents) >= MaxAgents {
 			return nil
 		}
-		agent = &follower{since: heardAt, heardAt: heardAt}
+		agent = &follower{contactSince: heardAt, receivedAt: heardAt}
 		l.agents[record.GetHost()] = agent
 	}
-	if heardAt < agent.heardAt || !direct && agent.mayPrecede(heardAt, record) {
+	if heardAt < agent.receivedAt || !direct && agent.mayBeOlder(heardAt, record) {
 		return nil
 	}
-	agent.take(heardAt, record)
+	agent.update(heardAt, record)
 	agent.direct = direct
-	if l.committed.Lag(heardAt, agent.sequence, agent.since) <= LagThreshold {
-		agent.silence = 0
+	if l.committed.Lag(heardAt, agent.sequence, agent.contactSince) <= LagThreshold {
+		agent.overdueTime = 0
 	}
 	return agent
 }
 
-// mayPrecede reports whether a report told by another control machine may be older than the last one, since its age
+// mayBeOlder reports whether a report told by another control machine may be older than the last one, since its age
 // leaves out the time that it was under way.
-func (f *follower) mayPrecede(heardAt time.Duration, record *pb.AgentRecord) bool {
-	return heardAt <= f.heardAt+recordTolerance && record.GetSequence() < f.sequence
+func (f *follower) mayBeOlder(heardAt time.Duration, record *pb.AgentRecord) bool {
+	return heardAt <= f.receivedAt+recordTolerance && record.GetSequence() < f.sequence
 }
 
 // take learns a report. Another life of the agent or the proxy, or a long break, begins a new time of contact.
-func (f *follower) take(heardAt time.Duration, record *pb.AgentRecord) {
-	silence := heardAt - f.heardAt
+func (f *follower) update(heardAt time.Duration, record *pb.AgentRecord) {
+	silence := heardAt - f.receivedAt
 	hasProxy := record.GetEdgeAddress() != "" && !record.GetDraining()
-	anew := record.GetIncarnation() != f.incarnation || record.GetSequence() < f.sequence || !f.judged
+	anew := record.GetIncarnation() != f.incarnation || record.GetSequence() < f.sequence || !f.evaluated
 	if silence >= FailureTimeout || anew {
-		f.since = heardAt
-		f.silence = 0
+		f.contactSince = heardAt
+		f.overdueTime = 0
 	} else {
-		f.silence += max(0, silence-usualSilence)
+		f.overdueTime += max(0, silence-expectedReportInterval)
 	}
 	f.incarnation = record.GetIncarnation()
 	f.sequence = record.GetSequence()
 	f.ready = record.GetReady()
-	f.judged = hasProxy
-	f.heardAt = heardAt
+	f.evaluated = hasProxy
+	f.receivedAt = heardAt
 }
 
 // lagOf is how long an agent's proxy is known to have lacked a committed change; 0 for an agent that is not judged.
-// The next report is due usualSilence after the last one: until then the proxy may hold the change and the agent have
+// The next report is due expectedReportInterval after the last one: until then the proxy may hold the change and the agent have
 // had no occasion to say so.
 func (l *LagMonitor) lagOf(now time.Duration, agent *follower) time.Duration {
-	if !agent.judged || !agent.direct {
+	if !agent.evaluated || !agent.direct {
 		return 0
 	}
-	known := max(agent.heardAt, now-usualSilence)
-	return l.committed.Lag(known, agent.sequence, agent.since)
+	known := max(agent.receivedAt, now-expectedReportInterval)
+	return l.committed.Lag(known, agent.sequence, agent.contactSince)
 }
 
 // look tells whether an agent has begun or ceased to be behind.
-func (l *LagMonitor) look(now time.Duration, host string, agent *follower) []Action {
-	if !agent.direct || !agent.judged {
-		return agent.end(nil, host)
+func (l *LagMonitor) updateEpisode(now time.Duration, host string, agent *follower) []Action {
+	if !agent.direct || !agent.evaluated {
+		return agent.endEpisode(nil, host)
 	}
 	lagging := l.lagOf(now, agent)
-	switch agent.late.Update(lagging, LagThreshold) {
+	switch agent.episode.Update(lagging, LagThreshold) {
 	case lag.Began:
 		return []Action{AgentLagging{
 			Host: host, Reported: agent.sequence, Committed: l.committed.Newest(), Lag: lagging, Ready: agent.ready,
 		}}
 	case lag.Ended:
 		agent.violated = false
-		return []Action{AgentCaughtUp{Host: host, Reported: agent.sequence, Longest: agent.late.Longest()}}
+		return []Action{AgentCaughtUp{Host: host, Reported: agent.sequence, Longest: agent.episode.Longest()}}
 	}
 	return nil
 }
 
 // end adds the end of an episode, if there is one, of an agent that is not judged any more.
-func (f *follower) end(events []Action, host string) []Action {
-	if f.late.Update(0, LagThreshold) != lag.Ended {
+func (f *follower) endEpisode(events []Action, host string) []Action {
+	if f.episode.Update(0, LagThreshold) != lag.Ended {
 		return events
 	}
 	f.violated = false
-	return append(events, AgentCaughtUp{Host: host, Reported: f.sequence, Longest: f.late.Longest(), Unheard: true})
+	return append(events, AgentCaughtUp{Host: host, Reported: f.sequence, Longest: f.episode.Longest(), Unheard: true})
 }
 
 // judge adds a violation of the bound, by a report that has just come from the agent itself.
-func (l *LagMonitor) judge(events []Action, now time.Duration, host string, agent *follower) []Action {
+func (l *LagMonitor) checkBound(events []Action, now time.Duration, host string, agent *follower) []Action {
 	lagging := l.lagOf(now, agent)
 	bound := l.boundFor(now, lagging, agent)
-	inContact := now-agent.since >= l.bounds.Contact
+	inContact := now-agent.contactSince >= l.bounds.Contact
 	if l.bounds.Apply <= 0 || agent.violated || !agent.ready || !inContact || lagging <= bound {
 		return events
 	}
@@ -253,8 +253,8 @@
 // boundFor is the longest lag that is allowed. An agent that was silent for longer than usual may have been cut off for
 // that time, and this machine may have been out of touch itself.
 func (l *LagMonitor) boundFor(now, lagging time.Duration, agent *follower) time.Duration {
-	bound := l.bounds.Apply + agent.silence
-	if l.unsure && now-l.unsureAt < lagging+l.bounds.Contact {
+	bound := l.bounds.Apply + agent.overdueTime
+	if l.unsynchronized && now-l.unsynchronizedAt < lagging+l.bounds.Contact {
 		bound += l.bounds.Stretch
 	}
 	return bound
--- a/internal/registry/lateness_test.go
+++ b/internal/registry/lateness_test.go
@@ -87,7 +87,7 @@
 	r.now += 400 * time.Millisecond
 	r.report()
 	for range 4 {
-		r.now += usualSilence / 4
+		r.now += expectedReportInterval / 4
 		r.events = append(r.events, r.lateness.Step(r.now)...)
 		require.Zero(t, r.lateness.Stats(r.now).Behind)
 	}
@@ -99,8 +99,8 @@
 func TestSilentAgentIsBehindOnceItsReportIsOverdueAsWell(t *testing.T) {
 	r := newReporting(t)
 	r.lateness.Committed(r.now, 2)
-	require.Empty(t, r.lateness.Step(r.now+LagThreshold+usualSilence))
-	behind := r.lateness.Step(r.now + LagThreshold + usualSilence + time.Millisecond)
+	require.Empty(t, r.lateness.Step(r.now+LagThreshold+expectedReportInterval))
+	behind := r.lateness.Step(r.now + LagThreshold + expectedReportInterval + time.Millisecond)
 	require.Len(t, behind, 1)
 	require.Equal(t, LagThreshold+time.Millisecond, behind[0].(AgentLagging).Lag)
 }
--- a/internal/registry/list.go
+++ b/internal/registry/list.go
@@ -23,10 +23,10 @@
 
 // ServerList is the platform's list of servers as one control machine read it. It never changes.
 type ServerList struct {
-	version *pb.ListVersion
-	servers []*pb.Server
-	readAt  time.Duration // when the call that read it was sent
-	news    time.Duration // when a call that found nothing new was last sent
+	version     *pb.ListVersion
+	servers     []*pb.Server
+	readAt      time.Duration // when the call that read it was sent
+	confirmedAt time.Duration // when a call that found nothing new was last sent
 }
 
 // Version tells the list's place among others; nil for no list.
@@ -46,7 +46,7 @@
 }
 
 // Age is the time since the platform was last known to have this list.
-func (l *ServerList) Age(now time.Duration) time.Duration { return now - l.news }
+func (l *ServerList) Age(now time.Duration) time.Duration { return now - l.confirmedAt }
 
 // Message returns the whole list. Its age tells how old the servers' remaining times are.
 func (l *ServerList) Message(now time.Duration) *pb.ServerList {
@@ -61,11 +61,11 @@
 
 // confirmed returns the list with fresher news.
 func (l *ServerList) confirmed(news time.Duration) *ServerList {
-	if news <= l.news {
+	if news <= l.confirmedAt {
 		return l
 	}
 	copied := *l
-	copied.news = news
+	copied.confirmedAt = news
 	return &copied
 }
 
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -12,20 +12,20 @@
 	// MaxEndpoints is the number of addresses that a client is told at most.
 	MaxEndpoints = 64
 
-	// enoughEndpoints in a client's zone or region are used without looking further.
-	enoughEndpoints = 2
+	// sufficientEndpoints in a client's zone or region are used without looking further.
+	sufficientEndpoints = 2
 
-	// mostShare is the part of the live proxies (one in so many) that is enough to send clients to them while
+	// mostlyServingDivisor is the part of the live proxies (one in so many) that is enough to send clients to them while
 	// the others are still on their way.
-	mostShare = 2
+	mostlyServingDivisor = 2
 
-	// endpointShare is the part of all proxies (one in so many) that suffices though it is a single one.
-	endpointShare = 3
+	// sufficientDivisor is the part of all proxies (one in so many) that suffices though it is a single one.
+	sufficientDivisor = 3
 
-	// lossFresh is how long after a proxy was last heard of its region counts as in unplanned trouble, if it fell
+	// recentLossWindow is how long after a proxy was last heard of its region counts as in unplanned trouble, if it fell
 	// silent without having said that it drains. Until then the proxies of other regions may help out: the rules
 	// leave such requests out for 15 s, of which clients may hold an answer for the last three.
-	lossFresh = 12 * time.Second
+	recentLossWindow = 12 * time.Second
 )
 
 // Members are the edge machines that are live or were lost lately, as of one moment. It never changes.
@@ -36,9 +36,9 @@
 
 // Member is one edge machine.
 type Member struct {
-	record  *pb.AgentRecord // age_ms is 0
-	heardAt time.Duration
-	lost    bool
+	record     *pb.AgentRecord // age_ms is 0
+	receivedAt time.Duration
+	lost       bool
 
 	drainingSince time.Duration // counts only if the record says that it drains
 }
@@ -63,14 +63,14 @@
 // MostlyServing reports whether at least two proxies, and half of those that are live, take requests.
 func (m *Members) MostlyServing(now time.Duration) bool {
 	serving := len(m.serving(now))
-	return serving >= enoughEndpoints && serving*mostShare >= m.Live()
+	return serving >= sufficientEndpoints && serving*mostlyServingDivisor >= m.Live()
 }
 
 // Message returns the members as agents are told them, with the ages of now.
 func (m *Members) Message(now time.Duration) *pb.Members {
 	records := make([]*pb.AgentRecord, 0, len(m.list))
 	for _, member := range m.list {
-		records = append(records, aged(member.record, now-member.heardAt))
+		records = append(records, aged(member.record, now-member.receivedAt))
 	}
 	return &pb.Members{Version: m.version, Agents: records}
 }
@@ -100,31 +100,31 @@
 // proxy takes requests.
 func (m *Members) Endpoints(now time.Duration, client Client, rotation uint64) []string {
 	all := m.serving(now)
-	inZone := matching(all, func(record *pb.AgentRecord) bool { return record.Zone == client.Zone })
+	inZone := filter(all, func(record *pb.AgentRecord) bool { return record.Zone == client.Zone })
 	if suffices(inZone, all) {
 		return rotated(inZone, rotation)
 	}
-	inRegion := matching(all, func(record *pb.AgentRecord) bool { return record.Region == client.Region })
+	inRegion := filter(all, func(record *pb.AgentRecord) bool { return record.Region == client.Region })
 	if suffices(inRegion, all) {
 		return rotated(inRegion, rotation)
 	}
-	near := matching(all, func(record *pb.AgentRecord) bool { return client.isNear(record.Region) })
+	near := filter(all, func(record *pb.AgentRecord) bool { return client.isNear(record.Region) })
 	switch {
 	case suffices(near, all):
 		return rotated(near, rotation)
-	case m.lossIn(now, client.Region):
+	case m.recentLossIn(now, client.Region):
 		return rotated(all, rotation)
 	case len(near) > 0:
 		return rotated(near, rotation)
 	}
-	if leaving := m.leaving(now, client); len(leaving) > 0 {
+	if leaving := m.recentlyDraining(now, client); len(leaving) > 0 {
 		return rotated(leaving, rotation)
 	}
-	return rotated(inHomes(all, client.Homes), rotation)
+	return rotated(inHomeRegions(all, client.Homes), rotation)
 }
 
 // leaving returns the records of the client's region that have only begun to drain.
-func (m *Members) leaving(now time.Duration, client Client) []*pb.AgentRecord {
+func (m *Members) recentlyDraining(now time.Duration, client Client) []*pb.AgentRecord {
 	var result []*pb.AgentRecord
 	for _, member := range m.list {
 		record := member.record
@@ -136,8 +136,8 @@
 	return result
 }
 
-// inHomes returns the records in those regions that are homes of the most routes; all if none is one.
-func inHomes(all []*pb.AgentRecord, homes route.HomeRegions) []*pb.AgentRecord {
+// inHomeRegions returns the records in those regions that are homes of the most routes; all if none is one.
+func inHomeRegions(all []*pb.AgentRecord, homes route.HomeRegions) []*pb.AgentRecord {
 	most := 0
 	for _, record := range all {
 		most = max(most, homes.ByRegion[record.Region])
@@ -145,7 +145,7 @@
 	if most == 0 {
 		return all
 	}
-	return matching(all, func(record *pb.AgentRecord) bool { return homes.ByRegion[record.Region] == most })
+	return filter(all, func(record *pb.AgentRecord) bool { return homes.ByRegion[record.Region] == most })
 }
 
 // Serves reports whether a proxy of the region takes requests. Clients that tell no region are served by any.
@@ -157,13 +157,13 @@
 	return slices.ContainsFunc(serving, func(record *pb.AgentRecord) bool { return record.Region == region })
 }
 
-// lossIn reports whether a proxy of the region has just fallen silent without having said that it drains.
-func (m *Members) lossIn(now time.Duration, region string) bool {
+// recentLossIn reports whether a proxy of the region has just fallen silent without having said that it drains.
+func (m *Members) recentLossIn(now time.Duration, region string) bool {
 	for _, member := range m.list {
 		if member.record.Region != region || member.record.Draining {
 			continue
 		}
-		if silent := now - member.heardAt; silent >= FailureTimeout && silent < lossFresh {
+		if silent := now - member.receivedAt; silent >= FailureTimeout && silent < recentLossWindow {
 			return true
 		}
 	}
@@ -178,7 +178,7 @@
 		if !record.Ready || record.Draining || record.EdgeAddress == "" {
 			continue
 		}
-		if now-member.heardAt >= FailureTimeout {
+		if now-member.receivedAt >= FailureTimeout {
 			continue
 		}
 		result = append(result, record)
@@ -187,7 +187,7 @@
 }
 
 // matching returns the records that a condition holds for.
-func matching(records []*pb.AgentRecord, condition func(*pb.AgentRecord) bool) []*pb.AgentRecord {
+func filter(records []*pb.AgentRecord, condition func(*pb.AgentRecord) bool) []*pb.AgentRecord {
 	var result []*pb.AgentRecord
 	for _, record := range records {
 		if condition(record) {
@@ -202,7 +202,7 @@
 	if len(part) == 0 {
 		return false
 	}
-	return len(part) >= enoughEndpoints || len(part)*endpointShare >= len(all)
+	return len(part) >= sufficientEndpoints || len(part)*sufficientDivisor >= len(all)
 }
 
 // rotated returns the edge addresses of the records, begun at another one for each rotation.
