--- a/internal/registry/inventory.go
+++ b/internal/registry/inventory.go
@@ -71,58 +71,6 @@
 	partitionedRateDivisor = 4
 )
 
-// Event is something that an Inventory is told.
-type Event interface{ inventoryEvent() }
-
-// Tick tells the time passing, several times a second.
-type Tick struct {
-	// LiveHosts names the hosts of the live control machines, this one included, in the order of the agreed view;
-	// it is empty while no view is known.
-	LiveHosts []string
-	// Position is the place of this machine in that order if all machines were live.
-	Position int
-	// Partitioned: this machine does not hear a majority of the control machines.
-	Partitioned bool
-}
-
-// PollDone ends the reading that the last StartPoll asked for.
-type PollDone struct {
-	SentAt  time.Duration // when the first call was sent
-	Pages   int           // calls made
-	Servers []*pb.Server
-	Failed  bool // no whole list was read
-}
-
-// ListReceived is a list from another control machine.
-type ListReceived struct{ List *pb.ServerList }
-
-// VersionObserved is the version that another control machine (Peer) or an agent says it holds.
-type VersionObserved struct {
-	Version *pb.ListVersion
-	Peer    bool
-}
-
-func (Tick) inventoryEvent()            {}
-func (PollDone) inventoryEvent()        {}
-func (ListReceived) inventoryEvent()    {}
-func (VersionObserved) inventoryEvent() {}
-
-// Action is something that the shell of an Inventory has to do.
-type Action interface{ inventoryAction() }
-
-// StartPoll asks for one reading of the platform's list, ended by PollDone. No second one is asked for before.
-type StartPoll struct{}
-
-// SendList asks for a message to all other control machines.
-type SendList struct{ List *pb.ServerList }
-
-// ListChanged tells that Current holds another version.
-type ListChanged struct{}
-
-func (StartPoll) inventoryAction()   {}
-func (SendList) inventoryAction()    {}
-func (ListChanged) inventoryAction() {}
-
 // ServerInventory is one control machine's part in keeping the list of servers: it merges lists of others and reads
 // the platform's list itself while it has the duty. The first live machine in the agreed order has the duty,
 // under an epoch higher than any that it has seen; lists under lower epochs are refused. When the news grows
@@ -169,11 +117,6 @@
 // Current is the newest list known, nil before the first.
 func (i *ServerInventory) Current() *ServerList { return i.current }
 
-// IsOwner reports whether this machine has the duty, as far as it knows.
-func (i *ServerInventory) IsOwner() bool {
-	return i.current != nil && i.current.version.GetHolder() == i.self && !i.fencedByPeer
-}
-
 // AdvertisedVersion is the version to tell the other control machines: the one held, or only an epoch, without a holder, if
 // a higher one was seen, or if this machine has had the duty in vain: whoever can read the list then goes above it.
 func (i *ServerInventory) AdvertisedVersion() *pb.ListVersion {
@@ -206,12 +149,3 @@
 	}
 	return nil
 }
-
-func (i *ServerInventory) drawJitter() {
-	i.jitter = time.Duration(i.random.Int64N(int64(maxJitter)))
-}
-
-// observeEpoch remembers the highest epoch.
-func (i *ServerInventory) observeEpoch(version *pb.ListVersion) {
-	i.highestEpoch = max(i.highestEpoch, version.GetEpoch())
-}
--- a/internal/registry/lateness.go
+++ b/internal/registry/lag_monitor.go
@@ -34,51 +34,6 @@
 	violations       uint64
 }
 
-// follower is what is known of one agent and its proxy.
-type follower struct {
-	incarnation  uint64 // of the agent
-	sequence     uint64 // that its proxy holds, as reported last
-	ready        bool
-	direct       bool          // the last report came from the agent itself
-	evaluated    bool          // there is a proxy, and it is not about to end
-	receivedAt   time.Duration // of the last report
-	contactSince time.Duration // reports came without a longer break since then, from one life of agent and proxy
-	overdueTime  time.Duration // beyond expectedReportInterval, summed over the times between reports since the proxy was last not behind
-	episode      lag.Episode
-	violated     bool // in this episode
-}
-
-// AgentLagging tells that an agent's proxy has begun to be late.
-type AgentLagging struct {
-	Host      string
-	Reported  uint64 // sequence
-	Committed uint64 // sequence
-	Lag       time.Duration
-	Ready     bool // as the agent says of its proxy
-}
-
-// AgentCaughtUp ends what AgentLagging began.
-type AgentCaughtUp struct {
-	Host     string
-	Reported uint64 // sequence
-	Longest  time.Duration
-	Unheard  bool // the agent was not heard again, or by another control machine: it may be behind still
-}
-
-// ProxyBoundExceeded tells that a proxy whose agent was in contact broke the bound on changes that were acknowledged. It comes
-// once in an episode.
-type ProxyBoundExceeded struct {
-	Host      string
-	Reported  uint64 // sequence
-	Committed uint64 // sequence
-	Lag       time.Duration
-	Bound     time.Duration
-}
-
-func (AgentLagging) inventoryAction()       {}
-func (AgentCaughtUp) inventoryAction()      {}
-func (ProxyBoundExceeded) inventoryAction() {}
-
 // LagStats summarise which agents are behind.
 type LagStats struct {
 	Behind     int           // agents heard lately whose proxies are late by more than LagThreshold
@@ -173,30 +128,6 @@
 	return agent
 }
 
-// mayBeOlder reports whether a report told by another control machine may be older than the last one, since its age
-// leaves out the time that it was under way.
-func (f *follower) mayBeOlder(heardAt time.Duration, record *pb.AgentRecord) bool {
-	return heardAt <= f.receivedAt+recordTolerance && record.GetSequence() < f.sequence
-}
-
-// take learns a report. Another life of the agent or the proxy, or a long break, begins a new time of contact.
-func (f *follower) update(heardAt time.Duration, record *pb.AgentRecord) {
-	silence := heardAt - f.receivedAt
-	hasProxy := record.GetEdgeAddress() != "" && !record.GetDraining()
-	anew := record.GetIncarnation() != f.incarnation || record.GetSequence() < f.sequence || !f.evaluated
-	if silence >= FailureTimeout || anew {
-		f.contactSince = heardAt
-		f.overdueTime = 0
-	} else {
-		f.overdueTime += max(0, silence-expectedReportInterval)
-	}
-	f.incarnation = record.GetIncarnation()
-	f.sequence = record.GetSequence()
-	f.ready = record.GetReady()
-	f.evaluated = hasProxy
-	f.receivedAt = heardAt
-}
-
 // lagOf is how long an agent's proxy is known to have lacked a committed change; 0 for an agent that is not judged.
 // The next report is due expectedReportInterval after the last one: until then the proxy may hold the change and the agent have
 // had no occasion to say so.
@@ -226,15 +157,6 @@
 	return nil
 }
 
-// end adds the end of an episode, if there is one, of an agent that is not judged any more.
-func (f *follower) endEpisode(events []Action, host string) []Action {
-	if f.episode.Update(0, LagThreshold) != lag.Ended {
-		return events
-	}
-	f.violated = false
-	return append(events, AgentCaughtUp{Host: host, Reported: f.sequence, Longest: f.episode.Longest(), Unheard: true})
-}
-
 // judge adds a violation of the bound, by a report that has just come from the agent itself.
 func (l *LagMonitor) checkBound(events []Action, now time.Duration, host string, agent *follower) []Action {
 	lagging := l.lagOf(now, agent)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -7,10 +7,7 @@
 package registry
 
 import (
-	"cmp"
 	"time"
-
-	pb "fieldrelay/api/fieldrelay/v1"
 )
 
 const (
@@ -30,16 +27,3 @@
 	const longest = 24 * time.Hour
 	return uint32(min(max(duration, 0), longest) / time.Millisecond)
 }
-
-// CompareVersions orders server lists by epoch, holder and revision; nil comes before every version. It
-// returns a negative number, 0 or a positive number as first is older, the same or newer.
-func CompareVersions(first, second *pb.ListVersion) int {
-	switch {
-	case first.GetEpoch() != second.GetEpoch():
-		return cmp.Compare(first.GetEpoch(), second.GetEpoch())
-	case first.GetHolder() != second.GetHolder():
-		return cmp.Compare(first.GetHolder(), second.GetHolder())
-	default:
-		return cmp.Compare(first.GetRevision(), second.GetRevision())
-	}
-}
