--- a/internal/gossip/serverlist.go
+++ b/internal/gossip/serverlist.go
@@ -1,18 +1,20 @@
 package gossip
 
 import (
-	"slices"
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/serverlist"
 )
 
-// How far the end of a span that two lists tell of a server may differ while the lists count as alike. A span that
-// ends later than was thought matters sooner: the server would be taken for warm too early.
-const (
-	laterTolerance   = 100 * time.Millisecond
-	earlierTolerance = time.Second
-)
+// listTolerances is how far the remaining times of two lists may drift while the lists count as the same. A warm-up
+// that ends later than expected matters sooner: the server would be taken for warm too early.
+var listTolerances = serverlist.Tolerances{
+	WarmUpLater:   100 * time.Millisecond,
+	WarmUpEarlier: time.Second,
+	ExpiryLater:   100 * time.Millisecond,
+	ExpiryEarlier: time.Second,
+}
 
 // ListOutcome tells what became of a server list that was offered to a Copy.
 type ListOutcome int
@@ -54,32 +56,5 @@
 	if a.message == nil || b.message == nil {
 		return a.message == b.message
 	}
-	theirs := b.message.GetServers()
-	return slices.EqualFunc(a.message.GetServers(), theirs, func(x, y *pb.Server) bool {
-		return sameServer(x, y, b.readAt-a.readAt)
-	})
-}
-
-// sameServer compares a server with what another list, read later by passed, tells of it.
-func sameServer(x, y *pb.Server, passed time.Duration) bool {
-	return x.GetId() == y.GetId() &&
-		x.GetService() == y.GetService() &&
-		x.GetAddress() == y.GetAddress() &&
-		x.GetZone() == y.GetZone() &&
-		x.GetCapacity() == y.GetCapacity() &&
-		x.GetDraining() == y.GetDraining() &&
-		x.GetSoftware() == y.GetSoftware() &&
-		slices.Equal(x.GetModels(), y.GetModels()) &&
-		(x.GetExpiresMs() == 0) == (y.GetExpiresMs() == 0) &&
-		sameEnd(x.GetExpiresMs(), y.GetExpiresMs(), passed) &&
-		sameEnd(x.GetWarmLeftMs(), y.GetWarmLeftMs(), passed)
-}
-
-// sameEnd tells whether a span of which earlierMs was left has laterMs left after the time passed.
-func sameEnd(earlierMs, laterMs uint32, passed time.Duration) bool {
-	earlier := time.Duration(earlierMs) * time.Millisecond
-	later := time.Duration(laterMs) * time.Millisecond
-	expected := max(earlier-passed, 0)
-	drift := later - expected
-	return drift <= laterTolerance && drift >= -earlierTolerance
+	return listTolerances.Same(a.message.GetServers(), b.message.GetServers(), b.readAt-a.readAt)
 }
--- a/internal/registry/capacity_bench_test.go
+++ b/internal/registry/capacity_bench_test.go
@@ -116,7 +116,7 @@
 	first, second := capacityServers(3100), capacityServers(3100)
 	b.ReportAllocs()
 	for b.Loop() {
-		if !sameServers(first, second, time.Second) {
+		if !pollTolerances.Same(first, second, time.Second) {
 			b.Fatal("not the same")
 		}
 	}
--- a/internal/registry/poll.go
+++ b/internal/registry/poll.go
@@ -80,7 +80,7 @@
 func (i *ServerInventory) publish(now time.Duration, done PollDone) []Action {
 	servers := sortServers(done.Servers)
 	inDuty := i.IsOwner() && !i.newerVersionAtAgent && i.current.version.GetEpoch() == i.highestEpoch
-	if inDuty && sameServers(i.current.servers, servers, done.SentAt-i.current.readAt) {
+	if inDuty && pollTolerances.Same(i.current.servers, servers, done.SentAt-i.current.readAt) {
 		i.current = i.current.confirmed(done.SentAt)
 		return []Action{SendList{List: i.current.Confirmation(now)}}
 	}
--- a/internal/registry/serverlist.go
+++ b/internal/registry/serverlist.go
@@ -6,20 +6,18 @@
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/serverlist"
 )
 
-const (
-	// coldRise is how much longer than expected a server may say that it stays cold before the list counts as
-	// changed: receivers count down by themselves, and must not think it warm too early.
-	coldRise = 100 * time.Millisecond
-
-	// coldFall is how much shorter than expected a server may say that it stays cold, which costs nothing but
-	// a little of its use.
-	coldFall = time.Second
-
-	// expiryDrift is how far the end of a server may move before the list counts as changed.
-	expiryDrift = 200 * time.Millisecond
-)
+// pollTolerances is how far the remaining times of two polls may drift before the list counts as changed. Receivers
+// count down by themselves and must not take a server for warm too early, so the warm-up may end only a little later
+// than expected. One that ends earlier costs nothing but a little of the server's use.
+var pollTolerances = serverlist.Tolerances{
+	WarmUpLater:   100 * time.Millisecond,
+	WarmUpEarlier: time.Second,
+	ExpiryLater:   200 * time.Millisecond,
+	ExpiryEarlier: 200 * time.Millisecond,
+}
 
 // ServerList is the platform's list of servers as one control machine read it. It never changes.
 type ServerList struct {
@@ -79,36 +77,3 @@
 func compareIncarnations(first, second *pb.Server) int {
 	return strings.Compare(first.Id, second.Id)
 }
-
-// sameServers reports whether a list read after some time says nothing that cannot be told from the earlier
-// one and the time that has passed. Both are sorted.
-func sameServers(before, after []*pb.Server, passed time.Duration) bool {
-	return slices.EqualFunc(before, after, func(first, second *pb.Server) bool {
-		return sameServer(first, second, passed)
-	})
-}
-
-func sameServer(before, after *pb.Server, passed time.Duration) bool {
-	fixed := before.Id == after.Id &&
-		before.Service == after.Service &&
-		before.Address == after.Address &&
-		before.Zone == after.Zone &&
-		before.Capacity == after.Capacity &&
-		before.Draining == after.Draining &&
-		before.Software == after.Software &&
-		slices.Equal(before.Models, after.Models)
-	if !fixed || (before.ExpiresMs == 0) != (after.ExpiresMs == 0) {
-		return false
-	}
-	cold := drift(before.WarmLeftMs, after.WarmLeftMs, passed)
-	if cold > coldRise || cold < -coldFall {
-		return false
-	}
-	return before.ExpiresMs == 0 || drift(before.ExpiresMs, after.ExpiresMs, passed).Abs() <= expiryDrift
-}
-
-// drift is how much more time is left than was to be expected from an earlier reading.
-func drift(before, after uint32, passed time.Duration) time.Duration {
-	expected := max(0, time.Duration(before)*time.Millisecond-passed)
-	return time.Duration(after)*time.Millisecond - expected
-}
--- a/internal/registry/versions.go
+++ b/internal/registry/versions.go
@@ -1,10 +1,10 @@
 package registry
 
 import (
-	"cmp"
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/serverlist"
 )
 
 // receiveList takes a list of another control machine unless it is older than the current one or of an epoch
@@ -76,15 +76,7 @@
 	i.highestEpoch = max(i.highestEpoch, version.GetEpoch())
 }
 
-// CompareVersions orders server lists by epoch, holder and revision; nil comes before every version. It
-// returns a negative number, 0 or a positive number as first is older, the same or newer.
+// CompareVersions orders server lists, see serverlist.CompareVersions.
 func CompareVersions(first, second *pb.ListVersion) int {
-	switch {
-	case first.GetEpoch() != second.GetEpoch():
-		return cmp.Compare(first.GetEpoch(), second.GetEpoch())
-	case first.GetHolder() != second.GetHolder():
-		return cmp.Compare(first.GetHolder(), second.GetHolder())
-	default:
-		return cmp.Compare(first.GetRevision(), second.GetRevision())
-	}
+	return serverlist.CompareVersions(first, second)
 }
--- /dev/null
+++ b/internal/serverlist/serverlist.go
@@ -0,0 +1,67 @@
+// Package serverlist compares the platform's server lists: their versions, and whether two of them describe the same
+// servers. Control machines (package registry) and agents (package gossip) must agree on the order of versions, since
+// each side ignores lists that are older than its own.
+//
+// It holds no list and reads no clock.
+package serverlist
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+)
+
+// CompareVersions orders lists by epoch, then owner, then revision. A nil version is older than every other one. The
+// result is -1, 0 or 1 as first is older than, the same as or newer than second.
+func CompareVersions(first, second *pb.ListVersion) int {
+	return cmp.Or(
+		cmp.Compare(first.GetEpoch(), second.GetEpoch()),
+		cmp.Compare(first.GetHolder(), second.GetHolder()),
+		cmp.Compare(first.GetRevision(), second.GetRevision()),
+	)
+}
+
+// Tolerances bound how far the remaining times of a server may drift between two lists that still count as the same.
+// Receivers count the times down by themselves, so only a drift is an update. All bounds are inclusive.
+type Tolerances struct {
+	// WarmUpLater and WarmUpEarlier bound by how much the warm-up may end later or earlier than expected.
+	WarmUpLater, WarmUpEarlier time.Duration
+	// ExpiryLater and ExpiryEarlier bound by how much the server may expire later or earlier than expected.
+	ExpiryLater, ExpiryEarlier time.Duration
+}
+
+// Same reports whether a list read elapsed after an earlier one says nothing that does not follow from the earlier one
+// and the elapsed time. Both must hold their servers in the same order.
+func (t Tolerances) Same(before, after []*pb.Server, elapsed time.Duration) bool {
+	return slices.EqualFunc(before, after, func(first, second *pb.Server) bool {
+		return t.sameServer(first, second, elapsed)
+	})
+}
+
+func (t Tolerances) sameServer(before, after *pb.Server, elapsed time.Duration) bool {
+	return before.GetId() == after.GetId() &&
+		before.GetService() == after.GetService() &&
+		before.GetAddress() == after.GetAddress() &&
+		before.GetZone() == after.GetZone() &&
+		before.GetCapacity() == after.GetCapacity() &&
+		before.GetDraining() == after.GetDraining() &&
+		before.GetSoftware() == after.GetSoftware() &&
+		slices.Equal(before.GetModels(), after.GetModels()) &&
+		// Zero means that no expiry is known, which is more than a drift away from an expiry that is near.
+		(before.GetExpiresMs() == 0) == (after.GetExpiresMs() == 0) &&
+		within(drift(before.GetExpiresMs(), after.GetExpiresMs(), elapsed), t.ExpiryEarlier, t.ExpiryLater) &&
+		within(drift(before.GetWarmLeftMs(), after.GetWarmLeftMs(), elapsed), t.WarmUpEarlier, t.WarmUpLater)
+}
+
+// drift is by how much more time remains than was to be expected from the earlier remaining time. Both are in
+// milliseconds.
+func drift(beforeMs, afterMs uint32, elapsed time.Duration) time.Duration {
+	expected := max(0, time.Duration(beforeMs)*time.Millisecond-elapsed)
+	return time.Duration(afterMs)*time.Millisecond - expected
+}
+
+func within(drift, earlier, later time.Duration) bool {
+	return drift <= later && drift >= -earlier
+}
