--- a/internal/registry/events.go
+++ b/internal/registry/events.go
@@ -6,34 +6,35 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Event is something that an Inventory is told.
+// Event is an input of a ServerInventory: Tick, PollDone, ListReceived or VersionObserved.
 type Event interface{ inventoryEvent() }
 
-// Tick tells the time passing, several times a second.
+// Tick says that time has passed. It is due several times a second.
 type Tick struct {
-	// LiveHosts names the hosts of the live control machines, this one included, in the order of the agreed view;
-	// it is empty while no view is known.
+	// LiveHosts are the hosts of the live control machines, this one included, in the order of the view in force. It
+	// is empty while no view is known: then this machine does not poll.
 	LiveHosts []string
-	// Position is the place of this machine in that order if all machines were live.
+	// Position is the index of this machine in the order of the view, whether the others are live or not.
 	Position int
-	// Partitioned: this machine does not hear a majority of the control machines.
+	// Partitioned says that this machine has no contact with a majority of the control machines.
 	Partitioned bool
 }
 
-// PollDone ends the reading that the last StartPoll asked for.
+// PollDone is the result of the poll that the last StartPoll requested.
 type PollDone struct {
 	SentAt  time.Duration // when the first call was sent
 	Pages   int           // calls made
 	Servers []*pb.Server
-	Failed  bool // no whole list was read
+	Failed  bool // no complete list was read
 }
 
-// ListReceived is a list from another control machine.
+// ListReceived is a list, or the confirmation of one, from another control machine.
 type ListReceived struct{ List *pb.ServerList }
 
-// VersionObserved is the version that another control machine (Peer) or an agent says it holds.
+// VersionObserved is the version that another control machine (Peer) or an agent advertises. A version without an owner
+// is an epoch alone, see ServerInventory.AdvertisedVersion.
 type VersionObserved struct {
-	Version *pb.ListVersion
+	Version *pb.ListVersion // nil: none
 	Peer    bool
 }
 
@@ -42,49 +43,50 @@
 func (ListReceived) inventoryEvent()    {}
 func (VersionObserved) inventoryEvent() {}
 
-// Action is something that the shell of an Inventory has to do.
+// Action is an output of a ServerInventory (StartPoll, SendList, ListChanged) or of a LagMonitor (AgentLagging,
+// AgentCaughtUp, ProxyBoundExceeded).
 type Action interface{ inventoryAction() }
 
-// StartPoll asks for one reading of the platform's list, ended by PollDone. No second one is asked for before.
+// StartPoll requests one poll of the platform's list. Its result comes back as PollDone; until then no second one is
+// requested.
 type StartPoll struct{}
 
-// SendList asks for a message to all other control machines.
+// SendList requests that a message be sent to all other control machines.
 type SendList struct{ List *pb.ServerList }
 
-// ListChanged tells that Current holds another version.
+// ListChanged says that ServerInventory.Current has another version than before.
 type ListChanged struct{}
 
-func (StartPoll) inventoryAction()   {}
-func (SendList) inventoryAction()    {}
-func (ListChanged) inventoryAction() {}
-
-// AgentLagging tells that an agent's proxy has begun to be late.
+// AgentLagging says that the proxy of an agent has begun to lag by more than LagThreshold. AgentCaughtUp follows.
 type AgentLagging struct {
 	Host      string
-	Reported  uint64 // sequence
-	Committed uint64 // sequence
+	Reported  uint64 // sequence that the proxy has
+	Committed uint64 // newest committed sequence
 	Lag       time.Duration
-	Ready     bool // as the agent says of its proxy
+	Ready     bool // the proxy is ready, as its agent reports
 }
 
-// AgentCaughtUp ends what AgentLagging began.
+// AgentCaughtUp ends the episode that an AgentLagging began.
 type AgentCaughtUp struct {
 	Host     string
-	Reported uint64 // sequence
-	Longest  time.Duration
-	Unheard  bool // the agent was not heard again, or by another control machine: it may be behind still
+	Reported uint64        // sequence that the proxy has
+	Longest  time.Duration // longest lag in the episode
+	Unheard  bool          // this machine no longer receives the agent's reports: its proxy may still lag
 }
 
-// ProxyBoundExceeded tells that a proxy whose agent was in contact broke the bound on changes that were acknowledged. It comes
-// once in an episode.
+// ProxyBoundExceeded says that a proxy whose agent was in contact lagged by more than the deployment's bound. It comes
+// at most once in an episode.
 type ProxyBoundExceeded struct {
 	Host      string
-	Reported  uint64 // sequence
-	Committed uint64 // sequence
+	Reported  uint64 // sequence that the proxy has
+	Committed uint64 // newest committed sequence
 	Lag       time.Duration
 	Bound     time.Duration
 }
 
+func (StartPoll) inventoryAction()          {}
+func (SendList) inventoryAction()           {}
+func (ListChanged) inventoryAction()        {}
 func (AgentLagging) inventoryAction()       {}
 func (AgentCaughtUp) inventoryAction()      {}
 func (ProxyBoundExceeded) inventoryAction() {}
--- a/internal/registry/ownership.go
+++ b/internal/registry/ownership.go
@@ -5,16 +5,53 @@
 	"time"
 )
 
-// trackFirstInOrder keeps the time since when this machine is the first in order while another one has the duty.
-func (i *ServerInventory) trackFirstInOrder(now time.Duration) {
-	first := len(i.liveHosts) > 0 && i.liveHosts[0] == i.self && !i.IsOwner()
-	if first && !i.firstInOrder {
-		i.firstInOrderSince = now
-	}
-	i.firstInOrder = first
+// Delays before a machine takes the singleton role. The longer they are, the older the list grows when an owner fails;
+// the shorter they are, the more often two machines poll at once.
+const (
+	// startupListenWindow is the time after the start in which a machine without a list only listens: whoever has one
+	// sends it with the first heartbeat.
+	startupListenWindow = 60 * time.Millisecond
+
+	// startupGracePeriod is the time after the start for which a machine waits for a list that a peer has named, and
+	// before which it does not take the role over.
+	startupGracePeriod = time.Second
+
+	// callsPerInitialPoll is the number of calls that the first poll of a machine is assumed to take. As many machines
+	// poll at once, right after the listen window, as the platform's rate allows for. A proxy serves nothing without a
+	// list, and a call costs less than one request that is refused.
+	callsPerInitialPoll = 10
+
+	// initialPollStagger is how long the next group of machines waits for the one before it to read the first list.
+	initialPollStagger = 250 * time.Millisecond
+
+	// staleThreshold is the age of the list at which the next machine takes the role over, before its rank and jitter
+	// are added.
+	staleThreshold = 2 * time.Second
+
+	// rankDelay is how much longer each further machine waits than the one before it.
+	rankDelay = 700 * time.Millisecond
+
+	// maxJitter bounds the random part of a takeover delay.
+	maxJitter = 300 * time.Millisecond
+
+	// preemptionDelay is how long a machine is the first in order, with another one as the owner, before it takes the
+	// role back. It keeps a machine that flaps from moving the role at each turn.
+	preemptionDelay = 3 * time.Second
+)
+
+// IsOwner reports whether this machine has the singleton role, as far as it knows: the current list is its own, and no
+// peer is known to have a newer one.
+func (i *ServerInventory) IsOwner() bool {
+	return i.current != nil && i.current.version.GetHolder() == i.self && !i.fencedByPeer
 }
 
-// entitled reports whether this machine may read the list now.
+// ownsStaleList reports whether this machine is the owner and has not confirmed its list for some time. A peer may have
+// a list that was read later, under a lower epoch, if the two were partitioned.
+func (i *ServerInventory) ownsStaleList(now time.Duration) bool {
+	return i.IsOwner() && now-i.current.confirmedAt >= staleThreshold
+}
+
+// mayPoll reports whether this machine may poll now: it is the owner, or it is time for it to become the owner.
 func (i *ServerInventory) mayPoll(now time.Duration) bool {
 	if !slices.Contains(i.liveHosts, i.self) {
 		return false
@@ -34,23 +71,33 @@
 	return now >= i.current.confirmedAt+i.takeoverDelay()
 }
 
-// initialPollDelay is how long this machine listens after its start before it reads the list because it has none.
-// Machines that start together read it together: the list under the highest epoch stays.
+// trackFirstInOrder records since when this machine is the first in order while another one is the owner.
+func (i *ServerInventory) trackFirstInOrder(now time.Duration) {
+	first := len(i.liveHosts) > 0 && i.liveHosts[0] == i.self && !i.IsOwner()
+	if first && !i.firstInOrder {
+		i.firstInOrderSince = now
+	}
+	i.firstInOrder = first
+}
+
+// initialPollDelay is how long after its start a machine without a list polls. Machines that start together poll in
+// groups by their position; the list of the highest version stays.
 func (i *ServerInventory) initialPollDelay() time.Duration {
 	if i.epochAnnounced {
 		return startupGracePeriod + time.Duration(i.successionRank())*rankDelay
 	}
-	atOnce := max(1, int(i.rate/callsPerInitialPoll))
-	return startupListenWindow + time.Duration(i.position/atOnce)*initialPollStagger
+	groupSize := max(1, int(i.rate/callsPerInitialPoll))
+	return startupListenWindow + time.Duration(i.position/groupSize)*initialPollStagger
 }
 
-// patience is the age of the news at which this machine takes the duty over: the machines that come before it
-// in order have the chance to do so earlier.
+// takeoverDelay is the age of the list at which this machine takes the role over. Machines that come before it in
+// order have the chance to do so earlier.
 func (i *ServerInventory) takeoverDelay() time.Duration {
 	return staleThreshold + time.Duration(i.successionRank())*rankDelay + i.jitter
 }
 
-// rank is the place of this machine in order. The one that let the news grow old does not count.
+// successionRank is the number of live machines that take the role over before this one. The owner does not count: it
+// is the one that has not confirmed its list.
 func (i *ServerInventory) successionRank() int {
 	rank := 0
 	for _, host := range i.liveHosts {
@@ -64,17 +111,6 @@
 	return rank
 }
 
-// ownsStaleList reports whether this machine has had the duty in vain for some time. Another machine may hold a list
-// that was read later, under a lower epoch, if they were cut off from one another.
-func (i *ServerInventory) ownsStaleList(now time.Duration) bool {
-	return i.IsOwner() && now-i.current.confirmedAt >= staleThreshold
-}
-
-// IsOwner reports whether this machine has the duty, as far as it knows.
-func (i *ServerInventory) IsOwner() bool {
-	return i.current != nil && i.current.version.GetHolder() == i.self && !i.fencedByPeer
-}
-
 func (i *ServerInventory) drawJitter() {
 	i.jitter = time.Duration(i.random.Int64N(int64(maxJitter)))
 }
--- a/internal/registry/poll.go
+++ b/internal/registry/poll.go
@@ -6,7 +6,35 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// tick starts a reading when this machine has the duty, or has to take it, and the time has come.
+// Times and rates of polls. Each call to the platform has its price, and all control machines together stay far below
+// its rate.
+const (
+	// PollInterval is the time between two polls of the owner.
+	PollInterval = time.Second
+
+	// PollTimeout is the longest time from sending the first call of a poll to the complete receipt of its last
+	// answer. The result of a longer poll is discarded.
+	PollTimeout = 1500 * time.Millisecond
+
+	// minInitialRetryDelay is the shortest wait before a machine without a list polls again. Up to as much again is
+	// added at random.
+	minInitialRetryDelay = 300 * time.Millisecond
+
+	// maxTakeoverBackoff bounds the backoff of a machine that polls in order to take the role over, and fails.
+	maxTakeoverBackoff = 2 * time.Second
+
+	// rateDivisor is the part of the platform's rate (one call in so many) that the owner uses.
+	rateDivisor = 3
+
+	// partitionedRateDivisor is how much less of the rate a machine uses that has no contact with a majority: each side
+	// of a partition polls for itself.
+	partitionedRateDivisor = 4
+
+	// initialEpochRange is the number of epochs out of which the first one is drawn.
+	initialEpochRange = 1 << 32
+)
+
+// tick starts a poll if one is due.
 func (i *ServerInventory) tick(now time.Duration) []Action {
 	i.trackFirstInOrder(now)
 	if now < i.nextPollAt {
@@ -15,44 +43,44 @@
 	return i.startPoll(now)
 }
 
-// startPoll starts a reading if this machine is entitled to it and none is under way.
+// startPoll starts a poll, if this machine may poll and none is in flight.
 func (i *ServerInventory) startPoll(now time.Duration) []Action {
 	if i.polling || !i.mayPoll(now) {
 		return nil
 	}
 	i.polling = true
-	// Late ticks must not stretch the period; readings that were long overdue are not made up for.
-	period := i.pollInterval()
-	i.nextPollAt = max(i.nextPollAt+period, now+period*3/4)
+	// Late ticks must not stretch the interval, and polls that are long overdue are not made up for.
+	interval := i.pollInterval()
+	i.nextPollAt = max(i.nextPollAt+interval, now+interval*3/4)
 	return []Action{StartPoll{}}
 }
 
-// period is the time between two readings: longer than PollInterval if the list has so many pages that the
-// platform's rate would be used up, or if this machine tries to take the duty over without success.
+// pollInterval is the time between two polls. It is longer than PollInterval if the list has so many pages that the
+// platform's rate would be used up, or if this machine fails to take the role over.
 func (i *ServerInventory) pollInterval() time.Duration {
-	period := PollInterval
+	interval := PollInterval
 	if i.rate > 0 {
-		share := rateDivisor
+		divisor := rateDivisor
 		if i.partitioned {
-			share *= partitionedRateDivisor
+			divisor *= partitionedRateDivisor
 		}
-		seconds := float64(i.lastPages*share) / i.rate
-		period = max(period, time.Duration(seconds*float64(time.Second)))
+		seconds := float64(i.lastPages*divisor) / i.rate
+		interval = max(interval, time.Duration(seconds*float64(time.Second)))
 	}
 	if i.IsOwner() {
-		return period
+		return interval
 	}
 	for range i.consecutiveFailures {
-		if period >= maxTakeoverBackoff {
+		if interval >= maxTakeoverBackoff {
 			break
 		}
-		period *= 2
+		interval *= 2
 	}
-	return period
+	return interval
 }
 
-// finishPoll takes the result of a reading: if it is good and this machine is still entitled to it, it is
-// published under an epoch of this machine.
+// finishPoll takes the result of a poll. It is published if it is complete and in time, and if this machine still may
+// poll: a list of another machine that came meanwhile ends a takeover.
 func (i *ServerInventory) finishPoll(now time.Duration, done PollDone) []Action {
 	if !i.polling {
 		return nil
@@ -75,17 +103,17 @@
 	return i.publish(now, done)
 }
 
-// publish makes the servers that were read the current list, or only confirms the current one if it says the
-// same.
+// publish makes the servers of a poll the current list. If this machine owns the highest epoch, an unchanged list is
+// only confirmed, and a changed one becomes its next revision; otherwise the list begins an epoch of this machine.
 func (i *ServerInventory) publish(now time.Duration, done PollDone) []Action {
 	servers := sortServers(done.Servers)
-	inDuty := i.IsOwner() && !i.newerVersionAtAgent && i.current.version.GetEpoch() == i.highestEpoch
-	if inDuty && pollTolerances.Same(i.current.servers, servers, done.SentAt-i.current.readAt) {
+	ownsHighestEpoch := i.IsOwner() && !i.mustRaiseEpoch && i.current.version.GetEpoch() == i.highestEpoch
+	if ownsHighestEpoch && pollTolerances.Same(i.current.servers, servers, done.SentAt-i.current.readAt) {
 		i.current = i.current.confirmed(done.SentAt)
 		return []Action{SendList{List: i.current.Confirmation(now)}}
 	}
 	version := &pb.ListVersion{Epoch: i.nextEpoch(), Holder: i.self, Revision: 1}
-	if inDuty {
+	if ownsHighestEpoch {
 		version.Epoch = i.highestEpoch
 		version.Revision = i.current.version.GetRevision() + 1
 	}
@@ -95,19 +123,12 @@
 	return []Action{ListChanged{}, SendList{List: i.current.Message(now)}}
 }
 
-// nextEpoch returns an epoch higher than any seen. The first of a life in which none was seen is drawn at
-// random, so that it is not one of an earlier life of all control machines: agents may still hold its list.
+// nextEpoch returns an epoch above every one observed. If none has been observed since the start, it is drawn at
+// random, so that it differs from those of before all control machines were restarted: agents may still have lists
+// of that time.
 func (i *ServerInventory) nextEpoch() uint64 {
 	if i.highestEpoch == 0 {
 		return 1 + i.random.Uint64N(initialEpochRange)
 	}
 	return i.highestEpoch + 1
 }
-
-// replace puts a newer list in place.
-func (i *ServerInventory) setCurrent(list *ServerList) {
-	i.current = list
-	i.fencedByPeer = false
-	i.newerVersionAtAgent = false
-	i.drawJitter()
-}
