--- a/internal/registry/agents.go
+++ b/internal/registry/agents.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// recordTolerance is how much less fresh the record of a higher incarnation, or of a machine that drains, may
-	// be and still win: the ages that other control machines tell leave out the time that the message was under
-	// way. Beyond it the fresher record wins, since incarnations need not rise after a machine's time of day has
-	// jumped back, and a proxy may start anew beside its agent.
+	// recordTolerance is by how much a record of a higher incarnation, or of a machine that drains, may be older than
+	// another one and still win: the ages in reports of other control machines leave out the time that a report takes.
+	// Beyond it the later record wins, since incarnations need not rise after a machine's wall clock has jumped back,
+	// and since a proxy may restart beside its agent.
 	recordTolerance = 500 * time.Millisecond
 
-	// peerReportInterval is the time after which an unchanged agent is reported again to the other control machines.
+	// peerReportInterval is the time after which an unchanged record is reported to the other control machines again.
 	peerReportInterval = 800 * time.Millisecond
 )
 
-// Agents is what one control machine knows of the edge machines, heard from themselves or from other control
-// machines.
+// Agents are the edge machines that one control machine knows, from their own reports or from those of other control
+// machines. It is not safe for concurrent use.
 type Agents struct {
 	known   map[string]*knownAgent // by host
 	version uint64
 	members *Members
 }
 
-// knownAgent is the freshest that is known of one edge machine.
+// knownAgent is the newest record of one edge machine.
 type knownAgent struct {
 	record     *pb.AgentRecord // immutable; age_ms is 0
 	receivedAt time.Duration
-	direct     bool // heard from the agent itself, not told by another control machine
-	// drainingSince is when the machine was first heard to drain; it counts while the record says so.
+	direct     bool // received from the agent itself, not from another control machine
+	// drainingSince is when the machine first reported that it drains. It counts only while the record says so.
 	drainingSince time.Duration
 
 	reported   *pb.AgentRecord // as last reported to the other control machines
 	reportedAt time.Duration
 }
 
-// NewAgents returns a registry without agents. The versions of its members begin above base, which must differ
-// from start to start of the process, so that nobody takes a version of this life for one of an earlier life.
+// NewAgents returns a registry without agents. The versions of its members begin above base, which must differ between
+// incarnations of the process, so that nobody takes a version of one for a version of another.
 func NewAgents(base uint64) *Agents {
 	return &Agents{
 		known:   make(map[string]*knownAgent),
@@ -51,25 +51,25 @@
 	}
 }
 
-// Observe takes a record that came from the agent itself and reports whether clients or other agents would be
-// told something new.
+// Observe takes a record that came from the agent itself. It reports whether the record holds something that matters to
+// clients or other agents.
 func (a *Agents) Observe(now time.Duration, record *pb.AgentRecord) bool {
 	return a.accept(now, record, true)
 }
 
-// Merge takes the records that another control machine heard, with their ages, and reports whether clients or
-// other agents would be told something new.
+// Merge takes the records that another control machine received, with their ages. It reports whether they hold
+// something that matters to clients or other agents.
 func (a *Agents) Merge(now time.Duration, records []*pb.AgentRecord) bool {
 	changed := false
 	for _, record := range records {
-		heardAt := now - time.Duration(record.GetAgeMs())*time.Millisecond
-		changed = a.accept(heardAt, record, false) || changed
+		receivedAt := now - time.Duration(record.GetAgeMs())*time.Millisecond
+		changed = a.accept(receivedAt, record, false) || changed
 	}
 	return changed
 }
 
-// learn keeps a record if it says more than what is known of the host.
-func (a *Agents) accept(heardAt time.Duration, record *pb.AgentRecord, direct bool) bool {
+// accept keeps a record if it supersedes the known one of its host, and reports whether its content is new.
+func (a *Agents) accept(receivedAt time.Duration, record *pb.AgentRecord, direct bool) bool {
 	if record.GetHost() == "" {
 		return false
 	}
@@ -80,35 +80,36 @@
 		}
 		agent = &knownAgent{}
 		a.known[record.Host] = agent
-	} else if !agent.supersededBy(heardAt, record) {
+	} else if !agent.supersededBy(receivedAt, record) {
 		return false
 	}
 	changed := agent.record == nil || !sameContent(agent.record, record)
 	if !agent.record.GetDraining() || agent.record.GetIncarnation() != record.GetIncarnation() {
-		agent.drainingSince = heardAt
+		agent.drainingSince = receivedAt
 	}
 	agent.record = withoutAge(record)
-	agent.receivedAt = heardAt
+	agent.receivedAt = receivedAt
 	agent.direct = direct
 	return changed
 }
 
-// supersededBy reports whether a record heard at a time says more than the one that is known: of two heard at about the
-// same time the higher incarnation, then the one that drains, which comes last in a life; else the fresher one.
-func (agent *knownAgent) supersededBy(heardAt time.Duration, record *pb.AgentRecord) bool {
-	difference := heardAt - agent.receivedAt
+// supersededBy reports whether a record received at a time replaces the known one. Of two received at about the same time,
+// the one of the higher incarnation does, then the one that drains, since draining ends an incarnation; otherwise the
+// later one does.
+func (k *knownAgent) supersededBy(receivedAt time.Duration, record *pb.AgentRecord) bool {
+	difference := receivedAt - k.receivedAt
 	if difference.Abs() <= recordTolerance {
-		if record.Incarnation != agent.record.Incarnation {
-			return record.Incarnation > agent.record.Incarnation
+		if record.Incarnation != k.record.Incarnation {
+			return record.Incarnation > k.record.Incarnation
 		}
-		if record.Draining != agent.record.Draining {
+		if record.Draining != k.record.Draining {
 			return record.Draining
 		}
 	}
 	return difference >= 0
 }
 
-// withoutAge returns the record itself or a copy with no age.
+// withoutAge returns the record itself, or a copy without its age.
 func withoutAge(record *pb.AgentRecord) *pb.AgentRecord {
 	if record.AgeMs == 0 {
 		return record
@@ -123,8 +124,8 @@
 	return copied
 }
 
-// sameContent reports whether two records of a host tell the others the same. The sequence and the age change
-// all the time and are of no interest to them.
+// sameContent reports whether two records of a host say the same to clients and other agents. The sequence and the age
+// change all the time and do not matter to them.
 func sameContent(first, second *pb.AgentRecord) bool {
 	return first.Incarnation == second.Incarnation &&
 		first.Ready == second.Ready &&
@@ -135,8 +136,8 @@
 		first.EdgeAddress == second.EdgeAddress
 }
 
-// Report returns, with their ages, the live agents that this machine heard from itself, for the other control
-// machines: each when it changed, else about once a second.
+// Report returns the records to send to the other control machines, with their ages: those of live agents that this
+// machine received from the agents themselves, each after a change and otherwise once in peerReportInterval.
 func (a *Agents) Report(now time.Duration) []*pb.AgentRecord {
 	var report []*pb.AgentRecord
 	for _, agent := range a.known {
@@ -144,8 +145,8 @@
 		if !agent.direct || age >= FailureTimeout {
 			continue
 		}
-		known := agent.reported != nil && sameContent(agent.reported, agent.record)
-		if known && now-agent.reportedAt < peerReportInterval {
+		unchanged := agent.reported != nil && sameContent(agent.reported, agent.record)
+		if unchanged && now-agent.reportedAt < peerReportInterval {
 			continue
 		}
 		agent.reported = agent.record
@@ -155,8 +156,8 @@
 	return report
 }
 
-// Refresh forgets agents that were lost long ago and returns the members as of now. Their version is higher
-// than before if anything changed that matters to agents.
+// Refresh removes the agents that have been lost for LostRetention and returns the members as of now. Their version is
+// higher than before if anything changed that matters to agents.
 func (a *Agents) Refresh(now time.Duration) *Members {
 	list := make([]Member, 0, len(a.known))
 	for host, agent := range a.known {
@@ -182,8 +183,8 @@
 	return a.members
 }
 
-// sameMembers reports whether two sorted lists of members say the same to agents: they need to know who may be
-// sending, and where, but not who is ready. A lost machine may go on sending.
+// sameMembers reports whether two sorted lists of members say the same to agents. Agents need to know which machines may
+// be sending requests, and where these are, but not which are ready. A lost machine may still be sending.
 func sameMembers(first, second []Member) bool {
 	return slices.EqualFunc(first, second, func(one, other Member) bool {
 		return one.record.Host == other.record.Host &&
--- a/internal/registry/agents_partition_test.go
+++ b/internal/registry/agents_partition_test.go
@@ -14,26 +14,26 @@
 
 const (
 	// contact is how long a machine must have been joined and running to be held to the rules (contact-ms).
-	contact = 4 * time.Second
-	// namedFor is how long after its end an edge machine may still be named.
-	namedFor = contact + 3*time.Second
-	// longestWay is the longest way of a heartbeat that is not lost: it waits for a second, then its call may last
+	minContact = 4 * time.Second
+	// maxNamedAfterEnd is how long after its end an edge machine may still be named.
+	maxNamedAfterEnd = minContact + 3*time.Second
+	// maxHeartbeatDelay is the longest way of a heartbeat that is not lost: it waits for a second, then its call may last
 	// as long.
-	longestWay = 2 * time.Second
-	// watchHeld and heartbeatHeld are how long a cut holds up what was sent: then its sender gives the connection up.
-	watchHeld     = 2 * time.Second
-	heartbeatHeld = 1500 * time.Millisecond
-
-	watchEvery     = time.Second
-	heartbeatEvery = 300 * time.Millisecond
-	lookEvery      = 50 * time.Millisecond
+	maxHeartbeatDelay = 2 * time.Second
+	// partitionedWatchTimeout and partitionedHeartbeatTimeout are how long a cut holds up what was sent: then its sender gives the connection up.
+	partitionedWatchTimeout     = 2 * time.Second
+	partitionedHeartbeatTimeout = 1500 * time.Millisecond
+
+	watchInterval     = time.Second
+	heartbeatInterval = 300 * time.Millisecond
+	observeInterval   = 50 * time.Millisecond
 )
 
 // directoryMachine is a control machine that answers clients.
 type directoryMachine struct {
-	agents   *Agents
-	cut      bool
-	joinedAt time.Duration // since when it is not cut off
+	agents      *Agents
+	partitioned bool
+	joinedAt    time.Duration // since when it is not cut off
 }
 
 // edgeMachine is an edge machine that is killed and started.
@@ -45,7 +45,7 @@
 }
 
 // held is something on its way; at a machine that is cut off it waits no longer than until lost.
-type held struct {
+type delayedReport struct {
 	at, lost time.Duration
 	to       *directoryMachine
 	do       func(now time.Duration, agents *Agents)
@@ -54,13 +54,13 @@
 // directory is a simulation of control machines that hear of edge machines, of which some are cut off. What was
 // sent to one that is cut off for a short time arrives at the join, also if the sender was killed meanwhile.
 type directory struct {
-	t        *testing.T
-	random   *rand.Rand
-	now      time.Duration
-	machines []*directoryMachine
-	edges    []*edgeMachine
-	mail     []held
-	liveFor  time.Duration // how old what is told of an edge machine is made to seem; 0: as old as it is
+	t         *testing.T
+	random    *rand.Rand
+	now       time.Duration
+	machines  []*directoryMachine
+	edges     []*edgeMachine
+	inTransit []delayedReport
+	extraAge  time.Duration // how old what is told of an edge machine is made to seem; 0: as old as it is
 
 	longestInTouch, longest time.Duration // for which an edge machine was named after its end
 }
@@ -77,36 +77,36 @@
 }
 
 func (d *directory) run(span time.Duration) {
-	for end := d.now + span; d.now < end; d.now += lookEvery {
+	for end := d.now + span; d.now < end; d.now += observeInterval {
 		d.deliver()
 		for _, edge := range d.edges {
-			if !edge.killed && d.random.Int64N(int64(watchEvery/lookEvery)) == 0 {
+			if !edge.killed && d.random.Int64N(int64(watchInterval/observeInterval)) == 0 {
 				d.watch(edge)
 			}
 		}
 		for _, machine := range d.machines {
-			if d.random.Int64N(int64(heartbeatEvery/lookEvery)) == 0 {
+			if d.random.Int64N(int64(heartbeatInterval/observeInterval)) == 0 {
 				d.heartbeat(machine)
 			}
 			machine.agents.Refresh(d.now)
 			require.NoError(d.t, machine.agents.Check())
 		}
-		d.look()
+		d.observe()
 	}
 }
 
 // deliver hands over what has arrived. Nothing arrives at a machine that is cut off.
 func (d *directory) deliver() {
-	due := d.mail
-	d.mail = nil
+	due := d.inTransit
+	d.inTransit = nil
 	for _, one := range due {
 		switch {
 		case one.at > d.now:
-			d.mail = append(d.mail, one)
-		case !one.to.cut:
+			d.inTransit = append(d.inTransit, one)
+		case !one.to.partitioned:
 			one.do(d.now, one.to.agents)
 		case d.now < one.lost:
-			d.mail = append(d.mail, one)
+			d.inTransit = append(d.inTransit, one)
 		}
 	}
 }
@@ -114,9 +114,9 @@
 // watch lets an edge machine tell one control machine of itself.
 func (d *directory) watch(edge *edgeMachine) {
 	record := &pb.AgentRecord{Host: edge.host, Incarnation: edge.started, Ready: true, EdgeAddress: edge.host}
-	d.mail = append(d.mail, held{
+	d.inTransit = append(d.inTransit, delayedReport{
 		at:   d.now + time.Duration(d.random.Int64N(int64(100*time.Millisecond))),
-		lost: d.now + watchHeld,
+		lost: d.now + partitionedWatchTimeout,
 		to:   d.machines[d.random.IntN(len(d.machines))],
 		do:   func(now time.Duration, agents *Agents) { agents.Observe(now, record) },
 	})
@@ -126,13 +126,13 @@
 func (d *directory) heartbeat(from *directoryMachine) {
 	records := from.agents.Report(d.now)
 	for _, to := range d.machines {
-		if to == from || from.cut {
+		if to == from || from.partitioned {
 			continue
 		}
-		way := time.Duration(d.random.Int64N(int64(longestWay)))
-		d.mail = append(d.mail, held{
+		way := time.Duration(d.random.Int64N(int64(maxHeartbeatDelay)))
+		d.inTransit = append(d.inTransit, delayedReport{
 			at:   d.now + way,
-			lost: d.now + way + heartbeatHeld,
+			lost: d.now + way + partitionedHeartbeatTimeout,
 			to:   to,
 			do:   func(now time.Duration, agents *Agents) { agents.Merge(now, records) },
 		})
@@ -140,15 +140,15 @@
 }
 
 // look takes an answer of each machine.
-func (d *directory) look() {
+func (d *directory) observe() {
 	for _, machine := range d.machines {
-		named := machine.agents.Refresh(d.now).Endpoints(d.now-d.liveFor, Client{}, 0)
+		named := machine.agents.Refresh(d.now).Endpoints(d.now-d.extraAge, Client{}, 0)
 		for _, edge := range d.edges {
 			if !edge.killed || !slices.Contains(named, edge.host) {
 				continue
 			}
 			d.longest = max(d.longest, d.now-edge.at)
-			if !machine.cut && d.now-machine.joinedAt >= contact {
+			if !machine.partitioned && d.now-machine.joinedAt >= minContact {
 				d.longestInTouch = max(d.longestInTouch, d.now-edge.at)
 			}
 		}
@@ -156,7 +156,7 @@
 }
 
 // trouble kills or starts an edge machine, or cuts a control machine off or joins it.
-func (d *directory) trouble() {
+func (d *directory) injectFault() {
 	if d.random.IntN(3) > 0 {
 		edge := d.edges[d.random.IntN(len(d.edges))]
 		edge.killed = !edge.killed
@@ -165,16 +165,16 @@
 		return
 	}
 	machine := d.machines[d.random.IntN(len(d.machines))]
-	machine.cut = !machine.cut
+	machine.partitioned = !machine.partitioned
 	machine.joinedAt = d.now
 }
 
-func playDirectory(t *testing.T, seed uint64, liveFor time.Duration) *directory {
+func runDirectory(t *testing.T, seed uint64, liveFor time.Duration) *directory {
 	d := newDirectory(t, seed)
-	d.liveFor = liveFor
+	d.extraAge = liveFor
 	for d.now < 5*time.Minute {
 		d.run(time.Duration(d.random.Int64N(int64(6 * time.Second))))
-		d.trouble()
+		d.injectFault()
 	}
 	return d
 }
@@ -182,8 +182,8 @@
 func TestDirectoryOfAMachineThatWasCutOffNamesNoDeadProxyForLong(t *testing.T) {
 	inTouch, longest := time.Duration(0), time.Duration(0)
 	for seed := range uint64(10) {
-		d := playDirectory(t, seed, 0)
-		require.Less(t, d.longestInTouch, namedFor, "seed %d", seed)
+		d := runDirectory(t, seed, 0)
+		require.Less(t, d.longestInTouch, maxNamedAfterEnd, "seed %d", seed)
 		inTouch, longest = max(inTouch, d.longestInTouch), max(longest, d.longest)
 	}
 	t.Logf("dead proxies were named for %v at most by machines in touch, for %v by any", inTouch, longest)
@@ -191,5 +191,5 @@
 
 // The planted fault: what was heard counts for five seconds longer.
 func TestADirectoryThatNamesDeadProxiesForLongIsFound(t *testing.T) {
-	require.GreaterOrEqual(t, playDirectory(t, 1, 5*time.Second).longestInTouch, namedFor)
+	require.GreaterOrEqual(t, runDirectory(t, 1, 5*time.Second).longestInTouch, maxNamedAfterEnd)
 }
--- a/internal/registry/capacity_bench_test.go
+++ b/internal/registry/capacity_bench_test.go
@@ -99,8 +99,8 @@
 	b.ReportMetric(float64(size), "B/message")
 }
 
-// BenchmarkCapacityHeardAndRefresh hears one agent's changed record and lists all anew.
-func BenchmarkCapacityHeardAndRefresh(b *testing.B) {
+// BenchmarkCapacityObserveAndRefresh hears one agent's changed record and lists all anew.
+func BenchmarkCapacityObserveAndRefresh(b *testing.B) {
 	agents := capacityAgents(390)
 	records := []*pb.AgentRecord{capacityRecord(5), capacityRecord(5)}
 	records[1].Ready = false
--- a/internal/registry/digest_test.go
+++ b/internal/registry/digest_test.go
@@ -35,7 +35,7 @@
 		}
 		s.run(60*time.Second, func() {
 			if s.random.IntN(30) == 0 {
-				s.trouble()
+				s.injectFault()
 			}
 			for _, machine := range s.machines {
 				recorder.Entry(s.now, "told").Text(machine.host).Message(machine.inventory.AdvertisedVersion()).Flag(machine.inventory.IsOwner())
@@ -70,12 +70,12 @@
 
 // What control machines say of proxies that are late, over agents that are cut off, proxies that start anew, and one
 // that takes no changes.
-func TestLatenessHasTheRecordedDigests(t *testing.T) {
+func TestLagMonitorHasTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "lateness", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(5 * time.Second)
 		e := newFollowingEdge(4)
 		e.hosts[3].stuck = true
-		e.hosts[3].reportedBy = 2200 * time.Millisecond
+		e.hosts[3].reportInterval = 2200 * time.Millisecond
 		told := 0
 		for e.now < followTime {
 			e.step()
@@ -83,11 +83,11 @@
 			said := slices.Clone(e.events[told:])
 			slices.SortStableFunc(said, func(a, b Action) int { return strings.Compare(hostOf(a), hostOf(b)) })
 			for _, action := range said {
-				recordLateness(t, recorder, e.now, action)
+				recordLagAction(t, recorder, e.now, action)
 			}
 			told = len(e.events)
 		}
-		recorder.Entry(e.now, "violations").Number(uint64(e.lateness.Stats(e.now).Violations))
+		recorder.Entry(e.now, "violations").Number(uint64(e.monitor.Stats(e.now).Violations))
 		return recorder
 	})
 }
@@ -104,7 +104,7 @@
 	return ""
 }
 
-func recordLateness(t *testing.T, recorder *digesttest.Recorder, now time.Duration, action Action) {
+func recordLagAction(t *testing.T, recorder *digesttest.Recorder, now time.Duration, action Action) {
 	switch action := action.(type) {
 	case AgentLagging:
 		recorder.Entry(now, "behind").Text(action.Host).Number(action.Reported).Number(action.Committed).
--- a/internal/registry/endpoints.go
+++ b/internal/registry/endpoints.go
@@ -9,48 +9,55 @@
 )
 
 const (
-	// MaxEndpoints is the number of addresses that a client is told at most.
+	// MaxEndpoints bounds the addresses in one answer to a client.
 	MaxEndpoints = 64
 
-	// sufficientEndpoints in a client's zone or region are used without looking further.
+	// sufficientEndpoints is the number of proxies in a client's zone or region with which the search ends there.
 	sufficientEndpoints = 2
 
-	// mostlyServingDivisor is the part of the live proxies (one in so many) that is enough to send clients to them while
-	// the others are still on their way.
+	// mostlyServingDivisor is the part of the live proxies (one in so many) that suffices to send clients to them while the
+	// others are still starting.
 	mostlyServingDivisor = 2
 
-	// sufficientDivisor is the part of all proxies (one in so many) that suffices though it is a single one.
+	// sufficientDivisor is the part of all proxies (one in so many) that suffices though it is a single proxy.
 	sufficientDivisor = 3
 
-	// recentLossWindow is how long after a proxy was last heard of its region counts as in unplanned trouble, if it fell
-	// silent without having said that it drains. Until then the proxies of other regions may help out: the rules
-	// leave such requests out for 15 s, of which clients may hold an answer for the last three.
+	// recentLossWindow is the time since a proxy's last report in which its region counts as having lost it, if its reports
+	// ended without one that says that it drains. In it, proxies of other regions may take over: the rules do not count
+	// such requests for 15 s, and clients may use an answer of the directory for the last three of these.
 	recentLossWindow = 12 * time.Second
 )
 
-// Client is who asks for edge addresses.
+// Client describes who requests edge addresses.
 type Client struct {
-	Region string // empty: not told
-	Zone   string // empty: not told
-	// Homes are those of the host that it asks for: requests that have homes must not be sent to proxies in regions
-	// that are neither homes nor the client's.
+	Region string // empty: unknown
+	Zone   string // empty: unknown
+	// Homes are the home regions of the requested host's routes. Requests that have home regions must not be sent to
+	// proxies in regions that are neither one of these nor the client's.
 	Homes route.HomeRegions
-	// Leaving is how long a proxy that drains may still be named where nothing else is near.
+	// Leaving is the time for which a draining proxy may still be named if no other one is near.
 	Leaving time.Duration
 }
 
-// isNear reports whether all requests of the client may be sent to a region.
+// isNear reports whether a region is near: all requests of the client may be sent to it.
 func (c *Client) isNear(region string) bool {
 	return !c.Homes.IsRestricted() || region == c.Region || c.Homes.AllAllowedIn(region)
 }
 
-// Endpoints returns the edge addresses that a client is to use: those of its zone if there are at least two or a
-// third of all, else those of its region by the same measure, else those of all regions that are near. If a client
-// that is bound to homes has just lost a proxy of its region, and what is near does not suffice, all regions help. If
-// nothing is near, it gets proxies of its region that have only begun to drain and still take requests, else those in
-// regions that are homes of the most of its routes. Apart from that, only proxies that are live, ready and not draining
-// count. The order is turned by rotation, so that clients that take the first ones spread. The result is empty if no
-// proxy takes requests.
+// Endpoints returns the edge addresses that a client is to use: the first of these sets that suffices, which is one with
+// at least two proxies or a third of all.
+//
+//  1. The proxies of its zone.
+//  2. Those of its region.
+//  3. Those of all regions that are near, which all its requests may be sent to.
+//  4. Those of all regions, if its region has just lost a proxy without notice.
+//  5. Those that are near, though they do not suffice.
+//  6. Those of its region that have only begun to drain and still take requests.
+//  7. Those in the regions that are homes of the most of its routes.
+//
+// From the fourth on, any proxy suffices. But for the sixth, only proxies that are live, ready and not draining count.
+// The order is rotated, so that clients that take the first address spread. The result is empty if no proxy takes
+// requests. There are at most MaxEndpoints addresses.
 func (m *Members) Endpoints(now time.Duration, client Client, rotation uint64) []string {
 	all := m.serving(now)
 	inZone := filter(all, func(record *pb.AgentRecord) bool { return record.Zone == client.Zone })
@@ -70,13 +77,13 @@
 	case len(near) > 0:
 		return rotated(near, rotation)
 	}
-	if leaving := m.recentlyDraining(now, client); len(leaving) > 0 {
-		return rotated(leaving, rotation)
+	if draining := m.recentlyDraining(now, client); len(draining) > 0 {
+		return rotated(draining, rotation)
 	}
 	return rotated(inHomeRegions(all, client.Homes), rotation)
 }
 
-// leaving returns the records of the client's region that have only begun to drain.
+// recentlyDraining returns the records of the client's region that began to drain less than Client.Leaving ago.
 func (m *Members) recentlyDraining(now time.Duration, client Client) []*pb.AgentRecord {
 	var result []*pb.AgentRecord
 	for _, member := range m.list {
@@ -89,7 +96,7 @@
 	return result
 }
 
-// inHomeRegions returns the records in those regions that are homes of the most routes; all if none is one.
+// inHomeRegions returns the records in the regions that are homes of the most routes, all records if none is in one.
 func inHomeRegions(all []*pb.AgentRecord, homes route.HomeRegions) []*pb.AgentRecord {
 	most := 0
 	for _, record := range all {
@@ -101,7 +108,8 @@
 	return filter(all, func(record *pb.AgentRecord) bool { return homes.ByRegion[record.Region] == most })
 }
 
-// Serves reports whether a proxy of the region takes requests. Clients that tell no region are served by any.
+// Serves reports whether a proxy of the region takes requests. Any proxy serves clients whose region is
+// unknown.
 func (m *Members) Serves(now time.Duration, region string) bool {
 	serving := m.serving(now)
 	if region == "" {
@@ -110,20 +118,20 @@
 	return slices.ContainsFunc(serving, func(record *pb.AgentRecord) bool { return record.Region == region })
 }
 
-// recentLossIn reports whether a proxy of the region has just fallen silent without having said that it drains.
+// recentLossIn reports whether the reports of a proxy of the region have just ended without one that says that it drains.
 func (m *Members) recentLossIn(now time.Duration, region string) bool {
 	for _, member := range m.list {
 		if member.record.Region != region || member.record.Draining {
 			continue
 		}
-		if silent := now - member.receivedAt; silent >= FailureTimeout && silent < recentLossWindow {
+		if sinceReport := now - member.receivedAt; sinceReport >= FailureTimeout && sinceReport < recentLossWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// matching returns the records that a condition holds for.
+// filter returns the records that meet a condition.
 func filter(records []*pb.AgentRecord, condition func(*pb.AgentRecord) bool) []*pb.AgentRecord {
 	var result []*pb.AgentRecord
 	for _, record := range records {
@@ -134,7 +142,7 @@
 	return result
 }
 
-// suffices reports whether a part of all proxies can take the clients of its place.
+// suffices reports whether a part of all proxies can take the clients of its zone or region.
 func suffices(part, all []*pb.AgentRecord) bool {
 	if len(part) == 0 {
 		return false
@@ -142,7 +150,7 @@
 	return len(part) >= sufficientEndpoints || len(part)*sufficientDivisor >= len(all)
 }
 
-// rotated returns the edge addresses of the records, begun at another one for each rotation.
+// rotated returns the edge addresses of the records, at most MaxEndpoints, beginning with another one for each rotation.
 func rotated(records []*pb.AgentRecord, rotation uint64) []string {
 	count := min(len(records), MaxEndpoints)
 	addresses := make([]string, 0, count)
--- a/internal/registry/endpoints_sim_test.go
+++ b/internal/registry/endpoints_sim_test.go
@@ -25,24 +25,24 @@
 	heartbeatTime = 300 * time.Millisecond
 	// warmUp is the time in which control machines have not heard of all agents yet.
 	warmUp = 2 * time.Second
-	// cutsUntil ends the time in which control machines are cut off.
-	cutsUntil = 30 * time.Second
+	// partitionsUntil ends the time in which control machines are cut off.
+	partitionsUntil = 30 * time.Second
 )
 
 // simulatedEdge is an edge whose machines are killed, ended and started, heard by control machines of which some
 // are cut off from the others.
 type simulatedEdge struct {
-	random   *rand.Rand
-	now      time.Duration
-	control  []*Agents
-	cut      []bool
-	running  []bool
-	told     []*pb.AgentRecord // what each machine says of itself
-	heardAt  []time.Duration
-	linkedTo []int
-	ended    []time.Duration // when a machine that does not run stopped running
-	killed   []time.Duration // when a machine was last killed, long ago if never
-	transit  []report
+	random      *rand.Rand
+	now         time.Duration
+	control     []*Agents
+	partitioned []bool
+	running     []bool
+	records     []*pb.AgentRecord // what each machine says of itself
+	reportedAt  []time.Duration
+	linkedTo    []int
+	ended       []time.Duration // when a machine that does not run stopped running
+	killed      []time.Duration // when a machine was last killed, long ago if never
+	transit     []report
 }
 
 // report is a report of a control machine on its way.
@@ -58,7 +58,7 @@
 	e := &simulatedEdge{random: rand.New(rand.NewPCG(seed, 7))}
 	for range controlHosts {
 		e.control = append(e.control, NewAgents(uint64(len(e.control))<<32))
-		e.cut = append(e.cut, false)
+		e.partitioned = append(e.partitioned, false)
 	}
 	for host := range edgeHosts {
 		// The last region has a single machine.
@@ -67,9 +67,9 @@
 			region = 0
 		}
 		zone := fmt.Sprintf("r%d-z%d", region, host%2)
-		e.told = append(e.told, placed(fmt.Sprintf("e%02d", host), zone, fmt.Sprintf("r%d", region)))
+		e.records = append(e.records, placed(fmt.Sprintf("e%02d", host), zone, fmt.Sprintf("r%d", region)))
 		e.running = append(e.running, true)
-		e.heardAt = append(e.heardAt, longAgo)
+		e.reportedAt = append(e.reportedAt, longAgo)
 		e.ended = append(e.ended, 0)
 		e.killed = append(e.killed, longAgo)
 		e.linkedTo = append(e.linkedTo, host%controlHosts)
@@ -78,19 +78,19 @@
 }
 
 // hear lets a machine's agent speak to its control machine.
-func (e *simulatedEdge) hear(host int) {
-	e.heardAt[host] = e.now
-	e.control[e.linkedTo[host]].Observe(e.now, e.told[host])
+func (e *simulatedEdge) report(host int) {
+	e.reportedAt[host] = e.now
+	e.control[e.linkedTo[host]].Observe(e.now, e.records[host])
 }
 
 // step lets time pass and something happen.
 func (e *simulatedEdge) step() {
 	e.now += stepTime
-	e.happen(e.random.IntN(edgeHosts))
-	for host := range e.told {
-		due := e.now-e.heardAt[host] >= watchTime || e.random.IntN(5) == 0
+	e.injectFault(e.random.IntN(edgeHosts))
+	for host := range e.records {
+		due := e.now-e.reportedAt[host] >= watchTime || e.random.IntN(5) == 0
 		if e.running[host] && due {
-			e.hear(host)
+			e.report(host)
 		}
 	}
 	e.exchange()
@@ -100,27 +100,27 @@
 }
 
 // happen may kill, end, start or link anew one machine, and cut or join a control machine.
-func (e *simulatedEdge) happen(host int) {
+func (e *simulatedEdge) injectFault(host int) {
 	switch draw := e.random.IntN(30); {
 	case draw == 0 && e.running[host]:
 		e.running[host], e.ended[host], e.killed[host] = false, e.now, e.now
 	case draw == 1 && e.running[host]: // SIGTERM: control is told at once
-		e.told[host].Draining, e.told[host].Ready = true, false
-		e.hear(host)
+		e.records[host].Draining, e.records[host].Ready = true, false
+		e.report(host)
 		e.running[host], e.ended[host] = false, e.now
 	case draw <= 4 && !e.running[host]:
-		e.told[host] = placed(e.told[host].Host, e.told[host].Zone, e.told[host].Region)
-		e.told[host].Incarnation = uint64(e.now)
+		e.records[host] = placed(e.records[host].Host, e.records[host].Zone, e.records[host].Region)
+		e.records[host].Incarnation = uint64(e.now)
 		e.running[host] = true
-		e.hear(host)
+		e.report(host)
 	case draw == 5 && e.running[host]:
 		e.linkedTo[host] = e.random.IntN(controlHosts)
-		e.hear(host)
-	case draw == 6 && e.now < cutsUntil:
+		e.report(host)
+	case draw == 6 && e.now < partitionsUntil:
 		which := e.random.IntN(controlHosts)
-		e.cut[which] = !e.cut[which]
-	case e.now >= cutsUntil:
-		clear(e.cut)
+		e.partitioned[which] = !e.partitioned[which]
+	case e.now >= partitionsUntil:
+		clear(e.partitioned)
 	}
 }
 
@@ -128,7 +128,7 @@
 func (e *simulatedEdge) exchange() {
 	for from, agents := range e.control {
 		records := agents.Report(e.now)
-		if !e.cut[from] {
+		if !e.partitioned[from] {
 			e.transit = append(e.transit, report{e.now + time.Duration(e.random.Int64N(int64(heartbeatTime))), from, records})
 		}
 	}
@@ -137,7 +137,7 @@
 			return false
 		}
 		for to, agents := range e.control {
-			if to != one.from && !e.cut[to] {
+			if to != one.from && !e.partitioned[to] {
 				agents.Merge(e.now, one.records)
 			}
 		}
@@ -155,7 +155,7 @@
 		anyCut := warmUp - recentLossWindow - FailureTimeout
 		for range 600 {
 			e.step()
-			if slices.Contains(e.cut, true) {
+			if slices.Contains(e.partitioned, true) {
 				anyCut = e.now
 			}
 			for index, agents := range e.control {
@@ -168,7 +168,7 @@
 						near++
 					case reachFar:
 						far++
-					case reachSpilt:
+					case reachSpillover:
 						spilt++
 					}
 				}
@@ -183,7 +183,7 @@
 
 // checkRunning wants no machine among the addresses that has not run for long; it counts those that do not run.
 func (e *simulatedEdge) checkRunning(t *testing.T, seed uint64, addresses []string) (gone int) {
-	for host, record := range e.told {
+	for host, record := range e.records {
 		if e.running[host] || !slices.Contains(addresses, record.EdgeAddress) {
 			continue
 		}
@@ -197,20 +197,20 @@
 type reach int
 
 const (
-	reachUnsettled reach = iota // control machines were cut off just before
-	reachNear                   // all are of the client's region
-	reachFar                    // others too; none of the region's takes requests
-	reachSpilt                  // others too, beside those of the region
+	reachUnconverged reach = iota // control machines were cut off just before
+	reachNear                     // all are of the client's region
+	reachFar                      // others too; none of the region's takes requests
+	reachSpillover                // others too, beside those of the region
 )
 
 // checkNear wants a reason if addresses of other regions than the client's are named beside its own.
 func (e *simulatedEdge) checkNear(t *testing.T, seed uint64, index int, region string, addresses []string, anyCut time.Duration) reach {
 	if e.now-anyCut <= recentLossWindow+FailureTimeout {
-		return reachUnsettled
+		return reachUnconverged
 	}
 	near, own := true, false
 	killed := time.Duration(longAgo)
-	for host, record := range e.told {
+	for host, record := range e.records {
 		named := slices.Contains(addresses, record.EdgeAddress)
 		if record.Region != region {
 			near = near && !named
@@ -226,5 +226,5 @@
 		return reachFar
 	}
 	require.Less(t, e.now-killed, recentLossWindow+heartbeatTime+stepTime, "seed %d, control machine %d: %v", seed, index, addresses)
-	return reachSpilt
+	return reachSpillover
 }
--- a/internal/registry/invariants.go
+++ b/internal/registry/invariants.go
@@ -5,33 +5,33 @@
 	"slices"
 )
 
-// InvariantError tells that a machine holds a state that it must never hold.
+// InvariantError reports a broken invariant of the state of this package.
 type InvariantError struct{ Reason string }
 
+// Error says which invariant is broken.
 func (e *InvariantError) Error() string { return "broken invariant: " + e.Reason }
 
-// Check returns an *InvariantError if the inventory holds a state that it must never hold. Tests call it after
-// every step.
+// Check returns an *InvariantError if an invariant of the inventory is broken. Tests call it after every step.
 func (i *ServerInventory) Check() error {
 	if i.current == nil {
 		return nil
 	}
 	if i.current.version.GetEpoch() > i.highestEpoch {
-		return &InvariantError{Reason: fmt.Sprintf("epoch %d is above the highest seen, %d", i.current.version.GetEpoch(), i.highestEpoch)}
+		return &InvariantError{Reason: fmt.Sprintf("epoch %d is above the highest observed, %d", i.current.version.GetEpoch(), i.highestEpoch)}
 	}
 	if len(i.current.servers) == 0 {
 		return &InvariantError{Reason: "the current list is empty"}
 	}
 	if i.current.confirmedAt < i.current.readAt {
-		return &InvariantError{Reason: "the news is older than the list"}
+		return &InvariantError{Reason: "the list was confirmed before it was read"}
 	}
-	if i.IsOwner() && !slices.IsSortedFunc(i.current.servers, compareIncarnations) {
+	if i.IsOwner() && !slices.IsSortedFunc(i.current.servers, compareIDs) {
 		return &InvariantError{Reason: "the list is not sorted"}
 	}
 	return nil
 }
 
-// Check returns an *InvariantError if the registry holds a state that it must never hold.
+// Check returns an *InvariantError if an invariant of the agents is broken.
 func (a *Agents) Check() error {
 	if len(a.known) > MaxAgents {
 		return &InvariantError{Reason: fmt.Sprintf("%d agents are kept", len(a.known))}
@@ -42,7 +42,7 @@
 		}
 	}
 	if a.members.version != a.version {
-		return &InvariantError{Reason: "the members carry another version than the registry"}
+		return &InvariantError{Reason: "the members have another version than the agents"}
 	}
 	return nil
 }
--- a/internal/registry/inventory_partition_test.go
+++ b/internal/registry/inventory_partition_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// longestCut is how long a machine may be cut off.
-	longestCut = 22 * time.Second
-	// mayGoBack is how much older the content of a list may be than that of the one which it replaces: a holder
+	// longestPartition is how long a machine may be cut off.
+	longestPartition = 22 * time.Second
+	// maxRegression is how much older the content of a list may be than that of the one which it replaces: a holder
 	// whose readings fail counts until staleThreshold, and a reading takes PollTimeout at most.
-	mayGoBack = staleThreshold + PollTimeout
+	maxRegression = staleThreshold + PollTimeout
 )
 
 // contents remembers when the platform's list said what.
-type contents struct {
+type contentHistory struct {
 	since map[string]time.Duration // by content: until when the platform last said so
 	now   string
 }
@@ -35,7 +35,7 @@
 }
 
 // lastTrue is when the platform's list last said what a list says.
-func (c *contents) lastTrue(now time.Duration, list *ServerList) time.Duration {
+func (c *contentHistory) lastTrue(now time.Duration, list *ServerList) time.Duration {
 	content := contentOf(list.servers)
 	if content == c.now {
 		return now
@@ -44,30 +44,30 @@
 }
 
 // cutting is a simulation in which machines are cut off from the others, with and without the platform.
-type cutting struct {
+type partitionSimulation struct {
 	*simulation
-	contents contents
-	held     []*ServerList
-	worst    time.Duration // by which a list went back
-	trusting bool          // the planted fault: a list counts as news though no reading succeeds
+	contents             contentHistory
+	held                 []*ServerList
+	worstRegression      time.Duration // by which a list went back
+	confirmsWithoutPolls bool          // the planted fault: a list counts as news though no reading succeeds
 }
 
-func newCutting(t *testing.T, seed uint64) *cutting {
-	c := &cutting{simulation: newSimulation(t, seed)}
-	c.contents = contents{since: make(map[string]time.Duration), now: contentOf(c.servers)}
+func newPartitionSimulation(t *testing.T, seed uint64) *partitionSimulation {
+	c := &partitionSimulation{simulation: newSimulation(t, seed)}
+	c.contents = contentHistory{since: make(map[string]time.Duration), now: contentOf(c.servers)}
 	c.held = make([]*ServerList, len(c.machines))
 	return c
 }
 
 // look is called at every step.
-func (c *cutting) look() {
+func (c *partitionSimulation) observe() {
 	if c.random.IntN(60) == 0 {
 		c.changeServers()
 		c.contents.since[c.contents.now] = c.now
 		c.contents.now = contentOf(c.servers)
 	}
 	for index, machine := range c.machines {
-		if c.trusting && machine.inventory.IsOwner() {
+		if c.confirmsWithoutPolls && machine.inventory.IsOwner() {
 			machine.inventory.current = machine.inventory.current.confirmed(c.now)
 		}
 		list := machine.inventory.Current()
@@ -77,38 +77,38 @@
 			continue
 		}
 		back := c.contents.lastTrue(c.now, before) - c.contents.lastTrue(c.now, list)
-		c.worst = max(c.worst, back)
+		c.worstRegression = max(c.worstRegression, back)
 	}
 }
 
-// cutOff cuts a machine off for a while, one way or both; the platform is out of its reach for a part of it, and
+// partition cuts a machine off for a while, one way or both; the platform is out of its reach for a part of it, and
 // perhaps beyond.
-func (c *cutting) cutOff() {
+func (c *partitionSimulation) partition() {
 	machine := c.machines[c.random.IntN(len(c.machines))]
-	span := time.Duration(c.random.Int64N(int64(longestCut)))
-	sighted := time.Duration(c.random.Int64N(int64(longestCut)))
+	span := time.Duration(c.random.Int64N(int64(longestPartition)))
+	sighted := time.Duration(c.random.Int64N(int64(longestPartition)))
 	direction := c.random.IntN(4)
-	machine.mute, machine.deaf = direction != 0, direction != 1
-	c.run(min(span, sighted), c.look)
-	machine.blind = c.random.IntN(4) > 0
-	c.run(max(0, span-sighted), c.look)
-	machine.mute, machine.deaf = false, false
-	c.run(time.Duration(c.random.Int64N(int64(4*time.Second))), c.look)
-	machine.blind = false
-	c.run(time.Duration(c.random.Int64N(int64(4*time.Second))), c.look)
+	machine.sendsNothing, machine.receivesNothing = direction != 0, direction != 1
+	c.run(min(span, sighted), c.observe)
+	machine.platformUnreachable = c.random.IntN(4) > 0
+	c.run(max(0, span-sighted), c.observe)
+	machine.sendsNothing, machine.receivesNothing = false, false
+	c.run(time.Duration(c.random.Int64N(int64(4*time.Second))), c.observe)
+	machine.platformUnreachable = false
+	c.run(time.Duration(c.random.Int64N(int64(4*time.Second))), c.observe)
 }
 
 func TestAListOfACutOffMachineUndoesNoLaterOne(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(100) {
-		c := newCutting(t, seed)
-		c.run(5*time.Second, c.look)
+		c := newPartitionSimulation(t, seed)
+		c.run(5*time.Second, c.observe)
 		for range 4 {
-			c.cutOff()
-			require.LessOrEqual(t, c.worst, mayGoBack, "seed %d", seed)
+			c.partition()
+			require.LessOrEqual(t, c.worstRegression, maxRegression, "seed %d", seed)
 		}
-		worst = max(worst, c.worst)
-		c.calm()
+		worst = max(worst, c.worstRegression)
+		c.heal()
 		c.run(12*time.Second, func() {})
 		c.requireAgreement()
 	}
@@ -118,20 +118,20 @@
 func TestAgeIsWhatKeepsAnOldListFromReplacingALaterOne(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(20) {
-		c := newCutting(t, seed)
-		c.trusting = true
-		c.run(5*time.Second, c.look)
+		c := newPartitionSimulation(t, seed)
+		c.confirmsWithoutPolls = true
+		c.run(5*time.Second, c.observe)
 		for range 4 {
-			c.cutOff()
+			c.partition()
 		}
-		worst = max(worst, c.worst)
+		worst = max(worst, c.worstRegression)
 	}
-	require.Greater(t, worst, mayGoBack)
+	require.Greater(t, worst, maxRegression)
 }
 
 // Each part of a core that is cut into many reads the list, and together they keep to the platform's rate.
 func TestAMachineThatIsApartReadsManyPagesLessOften(t *testing.T) {
-	inventory, now := holding(t, serverNamed("a"))
+	inventory, now := newOwner(t, serverNamed("a"))
 	inventory.lastPages = 28
 	polls := 0
 	for end := now + 40*time.Second; now < end; now += 100 * time.Millisecond {
@@ -145,7 +145,7 @@
 
 // A machine that has no list gets even an old one: the platform may be out of reach of all.
 func TestAnOldListIsSentToAMachineWithoutOneAlone(t *testing.T) {
-	inventory, now := holding(t, serverNamed("a"))
+	inventory, now := newOwner(t, serverNamed("a"))
 	now += staleThreshold
 	for now < 2*staleThreshold+time.Second {
 		now += 100 * time.Millisecond
--- a/internal/registry/inventory_sim_test.go
+++ b/internal/registry/inventory_sim_test.go
@@ -19,15 +19,15 @@
 
 // simulatedMachine is one control machine of a simulation.
 type simulatedMachine struct {
-	host      string
-	inventory *ServerInventory
-	frozen    bool
-	deaf      bool // hears no other machine
-	mute      bool // is heard by no other machine
-	blind     bool // cut from the platform
-	pollEnds  time.Duration
-	poll      *PollDone
-	last      *pb.ListVersion
+	host                string
+	inventory           *ServerInventory
+	frozen              bool
+	receivesNothing     bool // hears no other machine
+	sendsNothing        bool // is heard by no other machine
+	platformUnreachable bool // cut from the platform
+	pollEnds            time.Duration
+	poll                *PollDone
+	last                *pb.ListVersion
 }
 
 // delivery is a message under way.
@@ -39,17 +39,17 @@
 
 // simulation lets several inventories read a platform's list whose servers change.
 type simulation struct {
-	t        *testing.T
-	random   *rand.Rand
-	now      time.Duration
-	machines []*simulatedMachine
-	mail     []delivery
-	servers  []*pb.Server
-	changed  time.Duration // when the platform's list last changed
-	down     bool          // the platform answers nothing
-	lossy    bool          // messages are lost now and then
-	calls    []time.Duration
-	watch    func(host string, action Action) // is told of each action; nil: nobody
+	t            *testing.T
+	random       *rand.Rand
+	now          time.Duration
+	machines     []*simulatedMachine
+	inTransit    []delivery
+	servers      []*pb.Server
+	changed      time.Duration // when the platform's list last changed
+	platformDown bool          // the platform answers nothing
+	lossy        bool          // messages are lost now and then
+	calls        []time.Duration
+	watch        func(host string, action Action) // is told of each action; nil: nobody
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
@@ -72,7 +72,7 @@
 func (s *simulation) order(self int) []string {
 	var order []string
 	for index, machine := range s.machines {
-		reachable := !machine.frozen && !machine.mute && !s.machines[self].deaf
+		reachable := !machine.frozen && !machine.sendsNothing && !s.machines[self].receivesNothing
 		if index == self || reachable {
 			order = append(order, machine.host)
 		}
@@ -82,11 +82,11 @@
 
 func (s *simulation) send(from int, what Event) {
 	for to, machine := range s.machines {
-		if to == from || machine.deaf || s.machines[from].mute || s.lossy && s.random.IntN(20) == 0 {
+		if to == from || machine.receivesNothing || s.machines[from].sendsNothing || s.lossy && s.random.IntN(20) == 0 {
 			continue
 		}
 		delay := time.Duration(s.random.IntN(60)) * time.Millisecond
-		s.mail = append(s.mail, delivery{at: s.now + delay, to: to, what: what})
+		s.inTransit = append(s.inTransit, delivery{at: s.now + delay, to: to, what: what})
 	}
 }
 
@@ -113,7 +113,7 @@
 	s.calls = append(s.calls, s.now)
 	machine.poll = &PollDone{SentAt: s.now, Pages: 1, Servers: slices.Clone(s.servers)}
 	machine.pollEnds = s.now + time.Duration(s.random.IntN(300))*time.Millisecond
-	if s.down || machine.blind {
+	if s.platformDown || machine.platformUnreachable {
 		machine.poll.Failed = true
 		machine.pollEnds = s.now + time.Second
 	}
@@ -122,11 +122,11 @@
 // advance lets one step of time pass.
 func (s *simulation) advance() {
 	s.now += simulationStep
-	due := s.mail
-	s.mail = nil
+	due := s.inTransit
+	s.inTransit = nil
 	for _, one := range due {
 		if one.at > s.now || s.machines[one.to].frozen {
-			s.mail = append(s.mail, one)
+			s.inTransit = append(s.inTransit, one)
 			continue
 		}
 		s.step(one.to, one.what)
@@ -160,16 +160,16 @@
 }
 
 // trouble changes something at random.
-func (s *simulation) trouble() {
+func (s *simulation) injectFault() {
 	machine := s.machines[s.random.IntN(len(s.machines))]
 	switch s.random.IntN(6) {
 	case 0:
 		machine.frozen = !machine.frozen
 	case 1:
-		cut := !machine.mute
-		machine.mute, machine.deaf, machine.blind = cut, cut, cut
+		cut := !machine.sendsNothing
+		machine.sendsNothing, machine.receivesNothing, machine.platformUnreachable = cut, cut, cut
 	case 2:
-		s.down = !s.down
+		s.platformDown = !s.platformDown
 	case 3:
 		s.restart(slices.Index(s.machines, machine))
 	default:
@@ -189,11 +189,11 @@
 }
 
 // calm ends all trouble.
-func (s *simulation) calm() {
-	s.down = false
+func (s *simulation) heal() {
+	s.platformDown = false
 	s.lossy = false
 	for _, machine := range s.machines {
-		machine.frozen, machine.mute, machine.deaf, machine.blind = false, false, false, false
+		machine.frozen, machine.sendsNothing, machine.receivesNothing, machine.platformUnreachable = false, false, false, false
 	}
 }
 
@@ -231,10 +231,10 @@
 				s.lossy = true
 				s.run(20*time.Second, func() {
 					if s.random.IntN(30) == 0 {
-						s.trouble()
+						s.injectFault()
 					}
 				})
-				s.calm()
+				s.heal()
 				s.run(12*time.Second, func() {})
 				s.requireAgreement()
 				require.Equal(t, "m0", s.machines[0].inventory.Current().Version().Holder, "the first in order has the duty")
@@ -252,7 +252,7 @@
 		s := newSimulation(t, seed)
 		s.run(10*time.Second, func() {})
 		s.requireAgreement()
-		s.mail = nil // they were down for longer than a message is under way
+		s.inTransit = nil // they were down for longer than a message is under way
 		for index := range s.machines {
 			s.restart(index)
 		}
--- a/internal/registry/inventory_test.go
+++ b/internal/registry/inventory_test.go
@@ -20,7 +20,7 @@
 }
 
 // ticked steps through ticks until the time is over and returns the actions.
-func ticked(inventory *ServerInventory, from, to time.Duration, order ...string) []Action {
+func tickThrough(inventory *ServerInventory, from, to time.Duration, order ...string) []Action {
 	var actions []Action
 	for now := from; now <= to; now += 100 * time.Millisecond {
 		actions = append(actions, inventory.Step(now, Tick{LiveHosts: order})...)
@@ -29,10 +29,10 @@
 }
 
 // holding returns an inventory that has the duty and read a list at the time returned.
-func holding(t *testing.T, servers ...*pb.Server) (*ServerInventory, time.Duration) {
+func newOwner(t *testing.T, servers ...*pb.Server) (*ServerInventory, time.Duration) {
 	t.Helper()
 	inventory := newTestInventory("m1")
-	require.Equal(t, []Action{StartPoll{}}, ticked(inventory, 0, 2*time.Second, "m1", "m2"))
+	require.Equal(t, []Action{StartPoll{}}, tickThrough(inventory, 0, 2*time.Second, "m1", "m2"))
 	actions := inventory.Step(2*time.Second, PollDone{SentAt: 2 * time.Second, Pages: 1, Servers: servers})
 	require.Len(t, actions, 2)
 	require.Equal(t, ListChanged{}, actions[0])
@@ -40,8 +40,8 @@
 	return inventory, 2 * time.Second
 }
 
-func TestFirstMachineReadsTheList(t *testing.T) {
-	inventory, now := holding(t, serverNamed("b"), serverNamed("a"))
+func TestFirstMachinePollsTheList(t *testing.T) {
+	inventory, now := newOwner(t, serverNamed("b"), serverNamed("a"))
 	require.NoError(t, inventory.Check())
 	list := inventory.Current().Message(now + time.Second)
 	require.Equal(t, "a", list.Servers[0].Id)
@@ -50,8 +50,8 @@
 	require.NotZero(t, list.Version.Epoch)
 }
 
-// TestAMachineWithoutAListReadsItAtOnce: nothing is served before the first list.
-func TestAMachineWithoutAListReadsItAtOnce(t *testing.T) {
+// TestMachineWithoutAListPollsAtOnce: nothing is served before the first list.
+func TestMachineWithoutAListPollsAtOnce(t *testing.T) {
 	for rank, order := range [][]string{{"m1"}, {"m2", "m1"}, {"m2", "m3", "m1"}} {
 		inventory := newTestInventory("m1")
 		require.Empty(t, inventory.Step(0, Tick{LiveHosts: order}), "who holds a list has the time to send it")
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestTheFirstReadingIsTriedAgainSoon: not by all machines at the same time.
-func TestTheFirstReadingIsTriedAgainSoon(t *testing.T) {
+// TestFailedFirstPollIsRetriedSoon: not by all machines at the same time.
+func TestFailedFirstPollIsRetriedSoon(t *testing.T) {
 	inventory := newTestInventory("m1")
 	require.Empty(t, inventory.Step(0, Tick{LiveHosts: []string{"m1"}}))
 	now := startupListenWindow
@@ -96,28 +96,28 @@
 	}
 }
 
-// TestAMachineThatStartsAnewLeavesTheDuty: a machine that starts beside others takes their list.
-func TestAMachineThatStartsAnewLeavesTheDuty(t *testing.T) {
+// TestRestartedMachineTakesTheListOfItsPeers: a machine that starts beside others takes their list.
+func TestRestartedMachineTakesTheListOfItsPeers(t *testing.T) {
 	inventory := newTestInventory("m1")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m2", Revision: 1}
 	inventory.Step(0, VersionObserved{Version: version, Peer: true})
-	require.Empty(t, ticked(inventory, 0, startupGracePeriod-time.Millisecond, "m1", "m2"), "the list is under way")
+	require.Empty(t, tickThrough(inventory, 0, startupGracePeriod-time.Millisecond, "m1", "m2"), "the list is under way")
 	inventory.Step(startupGracePeriod, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
-	require.Empty(t, ticked(inventory, startupGracePeriod, staleThreshold, "m1", "m2"))
+	require.Empty(t, tickThrough(inventory, startupGracePeriod, staleThreshold, "m1", "m2"))
 	require.Equal(t, "m2", inventory.Current().Version().GetHolder())
 
 	inventory = newTestInventory("m1")
 	inventory.Step(0, VersionObserved{Version: version, Peer: true})
-	require.Equal(t, []Action{StartPoll{}}, ticked(inventory, 0, startupGracePeriod, "m1", "m2"), "it never came")
+	require.Equal(t, []Action{StartPoll{}}, tickThrough(inventory, 0, startupGracePeriod, "m1", "m2"), "it never came")
 }
 
-func TestNoReadingWithoutAView(t *testing.T) {
-	require.Empty(t, ticked(newTestInventory("m1"), 0, 20*time.Second))
-	require.Empty(t, ticked(newTestInventory("m1"), 0, 20*time.Second, "m2", "m3"), "not a voter")
+func TestNoPollWithoutAView(t *testing.T) {
+	require.Empty(t, tickThrough(newTestInventory("m1"), 0, 20*time.Second))
+	require.Empty(t, tickThrough(newTestInventory("m1"), 0, 20*time.Second, "m2", "m3"), "not a voter")
 }
 
-func TestReadingsGoOnOnceASecond(t *testing.T) {
-	inventory, now := holding(t, serverNamed("a"))
+func TestOwnerPollsOnceASecond(t *testing.T) {
+	inventory, now := newOwner(t, serverNamed("a"))
 	polls := 0
 	for end := now + 10*time.Second; now < end; now += 100 * time.Millisecond {
 		for range inventory.Step(now, Tick{LiveHosts: []string{"m1"}}) {
@@ -132,8 +132,8 @@
 	require.Equal(t, uint64(1), inventory.Current().Version().Revision)
 }
 
-func TestManyPagesStretchThePeriod(t *testing.T) {
-	inventory, now := holding(t, serverNamed("a"))
+func TestManyPagesStretchThePollInterval(t *testing.T) {
+	inventory, now := newOwner(t, serverNamed("a"))
 	inventory.lastPages = 28 // 28 pages at a third of 42 a second: one reading in two seconds
 	polls := 0
 	for end := now + 20*time.Second; now < end; now += 100 * time.Millisecond {
@@ -170,7 +170,7 @@
 		t.Run(name, func(t *testing.T) {
 			first := serverNamed("a")
 			first.WarmLeftMs = 5000
-			inventory, start := holding(t, first)
+			inventory, start := newOwner(t, first)
 			now := start + time.Second
 			require.Len(t, inventory.Step(now, Tick{LiveHosts: []string{"m1"}}), 1)
 			inventory.Step(now, PollDone{SentAt: now, Pages: 1, Servers: one.servers})
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestUselessReadingsKeepTheLastList(t *testing.T) {
+func TestFailedPollsKeepTheLastList(t *testing.T) {
 	cases := map[string]PollDone{
 		"failed":   {Failed: true, Pages: 1},
 		"empty":    {Pages: 1},
@@ -188,7 +188,7 @@
 	}
 	for name, done := range cases {
 		t.Run(name, func(t *testing.T) {
-			inventory, start := holding(t, serverNamed("a"))
+			inventory, start := newOwner(t, serverNamed("a"))
 			before := inventory.Current()
 			now := start + time.Second
 			require.Len(t, inventory.Step(now, Tick{LiveHosts: []string{"m1"}}), 1)
@@ -232,7 +232,7 @@
 	}
 }
 
-func TestConfirmationRefreshesTheNews(t *testing.T) {
+func TestConfirmationMakesTheListFresh(t *testing.T) {
 	inventory := newTestInventory("m9")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m2", Revision: 1}
 	inventory.Step(0, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
@@ -245,26 +245,26 @@
 	inventory := newTestInventory("m2")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m1", Revision: 1}
 	inventory.Step(0, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
-	require.Empty(t, ticked(inventory, 0, staleThreshold, "m1", "m2", "m3"))
-	require.Equal(t, []Action{StartPoll{}}, ticked(inventory, staleThreshold, staleThreshold+maxJitter, "m1", "m2", "m3"))
+	require.Empty(t, tickThrough(inventory, 0, staleThreshold, "m1", "m2", "m3"))
+	require.Equal(t, []Action{StartPoll{}}, tickThrough(inventory, staleThreshold, staleThreshold+maxJitter, "m1", "m2", "m3"))
 	now := staleThreshold + maxJitter
 	inventory.Step(now, PollDone{SentAt: now, Pages: 1, Servers: []*pb.Server{serverNamed("a")}})
 	require.True(t, inventory.IsOwner())
 	require.Equal(t, uint64(6), inventory.Current().Version().Epoch)
 }
 
-func TestFreshNewsEndsATakeOver(t *testing.T) {
+func TestConfirmedListEndsATakeover(t *testing.T) {
 	inventory := newTestInventory("m2")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m1", Revision: 1}
 	fresh := ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}}
 	inventory.Step(0, fresh)
-	require.NotEmpty(t, ticked(inventory, 0, 3*time.Second, "m1", "m2"))
+	require.NotEmpty(t, tickThrough(inventory, 0, 3*time.Second, "m1", "m2"))
 	inventory.Step(3*time.Second, fresh)
 	require.Empty(t, inventory.Step(3*time.Second, PollDone{SentAt: 3 * time.Second, Pages: 1, Servers: []*pb.Server{serverNamed("a")}}))
 	require.False(t, inventory.IsOwner())
 }
 
-func TestFirstMachineTakesTheDutyBack(t *testing.T) {
+func TestFirstMachineInOrderPreemptsTheOwner(t *testing.T) {
 	inventory := newTestInventory("m1")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m2", Revision: 1}
 	var polledAt time.Duration
@@ -280,8 +280,8 @@
 	require.Equal(t, uint64(6), inventory.Current().Version().Epoch)
 }
 
-func TestAHolderThatWakesYields(t *testing.T) {
-	inventory, start := holding(t, serverNamed("a"))
+func TestOwnerThatWasSuspendedYields(t *testing.T) {
+	inventory, start := newOwner(t, serverNamed("a"))
 	epoch := inventory.Current().Version().Epoch
 	now := start + time.Second
 	seen := &pb.ListVersion{Epoch: epoch + 1, Holder: "m2", Revision: 1}
@@ -292,12 +292,12 @@
 	require.Equal(t, "m2", inventory.Current().Version().Holder)
 }
 
-// TestALeftoverVersionIsOutbid: an agent, or a control machine that heard of it, holds a version of an earlier
+// TestVersionThatOutlivedItsOwnerIsSuperseded: an agent, or a control machine that heard of it, holds a version of an earlier
 // life of all control machines.
-func TestALeftoverVersionIsOutbid(t *testing.T) {
+func TestVersionThatOutlivedItsOwnerIsSuperseded(t *testing.T) {
 	for _, higher := range []uint64{0, 1, 1000} {
 		for _, peer := range []bool{false, true} {
-			inventory, start := holding(t, serverNamed("a"))
+			inventory, start := newOwner(t, serverNamed("a"))
 			epoch := inventory.Current().Version().Epoch
 			seen := VersionObserved{Version: &pb.ListVersion{Epoch: epoch + higher, Holder: "z", Revision: 7}, Peer: peer}
 			if peer {
@@ -325,7 +325,7 @@
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			inventory, start := holding(t, serverNamed("a"))
+			inventory, start := newOwner(t, serverNamed("a"))
 			lagging := VersionObserved{Version: one.held(inventory), Peer: true}
 			require.Empty(t, inventory.Step(start+one.pause-1, lagging), "the list is still under way")
 			now := start + one.pause
--- a/internal/registry/lag_monitor.go
+++ b/internal/registry/lag_monitor.go
@@ -8,56 +8,58 @@
 )
 
 const (
-	// LagThreshold is how long a proxy may lack a committed change before its agent counts as behind.
+	// LagThreshold is how long a proxy may lack a committed change before it counts as lagging.
 	LagThreshold = time.Second
 
-	// expectedReportInterval is the time within which an agent that gets its answers reports again: a call is held for a second.
+	// expectedReportInterval is the time within which an agent that gets its answers reports again: each long poll stays
+	// open for a second at most.
 	expectedReportInterval = time.Second
 )
 
-// LagBounds are the deployment's bounds on a change that was acknowledged.
+// LagBounds are the deployment's bounds on the delay of an acknowledged change.
 type LagBounds struct {
-	Contact time.Duration // for which a machine must have been in contact before it is judged
-	Apply   time.Duration // from the acknowledgement until the change is in force; 0: nobody is judged
-	Stretch time.Duration // more, while this control machine does not hold the agreed state
+	Contact time.Duration // for which a machine must have been in contact before the bound applies to it
+	Apply   time.Duration // from the acknowledgement until the change is in force; 0: there is no bound
+	Stretch time.Duration // added while this control machine is not synchronized
 }
 
-// LagMonitor compares what the agents report of their proxies with what is committed at this control machine, by its
-// steady clock. It decides nothing: its results are for logs and counters. Only agents that this machine heard last from
-// themselves are judged, so that each is judged by one machine.
+// LagMonitor measures how far proxies lag behind the configuration that is committed at this control machine, from the
+// reports of their agents. It decides nothing: its results are for logs and counters. An agent is evaluated only while
+// its last report came to this machine from itself, so that one machine evaluates it. A LagMonitor is not safe for
+// concurrent use.
 type LagMonitor struct {
 	committed        lag.Timeline
-	agents           map[string]*follower
+	agents           map[string]*trackedAgent
 	bounds           LagBounds
-	unsynchronized   bool          // this machine did not hold the agreed state at some time
-	unsynchronizedAt time.Duration // when it last did not
+	unsynchronized   bool          // this machine has been out of sync with the control state before
+	unsynchronizedAt time.Duration // when it last was
 	violations       uint64
 }
 
-// LagStats summarise which agents are behind.
+// LagStats summarize the lag of the proxies.
 type LagStats struct {
-	Behind     int           // agents heard lately whose proxies are late by more than LagThreshold
-	Oldest     time.Duration // the longest lag among all that are judged
+	Behind     int           // proxies that lag by more than LagThreshold
+	Oldest     time.Duration // the longest lag of a proxy
 	OldestHost string
 	Violations uint64 // ProxyBoundExceeded since the start
 }
 
-// NewLagMonitor returns a machine that knows no agents and no committed change.
-func NewLagMonitor() *LagMonitor { return &LagMonitor{agents: make(map[string]*follower)} }
+// NewLagMonitor returns a monitor that knows no agents and no committed change, and has no bounds.
+func NewLagMonitor() *LagMonitor { return &LagMonitor{agents: make(map[string]*trackedAgent)} }
 
 // SetBounds changes the deployment's bounds.
 func (l *LagMonitor) SetBounds(bounds LagBounds) { l.bounds = bounds }
 
-// Committed takes the newest sequence that is committed at this machine.
+// Committed records the newest sequence that is committed at this machine.
 func (l *LagMonitor) Committed(now time.Duration, sequence uint64) { l.committed.Record(sequence, now) }
 
-// SuspendBounds tells that this machine does not hold the agreed state now.
+// SuspendBounds records that this machine is not synchronized with the control state now.
 func (l *LagMonitor) SuspendBounds(now time.Duration) {
 	l.unsynchronized = true
 	l.unsynchronizedAt = now
 }
 
-// Observe takes a report that came from the agent itself.
+// Observe takes a report that came from the agent itself. Only such a report can show that a bound was exceeded.
 func (l *LagMonitor) Observe(now time.Duration, record *pb.AgentRecord) []Action {
 	agent := l.accept(now, record, true)
 	if agent == nil {
@@ -67,14 +69,14 @@
 	return l.checkBound(events, now, record.GetHost(), agent)
 }
 
-// Merge takes reports that another control machine heard, with their ages.
+// Merge takes reports that another control machine received, with their ages.
 func (l *LagMonitor) Merge(now time.Duration, records []*pb.AgentRecord) {
 	for _, record := range records {
 		l.accept(now-time.Duration(record.GetAgeMs())*time.Millisecond, record, false)
 	}
 }
 
-// Step looks at what time changes.
+// Step evaluates all agents at the time now, and removes those whose last report is FailureTimeout old.
 func (l *LagMonitor) Step(now time.Duration) []Action {
 	var events []Action
 	for host, agent := range l.agents {
@@ -88,24 +90,25 @@
 	return events
 }
 
-// Stats are those of now.
+// Stats summarizes the lag at the time now.
 func (l *LagMonitor) Stats(now time.Duration) LagStats {
-	figures := LagStats{Violations: l.violations}
+	stats := LagStats{Violations: l.violations}
 	for host, agent := range l.agents {
 		lagging := l.lagOf(now, agent)
 		if lagging > LagThreshold {
-			figures.Behind++
+			stats.Behind++
 		}
-		if lagging > figures.Oldest {
-			figures.Oldest = lagging
-			figures.OldestHost = host
+		if lagging > stats.Oldest {
+			stats.Oldest = lagging
+			stats.OldestHost = host
 		}
 	}
-	return figures
+	return stats
 }
 
-// learn takes a report unless a fresher one is known, and returns the agent if it did.
-func (l *LagMonitor) accept(heardAt time.Duration, record *pb.AgentRecord, direct bool) *follower {
+// accept takes a report and returns its agent. It returns nil for a report that is ignored: a later one is known, or there
+// are MaxAgents already.
+func (l *LagMonitor) accept(receivedAt time.Duration, record *pb.AgentRecord, direct bool) *trackedAgent {
 	if record.GetHost() == "" {
 		return nil
 	}
@@ -114,24 +117,24 @@
 		if len(l.agents) >= MaxAgents {
 			return nil
 		}
-		agent = &follower{contactSince: heardAt, receivedAt: heardAt}
+		agent = &trackedAgent{contactSince: receivedAt, receivedAt: receivedAt}
 		l.agents[record.GetHost()] = agent
 	}
-	if heardAt < agent.receivedAt || !direct && agent.mayBeOlder(heardAt, record) {
+	if receivedAt < agent.receivedAt || !direct && agent.mayBeOlder(receivedAt, record) {
 		return nil
 	}
-	agent.update(heardAt, record)
+	agent.update(receivedAt, record)
 	agent.direct = direct
-	if l.committed.Lag(heardAt, agent.sequence, agent.contactSince) <= LagThreshold {
+	if l.committed.Lag(receivedAt, agent.sequence, agent.contactSince) <= LagThreshold {
 		agent.overdueTime = 0
 	}
 	return agent
 }
 
-// lagOf is how long an agent's proxy is known to have lacked a committed change; 0 for an agent that is not judged.
-// The next report is due expectedReportInterval after the last one: until then the proxy may hold the change and the agent have
-// had no occasion to say so.
-func (l *LagMonitor) lagOf(now time.Duration, agent *follower) time.Duration {
+// lagOf returns for how long an agent's proxy is known to have lacked a committed change, 0 for an agent that is not
+// evaluated. The next report is due expectedReportInterval after the last one. Until then the proxy may have the change
+// while its agent had no occasion to report so.
+func (l *LagMonitor) lagOf(now time.Duration, agent *trackedAgent) time.Duration {
 	if !agent.evaluated || !agent.direct {
 		return 0
 	}
@@ -139,8 +142,8 @@
 	return l.committed.Lag(known, agent.sequence, agent.contactSince)
 }
 
-// look tells whether an agent has begun or ceased to be behind.
-func (l *LagMonitor) updateEpisode(now time.Duration, host string, agent *follower) []Action {
+// updateEpisode evaluates the lag of an agent and returns an action if an episode began or ended.
+func (l *LagMonitor) updateEpisode(now time.Duration, host string, agent *trackedAgent) []Action {
 	if !agent.direct || !agent.evaluated {
 		return agent.endEpisode(nil, host)
 	}
@@ -157,8 +160,8 @@
 	return nil
 }
 
-// judge adds a violation of the bound, by a report that has just come from the agent itself.
-func (l *LagMonitor) checkBound(events []Action, now time.Duration, host string, agent *follower) []Action {
+// checkBound appends a ProxyBoundExceeded if a report that has just come from the agent itself shows one.
+func (l *LagMonitor) checkBound(events []Action, now time.Duration, host string, agent *trackedAgent) []Action {
 	lagging := l.lagOf(now, agent)
 	bound := l.boundFor(now, lagging, agent)
 	inContact := now-agent.contactSince >= l.bounds.Contact
@@ -172,9 +175,9 @@
 	})
 }
 
-// boundFor is the longest lag that is allowed. An agent that was silent for longer than usual may have been cut off for
-// that time, and this machine may have been out of touch itself.
-func (l *LagMonitor) boundFor(now, lagging time.Duration, agent *follower) time.Duration {
+// boundFor returns the longest lag that is allowed. An agent whose reports were overdue may have been partitioned for that
+// time, and this machine may have been out of sync itself.
+func (l *LagMonitor) boundFor(now, lagging time.Duration, agent *trackedAgent) time.Duration {
 	bound := l.bounds.Apply + agent.overdueTime
 	if l.unsynchronized && now-l.unsynchronizedAt < lagging+l.bounds.Contact {
 		bound += l.bounds.Stretch
--- a/internal/registry/lag_monitor_sim_test.go
+++ b/internal/registry/lag_monitor_sim_test.go
@@ -22,28 +22,28 @@
 type followingEdge struct {
 	random    *rand.Rand
 	now       time.Duration
-	lateness  *LagMonitor
+	monitor   *LagMonitor
 	committed uint64
 	hosts     []*followingHost
 	events    []Action
 }
 
 type followingHost struct {
-	name       string
-	sequence   uint64
-	cutUntil   time.Duration
-	reportAt   time.Duration
-	arrivesAt  time.Duration // of the changes that are under way, up to arrives; 0: none are
-	arrives    uint64
-	stuck      bool          // planted: its proxy takes no changes
-	reportedBy time.Duration // longest time between two reports
+	name             string
+	sequence         uint64
+	partitionedUntil time.Duration
+	reportAt         time.Duration
+	arrivesAt        time.Duration // of the changes that are under way, up to arrives; 0: none are
+	arrives          uint64
+	stuck            bool          // planted: its proxy takes no changes
+	reportInterval   time.Duration // longest time between two reports
 }
 
 func newFollowingEdge(seed uint64) *followingEdge {
-	e := &followingEdge{random: rand.New(rand.NewPCG(seed, 11)), lateness: NewLagMonitor()}
-	e.lateness.SetBounds(testBounds)
+	e := &followingEdge{random: rand.New(rand.NewPCG(seed, 11)), monitor: NewLagMonitor()}
+	e.monitor.SetBounds(testBounds)
 	for index := range followHosts {
-		e.hosts = append(e.hosts, &followingHost{name: fmt.Sprint("edge-", index), reportedBy: time.Second})
+		e.hosts = append(e.hosts, &followingHost{name: fmt.Sprint("edge-", index), reportInterval: time.Second})
 	}
 	return e
 }
@@ -56,24 +56,24 @@
 	e.now += followStep
 	if e.random.IntN(10) == 0 {
 		e.committed++
-		e.lateness.Committed(e.now, e.committed)
+		e.monitor.Committed(e.now, e.committed)
 	}
 	for _, host := range e.hosts {
-		e.disturb(host)
-		if e.now >= host.cutUntil {
+		e.injectFault(host)
+		if e.now >= host.partitionedUntil {
 			e.follow(host)
 		}
 	}
-	e.events = append(e.events, e.lateness.Step(e.now)...)
+	e.events = append(e.events, e.monitor.Step(e.now)...)
 }
 
 // disturb cuts a host off at times, or starts its proxy anew.
-func (e *followingEdge) disturb(host *followingHost) {
+func (e *followingEdge) injectFault(host *followingHost) {
 	switch e.random.IntN(600) {
 	case 0:
-		host.cutUntil = e.now + e.upTo(5*time.Second)
+		host.partitionedUntil = e.now + e.upTo(5*time.Second)
 		host.arrivesAt = 0
-		host.reportAt = host.cutUntil + e.upTo(300*time.Millisecond)
+		host.reportAt = host.partitionedUntil + e.upTo(300*time.Millisecond)
 	case 1:
 		host.sequence = 0
 		host.arrivesAt = 0
@@ -94,10 +94,10 @@
 	if e.now < host.reportAt {
 		return
 	}
-	host.reportAt = e.now + host.reportedBy
+	host.reportAt = e.now + host.reportInterval
 	record := agentRecord(host.name, 1)
 	record.Sequence = host.sequence
-	e.events = append(e.events, e.lateness.Observe(e.now, record)...)
+	e.events = append(e.events, e.monitor.Observe(e.now, record)...)
 }
 
 func (e *followingEdge) run() {
@@ -107,12 +107,12 @@
 }
 
 // Proxies that take changes while their agents are in contact never break the bound, whatever cuts and starts come.
-func TestProxiesThatFollowAreNeverCalledLate(t *testing.T) {
+func TestProxiesThatFollowNeverExceedTheBound(t *testing.T) {
 	behind := 0
 	for seed := range uint64(40) {
 		e := newFollowingEdge(seed)
 		e.run()
-		require.Zero(t, e.lateness.Stats(e.now).Violations, "seed %d", seed)
+		require.Zero(t, e.monitor.Stats(e.now).Violations, "seed %d", seed)
 		for _, event := range e.events {
 			if _, is := event.(AgentLagging); is {
 				behind++
@@ -128,7 +128,7 @@
 		for seed := range uint64(10) {
 			e := newFollowingEdge(seed)
 			e.hosts[3].stuck = true
-			e.hosts[3].reportedBy = reportedBy
+			e.hosts[3].reportInterval = reportedBy
 			e.run()
 			found := 0
 			for _, event := range e.events {
--- a/internal/registry/members.go
+++ b/internal/registry/members.go
@@ -6,7 +6,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Members are the edge machines that are live or were lost lately, as of one moment. It never changes.
+// Members are the edge machines that are live, or have been lost for less than LostRetention, as of one moment. It is
+// immutable.
 type Members struct {
 	version uint64
 	list    []Member // sorted by host
@@ -18,16 +19,16 @@
 	receivedAt time.Duration
 	lost       bool
 
-	drainingSince time.Duration // counts only if the record says that it drains
+	drainingSince time.Duration // counts only while the record says that it drains
 }
 
-// Version rises whenever the set changes, or the place or the address of one of its agents.
+// Version rises whenever the set changes, or the zone, the region or the address of one of its agents.
 func (m *Members) Version() uint64 { return m.version }
 
-// Len is the number of members, lost ones included.
+// Len returns the number of members, lost ones included.
 func (m *Members) Len() int { return len(m.list) }
 
-// Live is the number of members that are not lost.
+// Live returns the number of members that are not lost.
 func (m *Members) Live() int {
 	live := 0
 	for _, member := range m.list {
@@ -44,7 +45,7 @@
 	return serving >= sufficientEndpoints && serving*mostlyServingDivisor >= m.Live()
 }
 
-// Message returns the members as agents are told them, with the ages of now.
+// Message returns the members as they are sent to agents, with their ages at the time now.
 func (m *Members) Message(now time.Duration) *pb.Members {
 	records := make([]*pb.AgentRecord, 0, len(m.list))
 	for _, member := range m.list {
@@ -53,7 +54,7 @@
 	return &pb.Members{Version: m.version, Agents: records}
 }
 
-// serving returns the members that take requests from clients.
+// serving returns the members that take requests from clients at the time now, which may be later than the snapshot.
 func (m *Members) serving(now time.Duration) []*pb.AgentRecord {
 	result := make([]*pb.AgentRecord, 0, len(m.list))
 	for _, member := range m.list {
--- a/internal/registry/serverlist.go
+++ b/internal/registry/serverlist.go
@@ -19,15 +19,15 @@
 	ExpiryEarlier: 200 * time.Millisecond,
 }
 
-// ServerList is the platform's list of servers as one control machine read it. It never changes.
+// ServerList is the platform's server list as one control machine read it. It is immutable.
 type ServerList struct {
 	version     *pb.ListVersion
 	servers     []*pb.Server
-	readAt      time.Duration // when the call that read it was sent
-	confirmedAt time.Duration // when a call that found nothing new was last sent
+	readAt      time.Duration // when the first call of the poll that read it was sent
+	confirmedAt time.Duration // when the last poll that found it unchanged was sent; not before readAt
 }
 
-// Version tells the list's place among others; nil for no list.
+// Version returns the version of the list, nil for no list.
 func (l *ServerList) Version() *pb.ListVersion {
 	if l == nil {
 		return nil
@@ -35,7 +35,7 @@
 	return l.version
 }
 
-// Len is the number of servers on the list.
+// Len returns the number of servers, 0 for no list.
 func (l *ServerList) Len() int {
 	if l == nil {
 		return 0
@@ -43,37 +43,37 @@
 	return len(l.servers)
 }
 
-// Age is the time since the platform was last known to have this list.
+// Age returns the time since the platform was last known to have this list.
 func (l *ServerList) Age(now time.Duration) time.Duration { return now - l.confirmedAt }
 
-// Message returns the whole list. Its age tells how old the servers' remaining times are.
+// Message returns the complete list. Its age says how long ago the servers' remaining times were read.
 func (l *ServerList) Message(now time.Duration) *pb.ServerList {
 	return &pb.ServerList{Version: l.version, AgeMs: milliseconds(now - l.readAt), Servers: l.servers}
 }
 
-// Confirmation returns a message without servers, which says how old the news is for those who hold the
-// version already.
+// Confirmation returns a message without servers, which says to those that have the version already how long ago the
+// platform was last known to have it.
 func (l *ServerList) Confirmation(now time.Duration) *pb.ServerList {
 	return &pb.ServerList{Version: l.version, AgeMs: milliseconds(l.Age(now))}
 }
 
-// confirmed returns the list with fresher news.
-func (l *ServerList) confirmed(news time.Duration) *ServerList {
-	if news <= l.confirmedAt {
+// confirmed returns the list as confirmed at a time, or unchanged if it was confirmed later.
+func (l *ServerList) confirmed(at time.Duration) *ServerList {
+	if at <= l.confirmedAt {
 		return l
 	}
 	copied := *l
-	copied.confirmedAt = news
+	copied.confirmedAt = at
 	return &copied
 }
 
-// sortServers orders servers by their incarnations, so that lists can be compared.
+// sortServers returns the servers in the order of their identifiers, so that lists can be compared.
 func sortServers(servers []*pb.Server) []*pb.Server {
 	sorted := slices.Clone(servers)
-	slices.SortFunc(sorted, compareIncarnations)
+	slices.SortFunc(sorted, compareIDs)
 	return sorted
 }
 
-func compareIncarnations(first, second *pb.Server) int {
+func compareIDs(first, second *pb.Server) int {
 	return strings.Compare(first.Id, second.Id)
 }
