--- a/internal/registry/agents_partition_test.go
+++ b/internal/registry/agents_partition_test.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// contact is how long a machine must have been joined and running to be held to the rules (contact-ms).
+	// minContact is how long a machine must have been running and not partitioned for the rules to apply (contact-ms).
 	minContact = 4 * time.Second
 	// maxNamedAfterEnd is how long after its end an edge machine may still be named.
 	maxNamedAfterEnd = minContact + 3*time.Second
-	// maxHeartbeatDelay is the longest way of a heartbeat that is not lost: it waits for a second, then its call may last
-	// as long.
+	// maxHeartbeatDelay is the longest delay of a heartbeat that is not lost: it waits for a second, and its call may last
+	// another one.
 	maxHeartbeatDelay = 2 * time.Second
-	// partitionedWatchTimeout and partitionedHeartbeatTimeout are how long a cut holds up what was sent: then its sender gives the connection up.
+	// partitionedWatchTimeout and partitionedHeartbeatTimeout are how long a partition delays what was sent: then its sender
+	// closes the connection.
 	partitionedWatchTimeout     = 2 * time.Second
 	partitionedHeartbeatTimeout = 1500 * time.Millisecond
 
@@ -33,7 +34,7 @@
 type directoryMachine struct {
 	agents      *Agents
 	partitioned bool
-	joinedAt    time.Duration // since when it is not cut off
+	joinedAt    time.Duration // since when it is not partitioned
 }
 
 // edgeMachine is an edge machine that is killed and started.
@@ -44,15 +45,16 @@
 	at      time.Duration // when it was killed last
 }
 
-// held is something on its way; at a machine that is cut off it waits no longer than until lost.
+// delayedReport is a message in transit. At a machine that is partitioned it waits until lost at most.
 type delayedReport struct {
 	at, lost time.Duration
 	to       *directoryMachine
 	do       func(now time.Duration, agents *Agents)
 }
 
-// directory is a simulation of control machines that hear of edge machines, of which some are cut off. What was
-// sent to one that is cut off for a short time arrives at the join, also if the sender was killed meanwhile.
+// directory simulates control machines that receive reports of edge machines while some are partitioned. What was sent
+// to a machine that is partitioned for a short time arrives when the partition heals, even if the sender was killed
+// meanwhile.
 type directory struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -60,7 +62,7 @@
 	machines  []*directoryMachine
 	edges     []*edgeMachine
 	inTransit []delayedReport
-	extraAge  time.Duration // how old what is told of an edge machine is made to seem; 0: as old as it is
+	extraAge  time.Duration // fault under test: by how much reports seem younger than they are
 
 	longestInTouch, longest time.Duration // for which an edge machine was named after its end
 }
@@ -95,7 +97,7 @@
 	}
 }
 
-// deliver hands over what has arrived. Nothing arrives at a machine that is cut off.
+// deliver hands over what has arrived. Nothing arrives at a machine that is partitioned.
 func (d *directory) deliver() {
 	due := d.inTransit
 	d.inTransit = nil
@@ -111,7 +113,7 @@
 	}
 }
 
-// watch lets an edge machine tell one control machine of itself.
+// watch sends an edge machine's record to one control machine.
 func (d *directory) watch(edge *edgeMachine) {
 	record := &pb.AgentRecord{Host: edge.host, Incarnation: edge.started, Ready: true, EdgeAddress: edge.host}
 	d.inTransit = append(d.inTransit, delayedReport{
@@ -122,24 +124,25 @@
 	})
 }
 
-// heartbeat tells the other control machines; what a cut holds up is lost, for its sender gives its connection up.
+// heartbeat sends a report to the other control machines. What a partition delays is lost, since its sender closes the
+// connection.
 func (d *directory) heartbeat(from *directoryMachine) {
 	records := from.agents.Report(d.now)
 	for _, to := range d.machines {
 		if to == from || from.partitioned {
 			continue
 		}
-		way := time.Duration(d.random.Int64N(int64(maxHeartbeatDelay)))
+		delay := time.Duration(d.random.Int64N(int64(maxHeartbeatDelay)))
 		d.inTransit = append(d.inTransit, delayedReport{
-			at:   d.now + way,
-			lost: d.now + way + partitionedHeartbeatTimeout,
+			at:   d.now + delay,
+			lost: d.now + delay + partitionedHeartbeatTimeout,
 			to:   to,
 			do:   func(now time.Duration, agents *Agents) { agents.Merge(now, records) },
 		})
 	}
 }
 
-// look takes an answer of each machine.
+// observe takes an answer of each machine.
 func (d *directory) observe() {
 	for _, machine := range d.machines {
 		named := machine.agents.Refresh(d.now).Endpoints(d.now-d.extraAge, Client{}, 0)
@@ -155,7 +158,7 @@
 	}
 }
 
-// trouble kills or starts an edge machine, or cuts a control machine off or joins it.
+// injectFault kills or starts an edge machine, or partitions a control machine or heals its partition.
 func (d *directory) injectFault() {
 	if d.random.IntN(3) > 0 {
 		edge := d.edges[d.random.IntN(len(d.edges))]
@@ -170,6 +173,7 @@
 }
 
 func runDirectory(t *testing.T, seed uint64, liveFor time.Duration) *directory {
+	t.Helper()
 	d := newDirectory(t, seed)
 	d.extraAge = liveFor
 	for d.now < 5*time.Minute {
@@ -189,7 +193,7 @@
 	t.Logf("dead proxies were named for %v at most by machines in touch, for %v by any", inTouch, longest)
 }
 
-// The planted fault: what was heard counts for five seconds longer.
+// The injected fault: reports count for five seconds longer.
 func TestADirectoryThatNamesDeadProxiesForLongIsFound(t *testing.T) {
 	require.GreaterOrEqual(t, runDirectory(t, 1, 5*time.Second).longestInTouch, maxNamedAfterEnd)
 }
--- a/internal/registry/agents_test.go
+++ b/internal/registry/agents_test.go
@@ -47,9 +47,9 @@
 
 func TestAgentsVersionFollowsWhatMatters(t *testing.T) {
 	changes := map[string]struct {
-		change func(*pb.AgentRecord)
-		heard  bool // it matters to clients or to agents
-		bumps  bool // it matters to agents
+		change  func(*pb.AgentRecord)
+		matters bool // it matters to clients or to agents
+		bumps   bool // it matters to agents
 	}{
 		"nothing":       {func(*pb.AgentRecord) {}, false, false},
 		"sequence":      {func(r *pb.AgentRecord) { r.Sequence = 9 }, false, false},
@@ -68,7 +68,7 @@
 			before := agents.Refresh(0).Version()
 			changed := agentRecord("a1", 1)
 			one.change(changed)
-			require.Equal(t, one.heard, agents.Observe(time.Second, changed))
+			require.Equal(t, one.matters, agents.Observe(time.Second, changed))
 			members := agents.Refresh(time.Second)
 			require.Equal(t, one.bumps, members.Version() > before)
 			require.Equal(t, changed.Ready, len(members.serving(time.Second)) == 1 || changed.Draining)
@@ -111,12 +111,12 @@
 func TestAgentsReportOnlyWhatIsNewOrDue(t *testing.T) {
 	agents := NewAgents(0)
 	agents.Observe(0, agentRecord("a1", 1))
-	told := agentRecord("b1", 1)
-	told.AgeMs = 10
-	agents.Merge(0, []*pb.AgentRecord{told})
+	merged := agentRecord("b1", 1)
+	merged.AgeMs = 10
+	agents.Merge(0, []*pb.AgentRecord{merged})
 
 	report := agents.Report(20 * time.Millisecond)
-	require.Len(t, report, 1, "what others told is not passed on")
+	require.Len(t, report, 1, "records of other control machines are not forwarded")
 	require.Equal(t, "a1", report[0].Host)
 	require.Equal(t, uint32(20), report[0].AgeMs)
 	require.Empty(t, agents.Report(100*time.Millisecond))
@@ -186,24 +186,24 @@
 	}
 }
 
-// TestADrainingAgentIsNotReadyAgainByALateReport: the age of what another control machine heard before leaves out
-// the time that its report was under way.
+// TestADrainingAgentIsNotReadyAgainByALateReport: the age in another control machine's report leaves out the time that
+// the report took.
 func TestADrainingAgentIsNotReadyAgainByALateReport(t *testing.T) {
-	const told, late = 10 * time.Second, 200 * time.Millisecond
+	const reportedAt, delay = 10 * time.Second, 200 * time.Millisecond
 	draining := agentRecord("a1", 1)
 	draining.Draining = true
 	before := agentRecord("a1", 1)
 	before.AgeMs = 100
 
 	agents := NewAgents(0)
-	agents.Observe(told, draining)
-	require.False(t, agents.Merge(told+late, []*pb.AgentRecord{before}))
-	require.Empty(t, agents.Refresh(told+late).Endpoints(told+late, Client{Region: "region", Zone: "zone-a"}, 0))
+	agents.Observe(reportedAt, draining)
+	require.False(t, agents.Merge(reportedAt+delay, []*pb.AgentRecord{before}))
+	require.Empty(t, agents.Refresh(reportedAt+delay).Endpoints(reportedAt+delay, Client{Region: "region", Zone: "zone-a"}, 0))
 
 	agents = NewAgents(0)
-	agents.Merge(told+late, []*pb.AgentRecord{before})
-	require.True(t, agents.Observe(told, draining), "whichever comes first")
+	agents.Merge(reportedAt+delay, []*pb.AgentRecord{before})
+	require.True(t, agents.Observe(reportedAt, draining), "whichever comes first")
 
-	// A proxy that starts anew beside its agent is ready again, a little later.
-	require.True(t, agents.Observe(told+recordTolerance+time.Millisecond, agentRecord("a1", 1)))
+	// A proxy that restarts beside its agent is ready again, a little later.
+	require.True(t, agents.Observe(reportedAt+recordTolerance+time.Millisecond, agentRecord("a1", 1)))
 }
--- a/internal/registry/capacity_bench_test.go
+++ b/internal/registry/capacity_bench_test.go
@@ -85,12 +85,12 @@
 	}
 }
 
-func benchmarkMarshal(b *testing.B, make func() proto.Message) {
+func benchmarkMarshal(b *testing.B, message func() proto.Message) {
 	b.Helper()
 	b.ReportAllocs()
 	size := 0
 	for b.Loop() {
-		data, err := proto.Marshal(make())
+		data, err := proto.Marshal(message())
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -99,7 +99,7 @@
 	b.ReportMetric(float64(size), "B/message")
 }
 
-// BenchmarkCapacityObserveAndRefresh hears one agent's changed record and lists all anew.
+// BenchmarkCapacityObserveAndRefresh observes one agent's changed record and lists all members again.
 func BenchmarkCapacityObserveAndRefresh(b *testing.B) {
 	agents := capacityAgents(390)
 	records := []*pb.AgentRecord{capacityRecord(5), capacityRecord(5)}
--- a/internal/registry/digest_test.go
+++ b/internal/registry/digest_test.go
@@ -12,10 +12,9 @@
 	"fieldrelay/internal/route"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs anew")
+var update = flag.Bool("update", false, "record the digests of the runs again")
 
-// A change that should change no behaviour changes nothing that control machines tell each other of the servers, and
-// when they read the platform's list.
+// A refactoring leaves as they are the lists that control machines send each other, and the times of their polls.
 func TestInventoriesHaveTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "inventories", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(5 * time.Second)
@@ -68,26 +67,25 @@
 	})
 }
 
-// What control machines say of proxies that are late, over agents that are cut off, proxies that start anew, and one
-// that takes no changes.
+// The actions of a lag monitor over agents that are partitioned, proxies that restart, and one that takes no changes.
 func TestLagMonitorHasTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "lateness", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(5 * time.Second)
 		e := newFollowingEdge(4)
 		e.hosts[3].stuck = true
 		e.hosts[3].reportInterval = 2200 * time.Millisecond
-		told := 0
+		recorded := 0
 		for e.now < followTime {
 			e.step()
-			// Agents are looked at in no certain order; what is said of one is in order.
-			said := slices.Clone(e.events[told:])
-			slices.SortStableFunc(said, func(a, b Action) int { return strings.Compare(hostOf(a), hostOf(b)) })
-			for _, action := range said {
+			// Agents are evaluated in no certain order; the actions of one agent are in order.
+			actions := slices.Clone(e.events[recorded:])
+			slices.SortStableFunc(actions, func(a, b Action) int { return strings.Compare(hostOf(a), hostOf(b)) })
+			for _, action := range actions {
 				recordLagAction(t, recorder, e.now, action)
 			}
-			told = len(e.events)
+			recorded = len(e.events)
 		}
-		recorder.Entry(e.now, "violations").Number(uint64(e.monitor.Stats(e.now).Violations))
+		recorder.Entry(e.now, "violations").Number(e.monitor.Stats(e.now).Violations)
 		return recorder
 	})
 }
--- a/internal/registry/endpoints_sim_test.go
+++ b/internal/registry/endpoints_sim_test.go
@@ -21,23 +21,23 @@
 	stepTime     = 100 * time.Millisecond
 	// watchTime is the longest time between two calls of a running agent.
 	watchTime = time.Second
-	// heartbeatTime is the longest time that a report is under way here.
+	// heartbeatTime is the longest delay of a report here.
 	heartbeatTime = 300 * time.Millisecond
-	// warmUp is the time in which control machines have not heard of all agents yet.
+	// warmUp is the time until control machines have received reports of all agents.
 	warmUp = 2 * time.Second
-	// partitionsUntil ends the time in which control machines are cut off.
+	// partitionsUntil ends the time in which control machines are partitioned.
 	partitionsUntil = 30 * time.Second
 )
 
-// simulatedEdge is an edge whose machines are killed, ended and started, heard by control machines of which some
-// are cut off from the others.
+// simulatedEdge is an edge whose machines are killed, ended and started. They report to control machines, some of which
+// are partitioned from the others.
 type simulatedEdge struct {
 	random      *rand.Rand
 	now         time.Duration
 	control     []*Agents
 	partitioned []bool
 	running     []bool
-	records     []*pb.AgentRecord // what each machine says of itself
+	records     []*pb.AgentRecord // what each machine reports of itself
 	reportedAt  []time.Duration
 	linkedTo    []int
 	ended       []time.Duration // when a machine that does not run stopped running
@@ -45,7 +45,7 @@
 	transit     []report
 }
 
-// report is a report of a control machine on its way.
+// report is a control machine's report in transit.
 type report struct {
 	arrives time.Duration
 	from    int
@@ -77,7 +77,7 @@
 	return e
 }
 
-// hear lets a machine's agent speak to its control machine.
+// report lets a machine's agent report to its control machine.
 func (e *simulatedEdge) report(host int) {
 	e.reportedAt[host] = e.now
 	e.control[e.linkedTo[host]].Observe(e.now, e.records[host])
@@ -99,12 +99,12 @@
 	}
 }
 
-// happen may kill, end, start or link anew one machine, and cut or join a control machine.
+// injectFault may kill, end, start or reconnect one machine, and partition a control machine or heal its partition.
 func (e *simulatedEdge) injectFault(host int) {
 	switch draw := e.random.IntN(30); {
 	case draw == 0 && e.running[host]:
 		e.running[host], e.ended[host], e.killed[host] = false, e.now, e.now
-	case draw == 1 && e.running[host]: // SIGTERM: control is told at once
+	case draw == 1 && e.running[host]: // SIGTERM: control is notified at once
 		e.records[host].Draining, e.records[host].Ready = true, false
 		e.report(host)
 		e.running[host], e.ended[host] = false, e.now
@@ -124,7 +124,7 @@
 	}
 }
 
-// exchange sends the reports of control machines that are not cut off to one another.
+// exchange sends the reports of control machines that are not partitioned to one another.
 func (e *simulatedEdge) exchange() {
 	for from, agents := range e.control {
 		records := agents.Report(e.now)
@@ -145,31 +145,31 @@
 	})
 }
 
-// TestTheDirectoryNamesNoMachineThatIsGoneAndNoneTooFar: whatever is killed, ended or cut off, a control machine,
-// a cut-off one too, names no machine that has not run for longer than agents count as live, and machines of
-// other regions only if the client's region has none, or has just lost one by a kill or by the cut.
+// TestTheDirectoryNamesNoMachineThatIsGoneAndNoneTooFar: whatever is killed, ended or partitioned, a control machine, also
+// a partitioned one, names no machine that has not run for longer than agents count as live. It names machines of other
+// regions only if the client's region has none, or has just lost one by a kill or by the partition.
 func TestTheDirectoryNamesNoMachineThatIsGoneAndNoneTooFar(t *testing.T) {
-	var near, far, spilt, gone int
+	var near, far, spillover, gone int
 	for seed := range uint64(20) {
 		e := newSimulatedEdge(seed)
-		anyCut := warmUp - recentLossWindow - FailureTimeout
+		lastPartition := warmUp - recentLossWindow - FailureTimeout
 		for range 600 {
 			e.step()
 			if slices.Contains(e.partitioned, true) {
-				anyCut = e.now
+				lastPartition = e.now
 			}
 			for index, agents := range e.control {
 				for region := range edgeRegions {
 					name := fmt.Sprintf("r%d", region)
 					answer := agents.Refresh(e.now).Endpoints(e.now, Client{Region: name, Zone: name + "-z0", Homes: route.HomeRegions{Unreadable: true}}, uint64(e.now))
 					gone += e.checkRunning(t, seed, answer)
-					switch e.checkNear(t, seed, index, name, answer, anyCut) {
+					switch e.checkNear(t, seed, index, name, answer, lastPartition) {
 					case reachNear:
 						near++
 					case reachFar:
 						far++
 					case reachSpillover:
-						spilt++
+						spillover++
 					}
 				}
 			}
@@ -177,12 +177,13 @@
 	}
 	require.Positive(t, near)
 	require.Positive(t, far, "regions without a proxy")
-	require.Positive(t, spilt, "regions that have just lost one")
+	require.Positive(t, spillover, "regions that have just lost one")
 	require.Positive(t, gone, "a machine is named until it counts as lost")
 }
 
 // checkRunning wants no machine among the addresses that has not run for long; it counts those that do not run.
 func (e *simulatedEdge) checkRunning(t *testing.T, seed uint64, addresses []string) (gone int) {
+	t.Helper()
 	for host, record := range e.records {
 		if e.running[host] || !slices.Contains(addresses, record.EdgeAddress) {
 			continue
@@ -193,23 +194,24 @@
 	return gone
 }
 
-// reach tells which machines an answer of the directory names, in calm times.
+// reach is how far away the machines are that an answer of the directory names, in times without faults.
 type reach int
 
 const (
-	reachUnconverged reach = iota // control machines were cut off just before
+	reachUnconverged reach = iota // control machines were partitioned just before
 	reachNear                     // all are of the client's region
 	reachFar                      // others too; none of the region's takes requests
 	reachSpillover                // others too, beside those of the region
 )
 
 // checkNear wants a reason if addresses of other regions than the client's are named beside its own.
-func (e *simulatedEdge) checkNear(t *testing.T, seed uint64, index int, region string, addresses []string, anyCut time.Duration) reach {
-	if e.now-anyCut <= recentLossWindow+FailureTimeout {
+func (e *simulatedEdge) checkNear(t *testing.T, seed uint64, index int, region string, addresses []string, lastPartition time.Duration) reach {
+	t.Helper()
+	if e.now-lastPartition <= recentLossWindow+FailureTimeout {
 		return reachUnconverged
 	}
 	near, own := true, false
-	killed := time.Duration(longAgo)
+	killed := longAgo
 	for host, record := range e.records {
 		named := slices.Contains(addresses, record.EdgeAddress)
 		if record.Region != region {
--- a/internal/registry/endpoints_test.go
+++ b/internal/registry/endpoints_test.go
@@ -64,10 +64,10 @@
 func TestOtherRegionsHelpOnlyAfterAnUnplannedLoss(t *testing.T) {
 	const now = time.Minute
 	cases := map[string]struct {
-		silent   time.Duration // of the region's other proxy
-		draining bool
-		region   string // of the other proxy
-		helped   bool
+		sinceReport time.Duration // of the region's other proxy
+		draining    bool
+		region      string // of the other proxy
+		helped      bool
 	}{
 		"both are there":            {0, false, "east", false},
 		"one drains":                {0, true, "east", false},
@@ -82,7 +82,7 @@
 			agents := NewAgents(0)
 			other := placed("c2", "c", one.region)
 			other.Draining = one.draining
-			agents.Observe(now-one.silent, other)
+			agents.Observe(now-one.sinceReport, other)
 			for _, record := range threeRegions() {
 				agents.Observe(now, record)
 			}
@@ -160,7 +160,7 @@
 			own := placed("s1", "s", "south")
 			own.Draining, own.Ready = true, false
 			agents.Observe(one.since, own)
-			agents.Observe(now, own) // it goes on telling
+			agents.Observe(now, own) // it goes on reporting
 			client := Client{Region: one.region, Zone: "e", Homes: one.homes, Leaving: leaving}
 			got := agents.Refresh(now).Endpoints(now, client, 1)
 			slices.Sort(got)
@@ -189,7 +189,7 @@
 	require.True(t, members.Serves(0, "east"))
 	require.True(t, members.Serves(0, ""))
 	require.False(t, members.Serves(0, "west"), "its proxy is not ready")
-	require.False(t, members.Serves(FailureTimeout, "east"), "an old picture shows nobody")
+	require.False(t, members.Serves(FailureTimeout, "east"), "an old snapshot names nobody")
 }
 
 func TestEndpointsLeaveOutWhatTakesNoRequests(t *testing.T) {
@@ -206,7 +206,7 @@
 	}
 	members := agents.Refresh(0)
 	require.Equal(t, []string{"a4:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-a", Homes: route.HomeRegions{Unreadable: true}}, 0))
-	require.Empty(t, members.Endpoints(FailureTimeout, Client{Region: "region", Zone: "zone-a", Homes: route.HomeRegions{Unreadable: true}}, 0), "an old picture shows nobody")
+	require.Empty(t, members.Endpoints(FailureTimeout, Client{Region: "region", Zone: "zone-a", Homes: route.HomeRegions{Unreadable: true}}, 0), "an old snapshot names nobody")
 }
 
 func TestEndpointsRotateAndAreBounded(t *testing.T) {
@@ -244,11 +244,11 @@
 			for index := range one.ready + one.starting + one.lost {
 				record := agentRecord(fmt.Sprintf("a%d", index), 1)
 				record.Ready = index >= one.starting
-				heardAt := FailureTimeout
+				receivedAt := FailureTimeout
 				if index >= one.ready+one.starting {
-					heardAt = 0
+					receivedAt = 0
 				}
-				agents.Observe(heardAt, record)
+				agents.Observe(receivedAt, record)
 			}
 			require.Equal(t, one.enough, agents.Refresh(FailureTimeout).MostlyServing(FailureTimeout))
 		})
--- a/internal/registry/inventory_partition_test.go
+++ b/internal/registry/inventory_partition_test.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// longestPartition is how long a machine may be cut off.
+	// longestPartition is how long a machine may be partitioned.
 	longestPartition = 22 * time.Second
-	// maxRegression is how much older the content of a list may be than that of the one which it replaces: a holder
-	// whose readings fail counts until staleThreshold, and a reading takes PollTimeout at most.
+	// maxRegression is how much older the content of a list may be than that of the one which it replaces: an
+	// owner whose polls fail counts until staleThreshold, and a poll takes PollTimeout at most.
 	maxRegression = staleThreshold + PollTimeout
 )
 
-// contents remembers when the platform's list said what.
+// contentHistory records when the platform's list had which content.
 type contentHistory struct {
-	since map[string]time.Duration // by content: until when the platform last said so
+	since map[string]time.Duration // by content: until when the platform last had it
 	now   string
 }
 
@@ -34,7 +34,7 @@
 	return strings.Join(ids, " ")
 }
 
-// lastTrue is when the platform's list last said what a list says.
+// lastTrue returns when the platform's list last had the content of a list.
 func (c *contentHistory) lastTrue(now time.Duration, list *ServerList) time.Duration {
 	content := contentOf(list.servers)
 	if content == c.now {
@@ -43,13 +43,13 @@
 	return c.since[content]
 }
 
-// cutting is a simulation in which machines are cut off from the others, with and without the platform.
+// partitionSimulation is a simulation in which machines are partitioned from the others, with and without the platform.
 type partitionSimulation struct {
 	*simulation
 	contents             contentHistory
 	held                 []*ServerList
-	worstRegression      time.Duration // by which a list went back
-	confirmsWithoutPolls bool          // the planted fault: a list counts as news though no reading succeeds
+	worstRegression      time.Duration // by which a list was older than the one that it replaced
+	confirmsWithoutPolls bool          // injected fault: a list counts as confirmed though no poll succeeds
 }
 
 func newPartitionSimulation(t *testing.T, seed uint64) *partitionSimulation {
@@ -59,7 +59,7 @@
 	return c
 }
 
-// look is called at every step.
+// observe is called at every step.
 func (c *partitionSimulation) observe() {
 	if c.random.IntN(60) == 0 {
 		c.changeServers()
@@ -81,8 +81,8 @@
 	}
 }
 
-// partition cuts a machine off for a while, one way or both; the platform is out of its reach for a part of it, and
-// perhaps beyond.
+// partition separates a machine from the others for a while, in one direction or both. The platform is unreachable for
+// a part of that time, and perhaps beyond it.
 func (c *partitionSimulation) partition() {
 	machine := c.machines[c.random.IntN(len(c.machines))]
 	span := time.Duration(c.random.Int64N(int64(longestPartition)))
@@ -129,7 +129,7 @@
 	require.Greater(t, worst, maxRegression)
 }
 
-// Each part of a core that is cut into many reads the list, and together they keep to the platform's rate.
+// Each side of a partition polls, and together they keep to the platform's rate.
 func TestAMachineThatIsApartReadsManyPagesLessOften(t *testing.T) {
 	inventory, now := newOwner(t, serverNamed("a"))
 	inventory.lastPages = 28
@@ -140,10 +140,10 @@
 			inventory.Step(now, PollDone{SentAt: now, Pages: 28, Servers: []*pb.Server{serverNamed("a")}})
 		}
 	}
-	require.InDelta(t, 40/8, polls, 1, "28 pages at a twelfth of 42 a second: one reading in eight seconds")
+	require.InDelta(t, 40/8, polls, 1, "28 pages at a twelfth of 42 a second: one poll in eight seconds")
 }
 
-// A machine that has no list gets even an old one: the platform may be out of reach of all.
+// A machine that has no list gets even an old one: the platform may be unreachable for all.
 func TestAnOldListIsSentToAMachineWithoutOneAlone(t *testing.T) {
 	inventory, now := newOwner(t, serverNamed("a"))
 	now += staleThreshold
--- a/internal/registry/inventory_sim_test.go
+++ b/internal/registry/inventory_sim_test.go
@@ -22,22 +22,22 @@
 	host                string
 	inventory           *ServerInventory
 	frozen              bool
-	receivesNothing     bool // hears no other machine
-	sendsNothing        bool // is heard by no other machine
-	platformUnreachable bool // cut from the platform
+	receivesNothing     bool // receives from no other machine
+	sendsNothing        bool // no other machine receives from it
+	platformUnreachable bool // its polls fail
 	pollEnds            time.Duration
 	poll                *PollDone
 	last                *pb.ListVersion
 }
 
-// delivery is a message under way.
+// delivery is a message in transit.
 type delivery struct {
 	at   time.Duration
 	to   int
 	what Event
 }
 
-// simulation lets several inventories read a platform's list whose servers change.
+// simulation is several inventories that poll a platform whose servers change.
 type simulation struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -49,7 +49,7 @@
 	platformDown bool          // the platform answers nothing
 	lossy        bool          // messages are lost now and then
 	calls        []time.Duration
-	watch        func(host string, action Action) // is told of each action; nil: nobody
+	watch        func(host string, action Action) // called with each action, unless nil
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
@@ -68,7 +68,7 @@
 	s.send(index, VersionObserved{Peer: true}) // the first heartbeat
 }
 
-// order names the machines that the given one hears, itself included.
+// order returns the machines that the given one is in contact with, itself included.
 func (s *simulation) order(self int) []string {
 	var order []string
 	for index, machine := range s.machines {
@@ -105,7 +105,7 @@
 	}
 	require.NoError(s.t, machine.inventory.Check())
 	version := machine.inventory.Current().Version()
-	require.GreaterOrEqual(s.t, CompareVersions(version, machine.last), 0, "a version went back at %s", machine.host)
+	require.GreaterOrEqual(s.t, CompareVersions(version, machine.last), 0, "the version fell at %s", machine.host)
 	machine.last = version
 }
 
@@ -151,7 +151,7 @@
 	s.checkCalls()
 }
 
-// checkCalls sees that the calls of one second stay far under the platform's rate.
+// checkCalls requires that the calls of one second stay far under the platform's rate.
 func (s *simulation) checkCalls() {
 	for len(s.calls) > 0 && s.calls[0] <= s.now-time.Second {
 		s.calls = s.calls[1:]
@@ -159,15 +159,15 @@
 	require.Less(s.t, float64(len(s.calls)), simulationRate/2)
 }
 
-// trouble changes something at random.
+// injectFault injects or ends a fault, or changes the servers, at random.
 func (s *simulation) injectFault() {
 	machine := s.machines[s.random.IntN(len(s.machines))]
 	switch s.random.IntN(6) {
 	case 0:
 		machine.frozen = !machine.frozen
 	case 1:
-		cut := !machine.sendsNothing
-		machine.sendsNothing, machine.receivesNothing, machine.platformUnreachable = cut, cut, cut
+		partitioned := !machine.sendsNothing
+		machine.sendsNothing, machine.receivesNothing, machine.platformUnreachable = partitioned, partitioned, partitioned
 	case 2:
 		s.platformDown = !s.platformDown
 	case 3:
@@ -188,7 +188,7 @@
 	s.servers = slices.CompactFunc(sortServers(s.servers), func(one, other *pb.Server) bool { return one.Id == other.Id })
 }
 
-// calm ends all trouble.
+// heal ends all faults.
 func (s *simulation) heal() {
 	s.platformDown = false
 	s.lossy = false
@@ -205,12 +205,12 @@
 	}
 }
 
-// requireAgreement sees that one machine has the duty and that all hold the platform's list.
+// requireAgreement requires one owner, and the platform's list at all machines.
 func (s *simulation) requireAgreement() {
-	holders := 0
+	owners := 0
 	for _, machine := range s.machines {
 		if machine.inventory.IsOwner() {
-			holders++
+			owners++
 		}
 		list := machine.inventory.Current()
 		require.NotNil(s.t, list)
@@ -220,7 +220,7 @@
 			require.Equal(s.t, sortServers(s.servers), list.servers)
 		}
 	}
-	require.Equal(s.t, 1, holders)
+	require.Equal(s.t, 1, owners)
 }
 
 func TestInventoriesAgreeAfterTrouble(t *testing.T) {
@@ -237,7 +237,7 @@
 				s.heal()
 				s.run(12*time.Second, func() {})
 				s.requireAgreement()
-				require.Equal(t, "m0", s.machines[0].inventory.Current().Version().Holder, "the first in order has the duty")
+				require.Equal(t, "m0", s.machines[0].inventory.Current().Version().Holder, "the first in order is the owner")
 				s.changeServers()
 				s.run(3*time.Second, func() {})
 				s.requireAgreement()
@@ -252,11 +252,11 @@
 		s := newSimulation(t, seed)
 		s.run(10*time.Second, func() {})
 		s.requireAgreement()
-		s.inTransit = nil // they were down for longer than a message is under way
+		s.inTransit = nil // they were down for longer than a message is in transit
 		for index := range s.machines {
 			s.restart(index)
 		}
-		s.run(time.Second, func() {}) // an introduction, a tick, the slowest reading and the way to the others
+		s.run(time.Second, func() {}) // the listen window, a tick, the slowest poll and the messages to the others
 		for _, machine := range s.machines {
 			require.NotNil(t, machine.inventory.Current())
 		}
@@ -265,7 +265,7 @@
 	}
 }
 
-// TestOneMachineRestartsWithoutADispute: its first heartbeat brings it the list of the machine in the duty.
+// TestOneMachineRestartsWithoutADispute: its first heartbeat brings it the list of the owner.
 func TestOneMachineRestartsWithoutADispute(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(t, seed)
--- a/internal/registry/inventory_test.go
+++ b/internal/registry/inventory_test.go
@@ -19,7 +19,7 @@
 	return NewServerInventory(self, 42, rand.New(rand.NewPCG(1, 2)))
 }
 
-// ticked steps through ticks until the time is over and returns the actions.
+// tickThrough steps through the ticks from one time to another and returns their actions.
 func tickThrough(inventory *ServerInventory, from, to time.Duration, order ...string) []Action {
 	var actions []Action
 	for now := from; now <= to; now += 100 * time.Millisecond {
@@ -28,7 +28,7 @@
 	return actions
 }
 
-// holding returns an inventory that has the duty and read a list at the time returned.
+// newOwner returns an inventory that is the owner, and the time at which it has polled the servers.
 func newOwner(t *testing.T, servers ...*pb.Server) (*ServerInventory, time.Duration) {
 	t.Helper()
 	inventory := newTestInventory("m1")
@@ -54,7 +54,7 @@
 func TestMachineWithoutAListPollsAtOnce(t *testing.T) {
 	for rank, order := range [][]string{{"m1"}, {"m2", "m1"}, {"m2", "m3", "m1"}} {
 		inventory := newTestInventory("m1")
-		require.Empty(t, inventory.Step(0, Tick{LiveHosts: order}), "who holds a list has the time to send it")
+		require.Empty(t, inventory.Step(0, Tick{LiveHosts: order}), "a peer that has a list gets the time to send it")
 		require.Equal(t, []Action{StartPoll{}}, inventory.Step(startupListenWindow, Tick{LiveHosts: order}), "rank %d", rank)
 		done := PollDone{SentAt: startupListenWindow, Pages: 1, Servers: []*pb.Server{serverNamed("a")}}
 		require.Len(t, inventory.Step(startupListenWindow+20*time.Millisecond, done), 2)
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestMachinesThatStartTogetherKeepToThePlatformsRate: they read the first list in groups.
+// TestMachinesThatStartTogetherKeepToThePlatformsRate: they poll for the first time in groups.
 func TestMachinesThatStartTogetherKeepToThePlatformsRate(t *testing.T) {
 	for _, rate := range []float64{8, 20, 42} {
 		calls := make(map[time.Duration]float64)
@@ -101,7 +101,7 @@
 	inventory := newTestInventory("m1")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m2", Revision: 1}
 	inventory.Step(0, VersionObserved{Version: version, Peer: true})
-	require.Empty(t, tickThrough(inventory, 0, startupGracePeriod-time.Millisecond, "m1", "m2"), "the list is under way")
+	require.Empty(t, tickThrough(inventory, 0, startupGracePeriod-time.Millisecond, "m1", "m2"), "the list is in transit")
 	inventory.Step(startupGracePeriod, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
 	require.Empty(t, tickThrough(inventory, startupGracePeriod, staleThreshold, "m1", "m2"))
 	require.Equal(t, "m2", inventory.Current().Version().GetHolder())
@@ -134,7 +134,7 @@
 
 func TestManyPagesStretchThePollInterval(t *testing.T) {
 	inventory, now := newOwner(t, serverNamed("a"))
-	inventory.lastPages = 28 // 28 pages at a third of 42 a second: one reading in two seconds
+	inventory.lastPages = 28 // 28 pages at a third of 42 a second: one poll in two seconds
 	polls := 0
 	for end := now + 20*time.Second; now < end; now += 100 * time.Millisecond {
 		for range inventory.Step(now, Tick{LiveHosts: []string{"m1"}}) {
@@ -238,7 +238,7 @@
 	inventory.Step(0, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
 	inventory.Step(4*time.Second, ListReceived{List: &pb.ServerList{Version: version, AgeMs: 300}})
 	require.Equal(t, 300*time.Millisecond, inventory.Current().Age(4*time.Second))
-	require.Equal(t, uint32(4000), inventory.Current().Message(4*time.Second).AgeMs, "remaining times date from the reading")
+	require.Equal(t, uint32(4000), inventory.Current().Message(4*time.Second).AgeMs, "remaining times date from the poll")
 }
 
 func TestNextMachineTakesOverUnderAHigherEpoch(t *testing.T) {
@@ -284,31 +284,31 @@
 	inventory, start := newOwner(t, serverNamed("a"))
 	epoch := inventory.Current().Version().Epoch
 	now := start + time.Second
-	seen := &pb.ListVersion{Epoch: epoch + 1, Holder: "m2", Revision: 1}
-	inventory.Step(now, VersionObserved{Version: seen, Peer: true})
+	observed := &pb.ListVersion{Epoch: epoch + 1, Holder: "m2", Revision: 1}
+	inventory.Step(now, VersionObserved{Version: observed, Peer: true})
 	require.False(t, inventory.IsOwner())
 	require.Equal(t, epoch+1, inventory.AdvertisedVersion().Epoch)
-	inventory.Step(now, ListReceived{List: &pb.ServerList{Version: seen, Servers: []*pb.Server{serverNamed("a")}}})
+	inventory.Step(now, ListReceived{List: &pb.ServerList{Version: observed, Servers: []*pb.Server{serverNamed("a")}}})
 	require.Equal(t, "m2", inventory.Current().Version().Holder)
 }
 
-// TestVersionThatOutlivedItsOwnerIsSuperseded: an agent, or a control machine that heard of it, holds a version of an earlier
-// life of all control machines.
+// TestVersionThatOutlivedItsOwnerIsSuperseded: an agent, or a control machine that observed it there, has a version from
+// before all control machines were restarted.
 func TestVersionThatOutlivedItsOwnerIsSuperseded(t *testing.T) {
 	for _, higher := range []uint64{0, 1, 1000} {
 		for _, peer := range []bool{false, true} {
 			inventory, start := newOwner(t, serverNamed("a"))
 			epoch := inventory.Current().Version().Epoch
-			seen := VersionObserved{Version: &pb.ListVersion{Epoch: epoch + higher, Holder: "z", Revision: 7}, Peer: peer}
+			observed := VersionObserved{Version: &pb.ListVersion{Epoch: epoch + higher, Holder: "z", Revision: 7}, Peer: peer}
 			if peer {
-				seen.Version = &pb.ListVersion{Epoch: epoch + higher + 1}
+				observed.Version = &pb.ListVersion{Epoch: epoch + higher + 1}
 			}
 			now := start + 300*time.Millisecond
-			require.Equal(t, []Action{StartPoll{}}, inventory.Step(now, seen), "without waiting for the next reading")
-			require.Empty(t, inventory.Step(now, seen), "one reading is enough")
+			require.Equal(t, []Action{StartPoll{}}, inventory.Step(now, observed), "without waiting for the next interval")
+			require.Empty(t, inventory.Step(now, observed), "one poll is enough")
 			actions := inventory.Step(now, PollDone{SentAt: now, Pages: 1, Servers: []*pb.Server{serverNamed("a")}})
 			require.Len(t, actions, 2, "the same servers are a new list")
-			require.Positive(t, CompareVersions(inventory.Current().Version(), seen.Version))
+			require.Positive(t, CompareVersions(inventory.Current().Version(), observed.Version))
 		}
 	}
 }
@@ -316,19 +316,19 @@
 func TestALaggingMachineGetsTheWholeList(t *testing.T) {
 	epoch := func(inventory *ServerInventory) uint64 { return inventory.Current().Version().Epoch }
 	cases := map[string]struct {
-		held  func(inventory *ServerInventory) *pb.ListVersion
-		pause time.Duration
+		held     func(inventory *ServerInventory) *pb.ListVersion
+		interval time.Duration
 	}{
-		"one that has just started":    {func(*ServerInventory) *pb.ListVersion { return nil }, initialResendInterval},
-		"one that heard of the duty":   {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i)} }, initialResendInterval},
-		"one that holds an older list": {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i) - 1, Holder: "m2"} }, resendInterval},
+		"one that has just started":  {func(*ServerInventory) *pb.ListVersion { return nil }, initialResendInterval},
+		"one that observed an epoch": {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i)} }, initialResendInterval},
+		"one that has an older list": {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i) - 1, Holder: "m2"} }, resendInterval},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			inventory, start := newOwner(t, serverNamed("a"))
 			lagging := VersionObserved{Version: one.held(inventory), Peer: true}
-			require.Empty(t, inventory.Step(start+one.pause-1, lagging), "the list is still under way")
-			now := start + one.pause
+			require.Empty(t, inventory.Step(start+one.interval-1, lagging), "the list is still in transit")
+			now := start + one.interval
 			actions := inventory.Step(now, lagging)
 			require.Len(t, actions, 1)
 			require.Len(t, actions[0].(SendList).List.Servers, 1)
--- a/internal/registry/lag_monitor_sim_test.go
+++ b/internal/registry/lag_monitor_sim_test.go
@@ -18,7 +18,7 @@
 )
 
 // followingEdge is an edge whose proxies follow the changes of one control machine within longestDelivery while their
-// agents reach it. Agents are cut off, and proxies start anew.
+// agents reach it. Agents are partitioned, and proxies restart.
 type followingEdge struct {
 	random    *rand.Rand
 	now       time.Duration
@@ -33,9 +33,9 @@
 	sequence         uint64
 	partitionedUntil time.Duration
 	reportAt         time.Duration
-	arrivesAt        time.Duration // of the changes that are under way, up to arrives; 0: none are
+	arrivesAt        time.Duration // of the changes in transit, up to arrives; 0: none are
 	arrives          uint64
-	stuck            bool          // planted: its proxy takes no changes
+	stuck            bool          // injected fault: its proxy takes no changes
 	reportInterval   time.Duration // longest time between two reports
 }
 
@@ -67,7 +67,7 @@
 	e.events = append(e.events, e.monitor.Step(e.now)...)
 }
 
-// disturb cuts a host off at times, or starts its proxy anew.
+// injectFault partitions a host at times, or restarts its proxy.
 func (e *followingEdge) injectFault(host *followingHost) {
 	switch e.random.IntN(600) {
 	case 0:
@@ -80,7 +80,7 @@
 	}
 }
 
-// follow lets a host in contact get what is under way to it and report what its proxy holds.
+// follow lets a host in contact receive what is in transit to it and report what its proxy has.
 func (e *followingEdge) follow(host *followingHost) {
 	if host.arrivesAt > 0 && e.now >= host.arrivesAt {
 		host.sequence = max(host.sequence, host.arrives)
@@ -106,23 +106,24 @@
 	}
 }
 
-// Proxies that take changes while their agents are in contact never break the bound, whatever cuts and starts come.
+// Proxies that take changes while their agents are in contact never exceed the bound, whatever partitions and restarts
+// come.
 func TestProxiesThatFollowNeverExceedTheBound(t *testing.T) {
-	behind := 0
+	lagging := 0
 	for seed := range uint64(40) {
 		e := newFollowingEdge(seed)
 		e.run()
 		require.Zero(t, e.monitor.Stats(e.now).Violations, "seed %d", seed)
 		for _, event := range e.events {
 			if _, is := event.(AgentLagging); is {
-				behind++
+				lagging++
 			}
 		}
 	}
-	require.Positive(t, behind, "some were behind after a cut")
+	require.Positive(t, lagging, "some lagged after a partition")
 }
 
-// A proxy that takes no changes is found, also if its agent's calls time out, so that it is seldom heard.
+// A proxy that takes no changes is found, also if its agent's calls time out, so that reports are rare.
 func TestProxyThatTakesNoChangesIsFound(t *testing.T) {
 	for _, reportedBy := range []time.Duration{time.Second, 2200 * time.Millisecond, 2900 * time.Millisecond} {
 		for seed := range uint64(10) {
@@ -132,8 +133,8 @@
 			e.run()
 			found := 0
 			for _, event := range e.events {
-				if late, is := event.(ProxyBoundExceeded); is {
-					require.Equal(t, "edge-3", late.Host)
+				if exceeded, is := event.(ProxyBoundExceeded); is {
+					require.Equal(t, "edge-3", exceeded.Host)
 					found++
 				}
 			}
--- a/internal/registry/lag_monitor_test.go
+++ b/internal/registry/lag_monitor_test.go
@@ -11,7 +11,7 @@
 
 var testBounds = LagBounds{Contact: 4 * time.Second, Apply: 3 * time.Second, Stretch: 6 * time.Second}
 
-// reporting is a Lateness with the time and the reports of one agent.
+// reportingAgent is a LagMonitor with the time and the reports of one agent.
 type reportingAgent struct {
 	t       *testing.T
 	now     time.Duration
@@ -22,6 +22,7 @@
 
 // newReportingAgent begins with an agent that has been in contact for as long as is asked, at sequence 1.
 func newReportingAgent(t *testing.T) *reportingAgent {
+	t.Helper()
 	r := &reportingAgent{t: t, now: time.Second, monitor: NewLagMonitor(), record: agentRecord("edge-1", 1)}
 	r.record.Sequence = 1
 	r.monitor.SetBounds(testBounds)
@@ -31,7 +32,7 @@
 	return r
 }
 
-// report lets the agent say what its proxy holds.
+// report lets the agent report what its proxy has.
 func (r *reportingAgent) report() {
 	record := &pb.AgentRecord{
 		Host: r.record.Host, Incarnation: r.record.Incarnation, EdgeAddress: r.record.EdgeAddress,
@@ -53,7 +54,7 @@
 	r.report()
 }
 
-// take returns the events so far and forgets them.
+// take returns the events so far and clears them.
 func (r *reportingAgent) take() []Action {
 	taken := r.events
 	r.events = nil
@@ -67,11 +68,11 @@
 	require.Empty(t, r.take())
 	require.Equal(t, LagStats{Oldest: LagThreshold, OldestHost: "edge-1"}, r.monitor.Stats(r.now))
 	r.pass(time.Second)
-	behind := r.take()
-	require.Len(t, behind, 1)
+	lagging := r.take()
+	require.Len(t, lagging, 1)
 	require.Equal(t, AgentLagging{
 		Host: "edge-1", Reported: 1, Committed: 2, Lag: 2 * time.Second, Ready: true,
-	}, behind[0])
+	}, lagging[0])
 	require.Equal(t, LagStats{Behind: 1, Oldest: 2 * time.Second, OldestHost: "edge-1"}, r.monitor.Stats(r.now))
 
 	r.record.Sequence = 2
@@ -80,7 +81,7 @@
 	require.Zero(t, r.monitor.Stats(r.now))
 }
 
-// An agent calls as soon as it has a change, before its proxy does, and that call is held for a second.
+// An agent calls as soon as it has a change, before its proxy does, and that long poll stays open for a second.
 func TestAgentThatReportsInTimeDoesNotLag(t *testing.T) {
 	r := newReportingAgent(t)
 	r.monitor.Committed(r.now, 2)
@@ -100,9 +101,9 @@
 	r := newReportingAgent(t)
 	r.monitor.Committed(r.now, 2)
 	require.Empty(t, r.monitor.Step(r.now+LagThreshold+expectedReportInterval))
-	behind := r.monitor.Step(r.now + LagThreshold + expectedReportInterval + time.Millisecond)
-	require.Len(t, behind, 1)
-	require.Equal(t, LagThreshold+time.Millisecond, behind[0].(AgentLagging).Lag)
+	lagging := r.monitor.Step(r.now + LagThreshold + expectedReportInterval + time.Millisecond)
+	require.Len(t, lagging, 1)
+	require.Equal(t, LagThreshold+time.Millisecond, lagging[0].(AgentLagging).Lag)
 }
 
 func TestProxyThatExceedsTheBoundIsReportedOnceInAnEpisode(t *testing.T) {
@@ -116,11 +117,11 @@
 		require.Equal(t, episode+1, r.monitor.Stats(r.now).Violations)
 		events := r.take()
 		require.Len(t, events, 2)
-		late, isLate := events[1].(ProxyBoundExceeded)
-		require.True(t, isLate)
-		require.Equal(t, committed, late.Committed)
-		require.Equal(t, testBounds.Apply, late.Bound)
-		require.Greater(t, late.Lag, late.Bound)
+		exceeded, isExceeded := events[1].(ProxyBoundExceeded)
+		require.True(t, isExceeded)
+		require.Equal(t, committed, exceeded.Committed)
+		require.Equal(t, testBounds.Apply, exceeded.Bound)
+		require.Greater(t, exceeded.Lag, exceeded.Bound)
 		r.record.Sequence = committed
 		r.report()
 		require.IsType(t, AgentCaughtUp{}, r.take()[0])
@@ -133,7 +134,7 @@
 		"no proxy is known":           func(r *reportingAgent) { r.record.EdgeAddress = "" },
 		"the proxy takes no requests": func(r *reportingAgent) { r.record.Ready = false },
 		"no bound is known":           func(r *reportingAgent) { r.monitor.SetBounds(LagBounds{}) },
-		"this machine is out of touch": func(r *reportingAgent) {
+		"this machine is out of sync": func(r *reportingAgent) {
 			r.monitor.SuspendBounds(r.now)
 		},
 	} {
@@ -147,8 +148,8 @@
 
 func TestRestartsAndLongGapsBeginANewContact(t *testing.T) {
 	for name, change := range map[string]func(r *reportingAgent){
-		"the agent starts anew": func(r *reportingAgent) { r.record.Incarnation++ },
-		"the proxy starts anew": func(r *reportingAgent) { r.record.Sequence = 0 },
+		"the agent restarts": func(r *reportingAgent) { r.record.Incarnation++ },
+		"the proxy restarts": func(r *reportingAgent) { r.record.Sequence = 0 },
 		"a break": func(r *reportingAgent) {
 			r.now += FailureTimeout
 			r.monitor.Step(r.now)
@@ -173,7 +174,7 @@
 	r.report()
 	for range 2 {
 		r.pass(time.Second)
-		require.Zero(t, r.monitor.Stats(r.now).Violations, "it may have been cut off")
+		require.Zero(t, r.monitor.Stats(r.now).Violations, "it may have been partitioned")
 	}
 	r.pass(time.Second)
 	require.EqualValues(t, 1, r.monitor.Stats(r.now).Violations)
@@ -184,17 +185,17 @@
 	r.monitor.Committed(r.now, 2)
 	r.pass(2 * time.Second)
 	require.IsType(t, AgentLagging{}, r.take()[0])
-	told := agentRecord("edge-1", 1)
-	told.Sequence = 1
+	merged := agentRecord("edge-1", 1)
+	merged.Sequence = 1
 	r.now += recordTolerance
-	r.monitor.Merge(r.now, []*pb.AgentRecord{aged(told, 100*time.Millisecond)})
+	r.monitor.Merge(r.now, []*pb.AgentRecord{aged(merged, 100*time.Millisecond)})
 	require.Zero(t, r.monitor.Stats(r.now))
 	events := r.monitor.Step(r.now)
 	require.Len(t, events, 1)
 	require.True(t, events[0].(AgentCaughtUp).Unheard)
 
 	r.report()
-	r.monitor.Merge(r.now, []*pb.AgentRecord{aged(told, time.Second)})
+	r.monitor.Merge(r.now, []*pb.AgentRecord{aged(merged, time.Second)})
 	require.Equal(t, 1, r.monitor.Stats(r.now).Behind, "an older report changes nothing")
 }
 
