--- a/internal/lag/episode_test.go
+++ b/internal/lag/episode_test.go
@@ -7,26 +7,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEpisodeTurnsOnceAtEachEnd(t *testing.T) {
+func TestEpisodeBeginsAndEndsOnce(t *testing.T) {
 	var episode Episode
-	const limit = time.Second
+	const threshold = time.Second
 	steps := []struct {
-		figure time.Duration
-		turn   Transition
+		value      time.Duration
+		transition Transition
 	}{
 		{0, Unchanged},
-		{limit, Unchanged},
-		{limit + 1, Began},
+		{threshold, Unchanged},
+		{threshold + 1, Began},
 		{3 * time.Second, Unchanged},
 		{2 * time.Second, Unchanged},
-		{limit, Ended},
+		{threshold, Ended},
 		{0, Unchanged},
 	}
 	for index, step := range steps {
-		require.Equal(t, step.turn, episode.Update(step.figure, limit), "step %d", index)
+		require.Equal(t, step.transition, episode.Update(step.value, threshold), "step %d", index)
 		require.Equal(t, index >= 2 && index <= 4, episode.Running())
 	}
 	require.Equal(t, 3*time.Second, episode.Longest())
-	require.Equal(t, Began, episode.Update(2*time.Second, limit))
+	require.Equal(t, Began, episode.Update(2*time.Second, threshold))
 	require.Equal(t, 2*time.Second, episode.Longest(), "of this episode")
 }
