--- a/internal/gossip/capacity_bench_test.go
+++ b/internal/gossip/capacity_bench_test.go
@@ -15,15 +15,15 @@
 	for i := range view {
 		view[i] = shuffle.Neighbour{Host: fmt.Sprint("edge-", i), Address: fmt.Sprintf("10.0.0.%d:7661", i)}
 	}
-	held := NewReplica()
-	held.ApplyChanges(changes(1, 1500))
-	return New(held, view, rand.New(rand.NewPCG(1, 2)))
+	replica := NewReplica()
+	replica.ApplyChanges(changes(1, 1500))
+	return New(replica, view, rand.New(rand.NewPCG(1, 2)))
 }
 
 // BenchmarkCapacityPushedChange takes one change from a neighbour and passes it on.
 func BenchmarkCapacityPushedChange(b *testing.B) {
 	machine := capacityMachine()
-	sequence := machine.held.Sequence()
+	sequence := machine.replica.Sequence()
 	b.ReportAllocs()
 	for b.Loop() {
 		sequence++
@@ -38,7 +38,7 @@
 	self := shuffle.Neighbour{Host: "edge-9", Address: "10.0.0.9:7661"}
 	b.ReportAllocs()
 	for b.Loop() {
-		compare := machine.compare(self)
+		compare := machine.versionComparison(self)
 		reply := other.Step(time.Minute, CompareRequested{From: self, Digests: compare.Digests, List: compare.List})
 		machine.Step(time.Minute, Compared{Request: compare, Response: reply[0].(CompareReply).Response})
 	}
--- a/internal/gossip/copy.go
+++ b/internal/gossip/copy.go
@@ -13,10 +13,10 @@
 // Replica is an agent's copy of the control state and of the server list. Its versions only rise, whoever offers
 // what and in whatever order. It is not safe for concurrent use; the snapshots it hands out are.
 type Replica struct {
-	snapshot *catalog.Snapshot
-	history  *catalog.History
-	packed   packedNews
-	list     heldList
+	snapshot   *catalog.Snapshot
+	history    *catalog.History
+	compressed compressedUpdates
+	list       storedList
 }
 
 // NewReplica makes a copy that holds nothing.
@@ -25,35 +25,35 @@
 }
 
 // Snapshot is the control state held.
-func (c *Replica) Snapshot() *catalog.Snapshot { return c.snapshot }
+func (r *Replica) Snapshot() *catalog.Snapshot { return r.snapshot }
 
 // Sequence is the number of the last change held.
-func (c *Replica) Sequence() uint64 { return c.snapshot.Sequence() }
+func (r *Replica) Sequence() uint64 { return r.snapshot.Sequence() }
 
 // Since are the changes after a sequence, false when not all of them are kept.
-func (c *Replica) Since(sequence uint64) ([]*pb.Change, bool) { return c.history.Since(sequence) }
+func (r *Replica) Since(sequence uint64) ([]*pb.Change, bool) { return r.history.Since(sequence) }
 
 // ListVersion is the version of the server list held, nil when there is none.
-func (c *Replica) ListVersion() *pb.ListVersion { return c.list.message.GetVersion() }
+func (r *Replica) ListVersion() *pb.ListVersion { return r.list.message.GetVersion() }
 
 // ListConfirmedAt is when the platform was last known to have the list that is held.
-func (c *Replica) ListConfirmedAt() time.Duration { return c.list.newsAt }
+func (r *Replica) ListConfirmedAt() time.Duration { return r.list.confirmedAt }
 
 // List is the server list with its age at the time now, nil when there is none.
-func (c *Replica) List(now time.Duration) *pb.ServerList { return c.list.aged(now) }
+func (r *Replica) List(now time.Duration) *pb.ServerList { return r.list.messageAt(now) }
 
 // ApplyChanges applies those changes that follow what is held and returns them; the others are left out.
-func (c *Replica) ApplyChanges(changes []*pb.Change) (applied []*pb.Change) {
+func (r *Replica) ApplyChanges(changes []*pb.Change) (applied []*pb.Change) {
 	for _, change := range changes {
-		if change.GetSequence() != c.snapshot.Sequence()+1 {
+		if change.GetSequence() != r.snapshot.Sequence()+1 {
 			continue
 		}
-		next, err := c.snapshot.Apply(change)
+		next, err := r.snapshot.Apply(change)
 		if err != nil {
 			break
 		}
-		c.snapshot = next
-		c.history.Add(change)
+		r.snapshot = next
+		r.history.Add(change)
 		applied = append(applied, change)
 	}
 	return applied
@@ -71,13 +71,13 @@
 // Restore takes a repair that was made against the digests of base; without a base it must be whole. It tells
 // whether the copy moved: a repair that is no newer than the copy changes nothing. A *catalog.RepairError or a
 // *PartialRepairError is returned for a repair that can't be used.
-func (c *Replica) Restore(base *catalog.Snapshot, repair *pb.Repair) (bool, error) {
-	if repair.GetSequence() <= c.snapshot.Sequence() {
+func (r *Replica) Restore(base *catalog.Snapshot, repair *pb.Repair) (bool, error) {
+	if repair.GetSequence() <= r.snapshot.Sequence() {
 		return false, nil
 	}
 	if base == nil {
 		base = catalog.Empty()
-		if ranges := len(repair.GetRanges()); ranges != catalog.RangeCount && c.Sequence() > 0 {
+		if ranges := len(repair.GetRanges()); ranges != catalog.RangeCount && r.Sequence() > 0 {
 			return false, &PartialRepairError{Ranges: ranges}
 		}
 	}
@@ -85,38 +85,38 @@
 	if err != nil {
 		return false, errors.Wrapf(err, "restore the control state at %d", repair.GetSequence())
 	}
-	c.snapshot = next
-	c.history.Reset(next.Sequence())
+	r.snapshot = next
+	r.history.Reset(next.Sequence())
 	return true, nil
 }
 
 // OfferList takes a server list unless it is older than the one held. A list of the version held confirms it: only
 // its age counts, whether it tells the servers or not.
-func (c *Replica) OfferList(now time.Duration, list *pb.ServerList) ListOutcome {
+func (r *Replica) OfferList(now time.Duration, list *pb.ServerList) ListOutcome {
 	if list.GetVersion() == nil {
 		return ListStale
 	}
 	readAt := readTime(now, list)
-	offered := heldList{message: list, readAt: readAt, newsAt: readAt}
-	switch CompareVersions(list.GetVersion(), c.ListVersion()) {
+	offered := storedList{message: list, readAt: readAt, confirmedAt: readAt}
+	switch CompareVersions(list.GetVersion(), r.ListVersion()) {
 	case -1:
 		return ListStale
 	case 0:
-		return c.confirm(offered.newsAt)
+		return r.confirmList(offered.confirmedAt)
 	}
-	if sameContent(c.list, offered) {
-		c.list = offered
+	if sameContent(r.list, offered) {
+		r.list = offered
 		return ListConfirmed
 	}
-	c.list = offered
+	r.list = offered
 	return ListChanged
 }
 
 // confirm takes later news of the list held.
-func (c *Replica) confirm(newsAt time.Duration) ListOutcome {
-	if newsAt <= c.list.newsAt {
+func (r *Replica) confirmList(confirmedAt time.Duration) ListOutcome {
+	if confirmedAt <= r.list.confirmedAt {
 		return ListStale
 	}
-	c.list.newsAt = newsAt
+	r.list.confirmedAt = confirmedAt
 	return ListConfirmed
 }
--- a/internal/gossip/copy_test.go
+++ b/internal/gossip/copy_test.go
@@ -35,9 +35,9 @@
 }
 
 func stateAt(sequence uint64) *catalog.Snapshot {
-	held := NewReplica()
-	held.ApplyChanges(changes(1, sequence))
-	return held.Snapshot()
+	replica := NewReplica()
+	replica.ApplyChanges(changes(1, sequence))
+	return replica.Snapshot()
 }
 
 func version(epoch uint64, holder string, revision uint64) *pb.ListVersion {
@@ -78,54 +78,54 @@
 		states[sequence] = stateAt(uint64(sequence))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		held := NewReplica()
+		replica := NewReplica()
 		bases := []*catalog.Snapshot{nil}
 		now := time.Minute
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			sequence, listed := held.Sequence(), held.ListVersion()
+			sequence, listed := replica.Sequence(), replica.ListVersion()
 			now += time.Duration(rapid.IntRange(0, 1000).Draw(t, "passed")) * time.Millisecond
 			at := rapid.Uint64Range(1, last).Draw(t, "at")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				held.ApplyChanges(changes(at, rapid.Uint64Range(at, last).Draw(t, "to")))
+				replica.ApplyChanges(changes(at, rapid.Uint64Range(at, last).Draw(t, "to")))
 			case 1:
 				base := rapid.SampledFrom(bases).Draw(t, "base")
 				var digests *pb.RangeDigests
 				if base != nil {
 					digests = base.Digests()
 				}
-				_, err := held.Restore(base, states[at].RepairFor(digests))
+				_, err := replica.Restore(base, states[at].RepairFor(digests))
 				require.NoError(t, err)
 			case 2:
-				bases = append(bases, held.Snapshot())
+				bases = append(bases, replica.Snapshot())
 			case 3:
 				offered := &pb.ServerList{
 					Version: version(at%3, fmt.Sprint("core-", at%2), at%5),
 					AgeMs:   uint32(at * 10),
 				}
-				held.OfferList(now, offered)
+				replica.OfferList(now, offered)
 			}
-			require.GreaterOrEqual(t, held.Sequence(), sequence)
-			require.GreaterOrEqual(t, CompareVersions(held.ListVersion(), listed), 0)
-			require.True(t, proto.Equal(states[held.Sequence()].Digests(), held.Snapshot().Digests()))
+			require.GreaterOrEqual(t, replica.Sequence(), sequence)
+			require.GreaterOrEqual(t, CompareVersions(replica.ListVersion(), listed), 0)
+			require.True(t, proto.Equal(states[replica.Sequence()].Digests(), replica.Snapshot().Digests()))
 		}
 	})
 }
 
 func TestPartialRepairNeedsItsBase(t *testing.T) {
-	held := NewReplica()
-	held.ApplyChanges(changes(1, 3))
-	base := held.Snapshot()
+	replica := NewReplica()
+	replica.ApplyChanges(changes(1, 3))
+	base := replica.Snapshot()
 	repair := stateAt(9).RepairFor(base.Digests())
 	require.Less(t, len(repair.GetRanges()), catalog.RangeCount)
-	moved, err := held.Restore(nil, repair)
+	moved, err := replica.Restore(nil, repair)
 	var partial *PartialRepairError
 	require.ErrorAs(t, err, &partial)
 	require.False(t, moved)
-	moved, err = held.Restore(base, repair)
+	moved, err = replica.Restore(base, repair)
 	require.NoError(t, err)
 	require.True(t, moved)
-	require.EqualValues(t, 9, held.Sequence())
+	require.EqualValues(t, 9, replica.Sequence())
 }
 
 func TestListContentIsComparedApartFromTheTimeThatPasses(t *testing.T) {
@@ -155,30 +155,30 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			held := NewReplica()
-			require.Equal(t, ListChanged, held.OfferList(time.Second, warming(2, 1000, 5000)))
-			require.Equal(t, c.want, held.OfferList(c.now, c.offered))
+			replica := NewReplica()
+			require.Equal(t, ListChanged, replica.OfferList(time.Second, warming(2, 1000, 5000)))
+			require.Equal(t, c.want, replica.OfferList(c.now, c.offered))
 		})
 	}
 }
 
 func TestConfirmationLeavesTheSpansOfServersAsTheyAre(t *testing.T) {
-	held := NewReplica()
-	held.OfferList(time.Second, list(1, "i-1"))
+	replica := NewReplica()
+	replica.OfferList(time.Second, list(1, "i-1"))
 	confirmation := &pb.ServerList{Version: version(1, "core-1", 1), AgeMs: 100}
-	require.Equal(t, ListConfirmed, held.OfferList(3*time.Second, confirmation))
-	require.Equal(t, 2900*time.Millisecond, held.ListConfirmedAt())
-	require.EqualValues(t, 2000, held.List(3*time.Second).GetAgeMs(), "read two seconds ago")
-	require.Len(t, held.List(3*time.Second).GetServers(), 1)
+	require.Equal(t, ListConfirmed, replica.OfferList(3*time.Second, confirmation))
+	require.Equal(t, 2900*time.Millisecond, replica.ListConfirmedAt())
+	require.EqualValues(t, 2000, replica.List(3*time.Second).GetAgeMs(), "read two seconds ago")
+	require.Len(t, replica.List(3*time.Second).GetServers(), 1)
 }
 
 func TestListAges(t *testing.T) {
-	held := NewReplica()
-	require.Nil(t, held.List(time.Second))
+	replica := NewReplica()
+	require.Nil(t, replica.List(time.Second))
 	first := list(1, "i-1")
 	first.AgeMs = 300
-	held.OfferList(time.Second, first)
-	require.EqualValues(t, 800, held.List(1500*time.Millisecond).GetAgeMs())
+	replica.OfferList(time.Second, first)
+	require.EqualValues(t, 800, replica.List(1500*time.Millisecond).GetAgeMs())
 	require.EqualValues(t, 300, first.GetAgeMs(), "the message itself isn't changed")
 }
 
@@ -187,7 +187,7 @@
 	for i := range ids {
 		ids[i] = fmt.Sprint("i-", rand.Uint64())
 	}
-	one, other := heldList{message: list(1, ids...)}, heldList{message: list(2, ids...)}
+	one, other := storedList{message: list(1, ids...)}, storedList{message: list(2, ids...)}
 	for b.Loop() {
 		sameContent(one, other)
 	}
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -23,16 +23,16 @@
 			}
 		}
 		for sequence := uint64(1); sequence <= 20; sequence++ {
-			s.tell(s.random.IntN(len(s.machines)), UpdateReceived{
+			s.deliverEvent(s.random.IntN(len(s.machines)), UpdateReceived{
 				Changes: changes(1, sequence),
 				List:    list(sequence, fmt.Sprint("i-", sequence)),
 			})
 			s.rounds(200 * time.Millisecond)
 		}
-		s.copies[0].history.Reset(20)
+		s.replicas[0].history.Reset(20)
 		s.rounds(15 * time.Second)
-		for _, held := range s.copies {
-			recorder.Entry(s.now, "end").Number(held.Sequence()).Message(held.Snapshot().Digests()).Message(held.ListVersion())
+		for _, replica := range s.replicas {
+			recorder.Entry(s.now, "end").Number(replica.Sequence()).Message(replica.Snapshot().Digests()).Message(replica.ListVersion())
 		}
 		return recorder
 	})
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -26,8 +26,8 @@
 
 	// pullDelay is how long a member that hears of news waits for it to come by itself, from control.
 	pullDelay = 100 * time.Millisecond
-	// pushLimit is the size in bytes up to which news is pushed whole.
-	pushLimit = 1 << 10
+	// maxPushSize is the size in bytes up to which news is pushed whole.
+	maxPushSize = 1 << 10
 )
 
 // Event is something that a Machine is told.
@@ -117,26 +117,26 @@
 
 // Machine is one agent's part in the gossip. It is not safe for concurrent use.
 type Machine struct {
-	held        *Replica
-	view        View
-	random      *rand.Rand
-	started     bool
-	nextCompare time.Duration
-	ahead       lead
-	malformed   uint64
+	replica       *Replica
+	view          View
+	random        *rand.Rand
+	started       bool
+	nextCompareAt time.Duration
+	announced     announcedVersion
+	malformed     uint64
 }
 
 // lead is a neighbour that is known to hold more, and is asked for it.
-type lead struct {
+type announcedVersion struct {
 	neighbour shuffle.Neighbour // no host: none
 	sequence  uint64
 	list      *pb.ListVersion
-	askAt     time.Duration
+	pullAt    time.Duration
 }
 
 // New makes the machine that keeps the copy held up to date and passes its news on.
-func New(held *Replica, view View, random *rand.Rand) *Machine {
-	return &Machine{held: held, view: view, random: random}
+func New(replica *Replica, view View, random *rand.Rand) *Machine {
+	return &Machine{replica: replica, view: view, random: random}
 }
 
 // Malformed counts the repairs that could not be used.
@@ -148,15 +148,15 @@
 	case Tick:
 		return m.tick(now)
 	case UpdateReceived:
-		return m.take(now, "", event)
+		return m.applyUpdate(now, "", event)
 	case PushRequested:
-		return m.pushed(now, event)
+		return m.receivePush(now, event)
 	case PushAnswered:
-		m.heard(now, event.To, event.Sequence, event.List)
+		m.observeVersion(now, event.To, event.Sequence, event.List)
 	case CompareRequested:
-		return m.asked(now, event)
+		return m.request(now, event)
 	case Compared:
-		return m.compared(now, event)
+		return m.receiveComparison(now, event)
 	}
 	return nil
 }
@@ -165,29 +165,29 @@
 func (m *Machine) tick(now time.Duration) []Action {
 	if !m.started {
 		m.started = true
-		m.nextCompare = now + time.Duration(m.random.Int64N(int64(CompareInterval)))
+		m.nextCompareAt = now + time.Duration(m.random.Int64N(int64(CompareInterval)))
 	}
-	if !m.behind() {
-		m.ahead = lead{}
+	if !m.lacksAnnounced() {
+		m.announced = announcedVersion{}
 	}
-	if m.ahead.neighbour.Host != "" && now >= m.ahead.askAt {
-		neighbour := m.ahead.neighbour
-		m.ahead = lead{}
-		return []Action{m.compare(neighbour)}
+	if m.announced.neighbour.Host != "" && now >= m.announced.pullAt {
+		neighbour := m.announced.neighbour
+		m.announced = announcedVersion{}
+		return []Action{m.versionComparison(neighbour)}
 	}
-	if now < m.nextCompare {
+	if now < m.nextCompareAt {
 		return nil
 	}
-	m.nextCompare = now + m.jittered(CompareInterval)
-	return m.compareAny()
+	m.nextCompareAt = now + m.jittered(CompareInterval)
+	return m.compareWithRandom()
 }
 
-func (m *Machine) compareAny() []Action {
+func (m *Machine) compareWithRandom() []Action {
 	neighbours := m.view.Neighbours()
 	if len(neighbours) == 0 {
 		return nil
 	}
-	return []Action{m.compare(neighbours[m.random.IntN(len(neighbours))])}
+	return []Action{m.versionComparison(neighbours[m.random.IntN(len(neighbours))])}
 }
 
 // jittered is a random time between 3/4 and 5/4 of a period.
@@ -197,124 +197,124 @@
 }
 
 // behind tells whether the neighbour that was ahead still is.
-func (m *Machine) behind() bool {
-	if m.ahead.neighbour.Host == "" {
+func (m *Machine) lacksAnnounced() bool {
+	if m.announced.neighbour.Host == "" {
 		return false
 	}
-	return m.ahead.sequence > m.held.Sequence() || CompareVersions(m.ahead.list, m.held.ListVersion()) > 0
+	return m.announced.sequence > m.replica.Sequence() || CompareVersions(m.announced.list, m.replica.ListVersion()) > 0
 }
 
 // heard remembers a neighbour that holds more than this member.
-func (m *Machine) heard(now time.Duration, from shuffle.Neighbour, sequence uint64, list *pb.ListVersion) {
-	newer := sequence > m.held.Sequence() || CompareVersions(list, m.held.ListVersion()) > 0
+func (m *Machine) observeVersion(now time.Duration, from shuffle.Neighbour, sequence uint64, list *pb.ListVersion) {
+	newer := sequence > m.replica.Sequence() || CompareVersions(list, m.replica.ListVersion()) > 0
 	if !newer || from.Host == "" || from.Address == "" {
 		return
 	}
 	askAt := now + pullDelay
-	if m.behind() {
-		askAt = min(askAt, m.ahead.askAt)
+	if m.lacksAnnounced() {
+		askAt = min(askAt, m.announced.pullAt)
 	}
-	m.ahead = lead{neighbour: from, sequence: sequence, list: list, askAt: askAt}
+	m.announced = announcedVersion{neighbour: from, sequence: sequence, list: list, pullAt: askAt}
 }
 
 // compare is the cheap comparison: versions alone.
-func (m *Machine) compare(with shuffle.Neighbour) Compare {
-	snapshot := m.held.Snapshot()
+func (m *Machine) versionComparison(with shuffle.Neighbour) Compare {
+	snapshot := m.replica.Snapshot()
 	return Compare{
 		To:      with,
 		Digests: &pb.RangeDigests{Sequence: snapshot.Sequence(), Generation: snapshot.Generation()},
-		List:    m.held.ListVersion(),
+		List:    m.replica.ListVersion(),
 	}
 }
 
-// compareDigests is the comparison that is answered by a repair.
-func (m *Machine) compareDigests(with shuffle.Neighbour) Compare {
-	snapshot := m.held.Snapshot()
-	return Compare{To: with, Digests: snapshot.Digests(), List: m.held.ListVersion(), Base: snapshot}
+// digestComparison is the comparison that is answered by a repair.
+func (m *Machine) digestComparison(with shuffle.Neighbour) Compare {
+	snapshot := m.replica.Snapshot()
+	return Compare{To: with, Digests: snapshot.Digests(), List: m.replica.ListVersion(), Base: snapshot}
 }
 
 // pushed takes a neighbour's news and passes it on if it is news here.
-func (m *Machine) pushed(now time.Duration, push PushRequested) []Action {
-	actions := m.take(now, push.From.Host, UpdateReceived{Changes: push.Changes, List: push.List})
+func (m *Machine) receivePush(now time.Duration, push PushRequested) []Action {
+	actions := m.applyUpdate(now, push.From.Host, UpdateReceived{Changes: push.Changes, List: push.List})
 	if last := len(push.Changes) - 1; last >= 0 {
-		m.heard(now, push.From, push.Changes[last].GetSequence(), nil)
+		m.observeVersion(now, push.From, push.Changes[last].GetSequence(), nil)
 	}
-	reply := PushReply{Sequence: m.held.Sequence(), List: m.held.ListVersion()}
+	reply := PushReply{Sequence: m.replica.Sequence(), List: m.replica.ListVersion()}
 	return append(actions, reply)
 }
 
 // asked answers a comparison with what is newer here.
-func (m *Machine) asked(now time.Duration, asked CompareRequested) []Action {
-	theirs := asked.Digests.GetSequence()
-	response := &pb.CompareResponse{Sequence: m.held.Sequence()}
-	if theirs < m.held.Sequence() {
-		m.addState(response, asked)
+func (m *Machine) request(now time.Duration, request CompareRequested) []Action {
+	theirs := request.Digests.GetSequence()
+	response := &pb.CompareResponse{Sequence: m.replica.Sequence()}
+	if theirs < m.replica.Sequence() {
+		m.addMissingState(response, request)
 	}
-	if CompareVersions(m.held.ListVersion(), asked.List) > 0 {
-		response.List = m.held.List(now)
+	if CompareVersions(m.replica.ListVersion(), request.List) > 0 {
+		response.List = m.replica.List(now)
 	}
-	m.heard(now, asked.From, theirs, asked.List)
+	m.observeVersion(now, request.From, theirs, request.List)
 	return []Action{CompareReply{Response: response}}
 }
 
-// addState adds what a neighbour lacks. Large news is passed on as it came, and what follows it in changes; one that
+// addMissingState adds what a neighbour lacks. Large news is passed on as it came, and what follows it in changes; one that
 // lies far behind tells its digests when it asks again.
-func (m *Machine) addState(response *pb.CompareResponse, asked CompareRequested) {
-	changes, kept := m.held.Since(asked.Digests.GetSequence())
-	repairable := len(asked.Digests.GetDigests()) > 0 // a repair brings all, packed news perhaps a part
-	if asked.AcceptsCompressed && (!kept && !repairable || isLarge(changes)) {
-		response.Packed = m.held.Compressed(asked.Digests.GetSequence())
+func (m *Machine) addMissingState(response *pb.CompareResponse, request CompareRequested) {
+	changes, complete := m.replica.Since(request.Digests.GetSequence())
+	repairable := len(request.Digests.GetDigests()) > 0 // a repair brings all, packed news perhaps a part
+	if request.AcceptsCompressed && (!complete && !repairable || isWorthCompressing(changes)) {
+		response.Packed = m.replica.Compressed(request.Digests.GetSequence())
 	}
 	switch {
 	case response.Packed != nil:
-		response.Changes, _ = m.held.Since(response.Packed.GetSequence())
-	case kept:
+		response.Changes, _ = m.replica.Since(response.Packed.GetSequence())
+	case complete:
 		response.Changes = changes
-	case len(asked.Digests.GetDigests()) > 0:
-		response.Repair = m.held.Snapshot().RepairFor(asked.Digests)
+	case len(request.Digests.GetDigests()) > 0:
+		response.Repair = m.replica.Snapshot().RepairFor(request.Digests)
 	}
 }
 
 // compared takes what a neighbour holds beyond this member. If changes alone can't bring it, digests follow.
-func (m *Machine) compared(now time.Duration, answer Compared) []Action {
+func (m *Machine) receiveComparison(now time.Duration, answer Compared) []Action {
 	response := answer.Response
-	actions := m.take(now, answer.Request.To.Host, UpdateReceived{
+	actions := m.applyUpdate(now, answer.Request.To.Host, UpdateReceived{
 		Changes:    response.GetChanges(),
 		Base:       answer.Request.Base,
 		Repair:     response.GetRepair(),
 		Compressed: response.GetPacked(),
 		List:       response.GetList(),
 	})
-	if response.GetSequence() > m.held.Sequence() && answer.Request.Base == nil {
-		actions = append(actions, m.compareDigests(answer.Request.To))
+	if response.GetSequence() > m.replica.Sequence() && answer.Request.Base == nil {
+		actions = append(actions, m.digestComparison(answer.Request.To))
 	}
 	return actions
 }
 
 // take applies news and passes on what was new, not to the neighbour that it came from.
-func (m *Machine) take(now time.Duration, from string, news UpdateReceived) []Action {
-	before := m.held.Sequence()
-	repaired := m.restore(news)
-	applied := m.held.ApplyChanges(news.Changes)
-	m.held.AddCompressed(news.Compressed)
+func (m *Machine) applyUpdate(now time.Duration, from string, received UpdateReceived) []Action {
+	before := m.replica.Sequence()
+	repaired := m.restoreRepair(received)
+	applied := m.replica.ApplyChanges(received.Changes)
+	m.replica.AddCompressed(received.Compressed)
 	var list *pb.ServerList
-	if m.held.OfferList(now, news.List) == ListChanged {
-		list = m.held.List(now)
+	if m.replica.OfferList(now, received.List) == ListChanged {
+		list = m.replica.List(now)
 	}
-	if m.held.Sequence() < before {
+	if m.replica.Sequence() < before {
 		panic("gossip: the sequence of the copy fell")
 	}
 	if len(applied) == 0 && !repaired && list == nil {
 		return nil
 	}
-	return m.spread(from, applied, repaired, list)
+	return m.disseminate(from, applied, repaired, list)
 }
 
-func (m *Machine) restore(news UpdateReceived) bool {
-	if news.Repair == nil {
+func (m *Machine) restoreRepair(received UpdateReceived) bool {
+	if received.Repair == nil {
 		return false
 	}
-	moved, err := m.held.Restore(news.Base, news.Repair)
+	moved, err := m.replica.Restore(received.Base, received.Repair)
 	if err != nil {
 		m.malformed++
 	}
@@ -322,25 +322,25 @@
 }
 
 // spread pushes small news and announces the rest.
-func (m *Machine) spread(from string, applied []*pb.Change, repaired bool, list *pb.ServerList) []Action {
-	small := !repaired && newsSize(applied, list) <= pushLimit
+func (m *Machine) disseminate(from string, applied []*pb.Change, repaired bool, list *pb.ServerList) []Action {
+	small := !repaired && updateSize(applied, list) <= maxPushSize
 	var actions []Action
-	for _, neighbour := range m.pick(Fanout, from) {
+	for _, neighbour := range m.pickNeighbours(Fanout, from) {
 		if small {
 			actions = append(actions, Push{To: neighbour, Changes: applied, List: list})
 		} else {
-			actions = append(actions, m.compare(neighbour))
+			actions = append(actions, m.versionComparison(neighbour))
 		}
 	}
 	return actions
 }
 
-// newsSize is the size of news in bytes, or one above pushLimit.
-func newsSize(changes []*pb.Change, list *pb.ServerList) int {
+// updateSize is the size of news in bytes, or one above maxPushSize.
+func updateSize(changes []*pb.Change, list *pb.ServerList) int {
 	size := 0
 	for _, change := range changes {
 		size += proto.Size(change)
-		if size > pushLimit {
+		if size > maxPushSize {
 			return size
 		}
 	}
@@ -351,7 +351,7 @@
 }
 
 // pick takes neighbours at random, none of them the host except.
-func (m *Machine) pick(count int, except string) []shuffle.Neighbour {
+func (m *Machine) pickNeighbours(count int, except string) []shuffle.Neighbour {
 	neighbours := m.view.Neighbours()
 	picked := make([]shuffle.Neighbour, 0, count)
 	for _, i := range m.random.Perm(len(neighbours)) {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -36,18 +36,18 @@
 
 // swarm is a simulation of many members: messages take a hop, may be lost and come in any order.
 type swarm struct {
-	t        *testing.T
-	random   *rand.Rand
-	now      time.Duration
-	loss     float64
-	machines []*Machine
-	copies   []*Replica
-	floor    []uint64
-	lists    []*pb.ListVersion
-	flying   []message
-	pushes   int
-	compares int
-	watch    func(i int, actions []Action) // is told of each step; nil: nobody
+	t         *testing.T
+	random    *rand.Rand
+	now       time.Duration
+	loss      float64
+	machines  []*Machine
+	replicas  []*Replica
+	floor     []uint64
+	lists     []*pb.ListVersion
+	inTransit []message
+	pushes    int
+	compares  int
+	watch     func(i int, actions []Action) // is told of each step; nil: nobody
 }
 
 func newSwarm(t *testing.T, seed uint64, size int) *swarm {
@@ -60,9 +60,9 @@
 				view = append(view, neighbour(other))
 			}
 		}
-		held := NewReplica()
-		s.copies = append(s.copies, held)
-		s.machines = append(s.machines, New(held, view, rand.New(rand.NewPCG(seed, uint64(i)+2))))
+		replica := NewReplica()
+		s.replicas = append(s.replicas, replica)
+		s.machines = append(s.machines, New(replica, view, rand.New(rand.NewPCG(seed, uint64(i)+2))))
 	}
 	return s
 }
@@ -72,14 +72,14 @@
 	if s.watch != nil {
 		s.watch(i, actions)
 	}
-	require.GreaterOrEqual(s.t, s.copies[i].Sequence(), s.floor[i], "sequences only rise")
-	s.floor[i] = s.copies[i].Sequence()
-	require.GreaterOrEqual(s.t, CompareVersions(s.copies[i].ListVersion(), s.lists[i]), 0, "list versions only rise")
-	s.lists[i] = s.copies[i].ListVersion()
+	require.GreaterOrEqual(s.t, s.replicas[i].Sequence(), s.floor[i], "sequences only rise")
+	s.floor[i] = s.replicas[i].Sequence()
+	require.GreaterOrEqual(s.t, CompareVersions(s.replicas[i].ListVersion(), s.lists[i]), 0, "list versions only rise")
+	s.lists[i] = s.replicas[i].ListVersion()
 	return actions
 }
 
-func (s *swarm) tell(i int, event Event) {
+func (s *swarm) deliverEvent(i int, event Event) {
 	for _, action := range s.step(i, event) {
 		s.send(i, action)
 	}
@@ -100,14 +100,14 @@
 	var index int
 	_, err := fmt.Sscanf(to.Host, "edge-%d", &index)
 	require.NoError(s.t, err)
-	s.flying = append(s.flying, message{from: from, to: index, action: action})
+	s.inTransit = append(s.inTransit, message{from: from, to: index, action: action})
 }
 
 // round delivers what is on its way and, every quarter of a second, lets every member tick.
 func (s *swarm) round() {
 	s.now += hop
-	flying := s.flying
-	s.flying = nil
+	flying := s.inTransit
+	s.inTransit = nil
 	for _, i := range s.random.Perm(len(flying)) {
 		if s.random.Float64() >= s.loss {
 			s.deliver(flying[i])
@@ -115,7 +115,7 @@
 	}
 	if s.now%(25*hop) == 0 {
 		for i := range s.machines {
-			s.tell(i, Tick{})
+			s.deliverEvent(i, Tick{})
 		}
 	}
 }
@@ -142,7 +142,7 @@
 // answer delivers an answer unless it is lost.
 func (s *swarm) answer(to int, event Event) {
 	if s.random.Float64() >= s.loss {
-		s.tell(to, event)
+		s.deliverEvent(to, event)
 	}
 }
 
@@ -152,10 +152,10 @@
 	}
 }
 
-func (s *swarm) holding(sequence uint64, listed *pb.ListVersion) int {
+func (s *swarm) countAtLeast(sequence uint64, listed *pb.ListVersion) int {
 	count := 0
-	for _, held := range s.copies {
-		if held.Sequence() >= sequence && CompareVersions(held.ListVersion(), listed) >= 0 {
+	for _, replica := range s.replicas {
+		if replica.Sequence() >= sequence && CompareVersions(replica.ListVersion(), listed) >= 0 {
 			count++
 		}
 	}
@@ -163,21 +163,21 @@
 }
 
 func (s *swarm) requireAlike() {
-	want := s.copies[0].Snapshot().Digests()
-	for i, held := range s.copies {
-		require.True(s.t, proto.Equal(want, held.Snapshot().Digests()), "member %d", i)
+	want := s.replicas[0].Snapshot().Digests()
+	for i, replica := range s.replicas {
+		require.True(s.t, proto.Equal(want, replica.Snapshot().Digests()), "member %d", i)
 	}
 }
 
 func TestUpdateReachesAllInFewRounds(t *testing.T) {
 	for seed := range uint64(5) {
 		s := newSwarm(t, seed, swarmSize)
-		s.tell(0, UpdateReceived{Changes: changes(1, 1), List: list(1, "i-1")})
+		s.deliverEvent(0, UpdateReceived{Changes: changes(1, 1), List: list(1, "i-1")})
 		s.rounds(12 * hop)
-		require.GreaterOrEqual(t, s.holding(1, version(1, "core-1", 1)), swarmSize*9/10, "by pushes alone")
+		require.GreaterOrEqual(t, s.countAtLeast(1, version(1, "core-1", 1)), swarmSize*9/10, "by pushes alone")
 		require.LessOrEqual(t, s.pushes, swarmSize*Fanout)
 		s.rounds(8 * time.Second)
-		require.Equal(t, swarmSize, s.holding(1, version(1, "core-1", 1)), "after comparisons")
+		require.Equal(t, swarmSize, s.countAtLeast(1, version(1, "core-1", 1)), "after comparisons")
 		s.requireAlike()
 	}
 }
@@ -187,14 +187,14 @@
 		s := newSwarm(t, seed, swarmSize)
 		s.loss = 0.3
 		for sequence := uint64(1); sequence <= 20; sequence++ {
-			s.tell(s.random.IntN(swarmSize), UpdateReceived{
+			s.deliverEvent(s.random.IntN(swarmSize), UpdateReceived{
 				Changes: changes(1, sequence),
 				List:    list(sequence, fmt.Sprint("i-", sequence)),
 			})
 			s.rounds(200 * time.Millisecond)
 		}
 		s.rounds(30 * time.Second)
-		require.Equal(t, swarmSize, s.holding(20, version(1, "core-1", 20)))
+		require.Equal(t, swarmSize, s.countAtLeast(20, version(1, "core-1", 20)))
 		s.requireAlike()
 	}
 }
@@ -202,17 +202,17 @@
 func TestLargeNewsIsAnnouncedAndAskedFor(t *testing.T) {
 	s := newSwarm(t, 1, swarmSize)
 	large := change(1)
-	large.Upserts[0].Body = bytes.Repeat([]byte("x"), 10*pushLimit)
-	s.tell(0, UpdateReceived{Changes: []*pb.Change{large}})
+	large.Upserts[0].Body = bytes.Repeat([]byte("x"), 10*maxPushSize)
+	s.deliverEvent(0, UpdateReceived{Changes: []*pb.Change{large}})
 	s.rounds(15 * time.Second)
-	require.Equal(t, swarmSize, s.holding(1, nil))
+	require.Equal(t, swarmSize, s.countAtLeast(1, nil))
 	require.Zero(t, s.pushes, "large news isn't pushed")
 }
 
 func TestNewsThatAllHaveCostsNoFurtherMessages(t *testing.T) {
 	s := newSwarm(t, 1, 50)
 	for i := range s.machines {
-		s.tell(i, UpdateReceived{Changes: changes(1, 1)})
+		s.deliverEvent(i, UpdateReceived{Changes: changes(1, 1)})
 	}
 	s.rounds(time.Second)
 	require.LessOrEqual(t, s.pushes, 50*Fanout)
@@ -225,12 +225,12 @@
 
 func TestGapIsRepairedByDigests(t *testing.T) {
 	s := newSwarm(t, 1, 2)
-	s.copies[0].ApplyChanges(changes(1, 10))
-	s.copies[0].history.Reset(10)
-	s.copies[1].ApplyChanges(changes(1, 3))
+	s.replicas[0].ApplyChanges(changes(1, 10))
+	s.replicas[0].history.Reset(10)
+	s.replicas[1].ApplyChanges(changes(1, 3))
 	s.floor[0], s.floor[1] = 10, 3
 	s.rounds(10 * time.Second)
-	require.EqualValues(t, 10, s.copies[1].Sequence())
+	require.EqualValues(t, 10, s.replicas[1].Sequence())
 	s.requireAlike()
 }
 
@@ -239,7 +239,7 @@
 	for i := range s.machines {
 		s.machines[i].Step(0, UpdateReceived{Changes: changes(1, 3), List: list(1, "i-1")})
 	}
-	asked := s.machines[0].compare(neighbour(1))
+	asked := s.machines[0].versionComparison(neighbour(1))
 	reply := s.step(1, CompareRequested{From: neighbour(0), Digests: asked.Digests, List: asked.List})[0].(CompareReply)
 	require.True(t, proto.Equal(&pb.CompareResponse{Sequence: 3}, reply.Response))
 	require.Empty(t, s.step(0, Compared{Request: asked, Response: reply.Response}))
@@ -248,8 +248,8 @@
 func TestNewsGoesNotBackToWhereItCameFrom(t *testing.T) {
 	s := newSwarm(t, 1, 4)
 	for range 20 {
-		held := NewReplica()
-		machine := New(held, fixedView{neighbour(1), neighbour(2), neighbour(3)}, s.random)
+		replica := NewReplica()
+		machine := New(replica, fixedView{neighbour(1), neighbour(2), neighbour(3)}, s.random)
 		for _, action := range machine.Step(0, PushRequested{From: neighbour(2), Changes: changes(1, 1)}) {
 			if push, ok := action.(Push); ok {
 				require.NotEqual(t, neighbour(2).Host, push.To.Host)
@@ -266,10 +266,10 @@
 }
 
 func TestMalformedRepairIsCountedAndLeftOut(t *testing.T) {
-	held := NewReplica()
-	machine := New(held, fixedView{}, rand.New(rand.NewPCG(1, 1)))
+	replica := NewReplica()
+	machine := New(replica, fixedView{}, rand.New(rand.NewPCG(1, 1)))
 	bad := &pb.Repair{Sequence: 5, Ranges: []*pb.Range{{Index: 99}}}
 	require.Empty(t, machine.Step(0, UpdateReceived{Repair: bad}))
 	require.EqualValues(t, 1, machine.Malformed())
-	require.Zero(t, held.Sequence())
+	require.Zero(t, replica.Sequence())
 }
--- a/internal/gossip/packed_test.go
+++ b/internal/gossip/packed_test.go
@@ -17,21 +17,21 @@
 	return made
 }
 
-// packedFrom packs changes for a copy at the sequence before them.
-func packedFrom(made ...*pb.Change) *pb.PackedNews {
+// compressedFrom packs changes for a copy at the sequence before them.
+func compressedFrom(made ...*pb.Change) *pb.PackedNews {
 	var packer packing.Packer
 	key := packing.Key{Base: made[0].GetSequence() - 1, Sequence: made[len(made)-1].GetSequence()}
 	return packer.Packed(key, func() *pb.StateNews { return &pb.StateNews{Changes: made} })
 }
 
-// holdingLarge is a member that holds changes up to 5, of which 4 is large and came packed.
-func holdingLarge(t *testing.T) *Machine {
+// replicaWithLargeUpdate is a member that holds changes up to 5, of which 4 is large and came packed.
+func replicaWithLargeUpdate(t *testing.T) *Machine {
 	machine := New(NewReplica(), fixedView{}, nil)
 	large := largeChange(4)
 	machine.Step(0, UpdateReceived{Changes: changes(1, 3)})
-	machine.Step(0, UpdateReceived{Changes: []*pb.Change{large}, Compressed: packedFrom(large)})
+	machine.Step(0, UpdateReceived{Changes: []*pb.Change{large}, Compressed: compressedFrom(large)})
 	machine.Step(0, UpdateReceived{Changes: changes(5, 5)})
-	require.EqualValues(t, 5, machine.held.Sequence())
+	require.EqualValues(t, 5, machine.replica.Sequence())
 	return machine
 }
 
@@ -42,26 +42,26 @@
 }
 
 func TestLargeNewsIsPassedOnAsItCame(t *testing.T) {
-	answer := answerTo(holdingLarge(t), 3, true)
+	answer := answerTo(replicaWithLargeUpdate(t), 3, true)
 	require.EqualValues(t, 4, answer.GetPacked().GetSequence())
 	require.Len(t, answer.GetChanges(), 1, "what follows it comes as it is")
 	require.EqualValues(t, 5, answer.GetChanges()[0].GetSequence())
 }
 
 func TestNeighboursThatTakeNothingPackedGetChanges(t *testing.T) {
-	answer := answerTo(holdingLarge(t), 3, false)
+	answer := answerTo(replicaWithLargeUpdate(t), 3, false)
 	require.Nil(t, answer.GetPacked())
 	require.Len(t, answer.GetChanges(), 2)
 }
 
 func TestPackedNewsIsNotForCopiesBeforeItsBase(t *testing.T) {
-	answer := answerTo(holdingLarge(t), 2, true)
+	answer := answerTo(replicaWithLargeUpdate(t), 2, true)
 	require.Nil(t, answer.GetPacked())
 	require.Len(t, answer.GetChanges(), 3)
 }
 
 func TestSmallNewsIsNotPassedOnPacked(t *testing.T) {
-	answer := answerTo(holdingLarge(t), 4, true)
+	answer := answerTo(replicaWithLargeUpdate(t), 4, true)
 	require.Nil(t, answer.GetPacked())
 	require.Len(t, answer.GetChanges(), 1)
 }
@@ -82,8 +82,8 @@
 	for sequence := range uint64(50) {
 		copied.AddCompressed(&pb.PackedNews{Base: sequence, Sequence: sequence + 1, Deflated: make([]byte, 100<<10)})
 		copied.AddCompressed(&pb.PackedNews{Base: sequence, Sequence: sequence + 1, Deflated: make([]byte, 100<<10)})
-		require.LessOrEqual(t, len(copied.packed), maxPacked)
-		require.LessOrEqual(t, copied.packed.bytes(), maxPackedBytes)
+		require.LessOrEqual(t, len(copied.compressed), maxCompressed)
+		require.LessOrEqual(t, copied.compressed.bytes(), maxCompressedBytes)
 	}
 	copied.AddCompressed(&pb.PackedNews{Base: 50, Sequence: 51})
 	require.Nil(t, copied.Compressed(50), "what the copy has not taken is not passed on")
--- a/internal/gossip/partial_test.go
+++ b/internal/gossip/partial_test.go
@@ -32,16 +32,16 @@
 
 	ahead := New(NewReplica(), fixedView{}, nil)
 	ahead.Step(0, UpdateReceived{Repair: whole, Compressed: packedWhole})
-	ahead.Step(0, UpdateReceived{Changes: []*pb.Change{large}, Compressed: packedFrom(large)})
-	base := ahead.held.Snapshot()
+	ahead.Step(0, UpdateReceived{Changes: []*pb.Change{large}, Compressed: compressedFrom(large)})
+	base := ahead.replica.Snapshot()
 	for _, made := range changes(12, 40) {
 		apply(made)
 	}
 	ahead.Step(0, UpdateReceived{Base: base, Repair: source.RepairFor(base.Digests())})
-	require.EqualValues(t, 40, ahead.held.Sequence())
+	require.EqualValues(t, 40, ahead.replica.Sequence())
 
 	asker := New(NewReplica(), fixedView{}, nil)
-	asks := []Compare{asker.compare(neighbour(1))}
+	asks := []Compare{asker.versionComparison(neighbour(1))}
 	answers := 0
 	for len(asks) > 0 {
 		asked := asks[0]
@@ -62,5 +62,5 @@
 			}
 		}
 	}
-	require.EqualValues(t, 40, asker.held.Sequence(), "after %d answers", answers)
+	require.EqualValues(t, 40, asker.replica.Sequence(), "after %d answers", answers)
 }
--- a/internal/gossip/serverlist.go
+++ b/internal/gossip/serverlist.go
@@ -28,11 +28,11 @@
 	ListChanged
 )
 
-// heldList is a server list with its times of the steady clock. The message is never changed.
-type heldList struct {
-	message *pb.ServerList // nil: none is held
-	readAt  time.Duration  // when the platform gave it: what is left of the servers' spans counts from here
-	newsAt  time.Duration  // when the platform was last known to have this list
+// storedList is a server list with its times of the steady clock. The message is never changed.
+type storedList struct {
+	message     *pb.ServerList // nil: none is held
+	readAt      time.Duration  // when the platform gave it: what is left of the servers' spans counts from here
+	confirmedAt time.Duration  // when the platform was last known to have this list
 }
 
 func readTime(now time.Duration, list *pb.ServerList) time.Duration {
@@ -40,21 +40,21 @@
 }
 
 // aged is the list with its age at the time now. The servers are shared.
-func (h heldList) aged(now time.Duration) *pb.ServerList {
-	if h.message == nil {
+func (l storedList) messageAt(now time.Duration) *pb.ServerList {
+	if l.message == nil {
 		return nil
 	}
 	return &pb.ServerList{
-		Version: h.message.GetVersion(),
-		AgeMs:   uint32(max(now-h.readAt, 0) / time.Millisecond),
-		Servers: h.message.GetServers(),
+		Version: l.message.GetVersion(),
+		AgeMs:   uint32(max(now-l.readAt, 0) / time.Millisecond),
+		Servers: l.message.GetServers(),
 	}
 }
 
 // sameContent tells whether two lists tell the same of the same servers, the passing of time apart.
-func sameContent(a, b heldList) bool {
-	if a.message == nil || b.message == nil {
-		return a.message == b.message
+func sameContent(before, after storedList) bool {
+	if before.message == nil || after.message == nil {
+		return before.message == after.message
 	}
-	return listTolerances.Same(a.message.GetServers(), b.message.GetServers(), b.readAt-a.readAt)
+	return listTolerances.Same(before.message.GetServers(), after.message.GetServers(), after.readAt-before.readAt)
 }
