--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -7,15 +7,15 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// lead is a neighbour that is known to hold more, and is asked for it.
+// announcedVersion is a version that a neighbour has announced and that is to be pulled from it. The zero value is none.
 type announcedVersion struct {
-	neighbour shuffle.Neighbour // no host: none
+	neighbour shuffle.Neighbour // its host is empty if there is none
 	sequence  uint64
 	list      *pb.ListVersion
 	pullAt    time.Duration
 }
 
-// tick asks a neighbour that is ahead, or compares with any when it is time.
+// tick pulls an announced version that is due, or compares with a neighbour at random when the interval is over.
 func (m *Machine) tick(now time.Duration) []Action {
 	if !m.started {
 		m.started = true
@@ -44,34 +44,36 @@
 	return []Action{m.versionComparison(neighbours[m.random.IntN(len(neighbours))])}
 }
 
-// jittered is a random time between 3/4 and 5/4 of a period.
-func (m *Machine) jittered(period time.Duration) time.Duration {
-	quarter := int64(period / 4)
-	return period - time.Duration(quarter) + time.Duration(m.random.Int64N(2*quarter))
+// jittered returns a random time between 3/4 and 5/4 of an interval.
+func (m *Machine) jittered(interval time.Duration) time.Duration {
+	quarter := int64(interval / 4)
+	return interval - time.Duration(quarter) + time.Duration(m.random.Int64N(2*quarter))
 }
 
-// behind tells whether the neighbour that was ahead still is.
+// lacksAnnounced reports whether a version has been announced that the replica still lacks.
 func (m *Machine) lacksAnnounced() bool {
-	if m.announced.neighbour.Host == "" {
-		return false
-	}
-	return m.announced.sequence > m.replica.Sequence() || CompareVersions(m.announced.list, m.replica.ListVersion()) > 0
+	return m.announced.neighbour.Host != "" && m.lacks(m.announced.sequence, m.announced.list)
+}
+
+// lacks reports whether the replica is behind a sequence or a list version.
+func (m *Machine) lacks(sequence uint64, list *pb.ListVersion) bool {
+	return sequence > m.replica.Sequence() || CompareVersions(list, m.replica.ListVersion()) > 0
 }
 
-// heard remembers a neighbour that holds more than this member.
+// observeVersion schedules a pull from a neighbour that is ahead of the replica. The latest neighbour replaces an earlier
+// one, but does not defer the pull.
 func (m *Machine) observeVersion(now time.Duration, from shuffle.Neighbour, sequence uint64, list *pb.ListVersion) {
-	newer := sequence > m.replica.Sequence() || CompareVersions(list, m.replica.ListVersion()) > 0
-	if !newer || from.Host == "" || from.Address == "" {
+	if !m.lacks(sequence, list) || from.Host == "" || from.Address == "" {
 		return
 	}
-	askAt := now + pullDelay
+	pullAt := now + pullDelay
 	if m.lacksAnnounced() {
-		askAt = min(askAt, m.announced.pullAt)
+		pullAt = min(pullAt, m.announced.pullAt)
 	}
-	m.announced = announcedVersion{neighbour: from, sequence: sequence, list: list, pullAt: askAt}
+	m.announced = announcedVersion{neighbour: from, sequence: sequence, list: list, pullAt: pullAt}
 }
 
-// compare is the cheap comparison: versions alone.
+// versionComparison returns the cheap comparison, by versions alone. It announces this agent's versions as well.
 func (m *Machine) versionComparison(with shuffle.Neighbour) Compare {
 	snapshot := m.replica.Snapshot()
 	return Compare{
@@ -81,32 +83,50 @@
 	}
 }
 
-// digestComparison is the comparison that is answered by a repair.
+// digestComparison returns the comparison by the digests of all ranges, which a repair can answer.
 func (m *Machine) digestComparison(with shuffle.Neighbour) Compare {
 	snapshot := m.replica.Snapshot()
 	return Compare{To: with, Digests: snapshot.Digests(), List: m.replica.ListVersion(), Base: snapshot}
 }
 
-// addMissingState adds what a neighbour lacks. Large news is passed on as it came, and what follows it in changes; one that
-// lies far behind tells its digests when it asks again.
+// answerCompare answers a comparison with what is newer here.
+func (m *Machine) answerCompare(now time.Duration, request CompareRequested) []Action {
+	sequence := request.Digests.GetSequence()
+	response := &pb.CompareResponse{Sequence: m.replica.Sequence()}
+	if sequence < m.replica.Sequence() {
+		m.addMissingState(response, request)
+	}
+	if CompareVersions(m.replica.ListVersion(), request.List) > 0 {
+		response.List = m.replica.List(now)
+	}
+	m.observeVersion(now, request.From, sequence, request.List)
+	return []Action{CompareReply{Response: response}}
+}
+
+// addMissingState adds what a neighbour lacks: changes as far as the history reaches, else a repair if the request carries
+// digests. A large update goes as it came, compressed, with the changes that follow it. A neighbour that gets nothing of
+// these compares again, by digests.
 func (m *Machine) addMissingState(response *pb.CompareResponse, request CompareRequested) {
-	changes, complete := m.replica.Since(request.Digests.GetSequence())
-	repairable := len(request.Digests.GetDigests()) > 0 // a repair brings all, packed news perhaps a part
+	sequence := request.Digests.GetSequence()
+	changes, complete := m.replica.Since(sequence)
+	repairable := len(request.Digests.GetDigests()) > 0
+	// A repair brings the complete state, a compressed update may bring only a part of it.
 	if request.AcceptsCompressed && (!complete && !repairable || isWorthCompressing(changes)) {
-		response.Packed = m.replica.Compressed(request.Digests.GetSequence())
+		response.Packed = m.replica.Compressed(sequence)
 	}
 	switch {
 	case response.Packed != nil:
 		response.Changes, _ = m.replica.Since(response.Packed.GetSequence())
 	case complete:
 		response.Changes = changes
-	case len(request.Digests.GetDigests()) > 0:
+	case repairable:
 		response.Repair = m.replica.Snapshot().RepairFor(request.Digests)
 	}
 }
 
-// compared takes what a neighbour holds beyond this member. If changes alone can't bring it, digests follow.
-func (m *Machine) receiveComparison(now time.Duration, answer Compared) []Action {
+// finishCompare applies the answer to a comparison. If that leaves the replica behind the neighbour, a comparison by
+// digests follows, unless this one was by digests.
+func (m *Machine) finishCompare(now time.Duration, answer Compared) []Action {
 	response := answer.Response
 	actions := m.applyUpdate(now, answer.Request.To.Host, UpdateReceived{
 		Changes:    response.GetChanges(),
--- a/internal/gossip/capacity_bench_test.go
+++ b/internal/gossip/capacity_bench_test.go
@@ -20,7 +20,7 @@
 	return New(replica, view, rand.New(rand.NewPCG(1, 2)))
 }
 
-// BenchmarkCapacityPushedChange takes one change from a neighbour and passes it on.
+// BenchmarkCapacityPushedChange applies one change from a neighbour and passes it on.
 func BenchmarkCapacityPushedChange(b *testing.B) {
 	machine := capacityMachine()
 	sequence := machine.replica.Sequence()
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkCapacityCompareRound compares with a neighbour that holds the same.
+// BenchmarkCapacityCompareRound compares with a neighbour that has the same state.
 func BenchmarkCapacityCompareRound(b *testing.B) {
 	machine, other := capacityMachine(), capacityMachine()
 	self := shuffle.Neighbour{Host: "edge-9", Address: "10.0.0.9:7661"}
@@ -44,7 +44,7 @@
 	}
 }
 
-// BenchmarkCapacityNewList takes a whole list of 3,100 servers of which one has changed.
+// BenchmarkCapacityNewList takes a complete list of 3,100 servers of which one has changed.
 func BenchmarkCapacityNewList(b *testing.B) {
 	ids := make([]string, 3100)
 	for i := range ids {
--- a/internal/gossip/catchup_test.go
+++ b/internal/gossip/catchup_test.go
@@ -13,18 +13,18 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// farDistances reach from what history keeps to twelve times that.
+// farDistances reach from what the history keeps to twelve times that.
 var farDistances = []uint64{1, catalog.HistoryMaxChanges, catalog.HistoryMaxChanges + 1, 1000, 3000}
 
-// meeting are two members that know only each other.
+// pair is two members that know only each other.
 type pair struct {
 	machines map[string]*Machine
 	compared int                       // comparisons made
-	alter    func(*pb.CompareResponse) // a planted fault
+	alter    func(*pb.CompareResponse) // an injected fault
 }
 
 func newPair(behind, ahead uint64) *pair {
-	made := &pair{machines: make(map[string]*Machine)}
+	p := &pair{machines: make(map[string]*Machine)}
 	for host, sequence := range map[string]uint64{"behind": behind, "ahead": ahead} {
 		other := "ahead"
 		if host == "ahead" {
@@ -33,41 +33,41 @@
 		replica := NewReplica()
 		replica.ApplyChanges(changes(1, sequence))
 		view := fixedView{{Host: other, Address: other}}
-		made.machines[host] = New(replica, view, rand.New(rand.NewPCG(ahead, 1)))
+		p.machines[host] = New(replica, view, rand.New(rand.NewPCG(ahead, 1)))
 	}
-	return made
+	return p
 }
 
-// carry carries out the comparisons that a member wants, and those that follow from them.
-func (m *pair) execute(now time.Duration, host string, actions []Action) {
+// execute carries out the comparisons of a member, and those that follow from them.
+func (p *pair) execute(now time.Duration, host string, actions []Action) {
 	for _, action := range actions {
-		compare, wanted := action.(Compare)
-		if !wanted {
+		compare, isCompare := action.(Compare)
+		if !isCompare {
 			continue
 		}
-		m.compared++
+		p.compared++
 		from := shuffle.Neighbour{Host: host, Address: host}
-		asked := CompareRequested{From: from, Digests: compare.Digests, List: compare.List}
-		for _, answer := range m.machines[compare.To.Host].Step(now, asked) {
+		request := CompareRequested{From: from, Digests: compare.Digests, List: compare.List}
+		for _, answer := range p.machines[compare.To.Host].Step(now, request) {
 			if reply, isReply := answer.(CompareReply); isReply {
-				if m.alter != nil {
-					m.alter(reply.Response)
+				if p.alter != nil {
+					p.alter(reply.Response)
 				}
-				m.execute(now, host, m.machines[host].Step(now, Compared{Request: compare, Response: reply.Response}))
+				p.execute(now, host, p.machines[host].Step(now, Compared{Request: compare, Response: reply.Response}))
 			}
 		}
 	}
 }
 
-func (m *pair) sequence(host string) uint64 { return m.machines[host].replica.Sequence() }
+func (p *pair) sequence(host string) uint64 { return p.machines[host].replica.Sequence() }
 
-// let lets time pass until the member that is behind has caught up, and returns when that was.
-func (m *pair) runUntilCaughtUp(limit time.Duration, target uint64) time.Duration {
+// runUntilCaughtUp lets time pass until the member that is behind has caught up, and returns when that was.
+func (p *pair) runUntilCaughtUp(limit time.Duration, target uint64) time.Duration {
 	for now := time.Duration(0); now < limit; now += 200 * time.Millisecond {
-		for host, machine := range m.machines {
-			m.execute(now, host, machine.Step(now, Tick{}))
+		for host, machine := range p.machines {
+			p.execute(now, host, machine.Step(now, Tick{}))
 		}
-		if m.sequence("behind") == target {
+		if p.sequence("behind") == target {
 			return now
 		}
 	}
@@ -75,27 +75,27 @@
 }
 
 // A member that is any number of changes behind has caught up after the first comparison with one that is not: at
-// once while history reaches, else with the ranges that differ.
+// once as far as the history reaches, else with the ranges that differ.
 func TestMemberFarBehindCatchesUpWithOneNeighbour(t *testing.T) {
 	for _, distance := range farDistances {
 		t.Run(fmt.Sprint(distance), func(t *testing.T) {
-			met := newPair(10, 10+distance)
-			caught := met.runUntilCaughtUp(2*CompareInterval, 10+distance)
-			require.Less(t, caught, 2*CompareInterval)
-			require.LessOrEqual(t, met.compared, 4, "two for versions, one of them with digests behind it")
-			require.EqualValues(t, 10+distance, met.sequence("ahead"), "it takes nothing older")
-			require.Equal(t, stateAt(10+distance).Digests().GetDigests(), met.machines["behind"].replica.Snapshot().Digests().GetDigests())
+			members := newPair(10, 10+distance)
+			caughtUp := members.runUntilCaughtUp(2*CompareInterval, 10+distance)
+			require.Less(t, caughtUp, 2*CompareInterval)
+			require.LessOrEqual(t, members.compared, 4, "two for versions, one of them with digests behind it")
+			require.EqualValues(t, 10+distance, members.sequence("ahead"), "it applies nothing older")
+			require.Equal(t, stateAt(10+distance).Digests().GetDigests(), members.machines["behind"].replica.Snapshot().Digests().GetDigests())
 		})
 	}
 }
 
 func TestComparisonWithoutStateLeavesAMemberBehind(t *testing.T) {
-	met := newPair(10, 1010)
-	met.alter = func(response *pb.CompareResponse) { response.Changes, response.Repair = nil, nil }
-	require.Equal(t, 2*CompareInterval, met.runUntilCaughtUp(2*CompareInterval, 1010))
+	members := newPair(10, 1010)
+	members.alter = func(response *pb.CompareResponse) { response.Changes, response.Repair = nil, nil }
+	require.Equal(t, 2*CompareInterval, members.runUntilCaughtUp(2*CompareInterval, 1010))
 }
 
-// A repair that comes late, or from an earlier life of a neighbour, changes nothing.
+// A repair that comes late, or from an earlier incarnation of a neighbour, changes nothing.
 func TestRepairsOfEarlierLivesAreLeft(t *testing.T) {
 	replica := NewReplica()
 	replica.ApplyChanges(changes(1, 900))
--- a/internal/gossip/compressed.go
+++ b/internal/gossip/compressed.go
@@ -10,53 +10,54 @@
 )
 
 const (
-	// maxCompressed bounds how many pieces of packed news a Copy keeps to pass on.
+	// maxCompressed bounds the compressed updates that a Replica keeps to pass on.
 	maxCompressed = 4
-	// maxCompressedBytes bounds their size in bytes.
+	// maxCompressedBytes bounds their total size in bytes, but for the newest, which is kept whatever its size.
 	maxCompressedBytes = 256 << 10
 )
 
-// compressedUpdates are the last pieces of packed news that a Copy has taken, the newest last.
+// compressedUpdates are the last compressed updates that a Replica has applied, the newest last.
 type compressedUpdates []*pb.PackedNews
 
-// AddCompressed keeps news that the copy has taken, to be passed on as it came.
-func (r *Replica) AddCompressed(packed *pb.PackedNews) {
-	if packed == nil || packed.GetSequence() > r.Sequence() || r.compressed.contains(packed) {
+// AddCompressed keeps a compressed update that the replica has applied, to be passed on as it came.
+func (r *Replica) AddCompressed(update *pb.PackedNews) {
+	if update == nil || update.GetSequence() > r.Sequence() || r.compressed.contains(update) {
 		return
 	}
-	r.compressed = append(r.compressed, packed)
+	r.compressed = append(r.compressed, update)
 	for len(r.compressed) > 1 && (len(r.compressed) > maxCompressed || r.compressed.bytes() > maxCompressedBytes) {
 		r.compressed = slices.Delete(r.compressed, 0, 1)
 	}
 }
 
-// Compressed is the newest news kept that brings a copy at a sequence forward, nil if there is none: changes that follow on
-// what it holds, or a whole state. Repairs of some ranges serve nobody but the copy whose digests they answer.
+// Compressed returns the newest compressed update that moves a replica at a sequence forward, nil if there is none: changes
+// that follow that sequence, or a complete state. A repair of some ranges is of use only to the replica whose digests it
+// was made against.
 func (r *Replica) Compressed(sequence uint64) *pb.PackedNews {
-	for _, packed := range slices.Backward(r.compressed) {
-		follows := packed.GetBase() <= sequence && sequence < packed.GetSequence()
-		if follows && (packed.GetWhole() || !packed.GetRepairs()) {
-			return packed
+	for _, update := range slices.Backward(r.compressed) {
+		follows := update.GetBase() <= sequence && sequence < update.GetSequence()
+		if follows && (update.GetWhole() || !update.GetRepairs()) {
+			return update
 		}
 	}
 	return nil
 }
 
-func (c compressedUpdates) contains(packed *pb.PackedNews) bool {
+func (c compressedUpdates) contains(update *pb.PackedNews) bool {
 	return slices.ContainsFunc(c, func(other *pb.PackedNews) bool {
-		return other.GetBase() == packed.GetBase() && other.GetSequence() == packed.GetSequence()
+		return other.GetBase() == update.GetBase() && other.GetSequence() == update.GetSequence()
 	})
 }
 
 func (c compressedUpdates) bytes() int {
-	bytes := 0
-	for _, packed := range c {
-		bytes += len(packed.GetDeflated())
+	size := 0
+	for _, update := range c {
+		size += len(update.GetDeflated())
 	}
-	return bytes
+	return size
 }
 
-// isWorthCompressing tells whether changes are worth packing.
+// isWorthCompressing reports whether changes are large enough to be compressed.
 func isWorthCompressing(changes []*pb.Change) bool {
 	size := 0
 	for _, change := range changes {
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -9,9 +9,9 @@
 	"fieldrelay/internal/digesttest"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs anew")
+var update = flag.Bool("update", false, "record the digests of the runs again")
 
-// A change that should change no behaviour changes nothing that members send each other.
+// A refactoring leaves as it is what members send each other.
 func TestSwarmHasTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "swarm", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(time.Second)
--- a/internal/gossip/events.go
+++ b/internal/gossip/events.go
@@ -6,44 +6,44 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// Event is something that a Machine is told.
+// Event is an input of a Machine.
 type Event interface{ isEvent() }
 
-// Tick tells that time has passed. Ticks should come a few times a second.
+// Tick says that time has passed. It is due a few times a second.
 type Tick struct{}
 
-// UpdateReceived is news from outside the gossip: from a control machine.
+// UpdateReceived is an update from outside the gossip: from a control machine.
 type UpdateReceived struct {
 	Changes    []*pb.Change
-	Base       *catalog.Snapshot // whose digests Repair answers; nil: of nothing
+	Base       *catalog.Snapshot // whose digests Repair was made against; nil: none
 	Repair     *pb.Repair
-	Compressed *pb.PackedNews // that Changes or Repair were unpacked from, to be passed on; nil: they came as they are
+	Compressed *pb.PackedNews // that Changes or Repair were decompressed from, to be passed on; nil: they came uncompressed
 	List       *pb.ServerList
 }
 
-// PushRequested is a neighbour's push; it is answered by a PushReply.
+// PushRequested is a neighbour's push. A PushReply answers it.
 type PushRequested struct {
 	From    shuffle.Neighbour
 	Changes []*pb.Change
 	List    *pb.ServerList
 }
 
-// PushAnswered is the answer to a Push.
+// PushAnswered is a neighbour's answer to a Push, with the versions that it has.
 type PushAnswered struct {
 	To       shuffle.Neighbour
 	Sequence uint64
 	List     *pb.ListVersion
 }
 
-// CompareRequested is a neighbour's comparison; it is answered by a CompareReply.
+// CompareRequested is a neighbour's comparison. A CompareReply answers it.
 type CompareRequested struct {
 	From              shuffle.Neighbour
 	Digests           *pb.RangeDigests
 	List              *pb.ListVersion
-	AcceptsCompressed bool // the answer may carry packed news
+	AcceptsCompressed bool // the answer may carry a compressed update
 }
 
-// Compared is the answer to a Compare.
+// Compared is a neighbour's answer to a Compare.
 type Compared struct {
 	Request  Compare
 	Response *pb.CompareResponse
@@ -56,31 +56,31 @@
 func (CompareRequested) isEvent() {}
 func (Compared) isEvent()         {}
 
-// Action is something that the caller of Step has to do.
+// Action is an output of a Machine, which the caller of Step has to carry out.
 type Action interface{ isAction() }
 
-// Push sends news to a neighbour. Its answer comes back as PushAnswered.
+// Push sends an update to a neighbour. Its answer comes back as PushAnswered.
 type Push struct {
 	To      shuffle.Neighbour
 	Changes []*pb.Change
 	List    *pb.ServerList
 }
 
-// PushReply answers a Pushed.
+// PushReply answers a PushRequested with the versions of the replica.
 type PushReply struct {
 	Sequence uint64
 	List     *pb.ListVersion
 }
 
-// Compare tells a neighbour what is held. Its answer comes back as Compared.
+// Compare sends a neighbour the versions of the replica, or also its digests. Its answer comes back as Compared.
 type Compare struct {
 	To      shuffle.Neighbour
 	Digests *pb.RangeDigests
 	List    *pb.ListVersion
-	Base    *catalog.Snapshot // the state that Digests describes
+	Base    *catalog.Snapshot // the state that Digests describes; nil: they hold versions alone
 }
 
-// CompareReply answers an Asked.
+// CompareReply answers a CompareRequested.
 type CompareReply struct{ Response *pb.CompareResponse }
 
 func (Push) isAction()         {}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,10 +1,16 @@
-// Package gossip spreads changes of the control state and server lists among the agents, beside the links to the
-// control machines: news is passed on to a few neighbours, gaps are found by comparing versions with one of them
-// at a time and repaired by digests.
+// Package gossip spreads the control state and the platform's server list among the agents, beside their links to the
+// control machines, in the way of epidemic algorithms (Demers et al., "Epidemic Algorithms for Replicated Database
+// Maintenance", 1987):
 //
-// Small news is pushed whole. Of large news only the versions are told, and a neighbour that still lacks it a
-// moment later asks for it, so that what control delivers anyway isn't sent thrice. The machine does no I/O and
-// reads no clock.
+//   - rumors: an agent that applies an update pushes it to a few neighbours at once if it is small. It announces a large
+//     one by its version, and a neighbour that still lacks it a moment later pulls it, so that an update that control
+//     delivers anyway is not sent three times;
+//   - anti-entropy: now and then an agent compares versions with a neighbour at random, and pulls what it lacks: changes
+//     as far as the history reaches, else a repair of the ranges whose digests differ.
+//
+// Replica is the state that is spread, Machine the protocol. Neither decides which update is valid: sequences and list
+// versions are assigned by the control machines, and a replica only moves forward. Nothing here does I/O, reads a clock
+// or starts a goroutine. docs/config-delivery.md gives the resulting delays.
 package gossip
 
 import (
@@ -16,40 +22,49 @@
 )
 
 const (
-	// Fanout is the number of neighbours that news is passed on to.
+	// Fanout is the number of neighbours that an update is passed on to. Fewer leave more agents to anti-entropy, more
+	// send each agent more copies.
 	Fanout = 3
-	// CompareInterval is the mean time between two comparisons that a member begins.
+
+	// CompareInterval is the mean time between two comparisons that an agent begins. It bounds how long an agent that no
+	// push reaches stays behind.
 	CompareInterval = 3 * time.Second
 
-	// pullDelay is how long a member that hears of news waits for it to come by itself, from control.
+	// pullDelay is how long an agent waits for an announced update to come by itself, from control, before it pulls it.
 	pullDelay = 100 * time.Millisecond
-	// maxPushSize is the size in bytes up to which news is pushed whole.
+
+	// maxPushSize is the size in bytes up to which an update is pushed rather than announced.
 	maxPushSize = 1 << 10
 )
 
-// View tells the present neighbours.
-type View interface{ Neighbours() []shuffle.Neighbour }
+// View is the source of the present neighbours, which is a shuffle.View.
+type View interface {
+	// Neighbours returns the present neighbours. The result is valid until the view changes and must not be changed.
+	Neighbours() []shuffle.Neighbour
+}
 
-// Machine is one agent's part in the gossip. It is not safe for concurrent use.
+// Machine is one agent's part in the gossip. It is a state machine: Step takes an event and returns the actions that the
+// caller has to carry out. It is not safe for concurrent use.
 type Machine struct {
 	replica       *Replica
 	view          View
 	random        *rand.Rand
-	started       bool
+	started       bool // since the first Tick
 	nextCompareAt time.Duration
 	announced     announcedVersion
 	malformed     uint64
 }
 
-// New makes the machine that keeps the copy held up to date and passes its news on.
+// New returns a machine that keeps the replica up to date and passes on what is new in it. The caller may
+// read the replica between steps.
 func New(replica *Replica, view View, random *rand.Rand) *Machine {
 	return &Machine{replica: replica, view: view, random: random}
 }
 
-// Malformed counts the repairs that could not be used.
+// Malformed returns the number of repairs that could not be used.
 func (m *Machine) Malformed() uint64 { return m.malformed }
 
-// Step handles one event at the time now of a steady clock.
+// Step handles an event at the time now of a monotonic clock, and returns the actions that follow from it, in order.
 func (m *Machine) Step(now time.Duration, event Event) []Action {
 	switch event := event.(type) {
 	case Tick:
@@ -57,32 +72,18 @@
 	case UpdateReceived:
 		return m.applyUpdate(now, "", event)
 	case PushRequested:
-		return m.receivePush(now, event)
+		return m.answerPush(now, event)
 	case PushAnswered:
 		m.observeVersion(now, event.To, event.Sequence, event.List)
 	case CompareRequested:
-		return m.request(now, event)
+		return m.answerCompare(now, event)
 	case Compared:
-		return m.receiveComparison(now, event)
+		return m.finishCompare(now, event)
 	}
 	return nil
 }
 
-// asked answers a comparison with what is newer here.
-func (m *Machine) request(now time.Duration, request CompareRequested) []Action {
-	theirs := request.Digests.GetSequence()
-	response := &pb.CompareResponse{Sequence: m.replica.Sequence()}
-	if theirs < m.replica.Sequence() {
-		m.addMissingState(response, request)
-	}
-	if CompareVersions(m.replica.ListVersion(), request.List) > 0 {
-		response.List = m.replica.List(now)
-	}
-	m.observeVersion(now, request.From, theirs, request.List)
-	return []Action{CompareReply{Response: response}}
-}
-
-// take applies news and passes on what was new, not to the neighbour that it came from.
+// applyUpdate applies an update and passes on what was new in it, but not to the host that it came from.
 func (m *Machine) applyUpdate(now time.Duration, from string, received UpdateReceived) []Action {
 	before := m.replica.Sequence()
 	repaired := m.restoreRepair(received)
@@ -93,7 +94,7 @@
 		list = m.replica.List(now)
 	}
 	if m.replica.Sequence() < before {
-		panic("gossip: the sequence of the copy fell")
+		panic("gossip: the sequence of the replica fell")
 	}
 	if len(applied) == 0 && !repaired && list == nil {
 		return nil
@@ -101,6 +102,7 @@
 	return m.disseminate(from, applied, repaired, list)
 }
 
+// restoreRepair applies the repair of an update, if there is one, and reports whether the replica moved.
 func (m *Machine) restoreRepair(received UpdateReceived) bool {
 	if received.Repair == nil {
 		return false
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -28,13 +28,13 @@
 	return shuffle.Neighbour{Host: fmt.Sprint("edge-", i), Address: fmt.Sprint("10.0.0.1:", 1000+i)}
 }
 
-// message is an action on its way to another member.
+// message is an action in transit to another member.
 type message struct {
 	from, to int
 	action   Action
 }
 
-// swarm is a simulation of many members: messages take a hop, may be lost and come in any order.
+// swarm simulates many members. Messages take a hop, may be lost and come in any order.
 type swarm struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -47,7 +47,7 @@
 	inTransit []message
 	pushes    int
 	compares  int
-	watch     func(i int, actions []Action) // is told of each step; nil: nobody
+	watch     func(i int, actions []Action) // called with the actions of each step, unless nil
 }
 
 func newSwarm(t *testing.T, seed uint64, size int) *swarm {
@@ -103,14 +103,14 @@
 	s.inTransit = append(s.inTransit, message{from: from, to: index, action: action})
 }
 
-// round delivers what is on its way and, every quarter of a second, lets every member tick.
+// round delivers what is in transit and, every quarter of a second, lets every member tick.
 func (s *swarm) round() {
 	s.now += hop
-	flying := s.inTransit
+	due := s.inTransit
 	s.inTransit = nil
-	for _, i := range s.random.Perm(len(flying)) {
+	for _, i := range s.random.Perm(len(due)) {
 		if s.random.Float64() >= s.loss {
-			s.deliver(flying[i])
+			s.deliver(due[i])
 		}
 	}
 	if s.now%(25*hop) == 0 {
@@ -199,17 +199,17 @@
 	}
 }
 
-func TestLargeNewsIsAnnouncedAndAskedFor(t *testing.T) {
+func TestLargeUpdateIsAnnouncedAndPulled(t *testing.T) {
 	s := newSwarm(t, 1, swarmSize)
 	large := change(1)
 	large.Upserts[0].Body = bytes.Repeat([]byte("x"), 10*maxPushSize)
 	s.deliverEvent(0, UpdateReceived{Changes: []*pb.Change{large}})
 	s.rounds(15 * time.Second)
 	require.Equal(t, swarmSize, s.countAtLeast(1, nil))
-	require.Zero(t, s.pushes, "large news isn't pushed")
+	require.Zero(t, s.pushes, "a large update isn't pushed")
 }
 
-func TestNewsThatAllHaveCostsNoFurtherMessages(t *testing.T) {
+func TestUpdateThatAllHaveCostsNoFurtherMessages(t *testing.T) {
 	s := newSwarm(t, 1, 50)
 	for i := range s.machines {
 		s.deliverEvent(i, UpdateReceived{Changes: changes(1, 1)})
@@ -220,7 +220,7 @@
 	require.Empty(t, s.step(0, UpdateReceived{Changes: changes(1, 1)}))
 	s.rounds(10 * time.Second)
 	require.Zero(t, s.pushes)
-	require.LessOrEqual(t, s.compares, 50*(11/2+1), "about one comparison a period")
+	require.LessOrEqual(t, s.compares, 50*(11/2+1), "about one comparison an interval")
 }
 
 func TestGapIsRepairedByDigests(t *testing.T) {
@@ -239,13 +239,13 @@
 	for i := range s.machines {
 		s.machines[i].Step(0, UpdateReceived{Changes: changes(1, 3), List: list(1, "i-1")})
 	}
-	asked := s.machines[0].versionComparison(neighbour(1))
-	reply := s.step(1, CompareRequested{From: neighbour(0), Digests: asked.Digests, List: asked.List})[0].(CompareReply)
+	request := s.machines[0].versionComparison(neighbour(1))
+	reply := s.step(1, CompareRequested{From: neighbour(0), Digests: request.Digests, List: request.List})[0].(CompareReply)
 	require.True(t, proto.Equal(&pb.CompareResponse{Sequence: 3}, reply.Response))
-	require.Empty(t, s.step(0, Compared{Request: asked, Response: reply.Response}))
+	require.Empty(t, s.step(0, Compared{Request: request, Response: reply.Response}))
 }
 
-func TestNewsGoesNotBackToWhereItCameFrom(t *testing.T) {
+func TestUpdateGoesNotBackToWhereItCameFrom(t *testing.T) {
 	s := newSwarm(t, 1, 4)
 	for range 20 {
 		replica := NewReplica()
--- a/internal/gossip/partial_update_test.go
+++ b/internal/gossip/partial_update_test.go
@@ -10,9 +10,9 @@
 	"fieldrelay/internal/packing"
 )
 
-// A neighbour that was repaired holds packed news of before, which brings another copy on by a part of the way only. The
-// other asks until it holds all, and doesn't wait for the next comparison.
-func TestACopyThatPackedNewsBringsOnInPartAsksForTheRest(t *testing.T) {
+// A neighbour that was repaired keeps a compressed update of before, which moves another replica forward by a part of the
+// way only. The other one compares until it has everything, and doesn't wait for the next interval.
+func TestReplicaThatACompressedUpdateMovesInPartPullsTheRest(t *testing.T) {
 	source := catalog.Empty()
 	apply := func(change *pb.Change) {
 		next, err := source.Apply(change)
@@ -25,13 +25,13 @@
 	apply(largeChange(10))
 	whole := source.RepairFor(nil)
 	var packer packing.Packer
-	packedWhole := packer.Packed(packing.Key{Sequence: 10, Whole: true}, func() *pb.StateNews { return &pb.StateNews{Repair: whole} })
-	require.NotNil(t, packedWhole)
+	compressedWhole := packer.Packed(packing.Key{Sequence: 10, Whole: true}, func() *pb.StateNews { return &pb.StateNews{Repair: whole} })
+	require.NotNil(t, compressedWhole)
 	large := largeChange(11)
 	apply(large)
 
 	ahead := New(NewReplica(), fixedView{}, nil)
-	ahead.Step(0, UpdateReceived{Repair: whole, Compressed: packedWhole})
+	ahead.Step(0, UpdateReceived{Repair: whole, Compressed: compressedWhole})
 	ahead.Step(0, UpdateReceived{Changes: []*pb.Change{large}, Compressed: compressedFrom(large)})
 	base := ahead.replica.Snapshot()
 	for _, made := range changes(12, 40) {
@@ -40,27 +40,27 @@
 	ahead.Step(0, UpdateReceived{Base: base, Repair: source.RepairFor(base.Digests())})
 	require.EqualValues(t, 40, ahead.replica.Sequence())
 
-	asker := New(NewReplica(), fixedView{}, nil)
-	asks := []Compare{asker.versionComparison(neighbour(1))}
+	behind := New(NewReplica(), fixedView{}, nil)
+	pending := []Compare{behind.versionComparison(neighbour(1))}
 	answers := 0
-	for len(asks) > 0 {
-		asked := asks[0]
-		asks = asks[1:]
+	for len(pending) > 0 {
+		request := pending[0]
+		pending = pending[1:]
 		answers++
-		require.Less(t, answers, 10, "it asks for ever")
-		reply := ahead.Step(0, CompareRequested{From: neighbour(2), Digests: asked.Digests, AcceptsCompressed: true})[0].(CompareReply)
+		require.Less(t, answers, 10, "it compares for ever")
+		reply := ahead.Step(0, CompareRequested{From: neighbour(2), Digests: request.Digests, AcceptsCompressed: true})[0].(CompareReply)
 		response := reply.Response
-		if packed := response.GetPacked(); packed != nil {
-			news, err := packing.Unpack(packed)
+		if compressed := response.GetPacked(); compressed != nil {
+			unpacked, err := packing.Unpack(compressed)
 			require.NoError(t, err)
-			response.Changes = append(news.GetChanges(), response.GetChanges()...)
-			response.Repair = news.GetRepair()
+			response.Changes = append(unpacked.GetChanges(), response.GetChanges()...)
+			response.Repair = unpacked.GetRepair()
 		}
-		for _, wanted := range asker.Step(0, Compared{Request: asked, Response: response}) {
-			if compare, ok := wanted.(Compare); ok {
-				asks = append(asks, compare)
+		for _, action := range behind.Step(0, Compared{Request: request, Response: response}) {
+			if compare, ok := action.(Compare); ok {
+				pending = append(pending, compare)
 			}
 		}
 	}
-	require.EqualValues(t, 40, asker.replica.Sequence(), "after %d answers", answers)
+	require.EqualValues(t, 40, behind.replica.Sequence(), "after %d answers", answers)
 }
--- a/internal/gossip/replica.go
+++ b/internal/gossip/replica.go
@@ -10,8 +10,8 @@
 	"fieldrelay/internal/catalog"
 )
 
-// Replica is an agent's copy of the control state and of the server list. Its versions only rise, whoever offers
-// what and in whatever order. It is not safe for concurrent use; the snapshots it hands out are.
+// Replica is an agent's replica of the control state and of the server list. Its sequence and its list version never fall,
+// whatever is offered and in whatever order. It is not safe for concurrent use; the snapshots that it returns are.
 type Replica struct {
 	snapshot   *catalog.Snapshot
 	history    *catalog.History
@@ -19,30 +19,31 @@
 	list       storedList
 }
 
-// NewReplica makes a copy that holds nothing.
+// NewReplica returns an empty replica.
 func NewReplica() *Replica {
 	return &Replica{snapshot: catalog.Empty(), history: catalog.NewHistory(0)}
 }
 
-// Snapshot is the control state held.
+// Snapshot returns the control state.
 func (r *Replica) Snapshot() *catalog.Snapshot { return r.snapshot }
 
-// Sequence is the number of the last change held.
+// Sequence returns the sequence number of the last change applied, 0 before the first.
 func (r *Replica) Sequence() uint64 { return r.snapshot.Sequence() }
 
-// Since are the changes after a sequence, false when not all of them are kept.
+// Since returns the changes after a sequence, and false if the history does not reach back so far.
 func (r *Replica) Since(sequence uint64) ([]*pb.Change, bool) { return r.history.Since(sequence) }
 
-// ListVersion is the version of the server list held, nil when there is none.
+// ListVersion returns the version of the server list, nil if there is none.
 func (r *Replica) ListVersion() *pb.ListVersion { return r.list.message.GetVersion() }
 
-// ListConfirmedAt is when the platform was last known to have the list that is held.
+// ListConfirmedAt returns when the platform was last known to have the list.
 func (r *Replica) ListConfirmedAt() time.Duration { return r.list.confirmedAt }
 
-// List is the server list with its age at the time now, nil when there is none.
+// List returns the server list with its age at the time now, nil if there is none.
 func (r *Replica) List(now time.Duration) *pb.ServerList { return r.list.messageAt(now) }
 
-// ApplyChanges applies those changes that follow what is held and returns them; the others are left out.
+// ApplyChanges applies the changes, ordered by sequence, and returns those that it applied. Changes that do not follow the
+// present sequence are skipped; after one that can't be applied, the rest is left out.
 func (r *Replica) ApplyChanges(changes []*pb.Change) (applied []*pb.Change) {
 	for _, change := range changes {
 		if change.GetSequence() != r.snapshot.Sequence()+1 {
@@ -59,18 +60,19 @@
 	return applied
 }
 
-// PartialRepairError refuses a repair that leaves ranges out though it answers no digests.
+// PartialRepairError rejects a repair that leaves ranges out though it was made against no digests.
 type PartialRepairError struct {
 	Ranges int // in the repair
 }
 
+// Error says how many ranges the repair has.
 func (e *PartialRepairError) Error() string {
 	return fmt.Sprintf("a repair of %d ranges answers no digests", e.Ranges)
 }
 
-// Restore takes a repair that was made against the digests of base; without a base it must be whole. It tells
-// whether the copy moved: a repair that is no newer than the copy changes nothing. A *catalog.RepairError or a
-// *PartialRepairError is returned for a repair that can't be used.
+// Restore applies a repair that was made against the digests of base. If base is nil, the repair must hold all ranges. It
+// reports whether the replica moved: a repair that is not newer than the replica changes nothing. The error of a repair
+// that can't be used is or wraps a *catalog.RepairError or is a *PartialRepairError; the replica is then unchanged.
 func (r *Replica) Restore(base *catalog.Snapshot, repair *pb.Repair) (bool, error) {
 	if repair.GetSequence() <= r.snapshot.Sequence() {
 		return false, nil
@@ -90,8 +92,8 @@
 	return true, nil
 }
 
-// OfferList takes a server list unless it is older than the one held. A list of the version held confirms it: only
-// its age counts, whether it tells the servers or not.
+// OfferList takes a server list received at the time now, unless it is older than the present one. A list of the present
+// version confirms it: only its age counts, whether it carries the servers or not.
 func (r *Replica) OfferList(now time.Duration, list *pb.ServerList) ListOutcome {
 	if list.GetVersion() == nil {
 		return ListStale
@@ -112,7 +114,7 @@
 	return ListChanged
 }
 
-// confirm takes later news of the list held.
+// confirmList records that the platform had the list at a time, if that is later than known.
 func (r *Replica) confirmList(confirmedAt time.Duration) ListOutcome {
 	if confirmedAt <= r.list.confirmedAt {
 		return ListStale
--- a/internal/gossip/replica_test.go
+++ b/internal/gossip/replica_test.go
@@ -14,7 +14,7 @@
 	"fieldrelay/internal/catalog"
 )
 
-// change is the change of a sequence number; all copies get the same one.
+// change returns the change of a sequence number. All replicas get the same one.
 func change(sequence uint64) *pb.Change {
 	item := &pb.Item{
 		Kind:     catalog.KindRoutes,
@@ -52,7 +52,7 @@
 	return message
 }
 
-func TestVersionsAreOrderedByEpochHolderRevision(t *testing.T) {
+func TestVersionsAreOrderedByEpochOwnerRevision(t *testing.T) {
 	ordered := []*pb.ListVersion{
 		nil,
 		version(1, "a", 9),
@@ -142,13 +142,13 @@
 		want    ListOutcome
 	}{
 		{"older", 2 * time.Second, warming(1, 0, 5000), ListStale},
-		{"same and no later", 2 * time.Second, warming(2, 2000, 5000), ListStale},
+		{"same and not later", 2 * time.Second, warming(2, 2000, 5000), ListStale},
 		{"same and later", 2 * time.Second, warming(2, 100, 3100), ListConfirmed},
-		{"newer, cold a little longer", 3 * time.Second, warming(3, 0, 2200), ListChanged},
-		{"newer, cold a little shorter", 3 * time.Second, warming(3, 0, 1800), ListConfirmed},
+		{"newer, warming up a little longer", 3 * time.Second, warming(3, 0, 2200), ListChanged},
+		{"newer, warming up a little shorter", 3 * time.Second, warming(3, 0, 1800), ListConfirmed},
 		{"newer, warming went on", 3 * time.Second, warming(3, 0, 2000), ListConfirmed},
 		{"newer, warm", 9 * time.Second, warming(3, 0, 0), ListConfirmed},
-		{"newer, cold again", 9 * time.Second, warming(3, 0, 5000), ListChanged},
+		{"newer, warming up again", 9 * time.Second, warming(3, 0, 5000), ListChanged},
 		{"newer, another server", 2 * time.Second, list(3, "i-2"), ListChanged},
 		{"newer, no server", 2 * time.Second, list(3), ListChanged},
 		{"no version", 2 * time.Second, &pb.ServerList{}, ListStale},
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestConfirmationLeavesTheSpansOfServersAsTheyAre(t *testing.T) {
+func TestConfirmationLeavesRemainingTimesAsTheyAre(t *testing.T) {
 	replica := NewReplica()
 	replica.OfferList(time.Second, list(1, "i-1"))
 	confirmation := &pb.ServerList{Version: version(1, "core-1", 1), AgeMs: 100}
--- a/internal/gossip/rumor.go
+++ b/internal/gossip/rumor.go
@@ -9,8 +9,9 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// pushed takes a neighbour's news and passes it on if it is news here.
-func (m *Machine) receivePush(now time.Duration, push PushRequested) []Action {
+// answerPush applies a neighbour's push, passes on what was new in it, and answers with this agent's versions. A push that
+// leaves a gap announces its last sequence.
+func (m *Machine) answerPush(now time.Duration, push PushRequested) []Action {
 	actions := m.applyUpdate(now, push.From.Host, UpdateReceived{Changes: push.Changes, List: push.List})
 	if last := len(push.Changes) - 1; last >= 0 {
 		m.observeVersion(now, push.From, push.Changes[last].GetSequence(), nil)
@@ -19,7 +20,8 @@
 	return append(actions, reply)
 }
 
-// spread pushes small news and announces the rest.
+// disseminate pushes a small update to some neighbours, and announces a large one or a repair to them. The host that it
+// came from is left out.
 func (m *Machine) disseminate(from string, applied []*pb.Change, repaired bool, list *pb.ServerList) []Action {
 	small := !repaired && updateSize(applied, list) <= maxPushSize
 	var actions []Action
@@ -33,7 +35,7 @@
 	return actions
 }
 
-// updateSize is the size of news in bytes, or one above maxPushSize.
+// updateSize returns the size of an update in bytes, or some size above maxPushSize if it is larger than that.
 func updateSize(changes []*pb.Change, list *pb.ServerList) int {
 	size := 0
 	for _, change := range changes {
@@ -48,16 +50,16 @@
 	return size
 }
 
-// pick takes neighbours at random, none of them the host except.
+// pickNeighbours returns up to count neighbours at random, without the host except.
 func (m *Machine) pickNeighbours(count int, except string) []shuffle.Neighbour {
 	neighbours := m.view.Neighbours()
 	picked := make([]shuffle.Neighbour, 0, count)
-	for _, i := range m.random.Perm(len(neighbours)) {
+	for _, index := range m.random.Perm(len(neighbours)) {
 		if len(picked) == count {
 			break
 		}
-		if neighbours[i].Host != except {
-			picked = append(picked, neighbours[i])
+		if neighbours[index].Host != except {
+			picked = append(picked, neighbours[index])
 		}
 	}
 	return picked
--- a/internal/gossip/serverlist.go
+++ b/internal/gossip/serverlist.go
@@ -16,30 +16,31 @@
 	ExpiryEarlier: time.Second,
 }
 
-// ListOutcome tells what became of a server list that was offered to a Copy.
+// ListOutcome is what became of a server list that was offered to a Replica.
 type ListOutcome int
 
 const (
-	// ListStale is a list no newer than the one held.
+	// ListStale is a list that is not newer than the present one, and was ignored.
 	ListStale ListOutcome = iota
-	// ListConfirmed is a list that tells the same servers at a later time, or the confirmation of the list held.
+	// ListConfirmed is a list that says the same of the same servers at a later time, or a confirmation of the present list.
 	ListConfirmed
-	// ListChanged is a newer list with other content.
+	// ListChanged is a newer list with other content, and was taken.
 	ListChanged
 )
 
-// storedList is a server list with its times of the steady clock. The message is never changed.
+// storedList is a server list with its times by the monotonic clock. The message is immutable.
 type storedList struct {
-	message     *pb.ServerList // nil: none is held
-	readAt      time.Duration  // when the platform gave it: what is left of the servers' spans counts from here
+	message     *pb.ServerList // nil: there is none
+	readAt      time.Duration  // when the platform was polled: the servers' remaining times count from then
 	confirmedAt time.Duration  // when the platform was last known to have this list
 }
 
+// readTime returns when the platform was polled for a list that is received now.
 func readTime(now time.Duration, list *pb.ServerList) time.Duration {
 	return now - time.Duration(list.GetAgeMs())*time.Millisecond
 }
 
-// aged is the list with its age at the time now. The servers are shared.
+// messageAt returns the list with its age at the time now, nil if there is none. The servers are shared.
 func (l storedList) messageAt(now time.Duration) *pb.ServerList {
 	if l.message == nil {
 		return nil
@@ -51,7 +52,7 @@
 	}
 }
 
-// sameContent tells whether two lists tell the same of the same servers, the passing of time apart.
+// sameContent reports whether a list read later says the same of the same servers, apart from the time that has passed.
 func sameContent(before, after storedList) bool {
 	if before.message == nil || after.message == nil {
 		return before.message == after.message
