--- a/internal/shuffle/digest_test.go
+++ b/internal/shuffle/digest_test.go
@@ -28,7 +28,7 @@
 				t.Errorf("an action that the digests do not know")
 			}
 		}
-		s.seedFew(3)
+		s.bootstrapFromPredecessors(3)
 		s.run(time.Minute)
 		for _, i := range s.random.Perm(swarmSize)[:swarmSize/4] {
 			s.dead[member(i).Host] = true
--- a/internal/shuffle/places.go
+++ b/internal/shuffle/places.go
@@ -4,21 +4,21 @@
 
 // merge takes told members in and then drops surplus ones: those in sent first, then the oldest, but none that
 // would leave too few of the own region or of the others.
-func (v *View) merge(now time.Duration, told, sent []Neighbour) {
-	for _, member := range told {
-		v.take(now, member)
+func (v *View) merge(now time.Duration, received, sent []Neighbour) {
+	for _, member := range received {
+		v.insert(now, member)
 	}
 	for len(v.neighbours) > ViewSize {
-		v.remove(v.surplus(sent))
+		v.remove(v.evictionIndex(sent))
 	}
 }
 
 // take adds a member or refreshes its entry.
-func (v *View) take(now time.Duration, member Neighbour) {
+func (v *View) insert(now time.Duration, member Neighbour) {
 	if member.Host == "" || member.Host == v.self.Host || member.Address == "" {
 		return
 	}
-	if until, failed := v.failures[member.Host]; failed && now < until {
+	if until, failed := v.failedUntil[member.Host]; failed && now < until {
 		return
 	}
 	if i := v.find(member.Host); i >= 0 {
@@ -31,15 +31,15 @@
 }
 
 // surplus is the index of the neighbour that is missed least. There are more neighbours than places.
-func (v *View) surplus(sent []Neighbour) int {
+func (v *View) evictionIndex(sent []Neighbour) int {
 	for _, member := range sent {
-		if i := v.find(member.Host); i >= 0 && v.expendable(i) {
+		if i := v.find(member.Host); i >= 0 && v.mayEvict(i) {
 			return i
 		}
 	}
 	oldest := -1
 	for i := range v.neighbours {
-		if !v.expendable(i) {
+		if !v.mayEvict(i) {
 			continue
 		}
 		if oldest < 0 || v.neighbours[i].Age > v.neighbours[oldest].Age {
@@ -53,25 +53,25 @@
 }
 
 // wants tells whether there is a place for a member: a free one, or one that is reserved for its region.
-func (v *View) wants(member Neighbour) bool {
-	own := v.ownRegion()
+func (v *View) hasRoomFor(member Neighbour) bool {
+	own := v.countOwnRegion()
 	if member.Region == v.self.Region {
-		return len(v.neighbours) < ViewSize || own < ownRegionPlaces
+		return len(v.neighbours) < ViewSize || own < ownRegionSlots
 	}
-	return len(v.neighbours) < ViewSize || len(v.neighbours)-own < otherRegionPlaces
+	return len(v.neighbours) < ViewSize || len(v.neighbours)-own < otherRegionSlots
 }
 
 // expendable tells whether the rules on regions allow that a neighbour goes.
-func (v *View) expendable(index int) bool {
-	own := v.ownRegion()
+func (v *View) mayEvict(index int) bool {
+	own := v.countOwnRegion()
 	if v.neighbours[index].Region == v.self.Region {
-		return own > ownRegionPlaces
+		return own > ownRegionSlots
 	}
-	return len(v.neighbours)-own > otherRegionPlaces
+	return len(v.neighbours)-own > otherRegionSlots
 }
 
-// ownRegion counts the neighbours of the own region.
-func (v *View) ownRegion() int {
+// countOwnRegion counts the neighbours of the own region.
+func (v *View) countOwnRegion() int {
 	count := 0
 	for i := range v.neighbours {
 		if v.neighbours[i].Region == v.self.Region {
@@ -85,31 +85,31 @@
 // member has failed, failures are forgotten: the fault may have been here.
 func (v *View) refill(now time.Duration) {
 	if len(v.neighbours) == 0 && v.pending.host == "" {
-		clear(v.failures)
+		clear(v.failedUntil)
 	}
 	if len(v.neighbours) >= ViewSize || len(v.reserve) == 0 {
 		return
 	}
 	order := v.random.Perm(len(v.reserve))
 	for _, i := range order {
-		if v.ownRegion() >= ownRegionPlaces {
+		if v.countOwnRegion() >= ownRegionSlots {
 			break
 		}
 		if v.reserve[i].Region == v.self.Region {
-			v.takeIfFree(now, v.reserve[i])
+			v.insertIfFree(now, v.reserve[i])
 		}
 	}
 	for _, i := range order {
-		v.takeIfFree(now, v.reserve[i])
+		v.insertIfFree(now, v.reserve[i])
 	}
 }
 
-// takeIfFree takes a member in while there is a free place.
-func (v *View) takeIfFree(now time.Duration, member Neighbour) {
+// insertIfFree takes a member in while there is a free place.
+func (v *View) insertIfFree(now time.Duration, member Neighbour) {
 	if len(v.neighbours) >= ViewSize || member.Host == v.pending.host || v.find(member.Host) >= 0 {
 		return
 	}
-	v.take(now, member)
+	v.insert(now, member)
 }
 
 // sample picks neighbours at random, none of them the host except.
--- a/internal/shuffle/shuffle.go
+++ b/internal/shuffle/shuffle.go
@@ -19,12 +19,12 @@
 	// ExchangeInterval is the mean time between two exchanges that a member begins.
 	ExchangeInterval = 5 * time.Second
 
-	// ownRegionPlaces is how many neighbours of the own region are kept while so many are known.
-	ownRegionPlaces = ViewSize / 2
-	// otherRegionPlaces is how many neighbours of other regions are kept while so many are known.
-	otherRegionPlaces = 1
-	// failureMemory is how long a member that failed isn't taken in again on the word of others.
-	failureMemory = 3 * ExchangeInterval
+	// ownRegionSlots is how many neighbours of the own region are kept while so many are known.
+	ownRegionSlots = ViewSize / 2
+	// otherRegionSlots is how many neighbours of other regions are kept while so many are known.
+	otherRegionSlots = 1
+	// failureRetention is how long a member that failed isn't taken in again on the word of others.
+	failureRetention = 3 * ExchangeInterval
 	// maxFailures bounds how many failed members are remembered.
 	maxFailures = 64
 	// maxReserve bounds how many members told by control are remembered.
@@ -92,8 +92,8 @@
 	random     *rand.Rand
 	neighbours []Neighbour
 	reserve    []Neighbour              // members told by control
-	failures   map[string]time.Duration // when a failed host may be taken in again
-	next       time.Duration            // time of the next exchange
+	failedUntil   map[string]time.Duration // when a failed host may be taken in again
+	nextExchangeAt       time.Duration            // time of the next exchange
 	started    bool
 	pending    pendingExchange
 }
@@ -110,7 +110,7 @@
 	return &View{
 		self:     self,
 		random:   random,
-		failures: make(map[string]time.Duration),
+		failedUntil: make(map[string]time.Duration),
 	}
 }
 
@@ -123,13 +123,13 @@
 	case Tick:
 		return v.tick(now)
 	case MembersReceived:
-		v.known(now, event.Members)
+		v.receiveMembers(now, event.Members)
 	case ExchangeRequested:
-		return v.requested(now, event)
+		return v.answerExchange(now, event)
 	case Answered:
-		v.answered(now, event)
+		v.finishExchange(now, event)
 	case Failed:
-		v.failed(now, event.Host)
+		v.removeFailed(now, event.Host)
 	}
 	return nil
 }
@@ -138,13 +138,13 @@
 func (v *View) tick(now time.Duration) []Action {
 	if !v.started {
 		v.started = true
-		v.next = now + time.Duration(v.random.Int64N(int64(ExchangeInterval)))
+		v.nextExchangeAt = now + time.Duration(v.random.Int64N(int64(ExchangeInterval)))
 	}
-	if now < v.next {
+	if now < v.nextExchangeAt {
 		return nil
 	}
-	v.next = now + v.jittered(ExchangeInterval)
-	v.forgetFailures(now)
+	v.nextExchangeAt = now + v.jittered(ExchangeInterval)
+	v.expireFailures(now)
 	v.refill(now)
 	return v.beginExchange()
 }
@@ -156,7 +156,7 @@
 }
 
 // known remembers the members told by control and fills free places with them.
-func (v *View) known(now time.Duration, members []Neighbour) {
+func (v *View) receiveMembers(now time.Duration, members []Neighbour) {
 	reserve := make([]Neighbour, 0, min(len(members), maxReserve))
 	for _, member := range members {
 		if len(reserve) == maxReserve {
@@ -191,26 +191,26 @@
 }
 
 // requested answers another member's exchange and takes in what it told.
-func (v *View) requested(now time.Duration, request ExchangeRequested) []Action {
-	delete(v.failures, request.From.Host)
+func (v *View) answerExchange(now time.Duration, request ExchangeRequested) []Action {
+	delete(v.failedUntil, request.From.Host)
 	sample := v.sample(ExchangeSize, request.From.Host)
 	caller := request.From
 	caller.Age = 0
-	told := append([]Neighbour{caller}, bounded(request.Sample)...)
-	v.merge(now, told, sample)
+	received := append([]Neighbour{caller}, bounded(request.Sample)...)
+	v.merge(now, received, sample)
 	return []Action{Answer{Sample: sample}}
 }
 
 // answered takes in what the partner of the pending exchange told.
-func (v *View) answered(now time.Duration, answer Answered) {
+func (v *View) finishExchange(now time.Duration, answer Answered) {
 	if answer.From.Host == "" || answer.From.Host != v.pending.host {
 		return
 	}
 	sent := v.pending.sent
 	v.pending = pendingExchange{}
-	delete(v.failures, answer.From.Host)
+	delete(v.failedUntil, answer.From.Host)
 	v.merge(now, bounded(answer.Sample), sent)
-	if v.wants(answer.From) {
+	if v.hasRoomFor(answer.From) {
 		partner := answer.From
 		partner.Age = 0
 		v.merge(now, []Neighbour{partner}, sent)
@@ -219,7 +219,7 @@
 }
 
 // failed drops a member that didn't answer.
-func (v *View) failed(now time.Duration, host string) {
+func (v *View) removeFailed(now time.Duration, host string) {
 	if v.pending.host == host {
 		v.pending = pendingExchange{}
 	}
@@ -229,17 +229,17 @@
 			break
 		}
 	}
-	if len(v.failures) < maxFailures {
-		v.failures[host] = now + failureMemory
+	if len(v.failedUntil) < maxFailures {
+		v.failedUntil[host] = now + failureRetention
 	}
 	v.refill(now)
 }
 
-// forgetFailures forgets failures that are old.
-func (v *View) forgetFailures(now time.Duration) {
-	for host, until := range v.failures {
+// expireFailures forgets failures that are old.
+func (v *View) expireFailures(now time.Duration) {
+	for host, until := range v.failedUntil {
 		if until <= now {
-			delete(v.failures, host)
+			delete(v.failedUntil, host)
 		}
 	}
 }
--- a/internal/shuffle/shuffle_test.go
+++ b/internal/shuffle/shuffle_test.go
@@ -12,7 +12,7 @@
 const (
 	swarmSize = 400
 	regions   = 3
-	tickEvery = time.Second
+	tickInterval = time.Second
 )
 
 // swarm is a simulation of many members without a network of their own: an exchange is delivered at once or fails.
@@ -51,8 +51,8 @@
 	return s
 }
 
-// seedFew tells each member only its predecessors: exchanges alone have to mix the graph.
-func (s *swarm) seedFew(few int) {
+// bootstrapFromPredecessors tells each member only its predecessors: exchanges alone have to mix the graph.
+func (s *swarm) bootstrapFromPredecessors(few int) {
 	for i, view := range s.members {
 		var known []Neighbour
 		for back := 1; back <= few; back++ {
@@ -64,7 +64,7 @@
 }
 
 func (s *swarm) run(span time.Duration) {
-	for end := s.now + span; s.now < end; s.now += tickEvery {
+	for end := s.now + span; s.now < end; s.now += tickInterval {
 		for _, i := range s.random.Perm(len(s.members)) {
 			if view := s.members[i]; !s.dead[view.self.Host] {
 				s.deliver(view, view.Step(s.now, Tick{}))
@@ -164,14 +164,14 @@
 func TestSwarmMixesIntoAConnectedGraphOfBoundedDegree(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newSwarm(t, seed)
-		s.seedFew(3)
+		s.bootstrapFromPredecessors(3)
 		s.run(3 * time.Minute)
 		s.requireConnected()
 		require.LessOrEqual(t, s.maxInDegree(), 4*ViewSize)
 		for _, view := range s.members {
 			require.Len(t, view.neighbours, ViewSize)
-			require.GreaterOrEqual(t, view.ownRegion(), ownRegionPlaces)
-			require.GreaterOrEqual(t, len(view.neighbours)-view.ownRegion(), otherRegionPlaces)
+			require.GreaterOrEqual(t, view.countOwnRegion(), ownRegionSlots)
+			require.GreaterOrEqual(t, len(view.neighbours)-view.countOwnRegion(), otherRegionSlots)
 		}
 	}
 }
@@ -179,7 +179,7 @@
 func TestSurvivorsStayConnectedWhenHalfDie(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newSwarm(t, seed)
-		s.seedFew(3)
+		s.bootstrapFromPredecessors(3)
 		s.run(2 * time.Minute)
 		for _, i := range s.random.Perm(swarmSize)[:swarmSize/2] {
 			s.dead[member(i).Host] = true
