--- a/internal/shuffle/shuffle_test.go
+++ b/internal/shuffle/shuffle_test.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	swarmSize = 400
-	regions   = 3
+	swarmSize    = 400
+	regions      = 3
 	tickInterval = time.Second
 )
 
--- a/internal/shuffle/places.go
+++ b/internal/shuffle/slots.go
@@ -1,6 +1,8 @@
 package shuffle
 
-import "time"
+import (
+	"time"
+)
 
 // merge takes told members in and then drops surplus ones: those in sent first, then the oldest, but none that
 // would leave too few of the own region or of the others.
@@ -81,51 +83,6 @@
 	return count
 }
 
-// refill fills free places from the members told by control: first those reserved for the own region. When every
-// member has failed, failures are forgotten: the fault may have been here.
-func (v *View) refill(now time.Duration) {
-	if len(v.neighbours) == 0 && v.pending.host == "" {
-		clear(v.failedUntil)
-	}
-	if len(v.neighbours) >= ViewSize || len(v.reserve) == 0 {
-		return
-	}
-	order := v.random.Perm(len(v.reserve))
-	for _, i := range order {
-		if v.countOwnRegion() >= ownRegionSlots {
-			break
-		}
-		if v.reserve[i].Region == v.self.Region {
-			v.insertIfFree(now, v.reserve[i])
-		}
-	}
-	for _, i := range order {
-		v.insertIfFree(now, v.reserve[i])
-	}
-}
-
-// insertIfFree takes a member in while there is a free place.
-func (v *View) insertIfFree(now time.Duration, member Neighbour) {
-	if len(v.neighbours) >= ViewSize || member.Host == v.pending.host || v.find(member.Host) >= 0 {
-		return
-	}
-	v.insert(now, member)
-}
-
-// sample picks neighbours at random, none of them the host except.
-func (v *View) sample(size int, except string) []Neighbour {
-	sample := make([]Neighbour, 0, size)
-	for _, i := range v.random.Perm(len(v.neighbours)) {
-		if len(sample) == size {
-			break
-		}
-		if v.neighbours[i].Host != except {
-			sample = append(sample, v.neighbours[i])
-		}
-	}
-	return sample
-}
-
 // find is the index of a host's entry, -1 if there is none.
 func (v *View) find(host string) int {
 	for i := range v.neighbours {
