--- a/internal/shuffle/digest_test.go
+++ b/internal/shuffle/digest_test.go
@@ -8,9 +8,9 @@
 	"fieldrelay/internal/digesttest"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs anew")
+var update = flag.Bool("update", false, "record the digests of the runs again")
 
-// A change that should change no behaviour changes no exchange between members, and no view.
+// A refactoring leaves the exchanges between members and their views as they are.
 func TestSwarmHasTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "swarm", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(10 * time.Second)
--- a/internal/shuffle/events.go
+++ b/internal/shuffle/events.go
@@ -1,27 +1,27 @@
 package shuffle
 
-// Event is something that a View is told.
+// Event is an input of a View: Tick, MembersReceived, ExchangeRequested, Answered or Failed.
 type Event interface{ isEvent() }
 
-// Tick tells that time has passed.
+// Tick says that time has passed. It is due several times in an ExchangeInterval.
 type Tick struct{}
 
-// MembersReceived tells the members that control has heard of.
+// MembersReceived are the members that a control machine knows. They replace those of before.
 type MembersReceived struct{ Members []Neighbour }
 
-// ExchangeRequested is another member's exchange; it is answered by an Answer.
+// ExchangeRequested is another member's exchange. An Answer answers it.
 type ExchangeRequested struct {
 	From   Neighbour
 	Sample []Neighbour
 }
 
-// Answered is the answer to an Exchange.
+// Answered is the partner's answer to an Exchange.
 type Answered struct {
 	From   Neighbour
 	Sample []Neighbour
 }
 
-// Failed tells that a member didn't answer.
+// Failed says that a member did not answer.
 type Failed struct{ Host string }
 
 func (Tick) isEvent()              {}
@@ -30,17 +30,17 @@
 func (Answered) isEvent()          {}
 func (Failed) isEvent()            {}
 
-// Action is something that the caller of Step has to do.
+// Action is an output of a View, which the caller of Step has to carry out: Exchange or Answer.
 type Action interface{ isAction() }
 
-// Exchange sends a sample to a neighbour. Its answer comes back as Answered, its failure as Failed.
+// Exchange sends a sample of the view to a neighbour. Its answer comes back as Answered, its failure as Failed.
 type Exchange struct {
 	To     Neighbour
-	From   Neighbour
+	From   Neighbour // this member
 	Sample []Neighbour
 }
 
-// Answer answers a Requested.
+// Answer answers an ExchangeRequested with a sample of the view.
 type Answer struct{ Sample []Neighbour }
 
 func (Exchange) isAction() {}
--- a/internal/shuffle/exchange.go
+++ b/internal/shuffle/exchange.go
@@ -2,27 +2,13 @@
 
 import "time"
 
-// sample picks neighbours at random, none of them the host except.
-func (v *View) sample(size int, except string) []Neighbour {
-	sample := make([]Neighbour, 0, size)
-	for _, i := range v.random.Perm(len(v.neighbours)) {
-		if len(sample) == size {
-			break
-		}
-		if v.neighbours[i].Host != except {
-			sample = append(sample, v.neighbours[i])
-		}
-	}
-	return sample
-}
-
-// pendingExchange is the exchange that waits for its answer.
+// pendingExchange is an exchange that this member began and whose answer has not come. The zero value is none.
 type pendingExchange struct {
-	host string // empty: none
+	host string // the partner
 	sent []Neighbour
 }
 
-// tick begins an exchange when one is due.
+// tick begins an exchange if one is due.
 func (v *View) tick(now time.Duration) []Action {
 	if !v.started {
 		v.started = true
@@ -37,13 +23,14 @@
 	return v.beginExchange()
 }
 
-// jittered is a random time between 4/5 and 6/5 of a period.
-func (v *View) jittered(period time.Duration) time.Duration {
-	fifth := int64(period / 5)
-	return period - time.Duration(fifth) + time.Duration(v.random.Int64N(2*fifth))
+// jittered returns a random time between 4/5 and 6/5 of an interval.
+func (v *View) jittered(interval time.Duration) time.Duration {
+	fifth := int64(interval / 5)
+	return interval - time.Duration(fifth) + time.Duration(v.random.Int64N(2*fifth))
 }
 
-// beginExchange takes the oldest neighbour out of the view and sends it a sample.
+// beginExchange ages all neighbours by one, takes the oldest one out of the view and sends it a sample. Its slot is free
+// until it answers: a partner that has failed drops out by that alone.
 func (v *View) beginExchange() []Action {
 	if len(v.neighbours) == 0 {
 		return nil
@@ -62,7 +49,7 @@
 	return []Action{Exchange{To: partner, From: v.self, Sample: sample}}
 }
 
-// requested answers another member's exchange and takes in what it told.
+// answerExchange answers another member's exchange with a sample, and merges the member and its sample.
 func (v *View) answerExchange(now time.Duration, request ExchangeRequested) []Action {
 	delete(v.failedUntil, request.From.Host)
 	sample := v.sample(ExchangeSize, request.From.Host)
@@ -73,7 +60,8 @@
 	return []Action{Answer{Sample: sample}}
 }
 
-// answered takes in what the partner of the pending exchange told.
+// finishExchange merges the sample of the pending exchange's partner. Unlike in Cyclon, the partner stays a neighbour if
+// there is a slot for it. Answers that are not awaited are ignored.
 func (v *View) finishExchange(now time.Duration, answer Answered) {
 	if answer.From.Host == "" || answer.From.Host != v.pending.host {
 		return
@@ -90,7 +78,21 @@
 	v.refill(now)
 }
 
-// bounded cuts a sample to the size that a member may send.
+// sample returns up to size neighbours at random, without the host except.
+func (v *View) sample(size int, except string) []Neighbour {
+	sample := make([]Neighbour, 0, size)
+	for _, i := range v.random.Perm(len(v.neighbours)) {
+		if len(sample) == size {
+			break
+		}
+		if v.neighbours[i].Host != except {
+			sample = append(sample, v.neighbours[i])
+		}
+	}
+	return sample
+}
+
+// bounded cuts a received sample to the size that a member may send.
 func bounded(sample []Neighbour) []Neighbour {
 	return sample[:min(len(sample), ExchangeSize)]
 }
--- a/internal/shuffle/reserve.go
+++ b/internal/shuffle/reserve.go
@@ -1,11 +1,9 @@
 package shuffle
 
-import (
-	"time"
-)
+import "time"
 
-// refill fills free places from the members told by control: first those reserved for the own region. When every
-// member has failed, failures are forgotten: the fault may have been here.
+// refill fills free slots at random from the members that control knows: first those of the own region, up to
+// ownRegionSlots. If no neighbour is left, the failures are cleared: the fault may be on this side.
 func (v *View) refill(now time.Duration) {
 	if len(v.neighbours) == 0 && v.pending.host == "" {
 		clear(v.failedUntil)
@@ -27,7 +25,7 @@
 	}
 }
 
-// insertIfFree takes a member in while there is a free place.
+// insertIfFree inserts a member if there is a free slot and it is not in the view or the partner of the pending exchange.
 func (v *View) insertIfFree(now time.Duration, member Neighbour) {
 	if len(v.neighbours) >= ViewSize || member.Host == v.pending.host || v.find(member.Host) >= 0 {
 		return
@@ -35,7 +33,7 @@
 	v.insert(now, member)
 }
 
-// known remembers the members told by control and fills free places with them.
+// receiveMembers records the members that control knows, and refills free slots.
 func (v *View) receiveMembers(now time.Duration, members []Neighbour) {
 	reserve := make([]Neighbour, 0, min(len(members), maxReserve))
 	for _, member := range members {
@@ -51,16 +49,14 @@
 	v.refill(now)
 }
 
-// failed drops a member that didn't answer.
+// removeFailed removes a member that did not answer. It is not inserted again for failureRetention, unless it begins an
+// exchange itself.
 func (v *View) removeFailed(now time.Duration, host string) {
 	if v.pending.host == host {
 		v.pending = pendingExchange{}
 	}
-	for i := range v.neighbours {
-		if v.neighbours[i].Host == host {
-			v.remove(i)
-			break
-		}
+	if i := v.find(host); i >= 0 {
+		v.remove(i)
 	}
 	if len(v.failedUntil) < maxFailures {
 		v.failedUntil[host] = now + failureRetention
@@ -68,7 +64,7 @@
 	v.refill(now)
 }
 
-// expireFailures forgets failures that are old.
+// expireFailures removes the failures that are older than failureRetention.
 func (v *View) expireFailures(now time.Duration) {
 	for host, until := range v.failedUntil {
 		if until <= now {
--- a/internal/shuffle/shuffle_test.go
+++ b/internal/shuffle/shuffle_test.go
@@ -15,7 +15,7 @@
 	tickInterval = time.Second
 )
 
-// swarm is a simulation of many members without a network of their own: an exchange is delivered at once or fails.
+// swarm simulates many members without a network: an exchange is delivered at once or fails.
 type swarm struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -24,7 +24,7 @@
 	dead    map[string]bool
 	now     time.Duration
 	loss    float64
-	watch   func(host string, action Action) // is told of each action; nil: nobody
+	watch   func(host string, action Action) // called with each action, unless nil
 }
 
 func member(i int) Neighbour {
@@ -51,7 +51,7 @@
 	return s
 }
 
-// bootstrapFromPredecessors tells each member only its predecessors: exchanges alone have to mix the graph.
+// bootstrapFromPredecessors gives each member only its predecessors: exchanges alone have to mix the graph.
 func (s *swarm) bootstrapFromPredecessors(few int) {
 	for i, view := range s.members {
 		var known []Neighbour
@@ -99,7 +99,7 @@
 	}
 }
 
-// check looks at what must always hold of one view.
+// check requires the invariants of one view.
 func (s *swarm) check(view *View) {
 	if len(view.neighbours) > ViewSize {
 		s.t.Fatalf("%d neighbours", len(view.neighbours))
@@ -107,21 +107,22 @@
 	seen := make(map[string]bool, ViewSize)
 	for _, neighbour := range view.neighbours {
 		if neighbour.Host == view.self.Host || seen[neighbour.Host] {
-			s.t.Fatalf("%s holds itself or a neighbour twice: %v", view.self.Host, view.neighbours)
+			s.t.Fatalf("%s has itself or a neighbour twice: %v", view.self.Host, view.neighbours)
 		}
 		seen[neighbour.Host] = true
 	}
 }
 
-// reached counts the members that live and are reached from the first one that lives, along neighbours either way.
-func (s *swarm) reached() (reached, living int) {
+// reached counts the live members, and those of them that are reached from the first one along neighbours in either
+// direction.
+func (s *swarm) reached() (reached, live int) {
 	links := make(map[string][]string)
 	var start string
 	for _, view := range s.members {
 		if s.dead[view.self.Host] {
 			continue
 		}
-		living++
+		live++
 		if start == "" {
 			start = view.self.Host
 		}
@@ -141,12 +142,12 @@
 			}
 		}
 	}
-	return len(seen), living
+	return len(seen), live
 }
 
 func (s *swarm) requireConnected() {
-	reached, living := s.reached()
-	require.Equal(s.t, living, reached, "members reached")
+	reached, live := s.reached()
+	require.Equal(s.t, live, reached, "members reached")
 }
 
 func (s *swarm) maxInDegree() int {
@@ -197,7 +198,7 @@
 				}
 			}
 		}
-		require.Less(t, toDead, swarmSize/2*ViewSize/20, "places of survivors held by the dead")
+		require.Less(t, toDead, swarmSize/2*ViewSize/20, "slots of survivors with dead neighbours")
 	}
 }
 
@@ -226,7 +227,7 @@
 	require.Len(t, exchange.Sample, 2)
 	view.Step(ExchangeInterval, Failed{Host: old.Host})
 	view.Step(ExchangeInterval, ExchangeRequested{From: member(2), Sample: []Neighbour{member(1)}})
-	require.Equal(t, -1, view.find(old.Host), "on the word of others")
+	require.Equal(t, -1, view.find(old.Host), "others can't bring it back")
 	view.Step(ExchangeInterval, ExchangeRequested{From: member(1)})
 	require.GreaterOrEqual(t, view.find(old.Host), 0, "it calls itself")
 }
@@ -238,7 +239,7 @@
 	exchange := view.Step(ExchangeInterval, Tick{})[0].(Exchange)
 	require.Empty(t, view.Neighbours())
 	view.Step(ExchangeInterval, Answered{From: member(2), Sample: []Neighbour{member(3)}})
-	require.Empty(t, view.Neighbours(), "an answer that nobody waits for")
+	require.Empty(t, view.Neighbours(), "an answer that is not awaited")
 	view.Step(ExchangeInterval, Answered{From: exchange.To, Sample: []Neighbour{member(0)}})
 	require.Len(t, view.Neighbours(), 1)
 }
@@ -248,7 +249,7 @@
 	view.Step(0, MembersReceived{Members: []Neighbour{member(1), member(2)}})
 	view.Step(0, Failed{Host: member(1).Host})
 	view.Step(0, Failed{Host: member(2).Host})
-	require.Len(t, view.Neighbours(), 2, "the fault may have been here")
+	require.Len(t, view.Neighbours(), 2, "the fault may be on this side")
 }
 
 func TestSamplesOfStrangersAreBounded(t *testing.T) {
--- a/internal/shuffle/slots.go
+++ b/internal/shuffle/slots.go
@@ -1,11 +1,9 @@
 package shuffle
 
-import (
-	"time"
-)
+import "time"
 
-// merge takes told members in and then drops surplus ones: those in sent first, then the oldest, but none that
-// would leave too few of the own region or of the others.
+// merge inserts received members and then evicts surplus neighbours: first those that were sent to the other side, which
+// now has them, then the oldest ones, but none that would leave too few of the own region or of the others.
 func (v *View) merge(now time.Duration, received, sent []Neighbour) {
 	for _, member := range received {
 		v.insert(now, member)
@@ -15,7 +13,8 @@
 	}
 }
 
-// take adds a member or refreshes its entry.
+// insert adds a member, or refreshes its entry unless that is younger. The member of this view, members without an
+// address and those that failed lately are ignored.
 func (v *View) insert(now time.Duration, member Neighbour) {
 	if member.Host == "" || member.Host == v.self.Host || member.Address == "" {
 		return
@@ -32,7 +31,7 @@
 	v.neighbours = append(v.neighbours, member)
 }
 
-// surplus is the index of the neighbour that is missed least. There are more neighbours than places.
+// evictionIndex returns the index of the neighbour to evict. There must be more neighbours than slots.
 func (v *View) evictionIndex(sent []Neighbour) int {
 	for _, member := range sent {
 		if i := v.find(member.Host); i >= 0 && v.mayEvict(i) {
@@ -48,31 +47,32 @@
 			oldest = i
 		}
 	}
+	// The reserved slots are fewer than all slots, so that one side has a surplus.
 	if oldest < 0 {
-		panic("shuffle: more places reserved than there are")
+		panic("shuffle: more slots are reserved than there are")
 	}
 	return oldest
 }
 
-// wants tells whether there is a place for a member: a free one, or one that is reserved for its region.
+// hasRoomFor reports whether there is a slot for a member: a free one, or one that is reserved for its region.
 func (v *View) hasRoomFor(member Neighbour) bool {
-	own := v.countOwnRegion()
+	inOwnRegion := v.countOwnRegion()
 	if member.Region == v.self.Region {
-		return len(v.neighbours) < ViewSize || own < ownRegionSlots
+		return len(v.neighbours) < ViewSize || inOwnRegion < ownRegionSlots
 	}
-	return len(v.neighbours) < ViewSize || len(v.neighbours)-own < otherRegionSlots
+	return len(v.neighbours) < ViewSize || len(v.neighbours)-inOwnRegion < otherRegionSlots
 }
 
-// expendable tells whether the rules on regions allow that a neighbour goes.
+// mayEvict reports whether the slots reserved by region allow that a neighbour is evicted.
 func (v *View) mayEvict(index int) bool {
-	own := v.countOwnRegion()
+	inOwnRegion := v.countOwnRegion()
 	if v.neighbours[index].Region == v.self.Region {
-		return own > ownRegionSlots
+		return inOwnRegion > ownRegionSlots
 	}
-	return len(v.neighbours)-own > otherRegionSlots
+	return len(v.neighbours)-inOwnRegion > otherRegionSlots
 }
 
-// countOwnRegion counts the neighbours of the own region.
+// countOwnRegion returns the number of neighbours in the own region.
 func (v *View) countOwnRegion() int {
 	count := 0
 	for i := range v.neighbours {
@@ -83,7 +83,7 @@
 	return count
 }
 
-// find is the index of a host's entry, -1 if there is none.
+// find returns the index of a host's entry, -1 if there is none.
 func (v *View) find(host string) int {
 	for i := range v.neighbours {
 		if v.neighbours[i].Host == host {
@@ -93,7 +93,7 @@
 	return -1
 }
 
-// remove takes the entry at index out; the order of the rest isn't kept.
+// remove removes the entry at index. The order of the others is not kept.
 func (v *View) remove(index int) {
 	last := len(v.neighbours) - 1
 	v.neighbours[index] = v.neighbours[last]
