--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -4,6 +4,7 @@
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/serverlist"
 	"fieldrelay/internal/shuffle"
 )
 
@@ -57,7 +58,7 @@
 
 // lacks reports whether the replica is behind a sequence or a list version.
 func (m *Machine) lacks(sequence uint64, list *pb.ListVersion) bool {
-	return sequence > m.replica.Sequence() || CompareVersions(list, m.replica.ListVersion()) > 0
+	return sequence > m.replica.Sequence() || serverlist.CompareVersions(list, m.replica.ListVersion()) > 0
 }
 
 // observeVersion schedules a pull from a neighbour that is ahead of the replica. The latest neighbour replaces an earlier
@@ -96,7 +97,7 @@
 	if sequence < m.replica.Sequence() {
 		m.addMissingState(response, request)
 	}
-	if CompareVersions(m.replica.ListVersion(), request.List) > 0 {
+	if serverlist.CompareVersions(m.replica.ListVersion(), request.List) > 0 {
 		response.List = m.replica.List(now)
 	}
 	m.observeVersion(now, request.From, sequence, request.List)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -11,6 +11,7 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/serverlist"
 	"fieldrelay/internal/shuffle"
 )
 
@@ -74,7 +75,7 @@
 	}
 	require.GreaterOrEqual(s.t, s.replicas[i].Sequence(), s.floor[i], "sequences only rise")
 	s.floor[i] = s.replicas[i].Sequence()
-	require.GreaterOrEqual(s.t, CompareVersions(s.replicas[i].ListVersion(), s.lists[i]), 0, "list versions only rise")
+	require.GreaterOrEqual(s.t, serverlist.CompareVersions(s.replicas[i].ListVersion(), s.lists[i]), 0, "list versions only rise")
 	s.lists[i] = s.replicas[i].ListVersion()
 	return actions
 }
@@ -155,7 +156,7 @@
 func (s *swarm) countAtLeast(sequence uint64, listed *pb.ListVersion) int {
 	count := 0
 	for _, replica := range s.replicas {
-		if replica.Sequence() >= sequence && CompareVersions(replica.ListVersion(), listed) >= 0 {
+		if replica.Sequence() >= sequence && serverlist.CompareVersions(replica.ListVersion(), listed) >= 0 {
 			count++
 		}
 	}
--- a/internal/gossip/replica.go
+++ b/internal/gossip/replica.go
@@ -8,6 +8,7 @@
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/serverlist"
 )
 
 // Replica is an agent's replica of the control state and of the server list. Its sequence and its list version never fall,
@@ -100,7 +101,7 @@
 	}
 	readAt := readTime(now, list)
 	offered := storedList{message: list, readAt: readAt, confirmedAt: readAt}
-	switch CompareVersions(list.GetVersion(), r.ListVersion()) {
+	switch serverlist.CompareVersions(list.GetVersion(), r.ListVersion()) {
 	case -1:
 		return ListStale
 	case 0:
--- a/internal/gossip/replica_test.go
+++ b/internal/gossip/replica_test.go
@@ -12,6 +12,7 @@
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/serverlist"
 )
 
 // change returns the change of a sequence number. All replicas get the same one.
@@ -106,7 +107,7 @@
 				replica.OfferList(now, offered)
 			}
 			require.GreaterOrEqual(t, replica.Sequence(), sequence)
-			require.GreaterOrEqual(t, CompareVersions(replica.ListVersion(), listed), 0)
+			require.GreaterOrEqual(t, serverlist.CompareVersions(replica.ListVersion(), listed), 0)
 			require.True(t, proto.Equal(states[replica.Sequence()].Digests(), replica.Snapshot().Digests()))
 		}
 	})
--- a/internal/gossip/versions.go
+++ b/internal/gossip/versions.go
@@ -5,7 +5,7 @@
 	"fieldrelay/internal/serverlist"
 )
 
-// CompareVersions orders server lists, see serverlist.CompareVersions.
+// CompareVersions is serverlist.CompareVersions, for callers that have not moved to it.
 func CompareVersions(first, second *pb.ListVersion) int {
 	return serverlist.CompareVersions(first, second)
 }
--- a/internal/registry/events.go
+++ b/internal/registry/events.go
@@ -7,7 +7,7 @@
 )
 
 // Event is an input of a ServerInventory: Tick, PollDone, ListReceived or VersionObserved.
-type Event interface{ inventoryEvent() }
+type Event interface{ isEvent() }
 
 // Tick says that time has passed. It is due several times a second.
 type Tick struct {
@@ -38,14 +38,14 @@
 	Peer    bool
 }
 
-func (Tick) inventoryEvent()            {}
-func (PollDone) inventoryEvent()        {}
-func (ListReceived) inventoryEvent()    {}
-func (VersionObserved) inventoryEvent() {}
+func (Tick) isEvent()            {}
+func (PollDone) isEvent()        {}
+func (ListReceived) isEvent()    {}
+func (VersionObserved) isEvent() {}
 
 // Action is an output of a ServerInventory (StartPoll, SendList, ListChanged) or of a LagMonitor (AgentLagging,
 // AgentCaughtUp, ProxyBoundExceeded).
-type Action interface{ inventoryAction() }
+type Action interface{ isAction() }
 
 // StartPoll requests one poll of the platform's list. Its result comes back as PollDone; until then no second one is
 // requested.
@@ -84,9 +84,9 @@
 	Bound     time.Duration
 }
 
-func (StartPoll) inventoryAction()          {}
-func (SendList) inventoryAction()           {}
-func (ListChanged) inventoryAction()        {}
-func (AgentLagging) inventoryAction()       {}
-func (AgentCaughtUp) inventoryAction()      {}
-func (ProxyBoundExceeded) inventoryAction() {}
+func (StartPoll) isAction()          {}
+func (SendList) isAction()           {}
+func (ListChanged) isAction()        {}
+func (AgentLagging) isAction()       {}
+func (AgentCaughtUp) isAction()      {}
+func (ProxyBoundExceeded) isAction() {}
--- a/internal/registry/inventory_sim_test.go
+++ b/internal/registry/inventory_sim_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/serverlist"
 )
 
 const (
@@ -105,7 +106,7 @@
 	}
 	require.NoError(s.t, machine.inventory.Check())
 	version := machine.inventory.Current().Version()
-	require.GreaterOrEqual(s.t, CompareVersions(version, machine.last), 0, "the version fell at %s", machine.host)
+	require.GreaterOrEqual(s.t, serverlist.CompareVersions(version, machine.last), 0, "the version fell at %s", machine.host)
 	machine.last = version
 }
 
--- a/internal/registry/inventory_test.go
+++ b/internal/registry/inventory_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/serverlist"
 )
 
 func serverNamed(id string) *pb.Server {
@@ -308,7 +309,7 @@
 			require.Empty(t, inventory.Step(now, observed), "one poll is enough")
 			actions := inventory.Step(now, PollDone{SentAt: now, Pages: 1, Servers: []*pb.Server{serverNamed("a")}})
 			require.Len(t, actions, 2, "the same servers are a new list")
-			require.Positive(t, CompareVersions(inventory.Current().Version(), observed.Version))
+			require.Positive(t, serverlist.CompareVersions(inventory.Current().Version(), observed.Version))
 		}
 	}
 }
--- a/internal/registry/versions.go
+++ b/internal/registry/versions.go
@@ -16,7 +16,7 @@
 	initialResendInterval = 100 * time.Millisecond
 )
 
-// CompareVersions orders server lists, see serverlist.CompareVersions.
+// CompareVersions is serverlist.CompareVersions, for callers that have not moved to it.
 func CompareVersions(first, second *pb.ListVersion) int {
 	return serverlist.CompareVersions(first, second)
 }
@@ -40,7 +40,7 @@
 	}
 	i.observeEpoch(version)
 	readAt := now - time.Duration(list.GetAgeMs())*time.Millisecond
-	difference := CompareVersions(version, i.current.Version())
+	difference := serverlist.CompareVersions(version, i.current.Version())
 	if difference == 0 {
 		i.current = i.current.confirmed(readAt)
 		return nil
@@ -62,7 +62,7 @@
 	if !i.IsOwner() {
 		return nil
 	}
-	difference := CompareVersions(observed.Version, i.current.version)
+	difference := serverlist.CompareVersions(observed.Version, i.current.version)
 	if difference > 0 {
 		return i.observeNewerVersion(now, observed)
 	}
