--- a/internal/gossip/events.go
+++ b/internal/gossip/events.go
@@ -72,7 +72,7 @@
 	List     *pb.ListVersion
 }
 
-// Compare sends a neighbour the versions of the replica, or also its digests. Its answer comes back as Compared.
+// Compare sends a neighbour the versions of the replica, or also its digests. Its answer comes back as an event.
 type Compare struct {
 	To      shuffle.Neighbour
 	Digests *pb.RangeDigests
--- a/internal/shuffle/events.go
+++ b/internal/shuffle/events.go
@@ -1,6 +1,6 @@
 package shuffle
 
-// Event is an input of a View: Tick, MembersReceived, ExchangeRequested, Answered or Failed.
+// Event is an input of a View: one of the events below.
 type Event interface{ isEvent() }
 
 // Tick says that time has passed. It is due several times in an ExchangeInterval.
@@ -9,7 +9,7 @@
 // MembersReceived are the members that a control machine knows. They replace those of before.
 type MembersReceived struct{ Members []Neighbour }
 
-// ExchangeRequested is another member's exchange. An Answer answers it.
+// ExchangeRequested is another member's exchange. The action that it causes holds the answer.
 type ExchangeRequested struct {
 	From   Neighbour
 	Sample []Neighbour
@@ -30,10 +30,10 @@
 func (Answered) isEvent()          {}
 func (Failed) isEvent()            {}
 
-// Action is an output of a View, which the caller of Step has to carry out: Exchange or Answer.
+// Action is an output of a View, which the caller of Step has to carry out.
 type Action interface{ isAction() }
 
-// Exchange sends a sample of the view to a neighbour. Its answer comes back as Answered, its failure as Failed.
+// Exchange sends a sample of the view to a neighbour. Its answer or its failure comes back as an event.
 type Exchange struct {
 	To     Neighbour
 	From   Neighbour // this member
--- a/internal/shuffle/exchange.go
+++ b/internal/shuffle/exchange.go
@@ -70,7 +70,7 @@
 	v.pending = pendingExchange{}
 	delete(v.failedUntil, answer.From.Host)
 	v.merge(now, bounded(answer.Sample), sent)
-	if v.hasRoomFor(answer.From) {
+	if v.hasSlotFor(answer.From) {
 		partner := answer.From
 		partner.Age = 0
 		v.merge(now, []Neighbour{partner}, sent)
--- a/internal/shuffle/slots.go
+++ b/internal/shuffle/slots.go
@@ -54,8 +54,8 @@
 	return oldest
 }
 
-// hasRoomFor reports whether there is a slot for a member: a free one, or one that is reserved for its region.
-func (v *View) hasRoomFor(member Neighbour) bool {
+// hasSlotFor reports whether there is a slot for a member: a free one, or one that is reserved for its region.
+func (v *View) hasSlotFor(member Neighbour) bool {
 	inOwnRegion := v.countOwnRegion()
 	if member.Region == v.self.Region {
 		return len(v.neighbours) < ViewSize || inOwnRegion < ownRegionSlots
