--- a/internal/registry/digest_test.go
+++ b/internal/registry/digest_test.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"fieldrelay/internal/digesttest"
-	"fieldrelay/internal/route"
 )
 
 var update = flag.Bool("update", false, "record the digests of the runs again")
@@ -55,7 +54,7 @@
 				members := agents.Refresh(e.now)
 				for region := range edgeRegions {
 					name := fmt.Sprintf("r%d", region)
-					client := Client{Region: name, Zone: name + "-z0", Homes: route.HomeRegions{Unreadable: true}}
+					client := Client{Region: name, Zone: name + "-z0", Homes: unreadableHomes}
 					entry := recorder.Entry(e.now, "named").Number(uint64(index)).Number(uint64(region))
 					for _, address := range members.Endpoints(e.now, client, uint64(e.now)) {
 						entry.Text(address)
--- a/internal/registry/endpoints_test.go
+++ b/internal/registry/endpoints_test.go
@@ -12,13 +12,21 @@
 	"fieldrelay/internal/route"
 )
 
-// placed is the record of an agent at a place.
+// placed returns the record of an agent in a zone and a region.
 func placed(host, zone, region string) *pb.AgentRecord {
 	record := agentRecord(host, 1)
 	record.Zone, record.Region = zone, region
 	return record
 }
 
+// unreadableHomes are home regions that are not known.
+var unreadableHomes = route.HomeRegions{Unreadable: true}
+
+// homes returns the home regions of a number of routes, with the number of routes by region.
+func homes(routes int, byRegion map[string]int) route.HomeRegions {
+	return route.HomeRegions{Routes: routes, ByRegion: byRegion}
+}
+
 // threeRegions are edge machines of which one region has a single one.
 func threeRegions() []*pb.AgentRecord {
 	return []*pb.AgentRecord{
@@ -38,12 +46,12 @@
 		"two in the zone":          {Client{Region: "west", Zone: "a"}, []string{"a1:80", "a2:80"}},
 		"one of many: region":      {Client{Region: "west", Zone: "b"}, []string{"a1:80", "a2:80", "b1:80"}},
 		"one in the region: all":   {Client{Region: "east", Zone: "c"}, everyone},
-		"one in the region, bound": {Client{Region: "east", Zone: "c", Homes: route.HomeRegions{Unreadable: true}}, []string{"c1:80"}},
-		"one, the home is near":    {Client{Region: "east", Zone: "c", Homes: route.HomeRegions{Routes: 3, ByRegion: map[string]int{"west": 3}}}, []string{"a1:80", "a2:80", "b1:80", "c1:80"}},
-		"one, no proxy at home":    {Client{Region: "east", Zone: "c", Homes: route.HomeRegions{Routes: 3, ByRegion: map[string]int{"south": 3}}}, []string{"c1:80"}},
-		"none, the home is near":   {Client{Region: "south", Zone: "e", Homes: route.HomeRegions{Routes: 3, ByRegion: map[string]int{"east": 3}}}, []string{"c1:80"}},
-		"none in the region":       {Client{Region: "south", Zone: "e", Homes: route.HomeRegions{Unreadable: true}}, everyone},
-		"unknown place: all":       {Client{Homes: route.HomeRegions{Unreadable: true}}, everyone},
+		"one in the region, bound": {Client{Region: "east", Zone: "c", Homes: unreadableHomes}, []string{"c1:80"}},
+		"one, the home is near":    {Client{Region: "east", Zone: "c", Homes: homes(3, map[string]int{"west": 3})}, []string{"a1:80", "a2:80", "b1:80", "c1:80"}},
+		"one, no proxy at home":    {Client{Region: "east", Zone: "c", Homes: homes(3, map[string]int{"south": 3})}, []string{"c1:80"}},
+		"none, the home is near":   {Client{Region: "south", Zone: "e", Homes: homes(3, map[string]int{"east": 3})}, []string{"c1:80"}},
+		"none in the region":       {Client{Region: "south", Zone: "e", Homes: unreadableHomes}, everyone},
+		"unknown place: all":       {Client{Homes: unreadableHomes}, everyone},
 		"unknown zone: region":     {Client{Region: "north", Zone: "x"}, []string{"d1:80", "d2:80", "d3:80"}},
 	}
 	for name, one := range cases {
@@ -86,7 +94,7 @@
 			for _, record := range threeRegions() {
 				agents.Observe(now, record)
 			}
-			got := agents.Refresh(now).Endpoints(now, Client{Region: "east", Zone: "c", Homes: route.HomeRegions{Unreadable: true}}, 0)
+			got := agents.Refresh(now).Endpoints(now, Client{Region: "east", Zone: "c", Homes: unreadableHomes}, 0)
 			require.Contains(t, got, "c1:80")
 			outside := slices.ContainsFunc(got, func(address string) bool { return address[0] != 'c' })
 			require.Equal(t, one.helped, outside, "%v", got)
@@ -104,12 +112,12 @@
 		want   []string
 	}{
 		"no homes":                      {"south", route.HomeRegions{}, everyone},
-		"one home":                      {"south", route.HomeRegions{Routes: 3, ByRegion: map[string]int{"east": 3}}, []string{"c1:80"}},
-		"a home without a proxy":        {"south", route.HomeRegions{Routes: 3, ByRegion: map[string]int{"far": 3}}, everyone},
-		"two homes alike":               {"south", route.HomeRegions{Routes: 4, ByRegion: map[string]int{"east": 2, "west": 2}}, []string{"a1:80", "a2:80", "b1:80", "c1:80"}},
-		"the home of most":              {"south", route.HomeRegions{Routes: 9, ByRegion: map[string]int{"east": 2, "north": 5, "far": 9}}, []string{"d1:80", "d2:80", "d3:80"}},
-		"a region with a proxy is kept": {"east", route.HomeRegions{Routes: 9, ByRegion: map[string]int{"north": 5}}, []string{"c1:80"}},
-		"homes that are not known":      {"south", route.HomeRegions{Unreadable: true}, everyone},
+		"one home":                      {"south", homes(3, map[string]int{"east": 3}), []string{"c1:80"}},
+		"a home without a proxy":        {"south", homes(3, map[string]int{"far": 3}), everyone},
+		"two homes alike":               {"south", homes(4, map[string]int{"east": 2, "west": 2}), []string{"a1:80", "a2:80", "b1:80", "c1:80"}},
+		"the home of most":              {"south", homes(9, map[string]int{"east": 2, "north": 5, "far": 9}), []string{"d1:80", "d2:80", "d3:80"}},
+		"a region with a proxy is kept": {"east", homes(9, map[string]int{"north": 5}), []string{"c1:80"}},
+		"homes that are not known":      {"south", unreadableHomes, everyone},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -127,13 +135,10 @@
 // TestProxiesThatBeginToDrainAreNamedWhereNothingIsNear: they take requests for a while, and every other region is
 // neither a home of all routes nor the client's.
 func TestProxiesThatBeginToDrainAreNamedWhereNothingIsNear(t *testing.T) {
-	const now, leaving = time.Minute, 2 * time.Second
-	const just, long = now - leaving + time.Millisecond, now - leaving
+	const now, gracePeriod = time.Minute, 2 * time.Second
+	const just, long = now - gracePeriod + time.Millisecond, now - gracePeriod
 	everyone := []string{"a1:80", "a2:80", "b1:80", "c1:80", "d1:80", "d2:80", "d3:80"}
 	west := []string{"a1:80", "a2:80", "b1:80"}
-	homes := func(routes int, byRegion map[string]int) route.HomeRegions {
-		return route.HomeRegions{Routes: routes, ByRegion: byRegion}
-	}
 	cases := map[string]struct {
 		region string
 		homes  route.HomeRegions
@@ -146,7 +151,7 @@
 		"its own region is the home":     {"south", homes(1, map[string]int{"south": 1}), just, []string{"s1:80"}},
 		"the home of most":               {"south", homes(9, map[string]int{"east": 2, "west": 5}), just, []string{"s1:80"}},
 		"the home of most, and too late": {"south", homes(9, map[string]int{"east": 2, "west": 5}), long, west},
-		"homes that are not known":       {"south", route.HomeRegions{Unreadable: true}, just, []string{"s1:80"}},
+		"homes that are not known":       {"south", unreadableHomes, just, []string{"s1:80"}},
 		"a region with a proxy":          {"east", homes(5, map[string]int{"north": 4}), just, []string{"c1:80"}},
 		"an unknown region":              {"", homes(5, map[string]int{"west": 4}), just, west},
 	}
@@ -161,7 +166,7 @@
 			own.Draining, own.Ready = true, false
 			agents.Observe(one.since, own)
 			agents.Observe(now, own) // it goes on reporting
-			client := Client{Region: one.region, Zone: "e", Homes: one.homes, Leaving: leaving}
+			client := Client{Region: one.region, Zone: "e", Homes: one.homes, Leaving: gracePeriod}
 			got := agents.Refresh(now).Endpoints(now, client, 1)
 			slices.Sort(got)
 			require.Equal(t, one.want, got)
@@ -175,7 +180,7 @@
 	agents.Observe(0, agentRecord("b1", 1))
 	agents.Observe(0, agentRecord("c1", 1))
 	members := agents.Refresh(0)
-	require.Equal(t, []string{"b1:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-b", Homes: route.HomeRegions{Unreadable: true}}, 0), "a third of all suffices")
+	require.Equal(t, []string{"b1:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-b", Homes: unreadableHomes}, 0), "a third of all suffices")
 }
 
 func TestServes(t *testing.T) {
@@ -205,8 +210,8 @@
 		agents.Observe(0, record)
 	}
 	members := agents.Refresh(0)
-	require.Equal(t, []string{"a4:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-a", Homes: route.HomeRegions{Unreadable: true}}, 0))
-	require.Empty(t, members.Endpoints(FailureTimeout, Client{Region: "region", Zone: "zone-a", Homes: route.HomeRegions{Unreadable: true}}, 0), "an old snapshot names nobody")
+	require.Equal(t, []string{"a4:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-a", Homes: unreadableHomes}, 0))
+	require.Empty(t, members.Endpoints(FailureTimeout, Client{Region: "region", Zone: "zone-a", Homes: unreadableHomes}, 0), "an old snapshot names nobody")
 }
 
 func TestEndpointsRotateAndAreBounded(t *testing.T) {
@@ -217,7 +222,7 @@
 	members := agents.Refresh(0)
 	firsts := make(map[string]bool)
 	for rotation := range uint64(100) {
-		endpoints := members.Endpoints(0, Client{Region: "region", Zone: "zone-a", Homes: route.HomeRegions{Unreadable: true}}, rotation)
+		endpoints := members.Endpoints(0, Client{Region: "region", Zone: "zone-a", Homes: unreadableHomes}, rotation)
 		require.Len(t, endpoints, MaxEndpoints)
 		slices.Sort(endpoints[1:])
 		require.Len(t, slices.Compact(endpoints), MaxEndpoints)
--- a/internal/registry/invariants.go
+++ b/internal/registry/invariants.go
@@ -16,8 +16,8 @@
 	if i.current == nil {
 		return nil
 	}
-	if i.current.version.GetEpoch() > i.highestEpoch {
-		return &InvariantError{Reason: fmt.Sprintf("epoch %d is above the highest observed, %d", i.current.version.GetEpoch(), i.highestEpoch)}
+	if epoch := i.current.version.GetEpoch(); epoch > i.highestEpoch {
+		return &InvariantError{Reason: fmt.Sprintf("epoch %d is above the highest observed, %d", epoch, i.highestEpoch)}
 	}
 	if len(i.current.servers) == 0 {
 		return &InvariantError{Reason: "the current list is empty"}
--- a/internal/registry/inventory.go
+++ b/internal/registry/inventory.go
@@ -32,7 +32,7 @@
 	highestEpoch   uint64      // highest observed, own ones included
 	epochAnnounced bool        // a peer has named a list, and none has come yet
 	fencedByPeer   bool        // a peer has a newer list than the one that this machine owns
-	mustRaiseEpoch bool        // a version above the one that this machine owns outlived its owner; the next poll publishes above it
+	mustRaiseEpoch bool        // a version above this machine's outlived its owner; the next poll begins an epoch
 	lastSentAt     time.Duration
 
 	// The singleton role.
