--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -34,13 +34,13 @@
 
 // Same reports whether a list read elapsed after an earlier one says nothing that does not follow from the earlier one
 // and the elapsed time. Both must hold their servers in the same order.
-func (t Tolerances) Same(before, after []*pb.Server, elapsed time.Duration) bool {
+func (t *Tolerances) Same(before, after []*pb.Server, elapsed time.Duration) bool {
 	return slices.EqualFunc(before, after, func(first, second *pb.Server) bool {
 		return t.sameServer(first, second, elapsed)
 	})
 }
 
-func (t Tolerances) sameServer(before, after *pb.Server, elapsed time.Duration) bool {
+func (t *Tolerances) sameServer(before, after *pb.Server, elapsed time.Duration) bool {
 	return before.GetId() == after.GetId() &&
 		before.GetService() == after.GetService() &&
 		before.GetAddress() == after.GetAddress() &&
@@ -49,12 +49,19 @@
 		before.GetDraining() == after.GetDraining() &&
 		before.GetSoftware() == after.GetSoftware() &&
 		slices.Equal(before.GetModels(), after.GetModels()) &&
-		// Zero means that no expiry is known, which is more than a drift away from an expiry that is near.
-		(before.GetExpiresMs() == 0) == (after.GetExpiresMs() == 0) &&
-		within(drift(before.GetExpiresMs(), after.GetExpiresMs(), elapsed), t.ExpiryEarlier, t.ExpiryLater) &&
+		t.sameExpiry(before.GetExpiresMs(), after.GetExpiresMs(), elapsed) &&
 		within(drift(before.GetWarmLeftMs(), after.GetWarmLeftMs(), elapsed), t.WarmUpEarlier, t.WarmUpLater)
 }
 
+// sameExpiry compares the remaining times of a server until it expires. Zero means that it is not known to expire, which
+// differs from every expiry, however near.
+func (t *Tolerances) sameExpiry(beforeMs, afterMs uint32, elapsed time.Duration) bool {
+	if beforeMs == 0 || afterMs == 0 {
+		return beforeMs == afterMs
+	}
+	return within(drift(beforeMs, afterMs, elapsed), t.ExpiryEarlier, t.ExpiryLater)
+}
+
 // drift is by how much more time remains than was to be expected from the earlier remaining time. Both are in
 // milliseconds.
 func drift(beforeMs, afterMs uint32, elapsed time.Duration) time.Duration {
