--- a/internal/quorum/membership.go
+++ b/internal/quorum/membership.go
@@ -47,36 +47,36 @@
 // present ones: at most one is added, replaced or dropped. Peers are by identity.
 func NextVoters(view *pb.View, peers map[string]Peer) ([]*pb.Replica, bool) {
 	voters := slices.Clone(view.GetVoters())
-	if waiting := joiners(voters, peers); len(waiting) > 0 {
-		if next, changed := admit(view, peers, waiting); changed {
+	if joiners := eligibleJoiners(voters, peers); len(joiners) > 0 {
+		if next, changed := admitJoiner(view, peers, joiners); changed {
 			return next, true
 		}
 	}
-	if index := dispensable(voters, peers); index != NotFound {
+	if index := removableVoter(voters, peers); index != NotFound {
 		return slices.Delete(voters, index, index+1), true
 	}
 	return voters, false
 }
 
 // joiners are the waiting machines by identity, so that all voters take them in the same order.
-func joiners(voters []*pb.Replica, peers map[string]Peer) []*pb.Replica {
-	var waiting []*pb.Replica
+func eligibleJoiners(voters []*pb.Replica, peers map[string]Peer) []*pb.Replica {
+	var joiners []*pb.Replica
 	for identity, peer := range peers {
 		if peer.Live && peer.KnowsView && !peer.Leaving && IndexOf(voters, identity) == NotFound {
-			waiting = append(waiting, peer.Replica)
+			joiners = append(joiners, peer.Replica)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *pb.Replica) int {
+	slices.SortFunc(joiners, func(a, b *pb.Replica) int {
 		return strings.Compare(a.GetIdentity(), b.GetIdentity())
 	})
-	return waiting
+	return joiners
 }
 
 // admit gives a joiner the vote of the machine that it stands for, of one that has left, or of one that is silent;
 // or a vote of its own, if that is of use; or that of one whose zone has too many.
-func admit(view *pb.View, peers map[string]Peer, waiting []*pb.Replica) ([]*pb.Replica, bool) {
+func admitJoiner(view *pb.View, peers map[string]Peer, joiners []*pb.Replica) ([]*pb.Replica, bool) {
 	voters := slices.Clone(view.GetVoters())
-	for _, joiner := range waiting {
+	for _, joiner := range joiners {
 		sameHost := slices.IndexFunc(voters, func(voter *pb.Replica) bool {
 			return voter.GetHost() == joiner.GetHost()
 		})
@@ -85,33 +85,33 @@
 			return voters, true
 		}
 	}
-	if index := replaceable(voters, peers); index != NotFound {
+	if index := replaceableVoter(voters, peers); index != NotFound {
 		others := slices.Delete(slices.Clone(voters), index, index+1)
-		voters[index] = fromEmptiestZone(waiting, others)
+		voters[index] = joinerOfSmallestZone(joiners, others)
 		return voters, true
 	}
-	if !allHeard(voters, peers) {
+	if !allInContact(voters, peers) {
 		return voters, false // joiners wait for the place of the one that is unheard
 	}
-	joiner := fromEmptiestZone(waiting, voters)
-	if mayGrow(voters, peers, waiting) {
+	joiner := joinerOfSmallestZone(joiners, voters)
+	if mayGrow(voters, peers, joiners) {
 		return append(voters, joiner), true
 	}
-	if index := surplusIn(view, joiner); index != NotFound {
+	if index := overrepresentedVoter(view, joiner); index != NotFound {
 		voters[index] = joiner
 		return voters, true
 	}
 	return voters, false
 }
 
-// fromEmptiestZone picks the joiner whose zone has the fewest of the voters.
-func fromEmptiestZone(waiting, voters []*pb.Replica) *pb.Replica {
-	return slices.MinFunc(waiting, func(a, b *pb.Replica) int {
-		return cmp.Compare(inZoneOf(a, voters), inZoneOf(b, voters))
+// joinerOfSmallestZone picks the joiner whose zone has the fewest of the voters.
+func joinerOfSmallestZone(joiners, voters []*pb.Replica) *pb.Replica {
+	return slices.MinFunc(joiners, func(a, b *pb.Replica) int {
+		return cmp.Compare(countInZone(a, voters), countInZone(b, voters))
 	})
 }
 
-func inZoneOf(replica *pb.Replica, voters []*pb.Replica) int {
+func countInZone(replica *pb.Replica, voters []*pb.Replica) int {
 	count := 0
 	for _, voter := range voters {
 		if voter.GetZone() == replica.GetZone() {
@@ -121,25 +121,25 @@
 	return count
 }
 
-// surplusIn returns the index of a voter whose zone has so many more votes than the joiner's that the votes are spread
+// overrepresentedVoter returns the index of a voter whose zone has so many more votes than the joiner's that the votes are spread
 // better with the joiner in its place, or NotFound. Voters outside of the chain come first, its head last.
-func surplusIn(view *pb.View, joiner *pb.Replica) int {
+func overrepresentedVoter(view *pb.View, joiner *pb.Replica) int {
 	voters := view.GetVoters()
-	limit := inZoneOf(joiner, voters) + 1
+	limit := countInZone(joiner, voters) + 1
 	found := NotFound
 	for index, voter := range voters {
-		if inZoneOf(voter, voters) <= limit {
+		if countInZone(voter, voters) <= limit {
 			continue
 		}
-		if found == NotFound || chainPlace(view, voter) > chainPlace(view, voters[found]) {
+		if found == NotFound || chainPosition(view, voter) > chainPosition(view, voters[found]) {
 			found = index
 		}
 	}
 	return found
 }
 
-// chainPlace is a voter's place in the chain, or a later one than all of those.
-func chainPlace(view *pb.View, voter *pb.Replica) int {
+// chainPosition is a voter's place in the chain, or a later one than all of those.
+func chainPosition(view *pb.View, voter *pb.Replica) int {
 	if place := IndexOf(view.GetChain(), voter.GetIdentity()); place != NotFound {
 		return place
 	}
@@ -147,18 +147,18 @@
 }
 
 // replaceable returns the index of a voter whose place a joiner may take, or NotFound.
-func replaceable(voters []*pb.Replica, peers map[string]Peer) int {
-	if index := firstLeft(voters, peers); index != NotFound {
+func replaceableVoter(voters []*pb.Replica, peers map[string]Peer) int {
+	if index := firstLeftVoter(voters, peers); index != NotFound {
 		return index
 	}
-	if index, silence := longestSilent(voters, peers); silence >= ReplacementTimeout {
+	if index, sinceContact := longestSuspected(voters, peers); sinceContact >= ReplacementTimeout {
 		return index
 	}
 	return NotFound
 }
 
-// allHeard reports whether no voter has been unheard for long enough to make joiners wait for its place.
-func allHeard(voters []*pb.Replica, peers map[string]Peer) bool {
+// allInContact reports whether no voter has been unheard for long enough to make joiners wait for its place.
+func allInContact(voters []*pb.Replica, peers map[string]Peer) bool {
 	return !slices.ContainsFunc(voters, func(voter *pb.Replica) bool {
 		peer := peers[voter.GetIdentity()]
 		return !peer.Live || peer.SinceContact >= SuspicionTimeout
@@ -168,7 +168,7 @@
 // mayGrow reports whether one more voter is of use. Out of an odd number it is not, as the others would need one vote
 // more: the joiner stands by until a voter leaves, falls silent or is replaced, unless two wait, few vote, or one of
 // the voters is on its way out and may need somebody to take its state.
-func mayGrow(voters []*pb.Replica, peers map[string]Peer, waiting []*pb.Replica) bool {
+func mayGrow(voters []*pb.Replica, peers map[string]Peer, joiners []*pb.Replica) bool {
 	if len(voters) >= MaxVoters {
 		return false
 	}
@@ -176,54 +176,54 @@
 	if len(voters) < MinLiveVoters || slices.ContainsFunc(voters, isLeaving) {
 		return true
 	}
-	settled := 0
-	for _, joiner := range waiting {
+	established := 0
+	for _, joiner := range joiners {
 		if peers[joiner.GetIdentity()].ContactDuration >= GrowthDelay {
-			settled++
+			established++
 		}
 	}
-	return settled > 1 || (settled == 1 && len(voters)%2 == 0)
+	return established > 1 || (established == 1 && len(voters)%2 == 0)
 }
 
 // dispensable returns the index of a voter that the others are better off without, or NotFound.
-func dispensable(voters []*pb.Replica, peers map[string]Peer) int {
-	if index := firstLeft(voters, peers); index != NotFound && mayLoseLeaver(voters, peers) {
+func removableVoter(voters []*pb.Replica, peers map[string]Peer) int {
+	if index := firstLeftVoter(voters, peers); index != NotFound && mayRemoveLeft(voters, peers) {
 		return index
 	}
 	live := 0
-	longSilent := 0
+	pastOddTimeout := 0
 	for _, voter := range voters {
 		peer := peers[voter.GetIdentity()]
 		if peer.Live {
 			live++
 		} else if peer.SinceContact >= OddRemovalTimeout {
-			longSilent++
+			pastOddTimeout++
 		}
 	}
 	if live < MinLiveVoters {
 		return NotFound
 	}
-	index, silence := longestSilent(voters, peers)
+	index, sinceContact := longestSuspected(voters, peers)
 	even := len(voters)%2 == 0
-	if even && silence >= EvenRemovalTimeout {
+	if even && sinceContact >= EvenRemovalTimeout {
 		return index
 	}
-	if !even && longSilent >= 2 {
+	if !even && pastOddTimeout >= 2 {
 		return index
 	}
 	return NotFound
 }
 
-// firstLeft returns the first voter that has left, or NotFound.
-func firstLeft(voters []*pb.Replica, peers map[string]Peer) int {
+// firstLeftVoter returns the first voter that has left, or NotFound.
+func firstLeftVoter(voters []*pb.Replica, peers map[string]Peer) int {
 	return slices.IndexFunc(voters, func(voter *pb.Replica) bool {
 		return peers[voter.GetIdentity()].Left
 	})
 }
 
-// mayLoseLeaver reports whether a voter that has left is dropped. Out of an even number it is: the others need one
+// mayRemoveLeft reports whether a voter that has left is dropped. Out of an even number it is: the others need one
 // vote less. Out of an odd number it keeps its vote, as nothing is won: it may come back.
-func mayLoseLeaver(voters []*pb.Replica, peers map[string]Peer) bool {
+func mayRemoveLeft(voters []*pb.Replica, peers map[string]Peer) bool {
 	others := len(voters) - 1
 	if len(voters)%2 != 0 {
 		return false
@@ -237,8 +237,8 @@
 	return staying > others/2
 }
 
-// longestSilent returns the voter that was not heard for the longest time, or NotFound if all are live.
-func longestSilent(voters []*pb.Replica, peers map[string]Peer) (int, time.Duration) {
+// longestSuspected returns the voter that was not heard for the longest time, or NotFound if all are live.
+func longestSuspected(voters []*pb.Replica, peers map[string]Peer) (int, time.Duration) {
 	found := NotFound
 	var longest time.Duration
 	for index, voter := range voters {
--- a/internal/quorum/membership_test.go
+++ b/internal/quorum/membership_test.go
@@ -27,7 +27,7 @@
 	return Peer{Replica: replica(name), Live: true, KnowsView: true, ContactDuration: GrowthDelay - 1}
 }
 
-func silent(name string, silence time.Duration) Peer {
+func suspected(name string, silence time.Duration) Peer {
 	return Peer{Replica: replica(name), SinceContact: silence}
 }
 
@@ -40,7 +40,7 @@
 	return Peer{Replica: replica(name), Live: true, KnowsView: true, Leaving: true}
 }
 
-func heardBefore(name string, silence time.Duration) Peer {
+func contactedBefore(name string, silence time.Duration) Peer {
 	return Peer{Replica: replica(name), Live: true, KnowsView: true, SinceContact: silence}
 }
 
@@ -113,38 +113,38 @@
 		{
 			name:   "a joiner on a voter's host takes its place",
 			voters: "a b c",
-			peers:  []Peer{live("a"), silent("b", time.Second), live("c"), onHost(live("d"), "host-b")},
+			peers:  []Peer{live("a"), suspected("b", time.Second), live("c"), onHost(live("d"), "host-b")},
 			want:   "a d c",
 		},
 		{
 			name:   "a joiner takes the place of the longest silent voter",
 			voters: "a b c d e",
 			peers: []Peer{
-				live("a"), silent("b", 2*time.Second), silent("c", 4*time.Second), live("d"), live("e"), live("f"),
+				live("a"), suspected("b", 2*time.Second), suspected("c", 4*time.Second), live("d"), live("e"), live("f"),
 			},
 			want: "a b f d e",
 		},
 		{
 			name:   "a joiner does not take the place of a voter that was heard lately",
 			voters: "a b c",
-			peers:  []Peer{live("a"), silent("b", ReplacementTimeout-1), live("c"), live("d")},
+			peers:  []Peer{live("a"), suspected("b", ReplacementTimeout-1), live("c"), live("d")},
 		},
 		{
 			name:   "it waits for that place, where it could have a vote of its own",
 			voters: "a b c d",
-			peers:  []Peer{live("a"), heardBefore("b", SuspicionTimeout), live("c"), live("d"), live("e")},
+			peers:  []Peer{live("a"), contactedBefore("b", SuspicionTimeout), live("c"), live("d"), live("e")},
 		},
 		{
 			name:   "a voter that was heard within moments is not waited for",
 			voters: "a b c d",
-			peers:  []Peer{live("a"), heardBefore("b", SuspicionTimeout-1), live("c"), live("d"), live("e")},
+			peers:  []Peer{live("a"), contactedBefore("b", SuspicionTimeout-1), live("c"), live("d"), live("e")},
 			want:   "a b c d e",
 		},
 		{
 			name:   "of several, the joiner from the zone with the fewest votes",
 			voters: "a b c",
 			peers: []Peer{
-				inZone(live("a"), "x"), inZone(silent("b", time.Hour), "y"), inZone(live("c"), "z"),
+				inZone(live("a"), "x"), inZone(suspected("b", time.Hour), "y"), inZone(live("c"), "z"),
 				inZone(live("d"), "x"), inZone(live("e"), "y"),
 			},
 			want: "a e c",
@@ -175,29 +175,29 @@
 		{
 			name:   "a silent one of an even number is dropped",
 			voters: "a b c d",
-			peers:  []Peer{live("a"), live("b"), live("c"), silent("d", EvenRemovalTimeout)},
+			peers:  []Peer{live("a"), live("b"), live("c"), suspected("d", EvenRemovalTimeout)},
 			want:   "a b c",
 		},
 		{
 			name:   "not at once",
 			voters: "a b c d",
-			peers:  []Peer{live("a"), live("b"), live("c"), silent("d", EvenRemovalTimeout-1)},
+			peers:  []Peer{live("a"), live("b"), live("c"), suspected("d", EvenRemovalTimeout-1)},
 		},
 		{
 			name:   "not when too few live",
 			voters: "a b c d",
-			peers:  []Peer{live("a"), live("b"), silent("c", time.Hour), silent("d", time.Hour)},
+			peers:  []Peer{live("a"), live("b"), suspected("c", time.Hour), suspected("d", time.Hour)},
 		},
 		{
 			name:   "a silent one of an odd number is kept: without it the others need as many votes",
 			voters: "a b c d e",
-			peers:  []Peer{live("a"), live("b"), live("c"), live("d"), silent("e", time.Hour)},
+			peers:  []Peer{live("a"), live("b"), live("c"), live("d"), suspected("e", time.Hour)},
 		},
 		{
 			name:   "two long silent ones of an odd number go, one after the other",
 			voters: "a b c d e",
 			peers: []Peer{
-				live("a"), live("b"), live("c"), silent("d", OddRemovalTimeout), silent("e", OddRemovalTimeout+1),
+				live("a"), live("b"), live("c"), suspected("d", OddRemovalTimeout), suspected("e", OddRemovalTimeout+1),
 			},
 			want: "a b c d",
 		},
@@ -210,13 +210,13 @@
 		{
 			name:   "also when another one is leaving or silent, as long as the rest is a majority then",
 			voters: "a b c d",
-			peers:  []Peer{live("a"), left("b"), live("c"), silent("d", time.Second)},
+			peers:  []Peer{live("a"), left("b"), live("c"), suspected("d", time.Second)},
 			want:   "a c d",
 		},
 		{
 			name:   "not when the rest would be no majority",
 			voters: "a b c d",
-			peers:  []Peer{live("a"), left("b"), silent("c", time.Second), silent("d", time.Second)},
+			peers:  []Peer{live("a"), left("b"), suspected("c", time.Second), suspected("d", time.Second)},
 		},
 		{
 			name:   "one that has left an odd number keeps its vote",
@@ -243,7 +243,7 @@
 		{
 			name:   "a voter that was never heard of counts as silent",
 			voters: "a b c d",
-			peers:  []Peer{live("a"), live("b"), live("c"), silent("d", time.Minute), silent("x", time.Minute)},
+			peers:  []Peer{live("a"), live("b"), live("c"), suspected("d", time.Minute), suspected("x", time.Minute)},
 			want:   "a b c",
 		},
 	}
--- a/internal/quorum/paxos_test.go
+++ b/internal/quorum/paxos_test.go
@@ -28,7 +28,7 @@
 type paxos struct {
 	base      *pb.View
 	acceptors []*Acceptor
-	disks     []*pb.Promise
+	records     []*pb.Promise
 	proposers []*Proposer
 	inFlight  []func()
 	decided   map[string]bool
@@ -40,7 +40,7 @@
 	for index := range voters {
 		p.base.Voters = append(p.base.Voters, replica(strconv.Itoa(index)))
 		p.acceptors = append(p.acceptors, NewAcceptor(5))
-		p.disks = append(p.disks, NewAcceptor(5).Record())
+		p.records = append(p.records, NewAcceptor(5).Record())
 	}
 	return p
 }
@@ -65,7 +65,7 @@
 
 func (p *paxos) prepare(voter int, proposer *Proposer, number int) {
 	promise := p.acceptors[voter].Prepare(proposer.Prepare())
-	p.disks[voter] = p.acceptors[voter].Record()
+	p.records[voter] = p.acceptors[voter].Record()
 	p.inFlight = append(p.inFlight, func() {
 		if !proposer.Promised(p.base.GetVoters()[voter], promise) {
 			return
@@ -81,7 +81,7 @@
 
 func (p *paxos) accept(voter int, proposer *Proposer, accept *pb.Accept) {
 	accepted := p.acceptors[voter].Accept(accept)
-	p.disks[voter] = p.acceptors[voter].Record()
+	p.records[voter] = p.acceptors[voter].Record()
 	p.inFlight = append(p.inFlight, func() {
 		if proposer.Accepted(p.base.GetVoters()[voter], accepted) {
 			data, _ := proto.Marshal(proposer.Value())
@@ -99,7 +99,7 @@
 	}
 	if draw == 1 {
 		voter := rapid.IntRange(0, len(p.acceptors)-1).Draw(t, "restarted")
-		p.acceptors[voter] = RestoreAcceptor(p.disks[voter])
+		p.acceptors[voter] = RestoreAcceptor(p.records[voter])
 		p.restarts++
 		return
 	}
--- a/internal/quorum/proposer.go
+++ b/internal/quorum/proposer.go
@@ -18,25 +18,25 @@
 // Proposer is one attempt to have the view after base decided. It counts each voter of base once.
 type Proposer struct {
 	base     *pb.View
-	ballot   *pb.Ballot
+	number   *pb.Ballot
 	phase    Phase
 	promises map[int]bool // by index among the voters of base
 	accepts  map[int]bool
 	value    *pb.View
 	// the value accepted earlier under the highest ballot among the promises
-	earlierBallot *pb.Ballot
-	earlier       *pb.View
-	highest       *pb.Ballot // seen in any answer
+	earlierNumber   *pb.Ballot
+	earlierValue    *pb.View
+	highestObserved *pb.Ballot // seen in any answer
 }
 
 // NewProposer begins an attempt under a ballot of its own.
 func NewProposer(base *pb.View, ballot *pb.Ballot) *Proposer {
 	return &Proposer{
-		base:     base,
-		ballot:   ballot,
-		promises: make(map[int]bool),
-		accepts:  make(map[int]bool),
-		highest:  ballot,
+		base:            base,
+		number:          ballot,
+		promises:        make(map[int]bool),
+		accepts:         make(map[int]bool),
+		highestObserved: ballot,
 	}
 }
 
@@ -44,22 +44,22 @@
 func (p *Proposer) Phase() Phase { return p.phase }
 
 // ProposalNumber is the attempt's own ballot.
-func (p *Proposer) ProposalNumber() *pb.Ballot { return p.ballot }
+func (p *Proposer) ProposalNumber() *pb.Ballot { return p.number }
 
 // HighestObserved is the highest ballot seen in any answer, to choose a higher one next time.
-func (p *Proposer) HighestObserved() *pb.Ballot { return p.highest }
+func (p *Proposer) HighestObserved() *pb.Ballot { return p.highestObserved }
 
 // Value is the value that the attempt proposes; nil while Preparing.
 func (p *Proposer) Value() *pb.View { return p.value }
 
 // Prepare is the message for all voters of the base view.
 func (p *Proposer) Prepare() *pb.Prepare {
-	return &pb.Prepare{ViewNumber: p.base.GetNumber() + 1, Ballot: p.ballot}
+	return &pb.Prepare{ViewNumber: p.base.GetNumber() + 1, Ballot: p.number}
 }
 
 // Accept is the message for all voters of the base view once the value is chosen.
 func (p *Proposer) Accept() *pb.Accept {
-	return &pb.Accept{ViewNumber: p.base.GetNumber() + 1, Ballot: p.ballot, Value: p.value}
+	return &pb.Accept{ViewNumber: p.base.GetNumber() + 1, Ballot: p.number, Value: p.value}
 }
 
 // AwaitsVoter reports whether a voter, by its index among those of the base view, has not answered the present step.
@@ -76,10 +76,10 @@
 
 // Promised takes a voter's promise. It returns true once, when a majority has promised: Choose must follow.
 func (p *Proposer) Promised(from *pb.Replica, promise *pb.Promise) bool {
-	if !p.counts(p.Preparing(), promise.GetViewNumber(), promise.GetBallot()) {
+	if !p.isAwaited(p.Preparing(), promise.GetViewNumber(), promise.GetBallot()) {
 		return false
 	}
-	if p.refused(promise.GetGranted(), promise.GetPromised()) {
+	if p.observeRejection(promise.GetGranted(), promise.GetPromised()) {
 		return false
 	}
 	voter := VoterIndex(p.base, from)
@@ -87,9 +87,9 @@
 		return false
 	}
 	p.promises[voter] = true
-	if promise.GetAccepted() != nil && CompareProposalNumbers(promise.GetAcceptedBallot(), p.earlierBallot) > 0 {
-		p.earlierBallot = promise.GetAcceptedBallot()
-		p.earlier = promise.GetAccepted()
+	if promise.GetAccepted() != nil && CompareProposalNumbers(promise.GetAcceptedBallot(), p.earlierNumber) > 0 {
+		p.earlierNumber = promise.GetAcceptedBallot()
+		p.earlierValue = promise.GetAccepted()
 	}
 	return len(p.promises) == Majority(p.base)
 }
@@ -99,23 +99,23 @@
 
 // AcceptedEarlier is the value that a voter has accepted earlier and that therefore must be proposed; nil if the
 // proposer is free to choose.
-func (p *Proposer) AcceptedEarlier() *pb.View { return p.earlier }
+func (p *Proposer) AcceptedEarlier() *pb.View { return p.earlierValue }
 
 // Choose fixes the value: AcceptedEarlier if there is one, otherwise the wanted one.
 func (p *Proposer) Choose(wanted *pb.View) {
 	p.value = wanted
-	if p.earlier != nil {
-		p.value = p.earlier
+	if p.earlierValue != nil {
+		p.value = p.earlierValue
 	}
 	p.phase = Accepting
 }
 
 // Accepted takes a voter's answer to Accept. It returns true once, when the value is decided.
 func (p *Proposer) Accepted(from *pb.Replica, accepted *pb.Accepted) bool {
-	if !p.counts(p.phase == Accepting, accepted.GetViewNumber(), accepted.GetBallot()) {
+	if !p.isAwaited(p.phase == Accepting, accepted.GetViewNumber(), accepted.GetBallot()) {
 		return false
 	}
-	if p.refused(accepted.GetGranted(), accepted.GetPromised()) {
+	if p.observeRejection(accepted.GetGranted(), accepted.GetPromised()) {
 		return false
 	}
 	voter := VoterIndex(p.base, from)
@@ -130,17 +130,17 @@
 	return true
 }
 
-func (p *Proposer) counts(phase bool, number uint64, ballot *pb.Ballot) bool {
-	return phase && number == p.base.GetNumber()+1 && CompareProposalNumbers(ballot, p.ballot) == 0
+func (p *Proposer) isAwaited(phase bool, number uint64, ballot *pb.Ballot) bool {
+	return phase && number == p.base.GetNumber()+1 && CompareProposalNumbers(ballot, p.number) == 0
 }
 
 // refused notes a refusal and reports whether it was one. A refusal under a higher ballot ends the attempt;
 // one under no higher ballot means that the voter sees no need for another view.
-func (p *Proposer) refused(granted bool, promised *pb.Ballot) bool {
-	if CompareProposalNumbers(promised, p.highest) > 0 {
-		p.highest = promised
+func (p *Proposer) observeRejection(granted bool, promised *pb.Ballot) bool {
+	if CompareProposalNumbers(promised, p.highestObserved) > 0 {
+		p.highestObserved = promised
 	}
-	if !granted && CompareProposalNumbers(promised, p.ballot) > 0 {
+	if !granted && CompareProposalNumbers(promised, p.number) > 0 {
 		p.phase = Superseded
 	}
 	return !granted
