--- a/internal/quorum/acceptor.go
+++ b/internal/quorum/acceptor.go
@@ -4,7 +4,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Acceptor is what a voter has promised and accepted for the view that follows the one it holds.
+// Acceptor is the acceptor of one voter for one view number, the one after the view that it knows. Its promised
+// number only rises, and it accepts nothing below it.
 type Acceptor struct {
 	viewNumber     uint64 // of the view to be decided
 	promised       *pb.Ballot
@@ -12,8 +13,8 @@
 	acceptedValue  *pb.View
 }
 
-// NewAcceptor returns the acceptor for a view number, with nothing promised yet.
-func NewAcceptor(number uint64) *Acceptor { return &Acceptor{viewNumber: number} }
+// NewAcceptor returns the acceptor for a view number, without any promise.
+func NewAcceptor(viewNumber uint64) *Acceptor { return &Acceptor{viewNumber: viewNumber} }
 
 // RestoreAcceptor returns the acceptor that Record described.
 func RestoreAcceptor(record *pb.Promise) *Acceptor {
@@ -25,7 +26,7 @@
 	}
 }
 
-// Record describes the acceptor for the disk.
+// Record returns the acceptor's durable form.
 func (a *Acceptor) Record() *pb.Promise {
 	return &pb.Promise{
 		ViewNumber:     a.viewNumber,
@@ -38,16 +39,17 @@
 // ViewNumber is the number of the view to be decided.
 func (a *Acceptor) ViewNumber() uint64 { return a.viewNumber }
 
-// Promised is the highest ballot that was promised, nil if none was.
+// Promised is the highest proposal number that was promised, nil if none was.
 func (a *Acceptor) Promised() *pb.Ballot { return a.promised }
 
-// HasAccepted reports whether a value was accepted: the view may have been decided.
+// HasAccepted reports whether a value was accepted, so that the view may have been decided already.
 func (a *Acceptor) HasAccepted() bool { return a.acceptedValue != nil }
 
 // IsEmpty reports whether nothing was promised or accepted.
 func (a *Acceptor) IsEmpty() bool { return a.promised == nil && a.acceptedValue == nil }
 
-// Prepare answers a proposer's first step. A granted answer may leave only when Record is on disk.
+// Prepare answers the first phase of a proposal. A granted answer may only be sent once Record is durable: a voter
+// that restarted without its promise could accept a lower proposal, and two values could be decided.
 func (a *Acceptor) Prepare(prepare *pb.Prepare) *pb.Promise {
 	granted := CompareProposalNumbers(prepare.GetBallot(), a.promised) >= 0
 	if granted {
@@ -59,7 +61,7 @@
 	return answer
 }
 
-// Accept answers a proposer's second step. A granted answer may leave only when Record is on disk.
+// Accept answers the second phase of a proposal. A granted answer may only be sent once Record is durable.
 func (a *Acceptor) Accept(accept *pb.Accept) *pb.Accepted {
 	granted := CompareProposalNumbers(accept.GetBallot(), a.promised) >= 0
 	if granted {
--- a/internal/quorum/membership_test.go
+++ b/internal/quorum/membership_test.go
@@ -10,6 +10,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
+// names lists the identities of voters, separated by spaces.
 func names(voters []*pb.Replica) string {
 	var list []string
 	for _, voter := range voters {
@@ -18,30 +19,34 @@
 	return strings.Join(list, " ")
 }
 
+// live is a peer that has been in contact for long.
 func live(name string) Peer {
 	return Peer{Replica: replica(name), Live: true, KnowsView: true, ContactDuration: time.Minute}
 }
 
-// fresh was heard first a short while ago.
+// fresh is a live peer that has been in contact for less than GrowthDelay.
 func fresh(name string) Peer {
 	return Peer{Replica: replica(name), Live: true, KnowsView: true, ContactDuration: GrowthDelay - 1}
 }
 
-func suspected(name string, silence time.Duration) Peer {
-	return Peer{Replica: replica(name), SinceContact: silence}
+// suspected is a peer that is not live.
+func suspected(name string, sinceContact time.Duration) Peer {
+	return Peer{Replica: replica(name), SinceContact: sinceContact}
 }
 
-// left was told to end, and the chain goes on without it.
+// left has announced its graceful shutdown, and the chain goes on without it.
 func left(name string) Peer {
 	return Peer{Replica: replica(name), Live: true, KnowsView: true, Leaving: true, Left: true}
 }
 
+// leaving has announced its graceful shutdown.
 func leaving(name string) Peer {
 	return Peer{Replica: replica(name), Live: true, KnowsView: true, Leaving: true}
 }
 
-func contactedBefore(name string, silence time.Duration) Peer {
-	return Peer{Replica: replica(name), Live: true, KnowsView: true, SinceContact: silence}
+// contactedBefore is a live peer whose last message is some time old.
+func contactedBefore(name string, sinceContact time.Duration) Peer {
+	return Peer{Replica: replica(name), Live: true, KnowsView: true, SinceContact: sinceContact}
 }
 
 func inZone(peer Peer, zone string) Peer {
@@ -106,7 +111,7 @@
 			want:   "a b c d",
 		},
 		{
-			name:   "a machine that does not hold the view is no joiner yet",
+			name:   "a machine that does not know the view is no joiner yet",
 			voters: "a b c",
 			peers:  []Peer{live("a"), live("b"), live("c"), {Replica: replica("d"), Live: true}},
 		},
@@ -241,7 +246,7 @@
 			peers:  []Peer{live("a"), live("b"), live("c"), left("d")},
 		},
 		{
-			name:   "a voter that was never heard of counts as silent",
+			name:   "a voter that was never in contact counts as suspected",
 			voters: "a b c d",
 			peers:  []Peer{live("a"), live("b"), live("c"), suspected("d", time.Minute), suspected("x", time.Minute)},
 			want:   "a b c",
--- a/internal/quorum/paxos_test.go
+++ b/internal/quorum/paxos_test.go
@@ -24,11 +24,11 @@
 	return view
 }
 
-// paxos is a set of voters and proposers whose messages go any way and may be lost or repeated.
+// paxos is a set of voters and proposers whose messages may be reordered, lost or repeated.
 type paxos struct {
 	base      *pb.View
 	acceptors []*Acceptor
-	records     []*pb.Promise
+	records   []*pb.Promise // what each acceptor has on disk
 	proposers []*Proposer
 	inFlight  []func()
 	decided   map[string]bool
@@ -53,7 +53,7 @@
 		}
 	}
 	if len(p.proposers)%2 == 1 {
-		highest = nil // a proposer that has heard of nothing
+		highest = nil // a proposer that has observed no number
 	}
 	number := len(p.proposers)
 	proposer := NewProposer(p.base, NextProposalNumber(highest, fmt.Sprintf("proposer-%d", number)))
@@ -90,7 +90,7 @@
 	})
 }
 
-// step does one thing at random.
+// step begins a proposal, restarts an acceptor or delivers a message, at random.
 func (p *paxos) step(t *rapid.T) {
 	draw := rapid.IntRange(0, 19).Draw(t, "what")
 	if draw == 0 && len(p.proposers) < 6 {
--- a/internal/quorum/proposal_number.go
+++ b/internal/quorum/proposal_number.go
@@ -7,7 +7,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// CompareProposalNumbers orders ballots by round, then by proposer; nil comes before every other.
+// CompareProposalNumbers orders proposal numbers by round, then by proposer. It returns -1, 0 or 1; nil is below
+// every other.
 func CompareProposalNumbers(a, b *pb.Ballot) int {
 	if order := cmp.Compare(a.GetRound(), b.GetRound()); order != 0 {
 		return order
@@ -15,8 +16,9 @@
 	return strings.Compare(a.GetProposer(), b.GetProposer())
 }
 
-// NextProposalNumber returns a ballot of the proposer above the highest one it knows of. The proposer's name must be
-// another one after each start, so that no ballot stands for two values.
+// NextProposalNumber returns a proposal number of the proposer above the highest one that it knows of, which may be
+// nil. The proposer's name must differ from run to run of a machine: a restarted machine does not remember the
+// numbers that it has used, and two values under one number would break the safety of Paxos.
 func NextProposalNumber(highest *pb.Ballot, proposer string) *pb.Ballot {
 	return &pb.Ballot{Round: highest.GetRound() + 1, Proposer: proposer}
 }
--- a/internal/quorum/proposer.go
+++ b/internal/quorum/proposer.go
@@ -4,65 +4,66 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Phase is how far an attempt to have a view decided has come.
+// Phase is the phase of a proposal.
 type Phase int
 
-// The phases of an attempt.
+// The phases of a proposal. It ends as Decided or Superseded.
 const (
 	Preparing  Phase = iota // waits for the promises of a majority
 	Accepting               // waits for a majority to accept the value
 	Decided                 // the value is decided
-	Superseded              // a higher ballot was promised to another proposer
+	Superseded              // a voter has promised a higher number to another proposer
 )
 
-// Proposer is one attempt to have the view after base decided. It counts each voter of base once.
+// Proposer is one proposal for the view after base. It counts each voter of base once.
 type Proposer struct {
 	base     *pb.View
 	number   *pb.Ballot
 	phase    Phase
 	promises map[int]bool // by index among the voters of base
-	accepts  map[int]bool
-	value    *pb.View
-	// the value accepted earlier under the highest ballot among the promises
+	accepts  map[int]bool // by index among the voters of base
+	value    *pb.View     // nil while Preparing
+	// Of the values that the promises name as accepted, the one with the highest number. It may have been decided,
+	// so no other value may be proposed.
 	earlierNumber   *pb.Ballot
 	earlierValue    *pb.View
-	highestObserved *pb.Ballot // seen in any answer
+	highestObserved *pb.Ballot // in any answer
 }
 
-// NewProposer begins an attempt under a ballot of its own.
-func NewProposer(base *pb.View, ballot *pb.Ballot) *Proposer {
+// NewProposer begins a proposal under a number of its own, see NextProposalNumber.
+func NewProposer(base *pb.View, number *pb.Ballot) *Proposer {
 	return &Proposer{
 		base:            base,
-		number:          ballot,
+		number:          number,
 		promises:        make(map[int]bool),
 		accepts:         make(map[int]bool),
-		highestObserved: ballot,
+		highestObserved: number,
 	}
 }
 
-// Phase tells how far the attempt has come.
+// Phase is the proposal's phase.
 func (p *Proposer) Phase() Phase { return p.phase }
 
-// ProposalNumber is the attempt's own ballot.
+// ProposalNumber is the proposal's own number.
 func (p *Proposer) ProposalNumber() *pb.Ballot { return p.number }
 
-// HighestObserved is the highest ballot seen in any answer, to choose a higher one next time.
+// HighestObserved is the highest proposal number in any answer so far. The next proposal must have a higher one.
 func (p *Proposer) HighestObserved() *pb.Ballot { return p.highestObserved }
 
-// Value is the value that the attempt proposes; nil while Preparing.
+// Value is the proposed value; nil while Preparing.
 func (p *Proposer) Value() *pb.View { return p.value }
 
-// Prepare is the message for all voters of the base view.
+// Prepare returns the message of the first phase, for all voters of the base view.
 func (p *Proposer) Prepare() *pb.Prepare {
-	return &pb.Prepare{ViewNumber: p.base.GetNumber() + 1, Ballot: p.number}
+	return &pb.Prepare{ViewNumber: p.viewNumber(), Ballot: p.number}
 }
 
-// Accept is the message for all voters of the base view once the value is chosen.
+// Accept returns the message of the second phase, for all voters of the base view. Choose must have been called.
 func (p *Proposer) Accept() *pb.Accept {
-	return &pb.Accept{ViewNumber: p.base.GetNumber() + 1, Ballot: p.number, Value: p.value}
+	return &pb.Accept{ViewNumber: p.viewNumber(), Ballot: p.number, Value: p.value}
 }
 
-// AwaitsVoter reports whether a voter, by its index among those of the base view, has not answered the present step.
+// AwaitsVoter reports whether a voter, by its index among those of the base view, has not granted the present phase.
 func (p *Proposer) AwaitsVoter(voter int) bool {
 	switch p.phase {
 	case Preparing:
@@ -74,15 +75,9 @@
 	}
 }
 
-// Promised takes a voter's promise. It returns true once, when a majority has promised: Choose must follow.
+// Promised counts a voter's promise. It returns true once, when a majority has promised: Choose must follow.
 func (p *Proposer) Promised(from *pb.Replica, promise *pb.Promise) bool {
-	if !p.isAwaited(p.Preparing(), promise.GetViewNumber(), promise.GetBallot()) {
-		return false
-	}
-	if p.observeRejection(promise.GetGranted(), promise.GetPromised()) {
-		return false
-	}
-	voter := VoterIndex(p.base, from)
+	voter := p.grantingVoter(Preparing, from, promise)
 	if voter == NotFound {
 		return false
 	}
@@ -94,14 +89,11 @@
 	return len(p.promises) == Majority(p.base)
 }
 
-// Preparing reports whether the attempt still waits for promises.
-func (p *Proposer) Preparing() bool { return p.phase == Preparing }
-
-// AcceptedEarlier is the value that a voter has accepted earlier and that therefore must be proposed; nil if the
-// proposer is free to choose.
+// AcceptedEarlier is the value that a voter has accepted in an earlier proposal and that must therefore be proposed;
+// nil if the proposer is free to choose.
 func (p *Proposer) AcceptedEarlier() *pb.View { return p.earlierValue }
 
-// Choose fixes the value: AcceptedEarlier if there is one, otherwise the wanted one.
+// Choose fixes the value, AcceptedEarlier if there is one and the wanted one otherwise, and begins the second phase.
 func (p *Proposer) Choose(wanted *pb.View) {
 	p.value = wanted
 	if p.earlierValue != nil {
@@ -110,15 +102,9 @@
 	p.phase = Accepting
 }
 
-// Accepted takes a voter's answer to Accept. It returns true once, when the value is decided.
+// Accepted counts a voter's answer to Accept. It returns true once, when the value is decided.
 func (p *Proposer) Accepted(from *pb.Replica, accepted *pb.Accepted) bool {
-	if !p.isAwaited(p.phase == Accepting, accepted.GetViewNumber(), accepted.GetBallot()) {
-		return false
-	}
-	if p.observeRejection(accepted.GetGranted(), accepted.GetPromised()) {
-		return false
-	}
-	voter := VoterIndex(p.base, from)
+	voter := p.grantingVoter(Accepting, from, accepted)
 	if voter == NotFound {
 		return false
 	}
@@ -130,18 +116,43 @@
 	return true
 }
 
-func (p *Proposer) isAwaited(phase bool, number uint64, ballot *pb.Ballot) bool {
-	return phase && number == p.base.GetNumber()+1 && CompareProposalNumbers(ballot, p.number) == 0
+// viewNumber is the number of the view that is proposed.
+func (p *Proposer) viewNumber() uint64 { return p.base.GetNumber() + 1 }
+
+// answer is what a voter's answers in both phases have in common: pb.Promise and pb.Accepted.
+type answer interface {
+	GetViewNumber() uint64
+	GetBallot() *pb.Ballot   // number of the proposal that is answered
+	GetGranted() bool        // false for a rejection
+	GetPromised() *pb.Ballot // highest number that the voter has promised
+}
+
+// grantingVoter returns the index of a voter of base that grants the given phase of this proposal; NotFound for a
+// rejection, an answer to another proposal or phase, and a sender that has no vote.
+func (p *Proposer) grantingVoter(phase Phase, from *pb.Replica, received answer) int {
+	if !p.isAwaited(phase, received) {
+		return NotFound
+	}
+	p.observe(received)
+	if !received.GetGranted() {
+		return NotFound
+	}
+	return VoterIndex(p.base, from)
+}
+
+func (p *Proposer) isAwaited(phase Phase, received answer) bool {
+	return p.phase == phase &&
+		received.GetViewNumber() == p.viewNumber() &&
+		CompareProposalNumbers(received.GetBallot(), p.number) == 0
 }
 
-// refused notes a refusal and reports whether it was one. A refusal under a higher ballot ends the attempt;
-// one under no higher ballot means that the voter sees no need for another view.
-func (p *Proposer) observeRejection(granted bool, promised *pb.Ballot) bool {
-	if CompareProposalNumbers(promised, p.highestObserved) > 0 {
-		p.highestObserved = promised
+// observe ends the proposal if the answer rejects it in favour of a higher number. A rejection without one means that
+// the voter sees no need for another view; the proposal stays as it is.
+func (p *Proposer) observe(received answer) {
+	if CompareProposalNumbers(received.GetPromised(), p.highestObserved) > 0 {
+		p.highestObserved = received.GetPromised()
 	}
-	if !granted && CompareProposalNumbers(promised, p.number) > 0 {
+	if !received.GetGranted() && CompareProposalNumbers(received.GetPromised(), p.number) > 0 {
 		p.phase = Superseded
 	}
-	return !granted
 }
--- /dev/null
+++ b/internal/quorum/removal.go
@@ -0,0 +1,50 @@
+package quorum
+
+import (
+	pb "fieldrelay/api/fieldrelay/v1"
+)
+
+// removableVoter returns the index of a voter without which the others are better off, or NotFound.
+func removableVoter(voters []*pb.Replica, peers map[string]Peer) int {
+	if index := firstLeftVoter(voters, peers); index != NotFound && mayRemoveLeft(voters, peers) {
+		return index
+	}
+	live := 0
+	pastOddTimeout := 0
+	for _, voter := range voters {
+		peer := peers[voter.GetIdentity()]
+		if peer.Live {
+			live++
+		} else if peer.SinceContact >= OddRemovalTimeout {
+			pastOddTimeout++
+		}
+	}
+	if live < MinLiveVoters {
+		return NotFound
+	}
+	index, sinceContact := longestSuspected(voters, peers)
+	even := len(voters)%2 == 0
+	if even && sinceContact >= EvenRemovalTimeout {
+		return index
+	}
+	if !even && pastOddTimeout >= 2 {
+		return index
+	}
+	return NotFound
+}
+
+// mayRemoveLeft reports whether a voter that has left is removed. From an even number it is, if a majority of the
+// others stays: they then need one vote less. From an odd number nothing is gained, and it may come back.
+func mayRemoveLeft(voters []*pb.Replica, peers map[string]Peer) bool {
+	others := len(voters) - 1
+	if len(voters)%2 != 0 {
+		return false
+	}
+	staying := 0
+	for _, voter := range voters {
+		if peer := peers[voter.GetIdentity()]; peer.Live && !peer.Left {
+			staying++
+		}
+	}
+	return staying > others/2
+}
