--- a/internal/ring/check.go
+++ b/internal/ring/check.go
@@ -44,26 +44,26 @@
 	report := &Report{}
 	found, err := scanFiles(files)
 	switch {
-	case asCorrupt(err):
+	case isCorrupt(err):
 		report.Failure = err
 	case err != nil:
 		return nil, err
 	case found.best == nil:
 		report.Recovered = &Recovered{Fresh: true}
 	default:
-		report.Recovered = found.best.recovered()
+		report.Recovered = found.best.toRecovered()
 	}
 	slots, err := listSlots(files)
 	if err != nil {
 		return nil, err
 	}
 	for _, slot := range slots {
-		one, err := checkFile(files, slot)
+		file, err := checkFile(files, slot)
 		if err != nil {
 			return nil, err
 		}
-		one.Current = found != nil && found.best != nil && found.best.slot == slot
-		report.Files = append(report.Files, one)
+		file.Current = found != nil && found.best != nil && found.best.slot == slot
+		report.Files = append(report.Files, file)
 	}
 	sortNewestFirst(report.Files)
 	return report, nil
@@ -71,7 +71,7 @@
 
 func checkFile(files Files, slot int) (FileReport, error) {
 	one := &candidate{slot: slot}
-	if err := one.readHeader(files); err != nil && !asCorrupt(err) {
+	if err := one.readHeader(files); err != nil && !isCorrupt(err) {
 		return FileReport{}, err
 	}
 	report := FileReport{Name: fileName(slot), Bytes: one.size, HeaderValid: one.headerValid}
@@ -82,7 +82,7 @@
 	if one.header.version != formatVersion {
 		return report, nil
 	}
-	if err := one.read(files); err != nil {
+	if err := one.readFrames(files); err != nil {
 		return FileReport{}, err
 	}
 	report.SnapshotValid = one.snapshotValid
@@ -105,7 +105,7 @@
 	})
 }
 
-func asCorrupt(err error) bool {
+func isCorrupt(err error) bool {
 	var corrupt *CorruptError
 	return errors.As(err, &corrupt)
 }
--- a/internal/ring/files.go
+++ b/internal/ring/files.go
@@ -36,9 +36,9 @@
 
 // Folder is a folder of the operating system. It implements Files.
 type Folder struct {
-	path       string
-	nameSynced bool                                      // the folder's own name lasts in the folder that holds it
-	sync       func(path string) (found bool, err error) // of one folder
+	path         string
+	parentSynced bool                                      // the folder's own name lasts in the folder that holds it
+	sync         func(path string) (found bool, err error) // of one folder
 }
 
 // NewFolder returns the folder with a path. It is made when the first file is.
@@ -81,20 +81,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return folderFile{file}, nil
+	return osFile{file}, nil
 }
 
 // Sync makes the folder's list of files last, and the first time the folder's own name. A folder that is missing
 // has nothing to sync.
 func (f *Folder) Sync() error {
 	found, err := f.sync(f.path)
-	if err != nil || !found || f.nameSynced {
+	if err != nil || !found || f.parentSynced {
 		return err
 	}
 	if _, err := f.sync(filepath.Dir(f.path)); err != nil {
 		return err
 	}
-	f.nameSynced = true
+	f.parentSynced = true
 	return nil
 }
 
@@ -111,11 +111,11 @@
 	return true, errors.CombineErrors(syncErr, folder.Close())
 }
 
-type folderFile struct {
+type osFile struct {
 	*os.File
 }
 
-func (f folderFile) Size() (int64, error) {
+func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
 		return 0, err
@@ -124,7 +124,7 @@
 }
 
 // Sync uses fdatasync, which leaves out what reading the data back does not need.
-func (f folderFile) Sync() error {
+func (f osFile) Sync() error {
 	for {
 		err := syscall.Fdatasync(int(f.Fd()))
 		if !errors.Is(err, syscall.EINTR) {
--- a/internal/ring/format.go
+++ b/internal/ring/format.go
@@ -11,14 +11,14 @@
 
 // The format is described in the package comment.
 const (
-	formatVersion = 1
-	headerBytes   = 40
-	frameBytes    = 32 // before the payload
-	checksumBytes = 8
-	magic         = "frelring"
-	filePrefix    = "ring-"
-	// maximumPayload bounds what a damaged length can make recovery read.
-	maximumPayload = 1 << 30
+	formatVersion    = 1
+	fileHeaderBytes  = 40
+	frameHeaderBytes = 32 // before the payload
+	checksumBytes    = 8
+	magic            = "frelring"
+	filePrefix       = "ring-"
+	// maxPayloadBytes bounds what a damaged length can make recovery read.
+	maxPayloadBytes = 1 << 30
 )
 
 func fileName(slot int) string { return filePrefix + strconv.Itoa(slot) }
@@ -55,12 +55,12 @@
 	return binary.LittleEndian.AppendUint64(buffer, checksum), checksum
 }
 
-// parseHeader reads a header; valid is false if its magic or checksum is wrong.
-func parseHeader(data []byte) (header fileHeader, checksum uint64, valid bool) {
-	if len(data) < headerBytes || string(data[:len(magic)]) != magic {
+// parseFileHeader reads a header; valid is false if its magic or checksum is wrong.
+func parseFileHeader(data []byte) (header fileHeader, checksum uint64, valid bool) {
+	if len(data) < fileHeaderBytes || string(data[:len(magic)]) != magic {
 		return fileHeader{}, 0, false
 	}
-	covered := headerBytes - checksumBytes
+	covered := fileHeaderBytes - checksumBytes
 	checksum = binary.LittleEndian.Uint64(data[covered:])
 	if xxhash.Sum64(data[:covered]) != checksum {
 		return fileHeader{}, 0, false
@@ -86,7 +86,7 @@
 // appendTo encodes the header with the checksum that chains it to the previous frame, and returns that.
 func (h frameHeader) appendTo(buffer []byte, previous uint64, payload []byte) (encoded []byte, checksum uint64) {
 	start := len(buffer)
-	buffer = append(buffer, make([]byte, frameBytes)...)
+	buffer = append(buffer, make([]byte, frameHeaderBytes)...)
 	frame := buffer[start:]
 	binary.LittleEndian.PutUint32(frame[8:], h.epoch)
 	binary.LittleEndian.PutUint32(frame[12:], h.sequence)
@@ -98,7 +98,7 @@
 	return buffer, checksum
 }
 
-func parseFrame(frame []byte) frameHeader {
+func parseFrameHeader(frame []byte) frameHeader {
 	return frameHeader{
 		checksum: binary.LittleEndian.Uint64(frame),
 		epoch:    binary.LittleEndian.Uint32(frame[8:]),
@@ -115,7 +115,7 @@
 	var start [checksumBytes]byte
 	binary.LittleEndian.PutUint64(start[:], previous)
 	_, _ = digest.Write(start[:])
-	_, _ = digest.Write(frame[checksumBytes:frameBytes])
+	_, _ = digest.Write(frame[checksumBytes:frameHeaderBytes])
 	_, _ = digest.Write(payload)
 	return digest.Sum64()
 }
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -56,8 +56,8 @@
 	DefaultFiles     = 4
 	DefaultFileBytes = 1 << 20
 	DefaultMaxBytes  = 64 << 20
-	minimumFiles     = 2
-	minimumFileBytes = 4 << 10
+	minFiles         = 2
+	minFileBytes     = 4 << 10
 )
 
 // Options of a ring. The zero value gives the defaults.
@@ -81,8 +81,8 @@
 	if o.MaxBytes == 0 {
 		o.MaxBytes = DefaultMaxBytes
 	}
-	o.Files = max(o.Files, minimumFiles)
-	o.FileBytes = max(o.FileBytes, minimumFileBytes)
+	o.Files = max(o.Files, minFiles)
+	o.FileBytes = max(o.FileBytes, minFileBytes)
 	if o.Storage == nil {
 		o.Storage = NewFolder(dir)
 	}
@@ -121,12 +121,12 @@
 	options Options
 	files   Files
 
-	current  *position
-	file     File // of current; nil before the first
-	nonce    uint64
-	doubtful int // slot of a failed snapshot, which might be on disk all the same; noSlot if there is none
-	buffer   []byte
-	closed   bool
+	current     *position
+	file        File // of current; nil before the first
+	nonce       uint64
+	suspectSlot int // slot of a failed snapshot, which might be on disk all the same; noSlot if there is none
+	buffer      []byte
+	closed      bool
 }
 
 // noSlot stands for no file.
@@ -138,7 +138,7 @@
 	epoch         uint64 // 0 before the first file
 	sequence      uint32 // of the next frame
 	end           int64  // offset after the last frame
-	chain         uint64 // checksum of the last frame
+	checksum      uint64 // checksum of the last frame
 	length        int64  // of the file
 	snapshotBytes int64  // up to the end of the snapshot
 }
@@ -149,10 +149,10 @@
 func Open(dir string, options Options) (*Ring, *Recovered, error) {
 	options = options.withDefaults(dir)
 	ring := &Ring{
-		options:  options,
-		files:    options.Storage,
-		nonce:    options.Nonce(),
-		doubtful: noSlot,
+		options:     options,
+		files:       options.Storage,
+		nonce:       options.Nonce(),
+		suspectSlot: noSlot,
 	}
 	if err := syncAll(ring.files); err != nil {
 		return nil, nil, err
@@ -171,7 +171,7 @@
 	}
 	ring.current = &scan.best.position
 	ring.file = file
-	return ring, scan.best.recovered(), nil
+	return ring, scan.best.toRecovered(), nil
 }
 
 // NeedsSnapshot reports whether so much was appended since the last snapshot that a new one is worth its
--- a/internal/ring/scan.go
+++ b/internal/ring/scan.go
@@ -33,17 +33,17 @@
 
 // candidate is one file as far as it is valid.
 type candidate struct {
-	slot          int
-	size          int64
-	header        fileHeader
-	headerValid   bool
-	chain         uint64 // checksum of the header
-	snapshotValid bool
-	wasComplete   bool // the snapshot is not valid but was on disk once: a record follows it
-	snapshot      []byte
-	records       []Record
-	position      position
-	ending        Ending
+	slot           int
+	size           int64
+	header         fileHeader
+	headerValid    bool
+	headerChecksum uint64 // checksum of the header
+	snapshotValid  bool
+	snapshotLost   bool // the snapshot is not valid but was on disk once: a record follows it
+	snapshot       []byte
+	records        []Record
+	position       position
+	ending         Ending
 }
 
 // scan is the outcome of reading all files.
@@ -100,26 +100,26 @@
 		if !one.headerValid {
 			continue
 		}
-		if err := one.read(files); err != nil {
+		if err := one.readFrames(files); err != nil {
 			return nil, err
 		}
 		if one.snapshotValid {
 			result.best = one
 			break
 		}
-		if one.wasComplete {
+		if one.snapshotLost {
 			return nil, &CorruptError{File: fileName(one.slot), Reason: "records follow a snapshot that is not valid"}
 		}
 	}
-	if err := result.checkBest(); err != nil {
+	if err := result.checkGap(); err != nil {
 		return nil, err
 	}
 	return result, nil
 }
 
-// checkBest wants the newest file to count, or the one before it: a file is only begun when the one before it
+// checkGap wants the newest file to count, or the one before it: a file is only begun when the one before it
 // is on disk, so that only one can be torn. The very first may be torn when nothing was acknowledged yet.
-func (s *scan) checkBest() error {
+func (s *scan) checkGap() error {
 	newest, best := uint64(0), uint64(0)
 	for _, one := range s.candidates {
 		if one.headerValid {
@@ -164,12 +164,12 @@
 	if c.size, err = file.Size(); err != nil {
 		return errors.Wrapf(err, "size of %s", fileName(c.slot))
 	}
-	var data [headerBytes]byte
+	var data [fileHeaderBytes]byte
 	read, err := file.ReadAt(data[:], 0)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return errors.Wrapf(err, "read %s", fileName(c.slot))
 	}
-	c.header, c.chain, c.headerValid = parseHeader(data[:read])
+	c.header, c.headerChecksum, c.headerValid = parseFileHeader(data[:read])
 	if c.headerValid && c.header.version != formatVersion {
 		return &CorruptError{
 			File:    fileName(c.slot),
@@ -181,20 +181,20 @@
 }
 
 // read reads the snapshot and the records of a file whose header is valid.
-func (c *candidate) read(files Files) error {
+func (c *candidate) readFrames(files Files) error {
 	file, err := files.Open(fileName(c.slot), false)
 	if err != nil {
 		return errors.Wrapf(err, "open %s", fileName(c.slot))
 	}
 	defer func() { _ = file.Close() }()
-	section := io.NewSectionReader(file, headerBytes, max(c.size-headerBytes, 0))
+	section := io.NewSectionReader(file, fileHeaderBytes, max(c.size-fileHeaderBytes, 0))
 	reader := bufio.NewReaderSize(section, readBufferBytes)
 	c.position = position{
-		slot:   c.slot,
-		epoch:  c.header.epoch,
-		end:    headerBytes,
-		chain:  c.chain,
-		length: c.size,
+		slot:     c.slot,
+		epoch:    c.header.epoch,
+		end:      fileHeaderBytes,
+		checksum: c.headerChecksum,
+		length:   c.size,
 	}
 	for {
 		record, valid, err := c.readFrame(reader)
@@ -209,34 +209,34 @@
 	if c.snapshotValid {
 		return nil
 	}
-	return errors.Wrapf(c.lookBehindSnapshot(file), "read %s", fileName(c.slot))
+	return errors.Wrapf(c.detectLostSnapshot(file), "read %s", fileName(c.slot))
 }
 
-// lookBehindSnapshot looks for the first record behind a snapshot that is not valid. A record is only appended
+// detectLostSnapshot looks for the first record behind a snapshot that is not valid. A record is only appended
 // once the snapshot is on disk, so that no loss of power leaves such a file.
-func (c *candidate) lookBehindSnapshot(file File) error {
-	var data [frameBytes]byte
-	whole, err := readFull(io.NewSectionReader(file, headerBytes, frameBytes), data[:])
+func (c *candidate) detectLostSnapshot(file File) error {
+	var data [frameHeaderBytes]byte
+	whole, err := readFull(io.NewSectionReader(file, fileHeaderBytes, frameHeaderBytes), data[:])
 	if !whole {
 		return err
 	}
-	snapshot := parseFrame(data[:])
-	if snapshot.epoch != uint32(c.header.epoch) || snapshot.sequence != 0 || snapshot.length > maximumPayload {
+	snapshot := parseFrameHeader(data[:])
+	if snapshot.epoch != uint32(c.header.epoch) || snapshot.sequence != 0 || snapshot.length > maxPayloadBytes {
 		return nil
 	}
-	behind := headerBytes + frameBytes + int64(snapshot.length)
-	whole, err = readFull(io.NewSectionReader(file, behind, frameBytes), data[:])
+	behind := fileHeaderBytes + frameHeaderBytes + int64(snapshot.length)
+	whole, err = readFull(io.NewSectionReader(file, behind, frameHeaderBytes), data[:])
 	if !whole {
 		return err
 	}
-	record := parseFrame(data[:])
-	c.wasComplete = record.epoch == uint32(c.header.epoch) && record.sequence == 1
+	record := parseFrameHeader(data[:])
+	c.snapshotLost = record.epoch == uint32(c.header.epoch) && record.sequence == 1
 	return nil
 }
 
 // accept takes a valid frame in, whose checksum is already the chain's.
 func (c *candidate) accept(record Record) {
-	c.position.end += frameBytes + int64(len(record.Payload))
+	c.position.end += frameHeaderBytes + int64(len(record.Payload))
 	if c.position.sequence == 0 {
 		c.snapshotValid = true
 		c.snapshot = record.Payload
@@ -249,7 +249,7 @@
 
 // recovered is what the ring holds if this file counts. A first file with an empty snapshot may be there
 // although the append that began it failed.
-func (c *candidate) recovered() *Recovered {
+func (c *candidate) toRecovered() *Recovered {
 	return &Recovered{
 		Fresh:    len(c.snapshot) == 0 && len(c.records) == 0,
 		Snapshot: c.snapshot,
@@ -259,28 +259,28 @@
 
 // readFrame reads the next frame; valid is false at the end of the valid ones.
 func (c *candidate) readFrame(reader *bufio.Reader) (record Record, valid bool, err error) {
-	var data [frameBytes]byte
+	var data [frameHeaderBytes]byte
 	if whole, err := readFull(reader, data[:]); !whole {
 		return Record{}, false, err
 	}
-	frame := parseFrame(data[:])
+	frame := parseFrameHeader(data[:])
 	if frame.epoch != uint32(c.header.epoch) || frame.sequence != c.position.sequence {
 		return Record{}, false, nil
 	}
 	c.ending = EndingTorn
-	remaining := c.size - c.position.end - frameBytes
-	if frame.length > maximumPayload || int64(frame.length) > remaining {
+	remaining := c.size - c.position.end - frameHeaderBytes
+	if frame.length > maxPayloadBytes || int64(frame.length) > remaining {
 		return Record{}, false, nil
 	}
 	payload := make([]byte, frame.length)
 	if whole, err := readFull(reader, payload); !whole {
 		return Record{}, false, err
 	}
-	if frameChecksum(c.position.chain, data[:], payload) != frame.checksum {
+	if frameChecksum(c.position.checksum, data[:], payload) != frame.checksum {
 		return Record{}, false, nil
 	}
 	c.ending = EndingClean
-	c.position.chain = frame.checksum
+	c.position.checksum = frame.checksum
 	return Record{Kind: frame.kind, Payload: payload}, true, nil
 }
 
@@ -294,4 +294,4 @@
 }
 
 // missing reports whether an error tells that a file is not there.
-func missing(err error) bool { return errors.Is(err, fs.ErrNotExist) }
+func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/internal/ring/write.go
+++ b/internal/ring/write.go
@@ -7,8 +7,8 @@
 const (
 	// growthBytes is the step in which a file is made longer.
 	growthBytes = 256 << 10
-	// keptBufferBytes is the largest buffer that is kept from one append to the next.
-	keptBufferBytes = 64 << 10
+	// maxRetainedBuffer is the largest buffer that is kept from one append to the next.
+	maxRetainedBuffer = 64 << 10
 )
 
 // Append writes records behind those that are there. It returns nil once all of them are on disk. The error
@@ -26,10 +26,10 @@
 			return err
 		}
 	}
-	if err := r.invalidateDoubtful(); err != nil {
+	if err := r.invalidateSuspect(); err != nil {
 		return err
 	}
-	next, err := r.appendAt(*r.current, records)
+	next, err := r.appendRecords(*r.current, records)
 	if err != nil {
 		r.nonce = r.options.Nonce()
 		return err
@@ -38,17 +38,17 @@
 	return nil
 }
 
-// appendAt writes and syncs records at a position and returns the one after them.
-func (r *Ring) appendAt(at position, records []Record) (position, error) {
+// appendRecords writes and syncs records at a position and returns the one after them.
+func (r *Ring) appendRecords(at position, records []Record) (position, error) {
 	start := at.end
 	r.buffer = r.buffer[:0]
 	for _, record := range records {
-		if err := r.encode(&at, record); err != nil {
+		if err := r.encodeRecord(&at, record); err != nil {
 			return position{}, err
 		}
 	}
 	name := fileName(at.slot)
-	length, err := r.ensureLength(r.file, name, at.length, at.end)
+	length, err := r.ensureSize(r.file, name, at.length, at.end)
 	if err != nil {
 		return position{}, err
 	}
@@ -59,16 +59,16 @@
 	if err := r.file.Sync(); err != nil {
 		return position{}, &WriteError{Operation: "sync", File: name, Err: err}
 	}
-	if cap(r.buffer) > keptBufferBytes {
+	if cap(r.buffer) > maxRetainedBuffer {
 		r.buffer = nil
 	}
 	return at, nil
 }
 
 // encode appends a record's frame to the buffer and moves the position behind it.
-func (r *Ring) encode(at *position, record Record) error {
-	if len(record.Payload) > maximumPayload || at.sequence == math.MaxUint32 {
-		return &TooLargeError{Need: int64(len(record.Payload)), Limit: maximumPayload}
+func (r *Ring) encodeRecord(at *position, record Record) error {
+	if len(record.Payload) > maxPayloadBytes || at.sequence == math.MaxUint32 {
+		return &TooLargeError{Need: int64(len(record.Payload)), Limit: maxPayloadBytes}
 	}
 	frame := frameHeader{
 		epoch:    uint32(at.epoch),
@@ -77,9 +77,9 @@
 		kind:     record.Kind,
 		nonce:    r.nonce,
 	}
-	r.buffer, at.chain = frame.appendTo(r.buffer, at.chain, record.Payload)
+	r.buffer, at.checksum = frame.appendTo(r.buffer, at.checksum, record.Payload)
 	r.buffer = append(r.buffer, record.Payload...)
-	at.end += frameBytes + int64(len(record.Payload))
+	at.end += frameHeaderBytes + int64(len(record.Payload))
 	at.sequence++
 	return nil
 }
@@ -92,11 +92,11 @@
 		return ErrClosed
 	}
 	slot := (r.current.slot + 1) % r.options.Files
-	need := int64(headerBytes+frameBytes) + int64(len(payload))
-	if limit := r.fileLimit(); need > limit || len(payload) > maximumPayload {
+	need := int64(fileHeaderBytes+frameHeaderBytes) + int64(len(payload))
+	if limit := r.fileLimit(); need > limit || len(payload) > maxPayloadBytes {
 		return &TooLargeError{Need: need, Limit: limit}
 	}
-	r.doubtful = slot
+	r.suspectSlot = slot
 	file, next, err := r.writeSnapshot(slot, payload)
 	if err != nil {
 		r.nonce = r.options.Nonce()
@@ -105,7 +105,7 @@
 		}
 		return err
 	}
-	r.doubtful = noSlot
+	r.suspectSlot = noSlot
 	if r.file != nil {
 		_ = r.file.Close()
 	}
@@ -130,7 +130,7 @@
 	frame := frameHeader{epoch: uint32(header.epoch), length: uint32(len(payload)), nonce: r.nonce}
 	start, chain = frame.appendTo(start, chain, payload)
 	end := int64(len(start) + len(payload))
-	length, err = r.ensureLength(file, name, length, end)
+	length, err = r.ensureSize(file, name, length, end)
 	if err != nil {
 		return file, position{}, err
 	}
@@ -145,7 +145,7 @@
 		epoch:         header.epoch,
 		sequence:      1,
 		end:           end,
-		chain:         chain,
+		checksum:      chain,
 		length:        length,
 		snapshotBytes: end,
 	}, nil
@@ -164,29 +164,29 @@
 	return nil
 }
 
-// invalidateDoubtful makes the header of a failed snapshot's file invalid, on disk, so that it cannot hide
+// invalidateSuspect makes the header of a failed snapshot's file invalid, on disk, so that it cannot hide
 // what is appended to the current file from now on.
-func (r *Ring) invalidateDoubtful() error {
-	if r.doubtful == noSlot {
+func (r *Ring) invalidateSuspect() error {
+	if r.suspectSlot == noSlot {
 		return nil
 	}
-	name := fileName(r.doubtful)
+	name := fileName(r.suspectSlot)
 	file, err := r.files.Open(name, false)
-	if missing(err) {
-		r.doubtful = noSlot
+	if isNotExist(err) {
+		r.suspectSlot = noSlot
 		return nil
 	}
 	if err != nil {
 		return &WriteError{Operation: "write", File: name, Err: err}
 	}
 	defer func() { _ = file.Close() }()
-	if _, err := file.WriteAt(make([]byte, headerBytes), 0); err != nil {
+	if _, err := file.WriteAt(make([]byte, fileHeaderBytes), 0); err != nil {
 		return &WriteError{Operation: "write", File: name, Err: err}
 	}
 	if err := file.Sync(); err != nil {
 		return &WriteError{Operation: "sync", File: name, Err: err}
 	}
-	r.doubtful = noSlot
+	r.suspectSlot = noSlot
 	return nil
 }
 
@@ -195,8 +195,8 @@
 	return max(r.options.MaxBytes/int64(r.options.Files), r.options.FileBytes)
 }
 
-// ensureLength makes a file long enough and returns its length.
-func (r *Ring) ensureLength(file File, name string, length, need int64) (int64, error) {
+// ensureSize makes a file long enough and returns its length.
+func (r *Ring) ensureSize(file File, name string, length, need int64) (int64, error) {
 	if need <= length && length >= r.options.FileBytes {
 		return length, nil
 	}
