--- a/internal/ring/export_test.go
+++ b/internal/ring/export_test.go
@@ -9,6 +9,7 @@
 
 // SetVersion rewrites the header of a file with another version of the format.
 func SetVersion(t *testing.T, path string, version uint32) {
+	t.Helper()
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
 	require.NoError(t, err)
 	encoded, _ := fileHeader{version: version, epoch: 1, nonce: 1}.appendTo(nil)
@@ -17,5 +18,5 @@
 	require.NoError(t, file.Close())
 }
 
-// SyncBy lets a folder sync by another function.
+// SyncBy replaces the function by which a folder syncs.
 func (f *Folder) SyncBy(sync func(path string) (found bool, err error)) { f.sync = sync }
--- a/internal/ring/files.go
+++ b/internal/ring/folder.go
@@ -1,7 +1,6 @@
 package ring
 
 import (
-	"io"
 	"io/fs"
 	"os"
 	"path/filepath"
@@ -10,41 +9,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Files is the folder that a ring keeps its files in.
-type Files interface {
-	// List returns the names of the files in the folder, none if the folder is missing.
-	List() ([]string, error)
-	// Open opens a file for reading and writing. If it is missing it is made if create is set; otherwise the
-	// error is fs.ErrNotExist.
-	Open(name string, create bool) (File, error)
-	// Sync makes the folder's list of files last.
-	Sync() error
-}
-
-// File is one open file.
-type File interface {
-	io.ReaderAt
-	io.WriterAt
-	io.Closer
-	// Size returns the length in bytes.
-	Size() (int64, error)
-	// Truncate sets the length; bytes that are added are zero.
-	Truncate(size int64) error
-	// Sync returns once all earlier writes are on disk.
-	Sync() error
-}
-
-// Folder is a folder of the operating system. It implements Files.
+// Folder is a folder of the operating system. It implements Files, and is not safe for concurrent use.
 type Folder struct {
 	path         string
-	parentSynced bool                                      // the folder's own name lasts in the folder that holds it
+	parentSynced bool                                      // the folder's own entry in its parent is durable
 	sync         func(path string) (found bool, err error) // of one folder
 }
 
-// NewFolder returns the folder with a path. It is made when the first file is.
+// NewFolder returns the folder with a path. It is created with its first file.
 func NewFolder(path string) *Folder { return &Folder{path: path, sync: syncFolder} }
 
-// Permissions of what a Folder makes.
+// Permissions of what a Folder creates.
 const (
 	folderMode = 0o755
 	fileMode   = 0o644
@@ -68,7 +43,7 @@
 	return names, nil
 }
 
-// Open opens a file for reading and writing.
+// Open opens a file for reading and writing, see Files.
 func (f *Folder) Open(name string, create bool) (File, error) {
 	flags := os.O_RDWR
 	if create {
@@ -84,7 +59,7 @@
 	return osFile{file}, nil
 }
 
-// Sync makes the folder's list of files last, and the first time the folder's own name. A folder that is missing
+// Sync makes the list of files durable, and the first time the folder's own entry in its parent too. A missing folder
 // has nothing to sync.
 func (f *Folder) Sync() error {
 	found, err := f.sync(f.path)
@@ -98,7 +73,7 @@
 	return nil
 }
 
-// syncFolder reports whether the folder is there.
+// syncFolder syncs a folder and reports whether it exists.
 func syncFolder(path string) (found bool, err error) {
 	folder, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -111,10 +86,12 @@
 	return true, errors.CombineErrors(syncErr, folder.Close())
 }
 
+// osFile is a file of the operating system. It implements File.
 type osFile struct {
 	*os.File
 }
 
+// Size returns the length in bytes.
 func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
@@ -123,7 +100,7 @@
 	return info.Size(), nil
 }
 
-// Sync uses fdatasync, which leaves out what reading the data back does not need.
+// Sync uses fdatasync, which skips metadata that is not needed to read the data back, such as times.
 func (f osFile) Sync() error {
 	for {
 		err := syscall.Fdatasync(int(f.Fd()))
--- a/internal/ring/format.go
+++ b/internal/ring/format.go
@@ -17,13 +17,14 @@
 	checksumBytes    = 8
 	magic            = "frelring"
 	filePrefix       = "ring-"
-	// maxPayloadBytes bounds what a damaged length can make recovery read.
+	// maxPayloadBytes bounds what recovery reads because of a damaged length.
 	maxPayloadBytes = 1 << 30
 )
 
+// fileName returns the name of the file with a number.
 func fileName(slot int) string { return filePrefix + strconv.Itoa(slot) }
 
-// slotOf returns the number of a ring's file, false for other files.
+// slotOf returns the number of a file of the ring by its name; false for other files.
 func slotOf(name string) (int, bool) {
 	digits, found := strings.CutPrefix(name, filePrefix)
 	if !found {
@@ -36,14 +37,14 @@
 	return slot, true
 }
 
-// fileHeader is the start of a file.
+// fileHeader is the header of a file.
 type fileHeader struct {
 	version uint32
 	epoch   uint64
 	nonce   uint64
 }
 
-// appendTo encodes the header and returns its checksum, with which the chain of checksums begins.
+// appendTo appends the encoded header and returns its checksum, the first in the chain of checksums.
 func (h fileHeader) appendTo(buffer []byte) (encoded []byte, checksum uint64) {
 	start := len(buffer)
 	buffer = append(buffer, magic...)
@@ -55,7 +56,7 @@
 	return binary.LittleEndian.AppendUint64(buffer, checksum), checksum
 }
 
-// parseFileHeader reads a header; valid is false if its magic or checksum is wrong.
+// parseFileHeader decodes a header; valid is false if its magic or checksum is wrong.
 func parseFileHeader(data []byte) (header fileHeader, checksum uint64, valid bool) {
 	if len(data) < fileHeaderBytes || string(data[:len(magic)]) != magic {
 		return fileHeader{}, 0, false
@@ -73,7 +74,7 @@
 	return header, checksum, true
 }
 
-// frameHeader is what stands before a payload.
+// frameHeader is the header of a frame, before its payload.
 type frameHeader struct {
 	checksum uint64
 	epoch    uint32 // the lower half
@@ -83,7 +84,7 @@
 	nonce    uint64
 }
 
-// appendTo encodes the header with the checksum that chains it to the previous frame, and returns that.
+// appendTo appends the encoded header and returns the frame's checksum, which chains it to the previous frame.
 func (h frameHeader) appendTo(buffer []byte, previous uint64, payload []byte) (encoded []byte, checksum uint64) {
 	start := len(buffer)
 	buffer = append(buffer, make([]byte, frameHeaderBytes)...)
@@ -98,6 +99,7 @@
 	return buffer, checksum
 }
 
+// parseFrameHeader decodes a header, whose checksum must still be verified.
 func parseFrameHeader(frame []byte) frameHeader {
 	return frameHeader{
 		checksum: binary.LittleEndian.Uint64(frame),
@@ -109,6 +111,7 @@
 	}
 }
 
+// frameChecksum is the checksum of a frame after one with the previous checksum.
 func frameChecksum(previous uint64, frame, payload []byte) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -120,6 +123,7 @@
 	return digest.Sum64()
 }
 
+// versionReason is the reason of a CorruptError for a file of another version.
 func versionReason(version uint32) string {
 	return fmt.Sprintf("it is of version %d, this program knows %d", version, formatVersion)
 }
--- a/internal/ring/golden_test.go
+++ b/internal/ring/golden_test.go
@@ -52,7 +52,7 @@
 	require.NoError(t, opened.Close())
 }
 
-// unpackGoldenRing puts the golden ring into a folder of the test's own.
+// unpackGoldenRing writes the golden ring to a temporary folder.
 func unpackGoldenRing(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -125,26 +125,26 @@
 	name := filepath.Join(folder, "ring-0")
 	content, err := os.ReadFile(name)
 	require.NoError(t, err)
-	spoil := func(text string) {
-		place := strings.Index(string(content), text)
-		require.GreaterOrEqual(t, place, 0)
-		content[place] ^= 1
+	damage := func(text string) {
+		offset := strings.Index(string(content), text)
+		require.GreaterOrEqual(t, offset, 0)
+		content[offset] ^= 1
 		require.NoError(t, os.WriteFile(name, content, 0o600))
 	}
-	recover := func() *ring.Recovered {
+	reopen := func() *ring.Recovered {
 		opened, recovered, err := ring.Open(folder, ring.Options{})
 		require.NoError(t, err)
 		require.NoError(t, opened.Close())
 		return recovered
 	}
-	spoil("last")
-	requireRecords(t, goldenRecords()[:3], recover().Records)
-	spoil("the third snapshot")
+	damage("last")
+	requireRecords(t, goldenRecords()[:3], reopen().Records)
+	damage("the third snapshot")
 	_, _, err = ring.Open(folder, ring.Options{})
 	var corrupt *ring.CorruptError
 	require.ErrorAs(t, err, &corrupt, "records follow: they were on disk, so nothing older may take their place")
-	spoil("frelring")
-	recovered := recover()
+	damage("frelring")
+	recovered := reopen()
 	require.Equal(t, "the second snapshot", string(recovered.Snapshot))
 	requireRecords(t, goldenRecords()[:2], recovered.Records)
 }
--- a/internal/ring/harness_test.go
+++ b/internal/ring/harness_test.go
@@ -20,7 +20,7 @@
 	disk     *ringtest.Disk
 	ring     *ring.Ring
 	entries  []string   // whose append succeeded
-	failed   [][]string // batches that failed after the last success, any of which may come back
+	failed   [][]string // batches that failed after the last success, any of which may be recovered
 	next     int
 	maxEntry int
 }
@@ -32,6 +32,7 @@
 	return h
 }
 
+// encodeEntries is the payload of a snapshot of the entries.
 func encodeEntries(entries []string) []byte {
 	var buffer bytes.Buffer
 	for _, entry := range entries {
@@ -55,7 +56,16 @@
 	return entries
 }
 
-// newEntry is unlike any other, and now and then alike in length and beginning to the one before.
+// recoveredEntries lists the entries of the snapshot and of the records.
+func recoveredEntries(t require.TestingT, recovered *ring.Recovered) []string {
+	entries := decodeEntries(t, recovered.Snapshot)
+	for _, record := range recovered.Records {
+		entries = append(entries, string(record.Payload))
+	}
+	return entries
+}
+
+// newEntry returns an entry that differs from all others. Some share their length with earlier ones.
 func (h *harness) newEntry() string {
 	h.next++
 	length := h.random.IntN(h.maxEntry)
@@ -87,7 +97,7 @@
 	}
 }
 
-// reopen lets the process start again until the disk lets it, and checks what is recovered.
+// reopen opens the ring, without faults of the disk if it must, and checks what is recovered.
 func (h *harness) reopen() {
 	opened, recovered, err := ring.Open("", smallRing(h.disk, h.random))
 	if err != nil {
@@ -102,14 +112,13 @@
 	h.check(recovered)
 }
 
-// check wants exactly the entries whose append succeeded, then perhaps the beginning of one batch that failed
-// after them.
+// check requires exactly the entries whose append succeeded, followed by no more than the beginning of one batch that
+// failed after them.
 func (h *harness) check(recovered *ring.Recovered) {
-	entries := decodeEntries(h.t, recovered.Snapshot)
 	for _, record := range recovered.Records {
 		require.Equal(h.t, uint8(7), record.Kind)
-		entries = append(entries, string(record.Payload))
 	}
+	entries := recoveredEntries(h.t, recovered)
 	require.Equal(h.t, recovered.Fresh, len(entries) == 0)
 	require.GreaterOrEqual(h.t, len(entries), len(h.entries), "acknowledged entries were lost")
 	require.Equal(h.t, h.entries, entries[:len(h.entries):len(h.entries)])
@@ -119,6 +128,7 @@
 	h.failed = nil
 }
 
+// mayComeBack reports whether entries are the beginning of a batch that failed.
 func (h *harness) mayComeBack(surplus []string) bool {
 	if len(surplus) == 0 {
 		return true
--- /dev/null
+++ b/internal/ring/recovery.go
@@ -0,0 +1,125 @@
+package ring
+
+import (
+	"cmp"
+	"fmt"
+	"io/fs"
+	"slices"
+
+	"github.com/cockroachdb/errors"
+)
+
+// scan is the result of reading all files.
+type scan struct {
+	candidates []*candidate // newest first
+	best       *candidate   // the file to recover; nil if nothing was written yet
+}
+
+// syncAll syncs all files and the folder, so that what is read from them now is durable.
+func syncAll(files Files) error {
+	slots, err := listSlots(files)
+	if err != nil {
+		return err
+	}
+	for _, slot := range slots {
+		file, err := files.Open(fileName(slot), false)
+		if err != nil {
+			return errors.Wrapf(err, "open %s", fileName(slot))
+		}
+		syncErr := file.Sync()
+		_ = file.Close() // a failed write shows in the error of Sync
+		if syncErr != nil {
+			return &WriteError{Operation: "sync", File: fileName(slot), Err: syncErr}
+		}
+	}
+	if err := files.Sync(); err != nil {
+		return &WriteError{Operation: "sync folder", Err: err}
+	}
+	return nil
+}
+
+// listSlots returns the numbers of the ring's files, sorted.
+func listSlots(files Files) ([]int, error) {
+	names, err := files.List()
+	if err != nil {
+		return nil, errors.Wrap(err, "list the ring's files")
+	}
+	var slots []int
+	for _, name := range names {
+		if slot, ok := slotOf(name); ok {
+			slots = append(slots, slot)
+		}
+	}
+	slices.Sort(slots)
+	return slots, nil
+}
+
+// scanFiles finds the newest file with a valid snapshot and reads it. The error is a *CorruptError if a newer state
+// must have been there, or if a file is of another version.
+func scanFiles(files Files) (*scan, error) {
+	result, err := scanHeaders(files)
+	if err != nil {
+		return nil, err
+	}
+	for _, file := range result.candidates {
+		if !file.headerValid {
+			continue
+		}
+		if err := file.readFrames(files); err != nil {
+			return nil, err
+		}
+		if file.snapshotValid {
+			result.best = file
+			break
+		}
+		if file.snapshotLost {
+			return nil, &CorruptError{File: fileName(file.slot), Reason: "records follow a snapshot that is not valid"}
+		}
+	}
+	if err := result.checkGap(); err != nil {
+		return nil, err
+	}
+	return result, nil
+}
+
+// checkGap returns a *CorruptError unless the file to recover is the newest or the one before it. A file is only begun
+// when the one before it is on disk, so that only the newest can be torn. If that is the very first file, nothing was
+// acknowledged yet.
+func (s *scan) checkGap() error {
+	newest, best := uint64(0), uint64(0)
+	for _, file := range s.candidates {
+		if file.headerValid {
+			newest = max(newest, file.header.epoch)
+		}
+	}
+	if s.best != nil {
+		best = s.best.header.epoch
+	}
+	if newest > best+1 {
+		return &CorruptError{Reason: fmt.Sprintf("file %d was begun, but file %d has no valid snapshot", newest, newest-1)}
+	}
+	return nil
+}
+
+// scanHeaders reads the headers of all files and sorts the files by epoch, newest first.
+func scanHeaders(files Files) (*scan, error) {
+	slots, err := listSlots(files)
+	if err != nil {
+		return nil, err
+	}
+	result := &scan{}
+	for _, slot := range slots {
+		file := &candidate{slot: slot}
+		if err := file.readHeader(files); err != nil {
+			return nil, err
+		}
+		result.candidates = append(result.candidates, file)
+	}
+	slices.SortStableFunc(result.candidates, func(a, b *candidate) int {
+		return cmp.Compare(b.header.epoch, a.header.epoch)
+	})
+	return result, nil
+}
+
+// isNotExist reports whether an error means that a file does not exist.
+func isNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/internal/ring/check.go
+++ b/internal/ring/report.go
@@ -7,25 +7,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Report describes a ring's files without changing them.
+// Report describes the files of a ring.
 type Report struct {
 	Files     []FileReport // newest first
 	Recovered *Recovered   // what Open would return; nil if Failure is set
-	Failure   error        // why Open would fail; a *CorruptError
+	Failure   error        // the *CorruptError with which Open would fail
 }
 
 // FileReport describes one file.
 type FileReport struct {
 	Name          string
 	Bytes         int64  // length of the file
-	HeaderValid   bool   // if not, the file was not begun or its beginning was torn
+	HeaderValid   bool   // if not, the file was not begun or its start is torn
 	Epoch         uint64 // 0 without a valid header
 	SnapshotValid bool
 	SnapshotBytes int64 // length of its payload
 	Records       []RecordReport
 	End           int64  // offset after the last valid frame
 	Ending        Ending // what follows there
-	Current       bool   // recovery takes this file
+	Current       bool   // the file that recovery reads
 }
 
 // RecordReport describes one valid record.
@@ -35,11 +35,11 @@
 	Bytes    int64 // length of its payload
 }
 
-// Check reads the ring in a folder, every record of it, and reports what is there and what would be
-// recovered. The error tells that the files cannot be read.
+// Check reads every record of the ring in a folder and reports what is there and what Open would recover. It changes
+// nothing. An error means that the files cannot be read.
 func Check(dir string) (*Report, error) { return CheckFiles(NewFolder(dir)) }
 
-// CheckFiles is Check for any place of files.
+// CheckFiles is Check for any storage.
 func CheckFiles(files Files) (*Report, error) {
 	report := &Report{}
 	found, err := scanFiles(files)
@@ -69,27 +69,28 @@
 	return report, nil
 }
 
+// checkFile reads one file, as far as it is of this version.
 func checkFile(files Files, slot int) (FileReport, error) {
-	one := &candidate{slot: slot}
-	if err := one.readHeader(files); err != nil && !isCorrupt(err) {
+	file := &candidate{slot: slot}
+	if err := file.readHeader(files); err != nil && !isCorrupt(err) {
 		return FileReport{}, err
 	}
-	report := FileReport{Name: fileName(slot), Bytes: one.size, HeaderValid: one.headerValid}
-	if !one.headerValid {
+	report := FileReport{Name: fileName(slot), Bytes: file.size, HeaderValid: file.headerValid}
+	if !file.headerValid {
 		return report, nil
 	}
-	report.Epoch = one.header.epoch
-	if one.header.version != formatVersion {
+	report.Epoch = file.header.epoch
+	if file.header.version != formatVersion {
 		return report, nil
 	}
-	if err := one.readFrames(files); err != nil {
+	if err := file.readFrames(files); err != nil {
 		return FileReport{}, err
 	}
-	report.SnapshotValid = one.snapshotValid
-	report.SnapshotBytes = int64(len(one.snapshot))
-	report.End = one.position.end
-	report.Ending = one.ending
-	for index, record := range one.records {
+	report.SnapshotValid = file.snapshotValid
+	report.SnapshotBytes = int64(len(file.snapshot))
+	report.End = file.position.end
+	report.Ending = file.ending
+	for index, record := range file.records {
 		report.Records = append(report.Records, RecordReport{
 			Sequence: uint32(index + 1),
 			Kind:     record.Kind,
@@ -105,6 +106,7 @@
 	})
 }
 
+// isCorrupt reports whether an error is a *CorruptError.
 func isCorrupt(err error) bool {
 	var corrupt *CorruptError
 	return errors.As(err, &corrupt)
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -58,16 +58,18 @@
 }
 
 func TestEveryInstantOfPowerLoss(t *testing.T) {
-	// The disk dies at the n-th access of a fixed course, for every n.
+	// The disk loses power at the n-th access of a fixed sequence, for every n.
 	const accesses = 60
 	for seed := range uint64(6) {
 		for instant := range accesses {
-			diesAt(t, seed, instant)
+			losePowerAt(t, seed, instant)
 		}
 	}
 }
 
-func diesAt(t *testing.T, seed uint64, instant int) {
+// losePowerAt appends and snapshots until the disk loses power at an access, and checks what is recovered.
+func losePowerAt(t *testing.T, seed uint64, instant int) {
+	t.Helper()
 	random := newRandom(seed)
 	disk := ringtest.NewDisk(random)
 	opened, _, err := ring.Open("", smallRing(disk, random))
@@ -93,16 +95,13 @@
 	disk.PowerLoss()
 	_, recovered, err := ring.Open("", smallRing(disk, random))
 	require.NoError(t, err)
-	entries := decodeEntries(t, recovered.Snapshot)
-	for _, record := range recovered.Records {
-		entries = append(entries, string(record.Payload))
-	}
+	entries := recoveredEntries(t, recovered)
 	require.GreaterOrEqual(t, len(entries), len(acknowledged))
 	require.Equal(t, acknowledged, entries[:len(acknowledged):len(acknowledged)], "seed %d, instant %d", seed, instant)
 	require.LessOrEqual(t, len(entries), len(acknowledged)+1)
 }
 
-// TestFailedSnapshotDoesNotHideLaterRecords: the failed snapshot reaches the disk all the same.
+// TestFailedSnapshotDoesNotHideLaterRecords: the failed snapshot is on disk nevertheless.
 func TestFailedSnapshotDoesNotHideLaterRecords(t *testing.T) {
 	for seed := range uint64(200) {
 		random := newRandom(seed)
@@ -141,8 +140,8 @@
 	require.Len(t, recovered.Records, 2, "the second record of the failed batch must not come back")
 }
 
-// TestRemainsOfALostBatch: of a batch that was cut off by a loss of power, the end may be on disk without the
-// beginning. When the beginning is appended again, just as it was, the end must not come back with it.
+// TestRemainsOfALostBatch: of a batch that a loss of power interrupted, the end may be on disk without the beginning.
+// When the same beginning is appended again, the end must not be recovered with it.
 func TestRemainsOfALostBatch(t *testing.T) {
 	beginning := ring.Record{Kind: 1, Payload: bytes.Repeat([]byte{'b'}, 700)}
 	end := ring.Record{Kind: 1, Payload: bytes.Repeat([]byte{'e'}, 700)}
@@ -225,7 +224,7 @@
 	for _, payload := range []string{"one", "two", "three"} {
 		require.NoError(t, opened.Snapshot([]byte(payload)))
 	}
-	// The newest may be torn, the one before it may not: the oldest is no state to go on with.
+	// The newest may be torn, the one before it may not: the oldest must not be recovered.
 	for _, name := range []string{"ring-2", "ring-1"} {
 		_, recovered, err := ring.Open("", options)
 		require.NoError(t, err)
@@ -270,9 +269,9 @@
 	}
 }
 
-// TestDamagedSnapshotDoesNotBringBackTheOneBefore: records were acknowledged behind the newest snapshot, so that the
-// older file is no state to go on with. Only where the very bytes that place the snapshot are damaged (the file's
-// header and the frame's epoch, sequence and length) it looks like one that was never finished.
+// TestDamagedSnapshotDoesNotBringBackTheOneBefore: records were acknowledged after the newest snapshot, so the older
+// file must not be recovered. Only if the bytes that locate the snapshot are damaged (the file's header and the frame's
+// epoch, sequence and length), the snapshot looks like one that was never finished.
 func TestDamagedSnapshotDoesNotBringBackTheOneBefore(t *testing.T) {
 	const frame = 40 // offset of the snapshot's frame
 	for offset := int64(frame); offset < frame+32+4; offset++ {
@@ -371,8 +370,8 @@
 	require.ErrorIs(t, err, fs.ErrNotExist)
 }
 
-// TestAFolderThatWasMadeLastsWithItsFiles: before the first append returns, both the files' names and the name of the
-// folder that was made for them are synced; after that the folder above costs nothing more.
+// TestAFolderThatWasMadeLastsWithItsFiles: before the first append returns, the new folder and its parent are synced;
+// after that the parent is not synced again.
 func TestAFolderThatWasMadeLastsWithItsFiles(t *testing.T) {
 	state := t.TempDir()
 	path := filepath.Join(state, "control")
@@ -401,7 +400,7 @@
 	require.Equal(t, []string{path, state, path}, synced)
 	require.NoError(t, opened.Close())
 
-	// A process that starts anew does not know whether the one before it came so far.
+	// A restarted process does not know whether the one before it synced the parent.
 	again := ring.NewFolder(path)
 	synced = nil
 	again.SyncBy(func(path string) (found bool, err error) {
--- a/internal/ring/ringtest/content.go
+++ b/internal/ring/ringtest/content.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// sectorBytes is the part of a write that is on disk whole or not at all.
+// sectorBytes is the unit of a write that is atomic.
 const sectorBytes = 512
 
 // operation is a write, or a change of length if data is nil.
@@ -15,23 +15,24 @@
 	length int // of a change of length
 }
 
-// content is a file: what the process sees, what is on disk, and the operations in between.
+// content is the content of a file: what the process sees, what is on disk, and the operations in between.
 type content struct {
-	seen    []byte
+	visible []byte
 	synced  []byte
 	pending []operation
 }
 
-func (c *content) do(next operation) {
+// apply does an operation as the process sees it.
+func (c *content) apply(next operation) {
 	if next.data != nil {
 		next.data = bytes.Clone(next.data)
 	}
 	c.pending = append(c.pending, next)
-	c.seen = next.apply(c.seen)
+	c.visible = next.applyTo(c.visible)
 }
 
-// apply returns the file's bytes after the operation.
-func (o operation) apply(file []byte) []byte {
+// applyTo returns the bytes of a file after the operation. It may reuse the slice.
+func (o operation) applyTo(file []byte) []byte {
 	if o.data == nil {
 		return setLength(file, o.length)
 	}
@@ -42,6 +43,7 @@
 	return file
 }
 
+// setLength cuts a file off, or adds zero bytes.
 func setLength(file []byte, length int) []byte {
 	if length <= len(file) {
 		return file[:length:length]
@@ -49,28 +51,28 @@
 	return append(file, make([]byte, length-len(file))...)
 }
 
-// sync puts everything on disk.
+// sync makes everything durable.
 func (c *content) sync() {
 	c.pending = nil
-	c.synced = append(c.synced[:0], c.seen...)
+	c.synced = append(c.synced[:0], c.visible...)
 }
 
-// losePower leaves what a loss of power may leave.
-func (c *content) losePower(random *rand.Rand, everything bool) {
-	if !everything {
+// losePower leaves what a loss of power may leave: what was synced, and some of what was not unless all of it is lost.
+func (c *content) losePower(random *rand.Rand, allLost bool) {
+	if !allLost {
 		c.keepSome(random)
 	}
 	c.pending = nil
-	c.seen = bytes.Clone(c.synced)
+	c.visible = bytes.Clone(c.synced)
 }
 
-// keepSome puts some of the pending operations on disk: each is there, missing or torn.
+// keepSome makes some of the pending operations durable: each is done, missing or torn.
 func (c *content) keepSome(random *rand.Rand) {
 	for _, next := range c.pending {
 		switch random.IntN(4) {
 		case 0: // missing
 		case 1:
-			c.synced = next.apply(c.synced)
+			c.synced = next.applyTo(c.synced)
 		case 2:
 			c.applyPrefix(next, random)
 		case 3:
@@ -79,25 +81,25 @@
 	}
 }
 
-// applyPrefix does a write up to some byte.
+// applyPrefix makes the start of a write durable.
 func (c *content) applyPrefix(next operation, random *rand.Rand) {
 	if len(next.data) > 0 {
 		next.data = next.data[:random.IntN(len(next.data)+1)]
 	}
-	c.synced = next.apply(c.synced)
+	c.synced = next.applyTo(c.synced)
 }
 
-// applySectors does some sectors of a write.
+// applySectors makes some sectors of a write durable.
 func (c *content) applySectors(next operation, random *rand.Rand) {
 	if next.data == nil {
-		c.synced = next.apply(c.synced)
+		c.synced = next.applyTo(c.synced)
 		return
 	}
 	for start := 0; start < len(next.data); {
 		end := min(start+sectorBytes-(next.offset+start)%sectorBytes, len(next.data))
 		if random.IntN(2) == 0 {
 			part := operation{offset: next.offset + start, data: next.data[start:end]}
-			c.synced = part.apply(c.synced)
+			c.synced = part.applyTo(c.synced)
 		}
 		start = end
 	}
--- a/internal/ring/ringtest/disk.go
+++ b/internal/ring/ringtest/disk.go
@@ -1,9 +1,9 @@
-// Package ringtest is a disk in memory for tests of what is kept in a ring: it loses power, fills up, refuses,
-// stalls, and can be replaced by an empty one.
+// Package ringtest simulates a disk in memory for tests of state that is stored in a ring: it loses power, fills up,
+// returns errors, stalls, and can be replaced by an empty one. It simulates no corruption by itself, see Disk.Corrupt.
 //
-// It behaves as a disk of the deployment does. When a process dies, files stay as they are. When power is
-// lost, a file holds what its last sync covered; each later write may be there, missing or torn, and at some
-// losses of power all of them are gone. A new file may be kept or lost until its folder is synced, whatever it holds.
+// When a process dies, its files stay as they are. When power is lost, a file holds what its last sync covered; each
+// later write may be there, missing or torn, and at some losses of power all of them are missing. A new file may be
+// lost until its folder is synced, even if the file itself was synced.
 package ringtest
 
 import (
@@ -19,7 +19,7 @@
 
 // Faults are the probabilities, 0 to 1, with which an operation fails.
 type Faults struct {
-	Write float64 // a part of the write may have been done
+	Write float64 // some of the bytes may have been written
 	Sync  float64 // some of the writes since the last sync may be on disk
 }
 
@@ -28,23 +28,23 @@
 	mutex      sync.Mutex
 	random     *rand.Rand
 	files      map[string]*content // as the process sees them
-	lasting    map[string]*content // that are there after a loss of power
-	generation int                 // handles of an earlier one are dead
+	durable    map[string]*content // whose names survive a loss of power
+	generation int                 // of the process; handles of an earlier one are closed
 	full       bool
 	faults     Faults
 	onAccess   func(operation string)
 }
 
-// NewDisk returns an empty disk that draws its luck from random.
+// NewDisk returns an empty disk whose faults are drawn from random.
 func NewDisk(random *rand.Rand) *Disk {
 	return &Disk{
 		random:  random,
 		files:   make(map[string]*content),
-		lasting: make(map[string]*content),
+		durable: make(map[string]*content),
 	}
 }
 
-// Fill makes the disk refuse every write, or take writes again.
+// Fill makes every write fail with ENOSPC, or succeed again.
 func (d *Disk) Fill(full bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -59,49 +59,48 @@
 }
 
 // OnAccess sets a function that is called before every write ("write"), sync ("sync") and change of length
-// ("truncate"), for example to let the disk stall; nil for none. It is called without the disk being locked.
+// ("truncate"), for example to simulate a stall; nil for none. It is called without the disk being locked.
 func (d *Disk) OnAccess(function func(operation string)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.onAccess = function
 }
 
-// Kill lets the process die: its open files are gone, what they held stays.
+// Kill ends the process: its open files are closed, their content stays.
 func (d *Disk) Kill() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.generation++
 }
 
-// allLost is the probability that a loss of power takes every write that was not synced.
-const allLost = 0.3
+// allLostProbability is the probability that a loss of power loses every write that was not synced.
+const allLostProbability = 0.3
 
-// PowerLoss lets the process die and the disk lose what a loss of power may take.
+// PowerLoss ends the process and loses what a loss of power may lose.
 func (d *Disk) PowerLoss() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.generation++
-	everything := d.random.Float64() < allLost
+	allLost := d.random.Float64() < allLostProbability
 	for _, name := range sortedNames(d.files) {
-		if _, lasts := d.lasting[name]; !lasts && d.random.IntN(2) == 0 {
-			d.lasting[name] = d.files[name]
+		if _, isDurable := d.durable[name]; !isDurable && d.random.IntN(2) == 0 {
+			d.durable[name] = d.files[name]
 		}
 	}
 	d.files = make(map[string]*content)
-	for _, name := range sortedNames(d.lasting) {
-		file := d.lasting[name]
-		file.losePower(d.random, everything)
+	for _, name := range sortedNames(d.durable) {
+		file := d.durable[name]
+		file.losePower(d.random, allLost)
 		d.files[name] = file
 	}
 }
 
-// Save returns a function that puts the disk back to what it holds now, as no disk does that keeps what it has
-// synced.
+// Save returns a function that rolls the disk back to its durable content of now, as no sound disk does.
 func (d *Disk) Save() (restore func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	saved := make(map[string][]byte, len(d.lasting))
-	for name, file := range d.lasting {
+	saved := make(map[string][]byte, len(d.durable))
+	for name, file := range d.durable {
 		saved[name] = bytes.Clone(file.synced)
 	}
 	return func() {
@@ -109,20 +108,20 @@
 		d.mutex.Lock()
 		defer d.mutex.Unlock()
 		for name, data := range saved {
-			file := &content{seen: bytes.Clone(data), synced: bytes.Clone(data)}
+			file := &content{visible: bytes.Clone(data), synced: bytes.Clone(data)}
 			d.files[name] = file
-			d.lasting[name] = file
+			d.durable[name] = file
 		}
 	}
 }
 
-// Wipe replaces the disk by an empty one.
+// Wipe replaces the disk by an empty one and ends the process.
 func (d *Disk) Wipe() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.generation++
 	d.files = make(map[string]*content)
-	d.lasting = make(map[string]*content)
+	d.durable = make(map[string]*content)
 }
 
 // List returns the names of the files.
@@ -132,7 +131,7 @@
 	return sortedNames(d.files), nil
 }
 
-// Open opens a file, or makes it.
+// Open opens a file, or creates it, as ring.Files says.
 func (d *Disk) Open(name string, create bool) (ring.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -150,36 +149,36 @@
 	return &handle{disk: d, file: file, generation: d.generation}, nil
 }
 
-// Sync makes all new files last.
+// Sync makes the names of all files durable.
 func (d *Disk) Sync() error {
-	d.access("sync")
+	d.notifyAccess("sync")
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.random.Float64() < d.faults.Sync {
 		return syscall.EIO
 	}
 	for name, file := range d.files {
-		d.lasting[name] = file
+		d.durable[name] = file
 	}
 	return nil
 }
 
-// Corrupt changes one byte of a file at random, as no loss of power does, and reports whether there was one.
+// Corrupt changes one byte of a file at random, as no loss of power does, and reports whether the file has any.
 func (d *Disk) Corrupt(name string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	file, found := d.files[name]
-	if !found || len(file.seen) == 0 {
+	if !found || len(file.visible) == 0 {
 		return false
 	}
-	offset := d.random.IntN(len(file.seen))
-	file.seen[offset] ^= byte(1 + d.random.IntN(255))
+	offset := d.random.IntN(len(file.visible))
+	file.visible[offset] ^= byte(1 + d.random.IntN(255))
 	file.sync()
 	return true
 }
 
-// access calls the function of OnAccess.
-func (d *Disk) access(operation string) {
+// notifyAccess calls the function of OnAccess.
+func (d *Disk) notifyAccess(operation string) {
 	d.mutex.Lock()
 	function := d.onAccess
 	d.mutex.Unlock()
--- a/internal/ring/ringtest/handle.go
+++ b/internal/ring/ringtest/handle.go
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// handle is an open file. It is dead after its process died.
+// handle is an open file of one process. It implements ring.File.
 type handle struct {
 	disk       *Disk
 	file       *content
@@ -14,35 +14,37 @@
 	closed     bool
 }
 
-// usable must be called with the disk locked.
-func (h *handle) usable() error {
+// checkOpen returns fs.ErrClosed after Close and after the end of the process. The disk must be locked.
+func (h *handle) checkOpen() error {
 	if h.closed || h.generation != h.disk.generation {
 		return fs.ErrClosed
 	}
 	return nil
 }
 
+// ReadAt reads what the process sees.
 func (h *handle) ReadAt(buffer []byte, offset int64) (int, error) {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
-	if err := h.usable(); err != nil {
+	if err := h.checkOpen(); err != nil {
 		return 0, err
 	}
-	if offset >= int64(len(h.file.seen)) {
+	if offset >= int64(len(h.file.visible)) {
 		return 0, io.EOF
 	}
-	read := copy(buffer, h.file.seen[offset:])
+	read := copy(buffer, h.file.visible[offset:])
 	if read < len(buffer) {
 		return read, io.EOF
 	}
 	return read, nil
 }
 
+// WriteAt writes some of the bytes if the fault of a write is drawn.
 func (h *handle) WriteAt(data []byte, offset int64) (int, error) {
-	h.disk.access("write")
+	h.disk.notifyAccess("write")
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
-	if err := h.usable(); err != nil {
+	if err := h.checkOpen(); err != nil {
 		return 0, err
 	}
 	if h.disk.full {
@@ -54,28 +56,30 @@
 	if h.disk.random.Float64() < h.disk.faults.Write {
 		written := h.disk.random.IntN(len(data) + 1)
 		if written > 0 {
-			h.file.do(operation{offset: int(offset), data: data[:written]})
+			h.file.apply(operation{offset: int(offset), data: data[:written]})
 		}
 		return written, syscall.EIO
 	}
-	h.file.do(operation{offset: int(offset), data: data})
+	h.file.apply(operation{offset: int(offset), data: data})
 	return len(data), nil
 }
 
+// Size is the length that the process sees.
 func (h *handle) Size() (int64, error) {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
-	if err := h.usable(); err != nil {
+	if err := h.checkOpen(); err != nil {
 		return 0, err
 	}
-	return int64(len(h.file.seen)), nil
+	return int64(len(h.file.visible)), nil
 }
 
+// Truncate sets the length, or fails without effect.
 func (h *handle) Truncate(size int64) error {
-	h.disk.access("truncate")
+	h.disk.notifyAccess("truncate")
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
-	if err := h.usable(); err != nil {
+	if err := h.checkOpen(); err != nil {
 		return err
 	}
 	if h.disk.full {
@@ -84,17 +88,17 @@
 	if h.disk.random.Float64() < h.disk.faults.Write {
 		return syscall.EIO
 	}
-	h.file.do(operation{length: int(size)})
+	h.file.apply(operation{length: int(size)})
 	return nil
 }
 
-// Sync puts the file's bytes on disk; its name lasts once the folder is synced. When it fails, a part may be
-// there: the rest stays to be written.
+// Sync makes the file's content durable; its name is once the folder is synced. After a failure the writes stay
+// pending, and some of them may be on disk.
 func (h *handle) Sync() error {
-	h.disk.access("sync")
+	h.disk.notifyAccess("sync")
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
-	if err := h.usable(); err != nil {
+	if err := h.checkOpen(); err != nil {
 		return err
 	}
 	if h.disk.full && len(h.file.pending) > 0 {
@@ -107,10 +111,11 @@
 	return nil
 }
 
+// Close closes the handle; nothing is synced.
 func (h *handle) Close() error {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
-	if err := h.usable(); err != nil {
+	if err := h.checkOpen(); err != nil {
 		return err
 	}
 	h.closed = true
