--- a/internal/chain/append.go
+++ b/internal/chain/append.go
@@ -11,35 +11,35 @@
 // Append takes changes from the upstream.
 func (r *Replica) Append(from *pb.Replica, message *pb.Append) Output {
 	var output Output
-	if !r.isCurrent(message.GetViewNumber()) || !r.isUpstream(from) {
+	if !r.isCurrent(message.GetViewNumber()) || !r.isPredecessor(from) {
 		return output
 	}
-	if r.unsaved > 0 || !r.synchronised {
+	if r.unpersisted > 0 || !r.synchronized {
 		return output
 	}
 	for _, change := range message.GetChanges() {
 		if change.GetSequence() <= r.state.Newest.Sequence() {
 			continue
 		}
-		if err := r.apply(&output, change); err != nil {
-			r.askOnce(&output)
+		if err := r.applyChange(&output, change); err != nil {
+			r.requestSyncOnce(&output)
 			break
 		}
 	}
 	if len(output.Writes) == 0 {
-		r.answerRepeat(&output)
+		r.answerDuplicate(&output)
 	}
 	return output
 }
 
-// answerRepeat answers an Append that brought nothing new: the acknowledgement was lost, or a replica that
+// answerDuplicate answers an Append that brought nothing new: the acknowledgement was lost, or a replica that
 // restarted wants to know what is committed.
-func (r *Replica) answerRepeat(output *Output) {
+func (r *Replica) answerDuplicate(output *Output) {
 	switch {
 	case r.isLearner():
-		r.commit(output, r.state.Newest)
+		r.markCommitted(output, r.state.Newest)
 	case r.commitKnown:
-		r.acknowledge(output)
+		r.sendAcknowledge(output)
 	}
 }
 
@@ -47,7 +47,7 @@
 // the tail.
 func (r *Replica) Acknowledged(from *pb.Replica, message *pb.Acknowledge) Output {
 	var output Output
-	if !r.isCurrent(message.GetViewNumber()) || !r.isSuccessor(from) || !r.synchronised {
+	if !r.isCurrent(message.GetViewNumber()) || !r.isSuccessor(from) || !r.synchronized {
 		return output
 	}
 	sequence := message.GetSequence()
@@ -59,8 +59,8 @@
 	if snapshot == nil {
 		return output
 	}
-	r.commit(&output, snapshot)
-	r.acknowledge(&output)
+	r.markCommitted(&output, snapshot)
+	r.sendAcknowledge(&output)
 	return output
 }
 
@@ -80,16 +80,16 @@
 	return r.state.View != nil && number == r.state.View.GetNumber()
 }
 
-func (r *Replica) awaitsSuccessor() bool {
-	if r.successor() == nil || !r.synchronised {
+func (r *Replica) awaitsAcknowledge() bool {
+	if r.successor() == nil || !r.synchronized {
 		return false
 	}
 	return !r.commitKnown || r.acknowledged < r.state.Newest.Sequence()
 }
 
-// passOn sends the successor what it has not acknowledged, as far as that is kept; if it is not kept, the
+// sendAppend sends the successor what it has not acknowledged, as far as that is kept; if it is not kept, the
 // message still asks for the successor's acknowledgement.
-func (r *Replica) passOn(output *Output) {
+func (r *Replica) sendAppend(output *Output) {
 	changes, found := r.state.History.Since(r.acknowledged)
 	if !found {
 		changes, _ = r.state.History.Since(r.state.Newest.Sequence() - min(1, r.state.Newest.Sequence()))
@@ -99,8 +99,8 @@
 		Changes:    changes,
 		Committed:  sequenceOf(r.committed),
 	}
-	r.passed.sent(proto.Size(message), len(r.state.View.GetChain())-1-r.position())
-	r.passedFrom = r.state.Newest.Sequence() - uint64(len(changes))
+	r.appendPacer.recordSend(proto.Size(message), len(r.state.View.GetChain())-1-r.position())
+	r.appendBase = r.state.Newest.Sequence() - uint64(len(changes))
 	r.send(output, r.successor(), &pb.Message{Body: &pb.Message_Append{Append: message}})
 }
 
@@ -111,12 +111,12 @@
 	switch body := message.GetBody().(type) {
 	case *pb.Message_Append:
 		if r.isCurrent(body.Append.GetViewNumber()) && receiver == r.successor().GetIdentity() {
-			r.passed.lost()
+			r.appendPacer.recordUndelivered()
 		}
 	case *pb.Message_SyncResponse:
-		pace, known := r.answered[receiver]
+		pace, known := r.responsePacers[receiver]
 		if known && r.isCurrent(body.SyncResponse.GetViewNumber()) {
-			pace.lost()
+			pace.recordUndelivered()
 		}
 	}
 }
@@ -124,15 +124,15 @@
 // commitTail commits all that the tail has on disk, and tells the predecessor and the learners.
 func (r *Replica) commitTail(output *Output) {
 	before := r.committed
-	r.commit(output, r.state.Newest)
-	r.acknowledge(output)
+	r.markCommitted(output, r.state.Newest)
+	r.sendAcknowledge(output)
 	if output.Committed {
-		r.tellLearners(output, before)
+		r.appendToLearners(output, before)
 	}
 }
 
 // commit notes that a state is committed. An older one than is known already changes nothing.
-func (r *Replica) commit(output *Output, snapshot *catalog.Snapshot) {
+func (r *Replica) markCommitted(output *Output, snapshot *catalog.Snapshot) {
 	r.commitKnown = true
 	if r.committed != nil && snapshot.Sequence() <= r.committed.Sequence() {
 		return
@@ -142,19 +142,19 @@
 }
 
 // acknowledge tells the predecessor what is committed.
-func (r *Replica) acknowledge(output *Output) {
-	if r.upstream() == nil || r.isLearner() || !r.commitKnown {
+func (r *Replica) sendAcknowledge(output *Output) {
+	if r.predecessor() == nil || r.isLearner() || !r.commitKnown {
 		return
 	}
-	r.send(output, r.upstream(), &pb.Message{Body: &pb.Message_Acknowledge{Acknowledge: &pb.Acknowledge{
+	r.send(output, r.predecessor(), &pb.Message{Body: &pb.Message_Acknowledge{Acknowledge: &pb.Acknowledge{
 		ViewNumber: r.state.View.GetNumber(),
 		Sequence:   r.committed.Sequence(),
 	}}})
 }
 
-// tellLearners sends the new committed changes to the voters outside of the chain and to those that stand by. Those
+// appendToLearners sends the new committed changes to the voters outside of the chain and to those that stand by. Those
 // that miss one see it by the tail's heartbeats and ask.
-func (r *Replica) tellLearners(output *Output, before *catalog.Snapshot) {
+func (r *Replica) appendToLearners(output *Output, before *catalog.Snapshot) {
 	changes, found := r.state.History.Since(sequenceOf(before))
 	if !found {
 		return
--- a/internal/chain/builder.go
+++ b/internal/chain/builder.go
@@ -15,7 +15,7 @@
 	chain      []*pb.Replica
 	// waiting are members whose disks refuse. They stay behind the others until these hold enough copies: they may
 	// have the only ones that outlive the next loss.
-	waiting []*pb.Replica
+	diskFaulty []*pb.Replica
 }
 
 func (b *builder) candidate(replica *pb.Replica) Candidate {
@@ -23,12 +23,12 @@
 }
 
 // begin takes over the members that are fit; it reports whether one of them holds the state and can be the head.
-func (b *builder) begin(members []*pb.Replica) bool {
-	survivors := b.voting(members, func(candidate Candidate) bool { return candidate.Healthy })
-	if staying := b.staying(survivors); b.required.MetBy(b.holding(staying), b.voters) {
+func (b *builder) keepMembers(members []*pb.Replica) bool {
+	survivors := b.votingMembers(members, func(candidate Candidate) bool { return candidate.Healthy })
+	if staying := b.withoutLeaving(survivors); b.required.MetBy(b.synchronizedOnly(staying), b.voters) {
 		survivors = staying
-	} else if !b.required.MetBy(b.holding(survivors), b.voters) {
-		b.waiting = b.voting(members, func(candidate Candidate) bool { return candidate.Reachable && !candidate.Healthy })
+	} else if !b.required.MetBy(b.synchronizedOnly(survivors), b.voters) {
+		b.diskFaulty = b.votingMembers(members, func(candidate Candidate) bool { return candidate.Reachable && !candidate.Healthy })
 	}
 	head := slices.IndexFunc(survivors, func(member *pb.Replica) bool { return b.candidate(member).Synchronized })
 	if head < 0 {
@@ -40,7 +40,7 @@
 }
 
 // voting are the members that vote and are as asked for.
-func (b *builder) voting(members []*pb.Replica, wanted func(Candidate) bool) []*pb.Replica {
+func (b *builder) votingMembers(members []*pb.Replica, wanted func(Candidate) bool) []*pb.Replica {
 	return slices.DeleteFunc(slices.Clone(members), func(member *pb.Replica) bool {
 		votes := quorum.IndexOf(b.voters, member.GetIdentity()) != quorum.NotFound
 		return !votes || !wanted(b.candidate(member))
@@ -48,25 +48,27 @@
 }
 
 // staying are the replicas that were not told to end.
-func (b *builder) staying(replicas []*pb.Replica) []*pb.Replica {
+func (b *builder) withoutLeaving(replicas []*pb.Replica) []*pb.Replica {
 	return slices.DeleteFunc(slices.Clone(replicas), func(replica *pb.Replica) bool {
 		return b.candidate(replica).Leaving
 	})
 }
 
-func (b *builder) holding(replicas []*pb.Replica) []*pb.Replica {
+func (b *builder) synchronizedOnly(replicas []*pb.Replica) []*pb.Replica {
 	return slices.DeleteFunc(slices.Clone(replicas), func(replica *pb.Replica) bool {
 		return !b.candidate(replica).Synchronized
 	})
 }
 
-// isShort reports whether the chain lacks replicas or places once those that were told to end are gone.
-func (b *builder) isShort() bool { return !b.required.MetBy(b.staying(b.chain), b.voters) }
+// lacksRedundancy reports whether the chain lacks replicas or places once those that were told to end are gone.
+func (b *builder) lacksRedundancy() bool {
+	return !b.required.MetBy(b.withoutLeaving(b.chain), b.voters)
+}
 
 // extend adds voters up to the highest length. While the chain is short, any fit voter will do.
-func (b *builder) extend() {
-	for len(b.chain)+len(b.waiting) < MaxLength {
-		added := b.bestAddition(b.isShort())
+func (b *builder) addMembers() {
+	for len(b.chain)+len(b.diskFaulty) < MaxLength {
+		added := b.bestAddition(b.lacksRedundancy())
 		if added == nil {
 			return
 		}
@@ -74,29 +76,29 @@
 	}
 }
 
-// makeRoom drops a member of a full chain that lies in too few places, if a voter in another place is fit and
+// evictForDomain drops a member of a full chain that lies in too few places, if a voter in another place is fit and
 // the chain lies in as many places without the member.
-func (b *builder) makeRoom() {
-	if len(b.chain) < MaxLength || !b.isShort() {
+func (b *builder) evictForDomain() {
+	if len(b.chain) < MaxLength || !b.lacksRedundancy() {
 		return
 	}
 	added := b.bestAddition(true)
-	if added == nil || !b.isNewPlace(added) {
+	if added == nil || !b.addsDomain(added) {
 		return
 	}
 	for index := len(b.chain) - 1; index > 0; index-- {
 		without := slices.Delete(slices.Clone(b.chain), index, index+1)
-		if countPlaces(without, (*pb.Replica).GetZone) == countPlaces(b.chain, (*pb.Replica).GetZone) &&
-			countPlaces(without, (*pb.Replica).GetRegion) == countPlaces(b.chain, (*pb.Replica).GetRegion) {
+		if countDomains(without, (*pb.Replica).GetZone) == countDomains(b.chain, (*pb.Replica).GetZone) &&
+			countDomains(without, (*pb.Replica).GetRegion) == countDomains(b.chain, (*pb.Replica).GetRegion) {
 			b.chain = without
 			return
 		}
 	}
 }
 
-func (b *builder) isNewPlace(replica *pb.Replica) bool {
-	newRegion := b.required.Regions > 1 && countIn(b.chain, replica, (*pb.Replica).GetRegion) == 0
-	return newRegion || countIn(b.chain, replica, (*pb.Replica).GetZone) == 0
+func (b *builder) addsDomain(replica *pb.Replica) bool {
+	newRegion := b.required.Regions > 1 && countInDomain(b.chain, replica, (*pb.Replica).GetRegion) == 0
+	return newRegion || countInDomain(b.chain, replica, (*pb.Replica).GetZone) == 0
 }
 
 // bestAddition picks a voter for the end of the chain, from the place that has the fewest members; nil if there
@@ -104,7 +106,7 @@
 func (b *builder) bestAddition(urgent bool) *pb.Replica {
 	var best *pb.Replica
 	for _, voter := range b.voters {
-		if !b.mayBeAdded(voter, urgent) {
+		if !b.isEligible(voter, urgent) {
 			continue
 		}
 		if best == nil || b.spreadsBetter(voter, best) {
@@ -114,7 +116,7 @@
 	return best
 }
 
-func (b *builder) mayBeAdded(voter *pb.Replica, urgent bool) bool {
+func (b *builder) isEligible(voter *pb.Replica, urgent bool) bool {
 	candidate := b.candidate(voter)
 	if !candidate.Healthy || candidate.Leaving || quorum.IndexOf(b.chain, voter.GetIdentity()) != quorum.NotFound {
 		return false
@@ -126,20 +128,20 @@
 // the loss of one has to be borne; elsewhere links between regions are left out if they can be.
 func (b *builder) spreadsBetter(a, other *pb.Replica) bool {
 	if b.required.Regions > 1 {
-		inRegion := countIn(b.chain, a, (*pb.Replica).GetRegion)
-		inOther := countIn(b.chain, other, (*pb.Replica).GetRegion)
+		inRegion := countInDomain(b.chain, a, (*pb.Replica).GetRegion)
+		inOther := countInDomain(b.chain, other, (*pb.Replica).GetRegion)
 		if inRegion != inOther {
 			return inRegion < inOther
 		}
 	}
-	return countIn(b.chain, a, (*pb.Replica).GetZone) < countIn(b.chain, other, (*pb.Replica).GetZone)
+	return countInDomain(b.chain, a, (*pb.Replica).GetZone) < countInDomain(b.chain, other, (*pb.Replica).GetZone)
 }
 
-// countIn is the number of members that lie in the place of a replica.
-func countIn(members []*pb.Replica, replica *pb.Replica, place func(*pb.Replica) string) int {
+// countInDomain is the number of members that lie in the place of a replica.
+func countInDomain(members []*pb.Replica, replica *pb.Replica, domainOf func(*pb.Replica) string) int {
 	count := 0
 	for _, member := range members {
-		if place(member) == place(replica) {
+		if domainOf(member) == domainOf(replica) {
 			count++
 		}
 	}
--- a/internal/chain/cluster_test.go
+++ b/internal/chain/cluster_test.go
@@ -28,23 +28,23 @@
 
 // cluster is a set of replicas; messages wait until they are delivered, writes until they are saved.
 type cluster struct {
-	t        *testing.T
-	replicas map[string]*Replica
-	disks    map[string][]Write
-	unsaved  map[string][][]Write
-	messages []OutgoingMessage
-	cut      map[string]bool // machines that no message reaches or leaves
-	late     []*pb.Message   // messages that were held back
-	holdBack func(*pb.Message) bool
+	t           *testing.T
+	replicas    map[string]*Replica
+	disks       map[string][]Write
+	unpersisted map[string][][]Write
+	messages    []OutgoingMessage
+	partitioned map[string]bool // machines that no message reaches or leaves
+	heldBack    []*pb.Message   // messages that were held back
+	holdBack    func(*pb.Message) bool
 }
 
 func newCluster(t *testing.T, names ...string) *cluster {
 	c := &cluster{
-		t:        t,
-		replicas: make(map[string]*Replica),
-		disks:    make(map[string][]Write),
-		unsaved:  make(map[string][][]Write),
-		cut:      make(map[string]bool),
+		t:           t,
+		replicas:    make(map[string]*Replica),
+		disks:       make(map[string][]Write),
+		unpersisted: make(map[string][][]Write),
+		partitioned: make(map[string]bool),
 	}
 	for index, name := range names {
 		c.replicas[name] = NewReplica(name, EmptyState(), uint64(index+1)*1000)
@@ -53,25 +53,25 @@
 }
 
 // take keeps what a replica puts out.
-func (c *cluster) take(name string, output Output) {
+func (c *cluster) collect(name string, output Output) {
 	for _, outgoing := range output.Messages {
 		outgoing.Message.From = replicaNamed(name)
 		if c.holdBack != nil && c.holdBack(outgoing.Message) {
-			c.late = append(c.late, outgoing.Message)
+			c.heldBack = append(c.heldBack, outgoing.Message)
 			continue
 		}
 		c.messages = append(c.messages, outgoing)
 	}
 	if len(output.Writes) > 0 {
-		c.unsaved[name] = append(c.unsaved[name], output.Writes)
+		c.unpersisted[name] = append(c.unpersisted[name], output.Writes)
 	}
 }
 
-func (c *cluster) save(name string) {
-	for len(c.unsaved[name]) > 0 {
-		c.disks[name] = append(c.disks[name], c.unsaved[name][0]...)
-		c.unsaved[name] = c.unsaved[name][1:]
-		c.take(name, c.replicas[name].WritesPersisted())
+func (c *cluster) persist(name string) {
+	for len(c.unpersisted[name]) > 0 {
+		c.disks[name] = append(c.disks[name], c.unpersisted[name][0]...)
+		c.unpersisted[name] = c.unpersisted[name][1:]
+		c.collect(name, c.replicas[name].WritesPersisted())
 	}
 }
 
@@ -80,21 +80,21 @@
 	from := message.GetFrom()
 	switch body := message.GetBody().(type) {
 	case *pb.Message_Append:
-		c.take(to, replica.Append(from, body.Append))
+		c.collect(to, replica.Append(from, body.Append))
 	case *pb.Message_Acknowledge:
-		c.take(to, replica.Acknowledged(from, body.Acknowledge))
+		c.collect(to, replica.Acknowledged(from, body.Acknowledge))
 	case *pb.Message_SyncRequest:
-		c.take(to, replica.SyncRequest(message))
+		c.collect(to, replica.SyncRequest(message))
 	case *pb.Message_SyncResponse:
-		c.take(to, replica.SyncResponse(from, body.SyncResponse))
+		c.collect(to, replica.SyncResponse(from, body.SyncResponse))
 	}
 }
 
 // settle saves and delivers until nothing is left to do.
-func (c *cluster) settle(names ...string) {
+func (c *cluster) runUntilQuiet(names ...string) {
 	for step := 0; step < 1000; step++ {
 		for _, name := range names {
-			c.save(name)
+			c.persist(name)
 		}
 		if len(c.messages) == 0 {
 			return
@@ -102,7 +102,7 @@
 		next := c.messages[0]
 		c.messages = c.messages[1:]
 		to := next.To.GetIdentity()
-		if !c.cut[to] && !c.cut[next.Message.GetFrom().GetIdentity()] {
+		if !c.partitioned[to] && !c.partitioned[next.Message.GetFrom().GetIdentity()] {
 			c.deliver(to, next.Message)
 		}
 	}
@@ -111,23 +111,23 @@
 
 func (c *cluster) adopt(view *pb.View, names ...string) {
 	for _, name := range names {
-		c.take(name, c.replicas[name].Adopt(view))
+		c.collect(name, c.replicas[name].Adopt(view))
 	}
 }
 
 func (c *cluster) tick(times int, names ...string) {
 	for range times {
 		for _, name := range names {
-			c.take(name, c.replicas[name].Tick())
+			c.collect(name, c.replicas[name].Tick())
 		}
-		c.settle(names...)
+		c.runUntilQuiet(names...)
 	}
 }
 
 // restart begins a new life of a replica with what is on its disk.
-func (c *cluster) restart(name string, ticket uint64) {
-	c.unsaved[name] = nil
-	c.replicas[name] = NewReplica(name, c.disk(name), ticket)
+func (c *cluster) restart(name string, incarnation uint64) {
+	c.unpersisted[name] = nil
+	c.replicas[name] = NewReplica(name, c.disk(name), incarnation)
 }
 
 // disk is the state that the writes on a disk make.
@@ -152,11 +152,11 @@
 	require.True(c.t, c.replicas[name].AcceptsProposals(), "%s takes a change", name)
 	output, err := c.replicas[name].Propose(c.change(name, content))
 	require.NoError(c.t, err)
-	c.take(name, output)
+	c.collect(name, output)
 }
 
 // holds lists what a state holds.
-func holds(snapshot *catalog.Snapshot) string {
+func describe(snapshot *catalog.Snapshot) string {
 	if snapshot == nil {
 		return "nothing"
 	}
@@ -169,12 +169,12 @@
 
 func (c *cluster) requireCommitted(want string, names ...string) {
 	for _, name := range names {
-		require.Equal(c.t, want, holds(c.replicas[name].Committed()), "committed at %s", name)
+		require.Equal(c.t, want, describe(c.replicas[name].Committed()), "committed at %s", name)
 	}
 }
 
 func (c *cluster) requireNewest(want string, names ...string) {
 	for _, name := range names {
-		require.Equal(c.t, want, holds(c.replicas[name].Newest()), "newest at %s", name)
+		require.Equal(c.t, want, describe(c.replicas[name].Newest()), "newest at %s", name)
 	}
 }
--- a/internal/chain/taken_test.go
+++ b/internal/chain/executed_orders_test.go
@@ -10,11 +10,11 @@
 	"fieldrelay/internal/catalog"
 )
 
-// takenOrderBytes is what one taken order needs in a repair.
-const takenOrderBytes = 24
+// encodedOrderBytes is what one taken order needs in a repair.
+const encodedOrderBytes = 24
 
-// takeOrders has the head take so many orders.
-func (c *cluster) takeOrders(head string, count int, names ...string) {
+// executeOrders has the head take so many orders.
+func (c *cluster) executeOrders(head string, count int, names ...string) {
 	for range count {
 		newest := c.replicas[head].Newest()
 		base := newest.Generation()
@@ -23,13 +23,13 @@
 		require.True(c.t, c.replicas[head].AcceptsProposals())
 		output, err := c.replicas[head].Propose(change)
 		require.NoError(c.t, err)
-		c.take(head, output)
-		c.settle(names...)
+		c.collect(head, output)
+		c.runUntilQuiet(names...)
 	}
 }
 
-// watchRepairs collects the taken orders that the replicas send each other in repairs.
-func (c *cluster) watchRepairs() *[]*pb.TakenOrders {
+// recordRepairs collects the taken orders that the replicas send each other in repairs.
+func (c *cluster) recordRepairs() *[]*pb.TakenOrders {
 	var seen []*pb.TakenOrders
 	c.holdBack = func(message *pb.Message) bool {
 		if repair := message.GetSyncResponse().GetRepair(); repair != nil {
@@ -49,39 +49,39 @@
 
 // A member that was away gets the orders that it lacks, whole chunks of them, and not the others.
 func TestRepairsBringTheOrdersThatAreLacking(t *testing.T) {
-	c := founded(t)
-	c.takeOrders("a", 1000, three...)
+	c := newRunningCluster(t)
+	c.executeOrders("a", 1000, three...)
 	c.requireSameState(three...)
-	c.cut["c"] = true
+	c.partitioned["c"] = true
 	c.adopt(viewNamed(2, three, "a", "b"), "a", "b")
-	c.settle("a", "b")
-	c.takeOrders("a", 300, "a", "b")
-	c.cut["c"] = false
-	repairs := c.watchRepairs()
+	c.runUntilQuiet("a", "b")
+	c.executeOrders("a", 300, "a", "b")
+	c.partitioned["c"] = false
+	repairs := c.recordRepairs()
 	c.adopt(viewNamed(3, three, "a", "b", "c"), three...)
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.tick(8, three...)
 	c.requireSameState(three...)
 	require.NotEmpty(t, *repairs)
 	for _, repair := range *repairs {
-		require.LessOrEqual(t, len(repair.GetOrders()), (300+64)*takenOrderBytes)
+		require.LessOrEqual(t, len(repair.GetOrders()), (300+64)*encodedOrderBytes)
 	}
 }
 
 // A learner gets each order with its change, and a new one all of them.
 func TestLearnersHoldTheOrders(t *testing.T) {
-	c := founded(t)
-	c.takeOrders("a", 10, three...)
+	c := newRunningCluster(t)
+	c.executeOrders("a", 10, three...)
 	c.adopt(viewNamed(2, three, "a", "b"), three...)
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.tick(8, three...)
-	c.takeOrders("a", 10, three...)
+	c.executeOrders("a", 10, three...)
 	c.requireSameState(three...)
 	require.EqualValues(t, 20, c.replicas["c"].Committed().Generation())
 	c.disks["c"] = nil
 	c.restart("c", 99_000)
 	c.adopt(viewNamed(2, three, "a", "b"), "c")
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.tick(8, three...)
 	c.requireSameState(three...)
 }
@@ -89,21 +89,21 @@
 // A head that takes over knows the orders of the one before, and a change that only that one had is dropped with
 // its order.
 func TestTheNextHeadKnowsTheOrders(t *testing.T) {
-	c := founded(t)
-	c.takeOrders("a", 100, three...)
-	c.cut["a"] = true
+	c := newRunningCluster(t)
+	c.executeOrders("a", 100, three...)
+	c.partitioned["a"] = true
 	change, err := catalog.PrepareReplace(c.replicas["a"].Newest(), 100, []byte(`{"gen":101,"only":"a"}`))
 	require.NoError(t, err)
 	output, err := c.replicas["a"].Propose(change)
 	require.NoError(t, err)
-	c.take("a", output)
-	c.settle(three...)
+	c.collect("a", output)
+	c.runUntilQuiet(three...)
 	c.adopt(viewNamed(2, three, "b", "c"), "b", "c")
-	c.settle("b", "c")
-	c.takeOrders("b", 5, "b", "c")
-	c.cut["a"] = false
+	c.runUntilQuiet("b", "c")
+	c.executeOrders("b", 5, "b", "c")
+	c.partitioned["a"] = false
 	c.adopt(viewNamed(2, three, "b", "c"), "a")
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.tick(8, three...)
 	c.requireSameState("b", "c", "a")
 	var taken *catalog.AlreadyExecutedError
@@ -116,8 +116,8 @@
 
 // A member whose record differs, though it holds the same items at the same sequence, gets the orders.
 func TestAMemberThatLacksOnlyTheOrdersGetsThem(t *testing.T) {
-	c := founded(t)
-	c.takeOrders("a", 10, three...)
+	c := newRunningCluster(t)
+	c.executeOrders("a", 10, three...)
 	for index, write := range c.disks["c"] {
 		if write.Change != nil {
 			c.disks["c"][index].Change = catalog.ForAgents(write.Change)
@@ -126,7 +126,7 @@
 	c.restart("c", 99_000)
 	require.False(t, c.replicas["c"].Newest().SameAs(c.replicas["a"].Newest()))
 	c.adopt(viewNamed(2, three, "a", "b", "c"), three...)
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.tick(8, three...)
 	c.requireSameState(three...)
 }
--- a/internal/chain/next.go
+++ b/internal/chain/next_chain.go
@@ -28,16 +28,16 @@
 }
 
 // spans reports whether a chain lies in as many places as required, or in all where the voters are.
-func spans(chain, voters []*pb.Replica, required int, place func(*pb.Replica) string) bool {
-	return countPlaces(chain, place) >= min(required, countPlaces(voters, place))
+func spans(chain, voters []*pb.Replica, required int, domainOf func(*pb.Replica) string) bool {
+	return countDomains(chain, domainOf) >= min(required, countDomains(voters, domainOf))
 }
 
-func countPlaces(replicas []*pb.Replica, place func(*pb.Replica) string) int {
-	places := make(map[string]bool, len(replicas))
+func countDomains(replicas []*pb.Replica, domainOf func(*pb.Replica) string) int {
+	domains := make(map[string]bool, len(replicas))
 	for _, replica := range replicas {
-		places[place(replica)] = true
+		domains[domainOf(replica)] = true
 	}
-	return len(places)
+	return len(domains)
 }
 
 // Candidate is what is known of a voter that may be in the next chain.
@@ -59,31 +59,31 @@
 // returns nil when no live replica holds the state.
 func NextChain(view *pb.View, voters []*pb.Replica, candidates map[string]Candidate, required Requirement) ([]*pb.Replica, Change) {
 	next := builder{voters: voters, candidates: candidates, required: required}
-	if !next.begin(view.GetChain()) {
+	if !next.keepMembers(view.GetChain()) {
 		return nil, Change{}
 	}
-	next.makeRoom()
-	removal := len(next.chain)+len(next.waiting) < len(view.GetChain())
+	next.evictForDomain()
+	removal := len(next.chain)+len(next.diskFaulty) < len(view.GetChain())
 	kept := len(next.chain)
-	next.extend()
+	next.addMembers()
 	change := Change{Removal: removal, Addition: len(next.chain) > kept}
-	return append(next.chain, next.waiting...), change
+	return append(next.chain, next.diskFaulty...), change
 }
 
 // InitialChain returns the chain of the first view: spread over places, ordered by region and zone.
 func InitialChain(voters []*pb.Replica, required Requirement) []*pb.Replica {
 	ordered := slices.Clone(voters)
-	slices.SortFunc(ordered, byPlace)
+	slices.SortFunc(ordered, byDomain)
 	first := builder{voters: ordered, candidates: make(map[string]Candidate, len(voters)), required: required}
 	for _, voter := range voters {
 		first.candidates[voter.GetIdentity()] = Candidate{Healthy: true, Synchronized: true, Stable: true}
 	}
-	first.extend()
-	slices.SortFunc(first.chain, byPlace)
+	first.addMembers()
+	slices.SortFunc(first.chain, byDomain)
 	return first.chain
 }
 
-func byPlace(a, b *pb.Replica) int {
+func byDomain(a, b *pb.Replica) int {
 	return cmp.Or(
 		cmp.Compare(a.GetRegion(), b.GetRegion()),
 		cmp.Compare(a.GetZone(), b.GetZone()),
--- a/internal/chain/next_test.go
+++ b/internal/chain/next_chain_test.go
@@ -180,8 +180,8 @@
 	require.True(t, required.MetBy([]*pb.Replica{near, alsoNear}, []*pb.Replica{near, alsoNear}), "there is only one region")
 }
 
-// inPlaces returns replicas with candidates that are all good; each is named by its place, region and zone.
-func inPlaces(names ...string) ([]*pb.Replica, map[string]Candidate) {
+// inZones returns replicas with candidates that are all good; each is named by its place, region and zone.
+func inZones(names ...string) ([]*pb.Replica, map[string]Candidate) {
 	candidates := make(map[string]Candidate, len(names))
 	var replicas []*pb.Replica
 	for _, name := range names {
@@ -192,7 +192,7 @@
 }
 
 func TestChainIsSpreadOverRegionsWhereTheLossOfOneMustBeBorne(t *testing.T) {
-	voters, candidates := inPlaces("aa1", "ab1", "ac1", "ba1", "ca1")
+	voters, candidates := inZones("aa1", "ab1", "ac1", "ba1", "ca1")
 	view := &pb.View{Chain: voters[:1]}
 	candidates["ca1"] = Candidate{}
 	near, _ := NextChain(view, voters, candidates, Requirement{Replicas: 2, Zones: 2, Regions: 1})
@@ -203,13 +203,13 @@
 }
 
 func TestFirstChainPrefersRegionsOnlyWhereTheLossOfOneMustBeBorne(t *testing.T) {
-	voters, _ := inPlaces("aa1", "ab1", "ac1", "ad1", "ae1", "ba1")
+	voters, _ := inZones("aa1", "ab1", "ac1", "ad1", "ae1", "ba1")
 	require.Equal(t, "aa1 ab1 ac1 ad1 ae1", identities(InitialChain(voters, Requirement{Replicas: 2, Zones: 2, Regions: 1})))
 	require.Equal(t, "aa1 ab1 ac1 ad1 ba1", identities(InitialChain(voters, Requirement{Replicas: 2, Zones: 2, Regions: 2})))
 }
 
 func TestFullChainInTooFewPlacesMakesRoom(t *testing.T) {
-	voters, candidates := inPlaces("aa1", "aa2", "aa3", "ab1", "ab2", "ba1")
+	voters, candidates := inZones("aa1", "aa2", "aa3", "ab1", "ab2", "ba1")
 	required := Requirement{Replicas: 2, Zones: 3, Regions: 2}
 	view := &pb.View{Chain: voters[:5]}
 	wanted, change := NextChain(view, voters, candidates, required)
--- a/internal/chain/place.go
+++ b/internal/chain/position.go
@@ -38,7 +38,7 @@
 }
 
 // upstream is the replica whose state this one takes: the predecessor, for learners the tail, nil for the head.
-func (r *Replica) upstream() *pb.Replica {
+func (r *Replica) predecessor() *pb.Replica {
 	switch position := r.position(); position {
 	case 0:
 		return nil
@@ -58,8 +58,8 @@
 	return r.state.View.GetChain()[position+1]
 }
 
-func (r *Replica) isUpstream(from *pb.Replica) bool {
-	upstream := r.upstream()
+func (r *Replica) isPredecessor(from *pb.Replica) bool {
+	upstream := r.predecessor()
 	return upstream != nil && upstream.GetIdentity() == from.GetIdentity()
 }
 
@@ -69,7 +69,7 @@
 }
 
 // serves reports whether another machine takes its state from this one.
-func (r *Replica) serves(from *pb.Replica) bool {
+func (r *Replica) suppliesState(from *pb.Replica) bool {
 	if r.isSuccessor(from) {
 		return true
 	}
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -32,41 +32,41 @@
 
 // Replica is one machine's part in the chain.
 type Replica struct {
-	self       string // identity
-	state      State  // after all writes that were handed out
-	unsaved    int    // outputs with writes that are not on disk yet
-	advertised Advertised
+	self        string // identity
+	state       State  // after all writes that were handed out
+	unpersisted int    // outputs with writes that are not on disk yet
+	advertised  Advertised
 
 	// of the view in force
-	synchronised bool   // holds the state of the view
-	commitKnown  bool   // something is known to be committed in this view
-	acknowledged uint64 // by the successor
-	passed       pacing // of appends to the successor
-	passedFrom   uint64 // sequence of the copies that the last of these serves, and of later ones
-	lag          int    // heartbeats in a row that told of an upstream that is ahead
-	request      *syncRequest
-	waiting      map[string]*pb.Message // SyncRequests that came too early, by identity
-	answered     map[string]*pacing     // of answers to SyncRequests, by identity
-	standbys     []*pb.Replica          // machines without a vote that took their state from this one
+	synchronized     bool   // holds the state of the view
+	commitKnown      bool   // something is known to be committed in this view
+	acknowledged     uint64 // by the successor
+	appendPacer      pacer  // of appends to the successor
+	appendBase       uint64 // sequence of the copies that the last of these serves, and of later ones
+	heartbeatsBehind int    // heartbeats in a row that told of an upstream that is ahead
+	request          *syncRequest
+	earlyRequests    map[string]*pb.Message // SyncRequests that came too early, by identity
+	responsePacers   map[string]*pacer      // of answers to SyncRequests, by identity
+	standbys         []*pb.Replica          // machines without a vote that took their state from this one
 
 	previous    *catalog.Snapshot // before the last change; nil after a repair
 	committed   *catalog.Snapshot // newest known; nil before the first
 	incarnation uint64
 }
 
-// maxWaiting bounds the early requests that a replica remembers.
-const maxWaiting = 2 * quorum.MaxVoters
+// maxEarlyRequests bounds the early requests that a replica remembers.
+const maxEarlyRequests = 2 * quorum.MaxVoters
 
 // NewReplica resumes from what is on disk. The ticket tells the sync requests of this life from those of
 // earlier ones and must be another one after each start.
-func NewReplica(identity string, state State, ticket uint64) *Replica {
+func NewReplica(identity string, state State, incarnation uint64) *Replica {
 	replica := &Replica{
 		self:        identity,
 		state:       state,
-		incarnation: ticket,
+		incarnation: incarnation,
 	}
 	replica.enterView()
-	replica.publish()
+	replica.advertise()
 	return replica
 }
 
@@ -112,7 +112,7 @@
 	r.leaveView()
 	r.state.View = view
 	r.enterView()
-	r.write(&output, Write{View: view, SynchronizedView: r.state.SynchronizedView})
+	r.addWrite(&output, Write{View: view, SynchronizedView: r.state.SynchronizedView})
 	return output
 }
 
@@ -130,15 +130,15 @@
 	if position == 0 && r.state.SynchronizedView+1 == number {
 		r.state.SynchronizedView = number
 	}
-	r.synchronised = position != quorum.NotFound && r.state.SynchronizedView == number
+	r.synchronized = position != quorum.NotFound && r.state.SynchronizedView == number
 	r.commitKnown = false
 	r.acknowledged = 0
-	r.passed = pacing{}
-	r.lag = 0
+	r.appendPacer = pacer{}
+	r.heartbeatsBehind = 0
 	r.request = nil
-	r.answered = make(map[string]*pacing)
+	r.responsePacers = make(map[string]*pacer)
 	r.standbys = nil
-	r.dropOldRequests()
+	r.discardStaleRequests()
 }
 
 // AcceptsProposals reports whether the replica is the head and takes another change: the one before is committed.
@@ -148,14 +148,14 @@
 
 // FullyCommitted reports whether the replica holds the state of its view and knows all of it to be committed.
 func (r *Replica) FullyCommitted() bool {
-	if r.unsaved > 0 || !r.synchronised || !r.commitKnown {
+	if r.unpersisted > 0 || !r.synchronized || !r.commitKnown {
 		return false
 	}
 	return r.committed.Sequence() == r.state.Newest.Sequence()
 }
 
 // KnowsCommitted reports whether the replica knows what is committed in its view.
-func (r *Replica) KnowsCommitted() bool { return r.synchronised && r.commitKnown }
+func (r *Replica) KnowsCommitted() bool { return r.synchronized && r.commitKnown }
 
 // Newest is the state that the next change builds on.
 func (r *Replica) Newest() *catalog.Snapshot { return r.state.Newest }
@@ -163,7 +163,7 @@
 // Propose appends a change at the head; it must be open and the change must follow Newest.
 func (r *Replica) Propose(change *pb.Change) (Output, error) {
 	var output Output
-	if err := r.apply(&output, change); err != nil {
+	if err := r.applyChange(&output, change); err != nil {
 		return Output{}, err
 	}
 	return output, nil
@@ -172,10 +172,10 @@
 // WritesPersisted tells that the writes of the oldest output that had some are on disk.
 func (r *Replica) WritesPersisted() Output {
 	var output Output
-	r.unsaved--
-	if r.unsaved == 0 {
-		r.publish()
-		r.proceed(&output)
+	r.unpersisted--
+	if r.unpersisted == 0 {
+		r.advertise()
+		r.resume(&output)
 	}
 	return output
 }
@@ -183,18 +183,18 @@
 // Tick repeats what got no answer. It is meant to be called every 100 to 200 ms.
 func (r *Replica) Tick() Output {
 	var output Output
-	r.passed.tick()
-	for _, answered := range r.answered {
+	r.appendPacer.tick()
+	for _, answered := range r.responsePacers {
 		answered.tick()
 	}
-	if r.unsaved > 0 || r.state.View == nil {
+	if r.unpersisted > 0 || r.state.View == nil {
 		return output
 	}
 	switch {
-	case !r.synchronised || r.request != nil:
-		r.repeatRequest(&output)
-	case r.awaitsSuccessor() && r.passed.isDue():
-		r.passOn(&output)
+	case !r.synchronized || r.request != nil:
+		r.retrySync(&output)
+	case r.awaitsAcknowledge() && r.appendPacer.isDue():
+		r.sendAppend(&output)
 	case r.isTail() && !r.commitKnown:
 		r.commitTail(&output)
 	}
@@ -204,59 +204,59 @@
 // Reachable notes how far another machine's copy reaches. If the upstream stays ahead, its state is asked for.
 func (r *Replica) ObserveHeartbeat(from *pb.Replica, heartbeat *pb.Heartbeat) Output {
 	var output Output
-	if !r.isUpstream(from) || heartbeat.GetViewNumber() != r.state.View.GetNumber() {
+	if !r.isPredecessor(from) || heartbeat.GetViewNumber() != r.state.View.GetNumber() {
 		return output
 	}
-	if heartbeat.GetSequence() <= r.state.Newest.Sequence() || r.unsaved > 0 || !r.synchronised {
-		r.lag = 0
+	if heartbeat.GetSequence() <= r.state.Newest.Sequence() || r.unpersisted > 0 || !r.synchronized {
+		r.heartbeatsBehind = 0
 		return output
 	}
-	r.lag++
-	if r.lag > 1 && r.request == nil {
-		r.ask(&output)
+	r.heartbeatsBehind++
+	if r.heartbeatsBehind > 1 && r.request == nil {
+		r.requestSync(&output)
 	}
 	return output
 }
 
-func (r *Replica) publish() {
+func (r *Replica) advertise() {
 	r.advertised = Advertised{
 		ViewNumber:   r.state.View.GetNumber(),
 		Sequence:     r.state.Newest.Sequence(),
-		Synchronized: r.state.isSource(r.self) || (r.isLearner() && r.synchronised),
+		Synchronized: r.state.isSource(r.self) || (r.isLearner() && r.synchronized),
 	}
 }
 
 // proceed does what was waiting for the disk.
-func (r *Replica) proceed(output *Output) {
+func (r *Replica) resume(output *Output) {
 	if r.state.View == nil {
 		return
 	}
-	if !r.synchronised {
-		r.ask(output)
+	if !r.synchronized {
+		r.requestSync(output)
 		return
 	}
 	if r.isLearner() {
-		r.commit(output, r.state.Newest)
+		r.markCommitted(output, r.state.Newest)
 		return
 	}
-	r.answerWaiting(output)
+	r.answerEarlyRequests(output)
 	if r.isTail() {
 		r.commitTail(output)
 		return
 	}
-	if r.awaitsSuccessor() {
-		r.passOn(output)
+	if r.awaitsAcknowledge() {
+		r.sendAppend(output)
 	}
 }
 
-func (r *Replica) write(output *Output, write Write) {
+func (r *Replica) addWrite(output *Output, write Write) {
 	if len(output.Writes) == 0 {
-		r.unsaved++
+		r.unpersisted++
 	}
 	output.Writes = append(output.Writes, write)
 }
 
-func (r *Replica) apply(output *Output, change *pb.Change) error {
+func (r *Replica) applyChange(output *Output, change *pb.Change) error {
 	next, err := r.state.Newest.Apply(change)
 	if err != nil {
 		return err
@@ -264,6 +264,6 @@
 	r.previous = r.state.Newest
 	r.state.Newest = next
 	r.state.History.Add(change)
-	r.write(output, Write{Change: change, SynchronizedView: r.state.SynchronizedView})
+	r.addWrite(output, Write{Change: change, SynchronizedView: r.state.SynchronizedView})
 	return nil
 }
--- a/internal/chain/replica_test.go
+++ b/internal/chain/replica_test.go
@@ -12,46 +12,46 @@
 var three = []string{"a", "b", "c"}
 
 // founded returns three replicas in view 1, with a as the head and c as the tail.
-func founded(t *testing.T) *cluster {
+func newRunningCluster(t *testing.T) *cluster {
 	c := newCluster(t, three...)
 	c.adopt(viewNamed(1, three, three...), three...)
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	require.True(t, c.replicas["a"].AcceptsProposals())
 	return c
 }
 
 func TestChangeIsCommittedWhenAllHaveIt(t *testing.T) {
-	c := founded(t)
+	c := newRunningCluster(t)
 	c.propose("a", "x")
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.requireCommitted("1 x", three...)
 	require.True(t, c.replicas["a"].AcceptsProposals())
 }
 
 func TestChangeIsNotCommittedWhileOneLacksIt(t *testing.T) {
 	for _, missing := range []string{"b", "c"} {
-		c := founded(t)
-		c.cut[missing] = true
+		c := newRunningCluster(t)
+		c.partitioned[missing] = true
 		c.propose("a", "x")
-		c.settle(three...)
+		c.runUntilQuiet(three...)
 		c.requireCommitted("0", "a", "b", "c")
 		require.False(t, c.replicas["a"].AcceptsProposals(), "one change at a time")
-		c.cut[missing] = false
-		c.tick(shortestPause, three...)
+		c.partitioned[missing] = false
+		c.tick(minRetryTicks, three...)
 		c.requireCommitted("1 x", three...)
 	}
 }
 
 func TestNothingLeavesBeforeItIsOnDisk(t *testing.T) {
-	c := founded(t)
+	c := newRunningCluster(t)
 	c.propose("a", "x")
 	require.Empty(t, c.messages, "the head has not saved")
-	c.save("a")
+	c.persist("a")
 	require.Len(t, c.messages, 1)
 	c.deliver("b", c.messages[0].Message)
 	require.Len(t, c.messages, 1, "b has not saved")
 	require.Equal(t, uint64(0), c.replicas["b"].Advertised().Sequence)
-	c.save("b")
+	c.persist("b")
 	require.Len(t, c.messages, 2)
 	require.Equal(t, uint64(1), c.replicas["b"].Advertised().Sequence)
 }
@@ -60,19 +60,19 @@
 	four := []string{"a", "b", "c", "d"}
 	c := newCluster(t, four...)
 	c.adopt(viewNamed(1, four, three...), four...)
-	c.settle(four...)
+	c.runUntilQuiet(four...)
 	c.propose("a", "x")
-	c.settle(four...)
+	c.runUntilQuiet(four...)
 	c.requireCommitted("1 x", four...)
-	c.cut["d"] = true
+	c.partitioned["d"] = true
 	c.propose("a", "y")
-	c.settle(four...)
+	c.runUntilQuiet(four...)
 	c.requireCommitted("1 x", "d")
-	c.cut["d"] = false
+	c.partitioned["d"] = false
 	for range 2 { // heartbeats
-		c.take("d", c.replicas["d"].ObserveHeartbeat(replicaNamed("c"), &pb.Heartbeat{ViewNumber: 1, Sequence: 2}))
+		c.collect("d", c.replicas["d"].ObserveHeartbeat(replicaNamed("c"), &pb.Heartbeat{ViewNumber: 1, Sequence: 2}))
 	}
-	c.settle(four...)
+	c.runUntilQuiet(four...)
 	c.requireCommitted("2 x y", "d")
 }
 
@@ -81,82 +81,82 @@
 	four := []string{"a", "b", "c", "d"}
 	c := newCluster(t, four...)
 	c.adopt(viewNamed(1, three, three...), four...)
-	c.settle(four...)
-	c.tick(maxRequestWait, four...)
-	c.settle(four...)
+	c.runUntilQuiet(four...)
+	c.tick(maxSyncRetryTicks, four...)
+	c.runUntilQuiet(four...)
 	for change := range 3 {
 		c.propose("a", fmt.Sprintf("x%d", change))
-		c.settle(four...)
+		c.runUntilQuiet(four...)
 		require.EqualValues(t, change+1, c.replicas["d"].Committed().Sequence())
 		require.True(t, c.replicas["d"].KnowsCommitted())
 	}
 	require.Len(t, c.replicas["c"].standbys, 1)
 	c.adopt(viewNamed(2, four, three...), four...)
-	c.settle(four...)
+	c.runUntilQuiet(four...)
 	c.propose("a", "y")
 	require.Len(t, c.replicas["c"].learners(), 1, "it votes now and is told once")
 }
 
 func TestNewChainTakesTheStateOfItsHead(t *testing.T) {
-	c := founded(t)
+	c := newRunningCluster(t)
 	c.propose("a", "x")
-	c.settle(three...)
-	c.cut["c"] = true
+	c.runUntilQuiet(three...)
+	c.partitioned["c"] = true
 	c.propose("a", "y") // reaches b, is not committed
-	c.settle(three...)
-	c.cut["a"] = true
-	c.cut["c"] = false
+	c.runUntilQuiet(three...)
+	c.partitioned["a"] = true
+	c.partitioned["c"] = false
 	c.adopt(viewNamed(2, three, "b", "c"), "b", "c")
-	c.settle("b", "c")
+	c.runUntilQuiet("b", "c")
 	c.requireCommitted("2 x y", "b", "c")
 	require.True(t, c.replicas["b"].AcceptsProposals())
 }
 
 func TestReplicaDropsWhatItsPredecessorDoesNotHold(t *testing.T) {
-	c := founded(t)
+	c := newRunningCluster(t)
 	c.propose("a", "x")
-	c.settle(three...)
-	c.cut["a"] = true
+	c.runUntilQuiet(three...)
+	c.partitioned["a"] = true
 	c.propose("a", "lost")
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.requireNewest("2 lost x", "a")
 	c.adopt(viewNamed(2, three, "b", "c"), "b", "c")
-	c.settle("b", "c")
+	c.runUntilQuiet("b", "c")
 	c.propose("b", "y")
-	c.settle("b", "c")
-	c.cut["a"] = false
+	c.runUntilQuiet("b", "c")
+	c.partitioned["a"] = false
 	c.adopt(viewNamed(2, three, "b", "c"), "a")
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.requireCommitted("2 x y", three...)
 	c.requireNewest("2 x y", "a")
-	require.Equal(t, "2 x y", holds(c.disk("a").Newest))
+	require.Equal(t, "2 x y", describe(c.disk("a").Newest))
 }
 
 func TestOldHeadIsFencedByOneThatMovedOn(t *testing.T) {
-	c := founded(t)
+	c := newRunningCluster(t)
 	c.adopt(viewNamed(2, three, "b", "c"), "b")
 	c.propose("a", "x")
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.requireCommitted("0", "a", "c")
 	c.requireNewest("0", "b", "c")
 }
 
 // An append of an earlier view comes late, from a machine that is upstream again.
 func TestAppendOfAnEarlierViewIsRefused(t *testing.T) {
-	c := founded(t)
+	c := newRunningCluster(t)
 	c.holdBack = func(message *pb.Message) bool { return message.GetAppend() != nil }
 	c.propose("a", "lost")
-	c.settle(three...)
-	require.Len(t, c.late, 1)
-	old := c.late[0]
+	c.runUntilQuiet(three...)
+	require.Len(t, c.heldBack, 1)
+	old := c.heldBack[0]
 	c.holdBack = nil
 	c.adopt(viewNamed(2, three, "b", "a", "c"), three...)
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.requireNewest("0", three...)
 	c.adopt(viewNamed(3, three, "a", "b", "c"), three...)
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.deliver("b", old)
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.requireNewest("0", three...)
 }
 
@@ -165,56 +165,56 @@
 	c := newCluster(t, "a", "b")
 	two := []string{"a", "b"}
 	c.adopt(viewNamed(1, two, two...), two...)
-	c.settle(two...)
+	c.runUntilQuiet(two...)
 	old := &pb.Acknowledge{ViewNumber: 1, Sequence: 1}
 	c.adopt(viewNamed(2, two, two...), two...)
-	c.settle(two...)
-	c.cut["b"] = true
+	c.runUntilQuiet(two...)
+	c.partitioned["b"] = true
 	c.propose("a", "x")
-	c.settle(two...)
-	c.take("a", c.replicas["a"].Acknowledged(replicaNamed("b"), old))
+	c.runUntilQuiet(two...)
+	c.collect("a", c.replicas["a"].Acknowledged(replicaNamed("b"), old))
 	c.requireCommitted("0", "a")
 }
 
 func TestAnswerToAnEarlierSyncRequestIsNotTaken(t *testing.T) {
-	c := founded(t)
+	c := newRunningCluster(t)
 	c.propose("a", "x")
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.holdBack = func(message *pb.Message) bool { return message.GetSyncResponse() != nil }
 	c.adopt(viewNamed(2, three, "a", "b"), "a", "b", "c")
-	c.settle(three...)
-	old := c.late
+	c.runUntilQuiet(three...)
+	old := c.heldBack
 	require.NotEmpty(t, old)
 	c.restart("b", 77_000)
 	c.holdBack = func(message *pb.Message) bool { return message.GetSyncRequest() != nil }
-	c.take("b", c.replicas["b"].Tick())
+	c.collect("b", c.replicas["b"].Tick())
 	require.NotNil(t, c.replicas["b"].request, "this life has asked too")
 	c.holdBack = nil
 	for _, message := range old {
 		c.deliver("b", message)
 	}
 	require.False(t, c.replicas["b"].FullyCommitted())
-	require.Empty(t, c.unsaved["b"], "the answer was for another life's request")
+	require.Empty(t, c.unpersisted["b"], "the answer was for another life's request")
 	c.tick(8, three...)
 	require.True(t, c.replicas["b"].FullyCommitted())
 	c.deliver("b", old[0])
-	require.Empty(t, c.unsaved["b"])
+	require.Empty(t, c.unpersisted["b"])
 }
 
 func TestEarlySyncRequestIsAnsweredLater(t *testing.T) {
-	c := founded(t)
+	c := newRunningCluster(t)
 	c.adopt(viewNamed(2, three, three...), "b", "c")
-	c.settle("b", "c") // a has not learnt of the view
+	c.runUntilQuiet("b", "c") // a has not learnt of the view
 	require.False(t, c.replicas["b"].FullyCommitted())
 	c.adopt(viewNamed(2, three, three...), "a")
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	require.True(t, c.replicas["a"].AcceptsProposals(), "no tick was needed")
 }
 
 func TestRestartedReplicasKnowWhatIsCommittedAgain(t *testing.T) {
-	c := founded(t)
+	c := newRunningCluster(t)
 	c.propose("a", "x")
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	for index, name := range three {
 		c.restart(name, uint64(index+1)*5000)
 		require.Nil(t, c.replicas[name].Committed())
@@ -225,14 +225,14 @@
 }
 
 func TestRestartedHeadBringsAnUncommittedChangeThrough(t *testing.T) {
-	c := founded(t)
-	c.cut["b"] = true
+	c := newRunningCluster(t)
+	c.partitioned["b"] = true
 	c.propose("a", "x")
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.restart("a", 5000)
-	c.cut["b"] = false
+	c.partitioned["b"] = false
 	for range 3 {
-		c.take("b", c.replicas["b"].ObserveHeartbeat(replicaNamed("a"), &pb.Heartbeat{ViewNumber: 1, Sequence: 1}))
+		c.collect("b", c.replicas["b"].ObserveHeartbeat(replicaNamed("a"), &pb.Heartbeat{ViewNumber: 1, Sequence: 1}))
 	}
 	c.tick(3, three...)
 	c.requireCommitted("1 x", three...)
@@ -252,44 +252,44 @@
 		{
 			name: "members that have not synchronised, if nothing can have been committed without them",
 			run: func(c *cluster) {
-				c.cut["a"] = true
+				c.partitioned["a"] = true
 				c.adopt(viewNamed(2, three, "a", "b", "c"), "b", "c")
-				c.settle("b", "c")
+				c.runUntilQuiet("b", "c")
 			},
 			want: map[string]bool{"b": true, "c": true},
 		},
 		{
 			name: "the same over two changes of view",
 			run: func(c *cluster) {
-				c.cut["a"] = true
+				c.partitioned["a"] = true
 				c.adopt(viewNamed(2, three, "a", "b", "c"), "b", "c")
-				c.settle("b", "c")
+				c.runUntilQuiet("b", "c")
 				c.adopt(viewNamed(3, three, "a", "b", "c"), "b", "c")
-				c.settle("b", "c")
+				c.runUntilQuiet("b", "c")
 			},
 			want: map[string]bool{"b": true, "c": true},
 		},
 		{
 			name: "not one that was outside for a view",
 			run: func(c *cluster) {
-				c.cut["c"] = true
+				c.partitioned["c"] = true
 				c.adopt(viewNamed(2, three, "a", "b"), three...)
-				c.settle(three...)
+				c.runUntilQuiet(three...)
 				c.adopt(viewNamed(3, three, "a", "b", "c"), three...)
-				c.settle(three...)
+				c.runUntilQuiet(three...)
 			},
 			want: map[string]bool{"a": true, "b": true, "c": false},
 		},
 		{
 			name: "nor when it leaves a chain whose state it never had",
 			run: func(c *cluster) {
-				c.cut["c"] = true
+				c.partitioned["c"] = true
 				c.adopt(viewNamed(2, three, "a", "b"), three...)
-				c.settle(three...)
+				c.runUntilQuiet(three...)
 				c.adopt(viewNamed(3, three, "a", "b", "c"), three...)
-				c.settle(three...)
+				c.runUntilQuiet(three...)
 				c.adopt(viewNamed(4, three, "a", "b", "c"), three...)
-				c.settle(three...)
+				c.runUntilQuiet(three...)
 			},
 			want: map[string]bool{"a": true, "b": true, "c": false},
 		},
@@ -297,17 +297,17 @@
 			name: "not one that has not heard of a view",
 			run: func(c *cluster) {
 				c.adopt(viewNamed(2, three, "a", "b", "c"), "a", "b")
-				c.settle("a", "b")
-				c.cut["a"] = true
+				c.runUntilQuiet("a", "b")
+				c.partitioned["a"] = true
 				c.adopt(viewNamed(3, three, "a", "b", "c"), "b", "c")
-				c.settle("b", "c")
+				c.runUntilQuiet("b", "c")
 			},
 			want: map[string]bool{"b": true, "c": false},
 		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			c := founded(t)
+			c := newRunningCluster(t)
 			test.run(c)
 			for name, want := range test.want {
 				require.Equal(t, want, c.replicas[name].Advertised().Synchronized, name)
--- a/internal/chain/state.go
+++ b/internal/chain/state.go
@@ -47,11 +47,11 @@
 	}
 	s.SynchronizedView = write.SynchronizedView
 	s.Newest = next
-	s.noteHistory(write)
+	s.recordHistory(write)
 	return nil
 }
 
-func (s *State) noteHistory(write Write) {
+func (s *State) recordHistory(write Write) {
 	if write.Change != nil {
 		s.History.Add(write.Change)
 	}
--- a/internal/chain/undelivered_test.go
+++ b/internal/chain/undelivered_test.go
@@ -9,11 +9,11 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// lostAppend has a large change of the head lost on its way to the next machine, and returns the message.
-func lostAppend(t *testing.T) (*cluster, *pb.Message) {
-	c := founded(t)
-	c.propose("a", strings.Repeat("x", 4*tickBytes))
-	c.save("a")
+// proposeUndelivered has a large change of the head lost on its way to the next machine, and returns the message.
+func proposeUndelivered(t *testing.T) (*cluster, *pb.Message) {
+	c := newRunningCluster(t)
+	c.propose("a", strings.Repeat("x", 4*slowLinkTickBytes))
+	c.persist("a")
 	require.Len(t, c.messages, 1)
 	lost := c.messages[0].Message
 	lost.ToIdentity = "b"
@@ -34,23 +34,23 @@
 }
 
 func TestAChangeThatIsOnItsWayIsNotRepeated(t *testing.T) {
-	c, _ := lostAppend(t)
-	require.Zero(t, c.appendsAfter(4*shortestPause))
+	c, _ := proposeUndelivered(t)
+	require.Zero(t, c.appendsAfter(4*minRetryTicks))
 }
 
 func TestAChangeThatWasLostIsRepeatedOnceAtTheNextTick(t *testing.T) {
-	c, lost := lostAppend(t)
-	require.Zero(t, c.appendsAfter(shortestPause))
+	c, lost := proposeUndelivered(t)
+	require.Zero(t, c.appendsAfter(minRetryTicks))
 	c.replicas["a"].Undelivered(lost)
 	require.Equal(t, 1, c.appendsAfter(1))
-	require.Zero(t, c.appendsAfter(4*shortestPause))
+	require.Zero(t, c.appendsAfter(4*minRetryTicks))
 }
 
 func TestAChangeThatIsLostAtOnceWaitsForTheShortestPause(t *testing.T) {
-	c, lost := lostAppend(t)
+	c, lost := proposeUndelivered(t)
 	for range 5 {
 		c.replicas["a"].Undelivered(lost)
-		require.Zero(t, c.appendsAfter(shortestPause-1))
+		require.Zero(t, c.appendsAfter(minRetryTicks-1))
 		require.Equal(t, 1, c.appendsAfter(1))
 	}
 }
@@ -62,36 +62,36 @@
 		"a server list":      func(message *pb.Message) { message.Body = &pb.Message_ServerList{} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, lost := lostAppend(t)
+			c, lost := proposeUndelivered(t)
 			change(lost)
 			c.replicas["a"].Undelivered(lost)
-			require.Zero(t, c.appendsAfter(4*shortestPause))
+			require.Zero(t, c.appendsAfter(4*minRetryTicks))
 		})
 	}
 }
 
 // An answer to a request for the state is given again as soon as it is known to be lost and asked for again.
 func TestAnAnswerThatWasLostIsGivenAgain(t *testing.T) {
-	c, _ := lostAppend(t)
+	c, _ := proposeUndelivered(t)
 	c.holdBack = func(message *pb.Message) bool { return message.GetSyncResponse() != nil }
-	asked := c.requestOf("b")
+	asked := c.syncRequestOf("b")
 	asked.Follows = false // while the change may be on its way, a copy that follows gets no answer
 	request := &pb.Message{From: replicaNamed("b"), Body: &pb.Message_SyncRequest{SyncRequest: asked}}
 	c.deliver("a", request)
-	require.Len(t, c.late, 1)
+	require.Len(t, c.heldBack, 1)
 	c.deliver("a", request)
-	require.Len(t, c.late, 1, "it may be on its way")
-	lost := c.late[0]
+	require.Len(t, c.heldBack, 1, "it may be on its way")
+	lost := c.heldBack[0]
 	lost.ToIdentity = "b"
-	c.appendsAfter(shortestPause)
+	c.appendsAfter(minRetryTicks)
 	c.replicas["a"].Undelivered(lost)
 	c.deliver("a", request)
-	require.Len(t, c.late, 2)
+	require.Len(t, c.heldBack, 2)
 }
 
-// requestOf is what a replica asks its upstream.
-func (c *cluster) requestOf(name string) *pb.SyncRequest {
+// syncRequestOf is what a replica asks its upstream.
+func (c *cluster) syncRequestOf(name string) *pb.SyncRequest {
 	var output Output
-	c.replicas[name].ask(&output)
+	c.replicas[name].requestSync(&output)
 	return output.Messages[0].Message.GetSyncRequest()
 }
