--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -30,8 +30,14 @@
 // Empty returns the state before the first change: sequence and generation 0, no items.
 func Empty() *Snapshot { return emptySnapshot }
 
-// Sequence is the number of the last change, configuration or evacuation.
-func (s *Snapshot) Sequence() uint64 { return s.sequence }
+// Sequence is the number of the last change, of the configuration or an evacuation. It is 0 for nil, which stands for
+// no state, as it is before the first change.
+func (s *Snapshot) Sequence() uint64 {
+	if s == nil {
+		return 0
+	}
+	return s.sequence
+}
 
 // Generation is the operator's number of the configuration in force; 0 before the first.
 func (s *Snapshot) Generation() uint64 { return s.generation }
--- a/internal/chain/append_in_flight_test.go
+++ b/internal/chain/append_in_flight_test.go
@@ -9,8 +9,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Heartbeats come by a way of their own and overtake a large change, which is still on its way. That change is not sent a
-// second time, as a repair, before it may be lost.
+// Heartbeats use a connection of their own and overtake a large change in flight. It is not sent a second time, as a
+// repair, before it may be lost.
 func TestLargeChangeThatHeartbeatsOvertakeIsNotSentTwice(t *testing.T) {
 	const size = 16 * slowLinkTickBytes
 	c := newRunningCluster(t)
@@ -21,25 +21,25 @@
 	c.collect("a", output)
 	c.persist("a")
 	require.Len(t, c.messages, 1)
-	onItsWay := c.messages[0].Message
-	require.NotNil(t, onItsWay.GetAppend())
+	inFlight := c.messages[0].Message
+	require.NotNil(t, inFlight.GetAppend())
 	c.messages = nil
 	for range 2 { // heartbeats, over 0.3 s
 		for range 2 {
 			c.collect("a", c.replicas["a"].Tick())
 		}
-		beat := &pb.Heartbeat{ViewNumber: 1, Sequence: c.replicas["a"].Advertised().Sequence}
-		c.collect("b", c.replicas["b"].ObserveHeartbeat(replicaNamed("a"), beat))
+		heartbeat := &pb.Heartbeat{ViewNumber: 1, Sequence: c.replicas["a"].Advertised().Sequence}
+		c.collect("b", c.replicas["b"].ObserveHeartbeat(replicaNamed("a"), heartbeat))
 	}
-	var again []*pb.Message
+	var resent []*pb.Message
 	for len(c.messages) > 0 {
 		next := c.messages[0]
 		c.messages = c.messages[1:]
 		if next.Message.GetSyncResponse() != nil || next.Message.GetAppend() != nil {
-			again = append(again, next.Message)
+			resent = append(resent, next.Message)
 			continue
 		}
 		c.deliver(next.To.GetIdentity(), next.Message)
 	}
-	require.Empty(t, again)
+	require.Empty(t, resent)
 }
--- a/internal/chain/builder.go
+++ b/internal/chain/builder.go
@@ -7,14 +7,14 @@
 	"fieldrelay/internal/quorum"
 )
 
-// builder puts a chain together, member by member.
+// builder assembles a chain, member by member.
 type builder struct {
 	voters     []*pb.Replica
 	candidates map[string]Candidate
 	required   Requirement
 	chain      []*pb.Replica
-	// waiting are members whose disks refuse. They stay behind the others until these hold enough copies: they may
-	// have the only ones that outlive the next loss.
+	// diskFaulty are members whose disks reject writes. They stay behind the others until these are redundant enough:
+	// they may have the only durable replicas that survive the next failure.
 	diskFaulty []*pb.Replica
 }
 
@@ -22,13 +22,15 @@
 	return b.candidates[replica.GetIdentity()]
 }
 
-// begin takes over the members that are fit; it reports whether one of them holds the state and can be the head.
+// keepMembers begins the chain with the healthy members of the one before. It reports whether one of them is
+// synchronized and can be the head.
 func (b *builder) keepMembers(members []*pb.Replica) bool {
 	survivors := b.votingMembers(members, func(candidate Candidate) bool { return candidate.Healthy })
 	if staying := b.withoutLeaving(survivors); b.required.MetBy(b.synchronizedOnly(staying), b.voters) {
 		survivors = staying
 	} else if !b.required.MetBy(b.synchronizedOnly(survivors), b.voters) {
-		b.diskFaulty = b.votingMembers(members, func(candidate Candidate) bool { return candidate.Reachable && !candidate.Healthy })
+		isDiskFaulty := func(candidate Candidate) bool { return candidate.Reachable && !candidate.Healthy }
+		b.diskFaulty = b.votingMembers(members, isDiskFaulty)
 	}
 	head := slices.IndexFunc(survivors, func(member *pb.Replica) bool { return b.candidate(member).Synchronized })
 	if head < 0 {
@@ -39,15 +41,14 @@
 	return true
 }
 
-// voting are the members that vote and are as asked for.
-func (b *builder) votingMembers(members []*pb.Replica, wanted func(Candidate) bool) []*pb.Replica {
+// votingMembers are the members that have a vote and satisfy a condition.
+func (b *builder) votingMembers(members []*pb.Replica, condition func(Candidate) bool) []*pb.Replica {
 	return slices.DeleteFunc(slices.Clone(members), func(member *pb.Replica) bool {
 		votes := quorum.IndexOf(b.voters, member.GetIdentity()) != quorum.NotFound
-		return !votes || !wanted(b.candidate(member))
+		return !votes || !condition(b.candidate(member))
 	})
 }
 
-// staying are the replicas that were not told to end.
 func (b *builder) withoutLeaving(replicas []*pb.Replica) []*pb.Replica {
 	return slices.DeleteFunc(slices.Clone(replicas), func(replica *pb.Replica) bool {
 		return b.candidate(replica).Leaving
@@ -60,12 +61,12 @@
 	})
 }
 
-// lacksRedundancy reports whether the chain lacks replicas or places once those that were told to end are gone.
+// lacksRedundancy reports whether the chain does not meet the requirement without the members that are leaving.
 func (b *builder) lacksRedundancy() bool {
 	return !b.required.MetBy(b.withoutLeaving(b.chain), b.voters)
 }
 
-// extend adds voters up to the highest length. While the chain is short, any fit voter will do.
+// addMembers adds voters up to MaxLength. While the chain lacks redundancy, any healthy voter will do.
 func (b *builder) addMembers() {
 	for len(b.chain)+len(b.diskFaulty) < MaxLength {
 		added := b.bestAddition(b.lacksRedundancy())
@@ -76,8 +77,8 @@
 	}
 }
 
-// evictForDomain drops a member of a full chain that lies in too few places, if a voter in another place is fit and
-// the chain lies in as many places without the member.
+// evictForDomain removes a member of a full chain that lacks redundancy, if a voter in a new failure domain can be
+// added and the chain is in as many domains without the member. The head stays.
 func (b *builder) evictForDomain() {
 	if len(b.chain) < MaxLength || !b.lacksRedundancy() {
 		return
@@ -96,13 +97,14 @@
 	}
 }
 
+// addsDomain reports whether a replica is in a failure domain without a member.
 func (b *builder) addsDomain(replica *pb.Replica) bool {
 	newRegion := b.required.Regions > 1 && countInDomain(b.chain, replica, (*pb.Replica).GetRegion) == 0
 	return newRegion || countInDomain(b.chain, replica, (*pb.Replica).GetZone) == 0
 }
 
-// bestAddition picks a voter for the end of the chain, from the place that has the fewest members; nil if there
-// is none.
+// bestAddition returns a voter for the end of the chain, from the failure domain with the fewest members; nil if no
+// voter is eligible.
 func (b *builder) bestAddition(urgent bool) *pb.Replica {
 	var best *pb.Replica
 	for _, voter := range b.voters {
@@ -116,6 +118,7 @@
 	return best
 }
 
+// isEligible reports whether a voter may be added. If it is urgent, it need not be stable or synchronized.
 func (b *builder) isEligible(voter *pb.Replica, urgent bool) bool {
 	candidate := b.candidate(voter)
 	if !candidate.Healthy || candidate.Leaving || quorum.IndexOf(b.chain, voter.GetIdentity()) != quorum.NotFound {
@@ -124,8 +127,8 @@
 	return urgent || (candidate.Stable && candidate.Synchronized)
 }
 
-// spreadsBetter reports whether a lies in a place with fewer members than that of other. Regions come first where
-// the loss of one has to be borne; elsewhere links between regions are left out if they can be.
+// spreadsBetter reports whether a is in a failure domain with fewer members than that of other. Regions come first if
+// the chain must survive the loss of one; otherwise links between regions are avoided where possible.
 func (b *builder) spreadsBetter(a, other *pb.Replica) bool {
 	if b.required.Regions > 1 {
 		inRegion := countInDomain(b.chain, a, (*pb.Replica).GetRegion)
@@ -136,14 +139,3 @@
 	}
 	return countInDomain(b.chain, a, (*pb.Replica).GetZone) < countInDomain(b.chain, other, (*pb.Replica).GetZone)
 }
-
-// countInDomain is the number of members that lie in the place of a replica.
-func countInDomain(members []*pb.Replica, replica *pb.Replica, domainOf func(*pb.Replica) string) int {
-	count := 0
-	for _, member := range members {
-		if domainOf(member) == domainOf(replica) {
-			count++
-		}
-	}
-	return count
-}
--- a/internal/chain/capacity_bench_test.go
+++ b/internal/chain/capacity_bench_test.go
@@ -17,6 +17,7 @@
 }
 
 func newBenchmarkChain(b *testing.B, length int) *benchmarkChain {
+	b.Helper()
 	view := &pb.View{Number: 1, Cluster: "c"}
 	for i := range length {
 		member := &pb.Replica{Host: fmt.Sprint("core-", i), Identity: fmt.Sprint("id-", i), Zone: fmt.Sprint("zone-", i)}
@@ -30,7 +31,7 @@
 	for _, member := range view.GetChain() {
 		chain.perform(member, chain.replicas[member.GetIdentity()].Adopt(view))
 	}
-	for range 4 { // until all are synchronised
+	for range 4 { // until all are synchronized
 		for _, member := range view.GetChain() {
 			chain.perform(member, chain.replicas[member.GetIdentity()].Tick())
 		}
@@ -38,7 +39,7 @@
 	return chain
 }
 
-// perform writes and delivers at once.
+// perform completes writes and delivers messages at once.
 func (c *benchmarkChain) perform(self *pb.Replica, output Output) {
 	if len(output.Writes) > 0 {
 		c.writes++
@@ -48,22 +49,8 @@
 		c.messages++
 		to := c.replicas[outgoing.To.GetIdentity()]
 		outgoing.Message.From = self
-		c.perform(outgoing.To, deliver(to, self, outgoing.Message))
-	}
-}
-
-func deliver(to *Replica, from *pb.Replica, message *pb.Message) Output {
-	switch body := message.GetBody().(type) {
-	case *pb.Message_Append:
-		return to.Append(from, body.Append)
-	case *pb.Message_Acknowledge:
-		return to.Acknowledged(from, body.Acknowledge)
-	case *pb.Message_SyncRequest:
-		return to.SyncRequest(message)
-	case *pb.Message_SyncResponse:
-		return to.SyncResponse(from, body.SyncResponse)
+		c.perform(outgoing.To, handle(to, outgoing.Message))
 	}
-	return Output{}
 }
 
 // BenchmarkCapacityChainWrite takes one change from the head to the tail and the acknowledgement back, with a
@@ -74,7 +61,7 @@
 			chain := newBenchmarkChain(b, length)
 			head := chain.replicas["id-0"]
 			if !head.AcceptsProposals() {
-				b.Fatal("the chain does not open")
+				b.Fatal("the head accepts no proposal")
 			}
 			self := &pb.Replica{Host: "core-0", Identity: "id-0"}
 			chain.messages, chain.writes = 0, 0
--- a/internal/chain/cluster_test.go
+++ b/internal/chain/cluster_test.go
@@ -26,19 +26,21 @@
 	return &pb.View{Number: number, Voters: replicasNamed(voters...), Chain: replicasNamed(chain...)}
 }
 
-// cluster is a set of replicas; messages wait until they are delivered, writes until they are saved.
+// cluster is a set of replicas whose messages wait until they are delivered, and writes until they are persisted.
 type cluster struct {
 	t           *testing.T
 	replicas    map[string]*Replica
 	disks       map[string][]Write
 	unpersisted map[string][][]Write
 	messages    []OutgoingMessage
-	partitioned map[string]bool // machines that no message reaches or leaves
-	heldBack    []*pb.Message   // messages that were held back
+	partitioned map[string]bool // machines that can neither send nor receive
+	heldBack    []*pb.Message   // messages that holdBack has selected
 	holdBack    func(*pb.Message) bool
 }
 
+// newCluster returns replicas with empty disks and no view.
 func newCluster(t *testing.T, names ...string) *cluster {
+	t.Helper()
 	c := &cluster{
 		t:           t,
 		replicas:    make(map[string]*Replica),
@@ -52,7 +54,7 @@
 	return c
 }
 
-// take keeps what a replica puts out.
+// collect keeps the output of a replica.
 func (c *cluster) collect(name string, output Output) {
 	for _, outgoing := range output.Messages {
 		outgoing.Message.From = replicaNamed(name)
@@ -67,6 +69,7 @@
 	}
 }
 
+// persist completes the writes of a replica, oldest first.
 func (c *cluster) persist(name string) {
 	for len(c.unpersisted[name]) > 0 {
 		c.disks[name] = append(c.disks[name], c.unpersisted[name][0]...)
@@ -76,21 +79,26 @@
 }
 
 func (c *cluster) deliver(to string, message *pb.Message) {
-	replica := c.replicas[to]
+	c.collect(to, handle(c.replicas[to], message))
+}
+
+// handle passes a message to the event that is for it.
+func handle(to *Replica, message *pb.Message) Output {
 	from := message.GetFrom()
 	switch body := message.GetBody().(type) {
 	case *pb.Message_Append:
-		c.collect(to, replica.Append(from, body.Append))
+		return to.Append(from, body.Append)
 	case *pb.Message_Acknowledge:
-		c.collect(to, replica.Acknowledged(from, body.Acknowledge))
+		return to.Acknowledged(from, body.Acknowledge)
 	case *pb.Message_SyncRequest:
-		c.collect(to, replica.SyncRequest(message))
+		return to.SyncRequest(message)
 	case *pb.Message_SyncResponse:
-		c.collect(to, replica.SyncResponse(from, body.SyncResponse))
+		return to.SyncResponse(from, body.SyncResponse)
 	}
+	return Output{}
 }
 
-// settle saves and delivers until nothing is left to do.
+// runUntilQuiet persists and delivers until nothing is pending.
 func (c *cluster) runUntilQuiet(names ...string) {
 	for step := 0; step < 1000; step++ {
 		for _, name := range names {
@@ -124,13 +132,13 @@
 	}
 }
 
-// restart begins a new life of a replica with what is on its disk.
+// restart begins a new run of a replica with what is on its disk.
 func (c *cluster) restart(name string, incarnation uint64) {
 	c.unpersisted[name] = nil
 	c.replicas[name] = NewReplica(name, c.disk(name), incarnation)
 }
 
-// disk is the state that the writes on a disk make.
+// disk is the state that results from the writes on a disk.
 func (c *cluster) disk(name string) State {
 	state := EmptyState()
 	for _, write := range c.disks[name] {
@@ -139,7 +147,7 @@
 	return state
 }
 
-// change makes a change that writes one item.
+// change returns the next change, which writes one item.
 func (c *cluster) change(name, content string) *pb.Change {
 	newest := c.replicas[name].Newest()
 	sequence := newest.Sequence() + 1
@@ -149,13 +157,13 @@
 }
 
 func (c *cluster) propose(name, content string) {
-	require.True(c.t, c.replicas[name].AcceptsProposals(), "%s takes a change", name)
+	require.True(c.t, c.replicas[name].AcceptsProposals(), "%s accepts a change", name)
 	output, err := c.replicas[name].Propose(c.change(name, content))
 	require.NoError(c.t, err)
 	c.collect(name, output)
 }
 
-// holds lists what a state holds.
+// describe lists the sequence and the items of a state.
 func describe(snapshot *catalog.Snapshot) string {
 	if snapshot == nil {
 		return "nothing"
--- a/internal/chain/executed_orders_test.go
+++ b/internal/chain/executed_orders_test.go
@@ -10,10 +10,10 @@
 	"fieldrelay/internal/catalog"
 )
 
-// encodedOrderBytes is what one taken order needs in a repair.
+// encodedOrderBytes is the size of one executed order in a repair.
 const encodedOrderBytes = 24
 
-// executeOrders has the head take so many orders.
+// executeOrders has the head execute a number of orders.
 func (c *cluster) executeOrders(head string, count int, names ...string) {
 	for range count {
 		newest := c.replicas[head].Newest()
@@ -28,7 +28,7 @@
 	}
 }
 
-// recordRepairs collects the taken orders that the replicas send each other in repairs.
+// recordRepairs records the executed orders in the repairs that the replicas send each other.
 func (c *cluster) recordRepairs() *[]*pb.TakenOrders {
 	var seen []*pb.TakenOrders
 	c.holdBack = func(message *pb.Message) bool {
@@ -47,7 +47,7 @@
 	}
 }
 
-// A member that was away gets the orders that it lacks, whole chunks of them, and not the others.
+// A member that was partitioned receives the chunks of orders that it lacks, and not the others.
 func TestRepairsBringTheOrdersThatAreLacking(t *testing.T) {
 	c := newRunningCluster(t)
 	c.executeOrders("a", 1000, three...)
@@ -68,7 +68,7 @@
 	}
 }
 
-// A learner gets each order with its change, and a new one all of them.
+// A learner receives each order with its change, and a new one all of them.
 func TestLearnersHoldTheOrders(t *testing.T) {
 	c := newRunningCluster(t)
 	c.executeOrders("a", 10, three...)
@@ -86,8 +86,7 @@
 	c.requireSameState(three...)
 }
 
-// A head that takes over knows the orders of the one before, and a change that only that one had is dropped with
-// its order.
+// A new head knows the orders of the one before. A change that only that one had is discarded with its order.
 func TestTheNextHeadKnowsTheOrders(t *testing.T) {
 	c := newRunningCluster(t)
 	c.executeOrders("a", 100, three...)
@@ -106,15 +105,15 @@
 	c.runUntilQuiet(three...)
 	c.tick(8, three...)
 	c.requireSameState("b", "c", "a")
-	var taken *catalog.AlreadyExecutedError
-	var lost *catalog.ConflictError
+	var executed *catalog.AlreadyExecutedError
+	var conflict *catalog.ConflictError
 	_, err = catalog.PrepareReplace(c.replicas["a"].Newest(), 0, []byte(`{"gen":1}`))
-	require.ErrorAs(t, err, &taken)
+	require.ErrorAs(t, err, &executed)
 	_, err = catalog.PrepareReplace(c.replicas["a"].Newest(), 100, []byte(`{"gen":101,"only":"a"}`))
-	require.ErrorAs(t, err, &lost)
+	require.ErrorAs(t, err, &conflict)
 }
 
-// A member whose record differs, though it holds the same items at the same sequence, gets the orders.
+// A member whose record of orders differs receives it, though its items and its sequence are the same.
 func TestAMemberThatLacksOnlyTheOrdersGetsThem(t *testing.T) {
 	c := newRunningCluster(t)
 	c.executeOrders("a", 10, three...)
--- a/internal/chain/next_chain_test.go
+++ b/internal/chain/next_chain_test.go
@@ -9,6 +9,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
+// identities lists the identities of replicas, separated by spaces.
 func identities(replicas []*pb.Replica) string {
 	var list []string
 	for _, replica := range replicas {
@@ -18,12 +19,12 @@
 }
 
 var (
-	good    = Candidate{Healthy: true, Synchronized: true, Stable: true}
-	unfit   = Candidate{Synchronized: true, Stable: true}
-	lagging = Candidate{Healthy: true, Stable: true}
-	fresh   = Candidate{Healthy: true, Synchronized: true}
-	leaving = Candidate{Healthy: true, Synchronized: true, Stable: true, Leaving: true}
-	full    = Candidate{Reachable: true, Synchronized: true, Stable: true} // its disk refuses
+	good      = Candidate{Healthy: true, Synchronized: true, Stable: true}
+	unhealthy = Candidate{Synchronized: true, Stable: true}
+	lagging   = Candidate{Healthy: true, Stable: true}
+	unstable  = Candidate{Healthy: true, Synchronized: true}
+	leaving   = Candidate{Healthy: true, Synchronized: true, Stable: true, Leaving: true}
+	diskFull  = Candidate{Reachable: true, Synchronized: true, Stable: true}
 )
 
 func TestNext(t *testing.T) {
@@ -47,7 +48,7 @@
 		},
 		{
 			name: "a full disk in the middle", chain: "a b c", voters: "a b c",
-			candidates: map[string]Candidate{"a": good, "b": unfit, "c": good},
+			candidates: map[string]Candidate{"a": good, "b": unhealthy, "c": good},
 			want:       "a c", change: Change{Removal: true},
 		},
 		{
@@ -61,7 +62,7 @@
 		},
 		{
 			name: "a learner is added when it is steady and holds the state", chain: "a b", voters: "a b c d e",
-			candidates: map[string]Candidate{"a": good, "b": good, "c": good, "d": fresh, "e": lagging},
+			candidates: map[string]Candidate{"a": good, "b": good, "c": good, "d": unstable, "e": lagging},
 			want:       "a b c", change: Change{Addition: true},
 		},
 		{
@@ -76,17 +77,17 @@
 		},
 		{
 			name: "a member whose disk refuses goes", chain: "a b c", voters: "a b c",
-			candidates: map[string]Candidate{"a": full, "b": good, "c": good},
+			candidates: map[string]Candidate{"a": diskFull, "b": good, "c": good},
 			want:       "b c", change: Change{Removal: true},
 		},
 		{
 			name: "not before the others hold enough copies", chain: "a b c", voters: "a b c",
-			candidates: map[string]Candidate{"a": full, "b": good, "c": lagging},
+			candidates: map[string]Candidate{"a": diskFull, "b": good, "c": lagging},
 			want:       "b c a",
 		},
 		{
 			name: "while it stays, whoever can take the state is added before it", chain: "a b", voters: "a b c",
-			candidates: map[string]Candidate{"a": full, "b": good, "c": lagging},
+			candidates: map[string]Candidate{"a": diskFull, "b": good, "c": lagging},
 			want:       "b c a", change: Change{Addition: true},
 		},
 		{
@@ -96,7 +97,7 @@
 		},
 		{
 			name: "without any that holds the state and is fit there is no chain", chain: "a b", voters: "a b c",
-			candidates: map[string]Candidate{"a": full, "b": lagging, "c": lagging},
+			candidates: map[string]Candidate{"a": diskFull, "b": lagging, "c": lagging},
 		},
 		{
 			name: "a member that was told to end goes", chain: "a b c", voters: "a b c",
@@ -180,7 +181,7 @@
 	require.True(t, required.MetBy([]*pb.Replica{near, alsoNear}, []*pb.Replica{near, alsoNear}), "there is only one region")
 }
 
-// inZones returns replicas with candidates that are all good; each is named by its place, region and zone.
+// inZones returns replicas with candidates that are all good; the names begin with region and zone.
 func inZones(names ...string) ([]*pb.Replica, map[string]Candidate) {
 	candidates := make(map[string]Candidate, len(names))
 	var replicas []*pb.Replica
--- a/internal/chain/pacer.go
+++ b/internal/chain/pacer.go
@@ -1,20 +1,21 @@
 package chain
 
 const (
-	// minRetryTicks is the time, in ticks, before something is sent again.
+	// minRetryTicks is the shortest time, in ticks, before something is sent again.
 	minRetryTicks = 2
-	// slowLinkTickBytes is what a slow link carries in a tick.
+	// slowLinkTickBytes is what the slowest link that is provided for carries in a tick.
 	slowLinkTickBytes = 32 << 10
-	// compression is how much shorter large messages are on their way, at least.
+	// minCompressionRatio is the ratio, at least, by which large messages are compressed on the wire.
 	minCompressionRatio = 8
 )
 
-// pacing keeps large messages from being sent again while they may still be on their way. The zero value is due.
+// pacer delays the retry of a large message while it may still be in flight: sending it twice would only slow down a
+// slow link further. All times are in ticks. The zero value is due.
 type pacer struct {
-	retryTicks    int  // ticks until it is due
-	ageTicks      int  // ticks since it was sent
-	transitTicks  int  // ticks that it takes to the next machine by a slow link
-	isUndelivered bool // what was sent last
+	retryTicks    int  // until a retry is due
+	ageTicks      int  // since the last send
+	transitTicks  int  // that the message takes to the next machine over a slow link
+	isUndelivered bool // the last message is known not to have arrived
 }
 
 func (p *pacer) tick() {
@@ -24,7 +25,7 @@
 
 func (p *pacer) isDue() bool { return p.retryTicks == 0 }
 
-// sent notes that so many bytes were sent, over so many links until an answer can come.
+// recordSend starts the delays for a message of a size in bytes that crosses some links until it can be answered.
 func (p *pacer) recordSend(bytes, links int) {
 	p.retryTicks = minRetryTicks + links*bytes/slowLinkTickBytes
 	p.ageTicks = 0
@@ -32,14 +33,14 @@
 	p.isUndelivered = false
 }
 
-// isInFlight reports whether something large that was sent may not have reached the next machine yet, and is not known to
-// be lost. What is small is there within the shortest pause, and sent again after it.
+// isInFlight reports whether a large message may not have reached the next machine yet. A small one always has within
+// minRetryTicks, and is sent again after them.
 func (p *pacer) isInFlight() bool {
 	return p.transitTicks > minRetryTicks && p.retryTicks > 0 && p.ageTicks <= p.transitTicks && !p.isUndelivered
 }
 
-// lost notes that what was sent is not on its way any more. It is due at the next tick, or after the shortest pause
-// if it was lost at once, so that what is lost each time is sent no more often than a small message.
+// recordUndelivered makes a retry due at the next tick. A message that fails at once waits for minRetryTicks, so that
+// one that fails every time is sent no more often than a small one.
 func (p *pacer) recordUndelivered() {
 	p.retryTicks = min(p.retryTicks, max(0, minRetryTicks-p.ageTicks))
 	p.isUndelivered = true
--- a/internal/chain/position.go
+++ b/internal/chain/position.go
@@ -5,10 +5,30 @@
 	"fieldrelay/internal/quorum"
 )
 
+// Head is the first replica of the chain in force; nil without a view.
+func (r *Replica) Head() *pb.Replica {
+	chain := r.state.View.GetChain()
+	if len(chain) == 0 {
+		return nil
+	}
+	return chain[0]
+}
+
+// Tail is the last replica of the chain in force; nil without a view.
+func (r *Replica) Tail() *pb.Replica {
+	chain := r.state.View.GetChain()
+	if len(chain) == 0 {
+		return nil
+	}
+	return chain[len(chain)-1]
+}
+
+// position is this replica's index in the chain in force, or quorum.NotFound.
 func (r *Replica) position() int { return r.state.position(r.self) }
 
 func (r *Replica) isHead() bool { return r.position() == 0 }
 
+// isLearner reports whether the replica is outside of the chain in force.
 func (r *Replica) isLearner() bool {
 	return r.state.View != nil && r.position() == quorum.NotFound
 }
@@ -19,25 +39,7 @@
 	return position != quorum.NotFound && position == len(r.state.View.GetChain())-1
 }
 
-// Tail is the last replica of the chain in force; nil without a view.
-func (r *Replica) Tail() *pb.Replica {
-	chain := r.state.View.GetChain()
-	if len(chain) == 0 {
-		return nil
-	}
-	return chain[len(chain)-1]
-}
-
-// Head is the first replica of the chain in force; nil without a view.
-func (r *Replica) Head() *pb.Replica {
-	chain := r.state.View.GetChain()
-	if len(chain) == 0 {
-		return nil
-	}
-	return chain[0]
-}
-
-// upstream is the replica whose state this one takes: the predecessor, for learners the tail, nil for the head.
+// predecessor is the replica with which this one synchronizes. For a learner it is the tail, for the head nil.
 func (r *Replica) predecessor() *pb.Replica {
 	switch position := r.position(); position {
 	case 0:
@@ -49,7 +51,7 @@
 	}
 }
 
-// successor is nil for the tail and for learners.
+// successor is the next replica of the chain; nil for the tail and for learners.
 func (r *Replica) successor() *pb.Replica {
 	position := r.position()
 	if position == quorum.NotFound || r.isTail() {
@@ -59,8 +61,8 @@
 }
 
 func (r *Replica) isPredecessor(from *pb.Replica) bool {
-	upstream := r.predecessor()
-	return upstream != nil && upstream.GetIdentity() == from.GetIdentity()
+	predecessor := r.predecessor()
+	return predecessor != nil && predecessor.GetIdentity() == from.GetIdentity()
 }
 
 func (r *Replica) isSuccessor(from *pb.Replica) bool {
@@ -68,11 +70,11 @@
 	return successor != nil && successor.GetIdentity() == from.GetIdentity()
 }
 
-// serves reports whether another machine takes its state from this one.
-func (r *Replica) suppliesState(from *pb.Replica) bool {
-	if r.isSuccessor(from) {
+// suppliesState reports whether another machine synchronizes with this one.
+func (r *Replica) suppliesState(to *pb.Replica) bool {
+	if r.isSuccessor(to) {
 		return true
 	}
-	outside := quorum.IndexOf(r.state.View.GetChain(), from.GetIdentity()) == quorum.NotFound
+	outside := quorum.IndexOf(r.state.View.GetChain(), to.GetIdentity()) == quorum.NotFound
 	return r.isTail() && outside
 }
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -12,75 +12,80 @@
 	Message *pb.Message
 }
 
-// Output is what an event leads to.
+// Output is the reaction to an event.
 type Output struct {
-	// Writes must reach the disk together and in the order of the outputs; then Saved must be called once. No
-	// message in any output tells of a write that is not on disk.
+	// Writes must be persisted together and in the order of the outputs; then WritesPersisted must be called, once for
+	// each output that has any. No message in any output depends on a write that is not on disk.
 	Writes   []Write
 	Messages []OutgoingMessage
-	// Committed: the committed state is a newer one.
+	// Committed: Replica.Committed has advanced.
 	Committed bool
 }
 
-// Advertised is what other machines may be told about a replica: it is on disk.
+// Advertised is what a replica advertises to other machines: what it has on disk.
 type Advertised struct {
 	ViewNumber uint64
 	Sequence   uint64
-	// Synchronized: a member of the chain is a source for the next view; a learner follows the tail.
+	// Synchronized: as a member of the chain, the replica can be the head of the next chain; as a learner, it follows
+	// the tail.
 	Synchronized bool
 }
 
-// Replica is one machine's part in the chain.
+// Replica is one machine's part in the chain, or a learner outside of it. Its methods are events, which return what
+// must be done, and queries.
 type Replica struct {
 	self        string // identity
-	state       State  // after all writes that were handed out
-	unpersisted int    // outputs with writes that are not on disk yet
+	state       State  // after all writes of the outputs so far, on disk or not
+	unpersisted int    // number of outputs with writes that are not on disk yet
 	advertised  Advertised
 
-	// of the view in force
-	synchronized     bool   // holds the state of the view
-	commitKnown      bool   // something is known to be committed in this view
-	acknowledged     uint64 // by the successor
+	// These are reset with each view.
+	synchronized     bool   // holds the state of the view: its predecessor's, or its own if it is the head
+	commitKnown      bool   // something is known to be committed in the view
+	acknowledged     uint64 // sequence that the successor has acknowledged
 	appendPacer      pacer  // of appends to the successor
-	appendBase       uint64 // sequence of the copies that the last of these serves, and of later ones
-	heartbeatsBehind int    // heartbeats in a row that told of an upstream that is ahead
+	appendBase       uint64 // sequence on which the changes of the last append build
+	heartbeatsBehind int    // consecutive heartbeats of a predecessor that is ahead
 	request          *syncRequest
-	earlyRequests    map[string]*pb.Message // SyncRequests that came too early, by identity
-	responsePacers   map[string]*pacer      // of answers to SyncRequests, by identity
-	standbys         []*pb.Replica          // machines without a vote that took their state from this one
+	responsePacers   map[string]*pacer // of sync responses, by identity of the receiver
+	standbys         []*pb.Replica     // learners without a vote that have synchronized with this replica
 
-	previous    *catalog.Snapshot // before the last change; nil after a repair
-	committed   *catalog.Snapshot // newest known; nil before the first
-	incarnation uint64
+	earlyRequests map[string]*pb.Message // sync requests that cannot be answered yet, by identity of the sender
+	previous      *catalog.Snapshot      // before the last change; nil after a repair
+	committed     *catalog.Snapshot      // newest known; nil before the first
+	syncToken     uint64                 // of the last sync request
 }
 
-// maxEarlyRequests bounds the early requests that a replica remembers.
+// maxEarlyRequests bounds the early requests, and the receivers of sync responses, that a replica remembers.
 const maxEarlyRequests = 2 * quorum.MaxVoters
 
-// NewReplica resumes from what is on disk. The ticket tells the sync requests of this life from those of
-// earlier ones and must be another one after each start.
+// NewReplica resumes from the durable state. The incarnation must differ from run to run, by more than the number of
+// requests of a run: it is the first of the tokens that tell this run's sync requests from those of earlier ones.
 func NewReplica(identity string, state State, incarnation uint64) *Replica {
 	replica := &Replica{
-		self:        identity,
-		state:       state,
-		incarnation: incarnation,
+		self:      identity,
+		state:     state,
+		syncToken: incarnation,
 	}
 	replica.enterView()
 	replica.advertise()
 	return replica
 }
 
-// State is the state after all writes that were handed out.
+// State is the state after all writes of the outputs so far, on disk or not.
 func (r *Replica) State() State { return r.state }
 
-// Advertised is what other machines may be told.
+// Newest is the state on which the next change builds.
+func (r *Replica) Newest() *catalog.Snapshot { return r.state.Newest }
+
+// Advertised is what may be advertised to other machines.
 func (r *Replica) Advertised() Advertised { return r.advertised }
 
-// Committed is the newest state known to be committed; nil before the first is known.
+// Committed is the newest state that is known to be committed; nil before the first.
 func (r *Replica) Committed() *catalog.Snapshot { return r.committed }
 
-// ChangesSince returns the changes after sequence up to the committed state, oldest first; false when they
-// are not kept.
+// ChangesSince returns the changes after a sequence up to the committed state, oldest first; false when the history
+// does not reach back that far.
 func (r *Replica) ChangesSince(sequence uint64) ([]*pb.Change, bool) {
 	changes, found := r.state.History.Since(sequence)
 	if !found {
@@ -92,7 +97,7 @@
 	return changes, true
 }
 
-// RecentChanges returns the kept changes up to the committed state, oldest first.
+// RecentChanges returns the changes of the history up to the committed state, oldest first.
 func (r *Replica) RecentChanges() []*pb.Change {
 	committed := r.committed.Sequence()
 	for back := min(committed, catalog.HistoryMaxChanges); back > 0; back-- {
@@ -103,45 +108,8 @@
 	return nil
 }
 
-// Adopt moves to a later view that was decided. From now on messages of earlier views are refused.
-func (r *Replica) Adopt(view *pb.View) Output {
-	var output Output
-	if view.GetNumber() <= r.state.View.GetNumber() {
-		return output
-	}
-	r.leaveView()
-	r.state.View = view
-	r.enterView()
-	r.addWrite(&output, Write{View: view, SynchronizedView: r.state.SynchronizedView})
-	return output
-}
-
-// leaveView counts the view as covered if nothing can have been committed in it.
-func (r *Replica) leaveView() {
-	if r.state.isSource(r.self) {
-		r.state.SynchronizedView = max(r.state.SynchronizedView, r.state.View.GetNumber())
-	}
-}
-
-// enterView sets what belongs to a view. The head's state is that of the view by definition.
-func (r *Replica) enterView() {
-	number := r.state.View.GetNumber()
-	position := r.state.position(r.self)
-	if position == 0 && r.state.SynchronizedView+1 == number {
-		r.state.SynchronizedView = number
-	}
-	r.synchronized = position != quorum.NotFound && r.state.SynchronizedView == number
-	r.commitKnown = false
-	r.acknowledged = 0
-	r.appendPacer = pacer{}
-	r.heartbeatsBehind = 0
-	r.request = nil
-	r.responsePacers = make(map[string]*pacer)
-	r.standbys = nil
-	r.discardStaleRequests()
-}
-
-// AcceptsProposals reports whether the replica is the head and takes another change: the one before is committed.
+// AcceptsProposals reports whether the replica is the head and the change before is committed, so that it takes
+// another.
 func (r *Replica) AcceptsProposals() bool {
 	return r.isHead() && r.FullyCommitted()
 }
@@ -157,10 +125,8 @@
 // KnowsCommitted reports whether the replica knows what is committed in its view.
 func (r *Replica) KnowsCommitted() bool { return r.synchronized && r.commitKnown }
 
-// Newest is the state that the next change builds on.
-func (r *Replica) Newest() *catalog.Snapshot { return r.state.Newest }
-
-// Propose appends a change at the head; it must be open and the change must follow Newest.
+// Propose appends a change at the head. AcceptsProposals must hold. The error is a *catalog.SequenceError if the change
+// does not follow Newest.
 func (r *Replica) Propose(change *pb.Change) (Output, error) {
 	var output Output
 	if err := r.applyChange(&output, change); err != nil {
@@ -169,7 +135,8 @@
 	return output, nil
 }
 
-// WritesPersisted tells that the writes of the oldest output that had some are on disk.
+// WritesPersisted must be called when the writes of the oldest output that had some, and has not been confirmed yet,
+// are on disk.
 func (r *Replica) WritesPersisted() Output {
 	var output Output
 	r.unpersisted--
@@ -180,12 +147,12 @@
 	return output
 }
 
-// Tick repeats what got no answer. It is meant to be called every 100 to 200 ms.
+// Tick retries what was not answered. It is meant to be called every 100 to 200 ms.
 func (r *Replica) Tick() Output {
 	var output Output
 	r.appendPacer.tick()
-	for _, answered := range r.responsePacers {
-		answered.tick()
+	for _, responsePacer := range r.responsePacers {
+		responsePacer.tick()
 	}
 	if r.unpersisted > 0 || r.state.View == nil {
 		return output
@@ -201,32 +168,16 @@
 	return output
 }
 
-// Reachable notes how far another machine's copy reaches. If the upstream stays ahead, its state is asked for.
-func (r *Replica) ObserveHeartbeat(from *pb.Replica, heartbeat *pb.Heartbeat) Output {
-	var output Output
-	if !r.isPredecessor(from) || heartbeat.GetViewNumber() != r.state.View.GetNumber() {
-		return output
-	}
-	if heartbeat.GetSequence() <= r.state.Newest.Sequence() || r.unpersisted > 0 || !r.synchronized {
-		r.heartbeatsBehind = 0
-		return output
-	}
-	r.heartbeatsBehind++
-	if r.heartbeatsBehind > 1 && r.request == nil {
-		r.requestSync(&output)
-	}
-	return output
-}
-
+// advertise updates what the replica advertises. All of the state must be on disk.
 func (r *Replica) advertise() {
 	r.advertised = Advertised{
 		ViewNumber:   r.state.View.GetNumber(),
 		Sequence:     r.state.Newest.Sequence(),
-		Synchronized: r.state.isSource(r.self) || (r.isLearner() && r.synchronized),
+		Synchronized: r.state.isSynchronized(r.self) || (r.isLearner() && r.synchronized),
 	}
 }
 
-// proceed does what was waiting for the disk.
+// resume does what had to wait until the writes were on disk.
 func (r *Replica) resume(output *Output) {
 	if r.state.View == nil {
 		return
@@ -249,13 +200,7 @@
 	}
 }
 
-func (r *Replica) addWrite(output *Output, write Write) {
-	if len(output.Writes) == 0 {
-		r.unpersisted++
-	}
-	output.Writes = append(output.Writes, write)
-}
-
+// applyChange adds a change to the state and the output.
 func (r *Replica) applyChange(output *Output, change *pb.Change) error {
 	next, err := r.state.Newest.Apply(change)
 	if err != nil {
@@ -267,3 +212,14 @@
 	r.addWrite(output, Write{Change: change, SynchronizedView: r.state.SynchronizedView})
 	return nil
 }
+
+func (r *Replica) addWrite(output *Output, write Write) {
+	if len(output.Writes) == 0 {
+		r.unpersisted++
+	}
+	output.Writes = append(output.Writes, write)
+}
+
+func (r *Replica) send(output *Output, to *pb.Replica, message *pb.Message) {
+	output.Messages = append(output.Messages, OutgoingMessage{To: to, Message: message})
+}
--- a/internal/chain/replica_test.go
+++ b/internal/chain/replica_test.go
@@ -13,6 +13,7 @@
 
 // founded returns three replicas in view 1, with a as the head and c as the tail.
 func newRunningCluster(t *testing.T) *cluster {
+	t.Helper()
 	c := newCluster(t, three...)
 	c.adopt(viewNamed(1, three, three...), three...)
 	c.runUntilQuiet(three...)
@@ -45,11 +46,11 @@
 func TestNothingLeavesBeforeItIsOnDisk(t *testing.T) {
 	c := newRunningCluster(t)
 	c.propose("a", "x")
-	require.Empty(t, c.messages, "the head has not saved")
+	require.Empty(t, c.messages, "the head has not persisted it")
 	c.persist("a")
 	require.Len(t, c.messages, 1)
 	c.deliver("b", c.messages[0].Message)
-	require.Len(t, c.messages, 1, "b has not saved")
+	require.Len(t, c.messages, 1, "b has not persisted it")
 	require.Equal(t, uint64(0), c.replicas["b"].Advertised().Sequence)
 	c.persist("b")
 	require.Len(t, c.messages, 2)
@@ -76,7 +77,7 @@
 	c.requireCommitted("2 x y", "d")
 }
 
-// A machine that stands by without a vote is told of changes as soon as voters outside of the chain are.
+// A standby without a vote receives changes at the same time as the voters outside of the chain.
 func TestAMachineThatStandsByFollowsTheTail(t *testing.T) {
 	four := []string{"a", "b", "c", "d"}
 	c := newCluster(t, four...)
@@ -94,7 +95,7 @@
 	c.adopt(viewNamed(2, four, three...), four...)
 	c.runUntilQuiet(four...)
 	c.propose("a", "y")
-	require.Len(t, c.replicas["c"].learners(), 1, "it votes now and is told once")
+	require.Len(t, c.replicas["c"].learners(), 1, "it votes now and receives each change once")
 }
 
 func TestNewChainTakesTheStateOfItsHead(t *testing.T) {
@@ -141,7 +142,7 @@
 	c.requireNewest("0", "b", "c")
 }
 
-// An append of an earlier view comes late, from a machine that is upstream again.
+// An append of an earlier view arrives late, from a machine that is the predecessor again.
 func TestAppendOfAnEarlierViewIsRefused(t *testing.T) {
 	c := newRunningCluster(t)
 	c.holdBack = func(message *pb.Message) bool { return message.GetAppend() != nil }
@@ -160,7 +161,7 @@
 	c.requireNewest("0", three...)
 }
 
-// An acknowledgement of an earlier view comes late: it was for a change that was dropped since.
+// An acknowledgement of an earlier view arrives late: it was for a change that was discarded since.
 func TestAcknowledgementOfAnEarlierViewIsRefused(t *testing.T) {
 	c := newCluster(t, "a", "b")
 	two := []string{"a", "b"}
@@ -188,13 +189,13 @@
 	c.restart("b", 77_000)
 	c.holdBack = func(message *pb.Message) bool { return message.GetSyncRequest() != nil }
 	c.collect("b", c.replicas["b"].Tick())
-	require.NotNil(t, c.replicas["b"].request, "this life has asked too")
+	require.NotNil(t, c.replicas["b"].request, "this run has sent a request too")
 	c.holdBack = nil
 	for _, message := range old {
 		c.deliver("b", message)
 	}
 	require.False(t, c.replicas["b"].FullyCommitted())
-	require.Empty(t, c.unpersisted["b"], "the answer was for another life's request")
+	require.Empty(t, c.unpersisted["b"], "the answer was for a request of an earlier run")
 	c.tick(8, three...)
 	require.True(t, c.replicas["b"].FullyCommitted())
 	c.deliver("b", old[0])
@@ -204,7 +205,7 @@
 func TestEarlySyncRequestIsAnsweredLater(t *testing.T) {
 	c := newRunningCluster(t)
 	c.adopt(viewNamed(2, three, three...), "b", "c")
-	c.runUntilQuiet("b", "c") // a has not learnt of the view
+	c.runUntilQuiet("b", "c") // a has not adopted the view
 	require.False(t, c.replicas["b"].FullyCommitted())
 	c.adopt(viewNamed(2, three, three...), "a")
 	c.runUntilQuiet(three...)
@@ -242,15 +243,15 @@
 	tests := []struct {
 		name string
 		run  func(c *cluster)
-		want map[string]bool // Published.Holds
+		want map[string]bool // Advertised.Synchronized
 	}{
 		{
-			name: "all of a chain that has synchronised",
+			name: "all of a chain that has synchronized",
 			run:  func(*cluster) {},
 			want: map[string]bool{"a": true, "b": true, "c": true},
 		},
 		{
-			name: "members that have not synchronised, if nothing can have been committed without them",
+			name: "members that have not synchronized, if nothing can have been committed without them",
 			run: func(c *cluster) {
 				c.partitioned["a"] = true
 				c.adopt(viewNamed(2, three, "a", "b", "c"), "b", "c")
--- a/internal/chain/state.go
+++ b/internal/chain/state.go
@@ -8,21 +8,21 @@
 	"fieldrelay/internal/quorum"
 )
 
-// State is what a replica has on disk.
+// State is the durable state of a replica.
 type State struct {
-	View             *pb.View // in force; nil before founding or joining
-	SynchronizedView uint64   // all that was committed in views up to this one is in Newest
+	View             *pb.View // in force; nil before the machine has joined a view
+	SynchronizedView uint64   // Newest holds all that was committed in the views up to this one
 	Newest           *catalog.Snapshot
-	// History keeps the last changes that led to Newest. It belongs to the replica that is made of the state.
+	// History keeps the last changes that led to Newest. The replica that is created from the state owns it.
 	History *catalog.History
 }
 
-// EmptyState is the state of an empty disk.
+// EmptyState returns the state of an empty disk.
 func EmptyState() State {
 	return State{Newest: catalog.Empty(), History: catalog.NewHistory(0)}
 }
 
-// Write is one step of a State. Of View, Change and Repair at most one is set.
+// Write is one durable step of a State. At most one of View, Change and Repair is set.
 type Write struct {
 	SynchronizedView uint64
 	View             *pb.View
@@ -30,7 +30,8 @@
 	Repair           *pb.Repair
 }
 
-// Apply brings the state forward by a write. The error is one of package catalog: the write does not fit.
+// Apply advances the state by a write, in the order in which the writes were made. The error wraps one of package
+// catalog: the write does not follow the state, which then stays as it was.
 func (s *State) Apply(write Write) error {
 	next := s.Newest
 	var err error
@@ -51,6 +52,7 @@
 	return nil
 }
 
+// recordHistory adds a change to the history. A repair ends it: the changes that led there are unknown.
 func (s *State) recordHistory(write Write) {
 	if write.Change != nil {
 		s.History.Add(write.Change)
@@ -60,13 +62,13 @@
 	}
 }
 
-// position is the place of an identity in the state's chain, or quorum.NotFound.
+// position is the index of an identity in the chain in force, or quorum.NotFound.
 func (s *State) position(identity string) int {
 	return quorum.IndexOf(s.View.GetChain(), identity)
 }
 
-// isSource reports whether the replica holds all that was committed up to the view in force, or nothing can
-// have been committed there without it.
-func (s *State) isSource(identity string) bool {
+// isSynchronized reports whether the replica is a member of the chain in force and holds all that was committed: it is
+// synchronized with the view before it, and in this one nothing can have been committed without it.
+func (s *State) isSynchronized(identity string) bool {
 	return s.position(identity) != quorum.NotFound && s.SynchronizedView+1 >= s.View.GetNumber()
 }
--- /dev/null
+++ b/internal/chain/sync_request.go
@@ -0,0 +1,158 @@
+package chain
+
+import (
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/catalog"
+)
+
+// Ticks before a sync request is sent again: first, and at most.
+const (
+	firstSyncRetryTicks = 2
+	maxSyncRetryTicks   = 4
+)
+
+// syncRequest is a request for the predecessor's state that is not answered yet. A retry that sends the digests of the
+// same snapshot continues the request, under a token of its own.
+type syncRequest struct {
+	firstToken uint64            // of the first attempt
+	lastToken  uint64            // of the last attempt: an answer to any of them will do
+	base       *catalog.Snapshot // whose digests were sent
+	ageTicks   int               // since the last attempt
+	retryTicks int               // from the last attempt to the next
+}
+
+func (s *syncRequest) isAnsweredBy(token uint64) bool {
+	return token >= s.firstToken && token <= s.lastToken
+}
+
+// A repair lists what differs from the very digests that were sent, so each response must be matched with its request.
+// The request's token is sent as one more digest after those of the ranges. It comes back as one more range, with a
+// single item whose sequence is the token.
+const tokenRange = catalog.RangeCount
+
+// splitToken returns a repair without its token, and the token; 0 if there is none.
+func splitToken(repair *pb.Repair) (*pb.Repair, uint64) {
+	last := len(repair.GetRanges()) - 1
+	if last < 0 || repair.GetRanges()[last].GetIndex() != tokenRange {
+		return repair, 0
+	}
+	items := repair.GetRanges()[last].GetItems()
+	if len(items) != 1 {
+		return repair, 0
+	}
+	withoutToken := &pb.Repair{
+		Sequence:   repair.GetSequence(),
+		Generation: repair.GetGeneration(),
+		Ranges:     repair.GetRanges()[:last],
+		Taken:      repair.GetTaken(),
+	}
+	return withoutToken, items[0].GetSequence()
+}
+
+// ObserveHeartbeat compares the sequence that the predecessor advertises with this replica's. If two consecutive
+// heartbeats are ahead, an append was lost, and the replica requests the predecessor's state. One may only have
+// overtaken an append.
+func (r *Replica) ObserveHeartbeat(from *pb.Replica, heartbeat *pb.Heartbeat) Output {
+	var output Output
+	if !r.isPredecessor(from) || heartbeat.GetViewNumber() != r.state.View.GetNumber() {
+		return output
+	}
+	if heartbeat.GetSequence() <= r.state.Newest.Sequence() || r.unpersisted > 0 || !r.synchronized {
+		r.heartbeatsBehind = 0
+		return output
+	}
+	r.heartbeatsBehind++
+	if r.heartbeatsBehind > 1 && r.request == nil {
+		r.requestSync(&output)
+	}
+	return output
+}
+
+// requestSyncOnce requests the predecessor's state unless a request is pending.
+func (r *Replica) requestSyncOnce(output *Output) {
+	if r.request == nil {
+		r.requestSync(output)
+	}
+}
+
+// requestSync sends a request for the predecessor's state: a retry if the pending one was for the same snapshot.
+func (r *Replica) requestSync(output *Output) {
+	r.syncToken++
+	if r.request == nil || r.request.base != r.state.Newest {
+		r.request = &syncRequest{firstToken: r.syncToken, base: r.state.Newest, retryTicks: firstSyncRetryTicks}
+	} else {
+		r.request.retryTicks = min(2*r.request.retryTicks, maxSyncRetryTicks)
+	}
+	r.request.lastToken = r.syncToken
+	r.request.ageTicks = 0
+	predecessor := r.predecessor()
+	if predecessor == nil {
+		return
+	}
+	digests := r.state.Newest.ReplicaDigests()
+	digests.Digests = append(digests.Digests, r.syncToken)
+	r.send(output, predecessor, &pb.Message{Body: &pb.Message_SyncRequest{SyncRequest: &pb.SyncRequest{
+		ViewNumber: r.state.View.GetNumber(),
+		Digests:    digests,
+		Follows:    r.synchronized,
+	}}})
+}
+
+// retrySync counts a tick of the pending request and retries it when it is due; without one it sends the first.
+func (r *Replica) retrySync(output *Output) {
+	if r.request == nil {
+		r.requestSync(output)
+		return
+	}
+	r.request.ageTicks++
+	if r.request.ageTicks >= r.request.retryTicks {
+		r.requestSync(output)
+	}
+}
+
+// SyncResponse handles the predecessor's answer to a sync request.
+func (r *Replica) SyncResponse(from *pb.Replica, message *pb.SyncResponse) Output {
+	var output Output
+	if !r.isCurrent(message.GetViewNumber()) || !r.isPredecessor(from) || r.request == nil || r.unpersisted > 0 {
+		return output
+	}
+	repair, token := splitToken(message.GetRepair())
+	if !r.request.isAnsweredBy(token) || r.request.base != r.state.Newest {
+		return output
+	}
+	if r.synchronized && repair.GetSequence() <= r.state.Newest.Sequence() {
+		r.request = nil
+		return output
+	}
+	r.restoreState(&output, repair)
+	return output
+}
+
+// restoreState replaces the state by the predecessor's, which may discard changes that only this replica has. A
+// malformed repair changes nothing; the request is then retried.
+func (r *Replica) restoreState(output *Output, repair *pb.Repair) {
+	next, err := r.state.Newest.Restore(repair)
+	if err != nil {
+		return
+	}
+	r.request = nil
+	r.heartbeatsBehind = 0
+	if !r.isLearner() {
+		r.state.SynchronizedView = r.state.View.GetNumber()
+	}
+	same := next.SameAs(r.state.Newest)
+	r.synchronized = true
+	if same && r.isLearner() {
+		r.advertise()
+		r.markCommitted(output, r.state.Newest)
+		return
+	}
+	if same {
+		r.addWrite(output, Write{SynchronizedView: r.state.SynchronizedView})
+		return
+	}
+	r.previous = nil
+	r.state.Newest = next
+	r.state.History.Reset(next.Sequence())
+	r.addWrite(output, Write{Repair: repair, SynchronizedView: r.state.SynchronizedView})
+}
--- /dev/null
+++ b/internal/chain/sync_response.go
@@ -0,0 +1,122 @@
+package chain
+
+import (
+	"google.golang.org/protobuf/proto"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/quorum"
+)
+
+// SyncRequest handles a request for this replica's state. It is answered at once, or when the replica holds the state
+// of the request's view, which it may not even have adopted yet.
+func (r *Replica) SyncRequest(message *pb.Message) Output {
+	var output Output
+	number := message.GetSyncRequest().GetViewNumber()
+	if number < r.state.View.GetNumber() {
+		return output
+	}
+	if r.isCurrent(number) && r.synchronized && r.unpersisted == 0 {
+		r.answerSync(&output, message)
+		return output
+	}
+	r.storeEarlyRequest(message)
+	return output
+}
+
+// storeEarlyRequest stores a request for later, the newest of each machine.
+func (r *Replica) storeEarlyRequest(message *pb.Message) {
+	if r.earlyRequests == nil {
+		r.earlyRequests = make(map[string]*pb.Message)
+	}
+	identity := message.GetFrom().GetIdentity()
+	if _, known := r.earlyRequests[identity]; known || len(r.earlyRequests) < maxEarlyRequests {
+		r.earlyRequests[identity] = message
+	}
+}
+
+// discardStaleRequests discards the early requests of views before the one in force.
+func (r *Replica) discardStaleRequests() {
+	for identity, message := range r.earlyRequests {
+		if message.GetSyncRequest().GetViewNumber() < r.state.View.GetNumber() {
+			delete(r.earlyRequests, identity)
+		}
+	}
+}
+
+// answerEarlyRequests answers the voters' early requests. Other machines retry theirs.
+func (r *Replica) answerEarlyRequests(output *Output) {
+	for _, voter := range r.state.View.GetVoters() {
+		message, found := r.earlyRequests[voter.GetIdentity()]
+		if found && r.isCurrent(message.GetSyncRequest().GetViewNumber()) {
+			r.answerSync(output, message)
+			delete(r.earlyRequests, voter.GetIdentity())
+		}
+	}
+}
+
+// answerSync sends what the digests of a request lack, unless the sender is no successor or learner of this replica, or
+// the same may still be on its way to it.
+func (r *Replica) answerSync(output *Output, message *pb.Message) {
+	request := message.GetSyncRequest()
+	digests := request.GetDigests()
+	if !r.suppliesState(message.GetFrom()) || len(digests.GetDigests()) != catalog.RangeCount+1 {
+		return
+	}
+	if request.GetFollows() && r.isSuccessor(message.GetFrom()) && r.isAppendInFlight(digests.GetSequence()) {
+		return
+	}
+	r.addStandby(message.GetFrom())
+	responsePacer := r.responsePacer(message.GetFrom().GetIdentity())
+	if !responsePacer.isDue() {
+		return
+	}
+	response := &pb.SyncResponse{ViewNumber: r.state.View.GetNumber(), Repair: r.repairWithToken(digests)}
+	if size := proto.Size(response); size > slowLinkTickBytes {
+		responsePacer.recordSend(size, 1)
+	}
+	r.send(output, message.GetFrom(), &pb.Message{Body: &pb.Message_SyncResponse{SyncResponse: response}})
+}
+
+// repairWithToken returns the repair for the digests of a request, with the token that stands after them.
+func (r *Replica) repairWithToken(digests *pb.RangeDigests) *pb.Repair {
+	token := digests.GetDigests()[tokenRange]
+	repair := r.state.Newest.ReplicaRepairFor(&pb.RangeDigests{
+		Sequence:   digests.GetSequence(),
+		Generation: digests.GetGeneration(),
+		Digests:    digests.GetDigests()[:catalog.RangeCount],
+		Taken:      digests.GetTaken(),
+	})
+	repair.Ranges = append(repair.Ranges, &pb.Range{
+		Index: tokenRange,
+		Items: []*pb.Item{{Sequence: token}},
+	})
+	return repair
+}
+
+// addStandby remembers a machine that neither votes nor is in the chain, so that it receives what is committed from now
+// on in this view.
+func (r *Replica) addStandby(from *pb.Replica) {
+	identity := from.GetIdentity()
+	view := r.state.View
+	votes := quorum.IndexOf(view.GetVoters(), identity) != quorum.NotFound
+	inChain := r.state.position(identity) != quorum.NotFound
+	known := quorum.IndexOf(r.standbys, identity) != quorum.NotFound
+	if votes || inChain || known || len(r.standbys) >= quorum.MaxVoters {
+		return
+	}
+	r.standbys = append(r.standbys, from)
+}
+
+// responsePacer returns the pacer of responses to a machine. Beyond the first machines of a view it is not remembered,
+// so that their requests are always answered.
+func (r *Replica) responsePacer(identity string) *pacer {
+	responsePacer, known := r.responsePacers[identity]
+	if !known {
+		responsePacer = &pacer{}
+		if len(r.responsePacers) < maxEarlyRequests {
+			r.responsePacers[identity] = responsePacer
+		}
+	}
+	return responsePacer
+}
--- a/internal/chain/undelivered_test.go
+++ b/internal/chain/undelivered_test.go
@@ -9,8 +9,9 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// proposeUndelivered has a large change of the head lost on its way to the next machine, and returns the message.
+// proposeUndelivered loses a large change of the head on its way to the successor, and returns the message.
 func proposeUndelivered(t *testing.T) (*cluster, *pb.Message) {
+	t.Helper()
 	c := newRunningCluster(t)
 	c.propose("a", strings.Repeat("x", 4*slowLinkTickBytes))
 	c.persist("a")
@@ -21,6 +22,7 @@
 	return c, lost
 }
 
+// appendsAfter counts the appends that the head sends in a number of ticks.
 func (c *cluster) appendsAfter(ticks int) int {
 	count := 0
 	for range ticks {
@@ -70,17 +72,17 @@
 	}
 }
 
-// An answer to a request for the state is given again as soon as it is known to be lost and asked for again.
+// A sync response is sent again as soon as it is known to be lost and requested again.
 func TestAnAnswerThatWasLostIsGivenAgain(t *testing.T) {
 	c, _ := proposeUndelivered(t)
 	c.holdBack = func(message *pb.Message) bool { return message.GetSyncResponse() != nil }
-	asked := c.syncRequestOf("b")
-	asked.Follows = false // while the change may be on its way, a copy that follows gets no answer
-	request := &pb.Message{From: replicaNamed("b"), Body: &pb.Message_SyncRequest{SyncRequest: asked}}
+	syncRequest := c.syncRequestOf("b")
+	syncRequest.Follows = false // while the append may be in flight, a synchronized replica gets no answer
+	request := &pb.Message{From: replicaNamed("b"), Body: &pb.Message_SyncRequest{SyncRequest: syncRequest}}
 	c.deliver("a", request)
 	require.Len(t, c.heldBack, 1)
 	c.deliver("a", request)
-	require.Len(t, c.heldBack, 1, "it may be on its way")
+	require.Len(t, c.heldBack, 1, "it may be in flight")
 	lost := c.heldBack[0]
 	lost.ToIdentity = "b"
 	c.appendsAfter(minRetryTicks)
@@ -89,7 +91,7 @@
 	require.Len(t, c.heldBack, 2)
 }
 
-// syncRequestOf is what a replica asks its upstream.
+// syncRequestOf returns the request that a replica sends its predecessor.
 func (c *cluster) syncRequestOf(name string) *pb.SyncRequest {
 	var output Output
 	c.replicas[name].requestSync(&output)
--- /dev/null
+++ b/internal/chain/view.go
@@ -0,0 +1,51 @@
+package chain
+
+import (
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/quorum"
+)
+
+// Adopt enters a later view that was decided. From now on messages of earlier views are rejected, so that a head of an
+// earlier view cannot commit any more. An earlier view, or the one in force, changes nothing.
+func (r *Replica) Adopt(view *pb.View) Output {
+	var output Output
+	if view.GetNumber() <= r.state.View.GetNumber() {
+		return output
+	}
+	r.leaveView()
+	r.state.View = view
+	r.enterView()
+	r.addWrite(&output, Write{View: view, SynchronizedView: r.state.SynchronizedView})
+	return output
+}
+
+// leaveView raises the synchronized view to the one in force if nothing can have been committed in it without this
+// replica: from now on it acknowledges nothing there.
+func (r *Replica) leaveView() {
+	if r.state.isSynchronized(r.self) {
+		r.state.SynchronizedView = max(r.state.SynchronizedView, r.state.View.GetNumber())
+	}
+}
+
+// enterView resets what belongs to a view. The state of a synchronized head is that of the view by definition.
+func (r *Replica) enterView() {
+	number := r.state.View.GetNumber()
+	position := r.state.position(r.self)
+	if position == 0 && r.state.SynchronizedView+1 == number {
+		r.state.SynchronizedView = number
+	}
+	r.synchronized = position != quorum.NotFound && r.state.SynchronizedView == number
+	r.commitKnown = false
+	r.acknowledged = 0
+	r.appendPacer = pacer{}
+	r.heartbeatsBehind = 0
+	r.request = nil
+	r.responsePacers = make(map[string]*pacer)
+	r.standbys = nil
+	r.discardStaleRequests()
+}
+
+// isCurrent reports whether a message of a view number belongs to the view in force.
+func (r *Replica) isCurrent(number uint64) bool {
+	return r.state.View != nil && number == r.state.View.GetNumber()
+}
