--- a/internal/catalog/amend.go
+++ b/internal/catalog/amend.go
@@ -35,17 +35,17 @@
 		w.amendSetting(part)
 		return
 	}
-	dropped := make(map[string]bool, len(removed))
+	removedNames := make(map[string]bool, len(removed))
 	for _, name := range removed {
-		dropped[name] = true
+		removedNames[name] = true
 	}
 	if part.name == KindRoutes {
-		w.sent.add(part.entries)
+		w.submitted.add(part.entries)
 	}
-	w.ensureCollection(part.name)
+	w.upsertCollection(part.name)
 	last := w.lastOrder(part.name)
 	for _, wanted := range part.entries {
-		if dropped[wanted.name] {
+		if removedNames[wanted.name] {
 			continue
 		}
 		order := last + orderGap
@@ -66,8 +66,8 @@
 	}
 }
 
-// ensureCollection keeps the place of a collection among the members of the configuration.
-func (w *changeWriter) ensureCollection(kind string) {
+// upsertCollection keeps the place of a collection among the members of the configuration.
+func (w *changeWriter) upsertCollection(kind string) {
 	w.upsert(KindSetting, kind, w.settingOrder(kind), emptyList)
 }
 
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -35,7 +35,7 @@
 // isOperatorKind reports whether a kind's items come from the configuration and go when a configuration does
 // not name them.
 func isOperatorKind(kind string) bool {
-	return kind != KindEvacuation && kind != kindTaken
+	return kind != KindEvacuation && kind != legacyOrderKind
 }
 
 // isCollection reports whether a list of this name may be kept as items of their own. The names of this
--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -53,27 +53,27 @@
 // parseDocument takes the members of an object apart. Where a name comes twice, the last one counts.
 func parseDocument(object []byte, faults *InvalidError) document {
 	var parsed document
-	places := make(map[string]int)
+	indexes := make(map[string]int)
 	for key, value := range jsonwalk.Members(object) {
 		name := jsonwalk.TextOf(key)
 		if name == memberGeneration {
 			continue
 		}
 		next := parseSection(name, value, faults)
-		if place, twice := places[name]; twice {
-			parsed.sections[place] = next
+		if index, duplicate := indexes[name]; duplicate {
+			parsed.sections[index] = next
 			continue
 		}
-		places[name] = len(parsed.sections)
+		indexes[name] = len(parsed.sections)
 		parsed.sections = append(parsed.sections, next)
 	}
 	return parsed
 }
 
 func parseSection(name string, value []byte, faults *InvalidError) section {
-	whole := section{name: name, body: value}
+	setting := section{name: name, body: value}
 	if !isCollection(name) {
-		return whole
+		return setting
 	}
 	required := name == KindRoutes || name == KindBackends
 	if required && jsonwalk.IsNull(value) {
@@ -83,14 +83,14 @@
 		if required {
 			faults.add("", name, "is not a list")
 		}
-		return whole
+		return setting
 	}
 	entries, problem := namedEntries(value)
 	if problem != "" {
 		if required {
 			faults.add("", name, "%s", problem)
 		}
-		return whole
+		return setting
 	}
 	return section{name: name, collection: true, entries: entries}
 }
@@ -99,13 +99,13 @@
 func namedEntries(array []byte) (entries []entry, problem string) {
 	seen := make(map[string]bool)
 	for element := range jsonwalk.Elements(array) {
-		place := strconv.Itoa(len(entries))
+		index := strconv.Itoa(len(entries))
 		if !jsonwalk.IsObject(element) {
-			return nil, "element " + place + " is not an object"
+			return nil, "element " + index + " is not an object"
 		}
 		quoted := jsonwalk.Member(element, "name")
 		if !jsonwalk.IsString(quoted) {
-			return nil, "element " + place + " has no name"
+			return nil, "element " + index + " has no name"
 		}
 		name := jsonwalk.Text(quoted)
 		if seen[name] {
@@ -161,8 +161,8 @@
 // largestExactFloat is the end of the whole numbers that a float64 holds exactly.
 const largestExactFloat = 1 << 53
 
-// wholeNumber reads a number that is not negative and has no fraction, however it is written (7, 7.0, 7e0).
-func wholeNumber(value []byte) (uint64, bool) {
+// parseInteger reads a number that is not negative and has no fraction, however it is written (7, 7.0, 7e0).
+func parseInteger(value []byte) (uint64, bool) {
 	if number, err := strconv.ParseUint(string(value), 10, 64); err == nil {
 		return number, true
 	}
@@ -173,14 +173,14 @@
 	return uint64(number), true
 }
 
-// generationOf reads the gen of an order and checks that it is above the current one.
-func generationOf(object []byte, current uint64, faults *InvalidError) uint64 {
+// parseGeneration reads the gen of an order and checks that it is above the current one.
+func parseGeneration(object []byte, current uint64, faults *InvalidError) uint64 {
 	value := jsonwalk.Member(object, memberGeneration)
 	if value == nil {
 		faults.add("", memberGeneration, "is missing")
 		return 0
 	}
-	generation, ok := wholeNumber(value)
+	generation, ok := parseInteger(value)
 	if !ok {
 		faults.add("", memberGeneration, "is not a whole number")
 		return 0
--- a/internal/catalog/earlier_test.go
+++ b/internal/catalog/earlier_version_test.go
@@ -10,9 +10,9 @@
 	"fieldrelay/internal/catalog"
 )
 
-// heldByEarlier is a state as an earlier version may have left it on disk: routes that only this version takes to be on
+// stateOfEarlierVersion is a state as an earlier version may have left it on disk: routes that only this version takes to be on
 // one place, one that could never be judged, and one that names a service that is not there.
-func heldByEarlier(t require.TestingT) *catalog.Snapshot {
+func stateOfEarlierVersion(t require.TestingT) *catalog.Snapshot {
 	change := &pb.Change{Sequence: 1, Generation: 5, Taken: make([]byte, 16)}
 	put := func(kind, name, body string) {
 		change.Upserts = append(change.Upserts, &pb.Item{
@@ -50,7 +50,7 @@
 	}
 	for name, body := range cases {
 		t.Run(name, func(t *testing.T) {
-			next := amended(t, heldByEarlier(t), body)
+			next := amended(t, stateOfEarlierVersion(t), body)
 			require.EqualValues(t, 6, next.Generation())
 		})
 	}
@@ -76,14 +76,14 @@
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			held := heldByEarlier(t)
+			held := stateOfEarlierVersion(t)
 			_, err := catalog.PrepareAmend(held, held.Generation(), []byte(one.body))
 			var invalid *catalog.InvalidError
 			require.ErrorAs(t, err, &invalid)
 			require.Contains(t, err.Error(), one.fault)
 		})
 	}
-	held := heldByEarlier(t)
+	held := stateOfEarlierVersion(t)
 	_, err := catalog.PrepareReplace(held, held.Generation(), configuration(6, route("a", `"path-prefix":"/x/"`),
 		route("b", `"path-prefix":"/x/"`, `"vhost":"h.example:80"`)))
 	var invalid *catalog.InvalidError
--- a/internal/catalog/errors.go
+++ b/internal/catalog/errors.go
@@ -23,11 +23,11 @@
 
 // String names the item and field and tells the reason.
 func (fault Fault) String() string {
-	place := strings.Trim(fault.Item+" "+fault.Field, " ")
-	if place == "" {
+	subject := strings.Trim(fault.Item+" "+fault.Field, " ")
+	if subject == "" {
 		return fault.Reason
 	}
-	return place + ": " + fault.Reason
+	return subject + ": " + fault.Reason
 }
 
 // InvalidError refuses a configuration that cannot be read or breaks a rule of the operator's API.
--- a/internal/catalog/taken_bench_test.go
+++ b/internal/catalog/executed_orders_bench_test.go
@@ -17,7 +17,7 @@
 	for _, count := range []int{1, changesOfADay} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			before := heapBytes()
-			snapshot, _ := takeOrders(b, catalog.Empty(), count, "a")
+			snapshot, _ := executeOrders(b, catalog.Empty(), count, "a")
 			held := heapBytes() - before
 			whole, err := snapshot.Marshal()
 			require.NoError(b, err)
@@ -51,7 +51,7 @@
 func BenchmarkRepeats(b *testing.B) {
 	body := capacityConfiguration(1, 1500)
 	snapshot := replaced(b, catalog.Empty(), body)
-	snapshot, _ = takeOrders(b, snapshot, changesOfADay, "a")
+	snapshot, _ = executeOrders(b, snapshot, changesOfADay, "a")
 	b.SetBytes(int64(len(body)))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -63,7 +63,7 @@
 
 // BenchmarkReplicaDigests gets what a replica sends to compare its state with another one's.
 func BenchmarkReplicaDigests(b *testing.B) {
-	snapshot, _ := takeOrders(b, catalog.Empty(), changesOfADay, "a")
+	snapshot, _ := executeOrders(b, catalog.Empty(), changesOfADay, "a")
 	b.ReportAllocs()
 	for b.Loop() {
 		b.ReportMetric(float64(proto.Size(snapshot.ReplicaDigests())), "B/request")
--- a/internal/catalog/taken_test.go
+++ b/internal/catalog/executed_orders_test.go
@@ -15,15 +15,15 @@
 // changesOfADay is the number of changes that the largest site makes in a day.
 const changesOfADay = 11_000
 
-// takenOrder is an order of these tests: every third is a whole configuration, the others are amendments.
-type takenOrder struct {
+// executedOrder is an order of these tests: every third is a whole configuration, the others are amendments.
+type executedOrder struct {
 	base uint64
 	body []byte
 }
 
-func (o takenOrder) isReplace() bool { return o.base%3 == 0 }
+func (o executedOrder) isReplace() bool { return o.base%3 == 0 }
 
-func (o takenOrder) prepare(snapshot *catalog.Snapshot) (*pb.Change, error) {
+func (o executedOrder) prepare(snapshot *catalog.Snapshot) (*pb.Change, error) {
 	if o.isReplace() {
 		return catalog.PrepareReplace(snapshot, o.base, o.body)
 	}
@@ -31,8 +31,8 @@
 }
 
 // orderOn makes an order on a generation; the text tells it from others on the same one.
-func orderOn(base uint64, text string) takenOrder {
-	order := takenOrder{base: base}
+func orderOn(base uint64, text string) executedOrder {
+	order := executedOrder{base: base}
 	if order.isReplace() {
 		order.body = fmt.Appendf(nil, `{"gen":%d,"note":%q}`, base+1, text)
 	} else {
@@ -41,20 +41,20 @@
 	return order
 }
 
-// takeOrders takes orders one after the other, each on the generation of the one before.
-func takeOrders(t require.TestingT, snapshot *catalog.Snapshot, count int, text string) (*catalog.Snapshot, []takenOrder) {
-	var orders []takenOrder
+// executeOrders takes orders one after the other, each on the generation of the one before.
+func executeOrders(t require.TestingT, snapshot *catalog.Snapshot, count int, text string) (*catalog.Snapshot, []executedOrder) {
+	var orders []executedOrder
 	for range count {
 		order := orderOn(snapshot.Generation(), text)
 		change, err := order.prepare(snapshot)
-		snapshot = taken(t, snapshot, change, err)
+		snapshot = applied(t, snapshot, change, err)
 		orders = append(orders, order)
 	}
 	return snapshot, orders
 }
 
 // answerTo is the status of the answer to an order that makes no change.
-func answerTo(t require.TestingT, snapshot *catalog.Snapshot, order takenOrder) int {
+func answerTo(t require.TestingT, snapshot *catalog.Snapshot, order executedOrder) int {
 	_, err := order.prepare(snapshot)
 	var refused catalog.OrderError
 	require.ErrorAs(t, err, &refused)
@@ -62,7 +62,7 @@
 }
 
 func TestEveryOrderOfADayIsAcknowledgedAgain(t *testing.T) {
-	snapshot, orders := takeOrders(t, catalog.Empty(), changesOfADay, "a")
+	snapshot, orders := executeOrders(t, catalog.Empty(), changesOfADay, "a")
 	for _, order := range orders {
 		_, err := order.prepare(snapshot)
 		var already *catalog.AlreadyExecutedError
@@ -76,7 +76,7 @@
 // An order on a generation that the record no longer reaches may have been taken or not: it must not be refused.
 func TestAnOrderThatIsForgottenIsNotRefused(t *testing.T) {
 	count := catalog.ExecutedOrdersCapacity + 1000
-	snapshot, orders := takeOrders(t, catalog.Empty(), count, "a")
+	snapshot, orders := executeOrders(t, catalog.Empty(), count, "a")
 	forgotten := 0
 	for index, order := range orders {
 		status := answerTo(t, snapshot, order)
@@ -128,8 +128,8 @@
 func TestRecordsThatBranchAreApart(t *testing.T) {
 	snapshot := catalog.Empty()
 	for range 300 {
-		mine, ours := takeOrders(t, snapshot, 1, "a")
-		other, others := takeOrders(t, snapshot, 1, "b")
+		mine, ours := executeOrders(t, snapshot, 1, "a")
+		other, others := executeOrders(t, snapshot, 1, "b")
 		require.Equal(t, http.StatusOK, answerTo(t, mine, ours[0]))
 		require.Equal(t, http.StatusPreconditionFailed, answerTo(t, mine, others[0]))
 		require.Equal(t, http.StatusOK, answerTo(t, other, others[0]))
@@ -145,7 +145,7 @@
 	snapshot := catalog.Empty()
 	states = append(states, snapshot)
 	for range newest {
-		snapshot, _ = takeOrders(t, snapshot, 1, "a")
+		snapshot, _ = executeOrders(t, snapshot, 1, "a")
 		states = append(states, snapshot)
 	}
 	for _, held := range []int{0, 1, 63, 64, 65, 128, 700, 1024, 1900, 1999, 2000} {
@@ -158,7 +158,7 @@
 				require.Empty(t, repair.GetTaken().GetOrders())
 			}
 			// a copy with a change that nobody else has
-			forked, lost := takeOrders(t, states[held], 1, "b")
+			forked, lost := executeOrders(t, states[held], 1, "b")
 			repaired, _ = repairReplica(t, forked, snapshot)
 			require.True(t, repaired.SameAs(snapshot))
 			if held < newest {
@@ -184,12 +184,12 @@
 
 // The oldest orders of one replica's record are gone at another.
 func TestReplicasCatchUpOverTheEndOfTheRecord(t *testing.T) {
-	early, _ := takeOrders(t, catalog.Empty(), 3000, "a")
-	late, orders := takeOrders(t, early, catalog.ExecutedOrdersCapacity, "a")
+	early, _ := executeOrders(t, catalog.Empty(), 3000, "a")
+	late, orders := executeOrders(t, early, catalog.ExecutedOrdersCapacity, "a")
 	repaired, repair := repairReplica(t, early, late)
 	require.True(t, repaired.SameAs(late))
 	require.Less(t, len(repair.GetTaken().GetOrders()), (catalog.ExecutedOrdersCapacity+128)*24)
-	for _, order := range []takenOrder{orders[0], orders[len(orders)-1]} {
+	for _, order := range []executedOrder{orders[0], orders[len(orders)-1]} {
 		require.Equal(t, http.StatusOK, answerTo(t, repaired, order))
 	}
 	repaired, _ = repairReplica(t, late, early)
@@ -198,7 +198,7 @@
 
 // Agents get changes and repairs without the record, and theirs stays empty.
 func TestAgentsDoNotCarryTheRecord(t *testing.T) {
-	replica, orders := takeOrders(t, catalog.Empty(), 10, "a")
+	replica, orders := executeOrders(t, catalog.Empty(), 10, "a")
 	require.Nil(t, replica.RepairFor(nil).GetTaken())
 	require.Nil(t, replica.Digests().GetTaken())
 	agent, err := catalog.Empty().Restore(replica.RepairFor(nil))
@@ -206,7 +206,7 @@
 	for range 300 {
 		order := orderOn(replica.Generation(), "a")
 		change, err := order.prepare(replica)
-		replica = taken(t, replica, change, err)
+		replica = applied(t, replica, change, err)
 		stripped := catalog.ForAgents(change)
 		require.NotEmpty(t, change.GetTaken())
 		require.Empty(t, stripped.GetTaken())
@@ -223,7 +223,7 @@
 
 // A change of generation that names no order, or does not rise, begins the record anew.
 func TestARecordWithAGapIsNotTrusted(t *testing.T) {
-	snapshot, orders := takeOrders(t, catalog.Empty(), 200, "a")
+	snapshot, orders := executeOrders(t, catalog.Empty(), 200, "a")
 	change, err := orderOn(200, "a").prepare(snapshot)
 	require.NoError(t, err)
 	gaps := map[string]*pb.Change{
@@ -239,8 +239,8 @@
 			for range 3 {
 				require.Equal(t, http.StatusServiceUnavailable, answerTo(t, gap, orders[0]))
 				require.Equal(t, http.StatusServiceUnavailable, answerTo(t, gap, orderOn(change.GetGeneration()-1, "a")))
-				var later []takenOrder
-				gap, later = takeOrders(t, gap, 1, "a")
+				var later []executedOrder
+				gap, later = executeOrders(t, gap, 1, "a")
 				require.Equal(t, http.StatusOK, answerTo(t, gap, later[0]))
 			}
 			repaired, _ := repairReplica(t, snapshot, gap)
@@ -250,7 +250,7 @@
 }
 
 func TestRecordsThatAreMalformed(t *testing.T) {
-	snapshot, _ := takeOrders(t, catalog.Empty(), 300, "a")
+	snapshot, _ := executeOrders(t, catalog.Empty(), 300, "a")
 	order := func(generation byte) []byte { return append([]byte{generation}, make([]byte, 23)...) }
 	damage := map[string]*pb.TakenOrders{
 		"cut short":            {Orders: order(1)[:20]},
--- a/internal/catalog/golden_test.go
+++ b/internal/catalog/golden_test.go
@@ -26,7 +26,7 @@
 	snapshot := catalog.Empty()
 	var changes []*pb.Change
 	take := func(change *pb.Change, err error) {
-		snapshot = taken(t, snapshot, change, err)
+		snapshot = applied(t, snapshot, change, err)
 		changes = append(changes, change)
 	}
 	for range 66 {
--- a/internal/catalog/helpers_test.go
+++ b/internal/catalog/helpers_test.go
@@ -30,7 +30,7 @@
 }
 
 // taken applies the change of an order that must be taken.
-func taken(t require.TestingT, snapshot *catalog.Snapshot, change *pb.Change, err error) *catalog.Snapshot {
+func applied(t require.TestingT, snapshot *catalog.Snapshot, change *pb.Change, err error) *catalog.Snapshot {
 	require.NoError(t, err)
 	require.NotNil(t, change)
 	next, err := snapshot.Apply(change)
@@ -40,17 +40,17 @@
 
 func replaced(t require.TestingT, snapshot *catalog.Snapshot, body []byte) *catalog.Snapshot {
 	change, err := catalog.PrepareReplace(snapshot, snapshot.Generation(), body)
-	return taken(t, snapshot, change, err)
+	return applied(t, snapshot, change, err)
 }
 
 func amended(t require.TestingT, snapshot *catalog.Snapshot, body string) *catalog.Snapshot {
 	change, err := catalog.PrepareAmend(snapshot, snapshot.Generation(), []byte(body))
-	return taken(t, snapshot, change, err)
+	return applied(t, snapshot, change, err)
 }
 
 func evacuated(t require.TestingT, snapshot *catalog.Snapshot, zone string, begin bool) *catalog.Snapshot {
 	change, err := catalog.PrepareEvacuation(snapshot, zone, begin)
-	return taken(t, snapshot, change, err)
+	return applied(t, snapshot, change, err)
 }
 
 func readBack(t require.TestingT, snapshot *catalog.Snapshot) string {
--- a/internal/catalog/history.go
+++ b/internal/catalog/history.go
@@ -41,11 +41,11 @@
 	h.bytes += size
 	h.last = change.GetSequence()
 	for len(h.changes) > HistoryMaxChanges || h.bytes > HistoryMaxBytes {
-		h.dropOldest()
+		h.discardOldest()
 	}
 }
 
-func (h *History) dropOldest() {
+func (h *History) discardOldest() {
 	h.bytes -= h.sizes[0]
 	h.changes[0] = nil
 	h.changes = h.changes[1:]
--- a/internal/catalog/taken_items_test.go
+++ b/internal/catalog/legacy_orders_test.go
@@ -15,11 +15,11 @@
 	"fieldrelay/internal/catalog"
 )
 
-// itemLimit is the number of orders that commit d046182 kept as items.
-const itemLimit = 64
+// legacyItemLimit is the number of orders that commit d046182 kept as items.
+const legacyItemLimit = 64
 
-// itemName is the name of the item that d046182 kept for an order.
-func itemName(order takenOrder) string {
+// legacyItemName is the name of the item that d046182 kept for an order.
+func legacyItemName(order executedOrder) string {
 	text := "amend"
 	if order.isReplace() {
 		text = "replace"
@@ -30,9 +30,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// takeAsItems takes orders as d046182 did.
-func takeAsItems(t *testing.T, snapshot *catalog.Snapshot, count int) (*catalog.Snapshot, []takenOrder) {
-	var orders []takenOrder
+// executeAsItems takes orders as d046182 did.
+func executeAsItems(t *testing.T, snapshot *catalog.Snapshot, count int) (*catalog.Snapshot, []executedOrder) {
+	var orders []executedOrder
 	for range count {
 		order := orderOn(snapshot.Generation(), "a")
 		change, err := order.prepare(snapshot)
@@ -40,12 +40,12 @@
 		change.Taken = nil
 		change.Upserts = append(change.Upserts, &pb.Item{
 			Kind:     "taken",
-			Name:     itemName(order),
+			Name:     legacyItemName(order),
 			Order:    change.GetSequence(),
 			Sequence: change.GetSequence(),
 			Body:     []byte(strconv.FormatUint(change.GetGeneration(), 10)),
 		})
-		if items := snapshot.Items("taken"); len(items) >= itemLimit {
+		if items := snapshot.Items("taken"); len(items) >= legacyItemLimit {
 			change.Removals = append(change.Removals, &pb.ItemKey{Kind: "taken", Name: items[0].GetName()})
 		}
 		snapshot, err = snapshot.Apply(change)
@@ -56,15 +56,15 @@
 }
 
 func TestItemsOfTakenOrdersAreMigrated(t *testing.T) {
-	for _, count := range []int{1, itemLimit - 1, itemLimit, 200} {
+	for _, count := range []int{1, legacyItemLimit - 1, legacyItemLimit, 200} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
-			state, orders := takeAsItems(t, catalog.Empty(), count)
+			state, orders := executeAsItems(t, catalog.Empty(), count)
 			migrated, found := state.MigrateTaken()
 			require.True(t, found)
 			require.NotContains(t, migrated.Kinds(), "taken")
 			require.Equal(t, state.Sequence(), migrated.Sequence())
 			require.Equal(t, readBack(t, state), readBack(t, migrated))
-			known := min(count, itemLimit-1)
+			known := min(count, legacyItemLimit-1)
 			for index, order := range orders {
 				want := http.StatusOK
 				if index < count-known {
@@ -82,9 +82,9 @@
 // A head of the earlier version takes orders between two of this one: what came before is not known any more, and
 // nothing is refused for that.
 func TestOrdersTakenByAHeadOfTheEarlierVersion(t *testing.T) {
-	state, before := takeOrders(t, catalog.Empty(), 10, "a")
-	state, between := takeAsItems(t, state, 5)
-	state, after := takeOrders(t, state, 10, "a")
+	state, before := executeOrders(t, catalog.Empty(), 10, "a")
+	state, between := executeAsItems(t, state, 5)
+	state, after := executeOrders(t, state, 10, "a")
 	check := func(state *catalog.Snapshot) {
 		for _, order := range append(before, between...) {
 			require.Equal(t, http.StatusServiceUnavailable, answerTo(t, state, order), "order on %d", order.base)
@@ -102,7 +102,7 @@
 
 // Items that do not lead to the generation in force, or cannot be read, are not trusted.
 func TestItemsThatDoNotFitAreNotTrusted(t *testing.T) {
-	state, orders := takeAsItems(t, catalog.Empty(), 10)
+	state, orders := executeAsItems(t, catalog.Empty(), 10)
 	newest := state.Items("taken")[9]
 	damage := map[string]*pb.Change{
 		"one is missing": {Removals: []*pb.ItemKey{{Kind: "taken", Name: newest.GetName()}}},
@@ -117,7 +117,7 @@
 			migrated, found := damaged.MigrateTaken()
 			require.True(t, found)
 			require.Equal(t, http.StatusServiceUnavailable, answerTo(t, migrated, orders[3]))
-			_, later := takeOrders(t, migrated, 1, "a")
+			_, later := executeOrders(t, migrated, 1, "a")
 			require.Len(t, later, 1)
 		})
 	}
--- a/internal/catalog/prepare.go
+++ b/internal/catalog/prepare.go
@@ -20,14 +20,14 @@
 // before, readable, valid.
 func prepare(snapshot *Snapshot, kind orderKind, base uint64, body []byte) (*pb.Change, error) {
 	if base != snapshot.Generation() {
-		return nil, snapshot.judgeStale(kind, base, body)
+		return nil, snapshot.answerStale(kind, base, body)
 	}
 	object, err := parseObject(body)
 	if err != nil {
 		return nil, err
 	}
 	faults := &InvalidError{}
-	writer := newChangeWriter(snapshot, generationOf(object, snapshot.Generation(), faults))
+	writer := newChangeWriter(snapshot, parseGeneration(object, snapshot.Generation(), faults))
 	if kind == orderAmend {
 		writer.amend(object, faults)
 	} else {
@@ -39,14 +39,14 @@
 	return writer.finish(digestOrder(kind, base, body))
 }
 
-// judgeStale answers an order on another generation than the current one. It is a repeat if it is the very order
+// answerStale answers an order on another generation than the current one. It is a repeat if it is the very order
 // that was taken on that generation, and has lost for good if another one was or the generation was never in
 // force.
-func (s *Snapshot) judgeStale(kind orderKind, base uint64, body []byte) error {
-	if !s.taken.reaches(base) {
-		return &ExecutionUnknownError{Base: base, Oldest: s.taken.base}
+func (s *Snapshot) answerStale(kind orderKind, base uint64, body []byte) error {
+	if !s.executed.covers(base) {
+		return &ExecutionUnknownError{Base: base, Oldest: s.executed.baseGeneration}
 	}
-	if order, found := s.taken.takenOn(base); found && order.digest == digestOrder(kind, base, body) {
+	if order, found := s.executed.executedOn(base); found && order.digest == digestOrder(kind, base, body) {
 		return &AlreadyExecutedError{Generation: order.generation}
 	}
 	return &ConflictError{Base: base, Current: s.generation}
@@ -66,9 +66,9 @@
 
 // changeWriter collects the difference between the snapshot and the configuration that an order asks for.
 type changeWriter struct {
-	snapshot *Snapshot
-	change   *pb.Change
-	sent     sentRoutes
+	snapshot  *Snapshot
+	change    *pb.Change
+	submitted submittedRoutes
 }
 
 func newChangeWriter(snapshot *Snapshot, generation uint64) *changeWriter {
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	faults := &InvalidError{}
-	validate(w.snapshot, next, w.sent, faults)
+	validate(w.snapshot, next, w.submitted, faults)
 	if err := faults.orNil(); err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 
 // replace makes the difference between the snapshot and a whole configuration.
 func (w *changeWriter) replace(wanted document) {
-	w.sent.all = true
+	w.submitted.all = true
 	keep := make(map[string]map[string]bool)
 	settings := make([]entry, 0, len(wanted.sections))
 	for _, part := range wanted.sections {
@@ -179,8 +179,8 @@
 	return orders
 }
 
-func nextOrder(previous uint64, append bool) uint64 {
-	if append {
+func nextOrder(previous uint64, isAppended bool) uint64 {
+	if isAppended {
 		return previous + orderGap
 	}
 	return previous + 1
--- a/internal/catalog/repair.go
+++ b/internal/catalog/repair.go
@@ -22,7 +22,7 @@
 // ReplicaDigests are the Digests with those of the taken orders, which only replicas keep.
 func (s *Snapshot) ReplicaDigests() *pb.RangeDigests {
 	digests := s.Digests()
-	digests.Taken = s.taken.digests()
+	digests.Taken = s.executed.digests()
 	return digests
 }
 
@@ -30,7 +30,7 @@
 // ReplicaDigests; nil asks for everything.
 func (s *Snapshot) ReplicaRepairFor(digests *pb.RangeDigests) *pb.Repair {
 	repair := s.RepairFor(digests)
-	repair.Taken = s.taken.repairFor(digests.GetTaken())
+	repair.Taken = s.executed.repairFor(digests.GetTaken())
 	return repair
 }
 
@@ -39,9 +39,9 @@
 func (s *Snapshot) RepairFor(digests *pb.RangeDigests) *pb.Repair {
 	repair := &pb.Repair{Sequence: s.sequence, Generation: s.generation}
 	theirs := digests.GetDigests()
-	whole := len(theirs) != RangeCount
+	everything := len(theirs) != RangeCount
 	for index, itemRange := range s.ranges {
-		if !whole && theirs[index] == itemRange.digest {
+		if !everything && theirs[index] == itemRange.digest {
 			continue
 		}
 		repair.Ranges = append(repair.Ranges, &pb.Range{Index: uint32(index), Items: slices.Clip(itemRange.items)})
@@ -73,7 +73,7 @@
 		next.ranges[index] = restored
 	}
 	var err error
-	next.taken, err = s.taken.restored(repair.GetTaken(), repair.GetGeneration())
+	next.executed, err = s.executed.restore(repair.GetTaken(), repair.GetGeneration())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -14,7 +14,7 @@
 	sequence   uint64
 	generation uint64
 	ranges     [RangeCount]*itemRange
-	taken      takenOrders
+	executed   executedOrders
 }
 
 var emptySnapshot = newEmptySnapshot()
@@ -107,7 +107,9 @@
 
 // TakenOrders is the number of orders that are remembered as taken, and the generation that the oldest builds on:
 // whether one on an earlier generation was taken is not known. Only replicas remember any.
-func (s *Snapshot) TakenOrders() (count int, since uint64) { return s.taken.len(), s.taken.base }
+func (s *Snapshot) TakenOrders() (count int, since uint64) {
+	return s.executed.len(), s.executed.baseGeneration
+}
 
 // Apply returns the state after a change, which must be the next one: a *SequenceError is returned if the
 // change's sequence is not Sequence()+1. The change's items are kept, not copied.
@@ -125,13 +127,13 @@
 	for _, item := range change.GetUpserts() {
 		editor.upsert(item)
 	}
-	editor.next.taken = s.taken.after(change.GetGeneration(), change.GetTaken())
+	editor.next.executed = s.executed.afterChange(change.GetGeneration(), change.GetTaken())
 	return editor.snapshot(change.GetSequence(), change.GetGeneration()), nil
 }
 
 // SameAs reports whether two snapshots hold the same state, the record of taken orders included.
 func (s *Snapshot) SameAs(other *Snapshot) bool {
-	return proto.Equal(s.ReplicaDigests(), other.ReplicaDigests()) && s.taken.base == other.taken.base
+	return proto.Equal(s.ReplicaDigests(), other.ReplicaDigests()) && s.executed.baseGeneration == other.executed.baseGeneration
 }
 
 // ForAgents returns a change without what only replicas keep of it.
--- a/internal/catalog/snapshot_test.go
+++ b/internal/catalog/snapshot_test.go
@@ -63,7 +63,7 @@
 }
 
 func (s *system) take(change *pb.Change, err error) {
-	s.snapshot = taken(s.t, s.snapshot, change, err)
+	s.snapshot = applied(s.t, s.snapshot, change, err)
 	s.changes = append(s.changes, change)
 	s.snapshots = append(s.snapshots, s.snapshot)
 	s.history.Add(change)
