--- a/internal/catalog/amend.go
+++ b/internal/catalog/amend.go
@@ -7,7 +7,7 @@
 	"fieldrelay/internal/jsonwalk"
 )
 
-// amend makes the difference that an amendment asks for: upserts first, then removals.
+// amend changes the snapshot as an amendment wants: upserts first, then removals.
 func (w *changeWriter) amend(object []byte, faults *InvalidError) {
 	upserts := jsonwalk.Member(object, memberUpsert)
 	if upserts != nil && !jsonwalk.IsObject(upserts) {
@@ -22,55 +22,57 @@
 	if len(faults.Faults) > 0 {
 		return
 	}
-	for _, part := range wanted.sections {
-		w.amendSection(part, removals[part.name])
+	for _, section := range wanted.sections {
+		w.amendSection(section, removals[section.name])
 	}
 	for _, kind := range slices.Sorted(maps.Keys(removals)) {
 		w.amendRemovals(kind, removals[kind])
 	}
 }
 
-func (w *changeWriter) amendSection(part section, removed []string) {
-	if !part.collection {
-		w.amendSetting(part)
+// amendSection upserts a setting, or the entries of a collection that are not removed as well.
+func (w *changeWriter) amendSection(upserts section, removed []string) {
+	if !upserts.collection {
+		w.amendSetting(upserts)
 		return
 	}
 	removedNames := make(map[string]bool, len(removed))
 	for _, name := range removed {
 		removedNames[name] = true
 	}
-	if part.name == KindRoutes {
-		w.submitted.add(part.entries)
+	if upserts.name == KindRoutes {
+		w.submitted.add(upserts.entries)
 	}
-	w.upsertCollection(part.name)
-	last := w.lastOrder(part.name)
-	for _, wanted := range part.entries {
+	w.upsertCollection(upserts.name)
+	last := w.lastOrder(upserts.name)
+	for _, wanted := range upserts.entries {
 		if removedNames[wanted.name] {
 			continue
 		}
 		order := last + orderGap
-		if old, found := w.snapshot.Get(part.name, wanted.name); found {
+		if old, found := w.snapshot.Get(upserts.name, wanted.name); found {
 			order = old.GetOrder()
 		} else {
 			last = order
 		}
-		w.upsert(part.name, wanted.name, order, wanted.body)
+		w.upsert(upserts.name, wanted.name, order, wanted.body)
 	}
 }
 
-// amendSetting puts a member in place as a whole. A collection that had its name ends.
-func (w *changeWriter) amendSetting(part section) {
-	w.upsert(KindSetting, part.name, w.settingOrder(part.name), part.body)
-	if isCollection(part.name) {
-		w.removeOthers(part.name, nil)
+// amendSetting replaces a member as a whole. If it was a collection, its items are removed.
+func (w *changeWriter) amendSetting(setting section) {
+	w.upsert(KindSetting, setting.name, w.settingOrder(setting.name), setting.body)
+	if isCollection(setting.name) {
+		w.removeOthers(setting.name, nil)
 	}
 }
 
-// upsertCollection keeps the place of a collection among the members of the configuration.
+// upsertCollection upserts the item that keeps the position of a collection among the members of the configuration.
 func (w *changeWriter) upsertCollection(kind string) {
 	w.upsert(KindSetting, kind, w.settingOrder(kind), emptyList)
 }
 
+// settingOrder is the order of a member: its present one, or one after all others.
 func (w *changeWriter) settingOrder(name string) uint64 {
 	if old, found := w.snapshot.Get(KindSetting, name); found {
 		return old.GetOrder()
@@ -93,6 +95,7 @@
 	return items[len(items)-1].GetOrder()
 }
 
+// amendRemovals removes the items of a kind that exist, each once.
 func (w *changeWriter) amendRemovals(kind string, names []string) {
 	seen := make(map[string]bool, len(names))
 	for _, name := range names {
--- /dev/null
+++ b/internal/catalog/change_writer.go
@@ -0,0 +1,131 @@
+package catalog
+
+import (
+	"bytes"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+)
+
+// changeWriter builds the change from a snapshot to the configuration that an order wants.
+type changeWriter struct {
+	snapshot  *Snapshot
+	change    *pb.Change
+	submitted submittedRoutes
+}
+
+// newChangeWriter begins a change to a generation.
+func newChangeWriter(snapshot *Snapshot, generation uint64) *changeWriter {
+	return &changeWriter{
+		snapshot: snapshot,
+		change:   &pb.Change{Sequence: snapshot.Sequence() + 1, Generation: generation},
+	}
+}
+
+// finish validates the resulting configuration and completes the change with the digest of its order.
+func (w *changeWriter) finish(digest orderDigest) (*pb.Change, error) {
+	next, err := w.snapshot.Apply(w.change)
+	if err != nil {
+		return nil, err
+	}
+	faults := &InvalidError{}
+	validate(w.snapshot, next, w.submitted, faults)
+	if err := faults.orNil(); err != nil {
+		return nil, err
+	}
+	w.change.Taken = digest[:]
+	return w.change, nil
+}
+
+// upsert writes an item, unless the snapshot has an equal one. The body is copied: an item must not keep the whole
+// order in memory.
+func (w *changeWriter) upsert(kind, name string, order uint64, body []byte) {
+	old, found := w.snapshot.Get(kind, name)
+	if found && old.GetOrder() == order && bytes.Equal(old.GetBody(), body) {
+		return
+	}
+	w.change.Upserts = append(w.change.Upserts, &pb.Item{
+		Kind:     kind,
+		Name:     name,
+		Order:    order,
+		Sequence: w.change.Sequence,
+		Body:     bytes.Clone(body),
+	})
+}
+
+func (w *changeWriter) remove(kind, name string) {
+	w.change.Removals = append(w.change.Removals, &pb.ItemKey{Kind: kind, Name: name})
+}
+
+// replace changes the snapshot to a whole configuration.
+func (w *changeWriter) replace(wanted document) {
+	w.submitted.all = true
+	keep := make(map[string]map[string]bool)
+	settings := make([]entry, 0, len(wanted.sections))
+	for _, section := range wanted.sections {
+		if !section.collection {
+			settings = append(settings, entry{name: section.name, body: section.body})
+			continue
+		}
+		settings = append(settings, entry{name: section.name, body: emptyList})
+		keep[section.name] = w.replaceCollection(section.name, section.entries)
+	}
+	keep[KindSetting] = w.replaceCollection(KindSetting, settings)
+	for _, kind := range w.snapshot.Kinds() {
+		if isOperatorKind(kind) {
+			w.removeOthers(kind, keep[kind])
+		}
+	}
+}
+
+// replaceCollection writes the items of a collection and returns their names.
+func (w *changeWriter) replaceCollection(kind string, entries []entry) map[string]bool {
+	names := make(map[string]bool, len(entries))
+	orders := w.assignOrders(kind, entries)
+	for index, wanted := range entries {
+		names[wanted.name] = true
+		w.upsert(kind, wanted.name, orders[index], wanted.body)
+	}
+	return names
+}
+
+// removeOthers removes the items of a kind that are not among the names, which may be nil.
+func (w *changeWriter) removeOthers(kind string, names map[string]bool) {
+	for _, item := range w.snapshot.Items(kind) {
+		if !names[item.GetName()] {
+			w.remove(kind, item.GetName())
+		}
+	}
+}
+
+// orderGap is the distance between the orders of appended items: others fit in between later without new orders for all
+// that follow.
+const orderGap = 1 << 16
+
+// assignOrders assigns ascending orders to a list. It keeps the present ones where they ascend already, so that a
+// change of a few items in a long list stays small.
+func (w *changeWriter) assignOrders(kind string, entries []entry) []uint64 {
+	orders := make([]uint64, len(entries))
+	lastKnown := -1
+	for index, wanted := range entries {
+		if old, found := w.snapshot.Get(kind, wanted.name); found {
+			orders[index] = old.GetOrder()
+			lastKnown = index
+		}
+	}
+	previous := uint64(0)
+	for index := range orders {
+		if orders[index] <= previous {
+			orders[index] = nextOrder(previous, index > lastKnown)
+		}
+		previous = orders[index]
+	}
+	return orders
+}
+
+// nextOrder is the order after another one, with a gap behind it for appended items.
+func nextOrder(previous uint64, isAppended bool) uint64 {
+	if isAppended {
+		return previous + orderGap
+	}
+	return previous + 1
+}
--- a/internal/catalog/configuration.go
+++ b/internal/catalog/configuration.go
@@ -7,8 +7,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Configuration returns the configuration in force as JSON, as the operator reads it back: gen first, then
-// every member as it was sent, in that order.
+// Configuration returns the configuration in force as JSON, as the operator API returns it: gen first, then every
+// member as it was submitted, in that order.
 func (s *Snapshot) Configuration() ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.Grow(s.bodyBytes())
@@ -27,10 +27,10 @@
 	return buffer.Bytes(), nil
 }
 
-// memberOverhead is what a list needs for each item beside its body.
+// memberOverhead is the number of bytes that a list needs for each item beside its body.
 const memberOverhead = 2
 
-// bodyBytes estimates the size of the configuration.
+// bodyBytes estimates the size of the configuration in bytes.
 func (s *Snapshot) bodyBytes() int {
 	total := 1 << 10
 	for _, itemRange := range s.ranges {
@@ -43,6 +43,7 @@
 	return total
 }
 
+// joinList returns a list of the items' bodies.
 func joinList(items []*pb.Item) []byte {
 	var buffer bytes.Buffer
 	buffer.WriteByte('[')
--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -9,7 +9,7 @@
 	"fieldrelay/internal/jsonwalk"
 )
 
-// Names of members that have a meaning of their own in an order.
+// Names of members with a meaning of their own in an order.
 const (
 	memberGeneration = "gen"
 	memberUpsert     = "upsert"
@@ -22,7 +22,7 @@
 // entry is one named part of a document: a member of a collection or a setting.
 type entry struct {
 	name string
-	body []byte // a part of the order's body
+	body []byte // shares memory with the order's body
 }
 
 // section is one member of a configuration.
@@ -33,12 +33,12 @@
 	body       []byte  // of a setting
 }
 
-// document is a configuration, or the upserts of an amendment, taken apart.
+// document is a parsed configuration, or the parsed upserts of an amendment.
 type document struct {
 	sections []section
 }
 
-// parseObject checks that data is one JSON object and returns it without space around it.
+// parseObject checks that data is one JSON object and returns it without the white space around it.
 func parseObject(data []byte) ([]byte, error) {
 	if !json.Valid(data) {
 		return nil, invalid("", "", "the body is not JSON")
@@ -50,7 +50,7 @@
 	return object, nil
 }
 
-// parseDocument takes the members of an object apart. Where a name comes twice, the last one counts.
+// parseDocument parses the members of an object. If a name occurs twice, the last one counts.
 func parseDocument(object []byte, faults *InvalidError) document {
 	var parsed document
 	indexes := make(map[string]int)
@@ -70,6 +70,7 @@
 	return parsed
 }
 
+// parseSection parses one member: a collection if it is a list of objects with distinct names, otherwise a setting.
 func parseSection(name string, value []byte, faults *InvalidError) section {
 	setting := section{name: name, body: value}
 	if !isCollection(name) {
@@ -95,7 +96,7 @@
 	return section{name: name, collection: true, entries: entries}
 }
 
-// namedEntries reads a list of objects with different names. It tells what is wrong if the list is not one.
+// namedEntries parses a list of objects with distinct names. The problem says why the list is not one; empty if it is.
 func namedEntries(array []byte) (entries []entry, problem string) {
 	seen := make(map[string]bool)
 	for element := range jsonwalk.Elements(array) {
@@ -117,7 +118,7 @@
 	return entries, ""
 }
 
-// parseRemovals reads the lists of names that an amendment removes, by collection.
+// parseRemovals parses the lists of names that an amendment removes, by collection.
 func parseRemovals(value []byte, faults *InvalidError) map[string][]string {
 	if value == nil {
 		return nil
@@ -144,6 +145,7 @@
 	return removals
 }
 
+// nameList parses a list of strings; false if it is not one.
 func nameList(value []byte) ([]string, bool) {
 	if !jsonwalk.IsArray(value) {
 		return nil, false
@@ -158,10 +160,10 @@
 	return names, true
 }
 
-// largestExactFloat is the end of the whole numbers that a float64 holds exactly.
+// largestExactFloat is the number up to which a float64 represents all integers exactly.
 const largestExactFloat = 1 << 53
 
-// parseInteger reads a number that is not negative and has no fraction, however it is written (7, 7.0, 7e0).
+// parseInteger parses a non-negative integer in any notation of JSON (7, 7.0, 7e0).
 func parseInteger(value []byte) (uint64, bool) {
 	if number, err := strconv.ParseUint(string(value), 10, 64); err == nil {
 		return number, true
@@ -173,7 +175,7 @@
 	return uint64(number), true
 }
 
-// parseGeneration reads the gen of an order and checks that it is above the current one.
+// parseGeneration parses the gen of an order and checks that it is above the current one.
 func parseGeneration(object []byte, current uint64, faults *InvalidError) uint64 {
 	value := jsonwalk.Member(object, memberGeneration)
 	if value == nil {
@@ -191,7 +193,7 @@
 	return generation
 }
 
-// writeMember appends one member to an object that is being written.
+// writeMember writes one more member of an object, after a comma.
 func writeMember(buffer *bytes.Buffer, name string, body []byte) error {
 	quoted, err := json.Marshal(name)
 	if err != nil {
--- a/internal/catalog/earlier_version_test.go
+++ b/internal/catalog/earlier_version_test.go
@@ -10,32 +10,32 @@
 	"fieldrelay/internal/catalog"
 )
 
-// stateOfEarlierVersion is a state as an earlier version may have left it on disk: routes that only this version takes to be on
-// one place, one that could never be judged, and one that names a service that is not there.
+// stateOfEarlierVersion is a state as an earlier version may have stored it: two routes whose matches are the same for
+// this version only, a malformed route, and one that names a service that does not exist.
 func stateOfEarlierVersion(t require.TestingT) *catalog.Snapshot {
 	change := &pb.Change{Sequence: 1, Generation: 5, Taken: make([]byte, 16)}
-	put := func(kind, name, body string) {
+	add := func(kind, name, body string) {
 		change.Upserts = append(change.Upserts, &pb.Item{
 			Kind: kind, Name: name, Order: uint64(len(change.Upserts) + 1), Sequence: 1, Body: []byte(body),
 		})
 	}
 	for _, name := range []string{"s1", "s2"} {
-		put(catalog.KindBackends, name, fmt.Sprintf(`{"name":%q}`, name))
+		add(catalog.KindBackends, name, fmt.Sprintf(`{"name":%q}`, name))
 	}
-	put(catalog.KindRoutes, "plain", route("plain"))
-	put(catalog.KindRoutes, "port", route("port", `"vhost":"h.example:80"`, `"path-prefix":"/plain/"`))
-	put(catalog.KindRoutes, "cut", `{"vhost":"h.exa`)
-	put(catalog.KindRoutes, "lost", route("lost", `"backend":"s9"`, `"deadline-ms":0`))
+	add(catalog.KindRoutes, "plain", route("plain"))
+	add(catalog.KindRoutes, "port", route("port", `"vhost":"h.example:80"`, `"path-prefix":"/plain/"`))
+	add(catalog.KindRoutes, "cut", `{"vhost":"h.exa`)
+	add(catalog.KindRoutes, "lost", route("lost", `"backend":"s9"`, `"deadline-ms":0`))
 	for _, name := range []string{catalog.KindBackends, catalog.KindRoutes} {
-		put(catalog.KindSetting, name, `[]`)
+		add(catalog.KindSetting, name, `[]`)
 	}
-	held, err := catalog.Empty().Apply(change)
+	state, err := catalog.Empty().Apply(change)
 	require.NoError(t, err)
-	return held
+	return state
 }
 
-// TestAnAmendmentIsJudgedByWhatItBrings: what an earlier version let in does not keep the operator from changing
-// something else, or from mending it.
+// TestAnAmendmentIsJudgedByWhatItBrings: what an earlier version has accepted does not keep the operator from changing
+// something else, or from repairing it.
 func TestAnAmendmentIsJudgedByWhatItBrings(t *testing.T) {
 	cases := map[string]string{
 		"nothing":             `{"gen":6}`,
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestAnAmendmentIsRefusedForWhatItBrings: being there before excuses nothing that is sent.
+// TestAnAmendmentIsRefusedForWhatItBrings: what is submitted is validated even if it is in force already.
 func TestAnAmendmentIsRefusedForWhatItBrings(t *testing.T) {
 	cases := map[string]struct {
 		body, fault string
@@ -74,23 +74,23 @@
 		"its deadline again": {`{"gen":6,"upsert":{"routes":[` + route("lost", `"deadline-ms":0`) + `]}}`,
 			`routes/lost deadline-ms: is not above 0`},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			held := stateOfEarlierVersion(t)
-			_, err := catalog.PrepareAmend(held, held.Generation(), []byte(one.body))
+			state := stateOfEarlierVersion(t)
+			_, err := catalog.PrepareAmend(state, state.Generation(), []byte(test.body))
 			var invalid *catalog.InvalidError
 			require.ErrorAs(t, err, &invalid)
-			require.Contains(t, err.Error(), one.fault)
+			require.Contains(t, err.Error(), test.fault)
 		})
 	}
-	held := stateOfEarlierVersion(t)
-	_, err := catalog.PrepareReplace(held, held.Generation(), configuration(6, route("a", `"path-prefix":"/x/"`),
+	state := stateOfEarlierVersion(t)
+	_, err := catalog.PrepareReplace(state, state.Generation(), configuration(6, route("a", `"path-prefix":"/x/"`),
 		route("b", `"path-prefix":"/x/"`, `"vhost":"h.example:80"`)))
 	var invalid *catalog.InvalidError
-	require.ErrorAs(t, err, &invalid, "a whole configuration is judged whole")
+	require.ErrorAs(t, err, &invalid, "all of a whole configuration is validated")
 }
 
-// TestMembersThatNobodyJudgesAreNoFault: the page names what is invalid, and nothing else is refused.
+// TestMembersThatNobodyJudgesAreNoFault: the page lists what is invalid, and nothing else is rejected.
 func TestMembersThatNobodyJudgesAreNoFault(t *testing.T) {
 	for _, member := range []string{
 		`"route-kind":"odd"`, `"route-kind":7`, `"target-ms":-1`, `"target-ms":"800"`, `"target-ms":1e999`, `"prio":-1`,
--- a/internal/catalog/errors.go
+++ b/internal/catalog/errors.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// OrderError is an answer to an operator's order that leads to no change. InvalidError, ConflictError,
-// AlreadyExecutedError and ExecutionUnknownError are the only ones.
+// OrderError is an answer to an operator's order that leads to no change. It is implemented by *InvalidError,
+// *ConflictError, *AlreadyExecutedError and *ExecutionUnknownError only.
 type OrderError interface {
 	error
 	// Status is the HTTP status of the answer.
@@ -21,7 +21,7 @@
 	Reason string
 }
 
-// String names the item and field and tells the reason.
+// String returns the item, the field and the reason, as they stand in the answer to the operator.
 func (fault Fault) String() string {
 	subject := strings.Trim(fault.Item+" "+fault.Field, " ")
 	if subject == "" {
@@ -30,7 +30,7 @@
 	return subject + ": " + fault.Reason
 }
 
-// InvalidError refuses a configuration that cannot be read or breaks a rule of the operator's API.
+// InvalidError rejects an order that cannot be parsed or violates a rule of the operator API.
 type InvalidError struct {
 	Faults  []Fault // the first MaxFaults
 	Omitted int     // faults found beyond those
@@ -39,6 +39,7 @@
 // MaxFaults is the number of faults that one InvalidError lists.
 const MaxFaults = 20
 
+// Error lists the faults.
 func (e *InvalidError) Error() string {
 	texts := make([]string, 0, len(e.Faults)+1)
 	for _, fault := range e.Faults {
@@ -53,6 +54,7 @@
 // Status is 400.
 func (e *InvalidError) Status() int { return http.StatusBadRequest }
 
+// add adds a fault, or counts it if there are MaxFaults already.
 func (e *InvalidError) add(item, field, format string, arguments ...any) {
 	if len(e.Faults) >= MaxFaults {
 		e.Omitted++
@@ -61,7 +63,7 @@
 	e.Faults = append(e.Faults, Fault{Item: item, Field: field, Reason: fmt.Sprintf(format, arguments...)})
 }
 
-// orNil returns the error if any fault was added, as an untyped nil otherwise.
+// orNil returns the error if any fault was added, otherwise a nil interface.
 func (e *InvalidError) orNil() error {
 	if len(e.Faults) == 0 {
 		return nil
@@ -69,18 +71,20 @@
 	return e
 }
 
+// invalid returns an error with one fault.
 func invalid(item, field, format string, arguments ...any) *InvalidError {
 	result := &InvalidError{}
 	result.add(item, field, format, arguments...)
 	return result
 }
 
-// ConflictError refuses an order that builds on another generation than the current one.
+// ConflictError rejects an order that builds on another generation than the current one, and was not executed on it.
 type ConflictError struct {
 	Base    uint64 // generation that the order builds on
 	Current uint64 // generation in force
 }
 
+// Error names both generations.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("the order builds on generation %d, but %d is current", e.Base, e.Current)
 }
@@ -88,12 +92,13 @@
 // Status is 412.
 func (e *ConflictError) Status() int { return http.StatusPreconditionFailed }
 
-// AlreadyExecutedError tells that the same order was taken before and needs no further change: it is
-// acknowledged.
+// AlreadyExecutedError is the answer to a retry of an order that was executed before: it is acknowledged without a
+// change.
 type AlreadyExecutedError struct {
 	Generation uint64 // that the order brought into force
 }
 
+// Error names the generation that the order brought into force.
 func (e *AlreadyExecutedError) Error() string {
 	return fmt.Sprintf("the order was taken before, as generation %d", e.Generation)
 }
@@ -101,33 +106,36 @@
 // Status is 200.
 func (e *AlreadyExecutedError) Status() int { return http.StatusOK }
 
-// ExecutionUnknownError tells that it is not known any more whether an order was taken: it builds on a generation that
-// the record of taken orders no longer reaches.
+// ExecutionUnknownError is the answer to an order that may have been executed: it builds on a generation that the
+// record of executed orders no longer covers.
 type ExecutionUnknownError struct {
 	Base   uint64 // generation that the order builds on
-	Oldest uint64 // generation up to which the record reaches back
+	Oldest uint64 // oldest generation that the record covers
 }
 
+// Error names the generations of the order and of the record.
 func (e *ExecutionUnknownError) Error() string {
 	return fmt.Sprintf("the order builds on generation %d, orders are remembered from generation %d on", e.Base, e.Oldest)
 }
 
-// Status is 503: the order was perhaps taken, so it is not refused.
+// Status is 503: a rejection would be wrong if the order was executed.
 func (e *ExecutionUnknownError) Status() int { return http.StatusServiceUnavailable }
 
-// SequenceError refuses a change that does not follow the snapshot that it was applied to.
+// SequenceError rejects a change that does not follow the snapshot to which it is applied.
 type SequenceError struct {
 	Have uint64 // sequence of the snapshot
-	Got  uint64 // sequence of the change; Have+1 was wanted
+	Got  uint64 // sequence of the change; Have+1 is the next
 }
 
+// Error names both sequences.
 func (e *SequenceError) Error() string {
 	return fmt.Sprintf("change %d does not follow sequence %d", e.Got, e.Have)
 }
 
-// RepairError refuses a repair, or the stored form of a snapshot, that is not well formed.
+// RepairError rejects a malformed repair, or a malformed stored form of a snapshot.
 type RepairError struct {
 	Reason string
 }
 
+// Error names the reason.
 func (e *RepairError) Error() string { return "malformed repair: " + e.Reason }
--- a/internal/catalog/executed_orders.go
+++ b/internal/catalog/executed_orders.go
@@ -8,140 +8,142 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The orders on the configuration that were taken are remembered, so that one that comes again is acknowledged
-// again however many changes were made since. The record is part of the replicated state but not of what agents
-// and proxies carry.
+// The orders on the configuration that were executed are recorded, so that a retry of one is acknowledged and not
+// executed twice, however many changes were made since: the at-most-once record of remote procedure calls (Birrell and
+// Nelson, "Implementing Remote Procedure Calls", 1984). The record is part of the replicated state but not of what
+// agents and proxies have of it.
 //
-// Each order builds on the generation that the one before it brought into force. So the record is a sequence
-// without gaps: the order that was taken on a generation is the one that follows that generation's own.
+// Each order builds on the generation that the one before it brought into force. So the record is a sequence without
+// gaps: the order that was executed on a generation is the one after the order that made the generation.
 
 const (
 	// chunkOrders is the number of orders in a full chunk.
 	chunkOrders = 64
-	// maxFullChunks is the number of full chunks that are kept.
+	// maxFullChunks is the number of full chunks that are retained.
 	maxFullChunks = 256
-	// ExecutedOrdersCapacity is the number of orders that are sure to be remembered.
+	// ExecutedOrdersCapacity is the number of orders that are guaranteed to be recorded.
 	ExecutedOrdersCapacity = maxFullChunks * chunkOrders
 
-	// orderDigestBytes is the length of the digest by which an order is known again.
+	// orderDigestBytes is the length of the digest by which a retry is recognized.
 	orderDigestBytes = 16
-	// encodedOrderBytes is the encoded length of a executedOrder.
+	// encodedOrderBytes is the encoded length of an executedOrder.
 	encodedOrderBytes = 8 + orderDigestBytes
 )
 
 // orderDigest is the start of the SHA-256 of an order with the generation that it builds on.
 type orderDigest [orderDigestBytes]byte
 
-// executedOrder is an order that was taken.
+// executedOrder is the record of one order.
 type executedOrder struct {
 	generation uint64 // that it brought into force
 	digest     orderDigest
 }
 
-// orderChunk is a full part of the record. It is shared between snapshots and never written to.
+// orderChunk is a full chunk of the record. Snapshots share it, so it is never modified.
 type orderChunk struct {
 	orders [chunkOrders]executedOrder
 	digest uint64
 }
 
-// executedOrders is the record of the orders that were taken, the oldest first. It is an immutable value: a later
-// record shares the full chunks of the earlier one. Chunks are numbered, and keep their numbers when older ones are
-// dropped, so that replicas can compare them. The newest generation of the record is that of the snapshot that holds it. The zero
-// value is the record before the first order.
+// executedOrders is the record of the executed orders, oldest first. It is an immutable value: a later record shares
+// the full chunks of the earlier one. Chunks are numbered, and keep their numbers when older ones are discarded, so
+// that replicas can compare them. The newest generation of the record is that of its snapshot. The zero value is the
+// record before the first order.
 type executedOrders struct {
 	baseGeneration uint64 // generation that the oldest order builds on
 	firstChunk     uint64 // number of the oldest chunk
 	full           []*orderChunk
-	partial        []executedOrder // less than a chunk
+	partial        []executedOrder // the newest orders, less than a chunk
 }
 
 // len is the number of orders.
-func (t *executedOrders) len() int { return len(t.full)*chunkOrders + len(t.partial) }
+func (e *executedOrders) len() int { return len(e.full)*chunkOrders + len(e.partial) }
 
 // at returns an order; index 0 is the oldest.
-func (t *executedOrders) at(index int) executedOrder {
+func (e *executedOrders) at(index int) executedOrder {
 	chunk := index / chunkOrders
-	if chunk < len(t.full) {
-		return t.full[chunk].orders[index%chunkOrders]
+	if chunk < len(e.full) {
+		return e.full[chunk].orders[index%chunkOrders]
 	}
-	return t.partial[index%chunkOrders]
+	return e.partial[index%chunkOrders]
 }
 
 // newest is the generation that the newest order brought into force.
-func (t *executedOrders) newest() uint64 {
-	if count := t.len(); count > 0 {
-		return t.at(count - 1).generation
+func (e *executedOrders) newest() uint64 {
+	if count := e.len(); count > 0 {
+		return e.at(count - 1).generation
 	}
-	return t.baseGeneration
+	return e.baseGeneration
 }
 
-// reaches reports whether an order that was taken on a generation would still be in the record.
-func (t *executedOrders) covers(generation uint64) bool { return generation >= t.baseGeneration }
+// covers reports whether an order that was executed on a generation would still be in the record.
+func (e *executedOrders) covers(generation uint64) bool { return generation >= e.baseGeneration }
 
-// executedOn returns the order that was taken on a generation. There is none if the generation was never in force,
-// is the newest, or is not reached.
-func (t *executedOrders) executedOn(generation uint64) (executedOrder, bool) {
+// executedOn returns the order that was executed on a generation. There is none if the generation was never in force,
+// is the newest, or is not covered.
+func (e *executedOrders) executedOn(generation uint64) (executedOrder, bool) {
 	next := 0
-	if generation != t.baseGeneration {
-		index := sort.Search(t.len(), func(index int) bool { return t.at(index).generation >= generation })
-		if index == t.len() || t.at(index).generation != generation {
+	if generation != e.baseGeneration {
+		index := sort.Search(e.len(), func(index int) bool { return e.at(index).generation >= generation })
+		if index == e.len() || e.at(index).generation != generation {
 			return executedOrder{}, false
 		}
 		next = index + 1
 	}
-	if next == t.len() {
+	if next == e.len() {
 		return executedOrder{}, false
 	}
-	return t.at(next), true
+	return e.at(next), true
 }
 
-// after returns the record after a change from the newest generation to another. Without the digest of an order,
-// nothing before the other generation is known any more.
-func (t *executedOrders) afterChange(generation uint64, digest []byte) executedOrders {
-	if generation == t.newest() && len(digest) == 0 {
-		return *t
+// afterChange returns the record after a change from the newest generation to another. Without the digest of an order
+// the sequence has a gap, and nothing before the other generation is known any more.
+func (e *executedOrders) afterChange(generation uint64, digest []byte) executedOrders {
+	if generation == e.newest() && len(digest) == 0 {
+		return *e
 	}
-	if generation <= t.newest() || len(digest) != orderDigestBytes {
+	if generation <= e.newest() || len(digest) != orderDigestBytes {
 		return executedOrders{baseGeneration: generation}
 	}
-	next := *t
+	next := *e
 	next.append(executedOrder{generation: generation, digest: orderDigest(digest)})
 	return next
 }
 
-// end is the number after that of the newest chunk.
-func (t *executedOrders) endChunk() uint64 {
-	end := t.firstChunk + uint64(len(t.full))
-	if len(t.partial) > 0 {
+// endChunk is the number of the newest chunk, full or partial, plus one.
+func (e *executedOrders) endChunk() uint64 {
+	end := e.firstChunk + uint64(len(e.full))
+	if len(e.partial) > 0 {
 		end++
 	}
 	return end
 }
 
-// add appends an order to a record that no snapshot holds yet. What it shares with others is copied.
-func (t *executedOrders) append(order executedOrder) {
-	if len(t.partial)+1 < chunkOrders {
-		open := make([]executedOrder, len(t.partial)+1)
-		copy(open, t.partial)
-		open[len(t.partial)] = order
-		t.partial = open
+// append appends an order to a record that no snapshot has yet. What is shared with other records is copied.
+func (e *executedOrders) append(order executedOrder) {
+	if len(e.partial)+1 < chunkOrders {
+		partial := make([]executedOrder, len(e.partial)+1)
+		copy(partial, e.partial)
+		partial[len(e.partial)] = order
+		e.partial = partial
 		return
 	}
 	chunk := &orderChunk{}
-	copy(chunk.orders[:], t.partial)
+	copy(chunk.orders[:], e.partial)
 	chunk.orders[chunkOrders-1] = order
 	chunk.digest = digestOrders(chunk.orders[:])
-	t.partial = nil
-	t.full = append(slices.Clip(t.full), chunk)
-	if len(t.full) > maxFullChunks {
-		t.discardOldest()
+	e.partial = nil
+	e.full = append(slices.Clip(e.full), chunk)
+	if len(e.full) > maxFullChunks {
+		e.discardOldest()
 	}
 }
 
-func (t *executedOrders) discardOldest() {
-	t.baseGeneration = t.full[0].orders[chunkOrders-1].generation
-	t.full = slices.Clone(t.full[1:])
-	t.firstChunk++
+// discardOldest discards the oldest chunk. Its orders are not covered any more.
+func (e *executedOrders) discardOldest() {
+	e.baseGeneration = e.full[0].orders[chunkOrders-1].generation
+	e.full = slices.Clone(e.full[1:])
+	e.firstChunk++
 }
 
 // appendOrders appends the encoded form of orders.
@@ -153,6 +155,7 @@
 	return buffer
 }
 
+// decodeOrder decodes the first encodedOrderBytes of data.
 func decodeOrder(data []byte) executedOrder {
 	return executedOrder{
 		generation: binary.LittleEndian.Uint64(data),
@@ -160,6 +163,7 @@
 	}
 }
 
+// digestOrders is the digest of a chunk, by which replicas compare it.
 func digestOrders(orders []executedOrder) uint64 {
 	return xxhash.Sum64(appendOrders(make([]byte, 0, len(orders)*encodedOrderBytes), orders))
 }
--- a/internal/catalog/executed_orders_bench_test.go
+++ b/internal/catalog/executed_orders_bench_test.go
@@ -11,15 +11,16 @@
 	"fieldrelay/internal/catalog"
 )
 
-// BenchmarkTakenOrders takes small amendments with and without a day of orders before them. It reports the heap
-// that the orders of a day take, the bytes of the whole state, and those of a change to a replica and to an agent.
-func BenchmarkTakenOrders(b *testing.B) {
+// BenchmarkExecutedOrders executes small amendments with and without the orders of a day before them. It reports the
+// heap that the orders of a day occupy, and the bytes of the whole state, of a change to a replica and of one to an
+// agent.
+func BenchmarkExecutedOrders(b *testing.B) {
 	for _, count := range []int{1, changesOfADay} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			before := heapBytes()
 			snapshot, _ := executeOrders(b, catalog.Empty(), count, "a")
-			held := heapBytes() - before
-			whole, err := snapshot.Marshal()
+			occupied := heapBytes() - before
+			stored, err := snapshot.Marshal()
 			require.NoError(b, err)
 			order := orderOn(snapshot.Generation(), "b")
 			change, err := order.prepare(snapshot)
@@ -31,8 +32,8 @@
 				_, err = snapshot.Apply(change)
 				require.NoError(b, err)
 			}
-			b.ReportMetric(float64(held), "heap-B")
-			b.ReportMetric(float64(len(whole)), "B/state")
+			b.ReportMetric(float64(occupied), "heap-B")
+			b.ReportMetric(float64(len(stored)), "B/state")
 			b.ReportMetric(float64(proto.Size(change)), "B/change")
 			b.ReportMetric(float64(proto.Size(catalog.ForAgents(change))), "B/agent-change")
 			runtime.KeepAlive(snapshot)
@@ -40,6 +41,7 @@
 	}
 }
 
+// heapBytes is the live heap.
 func heapBytes() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -47,7 +49,7 @@
 	return int64(stats.HeapAlloc)
 }
 
-// BenchmarkRepeats answers an order that was taken at the beginning of a day, one of 1,500 routes.
+// BenchmarkRepeats answers a retry of an order of 1,500 routes that was executed at the beginning of a day.
 func BenchmarkRepeats(b *testing.B) {
 	body := capacityConfiguration(1, 1500)
 	snapshot := replaced(b, catalog.Empty(), body)
@@ -61,7 +63,7 @@
 	}
 }
 
-// BenchmarkReplicaDigests gets what a replica sends to compare its state with another one's.
+// BenchmarkReplicaDigests returns what a replica sends to compare its state with another's.
 func BenchmarkReplicaDigests(b *testing.B) {
 	snapshot, _ := executeOrders(b, catalog.Empty(), changesOfADay, "a")
 	b.ReportAllocs()
--- a/internal/catalog/executed_orders_repair.go
+++ b/internal/catalog/executed_orders_repair.go
@@ -6,58 +6,58 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// digests summarises the record: one digest for each chunk, the last of which may not be full.
-func (t *executedOrders) digests() *pb.TakenDigests {
-	digests := make([]uint64, 0, len(t.full)+1)
-	for _, chunk := range t.full {
+// digests returns one digest for each chunk, the last of which may be partial.
+func (e *executedOrders) digests() *pb.TakenDigests {
+	digests := make([]uint64, 0, len(e.full)+1)
+	for _, chunk := range e.full {
 		digests = append(digests, chunk.digest)
 	}
-	if len(t.partial) > 0 {
-		digests = append(digests, digestOrders(t.partial))
+	if len(e.partial) > 0 {
+		digests = append(digests, digestOrders(e.partial))
 	}
-	return &pb.TakenDigests{First: t.firstChunk, Chunks: digests}
+	return &pb.TakenDigests{First: e.firstChunk, Chunks: digests}
 }
 
-// repairFor returns what a copy that the digests describe lacks of this record: the chunks from the first that
-// differs on. Without digests it is all of them.
-func (t *executedOrders) repairFor(theirs *pb.TakenDigests) *pb.TakenOrders {
-	own := t.digests().GetChunks()
+// repairFor returns what the record that the digests describe lacks of this one: the chunks from the first that
+// differs. Without digests it is all of them.
+func (e *executedOrders) repairFor(theirs *pb.TakenDigests) *pb.TakenOrders {
+	own := e.digests().GetChunks()
 	shared := 0
 	for shared < len(own) {
-		position := t.firstChunk + uint64(shared) - theirs.GetFirst() // wraps to beyond the end if the copy begins later
+		position := e.firstChunk + uint64(shared) - theirs.GetFirst() // wraps around, beyond the end, if theirs begins later
 		if position >= uint64(len(theirs.GetChunks())) || theirs.GetChunks()[position] != own[shared] {
 			break
 		}
 		shared++
 	}
 	return &pb.TakenOrders{
-		Base:   t.baseGeneration,
-		First:  t.firstChunk,
+		Base:   e.baseGeneration,
+		First:  e.firstChunk,
 		Kept:   uint32(shared),
-		Orders: t.encodeFrom(shared),
+		Orders: e.encodeFrom(shared),
 	}
 }
 
-// encodeFrom returns the encoded orders from a chunk on.
-func (t *executedOrders) encodeFrom(chunk int) []byte {
+// encodeFrom returns the encoded orders from a chunk on, by its index.
+func (e *executedOrders) encodeFrom(chunk int) []byte {
 	start := chunk * chunkOrders
-	if start >= t.len() {
+	if start >= e.len() {
 		return nil
 	}
-	buffer := make([]byte, 0, (t.len()-start)*encodedOrderBytes)
-	for _, full := range t.full[min(chunk, len(t.full)):] {
+	buffer := make([]byte, 0, (e.len()-start)*encodedOrderBytes)
+	for _, full := range e.full[min(chunk, len(e.full)):] {
 		buffer = appendOrders(buffer, full.orders[:])
 	}
-	return appendOrders(buffer, t.partial)
+	return appendOrders(buffer, e.partial)
 }
 
-// restored returns the record that a repair brings to a generation. Without one, and for a copy that keeps no
-// record, nothing before the generation is known.
-func (t *executedOrders) restore(repair *pb.TakenOrders, generation uint64) (executedOrders, error) {
+// restore returns the record that results from a repair to a generation. Without a repair, as in the replicas of
+// agents, nothing before the generation is known. The error is a *RepairError.
+func (e *executedOrders) restore(repair *pb.TakenOrders, generation uint64) (executedOrders, error) {
 	if repair == nil {
 		return executedOrders{baseGeneration: generation}, nil
 	}
-	next, err := t.sharedPrefix(repair)
+	next, err := e.sharedPrefix(repair)
 	if err != nil {
 		return executedOrders{}, err
 	}
@@ -78,20 +78,20 @@
 	return next, nil
 }
 
-// kept returns the part of this record that a repair builds on.
-func (t *executedOrders) sharedPrefix(repair *pb.TakenOrders) (executedOrders, error) {
+// sharedPrefix returns the chunks of this record on which a repair builds.
+func (e *executedOrders) sharedPrefix(repair *pb.TakenOrders) (executedOrders, error) {
 	next := executedOrders{baseGeneration: repair.GetBase(), firstChunk: repair.GetFirst()}
 	count := uint64(repair.GetKept())
 	if count == 0 {
 		return next, nil
 	}
-	start := repair.GetFirst() - t.firstChunk // wraps to beyond the end if this record begins later
-	if start > uint64(len(t.full)) || start+count > t.endChunk()-t.firstChunk {
+	start := repair.GetFirst() - e.firstChunk // wraps around, beyond the end, if this record begins later
+	if start > uint64(len(e.full)) || start+count > e.endChunk()-e.firstChunk {
 		return executedOrders{}, &RepairError{Reason: "the repair builds on taken orders that are not here"}
 	}
-	full := t.full[start:]
+	full := e.full[start:]
 	if count > uint64(len(full)) {
-		next.partial = t.partial
+		next.partial = e.partial
 		count = uint64(len(full))
 	}
 	next.full = slices.Clip(full[:count])
--- a/internal/catalog/executed_orders_test.go
+++ b/internal/catalog/executed_orders_test.go
@@ -30,7 +30,7 @@
 	return catalog.PrepareAmend(snapshot, o.base, o.body)
 }
 
-// orderOn makes an order on a generation; the text tells it from others on the same one.
+// orderOn returns an order on a generation, which differs from others on the same one by the text.
 func orderOn(base uint64, text string) executedOrder {
 	order := executedOrder{base: base}
 	if order.isReplace() {
@@ -41,7 +41,7 @@
 	return order
 }
 
-// executeOrders takes orders one after the other, each on the generation of the one before.
+// executeOrders executes a number of orders, each on the generation of the one before.
 func executeOrders(t require.TestingT, snapshot *catalog.Snapshot, count int, text string) (*catalog.Snapshot, []executedOrder) {
 	var orders []executedOrder
 	for range count {
@@ -56,9 +56,9 @@
 // answerTo is the status of the answer to an order that makes no change.
 func answerTo(t require.TestingT, snapshot *catalog.Snapshot, order executedOrder) int {
 	_, err := order.prepare(snapshot)
-	var refused catalog.OrderError
-	require.ErrorAs(t, err, &refused)
-	return refused.Status()
+	var answer catalog.OrderError
+	require.ErrorAs(t, err, &answer)
+	return answer.Status()
 }
 
 func TestEveryOrderOfADayIsAcknowledgedAgain(t *testing.T) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// An order on a generation that the record no longer reaches may have been taken or not: it must not be refused.
+// An order on a generation that the record no longer covers may have been executed: it must not be rejected.
 func TestAnOrderThatIsForgottenIsNotRefused(t *testing.T) {
 	count := catalog.ExecutedOrdersCapacity + 1000
 	snapshot, orders := executeOrders(t, catalog.Empty(), count, "a")
@@ -91,8 +91,8 @@
 	require.Positive(t, forgotten)
 	require.GreaterOrEqual(t, count-forgotten, catalog.ExecutedOrdersCapacity)
 	require.Less(t, count-forgotten, catalog.ExecutedOrdersCapacity+64, "the record is bounded")
-	held, since := snapshot.TakenOrders()
-	require.Equal(t, count-forgotten, held)
+	recorded, since := snapshot.TakenOrders()
+	require.Equal(t, count-forgotten, recorded)
 	require.EqualValues(t, forgotten, since)
 }
 
@@ -106,7 +106,7 @@
 	}
 }
 
-// Two operators pick one number for different changes on the same version: one of them has lost.
+// Two operators choose one number for different changes on the same generation: one of them gets a conflict.
 func TestOneNumberForTwoChanges(t *testing.T) {
 	first := configuration(6, route("a"))
 	second := configuration(6, route("b"))
@@ -123,8 +123,8 @@
 	}
 }
 
-// Two changes on one snapshot, as the head validates them or as two histories hold them, do not disturb each
-// other, at each length of the newest chunk.
+// Two changes on one snapshot, as the head validates them or as two histories have them, do not affect each other, at
+// any length of the newest chunk.
 func TestRecordsThatBranchAreApart(t *testing.T) {
 	snapshot := catalog.Empty()
 	for range 300 {
@@ -148,29 +148,30 @@
 		snapshot, _ = executeOrders(t, snapshot, 1, "a")
 		states = append(states, snapshot)
 	}
-	for _, held := range []int{0, 1, 63, 64, 65, 128, 700, 1024, 1900, 1999, 2000} {
-		t.Run(fmt.Sprint(held), func(t *testing.T) {
-			repaired, repair := repairReplica(t, states[held], snapshot)
+	for _, recorded := range []int{0, 1, 63, 64, 65, 128, 700, 1024, 1900, 1999, 2000} {
+		t.Run(fmt.Sprint(recorded), func(t *testing.T) {
+			repaired, repair := repairReplica(t, states[recorded], snapshot)
 			require.True(t, repaired.SameAs(snapshot))
-			require.LessOrEqual(t, len(repair.GetTaken().GetOrders()), (newest-held+64)*24,
-				"what the copy has is not sent")
-			if held == newest {
+			require.LessOrEqual(t, len(repair.GetTaken().GetOrders()), (newest-recorded+64)*24,
+				"what the replica has is not sent")
+			if recorded == newest {
 				require.Empty(t, repair.GetTaken().GetOrders())
 			}
-			// a copy with a change that nobody else has
-			forked, lost := executeOrders(t, states[held], 1, "b")
+			// a replica with a change that no other has
+			forked, lost := executeOrders(t, states[recorded], 1, "b")
 			repaired, _ = repairReplica(t, forked, snapshot)
 			require.True(t, repaired.SameAs(snapshot))
-			if held < newest {
+			if recorded < newest {
 				require.Equal(t, http.StatusPreconditionFailed, answerTo(t, repaired, lost[0]))
 			}
 			// and back to an older state
-			repaired, _ = repairReplica(t, snapshot, states[held])
-			require.True(t, repaired.SameAs(states[held]))
+			repaired, _ = repairReplica(t, snapshot, states[recorded])
+			require.True(t, repaired.SameAs(states[recorded]))
 		})
 	}
 }
 
+// repairReplica repairs a replica by way of the encoded messages.
 func repairReplica(t *testing.T, from, to *catalog.Snapshot) (*catalog.Snapshot, *pb.Repair) {
 	repair := to.ReplicaRepairFor(from.ReplicaDigests())
 	data, err := proto.Marshal(repair)
@@ -182,7 +183,7 @@
 	return repaired, repair
 }
 
-// The oldest orders of one replica's record are gone at another.
+// One replica has discarded the oldest orders of another's record.
 func TestReplicasCatchUpOverTheEndOfTheRecord(t *testing.T) {
 	early, _ := executeOrders(t, catalog.Empty(), 3000, "a")
 	late, orders := executeOrders(t, early, catalog.ExecutedOrdersCapacity, "a")
@@ -196,7 +197,7 @@
 	require.True(t, repaired.SameAs(early))
 }
 
-// Agents get changes and repairs without the record, and theirs stays empty.
+// Agents receive changes and repairs without the record, and theirs stays empty.
 func TestAgentsDoNotCarryTheRecord(t *testing.T) {
 	replica, orders := executeOrders(t, catalog.Empty(), 10, "a")
 	require.Nil(t, replica.RepairFor(nil).GetTaken())
@@ -221,7 +222,7 @@
 	require.Same(t, same, catalog.ForAgents(same))
 }
 
-// A change of generation that names no order, or does not rise, begins the record anew.
+// A change of generation without the digest of an order, or to no higher one, begins the record anew.
 func TestARecordWithAGapIsNotTrusted(t *testing.T) {
 	snapshot, orders := executeOrders(t, catalog.Empty(), 200, "a")
 	change, err := orderOn(200, "a").prepare(snapshot)
--- a/internal/catalog/golden_test.go
+++ b/internal/catalog/golden_test.go
@@ -19,26 +19,26 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// goldenChanges are the changes of 70 orders (more than one chunk of the record of taken orders), of amendments with
+// goldenChanges are the changes of 70 orders (more than one chunk of the record of executed orders), of amendments with
 // and without removals, and of evacuations that begin and end; and the state that they lead to.
 func goldenChanges(t *testing.T) (*catalog.Snapshot, []*pb.Change) {
 	t.Helper()
 	snapshot := catalog.Empty()
 	var changes []*pb.Change
-	take := func(change *pb.Change, err error) {
+	apply := func(change *pb.Change, err error) {
 		snapshot = applied(t, snapshot, change, err)
 		changes = append(changes, change)
 	}
 	for range 66 {
-		take(catalog.PrepareReplace(snapshot, snapshot.Generation(), goldenOrder(snapshot.Generation())))
+		apply(catalog.PrepareReplace(snapshot, snapshot.Generation(), goldenOrder(snapshot.Generation())))
 	}
-	take(catalog.PrepareEvacuation(snapshot, "hall-b", true))
-	take(catalog.PrepareEvacuation(snapshot, "hall-ä", true))
-	take(catalog.PrepareAmend(snapshot, 66, []byte(`{"gen":70,"upsert":{"routes":[`+route("added")+`],"backends":[{"name":"s3"}],"note":{"x":[1,2]}}}`)))
-	take(catalog.PrepareAmend(snapshot, 70, []byte(`{"gen":71,"remove":{"routes":["b"]}}`)))
-	take(catalog.PrepareEvacuation(snapshot, "hall-b", false))
-	take(catalog.PrepareReplace(snapshot, 71, configuration(80, route("a"), route("c"), route("added"))))
-	take(catalog.PrepareAmend(snapshot, 80, []byte(`{"gen":81,"upsert":{"backends":[{"name":"s4","note":"é"}]}}`)))
+	apply(catalog.PrepareEvacuation(snapshot, "hall-b", true))
+	apply(catalog.PrepareEvacuation(snapshot, "hall-ä", true))
+	apply(catalog.PrepareAmend(snapshot, 66, []byte(`{"gen":70,"upsert":{"routes":[`+route("added")+`],"backends":[{"name":"s3"}],"note":{"x":[1,2]}}}`)))
+	apply(catalog.PrepareAmend(snapshot, 70, []byte(`{"gen":71,"remove":{"routes":["b"]}}`)))
+	apply(catalog.PrepareEvacuation(snapshot, "hall-b", false))
+	apply(catalog.PrepareReplace(snapshot, 71, configuration(80, route("a"), route("c"), route("added"))))
+	apply(catalog.PrepareAmend(snapshot, 80, []byte(`{"gen":81,"upsert":{"backends":[{"name":"s4","note":"é"}]}}`)))
 	return snapshot, changes
 }
 
@@ -47,7 +47,7 @@
 	return configuration(base+1, route("a"), route("b", fmt.Sprintf(`"note":%d`, base/10)))
 }
 
-// goldenState is what an operator sees of the golden state, and what copies compare.
+// goldenState is what an operator sees of the golden state, and what replicas compare.
 type goldenState struct {
 	Sequence   uint64              `json:"sequence"`
 	Generation uint64              `json:"generation"`
@@ -89,7 +89,7 @@
 }
 
 // Guards the stored form of a snapshot: the same state is encoded to the very bytes, and the bytes of an earlier
-// program are read to the same state: items, evacuations, record of taken orders, digests.
+// program are read to the same state: items, evacuations, record of executed orders, digests.
 func TestGoldenSnapshot(t *testing.T) {
 	snapshot, _ := goldenChanges(t)
 	encoded, err := snapshot.Marshal()
@@ -103,8 +103,8 @@
 	require.True(t, read.SameAs(snapshot))
 	for base := range uint64(66) {
 		_, err = catalog.PrepareReplace(read, base, goldenOrder(base))
-		var again *catalog.AlreadyExecutedError
-		require.ErrorAs(t, err, &again, "the order on %d", base)
+		var already *catalog.AlreadyExecutedError
+		require.ErrorAs(t, err, &already, "the order on %d", base)
 		_, err = catalog.PrepareReplace(read, base, configuration(base+1, route("other")))
 		var conflict *catalog.ConflictError
 		require.ErrorAs(t, err, &conflict, "another order on %d", base)
--- a/internal/catalog/helpers_test.go
+++ b/internal/catalog/helpers_test.go
@@ -24,12 +24,13 @@
 	return "{" + strings.Join(all, ",") + "}"
 }
 
+// configuration is a valid configuration with two services.
 func configuration(generation uint64, routes ...string) []byte {
 	return []byte(fmt.Sprintf(`{"gen":%d,"routes":[%s],"backends":[{"name":"s1"},{"name":"s2"}],"req-limits":{"a":1}}`,
 		generation, strings.Join(routes, ",")))
 }
 
-// taken applies the change of an order that must be taken.
+// applied applies the change of an order that must be valid.
 func applied(t require.TestingT, snapshot *catalog.Snapshot, change *pb.Change, err error) *catalog.Snapshot {
 	require.NoError(t, err)
 	require.NotNil(t, change)
@@ -53,6 +54,7 @@
 	return applied(t, snapshot, change, err)
 }
 
+// readBack returns the configuration in force, as the operator API returns it.
 func readBack(t require.TestingT, snapshot *catalog.Snapshot) string {
 	data, err := snapshot.Configuration()
 	require.NoError(t, err)
@@ -60,6 +62,7 @@
 	return string(data)
 }
 
+// names lists the names of items.
 func names(items []*pb.Item) []string {
 	all := make([]string, len(items))
 	for index, item := range items {
@@ -68,7 +71,7 @@
 	return all
 }
 
-// content is everything that a snapshot holds, for comparison.
+// content lists all that a snapshot holds, for comparison.
 func content(t require.TestingT, snapshot *catalog.Snapshot) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d %d\n", snapshot.Sequence(), snapshot.Generation())
--- a/internal/catalog/history.go
+++ b/internal/catalog/history.go
@@ -12,25 +12,25 @@
 	HistoryMaxBytes   = 2 << 20 // of encoded changes
 )
 
-// History keeps the last changes for copies that lag a little. It is not safe for concurrent use. The zero
-// value is a history that ends at sequence 0.
+// History retains the last changes, for replicas that are a few changes behind. It is not safe for concurrent use. The
+// zero value is a history that ends at sequence 0.
 type History struct {
 	changes []*pb.Change // consecutive, the newest last
 	sizes   []int        // of each change, in bytes
-	bytes   int
-	last    uint64 // sequence up to which the history reaches
+	bytes   int          // of all changes
+	last    uint64       // sequence at which the history ends
 }
 
 // NewHistory returns an empty history of a state at the given sequence.
 func NewHistory(sequence uint64) *History { return &History{last: sequence} }
 
-// Reset forgets everything and lets the history end at the given sequence, as after a repair.
+// Reset discards all changes; the history then ends at the given sequence, as after a repair.
 func (h *History) Reset(sequence uint64) { *h = History{last: sequence} }
 
-// Last is the sequence up to which the history reaches.
+// Last is the sequence at which the history ends.
 func (h *History) Last() uint64 { return h.last }
 
-// Add appends a change. If it does not follow the last one, everything before it is forgotten.
+// Add appends a change. If it does not follow the last one, everything before it is discarded.
 func (h *History) Add(change *pb.Change) {
 	if change.GetSequence() != h.last+1 {
 		h.Reset(change.GetSequence() - 1)
@@ -52,9 +52,9 @@
 	h.sizes = h.sizes[1:]
 }
 
-// Since returns the changes that follow a sequence, oldest first, and whether the history reaches back that
-// far. The sequence of the newest change gives no changes and true; a later one gives false. The slice is the
-// caller's own.
+// Since returns the changes after a sequence, oldest first, and whether the history reaches back that far. It
+// returns no changes and true for the sequence of the newest change, and false for a later one. The caller owns the
+// slice.
 func (h *History) Since(sequence uint64) ([]*pb.Change, bool) {
 	if sequence > h.last || h.last-sequence > uint64(len(h.changes)) {
 		return nil, false
--- a/internal/catalog/legacy_orders.go
+++ b/internal/catalog/legacy_orders.go
@@ -7,18 +7,18 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Earlier versions kept the last orders that were taken as items of their own: the name was the SHA-256 of the
-// order in hex, the body the generation, the position the sequence of the change.
+// Earlier versions recorded the last executed orders as items: the name was the SHA-256 of the order in hex, the body
+// the generation, the order the sequence of the change.
 
 const (
 	// legacyOrderKind is the kind of these items.
 	legacyOrderKind = "taken"
-	// legacyOrderLimit is the number of them that were kept.
+	// legacyOrderLimit is the number of orders that were recorded in this way.
 	legacyOrderLimit = 64
 )
 
-// MigrateTaken returns the state with the orders that an earlier version kept as items in the record of taken
-// orders, and whether there were any.
+// MigrateTaken moves the orders that an earlier version has recorded as items to the record of executed orders. It
+// returns the snapshot itself and false if there are none.
 func (s *Snapshot) MigrateTaken() (migrated *Snapshot, found bool) {
 	items := s.Items(legacyOrderKind)
 	if len(items) == 0 {
@@ -34,8 +34,9 @@
 	return editor.snapshot(s.sequence, s.generation), true
 }
 
-// ordersFromItems makes a record of items, the oldest first. The generation that the oldest order builds on is
-// only known if none were dropped before it.
+// ordersFromItems returns the record of the orders in items, oldest first. If the items are not a complete sequence
+// up to the generation in force, it is an empty record that covers nothing before the generation. The generation on
+// which the oldest order builds is only known if no item was discarded before it.
 func ordersFromItems(items []*pb.Item, generation uint64) executedOrders {
 	unknown := executedOrders{baseGeneration: generation}
 	var record executedOrders
@@ -56,6 +57,7 @@
 	return record
 }
 
+// orderFromItem decodes an order; false if the item is malformed.
 func orderFromItem(item *pb.Item) (executedOrder, bool) {
 	generation, err := strconv.ParseUint(string(item.GetBody()), 10, 64)
 	if err != nil {
--- a/internal/catalog/legacy_orders_test.go
+++ b/internal/catalog/legacy_orders_test.go
@@ -15,10 +15,10 @@
 	"fieldrelay/internal/catalog"
 )
 
-// legacyItemLimit is the number of orders that commit d046182 kept as items.
+// legacyItemLimit is the number of orders that commit d046182 recorded as items.
 const legacyItemLimit = 64
 
-// legacyItemName is the name of the item that d046182 kept for an order.
+// legacyItemName is the name of the item that d046182 wrote for an order.
 func legacyItemName(order executedOrder) string {
 	text := "amend"
 	if order.isReplace() {
@@ -30,7 +30,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// executeAsItems takes orders as d046182 did.
+// executeAsItems executes orders as d046182 did.
 func executeAsItems(t *testing.T, snapshot *catalog.Snapshot, count int) (*catalog.Snapshot, []executedOrder) {
 	var orders []executedOrder
 	for range count {
@@ -79,8 +79,8 @@
 	}
 }
 
-// A head of the earlier version takes orders between two of this one: what came before is not known any more, and
-// nothing is refused for that.
+// A head of the earlier version executes orders between two of this one: what came before is not known any more, and
+// nothing is rejected for that.
 func TestOrdersTakenByAHeadOfTheEarlierVersion(t *testing.T) {
 	state, before := executeOrders(t, catalog.Empty(), 10, "a")
 	state, between := executeAsItems(t, state, 5)
@@ -100,7 +100,7 @@
 	check(migrated)
 }
 
-// Items that do not lead to the generation in force, or cannot be read, are not trusted.
+// Items that do not lead up to the generation in force, or are malformed, are not trusted.
 func TestItemsThatDoNotFitAreNotTrusted(t *testing.T) {
 	state, orders := executeAsItems(t, catalog.Empty(), 10)
 	newest := state.Items("taken")[9]
--- a/internal/catalog/order_body_test.go
+++ b/internal/catalog/order_body_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestNoBodyPanics: whatever the operator's call carries gets an answer.
+// TestNoBodyPanics: any body of an order is answered.
 func TestNoBodyPanics(t *testing.T) {
 	start := []byte(`{"gen":7,"routes":[{"name":"r","vhost":"h","path-prefix":"/","split":[{"backend":"s","share":1}]}],` +
 		`"backends":[{"name":"s"}],"upsert":{"routes":[{"name":"q"}]},"remove":{"routes":["r"]}}`)
@@ -33,13 +33,13 @@
 				require.NoError(t, err)
 				continue
 			}
-			var refused OrderError
-			require.ErrorAs(t, err, &refused)
+			var answer OrderError
+			require.ErrorAs(t, err, &answer)
 		}
 	})
 }
 
-// valueEndIfAny returns the end of the value that begins at a place of valid JSON, or 0.
+// valueEndIfAny returns the end of the value that begins at an offset of valid JSON, or 0.
 func valueEndIfAny(body []byte, at int) int {
 	if !json.Valid(body) || !bytes.ContainsRune([]byte(`"{[123456789`), rune(body[at])) {
 		return 0
--- a/internal/catalog/range.go
+++ b/internal/catalog/range.go
@@ -10,14 +10,14 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// itemRange holds the items of one range, sorted by kind and name, and the digest of their content. It is not
-// written to once it belongs to a snapshot.
+// itemRange holds the items of one range, sorted by kind and name, and the digest of their content. It is not modified
+// any more once it belongs to a snapshot.
 type itemRange struct {
 	items  []*pb.Item
 	digest uint64 // exclusive or of the items' digests
 }
 
-// rangeIndex is the range that an item belongs to: part of the protocol between copies.
+// rangeIndex is the range of an item. It is part of the protocol between replicas.
 func rangeIndex(kind, name string) int {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -27,8 +27,8 @@
 	return int(digest.Sum64() % RangeCount)
 }
 
-// itemDigest covers everything that an item holds, its body too: after a change of view, two histories can
-// give one sequence number to different changes, of which one is dropped later.
+// itemDigest covers every field of an item, not only its sequence: after a change of view, two histories may have given
+// one sequence to different changes, of which one will be discarded.
 func itemDigest(item *pb.Item) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -44,6 +44,7 @@
 	return digest.Sum64()
 }
 
+// compareKey compares an item's kind and name with others.
 func compareKey(item *pb.Item, kind, name string) int {
 	if order := cmp.Compare(item.GetKind(), kind); order != 0 {
 		return order
@@ -51,7 +52,7 @@
 	return cmp.Compare(item.GetName(), name)
 }
 
-// find returns the place of an item, or where it would be inserted.
+// find returns the index of an item, or the index at which it would be inserted and false.
 func (r *itemRange) find(kind, name string) (int, bool) {
 	return slices.BinarySearchFunc(r.items, name, func(item *pb.Item, name string) int {
 		return compareKey(item, kind, name)
@@ -66,7 +67,7 @@
 	return r.items[index], true
 }
 
-// ofKind returns the items of a kind, as a part of the range's own slice.
+// ofKind returns the items of a kind. The slice is the range's own.
 func (r *itemRange) ofKind(kind string) []*pb.Item {
 	start, _ := r.find(kind, "")
 	end := start
@@ -80,7 +81,7 @@
 	return &itemRange{items: slices.Clone(r.items), digest: r.digest}
 }
 
-// The methods below may only be called on a range that no snapshot holds yet.
+// The methods below may only be called on a range that belongs to no snapshot yet.
 
 func (r *itemRange) upsert(item *pb.Item) {
 	index, found := r.find(item.GetKind(), item.GetName())
@@ -111,41 +112,3 @@
 		return true
 	})
 }
-
-// editor builds the next snapshot: it clones a range when it first writes to it.
-type editor struct {
-	next   Snapshot
-	cloned [RangeCount]bool
-}
-
-func newEditor(base *Snapshot) *editor {
-	return &editor{next: *base}
-}
-
-func (e *editor) writable(index int) *itemRange {
-	if !e.cloned[index] {
-		e.next.ranges[index] = e.next.ranges[index].clone()
-		e.cloned[index] = true
-	}
-	return e.next.ranges[index]
-}
-
-func (e *editor) upsert(item *pb.Item) {
-	e.writable(rangeIndex(item.GetKind(), item.GetName())).upsert(item)
-}
-
-func (e *editor) remove(kind, name string) {
-	e.writable(rangeIndex(kind, name)).remove(kind, name)
-}
-
-func (e *editor) removeOperatorItems() {
-	for index := range e.next.ranges {
-		e.writable(index).removeOperatorItems()
-	}
-}
-
-func (e *editor) snapshot(sequence, generation uint64) *Snapshot {
-	e.next.sequence = sequence
-	e.next.generation = generation
-	return &e.next
-}
--- a/internal/catalog/repair.go
+++ b/internal/catalog/repair.go
@@ -10,7 +10,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Digests summarises the state: two snapshots with the same digests hold the same items.
+// Digests returns the digests of the ranges. Two snapshots with the same digests have the same items.
 func (s *Snapshot) Digests() *pb.RangeDigests {
 	digests := make([]uint64, RangeCount)
 	for index, itemRange := range s.ranges {
@@ -19,23 +19,23 @@
 	return &pb.RangeDigests{Sequence: s.sequence, Generation: s.generation, Digests: digests}
 }
 
-// ReplicaDigests are the Digests with those of the taken orders, which only replicas keep.
+// ReplicaDigests returns the Digests with those of the executed orders, which only the control machines record.
 func (s *Snapshot) ReplicaDigests() *pb.RangeDigests {
 	digests := s.Digests()
 	digests.Taken = s.executed.digests()
 	return digests
 }
 
-// ReplicaRepairFor is RepairFor for a replica: with the taken orders that it lacks. The digests are its
-// ReplicaDigests; nil asks for everything.
+// ReplicaRepairFor is RepairFor for a control machine: with the executed orders that it lacks. The digests are its
+// ReplicaDigests; for nil it returns everything.
 func (s *Snapshot) ReplicaRepairFor(digests *pb.RangeDigests) *pb.Repair {
 	repair := s.RepairFor(digests)
 	repair.Taken = s.executed.repairFor(digests.GetTaken())
 	return repair
 }
 
-// RepairFor returns the ranges in which the copy that the digests describe differs from this snapshot, or all
-// of them if digests is nil or of another number of ranges. It says nothing about which of the two is newer.
+// RepairFor returns the ranges in which the state that the digests describe differs from this snapshot, or all of
+// them if digests is nil or has another number of ranges. Which of the two is newer does not matter.
 func (s *Snapshot) RepairFor(digests *pb.RangeDigests) *pb.Repair {
 	repair := &pb.Repair{Sequence: s.sequence, Generation: s.generation}
 	theirs := digests.GetDigests()
@@ -49,16 +49,16 @@
 	return repair
 }
 
-// Restore returns the state that a repair brings. It must be called on the very snapshot whose Digests the
-// repair answers: on another one, ranges that the repair leaves out might differ. Whether the repair is newer
-// is the caller's to check. A *RepairError is returned when the repair is not well formed.
+// Restore returns the state that results from a repair. It must be called on the very snapshot whose Digests the
+// repair answers: in another one, ranges that the repair leaves out might differ. The caller checks whether the
+// repair is newer. The error is a *RepairError if the repair is malformed.
 func (s *Snapshot) Restore(repair *pb.Repair) (*Snapshot, error) {
 	next := *s
 	next.sequence = repair.GetSequence()
 	next.generation = repair.GetGeneration()
 	var seen [RangeCount]bool
-	for _, part := range repair.GetRanges() {
-		index := part.GetIndex()
+	for _, repaired := range repair.GetRanges() {
+		index := repaired.GetIndex()
 		if index >= RangeCount {
 			return nil, &RepairError{Reason: fmt.Sprintf("range %d of %d", index, RangeCount)}
 		}
@@ -66,7 +66,7 @@
 			return nil, &RepairError{Reason: fmt.Sprintf("range %d comes twice", index)}
 		}
 		seen[index] = true
-		restored, err := restoreRange(int(index), part.GetItems())
+		restored, err := restoreRange(int(index), repaired.GetItems())
 		if err != nil {
 			return nil, err
 		}
@@ -80,6 +80,7 @@
 	return &next, nil
 }
 
+// restoreRange builds a range from the items of a repair.
 func restoreRange(index int, items []*pb.Item) (*itemRange, error) {
 	restored := &itemRange{items: make([]*pb.Item, 0, len(items))}
 	for _, item := range items {
@@ -94,13 +95,13 @@
 	return restored, nil
 }
 
-// Marshal returns the whole state in its stored form, a pb.Repair.
+// Marshal returns the whole state in its stored form, an encoded pb.Repair.
 func (s *Snapshot) Marshal() ([]byte, error) {
 	data, err := proto.Marshal(s.ReplicaRepairFor(nil))
 	return data, errors.Wrap(err, "marshal the control state")
 }
 
-// Unmarshal reads the stored form of a state. A *RepairError is returned when it is not well formed.
+// Unmarshal decodes the stored form of a state. The error is a *RepairError if it is malformed.
 func Unmarshal(data []byte) (*Snapshot, error) {
 	repair := &pb.Repair{}
 	if err := proto.Unmarshal(data, repair); err != nil {
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -9,7 +9,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Snapshot is the control state after one change. It never changes; the zero value is not usable, see Empty.
+// Snapshot is the control state after one change. It is immutable. The zero value is not usable, see Empty.
 type Snapshot struct {
 	sequence   uint64
 	generation uint64
@@ -42,12 +42,12 @@
 // Generation is the operator's number of the configuration in force; 0 before the first.
 func (s *Snapshot) Generation() uint64 { return s.generation }
 
-// Get finds an item.
+// Get returns an item by kind and name.
 func (s *Snapshot) Get(kind, name string) (*pb.Item, bool) {
 	return s.ranges[rangeIndex(kind, name)].get(kind, name)
 }
 
-// Items returns the items of a kind in their order. The slice is the caller's own.
+// Items returns the items of a kind in their order. The caller owns the slice.
 func (s *Snapshot) Items(kind string) []*pb.Item {
 	var items []*pb.Item
 	for _, itemRange := range s.ranges {
@@ -64,7 +64,7 @@
 	return cmp.Compare(a.GetName(), b.GetName())
 }
 
-// Kinds returns the kinds of the items that the snapshot holds, sorted.
+// Kinds returns the kinds of all items, sorted.
 func (s *Snapshot) Kinds() []string {
 	seen := make(map[string]bool)
 	for _, itemRange := range s.ranges {
@@ -89,13 +89,13 @@
 	return count
 }
 
-// Evacuated reports whether nothing more may be sent to the servers of a zone.
+// Evacuated reports whether a zone is evacuated: no requests may be sent to its servers.
 func (s *Snapshot) Evacuated(zone string) bool {
 	_, evacuated := s.Get(KindEvacuation, zone)
 	return evacuated
 }
 
-// EvacuatedZones returns the zones that are evacuated, in the order of their evacuation.
+// EvacuatedZones returns the evacuated zones, in the order of their evacuations.
 func (s *Snapshot) EvacuatedZones() []string {
 	items := s.Items(KindEvacuation)
 	zones := make([]string, len(items))
@@ -105,14 +105,14 @@
 	return zones
 }
 
-// TakenOrders is the number of orders that are remembered as taken, and the generation that the oldest builds on:
-// whether one on an earlier generation was taken is not known. Only replicas remember any.
+// TakenOrders returns the number of recorded executed orders and the generation that the oldest builds on: whether an
+// order on an earlier generation was executed is not known. Only the control machines record any.
 func (s *Snapshot) TakenOrders() (count int, since uint64) {
 	return s.executed.len(), s.executed.baseGeneration
 }
 
-// Apply returns the state after a change, which must be the next one: a *SequenceError is returned if the
-// change's sequence is not Sequence()+1. The change's items are kept, not copied.
+// Apply returns the state after the next change. The error is a *SequenceError if the change's sequence is not
+// Sequence()+1. The change's items become part of the state without being copied.
 func (s *Snapshot) Apply(change *pb.Change) (*Snapshot, error) {
 	if change.GetSequence() != s.sequence+1 {
 		return nil, &SequenceError{Have: s.sequence, Got: change.GetSequence()}
@@ -131,12 +131,13 @@
 	return editor.snapshot(change.GetSequence(), change.GetGeneration()), nil
 }
 
-// SameAs reports whether two snapshots hold the same state, the record of taken orders included.
+// SameAs reports whether two snapshots are the same state, including the record of executed orders.
 func (s *Snapshot) SameAs(other *Snapshot) bool {
-	return proto.Equal(s.ReplicaDigests(), other.ReplicaDigests()) && s.executed.baseGeneration == other.executed.baseGeneration
+	return proto.Equal(s.ReplicaDigests(), other.ReplicaDigests()) &&
+		s.executed.baseGeneration == other.executed.baseGeneration
 }
 
-// ForAgents returns a change without what only replicas keep of it.
+// ForAgents returns a change without its order's digest, which only the control machines record.
 func ForAgents(change *pb.Change) *pb.Change {
 	if len(change.GetTaken()) == 0 {
 		return change
--- a/internal/catalog/snapshot_test.go
+++ b/internal/catalog/snapshot_test.go
@@ -1,9 +1,7 @@
 package catalog_test
 
 import (
-	"fmt"
 	"slices"
-	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -14,166 +12,6 @@
 	"fieldrelay/internal/catalog"
 )
 
-// named is an element of the model's list: what the operator would keep.
-type named struct {
-	name, body string
-}
-
-// model is the operator's idea of the configuration.
-type model struct {
-	generation uint64
-	routes     []named
-	services   []named
-	limits     string
-	zones      map[string]bool
-}
-
-func bodies(list []named) string {
-	all := make([]string, len(list))
-	for index, one := range list {
-		all[index] = one.body
-	}
-	return strings.Join(all, ",")
-}
-
-func (m model) text() string {
-	return fmt.Sprintf(`{"gen":%d,"routes":[%s],"backends":[%s],"req-limits":%s}`,
-		m.generation, bodies(m.routes), bodies(m.services), m.limits)
-}
-
-// system is a snapshot, the model beside it, and everything that happened.
-type system struct {
-	t         *rapid.T
-	snapshot  *catalog.Snapshot
-	model     model
-	changes   []*pb.Change
-	snapshots []*catalog.Snapshot // by sequence
-	history   *catalog.History
-}
-
-func newSystem(t *rapid.T) *system {
-	empty := catalog.Empty()
-	return &system{
-		t:         t,
-		snapshot:  empty,
-		model:     model{limits: "1", zones: make(map[string]bool)},
-		snapshots: []*catalog.Snapshot{empty},
-		history:   catalog.NewHistory(0),
-	}
-}
-
-func (s *system) take(change *pb.Change, err error) {
-	s.snapshot = applied(s.t, s.snapshot, change, err)
-	s.changes = append(s.changes, change)
-	s.snapshots = append(s.snapshots, s.snapshot)
-	s.history.Add(change)
-	s.check()
-}
-
-// check compares the snapshot with the model.
-func (s *system) check() {
-	if s.model.generation > 0 {
-		require.Equal(s.t, s.model.text(), readBack(s.t, s.snapshot))
-	}
-	require.Len(s.t, s.snapshot.EvacuatedZones(), len(s.model.zones))
-	for zone := range s.model.zones {
-		require.True(s.t, s.snapshot.Evacuated(zone))
-	}
-}
-
-func (s *system) someNamed(label string, prefix string, body func(name string) string) []named {
-	numbers := rapid.SliceOfNDistinct(rapid.IntRange(0, 25), 0, 12, rapid.ID[int]).Draw(s.t, label)
-	list := make([]named, len(numbers))
-	for index, number := range numbers {
-		name := fmt.Sprintf("%s%d", prefix, number)
-		list[index] = named{name: name, body: body(name)}
-	}
-	return list
-}
-
-func (s *system) routeBody(name string) string {
-	return route(name, fmt.Sprintf(`"prio":%d`, rapid.IntRange(0, 2).Draw(s.t, "prio")))
-}
-
-func serviceBody(name string) string { return `{ "name": "` + name + `" }` }
-
-func (s *system) nextGeneration() {
-	s.model.generation += rapid.Uint64Range(1, 5).Draw(s.t, "step")
-}
-
-func (s *system) replace() {
-	base := s.model.generation
-	s.nextGeneration()
-	s.model.routes = s.someNamed("routes", "r", s.routeBody)
-	services := s.someNamed("services", "t", serviceBody)
-	s.model.services = append([]named{{"s1", `{"name":"s1"}`}}, services...)
-	s.model.limits = fmt.Sprintf(`{"n":%d}`, rapid.IntRange(0, 3).Draw(s.t, "limit"))
-	s.take(catalog.PrepareReplace(s.snapshot, base, []byte(s.model.text())))
-}
-
-func (s *system) amend() {
-	if s.model.generation == 0 {
-		return
-	}
-	base := s.model.generation
-	s.nextGeneration()
-	upserts := s.someNamed("upserts", "r", s.routeBody)
-	var removals []string
-	for _, one := range s.someNamed("removals", "r", s.routeBody) {
-		removals = append(removals, one.name)
-	}
-	for _, one := range upserts {
-		index := slices.IndexFunc(s.model.routes, func(old named) bool { return old.name == one.name })
-		if index >= 0 {
-			s.model.routes[index] = one
-		} else {
-			s.model.routes = append(s.model.routes, one)
-		}
-	}
-	s.model.routes = slices.DeleteFunc(s.model.routes, func(one named) bool {
-		return slices.Contains(removals, one.name)
-	})
-	body := fmt.Sprintf(`{"gen":%d,"upsert":{"routes":[%s]},"remove":{"routes":[%s]}}`,
-		s.model.generation, bodies(upserts), quoted(removals))
-	s.take(catalog.PrepareAmend(s.snapshot, base, []byte(body)))
-}
-
-func quoted(names []string) string {
-	all := make([]string, len(names))
-	for index, name := range names {
-		all[index] = `"` + name + `"`
-	}
-	return strings.Join(all, ",")
-}
-
-func (s *system) evacuate() {
-	zone := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(s.t, "zone")
-	begin := rapid.Bool().Draw(s.t, "begin")
-	change, err := catalog.PrepareEvacuation(s.snapshot, zone, begin)
-	if s.model.zones[zone] == begin {
-		require.NoError(s.t, err)
-		require.Nil(s.t, change)
-		return
-	}
-	if begin {
-		s.model.zones[zone] = true
-	} else {
-		delete(s.model.zones, zone)
-	}
-	s.take(change, err)
-}
-
-func (s *system) step() {
-	switch rapid.IntRange(0, 5).Draw(s.t, "order") {
-	case 0:
-		s.replace()
-	case 1, 2, 3:
-		s.amend()
-	default:
-		s.evacuate()
-	}
-}
-
 func TestOrdersKeepTheModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSystem(t)
@@ -208,9 +46,9 @@
 			requireSame(t, s.snapshot, applied)
 			require.True(t, s.snapshot.SameAs(applied))
 		}
-		whole, err := s.snapshots[0].Restore(s.snapshot.RepairFor(nil))
+		complete, err := s.snapshots[0].Restore(s.snapshot.RepairFor(nil))
 		require.NoError(t, err)
-		requireSame(t, s.snapshot, whole)
+		requireSame(t, s.snapshot, complete)
 		data, err := s.snapshot.Marshal()
 		require.NoError(t, err)
 		stored, err := catalog.Unmarshal(data)
@@ -236,7 +74,7 @@
 	})
 }
 
-// withoutNumbers is a snapshot with the same items at sequence and generation 0.
+// withoutNumbers returns a snapshot of the same items at sequence and generation 0.
 func withoutNumbers(t *rapid.T, snapshot *catalog.Snapshot) *catalog.Snapshot {
 	repair := snapshot.RepairFor(nil)
 	repair.Sequence, repair.Generation = 0, 0
@@ -245,7 +83,7 @@
 	return bare
 }
 
-// TestDigestsCoverEveryField: two histories may give one sequence to different changes.
+// Two histories may have given one sequence to different changes, so the digests must cover every field of an item.
 func TestDigestsCoverEveryField(t *testing.T) {
 	item := &pb.Item{Kind: "k", Name: "n", Order: 1, Sequence: 1, Body: []byte("1")}
 	apply := func(item *pb.Item) []uint64 {
@@ -271,9 +109,9 @@
 	snapshot := replaced(t, catalog.Empty(), configuration(1))
 	for _, sequence := range []uint64{0, 1, 3} {
 		_, err := snapshot.Apply(&pb.Change{Sequence: sequence})
-		var wrong *catalog.SequenceError
-		require.ErrorAs(t, err, &wrong)
-		require.Equal(t, catalog.SequenceError{Have: 1, Got: sequence}, *wrong)
+		var sequenceError *catalog.SequenceError
+		require.ErrorAs(t, err, &sequenceError)
+		require.Equal(t, catalog.SequenceError{Have: 1, Got: sequence}, *sequenceError)
 	}
 }
 
@@ -294,24 +132,24 @@
 }
 
 func TestRepairsThatAreMalformed(t *testing.T) {
-	whole := replaced(t, catalog.Empty(), configuration(1, route("a"))).RepairFor(nil)
+	complete := replaced(t, catalog.Empty(), configuration(1, route("a"))).RepairFor(nil)
 	damage := map[string]func(*pb.Repair){
 		"unknown range": func(repair *pb.Repair) { repair.Ranges[0].Index = catalog.RangeCount },
 		"range twice":   func(repair *pb.Repair) { repair.Ranges[0].Index = repair.Ranges[1].Index },
 		"item twice": func(repair *pb.Repair) {
-			for _, part := range repair.Ranges {
-				part.Items = append(part.Items, part.Items...)
+			for _, itemRange := range repair.Ranges {
+				itemRange.Items = append(itemRange.Items, itemRange.Items...)
 			}
 		},
 		"wrong range": func(repair *pb.Repair) {
-			for _, part := range repair.Ranges {
-				part.Index = (part.Index + 1) % catalog.RangeCount
+			for _, itemRange := range repair.Ranges {
+				itemRange.Index = (itemRange.Index + 1) % catalog.RangeCount
 			}
 		},
 	}
 	for name, change := range damage {
 		t.Run(name, func(t *testing.T) {
-			repair := proto.Clone(whole).(*pb.Repair)
+			repair := proto.Clone(complete).(*pb.Repair)
 			change(repair)
 			var malformed *catalog.RepairError
 			_, err := catalog.Empty().Restore(repair)
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -6,11 +6,11 @@
 	"fieldrelay/internal/jsonwalk"
 )
 
-// validate checks the rules of the operator's API that concern routes and services. It runs over the
-// configuration that an order would bring into force and looks at each body once.
+// validate checks the rules of the operator API that concern routes and services. It parses each route of the
+// configuration that an order would bring into force once.
 //
-// An order is refused for what it brings, not for what was in force before: an earlier version of this program may
-// have accepted what this one refuses, and an amendment of something else has to remain possible.
+// An order is rejected for what it submits, not for what was in force before: an earlier version of this program may
+// have accepted what this one rejects, and an amendment of something else has to remain possible.
 func validate(current, next *Snapshot, submitted submittedRoutes, faults *InvalidError) {
 	routes := next.Items(KindRoutes)
 	checker := routeChecker{
@@ -33,9 +33,9 @@
 	return names
 }
 
-// submittedRoutes tells which routes an order sends.
+// submittedRoutes is the set of the routes that an order submits.
 type submittedRoutes struct {
-	all   bool
+	all   bool // the order is a whole configuration
 	names map[string]bool
 }
 
@@ -50,11 +50,12 @@
 
 func (s *submittedRoutes) includes(route string) bool { return s.all || s.names[route] }
 
+// routeChecker checks the routes of the next configuration, one after another.
 type routeChecker struct {
 	submitted submittedRoutes
 	services  map[string]bool // of the next configuration
 	current   *Snapshot
-	routeOf   map[configitem.Match]string // name of the route that has this place
+	routeOf   map[configitem.Match]string // name of the route with this match
 	faults    *InvalidError
 }
 
@@ -69,14 +70,14 @@
 	c.checkServices(name, &route)
 }
 
-// add adds faults of a route.
+// addFaults adds faults of a route.
 func (c *routeChecker) addFaults(route string, faults []configitem.Fault) {
 	for _, fault := range faults {
 		c.faults.add(KindRoutes+"/"+route, fault.Field, "%s", fault.Reason)
 	}
 }
 
-// checkMatch refuses a route that no request can be matched with, and two for the same requests.
+// checkMatch rejects a route that matches no request, and a route that matches the same requests as another.
 func (c *routeChecker) checkMatch(name string, route *configitem.Route) {
 	match, faults := route.Match()
 	if faults != nil {
@@ -106,7 +107,7 @@
 	}
 }
 
-// checkService refuses a service that is not there, unless an earlier version left the route without it.
+// checkService rejects a service that does not exist, unless an earlier version has accepted the route without it.
 func (c *routeChecker) checkService(route, field string, service []byte) {
 	if len(service) == 0 || c.services[string(service)] {
 		return
