--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"math"
 	"strconv"
 
@@ -86,36 +87,37 @@
 		}
 		return setting
 	}
-	entries, problem := namedEntries(value)
-	if problem != "" {
+	entries, err := parseNamedEntries(value)
+	if err != nil {
 		if required {
-			faults.add("", name, "%s", problem)
+			faults.add("", name, "%v", err)
 		}
 		return setting
 	}
 	return section{name: name, collection: true, entries: entries}
 }
 
-// namedEntries parses a list of objects with distinct names. The problem says why the list is not one; empty if it is.
-func namedEntries(array []byte) (entries []entry, problem string) {
+// parseNamedEntries parses a list of objects with distinct names. The error says why the list is not one; its text is a
+// part of the answer to the operator.
+func parseNamedEntries(array []byte) ([]entry, error) {
+	var entries []entry
 	seen := make(map[string]bool)
 	for element := range jsonwalk.Elements(array) {
-		index := strconv.Itoa(len(entries))
 		if !jsonwalk.IsObject(element) {
-			return nil, "element " + index + " is not an object"
+			return nil, fmt.Errorf("element %d is not an object", len(entries))
 		}
 		quoted := jsonwalk.Member(element, "name")
 		if !jsonwalk.IsString(quoted) {
-			return nil, "element " + index + " has no name"
+			return nil, fmt.Errorf("element %d has no name", len(entries))
 		}
 		name := jsonwalk.Text(quoted)
 		if seen[name] {
-			return nil, "the name " + strconv.Quote(name) + " comes twice"
+			return nil, fmt.Errorf("the name %q comes twice", name)
 		}
 		seen[name] = true
 		entries = append(entries, entry{name: name, body: element})
 	}
-	return entries, ""
+	return entries, nil
 }
 
 // parseRemovals parses the lists of names that an amendment removes, by collection.
@@ -133,7 +135,7 @@
 		if jsonwalk.IsNull(list) {
 			continue
 		}
-		names, ok := nameList(list)
+		names, ok := parseNames(list)
 		if !ok {
 			faults.add("", memberRemove+"."+kind, "is not a list of names")
 			continue
@@ -145,8 +147,8 @@
 	return removals
 }
 
-// nameList parses a list of strings; false if it is not one.
-func nameList(value []byte) ([]string, bool) {
+// parseNames parses a list of strings; false if it is not one.
+func parseNames(value []byte) ([]string, bool) {
 	if !jsonwalk.IsArray(value) {
 		return nil, false
 	}
--- a/internal/catalog/legacy_orders.go
+++ b/internal/catalog/legacy_orders.go
@@ -8,12 +8,12 @@
 )
 
 // Earlier versions recorded the last executed orders as items: the name was the SHA-256 of the order in hex, the body
-// the generation, the order the sequence of the change.
+// the generation, and the sort key the sequence of the change.
 
 const (
 	// legacyOrderKind is the kind of these items.
 	legacyOrderKind = "taken"
-	// legacyOrderLimit is the number of orders that were recorded in this way.
+	// legacyOrderLimit is the number of them that were retained.
 	legacyOrderLimit = 64
 )
 
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -25,6 +25,7 @@
 	}
 }
 
+// namesOf returns the set of the items' names.
 func namesOf(items []*pb.Item) map[string]bool {
 	names := make(map[string]bool, len(items))
 	for _, item := range items {
@@ -39,12 +40,13 @@
 	names map[string]bool
 }
 
+// add adds the routes of an amendment.
 func (s *submittedRoutes) add(entries []entry) {
 	if s.names == nil {
 		s.names = make(map[string]bool, len(entries))
 	}
-	for _, submitted := range entries {
-		s.names[submitted.name] = true
+	for _, route := range entries {
+		s.names[route.name] = true
 	}
 }
 
@@ -59,6 +61,7 @@
 	faults    *InvalidError
 }
 
+// check checks one route.
 func (c *routeChecker) check(item *pb.Item) {
 	name := item.GetName()
 	route := configitem.ParseRoute(item.GetBody())
