--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -22,6 +22,14 @@
 	return ring.Options{Files: 3, FileBytes: 4 << 10, MaxBytes: 3 << 20, Storage: disk, Nonce: random.Uint64}
 }
 
+// openRing opens a ring, which must succeed.
+func openRing(t *testing.T, options ring.Options) (*ring.Ring, *ring.Recovered) {
+	t.Helper()
+	opened, recovered, err := ring.Open("", options)
+	require.NoError(t, err)
+	return opened, recovered
+}
+
 func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
 func TestRecoveryAfterAnything(t *testing.T) {
@@ -72,8 +80,7 @@
 	t.Helper()
 	random := newRandom(seed)
 	disk := ringtest.NewDisk(random)
-	opened, _, err := ring.Open("", smallRing(disk, random))
-	require.NoError(t, err)
+	opened, _ := openRing(t, smallRing(disk, random))
 	count := 0
 	disk.OnAccess(func(string) {
 		if count == instant {
@@ -93,8 +100,7 @@
 	}
 	disk.OnAccess(nil)
 	disk.PowerLoss()
-	_, recovered, err := ring.Open("", smallRing(disk, random))
-	require.NoError(t, err)
+	_, recovered := openRing(t, smallRing(disk, random))
 	entries := recoveredEntries(t, recovered)
 	require.GreaterOrEqual(t, len(entries), len(acknowledged))
 	require.Equal(t, acknowledged, entries[:len(acknowledged):len(acknowledged)], "seed %d, instant %d", seed, instant)
@@ -106,16 +112,14 @@
 	for seed := range uint64(200) {
 		random := newRandom(seed)
 		disk := ringtest.NewDisk(random)
-		opened, _, err := ring.Open("", smallRing(disk, random))
-		require.NoError(t, err)
+		opened, _ := openRing(t, smallRing(disk, random))
 		require.NoError(t, opened.Append(ring.Record{Kind: 1, Payload: []byte("a")}))
 		disk.SetFaults(ringtest.Faults{Sync: 1})
 		require.Error(t, opened.Snapshot([]byte("snapshot of a")))
 		disk.SetFaults(ringtest.Faults{})
 		require.NoError(t, opened.Append(ring.Record{Kind: 1, Payload: []byte("b")}))
 		disk.PowerLoss()
-		_, recovered, err := ring.Open("", smallRing(disk, random))
-		require.NoError(t, err)
+		_, recovered := openRing(t, smallRing(disk, random))
 		require.Len(t, recovered.Records, 2)
 		require.Equal(t, "b", string(recovered.Records[1].Payload))
 	}
@@ -125,8 +129,7 @@
 func TestRemainsOfAFailedBatch(t *testing.T) {
 	random := newRandom(3)
 	disk := ringtest.NewDisk(random)
-	opened, _, err := ring.Open("", smallRing(disk, random))
-	require.NoError(t, err)
+	opened, _ := openRing(t, smallRing(disk, random))
 	first := ring.Record{Kind: 1, Payload: []byte("first")}
 	second := ring.Record{Kind: 1, Payload: []byte("second")}
 	require.NoError(t, opened.Append(ring.Record{Kind: 1, Payload: []byte("before")}))
@@ -135,8 +138,7 @@
 	disk.SetFaults(ringtest.Faults{})
 	require.NoError(t, opened.Append(first))
 	disk.Kill()
-	_, recovered, err := ring.Open("", smallRing(disk, random))
-	require.NoError(t, err)
+	_, recovered := openRing(t, smallRing(disk, random))
 	require.Len(t, recovered.Records, 2, "the second record of the failed batch must not come back")
 }
 
@@ -149,23 +151,20 @@
 	for seed := range uint64(300) {
 		random := newRandom(seed)
 		disk := ringtest.NewDisk(random)
-		opened, _, err := ring.Open("", smallRing(disk, random))
-		require.NoError(t, err)
+		opened, _ := openRing(t, smallRing(disk, random))
 		require.NoError(t, opened.Append(ring.Record{Kind: 1, Payload: []byte("before")}))
 		disk.SetFaults(ringtest.Faults{Sync: 1})
 		require.Error(t, opened.Append(beginning, end))
 		disk.SetFaults(ringtest.Faults{})
 		disk.PowerLoss()
-		opened, recovered, err := ring.Open("", smallRing(disk, random))
-		require.NoError(t, err)
+		opened, recovered := openRing(t, smallRing(disk, random))
 		if len(recovered.Records) > 1 {
 			continue
 		}
 		lost++
 		require.NoError(t, opened.Append(beginning))
 		disk.Kill()
-		_, recovered, err = ring.Open("", smallRing(disk, random))
-		require.NoError(t, err)
+		_, recovered = openRing(t, smallRing(disk, random))
 		require.Len(t, recovered.Records, 2, "seed %d", seed)
 	}
 	require.Positive(t, lost)
@@ -174,8 +173,7 @@
 func TestFullDiskRefusesAndRecovers(t *testing.T) {
 	random := newRandom(4)
 	disk := ringtest.NewDisk(random)
-	opened, recovered, err := ring.Open("", smallRing(disk, random))
-	require.NoError(t, err)
+	opened, recovered := openRing(t, smallRing(disk, random))
 	require.True(t, recovered.Fresh)
 	disk.Fill(true)
 	var writeError *ring.WriteError
@@ -187,16 +185,14 @@
 	require.Equal(t, 1, opened.Stats().Records)
 	disk.Wipe()
 	require.Error(t, opened.Append(ring.Record{Kind: 1}))
-	_, recovered, err = ring.Open("", smallRing(disk, random))
-	require.NoError(t, err)
+	_, recovered = openRing(t, smallRing(disk, random))
 	require.True(t, recovered.Fresh)
 }
 
 func TestBounds(t *testing.T) {
 	random := newRandom(5)
 	options := ring.Options{Files: 2, FileBytes: 4 << 10, MaxBytes: 64 << 10, Storage: ringtest.NewDisk(random)}
-	opened, _, err := ring.Open("", options)
-	require.NoError(t, err)
+	opened, _ := openRing(t, options)
 	var tooLarge *ring.TooLargeError
 	require.ErrorAs(t, opened.Snapshot(make([]byte, 40<<10)), &tooLarge)
 	require.EqualValues(t, 32<<10, tooLarge.Limit)
@@ -219,15 +215,13 @@
 	random := newRandom(6)
 	disk := ringtest.NewDisk(random)
 	options := smallRing(disk, random)
-	opened, _, err := ring.Open("", options)
-	require.NoError(t, err)
+	opened, _ := openRing(t, options)
 	for _, payload := range []string{"one", "two", "three"} {
 		require.NoError(t, opened.Snapshot([]byte(payload)))
 	}
 	// The newest may be torn, the one before it may not: the oldest must not be recovered.
 	for _, name := range []string{"ring-2", "ring-1"} {
-		_, recovered, err := ring.Open("", options)
-		require.NoError(t, err)
+		_, recovered := openRing(t, options)
 		require.False(t, recovered.Fresh)
 		file, err := disk.Open(name, false)
 		require.NoError(t, err)
@@ -235,7 +229,7 @@
 		require.NoError(t, err)
 	}
 	var corrupt *ring.CorruptError
-	_, _, err = ring.Open("", options)
+	_, _, err := ring.Open("", options)
 	require.ErrorAs(t, err, &corrupt)
 	report, err := ring.CheckFiles(disk)
 	require.NoError(t, err)
@@ -250,8 +244,7 @@
 		random := newRandom(seed)
 		disk := ringtest.NewDisk(random)
 		options := smallRing(disk, random)
-		opened, _, err := ring.Open("", options)
-		require.NoError(t, err)
+		opened, _ := openRing(t, options)
 		want := []string{"alpha", "beta", "gamma"}
 		for _, entry := range want {
 			require.NoError(t, opened.Append(ring.Record{Kind: 1, Payload: []byte(entry)}))
@@ -281,8 +274,7 @@
 		random := newRandom(uint64(offset))
 		disk := ringtest.NewDisk(random)
 		options := smallRing(disk, random)
-		opened, _, err := ring.Open("", options)
-		require.NoError(t, err)
+		opened, _ := openRing(t, options)
 		for _, payload := range []string{"older", "newer"} {
 			require.NoError(t, opened.Snapshot([]byte(payload)))
 			require.NoError(t, opened.Append(ring.Record{Kind: 1, Payload: []byte("behind " + payload)}))
@@ -385,8 +377,7 @@
 		synced = append(synced, path)
 		return true, fault
 	})
-	opened, _, err := ring.Open("", ring.Options{Storage: folder})
-	require.NoError(t, err)
+	opened, _ := openRing(t, ring.Options{Storage: folder})
 	require.Empty(t, synced, "nothing is there yet")
 
 	fault = syscall.EIO
@@ -407,7 +398,6 @@
 		synced = append(synced, path)
 		return true, nil
 	})
-	_, _, err = ring.Open("", ring.Options{Storage: again})
-	require.NoError(t, err)
+	openRing(t, ring.Options{Storage: again})
 	require.Equal(t, []string{path, state}, synced)
 }
