--- a/internal/ring/snapshot.go
+++ b/internal/ring/snapshot.go
@@ -23,7 +23,7 @@
 	}
 	r.suspectSlot = noSlot
 	if r.file != nil {
-		_ = r.file.Close() // everything in it was synced: no data can be lost here
+		_ = r.file.Close() // all that was acknowledged in it was synced: no data can be lost here
 	}
 	r.file = file
 	r.current = &next
@@ -43,15 +43,15 @@
 		return file, position{}, &WriteError{Operation: "create", File: name, Err: err}
 	}
 	header := fileHeader{version: formatVersion, epoch: r.current.epoch + 1, nonce: r.nonce}
-	start, chain := header.appendTo(nil)
+	headers, checksum := header.appendTo(nil)
 	frame := frameHeader{epoch: uint32(header.epoch), length: uint32(len(payload)), nonce: r.nonce}
-	start, chain = frame.appendTo(start, chain, payload)
-	end := int64(len(start) + len(payload))
+	headers, checksum = frame.appendTo(headers, checksum, payload)
+	end := int64(len(headers) + len(payload))
 	length, err = r.ensureSize(file, name, length, end)
 	if err != nil {
 		return file, position{}, err
 	}
-	if err := writeAndSync(file, name, start, payload); err != nil {
+	if err := writeAndSync(file, name, headers, payload); err != nil {
 		return file, position{}, err
 	}
 	if err := r.files.Sync(); err != nil {
@@ -62,18 +62,18 @@
 		epoch:         header.epoch,
 		sequence:      1,
 		end:           end,
-		checksum:      chain,
+		checksum:      checksum,
 		length:        length,
 		snapshotBytes: end,
 	}, nil
 }
 
 // writeAndSync writes the headers of the file and of its first frame, then the payload, and syncs the file.
-func writeAndSync(file File, name string, start, payload []byte) error {
-	if _, err := file.WriteAt(start, 0); err != nil {
+func writeAndSync(file File, name string, headers, payload []byte) error {
+	if _, err := file.WriteAt(headers, 0); err != nil {
 		return &WriteError{Operation: "write", File: name, Err: err}
 	}
-	if _, err := file.WriteAt(payload, int64(len(start))); err != nil {
+	if _, err := file.WriteAt(payload, int64(len(headers))); err != nil {
 		return &WriteError{Operation: "write", File: name, Err: err}
 	}
 	if err := file.Sync(); err != nil {
