--- a/internal/placement/admit_test.go
+++ b/internal/placement/admission_test.go
@@ -34,7 +34,7 @@
 	for i := range 200 {
 		f.serve(f.greeting(i), func(string) float64 { return times })
 	}
-	require.Less(t, f.p.ServiceSlack(modelService), admitSlack)
+	require.Less(t, f.p.ServiceSlack(modelService), admitAllSlack)
 	return f
 }
 
@@ -56,12 +56,12 @@
 	err := f.p.Admit(f.now, f.greeting(0))
 	var overload *OverloadError
 	require.ErrorAs(t, err, &overload)
-	require.GreaterOrEqual(t, overload.RetryAfter, overloadRetryLeast)
-	require.LessOrEqual(t, overload.RetryAfter, overloadRetryMost)
+	require.GreaterOrEqual(t, overload.RetryAfter, minOverloadRetry)
+	require.LessOrEqual(t, overload.RetryAfter, maxOverloadRetry)
 	again := f.greeting(0)
 	again.Returned = true
 	require.NoError(t, f.p.Admit(f.now, again), "refused a second time it would be lost")
-	f.now += trickleEvery
+	f.now += trickleInterval
 	require.NoError(t, f.p.Admit(f.now, f.greeting(0)), "no kind is starved")
 }
 
--- a/internal/placement/announce_test.go
+++ b/internal/placement/announcement_test.go
@@ -39,21 +39,21 @@
 	require.NotEqual(t, home, f.pick(f.greeting(9999)).ServerID)
 	away := f.pick(f.summary(1, 3))
 	require.NotEqual(t, home, away.ServerID)
-	f.now += longestBusy
+	f.now += maxBusyTime
 	require.Zero(t, f.p.servers[home].busy(f.now), "it is not left for longer, whatever was told")
 }
 
 func TestAnnouncementsAreBounded(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	id := f.list[0].GetId()
-	for i := range 3 * maxHeard {
+	for i := range 3 * maxAnnouncedPrefixes {
 		f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(id), Prompt: uint32(i), Tokens: 1 << 30})
-		require.LessOrEqual(t, len(f.p.heard), maxHeard)
+		require.LessOrEqual(t, len(f.p.announcedPrefixes), maxAnnouncedPrefixes)
 	}
-	require.LessOrEqual(t, f.p.servers[id].busy(f.now), longestBusy)
+	require.LessOrEqual(t, f.p.servers[id].busy(f.now), maxBusyTime)
 	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey("unknown"), Prompt: 1, Tokens: 5000})
 	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(id), Prompt: 1, Tokens: -5})
-	require.Equal(t, uint64(3*maxHeard), f.p.Stats().Announced)
+	require.Equal(t, uint64(3*maxAnnouncedPrefixes), f.p.Stats().Announced)
 }
 
 func TestNothingIsToldOrHeardWhereThatIsSwitchedOff(t *testing.T) {
@@ -70,7 +70,7 @@
 	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(f.list[0].GetId()), Prompt: 1, Tokens: 5000})
 	f.list = f.list[1:]
 	f.relist()
-	require.Empty(t, f.p.heard)
+	require.Empty(t, f.p.announcedPrefixes)
 }
 
 func TestABusyServerIsNotSeeded(t *testing.T) {
@@ -87,7 +87,7 @@
 
 func TestAnnouncementsKeepToTheirRate(t *testing.T) {
 	for _, rate := range []float64{0.5, 2.5, 25} {
-		pace := newAnnouncePace()
+		pace := newAnnouncementLimiter()
 		told := 0
 		const seconds, each = 60, 20 // reads of 20 ms to 400 ms
 		for i := range seconds * each {
@@ -102,7 +102,7 @@
 }
 
 func TestTheLongerReadsAreToldWhereThereAreTooMany(t *testing.T) {
-	pace := newAnnouncePace()
+	pace := newAnnouncementLimiter()
 	told := map[bool]int{} // of reads longer than 200 ms, and of others
 	for i := range 2000 {
 		reading := time.Duration(20+20*(i%20)) * time.Millisecond
@@ -114,5 +114,5 @@
 	for i := range 400 { // the rush is over
 		pace.allows(100*time.Second+time.Duration(i)*time.Second, time.Millisecond, 4)
 	}
-	require.Equal(t, announceFrom, pace.from)
+	require.Equal(t, minAnnouncedPrefill, pace.threshold)
 }
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -8,29 +8,29 @@
 
 // standing tells how far a server passes the rules for a request, in the order in which they narrow the
 // candidates.
-type standing uint8
+type eligibility uint8
 
 const (
-	standingGone standing = iota
-	standingEvacuated
-	standingAway // outside the route's homes
-	standingExcluded
-	standingCold
-	standingFull
-	standingResting // it may get the request, if no other server is left
-	standingReady
+	eligibilityGone eligibility = iota
+	eligibilityEvacuated
+	eligibilityOutsideHome // outside the route's homes
+	eligibilityExcluded
+	eligibilityWarmingUp
+	eligibilityFull
+	eligibilityCoolingDown // it may get the request, if no other server is left
+	eligible
 )
 
 // reasons tells why a request got no server, by the standing of the server that came farthest.
-var reasons = [...]Reason{
-	standingGone:      ReasonNone,
-	standingEvacuated: ReasonEvacuated,
-	standingAway:      ReasonHome,
-	standingExcluded:  ReasonExcluded,
-	standingCold:      ReasonWarmingUp,
-	standingFull:      ReasonFull,
-	standingResting:   ReasonNone,
-	standingReady:     ReasonNone,
+var noServerReasons = [...]Reason{
+	eligibilityGone:        ReasonNone,
+	eligibilityEvacuated:   ReasonEvacuated,
+	eligibilityOutsideHome: ReasonHome,
+	eligibilityExcluded:    ReasonExcluded,
+	eligibilityWarmingUp:   ReasonWarmingUp,
+	eligibilityFull:        ReasonFull,
+	eligibilityCoolingDown: ReasonNone,
+	eligible:               ReasonNone,
 }
 
 // subsetSize is the number of servers of a region that a proxy usually spreads a service's requests over: its
@@ -38,57 +38,57 @@
 const subsetSize = 12
 
 // scratch holds slices that picks use again.
-type scratch struct {
-	prompt  prompt
-	near    []*server // ready in the own region
-	far     []*server // ready in other regions
-	cold    []*server // left out for being cold
-	resting []*server
-	chosen  []candidate
-	servers []*server
-	speeds  []float64
+type pickBuffers struct {
+	prompt      prompt
+	local       []*server // ready in the own region
+	remote      []*server // ready in other regions
+	warmingUp   []*server // left out for being cold
+	coolingDown []*server
+	candidates  []candidate
+	walkServers []*server
+	speeds      []float64
 }
 
 // candidate is a server that may get the request, with what is predicted of it.
 type candidate struct {
-	server *server
-	toRead int           // prompt tokens that it has to read
-	cost   time.Duration // time to the first event at speed 1
-	likely int           // prompt tokens that it is most likely to have to read
-	known  bool          // toRead follows from own sends, not from where others are expected to send
+	server              *server
+	prefillTokens       int           // prompt tokens that it has to read
+	nominalLatency      time.Duration // time to the first event at speed 1
+	likelyPrefillTokens int           // prompt tokens that it is most likely to have to read
+	prefillKnown        bool          // prefillTokens follows from own sends, not from where others are expected to send
 	// expected is the predicted time to the first event, priced the same with what the choice costs besides.
-	expected, priced time.Duration
+	expectedLatency, cost time.Duration
 }
 
 // permitted tells whether the rules that bind at any time let a request of a route go to a server.
-func (p *Placer) permitted(now time.Duration, s *server, request *Request) standing {
+func (p *Placer) mandatoryEligibility(now time.Duration, s *server, request *Request) eligibility {
 	switch {
-	case s.leaves(now):
-		return standingGone
+	case s.unavailable(now):
+		return eligibilityGone
 	case p.evacuated[s.zone]:
-		return standingEvacuated
+		return eligibilityEvacuated
 	case request.Route != nil && !request.Route.AllowsRegion(s.region):
-		return standingAway
+		return eligibilityOutsideHome
 	}
-	return standingReady
+	return eligible
 }
 
 // standing tells how far a server passes all rules for a request.
-func (p *Placer) standing(now time.Duration, s *server, request *Request) standing {
-	if permitted := p.permitted(now, s, request); permitted != standingReady {
+func (p *Placer) eligibility(now time.Duration, s *server, request *Request) eligibility {
+	if permitted := p.mandatoryEligibility(now, s, request); permitted != eligible {
 		return permitted
 	}
 	switch {
 	case excluded(request, s.id):
-		return standingExcluded
-	case s.cold(now) && !p.gate.Allows(now, s.asCold(), false):
-		return standingCold
-	case s.open >= p.maxConnections(s.service):
-		return standingFull
-	case s.resting(now, request) || now < s.avoidUntil:
-		return standingResting
+		return eligibilityExcluded
+	case s.warmingUp(now) && !p.slowStart.Allows(now, s.warmingServer(), false):
+		return eligibilityWarmingUp
+	case s.openAttempts >= p.maxConnections(s.service):
+		return eligibilityFull
+	case s.ejected(now, request) || now < s.cooldownUntil:
+		return eligibilityCoolingDown
 	}
-	return standingReady
+	return eligible
 }
 
 func excluded(request *Request, id string) bool {
@@ -100,29 +100,29 @@
 	return false
 }
 
-// asCold describes the server to the gate.
-func (s *server) asCold() limits.WarmingServer {
+// warmingServer describes the server to the gate.
+func (s *server) warmingServer() limits.WarmingServer {
 	return limits.WarmingServer{ID: s.id, Region: s.region, WarmRate: s.service.config.WarmRate}
 }
 
 // gather sorts the servers of a service by their standing, and tells the farthest.
-func (p *Placer) gather(now time.Duration, owner *service, request *Request) standing {
-	scratch := &p.scratch
-	scratch.near, scratch.far = scratch.near[:0], scratch.far[:0]
-	scratch.cold, scratch.resting = scratch.cold[:0], scratch.resting[:0]
-	farthest := standingGone
+func (p *Placer) classifyServers(now time.Duration, owner *service, request *Request) eligibility {
+	scratch := &p.buffers
+	scratch.local, scratch.remote = scratch.local[:0], scratch.remote[:0]
+	scratch.warmingUp, scratch.coolingDown = scratch.warmingUp[:0], scratch.coolingDown[:0]
+	farthest := eligibilityGone
 	for _, s := range owner.servers {
-		stands := p.standing(now, s, request)
+		stands := p.eligibility(now, s, request)
 		farthest = max(farthest, stands)
 		switch {
-		case stands == standingReady && s.region == p.region:
-			scratch.near = append(scratch.near, s)
-		case stands == standingReady:
-			scratch.far = append(scratch.far, s)
-		case stands == standingResting:
-			scratch.resting = append(scratch.resting, s)
-		case stands == standingCold:
-			scratch.cold = append(scratch.cold, s)
+		case stands == eligible && s.region == p.region:
+			scratch.local = append(scratch.local, s)
+		case stands == eligible:
+			scratch.remote = append(scratch.remote, s)
+		case stands == eligibilityCoolingDown:
+			scratch.coolingDown = append(scratch.coolingDown, s)
+		case stands == eligibilityWarmingUp:
+			scratch.warmingUp = append(scratch.warmingUp, s)
 		}
 	}
 	return farthest
@@ -131,29 +131,29 @@
 // field gives the servers among which a request's server is picked: those of the own region; if there are
 // none, of other regions; then cold ones, as far as the gate lets in when no other server is left; then those
 // that rest.
-func (p *Placer) field(now time.Duration) []*server {
-	scratch := &p.scratch
-	if len(scratch.near) > 0 {
-		return scratch.near
+func (p *Placer) preferredServers(now time.Duration) []*server {
+	scratch := &p.buffers
+	if len(scratch.local) > 0 {
+		return scratch.local
 	}
-	if len(scratch.far) > 0 {
-		return scratch.far
+	if len(scratch.remote) > 0 {
+		return scratch.remote
 	}
-	if allowed := p.lastResort(now); len(allowed) > 0 {
+	if allowed := p.lastResortServers(now); len(allowed) > 0 {
 		return allowed
 	}
-	return scratch.resting
+	return scratch.coolingDown
 }
 
-// lastResort gives the cold servers that the gate lets in because nothing else is left, of the own region if
+// lastResortServers gives the cold servers that the gate lets in because nothing else is left, of the own region if
 // there are any.
-func (p *Placer) lastResort(now time.Duration) []*server {
-	scratch := &p.scratch
-	allowed := scratch.near[:0]
+func (p *Placer) lastResortServers(now time.Duration) []*server {
+	scratch := &p.buffers
+	allowed := scratch.local[:0]
 	for _, own := range [2]bool{true, false} {
-		for _, s := range scratch.cold {
+		for _, s := range scratch.warmingUp {
 			inRegion := s.region == p.region
-			if inRegion == own && s.open < p.maxConnections(s.service) && p.gate.Allows(now, s.asCold(), true) {
+			if inRegion == own && s.openAttempts < p.maxConnections(s.service) && p.slowStart.Allows(now, s.warmingServer(), true) {
 				allowed = append(allowed, s)
 			}
 		}
@@ -161,7 +161,7 @@
 			break
 		}
 	}
-	scratch.near = allowed
+	scratch.local = allowed
 	return allowed
 }
 
@@ -169,7 +169,7 @@
 func (p *Placer) retryAfter(now time.Duration, reason Reason) time.Duration {
 	switch reason {
 	case ReasonWarmingUp:
-		return p.coldWait(now)
+		return p.slowStartWait(now)
 	case ReasonFull:
 		return retryFull
 	case ReasonExcluded:
@@ -178,12 +178,12 @@
 	return retryNone
 }
 
-// coldWait is when the gate will let in a request to one of the cold servers.
-func (p *Placer) coldWait(now time.Duration) time.Duration {
+// slowStartWait is when the gate will let in a request to one of the cold servers.
+func (p *Placer) slowStartWait(now time.Duration) time.Duration {
 	least := retryNone
-	for _, s := range p.scratch.cold {
-		if wait, ok := p.gate.Wait(now, s.asCold()); ok {
-			least = min(least, max(wait, retryLeast))
+	for _, s := range p.buffers.warmingUp {
+		if wait, ok := p.slowStart.Wait(now, s.warmingServer()); ok {
+			least = min(least, max(wait, minSlowStartRetry))
 		}
 	}
 	return least
@@ -191,8 +191,8 @@
 
 // How long a client is told to wait when there is no server for it.
 const (
-	retryLeast    = 100 * time.Millisecond
-	retryFull     = 250 * time.Millisecond
-	retryExcluded = 500 * time.Millisecond
-	retryNone     = time.Second
+	minSlowStartRetry = 100 * time.Millisecond
+	retryFull         = 250 * time.Millisecond
+	retryExcluded     = 500 * time.Millisecond
+	retryNone         = time.Second
 )
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -6,16 +6,16 @@
 	"fieldrelay/internal/policy"
 )
 
-// homeOf is the home of a prompt among servers: the first, in the order of rendezvous hashing by its shared parts.
+// affinityServer is the home of a prompt among servers: the first, in the order of rendezvous hashing by its shared parts.
 // Every proxy of the region sends such prompts there, where they are kept. It is nil for a prompt without parts.
-func (p *Placer) homeOf(q *prompt, servers []*server) *server {
-	if p.off(policy.PromptAffinity) || len(q.chains) == 0 {
+func (p *Placer) affinityServer(q *prompt, servers []*server) *server {
+	if p.off(policy.PromptAffinity) || len(q.prefixes) == 0 {
 		return nil
 	}
 	var home *server
 	var most uint64
 	for _, s := range servers {
-		if weight := mix(uint64(q.key) ^ s.hash); home == nil || weight > most {
+		if weight := mix(uint64(q.affinityKey) ^ s.hash); home == nil || weight > most {
 			home, most = s, weight
 		}
 	}
@@ -24,28 +24,28 @@
 
 // consider puts a server among the chosen with what it is taken to keep: what this proxy sent there lately,
 // or, at the home, all shared parts, since the other proxies send them there.
-func (p *Placer) consider(now time.Duration, s *server, q *prompt, atHome bool) {
+func (p *Placer) addCandidate(now time.Duration, s *server, q *prompt, atHome bool) {
 	kept, known := 0, true
-	if s.markedBy == p.picks {
-		kept = s.markedTokens
+	if s.matchedPick == p.pickNumber {
+		kept = s.matchedTokens
 	}
-	if atHome && kept < q.shared {
-		kept, known = q.shared, false
+	if atHome && kept < q.sharedTokens {
+		kept, known = q.sharedTokens, false
 	}
 	made := p.predict(now, s, q, kept)
-	made.known, made.likely = known, made.toRead
-	if !known && !p.heardAt(now, s, q) {
-		made.likely = q.total
+	made.prefillKnown, made.likelyPrefillTokens = known, made.prefillTokens
+	if !known && !p.prefixAnnouncedAt(now, s, q) {
+		made.likelyPrefillTokens = q.totalTokens
 	}
-	p.scratch.chosen = append(p.scratch.chosen, made)
+	p.buffers.candidates = append(p.buffers.candidates, made)
 }
 
 // choose predicts for the servers of a field: the prompt's home, those that keep a part of it, and this proxy's own
 // subset.
-func (p *Placer) choose(now time.Duration, field []*server, q *prompt) {
-	home := p.homeOf(q, field)
+func (p *Placer) addCandidates(now time.Duration, field []*server, q *prompt) {
+	home := p.affinityServer(q, field)
 	if home != nil {
-		p.consider(now, home, q, true)
+		p.addCandidate(now, home, q, true)
 	}
 	inSubset, most := 0, subsetSize
 	if p.off(policy.Subset) {
@@ -55,13 +55,13 @@
 		if s == home {
 			continue
 		}
-		marked := s.markedBy == p.picks && s.markedTokens > 0
+		marked := s.matchedPick == p.pickNumber && s.matchedTokens > 0
 		if inSubset >= most && !marked {
 			continue
 		}
 		if !marked {
 			inSubset++
 		}
-		p.consider(now, s, q, false)
+		p.addCandidate(now, s, q, false)
 	}
 }
--- a/internal/placement/parts.go
+++ b/internal/placement/chunks.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxParts is the most parts of a prompt that are looked at.
-const maxParts = 32
+// maxChunks is the most parts of a prompt that are looked at.
+const maxChunks = 32
 
 // ChunksError tells that a list of prompt parts cannot be read. The request may be placed without it.
 type ChunksError struct {
@@ -26,7 +26,7 @@
 // past the 32nd are left. The error is a *ChunksError.
 func ParseChunks(header string, parts []PromptChunk) ([]PromptChunk, error) {
 	rest := header
-	for number := 0; rest != "" && number < maxParts; number++ {
+	for number := 0; rest != "" && number < maxChunks; number++ {
 		var entry string
 		entry, rest, _ = strings.Cut(rest, ",")
 		id, figure, found := strings.Cut(strings.TrimSpace(entry), ":")
@@ -41,14 +41,14 @@
 
 // chain is the hash of a model and a row of parts from the start of a prompt: a part is kept only together
 // with every part before it.
-type chain uint64
+type prefixHash uint64
 
-// chainOf starts a chain for a model.
-func chainOf(model string) chain { return chain(xxhash.Sum64String(model)) }
+// newPrefixHash starts a chain for a model.
+func newPrefixHash(model string) prefixHash { return prefixHash(xxhash.Sum64String(model)) }
 
 // with is the chain that goes on with a part.
-func (c chain) with(part PromptChunk) chain {
-	return chain(mix(uint64(c)*0x9e3779b97f4a7c15 + part.ID))
+func (c prefixHash) extend(part PromptChunk) prefixHash {
+	return prefixHash(mix(uint64(c)*0x9e3779b97f4a7c15 + part.ID))
 }
 
 // mix is the finaliser of SplitMix64.
@@ -60,39 +60,39 @@
 
 // prompt is what one pick needs to know of a request's prompt.
 type prompt struct {
-	chains []chain // after each part
-	tokens []int   // up to the end of each part
-	total  int     // of the whole prompt
-	shared int     // of the parts but the last
-	toHold int     // tokens of the whole prompt and of the answer
-	key    chain   // of the shared parts: what homes are drawn by
+	prefixes         []prefixHash // after each part
+	cumulativeTokens []int        // up to the end of each part
+	totalTokens      int          // of the whole prompt
+	sharedTokens     int          // of the parts but the last
+	memoryTokens     int          // tokens of the whole prompt and of the answer
+	affinityKey      prefixHash   // of the shared parts: what homes are drawn by
 }
 
 // read takes in a request's parts; the slices are used again.
-func (p *prompt) read(request *Request) {
-	p.chains, p.tokens, p.shared = p.chains[:0], p.tokens[:0], 0
-	p.key = chainOf(request.Model)
-	row, total := p.key, 0
+func (p *prompt) reset(request *Request) {
+	p.prefixes, p.cumulativeTokens, p.sharedTokens = p.prefixes[:0], p.cumulativeTokens[:0], 0
+	p.affinityKey = newPrefixHash(request.Model)
+	row, total := p.affinityKey, 0
 	for i, part := range request.Chunks {
-		row = row.with(part)
+		row = row.extend(part)
 		total += part.Tokens
-		p.chains = append(p.chains, row)
-		p.tokens = append(p.tokens, total)
+		p.prefixes = append(p.prefixes, row)
+		p.cumulativeTokens = append(p.cumulativeTokens, total)
 		if i < len(request.Chunks)-1 || i == 0 {
-			p.key = row
+			p.affinityKey = row
 		}
 		if i < len(request.Chunks)-1 {
-			p.shared = total
+			p.sharedTokens = total
 		}
 	}
-	p.total = max(request.Prompt, total)
-	p.toHold = p.total + max(request.Generate, 0)
+	p.totalTokens = max(request.Prompt, total)
+	p.memoryTokens = p.totalTokens + max(request.Generate, 0)
 }
 
-// partTokens is the number of tokens of one part.
-func (p *prompt) partTokens(i int) int {
+// chunkTokens is the number of tokens of one part.
+func (p *prompt) chunkTokens(i int) int {
 	if i == 0 {
-		return p.tokens[0]
+		return p.cumulativeTokens[0]
 	}
-	return p.tokens[i] - p.tokens[i-1]
+	return p.cumulativeTokens[i] - p.cumulativeTokens[i-1]
 }
--- a/internal/placement/parts_test.go
+++ b/internal/placement/chunks_test.go
@@ -28,69 +28,69 @@
 	}
 	parts, err = ParseChunks(many, nil)
 	require.NoError(t, err)
-	require.Len(t, parts, maxParts)
+	require.Len(t, parts, maxChunks)
 }
 
 func TestAPromptsKeyIsThatOfItsSharedParts(t *testing.T) {
 	read := func(model string, parts ...PromptChunk) prompt {
 		var p prompt
-		p.read(&Request{Model: model, Chunks: parts, Prompt: 10})
+		p.reset(&Request{Model: model, Chunks: parts, Prompt: 10})
 		return p
 	}
 	shared := []PromptChunk{{1, 800}, {2, 410}}
 	one, other := read("m", append(shared, PromptChunk{3, 250})...), read("m", append(shared, PromptChunk{4, 100})...)
-	require.Equal(t, one.key, other.key)
-	require.Equal(t, 1210, one.shared)
-	require.Equal(t, 1460, one.total)
-	require.NotEqual(t, one.key, read("n", append(shared, PromptChunk{3, 250})...).key)
-	require.NotEqual(t, one.key, read("m", PromptChunk{1, 800}, PromptChunk{5, 410}, PromptChunk{3, 250}).key)
+	require.Equal(t, one.affinityKey, other.affinityKey)
+	require.Equal(t, 1210, one.sharedTokens)
+	require.Equal(t, 1460, one.totalTokens)
+	require.NotEqual(t, one.affinityKey, read("n", append(shared, PromptChunk{3, 250})...).affinityKey)
+	require.NotEqual(t, one.affinityKey, read("m", PromptChunk{1, 800}, PromptChunk{5, 410}, PromptChunk{3, 250}).affinityKey)
 	alone := read("m", PromptChunk{9, 250})
-	require.Zero(t, alone.shared)
-	require.NotEqual(t, alone.key, read("m", PromptChunk{8, 250}).key)
-	require.Equal(t, 10, read("m").total)
+	require.Zero(t, alone.sharedTokens)
+	require.NotEqual(t, alone.affinityKey, read("m", PromptChunk{8, 250}).affinityKey)
+	require.Equal(t, 10, read("m").totalTokens)
 }
 
 // TestKeptPartsAreThoseSentLast compares the keeper with a plain list of what was sent to each server.
 func TestKeptPartsAreThoseSentLast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 3000
-		k := newKeeper()
+		k := newPrefixCacheIndex()
 		servers := []*server{{id: "a"}, {id: "b"}}
-		sent := map[*server][]chain{} // newest first
-		sizes := map[chain]int{}
+		sent := map[*server][]prefixHash{} // newest first
+		sizes := map[prefixHash]int{}
 		for pick := range uint64(40) {
 			to := rapid.SampledFrom(servers).Draw(t, "server")
 			var p prompt
-			p.read(drawPrompt(t))
+			p.reset(drawPrompt(t))
 			marks := k.marks(&p, pick+1)
 			for _, s := range servers {
 				want := 0
-				for i, row := range p.chains {
+				for i, row := range p.prefixes {
 					if !slices.Contains(sent[s], row) {
 						break
 					}
-					want = p.tokens[i]
+					want = p.cumulativeTokens[i]
 				}
 				require.Equal(t, want, marks[s])
 			}
-			k.add(to, &p, capacity)
-			for i := len(p.chains) - 1; i >= 0; i-- {
-				row := p.chains[i]
-				sizes[row] = p.partTokens(i)
-				sent[to] = slices.DeleteFunc(sent[to], func(other chain) bool { return other == row })
+			k.insert(to, &p, capacity)
+			for i := len(p.prefixes) - 1; i >= 0; i-- {
+				row := p.prefixes[i]
+				sizes[row] = p.chunkTokens(i)
+				sent[to] = slices.DeleteFunc(sent[to], func(other prefixHash) bool { return other == row })
 				sent[to] = slices.Insert(sent[to], 0, row)
 			}
-			for len(sent[to]) > keptMost || (sum(sent[to], sizes) > capacity && len(sent[to]) > len(p.chains)) {
+			for len(sent[to]) > maxCachedPrefixes || (sum(sent[to], sizes) > capacity && len(sent[to]) > len(p.prefixes)) {
 				sent[to] = sent[to][:len(sent[to])-1]
 			}
-			require.Equal(t, len(sent[to]), to.kept.parts)
-			require.Equal(t, sum(sent[to], sizes), to.kept.tokens)
+			require.Equal(t, len(sent[to]), to.cachedPrefixes.length)
+			require.Equal(t, sum(sent[to], sizes), to.cachedPrefixes.tokens)
 		}
 		for _, s := range servers {
-			k.forget(s)
-			require.Zero(t, s.kept.parts)
+			k.removeServer(s)
+			require.Zero(t, s.cachedPrefixes.length)
 		}
-		require.Empty(t, k.holders)
+		require.Empty(t, k.entries)
 	})
 }
 
@@ -104,20 +104,20 @@
 	return request
 }
 
-func (k *keeper) marks(p *prompt, pick uint64) map[*server]int {
-	k.mark(p, pick)
+func (k *prefixCacheIndex) marks(p *prompt, pick uint64) map[*server]int {
+	k.match(p, pick)
 	marks := map[*server]int{}
-	for _, holders := range k.holders {
+	for _, holders := range k.entries {
 		for _, part := range holders {
-			if part.server.markedBy == pick {
-				marks[part.server] = part.server.markedTokens
+			if part.server.matchedPick == pick {
+				marks[part.server] = part.server.matchedTokens
 			}
 		}
 	}
 	return marks
 }
 
-func sum(rows []chain, sizes map[chain]int) (total int) {
+func sum(rows []prefixHash, sizes map[prefixHash]int) (total int) {
 	for _, row := range rows {
 		total += sizes[row]
 	}
--- a/internal/placement/report.go
+++ b/internal/placement/failurereport.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// reportedFor is how long a report of a failure counts.
-	reportedFor = 2 * time.Second
+	// reportTTL is how long a report of a failure counts.
+	reportTTL = 2 * time.Second
 	// reportingZones is the number of zones whose proxies must have reported a server before this proxy leaves it
 	// without a failure of its own: a cut between two zones looks like that from one of them alone.
 	reportingZones = 2
-	// successCounts is how long an own success outweighs what others report.
-	successCounts = time.Second
+	// successOverride is how long an own success outweighs what others report.
+	successOverride = time.Second
 )
 
 // reports holds when the proxies of some zones last reported a server.
-type reports [reportingZones]struct {
+type failureReports [reportingZones]struct {
 	zone string
 	at   time.Duration
 }
 
 // add notes a report and gives the number of zones whose reports count.
-func (r *reports) add(now time.Duration, zone string) int {
+func (r *failureReports) add(now time.Duration, zone string) int {
 	oldest := 0
 	for i := range r {
 		if r[i].zone == zone {
@@ -37,7 +37,7 @@
 	r[oldest].zone, r[oldest].at = zone, now
 	zones := 0
 	for i := range r {
-		if r[i].zone != "" && now-r[i].at < reportedFor {
+		if r[i].zone != "" && now-r[i].at < reportTTL {
 			zones++
 		}
 	}
@@ -52,12 +52,12 @@
 		return
 	}
 	p.stats.Reported++
-	if known.succeededAt > 0 && now-known.succeededAt < successCounts {
+	if known.succeededAt > 0 && now-known.succeededAt < successOverride {
 		return
 	}
-	if known.reports.add(now, zone) >= reportingZones {
+	if known.failureReports.add(now, zone) >= reportingZones {
 		p.eject(now, known, ejectAfter)
 		return
 	}
-	known.failures = max(known.failures, ejectAfter-severedWeight)
+	known.failures = max(known.failures, ejectAfter-noAnswerWeight)
 }
--- a/internal/placement/report_test.go
+++ b/internal/placement/failurereport_test.go
@@ -10,7 +10,7 @@
 
 // ready tells whether a server may get a request now.
 func (f *fixture) ready(id string) bool {
-	return f.p.standing(f.now, f.p.servers[id], f.request(routeHelp)) == standingReady
+	return f.p.eligibility(f.now, f.p.servers[id], f.request(routeHelp)) == eligible
 }
 
 func TestTheWordOfTwoZonesIsEnoughToLeaveAServer(t *testing.T) {
@@ -22,15 +22,15 @@
 	f.p.FailureReported(f.now, id, zoneB)
 	require.False(t, f.ready(id))
 	require.Equal(t, uint64(3), f.p.Stats().Reported)
-	f.now += 2 * restFirst
-	require.True(t, f.p.servers[id].wantsTrial(f.now), "it is tried again as after failures of its own")
+	f.now += 2 * firstEjection
+	require.True(t, f.p.servers[id].trialDue(f.now), "it is tried again as after failures of its own")
 }
 
 func TestOldReportsDoNotCount(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	id := f.list[0].GetId()
 	f.p.FailureReported(f.now, id, zoneA)
-	f.now += reportedFor
+	f.now += reportTTL
 	f.p.FailureReported(f.now, id, zoneB)
 	require.True(t, f.ready(id))
 }
@@ -53,7 +53,7 @@
 	f.p.FailureReported(f.now, id, zoneA)
 	f.p.FailureReported(f.now, id, zoneB)
 	require.True(t, f.ready(id))
-	f.now += successCounts
+	f.now += successOverride
 	f.p.FailureReported(f.now, id, zoneA)
 	f.p.FailureReported(f.now, id, zoneB)
 	require.False(t, f.ready(id))
--- a/internal/placement/fixture_test.go
+++ b/internal/placement/fixture_test.go
@@ -152,7 +152,7 @@
 func (f *fixture) serve(request *Request, times func(server string) float64) string {
 	f.t.Helper()
 	decision := f.pick(request)
-	cost := f.p.attempts[decision.Attempt].cost
+	cost := f.p.attempts[decision.Attempt].nominalLatency
 	f.now += time.Duration(float64(cost) * times(decision.ServerID))
 	f.p.Started(f.now, decision.Attempt)
 	f.p.Finished(f.now, decision.Attempt, Done)
--- a/internal/placement/places_test.go
+++ b/internal/placement/locality_test.go
@@ -218,8 +218,8 @@
 				count++
 			}
 		}
-		f.now += suspectFor
-		require.False(t, f.p.servers[f.list[1].GetId()].cold(f.now))
+		f.now += suspectedColdPeriod
+		require.False(t, f.p.servers[f.list[1].GetId()].warmingUp(f.now))
 		return count
 	}
 	total := 0
@@ -238,15 +238,15 @@
 	for _, s := range f.list[:6] {
 		f.p.ServerWarmingUp(f.now, s.GetId(), time.Second)
 	}
-	require.True(t, f.p.servers[f.list[0].GetId()].cold(f.now+time.Second-1))
-	require.False(t, f.p.servers[f.list[0].GetId()].cold(f.now+time.Second))
+	require.True(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now+time.Second-1))
+	require.False(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now+time.Second))
 	f.now += 500 * time.Millisecond
 	f.relist() // a list that may have been made before the server's word
-	require.True(t, f.p.servers[f.list[0].GetId()].cold(f.now))
+	require.True(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now))
 	f.p.ServerWarmingUp(f.now, f.list[0].GetId(), time.Minute)
-	f.now += 2 * suspectFor
+	f.now += 2 * suspectedColdPeriod
 	f.relist()
-	require.False(t, f.p.servers[f.list[0].GetId()].cold(f.now), "a newer list knows better")
+	require.False(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now), "a newer list knows better")
 }
 
 func TestAServerThatSeemsToLeaveIsAvoided(t *testing.T) {
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -10,23 +10,23 @@
 const (
 	// ejectAfter is the weight of failures in a row that ejects a server.
 	ejectAfter = 3
-	// failedWeight is that of an answer that tells of a failure; severedWeight that of none at all; silentWeight
+	// failedWeight is that of an answer that tells of a failure; noAnswerWeight that of none at all; unreachableWeight
 	// that of a machine out of reach, where every further request would be lost.
-	failedWeight  = 1
-	severedWeight = 2
-	silentWeight  = ejectAfter
-	restFirst     = time.Second
-	restMost      = 8 * time.Second
-	// restSpread is the part by which a rest may be longer, so that trials of many proxies do not meet.
-	restSpread = 0.25
-	// suspectRest is the rest from which on a server may have been away for long enough to come back cold.
-	suspectRest = 2 * time.Second
-	// fullFor is how long a server that refused is left alone if there are others.
-	fullFor = 250 * time.Millisecond
-	// overdueTimes: a client that left after so many times the predicted time tells of a slow server.
-	overdueTimes = 2
-	// maxSpare is the most closed attempts that are kept to be used again.
-	maxSpare = 256
+	failedWeight      = 1
+	noAnswerWeight    = 2
+	unreachableWeight = ejectAfter
+	firstEjection     = time.Second
+	maxEjection       = 8 * time.Second
+	// ejectionJitter is the part by which a rest may be longer, so that trials of many proxies do not meet.
+	ejectionJitter = 0.25
+	// suspectEjection is the rest from which on a server may have been away for long enough to come back cold.
+	suspectEjection = 2 * time.Second
+	// rejectionCooldown is how long a server that refused is left alone if there are others.
+	rejectionCooldown = 250 * time.Millisecond
+	// overdueFactor: a client that left after so many times the predicted time tells of a slow server.
+	overdueFactor = 2
+	// maxFreeAttempts is the most closed attempts that are kept to be used again.
+	maxFreeAttempts = 256
 )
 
 // Started tells that the first event of an attempt's stream came, or the first byte of any other answer. It
@@ -38,33 +38,33 @@
 	}
 	s := a.server
 	a.started, a.startedAt = true, now
-	a.before = memory{estimate: s.estimate, failures: s.failures}
-	s.answered(a)
-	p.seeded(a)
-	p.learnReading(a, now-a.sentAt)
-	s.estimate.Observe(now, a.sample(now-a.sentAt))
+	a.beforeStart = serverSnapshot{estimate: s.estimate, failures: s.failures}
+	s.removeUnanswered(a)
+	p.releaseSeed(a)
+	p.learnPrefillRate(a, now-a.sentAt)
+	s.estimate.Observe(now, a.speedSample(now-a.sentAt))
 	s.failures = 0
 	if !s.service.inTime(a.request.Route, now-a.request.Arrived) {
 		s.service.walk.Leave(s)
 	}
 }
 
-// learnReading takes in a first event that came after a known number of tokens was read. While answers come late it
+// learnPrefillRate takes in a first event that came after a known number of tokens was read. While answers come late it
 // learns nothing: then they tell of what waits at the servers.
-func (p *Placer) learnReading(a *attempt, latency time.Duration) {
+func (p *Placer) learnPrefillRate(a *attempt, latency time.Duration) {
 	owner := a.server.service
-	if !a.alone || !owner.model() || owner.slack.Share < admitSlack || p.off(policy.PrefillRate) {
+	if !a.unqueued || !owner.servesModel() || owner.slack.Share < admitAllSlack || p.off(policy.PrefillRate) {
 		return
 	}
-	owner.engine.learn(a.sentAt+latency, a.toRead, latency)
+	owner.prefill.learn(a.sentAt+latency, a.prefillTokens, latency)
 }
 
 // sample is the speed that an answer after latency shows: cost over latency. Where it was a guess that the
 // prompt is kept there, the answer proves no more than a range.
-func (a *attempt) sample(latency time.Duration) float64 {
+func (a *attempt) speedSample(latency time.Duration) float64 {
 	latency = max(latency, time.Microsecond)
-	low := min(float64(a.cost)/float64(latency), mostSpeed)
-	high := min(float64(a.unread)/float64(latency), mostSpeed)
+	low := min(float64(a.nominalLatency)/float64(latency), maxSpeed)
+	high := min(float64(a.uncachedLatency)/float64(latency), maxSpeed)
 	present := 1.0
 	if a.server.estimate.Seeded() {
 		present = a.server.estimate.Speed()
@@ -80,46 +80,46 @@
 	}
 	delete(p.attempts, id)
 	s := a.server
-	s.answered(a)
-	s.open--
-	s.held -= a.toHold
-	p.seeded(a)
+	s.removeUnanswered(a)
+	s.openAttempts--
+	s.reservedTokens -= a.memoryTokens
+	p.releaseSeed(a)
 	if a.trial {
-		s.trying = false
+		s.trialInFlight = false
 	}
 	p.stats.Outcomes[outcome]++
 	switch outcome {
 	case Done:
 		p.succeeded(now, a)
 	case Refused:
-		p.refused(now, a)
+		p.rejected(now, a)
 	case Misdirected:
 		s.gone = true
-		p.keeper.forget(s)
+		p.prefixCache.removeServer(s)
 	case Failed:
 		p.failed(now, a, failedWeight)
 	case Reset, TimedOut:
-		p.failed(now, a, severedWeight)
+		p.failed(now, a, noAnswerWeight)
 	case Unreachable:
-		p.failed(now, a, silentWeight)
+		p.failed(now, a, unreachableWeight)
 	case ClientGone:
-		p.abandoned(now, a)
+		p.canceled(now, a)
 	case NotSent:
 	}
-	p.recycle(a)
+	p.releaseAttempt(a)
 }
 
 // seeded frees the way for the next attempt that seeds an estimate.
-func (p *Placer) seeded(a *attempt) {
-	if a.server.service.seedOut == a {
-		a.server.service.seedOut = nil
+func (p *Placer) releaseSeed(a *attempt) {
+	if a.server.service.seedAttempt == a {
+		a.server.service.seedAttempt = nil
 	}
 }
 
-func (p *Placer) recycle(a *attempt) {
-	if len(p.spare) < maxSpare {
+func (p *Placer) releaseAttempt(a *attempt) {
+	if len(p.freeAttempts) < maxFreeAttempts {
 		*a = attempt{}
-		p.spare = append(p.spare, a)
+		p.freeAttempts = append(p.freeAttempts, a)
 	}
 }
 
@@ -128,30 +128,30 @@
 	owner := s.service
 	if !a.started {
 		a.started, a.startedAt = true, now
-		s.estimate.Observe(now, a.sample(now-a.sentAt))
+		s.estimate.Observe(now, a.speedSample(now-a.sentAt))
 	}
 	latency := a.startedAt - a.sentAt
-	owner.typicalOf(s.region == p.region).Observe(now, a.sample(latency))
+	owner.typicalOf(s.region == p.region).Observe(now, a.speedSample(latency))
 	if s.region == p.region {
 		owner.observeLatency(latency)
 	}
-	s.failures, s.rest, s.succeededAt = 0, 0, now
+	s.failures, s.ejectionPeriod, s.succeededAt = 0, 0, now
 }
 
 // refused takes in that a server was full: speed zero, but no failure.
-func (p *Placer) refused(now time.Duration, a *attempt) {
-	a.zero(now)
+func (p *Placer) rejected(now time.Duration, a *attempt) {
+	a.observeFailure(now)
 	if !p.off(policy.RejectionCooldown) {
-		a.server.avoidUntil = max(a.server.avoidUntil, now+fullFor)
+		a.server.cooldownUntil = max(a.server.cooldownUntil, now+rejectionCooldown)
 	}
-	a.server.service.fullAt = now
+	a.server.service.rejectedAt = now
 	a.server.service.walk.Leave(a.server)
 }
 
 // failed takes in a failure: speed zero, and rest after some in a row. A server that comes back after a while
 // may be cold without a word, so it is treated as cold until the list can tell.
 func (p *Placer) failed(now time.Duration, a *attempt, weight int) {
-	a.zero(now)
+	a.observeFailure(now)
 	p.eject(now, a.server, weight)
 }
 
@@ -159,7 +159,7 @@
 func (p *Placer) ServerUnreachable(now time.Duration, serverID string) {
 	if known := p.servers[serverID]; known != nil {
 		known.estimate.Observe(now, 0)
-		p.eject(now, known, silentWeight)
+		p.eject(now, known, unreachableWeight)
 	}
 }
 
@@ -170,34 +170,34 @@
 		return
 	}
 	s.failures = min(s.failures+weight, 2*ejectAfter)
-	if s.failures < ejectAfter || now < s.restUntil {
+	if s.failures < ejectAfter || now < s.ejectedUntil {
 		return
 	}
-	s.rest = min(max(2*s.rest, restFirst), restMost)
-	spread := 1 + restSpread*p.random.Float64()
-	s.restUntil = now + time.Duration(float64(s.rest)*spread)
-	if s.rest >= suspectRest {
-		s.suspectUntil = s.restUntil + suspectFor
+	s.ejectionPeriod = min(max(2*s.ejectionPeriod, firstEjection), maxEjection)
+	spread := 1 + ejectionJitter*p.random.Float64()
+	s.ejectedUntil = now + time.Duration(float64(s.ejectionPeriod)*spread)
+	if s.ejectionPeriod >= suspectEjection {
+		s.suspectedColdUntil = s.ejectedUntil + suspectedColdPeriod
 	}
 	p.stats.Ejections++
 }
 
 // zero takes a sample of speed zero in the place of what the attempt's first byte seemed to show.
-func (a *attempt) zero(now time.Duration) {
+func (a *attempt) observeFailure(now time.Duration) {
 	s := a.server
 	if a.started && s.estimate.SampledAt() == a.startedAt {
-		s.estimate, s.failures = a.before.estimate, max(s.failures, a.before.failures)
+		s.estimate, s.failures = a.beforeStart.estimate, max(s.failures, a.beforeStart.failures)
 	}
 	s.estimate.Observe(now, 0)
 }
 
 // abandoned takes in that a client left: long after an answer was due, it tells of the server.
-func (p *Placer) abandoned(now time.Duration, a *attempt) {
+func (p *Placer) canceled(now time.Duration, a *attempt) {
 	waited := now - a.sentAt
-	if a.started || waited <= overdueTimes*a.unread {
+	if a.started || waited <= overdueFactor*a.uncachedLatency {
 		return
 	}
-	a.server.estimate.Observe(now, float64(a.cost)/float64(waited))
+	a.server.estimate.Observe(now, float64(a.nominalLatency)/float64(waited))
 	a.server.service.walk.Leave(a.server)
 }
 
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -9,41 +9,41 @@
 
 // Tuning of the pick.
 const (
-	// seedReread is the most shared tokens that a request which seeds an estimate may have to read anew.
-	seedReread = 600
-	// seedPatience is how long the answer to a seeding attempt holds up the next one.
-	seedPatience = time.Second
-	// spillStart is by how much another region's servers must be expected to answer sooner, the way there and
-	// back included, before requests go there; spillStop is by how much less they come back.
-	spillStart = 150 * time.Millisecond
-	spillStop  = 50 * time.Millisecond
-	// seedWithin: a request seeds an estimate only where its priced time is within so many times the best.
-	seedWithin = 2
-	// walkWithin: the walk takes servers whose priced time is within so many times the best.
-	walkWithin = 2
+	// maxSeedPrefill is the most shared tokens that a request which seeds an estimate may have to read anew.
+	maxSeedPrefill = 600
+	// seedTimeout is how long the answer to a seeding attempt holds up the next one.
+	seedTimeout = time.Second
+	// spillStartMargin is by how much another region's servers must be expected to answer sooner, the way there and
+	// back included, before requests go there; spillStopMargin is by how much less they come back.
+	spillStartMargin = 150 * time.Millisecond
+	spillStopMargin  = 50 * time.Millisecond
+	// seedCostFactor: a request seeds an estimate only where its priced time is within so many times the best.
+	seedCostFactor = 2
+	// walkCostFactor: the walk takes servers whose priced time is within so many times the best.
+	walkCostFactor = 2
 )
 
 // attempt is one open attempt.
 type attempt struct {
-	id        AttemptID
-	server    *server
-	request   Request // without its slices, which belong to the caller
-	sentAt    time.Duration
-	cost      time.Duration // predicted time to the first event at speed 1
-	unread    time.Duration // the same, had the server kept nothing; over cost only when keeping was a guess
-	toRead    int
-	toHold    int  // tokens that it may take of the server's memory
-	alone     bool // nothing else was known to wait there, and how much it has to read was known
-	trial     bool // the one after a rest
-	throttled bool // counted at the gate to cold servers
-	startedAt time.Duration
-	started   bool
-	before    memory
+	id                 AttemptID
+	server             *server
+	request            Request // without its slices, which belong to the caller
+	sentAt             time.Duration
+	nominalLatency     time.Duration // predicted time to the first event at speed 1
+	uncachedLatency    time.Duration // the same, had the server kept nothing; over cost only when keeping was a guess
+	prefillTokens      int
+	memoryTokens       int  // tokens that it may take of the server's memory
+	unqueued           bool // nothing else was known to wait there, and how much it has to read was known
+	trial              bool // the one after a rest
+	countedBySlowStart bool // counted at the gate to cold servers
+	startedAt          time.Duration
+	started            bool
+	beforeStart        serverSnapshot
 }
 
 // memory is what was known of a server before an attempt's first event: should the answer turn out to be a
 // failure, it counts as one and not as quick.
-type memory struct {
+type serverSnapshot struct {
 	estimate selection.Estimate
 	failures int
 }
@@ -53,99 +53,99 @@
 func (p *Placer) Pick(now time.Duration, request *Request) (Decision, error) {
 	owner := p.services[request.Service]
 	if owner == nil {
-		return Decision{}, p.none(now, request, ReasonNone)
+		return Decision{}, p.noServer(now, request, ReasonNone)
 	}
 	if len(p.attempts) >= maxAttempts {
-		return Decision{}, p.none(now, request, ReasonFull)
+		return Decision{}, p.noServer(now, request, ReasonFull)
 	}
-	farthest := p.survey(now, owner, request)
-	if len(p.scratch.chosen) == 0 {
-		return Decision{}, p.none(now, request, reasons[farthest])
+	farthest := p.findCandidates(now, owner, request)
+	if len(p.buffers.candidates) == 0 {
+		return Decision{}, p.noServer(now, request, noServerReasons[farthest])
 	}
-	picked := p.decide(now, owner)
-	return p.open(now, request, &p.scratch.chosen[picked]), nil
+	picked := p.chooseCandidate(now, owner)
+	return p.openAttempt(now, request, &p.buffers.candidates[picked]), nil
 }
 
-func (p *Placer) none(now time.Duration, request *Request, reason Reason) error {
+func (p *Placer) noServer(now time.Duration, request *Request, reason Reason) error {
 	p.stats.None[reason]++
 	return &NoServerError{Service: request.Service, Reason: reason, RetryAfter: p.retryAfter(now, reason)}
 }
 
 // survey finds the servers that may get a request and predicts for them. Without any, it tells how far the
 // best of the rest came.
-func (p *Placer) survey(now time.Duration, owner *service, request *Request) standing {
-	p.picks++
-	scratch := &p.scratch
-	scratch.prompt.read(request)
-	scratch.chosen = scratch.chosen[:0]
-	p.keeper.mark(&scratch.prompt, p.picks)
-	farthest := p.gather(now, owner, request)
-	p.choose(now, p.field(now), &scratch.prompt)
-	if len(scratch.chosen) > 0 && len(scratch.near) > 0 && len(scratch.far) > 0 && !p.off(policy.Spill) {
-		p.spill(now, owner)
+func (p *Placer) findCandidates(now time.Duration, owner *service, request *Request) eligibility {
+	p.pickNumber++
+	scratch := &p.buffers
+	scratch.prompt.reset(request)
+	scratch.candidates = scratch.candidates[:0]
+	p.prefixCache.match(&scratch.prompt, p.pickNumber)
+	farthest := p.classifyServers(now, owner, request)
+	p.addCandidates(now, p.preferredServers(now), &scratch.prompt)
+	if len(scratch.candidates) > 0 && len(scratch.local) > 0 && len(scratch.remote) > 0 && !p.off(policy.Spill) {
+		p.spillOver(now, owner)
 	}
 	return farthest
 }
 
 // spill adds servers of other regions while they are expected to answer sooner by more than the margin.
-func (p *Placer) spill(now time.Duration, owner *service) {
-	scratch := &p.scratch
-	near := soonest(scratch.chosen)
-	margin := spillStart
-	if owner.spilling {
-		margin = spillStop
-	}
-	if near <= ownCost(owner, &scratch.prompt)+margin {
-		owner.spilling = false
+func (p *Placer) spillOver(now time.Duration, owner *service) {
+	scratch := &p.buffers
+	near := minExpectedLatency(scratch.candidates)
+	margin := spillStartMargin
+	if owner.spillingOver {
+		margin = spillStopMargin
+	}
+	if near <= idleLatency(owner, &scratch.prompt)+margin {
+		owner.spillingOver = false
 		return
 	}
-	own := len(scratch.chosen)
-	p.choose(now, scratch.far, &scratch.prompt)
-	far := soonest(scratch.chosen[own:])
-	owner.spilling = near-far > margin
-	if !owner.spilling {
-		scratch.chosen = scratch.chosen[:own]
+	own := len(scratch.candidates)
+	p.addCandidates(now, scratch.remote, &scratch.prompt)
+	far := minExpectedLatency(scratch.candidates[own:])
+	owner.spillingOver = near-far > margin
+	if !owner.spillingOver {
+		scratch.candidates = scratch.candidates[:own]
 	}
 }
 
 // soonest is the least predicted time of candidates, of which there is at least one.
-func soonest(candidates []candidate) time.Duration {
-	least := candidates[0].expected
+func minExpectedLatency(candidates []candidate) time.Duration {
+	least := candidates[0].expectedLatency
 	for i := range candidates {
-		least = min(least, candidates[i].expected)
+		least = min(least, candidates[i].expectedLatency)
 	}
 	return least
 }
 
 // decide picks one of the chosen: a server whose estimate is to be seeded or that is due for a trial, or by
 // walk or softmax as the slack says.
-func (p *Placer) decide(now time.Duration, owner *service) int {
-	if i := p.seed(now, owner); i >= 0 {
+func (p *Placer) chooseCandidate(now time.Duration, owner *service) int {
+	if i := p.seedCandidate(now, owner); i >= 0 {
 		p.stats.Seeded++
 		return i
 	}
 	tau, walk := owner.slack.Temperature()
 	if walk && !p.off(policy.SortedWalk) {
 		p.stats.Walked++
-		return p.walk(now, owner)
+		return p.walkCandidate(now, owner)
 	}
 	p.stats.Drawn++
 	if p.off(policy.Softmax) {
-		return leastPriced(p.scratch.chosen)
+		return cheapest(p.buffers.candidates)
 	}
-	speeds := p.scratch.speeds[:0]
-	for i := range p.scratch.chosen {
-		speeds = append(speeds, 1/p.scratch.chosen[i].priced.Seconds())
+	speeds := p.buffers.speeds[:0]
+	for i := range p.buffers.candidates {
+		speeds = append(speeds, 1/p.buffers.candidates[i].cost.Seconds())
 	}
-	p.scratch.speeds = speeds
+	p.buffers.speeds = speeds
 	return selection.Softmax(speeds, tau, p.random.Float64())
 }
 
-// leastPriced is the place of the candidate whose priced time is least.
-func leastPriced(candidates []candidate) int {
+// cheapest is the place of the candidate whose priced time is least.
+func cheapest(candidates []candidate) int {
 	least := 0
 	for i := range candidates {
-		if candidates[i].priced < candidates[least].priced {
+		if candidates[i].cost < candidates[least].cost {
 			least = i
 		}
 	}
@@ -154,25 +154,25 @@
 
 // seed gives a chosen server that needs a first answer or a trial, one at a time and only for a request that
 // need not read much anew there; below 0: none.
-func (p *Placer) seed(now time.Duration, owner *service) int {
+func (p *Placer) seedCandidate(now time.Duration, owner *service) int {
 	if p.off(policy.Seeding) {
 		return -1
 	}
-	if owner.seedOut != nil && now-owner.seeding < seedPatience {
+	if owner.seedAttempt != nil && now-owner.seedSentAt < seedTimeout {
 		return -1
 	}
 	limit := time.Duration(-1) // not reckoned yet
-	for i := range p.scratch.chosen {
-		c := &p.scratch.chosen[i]
-		fresh := !c.server.estimate.Seeded() && c.server.open == 0
+	for i := range p.buffers.candidates {
+		c := &p.buffers.candidates[i]
+		fresh := !c.server.estimate.Seeded() && c.server.openAttempts == 0
 		if fresh && limit < 0 {
-			limit = seedWithin * p.scratch.chosen[leastPriced(p.scratch.chosen)].priced
+			limit = seedCostFactor * p.buffers.candidates[cheapest(p.buffers.candidates)].cost
 		}
-		fresh = fresh && c.priced <= limit
-		if !fresh && !c.server.wantsTrial(now) {
+		fresh = fresh && c.cost <= limit
+		if !fresh && !c.server.trialDue(now) {
 			continue
 		}
-		if !owner.model() || c.toRead-seedReread <= p.scratch.prompt.total-p.scratch.prompt.shared {
+		if !owner.servesModel() || c.prefillTokens-maxSeedPrefill <= p.buffers.prompt.totalTokens-p.buffers.prompt.sharedTokens {
 			return i
 		}
 	}
@@ -180,22 +180,22 @@
 }
 
 // walk picks by the sorted walk among the chosen whose priced time is not far from the best.
-func (p *Placer) walk(now time.Duration, owner *service) int {
-	least := p.scratch.chosen[0].priced
-	for i := range p.scratch.chosen {
-		least = min(least, p.scratch.chosen[i].priced)
-	}
-	servers := p.scratch.servers[:0]
-	for i := range p.scratch.chosen {
-		if p.scratch.chosen[i].priced <= walkWithin*least {
-			servers = append(servers, p.scratch.chosen[i].server)
+func (p *Placer) walkCandidate(now time.Duration, owner *service) int {
+	least := p.buffers.candidates[0].cost
+	for i := range p.buffers.candidates {
+		least = min(least, p.buffers.candidates[i].cost)
+	}
+	servers := p.buffers.walkServers[:0]
+	for i := range p.buffers.candidates {
+		if p.buffers.candidates[i].cost <= walkCostFactor*least {
+			servers = append(servers, p.buffers.candidates[i].server)
 		}
 	}
-	p.scratch.servers = servers
+	p.buffers.walkServers = servers
 	speed := func(s *server) float64 { return p.speedAt(now, s) }
 	at := owner.walk.Pick(owner.servers, servers, speed)
-	for i := range p.scratch.chosen {
-		if p.scratch.chosen[i].server == at {
+	for i := range p.buffers.candidates {
+		if p.buffers.candidates[i].server == at {
 			return i
 		}
 	}
@@ -203,28 +203,28 @@
 }
 
 // open opens an attempt and charges its server's account.
-func (p *Placer) open(now time.Duration, request *Request, c *candidate) Decision {
+func (p *Placer) openAttempt(now time.Duration, request *Request, c *candidate) Decision {
 	s := c.server
 	a := p.newAttempt(now, request, c)
 	p.attempts[a.id] = a
 	if a.trial {
-		s.trying = true
+		s.trialInFlight = true
 	}
 	if !s.estimate.Seeded() || a.trial {
-		s.service.seeding, s.service.seedOut = now, a
+		s.service.seedSentAt, s.service.seedAttempt = now, a
 	}
-	if s.cold(now) {
-		p.gate.Take(now, s.asCold())
-		a.throttled = true
+	if s.warmingUp(now) {
+		p.slowStart.Take(now, s.warmingServer())
+		a.countedBySlowStart = true
 		p.stats.Cold++
 	}
-	s.open++
-	s.held += a.toHold
-	a.alone = c.known && s.ahead == 0 && s.region == p.region
-	s.ahead += a.toRead // what is likely
+	s.openAttempts++
+	s.reservedTokens += a.memoryTokens
+	a.unqueued = c.prefillKnown && s.queuedPrefillTokens == 0 && s.region == p.region
+	s.queuedPrefillTokens += a.prefillTokens // what is likely
 	s.unanswered = append(s.unanswered, a)
-	if s.service.model() && len(request.Chunks) > 0 && !p.off(policy.PrefixCache) {
-		p.keeper.add(s, &p.scratch.prompt, p.keptCapacity(s.service))
+	if s.service.servesModel() && len(request.Chunks) > 0 && !p.off(policy.PrefixCache) {
+		p.prefixCache.insert(s, &p.buffers.prompt, p.prefixCacheTokens(s.service))
 	}
 	if s.region != p.region {
 		p.stats.OtherRegion++
@@ -236,35 +236,35 @@
 		Address:        s.address,
 		Zone:           s.zone,
 		Region:         s.region,
-		Expected:       c.expected,
-		PrefillTokens:  c.toRead,
-		Announce:       p.announcement(now, c),
+		Expected:       c.expectedLatency,
+		PrefillTokens:  c.prefillTokens,
+		Announce:       p.announce(now, c),
 		MaxConnections: p.maxConnections(s.service),
 	}
 }
 
 func (p *Placer) newAttempt(now time.Duration, request *Request, c *candidate) *attempt {
 	var a *attempt
-	if last := len(p.spare) - 1; last >= 0 {
-		a, p.spare = p.spare[last], p.spare[:last]
+	if last := len(p.freeAttempts) - 1; last >= 0 {
+		a, p.freeAttempts = p.freeAttempts[last], p.freeAttempts[:last]
 	} else {
 		a = &attempt{}
 	}
 	p.lastID++
 	*a = attempt{
-		id:      p.lastID,
-		server:  c.server,
-		request: *request,
-		sentAt:  now,
-		cost:    c.cost,
-		unread:  c.cost,
-		toRead:  c.likely,
-		toHold:  p.scratch.prompt.toHold,
-		trial:   c.server.wantsTrial(now),
+		id:              p.lastID,
+		server:          c.server,
+		request:         *request,
+		sentAt:          now,
+		nominalLatency:  c.nominalLatency,
+		uncachedLatency: c.nominalLatency,
+		prefillTokens:   c.likelyPrefillTokens,
+		memoryTokens:    p.buffers.prompt.memoryTokens,
+		trial:           c.server.trialDue(now),
 	}
 	a.request.Chunks, a.request.Excluded = nil, nil
-	if !c.known && c.server.service.model() {
-		a.unread += c.server.service.engine.reading(p.scratch.prompt.total - c.toRead)
+	if !c.prefillKnown && c.server.service.servesModel() {
+		a.uncachedLatency += c.server.service.prefill.duration(p.buffers.prompt.totalTokens - c.prefillTokens)
 	}
 	return a
 }
@@ -277,21 +277,21 @@
 		return false
 	}
 	s := a.server
-	if p.permitted(now, s, &a.request) != standingReady || !p.homeNow(a) {
+	if p.mandatoryEligibility(now, s, &a.request) != eligible || !p.stillInHomeRegions(a) {
 		return false
 	}
-	if s.cold(now) && !a.throttled {
-		if !p.gate.Allows(now, s.asCold(), false) {
+	if s.warmingUp(now) && !a.countedBySlowStart {
+		if !p.slowStart.Allows(now, s.warmingServer(), false) {
 			return false
 		}
-		p.gate.Take(now, s.asCold())
-		a.throttled = true
+		p.slowStart.Take(now, s.warmingServer())
+		a.countedBySlowStart = true
 	}
 	return true
 }
 
-// homeNow tells whether the route's homes in the configuration of now allow the attempt's server too.
-func (p *Placer) homeNow(a *attempt) bool {
+// stillInHomeRegions tells whether the route's homes in the configuration of now allow the attempt's server too.
+func (p *Placer) stillInHomeRegions(a *attempt) bool {
 	if a.request.Route == nil {
 		return true
 	}
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -18,21 +18,21 @@
 const (
 	// maxAttempts is the most attempts that may be open.
 	maxAttempts = 1 << 14
-	// suspectFor is how long a server that may have turned cold unseen is treated as cold: the platform's lag,
+	// suspectedColdPeriod is how long a server that may have turned cold unseen is treated as cold: the platform's lag,
 	// a poll and the list's way here.
-	suspectFor = 2500 * time.Millisecond
-	// leavingFor is how long a server that seems to leave is avoided; the list tells whether it does.
-	leavingFor = 3 * time.Second
-	// leastConnections is the least number of connections to a server that a proxy may have.
-	leastConnections = 4
-	// connectionPart of a server's connections is handed out.
-	connectionPart = 0.9
-	// unknownProxies is taken to share a server's connections while it is not known how many do.
-	unknownProxies = 16
-	// keptShares: this proxy counts on so many equal shares of a server's memory, for parts are often shared.
-	keptShares = 2
-	// defaultCache is the memory of a server that does not tell, in tokens.
-	defaultCache = 100_000
+	suspectedColdPeriod = 2500 * time.Millisecond
+	// drainCooldown is how long a server that seems to leave is avoided; the list tells whether it does.
+	drainCooldown = 3 * time.Second
+	// minConnections is the least number of connections to a server that a proxy may have.
+	minConnections = 4
+	// connectionFraction of a server's connections is handed out.
+	connectionFraction = 0.9
+	// assumedProxies is taken to share a server's connections while it is not known how many do.
+	assumedProxies = 16
+	// cacheSharing: this proxy counts on so many equal shares of a server's memory, for parts are often shared.
+	cacheSharing = 2
+	// defaultCacheTokens is the memory of a server that does not tell, in tokens.
+	defaultCacheTokens = 100_000
 )
 
 // Placer decides where attempts go and keeps what was learnt of servers. It is not safe for concurrent use:
@@ -42,28 +42,28 @@
 	region    string
 	hostHash  uint64
 	random    *rand.Rand
-	gate      *limits.SlowStartLimiter
+	slowStart *limits.SlowStartLimiter
 	table     *route.Table
 	evacuated map[string]bool
 	proxies   int // that share the servers; 0: unknown
 	// neighbours are the proxies of the own region, this one too; 0: unknown.
-	neighbours int
+	regionProxies int
 
-	services map[string]*service
-	servers  map[string]*server // by id
-	byKey    map[uint32]*server // by ServerKey
-	attempts map[AttemptID]*attempt
-	lastID   AttemptID
-	spare    []*attempt // closed attempts, used again
+	services     map[string]*service
+	servers      map[string]*server // by id
+	byKey        map[uint32]*server // by ServerKey
+	attempts     map[AttemptID]*attempt
+	lastID       AttemptID
+	freeAttempts []*attempt // closed attempts, used again
 
-	heard   map[uint32]heardPrompt // by prompt key
-	pace    announcePace
-	slack   selection.Slack // over all services
-	keeper  keeper
-	picks   uint64 // numbers surveys, for the marks of the keeper
-	lists   uint64 // numbers server lists
-	scratch scratch
-	stats   Stats
+	announcedPrefixes map[uint32]announcedPrefix // by prompt key
+	announcements     announcementLimiter
+	slack             selection.Slack // over all services
+	prefixCache       prefixCacheIndex
+	pickNumber        uint64 // numbers surveys, for the marks of the keeper
+	listNumber        uint64 // numbers server lists
+	buffers           pickBuffers
+	stats             Stats
 }
 
 // off tells whether a mechanism is switched off.
@@ -72,27 +72,27 @@
 // New makes a Placer that knows no server.
 func New(config Config) *Placer {
 	return &Placer{
-		config:    config,
-		region:    config.Regions[config.Zone],
-		hostHash:  xxhash.Sum64String(config.Host),
-		random:    rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15)),
-		gate:      limits.NewSlowStartLimiter(config.SlowStart, config.Host),
-		table:     route.Empty(),
-		evacuated: map[string]bool{},
-		services:  map[string]*service{},
-		servers:   map[string]*server{},
-		attempts:  map[AttemptID]*attempt{},
-		slack:     selection.NewSlack(bands),
-		keeper:    newKeeper(),
-		heard:     map[uint32]heardPrompt{},
-		byKey:     map[uint32]*server{},
-		pace:      newAnnouncePace(),
+		config:            config,
+		region:            config.Regions[config.Zone],
+		hostHash:          xxhash.Sum64String(config.Host),
+		random:            rand.New(rand.NewPCG(config.Seed, config.Seed^0x9e3779b97f4a7c15)),
+		slowStart:         limits.NewSlowStartLimiter(config.SlowStart, config.Host),
+		table:             route.Empty(),
+		evacuated:         map[string]bool{},
+		services:          map[string]*service{},
+		servers:           map[string]*server{},
+		attempts:          map[AttemptID]*attempt{},
+		slack:             selection.NewSlack(bands),
+		prefixCache:       newPrefixCacheIndex(),
+		announcedPrefixes: map[uint32]announcedPrefix{},
+		byKey:             map[uint32]*server{},
+		announcements:     newAnnouncementLimiter(),
 	}
 }
 
 // SetServers takes in a whole server list, which was read age ago. Servers that it does not name are gone.
 func (p *Placer) SetServers(now time.Duration, servers []*pb.Server, age time.Duration) {
-	p.lists++
+	p.listNumber++
 	named := make(map[string]bool, len(servers))
 	changed := map[*service]bool{}
 	fresh := map[string]*server{} // that were not listed before, by address
@@ -106,7 +106,7 @@
 		}
 		p.update(now, known, listed, age)
 	}
-	p.retire(fresh)
+	p.retireReplaced(fresh)
 	for id, known := range p.servers {
 		if !named[id] {
 			p.removeServer(known)
@@ -121,7 +121,7 @@
 
 // retire takes servers that crashed to be gone before the list drops them: one that came after them answers at
 // their address.
-func (p *Placer) retire(fresh map[string]*server) {
+func (p *Placer) retireReplaced(fresh map[string]*server) {
 	if len(fresh) == 0 {
 		return
 	}
@@ -149,7 +149,7 @@
 func (p *Placer) SetEvacuated(now time.Duration, zones []string) {
 	for _, known := range p.servers {
 		if p.evacuated[known.zone] && !slices.Contains(zones, known.zone) {
-			known.suspectUntil = now + suspectFor
+			known.suspectedColdUntil = now + suspectedColdPeriod
 		}
 	}
 	clear(p.evacuated)
@@ -164,20 +164,20 @@
 	if shares.GetProxies() == 0 {
 		p.proxies = 0
 	}
-	p.neighbours = 0
+	p.regionProxies = 0
 	for _, member := range shares.GetMembers() {
 		if member.GetRegion() == p.region {
-			p.neighbours++
+			p.regionProxies++
 		}
 	}
-	p.gate.SetQuotaMembers(now, shares)
+	p.slowStart.SetQuotaMembers(now, shares)
 }
 
 // ServerWarmingUp takes in from a server's answer (X-Fieldrelay-Warmup-Ms) how much longer it is cold.
 func (p *Placer) ServerWarmingUp(now time.Duration, serverID string, left time.Duration) {
 	if known := p.servers[serverID]; known != nil {
-		known.coldUntil = max(known.coldUntil, now+left)
-		known.coldToldAt = now
+		known.warmingUntil = max(known.warmingUntil, now+left)
+		known.warmupReportedAt = now
 	}
 }
 
@@ -185,7 +185,7 @@
 // passes its health check): it is avoided for a while; the list tells whether it drains.
 func (p *Placer) ServerDraining(now time.Duration, serverID string) {
 	if known := p.servers[serverID]; known != nil && !p.off(policy.DrainCooldown) {
-		known.avoidUntil = max(known.avoidUntil, now+leavingFor)
+		known.cooldownUntil = max(known.cooldownUntil, now+drainCooldown)
 	}
 }
 
@@ -221,7 +221,7 @@
 func (p *Placer) addServer(listed *pb.Server) *server {
 	owner := p.service(listed.GetService())
 	added := newServer(listed, owner, p.config.Regions[listed.GetZone()], p.hostHash)
-	added.listedFrom = p.lists
+	added.listedFrom = p.listNumber
 	owner.servers = append(owner.servers, added)
 	p.servers[added.id] = added
 	p.byKey[uint32(added.hash)] = added
@@ -235,8 +235,8 @@
 		delete(p.byKey, uint32(known.hash))
 	}
 	known.service.servers = slices.DeleteFunc(known.service.servers, func(other *server) bool { return other == known })
-	p.keeper.forget(known)
-	p.forgetHeard(known)
+	p.prefixCache.removeServer(known)
+	p.forgetAnnouncedPrefixes(known)
 }
 
 // update takes in what the list says of a server. Time that was left when the list was read has passed since.
@@ -249,10 +249,10 @@
 		known.expiresAt = max(now-age+time.Duration(left)*time.Millisecond, 1)
 	}
 	coldUntil := now - age + time.Duration(listed.GetWarmLeftMs())*time.Millisecond
-	if known.coldToldAt > now-age-suspectFor { // the list may be from before
-		coldUntil = max(coldUntil, known.coldUntil)
+	if known.warmupReportedAt > now-age-suspectedColdPeriod { // the list may be from before
+		coldUntil = max(coldUntil, known.warmingUntil)
 	}
-	known.coldUntil = coldUntil
+	known.warmingUntil = coldUntil
 }
 
 // maxConnections is this proxy's part of the connections that a server of a service accepts.
@@ -262,17 +262,17 @@
 	}
 	proxies := p.proxies
 	if proxies == 0 {
-		proxies = unknownProxies
+		proxies = assumedProxies
 	}
-	part := connectionPart * float64(owner.config.MaxConnections) / float64(proxies)
-	return max(int(part), leastConnections)
+	part := connectionFraction * float64(owner.config.MaxConnections) / float64(proxies)
+	return max(int(part), minConnections)
 }
 
-// keptCapacity is how many tokens this proxy counts on a server of a service to keep for it.
-func (p *Placer) keptCapacity(owner *service) int {
-	all := defaultCache
-	if owner.model() && owner.config.Runtime.CacheTokens > 0 {
+// prefixCacheTokens is how many tokens this proxy counts on a server of a service to keep for it.
+func (p *Placer) prefixCacheTokens(owner *service) int {
+	all := defaultCacheTokens
+	if owner.servesModel() && owner.config.Runtime.CacheTokens > 0 {
 		all = owner.config.Runtime.CacheTokens
 	}
-	return all * keptShares / max(p.proxies, keptShares)
+	return all * cacheSharing / max(p.proxies, cacheSharing)
 }
--- a/internal/placement/engine_test.go
+++ b/internal/placement/prefill_test.go
@@ -11,12 +11,12 @@
 )
 
 // answersOf lets an engine learn from answers to prompts of drawn lengths, each waiting for a drawn time besides.
-func answersOf(e *engine, perToken time.Duration, wait func(*rand.Rand) time.Duration, count int) {
+func answersOf(e *prefillEstimator, perToken time.Duration, wait func(*rand.Rand) time.Duration, count int) {
 	random := rand.New(rand.NewPCG(5, 6))
 	for i := range count {
 		tokens := random.IntN(6000)
 		now := time.Duration(i) * 300 * time.Millisecond
-		e.learn(now, tokens, engineBase+time.Duration(tokens)*perToken+wait(random))
+		e.learn(now, tokens, baseLatency+time.Duration(tokens)*perToken+wait(random))
 	}
 }
 
@@ -27,7 +27,7 @@
 		"three times slower": 78 * time.Microsecond,
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEngine()
+			e := newPrefillEstimator()
 			answersOf(&e, perToken, func(random *rand.Rand) time.Duration {
 				return time.Duration(random.ExpFloat64() * float64(20*time.Millisecond))
 			}, 200)
@@ -37,30 +37,30 @@
 }
 
 func TestWaitingForOthersMovesTheReadingTimeLittle(t *testing.T) {
-	e := newEngine()
-	answersOf(&e, firstPerToken, func(random *rand.Rand) time.Duration {
+	e := newPrefillEstimator()
+	answersOf(&e, initialPerToken, func(random *rand.Rand) time.Duration {
 		return 400*time.Millisecond + time.Duration(random.IntN(100))*time.Millisecond
 	}, 200)
-	require.InEpsilon(t, float64(firstPerToken), float64(e.perToken), 0.35)
+	require.InEpsilon(t, float64(initialPerToken), float64(e.perToken), 0.35)
 }
 
 func TestAnswersOfOneLengthTeachNothing(t *testing.T) {
-	e := newEngine()
+	e := newPrefillEstimator()
 	for i := range 100 {
 		e.learn(time.Duration(i)*time.Second, 500, time.Second)
 	}
-	require.Equal(t, firstPerToken, e.perToken)
+	require.Equal(t, initialPerToken, e.perToken)
 }
 
 func TestOldAnswersAreNotComparedWithNewOnes(t *testing.T) {
-	e := newEngine()
+	e := newPrefillEstimator()
 	for range 20 {
 		e.learn(0, 500, 50*time.Millisecond)
 	}
 	for range 20 {
-		e.learn(compareWithin+time.Second, 5000, 5*time.Second)
+		e.learn(maxComparisonGap+time.Second, 5000, 5*time.Second)
 	}
-	require.Equal(t, firstPerToken, e.perToken)
+	require.Equal(t, initialPerToken, e.perToken)
 }
 
 // alternate serves long and short prompts that a server reads at a pace of its own.
@@ -71,7 +71,7 @@
 			request = f.summary(i%7, i)
 		}
 		decision := f.pick(request)
-		f.now += engineBase + time.Duration(decision.PrefillTokens)*perToken
+		f.now += baseLatency + time.Duration(decision.PrefillTokens)*perToken
 		f.p.Started(f.now, decision.Attempt)
 		f.p.Finished(f.now, decision.Attempt, Done)
 		f.p.RequestDone(f.now, request, true, f.now-request.Arrived)
@@ -83,7 +83,7 @@
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
 	alternate(f, 60*time.Microsecond, 200)
-	require.Greater(t, f.p.services[modelService].engine.perToken, 40*time.Microsecond)
+	require.Greater(t, f.p.services[modelService].prefill.perToken, 40*time.Microsecond)
 }
 
 func TestReadingTimesStayAsGuessedWhereThatIsSwitchedOff(t *testing.T) {
@@ -91,5 +91,5 @@
 	f.p.config.Off = policy.Without(policy.PrefillRate)
 	f.warm()
 	alternate(f, 60*time.Microsecond, 200)
-	require.Equal(t, firstPerToken, f.p.services[modelService].engine.perToken)
+	require.Equal(t, initialPerToken, f.p.services[modelService].prefill.perToken)
 }
--- a/internal/placement/random_test.go
+++ b/internal/placement/random_test.go
@@ -82,7 +82,7 @@
 func (w *world) requireNone(t *rapid.T, request *Request, none *NoServerError) {
 	for _, entry := range w.list {
 		known := w.p.servers[entry.GetId()]
-		if entry.GetService() != request.Service || known.cold(w.now) || known.open >= w.p.maxConnections(known.service) {
+		if entry.GetService() != request.Service || known.warmingUp(w.now) || known.openAttempts >= w.p.maxConnections(known.service) {
 			continue
 		}
 		allowed := w.mayGetNew(entry.GetId(), entry.GetZone(), request.Route.Name) &&
@@ -173,19 +173,19 @@
 	for id, a := range w.p.attempts {
 		require.Equal(t, id, a.id)
 		open[a.server]++
-		held[a.server] += a.toHold
+		held[a.server] += a.memoryTokens
 		if !a.started {
 			unanswered[a.server]++
-			ahead[a.server] += a.toRead
+			ahead[a.server] += a.prefillTokens
 		}
 	}
 	for _, s := range w.p.servers {
-		require.Equal(t, open[s], s.open, s.id)
-		require.Equal(t, ahead[s], s.ahead, s.id)
-		require.Equal(t, held[s], s.held, s.id)
+		require.Equal(t, open[s], s.openAttempts, s.id)
+		require.Equal(t, ahead[s], s.queuedPrefillTokens, s.id)
+		require.Equal(t, held[s], s.reservedTokens, s.id)
 		require.Len(t, s.unanswered, unanswered[s], s.id)
 		require.Contains(t, s.service.servers, s)
-		require.LessOrEqual(t, s.kept.parts, keptMost)
+		require.LessOrEqual(t, s.cachedPrefixes.length, maxCachedPrefixes)
 	}
 	require.InDelta(t, 0.5, w.p.Slack(), 0.5)
 }
--- a/internal/placement/design_test.go
+++ b/internal/placement/selection_test.go
@@ -123,10 +123,10 @@
 			}
 			tell(f, dead)
 			require.EqualValues(t, 1, f.p.Stats().Ejections)
-			for began := f.now; f.now < began+restFirst; {
+			for began := f.now; f.now < began+firstEjection; {
 				require.NotEqual(t, dead, f.serve(f.request(routeBalance), asPredicted))
 			}
-			f.now += 2 * restFirst
+			f.now += 2 * firstEjection
 			require.Equal(t, dead, f.pick(f.request(routeBalance)).ServerID, "one trial after its rest")
 		})
 	}
@@ -145,7 +145,7 @@
 		return request
 	}
 	f.p.ServerUnreachable(f.now, dead)
-	f.now += 2 * restFirst
+	f.now += 2 * firstEjection
 	for range 20 {
 		require.NotEqual(t, dead, f.serve(lastTry(), func(string) float64 { return 0.1 }))
 	}
@@ -153,7 +153,7 @@
 	require.Equal(t, dead, trial.ServerID)
 	f.p.Finished(f.now, trial.Attempt, NotSent)
 
-	f.now += trialByAll
+	f.now += cautiousTrialPeriod
 	require.Equal(t, dead, f.pick(lastTry()).ServerID, "no other request came")
 }
 
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -11,17 +11,17 @@
 
 // Tuning of what is expected of a service.
 const (
-	// plainBase is the first guess of an answer time of a service that is no model's.
-	plainBase = 20 * time.Millisecond
-	// leastBase and mostBase bound what is learnt of such a service.
-	leastBase = time.Millisecond
-	mostBase  = 2 * time.Second
+	// initialMedian is the first guess of an answer time of a service that is no model's.
+	initialMedian = 20 * time.Millisecond
+	// minMedian and maxMedian bound what is learnt of such a service.
+	minMedian = time.Millisecond
+	maxMedian = 2 * time.Second
 	// medianStep is the part by which a sample moves the recent median.
 	medianStep = 0.05
-	// medianTimes is the multiple of the median that is in time where no aim is told.
-	medianTimes = 4
-	// leastTypical bounds the typical speed from below: servers are not all to look alike in an outage.
-	leastTypical = 0.1
+	// defaultTargetFactor is the multiple of the median that is in time where no aim is told.
+	defaultTargetFactor = 4
+	// minTypicalSpeed bounds the typical speed from below: servers are not all to look alike in an outage.
+	minTypicalSpeed = 0.1
 	// defaultCapacity of a server that does not tell.
 	defaultCapacity = 8
 )
@@ -36,29 +36,29 @@
 
 // service is what this proxy knows of one service.
 type service struct {
-	name     string
-	config   *route.Service // nil: the configuration does not name it
-	servers  []*server      // by falling affinity
-	slack    selection.Slack
-	walk     selection.Walk[*server]
-	near     selection.Estimate // typical speed of its servers in the own region
-	far      selection.Estimate // and of those in other regions
-	engine   engine
-	median   time.Duration            // recent median of the time to the first event or byte
-	spilling bool                     // requests go to other regions too
-	seeding  time.Duration            // when the last attempt that seeds an estimate was sent
-	seedOut  *attempt                 // that attempt, while it is unanswered
-	fullAt   time.Duration            // when a server last refused for being full
-	admitted map[string]time.Duration // by route: when one was last let in although it looked bad
+	name         string
+	config       *route.Service // nil: the configuration does not name it
+	servers      []*server      // by falling affinity
+	slack        selection.Slack
+	walk         selection.Walk[*server]
+	localSpeed   selection.Estimate // typical speed of its servers in the own region
+	remoteSpeed  selection.Estimate // and of those in other regions
+	prefill      prefillEstimator
+	median       time.Duration            // recent median of the time to the first event or byte
+	spillingOver bool                     // requests go to other regions too
+	seedSentAt   time.Duration            // when the last attempt that seeds an estimate was sent
+	seedAttempt  *attempt                 // that attempt, while it is unanswered
+	rejectedAt   time.Duration            // when a server last refused for being full
+	trickledAt   map[string]time.Duration // by route: when one was last let in although it looked bad
 }
 
 func newService(name string) *service {
 	return &service{
-		name:     name,
-		slack:    selection.NewSlack(bands),
-		median:   plainBase,
-		engine:   newEngine(),
-		admitted: map[string]time.Duration{},
+		name:       name,
+		slack:      selection.NewSlack(bands),
+		median:     initialMedian,
+		prefill:    newPrefillEstimator(),
+		trickledAt: map[string]time.Duration{},
 	}
 }
 
@@ -71,14 +71,14 @@
 }
 
 // model tells whether the service reads prompts.
-func (s *service) model() bool { return s.config != nil && s.config.Runtime != nil }
+func (s *service) servesModel() bool { return s.config != nil && s.config.Runtime != nil }
 
 // typicalOf is the estimate of the typical speed in the own region or in others.
 func (s *service) typicalOf(near bool) *selection.Estimate {
 	if near {
-		return &s.near
+		return &s.localSpeed
 	}
-	return &s.far
+	return &s.remoteSpeed
 }
 
 // typicalSpeed is the speed of a server of which nothing is known; 1 until answers have come.
@@ -87,7 +87,7 @@
 	if !typical.Seeded() {
 		return 1
 	}
-	return min(max(typical.Speed(), leastTypical), mostSpeed)
+	return min(max(typical.Speed(), minTypicalSpeed), maxSpeed)
 }
 
 // inTime tells whether an answer that took so long is in time for a route.
@@ -95,7 +95,7 @@
 	if r != nil && r.Target > 0 {
 		return latency <= r.Target
 	}
-	return latency <= medianTimes*s.median
+	return latency <= defaultTargetFactor*s.median
 }
 
 // observeLatency moves the recent median.
@@ -104,5 +104,5 @@
 	if latency < s.median {
 		step = 1 / step
 	}
-	s.median = min(max(time.Duration(float64(s.median)*step), leastBase), mostBase)
+	s.median = min(max(time.Duration(float64(s.median)*step), minMedian), maxMedian)
 }
