--- a/internal/placement/admission.go
+++ b/internal/placement/admission.go
@@ -1,36 +1,51 @@
 package placement
 
 import (
+	"fmt"
 	"time"
 
 	"fieldrelay/internal/policy"
 )
 
-// Tuning of admission. It acts only while answers come late and servers show that requests wait there.
+// Tuning of admission. It rejects requests only while answers are late and servers show that requests queue there.
 const (
-	// admitAllSlack is the slack from which on everything is let in.
+	// admitAllSlack is the slack from which on every request is admitted.
 	admitAllSlack = 0.75
-	// rejectionWindow is how long a server's refusal for being full shows that requests wait.
+	// rejectionWindow is how long a server's rejection for being full shows that requests queue.
 	rejectionWindow = time.Second
-	// queueingSpeed is the typical speed below which answers take so long that requests must be waiting.
+	// queueingSpeed is the typical speed below which answers take so long that requests must be queued.
 	queueingSpeed = 0.5
-	// waitFraction is the part of its aim that the least urgent request may be expected to wait.
+	// waitFraction is the fraction of its latency target that a request of the least urgent priority may be expected to
+	// wait.
 	waitFraction = 0.5
-	// urgencySteps are the priorities that are told apart; each step above adds half to waitFraction.
+	// urgencySteps is the number of priority levels above the least urgent; each raises the wait by urgencyWaitStep of
+	// waitFraction.
 	urgencySteps    = 2
 	urgencyWaitStep = 0.5
-	// trickleInterval is how often a request of each route is let in however bad it looks.
+	// trickleInterval is how often a request of each route is admitted whatever its expected wait.
 	trickleInterval = 500 * time.Millisecond
 	// maxTrickledRoutes bounds the routes that are remembered for that.
 	maxTrickledRoutes = 4096
-	// Bounds of the time after which a refused client is told to ask again.
+	// minOverloadRetry and maxOverloadRetry bound the time after which a rejected client is told to retry.
 	minOverloadRetry = 200 * time.Millisecond
 	maxOverloadRetry = 2 * time.Second
 )
 
-// Admit tells whether a new request should be let in. The error is an *OverloadError: the request should be
-// refused at once, because it would wait for too much of its aim; less urgent requests give way first. What comes
-// back after a refusal is let in.
+// OverloadError reports that a request should be rejected at once because it would not be answered in time.
+type OverloadError struct {
+	Service    string
+	Expected   time.Duration // predicted time to the first event at the best server
+	RetryAfter time.Duration // after which there is likely to be capacity
+}
+
+// Error implements error.
+func (e *OverloadError) Error() string {
+	return fmt.Sprintf("placement: %s is overloaded: first event expected after %v", e.Service, e.Expected)
+}
+
+// Admit decides whether a new request is admitted. The error is an *OverloadError: the request should be rejected at
+// once, because it would wait for too much of its latency target; less urgent requests are rejected first. A retry of a
+// rejected request is admitted.
 func (p *Placer) Admit(now time.Duration, request *Request) error {
 	if p.off(policy.Admission) {
 		return nil
@@ -39,12 +54,12 @@
 	if owner == nil || request.Route == nil || request.Route.Target <= 0 || !p.overloaded(now, owner) {
 		return nil
 	}
-	if request.Returned { // refused a second time it would be lost
+	if request.Returned { // rejected a second time, the request would be lost
 		return nil
 	}
 	p.findCandidates(now, owner, request)
 	if len(p.buffers.candidates) == 0 {
-		return nil // Pick tells why
+		return nil // Pick returns the reason
 	}
 	expected := minExpectedLatency(p.buffers.candidates)
 	wait := expected - idleLatency(owner, &p.buffers.prompt)
@@ -63,24 +78,24 @@
 	}
 }
 
-// patience is the longest that a request may be expected to wait for servers.
+// maxWait is the longest that a request may be expected to wait for servers.
 func maxWait(priority int, target time.Duration) time.Duration {
 	urgency := max(urgencySteps-priority, 0)
-	part := waitFraction * (1 + urgencyWaitStep*float64(urgency))
-	return time.Duration(part * float64(target))
+	fraction := waitFraction * (1 + urgencyWaitStep*float64(urgency))
+	return time.Duration(fraction * float64(target))
 }
 
-// crowded tells whether answers come late and it shows that requests wait at servers. Lateness alone may have
-// other causes, and a refusal while servers have room helps nobody.
+// overloaded reports whether answers are late and there is evidence that requests queue at servers. Lateness alone may
+// have other causes, and a rejection while servers have capacity helps nobody.
 func (p *Placer) overloaded(now time.Duration, owner *service) bool {
 	if owner.slack.Share >= admitAllSlack {
 		return false
 	}
-	full := owner.rejectedAt > 0 && now-owner.rejectedAt < rejectionWindow
-	return full || owner.typicalSpeed(true) < queueingSpeed
+	rejected := owner.rejectedAt > 0 && now-owner.rejectedAt < rejectionWindow
+	return rejected || owner.typicalSpeed(true) < queueingSpeed
 }
 
-// trickles tells whether a request of a route is due to be let in however bad it looks, and notes it.
+// admitTrickle reports whether a request of a route is due to be admitted whatever its expected wait, and records it.
 func (s *service) admitTrickle(now time.Duration, routeName string) bool {
 	last, known := s.trickledAt[routeName]
 	if known && now-last < trickleInterval {
--- a/internal/placement/announcement.go
+++ b/internal/placement/announcement.go
@@ -9,74 +9,75 @@
 	"fieldrelay/internal/policy"
 )
 
-// Tuning of what proxies of a region tell each other.
+// Tuning of the announcements between the proxies of a region.
 const (
-	// minAnnouncedPrefill is the least time to read from which on a prompt is told to the other proxies.
+	// minAnnouncedPrefill is the least prefill time from which on a prompt is announced.
 	minAnnouncedPrefill = 35 * time.Millisecond
-	// maxAnnounceThreshold bounds that time when it rises.
+	// maxAnnounceThreshold bounds that time when it is raised.
 	maxAnnounceThreshold = time.Second
-	// regionAnnouncementRate is about how many announcements a proxy is to hear in a second: 160 of some 43 bytes are 7 KB/s, of 9
-	// that a sidecar may cost besides its requests.
+	// regionAnnouncementRate is about how many announcements a proxy is to receive each second: 160 of some 43 bytes are
+	// 7 KB/s, of the 9 that a sidecar may cost besides its requests.
 	regionAnnouncementRate = 160.0
-	// announceThresholdStep is the part by which each announcement raises the time from which on prompts are told.
+	// announceThresholdStep is the fraction by which each announcement raises the prefill time from which on prompts are
+	// announced.
 	announceThresholdStep = 0.05
-	// announcedPrefixTTL is how long a prompt's shared parts are taken to be kept after they were last told of.
+	// announcedPrefixTTL is how long a prompt's shared chunks are taken to be cached after their last announcement.
 	announcedPrefixTTL = 60 * time.Second
 	// maxAnnouncedPrefixes bounds the prompts that are remembered.
 	maxAnnouncedPrefixes = 8192
-	// maxBusyTime bounds for how long a server is taken to be reading what others sent it.
+	// maxBusyTime bounds how long a server is taken to be busy with the prompts that others sent it.
 	maxBusyTime = 2 * time.Second
 )
 
-// Announcement is what a proxy tells the others of its region of a prompt that takes a server long to read, so that
-// they keep away from that server meanwhile and know where the shared parts are kept.
+// Announcement tells the other proxies of the region about a prompt of a long prefill, so that they avoid that server
+// meanwhile and know where the shared chunks are cached. It travels as a datagram, and may be lost.
 type Announcement struct {
-	Server uint32 // ServerKey of its id
-	Prompt uint32 // hash of the model and the shared parts
-	Tokens int    // that the server has to read; 0: nothing is told
+	Server uint32 // ServerKey of the server's id
+	Prompt uint32 // hash of the model and the shared chunks
+	Tokens int    // that the server has to prefill; 0: nothing is announced
 }
 
-// announcementLimiter keeps a proxy's announcements near its part of what the others are to hear: each one raises the time from
-// which on prompts are told, which falls by as much between two at the proper rate. So where there are too many, the longer
-// reads are told.
+// announcementLimiter keeps a proxy's announcements near its share of the rate at which each proxy receives them. Each
+// announcement raises the threshold, the prefill time from which on prompts are announced; between two announcements at
+// the intended rate it falls by as much. So if there are too many, those of the longer prefills are sent.
 type announcementLimiter struct {
-	threshold time.Duration // to read, from which on a prompt is told
-	updatedAt time.Duration // when that was reckoned
+	threshold time.Duration
+	updatedAt time.Duration
 }
 
 func newAnnouncementLimiter() announcementLimiter {
 	return announcementLimiter{threshold: minAnnouncedPrefill}
 }
 
-// allows tells whether a prompt that takes so long to read is told, and counts it if so. rate is about how many
-// announcements this proxy is to send in a second.
-func (a *announcementLimiter) allows(now, reading time.Duration, rate float64) bool {
-	fall := math.Exp(-announceThresholdStep * rate * (now - a.updatedAt).Seconds())
-	a.threshold = max(time.Duration(float64(a.threshold)*fall), minAnnouncedPrefill)
-	a.updatedAt = now
-	if reading < a.threshold {
+// allows reports whether a prompt of a prefill time is to be announced, and counts it if so. rate is the number of
+// announcements a second that this proxy should send.
+func (l *announcementLimiter) allows(now, prefill time.Duration, rate float64) bool {
+	decay := math.Exp(-announceThresholdStep * rate * (now - l.updatedAt).Seconds())
+	l.threshold = max(time.Duration(float64(l.threshold)*decay), minAnnouncedPrefill)
+	l.updatedAt = now
+	if prefill < l.threshold {
 		return false
 	}
-	a.threshold = min(time.Duration(float64(a.threshold)*(1+announceThresholdStep)), maxAnnounceThreshold)
+	l.threshold = min(time.Duration(float64(l.threshold)*(1+announceThresholdStep)), maxAnnounceThreshold)
 	return true
 }
 
-// announcementRate is this proxy's part of what the proxies of its region are to hear in a second.
+// announcementRate is this proxy's share, a second, of what the proxies of its region are to receive.
 func (p *Placer) announcementRate() float64 {
-	neighbours := p.regionProxies
-	if neighbours == 0 {
-		neighbours = assumedProxies
+	proxies := p.regionProxies
+	if proxies == 0 {
+		proxies = assumedProxies
 	}
-	return regionAnnouncementRate / float64(neighbours)
+	return regionAnnouncementRate / float64(proxies)
 }
 
-// ServerKey is a short name of a server for datagrams.
+// ServerKey is a short hash of a server's id, for datagrams.
 func ServerKey(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
-// promptKey is the short name of a prompt by its shared parts.
-func promptKey(c prefixHash) uint32 { return uint32(c) }
+// promptKey is a short hash of a prompt's shared chunks, for datagrams.
+func promptKey(h prefixHash) uint32 { return uint32(h) }
 
-// announcedPrefix is where the shared parts of a prompt were last read.
+// announcedPrefix is where the shared chunks of a prompt were last prefilled.
 type announcedPrefix struct {
 	server *server
 	at     time.Duration
@@ -90,11 +91,11 @@
 	}
 	p.stats.Announced++
 	p.recordPrefix(now, known, announcement.Prompt)
-	reading := known.service.prefill.duration(announcement.Tokens)
-	known.busyUntil = min(max(known.busyUntil, now)+reading, now+maxBusyTime)
+	prefill := known.service.prefill.duration(announcement.Tokens)
+	known.busyUntil = min(max(known.busyUntil, now)+prefill, now+maxBusyTime)
 }
 
-// hear remembers where the shared parts of a prompt are kept.
+// recordPrefix records where the shared chunks of a prompt are cached.
 func (p *Placer) recordPrefix(now time.Duration, at *server, key uint32) {
 	if len(p.announcedPrefixes) >= maxAnnouncedPrefixes {
 		clear(p.announcedPrefixes)
@@ -102,7 +103,7 @@
 	p.announcedPrefixes[key] = announcedPrefix{server: at, at: now}
 }
 
-// forgetAnnouncedPrefixes drops what is remembered of a server that is gone.
+// forgetAnnouncedPrefixes removes the records of a server that is gone.
 func (p *Placer) forgetAnnouncedPrefixes(gone *server) {
 	for key, last := range p.announcedPrefixes {
 		if last.server == gone {
@@ -111,13 +112,14 @@
 	}
 }
 
-// prefixAnnouncedAt tells whether a prompt's shared parts were read at a server lately, as far as this proxy knows.
+// prefixAnnouncedAt reports whether a prompt's shared chunks were prefilled at a server lately, as far as this proxy
+// knows from its own attempts and from announcements.
 func (p *Placer) prefixAnnouncedAt(now time.Duration, at *server, q *prompt) bool {
 	last, known := p.announcedPrefixes[promptKey(q.affinityKey)]
 	return known && last.server == at && now-last.at < announcedPrefixTTL
 }
 
-// announcement is what the other proxies are to be told of an attempt.
+// announce returns what is to be announced of an attempt at a candidate; the zero value if nothing is.
 func (p *Placer) announce(now time.Duration, c *candidate) Announcement {
 	owner := c.server.service
 	if !owner.servesModel() || p.off(policy.Announcements) {
@@ -126,10 +128,10 @@
 	if !p.announcements.allows(now, owner.prefill.duration(c.likelyPrefillTokens), p.announcementRate()) {
 		return Announcement{}
 	}
-	prompt := promptKey(p.buffers.prompt.affinityKey)
-	p.recordPrefix(now, c.server, prompt)
-	return Announcement{Server: uint32(c.server.hash), Prompt: prompt, Tokens: c.likelyPrefillTokens}
+	key := promptKey(p.buffers.prompt.affinityKey)
+	p.recordPrefix(now, c.server, key)
+	return Announcement{Server: uint32(c.server.hash), Prompt: key, Tokens: c.likelyPrefillTokens}
 }
 
-// busy is how long a server is taken to read what others sent it.
+// busy is how long a server will still prefill the prompts that others sent it, as far as they were announced.
 func (s *server) busy(now time.Duration) time.Duration { return max(s.busyUntil-now, 0) }
--- /dev/null
+++ b/internal/placement/attempt.go
@@ -0,0 +1,166 @@
+package placement
+
+import (
+	"time"
+
+	"fieldrelay/internal/policy"
+	"fieldrelay/logic/selection"
+)
+
+const (
+	// maxAttempts is the most attempts that may be open.
+	maxAttempts = 1 << 14
+	// maxFreeAttempts is the most closed attempts that are kept for reuse.
+	maxFreeAttempts = 256
+)
+
+// AttemptID identifies an attempt that Pick opened, until it is Finished.
+type AttemptID uint64
+
+// Decision is where an attempt is to be sent.
+type Decision struct {
+	Attempt        AttemptID
+	ServerID       string
+	Address        string
+	Zone           string
+	Region         string
+	Expected       time.Duration // predicted time to the first event or byte
+	PrefillTokens  int           // prompt tokens that the server is expected to have to prefill
+	Announce       Announcement  // to be announced to the other proxies of the region once the attempt is sent
+	MaxConnections int           // most connections that this proxy may have open to the server
+}
+
+// attempt is one open attempt.
+type attempt struct {
+	id             AttemptID
+	server         *server
+	request        Request // without its slices, which belong to the caller
+	sentAt         time.Duration
+	nominalLatency time.Duration // predicted time to the first event at speed 1
+	// uncachedLatency is the same, had the server cached nothing. It exceeds nominalLatency only if the cached prefix was
+	// an assumption.
+	uncachedLatency    time.Duration
+	prefillTokens      int
+	memoryTokens       int  // most tokens that it occupies in the server's memory
+	unqueued           bool // no other prefill was known to be queued there, and prefillTokens was known
+	trial              bool // the one trial after an ejection
+	countedBySlowStart bool // counted by the slow start limiter
+	startedAt          time.Duration
+	started            bool
+	beforeStart        serverSnapshot
+}
+
+// serverSnapshot is what was known of a server before an attempt's first event. It is restored if the answer turns out
+// to be a failure, which then does not count as a quick answer.
+type serverSnapshot struct {
+	estimate selection.Estimate
+	failures int
+}
+
+// openAttempt opens an attempt and charges it to its server.
+func (p *Placer) openAttempt(now time.Duration, request *Request, c *candidate) Decision {
+	s := c.server
+	a := p.newAttempt(now, request, c)
+	p.attempts[a.id] = a
+	if a.trial {
+		s.trialInFlight = true
+	}
+	if !s.estimate.Seeded() || a.trial {
+		s.service.seedSentAt, s.service.seedAttempt = now, a
+	}
+	if s.warmingUp(now) {
+		p.slowStart.Take(now, s.warmingServer())
+		a.countedBySlowStart = true
+		p.stats.Cold++
+	}
+	s.openAttempts++
+	s.reservedTokens += a.memoryTokens
+	a.unqueued = c.prefillKnown && s.queuedPrefillTokens == 0 && s.region == p.region
+	s.queuedPrefillTokens += a.prefillTokens // the likely number
+	s.unanswered = append(s.unanswered, a)
+	if s.service.servesModel() && len(request.Chunks) > 0 && !p.off(policy.PrefixCache) {
+		p.prefixCache.insert(s, &p.buffers.prompt, p.prefixCacheTokens(s.service))
+	}
+	if s.region != p.region {
+		p.stats.OtherRegion++
+	}
+	p.stats.Attempts++
+	return Decision{
+		Attempt:        a.id,
+		ServerID:       s.id,
+		Address:        s.address,
+		Zone:           s.zone,
+		Region:         s.region,
+		Expected:       c.expectedLatency,
+		PrefillTokens:  c.prefillTokens,
+		Announce:       p.announce(now, c),
+		MaxConnections: p.maxConnections(s.service),
+	}
+}
+
+// newAttempt makes an attempt, from a closed one if there is any: a pick does not allocate.
+func (p *Placer) newAttempt(now time.Duration, request *Request, c *candidate) *attempt {
+	var a *attempt
+	if last := len(p.freeAttempts) - 1; last >= 0 {
+		a, p.freeAttempts = p.freeAttempts[last], p.freeAttempts[:last]
+	} else {
+		a = &attempt{}
+	}
+	p.lastID++
+	*a = attempt{
+		id:              p.lastID,
+		server:          c.server,
+		request:         *request,
+		sentAt:          now,
+		nominalLatency:  c.nominalLatency,
+		uncachedLatency: c.nominalLatency,
+		prefillTokens:   c.likelyPrefillTokens,
+		memoryTokens:    p.buffers.prompt.memoryTokens,
+		trial:           c.server.trialDue(now),
+	}
+	a.request.Chunks, a.request.Excluded = nil, nil
+	if !c.prefillKnown && c.server.service.servesModel() {
+		a.uncachedLatency += c.server.service.prefill.duration(p.buffers.prompt.totalTokens - c.prefillTokens)
+	}
+	return a
+}
+
+// releaseAttempt keeps a closed attempt for reuse.
+func (p *Placer) releaseAttempt(a *attempt) {
+	if len(p.freeAttempts) < maxFreeAttempts {
+		*a = attempt{}
+		p.freeAttempts = append(p.freeAttempts, a)
+	}
+}
+
+// StillAllowed reports whether an attempt may be sent. It is to be called just before the first byte, since server
+// list, evacuations and configuration may have changed since Pick. If it returns false, the attempt is to be finished as
+// NotSent and a server picked anew.
+func (p *Placer) StillAllowed(now time.Duration, id AttemptID) bool {
+	a := p.attempts[id]
+	if a == nil {
+		return false
+	}
+	s := a.server
+	if p.mandatoryEligibility(now, s, &a.request) != eligible || !p.stillInHomeRegions(a) {
+		return false
+	}
+	if s.warmingUp(now) && !a.countedBySlowStart {
+		if !p.slowStart.Allows(now, s.warmingServer(), false) {
+			return false
+		}
+		p.slowStart.Take(now, s.warmingServer())
+		a.countedBySlowStart = true
+	}
+	return true
+}
+
+// stillInHomeRegions reports whether the route's home regions in the present configuration allow the attempt's server
+// too. A route that has been removed since forbids nothing.
+func (p *Placer) stillInHomeRegions(a *attempt) bool {
+	if a.request.Route == nil {
+		return true
+	}
+	current, ok := p.table.Route(a.request.Route.Name)
+	return !ok || current.AllowsRegion(a.server.region)
+}
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -3,196 +3,160 @@
 import (
 	"time"
 
-	"fieldrelay/internal/limits"
+	"fieldrelay/internal/policy"
 )
 
-// standing tells how far a server passes the rules for a request, in the order in which they narrow the
-// candidates.
-type eligibility uint8
-
 const (
-	eligibilityGone eligibility = iota
-	eligibilityEvacuated
-	eligibilityOutsideHome // outside the route's homes
-	eligibilityExcluded
-	eligibilityWarmingUp
-	eligibilityFull
-	eligibilityCoolingDown // it may get the request, if no other server is left
-	eligible
+	// subsetSize is the number of servers of a region that a proxy usually spreads a service's requests over: its
+	// estimates stay fresh and its connections few. Servers that have a prefix of the prompt cached come in addition.
+	subsetSize = 12
+	// Requests go to another region once its servers are expected to answer sooner than those of the own region by more
+	// than spillStartMargin, the round trip included, and come back when they do so by less than spillStopMargin.
+	spillStartMargin = 150 * time.Millisecond
+	spillStopMargin  = 50 * time.Millisecond
 )
 
-// reasons tells why a request got no server, by the standing of the server that came farthest.
-var noServerReasons = [...]Reason{
-	eligibilityGone:        ReasonNone,
-	eligibilityEvacuated:   ReasonEvacuated,
-	eligibilityOutsideHome: ReasonHome,
-	eligibilityExcluded:    ReasonExcluded,
-	eligibilityWarmingUp:   ReasonWarmingUp,
-	eligibilityFull:        ReasonFull,
-	eligibilityCoolingDown: ReasonNone,
-	eligible:               ReasonNone,
+// candidate is a server that may get the request, with the predictions for it.
+type candidate struct {
+	server         *server
+	prefillTokens  int           // prompt tokens that it has to prefill
+	nominalLatency time.Duration // time to the first event at speed 1
+	// likelyPrefillTokens is the most likely number of prompt tokens to prefill: prefillTokens, or all tokens if nothing
+	// confirms an assumed cached prefix.
+	likelyPrefillTokens int
+	// prefillKnown: prefillTokens follows from this proxy's own attempts, not from where others are expected to send.
+	prefillKnown    bool
+	expectedLatency time.Duration // predicted time to the first event
+	cost            time.Duration // expectedLatency plus what the choice costs besides, expressed as time
 }
 
-// subsetSize is the number of servers of a region that a proxy usually spreads a service's requests over: its
-// estimates stay fresh and its connections few. Servers that keep a part of the prompt come in besides.
-const subsetSize = 12
-
-// scratch holds slices that picks use again.
+// pickBuffers holds slices that picks reuse, so that a pick does not allocate. Their content is valid for one pick.
 type pickBuffers struct {
 	prompt      prompt
-	local       []*server // ready in the own region
-	remote      []*server // ready in other regions
-	warmingUp   []*server // left out for being cold
+	local       []*server // eligible in the own region
+	remote      []*server // eligible in other regions
+	warmingUp   []*server // held back by the slow start limiter
 	coolingDown []*server
 	candidates  []candidate
 	walkServers []*server
 	speeds      []float64
 }
 
-// candidate is a server that may get the request, with what is predicted of it.
-type candidate struct {
-	server              *server
-	prefillTokens       int           // prompt tokens that it has to read
-	nominalLatency      time.Duration // time to the first event at speed 1
-	likelyPrefillTokens int           // prompt tokens that it is most likely to have to read
-	prefillKnown        bool          // prefillTokens follows from own sends, not from where others are expected to send
-	// expected is the predicted time to the first event, priced the same with what the choice costs besides.
-	expectedLatency, cost time.Duration
-}
-
-// permitted tells whether the rules that bind at any time let a request of a route go to a server.
-func (p *Placer) mandatoryEligibility(now time.Duration, s *server, request *Request) eligibility {
-	switch {
-	case s.unavailable(now):
-		return eligibilityGone
-	case p.evacuated[s.zone]:
-		return eligibilityEvacuated
-	case request.Route != nil && !request.Route.AllowsRegion(s.region):
-		return eligibilityOutsideHome
+// findCandidates fills the buffers with the servers that may get a request and the predictions for them. It returns the
+// best eligibility of any server, which explains an empty result.
+func (p *Placer) findCandidates(now time.Duration, owner *service, request *Request) eligibility {
+	p.pickNumber++
+	buffers := &p.buffers
+	buffers.prompt.reset(request)
+	buffers.candidates = buffers.candidates[:0]
+	p.prefixCache.match(&buffers.prompt, p.pickNumber)
+	best := p.classifyServers(now, owner, request)
+	p.addCandidates(now, p.preferredServers(now), &buffers.prompt)
+	if len(buffers.candidates) > 0 && len(buffers.local) > 0 && len(buffers.remote) > 0 && !p.off(policy.Spill) {
+		p.spillOver(now, owner)
 	}
-	return eligible
+	return best
 }
 
-// standing tells how far a server passes all rules for a request.
-func (p *Placer) eligibility(now time.Duration, s *server, request *Request) eligibility {
-	if permitted := p.mandatoryEligibility(now, s, request); permitted != eligible {
-		return permitted
+// addCandidates makes candidates of some of the servers: the affinity server of the prompt, those that have a prefix of
+// it cached, and this proxy's own subset.
+func (p *Placer) addCandidates(now time.Duration, servers []*server, q *prompt) {
+	affine := p.affinityServer(q, servers)
+	if affine != nil {
+		p.addCandidate(now, affine, q, true)
 	}
-	switch {
-	case excluded(request, s.id):
-		return eligibilityExcluded
-	case s.warmingUp(now) && !p.slowStart.Allows(now, s.warmingServer(), false):
-		return eligibilityWarmingUp
-	case s.openAttempts >= p.maxConnections(s.service):
-		return eligibilityFull
-	case s.ejected(now, request) || now < s.cooldownUntil:
-		return eligibilityCoolingDown
+	inSubset, limit := 0, subsetSize
+	if p.off(policy.Subset) {
+		limit = len(servers)
 	}
-	return eligible
-}
-
-func excluded(request *Request, id string) bool {
-	for _, other := range request.Excluded {
-		if other == id {
-			return true
+	for _, s := range servers {
+		if s == affine {
+			continue
+		}
+		cached := s.matchedPick == p.pickNumber && s.matchedTokens > 0
+		if inSubset >= limit && !cached {
+			continue
 		}
+		if !cached {
+			inSubset++
+		}
+		p.addCandidate(now, s, q, false)
 	}
-	return false
 }
 
-// warmingServer describes the server to the gate.
-func (s *server) warmingServer() limits.WarmingServer {
-	return limits.WarmingServer{ID: s.id, Region: s.region, WarmRate: s.service.config.WarmRate}
+// addCandidate adds a server to the candidates. What it is assumed to have cached is what this proxy sent there lately
+// or, at the affinity server, all shared chunks, since the other proxies send them there.
+func (p *Placer) addCandidate(now time.Duration, s *server, q *prompt, affine bool) {
+	cached, known := 0, true
+	if s.matchedPick == p.pickNumber {
+		cached = s.matchedTokens
+	}
+	if affine && cached < q.sharedTokens {
+		cached, known = q.sharedTokens, false
+	}
+	c := p.predict(now, s, q, cached)
+	c.prefillKnown, c.likelyPrefillTokens = known, c.prefillTokens
+	if !known && !p.prefixAnnouncedAt(now, s, q) {
+		c.likelyPrefillTokens = q.totalTokens
+	}
+	p.buffers.candidates = append(p.buffers.candidates, c)
 }
 
-// gather sorts the servers of a service by their standing, and tells the farthest.
-func (p *Placer) classifyServers(now time.Duration, owner *service, request *Request) eligibility {
-	scratch := &p.buffers
-	scratch.local, scratch.remote = scratch.local[:0], scratch.remote[:0]
-	scratch.warmingUp, scratch.coolingDown = scratch.warmingUp[:0], scratch.coolingDown[:0]
-	farthest := eligibilityGone
-	for _, s := range owner.servers {
-		stands := p.eligibility(now, s, request)
-		farthest = max(farthest, stands)
-		switch {
-		case stands == eligible && s.region == p.region:
-			scratch.local = append(scratch.local, s)
-		case stands == eligible:
-			scratch.remote = append(scratch.remote, s)
-		case stands == eligibilityCoolingDown:
-			scratch.coolingDown = append(scratch.coolingDown, s)
-		case stands == eligibilityWarmingUp:
-			scratch.warmingUp = append(scratch.warmingUp, s)
+// affinityServer is the server among servers that requests with the prompt's shared chunks are sent to first: the
+// highest by rendezvous hashing of those chunks. Every proxy of the region chooses the same one, so that their prefix is
+// cached there. It is nil for a prompt without chunks.
+func (p *Placer) affinityServer(q *prompt, servers []*server) *server {
+	if p.off(policy.PromptAffinity) || len(q.prefixes) == 0 {
+		return nil
+	}
+	var affine *server
+	var highest uint64
+	for _, s := range servers {
+		if weight := mix(uint64(q.affinityKey) ^ s.hash); affine == nil || weight > highest {
+			affine, highest = s, weight
 		}
 	}
-	return farthest
+	return affine
 }
 
-// field gives the servers among which a request's server is picked: those of the own region; if there are
-// none, of other regions; then cold ones, as far as the gate lets in when no other server is left; then those
-// that rest.
-func (p *Placer) preferredServers(now time.Duration) []*server {
-	scratch := &p.buffers
-	if len(scratch.local) > 0 {
-		return scratch.local
+// spillOver adds servers of other regions while they are expected to answer sooner by more than the margin. Two margins
+// make a hysteresis, so that requests do not alternate between regions.
+func (p *Placer) spillOver(now time.Duration, owner *service) {
+	buffers := &p.buffers
+	local := minExpectedLatency(buffers.candidates)
+	margin := spillStartMargin
+	if owner.spillingOver {
+		margin = spillStopMargin
 	}
-	if len(scratch.remote) > 0 {
-		return scratch.remote
+	if local <= idleLatency(owner, &buffers.prompt)+margin {
+		owner.spillingOver = false
+		return
 	}
-	if allowed := p.lastResortServers(now); len(allowed) > 0 {
-		return allowed
+	localCount := len(buffers.candidates)
+	p.addCandidates(now, buffers.remote, &buffers.prompt)
+	remote := minExpectedLatency(buffers.candidates[localCount:])
+	owner.spillingOver = local-remote > margin
+	if !owner.spillingOver {
+		buffers.candidates = buffers.candidates[:localCount]
 	}
-	return scratch.coolingDown
 }
 
-// lastResortServers gives the cold servers that the gate lets in because nothing else is left, of the own region if
-// there are any.
-func (p *Placer) lastResortServers(now time.Duration) []*server {
-	scratch := &p.buffers
-	allowed := scratch.local[:0]
-	for _, own := range [2]bool{true, false} {
-		for _, s := range scratch.warmingUp {
-			inRegion := s.region == p.region
-			if inRegion == own && s.openAttempts < p.maxConnections(s.service) && p.slowStart.Allows(now, s.warmingServer(), true) {
-				allowed = append(allowed, s)
-			}
-		}
-		if len(allowed) > 0 {
-			break
-		}
+// minExpectedLatency is the least expected latency of candidates, of which there must be at least one.
+func minExpectedLatency(candidates []candidate) time.Duration {
+	least := candidates[0].expectedLatency
+	for i := range candidates {
+		least = min(least, candidates[i].expectedLatency)
 	}
-	scratch.local = allowed
-	return allowed
-}
-
-// retryAfter is when it is worth asking again after no server was found.
-func (p *Placer) retryAfter(now time.Duration, reason Reason) time.Duration {
-	switch reason {
-	case ReasonWarmingUp:
-		return p.slowStartWait(now)
-	case ReasonFull:
-		return retryFull
-	case ReasonExcluded:
-		return retryExcluded
-	}
-	return retryNone
+	return least
 }
 
-// slowStartWait is when the gate will let in a request to one of the cold servers.
-func (p *Placer) slowStartWait(now time.Duration) time.Duration {
-	least := retryNone
-	for _, s := range p.buffers.warmingUp {
-		if wait, ok := p.slowStart.Wait(now, s.warmingServer()); ok {
-			least = min(least, max(wait, minSlowStartRetry))
+// cheapest is the index of the candidate of the least cost.
+func cheapest(candidates []candidate) int {
+	least := 0
+	for i := range candidates {
+		if candidates[i].cost < candidates[least].cost {
+			least = i
 		}
 	}
 	return least
 }
-
-// How long a client is told to wait when there is no server for it.
-const (
-	minSlowStartRetry = 100 * time.Millisecond
-	retryFull         = 250 * time.Millisecond
-	retryExcluded     = 500 * time.Millisecond
-	retryNone         = time.Second
-)
--- a/internal/placement/failurereport.go
+++ b/internal/placement/failurereport.go
@@ -9,20 +9,20 @@
 const (
 	// reportTTL is how long a report of a failure counts.
 	reportTTL = 2 * time.Second
-	// reportingZones is the number of zones whose proxies must have reported a server before this proxy leaves it
-	// without a failure of its own: a cut between two zones looks like that from one of them alone.
+	// reportingZones is the number of zones whose proxies must have reported a server before this proxy ejects it without
+	// a failure of its own: a partition between two zones looks like a failure from one of them alone.
 	reportingZones = 2
-	// successOverride is how long an own success outweighs what others report.
+	// successOverride is how long a success of this proxy's own outweighs the reports of others.
 	successOverride = time.Second
 )
 
-// reports holds when the proxies of some zones last reported a server.
+// failureReports holds when the proxies of some zones last reported a server.
 type failureReports [reportingZones]struct {
 	zone string
 	at   time.Duration
 }
 
-// add notes a report and gives the number of zones whose reports count.
+// add records a report in place of the oldest, and returns the number of zones whose reports count.
 func (r *failureReports) add(now time.Duration, zone string) int {
 	oldest := 0
 	for i := range r {
@@ -44,8 +44,9 @@
 	return zones
 }
 
-// FailureReported takes in that another proxy, in a zone of the region, had a new connection to a server fail. One zone's
-// word makes the next failure of its own enough to leave the server; the word of more zones is enough by itself.
+// FailureReported takes in that another proxy, in a zone of the region, had a new connection to a server fail. The
+// report of one zone makes the next failure of this proxy's own enough to eject the server; those of two zones eject it
+// by themselves.
 func (p *Placer) FailureReported(now time.Duration, serverID, zone string) {
 	known := p.servers[serverID]
 	if known == nil || p.off(policy.FailureReports) {
--- a/internal/placement/locality_test.go
+++ b/internal/placement/locality_test.go
@@ -10,27 +10,27 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-func TestProxiesOfARegionAgreeWhereAPromptLives(t *testing.T) {
+func TestProxiesOfARegionAgreeOnTheAffinityServer(t *testing.T) {
 	const subjects = 37
 	first, second := newFixture(t, 0, westAndEast()), newFixture(t, 1, westAndEast())
 	first.warm()
 	second.warm()
-	same, homes := 0, map[string]int{}
+	same, affine := 0, map[string]int{}
 	for i := range 10 * subjects {
 		at := first.serve(first.summary(i%subjects, i), asPredicted)
 		if at == second.serve(second.summary(i%subjects, -i), asPredicted) {
 			same++
 		}
-		homes[at]++
+		affine[at]++
 	}
 	require.Greater(t, same, 360, "of 370")
-	require.Len(t, homes, 6)
-	for home, count := range homes {
+	require.Len(t, affine, 6)
+	for home, count := range affine {
 		require.Greater(t, count, 10, home)
 	}
 }
 
-func TestALoadedHomeIsLeft(t *testing.T) {
+func TestALoadedAffinityServerIsLeft(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
 	seen := map[string]int{}
@@ -83,7 +83,7 @@
 	require.Equal(t, east, f.pick(f.greeting(0)).Region)
 }
 
-func TestHomesAreKeptTo(t *testing.T) {
+func TestHomeRegionsAreKeptTo(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	for range 50 {
 		require.Equal(t, east, f.pick(f.request(routeEast)).Region)
@@ -141,8 +141,8 @@
 	}
 }
 
-// cold lists model servers of zone a, each cold for some time.
-func cold(count int, left time.Duration) []*pb.Server {
+// warmingUpServers lists model servers of zone a, each warming up for some time.
+func warmingUpServers(count int, left time.Duration) []*pb.Server {
 	var servers []*pb.Server
 	for i := range count {
 		made := listed(modelService, i, zoneA)
@@ -152,8 +152,8 @@
 	return servers
 }
 
-func TestColdServersGetLittleUntilTheyAreWarm(t *testing.T) {
-	servers := append(cold(1, 3*time.Second), listed(modelService, 8, zoneA), listed(modelService, 9, zoneA))
+func TestServersWarmingUpGetFewRequests(t *testing.T) {
+	servers := append(warmingUpServers(1, 3*time.Second), listed(modelService, 8, zoneA), listed(modelService, 9, zoneA))
 	total := 0
 	for host := range members {
 		f := newFixture(t, host, servers)
@@ -174,12 +174,12 @@
 	require.Positive(t, total)
 }
 
-func TestServersThatAreAllColdAreUsedWithinTheBound(t *testing.T) {
+func TestServersAllWarmingUpAreUsedWithinTheLimit(t *testing.T) {
 	perServer := map[string]int{}
 	refused := 0
 	for host := range members {
-		f := newFixture(t, host, cold(6, time.Minute))
-		f.now += 10 * time.Second // the members are settled
+		f := newFixture(t, host, warmingUpServers(6, time.Minute))
+		f.now += 10 * time.Second // the members have been the same for long enough
 		first := f.now
 		for i := 0; f.now < first+time.Second; i++ {
 			request := f.greeting(i)
@@ -218,7 +218,7 @@
 				count++
 			}
 		}
-		f.now += suspectedColdPeriod
+		f.now += suspectedWarmingPeriod
 		require.False(t, f.p.servers[f.list[1].GetId()].warmingUp(f.now))
 		return count
 	}
@@ -229,10 +229,10 @@
 	require.LessOrEqual(t, total, 3*mostFirstSends)
 }
 
-// mostFirstSends is the most first requests, one from each proxy with a share, that a cold server may get.
+// mostFirstSends is the most first requests, one from each proxy with a share, that a server that is warming up may get.
 const mostFirstSends = 3
 
-func TestAServersOwnWordThatItIsColdCounts(t *testing.T) {
+func TestAServersOwnWarmupReportCounts(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
 	for _, s := range f.list[:6] {
@@ -241,15 +241,15 @@
 	require.True(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now+time.Second-1))
 	require.False(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now+time.Second))
 	f.now += 500 * time.Millisecond
-	f.relist() // a list that may have been made before the server's word
+	f.relist() // a list that may be older than the server's report
 	require.True(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now))
 	f.p.ServerWarmingUp(f.now, f.list[0].GetId(), time.Minute)
-	f.now += 2 * suspectedColdPeriod
+	f.now += 2 * suspectedWarmingPeriod
 	f.relist()
 	require.False(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now), "a newer list knows better")
 }
 
-func TestAServerThatSeemsToLeaveIsAvoided(t *testing.T) {
+func TestAServerThatSeemsToDrainIsAvoided(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
 	leaving := f.list[0].GetId()
@@ -259,7 +259,7 @@
 	}
 }
 
-func TestServersOfAServiceWithoutAWarmRateAreNeverCold(t *testing.T) {
+func TestServersOfAServiceWithoutAWarmRateHaveNoSlowStart(t *testing.T) {
 	started := listed(plainService, 0, zoneA)
 	started.WarmLeftMs = 3000
 	f := newFixture(t, 0, []*pb.Server{started})
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -6,31 +6,27 @@
 	"fieldrelay/internal/policy"
 )
 
-// Ejection of servers that fail.
+// overdueFactor: a client that gives up after this many times the predicted time shows that the server is slow.
+const overdueFactor = 2
+
+// Outcome is how an attempt ended.
+type Outcome uint8
+
+// The outcomes of an attempt.
 const (
-	// ejectAfter is the weight of failures in a row that ejects a server.
-	ejectAfter = 3
-	// failedWeight is that of an answer that tells of a failure; noAnswerWeight that of none at all; unreachableWeight
-	// that of a machine out of reach, where every further request would be lost.
-	failedWeight      = 1
-	noAnswerWeight    = 2
-	unreachableWeight = ejectAfter
-	firstEjection     = time.Second
-	maxEjection       = 8 * time.Second
-	// ejectionJitter is the part by which a rest may be longer, so that trials of many proxies do not meet.
-	ejectionJitter = 0.25
-	// suspectEjection is the rest from which on a server may have been away for long enough to come back cold.
-	suspectEjection = 2 * time.Second
-	// rejectionCooldown is how long a server that refused is left alone if there are others.
-	rejectionCooldown = 250 * time.Millisecond
-	// overdueFactor: a client that left after so many times the predicted time tells of a slow server.
-	overdueFactor = 2
-	// maxFreeAttempts is the most closed attempts that are kept to be used again.
-	maxFreeAttempts = 256
+	Done        Outcome = iota // a complete answer, of any status that is not a failure of the server
+	Refused                    // the server rejected it without execution: it is full, or the deadline is too near
+	Misdirected                // status 421: the address belongs to another server now
+	Failed                     // status 5xx of the server, or bytes that are not a valid answer
+	Reset                      // the connection could not be opened, was reset or was closed early
+	TimedOut                   // no answer within the attempt's timeout
+	Unreachable                // the server's machine does not respond: it is down or partitioned
+	ClientGone                 // canceled because the client left: no evidence about the server
+	NotSent                    // nothing was sent: as if the attempt had not been placed
 )
 
-// Started tells that the first event of an attempt's stream came, or the first byte of any other answer. It
-// need not be called for failures.
+// Started reports the first event of an attempt's stream, or the first byte of any other answer. It need not be
+// called for failures.
 func (p *Placer) Started(now time.Duration, id AttemptID) {
 	a := p.attempts[id]
 	if a == nil || a.started {
@@ -49,8 +45,9 @@
 	}
 }
 
-// learnPrefillRate takes in a first event that came after a known number of tokens was read. While answers come late it
-// learns nothing: then they tell of what waits at the servers.
+// learnPrefillRate passes the latency of a first event to the estimate of the prefill rate, if the number of tokens
+// that the server had to prefill is known. It learns nothing while answers are late: their latency shows how long
+// requests queue at the servers.
 func (p *Placer) learnPrefillRate(a *attempt, latency time.Duration) {
 	owner := a.server.service
 	if !a.unqueued || !owner.servesModel() || owner.slack.Share < admitAllSlack || p.off(policy.PrefillRate) {
@@ -59,8 +56,9 @@
 	owner.prefill.learn(a.sentAt+latency, a.prefillTokens, latency)
 }
 
-// sample is the speed that an answer after latency shows: cost over latency. Where it was a guess that the
-// prompt is kept there, the answer proves no more than a range.
+// speedSample is the speed that an answer after latency shows: predicted latency over measured latency. If it was only
+// assumed that the server had the prompt's prefix cached, the answer proves a range of speeds, and the sample is the
+// speed within it that is nearest to the present estimate.
 func (a *attempt) speedSample(latency time.Duration) float64 {
 	latency = max(latency, time.Microsecond)
 	low := min(float64(a.nominalLatency)/float64(latency), maxSpeed)
@@ -72,7 +70,7 @@
 	return min(max(present, low), high)
 }
 
-// Finished closes an attempt.
+// Finished closes an attempt. A second call for the same attempt has no effect.
 func (p *Placer) Finished(now time.Duration, id AttemptID, outcome Outcome) {
 	a := p.attempts[id]
 	if a == nil {
@@ -88,14 +86,20 @@
 		s.trialInFlight = false
 	}
 	p.stats.Outcomes[outcome]++
+	p.observeOutcome(now, a, outcome)
+	p.releaseAttempt(a)
+}
+
+// observeOutcome updates what is known of the server by an attempt's outcome.
+func (p *Placer) observeOutcome(now time.Duration, a *attempt, outcome Outcome) {
 	switch outcome {
 	case Done:
 		p.succeeded(now, a)
 	case Refused:
 		p.rejected(now, a)
 	case Misdirected:
-		s.gone = true
-		p.prefixCache.removeServer(s)
+		a.server.gone = true
+		p.prefixCache.removeServer(a.server)
 	case Failed:
 		p.failed(now, a, failedWeight)
 	case Reset, TimedOut:
@@ -106,23 +110,16 @@
 		p.canceled(now, a)
 	case NotSent:
 	}
-	p.releaseAttempt(a)
 }
 
-// seeded frees the way for the next attempt that seeds an estimate.
+// releaseSeed allows the next attempt that seeds an estimate, if a was the one in flight.
 func (p *Placer) releaseSeed(a *attempt) {
 	if a.server.service.seedAttempt == a {
 		a.server.service.seedAttempt = nil
 	}
 }
 
-func (p *Placer) releaseAttempt(a *attempt) {
-	if len(p.freeAttempts) < maxFreeAttempts {
-		*a = attempt{}
-		p.freeAttempts = append(p.freeAttempts, a)
-	}
-}
-
+// succeeded records a complete answer.
 func (p *Placer) succeeded(now time.Duration, a *attempt) {
 	s := a.server
 	owner := s.service
@@ -138,7 +135,7 @@
 	s.failures, s.ejectionPeriod, s.succeededAt = 0, 0, now
 }
 
-// refused takes in that a server was full: speed zero, but no failure.
+// rejected records that a server was full: a speed of zero, but no failure.
 func (p *Placer) rejected(now time.Duration, a *attempt) {
 	a.observeFailure(now)
 	if !p.off(policy.RejectionCooldown) {
@@ -148,41 +145,13 @@
 	a.server.service.walk.Leave(a.server)
 }
 
-// failed takes in a failure: speed zero, and rest after some in a row. A server that comes back after a while
-// may be cold without a word, so it is treated as cold until the list can tell.
+// failed records a failure: a speed of zero, and ejection after several in a row.
 func (p *Placer) failed(now time.Duration, a *attempt, weight int) {
 	a.observeFailure(now)
 	p.eject(now, a.server, weight)
 }
 
-// ServerUnreachable takes in that a server's machine does not answer, as seen on an idle connection.
-func (p *Placer) ServerUnreachable(now time.Duration, serverID string) {
-	if known := p.servers[serverID]; known != nil {
-		known.estimate.Observe(now, 0)
-		p.eject(now, known, unreachableWeight)
-	}
-}
-
-// eject counts a failure, and lets the server rest if that is one too many.
-func (p *Placer) eject(now time.Duration, s *server, weight int) {
-	s.service.walk.Leave(s)
-	if p.off(policy.Ejection) {
-		return
-	}
-	s.failures = min(s.failures+weight, 2*ejectAfter)
-	if s.failures < ejectAfter || now < s.ejectedUntil {
-		return
-	}
-	s.ejectionPeriod = min(max(2*s.ejectionPeriod, firstEjection), maxEjection)
-	spread := 1 + ejectionJitter*p.random.Float64()
-	s.ejectedUntil = now + time.Duration(float64(s.ejectionPeriod)*spread)
-	if s.ejectionPeriod >= suspectEjection {
-		s.suspectedColdUntil = s.ejectedUntil + suspectedColdPeriod
-	}
-	p.stats.Ejections++
-}
-
-// zero takes a sample of speed zero in the place of what the attempt's first byte seemed to show.
+// observeFailure adds a speed sample of zero. It replaces the sample that the attempt's first byte seemed to give.
 func (a *attempt) observeFailure(now time.Duration) {
 	s := a.server
 	if a.started && s.estimate.SampledAt() == a.startedAt {
@@ -191,7 +160,7 @@
 	s.estimate.Observe(now, 0)
 }
 
-// abandoned takes in that a client left: long after an answer was due, it tells of the server.
+// canceled records that the client left. If the answer was long overdue by then, the server is slow.
 func (p *Placer) canceled(now time.Duration, a *attempt) {
 	waited := now - a.sentAt
 	if a.started || waited <= overdueFactor*a.uncachedLatency {
@@ -201,8 +170,8 @@
 	a.server.service.walk.Leave(a.server)
 }
 
-// RequestDone tells the end of a client's request that was let in: whether it was answered, and after which
-// time its first event or byte came. The aged share of those in time is the slack.
+// RequestDone reports the end of a client's request that was admitted: whether it was answered, and the latency of its
+// first event or byte. The aged share of the requests answered in time is the slack.
 func (p *Placer) RequestDone(now time.Duration, request *Request, answered bool, latency time.Duration) {
 	owner := p.services[request.Service]
 	if owner == nil {
--- /dev/null
+++ b/internal/placement/prediction.go
@@ -0,0 +1,81 @@
+package placement
+
+import (
+	"time"
+
+	"fieldrelay/internal/policy"
+)
+
+// Tuning of predictions and of what a choice costs besides its latency.
+const (
+	// regionRoundTrip is the round trip to another region.
+	regionRoundTrip = 40 * time.Millisecond
+	// prefillTokenPrice is the time that stands for the price of prefilling a shared token anew. The prefill itself is
+	// part of the predicted latency.
+	prefillTokenPrice = 78 * time.Microsecond
+	// otherZoneFactor scales the cost of a server in another zone of the region: bytes between zones are priced.
+	otherZoneFactor = 1.08
+	// otherRegionPenalty is added to the cost of a server in another region: bytes between regions are expensive.
+	otherRegionPenalty = 110 * time.Millisecond
+)
+
+// predict gives the latency and the cost of a prompt at a server that has a number of its tokens cached.
+func (p *Placer) predict(now time.Duration, s *server, q *prompt, cached int) candidate {
+	prefillTokens := max(q.totalTokens-cached, 0)
+	nominal := p.nominalLatency(s, prefillTokens, q.memoryTokens)
+	speed := p.speedAt(now, s)
+	cost := float64(nominal+p.prefillPrice(s, q, cached)) / speed
+	if s.zone != p.config.Zone && !p.off(policy.ZonePreference) {
+		cost *= otherZoneFactor
+	}
+	if s.region != p.region {
+		cost += float64(otherRegionPenalty)
+	}
+	return candidate{
+		server:          s,
+		prefillTokens:   prefillTokens,
+		nominalLatency:  nominal,
+		expectedLatency: time.Duration(float64(nominal)/speed) + s.busy(now),
+		cost:            time.Duration(cost) + s.busy(now),
+	}
+}
+
+// prefillPrice is the time that stands for the price of the shared tokens that a server must prefill anew.
+func (p *Placer) prefillPrice(s *server, q *prompt, cached int) time.Duration {
+	if !s.service.servesModel() || p.off(policy.PrefillPrice) {
+		return 0
+	}
+	return time.Duration(q.sharedTokens-min(cached, q.sharedTokens)) * prefillTokenPrice
+}
+
+// nominalLatency is the time to the first event at speed 1, of a prompt with so many tokens to prefill after those of
+// this proxy's attempts that are queued there. What does not fit into the server's memory beside this proxy's attempts
+// waits for them, and is counted as if it were to be prefilled.
+func (p *Placer) nominalLatency(s *server, prefillTokens, memoryTokens int) time.Duration {
+	var latency time.Duration
+	if s.service.servesModel() {
+		tokens := s.queuedPrefillTokens + prefillTokens
+		if memory := s.service.config.Runtime.CacheTokens; memory > 0 {
+			tokens += max(s.reservedTokens+memoryTokens-memory, 0)
+		}
+		latency = baseLatency + s.service.prefill.duration(tokens)
+	} else {
+		capacity := s.capacity
+		if capacity <= 0 {
+			capacity = defaultCapacity
+		}
+		latency = s.service.median + s.service.median*time.Duration(s.openAttempts)/time.Duration(capacity)
+	}
+	if s.region != p.region {
+		latency += regionRoundTrip
+	}
+	return latency
+}
+
+// idleLatency is the time to the first event of a prompt at an idle server that has its shared chunks cached.
+func idleLatency(owner *service, q *prompt) time.Duration {
+	if !owner.servesModel() {
+		return owner.median
+	}
+	return baseLatency + owner.prefill.duration(max(q.totalTokens-q.sharedTokens, 0))
+}
--- a/internal/placement/prefill.go
+++ b/internal/placement/prefill.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// Tuning of what is learnt of a service's engines.
+// Tuning of what is learnt of the engines of a service.
 const (
-	// baseLatency is the time to a first event beside reading: way, queue and the first steps. Where it differs, the
-	// servers' speeds tell.
+	// baseLatency is the time to a first event besides the prefill: network, queue and the engine's first steps. If it
+	// differs, the servers' speeds show it.
 	baseLatency = 30 * time.Millisecond
-	// initialPerToken is the guess of the time to read a token until answers have told.
+	// initialPerToken is the assumed prefill time of a token until answers have been measured.
 	initialPerToken = 26 * time.Microsecond
-	// Prompts with few tokens to read are compared with those that have many.
+	// Prompts with at most shortPrompt tokens to prefill are compared with those that have at least longPrompt.
 	shortPrompt = 800
 	longPrompt  = 1600
 	// minComparedAnswers is the number of answers of each kind before they are compared; maxComparisonGap is how long ago
-	// the last of each may have come: what waits at the servers shifts both alike only at about the same time.
+	// the last of each may have come: a queue at the servers shifts both alike only at about the same time.
 	minComparedAnswers = 6
 	maxComparisonGap   = 10 * time.Second
-	// maxMeanCount is the number of answers after which an old one counts for little; minLearnStep is the part of the
-	// way to what they show that one answer moves the estimate.
+	// maxMeanCount is the number of answers after which an old one counts for little in a mean.
 	maxMeanCount = 40
+	// minLearnStep is the least fraction of the way to the measured value by which one answer moves the estimate.
 	minLearnStep = 0.05
-	// initialComparisons is what the guess is worth in comparisons: the first ones move the estimate by more.
+	// initialComparisons is the weight, in comparisons, of the initial value: the first ones move the estimate by more
+	// than minLearnStep.
 	initialComparisons = 10
-	// Bounds of what is learnt.
+	// minPerToken and maxPerToken bound the measured values.
 	minPerToken = time.Microsecond
 	maxPerToken = time.Millisecond
 )
 
-// engine learns the time that the engines of a service take to read a token of a prompt: by how much later the first
-// event of long prompts comes than that of short ones. Waiting for others' requests shifts both alike. Where servers
-// differ, their speeds tell.
+// prefillEstimator estimates the time that the engines of a service take to prefill a token, by how much later the
+// first event of long prompts comes than that of short ones. A queue shifts both alike. Differences between servers are
+// left to the estimates of their speeds.
 type prefillEstimator struct {
 	perToken    time.Duration
 	short, long agedMean
@@ -46,12 +47,12 @@
 
 func newPrefillEstimator() prefillEstimator { return prefillEstimator{perToken: initialPerToken} }
 
-// reading is the time to read so many tokens.
+// duration is the time to prefill a number of tokens.
 func (e *prefillEstimator) duration(tokens int) time.Duration {
 	return time.Duration(tokens) * e.perToken
 }
 
-// learn takes in how long the first event took of a prompt of which so many tokens were to be read.
+// learn takes in the latency of the first event of a prompt with a number of tokens to prefill.
 func (e *prefillEstimator) learn(now time.Duration, tokens int, latency time.Duration) {
 	switch {
 	case tokens <= shortPrompt:
@@ -62,11 +63,11 @@
 	if !e.short.recent(now) || !e.long.recent(now) {
 		return
 	}
-	shown := time.Duration((e.long.latency - e.short.latency) / (e.long.tokens - e.short.tokens))
-	shown = min(max(shown, minPerToken), maxPerToken)
+	measured := time.Duration((e.long.latency - e.short.latency) / (e.long.tokens - e.short.tokens))
+	measured = min(max(measured, minPerToken), maxPerToken)
 	e.comparisons++
 	step := max(1/float64(e.comparisons+initialComparisons), minLearnStep)
-	e.perToken += time.Duration(step * float64(shown-e.perToken))
+	e.perToken += time.Duration(step * float64(measured-e.perToken))
 }
 
 // add takes in one answer.
@@ -78,7 +79,7 @@
 	m.lastAt = now
 }
 
-// fresh tells whether there are enough answers, the last of them of late.
+// recent reports whether there are enough answers, and the last of them is not old.
 func (m *agedMean) recent(now time.Duration) bool {
 	return m.count >= minComparedAnswers && now-m.lastAt <= maxComparisonGap
 }
--- a/internal/placement/prefixcache.go
+++ b/internal/placement/prefixcache.go
@@ -1,123 +1,131 @@
 package placement
 
-// maxCachedPrefixes is the most parts that are remembered for one server.
+// maxCachedPrefixes is the most prefixes that are remembered for one server.
 const maxCachedPrefixes = 64
 
-// keeper remembers which parts of prompts this proxy sent to which servers lately, and so which of them the
-// servers may still keep. For each server it is an LRU, bounded by tokens and by number.
+// prefixCacheIndex records which prompt prefixes this proxy sent to which servers lately, and so which of them the
+// servers are expected to have in their KV caches. For each server it is an LRU list, bounded by tokens and by number.
+// The servers are never asked: the index is a prediction.
 type prefixCacheIndex struct {
-	entries map[prefixHash][]*cachedPrefix
+	entries map[prefixHash][]*cachedPrefix // for each prefix, one entry for each server expected to have it
 }
 
-// cachedPrefix is a part, with all before it, at a server.
+// cachedPrefix is a prefix at a server, an element of the server's LRU list.
 type cachedPrefix struct {
 	prefix       prefixHash
 	server       *server
-	tokens       int // of this part alone
+	tokens       int // of its last chunk alone
 	newer, older *cachedPrefix
 }
 
-// lruList is a server's parts, from the newest to the oldest.
+// lruList is the list of the prefixes at one server, in the order of their last use.
 type lruList struct {
 	newest, oldest *cachedPrefix
 	length         int
-	tokens         int
+	tokens         int // sum over the list
 }
 
 func newPrefixCacheIndex() prefixCacheIndex {
 	return prefixCacheIndex{entries: map[prefixHash][]*cachedPrefix{}}
 }
 
-// add notes that a prompt was sent to a server that this proxy may count on for a number of kept tokens.
-func (k *prefixCacheIndex) insert(to *server, p *prompt, capacity int) {
-	for i := len(p.prefixes) - 1; i >= 0; i-- { // the first part last: it is of use for longest
-		row := p.prefixes[i]
-		part := k.find(to, row)
-		if part == nil {
-			part = &cachedPrefix{prefix: row, server: to, tokens: p.chunkTokens(i)}
-			k.entries[row] = append(k.entries[row], part)
+// insert records that a prompt was sent to a server that caches up to capacity tokens for this proxy. The oldest
+// prefixes are evicted, but none of this prompt for the sake of capacity.
+func (x *prefixCacheIndex) insert(to *server, p *prompt, capacity int) {
+	for i := len(p.prefixes) - 1; i >= 0; i-- { // the first chunk last: it is useful for longest
+		prefix := p.prefixes[i]
+		entry := x.find(to, prefix)
+		if entry == nil {
+			entry = &cachedPrefix{prefix: prefix, server: to, tokens: p.chunkTokens(i)}
+			x.entries[prefix] = append(x.entries[prefix], entry)
 		} else {
-			to.cachedPrefixes.remove(part)
+			to.cachedPrefixes.remove(entry)
 		}
-		to.cachedPrefixes.pushFront(part)
+		to.cachedPrefixes.pushFront(entry)
 	}
-	for to.cachedPrefixes.length > maxCachedPrefixes || (to.cachedPrefixes.tokens > capacity && to.cachedPrefixes.length > len(p.prefixes)) {
-		k.remove(to.cachedPrefixes.oldest)
+	list := &to.cachedPrefixes
+	for list.length > maxCachedPrefixes || (list.tokens > capacity && list.length > len(p.prefixes)) {
+		x.remove(list.oldest)
 	}
 }
 
-func (k *prefixCacheIndex) find(at *server, row prefixHash) *cachedPrefix {
-	for _, part := range k.entries[row] {
-		if part.server == at {
-			return part
+// find returns the entry of a prefix at a server, nil if there is none.
+func (x *prefixCacheIndex) find(at *server, prefix prefixHash) *cachedPrefix {
+	for _, entry := range x.entries[prefix] {
+		if entry.server == at {
+			return entry
 		}
 	}
 	return nil
 }
 
-// forget drops all parts of a server that is gone.
-func (k *prefixCacheIndex) removeServer(gone *server) {
+// removeServer removes all entries of a server that is gone.
+func (x *prefixCacheIndex) removeServer(gone *server) {
 	for gone.cachedPrefixes.oldest != nil {
-		k.remove(gone.cachedPrefixes.oldest)
+		x.remove(gone.cachedPrefixes.oldest)
 	}
 }
 
-func (k *prefixCacheIndex) remove(part *cachedPrefix) {
-	part.server.cachedPrefixes.remove(part)
-	holders := k.entries[part.prefix]
-	for i, other := range holders {
-		if other == part {
-			holders[i] = holders[len(holders)-1]
-			holders = holders[:len(holders)-1]
+// remove removes one entry.
+func (x *prefixCacheIndex) remove(entry *cachedPrefix) {
+	entry.server.cachedPrefixes.remove(entry)
+	entries := x.entries[entry.prefix]
+	for i, other := range entries {
+		if other == entry {
+			entries[i] = entries[len(entries)-1]
+			entries = entries[:len(entries)-1]
 			break
 		}
 	}
-	if len(holders) == 0 {
-		delete(k.entries, part.prefix)
+	if len(entries) == 0 {
+		delete(x.entries, entry.prefix)
 		return
 	}
-	k.entries[part.prefix] = holders
+	x.entries[entry.prefix] = entries
 }
 
-// mark writes to each server how many tokens from the start of a prompt it keeps, under the pick's number.
-func (k *prefixCacheIndex) match(p *prompt, pick uint64) {
-	for i, row := range p.prefixes {
-		for _, part := range k.entries[row] {
-			holder := part.server
-			if holder.matchedPick != pick {
-				holder.matchedPick, holder.matchedChunks, holder.matchedTokens = pick, 0, 0
+// match sets, at each server that has some of a prompt cached, the length of the longest cached prefix. The fields are
+// valid for the pick of that number only, so that they need no reset.
+func (x *prefixCacheIndex) match(p *prompt, pickNumber uint64) {
+	for i, prefix := range p.prefixes {
+		for _, entry := range x.entries[prefix] {
+			s := entry.server
+			if s.matchedPick != pickNumber {
+				s.matchedPick, s.matchedChunks, s.matchedTokens = pickNumber, 0, 0
 			}
-			if holder.matchedChunks == i {
-				holder.matchedChunks, holder.matchedTokens = i+1, p.cumulativeTokens[i]
+			if s.matchedChunks == i { // every chunk before is cached as well
+				s.matchedChunks, s.matchedTokens = i+1, p.cumulativeTokens[i]
 			}
 		}
 	}
 }
 
-func (l *lruList) pushFront(part *cachedPrefix) {
-	part.older, part.newer = l.newest, nil
+// pushFront makes an entry the newest.
+func (l *lruList) pushFront(entry *cachedPrefix) {
+	entry.older, entry.newer = l.newest, nil
 	if l.newest != nil {
-		l.newest.newer = part
+		l.newest.newer = entry
 	} else {
-		l.oldest = part
+		l.oldest = entry
 	}
-	l.newest = part
+	l.newest = entry
 	l.length++
-	l.tokens += part.tokens
+	l.tokens += entry.tokens
 }
 
-func (l *lruList) remove(part *cachedPrefix) {
-	if part.newer != nil {
-		part.newer.older = part.older
+// remove unlinks an entry.
+func (l *lruList) remove(entry *cachedPrefix) {
+	if entry.newer != nil {
+		entry.newer.older = entry.older
 	} else {
-		l.newest = part.older
+		l.newest = entry.older
 	}
-	if part.older != nil {
-		part.older.newer = part.newer
+	if entry.older != nil {
+		entry.older.newer = entry.newer
 	} else {
-		l.oldest = part.newer
+		l.oldest = entry.newer
 	}
-	part.newer, part.older = nil, nil
+	entry.newer, entry.older = nil, nil
 	l.length--
-	l.tokens -= part.tokens
+	l.tokens -= entry.tokens
 }
--- /dev/null
+++ b/internal/placement/prompt.go
@@ -0,0 +1,62 @@
+package placement
+
+import "github.com/cespare/xxhash/v2"
+
+// prefixHash is the hash of a model and of the chunks from the start of a prompt up to one of them. A server can use a
+// cached chunk only together with every chunk before it.
+type prefixHash uint64
+
+// newPrefixHash is the hash of a model and no chunk.
+func newPrefixHash(model string) prefixHash { return prefixHash(xxhash.Sum64String(model)) }
+
+// extend returns the hash of the prefix that is longer by a chunk.
+func (h prefixHash) extend(chunk PromptChunk) prefixHash {
+	return prefixHash(mix(uint64(h)*0x9e3779b97f4a7c15 + chunk.ID))
+}
+
+// mix is the finalizer of SplitMix64 (Steele, Lea, Flood, "Fast Splittable Pseudorandom Number Generators", 2014).
+func mix(value uint64) uint64 {
+	value = (value ^ value>>30) * 0xbf58476d1ce4e5b9
+	value = (value ^ value>>27) * 0x94d049bb133111eb
+	return value ^ value>>31
+}
+
+// prompt is what one pick needs to know of a request's prompt.
+type prompt struct {
+	prefixes         []prefixHash // by chunk: of the prefix that ends with it
+	cumulativeTokens []int        // by chunk: tokens of that prefix
+	totalTokens      int          // of the whole prompt
+	sharedTokens     int          // of all chunks but the last
+	memoryTokens     int          // of the whole prompt and of the answer
+	affinityKey      prefixHash   // of the shared chunks; by it the affinity server is chosen
+}
+
+// reset makes p the prompt of a request and reuses its slices.
+func (p *prompt) reset(request *Request) {
+	p.prefixes, p.cumulativeTokens, p.sharedTokens = p.prefixes[:0], p.cumulativeTokens[:0], 0
+	p.affinityKey = newPrefixHash(request.Model)
+	prefix, total := p.affinityKey, 0
+	for i, chunk := range request.Chunks {
+		prefix = prefix.extend(chunk)
+		total += chunk.Tokens
+		p.prefixes = append(p.prefixes, prefix)
+		p.cumulativeTokens = append(p.cumulativeTokens, total)
+		shared := i < len(request.Chunks)-1
+		if shared || i == 0 {
+			p.affinityKey = prefix
+		}
+		if shared {
+			p.sharedTokens = total
+		}
+	}
+	p.totalTokens = max(request.Prompt, total)
+	p.memoryTokens = p.totalTokens + max(request.Generate, 0)
+}
+
+// chunkTokens is the number of tokens of one chunk.
+func (p *prompt) chunkTokens(i int) int {
+	if i == 0 {
+		return p.cumulativeTokens[0]
+	}
+	return p.cumulativeTokens[i] - p.cumulativeTokens[i-1]
+}
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -11,13 +11,14 @@
 	"fieldrelay/logic/selection"
 )
 
-// Tuning of what a server is expected to do; speed is 1 when answers come as predicted.
+// Tuning of speeds. The speed of a server is 1 when answers come as predicted, and less when they come later.
 const (
-	// speedHalfLife is how long after its last sample half of an estimate's difference from the service's
-	// typical speed is taken to be gone: a server that failed once is tried again.
+	// speedHalfLife is the time after its last sample at which half of the difference between an estimate and the
+	// service's typical speed is disregarded: a server that failed once is tried again.
 	speedHalfLife = 6 * time.Second
-	minSpeed      = 0.02
-	maxSpeed      = 2.0
+	// minSpeed and maxSpeed bound the speed that is assumed of a server.
+	minSpeed = 0.02
+	maxSpeed = 2.0
 )
 
 // server is what this proxy knows of one server (one incarnation).
@@ -27,34 +28,34 @@
 	service  *service
 	capacity int
 	hash     uint64 // of the id
-	affinity uint64 // this proxy's own order of servers: higher first
+	affinity uint64 // position in this proxy's own order of servers: higher first
 
-	listedFrom         uint64 // number of the first list that named it
-	draining           bool
-	gone               bool          // it left the list, or another one answers at its address
-	expiresAt          time.Duration // 0: not told
-	warmingUntil       time.Duration
-	warmupReportedAt   time.Duration // when its own answer last told that it is cold
-	suspectedColdUntil time.Duration // it may have turned cold: treated as cold until a newer list tells
-	cooldownUntil      time.Duration // it was full or seems to leave: used only when no other is left
+	listedFrom            uint64 // number of the first server list that named it
+	draining              bool
+	gone                  bool          // it left the list, or another server answers at its address
+	expiresAt             time.Duration // 0: unknown
+	warmingUntil          time.Duration
+	warmupReportedAt      time.Duration // when an answer of its own last said that it is warming up
+	suspectedWarmingUntil time.Duration // it may have been restarted: treated as warming up until a newer list tells
+	cooldownUntil         time.Duration // it was full or seems to drain: used only if no other is left
 
 	estimate            selection.Estimate
-	unanswered          []*attempt     // oldest first
-	queuedPrefillTokens int            // prompt tokens of the unanswered that it has to read
-	busyUntil           time.Duration  // it reads what others sent until then, as far as they told
-	openAttempts        int            // attempts that have not ended
-	reservedTokens      int            // tokens that they may take of the server's memory
-	failures            int            // in a row
-	failureReports      failureReports // of failures, by other proxies
-	succeededAt         time.Duration  // when it last answered this proxy whole; 0: never
-	ejectionPeriod      time.Duration
+	unanswered          []*attempt    // oldest first
+	queuedPrefillTokens int           // of the unanswered attempts
+	busyUntil           time.Duration // until then it prefills prompts that other proxies announced
+	openAttempts        int           // attempts that have not ended
+	reservedTokens      int           // most tokens that they occupy in the server's memory
+	failures            int           // weight of the failures in a row
+	failureReports      failureReports
+	succeededAt         time.Duration // when it last answered this proxy completely; 0: never
+	ejectionPeriod      time.Duration // length of the last ejection; 0 after a success
 	ejectedUntil        time.Duration
-	trialInFlight       bool // the one trial after a rest is out
+	trialInFlight       bool // the one trial after an ejection
 
 	cachedPrefixes lruList
-	matchedPick    uint64 // number of the pick that the marks belong to
-	matchedChunks  int
-	matchedTokens  int
+	matchedPick    uint64 // number of the pick that the following two belong to
+	matchedChunks  int    // chunks of the longest cached prefix of the pick's prompt
+	matchedTokens  int    // tokens of it
 }
 
 func newServer(listed *pb.Server, owner *service, region string, hostHash uint64) *server {
@@ -69,17 +70,17 @@
 	}
 }
 
-// speedAt is the estimate now, drawn to the typical speed as it ages. An attempt that has waited for longer
-// than predicted bounds it from above before its outcome is known.
+// speedAt is the estimate of a server's speed at an instant. As it ages, it approaches the typical speed of the service.
+// An attempt that has waited for longer than predicted bounds it from above before the outcome is known.
 func (p *Placer) speedAt(now time.Duration, s *server) float64 {
 	speed := s.service.typicalSpeed(s.region == p.region)
 	if s.estimate.Seeded() {
-		keep := 1.0
+		weight := 1.0
 		if !p.off(policy.SpeedAging) {
 			age := now - s.estimate.SampledAt()
-			keep = float64(speedHalfLife) / float64(speedHalfLife+age)
+			weight = float64(speedHalfLife) / float64(speedHalfLife+age)
 		}
-		speed += (s.estimate.Speed() - speed) * keep
+		speed += (s.estimate.Speed() - speed) * weight
 	}
 	if len(s.unanswered) > 0 && !p.off(policy.OverdueBound) {
 		oldest := s.unanswered[0]
@@ -90,42 +91,20 @@
 	return min(max(speed, minSpeed), maxSpeed)
 }
 
-// cautiousTrialPeriod is how long after a rest only requests that another server may still get are tried on a server: it
-// may have come back as another one, which runs none of its requests, and the list tells that some seconds later.
-const cautiousTrialPeriod = 10 * time.Second
-
-// resting tells whether the server is ejected now for a request: after failures in a row, until its rest and then
-// its one trial are over.
-func (s *server) ejected(now time.Duration, request *Request) bool {
-	if s.failures < ejectAfter {
-		return false
-	}
-	if now < s.ejectedUntil || s.trialInFlight {
-		return true
-	}
-	lastTry := request.Route != nil && len(request.Excluded)+1 >= request.Route.MaxAttempts
-	return lastTry && now < s.ejectedUntil+cautiousTrialPeriod
-}
-
-// trialDue tells whether a rest is over and the one trial is due.
-func (s *server) trialDue(now time.Duration) bool {
-	return s.failures >= ejectAfter && now >= s.ejectedUntil && !s.trialInFlight
-}
-
-// cold tells whether requests to the server are under the bound on cold servers.
+// warmingUp reports whether requests to the server count against the slow start limit.
 func (s *server) warmingUp(now time.Duration) bool {
 	if s.service.config == nil || !s.service.config.HasSlowStart() {
 		return false
 	}
-	return now < s.warmingUntil || now < s.suspectedColdUntil
+	return now < s.warmingUntil || now < s.suspectedWarmingUntil
 }
 
-// leaves tells whether the server gets nothing new for good.
+// unavailable reports whether the server is never to get a new request again.
 func (s *server) unavailable(now time.Duration) bool {
 	return s.gone || s.draining || (s.expiresAt > 0 && now >= s.expiresAt)
 }
 
-// answered takes an attempt off the account of those that wait for their first event.
+// removeUnanswered removes an attempt from those that wait for their first event, if it is among them.
 func (s *server) removeUnanswered(a *attempt) {
 	i := slices.Index(s.unanswered, a)
 	if i < 0 {
--- /dev/null
+++ b/internal/placement/serverlist.go
@@ -0,0 +1,113 @@
+package placement
+
+import (
+	"slices"
+	"time"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/policy"
+)
+
+const (
+	// suspectedWarmingPeriod is how long a server that may have been restarted unnoticed is treated as warming up: the lag of
+	// the platform, one poll, and the delivery of the list to this proxy.
+	suspectedWarmingPeriod = 2500 * time.Millisecond
+	// drainCooldown is how long a server that seems to drain is avoided; within it the list shows whether it does.
+	drainCooldown = 3 * time.Second
+)
+
+// SetServers replaces the server list by one that was read from the platform age ago. Servers that it does not name are
+// gone.
+func (p *Placer) SetServers(now time.Duration, servers []*pb.Server, age time.Duration) {
+	p.listNumber++
+	listed := make(map[string]bool, len(servers))
+	changed := map[*service]bool{}
+	added := map[string]*server{} // by address
+	for _, entry := range servers {
+		listed[entry.GetId()] = true
+		known := p.servers[entry.GetId()]
+		if known == nil {
+			known = p.addServer(entry)
+			changed[known.service] = true
+			added[entry.GetAddress()] = known
+		}
+		p.updateServer(now, known, entry, age)
+	}
+	p.retireReplaced(added)
+	for id, known := range p.servers {
+		if !listed[id] {
+			p.removeServer(known)
+			changed[known.service] = true
+		}
+	}
+	for service := range changed {
+		service.sort()
+		p.dropUnused(service)
+	}
+}
+
+// retireReplaced marks servers as gone whose address an added server has: they crashed, and the list does not show that
+// yet. A server that was added by the same list as its successor is not older, and stays.
+func (p *Placer) retireReplaced(added map[string]*server) {
+	if len(added) == 0 {
+		return
+	}
+	for _, known := range p.servers {
+		if successor := added[known.address]; successor != nil && known.listedFrom < successor.listedFrom {
+			known.gone = true
+		}
+	}
+}
+
+func (p *Placer) addServer(entry *pb.Server) *server {
+	owner := p.service(entry.GetService())
+	added := newServer(entry, owner, p.config.Regions[entry.GetZone()], p.hostHash)
+	added.listedFrom = p.listNumber
+	owner.servers = append(owner.servers, added)
+	p.servers[added.id] = added
+	p.byKey[uint32(added.hash)] = added
+	return added
+}
+
+func (p *Placer) removeServer(known *server) {
+	known.gone = true
+	delete(p.servers, known.id)
+	if p.byKey[uint32(known.hash)] == known {
+		delete(p.byKey, uint32(known.hash))
+	}
+	known.service.servers = slices.DeleteFunc(known.service.servers, func(other *server) bool { return other == known })
+	p.prefixCache.removeServer(known)
+	p.forgetAnnouncedPrefixes(known)
+}
+
+// updateServer takes in a server's entry of a list that was read age ago. The times in it count from then.
+func (p *Placer) updateServer(now time.Duration, known *server, entry *pb.Server, age time.Duration) {
+	known.address = entry.GetAddress()
+	known.capacity = int(entry.GetCapacity())
+	known.draining = entry.GetDraining()
+	known.expiresAt = 0
+	if left := entry.GetExpiresMs(); left > 0 {
+		known.expiresAt = max(now-age+time.Duration(left)*time.Millisecond, 1)
+	}
+	warmingUntil := now - age + time.Duration(entry.GetWarmLeftMs())*time.Millisecond
+	if known.warmupReportedAt > now-age-suspectedWarmingPeriod { // the list may be older than the server's own report
+		warmingUntil = max(warmingUntil, known.warmingUntil)
+	}
+	known.warmingUntil = warmingUntil
+}
+
+// ServerWarmingUp takes in from a server's answer (X-Fieldrelay-Warmup-Ms) for how much longer it is warming up.
+func (p *Placer) ServerWarmingUp(now time.Duration, serverID string, left time.Duration) {
+	if known := p.servers[serverID]; known != nil {
+		known.warmingUntil = max(known.warmingUntil, now+left)
+		known.warmupReportedAt = now
+	}
+}
+
+// ServerDraining takes in that a server seems about to end: its answers close the connection, or its health check
+// fails. It is avoided for a while, within which the list shows whether it drains.
+func (p *Placer) ServerDraining(now time.Duration, serverID string) {
+	if known := p.servers[serverID]; known != nil && !p.off(policy.DrainCooldown) {
+		known.cooldownUntil = max(known.cooldownUntil, now+drainCooldown)
+	}
+}
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -11,22 +11,23 @@
 
 // Tuning of what is expected of a service.
 const (
-	// initialMedian is the first guess of an answer time of a service that is no model's.
+	// initialMedian is the assumed latency of a service that serves no model.
 	initialMedian = 20 * time.Millisecond
-	// minMedian and maxMedian bound what is learnt of such a service.
+	// minMedian and maxMedian bound the measured median.
 	minMedian = time.Millisecond
 	maxMedian = 2 * time.Second
-	// medianStep is the part by which a sample moves the recent median.
+	// medianStep is the fraction by which a sample moves the recent median.
 	medianStep = 0.05
-	// defaultTargetFactor is the multiple of the median that is in time where no aim is told.
+	// defaultTargetFactor times the median is the latency target of a route that sets none.
 	defaultTargetFactor = 4
 	// minTypicalSpeed bounds the typical speed from below: servers are not all to look alike in an outage.
 	minTypicalSpeed = 0.1
-	// defaultCapacity of a server that does not tell.
+	// defaultCapacity is the number of requests that a server of unknown capacity runs at once.
 	defaultCapacity = 8
 )
 
-// Bands of the slack: the paper's edges; cooler temperatures, because a kept prompt is worth keeping to.
+// bands of the slack: the edges of the paper (see package selection) with lower temperatures, because a cached prefix is
+// worth staying with.
 var bands = selection.Bands{
 	Low:       selection.PaperBands.Low,
 	High:      selection.PaperBands.High,
@@ -38,7 +39,7 @@
 type service struct {
 	name         string
 	config       *route.Service // nil: the configuration does not name it
-	servers      []*server      // by falling affinity
+	servers      []*server      // by descending affinity
 	slack        selection.Slack
 	walk         selection.Walk[*server]
 	localSpeed   selection.Estimate // typical speed of its servers in the own region
@@ -48,8 +49,8 @@
 	spillingOver bool                     // requests go to other regions too
 	seedSentAt   time.Duration            // when the last attempt that seeds an estimate was sent
 	seedAttempt  *attempt                 // that attempt, while it is unanswered
-	rejectedAt   time.Duration            // when a server last refused for being full
-	trickledAt   map[string]time.Duration // by route: when one was last let in although it looked bad
+	rejectedAt   time.Duration            // when a server last rejected a request for being full; 0: never
+	trickledAt   map[string]time.Duration // by route: when a request was last admitted in spite of overload
 }
 
 func newService(name string) *service {
@@ -62,7 +63,7 @@
 	}
 }
 
-// sort puts servers into this proxy's own order after a change, in which the walk starts anew.
+// sort restores this proxy's own order of the servers after a change, and restarts the sorted walk.
 func (s *service) sort() {
 	slices.SortFunc(s.servers, func(x, y *server) int {
 		return cmp.Or(cmp.Compare(y.affinity, x.affinity), cmp.Compare(x.id, y.id))
@@ -70,27 +71,27 @@
 	s.walk.Reset()
 }
 
-// model tells whether the service reads prompts.
+// servesModel reports whether the service runs a model, whose servers prefill prompts.
 func (s *service) servesModel() bool { return s.config != nil && s.config.Runtime != nil }
 
 // typicalOf is the estimate of the typical speed in the own region or in others.
-func (s *service) typicalOf(near bool) *selection.Estimate {
-	if near {
+func (s *service) typicalOf(local bool) *selection.Estimate {
+	if local {
 		return &s.localSpeed
 	}
 	return &s.remoteSpeed
 }
 
-// typicalSpeed is the speed of a server of which nothing is known; 1 until answers have come.
-func (s *service) typicalSpeed(near bool) float64 {
-	typical := s.typicalOf(near)
+// typicalSpeed is the assumed speed of a server without an estimate of its own; 1 until answers have come.
+func (s *service) typicalSpeed(local bool) float64 {
+	typical := s.typicalOf(local)
 	if !typical.Seeded() {
 		return 1
 	}
 	return min(max(typical.Speed(), minTypicalSpeed), maxSpeed)
 }
 
-// inTime tells whether an answer that took so long is in time for a route.
+// inTime reports whether a latency is within the target of a route.
 func (s *service) inTime(r *route.Route, latency time.Duration) bool {
 	if r != nil && r.Target > 0 {
 		return latency <= r.Target
@@ -98,7 +99,7 @@
 	return latency <= defaultTargetFactor*s.median
 }
 
-// observeLatency moves the recent median.
+// observeLatency moves the recent median by a step towards a sample.
 func (s *service) observeLatency(latency time.Duration) {
 	step := 1 + medianStep
 	if latency < s.median {
--- a/internal/placement/stats.go
+++ b/internal/placement/stats.go
@@ -3,20 +3,20 @@
 // Stats counts what a Placer did since its start.
 type Stats struct {
 	Attempts    uint64 // opened
-	Seeded      uint64 // picked to seed an estimate or as a trial after a rest
+	Seeded      uint64 // picked to seed an estimate, or as a trial after an ejection
 	Drawn       uint64 // picked by softmax
-	Walked      uint64 // picked by the walk
-	Cold        uint64 // sent to a cold server
+	Walked      uint64 // picked by the sorted walk
+	Cold        uint64 // sent to a server that was warming up
 	OtherRegion uint64 // sent to another region
 	Ejections   uint64
-	Announced   uint64                 // long reads that other proxies told of
-	Reported    uint64                 // failures of servers that other proxies reported
-	Overload    uint64                 // requests that Admit did not let in
+	Announced   uint64                 // announcements received from other proxies
+	Reported    uint64                 // failures of servers reported by other proxies
+	Overload    uint64                 // requests that Admit rejected
 	InTime      uint64                 // requests answered in time
 	Late        uint64                 // requests answered late or not at all
 	None        [ReasonFull + 1]uint64 // picks without a server, by reason
 	Outcomes    [NotSent + 1]uint64    // attempts by outcome
 }
 
-// Stats gives the counts so far.
+// Stats returns the counts so far.
 func (p *Placer) Stats() Stats { return p.stats }
