--- a/internal/placement/admission_test.go
+++ b/internal/placement/admission_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOnCalmDaysEverythingIsLetIn(t *testing.T) {
+func TestEveryRequestIsAdmittedWithoutOverload(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	for i := range 500 {
 		require.NoError(t, f.p.Admit(f.now, f.greeting(i)))
@@ -16,7 +16,7 @@
 	require.Zero(t, f.p.Stats().Overload)
 }
 
-func TestLatenessAloneRefusesNobody(t *testing.T) {
+func TestLatenessAloneRejectsNoRequest(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
 	for range 50 { // answers come late, but not because requests wait at servers
@@ -30,6 +30,7 @@
 
 // overloaded makes a fixture whose servers have answered at many times the predicted time for a while.
 func overloaded(t *testing.T, times float64) *fixture {
+	t.Helper()
 	f := newFixture(t, 0, westAndEast()[:6:6])
 	for i := range 200 {
 		f.serve(f.greeting(i), func(string) float64 { return times })
@@ -85,7 +86,7 @@
 	}
 }
 
-func TestServersThatAnswerAgainEndTheRefusals(t *testing.T) {
+func TestServersThatAnswerAgainEndTheRejections(t *testing.T) {
 	f := overloaded(t, 12)
 	for i := range 100 {
 		f.serve(f.greeting(i), asPredicted)
--- a/internal/placement/announcement_test.go
+++ b/internal/placement/announcement_test.go
@@ -9,38 +9,38 @@
 	"fieldrelay/internal/policy"
 )
 
-func TestALongReadIsToldAndAShortOneIsNot(t *testing.T) {
+func TestALongPrefillIsAnnouncedAndAShortOneIsNot(t *testing.T) {
 	f := newFixture(t, 0, append(westAndEast(), listed(plainService, 90, zoneA)))
 	long := f.pick(f.summary(1, 1)).Announce
-	require.Equal(t, 9190, long.Tokens, "nobody told that the shared parts are kept")
+	require.Equal(t, 9190, long.Tokens, "nobody announced that the shared chunks are cached")
 	require.NotZero(t, long.Prompt)
 	require.Zero(t, f.pick(f.greeting(1)).Announce)
 	require.Zero(t, f.pick(f.request(routeBalance)).Announce)
 }
 
-func TestWhatOthersSentIsKeptThere(t *testing.T) {
+func TestAnAnnouncedPrefixIsTakenAsCached(t *testing.T) {
 	first, second := newFixture(t, 0, westAndEast()), newFixture(t, 1, westAndEast())
-	told := first.pick(first.summary(1, 1)).Announce
-	second.p.AnnouncementReceived(second.now, told)
+	announcement := first.pick(first.summary(1, 1)).Announce
+	second.p.AnnouncementReceived(second.now, announcement)
 	second.now += 10 * time.Second
-	again := second.pick(second.summary(1, 2))
-	require.Equal(t, told.Server, ServerKey(again.ServerID), "both draw the same home")
-	require.Equal(t, 2890, again.Announce.Tokens, "only its own part is to be read")
+	later := second.pick(second.summary(1, 2))
+	require.Equal(t, announcement.Server, ServerKey(later.ServerID), "both choose the same affinity server")
+	require.Equal(t, 2890, later.Announce.Tokens, "only its own chunk is to be prefilled")
 }
 
-func TestAServerThatReadsForOthersIsLeftMeanwhile(t *testing.T) {
+func TestAServerBusyWithAnAnnouncedPrefillIsAvoided(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
-	home := f.serve(f.summary(1, 1), asPredicted)
+	affine := f.serve(f.summary(1, 1), asPredicted)
 	f.now += 20 * time.Second
-	require.Equal(t, home, f.pick(f.summary(1, 2)).ServerID)
+	require.Equal(t, affine, f.pick(f.summary(1, 2)).ServerID)
 	f.now += 20 * time.Second
-	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(home), Prompt: 7, Tokens: 60_000})
-	require.NotEqual(t, home, f.pick(f.greeting(9999)).ServerID)
-	away := f.pick(f.summary(1, 3))
-	require.NotEqual(t, home, away.ServerID)
+	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(affine), Prompt: 7, Tokens: 60_000})
+	require.NotEqual(t, affine, f.pick(f.greeting(9999)).ServerID)
+	other := f.pick(f.summary(1, 3))
+	require.NotEqual(t, affine, other.ServerID)
 	f.now += maxBusyTime
-	require.Zero(t, f.p.servers[home].busy(f.now), "it is not left for longer, whatever was told")
+	require.Zero(t, f.p.servers[affine].busy(f.now), "it is not avoided for longer, whatever was announced")
 }
 
 func TestAnnouncementsAreBounded(t *testing.T) {
@@ -56,7 +56,7 @@
 	require.Equal(t, uint64(3*maxAnnouncedPrefixes), f.p.Stats().Announced)
 }
 
-func TestNothingIsToldOrHeardWhereThatIsSwitchedOff(t *testing.T) {
+func TestAnnouncementsAreNeitherSentNorTakenInWhenSwitchedOff(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.p.config.Off = policy.Without(policy.Announcements)
 	require.Zero(t, f.pick(f.summary(1, 1)).Announce)
@@ -88,29 +88,29 @@
 func TestAnnouncementsKeepToTheirRate(t *testing.T) {
 	for _, rate := range []float64{0.5, 2.5, 25} {
 		pace := newAnnouncementLimiter()
-		told := 0
-		const seconds, each = 60, 20 // reads of 20 ms to 400 ms
+		announced := 0
+		const seconds, each = 60, 20 // prefills of 20 ms to 400 ms
 		for i := range seconds * each {
 			now := time.Duration(i) * time.Second / each
 			if pace.allows(now, time.Duration(20+20*(i%20))*time.Millisecond, rate) {
-				told++
+				announced++
 			}
 		}
-		require.LessOrEqual(t, float64(told), 1.1*rate*seconds+70, "as many as raise the time from its least to its most")
-		require.GreaterOrEqual(t, float64(told), min(0.8*rate*seconds, 0.8*seconds*each))
+		require.LessOrEqual(t, float64(announced), 1.1*rate*seconds+70, "as many as raise the time from its least to its most")
+		require.GreaterOrEqual(t, float64(announced), min(0.8*rate*seconds, 0.8*seconds*each))
 	}
 }
 
-func TestTheLongerReadsAreToldWhereThereAreTooMany(t *testing.T) {
+func TestTheLongerPrefillsAreAnnouncedWhenThereAreTooMany(t *testing.T) {
 	pace := newAnnouncementLimiter()
-	told := map[bool]int{} // of reads longer than 200 ms, and of others
+	announced := map[bool]int{} // by whether the prefill takes longer than 200 ms
 	for i := range 2000 {
-		reading := time.Duration(20+20*(i%20)) * time.Millisecond
-		if pace.allows(time.Duration(i)*50*time.Millisecond, reading, 4) {
-			told[reading > 200*time.Millisecond]++
+		prefill := time.Duration(20+20*(i%20)) * time.Millisecond
+		if pace.allows(time.Duration(i)*50*time.Millisecond, prefill, 4) {
+			announced[prefill > 200*time.Millisecond]++
 		}
 	}
-	require.Greater(t, told[true], 3*told[false])
+	require.Greater(t, announced[true], 3*announced[false])
 	for i := range 400 { // the rush is over
 		pace.allows(100*time.Second+time.Duration(i)*time.Second, time.Millisecond, 4)
 	}
--- a/internal/placement/chunks_test.go
+++ b/internal/placement/chunks_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-func TestPartsAreReadAsThePageHasThem(t *testing.T) {
-	parts, err := ParseChunks("5c1e07a2:800, 91bd3f06:410,e4402b7d:250", nil)
+func TestChunksAreParsedAsThePageDescribes(t *testing.T) {
+	chunks, err := ParseChunks("5c1e07a2:800, 91bd3f06:410,e4402b7d:250", nil)
 	require.NoError(t, err)
-	require.Len(t, parts, 3)
-	require.Equal(t, []int{800, 410, 250}, []int{parts[0].Tokens, parts[1].Tokens, parts[2].Tokens})
-	require.NotEqual(t, parts[0].ID, parts[1].ID)
+	require.Len(t, chunks, 3)
+	require.Equal(t, []int{800, 410, 250}, []int{chunks[0].Tokens, chunks[1].Tokens, chunks[2].Tokens})
+	require.NotEqual(t, chunks[0].ID, chunks[1].ID)
 
 	none, err := ParseChunks("", nil)
 	require.NoError(t, err)
@@ -26,12 +26,12 @@
 	for range 100 {
 		many += ",a:1"
 	}
-	parts, err = ParseChunks(many, nil)
+	chunks, err = ParseChunks(many, nil)
 	require.NoError(t, err)
-	require.Len(t, parts, maxChunks)
+	require.Len(t, chunks, maxChunks)
 }
 
-func TestAPromptsKeyIsThatOfItsSharedParts(t *testing.T) {
+func TestAPromptsAffinityKeyIsThatOfItsSharedChunks(t *testing.T) {
 	read := func(model string, parts ...PromptChunk) prompt {
 		var p prompt
 		p.reset(&Request{Model: model, Chunks: parts, Prompt: 10})
@@ -50,11 +50,11 @@
 	require.Equal(t, 10, read("m").totalTokens)
 }
 
-// TestKeptPartsAreThoseSentLast compares the keeper with a plain list of what was sent to each server.
-func TestKeptPartsAreThoseSentLast(t *testing.T) {
+// TestCachedPrefixesAreThoseSentLast compares the index with a plain list of what was sent to each server.
+func TestCachedPrefixesAreThoseSentLast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 3000
-		k := newPrefixCacheIndex()
+		index := newPrefixCacheIndex()
 		servers := []*server{{id: "a"}, {id: "b"}}
 		sent := map[*server][]prefixHash{} // newest first
 		sizes := map[prefixHash]int{}
@@ -62,23 +62,23 @@
 			to := rapid.SampledFrom(servers).Draw(t, "server")
 			var p prompt
 			p.reset(drawPrompt(t))
-			marks := k.marks(&p, pick+1)
+			matched := index.tokens(&p, pick+1)
 			for _, s := range servers {
 				want := 0
-				for i, row := range p.prefixes {
-					if !slices.Contains(sent[s], row) {
+				for i, prefix := range p.prefixes {
+					if !slices.Contains(sent[s], prefix) {
 						break
 					}
 					want = p.cumulativeTokens[i]
 				}
-				require.Equal(t, want, marks[s])
+				require.Equal(t, want, matched[s])
 			}
-			k.insert(to, &p, capacity)
+			index.insert(to, &p, capacity)
 			for i := len(p.prefixes) - 1; i >= 0; i-- {
-				row := p.prefixes[i]
-				sizes[row] = p.chunkTokens(i)
-				sent[to] = slices.DeleteFunc(sent[to], func(other prefixHash) bool { return other == row })
-				sent[to] = slices.Insert(sent[to], 0, row)
+				prefix := p.prefixes[i]
+				sizes[prefix] = p.chunkTokens(i)
+				sent[to] = slices.DeleteFunc(sent[to], func(other prefixHash) bool { return other == prefix })
+				sent[to] = slices.Insert(sent[to], 0, prefix)
 			}
 			for len(sent[to]) > maxCachedPrefixes || (sum(sent[to], sizes) > capacity && len(sent[to]) > len(p.prefixes)) {
 				sent[to] = sent[to][:len(sent[to])-1]
@@ -87,14 +87,14 @@
 			require.Equal(t, sum(sent[to], sizes), to.cachedPrefixes.tokens)
 		}
 		for _, s := range servers {
-			k.removeServer(s)
+			index.removeServer(s)
 			require.Zero(t, s.cachedPrefixes.length)
 		}
-		require.Empty(t, k.entries)
+		require.Empty(t, index.entries)
 	})
 }
 
-// drawPrompt draws a prompt of parts that are often shared.
+// drawPrompt draws a prompt of chunks that are often shared.
 func drawPrompt(t *rapid.T) *Request {
 	request := &Request{}
 	for i := range rapid.IntRange(0, 4).Draw(t, "parts") {
@@ -104,22 +104,22 @@
 	return request
 }
 
-func (k *prefixCacheIndex) marks(p *prompt, pick uint64) map[*server]int {
+func (k *prefixCacheIndex) tokens(p *prompt, pick uint64) map[*server]int {
 	k.match(p, pick)
-	marks := map[*server]int{}
-	for _, holders := range k.entries {
-		for _, part := range holders {
-			if part.server.matchedPick == pick {
-				marks[part.server] = part.server.matchedTokens
+	tokens := map[*server]int{}
+	for _, entries := range k.entries {
+		for _, entry := range entries {
+			if entry.server.matchedPick == pick {
+				tokens[entry.server] = entry.server.matchedTokens
 			}
 		}
 	}
-	return marks
+	return tokens
 }
 
-func sum(rows []prefixHash, sizes map[prefixHash]int) (total int) {
-	for _, row := range rows {
-		total += sizes[row]
+func sum(prefixes []prefixHash, sizes map[prefixHash]int) (total int) {
+	for _, prefix := range prefixes {
+		total += sizes[prefix]
 	}
 	return total
 }
--- a/internal/placement/digest_test.go
+++ b/internal/placement/digest_test.go
@@ -13,17 +13,17 @@
 
 var update = flag.Bool("update", false, "record the digests of the runs anew")
 
-// A change that should change no behaviour changes no pick, no refusal and none of the figures that come with them.
+// A change that should change no behaviour changes no pick, no rejection and none of the figures that come with them.
 func TestSimulatedDaysHaveTheRecordedDigests(t *testing.T) {
 	days := map[string]struct {
 		proxies, servers int
 		times            float64
-		told             bool
+		announcements    bool
 		disturb          func(s *sim)
 	}{
 		"busy":     {proxies: 7, servers: 10, times: 2},
 		"one-slow": {proxies: 7, servers: 10, times: 2, disturb: func(s *sim) { s.disturb(3*time.Second, 1, 4) }},
-		"two-down": {proxies: 7, servers: 10, times: 1, told: true, disturb: func(s *sim) { s.disturb(3*time.Second, 2, 0) }},
+		"two-down": {proxies: 7, servers: 10, times: 1, announcements: true, disturb: func(s *sim) { s.disturb(3*time.Second, 2, 0) }},
 		"too-much": {proxies: 7, servers: 10, times: 6},
 	}
 	for name, day := range days {
@@ -31,10 +31,10 @@
 			digesttest.Compare(t, name, *update, func() *digesttest.Recorder {
 				recorder := digesttest.New(time.Second)
 				s := newSim(t, 1, day.proxies, day.servers)
-				s.told = day.told
+				s.announcements = day.announcements
 				s.watch = simWatch{
-					refused: func(now time.Duration, proxy int, err error) { recordRefusal(t, recorder, now, proxy, err) },
-					picked:  func(now time.Duration, proxy int, to Decision) { recordPick(recorder, now, proxy, to) },
+					rejected: func(now time.Duration, proxy int, err error) { recordRejection(t, recorder, now, proxy, err) },
+					picked:   func(now time.Duration, proxy int, to Decision) { recordPick(recorder, now, proxy, to) },
 					ended: func(now time.Duration, to Decision, label string) {
 						recorder.Entry(now, label).Number(uint64(to.Attempt)).Text(to.ServerID)
 					},
@@ -61,7 +61,7 @@
 		Number(uint64(to.Announce.Server)).Number(uint64(to.Announce.Prompt)).Number(uint64(to.Announce.Tokens))
 }
 
-func recordRefusal(t *testing.T, recorder *digesttest.Recorder, now time.Duration, proxy int, err error) {
+func recordRejection(t *testing.T, recorder *digesttest.Recorder, now time.Duration, proxy int, err error) {
 	var overload *OverloadError
 	var none *NoServerError
 	switch {
@@ -70,7 +70,7 @@
 	case errors.As(err, &none):
 		recorder.Entry(now, "none:"+reasonLabel(none.Reason)).Number(uint64(proxy)).Text(none.Service).Time(none.RetryAfter)
 	default:
-		t.Errorf("a refusal that the digests do not know: %v", err)
+		t.Errorf("a rejection that the digests do not know: %v", err)
 	}
 }
 
@@ -138,7 +138,7 @@
 			w.p.SetEvacuated(w.now, zones[:random.IntN(2)])
 		case draw == 37:
 			if err := w.p.Admit(w.now, w.greeting(1)); err != nil {
-				recordRefusal(t, recorder, w.now, 0, err)
+				recordRejection(t, recorder, w.now, 0, err)
 			}
 		}
 	}
@@ -153,7 +153,7 @@
 	}
 	decision, err := w.p.Pick(w.now, request)
 	if err != nil {
-		recordRefusal(t, recorder, w.now, 0, err)
+		recordRejection(t, recorder, w.now, 0, err)
 		return 0, false
 	}
 	recordPick(recorder, w.now, 0, decision)
--- a/internal/placement/failurereport_test.go
+++ b/internal/placement/failurereport_test.go
@@ -8,7 +8,7 @@
 	"fieldrelay/internal/policy"
 )
 
-// ready tells whether a server may get a request now.
+// ready reports whether a server may get a request now.
 func (f *fixture) ready(id string) bool {
 	return f.p.eligibility(f.now, f.p.servers[id], f.request(routeHelp)) == eligible
 }
@@ -70,7 +70,7 @@
 	f.p.FailureReported(f.now, "unknown", zoneA)
 }
 
-func TestReportsCountForNothingWhereTheyAreSwitchedOff(t *testing.T) {
+func TestReportsAreIgnoredWhenSwitchedOff(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.p.config.Off = policy.Without(policy.FailureReports)
 	id := f.list[0].GetId()
--- a/internal/placement/fixture_test.go
+++ b/internal/placement/fixture_test.go
@@ -13,7 +13,7 @@
 	"fieldrelay/internal/route"
 )
 
-// The places of the tests: two zones in the west, one in the east.
+// The failure domains of the tests: two zones in the west, one in the east.
 const (
 	zoneA = "zone-a"
 	zoneB = "zone-b"
@@ -34,7 +34,7 @@
 	routeSummary  = "summary"  // less urgent
 	routeHelp     = "help"     // urgent
 	routeGreeting = "greeting" // least urgent
-	routeEast     = "east"     // at home in the east
+	routeEast     = "east"     // its home region is the east
 	routeBalance  = "balance"  // to the plain service
 )
 
@@ -59,7 +59,7 @@
 	return table
 }
 
-// fixture is a Placer in zone a, with servers and a time that a test moves.
+// fixture is a Placer in zone a, with a server list and a clock that the test advances.
 type fixture struct {
 	t     testing.TB
 	p     *Placer
@@ -83,6 +83,7 @@
 }
 
 func newFixture(t testing.TB, host int, servers []*pb.Server) *fixture {
+	t.Helper()
 	f := &fixture{t: t, table: testTable(t), now: time.Minute, list: servers}
 	f.p = New(Config{
 		Host: hostName(host), Zone: zoneA, Regions: regions, Seed: uint64(host) + 1,
@@ -118,20 +119,20 @@
 	return servers
 }
 
-func (f *fixture) request(routeName string, parts ...PromptChunk) *Request {
+func (f *fixture) request(routeName string, chunks ...PromptChunk) *Request {
 	found, ok := f.table.Route(routeName)
 	require.True(f.t, ok)
 	tokens := 0
-	for _, part := range parts {
-		tokens += part.Tokens
+	for _, chunk := range chunks {
+		tokens += chunk.Tokens
 	}
 	return &Request{
-		Route: found, Service: found.Split[0].Service, Model: "m", Chunks: parts, Prompt: tokens,
+		Route: found, Service: found.Split[0].Service, Model: "m", Chunks: chunks, Prompt: tokens,
 		Arrived: f.now, Remaining: found.Deadline,
 	}
 }
 
-// summary is a request with a long shared part of a subject.
+// summary is a request with a long shared chunk for a subject.
 func (f *fixture) summary(subject, own int) *Request {
 	return f.request(routeSummary, PromptChunk{ID: 1, Tokens: 800}, PromptChunk{ID: 100 + uint64(subject), Tokens: 5500},
 		PromptChunk{ID: 10_000 + uint64(own), Tokens: 2890})
@@ -148,7 +149,7 @@
 	return decision
 }
 
-// serve picks a server for a request, which answers at some times the predicted time, and closes the attempt.
+// serve picks a server for a request, has it answer after a multiple of the predicted time, and closes the attempt.
 func (f *fixture) serve(request *Request, times func(server string) float64) string {
 	f.t.Helper()
 	decision := f.pick(request)
--- a/internal/placement/prefill_test.go
+++ b/internal/placement/prefill_test.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/policy"
 )
 
-// answersOf lets an engine learn from answers to prompts of drawn lengths, each waiting for a drawn time besides.
+// answersOf lets an estimator learn from answers to prompts of random lengths, each queued for a random time.
 func answersOf(e *prefillEstimator, perToken time.Duration, wait func(*rand.Rand) time.Duration, count int) {
 	random := rand.New(rand.NewPCG(5, 6))
 	for i := range count {
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestReadingTimesAreLearnt(t *testing.T) {
+func TestPrefillTimesAreLearnt(t *testing.T) {
 	for name, perToken := range map[string]time.Duration{
 		"three times faster": 9 * time.Microsecond,
 		"as guessed":         26 * time.Microsecond,
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestWaitingForOthersMovesTheReadingTimeLittle(t *testing.T) {
+func TestQueueingMovesThePrefillTimeLittle(t *testing.T) {
 	e := newPrefillEstimator()
 	answersOf(&e, initialPerToken, func(random *rand.Rand) time.Duration {
 		return 400*time.Millisecond + time.Duration(random.IntN(100))*time.Millisecond
@@ -63,7 +63,7 @@
 	require.Equal(t, initialPerToken, e.perToken)
 }
 
-// alternate serves long and short prompts that a server reads at a pace of its own.
+// alternate serves long and short prompts that a server prefills at a rate of its own.
 func alternate(f *fixture, perToken time.Duration, count int) {
 	for i := range count {
 		request := f.greeting(i)
@@ -79,14 +79,14 @@
 	}
 }
 
-func TestAPlacerLearnsHowItsServersRead(t *testing.T) {
+func TestAPlacerLearnsThePrefillTimeOfItsServers(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
 	alternate(f, 60*time.Microsecond, 200)
 	require.Greater(t, f.p.services[modelService].prefill.perToken, 40*time.Microsecond)
 }
 
-func TestReadingTimesStayAsGuessedWhereThatIsSwitchedOff(t *testing.T) {
+func TestPrefillTimesStayInitialWhenLearningIsSwitchedOff(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.p.config.Off = policy.Without(policy.PrefillRate)
 	f.warm()
--- a/internal/placement/random_test.go
+++ b/internal/placement/random_test.go
@@ -14,7 +14,7 @@
 )
 
 // world is a Placer under random events, beside what the rules are checked against: the list and the zones
-// as they were told last.
+// as they were last set.
 type world struct {
 	*fixture
 	evacuated map[string]bool
@@ -29,6 +29,7 @@
 }
 
 func newWorld(t *testing.T) *world {
+	t.Helper()
 	return &world{
 		fixture:   newFixture(t, 0, append(westAndEast(), listed(plainService, 1, zoneA), listed(plainService, 2, zoneE))),
 		evacuated: map[string]bool{},
@@ -47,7 +48,7 @@
 	return w.list[i]
 }
 
-// mayGetNew tells by the list and the zones alone whether a server may get a request of a route.
+// mayGetNew reports, by the list and the zones alone, whether a server may get a request of a route.
 func (w *world) mayGetNew(id, zone, routeName string) bool {
 	entry := w.listedNow(id)
 	if entry == nil || entry.GetDraining() || w.evacuated[zone] || w.banned[id] {
--- a/internal/placement/route_test.go
+++ b/internal/placement/route_test.go
@@ -9,9 +9,9 @@
 	"fieldrelay/internal/catalog"
 )
 
-// TestARouteWithoutAServiceIsRefused: the table keeps a route whose services cannot be read; its requests find no
-// server, which is a refusal and no denial.
-func TestARouteWithoutAServiceIsRefused(t *testing.T) {
+// TestARouteWithoutAServiceIsRejected: the table keeps a route whose services cannot be read; its requests find no
+// server, which is a rejection (503) and not a missing route (404).
+func TestARouteWithoutAServiceIsRejected(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	odd := &pb.Item{Kind: catalog.KindRoutes, Name: "odd", Body: []byte(`{"vhost":"h","path-prefix":"/odd/","split":7}`)}
 	table, faults := f.table.With([]*pb.Item{odd}, nil, false)
--- a/internal/placement/selection_test.go
+++ b/internal/placement/selection_test.go
@@ -70,7 +70,7 @@
 	require.Positive(t, f.p.Stats().Walked)
 }
 
-func TestAServerThatFailsRestsAndIsTriedAgain(t *testing.T) {
+func TestAServerThatFailsIsEjectedAndTriedAgain(t *testing.T) {
 	f := newFixture(t, 0, []*pb.Server{listed(plainService, 0, zoneA), listed(plainService, 1, zoneA)})
 	dead := f.list[0].GetId()
 	outcome := func(server string) Outcome {
@@ -89,7 +89,7 @@
 		f.p.Finished(f.now, decision.Attempt, outcome(decision.ServerID))
 		f.now += 80 * time.Millisecond
 	}
-	require.Less(t, attempts, 16, "rests of 1, 2, 4 and then 8 s")
+	require.Less(t, attempts, 16, "ejections of 1, 2, 4 and then 8 s")
 	require.Greater(t, attempts, 5)
 
 	// It comes back; after its next trial it is in use again.
@@ -127,7 +127,7 @@
 				require.NotEqual(t, dead, f.serve(f.request(routeBalance), asPredicted))
 			}
 			f.now += 2 * firstEjection
-			require.Equal(t, dead, f.pick(f.request(routeBalance)).ServerID, "one trial after its rest")
+			require.Equal(t, dead, f.pick(f.request(routeBalance)).ServerID, "one trial after its ejection")
 		})
 	}
 	f := newFixture(t, 0, nil)
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestServersThatRestAreUsedWhenNoOtherIsLeft(t *testing.T) {
+func TestEjectedServersAreUsedWhenNoOtherIsLeft(t *testing.T) {
 	f := newFixture(t, 0, []*pb.Server{listed(plainService, 0, zoneA)})
 	for range 5 {
 		decision := f.pick(f.request(routeBalance))
@@ -182,7 +182,7 @@
 	f.pick(f.request(routeBalance))
 }
 
-func TestARefusalCountsAsSpeedZeroAndIsNoFailure(t *testing.T) {
+func TestARejectionCountsAsSpeedZeroAndIsNoFailure(t *testing.T) {
 	f := newFixture(t, 0, []*pb.Server{listed(plainService, 0, zoneA), listed(plainService, 1, zoneA)})
 	for range 4 {
 		f.serve(f.request(routeBalance), asPredicted)
@@ -227,7 +227,7 @@
 func TestTheProxysConnectionsAreBounded(t *testing.T) {
 	f := newFixture(t, 0, []*pb.Server{listed(plainService, 0, zoneA)})
 	bound := f.pick(f.request(routeBalance)).MaxConnections
-	require.Equal(t, 12, bound) // 0.9 of 100 by 7
+	require.Equal(t, 12, bound) // 0.9 of 100 connections, shared by 7 proxies
 	for range bound - 1 {
 		f.pick(f.request(routeBalance))
 	}
--- a/internal/placement/sim_test.go
+++ b/internal/placement/sim_test.go
@@ -15,9 +15,9 @@
 	"fieldrelay/internal/route"
 )
 
-// A simulation of several proxies, each with its own Placer, before servers that read prompts one after the
-// other at a fixed rate and keep the parts used last. It checks the placement as a whole: answers in time,
-// shared parts seldom read anew, no server overrun.
+// A simulation of several proxies, each with its own Placer, in front of servers that prefill prompts one after
+// the other at a fixed rate and cache the chunks used last. It checks placement as a whole: answers in time, shared
+// chunks seldom prefilled anew, no server overloaded.
 
 // simKind is one kind of request of the simulation.
 type simKind struct {
@@ -42,46 +42,46 @@
 
 // simEngine is a server of the simulation.
 type simEngine struct {
-	entry  *pb.Server
-	region string
-	freeAt time.Duration // when it has read what waits
-	slow   float64       // times the usual time
-	kept   []simPart     // used last first
-	tokens int
-	served int
-	reread int // shared tokens that were read
+	entry         *pb.Server
+	region        string
+	freeAt        time.Duration // when its queue will be empty
+	slow          float64       // factor of the usual time
+	cached        []simChunk    // most recently used first
+	tokens        int
+	served        int
+	prefilledAnew int // shared tokens that were prefilled again
 }
 
-type simPart struct {
+type simChunk struct {
 	id     string
 	tokens int
 }
 
-// read gives how many tokens of a prompt are not kept, and keeps them from now on.
-func (e *simEngine) read(parts []simPart) (unread, sharedUnread int) {
+// prefill returns how many tokens of a prompt were not cached, and caches them.
+func (e *simEngine) prefill(chunks []simChunk) (uncached, sharedUncached int) {
 	broken := false
-	for i, part := range parts {
-		at := slices.IndexFunc(e.kept, func(have simPart) bool { return have.id == part.id })
+	for i, chunk := range chunks {
+		at := slices.IndexFunc(e.cached, func(have simChunk) bool { return have.id == chunk.id })
 		if at < 0 {
 			broken = true
-			e.tokens += part.tokens
+			e.tokens += chunk.tokens
 		} else {
-			e.kept = slices.Delete(e.kept, at, at+1)
+			e.cached = slices.Delete(e.cached, at, at+1)
 		}
-		e.kept = slices.Insert(e.kept, 0, part)
+		e.cached = slices.Insert(e.cached, 0, chunk)
 		if broken {
-			unread += part.tokens
-			if i < len(parts)-1 {
-				sharedUnread += part.tokens
+			uncached += chunk.tokens
+			if i < len(chunks)-1 {
+				sharedUncached += chunk.tokens
 			}
 		}
 	}
 	for e.tokens > simMemory {
-		last := len(e.kept) - 1
-		e.tokens -= e.kept[last].tokens
-		e.kept = e.kept[:last]
+		last := len(e.cached) - 1
+		e.tokens -= e.cached[last].tokens
+		e.cached = e.cached[:last]
 	}
-	return unread, sharedUnread
+	return uncached, sharedUncached
 }
 
 type simEvent struct {
@@ -103,28 +103,28 @@
 }
 
 type sim struct {
-	random  *rand.Rand
-	table   *route.Table
-	placers []*Placer
-	zones   []string // of the proxies
-	engines map[string]*simEngine
-	queue   simQueue
-	results map[string]*simResult // by route
-	offered int                   // shared tokens
-	told    bool                  // proxies of a region hear of each other's long reads at once
-	watch   simWatch
+	random        *rand.Rand
+	table         *route.Table
+	placers       []*Placer
+	zones         []string // of the proxies
+	engines       map[string]*simEngine
+	queue         simQueue
+	results       map[string]*simResult // by route
+	offered       int                   // shared tokens
+	announcements bool                  // proxies of a region receive each other's announcements at once
+	watch         simWatch
 }
 
-// simWatch is told of what the placers decide, and of how attempts go; the functions that are nil are not called.
+// simWatch observes what the placers decide and how attempts end; functions that are nil are not called.
 type simWatch struct {
-	refused func(now time.Duration, proxy int, err error)
-	picked  func(now time.Duration, proxy int, decision Decision)
-	ended   func(now time.Duration, decision Decision, label string)
+	rejected func(now time.Duration, proxy int, err error)
+	picked   func(now time.Duration, proxy int, decision Decision)
+	ended    func(now time.Duration, decision Decision, label string)
 }
 
-func (w *simWatch) onRefused(now time.Duration, proxy int, err error) {
-	if w.refused != nil {
-		w.refused(now, proxy, err)
+func (w *simWatch) onRejected(now time.Duration, proxy int, err error) {
+	if w.rejected != nil {
+		w.rejected(now, proxy, err)
 	}
 }
 
@@ -141,11 +141,12 @@
 }
 
 type simResult struct {
-	sent, inTime, refused, failed int
+	sent, inTime, rejected, failed int
 }
 
 // newSim makes proxies and servers, each spread over the zones.
 func newSim(t *testing.T, seed uint64, proxies, servers int) *sim {
+	t.Helper()
 	s := &sim{
 		random:  rand.New(rand.NewPCG(seed, 3)),
 		table:   testTable(t),
@@ -185,7 +186,7 @@
 	heap.Push(&s.queue, simEvent{at: now + wait, run: run})
 }
 
-// load starts the arrivals of a kind at some times its rate.
+// load starts the arrivals of a kind at a multiple of its rate.
 func (s *sim) load(kind simKind, times float64, until time.Duration) {
 	var arrive func(now time.Duration)
 	next := func(now time.Duration) {
@@ -208,13 +209,13 @@
 	}
 }
 
-// arrive lets a client's request come to one of the proxies.
+// arrive hands a client's request to one of the proxies.
 func (s *sim) arrive(now time.Duration, kind simKind) {
 	proxy := s.random.IntN(len(s.placers))
 	p := s.placers[proxy]
 	found, _ := s.table.Route(kind.route)
 	subject := s.random.IntN(kind.subjects)
-	parts := []simPart{
+	chunks := []simChunk{
 		{fmt.Sprint(kind.route, subject), kind.shared},
 		{fmt.Sprint(kind.route, subject, "/", s.random.Uint64()), kind.own},
 	}
@@ -222,49 +223,49 @@
 		Route: found, Service: modelService, Model: "m", Prompt: kind.shared + kind.own,
 		Arrived: now, Remaining: found.Deadline,
 	}
-	for i, part := range parts {
-		header := fmt.Sprintf("%x:%d", part.id, part.tokens)
+	for i, chunk := range chunks {
+		header := fmt.Sprintf("%x:%d", chunk.id, chunk.tokens)
 		request.Chunks, _ = ParseChunks(header, request.Chunks)
-		if i < len(parts)-1 {
-			s.offered += part.tokens
+		if i < len(chunks)-1 {
+			s.offered += chunk.tokens
 		}
 	}
 	result := s.results[kind.route]
 	result.sent++
 	if err := p.Admit(now, request); err != nil {
-		s.watch.onRefused(now, proxy, err)
-		result.refused++
+		s.watch.onRejected(now, proxy, err)
+		result.rejected++
 		return
 	}
 	decision, err := p.Pick(now, request)
 	if err != nil {
-		s.watch.onRefused(now, proxy, err)
-		result.refused++
+		s.watch.onRejected(now, proxy, err)
+		result.rejected++
 		return
 	}
 	s.watch.onPicked(now, proxy, decision)
-	if s.told && decision.Announce.Tokens > 0 {
+	if s.announcements && decision.Announce.Tokens > 0 {
 		s.announce(now, proxy, decision.Announce)
 	}
-	s.serve(now, p, s.zones[proxy], request, kind, decision, parts)
+	s.serve(now, p, s.zones[proxy], request, kind, decision, chunks)
 }
 
-// announce tells the other proxies of a proxy's region.
-func (s *sim) announce(now time.Duration, from int, told Announcement) {
+// announce delivers an announcement to the other proxies of the sender's region.
+func (s *sim) announce(now time.Duration, from int, announcement Announcement) {
 	for i, other := range s.placers {
 		if i != from && regions[s.zones[i]] == regions[s.zones[from]] {
-			other.AnnouncementReceived(now, told)
+			other.AnnouncementReceived(now, announcement)
 		}
 	}
 }
 
 // serve runs an attempt at its engine.
-func (s *sim) serve(now time.Duration, p *Placer, zone string, request *Request, kind simKind, to Decision, parts []simPart) {
+func (s *sim) serve(now time.Duration, p *Placer, zone string, request *Request, kind simKind, to Decision, chunks []simChunk) {
 	engine := s.engines[to.ServerID]
 	result := s.results[kind.route]
-	way := simWay(zone, engine)
+	roundTrip := simRoundTrip(zone, engine)
 	if engine.slow == 0 { // down
-		s.after(now, way, func(now time.Duration) {
+		s.after(now, roundTrip, func(now time.Duration) {
 			result.failed++
 			s.watch.onEnded(now, to, "reset")
 			p.Finished(now, to.Attempt, Reset)
@@ -273,11 +274,11 @@
 		return
 	}
 	engine.served++
-	unread, sharedUnread := engine.read(parts)
-	engine.reread += sharedUnread
-	reading := time.Duration(float64(unread) / simTokensPerMS * engine.slow * float64(time.Millisecond))
-	engine.freeAt = max(engine.freeAt, now+way/2) + reading + simStep
-	first := engine.freeAt + simStep + way/2
+	uncached, sharedUncached := engine.prefill(chunks)
+	engine.prefilledAnew += sharedUncached
+	prefill := time.Duration(float64(uncached) / simTokensPerMS * engine.slow * float64(time.Millisecond))
+	engine.freeAt = max(engine.freeAt, now+roundTrip/2) + prefill + simStep
+	first := engine.freeAt + simStep + roundTrip/2
 	s.after(first, 0, func(now time.Duration) {
 		latency := now - request.Arrived
 		s.watch.onEnded(now, to, "started")
@@ -292,8 +293,8 @@
 	})
 }
 
-// simWay is the time there and back.
-func simWay(zone string, engine *simEngine) time.Duration {
+// simRoundTrip is the round trip time.
+func simRoundTrip(zone string, engine *simEngine) time.Duration {
 	switch {
 	case engine.region != regions[zone]:
 		return 40 * time.Millisecond
@@ -307,17 +308,17 @@
 	for _, result := range s.results {
 		total.sent += result.sent
 		total.inTime += result.inTime
-		total.refused += result.refused
+		total.rejected += result.rejected
 		total.failed += result.failed
 	}
 	return total
 }
 
-// rereadShare is the part of the offered shared tokens that servers had to read.
-func (s *sim) rereadShare() float64 {
+// prefilledAnewShare is the fraction of the offered shared tokens that servers had to prefill.
+func (s *sim) prefilledAnewShare() float64 {
 	read := 0
 	for _, engine := range s.engines {
-		read += engine.reread
+		read += engine.prefilledAnew
 	}
 	return float64(read) / float64(s.offered)
 }
@@ -337,8 +338,8 @@
 		t.Logf("%s: %s %+v", name, kind.route, *s.results[kind.route])
 	}
 	t.Logf("%s: %d sent, %.4f in time, %.4f refused, %.4f failed, %.3f of shared tokens read, %.3f to another region",
-		name, total.sent, float64(total.inTime)/float64(total.sent), float64(total.refused)/float64(total.sent),
-		float64(total.failed)/float64(total.sent), s.rereadShare(), s.otherRegionShare())
+		name, total.sent, float64(total.inTime)/float64(total.sent), float64(total.rejected)/float64(total.sent),
+		float64(total.failed)/float64(total.sent), s.prefilledAnewShare(), s.otherRegionShare())
 }
 
 func TestSimulatedDays(t *testing.T) {
@@ -347,10 +348,10 @@
 		times            float64 // of the load
 		disturb          func(s *sim)
 		inTime           float64 // share, at least
-		reread           float64 // shared tokens that servers read, as a share, at most
+		reread           float64 // shared tokens that servers prefill, as a share, at most
 		refused          float64 // share, at most
 	}{
-		// Two regions read each of 187 shared parts once: 0.2 of the tokens of a quiet day.
+		// Two regions prefill each of 187 shared chunks once: 0.2 of the tokens of a quiet day.
 		"quiet": {proxies: 7, servers: 10, times: 1, inTime: 0.995, reread: 0.27},
 		"busy":  {proxies: 7, servers: 10, times: 2, inTime: 0.99, reread: 0.19},
 		"full":  {proxies: 7, servers: 10, times: 4, inTime: 0.93, reread: 0.18, refused: 0.01},
@@ -379,17 +380,17 @@
 			total := s.totals()
 			sent := float64(total.sent)
 			require.GreaterOrEqual(t, float64(total.inTime)/sent, c.inTime, "in time")
-			require.LessOrEqual(t, s.rereadShare(), c.reread, "read")
-			require.LessOrEqual(t, float64(total.refused)/sent, c.refused, "refused")
+			require.LessOrEqual(t, s.prefilledAnewShare(), c.reread, "read")
+			require.LessOrEqual(t, float64(total.rejected)/sent, c.refused, "refused")
 		})
 	}
 }
 
-// TestAnnouncementsKeepRequestsFromServersThatRead plays the same days with and without announcements.
-func TestAnnouncementsKeepRequestsFromServersThatRead(t *testing.T) {
-	late := func(seed uint64, told bool) float64 {
+// TestAnnouncementsKeepRequestsFromServersInPrefill plays the same days with and without announcements.
+func TestAnnouncementsKeepRequestsFromServersInPrefill(t *testing.T) {
+	late := func(seed uint64, announcements bool) float64 {
 		s := newSim(t, seed, 67, 90)
-		s.told = told
+		s.announcements = announcements
 		for _, kind := range simKinds {
 			s.load(kind, 32, 10*time.Second)
 		}
