--- /dev/null
+++ b/internal/limits/members.go
@@ -0,0 +1,65 @@
+package limits
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+)
+
+// member is one proxy that shares the limits.
+type member struct {
+	host   string
+	region string
+	hash   uint64 // of the host
+}
+
+// membersOf returns the members that shares name, sorted by host, each host once.
+func membersOf(shares *pb.Shares) []member {
+	members := make([]member, 0, len(shares.GetMembers()))
+	for _, neighbour := range shares.GetMembers() {
+		name := neighbour.GetHost()
+		members = append(members, member{host: name, region: neighbour.GetRegion(), hash: xxhash.Sum64String(name)})
+	}
+	slices.SortFunc(members, func(x, y member) int { return cmp.Compare(x.host, y.host) })
+	return slices.CompactFunc(members, func(x, y member) bool { return x.host == y.host })
+}
+
+// enoughMembers reports whether shares name a majority of the proxies. With fewer, this proxy would believe itself to be
+// among the first too often.
+func enoughMembers(shares *pb.Shares, members []member) bool {
+	return shares.GetProxies() > 0 && 2*len(members) > int(shares.GetProxies())
+}
+
+// position returns this host's position, from 0, among the members in the order of rendezvous hashing for a key
+// (Thaler and Ravishankar, 1998): proxies that know the same members agree on the order without coordination. Members
+// for which eligible is false are passed over, as are repeated hosts. It is -1 if the host is not a member.
+func position(members []member, host, key string, eligible func(member) bool) int {
+	own := slices.IndexFunc(members, func(m member) bool { return m.host == host && eligible(m) })
+	if own < 0 {
+		return -1
+	}
+	keyHash := xxhash.Sum64String(key)
+	ownWeight := weight(members[own], keyHash)
+	ahead := 0
+	for _, other := range members {
+		if other.host == host || !eligible(other) {
+			continue
+		}
+		otherWeight := weight(other, keyHash)
+		if otherWeight > ownWeight || (otherWeight == ownWeight && other.host < host) {
+			ahead++
+		}
+	}
+	return ahead
+}
+
+// weight mixes a member and a key into the member's weight for that key, by the finalizer of SplitMix64.
+func weight(m member, keyHash uint64) uint64 {
+	mixed := m.hash ^ keyHash
+	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
+	mixed = (mixed ^ mixed>>27) * 0x94d049bb133111eb
+	return mixed ^ mixed>>31
+}
--- a/internal/limits/retry.go
+++ b/internal/limits/retry.go
@@ -7,59 +7,67 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Tuning of the retry budget; all dimensionless. The rest of the bound is for requests that are counted at
-// another instant than here, and for proxies whose counts of each other differ.
+// Fractions of the retry limit that the proxies use; all dimensionless. The rest is a margin for requests that are
+// counted at another instant than here, and for proxies that know different sets of proxies.
 const (
-	ratioPart   = 0.7 // of the ratio, on the requests of the last window
-	certainPart = 0.9 // of the ratio, on those that any window of the rule finds
-	extraPart   = 0.8 // of the extra retries, over all proxies
-	freshPart   = 0.2 // of the extra retries until a window has passed: an earlier life may have used its part
-	lentPart    = 0.5 // of what is left when each proxy has its whole number, lent to the first in order
-	maxServices = 256 // whose counts are kept
+	// ratioFraction is used of the ratio, on the requests of the last window.
+	ratioFraction = 0.7
+	// certainFraction is used of the ratio, on the requests that every window of the rule finds (lowerBound).
+	certainFraction = 0.9
+	// extraFraction is used of the extra retries, over all proxies.
+	extraFraction = 0.8
+	// startupExtraFraction replaces extraFraction until one window has passed: an earlier incarnation of this process may
+	// have used its share.
+	startupExtraFraction = 0.2
+	// remainderFraction of the extra retries that are left by rounding down is given to the first proxies in order.
+	remainderFraction = 0.5
 )
 
-// RetryConfig holds the figures of the common bound on retries: in each sliding window, the arrivals at a
-// service beyond the first of each request are at most Ratio for each request and Extra besides.
+// maxServices is the most services whose requests are counted.
+const maxServices = 256
+
+// RetryConfig holds the common limit on retries: in each sliding window, the attempts at a service beyond the first of
+// each request are at most Ratio times the requests, plus Extra.
 type RetryConfig struct {
-	Ratio  float64
-	Extra  float64 // over all proxies
-	Window time.Duration
+	Ratio  float64       // retries per request
+	Extra  float64       // retries per window, over all proxies
+	Window time.Duration // length of the sliding window
 }
 
-// RetryBudget keeps this proxy's part of the bound on retries.
+// RetryBudget enforces this proxy's share of the limit on retries, for each service.
 type RetryBudget struct {
 	config   RetryConfig
 	host     string
 	proxies  int // 0: unknown
 	members  []member
-	services map[string]*counts
+	services map[string]*windowCounts
 }
 
-// NewRetryBudget makes the budget of the proxy on a host. Until SetQuotaMembers, it has no part of the extra.
+// NewRetryBudget makes the budget of the proxy on a host. Until SetQuotaMembers, it has no share of the extra retries.
 func NewRetryBudget(config RetryConfig, host string) *RetryBudget {
 	config.Window = max(config.Window, 2*bucketWidth)
-	return &RetryBudget{config: config, host: host, services: map[string]*counts{}}
+	return &RetryBudget{config: config, host: host, services: map[string]*windowCounts{}}
 }
 
-// SetQuotaMembers takes in which proxies share the bound.
+// SetQuotaMembers replaces the proxies that share the limit.
 func (b *RetryBudget) SetQuotaMembers(shares *pb.Shares) {
 	b.members = membersOf(shares)
 	b.proxies = 0
-	if known(shares, b.members) {
+	if enoughMembers(shares, b.members) {
 		b.proxies = max(int(shares.GetProxies()), len(b.members))
 	}
 }
 
 // Request counts a client's request for a service.
 func (b *RetryBudget) Request(now time.Duration, service string) {
-	if c := b.counts(now, service); c != nil {
+	if c := b.windowCounts(now, service); c != nil {
 		c.requests[c.slot(0)]++
 	}
 }
 
-// Take asks to send a request to a service once more, and counts that if it is allowed.
+// Take reports whether a retry may be sent to a service, and counts it if so.
 func (b *RetryBudget) Take(now time.Duration, service string) bool {
-	c := b.counts(now, service)
+	c := b.windowCounts(now, service)
 	if c == nil || float64(c.retried()+1) > b.allowance(now, c, service) {
 		return false
 	}
@@ -67,9 +75,9 @@
 	return true
 }
 
-// Refund takes back a retry that was allowed within the last window, because it was not sent.
+// Refund returns a retry that Take allowed within the last window and that was not sent.
 func (b *RetryBudget) Refund(now time.Duration, service string) {
-	c := b.counts(now, service)
+	c := b.windowCounts(now, service)
 	if c == nil {
 		return
 	}
@@ -81,9 +89,9 @@
 	}
 }
 
-// Left is the number of retries that would be allowed at once.
+// Left is the number of retries that Take would allow now.
 func (b *RetryBudget) Left(now time.Duration, service string) int {
-	c := b.counts(now, service)
+	c := b.windowCounts(now, service)
 	if c == nil {
 		return 0
 	}
@@ -91,45 +99,45 @@
 }
 
 // allowance is the number of retries that this proxy may send in a window.
-func (b *RetryBudget) allowance(now time.Duration, c *counts, service string) float64 {
-	byRatio := b.config.Ratio * min(ratioPart*float64(c.requested()), certainPart*c.certain())
+func (b *RetryBudget) allowance(now time.Duration, c *windowCounts, service string) float64 {
+	byRatio := b.config.Ratio * min(ratioFraction*float64(c.requested()), certainFraction*c.lowerBound())
 	return byRatio + float64(b.extra(now, service))
 }
 
-// extra is this proxy's whole number of the extra retries of a service: an equal part, rounded down. Of what
-// rounding leaves, one each is lent to the first proxies in an order that the service's name sets.
+// extra is this proxy's whole number of the extra retries of a service: an equal share, rounded down. Of what rounding
+// leaves over, one each goes to the first proxies in an order that depends on the service's name.
 func (b *RetryBudget) extra(now time.Duration, service string) int {
 	if b.proxies == 0 {
 		return 0
 	}
-	all := extraPart * b.config.Extra
+	all := extraFraction * b.config.Extra
 	if now < b.config.Window {
-		all = freshPart * b.config.Extra
+		all = startupExtraFraction * b.config.Extra
 	}
 	each := math.Floor(all / float64(b.proxies))
-	lent := int(lentPart * (all - each*float64(b.proxies)))
-	place := rank(b.members, b.host, service, func(member) bool { return true })
-	if place >= 0 && place < lent {
+	remainder := int(remainderFraction * (all - each*float64(b.proxies)))
+	own := position(b.members, b.host, service, func(member) bool { return true })
+	if own >= 0 && own < remainder {
 		each++
 	}
 	return int(each)
 }
 
-// counts gives the counts of a service, or nil when too many services are in use.
-func (b *RetryBudget) counts(now time.Duration, service string) *counts {
+// windowCounts returns the counts of a service, up to date at now. It is nil if too many services are in use.
+func (b *RetryBudget) windowCounts(now time.Duration, service string) *windowCounts {
 	c, ok := b.services[service]
 	if !ok {
 		if len(b.services) >= maxServices && !b.dropIdle(now) {
 			return nil
 		}
-		c = newCounts(b.config.Window)
+		c = newWindowCounts(b.config.Window)
 		b.services[service] = c
 	}
 	c.advance(now)
 	return c
 }
 
-// dropIdle forgets the services without a request or retry in the last window, and tells if there was one.
+// dropIdle removes the services without a request or retry in the last window, and reports whether there was one.
 func (b *RetryBudget) dropIdle(now time.Duration) bool {
 	dropped := false
 	for name, c := range b.services {
--- a/internal/limits/retry_test.go
+++ b/internal/limits/retry_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestAFreshProcessHasLittleOfTheExtra(t *testing.T) {
+func TestANewProcessHasLittleOfTheExtra(t *testing.T) {
 	budget := NewRetryBudget(pageConfig, hostName(0))
 	budget.SetQuotaMembers(sharesOf(2, upTo(2), oneRegion))
 	require.Equal(t, 5, budget.Left(time.Second, "s"))
@@ -150,6 +150,7 @@
 // requireBudget checks every window as the rule does: the requests of that window, of the one before it or of
 // the one half a window before, whichever holds most.
 func requireBudget(t *rapid.T, config RetryConfig, requests, retries []int, window int) {
+	t.Helper()
 	sum := func(counts []int, from, to int) int {
 		total := 0
 		for i := max(from, 0); i < min(to, len(counts)); i++ {
@@ -165,11 +166,11 @@
 	}
 }
 
-func TestCertainIsNoMoreThanWhatTheWindowsHold(t *testing.T) {
+func TestTheLowerBoundIsNoMoreThanWhatTheWindowsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const buckets = 100
 		window := buckets * bucketWidth
-		c := newCounts(window)
+		c := newWindowCounts(window)
 		history := make([]int, 3*buckets)
 		for i := range history {
 			c.advance(time.Duration(i) * bucketWidth)
@@ -188,7 +189,7 @@
 		require.Equal(t, sum(end-buckets, end), float64(c.requested()))
 		for from := end - buckets; from <= end; from++ {
 			most := max(sum(from, from+buckets), sum(from-buckets, from), sum(from-buckets/2, from+buckets/2))
-			require.LessOrEqual(t, c.certain(), most+1e-9, "window from %d", from)
+			require.LessOrEqual(t, c.lowerBound(), most+1e-9, "window from %d", from)
 		}
 	})
 }
--- a/internal/limits/version_test.go
+++ b/internal/limits/sharesversion_test.go
@@ -13,8 +13,8 @@
 		return &pb.SharesVersion{Agent: agent, Revision: revision}
 	}
 	tests := map[string]struct {
-		told, held *pb.SharesVersion
-		outdated   bool
+		received, applied *pb.SharesVersion
+		outdated          bool
 	}{
 		"earlier":                  {version(1, 2), version(1, 3), true},
 		"the same":                 {version(1, 3), version(1, 3), false},
@@ -24,6 +24,6 @@
 		"the first":                {version(1, 1), nil, false},
 	}
 	for name, test := range tests {
-		require.Equal(t, test.outdated, IsOutdated(test.told, test.held), name)
+		require.Equal(t, test.outdated, IsOutdated(test.received, test.applied), name)
 	}
 }
