--- a/internal/jsonwalk/walk.go
+++ b/internal/jsonwalk/walk.go
@@ -1,10 +1,10 @@
-// Package jsonwalk takes JSON texts apart without decoding them: it gives the members of objects and the elements of
-// lists as parts of the text. It looks at each byte once and copies nothing, so that a configuration of thousands of
-// routes is read in a few milliseconds.
+// Package jsonwalk iterates over the members of JSON objects and the elements of JSON arrays without decoding them: each
+// value is a slice of the text. It reads each byte once and copies nothing, so that a configuration of thousands of
+// routes is read in a few milliseconds. It does not validate.
 //
-// Names of members are compared exactly, with regard to case. Where a member comes more than once the last one counts,
-// and a null counts as a member that is missing. A text has no space around it and is one that json.Valid accepts;
-// another one gives any of its parts or none, but no panic.
+// Names of members are compared exactly and with regard to case, unlike encoding/json does. Where a member occurs more
+// than once the last one counts, and null counts as a missing member. A text must be valid (json.Valid) and without
+// space around it. For any other text the functions return some of its parts or none, and do not panic.
 package jsonwalk
 
 import (
@@ -15,13 +15,13 @@
 	"unicode/utf8"
 )
 
-// Trim drops the white space around a value.
+// Trim removes the white space around a value.
 func Trim(data []byte) []byte { return bytes.Trim(data, " \t\r\n") }
 
 // IsObject reports whether a value is an object.
 func IsObject(value []byte) bool { return len(value) > 0 && value[0] == '{' }
 
-// IsArray reports whether a value is a list.
+// IsArray reports whether a value is an array.
 func IsArray(value []byte) bool { return len(value) > 0 && value[0] == '[' }
 
 // IsString reports whether a value is a string.
@@ -30,8 +30,8 @@
 // IsNull reports whether a value is null.
 func IsNull(value []byte) bool { return string(value) == "null" }
 
-// Members yields the members of an object in the order of the text, each value as a part of it. Keys may be
-// compared, or copied by TextOf.
+// Members yields the members of an object in the order of the text, each value as a slice of it. A key is as Unquoted
+// returns it: it may be compared, or copied by TextOf.
 func Members(object []byte) iter.Seq2[[]byte, []byte] {
 	return func(yield func(key, value []byte) bool) {
 		position := skipSpace(object, 1)
@@ -49,7 +49,7 @@
 	}
 }
 
-// Elements yields the elements of a list, each as a part of the text.
+// Elements yields the elements of an array, each as a slice of the text.
 func Elements(array []byte) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		position := skipSpace(array, 1)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Member returns the last member of an object that has a name, and nil if there is none or it is null.
+// Member returns the value of the last member of a name; nil if there is none or it is null.
 func Member(object []byte, name string) []byte {
 	var found []byte
 	for key, value := range Members(object) {
@@ -74,7 +74,7 @@
 	return Present(found)
 }
 
-// Present gives nil for a null, and any other value as it is.
+// Present returns nil for null, and any other value unchanged.
 func Present(value []byte) []byte {
 	if IsNull(value) {
 		return nil
@@ -82,7 +82,8 @@
 	return value
 }
 
-// Unquoted returns what is between the quotes of a JSON string, decoded only if it has escapes.
+// Unquoted returns what is between the quotes of a JSON string. It is a slice of the text, or a decoded copy if the
+// string has escapes.
 func Unquoted(quoted []byte) []byte {
 	if len(quoted) < 2 {
 		return nil
@@ -109,7 +110,7 @@
 // Text decodes a JSON string.
 func Text(quoted []byte) string { return TextOf(Unquoted(quoted)) }
 
-// Number decodes a JSON number. It reports false for any other value, and for a number beyond a float64.
+// Number decodes a JSON number. It returns false for any other value, and for a number out of the range of float64.
 func Number(value []byte) (float64, bool) {
 	if len(value) == 0 || IsString(value) {
 		return 0, false
@@ -118,7 +119,7 @@
 	return number, err == nil
 }
 
-// nextElement returns the place of the next key or element, or of the closing bracket, after a value.
+// nextElement returns the position of the next key or element, or of the closing bracket, after a value.
 func nextElement(data []byte, position int) int {
 	position = skipSpace(data, position)
 	if position < len(data) && data[position] == ',' {
@@ -127,6 +128,7 @@
 	return position
 }
 
+// skipSpace returns the position of the first byte, from position on, that is not white space.
 func skipSpace(data []byte, position int) int {
 	for position < len(data) {
 		switch data[position] {
@@ -139,7 +141,7 @@
 	return len(data)
 }
 
-// valueEnd returns the place after the value that begins at position, which is position itself if none does.
+// valueEnd returns the position after the value that begins at position; position itself if none does.
 func valueEnd(data []byte, position int) int {
 	if position >= len(data) {
 		return position
@@ -165,6 +167,7 @@
 	return false
 }
 
+// stringEnd returns the position after the string that begins at position.
 func stringEnd(data []byte, position int) int {
 	for position++; position < len(data) && data[position] != '"'; position++ {
 		if data[position] == '\\' {
@@ -174,6 +177,8 @@
 	return min(position+1, len(data))
 }
 
+// bracketEnd returns the position after the object or array that begins at position. Brackets of both kinds count alike:
+// a valid text closes each by its own kind.
 func bracketEnd(data []byte, position int) int {
 	depth := 0
 	for position < len(data) {
--- a/internal/jsonwalk/walk_test.go
+++ b/internal/jsonwalk/walk_test.go
@@ -60,6 +60,7 @@
 }
 
 func checkElements(t *rapid.T, value []byte) {
+	t.Helper()
 	if !IsArray(value) {
 		return
 	}
@@ -73,7 +74,7 @@
 	require.Len(t, want, index)
 }
 
-// TestNoTextPanics: what is not JSON, which may come from a damaged item, gives some parts or none.
+// TestNoTextPanics: a text that is not JSON, such as that of a damaged item, yields some parts or none.
 func TestNoTextPanics(t *testing.T) {
 	pieces := []string{`{`, `}`, `[`, `]`, `"`, `\\`, `:`, `,`, ` `, `"a"`, `1`, `null`, "\xff", `\u00`}
 	rapid.Check(t, func(t *rapid.T) {
