--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,7 @@
-// Package policy names the mechanisms by which a proxy decides, so that each can be switched off: by an operator
-// who suspects one, and by measurements that tell what one is worth. None of them is needed to keep a rule; what
-// keeps a rule has no switch.
+// Package policy names the mechanisms by which a proxy decides, so that each can be switched off: by an operator who
+// suspects it of a fault, and by measurements of what it contributes (ablations). None of them is needed to keep a rule
+// of docs/region-rules.md; what keeps a rule has no switch. The mechanisms themselves are in the packages that use
+// them, mostly placement and proxy. The package is stateless.
 package policy
 
 import (
@@ -10,38 +11,38 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mechanism is one part of the policy that can be switched off.
+// Mechanism is one mechanism that can be switched off. Its number is not stable between versions; its name is.
 type Mechanism uint8
 
 // The mechanisms.
 const (
-	PromptAffinity    Mechanism = iota // a prompt's servers by rendezvous hashing of its shared parts
-	PrefixCache                        // memory of which prompts were sent where
-	PrefillPrice                       // reading shared parts anew counts more than its time
-	Softmax                            // picks drawn by speed; off: always the best
-	SortedWalk                         // the walk over sorted servers while answers come late
-	Subset                             // a proxy spreads its requests over part of a region's servers
-	Spill                              // other regions while they answer sooner
-	ZonePreference                     // servers of the own zone count as nearer than they are
-	PrefillRate                        // the time to read a token is learnt from answers
-	Announcements                      // long reads are told to the other proxies of the region
-	FailureReports                     // servers that break connections are told to the other proxies of the region
-	Admission                          // refusals while answers come late and servers are full
-	Trickle                            // one request of each route is let in at times, however bad it looks
-	Ejection                           // rest after failures in a row
-	RejectionCooldown                  // a server that was full is left alone for a moment
-	DrainCooldown                      // a server whose answers close connections is left alone
-	Seeding                            // a request for every server of which nothing is known
-	SpeedAging                         // old estimates are drawn to the typical speed
-	OverdueBound                       // an attempt that waits too long lowers its server's estimate at once
-	Priorities                         // servers are told how urgent a request is
-	CapacityWait                       // a request waits for a place before it is refused
-	ConnectionReuse                    // connections to servers are used again
-	ReachabilityWatch                  // machines out of reach are left before the deadline
-	mechanisms                         // their number
+	PromptAffinity    Mechanism = iota // requests with shared chunks go to one server of a region first, by rendezvous hashing
+	PrefixCache                        // the index of which prefixes were sent to which servers
+	PrefillPrice                       // prefilling shared chunks anew costs more than its time
+	Softmax                            // servers are drawn by their predictions; off: always the best
+	SortedWalk                         // servers are taken from a sorted list while many answers are late
+	Subset                             // a proxy spreads its requests over some of a region's servers
+	Spill                              // requests go to other regions while those answer sooner
+	ZonePreference                     // servers of other zones cost more than their latency
+	PrefillRate                        // the prefill time of a token is learnt from answers
+	Announcements                      // long prefills are announced to the other proxies of the region
+	FailureReports                     // servers that break connections are reported to the other proxies of the region
+	Admission                          // requests are rejected while answers are late and servers are full
+	Trickle                            // now and then one request of each route is admitted in spite of overload
+	Ejection                           // servers are ejected after failures in a row
+	RejectionCooldown                  // a server that rejected a request as full is avoided for a moment
+	DrainCooldown                      // a server that seems to drain is avoided for a while
+	Seeding                            // a request is sent to each server without a speed estimate
+	SpeedAging                         // old estimates approach the typical speed
+	OverdueBound                       // an attempt that waits too long bounds its server's speed before it ends
+	Priorities                         // requests to servers carry their priority
+	CapacityWait                       // a request waits for capacity before it is rejected
+	ConnectionReuse                    // connections to servers are reused
+	ReachabilityWatch                  // attempts at unreachable machines end before their deadline
+	mechanisms                         // number of mechanisms
 )
 
-// names are what settings and command line call the mechanisms.
+// names are the names of the mechanisms in settings and on the command line.
 var names = [mechanisms]string{
 	PromptAffinity:    "prompt-homes",
 	PrefixCache:       "kept-parts",
@@ -74,12 +75,12 @@
 // Names are the names of all mechanisms, in a fixed order.
 func Names() []string { return slices.Clone(names[:]) }
 
-// Switches tells which mechanisms are off. The zero value has all of them on.
+// Switches is a set of mechanisms that are off. In the zero value all of them are on.
 type Switches struct {
 	off uint64 // a bit for each mechanism
 }
 
-// Without gives the switches with some mechanisms off.
+// Without returns the switches with the given mechanisms off.
 func Without(off ...Mechanism) Switches {
 	var switches Switches
 	for _, mechanism := range off {
@@ -88,13 +89,13 @@
 	return switches
 }
 
-// Off tells whether a mechanism is switched off.
+// Off reports whether a mechanism is off.
 func (s Switches) Off(m Mechanism) bool { return s.off&(1<<m) != 0 }
 
-// And gives the switches with what is off in either.
+// And returns the switches in which a mechanism is off if it is off in either.
 func (s Switches) And(other Switches) Switches { return Switches{off: s.off | other.off} }
 
-// String lists the names of what is off.
+// String returns the names of the mechanisms that are off, separated by commas.
 func (s Switches) String() string {
 	var off []string
 	for m := range mechanisms {
@@ -105,9 +106,9 @@
 	return strings.Join(off, ",")
 }
 
-// UnknownError tells that a name is no mechanism's.
+// UnknownError reports a name that no mechanism has.
 type UnknownError struct {
-	Name string
+	Name string // as given
 }
 
 // Error implements error.
@@ -115,16 +116,15 @@
 	return "policy: no mechanism is called " + e.Name + "; known are " + strings.Join(names[:], ", ")
 }
 
-// Parse reads the names of mechanisms that are to be off. The error is an *UnknownError for the first name that is
-// not known.
+// Parse returns the switches with the named mechanisms off. The error is an *UnknownError for the first unknown name.
 func Parse(off []string) (Switches, error) {
 	var switches Switches
 	for _, name := range off {
-		at := slices.Index(names[:], name)
-		if at < 0 {
+		index := slices.Index(names[:], name)
+		if index < 0 {
 			return Switches{}, errors.WithStack(&UnknownError{Name: name})
 		}
-		switches.off |= 1 << at
+		switches.off |= 1 << index
 	}
 	return switches, nil
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -33,7 +33,7 @@
 	require.True(t, switches.And(policy.Without(policy.Spill)).Off(policy.Spill))
 }
 
-func TestUnknownNamesAreTold(t *testing.T) {
+func TestUnknownNamesAreRejected(t *testing.T) {
 	_, err := policy.Parse([]string{"spill", "spil"})
 	var unknown *policy.UnknownError
 	require.True(t, errors.As(err, &unknown))
