--- a/internal/jsonwalk/walk.go
+++ b/internal/jsonwalk/walk.go
@@ -2,7 +2,7 @@
 // value is a slice of the text. It reads each byte once and copies nothing, so that a configuration of thousands of
 // routes is read in a few milliseconds. It does not validate.
 //
-// Names of members are compared exactly and with regard to case, unlike encoding/json does. Where a member occurs more
+// Names of members are compared exactly and with regard to case, unlike in encoding/json. Where a member occurs more
 // than once the last one counts, and null counts as a missing member. A text must be valid (json.Valid) and without
 // space around it. For any other text the functions return some of its parts or none, and do not panic.
 package jsonwalk
