--- a/logic/selection/selection_test.go
+++ b/logic/selection/selection_test.go
@@ -77,14 +77,14 @@
 			if e.Speed() < low-1e-9 || e.Speed() > high+1e-9 {
 				t.Fatalf("speed %v outside of the samples, %v to %v", e.Speed(), low, high)
 			}
-			if seeded && sample < before && e.Speed() < before-maxAlpha*(before-sample)-1e-9 {
+			if seeded && sample < before && e.Speed() < before-maxAlphaDown*(before-sample)-1e-9 {
 				t.Fatalf("one sample of %v took the speed from %v to %v", sample, before, e.Speed())
 			}
 		}
 	})
 }
 
-// paperWeights are the softmax's probabilities as the paper writes them.
+// paperWeights are the probabilities of the softmax as the paper defines them.
 func paperWeights(speeds []float64, tau float64) []float64 {
 	best, total := slices.Max(speeds), 0.0
 	shares := make([]float64, len(speeds))
@@ -98,7 +98,7 @@
 	return shares
 }
 
-// sweep counts the picks of evenly spread draws.
+// sweep returns the share of each index in the picks of evenly spread draws.
 func sweep(speeds []float64, tau float64, draws int) []float64 {
 	shares := make([]float64, len(speeds))
 	for i := range draws {
@@ -162,7 +162,7 @@
 	require.Equal(t, []int{250, 750}, picks)
 }
 
-func TestSlackStartsAtTheDesignsStart(t *testing.T) {
+func TestSlackStartsAtItsInitialValue(t *testing.T) {
 	slack := NewSlack(PaperBands)
 	require.Equal(t, 0.8, slack.Share)
 	tau, walk := slack.Temperature()
@@ -170,7 +170,7 @@
 	require.Equal(t, 0.2, tau)
 }
 
-func TestSlackTellsTheTemperatureOrTheWalk(t *testing.T) {
+func TestSlackSelectsTheTemperatureOrTheWalk(t *testing.T) {
 	own := Bands{Low: 0.4, High: 0.6, TauTarget: 0.1, TauFull: 0.5}
 	for _, c := range []struct {
 		bands Bands
@@ -203,7 +203,7 @@
 func TestSlackIsTheAgedShareInTime(t *testing.T) {
 	slack := NewSlack(PaperBands)
 	require.True(t, slack.Begin(time.Minute))
-	require.False(t, slack.Begin(2*time.Minute), "it has begun")
+	require.False(t, slack.Begin(2*time.Minute), "it has started")
 	alpha := 1 - math.Exp(-0.1)
 	slack.Observe(time.Minute+300*time.Millisecond, false)
 	require.InDelta(t, 0.8*(1-alpha), slack.Share, 1e-12)
@@ -232,13 +232,13 @@
 	})
 }
 
-// field is a fleet with speeds that a test changes.
-type field map[string]float64
+// serverSpeeds are the speeds of servers, which a test may change.
+type serverSpeeds map[string]float64
 
-func (f field) speed(name string) float64 { return f[name] }
+func (s serverSpeeds) speed(name string) float64 { return s[name] }
 
 func TestAWalkStaysOnTheFastestUntilItIsLeft(t *testing.T) {
-	speeds, names := field{"a": 1, "b": 9, "c": 5}, []string{"a", "b", "c"}
+	speeds, names := serverSpeeds{"a": 1, "b": 9, "c": 5}, []string{"a", "b", "c"}
 	var walk Walk[string]
 	for range 3 {
 		require.Equal(t, "b", walk.Pick(names, names, speeds.speed))
@@ -254,7 +254,7 @@
 }
 
 func TestAWalkSortsAnewAtItsEnd(t *testing.T) {
-	speeds, names := field{"a": 2, "b": 1}, []string{"a", "b"}
+	speeds, names := serverSpeeds{"a": 2, "b": 1}, []string{"a", "b"}
 	var walk Walk[string]
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed))
 	walk.Leave("a")
@@ -264,8 +264,8 @@
 	require.Equal(t, "b", walk.Pick(names, names, speeds.speed), "sorted by the present speeds")
 }
 
-func TestAWalkPassesWhatIsNoCandidate(t *testing.T) {
-	speeds, names := field{"a": 3, "b": 2, "c": 1}, []string{"a", "b", "c"}
+func TestAWalkSkipsServersThatAreNoCandidates(t *testing.T) {
+	speeds, names := serverSpeeds{"a": 3, "b": 2, "c": 1}, []string{"a", "b", "c"}
 	var walk Walk[string]
 	require.Equal(t, "b", walk.Pick(names, []string{"c", "b"}, speeds.speed))
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed), "passing over does not leave")
@@ -275,21 +275,21 @@
 
 func TestAWalkWithoutAListedCandidateTakesTheFirst(t *testing.T) {
 	var walk Walk[string]
-	require.Equal(t, "x", walk.Pick([]string{"a"}, []string{"x", "y"}, field{}.speed))
-	require.Equal(t, "x", walk.Pick(nil, []string{"x", "y"}, field{}.speed))
+	require.Equal(t, "x", walk.Pick([]string{"a"}, []string{"x", "y"}, serverSpeeds{}.speed))
+	require.Equal(t, "x", walk.Pick(nil, []string{"x", "y"}, serverSpeeds{}.speed))
 }
 
 func TestEqualSpeedsKeepTheirOrder(t *testing.T) {
 	names := []string{"q", "d", "z", "k"}
 	var walk Walk[string]
 	for _, name := range names {
-		require.Equal(t, name, walk.Pick(names, names, field{}.speed))
+		require.Equal(t, name, walk.Pick(names, names, serverSpeeds{}.speed))
 		walk.Leave(name)
 	}
 }
 
 func TestAResetWalkSortsAnew(t *testing.T) {
-	speeds, names := field{"a": 2, "b": 1}, []string{"a", "b"}
+	speeds, names := serverSpeeds{"a": 2, "b": 1}, []string{"a", "b"}
 	var walk Walk[string]
 	walk.Pick(names, names, speeds.speed)
 	walk.Leave("a")
--- a/logic/selection/slack.go
+++ b/logic/selection/slack.go
@@ -2,15 +2,17 @@
 
 import "time"
 
-const slackStart = 0.8 // the design's start
+// initialSlack is the share that the design assumes before the first request.
+const initialSlack = 0.8
 
-// MaxSlackAlpha bounds the weight of one request in the slack: a quiet caller's must not jump, but follow.
+// MaxSlackAlpha bounds the weight of one request in the slack, so that the slack of a caller with few requests follows
+// them without jumps.
 const MaxSlackAlpha = 0.5
 
 // Bands are the edges of the slack's bands and the temperatures of the softmax in them.
 type Bands struct {
-	Low       float64 // below: the walk (the paper's B_crit)
-	High      float64 // above: the wide temperature (B_high)
+	Low       float64 // below it the sorted walk is used (the paper's B_crit)
+	High      float64 // above it the wide temperature is used (B_high)
 	TauTarget float64 // temperature from Low to High (τ_target)
 	TauFull   float64 // temperature above High (τ_full)
 }
@@ -18,17 +20,17 @@
 // PaperBands are the paper's bands and temperatures.
 var PaperBands = Bands{Low: 0.3, High: 0.8, TauTarget: 0.2, TauFull: 0.333}
 
-// Slack is the aged share of requests answered in time.
+// Slack is the aged share of requests that were answered in time.
 type Slack struct {
 	Bands
 	Share     float64 // from 0 to 1
 	sampledAt time.Duration
 }
 
-// NewSlack gives a slack at its start, 0.8.
-func NewSlack(bands Bands) Slack { return Slack{Bands: bands, Share: slackStart} }
+// NewSlack returns a slack of the initial share, 0.8.
+func NewSlack(bands Bands) Slack { return Slack{Bands: bands, Share: initialSlack} }
 
-// Begin lets the ageing run from now if nothing has come yet, as at a first request; it tells whether it did.
+// Begin starts the aging at now if it has not started, as at a first request, and reports whether it did.
 func (s *Slack) Begin(now time.Duration) bool {
 	first := s.sampledAt == 0
 	if first {
@@ -37,7 +39,7 @@
 	return first
 }
 
-// Observe takes in whether a request that ended at now was answered in time.
+// Observe adds a request that ended at now, and whether it was answered in time.
 func (s *Slack) Observe(now time.Duration, inTime bool) {
 	alpha := min(Alpha(now-s.sampledAt), MaxSlackAlpha)
 	if s.Share, s.sampledAt = (1-alpha)*s.Share, now; inTime {
@@ -45,7 +47,7 @@
 	}
 }
 
-// Temperature is that of the softmax; with walk true the walk is to be used instead.
+// Temperature is the temperature of the softmax. If walk is true, the sorted walk is to be used instead.
 func (s *Slack) Temperature() (tau float64, walk bool) {
 	if s.Share > s.High {
 		return s.TauFull, false
--- a/logic/selection/softmax.go
+++ b/logic/selection/softmax.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Softmax picks an index of speeds with probability proportional to exp((speed/best)/tau), or uniformly when
-// no speed is above 0. It overwrites speeds, which must not be empty. The draw is uniform, from 0 up to 1.
+// Softmax picks an index of speeds with probability proportional to exp((speed/best)/tau), or uniformly if no speed is
+// above 0. It overwrites speeds, which must not be empty. draw must be uniform in [0, 1).
 func Softmax(speeds []float64, tau, draw float64) int {
 	if !Weigh(speeds, tau) {
 		return int(draw * float64(len(speeds)))
@@ -11,8 +11,8 @@
 	return Draw(speeds, draw)
 }
 
-// Weigh replaces each speed by its weight, exp((speed/best)/tau). When no speed is above 0 it leaves them and
-// tells false: the pick is to be uniform. A caller may scale the weights before it gives them to Draw.
+// Weigh replaces each speed by its weight, exp((speed/best)/tau). If no speed is above 0, it leaves them and returns
+// false: the pick is to be uniform. A caller may scale the weights before it passes them to Draw.
 func Weigh(speeds []float64, tau float64) bool {
 	best := 0.0
 	for _, speed := range speeds {
@@ -27,17 +27,17 @@
 	return true
 }
 
-// Draw picks an index of weights with probability proportional to its weight, by a draw as Softmax takes it.
+// Draw picks an index with probability proportional to its weight. draw must be uniform in [0, 1).
 func Draw(weights []float64, draw float64) int {
 	total := 0.0
 	for _, weight := range weights {
 		total += weight
 	}
-	rest := draw * total
+	remaining := draw * total
 	for i, weight := range weights {
-		if rest -= weight; rest < 0 {
+		if remaining -= weight; remaining < 0 {
 			return i
 		}
 	}
-	return len(weights) - 1 // rounding may leave a rest past the last weight
+	return len(weights) - 1 // rounding may leave a remainder after the last weight
 }
