--- a/internal/limits/members.go
+++ b/internal/limits/members.go
@@ -7,6 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/splitmix"
 )
 
 // member is one proxy that shares the limits.
@@ -56,10 +57,5 @@
 	return ahead
 }
 
-// weight mixes a member and a key into the member's weight for that key, by the finalizer of SplitMix64.
-func weight(m member, keyHash uint64) uint64 {
-	mixed := m.hash ^ keyHash
-	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
-	mixed = (mixed ^ mixed>>27) * 0x94d049bb133111eb
-	return mixed ^ mixed>>31
-}
+// weight is a member's weight for a key.
+func weight(m member, keyHash uint64) uint64 { return splitmix.Mix(m.hash ^ keyHash) }
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"fieldrelay/internal/policy"
+	"fieldrelay/internal/splitmix"
 )
 
 const (
@@ -112,7 +113,7 @@
 	var affine *server
 	var highest uint64
 	for _, s := range servers {
-		if weight := mix(uint64(q.affinityKey) ^ s.hash); affine == nil || weight > highest {
+		if weight := splitmix.Mix(uint64(q.affinityKey) ^ s.hash); affine == nil || weight > highest {
 			affine, highest = s, weight
 		}
 	}
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -1,6 +1,10 @@
 package placement
 
-import "github.com/cespare/xxhash/v2"
+import (
+	"github.com/cespare/xxhash/v2"
+
+	"fieldrelay/internal/splitmix"
+)
 
 // prefixHash is the hash of a model and of the chunks from the start of a prompt up to one of them. A server can use a
 // cached chunk only together with every chunk before it.
@@ -11,14 +15,7 @@
 
 // extend returns the hash of the prefix that is longer by a chunk.
 func (h prefixHash) extend(chunk PromptChunk) prefixHash {
-	return prefixHash(mix(uint64(h)*0x9e3779b97f4a7c15 + chunk.ID))
-}
-
-// mix is the finalizer of SplitMix64 (Steele, Lea, Flood, "Fast Splittable Pseudorandom Number Generators", 2014).
-func mix(value uint64) uint64 {
-	value = (value ^ value>>30) * 0xbf58476d1ce4e5b9
-	value = (value ^ value>>27) * 0x94d049bb133111eb
-	return value ^ value>>31
+	return prefixHash(splitmix.Mix(uint64(h)*0x9e3779b97f4a7c15 + chunk.ID))
 }
 
 // prompt is what one pick needs to know of a request's prompt.
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -8,6 +8,7 @@
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/policy"
+	"fieldrelay/internal/splitmix"
 	"fieldrelay/logic/selection"
 )
 
@@ -66,7 +67,7 @@
 		region:   region,
 		service:  owner,
 		hash:     hash,
-		affinity: mix(hash ^ hostHash),
+		affinity: splitmix.Mix(hash ^ hostHash),
 	}
 }
 
--- /dev/null
+++ b/internal/splitmix/splitmix_test.go
@@ -0,0 +1,18 @@
+package splitmix
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// The generator SplitMix64 adds the golden ratio to its state and mixes the sum: its first numbers from the seed 0 are
+// known.
+func TestMixIsThatOfTheGenerator(t *testing.T) {
+	const goldenRatio = uint64(0x9e3779b97f4a7c15)
+	state := uint64(0)
+	for _, want := range []uint64{0xe220a8397b1dcdaf, 0x6e789e6aa1b965f4, 0x06c45d188009454f} {
+		state += goldenRatio
+		require.Equal(t, want, Mix(state))
+	}
+}
