--- a/internal/placement/admission.go
+++ b/internal/placement/admission.go
@@ -63,7 +63,7 @@
 	}
 	expected := minExpectedLatency(p.buffers.candidates)
 	wait := expected - idleLatency(owner, &p.buffers.prompt)
-	excess := wait - maxWait(request.Route.Priority, request.Route.Target)
+	excess := wait - maxExpectedWait(request.Route.Priority, request.Route.Target)
 	if request.Remaining > 0 {
 		excess = max(excess, expected-request.Remaining)
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// maxWait is the longest that a request may be expected to wait for servers.
-func maxWait(priority int, target time.Duration) time.Duration {
+// maxExpectedWait is the longest that a request may be expected to wait for servers.
+func maxExpectedWait(priority int, target time.Duration) time.Duration {
 	urgency := max(urgencySteps-priority, 0)
 	fraction := waitFraction * (1 + urgencyWaitStep*float64(urgency))
 	return time.Duration(fraction * float64(target))
--- a/internal/placement/announcement.go
+++ b/internal/placement/announcement.go
@@ -11,7 +11,8 @@
 
 // Tuning of the announcements between the proxies of a region.
 const (
-	// minAnnouncedPrefill is the least prefill time from which on a prompt is announced.
+	// minAnnouncedPrefill is the least prefill time from which on a prompt is announced: far below every latency target
+	// (500 ms and more), and worth a datagram to each proxy of the region.
 	minAnnouncedPrefill = 35 * time.Millisecond
 	// maxAnnounceThreshold bounds that time when it is raised.
 	maxAnnounceThreshold = time.Second
@@ -25,7 +26,8 @@
 	announcedPrefixTTL = 60 * time.Second
 	// maxAnnouncedPrefixes bounds the prompts that are remembered.
 	maxAnnouncedPrefixes = 8192
-	// maxBusyTime bounds how long a server is taken to be busy with the prompts that others sent it.
+	// maxBusyTime bounds how long a server is taken to be busy with the prompts that others sent it, so that the effect of
+	// a wrong announcement ends.
 	maxBusyTime = 2 * time.Second
 )
 
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -9,7 +9,8 @@
 
 const (
 	// subsetSize is the number of servers of a region that a proxy usually spreads a service's requests over: its
-	// estimates stay fresh and its connections few. Servers that have a prefix of the prompt cached come in addition.
+	// estimates stay fresh, its connections few, and a pick does not cost more in a larger region. Servers that have a
+	// prefix of the prompt cached come in addition.
 	subsetSize = 12
 	// Requests go to another region once its servers are expected to answer sooner than those of the own region by more
 	// than spillStartMargin, the round trip included, and come back when they do so by less than spillStopMargin.
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -9,4 +9,7 @@
 // or read. The caller (package proxy) sends the attempts and reports how they end. It is not a load balancer for
 // connections, and it does not check servers' health: it learns from the attempts that it placed and from what the
 // caller passes on. docs/architecture.md describes its place in the system.
+//
+// Its constants are tuned. docs/herbarium.md lists under "The constants of the policy" what decides the right value of
+// each, and what was measured without it.
 package placement
--- a/internal/placement/prediction.go
+++ b/internal/placement/prediction.go
@@ -8,10 +8,12 @@
 
 // Tuning of predictions and of what a choice costs besides its latency.
 const (
-	// regionRoundTrip is the round trip to another region.
+	// regionRoundTrip is the round trip to another region. It is not measured: the speeds of the other region's servers
+	// absorb the difference, and measuring it showed no gain.
 	regionRoundTrip = 40 * time.Millisecond
 	// prefillTokenPrice is the time that stands for the price of prefilling a shared token anew. The prefill itself is
-	// part of the predicted latency.
+	// part of the predicted latency. Prices are not known to any process, so that it is fixed, at three times
+	// initialPerToken.
 	prefillTokenPrice = 78 * time.Microsecond
 	// otherZoneFactor scales the cost of a server in another zone of the region: bytes between zones are priced.
 	otherZoneFactor = 1.08
--- a/internal/placement/prefill.go
+++ b/internal/placement/prefill.go
@@ -30,7 +30,7 @@
 
 // prefillEstimator estimates the time that the engines of a service take to prefill a token, by how much later the
 // first event of long prompts comes than that of short ones. A queue shifts both alike. Differences between servers are
-// left to the estimates of their speeds.
+// left to the estimates of their speeds. Where all prompts are short, or all are long, the initial value stays.
 type prefillEstimator struct {
 	perToken    time.Duration
 	short, long agedMean
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -27,7 +27,7 @@
 )
 
 // bands of the slack: the edges of the paper (see package selection) with lower temperatures, because a cached prefix is
-// worth staying with.
+// worth staying with. Half and a quarter of these temperatures were tried and showed no gain.
 var bands = selection.Bands{
 	Low:       selection.PaperBands.Low,
 	High:      selection.PaperBands.High,
