--- a/logic/selection/estimate.go
+++ b/logic/selection/estimate.go
@@ -1,11 +1,12 @@
 // Package selection implements the server selection of Bouten et al., "Dynamic Server Selection Strategy for
-// Multi-server HTTP Adaptive Streaming Services": an aged, exponentially weighted moving average (EWMA) of each server's
-// speed, a softmax over the speeds relative to the best, and a slack, the share of requests answered in time, which sets
-// the softmax's temperature or, when low, replaces it by a walk down a sorted list.
+// Multi-server HTTP Adaptive Streaming Services": an aged, exponentially weighted moving average (EWMA) of
+// each server's speed, a softmax over the speeds relative to the best, and a slack, the share of requests
+// answered in time, which sets the softmax's temperature or, when low, replaces it by a walk down a sorted
+// list.
 //
-// The package only provides these parts. What a speed is and which servers are candidates is up to its users: the
-// sidecar (package logic) and the regional proxy (package placement). It is pure: it has no I/O, clock or random source
-// of its own. Times are of any monotonic clock. Nothing here is safe for concurrent use.
+// The package only provides these parts. What a speed is and which servers are candidates is up to its users:
+// the sidecar (package logic) and the regional proxy (package placement). It is pure: it has no I/O, clock or
+// random source of its own. Times are of any monotonic clock. Nothing here is safe for concurrent use.
 package selection
 
 import (
@@ -13,25 +14,26 @@
 	"time"
 )
 
-// Delta is the time constant δ of the aging: a sample that comes this long after the last one weighs 1 - 1/e.
+// Delta is the time constant δ of the aging: a sample this long after the last one weighs 1 - 1/e.
 const Delta = 3 * time.Second
 
-// maxAlphaDown bounds the weight of a sample below the estimate: one slow answer after a gap moves it half way at most.
+// maxAlphaDown bounds the weight of a sample below the estimate: one slow answer after a gap moves it half
+// way at most.
 const maxAlphaDown = 0.5
 
 // Alpha is the weight, from 0 to 1, of a sample that comes gap after the last one: 1 - exp(-gap/δ).
 func Alpha(gap time.Duration) float64 { return 1 - math.Exp(-float64(gap)/float64(Delta)) }
 
-// Estimate is the aged EWMA of one server's speed. Its zero value is not seeded. A sample is the work of a request (its
-// cost hint in seconds, or 1) divided by the seconds to its answer, or 0 for a failure.
+// Estimate is the aged EWMA of one server's speed. Its zero value is not seeded. A sample is the work of a
+// request (its cost hint in seconds, or 1) divided by the seconds to its answer, or 0 for a failure.
 type Estimate struct {
 	speed     float64
 	sampledAt time.Duration
 	seeded    bool
 }
 
-// Observe adds a sample at now. The first one seeds the estimate. After a long gap a single slow answer would discredit
-// a good server, so the weight of samples below the estimate is bounded.
+// Observe adds a sample at now. The first one seeds the estimate. After a long gap a single slow answer would
+// discredit a good server, so the weight of samples below the estimate is bounded.
 func (e *Estimate) Observe(now time.Duration, sample float64) {
 	alpha := Alpha(now - e.sampledAt)
 	if sample < e.speed {
--- a/logic/selection/slack.go
+++ b/logic/selection/slack.go
@@ -5,8 +5,8 @@
 // initialSlack is the share that the design assumes before the first request.
 const initialSlack = 0.8
 
-// MaxSlackAlpha bounds the weight of one request in the slack, so that the slack of a caller with few requests follows
-// them without jumps.
+// MaxSlackAlpha bounds the weight of one request in the slack, so that the slack of a caller with few
+// requests follows them without jumps.
 const MaxSlackAlpha = 0.5
 
 // Bands are the edges of the slack's bands and the temperatures of the softmax in them.
--- a/logic/selection/softmax.go
+++ b/logic/selection/softmax.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Softmax picks an index of speeds with probability proportional to exp((speed/best)/tau), or uniformly if no speed is
-// above 0. It overwrites speeds, which must not be empty. draw must be uniform in [0, 1).
+// Softmax picks an index of speeds with probability proportional to exp((speed/best)/tau), or uniformly if no
+// speed is above 0. It overwrites speeds, which must not be empty. draw must be uniform in [0, 1).
 func Softmax(speeds []float64, tau, draw float64) int {
 	if !Weigh(speeds, tau) {
 		return int(draw * float64(len(speeds)))
@@ -11,8 +11,8 @@
 	return Draw(speeds, draw)
 }
 
-// Weigh replaces each speed by its weight, exp((speed/best)/tau). If no speed is above 0, it leaves them and returns
-// false: the pick is to be uniform. A caller may scale the weights before it passes them to Draw.
+// Weigh replaces each speed by its weight, exp((speed/best)/tau). If no speed is above 0, it leaves them and
+// returns false: the pick is to be uniform. A caller may scale the weights before it passes them to Draw.
 func Weigh(speeds []float64, tau float64) bool {
 	best := 0.0
 	for _, speed := range speeds {
--- a/logic/selection/walk.go
+++ b/logic/selection/walk.go
@@ -5,16 +5,18 @@
 	"slices"
 )
 
-// Walk picks servers while slack is low: it walks down a list of servers sorted by descending speed, stays at one while
-// its answers come in time, and sorts again at the end of the list. The zero value is ready for use.
+// Walk picks servers while slack is low: it walks down a list of servers sorted by descending speed, stays at
+// one while its answers come in time, and sorts again at the end of the list. The zero value is ready for
+// use.
 type Walk[K comparable] struct {
 	order    []K
 	position int // in order; at its end the next pick sorts again
 }
 
-// Pick returns the server at the walk's position, or the next one down that is a candidate; if none of the servers is,
-// the first candidate. candidates must not be empty. At the end of the list servers are sorted by their present speed,
-// those of equal speed in the order given. A server that is skipped is not left: it may be picked later.
+// Pick returns the server at the walk's position, or the next one down that is a candidate; if none of the
+// servers is, the first candidate. candidates must not be empty. At the end of the list servers are sorted by
+// their present speed, those of equal speed in the order given. A server that is skipped is not left: it may
+// be picked later.
 func (w *Walk[K]) Pick(servers, candidates []K, speed func(K) float64) K {
 	for range 2 { // the remainder of this list, then a new one
 		if w.position >= len(w.order) {
