--- a/internal/limits/retry_test.go
+++ b/internal/limits/retry_test.go
@@ -14,7 +14,7 @@
 
 func hostName(i int) string { return fmt.Sprintf("edge-%d", i) }
 
-// sharesOf are shares that name some of the proxies.
+// sharesOf returns shares that name some of the proxies.
 func sharesOf(proxies int, members []int, region func(int) string) *pb.Shares {
 	shares := &pb.Shares{Proxies: uint32(proxies)}
 	for _, i := range members {
@@ -97,7 +97,7 @@
 }
 
 // TestTheSumOfRetriesStaysUnderTheBound lets many proxies, whose members differ, retry as often as they are
-// allowed, under traffic that comes in clumps, and counts as the rule does.
+// allowed, under bursty traffic, and counts as the rule does.
 func TestTheSumOfRetriesStaysUnderTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 70).Draw(t, "proxies")
--- a/internal/limits/slowstart_test.go
+++ b/internal/limits/slowstart_test.go
@@ -20,7 +20,7 @@
 	return server.WarmRate*config.Excess + config.Extra
 }
 
-// Sixteen proxies that came back at once and each sent one request broke the bound of a server.
+// Sixteen proxies that started at once and each sent one request once exceeded the limit of a server.
 func TestAProxyThatDoesNotKnowItsShareSendsNothing(t *testing.T) {
 	tests := map[string]struct {
 		shares   *pb.Shares
@@ -115,7 +115,7 @@
 	require.Empty(t, limiter.buckets)
 }
 
-// TestTheSumToAWarmingServerStaysUnderTheBound lets proxies that hold one of two views, however different, send
+// TestTheSumToAWarmingServerStaysUnderTheBound lets proxies that know one of two sets of proxies, however different, send
 // whenever their limiters allow, and counts every second that begins with a request.
 func TestTheSumToAWarmingServerStaysUnderTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/placement/admission_test.go
+++ b/internal/placement/admission_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// overloaded makes a fixture whose servers have answered at many times the predicted time for a while.
+// overloaded makes a fixture whose servers have taken a multiple of the predicted time for a while.
 func overloaded(t *testing.T, times float64) *fixture {
 	t.Helper()
 	f := newFixture(t, 0, westAndEast()[:6:6])
--- a/internal/placement/announcement_test.go
+++ b/internal/placement/announcement_test.go
@@ -80,7 +80,7 @@
 			f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(entry.GetId()), Prompt: 1, Tokens: 40_000})
 		}
 	}
-	for i := range 5 { // the one that is free is seeded, and gets the others as well
+	for i := range 5 { // the idle one is seeded, and gets the others as well
 		require.Equal(t, f.list[0].GetId(), f.serve(f.greeting(i), func(string) float64 { return 0.1 }))
 	}
 }
@@ -111,7 +111,7 @@
 		}
 	}
 	require.Greater(t, announced[true], 3*announced[false])
-	for i := range 400 { // the rush is over
+	for i := range 400 { // the load has ended
 		pace.allows(100*time.Second+time.Duration(i)*time.Second, time.Millisecond, 4)
 	}
 	require.Equal(t, minAnnouncedPrefill, pace.threshold)
--- a/internal/placement/capacity_bench_test.go
+++ b/internal/placement/capacity_bench_test.go
@@ -42,7 +42,7 @@
 	return servers
 }
 
-// BenchmarkCapacitySetServers takes in a whole list that says what is known already.
+// BenchmarkCapacitySetServers applies a complete list that changes nothing.
 func BenchmarkCapacitySetServers(b *testing.B) {
 	for _, count := range []int{100, 800, 3100} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
--- a/internal/placement/digest_test.go
+++ b/internal/placement/digest_test.go
@@ -13,7 +13,7 @@
 
 var update = flag.Bool("update", false, "record the digests of the runs anew")
 
-// A change that should change no behaviour changes no pick, no rejection and none of the figures that come with them.
+// A change that should change no behaviour changes no pick, no rejection and none of their figures.
 func TestSimulatedDaysHaveTheRecordedDigests(t *testing.T) {
 	days := map[string]struct {
 		proxies, servers int
@@ -92,8 +92,8 @@
 	return "unknown"
 }
 
-// The events are those of the test with random events, drawn from a seed: all outcomes, servers that come, go and
-// drain, zones that are evacuated.
+// The events are those of the test with random events, drawn from a seed: all outcomes, servers that are added,
+// removed and drain, zones that are evacuated.
 func TestPicksUnderSeededEventsHaveTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "events", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(10 * time.Second)
@@ -160,7 +160,7 @@
 	return decision.Attempt, true
 }
 
-// changeSeeded lets a server come, go, or drain or not.
+// changeSeeded adds or removes a server, or changes whether one drains.
 func (w *world) changeSeeded(random *rand.Rand) {
 	w.list = slices.Clone(w.list)
 	draw := random.IntN(5)
--- a/internal/placement/random_test.go
+++ b/internal/placement/random_test.go
@@ -13,7 +13,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// world is a Placer under random events, beside what the rules are checked against: the list and the zones
+// world is a Placer under random events, together with what the rules are checked against: the list and the zones
 // as they were last set.
 type world struct {
 	*fixture
@@ -39,7 +39,7 @@
 	}
 }
 
-// listedNow gives the list's entry of a server.
+// listedNow returns the list's entry of a server, nil if there is none.
 func (w *world) listedNow(id string) *pb.Server {
 	i := slices.IndexFunc(w.list, func(s *pb.Server) bool { return s.GetId() == id })
 	if i < 0 {
@@ -79,7 +79,7 @@
 	w.open[decision.Attempt] = openAttempt{decision: decision, route: routeName}
 }
 
-// requireNone checks that a request was not turned away while a warm server with room could have it.
+// requireNone checks that no request was rejected while a warm server with capacity could take it.
 func (w *world) requireNone(t *rapid.T, request *Request, none *NoServerError) {
 	for _, entry := range w.list {
 		known := w.p.servers[entry.GetId()]
@@ -167,7 +167,7 @@
 	w.p.SetEvacuated(w.now, slices.Sorted(maps.Keys(w.evacuated)))
 }
 
-// check holds the accounts against the attempts that are open.
+// check compares the counts of the servers with the open attempts.
 func (w *world) check(t *rapid.T) {
 	require.Len(t, w.p.attempts, len(w.open))
 	open, ahead, held, unanswered := map[*server]int{}, map[*server]int{}, map[*server]int{}, map[*server]int{}
--- a/internal/placement/selection_test.go
+++ b/internal/placement/selection_test.go
@@ -92,7 +92,7 @@
 	require.Less(t, attempts, 16, "ejections of 1, 2, 4 and then 8 s")
 	require.Greater(t, attempts, 5)
 
-	// It comes back; after its next trial it is in use again.
+	// It recovers; after its next trial it is in use again.
 	counts := map[string]int{}
 	for range 300 {
 		counts[f.serve(f.request(routeBalance), asPredicted)]++
@@ -191,7 +191,7 @@
 	full := f.pick(f.request(routeBalance))
 	before := f.p.servers[full.ServerID].estimate.Speed()
 	f.now += 20 * time.Millisecond
-	f.p.Started(f.now, full.Attempt) // its head came
+	f.p.Started(f.now, full.Attempt) // its first byte arrived
 	f.p.Finished(f.now, full.Attempt, Refused)
 	after := f.p.servers[full.ServerID]
 	require.Less(t, after.estimate.Speed(), before)
--- a/internal/placement/table_bench_test.go
+++ b/internal/placement/table_bench_test.go
@@ -16,8 +16,8 @@
 	benchRoutes   = 2900
 )
 
-// BenchmarkSetTable takes in a configuration of 2,900 routes and 60 services beside 3,100 servers. Requests wait
-// meanwhile, for the lock is one.
+// BenchmarkSetTable applies a configuration of 2,900 routes and 60 services beside 3,100 servers. Requests wait
+// meanwhile, since there is one lock.
 func BenchmarkSetTable(b *testing.B) {
 	f, table := largeFixture(b)
 	b.ReportAllocs()
@@ -26,7 +26,7 @@
 	}
 }
 
-// BenchmarkSetEvacuated takes in that one zone is evacuated.
+// BenchmarkSetEvacuated applies the evacuation of one zone.
 func BenchmarkSetEvacuated(b *testing.B) {
 	f, _ := largeFixture(b)
 	zones := []string{zoneB}
--- a/internal/route/accepted_test.go
+++ b/internal/route/accepted_test.go
@@ -11,7 +11,7 @@
 	"fieldrelay/internal/route"
 )
 
-// orderOf is a whole configuration of generation 1 with some routes and one service, "s1" beside "s2".
+// orderOf is a complete configuration of generation 1 with some routes and one service, "s1" beside "s2".
 func orderOf(service string, routes ...string) []byte {
 	return fmt.Appendf(nil, `{"gen":1,"routes":[%s],"backends":[%s,{"name":"s2"}],"req-limits":{"max-body-bytes":4096}}`,
 		strings.Join(routes, ","), service)
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestTableKeepsEveryServiceAndLimitThatValidationAccepts does so for the other items that a request goes by.
+// TestTableKeepsEveryServiceAndLimitThatValidationAccepts does the same for the other items that requests depend on.
 func TestTableKeepsEveryServiceAndLimitThatValidationAccepts(t *testing.T) {
 	services := map[string]string{
 		"negative connections":  `{"name":"s1","max-conns":-1}`,
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestNoTwoRoutesThatValidationAcceptsShareAMatch takes hosts that differ in writing only: the table compares them
-// without port and case, so that validation has to.
+// TestNoTwoRoutesThatValidationAcceptsShareAMatch uses hosts that differ only in port or case: the table ignores
+// both, so that validation has to.
 func TestNoTwoRoutesThatValidationAcceptsShareAMatch(t *testing.T) {
 	pairs := map[string][2]string{
 		"a port":          {"h.example", "h.example:80"},
--- a/internal/route/reader_test.go
+++ b/internal/route/reader_test.go
@@ -14,13 +14,13 @@
 	"fieldrelay/internal/route"
 )
 
-// drawnMembers are members of a route and of what it may be taken for, beside the name.
+// drawnMembers are names of members of a route, and some that resemble them, besides the name.
 var drawnMembers = []string{
 	"vhost", "path-prefix", "backend", "split", "deadline-ms", "route-kind", "target-ms", "prio", "tries", "pinned",
 	"resumable", "gap_aim_ms", "home-regions", "Vhost", "Path-Prefix", "Backend", "SPLIT", "Tries", "later", `ba\u0063kend`,
 }
 
-// drawnValues are values that fit some of them.
+// drawnValues are values that are valid for some of them.
 var drawnValues = []string{
 	`null`, `true`, `false`, `0`, `-1`, `7`, `0.5`, `1e300`, `1e999`, `""`, `"s1"`, `"s2"`, `"s9"`, `"h.example"`, `"H.example:80"`,
 	`"/x/"`, `"\/y\/"`, `"x"`, `"streaming"`, `"Idempotent"`, `[]`, `[null]`, `["cz"]`, `["cz",1]`, `{}`, `{"a":[1]}`,
@@ -29,7 +29,7 @@
 	`[{"backend":"s9","backend":"s1","share":"x","share":2}]`,
 }
 
-// drawRoute makes a route that is sound but for a few members behind the others, some of them twice.
+// drawRoute makes a valid route, followed by a few random members, some of them repeated.
 func drawRoute(t *rapid.T, name string) string {
 	members := []string{
 		fmt.Sprintf(`"name":%q`, name), `"vhost":"h.example"`, fmt.Sprintf(`"path-prefix":"/%s/"`, name), `"backend":"s1"`,
@@ -41,7 +41,7 @@
 	return "{" + strings.Join(members, ",") + "}"
 }
 
-// plainRoute is a route as the library reads it: exact names, the last of a repeated member.
+// plainRoute is a route as encoding/json reads it: exact names, the last of a repeated member.
 type plainRoute map[string]json.RawMessage
 
 func (p plainRoute) text(t require.TestingT, name string) string {
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestStatesOfEarlierVersionsAreServed: a stored state may hold two routes on one place; the others are not touched.
+// TestStatesOfEarlierVersionsAreServed: a stored state may hold two routes of the same match; the others are not affected.
 func TestStatesOfEarlierVersionsAreServed(t *testing.T) {
 	state, valid := accept(t, orderOf(`{"name":"s1"}`, routeText("a"), routeText("b")))
 	require.True(t, valid)
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -322,7 +322,7 @@
 	requireRoute(t, swapped, "/a/", "b")
 	requireRoute(t, swapped, "/b/", "a")
 
-	// A new route takes the place of one that goes in the same change.
+	// A new route replaces one that the same change removes.
 	renamed, _ := old.With([]*pb.Item{routeItem("c", "h", "/a/")}, []*pb.ItemKey{key(catalog.KindRoutes, "a")}, false)
 	requireRoute(t, renamed, "/a/", "c")
 	require.Equal(t, 2, renamed.Routes())
@@ -393,7 +393,7 @@
 	})
 }
 
-// distinct tells whether no two routes share host and prefix.
+// distinct reports whether no two routes have the same host and prefix.
 func distinct(state map[string]*pb.Item, taken map[string]string) bool {
 	clear(taken)
 	for name, have := range state {
@@ -475,7 +475,7 @@
 	}
 }
 
-// Requests are spread over the parts of a split by their shares.
+// Requests are distributed over the services of a split by their weights.
 func TestDrawsSpreadBySharesOfASplit(t *testing.T) {
 	split := &Route{Split: []WeightedService{{"a", 70}, {"b", 25}, {"none", 0}, {"c", 5}}, total: 100}
 	random := rand.New(rand.NewPCG(1, 2))
