--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -46,7 +46,7 @@
 
 // noteHints takes in what the head tells about the server.
 func (a *attempt) noteHints() {
-	if !upstream.EndsWithConnection(a.response) {
+	if !upstream.IsCloseDelimited(a.response) {
 		a.handler.dispatcher.answered(a.decision.ServerID, a.response.Close)
 	}
 	if values := a.response.Header[headerWarmup]; len(values) > 0 {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -212,9 +212,9 @@
 		return placement.Reset
 	}
 	switch answerError.Fault {
-	case upstream.FaultTimedOut:
+	case upstream.FaultUnreachable:
 		return placement.Unreachable
-	case upstream.FaultTimeout:
+	case upstream.FaultDeadline:
 		return placement.TimedOut
 	case upstream.FaultBroken:
 		return placement.Reset
--- a/internal/proxy/forward_test.go
+++ b/internal/proxy/forward_test.go
@@ -64,7 +64,7 @@
 		require.Equal(t, "wikipedia", request.body)
 		require.Equal(t, "9", request.header.Get("Content-Length"))
 	}
-	require.EqualValues(t, 1, r.handler.pool.Stats().Dialled)
+	require.EqualValues(t, 1, r.handler.pool.Stats().Dialed)
 	eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "memory of bodies is given back")
 }
 
@@ -107,7 +107,7 @@
 	response, body := c.answer("GET")
 	require.Equal(t, 204, response.StatusCode)
 	require.Empty(t, body)
-	require.EqualValues(t, 1, r.handler.pool.Stats().Dialled)
+	require.EqualValues(t, 1, r.handler.pool.Stats().Dialed)
 }
 
 func TestOwnRefusals(t *testing.T) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -130,7 +130,7 @@
 		logger:     logger,
 		state:      newState(),
 		dispatcher: newDispatcher(placer, budget),
-		pool:       upstream.NewPool(upstream.Config{KeepNone: off.Off(policy.ConnectionReuse)}),
+		pool:       upstream.NewPool(upstream.Config{DisableReuse: off.Off(policy.ConnectionReuse)}),
 		memory:     newMemoryBound(int64(configured.Limits.MemoryMB * megabyte / bodyShare)),
 		counters:   &counters{},
 		contact:    &contact{logger: logger},
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -156,7 +156,7 @@
 	require.Equal(t, 200, response.StatusCode)
 	require.Len(t, server.got(), 1)
 	require.Equal(t, []placement.Outcome{placement.NotSent, placement.NotSent, placement.Done}, r.placer.seenOutcomes())
-	require.EqualValues(t, 1, r.handler.pool.Stats().Dialled, "the connection waits for the next pick")
+	require.EqualValues(t, 1, r.handler.pool.Stats().Dialed, "the connection waits for the next pick")
 
 	r.placer.forbidden = 1000
 	response, _ = r.get("/m/x")
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -25,7 +25,7 @@
 	server := upstream.Server{ID: decision.ServerID, Address: decision.Address}
 	patience := x.contactPatience()
 	if x.handler.off.Off(policy.ReachabilityWatch) {
-		patience = upstream.DialTimeouts{Dial: x.left(), Contact: x.left()}
+		patience = upstream.DialTimeouts{Dial: x.left(), Unacknowledged: x.left()}
 	}
 	conn, err := x.handler.pool.Connect(x.request.Context(), server, patience, x.deadline)
 	if err != nil {
@@ -70,11 +70,11 @@
 		aim = longestContact
 	}
 	patience := upstream.DialTimeouts{
-		Dial:    min(max(aim/dialShare, shortestDial), longestDial),
-		Contact: contactOnce,
+		Dial:           min(max(aim/dialShare, shortestDial), longestDial),
+		Unacknowledged: contactOnce,
 	}
 	if x.ledger.repeatable {
-		patience.Contact = min(max(aim/contactShare, shortestContact), longestContact)
+		patience.Unacknowledged = min(max(aim/contactShare, shortestContact), longestContact)
 	}
 	return patience
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -88,7 +88,7 @@
 		header["Content-Length"] = told
 	}
 	a.beginAnswer()
-	if !a.conn.MoreBuffered() {
+	if !a.conn.HasBuffered() {
 		flusher.Flush()
 	}
 	a.exchange.stream = stream
@@ -178,7 +178,7 @@
 	if len(rest) == 0 {
 		return nil
 	}
-	if upstream.EndsWithConnection(a.response) {
+	if upstream.IsCloseDelimited(a.response) {
 		return io.ErrUnexpectedEOF
 	}
 	return a.passBatch(stream, rest)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -85,7 +85,7 @@
 	require.Empty(t, rest)
 	c.ask("GET", "/s/y", "", "")
 	eventually(t, func() bool { return len(server.got()) == 2 }, "both connections are used again")
-	require.EqualValues(t, 1, r.handler.pool.Stats().Dialled)
+	require.EqualValues(t, 1, r.handler.pool.Stats().Dialed)
 	require.Equal(t, 1, r.placer.started)
 	close(passed)
 	_, body := c.answer("GET")
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -26,29 +26,29 @@
 // AttemptIDHeader carries the id of a request; every answer of a server repeats it.
 const AttemptIDHeader = "X-Fieldrelay-Attempt-Id"
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferBytes) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferBytes) }}
 
 var errHeadTooLarge = errors.New("head of answer is too large")
 
 // Conn is a connection to one server. It serves one request at a time and is not safe for concurrent use,
 // except for Abort.
 type Conn struct {
-	server Server
-	socket *net.TCPConn
-	raw    syscall.RawConn
-	reader *bufio.Reader // nil while idle
-	rest   *remainder    // of the request being sent; nil: the system has taken all of it
-	long   bool          // the request has a body that went out apart from its head
-	reused bool
-	broken bool
-	// headLeft is how much may still be read for the head; negative outside of heads.
-	headLeft int
-	// idleTime is how long the server keeps the connection open between requests, as it told last.
-	idleTime time.Duration
-	idleFrom time.Time
-	contact  time.Duration // see Patience; 0: not set
-	request  http.Request  // reused; ReadResponse wants to know the method
-	probe    [1]byte
+	server       Server
+	socket       *net.TCPConn
+	raw          syscall.RawConn
+	reader       *bufio.Reader // nil while idle
+	pending      *pendingWrite // of the request being sent; nil: the system has taken all of it
+	separateBody bool          // the request has a body that went out apart from its head
+	reused       bool
+	broken       bool
+	// headBudget is how much may still be read for the head; negative outside of heads.
+	headBudget int
+	// idleTimeout is how long the server keeps the connection open between requests, as it told last.
+	idleTimeout time.Duration
+	idleSince   time.Time
+	userTimeout time.Duration // see Patience; 0: not set
+	request     http.Request  // reused; ReadResponse wants to know the method
+	peekBuffer  [1]byte
 }
 
 func newConn(server Server, socket *net.TCPConn) (*Conn, error) {
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Conn{server: server, socket: socket, raw: raw, headLeft: -1, idleTime: defaultIdleTime}, nil
+	return &Conn{server: server, socket: socket, raw: raw, headBudget: -1, idleTimeout: defaultIdleTimeout}, nil
 }
 
 // Server returns the server that the connection leads to.
@@ -68,17 +68,17 @@
 // SetDeadline ends reads and writes at the given time.
 func (c *Conn) SetDeadline(deadline time.Time) { _ = c.socket.SetDeadline(deadline) }
 
-// setContact sets how long the other machine may give no sign of itself while one is asked for.
-func (c *Conn) setContact(contact time.Duration) {
-	if contact == c.contact {
+// setUserTimeout sets how long the other machine may give no sign of itself while one is asked for.
+func (c *Conn) setUserTimeout(timeout time.Duration) {
+	if timeout == c.userTimeout {
 		return
 	}
 	err := c.raw.Control(func(descriptor uintptr) {
 		// A system without the option only finds out later that a machine is gone.
-		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(contact/time.Millisecond))
+		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout/time.Millisecond))
 	})
 	if err == nil {
-		c.contact = contact
+		c.userTimeout = timeout
 	}
 }
 
@@ -96,20 +96,20 @@
 // body is read from the response's Body; Finish tells whether it ended whole.
 func (c *Conn) Receive(method, attemptID string) (*http.Response, error) {
 	c.attachReader()
-	c.headLeft = maxHeadBytes
+	c.headBudget = maxHeadBytes
 	response, err := c.receiveFinal(method)
-	c.headLeft = -1
+	c.headBudget = -1
 	if err != nil {
-		return nil, c.noAnswer(err)
+		return nil, c.receiveFailure(err)
 	}
-	if !belongsTo(response, attemptID) {
+	if !matchesRequest(response, attemptID) {
 		c.broken = true
-		return nil, &AnswerError{Server: c.server, Fault: FaultForeign}
+		return nil, &AnswerError{Server: c.server, Fault: FaultMismatched}
 	}
 	if response.Close {
 		c.broken = true
 	}
-	c.noteIdleTime(response.Header)
+	c.recordKeepAlive(response.Header)
 	return response, nil
 }
 
@@ -130,17 +130,17 @@
 	return nil, errors.New("too many interim answers")
 }
 
-// EndsWithConnection tells whether the body of an answer lasts until the server closes the connection. It is
+// IsCloseDelimited tells whether the body of an answer lasts until the server closes the connection. It is
 // whole then, and not if the connection was reset. Such an answer to HEAD has no body.
-func EndsWithConnection(response *http.Response) bool {
+func IsCloseDelimited(response *http.Response) bool {
 	return response.ContentLength < 0 && len(response.TransferEncoding) == 0 && response.Body != http.NoBody
 }
 
-// noAnswer tells what became of a request to which no answer came.
-func (c *Conn) noAnswer(err error) error {
+// receiveFailure tells what became of a request to which no answer came.
+func (c *Conn) receiveFailure(err error) error {
 	c.broken = true
 	c.stopSending()
-	if c.sentNothing() {
+	if c.nothingSent() {
 		return &SendError{Server: c.server, Err: err}
 	}
 	return c.answerError(err)
@@ -160,45 +160,45 @@
 	var netError net.Error
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return FaultTimeout
+		return FaultDeadline
 	case errors.Is(err, syscall.ETIMEDOUT):
-		return FaultTimedOut
+		return FaultUnreachable
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed):
 		return FaultBroken
 	case errors.As(err, &netError):
 		return FaultBroken
 	default:
-		return FaultGarbage
+		return FaultMalformed
 	}
 }
 
 // Read reads from the socket; it bounds the head of an answer. The end of the connection is no proper end while the
 // request is being sent: the sending side may have taken note of a reset already, which then looks like an end here.
 func (c *Conn) Read(buffer []byte) (int, error) {
-	if c.headLeft == 0 {
+	if c.headBudget == 0 {
 		return 0, errHeadTooLarge
 	}
-	if c.headLeft > 0 && len(buffer) > c.headLeft {
-		buffer = buffer[:c.headLeft]
+	if c.headBudget > 0 && len(buffer) > c.headBudget {
+		buffer = buffer[:c.headBudget]
 	}
 	n, err := c.socket.Read(buffer)
-	if c.headLeft > 0 {
-		c.headLeft -= n
+	if c.headBudget > 0 {
+		c.headBudget -= n
 	}
-	if err == io.EOF && !c.sentWhole() {
+	if err == io.EOF && !c.fullySent() {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// MoreBuffered tells whether bytes of the answer have already been read from the socket.
-func (c *Conn) MoreBuffered() bool { return c.reader != nil && c.reader.Buffered() > 0 }
+// HasBuffered tells whether bytes of the answer have already been read from the socket.
+func (c *Conn) HasBuffered() bool { return c.reader != nil && c.reader.Buffered() > 0 }
 
 func (c *Conn) attachReader() {
 	if c.reader != nil {
 		return
 	}
-	c.reader = readers.Get().(*bufio.Reader)
+	c.reader = readerPool.Get().(*bufio.Reader)
 	c.reader.Reset(c)
 }
 
@@ -207,35 +207,35 @@
 		return
 	}
 	c.reader.Reset(nil)
-	readers.Put(c.reader)
+	readerPool.Put(c.reader)
 	c.reader = nil
 }
 
 // condition is what one look at an idle connection shows.
-type condition uint8
+type idleState uint8
 
 const (
-	conditionQuiet  condition = iota // nothing is there to read, and it is open
-	conditionSpent                   // it was closed, or bytes came that nobody asked for
-	conditionSilent                  // the other machine has not answered the system's probes
+	idleUsable      idleState = iota // nothing is there to read, and it is open
+	idleUnusable                     // it was closed, or bytes came that nobody asked for
+	idleUnreachable                  // the other machine has not answered the system's probes
 )
 
 // look takes one look at the socket without waiting.
-func (c *Conn) look() condition {
+func (c *Conn) checkIdle() idleState {
 	var readError error
 	var n int
 	err := c.raw.Read(func(descriptor uintptr) bool {
-		n, readError = syscall.Read(int(descriptor), c.probe[:])
+		n, readError = syscall.Read(int(descriptor), c.peekBuffer[:])
 		return true
 	})
 	switch {
 	case err != nil || n > 0:
-		return conditionSpent
+		return idleUnusable
 	case errors.Is(readError, syscall.EAGAIN):
-		return conditionQuiet
+		return idleUsable
 	case errors.Is(readError, syscall.ETIMEDOUT):
-		return conditionSilent
+		return idleUnreachable
 	default:
-		return conditionSpent
+		return idleUnusable
 	}
 }
--- a/internal/proxy/upstream/errors.go
+++ b/internal/proxy/upstream/errors.go
@@ -35,11 +35,11 @@
 
 // Faults of an answer.
 const (
-	FaultBroken   Fault = iota // the connection ended or was reset
-	FaultTimedOut              // the machine gave no sign of itself for Patience.Contact
-	FaultTimeout               // nothing came until the deadline
-	FaultGarbage               // the bytes form no answer
-	FaultForeign               // the answer belongs to another request
+	FaultBroken      Fault = iota // the connection ended or was reset
+	FaultUnreachable              // the machine gave no sign of itself for Patience.Contact
+	FaultDeadline                 // nothing came until the deadline
+	FaultMalformed                // the bytes form no answer
+	FaultMismatched               // the answer belongs to another request
 )
 
 // String returns the name of the fault.
@@ -47,13 +47,13 @@
 	switch f {
 	case FaultBroken:
 		return "broken"
-	case FaultTimedOut:
+	case FaultUnreachable:
 		return "silent"
-	case FaultTimeout:
+	case FaultDeadline:
 		return "timeout"
-	case FaultGarbage:
+	case FaultMalformed:
 		return "garbage"
-	case FaultForeign:
+	case FaultMismatched:
 		return "foreign"
 	default:
 		return "unknown"
--- a/internal/proxy/upstream/explore_test.go
+++ b/internal/proxy/upstream/explore_test.go
@@ -80,7 +80,7 @@
 		}, "that the server had closed or spoken on"},
 		"a buffer is kept with its connection": {func(s *poolSteps) {
 			s.release = func(pool *Pool, conn *Conn) {
-				if !conn.broken && !conn.MoreBuffered() && pool.keep(conn) {
+				if !conn.broken && !conn.HasBuffered() && pool.keep(conn) {
 					return
 				}
 				pool.Discard(conn)
--- a/internal/proxy/upstream/idle.go
+++ b/internal/proxy/upstream/keepalive.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// defaultIdleTime is how long a connection is kept idle when the server tells no time.
-	defaultIdleTime = 4 * time.Second
-	// maxIdleTime bounds the time that a server may tell.
-	maxIdleTime = 30 * time.Second
-	// minIdleTime is the shortest time worth keeping a connection for.
-	minIdleTime = 100 * time.Millisecond
+	// defaultIdleTimeout is how long a connection is kept idle when the server tells no time.
+	defaultIdleTimeout = 4 * time.Second
+	// maxIdleTimeout bounds the time that a server may tell.
+	maxIdleTimeout = 30 * time.Second
+	// minIdleTimeout is the shortest time worth keeping a connection for.
+	minIdleTimeout = 100 * time.Millisecond
 	// idleMargin is left before the server would close the connection: the way there takes time.
 	idleMargin = 500 * time.Millisecond
 )
 
-// noteIdleTime remembers the time that a server gives in Keep-Alive.
-func (c *Conn) noteIdleTime(header http.Header) {
+// recordKeepAlive remembers the time that a server gives in Keep-Alive.
+func (c *Conn) recordKeepAlive(header http.Header) {
 	values := header["Keep-Alive"]
 	if len(values) == 0 {
 		return
 	}
-	if told, ok := keepAliveTimeout(values[0]); ok {
-		c.idleTime = usableIdleTime(told)
+	if timeout, ok := keepAliveTimeout(values[0]); ok {
+		c.idleTimeout = usableIdleTimeout(timeout)
 	}
 }
 
@@ -45,8 +45,8 @@
 	return 0, false
 }
 
-// usableIdleTime is the part of the told time during which a connection is reused.
-func usableIdleTime(told time.Duration) time.Duration {
-	usable := min(told, maxIdleTime) - idleMargin
+// usableIdleTimeout is the part of the told time during which a connection is reused.
+func usableIdleTimeout(advertised time.Duration) time.Duration {
+	usable := min(advertised, maxIdleTimeout) - idleMargin
 	return max(usable, 0)
 }
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -16,17 +16,17 @@
 	maxIdlePerServer = 16
 	// maxIdle bounds the idle connections to all servers together.
 	maxIdle = 512
-	// minDial is the shortest wait for a connection to come up that makes sense.
-	minDial = 50 * time.Millisecond
-	// dialShare is the part of the time left (one in dialShare) that one connection may take to come up.
-	dialShare = 3
-	// contactIdle is how long the machine at the other end of an idle connection may give no sign of itself.
-	contactIdle = 500 * time.Millisecond
-	// probeAfter is the silence after which the system asks a machine for a sign of life. It gives the connection
-	// up probeEvery later, or when the contact that its user set has passed, whichever the system goes by.
-	probeAfter = time.Second
-	probeEvery = time.Second
-	probeCount = 1
+	// minDialTimeout is the shortest wait for a connection to come up that makes sense.
+	minDialTimeout = 50 * time.Millisecond
+	// dialFraction is the part of the time left (one in dialFraction) that one connection may take to come up.
+	dialFraction = 3
+	// idleUserTimeout is how long the machine at the other end of an idle connection may give no sign of itself.
+	idleUserTimeout = 500 * time.Millisecond
+	// keepAliveIdle is the silence after which the system asks a machine for a sign of life. It gives the connection
+	// up keepAliveInterval later, or when the contact that its user set has passed, whichever the system goes by.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 1
 )
 
 // Server is one life of a server at one address.
@@ -38,63 +38,63 @@
 // DialTimeouts tells how long a machine may fail to answer before a connection to it is given up. It is about
 // the other machine's system: a server that is silent because it works is waited for until the deadline.
 type DialTimeouts struct {
-	Dial    time.Duration // for a new connection to come up
-	Contact time.Duration // without any sign of the machine, while one is asked for
+	Dial           time.Duration // for a new connection to come up
+	Unacknowledged time.Duration // without any sign of the machine, while one is asked for
 }
 
 // host is what the pool knows of one server.
-type host struct {
+type serverConns struct {
 	idle []*Conn // the one used last is last
-	// idleTime is how long idle connections to this server have proved to stay open.
-	idleTime time.Duration
+	// idleTimeout is how long idle connections to this server have proved to stay open.
+	idleTimeout time.Duration
 }
 
 // Stats counts what a pool has done since its start.
 type Stats struct {
-	Dialled  uint64 // connections that came up
-	Refused  uint64 // connections that did not
-	Reused   uint64 // requests on a connection that had served before
-	Stale    uint64 // idle connections found closed by the server
-	Surplus  uint64 // connections given up because bytes followed a whole answer
-	IdleNow  int
-	HostsNow int
+	Dialed      uint64 // connections that came up
+	DialsFailed uint64 // connections that did not
+	Reused      uint64 // requests on a connection that had served before
+	Stale       uint64 // idle connections found closed by the server
+	Surplus     uint64 // connections given up because bytes followed a whole answer
+	IdleNow     int
+	ServersNow  int
 }
 
 // Pool keeps idle connections. It is safe for concurrent use.
 type Pool struct {
-	config Config
-	mu     sync.Mutex
-	hosts  map[Server]*host
-	idle   int
-	closed bool
-	stats  Stats
+	config  Config
+	mu      sync.Mutex
+	servers map[Server]*serverConns
+	idle    int
+	closed  bool
+	stats   Stats
 }
 
 // Config is what a pool is told once. The zero value is the usual one.
 type Config struct {
-	KeepNone bool // no connection is used again
+	DisableReuse bool // no connection is used again
 }
 
 // NewPool returns an empty pool.
 func NewPool(config Config) *Pool {
-	return &Pool{config: config, hosts: make(map[Server]*host)}
+	return &Pool{config: config, servers: make(map[Server]*serverConns)}
 }
 
 // Connect returns a connection to the server whose reads and writes end at the deadline: an idle one, or
 // else a new one. A failure is a *DialError.
-func (p *Pool) Connect(ctx context.Context, server Server, patience DialTimeouts, deadline time.Time) (*Conn, error) {
+func (p *Pool) Connect(ctx context.Context, server Server, timeouts DialTimeouts, deadline time.Time) (*Conn, error) {
 	conn := p.takeIdle(server, deadline)
 	if conn == nil {
 		var err error
-		began := time.Now()
-		if conn, err = p.dial(ctx, server, patience, deadline); err != nil {
-			p.countDial(false)
-			silent := ctx.Err() == nil && time.Since(began) >= patience.Dial
-			return nil, &DialError{Server: server, TimedOut: silent, Err: err}
+		start := time.Now()
+		if conn, err = p.dial(ctx, server, timeouts, deadline); err != nil {
+			p.recordDial(false)
+			timedOut := ctx.Err() == nil && time.Since(start) >= timeouts.Dial
+			return nil, &DialError{Server: server, TimedOut: timedOut, Err: err}
 		}
-		p.countDial(true)
+		p.recordDial(true)
 	}
-	conn.setContact(patience.Contact)
+	conn.setUserTimeout(timeouts.Unacknowledged)
 	return conn, nil
 }
 
@@ -104,24 +104,24 @@
 		if conn == nil {
 			return nil
 		}
-		age := time.Since(conn.idleFrom)
-		if age >= conn.idleTime {
+		age := time.Since(conn.idleSince)
+		if age >= conn.idleTimeout {
 			conn.close()
 			continue
 		}
 		conn.SetDeadline(deadline)
-		if conn.look() == conditionQuiet {
+		if conn.checkIdle() == idleUsable {
 			return conn
 		}
 		conn.close()
-		p.noteStale(server, age)
+		p.recordStale(server, age)
 	}
 }
 
 func (p *Pool) popIdle(server Server) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.hosts[server]
+	known := p.servers[server]
 	if known == nil || len(known.idle) == 0 {
 		return nil
 	}
@@ -134,23 +134,23 @@
 	return conn
 }
 
-// noteStale learns from a connection that the server closed while it was idle: the server keeps idle
+// recordStale learns from a connection that the server closed while it was idle: the server keeps idle
 // connections for less than that age.
-func (p *Pool) noteStale(server Server, age time.Duration) {
+func (p *Pool) recordStale(server Server, age time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.Stale++
 	p.stats.Reused--
-	if known := p.hosts[server]; known != nil {
-		known.idleTime = max(min(known.idleTime, age/2), minIdleTime)
+	if known := p.servers[server]; known != nil {
+		known.idleTimeout = max(min(known.idleTimeout, age/2), minIdleTimeout)
 	}
 }
 
-func (p *Pool) dial(ctx context.Context, server Server, patience DialTimeouts, deadline time.Time) (*Conn, error) {
+func (p *Pool) dial(ctx context.Context, server Server, timeouts DialTimeouts, deadline time.Time) (*Conn, error) {
 	dialer := net.Dialer{
-		Timeout: dialTimeout(patience.Dial, time.Until(deadline)),
+		Timeout: dialTimeout(timeouts.Dial, time.Until(deadline)),
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
 		},
 	}
 	socket, err := dialer.DialContext(ctx, "tcp4", server.Address)
@@ -167,17 +167,17 @@
 }
 
 // dialTimeout is the longest that one connection may take to come up when so much time is left.
-func dialTimeout(patience, left time.Duration) time.Duration {
-	return max(min(patience, left/dialShare), minDial)
+func dialTimeout(limit, left time.Duration) time.Duration {
+	return max(min(limit, left/dialFraction), minDialTimeout)
 }
 
-func (p *Pool) countDial(up bool) {
+func (p *Pool) recordDial(up bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if up {
-		p.stats.Dialled++
+		p.stats.Dialed++
 	} else {
-		p.stats.Refused++
+		p.stats.DialsFailed++
 	}
 }
 
@@ -186,11 +186,11 @@
 // is due before anything else.
 func (p *Pool) Release(conn *Conn) {
 	conn.stopSending()
-	surplus := conn.MoreBuffered()
-	reusable := !conn.broken && !surplus && conn.idleTime >= minIdleTime && conn.delivered()
+	surplus := conn.HasBuffered()
+	reusable := !conn.broken && !surplus && conn.idleTimeout >= minIdleTimeout && conn.acknowledged()
 	conn.detachReader()
 	if reusable {
-		conn.setContact(contactIdle)
+		conn.setUserTimeout(idleUserTimeout)
 		if p.keep(conn) {
 			return
 		}
@@ -206,21 +206,21 @@
 func (p *Pool) keep(conn *Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.config.KeepNone || p.idle >= maxIdle {
+	if p.closed || p.config.DisableReuse || p.idle >= maxIdle {
 		return false
 	}
-	known := p.hosts[conn.server]
+	known := p.servers[conn.server]
 	if known == nil {
-		known = &host{idleTime: maxIdleTime}
-		p.hosts[conn.server] = known
+		known = &serverConns{idleTimeout: maxIdleTimeout}
+		p.servers[conn.server] = known
 	}
 	if len(known.idle) >= maxIdlePerServer {
 		return false
 	}
 	conn.reused = true
-	conn.rest = nil
-	conn.idleTime = min(conn.idleTime, known.idleTime)
-	conn.idleFrom = time.Now()
+	conn.pending = nil
+	conn.idleTimeout = min(conn.idleTimeout, known.idleTimeout)
+	conn.idleSince = time.Now()
 	known.idle = append(known.idle, conn)
 	p.idle++
 	return true
@@ -239,6 +239,6 @@
 	defer p.mu.Unlock()
 	stats := p.stats
 	stats.IdleNow = p.idle
-	stats.HostsNow = len(p.hosts)
+	stats.ServersNow = len(p.servers)
 	return stats
 }
--- a/internal/proxy/upstream/pool_model_test.go
+++ b/internal/proxy/upstream/pool_model_test.go
@@ -300,7 +300,7 @@
 }
 
 func (p *pooled) isIdle(conn *Conn) bool {
-	known := p.pool.hosts[p.server.server]
+	known := p.pool.servers[p.server.server]
 	return known != nil && slices.Contains(known.idle, conn)
 }
 
@@ -310,7 +310,7 @@
 		return p.failure
 	}
 	idle := 0
-	for _, known := range p.pool.hosts {
+	for _, known := range p.pool.servers {
 		idle += len(known.idle)
 	}
 	if idle != p.pool.idle {
--- a/internal/proxy/upstream/answer_test.go
+++ b/internal/proxy/upstream/receive_test.go
@@ -15,13 +15,13 @@
 		answer string
 		fault  Fault
 	}{
-		"other id":       {"HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id2\r\nContent-Length: 0\r\n\r\n", FaultForeign},
-		"no id":          {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", FaultForeign},
-		"two ids":        {"HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nX-Fieldrelay-Attempt-Id: id2\r\nContent-Length: 0\r\n\r\n", FaultForeign},
-		"garbage":        {"\x00\x01garbage\r\n\r\n", FaultGarbage},
+		"other id":       {"HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id2\r\nContent-Length: 0\r\n\r\n", FaultMismatched},
+		"no id":          {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", FaultMismatched},
+		"two ids":        {"HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nX-Fieldrelay-Attempt-Id: id2\r\nContent-Length: 0\r\n\r\n", FaultMismatched},
+		"garbage":        {"\x00\x01garbage\r\n\r\n", FaultMalformed},
 		"nothing":        {"", FaultBroken},
-		"half a head":    {"HTTP/1.1 200 OK\r\nX-Fieldrelay-Att", FaultGarbage},
-		"other protocol": {"HTTP/1.1 101 Switching Protocols\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\n", FaultGarbage},
+		"half a head":    {"HTTP/1.1 200 OK\r\nX-Fieldrelay-Att", FaultMalformed},
+		"other protocol": {"HTTP/1.1 101 Switching Protocols\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\n", FaultMalformed},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -54,15 +54,15 @@
 			answering(begun)(conn)
 			_ = conn.SetLinger(0)
 		}, fault: FaultBroken},
-		"silent": {script: holding(begun), fault: FaultTimeout},
+		"silent": {script: holding(begun), fault: FaultDeadline},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool(Config{})
 			conn, response, err := exchange(t, pool, scriptedServer(t, test.script))
 			require.NoError(t, err)
-			require.True(t, EndsWithConnection(response))
-			if test.fault == FaultTimeout {
+			require.True(t, IsCloseDelimited(response))
+			if test.fault == FaultDeadline {
 				conn.SetDeadline(time.Now().Add(30 * time.Millisecond))
 			}
 			body, err := io.ReadAll(response.Body)
@@ -86,7 +86,7 @@
 	require.NoError(t, conn.Send([]byte(head), nil))
 	response, err := conn.Receive(http.MethodHead, "id1")
 	require.NoError(t, err)
-	require.False(t, EndsWithConnection(response))
+	require.False(t, IsCloseDelimited(response))
 	pool.Release(conn)
 	require.Equal(t, 1, pool.Stats().IdleNow)
 }
--- a/internal/proxy/upstream/match.go
+++ b/internal/proxy/upstream/responsematch.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// belongsTo tells whether a head is that of the answer to the request with the given id, and of no other. Bytes of
+// matchesRequest tells whether a head is that of the answer to the request with the given id, and of no other. Bytes of
 // another answer may come first and end in its head: what looks like one head then has the status of that answer
 // and the id of this one, with the true status line within it.
-func belongsTo(response *http.Response, attemptID string) bool {
+func matchesRequest(response *http.Response, attemptID string) bool {
 	if ids := response.Header[AttemptIDHeader]; len(ids) != 1 || ids[0] != attemptID {
 		return false
 	}
-	if holdsStatusLine(response.Status) {
+	if containsStatusLine(response.Status) {
 		return false
 	}
 	for _, values := range response.Header {
 		for _, value := range values {
-			if holdsStatusLine(value) {
+			if containsStatusLine(value) {
 				return false
 			}
 		}
@@ -25,13 +25,13 @@
 	return true
 }
 
-// versionMark begins a status line; a digit, a space and the three digits of the status follow.
-const versionMark = "HTTP/1."
+// versionPrefix begins a status line; a digit, a space and the three digits of the status follow.
+const versionPrefix = "HTTP/1."
 
-// holdsStatusLine tells whether a status line begins somewhere in a text.
-func holdsStatusLine(text string) bool {
+// containsStatusLine tells whether a status line begins somewhere in a text.
+func containsStatusLine(text string) bool {
 	for {
-		_, rest, found := strings.Cut(text, versionMark)
+		_, rest, found := strings.Cut(text, versionPrefix)
 		if !found {
 			return false
 		}
--- a/internal/proxy/upstream/match_test.go
+++ b/internal/proxy/upstream/responsematch_test.go
@@ -17,14 +17,14 @@
 	)
 	for cut := range len(other) {
 		response, err := http.ReadResponse(bufio.NewReader(strings.NewReader(other[:cut]+own)), nil)
-		if err == nil && belongsTo(response, "id1") {
+		if err == nil && matchesRequest(response, "id1") {
 			require.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "cut at %d", cut)
 		}
 	}
 	response, err := http.ReadResponse(bufio.NewReader(strings.NewReader(own)), nil)
 	require.NoError(t, err)
-	require.True(t, belongsTo(response, "id1"))
-	require.False(t, belongsTo(response, "id2"))
+	require.True(t, matchesRequest(response, "id1"))
+	require.False(t, matchesRequest(response, "id2"))
 }
 
 func TestStatusLineInAText(t *testing.T) {
@@ -32,6 +32,6 @@
 		"": false, "HTTP/1.1": false, "HTTP/1.1 20": false, "1.1 HTTP/1.1 proxy": false, "HTTP/1.1 2xx": false,
 		"HTTP/1.1 200": true, "text/plHTTP/1.0 503 Full": true, "HTTP/1.HTTP/1.1 200 OK": true, "200 OK": false,
 	} {
-		require.Equal(t, want, holdsStatusLine(text), text)
+		require.Equal(t, want, containsStatusLine(text), text)
 	}
 }
--- a/internal/proxy/upstream/send.go
+++ b/internal/proxy/upstream/send.go
@@ -11,8 +11,8 @@
 
 // remainder is the part of a long request that the system did not take at once. It is written by a goroutine of
 // its own, so that an answer is seen that comes before the server has read the whole request.
-type remainder struct {
-	ended   chan struct{} // closed when the goroutine is done
+type pendingWrite struct {
+	done    chan struct{} // closed when the goroutine is done
 	written int64         // valid once ended is closed
 	err     error         // likewise
 }
@@ -22,17 +22,17 @@
 // Send returns; what becomes of it shows in Receive.
 func (c *Conn) Send(head, body []byte) error {
 	c.attachReader()
-	c.long = false
+	c.separateBody = false
 	if len(body) == 0 {
 		written, err := c.socket.Write(head)
 		return c.sendError(int64(written), err)
 	}
-	c.long = true
-	written, err := c.writeNow(head, body)
+	c.separateBody = true
+	written, err := c.writeAvailable(head, body)
 	if err != nil || written == len(head)+len(body) {
 		return c.sendError(int64(written), err)
 	}
-	c.writeRest(head, body, written)
+	c.writePending(head, body, written)
 	return nil
 }
 
@@ -44,8 +44,8 @@
 	return &SendError{Server: c.server, Written: written, Err: err}
 }
 
-// writeNow hands the system as much of a request as it takes at once.
-func (c *Conn) writeNow(head, body []byte) (written int, err error) {
+// writeAvailable hands the system as much of a request as it takes at once.
+func (c *Conn) writeAvailable(head, body []byte) (written int, err error) {
 	var writeError error
 	err = c.raw.Write(func(descriptor uintptr) bool {
 		written, writeError = unix.Writev(int(descriptor), [][]byte{head, body})
@@ -58,30 +58,30 @@
 	return written, err
 }
 
-// writeRest begins to write what is left of a request of which the system took some bytes.
-func (c *Conn) writeRest(head, body []byte, taken int) {
-	rest := &remainder{ended: make(chan struct{}), written: int64(taken)}
+// writePending begins to write what is left of a request of which the system took some bytes.
+func (c *Conn) writePending(head, body []byte, taken int) {
+	rest := &pendingWrite{done: make(chan struct{}), written: int64(taken)}
 	parts := net.Buffers{body[max(taken-len(head), 0):]}
 	if taken < len(head) {
 		parts = net.Buffers{bytes.Clone(head[taken:]), body}
 	}
-	c.rest = rest
+	c.pending = rest
 	go func() {
-		defer close(rest.ended)
+		defer close(rest.done)
 		written, err := parts.WriteTo(c.socket)
 		rest.written += written
 		rest.err = err
 	}()
 }
 
-// sentWhole tells whether the system has taken the whole request.
-func (c *Conn) sentWhole() bool {
-	if c.rest == nil {
+// fullySent tells whether the system has taken the whole request.
+func (c *Conn) fullySent() bool {
+	if c.pending == nil {
 		return true
 	}
 	select {
-	case <-c.rest.ended:
-		return c.rest.err == nil
+	case <-c.pending.done:
+		return c.pending.err == nil
 	default:
 		return false
 	}
@@ -90,20 +90,20 @@
 // stopSending gives up what is left of a request, and returns when its body is no longer used. It closes the
 // connection unless the request was sent whole.
 func (c *Conn) stopSending() {
-	if c.rest == nil {
+	if c.pending == nil {
 		return
 	}
-	if !c.sentWhole() {
+	if !c.fullySent() {
 		c.broken = true
 		c.Abort()
 	}
-	<-c.rest.ended
+	<-c.pending.done
 }
 
 // delivered tells whether the other machine's system has taken a request whole, as it has when the server answered
 // after reading it. Only long requests are looked at: the others fit into what any system takes.
-func (c *Conn) delivered() bool {
-	if !c.long {
+func (c *Conn) acknowledged() bool {
+	if !c.separateBody {
 		return true
 	}
 	waiting, known := 0, false
@@ -115,5 +115,5 @@
 	return err == nil && (!known || waiting == 0)
 }
 
-// sentNothing tells whether no byte of a request whose sending was stopped has left.
-func (c *Conn) sentNothing() bool { return c.rest != nil && c.rest.written == 0 }
+// nothingSent tells whether no byte of a request whose sending was stopped has left.
+func (c *Conn) nothingSent() bool { return c.pending != nil && c.pending.written == 0 }
--- a/internal/proxy/upstream/send_test.go
+++ b/internal/proxy/upstream/send_test.go
@@ -73,7 +73,7 @@
 func requireBodyUnused(t *testing.T, conn *Conn) {
 	t.Helper()
 	select {
-	case <-conn.rest.ended:
+	case <-conn.pending.done:
 	default:
 		require.Fail(t, "the body is still being sent")
 	}
@@ -94,13 +94,13 @@
 	require.NoError(t, err)
 	require.Equal(t, "ok", readAll(t, response))
 	require.True(t, bytes.Equal(body, <-read))
-	require.Eventually(t, func() bool { return conn.sentWhole() && conn.delivered() }, patience, pause)
+	require.Eventually(t, func() bool { return conn.fullySent() && conn.acknowledged() }, patience, pause)
 	pool.Release(conn)
 	require.Equal(t, 1, pool.Stats().IdleNow)
 	_, response, err = exchange(t, pool, server)
 	require.NoError(t, err)
 	require.Equal(t, "ok", readAll(t, response))
-	require.EqualValues(t, 1, pool.Stats().Dialled)
+	require.EqualValues(t, 1, pool.Stats().Dialed)
 }
 
 // The system may have taken a request whole that the server has not read: the next one would wait behind it.
@@ -175,7 +175,7 @@
 	requireBodyUnused(t, conn)
 	close(aborted)
 	require.ErrorContains(t, <-got, "reset")
-	require.False(t, conn.sentWhole())
+	require.False(t, conn.fullySent())
 }
 
 // A connection of which the system took nothing carried no request.
@@ -192,7 +192,7 @@
 	conn = connect(t, pool, scriptedServer(t, holding()))
 	conn.attachReader()
 	conn.Abort()
-	conn.writeRest(head, body, 0)
+	conn.writePending(head, body, 0)
 	_, err := conn.Receive(http.MethodPost, "id1")
 	require.ErrorAs(t, err, &sendError)
 	require.Zero(t, sendError.Written)
@@ -211,7 +211,7 @@
 	_, err := conn.Receive(http.MethodPost, "id1")
 	var answerError *AnswerError
 	require.ErrorAs(t, err, &answerError)
-	require.Equal(t, FaultTimeout, answerError.Fault)
+	require.Equal(t, FaultDeadline, answerError.Fault)
 	require.False(t, errors.As(err, new(*SendError)), "some of it was sent")
 	pool.Discard(conn)
 }
@@ -228,11 +228,11 @@
 			_, _ = io.ReadFull(conn, all)
 			got <- string(all)
 		}))
-		conn.writeRest(head, body, taken)
+		conn.writePending(head, body, taken)
 		require.Equal(t, whole[taken:], <-got)
-		<-conn.rest.ended
-		require.EqualValues(t, len(whole), conn.rest.written)
-		require.True(t, conn.sentWhole())
+		<-conn.pending.done
+		require.EqualValues(t, len(whole), conn.pending.written)
+		require.True(t, conn.fullySent())
 		pool.Discard(conn)
 	}
 }
--- a/internal/proxy/upstream/sweep.go
+++ b/internal/proxy/upstream/sweep.go
@@ -7,30 +7,30 @@
 func (p *Pool) Sweep(now time.Time, keep func(Server) bool) []Server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var silent []Server
-	for server, known := range p.hosts {
-		stays := keep == nil || keep(server)
-		if p.sweepHost(known, now, stays) {
-			silent = append(silent, server)
+	var unreachable []Server
+	for server, known := range p.servers {
+		listed := keep == nil || keep(server)
+		if p.sweepServer(known, now, listed) {
+			unreachable = append(unreachable, server)
 		}
-		if !stays {
-			delete(p.hosts, server)
+		if !listed {
+			delete(p.servers, server)
 		}
 	}
-	return silent
+	return unreachable
 }
 
-// sweepHost tells whether a server that stays was found silent: then none of its connections is kept.
-func (p *Pool) sweepHost(known *host, now time.Time, stays bool) (silent bool) {
+// sweepServer tells whether a server that stays was found silent: then none of its connections is kept.
+func (p *Pool) sweepServer(known *serverConns, now time.Time, listed bool) (unreachable bool) {
 	kept := known.idle[:0]
 	for _, conn := range known.idle {
-		if stays && now.Sub(conn.idleFrom) < conn.idleTime {
-			switch conn.look() {
-			case conditionQuiet:
+		if listed && now.Sub(conn.idleSince) < conn.idleTimeout {
+			switch conn.checkIdle() {
+			case idleUsable:
 				kept = append(kept, conn)
 				continue
-			case conditionSilent:
-				silent = true
+			case idleUnreachable:
+				unreachable = true
 			}
 		}
 		conn.close()
@@ -38,10 +38,10 @@
 	}
 	clear(known.idle[len(kept):])
 	known.idle = kept
-	if silent {
+	if unreachable {
 		p.dropIdle(known)
 	}
-	return silent
+	return unreachable
 }
 
 // Forget closes the idle connections to a server whose machine seems to be gone: a request that was sent on
@@ -49,12 +49,12 @@
 func (p *Pool) Forget(server Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known := p.hosts[server]; known != nil {
+	if known := p.servers[server]; known != nil {
 		p.dropIdle(known)
 	}
 }
 
-func (p *Pool) dropIdle(known *host) {
+func (p *Pool) dropIdle(known *serverConns) {
 	for _, conn := range known.idle {
 		conn.close()
 	}
--- a/internal/proxy/upstream/silent_test.go
+++ b/internal/proxy/upstream/unreachable_test.go
@@ -57,7 +57,7 @@
 	require.ErrorAs(t, err, &dialError)
 	require.True(t, dialError.TimedOut)
 
-	_, err = NewPool(Config{}).Connect(context.Background(), silent, usual, time.Now().Add(minDial))
+	_, err = NewPool(Config{}).Connect(context.Background(), silent, usual, time.Now().Add(minDialTimeout))
 	require.ErrorAs(t, err, &dialError)
 	require.False(t, dialError.TimedOut, "it was given too little time to tell")
 }
@@ -69,7 +69,7 @@
 	stays := make(chan struct{})
 	t.Cleanup(func() { close(stays) })
 	conn := connect(t, pool, scriptedServer(t, func(*net.TCPConn) { <-stays }))
-	conn.setContact(100 * time.Millisecond)
+	conn.setUserTimeout(100 * time.Millisecond)
 	// On a machine that is short of processor time one slice may end before the other end's window is full.
 	require.Eventually(t, func() bool {
 		conn.SetDeadline(time.Now().Add(50 * time.Millisecond))
@@ -97,14 +97,14 @@
 	_, err := conn.Receive(http.MethodGet, "id1")
 	var answerError *AnswerError
 	require.ErrorAs(t, err, &answerError)
-	require.Equal(t, FaultTimedOut, answerError.Fault)
+	require.Equal(t, FaultUnreachable, answerError.Fault)
 }
 
 func TestASweepTellsOfSilentMachines(t *testing.T) {
 	pool := NewPool(Config{})
 	conn := unanswered(t, pool)
 	other := connect(t, pool, conn.server)
-	conn.broken, conn.contact = false, contactIdle // as if its request had been answered
+	conn.broken, conn.userTimeout = false, idleUserTimeout // as if its request had been answered
 	pool.Release(conn)
 	pool.Release(other)
 	require.Equal(t, 2, pool.Stats().IdleNow)
--- a/internal/proxy/upstream/upstream_test.go
+++ b/internal/proxy/upstream/upstream_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-var usual = DialTimeouts{Dial: time.Second, Contact: 2 * time.Second}
+var usual = DialTimeouts{Dial: time.Second, Unacknowledged: 2 * time.Second}
 
 const (
 	patience = 5 * time.Second
@@ -102,7 +102,7 @@
 		pool.Release(conn)
 	}
 	stats := pool.Stats()
-	require.EqualValues(t, 1, stats.Dialled)
+	require.EqualValues(t, 1, stats.Dialed)
 	require.EqualValues(t, 1, stats.Reused)
 	require.Equal(t, 1, stats.IdleNow)
 	pool.Close()
@@ -144,7 +144,7 @@
 			conn, response, err := exchange(t, pool, server)
 			require.NoError(t, err)
 			readAll(t, response)
-			require.Eventually(t, func() bool { return conn.look() == conditionSpent }, patience, pause)
+			require.Eventually(t, func() bool { return conn.checkIdle() == idleUnusable }, patience, pause)
 			pool.Release(conn)
 			again := connect(t, pool, server)
 			require.False(t, again.Reused())
@@ -194,7 +194,7 @@
 	_, err = conn.Receive(http.MethodGet, "id1")
 	var answerError *AnswerError
 	require.ErrorAs(t, err, &answerError)
-	require.Equal(t, FaultTimeout, answerError.Fault)
+	require.Equal(t, FaultDeadline, answerError.Fault)
 }
 
 func TestAbortEndsTheExchange(t *testing.T) {
@@ -224,7 +224,7 @@
 func TestDialTimeout(t *testing.T) {
 	require.Equal(t, time.Second, dialTimeout(time.Second, time.Minute))
 	require.Equal(t, 200*time.Millisecond, dialTimeout(time.Second, 600*time.Millisecond))
-	require.Equal(t, minDial, dialTimeout(time.Second, 0))
+	require.Equal(t, minDialTimeout, dialTimeout(time.Second, 0))
 }
 
 func TestContactIsSetForEachUse(t *testing.T) {
@@ -241,8 +241,8 @@
 	first := connect(t, pool, server)
 	require.Equal(t, 2000, timeout(first))
 	pool.Release(first)
-	require.EqualValues(t, contactIdle/time.Millisecond, timeout(first))
-	again, err := pool.Connect(context.Background(), server, DialTimeouts{Contact: 9 * time.Second}, time.Now().Add(patience))
+	require.EqualValues(t, idleUserTimeout/time.Millisecond, timeout(first))
+	again, err := pool.Connect(context.Background(), server, DialTimeouts{Unacknowledged: 9 * time.Second}, time.Now().Add(patience))
 	require.NoError(t, err)
 	require.Same(t, first, again)
 	require.Equal(t, 9000, timeout(again))
@@ -271,20 +271,20 @@
 	require.Equal(t, maxIdlePerServer, pool.Stats().IdleNow)
 	pool.Sweep(time.Now(), nil)
 	require.Equal(t, maxIdlePerServer, pool.Stats().IdleNow)
-	pool.Sweep(time.Now().Add(defaultIdleTime), nil)
+	pool.Sweep(time.Now().Add(defaultIdleTimeout), nil)
 	require.Zero(t, pool.Stats().IdleNow)
 	pool.Sweep(time.Now(), func(Server) bool { return false })
-	require.Zero(t, pool.Stats().HostsNow)
+	require.Zero(t, pool.Stats().ServersNow)
 }
 
 func TestStaleConnectionsShortenTheIdleTime(t *testing.T) {
 	pool := NewPool(Config{})
 	server := Server{ID: "i-1"}
-	pool.hosts[server] = &host{idleTime: maxIdleTime}
-	pool.noteStale(server, 2*time.Second)
-	require.Equal(t, time.Second, pool.hosts[server].idleTime)
-	pool.noteStale(server, 0)
-	require.Equal(t, minIdleTime, pool.hosts[server].idleTime)
+	pool.servers[server] = &serverConns{idleTimeout: maxIdleTimeout}
+	pool.recordStale(server, 2*time.Second)
+	require.Equal(t, time.Second, pool.servers[server].idleTimeout)
+	pool.recordStale(server, 0)
+	require.Equal(t, minIdleTimeout, pool.servers[server].idleTimeout)
 }
 
 func TestKeepAliveTimeout(t *testing.T) {
@@ -304,6 +304,6 @@
 		require.Equal(t, test.ok, ok, value)
 		require.Equal(t, test.told, told, value)
 	}
-	require.Zero(t, usableIdleTime(0))
-	require.Equal(t, 4500*time.Millisecond, usableIdleTime(5*time.Second))
+	require.Zero(t, usableIdleTimeout(0))
+	require.Equal(t, 4500*time.Millisecond, usableIdleTimeout(5*time.Second))
 }
