--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -26,7 +26,7 @@
 	*exchange
 	decision placement.Decision
 	conn     *upstream.Conn
-	response *http.Response
+	response upstream.Response
 	stop     func() bool // keeps the client's leaving from closing the connection
 	spoke    bool        // an event of this server was passed on
 }
@@ -46,7 +46,7 @@
 
 // noteHints takes in what the head tells about the server.
 func (a *attempt) noteHints() {
-	if !upstream.IsCloseDelimited(a.response) {
+	if !a.response.IsCloseDelimited() {
 		a.handler.dispatcher.answered(a.decision.ServerID, a.response.Close)
 	}
 	if values := a.response.Header[headerWarmup]; len(values) > 0 {
@@ -252,7 +252,7 @@
 }
 
 // outcomeOfAnswer tells placement what an answer says about the server.
-func outcomeOfAnswer(response *http.Response, f fate) placement.Outcome {
+func outcomeOfAnswer(response upstream.Response, f fate) placement.Outcome {
 	switch {
 	case response.StatusCode == http.StatusMisdirectedRequest:
 		return placement.Misdirected
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -207,7 +207,7 @@
 	if errors.As(err, &dialError) && dialError.TimedOut {
 		return placement.Unreachable
 	}
-	var answerError *upstream.AnswerError
+	var answerError *upstream.ResponseError
 	if !errors.As(err, &answerError) {
 		return placement.Reset
 	}
--- a/internal/proxy/fate_test.go
+++ b/internal/proxy/fate_test.go
@@ -16,7 +16,7 @@
 	require.Equal(t, fateNotSent, fateOfError(&upstream.DialError{Err: io.EOF}))
 	require.Equal(t, fateNotSent, fateOfError(&upstream.SendError{Err: io.EOF}))
 	require.Equal(t, fateUnknown, fateOfError(&upstream.SendError{Written: 1, Err: io.EOF}))
-	require.Equal(t, fateUnknown, fateOfError(&upstream.AnswerError{Fault: upstream.FaultMismatched}))
+	require.Equal(t, fateUnknown, fateOfError(&upstream.ResponseError{Fault: upstream.FaultMismatched}))
 	require.Equal(t, fateUnknown, fateOfError(io.EOF))
 }
 
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"time"
 
 	"fieldrelay/internal/placement"
@@ -91,7 +90,7 @@
 }
 
 // send writes the request to a connection and reads the head of the answer.
-func (x *exchange) send(conn *upstream.Conn, decision placement.Decision) (*http.Response, error) {
+func (x *exchange) send(conn *upstream.Conn, decision placement.Decision) (upstream.Response, error) {
 	buffer := buffers.Get().(*[]byte)
 	defer buffers.Put(buffer)
 	head := attemptHead{
@@ -121,7 +120,7 @@
 	}
 	x.countSending()
 	if err := conn.Send(*buffer, body); err != nil {
-		return nil, err
+		return upstream.Response{}, err
 	}
 	x.handler.announcer.tell(decision.Announce)
 	return conn.Receive(x.request.Method, x.attemptID)
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -8,7 +8,6 @@
 	"github.com/cockroachdb/errors"
 
 	"fieldrelay/internal/placement"
-	"fieldrelay/internal/proxy/upstream"
 )
 
 const (
@@ -178,7 +177,7 @@
 	if len(rest) == 0 {
 		return nil
 	}
-	if upstream.IsCloseDelimited(a.response) {
+	if a.response.IsCloseDelimited() {
 		return io.ErrUnexpectedEOF
 	}
 	return a.passBatch(stream, rest)
--- a/internal/proxy/upstream/errors.go
+++ b/internal/proxy/upstream/errors.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// DialError tells that no connection came up. Nothing of a request was sent.
+// DialError says that no connection to a server came up. No byte of a request was sent.
 type DialError struct {
 	Server   Server
-	TimedOut bool // the machine gave no sign of itself for the whole of Patience.Dial
-	Err      error
+	TimedOut bool  // nothing came back from the machine for DialTimeouts.Dial; false if it refused
+	Err      error // cause
 }
 
+// Error implements error.
 func (e *DialError) Error() string {
 	return fmt.Sprintf("connect to server %s at %s: %v", e.Server.ID, e.Server.Address, e.Err)
 }
@@ -16,13 +17,14 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// SendError tells that a request could not be written whole.
+// SendError says that a request was not written completely. The server has not run it if Written is 0.
 type SendError struct {
 	Server  Server
-	Written int64 // bytes that the system took before the failure
-	Err     error
+	Written int64 // bytes that the kernel accepted before the failure
+	Err     error // cause
 }
 
+// Error implements error.
 func (e *SendError) Error() string {
 	return fmt.Sprintf("send to server %s after %d bytes: %v", e.Server.ID, e.Written, e.Err)
 }
@@ -30,49 +32,50 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
-// Fault classifies what was wrong with an answer.
+// Fault classifies why a response is not usable.
 type Fault uint8
 
-// Faults of an answer.
+// Faults of a response.
 const (
-	FaultBroken      Fault = iota // the connection ended or was reset
-	FaultUnreachable              // the machine gave no sign of itself for Patience.Contact
-	FaultDeadline                 // nothing came until the deadline
-	FaultMalformed                // the bytes form no answer
-	FaultMismatched               // the answer belongs to another request
+	FaultBroken      Fault = iota // the connection was closed or reset early
+	FaultUnreachable              // the machine acknowledged nothing for DialTimeouts.Unacknowledged
+	FaultDeadline                 // the deadline of the connection passed
+	FaultMalformed                // the bytes are no HTTP/1 response
+	FaultMismatched               // the response carries the id of another request, or none
 )
 
 // String returns the name of the fault.
 func (f Fault) String() string {
 	switch f {
 	case FaultBroken:
-		return "broken"
+		return "connection broken"
 	case FaultUnreachable:
-		return "silent"
+		return "machine unreachable"
 	case FaultDeadline:
-		return "timeout"
+		return "deadline exceeded"
 	case FaultMalformed:
-		return "garbage"
+		return "malformed response"
 	case FaultMismatched:
-		return "foreign"
+		return "response to another request"
 	default:
-		return "unknown"
+		return "unknown fault"
 	}
 }
 
-// AnswerError tells that no usable answer to the request came. The request may have run.
-type AnswerError struct {
+// ResponseError says that no usable response to a request came. The server may have run the request.
+type ResponseError struct {
 	Server Server
 	Fault  Fault
-	Err    error // may be nil
+	Err    error // cause; nil for FaultMismatched
 }
 
-func (e *AnswerError) Error() string {
+// Error implements error.
+func (e *ResponseError) Error() string {
 	if e.Err == nil {
-		return fmt.Sprintf("answer of server %s: %s", e.Server.ID, e.Fault)
+		return fmt.Sprintf("receive from server %s: %s", e.Server.ID, e.Fault)
 	}
-	return fmt.Sprintf("answer of server %s: %s: %v", e.Server.ID, e.Fault, e.Err)
+	return fmt.Sprintf("receive from server %s: %s: %v", e.Server.ID, e.Fault, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *AnswerError) Unwrap() error { return e.Err }
+func (e *ResponseError) Unwrap() error { return e.Err }
--- a/internal/proxy/upstream/explore_test.go
+++ b/internal/proxy/upstream/explore_test.go
@@ -12,12 +12,12 @@
 	"fieldrelay/internal/explore"
 )
 
-// poolDepth is the number of events; PROXY_POOL_DEPTH tells another.
+// poolDepth is the number of events in an order; PROXY_POOL_DEPTH replaces it.
 const poolDepth = 7
 
 func explorePool(t *testing.T, steps poolSteps, depth int) (explore.Result, error) {
-	server := listen(t)
-	var last *pooled
+	server := listenTestServer(t)
+	var last *poolSystem
 	defer func() {
 		if last != nil {
 			last.end()
@@ -27,7 +27,7 @@
 		if last != nil {
 			last.end()
 		}
-		last = &pooled{steps: steps, server: server, pool: NewPool(Config{})}
+		last = &poolSystem{steps: steps, server: server, pool: NewPool(Config{})}
 		return last
 	}, depth, 200_000)
 }
@@ -39,7 +39,7 @@
 		require.NoError(t, err)
 	}
 	began := time.Now()
-	result, err := explorePool(t, trueSteps(), depth)
+	result, err := explorePool(t, unmodifiedSteps(), depth)
 	require.NoError(t, err)
 	require.True(t, result.Full)
 	t.Logf("depth %d: %+v in %v", depth, result, time.Since(began))
@@ -55,17 +55,18 @@
 				if conn := pool.popIdle(server); conn != nil {
 					return conn
 				}
-				return trueSteps().connect(pool, server)
+				return unmodifiedSteps().connect(pool, server)
 			}
-		}, "that the server had closed or spoken on"},
+		}, "that the server had closed or sent surplus bytes on"},
 		"ids are not compared": {func(s *poolSteps) {
-			s.receive = func(conn *Conn, _ string) (*http.Response, error) {
-				return http.ReadResponse(conn.reader, nil)
+			s.receive = func(conn *Conn, _ string) (Response, error) {
+				response, err := http.ReadResponse(conn.reader, nil) //nolint:bodyclose // ends with its connection
+				return Response{response}, err
 			}
 		}, `got "answer to other"`},
 		"a connection is given back and kept": {func(s *poolSteps) {
 			s.connect = func(pool *Pool, server Server) *Conn {
-				conn := trueSteps().connect(pool, server)
+				conn := unmodifiedSteps().connect(pool, server)
 				if conn != nil {
 					pool.keep(conn)
 				}
@@ -77,7 +78,7 @@
 				conn.detachReader()
 				pool.keep(conn)
 			}
-		}, "that the server had closed or spoken on"},
+		}, "that the server had closed or sent surplus bytes on"},
 		"a buffer is kept with its connection": {func(s *poolSteps) {
 			s.release = func(pool *Pool, conn *Conn) {
 				if !conn.broken && !conn.HasBuffered() && pool.keep(conn) {
@@ -94,11 +95,11 @@
 		}, "a closed pool keeps"},
 		"a connection is not given back": {func(s *poolSteps) {
 			s.release = func(_ *Pool, conn *Conn) { conn.detachReader() }
-		}, "nobody's"},
+		}, "has no user"},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			steps := trueSteps()
+			steps := unmodifiedSteps()
 			fault.plant(&steps)
 			_, err := explorePool(t, steps, poolDepth)
 			require.ErrorContains(t, err, fault.finding)
--- /dev/null
+++ b/internal/proxy/upstream/idle.go
@@ -0,0 +1,35 @@
+package upstream
+
+import (
+	"errors"
+	"syscall"
+)
+
+// idleState is what a check of an idle connection finds.
+type idleState uint8
+
+const (
+	idleUsable      idleState = iota // open, and nothing is there to read
+	idleUnusable                     // closed by the server, or unexpected bytes came
+	idleUnreachable                  // the other machine has not acknowledged the kernel's keep-alive probes
+)
+
+// checkIdle checks an idle connection with one read that doesn't block.
+func (c *Conn) checkIdle() idleState {
+	var readError error
+	var n int
+	err := c.raw.Read(func(descriptor uintptr) bool {
+		n, readError = syscall.Read(int(descriptor), c.peekBuffer[:])
+		return true
+	})
+	switch {
+	case err != nil || n > 0:
+		return idleUnusable
+	case errors.Is(readError, syscall.EAGAIN):
+		return idleUsable
+	case errors.Is(readError, syscall.ETIMEDOUT):
+		return idleUnreachable
+	default:
+		return idleUnusable
+	}
+}
--- a/internal/proxy/upstream/keepalive.go
+++ b/internal/proxy/upstream/keepalive.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// defaultIdleTimeout is how long a connection is kept idle when the server tells no time.
+	// defaultIdleTimeout is how long an idle connection is kept if the server sends no Keep-Alive header.
 	defaultIdleTimeout = 4 * time.Second
-	// maxIdleTimeout bounds the time that a server may tell.
+	// maxIdleTimeout bounds the timeout that a server may advertise.
 	maxIdleTimeout = 30 * time.Second
-	// minIdleTimeout is the shortest time worth keeping a connection for.
+	// minIdleTimeout is the shortest timeout for which a connection is kept at all.
 	minIdleTimeout = 100 * time.Millisecond
-	// idleMargin is left before the server would close the connection: the way there takes time.
+	// idleMargin is how long before the server's own timeout a connection is given up: a request needs time to get
+	// there, and one that arrives at a closing connection is lost.
 	idleMargin = 500 * time.Millisecond
 )
 
-// recordKeepAlive remembers the time that a server gives in Keep-Alive.
+// recordKeepAlive takes over the timeout that a server advertises in its Keep-Alive header.
 func (c *Conn) recordKeepAlive(header http.Header) {
 	values := header["Keep-Alive"]
 	if len(values) == 0 {
@@ -29,7 +30,7 @@
 	}
 }
 
-// keepAliveTimeout reads the timeout parameter of a Keep-Alive header.
+// keepAliveTimeout reads the timeout parameter, in seconds, of a Keep-Alive header (RFC 2068, section 19.7.1.1).
 func keepAliveTimeout(value string) (time.Duration, bool) {
 	for parameter := range strings.SplitSeq(value, ",") {
 		name, number, found := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -45,7 +46,7 @@
 	return 0, false
 }
 
-// usableIdleTimeout is the part of the told time during which a connection is reused.
+// usableIdleTimeout is the part of an advertised timeout during which a connection is reused.
 func usableIdleTimeout(advertised time.Duration) time.Duration {
 	usable := min(advertised, maxIdleTimeout) - idleMargin
 	return max(usable, 0)
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -1,7 +1,13 @@
-// Package upstream holds the connections to servers: HTTP/1.1, one request at a time on each connection.
+// Package upstream keeps connections to servers: HTTP/1.1 over TCP, one request at a time on each connection.
 //
-// A connection is reused only while it is certain that nothing but the answer to the next request can come
-// on it: the last answer was read whole, nothing followed it, and the server has not closed.
+// It promises that a response is taken only for the request it belongs to. A connection is reused only if nothing but
+// the response to the next request can come on it: the last response was read to its end, nothing followed it, the last
+// request was received completely, and the server has not closed. Errors say whether a request can have reached the
+// server (DialError, SendError, ResponseError).
+//
+// It is not a general HTTP client: it neither retries nor follows redirects, and it doesn't know TLS or HTTP/2. Which
+// server gets a request and whether it is retried is decided in package proxy. docs/region-rules.md lists the
+// rules that it keeps.
 package upstream
 
 import (
@@ -16,36 +22,37 @@
 	maxIdlePerServer = 16
 	// maxIdle bounds the idle connections to all servers together.
 	maxIdle = 512
-	// minDialTimeout is the shortest wait for a connection to come up that makes sense.
+	// minDialTimeout is the shortest timeout of a dial that makes sense.
 	minDialTimeout = 50 * time.Millisecond
-	// dialFraction is the part of the time left (one in dialFraction) that one connection may take to come up.
+	// dialFraction is the fraction of the remaining time (one in dialFraction) that one dial may take.
 	dialFraction = 3
-	// idleUserTimeout is how long the machine at the other end of an idle connection may give no sign of itself.
+	// idleUserTimeout is the user timeout of idle connections, see Conn.setUserTimeout.
 	idleUserTimeout = 500 * time.Millisecond
-	// keepAliveIdle is the silence after which the system asks a machine for a sign of life. It gives the connection
-	// up keepAliveInterval later, or when the contact that its user set has passed, whichever the system goes by.
+	// keepAliveIdle is the time without traffic after which the kernel sends a keep-alive probe. It gives the
+	// connection up keepAliveInterval later, or when the user timeout has passed, whichever the kernel goes by.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 1
 )
 
-// Server is one life of a server at one address.
+// Server is one incarnation of a server at one address.
 type Server struct {
 	ID      string
 	Address string // ip:port
 }
 
-// DialTimeouts tells how long a machine may fail to answer before a connection to it is given up. It is about
-// the other machine's system: a server that is silent because it works is waited for until the deadline.
+// DialTimeouts bounds how long a server's machine may not answer at the level of TCP. A server that is busy with a
+// request while its machine acknowledges is not affected: it has until the deadline.
 type DialTimeouts struct {
 	Dial           time.Duration // for a new connection to come up
-	Unacknowledged time.Duration // without any sign of the machine, while one is asked for
+	Unacknowledged time.Duration // for sent data and keep-alive probes to be acknowledged; see RFC 5482
 }
 
-// host is what the pool knows of one server.
+// serverConns is what the pool knows of one server.
 type serverConns struct {
-	idle []*Conn // the one used last is last
-	// idleTimeout is how long idle connections to this server have proved to stay open.
+	idle []*Conn // in the order of their last use
+	// idleTimeout bounds how long connections to this server are kept idle. It starts at maxIdleTimeout and falls when
+	// the server closes earlier than that.
 	idleTimeout time.Duration
 }
 
@@ -54,25 +61,25 @@
 	Dialed      uint64 // connections that came up
 	DialsFailed uint64 // connections that did not
 	Reused      uint64 // requests on a connection that had served before
-	Stale       uint64 // idle connections found closed by the server
-	Surplus     uint64 // connections given up because bytes followed a whole answer
-	IdleNow     int
-	ServersNow  int
+	Stale       uint64 // idle connections that the server had closed
+	Surplus     uint64 // connections closed since bytes followed a complete response
+	IdleNow     int    // idle connections at present
+	ServersNow  int    // servers known at present
 }
 
-// Pool keeps idle connections. It is safe for concurrent use.
+// Pool keeps idle connections to servers. It is safe for concurrent use.
 type Pool struct {
 	config  Config
-	mu      sync.Mutex
+	mu      sync.Mutex // guards what follows
 	servers map[Server]*serverConns
-	idle    int
+	idle    int // idle connections to all servers
 	closed  bool
 	stats   Stats
 }
 
-// Config is what a pool is told once. The zero value is the usual one.
+// Config sets a pool up. The zero value is the default.
 type Config struct {
-	DisableReuse bool // no connection is used again
+	DisableReuse bool // close each connection after one request
 }
 
 // NewPool returns an empty pool.
@@ -80,24 +87,34 @@
 	return &Pool{config: config, servers: make(map[Server]*serverConns)}
 }
 
-// Connect returns a connection to the server whose reads and writes end at the deadline: an idle one, or
-// else a new one. A failure is a *DialError.
+// Connect returns a connection to the server, an idle one or else a new one. Its reads and writes fail at the deadline.
+// The context bounds the dial only. A failure is a *DialError.
 func (p *Pool) Connect(ctx context.Context, server Server, timeouts DialTimeouts, deadline time.Time) (*Conn, error) {
 	conn := p.takeIdle(server, deadline)
 	if conn == nil {
 		var err error
-		start := time.Now()
-		if conn, err = p.dial(ctx, server, timeouts, deadline); err != nil {
-			p.recordDial(false)
-			timedOut := ctx.Err() == nil && time.Since(start) >= timeouts.Dial
-			return nil, &DialError{Server: server, TimedOut: timedOut, Err: err}
+		if conn, err = p.dialCounted(ctx, server, timeouts, deadline); err != nil {
+			return nil, err
 		}
-		p.recordDial(true)
 	}
 	conn.setUserTimeout(timeouts.Unacknowledged)
 	return conn, nil
 }
 
+// dialCounted opens a connection, counts the result, and classifies a failure.
+func (p *Pool) dialCounted(ctx context.Context, server Server, timeouts DialTimeouts, deadline time.Time) (*Conn, error) {
+	start := time.Now()
+	conn, err := p.dial(ctx, server, timeouts, deadline)
+	p.recordDial(err == nil)
+	if err != nil {
+		timedOut := ctx.Err() == nil && time.Since(start) >= timeouts.Dial
+		return nil, &DialError{Server: server, TimedOut: timedOut, Err: err}
+	}
+	return conn, nil
+}
+
+// takeIdle returns the idle connection that was used last and is still usable; nil if there is none. It closes those
+// that are not usable. The sockets are checked without the lock.
 func (p *Pool) takeIdle(server Server, deadline time.Time) *Conn {
 	for {
 		conn := p.popIdle(server)
@@ -118,6 +135,7 @@
 	}
 }
 
+// popIdle removes the idle connection that was used last, and counts it as reused.
 func (p *Pool) popIdle(server Server) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,8 +152,8 @@
 	return conn
 }
 
-// recordStale learns from a connection that the server closed while it was idle: the server keeps idle
-// connections for less than that age.
+// recordStale counts an idle connection that the server had closed, and lowers the idle timeout of the server, which
+// closes idle connections earlier than at that age. It takes back the count that popIdle made.
 func (p *Pool) recordStale(server Server, age time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,6 +164,7 @@
 	}
 }
 
+// dial opens a connection with keep-alive probes and the given deadline.
 func (p *Pool) dial(ctx context.Context, server Server, timeouts DialTimeouts, deadline time.Time) (*Conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout(timeouts.Dial, time.Until(deadline)),
@@ -166,24 +185,25 @@
 	return conn, nil
 }
 
-// dialTimeout is the longest that one connection may take to come up when so much time is left.
+// dialTimeout bounds one dial by its own limit and by a fraction of the remaining time, so that a further server can
+// be tried.
 func dialTimeout(limit, left time.Duration) time.Duration {
 	return max(min(limit, left/dialFraction), minDialTimeout)
 }
 
-func (p *Pool) recordDial(up bool) {
+func (p *Pool) recordDial(succeeded bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if up {
+	if succeeded {
 		p.stats.Dialed++
 	} else {
 		p.stats.DialsFailed++
 	}
 }
 
-// Release gives a connection back after an answer was read to its end. It is kept when it can be reused
-// and closed otherwise: also when the answer came before the server had read the whole request, the rest of which
-// is due before anything else.
+// Release returns a connection whose response was read to its end. It becomes idle if it can be reused, and is closed
+// otherwise. A connection whose server responded before it had received the whole request is closed: the rest of that
+// request would come before the next one.
 func (p *Pool) Release(conn *Conn) {
 	conn.stopSending()
 	surplus := conn.HasBuffered()
@@ -203,6 +223,7 @@
 	}
 }
 
+// keep makes a connection idle and returns true, unless a bound is reached or the pool is closed.
 func (p *Pool) keep(conn *Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,14 +247,14 @@
 	return true
 }
 
-// Discard closes a connection that must not be reused.
+// Discard resets a connection that must not be reused, and returns when the body of its request is no longer in use.
 func (p *Pool) Discard(conn *Conn) {
 	conn.Abort()
 	conn.stopSending()
 	conn.detachReader()
 }
 
-// Stats returns the counters.
+// Stats returns the counts since the start and the present numbers.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/upstream/pool_model_test.go
+++ b/internal/proxy/upstream/pool_model_test.go
@@ -20,98 +20,98 @@
 // poolSteps are the steps of a pool, so that a test can plant a fault in one.
 type poolSteps struct {
 	connect func(*Pool, Server) *Conn
-	receive func(*Conn, string) (*http.Response, error)
+	receive func(*Conn, string) (Response, error)
 	release func(*Pool, *Conn)
 	discard func(*Pool, *Conn)
 }
 
-func trueSteps() poolSteps {
+func unmodifiedSteps() poolSteps {
 	return poolSteps{
 		connect: func(pool *Pool, server Server) *Conn {
-			conn, err := pool.Connect(context.Background(), server, usual, time.Now().Add(patience))
+			conn, err := pool.Connect(context.Background(), server, defaultTimeouts, time.Now().Add(testTimeout))
 			if err != nil {
 				return nil
 			}
 			return conn
 		},
-		receive: func(conn *Conn, id string) (*http.Response, error) { return conn.Receive(http.MethodGet, id) },
+		receive: func(conn *Conn, id string) (Response, error) { return conn.Receive(http.MethodGet, id) },
 		release: (*Pool).Release,
 		discard: (*Pool).Discard,
 	}
 }
 
-// listened is a server whose side of each connection a test holds.
-type listened struct {
+// testServer is a server whose ends of the connections are driven by a test.
+type testServer struct {
 	listener *net.TCPListener
 	server   Server
 }
 
-func listen(t *testing.T) *listened {
+func listenTestServer(t *testing.T) *testServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	return &listened{listener.(*net.TCPListener), Server{ID: "i-1", Address: listener.Addr().String()}}
+	return &testServer{listener.(*net.TCPListener), Server{ID: "i-1", Address: listener.Addr().String()}}
 }
 
-// link is a connection with both of its ends.
-type link struct {
-	conn    *Conn
-	peer    *net.TCPConn
-	holder  int // index of the caller that has it; nobody: it is idle or closed
-	asked   string
-	written bool // the server has written something since it was asked
-	dirty   bool // bytes came that nobody asked for, or the server closed
-	ended   bool // the server closed
-	used    int
-	said    string // what the server wrote that was not read
+// testConn is a connection with both of its ends.
+type testConn struct {
+	conn      *Conn
+	peer      *net.TCPConn
+	user      int // index of the caller that uses it; noUser: it is idle or closed
+	requestID string
+	responded bool // the server has written something since the request was sent
+	unusable  bool // unrequested bytes came, or the server closed
+	closed    bool // the server closed
+	requests  int
+	unread    string // what the server wrote that was not read yet
 }
 
-const nobody = -1
+const noUser = -1
 
-// pooled is a pool with two callers and a server, whose events come in any order.
-type pooled struct {
-	steps   poolSteps
-	server  *listened
-	pool    *Pool
-	links   []*link
-	asked   int
-	closed  bool
-	failure error
+// poolSystem is a pool with two callers and a server, whose events come in any order.
+type poolSystem struct {
+	steps    poolSteps
+	server   *testServer
+	pool     *Pool
+	conns    []*testConn
+	requests int
+	closed   bool
+	failure  error
 }
 
 // Events implements explore.System.
-func (p *pooled) Events() []string {
+func (p *poolSystem) Events() []string {
 	var names []string
 	for caller := range 2 {
-		held := p.heldBy(caller)
+		held := p.connOf(caller)
 		if held == nil {
 			names = append(names, fmt.Sprintf("%d connects", caller))
 			continue
 		}
-		if held.asked == "" {
-			names = append(names, fmt.Sprintf("%d asks", caller), fmt.Sprintf("%d gives it back unused", caller))
+		if held.requestID == "" {
+			names = append(names, fmt.Sprintf("%d sends", caller), fmt.Sprintf("%d releases unused", caller))
 			continue
 		}
-		names = append(names, fmt.Sprintf("%d leaves", caller))
-		if held.written || held.ended {
-			names = append(names, fmt.Sprintf("%d reads", caller))
+		names = append(names, fmt.Sprintf("%d aborts", caller))
+		if held.responded || held.closed {
+			names = append(names, fmt.Sprintf("%d receives", caller))
 		}
 	}
-	for index, one := range p.links {
-		if one.ended {
+	for index, one := range p.conns {
+		if one.closed {
 			continue
 		}
-		if one.holder != nobody && one.asked != "" && !one.written {
+		if one.user != noUser && one.requestID != "" && !one.responded {
 			names = append(names, fmt.Sprintf("server answers on %d", index), fmt.Sprintf("server answers twice on %d", index),
 				fmt.Sprintf("server answers another on %d", index))
 		}
-		if one.used > 0 && !one.dirty {
+		if one.requests > 0 && !one.unusable {
 			names = append(names, fmt.Sprintf("server repeats on %d", index))
 		}
 		names = append(names, fmt.Sprintf("server closes %d", index))
 	}
-	if len(p.links) > 0 {
+	if len(p.conns) > 0 {
 		names = append(names, "sweep")
 		if !p.closed {
 			names = append(names, "close")
@@ -120,9 +120,9 @@
 	return names
 }
 
-func (p *pooled) heldBy(caller int) *link {
-	for _, one := range p.links {
-		if one.holder == caller {
+func (p *poolSystem) connOf(caller int) *testConn {
+	for _, one := range p.conns {
+		if one.user == caller {
 			return one
 		}
 	}
@@ -130,7 +130,7 @@
 }
 
 // Do implements explore.System.
-func (p *pooled) Do(event int) {
+func (p *poolSystem) Do(event int) {
 	name := p.Events()[event]
 	var index int
 	if _, err := fmt.Sscanf(name, "%d", &index); err == nil {
@@ -145,69 +145,69 @@
 		p.closed = true
 	default:
 		_, _ = fmt.Sscanf(name[strings.LastIndex(name, " ")+1:], "%d", &index)
-		p.serve(p.links[index], strings.TrimSpace(name[len("server "):strings.LastIndex(name, " ")]))
+		p.serve(p.conns[index], strings.TrimSpace(name[len("server "):strings.LastIndex(name, " ")]))
 	}
 	p.forgetClosed()
 }
 
-// call lets a caller do something.
-func (p *pooled) call(caller int, what string) {
-	held := p.heldBy(caller)
+// call performs one action of a caller.
+func (p *poolSystem) call(caller int, what string) {
+	held := p.connOf(caller)
 	switch what {
 	case "connects":
 		p.connect(caller)
-	case "asks":
-		p.asked++
-		held.asked, held.written = fmt.Sprintf("id%d", p.asked), false
-		_ = held.conn.Send(fmt.Appendf(nil, "GET / HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", AttemptIDHeader, held.asked), nil)
-	case "gives it back unused":
-		held.holder = nobody
+	case "sends":
+		p.requests++
+		held.requestID, held.responded = fmt.Sprintf("id%d", p.requests), false
+		_ = held.conn.Send(fmt.Appendf(nil, "GET / HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", AttemptIDHeader, held.requestID), nil)
+	case "releases unused":
+		held.user = noUser
 		p.steps.release(p.pool, held.conn)
-	case "leaves":
-		held.holder = nobody
-		held.asked = ""
+	case "aborts":
+		held.user = noUser
+		held.requestID = ""
 		held.conn.Abort()
 		p.steps.discard(p.pool, held.conn)
-	case "reads":
+	case "receives":
 		p.read(held)
 	}
 	p.forgetClosed()
 }
 
-func (p *pooled) connect(caller int) {
+func (p *poolSystem) connect(caller int) {
 	conn := p.steps.connect(p.pool, p.server.server)
 	if conn == nil {
 		p.fail(errors.New("no connection came up"))
 		return
 	}
-	for _, one := range p.links {
+	for _, one := range p.conns {
 		if one.conn != conn {
 			continue
 		}
 		switch {
-		case one.holder != nobody:
+		case one.user != noUser:
 			p.fail(errors.New("two callers have one connection"))
-		case one.dirty:
-			p.fail(errors.New("a connection was used again that the server had closed or spoken on"))
+		case one.unusable:
+			p.fail(errors.New("a connection was used again that the server had closed or sent surplus bytes on"))
 		}
-		one.holder = caller
+		one.user = caller
 		return
 	}
-	_ = p.server.listener.SetDeadline(time.Now().Add(patience))
+	_ = p.server.listener.SetDeadline(time.Now().Add(testTimeout))
 	peer, err := p.server.listener.AcceptTCP()
 	if err != nil {
 		p.fail(err)
 		return
 	}
-	p.links = append(p.links, &link{conn: conn, peer: peer, holder: caller})
+	p.conns = append(p.conns, &testConn{conn: conn, peer: peer, user: caller})
 }
 
-// read takes the answer. Only that to the own request may look good.
-func (p *pooled) read(held *link) {
-	id := held.asked
-	held.holder, held.asked = nobody, ""
-	held.used++
-	held.said = ""
+// read receives the response. It may succeed only for the response to the caller's own request.
+func (p *poolSystem) read(held *testConn) {
+	id := held.requestID
+	held.user, held.requestID = noUser, ""
+	held.requests++
+	held.unread = ""
 	response, err := p.steps.receive(held.conn, id)
 	if err != nil {
 		p.steps.discard(p.pool, held.conn)
@@ -220,8 +220,8 @@
 	p.steps.release(p.pool, held.conn)
 }
 
-// serve lets the server do something on a connection, and waits until it shows at the other end.
-func (p *pooled) serve(one *link, what string) {
+// serve performs one action of the server on a connection, and waits until it can be seen at the other end.
+func (p *poolSystem) serve(one *testConn, what string) {
 	answer := func(id string) string {
 		body := "answer to " + id
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", AttemptIDHeader, id, len(body), body)
@@ -229,44 +229,49 @@
 	bytes := ""
 	switch what {
 	case "answers on":
-		bytes = answer(one.asked)
+		bytes = answer(one.requestID)
 	case "answers twice on":
-		bytes = answer(one.asked) + answer(one.asked)
-		one.dirty = true
+		bytes = answer(one.requestID) + answer(one.requestID)
+		one.unusable = true
 	case "answers another on":
 		bytes = answer("other")
-		one.dirty = true
+		one.unusable = true
 	case "repeats on":
 		bytes = answer("other")
-		one.dirty = true
+		one.unusable = true
 	case "closes":
 		_ = one.peer.Close()
-		one.dirty, one.ended = true, true
+		one.unusable, one.closed = true, true
 	}
-	one.said += what + ", "
-	one.written = one.written || what != "closes" && what != "repeats on" || what == "repeats on" && one.asked != ""
+	one.unread += what + ", "
+	one.responded = one.responded || what != "closes" && what != "repeats on" || what == "repeats on" && one.requestID != ""
 	if bytes != "" {
 		_, _ = io.WriteString(one.peer, bytes)
 	}
-	if err := awaitReadable(one.conn); err != nil && !errors.Is(err, net.ErrClosed) {
+	if _, err := awaitReadable(one.conn); err != nil && !errors.Is(err, net.ErrClosed) {
 		p.fail(err)
 	}
 }
 
-// awaitReadable waits until bytes or the end can be read from a connection, without taking them.
-func awaitReadable(conn *Conn) error {
-	_ = conn.socket.SetReadDeadline(time.Now().Add(patience))
+// awaitReadable waits until bytes or the end of the stream can be read from a connection. It consumes nothing and
+// returns how many bytes it saw: 0 at the end.
+func awaitReadable(conn *Conn) (n int, err error) {
+	if err := conn.socket.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
+		return 0, err
+	}
 	var peeked [1]byte
-	return conn.raw.Read(func(descriptor uintptr) bool {
-		_, _, err := syscall.Recvfrom(int(descriptor), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		return !errors.Is(err, syscall.EAGAIN)
+	err = conn.raw.Read(func(descriptor uintptr) bool {
+		var readError error
+		n, _, readError = syscall.Recvfrom(int(descriptor), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		return !errors.Is(readError, syscall.EAGAIN)
 	})
+	return n, err
 }
 
-// forgetClosed drops connections that this side has closed.
-func (p *pooled) forgetClosed() {
-	p.links = slices.DeleteFunc(p.links, func(one *link) bool {
-		closed := one.holder == nobody && errors.Is(one.conn.raw.Control(func(uintptr) {}), net.ErrClosed)
+// forgetClosed removes the connections that this side has closed.
+func (p *poolSystem) forgetClosed() {
+	p.conns = slices.DeleteFunc(p.conns, func(one *testConn) bool {
+		closed := one.user == noUser && errors.Is(one.conn.raw.Control(func(uintptr) {}), net.ErrClosed)
 		if closed {
 			_ = one.peer.Close()
 		}
@@ -274,15 +279,15 @@
 	})
 }
 
-func (p *pooled) fail(err error) {
+func (p *poolSystem) fail(err error) {
 	if p.failure == nil {
 		p.failure = err
 	}
 }
 
-// end closes everything that a path has opened.
-func (p *pooled) end() {
-	for _, one := range p.links {
+// end closes everything that one explored order has opened.
+func (p *poolSystem) end() {
+	for _, one := range p.conns {
 		one.conn.Abort()
 		_ = one.peer.SetLinger(0)
 		_ = one.peer.Close()
@@ -290,22 +295,22 @@
 }
 
 // Hash implements explore.System.
-func (p *pooled) Hash() uint64 {
+func (p *poolSystem) Hash() uint64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprint(hash, p.closed, p.pool.idle)
-	for _, one := range p.links {
-		_, _ = fmt.Fprint(hash, one.holder, one.asked != "", one.written, one.dirty, one.ended, one.used > 0, one.said, one.conn.broken, p.isIdle(one.conn))
+	for _, one := range p.conns {
+		_, _ = fmt.Fprint(hash, one.user, one.requestID != "", one.responded, one.unusable, one.closed, one.requests > 0, one.unread, one.conn.broken, p.isIdle(one.conn))
 	}
 	return hash.Sum64()
 }
 
-func (p *pooled) isIdle(conn *Conn) bool {
+func (p *poolSystem) isIdle(conn *Conn) bool {
 	known := p.pool.servers[p.server.server]
 	return known != nil && slices.Contains(known.idle, conn)
 }
 
 // Check implements explore.System.
-func (p *pooled) Check() error {
+func (p *poolSystem) Check() error {
 	if p.failure != nil {
 		return p.failure
 	}
@@ -319,15 +324,15 @@
 	if p.closed && idle > 0 {
 		return errors.New("a closed pool keeps a connection")
 	}
-	for _, one := range p.links {
+	for _, one := range p.conns {
 		isIdle := p.isIdle(one.conn)
 		switch {
-		case one.holder != nobody && isIdle:
+		case one.user != noUser && isIdle:
 			return errors.New("a connection is idle and in use")
 		case isIdle && one.conn.reader != nil:
 			return errors.New("an idle connection has a buffer")
-		case one.holder == nobody && !isIdle:
-			return errors.New("an open connection is nobody's")
+		case one.user == noUser && !isIdle:
+			return errors.New("an open connection has no user")
 		}
 	}
 	return nil
--- a/internal/proxy/upstream/receive_test.go
+++ b/internal/proxy/upstream/receive_test.go
@@ -26,8 +26,8 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool(Config{})
-			conn, _, err := exchange(t, pool, scriptedServer(t, answering(test.answer)))
-			var answerError *AnswerError
+			conn, _, err := exchange(t, pool, scriptedServer(t, respond(test.answer)))
+			var answerError *ResponseError
 			require.ErrorAs(t, err, &answerError)
 			require.Equal(t, test.fault, answerError.Fault, "%v", err)
 			pool.Release(conn)
@@ -36,7 +36,7 @@
 	}
 }
 
-// An answer without a length is whole when the server closes, and not when the connection ends in another way.
+// A close-delimited response is complete when the server closes in order, and not when the connection ends otherwise.
 func TestAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
 	const begun = "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\nbody"
 	cases := map[string]struct {
@@ -44,24 +44,24 @@
 		whole  bool
 		fault  Fault
 	}{
-		"closed": {script: answering(begun), whole: true},
+		"closed": {script: respond(begun), whole: true},
 		"half closed": {script: func(conn *net.TCPConn) {
-			answering(begun)(conn)
+			respond(begun)(conn)
 			_ = conn.CloseWrite()
 			_, _ = io.Copy(io.Discard, conn)
 		}, whole: true},
 		"reset": {script: func(conn *net.TCPConn) {
-			answering(begun)(conn)
+			respond(begun)(conn)
 			_ = conn.SetLinger(0)
 		}, fault: FaultBroken},
-		"silent": {script: holding(begun), fault: FaultDeadline},
+		"silent": {script: respondAndKeepOpen(begun), fault: FaultDeadline},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool(Config{})
 			conn, response, err := exchange(t, pool, scriptedServer(t, test.script))
 			require.NoError(t, err)
-			require.True(t, IsCloseDelimited(response))
+			require.True(t, response.IsCloseDelimited())
 			if test.fault == FaultDeadline {
 				conn.SetDeadline(time.Now().Add(30 * time.Millisecond))
 			}
@@ -70,7 +70,7 @@
 				require.NoError(t, err)
 				require.Equal(t, "body", string(body))
 			} else {
-				var answerError *AnswerError
+				var answerError *ResponseError
 				require.ErrorAs(t, conn.BodyError(err), &answerError)
 				require.Equal(t, test.fault, answerError.Fault)
 			}
@@ -82,11 +82,11 @@
 
 func TestAnswerWithoutABodyNeedsNoLength(t *testing.T) {
 	pool := NewPool(Config{})
-	conn := connect(t, pool, scriptedServer(t, holding("HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\n")))
+	conn := connect(t, pool, scriptedServer(t, respondAndKeepOpen("HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\n")))
 	require.NoError(t, conn.Send([]byte(head), nil))
 	response, err := conn.Receive(http.MethodHead, "id1")
 	require.NoError(t, err)
-	require.False(t, IsCloseDelimited(response))
+	require.False(t, response.IsCloseDelimited())
 	pool.Release(conn)
 	require.Equal(t, 1, pool.Stats().IdleNow)
 }
@@ -109,7 +109,7 @@
 
 func TestInterimAnswersArePassedOver(t *testing.T) {
 	pool := NewPool(Config{})
-	server := scriptedServer(t, holding("HTTP/1.1 103 Early Hints\r\n\r\n"+goodAnswer))
+	server := scriptedServer(t, respondAndKeepOpen("HTTP/1.1 103 Early Hints\r\n\r\n"+goodAnswer))
 	_, response, err := exchange(t, pool, server)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, response.StatusCode)
@@ -122,11 +122,11 @@
 	}
 	for name, answer := range answers {
 		t.Run(name, func(t *testing.T) {
-			conn, response, err := exchange(t, NewPool(Config{}), scriptedServer(t, answering(answer)))
+			conn, response, err := exchange(t, NewPool(Config{}), scriptedServer(t, respond(answer)))
 			require.NoError(t, err)
 			_, err = io.ReadAll(response.Body)
 			require.Error(t, err)
-			var answerError *AnswerError
+			var answerError *ResponseError
 			require.ErrorAs(t, conn.BodyError(err), &answerError)
 			require.Equal(t, FaultBroken, answerError.Fault)
 		})
--- a/internal/proxy/upstream/responsematch.go
+++ b/internal/proxy/upstream/responsematch.go
@@ -1,14 +1,15 @@
 package upstream
 
-import (
-	"net/http"
-	"strings"
-)
+import "strings"
 
-// matchesRequest tells whether a head is that of the answer to the request with the given id, and of no other. Bytes of
-// another answer may come first and end in its head: what looks like one head then has the status of that answer
-// and the id of this one, with the true status line within it.
-func matchesRequest(response *http.Response, attemptID string) bool {
+// AttemptIDHeader names the header that carries the id of a request. Each response of a server repeats it.
+const AttemptIDHeader = "X-Fieldrelay-Attempt-Id"
+
+// matchesRequest reports whether a head is that of the response to the request with the given id, and of no other.
+// The id alone doesn't show it: bytes of an earlier response may come first and break off within its head. What parses
+// as one head then has the status of the earlier response and the id of this one, and the true status line is part of
+// a value in it. A head that contains a status line is therefore rejected.
+func matchesRequest(response Response, attemptID string) bool {
 	if ids := response.Header[AttemptIDHeader]; len(ids) != 1 || ids[0] != attemptID {
 		return false
 	}
@@ -25,21 +26,28 @@
 	return true
 }
 
-// versionPrefix begins a status line; a digit, a space and the three digits of the status follow.
+// versionPrefix is the beginning of a status line (RFC 9112, section 4), which goes on with the minor version, a space
+// and three digits of the status.
 const versionPrefix = "HTTP/1."
 
-// containsStatusLine tells whether a status line begins somewhere in a text.
+// containsStatusLine reports whether a status line begins anywhere in a text.
 func containsStatusLine(text string) bool {
 	for {
 		_, rest, found := strings.Cut(text, versionPrefix)
 		if !found {
 			return false
 		}
-		if len(rest) >= len("1 200") && isDigit(rest[0]) && rest[1] == ' ' && isDigit(rest[2]) && isDigit(rest[3]) && isDigit(rest[4]) {
+		if isVersionAndStatus(rest) {
 			return true
 		}
 		text = rest
 	}
 }
 
+// isVersionAndStatus reports whether a text begins with a minor version, a space and a status, such as "1 200".
+func isVersionAndStatus(text string) bool {
+	return len(text) >= len("1 200") && isDigit(text[0]) && text[1] == ' ' &&
+		isDigit(text[2]) && isDigit(text[3]) && isDigit(text[4])
+}
+
 func isDigit(character byte) bool { return character >= '0' && character <= '9' }
--- a/internal/proxy/upstream/send.go
+++ b/internal/proxy/upstream/send.go
@@ -9,17 +9,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// remainder is the part of a long request that the system did not take at once. It is written by a goroutine of
-// its own, so that an answer is seen that comes before the server has read the whole request.
+// pendingWrite is the part of a long request that the kernel didn't accept at once. A goroutine of its own writes it,
+// so that a response is seen that comes before the server has read the whole request. The goroutine ends with the
+// request or with the connection; stopSending waits for it.
 type pendingWrite struct {
-	done    chan struct{} // closed when the goroutine is done
-	written int64         // valid once ended is closed
+	done    chan struct{} // closed when the goroutine has ended
+	written int64         // bytes of the request; valid once done is closed
 	err     error         // likewise
 }
 
-// Send writes one whole request: its head, ending with an empty line, and its body. It keeps the body, but not
-// the head, until the connection is given back to its pool. A body that is not empty may still be on its way when
-// Send returns; what becomes of it shows in Receive.
+// Send writes one request: its head, with the empty line that ends it, and its body. A failure is a *SendError.
+//
+// The head may be reused when Send returns. The body is used until the connection is released or discarded: part of it
+// may still be unsent when Send returns. Whether that part was sent shows in Receive.
 func (c *Conn) Send(head, body []byte) error {
 	c.attachReader()
 	c.separateBody = false
@@ -44,7 +46,7 @@
 	return &SendError{Server: c.server, Written: written, Err: err}
 }
 
-// writeAvailable hands the system as much of a request as it takes at once.
+// writeAvailable writes as much of a request as the kernel accepts without blocking, which may be nothing.
 func (c *Conn) writeAvailable(head, body []byte) (written int, err error) {
 	var writeError error
 	err = c.raw.Write(func(descriptor uintptr) bool {
@@ -58,23 +60,23 @@
 	return written, err
 }
 
-// writePending begins to write what is left of a request of which the system took some bytes.
-func (c *Conn) writePending(head, body []byte, taken int) {
-	rest := &pendingWrite{done: make(chan struct{}), written: int64(taken)}
-	parts := net.Buffers{body[max(taken-len(head), 0):]}
-	if taken < len(head) {
-		parts = net.Buffers{bytes.Clone(head[taken:]), body}
+// writePending starts the goroutine that writes what is left of a request after its first written bytes.
+func (c *Conn) writePending(head, body []byte, written int) {
+	pending := &pendingWrite{done: make(chan struct{}), written: int64(written)}
+	buffers := net.Buffers{body[max(written-len(head), 0):]}
+	if written < len(head) {
+		buffers = net.Buffers{bytes.Clone(head[written:]), body}
 	}
-	c.pending = rest
+	c.pending = pending
 	go func() {
-		defer close(rest.done)
-		written, err := parts.WriteTo(c.socket)
-		rest.written += written
-		rest.err = err
+		defer close(pending.done)
+		more, err := buffers.WriteTo(c.socket)
+		pending.written += more
+		pending.err = err
 	}()
 }
 
-// fullySent tells whether the system has taken the whole request.
+// fullySent reports whether the kernel has accepted the whole request.
 func (c *Conn) fullySent() bool {
 	if c.pending == nil {
 		return true
@@ -87,8 +89,8 @@
 	}
 }
 
-// stopSending gives up what is left of a request, and returns when its body is no longer used. It closes the
-// connection unless the request was sent whole.
+// stopSending gives up what is unsent of a request and returns when its body is no longer in use. It closes the
+// connection unless the request was fully sent: the server still expects the rest of the body.
 func (c *Conn) stopSending() {
 	if c.pending == nil {
 		return
@@ -100,20 +102,21 @@
 	<-c.pending.done
 }
 
-// delivered tells whether the other machine's system has taken a request whole, as it has when the server answered
-// after reading it. Only long requests are looked at: the others fit into what any system takes.
+// acknowledged reports whether the other machine's kernel has received all of a request, as it has when the server
+// responds after reading it. Only requests with a separate body are checked: the others are smaller than any send
+// buffer. Where the kernel doesn't support the query, the request counts as received.
 func (c *Conn) acknowledged() bool {
 	if !c.separateBody {
 		return true
 	}
-	waiting, known := 0, false
+	unacknowledged, known := 0, false
 	err := c.raw.Control(func(descriptor uintptr) {
 		var failure error
-		waiting, failure = unix.IoctlGetInt(int(descriptor), unix.SIOCOUTQ)
+		unacknowledged, failure = unix.IoctlGetInt(int(descriptor), unix.SIOCOUTQ)
 		known = failure == nil
 	})
-	return err == nil && (!known || waiting == 0)
+	return err == nil && (!known || unacknowledged == 0)
 }
 
-// nothingSent tells whether no byte of a request whose sending was stopped has left.
+// nothingSent reports whether no byte of a request whose sending was stopped has left.
 func (c *Conn) nothingSent() bool { return c.pending != nil && c.pending.written == 0 }
--- a/internal/proxy/upstream/send_test.go
+++ b/internal/proxy/upstream/send_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// longBody is more than the systems of both ends take while the server does not read.
+// longBody is more than the kernels of both ends buffer while the server does not read.
 const longBody = 32 << 20
 
 func longRequest() (head, body []byte) {
@@ -23,8 +23,8 @@
 	return head, body
 }
 
-// early reads the head of a request, answers, and calls then with what is read from then on.
-func early(answer string, then func(conn *net.TCPConn, rest *bufio.Reader)) func(*net.TCPConn) {
+// respondEarly reads the head of a request, responds, and calls then with the reader of the rest.
+func respondEarly(answer string, then func(conn *net.TCPConn, rest *bufio.Reader)) func(*net.TCPConn) {
 	return func(conn *net.TCPConn) {
 		reader := bufio.NewReader(conn)
 		if _, err := http.ReadRequest(reader); err != nil {
@@ -35,8 +35,8 @@
 	}
 }
 
-// sendLong sends a long request to a server and reads the head of its answer.
-func sendLong(t *testing.T, pool *Pool, server Server) (*Conn, []byte, *http.Response, error) {
+// sendLong sends a long request to a server and receives the head of its response.
+func sendLong(t *testing.T, pool *Pool, server Server) (*Conn, []byte, Response, error) {
 	t.Helper()
 	conn := connect(t, pool, server)
 	head, body := longRequest()
@@ -46,12 +46,12 @@
 	return conn, body, response, err
 }
 
-// A server that answers before it has read a long body gets the rest of that body or nothing: never the bytes of
+// A server that responds before it has read a long body gets the rest of that body or nothing, never the bytes of
 // another request.
 func TestEarlyAnswerEndsAConnectionWhoseRequestWasNotSentWhole(t *testing.T) {
 	answered := make(chan struct{})
 	got := make(chan []byte, 1)
-	server := scriptedServer(t, early(goodAnswer, func(_ *net.TCPConn, rest *bufio.Reader) {
+	server := scriptedServer(t, respondEarly(goodAnswer, func(_ *net.TCPConn, rest *bufio.Reader) {
 		<-answered
 		all, _ := io.ReadAll(rest)
 		got <- all
@@ -69,7 +69,7 @@
 	require.True(t, bytes.HasPrefix(body, rest))
 }
 
-// requireBodyUnused checks that nothing more is taken from a request's body, whose memory may be used again.
+// requireBodyUnused checks that a request's body is no longer read, so that its memory may be reused.
 func requireBodyUnused(t *testing.T, conn *Conn) {
 	t.Helper()
 	select {
@@ -79,14 +79,14 @@
 	}
 }
 
-// Once the whole request was sent, an early answer leaves the connection as good as any other.
+// Once the whole request was sent, an early response does not keep the connection from being reused.
 func TestEarlyAnswerToARequestThatIsSentWholeInTheEnd(t *testing.T) {
 	read := make(chan []byte, 1)
-	server := scriptedServer(t, early(goodAnswer, func(conn *net.TCPConn, rest *bufio.Reader) {
+	server := scriptedServer(t, respondEarly(goodAnswer, func(conn *net.TCPConn, rest *bufio.Reader) {
 		all := make([]byte, longBody)
 		_, _ = io.ReadFull(rest, all)
 		read <- all
-		answering(goodAnswer)(conn)
+		respond(goodAnswer)(conn)
 		_, _ = io.Copy(io.Discard, conn)
 	}))
 	pool := NewPool(Config{})
@@ -94,7 +94,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "ok", readAll(t, response))
 	require.True(t, bytes.Equal(body, <-read))
-	require.Eventually(t, func() bool { return conn.fullySent() && conn.acknowledged() }, patience, pause)
+	require.Eventually(t, func() bool { return conn.fullySent() && conn.acknowledged() }, testTimeout, pollInterval)
 	pool.Release(conn)
 	require.Equal(t, 1, pool.Stats().IdleNow)
 	_, response, err = exchange(t, pool, server)
@@ -103,12 +103,12 @@
 	require.EqualValues(t, 1, pool.Stats().Dialed)
 }
 
-// The system may have taken a request whole that the server has not read: the next one would wait behind it.
+// The kernel may have accepted a whole request that the server has not read: the next one would wait behind it.
 func TestEarlyAnswerToARequestThatTheSystemStillHolds(t *testing.T) {
 	answered := make(chan struct{})
 	server := scriptedServer(t, func(conn *net.TCPConn) {
 		_ = conn.SetReadBuffer(64 << 10)
-		early(goodAnswer, func(*net.TCPConn, *bufio.Reader) { <-answered })(conn)
+		respondEarly(goodAnswer, func(*net.TCPConn, *bufio.Reader) { <-answered })(conn)
 	})
 	pool := NewPool(Config{})
 	conn := connect(t, pool, server)
@@ -123,9 +123,9 @@
 	close(answered)
 }
 
-// A server that declines a long request without reading it closes with bytes unread, which resets the connection.
+// A server that rejects a long request without reading it closes with bytes unread, which resets the connection.
 func TestEarlyAnswerBeforeAResetIsSeen(t *testing.T) {
-	server := scriptedServer(t, early(goodAnswer, func(conn *net.TCPConn, _ *bufio.Reader) { _ = conn.Close() }))
+	server := scriptedServer(t, respondEarly(goodAnswer, func(conn *net.TCPConn, _ *bufio.Reader) { _ = conn.Close() }))
 	pool := NewPool(Config{})
 	conn, _, response, err := sendLong(t, pool, server)
 	require.NoError(t, err)
@@ -134,24 +134,24 @@
 	require.Zero(t, pool.Stats().IdleNow)
 }
 
-// Whichever side of the connection takes note of a reset, the answer does not look whole.
+// Whether reading or writing observes a reset first, the response does not look complete.
 func TestEarlyAnswerWithoutALengthThatIsReset(t *testing.T) {
 	unsized := "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\nbody"
-	server := scriptedServer(t, early(unsized, func(conn *net.TCPConn, _ *bufio.Reader) { _ = conn.SetLinger(0) }))
+	server := scriptedServer(t, respondEarly(unsized, func(conn *net.TCPConn, _ *bufio.Reader) { _ = conn.SetLinger(0) }))
 	for range 20 {
 		pool := NewPool(Config{})
 		conn, _, response, err := sendLong(t, pool, server)
 		require.NoError(t, err)
 		_, err = io.ReadAll(response.Body)
-		var answerError *AnswerError
+		var answerError *ResponseError
 		require.ErrorAs(t, conn.BodyError(err), &answerError)
 		require.Equal(t, FaultBroken, answerError.Fault)
 		pool.Discard(conn)
 	}
 }
 
-// The system holds bytes of a request for a server that does not read. They must not reach it once the request
-// was given up.
+// The kernel buffers bytes of a request for a server that does not read. They must not reach it once the request was
+// aborted.
 func TestAbortTakesBackWhatIsOnItsWay(t *testing.T) {
 	begun, aborted := make(chan struct{}), make(chan struct{})
 	got := make(chan error, 1)
@@ -170,7 +170,7 @@
 	head, body := longRequest()
 	require.NoError(t, conn.Send(head, body))
 	<-begun
-	require.Eventually(t, func() bool { return unacknowledged(t, conn) > 0 }, patience, pause)
+	require.Eventually(t, func() bool { return unacknowledged(t, conn) > 0 }, testTimeout, pollInterval)
 	pool.Discard(conn)
 	requireBodyUnused(t, conn)
 	close(aborted)
@@ -178,10 +178,10 @@
 	require.False(t, conn.fullySent())
 }
 
-// A connection of which the system took nothing carried no request.
+// If the kernel accepted nothing of a request, the server cannot have run it.
 func TestLongRequestOfWhichNothingWasSent(t *testing.T) {
 	pool := NewPool(Config{})
-	conn := connect(t, pool, scriptedServer(t, holding()))
+	conn := connect(t, pool, scriptedServer(t, respondAndKeepOpen()))
 	head, body := longRequest()
 	conn.Abort()
 	var sendError *SendError
@@ -189,7 +189,7 @@
 	require.Zero(t, sendError.Written)
 	pool.Discard(conn)
 
-	conn = connect(t, pool, scriptedServer(t, holding()))
+	conn = connect(t, pool, scriptedServer(t, respondAndKeepOpen()))
 	conn.attachReader()
 	conn.Abort()
 	conn.writePending(head, body, 0)
@@ -209,14 +209,14 @@
 	require.NoError(t, conn.Send(head, body))
 	conn.SetDeadline(time.Now().Add(20 * time.Millisecond))
 	_, err := conn.Receive(http.MethodPost, "id1")
-	var answerError *AnswerError
+	var answerError *ResponseError
 	require.ErrorAs(t, err, &answerError)
 	require.Equal(t, FaultDeadline, answerError.Fault)
 	require.False(t, errors.As(err, new(*SendError)), "some of it was sent")
 	pool.Discard(conn)
 }
 
-// The parts of a request go out in order and once, wherever the system stops taking them.
+// A request is sent in order and once, wherever the kernel stops accepting it.
 func TestRequestIsWrittenOnceWhereverItIsSplit(t *testing.T) {
 	head, body := []byte("the head"), []byte("and the body")
 	whole := string(head) + string(body)
--- a/internal/proxy/upstream/sweep.go
+++ b/internal/proxy/upstream/sweep.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Sweep closes idle connections that have grown too old or were closed, and forgets servers that keep says are
-// gone. It returns the servers whose machines no longer answer the system's probes.
+// Sweep closes the idle connections that have passed their timeout or were closed by the server, and forgets the
+// servers for which keep returns false; a nil keep keeps all. It returns the servers whose machines no longer
+// acknowledge keep-alive probes. keep is called with the pool locked and must not call it.
 func (p *Pool) Sweep(now time.Time, keep func(Server) bool) []Server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -20,14 +21,16 @@
 	return unreachable
 }
 
-// sweepServer tells whether a server that stays was found silent: then none of its connections is kept.
+// sweepServer closes what can't be used of one server's idle connections, all of them if it isn't listed any more. If
+// one shows that the machine is unreachable, the others lead there as well and are closed too. The caller holds the
+// lock.
 func (p *Pool) sweepServer(known *serverConns, now time.Time, listed bool) (unreachable bool) {
-	kept := known.idle[:0]
+	usable := known.idle[:0]
 	for _, conn := range known.idle {
 		if listed && now.Sub(conn.idleSince) < conn.idleTimeout {
 			switch conn.checkIdle() {
 			case idleUsable:
-				kept = append(kept, conn)
+				usable = append(usable, conn)
 				continue
 			case idleUnreachable:
 				unreachable = true
@@ -36,25 +39,26 @@
 		conn.close()
 		p.idle--
 	}
-	clear(known.idle[len(kept):])
-	known.idle = kept
+	clear(known.idle[len(usable):])
+	known.idle = usable
 	if unreachable {
-		p.dropIdle(known)
+		p.closeIdle(known)
 	}
 	return unreachable
 }
 
-// Forget closes the idle connections to a server whose machine seems to be gone: a request that was sent on
-// one of them might never arrive, and nobody could tell.
+// Forget closes the idle connections to a server whose machine seems to be unreachable: a request that was sent on one
+// of them might never arrive, and it would count as possibly executed.
 func (p *Pool) Forget(server Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if known := p.servers[server]; known != nil {
-		p.dropIdle(known)
+		p.closeIdle(known)
 	}
 }
 
-func (p *Pool) dropIdle(known *serverConns) {
+// closeIdle closes all idle connections to one server. The caller holds the lock.
+func (p *Pool) closeIdle(known *serverConns) {
 	for _, conn := range known.idle {
 		conn.close()
 	}
@@ -63,7 +67,7 @@
 	known.idle = known.idle[:0]
 }
 
-// Close closes all idle connections; those in use are closed when they are given back.
+// Close closes all idle connections. Those in use are closed when they are released. A closed pool still connects.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/proxy/upstream/unreachable_test.go
+++ b/internal/proxy/upstream/unreachable_test.go
@@ -18,18 +18,18 @@
 	require.NoError(t, err)
 	dead := Server{ID: "i-1", Address: listener.Addr().String()}
 	require.NoError(t, listener.Close())
-	_, err = NewPool(Config{}).Connect(context.Background(), dead, usual, time.Now().Add(patience))
+	_, err = NewPool(Config{}).Connect(context.Background(), dead, defaultTimeouts, time.Now().Add(testTimeout))
 	var dialError *DialError
 	require.ErrorAs(t, err, &dialError)
 	require.False(t, dialError.TimedOut, "it refused")
 
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = NewPool(Config{}).Connect(gone, dead, usual, time.Now().Add(patience))
+	_, err = NewPool(Config{}).Connect(gone, dead, defaultTimeouts, time.Now().Add(testTimeout))
 	require.ErrorAs(t, err, &dialError)
 }
 
-// fullListener returns the address of a socket that answers no more connection attempts: its queue is full.
+// fullListener returns the address of a socket whose backlog is full, so that it accepts no more connections.
 func fullListener(t *testing.T) Server {
 	t.Helper()
 	descriptor, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -52,19 +52,19 @@
 func TestAMachineThatDoesNotAnswerADialIsSilent(t *testing.T) {
 	silent := fullListener(t)
 	patient := DialTimeouts{Dial: 60 * time.Millisecond}
-	_, err := NewPool(Config{}).Connect(context.Background(), silent, patient, time.Now().Add(patience))
+	_, err := NewPool(Config{}).Connect(context.Background(), silent, patient, time.Now().Add(testTimeout))
 	var dialError *DialError
 	require.ErrorAs(t, err, &dialError)
 	require.True(t, dialError.TimedOut)
 
-	_, err = NewPool(Config{}).Connect(context.Background(), silent, usual, time.Now().Add(minDialTimeout))
+	_, err = NewPool(Config{}).Connect(context.Background(), silent, defaultTimeouts, time.Now().Add(minDialTimeout))
 	require.ErrorAs(t, err, &dialError)
 	require.False(t, dialError.TimedOut, "it was given too little time to tell")
 }
 
-// unanswered is a connection whose other end does not take in what was sent to it, so that the system finds it
-// silent.
-func unanswered(t *testing.T, pool *Pool) *Conn {
+// unreachableConn returns a connection whose other end does not acknowledge what was sent to it, so that its user
+// timeout passes.
+func unreachableConn(t *testing.T, pool *Pool) *Conn {
 	t.Helper()
 	stays := make(chan struct{})
 	t.Cleanup(func() { close(stays) })
@@ -75,12 +75,12 @@
 		conn.SetDeadline(time.Now().Add(50 * time.Millisecond))
 		_ = conn.Send(make([]byte, 32<<20), nil)
 		return unacknowledged(t, conn) > 0
-	}, patience, pause)
-	conn.SetDeadline(time.Now().Add(patience))
+	}, testTimeout, pollInterval)
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	return conn
 }
 
-// unacknowledged is the number of bytes that the other end's system has not taken in yet.
+// unacknowledged returns the number of sent bytes that the other end has not acknowledged.
 func unacknowledged(t *testing.T, conn *Conn) int {
 	t.Helper()
 	count := 0
@@ -93,16 +93,16 @@
 }
 
 func TestAMachineThatTakesNothingInIsSilent(t *testing.T) {
-	conn := unanswered(t, NewPool(Config{}))
+	conn := unreachableConn(t, NewPool(Config{}))
 	_, err := conn.Receive(http.MethodGet, "id1")
-	var answerError *AnswerError
+	var answerError *ResponseError
 	require.ErrorAs(t, err, &answerError)
 	require.Equal(t, FaultUnreachable, answerError.Fault)
 }
 
 func TestASweepTellsOfSilentMachines(t *testing.T) {
 	pool := NewPool(Config{})
-	conn := unanswered(t, pool)
+	conn := unreachableConn(t, pool)
 	other := connect(t, pool, conn.server)
 	conn.broken, conn.userTimeout = false, idleUserTimeout // as if its request had been answered
 	pool.Release(conn)
@@ -111,14 +111,14 @@
 	require.Eventually(t, func() bool {
 		silent := pool.Sweep(time.Now(), nil)
 		return len(silent) == 1 && silent[0] == conn.server
-	}, patience, pause)
+	}, testTimeout, pollInterval)
 	require.Zero(t, pool.Stats().IdleNow, "the other connection leads there as well")
 	require.Empty(t, pool.Sweep(time.Now(), nil))
 }
 
 func TestConnectionsToAForgottenServerAreClosed(t *testing.T) {
 	pool := NewPool(Config{})
-	server := scriptedServer(t, holding(goodAnswer))
+	server := scriptedServer(t, respondAndKeepOpen(goodAnswer))
 	pool.Release(connect(t, pool, server))
 	pool.Forget(Server{ID: "other"})
 	require.Equal(t, 1, pool.Stats().IdleNow)
--- a/internal/proxy/upstream/upstream_test.go
+++ b/internal/proxy/upstream/upstream_test.go
@@ -6,7 +6,6 @@
 	"io"
 	"net"
 	"net/http"
-	"syscall"
 	"testing"
 	"time"
 
@@ -14,14 +13,14 @@
 	"golang.org/x/sys/unix"
 )
 
-var usual = DialTimeouts{Dial: time.Second, Unacknowledged: 2 * time.Second}
+var defaultTimeouts = DialTimeouts{Dial: time.Second, Unacknowledged: 2 * time.Second}
 
 const (
-	patience = 5 * time.Second
-	pause    = 2 * time.Millisecond
+	testTimeout  = 5 * time.Second
+	pollInterval = 2 * time.Millisecond
 )
 
-// scriptedServer runs a script on each connection that it accepts.
+// scriptedServer starts a server that runs a script on each connection that it accepts.
 func scriptedServer(t *testing.T, script func(conn *net.TCPConn)) Server {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -34,7 +33,7 @@
 				return
 			}
 			go func() {
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				script(conn.(*net.TCPConn))
 			}()
 		}
@@ -42,8 +41,8 @@
 	return Server{ID: "i-1", Address: listener.Addr().String()}
 }
 
-// answering reads requests and answers the n-th one with answers[n]; then it closes.
-func answering(answers ...string) func(*net.TCPConn) {
+// respond reads requests and responds to the n-th one with answers[n]; then it closes.
+func respond(answers ...string) func(*net.TCPConn) {
 	return func(conn *net.TCPConn) {
 		reader := bufio.NewReader(conn)
 		for _, answer := range answers {
@@ -57,10 +56,10 @@
 	}
 }
 
-// holding answers like answering and then keeps the connection open.
-func holding(answers ...string) func(*net.TCPConn) {
+// respondAndKeepOpen responds like respond and then keeps the connection open until the client closes.
+func respondAndKeepOpen(answers ...string) func(*net.TCPConn) {
 	return func(conn *net.TCPConn) {
-		answering(answers...)(conn)
+		respond(answers...)(conn)
 		_, _ = io.Copy(io.Discard, conn)
 	}
 }
@@ -72,12 +71,12 @@
 
 func connect(t *testing.T, pool *Pool, server Server) *Conn {
 	t.Helper()
-	conn, err := pool.Connect(context.Background(), server, usual, time.Now().Add(patience))
+	conn, err := pool.Connect(context.Background(), server, defaultTimeouts, time.Now().Add(testTimeout))
 	require.NoError(t, err)
 	return conn
 }
 
-func exchange(t *testing.T, pool *Pool, server Server) (*Conn, *http.Response, error) {
+func exchange(t *testing.T, pool *Pool, server Server) (*Conn, Response, error) {
 	t.Helper()
 	conn := connect(t, pool, server)
 	require.NoError(t, conn.Send([]byte(head), nil))
@@ -85,7 +84,7 @@
 	return conn, response, err
 }
 
-func readAll(t *testing.T, response *http.Response) string {
+func readAll(t *testing.T, response Response) string {
 	t.Helper()
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
@@ -94,7 +93,7 @@
 
 func TestConnectionIsReused(t *testing.T) {
 	pool := NewPool(Config{})
-	server := scriptedServer(t, holding(goodAnswer, goodAnswer))
+	server := scriptedServer(t, respondAndKeepOpen(goodAnswer, goodAnswer))
 	for range 2 {
 		conn, response, err := exchange(t, pool, server)
 		require.NoError(t, err)
@@ -119,7 +118,7 @@
 	for name, answer := range cases {
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool(Config{})
-			server := scriptedServer(t, holding(answer))
+			server := scriptedServer(t, respondAndKeepOpen(answer))
 			conn, response, err := exchange(t, pool, server)
 			require.NoError(t, err)
 			require.Equal(t, "ok", readAll(t, response))
@@ -131,10 +130,10 @@
 
 func TestIdleConnectionThatSpokeOrClosedIsNotUsed(t *testing.T) {
 	scripts := map[string]func(*net.TCPConn){
-		"closed": answering(goodAnswer),
+		"closed": respond(goodAnswer),
 		"reset": func(conn *net.TCPConn) {
 			_ = conn.SetLinger(0)
-			answering(goodAnswer)(conn)
+			respond(goodAnswer)(conn)
 		},
 	}
 	for name, script := range scripts {
@@ -144,7 +143,7 @@
 			conn, response, err := exchange(t, pool, server)
 			require.NoError(t, err)
 			readAll(t, response)
-			require.Eventually(t, func() bool { return conn.checkIdle() == idleUnusable }, patience, pause)
+			require.Eventually(t, func() bool { return conn.checkIdle() == idleUnusable }, testTimeout, pollInterval)
 			pool.Release(conn)
 			again := connect(t, pool, server)
 			require.False(t, again.Reused())
@@ -158,7 +157,7 @@
 	pool := NewPool(Config{})
 	late := make(chan struct{})
 	server := scriptedServer(t, func(conn *net.TCPConn) {
-		answering(goodAnswer)(conn)
+		respond(goodAnswer)(conn)
 		<-late
 		_, _ = io.WriteString(conn, goodAnswer)
 		_, _ = io.Copy(io.Discard, conn)
@@ -168,31 +167,28 @@
 	readAll(t, response)
 	pool.Release(conn)
 	close(late)
-	waitReadable(t, conn)
+	requireReadable(t, conn)
 	again := connect(t, pool, server)
 	require.NotSame(t, conn, again)
 	pool.Discard(again)
 }
 
-// waitReadable waits until bytes can be read from a connection, without taking them.
-func waitReadable(t *testing.T, conn *Conn) {
+// requireReadable waits until bytes can be read from a connection, without consuming them.
+func requireReadable(t *testing.T, conn *Conn) {
 	t.Helper()
-	require.NoError(t, conn.socket.SetReadDeadline(time.Now().Add(patience)))
-	var peeked [1]byte
-	require.NoError(t, conn.raw.Read(func(descriptor uintptr) bool {
-		n, _, err := syscall.Recvfrom(int(descriptor), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		return err == nil && n > 0
-	}))
+	n, err := awaitReadable(conn)
+	require.NoError(t, err)
+	require.Positive(t, n)
 }
 
 func TestSilenceEndsAtTheDeadline(t *testing.T) {
 	pool := NewPool(Config{})
-	server := scriptedServer(t, holding())
-	conn, err := pool.Connect(context.Background(), server, usual, time.Now().Add(30*time.Millisecond))
+	server := scriptedServer(t, respondAndKeepOpen())
+	conn, err := pool.Connect(context.Background(), server, defaultTimeouts, time.Now().Add(30*time.Millisecond))
 	require.NoError(t, err)
 	require.NoError(t, conn.Send([]byte(head), nil))
 	_, err = conn.Receive(http.MethodGet, "id1")
-	var answerError *AnswerError
+	var answerError *ResponseError
 	require.ErrorAs(t, err, &answerError)
 	require.Equal(t, FaultDeadline, answerError.Fault)
 }
@@ -216,7 +212,7 @@
 	<-stop
 	select {
 	case <-gone:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the server did not see the end")
 	}
 }
@@ -229,7 +225,7 @@
 
 func TestContactIsSetForEachUse(t *testing.T) {
 	pool := NewPool(Config{})
-	server := scriptedServer(t, holding(goodAnswer))
+	server := scriptedServer(t, respondAndKeepOpen(goodAnswer))
 	timeout := func(conn *Conn) (milliseconds int) {
 		require.NoError(t, conn.raw.Control(func(descriptor uintptr) {
 			var err error
@@ -242,7 +238,7 @@
 	require.Equal(t, 2000, timeout(first))
 	pool.Release(first)
 	require.EqualValues(t, idleUserTimeout/time.Millisecond, timeout(first))
-	again, err := pool.Connect(context.Background(), server, DialTimeouts{Unacknowledged: 9 * time.Second}, time.Now().Add(patience))
+	again, err := pool.Connect(context.Background(), server, DialTimeouts{Unacknowledged: 9 * time.Second}, time.Now().Add(testTimeout))
 	require.NoError(t, err)
 	require.Same(t, first, again)
 	require.Equal(t, 9000, timeout(again))
@@ -250,7 +246,7 @@
 
 func TestSendToClosedConnectionTellsWhatWasWritten(t *testing.T) {
 	pool := NewPool(Config{})
-	conn := connect(t, pool, scriptedServer(t, holding()))
+	conn := connect(t, pool, scriptedServer(t, respondAndKeepOpen()))
 	conn.Abort()
 	err := conn.Send([]byte(head), []byte("body"))
 	var sendError *SendError
@@ -260,7 +256,7 @@
 
 func TestIdleConnectionsAreBoundedAndAge(t *testing.T) {
 	pool := NewPool(Config{})
-	server := scriptedServer(t, holding(goodAnswer))
+	server := scriptedServer(t, respondAndKeepOpen(goodAnswer))
 	var conns []*Conn
 	for range maxIdlePerServer + 3 {
 		conns = append(conns, connect(t, pool, server))
