--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -69,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			server := newStandIn(t, "i-1", good("ok"))
 			r := newRig(t, server)
-			r.handler.lifecycle.leave(one.times)
+			r.handler.lifecycle.drain(one.times)
 			c := r.dial()
 			c.ask("POST", "/m/x", one.headers, "body")
 			response, body := c.answer("POST")
@@ -93,18 +93,18 @@
 	const forgiven = 3 * time.Second
 	for grace := 100 * time.Millisecond; grace < 2*time.Minute; grace += 100 * time.Millisecond {
 		plan := planDrain(grace)
-		require.Less(t, plan.late, forgiven)
-		require.LessOrEqual(t, plan.late, plan.refuse)
-		require.LessOrEqual(t, plan.refuse, plan.abandon)
-		require.Less(t, plan.abandon, grace)
+		require.Less(t, plan.deadlineCheck, forgiven)
+		require.LessOrEqual(t, plan.deadlineCheck, plan.reject)
+		require.LessOrEqual(t, plan.reject, plan.abort)
+		require.Less(t, plan.abort, grace)
 	}
 }
 
 // TestConnectionsThatRestAreKept: clients take connections up that have rested for four fifths of keepalive-ms.
 func TestConnectionsThatRestAreKept(t *testing.T) {
 	for _, keepAlive := range []time.Duration{0, 100 * time.Millisecond, 15 * time.Second, time.Hour} {
-		limits := frontLimitsOf(route.RequestLimits{KeepAlive: keepAlive})
-		server := (&front{}).newServer(limits, nil)
+		limits := connLimitsOf(route.RequestLimits{KeepAlive: keepAlive})
+		server := (&clientListener{}).newServer(limits, nil)
 		require.GreaterOrEqual(t, server.IdleTimeout, keepAlive+limitSlack)
 		require.Zero(t, server.ReadTimeout)
 		require.Zero(t, server.WriteTimeout)
--- a/internal/proxy/announcer.go
+++ b/internal/proxy/announcements.go
@@ -18,41 +18,41 @@
 	// announcePort is the number, among the machine's ports for own messages, of the port for announcements. A
 	// machine with fewer ports neither sends nor gets any.
 	announcePort = 3
-	// maxAnnouncement is the largest datagram that is read.
-	maxAnnouncement = 512
-	// maxAnnounceTo bounds the proxies that are told.
-	maxAnnounceTo = 256
-	// maxUntold bounds the announcements that wait to be sent; more are dropped.
-	maxUntold = 64
+	// maxDatagramBytes is the largest datagram that is read.
+	maxDatagramBytes = 512
+	// maxPeers bounds the proxies that are told.
+	maxPeers = 256
+	// announceQueueSize bounds the announcements that wait to be sent; more are dropped.
+	announceQueueSize = 64
 	// announceTimeout bounds how long one datagram may wait for the link.
 	announceTimeout = 50 * time.Millisecond
-	// maxReadFaults is the number of failed reads in a row after which no more announcements are heard.
-	maxReadFaults = 100
+	// maxReadErrors is the number of failed reads in a row after which no more announcements are heard.
+	maxReadErrors = 100
 )
 
 // announcer tells the other proxies of the region of long reads and of servers that fail, and hears of theirs: one
 // datagram each, which may be lost. Its methods may be called on nil, and then do nothing.
 type announcer struct {
-	socket  *net.UDPConn
-	region  string
-	zone    string
-	own     netip.Addr
-	port    uint16 // of all announcers
-	targets atomic.Pointer[[]netip.AddrPort]
-	untold  chan *pb.ProxyNotice
-	ended   chan struct{}
-	once    sync.Once
-	heard   listener
+	socket    *net.UDPConn
+	region    string
+	zone      string
+	own       netip.Addr
+	port      uint16 // of all announcers
+	peers     atomic.Pointer[[]netip.AddrPort]
+	queue     chan *pb.ProxyNotice
+	done      chan struct{}
+	closeOnce sync.Once
+	handler   announcementHandler
 }
 
 // listener takes in what other proxies tell.
-type listener interface {
-	announced(told placement.Announcement)
+type announcementHandler interface {
+	announcementReceived(told placement.Announcement)
 	failureReported(server, zone string)
 }
 
 // newAnnouncer opens the socket at an address, ip:port. What others tell goes to heard, one call at a time.
-func newAnnouncer(address, region, zone string, heard listener) (*announcer, error) {
+func newAnnouncer(address, region, zone string, heard announcementHandler) (*announcer, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
@@ -62,14 +62,14 @@
 		return nil, err
 	}
 	return &announcer{
-		socket: socket,
-		region: region,
-		zone:   zone,
-		own:    at.Addr(),
-		port:   at.Port(),
-		untold: make(chan *pb.ProxyNotice, maxUntold),
-		ended:  make(chan struct{}),
-		heard:  heard,
+		socket:  socket,
+		region:  region,
+		zone:    zone,
+		own:     at.Addr(),
+		port:    at.Port(),
+		queue:   make(chan *pb.ProxyNotice, announceQueueSize),
+		done:    make(chan struct{}),
+		handler: heard,
 	}, nil
 }
 
@@ -82,53 +82,53 @@
 	var targets []netip.AddrPort
 	for _, member := range members {
 		at, err := netip.ParseAddrPort(member.GetAddress())
-		if err != nil || member.GetRegion() != a.region || at.Addr() == a.own || len(targets) >= maxAnnounceTo {
+		if err != nil || member.GetRegion() != a.region || at.Addr() == a.own || len(targets) >= maxPeers {
 			continue
 		}
 		targets = append(targets, netip.AddrPortFrom(at.Addr(), a.port))
 	}
-	a.targets.Store(&targets)
+	a.peers.Store(&targets)
 }
 
 // tell has an announcement sent to the other proxies of the region. It never waits.
-func (a *announcer) tell(announced placement.Announcement) {
+func (a *announcer) announce(announced placement.Announcement) {
 	if a == nil || announced.Tokens <= 0 {
 		return
 	}
-	a.put(&pb.ProxyNotice{Notice: &pb.ProxyNotice_LongRead{LongRead: &pb.LongRead{
+	a.enqueue(&pb.ProxyNotice{Notice: &pb.ProxyNotice_LongRead{LongRead: &pb.LongRead{
 		Server: announced.Server, Prompt: announced.Prompt, Tokens: uint32(announced.Tokens),
 	}}})
 }
 
 // report has a failure of a server reported to the other proxies of the region. It never waits.
-func (a *announcer) report(server string) {
+func (a *announcer) reportFailure(server string) {
 	if a == nil {
 		return
 	}
-	a.put(&pb.ProxyNotice{Notice: &pb.ProxyNotice_ServerFailed{ServerFailed: &pb.ServerFailed{Server: server, Zone: a.zone}}})
+	a.enqueue(&pb.ProxyNotice{Notice: &pb.ProxyNotice_ServerFailed{ServerFailed: &pb.ServerFailed{Server: server, Zone: a.zone}}})
 }
 
-func (a *announcer) put(notice *pb.ProxyNotice) {
+func (a *announcer) enqueue(notice *pb.ProxyNotice) {
 	select {
-	case a.untold <- notice:
+	case a.queue <- notice:
 	default:
 	}
 }
 
 // send sends announcements until close.
-func (a *announcer) send() {
+func (a *announcer) sendLoop() {
 	for {
 		select {
-		case notice := <-a.untold:
+		case notice := <-a.queue:
 			a.sendToAll(notice)
-		case <-a.ended:
+		case <-a.done:
 			return
 		}
 	}
 }
 
 func (a *announcer) sendToAll(notice *pb.ProxyNotice) {
-	targets := a.targets.Load()
+	targets := a.peers.Load()
 	if targets == nil {
 		return
 	}
@@ -143,10 +143,10 @@
 }
 
 // listen takes in announcements until close.
-func (a *announcer) listen() {
-	buffer := make([]byte, maxAnnouncement)
+func (a *announcer) receiveLoop() {
+	buffer := make([]byte, maxDatagramBytes)
 	var notice pb.ProxyNotice
-	for faults := 0; faults < maxReadFaults; {
+	for faults := 0; faults < maxReadErrors; {
 		size, _, err := a.socket.ReadFromUDPAddrPort(buffer)
 		switch {
 		case errors.Is(err, net.ErrClosed):
@@ -157,22 +157,22 @@
 		}
 		faults = 0
 		if proto.Unmarshal(buffer[:size], &notice) == nil {
-			a.take(&notice)
+			a.handle(&notice)
 		}
 	}
 }
 
 // take hands on what a notice tells; an unknown kind is left.
-func (a *announcer) take(notice *pb.ProxyNotice) {
+func (a *announcer) handle(notice *pb.ProxyNotice) {
 	switch told := notice.GetNotice().(type) {
 	case *pb.ProxyNotice_LongRead:
-		a.heard.announced(placement.Announcement{
+		a.handler.announcementReceived(placement.Announcement{
 			Server: told.LongRead.GetServer(),
 			Prompt: told.LongRead.GetPrompt(),
 			Tokens: int(told.LongRead.GetTokens()),
 		})
 	case *pb.ProxyNotice_ServerFailed:
-		a.heard.failureReported(told.ServerFailed.GetServer(), told.ServerFailed.GetZone())
+		a.handler.failureReported(told.ServerFailed.GetServer(), told.ServerFailed.GetZone())
 	}
 }
 
@@ -181,8 +181,8 @@
 	if a == nil {
 		return
 	}
-	a.once.Do(func() {
-		close(a.ended)
+	a.closeOnce.Do(func() {
+		close(a.done)
 		_ = a.socket.Close()
 	})
 }
--- a/internal/proxy/announcer_test.go
+++ b/internal/proxy/announcements_test.go
@@ -22,7 +22,7 @@
 	return ears{told: make(chan placement.Announcement, 16), failures: make(chan [2]string, 16)}
 }
 
-func (e ears) announced(told placement.Announcement) { e.told <- told }
+func (e ears) announcementReceived(told placement.Announcement) { e.told <- told }
 func (e ears) failureReported(server, zone string)   { e.failures <- [2]string{server, zone} }
 
 // announcerAt opens an announcer on an address of the loopback range, whose port all share, and gives what it hears.
@@ -32,8 +32,8 @@
 	opened, err := newAnnouncer(address.String(), "west", "zone-a", heard)
 	require.NoError(t, err)
 	t.Cleanup(opened.close)
-	go opened.listen()
-	go opened.send()
+	go opened.receiveLoop()
+	go opened.sendLoop()
 	return opened, heard
 }
 
@@ -73,10 +73,10 @@
 		member("no address", "west"),
 	})
 	told := placement.Announcement{Server: placement.ServerKey("i-7f3a"), Prompt: 1 << 31, Tokens: 9190}
-	sender.tell(told)
-	sender.tell(placement.Announcement{Server: 7}) // nothing to tell
+	sender.announce(told)
+	sender.announce(placement.Announcement{Server: 7}) // nothing to tell
 	require.Equal(t, told, nextHeard(t, near.told))
-	sender.report("i-7f3b")
+	sender.reportFailure("i-7f3b")
 	require.Equal(t, [2]string{"i-7f3b", "zone-a"}, nextHeard(t, near.failures))
 	for _, other := range []ears{echo, far, near} {
 		require.Empty(t, other.told)
@@ -102,16 +102,16 @@
 	opened, err := newAnnouncer("127.0.9.5:0", "west", "zone-a", newEars())
 	require.NoError(t, err)
 	defer opened.close()
-	for range 10 * maxUntold { // nobody sends
-		opened.tell(placement.Announcement{Server: 9, Tokens: 1})
+	for range 10 * announceQueueSize { // nobody sends
+		opened.announce(placement.Announcement{Server: 9, Tokens: 1})
 	}
-	require.Len(t, opened.untold, maxUntold)
+	require.Len(t, opened.queue, announceQueueSize)
 }
 
 func TestAProxyWithoutAnAnnouncerTellsNothing(t *testing.T) {
 	var none *announcer
-	none.report("x")
-	none.tell(placement.Announcement{Server: 9, Tokens: 1})
+	none.reportFailure("x")
+	none.announce(placement.Announcement{Server: 9, Tokens: 1})
 	none.setMembers(nil)
 	none.close()
 }
@@ -131,9 +131,9 @@
 	require.True(t, d.mayReport("i-1"))
 	require.False(t, d.mayReport("i-1"))
 	require.True(t, d.mayReport("i-2"))
-	d.start = d.start.Add(-reportEvery)
+	d.start = d.start.Add(-reportInterval)
 	require.True(t, d.mayReport("i-1"))
-	d.start = d.start.Add(-2 * reportEvery)
-	d.dropReported()
-	require.Empty(t, d.reported)
+	d.start = d.start.Add(-2 * reportInterval)
+	d.expireReports()
+	require.Empty(t, d.lastReport)
 }
--- /dev/null
+++ b/internal/proxy/attempt.go
@@ -0,0 +1,137 @@
+package proxy
+
+import (
+	"context"
+	"time"
+
+	"fieldrelay/internal/placement"
+	"fieldrelay/internal/policy"
+	"fieldrelay/internal/proxy/upstream"
+)
+
+// maxJoinedBody is the largest body that is copied behind the head, so that both go out by one plain write.
+const maxJoinedBody = 16 << 10
+
+// attempt sends the request to one server and passes the answer on.
+func (x *exchange) attemptServer() attemptOutcome {
+	if x.remaining() <= 0 {
+		return outcomeNoServer
+	}
+	decision, err := x.pickServer()
+	if err != nil {
+		return x.noServer(err)
+	}
+	server := upstream.Server{ID: decision.ServerID, Address: decision.Address}
+	patience := x.connectTimeouts()
+	if x.handler.disabled.Off(policy.ReachabilityWatch) {
+		patience = upstream.DialTimeouts{Dial: x.remaining(), Unacknowledged: x.remaining()}
+	}
+	conn, err := x.handler.pool.Connect(x.request.Context(), server, patience, x.deadline)
+	if err != nil {
+		return x.recordFailure(decision, err, true)
+	}
+	// The last look: what changed while the connection came up counts as well.
+	if x.isCanceled() || x.remaining() <= 0 || !x.handler.dispatcher.stillAllowed(decision.Attempt) {
+		x.handler.pool.Release(conn)
+		return x.withdraw(decision)
+	}
+	stop := context.AfterFunc(x.request.Context(), conn.Abort)
+	response, err := x.send(conn, decision)
+	if err != nil {
+		stop()
+		x.handler.pool.Discard(conn)
+		return x.recordFailure(decision, err, !conn.Reused())
+	}
+	live := &attempt{exchange: x, decision: decision, conn: conn, response: response, stopAbort: stop}
+	return live.receive()
+}
+
+const (
+	// dialFraction is the part of the route's aim (one in dialFraction) that a connection may take to come up, within
+	// bounds: until then nothing is sent, so that another server can be tried at no risk.
+	dialFraction   = 4
+	minDialTimeout = 150 * time.Millisecond
+	maxDialTimeout = 300 * time.Millisecond
+	// unacknowledgedFraction is the part of the aim for which a server's machine may be out of reach, within bounds,
+	// before a request that may run twice goes to another one.
+	unacknowledgedFraction = 2
+	minUnacknowledged      = 300 * time.Millisecond
+	maxUnacknowledged      = time.Second
+	// unacknowledgedOnce is the same for a request that may run only once: its answer may still come, but not for
+	// longer than clients wait in silence.
+	unacknowledgedOnce = 2 * time.Second
+)
+
+// connectTimeouts tells how long the machine of a server may be out of reach.
+func (x *exchange) connectTimeouts() upstream.DialTimeouts {
+	aim := x.route.Target
+	if aim <= 0 {
+		aim = maxUnacknowledged
+	}
+	patience := upstream.DialTimeouts{
+		Dial:           min(max(aim/dialFraction, minDialTimeout), maxDialTimeout),
+		Unacknowledged: unacknowledgedOnce,
+	}
+	if x.attempts.idempotent {
+		patience.Unacknowledged = min(max(aim/unacknowledgedFraction, minUnacknowledged), maxUnacknowledged)
+	}
+	return patience
+}
+
+// gone tells whether the client left or the process ends.
+func (x *exchange) isCanceled() bool { return x.request.Context().Err() != nil }
+
+// urgency is the Priority that a server is told.
+func (x *exchange) serverPriority(decision placement.Decision) int {
+	if x.handler.disabled.Off(policy.Priorities) {
+		return defaultPriority
+	}
+	return serverPriority(x.route.Priority, x.placement.Prompt, decision.PrefillTokens)
+}
+
+// send writes the request to a connection and reads the head of the answer.
+func (x *exchange) send(conn *upstream.Conn, decision placement.Decision) (upstream.Response, error) {
+	buffer := bufferPool.Get().(*[]byte)
+	defer bufferPool.Put(buffer)
+	head := attemptHead{
+		method:     x.request.Method,
+		target:     x.target,
+		host:       x.request.Host,
+		header:     x.request.Header,
+		attemptID:  x.attemptID,
+		remaining:  x.remaining(),
+		server:     decision.ServerID,
+		priority:   x.serverPriority(decision),
+		sendLength: x.request.ContentLength == 0 && len(x.request.Header["Content-Length"]) > 0,
+	}
+	var body []byte
+	if x.body != nil {
+		body = x.body.bytes
+		head.sendLength = true
+	}
+	head.bodyLength = len(body)
+	if x.stream != nil {
+		head.lastEventID = x.stream.lastID()
+	}
+	*buffer = head.appendTo((*buffer)[:0])
+	if len(body) <= maxJoinedBody {
+		*buffer = append(*buffer, body...)
+		body = nil
+	}
+	x.countAttempt()
+	if err := conn.Send(*buffer, body); err != nil {
+		return upstream.Response{}, err
+	}
+	x.handler.announcer.announce(decision.Announce)
+	return conn.Receive(x.request.Method, x.attemptID)
+}
+
+func (x *exchange) countAttempt() {
+	x.handler.counters.attempts.Add(1)
+	if x.attempts.sent > 0 {
+		x.handler.counters.retries.Add(1)
+	}
+	if x.stream != nil {
+		x.handler.counters.resumed.Add(1)
+	}
+}
--- a/internal/proxy/ledger_explore_test.go
+++ b/internal/proxy/attemptlog_explore_test.go
@@ -15,19 +15,19 @@
 
 // ledgerSteps are the steps of a ledger, so that a test can plant a fault in one.
 type ledgerSteps struct {
-	record    func(*ledger, fate)
-	mayRepeat func(*ledger, time.Duration) bool
-	ending    func(*ledger, time.Duration) int
+	record    func(*attemptLog, executionState)
+	mayRepeat func(*attemptLog, time.Duration) bool
+	ending    func(*attemptLog, time.Duration) int
 }
 
 func trueSteps() ledgerSteps {
-	return ledgerSteps{record: (*ledger).record, mayRepeat: (*ledger).mayRepeat, ending: (*ledger).ending}
+	return ledgerSteps{record: (*attemptLog).record, mayRepeat: (*attemptLog).mayRetry, ending: (*attemptLog).finalStatus}
 }
 
 // request is a request as servers see it, beside the ledger that is kept of it.
 type request struct {
 	steps    ledgerSteps
-	ledger   ledger
+	ledger   attemptLog
 	left     time.Duration
 	runs     int // that truly happened
 	unclear  int // attempts of which nobody can tell whether they ran
@@ -40,18 +40,18 @@
 // attemptEnd is a way in which an attempt can end.
 type attemptEnd struct {
 	name    string
-	fate    fate
+	fate    executionState
 	ran     bool // whatever the fate tells
 	success bool // a usable answer, which is passed on
 }
 
 var attemptEnds = []attemptEnd{
-	{name: "was not sent", fate: fateNotSent},
-	{name: "was promised not to have run", fate: fatePromised},
-	{name: "was lost and had run", fate: fateUnknown, ran: true},
-	{name: "was lost and had not run", fate: fateUnknown},
-	{name: "ran and broke off", fate: fateRan, ran: true},
-	{name: "ran and was answered", fate: fateRan, ran: true, success: true},
+	{name: "was not sent", fate: unsent},
+	{name: "was promised not to have run", fate: notExecuted},
+	{name: "was lost and had run", fate: possiblyExecuted, ran: true},
+	{name: "was lost and had not run", fate: possiblyExecuted},
+	{name: "ran and broke off", fate: executed, ran: true},
+	{name: "ran and was answered", fate: executed, ran: true, success: true},
 }
 
 func (r *request) going() bool {
@@ -90,13 +90,13 @@
 func (r *request) attempt(end attemptEnd) {
 	r.attempts++
 	r.steps.record(&r.ledger, end.fate)
-	if end.fate != fateNotSent {
+	if end.fate != unsent {
 		r.sent++
 	}
 	if end.ran {
 		r.runs++
 	}
-	if end.fate == fateUnknown {
+	if end.fate == possiblyExecuted {
 		r.unclear++
 	}
 	if end.success {
@@ -115,15 +115,15 @@
 func (r *request) Check() error {
 	mayHaveRun := r.runs > 0 || r.unclear > 0
 	switch {
-	case !r.ledger.repeatable && r.runs > 1:
+	case !r.ledger.idempotent && r.runs > 1:
 		return errors.Newf("ran %d times", r.runs)
-	case r.sent > r.ledger.tries:
-		return errors.Newf("was sent to %d servers of %d", r.sent, r.ledger.tries)
-	case r.attempts > r.ledger.tries+maxUnsent:
+	case r.sent > r.ledger.maxAttempts:
+		return errors.Newf("was sent to %d servers of %d", r.sent, r.ledger.maxAttempts)
+	case r.attempts > r.ledger.maxAttempts+maxUnsentAttempts:
 		return errors.Newf("%d attempts", r.attempts)
-	case r.own && isPromise(r.answer) && mayHaveRun:
+	case r.own && isRejectionStatus(r.answer) && mayHaveRun:
 		return errors.Newf("%d promises that it has not run", r.answer)
-	case r.own && !isPromise(r.answer) && !mayHaveRun:
+	case r.own && !isRejectionStatus(r.answer) && !mayHaveRun:
 		return errors.Newf("%d although it has not run", r.answer)
 	case r.own && r.answer == http.StatusGatewayTimeout && r.left > 0:
 		return errors.New("out of time before the deadline")
@@ -134,8 +134,8 @@
 // exploreLedger goes through all orders of a request's events.
 func exploreLedger(steps ledgerSteps, repeatable bool, tries int) (explore.Result, error) {
 	return explore.All(func() explore.System {
-		return &request{steps: steps, ledger: ledger{repeatable: repeatable, tries: tries}, left: time.Second}
-	}, tries+maxUnsent+3, 200_000)
+		return &request{steps: steps, ledger: attemptLog{idempotent: repeatable, maxAttempts: tries}, left: time.Second}
+	}, tries+maxUnsentAttempts+3, 200_000)
 }
 
 func TestLedgerInAllOrders(t *testing.T) {
@@ -155,45 +155,45 @@
 		finding string
 	}{
 		"a lost attempt is forgotten": {func(s *ledgerSteps) {
-			s.record = func(l *ledger, f fate) {
-				if f == fateUnknown {
-					f = fatePromised
+			s.record = func(l *attemptLog, f executionState) {
+				if f == possiblyExecuted {
+					f = notExecuted
 				}
 				l.record(f)
 			}
 		}, "promises that it has not run"},
 		"a run is taken back by a promise": {func(s *ledgerSteps) {
-			s.record = func(l *ledger, f fate) {
+			s.record = func(l *attemptLog, f executionState) {
 				l.record(f)
-				l.mayHaveRun = l.mayHaveRun && f != fatePromised
+				l.possiblyExecuted = l.possiblyExecuted && f != notExecuted
 			}
 		}, "promises"},
 		"all requests are repeated": {func(s *ledgerSteps) {
-			s.mayRepeat = func(l *ledger, left time.Duration) bool {
+			s.mayRepeat = func(l *attemptLog, left time.Duration) bool {
 				changed := *l
-				changed.repeatable = true
-				return changed.mayRepeat(left)
+				changed.idempotent = true
+				return changed.mayRetry(left)
 			}
 		}, "ran 2 times"},
 		"tries are not counted": {func(s *ledgerSteps) {
-			s.mayRepeat = func(l *ledger, left time.Duration) bool {
+			s.mayRepeat = func(l *attemptLog, left time.Duration) bool {
 				changed := *l
 				changed.sent = 0
-				return changed.mayRepeat(left)
+				return changed.mayRetry(left)
 			}
 		}, "servers of"},
 		"unsent attempts are not counted": {func(s *ledgerSteps) {
-			s.mayRepeat = func(l *ledger, left time.Duration) bool {
+			s.mayRepeat = func(l *attemptLog, left time.Duration) bool {
 				changed := *l
 				changed.unsent = 0
-				return changed.mayRepeat(left)
+				return changed.mayRetry(left)
 			}
 		}, "attempts"},
 		"every end is a refusal": {func(s *ledgerSteps) {
-			s.ending = func(*ledger, time.Duration) int { return http.StatusServiceUnavailable }
+			s.ending = func(*attemptLog, time.Duration) int { return http.StatusServiceUnavailable }
 		}, "promises"},
 		"no end is a refusal": {func(s *ledgerSteps) {
-			s.ending = func(*ledger, time.Duration) int { return http.StatusBadGateway }
+			s.ending = func(*attemptLog, time.Duration) int { return http.StatusBadGateway }
 		}, "although it has not run"},
 	}
 	for name, fault := range faults {
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -12,20 +12,20 @@
 const (
 	// defaultMaxBody bounds request bodies while the configuration names no bound.
 	defaultMaxBody = 4 << 20
-	// firstBody is the buffer that a body of unknown length begins with.
-	firstBody = 4 << 10
-	// pooledBody is the largest buffer that is kept for another request.
-	pooledBody = 64 << 10
+	// initialBodyBytes is the buffer that a body of unknown length begins with.
+	initialBodyBytes = 4 << 10
+	// maxPooledBytes is the largest buffer that is kept for another request.
+	maxPooledBytes = 64 << 10
 )
 
 var (
-	errBodyTooLarge = errors.New("request body is too large")
-	errNoMemory     = errors.New("no memory left for bodies")
-	errBodyCut      = errors.New("request body did not come whole")
+	errBodyTooLarge   = errors.New("request body is too large")
+	errNoMemory       = errors.New("no memory left for bodies")
+	errBodyIncomplete = errors.New("request body did not come whole")
 )
 
-var buffers = sync.Pool{New: func() any {
-	buffer := make([]byte, 0, firstBody)
+var bufferPool = sync.Pool{New: func() any {
+	buffer := make([]byte, 0, initialBodyBytes)
 	return &buffer
 }}
 
@@ -33,16 +33,16 @@
 type chargedBuffer struct {
 	bytes   []byte
 	charged int64
-	memory  *memoryBound
+	memory  *memoryLimit
 	pooled  *[]byte
 }
 
 // newChargedBuffer returns an empty buffer with room for size bytes.
-func newChargedBuffer(memory *memoryBound, size int) (*chargedBuffer, error) {
-	if !memory.take(int64(size)) {
+func newChargedBuffer(memory *memoryLimit, size int) (*chargedBuffer, error) {
+	if !memory.reserve(int64(size)) {
 		return nil, errNoMemory
 	}
-	pooled := buffers.Get().(*[]byte)
+	pooled := bufferPool.Get().(*[]byte)
 	held := &chargedBuffer{bytes: (*pooled)[:0], charged: int64(size), memory: memory, pooled: pooled}
 	if cap(held.bytes) < size {
 		held.bytes = make([]byte, 0, size)
@@ -52,8 +52,8 @@
 
 // grow makes room for at least one more byte by doubling.
 func (b *chargedBuffer) grow() error {
-	more := max(cap(b.bytes), firstBody)
-	if !b.memory.take(int64(more)) {
+	more := max(cap(b.bytes), initialBodyBytes)
+	if !b.memory.reserve(int64(more)) {
 		return errNoMemory
 	}
 	b.charged += int64(more)
@@ -68,11 +68,11 @@
 	if b == nil {
 		return
 	}
-	b.memory.give(b.charged)
-	if cap(b.bytes) <= pooledBody {
+	b.memory.release(b.charged)
+	if cap(b.bytes) <= maxPooledBytes {
 		*b.pooled = b.bytes[:0]
 	}
-	buffers.Put(b.pooled)
+	bufferPool.Put(b.pooled)
 	b.bytes = nil
 }
 
@@ -110,7 +110,7 @@
 		return nil, errBodyTooLarge
 	}
 	// One byte more than the length, so that the end is seen without growing.
-	body, err := newChargedBuffer(h.memory, max(int(request.ContentLength)+1, firstBody))
+	body, err := newChargedBuffer(h.memory, max(int(request.ContentLength)+1, initialBodyBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -123,7 +123,7 @@
 		if errors.Is(err, errNoMemory) {
 			return nil, err
 		}
-		return nil, errors.CombineErrors(errBodyCut, err)
+		return nil, errors.CombineErrors(errBodyIncomplete, err)
 	case !whole:
 		body.free()
 		return nil, errBodyTooLarge
--- a/internal/proxy/feed.go
+++ b/internal/proxy/configstream.go
@@ -14,7 +14,7 @@
 )
 
 // feed takes in from the agent beside this proxy what the proxy serves by.
-type feed struct {
+type configStream struct {
 	mu          sync.Mutex // one Apply at a time, so that the placer sees states in order
 	host        string
 	incarnation uint64
@@ -26,59 +26,59 @@
 	counters    *counters
 	shares      atomic.Pointer[pb.SharesVersion] // in force
 	logger      *zap.Logger
-	contact     *contact
-	now         func() time.Duration // steady clock
+	liveness    *agentLiveness
+	clock       func() time.Duration // steady clock
 	// changed is told of each new snapshot.
-	changed func(*snapshot, update)
+	onSnapshot func(*snapshot, update)
 }
 
 // Apply takes in changes, a repair, a server list and shares, and answers what is held afterwards. What was meant
 // for an earlier process of this proxy is left: its confirmation was asked for before this one began.
-func (f *feed) Apply(_ context.Context, request *connect.Request[pb.ApplyRequest]) (*connect.Response[pb.ProxyStatus], error) {
-	began := f.now()
-	f.contact.heard(began)
+func (f *configStream) Apply(_ context.Context, request *connect.Request[pb.ApplyRequest]) (*connect.Response[pb.ProxyStatus], error) {
+	began := f.clock()
+	f.liveness.recordContact(began)
 	if wanted := request.Msg.GetProxyIncarnation(); wanted != 0 && wanted != f.incarnation {
 		return connect.NewResponse(f.status(f.state.load())), nil
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	defer func() { f.counters.countApply(f.now() - began) }()
+	defer func() { f.counters.countApply(f.clock() - began) }()
 	before := f.state.load()
 	held, done := f.state.apply(request.Msg)
-	f.counters.countFed(done)
+	f.counters.countUpdate(done)
 	if done.tableChanged {
 		f.dispatcher.setTable(held.table)
 	}
 	if done.listChanged {
 		f.dispatcher.setServers(request.Msg.GetList())
 	}
-	f.takeShares(request.Msg.GetShares())
-	f.report(before, held, done)
-	f.changed(held, done)
+	f.applyShares(request.Msg.GetShares())
+	f.logUpdate(before, held, done)
+	f.onSnapshot(held, done)
 	if done.tableChanged || done.listChanged {
-		f.state.announce()
+		f.state.notifyWaiters()
 	}
 	return connect.NewResponse(f.status(held)), nil
 }
 
-// takeShares puts shares in force, unless the same agent process has told later ones already: a call that was given
+// applyShares puts shares in force, unless the same agent process has told later ones already: a call that was given
 // up may come after its successor.
-func (f *feed) takeShares(shares *pb.Shares) {
+func (f *configStream) applyShares(shares *pb.Shares) {
 	if shares == nil || limits.IsOutdated(shares.GetVersion(), f.shares.Load()) {
 		return
 	}
 	f.shares.Store(shares.GetVersion())
-	f.dispatcher.setShares(shares)
+	f.dispatcher.setQuotaShares(shares)
 	f.announcer.setMembers(shares.GetMembers())
 }
 
 // Status answers what is held.
-func (f *feed) Status(context.Context, *connect.Request[pb.StatusRequest]) (*connect.Response[pb.ProxyStatus], error) {
-	f.contact.heard(f.now())
+func (f *configStream) Status(context.Context, *connect.Request[pb.StatusRequest]) (*connect.Response[pb.ProxyStatus], error) {
+	f.liveness.recordContact(f.clock())
 	return connect.NewResponse(f.status(f.state.load())), nil
 }
 
-func (f *feed) status(held *snapshot) *pb.ProxyStatus {
+func (f *configStream) status(held *snapshot) *pb.ProxyStatus {
 	status := &pb.ProxyStatus{
 		Host:        f.host,
 		Incarnation: f.incarnation,
@@ -90,22 +90,22 @@
 		EdgeAddress: f.edgeAddress,
 		Shares:      f.shares.Load(),
 	}
-	if f.state.wantsWhole() {
+	if f.state.needsFullState() {
 		// Without a digest for each range, the answer to this is the whole state.
 		status.Digests = &pb.RangeDigests{Sequence: held.sequence, Generation: held.generation}
 	}
 	return status
 }
 
-func (f *feed) report(before, held *snapshot, done update) {
-	for _, item := range done.leftOut {
+func (f *configStream) logUpdate(before, held *snapshot, done update) {
+	for _, item := range done.rejected {
 		f.logger.Warn("item of the configuration left out", zap.Error(item))
 	}
-	for _, item := range done.inPart {
+	for _, item := range done.partial {
 		f.logger.Warn("item of the configuration served in part", zap.Error(item))
 	}
-	if done.fellBack {
-		f.counters.fellBack.Add(1)
+	if done.regressed {
+		f.counters.regressions.Add(1)
 		f.logger.Error("the configuration fell back",
 			zap.Uint64("sequence-before", before.sequence),
 			zap.Uint64("generation-before", before.generation),
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -30,8 +30,8 @@
 		})
 	}
 	_, done := r.handler.state.apply(&pb.ApplyRequest{Changes: []*pb.Change{change}})
-	require.Empty(r.t, done.leftOut)
-	require.Empty(r.t, done.inPart)
+	require.Empty(r.t, done.rejected)
+	require.Empty(r.t, done.partial)
 }
 
 const (
@@ -182,7 +182,7 @@
 	r := newRig(t)
 	late := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		require.NoError(t, http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(-time.Second)))
-		r.handler.refuse(writer, &refusal{status: http.StatusGatewayTimeout})
+		r.handler.reject(writer, &rejection{status: http.StatusGatewayTimeout})
 	})
 	server := httptest.NewServer(late)
 	defer server.Close()
@@ -260,9 +260,9 @@
 // TestTheDeadlineIsThatOfTheFirstTry: all tries of a request share one instant, from which what is left is told.
 func TestTheDeadlineIsThatOfTheFirstTry(t *testing.T) {
 	x := &exchange{deadline: time.Now().Add(time.Minute)}
-	before := x.left()
+	before := x.remaining()
 	require.LessOrEqual(t, before, time.Minute)
-	require.LessOrEqual(t, x.left(), before)
+	require.LessOrEqual(t, x.remaining(), before)
 }
 
 // TestNoTryRunsOnMoreServersThanItsRouteAllows: whatever servers answer, a request of a client reaches no more of them
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -39,20 +39,20 @@
 	placer placer
 	budget *limits.RetryBudget
 	// closing counts the answers in a row with which a server closed the connection, by its id.
-	closing map[string]int
+	consecutiveCloses map[string]int
 	// reported tells when the other proxies were last told of a server's failure, by its id.
-	reported map[string]time.Duration
+	lastReport map[string]time.Duration
 }
 
-// reportEvery is the least time between two reports of one server.
-const reportEvery = time.Second
+// reportInterval is the least time between two reports of one server.
+const reportInterval = time.Second
 
-// leavingAnswers is the number of answers in a row with Connection: close that show that a server leaves:
+// drainingCloses is the number of answers in a row with Connection: close that show that a server leaves:
 // other servers close connections now and then as well.
-const leavingAnswers = 2
+const drainingCloses = 2
 
 func newDispatcher(placer placer, budget *limits.RetryBudget) *dispatcher {
-	return &dispatcher{start: time.Now(), placer: placer, budget: budget, closing: make(map[string]int), reported: make(map[string]time.Duration)}
+	return &dispatcher{start: time.Now(), placer: placer, budget: budget, consecutiveCloses: make(map[string]int), lastReport: make(map[string]time.Duration)}
 }
 
 // now is the time of the placer's and the budget's calls. The caller holds the lock.
@@ -102,7 +102,7 @@
 	d.placer.RequestDone(d.now(), request, answered, latency)
 }
 
-func (d *dispatcher) serverCold(server string, left time.Duration) {
+func (d *dispatcher) serverWarmingUp(server string, left time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.placer.ServerWarmingUp(d.now(), server, left)
@@ -116,15 +116,15 @@
 }
 
 // answered takes in whether a server's answer closed the connection.
-func (d *dispatcher) answered(server string, closed bool) {
+func (d *dispatcher) responseReceived(server string, closed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !closed {
-		delete(d.closing, server)
+		delete(d.consecutiveCloses, server)
 		return
 	}
-	d.closing[server]++
-	if d.closing[server] >= leavingAnswers {
+	d.consecutiveCloses[server]++
+	if d.consecutiveCloses[server] >= drainingCloses {
 		d.placer.ServerDraining(d.now(), server)
 	}
 }
@@ -136,8 +136,8 @@
 	return d.budget.Take(d.now(), service)
 }
 
-// giveRetryBack returns a repeat that was not sent.
-func (d *dispatcher) giveRetryBack(service string) {
+// refundRetry returns a repeat that was not sent.
+func (d *dispatcher) refundRetry(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.budget.Refund(d.now(), service)
@@ -154,20 +154,20 @@
 func (d *dispatcher) setServers(list *pb.ServerList) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	clear(d.closing)
-	d.dropReported()
+	clear(d.consecutiveCloses)
+	d.expireReports()
 	age := time.Duration(list.GetAgeMs()) * time.Millisecond
 	d.placer.SetServers(d.now(), list.GetServers(), age)
 }
 
 // announced takes in what another proxy told.
-func (d *dispatcher) announced(told placement.Announcement) {
+func (d *dispatcher) announcementReceived(announcement placement.Announcement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.placer.AnnouncementReceived(d.now(), told)
+	d.placer.AnnouncementReceived(d.now(), announcement)
 }
 
-func (d *dispatcher) setShares(shares *pb.Shares) {
+func (d *dispatcher) setQuotaShares(shares *pb.Shares) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.placer.SetQuotaMembers(d.now(), shares)
@@ -186,20 +186,20 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	last, told := d.reported[server]
-	if told && now-last < reportEvery {
+	last, told := d.lastReport[server]
+	if told && now-last < reportInterval {
 		return false
 	}
-	d.reported[server] = now
+	d.lastReport[server] = now
 	return true
 }
 
-// dropReported forgets reports that are over. The caller holds the lock.
-func (d *dispatcher) dropReported() {
+// expireReports forgets reports that are over. The caller holds the lock.
+func (d *dispatcher) expireReports() {
 	now := d.now()
-	for server, last := range d.reported {
-		if now-last >= reportEvery {
-			delete(d.reported, server)
+	for server, last := range d.lastReport {
+		if now-last >= reportInterval {
+			delete(d.lastReport, server)
 		}
 	}
 }
--- a/internal/proxy/distance_test.go
+++ b/internal/proxy/distance_test.go
@@ -92,7 +92,7 @@
 		return "a change that is not told"
 	case !before.confirmed && held.confirmed && f.state.gap:
 		return "what was confirmed is not held"
-	case done.fellBack:
+	case done.regressed:
 		return "a snapshot that fell back"
 	}
 	return f.difference(held)
@@ -164,12 +164,12 @@
 		}
 		held := f.state.load().sequence
 		last := &pb.ApplyRequest{Changes: f.changes[held:]}
-		if f.state.wantsWhole() {
+		if f.state.needsFullState() {
 			last = &pb.ApplyRequest{Repair: f.truth[farChanges].RepairFor(nil)}
 		}
 		f.state.apply(last)
 		require.EqualValues(t, farChanges, f.state.load().sequence)
-		require.False(t, f.state.wantsWhole())
+		require.False(t, f.state.needsFullState())
 		require.Empty(t, f.difference(f.state.load()))
 	}
 }
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -8,20 +8,20 @@
 // eventScanner finds the ends of events (text/event-stream) and the ids that they carry. It is fed the
 // stream in pieces and holds no copy of it.
 type eventScanner struct {
-	line      []byte // beginning of the line that is being read, bounded
-	pendingID string // id of the event that is being read
-	hasID     bool
-	hasField  bool   // the event that is being read is more than comments
-	lastID    string // id of the last whole event that had one
+	linePrefix []byte // beginning of the line that is being read, bounded
+	pendingID  string // id of the event that is being read
+	hasID      bool
+	hasContent bool   // the event that is being read is more than comments
+	lastID     string // id of the last whole event that had one
 	// unnumbered tells that a whole event without an id came after that one.
-	unnumbered bool
+	eventWithoutID bool
 }
 
 // maxIDLine bounds how much of a line is looked at for an id; a longer id is none that can be used.
 const maxIDLine = 256
 
 func newEventScanner() *eventScanner {
-	return &eventScanner{line: make([]byte, 0, 32)}
+	return &eventScanner{linePrefix: make([]byte, 0, 32)}
 }
 
 // scan reads on until the end of the next event and returns how many bytes it took; whole tells whether an
@@ -30,10 +30,10 @@
 	for taken < len(data) {
 		end := bytes.IndexByte(data[taken:], '\n')
 		if end < 0 {
-			s.takePart(data[taken:])
+			s.appendLine(data[taken:])
 			return len(data), false
 		}
-		s.takePart(data[taken : taken+end])
+		s.appendLine(data[taken : taken+end])
 		taken += end + 1
 		if s.endLine() {
 			return taken, true
@@ -42,47 +42,47 @@
 	return taken, false
 }
 
-func (s *eventScanner) takePart(part []byte) {
-	if room := maxIDLine - len(s.line); room > 0 {
-		s.line = append(s.line, part[:min(room, len(part))]...)
+func (s *eventScanner) appendLine(part []byte) {
+	if room := maxIDLine - len(s.linePrefix); room > 0 {
+		s.linePrefix = append(s.linePrefix, part[:min(room, len(part))]...)
 	}
 }
 
 // endLine takes in the end of a line and tells whether an event ended with it.
 func (s *eventScanner) endLine() bool {
-	line := bytes.TrimSuffix(s.line, []byte{'\r'})
-	s.line = s.line[:0]
+	line := bytes.TrimSuffix(s.linePrefix, []byte{'\r'})
+	s.linePrefix = s.linePrefix[:0]
 	if len(line) > 0 {
-		s.noteID(line)
+		s.parseID(line)
 		return false
 	}
 	switch {
 	case s.hasID:
 		s.lastID = s.pendingID
-		s.unnumbered = false
-	case s.hasField:
-		s.unnumbered = true
+		s.eventWithoutID = false
+	case s.hasContent:
+		s.eventWithoutID = true
 	}
-	s.hasID, s.hasField = false, false
+	s.hasID, s.hasContent = false, false
 	return true
 }
 
-func (s *eventScanner) noteID(line []byte) {
-	s.hasField = s.hasField || line[0] != ':'
+func (s *eventScanner) parseID(line []byte) {
+	s.hasContent = s.hasContent || line[0] != ':'
 	value, found := bytes.CutPrefix(line, []byte("id:"))
 	if !found {
 		return
 	}
 	value = bytes.TrimPrefix(value, []byte{' '})
-	if !fitsHeader(value) || len(line) >= maxIDLine {
+	if !isHeaderValue(value) || len(line) >= maxIDLine {
 		return
 	}
 	s.pendingID = string(value)
 	s.hasID = true
 }
 
-// fitsHeader tells whether an id can be sent as the value of a header.
-func fitsHeader(id []byte) bool {
+// isHeaderValue tells whether an id can be sent as the value of a header.
+func isHeaderValue(id []byte) bool {
 	for _, character := range id {
 		if character < ' ' || character > '~' {
 			return false
@@ -92,7 +92,7 @@
 }
 
 // follows tells whether an event id comes after another one. Ids of a stream rise.
-func follows(previous, id string) bool {
+func isLaterID(previous, id string) bool {
 	before, errBefore := strconv.ParseUint(previous, 10, 64)
 	after, errAfter := strconv.ParseUint(id, 10, 64)
 	if errBefore == nil && errAfter == nil {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -20,102 +20,102 @@
 	target    string // path and query as sent
 	attemptID string
 	route     *route.Route
-	place     placement.Request
+	placement placement.Request
 	body      *chargedBuffer // nil: none
 	arrived   time.Time
 	deadline  time.Time
 
-	ledger      ledger
-	holdsRetry  bool          // a repeat was drawn from the common budget and has not been sent
-	retryAfter  time.Duration // what the last refusal told; 0: nothing
-	stream      *clientStream // nil until the head of a stream was passed on
-	begun       bool          // the head of an answer was passed on
-	success     bool          // a 2xx was passed on whole
-	firstAnswer time.Time     // when the first event, or the answer, was there
+	attempts      attemptLog
+	retryReserved bool          // a repeat was drawn from the common budget and has not been sent
+	retryAfter    time.Duration // what the last refusal told; 0: nothing
+	stream        *clientStream // nil until the head of a stream was passed on
+	headersSent   bool          // the head of an answer was passed on
+	success       bool          // a 2xx was passed on whole
+	firstByte     time.Time     // when the first event, or the answer, was there
 }
 
 // verdict is what an attempt at one server came to.
-type verdict uint8
+type attemptOutcome uint8
 
 const (
-	verdictDelivered verdict = iota // the client has its whole answer
-	verdictFailed                   // no answer was passed on, or a stream was cut
-	verdictUnplaced                 // there was no server to send it to
-	verdictGone                     // the client left, or the process is ending
-	verdictBroken                   // an answer that was being passed on broke off and can't be taken up
+	outcomeDelivered attemptOutcome = iota // the client has its whole answer
+	outcomeFailed                          // no answer was passed on, or a stream was cut
+	outcomeNoServer                        // there was no server to send it to
+	outcomeCanceled                        // the client left, or the process is ending
+	outcomeBroken                          // an answer that was being passed on broke off and can't be taken up
 )
 
 // run answers the request and tells whether the answer is whole; if not, the client's connection must end.
 func (x *exchange) run() (whole bool) {
-	if err := x.handler.dispatcher.admit(&x.place); err != nil {
+	if err := x.handler.dispatcher.admit(&x.placement); err != nil {
 		x.handler.counters.overloaded.Add(1)
-		x.refuseOverload(err)
+		x.rejectOverload(err)
 		return true
 	}
-	defer x.settle()
+	defer x.release()
 	for {
-		switch x.attempt() {
-		case verdictDelivered:
+		switch x.attemptServer() {
+		case outcomeDelivered:
 			x.handler.counters.delivered.Add(1)
 			return true
-		case verdictGone:
-			return x.breakOff()
-		case verdictUnplaced:
-			x.handler.counters.unplaced.Add(1)
-			return x.conclude()
-		case verdictBroken:
-			return x.conclude()
-		case verdictFailed:
-			if !x.mayRepeat() {
-				return x.conclude()
+		case outcomeCanceled:
+			return x.clientGone()
+		case outcomeNoServer:
+			x.handler.counters.noServer.Add(1)
+			return x.respondWithoutServer()
+		case outcomeBroken:
+			return x.respondWithoutServer()
+		case outcomeFailed:
+			if !x.mayRetry() {
+				return x.respondWithoutServer()
 			}
 		}
 	}
 }
 
 // settle closes the books of the request.
-func (x *exchange) settle() {
-	if x.holdsRetry {
-		x.handler.dispatcher.giveRetryBack(x.place.Service)
-		x.holdsRetry = false
+func (x *exchange) release() {
+	if x.retryReserved {
+		x.handler.dispatcher.refundRetry(x.placement.Service)
+		x.retryReserved = false
 	}
 	latency := time.Since(x.arrived)
-	if !x.firstAnswer.IsZero() {
-		latency = x.firstAnswer.Sub(x.arrived)
+	if !x.firstByte.IsZero() {
+		latency = x.firstByte.Sub(x.arrived)
 	}
-	x.handler.dispatcher.requestDone(&x.place, x.success, latency)
+	x.handler.dispatcher.requestDone(&x.placement, x.success, latency)
 }
 
 // free gives back what the request holds.
-func (x *exchange) free() { x.body.free() }
+func (x *exchange) freeBody() { x.body.free() }
 
-func (x *exchange) left() time.Duration { return time.Until(x.deadline) }
+func (x *exchange) remaining() time.Duration { return time.Until(x.deadline) }
 
-// mayRepeat tells whether the request may go to another server, and draws on the common budget if that
+// mayRetry tells whether the request may go to another server, and draws on the common budget if that
 // would be a repeat.
-func (x *exchange) mayRepeat() bool {
-	if !x.ledger.mayRepeat(x.left()) || !x.canContinue() {
+func (x *exchange) mayRetry() bool {
+	if !x.attempts.mayRetry(x.remaining()) || !x.canResume() {
 		return false
 	}
-	if !x.ledger.needsBudget() || x.holdsRetry {
+	if !x.attempts.needsBudget() || x.retryReserved {
 		return true
 	}
-	if !x.handler.dispatcher.takeRetry(x.place.Service) {
-		x.handler.counters.noBudget.Add(1)
+	if !x.handler.dispatcher.takeRetry(x.placement.Service) {
+		x.handler.counters.retryBudgetExhausted.Add(1)
 		return false
 	}
-	x.holdsRetry = true
+	x.retryReserved = true
 	return true
 }
 
-// canContinue tells whether a stream that has begun can be taken up by another server.
-func (x *exchange) canContinue() bool { return x.stream == nil || x.stream.resumable() }
+// canResume tells whether a stream that has begun can be taken up by another server.
+func (x *exchange) canResume() bool { return x.stream == nil || x.stream.canResume() }
 
-// breakOff ends a request because the client left, or because the process ends: then it gets a true answer
+// clientGone ends a request because the client left, or because the process ends: then it gets a true answer
 // if none has begun.
-func (x *exchange) breakOff() bool {
-	if x.handler.lifecycle.phase() == phaseAbandoned {
-		return x.conclude()
+func (x *exchange) clientGone() bool {
+	if x.handler.lifecycle.phase() == phaseAborting {
+		return x.respondWithoutServer()
 	}
 	x.handler.counters.clientsGone.Add(1)
 	return false
@@ -123,86 +123,86 @@
 
 // conclude ends a request for which no server's answer is passed on. It returns false when the answer has
 // begun, so that it must end visibly early.
-func (x *exchange) conclude() bool {
-	if x.begun {
+func (x *exchange) respondWithoutServer() bool {
+	if x.headersSent {
 		x.handler.counters.broken.Add(1)
 		return false
 	}
-	status := x.ledger.ending(x.left())
-	own := &refusal{status: status}
+	status := x.attempts.finalStatus(x.remaining())
+	own := &rejection{status: status}
 	if status == http.StatusServiceUnavailable {
 		own.retryAfter = max(x.retryAfter, retryAfterShort)
 	}
-	x.handler.refuse(x.client, own)
+	x.handler.reject(x.client, own)
 	return true
 }
 
-func (x *exchange) refuseOverload(err error) {
+func (x *exchange) rejectOverload(err error) {
 	wait := retryAfterShort
 	var overload *placement.OverloadError
 	if errors.As(err, &overload) {
 		wait = max(overload.RetryAfter, wait)
 	}
-	own := &refusal{status: http.StatusServiceUnavailable, retryAfter: wait}
-	x.handler.refuse(x.client, own)
+	own := &rejection{status: http.StatusServiceUnavailable, retryAfter: wait}
+	x.handler.reject(x.client, own)
 }
 
 // record writes down what became of an attempt.
-func (x *exchange) record(f fate) {
-	x.ledger.record(f)
-	x.handler.counters.countFate(f)
-	if f != fateNotSent {
-		x.holdsRetry = false // it was used
+func (x *exchange) record(f executionState) {
+	x.attempts.record(f)
+	x.handler.counters.countExecution(f)
+	if f != unsent {
+		x.retryReserved = false // it was used
 	}
 }
 
-// notSent closes an attempt of which nothing was sent, although its connection was there.
-func (x *exchange) notSent(decision placement.Decision) verdict {
-	x.finish(decision, placement.NotSent)
-	x.record(fateNotSent)
-	if x.gone() {
-		return verdictGone
+// withdraw closes an attempt of which nothing was sent, although its connection was there.
+func (x *exchange) withdraw(decision placement.Decision) attemptOutcome {
+	x.finishAttempt(decision, placement.NotSent)
+	x.record(unsent)
+	if x.isCanceled() {
+		return outcomeCanceled
 	}
-	x.handler.counters.lateChanges.Add(1)
-	return verdictFailed
+	x.handler.counters.withdrawn.Add(1)
+	return outcomeFailed
 }
 
-// attemptFailed closes an attempt that brought no answer. On a fresh connection that tells of the server; one that had
+// recordFailure closes an attempt that brought no answer. On a fresh connection that tells of the server; one that had
 // rested may have been closed meanwhile.
-func (x *exchange) attemptFailed(decision placement.Decision, err error, fresh bool) verdict {
-	f := fateOfError(err)
+func (x *exchange) recordFailure(decision placement.Decision, err error, fresh bool) attemptOutcome {
+	f := executionOfError(err)
 	x.record(f)
-	x.place.Excluded = append(x.place.Excluded, decision.ServerID)
-	if x.gone() {
-		x.finish(decision, placement.ClientGone)
-		return verdictGone
+	x.placement.Excluded = append(x.placement.Excluded, decision.ServerID)
+	if x.isCanceled() {
+		x.finishAttempt(decision, placement.ClientGone)
+		return outcomeCanceled
 	}
-	outcome := outcomeOfError(err)
+	outcome := placementOutcomeOfError(err)
 	if fresh && (outcome == placement.Reset || outcome == placement.Unreachable) {
-		x.report(decision.ServerID)
+		x.reportFailure(decision.ServerID)
 	}
-	x.finish(decision, outcome)
-	return verdictFailed
+	x.finishAttempt(decision, outcome)
+	return outcomeFailed
 }
 
 // report tells the other proxies of the region that a server failed.
-func (x *exchange) report(server string) {
-	if x.handler.off.Off(policy.FailureReports) || !x.handler.dispatcher.mayReport(server) {
+func (x *exchange) reportFailure(server string) {
+	if x.handler.disabled.Off(policy.FailureReports) || !x.handler.dispatcher.mayReport(server) {
 		return
 	}
-	x.handler.announcer.report(server)
+	x.handler.announcer.reportFailure(server)
 }
 
 // finish tells placement how an attempt ended. Other connections to a machine out of reach are given up too.
-func (x *exchange) finish(decision placement.Decision, outcome placement.Outcome) {
+func (x *exchange) finishAttempt(decision placement.Decision, outcome placement.Outcome) {
 	if outcome == placement.Unreachable {
 		x.handler.pool.Forget(upstream.Server{ID: decision.ServerID, Address: decision.Address})
 	}
 	x.handler.dispatcher.finished(decision.Attempt, outcome)
 }
 
-// outcomeOfError tells placement what an error says about the server.
-func outcomeOfError(err error) placement.Outcome {
+// placementOutcomeOfError tells placement what an error says about the server.
+func placementOutcomeOfError(err error) placement.Outcome {
 	var dialError *upstream.DialError
 	if errors.As(err, &dialError) && dialError.TimedOut {
 		return placement.Unreachable
--- a/internal/proxy/saboteur_test.go
+++ b/internal/proxy/faultyserver_test.go
@@ -108,7 +108,7 @@
 	return err == nil && surplus == ""
 }
 
-// readWhole reads a request of which some bytes were read, checks it and notes its length.
+// readBuffered reads a request of which some bytes were read, checks it and notes its length.
 func (v *visit) readWhole(begun []byte) (*http.Request, bool) {
 	seen := bytes.NewBuffer(bytes.Clone(begun))
 	source := io.MultiReader(bytes.NewReader(begun), io.TeeReader(v.conn, seen))
--- a/internal/proxy/forward_test.go
+++ b/internal/proxy/forward_test.go
@@ -221,12 +221,12 @@
 
 func TestDrainingAnswers(t *testing.T) {
 	r := newRig(t, newStandIn(t, "i-1", good("ok")))
-	r.handler.lifecycle.enter(phaseLeaving)
+	r.handler.lifecycle.enter(phaseDraining)
 	response, body := r.get("/m/x")
 	require.Equal(t, 200, response.StatusCode)
 	require.Equal(t, "ok", body)
 	require.True(t, response.Close)
-	r.handler.lifecycle.enter(phaseRefusing)
+	r.handler.lifecycle.enter(phaseRejecting)
 	response, _ = r.get("/m/x")
 	require.Equal(t, 503, response.StatusCode)
 	require.True(t, response.Close)
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// retryAfterSetup is told to clients while no configuration is held yet.
-	retryAfterSetup = 200 * time.Millisecond
+	// retryAfterNoConfiguration is told to clients while no configuration is held yet.
+	retryAfterNoConfiguration = 200 * time.Millisecond
 	// retryAfterShort is told where a new try may succeed at once, here or at another proxy.
 	retryAfterShort = 50 * time.Millisecond
 	// writeSlack is how long after the deadline an answer may still be written to a client that reads slowly. What a
 	// machine holds a quarter of a second past its route's deadline has a price, half a second breaks a rule.
 	writeSlack = 200 * time.Millisecond
-	// returnedSlack is how much less than the route's deadline a client's first try may tell: its way here takes
+	// retrySlack is how much less than the route's deadline a client's first try may tell: its way here takes
 	// time. Later tries tell what is left, which is less by the answer to the first one at least.
-	returnedSlack = 60 * time.Millisecond
+	retrySlack = 60 * time.Millisecond
 	// longestDeadline bounds what a client or a route may ask for.
 	longestDeadline = 10 * time.Minute
 )
@@ -37,10 +37,10 @@
 	dispatcher *dispatcher
 	announcer  *announcer // nil: nothing is announced
 	pool       *upstream.Pool
-	memory     *memoryBound
+	memory     *memoryLimit
 	counters   *counters
-	draw       func() float64 // uniform in [0, 1)
-	off        policy.Switches
+	random     func() float64 // uniform in [0, 1)
+	disabled   policy.Switches
 }
 
 // ServeHTTP answers one request. Where an answer has to end early, the client's connection ends with it, so
@@ -52,18 +52,18 @@
 	defer h.counters.active.Add(-1)
 	exchange, refusal := h.prepare(writer, request, arrived)
 	if refusal != nil {
-		h.refuse(writer, refusal)
+		h.reject(writer, refusal)
 		return
 	}
-	defer exchange.free()
+	defer exchange.freeBody()
 	if !exchange.run() {
-		endVisibly(writer, request)
+		abortConnection(writer, request)
 	}
 }
 
-// endVisibly ends a client's connection in the middle of an answer. An answer with a length or in chunks is seen
+// abortConnection ends a client's connection in the middle of an answer. An answer with a length or in chunks is seen
 // to be cut; one that a client of HTTP/1.0 gets may end with the connection, so that this must be reset.
-func endVisibly(writer http.ResponseWriter, request *http.Request) {
+func abortConnection(writer http.ResponseWriter, request *http.Request) {
 	if !request.ProtoAtLeast(1, 1) {
 		conn, _, err := http.NewResponseController(writer).Hijack()
 		if err == nil {
@@ -77,18 +77,18 @@
 }
 
 // refusal is an answer of the proxy's own to a request that was not passed on.
-type refusal struct {
-	status     int
-	retryAfter time.Duration // 0: not told
-	ends       bool          // the connection can't be used any longer
+type rejection struct {
+	status          int
+	retryAfter      time.Duration // 0: not told
+	closeConnection bool          // the connection can't be used any longer
 }
 
-// refusalToLeave is the answer to a request that comes too late in a drain.
-var refusalToLeave = &refusal{status: http.StatusServiceUnavailable, retryAfter: retryAfterShort, ends: true}
+// drainRejection is the answer to a request that comes too late in a drain.
+var drainRejection = &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterShort, closeConnection: true}
 
 // refuse writes an answer of the proxy's own. It goes out however late it comes.
-func (h *handler) refuse(writer http.ResponseWriter, own *refusal) {
-	h.counters.countOwn(own.status)
+func (h *handler) reject(writer http.ResponseWriter, own *rejection) {
+	h.counters.countOwnResponse(own.status)
 	_ = http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(writeSlack))
 	header := writer.Header()
 	suppressDefaults(header)
@@ -96,34 +96,34 @@
 		header["Retry-After"] = []string{retryAfter(own.retryAfter)}
 	}
 	header["Content-Length"] = []string{"0"}
-	if own.ends || h.lifecycle.draining() {
-		askToLeave(header)
+	if own.closeConnection || h.lifecycle.draining() {
+		setConnectionClose(header)
 	}
 	writer.WriteHeader(own.status)
 }
 
-// askToLeave ends the client's connection after the answer.
-func askToLeave(header http.Header) { header["Connection"] = []string{"close"} }
+// setConnectionClose ends the client's connection after the answer.
+func setConnectionClose(header http.Header) { header["Connection"] = []string{"close"} }
 
 // prepare reads a request whole and finds its route. The body is read before anything else is decided, so
 // that the connection stays usable and an attempt is always whole.
-func (h *handler) prepare(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*exchange, *refusal) {
+func (h *handler) prepare(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*exchange, *rejection) {
 	attemptID, proper := attemptIDOf(request.Header)
 	target, hasPath := originForm(request.RequestURI)
 	if !proper || !hasPath {
-		return nil, &refusal{status: http.StatusBadRequest}
+		return nil, &rejection{status: http.StatusBadRequest}
 	}
-	if h.lifecycle.phase() >= phaseRefusing {
-		return nil, refusalToLeave
+	if h.lifecycle.phase() >= phaseRejecting {
+		return nil, drainRejection
 	}
 	control := http.NewResponseController(writer)
-	taken, err := h.takeIn(control, request, target, arrived)
+	taken, err := h.receive(control, request, target, arrived)
 	if err != nil {
-		return nil, refusalOf(err)
+		return nil, rejectionOf(err)
 	}
-	if !h.lifecycle.takes(time.Now(), taken.deadline) {
+	if !h.lifecycle.accepts(time.Now(), taken.deadline) {
 		taken.body.free()
-		return nil, refusalToLeave
+		return nil, drainRejection
 	}
 	found := taken.route
 	return &exchange{
@@ -133,40 +133,40 @@
 		target:    target,
 		attemptID: attemptID,
 		route:     found,
-		place:     placementRequest(request.Header, found, h.draw(), h.dispatcher.at(taken.at)),
+		placement: placementRequest(request.Header, found, h.random(), h.dispatcher.at(taken.readyAt)),
 		body:      taken.body,
-		arrived:   taken.at,
+		arrived:   taken.readyAt,
 		deadline:  taken.deadline,
-		ledger:    ledger{repeatable: found.IsIdempotent(), tries: max(found.MaxAttempts, 1)},
+		attempts:  attemptLog{idempotent: found.IsIdempotent(), maxAttempts: max(found.MaxAttempts, 1)},
 	}, nil
 }
 
 // intake is a request that was read whole, with its route.
-type intake struct {
+type receivedRequest struct {
 	route    *route.Route
 	body     *chargedBuffer // nil: none
-	at       time.Time      // from which on it could be passed on
+	readyAt  time.Time      // from which on it could be passed on
 	deadline time.Time
 }
 
-// takeIn reads the body and finds the route; a proxy that has just started first waits until it can.
-func (h *handler) takeIn(control *http.ResponseController, request *http.Request, target string, arrived time.Time) (taken intake, err error) {
-	floor := h.state.used.floor()
+// receive reads the body and finds the route; a proxy that has just started first waits until it can.
+func (h *handler) receive(control *http.ResponseController, request *http.Request, target string, arrived time.Time) (taken receivedRequest, err error) {
+	floor := h.state.usedSequence.floor()
 	held := h.state.load()
-	taken.at = arrived
+	taken.readyAt = arrived
 	early := !held.usable()
 	if early {
-		if held, taken.body, err = h.holdUntilUsable(control, request, target, arrived); err != nil {
+		if held, taken.body, err = h.waitUntilUsable(control, request, target, arrived); err != nil {
 			return taken, err
 		}
-		taken.at = time.Now()
+		taken.readyAt = time.Now()
 	}
 	defer func() {
 		if err != nil {
 			taken.body.free()
 		}
 	}()
-	h.noteUse(held, floor)
+	h.checkSequence(held, floor)
 	if !held.configured() {
 		return taken, errNoConfiguration
 	}
@@ -175,7 +175,7 @@
 		return taken, errNoRoute
 	}
 	taken.route = found
-	taken.deadline = arrived.Add(holdFor(request.Header, found))
+	taken.deadline = arrived.Add(timeoutFor(request.Header, found))
 	_ = control.SetWriteDeadline(taken.deadline.Add(writeSlack))
 	if !early {
 		taken.body, err = h.readBody(control, request, held.table.RequestLimits().MaxBodyBytes, taken.deadline)
@@ -183,35 +183,35 @@
 	return taken, err
 }
 
-// noteUse checks that a request uses no older snapshot than those before it: floor was read when it came.
-func (h *handler) noteUse(held *snapshot, floor uint64) {
+// checkSequence checks that a request uses no older snapshot than those before it: floor was read when it came.
+func (h *handler) checkSequence(held *snapshot, floor uint64) {
 	if held.sequence < floor {
-		h.counters.olderUsed.Add(1)
+		h.counters.staleReads.Add(1)
 	}
-	h.state.used.use(held.sequence)
+	h.state.usedSequence.raise(held.sequence)
 }
 
 var (
 	errNoConfiguration = errors.New("no configuration is held")
 	errNoRoute         = errors.New("no route")
-	errNoBounds        = errors.New("the request is larger than is taken before a configuration tells its bounds")
+	errLimitsUnknown   = errors.New("the request is larger than is taken before a configuration tells its bounds")
 )
 
-// refusalOf is the answer to a request that was not taken in.
-func refusalOf(err error) *refusal {
+// rejectionOf is the answer to a request that was not taken in.
+func rejectionOf(err error) *rejection {
 	switch {
 	case errors.Is(err, errNoRoute):
-		return &refusal{status: http.StatusNotFound}
+		return &rejection{status: http.StatusNotFound}
 	case errors.Is(err, errNoConfiguration):
-		return &refusal{status: http.StatusServiceUnavailable, retryAfter: retryAfterSetup}
-	case errors.Is(err, errNoBounds):
-		return &refusal{status: http.StatusServiceUnavailable, retryAfter: retryAfterSetup, ends: true}
+		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterNoConfiguration}
+	case errors.Is(err, errLimitsUnknown):
+		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterNoConfiguration, closeConnection: true}
 	case errors.Is(err, errBodyTooLarge):
-		return &refusal{status: http.StatusRequestEntityTooLarge, ends: true}
+		return &rejection{status: http.StatusRequestEntityTooLarge, closeConnection: true}
 	case errors.Is(err, errNoMemory):
-		return &refusal{status: http.StatusServiceUnavailable, retryAfter: retryAfterShort, ends: true}
+		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterShort, closeConnection: true}
 	default:
-		return &refusal{status: http.StatusRequestTimeout, ends: true}
+		return &rejection{status: http.StatusRequestTimeout, closeConnection: true}
 	}
 }
 
@@ -224,17 +224,17 @@
 	return values[0], true
 }
 
-// holdFor is how long a request may be held: what the client waits, but no longer than the route allows.
-func holdFor(header http.Header, found *route.Route) time.Duration {
-	told := deadlineTold(header)
+// timeoutFor is how long a request may be held: what the client waits, but no longer than the route allows.
+func timeoutFor(header http.Header, found *route.Route) time.Duration {
+	told := clientTimeout(header)
 	if found.Deadline > 0 {
 		return min(told, found.Deadline)
 	}
 	return told
 }
 
-// deadlineTold is how long a client says that it waits, at most longestDeadline.
-func deadlineTold(header http.Header) time.Duration {
+// clientTimeout is how long a client says that it waits, at most longestDeadline.
+func clientTimeout(header http.Header) time.Duration {
 	values := header[headerDeadline]
 	if len(values) == 0 {
 		return longestDeadline
@@ -254,7 +254,7 @@
 		Model:   header.Get(headerModel),
 		Arrived: arrived,
 	}
-	request.Returned = deadlineTold(header)+returnedSlack < found.Deadline
+	request.Returned = clientTimeout(header)+retrySlack < found.Deadline
 	request.Prompt, request.Generate = tokenCounts(header.Get(headerTokenCount))
 	if parts := header.Get(headerPromptPrefix); parts != "" {
 		// A list that can't be read only means that nothing is known of kept parts.
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -29,9 +29,9 @@
 // lowestPriority is the least urgent value of the Priority header.
 const lowestPriority = 9
 
-// concernsConnection tells whether a header concerns one connection only (RFC 9110, 7.6.1). Expect and
+// isHopByHop tells whether a header concerns one connection only (RFC 9110, 7.6.1). Expect and
 // Trailer belong here as well: bodies are read whole and passed on with a length.
-func concernsConnection(name string) bool {
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Te", "Transfer-Encoding", "Upgrade",
 		"Trailer", "Expect", "Content-Length":
@@ -41,8 +41,8 @@
 	}
 }
 
-// setByProxy tells whether the proxy itself writes a header of the request to a server.
-func setByProxy(name string) bool {
+// isSetByProxy tells whether the proxy itself writes a header of the request to a server.
+func isSetByProxy(name string) bool {
 	switch name {
 	case headerAttemptID, headerDeadline, headerExpectServer, headerPriority, "Host":
 		return true
@@ -54,9 +54,9 @@
 // protocolPrefix begins the names of the protocol's own headers.
 const protocolPrefix = "X-Fieldrelay-"
 
-// namedByConnection returns the headers that a Connection header names, in canonical form. The protocol's own
+// connectionOptions returns the headers that a Connection header names, in canonical form. The protocol's own
 // are for the other end whatever a connection says of them.
-func namedByConnection(header http.Header) []string {
+func connectionOptions(header http.Header) []string {
 	var named []string
 	for _, value := range header["Connection"] {
 		for option := range strings.SplitSeq(value, ",") {
@@ -76,11 +76,11 @@
 	host        string
 	header      http.Header
 	attemptID   string
-	left        time.Duration
+	remaining   time.Duration
 	server      string // id
 	priority    int
 	bodyLength  int
-	tellLength  bool   // even when the body is empty
+	sendLength  bool   // even when the body is empty
 	lastEventID string // replaces the client's own; empty: none
 }
 
@@ -91,17 +91,17 @@
 	buffer = append(buffer, h.target...)
 	buffer = append(buffer, " HTTP/1.1\r\n"...)
 	buffer = appendHeader(buffer, "Host", h.host)
-	buffer = h.appendOwn(buffer)
-	buffer = h.appendClients(buffer)
+	buffer = h.appendProxyHeaders(buffer)
+	buffer = h.appendClientHeaders(buffer)
 	return append(buffer, '\r', '\n')
 }
 
-func (h *attemptHead) appendOwn(buffer []byte) []byte {
+func (h *attemptHead) appendProxyHeaders(buffer []byte) []byte {
 	buffer = appendHeader(buffer, headerAttemptID, h.attemptID)
-	buffer = appendNumber(buffer, headerDeadline, max(h.left.Milliseconds(), 1))
+	buffer = appendNumber(buffer, headerDeadline, max(h.remaining.Milliseconds(), 1))
 	buffer = appendHeader(buffer, headerExpectServer, h.server)
 	buffer = appendNumber(buffer, headerPriority, int64(min(max(h.priority, 0), lowestPriority)))
-	if h.bodyLength > 0 || h.tellLength {
+	if h.bodyLength > 0 || h.sendLength {
 		buffer = appendNumber(buffer, "Content-Length", int64(h.bodyLength))
 	}
 	if h.lastEventID != "" {
@@ -110,10 +110,10 @@
 	return buffer
 }
 
-func (h *attemptHead) appendClients(buffer []byte) []byte {
-	named := namedByConnection(h.header)
+func (h *attemptHead) appendClientHeaders(buffer []byte) []byte {
+	named := connectionOptions(h.header)
 	for name, values := range h.header {
-		if concernsConnection(name) || setByProxy(name) || slices.Contains(named, name) {
+		if isHopByHop(name) || isSetByProxy(name) || slices.Contains(named, name) {
 			continue
 		}
 		if name == headerLastEventID && h.lastEventID != "" {
@@ -140,12 +140,12 @@
 	return append(buffer, '\r', '\n')
 }
 
-// copyAnswerHeader passes a server's header on. Nothing is added: where the server sent no Date or
+// copyResponseHeader passes a server's header on. Nothing is added: where the server sent no Date or
 // Content-Type, the client gets none.
-func copyAnswerHeader(to, from http.Header) {
-	named := namedByConnection(from)
+func copyResponseHeader(to, from http.Header) {
+	named := connectionOptions(from)
 	for name, values := range from {
-		if concernsConnection(name) || slices.Contains(named, name) {
+		if isHopByHop(name) || slices.Contains(named, name) {
 			continue
 		}
 		to[name] = values
--- a/internal/proxy/interface_test.go
+++ b/internal/proxy/interface_test.go
@@ -17,7 +17,7 @@
 	for _, name := range []string{headerAttemptID, headerDeadline, headerExpectServer, headerServerSeal, headerNotExecuted, headerWarmup,
 		headerModel, headerTokenCount, headerPromptPrefix, headerPriority, headerLastEventID, protocolPrefix, "Host", "Content-Type",
 		"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Transfer-Encoding", "Upgrade", "Trailer", "Expect", "Content-Length"} {
-		lines = append(lines, fmt.Sprintf("%s: of one connection %t, set by the proxy %t", name, concernsConnection(name), setByProxy(name)))
+		lines = append(lines, fmt.Sprintf("%s: of one connection %t, set by the proxy %t", name, isHopByHop(name), isSetByProxy(name)))
 	}
 	recordedtest.Compare(t, *updateRecorded, "testdata/headers.txt", strings.Join(lines, "\n")+"\n")
 }
--- a/internal/proxy/invariants.go
+++ b/internal/proxy/invariants.go
@@ -9,7 +9,7 @@
 func (u *usedSequence) floor() uint64 { return u.highest.Load() }
 
 // use notes that a request uses a snapshot. It is cheap: sequences rise seldom.
-func (u *usedSequence) use(sequence uint64) {
+func (u *usedSequence) raise(sequence uint64) {
 	for {
 		highest := u.highest.Load()
 		if sequence <= highest || u.highest.CompareAndSwap(highest, sequence) {
@@ -18,9 +18,9 @@
 	}
 }
 
-// fellBack tells whether a snapshot is older than the one before it in any way: sequence and generation only rise
+// regressions tells whether a snapshot is older than the one before it in any way: sequence and generation only rise
 // within a process, and together.
-func fellBack(before, after *snapshot) bool {
+func isRegression(before, after *snapshot) bool {
 	return after.sequence < before.sequence || after.generation < before.generation ||
 		after.sequence == before.sequence && after.generation != before.generation
 }
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -24,7 +24,7 @@
 		},
 	} {
 		for _, after := range later {
-			require.Equal(t, expected, fellBack(held, after), "%d of generation %d", after.sequence, after.generation)
+			require.Equal(t, expected, isRegression(held, after), "%d of generation %d", after.sequence, after.generation)
 		}
 	}
 }
@@ -32,15 +32,15 @@
 func TestStateTellsAGenerationThatFalls(t *testing.T) {
 	s := newState()
 	_, done := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
-	require.False(t, done.fellBack)
+	require.False(t, done.regressed)
 	_, done = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: 2, Generation: 6}}})
-	require.True(t, done.fellBack)
+	require.True(t, done.regressed)
 }
 
 func TestRequestWithAnOlderSnapshotIsAViolation(t *testing.T) {
 	h := &handler{state: newState(), counters: &counters{}}
 	use := func(sequence uint64) {
-		h.noteUse(&snapshot{sequence: sequence}, h.state.used.floor())
+		h.checkSequence(&snapshot{sequence: sequence}, h.state.usedSequence.floor())
 	}
 	use(3)
 	use(3)
@@ -48,7 +48,7 @@
 	require.Zero(t, h.counters.violations())
 	use(4)
 	require.EqualValues(t, 1, h.counters.violations())
-	require.EqualValues(t, 5, h.state.used.floor())
+	require.EqualValues(t, 5, h.state.usedSequence.floor())
 }
 
 // Requests that run beside changes use what is no older than what those before them used.
@@ -59,8 +59,8 @@
 	for range 4 {
 		group.Go(func() {
 			for range requests {
-				floor := h.state.used.floor()
-				h.noteUse(h.state.load(), floor)
+				floor := h.state.usedSequence.floor()
+				h.checkSequence(h.state.load(), floor)
 			}
 		})
 	}
@@ -75,7 +75,7 @@
 func TestNotingAUseAllocatesNothing(t *testing.T) {
 	h := &handler{state: newState(), counters: &counters{}}
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
-		floor := h.state.used.floor()
-		h.noteUse(h.state.load(), floor)
+		floor := h.state.usedSequence.floor()
+		h.checkSequence(h.state.load(), floor)
 	}))
 }
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -11,22 +11,22 @@
 
 const (
 	phaseServing   phase = iota
-	phaseLeaving         // told to end; requests are served as before, and clients are asked to leave
-	phaseRefusing        // new requests are refused, those that are being served go on
-	phaseAbandoned       // what is still being served is broken off
+	phaseDraining        // told to end; requests are served as before, and clients are asked to leave
+	phaseRejecting       // new requests are refused, those that are being served go on
+	phaseAborting        // what is still being served is broken off
 )
 
 // lifecycle holds the phase, which only ever goes forward.
 type lifecycle struct {
-	current atomic.Int32
-	held    func() *snapshot
-	ending  atomic.Pointer[drainTimes] // nil: not told to end
+	current    atomic.Int32
+	snapshot   func() *snapshot
+	drainTimes atomic.Pointer[drainTimes] // nil: not told to end
 }
 
 // drainTimes are the instants of a drain.
 type drainTimes struct {
-	late    time.Time // from which on only requests are taken that end before abandon
-	abandon time.Time // when what is still being served is broken off
+	deadlineCheck time.Time // from which on only requests are taken that end before abandon
+	abort         time.Time // when what is still being served is broken off
 }
 
 func (l *lifecycle) phase() phase { return phase(l.current.Load()) }
@@ -34,20 +34,20 @@
 func (l *lifecycle) enter(next phase) { l.current.Store(int32(next)) }
 
 // leave begins the drain: the process was told to end.
-func (l *lifecycle) leave(times drainTimes) {
-	l.ending.Store(&times)
-	l.enter(phaseLeaving)
+func (l *lifecycle) drain(times drainTimes) {
+	l.drainTimes.Store(&times)
+	l.enter(phaseDraining)
 }
 
 // takes tells whether a request may be taken that lasts until its deadline at most. Shortly after the process was
 // told to end, every request may be: clients have hardly heard of it. Later ones must not be broken off.
-func (l *lifecycle) takes(now, deadline time.Time) bool {
-	ending := l.ending.Load()
-	return ending == nil || now.Before(ending.late) || deadline.Before(ending.abandon)
+func (l *lifecycle) accepts(now, deadline time.Time) bool {
+	ending := l.drainTimes.Load()
+	return ending == nil || now.Before(ending.deadlineCheck) || deadline.Before(ending.abort)
 }
 
 // draining tells whether the process was told to end.
-func (l *lifecycle) draining() bool { return l.phase() >= phaseLeaving }
+func (l *lifecycle) draining() bool { return l.phase() >= phaseDraining }
 
 // ready tells whether clients may be sent here.
 func (l *lifecycle) ready(held *snapshot) bool { return held.complete() && !l.draining() }
@@ -57,7 +57,7 @@
 	switch {
 	case request.URL.Path != "/api/readyz":
 		writer.WriteHeader(http.StatusNotFound)
-	case l.ready(l.held()):
+	case l.ready(l.snapshot()):
 		writer.WriteHeader(http.StatusOK)
 	default:
 		writer.WriteHeader(http.StatusServiceUnavailable)
@@ -65,14 +65,14 @@
 }
 
 const (
-	// maxLinger is how long a proxy that was told to end goes on taking requests: clients keep its address
+	// maxDrainAccept is how long a proxy that was told to end goes on taking requests: clients keep its address
 	// for up to three times the directory's time to live.
-	maxLinger = 3500 * time.Millisecond
-	// maxLate is how long it takes requests whatever their deadline. The rules forgive that requests are broken off
+	maxDrainAccept = 3500 * time.Millisecond
+	// maxUncheckedAccept is how long it takes requests whatever their deadline. The rules forgive that requests are broken off
 	// which were sent up to 3 s after SIGTERM; the rest of these is for the time that the signal takes.
-	maxLate = 2800 * time.Millisecond
-	// lingerReserve is the part of the grace period that is left for requests begun while lingering.
-	lingerReserve = 2500 * time.Millisecond
+	maxUncheckedAccept = 2800 * time.Millisecond
+	// inFlightReserve is the part of the grace period that is left for requests begun while lingering.
+	inFlightReserve = 2500 * time.Millisecond
 	// exitReserve is the part of the grace period that is left for the process to end.
 	exitReserve = 500 * time.Millisecond
 )
@@ -80,18 +80,18 @@
 // drainPlan tells, from the moment at which the process is told to end, from when on it takes only requests that
 // end in time, when it stops taking requests and when it breaks off those that are left.
 type drainPlan struct {
-	late    time.Duration
-	refuse  time.Duration
-	abandon time.Duration
+	deadlineCheck time.Duration
+	reject        time.Duration
+	abort         time.Duration
 }
 
 // from gives the instants of a plan that begins at a moment.
-func (p drainPlan) from(began time.Time) drainTimes {
-	return drainTimes{late: began.Add(p.late), abandon: began.Add(p.abandon)}
+func (p drainPlan) start(began time.Time) drainTimes {
+	return drainTimes{deadlineCheck: began.Add(p.deadlineCheck), abort: began.Add(p.abort)}
 }
 
 func planDrain(grace time.Duration) drainPlan {
 	abandon := max(grace-exitReserve, grace/2)
-	refuse := min(maxLinger, max(grace-lingerReserve, grace/3))
-	return drainPlan{late: min(maxLate, refuse), refuse: refuse, abandon: abandon}
+	refuse := min(maxDrainAccept, max(grace-inFlightReserve, grace/3))
+	return drainPlan{deadlineCheck: min(maxUncheckedAccept, refuse), reject: refuse, abort: abandon}
 }
--- a/internal/proxy/front.go
+++ b/internal/proxy/listener.go
@@ -26,19 +26,19 @@
 	limitSlack = time.Second
 	// headerSlack is added to the bound on heads, which counts the request line and line ends as well.
 	headerSlack = 4 << 10
-	// acceptPause is waited after a connection could not be accepted.
-	acceptPause = 5 * time.Millisecond
+	// acceptBackoff is waited after a connection could not be accepted.
+	acceptBackoff = 5 * time.Millisecond
 )
 
-// frontLimits are what a client may send and how long it may take.
-type frontLimits struct {
+// connLimits are what a client may send and how long it may take.
+type connLimits struct {
 	maxHeader  int
 	headerRead time.Duration
 	keepAlive  time.Duration
 }
 
-func frontLimitsOf(told route.RequestLimits) frontLimits {
-	limits := frontLimits{maxHeader: defaultMaxHeader, headerRead: defaultHeaderRead, keepAlive: defaultKeepAlive}
+func connLimitsOf(told route.RequestLimits) connLimits {
+	limits := connLimits{maxHeader: defaultMaxHeader, headerRead: defaultHeaderRead, keepAlive: defaultKeepAlive}
 	if told.MaxHeaderBytes > 0 {
 		limits.maxHeader = int(told.MaxHeaderBytes)
 	}
@@ -55,21 +55,21 @@
 }
 
 // narrowerThan tells whether other limits allow a client anything that these do not.
-func (l frontLimits) narrowerThan(other frontLimits) bool {
+func (l connLimits) narrowerThan(other connLimits) bool {
 	return l.maxHeader < other.maxHeader || l.headerRead < other.headerRead || l.keepAlive < other.keepAlive
 }
 
 // limitedHandler serves the connections that were accepted under some limits.
 type limitedHandler struct {
 	http.Handler
-	limits   frontLimits
-	outgrown atomic.Bool // later limits allow more
+	limits     connLimits
+	superseded atomic.Bool // later limits allow more
 }
 
 // ServeHTTP asks the clients of connections whose limits are too narrow by now to open others.
 func (h *limitedHandler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	if h.outgrown.Load() {
-		askToLeave(writer.Header())
+	if h.superseded.Load() {
+		setConnectionClose(writer.Header())
 	}
 	h.Handler.ServeHTTP(writer, request)
 }
@@ -77,38 +77,38 @@
 // front accepts the connections of clients. The limits of an http.Server can't change while it runs, so new
 // limits make a new one: it gets the connections accepted from then on. The older ones keep their limits, and end
 // with their next answer if the new ones are wider.
-type front struct {
-	listener net.Listener
-	handler  http.Handler
-	base     context.Context // of all requests
-	counters *counters
-	logger   *zap.Logger
-	slots    chan struct{} // one for each connection that may be open
+type clientListener struct {
+	listener    net.Listener
+	handler     http.Handler
+	baseContext context.Context // of all requests
+	counters    *counters
+	logger      *zap.Logger
+	slots       chan struct{} // one for each connection that may be open
 
-	mu      sync.Mutex
-	limits  frontLimits
-	current *handoff
-	served  []*limitedHandler // one for the connections of each limits so far that are not outgrown
-	closed  bool
-	idle    map[net.Conn]struct{} // connections on which no request is being served
+	mu       sync.Mutex
+	limits   connLimits
+	current  *connQueue
+	handlers []*limitedHandler // one for the connections of each limits so far that are not outgrown
+	closed   bool
+	idle     map[net.Conn]struct{} // connections on which no request is being served
 }
 
-func newFront(base context.Context, listener net.Listener, handler http.Handler, maxConnections int, counters *counters, logger *zap.Logger) *front {
-	f := &front{
-		listener: listener,
-		handler:  handler,
-		base:     base,
-		counters: counters,
-		logger:   logger,
-		slots:    make(chan struct{}, maxConnections),
-		idle:     make(map[net.Conn]struct{}),
+func newClientListener(base context.Context, listener net.Listener, handler http.Handler, maxConnections int, counters *counters, logger *zap.Logger) *clientListener {
+	f := &clientListener{
+		listener:    listener,
+		handler:     handler,
+		baseContext: base,
+		counters:    counters,
+		logger:      logger,
+		slots:       make(chan struct{}, maxConnections),
+		idle:        make(map[net.Conn]struct{}),
 	}
-	f.setLimits(frontLimitsOf(route.RequestLimits{}))
+	f.setLimits(connLimitsOf(route.RequestLimits{}))
 	return f
 }
 
 // setLimits puts other limits in force for the connections accepted from now on.
-func (f *front) setLimits(limits frontLimits) {
+func (f *clientListener) setLimits(limits connLimits) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed || (f.current != nil && f.limits == limits) {
@@ -118,32 +118,32 @@
 		f.current.close()
 	}
 	f.limits = limits
-	f.current = newHandoff(f.listener.Addr())
+	f.current = newConnQueue(f.listener.Addr())
 	server := f.newServer(limits, f.handlerFor(limits))
-	go func(accepted *handoff) { _ = server.Serve(accepted) }(f.current)
+	go func(accepted *connQueue) { _ = server.Serve(accepted) }(f.current)
 }
 
 // handlerFor makes the handler of the connections under new limits, and lets those under narrower ones end. The
 // caller holds the lock.
-func (f *front) handlerFor(limits frontLimits) *limitedHandler {
-	f.served = slices.DeleteFunc(f.served, func(earlier *limitedHandler) bool {
+func (f *clientListener) handlerFor(limits connLimits) *limitedHandler {
+	f.handlers = slices.DeleteFunc(f.handlers, func(earlier *limitedHandler) bool {
 		narrower := earlier.limits.narrowerThan(limits)
 		if narrower {
-			earlier.outgrown.Store(true)
+			earlier.superseded.Store(true)
 		}
 		return narrower
 	})
-	for _, earlier := range f.served {
+	for _, earlier := range f.handlers {
 		if earlier.limits == limits {
 			return earlier
 		}
 	}
 	made := &limitedHandler{Handler: f.handler, limits: limits}
-	f.served = append(f.served, made)
+	f.handlers = append(f.handlers, made)
 	return made
 }
 
-func (f *front) newServer(limits frontLimits, handler http.Handler) *http.Server {
+func (f *clientListener) newServer(limits connLimits, handler http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &http.Server{
@@ -152,7 +152,7 @@
 		IdleTimeout:       limits.keepAlive,
 		MaxHeaderBytes:    limits.maxHeader,
 		ConnState:         f.track,
-		BaseContext:       func(net.Listener) context.Context { return f.base },
+		BaseContext:       func(net.Listener) context.Context { return f.baseContext },
 		ErrorLog:          zap.NewStdLog(zap.NewNop()),
 		Protocols:         protocols,
 		// Every request is for a server.
@@ -161,7 +161,7 @@
 }
 
 // track keeps account of open and idle connections.
-func (f *front) track(conn net.Conn, state http.ConnState) {
+func (f *clientListener) track(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		f.counters.connections.Add(1)
@@ -181,14 +181,14 @@
 	}
 }
 
-func (f *front) setIdle(conn net.Conn) {
+func (f *clientListener) setIdle(conn net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.idle[conn] = struct{}{}
 }
 
 // serve accepts connections until the listener is closed.
-func (f *front) serve() {
+func (f *clientListener) serve() {
 	for {
 		f.slots <- struct{}{}
 		conn, err := f.listener.Accept()
@@ -198,33 +198,33 @@
 				return
 			}
 			f.logger.Warn("accept a connection", zap.Error(err))
-			time.Sleep(acceptPause)
+			time.Sleep(acceptBackoff)
 			continue
 		}
-		f.hand(conn)
+		f.dispatch(conn)
 	}
 }
 
 // hand gives a connection to the server with the limits in force.
-func (f *front) hand(conn net.Conn) {
+func (f *clientListener) dispatch(conn net.Conn) {
 	for {
 		f.mu.Lock()
 		current := f.current
 		f.mu.Unlock()
-		if current.give(conn) {
+		if current.offer(conn) {
 			return
 		}
 	}
 }
 
-func (f *front) isClosed() bool {
+func (f *clientListener) isClosed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.closed
 }
 
 // close ends accepting. Open connections stay.
-func (f *front) close() {
+func (f *clientListener) close() {
 	f.mu.Lock()
 	f.closed = true
 	f.mu.Unlock()
@@ -234,7 +234,7 @@
 // closeIdle ends the connections on which no request is being served. The goroutine that waits for a request
 // on such a connection takes bytes that come as soon as they come; it is woken up without them here, and
 // closes the connection.
-func (f *front) closeIdle() {
+func (f *clientListener) closeIdle() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for conn := range f.idle {
@@ -243,19 +243,19 @@
 }
 
 // handoff is a listener that is given its connections.
-type handoff struct {
+type connQueue struct {
 	address net.Addr
 	conns   chan net.Conn
 	done    chan struct{}
 	once    sync.Once
 }
 
-func newHandoff(address net.Addr) *handoff {
-	return &handoff{address: address, conns: make(chan net.Conn), done: make(chan struct{})}
+func newConnQueue(address net.Addr) *connQueue {
+	return &connQueue{address: address, conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
 // give hands a connection over; it returns false when the listener is closed.
-func (h *handoff) give(conn net.Conn) bool {
+func (h *connQueue) offer(conn net.Conn) bool {
 	select {
 	case h.conns <- conn:
 		return true
@@ -265,7 +265,7 @@
 }
 
 // Accept implements net.Listener.
-func (h *handoff) Accept() (net.Conn, error) {
+func (h *connQueue) Accept() (net.Conn, error) {
 	select {
 	case conn := <-h.conns:
 		return conn, nil
@@ -274,13 +274,13 @@
 	}
 }
 
-func (h *handoff) close() { h.once.Do(func() { close(h.done) }) }
+func (h *connQueue) close() { h.once.Do(func() { close(h.done) }) }
 
 // Close implements net.Listener.
-func (h *handoff) Close() error {
+func (h *connQueue) Close() error {
 	h.close()
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *handoff) Addr() net.Addr { return h.address }
+func (h *connQueue) Addr() net.Addr { return h.address }
--- a/internal/proxy/contact_test.go
+++ b/internal/proxy/liveness_test.go
@@ -14,42 +14,42 @@
 
 func TestSilentAgentIsLoggedOnceAndItsReturnToo(t *testing.T) {
 	logged, logs := observer.New(zap.DebugLevel)
-	c := &contact{logger: zap.New(logged)}
-	c.heard(time.Second)
-	c.look(time.Second + silenceLimit)
+	c := &agentLiveness{logger: zap.New(logged)}
+	c.recordContact(time.Second)
+	c.checkTimeout(time.Second + agentTimeout)
 	require.Zero(t, logs.Len())
 	for second := range 4 {
-		c.look(4*time.Second + time.Duration(second)*time.Second)
+		c.checkTimeout(4*time.Second + time.Duration(second)*time.Second)
 	}
 	require.Len(t, logs.FilterMessage("agent silent").All(), 1)
-	require.Equal(t, 6*time.Second, c.age(7*time.Second))
+	require.Equal(t, 6*time.Second, c.sinceContact(7*time.Second))
 
-	c.heard(8 * time.Second)
-	c.heard(9 * time.Second)
+	c.recordContact(8 * time.Second)
+	c.recordContact(9 * time.Second)
 	lines := logs.FilterMessage("agent heard again").All()
 	require.Len(t, lines, 1)
 	require.Equal(t, 7*time.Second, lines[0].ContextMap()["after"])
-	require.Zero(t, c.age(9*time.Second))
-	require.Zero(t, c.age(8*time.Second), "an exchange came meanwhile")
+	require.Zero(t, c.sinceContact(9*time.Second))
+	require.Zero(t, c.sinceContact(8*time.Second), "an exchange came meanwhile")
 }
 
 func TestExchangesWithTheAgentAreCounted(t *testing.T) {
 	r := startProcess(t, 1)
-	r.process.contact.last.Store(int64(-time.Hour))
+	r.process.liveness.lastContact.Store(int64(-time.Hour))
 	r.status()
-	require.Less(t, r.process.contact.age(r.process.now()), patience, "a status is an exchange")
+	require.Less(t, r.process.liveness.sinceContact(r.process.now()), patience, "a status is an exchange")
 
-	r.process.contact.last.Store(int64(-time.Hour))
+	r.process.liveness.lastContact.Store(int64(-time.Hour))
 	unusable := rigChange()
 	unusable.Upserts[0].Body = []byte(`no object`)
 	r.apply(&pb.ApplyRequest{Changes: []*pb.Change{unusable}})
-	require.Less(t, r.process.contact.age(r.process.now()), patience)
+	require.Less(t, r.process.liveness.sinceContact(r.process.now()), patience)
 	r.apply(&pb.ApplyRequest{Repair: wholeRepair(3, 9)})
 	r.apply(&pb.ApplyRequest{Repair: wholeRepair(3, 9)})
 	counted := r.process.counters
-	require.EqualValues(t, 1, counted.leftOut.Load())
-	require.EqualValues(t, 1, counted.repairs.Load())
-	require.EqualValues(t, 1, counted.olderStates.Load())
+	require.EqualValues(t, 1, counted.itemsRejected.Load())
+	require.EqualValues(t, 1, counted.fullStates.Load())
+	require.EqualValues(t, 1, counted.staleUpdates.Load())
 	require.EqualValues(t, 3, counted.applies.Load())
 	require.Positive(t, counted.applyLast.Load())
 	require.GreaterOrEqual(t, counted.applyMax.Load(), counted.applyLast.Load())
@@ -71,11 +71,11 @@
 		Kind: catalog.KindRoutes, Name: "odd", Body: []byte(`{"vhost":"h","path-prefix":"/odd/","backend":"s1","tries":-1}`),
 	})
 	logged, logs := observer.New(zap.DebugLevel)
-	f := &feed{state: newState(), counters: &counters{}, logger: zap.New(logged), lifecycle: &lifecycle{}}
+	f := &configStream{state: newState(), counters: &counters{}, logger: zap.New(logged), lifecycle: &lifecycle{}}
 	before := f.state.load()
 	held, done := f.state.apply(&pb.ApplyRequest{Changes: []*pb.Change{change}})
-	f.counters.countFed(done)
-	f.report(before, held, done)
+	f.counters.countUpdate(done)
+	f.logUpdate(before, held, done)
 
 	left := logs.FilterMessage("item of the configuration left out").All()
 	require.Len(t, left, 1)
@@ -84,8 +84,8 @@
 	require.Len(t, inPart, 1)
 	require.Contains(t, inPart[0].ContextMap()["error"], `"odd"`)
 	require.Contains(t, inPart[0].ContextMap()["error"], "tries")
-	require.EqualValues(t, 1, f.counters.leftOut.Load())
-	require.EqualValues(t, 1, f.counters.inPart.Load())
+	require.EqualValues(t, 1, f.counters.itemsRejected.Load())
+	require.EqualValues(t, 1, f.counters.itemsPartial.Load())
 	_, found := held.table.Lookup("h", "/odd/x")
 	require.True(t, found)
 }
--- a/internal/proxy/memory.go
+++ b/internal/proxy/memorylimit.go
@@ -2,16 +2,16 @@
 
 import "sync/atomic"
 
-// memoryBound bounds the bytes of request and answer bodies that are held at the same time.
-type memoryBound struct {
+// memoryLimit bounds the bytes of request and answer bodies that are held at the same time.
+type memoryLimit struct {
 	limit int64
 	used  atomic.Int64
 }
 
-func newMemoryBound(limit int64) *memoryBound { return &memoryBound{limit: limit} }
+func newMemoryLimit(limit int64) *memoryLimit { return &memoryLimit{limit: limit} }
 
 // take charges bytes and tells whether there was room for them.
-func (m *memoryBound) take(bytes int64) bool {
+func (m *memoryLimit) reserve(bytes int64) bool {
 	if m.used.Add(bytes) <= m.limit {
 		return true
 	}
@@ -20,4 +20,4 @@
 }
 
 // give returns bytes that were charged.
-func (m *memoryBound) give(bytes int64) { m.used.Add(-bytes) }
+func (m *memoryLimit) release(bytes int64) { m.used.Add(-bytes) }
--- a/internal/proxy/urgency_test.go
+++ b/internal/proxy/priority_test.go
@@ -17,7 +17,7 @@
 		{0, 1_000, 1_000, 2},
 		{1, 40_000, 40_000, 9},
 	} {
-		require.Equal(t, c.expect, urgency(c.route, c.prompt, c.toRead), "%+v", c)
+		require.Equal(t, c.expect, serverPriority(c.route, c.prompt, c.toRead), "%+v", c)
 	}
 }
 
@@ -26,7 +26,7 @@
 		route := rapid.IntRange(0, 9).Draw(t, "route")
 		toRead := rapid.IntRange(0, 50_000).Draw(t, "tokens")
 		more := toRead + rapid.IntRange(0, 50_000).Draw(t, "more")
-		shorter, longer := urgency(route, 50_000, toRead), urgency(route, 50_000, more)
+		shorter, longer := serverPriority(route, 50_000, toRead), serverPriority(route, 50_000, more)
 		if shorter > longer || shorter < 0 || longer > lowestPriority {
 			t.Fatalf("%d for %d tokens, %d for %d", shorter, toRead, longer, more)
 		}
--- a/internal/proxy/process_test.go
+++ b/internal/proxy/process_test.go
@@ -22,7 +22,7 @@
 func testSettings(graceSeconds float64) *settings.Settings {
 	return &settings.Settings{
 		Hostname: "edge-1", Address: "127.0.0.1", Zone: "z1", Region: "g1",
-		PortRange: []int{-feedPort, 20}, // so that the feed gets a free port
+		PortRange: []int{-configStreamPort, 20}, // so that the feed gets a free port
 		Zones:     map[string]string{"z1": "g1"},
 		Binds:     settings.Binds{Edge: "127.0.0.1:0", Ready: "127.0.0.1:0"},
 		Limits:    settings.Limits{MemoryMB: 184, Descriptors: 1000},
@@ -46,9 +46,9 @@
 	require.NoError(t, p.start(configured))
 	terminated, terminate := context.WithCancel(context.Background())
 	r := &running{
-		rig:       &rig{t: t, address: p.front.listener.Addr().String()},
+		rig:       &rig{t: t, address: p.listener.listener.Addr().String()},
 		process:   p,
-		feed:      fieldrelayv1connect.NewProxyFeedClient(http.DefaultClient, "http://"+p.feedAddr.String()),
+		feed:      fieldrelayv1connect.NewProxyFeedClient(http.DefaultClient, "http://"+p.configStreamAddr.String()),
 		terminate: terminate,
 		ended:     make(chan struct{}),
 	}
@@ -60,7 +60,7 @@
 	}()
 	t.Cleanup(func() {
 		terminate()
-		p.abandon()
+		p.cancelRequests()
 		<-r.ended
 		require.Zero(t, p.counters.violations())
 	})
@@ -183,7 +183,7 @@
 	response, _ = r.get("/m/x")
 	require.Equal(t, 200, response.StatusCode, "new connections are served for a while")
 
-	eventually(t, func() bool { return r.process.lifecycle.phase() == phaseRefusing }, "it refuses")
+	eventually(t, func() bool { return r.process.lifecycle.phase() == phaseRejecting }, "it refuses")
 	_, err = net.Dial("tcp4", r.address)
 	require.Error(t, err)
 	close(next)
@@ -222,7 +222,7 @@
 		require.True(t, r.status().GetDraining())
 	}
 	for _, r := range all {
-		r.process.abandon()
+		r.process.cancelRequests()
 	}
 }
 
@@ -315,7 +315,7 @@
 		Servers: []*pb.Server{{Id: "i-2", Service: "s2", Address: server.server.Address, Zone: "z2"}},
 	}})
 	r.process.applySettings(testSettings(2))
-	r.process.reloader.read()
+	r.process.reloader.reload()
 	r.process.sweep(r.process.state.load())
 
 	close(next)
@@ -335,7 +335,7 @@
 		func(s *settings.Settings) { s.Binds.Edge = taken.Addr().String() },
 		func(s *settings.Settings) { s.Binds.Ready = taken.Addr().String() },
 		func(s *settings.Settings) {
-			s.PortRange[0] = taken.Addr().(*net.TCPAddr).Port - feedPort
+			s.PortRange[0] = taken.Addr().(*net.TCPAddr).Port - configStreamPort
 		},
 	} {
 		configured := testSettings(1)
@@ -366,21 +366,21 @@
 	write(settingsFile + "3\n")
 	var applied []float64
 	r := newReloader(path, zap.NewNop(), func(s *settings.Settings) { applied = append(applied, s.Bounds.GraceS) })
-	r.look()
+	r.reloadIfChanged()
 	require.Empty(t, applied, "nothing changed")
 	write(settingsFile + "4.5\n")
-	r.look()
+	r.reloadIfChanged()
 	require.Equal(t, []float64{4.5}, applied)
 	write("broken")
-	r.look()
+	r.reloadIfChanged()
 	require.Equal(t, []float64{4.5}, applied, "a faulty file is ignored")
 	write(settingsFile + "60\n")
-	r.read()
-	r.look()
+	r.reload()
+	r.reloadIfChanged()
 	require.Equal(t, []float64{4.5, 60}, applied)
 	require.NoError(t, os.Remove(path))
-	r.look()
-	r.read()
+	r.reloadIfChanged()
+	r.reload()
 	require.Len(t, applied, 2)
-	newReloader("", zap.NewNop(), nil).read()
+	newReloader("", zap.NewNop(), nil).reload()
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -30,47 +30,47 @@
 )
 
 const (
-	// feedPort is the number, among the machine's ports for own messages, of the port that the agent feeds.
-	feedPort = 2
-	// countersPeriod is the time between two lines with the counters.
-	countersPeriod = time.Minute
-	// housekeepingPeriod is the time between two looks at idle connections and at the settings file.
-	housekeepingPeriod = time.Second
-	// drainPeriod is the time between two looks at how many requests are left while the process ends.
-	drainPeriod = 10 * time.Millisecond
-	// bodyShare is the part of the memory (one in bodyShare) that bodies in flight may take.
-	bodyShare = 8
-	megabyte  = 1 << 20
-	// descriptorsHeld is the number of descriptors that are not for connections.
-	descriptorsHeld = 256
+	// configStreamPort is the number, among the machine's ports for own messages, of the port that the agent feeds.
+	configStreamPort = 2
+	// countersInterval is the time between two lines with the counters.
+	countersInterval = time.Minute
+	// housekeepingInterval is the time between two looks at idle connections and at the settings file.
+	housekeepingInterval = time.Second
+	// drainPollInterval is the time between two looks at how many requests are left while the process ends.
+	drainPollInterval = 10 * time.Millisecond
+	// bodyMemoryFraction is the part of the memory (one in bodyMemoryFraction) that bodies in flight may take.
+	bodyMemoryFraction = 8
+	megabyte           = 1 << 20
+	// reservedDescriptors is the number of descriptors that are not for connections.
+	reservedDescriptors = 256
 	// minConnections is the least number of clients' connections.
 	minConnections = 64
-	// checkTimeout bounds how long a call of the platform or of the agent may take.
-	checkTimeout = 5 * time.Second
+	// headerReadTimeout bounds how long a call of the platform or of the agent may take.
+	headerReadTimeout = 5 * time.Second
 )
 
 // process is a running proxy.
 type process struct {
-	options    Options
-	off        policy.Switches
-	logger     *zap.Logger
-	lifecycle  *lifecycle
-	state      *state
-	dispatcher *dispatcher
-	announcer  *announcer // nil: nothing is announced
-	pool       *upstream.Pool
-	memory     *memoryBound
-	counters   *counters
-	contact    *contact
-	started    time.Time
-	front      *front
-	reloader   *reloader
-	grace      atomic.Int64    // nanoseconds
-	base       context.Context // of all requests
-	abandon    context.CancelFunc
-	beside     []*http.Server // for other callers than clients
-	feedAddr   net.Addr
-	readyAddr  net.Addr
+	options          Options
+	disabled         policy.Switches
+	logger           *zap.Logger
+	lifecycle        *lifecycle
+	state            *state
+	dispatcher       *dispatcher
+	announcer        *announcer // nil: nothing is announced
+	pool             *upstream.Pool
+	memory           *memoryLimit
+	counters         *counters
+	liveness         *agentLiveness
+	started          time.Time
+	listener         *clientListener
+	reloader         *reloader
+	gracePeriod      atomic.Int64    // nanoseconds
+	baseContext      context.Context // of all requests
+	cancelRequests   context.CancelFunc
+	internalServers  []*http.Server // for other callers than clients
+	configStreamAddr net.Addr
+	readyAddr        net.Addr
 }
 
 // Options replace what a proxy takes from its settings. The zero value replaces nothing.
@@ -100,7 +100,7 @@
 		p.stop()
 		return err
 	}
-	logger.Info("proxy started", zap.String("edge", configured.Binds.Edge), zap.Stringer("off", p.off))
+	logger.Info("proxy started", zap.String("edge", configured.Binds.Edge), zap.Stringer("off", p.disabled))
 	p.serve(terminate.Done(), reload)
 	p.drain()
 	p.stop()
@@ -126,19 +126,19 @@
 	}, configured.Hostname)
 	p := &process{
 		options:    options,
-		off:        off,
+		disabled:   off,
 		logger:     logger,
 		state:      newState(),
 		dispatcher: newDispatcher(placer, budget),
 		pool:       upstream.NewPool(upstream.Config{DisableReuse: off.Off(policy.ConnectionReuse)}),
-		memory:     newMemoryBound(int64(configured.Limits.MemoryMB * megabyte / bodyShare)),
+		memory:     newMemoryLimit(int64(configured.Limits.MemoryMB * megabyte / bodyMemoryFraction)),
 		counters:   &counters{},
-		contact:    &contact{logger: logger},
+		liveness:   &agentLiveness{logger: logger},
 		started:    time.Now(),
 	}
-	p.base, p.abandon = context.WithCancel(context.Background())
-	p.lifecycle = &lifecycle{held: p.state.load}
-	p.grace.Store(int64(bounds.Grace()))
+	p.baseContext, p.cancelRequests = context.WithCancel(context.Background())
+	p.lifecycle = &lifecycle{snapshot: p.state.load}
+	p.gracePeriod.Store(int64(bounds.Grace()))
 	path, _ := settings.Path() // without one, nothing is read again
 	p.reloader = newReloader(path, logger, p.applySettings)
 	return p
@@ -146,12 +146,12 @@
 
 // applySettings takes in what may change while the process runs.
 func (p *process) applySettings(changed *settings.Settings) {
-	p.grace.Store(int64(changed.Bounds.Grace()))
+	p.gracePeriod.Store(int64(changed.Bounds.Grace()))
 }
 
 // start opens the three listeners: clients, the platform's checks, and the agent.
 func (p *process) start(configured *settings.Settings) error {
-	base := p.base
+	base := p.baseContext
 	// The proxy needs no probes of its own on clients' connections: idle ones end by time.
 	config := net.ListenConfig{KeepAlive: -1}
 	config.SetMultipathTCP(false)
@@ -160,17 +160,17 @@
 		return errors.Wrap(err, "listen for clients")
 	}
 	p.startAnnouncer(configured)
-	connections := max((configured.Limits.Descriptors-descriptorsHeld)/2, minConnections)
-	p.front = newFront(base, listener, p.requestHandler(), connections, p.counters, p.logger)
-	go p.front.serve()
-	if p.readyAddr, err = p.serveBeside(configured.Binds.Ready, p.lifecycle); err != nil {
+	connections := max((configured.Limits.Descriptors-reservedDescriptors)/2, minConnections)
+	p.listener = newClientListener(base, listener, p.requestHandler(), connections, p.counters, p.logger)
+	go p.listener.serve()
+	if p.readyAddr, err = p.serveInternal(configured.Binds.Ready, p.lifecycle); err != nil {
 		return err
 	}
 	feedAddress := p.options.Feed
 	if feedAddress == "" {
-		feedAddress = configured.LoopbackPort(feedPort)
+		feedAddress = configured.LoopbackPort(configStreamPort)
 	}
-	p.feedAddr, err = p.serveBeside(feedAddress, p.feedHandler(configured))
+	p.configStreamAddr, err = p.serveInternal(feedAddress, p.configStreamHandler(configured))
 	return err
 }
 
@@ -178,7 +178,7 @@
 // as well.
 func (p *process) startAnnouncer(configured *settings.Settings) {
 	ports := configured.PortRange
-	if (p.off.Off(policy.Announcements) && p.off.Off(policy.FailureReports)) || ports[1]-ports[0] < announcePort {
+	if (p.disabled.Off(policy.Announcements) && p.disabled.Off(policy.FailureReports)) || ports[1]-ports[0] < announcePort {
 		return
 	}
 	region := configured.RegionOf(configured.Zone)
@@ -188,8 +188,8 @@
 		return
 	}
 	p.announcer = opened
-	go opened.listen()
-	go opened.send()
+	go opened.receiveLoop()
+	go opened.sendLoop()
 }
 
 func (p *process) requestHandler() *handler {
@@ -201,13 +201,13 @@
 		pool:       p.pool,
 		memory:     p.memory,
 		counters:   p.counters,
-		draw:       rand.Float64,
-		off:        p.off,
+		random:     rand.Float64,
+		disabled:   p.disabled,
 	}
 }
 
-func (p *process) feedHandler(configured *settings.Settings) http.Handler {
-	service := &feed{
+func (p *process) configStreamHandler(configured *settings.Settings) http.Handler {
+	service := &configStream{
 		host:        configured.Hostname,
 		incarnation: rand.Uint64() | 1,
 		edgeAddress: configured.Binds.Edge,
@@ -217,9 +217,9 @@
 		lifecycle:   p.lifecycle,
 		counters:    p.counters,
 		logger:      p.logger,
-		contact:     p.contact,
-		now:         p.now,
-		changed:     p.snapshotChanged,
+		liveness:    p.liveness,
+		clock:       p.now,
+		onSnapshot:  p.snapshotChanged,
 	}
 	path, handler := fieldrelayv1connect.NewProxyFeedHandler(service)
 	mux := http.NewServeMux()
@@ -230,7 +230,7 @@
 // snapshotChanged takes in a new snapshot where limits or servers changed.
 func (p *process) snapshotChanged(held *snapshot, done update) {
 	if done.tableChanged {
-		p.front.setLimits(frontLimitsOf(held.table.RequestLimits()))
+		p.listener.setLimits(connLimitsOf(held.table.RequestLimits()))
 	}
 	if done.listChanged {
 		p.sweep(held)
@@ -248,38 +248,38 @@
 	}
 }
 
-// serveBeside opens a listener for other callers than clients and returns its address.
-func (p *process) serveBeside(address string, handler http.Handler) (net.Addr, error) {
+// serveInternal opens a listener for other callers than clients and returns its address.
+func (p *process) serveInternal(address string, handler http.Handler) (net.Addr, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", address)
 	}
 	server := &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: checkTimeout,
+		ReadHeaderTimeout: headerReadTimeout,
 		ErrorLog:          zap.NewStdLog(zap.NewNop()),
 	}
-	p.beside = append(p.beside, server)
+	p.internalServers = append(p.internalServers, server)
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr(), nil
 }
 
 // serve does the regular work until the process is told to end.
 func (p *process) serve(terminate <-chan struct{}, reload <-chan os.Signal) {
-	housekeeping := time.NewTicker(housekeepingPeriod)
+	housekeeping := time.NewTicker(housekeepingInterval)
 	defer housekeeping.Stop()
-	report := time.NewTicker(countersPeriod)
+	report := time.NewTicker(countersInterval)
 	defer report.Stop()
 	for {
 		select {
 		case <-terminate:
 			return
 		case <-reload:
-			p.reloader.read()
+			p.reloader.reload()
 		case <-housekeeping.C:
-			p.reloader.look()
+			p.reloader.reloadIfChanged()
 			p.sweep(p.state.load())
-			p.contact.look(p.now())
+			p.liveness.checkTimeout(p.now())
 		case <-report.C:
 			p.logger.Info("counters", p.counterFields()...)
 		}
@@ -289,7 +289,7 @@
 func (p *process) counterFields() []zap.Field {
 	fields := p.counters.fields(p.pool.Stats(), p.dispatcher.slack(), p.memory.used.Load())
 	fields = append(fields, placementFields(p.dispatcher.stats())...)
-	return append(fields, zap.Duration("agent-silence", p.contact.age(p.now())))
+	return append(fields, zap.Duration("agent-silence", p.liveness.sinceContact(p.now())))
 }
 
 // now is the steady time since the start.
@@ -299,28 +299,28 @@
 // then refuses new ones, and breaks off what is left when the grace period is nearly over.
 func (p *process) drain() {
 	began := time.Now()
-	plan := planDrain(time.Duration(p.grace.Load()))
-	p.lifecycle.leave(plan.from(began))
-	p.logger.Info("told to end", zap.Duration("refuse-after", plan.refuse), zap.Duration("abandon-after", plan.abandon))
-	time.Sleep(time.Until(began.Add(plan.refuse)))
-	p.front.close()
-	p.lifecycle.enter(phaseRefusing)
+	plan := planDrain(time.Duration(p.gracePeriod.Load()))
+	p.lifecycle.drain(plan.start(began))
+	p.logger.Info("told to end", zap.Duration("refuse-after", plan.reject), zap.Duration("abandon-after", plan.abort))
+	time.Sleep(time.Until(began.Add(plan.reject)))
+	p.listener.close()
+	p.lifecycle.enter(phaseRejecting)
 	idle := func() bool {
-		p.front.closeIdle()
+		p.listener.closeIdle()
 		return p.counters.connections.Load() == 0
 	}
-	if p.waitUntil(began.Add(plan.abandon), idle) {
+	if p.pollUntil(began.Add(plan.abort), idle) {
 		return
 	}
 	p.logger.Warn("requests broken off at the end", zap.Int64("requests", p.counters.active.Load()))
-	p.lifecycle.enter(phaseAbandoned)
-	p.abandon()
-	p.waitUntil(time.Now().Add(exitReserve/2), idle)
+	p.lifecycle.enter(phaseAborting)
+	p.cancelRequests()
+	p.pollUntil(time.Now().Add(exitReserve/2), idle)
 }
 
-// waitUntil looks at a condition until it holds, or until the given time; it tells whether it held.
-func (p *process) waitUntil(end time.Time, holds func() bool) bool {
-	ticker := time.NewTicker(drainPeriod)
+// pollUntil looks at a condition until it holds, or until the given time; it tells whether it held.
+func (p *process) pollUntil(end time.Time, holds func() bool) bool {
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for time.Now().Before(end) {
 		if holds() {
@@ -333,11 +333,11 @@
 
 // stop closes what is still open.
 func (p *process) stop() {
-	p.abandon()
-	if p.front != nil {
-		p.front.close()
+	p.cancelRequests()
+	if p.listener != nil {
+		p.listener.close()
 	}
-	for _, server := range p.beside {
+	for _, server := range p.internalServers {
 		_ = server.Close()
 	}
 	p.pool.Close()
--- a/internal/proxy/pure_test.go
+++ b/internal/proxy/pure_test.go
@@ -37,7 +37,7 @@
 func TestAttemptHead(t *testing.T) {
 	head := attemptHead{
 		method: "POST", target: "/p/x?y=%zz", host: "Host.example:80", attemptID: "id1", server: "i-7",
-		left: 1500*time.Millisecond + 999*time.Microsecond, priority: 3, bodyLength: 4,
+		remaining: 1500*time.Millisecond + 999*time.Microsecond, priority: 3, bodyLength: 4,
 		header: http.Header{
 			"X-Own":              {"1", "2"},
 			"Connection":         {"close, X-Private", "X-Other"},
@@ -95,7 +95,7 @@
 
 func TestCopyAnswerHeader(t *testing.T) {
 	to := http.Header{}
-	copyAnswerHeader(to, http.Header{
+	copyResponseHeader(to, http.Header{
 		headerServerSeal: {"seal"}, "Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=2"},
 		"Content-Length": {"3"}, "Set-Cookie": {"a", "b"}, "Content-Encoding": {"br"},
 	})
@@ -130,9 +130,9 @@
 		if test.value != "" {
 			header.Set(headerDeadline, test.value)
 		}
-		require.Equal(t, test.want, holdFor(header, limited), test.value)
+		require.Equal(t, test.want, timeoutFor(header, limited), test.value)
 	}
-	require.Equal(t, longestDeadline, holdFor(http.Header{}, &route.Route{}))
+	require.Equal(t, longestDeadline, timeoutFor(http.Header{}, &route.Route{}))
 }
 
 func TestRequestsThatReturnAreToldByWhatTheirClientsHaveLeft(t *testing.T) {
@@ -149,11 +149,11 @@
 func TestARequestThatReturnedWaitsLongerForAPlace(t *testing.T) {
 	now := time.Now()
 	x := &exchange{route: &route.Route{Target: time.Second}, arrived: now, deadline: now.Add(4 * time.Second)}
-	require.Equal(t, now.Add(time.Second/waitShare), x.patience())
-	x.place.Returned = true
-	require.Equal(t, now.Add(2*time.Second), x.patience())
+	require.Equal(t, now.Add(time.Second/capacityWaitFraction), x.capacityWaitEnd())
+	x.placement.Returned = true
+	require.Equal(t, now.Add(2*time.Second), x.capacityWaitEnd())
 	x.deadline = now.Add(time.Minute)
-	require.Equal(t, now.Add(longestReturned), x.patience())
+	require.Equal(t, now.Add(maxRetriedWait), x.capacityWaitEnd())
 }
 
 func TestTokenCounts(t *testing.T) {
@@ -166,26 +166,26 @@
 }
 
 func TestFollows(t *testing.T) {
-	require.True(t, follows("9", "10"))
-	require.False(t, follows("10", "9"))
-	require.False(t, follows("10", "10"))
-	require.True(t, follows("a", "b"))
-	require.False(t, follows("a", "a"))
+	require.True(t, isLaterID("9", "10"))
+	require.False(t, isLaterID("10", "9"))
+	require.False(t, isLaterID("10", "10"))
+	require.True(t, isLaterID("a", "b"))
+	require.False(t, isLaterID("a", "a"))
 }
 
 func TestMemoryBound(t *testing.T) {
-	bound := newMemoryBound(10)
-	require.True(t, bound.take(6))
-	require.False(t, bound.take(5))
-	require.True(t, bound.take(4))
-	bound.give(10)
+	bound := newMemoryLimit(10)
+	require.True(t, bound.reserve(6))
+	require.False(t, bound.reserve(5))
+	require.True(t, bound.reserve(4))
+	bound.release(10)
 	require.Zero(t, bound.used.Load())
 }
 
 func TestPlanDrain(t *testing.T) {
-	require.Equal(t, drainPlan{late: 2800 * time.Millisecond, refuse: 3500 * time.Millisecond, abandon: 7500 * time.Millisecond}, planDrain(8*time.Second))
-	require.Equal(t, drainPlan{late: 1500 * time.Millisecond, refuse: 1500 * time.Millisecond, abandon: 3500 * time.Millisecond}, planDrain(4*time.Second))
-	require.Equal(t, drainPlan{late: 300 * time.Millisecond, refuse: 300 * time.Millisecond, abandon: 450 * time.Millisecond}, planDrain(900*time.Millisecond))
+	require.Equal(t, drainPlan{deadlineCheck: 2800 * time.Millisecond, reject: 3500 * time.Millisecond, abort: 7500 * time.Millisecond}, planDrain(8*time.Second))
+	require.Equal(t, drainPlan{deadlineCheck: 1500 * time.Millisecond, reject: 1500 * time.Millisecond, abort: 3500 * time.Millisecond}, planDrain(4*time.Second))
+	require.Equal(t, drainPlan{deadlineCheck: 300 * time.Millisecond, reject: 300 * time.Millisecond, abort: 450 * time.Millisecond}, planDrain(900*time.Millisecond))
 }
 
 // splitEvents runs the scanner over data in pieces of the given sizes.
@@ -252,7 +252,7 @@
 		require.True(t, whole)
 		_, whole = scanner.scan(data[taken:])
 		require.True(t, whole)
-		require.Equal(t, length >= maxIDLine, scanner.unnumbered)
+		require.Equal(t, length >= maxIDLine, scanner.eventWithoutID)
 		require.Equal(t, length >= maxIDLine, scanner.lastID == "1")
 	}
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -21,12 +21,12 @@
 
 func newReloader(path string, logger *zap.Logger, apply func(*settings.Settings)) *reloader {
 	r := &reloader{path: path, logger: logger, apply: apply}
-	r.changed()
+	r.hasChanged()
 	return r
 }
 
 // changed tells whether the file is another one than at the last look.
-func (r *reloader) changed() bool {
+func (r *reloader) hasChanged() bool {
 	if r.path == "" {
 		return false
 	}
@@ -40,18 +40,18 @@
 }
 
 // look reads the file again if it has changed.
-func (r *reloader) look() {
-	if r.changed() {
-		r.read()
+func (r *reloader) reloadIfChanged() {
+	if r.hasChanged() {
+		r.reload()
 	}
 }
 
 // read reads the file again.
-func (r *reloader) read() {
+func (r *reloader) reload() {
 	if r.path == "" {
 		return
 	}
-	r.changed()
+	r.hasChanged()
 	loaded, err := settings.Load(r.path)
 	if err != nil {
 		r.logger.Warn("settings ignored", zap.Error(err))
--- /dev/null
+++ b/internal/proxy/response.go
@@ -0,0 +1,266 @@
+package proxy
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"fieldrelay/internal/placement"
+	"fieldrelay/internal/proxy/upstream"
+	"fieldrelay/internal/route"
+)
+
+const (
+	// maxBufferedResponse is the largest answer that is read whole before its status goes to the client.
+	maxBufferedResponse = 1 << 20
+	// copyBufferBytes is the size of the pieces in which larger answers are passed on.
+	copyBufferBytes = 32 << 10
+)
+
+// attempt is a request at one server from the head of the answer on.
+type attempt struct {
+	*exchange
+	decision       placement.Decision
+	conn           *upstream.Conn
+	response       upstream.Response
+	stopAbort      func() bool // keeps the client's leaving from closing the connection
+	eventForwarded bool        // an event of this server was passed on
+}
+
+// receive passes the answer on, or finds that it can't be.
+func (a *attempt) receive() attemptOutcome {
+	a.applyHeaderHints()
+	f := executionOfResponse(a.response.StatusCode, a.response.Header)
+	if f == executed && a.isStream() {
+		return a.receiveStream()
+	}
+	if a.exchange.stream != nil {
+		return a.failResumption(f)
+	}
+	return a.receiveBuffered(f)
+}
+
+// applyHeaderHints takes in what the head tells about the server.
+func (a *attempt) applyHeaderHints() {
+	if !a.response.IsCloseDelimited() {
+		a.handler.dispatcher.responseReceived(a.decision.ServerID, a.response.Close)
+	}
+	if values := a.response.Header[headerWarmup]; len(values) > 0 {
+		if milliseconds, err := strconv.ParseUint(values[0], 10, 31); err == nil && milliseconds > 0 {
+			a.handler.dispatcher.serverWarmingUp(a.decision.ServerID, time.Duration(milliseconds)*time.Millisecond)
+		}
+	}
+	if values := a.response.Header["Retry-After"]; len(values) > 0 {
+		if seconds, err := strconv.ParseFloat(values[0], 64); err == nil && seconds > 0 && seconds < longestDeadline.Seconds() {
+			a.exchange.retryAfter = time.Duration(seconds * float64(time.Second))
+		}
+	}
+}
+
+func (a *attempt) isStream() bool {
+	return isSuccess(a.response.StatusCode) &&
+		a.route.Kind == route.KindStreaming &&
+		strings.HasPrefix(strings.ToLower(a.response.Header.Get("Content-Type")), "text/event-stream")
+}
+
+// failResumption takes in an answer with which a stream can't be taken up.
+func (a *attempt) failResumption(f executionState) attemptOutcome {
+	if f == executed {
+		f = possiblyExecuted
+	}
+	a.close(f, placementOutcomeOfResponse(a.response, f), false)
+	return a.failedOrCanceled()
+}
+
+// receiveBuffered reads an answer whole before it passes it on, so that one that breaks off can be replaced.
+func (a *attempt) receiveBuffered(f executionState) attemptOutcome {
+	a.handler.dispatcher.started(a.decision.Attempt)
+	a.firstByte = time.Now()
+	buffer, whole, err := a.readBuffered()
+	defer buffer.free()
+	if err != nil {
+		return a.recordBrokenResponse(f, err)
+	}
+	if !f.usable() {
+		a.close(f, placementOutcomeOfResponse(a.response, f), whole)
+		return a.failedOrCanceled()
+	}
+	if !whole {
+		return a.forwardLarge(buffer)
+	}
+	a.close(f, placementOutcomeOfResponse(a.response, f), true)
+	if isServerFailure(a.response.StatusCode) && a.mayRetry() {
+		return a.failedOrCanceled()
+	}
+	return a.forwardBuffered(buffer)
+}
+
+// isServerFailure tells whether another server may do better.
+func isServerFailure(status int) bool { return status >= http.StatusInternalServerError }
+
+// readBuffered reads the body up to the bound on whole answers.
+func (a *attempt) readBuffered() (buffer *chargedBuffer, whole bool, err error) {
+	if a.response.Body == http.NoBody {
+		return nil, true, nil
+	}
+	size := initialBodyBytes
+	if length := a.response.ContentLength; length >= 0 {
+		size = int(min(length, maxBufferedResponse)) + 1
+	}
+	buffer, err = newChargedBuffer(a.handler.memory, size)
+	if err != nil {
+		return nil, false, nil // passed on in pieces
+	}
+	whole, err = buffer.fill(a.response.Body, maxBufferedResponse)
+	if err == errNoMemory {
+		return buffer, false, nil
+	}
+	return buffer, whole, err
+}
+
+// recordBrokenResponse takes in an answer whose body did not come whole. A promise holds all the same.
+func (a *attempt) recordBrokenResponse(f executionState, err error) attemptOutcome {
+	if f == executed {
+		f = possiblyExecuted
+	}
+	outcome := placementOutcomeOfError(a.conn.BodyError(err))
+	a.close(f, outcome, false)
+	return a.failedOrCanceled()
+}
+
+// close ends the attempt at the server. The connection is kept only if the answer was read to its end.
+func (a *attempt) close(f executionState, outcome placement.Outcome, readWhole bool) {
+	a.record(f)
+	a.placement.Excluded = append(a.placement.Excluded, a.decision.ServerID)
+	if a.isCanceled() && !readWhole {
+		outcome = placement.ClientGone
+	}
+	a.finishAttempt(a.decision, outcome)
+	untouched := a.stopAbort()
+	sound := f != possiblyExecuted && a.response.StatusCode != http.StatusMisdirectedRequest
+	if readWhole && untouched && sound {
+		a.handler.pool.Release(a.conn)
+		return
+	}
+	a.handler.pool.Discard(a.conn)
+}
+
+func (a *attempt) failedOrCanceled() attemptOutcome {
+	if a.isCanceled() {
+		return outcomeCanceled
+	}
+	return outcomeFailed
+}
+
+// forwardBuffered hands the client an answer that is held whole.
+func (a *attempt) forwardBuffered(buffer *chargedBuffer) attemptOutcome {
+	var body []byte
+	if buffer != nil {
+		body = buffer.bytes
+	}
+	header := a.client.Header()
+	copyResponseHeader(header, a.response.Header)
+	a.setContentLength(header, len(body))
+	a.sendHeaders()
+	if len(body) > 0 {
+		if _, err := a.client.Write(body); err != nil {
+			return outcomeCanceled
+		}
+	}
+	a.success = isSuccess(a.response.StatusCode)
+	return outcomeDelivered
+}
+
+// sendHeaders passes the status and the head on.
+func (a *attempt) sendHeaders() {
+	a.headersSent = true
+	if a.handler.lifecycle.draining() {
+		setConnectionClose(a.client.Header())
+	}
+	a.client.WriteHeader(a.response.StatusCode)
+}
+
+// setContentLength sets Content-Length: for an answer to HEAD the server's, otherwise that of the body.
+func (a *attempt) setContentLength(header http.Header, length int) {
+	switch {
+	case a.request.Method == http.MethodHead:
+		if told := a.response.Header["Content-Length"]; len(told) > 0 {
+			header["Content-Length"] = told
+		}
+	case a.response.StatusCode == http.StatusNoContent, a.response.StatusCode == http.StatusNotModified:
+	default:
+		header["Content-Length"] = []string{strconv.Itoa(length)}
+	}
+}
+
+// forwardLarge hands the client an answer in pieces, in chunks if its length is not known. If it breaks off, so does
+// the client's.
+func (a *attempt) forwardLarge(begun *chargedBuffer) attemptOutcome {
+	header := a.client.Header()
+	copyResponseHeader(header, a.response.Header)
+	if told := a.response.Header["Content-Length"]; len(told) > 0 && a.response.ContentLength >= 0 {
+		header["Content-Length"] = told
+	}
+	a.sendHeaders()
+	err := a.copyBody(begun)
+	var writeError *clientWriteError
+	switch {
+	case err == nil:
+		a.close(executed, placementOutcomeOfResponse(a.response, executed), true)
+		a.success = isSuccess(a.response.StatusCode)
+		return outcomeDelivered
+	case errors.As(err, &writeError):
+		a.close(executed, placement.ClientGone, false)
+		return outcomeCanceled
+	default:
+		a.close(possiblyExecuted, placementOutcomeOfError(a.conn.BodyError(err)), false)
+		if a.isCanceled() {
+			return outcomeCanceled
+		}
+		return outcomeBroken
+	}
+}
+
+// copyBody passes on what was read of the body and then the rest. Its error is a *clientWriteError if the
+// client no longer takes it, and otherwise that of the server's connection.
+func (a *attempt) copyBody(begun *chargedBuffer) error {
+	if begun != nil {
+		if _, err := a.client.Write(begun.bytes); err != nil {
+			return &clientWriteError{err}
+		}
+	}
+	buffer := make([]byte, copyBufferBytes)
+	for {
+		n, readError := a.response.Body.Read(buffer)
+		if n > 0 {
+			if _, err := a.client.Write(buffer[:n]); err != nil {
+				return &clientWriteError{err}
+			}
+		}
+		switch readError {
+		case nil:
+		case io.EOF:
+			return nil
+		default:
+			return readError
+		}
+	}
+}
+
+// placementOutcomeOfResponse tells placement what an answer says about the server.
+func placementOutcomeOfResponse(response upstream.Response, f executionState) placement.Outcome {
+	switch {
+	case response.StatusCode == http.StatusMisdirectedRequest:
+		return placement.Misdirected
+	case f == notExecuted:
+		return placement.Refused
+	case f == possiblyExecuted, isServerFailure(response.StatusCode):
+		return placement.Failed
+	default:
+		return placement.Done
+	}
+}
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -57,7 +57,7 @@
 			require.Equal(t, "ok", body)
 			require.Len(t, first.got(), 1)
 			require.Len(t, second.got(), 1)
-			require.EqualValues(t, 1, r.handler.counters.repeats.Load())
+			require.EqualValues(t, 1, r.handler.counters.retries.Load())
 		})
 	}
 }
@@ -139,7 +139,7 @@
 	response, body := r.get("/m/x")
 	require.Equal(t, 200, response.StatusCode)
 	require.Equal(t, "ok", body)
-	require.Zero(t, r.handler.counters.repeats.Load())
+	require.Zero(t, r.handler.counters.retries.Load())
 	require.Equal(t, []placement.Outcome{placement.Reset, placement.Done}, r.placer.seenOutcomes())
 
 	r = newRig(t, dead)
@@ -185,7 +185,7 @@
 	response, _ := r.get("/i/x")
 	require.Equal(t, 502, response.StatusCode)
 	require.Empty(t, second.got())
-	require.EqualValues(t, 1, r.handler.counters.noBudget.Load())
+	require.EqualValues(t, 1, r.handler.counters.retryBudgetExhausted.Load())
 }
 
 func TestSurplusAnswerNeverReachesAClient(t *testing.T) {
--- a/internal/proxy/hold.go
+++ b/internal/proxy/startupwait.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// holdShare is the part (one in holdShare) of the time a client has left for which a proxy that has just
+	// startupWaitFraction is the part (one in startupWaitFraction) of the time a client has left for which a proxy that has just
 	// started keeps its request. The rest is enough for another try elsewhere.
-	holdShare = 2
-	// longestHold bounds that time.
-	longestHold = 4 * time.Second
+	startupWaitFraction = 2
+	// maxStartupWait bounds that time.
+	maxStartupWait = 4 * time.Second
 )
 
 // usable tells whether requests can be passed on by a snapshot.
@@ -23,45 +23,45 @@
 // its client told.
 func (s *snapshot) deadlineOf(request *http.Request, target string, arrived time.Time) time.Time {
 	if found, ok := s.table.Lookup(request.Host, pathOf(target)); ok {
-		return arrived.Add(holdFor(request.Header, found))
+		return arrived.Add(timeoutFor(request.Header, found))
 	}
-	return arrived.Add(deadlineTold(request.Header))
+	return arrived.Add(clientTimeout(request.Header))
 }
 
-// holdUntilUsable keeps a request that came before the proxy has what it serves by: after a loss of power or a
+// waitUntilUsable keeps a request that came before the proxy has what it serves by: after a loss of power or a
 // kill, clients come as soon as the port is open, and most have no other try left. Its body is read first, so
 // that the client sees it taken. The snapshot it returns may still be unusable.
-func (h *handler) holdUntilUsable(control *http.ResponseController, request *http.Request, target string, arrived time.Time) (*snapshot, *chargedBuffer, error) {
+func (h *handler) waitUntilUsable(control *http.ResponseController, request *http.Request, target string, arrived time.Time) (*snapshot, *chargedBuffer, error) {
 	held := h.state.load()
-	body, err := h.readEarlyBody(control, request, held, held.deadlineOf(request, target, arrived))
+	body, err := h.readBodyBeforeStart(control, request, held, held.deadlineOf(request, target, arrived))
 	if err != nil {
 		return held, nil, err
 	}
-	h.counters.held.Add(1)
+	h.counters.startupWaits.Add(1)
 	for _, enough := range []func(*snapshot) bool{(*snapshot).configured, (*snapshot).usable} {
 		left := held.deadlineOf(request, target, arrived).Sub(arrived)
-		end := arrived.Add(min(left/holdShare, longestHold))
-		held = h.state.await(request.Context(), end, enough)
+		end := arrived.Add(min(left/startupWaitFraction, maxStartupWait))
+		held = h.state.waitFor(request.Context(), end, enough)
 	}
 	return held, body, nil
 }
 
-// readEarlyBody reads a body within the bounds in force. A proxy that knows no configuration refuses no body as too
+// readBodyBeforeStart reads a body within the bounds in force. A proxy that knows no configuration refuses no body as too
 // large for good: the configuration may allow it.
-func (h *handler) readEarlyBody(control *http.ResponseController, request *http.Request, held *snapshot, deadline time.Time) (*chargedBuffer, error) {
+func (h *handler) readBodyBeforeStart(control *http.ResponseController, request *http.Request, held *snapshot, deadline time.Time) (*chargedBuffer, error) {
 	body, err := h.readBody(control, request, held.table.RequestLimits().MaxBodyBytes, deadline)
 	if errors.Is(err, errBodyTooLarge) && !held.configured() {
-		err = errNoBounds
+		err = errLimitsUnknown
 	}
 	return body, err
 }
 
 // await returns the snapshot in force as soon as a condition holds for it, and at the given end in any case.
-func (s *state) await(ctx context.Context, end time.Time, holds func(*snapshot) bool) *snapshot {
+func (s *state) waitFor(ctx context.Context, end time.Time, holds func(*snapshot) bool) *snapshot {
 	timer := time.NewTimer(time.Until(end))
 	defer timer.Stop()
 	for {
-		news := s.news()
+		news := s.nextSnapshot()
 		held := s.load()
 		if holds(held) {
 			return held
@@ -77,16 +77,16 @@
 }
 
 // news gives a channel that is closed when the next snapshot has been taken in everywhere.
-func (s *state) news() <-chan struct{} {
+func (s *state) nextSnapshot() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.announced
+	return s.changed
 }
 
 // announce wakes those who wait for news.
-func (s *state) announce() {
+func (s *state) notifyWaiters() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.announced)
-	s.announced = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
--- a/internal/proxy/hold_test.go
+++ b/internal/proxy/startupwait_test.go
@@ -14,7 +14,7 @@
 	r := startProcess(t, 1)
 	early := r.dial()
 	early.ask("POST", "/m/x", "", "body")
-	eventually(t, func() bool { return r.process.counters.held.Load() == 1 }, "the request is held")
+	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request is held")
 
 	r.apply(&pb.ApplyRequest{Changes: []*pb.Change{rigChange()}})
 	require.Empty(t, server.got(), "without a list of servers it goes on waiting")
@@ -34,7 +34,7 @@
 	early.ask("GET", "/m/x", headerDeadline+": 100\r\n", "")
 	response, _ := early.answer("GET")
 	require.Equal(t, 503, response.StatusCode)
-	require.GreaterOrEqual(t, time.Since(began), told/holdShare)
+	require.GreaterOrEqual(t, time.Since(began), told/startupWaitFraction)
 	require.False(t, response.Close)
 	require.Zero(t, r.process.memory.used.Load())
 }
@@ -44,7 +44,7 @@
 	r := startProcess(t, 1)
 	early := r.dial()
 	early.ask("POST", "/none/x", "", "body")
-	eventually(t, func() bool { return r.process.counters.held.Load() == 1 }, "the request is held")
+	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request is held")
 	r.fill(server)
 	response, _ := early.answer("POST")
 	require.Equal(t, 404, response.StatusCode)
@@ -55,7 +55,7 @@
 	r := startProcess(t, 1)
 	early := r.dial()
 	early.ask("GET", "/m/x", "", "")
-	eventually(t, func() bool { return r.process.counters.held.Load() == 1 }, "the request is held")
+	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request is held")
 	require.NoError(t, early.conn.Close())
 	eventually(t, func() bool { return r.process.counters.active.Load() == 0 }, "it is dropped")
 }
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -31,20 +31,20 @@
 type update struct {
 	tableChanged bool
 	listChanged  bool
-	leftOut      []*route.ItemError // items of which nothing could be used
-	inPart       []*route.ItemError // items of which some members could not be used
-	older        int                // states and changes no newer than what is held, which were left
+	rejected     []*route.ItemError // items of which nothing could be used
+	partial      []*route.ItemError // items of which some members could not be used
+	stale        int                // states and changes no newer than what is held, which were left
 	gap          bool               // changes came that do not follow on what is held, and were left
-	repairs      int                // whole states that were taken
-	fellBack     bool               // the new snapshot is older than the one before: this must never be
+	fullStates   int                // whole states that were taken
+	regressed    bool               // the new snapshot is older than the one before: this must never be
 }
 
-// takeTable puts a new table into a snapshot.
-func (u *update) takeTable(next *snapshot, built route.Built) {
+// setTable puts a new table into a snapshot.
+func (u *update) setTable(next *snapshot, built route.Built) {
 	next.table = built.Table
 	u.tableChanged = true
-	u.leftOut = append(u.leftOut, built.LeftOut...)
-	u.inPart = append(u.inPart, built.PartiallyApplied...)
+	u.rejected = append(u.rejected, built.LeftOut...)
+	u.partial = append(u.partial, built.PartiallyApplied...)
 }
 
 // state holds the snapshot in force. Readers load it without waiting; writers come one at a time.
@@ -54,12 +54,12 @@
 	// gap is set while changes came that do not follow on what is held: the whole state is wanted.
 	gap bool
 	// announced is closed, and replaced, when a new snapshot has been taken in everywhere.
-	announced chan struct{}
-	used      usedSequence
+	changed      chan struct{}
+	usedSequence usedSequence
 }
 
 func newState() *state {
-	s := &state{announced: make(chan struct{})}
+	s := &state{changed: make(chan struct{})}
 	s.current.Store(&snapshot{table: route.Empty()})
 	return s
 }
@@ -81,7 +81,7 @@
 	if request.GetConfirmed() && !s.gap {
 		next.confirmed = true
 	}
-	done.fellBack = fellBack(before, &next)
+	done.regressed = isRegression(before, &next)
 	s.current.Store(&next)
 	return &next, done
 }
@@ -92,38 +92,38 @@
 		return
 	}
 	if repair.GetSequence() <= next.sequence {
-		done.older++
+		done.stale++
 		return
 	}
 	var items []*pb.Item
 	for _, part := range repair.GetRanges() {
 		items = append(items, part.GetItems()...)
 	}
-	done.takeTable(next, route.Empty().Rebuild(items, nil, false))
+	done.setTable(next, route.Empty().Rebuild(items, nil, false))
 	next.sequence = repair.GetSequence()
 	next.generation = repair.GetGeneration()
-	done.repairs++
+	done.fullStates++
 	s.gap = false
 }
 
 func (s *state) applyChange(next *snapshot, change *pb.Change, done *update) {
 	switch {
 	case change.GetSequence() <= next.sequence:
-		done.older++
+		done.stale++
 		return
 	case change.GetSequence() > next.sequence+1:
 		s.gap = true
 		done.gap = true
 		return
 	}
-	done.takeTable(next, next.table.Rebuild(change.GetUpserts(), change.GetRemovals(), change.GetReplacesAll()))
+	done.setTable(next, next.table.Rebuild(change.GetUpserts(), change.GetRemovals(), change.GetReplacesAll()))
 	next.sequence = change.GetSequence()
 	next.generation = change.GetGeneration()
 	s.gap = false
 }
 
 func applyList(next *snapshot, list *pb.ServerList, done *update) {
-	if list == nil || (next.list != nil && compareVersions(list.GetVersion(), next.list) <= 0) {
+	if list == nil || (next.list != nil && compareListVersions(list.GetVersion(), next.list) <= 0) {
 		return
 	}
 	servers := make(map[upstream.Server]struct{}, len(list.GetServers()))
@@ -138,15 +138,15 @@
 	done.listChanged = true
 }
 
-// wantsWhole tells whether the agent should send the whole state rather than changes.
-func (s *state) wantsWhole() bool {
+// needsFullState tells whether the agent should send the whole state rather than changes.
+func (s *state) needsFullState() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.gap || s.current.Load().sequence == 0
 }
 
-// compareVersions orders server lists: by epoch, then holder, then revision.
-func compareVersions(a, b *pb.ListVersion) int {
+// compareListVersions orders server lists: by epoch, then holder, then revision.
+func compareListVersions(a, b *pb.ListVersion) int {
 	return cmp.Or(
 		cmp.Compare(a.GetEpoch(), b.GetEpoch()),
 		cmp.Compare(a.GetHolder(), b.GetHolder()),
--- a/internal/proxy/state_test.go
+++ b/internal/proxy/state_test.go
@@ -34,16 +34,16 @@
 
 func TestStateFollowsChangesInSequence(t *testing.T) {
 	s := newState()
-	require.True(t, s.wantsWhole())
+	require.True(t, s.needsFullState())
 	require.False(t, s.load().configured())
 
 	held, done := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
 	require.True(t, done.tableChanged)
-	require.Empty(t, done.leftOut)
-	require.Empty(t, done.inPart)
+	require.Empty(t, done.rejected)
+	require.Empty(t, done.partial)
 	require.EqualValues(t, 7, held.generation)
 	require.Equal(t, 1, held.table.Routes())
-	require.False(t, s.wantsWhole())
+	require.False(t, s.needsFullState())
 
 	_, done = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
 	require.False(t, done.tableChanged, "a change that was taken is ignored")
@@ -61,18 +61,18 @@
 	require.False(t, done.tableChanged)
 	require.EqualValues(t, 1, held.sequence)
 	require.False(t, held.confirmed, "what was confirmed is not held")
-	require.True(t, s.wantsWhole())
+	require.True(t, s.needsFullState())
 
 	held, _ = s.apply(&pb.ApplyRequest{Repair: &pb.Repair{Sequence: 3, Generation: 9, Ranges: []*pb.Range{{Index: 1}}}})
 	require.EqualValues(t, 1, held.sequence, "a part of a state is not enough")
-	require.True(t, s.wantsWhole())
+	require.True(t, s.needsFullState())
 
 	held, done = s.apply(&pb.ApplyRequest{Repair: wholeRepair(3, 9, serviceItem(3)), Confirmed: true})
 	require.True(t, done.tableChanged)
 	require.EqualValues(t, 3, held.sequence)
 	require.Zero(t, held.table.Routes())
 	require.True(t, held.confirmed)
-	require.False(t, s.wantsWhole())
+	require.False(t, s.needsFullState())
 }
 
 func TestStateNeverFallsBack(t *testing.T) {
@@ -120,7 +120,7 @@
 
 func TestReadiness(t *testing.T) {
 	s := newState()
-	life := &lifecycle{held: s.load}
+	life := &lifecycle{snapshot: s.load}
 	require.False(t, life.ready(s.load()))
 	s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
 	require.False(t, life.ready(s.load()))
@@ -128,7 +128,7 @@
 	require.False(t, life.ready(s.load()))
 	s.apply(&pb.ApplyRequest{Confirmed: true})
 	require.True(t, life.ready(s.load()))
-	life.enter(phaseLeaving)
+	life.enter(phaseDraining)
 	require.False(t, life.ready(s.load()))
 	require.True(t, life.draining())
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// maxEvent is the largest event that is passed on.
-	maxEvent = 256 << 10
+	// maxEventBytes is the largest event that is passed on.
+	maxEventBytes = 256 << 10
 )
 
 var (
 	errEventTooLarge = errors.New("event is too large")
-	errNotContinued  = errors.New("the stream was not taken up after the last event")
+	errNotResumed    = errors.New("the stream was not taken up after the last event")
 )
 
 // clientStream is the answer to one client that is made of events, from one server or, where the stream may
 // be resumed, from several in turn.
 type clientStream struct {
-	writer     http.ResponseWriter
-	flusher    http.Flusher
-	scanner    *eventScanner
-	mayResume  bool // the route allows it
-	anyPassed  bool // an event was passed on
-	continuing bool // the next event must follow on the last one
+	writer    http.ResponseWriter
+	flusher   http.Flusher
+	scanner   *eventScanner
+	resumable bool // the route allows it
+	eventSent bool // an event was passed on
+	resuming  bool // the next event must follow on the last one
 }
 
 // resumable tells whether another server can go on where the stream was cut: after the event that was passed on
 // last, which the id of an earlier one would bring again.
-func (s *clientStream) resumable() bool {
-	return s.mayResume && (!s.anyPassed || (s.scanner.lastID != "" && !s.scanner.unnumbered))
+func (s *clientStream) canResume() bool {
+	return s.resumable && (!s.eventSent || (s.scanner.lastID != "" && !s.scanner.eventWithoutID))
 }
 
 // lastID is the id of the last event that was passed on, empty if there was none.
@@ -45,29 +45,29 @@
 	last := s.scanner.lastID
 	s.scanner = newEventScanner()
 	s.scanner.lastID = last
-	s.continuing = s.anyPassed
+	s.resuming = s.eventSent
 }
 
 // receiveStream passes the events of one server on.
-func (a *attempt) receiveStream() verdict {
+func (a *attempt) receiveStream() attemptOutcome {
 	if a.exchange.stream == nil {
 		a.beginStream()
 	} else {
 		a.exchange.stream.restart()
 	}
-	err := a.passEvents(a.exchange.stream)
+	err := a.forwardEvents(a.exchange.stream)
 	var writeError *clientWriteError
 	switch {
 	case err == nil:
-		a.close(fateRan, placement.Done, true)
+		a.close(executed, placement.Done, true)
 		a.success = true
-		return verdictDelivered
+		return outcomeDelivered
 	case errors.As(err, &writeError):
-		a.close(fateRan, placement.ClientGone, false)
-		return verdictGone
+		a.close(executed, placement.ClientGone, false)
+		return outcomeCanceled
 	default:
-		a.close(fateRan, outcomeOfError(a.conn.BodyError(err)), false)
-		return a.failedUnlessGone()
+		a.close(executed, placementOutcomeOfError(a.conn.BodyError(err)), false)
+		return a.failedOrCanceled()
 	}
 }
 
@@ -79,14 +79,14 @@
 		writer:    a.client,
 		flusher:   flusher,
 		scanner:   newEventScanner(),
-		mayResume: a.route.Resumable,
+		resumable: a.route.Resumable,
 	}
 	header := a.client.Header()
-	copyAnswerHeader(header, a.response.Header)
-	if told := a.response.Header["Content-Length"]; len(told) > 0 && !stream.mayResume {
+	copyResponseHeader(header, a.response.Header)
+	if told := a.response.Header["Content-Length"]; len(told) > 0 && !stream.resumable {
 		header["Content-Length"] = told
 	}
-	a.beginAnswer()
+	a.sendHeaders()
 	if !a.conn.HasBuffered() {
 		flusher.Flush()
 	}
@@ -100,21 +100,21 @@
 
 func (e *clientWriteError) Unwrap() error { return e.err }
 
-// passEvents passes events on as they come, each batch that came together by one write. It returns nil at
+// forwardEvents passes events on as they come, each batch that came together by one write. It returns nil at
 // the proper end of the stream.
-func (a *attempt) passEvents(stream *clientStream) error {
-	pooled := buffers.Get().(*[]byte)
-	defer buffers.Put(pooled)
+func (a *attempt) forwardEvents(stream *clientStream) error {
+	pooled := bufferPool.Get().(*[]byte)
+	defer bufferPool.Put(pooled)
 	buffer := (*pooled)[:cap(*pooled)]
 	filled := 0
 	for {
 		n, readError := a.response.Body.Read(buffer[filled:])
-		whole, err := stream.take(buffer[filled : filled+n])
+		whole, err := stream.scan(buffer[filled : filled+n])
 		if err != nil {
 			return err
 		}
 		if whole > 0 {
-			if err := a.passBatch(stream, buffer[:filled+whole]); err != nil {
+			if err := a.forwardBatch(stream, buffer[:filled+whole]); err != nil {
 				return err
 			}
 			copy(buffer, buffer[filled+whole:filled+n])
@@ -124,11 +124,11 @@
 		}
 		switch {
 		case readError == io.EOF:
-			return a.passRest(stream, buffer[:filled])
+			return a.forwardTail(stream, buffer[:filled])
 		case readError != nil:
 			return readError
 		case filled == len(buffer):
-			if len(buffer) >= maxEvent {
+			if len(buffer) >= maxEventBytes {
 				return errEventTooLarge
 			}
 			buffer = append(buffer, make([]byte, len(buffer))...)
@@ -137,7 +137,7 @@
 }
 
 // take scans bytes that came and returns how many of them end with a whole event, 0 if none ended.
-func (s *clientStream) take(data []byte) (whole int, err error) {
+func (s *clientStream) scan(data []byte) (whole int, err error) {
 	for position := 0; position < len(data); {
 		before := s.scanner.lastID
 		taken, ended := s.scanner.scan(data[position:])
@@ -145,40 +145,40 @@
 		if !ended {
 			break
 		}
-		if s.continuing && !follows(before, s.scanner.lastID) {
+		if s.resuming && !isLaterID(before, s.scanner.lastID) {
 			s.scanner.lastID = before
-			return 0, errNotContinued
+			return 0, errNotResumed
 		}
-		s.continuing = false
+		s.resuming = false
 		whole = position
 	}
 	return whole, nil
 }
 
-func (a *attempt) passBatch(stream *clientStream, batch []byte) error {
-	if a.firstAnswer.IsZero() {
-		a.firstAnswer = time.Now()
+func (a *attempt) forwardBatch(stream *clientStream, batch []byte) error {
+	if a.firstByte.IsZero() {
+		a.firstByte = time.Now()
 	}
 	if _, err := stream.writer.Write(batch); err != nil {
 		return &clientWriteError{err}
 	}
 	stream.flusher.Flush()
-	if !a.spoke {
+	if !a.eventForwarded {
 		a.handler.dispatcher.started(a.decision.Attempt)
 	}
-	a.spoke = true
-	stream.anyPassed = true
+	a.eventForwarded = true
+	stream.eventSent = true
 	return nil
 }
 
-// passRest passes on what follows the last event at the proper end of a stream. A stream that ends with its
+// forwardTail passes on what follows the last event at the proper end of a stream. A stream that ends with its
 // connection has no proper end within an event: its server broke off.
-func (a *attempt) passRest(stream *clientStream, rest []byte) error {
+func (a *attempt) forwardTail(stream *clientStream, rest []byte) error {
 	if len(rest) == 0 {
 		return nil
 	}
 	if a.response.IsCloseDelimited() {
 		return io.ErrUnexpectedEOF
 	}
-	return a.passBatch(stream, rest)
+	return a.forwardBatch(stream, rest)
 }
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -269,7 +269,7 @@
 	server := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
 		streamHead(conn, request, "x")
 		chunk(conn, event(1))
-		chunk(conn, "data: "+repeated("x", maxEvent+1))
+		chunk(conn, "data: "+repeated("x", maxEventBytes+1))
 		return true
 	})
 	require.Equal(t, event(1), cutStream(t, newRig(t, server), "/s/x"))
--- a/internal/proxy/rig_test.go
+++ b/internal/proxy/testproxy_test.go
@@ -280,18 +280,18 @@
 		state:      newState(),
 		dispatcher: newDispatcher(placer, budget),
 		pool:       upstream.NewPool(upstream.Config{}),
-		memory:     newMemoryBound(16 << 20),
+		memory:     newMemoryLimit(16 << 20),
 		counters:   &counters{},
-		draw:       func() float64 { return 0.5 },
+		random:     func() float64 { return 0.5 },
 	}
-	h.lifecycle = &lifecycle{held: h.state.load}
+	h.lifecycle = &lifecycle{snapshot: h.state.load}
 	_, done := h.state.apply(&pb.ApplyRequest{Changes: []*pb.Change{rigChange()}, List: &pb.ServerList{}, Confirmed: true})
-	require.Empty(t, done.leftOut)
-	require.Empty(t, done.inPart)
+	require.Empty(t, done.rejected)
+	require.Empty(t, done.partial)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	base, abandon := context.WithCancel(context.Background())
-	front := newFront(base, listener, between(h), 100, h.counters, zap.NewNop())
+	front := newClientListener(base, listener, between(h), 100, h.counters, zap.NewNop())
 	go front.serve()
 	t.Cleanup(func() {
 		front.close()
--- a/internal/proxy/books_test.go
+++ b/internal/proxy/trialrecord_test.go
@@ -143,7 +143,7 @@
 		}
 		seen[server] = true
 	}
-	if isPromise(got.status) && len(ran) > 0 {
+	if isRejectionStatus(got.status) && len(ran) > 0 {
 		fail("answered %d but ran at %v", got.status, ran)
 	}
 	switch {
--- a/internal/proxy/unsized_test.go
+++ b/internal/proxy/unsized_test.go
@@ -18,7 +18,7 @@
 
 // An answer without a length that its server ends by closing is passed on whole.
 func TestAnswerWithoutALengthIsPassedOn(t *testing.T) {
-	for _, size := range []int{0, 2, maxWholeAnswer, maxWholeAnswer + 1, 3 * maxWholeAnswer} {
+	for _, size := range []int{0, 2, maxBufferedResponse, maxBufferedResponse + 1, 3 * maxBufferedResponse} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			whole := repeated("x", size)
 			r := newRig(t, newStandIn(t, "i-1", raw(unsizedHead+whole)))
@@ -38,7 +38,7 @@
 
 // What is not read whole is passed on in chunks, whose end the client misses when the server's connection is reset.
 func TestAnswerWithoutALengthThatIsResetIsNotWhole(t *testing.T) {
-	large := repeated("x", 2*maxWholeAnswer)
+	large := repeated("x", 2*maxBufferedResponse)
 	second := newStandIn(t, "i-2", good("ok"))
 	r := newRig(t, newStandIn(t, "i-1", rawReset(unsizedHead+large)), second)
 	c := r.dial()
@@ -59,7 +59,7 @@
 	for _, target := range []string{"/m/x", "/i/x"} {
 		begun := make(chan struct{})
 		first := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
-			raw(unsizedHead+repeated("x", 2*maxWholeAnswer))(conn, request)
+			raw(unsizedHead+repeated("x", 2*maxBufferedResponse))(conn, request)
 			<-begun
 			return resets(conn, request)
 		})
