--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -25,11 +25,11 @@
 	}
 	const soon = headerDeadline + ": 40\r\n"
 	requests := map[string]func(c *client){
-		"plain":      func(c *client) { c.ask("GET", "/m/x", soon, "") },
-		"body":       func(c *client) { c.ask("POST", "/m/x", soon, "body") },
-		"large head": func(c *client) { c.ask("GET", "/m/x", soon+"X-Long: "+repeated("x", 30_000)+"\r\n", "") },
+		"plain":      func(c *client) { c.send("GET", "/m/x", soon, "") },
+		"body":       func(c *client) { c.send("POST", "/m/x", soon, "body") },
+		"large head": func(c *client) { c.send("GET", "/m/x", soon+"X-Long: "+repeated("x", 30_000)+"\r\n", "") },
 		"large body": func(c *client) {
-			c.ask("POST", "/m/x", soon+fmt.Sprintf("Content-Length: %d\r\n", defaultMaxBody+1), "")
+			c.send("POST", "/m/x", soon+fmt.Sprintf("Content-Length: %d\r\n", defaultMaxBody+1), "")
 		},
 	}
 	for name, state := range states {
@@ -39,7 +39,7 @@
 			for kind, send := range requests {
 				c := r.dial()
 				send(c)
-				response, _ := c.answer("POST")
+				response, _ := c.receive("POST")
 				require.Equal(t, http.StatusServiceUnavailable, response.StatusCode, kind)
 				require.NotEmpty(t, response.Header.Get("Retry-After"), kind)
 				require.Equal(t, kind == "large body", response.Close, kind)
@@ -67,12 +67,12 @@
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			server := newStandIn(t, "i-1", good("ok"))
-			r := newRig(t, server)
+			server := newFakeServer(t, "i-1", ok("ok"))
+			r := newTestProxy(t, server)
 			r.handler.lifecycle.drain(one.times)
 			c := r.dial()
-			c.ask("POST", "/m/x", one.headers, "body")
-			response, body := c.answer("POST")
+			c.send("POST", "/m/x", one.headers, "body")
+			response, body := c.receive("POST")
 			require.True(t, response.Close)
 			if one.taken {
 				require.Equal(t, http.StatusOK, response.StatusCode)
@@ -81,7 +81,7 @@
 			}
 			require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 			require.NotEmpty(t, response.Header.Get("Retry-After"))
-			require.Empty(t, server.got(), "it has not run and will not")
+			require.Empty(t, server.requests(), "it has not run and will not")
 			eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "its body is freed")
 		})
 	}
@@ -114,9 +114,9 @@
 // TestConnectionsWithNarrowerLimitsEnd: a connection that was accepted before the limits were widened is left by its
 // client, which may go by the new ones; one with wider limits stays.
 func TestConnectionsWithNarrowerLimitsEnd(t *testing.T) {
-	server := newStandIn(t, "i-1", good("ok"))
+	server := newFakeServer(t, "i-1", ok("ok"))
 	r := startProcess(t, 1)
-	r.fill(server)
+	r.configure(server)
 	sequence := uint64(1)
 	limit := func(setting string) {
 		sequence++
@@ -125,8 +125,8 @@
 		}}}}})
 	}
 	asks := func(c *client) *http.Response {
-		c.ask("GET", "/m/x", "", "")
-		response, body := c.answer("GET")
+		c.send("GET", "/m/x", "", "")
+		response, body := c.receive("GET")
 		require.Equal(t, "ok", body)
 		return response
 	}
@@ -145,8 +145,8 @@
 
 // TestWhatDescribesARequestReachesItsServer: no option of a connection takes the protocol's own headers away.
 func TestWhatDescribesARequestReachesItsServer(t *testing.T) {
-	server := newStandIn(t, "i-1", text(200, seal+"Connection: "+headerServerSeal+"\r\nVersions: 4\r\n", "ok"))
-	r := newRig(t, server)
+	server := newFakeServer(t, "i-1", text(200, seal+"Connection: "+headerServerSeal+"\r\nVersions: 4\r\n", "ok"))
+	r := newTestProxy(t, server)
 	described := http.Header{
 		headerModel:        {"m, with \"all\" of it; q=1"},
 		headerTokenCount:   {"1460,80"},
@@ -160,26 +160,26 @@
 	headers.WriteString("Connection: keep-alive, " + headerModel + ", x-fieldrelay-token-count\r\n")
 	headers.WriteString("Connection: " + headerPromptPrefix + "\r\n")
 	c := r.dial()
-	c.ask("GET", "/m/x", headers.String(), "")
-	response, _ := c.answer("GET")
+	c.send("GET", "/m/x", headers.String(), "")
+	response, _ := c.receive("GET")
 	require.Equal(t, "seal", response.Header.Get(headerServerSeal))
 	require.Equal(t, "4", response.Header.Get("Versions"))
 	for name, values := range described {
-		require.Equal(t, values, server.got()[0].header[name], name)
+		require.Equal(t, values, server.requests()[0].header[name], name)
 	}
 }
 
 // TestOwnAnswersBearNoSeal: where a server's answer can't be passed on, the proxy's own carries nothing of it.
 func TestOwnAnswersBearNoSeal(t *testing.T) {
 	sealed := map[string]reply{
-		"a promise":    text(503, declines+seal+"X-Server: 1\r\n", "full"),
+		"a promise":    text(503, notExecutedHeader+seal+"X-Server: 1\r\n", "full"),
 		"misdirected":  text(421, seal+"X-Server: 1\r\n", ""),
 		"a cut answer": raw(answerHead + "X-Server: 1\r\nContent-Length: 9\r\n\r\nno"),
 		"429":          text(429, seal+"X-Server: 1\r\n", ""),
 	}
 	for name, answer := range sealed {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, newStandIn(t, "i-1", answer))
+			r := newTestProxy(t, newFakeServer(t, "i-1", answer))
 			for _, target := range []string{"/m/x", "/i/x", "/s/x", "/r/x"} {
 				response, _ := r.get(target)
 				require.Contains(t, []int{502, 503}, response.StatusCode)
--- a/internal/proxy/announcements.go
+++ b/internal/proxy/announcements.go
@@ -91,12 +91,12 @@
 }
 
 // tell has an announcement sent to the other proxies of the region. It never waits.
-func (a *announcer) announce(announced placement.Announcement) {
-	if a == nil || announced.Tokens <= 0 {
+func (a *announcer) announce(announcement placement.Announcement) {
+	if a == nil || announcement.Tokens <= 0 {
 		return
 	}
 	a.enqueue(&pb.ProxyNotice{Notice: &pb.ProxyNotice_LongRead{LongRead: &pb.LongRead{
-		Server: announced.Server, Prompt: announced.Prompt, Tokens: uint32(announced.Tokens),
+		Server: announcement.Server, Prompt: announcement.Prompt, Tokens: uint32(announcement.Tokens),
 	}}})
 }
 
--- a/internal/proxy/announcements_test.go
+++ b/internal/proxy/announcements_test.go
@@ -13,22 +13,22 @@
 )
 
 // ears is a listener that keeps what it hears.
-type ears struct {
-	told     chan placement.Announcement
-	failures chan [2]string // server and zone
+type recordingHandler struct {
+	announcements chan placement.Announcement
+	failures      chan [2]string // server and zone
 }
 
-func newEars() ears {
-	return ears{told: make(chan placement.Announcement, 16), failures: make(chan [2]string, 16)}
+func newRecordingHandler() recordingHandler {
+	return recordingHandler{announcements: make(chan placement.Announcement, 16), failures: make(chan [2]string, 16)}
 }
 
-func (e ears) announcementReceived(told placement.Announcement) { e.told <- told }
-func (e ears) failureReported(server, zone string)   { e.failures <- [2]string{server, zone} }
+func (e recordingHandler) announcementReceived(told placement.Announcement) { e.announcements <- told }
+func (e recordingHandler) failureReported(server, zone string)              { e.failures <- [2]string{server, zone} }
 
 // announcerAt opens an announcer on an address of the loopback range, whose port all share, and gives what it hears.
-func announcerAt(t *testing.T, address netip.AddrPort) (*announcer, ears) {
+func announcerAt(t *testing.T, address netip.AddrPort) (*announcer, recordingHandler) {
 	t.Helper()
-	heard := newEars()
+	heard := newRecordingHandler()
 	opened, err := newAnnouncer(address.String(), "west", "zone-a", heard)
 	require.NoError(t, err)
 	t.Cleanup(opened.close)
@@ -46,7 +46,7 @@
 	return socket.LocalAddr().(*net.UDPAddr).AddrPort().Port()
 }
 
-func nextHeard[T any](t *testing.T, heard chan T) (told T) {
+func nextReceived[T any](t *testing.T, heard chan T) (told T) {
 	t.Helper()
 	select {
 	case told = <-heard:
@@ -75,11 +75,11 @@
 	told := placement.Announcement{Server: placement.ServerKey("i-7f3a"), Prompt: 1 << 31, Tokens: 9190}
 	sender.announce(told)
 	sender.announce(placement.Announcement{Server: 7}) // nothing to tell
-	require.Equal(t, told, nextHeard(t, near.told))
+	require.Equal(t, told, nextReceived(t, near.announcements))
 	sender.reportFailure("i-7f3b")
-	require.Equal(t, [2]string{"i-7f3b", "zone-a"}, nextHeard(t, near.failures))
-	for _, other := range []ears{echo, far, near} {
-		require.Empty(t, other.told)
+	require.Equal(t, [2]string{"i-7f3b", "zone-a"}, nextReceived(t, near.failures))
+	for _, other := range []recordingHandler{echo, far, near} {
+		require.Empty(t, other.announcements)
 		require.Empty(t, other.failures)
 	}
 }
@@ -95,11 +95,11 @@
 		_, err := socket.Write(datagram)
 		require.NoError(t, err)
 	}
-	require.Equal(t, placement.Announcement{Server: 9, Tokens: 5}, nextHeard(t, heard.told))
+	require.Equal(t, placement.Announcement{Server: 9, Tokens: 5}, nextReceived(t, heard.announcements))
 }
 
 func TestTellingNeverWaits(t *testing.T) {
-	opened, err := newAnnouncer("127.0.9.5:0", "west", "zone-a", newEars())
+	opened, err := newAnnouncer("127.0.9.5:0", "west", "zone-a", newRecordingHandler())
 	require.NoError(t, err)
 	defer opened.close()
 	for range 10 * announceQueueSize { // nobody sends
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -22,11 +22,11 @@
 		return x.noServer(err)
 	}
 	server := upstream.Server{ID: decision.ServerID, Address: decision.Address}
-	patience := x.connectTimeouts()
+	timeouts := x.connectTimeouts()
 	if x.handler.disabled.Off(policy.ReachabilityWatch) {
-		patience = upstream.DialTimeouts{Dial: x.remaining(), Unacknowledged: x.remaining()}
+		timeouts = upstream.DialTimeouts{Dial: x.remaining(), Unacknowledged: x.remaining()}
 	}
-	conn, err := x.handler.pool.Connect(x.request.Context(), server, patience, x.deadline)
+	conn, err := x.handler.pool.Connect(x.request.Context(), server, timeouts, x.deadline)
 	if err != nil {
 		return x.recordFailure(decision, err, true)
 	}
@@ -35,15 +35,15 @@
 		x.handler.pool.Release(conn)
 		return x.withdraw(decision)
 	}
-	stop := context.AfterFunc(x.request.Context(), conn.Abort)
+	stopAbort := context.AfterFunc(x.request.Context(), conn.Abort)
 	response, err := x.send(conn, decision)
 	if err != nil {
-		stop()
+		stopAbort()
 		x.handler.pool.Discard(conn)
 		return x.recordFailure(decision, err, !conn.Reused())
 	}
-	live := &attempt{exchange: x, decision: decision, conn: conn, response: response, stopAbort: stop}
-	return live.receive()
+	open := &attempt{exchange: x, decision: decision, conn: conn, response: response, stopAbort: stopAbort}
+	return open.receive()
 }
 
 const (
@@ -64,18 +64,18 @@
 
 // connectTimeouts tells how long the machine of a server may be out of reach.
 func (x *exchange) connectTimeouts() upstream.DialTimeouts {
-	aim := x.route.Target
-	if aim <= 0 {
-		aim = maxUnacknowledged
+	target := x.route.Target
+	if target <= 0 {
+		target = maxUnacknowledged
 	}
-	patience := upstream.DialTimeouts{
-		Dial:           min(max(aim/dialFraction, minDialTimeout), maxDialTimeout),
+	timeouts := upstream.DialTimeouts{
+		Dial:           min(max(target/dialFraction, minDialTimeout), maxDialTimeout),
 		Unacknowledged: unacknowledgedOnce,
 	}
 	if x.attempts.idempotent {
-		patience.Unacknowledged = min(max(aim/unacknowledgedFraction, minUnacknowledged), maxUnacknowledged)
+		timeouts.Unacknowledged = min(max(target/unacknowledgedFraction, minUnacknowledged), maxUnacknowledged)
 	}
-	return patience
+	return timeouts
 }
 
 // gone tells whether the client left or the process ends.
--- a/internal/proxy/attemptlog_explore_test.go
+++ b/internal/proxy/attemptlog_explore_test.go
@@ -13,20 +13,20 @@
 	"fieldrelay/internal/explore"
 )
 
-// ledgerSteps are the steps of a ledger, so that a test can plant a fault in one.
-type ledgerSteps struct {
+// attemptLogSteps are the steps of a ledger, so that a test can plant a fault in one.
+type attemptLogSteps struct {
 	record    func(*attemptLog, executionState)
 	mayRepeat func(*attemptLog, time.Duration) bool
 	ending    func(*attemptLog, time.Duration) int
 }
 
-func trueSteps() ledgerSteps {
-	return ledgerSteps{record: (*attemptLog).record, mayRepeat: (*attemptLog).mayRetry, ending: (*attemptLog).finalStatus}
+func unmodifiedSteps() attemptLogSteps {
+	return attemptLogSteps{record: (*attemptLog).record, mayRepeat: (*attemptLog).mayRetry, ending: (*attemptLog).finalStatus}
 }
 
 // request is a request as servers see it, beside the ledger that is kept of it.
-type request struct {
-	steps    ledgerSteps
+type exploredRequest struct {
+	steps    attemptLogSteps
 	ledger   attemptLog
 	left     time.Duration
 	runs     int // that truly happened
@@ -54,12 +54,12 @@
 	{name: "ran and was answered", fate: executed, ran: true, success: true},
 }
 
-func (r *request) going() bool {
+func (r *exploredRequest) isOngoing() bool {
 	return r.answer == 0 && (r.attempts == 0 || r.steps.mayRepeat(&r.ledger, r.left))
 }
 
 // Events implements explore.System.
-func (r *request) Events() []string {
+func (r *exploredRequest) Events() []string {
 	if r.answer != 0 {
 		return nil
 	}
@@ -67,7 +67,7 @@
 	if r.left > 0 {
 		names = append(names, "the deadline passes")
 	}
-	if r.going() {
+	if r.isOngoing() {
 		for _, end := range attemptEnds {
 			names = append(names, end.name)
 		}
@@ -76,7 +76,7 @@
 }
 
 // Do implements explore.System.
-func (r *request) Do(event int) {
+func (r *exploredRequest) Do(event int) {
 	switch names := r.Events(); names[event] {
 	case "it is given up":
 		r.answer, r.own = r.steps.ending(&r.ledger, r.left), true
@@ -87,7 +87,7 @@
 	}
 }
 
-func (r *request) attempt(end attemptEnd) {
+func (r *exploredRequest) attempt(end attemptEnd) {
 	r.attempts++
 	r.steps.record(&r.ledger, end.fate)
 	if end.fate != unsent {
@@ -105,14 +105,14 @@
 }
 
 // Hash implements explore.System.
-func (r *request) Hash() uint64 {
+func (r *exploredRequest) Hash() uint64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprintf(hash, "%+v %v %d %d %d %d %d %v", r.ledger, r.left, r.runs, r.unclear, r.sent, r.attempts, r.answer, r.own)
 	return hash.Sum64()
 }
 
 // Check implements explore.System.
-func (r *request) Check() error {
+func (r *exploredRequest) Check() error {
 	mayHaveRun := r.runs > 0 || r.unclear > 0
 	switch {
 	case !r.ledger.idempotent && r.runs > 1:
@@ -131,17 +131,17 @@
 	return nil
 }
 
-// exploreLedger goes through all orders of a request's events.
-func exploreLedger(steps ledgerSteps, repeatable bool, tries int) (explore.Result, error) {
+// exploreAttemptLog goes through all orders of a request's events.
+func exploreAttemptLog(steps attemptLogSteps, idempotent bool, maxAttempts int) (explore.Result, error) {
 	return explore.All(func() explore.System {
-		return &request{steps: steps, ledger: attemptLog{idempotent: repeatable, maxAttempts: tries}, left: time.Second}
-	}, tries+maxUnsentAttempts+3, 200_000)
+		return &exploredRequest{steps: steps, ledger: attemptLog{idempotent: idempotent, maxAttempts: maxAttempts}, left: time.Second}
+	}, maxAttempts+maxUnsentAttempts+3, 200_000)
 }
 
 func TestLedgerInAllOrders(t *testing.T) {
 	for _, repeatable := range []bool{false, true} {
 		for tries := 1; tries <= 3; tries++ {
-			result, err := exploreLedger(trueSteps(), repeatable, tries)
+			result, err := exploreAttemptLog(unmodifiedSteps(), repeatable, tries)
 			require.NoError(t, err)
 			require.True(t, result.Full)
 			t.Logf("repeatable %v, %d tries: %+v", repeatable, tries, result)
@@ -151,10 +151,10 @@
 
 func TestExplorationFindsFaultsOfTheLedger(t *testing.T) {
 	faults := map[string]struct {
-		plant   func(*ledgerSteps)
+		plant   func(*attemptLogSteps)
 		finding string
 	}{
-		"a lost attempt is forgotten": {func(s *ledgerSteps) {
+		"a lost attempt is forgotten": {func(s *attemptLogSteps) {
 			s.record = func(l *attemptLog, f executionState) {
 				if f == possiblyExecuted {
 					f = notExecuted
@@ -162,47 +162,47 @@
 				l.record(f)
 			}
 		}, "promises that it has not run"},
-		"a run is taken back by a promise": {func(s *ledgerSteps) {
+		"a run is taken back by a promise": {func(s *attemptLogSteps) {
 			s.record = func(l *attemptLog, f executionState) {
 				l.record(f)
 				l.possiblyExecuted = l.possiblyExecuted && f != notExecuted
 			}
 		}, "promises"},
-		"all requests are repeated": {func(s *ledgerSteps) {
+		"all requests are repeated": {func(s *attemptLogSteps) {
 			s.mayRepeat = func(l *attemptLog, left time.Duration) bool {
 				changed := *l
 				changed.idempotent = true
 				return changed.mayRetry(left)
 			}
 		}, "ran 2 times"},
-		"tries are not counted": {func(s *ledgerSteps) {
+		"tries are not counted": {func(s *attemptLogSteps) {
 			s.mayRepeat = func(l *attemptLog, left time.Duration) bool {
 				changed := *l
 				changed.sent = 0
 				return changed.mayRetry(left)
 			}
 		}, "servers of"},
-		"unsent attempts are not counted": {func(s *ledgerSteps) {
+		"unsent attempts are not counted": {func(s *attemptLogSteps) {
 			s.mayRepeat = func(l *attemptLog, left time.Duration) bool {
 				changed := *l
 				changed.unsent = 0
 				return changed.mayRetry(left)
 			}
 		}, "attempts"},
-		"every end is a refusal": {func(s *ledgerSteps) {
+		"every end is a refusal": {func(s *attemptLogSteps) {
 			s.ending = func(*attemptLog, time.Duration) int { return http.StatusServiceUnavailable }
 		}, "promises"},
-		"no end is a refusal": {func(s *ledgerSteps) {
+		"no end is a refusal": {func(s *attemptLogSteps) {
 			s.ending = func(*attemptLog, time.Duration) int { return http.StatusBadGateway }
 		}, "although it has not run"},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			steps := trueSteps()
+			steps := unmodifiedSteps()
 			fault.plant(&steps)
 			var found error
 			for _, repeatable := range []bool{false, true} {
-				_, err := exploreLedger(steps, repeatable, 2)
+				_, err := exploreAttemptLog(steps, repeatable, 2)
 				found = errors.CombineErrors(found, err)
 			}
 			require.ErrorContains(t, found, fault.finding)
--- a/internal/proxy/bench_long_test.go
+++ b/internal/proxy/bench_long_test.go
@@ -14,10 +14,10 @@
 	for _, size := range []int{32 << 10, 256 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			t := &testing.T{}
-			server := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
-				return good("ok")(conn, request)
+			server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
+				return ok("ok")(conn, request)
 			})
-			r := newRig(t, server)
+			r := newTestProxy(t, server)
 			conn, err := net.Dial("tcp4", r.address)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -38,10 +38,10 @@
 			}()
 		}
 	}()
-	server := &standIn{}
+	server := &fakeServer{}
 	server.server.ID = "i-1"
 	server.server.Address = listener.Addr().String()
-	r := newRig(t, server)
+	r := newTestProxy(t, server)
 	conn, err := net.Dial("tcp4", r.address)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -43,11 +43,11 @@
 		return nil, errNoMemory
 	}
 	pooled := bufferPool.Get().(*[]byte)
-	held := &chargedBuffer{bytes: (*pooled)[:0], charged: int64(size), memory: memory, pooled: pooled}
-	if cap(held.bytes) < size {
-		held.bytes = make([]byte, 0, size)
+	buffer := &chargedBuffer{bytes: (*pooled)[:0], charged: int64(size), memory: memory, pooled: pooled}
+	if cap(buffer.bytes) < size {
+		buffer.bytes = make([]byte, 0, size)
 	}
-	return held, nil
+	return buffer, nil
 }
 
 // grow makes room for at least one more byte by doubling.
@@ -77,7 +77,7 @@
 }
 
 // fill reads until the end of the source or until limit bytes are held; whole tells whether the end came.
-func (b *chargedBuffer) fill(source io.Reader, limit int) (whole bool, err error) {
+func (b *chargedBuffer) fill(source io.Reader, limit int) (complete bool, err error) {
 	for {
 		if len(b.bytes) == cap(b.bytes) {
 			if err := b.grow(); err != nil {
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	_ = control.SetReadDeadline(deadline)
-	whole, err := body.fill(request.Body, int(maxBytes))
+	complete, err := body.fill(request.Body, int(maxBytes))
 	_ = control.SetReadDeadline(time.Time{})
 	switch {
 	case err != nil:
@@ -124,7 +124,7 @@
 			return nil, err
 		}
 		return nil, errors.CombineErrors(errBodyIncomplete, err)
-	case !whole:
+	case !complete:
 		body.free()
 		return nil, errBodyTooLarge
 	default:
--- a/internal/proxy/capacity_bench_test.go
+++ b/internal/proxy/capacity_bench_test.go
@@ -20,8 +20,8 @@
 // itself. One operation is one event.
 func BenchmarkCapacityEvents(b *testing.B) {
 	t := &testing.T{}
-	server := streamingStandIn(b)
-	r := newRig(t, server)
+	server := streamingFakeServer(b)
+	r := newTestProxy(t, server)
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	body := bytes.Repeat([]byte("b"), 200)
 	b.ReportAllocs()
@@ -52,8 +52,8 @@
 	}
 }
 
-// streamingStandIn answers each request by a stream whose events are written one by one.
-func streamingStandIn(b *testing.B) *standIn {
+// streamingFakeServer answers each request by a stream whose events are written one by one.
+func streamingFakeServer(b *testing.B) *fakeServer {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -69,7 +69,7 @@
 			go streamForever(conn, head)
 		}
 	}()
-	server := &standIn{}
+	server := &fakeServer{}
 	server.server.ID = "i-1"
 	server.server.Address = listener.Addr().String()
 	return server
@@ -116,7 +116,7 @@
 
 // BenchmarkCapacitySwapOfOneChange takes in a change of one of 1,500 routes.
 func BenchmarkCapacitySwapOfOneChange(b *testing.B) {
-	held := newState()
+	held := newSnapshotStore()
 	first := &pb.Change{Sequence: 1, Generation: 1}
 	for number := range 1500 {
 		first.Upserts = append(first.Upserts, capacityRoute(1, number))
@@ -132,7 +132,7 @@
 
 // BenchmarkCapacitySwapOfList takes in a list of 3,100 servers.
 func BenchmarkCapacitySwapOfList(b *testing.B) {
-	held := newState()
+	held := newSnapshotStore()
 	list := &pb.ServerList{}
 	for i := range 3100 {
 		list.Servers = append(list.Servers, &pb.Server{Id: fmt.Sprintf("i-%08x", i), Address: fmt.Sprintf("10.%d.%d.%d:8080", i/2500, i/250, i%250)})
--- a/internal/proxy/chaos_test.go
+++ b/internal/proxy/chaos_test.go
@@ -14,18 +14,18 @@
 )
 
 // runs keeps account of which requests ran at the stand-in servers, as these saw it.
-type runs struct {
+type executionCounter struct {
 	mu    sync.Mutex
 	count map[string]int
 }
 
-func (r *runs) add(id string) {
+func (r *executionCounter) add(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.count[id]++
 }
 
-func (r *runs) of(id string) int {
+func (r *executionCounter) of(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.count[id]
@@ -33,17 +33,17 @@
 
 // unreliable answers each request in a way that is drawn: well, by a promise, or brokenly. Whether a broken
 // answer's request ran is drawn as well.
-func (r *runs) unreliable(seed uint64) reply {
+func (r *executionCounter) unreliable(seed uint64) reply {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, seed))
-	declined := []reply{text(503, declines, "full"), text(429, declines, ""), text(421, "", "")}
+	declined := []reply{text(503, notExecutedHeader, "full"), text(429, notExecutedHeader, ""), text(421, "", "")}
 	var broken []reply
 	for name, answer := range brokenReplies {
 		if !strings.Contains(name, "other") {
 			broken = append(broken, answer)
 		}
 	}
-	return func(conn *net.TCPConn, request arrival) bool {
+	return func(conn *net.TCPConn, request receivedByServer) bool {
 		mu.Lock()
 		way, which, ran := random.IntN(10), random.IntN(100), random.IntN(2) == 0
 		mu.Unlock()
@@ -58,16 +58,16 @@
 			return broken[which%len(broken)](conn, request)
 		case way == 6:
 			r.add(id)
-			good("of "+id)(conn, request)
+			ok("of "+id)(conn, request)
 			return which%2 == 0 // may close without telling
 		case way == 7:
 			r.add(id)
-			answer := good("of " + id)
+			answer := ok("of " + id)
 			answer(conn, request)
 			return answer(conn, request) // one too many
 		default:
 			r.add(id)
-			return good("of "+id)(conn, request)
+			return ok("of "+id)(conn, request)
 		}
 	}
 }
@@ -75,12 +75,12 @@
 // Whatever servers do: a success is the server's own answer to this very request, a request that may not
 // repeat runs at most once, and a refusal means that it has not run.
 func TestRulesHoldWithUnreliableServers(t *testing.T) {
-	ran := &runs{count: make(map[string]int)}
-	var servers []*standIn
+	ran := &executionCounter{count: make(map[string]int)}
+	var servers []*fakeServer
 	for n := range 4 {
-		servers = append(servers, newStandIn(t, fmt.Sprintf("i-%d", n), ran.unreliable(uint64(n))))
+		servers = append(servers, newFakeServer(t, fmt.Sprintf("i-%d", n), ran.unreliable(uint64(n))))
 	}
-	r := newRig(t, servers...)
+	r := newTestProxy(t, servers...)
 	const clients, each = 8, 60
 	type result struct {
 		id     string
--- a/internal/proxy/client_trials_test.go
+++ b/internal/proxy/client_trials_test.go
@@ -12,7 +12,7 @@
 
 // A client that leaves within its request, at whatever byte, has not asked for anything.
 func TestClientThatLeavesWithinItsRequestReachesNoServer(t *testing.T) {
-	w := newWorker(t, plainly)
+	w := newTrialWorker(t, unwrapped)
 	const id = "left-early"
 	for _, kind := range requestKinds {
 		for framing, request := range map[string]string{
@@ -21,7 +21,7 @@
 		} {
 			whole := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h.example\r\n%s: %s\r\n%s", kind.target, headerAttemptID, id, request)
 			for sent := range len(whole) {
-				conn, err := net.Dial("tcp4", w.rig.address)
+				conn, err := net.Dial("tcp4", w.proxy.address)
 				require.NoError(t, err)
 				_, err = io.WriteString(conn, whole[:sent])
 				require.NoError(t, err)
@@ -30,9 +30,9 @@
 				}
 				require.NoError(t, conn.Close())
 			}
-			require.True(t, holdsInTime(patience, func() bool { return w.rig.handler.counters.connections.Load() == 0 }))
-			for _, server := range []*saboteur{w.first, w.second} {
-				require.False(t, w.books.reachedServer(id, server.server.ID), "%s, %s", kind.name, framing)
+			require.True(t, becomesTrue(testTimeout, func() bool { return w.proxy.handler.counters.connections.Load() == 0 }))
+			for _, server := range []*faultyServer{w.first, w.second} {
+				require.False(t, w.record.reachedServer(id, server.server.ID), "%s, %s", kind.name, framing)
 			}
 		}
 	}
@@ -40,15 +40,15 @@
 
 // Requests that come on one connection without a wait are answered in order, each with its own answer.
 func TestRequestsThatComeTogetherGetTheirOwnAnswersInOrder(t *testing.T) {
-	w := newWorker(t, plainly)
-	conn, err := net.Dial("tcp4", w.rig.address)
+	w := newTrialWorker(t, unwrapped)
+	conn, err := net.Dial("tcp4", w.proxy.address)
 	require.NoError(t, err)
 	defer conn.Close()
 	all, ids := "", []string{}
 	for number := range 20 {
 		id, target := fmt.Sprintf("s-%06d", number), requestKinds[number%len(requestKinds)].target
 		payload := "payload of " + id
-		w.books.asked(id, target, payload)
+		w.record.requestSent(id, target, payload)
 		ids = append(ids, id)
 		all += fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h.example\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", target, headerAttemptID, id, len(payload), payload)
 	}
@@ -60,6 +60,6 @@
 		require.True(t, got.whole)
 		require.Equal(t, 200, got.status)
 		require.Equal(t, id, got.id)
-		require.Empty(t, w.books.check(&trial{id: id, kind: requestKinds[number%len(requestKinds)]}, got))
+		require.Empty(t, w.record.check(&trial{id: id, kind: requestKinds[number%len(requestKinds)]}, got))
 	}
 }
--- a/internal/proxy/configstream.go
+++ b/internal/proxy/configstream.go
@@ -19,7 +19,7 @@
 	host        string
 	incarnation uint64
 	edgeAddress string // at which clients reach this proxy
-	state       *state
+	snapshots   *snapshotStore
 	dispatcher  *dispatcher
 	announcer   *announcer
 	lifecycle   *lifecycle
@@ -35,30 +35,30 @@
 // Apply takes in changes, a repair, a server list and shares, and answers what is held afterwards. What was meant
 // for an earlier process of this proxy is left: its confirmation was asked for before this one began.
 func (f *configStream) Apply(_ context.Context, request *connect.Request[pb.ApplyRequest]) (*connect.Response[pb.ProxyStatus], error) {
-	began := f.clock()
-	f.liveness.recordContact(began)
+	start := f.clock()
+	f.liveness.recordContact(start)
 	if wanted := request.Msg.GetProxyIncarnation(); wanted != 0 && wanted != f.incarnation {
-		return connect.NewResponse(f.status(f.state.load())), nil
+		return connect.NewResponse(f.status(f.snapshots.load())), nil
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	defer func() { f.counters.countApply(f.clock() - began) }()
-	before := f.state.load()
-	held, done := f.state.apply(request.Msg)
-	f.counters.countUpdate(done)
-	if done.tableChanged {
-		f.dispatcher.setTable(held.table)
+	defer func() { f.counters.countApply(f.clock() - start) }()
+	before := f.snapshots.load()
+	current, applied := f.snapshots.apply(request.Msg)
+	f.counters.countUpdate(applied)
+	if applied.tableChanged {
+		f.dispatcher.setTable(current.table)
 	}
-	if done.listChanged {
+	if applied.listChanged {
 		f.dispatcher.setServers(request.Msg.GetList())
 	}
 	f.applyShares(request.Msg.GetShares())
-	f.logUpdate(before, held, done)
-	f.onSnapshot(held, done)
-	if done.tableChanged || done.listChanged {
-		f.state.notifyWaiters()
+	f.logUpdate(before, current, applied)
+	f.onSnapshot(current, applied)
+	if applied.tableChanged || applied.listChanged {
+		f.snapshots.notifyWaiters()
 	}
-	return connect.NewResponse(f.status(held)), nil
+	return connect.NewResponse(f.status(current)), nil
 }
 
 // applyShares puts shares in force, unless the same agent process has told later ones already: a call that was given
@@ -75,51 +75,51 @@
 // Status answers what is held.
 func (f *configStream) Status(context.Context, *connect.Request[pb.StatusRequest]) (*connect.Response[pb.ProxyStatus], error) {
 	f.liveness.recordContact(f.clock())
-	return connect.NewResponse(f.status(f.state.load())), nil
+	return connect.NewResponse(f.status(f.snapshots.load())), nil
 }
 
-func (f *configStream) status(held *snapshot) *pb.ProxyStatus {
+func (f *configStream) status(current *snapshot) *pb.ProxyStatus {
 	status := &pb.ProxyStatus{
 		Host:        f.host,
 		Incarnation: f.incarnation,
-		Sequence:    held.sequence,
-		Generation:  held.generation,
-		List:        held.list,
-		Ready:       f.lifecycle.ready(held),
+		Sequence:    current.sequence,
+		Generation:  current.generation,
+		List:        current.list,
+		Ready:       f.lifecycle.ready(current),
 		Draining:    f.lifecycle.draining(),
 		EdgeAddress: f.edgeAddress,
 		Shares:      f.shares.Load(),
 	}
-	if f.state.needsFullState() {
+	if f.snapshots.needsFullState() {
 		// Without a digest for each range, the answer to this is the whole state.
-		status.Digests = &pb.RangeDigests{Sequence: held.sequence, Generation: held.generation}
+		status.Digests = &pb.RangeDigests{Sequence: current.sequence, Generation: current.generation}
 	}
 	return status
 }
 
-func (f *configStream) logUpdate(before, held *snapshot, done update) {
-	for _, item := range done.rejected {
+func (f *configStream) logUpdate(before, current *snapshot, applied update) {
+	for _, item := range applied.rejected {
 		f.logger.Warn("item of the configuration left out", zap.Error(item))
 	}
-	for _, item := range done.partial {
+	for _, item := range applied.partial {
 		f.logger.Warn("item of the configuration served in part", zap.Error(item))
 	}
-	if done.regressed {
+	if applied.regressed {
 		f.counters.regressions.Add(1)
 		f.logger.Error("the configuration fell back",
 			zap.Uint64("sequence-before", before.sequence),
 			zap.Uint64("generation-before", before.generation),
-			zap.Uint64("sequence", held.sequence),
-			zap.Uint64("generation", held.generation))
+			zap.Uint64("sequence", current.sequence),
+			zap.Uint64("generation", current.generation))
 	}
-	if done.tableChanged {
+	if applied.tableChanged {
 		f.logger.Info("configuration in force",
-			zap.Uint64("sequence", held.sequence),
-			zap.Uint64("generation", held.generation),
-			zap.Int("routes", held.table.Routes()),
-			zap.Strings("evacuated", held.table.Evacuated()))
+			zap.Uint64("sequence", current.sequence),
+			zap.Uint64("generation", current.generation),
+			zap.Int("routes", current.table.Routes()),
+			zap.Strings("evacuated", current.table.Evacuated()))
 	}
-	if before.complete() != held.complete() {
-		f.logger.Info("ready to take requests", zap.Int("servers", len(held.servers)))
+	if before.complete() != current.complete() {
+		f.logger.Info("ready to take requests", zap.Int("servers", len(current.servers)))
 	}
 }
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -61,12 +61,12 @@
 }
 
 // countUpdate counts what an exchange with the agent brought.
-func (c *counters) countUpdate(done update) {
-	c.staleUpdates.Add(uint64(done.stale))
-	c.fullStates.Add(uint64(done.fullStates))
-	c.itemsRejected.Add(uint64(len(done.rejected)))
-	c.itemsPartial.Add(uint64(len(done.partial)))
-	if done.gap {
+func (c *counters) countUpdate(applied update) {
+	c.staleUpdates.Add(uint64(applied.stale))
+	c.fullStates.Add(uint64(applied.fullStates))
+	c.itemsRejected.Add(uint64(len(applied.rejected)))
+	c.itemsPartial.Add(uint64(len(applied.partial)))
+	if applied.gap {
 		c.gaps.Add(1)
 	}
 }
@@ -78,8 +78,8 @@
 	c.applyMax.Store(max(c.applyMax.Load(), int64(took)))
 }
 
-func (c *counters) countExecution(f executionState) {
-	switch f {
+func (c *counters) countExecution(state executionState) {
+	switch state {
 	case unsent:
 		c.unsent.Add(1)
 	case notExecuted:
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -21,15 +21,15 @@
 )
 
 // addRoutes puts more routes in force beside those of the rig.
-func addRoutes(r *rig, routes ...string) {
+func addRoutes(r *testProxy, routes ...string) {
 	r.t.Helper()
-	change := &pb.Change{Sequence: r.handler.state.load().sequence + 1, Generation: 8}
+	change := &pb.Change{Sequence: r.handler.snapshots.load().sequence + 1, Generation: 8}
 	for index, body := range routes {
 		change.Upserts = append(change.Upserts, &pb.Item{
 			Kind: catalog.KindRoutes, Name: fmt.Sprintf("added-%d", index), Sequence: change.Sequence, Body: []byte(body),
 		})
 	}
-	_, done := r.handler.state.apply(&pb.ApplyRequest{Changes: []*pb.Change{change}})
+	_, done := r.handler.snapshots.apply(&pb.ApplyRequest{Changes: []*pb.Change{change}})
 	require.Empty(r.t, done.rejected)
 	require.Empty(r.t, done.partial)
 }
@@ -39,24 +39,24 @@
 	shortRepeat = `{"name":"added-1","vhost":"h.example","path-prefix":"/ti/","route-kind":"idempotent","deadline-ms":60,"target-ms":50,"backend":"s1","tries":3}`
 )
 
-// fullPlacer finds no server with a place until it is told otherwise.
-type fullPlacer struct {
+// saturatedPlacer finds no server with a place until it is told otherwise.
+type saturatedPlacer struct {
 	*fakePlacer
 	free   atomic.Bool
 	looked atomic.Int64
 }
 
-func (f *fullPlacer) Pick(now time.Duration, request *placement.Request) (placement.Decision, error) {
+func (f *saturatedPlacer) Pick(now time.Duration, request *placement.Request) (placement.Decision, error) {
 	f.looked.Add(1)
 	if !f.free.Load() {
-		return placement.Decision{}, &placement.NoServerError{Reason: placement.ReasonFull, RetryAfter: pause}
+		return placement.Decision{}, &placement.NoServerError{Reason: placement.ReasonFull, RetryAfter: pollInterval}
 	}
 	return f.fakePlacer.Pick(now, request)
 }
 
 // fill lets the rig's servers have no place.
-func (r *rig) fill() *fullPlacer {
-	full := &fullPlacer{fakePlacer: r.placer}
+func (r *testProxy) saturate() *saturatedPlacer {
+	full := &saturatedPlacer{fakePlacer: r.placer}
 	r.handler.dispatcher.placer = full
 	return full
 }
@@ -67,20 +67,20 @@
 	const deadline, allowed = 60 * time.Millisecond, 500 * time.Millisecond
 	longer := headerDeadline + ": 30000\r\n"
 	plain := func(target string) func(*client) {
-		return func(c *client) { c.ask("GET", target, longer, "") }
+		return func(c *client) { c.send("GET", target, longer, "") }
 	}
-	opens := func(conn *net.TCPConn, request arrival) bool {
+	opens := func(conn *net.TCPConn, request receivedByServer) bool {
 		streamHead(conn, request, "x")
-		chunk(conn, event(1))
+		chunk(conn, eventText(1))
 		return true
 	}
 	begins := func(length int, body string) reply {
-		return func(conn *net.TCPConn, request arrival) bool {
+		return func(conn *net.TCPConn, request receivedByServer) bool {
 			_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: id1\r\n%sContent-Length: %d\r\n\r\n%s", headerAttemptID, seal, length, body)
 			return err == nil
 		}
 	}
-	interim := func(conn *net.TCPConn, _ arrival) bool {
+	interim := func(conn *net.TCPConn, _ receivedByServer) bool {
 		_, err := io.WriteString(conn, "HTTP/1.1 103 Early Hints\r\n\r\n")
 		return err == nil
 	}
@@ -91,41 +91,41 @@
 		noList  bool
 		want    int // 0: the answer ends early
 	}{
-		"a silent server":             {servers: []reply{silent}, send: plain("/t/x"), want: 504},
+		"a silent server":             {servers: []reply{noResponse}, send: plain("/t/x"), want: 504},
 		"interim answers":             {servers: []reply{interim}, send: plain("/t/x"), want: 504},
 		"half an answer":              {servers: []reply{begins(9, "half")}, send: plain("/t/x"), want: 504},
 		"half a large answer":         {servers: []reply{begins(4<<20, repeated("x", 2<<20))}, send: plain("/t/x")},
 		"a silent stream":             {servers: []reply{opens}, send: plain("/ts/x")},
-		"a stream without a head":     {servers: []reply{silent}, send: plain("/ts/x"), want: 504},
-		"a stream cut, then silence":  {servers: []reply{streams("one", 2, "id: 3\n"), silent}, send: plain("/ts/x")},
-		"a reset, then silence":       {servers: []reply{resets, silent}, send: plain("/ti/x"), want: 504},
-		"no place":                    {servers: []reply{silent}, send: plain("/t/x"), full: true, want: 503},
-		"no place in a second life":   {servers: []reply{silent}, send: returned("/t/x"), full: true, want: 503},
-		"no list of servers":          {servers: []reply{silent}, send: plain("/t/x"), noList: true, full: true, want: 503},
-		"the client's body is late":   {servers: []reply{silent}, send: halfBody("/t/x"), want: 408},
-		"a late body, and no list":    {servers: []reply{silent}, send: halfBody("/t/x"), noList: true, want: 408},
-		"a client that tells nothing": {servers: []reply{silent}, send: func(c *client) { c.ask("GET", "/t/x", "", "") }, want: 504},
+		"a stream without a head":     {servers: []reply{noResponse}, send: plain("/ts/x"), want: 504},
+		"a stream cut, then silence":  {servers: []reply{streamEvents("one", 2, "id: 3\n"), noResponse}, send: plain("/ts/x")},
+		"a reset, then silence":       {servers: []reply{reset, noResponse}, send: plain("/ti/x"), want: 504},
+		"no place":                    {servers: []reply{noResponse}, send: plain("/t/x"), full: true, want: 503},
+		"no place in a second life":   {servers: []reply{noResponse}, send: retriedRequest("/t/x"), full: true, want: 503},
+		"no list of servers":          {servers: []reply{noResponse}, send: plain("/t/x"), noList: true, full: true, want: 503},
+		"the client's body is late":   {servers: []reply{noResponse}, send: incompleteBody("/t/x"), want: 408},
+		"a late body, and no list":    {servers: []reply{noResponse}, send: incompleteBody("/t/x"), noList: true, want: 408},
+		"a client that tells nothing": {servers: []reply{noResponse}, send: func(c *client) { c.send("GET", "/t/x", "", "") }, want: 504},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			var servers []*standIn
+			var servers []*fakeServer
 			for index, answer := range one.servers {
-				servers = append(servers, newStandIn(t, fmt.Sprintf("i-%d", index), answer))
+				servers = append(servers, newFakeServer(t, fmt.Sprintf("i-%d", index), answer))
 			}
-			r := newRig(t, servers...)
+			r := newTestProxy(t, servers...)
 			addRoutes(r, shortStream, shortRepeat)
 			if one.full {
-				r.fill()
+				r.saturate()
 			}
 			if one.noList {
-				held := *r.handler.state.load()
+				held := *r.handler.snapshots.load()
 				held.list = nil
-				r.handler.state.current.Store(&held)
+				r.handler.snapshots.current.Store(&held)
 			}
 			c := r.dial()
 			began := time.Now()
 			one.send(c)
-			response := c.head("GET")
+			response := c.receiveHead("GET")
 			_, err := io.ReadAll(response.Body)
 			require.Less(t, time.Since(began), deadline+allowed)
 			if one.want == 0 {
@@ -141,8 +141,8 @@
 // TestAClientThatReadsNothingIsLeftAtTheDeadline: neither its request nor the server's work lasts longer.
 func TestAClientThatReadsNothingIsLeftAtTheDeadline(t *testing.T) {
 	const deadline, allowed = 60 * time.Millisecond, 500 * time.Millisecond
-	flood := func(begin func(conn *net.TCPConn, request arrival), piece string) reply {
-		return func(conn *net.TCPConn, request arrival) bool {
+	flood := func(begin func(conn *net.TCPConn, request receivedByServer), piece string) reply {
+		return func(conn *net.TCPConn, request receivedByServer) bool {
 			begin(conn, request)
 			for {
 				if _, err := fmt.Fprintf(conn, "%x\r\n%s\r\n", len(piece), piece); err != nil {
@@ -155,21 +155,21 @@
 		target string
 		server reply
 	}{
-		"a stream": {"/ts/x", flood(func(conn *net.TCPConn, request arrival) {
+		"a stream": {"/ts/x", flood(func(conn *net.TCPConn, request receivedByServer) {
 			streamHead(conn, request, "x")
 		}, "data: "+repeated("x", 60_000)+"\n\n")},
-		"a large answer": {"/t/x", flood(func(conn *net.TCPConn, request arrival) {
+		"a large answer": {"/t/x", flood(func(conn *net.TCPConn, request receivedByServer) {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: id1\r\n%sTransfer-Encoding: chunked\r\n\r\n", headerAttemptID, seal)
 		}, repeated("x", 60_000))},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			server := newStandIn(t, "i-1", one.server)
-			r := newRig(t, server)
+			server := newFakeServer(t, "i-1", one.server)
+			r := newTestProxy(t, server)
 			addRoutes(r, shortStream)
 			c := r.dial()
 			began := time.Now()
-			c.ask("GET", one.target, "", "")
+			c.send("GET", one.target, "", "")
 			<-server.closed
 			eventually(t, func() bool { return r.handler.counters.active.Load() == 0 }, "the request ends")
 			require.Less(t, time.Since(began), deadline+allowed)
@@ -179,7 +179,7 @@
 
 // TestARefusalGoesOutHoweverLateItComes: a proxy that was held up answers all the same.
 func TestARefusalGoesOutHoweverLateItComes(t *testing.T) {
-	r := newRig(t)
+	r := newTestProxy(t)
 	late := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		require.NoError(t, http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(-time.Second)))
 		r.handler.reject(writer, &rejection{status: http.StatusGatewayTimeout})
@@ -193,14 +193,14 @@
 }
 
 // returned asks as a client does that was refused before: it has a little less time.
-func returned(target string) func(*client) {
-	return func(c *client) { c.ask("GET", target, headerDeadline+": 59\r\n", "") }
+func retriedRequest(target string) func(*client) {
+	return func(c *client) { c.send("GET", target, headerDeadline+": 59\r\n", "") }
 }
 
-// halfBody begins a request whose body never comes whole.
-func halfBody(target string) func(*client) {
+// incompleteBody begins a request whose body never comes whole.
+func incompleteBody(target string) func(*client) {
 	return func(c *client) {
-		c.ask("POST", target, "Content-Length: 9\r\n", "")
+		c.send("POST", target, "Content-Length: 9\r\n", "")
 		c.write("half")
 	}
 }
@@ -224,25 +224,25 @@
 		t.Run(name, func(t *testing.T) {
 			var arrivals [2]time.Time
 			arriving := func(index int, answer reply) reply {
-				return func(conn *net.TCPConn, request arrival) bool {
+				return func(conn *net.TCPConn, request receivedByServer) bool {
 					arrivals[index] = time.Now()
 					return answer(conn, request)
 				}
 			}
-			first := newStandIn(t, "i-1", arriving(0, text(503, declines, "")))
-			second := newStandIn(t, "i-2", arriving(1, good("ok")))
-			r := newRig(t, first, second)
+			first := newFakeServer(t, "i-1", arriving(0, text(503, notExecutedHeader, "")))
+			second := newFakeServer(t, "i-2", arriving(1, ok("ok")))
+			r := newTestProxy(t, first, second)
 			headers := ""
 			if one.told != "" {
 				headers = headerDeadline + ": " + one.told + "\r\n"
 			}
 			c := r.dial()
-			c.ask("GET", one.target, headers, "")
-			response, _ := c.answer("GET")
+			c.send("GET", one.target, headers, "")
+			response, _ := c.receive("GET")
 			require.Equal(t, http.StatusOK, response.StatusCode)
 			var ends [2]time.Time
-			for index, server := range []*standIn{first, second} {
-				values := server.got()[0].header[headerDeadline]
+			for index, server := range []*fakeServer{first, second} {
+				values := server.requests()[0].header[headerDeadline]
 				require.Len(t, values, 1)
 				milliseconds, err := strconv.Atoi(values[0])
 				require.NoError(t, err)
@@ -269,29 +269,29 @@
 // than its route's tries, and none twice.
 func TestNoTryRunsOnMoreServersThanItsRouteAllows(t *testing.T) {
 	tries := map[string]int{"/m/x": 3, "/i/x": 2, "/o/x": 1, "/s/x": 3, "/r/x": 3}
-	answers := []reply{resets, text(503, declines, ""), text(421, "", ""), text(500, seal, "why"), text(429, "", "")}
+	answers := []reply{reset, text(503, notExecutedHeader, ""), text(421, "", ""), text(500, seal, "why"), text(429, "", "")}
 	for _, broken := range brokenReplies {
 		answers = append(answers, broken)
 	}
 	for cut := range 3 {
-		answers = append(answers, streams(fmt.Sprint(cut), cut, "id: 9\n"))
+		answers = append(answers, streamEvents(fmt.Sprint(cut), cut, "id: 9\n"))
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	most := make(map[string]int)
 	for round := range 40 {
-		var servers []*standIn
+		var servers []*fakeServer
 		for index := range 5 {
 			answer := answers[random.IntN(len(answers))]
 			if round == 0 {
-				answer = text(503, declines, "") // the bounds are reached
+				answer = text(503, notExecutedHeader, "") // the bounds are reached
 			}
-			servers = append(servers, newStandIn(t, fmt.Sprintf("i-%d", index), answer))
+			servers = append(servers, newFakeServer(t, fmt.Sprintf("i-%d", index), answer))
 		}
-		r := newRig(t, servers...)
+		r := newTestProxy(t, servers...)
 		for target, allowed := range tries {
 			before := countArrivals(servers)
 			c := r.dial()
-			c.ask("GET", target, "", "")
+			c.send("GET", target, "", "")
 			// An answer that breaks off may end before its head.
 			if response, err := http.ReadResponse(c.reader, nil); err == nil {
 				_, _ = io.Copy(io.Discard, response.Body)
@@ -309,10 +309,10 @@
 	require.Equal(t, tries, most)
 }
 
-func countArrivals(servers []*standIn) []int {
+func countArrivals(servers []*fakeServer) []int {
 	var counts []int
 	for _, server := range servers {
-		counts = append(counts, len(server.got()))
+		counts = append(counts, len(server.requests()))
 	}
 	return counts
 }
@@ -321,22 +321,22 @@
 // on, and one that works on it sees its connection end.
 func TestNothingReachesAServerOnceTheClientLeft(t *testing.T) {
 	t.Run("waiting for a place", func(t *testing.T) {
-		server := newStandIn(t, "i-1", good("ok"))
-		r := newRig(t, server)
-		full := r.fill()
+		server := newFakeServer(t, "i-1", ok("ok"))
+		r := newTestProxy(t, server)
+		full := r.saturate()
 		c := r.dial()
 		// A client that was refused before waits for long.
-		c.ask("GET", "/m/x", headerDeadline+": 3000\r\n", "")
+		c.send("GET", "/m/x", headerDeadline+": 3000\r\n", "")
 		eventually(t, func() bool { return full.looked.Load() > 0 }, "it looks for a place")
 		require.NoError(t, c.conn.Close())
 		eventually(t, func() bool { return r.handler.counters.active.Load() == 0 }, "the request ends")
 		full.free.Store(true)
-		require.Empty(t, server.got())
+		require.Empty(t, server.requests())
 		require.EqualValues(t, 1, r.handler.counters.clientsGone.Load())
 	})
 	t.Run("before the first byte is sent", func(t *testing.T) {
-		server := newStandIn(t, "i-1", good("ok"))
-		r := newRig(t, server)
+		server := newFakeServer(t, "i-1", ok("ok"))
+		r := newTestProxy(t, server)
 		response, _ := r.get("/m/x") // so that a connection is there
 		require.Equal(t, http.StatusOK, response.StatusCode)
 		left, leave := context.WithCancel(context.Background())
@@ -347,26 +347,26 @@
 		require.PanicsWithValue(t, http.ErrAbortHandler, func() {
 			r.handler.ServeHTTP(httptest.NewRecorder(), request)
 		})
-		require.Len(t, server.got(), 1)
+		require.Len(t, server.requests(), 1)
 		require.Equal(t, []placement.Outcome{placement.Done, placement.NotSent}, r.placer.seenOutcomes())
 	})
 	for _, target := range []string{"/m/x", "/i/x", "/s/x", "/r/x"} {
 		t.Run("at a server, "+target, func(t *testing.T) {
 			left := make(chan struct{})
-			first := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
+			first := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 				<-left // then it declines: another server might be tried
-				return text(503, declines, "")(conn, request)
+				return text(503, notExecutedHeader, "")(conn, request)
 			})
-			second := newStandIn(t, "i-2", good("ok"))
-			r := newRig(t, first, second)
+			second := newFakeServer(t, "i-2", ok("ok"))
+			r := newTestProxy(t, first, second)
 			c := r.dial()
-			c.ask("GET", target, "", "")
-			eventually(t, func() bool { return len(first.got()) == 1 }, "the request arrives")
+			c.send("GET", target, "", "")
+			eventually(t, func() bool { return len(first.requests()) == 1 }, "the request arrives")
 			require.NoError(t, c.conn.Close())
 			eventually(t, func() bool { return r.handler.counters.active.Load() == 0 }, "the request ends")
 			close(left)
 			<-first.closed
-			require.Empty(t, second.got())
+			require.Empty(t, second.requests())
 			require.Equal(t, []placement.Outcome{placement.ClientGone}, r.placer.seenOutcomes())
 		})
 	}
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -186,8 +186,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	last, told := d.lastReport[server]
-	if told && now-last < reportInterval {
+	last, reported := d.lastReport[server]
+	if reported && now-last < reportInterval {
 		return false
 	}
 	d.lastReport[server] = now
--- a/internal/proxy/distance_test.go
+++ b/internal/proxy/distance_test.go
@@ -26,18 +26,18 @@
 	farExchanges = 60
 )
 
-// fedState is a proxy's state with the history that it is fed from.
-type fedState struct {
+// testConfigStream is a proxy's state with the history that it is fed from.
+type testConfigStream struct {
 	t       *testing.T
 	random  *rand.Rand
 	truth   []*catalog.Snapshot // by sequence
 	changes []*pb.Change        // by sequence - 1
-	state   *state
+	state   *snapshotStore
 	alter   func(*pb.ApplyRequest) // a planted fault
 }
 
-func newFedState(t *testing.T, seed uint64) *fedState {
-	f := &fedState{t: t, random: rand.New(rand.NewPCG(seed, 8)), truth: []*catalog.Snapshot{catalog.Empty()}, state: newState()}
+func newTestConfigStream(t *testing.T, seed uint64) *testConfigStream {
+	f := &testConfigStream{t: t, random: rand.New(rand.NewPCG(seed, 8)), truth: []*catalog.Snapshot{catalog.Empty()}, state: newSnapshotStore()}
 	for sequence := uint64(1); sequence <= farChanges; sequence++ {
 		made := f.makeChange(sequence)
 		next, err := f.truth[sequence-1].Apply(made)
@@ -49,7 +49,7 @@
 }
 
 // makeChange gives some routes other paths, at times all of them, or takes some away, or evacuates.
-func (f *fedState) makeChange(sequence uint64) *pb.Change {
+func (f *testConfigStream) makeChange(sequence uint64) *pb.Change {
 	made := &pb.Change{Sequence: sequence, Generation: sequence}
 	if sequence == 1 || f.random.IntN(50) == 0 {
 		made.ReplacesAll = true
@@ -78,7 +78,7 @@
 
 // feed hands the state what an agent could hand it that is new, old, of an earlier life, or lost its beginning. It
 // returns what is wrong afterwards, or nothing.
-func (f *fedState) feed() string {
+func (f *testConfigStream) feed() string {
 	before := f.state.load()
 	request := f.request()
 	if f.alter != nil {
@@ -98,7 +98,7 @@
 	return f.difference(held)
 }
 
-func (f *fedState) request() *pb.ApplyRequest {
+func (f *testConfigStream) request() *pb.ApplyRequest {
 	at := uint64(f.random.IntN(farChanges)) + 1
 	if f.random.IntN(2) == 0 { // near what is held
 		at = min(f.state.load().sequence+1, farChanges)
@@ -117,7 +117,7 @@
 }
 
 // difference tells how the table differs from that of the state that the sequence number stands for.
-func (f *fedState) difference(held *snapshot) string {
+func (f *testConfigStream) difference(held *snapshot) string {
 	var items []*pb.Item
 	for _, part := range f.truth[held.sequence].RepairFor(nil).GetRanges() {
 		items = append(items, part.GetItems()...)
@@ -158,7 +158,7 @@
 // number stands for. It has caught up with the first exchange that brings changes that follow, or the whole.
 func TestProxyFedInAnyOrderNeverFallsBack(t *testing.T) {
 	for seed := range uint64(runsOf("PROXY_FAR", defaultFarRuns)) {
-		f := newFedState(t, seed)
+		f := newTestConfigStream(t, seed)
 		for range farExchanges {
 			require.Empty(t, f.feed(), "seed %d", seed)
 		}
@@ -185,7 +185,7 @@
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(defaultFarRuns) {
-				f := newFedState(t, seed)
+				f := newTestConfigStream(t, seed)
 				f.alter = fault.alter
 				for range farExchanges {
 					if strings.Contains(f.feed(), fault.finding) {
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -26,20 +26,20 @@
 
 // scan reads on until the end of the next event and returns how many bytes it took; whole tells whether an
 // event ended there.
-func (s *eventScanner) scan(data []byte) (taken int, whole bool) {
-	for taken < len(data) {
-		end := bytes.IndexByte(data[taken:], '\n')
+func (s *eventScanner) scan(data []byte) (scanned int, complete bool) {
+	for scanned < len(data) {
+		end := bytes.IndexByte(data[scanned:], '\n')
 		if end < 0 {
-			s.appendLine(data[taken:])
+			s.appendLine(data[scanned:])
 			return len(data), false
 		}
-		s.appendLine(data[taken : taken+end])
-		taken += end + 1
+		s.appendLine(data[scanned : scanned+end])
+		scanned += end + 1
 		if s.endLine() {
-			return taken, true
+			return scanned, true
 		}
 	}
-	return taken, false
+	return scanned, false
 }
 
 func (s *eventScanner) appendLine(part []byte) {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -46,7 +46,7 @@
 )
 
 // run answers the request and tells whether the answer is whole; if not, the client's connection must end.
-func (x *exchange) run() (whole bool) {
+func (x *exchange) run() (complete bool) {
 	if err := x.handler.dispatcher.admit(&x.placement); err != nil {
 		x.handler.counters.overloaded.Add(1)
 		x.rejectOverload(err)
@@ -129,11 +129,11 @@
 		return false
 	}
 	status := x.attempts.finalStatus(x.remaining())
-	own := &rejection{status: status}
+	response := &rejection{status: status}
 	if status == http.StatusServiceUnavailable {
-		own.retryAfter = max(x.retryAfter, retryAfterShort)
+		response.retryAfter = max(x.retryAfter, retryAfterShort)
 	}
-	x.handler.reject(x.client, own)
+	x.handler.reject(x.client, response)
 	return true
 }
 
@@ -143,15 +143,15 @@
 	if errors.As(err, &overload) {
 		wait = max(overload.RetryAfter, wait)
 	}
-	own := &rejection{status: http.StatusServiceUnavailable, retryAfter: wait}
-	x.handler.reject(x.client, own)
+	response := &rejection{status: http.StatusServiceUnavailable, retryAfter: wait}
+	x.handler.reject(x.client, response)
 }
 
 // record writes down what became of an attempt.
-func (x *exchange) record(f executionState) {
-	x.attempts.record(f)
-	x.handler.counters.countExecution(f)
-	if f != unsent {
+func (x *exchange) record(state executionState) {
+	x.attempts.record(state)
+	x.handler.counters.countExecution(state)
+	if state != unsent {
 		x.retryReserved = false // it was used
 	}
 }
@@ -170,8 +170,8 @@
 // recordFailure closes an attempt that brought no answer. On a fresh connection that tells of the server; one that had
 // rested may have been closed meanwhile.
 func (x *exchange) recordFailure(decision placement.Decision, err error, fresh bool) attemptOutcome {
-	f := executionOfError(err)
-	x.record(f)
+	state := executionOfError(err)
+	x.record(state)
 	x.placement.Excluded = append(x.placement.Excluded, decision.ServerID)
 	if x.isCanceled() {
 		x.finishAttempt(decision, placement.ClientGone)
--- a/internal/proxy/execution.go
+++ b/internal/proxy/execution.go
@@ -74,13 +74,13 @@
 }
 
 // record takes in the fate of one attempt.
-func (l *attemptLog) record(f executionState) {
-	if f == unsent {
+func (l *attemptLog) record(state executionState) {
+	if state == unsent {
 		l.unsent++
 		return
 	}
 	l.sent++
-	if f != notExecuted {
+	if state != notExecuted {
 		l.possiblyExecuted = true
 	}
 }
--- a/internal/proxy/faultyserver_test.go
+++ b/internal/proxy/faultyserver_test.go
@@ -15,10 +15,10 @@
 	"fieldrelay/internal/proxy/upstream"
 )
 
-// saboteur is a server of trials. It misbehaves once, as its current trial asks, and serves well otherwise.
-type saboteur struct {
+// faultyServer is a server of trials. It misbehaves once, as its current trial asks, and serves well otherwise.
+type faultyServer struct {
 	server  upstream.Server
-	books   *books
+	record  *trialRecord
 	current atomic.Pointer[trial]
 	arrived chan struct{} // gets a value when a trial with clientLeaves is at its place
 	release atomic.Pointer[chan struct{}]
@@ -26,14 +26,14 @@
 	length  atomic.Int64 // bytes of the last request that it read whole
 }
 
-func newSaboteur(t *testing.T, name string, account *books) *saboteur {
+func newFaultyServer(t *testing.T, name string, account *trialRecord) *faultyServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	s := &saboteur{
+	s := &faultyServer{
 		server:  upstream.Server{ID: name, Address: listener.Addr().String()},
-		books:   account,
+		record:  account,
 		arrived: make(chan struct{}, 1),
 	}
 	go func() {
@@ -51,21 +51,21 @@
 // smallWindow is how much of a request the system takes in, at most, for a server that does not read.
 const smallWindow = 256 << 10
 
-// visit is one connection to a saboteur.
-type visit struct {
-	*saboteur
+// visit is one connection to a faultyServer.
+type serverConn struct {
+	*faultyServer
 	conn    *net.TCPConn
 	surplus string // is written before the next answer
 }
 
-func (s *saboteur) serve(conn *net.TCPConn) {
+func (s *faultyServer) serve(conn *net.TCPConn) {
 	defer conn.Close()
 	_ = conn.SetReadBuffer(smallWindow)
-	v := &visit{saboteur: s, conn: conn}
+	v := &serverConn{faultyServer: s, conn: conn}
 	if tr := s.current.Load(); tr != nil && !tr.reused && tr.stage == inRequest && tr.offset == 0 && s.current.CompareAndSwap(tr, nil) {
 		s.busy.Add(1)
 		defer s.busy.Add(-1)
-		v.misbehave(tr, nil)
+		v.injectFault(tr, nil)
 		return
 	}
 	for v.request() {
@@ -73,7 +73,7 @@
 }
 
 // request reads one request and answers it; it returns false when the connection is over.
-func (v *visit) request() bool {
+func (v *serverConn) request() bool {
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(v.conn, first); err != nil {
 		return false
@@ -87,59 +87,59 @@
 		if _, err := io.ReadFull(v.conn, read[1:]); err != nil {
 			return false
 		}
-		return v.misbehave(tr, read)
+		return v.injectFault(tr, read)
 	}
 	got, ok := v.readWhole(first)
 	if !ok {
 		return false
 	}
 	id := got.Header.Get(headerAttemptID)
-	v.books.reached(id, v.server.ID)
+	v.record.requestArrived(id, v.server.ID)
 	if tr != nil {
-		return v.misbehaveInAnswer(tr, got)
+		return v.injectFaultInResponse(tr, got)
 	}
 	after, _ := strconv.Atoi(got.Header.Get(headerLastEventID))
-	v.books.run(id, v.server.ID)
+	v.record.requestExecuted(id, v.server.ID)
 	head, body := answerOf(v.server.ID, id, isStreamTarget(got.RequestURI), after, framedByLength, reactsWell)
 	surplus := v.surplus
 	v.surplus = ""
-	v.books.answered(id, v.server.ID, head+body, true)
+	v.record.responseSent(id, v.server.ID, head+body, true)
 	_, err := io.WriteString(v.conn, surplus+head+body)
 	return err == nil && surplus == ""
 }
 
 // readBuffered reads a request of which some bytes were read, checks it and notes its length.
-func (v *visit) readWhole(begun []byte) (*http.Request, bool) {
+func (v *serverConn) readWhole(begun []byte) (*http.Request, bool) {
 	seen := bytes.NewBuffer(bytes.Clone(begun))
 	source := io.MultiReader(bytes.NewReader(begun), io.TeeReader(v.conn, seen))
 	got, err := http.ReadRequest(bufio.NewReader(source))
 	if err != nil {
 		if err != io.EOF && err != io.ErrUnexpectedEOF {
-			v.books.checkBytes(seen.String())
+			v.record.checkBytes(seen.String())
 		}
 		return nil, false
 	}
 	body, err := io.ReadAll(got.Body)
 	if err != nil {
-		v.books.checkBytes(seen.String())
+		v.record.checkBytes(seen.String())
 		return nil, false
 	}
 	v.length.Store(int64(seen.Len()))
-	v.books.checkRequest(got, string(body))
+	v.record.checkRequest(got, string(body))
 	return got, true
 }
 
 // misbehave acts once so many bytes of a request were read.
-func (v *visit) misbehave(tr *trial, read []byte) bool {
-	v.books.reached(tr.id, v.server.ID)
-	switch tr.misdeed {
+func (v *serverConn) injectFault(tr *trial, read []byte) bool {
+	v.record.requestArrived(tr.id, v.server.ID)
+	switch tr.fault {
 	case answersEarly, answersLater, answersCloses:
-		return v.answerEarly(tr, read)
+		return v.respondEarly(tr, read)
 	}
 	if int64(len(read)) >= v.length.Load() {
-		v.books.run(tr.id, v.server.ID) // it may have begun to work
+		v.record.requestExecuted(tr.id, v.server.ID) // it may have begun to work
 	}
-	switch tr.misdeed {
+	switch tr.fault {
 	case resetsThere:
 		_ = v.conn.SetLinger(0)
 	case fallsSilent, clientLeaves:
@@ -149,65 +149,65 @@
 }
 
 // stayUntilClosed keeps the connection without a word until the other side ends it.
-func (v *visit) stayUntilClosed(tr *trial) {
-	if tr.misdeed == clientLeaves {
+func (v *serverConn) stayUntilClosed(tr *trial) {
+	if tr.fault == clientLeaves {
 		v.arrived <- struct{}{}
 	}
 	_, _ = io.Copy(io.Discard, v.conn)
 }
 
-func (v *visit) answerEarly(tr *trial, read []byte) bool {
+func (v *serverConn) respondEarly(tr *trial, read []byte) bool {
 	later := *v.release.Load()
 	head, body := answerOf(v.server.ID, tr.id, tr.kind.stream, 0, tr.framing, tr.reaction)
 	if tr.reaction != reactsDeclined {
-		v.books.run(tr.id, v.server.ID)
+		v.record.requestExecuted(tr.id, v.server.ID)
 	}
-	ends := tr.misdeed == answersCloses || tr.framing == framedByEnd
-	v.books.answered(tr.id, v.server.ID, head+body, ends)
+	ends := tr.fault == answersCloses || tr.framing == framedByEnd
+	v.record.responseSent(tr.id, v.server.ID, head+body, ends)
 	_, _ = io.WriteString(v.conn, head+body)
 	if ends {
 		return false
 	}
-	if tr.misdeed == answersLater {
+	if tr.fault == answersLater {
 		<-later
 	}
 	_, ok := v.readWhole(read)
 	return ok
 }
 
-// misbehaveInAnswer acts once so many bytes of the answer to a request were written.
-func (v *visit) misbehaveInAnswer(tr *trial, got *http.Request) bool {
+// injectFaultInResponse acts once so many bytes of the answer to a request were written.
+func (v *serverConn) injectFaultInResponse(tr *trial, got *http.Request) bool {
 	after, _ := strconv.Atoi(got.Header.Get(headerLastEventID))
 	head, body := answerOf(v.server.ID, tr.id, tr.kind.stream, after, tr.framing, tr.reaction)
 	wire := head + body
 	if tr.reaction != reactsDeclined {
-		v.books.run(tr.id, v.server.ID)
+		v.record.requestExecuted(tr.id, v.server.ID)
 	}
 	other, otherBody := answerOf(v.server.ID, "other", false, 0, framedByLength, reactsWell)
 	other += otherBody
 	begun := wire[:min(tr.offset, len(wire))]
-	switch tr.misdeed {
+	switch tr.fault {
 	case resetsThere, fallsSilent, clientLeaves:
-		v.books.answered(tr.id, v.server.ID, begun, false)
+		v.record.responseSent(tr.id, v.server.ID, begun, false)
 		_, _ = io.WriteString(v.conn, begun)
-		if tr.misdeed == resetsThere {
+		if tr.fault == resetsThere {
 			_ = v.conn.SetLinger(0)
 		} else {
 			v.stayUntilClosed(tr)
 		}
 		return false
 	case closesThere:
-		v.books.answered(tr.id, v.server.ID, begun, true)
+		v.record.responseSent(tr.id, v.server.ID, begun, true)
 		_, _ = io.WriteString(v.conn, begun)
 		return false
 	case writesGarbage:
 		garbage := begun + "\x00\xff no answer at all\r\n\r\n"
-		v.books.answered(tr.id, v.server.ID, garbage, true)
+		v.record.responseSent(tr.id, v.server.ID, garbage, true)
 		_, _ = io.WriteString(v.conn, garbage)
 		return false
 	}
-	v.books.answered(tr.id, v.server.ID, wire, tr.framing == framedByEnd)
-	switch tr.misdeed {
+	v.record.responseSent(tr.id, v.server.ID, wire, tr.framing == framedByEnd)
+	switch tr.fault {
 	case answersTwice:
 		_, _ = io.WriteString(v.conn, wire+wire[:min(tr.offset, len(wire))])
 	case repeatsLater:
--- a/internal/proxy/forward_test.go
+++ b/internal/proxy/forward_test.go
@@ -17,12 +17,12 @@
 )
 
 func TestRequestAndAnswerPassUnchanged(t *testing.T) {
-	server := newStandIn(t, "i-1", text(201, seal+"X-Answer: a\r\nSet-Cookie: x\r\nSet-Cookie: y\r\nKeep-Alive: timeout=9\r\n", "the answer"))
-	r := newRig(t, server)
+	server := newFakeServer(t, "i-1", text(201, seal+"X-Answer: a\r\nSet-Cookie: x\r\nSet-Cookie: y\r\nKeep-Alive: timeout=9\r\n", "the answer"))
+	r := newTestProxy(t, server)
 	c := r.dial()
 	target := "/m/%2e%2E/a//b;c=1?x=%zz&y=%20+&z"
-	c.ask("POST", target, "X-Own: 1\r\nConnection: keep-alive, X-Hop\r\nX-Hop: h\r\nX-Fieldrelay-Deadline-Ms: 1000\r\n", "the body\x00\xff")
-	response, body := c.answer("POST")
+	c.send("POST", target, "X-Own: 1\r\nConnection: keep-alive, X-Hop\r\nX-Hop: h\r\nX-Fieldrelay-Deadline-Ms: 1000\r\n", "the body\x00\xff")
+	response, body := c.receive("POST")
 	require.Equal(t, 201, response.StatusCode)
 	require.Equal(t, "the answer", body)
 	require.Equal(t, http.Header{
@@ -30,7 +30,7 @@
 		"Content-Length": {"10"},
 	}, response.Header)
 
-	got := server.got()
+	got := server.requests()
 	require.Len(t, got, 1)
 	require.Equal(t, "POST", got[0].method)
 	require.Equal(t, target, got[0].target)
@@ -44,23 +44,23 @@
 	require.Equal(t, http.Header{
 		headerAttemptID: {"id1"}, headerExpectServer: {"i-1"}, "X-Own": {"1"}, "Priority": {"2"}, "Content-Length": {"10"},
 	}, got[0].header)
-	require.Equal(t, []bool{true}, r.placer.answered)
+	require.Equal(t, []bool{true}, r.placer.succeeded)
 }
 
 func TestBodiesInChunksAndConnectionsAreReused(t *testing.T) {
-	server := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
+	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: id1\r\n%sTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", headerAttemptID, seal)
 		return err == nil
 	})
-	r := newRig(t, server)
+	r := newTestProxy(t, server)
 	c := r.dial()
 	for range 3 {
-		c.ask("PUT", "/m/x", "Transfer-Encoding: chunked\r\n", "")
+		c.send("PUT", "/m/x", "Transfer-Encoding: chunked\r\n", "")
 		c.write("4\r\nwiki\r\n5\r\npedia\r\n0\r\n\r\n")
-		_, body := c.answer("PUT")
+		_, body := c.receive("PUT")
 		require.Equal(t, "abc", body)
 	}
-	for _, request := range server.got() {
+	for _, request := range server.requests() {
 		require.Equal(t, "wikipedia", request.body)
 		require.Equal(t, "9", request.header.Get("Content-Length"))
 	}
@@ -69,24 +69,24 @@
 }
 
 func TestExpectContinue(t *testing.T) {
-	server := newStandIn(t, "i-1", good("ok"))
-	r := newRig(t, server)
+	server := newFakeServer(t, "i-1", ok("ok"))
+	r := newTestProxy(t, server)
 	c := r.dial()
-	c.ask("POST", "/m/x", "Expect: 100-continue\r\nContent-Length: 3\r\n", "")
+	c.send("POST", "/m/x", "Expect: 100-continue\r\nContent-Length: 3\r\n", "")
 	line, err := c.reader.ReadString('\n')
 	require.NoError(t, err)
 	require.Contains(t, line, "100 Continue")
 	_, err = c.reader.ReadString('\n')
 	require.NoError(t, err)
 	c.write("abc")
-	response, _ := c.answer("POST")
+	response, _ := c.receive("POST")
 	require.Equal(t, 200, response.StatusCode)
-	require.Equal(t, "abc", server.got()[0].body)
-	require.Empty(t, server.got()[0].header.Get("Expect"))
+	require.Equal(t, "abc", server.requests()[0].body)
+	require.Empty(t, server.requests()[0].header.Get("Expect"))
 }
 
 func TestHeadAndAnswersWithoutBody(t *testing.T) {
-	server := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
+	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 		status := 200
 		if request.method == "GET" {
 			status = 204
@@ -98,25 +98,25 @@
 		_, _ = io.WriteString(conn, "\r\n")
 		return err == nil
 	})
-	r := newRig(t, server)
+	r := newTestProxy(t, server)
 	c := r.dial()
-	c.ask("HEAD", "/i/x", "", "")
-	response, _ := c.answer("HEAD")
+	c.send("HEAD", "/i/x", "", "")
+	response, _ := c.receive("HEAD")
 	require.Equal(t, "500", response.Header.Get("Content-Length"))
-	c.ask("GET", "/i/x", "", "")
-	response, body := c.answer("GET")
+	c.send("GET", "/i/x", "", "")
+	response, body := c.receive("GET")
 	require.Equal(t, 204, response.StatusCode)
 	require.Empty(t, body)
 	require.EqualValues(t, 1, r.handler.pool.Stats().Dialed)
 }
 
 func TestOwnRefusals(t *testing.T) {
-	server := newStandIn(t, "i-1", good("ok"))
-	r := newRig(t, server)
+	server := newFakeServer(t, "i-1", ok("ok"))
+	r := newTestProxy(t, server)
 	ask := func(request string) (*http.Response, string) {
 		c := r.dial()
 		c.write(request)
-		return c.answer("GET")
+		return c.receive("GET")
 	}
 	cases := map[string]struct {
 		request string
@@ -137,68 +137,68 @@
 			require.Empty(t, response.Header.Get(headerServerSeal))
 		})
 	}
-	require.Empty(t, server.got())
+	require.Empty(t, server.requests())
 
 	response, _ := ask(lines("GET http://h.example/m/y?z HTTP/1.1", "Host: h.example", headerAttemptID+": id1", ""))
 	require.Equal(t, 200, response.StatusCode)
-	require.Equal(t, "/m/y?z", server.got()[0].target)
+	require.Equal(t, "/m/y?z", server.requests()[0].target)
 }
 
 func TestBeforeTheFirstConfiguration(t *testing.T) {
-	r := newRig(t)
-	r.handler.state.current.Store(newState().load())
+	r := newTestProxy(t)
+	r.handler.snapshots.current.Store(newSnapshotStore().load())
 	response, _ := r.get("/m/x")
 	require.Equal(t, 503, response.StatusCode)
 	require.Equal(t, "0.200", response.Header.Get("Retry-After"))
 }
 
 func TestOverload(t *testing.T) {
-	server := newStandIn(t, "i-1", good("ok"))
-	r := newRig(t, server)
+	server := newFakeServer(t, "i-1", ok("ok"))
+	r := newTestProxy(t, server)
 	r.placer.overload = &placement.OverloadError{RetryAfter: 1250 * time.Millisecond}
 	response, _ := r.get("/m/x")
 	require.Equal(t, 503, response.StatusCode)
 	require.Equal(t, "1.250", response.Header.Get("Retry-After"))
-	require.Empty(t, server.got())
+	require.Empty(t, server.requests())
 }
 
 func TestLargeAnswers(t *testing.T) {
 	large := repeated("0123456789abcdef", 100_000)
-	r := newRig(t, newStandIn(t, "i-1", good(large)))
+	r := newTestProxy(t, newFakeServer(t, "i-1", ok(large)))
 	response, body := r.get("/m/x")
 	require.EqualValues(t, len(large), response.ContentLength)
 	require.True(t, body == large)
 
 	cut := raw(answerHead + fmt.Sprintf("Content-Length: %d\r\n\r\n", len(large)+1) + large)
-	r = newRig(t, newStandIn(t, "i-1", cut))
+	r = newTestProxy(t, newFakeServer(t, "i-1", cut))
 	c := r.dial()
-	c.ask("GET", "/i/x", "", "")
-	begun := c.head("GET")
+	c.send("GET", "/i/x", "", "")
+	begun := c.receiveHead("GET")
 	_, err := io.Copy(io.Discard, begun.Body)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 
-	r = newRig(t, newStandIn(t, "i-1", good(large)))
+	r = newTestProxy(t, newFakeServer(t, "i-1", ok(large)))
 	r.handler.memory.limit = 0
 	_, body = r.get("/m/x")
 	require.True(t, body == large, "without memory, an answer is passed on in pieces")
 }
 
 func TestNoMemoryForBodies(t *testing.T) {
-	r := newRig(t, newStandIn(t, "i-1", good("ok")))
+	r := newTestProxy(t, newFakeServer(t, "i-1", ok("ok")))
 	r.handler.memory.limit = 10
 	c := r.dial()
-	c.ask("POST", "/m/x", "", repeated("x", 1000))
-	response, _ := c.answer("POST")
+	c.send("POST", "/m/x", "", repeated("x", 1000))
+	response, _ := c.receive("POST")
 	require.Equal(t, 503, response.StatusCode)
 	require.True(t, response.Close)
 }
 
 func TestClientThatLeavesEndsTheServersWork(t *testing.T) {
-	server := newStandIn(t, "i-1", silent)
-	r := newRig(t, server)
+	server := newFakeServer(t, "i-1", noResponse)
+	r := newTestProxy(t, server)
 	c := r.dial()
-	c.ask("GET", "/m/x", "", "")
-	eventually(t, func() bool { return len(server.got()) == 1 }, "the request arrives")
+	c.send("GET", "/m/x", "", "")
+	eventually(t, func() bool { return len(server.requests()) == 1 }, "the request arrives")
 	require.NoError(t, c.conn.Close())
 	<-server.closed
 	eventually(t, func() bool { return len(r.placer.seenOutcomes()) == 1 }, "the attempt ends")
@@ -206,21 +206,21 @@
 }
 
 func TestServerThatClosesTwiceInARowIsLeaving(t *testing.T) {
-	server := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
+	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 		text(200, seal+"Connection: close\r\n", "ok")(conn, request)
 		return false
 	})
-	r := newRig(t, server)
+	r := newTestProxy(t, server)
 	for range 2 {
 		response, _ := r.get("/m/x")
 		require.Equal(t, 200, response.StatusCode)
 		require.False(t, response.Close, "the client's connection is another one")
 	}
-	require.Equal(t, []string{"i-1"}, r.placer.leaving)
+	require.Equal(t, []string{"i-1"}, r.placer.draining)
 }
 
 func TestDrainingAnswers(t *testing.T) {
-	r := newRig(t, newStandIn(t, "i-1", good("ok")))
+	r := newTestProxy(t, newFakeServer(t, "i-1", ok("ok")))
 	r.handler.lifecycle.enter(phaseDraining)
 	response, body := r.get("/m/x")
 	require.Equal(t, 200, response.StatusCode)
@@ -234,10 +234,10 @@
 }
 
 func TestManyRequestsAtOnce(t *testing.T) {
-	server := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
-		return good(request.body)(conn, request)
+	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
+		return ok(request.body)(conn, request)
 	})
-	r := newRig(t, server)
+	r := newTestProxy(t, server)
 	const clients, each = 8, 40
 	failures := make(chan error, clients)
 	for n := range clients {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -32,7 +32,7 @@
 
 // handler serves the requests of clients.
 type handler struct {
-	state      *state
+	snapshots  *snapshotStore
 	lifecycle  *lifecycle
 	dispatcher *dispatcher
 	announcer  *announcer // nil: nothing is announced
@@ -87,19 +87,19 @@
 var drainRejection = &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterShort, closeConnection: true}
 
 // refuse writes an answer of the proxy's own. It goes out however late it comes.
-func (h *handler) reject(writer http.ResponseWriter, own *rejection) {
-	h.counters.countOwnResponse(own.status)
+func (h *handler) reject(writer http.ResponseWriter, response *rejection) {
+	h.counters.countOwnResponse(response.status)
 	_ = http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(writeSlack))
 	header := writer.Header()
 	suppressDefaults(header)
-	if own.retryAfter > 0 {
-		header["Retry-After"] = []string{retryAfter(own.retryAfter)}
+	if response.retryAfter > 0 {
+		header["Retry-After"] = []string{retryAfter(response.retryAfter)}
 	}
 	header["Content-Length"] = []string{"0"}
-	if own.closeConnection || h.lifecycle.draining() {
+	if response.closeConnection || h.lifecycle.draining() {
 		setConnectionClose(header)
 	}
-	writer.WriteHeader(own.status)
+	writer.WriteHeader(response.status)
 }
 
 // setConnectionClose ends the client's connection after the answer.
@@ -108,36 +108,36 @@
 // prepare reads a request whole and finds its route. The body is read before anything else is decided, so
 // that the connection stays usable and an attempt is always whole.
 func (h *handler) prepare(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*exchange, *rejection) {
-	attemptID, proper := attemptIDOf(request.Header)
+	attemptID, hasID := attemptIDOf(request.Header)
 	target, hasPath := originForm(request.RequestURI)
-	if !proper || !hasPath {
+	if !hasID || !hasPath {
 		return nil, &rejection{status: http.StatusBadRequest}
 	}
 	if h.lifecycle.phase() >= phaseRejecting {
 		return nil, drainRejection
 	}
 	control := http.NewResponseController(writer)
-	taken, err := h.receive(control, request, target, arrived)
+	received, err := h.receive(control, request, target, arrived)
 	if err != nil {
 		return nil, rejectionOf(err)
 	}
-	if !h.lifecycle.accepts(time.Now(), taken.deadline) {
-		taken.body.free()
+	if !h.lifecycle.accepts(time.Now(), received.deadline) {
+		received.body.free()
 		return nil, drainRejection
 	}
-	found := taken.route
+	matched := received.route
 	return &exchange{
 		handler:   h,
 		client:    writer,
 		request:   request,
 		target:    target,
 		attemptID: attemptID,
-		route:     found,
-		placement: placementRequest(request.Header, found, h.random(), h.dispatcher.at(taken.readyAt)),
-		body:      taken.body,
-		arrived:   taken.readyAt,
-		deadline:  taken.deadline,
-		attempts:  attemptLog{idempotent: found.IsIdempotent(), maxAttempts: max(found.MaxAttempts, 1)},
+		route:     matched,
+		placement: placementRequest(request.Header, matched, h.random(), h.dispatcher.at(received.readyAt)),
+		body:      received.body,
+		arrived:   received.readyAt,
+		deadline:  received.deadline,
+		attempts:  attemptLog{idempotent: matched.IsIdempotent(), maxAttempts: max(matched.MaxAttempts, 1)},
 	}, nil
 }
 
@@ -150,45 +150,45 @@
 }
 
 // receive reads the body and finds the route; a proxy that has just started first waits until it can.
-func (h *handler) receive(control *http.ResponseController, request *http.Request, target string, arrived time.Time) (taken receivedRequest, err error) {
-	floor := h.state.usedSequence.floor()
-	held := h.state.load()
-	taken.readyAt = arrived
-	early := !held.usable()
-	if early {
-		if held, taken.body, err = h.waitUntilUsable(control, request, target, arrived); err != nil {
-			return taken, err
+func (h *handler) receive(control *http.ResponseController, request *http.Request, target string, arrived time.Time) (received receivedRequest, err error) {
+	usedBefore := h.snapshots.usedSequence.floor()
+	current := h.snapshots.load()
+	received.readyAt = arrived
+	waited := !current.usable()
+	if waited {
+		if current, received.body, err = h.waitUntilUsable(control, request, target, arrived); err != nil {
+			return received, err
 		}
-		taken.readyAt = time.Now()
+		received.readyAt = time.Now()
 	}
 	defer func() {
 		if err != nil {
-			taken.body.free()
+			received.body.free()
 		}
 	}()
-	h.checkSequence(held, floor)
-	if !held.configured() {
-		return taken, errNoConfiguration
+	h.checkSequence(current, usedBefore)
+	if !current.configured() {
+		return received, errNoConfiguration
 	}
-	found, ok := held.table.Lookup(request.Host, pathOf(target))
+	found, ok := current.table.Lookup(request.Host, pathOf(target))
 	if !ok {
-		return taken, errNoRoute
+		return received, errNoRoute
 	}
-	taken.route = found
-	taken.deadline = arrived.Add(timeoutFor(request.Header, found))
-	_ = control.SetWriteDeadline(taken.deadline.Add(writeSlack))
-	if !early {
-		taken.body, err = h.readBody(control, request, held.table.RequestLimits().MaxBodyBytes, taken.deadline)
+	received.route = found
+	received.deadline = arrived.Add(timeoutFor(request.Header, found))
+	_ = control.SetWriteDeadline(received.deadline.Add(writeSlack))
+	if !waited {
+		received.body, err = h.readBody(control, request, current.table.RequestLimits().MaxBodyBytes, received.deadline)
 	}
-	return taken, err
+	return received, err
 }
 
 // checkSequence checks that a request uses no older snapshot than those before it: floor was read when it came.
-func (h *handler) checkSequence(held *snapshot, floor uint64) {
-	if held.sequence < floor {
+func (h *handler) checkSequence(current *snapshot, usedBefore uint64) {
+	if current.sequence < usedBefore {
 		h.counters.staleReads.Add(1)
 	}
-	h.state.usedSequence.raise(held.sequence)
+	h.snapshots.usedSequence.raise(current.sequence)
 }
 
 var (
@@ -225,12 +225,12 @@
 }
 
 // timeoutFor is how long a request may be held: what the client waits, but no longer than the route allows.
-func timeoutFor(header http.Header, found *route.Route) time.Duration {
-	told := clientTimeout(header)
-	if found.Deadline > 0 {
-		return min(told, found.Deadline)
+func timeoutFor(header http.Header, matched *route.Route) time.Duration {
+	requested := clientTimeout(header)
+	if matched.Deadline > 0 {
+		return min(requested, matched.Deadline)
 	}
-	return told
+	return requested
 }
 
 // clientTimeout is how long a client says that it waits, at most longestDeadline.
@@ -247,18 +247,18 @@
 }
 
 // placementRequest tells placement what the headers of a request say about its size.
-func placementRequest(header http.Header, found *route.Route, draw float64, arrived time.Duration) placement.Request {
+func placementRequest(header http.Header, matched *route.Route, draw float64, arrived time.Duration) placement.Request {
 	request := placement.Request{
-		Route:   found,
-		Service: found.PickService(draw),
+		Route:   matched,
+		Service: matched.PickService(draw),
 		Model:   header.Get(headerModel),
 		Arrived: arrived,
 	}
-	request.Returned = clientTimeout(header)+retrySlack < found.Deadline
+	request.Returned = clientTimeout(header)+retrySlack < matched.Deadline
 	request.Prompt, request.Generate = tokenCounts(header.Get(headerTokenCount))
-	if parts := header.Get(headerPromptPrefix); parts != "" {
+	if chunks := header.Get(headerPromptPrefix); chunks != "" {
 		// A list that can't be read only means that nothing is known of kept parts.
-		request.Chunks, _ = placement.ParseChunks(parts, nil)
+		request.Chunks, _ = placement.ParseChunks(chunks, nil)
 	}
 	return request
 }
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -155,10 +155,10 @@
 
 // suppressDefaults keeps net/http from adding headers of its own.
 func suppressDefaults(header http.Header) {
-	if _, told := header["Date"]; !told {
+	if _, present := header["Date"]; !present {
 		header["Date"] = nil
 	}
-	if _, told := header["Content-Type"]; !told {
+	if _, present := header["Content-Type"]; !present {
 		header["Content-Type"] = nil
 	}
 }
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestStateTellsAGenerationThatFalls(t *testing.T) {
-	s := newState()
+	s := newSnapshotStore()
 	_, done := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
 	require.False(t, done.regressed)
 	_, done = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: 2, Generation: 6}}})
@@ -38,9 +38,9 @@
 }
 
 func TestRequestWithAnOlderSnapshotIsAViolation(t *testing.T) {
-	h := &handler{state: newState(), counters: &counters{}}
+	h := &handler{snapshots: newSnapshotStore(), counters: &counters{}}
 	use := func(sequence uint64) {
-		h.checkSequence(&snapshot{sequence: sequence}, h.state.usedSequence.floor())
+		h.checkSequence(&snapshot{sequence: sequence}, h.snapshots.usedSequence.floor())
 	}
 	use(3)
 	use(3)
@@ -48,34 +48,34 @@
 	require.Zero(t, h.counters.violations())
 	use(4)
 	require.EqualValues(t, 1, h.counters.violations())
-	require.EqualValues(t, 5, h.state.usedSequence.floor())
+	require.EqualValues(t, 5, h.snapshots.usedSequence.floor())
 }
 
 // Requests that run beside changes use what is no older than what those before them used.
 func TestRequestsBesideChangesUseNoOlderSnapshot(t *testing.T) {
 	const changes, requests = 300, 3000
-	h := &handler{state: newState(), counters: &counters{}}
+	h := &handler{snapshots: newSnapshotStore(), counters: &counters{}}
 	var group sync.WaitGroup
 	for range 4 {
 		group.Go(func() {
 			for range requests {
-				floor := h.state.usedSequence.floor()
-				h.checkSequence(h.state.load(), floor)
+				floor := h.snapshots.usedSequence.floor()
+				h.checkSequence(h.snapshots.load(), floor)
 			}
 		})
 	}
 	for sequence := range uint64(changes) {
-		h.state.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: sequence + 1, Generation: sequence + 1}}})
+		h.snapshots.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: sequence + 1, Generation: sequence + 1}}})
 	}
 	group.Wait()
 	require.Zero(t, h.counters.violations())
-	require.EqualValues(t, changes, h.state.load().sequence)
+	require.EqualValues(t, changes, h.snapshots.load().sequence)
 }
 
 func TestNotingAUseAllocatesNothing(t *testing.T) {
-	h := &handler{state: newState(), counters: &counters{}}
+	h := &handler{snapshots: newSnapshotStore(), counters: &counters{}}
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
-		floor := h.state.usedSequence.floor()
-		h.checkSequence(h.state.load(), floor)
+		floor := h.snapshots.usedSequence.floor()
+		h.checkSequence(h.snapshots.load(), floor)
 	}))
 }
--- a/internal/proxy/largechange_bench_test.go
+++ b/internal/proxy/largechange_bench_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	held := newState()
+	held := newSnapshotStore()
 	held.apply(&pb.ApplyRequest{Changes: []*pb.Change{first}})
 	before := held.load()
 	b.ReportAllocs()
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -42,15 +42,15 @@
 // takes tells whether a request may be taken that lasts until its deadline at most. Shortly after the process was
 // told to end, every request may be: clients have hardly heard of it. Later ones must not be broken off.
 func (l *lifecycle) accepts(now, deadline time.Time) bool {
-	ending := l.drainTimes.Load()
-	return ending == nil || now.Before(ending.deadlineCheck) || deadline.Before(ending.abort)
+	times := l.drainTimes.Load()
+	return times == nil || now.Before(times.deadlineCheck) || deadline.Before(times.abort)
 }
 
 // draining tells whether the process was told to end.
 func (l *lifecycle) draining() bool { return l.phase() >= phaseDraining }
 
 // ready tells whether clients may be sent here.
-func (l *lifecycle) ready(held *snapshot) bool { return held.complete() && !l.draining() }
+func (l *lifecycle) ready(current *snapshot) bool { return current.complete() && !l.draining() }
 
 // ServeHTTP answers the platform's check.
 func (l *lifecycle) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
@@ -86,8 +86,8 @@
 }
 
 // from gives the instants of a plan that begins at a moment.
-func (p drainPlan) start(began time.Time) drainTimes {
-	return drainTimes{deadlineCheck: began.Add(p.deadlineCheck), abort: began.Add(p.abort)}
+func (p drainPlan) start(start time.Time) drainTimes {
+	return drainTimes{deadlineCheck: start.Add(p.deadlineCheck), abort: start.Add(p.abort)}
 }
 
 func planDrain(grace time.Duration) drainPlan {
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -37,16 +37,16 @@
 	keepAlive  time.Duration
 }
 
-func connLimitsOf(told route.RequestLimits) connLimits {
+func connLimitsOf(configured route.RequestLimits) connLimits {
 	limits := connLimits{maxHeader: defaultMaxHeader, headerRead: defaultHeaderRead, keepAlive: defaultKeepAlive}
-	if told.MaxHeaderBytes > 0 {
-		limits.maxHeader = int(told.MaxHeaderBytes)
+	if configured.MaxHeaderBytes > 0 {
+		limits.maxHeader = int(configured.MaxHeaderBytes)
 	}
-	if told.HeaderRead > 0 {
-		limits.headerRead = told.HeaderRead
+	if configured.HeaderRead > 0 {
+		limits.headerRead = configured.HeaderRead
 	}
-	if told.KeepAlive > 0 {
-		limits.keepAlive = told.KeepAlive
+	if configured.KeepAlive > 0 {
+		limits.keepAlive = configured.KeepAlive
 	}
 	limits.maxHeader += headerSlack
 	limits.headerRead += limitSlack
@@ -126,21 +126,21 @@
 // handlerFor makes the handler of the connections under new limits, and lets those under narrower ones end. The
 // caller holds the lock.
 func (f *clientListener) handlerFor(limits connLimits) *limitedHandler {
-	f.handlers = slices.DeleteFunc(f.handlers, func(earlier *limitedHandler) bool {
-		narrower := earlier.limits.narrowerThan(limits)
+	f.handlers = slices.DeleteFunc(f.handlers, func(previous *limitedHandler) bool {
+		narrower := previous.limits.narrowerThan(limits)
 		if narrower {
-			earlier.superseded.Store(true)
+			previous.superseded.Store(true)
 		}
 		return narrower
 	})
-	for _, earlier := range f.handlers {
-		if earlier.limits == limits {
-			return earlier
+	for _, previous := range f.handlers {
+		if previous.limits == limits {
+			return previous
 		}
 	}
-	made := &limitedHandler{Handler: f.handler, limits: limits}
-	f.handlers = append(f.handlers, made)
-	return made
+	created := &limitedHandler{Handler: f.handler, limits: limits}
+	f.handlers = append(f.handlers, created)
+	return created
 }
 
 func (f *clientListener) newServer(limits connLimits, handler http.Handler) *http.Server {
--- a/internal/proxy/liveness_test.go
+++ b/internal/proxy/liveness_test.go
@@ -37,15 +37,15 @@
 	r := startProcess(t, 1)
 	r.process.liveness.lastContact.Store(int64(-time.Hour))
 	r.status()
-	require.Less(t, r.process.liveness.sinceContact(r.process.now()), patience, "a status is an exchange")
+	require.Less(t, r.process.liveness.sinceContact(r.process.now()), testTimeout, "a status is an exchange")
 
 	r.process.liveness.lastContact.Store(int64(-time.Hour))
-	unusable := rigChange()
+	unusable := testChange()
 	unusable.Upserts[0].Body = []byte(`no object`)
 	r.apply(&pb.ApplyRequest{Changes: []*pb.Change{unusable}})
-	require.Less(t, r.process.liveness.sinceContact(r.process.now()), patience)
-	r.apply(&pb.ApplyRequest{Repair: wholeRepair(3, 9)})
-	r.apply(&pb.ApplyRequest{Repair: wholeRepair(3, 9)})
+	require.Less(t, r.process.liveness.sinceContact(r.process.now()), testTimeout)
+	r.apply(&pb.ApplyRequest{Repair: fullRepair(3, 9)})
+	r.apply(&pb.ApplyRequest{Repair: fullRepair(3, 9)})
 	counted := r.process.counters
 	require.EqualValues(t, 1, counted.itemsRejected.Load())
 	require.EqualValues(t, 1, counted.fullStates.Load())
@@ -65,15 +65,15 @@
 
 // TestItemsThatAreOddAreTold: each one is told by its name and its fault, whether it is served in part or left out.
 func TestItemsThatAreOddAreTold(t *testing.T) {
-	change := rigChange()
+	change := testChange()
 	change.Upserts[0].Body = []byte(`no object`)
 	change.Upserts = append(change.Upserts, &pb.Item{
 		Kind: catalog.KindRoutes, Name: "odd", Body: []byte(`{"vhost":"h","path-prefix":"/odd/","backend":"s1","tries":-1}`),
 	})
 	logged, logs := observer.New(zap.DebugLevel)
-	f := &configStream{state: newState(), counters: &counters{}, logger: zap.New(logged), lifecycle: &lifecycle{}}
-	before := f.state.load()
-	held, done := f.state.apply(&pb.ApplyRequest{Changes: []*pb.Change{change}})
+	f := &configStream{snapshots: newSnapshotStore(), counters: &counters{}, logger: zap.New(logged), lifecycle: &lifecycle{}}
+	before := f.snapshots.load()
+	held, done := f.snapshots.apply(&pb.ApplyRequest{Changes: []*pb.Change{change}})
 	f.counters.countUpdate(done)
 	f.logUpdate(before, held, done)
 
--- a/internal/proxy/memorylimit.go
+++ b/internal/proxy/memorylimit.go
@@ -11,13 +11,13 @@
 func newMemoryLimit(limit int64) *memoryLimit { return &memoryLimit{limit: limit} }
 
 // take charges bytes and tells whether there was room for them.
-func (m *memoryLimit) reserve(bytes int64) bool {
-	if m.used.Add(bytes) <= m.limit {
+func (m *memoryLimit) reserve(n int64) bool {
+	if m.used.Add(n) <= m.limit {
 		return true
 	}
-	m.used.Add(-bytes)
+	m.used.Add(-n)
 	return false
 }
 
 // give returns bytes that were charged.
-func (m *memoryLimit) release(bytes int64) { m.used.Add(-bytes) }
+func (m *memoryLimit) release(n int64) { m.used.Add(-n) }
--- a/internal/proxy/pickserver.go
+++ b/internal/proxy/pickserver.go
@@ -30,20 +30,20 @@
 
 // pick opens an attempt at a server. While none has room, it waits for a short time.
 func (x *exchange) pickServer() (placement.Decision, error) {
-	patience := x.capacityWaitEnd()
+	waitEnd := x.capacityWaitEnd()
 	if x.handler.disabled.Off(policy.CapacityWait) {
-		patience = x.arrived
+		waitEnd = x.arrived
 	}
 	for {
 		decision, err := x.handler.dispatcher.pick(&x.placement, x.deadline)
 		if err == nil {
 			return decision, nil
 		}
-		wait, worthwhile := pickRetryDelay(err)
-		if !worthwhile || time.Now().Add(wait).After(patience) {
+		delay, worthwhile := pickRetryDelay(err)
+		if !worthwhile || time.Now().Add(delay).After(waitEnd) {
 			return placement.Decision{}, err
 		}
-		if !x.sleep(wait) {
+		if !x.sleep(delay) {
 			return placement.Decision{}, errClientCanceled
 		}
 	}
--- a/internal/proxy/planted_test.go
+++ b/internal/proxy/planted_test.go
@@ -16,45 +16,45 @@
 )
 
 // planted is a fault that stands between the clients and a proxy without one.
-type planted struct {
+type plantedFault struct {
 	name    string
-	between func(*handler) http.Handler
-	deeds   []misdeed // trials among which it must be found
-	finding string    // part of one of the findings
+	wrap    func(*handler) http.Handler
+	faults  []fault // trials among which it must be found
+	finding string  // part of one of the findings
 }
 
-func plantedFaults() []planted {
-	wellBehaved := []misdeed{repeatsLater}
-	return []planted{
-		{"each request is passed on twice", sentTwice, wellBehaved, "ran 2 times"},
-		{"a request that may run once is taken for another", targetsChanged("/long/m/", "/long/i/"), []misdeed{resetsThere}, "ran 2 times"},
-		{"a stream is taken up that may not be", targetsChanged("/long/s/", "/long/r/"), []misdeed{resetsThere}, "ran 2 times"},
-		{"bodies are changed", bodiesChanged, wellBehaved, "that no client sent"},
-		{"an answer that was cut is ended well", cutsHidden, []misdeed{resetsThere}, "looks whole after"},
-		{"what may have run is refused", failuresRefused, []misdeed{resetsThere}, "answered 503 but ran"},
-		{"answers go to the next caller", answersDelayed(), wellBehaved, "got the answer to"},
-		{"answers lack a byte", answersShortened, wellBehaved, "as a whole answer"},
-		{"a client's leaving is not seen", leavingUnseen, []misdeed{clientLeaves}, "goes on"},
+func plantedFaults() []plantedFault {
+	wellBehaved := []fault{repeatsLater}
+	return []plantedFault{
+		{"each request is passed on twice", sendTwice, wellBehaved, "ran 2 times"},
+		{"a request that may run once is taken for another", changeTargets("/long/m/", "/long/i/"), []fault{resetsThere}, "ran 2 times"},
+		{"a stream is taken up that may not be", changeTargets("/long/s/", "/long/r/"), []fault{resetsThere}, "ran 2 times"},
+		{"bodies are changed", changeBodies, wellBehaved, "that no client sent"},
+		{"an answer that was cut is ended well", hideAborts, []fault{resetsThere}, "looks whole after"},
+		{"what may have run is refused", reportFailuresAsUnavailable, []fault{resetsThere}, "answered 503 but ran"},
+		{"answers go to the next caller", delayResponses(), wellBehaved, "got the answer to"},
+		{"answers lack a byte", shortenResponses, wellBehaved, "as a whole answer"},
+		{"a client's leaving is not seen", ignoreCancellation, []fault{clientLeaves}, "goes on"},
 	}
 }
 
 // Each rule of the trials is seen to fail where a fault breaks it.
 func TestTrialsFindPlantedFaults(t *testing.T) {
-	lengths := newWorker(t, plainly).lengths
+	lengths := newTrialWorker(t, unwrapped).lengths
 	for _, fault := range plantedFaults() {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			all := slices.DeleteFunc(allTrials(trialStride, lengths), func(tr trial) bool {
-				return !slices.Contains(fault.deeds, tr.misdeed)
+				return !slices.Contains(fault.faults, tr.fault)
 			})
-			found := strings.Join(runTrials(t, all, plantedPatience, fault.between).found, "\n")
+			found := strings.Join(runTrials(t, all, plantedPatience, fault.wrap).found, "\n")
 			require.Contains(t, found, fault.finding)
 		})
 	}
 }
 
 // again is a request with another target or body.
-func again(request *http.Request, target string, body []byte) *http.Request {
+func cloneRequest(request *http.Request, target string, body []byte) *http.Request {
 	changed := request.Clone(request.Context())
 	changed.RequestURI = target
 	changed.Body = io.NopCloser(bytes.NewReader(body))
@@ -62,21 +62,21 @@
 }
 
 // quietly serves a request and hides that its answer broke off.
-func quietly(h http.Handler, writer http.ResponseWriter, request *http.Request) (cut bool) {
+func serveAborted(h http.Handler, writer http.ResponseWriter, request *http.Request) (cut bool) {
 	defer func() { cut = recover() != nil }()
 	h.ServeHTTP(writer, request)
 	return false
 }
 
-func sentTwice(h *handler) http.Handler {
+func sendTwice(h *handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
-		quietly(h, httptest.NewRecorder(), again(request, request.RequestURI, body))
-		h.ServeHTTP(writer, again(request, request.RequestURI, body))
+		serveAborted(h, httptest.NewRecorder(), cloneRequest(request, request.RequestURI, body))
+		h.ServeHTTP(writer, cloneRequest(request, request.RequestURI, body))
 	})
 }
 
-func targetsChanged(from, to string) func(*handler) http.Handler {
+func changeTargets(from, to string) func(*handler) http.Handler {
 	return func(h *handler) http.Handler {
 		return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			request.RequestURI = strings.Replace(request.RequestURI, from, to, 1)
@@ -85,19 +85,19 @@
 	}
 }
 
-func bodiesChanged(h *handler) http.Handler {
+func changeBodies(h *handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
 		body[len(body)/2]++
-		h.ServeHTTP(writer, again(request, request.RequestURI, body))
+		h.ServeHTTP(writer, cloneRequest(request, request.RequestURI, body))
 	})
 }
 
-func cutsHidden(h *handler) http.Handler {
-	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) { quietly(h, writer, request) })
+func hideAborts(h *handler) http.Handler {
+	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) { serveAborted(h, writer, request) })
 }
 
-func leavingUnseen(h *handler) http.Handler {
+func ignoreCancellation(h *handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		// It ends in the end, or the test would not.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(request.Context()), 2*plantedPatience)
@@ -110,9 +110,9 @@
 const plantedPatience = 300 * time.Millisecond
 
 // recorded serves a request and returns the answer; cut tells whether it broke off.
-func recorded(h http.Handler, request *http.Request) (answer *httptest.ResponseRecorder, cut bool) {
+func recordResponse(h http.Handler, request *http.Request) (answer *httptest.ResponseRecorder, cut bool) {
 	answer = httptest.NewRecorder()
-	cut = quietly(h, answer, request)
+	cut = serveAborted(h, answer, request)
 	return answer, cut
 }
 
@@ -127,9 +127,9 @@
 	_, _ = writer.Write(body)
 }
 
-func failuresRefused(h *handler) http.Handler {
+func reportFailuresAsUnavailable(h *handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		answer, cut := recorded(h, request)
+		answer, cut := recordResponse(h, request)
 		if cut {
 			panic(http.ErrAbortHandler)
 		}
@@ -140,9 +140,9 @@
 	})
 }
 
-func answersShortened(h *handler) http.Handler {
+func shortenResponses(h *handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		answer, cut := recorded(h, request)
+		answer, cut := recordResponse(h, request)
 		if cut {
 			panic(http.ErrAbortHandler)
 		}
@@ -151,13 +151,13 @@
 	})
 }
 
-// answersDelayed gives each client the answer to the request before.
-func answersDelayed() func(*handler) http.Handler {
+// delayResponses gives each client the answer to the request before.
+func delayResponses() func(*handler) http.Handler {
 	return func(h *handler) http.Handler {
 		var mu sync.Mutex
 		var last *httptest.ResponseRecorder
 		return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-			answer, cut := recorded(h, request)
+			answer, cut := recordResponse(h, request)
 			if cut {
 				panic(http.ErrAbortHandler)
 			}
--- a/internal/proxy/process_test.go
+++ b/internal/proxy/process_test.go
@@ -31,22 +31,22 @@
 }
 
 // running is a proxy as a process, without the process.
-type running struct {
-	*rig
+type testProcess struct {
+	*testProxy
 	process   *process
 	feed      fieldrelayv1connect.ProxyFeedClient
 	terminate context.CancelFunc
 	ended     chan struct{}
 }
 
-func startProcess(t *testing.T, graceSeconds float64) *running {
+func startProcess(t *testing.T, graceSeconds float64) *testProcess {
 	t.Helper()
 	configured := testSettings(graceSeconds)
 	p := newProcess(configured, zap.NewNop(), Options{})
 	require.NoError(t, p.start(configured))
 	terminated, terminate := context.WithCancel(context.Background())
-	r := &running{
-		rig:       &rig{t: t, address: p.listener.listener.Addr().String()},
+	r := &testProcess{
+		testProxy: &testProxy{t: t, address: p.listener.listener.Addr().String()},
 		process:   p,
 		feed:      fieldrelayv1connect.NewProxyFeedClient(http.DefaultClient, "http://"+p.configStreamAddr.String()),
 		terminate: terminate,
@@ -67,21 +67,21 @@
 	return r
 }
 
-func (r *running) apply(request *pb.ApplyRequest) *pb.ProxyStatus {
+func (r *testProcess) apply(request *pb.ApplyRequest) *pb.ProxyStatus {
 	r.t.Helper()
 	response, err := r.feed.Apply(context.Background(), connect.NewRequest(request))
 	require.NoError(r.t, err)
 	return response.Msg
 }
 
-func (r *running) status() *pb.ProxyStatus {
+func (r *testProcess) status() *pb.ProxyStatus {
 	r.t.Helper()
 	response, err := r.feed.Status(context.Background(), connect.NewRequest(&pb.StatusRequest{}))
 	require.NoError(r.t, err)
 	return response.Msg
 }
 
-func (r *running) ready() int {
+func (r *testProcess) ready() int {
 	r.t.Helper()
 	response, err := http.Get("http://" + r.process.readyAddr.String() + "/api/readyz")
 	require.NoError(r.t, err)
@@ -90,9 +90,9 @@
 }
 
 // fill gives the proxy a configuration and a server.
-func (r *running) fill(server *standIn) *pb.ProxyStatus {
+func (r *testProcess) configure(server *fakeServer) *pb.ProxyStatus {
 	return r.apply(&pb.ApplyRequest{
-		Changes: []*pb.Change{rigChange()},
+		Changes: []*pb.Change{testChange()},
 		List: &pb.ServerList{
 			Version: &pb.ListVersion{Epoch: 1, Holder: "c", Revision: 1},
 			Servers: []*pb.Server{{
@@ -105,7 +105,7 @@
 }
 
 func TestProcessServesWhatItIsFed(t *testing.T) {
-	server := newStandIn(t, "i-1", good("ok"))
+	server := newFakeServer(t, "i-1", ok("ok"))
 	r := startProcess(t, 1)
 	status := r.status()
 	require.Equal(t, "edge-1", status.GetHost())
@@ -114,12 +114,12 @@
 	require.NotNil(t, status.GetDigests(), "it asks for the whole state")
 	require.Equal(t, 503, r.ready())
 	early := r.dial()
-	early.ask("GET", "/m/x", headerDeadline+": 60\r\n", "")
-	response, _ := early.answer("GET")
+	early.send("GET", "/m/x", headerDeadline+": 60\r\n", "")
+	response, _ := early.receive("GET")
 	require.Equal(t, 503, response.StatusCode)
 	require.NotEmpty(t, response.Header.Get("Retry-After"))
 
-	status = r.fill(server)
+	status = r.configure(server)
 	require.True(t, status.GetReady())
 	require.Nil(t, status.GetDigests())
 	require.EqualValues(t, 1, status.GetSequence())
@@ -146,27 +146,27 @@
 
 func TestProcessFinishesItsStreamsBeforeItEnds(t *testing.T) {
 	next := make(chan struct{})
-	server := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
+	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 		if request.target != "/s/x" {
-			return good("ok")(conn, request)
+			return ok("ok")(conn, request)
 		}
 		streamHead(conn, request, "seal")
-		chunk(conn, event(1))
+		chunk(conn, eventText(1))
 		<-next
-		chunk(conn, event(2))
+		chunk(conn, eventText(2))
 		lastChunk(conn)
 		return true
 	})
 	r := startProcess(t, 4) // refuses after 1.5 s, breaks off after 3.5 s
-	r.fill(server)
+	r.configure(server)
 	idle := r.dial()
-	idle.ask("GET", "/m/x", "", "")
-	response, _ := idle.answer("GET")
+	idle.send("GET", "/m/x", "", "")
+	response, _ := idle.receive("GET")
 	require.False(t, response.Close)
 	streaming := r.dial()
-	streaming.ask("GET", "/s/x", "", "")
-	stream := streaming.head("GET")
-	_, err := io.ReadFull(stream.Body, make([]byte, len(event(1))))
+	streaming.send("GET", "/s/x", "", "")
+	stream := streaming.receiveHead("GET")
+	_, err := io.ReadFull(stream.Body, make([]byte, len(eventText(1))))
 	require.NoError(t, err)
 
 	began := time.Now()
@@ -175,8 +175,8 @@
 	require.Equal(t, 503, r.ready())
 	require.True(t, r.status().GetDraining())
 	require.False(t, r.status().GetReady())
-	idle.ask("GET", "/m/x", "", "")
-	response, body := idle.answer("GET")
+	idle.send("GET", "/m/x", "", "")
+	response, body := idle.receive("GET")
 	require.Equal(t, 200, response.StatusCode)
 	require.Equal(t, "ok", body)
 	require.True(t, response.Close, "the client is asked to leave")
@@ -189,7 +189,7 @@
 	close(next)
 	rest, err := io.ReadAll(stream.Body)
 	require.NoError(t, err)
-	require.Equal(t, event(2), string(rest))
+	require.Equal(t, eventText(2), string(rest))
 	<-r.ended
 	require.Less(t, time.Since(began), 3*time.Second)
 }
@@ -197,17 +197,17 @@
 // TestManyProxiesToldToEndAtOnceAreNotReadyAtOnce: each that still runs, with requests at work, answers two questions
 // in a row without a 200 well before 4 s have passed since SIGTERM.
 func TestManyProxiesToldToEndAtOnceAreNotReadyAtOnce(t *testing.T) {
-	server := newStandIn(t, "i-1", silent)
+	server := newFakeServer(t, "i-1", noResponse)
 	const proxies, soon = 6, time.Second
-	var all []*running
+	var all []*testProcess
 	for range proxies {
 		r := startProcess(t, 4)
-		r.fill(server)
+		r.configure(server)
 		require.Equal(t, 200, r.ready())
-		r.dial().ask("GET", "/m/x", "", "")
+		r.dial().send("GET", "/m/x", "", "")
 		all = append(all, r)
 	}
-	eventually(t, func() bool { return len(server.got()) == proxies }, "all are at work")
+	eventually(t, func() bool { return len(server.requests()) == proxies }, "all are at work")
 	began := time.Now()
 	for _, r := range all {
 		r.terminate()
@@ -227,26 +227,26 @@
 }
 
 func TestProcessBreaksOffWhatIsLeftAtTheEnd(t *testing.T) {
-	server := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
+	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 		if request.target == "/r/x" {
 			streamHead(conn, request, "seal")
-			chunk(conn, event(1))
+			chunk(conn, eventText(1))
 		}
 		return true
 	})
 	r := startProcess(t, 0.9)
-	r.fill(server)
+	r.configure(server)
 	waiting := r.dial()
-	waiting.ask("GET", "/m/x", "", "")
-	eventually(t, func() bool { return len(server.got()) == 1 }, "the request arrives")
+	waiting.send("GET", "/m/x", "", "")
+	eventually(t, func() bool { return len(server.requests()) == 1 }, "the request arrives")
 	c := r.dial()
-	c.ask("GET", "/r/x", "", "")
-	stream := c.head("GET")
+	c.send("GET", "/r/x", "", "")
+	stream := c.receiveHead("GET")
 	r.terminate()
 	got, err := io.ReadAll(stream.Body)
 	require.Error(t, err)
-	require.Equal(t, event(1), string(got))
-	response, _ := waiting.answer("GET")
+	require.Equal(t, eventText(1), string(got))
+	response, _ := waiting.receive("GET")
 	require.Equal(t, 502, response.StatusCode)
 	require.True(t, response.Close)
 	<-server.closed
@@ -254,22 +254,22 @@
 }
 
 func TestNewLimitsHoldForNewConnections(t *testing.T) {
-	server := newStandIn(t, "i-1", good("ok"))
+	server := newFakeServer(t, "i-1", ok("ok"))
 	r := startProcess(t, 1)
-	r.fill(server)
+	r.configure(server)
 	old := r.dial()
-	old.ask("GET", "/m/x", "", "")
-	old.answer("GET")
+	old.send("GET", "/m/x", "", "")
+	old.receive("GET")
 	r.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: 2, Generation: 8, Upserts: []*pb.Item{{
 		Kind: "setting", Name: "req-limits", Sequence: 2, Body: []byte(`{"max-header-bytes":100}`),
 	}}}}})
 	long := "X-Long: " + repeated("x", 20_000) + "\r\n"
-	old.ask("GET", "/m/x", long, "")
-	response, _ := old.answer("GET")
+	old.send("GET", "/m/x", long, "")
+	response, _ := old.receive("GET")
 	require.Equal(t, 200, response.StatusCode)
 	fresh := r.dial()
-	fresh.ask("GET", "/m/x", long, "")
-	response, _ = fresh.answer("GET")
+	fresh.send("GET", "/m/x", long, "")
+	response, _ = fresh.receive("GET")
 	require.Equal(t, 431, response.StatusCode)
 }
 
@@ -277,27 +277,27 @@
 // a request that was passed on, though they take away its route, its server or its zone.
 func TestNothingUnderWayIsCutByAChange(t *testing.T) {
 	next := make(chan struct{})
-	server := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
+	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 		if request.target == "/m/x" {
 			<-next
-			return good("ok")(conn, request)
+			return ok("ok")(conn, request)
 		}
 		streamHead(conn, request, "seal")
-		chunk(conn, event(1))
+		chunk(conn, eventText(1))
 		<-next
-		chunk(conn, event(2))
+		chunk(conn, eventText(2))
 		lastChunk(conn)
 		return true
 	})
 	r := startProcess(t, 1)
-	r.fill(server)
+	r.configure(server)
 	plain, streaming := r.dial(), r.dial()
-	plain.ask("POST", "/m/x", "", "body")
-	streaming.ask("GET", "/s/x", "", "")
-	stream := streaming.head("GET")
-	_, err := io.ReadFull(stream.Body, make([]byte, len(event(1))))
+	plain.send("POST", "/m/x", "", "body")
+	streaming.send("GET", "/s/x", "", "")
+	stream := streaming.receiveHead("GET")
+	_, err := io.ReadFull(stream.Body, make([]byte, len(eventText(1))))
 	require.NoError(t, err)
-	eventually(t, func() bool { return len(server.got()) == 2 }, "both are at work")
+	eventually(t, func() bool { return len(server.requests()) == 2 }, "both are at work")
 
 	changes := []*pb.Change{
 		{Upserts: []*pb.Item{{Kind: "setting", Name: "req-limits", Body: []byte(`{"max-header-bytes":90,"keepalive-ms":1,"header-read-ms":1}`)}}},
@@ -316,15 +316,15 @@
 	}})
 	r.process.applySettings(testSettings(2))
 	r.process.reloader.reload()
-	r.process.sweep(r.process.state.load())
+	r.process.sweep(r.process.snapshots.load())
 
 	close(next)
-	response, body := plain.answer("POST")
+	response, body := plain.receive("POST")
 	require.Equal(t, http.StatusOK, response.StatusCode)
 	require.Equal(t, "ok", body)
 	rest, err := io.ReadAll(stream.Body)
 	require.NoError(t, err)
-	require.Equal(t, event(2), string(rest))
+	require.Equal(t, eventText(2), string(rest))
 }
 
 func TestListenersThatCanNotBeOpened(t *testing.T) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -55,7 +55,7 @@
 	disabled         policy.Switches
 	logger           *zap.Logger
 	lifecycle        *lifecycle
-	state            *state
+	snapshots        *snapshotStore
 	dispatcher       *dispatcher
 	announcer        *announcer // nil: nothing is announced
 	pool             *upstream.Pool
@@ -128,7 +128,7 @@
 		options:    options,
 		disabled:   off,
 		logger:     logger,
-		state:      newState(),
+		snapshots:  newSnapshotStore(),
 		dispatcher: newDispatcher(placer, budget),
 		pool:       upstream.NewPool(upstream.Config{DisableReuse: off.Off(policy.ConnectionReuse)}),
 		memory:     newMemoryLimit(int64(configured.Limits.MemoryMB * megabyte / bodyMemoryFraction)),
@@ -137,7 +137,7 @@
 		started:    time.Now(),
 	}
 	p.baseContext, p.cancelRequests = context.WithCancel(context.Background())
-	p.lifecycle = &lifecycle{snapshot: p.state.load}
+	p.lifecycle = &lifecycle{snapshot: p.snapshots.load}
 	p.gracePeriod.Store(int64(bounds.Grace()))
 	path, _ := settings.Path() // without one, nothing is read again
 	p.reloader = newReloader(path, logger, p.applySettings)
@@ -194,7 +194,7 @@
 
 func (p *process) requestHandler() *handler {
 	return &handler{
-		state:      p.state,
+		snapshots:  p.snapshots,
 		lifecycle:  p.lifecycle,
 		dispatcher: p.dispatcher,
 		announcer:  p.announcer,
@@ -211,7 +211,7 @@
 		host:        configured.Hostname,
 		incarnation: rand.Uint64() | 1,
 		edgeAddress: configured.Binds.Edge,
-		state:       p.state,
+		snapshots:   p.snapshots,
 		dispatcher:  p.dispatcher,
 		announcer:   p.announcer,
 		lifecycle:   p.lifecycle,
@@ -228,22 +228,22 @@
 }
 
 // snapshotChanged takes in a new snapshot where limits or servers changed.
-func (p *process) snapshotChanged(held *snapshot, done update) {
-	if done.tableChanged {
-		p.listener.setLimits(connLimitsOf(held.table.RequestLimits()))
+func (p *process) snapshotChanged(current *snapshot, applied update) {
+	if applied.tableChanged {
+		p.listener.setLimits(connLimitsOf(current.table.RequestLimits()))
 	}
-	if done.listChanged {
-		p.sweep(held)
+	if applied.listChanged {
+		p.sweep(current)
 	}
 }
 
 // sweep closes connections that were idle for too long or that lead to servers that are gone or out of reach.
-func (p *process) sweep(held *snapshot) {
-	silent := p.pool.Sweep(time.Now(), func(server upstream.Server) bool {
-		_, listed := held.servers[server]
+func (p *process) sweep(current *snapshot) {
+	unreachable := p.pool.Sweep(time.Now(), func(server upstream.Server) bool {
+		_, listed := current.servers[server]
 		return listed
 	})
-	for _, server := range silent {
+	for _, server := range unreachable {
 		p.dispatcher.serverUnreachable(server.ID)
 	}
 }
@@ -278,7 +278,7 @@
 			p.reloader.reload()
 		case <-housekeeping.C:
 			p.reloader.reloadIfChanged()
-			p.sweep(p.state.load())
+			p.sweep(p.snapshots.load())
 			p.liveness.checkTimeout(p.now())
 		case <-report.C:
 			p.logger.Info("counters", p.counterFields()...)
@@ -298,18 +298,18 @@
 // drain goes through the phases of the end: it takes requests for as long as clients may hold the address,
 // then refuses new ones, and breaks off what is left when the grace period is nearly over.
 func (p *process) drain() {
-	began := time.Now()
+	start := time.Now()
 	plan := planDrain(time.Duration(p.gracePeriod.Load()))
-	p.lifecycle.drain(plan.start(began))
+	p.lifecycle.drain(plan.start(start))
 	p.logger.Info("told to end", zap.Duration("refuse-after", plan.reject), zap.Duration("abandon-after", plan.abort))
-	time.Sleep(time.Until(began.Add(plan.reject)))
+	time.Sleep(time.Until(start.Add(plan.reject)))
 	p.listener.close()
 	p.lifecycle.enter(phaseRejecting)
 	idle := func() bool {
 		p.listener.closeIdle()
 		return p.counters.connections.Load() == 0
 	}
-	if p.pollUntil(began.Add(plan.abort), idle) {
+	if p.pollUntil(start.Add(plan.abort), idle) {
 		return
 	}
 	p.logger.Warn("requests broken off at the end", zap.Int64("requests", p.counters.active.Load()))
@@ -319,16 +319,16 @@
 }
 
 // pollUntil looks at a condition until it holds, or until the given time; it tells whether it held.
-func (p *process) pollUntil(end time.Time, holds func() bool) bool {
+func (p *process) pollUntil(end time.Time, condition func() bool) bool {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for time.Now().Before(end) {
-		if holds() {
+		if condition() {
 			return true
 		}
 		<-ticker.C
 	}
-	return holds()
+	return condition()
 }
 
 // stop closes what is still open.
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -34,14 +34,14 @@
 // receive passes the answer on, or finds that it can't be.
 func (a *attempt) receive() attemptOutcome {
 	a.applyHeaderHints()
-	f := executionOfResponse(a.response.StatusCode, a.response.Header)
-	if f == executed && a.isStream() {
+	state := executionOfResponse(a.response.StatusCode, a.response.Header)
+	if state == executed && a.isStream() {
 		return a.receiveStream()
 	}
 	if a.exchange.stream != nil {
-		return a.failResumption(f)
+		return a.failResumption(state)
 	}
-	return a.receiveBuffered(f)
+	return a.receiveBuffered(state)
 }
 
 // applyHeaderHints takes in what the head tells about the server.
@@ -68,31 +68,31 @@
 }
 
 // failResumption takes in an answer with which a stream can't be taken up.
-func (a *attempt) failResumption(f executionState) attemptOutcome {
-	if f == executed {
-		f = possiblyExecuted
+func (a *attempt) failResumption(state executionState) attemptOutcome {
+	if state == executed {
+		state = possiblyExecuted
 	}
-	a.close(f, placementOutcomeOfResponse(a.response, f), false)
+	a.close(state, placementOutcomeOfResponse(a.response, state), false)
 	return a.failedOrCanceled()
 }
 
 // receiveBuffered reads an answer whole before it passes it on, so that one that breaks off can be replaced.
-func (a *attempt) receiveBuffered(f executionState) attemptOutcome {
+func (a *attempt) receiveBuffered(state executionState) attemptOutcome {
 	a.handler.dispatcher.started(a.decision.Attempt)
 	a.firstByte = time.Now()
-	buffer, whole, err := a.readBuffered()
+	buffer, complete, err := a.readBuffered()
 	defer buffer.free()
 	if err != nil {
-		return a.recordBrokenResponse(f, err)
+		return a.recordBrokenResponse(state, err)
 	}
-	if !f.usable() {
-		a.close(f, placementOutcomeOfResponse(a.response, f), whole)
+	if !state.usable() {
+		a.close(state, placementOutcomeOfResponse(a.response, state), complete)
 		return a.failedOrCanceled()
 	}
-	if !whole {
+	if !complete {
 		return a.forwardLarge(buffer)
 	}
-	a.close(f, placementOutcomeOfResponse(a.response, f), true)
+	a.close(state, placementOutcomeOfResponse(a.response, state), true)
 	if isServerFailure(a.response.StatusCode) && a.mayRetry() {
 		return a.failedOrCanceled()
 	}
@@ -103,7 +103,7 @@
 func isServerFailure(status int) bool { return status >= http.StatusInternalServerError }
 
 // readBuffered reads the body up to the bound on whole answers.
-func (a *attempt) readBuffered() (buffer *chargedBuffer, whole bool, err error) {
+func (a *attempt) readBuffered() (buffer *chargedBuffer, complete bool, err error) {
 	if a.response.Body == http.NoBody {
 		return nil, true, nil
 	}
@@ -115,34 +115,34 @@
 	if err != nil {
 		return nil, false, nil // passed on in pieces
 	}
-	whole, err = buffer.fill(a.response.Body, maxBufferedResponse)
+	complete, err = buffer.fill(a.response.Body, maxBufferedResponse)
 	if err == errNoMemory {
 		return buffer, false, nil
 	}
-	return buffer, whole, err
+	return buffer, complete, err
 }
 
 // recordBrokenResponse takes in an answer whose body did not come whole. A promise holds all the same.
-func (a *attempt) recordBrokenResponse(f executionState, err error) attemptOutcome {
-	if f == executed {
-		f = possiblyExecuted
+func (a *attempt) recordBrokenResponse(state executionState, err error) attemptOutcome {
+	if state == executed {
+		state = possiblyExecuted
 	}
 	outcome := placementOutcomeOfError(a.conn.BodyError(err))
-	a.close(f, outcome, false)
+	a.close(state, outcome, false)
 	return a.failedOrCanceled()
 }
 
 // close ends the attempt at the server. The connection is kept only if the answer was read to its end.
-func (a *attempt) close(f executionState, outcome placement.Outcome, readWhole bool) {
-	a.record(f)
+func (a *attempt) close(state executionState, outcome placement.Outcome, readToEnd bool) {
+	a.record(state)
 	a.placement.Excluded = append(a.placement.Excluded, a.decision.ServerID)
-	if a.isCanceled() && !readWhole {
+	if a.isCanceled() && !readToEnd {
 		outcome = placement.ClientGone
 	}
 	a.finishAttempt(a.decision, outcome)
-	untouched := a.stopAbort()
-	sound := f != possiblyExecuted && a.response.StatusCode != http.StatusMisdirectedRequest
-	if readWhole && untouched && sound {
+	notAborted := a.stopAbort()
+	reusable := state != possiblyExecuted && a.response.StatusCode != http.StatusMisdirectedRequest
+	if readToEnd && notAborted && reusable {
 		a.handler.pool.Release(a.conn)
 		return
 	}
@@ -199,14 +199,14 @@
 
 // forwardLarge hands the client an answer in pieces, in chunks if its length is not known. If it breaks off, so does
 // the client's.
-func (a *attempt) forwardLarge(begun *chargedBuffer) attemptOutcome {
+func (a *attempt) forwardLarge(buffered *chargedBuffer) attemptOutcome {
 	header := a.client.Header()
 	copyResponseHeader(header, a.response.Header)
 	if told := a.response.Header["Content-Length"]; len(told) > 0 && a.response.ContentLength >= 0 {
 		header["Content-Length"] = told
 	}
 	a.sendHeaders()
-	err := a.copyBody(begun)
+	err := a.copyBody(buffered)
 	var writeError *clientWriteError
 	switch {
 	case err == nil:
@@ -227,9 +227,9 @@
 
 // copyBody passes on what was read of the body and then the rest. Its error is a *clientWriteError if the
 // client no longer takes it, and otherwise that of the server's connection.
-func (a *attempt) copyBody(begun *chargedBuffer) error {
-	if begun != nil {
-		if _, err := a.client.Write(begun.bytes); err != nil {
+func (a *attempt) copyBody(buffered *chargedBuffer) error {
+	if buffered != nil {
+		if _, err := a.client.Write(buffered.bytes); err != nil {
 			return &clientWriteError{err}
 		}
 	}
@@ -252,13 +252,13 @@
 }
 
 // placementOutcomeOfResponse tells placement what an answer says about the server.
-func placementOutcomeOfResponse(response upstream.Response, f executionState) placement.Outcome {
+func placementOutcomeOfResponse(response upstream.Response, state executionState) placement.Outcome {
 	switch {
 	case response.StatusCode == http.StatusMisdirectedRequest:
 		return placement.Misdirected
-	case f == notExecuted:
+	case state == notExecuted:
 		return placement.Refused
-	case f == possiblyExecuted, isServerFailure(response.StatusCode):
+	case state == possiblyExecuted, isServerFailure(response.StatusCode):
 		return placement.Failed
 	default:
 		return placement.Done
--- a/internal/proxy/retry_test.go
+++ b/internal/proxy/retry_test.go
@@ -15,7 +15,7 @@
 
 // brokenReplies are all the ways in which a server may fail after it got a request.
 var brokenReplies = map[string]reply{
-	"reset":            resets,
+	"reset":            reset,
 	"closed":           raw(""),
 	"garbage":          raw("\x01\x02garbage\r\n\r\n"),
 	"half a head":      raw("HTTP/1.1 200 OK\r\nX-Field"),
@@ -33,15 +33,15 @@
 func TestBrokenAnswersOfMutatingRequestsEndIn502(t *testing.T) {
 	for name, broken := range brokenReplies {
 		t.Run(name, func(t *testing.T) {
-			first, second := newStandIn(t, "i-1", broken), newStandIn(t, "i-2", good("ok"))
-			r := newRig(t, first, second)
+			first, second := newFakeServer(t, "i-1", broken), newFakeServer(t, "i-2", ok("ok"))
+			r := newTestProxy(t, first, second)
 			response, body := r.get("/m/x")
 			require.Equal(t, 502, response.StatusCode)
 			require.Empty(t, body)
 			require.Empty(t, response.Header.Get("Retry-After"))
-			require.Len(t, first.got(), 1)
-			require.Empty(t, second.got())
-			require.Equal(t, []bool{false}, r.placer.answered)
+			require.Len(t, first.requests(), 1)
+			require.Empty(t, second.requests())
+			require.Equal(t, []bool{false}, r.placer.succeeded)
 			require.Zero(t, r.handler.pool.Stats().IdleNow)
 		})
 	}
@@ -50,13 +50,13 @@
 func TestBrokenAnswersOfIdempotentRequestsGoToAnotherServer(t *testing.T) {
 	for name, broken := range brokenReplies {
 		t.Run(name, func(t *testing.T) {
-			first, second := newStandIn(t, "i-1", broken), newStandIn(t, "i-2", good("ok"))
-			r := newRig(t, first, second)
+			first, second := newFakeServer(t, "i-1", broken), newFakeServer(t, "i-2", ok("ok"))
+			r := newTestProxy(t, first, second)
 			response, body := r.get("/i/x")
 			require.Equal(t, 200, response.StatusCode)
 			require.Equal(t, "ok", body)
-			require.Len(t, first.got(), 1)
-			require.Len(t, second.got(), 1)
+			require.Len(t, first.requests(), 1)
+			require.Len(t, second.requests(), 1)
 			require.EqualValues(t, 1, r.handler.counters.retries.Load())
 		})
 	}
@@ -64,49 +64,49 @@
 
 func TestPromisesGoToAnotherServer(t *testing.T) {
 	promises := map[string]reply{
-		"full":        text(503, declines, ""),
-		"busy":        text(429, declines+"Retry-After: 2\r\n", "busy"),
+		"full":        text(503, notExecutedHeader, ""),
+		"busy":        text(429, notExecutedHeader+"Retry-After: 2\r\n", "busy"),
 		"misdirected": text(421, "", ""),
-		"bad":         text(400, declines, ""),
+		"bad":         text(400, notExecutedHeader, ""),
 	}
 	for name, promise := range promises {
 		t.Run(name, func(t *testing.T) {
-			first, second := newStandIn(t, "i-1", promise), newStandIn(t, "i-2", good("ok"))
-			r := newRig(t, first, second)
+			first, second := newFakeServer(t, "i-1", promise), newFakeServer(t, "i-2", ok("ok"))
+			r := newTestProxy(t, first, second)
 			response, body := r.get("/m/x")
 			require.Equal(t, 200, response.StatusCode)
 			require.Equal(t, "ok", body)
-			require.Len(t, second.got(), 1)
+			require.Len(t, second.requests(), 1)
 		})
 	}
 }
 
 func TestPromisesOfAllServersAreARefusal(t *testing.T) {
-	servers := []*standIn{}
+	servers := []*fakeServer{}
 	for i := range 5 {
-		servers = append(servers, newStandIn(t, fmt.Sprintf("i-%d", i), text(503, declines, "full")))
+		servers = append(servers, newFakeServer(t, fmt.Sprintf("i-%d", i), text(503, notExecutedHeader, "full")))
 	}
-	r := newRig(t, servers...)
+	r := newTestProxy(t, servers...)
 	response, body := r.get("/m/x")
 	require.Equal(t, 503, response.StatusCode)
 	require.NotEmpty(t, response.Header.Get("Retry-After"))
 	require.Empty(t, body)
 	arrivals := 0
 	for _, server := range servers {
-		arrivals += len(server.got())
+		arrivals += len(server.requests())
 	}
 	require.Equal(t, 3, arrivals, "the route allows three servers")
 }
 
 func TestAPromiseAfterAFailureIsNoRefusal(t *testing.T) {
-	first, second := newStandIn(t, "i-1", resets), newStandIn(t, "i-2", text(503, declines, ""))
-	r := newRig(t, first, second)
+	first, second := newFakeServer(t, "i-1", reset), newFakeServer(t, "i-2", text(503, notExecutedHeader, ""))
+	r := newTestProxy(t, first, second)
 	response, _ := r.get("/i/x")
 	require.Equal(t, 502, response.StatusCode)
 }
 
 func TestMisdirectedConnectionIsNotKept(t *testing.T) {
-	r := newRig(t, newStandIn(t, "i-1", text(421, "", "")))
+	r := newTestProxy(t, newFakeServer(t, "i-1", text(421, "", "")))
 	response, _ := r.get("/m/x")
 	require.Equal(t, 503, response.StatusCode)
 	require.Zero(t, r.handler.pool.Stats().IdleNow)
@@ -115,12 +115,12 @@
 
 func TestServersFailuresArePassedOn(t *testing.T) {
 	for _, status := range []int{500, 504, 404, 302} {
-		r := newRig(t, newStandIn(t, "i-1", text(status, seal, "why")), newStandIn(t, "i-2", good("ok")))
+		r := newTestProxy(t, newFakeServer(t, "i-1", text(status, seal, "why")), newFakeServer(t, "i-2", ok("ok")))
 		response, body := r.get("/m/x")
 		require.Equal(t, status, response.StatusCode)
 		require.Equal(t, "why", body)
 	}
-	r := newRig(t, newStandIn(t, "i-1", text(500, "", "why")), newStandIn(t, "i-2", good("ok")))
+	r := newTestProxy(t, newFakeServer(t, "i-1", text(500, "", "why")), newFakeServer(t, "i-2", ok("ok")))
 	response, body := r.get("/o/x")
 	require.Equal(t, 500, response.StatusCode, "one try only")
 	require.Equal(t, "why", body)
@@ -130,71 +130,71 @@
 }
 
 func TestDeadServerCostsNothing(t *testing.T) {
-	dead, live := newStandIn(t, "i-1", good("no")), newStandIn(t, "i-2", good("ok"))
+	dead, live := newFakeServer(t, "i-1", ok("no")), newFakeServer(t, "i-2", ok("ok"))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
 	dead.server.Address = listener.Addr().String()
-	r := newRig(t, dead, live)
+	r := newTestProxy(t, dead, live)
 	response, body := r.get("/m/x")
 	require.Equal(t, 200, response.StatusCode)
 	require.Equal(t, "ok", body)
 	require.Zero(t, r.handler.counters.retries.Load())
 	require.Equal(t, []placement.Outcome{placement.Reset, placement.Done}, r.placer.seenOutcomes())
 
-	r = newRig(t, dead)
+	r = newTestProxy(t, dead)
 	response, _ = r.get("/m/x")
 	require.Equal(t, 503, response.StatusCode, "it was never sent")
 	require.Equal(t, "0.070", response.Header.Get("Retry-After"))
 }
 
 func TestLastLookBeforeTheFirstByte(t *testing.T) {
-	server := newStandIn(t, "i-1", good("ok"))
-	r := newRig(t, server)
+	server := newFakeServer(t, "i-1", ok("ok"))
+	r := newTestProxy(t, server)
 	r.placer.forbidden = 2
 	response, _ := r.get("/m/x")
 	require.Equal(t, 200, response.StatusCode)
-	require.Len(t, server.got(), 1)
+	require.Len(t, server.requests(), 1)
 	require.Equal(t, []placement.Outcome{placement.NotSent, placement.NotSent, placement.Done}, r.placer.seenOutcomes())
 	require.EqualValues(t, 1, r.handler.pool.Stats().Dialed, "the connection waits for the next pick")
 
 	r.placer.forbidden = 1000
 	response, _ = r.get("/m/x")
 	require.Equal(t, 503, response.StatusCode)
-	require.Len(t, server.got(), 1)
+	require.Len(t, server.requests(), 1)
 }
 
 func TestDeadline(t *testing.T) {
-	server := newStandIn(t, "i-1", silent)
-	r := newRig(t, server, newStandIn(t, "i-2", good("ok")))
+	server := newFakeServer(t, "i-1", noResponse)
+	r := newTestProxy(t, server, newFakeServer(t, "i-2", ok("ok")))
 	response, _ := r.get("/t/x")
 	require.Equal(t, 504, response.StatusCode)
 	require.Equal(t, []placement.Outcome{placement.TimedOut}, r.placer.seenOutcomes())
 	<-server.closed
 
 	c := r.dial()
-	c.ask("GET", "/m/x", headerDeadline+": 40\r\n", "")
-	response, _ = c.answer("GET")
+	c.send("GET", "/m/x", headerDeadline+": 40\r\n", "")
+	response, _ = c.receive("GET")
 	require.Equal(t, 504, response.StatusCode)
 }
 
 func TestNoBudgetNoRepeat(t *testing.T) {
-	first, second := newStandIn(t, "i-1", resets), newStandIn(t, "i-2", good("ok"))
-	r := newRig(t, first, second)
+	first, second := newFakeServer(t, "i-1", reset), newFakeServer(t, "i-2", ok("ok"))
+	r := newTestProxy(t, first, second)
 	r.handler.dispatcher.budget.SetQuotaMembers(nil)
 	response, _ := r.get("/i/x")
 	require.Equal(t, 502, response.StatusCode)
-	require.Empty(t, second.got())
+	require.Empty(t, second.requests())
 	require.EqualValues(t, 1, r.handler.counters.retryBudgetExhausted.Load())
 }
 
 func TestSurplusAnswerNeverReachesAClient(t *testing.T) {
-	server := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
+	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 		answer := "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: " + request.header.Get(headerAttemptID) + "\r\n" + seal + "Content-Length: 2\r\n\r\nok"
 		_, err := io.WriteString(conn, answer+answer)
 		return err == nil
 	})
-	r := newRig(t, server)
+	r := newTestProxy(t, server)
 	for range 5 {
 		response, body := r.get("/m/x")
 		require.Equal(t, 200, response.StatusCode)
--- a/internal/proxy/state.go
+++ b/internal/proxy/snapshot.go
@@ -48,7 +48,7 @@
 }
 
 // state holds the snapshot in force. Readers load it without waiting; writers come one at a time.
-type state struct {
+type snapshotStore struct {
 	mu      sync.Mutex // held by writers
 	current atomic.Pointer[snapshot]
 	// gap is set while changes came that do not follow on what is held: the whole state is wanted.
@@ -58,16 +58,16 @@
 	usedSequence usedSequence
 }
 
-func newState() *state {
-	s := &state{changed: make(chan struct{})}
+func newSnapshotStore() *snapshotStore {
+	s := &snapshotStore{changed: make(chan struct{})}
 	s.current.Store(&snapshot{table: route.Empty()})
 	return s
 }
 
-func (s *state) load() *snapshot { return s.current.Load() }
+func (s *snapshotStore) load() *snapshot { return s.current.Load() }
 
 // apply takes in what an agent sent. Sequences and list versions only rise: what is older is ignored.
-func (s *state) apply(request *pb.ApplyRequest) (*snapshot, update) {
+func (s *snapshotStore) apply(request *pb.ApplyRequest) (*snapshot, update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.current.Load()
@@ -87,7 +87,7 @@
 }
 
 // applyRepair takes in a whole state. A repair of some ranges only can't be used, since no digests are kept.
-func (s *state) applyRepair(next *snapshot, repair *pb.Repair, done *update) {
+func (s *snapshotStore) applyRepair(next *snapshot, repair *pb.Repair, done *update) {
 	if repair == nil || len(repair.GetRanges()) != catalog.RangeCount {
 		return
 	}
@@ -106,7 +106,7 @@
 	s.gap = false
 }
 
-func (s *state) applyChange(next *snapshot, change *pb.Change, done *update) {
+func (s *snapshotStore) applyChange(next *snapshot, change *pb.Change, done *update) {
 	switch {
 	case change.GetSequence() <= next.sequence:
 		done.stale++
@@ -122,7 +122,7 @@
 	s.gap = false
 }
 
-func applyList(next *snapshot, list *pb.ServerList, done *update) {
+func applyList(next *snapshot, list *pb.ServerList, applied *update) {
 	if list == nil || (next.list != nil && compareListVersions(list.GetVersion(), next.list) <= 0) {
 		return
 	}
@@ -135,11 +135,11 @@
 		next.list = &pb.ListVersion{}
 	}
 	next.servers = servers
-	done.listChanged = true
+	applied.listChanged = true
 }
 
 // needsFullState tells whether the agent should send the whole state rather than changes.
-func (s *state) needsFullState() bool {
+func (s *snapshotStore) needsFullState() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.gap || s.current.Load().sequence == 0
--- a/internal/proxy/state_test.go
+++ b/internal/proxy/snapshot_test.go
@@ -23,7 +23,7 @@
 	return &pb.Change{Sequence: 1, Generation: 7, ReplacesAll: true, Upserts: []*pb.Item{routeItem(1), serviceItem(1)}}
 }
 
-func wholeRepair(sequence, generation uint64, items ...*pb.Item) *pb.Repair {
+func fullRepair(sequence, generation uint64, items ...*pb.Item) *pb.Repair {
 	repair := &pb.Repair{Sequence: sequence, Generation: generation}
 	for index := range catalog.RangeCount {
 		repair.Ranges = append(repair.Ranges, &pb.Range{Index: uint32(index)})
@@ -33,7 +33,7 @@
 }
 
 func TestStateFollowsChangesInSequence(t *testing.T) {
-	s := newState()
+	s := newSnapshotStore()
 	require.True(t, s.needsFullState())
 	require.False(t, s.load().configured())
 
@@ -55,7 +55,7 @@
 }
 
 func TestStateAsksForTheWholeAfterAGap(t *testing.T) {
-	s := newState()
+	s := newSnapshotStore()
 	s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
 	held, done := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: 3, Generation: 9}}, Confirmed: true})
 	require.False(t, done.tableChanged)
@@ -67,7 +67,7 @@
 	require.EqualValues(t, 1, held.sequence, "a part of a state is not enough")
 	require.True(t, s.needsFullState())
 
-	held, done = s.apply(&pb.ApplyRequest{Repair: wholeRepair(3, 9, serviceItem(3)), Confirmed: true})
+	held, done = s.apply(&pb.ApplyRequest{Repair: fullRepair(3, 9, serviceItem(3)), Confirmed: true})
 	require.True(t, done.tableChanged)
 	require.EqualValues(t, 3, held.sequence)
 	require.Zero(t, held.table.Routes())
@@ -76,11 +76,11 @@
 }
 
 func TestStateNeverFallsBack(t *testing.T) {
-	s := newState()
-	s.apply(&pb.ApplyRequest{Repair: wholeRepair(5, 9, routeItem(5), serviceItem(5))})
+	s := newSnapshotStore()
+	s.apply(&pb.ApplyRequest{Repair: fullRepair(5, 9, routeItem(5), serviceItem(5))})
 	for _, request := range []*pb.ApplyRequest{
-		{Repair: wholeRepair(4, 8)},
-		{Repair: wholeRepair(5, 9)},
+		{Repair: fullRepair(4, 8)},
+		{Repair: fullRepair(5, 9)},
 		{Changes: []*pb.Change{firstChange()}},
 	} {
 		held, done := s.apply(request)
@@ -91,7 +91,7 @@
 }
 
 func TestServerListsOnlyRise(t *testing.T) {
-	s := newState()
+	s := newSnapshotStore()
 	list := func(epoch uint64, holder string, revision uint64, ids ...string) *pb.ServerList {
 		made := &pb.ServerList{Version: &pb.ListVersion{Epoch: epoch, Holder: holder, Revision: revision}}
 		for _, id := range ids {
@@ -119,7 +119,7 @@
 }
 
 func TestReadiness(t *testing.T) {
-	s := newState()
+	s := newSnapshotStore()
 	life := &lifecycle{snapshot: s.load}
 	require.False(t, life.ready(s.load()))
 	s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
--- a/internal/proxy/startupwait.go
+++ b/internal/proxy/startupwait.go
@@ -32,32 +32,32 @@
 // kill, clients come as soon as the port is open, and most have no other try left. Its body is read first, so
 // that the client sees it taken. The snapshot it returns may still be unusable.
 func (h *handler) waitUntilUsable(control *http.ResponseController, request *http.Request, target string, arrived time.Time) (*snapshot, *chargedBuffer, error) {
-	held := h.state.load()
-	body, err := h.readBodyBeforeStart(control, request, held, held.deadlineOf(request, target, arrived))
+	current := h.snapshots.load()
+	body, err := h.readBodyBeforeStart(control, request, current, current.deadlineOf(request, target, arrived))
 	if err != nil {
-		return held, nil, err
+		return current, nil, err
 	}
 	h.counters.startupWaits.Add(1)
 	for _, enough := range []func(*snapshot) bool{(*snapshot).configured, (*snapshot).usable} {
-		left := held.deadlineOf(request, target, arrived).Sub(arrived)
+		left := current.deadlineOf(request, target, arrived).Sub(arrived)
 		end := arrived.Add(min(left/startupWaitFraction, maxStartupWait))
-		held = h.state.waitFor(request.Context(), end, enough)
+		current = h.snapshots.waitFor(request.Context(), end, enough)
 	}
-	return held, body, nil
+	return current, body, nil
 }
 
 // readBodyBeforeStart reads a body within the bounds in force. A proxy that knows no configuration refuses no body as too
 // large for good: the configuration may allow it.
-func (h *handler) readBodyBeforeStart(control *http.ResponseController, request *http.Request, held *snapshot, deadline time.Time) (*chargedBuffer, error) {
-	body, err := h.readBody(control, request, held.table.RequestLimits().MaxBodyBytes, deadline)
-	if errors.Is(err, errBodyTooLarge) && !held.configured() {
+func (h *handler) readBodyBeforeStart(control *http.ResponseController, request *http.Request, current *snapshot, deadline time.Time) (*chargedBuffer, error) {
+	body, err := h.readBody(control, request, current.table.RequestLimits().MaxBodyBytes, deadline)
+	if errors.Is(err, errBodyTooLarge) && !current.configured() {
 		err = errLimitsUnknown
 	}
 	return body, err
 }
 
 // await returns the snapshot in force as soon as a condition holds for it, and at the given end in any case.
-func (s *state) waitFor(ctx context.Context, end time.Time, holds func(*snapshot) bool) *snapshot {
+func (s *snapshotStore) waitFor(ctx context.Context, end time.Time, holds func(*snapshot) bool) *snapshot {
 	timer := time.NewTimer(time.Until(end))
 	defer timer.Stop()
 	for {
@@ -77,14 +77,14 @@
 }
 
 // news gives a channel that is closed when the next snapshot has been taken in everywhere.
-func (s *state) nextSnapshot() <-chan struct{} {
+func (s *snapshotStore) nextSnapshot() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
 // announce wakes those who wait for news.
-func (s *state) notifyWaiters() {
+func (s *snapshotStore) notifyWaiters() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.changed)
--- a/internal/proxy/startupwait_test.go
+++ b/internal/proxy/startupwait_test.go
@@ -10,20 +10,20 @@
 )
 
 func TestRequestsThatComeBeforeTheProxyCanServeAreHeld(t *testing.T) {
-	server := newStandIn(t, "i-1", good("ok"))
+	server := newFakeServer(t, "i-1", ok("ok"))
 	r := startProcess(t, 1)
 	early := r.dial()
-	early.ask("POST", "/m/x", "", "body")
+	early.send("POST", "/m/x", "", "body")
 	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request is held")
 
-	r.apply(&pb.ApplyRequest{Changes: []*pb.Change{rigChange()}})
-	require.Empty(t, server.got(), "without a list of servers it goes on waiting")
+	r.apply(&pb.ApplyRequest{Changes: []*pb.Change{testChange()}})
+	require.Empty(t, server.requests(), "without a list of servers it goes on waiting")
 
-	r.fill(server)
-	response, body := early.answer("POST")
+	r.configure(server)
+	response, body := early.receive("POST")
 	require.Equal(t, 200, response.StatusCode)
 	require.Equal(t, "ok", body)
-	require.Equal(t, "body", server.got()[0].body)
+	require.Equal(t, "body", server.requests()[0].body)
 }
 
 func TestAHeldRequestIsRefusedInTimeForAnotherTry(t *testing.T) {
@@ -31,8 +31,8 @@
 	r := startProcess(t, 1)
 	early := r.dial()
 	began := time.Now()
-	early.ask("GET", "/m/x", headerDeadline+": 100\r\n", "")
-	response, _ := early.answer("GET")
+	early.send("GET", "/m/x", headerDeadline+": 100\r\n", "")
+	response, _ := early.receive("GET")
 	require.Equal(t, 503, response.StatusCode)
 	require.GreaterOrEqual(t, time.Since(began), told/startupWaitFraction)
 	require.False(t, response.Close)
@@ -40,13 +40,13 @@
 }
 
 func TestAHeldRequestForARouteThatIsNotThereIsDenied(t *testing.T) {
-	server := newStandIn(t, "i-1", good("ok"))
+	server := newFakeServer(t, "i-1", ok("ok"))
 	r := startProcess(t, 1)
 	early := r.dial()
-	early.ask("POST", "/none/x", "", "body")
+	early.send("POST", "/none/x", "", "body")
 	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request is held")
-	r.fill(server)
-	response, _ := early.answer("POST")
+	r.configure(server)
+	response, _ := early.receive("POST")
 	require.Equal(t, 404, response.StatusCode)
 	eventually(t, func() bool { return r.process.memory.used.Load() == 0 }, "its body is freed")
 }
@@ -54,7 +54,7 @@
 func TestAHeldRequestOfAClientThatLeavesIsDropped(t *testing.T) {
 	r := startProcess(t, 1)
 	early := r.dial()
-	early.ask("GET", "/m/x", "", "")
+	early.send("GET", "/m/x", "", "")
 	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request is held")
 	require.NoError(t, early.conn.Close())
 	eventually(t, func() bool { return r.process.counters.active.Load() == 0 }, "it is dropped")
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -109,16 +109,16 @@
 	filled := 0
 	for {
 		n, readError := a.response.Body.Read(buffer[filled:])
-		whole, err := stream.scan(buffer[filled : filled+n])
+		complete, err := stream.scan(buffer[filled : filled+n])
 		if err != nil {
 			return err
 		}
-		if whole > 0 {
-			if err := a.forwardBatch(stream, buffer[:filled+whole]); err != nil {
+		if complete > 0 {
+			if err := a.forwardBatch(stream, buffer[:filled+complete]); err != nil {
 				return err
 			}
-			copy(buffer, buffer[filled+whole:filled+n])
-			filled = n - whole
+			copy(buffer, buffer[filled+complete:filled+n])
+			filled = n - complete
 		} else {
 			filled += n
 		}
@@ -137,11 +137,11 @@
 }
 
 // take scans bytes that came and returns how many of them end with a whole event, 0 if none ended.
-func (s *clientStream) scan(data []byte) (whole int, err error) {
+func (s *clientStream) scan(data []byte) (complete int, err error) {
 	for position := 0; position < len(data); {
 		before := s.scanner.lastID
-		taken, ended := s.scanner.scan(data[position:])
-		position += taken
+		scanned, ended := s.scanner.scan(data[position:])
+		position += scanned
 		if !ended {
 			break
 		}
@@ -150,9 +150,9 @@
 			return 0, errNotResumed
 		}
 		s.resuming = false
-		whole = position
+		complete = position
 	}
-	return whole, nil
+	return complete, nil
 }
 
 func (a *attempt) forwardBatch(stream *clientStream, batch []byte) error {
--- a/internal/proxy/testproxy_test.go
+++ b/internal/proxy/testproxy_test.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	patience = 5 * time.Second
-	pause    = 2 * time.Millisecond
+	testTimeout  = 5 * time.Second
+	pollInterval = 2 * time.Millisecond
 )
 
 // fakePlacer picks the first of its servers that was not excluded.
@@ -38,8 +38,8 @@
 	overload  error
 	outcomes  []placement.Outcome
 	started   int
-	answered  []bool
-	leaving   []string
+	succeeded []bool
+	draining  []string
 }
 
 func (f *fakePlacer) SetServers(time.Duration, []*pb.Server, time.Duration)      {}
@@ -57,7 +57,7 @@
 func (f *fakePlacer) ServerDraining(_ time.Duration, id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.leaving = append(f.leaving, id)
+	f.draining = append(f.draining, id)
 }
 
 func (f *fakePlacer) Pick(_ time.Duration, request *placement.Request) (placement.Decision, error) {
@@ -107,7 +107,7 @@
 func (f *fakePlacer) RequestDone(_ time.Duration, _ *placement.Request, answered bool, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.answered = append(f.answered, answered)
+	f.succeeded = append(f.succeeded, answered)
 }
 
 func (f *fakePlacer) seenOutcomes() []placement.Outcome {
@@ -117,29 +117,29 @@
 }
 
 // arrival is a request as a stand-in server got it.
-type arrival struct {
+type receivedByServer struct {
 	method, target, host string
 	header               http.Header
 	body                 string
 }
 
-// standIn is a server of the tests: reply is called with each request on a connection.
-type standIn struct {
+// fakeServer is a server of the tests: reply is called with each request on a connection.
+type fakeServer struct {
 	server   upstream.Server
 	mu       sync.Mutex
-	arrivals []arrival
+	received []receivedByServer
 	closed   chan struct{} // gets a value for each connection that ended
 }
 
 // reply answers one request; it returns false to end the connection.
-type reply func(conn *net.TCPConn, request arrival) bool
+type reply func(conn *net.TCPConn, request receivedByServer) bool
 
-func newStandIn(t *testing.T, id string, answer reply) *standIn {
+func newFakeServer(t *testing.T, id string, answer reply) *fakeServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	s := &standIn{
+	s := &fakeServer{
 		server: upstream.Server{ID: id, Address: listener.Addr().String()},
 		closed: make(chan struct{}, 100),
 	}
@@ -155,7 +155,7 @@
 	return s
 }
 
-func (s *standIn) serve(conn *net.TCPConn, answer reply) {
+func (s *fakeServer) serve(conn *net.TCPConn, answer reply) {
 	defer func() {
 		_ = conn.Close()
 		s.closed <- struct{}{}
@@ -170,9 +170,9 @@
 		if err != nil {
 			return
 		}
-		got := arrival{request.Method, request.RequestURI, request.Host, request.Header, string(body)}
+		got := receivedByServer{request.Method, request.RequestURI, request.Host, request.Header, string(body)}
 		s.mu.Lock()
-		s.arrivals = append(s.arrivals, got)
+		s.received = append(s.received, got)
 		s.mu.Unlock()
 		if !answer(conn, got) {
 			return
@@ -180,15 +180,15 @@
 	}
 }
 
-func (s *standIn) got() []arrival {
+func (s *fakeServer) requests() []receivedByServer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]arrival(nil), s.arrivals...)
+	return append([]receivedByServer(nil), s.received...)
 }
 
 // text is an answer with the request's id.
 func text(status int, headers, body string) reply {
-	return func(conn *net.TCPConn, request arrival) bool {
+	return func(conn *net.TCPConn, request receivedByServer) bool {
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 %d X\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s",
 			status, headerAttemptID, request.header.Get(headerAttemptID), headers, len(body), body)
 		return err == nil
@@ -196,15 +196,15 @@
 }
 
 const (
-	seal     = headerServerSeal + ": seal\r\n"
-	declines = headerNotExecuted + ": 1\r\n"
+	seal              = headerServerSeal + ": seal\r\n"
+	notExecutedHeader = headerNotExecuted + ": 1\r\n"
 )
 
-func good(body string) reply { return text(200, seal, body) }
+func ok(body string) reply { return text(200, seal, body) }
 
 // raw writes bytes in which ID stands for the request's id, and ends the connection.
 func raw(answer string) reply {
-	return func(conn *net.TCPConn, request arrival) bool {
+	return func(conn *net.TCPConn, request receivedByServer) bool {
 		_, _ = io.WriteString(conn, strings.ReplaceAll(answer, "ID", request.header.Get(headerAttemptID)))
 		return false
 	}
@@ -212,31 +212,31 @@
 
 // rawReset is like raw but ends the connection hard.
 func rawReset(answer string) reply {
-	return func(conn *net.TCPConn, request arrival) bool {
+	return func(conn *net.TCPConn, request receivedByServer) bool {
 		raw(answer)(conn, request)
-		return resets(conn, request)
+		return reset(conn, request)
 	}
 }
 
 // resets ends the connection hard without an answer.
-func resets(conn *net.TCPConn, _ arrival) bool {
+func reset(conn *net.TCPConn, _ receivedByServer) bool {
 	_ = conn.SetLinger(0)
 	return false
 }
 
 // silent keeps the connection open without an answer.
-func silent(*net.TCPConn, arrival) bool { return true }
+func noResponse(*net.TCPConn, receivedByServer) bool { return true }
 
 // rig is a handler behind a real listener.
-type rig struct {
+type testProxy struct {
 	t       *testing.T
 	handler *handler
 	placer  *fakePlacer
 	address string
 }
 
-// rigRoutes holds a route for each kind.
-const rigRoutes = `mutating:{"name":"m","vhost":"h.example","path-prefix":"/m/","route-kind":"mutating","deadline-ms":4000,"target-ms":100,"prio":2,"backend":"s1","tries":3}
+// testRoutes holds a route for each kind.
+const testRoutes = `mutating:{"name":"m","vhost":"h.example","path-prefix":"/m/","route-kind":"mutating","deadline-ms":4000,"target-ms":100,"prio":2,"backend":"s1","tries":3}
 idempotent:{"name":"i","vhost":"h.example","path-prefix":"/i/","route-kind":"idempotent","deadline-ms":4000,"target-ms":100,"backend":"s1","tries":2}
 once:{"name":"o","vhost":"h.example","path-prefix":"/o/","route-kind":"idempotent","deadline-ms":4000,"target-ms":100,"backend":"s1","tries":1}
 stream:{"name":"s","vhost":"h.example","path-prefix":"/s/","route-kind":"streaming","deadline-ms":4000,"target-ms":100,"backend":"s1","tries":3}
@@ -248,9 +248,9 @@
 long-once:{"name":"lo","vhost":"h.example","path-prefix":"/long/o/","route-kind":"idempotent","deadline-ms":60000,"target-ms":100,"backend":"s1","tries":1}
 short:{"name":"t","vhost":"h.example","path-prefix":"/t/","route-kind":"mutating","deadline-ms":60,"target-ms":50,"backend":"s1","tries":3}`
 
-func rigChange() *pb.Change {
+func testChange() *pb.Change {
 	change := firstChange()
-	for line := range strings.SplitSeq(rigRoutes, "\n") {
+	for line := range strings.SplitSeq(testRoutes, "\n") {
 		name, body, _ := strings.Cut(line, ":")
 		change.Upserts = append(change.Upserts, &pb.Item{
 			Kind: catalog.KindRoutes, Name: name, Sequence: 1, Body: []byte(body),
@@ -262,30 +262,30 @@
 	return change
 }
 
-func newRig(t *testing.T, servers ...*standIn) *rig {
+func newTestProxy(t *testing.T, servers ...*fakeServer) *testProxy {
 	t.Helper()
 	placer := &fakePlacer{}
 	for _, server := range servers {
 		placer.servers = append(placer.servers, server.server)
 	}
-	return newRigWith(t, placer, func(h *handler) http.Handler { return h })
+	return newTestProxyWith(t, placer, func(h *handler) http.Handler { return h })
 }
 
-// newRigWith lets a test stand between the clients and the handler.
-func newRigWith(t *testing.T, placer *fakePlacer, between func(*handler) http.Handler) *rig {
+// newTestProxyWith lets a test stand between the clients and the handler.
+func newTestProxyWith(t *testing.T, placer *fakePlacer, between func(*handler) http.Handler) *testProxy {
 	t.Helper()
 	budget := limits.NewRetryBudget(limits.RetryConfig{Ratio: 1, Extra: 100, Window: 10 * time.Second}, "self")
 	budget.SetQuotaMembers(&pb.Shares{Proxies: 1, Members: []*pb.Neighbour{{Host: "self"}}})
 	h := &handler{
-		state:      newState(),
+		snapshots:  newSnapshotStore(),
 		dispatcher: newDispatcher(placer, budget),
 		pool:       upstream.NewPool(upstream.Config{}),
 		memory:     newMemoryLimit(16 << 20),
 		counters:   &counters{},
 		random:     func() float64 { return 0.5 },
 	}
-	h.lifecycle = &lifecycle{snapshot: h.state.load}
-	_, done := h.state.apply(&pb.ApplyRequest{Changes: []*pb.Change{rigChange()}, List: &pb.ServerList{}, Confirmed: true})
+	h.lifecycle = &lifecycle{snapshot: h.snapshots.load}
+	_, done := h.snapshots.apply(&pb.ApplyRequest{Changes: []*pb.Change{testChange()}, List: &pb.ServerList{}, Confirmed: true})
 	require.Empty(t, done.rejected)
 	require.Empty(t, done.partial)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -299,15 +299,15 @@
 		h.pool.Close()
 		require.Zero(t, h.counters.violations())
 	})
-	return &rig{t: t, handler: h, placer: placer, address: listener.Addr().String()}
+	return &testProxy{t: t, handler: h, placer: placer, address: listener.Addr().String()}
 }
 
 // dial opens a client's connection.
-func (r *rig) dial() *client {
+func (r *testProxy) dial() *client {
 	r.t.Helper()
 	conn, err := net.Dial("tcp4", r.address)
 	require.NoError(r.t, err)
-	require.NoError(r.t, conn.SetDeadline(time.Now().Add(patience)))
+	require.NoError(r.t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	r.t.Cleanup(func() { _ = conn.Close() })
 	return &client{t: r.t, conn: conn.(*net.TCPConn), reader: bufio.NewReader(conn)}
 }
@@ -326,7 +326,7 @@
 }
 
 // ask sends a request with an id and, if there is one, a body.
-func (c *client) ask(method, target, headers, body string) {
+func (c *client) send(method, target, headers, body string) {
 	c.t.Helper()
 	if body != "" {
 		headers += fmt.Sprintf("Content-Length: %d\r\n", len(body))
@@ -335,7 +335,7 @@
 }
 
 // head reads the head of an answer.
-func (c *client) head(method string) *http.Response {
+func (c *client) receiveHead(method string) *http.Response {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 	require.NoError(c.t, err)
@@ -343,26 +343,26 @@
 }
 
 // answer reads a whole answer.
-func (c *client) answer(method string) (*http.Response, string) {
+func (c *client) receive(method string) (*http.Response, string) {
 	c.t.Helper()
-	response := c.head(method)
+	response := c.receiveHead(method)
 	body, err := io.ReadAll(response.Body)
 	require.NoError(c.t, err)
 	return response, string(body)
 }
 
 // get sends one request on a connection of its own and reads the whole answer.
-func (r *rig) get(target string) (*http.Response, string) {
+func (r *testProxy) get(target string) (*http.Response, string) {
 	r.t.Helper()
 	c := r.dial()
-	c.ask("GET", target, "", "")
-	return c.answer("GET")
+	c.send("GET", target, "", "")
+	return c.receive("GET")
 }
 
 // eventually waits for a condition.
 func eventually(t *testing.T, holds func() bool, message string) {
 	t.Helper()
-	require.Eventually(t, holds, patience, pause, message)
+	require.Eventually(t, holds, testTimeout, pollInterval, message)
 }
 
 func lines(parts ...string) string { return strings.Join(parts, "\r\n") + "\r\n" }
--- a/internal/proxy/trial_test.go
+++ b/internal/proxy/trial_test.go
@@ -55,24 +55,24 @@
 )
 
 // misdeed is what it does there.
-type misdeed int
+type fault int
 
 const (
-	resetsThere   misdeed = iota
-	closesThere           // both ways
-	fallsSilent           // and keeps the connection
-	answersEarly          // then reads on
-	answersLater          // like answersEarly, but reads on when its client has its answer
-	answersCloses         // answers early, then closes
-	writesGarbage         // then closes
-	answersTwice          // at once
-	repeatsLater          // answers once more where the answer to the next request is due
-	answersOther          // with the id of another request, then with its own
-	splices               // bytes of another answer directly before its own
-	clientLeaves          // it falls silent, and the client leaves
+	resetsThere   fault = iota
+	closesThere         // both ways
+	fallsSilent         // and keeps the connection
+	answersEarly        // then reads on
+	answersLater        // like answersEarly, but reads on when its client has its answer
+	answersCloses       // answers early, then closes
+	writesGarbage       // then closes
+	answersTwice        // at once
+	repeatsLater        // answers once more where the answer to the next request is due
+	answersOther        // with the id of another request, then with its own
+	splices             // bytes of another answer directly before its own
+	clientLeaves        // it falls silent, and the client leaves
 )
 
-var misdeedNames = map[misdeed]string{
+var misdeedNames = map[fault]string{
 	resetsThere: "resets", closesThere: "closes", fallsSilent: "falls silent", answersEarly: "answers early",
 	answersLater: "answers early, reads on later", answersCloses: "answers early and closes", writesGarbage: "writes garbage",
 	answersTwice: "answers twice", repeatsLater: "repeats its answer later", answersOther: "answers another first",
@@ -87,7 +87,7 @@
 	reused   bool // the connection to the server has served before
 	stage    stage
 	offset   int // bytes
-	misdeed  misdeed
+	fault    fault
 	id       string
 	payload  string
 }
@@ -98,7 +98,7 @@
 		where = "of the answer"
 	}
 	return fmt.Sprintf("%s, framing %d, reaction %d, reused %v: server %s at byte %d %s",
-		tr.kind.name, tr.framing, tr.reaction, tr.reused, misdeedNames[tr.misdeed], tr.offset, where)
+		tr.kind.name, tr.framing, tr.reaction, tr.reused, misdeedNames[tr.fault], tr.offset, where)
 }
 
 // pieces is the number of events of a stream.
--- a/internal/proxy/trialrecord_test.go
+++ b/internal/proxy/trialrecord_test.go
@@ -11,77 +11,77 @@
 )
 
 // books is what really happened in trials, as the servers saw it.
-type books struct {
-	mu       sync.Mutex
-	payloads map[string]string // of each request that a client sent, by id
-	targets  map[string]string
-	runs     map[string][]string // servers that ran it
-	arrivals map[string][]string
-	answers  map[string][]sentAnswer
-	faults   []string
-}
-
-// sentAnswer is what a server wrote as the answer to a request.
-type sentAnswer struct {
+type trialRecord struct {
+	mu         sync.Mutex
+	payloads   map[string]string // of each request that a client sent, by id
+	targets    map[string]string
+	runs       map[string][]string // servers that ran it
+	arrivals   map[string][]string
+	answers    map[string][]sentResponse
+	violations []string
+}
+
+// sentResponse is what a server wrote as the answer to a request.
+type sentResponse struct {
 	server string
 	bytes  string
 	closed bool // then it closed the connection, or none would be needed
 }
 
-func newBooks() *books {
-	return &books{
+func newTrialRecord() *trialRecord {
+	return &trialRecord{
 		payloads: make(map[string]string),
 		targets:  make(map[string]string),
 		runs:     make(map[string][]string),
 		arrivals: make(map[string][]string),
-		answers:  make(map[string][]sentAnswer),
+		answers:  make(map[string][]sentResponse),
 	}
 }
 
-func (b *books) asked(id, target, payload string) {
+func (b *trialRecord) requestSent(id, target, payload string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.payloads[id], b.targets[id] = payload, target
 }
 
-func (b *books) run(id, server string) {
+func (b *trialRecord) requestExecuted(id, server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.runs[id] = append(b.runs[id], server)
 }
 
-func (b *books) answered(id, server, bytes string, closed bool) {
+func (b *trialRecord) responseSent(id, server, bytes string, closed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.answers[id] = append(b.answers[id], sentAnswer{server, bytes, closed})
+	b.answers[id] = append(b.answers[id], sentResponse{server, bytes, closed})
 }
 
 // reached notes that a request, or the beginning of it, came to a server.
-func (b *books) reached(id, server string) {
+func (b *trialRecord) requestArrived(id, server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.arrivals[id] = append(b.arrivals[id], server)
 }
 
-func (b *books) reachedServer(id, server string) bool {
+func (b *trialRecord) reachedServer(id, server string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Contains(b.arrivals[id], server)
 }
 
 // checkRequest checks that a request is the one that a client sent.
-func (b *books) checkRequest(got *http.Request, body string) {
+func (b *trialRecord) checkRequest(got *http.Request, body string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	id := got.Header.Get(headerAttemptID)
 	payload, known := b.payloads[id]
 	if !known || body != payload || got.RequestURI != b.targets[id] || got.Method != http.MethodPost {
-		b.faults = append(b.faults, fmt.Sprintf("request %q that no client sent", id))
+		b.violations = append(b.violations, fmt.Sprintf("request %q that no client sent", id))
 	}
 }
 
 // checkBytes checks a request that did not come whole: its body must be the beginning of the right one.
-func (b *books) checkBytes(seen string) {
+func (b *trialRecord) checkBytes(seen string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	head, body, found := strings.Cut(seen, "\r\n\r\n")
@@ -90,12 +90,12 @@
 	}
 	request, err := http.ReadRequest(bufio.NewReader(strings.NewReader(head + "\r\n\r\n")))
 	if err != nil {
-		b.faults = append(b.faults, fmt.Sprintf("bytes that begin no request: %q", head))
+		b.violations = append(b.violations, fmt.Sprintf("bytes that begin no request: %q", head))
 		return
 	}
 	id := request.Header.Get(headerAttemptID)
 	if !strings.HasPrefix(b.payloads[id], body) {
-		b.faults = append(b.faults, fmt.Sprintf("other bytes where the body of %s is due", id))
+		b.violations = append(b.violations, fmt.Sprintf("other bytes where the body of %s is due", id))
 	}
 }
 
@@ -126,11 +126,11 @@
 }
 
 // check compares what a client got with what happened. The proxy is done with the request.
-func (b *books) check(tr *trial, got result) []string {
+func (b *trialRecord) check(tr *trial, got result) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	found := b.faults
-	b.faults = nil
+	found := b.violations
+	b.violations = nil
 	fail := func(format string, values ...any) { found = append(found, fmt.Sprintf(format, values...)) }
 	ran, arrived := b.runs[tr.id], b.arrivals[tr.id]
 	if len(ran) > tr.kind.most {
@@ -152,14 +152,14 @@
 	case !isSuccess(got.status):
 	case tr.kind.stream:
 		b.checkStream(tr, got, fail)
-	case got.whole && !b.isTrue(tr.id, got):
+	case got.whole && !b.wasSent(tr.id, got):
 		fail("got %q of %q as a whole answer", got.body, got.seal)
 	}
 	return found
 }
 
-// isTrue tells whether a server sent just this whole answer.
-func (b *books) isTrue(id string, got result) bool {
+// wasSent tells whether a server sent just this whole answer.
+func (b *trialRecord) wasSent(id string, got result) bool {
 	for _, sent := range b.answers[id] {
 		if sent.server != got.seal {
 			continue
@@ -172,7 +172,7 @@
 }
 
 // parse reads a sent answer as a client does that gets these bytes; proper tells whether it ended by the protocol.
-func (a *sentAnswer) parse() (truth result, proper bool) {
+func (a *sentResponse) parse() (truth result, proper bool) {
 	response, err := http.ReadResponse(bufio.NewReader(strings.NewReader(a.bytes)), nil)
 	if err != nil {
 		return result{}, false
@@ -190,7 +190,7 @@
 
 // checkStream checks the events of a stream: none missing, none twice, from one run unless it may be resumed, and
 // all that its servers sent if it looks whole.
-func (b *books) checkStream(tr *trial, got result, fail func(string, ...any)) {
+func (b *trialRecord) checkStream(tr *trial, got result, fail func(string, ...any)) {
 	rest, last := got.body, 0
 	for rest != "" {
 		event, next, whole := strings.Cut(rest, "\n\n")
@@ -200,7 +200,7 @@
 		last++
 		server, ok := strings.CutPrefix(event, fmt.Sprintf("id: %d\ndata: %s by ", last, tr.id))
 		if !ok || (!tr.kind.resume && server != got.seal) {
-			if !b.isTrue(tr.id, got) {
+			if !b.wasSent(tr.id, got) {
 				fail("event %d is %q in the stream of %s", last, event, got.seal)
 			}
 			return
@@ -210,7 +210,7 @@
 	if !got.whole || got.left {
 		return
 	}
-	if (last < pieces || rest != "") && !b.isTrue(tr.id, got) {
+	if (last < pieces || rest != "") && !b.wasSent(tr.id, got) {
 		fail("looks whole after %d events and %q", last, rest)
 	}
 }
--- a/internal/proxy/trials_test.go
+++ b/internal/proxy/trials_test.go
@@ -23,19 +23,19 @@
 	trialStride = 61
 	// trialWorkers is the number of proxies that are tried at a time.
 	trialWorkers = 8
-	// silentDeadline, in milliseconds, ends the requests at which a server falls silent.
-	silentDeadline = 50
-	longDeadline   = 50000
-	// mostFaults is the number of faults after which no more trials are made.
-	mostFaults = 10
+	// noResponseDeadline, in milliseconds, ends the requests at which a server falls silent.
+	noResponseDeadline = 50
+	longDeadline       = 50000
+	// maxViolations is the number of faults after which no more trials are made.
+	maxViolations = 10
 )
 
 // worker tries one proxy with two servers, of which the first misbehaves.
-type worker struct {
+type trialWorker struct {
 	t             *testing.T
-	rig           *rig
-	books         *books
-	first, second *saboteur
+	proxy         *testProxy
+	record        *trialRecord
+	first, second *faultyServer
 	lengths       map[string]int64 // of requests as the first server gets them, by kind
 	count         int
 	probes        map[int]int // by status
@@ -43,38 +43,38 @@
 	missed        int // trials that the first server never got: no connection came up in time
 }
 
-func newWorker(t *testing.T, between func(*handler) http.Handler) *worker {
+func newTrialWorker(t *testing.T, between func(*handler) http.Handler) *trialWorker {
 	t.Helper()
-	w := &worker{t: t, books: newBooks(), lengths: make(map[string]int64), probes: make(map[int]int), patience: patience}
-	w.first, w.second = newSaboteur(t, "one", w.books), newSaboteur(t, "two", w.books)
+	w := &trialWorker{t: t, record: newTrialRecord(), lengths: make(map[string]int64), probes: make(map[int]int), patience: testTimeout}
+	w.first, w.second = newFaultyServer(t, "one", w.record), newFaultyServer(t, "two", w.record)
 	placer := &fakePlacer{servers: []upstream.Server{w.first.server, w.second.server}}
-	w.rig = newRigWith(t, placer, between)
+	w.proxy = newTestProxyWith(t, placer, between)
 	for _, kind := range requestKinds {
-		_ = w.ask(kind.target, "c", longDeadline)
+		_ = w.request(kind.target, "c", longDeadline)
 		w.lengths[kind.name] = w.first.length.Load()
 	}
 	return w
 }
 
 // send sends a request with an id of its own on a connection of its own.
-func (w *worker) send(target, name string, deadline int, payload string) (id string, conn net.Conn, err error) {
+func (w *trialWorker) send(target, name string, deadline int, payload string) (id string, conn net.Conn, err error) {
 	w.count++
 	id = fmt.Sprintf("%s-%06d", name, w.count)
 	if payload == "" {
 		payload = "payload of " + id
 	}
-	w.books.asked(id, target, payload)
-	if conn, err = net.Dial("tcp4", w.rig.address); err != nil {
+	w.record.requestSent(id, target, payload)
+	if conn, err = net.Dial("tcp4", w.proxy.address); err != nil {
 		return id, nil, err
 	}
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	_, err = fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: h.example\r\n%s: %s\r\n%s: %d\r\nContent-Length: %d\r\n\r\n%s",
 		target, headerAttemptID, id, headerDeadline, deadline, len(payload), payload)
 	return id, conn, err
 }
 
 // ask sends a request to servers that behave well and returns what is wrong with the answer.
-func (w *worker) ask(target, name string, deadline int) []string {
+func (w *trialWorker) request(target, name string, deadline int) []string {
 	id, conn, err := w.send(target, name, deadline, "")
 	if err != nil {
 		return []string{err.Error()}
@@ -82,53 +82,53 @@
 	defer conn.Close()
 	got := readResult(bufio.NewReader(conn))
 	w.probes[got.status]++
-	return w.books.check(&trial{id: id, kind: requestKind{most: 2, stream: isStreamTarget(target), resume: true}}, got)
+	return w.record.check(&trial{id: id, kind: requestKind{most: 2, stream: isStreamTarget(target), resume: true}}, got)
 }
 
 // try makes a trial and returns the rules that were broken.
-func (w *worker) try(tr trial) []string {
-	w.rig.handler.pool.Forget(w.first.server)
-	w.rig.handler.pool.Forget(w.second.server)
+func (w *trialWorker) run(tr trial) []string {
+	w.proxy.handler.pool.Forget(w.first.server)
+	w.proxy.handler.pool.Forget(w.second.server)
 	release := make(chan struct{})
 	w.first.release.Store(&release)
 	if tr.reused {
-		_ = w.ask(tr.kind.target, "w", longDeadline)
+		_ = w.request(tr.kind.target, "w", longDeadline)
 	}
 	deadline := longDeadline
-	if tr.misdeed == fallsSilent {
-		deadline = silentDeadline
+	if tr.fault == fallsSilent {
+		deadline = noResponseDeadline
 	}
 	w.first.length.Store(w.lengthOf(&tr))
 	tr.id = fmt.Sprintf("t-%06d", w.count+1)
 	w.first.current.Store(&tr)
 	got, failure := w.play(&tr, deadline)
-	faults := w.books.check(&tr, got)
-	if tr.misdeed == answersLater && w.lengthOf(&tr)-int64(tr.offset) > 4*smallWindow {
-		faults = append(faults, w.askBetween(&tr)...) // on another connection: this one waits for the rest of a body
+	faults := w.record.check(&tr, got)
+	if tr.fault == answersLater && w.lengthOf(&tr)-int64(tr.offset) > 4*smallWindow {
+		faults = append(faults, w.requestBetween(&tr)...) // on another connection: this one waits for the rest of a body
 	}
 	close(release)
 	if failure != "" {
 		faults = append(faults, failure)
 	}
-	if !w.settles() {
+	if !w.becomesIdle() {
 		faults = append(faults, "the proxy or a connection of its servers goes on")
 	}
-	if w.first.current.Swap(nil) != nil && tr.misdeed != fallsSilent {
+	if w.first.current.Swap(nil) != nil && tr.fault != fallsSilent {
 		w.missed++
 	}
-	faults = append(faults, w.books.check(&tr, got)...) // once more: what came late counts as well
-	if got.left && w.books.reachedServer(tr.id, w.second.server.ID) {
+	faults = append(faults, w.record.check(&tr, got)...) // once more: what came late counts as well
+	if got.left && w.record.reachedServer(tr.id, w.second.server.ID) {
 		faults = append(faults, "went to another server after its client had left")
 	}
-	return append(faults, w.askBetween(&tr)...)
+	return append(faults, w.requestBetween(&tr)...)
 }
 
-// askBetween sends a request after a trial. It may fail only if its server can't be known to be gone, or sends what
+// requestBetween sends a request after a trial. It may fail only if its server can't be known to be gone, or sends what
 // nobody asked for.
-func (w *worker) askBetween(tr *trial) []string {
+func (w *trialWorker) requestBetween(tr *trial) []string {
 	before := w.probes[http.StatusOK]
-	faults := w.ask("/long/o/x", "p", longDeadline)
-	switch tr.misdeed {
+	faults := w.request("/long/o/x", "p", longDeadline)
+	switch tr.fault {
 	case fallsSilent, answersEarly, answersLater, answersOther, splices, clientLeaves:
 		if w.probes[http.StatusOK] == before {
 			faults = append(faults, "the next request failed")
@@ -138,10 +138,10 @@
 }
 
 // lengthOf is the length of a trial's request as the first server gets it.
-func (w *worker) lengthOf(tr *trial) int64 {
+func (w *trialWorker) lengthOf(tr *trial) int64 {
 	length := w.lengths[tr.kind.name]
-	if tr.misdeed == fallsSilent {
-		length += int64(digits(silentDeadline) - digits(longDeadline))
+	if tr.fault == fallsSilent {
+		length += int64(digits(noResponseDeadline) - digits(longDeadline))
 	}
 	if tr.payload != "" {
 		usual := len("payload of t-000000")
@@ -153,35 +153,35 @@
 func digits(number int) int { return len(strconv.Itoa(number)) }
 
 // play sends the trial's request and reads the answer, or leaves.
-func (w *worker) play(tr *trial, deadline int) (got result, failure string) {
+func (w *trialWorker) play(tr *trial, deadline int) (got result, failure string) {
 	_, conn, err := w.send(tr.kind.target, "t", deadline, tr.payload)
 	if err != nil {
 		return got, err.Error()
 	}
 	defer conn.Close()
-	if tr.misdeed != clientLeaves {
+	if tr.fault != clientLeaves {
 		return readResult(bufio.NewReader(conn)), ""
 	}
 	select {
 	case <-w.first.arrived:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		failure = "the server was not reached"
 	}
 	return result{left: true}, failure
 }
 
 // settles waits until the proxy is done with all requests, and the servers' connections with them.
-func (w *worker) settles() bool {
-	return holdsInTime(w.patience, func() bool {
-		return w.rig.handler.counters.active.Load() == 0 && w.first.busy.Load() == 0 && w.second.busy.Load() == 0
+func (w *trialWorker) becomesIdle() bool {
+	return becomesTrue(w.patience, func() bool {
+		return w.proxy.handler.counters.active.Load() == 0 && w.first.busy.Load() == 0 && w.second.busy.Load() == 0
 	})
 }
 
-// holdsInTime looks at a condition until it holds, for a bounded time, and tells whether it did.
-func holdsInTime(bound time.Duration, condition func() bool) bool {
+// becomesTrue looks at a condition until it holds, for a bounded time, and tells whether it did.
+func becomesTrue(bound time.Duration, condition func() bool) bool {
 	limit := time.NewTimer(bound)
 	defer limit.Stop()
-	ticker := time.NewTicker(pause / 10)
+	ticker := time.NewTicker(pollInterval / 10)
 	defer ticker.Stop()
 	for !condition() {
 		select {
@@ -194,27 +194,27 @@
 }
 
 // outcome is what trials came to.
-type outcome struct {
-	found  []string    // broken rules, about mostFaults of them
+type trialSummary struct {
+	found  []string    // broken rules, about maxViolations of them
 	probes map[int]int // answers to the requests between trials, by status
 	missed int         // trials without their misdeed
 }
 
 // runTrials makes trials with several proxies at a time.
-func runTrials(t *testing.T, all []trial, wait time.Duration, between func(*handler) http.Handler) *outcome {
+func runTrials(t *testing.T, all []trial, wait time.Duration, between func(*handler) http.Handler) *trialSummary {
 	t.Helper()
 	var mu sync.Mutex
 	var next atomic.Int64
 	var done sync.WaitGroup
-	got := &outcome{probes: make(map[int]int)}
+	got := &trialSummary{probes: make(map[int]int)}
 	for range trialWorkers {
-		w := newWorker(t, between)
+		w := newTrialWorker(t, between)
 		w.patience = wait
 		done.Go(func() {
 			for index := next.Add(1) - 1; index < int64(len(all)); index = next.Add(1) - 1 {
-				faults := w.try(all[index])
+				faults := w.run(all[index])
 				mu.Lock()
-				enough := got.take(&all[index], faults)
+				enough := got.addTrial(&all[index], faults)
 				mu.Unlock()
 				if enough {
 					return
@@ -230,14 +230,14 @@
 }
 
 // take notes what was found in a trial and tells whether that is enough.
-func (o *outcome) take(tr *trial, faults []string) bool {
+func (o *trialSummary) addTrial(tr *trial, faults []string) bool {
 	for _, fault := range faults {
 		o.found = append(o.found, tr.String()+": "+fault)
 	}
-	return len(o.found) >= mostFaults
+	return len(o.found) >= maxViolations
 }
 
-func (o *outcome) add(w *worker) {
+func (o *trialSummary) add(w *trialWorker) {
 	o.missed += w.missed
 	for status, count := range w.probes {
 		o.probes[status] += count
@@ -251,10 +251,10 @@
 	if told, err := strconv.Atoi(os.Getenv("PROXY_TRIAL_STRIDE")); err == nil && told > 0 {
 		stride = told
 	}
-	lengths := newWorker(t, plainly).lengths
+	lengths := newTrialWorker(t, unwrapped).lengths
 	all := append(allTrials(stride, lengths), longTrials(lengths)...)
 	began := time.Now()
-	got := runTrials(t, all, patience, plainly)
+	got := runTrials(t, all, testTimeout, unwrapped)
 	t.Logf("%d trials (%d missed) in %v, answers to the requests between them: %v", len(all), got.missed, time.Since(began), got.probes)
 	require.Empty(t, got.found, strings.Join(got.found, "\n"))
 	require.Less(t, got.missed*100, len(all), "most trials must meet their server")
@@ -263,4 +263,4 @@
 	}
 }
 
-func plainly(h *handler) http.Handler { return h }
+func unwrapped(h *handler) http.Handler { return h }
--- a/internal/proxy/unsized_test.go
+++ b/internal/proxy/unsized_test.go
@@ -21,7 +21,7 @@
 	for _, size := range []int{0, 2, maxBufferedResponse, maxBufferedResponse + 1, 3 * maxBufferedResponse} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			whole := repeated("x", size)
-			r := newRig(t, newStandIn(t, "i-1", raw(unsizedHead+whole)))
+			r := newTestProxy(t, newFakeServer(t, "i-1", raw(unsizedHead+whole)))
 			response, body := r.get("/m/x")
 			require.Equal(t, 200, response.StatusCode)
 			require.Equal(t, "seal", response.Header.Get(headerServerSeal))
@@ -30,7 +30,7 @@
 			require.Zero(t, r.handler.pool.Stats().IdleNow)
 			require.Equal(t, []placement.Outcome{placement.Done}, r.placer.seenOutcomes())
 			r.get("/m/x")
-			require.Empty(t, r.placer.leaving, "its framing says nothing about the server's leaving")
+			require.Empty(t, r.placer.draining, "its framing says nothing about the server's leaving")
 			eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "memory is given back")
 		})
 	}
@@ -39,40 +39,40 @@
 // What is not read whole is passed on in chunks, whose end the client misses when the server's connection is reset.
 func TestAnswerWithoutALengthThatIsResetIsNotWhole(t *testing.T) {
 	large := repeated("x", 2*maxBufferedResponse)
-	second := newStandIn(t, "i-2", good("ok"))
-	r := newRig(t, newStandIn(t, "i-1", rawReset(unsizedHead+large)), second)
+	second := newFakeServer(t, "i-2", ok("ok"))
+	r := newTestProxy(t, newFakeServer(t, "i-1", rawReset(unsizedHead+large)), second)
 	c := r.dial()
-	c.ask("GET", "/m/x", "", "")
-	status, whole := c.whole("GET")
+	c.send("GET", "/m/x", "", "")
+	status, whole := c.receiveComplete("GET")
 	require.False(t, status == 200 && whole)
-	require.Empty(t, second.got(), "it may run once")
+	require.Empty(t, second.requests(), "it may run once")
 
 	c = r.dial()
-	c.ask("GET", "/i/x", "", "")
-	status, whole = c.whole("GET")
+	c.send("GET", "/i/x", "", "")
+	status, whole = c.receiveComplete("GET")
 	require.Equal(t, 200, status)
-	require.Equal(t, whole, len(second.got()) == 1, "whole is only the answer of the other server")
+	require.Equal(t, whole, len(second.requests()) == 1, "whole is only the answer of the other server")
 }
 
 // A reset after the head was passed on must reach the client as a missing last chunk.
 func TestAnswerWithoutALengthThatIsResetMidwayEndsVisibly(t *testing.T) {
 	for _, target := range []string{"/m/x", "/i/x"} {
 		begun := make(chan struct{})
-		first := newStandIn(t, "i-1", func(conn *net.TCPConn, request arrival) bool {
+		first := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 			raw(unsizedHead+repeated("x", 2*maxBufferedResponse))(conn, request)
 			<-begun
-			return resets(conn, request)
+			return reset(conn, request)
 		})
-		second := newStandIn(t, "i-2", good("ok"))
-		r := newRig(t, first, second)
+		second := newFakeServer(t, "i-2", ok("ok"))
+		r := newTestProxy(t, first, second)
 		c := r.dial()
-		c.ask("GET", target, "", "")
-		response := c.head("GET")
+		c.send("GET", target, "", "")
+		response := c.receiveHead("GET")
 		require.Equal(t, 200, response.StatusCode)
 		close(begun)
 		_, err := io.Copy(io.Discard, response.Body)
 		require.ErrorIs(t, err, io.ErrUnexpectedEOF)
-		require.Empty(t, second.got(), "an answer that has begun is not begun again")
+		require.Empty(t, second.requests(), "an answer that has begun is not begun again")
 		eventually(t, func() bool { return r.handler.counters.broken.Load() == 1 }, "it counts as broken")
 		require.Zero(t, r.handler.counters.clientsGone.Load())
 		require.Equal(t, []placement.Outcome{placement.Reset}, r.placer.seenOutcomes())
@@ -80,19 +80,19 @@
 }
 
 // whole reads an answer and tells whether it came whole.
-func (c *client) whole(method string) (status int, whole bool) {
+func (c *client) receiveComplete(method string) (status int, whole bool) {
 	c.t.Helper()
-	response := c.head(method)
+	response := c.receiveHead(method)
 	_, err := io.Copy(io.Discard, response.Body)
 	return response.StatusCode, err == nil
 }
 
 func TestStreamWithoutALength(t *testing.T) {
-	r := newRig(t, newStandIn(t, "i-1", raw(unsizedStream+events(1, 5))))
+	r := newTestProxy(t, newFakeServer(t, "i-1", raw(unsizedStream+eventTexts(1, 5))))
 	for _, target := range []string{"/s/x", "/r/x"} {
 		response, body := r.get(target)
 		require.Equal(t, 200, response.StatusCode)
-		require.Equal(t, events(1, 5), body)
+		require.Equal(t, eventTexts(1, 5), body)
 	}
 }
 
@@ -101,14 +101,14 @@
 	for _, torn := range []string{"i", "id: 4\n", "id: 4\ndata: piece 4\n"} {
 		for name, ends := range map[string]func(string) reply{"closed": raw, "reset": rawReset} {
 			t.Run(fmt.Sprintf("%q %s", torn, name), func(t *testing.T) {
-				second := newStandIn(t, "i-2", streams("two", 6, ""))
-				r := newRig(t, newStandIn(t, "i-1", ends(unsizedStream+events(1, 3)+torn)), second)
+				second := newFakeServer(t, "i-2", streamEvents("two", 6, ""))
+				r := newTestProxy(t, newFakeServer(t, "i-1", ends(unsizedStream+eventTexts(1, 3)+torn)), second)
 				c := r.dial()
-				c.ask("GET", "/r/x", "", "")
-				_, body := c.answer("GET")
-				require.Equal(t, events(1, 6), body)
-				require.Equal(t, "3", second.got()[0].header.Get(headerLastEventID))
-				require.Equal(t, events(1, 3), cutStream(t, r, "/s/x"))
+				c.send("GET", "/r/x", "", "")
+				_, body := c.receive("GET")
+				require.Equal(t, eventTexts(1, 6), body)
+				require.Equal(t, "3", second.requests()[0].header.Get(headerLastEventID))
+				require.Equal(t, eventTexts(1, 3), streamUntilBroken(t, r, "/s/x"))
 			})
 		}
 	}
@@ -116,31 +116,31 @@
 
 // An event without an id can't be told apart from those that a server would send again.
 func TestStreamIsNotTakenUpBehindAnEventWithoutAnID(t *testing.T) {
-	begun := event(1) + "data: unnumbered\n\n"
-	second := newStandIn(t, "i-2", streams("two", 6, ""))
-	r := newRig(t, newStandIn(t, "i-1", rawReset(unsizedStream+begun)), second)
-	require.Equal(t, begun, cutStream(t, r, "/r/x"))
-	require.Empty(t, second.got())
+	begun := eventText(1) + "data: unnumbered\n\n"
+	second := newFakeServer(t, "i-2", streamEvents("two", 6, ""))
+	r := newTestProxy(t, newFakeServer(t, "i-1", rawReset(unsizedStream+begun)), second)
+	require.Equal(t, begun, streamUntilBroken(t, r, "/r/x"))
+	require.Empty(t, second.requests())
 
-	comment := event(1) + ": nothing new\n\n"
-	r = newRig(t, newStandIn(t, "i-1", rawReset(unsizedStream+comment)), second)
+	comment := eventText(1) + ": nothing new\n\n"
+	r = newTestProxy(t, newFakeServer(t, "i-1", rawReset(unsizedStream+comment)), second)
 	_, body := r.get("/r/x")
-	require.Equal(t, comment+events(2, 6), body)
+	require.Equal(t, comment+eventTexts(2, 6), body)
 }
 
 // A client of HTTP/1.0 gets no chunks: a cut answer without a length must end with a reset.
 func TestCutAnswerIsResetForClientsWithoutChunks(t *testing.T) {
-	r := newRig(t, newStandIn(t, "i-1", rawReset(unsizedStream+events(1, 3))))
+	r := newTestProxy(t, newFakeServer(t, "i-1", rawReset(unsizedStream+eventTexts(1, 3))))
 	c := r.dial()
 	c.write("GET /s/x HTTP/1.0\r\nHost: h.example\r\n" + headerAttemptID + ": id1\r\n\r\n")
-	body, err := io.ReadAll(c.head("GET").Body)
+	body, err := io.ReadAll(c.receiveHead("GET").Body)
 	require.Error(t, err)
-	require.Equal(t, events(1, 3), string(body))
+	require.Equal(t, eventTexts(1, 3), string(body))
 	eventually(t, func() bool { return r.handler.counters.connections.Load() == 0 }, "its place is free again")
 
-	r = newRig(t, newStandIn(t, "i-1", raw(unsizedStream+events(1, 3))))
+	r = newTestProxy(t, newFakeServer(t, "i-1", raw(unsizedStream+eventTexts(1, 3))))
 	c = r.dial()
 	c.write("GET /s/x HTTP/1.0\r\nHost: h.example\r\n" + headerAttemptID + ": id1\r\n\r\n")
-	_, got := c.answer("GET")
-	require.Equal(t, events(1, 3), got)
+	_, got := c.receive("GET")
+	require.Equal(t, eventTexts(1, 3), got)
 }
