--- /dev/null
+++ b/internal/proxy/connqueue.go
@@ -0,0 +1,49 @@
+package proxy
+
+import (
+	"net"
+	"sync"
+)
+
+// handoff is a listener that is given its connections.
+type connQueue struct {
+	address net.Addr
+	conns   chan net.Conn
+	done    chan struct{}
+	once    sync.Once
+}
+
+func newConnQueue(address net.Addr) *connQueue {
+	return &connQueue{address: address, conns: make(chan net.Conn), done: make(chan struct{})}
+}
+
+// give hands a connection over; it returns false when the listener is closed.
+func (h *connQueue) offer(conn net.Conn) bool {
+	select {
+	case h.conns <- conn:
+		return true
+	case <-h.done:
+		return false
+	}
+}
+
+// Accept implements net.Listener.
+func (h *connQueue) Accept() (net.Conn, error) {
+	select {
+	case conn := <-h.conns:
+		return conn, nil
+	case <-h.done:
+		return nil, net.ErrClosed
+	}
+}
+
+func (h *connQueue) close() { h.once.Do(func() { close(h.done) }) }
+
+// Close implements net.Listener.
+func (h *connQueue) Close() error {
+	h.close()
+	return nil
+}
+
+// Addr implements net.Listener.
+func (h *connQueue) Addr() net.Addr { return h.address }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -200,25 +200,3 @@
 	}
 	x.handler.dispatcher.finished(decision.Attempt, outcome)
 }
-
-// placementOutcomeOfError tells placement what an error says about the server.
-func placementOutcomeOfError(err error) placement.Outcome {
-	var dialError *upstream.DialError
-	if errors.As(err, &dialError) && dialError.TimedOut {
-		return placement.Unreachable
-	}
-	var answerError *upstream.ResponseError
-	if !errors.As(err, &answerError) {
-		return placement.Reset
-	}
-	switch answerError.Fault {
-	case upstream.FaultUnreachable:
-		return placement.Unreachable
-	case upstream.FaultDeadline:
-		return placement.TimedOut
-	case upstream.FaultBroken:
-		return placement.Reset
-	default:
-		return placement.Failed
-	}
-}
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -1,15 +1,9 @@
 package proxy
 
 import (
-	"net"
 	"net/http"
-	"strconv"
-	"strings"
 	"time"
 
-	"github.com/cockroachdb/errors"
-
-	"fieldrelay/internal/placement"
 	"fieldrelay/internal/policy"
 	"fieldrelay/internal/proxy/upstream"
 	"fieldrelay/internal/route"
@@ -61,50 +55,6 @@
 	}
 }
 
-// abortConnection ends a client's connection in the middle of an answer. An answer with a length or in chunks is seen
-// to be cut; one that a client of HTTP/1.0 gets may end with the connection, so that this must be reset.
-func abortConnection(writer http.ResponseWriter, request *http.Request) {
-	if !request.ProtoAtLeast(1, 1) {
-		conn, _, err := http.NewResponseController(writer).Hijack()
-		if err == nil {
-			if socket, ok := conn.(*net.TCPConn); ok {
-				_ = socket.SetLinger(0)
-			}
-			_ = conn.Close()
-		}
-	}
-	panic(http.ErrAbortHandler)
-}
-
-// refusal is an answer of the proxy's own to a request that was not passed on.
-type rejection struct {
-	status          int
-	retryAfter      time.Duration // 0: not told
-	closeConnection bool          // the connection can't be used any longer
-}
-
-// drainRejection is the answer to a request that comes too late in a drain.
-var drainRejection = &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterShort, closeConnection: true}
-
-// refuse writes an answer of the proxy's own. It goes out however late it comes.
-func (h *handler) reject(writer http.ResponseWriter, response *rejection) {
-	h.counters.countOwnResponse(response.status)
-	_ = http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(writeSlack))
-	header := writer.Header()
-	suppressDefaults(header)
-	if response.retryAfter > 0 {
-		header["Retry-After"] = []string{retryAfter(response.retryAfter)}
-	}
-	header["Content-Length"] = []string{"0"}
-	if response.closeConnection || h.lifecycle.draining() {
-		setConnectionClose(header)
-	}
-	writer.WriteHeader(response.status)
-}
-
-// setConnectionClose ends the client's connection after the answer.
-func setConnectionClose(header http.Header) { header["Connection"] = []string{"close"} }
-
 // prepare reads a request whole and finds its route. The body is read before anything else is decided, so
 // that the connection stays usable and an attempt is always whole.
 func (h *handler) prepare(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*exchange, *rejection) {
@@ -190,83 +140,3 @@
 	}
 	h.snapshots.usedSequence.raise(current.sequence)
 }
-
-var (
-	errNoConfiguration = errors.New("no configuration is held")
-	errNoRoute         = errors.New("no route")
-	errLimitsUnknown   = errors.New("the request is larger than is taken before a configuration tells its bounds")
-)
-
-// rejectionOf is the answer to a request that was not taken in.
-func rejectionOf(err error) *rejection {
-	switch {
-	case errors.Is(err, errNoRoute):
-		return &rejection{status: http.StatusNotFound}
-	case errors.Is(err, errNoConfiguration):
-		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterNoConfiguration}
-	case errors.Is(err, errLimitsUnknown):
-		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterNoConfiguration, closeConnection: true}
-	case errors.Is(err, errBodyTooLarge):
-		return &rejection{status: http.StatusRequestEntityTooLarge, closeConnection: true}
-	case errors.Is(err, errNoMemory):
-		return &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterShort, closeConnection: true}
-	default:
-		return &rejection{status: http.StatusRequestTimeout, closeConnection: true}
-	}
-}
-
-// attemptIDOf returns the id of a request; there must be exactly one.
-func attemptIDOf(header http.Header) (string, bool) {
-	values := header[headerAttemptID]
-	if len(values) != 1 || values[0] == "" {
-		return "", false
-	}
-	return values[0], true
-}
-
-// timeoutFor is how long a request may be held: what the client waits, but no longer than the route allows.
-func timeoutFor(header http.Header, matched *route.Route) time.Duration {
-	requested := clientTimeout(header)
-	if matched.Deadline > 0 {
-		return min(requested, matched.Deadline)
-	}
-	return requested
-}
-
-// clientTimeout is how long a client says that it waits, at most longestDeadline.
-func clientTimeout(header http.Header) time.Duration {
-	values := header[headerDeadline]
-	if len(values) == 0 {
-		return longestDeadline
-	}
-	milliseconds, err := strconv.ParseFloat(strings.TrimSpace(values[0]), 64)
-	if err != nil || milliseconds < 0 || milliseconds > float64(longestDeadline/time.Millisecond) {
-		return longestDeadline
-	}
-	return time.Duration(milliseconds * float64(time.Millisecond))
-}
-
-// placementRequest tells placement what the headers of a request say about its size.
-func placementRequest(header http.Header, matched *route.Route, draw float64, arrived time.Duration) placement.Request {
-	request := placement.Request{
-		Route:   matched,
-		Service: matched.PickService(draw),
-		Model:   header.Get(headerModel),
-		Arrived: arrived,
-	}
-	request.Returned = clientTimeout(header)+retrySlack < matched.Deadline
-	request.Prompt, request.Generate = tokenCounts(header.Get(headerTokenCount))
-	if chunks := header.Get(headerPromptPrefix); chunks != "" {
-		// A list that can't be read only means that nothing is known of kept parts.
-		request.Chunks, _ = placement.ParseChunks(chunks, nil)
-	}
-	return request
-}
-
-// tokenCounts reads X-Fieldrelay-Token-Count: the prompt's tokens, and the most that are generated.
-func tokenCounts(value string) (prompt, generate int) {
-	first, second, _ := strings.Cut(value, ",")
-	prompt, _ = strconv.Atoi(strings.TrimSpace(first))
-	generate, _ = strconv.Atoi(strings.TrimSpace(second))
-	return max(prompt, 0), max(generate, 0)
-}
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -23,12 +23,6 @@
 	drainTimes atomic.Pointer[drainTimes] // nil: not told to end
 }
 
-// drainTimes are the instants of a drain.
-type drainTimes struct {
-	deadlineCheck time.Time // from which on only requests are taken that end before abandon
-	abort         time.Time // when what is still being served is broken off
-}
-
 func (l *lifecycle) phase() phase { return phase(l.current.Load()) }
 
 func (l *lifecycle) enter(next phase) { l.current.Store(int32(next)) }
@@ -63,35 +57,3 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
-
-const (
-	// maxDrainAccept is how long a proxy that was told to end goes on taking requests: clients keep its address
-	// for up to three times the directory's time to live.
-	maxDrainAccept = 3500 * time.Millisecond
-	// maxUncheckedAccept is how long it takes requests whatever their deadline. The rules forgive that requests are broken off
-	// which were sent up to 3 s after SIGTERM; the rest of these is for the time that the signal takes.
-	maxUncheckedAccept = 2800 * time.Millisecond
-	// inFlightReserve is the part of the grace period that is left for requests begun while lingering.
-	inFlightReserve = 2500 * time.Millisecond
-	// exitReserve is the part of the grace period that is left for the process to end.
-	exitReserve = 500 * time.Millisecond
-)
-
-// drainPlan tells, from the moment at which the process is told to end, from when on it takes only requests that
-// end in time, when it stops taking requests and when it breaks off those that are left.
-type drainPlan struct {
-	deadlineCheck time.Duration
-	reject        time.Duration
-	abort         time.Duration
-}
-
-// from gives the instants of a plan that begins at a moment.
-func (p drainPlan) start(start time.Time) drainTimes {
-	return drainTimes{deadlineCheck: start.Add(p.deadlineCheck), abort: start.Add(p.abort)}
-}
-
-func planDrain(grace time.Duration) drainPlan {
-	abandon := max(grace-exitReserve, grace/2)
-	refuse := min(maxDrainAccept, max(grace-inFlightReserve, grace/3))
-	return drainPlan{deadlineCheck: min(maxUncheckedAccept, refuse), reject: refuse, abort: abandon}
-}
--- /dev/null
+++ b/internal/proxy/placementoutcome.go
@@ -0,0 +1,49 @@
+package proxy
+
+import (
+	"net/http"
+
+	"github.com/cockroachdb/errors"
+
+	"fieldrelay/internal/placement"
+	"fieldrelay/internal/proxy/upstream"
+)
+
+// placementOutcomeOfError tells placement what an error says about the server.
+func placementOutcomeOfError(err error) placement.Outcome {
+	var dialError *upstream.DialError
+	if errors.As(err, &dialError) && dialError.TimedOut {
+		return placement.Unreachable
+	}
+	var answerError *upstream.ResponseError
+	if !errors.As(err, &answerError) {
+		return placement.Reset
+	}
+	switch answerError.Fault {
+	case upstream.FaultUnreachable:
+		return placement.Unreachable
+	case upstream.FaultDeadline:
+		return placement.TimedOut
+	case upstream.FaultBroken:
+		return placement.Reset
+	default:
+		return placement.Failed
+	}
+}
+
+// placementOutcomeOfResponse tells placement what an answer says about the server.
+func placementOutcomeOfResponse(response upstream.Response, state executionState) placement.Outcome {
+	switch {
+	case response.StatusCode == http.StatusMisdirectedRequest:
+		return placement.Misdirected
+	case state == notExecuted:
+		return placement.Refused
+	case state == possiblyExecuted, isServerFailure(response.StatusCode):
+		return placement.Failed
+	default:
+		return placement.Done
+	}
+}
+
+// isServerFailure tells whether another server may do better.
+func isServerFailure(status int) bool { return status >= http.StatusInternalServerError }
--- /dev/null
+++ b/internal/proxy/process.go
@@ -0,0 +1,265 @@
+package proxy
+
+import (
+	"context"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"sync/atomic"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"go.uber.org/zap"
+
+	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
+	"fieldrelay/internal/limits"
+	"fieldrelay/internal/placement"
+	"fieldrelay/internal/policy"
+	"fieldrelay/internal/proxy/upstream"
+	"fieldrelay/internal/settings"
+)
+
+// process is a running proxy.
+type process struct {
+	options          Options
+	disabled         policy.Switches
+	logger           *zap.Logger
+	lifecycle        *lifecycle
+	snapshots        *snapshotStore
+	dispatcher       *dispatcher
+	announcer        *announcer // nil: nothing is announced
+	pool             *upstream.Pool
+	memory           *memoryLimit
+	counters         *counters
+	liveness         *agentLiveness
+	started          time.Time
+	listener         *clientListener
+	reloader         *reloader
+	gracePeriod      atomic.Int64    // nanoseconds
+	baseContext      context.Context // of all requests
+	cancelRequests   context.CancelFunc
+	internalServers  []*http.Server // for other callers than clients
+	configStreamAddr net.Addr
+	readyAddr        net.Addr
+}
+
+func newProcess(configured *settings.Settings, logger *zap.Logger, options Options) *process {
+	bounds := configured.Bounds
+	off := configured.Policy.Switches().And(options.Off)
+	placer := placement.New(placement.Config{
+		Host:      configured.Hostname,
+		Zone:      configured.Zone,
+		Regions:   configured.Zones,
+		Seed:      rand.Uint64(),
+		SlowStart: limits.SlowStartConfig{Excess: bounds.WarmExcess, Extra: bounds.WarmExtra},
+		Off:       off,
+	})
+	budget := limits.NewRetryBudget(limits.RetryConfig{
+		Ratio:  bounds.RetryRatio,
+		Extra:  bounds.RetryExtra,
+		Window: bounds.RetryWindow(),
+	}, configured.Hostname)
+	p := &process{
+		options:    options,
+		disabled:   off,
+		logger:     logger,
+		snapshots:  newSnapshotStore(),
+		dispatcher: newDispatcher(placer, budget),
+		pool:       upstream.NewPool(upstream.Config{DisableReuse: off.Off(policy.ConnectionReuse)}),
+		memory:     newMemoryLimit(int64(configured.Limits.MemoryMB * megabyte / bodyMemoryFraction)),
+		counters:   &counters{},
+		liveness:   &agentLiveness{logger: logger},
+		started:    time.Now(),
+	}
+	p.baseContext, p.cancelRequests = context.WithCancel(context.Background())
+	p.lifecycle = &lifecycle{snapshot: p.snapshots.load}
+	p.gracePeriod.Store(int64(bounds.Grace()))
+	path, _ := settings.Path() // without one, nothing is read again
+	p.reloader = newReloader(path, logger, p.applySettings)
+	return p
+}
+
+// applySettings takes in what may change while the process runs.
+func (p *process) applySettings(changed *settings.Settings) {
+	p.gracePeriod.Store(int64(changed.Bounds.Grace()))
+}
+
+// start opens the three listeners: clients, the platform's checks, and the agent.
+func (p *process) start(configured *settings.Settings) error {
+	base := p.baseContext
+	// The proxy needs no probes of its own on clients' connections: idle ones end by time.
+	config := net.ListenConfig{KeepAlive: -1}
+	config.SetMultipathTCP(false)
+	listener, err := config.Listen(base, "tcp4", configured.Binds.Edge)
+	if err != nil {
+		return errors.Wrap(err, "listen for clients")
+	}
+	p.startAnnouncer(configured)
+	connections := max((configured.Limits.Descriptors-reservedDescriptors)/2, minConnections)
+	p.listener = newClientListener(base, listener, p.requestHandler(), connections, p.counters, p.logger)
+	go p.listener.serve()
+	if p.readyAddr, err = p.serveInternal(configured.Binds.Ready, p.lifecycle); err != nil {
+		return err
+	}
+	feedAddress := p.options.Feed
+	if feedAddress == "" {
+		feedAddress = configured.LoopbackPort(configStreamPort)
+	}
+	p.configStreamAddr, err = p.serveInternal(feedAddress, p.configStreamHandler(configured))
+	return err
+}
+
+// startAnnouncer opens the socket for announcements where the machine has a port for it. A proxy serves without one
+// as well.
+func (p *process) startAnnouncer(configured *settings.Settings) {
+	ports := configured.PortRange
+	if (p.disabled.Off(policy.Announcements) && p.disabled.Off(policy.FailureReports)) || ports[1]-ports[0] < announcePort {
+		return
+	}
+	region := configured.RegionOf(configured.Zone)
+	opened, err := newAnnouncer(configured.Port(announcePort), region, configured.Zone, p.dispatcher)
+	if err != nil {
+		p.logger.Warn("no announcements", zap.Error(err))
+		return
+	}
+	p.announcer = opened
+	go opened.receiveLoop()
+	go opened.sendLoop()
+}
+
+func (p *process) requestHandler() *handler {
+	return &handler{
+		snapshots:  p.snapshots,
+		lifecycle:  p.lifecycle,
+		dispatcher: p.dispatcher,
+		announcer:  p.announcer,
+		pool:       p.pool,
+		memory:     p.memory,
+		counters:   p.counters,
+		random:     rand.Float64,
+		disabled:   p.disabled,
+	}
+}
+
+func (p *process) configStreamHandler(configured *settings.Settings) http.Handler {
+	service := &configStream{
+		host:        configured.Hostname,
+		incarnation: rand.Uint64() | 1,
+		edgeAddress: configured.Binds.Edge,
+		snapshots:   p.snapshots,
+		dispatcher:  p.dispatcher,
+		announcer:   p.announcer,
+		lifecycle:   p.lifecycle,
+		counters:    p.counters,
+		logger:      p.logger,
+		liveness:    p.liveness,
+		clock:       p.now,
+		onSnapshot:  p.snapshotChanged,
+	}
+	path, handler := fieldrelayv1connect.NewProxyFeedHandler(service)
+	mux := http.NewServeMux()
+	mux.Handle(path, handler)
+	return mux
+}
+
+// snapshotChanged takes in a new snapshot where limits or servers changed.
+func (p *process) snapshotChanged(current *snapshot, applied update) {
+	if applied.tableChanged {
+		p.listener.setLimits(connLimitsOf(current.table.RequestLimits()))
+	}
+	if applied.listChanged {
+		p.sweep(current)
+	}
+}
+
+// sweep closes connections that were idle for too long or that lead to servers that are gone or out of reach.
+func (p *process) sweep(current *snapshot) {
+	unreachable := p.pool.Sweep(time.Now(), func(server upstream.Server) bool {
+		_, listed := current.servers[server]
+		return listed
+	})
+	for _, server := range unreachable {
+		p.dispatcher.serverUnreachable(server.ID)
+	}
+}
+
+// serveInternal opens a listener for other callers than clients and returns its address.
+func (p *process) serveInternal(address string, handler http.Handler) (net.Addr, error) {
+	listener, err := net.Listen("tcp4", address)
+	if err != nil {
+		return nil, errors.Wrapf(err, "listen on %s", address)
+	}
+	server := &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: headerReadTimeout,
+		ErrorLog:          zap.NewStdLog(zap.NewNop()),
+	}
+	p.internalServers = append(p.internalServers, server)
+	go func() { _ = server.Serve(listener) }()
+	return listener.Addr(), nil
+}
+
+// serve does the regular work until the process is told to end.
+func (p *process) serve(terminate <-chan struct{}, reload <-chan os.Signal) {
+	housekeeping := time.NewTicker(housekeepingInterval)
+	defer housekeeping.Stop()
+	report := time.NewTicker(countersInterval)
+	defer report.Stop()
+	for {
+		select {
+		case <-terminate:
+			return
+		case <-reload:
+			p.reloader.reload()
+		case <-housekeeping.C:
+			p.reloader.reloadIfChanged()
+			p.sweep(p.snapshots.load())
+			p.liveness.checkTimeout(p.now())
+		case <-report.C:
+			p.logger.Info("counters", p.counterFields()...)
+		}
+	}
+}
+
+func (p *process) counterFields() []zap.Field {
+	fields := p.counters.fields(p.pool.Stats(), p.dispatcher.slack(), p.memory.used.Load())
+	fields = append(fields, placementFields(p.dispatcher.stats())...)
+	return append(fields, zap.Duration("agent-silence", p.liveness.sinceContact(p.now())))
+}
+
+// now is the steady time since the start.
+func (p *process) now() time.Duration { return time.Since(p.started) }
+
+// stop closes what is still open.
+func (p *process) stop() {
+	p.cancelRequests()
+	if p.listener != nil {
+		p.listener.close()
+	}
+	for _, server := range p.internalServers {
+		_ = server.Close()
+	}
+	p.pool.Close()
+	p.announcer.close()
+}
+
+const (
+	// configStreamPort is the number, among the machine's ports for own messages, of the port that the agent feeds.
+	configStreamPort = 2
+	// countersInterval is the time between two lines with the counters.
+	countersInterval = time.Minute
+	// housekeepingInterval is the time between two looks at idle connections and at the settings file.
+	housekeepingInterval = time.Second
+	// drainPollInterval is the time between two looks at how many requests are left while the process ends.
+	drainPollInterval = 10 * time.Millisecond
+	// bodyMemoryFraction is the part of the memory (one in bodyMemoryFraction) that bodies in flight may take.
+	bodyMemoryFraction = 8
+	megabyte           = 1 << 20
+	// reservedDescriptors is the number of descriptors that are not for connections.
+	reservedDescriptors = 256
+	// minConnections is the least number of clients' connections.
+	minConnections = 64
+	// headerReadTimeout bounds how long a call of the platform or of the agent may take.
+	headerReadTimeout = 5 * time.Second
+)
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -2,8 +2,11 @@
 
 import (
 	"cmp"
+	"context"
+	"net/http"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/catalog"
@@ -153,3 +156,50 @@
 		cmp.Compare(a.GetRevision(), b.GetRevision()),
 	)
 }
+
+// usable tells whether requests can be passed on by a snapshot.
+func (s *snapshot) usable() bool { return s.configured() && s.list != nil }
+
+// deadlineOf is when a request that came at a moment has to be answered: by its route, if that is known, and by what
+// its client told.
+func (s *snapshot) deadlineOf(request *http.Request, target string, arrived time.Time) time.Time {
+	if found, ok := s.table.Lookup(request.Host, pathOf(target)); ok {
+		return arrived.Add(timeoutFor(request.Header, found))
+	}
+	return arrived.Add(clientTimeout(request.Header))
+}
+
+// await returns the snapshot in force as soon as a condition holds for it, and at the given end in any case.
+func (s *snapshotStore) waitFor(ctx context.Context, end time.Time, holds func(*snapshot) bool) *snapshot {
+	timer := time.NewTimer(time.Until(end))
+	defer timer.Stop()
+	for {
+		news := s.nextSnapshot()
+		held := s.load()
+		if holds(held) {
+			return held
+		}
+		select {
+		case <-news:
+		case <-timer.C:
+			return s.load()
+		case <-ctx.Done():
+			return s.load()
+		}
+	}
+}
+
+// news gives a channel that is closed when the next snapshot has been taken in everywhere.
+func (s *snapshotStore) nextSnapshot() <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.changed
+}
+
+// announce wakes those who wait for news.
+func (s *snapshotStore) notifyWaiters() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -93,13 +93,6 @@
 	a.exchange.stream = stream
 }
 
-// clientWriteError tells that the client no longer takes its answer.
-type clientWriteError struct{ err error }
-
-func (e *clientWriteError) Error() string { return "write to the client: " + e.err.Error() }
-
-func (e *clientWriteError) Unwrap() error { return e.err }
-
 // forwardEvents passes events on as they come, each batch that came together by one write. It returns nil at
 // the proper end of the stream.
 func (a *attempt) forwardEvents(stream *clientStream) error {
