--- a/internal/proxy/announcements.go
+++ b/internal/proxy/announcements.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	// announcePort is the number, among the machine's ports for own messages, of the port for announcements. A
-	// machine with fewer ports neither sends nor gets any.
+	// announcePort is the index, in the machine's port range, of the port for announcements. A machine with fewer ports
+	// neither sends nor receives any.
 	announcePort = 3
-	// maxDatagramBytes is the largest datagram that is read.
+	// maxDatagramBytes is the largest datagram that is received; longer ones are truncated and so ignored.
 	maxDatagramBytes = 512
-	// maxPeers bounds the proxies that are told.
+	// maxPeers bounds the proxies to which announcements are sent.
 	maxPeers = 256
-	// announceQueueSize bounds the announcements that wait to be sent; more are dropped.
+	// announceQueueSize bounds the announcements that wait to be sent. Further ones are dropped.
 	announceQueueSize = 64
-	// announceTimeout bounds how long one datagram may wait for the link.
+	// announceTimeout bounds the time of sending one announcement to all peers.
 	announceTimeout = 50 * time.Millisecond
-	// maxReadErrors is the number of failed reads in a row after which no more announcements are heard.
+	// maxReadErrors is the number of failed reads in a row after which no more announcements are received.
 	maxReadErrors = 100
 )
 
-// announcer tells the other proxies of the region of long reads and of servers that fail, and hears of theirs: one
-// datagram each, which may be lost. Its methods may be called on nil, and then do nothing.
+// announcer exchanges announcements with the other proxies of the region: of long prefills and of servers that
+// fail. Each is one datagram, which may be lost; nothing depends on it. A nil announcer does nothing. It is safe
+// for concurrent use.
 type announcer struct {
 	socket    *net.UDPConn
 	region    string
 	zone      string
-	own       netip.Addr
-	port      uint16 // of all announcers
+	own       netip.Addr // address of this proxy
+	port      uint16     // the same on all proxies
 	peers     atomic.Pointer[[]netip.AddrPort]
 	queue     chan *pb.ProxyNotice
 	done      chan struct{}
@@ -45,14 +46,15 @@
 	handler   announcementHandler
 }
 
-// listener takes in what other proxies tell.
+// announcementHandler receives the announcements of other proxies.
 type announcementHandler interface {
-	announcementReceived(told placement.Announcement)
+	announcementReceived(announcement placement.Announcement)
 	failureReported(server, zone string)
 }
 
-// newAnnouncer opens the socket at an address, ip:port. What others tell goes to heard, one call at a time.
-func newAnnouncer(address, region, zone string, heard announcementHandler) (*announcer, error) {
+// newAnnouncer opens the socket at an address (ip:port). sendLoop and receiveLoop are to be run by the caller, each
+// in a goroutine of its own; they end with close. The handler is called by receiveLoop, one call at a time.
+func newAnnouncer(address, region, zone string, handler announcementHandler) (*announcer, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
@@ -69,28 +71,27 @@
 		port:    at.Port(),
 		queue:   make(chan *pb.ProxyNotice, announceQueueSize),
 		done:    make(chan struct{}),
-		handler: heard,
+		handler: handler,
 	}, nil
 }
 
-// setMembers takes in which proxies there are. Those of the own region are told from now on; their port for
-// announcements is the same as this one's.
+// setMembers sets which proxies there are. Announcements go to those of the own region, at the port of this one.
 func (a *announcer) setMembers(members []*pb.Neighbour) {
 	if a == nil {
 		return
 	}
-	var targets []netip.AddrPort
+	var peers []netip.AddrPort
 	for _, member := range members {
 		at, err := netip.ParseAddrPort(member.GetAddress())
-		if err != nil || member.GetRegion() != a.region || at.Addr() == a.own || len(targets) >= maxPeers {
+		if err != nil || member.GetRegion() != a.region || at.Addr() == a.own || len(peers) >= maxPeers {
 			continue
 		}
-		targets = append(targets, netip.AddrPortFrom(at.Addr(), a.port))
+		peers = append(peers, netip.AddrPortFrom(at.Addr(), a.port))
 	}
-	a.peers.Store(&targets)
+	a.peers.Store(&peers)
 }
 
-// tell has an announcement sent to the other proxies of the region. It never waits.
+// announce sends an announcement of a prefill to the other proxies of the region. It never blocks.
 func (a *announcer) announce(announcement placement.Announcement) {
 	if a == nil || announcement.Tokens <= 0 {
 		return
@@ -100,7 +101,7 @@
 	}}})
 }
 
-// report has a failure of a server reported to the other proxies of the region. It never waits.
+// reportFailure sends an announcement of a server's failure to the other proxies of the region. It never blocks.
 func (a *announcer) reportFailure(server string) {
 	if a == nil {
 		return
@@ -108,6 +109,7 @@
 	a.enqueue(&pb.ProxyNotice{Notice: &pb.ProxyNotice_ServerFailed{ServerFailed: &pb.ServerFailed{Server: server, Zone: a.zone}}})
 }
 
+// enqueue queues an announcement, and drops it if the queue is full.
 func (a *announcer) enqueue(notice *pb.ProxyNotice) {
 	select {
 	case a.queue <- notice:
@@ -115,7 +117,7 @@
 	}
 }
 
-// send sends announcements until close.
+// sendLoop sends announcements until close.
 func (a *announcer) sendLoop() {
 	for {
 		select {
@@ -128,8 +130,8 @@
 }
 
 func (a *announcer) sendToAll(notice *pb.ProxyNotice) {
-	targets := a.peers.Load()
-	if targets == nil {
+	peers := a.peers.Load()
+	if peers == nil {
 		return
 	}
 	datagram, err := proto.Marshal(notice)
@@ -137,46 +139,46 @@
 		return
 	}
 	_ = a.socket.SetWriteDeadline(time.Now().Add(announceTimeout))
-	for _, target := range *targets {
-		_, _ = a.socket.WriteToUDPAddrPort(datagram, target)
+	for _, peer := range *peers {
+		_, _ = a.socket.WriteToUDPAddrPort(datagram, peer)
 	}
 }
 
-// listen takes in announcements until close.
+// receiveLoop receives announcements until close, or until maxReadErrors reads in a row have failed.
 func (a *announcer) receiveLoop() {
 	buffer := make([]byte, maxDatagramBytes)
 	var notice pb.ProxyNotice
-	for faults := 0; faults < maxReadErrors; {
+	for failures := 0; failures < maxReadErrors; {
 		size, _, err := a.socket.ReadFromUDPAddrPort(buffer)
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			faults++
+			failures++
 			continue
 		}
-		faults = 0
+		failures = 0
 		if proto.Unmarshal(buffer[:size], &notice) == nil {
 			a.handle(&notice)
 		}
 	}
 }
 
-// take hands on what a notice tells; an unknown kind is left.
+// handle passes an announcement on; one of an unknown kind is ignored.
 func (a *announcer) handle(notice *pb.ProxyNotice) {
-	switch told := notice.GetNotice().(type) {
+	switch content := notice.GetNotice().(type) {
 	case *pb.ProxyNotice_LongRead:
 		a.handler.announcementReceived(placement.Announcement{
-			Server: told.LongRead.GetServer(),
-			Prompt: told.LongRead.GetPrompt(),
-			Tokens: int(told.LongRead.GetTokens()),
+			Server: content.LongRead.GetServer(),
+			Prompt: content.LongRead.GetPrompt(),
+			Tokens: int(content.LongRead.GetTokens()),
 		})
 	case *pb.ProxyNotice_ServerFailed:
-		a.handler.failureReported(told.ServerFailed.GetServer(), told.ServerFailed.GetZone())
+		a.handler.failureReported(content.ServerFailed.GetServer(), content.ServerFailed.GetZone())
 	}
 }
 
-// close ends sending and listening.
+// close ends sendLoop and receiveLoop and closes the socket.
 func (a *announcer) close() {
 	if a == nil {
 		return
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -9,10 +9,10 @@
 	"fieldrelay/internal/proxy/upstream"
 )
 
-// maxJoinedBody is the largest body that is copied behind the head, so that both go out by one plain write.
+// maxJoinedBody is the largest body, in bytes, that is copied behind the head so that both are sent by one write.
 const maxJoinedBody = 16 << 10
 
-// attempt sends the request to one server and passes the answer on.
+// attemptServer picks a server, sends the request to it, and forwards the response.
 func (x *exchange) attemptServer() attemptOutcome {
 	if x.remaining() <= 0 {
 		return outcomeNoServer
@@ -22,15 +22,11 @@
 		return x.noServer(err)
 	}
 	server := upstream.Server{ID: decision.ServerID, Address: decision.Address}
-	timeouts := x.connectTimeouts()
-	if x.handler.disabled.Off(policy.ReachabilityWatch) {
-		timeouts = upstream.DialTimeouts{Dial: x.remaining(), Unacknowledged: x.remaining()}
-	}
-	conn, err := x.handler.pool.Connect(x.request.Context(), server, timeouts, x.deadline)
+	conn, err := x.handler.pool.Connect(x.request.Context(), server, x.connectTimeouts(), x.deadline)
 	if err != nil {
 		return x.recordFailure(decision, err, true)
 	}
-	// The last look: what changed while the connection came up counts as well.
+	// The last check before anything is sent: what changed while the connection came up counts as well.
 	if x.isCanceled() || x.remaining() <= 0 || !x.handler.dispatcher.stillAllowed(decision.Attempt) {
 		x.handler.pool.Release(conn)
 		return x.withdraw(decision)
@@ -47,23 +43,27 @@
 }
 
 const (
-	// dialFraction is the part of the route's aim (one in dialFraction) that a connection may take to come up, within
-	// bounds: until then nothing is sent, so that another server can be tried at no risk.
+	// dialFraction is the fraction of the route's latency target (one in dialFraction) that a dial may take, within
+	// bounds. Nothing has been sent by then, so that another server can be tried without risk.
 	dialFraction   = 4
 	minDialTimeout = 150 * time.Millisecond
 	maxDialTimeout = 300 * time.Millisecond
-	// unacknowledgedFraction is the part of the aim for which a server's machine may be out of reach, within bounds,
-	// before a request that may run twice goes to another one.
+	// unacknowledgedFraction is the fraction of the latency target for which a server's machine may be unreachable,
+	// within bounds, before an idempotent request is sent to another one.
 	unacknowledgedFraction = 2
 	minUnacknowledged      = 300 * time.Millisecond
 	maxUnacknowledged      = time.Second
-	// unacknowledgedOnce is the same for a request that may run only once: its answer may still come, but not for
-	// longer than clients wait in silence.
+	// unacknowledgedOnce is the same for a request that may run only once: its response may still come, but clients
+	// don't wait longer without any byte.
 	unacknowledgedOnce = 2 * time.Second
 )
 
-// connectTimeouts tells how long the machine of a server may be out of reach.
+// connectTimeouts returns how long the server's machine may be unreachable at the level of TCP. With the
+// reachability watch disabled, only the deadline counts.
 func (x *exchange) connectTimeouts() upstream.DialTimeouts {
+	if x.handler.disabled.Off(policy.ReachabilityWatch) {
+		return upstream.DialTimeouts{Dial: x.remaining(), Unacknowledged: x.remaining()}
+	}
 	target := x.route.Target
 	if target <= 0 {
 		target = maxUnacknowledged
@@ -78,10 +78,10 @@
 	return timeouts
 }
 
-// gone tells whether the client left or the process ends.
+// isCanceled reports whether the client closed its connection or the process aborts its requests.
 func (x *exchange) isCanceled() bool { return x.request.Context().Err() != nil }
 
-// urgency is the Priority that a server is told.
+// serverPriority returns the value of the Priority header for a server.
 func (x *exchange) serverPriority(decision placement.Decision) int {
 	if x.handler.disabled.Off(policy.Priorities) {
 		return defaultPriority
@@ -89,7 +89,8 @@
 	return serverPriority(x.route.Priority, x.placement.Prompt, decision.PrefillTokens)
 }
 
-// send writes the request to a connection and reads the head of the answer.
+// send writes the request to a connection and receives the head of the response. The connection uses the request's
+// body until it is released or discarded.
 func (x *exchange) send(conn *upstream.Conn, decision placement.Decision) (upstream.Response, error) {
 	buffer := bufferPool.Get().(*[]byte)
 	defer bufferPool.Put(buffer)
@@ -126,6 +127,7 @@
 	return conn.Receive(x.request.Method, x.attemptID)
 }
 
+// countAttempt counts an attempt that is about to be sent.
 func (x *exchange) countAttempt() {
 	x.handler.counters.attempts.Add(1)
 	if x.attempts.sent > 0 {
--- a/internal/proxy/attempthead.go
+++ b/internal/proxy/attempthead.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// attemptHead is what the head of a request to a server is made of.
+// attemptHead is the head of a request to a server. It is written by appending, which allocates nothing.
 type attemptHead struct {
 	method      string
 	target      string // path and query as the client sent them
@@ -15,14 +15,14 @@
 	header      http.Header
 	attemptID   string
 	remaining   time.Duration
-	server      string // id
+	server      string // its id
 	priority    int
 	bodyLength  int
-	sendLength  bool   // even when the body is empty
-	lastEventID string // replaces the client's own; empty: none
+	sendLength  bool   // Content-Length is sent even if the body is empty
+	lastEventID string // replaces the client's own header; empty: doesn't
 }
 
-// appendTo writes the head, up to and including the empty line.
+// appendTo appends the head, with the empty line that ends it.
 func (h *attemptHead) appendTo(buffer []byte) []byte {
 	buffer = append(buffer, h.method...)
 	buffer = append(buffer, ' ')
@@ -34,6 +34,7 @@
 	return append(buffer, '\r', '\n')
 }
 
+// appendProxyHeaders appends the headers that the proxy sets.
 func (h *attemptHead) appendProxyHeaders(buffer []byte) []byte {
 	buffer = appendHeader(buffer, headerAttemptID, h.attemptID)
 	buffer = appendNumber(buffer, headerDeadline, max(h.remaining.Milliseconds(), 1))
@@ -48,6 +49,7 @@
 	return buffer
 }
 
+// appendClientHeaders appends the client's end-to-end headers.
 func (h *attemptHead) appendClientHeaders(buffer []byte) []byte {
 	named := connectionOptions(h.header)
 	for name, values := range h.header {
--- a/internal/proxy/attemptlog.go
+++ b/internal/proxy/attemptlog.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// ledger is what has become of one client's request so far. It is the only place where an attempt's fate is
-// written down, and it only ever moves towards "may have run".
+// attemptLog records what has become of one client's request so far. It is the only place where execution states
+// are recorded, and decides on retries and on the final status. possiblyExecuted is never reset: no later attempt
+// can show that an earlier one was not run. It belongs to one request and is not safe for concurrent use.
 type attemptLog struct {
-	idempotent       bool // the request may run more than once
-	maxAttempts      int  // most servers to which it may be sent
-	sent             int  // servers to which it was sent
+	idempotent       bool // the request may be run more than once
+	maxAttempts      int  // most attempts that may be sent, by the route
+	sent             int  // attempts that were sent
 	unsent           int  // attempts that failed before anything was sent
 	possiblyExecuted bool
 }
 
-// record takes in the fate of one attempt.
+// record adds the result of one attempt.
 func (l *attemptLog) record(state executionState) {
 	if state == unsent {
 		l.unsent++
@@ -30,11 +31,12 @@
 const (
 	// maxUnsentAttempts bounds the attempts of one request that fail before anything was sent.
 	maxUnsentAttempts = 4
-	// minRetryTime is the least time left with which another server is tried.
+	// minRetryTime is the least remaining time for another attempt.
 	minRetryTime = 10 * time.Millisecond
 )
 
-// mayRetry tells whether the request may go to another server, the common budget aside.
+// mayRetry reports whether the request may be sent to another server, as far as the request itself is concerned.
+// The retry budget is checked apart, see needsBudget.
 func (l *attemptLog) mayRetry(left time.Duration) bool {
 	if left < minRetryTime || l.unsent >= maxUnsentAttempts || l.sent >= l.maxAttempts {
 		return false
@@ -42,10 +44,11 @@
 	return l.idempotent || !l.possiblyExecuted
 }
 
-// needsBudget tells whether one more attempt is a repeat that draws on the common budget.
+// needsBudget reports whether the next attempt is a retry, which draws on the retry budget.
 func (l *attemptLog) needsBudget() bool { return l.sent > 0 }
 
-// ending is the answer to a request for which no server's answer is passed on.
+// finalStatus returns the status for a request for which no server's response is forwarded: 503 if it was certainly
+// not run, and otherwise 504 after its deadline and 502 before.
 func (l *attemptLog) finalStatus(left time.Duration) int {
 	switch {
 	case !l.possiblyExecuted:
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// defaultMaxBody bounds request bodies while the configuration names no bound.
+	// defaultMaxBody bounds request bodies, in bytes, while the configuration doesn't.
 	defaultMaxBody = 4 << 20
-	// initialBodyBytes is the buffer that a body of unknown length begins with.
+	// initialBodyBytes is the initial size of the buffer for a body of unknown length.
 	initialBodyBytes = 4 << 10
-	// maxPooledBytes is the largest buffer that is kept for another request.
+	// maxPooledBytes is the largest buffer that goes back to the pool.
 	maxPooledBytes = 64 << 10
 )
 
 var (
 	errBodyTooLarge   = errors.New("request body is too large")
-	errNoMemory       = errors.New("no memory left for bodies")
-	errBodyIncomplete = errors.New("request body did not come whole")
+	errNoMemory       = errors.New("memory limit for bodies is reached")
+	errBodyIncomplete = errors.New("request body is incomplete")
 )
 
 var bufferPool = sync.Pool{New: func() any {
@@ -29,15 +29,15 @@
 	return &buffer
 }}
 
-// chargedBuffer holds a body and remembers what was charged for it.
+// chargedBuffer is a buffer whose size is charged to the memory limit. A nil one is empty and may be freed.
 type chargedBuffer struct {
 	bytes   []byte
-	charged int64
+	charged int64 // bytes
 	memory  *memoryLimit
-	pooled  *[]byte
+	pooled  *[]byte // from bufferPool, to which it returns
 }
 
-// newChargedBuffer returns an empty buffer with room for size bytes.
+// newChargedBuffer returns an empty buffer with a capacity of size bytes, or errNoMemory.
 func newChargedBuffer(memory *memoryLimit, size int) (*chargedBuffer, error) {
 	if !memory.reserve(int64(size)) {
 		return nil, errNoMemory
@@ -50,7 +50,7 @@
 	return buffer, nil
 }
 
-// grow makes room for at least one more byte by doubling.
+// grow doubles the capacity.
 func (b *chargedBuffer) grow() error {
 	more := max(cap(b.bytes), initialBodyBytes)
 	if !b.memory.reserve(int64(more)) {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// free gives the memory back. The bytes must not be used afterwards.
+// free returns the memory. The bytes must not be used afterwards.
 func (b *chargedBuffer) free() {
 	if b == nil {
 		return
@@ -76,7 +76,8 @@
 	b.bytes = nil
 }
 
-// fill reads until the end of the source or until limit bytes are held; whole tells whether the end came.
+// fill reads until the end of the source or until more than limit bytes have come; complete reports whether the end
+// came.
 func (b *chargedBuffer) fill(source io.Reader, limit int) (complete bool, err error) {
 	for {
 		if len(b.bytes) == cap(b.bytes) {
@@ -86,7 +87,7 @@
 		}
 		n, err := source.Read(b.bytes[len(b.bytes):cap(b.bytes)])
 		b.bytes = b.bytes[:len(b.bytes)+n]
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return true, nil
 		}
 		if err != nil {
@@ -98,7 +99,8 @@
 	}
 }
 
-// readBody reads the body of a client's request whole. It returns nil when there is none.
+// readBody reads the body of a client's request completely; nil if there is none. Its errors are errBodyTooLarge,
+// errNoMemory and errBodyIncomplete.
 func (h *handler) readBody(control *http.ResponseController, request *http.Request, maxBytes int64, deadline time.Time) (*chargedBuffer, error) {
 	if request.ContentLength == 0 {
 		return nil, nil
@@ -109,7 +111,7 @@
 	if request.ContentLength > maxBytes {
 		return nil, errBodyTooLarge
 	}
-	// One byte more than the length, so that the end is seen without growing.
+	// One byte more than the length, so that the end of the body is read without growing.
 	body, err := newChargedBuffer(h.memory, max(int(request.ContentLength)+1, initialBodyBytes))
 	if err != nil {
 		return nil, err
--- a/internal/proxy/configstream.go
+++ b/internal/proxy/configstream.go
@@ -13,27 +13,29 @@
 	"fieldrelay/internal/limits"
 )
 
-// feed takes in from the agent beside this proxy what the proxy serves by.
+// configStream is the service that the agent beside this proxy calls to deliver configuration, server lists and
+// quota shares (ProxyFeed on the wire). It is safe for concurrent use; updates are applied one at a time.
 type configStream struct {
-	mu          sync.Mutex // one Apply at a time, so that the placer sees states in order
+	mu          sync.Mutex // one Apply at a time, so that the placer gets snapshots in order
 	host        string
 	incarnation uint64
-	edgeAddress string // at which clients reach this proxy
+	edgeAddress string // address for clients, ip:port
 	snapshots   *snapshotStore
 	dispatcher  *dispatcher
 	announcer   *announcer
 	lifecycle   *lifecycle
 	counters    *counters
-	shares      atomic.Pointer[pb.SharesVersion] // in force
+	shares      atomic.Pointer[pb.SharesVersion] // of the quota shares in force
 	logger      *zap.Logger
 	liveness    *agentLiveness
-	clock       func() time.Duration // steady clock
-	// changed is told of each new snapshot.
+	clock       func() time.Duration // steady clock, see process.now
+	// onSnapshot is called with each new snapshot, with mu locked.
 	onSnapshot func(*snapshot, update)
 }
 
-// Apply takes in changes, a repair, a server list and shares, and answers what is held afterwards. What was meant
-// for an earlier process of this proxy is left: its confirmation was asked for before this one began.
+// Apply applies changes, a full state, a server list and quota shares, and returns what is in force afterwards. A
+// message to an earlier incarnation of this proxy is ignored: its confirmation was requested before this process
+// started.
 func (f *configStream) Apply(_ context.Context, request *connect.Request[pb.ApplyRequest]) (*connect.Response[pb.ProxyStatus], error) {
 	start := f.clock()
 	f.liveness.recordContact(start)
@@ -61,8 +63,8 @@
 	return connect.NewResponse(f.status(current)), nil
 }
 
-// applyShares puts shares in force, unless the same agent process has told later ones already: a call that was given
-// up may come after its successor.
+// applyShares puts quota shares in force, unless later ones of the same agent process are in force already: a call
+// that the agent has given up may arrive after its successor.
 func (f *configStream) applyShares(shares *pb.Shares) {
 	if shares == nil || limits.IsOutdated(shares.GetVersion(), f.shares.Load()) {
 		return
@@ -72,12 +74,13 @@
 	f.announcer.setMembers(shares.GetMembers())
 }
 
-// Status answers what is held.
+// Status returns what is in force.
 func (f *configStream) Status(context.Context, *connect.Request[pb.StatusRequest]) (*connect.Response[pb.ProxyStatus], error) {
 	f.liveness.recordContact(f.clock())
 	return connect.NewResponse(f.status(f.snapshots.load())), nil
 }
 
+// status builds the answer to the agent. It asks for the full state by a digest without ranges.
 func (f *configStream) status(current *snapshot) *pb.ProxyStatus {
 	status := &pb.ProxyStatus{
 		Host:        f.host,
@@ -91,12 +94,13 @@
 		Shares:      f.shares.Load(),
 	}
 	if f.snapshots.needsFullState() {
-		// Without a digest for each range, the answer to this is the whole state.
+		// Without digests of ranges, the agent answers with the full state.
 		status.Digests = &pb.RangeDigests{Sequence: current.sequence, Generation: current.generation}
 	}
 	return status
 }
 
+// logUpdate logs what an update changed, one line a change.
 func (f *configStream) logUpdate(before, current *snapshot, applied update) {
 	for _, item := range applied.rejected {
 		f.logger.Warn("item of the configuration left out", zap.Error(item))
--- a/internal/proxy/connlimits.go
+++ b/internal/proxy/connlimits.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// defaultMaxHeader bounds the head of a request while no configuration names a bound. It is generous, as the
-	// next two are: the connections that come before the configuration keep them, and it may allow much.
+	// defaultMaxHeader bounds the head of a request, in bytes, while no configuration does. It is generous, as the next
+	// two are: connections from before the configuration keep them, and the configuration may allow much.
 	defaultMaxHeader = 64 << 10
-	// defaultHeaderRead is how long the head of a request may take while no configuration names a bound.
+	// defaultHeaderRead is how long the head of a request may take while no configuration bounds it.
 	defaultHeaderRead = 10 * time.Second
-	// defaultKeepAlive is how long a connection may stay idle while no configuration names a bound.
+	// defaultKeepAlive is how long a connection may stay idle while no configuration bounds it.
 	defaultKeepAlive = time.Minute
-	// limitSlack is added to the times that clients are held to, so that the client ends first.
+	// limitSlack is added to the times, so that the client closes the connection first.
 	limitSlack = time.Second
-	// headerSlack is added to the bound on heads, which counts the request line and line ends as well.
+	// headerSlack is added to the bound on heads, since net/http counts the request line and line ends as well.
 	headerSlack = 4 << 10
-	// acceptBackoff is waited after a connection could not be accepted.
+	// acceptBackoff is the wait after a connection could not be accepted.
 	acceptBackoff = 5 * time.Millisecond
 )
 
-// connLimits are what a client may send and how long it may take.
+// connLimits are the limits of a client's connection.
 type connLimits struct {
-	maxHeader  int
-	headerRead time.Duration
-	keepAlive  time.Duration
+	maxHeader  int           // bytes
+	headerRead time.Duration // for the head of a request
+	keepAlive  time.Duration // between requests
 }
 
+// connLimitsOf returns the limits by the configuration, with defaults and slack.
 func connLimitsOf(configured route.RequestLimits) connLimits {
 	limits := connLimits{maxHeader: defaultMaxHeader, headerRead: defaultHeaderRead, keepAlive: defaultKeepAlive}
 	if configured.MaxHeaderBytes > 0 {
@@ -48,19 +49,20 @@
 	return limits
 }
 
-// narrowerThan tells whether other limits allow a client anything that these do not.
+// narrowerThan reports whether other limits allow a client anything that these don't.
 func (l connLimits) narrowerThan(other connLimits) bool {
 	return l.maxHeader < other.maxHeader || l.headerRead < other.headerRead || l.keepAlive < other.keepAlive
 }
 
-// limitedHandler serves the connections that were accepted under some limits.
+// limitedHandler serves the connections that were accepted under the same limits.
 type limitedHandler struct {
 	http.Handler
 	limits     connLimits
-	superseded atomic.Bool // later limits allow more
+	superseded atomic.Bool // by wider limits
 }
 
-// ServeHTTP asks the clients of connections whose limits are too narrow by now to open others.
+// ServeHTTP serves a request. A connection whose limits are narrower than the present ones is closed after the
+// response, so that the client connects again.
 func (h *limitedHandler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if h.superseded.Load() {
 		setConnectionClose(writer.Header())
--- a/internal/proxy/connqueue.go
+++ b/internal/proxy/connqueue.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// handoff is a listener that is given its connections.
+// connQueue is a net.Listener that accepts the connections that are offered to it. It is safe for concurrent use.
 type connQueue struct {
 	address net.Addr
 	conns   chan net.Conn
@@ -17,7 +17,7 @@
 	return &connQueue{address: address, conns: make(chan net.Conn), done: make(chan struct{})}
 }
 
-// give hands a connection over; it returns false when the listener is closed.
+// offer passes a connection to Accept; it returns false if the listener is closed.
 func (h *connQueue) offer(conn net.Conn) bool {
 	select {
 	case h.conns <- conn:
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -10,45 +10,47 @@
 	"fieldrelay/internal/proxy/upstream"
 )
 
-// counters are what the proxy has done since its start.
+// counters count what the proxy has done since its start. They are safe for concurrent use. docs/region-proxy.md
+// describes them for operators.
 type counters struct {
-	active               atomic.Int64 // requests in progress
-	connections          atomic.Int64 // of clients, open
+	active               atomic.Int64 // requests in flight
+	connections          atomic.Int64 // open connections of clients
 	requests             atomic.Uint64
-	delivered            atomic.Uint64 // answers of servers passed on whole
+	delivered            atomic.Uint64 // responses of servers forwarded to their end
 	startupWaits         atomic.Uint64 // requests that came before the proxy could serve
-	unavailable          atomic.Uint64 // own 503
-	failed               atomic.Uint64 // own 502 and 504
-	clientErrors         atomic.Uint64 // own 4xx
-	broken               atomic.Uint64 // answers that ended early
+	unavailable          atomic.Uint64 // the proxy's own 503
+	failed               atomic.Uint64 // the proxy's own 502 and 504
+	clientErrors         atomic.Uint64 // the proxy's own 4xx
+	broken               atomic.Uint64 // responses that broke off
 	clientsGone          atomic.Uint64
 	attempts             atomic.Uint64 // sent to a server
-	retries              atomic.Uint64 // among them, beyond the first of a request
-	resumed              atomic.Uint64 // streams taken up at another server
-	retryBudgetExhausted atomic.Uint64 // repeats that the common budget did not allow
-	notExecuted          atomic.Uint64 // attempts that a server did not run
-	possiblyExecuted     atomic.Uint64 // attempts whose fate is not known
+	retries              atomic.Uint64 // among them, after the first of a request
+	resumed              atomic.Uint64 // streams resumed at another server
+	retryBudgetExhausted atomic.Uint64 // retries that the retry budget did not allow
+	notExecuted          atomic.Uint64 // attempts that a server rejected without running them
+	possiblyExecuted     atomic.Uint64 // attempts of which is not known whether they were run
 	unsent               atomic.Uint64 // attempts that failed before anything was sent
 	overloaded           atomic.Uint64 // requests not admitted
 	noServer             atomic.Uint64 // requests for which there was no server
-	withdrawn            atomic.Uint64 // attempts given up because the state changed just before sending
-	staleUpdates         atomic.Uint64 // states and changes from the agent that were no newer than what was held
-	gaps                 atomic.Uint64 // exchanges with the agent whose changes did not follow on what was held
-	fullStates           atomic.Uint64 // whole states that were taken in
-	itemsRejected        atomic.Uint64 // items of the configuration of which nothing could be used
-	itemsPartial         atomic.Uint64 // items of the configuration of which some members could not be used
-	applies              atomic.Uint64 // exchanges with the agent that brought something
+	withdrawn            atomic.Uint64 // attempts given up since the state changed just before sending
+	staleUpdates         atomic.Uint64 // states and changes of the agent that were not newer than the snapshot
+	gaps                 atomic.Uint64 // calls of the agent whose changes did not follow on the snapshot
+	fullStates           atomic.Uint64 // full states that were applied
+	itemsRejected        atomic.Uint64 // items of the configuration of which nothing could be applied
+	itemsPartial         atomic.Uint64 // items of the configuration of which some members could not be applied
+	applies              atomic.Uint64 // calls of the agent that were applied
 	applyLast            atomic.Int64  // nanoseconds that the last of them took
 	applyMax             atomic.Int64  // nanoseconds that the longest of them took
 
-	// Violations of what must never happen.
+	// Violated invariants.
 	regressions atomic.Uint64 // snapshots that were older than the one before
 	staleReads  atomic.Uint64 // requests that used an older snapshot than a request before them
 }
 
-// violations is the number of violations of all kinds.
+// violations is the number of violated invariants.
 func (c *counters) violations() uint64 { return c.regressions.Load() + c.staleReads.Load() }
 
+// countOwnResponse counts a response of the proxy itself.
 func (c *counters) countOwnResponse(status int) {
 	switch {
 	case status == 503 || status == 429:
@@ -60,7 +62,7 @@
 	}
 }
 
-// countUpdate counts what an exchange with the agent brought.
+// countUpdate counts the result of a call of the agent.
 func (c *counters) countUpdate(applied update) {
 	c.staleUpdates.Add(uint64(applied.stale))
 	c.fullStates.Add(uint64(applied.fullStates))
@@ -71,13 +73,14 @@
 	}
 }
 
-// countApply counts the time that an exchange with the agent took. Only one runs at a time.
+// countApply counts the duration of a call of the agent. Calls are applied one at a time.
 func (c *counters) countApply(took time.Duration) {
 	c.applies.Add(1)
 	c.applyLast.Store(int64(took))
 	c.applyMax.Store(max(c.applyMax.Load(), int64(took)))
 }
 
+// countExecution counts the result of an attempt; executed ones are not counted by themselves.
 func (c *counters) countExecution(state executionState) {
 	switch state {
 	case unsent:
@@ -89,7 +92,7 @@
 	}
 }
 
-// fields are the counters for a line of the log.
+// fields returns the counters as fields of a log line.
 func (c *counters) fields(connections upstream.Stats, slack float64, memory int64) []zap.Field {
 	return []zap.Field{
 		zap.Int64("active", c.active.Load()),
@@ -132,7 +135,7 @@
 	}
 }
 
-// placementFields are the counts of the placement for a line of the log.
+// placementFields returns the placer's counters as fields of a log line.
 func placementFields(stats placement.Stats) []zap.Field {
 	return []zap.Field{
 		zap.Uint64("picks-seeded", stats.Seeded),
--- a/internal/proxy/dispatcher.go
+++ b/internal/proxy/dispatcher.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/route"
 )
 
-// placer is the part of placement.Placer that requests and the feed use.
+// placer is the part of placement.Placer that requests and the configuration stream use.
 type placer interface {
 	SetServers(now time.Duration, servers []*pb.Server, age time.Duration)
 	SetTable(now time.Duration, table *route.Table)
@@ -19,7 +19,7 @@
 	ServerWarmingUp(now time.Duration, serverID string, left time.Duration)
 	ServerDraining(now time.Duration, serverID string)
 	ServerUnreachable(now time.Duration, serverID string)
-	AnnouncementReceived(now time.Duration, told placement.Announcement)
+	AnnouncementReceived(now time.Duration, announcement placement.Announcement)
 	FailureReported(now time.Duration, serverID, zone string)
 	Admit(now time.Duration, request *placement.Request) error
 	Pick(now time.Duration, request *placement.Request) (placement.Decision, error)
@@ -31,37 +31,37 @@
 	Stats() placement.Stats
 }
 
-// dispatcher shares the placer and the retry budget, which keep no lock of their own, among requests. Each
-// call is one step under one lock, with a time that never falls.
+// dispatcher serializes the use of the placer and the retry budget, which have no locks of their own. Each method
+// is one step under one lock, at a time that never falls. It is safe for concurrent use.
 type dispatcher struct {
 	mu     sync.Mutex
 	start  time.Time
 	placer placer
 	budget *limits.RetryBudget
-	// closing counts the answers in a row with which a server closed the connection, by its id.
+	// consecutiveCloses counts the responses in a row with Connection: close, by the server's id.
 	consecutiveCloses map[string]int
-	// reported tells when the other proxies were last told of a server's failure, by its id.
+	// lastReport is when a failure was last announced, by the server's id.
 	lastReport map[string]time.Duration
 }
 
-// reportInterval is the least time between two reports of one server.
+// reportInterval is the shortest time between two failure reports about one server.
 const reportInterval = time.Second
 
-// drainingCloses is the number of answers in a row with Connection: close that show that a server leaves:
-// other servers close connections now and then as well.
+// drainingCloses is the number of responses in a row with Connection: close after which a server counts as
+// draining. One alone doesn't show it: servers close connections for other reasons too.
 const drainingCloses = 2
 
 func newDispatcher(placer placer, budget *limits.RetryBudget) *dispatcher {
 	return &dispatcher{start: time.Now(), placer: placer, budget: budget, consecutiveCloses: make(map[string]int), lastReport: make(map[string]time.Duration)}
 }
 
-// now is the time of the placer's and the budget's calls. The caller holds the lock.
+// now is the time for the placer and the budget. The caller holds the lock, so that times don't fall between calls.
 func (d *dispatcher) now() time.Duration { return time.Since(d.start) }
 
-// at converts an instant to the time of the placer.
+// at converts a time to that of the placer.
 func (d *dispatcher) at(instant time.Time) time.Duration { return instant.Sub(d.start) }
 
-// admit counts a client's request and tells whether it is let in; otherwise the error tells why not.
+// admit counts a client's request and returns an error if it is not admitted.
 func (d *dispatcher) admit(request *placement.Request) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,14 +108,15 @@
 	d.placer.ServerWarmingUp(d.now(), server, left)
 }
 
-// serverUnreachable takes in that the machine of a server does not answer.
+// serverUnreachable reports that a server's machine doesn't answer.
 func (d *dispatcher) serverUnreachable(server string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.placer.ServerUnreachable(d.now(), server)
 }
 
-// answered takes in whether a server's answer closed the connection.
+// responseReceived records whether a server's response closed its connection, from which a draining server is
+// detected.
 func (d *dispatcher) responseReceived(server string, closed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -129,14 +130,14 @@
 	}
 }
 
-// takeRetry draws one repeat from the common budget.
+// takeRetry reserves one retry from the retry budget; it returns false if the budget is exhausted.
 func (d *dispatcher) takeRetry(service string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.budget.Take(d.now(), service)
 }
 
-// refundRetry returns a repeat that was not sent.
+// refundRetry returns a reserved retry that was not sent.
 func (d *dispatcher) refundRetry(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -160,7 +161,7 @@
 	d.placer.SetServers(d.now(), list.GetServers(), age)
 }
 
-// announced takes in what another proxy told.
+// announcementReceived implements announcementHandler.
 func (d *dispatcher) announcementReceived(announcement placement.Announcement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -174,14 +175,14 @@
 	d.budget.SetQuotaMembers(shares)
 }
 
-// failureReported takes in that a server failed another proxy.
+// failureReported implements announcementHandler.
 func (d *dispatcher) failureReported(server, zone string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.placer.FailureReported(d.now(), server, zone)
 }
 
-// mayReport tells whether a server's failure is to be told to the other proxies, and notes it if so.
+// mayReport reports whether a server's failure is to be announced now, and records that it is.
 func (d *dispatcher) mayReport(server string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -194,7 +195,7 @@
 	return true
 }
 
-// expireReports forgets reports that are over. The caller holds the lock.
+// expireReports removes the records of reports that are older than reportInterval. The caller holds the lock.
 func (d *dispatcher) expireReports() {
 	now := d.now()
 	for server, last := range d.lastReport {
@@ -204,13 +205,14 @@
 	}
 }
 
-// stats gives the counts of the placer.
+// stats returns the placer's counters.
 func (d *dispatcher) stats() placement.Stats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.placer.Stats()
 }
 
+// slack returns the placer's share of responses within their target, 0 to 1.
 func (d *dispatcher) slack() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -7,45 +7,45 @@
 )
 
 const (
-	// maxDrainAccept is how long a proxy that was told to end goes on taking requests: clients keep its address
-	// for up to three times the directory's time to live.
+	// maxDrainAccept is how long requests are accepted during a shutdown: clients may keep the address for up to three
+	// times the directory's time to live.
 	maxDrainAccept = 3500 * time.Millisecond
-	// maxUncheckedAccept is how long it takes requests whatever their deadline. The rules forgive that requests are broken off
-	// which were sent up to 3 s after SIGTERM; the rest of these is for the time that the signal takes.
+	// maxUncheckedAccept is how long requests are accepted whatever their deadline. The rules allow to abort requests that
+	// were sent up to 3 s after SIGTERM; the difference is for the delivery of the signal.
 	maxUncheckedAccept = 2800 * time.Millisecond
-	// inFlightReserve is the part of the grace period that is left for requests begun while lingering.
+	// inFlightReserve is the part of the grace period that remains for requests accepted during the shutdown.
 	inFlightReserve = 2500 * time.Millisecond
-	// exitReserve is the part of the grace period that is left for the process to end.
+	// exitReserve is the part of the grace period that remains for the process to exit.
 	exitReserve = 500 * time.Millisecond
 )
 
-// drainPlan tells, from the moment at which the process is told to end, from when on it takes only requests that
-// end in time, when it stops taking requests and when it breaks off those that are left.
+// drainPlan is the schedule of a graceful shutdown, as times since its begin.
 type drainPlan struct {
-	deadlineCheck time.Duration
-	reject        time.Duration
-	abort         time.Duration
+	deadlineCheck time.Duration // then only requests are accepted that end before abort
+	reject        time.Duration // then new requests are rejected
+	abort         time.Duration // then requests in flight are canceled
 }
 
-// from gives the instants of a plan that begins at a moment.
+// start returns the times of a shutdown that begins at the given time.
 func (p drainPlan) start(start time.Time) drainTimes {
 	return drainTimes{deadlineCheck: start.Add(p.deadlineCheck), abort: start.Add(p.abort)}
 }
 
+// planDrain divides a grace period into the phases of a shutdown.
 func planDrain(grace time.Duration) drainPlan {
-	abandon := max(grace-exitReserve, grace/2)
-	refuse := min(maxDrainAccept, max(grace-inFlightReserve, grace/3))
-	return drainPlan{deadlineCheck: min(maxUncheckedAccept, refuse), reject: refuse, abort: abandon}
+	abort := max(grace-exitReserve, grace/2)
+	reject := min(maxDrainAccept, max(grace-inFlightReserve, grace/3))
+	return drainPlan{deadlineCheck: min(maxUncheckedAccept, reject), reject: reject, abort: abort}
 }
 
-// drainTimes are the instants of a drain.
+// drainTimes are the times of a shutdown that has begun.
 type drainTimes struct {
-	deadlineCheck time.Time // from which on only requests are taken that end before abandon
-	abort         time.Time // when what is still being served is broken off
+	deadlineCheck time.Time // then only requests are accepted that end before abort
+	abort         time.Time // then requests in flight are canceled
 }
 
-// drain goes through the phases of the end: it takes requests for as long as clients may hold the address,
-// then refuses new ones, and breaks off what is left when the grace period is nearly over.
+// drain shuts the process down gracefully: it accepts requests for as long as clients may still have its address,
+// then rejects new ones, and aborts what is left when the grace period is nearly over.
 func (p *process) drain() {
 	start := time.Now()
 	plan := planDrain(time.Duration(p.gracePeriod.Load()))
@@ -54,20 +54,20 @@
 	time.Sleep(time.Until(start.Add(plan.reject)))
 	p.listener.close()
 	p.lifecycle.enter(phaseRejecting)
-	idle := func() bool {
+	allClosed := func() bool {
 		p.listener.closeIdle()
 		return p.counters.connections.Load() == 0
 	}
-	if p.pollUntil(start.Add(plan.abort), idle) {
+	if p.pollUntil(start.Add(plan.abort), allClosed) {
 		return
 	}
 	p.logger.Warn("requests broken off at the end", zap.Int64("requests", p.counters.active.Load()))
 	p.lifecycle.enter(phaseAborting)
 	p.cancelRequests()
-	p.pollUntil(time.Now().Add(exitReserve/2), idle)
+	p.pollUntil(time.Now().Add(exitReserve/2), allClosed)
 }
 
-// pollUntil looks at a condition until it holds, or until the given time; it tells whether it held.
+// pollUntil polls a condition until it is met or the given time has come, and reports whether it is met.
 func (p *process) pollUntil(end time.Time, condition func() bool) bool {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
--- a/internal/proxy/events.go
+++ b/internal/proxy/events.go
@@ -5,26 +5,26 @@
 	"strconv"
 )
 
-// eventScanner finds the ends of events (text/event-stream) and the ids that they carry. It is fed the
-// stream in pieces and holds no copy of it.
+// eventScanner finds the ends of server-sent events (text/event-stream, HTML Living Standard, section 9.2) and
+// their ids. It scans the stream in pieces of any size and keeps no copy of it.
 type eventScanner struct {
-	linePrefix []byte // beginning of the line that is being read, bounded
-	pendingID  string // id of the event that is being read
+	linePrefix []byte // beginning of the present line, at most maxIDLine bytes
+	pendingID  string // id of the present event
 	hasID      bool
-	hasContent bool   // the event that is being read is more than comments
-	lastID     string // id of the last whole event that had one
-	// unnumbered tells that a whole event without an id came after that one.
+	hasContent bool   // the present event is more than comments
+	lastID     string // id of the last complete event that had one
+	// eventWithoutID is set if a complete event without an id came after that one.
 	eventWithoutID bool
 }
 
-// maxIDLine bounds how much of a line is looked at for an id; a longer id is none that can be used.
+// maxIDLine bounds how many bytes of a line are kept to find an id. A longer id is not usable.
 const maxIDLine = 256
 
 func newEventScanner() *eventScanner {
 	return &eventScanner{linePrefix: make([]byte, 0, 32)}
 }
 
-// scan reads on until the end of the next event and returns how many bytes it took; whole tells whether an
+// scan scans up to the end of the next event and returns how many bytes that were; complete reports whether an
 // event ended there.
 func (s *eventScanner) scan(data []byte) (scanned int, complete bool) {
 	for scanned < len(data) {
@@ -42,13 +42,14 @@
 	return scanned, false
 }
 
+// appendLine adds to the prefix of the present line.
 func (s *eventScanner) appendLine(part []byte) {
 	if room := maxIDLine - len(s.linePrefix); room > 0 {
 		s.linePrefix = append(s.linePrefix, part[:min(room, len(part))]...)
 	}
 }
 
-// endLine takes in the end of a line and tells whether an event ended with it.
+// endLine ends a line and reports whether an event ended with it, as it does at an empty line.
 func (s *eventScanner) endLine() bool {
 	line := bytes.TrimSuffix(s.linePrefix, []byte{'\r'})
 	s.linePrefix = s.linePrefix[:0]
@@ -67,6 +68,7 @@
 	return true
 }
 
+// parseID takes the id from a line, if it has one that can be sent as Last-Event-ID.
 func (s *eventScanner) parseID(line []byte) {
 	s.hasContent = s.hasContent || line[0] != ':'
 	value, found := bytes.CutPrefix(line, []byte("id:"))
@@ -81,7 +83,7 @@
 	s.hasID = true
 }
 
-// isHeaderValue tells whether an id can be sent as the value of a header.
+// isHeaderValue reports whether an id can be sent as the value of a header.
 func isHeaderValue(id []byte) bool {
 	for _, character := range id {
 		if character < ' ' || character > '~' {
@@ -91,7 +93,8 @@
 	return true
 }
 
-// follows tells whether an event id comes after another one. Ids of a stream rise.
+// isLaterID reports whether an event id comes after another one. Ids that are numbers rise in a stream; others are
+// only known to differ.
 func isLaterID(previous, id string) bool {
 	before, errBefore := strconv.ParseUint(previous, 10, 64)
 	after, errAfter := strconv.ParseUint(id, 10, 64)
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -12,40 +12,42 @@
 	"fieldrelay/internal/route"
 )
 
-// exchange is one request of a client, from the moment at which it was read whole until it is answered.
+// exchange is the handling of one client's request, from when it has been read completely to the end of its
+// response. It belongs to the goroutine that serves the request.
 type exchange struct {
 	handler   *handler
 	client    http.ResponseWriter
 	request   *http.Request
-	target    string // path and query as sent
+	target    string // path and query as the client sent them
 	attemptID string
 	route     *route.Route
 	placement placement.Request
 	body      *chargedBuffer // nil: none
-	arrived   time.Time
+	arrived   time.Time      // when it could be forwarded: after a startup wait
 	deadline  time.Time
 
 	attempts      attemptLog
-	retryReserved bool          // a repeat was drawn from the common budget and has not been sent
-	retryAfter    time.Duration // what the last refusal told; 0: nothing
-	stream        *clientStream // nil until the head of a stream was passed on
-	headersSent   bool          // the head of an answer was passed on
-	success       bool          // a 2xx was passed on whole
-	firstByte     time.Time     // when the first event, or the answer, was there
+	retryReserved bool          // a retry is reserved in the retry budget and not sent yet
+	retryAfter    time.Duration // by the last rejection; 0: none
+	stream        *clientStream // nil until the headers of a stream were sent
+	headersSent   bool          // the headers of a response were sent to the client
+	success       bool          // a 2xx response was sent to its end
+	firstByte     time.Time     // when the first event, or the response, was received
 }
 
-// verdict is what an attempt at one server came to.
+// attemptOutcome is the result of one attempt for the client.
 type attemptOutcome uint8
 
 const (
-	outcomeDelivered attemptOutcome = iota // the client has its whole answer
-	outcomeFailed                          // no answer was passed on, or a stream was cut
-	outcomeNoServer                        // there was no server to send it to
-	outcomeCanceled                        // the client left, or the process is ending
-	outcomeBroken                          // an answer that was being passed on broke off and can't be taken up
+	outcomeDelivered attemptOutcome = iota // the client has its complete response
+	outcomeFailed                          // no response was forwarded, or a stream broke off
+	outcomeNoServer                        // there was no server for the attempt
+	outcomeCanceled                        // the client is gone, or the process aborts its requests
+	outcomeBroken                          // a response broke off while it was forwarded, and can't be resumed
 )
 
-// run answers the request and tells whether the answer is whole; if not, the client's connection must end.
+// run makes attempts until the request has a response. It returns false if the response had begun and is
+// incomplete; the client's connection must be aborted then, so that the response doesn't look complete.
 func (x *exchange) run() (complete bool) {
 	if err := x.handler.dispatcher.admit(&x.placement); err != nil {
 		x.handler.counters.overloaded.Add(1)
@@ -73,7 +75,8 @@
 	}
 }
 
-// settle closes the books of the request.
+// release returns the retry-budget reservation and the in-flight slot, and reports the latency to placement. It is
+// called once for each admitted request.
 func (x *exchange) release() {
 	if x.retryReserved {
 		x.handler.dispatcher.refundRetry(x.placement.Service)
@@ -86,13 +89,14 @@
 	x.handler.dispatcher.requestDone(&x.placement, x.success, latency)
 }
 
-// free gives back what the request holds.
+// freeBody returns the memory of the request's body.
 func (x *exchange) freeBody() { x.body.free() }
 
+// remaining is the time until the deadline; negative after it.
 func (x *exchange) remaining() time.Duration { return time.Until(x.deadline) }
 
-// mayRetry tells whether the request may go to another server, and draws on the common budget if that
-// would be a repeat.
+// mayRetry reports whether the request may be sent to another server. If that is a retry, it reserves it from the
+// retry budget.
 func (x *exchange) mayRetry() bool {
 	if !x.attempts.mayRetry(x.remaining()) || !x.canResume() {
 		return false
@@ -108,11 +112,11 @@
 	return true
 }
 
-// canResume tells whether a stream that has begun can be taken up by another server.
+// canResume reports whether another server can continue the stream; true if no stream has begun.
 func (x *exchange) canResume() bool { return x.stream == nil || x.stream.canResume() }
 
-// clientGone ends a request because the client left, or because the process ends: then it gets a true answer
-// if none has begun.
+// clientGone ends a canceled request. If the cause is the shutdown of the process rather than the client, the
+// client still gets a response unless one has begun. It returns what run returns.
 func (x *exchange) clientGone() bool {
 	if x.handler.lifecycle.phase() == phaseAborting {
 		return x.respondWithoutServer()
@@ -121,8 +125,8 @@
 	return false
 }
 
-// conclude ends a request for which no server's answer is passed on. It returns false when the answer has
-// begun, so that it must end visibly early.
+// respondWithoutServer ends a request for which no server's response is forwarded. It returns false if the headers
+// of one were sent, see run.
 func (x *exchange) respondWithoutServer() bool {
 	if x.headersSent {
 		x.handler.counters.broken.Add(1)
@@ -137,6 +141,7 @@
 	return true
 }
 
+// rejectOverload responds to a request that was not admitted.
 func (x *exchange) rejectOverload(err error) {
 	wait := retryAfterShort
 	var overload *placement.OverloadError
@@ -147,7 +152,8 @@
 	x.handler.reject(x.client, response)
 }
 
-// record writes down what became of an attempt.
+// record adds an attempt's result to the attempt log and the counters. A reserved retry counts as used once
+// something was sent.
 func (x *exchange) record(state executionState) {
 	x.attempts.record(state)
 	x.handler.counters.countExecution(state)
@@ -156,7 +162,7 @@
 	}
 }
 
-// withdraw closes an attempt of which nothing was sent, although its connection was there.
+// withdraw ends an attempt that was given up after its connection came up and before anything was sent.
 func (x *exchange) withdraw(decision placement.Decision) attemptOutcome {
 	x.finishAttempt(decision, placement.NotSent)
 	x.record(unsent)
@@ -167,8 +173,8 @@
 	return outcomeFailed
 }
 
-// recordFailure closes an attempt that brought no answer. On a fresh connection that tells of the server; one that had
-// rested may have been closed meanwhile.
+// recordFailure ends an attempt without a response. Other proxies are notified only of failures on a fresh
+// connection: one that had been idle may just have been closed meanwhile.
 func (x *exchange) recordFailure(decision placement.Decision, err error, fresh bool) attemptOutcome {
 	state := executionOfError(err)
 	x.record(state)
@@ -185,7 +191,7 @@
 	return outcomeFailed
 }
 
-// report tells the other proxies of the region that a server failed.
+// reportFailure announces to the other proxies of the region that a server failed, at most once a reportInterval.
 func (x *exchange) reportFailure(server string) {
 	if x.handler.disabled.Off(policy.FailureReports) || !x.handler.dispatcher.mayReport(server) {
 		return
@@ -193,7 +199,8 @@
 	x.handler.announcer.reportFailure(server)
 }
 
-// finish tells placement how an attempt ended. Other connections to a machine out of reach are given up too.
+// finishAttempt reports the end of an attempt to placement. If the server's machine is unreachable, its idle
+// connections are closed as well.
 func (x *exchange) finishAttempt(decision placement.Decision, outcome placement.Outcome) {
 	if outcome == placement.Unreachable {
 		x.handler.pool.Forget(upstream.Server{ID: decision.ServerID, Address: decision.Address})
--- a/internal/proxy/execution.go
+++ b/internal/proxy/execution.go
@@ -8,17 +8,18 @@
 	"fieldrelay/internal/proxy/upstream"
 )
 
-// fate tells what became of a request at one server.
+// executionState says whether one server may have run a request. It decides whether the request may be sent again.
 type executionState uint8
 
 const (
-	unsent           executionState = iota // no byte of it reached the server
-	notExecuted                            // the server said that it has not run and never will
-	possiblyExecuted                       // it was sent, and it may have run
-	executed                               // the server answered as one that ran it
+	unsent           executionState = iota // no byte of it left for the server
+	notExecuted                            // the server rejected it: it has not run it and will not
+	possiblyExecuted                       // it was sent, and no response says what became of it
+	executed                               // the server responded as one that ran it
 )
 
-// Statuses that promise that a request has not run and never will.
+// isRejectionStatus reports whether a server uses a status to reject a request. Without X-Fieldrelay-Not-Executed
+// (421 Misdirected Request aside) such a response doesn't say that the request was not run.
 func isRejectionStatus(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests,
@@ -29,7 +30,7 @@
 	}
 }
 
-// executionOfError classifies an attempt that brought no usable answer.
+// executionOfError classifies an attempt without a usable response, by an error of package upstream.
 func executionOfError(err error) executionState {
 	var dialError *upstream.DialError
 	if errors.As(err, &dialError) {
@@ -42,8 +43,9 @@
 	return possiblyExecuted
 }
 
-// executionOfResponse classifies an attempt by the head of the answer. Only X-Fieldrelay-Not-Executed and 421 say
-// that a request has not run; a success without the server's seal is no answer.
+// executionOfResponse classifies an attempt by the head of the response. Only X-Fieldrelay-Not-Executed and 421 say
+// that the request was not run and will not be. A success without the server's seal may come from something that is
+// not the server, and doesn't count as its response.
 func executionOfResponse(status int, header http.Header) executionState {
 	if status == http.StatusMisdirectedRequest || len(header[headerNotExecuted]) > 0 {
 		return notExecuted
@@ -59,5 +61,5 @@
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// usable tells whether an answer of this fate may be passed on to the client as it is.
-func (f executionState) usable() bool { return f == executed }
+// usable reports whether a response in this state may be forwarded to the client as it is.
+func (s executionState) usable() bool { return s == executed }
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/placement"
 )
 
-// forwardBuffered hands the client an answer that is held whole.
+// forwardBuffered sends the client a response that was read completely.
 func (a *attempt) forwardBuffered(buffer *chargedBuffer) attemptOutcome {
 	var body []byte
 	if buffer != nil {
@@ -29,7 +29,7 @@
 	return outcomeDelivered
 }
 
-// sendHeaders passes the status and the head on.
+// sendHeaders sends the status and the headers to the client. Nothing can replace the response afterwards.
 func (a *attempt) sendHeaders() {
 	a.headersSent = true
 	if a.handler.lifecycle.draining() {
@@ -38,12 +38,13 @@
 	a.client.WriteHeader(a.response.StatusCode)
 }
 
-// setContentLength sets Content-Length: for an answer to HEAD the server's, otherwise that of the body.
+// setContentLength sets Content-Length: the server's in a response to HEAD, and otherwise the length of the body.
+// Responses that have no body by their status (204, 304) get none.
 func (a *attempt) setContentLength(header http.Header, length int) {
 	switch {
 	case a.request.Method == http.MethodHead:
-		if told := a.response.Header["Content-Length"]; len(told) > 0 {
-			header["Content-Length"] = told
+		if length := a.response.Header["Content-Length"]; len(length) > 0 {
+			header["Content-Length"] = length
 		}
 	case a.response.StatusCode == http.StatusNoContent, a.response.StatusCode == http.StatusNotModified:
 	default:
@@ -51,13 +52,13 @@
 	}
 }
 
-// forwardLarge hands the client an answer in pieces, in chunks if its length is not known. If it breaks off, so does
-// the client's.
+// forwardLarge sends the client a response while it is read, chunked if its length is not known. If it breaks off,
+// the client's response does too.
 func (a *attempt) forwardLarge(buffered *chargedBuffer) attemptOutcome {
 	header := a.client.Header()
 	copyResponseHeader(header, a.response.Header)
-	if told := a.response.Header["Content-Length"]; len(told) > 0 && a.response.ContentLength >= 0 {
-		header["Content-Length"] = told
+	if length := a.response.Header["Content-Length"]; len(length) > 0 && a.response.ContentLength >= 0 {
+		header["Content-Length"] = length
 	}
 	a.sendHeaders()
 	err := a.copyBody(buffered)
@@ -79,8 +80,8 @@
 	}
 }
 
-// copyBody passes on what was read of the body and then the rest. Its error is a *clientWriteError if the
-// client no longer takes it, and otherwise that of the server's connection.
+// copyBody sends the client what was buffered of the body, then the rest as it comes. Its error is a
+// *clientWriteError if the client doesn't take it, and otherwise that of the server's connection.
 func (a *attempt) copyBody(buffered *chargedBuffer) error {
 	if buffered != nil {
 		if _, err := a.client.Write(buffered.bytes); err != nil {
@@ -95,19 +96,20 @@
 				return &clientWriteError{err}
 			}
 		}
-		switch readError {
-		case nil:
-		case io.EOF:
+		if errors.Is(readError, io.EOF) {
 			return nil
-		default:
+		}
+		if readError != nil {
 			return readError
 		}
 	}
 }
 
-// clientWriteError tells that the client no longer takes its answer.
+// clientWriteError says that a response could not be written to the client.
 type clientWriteError struct{ err error }
 
+// Error implements error.
 func (e *clientWriteError) Error() string { return "write to the client: " + e.err.Error() }
 
+// Unwrap returns the cause.
 func (e *clientWriteError) Unwrap() error { return e.err }
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// retryAfterNoConfiguration is told to clients while no configuration is held yet.
+	// retryAfterNoConfiguration is the Retry-After while there is no configuration yet.
 	retryAfterNoConfiguration = 200 * time.Millisecond
-	// retryAfterShort is told where a new try may succeed at once, here or at another proxy.
+	// retryAfterShort is the Retry-After where a retry may succeed at once, here or at another proxy.
 	retryAfterShort = 50 * time.Millisecond
-	// writeSlack is how long after the deadline an answer may still be written to a client that reads slowly. What a
-	// machine holds a quarter of a second past its route's deadline has a price, half a second breaks a rule.
+	// writeSlack is how long after the deadline a response may still be written to a client that reads slowly. By the
+	// rules a request that lasts a quarter of a second past its route's deadline costs, and half a second is a violation.
 	writeSlack = 200 * time.Millisecond
-	// retrySlack is how much less than the route's deadline a client's first try may tell: its way here takes
-	// time. Later tries tell what is left, which is less by the answer to the first one at least.
+	// retrySlack is by how much the timeout of a client's first attempt may be shorter than the route's deadline, since
+	// the way here takes time. Retries have what is left, which is less by the response to the first one at least.
 	retrySlack = 60 * time.Millisecond
-	// longestDeadline bounds what a client or a route may ask for.
+	// longestDeadline bounds the timeout that a client may request.
 	longestDeadline = 10 * time.Minute
 )
 
-// handler serves the requests of clients.
+// handler serves the requests of clients. It is safe for concurrent use.
 type handler struct {
 	snapshots  *snapshotStore
 	lifecycle  *lifecycle
 	dispatcher *dispatcher
-	announcer  *announcer // nil: nothing is announced
+	announcer  *announcer // nil: announcements are off
 	pool       *upstream.Pool
 	memory     *memoryLimit
 	counters   *counters
@@ -37,16 +37,16 @@
 	disabled   policy.Switches
 }
 
-// ServeHTTP answers one request. Where an answer has to end early, the client's connection ends with it, so
-// that the answer can't look whole.
+// ServeHTTP serves one request. If the response has to end early, the client's connection is aborted, so that the
+// response can't look complete.
 func (h *handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	arrived := time.Now()
 	h.counters.requests.Add(1)
 	h.counters.active.Add(1)
 	defer h.counters.active.Add(-1)
-	exchange, refusal := h.prepare(writer, request, arrived)
-	if refusal != nil {
-		h.reject(writer, refusal)
+	exchange, rejected := h.prepare(writer, request, arrived)
+	if rejected != nil {
+		h.reject(writer, rejected)
 		return
 	}
 	defer exchange.freeBody()
@@ -55,8 +55,8 @@
 	}
 }
 
-// prepare reads a request whole and finds its route. The body is read before anything else is decided, so
-// that the connection stays usable and an attempt is always whole.
+// prepare reads a request completely and finds its route. The body is read before anything else is decided, so that
+// the connection stays usable and each attempt sends a complete request. The caller frees the body of the exchange.
 func (h *handler) prepare(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*exchange, *rejection) {
 	attemptID, hasID := attemptIDOf(request.Header)
 	target, hasPath := originForm(request.RequestURI)
@@ -91,15 +91,16 @@
 	}, nil
 }
 
-// intake is a request that was read whole, with its route.
+// receivedRequest is a request that was read completely, with its route.
 type receivedRequest struct {
 	route    *route.Route
 	body     *chargedBuffer // nil: none
-	readyAt  time.Time      // from which on it could be passed on
+	readyAt  time.Time      // when it could be forwarded: after a startup wait
 	deadline time.Time
 }
 
-// receive reads the body and finds the route; a proxy that has just started first waits until it can.
+// receive reads the body and finds the route. Just after the start of the proxy it first waits until it can, see
+// waitUntilUsable.
 func (h *handler) receive(control *http.ResponseController, request *http.Request, target string, arrived time.Time) (received receivedRequest, err error) {
 	usedBefore := h.snapshots.usedSequence.floor()
 	current := h.snapshots.load()
@@ -120,12 +121,12 @@
 	if !current.configured() {
 		return received, errNoConfiguration
 	}
-	found, ok := current.table.Lookup(request.Host, pathOf(target))
+	matched, ok := current.table.Lookup(request.Host, pathOf(target))
 	if !ok {
 		return received, errNoRoute
 	}
-	received.route = found
-	received.deadline = arrived.Add(timeoutFor(request.Header, found))
+	received.route = matched
+	received.deadline = arrived.Add(timeoutFor(request.Header, matched))
 	_ = control.SetWriteDeadline(received.deadline.Add(writeSlack))
 	if !waited {
 		received.body, err = h.readBody(control, request, current.table.RequestLimits().MaxBodyBytes, received.deadline)
@@ -133,7 +134,8 @@
 	return received, err
 }
 
-// checkSequence checks that a request uses no older snapshot than those before it: floor was read when it came.
+// checkSequence counts a request that uses an older snapshot than an earlier one did, which must never happen.
+// usedBefore was read when the request arrived.
 func (h *handler) checkSequence(current *snapshot, usedBefore uint64) {
 	if current.sequence < usedBefore {
 		h.counters.staleReads.Add(1)
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -11,7 +11,7 @@
 	"fieldrelay/internal/proxy/upstream"
 )
 
-// Headers of the protocol between clients, proxies and servers.
+// Headers of the protocol between clients, proxies and servers, in canonical form.
 const (
 	headerAttemptID    = upstream.AttemptIDHeader
 	headerDeadline     = "X-Fieldrelay-Deadline-Ms"
@@ -29,8 +29,8 @@
 // lowestPriority is the least urgent value of the Priority header.
 const lowestPriority = 9
 
-// isHopByHop tells whether a header concerns one connection only (RFC 9110, 7.6.1). Expect and
-// Trailer belong here as well: bodies are read whole and passed on with a length.
+// isHopByHop reports whether a header is for one connection only (RFC 9110, section 7.6.1). Expect and Trailer are
+// among them here: bodies are read completely and forwarded with a length.
 func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Te", "Transfer-Encoding", "Upgrade",
@@ -41,7 +41,7 @@
 	}
 }
 
-// isSetByProxy tells whether the proxy itself writes a header of the request to a server.
+// isSetByProxy reports whether the proxy itself sets a header of the request to a server.
 func isSetByProxy(name string) bool {
 	switch name {
 	case headerAttemptID, headerDeadline, headerExpectServer, headerPriority, "Host":
@@ -54,8 +54,8 @@
 // protocolPrefix begins the names of the protocol's own headers.
 const protocolPrefix = "X-Fieldrelay-"
 
-// connectionOptions returns the headers that a Connection header names, in canonical form. The protocol's own
-// are for the other end whatever a connection says of them.
+// connectionOptions returns the headers that are named by Connection headers, in canonical form. The protocol's own
+// headers are end to end whatever a Connection header says.
 func connectionOptions(header http.Header) []string {
 	var named []string
 	for _, value := range header["Connection"] {
@@ -69,8 +69,8 @@
 	return named
 }
 
-// copyResponseHeader passes a server's header on. Nothing is added: where the server sent no Date or
-// Content-Type, the client gets none.
+// copyResponseHeader copies a server's headers to the client's response. Nothing is added: if the server sent no
+// Date or Content-Type, the client gets none.
 func copyResponseHeader(to, from http.Header) {
 	named := connectionOptions(from)
 	for name, values := range from {
@@ -92,8 +92,8 @@
 	}
 }
 
-// retryAfter writes a time as seconds with a fraction, rounded up to a millisecond.
-func retryAfter(wait time.Duration) string {
+// formatRetryAfter formats the value of Retry-After: seconds with a fraction, rounded up to a millisecond.
+func formatRetryAfter(wait time.Duration) string {
 	milliseconds := max((wait+time.Millisecond-1)/time.Millisecond, 1)
 	seconds := float64(milliseconds) / float64(time.Second/time.Millisecond)
 	return strconv.FormatFloat(seconds, 'f', 3, 64)
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -6,47 +6,48 @@
 	"time"
 )
 
-// phase is a stage of a proxy's life.
+// phase is a phase of the process.
 type phase int32
 
 const (
-	phaseServing   phase = iota
-	phaseDraining        // told to end; requests are served as before, and clients are asked to leave
-	phaseRejecting       // new requests are refused, those that are being served go on
-	phaseAborting        // what is still being served is broken off
+	phaseServing   phase = iota // requests are accepted
+	phaseDraining               // shutdown has begun: requests are accepted, and connections closed after responses
+	phaseRejecting              // new requests are rejected, those in flight go on
+	phaseAborting               // requests in flight are canceled
 )
 
-// lifecycle holds the phase, which only ever goes forward.
+// lifecycle holds the phase, which only advances. It also serves the platform's readiness check. It is safe for
+// concurrent use.
 type lifecycle struct {
 	current    atomic.Int32
 	snapshot   func() *snapshot
-	drainTimes atomic.Pointer[drainTimes] // nil: not told to end
+	drainTimes atomic.Pointer[drainTimes] // nil: no shutdown has begun
 }
 
 func (l *lifecycle) phase() phase { return phase(l.current.Load()) }
 
 func (l *lifecycle) enter(next phase) { l.current.Store(int32(next)) }
 
-// leave begins the drain: the process was told to end.
+// drain begins the graceful shutdown.
 func (l *lifecycle) drain(times drainTimes) {
 	l.drainTimes.Store(&times)
 	l.enter(phaseDraining)
 }
 
-// takes tells whether a request may be taken that lasts until its deadline at most. Shortly after the process was
-// told to end, every request may be: clients have hardly heard of it. Later ones must not be broken off.
+// accepts reports whether a request with a deadline is accepted. Just after the begin of the shutdown all are:
+// clients can't know of it yet. Later ones must not be aborted, and so have to end before that.
 func (l *lifecycle) accepts(now, deadline time.Time) bool {
 	times := l.drainTimes.Load()
 	return times == nil || now.Before(times.deadlineCheck) || deadline.Before(times.abort)
 }
 
-// draining tells whether the process was told to end.
+// draining reports whether the shutdown has begun.
 func (l *lifecycle) draining() bool { return l.phase() >= phaseDraining }
 
-// ready tells whether clients may be sent here.
+// ready reports whether clients may be sent to this proxy.
 func (l *lifecycle) ready(current *snapshot) bool { return current.complete() && !l.draining() }
 
-// ServeHTTP answers the platform's check.
+// ServeHTTP serves the platform's readiness check.
 func (l *lifecycle) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	switch {
 	case request.URL.Path != "/api/readyz":
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -13,23 +13,24 @@
 	"fieldrelay/internal/route"
 )
 
-// front accepts the connections of clients. The limits of an http.Server can't change while it runs, so new
-// limits make a new one: it gets the connections accepted from then on. The older ones keep their limits, and end
-// with their next answer if the new ones are wider.
+// clientListener accepts the connections of clients. The limits of a running http.Server can't be changed, so new
+// limits start a new server, which gets the connections accepted from then on. Connections of earlier servers keep
+// their limits, and are closed after their next response if the new limits are wider. It is safe for concurrent
+// use.
 type clientListener struct {
 	listener    net.Listener
 	handler     http.Handler
-	baseContext context.Context // of all requests
+	baseContext context.Context // parent of the contexts of all requests
 	counters    *counters
 	logger      *zap.Logger
-	slots       chan struct{} // one for each connection that may be open
+	slots       chan struct{} // semaphore: one element for each open connection
 
 	mu       sync.Mutex
 	limits   connLimits
-	current  *connQueue
-	handlers []*limitedHandler // one for the connections of each limits so far that are not outgrown
+	current  *connQueue        // of the server with the present limits
+	handlers []*limitedHandler // one for each limits so far that are not superseded
 	closed   bool
-	idle     map[net.Conn]struct{} // connections on which no request is being served
+	idle     map[net.Conn]struct{} // connections that serve no request
 }
 
 func newClientListener(base context.Context, listener net.Listener, handler http.Handler, maxConnections int, counters *counters, logger *zap.Logger) *clientListener {
@@ -46,7 +47,8 @@
 	return f
 }
 
-// setLimits puts other limits in force for the connections accepted from now on.
+// setLimits puts limits in force for the connections accepted from now on. It starts a server whose Serve ends when
+// its queue is closed by the next limits, or with the process; its connections go on.
 func (f *clientListener) setLimits(limits connLimits) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,8 +64,8 @@
 	go func(accepted *connQueue) { _ = server.Serve(accepted) }(f.current)
 }
 
-// handlerFor makes the handler of the connections under new limits, and lets those under narrower ones end. The
-// caller holds the lock.
+// handlerFor returns the handler for connections under the given limits, and marks those with narrower limits as
+// superseded. The caller holds the lock.
 func (f *clientListener) handlerFor(limits connLimits) *limitedHandler {
 	f.handlers = slices.DeleteFunc(f.handlers, func(previous *limitedHandler) bool {
 		narrower := previous.limits.narrowerThan(limits)
@@ -94,12 +96,13 @@
 		BaseContext:       func(net.Listener) context.Context { return f.baseContext },
 		ErrorLog:          zap.NewStdLog(zap.NewNop()),
 		Protocols:         protocols,
-		// Every request is for a server.
+		// OPTIONS * has no route, and is rejected like other requests without one.
 		DisableGeneralOptionsHandler: true,
 	}
 }
 
-// track keeps account of open and idle connections.
+// track counts open connections and keeps the set of idle ones; it is called by http.Server for each change of
+// state.
 func (f *clientListener) track(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -126,7 +129,7 @@
 	f.idle[conn] = struct{}{}
 }
 
-// serve accepts connections until the listener is closed.
+// serve accepts connections until close. It blocks while the maximum number of connections is open.
 func (f *clientListener) serve() {
 	for {
 		f.slots <- struct{}{}
@@ -144,7 +147,7 @@
 	}
 }
 
-// hand gives a connection to the server with the limits in force.
+// dispatch gives a connection to the server with the limits in force, which may be replaced meanwhile.
 func (f *clientListener) dispatch(conn net.Conn) {
 	for {
 		f.mu.Lock()
@@ -162,7 +165,7 @@
 	return f.closed
 }
 
-// close ends accepting. Open connections stay.
+// close ends accepting. Open connections stay open.
 func (f *clientListener) close() {
 	f.mu.Lock()
 	f.closed = true
@@ -170,9 +173,8 @@
 	_ = f.listener.Close()
 }
 
-// closeIdle ends the connections on which no request is being served. The goroutine that waits for a request
-// on such a connection takes bytes that come as soon as they come; it is woken up without them here, and
-// closes the connection.
+// closeIdle closes the connections that serve no request. Their server waits in a read: it is woken by the expired
+// deadline and closes the connection, while a request that has just been received is served.
 func (f *clientListener) closeIdle() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/proxy/liveness.go
+++ b/internal/proxy/liveness.go
@@ -7,18 +7,19 @@
 	"go.uber.org/zap"
 )
 
-// agentTimeout is the time without an exchange after which the agent counts as silent; it exchanges four times a second.
+// agentTimeout is the time without a call of the agent after which it counts as failed. It calls four times a
+// second.
 const agentTimeout = 2 * time.Second
 
-// contact follows when the agent beside this proxy was last heard of. Times are those of a steady clock that all callers
-// share. It is safe for concurrent use.
+// agentLiveness is the failure detector for the agent beside this proxy. It only logs and counts: the proxy serves
+// on without an agent. Times are those of one steady clock. It is safe for concurrent use.
 type agentLiveness struct {
-	lastContact atomic.Int64 // time of the last exchange in nanoseconds
-	timedOut    atomic.Bool  // as logged
+	lastContact atomic.Int64 // time of the last call, in nanoseconds
+	timedOut    atomic.Bool  // a timeout is logged, and no call since
 	logger      *zap.Logger
 }
 
-// heard takes an exchange with the agent.
+// recordContact records a call of the agent.
 func (c *agentLiveness) recordContact(now time.Duration) {
 	before := time.Duration(c.lastContact.Swap(int64(now)))
 	if c.timedOut.CompareAndSwap(true, false) {
@@ -26,12 +27,12 @@
 	}
 }
 
-// age is the time since the last exchange, since the start of the clock before the first.
+// sinceContact is the time since the last call, or since the start of the clock before the first.
 func (c *agentLiveness) sinceContact(now time.Duration) time.Duration {
 	return max(0, now-time.Duration(c.lastContact.Load()))
 }
 
-// look logs once that the agent is silent. It is called now and then.
+// checkTimeout logs once that the agent has timed out. It is called at the housekeeping interval.
 func (c *agentLiveness) checkTimeout(now time.Duration) {
 	if age := c.sinceContact(now); age > agentTimeout && c.timedOut.CompareAndSwap(false, true) {
 		c.logger.Warn("agent silent", zap.Duration("for", age))
--- a/internal/proxy/memorylimit.go
+++ b/internal/proxy/memorylimit.go
@@ -2,7 +2,8 @@
 
 import "sync/atomic"
 
-// memoryLimit bounds the bytes of request and answer bodies that are held at the same time.
+// memoryLimit bounds the bytes of request and response bodies in memory at the same time. It is safe for concurrent
+// use.
 type memoryLimit struct {
 	limit int64
 	used  atomic.Int64
@@ -10,7 +11,7 @@
 
 func newMemoryLimit(limit int64) *memoryLimit { return &memoryLimit{limit: limit} }
 
-// take charges bytes and tells whether there was room for them.
+// reserve charges n bytes, and returns false if that would exceed the limit.
 func (m *memoryLimit) reserve(n int64) bool {
 	if m.used.Add(n) <= m.limit {
 		return true
@@ -19,5 +20,5 @@
 	return false
 }
 
-// give returns bytes that were charged.
+// release returns n bytes that were charged.
 func (m *memoryLimit) release(n int64) { m.used.Add(-n) }
--- a/internal/proxy/pickserver.go
+++ b/internal/proxy/pickserver.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// capacityWaitFraction is the part of the route's aim (one in capacityWaitFraction) for which a request waits for a place: a
-	// refusal within a quarter of the aim costs least.
+	// capacityWaitFraction is the fraction of the route's latency target (one in capacityWaitFraction) for which a
+	// request waits for capacity: a rejection within a quarter of the target costs least.
 	capacityWaitFraction = 5
-	// defaultCapacityWait is how long a request waits for a place when the route has no aim.
+	// defaultCapacityWait is how long a request waits for capacity if its route has no latency target.
 	defaultCapacityWait = 100 * time.Millisecond
-	// retriedWaitFraction is the part of the time left (one in retriedWaitFraction) for which a request waits that was refused
-	// or failed before: its client seldom has another try left. maxRetriedWait bounds that time.
+	// retriedWaitFraction is the fraction of the time to the deadline (one in retriedWaitFraction) for which a request
+	// waits that is a client's retry: the client seldom has a further attempt left. maxRetriedWait bounds that time.
 	retriedWaitFraction = 2
 	maxRetriedWait      = 2500 * time.Millisecond
-	// resumptionWait is how long a stream that was cut waits for a server that takes it up.
+	// resumptionWait is how long a stream that broke off waits for a server that resumes it.
 	resumptionWait = time.Second
-	// minPickInterval and maxPickInterval bound the time between two looks for a place.
+	// minPickInterval and maxPickInterval bound the time between two picks.
 	minPickInterval = 5 * time.Millisecond
 	maxPickInterval = 50 * time.Millisecond
 )
 
-var errClientCanceled = errors.New("the client is gone")
+var errClientCanceled = errors.New("request canceled while waiting for a server")
 
-// pick opens an attempt at a server. While none has room, it waits for a short time.
+// pickServer starts an attempt at a server. While no server has capacity, it tries again for a bounded time.
 func (x *exchange) pickServer() (placement.Decision, error) {
 	waitEnd := x.capacityWaitEnd()
 	if x.handler.disabled.Off(policy.CapacityWait) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// patience is the moment until which the request waits for a place.
+// capacityWaitEnd is the time until which the request waits for capacity.
 func (x *exchange) capacityWaitEnd() time.Time {
 	if x.stream != nil {
 		return earlier(time.Now().Add(resumptionWait), x.deadline)
@@ -71,21 +71,21 @@
 	return b
 }
 
-// pickRetryDelay tells after which time it is worth looking for a place again, and whether it is at all.
+// pickRetryDelay returns after which time to pick again, and false if waiting can't help.
 func pickRetryDelay(err error) (time.Duration, bool) {
-	var none *placement.NoServerError
-	if !errors.As(err, &none) {
+	var noServer *placement.NoServerError
+	if !errors.As(err, &noServer) {
 		return 0, false
 	}
-	switch none.Reason {
+	switch noServer.Reason {
 	case placement.ReasonFull, placement.ReasonWarmingUp, placement.ReasonNone:
-		return min(max(none.RetryAfter, minPickInterval), maxPickInterval), true
+		return min(max(noServer.RetryAfter, minPickInterval), maxPickInterval), true
 	default:
 		return 0, false
 	}
 }
 
-// sleep waits; it returns false when the client left in the meantime.
+// sleep waits; it returns false if the request is canceled meanwhile.
 func (x *exchange) sleep(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -97,14 +97,14 @@
 	}
 }
 
-// unplaced takes in that there is no server for the request.
+// noServer ends an attempt for which there is no server.
 func (x *exchange) noServer(err error) attemptOutcome {
 	if x.isCanceled() {
 		return outcomeCanceled
 	}
-	var none *placement.NoServerError
-	if errors.As(err, &none) {
-		x.retryAfter = none.RetryAfter
+	var noServer *placement.NoServerError
+	if errors.As(err, &noServer) {
+		x.retryAfter = noServer.RetryAfter
 	}
 	return outcomeNoServer
 }
--- a/internal/proxy/placementoutcome.go
+++ b/internal/proxy/placementoutcome.go
@@ -9,7 +9,7 @@
 	"fieldrelay/internal/proxy/upstream"
 )
 
-// placementOutcomeOfError tells placement what an error says about the server.
+// placementOutcomeOfError is what an error of package upstream means for the choice of servers.
 func placementOutcomeOfError(err error) placement.Outcome {
 	var dialError *upstream.DialError
 	if errors.As(err, &dialError) && dialError.TimedOut {
@@ -31,7 +31,7 @@
 	}
 }
 
-// placementOutcomeOfResponse tells placement what an answer says about the server.
+// placementOutcomeOfResponse is what a response means for the choice of servers.
 func placementOutcomeOfResponse(response upstream.Response, state executionState) placement.Outcome {
 	switch {
 	case response.StatusCode == http.StatusMisdirectedRequest:
@@ -45,5 +45,5 @@
 	}
 }
 
-// isServerFailure tells whether another server may do better.
+// isServerFailure reports whether another server may give a better response.
 func isServerFailure(status int) bool { return status >= http.StatusInternalServerError }
--- a/internal/proxy/priority.go
+++ b/internal/proxy/priority.go
@@ -1,14 +1,15 @@
 package proxy
 
-// defaultPriority is what servers go by when they are told none.
+// defaultPriority is the priority that servers use without a Priority header.
 const defaultPriority = 5
 
-// prefillSteps are the numbers of prompt tokens from which on a request is less urgent by a step.
+// prefillSteps are the numbers of prompt tokens at each of which a request gets less urgent by one step.
 var prefillSteps = [...]int{1_000, 2_500, 5_000, 10_000}
 
-// urgency is the Priority that a server is told. It reads the most urgent of the prompts that wait first, and
-// one long prompt may cost many short ones behind it their aim, while they cost it little: so prompts are ranked
-// by what a server has to read of them, and by their route's priority where that is much the same.
+// serverPriority returns the value of the Priority header for a server, 0 being the most urgent. A server prefills
+// the most urgent of its waiting prompts first. One long prompt may make many short ones behind it miss their
+// target, while they delay it little: so requests are ordered by the tokens that the server has to prefill, and
+// within a step by their route's priority.
 func serverPriority(routePriority, promptTokens, prefillTokens int) int {
 	if promptTokens <= 0 {
 		return routePriority
--- a/internal/proxy/process.go
+++ b/internal/proxy/process.go
@@ -20,7 +20,9 @@
 	"fieldrelay/internal/settings"
 )
 
-// process is a running proxy.
+// process is a running proxy. It owns these goroutines, all started by start: the accept loop of clients
+// (listener), the send and receive loops of announcer, and one for each internal server. Beside them net/http runs
+// one for each connection. start is called once, then serve, drain and stop, by one goroutine.
 type process struct {
 	options          Options
 	disabled         policy.Switches
@@ -28,7 +30,7 @@
 	lifecycle        *lifecycle
 	snapshots        *snapshotStore
 	dispatcher       *dispatcher
-	announcer        *announcer // nil: nothing is announced
+	announcer        *announcer // nil: announcements are off
 	pool             *upstream.Pool
 	memory           *memoryLimit
 	counters         *counters
@@ -37,23 +39,23 @@
 	listener         *clientListener
 	reloader         *reloader
 	gracePeriod      atomic.Int64    // nanoseconds
-	baseContext      context.Context // of all requests
+	baseContext      context.Context // parent of the contexts of all requests
 	cancelRequests   context.CancelFunc
-	internalServers  []*http.Server // for other callers than clients
+	internalServers  []*http.Server // for callers other than clients
 	configStreamAddr net.Addr
 	readyAddr        net.Addr
 }
 
 func newProcess(configured *settings.Settings, logger *zap.Logger, options Options) *process {
 	bounds := configured.Bounds
-	off := configured.Policy.Switches().And(options.Off)
+	disabled := configured.Policy.Switches().And(options.Off)
 	placer := placement.New(placement.Config{
 		Host:      configured.Hostname,
 		Zone:      configured.Zone,
 		Regions:   configured.Zones,
 		Seed:      rand.Uint64(),
 		SlowStart: limits.SlowStartConfig{Excess: bounds.WarmExcess, Extra: bounds.WarmExtra},
-		Off:       off,
+		Off:       disabled,
 	})
 	budget := limits.NewRetryBudget(limits.RetryConfig{
 		Ratio:  bounds.RetryRatio,
@@ -62,11 +64,11 @@
 	}, configured.Hostname)
 	p := &process{
 		options:    options,
-		disabled:   off,
+		disabled:   disabled,
 		logger:     logger,
 		snapshots:  newSnapshotStore(),
 		dispatcher: newDispatcher(placer, budget),
-		pool:       upstream.NewPool(upstream.Config{DisableReuse: off.Off(policy.ConnectionReuse)}),
+		pool:       upstream.NewPool(upstream.Config{DisableReuse: disabled.Off(policy.ConnectionReuse)}),
 		memory:     newMemoryLimit(int64(configured.Limits.MemoryMB * megabyte / bodyMemoryFraction)),
 		counters:   &counters{},
 		liveness:   &agentLiveness{logger: logger},
@@ -75,42 +77,43 @@
 	p.baseContext, p.cancelRequests = context.WithCancel(context.Background())
 	p.lifecycle = &lifecycle{snapshot: p.snapshots.load}
 	p.gracePeriod.Store(int64(bounds.Grace()))
-	path, _ := settings.Path() // without one, nothing is read again
+	path, _ := settings.Path() // empty without a file; nothing is reloaded then
 	p.reloader = newReloader(path, logger, p.applySettings)
 	return p
 }
 
-// applySettings takes in what may change while the process runs.
+// applySettings applies those settings that may change while the process runs.
 func (p *process) applySettings(changed *settings.Settings) {
 	p.gracePeriod.Store(int64(changed.Bounds.Grace()))
 }
 
-// start opens the three listeners: clients, the platform's checks, and the agent.
+// start opens the listeners in this order: clients, announcements, the platform's checks, and last the agent's,
+// whose first call makes the proxy ready. Clients that come earlier wait, see waitUntilUsable. After an error the
+// caller calls stop.
 func (p *process) start(configured *settings.Settings) error {
-	base := p.baseContext
-	// The proxy needs no probes of its own on clients' connections: idle ones end by time.
+	// No keep-alive probes on clients' connections: idle ones end by their timeout.
 	config := net.ListenConfig{KeepAlive: -1}
 	config.SetMultipathTCP(false)
-	listener, err := config.Listen(base, "tcp4", configured.Binds.Edge)
+	listener, err := config.Listen(p.baseContext, "tcp4", configured.Binds.Edge)
 	if err != nil {
 		return errors.Wrap(err, "listen for clients")
 	}
 	p.startAnnouncer(configured)
 	connections := max((configured.Limits.Descriptors-reservedDescriptors)/2, minConnections)
-	p.listener = newClientListener(base, listener, p.requestHandler(), connections, p.counters, p.logger)
+	p.listener = newClientListener(p.baseContext, listener, p.requestHandler(), connections, p.counters, p.logger)
 	go p.listener.serve()
 	if p.readyAddr, err = p.serveInternal(configured.Binds.Ready, p.lifecycle); err != nil {
 		return err
 	}
-	feedAddress := p.options.Feed
-	if feedAddress == "" {
-		feedAddress = configured.LoopbackPort(configStreamPort)
+	address := p.options.Feed
+	if address == "" {
+		address = configured.LoopbackPort(configStreamPort)
 	}
-	p.configStreamAddr, err = p.serveInternal(feedAddress, p.configStreamHandler(configured))
+	p.configStreamAddr, err = p.serveInternal(address, p.configStreamHandler(configured))
 	return err
 }
 
-// startAnnouncer opens the socket for announcements where the machine has a port for it. A proxy serves without one
+// startAnnouncer opens the socket for announcements if the machine has a port for it. The proxy serves without one
 // as well.
 func (p *process) startAnnouncer(configured *settings.Settings) {
 	ports := configured.PortRange
@@ -163,7 +166,7 @@
 	return mux
 }
 
-// snapshotChanged takes in a new snapshot where limits or servers changed.
+// snapshotChanged applies a new snapshot where limits or servers changed.
 func (p *process) snapshotChanged(current *snapshot, applied update) {
 	if applied.tableChanged {
 		p.listener.setLimits(connLimitsOf(current.table.RequestLimits()))
@@ -173,7 +176,7 @@
 	}
 }
 
-// sweep closes connections that were idle for too long or that lead to servers that are gone or out of reach.
+// sweep closes idle connections that have timed out or whose server is not listed any more or unreachable.
 func (p *process) sweep(current *snapshot) {
 	unreachable := p.pool.Sweep(time.Now(), func(server upstream.Server) bool {
 		_, listed := current.servers[server]
@@ -184,7 +187,8 @@
 	}
 }
 
-// serveInternal opens a listener for other callers than clients and returns its address.
+// serveInternal starts a server for callers other than clients and returns its address. Its goroutine ends with
+// stop.
 func (p *process) serveInternal(address string, handler http.Handler) (net.Addr, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -200,7 +204,7 @@
 	return listener.Addr(), nil
 }
 
-// serve does the regular work until the process is told to end.
+// serve does the periodic work until the process is to terminate.
 func (p *process) serve(terminate <-chan struct{}, reload <-chan os.Signal) {
 	housekeeping := time.NewTicker(housekeepingInterval)
 	defer housekeeping.Stop()
@@ -228,10 +232,12 @@
 	return append(fields, zap.Duration("agent-silence", p.liveness.sinceContact(p.now())))
 }
 
-// now is the steady time since the start.
+// now is the steady clock of the process: the time since its start.
 func (p *process) now() time.Duration { return time.Since(p.started) }
 
-// stop closes what is still open.
+// stop closes what is still open, in an order in which nothing new begins: requests are canceled, the listener for
+// clients closes, then the internal servers, idle connections to servers, and announcements. It may be called after
+// a start that failed half-way.
 func (p *process) stop() {
 	p.cancelRequests()
 	if p.listener != nil {
@@ -245,21 +251,22 @@
 }
 
 const (
-	// configStreamPort is the number, among the machine's ports for own messages, of the port that the agent feeds.
+	// configStreamPort is the index, in the machine's port range, of the port that the agent calls.
 	configStreamPort = 2
-	// countersInterval is the time between two lines with the counters.
+	// countersInterval is the time between two log lines with the counters.
 	countersInterval = time.Minute
-	// housekeepingInterval is the time between two looks at idle connections and at the settings file.
+	// housekeepingInterval is the time between two checks of idle connections, the settings file and the agent.
 	housekeepingInterval = time.Second
-	// drainPollInterval is the time between two looks at how many requests are left while the process ends.
+	// drainPollInterval is the time between two checks for open connections during a shutdown.
 	drainPollInterval = 10 * time.Millisecond
-	// bodyMemoryFraction is the part of the memory (one in bodyMemoryFraction) that bodies in flight may take.
+	// bodyMemoryFraction is the fraction of the memory (one in bodyMemoryFraction) that bodies in flight may use.
 	bodyMemoryFraction = 8
 	megabyte           = 1 << 20
-	// reservedDescriptors is the number of descriptors that are not for connections.
+	// reservedDescriptors is the number of file descriptors that are not for connections. Of the others, half are for
+	// clients and half for servers.
 	reservedDescriptors = 256
-	// minConnections is the least number of clients' connections.
+	// minConnections is the least limit on clients' connections.
 	minConnections = 64
-	// headerReadTimeout bounds how long a call of the platform or of the agent may take.
+	// headerReadTimeout bounds the time in which the head of a call of the platform or the agent is read.
 	headerReadTimeout = 5 * time.Second
 )
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,10 +1,18 @@
-// Package proxy is the data plane of an edge machine: it takes the requests of clients, passes each to a
-// server of its route's service and the answer back, as the rules of the deployment ask.
+// Package proxy is the data plane of an edge machine: it accepts clients' requests, forwards each to a server of its
+// route's service, and returns the response.
 //
-// A request is read whole before anything is decided. What became of it at each server is written down in
-// one place, the ledger, and only the ledger says whether it may go to another server and which answer is
-// true when none of a server's can be passed on. All that the proxy serves by comes from the agent beside it
-// over loopback and is held as one immutable snapshot; without the agent it serves on by the last one.
+// It promises that a request is not run more often than its route allows, and that a client never takes an incomplete
+// or foreign response for a complete one. A request is read completely before anything is decided. What became of it at
+// each server is recorded in one place, attemptLog, which alone decides whether it may be sent to another server and
+// which status is true when no server's response can be forwarded.
+//
+// It decides neither which server gets a request (package placement) nor what a configuration means (package route), and
+// it persists nothing. All that it serves by comes from the agent beside it over loopback (configStream) and is one
+// immutable snapshot; without the agent it serves on by the last one.
+//
+// The way of a request: clientListener, handler, exchange (one request), attempt (at one server), upstream.Conn.
+// docs/region-proxy.md describes the proxy for operators, docs/region-rules.md the rules that it keeps, and
+// docs/design-regional.md the design.
 package proxy
 
 import (
@@ -19,16 +27,16 @@
 	"fieldrelay/internal/settings"
 )
 
-// Options replace what a proxy takes from its settings. The zero value replaces nothing.
+// Options override parts of the settings. The zero value overrides nothing.
 type Options struct {
-	// Feed is the address, ip:port, at which the agent feeds the proxy.
+	// Feed is the address (ip:port) at which the agent calls the proxy; empty: the loopback port of the settings.
 	Feed string
-	// Off are mechanisms that are switched off beside those of the settings.
+	// Off are mechanisms of the policy that are disabled beside those of the settings.
 	Off policy.Switches
 }
 
-// Run serves until the context or SIGTERM ends it, and returns when the requests that it took are answered or
-// the grace period is nearly over. It returns an error only if it can't start.
+// Run serves until the context is canceled or SIGTERM or SIGINT comes, then shuts down gracefully within
+// bounds.grace-s. SIGHUP reloads the settings. It returns an error only if the proxy can't start.
 func Run(ctx context.Context, configured *settings.Settings, logger *zap.Logger) error {
 	return RunWith(ctx, configured, logger, Options{})
 }
--- a/internal/proxy/pure_test.go
+++ b/internal/proxy/pure_test.go
@@ -106,9 +106,9 @@
 }
 
 func TestRetryAfter(t *testing.T) {
-	require.Equal(t, "0.050", retryAfter(50*time.Millisecond))
-	require.Equal(t, "1.251", retryAfter(1250*time.Millisecond+1))
-	require.Equal(t, "0.001", retryAfter(0))
+	require.Equal(t, "0.050", formatRetryAfter(50*time.Millisecond))
+	require.Equal(t, "1.251", formatRetryAfter(1250*time.Millisecond+1))
+	require.Equal(t, "0.001", formatRetryAfter(0))
 }
 
 func TestHoldFor(t *testing.T) {
--- a/internal/proxy/rejection.go
+++ b/internal/proxy/rejection.go
@@ -8,8 +8,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// abortConnection ends a client's connection in the middle of an answer. An answer with a length or in chunks is seen
-// to be cut; one that a client of HTTP/1.0 gets may end with the connection, so that this must be reset.
+// abortConnection ends a client's connection in the middle of a response. With a length or chunks the client sees
+// that the response is incomplete. A response to a client of HTTP/1.0 may be close-delimited, so that its
+// connection must be reset. It panics with http.ErrAbortHandler, by which net/http closes the connection.
 func abortConnection(writer http.ResponseWriter, request *http.Request) {
 	if !request.ProtoAtLeast(1, 1) {
 		conn, _, err := http.NewResponseController(writer).Hijack()
@@ -23,24 +24,25 @@
 	panic(http.ErrAbortHandler)
 }
 
-// refusal is an answer of the proxy's own to a request that was not passed on.
+// rejection is a response of the proxy itself to a request that no server's response is forwarded for.
 type rejection struct {
 	status          int
-	retryAfter      time.Duration // 0: not told
-	closeConnection bool          // the connection can't be used any longer
+	retryAfter      time.Duration // 0: no Retry-After
+	closeConnection bool          // the connection can't be used for another request
 }
 
-// drainRejection is the answer to a request that comes too late in a drain.
+// drainRejection is the response to a request that comes too late during a shutdown.
 var drainRejection = &rejection{status: http.StatusServiceUnavailable, retryAfter: retryAfterShort, closeConnection: true}
 
-// refuse writes an answer of the proxy's own. It goes out however late it comes.
+// reject sends a response of the proxy itself. It extends the write deadline, so that the response is sent however
+// late it is.
 func (h *handler) reject(writer http.ResponseWriter, response *rejection) {
 	h.counters.countOwnResponse(response.status)
 	_ = http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(writeSlack))
 	header := writer.Header()
 	suppressDefaults(header)
 	if response.retryAfter > 0 {
-		header["Retry-After"] = []string{retryAfter(response.retryAfter)}
+		header["Retry-After"] = []string{formatRetryAfter(response.retryAfter)}
 	}
 	header["Content-Length"] = []string{"0"}
 	if response.closeConnection || h.lifecycle.draining() {
@@ -49,16 +51,16 @@
 	writer.WriteHeader(response.status)
 }
 
-// setConnectionClose ends the client's connection after the answer.
+// setConnectionClose has the client's connection closed after the response.
 func setConnectionClose(header http.Header) { header["Connection"] = []string{"close"} }
 
 var (
-	errNoConfiguration = errors.New("no configuration is held")
-	errNoRoute         = errors.New("no route")
-	errLimitsUnknown   = errors.New("the request is larger than is taken before a configuration tells its bounds")
+	errNoConfiguration = errors.New("no configuration yet")
+	errNoRoute         = errors.New("no route for host and path")
+	errLimitsUnknown   = errors.New("request body is too large before the first configuration")
 )
 
-// rejectionOf is the answer to a request that was not taken in.
+// rejectionOf maps an error of receiving a request to the response.
 func rejectionOf(err error) *rejection {
 	switch {
 	case errors.Is(err, errNoRoute):
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -9,8 +9,8 @@
 	"fieldrelay/internal/settings"
 )
 
-// reloader follows the settings file: it is read again when it has changed, with or without a signal. A file
-// that is at fault is told and ignored.
+// reloader follows the settings file, and loads it again when it has changed, with or without a signal. A file that
+// can't be loaded is logged and ignored. It is not safe for concurrent use.
 type reloader struct {
 	path     string // empty: there is no file to follow
 	modified time.Time
@@ -25,7 +25,7 @@
 	return r
 }
 
-// changed tells whether the file is another one than at the last look.
+// hasChanged reports whether the file's time or size has changed since the last call.
 func (r *reloader) hasChanged() bool {
 	if r.path == "" {
 		return false
@@ -39,14 +39,14 @@
 	return !same
 }
 
-// look reads the file again if it has changed.
+// reloadIfChanged loads the file again if it has changed.
 func (r *reloader) reloadIfChanged() {
 	if r.hasChanged() {
 		r.reload()
 	}
 }
 
-// read reads the file again.
+// reload loads the file again.
 func (r *reloader) reload() {
 	if r.path == "" {
 		return
--- a/internal/proxy/requestheaders.go
+++ b/internal/proxy/requestheaders.go
@@ -10,8 +10,8 @@
 	"fieldrelay/internal/route"
 )
 
-// attemptIDOf returns the id of a request; there must be exactly one.
-func attemptIDOf(header http.Header) (string, bool) {
+// attemptIDOf returns the id of a request; ok is false unless there is exactly one.
+func attemptIDOf(header http.Header) (id string, ok bool) {
 	values := header[headerAttemptID]
 	if len(values) != 1 || values[0] == "" {
 		return "", false
@@ -19,7 +19,7 @@
 	return values[0], true
 }
 
-// timeoutFor is how long a request may be held: what the client waits, but no longer than the route allows.
+// timeoutFor is how long a request may take: as long as the client waits, but no longer than the route allows.
 func timeoutFor(header http.Header, matched *route.Route) time.Duration {
 	requested := clientTimeout(header)
 	if matched.Deadline > 0 {
@@ -28,7 +28,8 @@
 	return requested
 }
 
-// clientTimeout is how long a client says that it waits, at most longestDeadline.
+// clientTimeout is how long a client waits by X-Fieldrelay-Deadline-Ms (milliseconds), at most longestDeadline,
+// which is also the default.
 func clientTimeout(header http.Header) time.Duration {
 	values := header[headerDeadline]
 	if len(values) == 0 {
@@ -41,7 +42,8 @@
 	return time.Duration(milliseconds * float64(time.Millisecond))
 }
 
-// placementRequest tells placement what the headers of a request say about its size.
+// placementRequest builds the request to placement from the headers. draw, uniform in [0, 1), picks among a route's
+// services.
 func placementRequest(header http.Header, matched *route.Route, draw float64, arrived time.Duration) placement.Request {
 	request := placement.Request{
 		Route:   matched,
@@ -52,13 +54,13 @@
 	request.Returned = clientTimeout(header)+retrySlack < matched.Deadline
 	request.Prompt, request.Generate = tokenCounts(header.Get(headerTokenCount))
 	if chunks := header.Get(headerPromptPrefix); chunks != "" {
-		// A list that can't be read only means that nothing is known of kept parts.
+		// Without a readable list, no cached prefix is known.
 		request.Chunks, _ = placement.ParseChunks(chunks, nil)
 	}
 	return request
 }
 
-// tokenCounts reads X-Fieldrelay-Token-Count: the prompt's tokens, and the most that are generated.
+// tokenCounts parses X-Fieldrelay-Token-Count: the tokens of the prompt, and the most that are generated.
 func tokenCounts(value string) (prompt, generate int) {
 	first, second, _ := strings.Cut(value, ",")
 	prompt, _ = strconv.Atoi(strings.TrimSpace(first))
--- a/internal/proxy/requesttarget.go
+++ b/internal/proxy/requesttarget.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// originForm returns the request target that a server gets: the path and the query byte for byte as sent.
-// A target in absolute form is cut down to it. It fails for targets without a path.
-func originForm(target string) (string, bool) {
+// originForm returns the request target for a server, which is in origin form (RFC 9112, section 3.2.1): path and
+// query byte for byte as sent. A target in absolute form is cut down to it. ok is false for targets without a path.
+func originForm(target string) (origin string, ok bool) {
 	if strings.HasPrefix(target, "/") {
 		return target, true
 	}
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -6,42 +6,45 @@
 	"strings"
 	"time"
 
+	"github.com/cockroachdb/errors"
+
 	"fieldrelay/internal/placement"
 	"fieldrelay/internal/proxy/upstream"
 	"fieldrelay/internal/route"
 )
 
 const (
-	// maxBufferedResponse is the largest answer that is read whole before its status goes to the client.
+	// maxBufferedResponse is the largest body, in bytes, that is read completely before its headers are sent.
 	maxBufferedResponse = 1 << 20
-	// copyBufferBytes is the size of the pieces in which larger answers are passed on.
+	// copyBufferBytes is the size of the buffer through which larger bodies are forwarded.
 	copyBufferBytes = 32 << 10
 )
 
-// attempt is a request at one server from the head of the answer on.
+// attempt is one attempt whose server has sent the head of a response.
 type attempt struct {
 	*exchange
 	decision       placement.Decision
 	conn           *upstream.Conn
 	response       upstream.Response
-	stopAbort      func() bool // keeps the client's leaving from closing the connection
-	eventForwarded bool        // an event of this server was passed on
+	stopAbort      func() bool // ends the abort of conn on cancellation; false: it was aborted
+	eventForwarded bool        // an event of this server was forwarded
 }
 
-// receive passes the answer on, or finds that it can't be.
+// receive forwards the response, or finds that it can't be forwarded. It ends the attempt in any case.
 func (a *attempt) receive() attemptOutcome {
 	a.applyHeaderHints()
 	state := executionOfResponse(a.response.StatusCode, a.response.Header)
 	if state == executed && a.isStream() {
 		return a.receiveStream()
 	}
-	if a.exchange.stream != nil {
+	if a.stream != nil {
 		return a.failResumption(state)
 	}
 	return a.receiveBuffered(state)
 }
 
-// applyHeaderHints takes in what the head tells about the server.
+// applyHeaderHints evaluates what the head says about the server: that it is draining (Connection: close, unless
+// the response is close-delimited and could not do without), warming up, or when to retry.
 func (a *attempt) applyHeaderHints() {
 	if !a.response.IsCloseDelimited() {
 		a.handler.dispatcher.responseReceived(a.decision.ServerID, a.response.Close)
@@ -53,18 +56,19 @@
 	}
 	if values := a.response.Header["Retry-After"]; len(values) > 0 {
 		if seconds, err := strconv.ParseFloat(values[0], 64); err == nil && seconds > 0 && seconds < longestDeadline.Seconds() {
-			a.exchange.retryAfter = time.Duration(seconds * float64(time.Second))
+			a.retryAfter = time.Duration(seconds * float64(time.Second))
 		}
 	}
 }
 
+// isStream reports whether the response is a stream of server-sent events.
 func (a *attempt) isStream() bool {
 	return isSuccess(a.response.StatusCode) &&
 		a.route.Kind == route.KindStreaming &&
 		strings.HasPrefix(strings.ToLower(a.response.Header.Get("Content-Type")), "text/event-stream")
 }
 
-// failResumption takes in an answer with which a stream can't be taken up.
+// failResumption ends an attempt whose response can't continue the client's stream. It may have run all the same.
 func (a *attempt) failResumption(state executionState) attemptOutcome {
 	if state == executed {
 		state = possiblyExecuted
@@ -73,7 +77,8 @@
 	return a.failedOrCanceled()
 }
 
-// receiveBuffered reads an answer whole before it passes it on, so that one that breaks off can be replaced.
+// receiveBuffered reads a response completely before it is forwarded, so that one that breaks off can be replaced
+// by another server's. One that is too large for that is forwarded while it is read.
 func (a *attempt) receiveBuffered(state executionState) attemptOutcome {
 	a.handler.dispatcher.started(a.decision.Attempt)
 	a.firstByte = time.Now()
@@ -96,7 +101,8 @@
 	return a.forwardBuffered(buffer)
 }
 
-// readBuffered reads the body up to the bound on whole answers.
+// readBuffered reads the body up to maxBufferedResponse bytes. complete is false if there is more, or if there is
+// no memory for it; the buffer then has the beginning, nil for none. The caller frees the buffer.
 func (a *attempt) readBuffered() (buffer *chargedBuffer, complete bool, err error) {
 	if a.response.Body == http.NoBody {
 		return nil, true, nil
@@ -107,16 +113,17 @@
 	}
 	buffer, err = newChargedBuffer(a.handler.memory, size)
 	if err != nil {
-		return nil, false, nil // passed on in pieces
+		return nil, false, nil // no memory: it is forwarded while it is read
 	}
 	complete, err = buffer.fill(a.response.Body, maxBufferedResponse)
-	if err == errNoMemory {
+	if errors.Is(err, errNoMemory) {
 		return buffer, false, nil
 	}
 	return buffer, complete, err
 }
 
-// recordBrokenResponse takes in an answer whose body did not come whole. A promise holds all the same.
+// recordBrokenResponse ends an attempt whose response broke off. If its head said that the request was not run,
+// that still holds.
 func (a *attempt) recordBrokenResponse(state executionState, err error) attemptOutcome {
 	if state == executed {
 		state = possiblyExecuted
@@ -126,7 +133,9 @@
 	return a.failedOrCanceled()
 }
 
-// close ends the attempt at the server. The connection is kept only if the answer was read to its end.
+// close ends the attempt: it records the result, reports it to placement, and releases the connection if it may be
+// reused. It may be only if the response was read to its end, the client's cancellation has not aborted it, and the
+// server responded as it should.
 func (a *attempt) close(state executionState, outcome placement.Outcome, readToEnd bool) {
 	a.record(state)
 	a.placement.Excluded = append(a.placement.Excluded, a.decision.ServerID)
@@ -143,6 +152,7 @@
 	a.handler.pool.Discard(a.conn)
 }
 
+// failedOrCanceled is the outcome of an attempt without a forwarded response.
 func (a *attempt) failedOrCanceled() attemptOutcome {
 	if a.isCanceled() {
 		return outcomeCanceled
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -14,35 +14,36 @@
 	"fieldrelay/internal/route"
 )
 
-// snapshot is what the proxy holds at one moment. It is immutable and is replaced as a whole.
+// snapshot is the state that the proxy serves by: configuration and server list. It is immutable; an update
+// replaces it.
 type snapshot struct {
 	table      *route.Table
-	sequence   uint64
-	generation uint64
-	list       *pb.ListVersion              // nil: no list is held
-	servers    map[upstream.Server]struct{} // of the list
-	confirmed  bool                         // the agreed view confirmed the state after this process started
+	sequence   uint64                       // of the last change
+	generation uint64                       // the operator's number of the configuration; 0: none
+	list       *pb.ListVersion              // version of the server list; nil: none
+	servers    map[upstream.Server]struct{} // of the server list
+	confirmed  bool                         // a quorum confirmed the state after this process started
 }
 
-// configured tells whether a configuration of the operator is held.
+// configured reports whether there is a configuration of the operator.
 func (s *snapshot) configured() bool { return s.generation > 0 }
 
-// complete tells whether the proxy holds all that it needs to take requests.
+// complete reports whether everything is there that the proxy needs to be ready.
 func (s *snapshot) complete() bool { return s.configured() && s.confirmed && s.list != nil }
 
-// update tells what an apply brought.
+// update is the result of applying one message of the agent.
 type update struct {
 	tableChanged bool
 	listChanged  bool
-	rejected     []*route.ItemError // items of which nothing could be used
-	partial      []*route.ItemError // items of which some members could not be used
-	stale        int                // states and changes no newer than what is held, which were left
-	gap          bool               // changes came that do not follow on what is held, and were left
-	fullStates   int                // whole states that were taken
-	regressed    bool               // the new snapshot is older than the one before: this must never be
+	rejected     []*route.ItemError // items of which nothing could be applied
+	partial      []*route.ItemError // items of which some members could not be applied
+	stale        int                // states and changes that were not newer than the snapshot, and ignored
+	gap          bool               // changes did not follow on the snapshot, and were ignored
+	fullStates   int                // full states that were applied
+	regressed    bool               // the new snapshot is older than the one before, which must never happen
 }
 
-// setTable puts a new table into a snapshot.
+// setTable sets a new routing table in a snapshot.
 func (u *update) setTable(next *snapshot, built route.Built) {
 	next.table = built.Table
 	u.tableChanged = true
@@ -50,13 +51,14 @@
 	u.partial = append(u.partial, built.PartiallyApplied...)
 }
 
-// state holds the snapshot in force. Readers load it without waiting; writers come one at a time.
+// snapshotStore holds the snapshot in force. Readers load it without a lock; writers take mu. It is safe for
+// concurrent use.
 type snapshotStore struct {
-	mu      sync.Mutex // held by writers
+	mu      sync.Mutex // writers, and the fields below current
 	current atomic.Pointer[snapshot]
-	// gap is set while changes came that do not follow on what is held: the whole state is wanted.
+	// gap is set when changes came that don't follow on the snapshot, until the missing ones or a full state come.
 	gap bool
-	// announced is closed, and replaced, when a new snapshot has been taken in everywhere.
+	// changed is closed, and replaced, when a new snapshot is in force everywhere.
 	changed      chan struct{}
 	usedSequence usedSequence
 }
@@ -67,64 +69,70 @@
 	return s
 }
 
+// load returns the snapshot in force.
 func (s *snapshotStore) load() *snapshot { return s.current.Load() }
 
-// apply takes in what an agent sent. Sequences and list versions only rise: what is older is ignored.
+// apply applies a message of the agent and puts the resulting snapshot in force. Sequences and versions of the
+// server list only rise: what is not newer is ignored.
 func (s *snapshotStore) apply(request *pb.ApplyRequest) (*snapshot, update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.current.Load()
 	next := *before
-	var done update
-	s.applyRepair(&next, request.GetRepair(), &done)
+	var applied update
+	s.applyRepair(&next, request.GetRepair(), &applied)
 	for _, change := range request.GetChanges() {
-		s.applyChange(&next, change, &done)
+		s.applyChange(&next, change, &applied)
 	}
-	applyList(&next, request.GetList(), &done)
+	applyList(&next, request.GetList(), &applied)
 	if request.GetConfirmed() && !s.gap {
 		next.confirmed = true
 	}
-	done.regressed = isRegression(before, &next)
+	applied.regressed = isRegression(before, &next)
 	s.current.Store(&next)
-	return &next, done
+	return &next, applied
 }
 
-// applyRepair takes in a whole state. A repair of some ranges only can't be used, since no digests are kept.
-func (s *snapshotStore) applyRepair(next *snapshot, repair *pb.Repair, done *update) {
+// applyRepair applies a full state. A repair of some key ranges only is ignored: the proxy keeps no digests, and so
+// its agent has no reason to send one.
+func (s *snapshotStore) applyRepair(next *snapshot, repair *pb.Repair, applied *update) {
 	if repair == nil || len(repair.GetRanges()) != catalog.RangeCount {
 		return
 	}
 	if repair.GetSequence() <= next.sequence {
-		done.stale++
+		applied.stale++
 		return
 	}
 	var items []*pb.Item
-	for _, part := range repair.GetRanges() {
-		items = append(items, part.GetItems()...)
+	for _, keyRange := range repair.GetRanges() {
+		items = append(items, keyRange.GetItems()...)
 	}
-	done.setTable(next, route.Empty().Rebuild(items, nil, false))
+	applied.setTable(next, route.Empty().Rebuild(items, nil, false))
 	next.sequence = repair.GetSequence()
 	next.generation = repair.GetGeneration()
-	done.fullStates++
+	applied.fullStates++
 	s.gap = false
 }
 
-func (s *snapshotStore) applyChange(next *snapshot, change *pb.Change, done *update) {
+// applyChange applies the change that follows on the snapshot. A later one is a gap, after which the full state is
+// needed.
+func (s *snapshotStore) applyChange(next *snapshot, change *pb.Change, applied *update) {
 	switch {
 	case change.GetSequence() <= next.sequence:
-		done.stale++
+		applied.stale++
 		return
 	case change.GetSequence() > next.sequence+1:
 		s.gap = true
-		done.gap = true
+		applied.gap = true
 		return
 	}
-	done.setTable(next, next.table.Rebuild(change.GetUpserts(), change.GetRemovals(), change.GetReplacesAll()))
+	applied.setTable(next, next.table.Rebuild(change.GetUpserts(), change.GetRemovals(), change.GetReplacesAll()))
 	next.sequence = change.GetSequence()
 	next.generation = change.GetGeneration()
 	s.gap = false
 }
 
+// applyList sets a newer server list in a snapshot.
 func applyList(next *snapshot, list *pb.ServerList, applied *update) {
 	if list == nil || (next.list != nil && compareListVersions(list.GetVersion(), next.list) <= 0) {
 		return
@@ -141,14 +149,14 @@
 	applied.listChanged = true
 }
 
-// needsFullState tells whether the agent should send the whole state rather than changes.
+// needsFullState reports whether the agent should send the full state rather than changes.
 func (s *snapshotStore) needsFullState() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.gap || s.current.Load().sequence == 0
 }
 
-// compareListVersions orders server lists: by epoch, then holder, then revision.
+// compareListVersions orders the versions of server lists: by epoch, then holder, then revision.
 func compareListVersions(a, b *pb.ListVersion) int {
 	return cmp.Or(
 		cmp.Compare(a.GetEpoch(), b.GetEpoch()),
@@ -157,30 +165,30 @@
 	)
 }
 
-// usable tells whether requests can be passed on by a snapshot.
+// usable reports whether requests can be forwarded by this snapshot.
 func (s *snapshot) usable() bool { return s.configured() && s.list != nil }
 
-// deadlineOf is when a request that came at a moment has to be answered: by its route, if that is known, and by what
-// its client told.
+// deadlineOf returns the deadline of a request: by its route, if that is known, and by the client's own timeout.
 func (s *snapshot) deadlineOf(request *http.Request, target string, arrived time.Time) time.Time {
-	if found, ok := s.table.Lookup(request.Host, pathOf(target)); ok {
-		return arrived.Add(timeoutFor(request.Header, found))
+	if matched, ok := s.table.Lookup(request.Host, pathOf(target)); ok {
+		return arrived.Add(timeoutFor(request.Header, matched))
 	}
 	return arrived.Add(clientTimeout(request.Header))
 }
 
-// await returns the snapshot in force as soon as a condition holds for it, and at the given end in any case.
-func (s *snapshotStore) waitFor(ctx context.Context, end time.Time, holds func(*snapshot) bool) *snapshot {
+// waitFor returns the snapshot in force as soon as it meets a condition, and at the given end or the end of the
+// context in any case.
+func (s *snapshotStore) waitFor(ctx context.Context, end time.Time, condition func(*snapshot) bool) *snapshot {
 	timer := time.NewTimer(time.Until(end))
 	defer timer.Stop()
 	for {
-		news := s.nextSnapshot()
-		held := s.load()
-		if holds(held) {
-			return held
+		changed := s.nextSnapshot() // before load, so that no change is missed
+		current := s.load()
+		if condition(current) {
+			return current
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
 			return s.load()
 		case <-ctx.Done():
@@ -189,14 +197,15 @@
 	}
 }
 
-// news gives a channel that is closed when the next snapshot has been taken in everywhere.
+// nextSnapshot returns a channel that is closed when the next snapshot is in force everywhere.
 func (s *snapshotStore) nextSnapshot() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// announce wakes those who wait for news.
+// notifyWaiters wakes those who wait for the next snapshot. It is called once the dispatcher has the snapshot too,
+// so that a request that was waiting finds its servers.
 func (s *snapshotStore) notifyWaiters() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -10,37 +10,35 @@
 	"fieldrelay/internal/placement"
 )
 
-const (
-	// maxEventBytes is the largest event that is passed on.
-	maxEventBytes = 256 << 10
-)
+// maxEventBytes is the largest event that is forwarded.
+const maxEventBytes = 256 << 10
 
 var (
-	errEventTooLarge = errors.New("event is too large")
-	errNotResumed    = errors.New("the stream was not taken up after the last event")
+	errEventTooLarge = errors.New("event in the stream is too large")
+	errNotResumed    = errors.New("server did not resume the stream after the last event")
 )
 
-// clientStream is the answer to one client that is made of events, from one server or, where the stream may
-// be resumed, from several in turn.
+// clientStream is a client's response that is made of server-sent events, from one server or, where the route
+// allows it, from several in turn.
 type clientStream struct {
 	writer    http.ResponseWriter
 	flusher   http.Flusher
 	scanner   *eventScanner
-	resumable bool // the route allows it
-	eventSent bool // an event was passed on
-	resuming  bool // the next event must follow on the last one
+	resumable bool // the route allows it to be resumed
+	eventSent bool // an event was sent to the client
+	resuming  bool // the next event must come after the last one sent
 }
 
-// resumable tells whether another server can go on where the stream was cut: after the event that was passed on
-// last, which the id of an earlier one would bring again.
+// canResume reports whether another server can continue the stream after the event that was sent last. It can't if
+// that event had no id: continuing after the id of an earlier event would repeat it.
 func (s *clientStream) canResume() bool {
 	return s.resumable && (!s.eventSent || (s.scanner.lastID != "" && !s.scanner.eventWithoutID))
 }
 
-// lastID is the id of the last event that was passed on, empty if there was none.
+// lastID is the id of the last event that was sent; empty if there was none.
 func (s *clientStream) lastID() string { return s.scanner.lastID }
 
-// restart prepares for the events of another server. What was read of a torn event is dropped.
+// restart prepares for the events of another server. An incomplete event of the earlier one is dropped.
 func (s *clientStream) restart() {
 	last := s.scanner.lastID
 	s.scanner = newEventScanner()
@@ -48,14 +46,14 @@
 	s.resuming = s.eventSent
 }
 
-// receiveStream passes the events of one server on.
+// receiveStream forwards the events of one server.
 func (a *attempt) receiveStream() attemptOutcome {
-	if a.exchange.stream == nil {
+	if a.stream == nil {
 		a.beginStream()
 	} else {
-		a.exchange.stream.restart()
+		a.stream.restart()
 	}
-	err := a.forwardEvents(a.exchange.stream)
+	err := a.forwardEvents(a.stream)
 	var writeError *clientWriteError
 	switch {
 	case err == nil:
@@ -71,8 +69,8 @@
 	}
 }
 
-// beginStream passes the head on. It goes out at once, unless the first event is there already and can go
-// with it.
+// beginStream sends the headers of the stream. They are flushed at once unless the first event has been received
+// already and can go with them.
 func (a *attempt) beginStream() {
 	flusher, _ := a.client.(http.Flusher)
 	stream := &clientStream{
@@ -83,18 +81,18 @@
 	}
 	header := a.client.Header()
 	copyResponseHeader(header, a.response.Header)
-	if told := a.response.Header["Content-Length"]; len(told) > 0 && !stream.resumable {
-		header["Content-Length"] = told
+	if length := a.response.Header["Content-Length"]; len(length) > 0 && !stream.resumable {
+		header["Content-Length"] = length
 	}
 	a.sendHeaders()
 	if !a.conn.HasBuffered() {
 		flusher.Flush()
 	}
-	a.exchange.stream = stream
+	a.stream = stream
 }
 
-// forwardEvents passes events on as they come, each batch that came together by one write. It returns nil at
-// the proper end of the stream.
+// forwardEvents forwards events as they come. Events that came together are written together. It returns nil at the
+// proper end of the stream.
 func (a *attempt) forwardEvents(stream *clientStream) error {
 	pooled := bufferPool.Get().(*[]byte)
 	defer bufferPool.Put(pooled)
@@ -116,7 +114,7 @@
 			filled += n
 		}
 		switch {
-		case readError == io.EOF:
+		case errors.Is(readError, io.EOF):
 			return a.forwardTail(stream, buffer[:filled])
 		case readError != nil:
 			return readError
@@ -129,7 +127,8 @@
 	}
 }
 
-// take scans bytes that came and returns how many of them end with a whole event, 0 if none ended.
+// scan scans received bytes and returns how many of them end with a complete event, 0 if none ended. It returns
+// errNotResumed if a server that continues a stream begins with an event that the client has already.
 func (s *clientStream) scan(data []byte) (complete int, err error) {
 	for position := 0; position < len(data); {
 		before := s.scanner.lastID
@@ -148,6 +147,7 @@
 	return complete, nil
 }
 
+// forwardBatch sends the client bytes that end with a complete event, and flushes them.
 func (a *attempt) forwardBatch(stream *clientStream, batch []byte) error {
 	if a.firstByte.IsZero() {
 		a.firstByte = time.Now()
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// forwardTail passes on what follows the last event at the proper end of a stream. A stream that ends with its
-// connection has no proper end within an event: its server broke off.
+// forwardTail forwards what follows the last complete event at the end of a stream. If the stream is
+// close-delimited, an end within an event can't be told from a server that broke off, and counts as that.
 func (a *attempt) forwardTail(stream *clientStream, rest []byte) error {
 	if len(rest) == 0 {
 		return nil
