--- a/internal/proxy/configstream.go
+++ b/internal/proxy/configstream.go
@@ -103,27 +103,27 @@
 // logUpdate logs what an update changed, one line a change.
 func (f *configStream) logUpdate(before, current *snapshot, applied update) {
 	for _, item := range applied.rejected {
-		f.logger.Warn("item of the configuration left out", zap.Error(item))
+		f.logger.Warn("configuration item rejected", zap.Error(item))
 	}
 	for _, item := range applied.partial {
-		f.logger.Warn("item of the configuration served in part", zap.Error(item))
+		f.logger.Warn("configuration item partially applied", zap.Error(item))
 	}
 	if applied.regressed {
 		f.counters.regressions.Add(1)
-		f.logger.Error("the configuration fell back",
-			zap.Uint64("sequence-before", before.sequence),
-			zap.Uint64("generation-before", before.generation),
+		f.logger.Error("configuration regressed",
+			zap.Uint64("previous_sequence", before.sequence),
+			zap.Uint64("previous_generation", before.generation),
 			zap.Uint64("sequence", current.sequence),
 			zap.Uint64("generation", current.generation))
 	}
 	if applied.tableChanged {
-		f.logger.Info("configuration in force",
+		f.logger.Info("configuration applied",
 			zap.Uint64("sequence", current.sequence),
 			zap.Uint64("generation", current.generation),
 			zap.Int("routes", current.table.Routes()),
-			zap.Strings("evacuated", current.table.Evacuated()))
+			zap.Strings("evacuated_zones", current.table.Evacuated()))
 	}
 	if before.complete() != current.complete() {
-		f.logger.Info("ready to take requests", zap.Int("servers", len(current.servers)))
+		f.logger.Info("proxy ready", zap.Int("servers", len(current.servers)))
 	}
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -50,7 +50,7 @@
 	start := time.Now()
 	plan := planDrain(time.Duration(p.gracePeriod.Load()))
 	p.lifecycle.drain(plan.start(start))
-	p.logger.Info("told to end", zap.Duration("refuse-after", plan.reject), zap.Duration("abandon-after", plan.abort))
+	p.logger.Info("shutdown started", zap.Duration("reject_after", plan.reject), zap.Duration("abort_after", plan.abort))
 	time.Sleep(time.Until(start.Add(plan.reject)))
 	p.listener.close()
 	p.lifecycle.enter(phaseRejecting)
@@ -61,7 +61,7 @@
 	if p.pollUntil(start.Add(plan.abort), allClosed) {
 		return
 	}
-	p.logger.Warn("requests broken off at the end", zap.Int64("requests", p.counters.active.Load()))
+	p.logger.Warn("grace period over, aborting requests", zap.Int64("requests", p.counters.active.Load()))
 	p.lifecycle.enter(phaseAborting)
 	p.cancelRequests()
 	p.pollUntil(time.Now().Add(exitReserve/2), allClosed)
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -139,7 +139,7 @@
 			if f.isClosed() {
 				return
 			}
-			f.logger.Warn("accept a connection", zap.Error(err))
+			f.logger.Warn("accepting a connection failed, retrying", zap.Error(err))
 			time.Sleep(acceptBackoff)
 			continue
 		}
--- a/internal/proxy/liveness.go
+++ b/internal/proxy/liveness.go
@@ -23,7 +23,7 @@
 func (c *agentLiveness) recordContact(now time.Duration) {
 	before := time.Duration(c.lastContact.Swap(int64(now)))
 	if c.timedOut.CompareAndSwap(true, false) {
-		c.logger.Info("agent heard again", zap.Duration("after", now-before))
+		c.logger.Info("agent contact restored", zap.Duration("since_contact", now-before))
 	}
 }
 
@@ -35,6 +35,6 @@
 // checkTimeout logs once that the agent has timed out. It is called at the housekeeping interval.
 func (c *agentLiveness) checkTimeout(now time.Duration) {
 	if age := c.sinceContact(now); age > agentTimeout && c.timedOut.CompareAndSwap(false, true) {
-		c.logger.Warn("agent silent", zap.Duration("for", age))
+		c.logger.Warn("agent timed out", zap.Duration("since_contact", age))
 	}
 }
--- a/internal/proxy/liveness_test.go
+++ b/internal/proxy/liveness_test.go
@@ -21,14 +21,14 @@
 	for second := range 4 {
 		c.checkTimeout(4*time.Second + time.Duration(second)*time.Second)
 	}
-	require.Len(t, logs.FilterMessage("agent silent").All(), 1)
+	require.Len(t, logs.FilterMessage("agent timed out").All(), 1)
 	require.Equal(t, 6*time.Second, c.sinceContact(7*time.Second))
 
 	c.recordContact(8 * time.Second)
 	c.recordContact(9 * time.Second)
-	lines := logs.FilterMessage("agent heard again").All()
+	lines := logs.FilterMessage("agent contact restored").All()
 	require.Len(t, lines, 1)
-	require.Equal(t, 7*time.Second, lines[0].ContextMap()["after"])
+	require.Equal(t, 7*time.Second, lines[0].ContextMap()["since_contact"])
 	require.Zero(t, c.sinceContact(9*time.Second))
 	require.Zero(t, c.sinceContact(8*time.Second), "an exchange came meanwhile")
 }
@@ -58,7 +58,7 @@
 	for _, field := range r.process.counterFields() {
 		line[field.Key] = true
 	}
-	for _, name := range []string{"repairs", "items-left-out", "items-in-part", "applies", "apply-last", "apply-max", "violations", "agent-silence"} {
+	for _, name := range []string{"full_states", "items_rejected", "items_partially_applied", "applies", "apply_last", "apply_max", "violations", "since_agent_contact"} {
 		require.True(t, line[name], name)
 	}
 }
@@ -77,10 +77,10 @@
 	f.counters.countUpdate(done)
 	f.logUpdate(before, held, done)
 
-	left := logs.FilterMessage("item of the configuration left out").All()
+	left := logs.FilterMessage("configuration item rejected").All()
 	require.Len(t, left, 1)
 	require.Contains(t, left[0].ContextMap()["error"], change.Upserts[0].GetName())
-	inPart := logs.FilterMessage("item of the configuration served in part").All()
+	inPart := logs.FilterMessage("configuration item partially applied").All()
 	require.Len(t, inPart, 1)
 	require.Contains(t, inPart[0].ContextMap()["error"], `"odd"`)
 	require.Contains(t, inPart[0].ContextMap()["error"], "tries")
--- a/internal/proxy/placementfields_test.go
+++ b/internal/proxy/placementfields_test.go
@@ -14,8 +14,8 @@
 	for _, field := range placementFields(placement.Stats{Seeded: 3, Drawn: 7, Late: 2, Announced: 5}) {
 		field.AddTo(encoder)
 	}
-	require.Equal(t, uint64(3), encoder.Fields["picks-seeded"])
-	require.Equal(t, uint64(7), encoder.Fields["picks-drawn"])
-	require.Equal(t, uint64(2), encoder.Fields["late"])
-	require.Equal(t, uint64(5), encoder.Fields["announcements-heard"])
+	require.Equal(t, uint64(3), encoder.Fields["picks_seeded"])
+	require.Equal(t, uint64(7), encoder.Fields["picks_drawn"])
+	require.Equal(t, uint64(2), encoder.Fields["beyond_target"])
+	require.Equal(t, uint64(5), encoder.Fields["announcements_received"])
 }
--- a/internal/proxy/process.go
+++ b/internal/proxy/process.go
@@ -123,7 +123,7 @@
 	region := configured.RegionOf(configured.Zone)
 	opened, err := newAnnouncer(configured.Port(announcePort), region, configured.Zone, p.dispatcher)
 	if err != nil {
-		p.logger.Warn("no announcements", zap.Error(err))
+		p.logger.Warn("opening the announcement socket failed, announcements disabled", zap.Error(err))
 		return
 	}
 	p.announcer = opened
@@ -229,7 +229,7 @@
 func (p *process) counterFields() []zap.Field {
 	fields := p.counters.fields(p.pool.Stats(), p.dispatcher.slack(), p.memory.used.Load())
 	fields = append(fields, placementFields(p.dispatcher.stats())...)
-	return append(fields, zap.Duration("agent-silence", p.liveness.sinceContact(p.now())))
+	return append(fields, zap.Duration("since_agent_contact", p.liveness.sinceContact(p.now())))
 }
 
 // now is the steady clock of the process: the time since its start.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -54,10 +54,10 @@
 		p.stop()
 		return err
 	}
-	logger.Info("proxy started", zap.String("edge", configured.Binds.Edge), zap.Stringer("off", p.disabled))
+	logger.Info("proxy started", zap.String("address", configured.Binds.Edge), zap.Stringer("disabled", p.disabled))
 	p.serve(terminate.Done(), reload)
 	p.drain()
 	p.stop()
-	logger.Info("proxy ended", p.counterFields()...)
+	logger.Info("proxy stopped", p.counterFields()...)
 	return nil
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -54,9 +54,9 @@
 	r.hasChanged()
 	loaded, err := settings.Load(r.path)
 	if err != nil {
-		r.logger.Warn("settings ignored", zap.Error(err))
+		r.logger.Warn("settings reload failed, previous settings stay in force", zap.Error(err))
 		return
 	}
 	r.apply(loaded)
-	r.logger.Info("settings read again")
+	r.logger.Info("settings reloaded")
 }
