--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -14,7 +14,8 @@
 	"fieldrelay/internal/route"
 )
 
-// TestAProxyWithoutAConfigurationDeniesNothing: what it knows too little of to serve it answers 503, never 4xx.
+// TestAProxyWithoutAConfigurationDeniesNothing: what the proxy can't judge without a configuration is answered with
+// 503, never with 4xx.
 func TestAProxyWithoutAConfigurationDeniesNothing(t *testing.T) {
 	states := map[string]*pb.ApplyRequest{
 		"nothing":                  {},
@@ -49,8 +50,8 @@
 	}
 }
 
-// TestALateRequestOfADrainIsTakenOnlyIfItEndsInTime: one that is broken off at the end counts as lost if it was sent
-// later than 3 s after SIGTERM.
+// TestALateRequestOfADrainIsTakenOnlyIfItEndsInTime: a request that is aborted at the end counts as lost if it was
+// sent later than 3 s after SIGTERM.
 func TestALateRequestOfADrainIsTakenOnlyIfItEndsInTime(t *testing.T) {
 	const route = 4 * time.Second // the deadline of /m/
 	now := time.Now()
@@ -87,8 +88,8 @@
 	}
 }
 
-// TestRequestsThatMayBeBrokenOffAreSentEarly: whatever the grace period, what is taken without regard to its deadline
-// was sent within the 3 s in which the rules forgive that it is broken off.
+// TestRequestsThatMayBeBrokenOffAreSentEarly: whatever the grace period, requests that are accepted without regard
+// to their deadline were sent within the 3 s in which the rules allow to abort them.
 func TestRequestsThatMayBeBrokenOffAreSentEarly(t *testing.T) {
 	const forgiven = 3 * time.Second
 	for grace := 100 * time.Millisecond; grace < 2*time.Minute; grace += 100 * time.Millisecond {
@@ -100,7 +101,7 @@
 	}
 }
 
-// TestConnectionsThatRestAreKept: clients take connections up that have rested for four fifths of keepalive-ms.
+// TestConnectionsThatRestAreKept: clients reuse connections that have been idle for four fifths of keepalive-ms.
 func TestConnectionsThatRestAreKept(t *testing.T) {
 	for _, keepAlive := range []time.Duration{0, 100 * time.Millisecond, 15 * time.Second, time.Hour} {
 		limits := connLimitsOf(route.RequestLimits{KeepAlive: keepAlive})
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestConnectionsWithNarrowerLimitsEnd: a connection that was accepted before the limits were widened is left by its
-// client, which may go by the new ones; one with wider limits stays.
+// TestConnectionsWithNarrowerLimitsEnd: a connection that was accepted before the limits were widened is closed
+// after a response, since the client may go by the new ones; one with wider limits stays.
 func TestConnectionsWithNarrowerLimitsEnd(t *testing.T) {
 	server := newFakeServer(t, "i-1", ok("ok"))
 	r := startProcess(t, 1)
@@ -124,7 +125,7 @@
 			Kind: catalog.KindSetting, Name: "req-limits", Sequence: sequence, Body: []byte(setting),
 		}}}}})
 	}
-	asks := func(c *client) *http.Response {
+	asks := func(c *client) clientResponse {
 		c.send("GET", "/m/x", "", "")
 		response, body := c.receive("GET")
 		require.Equal(t, "ok", body)
@@ -143,7 +144,7 @@
 	require.False(t, asks(fresh).Close)
 }
 
-// TestWhatDescribesARequestReachesItsServer: no option of a connection takes the protocol's own headers away.
+// TestWhatDescribesARequestReachesItsServer: no Connection header removes the protocol's own headers.
 func TestWhatDescribesARequestReachesItsServer(t *testing.T) {
 	server := newFakeServer(t, "i-1", text(200, seal+"Connection: "+headerServerSeal+"\r\nVersions: 4\r\n", "ok"))
 	r := newTestProxy(t, server)
@@ -169,7 +170,7 @@
 	}
 }
 
-// TestOwnAnswersBearNoSeal: where a server's answer can't be passed on, the proxy's own carries nothing of it.
+// TestOwnAnswersBearNoSeal: where a server's response can't be forwarded, the proxy's own contains nothing of it.
 func TestOwnAnswersBearNoSeal(t *testing.T) {
 	sealed := map[string]reply{
 		"a promise":    text(503, notExecutedHeader+seal+"X-Server: 1\r\n", "full"),
--- a/internal/proxy/announcements_test.go
+++ b/internal/proxy/announcements_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/placement"
 )
 
-// ears is a listener that keeps what it hears.
+// recordingHandler records the announcements that it receives.
 type recordingHandler struct {
 	announcements chan placement.Announcement
 	failures      chan [2]string // server and zone
@@ -25,7 +25,8 @@
 func (e recordingHandler) announcementReceived(told placement.Announcement) { e.announcements <- told }
 func (e recordingHandler) failureReported(server, zone string)              { e.failures <- [2]string{server, zone} }
 
-// announcerAt opens an announcer on an address of the loopback range, whose port all share, and gives what it hears.
+// announcerAt starts an announcer at an address of the loopback range, whose port all share, and returns it with
+// its handler.
 func announcerAt(t *testing.T, address netip.AddrPort) (*announcer, recordingHandler) {
 	t.Helper()
 	heard := newRecordingHandler()
@@ -37,7 +38,7 @@
 	return opened, heard
 }
 
-// freePort gives a port that is free on the whole loopback range.
+// freePort returns a port that is free on the whole loopback range.
 func freePort(t *testing.T) uint16 {
 	t.Helper()
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{})
--- a/internal/proxy/attemptlog_explore_test.go
+++ b/internal/proxy/attemptlog_explore_test.go
@@ -13,7 +13,7 @@
 	"fieldrelay/internal/explore"
 )
 
-// attemptLogSteps are the steps of a ledger, so that a test can plant a fault in one.
+// attemptLogSteps are the steps of an attempt log, so that a test can plant a fault in one.
 type attemptLogSteps struct {
 	record    func(*attemptLog, executionState)
 	mayRepeat func(*attemptLog, time.Duration) bool
@@ -24,7 +24,7 @@
 	return attemptLogSteps{record: (*attemptLog).record, mayRepeat: (*attemptLog).mayRetry, ending: (*attemptLog).finalStatus}
 }
 
-// request is a request as servers see it, beside the ledger that is kept of it.
+// exploredRequest is a request as servers see it, beside its attempt log.
 type exploredRequest struct {
 	steps    attemptLogSteps
 	ledger   attemptLog
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// exploreAttemptLog goes through all orders of a request's events.
+// exploreAttemptLog explores all orders of a request's events.
 func exploreAttemptLog(steps attemptLogSteps, idempotent bool, maxAttempts int) (explore.Result, error) {
 	return explore.All(func() explore.System {
 		return &exploredRequest{steps: steps, ledger: attemptLog{idempotent: idempotent, maxAttempts: maxAttempts}, left: time.Second}
--- a/internal/proxy/bench_long_test.go
+++ b/internal/proxy/bench_long_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// BenchmarkForwardLongBody is BenchmarkForward with bodies that go out apart from the head.
+// BenchmarkForwardLongBody is BenchmarkForward with bodies that are sent apart from the head.
 func BenchmarkForwardLongBody(b *testing.B) {
 	for _, size := range []int{32 << 10, 256 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -22,7 +22,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer conn.Close()
+			defer func() { _ = conn.Close() }()
 			request := []byte("POST /m/x HTTP/1.1\r\nHost: h.example\r\n" + headerAttemptID + ": id1\r\nContent-Length: " +
 				fmt.Sprint(size) + "\r\n\r\n" + strings.Repeat("b", size))
 			reader := bufio.NewReader(conn)
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// BenchmarkForward sends requests one after another over one connection, with a client and a server that do
-// next to nothing, so that most of the time is the proxy's.
+// BenchmarkForward sends requests one after another over one connection, with a client and a server that do next to
+// nothing, so that most of the time is the proxy's.
 func BenchmarkForward(b *testing.B) {
 	t := &testing.T{}
 	answer := []byte("HTTP/1.1 200 OK\r\n" + headerAttemptID + ": id1\r\n" + seal + "Content-Length: 2\r\n\r\nok")
@@ -18,7 +18,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -46,7 +46,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	request := []byte("POST /m/x HTTP/1.1\r\nHost: h.example\r\n" + headerAttemptID + ": id1\r\n" + headerDeadline +
 		": 5000\r\nContent-Type: text/plain\r\nX-Fieldrelay-Model: m\r\nContent-Length: " + strconv.Itoa(200) + "\r\n\r\n" + string(bytes.Repeat([]byte("b"), 200)))
 	reader := bufio.NewReader(conn)
--- a/internal/proxy/capacity_bench_test.go
+++ b/internal/proxy/capacity_bench_test.go
@@ -16,8 +16,8 @@
 // capacityEvents is the number of events of a stream of the benchmark.
 const capacityEvents = 1000
 
-// BenchmarkCapacityEvents passes the events of streams on, as they come from a server that writes each by
-// itself. One operation is one event.
+// BenchmarkCapacityEvents forwards the events of streams from a server that writes each by itself. One operation is
+// one event.
 func BenchmarkCapacityEvents(b *testing.B) {
 	t := &testing.T{}
 	server := streamingFakeServer(b)
@@ -52,7 +52,7 @@
 	}
 }
 
-// streamingFakeServer answers each request by a stream whose events are written one by one.
+// streamingFakeServer responds to each request with a stream whose events are written one by one.
 func streamingFakeServer(b *testing.B) *fakeServer {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -114,7 +114,7 @@
 	return &pb.Item{Kind: catalog.KindRoutes, Name: fmt.Sprintf("r-%04d", number), Sequence: sequence, Body: []byte(body)}
 }
 
-// BenchmarkCapacitySwapOfOneChange takes in a change of one of 1,500 routes.
+// BenchmarkCapacitySwapOfOneChange applies a change of one of 1,500 routes.
 func BenchmarkCapacitySwapOfOneChange(b *testing.B) {
 	held := newSnapshotStore()
 	first := &pb.Change{Sequence: 1, Generation: 1}
@@ -130,7 +130,7 @@
 	}
 }
 
-// BenchmarkCapacitySwapOfList takes in a list of 3,100 servers.
+// BenchmarkCapacitySwapOfList applies a list of 3,100 servers.
 func BenchmarkCapacitySwapOfList(b *testing.B) {
 	held := newSnapshotStore()
 	list := &pb.ServerList{}
--- a/internal/proxy/chaos_test.go
+++ b/internal/proxy/chaos_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runs keeps account of which requests ran at the stand-in servers, as these saw it.
+// executionCounter counts the executions of requests as the fake servers saw them.
 type executionCounter struct {
 	mu    sync.Mutex
 	count map[string]int
@@ -31,8 +31,8 @@
 	return r.count[id]
 }
 
-// unreliable answers each request in a way that is drawn: well, by a promise, or brokenly. Whether a broken
-// answer's request ran is drawn as well.
+// unreliable responds to each request in a way that is drawn: well, with a rejection, or with a fault. Whether a
+// request with a faulty response was run is drawn as well.
 func (r *executionCounter) unreliable(seed uint64) reply {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, seed))
@@ -72,8 +72,8 @@
 	}
 }
 
-// Whatever servers do: a success is the server's own answer to this very request, a request that may not
-// repeat runs at most once, and a refusal means that it has not run.
+// Whatever servers do: a success is the server's own response to this very request, a request that is not idempotent
+// is run at most once, and a rejection means that it was not run.
 func TestRulesHoldWithUnreliableServers(t *testing.T) {
 	ran := &executionCounter{count: make(map[string]int)}
 	var servers []*fakeServer
--- a/internal/proxy/client_trials_test.go
+++ b/internal/proxy/client_trials_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client that leaves within its request, at whatever byte, has not asked for anything.
+// A client that disconnects within its request, at whatever byte, has not made a request.
 func TestClientThatLeavesWithinItsRequestReachesNoServer(t *testing.T) {
 	w := newTrialWorker(t, unwrapped)
 	const id = "left-early"
@@ -38,12 +38,12 @@
 	}
 }
 
-// Requests that come on one connection without a wait are answered in order, each with its own answer.
+// Pipelined requests get their own responses in order.
 func TestRequestsThatComeTogetherGetTheirOwnAnswersInOrder(t *testing.T) {
 	w := newTrialWorker(t, unwrapped)
 	conn, err := net.Dial("tcp4", w.proxy.address)
 	require.NoError(t, err)
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	all, ids := "", []string{}
 	for number := range 20 {
 		id, target := fmt.Sprintf("s-%06d", number), requestKinds[number%len(requestKinds)].target
--- a/internal/proxy/configstream_test.go
+++ b/internal/proxy/configstream_test.go
@@ -8,7 +8,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// TestWhatWasMeantForAnEarlierProcessIsLeft: its confirmation was asked for before this process began.
+// TestWhatWasMeantForAnEarlierProcessIsLeft: its confirmation was requested before this process started.
 func TestWhatWasMeantForAnEarlierProcessIsLeft(t *testing.T) {
 	r := startProcess(t, 1)
 	request := &pb.ApplyRequest{Changes: []*pb.Change{testChange()}, Confirmed: true, ProxyIncarnation: 2}
@@ -22,7 +22,7 @@
 	require.True(t, r.process.snapshots.load().confirmed)
 }
 
-// Shares told by a call that was given up come after later ones, and name fewer that share the bounds.
+// Quota shares of a call that the agent has given up come after later ones, and name fewer members.
 func TestLateSharesAreLeft(t *testing.T) {
 	r := startProcess(t, 1)
 	tell := func(agent, revision uint64) *pb.SharesVersion {
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -20,7 +20,7 @@
 	"fieldrelay/internal/placement"
 )
 
-// addRoutes puts more routes in force beside those of the rig.
+// addRoutes adds routes to those of the test proxy.
 func addRoutes(r *testProxy, routes ...string) {
 	r.t.Helper()
 	change := &pb.Change{Sequence: r.handler.snapshots.load().sequence + 1, Generation: 8}
@@ -39,7 +39,7 @@
 	shortRepeat = `{"name":"added-1","vhost":"h.example","path-prefix":"/ti/","route-kind":"idempotent","deadline-ms":60,"target-ms":50,"backend":"s1","tries":3}`
 )
 
-// saturatedPlacer finds no server with a place until it is told otherwise.
+// saturatedPlacer finds no server with capacity until it is released.
 type saturatedPlacer struct {
 	*fakePlacer
 	free   atomic.Bool
@@ -54,15 +54,15 @@
 	return f.fakePlacer.Pick(now, request)
 }
 
-// fill lets the rig's servers have no place.
+// saturate leaves the test proxy's servers without capacity.
 func (r *testProxy) saturate() *saturatedPlacer {
 	full := &saturatedPlacer{fakePlacer: r.placer}
 	r.handler.dispatcher.placer = full
 	return full
 }
 
-// TestEveryRequestEndsAtItsRoutesDeadline: whatever a request waits for, its client, which would wait for longer, has
-// the final answer, or sees it end, within half a second after the deadline of the route.
+// TestEveryRequestEndsAtItsRoutesDeadline: whatever a request waits for, its client, which would wait for longer,
+// has the final response, or sees the connection end, within half a second after the deadline of the route.
 func TestEveryRequestEndsAtItsRoutesDeadline(t *testing.T) {
 	const deadline, allowed = 60 * time.Millisecond, 500 * time.Millisecond
 	longer := headerDeadline + ": 30000\r\n"
@@ -177,7 +177,7 @@
 	}
 }
 
-// TestARefusalGoesOutHoweverLateItComes: a proxy that was held up answers all the same.
+// TestARefusalGoesOutHoweverLateItComes: a proxy that was delayed responds all the same.
 func TestARefusalGoesOutHoweverLateItComes(t *testing.T) {
 	r := newTestProxy(t)
 	late := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
@@ -192,12 +192,12 @@
 	require.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
 }
 
-// returned asks as a client does that was refused before: it has a little less time.
+// retriedRequest sends a request as a client's retry: with a little less time.
 func retriedRequest(target string) func(*client) {
 	return func(c *client) { c.send("GET", target, headerDeadline+": 59\r\n", "") }
 }
 
-// incompleteBody begins a request whose body never comes whole.
+// incompleteBody begins a request whose body is never complete.
 func incompleteBody(target string) func(*client) {
 	return func(c *client) {
 		c.send("POST", target, "Content-Length: 9\r\n", "")
@@ -205,8 +205,8 @@
 	}
 }
 
-// TestTheTimeHandedOnOnlyShrinks: no server is told a longer deadline than the client told or the route has, and a
-// repeat none that ends later than that of the first try.
+// TestTheTimeHandedOnOnlyShrinks: no server gets a longer deadline than the client's or the route's, and a retry
+// none that ends later than that of the first attempt.
 func TestTheTimeHandedOnOnlyShrinks(t *testing.T) {
 	const rounding = 20 * time.Millisecond
 	cases := map[string]struct {
@@ -257,7 +257,8 @@
 	}
 }
 
-// TestTheDeadlineIsThatOfTheFirstTry: all tries of a request share one instant, from which what is left is told.
+// TestTheDeadlineIsThatOfTheFirstTry: all attempts of a request have one deadline, and each server gets what
+// remains of it.
 func TestTheDeadlineIsThatOfTheFirstTry(t *testing.T) {
 	x := &exchange{deadline: time.Now().Add(time.Minute)}
 	before := x.remaining()
@@ -265,8 +266,8 @@
 	require.LessOrEqual(t, x.remaining(), before)
 }
 
-// TestNoTryRunsOnMoreServersThanItsRouteAllows: whatever servers answer, a request of a client reaches no more of them
-// than its route's tries, and none twice.
+// TestNoTryRunsOnMoreServersThanItsRouteAllows: whatever servers respond, a client's request reaches no more of
+// them than its route allows attempts, and none twice.
 func TestNoTryRunsOnMoreServersThanItsRouteAllows(t *testing.T) {
 	tries := map[string]int{"/m/x": 3, "/i/x": 2, "/o/x": 1, "/s/x": 3, "/r/x": 3}
 	answers := []reply{reset, text(503, notExecutedHeader, ""), text(421, "", ""), text(500, seal, "why"), text(429, "", "")}
@@ -293,7 +294,7 @@
 			c := r.dial()
 			c.send("GET", target, "", "")
 			// An answer that breaks off may end before its head.
-			if response, err := http.ReadResponse(c.reader, nil); err == nil {
+			if response, err := readResponse(c.reader, http.MethodGet); err == nil {
 				_, _ = io.Copy(io.Discard, response.Body)
 			}
 			eventually(t, func() bool { return r.handler.counters.active.Load() == 0 }, "the request ends")
@@ -317,8 +318,8 @@
 	return counts
 }
 
-// TestNothingReachesAServerOnceTheClientLeft: at whatever step the client leaves, no server gets its request from then
-// on, and one that works on it sees its connection end.
+// TestNothingReachesAServerOnceTheClientLeft: at whatever step the client disconnects, no server gets its request
+// from then on, and one that works on it sees its connection end.
 func TestNothingReachesAServerOnceTheClientLeft(t *testing.T) {
 	t.Run("waiting for a place", func(t *testing.T) {
 		server := newFakeServer(t, "i-1", ok("ok"))
--- a/internal/proxy/distance_test.go
+++ b/internal/proxy/distance_test.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// defaultFarRuns is the number of runs in which a proxy is fed at random; PROXY_FAR sets another one.
+	// defaultFarRuns is the number of runs in which a proxy gets random updates; PROXY_FAR replaces it.
 	defaultFarRuns = 20
 	// farChanges is the number of changes of a run.
 	farChanges = 600
 	farRoutes  = 12
-	// farExchanges is the number of exchanges of a run.
+	// farExchanges is the number of calls of the agent in a run.
 	farExchanges = 60
 )
 
-// testConfigStream is a proxy's state with the history that it is fed from.
+// testConfigStream is a proxy's snapshot store with the history of changes that it gets.
 type testConfigStream struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -48,7 +48,7 @@
 	return f
 }
 
-// makeChange gives some routes other paths, at times all of them, or takes some away, or evacuates.
+// makeChange gives some routes other paths, at times all of them, or removes some, or evacuates.
 func (f *testConfigStream) makeChange(sequence uint64) *pb.Change {
 	made := &pb.Change{Sequence: sequence, Generation: sequence}
 	if sequence == 1 || f.random.IntN(50) == 0 {
@@ -76,8 +76,8 @@
 	return made
 }
 
-// feed hands the state what an agent could hand it that is new, old, of an earlier life, or lost its beginning. It
-// returns what is wrong afterwards, or nothing.
+// feed applies what an agent could send that is new, old, of an earlier incarnation, or has lost its beginning. It
+// returns what is wrong afterwards, or an empty string.
 func (f *testConfigStream) feed() string {
 	before := f.state.load()
 	request := f.request()
@@ -116,7 +116,7 @@
 	return request
 }
 
-// difference tells how the table differs from that of the state that the sequence number stands for.
+// difference says how the table differs from that of the state that the sequence stands for.
 func (f *testConfigStream) difference(held *snapshot) string {
 	var items []*pb.Item
 	for _, part := range f.truth[held.sequence].RepairFor(nil).GetRanges() {
@@ -154,8 +154,8 @@
 	return value
 }
 
-// A proxy that missed hundreds of changes, and is fed in any order, never falls back and holds what its sequence
-// number stands for. It has caught up with the first exchange that brings changes that follow, or the whole.
+// A proxy that missed hundreds of changes, and gets them in any order, never regresses and has what its sequence stands
+// for. It has caught up with the first call that brings changes that follow, or the full state.
 func TestProxyFedInAnyOrderNeverFallsBack(t *testing.T) {
 	for seed := range uint64(runsOf("PROXY_FAR", defaultFarRuns)) {
 		f := newTestConfigStream(t, seed)
--- a/internal/proxy/execution_test.go
+++ b/internal/proxy/execution_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// A request that may not repeat is never sent again once it may have run, never gets a promise then, and
-// never goes to more servers than allowed.
+// A request that is not idempotent is never sent again once it may have run, is never rejected as not run then, and is
+// never sent to more servers than allowed.
 func TestLedgerNeverBreaksAPromise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := attemptLog{idempotent: rapid.Bool().Draw(t, "repeatable"), maxAttempts: rapid.IntRange(1, 4).Draw(t, "tries")}
--- a/internal/proxy/faultyserver_test.go
+++ b/internal/proxy/faultyserver_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -15,7 +16,7 @@
 	"fieldrelay/internal/proxy/upstream"
 )
 
-// faultyServer is a server of trials. It misbehaves once, as its current trial asks, and serves well otherwise.
+// faultyServer is a server of trials. It injects one fault, as its current trial says, and serves well otherwise.
 type faultyServer struct {
 	server  upstream.Server
 	record  *trialRecord
@@ -51,7 +52,7 @@
 // smallWindow is how much of a request the system takes in, at most, for a server that does not read.
 const smallWindow = 256 << 10
 
-// visit is one connection to a faultyServer.
+// serverConn is one connection to a faultyServer.
 type serverConn struct {
 	*faultyServer
 	conn    *net.TCPConn
@@ -59,7 +60,7 @@
 }
 
 func (s *faultyServer) serve(conn *net.TCPConn) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	_ = conn.SetReadBuffer(smallWindow)
 	v := &serverConn{faultyServer: s, conn: conn}
 	if tr := s.current.Load(); tr != nil && !tr.reused && tr.stage == inRequest && tr.offset == 0 && s.current.CompareAndSwap(tr, nil) {
@@ -72,7 +73,7 @@
 	}
 }
 
-// request reads one request and answers it; it returns false when the connection is over.
+// request reads one request and responds to it; it returns false when the connection has ended.
 func (v *serverConn) request() bool {
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(v.conn, first); err != nil {
@@ -89,7 +90,7 @@
 		}
 		return v.injectFault(tr, read)
 	}
-	got, ok := v.readWhole(first)
+	got, ok := v.readRequest(first)
 	if !ok {
 		return false
 	}
@@ -108,13 +109,13 @@
 	return err == nil && surplus == ""
 }
 
-// readBuffered reads a request of which some bytes were read, checks it and notes its length.
-func (v *serverConn) readWhole(begun []byte) (*http.Request, bool) {
+// readRequest reads a request of which some bytes were read, checks it and records its length.
+func (v *serverConn) readRequest(begun []byte) (*http.Request, bool) {
 	seen := bytes.NewBuffer(bytes.Clone(begun))
 	source := io.MultiReader(bytes.NewReader(begun), io.TeeReader(v.conn, seen))
 	got, err := http.ReadRequest(bufio.NewReader(source))
 	if err != nil {
-		if err != io.EOF && err != io.ErrUnexpectedEOF {
+		if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			v.record.checkBytes(seen.String())
 		}
 		return nil, false
@@ -129,7 +130,7 @@
 	return got, true
 }
 
-// misbehave acts once so many bytes of a request were read.
+// injectFault injects the fault once the given number of bytes of a request was read.
 func (v *serverConn) injectFault(tr *trial, read []byte) bool {
 	v.record.requestArrived(tr.id, v.server.ID)
 	switch tr.fault {
@@ -148,7 +149,7 @@
 	return false
 }
 
-// stayUntilClosed keeps the connection without a word until the other side ends it.
+// stayUntilClosed keeps the connection open without a byte until the other side closes it.
 func (v *serverConn) stayUntilClosed(tr *trial) {
 	if tr.fault == clientLeaves {
 		v.arrived <- struct{}{}
@@ -171,11 +172,11 @@
 	if tr.fault == answersLater {
 		<-later
 	}
-	_, ok := v.readWhole(read)
+	_, ok := v.readRequest(read)
 	return ok
 }
 
-// injectFaultInResponse acts once so many bytes of the answer to a request were written.
+// injectFaultInResponse injects the fault once the given number of bytes of the response was written.
 func (v *serverConn) injectFaultInResponse(tr *trial, got *http.Request) bool {
 	after, _ := strconv.Atoi(got.Header.Get(headerLastEventID))
 	head, body := answerOf(v.server.ID, tr.id, tr.kind.stream, after, tr.framing, tr.reaction)
--- a/internal/proxy/forward_test.go
+++ b/internal/proxy/forward_test.go
@@ -113,7 +113,7 @@
 func TestOwnRefusals(t *testing.T) {
 	server := newFakeServer(t, "i-1", ok("ok"))
 	r := newTestProxy(t, server)
-	ask := func(request string) (*http.Response, string) {
+	ask := func(request string) (clientResponse, string) {
 		c := r.dial()
 		c.write(request)
 		return c.receive("GET")
@@ -250,7 +250,7 @@
 					failures <- err
 					return
 				}
-				response, err := http.ReadResponse(c.reader, nil)
+				response, err := readResponse(c.reader, http.MethodPost)
 				if err != nil {
 					failures <- err
 					return
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -51,7 +51,7 @@
 	require.EqualValues(t, 5, h.snapshots.usedSequence.floor())
 }
 
-// Requests that run beside changes use what is no older than what those before them used.
+// Requests beside changes use no older snapshot than those before them.
 func TestRequestsBesideChangesUseNoOlderSnapshot(t *testing.T) {
 	const changes, requests = 300, 3000
 	h := &handler{snapshots: newSnapshotStore(), counters: &counters{}}
--- a/internal/proxy/largechange_bench_test.go
+++ b/internal/proxy/largechange_bench_test.go
@@ -8,8 +8,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// BenchmarkLargeChangeFromTheWire takes in 1,400 routes beside 1,500, from the bytes that the agent sends: what one
-// exchange costs the proxy, but for the sockets.
+// BenchmarkLargeChangeFromTheWire applies 1,400 routes beside 1,500, from the bytes that the agent sends: what one
+// call costs the proxy, except for the sockets.
 func BenchmarkLargeChangeFromTheWire(b *testing.B) {
 	first := &pb.Change{Sequence: 1, Generation: 1}
 	for number := range 1500 {
--- a/internal/proxy/liveness_test.go
+++ b/internal/proxy/liveness_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// TestItemsThatAreOddAreTold: each one is told by its name and its fault, whether it is served in part or left out.
+// TestItemsThatAreOddAreTold: each item is logged with its name and its fault, whether it is partially applied or
+// rejected.
 func TestItemsThatAreOddAreTold(t *testing.T) {
 	change := testChange()
 	change.Upserts[0].Body = []byte(`no object`)
--- a/internal/proxy/planted_test.go
+++ b/internal/proxy/planted_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// planted is a fault that stands between the clients and a proxy without one.
+// plantedFault is a fault between the clients and a proxy that has none.
 type plantedFault struct {
 	name    string
 	wrap    func(*handler) http.Handler
@@ -53,7 +53,7 @@
 	}
 }
 
-// again is a request with another target or body.
+// cloneRequest returns the request with another target or body.
 func cloneRequest(request *http.Request, target string, body []byte) *http.Request {
 	changed := request.Clone(request.Context())
 	changed.RequestURI = target
@@ -61,7 +61,7 @@
 	return changed
 }
 
-// quietly serves a request and hides that its answer broke off.
+// serveAborted serves a request and hides that its response was aborted.
 func serveAborted(h http.Handler, writer http.ResponseWriter, request *http.Request) (cut bool) {
 	defer func() { cut = recover() != nil }()
 	h.ServeHTTP(writer, request)
@@ -109,14 +109,14 @@
 // plantedPatience is how long trials of planted faults wait for what must end.
 const plantedPatience = 300 * time.Millisecond
 
-// recorded serves a request and returns the answer; cut tells whether it broke off.
+// recordResponse serves a request and returns the response; cut reports whether it was aborted.
 func recordResponse(h http.Handler, request *http.Request) (answer *httptest.ResponseRecorder, cut bool) {
 	answer = httptest.NewRecorder()
 	cut = serveAborted(h, answer, request)
 	return answer, cut
 }
 
-// write passes a recorded answer on.
+// write sends a recorded response.
 func write(writer http.ResponseWriter, status int, header http.Header, body []byte) {
 	for name, values := range header {
 		if name != "Content-Length" {
@@ -151,7 +151,7 @@
 	})
 }
 
-// delayResponses gives each client the answer to the request before.
+// delayResponses gives each client the response to the request before.
 func delayResponses() func(*handler) http.Handler {
 	return func(h *handler) http.Handler {
 		var mu sync.Mutex
--- a/internal/proxy/process_test.go
+++ b/internal/proxy/process_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// running is a proxy as a process, without the process.
+// testProcess is a proxy with all its listeners, within the process of the test.
 type testProcess struct {
 	*testProxy
 	process   *process
@@ -89,7 +89,7 @@
 	return response.StatusCode
 }
 
-// fill gives the proxy a configuration and a server.
+// configure gives the proxy a configuration and a server.
 func (r *testProcess) configure(server *fakeServer) *pb.ProxyStatus {
 	return r.apply(&pb.ApplyRequest{
 		Changes: []*pb.Change{testChange()},
@@ -194,8 +194,8 @@
 	require.Less(t, time.Since(began), 3*time.Second)
 }
 
-// TestManyProxiesToldToEndAtOnceAreNotReadyAtOnce: each that still runs, with requests at work, answers two questions
-// in a row without a 200 well before 4 s have passed since SIGTERM.
+// TestManyProxiesToldToEndAtOnceAreNotReadyAtOnce: each that still runs, with requests in flight, answers two
+// checks in a row without a 200 well before 4 s have passed since SIGTERM.
 func TestManyProxiesToldToEndAtOnceAreNotReadyAtOnce(t *testing.T) {
 	server := newFakeServer(t, "i-1", noResponse)
 	const proxies, soon = 6, time.Second
@@ -273,8 +273,8 @@
 	require.Equal(t, 431, response.StatusCode)
 }
 
-// TestNothingUnderWayIsCutByAChange: neither a configuration nor a list of servers, nor settings that are read again, cut
-// a request that was passed on, though they take away its route, its server or its zone.
+// TestNothingUnderWayIsCutByAChange: neither a configuration nor a server list, nor reloaded settings, break off a
+// request that was forwarded, though they remove its route, its server or its zone.
 func TestNothingUnderWayIsCutByAChange(t *testing.T) {
 	next := make(chan struct{})
 	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
@@ -330,7 +330,7 @@
 func TestListenersThatCanNotBeOpened(t *testing.T) {
 	taken, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer taken.Close()
+	defer func() { _ = taken.Close() }()
 	for _, spoil := range []func(*settings.Settings){
 		func(s *settings.Settings) { s.Binds.Edge = taken.Addr().String() },
 		func(s *settings.Settings) { s.Binds.Ready = taken.Addr().String() },
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -25,7 +25,7 @@
 	return all.String()
 }
 
-// streamHead begins a stream in chunks with the seal of a server.
+// streamHead begins a chunked stream with the seal of a server.
 func streamHead(conn io.Writer, request receivedByServer, sealOf string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		headerAttemptID, request.header.Get(headerAttemptID), headerServerSeal, sealOf)
@@ -35,7 +35,7 @@
 
 func lastChunk(conn io.Writer) { _, _ = io.WriteString(conn, "0\r\n\r\n") }
 
-// streams sends a stream from the event after Last-Event-Id, or after the given one, up to the last one. If
+// streamEvents sends a stream from the event after Last-Event-Id, or after the given one, up to the last one. If
 // cut is set, bytes that end no event follow and the connection ends.
 func streamEvents(name string, last int, cut string) reply {
 	return func(conn *net.TCPConn, request receivedByServer) bool {
@@ -162,7 +162,7 @@
 	require.Equal(t, "2", second.requests()[0].header.Get(headerLastEventID), "the client's own")
 }
 
-// streamUntilBroken reads an answer that must end visibly early and returns what came.
+// streamUntilBroken reads a response that must end visibly early and returns what was received.
 func streamUntilBroken(t *testing.T, r *testProxy, target string) string {
 	t.Helper()
 	c := r.dial()
--- a/internal/proxy/testproxy_test.go
+++ b/internal/proxy/testproxy_test.go
@@ -116,7 +116,7 @@
 	return append([]placement.Outcome(nil), f.outcomes...)
 }
 
-// arrival is a request as a stand-in server got it.
+// receivedByServer is a request as a fake server received it.
 type receivedByServer struct {
 	method, target, host string
 	header               http.Header
@@ -131,7 +131,7 @@
 	closed   chan struct{} // gets a value for each connection that ended
 }
 
-// reply answers one request; it returns false to end the connection.
+// reply responds to one request; it returns false to end the connection.
 type reply func(conn *net.TCPConn, request receivedByServer) bool
 
 func newFakeServer(t *testing.T, id string, answer reply) *fakeServer {
@@ -186,7 +186,7 @@
 	return append([]receivedByServer(nil), s.received...)
 }
 
-// text is an answer with the request's id.
+// text is a response with the request's id.
 func text(status int, headers, body string) reply {
 	return func(conn *net.TCPConn, request receivedByServer) bool {
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 %d X\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s",
@@ -210,7 +210,7 @@
 	}
 }
 
-// rawReset is like raw but ends the connection hard.
+// rawReset is like raw but resets the connection.
 func rawReset(answer string) reply {
 	return func(conn *net.TCPConn, request receivedByServer) bool {
 		raw(answer)(conn, request)
@@ -218,16 +218,16 @@
 	}
 }
 
-// resets ends the connection hard without an answer.
+// reset resets the connection without a response.
 func reset(conn *net.TCPConn, _ receivedByServer) bool {
 	_ = conn.SetLinger(0)
 	return false
 }
 
-// silent keeps the connection open without an answer.
+// noResponse keeps the connection open without a response.
 func noResponse(*net.TCPConn, receivedByServer) bool { return true }
 
-// rig is a handler behind a real listener.
+// testProxy is a handler behind a real listener.
 type testProxy struct {
 	t       *testing.T
 	handler *handler
@@ -271,7 +271,7 @@
 	return newTestProxyWith(t, placer, func(h *handler) http.Handler { return h })
 }
 
-// newTestProxyWith lets a test stand between the clients and the handler.
+// newTestProxyWith lets a test wrap the handler.
 func newTestProxyWith(t *testing.T, placer *fakePlacer, between func(*handler) http.Handler) *testProxy {
 	t.Helper()
 	budget := limits.NewRetryBudget(limits.RetryConfig{Ratio: 1, Extra: 100, Window: 10 * time.Second}, "self")
@@ -325,7 +325,7 @@
 	require.NoError(c.t, err)
 }
 
-// ask sends a request with an id and, if there is one, a body.
+// send sends a request with an id and, if there is one, a body.
 func (c *client) send(method, target, headers, body string) {
 	c.t.Helper()
 	if body != "" {
@@ -334,16 +334,26 @@
 	c.write(fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h.example\r\n%s: id1\r\n%s\r\n%s", method, target, headerAttemptID, headers, body))
 }
 
-// head reads the head of an answer.
-func (c *client) receiveHead(method string) *http.Response {
+// clientResponse is a response as a client receives it. Its body ends with the client's connection, which the test's
+// cleanup closes.
+type clientResponse struct{ *http.Response }
+
+// readResponse reads the head of a response to a request of the given method.
+func readResponse(reader *bufio.Reader, method string) (clientResponse, error) {
+	response, err := http.ReadResponse(reader, &http.Request{Method: method}) //nolint:bodyclose // see clientResponse
+	return clientResponse{response}, err
+}
+
+// receiveHead receives the head of a response.
+func (c *client) receiveHead(method string) clientResponse {
 	c.t.Helper()
-	response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+	response, err := readResponse(c.reader, method)
 	require.NoError(c.t, err)
 	return response
 }
 
-// answer reads a whole answer.
-func (c *client) receive(method string) (*http.Response, string) {
+// receive receives a complete response.
+func (c *client) receive(method string) (clientResponse, string) {
 	c.t.Helper()
 	response := c.receiveHead(method)
 	body, err := io.ReadAll(response.Body)
@@ -351,15 +361,15 @@
 	return response, string(body)
 }
 
-// get sends one request on a connection of its own and reads the whole answer.
-func (r *testProxy) get(target string) (*http.Response, string) {
+// get sends one request on a connection of its own and receives the complete response.
+func (r *testProxy) get(target string) (clientResponse, string) {
 	r.t.Helper()
 	c := r.dial()
 	c.send("GET", target, "", "")
 	return c.receive("GET")
 }
 
-// eventually waits for a condition.
+// eventually waits until a condition is met.
 func eventually(t *testing.T, holds func() bool, message string) {
 	t.Helper()
 	require.Eventually(t, holds, testTimeout, pollInterval, message)
--- a/internal/proxy/trial_list_test.go
+++ b/internal/proxy/trial_list_test.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// longPayload is the size of bodies that are longer than what the system takes for a server that does not read.
+// longPayload is the size of bodies that are longer than what the kernel buffers for a server that does not read.
 const longPayload = 6_000_000
 
 // allTrials are the trials at every stride-th byte.
@@ -65,7 +65,7 @@
 	return tr
 }
 
-// longTrials are some with a body that does not go out before the server reads it.
+// longTrials are some trials with a body that is not sent completely before the server reads it.
 func longTrials(lengths map[string]int64) []trial {
 	payload := strings.Repeat("payload\n", longPayload/8)
 	var all []trial
--- a/internal/proxy/trial_test.go
+++ b/internal/proxy/trial_test.go
@@ -25,7 +25,7 @@
 	return strings.HasPrefix(target, "/long/s/") || strings.HasPrefix(target, "/long/r/")
 }
 
-// framing is how the end of an answer is told.
+// framing is how the end of a response is marked.
 type framing int
 
 const (
@@ -46,7 +46,7 @@
 	reactions
 )
 
-// stage is where a server does something else than it should.
+// stage is where a server injects its fault.
 type stage int
 
 const (
@@ -54,7 +54,7 @@
 	inAnswer               // so many bytes of the answer were written
 )
 
-// misdeed is what it does there.
+// fault is what it does there.
 type fault int
 
 const (
@@ -79,7 +79,7 @@
 	splices: "splices answers", clientLeaves: "is left by the client",
 }
 
-// trial is one request that meets a server which misbehaves at one place.
+// trial is one request to a server that injects one fault.
 type trial struct {
 	kind     requestKind
 	framing  framing
@@ -108,7 +108,7 @@
 	return fmt.Sprintf("id: %d\ndata: %s by %s\n\n", number, id, server)
 }
 
-// answerOf is the head and the framed body with which a server answers a request.
+// answerOf returns the head and the framed body with which a server responds to a request.
 func answerOf(server, id string, stream bool, after int, framed framing, react reaction) (head, body string) {
 	var parts []string
 	switch {
--- a/internal/proxy/trialrecord_test.go
+++ b/internal/proxy/trialrecord_test.go
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// books is what really happened in trials, as the servers saw it.
+// trialRecord is what really happened in trials, as the servers saw it.
 type trialRecord struct {
 	mu         sync.Mutex
 	payloads   map[string]string // of each request that a client sent, by id
@@ -21,7 +21,7 @@
 	violations []string
 }
 
-// sentResponse is what a server wrote as the answer to a request.
+// sentResponse is what a server wrote as the response to a request.
 type sentResponse struct {
 	server string
 	bytes  string
@@ -56,7 +56,7 @@
 	b.answers[id] = append(b.answers[id], sentResponse{server, bytes, closed})
 }
 
-// reached notes that a request, or the beginning of it, came to a server.
+// requestArrived records that a request, or the beginning of it, reached a server.
 func (b *trialRecord) requestArrived(id, server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// checkBytes checks a request that did not come whole: its body must be the beginning of the right one.
+// checkBytes checks an incomplete request: its body must be the beginning of the right one.
 func (b *trialRecord) checkBytes(seen string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-// result is what a client got.
+// result is what a client received.
 type result struct {
 	status int // 0: no answer
 	seal   string
@@ -109,9 +109,9 @@
 	left   bool // the client left before the end
 }
 
-// readResult reads what comes on a client's connection.
+// readResult reads a response from a client's connection.
 func readResult(reader *bufio.Reader) result {
-	response, err := http.ReadResponse(reader, nil)
+	response, err := readResponse(reader, http.MethodGet)
 	if err != nil {
 		return result{}
 	}
@@ -125,7 +125,7 @@
 	}
 }
 
-// check compares what a client got with what happened. The proxy is done with the request.
+// check compares what a client received with what happened. The proxy has finished the request.
 func (b *trialRecord) check(tr *trial, got result) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -158,7 +158,7 @@
 	return found
 }
 
-// wasSent tells whether a server sent just this whole answer.
+// wasSent reports whether a server sent exactly this complete response.
 func (b *trialRecord) wasSent(id string, got result) bool {
 	for _, sent := range b.answers[id] {
 		if sent.server != got.seal {
@@ -171,9 +171,10 @@
 	return false
 }
 
-// parse reads a sent answer as a client does that gets these bytes; proper tells whether it ended by the protocol.
+// parse reads a sent response as a client does that gets these bytes; proper reports whether it ended by the
+// protocol.
 func (a *sentResponse) parse() (truth result, proper bool) {
-	response, err := http.ReadResponse(bufio.NewReader(strings.NewReader(a.bytes)), nil)
+	response, err := readResponse(bufio.NewReader(strings.NewReader(a.bytes)), http.MethodGet)
 	if err != nil {
 		return result{}, false
 	}
@@ -189,7 +190,7 @@
 }
 
 // checkStream checks the events of a stream: none missing, none twice, from one run unless it may be resumed, and
-// all that its servers sent if it looks whole.
+// all that its servers sent if it looks complete.
 func (b *trialRecord) checkStream(tr *trial, got result, fail func(string, ...any)) {
 	rest, last := got.body, 0
 	for rest != "" {
--- a/internal/proxy/trials_test.go
+++ b/internal/proxy/trials_test.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// trialStride is the distance of the bytes at which servers misbehave; PROXY_TRIAL_STRIDE=1 tries every one.
+	// trialStride is the distance of the bytes at which faults are injected; PROXY_TRIAL_STRIDE=1 takes every one.
 	trialStride = 61
-	// trialWorkers is the number of proxies that are tried at a time.
+	// trialWorkers is the number of proxies in trials at a time.
 	trialWorkers = 8
-	// noResponseDeadline, in milliseconds, ends the requests at which a server falls silent.
+	// noResponseDeadline, in milliseconds, ends the requests to which a server sends no response.
 	noResponseDeadline = 50
 	longDeadline       = 50000
-	// maxViolations is the number of faults after which no more trials are made.
+	// maxViolations is the number of violations after which no more trials are run.
 	maxViolations = 10
 )
 
-// worker tries one proxy with two servers, of which the first misbehaves.
+// trialWorker runs trials of one proxy with two servers, of which the first injects faults.
 type trialWorker struct {
 	t             *testing.T
 	proxy         *testProxy
@@ -73,19 +73,19 @@
 	return id, conn, err
 }
 
-// ask sends a request to servers that behave well and returns what is wrong with the answer.
+// request sends a request to servers that behave well and returns what is wrong with the response.
 func (w *trialWorker) request(target, name string, deadline int) []string {
 	id, conn, err := w.send(target, name, deadline, "")
 	if err != nil {
 		return []string{err.Error()}
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	got := readResult(bufio.NewReader(conn))
 	w.probes[got.status]++
 	return w.record.check(&trial{id: id, kind: requestKind{most: 2, stream: isStreamTarget(target), resume: true}}, got)
 }
 
-// try makes a trial and returns the rules that were broken.
+// run runs a trial and returns the rules that were violated.
 func (w *trialWorker) run(tr trial) []string {
 	w.proxy.handler.pool.Forget(w.first.server)
 	w.proxy.handler.pool.Forget(w.second.server)
@@ -123,8 +123,8 @@
 	return append(faults, w.requestBetween(&tr)...)
 }
 
-// requestBetween sends a request after a trial. It may fail only if its server can't be known to be gone, or sends what
-// nobody asked for.
+// requestBetween sends a request after a trial. It may fail only if its server can't be known to be gone, or sends
+// unrequested bytes.
 func (w *trialWorker) requestBetween(tr *trial) []string {
 	before := w.probes[http.StatusOK]
 	faults := w.request("/long/o/x", "p", longDeadline)
@@ -137,7 +137,7 @@
 	return faults
 }
 
-// lengthOf is the length of a trial's request as the first server gets it.
+// lengthOf is the length of a trial's request as the first server receives it.
 func (w *trialWorker) lengthOf(tr *trial) int64 {
 	length := w.lengths[tr.kind.name]
 	if tr.fault == fallsSilent {
@@ -152,13 +152,13 @@
 
 func digits(number int) int { return len(strconv.Itoa(number)) }
 
-// play sends the trial's request and reads the answer, or leaves.
+// play sends the trial's request and receives the response, or disconnects.
 func (w *trialWorker) play(tr *trial, deadline int) (got result, failure string) {
 	_, conn, err := w.send(tr.kind.target, "t", deadline, tr.payload)
 	if err != nil {
 		return got, err.Error()
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	if tr.fault != clientLeaves {
 		return readResult(bufio.NewReader(conn)), ""
 	}
@@ -170,14 +170,14 @@
 	return result{left: true}, failure
 }
 
-// settles waits until the proxy is done with all requests, and the servers' connections with them.
+// becomesIdle waits until the proxy has finished all requests, and the servers' connections with them.
 func (w *trialWorker) becomesIdle() bool {
 	return becomesTrue(w.patience, func() bool {
 		return w.proxy.handler.counters.active.Load() == 0 && w.first.busy.Load() == 0 && w.second.busy.Load() == 0
 	})
 }
 
-// becomesTrue looks at a condition until it holds, for a bounded time, and tells whether it did.
+// becomesTrue polls a condition until it is met, for a bounded time, and reports whether it was.
 func becomesTrue(bound time.Duration, condition func() bool) bool {
 	limit := time.NewTimer(bound)
 	defer limit.Stop()
@@ -193,14 +193,14 @@
 	return true
 }
 
-// outcome is what trials came to.
+// trialSummary is the result of many trials.
 type trialSummary struct {
 	found  []string    // broken rules, about maxViolations of them
 	probes map[int]int // answers to the requests between trials, by status
 	missed int         // trials without their misdeed
 }
 
-// runTrials makes trials with several proxies at a time.
+// runTrials runs trials with several proxies at a time.
 func runTrials(t *testing.T, all []trial, wait time.Duration, between func(*handler) http.Handler) *trialSummary {
 	t.Helper()
 	var mu sync.Mutex
@@ -229,7 +229,7 @@
 	return got
 }
 
-// take notes what was found in a trial and tells whether that is enough.
+// addTrial adds the violations found in a trial and reports whether there are enough.
 func (o *trialSummary) addTrial(tr *trial, faults []string) bool {
 	for _, fault := range faults {
 		o.found = append(o.found, tr.String()+": "+fault)
@@ -244,8 +244,8 @@
 	}
 }
 
-// Whatever a server does, at whatever byte: each request runs as often as it may, each client gets its own answer
-// or sees that it is cut, a promise is kept, and nothing goes on after a client has left.
+// Whatever a server does, at whatever byte: each request is run as often as it may be, each client gets its own response
+// or sees that it is incomplete, a request that was rejected is not run, and nothing goes on after a client is gone.
 func TestAnswersAndRunsWithAServerThatMisbehavesAtAnyByte(t *testing.T) {
 	stride := trialStride
 	if told, err := strconv.Atoi(os.Getenv("PROXY_TRIAL_STRIDE")); err == nil && told > 0 {
--- a/internal/proxy/unsized_test.go
+++ b/internal/proxy/unsized_test.go
@@ -16,7 +16,7 @@
 	unsizedStream = answerHead + "Content-Type: text/event-stream\r\n\r\n"
 )
 
-// An answer without a length that its server ends by closing is passed on whole.
+// A close-delimited response that its server ends in order is forwarded completely.
 func TestAnswerWithoutALengthIsPassedOn(t *testing.T) {
 	for _, size := range []int{0, 2, maxBufferedResponse, maxBufferedResponse + 1, 3 * maxBufferedResponse} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -36,7 +36,8 @@
 	}
 }
 
-// What is not read whole is passed on in chunks, whose end the client misses when the server's connection is reset.
+// A response that is not read completely is forwarded in chunks, and the last one is missing when the server's
+// connection is reset.
 func TestAnswerWithoutALengthThatIsResetIsNotWhole(t *testing.T) {
 	large := repeated("x", 2*maxBufferedResponse)
 	second := newFakeServer(t, "i-2", ok("ok"))
@@ -54,7 +55,7 @@
 	require.Equal(t, whole, len(second.requests()) == 1, "whole is only the answer of the other server")
 }
 
-// A reset after the head was passed on must reach the client as a missing last chunk.
+// A reset after the headers were sent must reach the client as a missing last chunk.
 func TestAnswerWithoutALengthThatIsResetMidwayEndsVisibly(t *testing.T) {
 	for _, target := range []string{"/m/x", "/i/x"} {
 		begun := make(chan struct{})
@@ -79,7 +80,7 @@
 	}
 }
 
-// whole reads an answer and tells whether it came whole.
+// receiveComplete receives a response and reports whether it was complete.
 func (c *client) receiveComplete(method string) (status int, whole bool) {
 	c.t.Helper()
 	response := c.receiveHead(method)
@@ -96,7 +97,7 @@
 	}
 }
 
-// A stream that ends with its connection within an event was cut.
+// A close-delimited stream that ends within an event is incomplete.
 func TestStreamWithoutALengthThatEndsInAnEvent(t *testing.T) {
 	for _, torn := range []string{"i", "id: 4\n", "id: 4\ndata: piece 4\n"} {
 		for name, ends := range map[string]func(string) reply{"closed": raw, "reset": rawReset} {
@@ -114,7 +115,7 @@
 	}
 }
 
-// An event without an id can't be told apart from those that a server would send again.
+// After an event without an id a stream can't be resumed: the server would send events again.
 func TestStreamIsNotTakenUpBehindAnEventWithoutAnID(t *testing.T) {
 	begun := eventText(1) + "data: unnumbered\n\n"
 	second := newFakeServer(t, "i-2", streamEvents("two", 6, ""))
@@ -128,7 +129,7 @@
 	require.Equal(t, comment+eventTexts(2, 6), body)
 }
 
-// A client of HTTP/1.0 gets no chunks: a cut answer without a length must end with a reset.
+// A client of HTTP/1.0 gets no chunks: an incomplete close-delimited response must end with a reset.
 func TestCutAnswerIsResetForClientsWithoutChunks(t *testing.T) {
 	r := newTestProxy(t, newFakeServer(t, "i-1", rawReset(unsizedStream+eventTexts(1, 3))))
 	c := r.dial()
