--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -18,11 +18,11 @@
 // 503, never with 4xx.
 func TestAProxyWithoutAConfigurationDeniesNothing(t *testing.T) {
 	states := map[string]*pb.ApplyRequest{
-		"nothing":                  {},
-		"a list alone":             {List: &pb.ServerList{Version: &pb.ListVersion{Epoch: 1}}, Confirmed: true},
-		"an evacuation alone":      {Changes: []*pb.Change{{Sequence: 1, Upserts: []*pb.Item{{Kind: catalog.KindEvacuation, Name: "z1"}}}}},
-		"a change after a gap":     {Changes: []*pb.Change{{Sequence: 2, Generation: 8}}, Confirmed: true},
-		"a part of a whole repair": {Repair: &pb.Repair{Sequence: 1, Generation: 7, Ranges: []*pb.Range{{Index: 1}}}, Confirmed: true},
+		"nothing":                 {},
+		"a list alone":            {List: &pb.ServerList{Version: &pb.ListVersion{Epoch: 1}}, Confirmed: true},
+		"an evacuation alone":     {Changes: []*pb.Change{{Sequence: 1, Upserts: []*pb.Item{{Kind: catalog.KindEvacuation, Name: "z1"}}}}},
+		"a change after a gap":    {Changes: []*pb.Change{{Sequence: 2, Generation: 8}}, Confirmed: true},
+		"a repair of some ranges": {Repair: &pb.Repair{Sequence: 1, Generation: 7, Ranges: []*pb.Range{{Index: 1}}}, Confirmed: true},
 	}
 	const soon = headerDeadline + ": 40\r\n"
 	requests := map[string]func(c *client){
--- a/internal/proxy/announcements_test.go
+++ b/internal/proxy/announcements_test.go
@@ -22,20 +22,22 @@
 	return recordingHandler{announcements: make(chan placement.Announcement, 16), failures: make(chan [2]string, 16)}
 }
 
-func (e recordingHandler) announcementReceived(told placement.Announcement) { e.announcements <- told }
-func (e recordingHandler) failureReported(server, zone string)              { e.failures <- [2]string{server, zone} }
+func (e recordingHandler) announcementReceived(announcement placement.Announcement) {
+	e.announcements <- announcement
+}
+func (e recordingHandler) failureReported(server, zone string) { e.failures <- [2]string{server, zone} }
 
 // announcerAt starts an announcer at an address of the loopback range, whose port all share, and returns it with
 // its handler.
 func announcerAt(t *testing.T, address netip.AddrPort) (*announcer, recordingHandler) {
 	t.Helper()
-	heard := newRecordingHandler()
-	opened, err := newAnnouncer(address.String(), "west", "zone-a", heard)
+	handler := newRecordingHandler()
+	announcer, err := newAnnouncer(address.String(), "west", "zone-a", handler)
 	require.NoError(t, err)
-	t.Cleanup(opened.close)
-	go opened.receiveLoop()
-	go opened.sendLoop()
-	return opened, heard
+	t.Cleanup(announcer.close)
+	go announcer.receiveLoop()
+	go announcer.sendLoop()
+	return announcer, handler
 }
 
 // freePort returns a port that is free on the whole loopback range.
@@ -47,14 +49,14 @@
 	return socket.LocalAddr().(*net.UDPAddr).AddrPort().Port()
 }
 
-func nextReceived[T any](t *testing.T, heard chan T) (told T) {
+func nextReceived[T any](t *testing.T, from chan T) (received T) {
 	t.Helper()
 	select {
-	case told = <-heard:
+	case received = <-from:
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "nothing was heard")
+		require.Fail(t, "nothing was received")
 	}
-	return told
+	return received
 }
 
 func member(address, region string) *pb.Neighbour {
@@ -73,10 +75,10 @@
 		member("127.0.9.1:7001", "west"), member("127.0.9.2:7001", "west"), member("127.0.9.3:7001", "east"),
 		member("no address", "west"),
 	})
-	told := placement.Announcement{Server: placement.ServerKey("i-7f3a"), Prompt: 1 << 31, Tokens: 9190}
-	sender.announce(told)
+	announcement := placement.Announcement{Server: placement.ServerKey("i-7f3a"), Prompt: 1 << 31, Tokens: 9190}
+	sender.announce(announcement)
 	sender.announce(placement.Announcement{Server: 7}) // nothing to tell
-	require.Equal(t, told, nextReceived(t, near.announcements))
+	require.Equal(t, announcement, nextReceived(t, near.announcements))
 	sender.reportFailure("i-7f3b")
 	require.Equal(t, [2]string{"i-7f3b", "zone-a"}, nextReceived(t, near.failures))
 	for _, other := range []recordingHandler{echo, far, near} {
@@ -88,7 +90,7 @@
 func TestBytesThatAreNoAnnouncementAreLeft(t *testing.T) {
 	port := freePort(t)
 	at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 9, 4}), port)
-	_, heard := announcerAt(t, at)
+	_, handler := announcerAt(t, at)
 	socket, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(at))
 	require.NoError(t, err)
 	defer func() { _ = socket.Close() }()
@@ -96,17 +98,17 @@
 		_, err := socket.Write(datagram)
 		require.NoError(t, err)
 	}
-	require.Equal(t, placement.Announcement{Server: 9, Tokens: 5}, nextReceived(t, heard.announcements))
+	require.Equal(t, placement.Announcement{Server: 9, Tokens: 5}, nextReceived(t, handler.announcements))
 }
 
 func TestTellingNeverWaits(t *testing.T) {
-	opened, err := newAnnouncer("127.0.9.5:0", "west", "zone-a", newRecordingHandler())
+	announcer, err := newAnnouncer("127.0.9.5:0", "west", "zone-a", newRecordingHandler())
 	require.NoError(t, err)
-	defer opened.close()
+	defer announcer.close()
 	for range 10 * announceQueueSize { // nobody sends
-		opened.announce(placement.Announcement{Server: 9, Tokens: 1})
+		announcer.announce(placement.Announcement{Server: 9, Tokens: 1})
 	}
-	require.Len(t, opened.queue, announceQueueSize)
+	require.Len(t, announcer.queue, announceQueueSize)
 }
 
 func TestAProxyWithoutAnAnnouncerTellsNothing(t *testing.T) {
@@ -118,10 +120,10 @@
 }
 
 func TestAnAddressInUseIsTold(t *testing.T) {
-	opened, err := newAnnouncer("127.0.9.6:0", "west", "zone-a", nil)
+	announcer, err := newAnnouncer("127.0.9.6:0", "west", "zone-a", nil)
 	require.NoError(t, err)
-	defer opened.close()
-	_, err = newAnnouncer(opened.socket.LocalAddr().String(), "west", "zone-a", nil)
+	defer announcer.close()
+	_, err = newAnnouncer(announcer.socket.LocalAddr().String(), "west", "zone-a", nil)
 	require.Error(t, err)
 	_, err = newAnnouncer("nowhere", "west", "zone-a", nil)
 	require.Error(t, err)
--- a/internal/proxy/attemptlog_explore_test.go
+++ b/internal/proxy/attemptlog_explore_test.go
@@ -15,47 +15,47 @@
 
 // attemptLogSteps are the steps of an attempt log, so that a test can plant a fault in one.
 type attemptLogSteps struct {
-	record    func(*attemptLog, executionState)
-	mayRepeat func(*attemptLog, time.Duration) bool
-	ending    func(*attemptLog, time.Duration) int
+	record      func(*attemptLog, executionState)
+	mayRetry    func(*attemptLog, time.Duration) bool
+	finalStatus func(*attemptLog, time.Duration) int
 }
 
 func unmodifiedSteps() attemptLogSteps {
-	return attemptLogSteps{record: (*attemptLog).record, mayRepeat: (*attemptLog).mayRetry, ending: (*attemptLog).finalStatus}
+	return attemptLogSteps{record: (*attemptLog).record, mayRetry: (*attemptLog).mayRetry, finalStatus: (*attemptLog).finalStatus}
 }
 
 // exploredRequest is a request as servers see it, beside its attempt log.
 type exploredRequest struct {
-	steps    attemptLogSteps
-	ledger   attemptLog
-	left     time.Duration
-	runs     int // that truly happened
-	unclear  int // attempts of which nobody can tell whether they ran
-	sent     int
-	attempts int
-	answer   int // given to the client; 0: none yet
-	own      bool
+	steps     attemptLogSteps
+	log       attemptLog
+	remaining time.Duration
+	runs      int // that truly happened
+	unclear   int // attempts of which nobody can tell whether they ran
+	sent      int
+	attempts  int
+	answer    int // given to the client; 0: none yet
+	own       bool
 }
 
 // attemptEnd is a way in which an attempt can end.
 type attemptEnd struct {
 	name    string
-	fate    executionState
-	ran     bool // whatever the fate tells
+	state   executionState
+	ran     bool // whatever the state says
 	success bool // a usable answer, which is passed on
 }
 
 var attemptEnds = []attemptEnd{
-	{name: "was not sent", fate: unsent},
-	{name: "was promised not to have run", fate: notExecuted},
-	{name: "was lost and had run", fate: possiblyExecuted, ran: true},
-	{name: "was lost and had not run", fate: possiblyExecuted},
-	{name: "ran and broke off", fate: executed, ran: true},
-	{name: "ran and was answered", fate: executed, ran: true, success: true},
+	{name: "was not sent", state: unsent},
+	{name: "was promised not to have run", state: notExecuted},
+	{name: "was lost and had run", state: possiblyExecuted, ran: true},
+	{name: "was lost and had not run", state: possiblyExecuted},
+	{name: "ran and broke off", state: executed, ran: true},
+	{name: "ran and was answered", state: executed, ran: true, success: true},
 }
 
 func (r *exploredRequest) isOngoing() bool {
-	return r.answer == 0 && (r.attempts == 0 || r.steps.mayRepeat(&r.ledger, r.left))
+	return r.answer == 0 && (r.attempts == 0 || r.steps.mayRetry(&r.log, r.remaining))
 }
 
 // Events implements explore.System.
@@ -64,7 +64,7 @@
 		return nil
 	}
 	names := []string{"it is given up"}
-	if r.left > 0 {
+	if r.remaining > 0 {
 		names = append(names, "the deadline passes")
 	}
 	if r.isOngoing() {
@@ -79,9 +79,9 @@
 func (r *exploredRequest) Do(event int) {
 	switch names := r.Events(); names[event] {
 	case "it is given up":
-		r.answer, r.own = r.steps.ending(&r.ledger, r.left), true
+		r.answer, r.own = r.steps.finalStatus(&r.log, r.remaining), true
 	case "the deadline passes":
-		r.left = 0
+		r.remaining = 0
 	default:
 		r.attempt(attemptEnds[event-(len(names)-len(attemptEnds))])
 	}
@@ -89,14 +89,14 @@
 
 func (r *exploredRequest) attempt(end attemptEnd) {
 	r.attempts++
-	r.steps.record(&r.ledger, end.fate)
-	if end.fate != unsent {
+	r.steps.record(&r.log, end.state)
+	if end.state != unsent {
 		r.sent++
 	}
 	if end.ran {
 		r.runs++
 	}
-	if end.fate == possiblyExecuted {
+	if end.state == possiblyExecuted {
 		r.unclear++
 	}
 	if end.success {
@@ -107,7 +107,7 @@
 // Hash implements explore.System.
 func (r *exploredRequest) Hash() uint64 {
 	hash := fnv.New64a()
-	_, _ = fmt.Fprintf(hash, "%+v %v %d %d %d %d %d %v", r.ledger, r.left, r.runs, r.unclear, r.sent, r.attempts, r.answer, r.own)
+	_, _ = fmt.Fprintf(hash, "%+v %v %d %d %d %d %d %v", r.log, r.remaining, r.runs, r.unclear, r.sent, r.attempts, r.answer, r.own)
 	return hash.Sum64()
 }
 
@@ -115,17 +115,17 @@
 func (r *exploredRequest) Check() error {
 	mayHaveRun := r.runs > 0 || r.unclear > 0
 	switch {
-	case !r.ledger.idempotent && r.runs > 1:
+	case !r.log.idempotent && r.runs > 1:
 		return errors.Newf("ran %d times", r.runs)
-	case r.sent > r.ledger.maxAttempts:
-		return errors.Newf("was sent to %d servers of %d", r.sent, r.ledger.maxAttempts)
-	case r.attempts > r.ledger.maxAttempts+maxUnsentAttempts:
+	case r.sent > r.log.maxAttempts:
+		return errors.Newf("was sent to %d servers of %d", r.sent, r.log.maxAttempts)
+	case r.attempts > r.log.maxAttempts+maxUnsentAttempts:
 		return errors.Newf("%d attempts", r.attempts)
 	case r.own && isRejectionStatus(r.answer) && mayHaveRun:
 		return errors.Newf("%d promises that it has not run", r.answer)
 	case r.own && !isRejectionStatus(r.answer) && !mayHaveRun:
 		return errors.Newf("%d although it has not run", r.answer)
-	case r.own && r.answer == http.StatusGatewayTimeout && r.left > 0:
+	case r.own && r.answer == http.StatusGatewayTimeout && r.remaining > 0:
 		return errors.New("out of time before the deadline")
 	}
 	return nil
@@ -134,7 +134,7 @@
 // exploreAttemptLog explores all orders of a request's events.
 func exploreAttemptLog(steps attemptLogSteps, idempotent bool, maxAttempts int) (explore.Result, error) {
 	return explore.All(func() explore.System {
-		return &exploredRequest{steps: steps, ledger: attemptLog{idempotent: idempotent, maxAttempts: maxAttempts}, left: time.Second}
+		return &exploredRequest{steps: steps, log: attemptLog{idempotent: idempotent, maxAttempts: maxAttempts}, remaining: time.Second}
 	}, maxAttempts+maxUnsentAttempts+3, 200_000)
 }
 
@@ -169,31 +169,31 @@
 			}
 		}, "promises"},
 		"all requests are repeated": {func(s *attemptLogSteps) {
-			s.mayRepeat = func(l *attemptLog, left time.Duration) bool {
+			s.mayRetry = func(l *attemptLog, left time.Duration) bool {
 				changed := *l
 				changed.idempotent = true
 				return changed.mayRetry(left)
 			}
 		}, "ran 2 times"},
 		"tries are not counted": {func(s *attemptLogSteps) {
-			s.mayRepeat = func(l *attemptLog, left time.Duration) bool {
+			s.mayRetry = func(l *attemptLog, left time.Duration) bool {
 				changed := *l
 				changed.sent = 0
 				return changed.mayRetry(left)
 			}
 		}, "servers of"},
 		"unsent attempts are not counted": {func(s *attemptLogSteps) {
-			s.mayRepeat = func(l *attemptLog, left time.Duration) bool {
+			s.mayRetry = func(l *attemptLog, left time.Duration) bool {
 				changed := *l
 				changed.unsent = 0
 				return changed.mayRetry(left)
 			}
 		}, "attempts"},
 		"every end is a refusal": {func(s *attemptLogSteps) {
-			s.ending = func(*attemptLog, time.Duration) int { return http.StatusServiceUnavailable }
+			s.finalStatus = func(*attemptLog, time.Duration) int { return http.StatusServiceUnavailable }
 		}, "promises"},
 		"no end is a refusal": {func(s *attemptLogSteps) {
-			s.ending = func(*attemptLog, time.Duration) int { return http.StatusBadGateway }
+			s.finalStatus = func(*attemptLog, time.Duration) int { return http.StatusBadGateway }
 		}, "although it has not run"},
 	}
 	for name, fault := range faults {
--- a/internal/proxy/bench_long_test.go
+++ b/internal/proxy/bench_long_test.go
@@ -1,9 +1,7 @@
 package proxy
 
 import (
-	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"strings"
 	"testing"
@@ -25,25 +23,7 @@
 			defer func() { _ = conn.Close() }()
 			request := []byte("POST /m/x HTTP/1.1\r\nHost: h.example\r\n" + headerAttemptID + ": id1\r\nContent-Length: " +
 				fmt.Sprint(size) + "\r\n\r\n" + strings.Repeat("b", size))
-			reader := bufio.NewReader(conn)
-			b.ReportAllocs()
-			for b.Loop() {
-				if _, err := conn.Write(request); err != nil {
-					b.Fatal(err)
-				}
-				for {
-					line, err := reader.ReadSlice('\n')
-					if err != nil {
-						b.Fatal(err)
-					}
-					if len(line) == 2 {
-						break
-					}
-				}
-				if _, err := io.ReadFull(reader, make([]byte, 2)); err != nil {
-					b.Fatal(err)
-				}
-			}
+			repeatRequest(b, conn, request)
 		})
 	}
 }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -49,6 +49,12 @@
 	defer func() { _ = conn.Close() }()
 	request := []byte("POST /m/x HTTP/1.1\r\nHost: h.example\r\n" + headerAttemptID + ": id1\r\n" + headerDeadline +
 		": 5000\r\nContent-Type: text/plain\r\nX-Fieldrelay-Model: m\r\nContent-Length: " + strconv.Itoa(200) + "\r\n\r\n" + string(bytes.Repeat([]byte("b"), 200)))
+	repeatRequest(b, conn, request)
+}
+
+// repeatRequest measures a request on a connection to the proxy. Its response has a body of two bytes.
+func repeatRequest(b *testing.B, conn net.Conn, request []byte) {
+	b.Helper()
 	reader := bufio.NewReader(conn)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/proxy/capacity_bench_test.go
+++ b/internal/proxy/capacity_bench_test.go
@@ -102,7 +102,7 @@
 	event := []byte("id: 12\ndata: abcdefghijklmnopqrstuvwxyz0123456789\n\n")
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, whole := scanner.scan(event); !whole {
+		if _, complete := scanner.scan(event); !complete {
 			b.Fatal("no event")
 		}
 	}
@@ -116,23 +116,23 @@
 
 // BenchmarkCapacitySwapOfOneChange applies a change of one of 1,500 routes.
 func BenchmarkCapacitySwapOfOneChange(b *testing.B) {
-	held := newSnapshotStore()
+	store := newSnapshotStore()
 	first := &pb.Change{Sequence: 1, Generation: 1}
 	for number := range 1500 {
 		first.Upserts = append(first.Upserts, capacityRoute(1, number))
 	}
-	held.apply(&pb.ApplyRequest{Changes: []*pb.Change{first}})
+	store.apply(&pb.ApplyRequest{Changes: []*pb.Change{first}})
 	b.ReportAllocs()
 	for b.Loop() {
-		sequence := held.load().sequence + 1
+		sequence := store.load().sequence + 1
 		change := &pb.Change{Sequence: sequence, Generation: sequence, Upserts: []*pb.Item{capacityRoute(sequence, int(sequence)%1500)}}
-		held.apply(&pb.ApplyRequest{Changes: []*pb.Change{change}})
+		store.apply(&pb.ApplyRequest{Changes: []*pb.Change{change}})
 	}
 }
 
 // BenchmarkCapacitySwapOfList applies a list of 3,100 servers.
 func BenchmarkCapacitySwapOfList(b *testing.B) {
-	held := newSnapshotStore()
+	store := newSnapshotStore()
 	list := &pb.ServerList{}
 	for i := range 3100 {
 		list.Servers = append(list.Servers, &pb.Server{Id: fmt.Sprintf("i-%08x", i), Address: fmt.Sprintf("10.%d.%d.%d:8080", i/2500, i/250, i%250)})
@@ -140,6 +140,6 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		list.Version = &pb.ListVersion{Epoch: 1, Revision: uint64(i) + 1}
-		held.apply(&pb.ApplyRequest{List: list})
+		store.apply(&pb.ApplyRequest{List: list})
 	}
 }
--- a/internal/proxy/client_trials_test.go
+++ b/internal/proxy/client_trials_test.go
@@ -57,7 +57,7 @@
 	reader := bufio.NewReader(conn)
 	for number, id := range ids {
 		got := readResult(reader)
-		require.True(t, got.whole)
+		require.True(t, got.complete)
 		require.Equal(t, 200, got.status)
 		require.Equal(t, id, got.id)
 		require.Empty(t, w.record.check(&trial{id: id, kind: requestKinds[number%len(requestKinds)]}, got))
--- a/internal/proxy/connqueue.go
+++ b/internal/proxy/connqueue.go
@@ -18,32 +18,32 @@
 }
 
 // offer passes a connection to Accept; it returns false if the listener is closed.
-func (h *connQueue) offer(conn net.Conn) bool {
+func (q *connQueue) offer(conn net.Conn) bool {
 	select {
-	case h.conns <- conn:
+	case q.conns <- conn:
 		return true
-	case <-h.done:
+	case <-q.done:
 		return false
 	}
 }
 
 // Accept implements net.Listener.
-func (h *connQueue) Accept() (net.Conn, error) {
+func (q *connQueue) Accept() (net.Conn, error) {
 	select {
-	case conn := <-h.conns:
+	case conn := <-q.conns:
 		return conn, nil
-	case <-h.done:
+	case <-q.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (h *connQueue) close() { h.once.Do(func() { close(h.done) }) }
+func (q *connQueue) close() { q.once.Do(func() { close(q.done) }) }
 
 // Close implements net.Listener.
-func (h *connQueue) Close() error {
-	h.close()
+func (q *connQueue) Close() error {
+	q.close()
 	return nil
 }
 
 // Addr implements net.Listener.
-func (h *connQueue) Addr() net.Addr { return h.address }
+func (q *connQueue) Addr() net.Addr { return q.address }
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"net/http"
 	"sync/atomic"
 	"time"
 
@@ -53,9 +54,9 @@
 // countOwnResponse counts a response of the proxy itself.
 func (c *counters) countOwnResponse(status int) {
 	switch {
-	case status == 503 || status == 429:
+	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		c.unavailable.Add(1)
-	case status >= 500:
+	case status >= http.StatusInternalServerError:
 		c.failed.Add(1)
 	default:
 		c.clientErrors.Add(1)
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -118,9 +118,9 @@
 				r.saturate()
 			}
 			if one.noList {
-				held := *r.handler.snapshots.load()
-				held.list = nil
-				r.handler.snapshots.current.Store(&held)
+				withoutList := *r.handler.snapshots.load()
+				withoutList.list = nil
+				r.handler.snapshots.current.Store(&withoutList)
 			}
 			c := r.dial()
 			began := time.Now()
--- a/internal/proxy/distance_test.go
+++ b/internal/proxy/distance_test.go
@@ -28,16 +28,16 @@
 
 // testConfigStream is a proxy's snapshot store with the history of changes that it gets.
 type testConfigStream struct {
-	t       *testing.T
-	random  *rand.Rand
-	truth   []*catalog.Snapshot // by sequence
-	changes []*pb.Change        // by sequence - 1
-	state   *snapshotStore
-	alter   func(*pb.ApplyRequest) // a planted fault
+	t         *testing.T
+	random    *rand.Rand
+	truth     []*catalog.Snapshot // by sequence
+	changes   []*pb.Change        // by sequence - 1
+	snapshots *snapshotStore
+	alter     func(*pb.ApplyRequest) // a planted fault
 }
 
 func newTestConfigStream(t *testing.T, seed uint64) *testConfigStream {
-	f := &testConfigStream{t: t, random: rand.New(rand.NewPCG(seed, 8)), truth: []*catalog.Snapshot{catalog.Empty()}, state: newSnapshotStore()}
+	f := &testConfigStream{t: t, random: rand.New(rand.NewPCG(seed, 8)), truth: []*catalog.Snapshot{catalog.Empty()}, snapshots: newSnapshotStore()}
 	for sequence := uint64(1); sequence <= farChanges; sequence++ {
 		made := f.makeChange(sequence)
 		next, err := f.truth[sequence-1].Apply(made)
@@ -79,29 +79,29 @@
 // feed applies what an agent could send that is new, old, of an earlier incarnation, or has lost its beginning. It
 // returns what is wrong afterwards, or an empty string.
 func (f *testConfigStream) feed() string {
-	before := f.state.load()
+	before := f.snapshots.load()
 	request := f.request()
 	if f.alter != nil {
 		f.alter(request)
 	}
-	held, done := f.state.apply(request)
+	current, applied := f.snapshots.apply(request)
 	switch {
-	case held.sequence < before.sequence:
+	case current.sequence < before.sequence:
 		return "an older state"
-	case held.sequence > before.sequence != done.tableChanged:
-		return "a change that is not told"
-	case !before.confirmed && held.confirmed && f.state.gap:
-		return "what was confirmed is not held"
-	case done.regressed:
+	case current.sequence > before.sequence != applied.tableChanged:
+		return "a change that is not reported"
+	case !before.confirmed && current.confirmed && f.snapshots.gap:
+		return "the confirmed state is not in force"
+	case applied.regressed:
 		return "a snapshot that fell back"
 	}
-	return f.difference(held)
+	return f.difference(current)
 }
 
 func (f *testConfigStream) request() *pb.ApplyRequest {
 	at := uint64(f.random.IntN(farChanges)) + 1
-	if f.random.IntN(2) == 0 { // near what is held
-		at = min(f.state.load().sequence+1, farChanges)
+	if f.random.IntN(2) == 0 { // near the current sequence
+		at = min(f.snapshots.load().sequence+1, farChanges)
 	}
 	to := min(at+uint64(f.random.IntN(300)), farChanges)
 	request := &pb.ApplyRequest{Confirmed: f.random.IntN(5) == 0}
@@ -117,19 +117,19 @@
 }
 
 // difference says how the table differs from that of the state that the sequence stands for.
-func (f *testConfigStream) difference(held *snapshot) string {
+func (f *testConfigStream) difference(current *snapshot) string {
 	var items []*pb.Item
-	for _, part := range f.truth[held.sequence].RepairFor(nil).GetRanges() {
+	for _, part := range f.truth[current.sequence].RepairFor(nil).GetRanges() {
 		items = append(items, part.GetItems()...)
 	}
 	wanted, faults := route.FromItems(items)
 	require.Empty(f.t, faults)
 	switch {
-	case wanted.Routes() != held.table.Routes():
+	case wanted.Routes() != current.table.Routes():
 		return "another number of routes"
-	case !slices.Equal(wanted.Services(), held.table.Services()):
+	case !slices.Equal(wanted.Services(), current.table.Services()):
 		return "other services"
-	case !slices.Equal(wanted.Evacuated(), held.table.Evacuated()):
+	case !slices.Equal(wanted.Evacuated(), current.table.Evacuated()):
 		return "other evacuations"
 	}
 	for index := range farRoutes {
@@ -138,9 +138,9 @@
 		if !found {
 			continue
 		}
-		looked, found := held.table.Lookup("h.example", other.PathPrefix+"x")
+		looked, found := current.table.Lookup("h.example", other.PathPrefix+"x")
 		if !found || looked.Name != name {
-			return fmt.Sprintf("another path of %s at %d", name, held.sequence)
+			return fmt.Sprintf("another path of %s at %d", name, current.sequence)
 		}
 	}
 	return ""
@@ -162,15 +162,15 @@
 		for range farExchanges {
 			require.Empty(t, f.feed(), "seed %d", seed)
 		}
-		held := f.state.load().sequence
-		last := &pb.ApplyRequest{Changes: f.changes[held:]}
-		if f.state.needsFullState() {
+		current := f.snapshots.load().sequence
+		last := &pb.ApplyRequest{Changes: f.changes[current:]}
+		if f.snapshots.needsFullState() {
 			last = &pb.ApplyRequest{Repair: f.truth[farChanges].RepairFor(nil)}
 		}
-		f.state.apply(last)
-		require.EqualValues(t, farChanges, f.state.load().sequence)
-		require.False(t, f.state.needsFullState())
-		require.Empty(t, f.difference(f.state.load()))
+		f.snapshots.apply(last)
+		require.EqualValues(t, farChanges, f.snapshots.load().sequence)
+		require.False(t, f.snapshots.needsFullState())
+		require.Empty(t, f.difference(f.snapshots.load()))
 	}
 }
 
--- a/internal/proxy/execution_test.go
+++ b/internal/proxy/execution_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/proxy/upstream"
 )
 
-func TestFateOfError(t *testing.T) {
+func TestExecutionOfError(t *testing.T) {
 	require.Equal(t, unsent, executionOfError(&upstream.DialError{Err: io.EOF}))
 	require.Equal(t, unsent, executionOfError(&upstream.SendError{Err: io.EOF}))
 	require.Equal(t, possiblyExecuted, executionOfError(&upstream.SendError{Written: 1, Err: io.EOF}))
@@ -20,7 +20,7 @@
 	require.Equal(t, possiblyExecuted, executionOfError(io.EOF))
 }
 
-func TestFateOfAnswer(t *testing.T) {
+func TestExecutionOfResponse(t *testing.T) {
 	sealed := http.Header{headerServerSeal: {"s"}}
 	declined := http.Header{headerNotExecuted: {"1"}}
 	cases := []struct {
@@ -48,37 +48,37 @@
 	}
 }
 
-func TestLedgerTable(t *testing.T) {
+func TestAttemptLogDecisions(t *testing.T) {
 	cases := map[string]struct {
-		repeatable bool
-		tries      int
-		fates      []executionState
-		left       time.Duration
-		repeat     bool
-		status     int
+		idempotent  bool
+		maxAttempts int
+		states      []executionState
+		remaining   time.Duration
+		retry       bool
+		status      int
 	}{
-		"nothing yet":               {false, 2, nil, time.Second, true, 503},
-		"dial failed":               {false, 1, []executionState{unsent}, time.Second, true, 503},
-		"dials failed too often":    {false, 1, []executionState{0, 0, 0, 0}, time.Second, false, 503},
-		"promised":                  {false, 2, []executionState{notExecuted}, time.Second, true, 503},
-		"promised, no tries left":   {false, 1, []executionState{notExecuted}, time.Second, false, 503},
-		"promised, no time left":    {false, 2, []executionState{notExecuted}, 0, false, 503},
-		"unknown":                   {false, 2, []executionState{possiblyExecuted}, time.Second, false, 502},
-		"unknown at the deadline":   {false, 2, []executionState{possiblyExecuted}, 0, false, 504},
-		"unknown, then never again": {false, 9, []executionState{possiblyExecuted, notExecuted}, time.Second, false, 502},
-		"ran":                       {false, 2, []executionState{executed}, time.Second, false, 502},
-		"repeatable unknown":        {true, 2, []executionState{possiblyExecuted}, time.Second, true, 502},
-		"repeatable ran":            {true, 3, []executionState{executed, possiblyExecuted}, time.Second, true, 502},
-		"repeatable, no tries left": {true, 2, []executionState{possiblyExecuted, possiblyExecuted}, time.Second, false, 502},
+		"nothing yet":                  {false, 2, nil, time.Second, true, 503},
+		"dial failed":                  {false, 1, []executionState{unsent}, time.Second, true, 503},
+		"dials failed too often":       {false, 1, []executionState{0, 0, 0, 0}, time.Second, false, 503},
+		"rejected":                     {false, 2, []executionState{notExecuted}, time.Second, true, 503},
+		"rejected, no attempts left":   {false, 1, []executionState{notExecuted}, time.Second, false, 503},
+		"rejected, no time left":       {false, 2, []executionState{notExecuted}, 0, false, 503},
+		"unknown":                      {false, 2, []executionState{possiblyExecuted}, time.Second, false, 502},
+		"unknown at the deadline":      {false, 2, []executionState{possiblyExecuted}, 0, false, 504},
+		"unknown, then never again":    {false, 9, []executionState{possiblyExecuted, notExecuted}, time.Second, false, 502},
+		"ran":                          {false, 2, []executionState{executed}, time.Second, false, 502},
+		"idempotent unknown":           {true, 2, []executionState{possiblyExecuted}, time.Second, true, 502},
+		"idempotent ran":               {true, 3, []executionState{executed, possiblyExecuted}, time.Second, true, 502},
+		"idempotent, no attempts left": {true, 2, []executionState{possiblyExecuted, possiblyExecuted}, time.Second, false, 502},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			l := attemptLog{idempotent: test.repeatable, maxAttempts: test.tries}
-			for _, f := range test.fates {
-				l.record(f)
+			l := attemptLog{idempotent: test.idempotent, maxAttempts: test.maxAttempts}
+			for _, state := range test.states {
+				l.record(state)
 			}
-			require.Equal(t, test.repeat, l.mayRetry(test.left))
-			require.Equal(t, test.status, l.finalStatus(test.left))
+			require.Equal(t, test.retry, l.mayRetry(test.remaining))
+			require.Equal(t, test.status, l.finalStatus(test.remaining))
 		})
 	}
 }
@@ -87,23 +87,23 @@
 // never sent to more servers than allowed.
 func TestLedgerNeverBreaksAPromise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := attemptLog{idempotent: rapid.Bool().Draw(t, "repeatable"), maxAttempts: rapid.IntRange(1, 4).Draw(t, "tries")}
+		l := attemptLog{idempotent: rapid.Bool().Draw(t, "idempotent"), maxAttempts: rapid.IntRange(1, 4).Draw(t, "maxAttempts")}
 		mayHaveRun, sent, attempts := false, 0, 0
 		for l.mayRetry(time.Second) {
 			attempts++
 			if mayHaveRun && !l.idempotent {
 				t.Fatal("sent again although it may have run")
 			}
-			f := executionState(rapid.IntRange(int(unsent), int(executed)).Draw(t, "fate"))
-			l.record(f)
-			if f != unsent {
+			state := executionState(rapid.IntRange(int(unsent), int(executed)).Draw(t, "state"))
+			l.record(state)
+			if state != unsent {
 				sent++
 			}
-			mayHaveRun = mayHaveRun || f == possiblyExecuted || f == executed
+			mayHaveRun = mayHaveRun || state == possiblyExecuted || state == executed
 		}
 		require.LessOrEqual(t, sent, l.maxAttempts)
 		require.LessOrEqual(t, attempts, l.maxAttempts+maxUnsentAttempts)
-		left := time.Duration(rapid.IntRange(-1, 1).Draw(t, "left")) * time.Second
-		require.Equal(t, !mayHaveRun, isRejectionStatus(l.finalStatus(left)))
+		remaining := time.Duration(rapid.IntRange(-1, 1).Draw(t, "remaining")) * time.Second
+		require.Equal(t, !mayHaveRun, isRejectionStatus(l.finalStatus(remaining)))
 	})
 }
--- a/internal/proxy/invariants_test.go
+++ b/internal/proxy/invariants_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestSnapshotsThatFallBackAreFound(t *testing.T) {
-	held := &snapshot{sequence: 5, generation: 9}
+	current := &snapshot{sequence: 5, generation: 9}
 	for expected, later := range map[bool][]*snapshot{
 		true: {
 			{sequence: 4, generation: 9},
@@ -24,17 +24,17 @@
 		},
 	} {
 		for _, after := range later {
-			require.Equal(t, expected, isRegression(held, after), "%d of generation %d", after.sequence, after.generation)
+			require.Equal(t, expected, isRegression(current, after), "%d of generation %d", after.sequence, after.generation)
 		}
 	}
 }
 
 func TestStateTellsAGenerationThatFalls(t *testing.T) {
 	s := newSnapshotStore()
-	_, done := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
-	require.False(t, done.regressed)
-	_, done = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: 2, Generation: 6}}})
-	require.True(t, done.regressed)
+	_, applied := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
+	require.False(t, applied.regressed)
+	_, applied = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: 2, Generation: 6}}})
+	require.True(t, applied.regressed)
 }
 
 func TestRequestWithAnOlderSnapshotIsAViolation(t *testing.T) {
--- a/internal/proxy/largechange_bench_test.go
+++ b/internal/proxy/largechange_bench_test.go
@@ -23,19 +23,19 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	held := newSnapshotStore()
-	held.apply(&pb.ApplyRequest{Changes: []*pb.Change{first}})
-	before := held.load()
+	store := newSnapshotStore()
+	store.apply(&pb.ApplyRequest{Changes: []*pb.Change{first}})
+	before := store.load()
 	b.ReportAllocs()
 	b.ReportMetric(float64(len(wire)), "bytes-sent")
 	for b.Loop() {
-		held.current.Store(before)
+		store.current.Store(before)
 		request := &pb.ApplyRequest{}
 		if err := proto.Unmarshal(wire, request); err != nil {
 			b.Fatal(err)
 		}
-		if _, done := held.apply(request); !done.tableChanged {
-			b.Fatal("not taken in")
+		if _, applied := store.apply(request); !applied.tableChanged {
+			b.Fatal("not applied")
 		}
 	}
 }
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -34,7 +34,7 @@
 }
 
 func newClientListener(base context.Context, listener net.Listener, handler http.Handler, maxConnections int, counters *counters, logger *zap.Logger) *clientListener {
-	f := &clientListener{
+	l := &clientListener{
 		listener:    listener,
 		handler:     handler,
 		baseContext: base,
@@ -43,48 +43,48 @@
 		slots:       make(chan struct{}, maxConnections),
 		idle:        make(map[net.Conn]struct{}),
 	}
-	f.setLimits(connLimitsOf(route.RequestLimits{}))
-	return f
+	l.setLimits(connLimitsOf(route.RequestLimits{}))
+	return l
 }
 
 // setLimits puts limits in force for the connections accepted from now on. It starts a server whose Serve ends when
 // its queue is closed by the next limits, or with the process; its connections go on.
-func (f *clientListener) setLimits(limits connLimits) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.closed || (f.current != nil && f.limits == limits) {
+func (l *clientListener) setLimits(limits connLimits) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed || (l.current != nil && l.limits == limits) {
 		return
 	}
-	if f.current != nil {
-		f.current.close()
+	if l.current != nil {
+		l.current.close()
 	}
-	f.limits = limits
-	f.current = newConnQueue(f.listener.Addr())
-	server := f.newServer(limits, f.handlerFor(limits))
-	go func(accepted *connQueue) { _ = server.Serve(accepted) }(f.current)
+	l.limits = limits
+	l.current = newConnQueue(l.listener.Addr())
+	server := l.newServer(limits, l.handlerFor(limits))
+	go func(accepted *connQueue) { _ = server.Serve(accepted) }(l.current)
 }
 
 // handlerFor returns the handler for connections under the given limits, and marks those with narrower limits as
 // superseded. The caller holds the lock.
-func (f *clientListener) handlerFor(limits connLimits) *limitedHandler {
-	f.handlers = slices.DeleteFunc(f.handlers, func(previous *limitedHandler) bool {
+func (l *clientListener) handlerFor(limits connLimits) *limitedHandler {
+	l.handlers = slices.DeleteFunc(l.handlers, func(previous *limitedHandler) bool {
 		narrower := previous.limits.narrowerThan(limits)
 		if narrower {
 			previous.superseded.Store(true)
 		}
 		return narrower
 	})
-	for _, previous := range f.handlers {
+	for _, previous := range l.handlers {
 		if previous.limits == limits {
 			return previous
 		}
 	}
-	created := &limitedHandler{Handler: f.handler, limits: limits}
-	f.handlers = append(f.handlers, created)
+	created := &limitedHandler{Handler: l.handler, limits: limits}
+	l.handlers = append(l.handlers, created)
 	return created
 }
 
-func (f *clientListener) newServer(limits connLimits, handler http.Handler) *http.Server {
+func (l *clientListener) newServer(limits connLimits, handler http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &http.Server{
@@ -92,9 +92,9 @@
 		ReadHeaderTimeout: limits.headerRead,
 		IdleTimeout:       limits.keepAlive,
 		MaxHeaderBytes:    limits.maxHeader,
-		ConnState:         f.track,
-		BaseContext:       func(net.Listener) context.Context { return f.baseContext },
-		ErrorLog:          zap.NewStdLog(zap.NewNop()),
+		ConnState:         l.track,
+		BaseContext:       func(net.Listener) context.Context { return l.baseContext },
+		ErrorLog:          zap.NewStdLog(zap.NewNop()), // faults of single connections are not logged
 		Protocols:         protocols,
 		// OPTIONS * has no route, and is rejected like other requests without one.
 		DisableGeneralOptionsHandler: true,
@@ -103,82 +103,82 @@
 
 // track counts open connections and keeps the set of idle ones; it is called by http.Server for each change of
 // state.
-func (f *clientListener) track(conn net.Conn, state http.ConnState) {
+func (l *clientListener) track(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		f.counters.connections.Add(1)
-		f.setIdle(conn)
+		l.counters.connections.Add(1)
+		l.setIdle(conn)
 	case http.StateIdle:
-		f.setIdle(conn)
+		l.setIdle(conn)
 	case http.StateActive:
-		f.mu.Lock()
-		delete(f.idle, conn)
-		f.mu.Unlock()
+		l.mu.Lock()
+		delete(l.idle, conn)
+		l.mu.Unlock()
 	case http.StateClosed, http.StateHijacked:
-		f.counters.connections.Add(-1)
-		f.mu.Lock()
-		delete(f.idle, conn)
-		f.mu.Unlock()
-		<-f.slots
+		l.counters.connections.Add(-1)
+		l.mu.Lock()
+		delete(l.idle, conn)
+		l.mu.Unlock()
+		<-l.slots
 	}
 }
 
-func (f *clientListener) setIdle(conn net.Conn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.idle[conn] = struct{}{}
+func (l *clientListener) setIdle(conn net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.idle[conn] = struct{}{}
 }
 
 // serve accepts connections until close. It blocks while the maximum number of connections is open.
-func (f *clientListener) serve() {
+func (l *clientListener) serve() {
 	for {
-		f.slots <- struct{}{}
-		conn, err := f.listener.Accept()
+		l.slots <- struct{}{}
+		conn, err := l.listener.Accept()
 		if err != nil {
-			<-f.slots
-			if f.isClosed() {
+			<-l.slots
+			if l.isClosed() {
 				return
 			}
-			f.logger.Warn("accepting a connection failed, retrying", zap.Error(err))
+			l.logger.Warn("accepting a connection failed, retrying", zap.Error(err))
 			time.Sleep(acceptBackoff)
 			continue
 		}
-		f.dispatch(conn)
+		l.dispatch(conn)
 	}
 }
 
 // dispatch gives a connection to the server with the limits in force, which may be replaced meanwhile.
-func (f *clientListener) dispatch(conn net.Conn) {
+func (l *clientListener) dispatch(conn net.Conn) {
 	for {
-		f.mu.Lock()
-		current := f.current
-		f.mu.Unlock()
+		l.mu.Lock()
+		current := l.current
+		l.mu.Unlock()
 		if current.offer(conn) {
 			return
 		}
 	}
 }
 
-func (f *clientListener) isClosed() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.closed
+func (l *clientListener) isClosed() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.closed
 }
 
 // close ends accepting. Open connections stay open.
-func (f *clientListener) close() {
-	f.mu.Lock()
-	f.closed = true
-	f.mu.Unlock()
-	_ = f.listener.Close()
+func (l *clientListener) close() {
+	l.mu.Lock()
+	l.closed = true
+	l.mu.Unlock()
+	_ = l.listener.Close()
 }
 
 // closeIdle closes the connections that serve no request. Their server waits in a read: it is woken by the expired
 // deadline and closes the connection, while a request that has just been received is served.
-func (f *clientListener) closeIdle() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for conn := range f.idle {
+func (l *clientListener) closeIdle() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for conn := range l.idle {
 		_ = conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
--- a/internal/proxy/liveness.go
+++ b/internal/proxy/liveness.go
@@ -20,21 +20,21 @@
 }
 
 // recordContact records a call of the agent.
-func (c *agentLiveness) recordContact(now time.Duration) {
-	before := time.Duration(c.lastContact.Swap(int64(now)))
-	if c.timedOut.CompareAndSwap(true, false) {
-		c.logger.Info("agent contact restored", zap.Duration("since_contact", now-before))
+func (l *agentLiveness) recordContact(now time.Duration) {
+	before := time.Duration(l.lastContact.Swap(int64(now)))
+	if l.timedOut.CompareAndSwap(true, false) {
+		l.logger.Info("agent contact restored", zap.Duration("since_contact", now-before))
 	}
 }
 
 // sinceContact is the time since the last call, or since the start of the clock before the first.
-func (c *agentLiveness) sinceContact(now time.Duration) time.Duration {
-	return max(0, now-time.Duration(c.lastContact.Load()))
+func (l *agentLiveness) sinceContact(now time.Duration) time.Duration {
+	return max(0, now-time.Duration(l.lastContact.Load()))
 }
 
 // checkTimeout logs once that the agent has timed out. It is called at the housekeeping interval.
-func (c *agentLiveness) checkTimeout(now time.Duration) {
-	if age := c.sinceContact(now); age > agentTimeout && c.timedOut.CompareAndSwap(false, true) {
-		c.logger.Warn("agent timed out", zap.Duration("since_contact", age))
+func (l *agentLiveness) checkTimeout(now time.Duration) {
+	if age := l.sinceContact(now); age > agentTimeout && l.timedOut.CompareAndSwap(false, true) {
+		l.logger.Warn("agent timed out", zap.Duration("since_contact", age))
 	}
 }
--- a/internal/proxy/process.go
+++ b/internal/proxy/process.go
@@ -20,9 +20,12 @@
 	"fieldrelay/internal/settings"
 )
 
-// process is a running proxy. It owns these goroutines, all started by start: the accept loop of clients
-// (listener), the send and receive loops of announcer, and one for each internal server. Beside them net/http runs
-// one for each connection. start is called once, then serve, drain and stop, by one goroutine.
+// process is a running proxy. start, serve, drain and stop are called in this order by one goroutine.
+//
+// start starts these goroutines, which end after stop has closed what they read from; nobody waits for them, since the
+// process exits then: the accept loop for clients, the send and receive loops of the announcer, and one for each
+// internal server. clientListener runs one http.Server for each limits in force, see setLimits. Beside them net/http runs
+// a goroutine for each connection. drain waits for those of clients.
 type process struct {
 	options          Options
 	disabled         policy.Switches
@@ -197,7 +200,7 @@
 	server := &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: headerReadTimeout,
-		ErrorLog:          zap.NewStdLog(zap.NewNop()),
+		ErrorLog:          zap.NewStdLog(zap.NewNop()), // faults of single connections are not logged
 	}
 	p.internalServers = append(p.internalServers, server)
 	go func() { _ = server.Serve(listener) }()
--- a/internal/proxy/process_test.go
+++ b/internal/proxy/process_test.go
@@ -111,7 +111,7 @@
 	require.Equal(t, "edge-1", status.GetHost())
 	require.NotZero(t, status.GetIncarnation())
 	require.False(t, status.GetReady())
-	require.NotNil(t, status.GetDigests(), "it asks for the whole state")
+	require.NotNil(t, status.GetDigests(), "it requests the full state")
 	require.Equal(t, 503, r.ready())
 	early := r.dial()
 	early.send("GET", "/m/x", headerDeadline+": 60\r\n", "")
@@ -328,14 +328,14 @@
 }
 
 func TestListenersThatCanNotBeOpened(t *testing.T) {
-	taken, err := net.Listen("tcp4", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer func() { _ = taken.Close() }()
+	defer func() { _ = occupied.Close() }()
 	for _, spoil := range []func(*settings.Settings){
-		func(s *settings.Settings) { s.Binds.Edge = taken.Addr().String() },
-		func(s *settings.Settings) { s.Binds.Ready = taken.Addr().String() },
+		func(s *settings.Settings) { s.Binds.Edge = occupied.Addr().String() },
+		func(s *settings.Settings) { s.Binds.Ready = occupied.Addr().String() },
 		func(s *settings.Settings) {
-			s.PortRange[0] = taken.Addr().(*net.TCPAddr).Port - configStreamPort
+			s.PortRange[0] = occupied.Addr().(*net.TCPAddr).Port - configStreamPort
 		},
 	} {
 		configured := testSettings(1)
--- a/internal/proxy/pure_test.go
+++ b/internal/proxy/pure_test.go
@@ -196,10 +196,10 @@
 		piece := data[:min(size, len(data))]
 		data = data[len(piece):]
 		for len(piece) > 0 {
-			taken, whole := scanner.scan(piece)
-			current = append(current, piece[:taken]...)
-			piece = piece[taken:]
-			if whole {
+			scanned, complete := scanner.scan(piece)
+			current = append(current, piece[:scanned]...)
+			piece = piece[scanned:]
+			if complete {
 				events = append(events, string(current))
 				current = nil
 			}
@@ -248,10 +248,10 @@
 	for _, length := range []int{maxIDLine - len("id: ") - 1, maxIDLine, 2 * maxIDLine} {
 		scanner := newEventScanner()
 		data := []byte("id: 1\n\nid: " + strings.Repeat("9", length) + "\n\n")
-		taken, whole := scanner.scan(data)
-		require.True(t, whole)
-		_, whole = scanner.scan(data[taken:])
-		require.True(t, whole)
+		scanned, complete := scanner.scan(data)
+		require.True(t, complete)
+		_, complete = scanner.scan(data[scanned:])
+		require.True(t, complete)
 		require.Equal(t, length >= maxIDLine, scanner.eventWithoutID)
 		require.Equal(t, length >= maxIDLine, scanner.lastID == "1")
 	}
--- a/internal/proxy/snapshot_test.go
+++ b/internal/proxy/snapshot_test.go
@@ -37,41 +37,41 @@
 	require.True(t, s.needsFullState())
 	require.False(t, s.load().configured())
 
-	held, done := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
-	require.True(t, done.tableChanged)
-	require.Empty(t, done.rejected)
-	require.Empty(t, done.partial)
-	require.EqualValues(t, 7, held.generation)
-	require.Equal(t, 1, held.table.Routes())
+	current, applied := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
+	require.True(t, applied.tableChanged)
+	require.Empty(t, applied.rejected)
+	require.Empty(t, applied.partial)
+	require.EqualValues(t, 7, current.generation)
+	require.Equal(t, 1, current.table.Routes())
 	require.False(t, s.needsFullState())
 
-	_, done = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
-	require.False(t, done.tableChanged, "a change that was taken is ignored")
+	_, applied = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
+	require.False(t, applied.tableChanged, "a change that was applied already is ignored")
 
 	evacuate := &pb.Change{Sequence: 2, Generation: 7, Upserts: []*pb.Item{{Kind: catalog.KindEvacuation, Name: "z1", Sequence: 2}}}
-	held, _ = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{evacuate}})
-	require.Equal(t, []string{"z1"}, held.table.Evacuated())
-	require.Equal(t, 1, held.table.Routes())
+	current, _ = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{evacuate}})
+	require.Equal(t, []string{"z1"}, current.table.Evacuated())
+	require.Equal(t, 1, current.table.Routes())
 }
 
 func TestStateAsksForTheWholeAfterAGap(t *testing.T) {
 	s := newSnapshotStore()
 	s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
-	held, done := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: 3, Generation: 9}}, Confirmed: true})
-	require.False(t, done.tableChanged)
-	require.EqualValues(t, 1, held.sequence)
-	require.False(t, held.confirmed, "what was confirmed is not held")
+	current, applied := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: 3, Generation: 9}}, Confirmed: true})
+	require.False(t, applied.tableChanged)
+	require.EqualValues(t, 1, current.sequence)
+	require.False(t, current.confirmed, "the confirmed state is not in force")
 	require.True(t, s.needsFullState())
 
-	held, _ = s.apply(&pb.ApplyRequest{Repair: &pb.Repair{Sequence: 3, Generation: 9, Ranges: []*pb.Range{{Index: 1}}}})
-	require.EqualValues(t, 1, held.sequence, "a part of a state is not enough")
+	current, _ = s.apply(&pb.ApplyRequest{Repair: &pb.Repair{Sequence: 3, Generation: 9, Ranges: []*pb.Range{{Index: 1}}}})
+	require.EqualValues(t, 1, current.sequence, "a repair of some ranges is not enough")
 	require.True(t, s.needsFullState())
 
-	held, done = s.apply(&pb.ApplyRequest{Repair: fullRepair(3, 9, serviceItem(3)), Confirmed: true})
-	require.True(t, done.tableChanged)
-	require.EqualValues(t, 3, held.sequence)
-	require.Zero(t, held.table.Routes())
-	require.True(t, held.confirmed)
+	current, applied = s.apply(&pb.ApplyRequest{Repair: fullRepair(3, 9, serviceItem(3)), Confirmed: true})
+	require.True(t, applied.tableChanged)
+	require.EqualValues(t, 3, current.sequence)
+	require.Zero(t, current.table.Routes())
+	require.True(t, current.confirmed)
 	require.False(t, s.needsFullState())
 }
 
@@ -83,10 +83,10 @@
 		{Repair: fullRepair(5, 9)},
 		{Changes: []*pb.Change{firstChange()}},
 	} {
-		held, done := s.apply(request)
-		require.False(t, done.tableChanged)
-		require.EqualValues(t, 5, held.sequence)
-		require.Equal(t, 1, held.table.Routes())
+		current, applied := s.apply(request)
+		require.False(t, applied.tableChanged)
+		require.EqualValues(t, 5, current.sequence)
+		require.Equal(t, 1, current.table.Routes())
 	}
 }
 
@@ -112,8 +112,8 @@
 		{nil, false},
 	}
 	for index, step := range steps {
-		_, done := s.apply(&pb.ApplyRequest{List: step.list})
-		require.Equal(t, step.taken, done.listChanged, "step %d", index)
+		_, applied := s.apply(&pb.ApplyRequest{List: step.list})
+		require.Equal(t, step.taken, applied.listChanged, "step %d", index)
 	}
 	require.Empty(t, s.load().servers)
 }
--- a/internal/proxy/startupwait_test.go
+++ b/internal/proxy/startupwait_test.go
@@ -14,7 +14,7 @@
 	r := startProcess(t, 1)
 	early := r.dial()
 	early.send("POST", "/m/x", "", "body")
-	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request is held")
+	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request waits")
 
 	r.apply(&pb.ApplyRequest{Changes: []*pb.Change{testChange()}})
 	require.Empty(t, server.requests(), "without a list of servers it goes on waiting")
@@ -27,14 +27,14 @@
 }
 
 func TestAHeldRequestIsRefusedInTimeForAnotherTry(t *testing.T) {
-	const told = 100 * time.Millisecond
+	const clientTimeout = 100 * time.Millisecond
 	r := startProcess(t, 1)
 	early := r.dial()
 	began := time.Now()
 	early.send("GET", "/m/x", headerDeadline+": 100\r\n", "")
 	response, _ := early.receive("GET")
 	require.Equal(t, 503, response.StatusCode)
-	require.GreaterOrEqual(t, time.Since(began), told/startupWaitFraction)
+	require.GreaterOrEqual(t, time.Since(began), clientTimeout/startupWaitFraction)
 	require.False(t, response.Close)
 	require.Zero(t, r.process.memory.used.Load())
 }
@@ -44,7 +44,7 @@
 	r := startProcess(t, 1)
 	early := r.dial()
 	early.send("POST", "/none/x", "", "body")
-	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request is held")
+	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request waits")
 	r.configure(server)
 	response, _ := early.receive("POST")
 	require.Equal(t, 404, response.StatusCode)
@@ -55,7 +55,7 @@
 	r := startProcess(t, 1)
 	early := r.dial()
 	early.send("GET", "/m/x", "", "")
-	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request is held")
+	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request waits")
 	require.NoError(t, early.conn.Close())
 	eventually(t, func() bool { return r.process.counters.active.Load() == 0 }, "it is dropped")
 }
--- a/internal/proxy/testproxy_test.go
+++ b/internal/proxy/testproxy_test.go
@@ -285,9 +285,9 @@
 		random:     func() float64 { return 0.5 },
 	}
 	h.lifecycle = &lifecycle{snapshot: h.snapshots.load}
-	_, done := h.snapshots.apply(&pb.ApplyRequest{Changes: []*pb.Change{testChange()}, List: &pb.ServerList{}, Confirmed: true})
-	require.Empty(t, done.rejected)
-	require.Empty(t, done.partial)
+	_, applied := h.snapshots.apply(&pb.ApplyRequest{Changes: []*pb.Change{testChange()}, List: &pb.ServerList{}, Confirmed: true})
+	require.Empty(t, applied.rejected)
+	require.Empty(t, applied.partial)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	base, abandon := context.WithCancel(context.Background())
--- a/internal/proxy/trial_test.go
+++ b/internal/proxy/trial_test.go
@@ -41,7 +41,7 @@
 const (
 	reactsWell      reaction = iota // 200
 	reactsFailed                    // 500
-	reactsDeclined                  // 503 with the promise that the request has not run
+	reactsDeclined                  // 503 that says that the request was not run
 	reactsUnclearly                 // 503 without
 	reactions
 )
--- a/internal/proxy/trialrecord_test.go
+++ b/internal/proxy/trialrecord_test.go
@@ -101,12 +101,12 @@
 
 // result is what a client received.
 type result struct {
-	status int // 0: no answer
-	seal   string
-	id     string
-	body   string
-	whole  bool
-	left   bool // the client left before the end
+	status       int // 0: no answer
+	seal         string
+	id           string
+	body         string
+	complete     bool
+	disconnected bool // the client left before the end
 }
 
 // readResult reads a response from a client's connection.
@@ -117,11 +117,11 @@
 	}
 	body, err := io.ReadAll(response.Body)
 	return result{
-		status: response.StatusCode,
-		seal:   response.Header.Get(headerServerSeal),
-		id:     response.Header.Get(headerAttemptID),
-		body:   string(body),
-		whole:  err == nil,
+		status:   response.StatusCode,
+		seal:     response.Header.Get(headerServerSeal),
+		id:       response.Header.Get(headerAttemptID),
+		body:     string(body),
+		complete: err == nil,
 	}
 }
 
@@ -152,7 +152,7 @@
 	case !isSuccess(got.status):
 	case tr.kind.stream:
 		b.checkStream(tr, got, fail)
-	case got.whole && !b.wasSent(tr.id, got):
+	case got.complete && !b.wasSent(tr.id, got):
 		fail("got %q of %q as a whole answer", got.body, got.seal)
 	}
 	return found
@@ -181,11 +181,11 @@
 	body, err := io.ReadAll(response.Body)
 	untilEnd := response.ContentLength < 0 && len(response.TransferEncoding) == 0
 	return result{
-		status: response.StatusCode,
-		seal:   response.Header.Get(headerServerSeal),
-		id:     response.Header.Get(headerAttemptID),
-		body:   string(body),
-		whole:  true,
+		status:   response.StatusCode,
+		seal:     response.Header.Get(headerServerSeal),
+		id:       response.Header.Get(headerAttemptID),
+		body:     string(body),
+		complete: true,
 	}, err == nil && (a.closed || !untilEnd)
 }
 
@@ -208,7 +208,7 @@
 		}
 		rest = next
 	}
-	if !got.whole || got.left {
+	if !got.complete || got.disconnected {
 		return
 	}
 	if (last < pieces || rest != "") && !b.wasSent(tr.id, got) {
--- a/internal/proxy/trials_test.go
+++ b/internal/proxy/trials_test.go
@@ -39,13 +39,13 @@
 	lengths       map[string]int64 // of requests as the first server gets them, by kind
 	count         int
 	probes        map[int]int // by status
-	patience      time.Duration
+	timeout       time.Duration
 	missed        int // trials that the first server never got: no connection came up in time
 }
 
 func newTrialWorker(t *testing.T, between func(*handler) http.Handler) *trialWorker {
 	t.Helper()
-	w := &trialWorker{t: t, record: newTrialRecord(), lengths: make(map[string]int64), probes: make(map[int]int), patience: testTimeout}
+	w := &trialWorker{t: t, record: newTrialRecord(), lengths: make(map[string]int64), probes: make(map[int]int), timeout: testTimeout}
 	w.first, w.second = newFaultyServer(t, "one", w.record), newFaultyServer(t, "two", w.record)
 	placer := &fakePlacer{servers: []upstream.Server{w.first.server, w.second.server}}
 	w.proxy = newTestProxyWith(t, placer, between)
@@ -117,7 +117,7 @@
 		w.missed++
 	}
 	faults = append(faults, w.record.check(&tr, got)...) // once more: what came late counts as well
-	if got.left && w.record.reachedServer(tr.id, w.second.server.ID) {
+	if got.disconnected && w.record.reachedServer(tr.id, w.second.server.ID) {
 		faults = append(faults, "went to another server after its client had left")
 	}
 	return append(faults, w.requestBetween(&tr)...)
@@ -167,12 +167,12 @@
 	case <-time.After(testTimeout):
 		failure = "the server was not reached"
 	}
-	return result{left: true}, failure
+	return result{disconnected: true}, failure
 }
 
 // becomesIdle waits until the proxy has finished all requests, and the servers' connections with them.
 func (w *trialWorker) becomesIdle() bool {
-	return becomesTrue(w.patience, func() bool {
+	return becomesTrue(w.timeout, func() bool {
 		return w.proxy.handler.counters.active.Load() == 0 && w.first.busy.Load() == 0 && w.second.busy.Load() == 0
 	})
 }
@@ -197,7 +197,7 @@
 type trialSummary struct {
 	found  []string    // broken rules, about maxViolations of them
 	probes map[int]int // answers to the requests between trials, by status
-	missed int         // trials without their misdeed
+	missed int         // trials without their fault
 }
 
 // runTrials runs trials with several proxies at a time.
@@ -209,7 +209,7 @@
 	got := &trialSummary{probes: make(map[int]int)}
 	for range trialWorkers {
 		w := newTrialWorker(t, between)
-		w.patience = wait
+		w.timeout = wait
 		done.Go(func() {
 			for index := next.Add(1) - 1; index < int64(len(all)); index = next.Add(1) - 1 {
 				faults := w.run(all[index])
@@ -248,8 +248,8 @@
 // or sees that it is incomplete, a request that was rejected is not run, and nothing goes on after a client is gone.
 func TestAnswersAndRunsWithAServerThatMisbehavesAtAnyByte(t *testing.T) {
 	stride := trialStride
-	if told, err := strconv.Atoi(os.Getenv("PROXY_TRIAL_STRIDE")); err == nil && told > 0 {
-		stride = told
+	if configured, err := strconv.Atoi(os.Getenv("PROXY_TRIAL_STRIDE")); err == nil && configured > 0 {
+		stride = configured
 	}
 	lengths := newTrialWorker(t, unwrapped).lengths
 	all := append(allTrials(stride, lengths), longTrials(lengths)...)
--- a/internal/proxy/upstream/explore_test.go
+++ b/internal/proxy/upstream/explore_test.go
@@ -34,8 +34,8 @@
 
 func TestPoolInAllOrders(t *testing.T) {
 	depth := poolDepth
-	if told := os.Getenv("PROXY_POOL_DEPTH"); told != "" {
-		_, err := fmt.Sscan(told, &depth)
+	if configured := os.Getenv("PROXY_POOL_DEPTH"); configured != "" {
+		_, err := fmt.Sscan(configured, &depth)
 		require.NoError(t, err)
 	}
 	began := time.Now()
--- a/internal/proxy/upstream/pool_model_test.go
+++ b/internal/proxy/upstream/pool_model_test.go
@@ -84,17 +84,17 @@
 func (p *poolSystem) Events() []string {
 	var names []string
 	for caller := range 2 {
-		held := p.connOf(caller)
-		if held == nil {
+		used := p.connOf(caller)
+		if used == nil {
 			names = append(names, fmt.Sprintf("%d connects", caller))
 			continue
 		}
-		if held.requestID == "" {
+		if used.requestID == "" {
 			names = append(names, fmt.Sprintf("%d sends", caller), fmt.Sprintf("%d releases unused", caller))
 			continue
 		}
 		names = append(names, fmt.Sprintf("%d aborts", caller))
-		if held.responded || held.closed {
+		if used.responded || used.closed {
 			names = append(names, fmt.Sprintf("%d receives", caller))
 		}
 	}
@@ -152,24 +152,24 @@
 
 // call performs one action of a caller.
 func (p *poolSystem) call(caller int, what string) {
-	held := p.connOf(caller)
+	used := p.connOf(caller)
 	switch what {
 	case "connects":
 		p.connect(caller)
 	case "sends":
 		p.requests++
-		held.requestID, held.responded = fmt.Sprintf("id%d", p.requests), false
-		_ = held.conn.Send(fmt.Appendf(nil, "GET / HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", AttemptIDHeader, held.requestID), nil)
+		used.requestID, used.responded = fmt.Sprintf("id%d", p.requests), false
+		_ = used.conn.Send(fmt.Appendf(nil, "GET / HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", AttemptIDHeader, used.requestID), nil)
 	case "releases unused":
-		held.user = noUser
-		p.steps.release(p.pool, held.conn)
+		used.user = noUser
+		p.steps.release(p.pool, used.conn)
 	case "aborts":
-		held.user = noUser
-		held.requestID = ""
-		held.conn.Abort()
-		p.steps.discard(p.pool, held.conn)
+		used.user = noUser
+		used.requestID = ""
+		used.conn.Abort()
+		p.steps.discard(p.pool, used.conn)
 	case "receives":
-		p.read(held)
+		p.read(used)
 	}
 	p.forgetClosed()
 }
@@ -203,21 +203,21 @@
 }
 
 // read receives the response. It may succeed only for the response to the caller's own request.
-func (p *poolSystem) read(held *testConn) {
-	id := held.requestID
-	held.user, held.requestID = noUser, ""
-	held.requests++
-	held.unread = ""
-	response, err := p.steps.receive(held.conn, id)
+func (p *poolSystem) read(used *testConn) {
+	id := used.requestID
+	used.user, used.requestID = noUser, ""
+	used.requests++
+	used.unread = ""
+	response, err := p.steps.receive(used.conn, id)
 	if err != nil {
-		p.steps.discard(p.pool, held.conn)
+		p.steps.discard(p.pool, used.conn)
 		return
 	}
 	body, err := io.ReadAll(response.Body)
 	if err == nil && string(body) != "answer to "+id {
 		p.fail(errors.Newf("%s got %q", id, body))
 	}
-	p.steps.release(p.pool, held.conn)
+	p.steps.release(p.pool, used.conn)
 }
 
 // serve performs one action of the server on a connection, and waits until it can be seen at the other end.
--- a/internal/proxy/upstream/receive_test.go
+++ b/internal/proxy/upstream/receive_test.go
@@ -40,16 +40,16 @@
 func TestAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
 	const begun = "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\nbody"
 	cases := map[string]struct {
-		script func(*net.TCPConn)
-		whole  bool
-		fault  Fault
+		script   func(*net.TCPConn)
+		complete bool
+		fault    Fault
 	}{
-		"closed": {script: respond(begun), whole: true},
+		"closed": {script: respond(begun), complete: true},
 		"half closed": {script: func(conn *net.TCPConn) {
 			respond(begun)(conn)
 			_ = conn.CloseWrite()
 			_, _ = io.Copy(io.Discard, conn)
-		}, whole: true},
+		}, complete: true},
 		"reset": {script: func(conn *net.TCPConn) {
 			respond(begun)(conn)
 			_ = conn.SetLinger(0)
@@ -66,7 +66,7 @@
 				conn.SetDeadline(time.Now().Add(30 * time.Millisecond))
 			}
 			body, err := io.ReadAll(response.Body)
-			if test.whole {
+			if test.complete {
 				require.NoError(t, err)
 				require.Equal(t, "body", string(body))
 			} else {
--- a/internal/proxy/upstream/send_test.go
+++ b/internal/proxy/upstream/send_test.go
@@ -219,19 +219,19 @@
 // A request is sent in order and once, wherever the kernel stops accepting it.
 func TestRequestIsWrittenOnceWhereverItIsSplit(t *testing.T) {
 	head, body := []byte("the head"), []byte("and the body")
-	whole := string(head) + string(body)
-	for taken := range len(whole) {
+	request := string(head) + string(body)
+	for written := range len(request) {
 		got := make(chan string, 1)
 		pool := NewPool(Config{})
 		conn := connect(t, pool, scriptedServer(t, func(conn *net.TCPConn) {
-			all := make([]byte, len(whole)-taken)
+			all := make([]byte, len(request)-written)
 			_, _ = io.ReadFull(conn, all)
 			got <- string(all)
 		}))
-		conn.writePending(head, body, taken)
-		require.Equal(t, whole[taken:], <-got)
+		conn.writePending(head, body, written)
+		require.Equal(t, request[written:], <-got)
 		<-conn.pending.done
-		require.EqualValues(t, len(whole), conn.pending.written)
+		require.EqualValues(t, len(request), conn.pending.written)
 		require.True(t, conn.fullySent())
 		pool.Discard(conn)
 	}
--- a/internal/proxy/upstream/upstream_test.go
+++ b/internal/proxy/upstream/upstream_test.go
@@ -110,7 +110,7 @@
 
 func TestConnectionIsNotReused(t *testing.T) {
 	cases := map[string]string{
-		"told to close":     "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",
+		"Connection: close": "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",
 		"surplus bytes":     goodAnswer + goodAnswer,
 		"no idle time":      "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\nKeep-Alive: timeout=0\r\n\r\nok",
 		"answer of HTTP1.0": "HTTP/1.0 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\n\r\nok",
@@ -285,8 +285,8 @@
 
 func TestKeepAliveTimeout(t *testing.T) {
 	cases := map[string]struct {
-		told time.Duration
-		ok   bool
+		timeout time.Duration
+		ok      bool
 	}{
 		"timeout=5":          {5 * time.Second, true},
 		"max=9, Timeout = 3": {3 * time.Second, true},
@@ -296,9 +296,9 @@
 		"":                   {0, false},
 	}
 	for value, test := range cases {
-		told, ok := keepAliveTimeout(value)
+		timeout, ok := keepAliveTimeout(value)
 		require.Equal(t, test.ok, ok, value)
-		require.Equal(t, test.told, told, value)
+		require.Equal(t, test.timeout, timeout, value)
 	}
 	require.Zero(t, usableIdleTimeout(0))
 	require.Equal(t, 4500*time.Millisecond, usableIdleTimeout(5*time.Second))
