--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -87,7 +87,7 @@
 		}
 		n, err := source.Read(b.bytes[len(b.bytes):cap(b.bytes)])
 		b.bytes = b.bytes[:len(b.bytes)+n]
-		if errors.Is(err, io.EOF) {
+		if err == io.EOF { // never wrapped, see io.Reader
 			return true, nil
 		}
 		if err != nil {
--- a/internal/proxy/connlimits.go
+++ b/internal/proxy/connlimits.go
@@ -20,8 +20,6 @@
 	limitSlack = time.Second
 	// headerSlack is added to the bound on heads, since net/http counts the request line and line ends as well.
 	headerSlack = 4 << 10
-	// acceptBackoff is the wait after a connection could not be accepted.
-	acceptBackoff = 5 * time.Millisecond
 )
 
 // connLimits are the limits of a client's connection.
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -19,6 +19,9 @@
 	exitReserve = 500 * time.Millisecond
 )
 
+// drainPollInterval is the time between two checks for open connections during a shutdown.
+const drainPollInterval = 10 * time.Millisecond
+
 // drainPlan is the schedule of a graceful shutdown, as times since its begin.
 type drainPlan struct {
 	deadlineCheck time.Duration // then only requests are accepted that end before abort
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -96,7 +96,7 @@
 				return &clientWriteError{err}
 			}
 		}
-		if errors.Is(readError, io.EOF) {
+		if readError == io.EOF { // never wrapped, see io.Reader
 			return nil
 		}
 		if readError != nil {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -9,20 +9,9 @@
 	"fieldrelay/internal/route"
 )
 
-const (
-	// retryAfterNoConfiguration is the Retry-After while there is no configuration yet.
-	retryAfterNoConfiguration = 200 * time.Millisecond
-	// retryAfterShort is the Retry-After where a retry may succeed at once, here or at another proxy.
-	retryAfterShort = 50 * time.Millisecond
-	// writeSlack is how long after the deadline a response may still be written to a client that reads slowly. By the
-	// rules a request that lasts a quarter of a second past its route's deadline costs, and half a second is a violation.
-	writeSlack = 200 * time.Millisecond
-	// retrySlack is by how much the timeout of a client's first attempt may be shorter than the route's deadline, since
-	// the way here takes time. Retries have what is left, which is less by the response to the first one at least.
-	retrySlack = 60 * time.Millisecond
-	// longestDeadline bounds the timeout that a client may request.
-	longestDeadline = 10 * time.Minute
-)
+// writeSlack is how long after the deadline a response may still be written to a client that reads slowly. By the
+// rules a request that lasts a quarter of a second past its route's deadline costs, and half a second is a violation.
+const writeSlack = 200 * time.Millisecond
 
 // handler serves the requests of clients. It is safe for concurrent use.
 type handler struct {
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -13,6 +13,9 @@
 	"fieldrelay/internal/route"
 )
 
+// acceptBackoff is the wait after a connection could not be accepted.
+const acceptBackoff = 5 * time.Millisecond
+
 // clientListener accepts the connections of clients. The limits of a running http.Server can't be changed, so new
 // limits start a new server, which gets the connections accepted from then on. Connections of earlier servers keep
 // their limits, and are closed after their next response if the new limits are wider. It is safe for concurrent
--- a/internal/proxy/process.go
+++ b/internal/proxy/process.go
@@ -20,6 +20,25 @@
 	"fieldrelay/internal/settings"
 )
 
+const (
+	// configStreamPort is the index, in the machine's port range, of the port that the agent calls.
+	configStreamPort = 2
+	// countersInterval is the time between two log lines with the counters.
+	countersInterval = time.Minute
+	// housekeepingInterval is the time between two checks of idle connections, the settings file and the agent.
+	housekeepingInterval = time.Second
+	// bodyMemoryFraction is the fraction of the memory (one in bodyMemoryFraction) that bodies in flight may use.
+	bodyMemoryFraction = 8
+	megabyte           = 1 << 20
+	// reservedDescriptors is the number of file descriptors that are not for connections. Of the others, half are for
+	// clients and half for servers.
+	reservedDescriptors = 256
+	// minConnections is the least limit on clients' connections.
+	minConnections = 64
+	// headerReadTimeout bounds the time in which the head of a call of the platform or the agent is read.
+	headerReadTimeout = 5 * time.Second
+)
+
 // process is a running proxy. start, serve, drain and stop are called in this order by one goroutine.
 //
 // start starts these goroutines, which end after stop has closed what they read from; nobody waits for them, since the
@@ -252,24 +271,3 @@
 	p.pool.Close()
 	p.announcer.close()
 }
-
-const (
-	// configStreamPort is the index, in the machine's port range, of the port that the agent calls.
-	configStreamPort = 2
-	// countersInterval is the time between two log lines with the counters.
-	countersInterval = time.Minute
-	// housekeepingInterval is the time between two checks of idle connections, the settings file and the agent.
-	housekeepingInterval = time.Second
-	// drainPollInterval is the time between two checks for open connections during a shutdown.
-	drainPollInterval = 10 * time.Millisecond
-	// bodyMemoryFraction is the fraction of the memory (one in bodyMemoryFraction) that bodies in flight may use.
-	bodyMemoryFraction = 8
-	megabyte           = 1 << 20
-	// reservedDescriptors is the number of file descriptors that are not for connections. Of the others, half are for
-	// clients and half for servers.
-	reservedDescriptors = 256
-	// minConnections is the least limit on clients' connections.
-	minConnections = 64
-	// headerReadTimeout bounds the time in which the head of a call of the platform or the agent is read.
-	headerReadTimeout = 5 * time.Second
-)
--- a/internal/proxy/rejection.go
+++ b/internal/proxy/rejection.go
@@ -8,6 +8,13 @@
 	"github.com/cockroachdb/errors"
 )
 
+const (
+	// retryAfterNoConfiguration is the Retry-After while there is no configuration yet.
+	retryAfterNoConfiguration = 200 * time.Millisecond
+	// retryAfterShort is the Retry-After where a retry may succeed at once, here or at another proxy.
+	retryAfterShort = 50 * time.Millisecond
+)
+
 // abortConnection ends a client's connection in the middle of a response. With a length or chunks the client sees
 // that the response is incomplete. A response to a client of HTTP/1.0 may be close-delimited, so that its
 // connection must be reset. It panics with http.ErrAbortHandler, by which net/http closes the connection.
--- a/internal/proxy/requestheaders.go
+++ b/internal/proxy/requestheaders.go
@@ -10,6 +10,14 @@
 	"fieldrelay/internal/route"
 )
 
+const (
+	// retrySlack is by how much the timeout of a client's first attempt may be shorter than the route's deadline, since
+	// the way here takes time. Retries have what is left, which is less by the response to the first one at least.
+	retrySlack = 60 * time.Millisecond
+	// longestDeadline bounds the timeout that a client may request.
+	longestDeadline = 10 * time.Minute
+)
+
 // attemptIDOf returns the id of a request; ok is false unless there is exactly one.
 func attemptIDOf(header http.Header) (id string, ok bool) {
 	values := header[headerAttemptID]
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -114,7 +114,7 @@
 			filled += n
 		}
 		switch {
-		case errors.Is(readError, io.EOF):
+		case readError == io.EOF: // never wrapped, see io.Reader
 			return a.forwardTail(stream, buffer[:filled])
 		case readError != nil:
 			return readError
