--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,12 +25,12 @@
 
 // Ports of a machine, counted from the first for own messages.
 const (
-	peerPort = 1 // the agents' service
-	feedPort = 2 // the proxy's service on the loopback interface
+	peerPort      = 1 // the agents' service
+	proxyLinkPort = 2 // the proxy's service on the loopback interface
 )
 
-// queueSize is the number of events that may wait for the core.
-const queueSize = 64
+// eventQueueSize is the number of events that may wait for the core.
+const eventQueueSize = 64
 
 // Options replace what an agent takes from its settings. The zero value replaces nothing.
 type Options struct {
@@ -69,7 +69,7 @@
 // complete fills in what options leave to the settings.
 func (o Options) complete(ctx context.Context, from *settings.Settings) (Options, error) {
 	if o.Proxy == "" {
-		o.Proxy = from.LoopbackPort(feedPort)
+		o.Proxy = from.LoopbackPort(proxyLinkPort)
 	}
 	if o.LinkAddress == nil {
 		o.LinkAddress = linkAddress(from.PortRange[0])
@@ -91,41 +91,41 @@
 	server   *http.Server
 	listener net.Listener
 	reloader *reloader
-	inbox    chan event
+	events   chan event
 	started  time.Time
 	cancel   context.CancelFunc // ends all calls
 	logger   *zap.Logger
 }
 
 func newProcess(from *settings.Settings, logger *zap.Logger, options Options) *process {
-	self := shuffle.Neighbour{
+	neighbour := shuffle.Neighbour{
 		Host:    from.Hostname,
 		Address: options.Listener.Addr().String(),
 		Zone:    from.Zone,
 		Region:  from.Region,
 	}
 	seeds := resolveSeeds(from.Seeds, options.LinkAddress, logger)
-	inbox := make(chan event, queueSize)
+	events := make(chan event, eventQueueSize)
 	calls, cancel := context.WithCancel(context.Background())
-	post := func(happened event) {
+	post := func(received event) {
 		select {
-		case inbox <- happened:
+		case events <- received:
 		case <-calls.Done():
 		}
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	calling := newCaller(calls, self, options.Proxy, post)
+	calling := newCaller(calls, neighbour, options.Proxy, post)
 	if options.Dial != nil {
 		calling.dialWith(options.Dial)
 	}
-	who := identity{neighbour: self, incarnation: newIncarnation(time.Now())}
+	self := identity{neighbour: neighbour, incarnation: newIncarnation(time.Now())}
 	return &process{
-		core:     newCore(who, seeds, from.Bounds.Grace(), random, logger),
+		core:     newCore(self, seeds, from.Bounds.Grace(), random, logger),
 		caller:   calling,
-		server:   newServer(inbox, logger),
+		server:   newServer(events, logger),
 		listener: options.Listener,
 		reloader: newReloader(options.SettingsPath, seeds, options.LinkAddress, logger),
-		inbox:    inbox,
+		events:   events,
 		started:  time.Now(),
 		cancel:   cancel,
 		logger:   logger,
@@ -165,45 +165,45 @@
 	defer signal.Stop(hangups)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	asked := ctx.Done()
+	shutdownRequestedBy := ctx.Done()
 	for {
-		var happened event = tick{}
+		var received event = tick{}
 		select {
-		case happened = <-p.inbox:
+		case received = <-p.events:
 		case <-timer.C:
 		case <-hangups:
-			p.reread(p.reloader.read())
-		case <-asked:
-			asked = nil
-			happened = endRequested{}
+			p.applySeeds(p.reloader.reload())
+		case <-shutdownRequestedBy:
+			shutdownRequestedBy = nil
+			received = shutdownRequested{}
 		case err := <-served:
 			return errors.Wrap(err, "serve the other agents")
 		}
-		p.step(happened)
+		p.step(received)
 		now := p.now()
-		if p.core.over(now) {
+		if p.core.finished(now) {
 			return nil
 		}
-		p.reread(p.reloader.look(now))
-		timer.Reset(max(p.core.wake(now)-now, shortestTick))
+		p.applySeeds(p.reloader.poll(now))
+		timer.Reset(max(p.core.nextTick(now)-now, minTickInterval))
 	}
 }
 
-// shortestTick bounds how often the core is woken when nothing has happened.
-const shortestTick = 5 * time.Millisecond
+// minTickInterval bounds how often the core is woken when nothing has happened.
+const minTickInterval = 5 * time.Millisecond
 
 // step tells the core an event and begins the calls that it wants.
-func (p *process) step(happened event) {
-	for _, wanted := range p.core.step(p.now(), happened) {
-		if !p.caller.do(wanted) {
+func (p *process) step(received event) {
+	for _, call := range p.core.step(p.now(), received) {
+		if !p.caller.start(call) {
 			p.core.counters.droppedActions++
 		}
 	}
 }
 
-func (p *process) reread(seeds []string, changed bool) {
+func (p *process) applySeeds(seeds []string, changed bool) {
 	if changed {
-		p.step(seedsRead{addresses: seeds})
+		p.step(seedsReloaded{addresses: seeds})
 	}
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -14,15 +14,15 @@
 func TestAgentFeedsItsProxyFromControl(t *testing.T) {
 	control, proxy := newFakeControl(t), newFakeProxy(t)
 	control.commit(change(1), change(2))
-	control.alter(func() { control.held.OfferList(time.Second, serverList(1, "i-1")) })
+	control.alter(func() { control.replica.OfferList(time.Second, serverList(1, "i-1")) })
 	startAgent(t, "edge-1", proxy.address, control.address)
 	proxy.await("state, list and confirmation", func() bool {
-		return proxy.held.Sequence() == 2 && proxy.held.ListVersion() != nil && proxy.confirmed
+		return proxy.replica.Sequence() == 2 && proxy.replica.ListVersion() != nil && proxy.confirmed
 	})
 	control.commit(change(3))
-	proxy.await("a change", func() bool { return proxy.held.Sequence() == 3 })
-	control.alter(func() { control.held.OfferList(2*time.Second, serverList(2, "i-1", "i-2")) })
-	proxy.await("a list", func() bool { return proxy.held.ListVersion().GetRevision() == 2 })
+	proxy.await("a change", func() bool { return proxy.replica.Sequence() == 3 })
+	control.alter(func() { control.replica.OfferList(2*time.Second, serverList(2, "i-1", "i-2")) })
+	proxy.await("a list", func() bool { return proxy.replica.ListVersion().GetRevision() == 2 })
 	control.awaitRequest(t, "with the proxy's sequence", func(request *pb.WatchRequest) bool {
 		return request.GetAgent().GetSequence() == 3
 	})
@@ -32,29 +32,29 @@
 	control, proxy := newFakeControl(t), newFakeProxy(t)
 	control.commit(change(1))
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("confirmation", func() bool { return proxy.held.Sequence() == 1 && proxy.confirmed })
+	proxy.await("confirmation", func() bool { return proxy.replica.Sequence() == 1 && proxy.confirmed })
 	proxy.restart()
-	proxy.await("confirmation again", func() bool { return proxy.held.Sequence() == 1 && proxy.confirmed })
+	proxy.await("confirmation again", func() bool { return proxy.replica.Sequence() == 1 && proxy.confirmed })
 }
 
 func TestAgentThatComesBackHandsNothingOlder(t *testing.T) {
 	control, lagging, proxy := newFakeControl(t), newFakeControl(t), newFakeProxy(t)
 	control.commit(change(1), change(2))
-	control.alter(func() { control.held.OfferList(time.Second, serverList(2, "i-1", "i-2")) })
+	control.alter(func() { control.replica.OfferList(time.Second, serverList(2, "i-1", "i-2")) })
 	first := startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("state and list", func() bool { return proxy.held.Sequence() == 2 && proxy.held.ListVersion() != nil })
+	proxy.await("state and list", func() bool { return proxy.replica.Sequence() == 2 && proxy.replica.ListVersion() != nil })
 	first.end()
 	first.requireEnded(t)
 
 	lagging.commit(change(1))
-	lagging.alter(func() { lagging.held.OfferList(time.Second, serverList(1, "i-1")) })
+	lagging.alter(func() { lagging.replica.OfferList(time.Second, serverList(1, "i-1")) })
 	startAgent(t, "edge-1", proxy.address, lagging.address)
 	lagging.awaitRequest(t, "by an agent that holds its state", func(request *pb.WatchRequest) bool {
 		return request.GetSequence() == 1 && request.GetAgent().GetSequence() == 2
 	})
 	lagging.commit(change(2), change(3))
-	proxy.await("what is newer", func() bool { return proxy.held.Sequence() == 3 })
-	require.EqualValues(t, 2, proxy.held.ListVersion().GetRevision())
+	proxy.await("what is newer", func() bool { return proxy.replica.Sequence() == 3 })
+	require.EqualValues(t, 2, proxy.replica.ListVersion().GetRevision())
 }
 
 func TestReadinessIsToldWithoutDelay(t *testing.T) {
@@ -75,7 +75,7 @@
 	control.authoritative = false
 	control.commit(change(1))
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("committed state is committed state", func() bool { return proxy.held.Sequence() == 1 })
+	proxy.await("committed state is committed state", func() bool { return proxy.replica.Sequence() == 1 })
 	for range 4 {
 		control.awaitRequest(t, "again", func(*pb.WatchRequest) bool { return true })
 	}
@@ -89,12 +89,12 @@
 	control.alter(func() {
 		older := gossip.NewReplica()
 		older.ApplyChanges([]*pb.Change{change(1), change(2)})
-		_, err := control.held.Restore(nil, older.Snapshot().RepairFor(nil))
+		_, err := control.replica.Restore(nil, older.Snapshot().RepairFor(nil))
 		require.NoError(t, err)
 	})
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("the repaired state", func() bool { return proxy.held.Sequence() == 2 })
-	_, kept := proxy.held.Snapshot().Get(catalog.KindRoutes, "route")
+	proxy.await("the repaired state", func() bool { return proxy.replica.Sequence() == 2 })
+	_, kept := proxy.replica.Snapshot().Get(catalog.KindRoutes, "route")
 	require.True(t, kept)
 }
 
@@ -102,20 +102,20 @@
 	control, proxy := newFakeControl(t), newFakeProxy(t)
 	control.commit(change(1))
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("state", func() bool { return proxy.held.Sequence() == 1 })
+	proxy.await("state", func() bool { return proxy.replica.Sequence() == 1 })
 	proxy.mu.Lock()
-	proxy.needs = true
+	proxy.needsDigests = true
 	proxy.repairs = 0
 	proxy.mu.Unlock()
 	control.commit(change(2))
-	proxy.await("a repair", func() bool { return proxy.held.Sequence() == 2 && proxy.repairs == 1 })
+	proxy.await("a repair", func() bool { return proxy.replica.Sequence() == 2 && proxy.repairs == 1 })
 }
 
 func TestAgentMovesToAnotherControlMachine(t *testing.T) {
 	live, proxy := newFakeControl(t), newFakeProxy(t)
 	live.commit(change(1))
 	startAgent(t, "edge-1", proxy.address, "127.0.0.1:1", live.address)
-	proxy.await("state", func() bool { return proxy.held.Sequence() == 1 && proxy.confirmed })
+	proxy.await("state", func() bool { return proxy.replica.Sequence() == 1 && proxy.confirmed })
 }
 
 func TestAgentPrefersVotersOfItsZone(t *testing.T) {
@@ -150,9 +150,9 @@
 		{Host: "edge-2", AgentAddress: cutOff.address, Zone: "zone-a", Region: "region-a"},
 	}}
 	startAgent(t, "edge-1", first.address, control.address)
-	first.await("from control", func() bool { return first.held.Sequence() == 1 })
+	first.await("from control", func() bool { return first.replica.Sequence() == 1 })
 	control.commit(change(2))
-	second.await("by gossip", func() bool { return second.held.Sequence() == 2 })
+	second.await("by gossip", func() bool { return second.replica.Sequence() == 2 })
 	require.False(t, second.confirmed)
 }
 
@@ -167,6 +167,6 @@
 		})
 		machine.commit(change(1))
 	}
-	proxy.await("a change while it ends", func() bool { return proxy.held.Sequence() == 1 })
+	proxy.await("a change while it ends", func() bool { return proxy.replica.Sequence() == 1 })
 	running.requireEnded(t)
 }
--- a/internal/agent/calls_test.go
+++ b/internal/agent/calls_test.go
@@ -26,9 +26,9 @@
 			},
 		}}
 		began := time.Now()
-		caller.do(watchCall{address: "10.0.0.2:1", request: &pb.WatchRequest{}, dial: 150 * time.Millisecond, timeout: watchTimeout})
+		caller.start(watchCall{address: "10.0.0.2:1", request: &pb.WatchRequest{}, dialTimeout: 150 * time.Millisecond, timeout: watchTimeout})
 		done := (<-ends).(watchDone)
-		require.ErrorIs(t, done.err, errNoConnection)
+		require.ErrorIs(t, done.err, errDialTimeout)
 		require.Equal(t, 150*time.Millisecond, time.Since(began))
 		caller.wait()
 	})
@@ -41,8 +41,8 @@
 	caller := newCaller(t.Context(), shuffle.Neighbour{}, "127.0.0.1:1", func(happened event) { ends <- happened })
 	const dial = 200 * time.Millisecond
 	request := &pb.WatchRequest{HoldMs: uint32(2 * dial / time.Millisecond)}
-	caller.do(watchCall{id: 7, address: control.address, request: request, dial: dial, timeout: watchTimeout})
-	require.Equal(t, watchBegun{id: 7}, <-ends, "it is told that the answer comes")
+	caller.start(watchCall{id: 7, address: control.address, request: request, dialTimeout: dial, timeout: watchTimeout})
+	require.Equal(t, watchResponseStarted{id: 7}, <-ends, "it is told that the answer comes")
 	done := (<-ends).(watchDone)
 	require.NoError(t, done.err)
 	require.True(t, done.response.GetAuthoritative())
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -17,26 +17,26 @@
 )
 
 // steps is a core with the calls that it wants and that have not come back.
-type steps struct {
+type coreDriver struct {
 	t    *testing.T
 	now  time.Duration
 	core *core
 	open []action
 }
 
-func newSteps(t *testing.T, seeds ...string) *steps {
+func newCoreDriver(t *testing.T, seeds ...string) *coreDriver {
 	self := shuffle.Neighbour{Host: "edge-1", Address: "10.0.0.1:7661", Zone: "zone-a", Region: "region-a"}
 	random := rand.New(rand.NewPCG(1, 1))
 	who := identity{neighbour: self, incarnation: 1}
-	return &steps{t: t, core: newCore(who, seeds, 8*time.Second, random, zap.NewNop())}
+	return &coreDriver{t: t, core: newCore(who, seeds, 8*time.Second, random, zap.NewNop())}
 }
 
-func (s *steps) step(happened event) {
+func (s *coreDriver) step(happened event) {
 	s.open = append(s.open, s.core.step(s.now, happened)...)
 }
 
 // take takes the first open call of a type.
-func take[T action](s *steps) (T, bool) {
+func take[T action](s *coreDriver) (T, bool) {
 	for i, open := range s.open {
 		if call, ok := open.(T); ok {
 			s.open = append(s.open[:i:i], s.open[i+1:]...)
@@ -47,7 +47,7 @@
 	return none, false
 }
 
-func takeOne[T action](s *steps) T {
+func takeOne[T action](s *coreDriver) T {
 	s.t.Helper()
 	call, ok := take[T](s)
 	require.True(s.t, ok, "no such call: %T", call)
@@ -55,7 +55,7 @@
 }
 
 // takeWatch takes the first open call of a kind to a control machine.
-func takeWatch(s *steps, kind watchKind) watchCall {
+func takeWatch(s *coreDriver, kind watchKind) watchCall {
 	s.t.Helper()
 	for i, open := range s.open {
 		if call, ok := open.(watchCall); ok && call.kind == kind {
@@ -67,13 +67,13 @@
 	return watchCall{}
 }
 
-func (s *steps) proxyAnswers(status *pb.ProxyStatus) {
+func (s *coreDriver) proxyAnswers(status *pb.ProxyStatus) {
 	s.t.Helper()
-	s.step(feedDone{call: takeOne[feedCall](s), status: status})
+	s.step(proxyCallDone{call: takeOne[proxyCall](s), status: status})
 }
 
 func TestFirstWatchWaitsForTheProxysStatus(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
 	_, watching := take[watchCall](s)
 	require.False(t, watching)
@@ -83,21 +83,21 @@
 }
 
 func TestFirstWatchWaitsNotForLong(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
-	require.LessOrEqual(t, s.core.wake(s.now), firstWatchBy)
-	s.now = firstWatchBy
+	require.LessOrEqual(t, s.core.nextTick(s.now), maxFirstWatchDelay)
+	s.now = maxFirstWatchDelay
 	s.step(tick{})
 	require.False(t, takeOne[watchCall](s).request.GetAgent().GetReady())
 }
 
 func TestNoticeIsSentOnceForEachChangeOfReadiness(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	require.Equal(t, watchLong, takeOne[watchCall](s).kind)
+	require.Equal(t, watchLongPoll, takeOne[watchCall](s).kind)
 
-	s.now += feedPeriod
+	s.now += exchangeInterval
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7, Ready: true})
 	notice := takeOne[watchCall](s)
@@ -111,11 +111,11 @@
 }
 
 func TestNewProxyIsConfirmedByANotice(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
-	s.step(feedDone{call: takeOne[feedCall](s), err: errors.New("refused")})
+	s.step(proxyCallDone{call: takeOne[proxyCall](s), err: errors.New("refused")})
 	long := takeOne[watchCall](s)
-	s.now += feedRetry
+	s.now += proxyRetryInterval
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
 	notice := takeOne[watchCall](s)
@@ -123,18 +123,18 @@
 
 	s.now += time.Millisecond
 	s.step(watchDone{call: long, response: &pb.WatchResponse{Authoritative: true}})
-	require.False(t, s.core.feed.confirmed, "asked before the proxy was known")
+	require.False(t, s.core.proxy.confirmed, "asked before the proxy was known")
 	s.step(watchDone{call: notice, response: &pb.WatchResponse{Authoritative: true}})
-	require.True(t, takeOne[feedCall](s).apply.GetConfirmed())
+	require.True(t, takeOne[proxyCall](s).apply.GetConfirmed())
 }
 
 func TestStateBehindTheAgreedOneIsNotConfirmed(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
 	long := takeOne[watchCall](s)
 	s.step(watchDone{call: long, response: &pb.WatchResponse{Authoritative: true, Sequence: 5, NeedDigests: true}})
-	require.False(t, s.core.feed.confirmed)
+	require.False(t, s.core.proxy.confirmed)
 	next := takeOne[watchCall](s)
 	require.NotNil(t, next.request.GetDigests())
 	held := gossip.NewReplica()
@@ -144,17 +144,17 @@
 		Sequence:      5,
 		Repair:        held.Snapshot().RepairFor(next.request.GetDigests()),
 	}})
-	apply := takeOne[feedCall](s).apply
+	apply := takeOne[proxyCall](s).apply
 	require.True(t, apply.GetConfirmed())
 	require.EqualValues(t, 5, apply.GetRepair().GetSequence(), "the confirmed state comes with the confirmation")
 }
 
 func TestEndIsToldToTwoControlMachines(t *testing.T) {
-	s := newSteps(t, "core-1:1", "core-2:1", "core-3:1")
+	s := newCoreDriver(t, "core-1:1", "core-2:1", "core-3:1")
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7, Ready: true})
-	long := takeWatch(s, watchLong)
-	s.step(endRequested{})
+	long := takeWatch(s, watchLongPoll)
+	s.step(shutdownRequested{})
 	first, second := takeWatch(s, watchNotice), takeWatch(s, watchNotice)
 	require.Equal(t, long.address, first.address)
 	require.NotEqual(t, long.address, second.address)
@@ -162,56 +162,56 @@
 		require.True(t, notice.request.GetAgent().GetDraining())
 		require.False(t, notice.request.GetAgent().GetReady())
 	}
-	require.False(t, s.core.over(s.now))
+	require.False(t, s.core.finished(s.now))
 }
 
 // TestAProbeConfirmsWhatItsMachineHolds: it is asked as any other call is.
 func TestAProbeConfirmsWhatItsMachineHolds(t *testing.T) {
-	s := newSteps(t, "core-1:1", "core-2:1")
+	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
 	probe := takeWatch(s, watchProbe)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Authoritative: true, Sequence: 1}})
-	require.False(t, s.core.feed.confirmed, "it holds more")
-	require.Nil(t, takeWatch(s, watchLong).request.GetDigests(), "what it holds comes with the long poll")
+	require.False(t, s.core.proxy.confirmed, "it holds more")
+	require.Nil(t, takeWatch(s, watchLongPoll).request.GetDigests(), "what it holds comes with the long poll")
 }
 
 // TestAHungNoticeDoesNotSilenceTheNext: the machine that it went to is gone, another one took its place.
 func TestAHungNoticeDoesNotSilenceTheNext(t *testing.T) {
-	s := newSteps(t, "core-1:1", "core-2:1")
+	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	lost, probe := takeWatch(s, watchLong), takeWatch(s, watchProbe)
-	s.now += feedPeriod
+	lost, probe := takeWatch(s, watchLongPoll), takeWatch(s, watchProbe)
+	s.now += exchangeInterval
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7, Ready: true})
 	require.Equal(t, lost.address, takeWatch(s, watchNotice).address)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Authoritative: true}})
-	require.Equal(t, probe.address, takeWatch(s, watchLong).address)
-	s.now += feedPeriod
+	require.Equal(t, probe.address, takeWatch(s, watchLongPoll).address)
+	s.now += exchangeInterval
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
 	require.Equal(t, probe.address, takeWatch(s, watchNotice).address)
 }
 
 func TestNeighbourThatFailsIsDroppedAndABusyOneStays(t *testing.T) {
-	s := newSteps(t, "core-1:1")
-	s.core.view.Step(0, shuffle.MembersReceived{Members: []shuffle.Neighbour{
+	s := newCoreDriver(t, "core-1:1")
+	s.core.partialView.Step(0, shuffle.MembersReceived{Members: []shuffle.Neighbour{
 		{Host: "edge-2", Address: "a:1"},
 		{Host: "edge-3", Address: "b:1"},
 	}})
 	call := compareCall{gossip.Compare{To: shuffle.Neighbour{Host: "edge-2"}}}
 	s.step(compareDone{call: call, err: connect.NewError(connect.CodeResourceExhausted, errBusy)})
-	require.Len(t, s.core.view.Neighbours(), 2)
+	require.Len(t, s.core.partialView.Neighbours(), 2)
 	s.step(compareDone{call: call, err: connect.NewError(connect.CodeUnavailable, errors.New("reset"))})
-	require.Len(t, s.core.view.Neighbours(), 1)
+	require.Len(t, s.core.partialView.Neighbours(), 1)
 	require.EqualValues(t, 2, s.core.counters.peerFailures)
 }
 
 func TestFullQueueRefusesCallsOfOthers(t *testing.T) {
 	inbox := make(chan event, 1)
 	inbox <- tick{}
-	_, err := peerService{inbox: inbox}.Compare(context.Background(), connect.NewRequest(&pb.CompareRequest{}))
+	_, err := peerService{events: inbox}.Compare(context.Background(), connect.NewRequest(&pb.CompareRequest{}))
 	require.Equal(t, connect.CodeResourceExhausted, connect.CodeOf(err))
 	require.ErrorIs(t, err, errBusy)
 }
--- a/internal/agent/cutstart_test.go
+++ b/internal/agent/cutstart_test.go
@@ -61,7 +61,7 @@
 	}
 	self := shuffle.Neighbour{Host: "edge-1", Address: "10.0.0.1:7661", Zone: "zone-a", Region: "region-a"}
 	s.core = newCore(identity{neighbour: self, incarnation: 1}, seedsOf(random), 8*time.Second, random, zap.NewNop())
-	s.core.link.due += s.now // the core's clock begins with the start
+	s.core.control.nextLongPoll += s.now // the core's clock begins with the start
 	return s
 }
 
@@ -98,11 +98,11 @@
 		switch wanted := wanted.(type) {
 		case watchCall:
 			s.watch(wanted)
-		case feedCall:
+		case proxyCall:
 			s.feed(wanted)
 		}
 	}
-	require.Zero(s.t, s.core.broken.total())
+	require.Zero(s.t, s.core.violations.total())
 }
 
 func (s *cutStart) later(wait time.Duration, happened event) {
@@ -112,7 +112,7 @@
 // watch lets a control machine answer, at once if it has news, at the end of the hold otherwise.
 func (s *cutStart) watch(call watchCall) {
 	if call.address != cutSeed && s.now < s.reaches {
-		s.later(call.dial, watchDone{call: call, err: errors.Mark(errors.New("cut"), errNoConnection)})
+		s.later(call.dialTimeout, watchDone{call: call, err: errors.Mark(errors.New("cut"), errDialTimeout)})
 		return
 	}
 	isCut := call.address == cutSeed && s.now < s.joinAt
@@ -145,7 +145,7 @@
 }
 
 // feed lets the proxy take what it is given.
-func (s *cutStart) feed(call feedCall) {
+func (s *cutStart) feed(call proxyCall) {
 	if repair := call.apply.GetRepair(); repair != nil {
 		_, err := s.proxy.Restore(nil, repair)
 		require.NoError(s.t, err)
@@ -156,7 +156,7 @@
 		s.stale = s.now - time.Duration(s.proxy.Sequence()+1)*commitEvery
 	}
 	status := &pb.ProxyStatus{Incarnation: 7, Sequence: s.proxy.Sequence(), Ready: s.confirmedAt > 0}
-	s.later(time.Millisecond, feedDone{call: call, status: status})
+	s.later(time.Millisecond, proxyCallDone{call: call, status: status})
 }
 
 func TestAgentThatStartsDuringACutIsConfirmedByTheOthersAlone(t *testing.T) {
--- a/internal/agent/delivery.go
+++ b/internal/agent/delivery.go
@@ -3,66 +3,66 @@
 import pb "fieldrelay/api/fieldrelay/v1"
 
 // delivery is a way on which a change of the control state comes to an agent.
-type delivery int
+type updateSource int
 
 const (
-	deliveryUnknown delivery = iota
-	deliveryChanges          // a control machine's answer with changes
-	deliveryRepair           // a control machine's answer with a repair
-	deliveryPush             // another agent's push
-	deliveryCompare          // another agent's answer to a comparison
+	sourceUnknown updateSource = iota
+	sourceChanges              // a control machine's answer with changes
+	sourceRepair               // a control machine's answer with a repair
+	sourcePush                 // another agent's push
+	sourceCompare              // another agent's answer to a comparison
 )
 
 // String is the name in the log.
-func (d delivery) String() string {
+func (d updateSource) String() string {
 	switch d {
-	case deliveryChanges:
+	case sourceChanges:
 		return "changes"
-	case deliveryRepair:
+	case sourceRepair:
 		return "repair"
-	case deliveryPush:
+	case sourcePush:
 		return "push"
-	case deliveryCompare:
+	case sourceCompare:
 		return "compare"
 	default:
 		return "unknown"
 	}
 }
 
-// deliveryOf is the way on which an event brings changes.
-func deliveryOf(happened event) delivery {
-	switch happened := happened.(type) {
+// updateSourceOf is the way on which an event brings changes.
+func updateSourceOf(received event) updateSource {
+	switch received := received.(type) {
 	case watchDone:
-		if happened.response.GetRepair() != nil {
-			return deliveryRepair
+		if received.response.GetRepair() != nil {
+			return sourceRepair
 		}
-		return deliveryChanges
-	case pushAsked:
-		return deliveryPush
+		return sourceChanges
+	case pushRequested:
+		return sourcePush
 	case compareDone:
-		return deliveryCompare
+		return sourceCompare
 	}
-	return deliveryUnknown
+	return sourceUnknown
 }
 
-// toldSequence is the highest sequence number that an event tells of, 0 if it tells of none.
-func toldSequence(happened event) uint64 {
-	switch happened := happened.(type) {
+// advertisedSequence is the highest sequence number that an event tells of, 0 if it tells of none.
+func advertisedSequence(received event) uint64 {
+	switch received := received.(type) {
 	case watchDone:
-		return max(happened.response.GetSequence(), lastOf(happened.response.GetChanges()))
-	case pushAsked:
-		return lastOf(happened.request.GetChanges())
+		return max(received.response.GetSequence(), lastSequence(received.response.GetChanges()))
+	case pushRequested:
+		return lastSequence(received.request.GetChanges())
 	case pushDone:
-		return happened.response.GetSequence()
-	case compareAsked:
-		return happened.request.GetDigests().GetSequence()
+		return received.response.GetSequence()
+	case compareRequested:
+		return received.request.GetDigests().GetSequence()
 	case compareDone:
-		return happened.response.GetSequence()
+		return received.response.GetSequence()
 	}
 	return 0
 }
 
-func lastOf(changes []*pb.Change) uint64 {
+func lastSequence(changes []*pb.Change) uint64 {
 	if len(changes) == 0 {
 		return 0
 	}
--- a/internal/agent/digest_test.go
+++ b/internal/agent/digest_test.go
@@ -32,12 +32,12 @@
 				m.storm(m.now + 8*time.Second)
 				require.True(t, m.let(300))
 				for _, one := range m.agents[:2] {
-					one.deliver(endRequested{})
+					one.deliver(shutdownRequested{})
 				}
 				m.runUntil(5*time.Second, func() bool { return false })
 				require.Empty(t, m.failures)
 				for _, one := range m.agents {
-					recorder.Entry(m.now, "end").Number(one.proxy.held.Sequence()).Message(one.proxy.held.Snapshot().Digests())
+					recorder.Entry(m.now, "end").Number(one.proxy.replica.Sequence()).Message(one.proxy.replica.Snapshot().Digests())
 				}
 				return recorder
 			})
@@ -54,14 +54,14 @@
 
 func recordCall(recorder *digesttest.Recorder, who *modelAgent, wanted action) {
 	begin := func(label string) *digesttest.Recorder {
-		return recorder.Entry(who.model.now, label).Text(who.self.Host).Number(who.life)
+		return recorder.Entry(who.model.now, label).Text(who.self.Host).Number(who.incarnation)
 	}
 	switch wanted := wanted.(type) {
 	case watchCall:
-		label := map[watchKind]string{watchLong: "watch", watchNotice: "notice", watchProbe: "probe"}[wanted.kind]
+		label := map[watchKind]string{watchLongPoll: "watch", watchNotice: "notice", watchProbe: "probe"}[wanted.kind]
 		begin(label).Number(wanted.id).Text(wanted.address).Message(wanted.request).
-			Time(wanted.started).Time(wanted.dial).Time(wanted.timeout)
-	case feedCall:
+			Time(wanted.started).Time(wanted.dialTimeout).Time(wanted.timeout)
+	case proxyCall:
 		begin("feed").Message(wanted.apply)
 	case shuffleCall:
 		entry := begin("shuffle")
@@ -83,14 +83,14 @@
 // recordAnswers takes in what an agent answered to another one's call. Its answer stays where it is for the caller.
 func recordAnswers(recorder *digesttest.Recorder, who *modelAgent, happened event) {
 	begin := func(label string) *digesttest.Recorder {
-		return recorder.Entry(who.model.now, label).Text(who.self.Host).Number(who.life)
+		return recorder.Entry(who.model.now, label).Text(who.self.Host).Number(who.incarnation)
 	}
 	switch happened := happened.(type) {
-	case shuffleAsked:
+	case shuffleRequested:
 		begin("shuffle-asked").Message(happened.request)
-	case pushAsked:
-		begin("push-asked").Message(happened.request).Number(who.core.held.Sequence())
-	case compareAsked:
+	case pushRequested:
+		begin("push-asked").Message(happened.request).Number(who.core.replica.Sequence())
+	case compareRequested:
 		begin("compare-asked").Message(happened.request)
 	case compareDone:
 		begin("compare-done").Flag(happened.err != nil).Message(happened.response)
--- a/internal/agent/distance_test.go
+++ b/internal/agent/distance_test.go
@@ -120,7 +120,7 @@
 	}
 	began := m.now
 	m.after(500*time.Millisecond, func() { m.mend(agent, old) })
-	m.runUntil(time.Minute, func() bool { return !agent.proxy.dead && agent.proxy.held.Sequence() >= target })
+	m.runUntil(time.Minute, func() bool { return !agent.proxy.dead && agent.proxy.replica.Sequence() >= target })
 	caught := m.now - began
 	if caught > caughtUpWithin {
 		m.fail("the proxy has caught up after %v", caught)
@@ -142,7 +142,7 @@
 }
 
 func (m *model) converged() bool {
-	return !slices.ContainsFunc(m.agents, func(one *modelAgent) bool { return one.proxy.held.Sequence() < m.last() })
+	return !slices.ContainsFunc(m.agents, func(one *modelAgent) bool { return one.proxy.replica.Sequence() < m.last() })
 }
 
 func (m *model) leave(absence absence, agent *modelAgent) {
@@ -233,9 +233,9 @@
 		plant   planted
 		finding string
 	}{
-		{"a proxy is handed a state of another number", planted{feed: renumber}, "holds another state"},
-		{"a proxy is handed older changes", planted{feed: olderChanges()}, "is handed changes up to"},
-		{"a proxy is handed an older state", planted{feed: olderRepair()}, "is handed the state"},
+		{"a proxy is handed a state of another number", planted{proxyCall: renumber}, "holds another state"},
+		{"a proxy is handed older changes", planted{proxyCall: olderChanges()}, "is handed changes up to"},
+		{"a proxy is handed an older state", planted{proxyCall: olderRepair()}, "is handed the state"},
 		{"a repair of control lacks what differs", planted{watch: withoutRanges}, "holds another state"},
 		{"control tells no state", planted{watch: withoutState}, "caught up after"},
 	}
@@ -255,7 +255,7 @@
 }
 
 // renumber takes the last change away from those that lead to a number.
-func renumber(call *feedCall) {
+func renumber(call *proxyCall) {
 	changes := call.apply.GetChanges()
 	if len(changes) < 2 {
 		return
@@ -266,9 +266,9 @@
 }
 
 // olderChanges hands the first changes again in place of later ones.
-func olderChanges() func(*feedCall) {
+func olderChanges() func(*proxyCall) {
 	var first []*pb.Change
-	return func(call *feedCall) {
+	return func(call *proxyCall) {
 		if len(call.apply.GetChanges()) == 0 {
 			return
 		}
@@ -280,9 +280,9 @@
 }
 
 // olderRepair hands the first whole state again in place of later changes.
-func olderRepair() func(*feedCall) {
+func olderRepair() func(*proxyCall) {
 	var first *pb.Repair
-	return func(call *feedCall) {
+	return func(call *proxyCall) {
 		if first == nil {
 			first = call.apply.GetRepair()
 		}
--- a/internal/agent/ending.go
+++ b/internal/agent/ending.go
@@ -5,44 +5,44 @@
 const (
 	// graceMargin is kept from the time that the platform leaves a process to end.
 	graceMargin = time.Second
-	// goneFor is how long the proxy must have been out of reach before the agent ends after it. Where nobody
+	// proxyGoneTimeout is how long the proxy must have been out of reach before the agent ends after it. Where nobody
 	// listens any more, the proxy has ended, and both are started again at the same time.
-	goneFor = 300 * time.Millisecond
+	proxyGoneTimeout = 300 * time.Millisecond
 )
 
 // ending is the agent's way out: control is told at once, then the proxy is served to its end.
-type ending struct {
-	requested   bool
-	deadline    time.Duration
-	incarnation uint64 // of the proxy that is served to its end, 0 if it was not known
+type shutdown struct {
+	requested        bool
+	deadline         time.Duration
+	proxyIncarnation uint64 // of the proxy that is served to its end, 0 if it was not known
 }
 
-func (e *ending) request(now, grace time.Duration, proxy *feed) {
-	if e.requested {
+func (s *shutdown) begin(now, grace time.Duration, link *proxyLink) {
+	if s.requested {
 		return
 	}
-	e.requested = true
-	e.deadline = now + max(grace-graceMargin, 0)
-	e.incarnation = proxy.status.GetIncarnation()
-	proxy.ending = true
-	proxy.due = min(proxy.due, now+endingPeriod)
+	s.requested = true
+	s.deadline = now + max(grace-graceMargin, 0)
+	s.proxyIncarnation = link.status.GetIncarnation()
+	link.shuttingDown = true
+	link.nextExchange = min(link.nextExchange, now+shutdownExchangeInterval)
 }
 
 // over tells whether the process may end. Notices are calls to control that have not come back.
-func (e *ending) over(now time.Duration, proxy *feed, notices int) bool {
-	if !e.requested {
+func (s *shutdown) finished(now time.Duration, link *proxyLink, notices int) bool {
+	if !s.requested {
 		return false
 	}
-	if now >= e.deadline {
+	if now >= s.deadline {
 		return true
 	}
-	return notices == 0 && e.proxyGone(now, proxy)
+	return notices == 0 && s.proxyEnded(now, link)
 }
 
-// proxyGone tells whether the proxy has been out of reach for a while or has been started anew.
-func (e *ending) proxyGone(now time.Duration, proxy *feed) bool {
-	if proxy.reachable {
-		return proxy.status.GetIncarnation() != e.incarnation
+// proxyEnded tells whether the proxy has been out of reach for a while or has been started anew.
+func (s *shutdown) proxyEnded(now time.Duration, link *proxyLink) bool {
+	if link.reachable {
+		return link.status.GetIncarnation() != s.proxyIncarnation
 	}
-	return proxy.goneSince > 0 && (proxy.refused || now-proxy.goneSince >= goneFor)
+	return link.unreachableSince > 0 && (link.connectionRefused || now-link.unreachableSince >= proxyGoneTimeout)
 }
--- a/internal/agent/failures.go
+++ b/internal/agent/failures.go
@@ -14,27 +14,27 @@
 type failureKind int
 
 const (
-	failedNoConnection failureKind = iota // none came up in time
-	failedTimeOut                         // the call was not answered, or not read whole, in its time
-	failedReset                           // the other side refused the connection or broke it off
-	failedRefusal                         // the other process answered with an error
-	failedOther
-	failureKinds
+	failureDialTimeout   failureKind = iota // none came up in time
+	failureTimeout                          // the call was not answered, or not read whole, in its time
+	failureReset                            // the other side refused the connection or broke it off
+	failureErrorResponse                    // the other process answered with an error
+	failureOther
+	failureKindCount
 )
 
-// kindOf classifies the error of a call.
-func kindOf(err error) failureKind {
+// failureKindOf classifies the error of a call.
+func failureKindOf(err error) failureKind {
 	switch {
-	case errors.Is(err, errNoConnection):
-		return failedNoConnection
+	case errors.Is(err, errDialTimeout):
+		return failureDialTimeout
 	case connect.IsWireError(err):
-		return failedRefusal
+		return failureErrorResponse
 	case connect.CodeOf(err) == connect.CodeDeadlineExceeded, isStalled(err):
-		return failedTimeOut
+		return failureTimeout
 	case isReset(err):
-		return failedReset
+		return failureReset
 	}
-	return failedOther
+	return failureOther
 }
 
 // isStalled tells whether a call was given up because no answer came, or no more of it.
@@ -55,17 +55,17 @@
 }
 
 // failureCounts count failed calls by kind.
-type failureCounts [failureKinds]uint64
+type failureCounts [failureKindCount]uint64
 
-func (c *failureCounts) count(err error) { c[kindOf(err)]++ }
+func (c *failureCounts) count(err error) { c[failureKindOf(err)]++ }
 
 // fields are the counts for a line of the log, with names that begin by what was called.
 func (c *failureCounts) fields(called string) []zap.Field {
 	return []zap.Field{
-		zap.Uint64(called+"_no_connection", c[failedNoConnection]),
-		zap.Uint64(called+"_timed_out", c[failedTimeOut]),
-		zap.Uint64(called+"_reset", c[failedReset]),
-		zap.Uint64(called+"_refused", c[failedRefusal]),
-		zap.Uint64(called+"_failed_otherwise", c[failedOther]),
+		zap.Uint64(called+"_no_connection", c[failureDialTimeout]),
+		zap.Uint64(called+"_timed_out", c[failureTimeout]),
+		zap.Uint64(called+"_reset", c[failureReset]),
+		zap.Uint64(called+"_refused", c[failureErrorResponse]),
+		zap.Uint64(called+"_failed_otherwise", c[failureOther]),
 	}
 }
--- a/internal/agent/failures_test.go
+++ b/internal/agent/failures_test.go
@@ -58,26 +58,26 @@
 	refused := serve(t, func(mux *http.ServeMux) {
 		mux.Handle(fieldrelayv1connect.NewControlLinkHandler(refusing{}))
 	})
-	require.Equal(t, failedReset, kindOf(failingWatch(t, closed)))
-	require.Equal(t, failedReset, kindOf(failingWatch(t, gone.Addr().String())))
-	require.Equal(t, failedTimeOut, kindOf(failingWatch(t, silent)))
-	require.Equal(t, failedRefusal, kindOf(failingWatch(t, refused)))
-	require.Equal(t, failedNoConnection, kindOf(errNoConnection))
-	require.Equal(t, failedOther, kindOf(errors.New("something else")))
+	require.Equal(t, failureReset, failureKindOf(failingWatch(t, closed)))
+	require.Equal(t, failureReset, failureKindOf(failingWatch(t, gone.Addr().String())))
+	require.Equal(t, failureTimeout, failureKindOf(failingWatch(t, silent)))
+	require.Equal(t, failureErrorResponse, failureKindOf(failingWatch(t, refused)))
+	require.Equal(t, failureDialTimeout, failureKindOf(errDialTimeout))
+	require.Equal(t, failureOther, failureKindOf(errors.New("something else")))
 }
 
 func TestFailuresAndAnswersAreCounted(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	s.step(watchDone{call: takeWatch(s, watchLong), err: errNoConnection})
-	require.EqualValues(t, 1, s.core.counters.watchFailureKinds[failedNoConnection])
+	s.step(watchDone{call: takeWatch(s, watchLongPoll), err: errDialTimeout})
+	require.EqualValues(t, 1, s.core.counters.watchFailureKinds[failureDialTimeout])
 
-	s.tickFor(longestBackoff + shortestBackoff)
-	call := takeWatch(s, watchLong)
+	s.tickFor(maxBackoff + minBackoff)
+	call := takeWatch(s, watchLongPoll)
 	s.tickFor(700 * time.Millisecond)
 	answer := &pb.WatchResponse{Sequence: 1, Changes: []*pb.Change{change(1)}}
 	s.step(watchDone{call: call, response: answer})
 	require.Equal(t, s.now-call.started, s.core.counters.longestWatch)
-	require.Positive(t, s.core.counters.largestAnswer)
+	require.Positive(t, s.core.counters.largestResponse)
 }
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -25,7 +25,7 @@
 )
 
 // patience ends a test that waits in vain.
-const patience = 8 * time.Second
+const waitTimeout = 8 * time.Second
 
 func change(sequence uint64) *pb.Change {
 	item := &pb.Item{Kind: catalog.KindRoutes, Name: "route", Order: 1, Sequence: sequence, Body: []byte(`{}`)}
@@ -46,7 +46,7 @@
 	address string
 
 	mu            sync.Mutex
-	held          *gossip.Replica
+	replica       *gossip.Replica
 	members       *pb.Members
 	view          *pb.View
 	authoritative bool
@@ -56,7 +56,7 @@
 
 func newFakeControl(t *testing.T) *fakeControl {
 	control := &fakeControl{
-		held:          gossip.NewReplica(),
+		replica:       gossip.NewReplica(),
 		authoritative: true,
 		changed:       make(chan struct{}),
 		requests:      make(chan *pb.WatchRequest, 1000),
@@ -89,20 +89,20 @@
 }
 
 func (f *fakeControl) commit(changes ...*pb.Change) {
-	f.alter(func() { f.held.ApplyChanges(changes) })
+	f.alter(func() { f.replica.ApplyChanges(changes) })
 }
 
 func (f *fakeControl) Watch(ctx context.Context, request *connect.Request[pb.WatchRequest]) (*connect.Response[pb.WatchResponse], error) {
-	asked := request.Msg
+	received := request.Msg
 	select {
-	case f.requests <- asked:
+	case f.requests <- received:
 	default:
 	}
-	hold := time.NewTimer(time.Duration(asked.GetHoldMs()) * time.Millisecond)
+	hold := time.NewTimer(time.Duration(received.GetHoldMs()) * time.Millisecond)
 	defer hold.Stop()
 	for {
-		response, news, changed := f.answer(asked)
-		if news || asked.GetHoldMs() == 0 {
+		response, news, changed := f.answer(received)
+		if news || received.GetHoldMs() == 0 {
 			return connect.NewResponse(response), nil
 		}
 		select {
@@ -115,37 +115,37 @@
 	}
 }
 
-func (f *fakeControl) answer(asked *pb.WatchRequest) (response *pb.WatchResponse, news bool, changed <-chan struct{}) {
+func (f *fakeControl) answer(request *pb.WatchRequest) (response *pb.WatchResponse, news bool, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	response = &pb.WatchResponse{
 		Authoritative: f.authoritative,
-		Sequence:      f.held.Sequence(),
-		Generation:    f.held.Snapshot().Generation(),
+		Sequence:      f.replica.Sequence(),
+		Generation:    f.replica.Snapshot().Generation(),
 		MembersSource: f.address,
 	}
-	if asked.GetSequence() < f.held.Sequence() {
+	if request.GetSequence() < f.replica.Sequence() {
 		news = true
-		changes, kept := f.held.Since(asked.GetSequence())
+		changes, kept := f.replica.Since(request.GetSequence())
 		switch {
 		case kept:
 			response.Changes = changes
-		case asked.GetDigests() != nil:
-			response.Repair = f.held.Snapshot().RepairFor(asked.GetDigests())
+		case request.GetDigests() != nil:
+			response.Repair = f.replica.Snapshot().RepairFor(request.GetDigests())
 		default:
 			response.NeedDigests = true
 		}
 	}
-	if gossip.CompareVersions(f.held.ListVersion(), asked.GetList()) > 0 {
-		response.List = f.held.List(time.Second)
+	if gossip.CompareVersions(f.replica.ListVersion(), request.GetList()) > 0 {
+		response.List = f.replica.List(time.Second)
 		news = true
 	}
-	known := asked.GetMembersSource() == f.address && asked.GetMembersVersion() == f.members.GetVersion()
+	known := request.GetMembersSource() == f.address && request.GetMembersVersion() == f.members.GetVersion()
 	if f.members != nil && !known {
 		response.Members = f.members
 		news = true
 	}
-	if f.view.GetNumber() > asked.GetViewNumber() {
+	if f.view.GetNumber() > request.GetViewNumber() {
 		response.View = f.view
 		news = true
 	}
@@ -158,19 +158,19 @@
 	t       *testing.T
 	address string
 
-	mu          sync.Mutex
-	held        *gossip.Replica
-	incarnation uint64
-	ready       bool
-	needs       bool // it can't use changes, and tells its digests
-	shares      *pb.Shares
-	confirmed   bool
-	repairs     int
-	events      chan struct{} // one for each exchange, as far as there is room
+	mu           sync.Mutex
+	replica      *gossip.Replica
+	incarnation  uint64
+	ready        bool
+	needsDigests bool // it can't use changes, and tells its digests
+	shares       *pb.Shares
+	confirmed    bool
+	repairs      int
+	events       chan struct{} // one for each exchange, as far as there is room
 }
 
 func newFakeProxy(t *testing.T) *fakeProxy {
-	proxy := &fakeProxy{t: t, held: gossip.NewReplica(), incarnation: 1, events: make(chan struct{}, 1)}
+	proxy := &fakeProxy{t: t, replica: gossip.NewReplica(), incarnation: 1, events: make(chan struct{}, 1)}
 	proxy.address = serve(t, func(mux *http.ServeMux) {
 		mux.Handle(fieldrelayv1connect.NewProxyFeedHandler(proxy))
 	})
@@ -181,7 +181,7 @@
 func (f *fakeProxy) restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.held = gossip.NewReplica()
+	f.replica = gossip.NewReplica()
 	f.incarnation++
 	f.shares = nil
 	f.confirmed = false
@@ -197,23 +197,23 @@
 func (f *fakeProxy) Apply(_ context.Context, request *connect.Request[pb.ApplyRequest]) (*connect.Response[pb.ProxyStatus], error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	base := f.held.Snapshot()
+	base := f.replica.Snapshot()
 	for _, change := range request.Msg.GetChanges() {
 		if change.GetSequence() <= base.Sequence() {
 			f.t.Errorf("change %d for a proxy at %d", change.GetSequence(), base.Sequence())
 		}
 	}
-	if !f.needs {
-		f.held.ApplyChanges(request.Msg.GetChanges())
+	if !f.needsDigests {
+		f.replica.ApplyChanges(request.Msg.GetChanges())
 	}
 	if repair := request.Msg.GetRepair(); repair != nil {
-		if moved, err := f.held.Restore(base, repair); err != nil || !moved {
+		if moved, err := f.replica.Restore(base, repair); err != nil || !moved {
 			f.t.Errorf("repair to %d for a proxy at %d: %v", repair.GetSequence(), base.Sequence(), err)
 		}
 		f.repairs++
-		f.needs = false
+		f.needsDigests = false
 	}
-	if list := request.Msg.GetList(); list != nil && f.held.OfferList(time.Minute, list) == gossip.ListStale {
+	if list := request.Msg.GetList(); list != nil && f.replica.OfferList(time.Minute, list) == gossip.ListStale {
 		f.t.Errorf("an old list: %v", list.GetVersion())
 	}
 	if shares := request.Msg.GetShares(); shares != nil {
@@ -231,15 +231,15 @@
 	status := &pb.ProxyStatus{
 		Host:        "edge-1",
 		Incarnation: f.incarnation,
-		Sequence:    f.held.Sequence(),
-		Generation:  f.held.Snapshot().Generation(),
-		List:        f.held.ListVersion(),
+		Sequence:    f.replica.Sequence(),
+		Generation:  f.replica.Snapshot().Generation(),
+		List:        f.replica.ListVersion(),
 		Ready:       f.ready,
 		EdgeAddress: "10.0.0.1:8144",
 		Shares:      f.shares.GetVersion(),
 	}
-	if f.needs {
-		status.Digests = f.held.Snapshot().Digests()
+	if f.needsDigests {
+		status.Digests = f.replica.Snapshot().Digests()
 	}
 	return connect.NewResponse(status)
 }
@@ -247,7 +247,7 @@
 // await waits until the proxy meets a condition.
 func (f *fakeProxy) await(what string, condition func() bool) {
 	f.t.Helper()
-	end := time.NewTimer(patience)
+	end := time.NewTimer(waitTimeout)
 	defer end.Stop()
 	for {
 		f.mu.Lock()
@@ -267,7 +267,7 @@
 // awaitRequest waits until the control machine is asked something that meets a condition.
 func (f *fakeControl) awaitRequest(t *testing.T, what string, condition func(request *pb.WatchRequest) bool) {
 	t.Helper()
-	end := time.NewTimer(patience)
+	end := time.NewTimer(waitTimeout)
 	defer end.Stop()
 	for {
 		select {
@@ -340,7 +340,7 @@
 	case err := <-r.ended:
 		require.NoError(t, err)
 		r.ended <- nil // for whoever asks next
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		require.Fail(t, "the agent doesn't end")
 	}
 }
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -13,36 +13,36 @@
 
 // Times of the feed.
 const (
-	// feedPeriod is the time between two exchanges with the proxy when there is no news.
-	feedPeriod = 250 * time.Millisecond
-	// endingPeriod stands for feedPeriod while this agent has been told to end: it ends when the proxy has.
-	endingPeriod = 50 * time.Millisecond
-	// feedRetry is the wait before the next try while the proxy is gone.
-	feedRetry = 50 * time.Millisecond
-	// feedTimeout ends an exchange with the proxy.
-	feedTimeout = 2 * time.Second
-	// sharesPeriod is the shortest time between two sendings of shares that changed.
-	sharesPeriod = time.Second
+	// exchangeInterval is the time between two exchanges with the proxy when there is no news.
+	exchangeInterval = 250 * time.Millisecond
+	// shutdownExchangeInterval stands for exchangeInterval while this agent has been told to end: it ends when the proxy has.
+	shutdownExchangeInterval = 50 * time.Millisecond
+	// proxyRetryInterval is the wait before the next try while the proxy is gone.
+	proxyRetryInterval = 50 * time.Millisecond
+	// exchangeTimeout ends an exchange with the proxy.
+	exchangeTimeout = 2 * time.Second
+	// minSharesInterval is the shortest time between two sendings of shares that changed.
+	minSharesInterval = time.Second
 )
 
 // feed brings the proxy beside this agent up to date.
-type feed struct {
-	inFlight    bool
-	due         time.Duration // of the next exchange when there is no news
-	status      *pb.ProxyStatus
-	reachable   bool          // the last exchange succeeded
-	goneSince   time.Duration // of the first failure in a row
-	refused     bool          // nobody listened at the proxy's address in the last exchange
-	ending      bool          // this agent has been told to end
-	seenAt      time.Duration // when the proxy's incarnation was first heard of
-	confirmed   bool          // the agreed view confirmed the state after seenAt
-	toldConfirm bool
-	sharesAt    time.Duration // when the proxy was told shares last; 0: not in its life
-	last        attempt
+type proxyLink struct {
+	inFlight              bool
+	nextExchange          time.Duration // of the next exchange when there is no news
+	status                *pb.ProxyStatus
+	reachable             bool          // the last exchange succeeded
+	unreachableSince      time.Duration // of the first failure in a row
+	connectionRefused     bool          // nobody listened at the proxy's address in the last exchange
+	shuttingDown          bool          // this agent has been told to end
+	foundAt               time.Duration // when the proxy's incarnation was first heard of
+	confirmed             bool          // the agreed view confirmed the state after foundAt
+	confirmationDelivered bool
+	sharesDeliveredAt     time.Duration // when the proxy was told shares last; 0: not in its life
+	lastAttempt           deliveryAttempt
 }
 
 // attempt is what an Apply carried last: sent in vain it isn't sent again at once.
-type attempt struct {
+type deliveryAttempt struct {
 	sequence  uint64
 	list      *pb.ListVersion
 	shares    uint64
@@ -51,144 +51,144 @@
 }
 
 // next is the exchange that is due, nil if none is.
-func (f *feed) next(now time.Duration, held *gossip.Replica, members *membership) *feedCall {
-	if f.inFlight {
+func (l *proxyLink) nextCall(now time.Duration, replica *gossip.Replica, members *membership) *proxyCall {
+	if l.inFlight {
 		return nil
 	}
-	if !f.reachable {
-		return f.statusIfDue(now)
+	if !l.reachable {
+		return l.statusCallIfDue(now)
 	}
-	apply, tried := f.missing(now, held, members)
+	apply, attempt := l.pendingUpdate(now, replica, members)
 	if apply == nil {
-		return f.statusIfDue(now)
+		return l.statusCallIfDue(now)
 	}
-	if tried == f.last && now < f.due {
+	if attempt == l.lastAttempt && now < l.nextExchange {
 		return nil
 	}
-	f.inFlight = true
-	f.last = tried
-	apply.ProxyIncarnation = f.status.GetIncarnation()
-	return &feedCall{apply: apply, attempt: tried}
+	l.inFlight = true
+	l.lastAttempt = attempt
+	apply.ProxyIncarnation = l.status.GetIncarnation()
+	return &proxyCall{apply: apply, attempt: attempt}
 }
 
-func (f *feed) statusIfDue(now time.Duration) *feedCall {
-	if now < f.due {
+func (l *proxyLink) statusCallIfDue(now time.Duration) *proxyCall {
+	if now < l.nextExchange {
 		return nil
 	}
-	f.inFlight = true
-	return &feedCall{}
+	l.inFlight = true
+	return &proxyCall{}
 }
 
 // missing is what the proxy lacks, nil if it lacks nothing. Nothing older than what the proxy holds is in it.
-func (f *feed) missing(now time.Duration, held *gossip.Replica, members *membership) (*pb.ApplyRequest, attempt) {
+func (l *proxyLink) pendingUpdate(now time.Duration, replica *gossip.Replica, members *membership) (*pb.ApplyRequest, deliveryAttempt) {
 	apply := &pb.ApplyRequest{}
-	var tried attempt
-	wanted := f.addState(apply, held)
-	if wanted {
-		tried.sequence = held.Sequence()
-		tried.digests = f.status.GetDigests() != nil
-	}
-	if gossip.CompareVersions(held.ListVersion(), f.status.GetList()) > 0 {
-		apply.List = held.List(now)
-		tried.list = held.ListVersion()
-		wanted = true
-	}
-	if f.sharesDue(now, members) {
+	var attempt deliveryAttempt
+	pending := l.addStateUpdate(apply, replica)
+	if pending {
+		attempt.sequence = replica.Sequence()
+		attempt.digests = l.status.GetDigests() != nil
+	}
+	if gossip.CompareVersions(replica.ListVersion(), l.status.GetList()) > 0 {
+		apply.List = replica.List(now)
+		attempt.list = replica.ListVersion()
+		pending = true
+	}
+	if l.sharesDue(now, members) {
 		apply.Shares = members.shares
-		tried.shares = members.shares.GetVersion().GetRevision()
-		wanted = true
+		attempt.shares = members.shares.GetVersion().GetRevision()
+		pending = true
 	}
-	if f.confirmed && !f.toldConfirm && held.Sequence() >= f.status.GetSequence() {
+	if l.confirmed && !l.confirmationDelivered && replica.Sequence() >= l.status.GetSequence() {
 		apply.Confirmed = true
-		tried.confirmed = true
-		wanted = true
+		attempt.confirmed = true
+		pending = true
 	}
-	if !wanted {
-		return nil, attempt{}
+	if !pending {
+		return nil, deliveryAttempt{}
 	}
-	return apply, tried
+	return apply, attempt
 }
 
-// addState adds the changes that the proxy lacks, or a repair if it can't use changes.
-func (f *feed) addState(apply *pb.ApplyRequest, held *gossip.Replica) bool {
-	if held.Sequence() <= f.status.GetSequence() {
+// addStateUpdate adds the changes that the proxy lacks, or a repair if it can't use changes.
+func (l *proxyLink) addStateUpdate(apply *pb.ApplyRequest, replica *gossip.Replica) bool {
+	if replica.Sequence() <= l.status.GetSequence() {
 		return false
 	}
-	changes, kept := held.Since(f.status.GetSequence())
-	if kept && f.status.GetDigests() == nil {
+	changes, available := replica.Since(l.status.GetSequence())
+	if available && l.status.GetDigests() == nil {
 		apply.Changes = changes
 	} else {
-		apply.Repair = held.Snapshot().RepairFor(f.status.GetDigests())
+		apply.Repair = replica.Snapshot().RepairFor(l.status.GetDigests())
 	}
 	return true
 }
 
-func (f *feed) sharesDue(now time.Duration, members *membership) bool {
-	if !members.known || proto.Equal(f.status.GetShares(), members.shares.GetVersion()) {
+func (l *proxyLink) sharesDue(now time.Duration, members *membership) bool {
+	if !members.received || proto.Equal(l.status.GetShares(), members.shares.GetVersion()) {
 		return false
 	}
-	return f.sharesAt == 0 || now >= f.sharesAt+sharesPeriod
+	return l.sharesDeliveredAt == 0 || now >= l.sharesDeliveredAt+minSharesInterval
 }
 
 // done takes the end of an exchange and tells whether a proxy that was not known has been found.
-func (f *feed) done(now time.Duration, done feedDone) (found bool) {
-	f.inFlight = false
+func (l *proxyLink) handleDone(now time.Duration, done proxyCallDone) (discovered bool) {
+	l.inFlight = false
 	if done.err != nil {
-		f.failed(now, done.err)
+		l.handleFailure(now, done.err)
 		return false
 	}
-	found = done.status.GetIncarnation() != f.status.GetIncarnation() || f.status == nil
-	f.status = done.status
-	f.reachable = true
-	f.refused = false
-	f.due = now + f.period()
-	if found {
-		f.seenAt = now
-		f.confirmed = false
-		f.toldConfirm = false
-		f.sharesAt = 0
-		f.last = attempt{}
+	discovered = done.status.GetIncarnation() != l.status.GetIncarnation() || l.status == nil
+	l.status = done.status
+	l.reachable = true
+	l.connectionRefused = false
+	l.nextExchange = now + l.interval()
+	if discovered {
+		l.foundAt = now
+		l.confirmed = false
+		l.confirmationDelivered = false
+		l.sharesDeliveredAt = 0
+		l.lastAttempt = deliveryAttempt{}
 		return true
 	}
 	if done.call.apply.GetShares() != nil {
-		f.sharesAt = now
+		l.sharesDeliveredAt = now
 	}
-	f.toldConfirm = f.toldConfirm || done.call.apply.GetConfirmed()
+	l.confirmationDelivered = l.confirmationDelivered || done.call.apply.GetConfirmed()
 	return false
 }
 
 // period is the time between two exchanges without news.
-func (f *feed) period() time.Duration {
-	if f.ending {
-		return endingPeriod
+func (l *proxyLink) interval() time.Duration {
+	if l.shuttingDown {
+		return shutdownExchangeInterval
 	}
-	return feedPeriod
+	return exchangeInterval
 }
 
-func (f *feed) failed(now time.Duration, err error) {
-	if f.reachable || f.goneSince == 0 {
-		f.goneSince = now
+func (l *proxyLink) handleFailure(now time.Duration, err error) {
+	if l.reachable || l.unreachableSince == 0 {
+		l.unreachableSince = now
 	}
-	f.reachable = false
-	f.refused = errors.Is(err, syscall.ECONNREFUSED)
-	f.last = attempt{}
-	f.due = now + feedRetry
+	l.reachable = false
+	l.connectionRefused = errors.Is(err, syscall.ECONNREFUSED)
+	l.lastAttempt = deliveryAttempt{}
+	l.nextExchange = now + proxyRetryInterval
 }
 
-// lacksChanges tells whether changes are on their way to the proxy.
-func (f *feed) lacksChanges(held *gossip.Replica) bool {
-	return f.reachable && held.Sequence() > f.status.GetSequence()
+// lagging tells whether changes are on their way to the proxy.
+func (l *proxyLink) lagging(replica *gossip.Replica) bool {
+	return l.reachable && replica.Sequence() > l.status.GetSequence()
 }
 
 // ready tells whether the proxy takes requests, as far as is known.
-func (f *feed) ready() bool { return f.reachable && f.status.GetReady() }
+func (l *proxyLink) ready() bool { return l.reachable && l.status.GetReady() }
 
 // confirm notes that the agreed view holds nothing newer than this agent, as was asked at the time asked.
-func (f *feed) confirm(asked time.Duration) {
-	if f.status != nil && asked >= f.seenAt {
-		f.confirmed = true
+func (l *proxyLink) confirm(requestedAt time.Duration) {
+	if l.status != nil && requestedAt >= l.foundAt {
+		l.confirmed = true
 	}
 }
 
 // awaitsConfirmation tells whether no call since the proxy was found has confirmed the state.
-func (f *feed) awaitsConfirmation() bool { return f.reachable && !f.confirmed }
+func (l *proxyLink) awaitsConfirmation() bool { return l.reachable && !l.confirmed }
--- a/internal/agent/feed_test.go
+++ b/internal/agent/feed_test.go
@@ -16,44 +16,44 @@
 )
 
 // feeding is a feed with all that it looks at.
-type feeding struct {
+type proxyLinkFixture struct {
 	t       *testing.T
 	now     time.Duration
-	feed    feed
-	held    *gossip.Replica
+	link    proxyLink
+	replica *gossip.Replica
 	members membership
 }
 
-func newFeeding(t *testing.T) *feeding {
-	return &feeding{
+func newProxyLinkFixture(t *testing.T) *proxyLinkFixture {
+	return &proxyLinkFixture{
 		t:       t,
 		now:     time.Second,
-		held:    gossip.NewReplica(),
+		replica: gossip.NewReplica(),
 		members: newMembership(shuffle.Neighbour{Host: "self"}, 5),
 	}
 }
 
-func (f *feeding) next() *feedCall { return f.feed.next(f.now, f.held, &f.members) }
+func (f *proxyLinkFixture) next() *proxyCall { return f.link.nextCall(f.now, f.replica, &f.members) }
 
 // exchange answers the call that is due with a status.
-func (f *feeding) exchange(status *pb.ProxyStatus) *pb.ApplyRequest {
+func (f *proxyLinkFixture) exchange(status *pb.ProxyStatus) *pb.ApplyRequest {
 	f.t.Helper()
 	call := f.next()
 	require.NotNil(f.t, call)
-	f.feed.done(f.now, feedDone{call: *call, status: status})
+	f.link.handleDone(f.now, proxyCallDone{call: *call, status: status})
 	return call.apply
 }
 
-func (f *feeding) fail() {
+func (f *proxyLinkFixture) fail() {
 	f.t.Helper()
 	call := f.next()
 	require.NotNil(f.t, call)
-	f.feed.done(f.now, feedDone{call: *call, err: errors.New("refused")})
+	f.link.handleDone(f.now, proxyCallDone{call: *call, err: errors.New("refused")})
 }
 
 func TestFirstIsAStatus(t *testing.T) {
-	f := newFeeding(t)
-	f.held.ApplyChanges([]*pb.Change{change(1), change(2)})
+	f := newProxyLinkFixture(t)
+	f.replica.ApplyChanges([]*pb.Change{change(1), change(2)})
 	require.Nil(t, f.exchange(&pb.ProxyStatus{Incarnation: 7, Sequence: 1}))
 	apply := f.exchange(&pb.ProxyStatus{Incarnation: 7, Sequence: 2})
 	require.Len(t, apply.GetChanges(), 1)
@@ -61,21 +61,21 @@
 }
 
 func TestProxyThatIsAheadGetsNothing(t *testing.T) {
-	f := newFeeding(t)
-	f.held.ApplyChanges([]*pb.Change{change(1)})
-	f.held.OfferList(0, serverList(1, "i-1"))
-	f.feed.confirmed = true
+	f := newProxyLinkFixture(t)
+	f.replica.ApplyChanges([]*pb.Change{change(1)})
+	f.replica.OfferList(0, serverList(1, "i-1"))
+	f.link.confirmed = true
 	ahead := &pb.ProxyStatus{Incarnation: 7, Sequence: 5, List: &pb.ListVersion{Epoch: 9}}
 	f.exchange(ahead)
-	f.feed.confirm(f.now)
+	f.link.confirm(f.now)
 	require.Nil(t, f.next(), "neither state, nor list, nor confirmation")
-	f.now += feedPeriod
+	f.now += exchangeInterval
 	require.Nil(t, f.exchange(ahead))
 }
 
 func TestProxyWithDigestsGetsARepair(t *testing.T) {
-	f := newFeeding(t)
-	f.held.ApplyChanges([]*pb.Change{change(1)})
+	f := newProxyLinkFixture(t)
+	f.replica.ApplyChanges([]*pb.Change{change(1)})
 	f.exchange(&pb.ProxyStatus{Incarnation: 7, Digests: &pb.RangeDigests{}})
 	apply := f.exchange(&pb.ProxyStatus{Incarnation: 7, Sequence: 1})
 	require.Empty(t, apply.GetChanges())
@@ -83,123 +83,123 @@
 }
 
 func TestWhatIsSentInVainIsNotSentAgainAtOnce(t *testing.T) {
-	f := newFeeding(t)
-	f.held.ApplyChanges([]*pb.Change{change(1)})
+	f := newProxyLinkFixture(t)
+	f.replica.ApplyChanges([]*pb.Change{change(1)})
 	stuck := &pb.ProxyStatus{Incarnation: 7}
 	f.exchange(stuck)
 	require.NotNil(t, f.exchange(stuck))
 	require.Nil(t, f.next())
-	f.now += feedPeriod
+	f.now += exchangeInterval
 	require.NotNil(t, f.exchange(stuck))
-	f.held.ApplyChanges([]*pb.Change{change(2)})
+	f.replica.ApplyChanges([]*pb.Change{change(2)})
 	require.Len(t, f.exchange(stuck).GetChanges(), 2, "news goes at once")
 }
 
 func TestGoneProxyIsAskedForItsStatusFirst(t *testing.T) {
-	f := newFeeding(t)
+	f := newProxyLinkFixture(t)
 	f.exchange(&pb.ProxyStatus{Incarnation: 7, Ready: true})
-	require.True(t, f.feed.ready())
-	f.held.ApplyChanges([]*pb.Change{change(1)})
+	require.True(t, f.link.ready())
+	f.replica.ApplyChanges([]*pb.Change{change(1)})
 	f.fail()
-	require.False(t, f.feed.ready())
+	require.False(t, f.link.ready())
 	require.Nil(t, f.next())
-	f.now += feedRetry
+	f.now += proxyRetryInterval
 	require.Nil(t, f.exchange(&pb.ProxyStatus{Incarnation: 8}), "a status")
 	require.NotNil(t, f.exchange(&pb.ProxyStatus{Incarnation: 8, Sequence: 1}))
 }
 
 func TestConfirmationIsForOneIncarnation(t *testing.T) {
-	f := newFeeding(t)
-	f.feed.confirm(f.now)
-	require.False(t, f.feed.confirmed, "no proxy is known")
+	f := newProxyLinkFixture(t)
+	f.link.confirm(f.now)
+	require.False(t, f.link.confirmed, "no proxy is known")
 	f.exchange(&pb.ProxyStatus{Incarnation: 7})
-	f.feed.confirm(f.now - 1)
-	require.False(t, f.feed.confirmed, "asked before the proxy was known")
-	f.feed.confirm(f.now)
+	f.link.confirm(f.now - 1)
+	require.False(t, f.link.confirmed, "asked before the proxy was known")
+	f.link.confirm(f.now)
 	require.True(t, f.exchange(&pb.ProxyStatus{Incarnation: 7}).GetConfirmed())
 	require.Nil(t, f.next(), "told once")
-	f.now += feedPeriod
+	f.now += exchangeInterval
 	f.exchange(&pb.ProxyStatus{Incarnation: 8})
-	require.True(t, f.feed.awaitsConfirmation())
+	require.True(t, f.link.awaitsConfirmation())
 	require.Nil(t, f.next())
 }
 
 func TestSharesAreSentWhenKnownAndNotTooOften(t *testing.T) {
-	f := newFeeding(t)
+	f := newProxyLinkFixture(t)
 	status := &pb.ProxyStatus{Incarnation: 7}
 	f.exchange(status)
 	require.Nil(t, f.next(), "none are known")
-	f.members.take(f.now, "core-1", members(1, "a"))
+	f.members.update(f.now, "core-1", members(1, "a"))
 	require.EqualValues(t, 2, f.exchange(status).GetShares().GetProxies())
-	f.members.take(f.now, "core-1", members(2, "a", "b"))
+	f.members.update(f.now, "core-1", members(2, "a", "b"))
 	require.Nil(t, f.next())
-	f.now += sharesPeriod
+	f.now += minSharesInterval
 	require.EqualValues(t, 3, f.exchange(status).GetShares().GetProxies())
 }
 
 // A call that was given up may reach the proxy after its successor. What counts is what the proxy says it holds.
 func TestSharesAreToldAgainUntilTheProxyHoldsThem(t *testing.T) {
-	f := newFeeding(t)
+	f := newProxyLinkFixture(t)
 	holds := func(revision uint64) *pb.ProxyStatus {
 		return &pb.ProxyStatus{Incarnation: 7, Shares: &pb.SharesVersion{Agent: 5, Revision: revision}}
 	}
 	f.exchange(&pb.ProxyStatus{Incarnation: 7})
-	f.members.take(f.now, "core-1", members(1, "a"))
+	f.members.update(f.now, "core-1", members(1, "a"))
 	require.NotNil(t, f.exchange(holds(1)).GetShares())
-	f.now += sharesPeriod
-	f.members.take(f.now, "core-1", members(2, "a", "b"))
+	f.now += minSharesInterval
+	f.members.update(f.now, "core-1", members(2, "a", "b"))
 	require.NotNil(t, f.exchange(holds(1)).GetShares(), "taken, and replaced by the one before")
 	require.Nil(t, f.next(), "not at once")
-	f.now += sharesPeriod
+	f.now += minSharesInterval
 	require.EqualValues(t, 2, f.exchange(holds(2)).GetShares().GetVersion().GetRevision())
-	f.now += sharesPeriod
+	f.now += minSharesInterval
 	require.Nil(t, f.exchange(holds(2)), "a status")
 }
 
 func TestEndingWaitsForTheProxyWithinItsGrace(t *testing.T) {
 	const grace = 8 * time.Second
-	f := newFeeding(t)
+	f := newProxyLinkFixture(t)
 	f.exchange(&pb.ProxyStatus{Incarnation: 7})
-	var e ending
-	require.False(t, e.over(f.now, &f.feed, 0))
-	e.request(f.now, grace, &f.feed)
-	require.False(t, e.over(f.now, &f.feed, 0))
-	require.True(t, e.over(f.now+grace-graceMargin, &f.feed, 1), "the grace ends")
+	var e shutdown
+	require.False(t, e.finished(f.now, &f.link, 0))
+	e.begin(f.now, grace, &f.link)
+	require.False(t, e.finished(f.now, &f.link, 0))
+	require.True(t, e.finished(f.now+grace-graceMargin, &f.link, 1), "the grace ends")
 
-	f.now += feedPeriod
+	f.now += exchangeInterval
 	f.fail()
-	require.False(t, e.over(f.now, &f.feed, 0), "it may be back")
-	require.False(t, e.over(f.now+goneFor, &f.feed, 1), "control isn't told yet")
-	require.True(t, e.over(f.now+goneFor, &f.feed, 0))
+	require.False(t, e.finished(f.now, &f.link, 0), "it may be back")
+	require.False(t, e.finished(f.now+proxyGoneTimeout, &f.link, 1), "control isn't told yet")
+	require.True(t, e.finished(f.now+proxyGoneTimeout, &f.link, 0))
 
-	f.now += feedRetry
+	f.now += proxyRetryInterval
 	f.exchange(&pb.ProxyStatus{Incarnation: 8})
-	require.True(t, e.over(f.now, &f.feed, 0), "another life of the proxy")
+	require.True(t, e.finished(f.now, &f.link, 0), "another life of the proxy")
 }
 
 // TestEndingFollowsAProxyThatHasEnded: both are started again after the same wait, and a proxy whose agent comes
 // later serves nobody meanwhile.
 func TestEndingFollowsAProxyThatHasEnded(t *testing.T) {
-	f := newFeeding(t)
+	f := newProxyLinkFixture(t)
 	f.exchange(&pb.ProxyStatus{Incarnation: 7})
-	var e ending
-	e.request(f.now, 8*time.Second, &f.feed)
-	f.now += endingPeriod
+	var e shutdown
+	e.begin(f.now, 8*time.Second, &f.link)
+	f.now += shutdownExchangeInterval
 	f.exchange(&pb.ProxyStatus{Incarnation: 7, Draining: true})
-	f.now += endingPeriod
+	f.now += shutdownExchangeInterval
 	call := f.next()
 	require.NotNil(t, call)
-	f.feed.done(f.now, feedDone{call: *call, err: connect.NewError(connect.CodeUnavailable, syscall.ECONNREFUSED)})
-	require.True(t, e.over(f.now, &f.feed, 0))
+	f.link.handleDone(f.now, proxyCallDone{call: *call, err: connect.NewError(connect.CodeUnavailable, syscall.ECONNREFUSED)})
+	require.True(t, e.finished(f.now, &f.link, 0))
 }
 
 // TestApplyIsMeantForOneProcess: a proxy that was started anew since its last status must not take the confirmation
 // of a state that was asked for before.
 func TestApplyIsMeantForOneProcess(t *testing.T) {
-	f := newFeeding(t)
-	f.held.ApplyChanges([]*pb.Change{change(1)})
+	f := newProxyLinkFixture(t)
+	f.replica.ApplyChanges([]*pb.Change{change(1)})
 	f.exchange(&pb.ProxyStatus{Incarnation: 7, Sequence: 1})
-	f.feed.confirm(f.now)
+	f.link.confirm(f.now)
 	apply := f.exchange(&pb.ProxyStatus{Incarnation: 8})
 	require.True(t, apply.GetConfirmed())
 	require.EqualValues(t, 7, apply.GetProxyIncarnation())
--- a/internal/agent/fetch_test.go
+++ b/internal/agent/fetch_test.go
@@ -9,20 +9,20 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// seekingOthers is a core whose control machine has failed, with probes to the others under way.
-func seekingOthers(t *testing.T) *steps {
-	s := newSteps(t, "core-1:1", "core-2:1", "core-3:1", "core-4:1", "core-5:1")
+// newProbingCore is a core whose control machine has failed, with probes to the others under way.
+func newProbingCore(t *testing.T) *coreDriver {
+	s := newCoreDriver(t, "core-1:1", "core-2:1", "core-3:1", "core-4:1", "core-5:1")
 	s.now = time.Millisecond
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	s.step(watchDone{call: takeWatch(s, watchLong), err: errModelTimeout})
+	s.step(watchDone{call: takeWatch(s, watchLongPoll), err: errModelTimeout})
 	s.now += time.Millisecond
 	s.step(tick{})
 	return s
 }
 
-// askingForState are the open calls whose answers carry the state that is lacked.
-func askingForState(s *steps) []watchCall {
+// stateRequests are the open calls whose answers carry the state that is lacked.
+func stateRequests(s *coreDriver) []watchCall {
 	var asking []watchCall
 	for _, open := range s.open {
 		if call, isWatch := open.(watchCall); isWatch && call.kind != watchProbe {
@@ -34,41 +34,41 @@
 
 // A machine that holds the agreed state becomes the current one: the long poll that goes there at once brings the state.
 func TestStateThatTheNewMachineTellsOfIsAskedForOnce(t *testing.T) {
-	s := seekingOthers(t)
+	s := newProbingCore(t)
 	probe := takeWatch(s, watchProbe)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Authoritative: true, Sequence: 9}})
-	require.Equal(t, probe.address, s.core.link.current)
-	require.Len(t, askingForState(s), 1)
+	require.Equal(t, probe.address, s.core.control.current)
+	require.Len(t, stateRequests(s), 1)
 }
 
 // Several machines that tell of the same state are not all asked for it at once.
 func TestStateThatSeveralProbesTellOfIsAskedForOnce(t *testing.T) {
-	s := seekingOthers(t)
+	s := newProbingCore(t)
 	for range 3 {
 		s.step(watchDone{call: takeWatch(s, watchProbe), response: &pb.WatchResponse{Sequence: 9}})
 	}
-	require.Len(t, askingForState(s), 1)
+	require.Len(t, stateRequests(s), 1)
 }
 
 // A machine without the changes asks for digests; the current machine, which knows less, does not make that forgotten.
 func TestFetchBringsTheDigestsThatItsMachineAskedFor(t *testing.T) {
-	s := newSteps(t, "core-1:1", "core-2:1")
+	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.now = time.Millisecond
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
 	first := &pb.Change{Sequence: 1, Generation: 1}
-	s.step(watchDone{call: takeWatch(s, watchLong), response: &pb.WatchResponse{Sequence: 1, Changes: []*pb.Change{first}}})
+	s.step(watchDone{call: takeWatch(s, watchLongPoll), response: &pb.WatchResponse{Sequence: 1, Changes: []*pb.Change{first}}})
 	answerCurrent := func() {
-		s.now += longestPause
+		s.now += maxEmptyBackoff
 		s.step(tick{})
 		for range 2 {
-			s.step(watchDone{call: takeWatch(s, watchLong), response: &pb.WatchResponse{Sequence: 1}})
-			s.now += longestPause
+			s.step(watchDone{call: takeWatch(s, watchLongPoll), response: &pb.WatchResponse{Sequence: 1}})
+			s.now += maxEmptyBackoff
 			s.step(tick{})
 		}
 	}
 	answerCurrent()
-	s.now += doubtPatience
+	s.now += nonAuthoritativeProbeDelay
 	s.step(tick{})
 
 	s.step(watchDone{call: takeWatch(s, watchProbe), response: &pb.WatchResponse{Sequence: 300}})
--- a/internal/agent/invariants.go
+++ b/internal/agent/invariants.go
@@ -10,35 +10,35 @@
 // violations count what must never happen between this agent and its proxy. That the sequence of the copy never falls
 // is checked by core.step, which ends the process.
 type violations struct {
-	proxyFell uint64 // the proxy reported less than before in the same life
-	olderSent uint64 // an exchange with the proxy carried what it had reported to hold
+	proxyRegressed uint64 // the proxy reported less than before in the same life
+	staleSent      uint64 // an exchange with the proxy carried what it had reported to hold
 }
 
 // total is the number of violations of all kinds.
-func (v *violations) total() uint64 { return v.proxyFell + v.olderSent }
+func (v *violations) total() uint64 { return v.proxyRegressed + v.staleSent }
 
 // checkReport compares two reports of the proxy, the earlier of which may be nil.
-func (v *violations) checkReport(logger *zap.Logger, earlier, later *pb.ProxyStatus) {
-	if earlier == nil || earlier.GetIncarnation() != later.GetIncarnation() || later.GetSequence() >= earlier.GetSequence() {
+func (v *violations) checkReport(logger *zap.Logger, previous, current *pb.ProxyStatus) {
+	if previous == nil || previous.GetIncarnation() != current.GetIncarnation() || current.GetSequence() >= previous.GetSequence() {
 		return
 	}
-	v.proxyFell++
+	v.proxyRegressed++
 	logger.Error("the proxy fell back",
-		zap.Uint64("reported_before", earlier.GetSequence()),
-		zap.Uint64("reported", later.GetSequence()))
+		zap.Uint64("reported_before", previous.GetSequence()),
+		zap.Uint64("reported", current.GetSequence()))
 }
 
 // checkSent compares what is sent to the proxy with what it reported.
 func (v *violations) checkSent(logger *zap.Logger, apply *pb.ApplyRequest, reported *pb.ProxyStatus) {
-	if !carriesOlder(apply, reported) {
+	if !carriesStale(apply, reported) {
 		return
 	}
-	v.olderSent++
+	v.staleSent++
 	logger.Error("older state is sent to the proxy", zap.Uint64("reported", reported.GetSequence()))
 }
 
-// carriesOlder tells whether something in an exchange is no newer than what the proxy reported to hold.
-func carriesOlder(apply *pb.ApplyRequest, reported *pb.ProxyStatus) bool {
+// carriesStale tells whether something in an exchange is no newer than what the proxy reported to hold.
+func carriesStale(apply *pb.ApplyRequest, reported *pb.ProxyStatus) bool {
 	if repair := apply.GetRepair(); repair != nil && repair.GetSequence() <= reported.GetSequence() {
 		return true
 	}
--- a/internal/agent/invariants_test.go
+++ b/internal/agent/invariants_test.go
@@ -10,10 +10,10 @@
 )
 
 func TestProxyThatFallsBackIsAViolation(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	logs := observed(s)
 	report := func(incarnation, sequence uint64) {
-		s.now += feedPeriod
+		s.now += exchangeInterval
 		s.step(tick{})
 		s.proxyAnswers(&pb.ProxyStatus{Incarnation: incarnation, Sequence: sequence})
 	}
@@ -21,9 +21,9 @@
 	report(7, 5)
 	report(7, 6)
 	report(8, 1)
-	require.Zero(t, s.core.broken.total(), "another process may hold less")
+	require.Zero(t, s.core.violations.total(), "another process may hold less")
 	report(8, 0)
-	require.EqualValues(t, 1, s.core.broken.proxyFell)
+	require.EqualValues(t, 1, s.core.violations.proxyRegressed)
 	requireLine(t, logs, "the proxy fell back")
 }
 
@@ -36,7 +36,7 @@
 	} {
 		var broken violations
 		broken.checkSent(zap.NewNop(), apply, reported)
-		require.EqualValues(t, 1, broken.olderSent, name)
+		require.EqualValues(t, 1, broken.staleSent, name)
 	}
 	for name, apply := range map[string]*pb.ApplyRequest{
 		"changes": {Changes: []*pb.Change{change(6)}},
--- a/internal/agent/lateness.go
+++ b/internal/agent/lateness.go
@@ -11,116 +11,116 @@
 
 // Limits above which a delay is worth a line of the log, and at whose end another.
 const (
-	// copyLate is for a change that somebody told of and that this agent lacks.
-	copyLate = 500 * time.Millisecond
-	// proxyLate is for a change that this agent holds and that its proxy has not reported.
-	proxyLate = 500 * time.Millisecond
-	// unconfirmedLate is for the state held: since a control machine that holds the agreed state last knew no newer one.
-	unconfirmedLate = 2 * time.Second
+	// replicaLagThreshold is for a change that somebody told of and that this agent lacks.
+	replicaLagThreshold = 500 * time.Millisecond
+	// proxyLagThreshold is for a change that this agent holds and that its proxy has not reported.
+	proxyLagThreshold = 500 * time.Millisecond
+	// unconfirmedThreshold is for the state held: since a control machine that holds the agreed state last knew no newer one.
+	unconfirmedThreshold = 2 * time.Second
 )
 
 // lateness measures, by this machine's steady clock, where a change of the control state is late: on its way to this
 // agent, or from here to the proxy. It decides nothing.
-type lateness struct {
-	told     lag.Timeline // sequences that anybody told of
-	held     lag.Timeline // sequences that this agent held
-	reported proxyHolding
-	lastFeed time.Duration // from holding a sequence to the proxy's report of it
-	maxFeed  time.Duration
+type lagMonitor struct {
+	advertised   lag.Timeline // sequences that anybody told of
+	applied      lag.Timeline // sequences that this agent held
+	reported     proxyReport
+	lastProxyLag time.Duration // from holding a sequence to the proxy's report of it
+	maxProxyLag  time.Duration
 
-	broughtBy   delivery // of the sequence held
+	lastSource  updateSource // of the sequence held
 	confirmedAt time.Duration
 
-	copyBehind  lag.Episode
-	proxyBehind lag.Episode
-	unconfirmed lag.Episode
+	replicaEpisode     lag.Episode
+	proxyEpisode       lag.Episode
+	unconfirmedEpisode lag.Episode
 }
 
-// proxyHolding is what one process of the proxy reported to hold.
-type proxyHolding struct {
-	incarnation uint64
-	sequence    uint64
-	since       time.Duration // when the process was first heard of
+// proxyReport is what one process of the proxy reported to hold.
+type proxyReport struct {
+	incarnation   uint64
+	sequence      uint64
+	firstReportAt time.Duration // when the process was first heard of
 }
 
 // observe looks at the state after an event.
-func (l *lateness) observe(now time.Duration, happened event, held uint64, proxy *pb.ProxyStatus) {
-	l.told.Record(toldSequence(happened), now)
-	if held > l.held.Newest() {
-		l.told.Record(held, now)
-		l.held.Record(held, now)
-		l.broughtBy = deliveryOf(happened)
+func (m *lagMonitor) observe(now time.Duration, received event, sequence uint64, proxy *pb.ProxyStatus) {
+	m.advertised.Record(advertisedSequence(received), now)
+	if sequence > m.applied.Newest() {
+		m.advertised.Record(sequence, now)
+		m.applied.Record(sequence, now)
+		m.lastSource = updateSourceOf(received)
 	}
 	if proxy != nil {
-		l.observeProxy(now, proxy)
+		m.observeProxy(now, proxy)
 	}
 }
 
 // observeProxy measures how long the proxy took for what it reports.
-func (l *lateness) observeProxy(now time.Duration, status *pb.ProxyStatus) {
-	if status.GetIncarnation() != l.reported.incarnation || l.reported.since == 0 {
-		l.reported = proxyHolding{incarnation: status.GetIncarnation(), sequence: status.GetSequence(), since: now}
+func (m *lagMonitor) observeProxy(now time.Duration, status *pb.ProxyStatus) {
+	if status.GetIncarnation() != m.reported.incarnation || m.reported.firstReportAt == 0 {
+		m.reported = proxyReport{incarnation: status.GetIncarnation(), sequence: status.GetSequence(), firstReportAt: now}
 		return
 	}
-	if status.GetSequence() <= l.reported.sequence {
+	if status.GetSequence() <= m.reported.sequence {
 		return
 	}
-	if _, lacked := l.held.FirstMissing(l.reported.sequence); lacked {
-		l.lastFeed = l.feedLag(now)
-		l.maxFeed = max(l.maxFeed, l.lastFeed)
+	if _, lacked := m.applied.FirstMissing(m.reported.sequence); lacked {
+		m.lastProxyLag = m.proxyLag(now)
+		m.maxProxyLag = max(m.maxProxyLag, m.lastProxyLag)
 	}
-	l.reported.sequence = status.GetSequence()
+	m.reported.sequence = status.GetSequence()
 }
 
-// copyLag is how long this agent has lacked a change that it was told of.
-func (l *lateness) copyLag(now time.Duration) time.Duration {
-	return l.told.Lag(now, l.held.Newest(), 0)
+// replicaLag is how long this agent has lacked a change that it was told of.
+func (m *lagMonitor) replicaLag(now time.Duration) time.Duration {
+	return m.advertised.Lag(now, m.applied.Newest(), 0)
 }
 
-// feedLag is how long the proxy has lacked a change that this agent holds, as far as is known.
-func (l *lateness) feedLag(now time.Duration) time.Duration {
-	if l.reported.since == 0 {
+// proxyLag is how long the proxy has lacked a change that this agent holds, as far as is known.
+func (m *lagMonitor) proxyLag(now time.Duration) time.Duration {
+	if m.reported.firstReportAt == 0 {
 		return 0
 	}
-	return l.held.Lag(now, l.reported.sequence, l.reported.since)
+	return m.applied.Lag(now, m.reported.sequence, m.reported.firstReportAt)
 }
 
 // confirm notes that a control machine which holds the agreed state knew nothing newer than this agent.
-func (l *lateness) confirm(now time.Duration) { l.confirmedAt = now }
+func (m *lagMonitor) confirm(now time.Duration) { m.confirmedAt = now }
 
 // log writes a line when a delay goes over its limit, and when it is back.
-func (l *lateness) log(now time.Duration, logger *zap.Logger) {
-	copyLag := l.copyLag(now)
-	switch l.copyBehind.Update(copyLag, copyLate) {
+func (m *lagMonitor) log(now time.Duration, logger *zap.Logger) {
+	replicaLag := m.replicaLag(now)
+	switch m.replicaEpisode.Update(replicaLag, replicaLagThreshold) {
 	case lag.Began:
-		logger.Warn("copy late", zap.Uint64("held", l.held.Newest()), zap.Uint64("told", l.told.Newest()), zap.Duration("lag", copyLag))
+		logger.Warn("copy late", zap.Uint64("held", m.applied.Newest()), zap.Uint64("told", m.advertised.Newest()), zap.Duration("lag", replicaLag))
 	case lag.Ended:
-		logger.Info("copy up to date again", zap.Uint64("held", l.held.Newest()), zap.Duration("longest", l.copyBehind.Longest()),
-			zap.Stringer("by", l.broughtBy))
+		logger.Info("copy up to date again", zap.Uint64("held", m.applied.Newest()), zap.Duration("longest", m.replicaEpisode.Longest()),
+			zap.Stringer("by", m.lastSource))
 	}
-	feedLag := l.feedLag(now)
-	switch l.proxyBehind.Update(feedLag, proxyLate) {
+	proxyLag := m.proxyLag(now)
+	switch m.proxyEpisode.Update(proxyLag, proxyLagThreshold) {
 	case lag.Began:
-		logger.Warn("proxy late", zap.Uint64("held", l.held.Newest()), zap.Uint64("reported", l.reported.sequence), zap.Duration("lag", feedLag))
+		logger.Warn("proxy late", zap.Uint64("held", m.applied.Newest()), zap.Uint64("reported", m.reported.sequence), zap.Duration("lag", proxyLag))
 	case lag.Ended:
-		logger.Info("proxy up to date again", zap.Uint64("reported", l.reported.sequence), zap.Duration("longest", l.proxyBehind.Longest()))
+		logger.Info("proxy up to date again", zap.Uint64("reported", m.reported.sequence), zap.Duration("longest", m.proxyEpisode.Longest()))
 	}
-	switch l.unconfirmed.Update(now-l.confirmedAt, unconfirmedLate) {
+	switch m.unconfirmedEpisode.Update(now-m.confirmedAt, unconfirmedThreshold) {
 	case lag.Began:
-		logger.Warn("state unconfirmed", zap.Uint64("held", l.held.Newest()), zap.Duration("for", now-l.confirmedAt))
+		logger.Warn("state unconfirmed", zap.Uint64("held", m.applied.Newest()), zap.Duration("for", now-m.confirmedAt))
 	case lag.Ended:
-		logger.Info("state confirmed again", zap.Uint64("held", l.held.Newest()), zap.Duration("longest", l.unconfirmed.Longest()))
+		logger.Info("state confirmed again", zap.Uint64("held", m.applied.Newest()), zap.Duration("longest", m.unconfirmedEpisode.Longest()))
 	}
 }
 
 // fields are the figures for the counters' line.
-func (l *lateness) fields(now time.Duration) []zap.Field {
+func (m *lagMonitor) fields(now time.Duration) []zap.Field {
 	return []zap.Field{
-		zap.Uint64("told_sequence", l.told.Newest()),
-		zap.Duration("copy_lag", l.copyLag(now)),
-		zap.Duration("proxy_lag", l.feedLag(now)),
-		zap.Duration("proxy_lag_last", l.lastFeed),
-		zap.Duration("proxy_lag_max", l.maxFeed),
-		zap.Duration("unconfirmed", now-l.confirmedAt),
+		zap.Uint64("told_sequence", m.advertised.Newest()),
+		zap.Duration("copy_lag", m.replicaLag(now)),
+		zap.Duration("proxy_lag", m.proxyLag(now)),
+		zap.Duration("proxy_lag_last", m.lastProxyLag),
+		zap.Duration("proxy_lag_max", m.maxProxyLag),
+		zap.Duration("unconfirmed", now-m.confirmedAt),
 	}
 }
--- a/internal/agent/lateness_test.go
+++ b/internal/agent/lateness_test.go
@@ -14,7 +14,7 @@
 )
 
 // observed replaces the log of a core by one that a test reads.
-func observed(s *steps) *observer.ObservedLogs {
+func observed(s *coreDriver) *observer.ObservedLogs {
 	logged, logs := observer.New(zap.DebugLevel)
 	s.core.logger = zap.New(logged)
 	return logs
@@ -29,7 +29,7 @@
 }
 
 // tickFor lets time pass in short steps.
-func (s *steps) tickFor(duration time.Duration) {
+func (s *coreDriver) tickFor(duration time.Duration) {
 	const step = 50 * time.Millisecond
 	for end := s.now + duration; s.now < end; {
 		s.now += step
@@ -38,31 +38,31 @@
 }
 
 func TestLateCopyIsLoggedFromTheTimeItWasToldOf(t *testing.T) {
-	s := newSteps(t, "core-1:1", "core-2:1")
+	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	logs := observed(s)
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
 	probe := takeWatch(s, watchProbe)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Authoritative: true, Sequence: 2}})
-	s.tickFor(copyLate)
+	s.tickFor(replicaLagThreshold)
 	require.Empty(t, logs.FilterMessage("copy late").All())
-	s.tickFor(2 * copyLate)
+	s.tickFor(2 * replicaLagThreshold)
 	line := requireLine(t, logs, "copy late")
 	require.EqualValues(t, 0, line["held"])
 	require.EqualValues(t, 2, line["told"])
-	require.Equal(t, 3*copyLate, s.core.lateness.copyLag(s.now))
+	require.Equal(t, 3*replicaLagThreshold, s.core.lag.replicaLag(s.now))
 
 	answer := make(chan *pb.PushResponse, 1)
 	push := &pb.PushRequest{From: &pb.Neighbour{Host: "edge-2", Address: "10.0.0.2:7661"}, Changes: []*pb.Change{change(1), change(2)}}
-	s.step(pushAsked{request: push, answer: answer})
+	s.step(pushRequested{request: push, answer: answer})
 	line = requireLine(t, logs, "copy up to date again")
 	require.Equal(t, "push", line["by"])
-	require.Equal(t, 3*copyLate, line["longest"])
-	require.Zero(t, s.core.lateness.copyLag(s.now))
+	require.Equal(t, 3*replicaLagThreshold, line["longest"])
+	require.Zero(t, s.core.lag.replicaLag(s.now))
 }
 
 func TestCopyThatFollowsEachChangeIsNotLate(t *testing.T) {
-	var l lateness
+	var l lagMonitor
 	logged, logs := observer.New(zap.DebugLevel)
 	for sequence := range uint64(100) {
 		now := time.Duration(sequence+1) * 300 * time.Millisecond
@@ -77,18 +77,18 @@
 func TestEveryNewsTellsItsSequence(t *testing.T) {
 	digests := &pb.RangeDigests{Sequence: 5}
 	for expected, events := range map[uint64][]event{
-		0: {tick{}, endRequested{}, feedDone{}, watchDone{}, pushDone{}, compareDone{}, compareAsked{}, shuffleAsked{}},
+		0: {tick{}, shutdownRequested{}, proxyCallDone{}, watchDone{}, pushDone{}, compareDone{}, compareRequested{}, shuffleRequested{}},
 		5: {
 			watchDone{response: &pb.WatchResponse{Sequence: 5}},
 			watchDone{response: &pb.WatchResponse{Sequence: 4, Changes: []*pb.Change{change(4), change(5)}}},
 			pushDone{response: &pb.PushResponse{Sequence: 5}},
-			pushAsked{request: &pb.PushRequest{Changes: []*pb.Change{change(4), change(5)}}},
-			compareAsked{request: &pb.CompareRequest{Digests: digests}},
+			pushRequested{request: &pb.PushRequest{Changes: []*pb.Change{change(4), change(5)}}},
+			compareRequested{request: &pb.CompareRequest{Digests: digests}},
 			compareDone{response: &pb.CompareResponse{Sequence: 5}},
 		},
 	} {
 		for _, happened := range events {
-			require.Equal(t, expected, toldSequence(happened), "%#v", happened)
+			require.Equal(t, expected, advertisedSequence(happened), "%#v", happened)
 		}
 	}
 }
@@ -97,70 +97,70 @@
 	for name, happened := range map[string]event{
 		"repair":  watchDone{response: &pb.WatchResponse{Repair: &pb.Repair{}}},
 		"changes": watchDone{response: &pb.WatchResponse{}},
-		"push":    pushAsked{},
+		"push":    pushRequested{},
 		"compare": compareDone{call: compareCall{gossip.Compare{To: shuffle.Neighbour{Host: "edge-2"}}}},
 		"unknown": tick{},
 	} {
-		require.Equal(t, name, deliveryOf(happened).String())
+		require.Equal(t, name, updateSourceOf(happened).String())
 	}
 }
 
 func TestLateProxyIsLoggedAndMeasured(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	logs := observed(s)
 	s.now = time.Millisecond
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
 	repair := &pb.WatchResponse{Sequence: 1, Changes: []*pb.Change{change(1)}}
-	s.step(watchDone{call: takeWatch(s, watchLong), response: repair})
-	require.Zero(t, s.core.lateness.feedLag(s.now))
-	apply := takeOne[feedCall](s)
-	s.tickFor(2 * proxyLate)
+	s.step(watchDone{call: takeWatch(s, watchLongPoll), response: repair})
+	require.Zero(t, s.core.lag.proxyLag(s.now))
+	apply := takeOne[proxyCall](s)
+	s.tickFor(2 * proxyLagThreshold)
 	line := requireLine(t, logs, "proxy late")
 	require.EqualValues(t, 1, line["held"])
 	require.EqualValues(t, 0, line["reported"])
 
-	s.step(feedDone{call: apply, status: &pb.ProxyStatus{Incarnation: 7, Sequence: 1}})
+	s.step(proxyCallDone{call: apply, status: &pb.ProxyStatus{Incarnation: 7, Sequence: 1}})
 	line = requireLine(t, logs, "proxy up to date again")
-	require.Equal(t, 2*proxyLate, line["longest"])
-	require.Equal(t, 2*proxyLate, s.core.lateness.lastFeed)
-	require.Equal(t, 2*proxyLate, s.core.lateness.maxFeed)
-	require.Zero(t, s.core.lateness.feedLag(s.now))
+	require.Equal(t, 2*proxyLagThreshold, line["longest"])
+	require.Equal(t, 2*proxyLagThreshold, s.core.lag.lastProxyLag)
+	require.Equal(t, 2*proxyLagThreshold, s.core.lag.maxProxyLag)
+	require.Zero(t, s.core.lag.proxyLag(s.now))
 }
 
 func TestNewProxyIsLateFromItsOwnStart(t *testing.T) {
-	var l lateness
+	var l lagMonitor
 	l.observe(time.Second, tick{}, 3, nil)
-	require.Zero(t, l.feedLag(9*time.Second), "no proxy is known")
+	require.Zero(t, l.proxyLag(9*time.Second), "no proxy is known")
 	l.observe(10*time.Second, tick{}, 3, &pb.ProxyStatus{Incarnation: 7})
-	require.Zero(t, l.feedLag(10*time.Second))
-	require.Equal(t, time.Second, l.feedLag(11*time.Second))
+	require.Zero(t, l.proxyLag(10*time.Second))
+	require.Equal(t, time.Second, l.proxyLag(11*time.Second))
 	l.observe(11*time.Second, tick{}, 3, &pb.ProxyStatus{Incarnation: 7, Sequence: 3})
-	require.Equal(t, time.Second, l.maxFeed)
+	require.Equal(t, time.Second, l.maxProxyLag)
 	l.observe(12*time.Second, tick{}, 3, &pb.ProxyStatus{Incarnation: 9})
-	require.Zero(t, l.feedLag(12*time.Second), "another process")
+	require.Zero(t, l.proxyLag(12*time.Second), "another process")
 }
 
 func TestUnconfirmedStateIsLogged(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	logs := observed(s)
-	s.tickFor(unconfirmedLate)
+	s.tickFor(unconfirmedThreshold)
 	require.Empty(t, logs.FilterMessage("state unconfirmed").All())
 	s.tickFor(time.Second)
 	requireLine(t, logs, "state unconfirmed")
-	long := takeWatch(s, watchLong)
+	long := takeWatch(s, watchLongPoll)
 	s.step(watchDone{call: long, response: &pb.WatchResponse{Authoritative: false}})
 	require.Empty(t, logs.FilterMessage("state confirmed again").All(), "by a machine without the agreed state")
 	s.tickFor(time.Second)
-	s.step(watchDone{call: takeWatch(s, watchLong), response: &pb.WatchResponse{Authoritative: true}})
+	s.step(watchDone{call: takeWatch(s, watchLongPoll), response: &pb.WatchResponse{Authoritative: true}})
 	line := requireLine(t, logs, "state confirmed again")
-	require.Equal(t, unconfirmedLate+2*time.Second, line["longest"])
+	require.Equal(t, unconfirmedThreshold+2*time.Second, line["longest"])
 }
 
 func TestCountersTellTheLags(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	logs := observed(s)
-	s.tickFor(countersPeriod + time.Second)
+	s.tickFor(countersInterval + time.Second)
 	lines := logs.FilterMessage("counters").All()
 	require.NotEmpty(t, lines)
 	line := lines[0].ContextMap()
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -12,21 +12,21 @@
 	"fieldrelay/internal/catalog"
 )
 
-func testLink(seeds ...string) *link {
-	made := newLink(testTargets(seeds...), rand.New(rand.NewPCG(1, 1)))
+func testLink(seeds ...string) *controlLink {
+	made := newControlLink(testTargets(seeds...), rand.New(rand.NewPCG(1, 1)))
 	return &made
 }
 
-func (l *link) nextAt(now time.Duration) *watchCall {
-	return l.next(now, &pb.AgentRecord{}, catalog.Empty(), false)
+func (l *controlLink) nextAt(now time.Duration) *watchCall {
+	return l.nextWatch(now, &pb.AgentRecord{}, catalog.Empty(), false)
 }
 
 func TestOneLongPollAtATime(t *testing.T) {
 	l := testLink("a:1")
 	call := l.nextAt(0)
-	require.EqualValues(t, watchHold/time.Millisecond, call.request.GetHoldMs())
+	require.EqualValues(t, watchWait/time.Millisecond, call.request.GetHoldMs())
 	require.Nil(t, l.nextAt(time.Second))
-	l.answered(time.Second, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
+	l.handleResponse(time.Second, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
 	require.NotNil(t, l.nextAt(time.Second))
 }
 
@@ -36,13 +36,13 @@
 	for failures := range 12 {
 		call := l.nextAt(now)
 		require.NotNil(t, call)
-		l.failed(now, *call, errors.New("refused"))
+		l.handleFailure(now, *call, errors.New("refused"))
 		require.NotEqual(t, call.address, l.current)
-		backoff := min(shortestBackoff<<failures, longestBackoff)
-		require.GreaterOrEqual(t, l.due-now, backoff/2)
-		require.LessOrEqual(t, l.due-now, backoff+backoff/2)
-		require.Nil(t, l.nextAt(l.due-1))
-		now = l.due
+		backoff := min(minBackoff<<failures, maxBackoff)
+		require.GreaterOrEqual(t, l.nextLongPoll-now, backoff/2)
+		require.LessOrEqual(t, l.nextLongPoll-now, backoff+backoff/2)
+		require.Nil(t, l.nextAt(l.nextLongPoll-1))
+		now = l.nextLongPoll
 	}
 }
 
@@ -51,99 +51,99 @@
 	now := time.Second
 	first := l.nextAt(now)
 	for {
-		now += doubtfulHold
-		l.answered(now, *first, &pb.WatchResponse{}, watchOutcome{})
+		now += nonAuthoritativeWait
+		l.handleResponse(now, *first, &pb.WatchResponse{}, watchOutcome{})
 		if l.current != first.address {
 			break
 		}
-		require.Less(t, now, time.Second+doubtfulFor+2*doubtfulHold)
+		require.Less(t, now, time.Second+nonAuthoritativeTimeout+2*nonAuthoritativeWait)
 		call := l.nextAt(now)
-		require.EqualValues(t, doubtfulHold/time.Millisecond, call.request.GetHoldMs())
+		require.EqualValues(t, nonAuthoritativeWait/time.Millisecond, call.request.GetHoldMs())
 		require.Equal(t, first.address, call.address)
 		first = call
 	}
-	require.GreaterOrEqual(t, now, time.Second+doubtfulFor)
-	require.EqualValues(t, watchHold/time.Millisecond, l.nextAt(now).request.GetHoldMs())
+	require.GreaterOrEqual(t, now, time.Second+nonAuthoritativeTimeout)
+	require.EqualValues(t, watchWait/time.Millisecond, l.nextAt(now).request.GetHoldMs())
 }
 
 func TestAnswersWithoutNewsMakeNoTightLoop(t *testing.T) {
 	l := testLink("a:1")
-	now, pause := time.Duration(0), shortestPause
+	now, pause := time.Duration(0), minEmptyBackoff
 	for range 12 {
 		call := l.nextAt(now)
 		require.NotNil(t, call)
 		now += time.Millisecond
-		l.answered(now, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
+		l.handleResponse(now, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
 		require.Nil(t, l.nextAt(now+pause-1))
 		now += pause
-		pause = min(2*pause, longestPause)
+		pause = min(2*pause, maxEmptyBackoff)
 	}
-	l.answered(now, *l.nextAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{news: true})
+	l.handleResponse(now, *l.nextAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
 	require.NotNil(t, l.nextAt(now))
 }
 
 func TestNearerMachineIsPreferredOnceTheLinkHasSettled(t *testing.T) {
 	l := testLink("far:1")
-	l.takeView(&pb.View{Number: 1, Voters: []*pb.Replica{voter("far:1", "zone-c", "region-b"), voter("near:1", "zone-a", "region-a")}})
-	l.moveTo(0, "far:1")
-	for now := time.Duration(0); now < settleFor; now += 50 * time.Millisecond {
+	l.adoptView(&pb.View{Number: 1, Voters: []*pb.Replica{voter("far:1", "zone-c", "region-b"), voter("near:1", "zone-a", "region-a")}})
+	l.switchTo(0, "far:1")
+	for now := time.Duration(0); now < minTenure; now += 50 * time.Millisecond {
 		call := l.nextAt(now)
 		require.Equal(t, "far:1", call.address)
-		l.answered(now, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{news: true})
+		l.handleResponse(now, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
 	}
-	l.answered(settleFor, *l.nextAt(settleFor), &pb.WatchResponse{Authoritative: true}, watchOutcome{news: true})
-	require.Equal(t, "near:1", l.nextAt(settleFor).address)
+	l.handleResponse(minTenure, *l.nextAt(minTenure), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
+	require.Equal(t, "near:1", l.nextAt(minTenure).address)
 }
 
 func TestNextWatchWaitsALittleForTheProxy(t *testing.T) {
 	l := testLink("a:1")
 	call := l.nextAt(0)
-	l.answered(time.Second, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{news: true})
-	require.Nil(t, l.next(time.Second, &pb.AgentRecord{}, catalog.Empty(), true))
-	due := l.wake(time.Second, true)
-	require.NotNil(t, l.next(due, &pb.AgentRecord{}, catalog.Empty(), true))
+	l.handleResponse(time.Second, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
+	require.Nil(t, l.nextWatch(time.Second, &pb.AgentRecord{}, catalog.Empty(), true))
+	due := l.nextDue(time.Second, true)
+	require.NotNil(t, l.nextWatch(due, &pb.AgentRecord{}, catalog.Empty(), true))
 }
 
 func TestDigestsFollowWhenTheyAreNeeded(t *testing.T) {
 	l := testLink("a:1")
 	call := l.nextAt(0)
 	require.Nil(t, call.request.GetDigests())
-	l.answered(0, *call, &pb.WatchResponse{Authoritative: true, NeedDigests: true}, watchOutcome{behind: true})
+	l.handleResponse(0, *call, &pb.WatchResponse{Authoritative: true, NeedDigests: true}, watchOutcome{moreAvailable: true})
 	call = l.nextAt(0)
 	require.NotNil(t, call.request.GetDigests())
 	require.NotNil(t, call.base)
-	l.answered(0, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{news: true})
+	l.handleResponse(0, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
 	require.Nil(t, l.nextAt(0).request.GetDigests())
 }
 
 func TestOnlyNewerViewsAreTaken(t *testing.T) {
 	l := testLink("a:1")
-	require.True(t, l.takeView(&pb.View{Number: 2, Voters: []*pb.Replica{voter("b:1", "", "")}}))
-	require.False(t, l.takeView(&pb.View{Number: 1, Voters: []*pb.Replica{voter("c:1", "", "")}}))
-	require.False(t, l.takeView(&pb.View{Number: 3}))
-	require.False(t, l.takeView(nil))
-	require.True(t, l.targets.known("b:1"))
-	require.True(t, l.targets.known("a:1"), "a seed")
-	require.False(t, l.targets.known("c:1"))
+	require.True(t, l.adoptView(&pb.View{Number: 2, Voters: []*pb.Replica{voter("b:1", "", "")}}))
+	require.False(t, l.adoptView(&pb.View{Number: 1, Voters: []*pb.Replica{voter("c:1", "", "")}}))
+	require.False(t, l.adoptView(&pb.View{Number: 3}))
+	require.False(t, l.adoptView(nil))
+	require.True(t, l.endpoints.known("b:1"))
+	require.True(t, l.endpoints.known("a:1"), "a seed")
+	require.False(t, l.endpoints.known("c:1"))
 }
 
 func TestSeedThatIsGoneIsLeft(t *testing.T) {
 	l := testLink("a:1")
 	call := l.nextAt(0)
-	l.targets.seeds = []string{"b:1"}
-	l.answered(time.Second, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
+	l.endpoints.seeds = []string{"b:1"}
+	l.handleResponse(time.Second, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
 	require.Equal(t, "b:1", l.nextAt(time.Second).address)
 }
 
-func (l *link) probeNow(now time.Duration) *watchCall {
-	return l.probe(now, &pb.AgentRecord{}, catalog.Empty())
+func (l *controlLink) probeNow(now time.Duration) *watchCall {
+	return l.nextProbe(now, &pb.AgentRecord{}, catalog.Empty())
 }
 
-// linkedTo is a link whose current machine has shown that it holds the agreed state.
-func linkedTo(t *testing.T, now time.Duration, seeds ...string) *link {
+// loggedControl is a link whose current machine has shown that it holds the agreed state.
+func linkedTo(t *testing.T, now time.Duration, seeds ...string) *controlLink {
 	l := testLink(seeds...)
-	l.answered(now, *l.nextAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{news: true})
-	require.True(t, l.linked)
+	l.handleResponse(now, *l.nextAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
+	require.True(t, l.established)
 	return l
 }
 
@@ -163,17 +163,17 @@
 	require.Len(t, probes, maxProbes)
 
 	now := 100 * time.Millisecond
-	l.answered(now, *probes[0], &pb.WatchResponse{}, watchOutcome{})
+	l.handleResponse(now, *probes[0], &pb.WatchResponse{}, watchOutcome{})
 	require.Equal(t, long.address, l.current, "it doesn't hold the agreed state")
-	l.answered(now, *probes[1], &pb.WatchResponse{Authoritative: true}, watchOutcome{})
+	l.handleResponse(now, *probes[1], &pb.WatchResponse{Authoritative: true}, watchOutcome{})
 	next := l.nextAt(now)
 	require.Equal(t, probes[1].address, next.address)
 	require.Nil(t, l.probeNow(now))
 
-	l.failed(now, *long, errNoConnection)
+	l.handleFailure(now, *long, errDialTimeout)
 	require.Equal(t, next.address, l.current, "what was given up doesn't matter any more")
 	require.True(t, l.inFlight)
-	l.answered(now, *next, &pb.WatchResponse{Authoritative: true}, watchOutcome{news: true})
+	l.handleResponse(now, *next, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
 	require.Equal(t, next.address, l.nextAt(now).address)
 }
 
@@ -181,17 +181,17 @@
 func TestSilentMachineIsReplacedBeforeItsCallEnds(t *testing.T) {
 	l := linkedTo(t, 0, "a:1", "b:1")
 	silent := l.nextAt(0)
-	overdue := watchHold + overdueAfter
+	overdue := watchWait + overdueMargin
 	require.Nil(t, l.probeNow(overdue-1))
-	require.Equal(t, overdue, l.wake(0, false))
+	require.Equal(t, overdue, l.nextDue(0, false))
 	probe := l.probeNow(overdue)
 	require.NotEqual(t, silent.address, probe.address)
 	now := overdue + 50*time.Millisecond
-	l.answered(now, *probe, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
+	l.handleResponse(now, *probe, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
 	next := l.nextAt(now)
 	require.Equal(t, probe.address, next.address)
 	require.Less(t, now, silent.started+silent.timeout)
-	l.answered(now, *next, &pb.WatchResponse{Authoritative: true}, watchOutcome{news: true})
+	l.handleResponse(now, *next, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
 	require.Equal(t, probe.address, l.current, "the silent one isn't gone back to soon")
 }
 
@@ -199,19 +199,19 @@
 	l := linkedTo(t, 0, "a:1", "b:1")
 	call := l.nextAt(0)
 	now := time.Second
-	l.answered(now, *call, &pb.WatchResponse{}, watchOutcome{})
+	l.handleResponse(now, *call, &pb.WatchResponse{}, watchOutcome{})
 	require.NotNil(t, l.nextAt(now))
-	require.Nil(t, l.probeNow(now+doubtPatience-1), "while the view changes none of them holds it")
-	probe := l.probeNow(now + doubtPatience)
-	l.answered(now+doubtPatience, *probe, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
-	require.Equal(t, probe.address, l.nextAt(now+doubtPatience).address)
+	require.Nil(t, l.probeNow(now+nonAuthoritativeProbeDelay-1), "while the view changes none of them holds it")
+	probe := l.probeNow(now + nonAuthoritativeProbeDelay)
+	l.handleResponse(now+nonAuthoritativeProbeDelay, *probe, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
+	require.Equal(t, probe.address, l.nextAt(now+nonAuthoritativeProbeDelay).address)
 }
 
 func TestMachineThatHoldsTheAgreedStateIsNotLeftForAProbe(t *testing.T) {
 	l := testLink("a:1", "b:1")
 	long, probe := l.nextAt(0), l.probeNow(0)
-	l.answered(0, *long, &pb.WatchResponse{Authoritative: true}, watchOutcome{news: true})
-	l.answered(0, *probe, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
+	l.handleResponse(0, *long, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
+	l.handleResponse(0, *probe, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
 	require.Equal(t, long.address, l.nextAt(0).address)
 }
 
@@ -222,19 +222,19 @@
 	before := time.Duration(0)
 	for range 8 {
 		call := l.nextAt(now)
-		require.GreaterOrEqual(t, call.dial, before)
-		require.LessOrEqual(t, call.dial, longestDial)
-		before = call.dial
-		l.failed(now, *call, errNoConnection)
-		now = l.due
+		require.GreaterOrEqual(t, call.dialTimeout, before)
+		require.LessOrEqual(t, call.dialTimeout, maxDialTimeout)
+		before = call.dialTimeout
+		l.handleFailure(now, *call, errDialTimeout)
+		now = l.nextLongPoll
 	}
-	require.Equal(t, longestDial, before)
-	l.answered(now, *l.nextAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{news: true})
-	require.Equal(t, shortestDial, l.nextAt(now).dial)
+	require.Equal(t, maxDialTimeout, before)
+	l.handleResponse(now, *l.nextAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
+	require.Equal(t, minDialTimeout, l.nextAt(now).dialTimeout)
 
 	l = testLink("a:1")
-	l.failed(0, *l.nextAt(0), errors.New("refused"))
-	require.Equal(t, shortestDial, l.nextAt(l.due).dial, "a machine that refuses is near enough")
+	l.handleFailure(0, *l.nextAt(0), errors.New("refused"))
+	require.Equal(t, minDialTimeout, l.nextAt(l.nextLongPoll).dialTimeout, "a machine that refuses is near enough")
 }
 
 // TestProbesAreNoTightLoop: whatever the machines answer, there are few calls.
@@ -250,18 +250,18 @@
 		}
 		count++
 		if random.IntN(2) == 0 {
-			l.failed(now, *call, errNoConnection)
+			l.handleFailure(now, *call, errDialTimeout)
 		}
 	}
 	require.Less(t, count, 10*40)
-	require.LessOrEqual(t, len(l.probes.addresses), maxProbes)
+	require.LessOrEqual(t, len(l.probes.inFlight), maxProbes)
 }
 
 // TestEveryMachineIsProbedInItsTurn: the only one that holds the agreed state may be far away, behind others that
 // answer.
 func TestEveryMachineIsProbedInItsTurn(t *testing.T) {
 	l := testLink("seed:1")
-	l.takeView(&pb.View{Number: 1, Voters: []*pb.Replica{
+	l.adoptView(&pb.View{Number: 1, Voters: []*pb.Replica{
 		voter("near-1:1", "zone-a", "region-a"),
 		voter("near-2:1", "zone-a", "region-a"),
 		voter("near-3:1", "zone-a", "region-a"),
@@ -275,11 +275,11 @@
 		for call := l.probeNow(now); call != nil; call = l.probeNow(now) {
 			asked[call.address]++
 		}
-		now += probeHold
-		for len(l.probes.addresses) > 0 {
-			l.answered(now, watchCall{kind: watchProbe, address: l.probes.addresses[0]}, &pb.WatchResponse{}, watchOutcome{})
+		now += probeWait
+		for len(l.probes.inFlight) > 0 {
+			l.handleResponse(now, watchCall{kind: watchProbe, address: l.probes.inFlight[0]}, &pb.WatchResponse{}, watchOutcome{})
 		}
 	}
 	require.Len(t, asked, 5)
-	require.LessOrEqual(t, len(l.probes.lacking), 5)
+	require.LessOrEqual(t, len(l.probes.nonAuthoritative), 5)
 }
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -10,56 +10,56 @@
 )
 
 const (
-	// lingerFor is how long a proxy that was lost may still be sending: its part of the common bounds isn't given to
+	// lostMemberRetention is how long a proxy that was lost may still be sending: its part of the common bounds isn't given to
 	// others before.
-	lingerFor = 60 * time.Second
+	lostMemberRetention = 60 * time.Second
 	// maxMembers bounds how many members are remembered.
 	maxMembers = 4096
 )
 
 // membership is what is known of the edge machines.
 type membership struct {
-	self      *pb.Neighbour
-	source    string // control machine that numbered version
-	version   uint64
-	known     bool            // a list has been heard
-	current   []*pb.Neighbour // of the last list
-	lingering map[string]lingerer
-	shares    *pb.Shares
-	told      *pb.SharesVersion // of shares
+	self          *pb.Neighbour
+	source        string // control machine that numbered version
+	version       uint64
+	received      bool            // a list has been heard
+	members       []*pb.Neighbour // of the last list
+	lost          map[string]lostMember
+	shares        *pb.Shares
+	sharesVersion *pb.SharesVersion // of shares
 }
 
 // lingerer is a member that the last list doesn't name.
-type lingerer struct {
-	member *pb.Neighbour
-	until  time.Duration
+type lostMember struct {
+	member    *pb.Neighbour
+	expiresAt time.Duration
 }
 
 func newMembership(self shuffle.Neighbour, incarnation uint64) membership {
 	return membership{
-		self:      toMessage(self),
-		lingering: make(map[string]lingerer),
-		told:      &pb.SharesVersion{Agent: incarnation},
+		self:          neighbourMessage(self),
+		lost:          make(map[string]lostMember),
+		sharesVersion: &pb.SharesVersion{Agent: incarnation},
 	}
 }
 
 // take learns a list of members and tells whether it was another one than before.
-func (m *membership) take(now time.Duration, source string, list *pb.Members) bool {
-	if list == nil || m.known && source == m.source && list.GetVersion() == m.version {
+func (m *membership) update(now time.Duration, source string, list *pb.Members) bool {
+	if list == nil || m.received && source == m.source && list.GetVersion() == m.version {
 		return false
 	}
-	before := m.current
+	previous := m.members
 	m.source = source
 	m.version = list.GetVersion()
-	m.known = true
-	m.current = currentMembers(list)
-	for _, member := range m.current {
-		delete(m.lingering, member.GetHost())
+	m.received = true
+	m.members = currentMembers(list)
+	for _, member := range m.members {
+		delete(m.lost, member.GetHost())
 	}
-	for _, member := range before {
-		m.linger(now, member)
+	for _, member := range previous {
+		m.retain(now, member)
 	}
-	m.rebuild()
+	m.updateShares()
 	return true
 }
 
@@ -68,7 +68,7 @@
 	members := make([]*pb.Neighbour, 0, len(list.GetAgents()))
 	for _, record := range list.GetAgents() {
 		age := time.Duration(record.GetAgeMs()) * time.Millisecond
-		if age > lingerFor || record.GetHost() == "" || len(members) == maxMembers {
+		if age > lostMemberRetention || record.GetHost() == "" || len(members) == maxMembers {
 			continue
 		}
 		members = append(members, &pb.Neighbour{
@@ -82,34 +82,34 @@
 }
 
 // linger keeps a member that the present list doesn't name.
-func (m *membership) linger(now time.Duration, member *pb.Neighbour) {
-	named := slices.ContainsFunc(m.current, func(other *pb.Neighbour) bool { return other.GetHost() == member.GetHost() })
-	_, kept := m.lingering[member.GetHost()]
-	if named || kept || len(m.lingering) >= maxMembers {
+func (m *membership) retain(now time.Duration, member *pb.Neighbour) {
+	listed := slices.ContainsFunc(m.members, func(other *pb.Neighbour) bool { return other.GetHost() == member.GetHost() })
+	_, retained := m.lost[member.GetHost()]
+	if listed || retained || len(m.lost) >= maxMembers {
 		return
 	}
-	m.lingering[member.GetHost()] = lingerer{member: member, until: now + lingerFor}
+	m.lost[member.GetHost()] = lostMember{member: member, expiresAt: now + lostMemberRetention}
 }
 
 // heard tells that a control machine has answered, whose list is still the one held: those that it doesn't name go
 // in time. While no control machine answers nobody goes.
-func (m *membership) heard(now time.Duration) {
+func (m *membership) expireLost(now time.Duration) {
 	expired := false
-	for host, lingerer := range m.lingering {
-		if lingerer.until <= now {
-			delete(m.lingering, host)
+	for host, lingerer := range m.lost {
+		if lingerer.expiresAt <= now {
+			delete(m.lost, host)
 			expired = true
 		}
 	}
 	if expired {
-		m.rebuild()
+		m.updateShares()
 	}
 }
 
 // rebuild makes the shares anew.
-func (m *membership) rebuild() {
-	members := slices.Clone(m.current)
-	for _, lingerer := range m.lingering {
+func (m *membership) updateShares() {
+	members := slices.Clone(m.members)
+	for _, lingerer := range m.lost {
 		members = append(members, lingerer.member)
 	}
 	if !slices.ContainsFunc(members, func(other *pb.Neighbour) bool { return other.GetHost() == m.self.GetHost() }) {
@@ -119,8 +119,8 @@
 	if m.shares != nil && slices.EqualFunc(m.shares.GetMembers(), members, sameMember) {
 		return
 	}
-	m.told = &pb.SharesVersion{Agent: m.told.GetAgent(), Revision: m.told.GetRevision() + 1}
-	m.shares = &pb.Shares{Proxies: uint32(len(members)), Members: members, Version: m.told}
+	m.sharesVersion = &pb.SharesVersion{Agent: m.sharesVersion.GetAgent(), Revision: m.sharesVersion.GetRevision() + 1}
+	m.shares = &pb.Shares{Proxies: uint32(len(members)), Members: members, Version: m.sharesVersion}
 }
 
 func sameMember(a, b *pb.Neighbour) bool {
@@ -131,4 +131,4 @@
 }
 
 // neighbours are the members of the last list, for the partial view.
-func (m *membership) neighbours() []shuffle.Neighbour { return fromMessages(m.current) }
+func (m *membership) neighbours() []shuffle.Neighbour { return neighboursFromMessages(m.members) }
--- a/internal/agent/membership_test.go
+++ b/internal/agent/membership_test.go
@@ -18,7 +18,7 @@
 	return list
 }
 
-func sending(m *membership) []string {
+func sharingHosts(m *membership) []string {
 	var hosts []string
 	for _, member := range m.shares.GetMembers() {
 		hosts = append(hosts, member.GetHost())
@@ -28,33 +28,33 @@
 
 func TestLostMembersCountForAWhile(t *testing.T) {
 	m := newMembership(shuffle.Neighbour{Host: "self"}, 5)
-	require.True(t, m.take(0, "core-1", members(1, "a", "b", "self")))
-	require.True(t, m.take(time.Second, "core-2", members(1, "a")), "another machine counts for itself")
-	require.Equal(t, []string{"a", "b", "self"}, sending(&m))
+	require.True(t, m.update(0, "core-1", members(1, "a", "b", "self")))
+	require.True(t, m.update(time.Second, "core-2", members(1, "a")), "another machine counts for itself")
+	require.Equal(t, []string{"a", "b", "self"}, sharingHosts(&m))
 	require.EqualValues(t, 3, m.shares.GetProxies())
 	require.EqualValues(t, 1, m.shares.GetVersion().GetRevision(), "the same proxies")
 
-	m.heard(time.Second + lingerFor - 1)
-	require.Len(t, sending(&m), 3)
-	m.heard(time.Second + lingerFor)
-	require.Equal(t, []string{"a", "self"}, sending(&m))
+	m.expireLost(time.Second + lostMemberRetention - 1)
+	require.Len(t, sharingHosts(&m), 3)
+	m.expireLost(time.Second + lostMemberRetention)
+	require.Equal(t, []string{"a", "self"}, sharingHosts(&m))
 	require.EqualValues(t, 2, m.shares.GetVersion().GetRevision())
 }
 
 func TestMemberThatComesBackLingersNoMore(t *testing.T) {
 	m := newMembership(shuffle.Neighbour{Host: "self"}, 5)
-	m.take(0, "core-1", members(1, "a", "b"))
-	m.take(time.Second, "core-1", members(2, "a"))
-	m.take(2*time.Second, "core-1", members(3, "a", "b"))
-	m.heard(10 * time.Minute)
-	require.Equal(t, []string{"a", "b", "self"}, sending(&m))
+	m.update(0, "core-1", members(1, "a", "b"))
+	m.update(time.Second, "core-1", members(2, "a"))
+	m.update(2*time.Second, "core-1", members(3, "a", "b"))
+	m.expireLost(10 * time.Minute)
+	require.Equal(t, []string{"a", "b", "self"}, sharingHosts(&m))
 }
 
 func TestSameListIsNoNews(t *testing.T) {
 	m := newMembership(shuffle.Neighbour{Host: "self"}, 5)
-	require.False(t, m.take(0, "core-1", nil))
+	require.False(t, m.update(0, "core-1", nil))
 	require.Nil(t, m.shares)
-	require.True(t, m.take(0, "core-1", members(0)), "the first list, whatever its version")
-	require.Equal(t, []string{"self"}, sending(&m))
-	require.False(t, m.take(0, "core-1", members(0)))
+	require.True(t, m.update(0, "core-1", members(0)), "the first list, whatever its version")
+	require.Equal(t, []string{"self"}, sharingHosts(&m))
+	require.False(t, m.update(0, "core-1", members(0)))
 }
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -15,17 +15,17 @@
 type (
 	// tick tells that time has passed.
 	tick struct{}
-	// watchBegun tells that the answer to a watchCall has begun to come.
-	watchBegun struct{ id uint64 }
-	// watchDone ends a watchCall.
+	// watchResponseStarted tells that the answer to a watchCall has begun to come.
+	watchResponseStarted struct{ id uint64 }
+	// handleWatchDone ends a watchCall.
 	watchDone struct {
 		call     watchCall
 		response *pb.WatchResponse
 		err      error
 	}
-	// feedDone ends a feedCall.
-	feedDone struct {
-		call   feedCall
+	// handleProxyCallDone ends a proxyCall.
+	proxyCallDone struct {
+		call   proxyCall
 		status *pb.ProxyStatus
 		err    error
 	}
@@ -47,47 +47,47 @@
 		response *pb.CompareResponse
 		err      error
 	}
-	// shuffleAsked is another agent's call.
-	shuffleAsked struct {
+	// shuffleRequested is another agent's call.
+	shuffleRequested struct {
 		request *pb.ShuffleRequest
 		answer  chan<- *pb.ShuffleResponse
 	}
-	// pushAsked is another agent's call.
-	pushAsked struct {
+	// pushRequested is another agent's call.
+	pushRequested struct {
 		request *pb.PushRequest
 		answer  chan<- *pb.PushResponse
 	}
-	// compareAsked is another agent's call.
-	compareAsked struct {
+	// compareRequested is another agent's call.
+	compareRequested struct {
 		request *pb.CompareRequest
 		answer  chan<- *pb.CompareResponse
 	}
-	// seedsRead tells the control machines that the settings file names now, by the address of their link service.
-	seedsRead struct{ addresses []string }
-	// endRequested tells that the process has been asked to end.
-	endRequested struct{}
+	// seedsReloaded tells the control machines that the settings file names now, by the address of their link service.
+	seedsReloaded struct{ addresses []string }
+	// handleShutdownRequested tells that the process has been asked to end.
+	shutdownRequested struct{}
 )
 
-func (tick) isEvent()         {}
-func (watchBegun) isEvent()   {}
-func (watchDone) isEvent()    {}
-func (feedDone) isEvent()     {}
-func (shuffleDone) isEvent()  {}
-func (pushDone) isEvent()     {}
-func (compareDone) isEvent()  {}
-func (shuffleAsked) isEvent() {}
-func (pushAsked) isEvent()    {}
-func (compareAsked) isEvent() {}
-func (seedsRead) isEvent()    {}
-func (endRequested) isEvent() {}
+func (tick) isEvent()                 {}
+func (watchResponseStarted) isEvent() {}
+func (watchDone) isEvent()            {}
+func (proxyCallDone) isEvent()        {}
+func (shuffleDone) isEvent()          {}
+func (pushDone) isEvent()             {}
+func (compareDone) isEvent()          {}
+func (shuffleRequested) isEvent()     {}
+func (pushRequested) isEvent()        {}
+func (compareRequested) isEvent()     {}
+func (seedsReloaded) isEvent()        {}
+func (shutdownRequested) isEvent()    {}
 
 // watchKind tells what a call to a control machine is for.
 type watchKind int
 
 const (
-	watchLong   watchKind = iota // waits for news
-	watchNotice                  // beside the long one, to tell something at once
-	watchProbe                   // finds out whether the machine holds the agreed state
+	watchLongPoll watchKind = iota // waits for news
+	watchNotice                    // beside the long one, to tell something at once
+	watchProbe                     // finds out whether the machine holds the agreed state
 )
 
 // action is a call that the shell has to make; its end comes back as an event.
@@ -96,19 +96,19 @@
 type (
 	// watchCall asks a control machine for news and tells it about this machine.
 	watchCall struct {
-		id      uint64
-		kind    watchKind
-		address string
-		request *pb.WatchRequest
-		base    *catalog.Snapshot // the state that the request's digests describe, nil if it has none
-		started time.Duration
-		dial    time.Duration // the longest wait for a connection
-		timeout time.Duration
+		id          uint64
+		kind        watchKind
+		address     string
+		request     *pb.WatchRequest
+		base        *catalog.Snapshot // the state that the request's digests describe, nil if it has none
+		started     time.Duration
+		dialTimeout time.Duration // the longest wait for a connection
+		timeout     time.Duration
 	}
-	// feedCall is an Apply to the proxy, or a Status when there is nothing to apply.
-	feedCall struct {
+	// proxyCall is an Apply to the proxy, or a Status when there is nothing to apply.
+	proxyCall struct {
 		apply   *pb.ApplyRequest // nil: Status
-		attempt attempt
+		attempt deliveryAttempt
 	}
 	// shuffleCall is an exchange of neighbours.
 	shuffleCall struct{ shuffle.Exchange }
@@ -119,12 +119,12 @@
 )
 
 func (watchCall) isAction()   {}
-func (feedCall) isAction()    {}
+func (proxyCall) isAction()   {}
 func (shuffleCall) isAction() {}
 func (pushCall) isAction()    {}
 func (compareCall) isAction() {}
 
-func toMessage(neighbour shuffle.Neighbour) *pb.Neighbour {
+func neighbourMessage(neighbour shuffle.Neighbour) *pb.Neighbour {
 	return &pb.Neighbour{
 		Host:    neighbour.Host,
 		Address: neighbour.Address,
@@ -134,7 +134,7 @@
 	}
 }
 
-func fromMessage(message *pb.Neighbour) shuffle.Neighbour {
+func neighbourFromMessage(message *pb.Neighbour) shuffle.Neighbour {
 	return shuffle.Neighbour{
 		Host:    message.GetHost(),
 		Address: message.GetAddress(),
@@ -144,18 +144,18 @@
 	}
 }
 
-func toMessages(neighbours []shuffle.Neighbour) []*pb.Neighbour {
+func neighbourMessages(neighbours []shuffle.Neighbour) []*pb.Neighbour {
 	messages := make([]*pb.Neighbour, len(neighbours))
 	for i, neighbour := range neighbours {
-		messages[i] = toMessage(neighbour)
+		messages[i] = neighbourMessage(neighbour)
 	}
 	return messages
 }
 
-func fromMessages(messages []*pb.Neighbour) []shuffle.Neighbour {
+func neighboursFromMessages(messages []*pb.Neighbour) []shuffle.Neighbour {
 	neighbours := make([]shuffle.Neighbour, len(messages))
 	for i, message := range messages {
-		neighbours[i] = fromMessage(message)
+		neighbours[i] = neighbourFromMessage(message)
 	}
 	return neighbours
 }
--- a/internal/agent/model_agent_test.go
+++ b/internal/agent/model_agent_test.go
@@ -14,19 +14,19 @@
 
 // modelAgent is an agent process on its machine.
 type modelAgent struct {
-	model  *model
-	self   shuffle.Neighbour
-	seeds  []string
-	proxy  *modelProxy
-	core   *core // nil while the process is dead
-	life   uint64
-	wakeAt time.Duration
-	pushes []*pb.PushRequest // that reached it, to come once more in a later life
+	model       *model
+	self        shuffle.Neighbour
+	seeds       []string
+	proxy       *modelProxy
+	core        *core // nil while the process is dead
+	incarnation uint64
+	wakeAt      time.Duration
+	pushes      []*pb.PushRequest // that reached it, to come once more in a later life
 }
 
 func (a *modelAgent) start() {
-	a.life++
-	who := identity{neighbour: a.self, incarnation: a.life}
+	a.incarnation++
+	who := identity{neighbour: a.self, incarnation: a.incarnation}
 	a.core = newCore(who, a.seeds, time.Second, rand.New(rand.NewPCG(a.model.random.Uint64(), 1)), zap.NewNop())
 	a.wakeAt = 0
 	a.deliver(tick{})
@@ -34,11 +34,11 @@
 
 func (a *modelAgent) kill() { a.core = nil }
 
-// ofLife returns what delivers an event to this life of the process only.
-func (a *modelAgent) ofLife() func(event) {
-	life := a.life
+// forThisRun returns what delivers an event to this life of the process only.
+func (a *modelAgent) forThisRun() func(event) {
+	life := a.incarnation
 	return func(happened event) {
-		if a.life == life {
+		if a.incarnation == life {
 			a.deliver(happened)
 		}
 	}
@@ -48,7 +48,7 @@
 	if a.core == nil {
 		return
 	}
-	before := a.core.held.Sequence()
+	before := a.core.replica.Sequence()
 	actions := a.core.step(a.model.now, happened)
 	if a.model.watch != nil {
 		a.model.watch(a, happened, actions)
@@ -56,16 +56,16 @@
 	for _, wanted := range actions {
 		a.call(wanted)
 	}
-	if a.core.broken.total() != 0 {
-		a.model.fail("%s counts violations: %+v", a.self.Host, a.core.broken)
+	if a.core.violations.total() != 0 {
+		a.model.fail("%s counts violations: %+v", a.self.Host, a.core.violations)
 	}
-	if a.core.held.Sequence() != before {
-		a.model.check(a.self.Host, a.core.held.Snapshot())
+	if a.core.replica.Sequence() != before {
+		a.model.check(a.self.Host, a.core.replica.Snapshot())
 	}
-	wake := max(a.core.wake(a.model.now), a.model.now+shortestTick)
+	wake := max(a.core.nextTick(a.model.now), a.model.now+minTickInterval)
 	if a.wakeAt <= a.model.now || wake < a.wakeAt {
 		a.wakeAt = wake
-		deliver := a.ofLife()
+		deliver := a.forThisRun()
 		a.model.after(wake-a.model.now, func() {
 			if a.wakeAt == wake {
 				deliver(tick{})
@@ -80,22 +80,22 @@
 	switch wanted := wanted.(type) {
 	case watchCall:
 		a.watch(wanted)
-	case feedCall:
+	case proxyCall:
 		a.exchange(wanted)
 	case pushCall:
 		answer := make(chan *pb.PushResponse, 1)
-		request := &pb.PushRequest{From: toMessage(a.self), Changes: wanted.Changes, List: wanted.List}
-		a.callPeer(wanted.To.Address, pushAsked{request, answer},
+		request := &pb.PushRequest{From: neighbourMessage(a.self), Changes: wanted.Changes, List: wanted.List}
+		a.callPeer(wanted.To.Address, pushRequested{request, answer},
 			func() event { return pushDone{call: wanted, response: <-answer} }, pushDone{call: wanted, err: errModelTimeout})
 	case compareCall:
 		answer := make(chan *pb.CompareResponse, 1)
-		request := compareRequest(a.self, wanted)
-		a.callPeer(wanted.To.Address, compareAsked{request, answer},
+		request := newCompareRequest(a.self, wanted)
+		a.callPeer(wanted.To.Address, compareRequested{request, answer},
 			func() event { return compareDone{call: wanted, response: <-answer} }, compareDone{call: wanted, err: errModelTimeout})
 	case shuffleCall:
 		answer := make(chan *pb.ShuffleResponse, 1)
-		request := &pb.ShuffleRequest{From: toMessage(a.self), Sample: toMessages(wanted.Sample)}
-		a.callPeer(wanted.To.Address, shuffleAsked{request, answer},
+		request := &pb.ShuffleRequest{From: neighbourMessage(a.self), Sample: neighbourMessages(wanted.Sample)}
+		a.callPeer(wanted.To.Address, shuffleRequested{request, answer},
 			func() event { return shuffleDone{call: wanted, response: <-answer} }, shuffleDone{call: wanted, err: errModelTimeout})
 	}
 }
@@ -105,12 +105,12 @@
 }
 
 func (a *modelAgent) watch(call watchCall) {
-	m, deliver := a.model, a.ofLife()
+	m, deliver := a.model, a.forThisRun()
 	failed := func(after time.Duration, err error) {
 		m.after(after, func() { deliver(watchDone{call: call, err: err}) })
 	}
 	if a.isCut(call.address) {
-		failed(call.dial, errNoConnection)
+		failed(call.dialTimeout, errDialTimeout)
 		return
 	}
 	ended, begun := false, false
@@ -126,10 +126,10 @@
 		}
 		ended = true
 		if a.isCut(call.address) {
-			failed(stallTimeout, &stalledError{begun: true})
+			failed(stallTimeout, &stalledError{responseStarted: true})
 			return
 		}
-		deliver(watchDone{call: call, response: response, err: unpackWatch(response)})
+		deliver(watchDone{call: call, response: response, err: decompressWatch(response)})
 	}
 	m.after(m.latency(), func() {
 		if m.control(call.address).dead {
@@ -141,7 +141,7 @@
 			}
 			begun = !a.isCut(call.address)
 			if begun {
-				deliver(watchBegun{id: call.id})
+				deliver(watchResponseStarted{id: call.id})
 			}
 			m.links.send(call.address, a.self.Address, proto.Size(response), func() {
 				m.after(m.latency(), func() { answered(response) })
@@ -170,20 +170,20 @@
 
 // callPeer brings a call to another agent and its answer back.
 func (a *modelAgent) callPeer(address string, asked event, answer func() event, failed event) {
-	m, deliver := a.model, a.ofLife()
+	m, deliver := a.model, a.forThisRun()
 	m.after(m.latency(), func() {
 		other := m.agent(address)
 		if other == nil || other.core == nil || a.isCut(address) {
 			m.after(peerTimeout, func() { deliver(failed) })
 			return
 		}
-		if push, isPush := asked.(pushAsked); isPush && len(other.pushes) < 100 {
+		if push, isPush := asked.(pushRequested); isPush && len(other.pushes) < 100 {
 			other.pushes = append(other.pushes, push.request)
 		}
 		other.deliver(asked)
 		done := answer()
 		ended := false
-		m.after(longestCall, func() {
+		m.after(maxCallDuration, func() {
 			if !ended {
 				ended = true
 				deliver(failed)
@@ -203,7 +203,7 @@
 // unpackedAnswer is another agent's answer as the caller hands it on.
 func unpackedAnswer(done event) event {
 	if compared, isCompare := done.(compareDone); isCompare {
-		compared.err = unpackCompare(compared.response)
+		compared.err = decompressCompare(compared.response)
 		return compared
 	}
 	return done
@@ -225,21 +225,21 @@
 // repeatPushes brings pushes once more that reached this machine long ago, from neighbours of earlier lives.
 func (a *modelAgent) repeatPushes() {
 	for _, request := range a.pushes {
-		a.deliver(pushAsked{request: request, answer: make(chan *pb.PushResponse, 1)})
+		a.deliver(pushRequested{request: request, answer: make(chan *pb.PushResponse, 1)})
 	}
 }
 
-func (a *modelAgent) exchange(call feedCall) {
-	m, deliver := a.model, a.ofLife()
-	if m.plant.feed != nil {
-		m.plant.feed(&call)
+func (a *modelAgent) exchange(call proxyCall) {
+	m, deliver := a.model, a.forThisRun()
+	if m.plant.proxyCall != nil {
+		m.plant.proxyCall(&call)
 	}
 	m.after(m.upTo(2*time.Millisecond), func() {
 		if a.proxy.dead {
-			deliver(feedDone{call: call, err: errModelTimeout})
+			deliver(proxyCallDone{call: call, err: errModelTimeout})
 			return
 		}
 		status := a.proxy.apply(call.apply)
-		m.after(m.upTo(2*time.Millisecond), func() { deliver(feedDone{call: call, status: status}) })
+		m.after(m.upTo(2*time.Millisecond), func() { deliver(proxyCallDone{call: call, status: status}) })
 	})
 }
--- a/internal/agent/model_control_test.go
+++ b/internal/agent/model_control_test.go
@@ -12,7 +12,7 @@
 type modelControl struct {
 	model         *model
 	address       string
-	held          *gossip.Replica
+	replica       *gossip.Replica
 	authoritative bool
 	stuck         bool // it hears of nothing new
 	dead          bool // it answers nothing
@@ -33,11 +33,11 @@
 	}
 	if c.model.random.IntN(200) == 0 {
 		newest := c.model.truth[c.model.last()]
-		if _, err := c.held.Restore(c.held.Snapshot(), newest.RepairFor(c.held.Snapshot().Digests())); err != nil {
+		if _, err := c.replica.Restore(c.replica.Snapshot(), newest.RepairFor(c.replica.Snapshot().Digests())); err != nil {
 			c.model.fail("the model is wrong: %v", err)
 		}
 	}
-	c.held.ApplyChanges(c.model.changes[c.held.Sequence():])
+	c.replica.ApplyChanges(c.model.changes[c.replica.Sequence():])
 	c.answerWaiting(false)
 }
 
@@ -78,8 +78,8 @@
 func (c *modelControl) compose(request *pb.WatchRequest) (*pb.WatchResponse, bool) {
 	response := &pb.WatchResponse{
 		Authoritative: c.authoritative,
-		Sequence:      c.held.Sequence(),
-		Generation:    c.held.Snapshot().Generation(),
+		Sequence:      c.replica.Sequence(),
+		Generation:    c.replica.Snapshot().Generation(),
 		MembersSource: c.address,
 	}
 	if request.GetProbe() {
@@ -99,17 +99,17 @@
 
 func (c *modelControl) addState(response *pb.WatchResponse, request *pb.WatchRequest) bool {
 	switch held := request.GetSequence(); {
-	case held >= c.held.Sequence():
+	case held >= c.replica.Sequence():
 		return false
 	case held == 0:
-		response.Repair = c.held.Snapshot().RepairFor(nil)
+		response.Repair = c.replica.Snapshot().RepairFor(nil)
 	default:
-		changes, kept := c.held.Since(held)
+		changes, kept := c.replica.Since(held)
 		switch digests := request.GetDigests(); {
 		case kept:
 			response.Changes = changes
 		case digests != nil && digests.GetSequence() == held:
-			response.Repair = c.held.Snapshot().RepairFor(digests)
+			response.Repair = c.replica.Snapshot().RepairFor(digests)
 		default:
 			response.NeedDigests = true
 		}
--- a/internal/agent/model_proxy_test.go
+++ b/internal/agent/model_proxy_test.go
@@ -8,51 +8,51 @@
 
 // modelProxy takes in what it is fed as package proxy does: changes that follow, or a whole state.
 type modelProxy struct {
-	model *model
-	held  *gossip.Replica
-	life  uint64
-	gap   bool
-	dead  bool
+	model       *model
+	replica     *gossip.Replica
+	incarnation uint64
+	gap         bool
+	dead        bool
 }
 
 func (p *modelProxy) restart() {
-	p.held = gossip.NewReplica()
-	p.life += 2
+	p.replica = gossip.NewReplica()
+	p.incarnation += 2
 	p.gap = false
 	p.dead = false
 }
 
 func (p *modelProxy) apply(request *pb.ApplyRequest) *pb.ProxyStatus {
-	if request.GetProxyIncarnation() == p.life {
+	if request.GetProxyIncarnation() == p.incarnation {
 		p.take(request)
 	}
-	status := &pb.ProxyStatus{Incarnation: p.life, Sequence: p.held.Sequence(), Generation: p.held.Snapshot().Generation()}
-	if p.gap || p.held.Sequence() == 0 {
-		status.Digests = &pb.RangeDigests{Sequence: p.held.Sequence()}
+	status := &pb.ProxyStatus{Incarnation: p.incarnation, Sequence: p.replica.Sequence(), Generation: p.replica.Snapshot().Generation()}
+	if p.gap || p.replica.Sequence() == 0 {
+		status.Digests = &pb.RangeDigests{Sequence: p.replica.Sequence()}
 	}
 	return status
 }
 
 // take also checks that nothing in a call is older than what the proxy held when it told its status last.
 func (p *modelProxy) take(request *pb.ApplyRequest) {
-	before := p.held.Sequence()
+	before := p.replica.Sequence()
 	if repair := request.GetRepair(); repair != nil {
 		if repair.GetSequence() < before {
 			p.model.fail("a proxy that holds %d is handed the state %d", before, repair.GetSequence())
 		}
 		if len(repair.GetRanges()) == catalog.RangeCount {
-			_, err := p.held.Restore(nil, repair)
+			_, err := p.replica.Restore(nil, repair)
 			p.gap = p.gap && err != nil
 		}
 	}
 	for _, change := range request.GetChanges() {
-		if change.GetSequence() > p.held.Sequence()+1 {
+		if change.GetSequence() > p.replica.Sequence()+1 {
 			p.gap = true
 		}
-		p.held.ApplyChanges([]*pb.Change{change})
+		p.replica.ApplyChanges([]*pb.Change{change})
 	}
 	if last := len(request.GetChanges()) - 1; last >= 0 && request.GetChanges()[last].GetSequence() < before {
 		p.model.fail("a proxy that holds %d is handed changes up to %d", before, request.GetChanges()[last].GetSequence())
 	}
-	p.model.check("a proxy", p.held.Snapshot())
+	p.model.check("a proxy", p.replica.Snapshot())
 }
--- a/internal/agent/model_test.go
+++ b/internal/agent/model_test.go
@@ -33,8 +33,8 @@
 
 // planted is a fault, to show that the model's checks find it. The zero value plants none.
 type planted struct {
-	feed  func(call *feedCall)             // changes what a proxy is handed
-	watch func(response *pb.WatchResponse) // changes what a control machine answers
+	proxyCall func(call *proxyCall)            // changes what a proxy is handed
+	watch     func(response *pb.WatchResponse) // changes what a control machine answers
 }
 
 type modelEvent struct {
@@ -71,7 +71,7 @@
 	for index := range controls {
 		address := fmt.Sprintf("core-%d:1", index)
 		seeds = append(seeds, address)
-		m.controls = append(m.controls, &modelControl{model: m, address: address, held: gossip.NewReplica(), authoritative: true})
+		m.controls = append(m.controls, &modelControl{model: m, address: address, replica: gossip.NewReplica(), authoritative: true})
 	}
 	for index := range agents {
 		made := &modelAgent{
@@ -83,7 +83,7 @@
 				Zone:    fmt.Sprintf("zone-%d", index%3),
 				Region:  "region",
 			},
-			proxy: &modelProxy{model: m, held: gossip.NewReplica(), life: 1},
+			proxy: &modelProxy{model: m, replica: gossip.NewReplica(), incarnation: 1},
 		}
 		m.agents = append(m.agents, made)
 		m.after(m.upTo(100*time.Millisecond), made.start)
--- a/internal/agent/narrowlinks_test.go
+++ b/internal/agent/narrowlinks_test.go
@@ -16,13 +16,13 @@
 // Links and sizes of the deployment whose operators saw changes come late: 61 edge machines on 10 Mbit/s and five
 // control machines on 30 Mbit/s, of which two may be lost; 1,500 routes, and 1,400 more in one change.
 const (
-	edgeLink       = 10e6 / 8 // bytes a second
-	controlLink    = 30e6 / 8 // bytes a second
-	edgeMachines   = 61
-	coreMachines   = 5
-	lostMachines   = 2
-	routesAtFirst  = 1500
-	routesInChange = 1400
+	edgeBandwidth    = 10e6 / 8 // bytes a second
+	controlBandwidth = 30e6 / 8 // bytes a second
+	edgeMachines     = 61
+	coreMachines     = 5
+	lostMachines     = 2
+	routesAtFirst    = 1500
+	routesInChange   = 1400
 	// inForceWithin is the time that such operators give a change.
 	inForceWithin = 3 * time.Second
 )
@@ -31,10 +31,10 @@
 func (m *model) narrow() {
 	m.links = newModelLinks(m)
 	for _, control := range m.controls {
-		m.links.capacity[control.address] = controlLink
+		m.links.capacity[control.address] = controlBandwidth
 	}
 	for _, one := range m.agents {
-		m.links.capacity[one.self.Address] = edgeLink
+		m.links.capacity[one.self.Address] = edgeBandwidth
 	}
 }
 
@@ -128,7 +128,7 @@
 		took := m.now - began
 		packed := proto.Size(m.controls[coreMachines-1].packer.Packed(
 			packing.Key{Base: m.last() - 1, Sequence: m.last()}, func() *pb.StateNews { return nil }))
-		once := float64(packed*edgeMachines) / (controlLink / narrower * (coreMachines - lostMachines))
+		once := float64(packed*edgeMachines) / (controlBandwidth / narrower * (coreMachines - lostMachines))
 		t.Logf("seed %d: in force after %v, %.1f s if each came once over even links", seed, took, once)
 		require.True(t, inForce)
 		require.Less(t, took.Seconds(), once*slack, "seed %d", seed)
--- a/internal/agent/passon_test.go
+++ b/internal/agent/passon_test.go
@@ -20,14 +20,14 @@
 	packer.PackAnswer(&pb.WatchRequest{TakesPacked: true}, answer)
 	packed := answer.GetPacked()
 	require.NotNil(t, packed)
-	require.NoError(t, unpackWatch(answer))
-	s, call := linked(t)
+	require.NoError(t, decompressWatch(answer))
+	s, call := newLinkedCore(t)
 	require.True(t, call.request.GetTakesPacked())
 	s.step(watchDone{call: call, response: answer})
 
 	other := shuffle.Neighbour{Host: "edge-2", Address: "10.0.0.2:7661"}
 	asks := compareCall{gossip.Compare{To: s.core.identity.neighbour, Digests: &pb.RangeDigests{}}}
 	replies := make(chan *pb.CompareResponse, 1)
-	s.step(compareAsked{request: compareRequest(other, asks), answer: replies})
+	s.step(compareRequested{request: newCompareRequest(other, asks), answer: replies})
 	require.Same(t, packed, (<-replies).GetPacked())
 }
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -10,17 +10,17 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// peerDone takes the end of a call to another agent.
-func (c *core) peerDone(now time.Duration, happened event) []action {
-	switch done := happened.(type) {
+// handlePeerCallDone takes the end of a call to another agent.
+func (c *core) handlePeerCallDone(now time.Duration, received event) []action {
+	switch done := received.(type) {
 	case shuffleDone:
-		if c.peerFailed(now, done.err, done.call.To.Host) {
+		if c.recordPeerFailure(now, done.err, done.call.To.Host) {
 			return nil
 		}
-		sample := fromMessages(done.response.GetSample())
-		c.view.Step(now, shuffle.Answered{From: done.call.To, Sample: sample})
+		sample := neighboursFromMessages(done.response.GetSample())
+		c.partialView.Step(now, shuffle.Answered{From: done.call.To, Sample: sample})
 	case pushDone:
-		if c.peerFailed(now, done.err, done.call.To.Host) {
+		if c.recordPeerFailure(now, done.err, done.call.To.Host) {
 			return nil
 		}
 		return c.gossipActions(c.gossip.Step(now, gossip.PushAnswered{
@@ -29,7 +29,7 @@
 			List:     done.response.GetList(),
 		}))
 	case compareDone:
-		if c.peerFailed(now, done.err, done.call.To.Host) {
+		if c.recordPeerFailure(now, done.err, done.call.To.Host) {
 			return nil
 		}
 		return c.gossipActions(c.gossip.Step(now, gossip.Compared{Request: done.call.Compare, Response: done.response}))
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// peerFailed drops a neighbour that didn't answer. One that is busy stays.
-func (c *core) peerFailed(now time.Duration, err error, host string) bool {
+// recordPeerFailure drops a neighbour that didn't answer. One that is busy stays.
+func (c *core) recordPeerFailure(now time.Duration, err error, host string) bool {
 	if err == nil {
 		return false
 	}
@@ -47,71 +47,71 @@
 	if connect.CodeOf(err) == connect.CodeResourceExhausted {
 		return true
 	}
-	c.view.Step(now, shuffle.Failed{Host: host})
+	c.partialView.Step(now, shuffle.Failed{Host: host})
 	return true
 }
 
-// peerAsked answers another agent's call.
-func (c *core) peerAsked(now time.Duration, happened event) []action {
-	switch asked := happened.(type) {
-	case shuffleAsked:
-		c.counters.shufflesTaken++
+// handlePeerRequest answers another agent's call.
+func (c *core) handlePeerRequest(now time.Duration, received event) []action {
+	switch asked := received.(type) {
+	case shuffleRequested:
+		c.counters.shufflesReceived++
 		c.answerShuffle(now, asked)
-	case pushAsked:
-		c.counters.pushesTaken++
+	case pushRequested:
+		c.counters.pushesReceived++
 		return c.answerPush(now, asked)
-	case compareAsked:
-		c.counters.comparesTaken++
+	case compareRequested:
+		c.counters.comparesReceived++
 		return c.answerCompare(now, asked)
 	}
 	return nil
 }
 
-func (c *core) answerShuffle(now time.Duration, asked shuffleAsked) {
-	wanted := c.view.Step(now, shuffle.ExchangeRequested{
-		From:   fromMessage(asked.request.GetFrom()),
-		Sample: fromMessages(asked.request.GetSample()),
+func (c *core) answerShuffle(now time.Duration, request shuffleRequested) {
+	actions := c.partialView.Step(now, shuffle.ExchangeRequested{
+		From:   neighbourFromMessage(request.request.GetFrom()),
+		Sample: neighboursFromMessages(request.request.GetSample()),
 	})
-	for _, reply := range wanted {
-		if answer, ok := reply.(shuffle.Answer); ok {
-			asked.answer <- &pb.ShuffleResponse{Sample: toMessages(answer.Sample)}
+	for _, one := range actions {
+		if answer, ok := one.(shuffle.Answer); ok {
+			request.answer <- &pb.ShuffleResponse{Sample: neighbourMessages(answer.Sample)}
 		}
 	}
 }
 
-func (c *core) answerPush(now time.Duration, asked pushAsked) []action {
-	wanted := c.gossip.Step(now, gossip.PushRequested{
-		From:    fromMessage(asked.request.GetFrom()),
-		Changes: asked.request.GetChanges(),
-		List:    asked.request.GetList(),
+func (c *core) answerPush(now time.Duration, request pushRequested) []action {
+	actions := c.gossip.Step(now, gossip.PushRequested{
+		From:    neighbourFromMessage(request.request.GetFrom()),
+		Changes: request.request.GetChanges(),
+		List:    request.request.GetList(),
 	})
-	for _, reply := range wanted {
-		if answer, ok := reply.(gossip.PushReply); ok {
-			asked.answer <- &pb.PushResponse{Sequence: answer.Sequence, List: answer.List}
+	for _, one := range actions {
+		if answer, ok := one.(gossip.PushReply); ok {
+			request.answer <- &pb.PushResponse{Sequence: answer.Sequence, List: answer.List}
 		}
 	}
-	return c.gossipActions(wanted)
+	return c.gossipActions(actions)
 }
 
-func (c *core) answerCompare(now time.Duration, asked compareAsked) []action {
-	wanted := c.gossip.Step(now, gossip.CompareRequested{
-		From:              fromMessage(asked.request.GetFrom()),
-		Digests:           asked.request.GetDigests(),
-		List:              asked.request.GetList(),
-		AcceptsCompressed: asked.request.GetTakesPacked(),
+func (c *core) answerCompare(now time.Duration, request compareRequested) []action {
+	actions := c.gossip.Step(now, gossip.CompareRequested{
+		From:              neighbourFromMessage(request.request.GetFrom()),
+		Digests:           request.request.GetDigests(),
+		List:              request.request.GetList(),
+		AcceptsCompressed: request.request.GetTakesPacked(),
 	})
-	for _, reply := range wanted {
-		if answer, ok := reply.(gossip.CompareReply); ok {
-			asked.answer <- answer.Response
+	for _, one := range actions {
+		if answer, ok := one.(gossip.CompareReply); ok {
+			request.answer <- answer.Response
 		}
 	}
-	return c.gossipActions(wanted)
+	return c.gossipActions(actions)
 }
 
 // gossipActions are the calls among what the gossip wants; its answers have been given.
-func (c *core) gossipActions(wanted []gossip.Action) []action {
+func (c *core) gossipActions(produced []gossip.Action) []action {
 	var actions []action
-	for _, one := range wanted {
+	for _, one := range produced {
 		switch one := one.(type) {
 		case gossip.Push:
 			c.counters.pushes++
--- a/internal/agent/progress.go
+++ b/internal/agent/progress.go
@@ -14,15 +14,15 @@
 	// stallTimeout ends a call whose answer has begun to come, once nothing more of it came for so long. An answer that
 	// comes slowly is not given up: asked for again, it would come as slowly, and take from others what the link carries.
 	stallTimeout = 1500 * time.Millisecond
-	// longestCall ends a call in any case.
-	longestCall = 20 * time.Second
+	// maxCallDuration ends a call in any case.
+	maxCallDuration = 20 * time.Second
 )
 
 // stalledError tells that a call was ended because no answer came, or no more of it.
-type stalledError struct{ begun bool }
+type stalledError struct{ responseStarted bool }
 
 func (e *stalledError) Error() string {
-	if e.begun {
+	if e.responseStarted {
 		return "no more of the answer came"
 	}
 	return "no answer came in time"
@@ -32,27 +32,27 @@
 func (*stalledError) Timeout() bool { return true }
 
 // progress ends a call that makes none. It is safe for concurrent use.
-type progress struct {
-	cancel context.CancelCauseFunc
-	begins func() // called when the answer begins to come; nil: nobody wants to know
-
-	mutex sync.Mutex
-	timer *time.Timer
-	begun bool
-	ended bool
-	since time.Time // when the answer began to come
+type responseProgress struct {
+	cancel  context.CancelCauseFunc
+	onStart func() // called when the answer begins to come; nil: nobody wants to know
+
+	mutex     sync.Mutex
+	timer     *time.Timer
+	started   bool
+	ended     bool
+	startedAt time.Time // when the answer began to come
 }
 
-type progressKey struct{}
+type responseProgressKey struct{}
 
-// withProgress gives a context for a call that ends when its answer has not begun within a limit, or stalls after that.
-func withProgress(parent context.Context, limit time.Duration, begins func()) (context.Context, context.CancelFunc) {
-	bounded, release := context.WithTimeout(parent, longestCall)
+// withResponseProgress gives a context for a call that ends when its answer has not begun within a limit, or stalls after that.
+func withResponseProgress(parent context.Context, limit time.Duration, onStart func()) (context.Context, context.CancelFunc) {
+	bounded, release := context.WithTimeout(parent, maxCallDuration)
 	ctx, cancel := context.WithCancelCause(bounded)
-	made := &progress{cancel: cancel, begins: begins}
-	made.timer = time.AfterFunc(limit, made.stalled)
-	return context.WithValue(ctx, progressKey{}, made), func() {
-		made.end()
+	progress := &responseProgress{cancel: cancel, onStart: onStart}
+	progress.timer = time.AfterFunc(limit, progress.handleTimeout)
+	return context.WithValue(ctx, responseProgressKey{}, progress), func() {
+		progress.end()
 		cancel(nil)
 		release()
 	}
@@ -67,49 +67,49 @@
 	return err
 }
 
-func progressOf(ctx context.Context) *progress {
-	found, _ := ctx.Value(progressKey{}).(*progress)
+func responseProgressOf(ctx context.Context) *responseProgress {
+	found, _ := ctx.Value(responseProgressKey{}).(*responseProgress)
 	return found
 }
 
-func (p *progress) stalled() {
+func (p *responseProgress) handleTimeout() {
 	p.mutex.Lock()
-	begun := p.begun
+	begun := p.started
 	p.mutex.Unlock()
-	p.cancel(&stalledError{begun: begun})
+	p.cancel(&stalledError{responseStarted: begun})
 }
 
 // note tells that something of the answer has come.
-func (p *progress) note() {
+func (p *responseProgress) received() {
 	if p == nil {
 		return
 	}
 	p.mutex.Lock()
-	first := !p.begun && !p.ended
-	if first {
-		p.since = time.Now()
+	starts := !p.started && !p.ended
+	if starts {
+		p.startedAt = time.Now()
 	}
-	p.begun = true
+	p.started = true
 	if !p.ended {
 		p.timer.Reset(stallTimeout)
 	}
 	p.mutex.Unlock()
-	if first && p.begins != nil {
-		p.begins()
+	if starts && p.onStart != nil {
+		p.onStart()
 	}
 }
 
 // coming is for how long the answer has been coming; 0 before it began.
-func (p *progress) coming() time.Duration {
+func (p *responseProgress) sinceStart() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.since.IsZero() {
+	if p.startedAt.IsZero() {
 		return 0
 	}
-	return time.Since(p.since)
+	return time.Since(p.startedAt)
 }
 
-func (p *progress) end() {
+func (p *responseProgress) end() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.ended = true
@@ -125,9 +125,9 @@
 	if err != nil {
 		return nil, err
 	}
-	noted := progressOf(request.Context())
-	noted.note()
-	response.Body = &notedBody{ReadCloser: response.Body, progress: noted}
+	noted := responseProgressOf(request.Context())
+	noted.received()
+	response.Body = &progressBody{ReadCloser: response.Body, progress: noted}
 	return response, nil
 }
 
@@ -138,16 +138,16 @@
 	}
 }
 
-// notedBody is the body of an answer.
-type notedBody struct {
+// progressBody is the body of an answer.
+type progressBody struct {
 	io.ReadCloser
-	progress *progress
+	progress *responseProgress
 }
 
-func (b *notedBody) Read(into []byte) (int, error) {
+func (b *progressBody) Read(into []byte) (int, error) {
 	read, err := b.ReadCloser.Read(into)
 	if read > 0 {
-		b.progress.note()
+		b.progress.received()
 	}
 	return read, err
 }
--- a/internal/agent/progress_test.go
+++ b/internal/agent/progress_test.go
@@ -46,16 +46,16 @@
 
 // readAnswer reads an answer that begins after a while, and returns what ended it.
 func readAnswer(limit, silence time.Duration, body func(ctx context.Context) io.ReadCloser) (begun int, err error) {
-	ctx, cancel := withProgress(context.Background(), limit, func() { begun++ })
+	ctx, cancel := withResponseProgress(context.Background(), limit, func() { begun++ })
 	defer cancel()
 	select {
 	case <-time.After(silence):
 	case <-ctx.Done():
 		return begun, stalledCause(ctx, ctx.Err())
 	}
-	noted := progressOf(ctx)
-	noted.note()
-	_, err = io.ReadAll(&notedBody{ReadCloser: body(ctx), progress: noted})
+	noted := responseProgressOf(ctx)
+	noted.received()
+	_, err = io.ReadAll(&progressBody{ReadCloser: body(ctx), progress: noted})
 	return begun, stalledCause(ctx, err)
 }
 
@@ -74,17 +74,17 @@
 // A list that was on its way for long is older than its writer told.
 func TestListsAgeWhileTheyAreOnTheirWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := withProgress(context.Background(), time.Second, nil)
+		ctx, cancel := withResponseProgress(context.Background(), time.Second, nil)
 		defer cancel()
-		noted := progressOf(ctx)
-		require.Zero(t, noted.coming())
-		noted.note()
-		_, err := io.ReadAll(&notedBody{ReadCloser: &trickle{ctx: ctx, left: 3, pause: time.Second, ends: true}, progress: noted})
+		noted := responseProgressOf(ctx)
+		require.Zero(t, noted.sinceStart())
+		noted.received()
+		_, err := io.ReadAll(&progressBody{ReadCloser: &trickle{ctx: ctx, left: 3, pause: time.Second, ends: true}, progress: noted})
 		require.NoError(t, err)
 		list := &pb.ServerList{AgeMs: 200}
-		ageList(list, noted.coming())
+		addTransferTime(list, noted.sinceStart())
 		require.EqualValues(t, 3200, list.GetAgeMs())
-		ageList(nil, noted.coming())
+		addTransferTime(nil, noted.sinceStart())
 	})
 }
 
@@ -105,8 +105,8 @@
 				Body:       io.NopCloser(io.MultiReader(bytes.NewReader(body[:4]), &slowReader{pause: pause}, bytes.NewReader(body[4:]))),
 			}, nil
 		})}
-		caller.do(watchCall{id: 1, address: "10.0.0.2:1", request: &pb.WatchRequest{}, dial: time.Minute, timeout: watchTimeout})
-		require.Equal(t, watchBegun{id: 1}, <-ends)
+		caller.start(watchCall{id: 1, address: "10.0.0.2:1", request: &pb.WatchRequest{}, dialTimeout: time.Minute, timeout: watchTimeout})
+		require.Equal(t, watchResponseStarted{id: 1}, <-ends)
 		done := (<-ends).(watchDone)
 		require.NoError(t, done.err)
 		require.EqualValues(t, 1200, done.response.GetList().GetAgeMs())
@@ -128,7 +128,7 @@
 		begun, err := readAnswer(time.Second, time.Minute, nil)
 		var stalled *stalledError
 		require.ErrorAs(t, err, &stalled)
-		require.False(t, stalled.begun)
+		require.False(t, stalled.responseStarted)
 		require.Zero(t, begun)
 		require.Equal(t, time.Second, time.Since(began))
 	})
@@ -142,7 +142,7 @@
 		})
 		var stalled *stalledError
 		require.ErrorAs(t, err, &stalled)
-		require.True(t, stalled.begun)
+		require.True(t, stalled.responseStarted)
 		require.Equal(t, 3*time.Second+stallTimeout, time.Since(began))
 	})
 }
@@ -154,7 +154,7 @@
 			return &trickle{ctx: ctx, left: 1000, pause: time.Second}
 		})
 		require.ErrorIs(t, err, context.DeadlineExceeded)
-		require.Equal(t, longestCall, time.Since(began))
+		require.Equal(t, maxCallDuration, time.Since(began))
 	})
 }
 
@@ -166,7 +166,7 @@
 		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(make([]byte, 100)))}, nil
 	}))
 	begun := 0
-	ctx, cancel := withProgress(t.Context(), time.Minute, func() { begun++ })
+	ctx, cancel := withResponseProgress(t.Context(), time.Minute, func() { begun++ })
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "test://control/", nil)
 	require.NoError(t, err)
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -13,8 +13,8 @@
 	"fieldrelay/internal/settings"
 )
 
-// reloadPeriod is the time between two looks at the settings file.
-const reloadPeriod = time.Second
+// reloadInterval is the time between two looks at the settings file.
+const reloadInterval = time.Second
 
 // reloader reads the settings file again when it changes.
 type reloader struct {
@@ -24,7 +24,7 @@
 	seeds    []string
 	modified time.Time
 	size     int64
-	lookedAt time.Duration
+	polledAt time.Duration
 }
 
 // newReloader follows the file at path, of which seeds were read.
@@ -37,24 +37,24 @@
 	return r
 }
 
-// look reads the file if it has changed since, at most once in reloadPeriod. It returns the new addresses of the
+// look reads the file if it has changed since, at most once in reloadInterval. It returns the new addresses of the
 // seeds, and whether they are others than before.
-func (r *reloader) look(now time.Duration) ([]string, bool) {
-	if r.path == "" || now-r.lookedAt < reloadPeriod {
+func (r *reloader) poll(now time.Duration) ([]string, bool) {
+	if r.path == "" || now-r.polledAt < reloadInterval {
 		return nil, false
 	}
-	r.lookedAt = now
+	r.polledAt = now
 	information, err := os.Stat(r.path)
 	if err != nil || information.ModTime().Equal(r.modified) && information.Size() == r.size {
 		return nil, false
 	}
 	r.modified = information.ModTime()
 	r.size = information.Size()
-	return r.read()
+	return r.reload()
 }
 
 // read reads the file whether it has changed or not.
-func (r *reloader) read() ([]string, bool) {
+func (r *reloader) reload() ([]string, bool) {
 	if r.path == "" {
 		return nil, false
 	}
@@ -86,7 +86,7 @@
 	return addresses
 }
 
-// linkAddress finds the link service of a seed: at the seed's IP address and the first of the ports for own
+// controlAddress finds the link service of a seed: at the seed's IP address and the first of the ports for own
 // messages, which are the same on all machines.
 func linkAddress(firstPort int) func(seed string) (string, error) {
 	port := strconv.Itoa(firstPort)
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -30,20 +30,20 @@
 	resolve := linkAddress(7660)
 	r := newReloader(path, []string{"10.0.0.2:7660"}, resolve, zap.NewNop())
 
-	now := reloadPeriod
-	_, changed := r.look(now)
+	now := reloadInterval
+	_, changed := r.poll(now)
 	require.False(t, changed)
 	write(settingsText+`seed-nodes = ["10.0.0.3:8146"]`, start.Add(time.Second))
-	_, changed = r.look(now + reloadPeriod/2)
+	_, changed = r.poll(now + reloadInterval/2)
 	require.False(t, changed, "too soon")
-	seeds, changed := r.look(now + reloadPeriod)
+	seeds, changed := r.poll(now + reloadInterval)
 	require.True(t, changed)
 	require.Equal(t, []string{"10.0.0.3:7660"}, seeds)
 
 	write("half a fi", start.Add(2*time.Second))
-	_, changed = r.look(now + 2*reloadPeriod)
+	_, changed = r.poll(now + 2*reloadInterval)
 	require.False(t, changed, "what can't be read changes nothing")
-	_, changed = r.read()
+	_, changed = r.reload()
 	require.False(t, changed)
 }
 
@@ -54,9 +54,9 @@
 
 func TestWithoutAFileNothingIsReadAgain(t *testing.T) {
 	r := newReloader("", nil, linkAddress(1), zap.NewNop())
-	_, changed := r.look(time.Hour)
+	_, changed := r.poll(time.Hour)
 	require.False(t, changed)
-	_, changed = r.read()
+	_, changed = r.reload()
 	require.False(t, changed)
 }
 
--- a/internal/agent/repeat_test.go
+++ b/internal/agent/repeat_test.go
@@ -18,8 +18,8 @@
 // callsOf are the calls that an agent makes, over one client.
 func callsOf(client connect.HTTPClient, url string) map[string]func(context.Context) error {
 	link := fieldrelayv1connect.NewControlLinkClient(client, url)
-	peer := fieldrelayv1connect.NewAgentPeerClient(client, url, plain()...)
-	feed := fieldrelayv1connect.NewProxyFeedClient(client, url, plain()...)
+	peer := fieldrelayv1connect.NewAgentPeerClient(client, url, uncompressedRequests()...)
+	feed := fieldrelayv1connect.NewProxyFeedClient(client, url, uncompressedRequests()...)
 	changes := []*pb.Change{change(1), change(2)}
 	return map[string]func(context.Context) error{
 		"Watch": func(ctx context.Context) error {
@@ -77,7 +77,7 @@
 }
 
 // asked lets another agent's call happen and returns the answer.
-func asked[T any](s *steps, ask func(answer chan<- *T) event) *T {
+func asked[T any](s *coreDriver, ask func(answer chan<- *T) event) *T {
 	answer := make(chan *T, 1)
 	s.step(ask(answer))
 	return <-answer
@@ -85,40 +85,40 @@
 
 // Calls of other agents do no harm when they come twice.
 func TestCallsOfOthersMayComeTwice(t *testing.T) {
-	s := newSteps(t, "core-1:1")
-	s.now = feedPeriod
+	s := newCoreDriver(t, "core-1:1")
+	s.now = exchangeInterval
 	from := &pb.Neighbour{Host: "edge-2", Address: "10.0.0.2:7661", Zone: "zone-a", Region: "region-a"}
 	push := func() *pb.PushResponse {
 		return asked(s, func(answer chan<- *pb.PushResponse) event {
-			return pushAsked{request: &pb.PushRequest{From: from, Changes: []*pb.Change{change(1), change(2)}, List: serverList(1, "i-1")}, answer: answer}
+			return pushRequested{request: &pb.PushRequest{From: from, Changes: []*pb.Change{change(1), change(2)}, List: serverList(1, "i-1")}, answer: answer}
 		})
 	}
 	first := push()
 	require.EqualValues(t, 2, first.GetSequence())
-	digests := s.core.held.Snapshot().Digests()
+	digests := s.core.replica.Snapshot().Digests()
 	s.open = nil
 	require.Equal(t, first, push())
-	require.Equal(t, digests, s.core.held.Snapshot().Digests())
+	require.Equal(t, digests, s.core.replica.Snapshot().Digests())
 	_, passedOn := take[pushCall](s)
 	require.False(t, passedOn, "news that came before is passed on no more")
 
 	compare := func() *pb.CompareResponse {
 		return asked(s, func(answer chan<- *pb.CompareResponse) event {
-			return compareAsked{request: &pb.CompareRequest{From: from, Digests: gossip.NewReplica().Snapshot().Digests()}, answer: answer}
+			return compareRequested{request: &pb.CompareRequest{From: from, Digests: gossip.NewReplica().Snapshot().Digests()}, answer: answer}
 		})
 	}
 	require.Equal(t, compare(), compare())
-	require.Equal(t, digests, s.core.held.Snapshot().Digests())
+	require.Equal(t, digests, s.core.replica.Snapshot().Digests())
 
 	swap := func() *pb.ShuffleResponse {
 		return asked(s, func(answer chan<- *pb.ShuffleResponse) event {
-			return shuffleAsked{request: &pb.ShuffleRequest{From: from, Sample: []*pb.Neighbour{{Host: "edge-3", Address: "c:1"}}}, answer: answer}
+			return shuffleRequested{request: &pb.ShuffleRequest{From: from, Sample: []*pb.Neighbour{{Host: "edge-3", Address: "c:1"}}}, answer: answer}
 		})
 	}
 	swap()
-	neighbours := hostsOf(s.core.view.Neighbours())
+	neighbours := hostsOf(s.core.partialView.Neighbours())
 	swap()
-	require.ElementsMatch(t, neighbours, hostsOf(s.core.view.Neighbours()))
+	require.ElementsMatch(t, neighbours, hostsOf(s.core.partialView.Neighbours()))
 }
 
 func hostsOf(neighbours []shuffle.Neighbour) []string {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxHeader is the size in bytes of the largest header of a request.
-	maxHeader = 8 << 10
+	// maxHeaderBytes is the size in bytes of the largest header of a request.
+	maxHeaderBytes = 8 << 10
 	// readTimeout is the time in which a request has to come whole.
 	readTimeout = 10 * time.Second
 	// serverIdleTimeout closes a connection of another agent that carried no call for so long: later than the
@@ -37,7 +37,7 @@
 
 // peerService serves the other agents.
 type peerService struct {
-	inbox chan<- event
+	events chan<- event
 }
 
 var _ fieldrelayv1connect.AgentPeerHandler = peerService{}
@@ -45,25 +45,25 @@
 // Shuffle exchanges neighbours.
 func (s peerService) Shuffle(ctx context.Context, request *connect.Request[pb.ShuffleRequest]) (*connect.Response[pb.ShuffleResponse], error) {
 	answer := make(chan *pb.ShuffleResponse, 1)
-	return ask(ctx, s.inbox, shuffleAsked{request: request.Msg, answer: answer}, answer)
+	return submit(ctx, s.events, shuffleRequested{request: request.Msg, answer: answer}, answer)
 }
 
 // Push takes news.
 func (s peerService) Push(ctx context.Context, request *connect.Request[pb.PushRequest]) (*connect.Response[pb.PushResponse], error) {
 	answer := make(chan *pb.PushResponse, 1)
-	return ask(ctx, s.inbox, pushAsked{request: request.Msg, answer: answer}, answer)
+	return submit(ctx, s.events, pushRequested{request: request.Msg, answer: answer}, answer)
 }
 
 // Compare tells what is newer here.
 func (s peerService) Compare(ctx context.Context, request *connect.Request[pb.CompareRequest]) (*connect.Response[pb.CompareResponse], error) {
 	answer := make(chan *pb.CompareResponse, 1)
-	return ask(ctx, s.inbox, compareAsked{request: request.Msg, answer: answer}, answer)
+	return submit(ctx, s.events, compareRequested{request: request.Msg, answer: answer}, answer)
 }
 
 // ask hands a call to the core and waits for its answer.
-func ask[T any](ctx context.Context, inbox chan<- event, asked event, answer <-chan *T) (*connect.Response[T], error) {
+func submit[T any](ctx context.Context, events chan<- event, request event, answer <-chan *T) (*connect.Response[T], error) {
 	select {
-	case inbox <- asked:
+	case events <- request:
 	default:
 		return nil, connect.NewError(connect.CodeResourceExhausted, errBusy)
 	}
@@ -76,11 +76,11 @@
 }
 
 // newServer serves the other agents.
-func newServer(inbox chan<- event, logger *zap.Logger) *http.Server {
+func newServer(events chan<- event, logger *zap.Logger) *http.Server {
 	mux := http.NewServeMux()
 	mux.Handle(fieldrelayv1connect.NewAgentPeerHandler(
-		peerService{inbox: inbox},
-		connect.WithReadMaxBytes(maxMessage),
+		peerService{events: events},
+		connect.WithReadMaxBytes(maxMessageBytes),
 		connect.WithCompression("gzip", nil, nil),
 	))
 	return &http.Server{
@@ -88,7 +88,7 @@
 		ReadHeaderTimeout: readTimeout,
 		ReadTimeout:       readTimeout,
 		IdleTimeout:       serverIdleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          zap.NewStdLog(logger.Named("http")),
 	}
 }
--- a/internal/agent/slowanswer_test.go
+++ b/internal/agent/slowanswer_test.go
@@ -10,40 +10,40 @@
 )
 
 // linked is a core whose proxy is known, with its first long poll under way.
-func linked(t *testing.T) (*steps, watchCall) {
-	s := newSteps(t, "core-1:1", "core-2:1")
+func newLinkedCore(t *testing.T) (*coreDriver, watchCall) {
+	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.now = time.Millisecond
 	s.step(tick{})
 	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	return s, takeWatch(s, watchLong)
+	return s, takeWatch(s, watchLongPoll)
 }
 
 // An answer that came slowly was true when it was written, which may be long ago.
 func TestAnAnswerThatCameSlowlyConfirmsNothing(t *testing.T) {
-	s, call := linked(t)
-	s.now = call.started + confirmWithin + time.Millisecond
+	s, call := newLinkedCore(t)
+	s.now = call.started + maxConfirmationLatency + time.Millisecond
 	s.step(watchDone{call: call, response: &pb.WatchResponse{Authoritative: true}})
-	require.False(t, s.core.feed.confirmed)
+	require.False(t, s.core.proxy.confirmed)
 
-	s, call = linked(t)
-	s.now = call.started + confirmWithin
+	s, call = newLinkedCore(t)
+	s.now = call.started + maxConfirmationLatency
 	s.step(watchDone{call: call, response: &pb.WatchResponse{Authoritative: true}})
-	require.True(t, s.core.feed.confirmed)
+	require.True(t, s.core.proxy.confirmed)
 }
 
 // While an answer comes, the same is not asked for elsewhere, but not for ever.
 func TestOtherMachinesAreProbedLaterWhileAnAnswerComes(t *testing.T) {
 	probed := func(coming bool, after time.Duration) bool {
-		s, call := linked(t)
+		s, call := newLinkedCore(t)
 		s.step(watchDone{call: call, response: &pb.WatchResponse{Authoritative: true}})
 		s.step(watchDone{call: takeWatch(s, watchProbe), response: &pb.WatchResponse{Authoritative: true}})
-		s.now += longestPause
+		s.now += maxEmptyBackoff
 		s.step(tick{})
-		call = takeWatch(s, watchLong)
+		call = takeWatch(s, watchLongPoll)
 		if coming {
-			s.step(watchBegun{id: call.id})
+			s.step(watchResponseStarted{id: call.id})
 		}
-		s.now = call.started + watchHold + after
+		s.now = call.started + watchWait + after
 		s.step(tick{})
 		for _, open := range s.open {
 			if probe, isWatch := open.(watchCall); isWatch && probe.kind == watchProbe {
@@ -52,17 +52,17 @@
 		}
 		return false
 	}
-	require.True(t, probed(false, overdueAfter))
-	require.False(t, probed(true, overdueAfter))
-	require.True(t, probed(true, overdueAfter+slowAnswer))
+	require.True(t, probed(false, overdueMargin))
+	require.False(t, probed(true, overdueMargin))
+	require.True(t, probed(true, overdueMargin+slowResponseAllowance))
 }
 
 // What a probe's answer tells of is asked for where it was told, once.
 func TestStateThatAProbeTellsOfIsFetched(t *testing.T) {
-	s, call := linked(t)
-	s.now += doubtPatience
+	s, call := newLinkedCore(t)
+	s.now += nonAuthoritativeProbeDelay
 	s.step(watchDone{call: call, err: errModelTimeout})
-	s.now += longestBackoff
+	s.now += maxBackoff
 	s.step(tick{})
 	probe := takeWatch(s, watchProbe)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Sequence: 9}})
@@ -74,11 +74,11 @@
 
 // An agent that holds nothing is told the view first, by a machine that holds the agreed state: that confirms nothing.
 func TestTheViewAloneConfirmsNothing(t *testing.T) {
-	s, call := linked(t)
+	s, call := newLinkedCore(t)
 	view := &pb.View{Number: 2, Voters: []*pb.Replica{{Address: "core-1:1"}, {Address: "core-2:1"}}}
 	s.step(watchDone{call: call, response: &pb.WatchResponse{Authoritative: true, Sequence: 5, View: view}})
-	require.False(t, s.core.feed.confirmed)
-	next := takeWatch(s, watchLong)
+	require.False(t, s.core.proxy.confirmed)
+	next := takeWatch(s, watchLongPoll)
 	require.EqualValues(t, 2, next.request.GetViewNumber())
 	require.Nil(t, next.request.GetDigests())
 }
--- a/internal/agent/targets.go
+++ b/internal/agent/targets.go
@@ -10,23 +10,23 @@
 
 // Ranks of control machines: bytes between zones and regions have a price.
 const (
-	rankZone = iota
-	rankRegion
-	rankElsewhere
-	rankUnknown // a seed that isn't among the voters heard of
+	sameZone = iota
+	sameRegion
+	otherRegion
+	unknownProximity // a seed that isn't among the voters heard of
 )
 
 const (
-	// avoidFor is how long a control machine that failed isn't chosen while there are others.
-	avoidFor = 2 * time.Second
-	// returnAfter is how long after its last failure a nearer control machine is gone back to.
-	returnAfter = 10 * time.Second
-	// maxFailures bounds how many failures are remembered.
-	maxFailures = 64
+	// failureCooldown is how long a control machine that failed isn't chosen while there are others.
+	failureCooldown = 2 * time.Second
+	// failbackCooldown is how long after its last failure a nearer control machine is gone back to.
+	failbackCooldown = 10 * time.Second
+	// maxRecordedFailures bounds how many failures are remembered.
+	maxRecordedFailures = 64
 )
 
 // targets are the control machines known: the seeds and the voters of the newest view.
-type targets struct {
+type controlEndpoints struct {
 	zone     string
 	region   string
 	random   *rand.Rand
@@ -35,8 +35,8 @@
 	failures map[string]time.Duration // last failure by address
 }
 
-func newTargets(zone, region string, seeds []string, random *rand.Rand) targets {
-	return targets{
+func newControlEndpoints(zone, region string, seeds []string, random *rand.Rand) controlEndpoints {
+	return controlEndpoints{
 		zone:     zone,
 		region:   region,
 		random:   random,
@@ -46,47 +46,47 @@
 }
 
 // fail notes that a control machine was of no use.
-func (t *targets) fail(now time.Duration, address string) {
-	if len(t.failures) >= maxFailures {
-		clear(t.failures)
+func (e *controlEndpoints) recordFailure(now time.Duration, address string) {
+	if len(e.failures) >= maxRecordedFailures {
+		clear(e.failures)
 	}
-	t.failures[address] = now
+	e.failures[address] = now
 }
 
 // choose picks a control machine, a near one if it can be had, at random among equals; the one whose failure is
 // longest ago if all have failed lately. It is empty if none is known.
-func (t *targets) choose(now time.Duration, except string) string {
-	chosen := t.pick(func(address string) bool {
-		return address != except && t.usable(now, address, avoidFor)
+func (e *controlEndpoints) choose(now time.Duration, except string) string {
+	chosen := e.pick(func(address string) bool {
+		return address != except && e.usable(now, address, failureCooldown)
 	})
 	if chosen != "" {
 		return chosen
 	}
-	return t.longestAgo(except)
+	return e.oldestFailureOr(except)
 }
 
-// chooseOther picks like choose among those that are not taken; empty if there are none.
-func (t *targets) chooseOther(now time.Duration, taken []string) string {
-	chosen := t.pick(func(address string) bool {
-		return !slices.Contains(taken, address) && t.usable(now, address, avoidFor)
+// chooseExcept picks like choose among those that are not taken; empty if there are none.
+func (e *controlEndpoints) chooseExcept(now time.Duration, excluded []string) string {
+	chosen := e.pick(func(address string) bool {
+		return !slices.Contains(excluded, address) && e.usable(now, address, failureCooldown)
 	})
 	if chosen != "" {
 		return chosen
 	}
-	return t.oldestFailure(taken)
+	return e.oldestFailure(excluded)
 }
 
 // nearer is a control machine of a better rank than the current one, empty if there is none that works.
-func (t *targets) nearer(now time.Duration, current string) string {
-	rank := t.rank(current)
-	return t.pick(func(address string) bool {
-		return t.rank(address) < rank && t.usable(now, address, returnAfter)
+func (e *controlEndpoints) nearer(now time.Duration, current string) string {
+	proximity := e.proximity(current)
+	return e.pick(func(address string) bool {
+		return e.proximity(address) < proximity && e.usable(now, address, failbackCooldown)
 	})
 }
 
 // known tells whether an address is that of a seed or of a voter.
-func (t *targets) known(address string) bool {
-	for _, candidate := range t.addresses() {
+func (e *controlEndpoints) known(address string) bool {
+	for _, candidate := range e.addresses() {
 		if candidate == address {
 			return true
 		}
@@ -95,20 +95,20 @@
 }
 
 // pick chooses at random among the candidates of the best rank that are acceptable.
-func (t *targets) pick(acceptable func(address string) bool) string {
-	chosen, best, equals := "", rankUnknown+1, 0
-	for _, address := range t.addresses() {
+func (e *controlEndpoints) pick(acceptable func(address string) bool) string {
+	chosen, best, ties := "", unknownProximity+1, 0
+	for _, address := range e.addresses() {
 		if !acceptable(address) {
 			continue
 		}
-		rank := t.rank(address)
+		rank := e.proximity(address)
 		if rank < best {
-			chosen, best, equals = address, rank, 1
+			chosen, best, ties = address, rank, 1
 			continue
 		}
 		if rank == best {
-			equals++
-			if t.random.IntN(equals) == 0 {
+			ties++
+			if e.random.IntN(ties) == 0 {
 				chosen = address
 			}
 		}
@@ -116,50 +116,50 @@
 	return chosen
 }
 
-// longestAgo is the candidate whose failure is longest ago, except itself if there is no other.
-func (t *targets) longestAgo(except string) string {
-	chosen := t.oldestFailure([]string{except})
-	if chosen == "" && t.known(except) {
-		return except
+// oldestFailureOr is the candidate whose failure is longest ago, except itself if there is no other.
+func (e *controlEndpoints) oldestFailureOr(fallback string) string {
+	chosen := e.oldestFailure([]string{fallback})
+	if chosen == "" && e.known(fallback) {
+		return fallback
 	}
 	return chosen
 }
 
 // oldestFailure is the candidate whose failure is longest ago among those that are not taken.
-func (t *targets) oldestFailure(taken []string) string {
+func (e *controlEndpoints) oldestFailure(excluded []string) string {
 	chosen := ""
-	for _, address := range t.addresses() {
-		if slices.Contains(taken, address) {
+	for _, address := range e.addresses() {
+		if slices.Contains(excluded, address) {
 			continue
 		}
-		if chosen == "" || t.failures[address] < t.failures[chosen] {
+		if chosen == "" || e.failures[address] < e.failures[chosen] {
 			chosen = address
 		}
 	}
 	return chosen
 }
 
-func (t *targets) usable(now time.Duration, address string, since time.Duration) bool {
-	failedAt, failed := t.failures[address]
-	return !failed || now-failedAt >= since
+func (e *controlEndpoints) usable(now time.Duration, address string, cooldown time.Duration) bool {
+	failedAt, failed := e.failures[address]
+	return !failed || now-failedAt >= cooldown
 }
 
 // addresses are those of the voters, then of the seeds that are no voters.
-func (t *targets) addresses() []string {
-	addresses := make([]string, 0, len(t.voters)+len(t.seeds))
-	for _, voter := range t.voters {
+func (e *controlEndpoints) addresses() []string {
+	addresses := make([]string, 0, len(e.voters)+len(e.seeds))
+	for _, voter := range e.voters {
 		addresses = append(addresses, voter.GetAddress())
 	}
-	for _, seed := range t.seeds {
-		if t.voter(seed) == nil {
+	for _, seed := range e.seeds {
+		if e.voter(seed) == nil {
 			addresses = append(addresses, seed)
 		}
 	}
 	return addresses
 }
 
-func (t *targets) voter(address string) *pb.Replica {
-	for _, voter := range t.voters {
+func (e *controlEndpoints) voter(address string) *pb.Replica {
+	for _, voter := range e.voters {
 		if voter.GetAddress() == address {
 			return voter
 		}
@@ -167,15 +167,15 @@
 	return nil
 }
 
-func (t *targets) rank(address string) int {
-	voter := t.voter(address)
+func (e *controlEndpoints) proximity(address string) int {
+	voter := e.voter(address)
 	switch {
 	case voter == nil:
-		return rankUnknown
-	case voter.GetZone() == t.zone:
-		return rankZone
-	case voter.GetRegion() == t.region:
-		return rankRegion
+		return unknownProximity
+	case voter.GetZone() == e.zone:
+		return sameZone
+	case voter.GetRegion() == e.region:
+		return sameRegion
 	}
-	return rankElsewhere
+	return otherRegion
 }
--- a/internal/agent/targets_test.go
+++ b/internal/agent/targets_test.go
@@ -10,8 +10,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-func testTargets(seeds ...string) targets {
-	return newTargets("zone-a", "region-a", seeds, rand.New(rand.NewPCG(1, 1)))
+func testTargets(seeds ...string) controlEndpoints {
+	return newControlEndpoints("zone-a", "region-a", seeds, rand.New(rand.NewPCG(1, 1)))
 }
 
 func voter(address, zone, region string) *pb.Replica {
@@ -28,12 +28,12 @@
 	now := time.Minute
 	for _, want := range []string{"near:1", "region:1", "far:1", "seed:1"} {
 		require.Equal(t, want, known.choose(now, ""))
-		known.fail(now, want)
+		known.recordFailure(now, want)
 		now += time.Millisecond
 	}
 	require.Equal(t, "near:1", known.choose(now, ""), "its failure is longest ago")
 	require.Equal(t, "region:1", known.choose(now, "near:1"))
-	require.Equal(t, "near:1", known.choose(now+avoidFor, ""))
+	require.Equal(t, "near:1", known.choose(now+failureCooldown, ""))
 }
 
 func TestChooseSpreadsOverEquals(t *testing.T) {
@@ -53,7 +53,7 @@
 	require.Empty(t, known.choose(0, ""))
 	known.seeds = []string{"a:1"}
 	require.Equal(t, "a:1", known.choose(0, "a:1"), "there is no other")
-	known.fail(0, "a:1")
+	known.recordFailure(0, "a:1")
 	require.Equal(t, "a:1", known.choose(0, "a:1"))
 	require.Empty(t, testTargetsChoice("gone:1"), "one that is known no more")
 }
@@ -68,15 +68,15 @@
 	known.voters = []*pb.Replica{voter("far:1", "zone-c", "region-b"), voter("near:1", "zone-a", "region-a")}
 	require.Equal(t, "near:1", known.nearer(0, "far:1"))
 	require.Empty(t, known.nearer(0, "near:1"))
-	known.fail(0, "near:1")
-	require.Empty(t, known.nearer(returnAfter-1, "far:1"))
-	require.Equal(t, "near:1", known.nearer(returnAfter, "far:1"))
+	known.recordFailure(0, "near:1")
+	require.Empty(t, known.nearer(failbackCooldown-1, "far:1"))
+	require.Equal(t, "near:1", known.nearer(failbackCooldown, "far:1"))
 }
 
 func TestFailuresAreBounded(t *testing.T) {
 	known := testTargets()
-	for i := range 10 * maxFailures {
-		known.fail(0, string(rune(i)))
-		require.LessOrEqual(t, len(known.failures), maxFailures)
+	for i := range 10 * maxRecordedFailures {
+		known.recordFailure(0, string(rune(i)))
+		require.LessOrEqual(t, len(known.failures), maxRecordedFailures)
 	}
 }
--- a/internal/agent/unpack.go
+++ b/internal/agent/unpack.go
@@ -5,25 +5,25 @@
 	"fieldrelay/internal/packing"
 )
 
-// unpackWatch puts the news that an answer carries packed in its place. The packed form stays, to be passed on. The
+// decompressWatch puts the news that an answer carries packed in its place. The packed form stays, to be passed on. The
 // error is a *packing.MalformedError.
-func unpackWatch(response *pb.WatchResponse) error {
+func decompressWatch(response *pb.WatchResponse) error {
 	if response.GetPacked() == nil {
 		return nil
 	}
-	news, err := unpack(response.GetPacked(), response.GetChanges())
+	news, err := decompress(response.GetPacked(), response.GetChanges())
 	if err == nil {
 		response.Changes, response.Repair = news.GetChanges(), news.GetRepair()
 	}
 	return err
 }
 
-// unpackCompare is unpackWatch for the answer of another agent.
-func unpackCompare(response *pb.CompareResponse) error {
+// decompressCompare is decompressWatch for the answer of another agent.
+func decompressCompare(response *pb.CompareResponse) error {
 	if response.GetPacked() == nil {
 		return nil
 	}
-	news, err := unpack(response.GetPacked(), response.GetChanges())
+	news, err := decompress(response.GetPacked(), response.GetChanges())
 	if err == nil {
 		response.Changes, response.Repair = news.GetChanges(), news.GetRepair()
 	}
@@ -31,7 +31,7 @@
 }
 
 // unpack gives packed news together with the changes that follow it.
-func unpack(packed *pb.PackedNews, following []*pb.Change) (*pb.StateNews, error) {
+func decompress(packed *pb.PackedNews, following []*pb.Change) (*pb.StateNews, error) {
 	news, err := packing.Unpack(packed)
 	if err != nil {
 		return nil, err
