--- a/internal/agent/caller.go
+++ b/internal/agent/caller.go
@@ -17,50 +17,52 @@
 )
 
 const (
-	// peerTimeout ends a call to another agent.
+	// peerTimeout is the time in which the response to a call to another agent has to start.
 	peerTimeout = 1500 * time.Millisecond
-	// maxPeerCalls bounds the calls to other agents that run at once.
+	// maxPeerCalls bounds the calls to other agents in flight.
 	maxPeerCalls = 16
-	// connectTimeout ends the opening of a connection.
+	// connectTimeout is the time in which a connection has to come up.
 	connectTimeout = time.Second
-	// maxMessageBytes is the size in bytes of the largest message that is read.
+	// maxMessageBytes is the size of the largest message that is read.
 	maxMessageBytes = 16 << 20
-	// connectionBufferBytes is the size in bytes of a connection's buffer in each direction.
+	// connectionBufferBytes is the size of a connection's buffer in each direction.
 	connectionBufferBytes = 2 << 10
-	// maxIdleConnections bounds the open connections that carry no call.
+	// maxIdleConnections bounds the connections that carry no call, and maxIdlePerHost those to one host.
 	maxIdleConnections = 24
-	// idleTimeout closes a connection that carried no call for so long.
+	maxIdlePerHost     = 2
+	// idleTimeout is the time after which a connection that carries no call is closed.
 	idleTimeout = 90 * time.Second
 )
 
-// caller makes the calls that the core wants and posts their ends.
+// caller makes the calls that the core wants, each in a goroutine of its own, and posts their ends as events. Its method
+// start is for one goroutine only.
 type caller struct {
 	self      shuffle.Neighbour
 	client    *http.Client
 	proxy     fieldrelayv1connect.ProxyFeedClient
-	peerSlots chan struct{} // a place for each call to another agent
+	peerSlots chan struct{} // holds an element for each call to another agent in flight
 	post      func(event)
 	ctx       context.Context // of all calls
 	running   sync.WaitGroup
 
-	controlAddress string // of link
+	controlAddress string // that control goes to
 	control        fieldrelayv1connect.ControlLinkClient
 }
 
-// newCaller makes a caller whose calls end with ctx.
+// newCaller makes a caller to the proxy at an address. Its calls are canceled with ctx; wait waits for them.
 func newCaller(ctx context.Context, self shuffle.Neighbour, proxy string, post func(event)) *caller {
 	client := &http.Client{Transport: progressTransport{newTransport()}}
 	return &caller{
 		self:      self,
 		client:    client,
-		proxy:     fieldrelayv1connect.NewProxyFeedClient(client, baseURL(proxy), uncompressedRequests()...),
+		proxy:     fieldrelayv1connect.NewProxyFeedClient(client, baseURL(proxy), clientOptions()...),
 		peerSlots: make(chan struct{}, maxPeerCalls),
 		post:      post,
 		ctx:       ctx,
 	}
 }
 
-// newTransport keeps few connections open for long, with small buffers.
+// newTransport returns a transport that keeps few connections open for long, with small buffers.
 func newTransport() *http.Transport {
 	dialer := net.Dialer{
 		Timeout:         connectTimeout,
@@ -71,7 +73,7 @@
 		DialContext:         dialer.DialContext,
 		DisableCompression:  true,
 		MaxIdleConns:        maxIdleConnections,
-		MaxIdleConnsPerHost: 2,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		ReadBufferSize:      connectionBufferBytes,
 		WriteBufferSize:     connectionBufferBytes,
@@ -85,8 +87,8 @@
 	c.client.Transport = progressTransport{transport}
 }
 
-// plain are the options of calls whose answers aren't worth the work of compressing.
-func uncompressedRequests() []connect.ClientOption {
+// clientOptions are those of calls whose responses aren't worth compressing.
+func clientOptions() []connect.ClientOption {
 	return []connect.ClientOption{
 		connect.WithAcceptCompression("gzip", nil, nil),
 		connect.WithReadMaxBytes(maxMessageBytes),
@@ -95,25 +97,25 @@
 
 func baseURL(address string) string { return "http://" + address }
 
-// do begins a call and tells whether there was room for it. It is used by one goroutine only.
+// start starts a call and reports whether there was a slot for it.
 func (c *caller) start(call action) bool {
-	switch wanted := call.(type) {
+	switch call := call.(type) {
 	case watchCall:
-		c.watch(wanted)
+		c.watch(call)
 	case proxyCall:
-		c.run(exchangeTimeout, nil, func(ctx context.Context) event { return c.callProxy(ctx, wanted) })
+		c.run(exchangeTimeout, nil, func(ctx context.Context) event { return c.callProxy(ctx, call) })
 	case shuffleCall:
-		return c.runPeer(func(ctx context.Context) event { return c.shuffle(ctx, wanted) })
+		return c.runPeer(func(ctx context.Context) event { return c.shuffle(ctx, call) })
 	case pushCall:
-		return c.runPeer(func(ctx context.Context) event { return c.push(ctx, wanted) })
+		return c.runPeer(func(ctx context.Context) event { return c.push(ctx, call) })
 	case compareCall:
-		return c.runPeer(func(ctx context.Context) event { return c.compare(ctx, wanted) })
+		return c.runPeer(func(ctx context.Context) event { return c.compare(ctx, call) })
 	}
 	return true
 }
 
-// run makes a call in a goroutine of its own. It ends when its answer has not begun to come within the timeout, or
-// stalls; begins, unless nil, is called when it does begin.
+// run makes a call in a goroutine of its own and posts the event that it returns. The call is canceled when its response
+// doesn't start within the timeout, or makes no progress after that. onStart, unless nil, is called when it starts.
 func (c *caller) run(timeout time.Duration, onStart func(), call func(ctx context.Context) event) {
 	c.running.Go(func() {
 		ctx, cancel := withResponseProgress(c.ctx, timeout, onStart)
@@ -122,7 +124,7 @@
 	})
 }
 
-// runPeer makes a call to another agent if there is room for it.
+// runPeer makes a call to another agent if there is a slot for it, and reports whether there was.
 func (c *caller) runPeer(call func(ctx context.Context) event) bool {
 	select {
 	case c.peerSlots <- struct{}{}:
@@ -140,26 +142,27 @@
 	client := c.controlClient(call.address)
 	onStart := func() { c.post(watchResponseStarted{id: call.id}) }
 	c.run(call.timeout, onStart, func(ctx context.Context) event {
-		ctx, end := limitDial(ctx, call.dialTimeout)
-		defer end()
+		ctx, release := withDialTimeout(ctx, call.dialTimeout)
+		defer release()
 		response, err := client.Watch(ctx, connect.NewRequest(call.request))
 		if err != nil && errors.Is(context.Cause(ctx), errDialTimeout) {
 			err = errDialTimeout
 		}
 		err = stalledCause(ctx, err)
-		answer := messageOf(response)
+		message := messageOf(response)
 		if err == nil {
-			addTransferTime(answer.GetList(), responseProgressOf(ctx).sinceStart())
-			err = decompressWatch(answer)
+			addTransferTime(message.GetList(), responseProgressOf(ctx).sinceStart())
+			err = decompressWatch(message)
 		}
-		return watchDone{call: call, response: answer, err: err}
+		return watchDone{call: call, response: message, err: err}
 	})
 }
 
-// limitDial ends the call of a context with errDialTimeout unless it has a connection in time.
-func limitDial(ctx context.Context, limit time.Duration) (context.Context, func()) {
+// withDialTimeout returns a context that is canceled with errDialTimeout unless its call has a connection in time. The
+// function that it returns releases it.
+func withDialTimeout(ctx context.Context, timeout time.Duration) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	timer := time.AfterFunc(limit, func() { cancel(errDialTimeout) })
+	timer := time.AfterFunc(timeout, func() { cancel(errDialTimeout) })
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { timer.Stop() },
 	})
@@ -169,7 +172,7 @@
 	}
 }
 
-// controlClient is the client of a control machine; the last one is kept.
+// controlClient returns the client of a control machine. That of the last machine is cached.
 func (c *caller) controlClient(address string) fieldrelayv1connect.ControlLinkClient {
 	if address != c.controlAddress {
 		c.controlAddress = address
@@ -203,16 +206,16 @@
 
 func (c *caller) compare(ctx context.Context, call compareCall) event {
 	response, err := c.peer(call.To).Compare(ctx, connect.NewRequest(newCompareRequest(c.self, call)))
-	answer := messageOf(response)
+	message := messageOf(response)
 	if err == nil {
-		addTransferTime(answer.GetList(), responseProgressOf(ctx).sinceStart())
-		err = decompressCompare(answer)
+		addTransferTime(message.GetList(), responseProgressOf(ctx).sinceStart())
+		err = decompressCompare(message)
 	}
-	return compareDone{call: call, response: answer, err: stalledCause(ctx, err)}
+	return compareDone{call: call, response: message, err: stalledCause(ctx, err)}
 }
 
-// addTransferTime adds to the age of a server list the time for which it was on its way: its writer told the age as of writing,
-// and what is left of its servers' spans counts from there.
+// addTransferTime adds the time that a response took to arrive to the age of the server list in it, which is nil if
+// there is none. Its writer named the age as of writing, and what is left of its servers' lifetimes counts from there.
 func addTransferTime(list *pb.ServerList, transfer time.Duration) {
 	if list != nil {
 		list.AgeMs += uint32(transfer / time.Millisecond)
@@ -224,16 +227,16 @@
 }
 
 func (c *caller) peer(neighbour shuffle.Neighbour) fieldrelayv1connect.AgentPeerClient {
-	return fieldrelayv1connect.NewAgentPeerClient(c.client, baseURL(neighbour.Address), uncompressedRequests()...)
+	return fieldrelayv1connect.NewAgentPeerClient(c.client, baseURL(neighbour.Address), clientOptions()...)
 }
 
-// wait returns when all calls have ended.
+// wait returns when all calls have ended. Their context has to be canceled before.
 func (c *caller) wait() {
 	c.running.Wait()
 	c.client.CloseIdleConnections()
 }
 
-// message is the message of a response, nil if there is none.
+// messageOf returns the message of a response, nil if there is none.
 func messageOf[T any](response *connect.Response[T]) *T {
 	if response == nil {
 		return nil
--- a/internal/agent/compressed_push_test.go
+++ b/internal/agent/compressed_push_test.go
@@ -28,6 +28,6 @@
 	other := shuffle.Neighbour{Host: "edge-2", Address: "10.0.0.2:7661"}
 	asks := compareCall{gossip.Compare{To: s.core.identity.neighbour, Digests: &pb.RangeDigests{}}}
 	replies := make(chan *pb.CompareResponse, 1)
-	s.step(compareRequested{request: newCompareRequest(other, asks), answer: replies})
+	s.step(compareRequested{request: newCompareRequest(other, asks), response: replies})
 	require.Same(t, packed, (<-replies).GetPacked())
 }
--- a/internal/agent/control_endpoints.go
+++ b/internal/agent/control_endpoints.go
@@ -8,31 +8,33 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Ranks of control machines: bytes between zones and regions have a price.
+// Proximities of control machines, nearest first. Nearer ones are preferred, since bytes between zones and between
+// regions are paid for.
 const (
 	sameZone = iota
 	sameRegion
 	otherRegion
-	unknownProximity // a seed that isn't among the voters heard of
+	unknownProximity // a seed that isn't among the voters received
 )
 
 const (
-	// failureCooldown is how long a control machine that failed isn't chosen while there are others.
+	// failureCooldown is how long a control machine that failed is not chosen while there are others.
 	failureCooldown = 2 * time.Second
-	// failbackCooldown is how long after its last failure a nearer control machine is gone back to.
+	// failbackCooldown is how long after its last failure a control machine may replace one that is farther away.
 	failbackCooldown = 10 * time.Second
-	// maxRecordedFailures bounds how many failures are remembered.
+	// maxRecordedFailures bounds the failures remembered.
 	maxRecordedFailures = 64
 )
 
-// targets are the control machines known: the seeds and the voters of the newest view.
+// controlEndpoints are the known control machines, by the address of their link service: the seeds and the voters of the
+// newest view.
 type controlEndpoints struct {
-	zone     string
+	zone     string // of this machine
 	region   string
 	random   *rand.Rand
-	seeds    []string // addresses of link services
+	seeds    []string
 	voters   []*pb.Replica
-	failures map[string]time.Duration // last failure by address
+	failures map[string]time.Duration // time of the last failure
 }
 
 func newControlEndpoints(zone, region string, seeds []string, random *rand.Rand) controlEndpoints {
@@ -45,7 +47,7 @@
 	}
 }
 
-// fail notes that a control machine was of no use.
+// recordFailure notes that a control machine failed, or lacked authority for too long.
 func (e *controlEndpoints) recordFailure(now time.Duration, address string) {
 	if len(e.failures) >= maxRecordedFailures {
 		clear(e.failures)
@@ -53,19 +55,17 @@
 	e.failures[address] = now
 }
 
-// choose picks a control machine, a near one if it can be had, at random among equals; the one whose failure is
-// longest ago if all have failed lately. It is empty if none is known.
+// choose is chooseExcept for one excluded machine, which is returned if no other is known.
 func (e *controlEndpoints) choose(now time.Duration, except string) string {
-	chosen := e.pick(func(address string) bool {
-		return address != except && e.usable(now, address, failureCooldown)
-	})
-	if chosen != "" {
-		return chosen
+	chosen := e.chooseExcept(now, []string{except})
+	if chosen == "" && e.known(except) {
+		return except
 	}
-	return e.oldestFailureOr(except)
+	return chosen
 }
 
-// chooseExcept picks like choose among those that are not taken; empty if there are none.
+// chooseExcept returns one of the nearest control machines that have not failed lately and are not excluded, at random
+// among equals. If all have failed lately it returns the one whose failure is oldest; if all are excluded, nothing.
 func (e *controlEndpoints) chooseExcept(now time.Duration, excluded []string) string {
 	chosen := e.pick(func(address string) bool {
 		return !slices.Contains(excluded, address) && e.usable(now, address, failureCooldown)
@@ -76,7 +76,8 @@
 	return e.oldestFailure(excluded)
 }
 
-// nearer is a control machine of a better rank than the current one, empty if there is none that works.
+// nearer returns a control machine that is nearer than the current one and has not failed for a while, empty if there
+// is none.
 func (e *controlEndpoints) nearer(now time.Duration, current string) string {
 	proximity := e.proximity(current)
 	return e.pick(func(address string) bool {
@@ -84,29 +85,23 @@
 	})
 }
 
-// known tells whether an address is that of a seed or of a voter.
-func (e *controlEndpoints) known(address string) bool {
-	for _, candidate := range e.addresses() {
-		if candidate == address {
-			return true
-		}
-	}
-	return false
-}
+// known reports whether an address is that of a seed or of a voter.
+func (e *controlEndpoints) known(address string) bool { return slices.Contains(e.addresses(), address) }
 
-// pick chooses at random among the candidates of the best rank that are acceptable.
+// pick returns one of the nearest candidates that are acceptable, at random, empty if none is acceptable. It draws by
+// reservoir sampling: the n-th equal replaces the choice with a probability of 1/n.
 func (e *controlEndpoints) pick(acceptable func(address string) bool) string {
-	chosen, best, ties := "", unknownProximity+1, 0
+	chosen, nearest, ties := "", unknownProximity+1, 0
 	for _, address := range e.addresses() {
 		if !acceptable(address) {
 			continue
 		}
-		rank := e.proximity(address)
-		if rank < best {
-			chosen, best, ties = address, rank, 1
+		proximity := e.proximity(address)
+		if proximity < nearest {
+			chosen, nearest, ties = address, proximity, 1
 			continue
 		}
-		if rank == best {
+		if proximity == nearest {
 			ties++
 			if e.random.IntN(ties) == 0 {
 				chosen = address
@@ -116,16 +111,7 @@
 	return chosen
 }
 
-// oldestFailureOr is the candidate whose failure is longest ago, except itself if there is no other.
-func (e *controlEndpoints) oldestFailureOr(fallback string) string {
-	chosen := e.oldestFailure([]string{fallback})
-	if chosen == "" && e.known(fallback) {
-		return fallback
-	}
-	return chosen
-}
-
-// oldestFailure is the candidate whose failure is longest ago among those that are not taken.
+// oldestFailure returns the candidate whose last failure is oldest among those that are not excluded.
 func (e *controlEndpoints) oldestFailure(excluded []string) string {
 	chosen := ""
 	for _, address := range e.addresses() {
@@ -139,12 +125,13 @@
 	return chosen
 }
 
+// usable reports whether a candidate has not failed within a cooldown.
 func (e *controlEndpoints) usable(now time.Duration, address string, cooldown time.Duration) bool {
 	failedAt, failed := e.failures[address]
 	return !failed || now-failedAt >= cooldown
 }
 
-// addresses are those of the voters, then of the seeds that are no voters.
+// addresses returns those of the voters, then those of the seeds that are no voters.
 func (e *controlEndpoints) addresses() []string {
 	addresses := make([]string, 0, len(e.voters)+len(e.seeds))
 	for _, voter := range e.voters {
@@ -158,6 +145,7 @@
 	return addresses
 }
 
+// voter returns the voter at an address, nil if there is none.
 func (e *controlEndpoints) voter(address string) *pb.Replica {
 	for _, voter := range e.voters {
 		if voter.GetAddress() == address {
--- a/internal/agent/control_link.go
+++ b/internal/agent/control_link.go
@@ -11,84 +11,103 @@
 	"fieldrelay/internal/catalog"
 )
 
-// Times of the link to control.
+// Long polls and notices.
 const (
-	// watchWait is the longest wait for news that is asked of a control machine.
+	// watchWait is the longest time that a control machine is asked to wait for an update before it responds.
 	watchWait = time.Second
-	// overdueMargin is how long after its hold an answer may come before other control machines are asked: a cut
-	// says nothing.
+	// overdueMargin is the time past its wait after which a long poll without a response is overdue and other control
+	// machines are probed: a partition closes no connection.
 	overdueMargin = 250 * time.Millisecond
-	// watchTimeout ends a call.
+	// watchTimeout is the time in which the response to a long poll has to start.
 	watchTimeout = watchWait + time.Second
-	// noticeTimeout ends a call that is not held.
+	// noticeTimeout is the time in which the response to a notice, which is not waited with, has to start.
 	noticeTimeout = time.Second
-	// nonAuthoritativeWait is asked of a control machine that doesn't hold the agreed state.
+	// maxNotices bounds the notices in flight.
+	maxNotices = 3
+	// proxyReportWait is how long the next long poll is delayed for the proxy to apply an update, so as to report it.
+	proxyReportWait = 100 * time.Millisecond
+)
+
+// Selection of the current control machine. A machine has authority, in the words of the wire it is authoritative, while
+// it holds the agreed state and knows that no newer one is agreed.
+const (
+	// nonAuthoritativeWait replaces watchWait at a control machine without authority.
 	nonAuthoritativeWait = 400 * time.Millisecond
-	// nonAuthoritativeProbeDelay is how long the current control machine may lack the agreed state before others are probed:
-	// while the view changes none of them holds it.
+	// nonAuthoritativeProbeDelay is how long the current control machine may lack authority before others are probed:
+	// none has it while the view changes.
 	nonAuthoritativeProbeDelay = 300 * time.Millisecond
-	// nonAuthoritativeTimeout is how long a control machine that doesn't hold the agreed state is put up with.
+	// nonAuthoritativeTimeout is how long a control machine without authority stays the current one.
 	nonAuthoritativeTimeout = 1500 * time.Millisecond
-	// minBackoff and maxBackoff bound the wait after a failure, before jitter.
+	// minTenure is how long a control machine stays the current one before a nearer one is preferred: the proxy's
+	// readiness comes first.
+	minTenure = time.Second
+)
+
+// Backoff and timeouts of connections.
+const (
+	// minBackoff and maxBackoff bound the backoff after a failure, before jitter. It doubles with each one in a row.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
-	// minDialTimeout and maxDialTimeout bound the opening of a connection: a machine without power says nothing, so the
-	// first tries are short; each one that was too short makes the next one longer.
-	minDialTimeout = 150 * time.Millisecond
-	maxDialTimeout = time.Second
-	// minEmptyBackoff and maxEmptyBackoff bound the wait after an answer that came soon and brought nothing; it doubles
-	// with each one in a row. The first one is short: the control machine may just have come to hold the agreed state.
+	// minEmptyBackoff and maxEmptyBackoff bound the backoff after a response that came soon and carried no update. It
+	// doubles with each one in a row, and begins short: the control machine may be just about to gain authority.
 	minEmptyBackoff = 10 * time.Millisecond
 	maxEmptyBackoff = 160 * time.Millisecond
-	// minTenure is how long a control machine is kept, once it is the current one, before a nearer one is preferred:
-	// the proxy's readiness comes first.
-	minTenure = time.Second
-	// proxyReportWait is how long the next watch waits for the proxy to take the news, to report it.
-	proxyReportWait = 100 * time.Millisecond
-	// maxNotices bounds the notices under way.
-	maxNotices = 3
+	// maxDoublings bounds the shift that a backoff is computed by.
+	maxDoublings = 10
+	// minDialTimeout and maxDialTimeout bound the time for a connection to come up. The first attempts are short, for a
+	// machine without power refuses nothing; each timeout makes the next one longer by a half, for links that are slow.
+	minDialTimeout = 150 * time.Millisecond
+	maxDialTimeout = time.Second
 )
 
-// dialTimeoutError tells that a connection did not come up in time.
+// dialTimeoutError is the failure of a connection to come up in time.
 type dialTimeoutError struct{}
 
-func (*dialTimeoutError) Error() string { return "no connection in time" }
+func (*dialTimeoutError) Error() string {
+	return "dial control machine: no connection within the timeout"
+}
 
 var errDialTimeout = &dialTimeoutError{}
 
-// link keeps one long poll open to one control machine at a time. While that one doesn't answer with the agreed
-// state, others are probed, and the first that does becomes the current one.
+// controlLink keeps one long poll open to one control machine at a time, the current one. While that one doesn't respond
+// or has no authority, others are probed, and the first that has it becomes the current one. Notices are requests beside
+// the long poll that are answered at once.
 type controlLink struct {
-	endpoints             controlEndpoints
-	random                *rand.Rand
-	current               string        // address of the control machine, empty at first
-	currentSince          time.Duration // when the current machine became that
-	established           bool          // the current machine has shown that it holds the agreed state, and hasn't failed since
-	inFlight              bool
-	longPoll              watchCall // the last long poll that was sent
-	responding            bool      // its answer has begun to come
-	nextLongPoll          time.Duration
-	proxyReportDeadline   time.Duration // the next watch may wait so long for the proxy
-	consecutiveFailures   int           // in a row
-	consecutiveEmpty      int           // answers in a row that came soon and brought nothing
-	dialTimeout           time.Duration // for the opening of the next connection
-	nonAuthoritative      bool          // the current machine doesn't hold the agreed state
+	endpoints controlEndpoints
+	random    *rand.Rand
+
+	current               string        // address of the current control machine, empty at first
+	currentSince          time.Duration // when it became that
+	established           bool          // it has responded with authority, and hasn't failed since
+	nonAuthoritative      bool          // its last response was without authority
 	nonAuthoritativeSince time.Duration
-	sendDigests           bool
-	viewNumber            uint64
-	callCount             uint64 // made so far
-	noticesInFlight       int    // in flight
-	lastNotice            watchCall
-	lastNoticeInFlight    bool   // lastNotice is in flight
-	stateFetchID          uint64 // the notice in flight that fetches what a probe told of; 0: none
-	probes                probes
+
+	inFlight            bool      // a long poll is in flight
+	longPoll            watchCall // the last one sent
+	responding          bool      // its response has started
+	nextLongPoll        time.Duration
+	proxyReportDeadline time.Duration // the next long poll waits for the proxy no longer than this
+	consecutiveFailures int
+	consecutiveEmpty    int           // responses in a row that came soon and carried no update
+	dialTimeout         time.Duration // of the next connection
+
+	noticesInFlight    int
+	lastNotice         watchCall
+	lastNoticeInFlight bool
+	stateFetchID       uint64 // the notice in flight that fetches a state which a probe has named; 0: none
+	probes             probes
+
+	callCount   uint64 // calls made, of all kinds
+	sendDigests bool   // the next request carries the replica's digests, for a repair
+	viewNumber  uint64 // of the newest view received
 }
 
 func newControlLink(endpoints controlEndpoints, random *rand.Rand) controlLink {
 	return controlLink{endpoints: endpoints, random: random, dialTimeout: minDialTimeout}
 }
 
-// next is the long poll that is due, nil if none is. News that the proxy hasn't taken yet holds it up a little.
+// nextWatch returns the long poll that is due, nil if none is. An update that the proxy lacks delays it a little, so
+// that it reports the update as applied.
 func (l *controlLink) nextWatch(now time.Duration, record *pb.AgentRecord, state *catalog.Snapshot, proxyLagging bool) *watchCall {
 	if l.inFlight || now < l.nextLongPoll {
 		return nil
@@ -116,7 +135,7 @@
 	return &call
 }
 
-// notice is a call that is answered at once, beside the long poll.
+// newNotice returns a request that is answered at once, and counts it as in flight.
 func (l *controlLink) newNotice(now time.Duration, address string, record *pb.AgentRecord, state *catalog.Snapshot) watchCall {
 	call := l.newCall(now, address, record, state)
 	call.kind = watchNotice
@@ -127,6 +146,7 @@
 	return call
 }
 
+// newCall returns a call with what requests of all kinds carry.
 func (l *controlLink) newCall(now time.Duration, address string, record *pb.AgentRecord, state *catalog.Snapshot) watchCall {
 	request := &pb.WatchRequest{
 		Agent:      record,
@@ -143,12 +163,13 @@
 	return call
 }
 
-// isCurrentLongPoll tells whether a call is the long poll that is waited for. One that took too long may have been given up.
+// isCurrentLongPoll reports whether a call is the long poll in flight. An overdue one may have been abandoned, and its
+// response still arrives.
 func (l *controlLink) isCurrentLongPoll(call watchCall) bool {
 	return l.inFlight && call.id == l.longPoll.id
 }
 
-// begun notes that the answer to a call has begun to come.
+// handleResponseStarted takes the first bytes of a response.
 func (l *controlLink) handleResponseStarted(id uint64) {
 	if l.inFlight && id == l.longPoll.id {
 		l.responding = true
@@ -166,7 +187,8 @@
 	}
 }
 
-// failed moves to another control machine after a wait.
+// handleFailure takes the failure of a call. After that of the long poll another control machine becomes the current
+// one, after a backoff.
 func (l *controlLink) handleFailure(now time.Duration, call watchCall, err error) {
 	if call.kind == watchNotice {
 		l.finishNotice(call)
@@ -190,22 +212,30 @@
 	l.nextLongPoll = now + l.backoff()
 }
 
-// backoff doubles with each failure in a row, within its bounds, and varies by half.
+// backoff returns the time to wait after a failure: exponential in the failures in a row, with jitter of a half to
+// either side.
 func (l *controlLink) backoff() time.Duration {
 	backoff := maxBackoff
-	if doublings := max(l.consecutiveFailures-1, 0); doublings < 10 {
+	if doublings := max(l.consecutiveFailures-1, 0); doublings < maxDoublings {
 		backoff = min(minBackoff<<doublings, maxBackoff)
 	}
 	return backoff/2 + time.Duration(l.random.Int64N(int64(backoff)))
 }
 
-// answered takes an answer. Outcome tells what it brought.
+// watchOutcome is what a response meant for the replica.
+type watchOutcome struct {
+	updated       bool // it carried something newer than the replica, the membership or the view
+	moreAvailable bool // its machine holds newer state than the replica still
+}
+
+// handleResponse takes the response to a call.
 func (l *controlLink) handleResponse(now time.Duration, call watchCall, response *pb.WatchResponse, outcome watchOutcome) {
 	if call.kind == watchProbe {
 		l.handleProbeResponse(now, call, response, outcome)
 		return
 	}
-	if outcome.moreAvailable || outcome.updated { // else it says nothing of what another machine needs digests for
+	// A machine that has nothing newer says nothing about the digests that another machine has asked for.
+	if outcome.moreAvailable || outcome.updated {
 		l.sendDigests = outcome.moreAvailable && (response.GetNeedDigests() || !outcome.updated)
 	}
 	if call.kind == watchNotice {
@@ -224,23 +254,17 @@
 	l.evaluate(now, call.address, response.GetAuthoritative())
 }
 
-// pace lets some time pass after answers that came soon and brought nothing.
+// paceEmptyResponses delays the next long poll after a response that came soon and carried no update.
 func (l *controlLink) paceEmptyResponses(now time.Duration, call watchCall, useful bool) {
 	if useful || now-call.started >= maxEmptyBackoff {
 		l.consecutiveEmpty = 0
 		return
 	}
-	l.nextLongPoll = now + min(minEmptyBackoff<<min(l.consecutiveEmpty, 10), maxEmptyBackoff)
+	l.nextLongPoll = now + min(minEmptyBackoff<<min(l.consecutiveEmpty, maxDoublings), maxEmptyBackoff)
 	l.consecutiveEmpty++
 }
 
-// watchOutcome tells what an answer brought.
-type watchOutcome struct {
-	updated       bool // something that was not held
-	moreAvailable bool // the control machine holds more than this one still
-}
-
-// adoptView learns the voters of a newer view and tells whether it was one.
+// adoptView takes the voters of a view if it is newer than the last one, and reports whether it was.
 func (l *controlLink) adoptView(view *pb.View) bool {
 	if view.GetNumber() <= l.viewNumber || len(view.GetVoters()) == 0 {
 		return false
@@ -250,7 +274,8 @@
 	return true
 }
 
-// judge leaves a control machine that doesn't hold the agreed state for too long, or for a nearer one.
+// evaluate decides after a response to the long poll whether its machine stays the current one. A nearer machine
+// replaces it, and any other one when it has lacked authority for too long.
 func (l *controlLink) evaluate(now time.Duration, address string, authoritative bool) {
 	if authoritative {
 		l.established = true
@@ -281,8 +306,8 @@
 	}
 }
 
-// wake is when the link has something to do; there is always something.
-func (l *controlLink) nextDue(now time.Duration, proxyLagging bool) time.Duration {
+// nextDue returns the time at which the link has something to do. There always is one.
+func (l *controlLink) nextDue(proxyLagging bool) time.Duration {
 	at := l.nextLongPoll
 	if proxyLagging {
 		at = max(l.nextLongPoll, l.proxyReportDeadline)
@@ -290,10 +315,10 @@
 	if l.inFlight {
 		at = l.overdueAt()
 	}
-	return min(at, l.nextProbeDue(now))
+	return min(at, l.nextProbeDue())
 }
 
-// fields describe the link for the log.
+// fields describe the link in the log.
 func (l *controlLink) fields() []zap.Field {
 	return []zap.Field{
 		zap.String("control", l.current),
--- a/internal/agent/control_link_test.go
+++ b/internal/agent/control_link_test.go
@@ -100,7 +100,7 @@
 	call := l.nextAt(0)
 	l.handleResponse(time.Second, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
 	require.Nil(t, l.nextWatch(time.Second, &pb.AgentRecord{}, catalog.Empty(), true))
-	due := l.nextDue(time.Second, true)
+	due := l.nextDue(true)
 	require.NotNil(t, l.nextWatch(due, &pb.AgentRecord{}, catalog.Empty(), true))
 }
 
@@ -183,7 +183,7 @@
 	silent := l.nextAt(0)
 	overdue := watchWait + overdueMargin
 	require.Nil(t, l.probeNow(overdue-1))
-	require.Equal(t, overdue, l.nextDue(0, false))
+	require.Equal(t, overdue, l.nextDue(false))
 	probe := l.probeNow(overdue)
 	require.NotEqual(t, silent.address, probe.address)
 	now := overdue + 50*time.Millisecond
--- a/internal/agent/control_probes.go
+++ b/internal/agent/control_probes.go
@@ -10,43 +10,43 @@
 )
 
 const (
-	// maxProbes bounds the control machines that are probed at a time: of five, only one may hold the agreed state.
+	// maxProbes bounds the probes in flight. Only one of five control machines may have authority.
 	maxProbes = 4
-	// probeWait is the longest wait for the agreed state that is asked of a control machine; then another one's turn
-	// comes.
+	// probeWait is the longest time that a control machine is asked to wait for authority before it responds. Then
+	// another one is probed.
 	probeWait = 300 * time.Millisecond
-	// slowResponseAllowance is how much longer an answer may take that has begun to come.
+	// slowResponseAllowance is how much later a long poll is overdue once its response has started.
 	slowResponseAllowance = time.Second
-	// probeTimeout ends a probe.
+	// probeTimeout is the time in which the response to a probe has to start.
 	probeTimeout = probeWait + 700*time.Millisecond
-	// never is a time that doesn't come.
+	// never is a time that is never reached.
 	never = time.Duration(math.MaxInt64)
 )
 
-// probes are the calls under way to control machines that could take the place of the current one. They carry no
-// state, so that many agents may ask several machines at once.
+// probes are the requests to control machines that could replace the current one. Their responses carry no state, so
+// that many agents may probe several machines at once.
 type probes struct {
-	inFlight         []string // in flight
-	nonAuthoritative []string // asked in vain since the link was lost
-	nextStart        time.Duration
+	inFlight         []string      // addresses being probed
+	nonAuthoritative []string      // addresses that responded without authority since the current machine last had it
+	nextStart        time.Duration // earliest time of the next probe
 }
 
-// end takes the end of a probe; the next one may begin at due.
+// finish takes the end of a probe.
 func (p *probes) finish(address string, nextStart time.Duration) {
 	p.inFlight = slices.DeleteFunc(p.inFlight, func(other string) bool { return other == address })
 	p.nextStart = nextStart
 }
 
-// seeking tells whether the current control machine is not good enough.
+// isProbing reports whether a replacement of the current control machine is wanted.
 func (l *controlLink) isProbing(now time.Duration) bool { return now >= l.probingSince() }
 
-// probingSince is since when, or from when on, other control machines are to be probed.
+// probingSince returns the time, past or future, from which a replacement of the current control machine is wanted.
 func (l *controlLink) probingSince() time.Duration {
 	switch {
 	case l.longPoll.id == 0:
-		return never // nobody has been asked yet
+		return never // the first long poll has not been sent yet
 	case !l.established && l.inFlight && l.responding:
-		return l.overdueAt() // whatever its machine holds is on its way
+		return l.overdueAt() // the state of its machine is on its way
 	case !l.established:
 		return 0
 	case l.nonAuthoritative:
@@ -57,8 +57,8 @@
 	return never
 }
 
-// overdueAt is when the long poll under way should have been answered. An answer that is on its way gets longer: asked
-// for elsewhere it would load the links once more.
+// overdueAt returns the time at which the long poll in flight is overdue. A response that has started gets longer:
+// requested from another machine it would load the links once more.
 func (l *controlLink) overdueAt() time.Duration {
 	wait := time.Duration(l.longPoll.request.GetHoldMs()) * time.Millisecond
 	overdue := l.longPoll.started + wait + overdueMargin
@@ -68,9 +68,9 @@
 	return overdue
 }
 
-// probe is the probe that is due, nil if none is.
+// nextProbe returns the probe that is due, nil if none is.
 func (l *controlLink) nextProbe(now time.Duration, record *pb.AgentRecord, state *catalog.Snapshot) *watchCall {
-	if now < l.nextProbeDue(now) {
+	if now < l.nextProbeDue() {
 		return nil
 	}
 	address := l.chooseProbeTarget(now)
@@ -89,7 +89,8 @@
 	return &call
 }
 
-// chooseProbeTarget is the control machine to probe next, empty if there is none: one that wasn't asked in vain if possible.
+// chooseProbeTarget returns the control machine to probe next, empty if there is none. It prefers machines that have not
+// yet responded without authority, and begins anew when all of them have.
 func (l *controlLink) chooseProbeTarget(now time.Duration) string {
 	excluded := append(slices.Clone(l.probes.inFlight), l.current)
 	if address := l.endpoints.chooseExcept(now, slices.Concat(excluded, l.probes.nonAuthoritative)); address != "" {
@@ -99,20 +100,21 @@
 	return l.endpoints.chooseExcept(now, excluded)
 }
 
-// nextProbeDue is when the next probe may begin.
-func (l *controlLink) nextProbeDue(now time.Duration) time.Duration {
+// nextProbeDue returns the earliest time of the next probe.
+func (l *controlLink) nextProbeDue() time.Duration {
 	if len(l.probes.inFlight) >= maxProbes {
 		return never
 	}
 	return max(l.probingSince(), l.probes.nextStart)
 }
 
-// probed takes the answer to a probe: a machine that holds the agreed state becomes the current one if that is
-// wanted still.
+// handleProbeResponse takes the response to a probe. A machine with authority becomes the current one if a replacement
+// is still wanted.
 func (l *controlLink) handleProbeResponse(now time.Duration, call watchCall, response *pb.WatchResponse, outcome watchOutcome) {
 	l.probes.finish(call.address, now)
 	if !response.GetAuthoritative() {
-		if !outcome.updated { // else it had no time to come to hold the agreed state
+		// A response that carried an update came before the machine had its time to gain authority.
+		if !outcome.updated {
 			l.probes.nonAuthoritative = append(l.probes.nonAuthoritative, call.address)
 		}
 		return
@@ -126,7 +128,7 @@
 	l.switchTo(now, call.address)
 	l.probes.nonAuthoritative = nil
 	l.established = true
-	l.inFlight = false // a long poll to the machine that was the current one is given up
+	l.inFlight = false // a long poll to the previous machine is abandoned
 	l.consecutiveFailures = 0
 	l.dialTimeout = minDialTimeout
 	l.nextLongPoll = now
--- a/internal/agent/core_peers.go
+++ b/internal/agent/core_peers.go
@@ -10,6 +10,38 @@
 	"fieldrelay/internal/shuffle"
 )
 
+// stepGossip ticks the gossip and the partial view when they are due, and returns the calls to other agents.
+func (c *core) stepGossip(now time.Duration) []action {
+	if now < c.gossipDue {
+		return nil
+	}
+	c.gossipDue = now + gossipInterval
+	actions := c.gossipActions(c.gossip.Step(now, gossip.Tick{}))
+	for _, one := range c.partialView.Step(now, shuffle.Tick{}) {
+		if exchange, ok := one.(shuffle.Exchange); ok {
+			c.counters.shuffles++
+			actions = append(actions, shuffleCall{exchange})
+		}
+	}
+	return actions
+}
+
+// gossipActions returns the calls among the actions of the gossip. Its replies are sent where they were requested.
+func (c *core) gossipActions(produced []gossip.Action) []action {
+	var actions []action
+	for _, one := range produced {
+		switch one := one.(type) {
+		case gossip.Push:
+			c.counters.pushes++
+			actions = append(actions, pushCall{one})
+		case gossip.Compare:
+			c.counters.compares++
+			actions = append(actions, compareCall{one})
+		}
+	}
+	return actions
+}
+
 // handlePeerCallDone takes the end of a call to another agent.
 func (c *core) handlePeerCallDone(now time.Duration, received event) []action {
 	switch done := received.(type) {
@@ -37,7 +69,8 @@
 	return nil
 }
 
-// recordPeerFailure drops a neighbour that didn't answer. One that is busy stays.
+// recordPeerFailure reports whether a call to another agent failed, and then removes it from the partial view, unless
+// it answered that it is overloaded.
 func (c *core) recordPeerFailure(now time.Duration, err error, host string) bool {
 	if err == nil {
 		return false
@@ -51,75 +84,60 @@
 	return true
 }
 
-// handlePeerRequest answers another agent's call.
+// handlePeerRequest answers a call of another agent. The channel of a request has room for its one response, so that
+// the core never waits for a caller.
 func (c *core) handlePeerRequest(now time.Duration, received event) []action {
-	switch asked := received.(type) {
+	switch received := received.(type) {
 	case shuffleRequested:
 		c.counters.shufflesReceived++
-		c.answerShuffle(now, asked)
+		c.answerShuffle(now, received)
 	case pushRequested:
 		c.counters.pushesReceived++
-		return c.answerPush(now, asked)
+		return c.answerPush(now, received)
 	case compareRequested:
 		c.counters.comparesReceived++
-		return c.answerCompare(now, asked)
+		return c.answerCompare(now, received)
 	}
 	return nil
 }
 
-func (c *core) answerShuffle(now time.Duration, request shuffleRequested) {
-	actions := c.partialView.Step(now, shuffle.ExchangeRequested{
-		From:   neighbourFromMessage(request.request.GetFrom()),
-		Sample: neighboursFromMessages(request.request.GetSample()),
+func (c *core) answerShuffle(now time.Duration, received shuffleRequested) {
+	produced := c.partialView.Step(now, shuffle.ExchangeRequested{
+		From:   neighbourFromMessage(received.request.GetFrom()),
+		Sample: neighboursFromMessages(received.request.GetSample()),
 	})
-	for _, one := range actions {
+	for _, one := range produced {
 		if answer, ok := one.(shuffle.Answer); ok {
-			request.answer <- &pb.ShuffleResponse{Sample: neighbourMessages(answer.Sample)}
+			received.response <- &pb.ShuffleResponse{Sample: neighbourMessages(answer.Sample)}
 		}
 	}
 }
 
-func (c *core) answerPush(now time.Duration, request pushRequested) []action {
-	actions := c.gossip.Step(now, gossip.PushRequested{
-		From:    neighbourFromMessage(request.request.GetFrom()),
-		Changes: request.request.GetChanges(),
-		List:    request.request.GetList(),
+func (c *core) answerPush(now time.Duration, received pushRequested) []action {
+	produced := c.gossip.Step(now, gossip.PushRequested{
+		From:    neighbourFromMessage(received.request.GetFrom()),
+		Changes: received.request.GetChanges(),
+		List:    received.request.GetList(),
 	})
-	for _, one := range actions {
-		if answer, ok := one.(gossip.PushReply); ok {
-			request.answer <- &pb.PushResponse{Sequence: answer.Sequence, List: answer.List}
+	for _, one := range produced {
+		if reply, ok := one.(gossip.PushReply); ok {
+			received.response <- &pb.PushResponse{Sequence: reply.Sequence, List: reply.List}
 		}
 	}
-	return c.gossipActions(actions)
+	return c.gossipActions(produced)
 }
 
-func (c *core) answerCompare(now time.Duration, request compareRequested) []action {
-	actions := c.gossip.Step(now, gossip.CompareRequested{
-		From:              neighbourFromMessage(request.request.GetFrom()),
-		Digests:           request.request.GetDigests(),
-		List:              request.request.GetList(),
-		AcceptsCompressed: request.request.GetTakesPacked(),
+func (c *core) answerCompare(now time.Duration, received compareRequested) []action {
+	produced := c.gossip.Step(now, gossip.CompareRequested{
+		From:              neighbourFromMessage(received.request.GetFrom()),
+		Digests:           received.request.GetDigests(),
+		List:              received.request.GetList(),
+		AcceptsCompressed: received.request.GetTakesPacked(),
 	})
-	for _, one := range actions {
-		if answer, ok := one.(gossip.CompareReply); ok {
-			request.answer <- answer.Response
-		}
-	}
-	return c.gossipActions(actions)
-}
-
-// gossipActions are the calls among what the gossip wants; its answers have been given.
-func (c *core) gossipActions(produced []gossip.Action) []action {
-	var actions []action
 	for _, one := range produced {
-		switch one := one.(type) {
-		case gossip.Push:
-			c.counters.pushes++
-			actions = append(actions, pushCall{one})
-		case gossip.Compare:
-			c.counters.compares++
-			actions = append(actions, compareCall{one})
+		if reply, ok := one.(gossip.CompareReply); ok {
+			received.response <- reply.Response
 		}
 	}
-	return actions
+	return c.gossipActions(produced)
 }
--- /dev/null
+++ b/internal/agent/core_proxy.go
@@ -0,0 +1,55 @@
+package agent
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+)
+
+// startProxyCall returns the call to the proxy that is due, if any.
+func (c *core) startProxyCall(now time.Duration) []action {
+	call := c.proxy.nextCall(now, c.replica, &c.members)
+	if call == nil {
+		return nil
+	}
+	c.counters.exchanges++
+	if call.apply != nil {
+		c.counters.applies++
+		c.violations.checkSent(c.logger, call.apply, c.proxy.status)
+	}
+	return []action{*call}
+}
+
+// handleProxyCallDone takes the end of an exchange with the proxy. The first one lets the first long poll go, which
+// then carries the state of the proxy.
+func (c *core) handleProxyCallDone(now time.Duration, done proxyCallDone) {
+	previous := c.proxy
+	discovered := c.proxy.handleDone(now, done)
+	if !c.proxyQueried {
+		c.proxyQueried = true
+		c.control.nextLongPoll = min(c.control.nextLongPoll, now)
+	}
+	if done.err != nil {
+		c.counters.proxyFailures++
+		c.counters.proxyFailureKinds.count(done.err)
+	}
+	c.violations.checkReport(c.logger, previous.status, c.proxy.status)
+	c.logProxyChange(&previous, discovered, done.err)
+}
+
+// logProxyChange logs what an exchange has changed in what is known of the proxy.
+func (c *core) logProxyChange(previous *proxyLink, discovered bool, err error) {
+	switch {
+	case discovered:
+		c.logger.Info("proxy found",
+			zap.Uint64("incarnation", c.proxy.status.GetIncarnation()),
+			zap.Uint64("sequence", c.proxy.status.GetSequence()))
+	case previous.reachable && !c.proxy.reachable:
+		c.logger.Warn("proxy gone", zap.Error(err))
+	case !previous.reachable && c.proxy.reachable:
+		c.logger.Info("proxy back")
+	}
+	if previous.ready() != c.proxy.ready() {
+		c.logger.Info("proxy readiness", zap.Bool("ready", c.proxy.ready()))
+	}
+}
--- a/internal/agent/decompress.go
+++ b/internal/agent/decompress.go
@@ -5,37 +5,28 @@
 	"fieldrelay/internal/packing"
 )
 
-// decompressWatch puts the news that an answer carries packed in its place. The packed form stays, to be passed on. The
-// error is a *packing.MalformedError.
-func decompressWatch(response *pb.WatchResponse) error {
-	if response.GetPacked() == nil {
-		return nil
-	}
-	news, err := decompress(response.GetPacked(), response.GetChanges())
-	if err == nil {
-		response.Changes, response.Repair = news.GetChanges(), news.GetRepair()
-	}
+// decompressWatch expands the compressed update in a response, if there is one. The compressed form stays, to be passed
+// on to other agents. The error is a *packing.MalformedError.
+func decompressWatch(response *pb.WatchResponse) (err error) {
+	response.Changes, response.Repair, err = decompress(response.GetPacked(), response.GetChanges(), response.GetRepair())
 	return err
 }
 
-// decompressCompare is decompressWatch for the answer of another agent.
-func decompressCompare(response *pb.CompareResponse) error {
-	if response.GetPacked() == nil {
-		return nil
-	}
-	news, err := decompress(response.GetPacked(), response.GetChanges())
-	if err == nil {
-		response.Changes, response.Repair = news.GetChanges(), news.GetRepair()
-	}
+// decompressCompare is decompressWatch for the response of another agent.
+func decompressCompare(response *pb.CompareResponse) (err error) {
+	response.Changes, response.Repair, err = decompress(response.GetPacked(), response.GetChanges(), response.GetRepair())
 	return err
 }
 
-// unpack gives packed news together with the changes that follow it.
-func decompress(packed *pb.PackedNews, following []*pb.Change) (*pb.StateNews, error) {
-	news, err := packing.Unpack(packed)
+// decompress returns the changes and the repair of a response. Changes beside a compressed update follow those in it.
+// Without one, or if it is malformed, they are returned as they are.
+func decompress(compressed *pb.PackedNews, changes []*pb.Change, repair *pb.Repair) ([]*pb.Change, *pb.Repair, error) {
+	if compressed == nil {
+		return changes, repair, nil
+	}
+	update, err := packing.Unpack(compressed)
 	if err != nil {
-		return nil, err
+		return changes, repair, err
 	}
-	news.Changes = append(news.GetChanges(), following...)
-	return news, nil
+	return append(update.GetChanges(), changes...), update.GetRepair(), nil
 }
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -1,29 +1,22 @@
 package agent
 
-import (
-	"time"
+import pb "fieldrelay/api/fieldrelay/v1"
 
-	pb "fieldrelay/api/fieldrelay/v1"
-	"fieldrelay/internal/catalog"
-	"fieldrelay/internal/gossip"
-	"fieldrelay/internal/shuffle"
-)
-
-// event is something that the core is told. Events of callers carry a channel with room for the one answer.
+// event is an input of the core. Requests of other agents carry a channel with room for their one response.
 type event interface{ isEvent() }
 
 type (
-	// tick tells that time has passed.
+	// tick lets time pass.
 	tick struct{}
-	// watchResponseStarted tells that the answer to a watchCall has begun to come.
+	// watchResponseStarted reports that the first bytes of the response to a watchCall have arrived.
 	watchResponseStarted struct{ id uint64 }
-	// handleWatchDone ends a watchCall.
+	// watchDone ends a watchCall.
 	watchDone struct {
 		call     watchCall
 		response *pb.WatchResponse
 		err      error
 	}
-	// handleProxyCallDone ends a proxyCall.
+	// proxyCallDone ends a proxyCall.
 	proxyCallDone struct {
 		call   proxyCall
 		status *pb.ProxyStatus
@@ -47,24 +40,24 @@
 		response *pb.CompareResponse
 		err      error
 	}
-	// shuffleRequested is another agent's call.
+	// shuffleRequested is a request of another agent to exchange neighbours.
 	shuffleRequested struct {
-		request *pb.ShuffleRequest
-		answer  chan<- *pb.ShuffleResponse
+		request  *pb.ShuffleRequest
+		response chan<- *pb.ShuffleResponse
 	}
-	// pushRequested is another agent's call.
+	// pushRequested is an update that another agent sends.
 	pushRequested struct {
-		request *pb.PushRequest
-		answer  chan<- *pb.PushResponse
+		request  *pb.PushRequest
+		response chan<- *pb.PushResponse
 	}
-	// compareRequested is another agent's call.
+	// compareRequested is a request of another agent to compare versions.
 	compareRequested struct {
-		request *pb.CompareRequest
-		answer  chan<- *pb.CompareResponse
+		request  *pb.CompareRequest
+		response chan<- *pb.CompareResponse
 	}
-	// seedsReloaded tells the control machines that the settings file names now, by the address of their link service.
+	// seedsReloaded carries the link addresses of the seeds in a settings file that has changed.
 	seedsReloaded struct{ addresses []string }
-	// handleShutdownRequested tells that the process has been asked to end.
+	// shutdownRequested reports that the process has been asked to shut down.
 	shutdownRequested struct{}
 )
 
@@ -80,82 +73,3 @@
 func (compareRequested) isEvent()     {}
 func (seedsReloaded) isEvent()        {}
 func (shutdownRequested) isEvent()    {}
-
-// watchKind tells what a call to a control machine is for.
-type watchKind int
-
-const (
-	watchLongPoll watchKind = iota // waits for news
-	watchNotice                    // beside the long one, to tell something at once
-	watchProbe                     // finds out whether the machine holds the agreed state
-)
-
-// action is a call that the shell has to make; its end comes back as an event.
-type action interface{ isAction() }
-
-type (
-	// watchCall asks a control machine for news and tells it about this machine.
-	watchCall struct {
-		id          uint64
-		kind        watchKind
-		address     string
-		request     *pb.WatchRequest
-		base        *catalog.Snapshot // the state that the request's digests describe, nil if it has none
-		started     time.Duration
-		dialTimeout time.Duration // the longest wait for a connection
-		timeout     time.Duration
-	}
-	// proxyCall is an Apply to the proxy, or a Status when there is nothing to apply.
-	proxyCall struct {
-		apply   *pb.ApplyRequest // nil: Status
-		attempt deliveryAttempt
-	}
-	// shuffleCall is an exchange of neighbours.
-	shuffleCall struct{ shuffle.Exchange }
-	// pushCall passes news on.
-	pushCall struct{ gossip.Push }
-	// compareCall compares versions with a neighbour.
-	compareCall struct{ gossip.Compare }
-)
-
-func (watchCall) isAction()   {}
-func (proxyCall) isAction()   {}
-func (shuffleCall) isAction() {}
-func (pushCall) isAction()    {}
-func (compareCall) isAction() {}
-
-func neighbourMessage(neighbour shuffle.Neighbour) *pb.Neighbour {
-	return &pb.Neighbour{
-		Host:    neighbour.Host,
-		Address: neighbour.Address,
-		Zone:    neighbour.Zone,
-		Region:  neighbour.Region,
-		Age:     neighbour.Age,
-	}
-}
-
-func neighbourFromMessage(message *pb.Neighbour) shuffle.Neighbour {
-	return shuffle.Neighbour{
-		Host:    message.GetHost(),
-		Address: message.GetAddress(),
-		Zone:    message.GetZone(),
-		Region:  message.GetRegion(),
-		Age:     message.GetAge(),
-	}
-}
-
-func neighbourMessages(neighbours []shuffle.Neighbour) []*pb.Neighbour {
-	messages := make([]*pb.Neighbour, len(neighbours))
-	for i, neighbour := range neighbours {
-		messages[i] = neighbourMessage(neighbour)
-	}
-	return messages
-}
-
-func neighboursFromMessages(messages []*pb.Neighbour) []shuffle.Neighbour {
-	neighbours := make([]shuffle.Neighbour, len(messages))
-	for i, message := range messages {
-		neighbours[i] = neighbourFromMessage(message)
-	}
-	return neighbours
-}
--- a/internal/agent/lag_test.go
+++ b/internal/agent/lag_test.go
@@ -54,7 +54,7 @@
 
 	answer := make(chan *pb.PushResponse, 1)
 	push := &pb.PushRequest{From: &pb.Neighbour{Host: "edge-2", Address: "10.0.0.2:7661"}, Changes: []*pb.Change{change(1), change(2)}}
-	s.step(pushRequested{request: push, answer: answer})
+	s.step(pushRequested{request: push, response: answer})
 	line = requireLine(t, logs, "copy up to date again")
 	require.Equal(t, "push", line["by"])
 	require.Equal(t, 3*replicaLagThreshold, line["longest"])
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// lostMemberRetention is how long a proxy that was lost may still be sending: its part of the common bounds isn't given to
-	// others before.
+	// lostMemberRetention is how long a lost proxy may still be sending requests. Its quota share isn't given to others
+	// before.
 	lostMemberRetention = 60 * time.Second
-	// maxMembers bounds how many members are remembered.
+	// maxMembers bounds the members remembered, and the lost ones among them.
 	maxMembers = 4096
 )
 
-// membership is what is known of the edge machines.
+// membership is what is known of the edge machines, and the quota shares that follow from it: the proxies that share a
+// bound are those of all members, of those lost lately and of this machine itself.
 type membership struct {
 	self          *pb.Neighbour
 	source        string // control machine that numbered version
 	version       uint64
-	received      bool            // a list has been heard
-	members       []*pb.Neighbour // of the last list
-	lost          map[string]lostMember
+	received      bool                  // a list has been received
+	members       []*pb.Neighbour       // of the last list
+	lost          map[string]lostMember // by host
 	shares        *pb.Shares
-	sharesVersion *pb.SharesVersion // of shares
+	sharesVersion *pb.SharesVersion
 }
 
-// lingerer is a member that the last list doesn't name.
+// lostMember is a member of an earlier list that the last one doesn't name.
 type lostMember struct {
 	member    *pb.Neighbour
 	expiresAt time.Duration
@@ -43,7 +44,7 @@
 	}
 }
 
-// take learns a list of members and tells whether it was another one than before.
+// update takes a list of members and reports whether it is another one than the last.
 func (m *membership) update(now time.Duration, source string, list *pb.Members) bool {
 	if list == nil || m.received && source == m.source && list.GetVersion() == m.version {
 		return false
@@ -52,7 +53,7 @@
 	m.source = source
 	m.version = list.GetVersion()
 	m.received = true
-	m.members = currentMembers(list)
+	m.members = liveMembers(list)
 	for _, member := range m.members {
 		delete(m.lost, member.GetHost())
 	}
@@ -63,8 +64,8 @@
 	return true
 }
 
-// currentMembers are those members that were heard of lately enough to be sending.
-func currentMembers(list *pb.Members) []*pb.Neighbour {
+// liveMembers returns the members of a list that control has received a heartbeat from lately enough to be sending.
+func liveMembers(list *pb.Members) []*pb.Neighbour {
 	members := make([]*pb.Neighbour, 0, len(list.GetAgents()))
 	for _, record := range list.GetAgents() {
 		age := time.Duration(record.GetAgeMs()) * time.Millisecond
@@ -81,22 +82,21 @@
 	return members
 }
 
-// linger keeps a member that the present list doesn't name.
+// retain keeps a member that the last list doesn't name as lost.
 func (m *membership) retain(now time.Duration, member *pb.Neighbour) {
-	listed := slices.ContainsFunc(m.members, func(other *pb.Neighbour) bool { return other.GetHost() == member.GetHost() })
 	_, retained := m.lost[member.GetHost()]
-	if listed || retained || len(m.lost) >= maxMembers {
+	if containsHost(m.members, member.GetHost()) || retained || len(m.lost) >= maxMembers {
 		return
 	}
 	m.lost[member.GetHost()] = lostMember{member: member, expiresAt: now + lostMemberRetention}
 }
 
-// heard tells that a control machine has answered, whose list is still the one held: those that it doesn't name go
-// in time. While no control machine answers nobody goes.
+// expireLost forgets lost members in time. It is called when a control machine has responded, so that none is forgotten
+// while none responds.
 func (m *membership) expireLost(now time.Duration) {
 	expired := false
-	for host, lingerer := range m.lost {
-		if lingerer.expiresAt <= now {
+	for host, lost := range m.lost {
+		if lost.expiresAt <= now {
 			delete(m.lost, host)
 			expired = true
 		}
@@ -106,13 +106,13 @@
 	}
 }
 
-// rebuild makes the shares anew.
+// updateShares recomputes the quota shares, under a new revision if they have changed.
 func (m *membership) updateShares() {
 	members := slices.Clone(m.members)
-	for _, lingerer := range m.lost {
-		members = append(members, lingerer.member)
+	for _, lost := range m.lost {
+		members = append(members, lost.member)
 	}
-	if !slices.ContainsFunc(members, func(other *pb.Neighbour) bool { return other.GetHost() == m.self.GetHost() }) {
+	if !containsHost(members, m.self.GetHost()) {
 		members = append(members, m.self)
 	}
 	slices.SortFunc(members, func(a, b *pb.Neighbour) int { return strings.Compare(a.GetHost(), b.GetHost()) })
@@ -123,6 +123,10 @@
 	m.shares = &pb.Shares{Proxies: uint32(len(members)), Members: members, Version: m.sharesVersion}
 }
 
+func containsHost(members []*pb.Neighbour, host string) bool {
+	return slices.ContainsFunc(members, func(member *pb.Neighbour) bool { return member.GetHost() == host })
+}
+
 func sameMember(a, b *pb.Neighbour) bool {
 	return a.GetHost() == b.GetHost() &&
 		a.GetZone() == b.GetZone() &&
@@ -130,5 +134,5 @@
 		a.GetAddress() == b.GetAddress()
 }
 
-// neighbours are the members of the last list, for the partial view.
+// neighbours returns the members of the last list, for the partial view.
 func (m *membership) neighbours() []shuffle.Neighbour { return neighboursFromMessages(m.members) }
--- a/internal/agent/model_agent_test.go
+++ b/internal/agent/model_agent_test.go
@@ -225,7 +225,7 @@
 // repeatPushes brings pushes once more that reached this machine long ago, from neighbours of earlier lives.
 func (a *modelAgent) repeatPushes() {
 	for _, request := range a.pushes {
-		a.deliver(pushRequested{request: request, answer: make(chan *pb.PushResponse, 1)})
+		a.deliver(pushRequested{request: request, response: make(chan *pb.PushResponse, 1)})
 	}
 }
 
--- a/internal/agent/peer_server.go
+++ b/internal/agent/peer_server.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// maxHeaderBytes is the size in bytes of the largest header of a request.
+	// maxHeaderBytes is the size of the largest header of a request.
 	maxHeaderBytes = 8 << 10
-	// readTimeout is the time in which a request has to come whole.
+	// readTimeout is the time in which a request has to arrive completely.
 	readTimeout = 10 * time.Second
-	// serverIdleTimeout closes a connection of another agent that carried no call for so long: later than the
-	// other side does, so that no call meets the closing.
+	// serverIdleTimeout is the time after which a connection of another agent that carries no call is closed. The other
+	// side closes it earlier, so that no call meets the closing.
 	serverIdleTimeout = idleTimeout + 30*time.Second
 )
 
@@ -32,10 +32,10 @@
 	Count:    2,
 }
 
-// errBusy refuses a call for which the queue has no room.
+// errBusy rejects a call for which the event queue has no room.
 var errBusy = errors.New("the agent is busy")
 
-// peerService serves the other agents.
+// peerService serves the other agents. It is safe for concurrent use.
 type peerService struct {
 	events chan<- event
 }
@@ -44,38 +44,39 @@
 
 // Shuffle exchanges neighbours.
 func (s peerService) Shuffle(ctx context.Context, request *connect.Request[pb.ShuffleRequest]) (*connect.Response[pb.ShuffleResponse], error) {
-	answer := make(chan *pb.ShuffleResponse, 1)
-	return submit(ctx, s.events, shuffleRequested{request: request.Msg, answer: answer}, answer)
+	response := make(chan *pb.ShuffleResponse, 1)
+	return submit(ctx, s.events, shuffleRequested{request: request.Msg, response: response}, response)
 }
 
-// Push takes news.
+// Push takes an update.
 func (s peerService) Push(ctx context.Context, request *connect.Request[pb.PushRequest]) (*connect.Response[pb.PushResponse], error) {
-	answer := make(chan *pb.PushResponse, 1)
-	return submit(ctx, s.events, pushRequested{request: request.Msg, answer: answer}, answer)
+	response := make(chan *pb.PushResponse, 1)
+	return submit(ctx, s.events, pushRequested{request: request.Msg, response: response}, response)
 }
 
-// Compare tells what is newer here.
+// Compare responds with what is newer here than at the caller.
 func (s peerService) Compare(ctx context.Context, request *connect.Request[pb.CompareRequest]) (*connect.Response[pb.CompareResponse], error) {
-	answer := make(chan *pb.CompareResponse, 1)
-	return submit(ctx, s.events, compareRequested{request: request.Msg, answer: answer}, answer)
+	response := make(chan *pb.CompareResponse, 1)
+	return submit(ctx, s.events, compareRequested{request: request.Msg, response: response}, response)
 }
 
-// ask hands a call to the core and waits for its answer.
-func submit[T any](ctx context.Context, events chan<- event, request event, answer <-chan *T) (*connect.Response[T], error) {
+// submit hands a request to the core and waits for its response. The error has the code ResourceExhausted if the event
+// queue is full, and DeadlineExceeded if the caller waits no longer.
+func submit[T any](ctx context.Context, events chan<- event, request event, response <-chan *T) (*connect.Response[T], error) {
 	select {
 	case events <- request:
 	default:
 		return nil, connect.NewError(connect.CodeResourceExhausted, errBusy)
 	}
 	select {
-	case reply := <-answer:
-		return connect.NewResponse(reply), nil
+	case message := <-response:
+		return connect.NewResponse(message), nil
 	case <-ctx.Done():
 		return nil, connect.NewError(connect.CodeDeadlineExceeded, ctx.Err())
 	}
 }
 
-// newServer serves the other agents.
+// newServer returns the server for the other agents.
 func newServer(events chan<- event, logger *zap.Logger) *http.Server {
 	mux := http.NewServeMux()
 	mux.Handle(fieldrelayv1connect.NewAgentPeerHandler(
@@ -93,7 +94,7 @@
 	}
 }
 
-// listen opens the address of the peer service.
+// listen opens the address of the service to other agents.
 func listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: keepAlive, Control: controlSocket}
 	listener, err := config.Listen(ctx, "tcp4", address)
--- /dev/null
+++ b/internal/agent/process.go
@@ -0,0 +1,150 @@
+package agent
+
+import (
+	"context"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"go.uber.org/zap"
+
+	"fieldrelay/internal/settings"
+	"fieldrelay/internal/shuffle"
+)
+
+const (
+	// eventQueueSize is the number of events that may wait for the core.
+	eventQueueSize = 64
+	// minTickInterval is the shortest time between two ticks of the core while no event arrives.
+	minTickInterval = 5 * time.Millisecond
+	// incarnationRandomBits is the number of random bits in an incarnation: two starts within one millisecond differ.
+	incarnationRandomBits = 20
+)
+
+// process runs the core and the I/O around it: the calls, the service to other agents and the settings file.
+type process struct {
+	core     *core
+	caller   *caller
+	server   *http.Server
+	listener net.Listener
+	reloader *reloader
+	events   chan event
+	started  time.Time
+	cancel   context.CancelFunc // ends all calls
+	logger   *zap.Logger
+}
+
+// newProcess makes the process of an agent. Its options are complete.
+func newProcess(from *settings.Settings, logger *zap.Logger, options Options) *process {
+	neighbour := shuffle.Neighbour{
+		Host:    from.Hostname,
+		Address: options.Listener.Addr().String(),
+		Zone:    from.Zone,
+		Region:  from.Region,
+	}
+	seeds := resolveSeeds(from.Seeds, options.LinkAddress, logger)
+	events := make(chan event, eventQueueSize)
+	// Calls outlive the context of Run: they end with the process, once the core has finished its shutdown.
+	calls, cancel := context.WithCancel(context.Background())
+	post := func(received event) {
+		select {
+		case events <- received:
+		case <-calls.Done():
+		}
+	}
+	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	calling := newCaller(calls, neighbour, options.Proxy, post)
+	if options.Dial != nil {
+		calling.dialWith(options.Dial)
+	}
+	self := identity{neighbour: neighbour, incarnation: newIncarnation(time.Now())}
+	return &process{
+		core:     newCore(self, seeds, from.Bounds.Grace(), random, logger),
+		caller:   calling,
+		server:   newServer(events, logger),
+		listener: options.Listener,
+		reloader: newReloader(options.SettingsPath, seeds, options.LinkAddress, logger),
+		events:   events,
+		started:  time.Now(),
+		cancel:   cancel,
+		logger:   logger,
+	}
+}
+
+// newIncarnation returns a number that rises from start to start as long as the time of day does.
+func newIncarnation(now time.Time) uint64 {
+	return uint64(now.UnixMilli())<<incarnationRandomBits | rand.Uint64N(1<<incarnationRandomBits)
+}
+
+// run serves until the core has finished, and then waits for the calls under way.
+func (p *process) run(ctx context.Context) error {
+	served := make(chan error, 1)
+	go func() { served <- p.server.Serve(p.listener) }()
+	p.logger.Info("agent started",
+		zap.String("host", p.core.identity.neighbour.Host),
+		zap.String("address", p.core.identity.neighbour.Address),
+		zap.Uint64("incarnation", p.core.identity.incarnation))
+	err := p.loop(ctx, served)
+	p.cancel()
+	closeErr := p.server.Close()
+	p.caller.wait()
+	p.core.logCounters(p.now())
+	p.logger.Info("agent ended", zap.Error(err))
+	return errors.CombineErrors(err, errors.Wrap(closeErr, "close the service to other agents"))
+}
+
+// loop is the goroutine that owns the core. It returns when the core has finished, or with an error when the service
+// to other agents has ended.
+func (p *process) loop(ctx context.Context, served <-chan error) error {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	shutdown := ctx.Done()
+	for {
+		var received event = tick{}
+		select {
+		case received = <-p.events:
+		case <-timer.C:
+		case <-hangups:
+			p.applySeeds(p.reloader.reload())
+		case <-shutdown:
+			shutdown = nil // requested once
+			received = shutdownRequested{}
+		case err := <-served:
+			return errors.Wrap(err, "serve the other agents")
+		}
+		p.step(received)
+		now := p.now()
+		if p.core.finished(now) {
+			return nil
+		}
+		p.applySeeds(p.reloader.poll(now))
+		timer.Reset(max(p.core.nextTick(now)-now, minTickInterval))
+	}
+}
+
+// step hands an event to the core and starts the calls that it returns.
+func (p *process) step(received event) {
+	for _, call := range p.core.step(p.now(), received) {
+		if !p.caller.start(call) {
+			p.core.counters.droppedActions++
+		}
+	}
+}
+
+// applySeeds hands seeds that changed to the core.
+func (p *process) applySeeds(seeds []string, changed bool) {
+	if changed {
+		p.step(seedsReloaded{addresses: seeds})
+	}
+}
+
+// now returns the time of the core's monotonic clock. It begins above 0, which stands for "not yet" in the core.
+func (p *process) now() time.Duration { return time.Since(p.started) + time.Nanosecond }
--- a/internal/agent/proxy_link.go
+++ b/internal/agent/proxy_link.go
@@ -11,37 +11,39 @@
 	"fieldrelay/internal/gossip"
 )
 
-// Times of the feed.
+// Intervals and timeouts of the proxy link.
 const (
-	// exchangeInterval is the time between two exchanges with the proxy when there is no news.
+	// exchangeInterval is the time between two exchanges with the proxy while there is no update for it.
 	exchangeInterval = 250 * time.Millisecond
-	// shutdownExchangeInterval stands for exchangeInterval while this agent has been told to end: it ends when the proxy has.
+	// shutdownExchangeInterval replaces exchangeInterval during the shutdown, which ends when the proxy has ended.
 	shutdownExchangeInterval = 50 * time.Millisecond
-	// proxyRetryInterval is the wait before the next try while the proxy is gone.
+	// proxyRetryInterval is the time between two attempts while the proxy is unreachable.
 	proxyRetryInterval = 50 * time.Millisecond
-	// exchangeTimeout ends an exchange with the proxy.
+	// exchangeTimeout is the time in which the response to an exchange has to start.
 	exchangeTimeout = 2 * time.Second
-	// minSharesInterval is the shortest time between two sendings of shares that changed.
+	// minSharesInterval is the shortest time between two deliveries of quota shares.
 	minSharesInterval = time.Second
 )
 
-// feed brings the proxy beside this agent up to date.
+// proxyLink keeps the proxy beside this agent up to date. One exchange at a time brings the proxy what its last status
+// lacks, or requests its status when it lacks nothing.
 type proxyLink struct {
 	inFlight              bool
-	nextExchange          time.Duration // of the next exchange when there is no news
-	status                *pb.ProxyStatus
-	reachable             bool          // the last exchange succeeded
-	unreachableSince      time.Duration // of the first failure in a row
-	connectionRefused     bool          // nobody listened at the proxy's address in the last exchange
-	shuttingDown          bool          // this agent has been told to end
-	foundAt               time.Duration // when the proxy's incarnation was first heard of
-	confirmed             bool          // the agreed view confirmed the state after foundAt
+	nextExchange          time.Duration   // when there is no update
+	status                *pb.ProxyStatus // the last one received; nil at first
+	reachable             bool            // the last exchange succeeded
+	unreachableSince      time.Duration   // time of the first failure in a row
+	connectionRefused     bool            // nothing listened at the proxy's address in the last exchange
+	shuttingDown          bool            // this agent is
+	foundAt               time.Duration   // when the proxy process of status was first observed
+	confirmed             bool            // a request to control sent after foundAt has confirmed the state
 	confirmationDelivered bool
-	sharesDeliveredAt     time.Duration // when the proxy was told shares last; 0: not in its life
+	sharesDeliveredAt     time.Duration // when this proxy process was last sent shares; 0: never
 	lastAttempt           deliveryAttempt
 }
 
-// attempt is what an Apply carried last: sent in vain it isn't sent again at once.
+// deliveryAttempt names what an Apply carries. What the proxy didn't take isn't sent again before the next exchange is
+// due, anything newer is.
 type deliveryAttempt struct {
 	sequence  uint64
 	list      *pb.ListVersion
@@ -50,7 +52,7 @@
 	digests   bool
 }
 
-// next is the exchange that is due, nil if none is.
+// nextCall returns the call that is due, nil if none is.
 func (l *proxyLink) nextCall(now time.Duration, replica *gossip.Replica, members *membership) *proxyCall {
 	if l.inFlight {
 		return nil
@@ -79,7 +81,8 @@
 	return &proxyCall{}
 }
 
-// missing is what the proxy lacks, nil if it lacks nothing. Nothing older than what the proxy holds is in it.
+// pendingUpdate returns what the proxy lacks, nil if it lacks nothing. It holds nothing that is older than what the
+// proxy has reported.
 func (l *proxyLink) pendingUpdate(now time.Duration, replica *gossip.Replica, members *membership) (*pb.ApplyRequest, deliveryAttempt) {
 	apply := &pb.ApplyRequest{}
 	var attempt deliveryAttempt
@@ -109,7 +112,8 @@
 	return apply, attempt
 }
 
-// addStateUpdate adds the changes that the proxy lacks, or a repair if it can't use changes.
+// addStateUpdate adds the changes that the proxy lacks, or a repair if it can't use changes, and reports whether it
+// lacked any.
 func (l *proxyLink) addStateUpdate(apply *pb.ApplyRequest, replica *gossip.Replica) bool {
 	if replica.Sequence() <= l.status.GetSequence() {
 		return false
@@ -123,6 +127,7 @@
 	return true
 }
 
+// sharesDue reports whether the proxy lacks the present quota shares and may be sent them.
 func (l *proxyLink) sharesDue(now time.Duration, members *membership) bool {
 	if !members.received || proto.Equal(l.status.GetShares(), members.shares.GetVersion()) {
 		return false
@@ -130,7 +135,7 @@
 	return l.sharesDeliveredAt == 0 || now >= l.sharesDeliveredAt+minSharesInterval
 }
 
-// done takes the end of an exchange and tells whether a proxy that was not known has been found.
+// handleDone takes the end of an exchange and reports whether it has discovered another proxy process.
 func (l *proxyLink) handleDone(now time.Duration, done proxyCallDone) (discovered bool) {
 	l.inFlight = false
 	if done.err != nil {
@@ -157,7 +162,7 @@
 	return false
 }
 
-// period is the time between two exchanges without news.
+// interval returns the time between two exchanges while there is no update.
 func (l *proxyLink) interval() time.Duration {
 	if l.shuttingDown {
 		return shutdownExchangeInterval
@@ -175,20 +180,22 @@
 	l.nextExchange = now + proxyRetryInterval
 }
 
-// lagging tells whether changes are on their way to the proxy.
+// lagging reports whether changes are on their way to the proxy.
 func (l *proxyLink) lagging(replica *gossip.Replica) bool {
 	return l.reachable && replica.Sequence() > l.status.GetSequence()
 }
 
-// ready tells whether the proxy takes requests, as far as is known.
+// ready reports whether the proxy accepts requests, as far as is known.
 func (l *proxyLink) ready() bool { return l.reachable && l.status.GetReady() }
 
-// confirm notes that the agreed view holds nothing newer than this agent, as was asked at the time asked.
+// confirm takes that nothing newer than the replica is agreed, by the response to a request sent at requestedAt. It
+// counts only for a proxy process that was observed before that: an earlier response may be older than what the
+// process has.
 func (l *proxyLink) confirm(requestedAt time.Duration) {
 	if l.status != nil && requestedAt >= l.foundAt {
 		l.confirmed = true
 	}
 }
 
-// awaitsConfirmation tells whether no call since the proxy was found has confirmed the state.
+// awaitsConfirmation reports whether no request since the proxy was discovered has confirmed the state.
 func (l *proxyLink) awaitsConfirmation() bool { return l.reachable && !l.confirmed }
--- a/internal/agent/response_progress.go
+++ b/internal/agent/response_progress.go
@@ -11,46 +11,47 @@
 )
 
 const (
-	// stallTimeout ends a call whose answer has begun to come, once nothing more of it came for so long. An answer that
-	// comes slowly is not given up: asked for again, it would come as slowly, and take from others what the link carries.
+	// stallTimeout is the time without a byte after which a response that has started is given up. One that comes slowly
+	// is read to its end: requested again it would come as slowly, and take bandwidth from others.
 	stallTimeout = 1500 * time.Millisecond
-	// maxCallDuration ends a call in any case.
+	// maxCallDuration bounds a call in any case.
 	maxCallDuration = 20 * time.Second
 )
 
-// stalledError tells that a call was ended because no answer came, or no more of it.
+// stalledError is the cause of a call's cancelation when its response did not start in time, or made no progress.
 type stalledError struct{ responseStarted bool }
 
 func (e *stalledError) Error() string {
 	if e.responseStarted {
-		return "no more of the answer came"
+		return "read the response: no progress within the timeout"
 	}
-	return "no answer came in time"
+	return "wait for the response: not started within the timeout"
 }
 
-// Timeout marks the error as that of a limit of time.
+// Timeout marks the error as a timeout, as [net.Error] does.
 func (*stalledError) Timeout() bool { return true }
 
-// progress ends a call that makes none. It is safe for concurrent use.
+// responseProgress cancels a call whose response makes no progress. It is safe for concurrent use.
 type responseProgress struct {
 	cancel  context.CancelCauseFunc
-	onStart func() // called when the answer begins to come; nil: nobody wants to know
+	onStart func() // called once, when the response starts; nil: nothing is called
 
 	mutex     sync.Mutex
-	timer     *time.Timer
+	timer     *time.Timer // until the response has to start, or to make progress
 	started   bool
 	ended     bool
-	startedAt time.Time // when the answer began to come
+	startedAt time.Time
 }
 
 type responseProgressKey struct{}
 
-// withResponseProgress gives a context for a call that ends when its answer has not begun within a limit, or stalls after that.
-func withResponseProgress(parent context.Context, limit time.Duration, onStart func()) (context.Context, context.CancelFunc) {
+// withResponseProgress returns the context of a call that is canceled when its response doesn't start within a timeout,
+// or makes no progress after that. The function that it returns ends the call.
+func withResponseProgress(parent context.Context, timeout time.Duration, onStart func()) (context.Context, context.CancelFunc) {
 	bounded, release := context.WithTimeout(parent, maxCallDuration)
 	ctx, cancel := context.WithCancelCause(bounded)
 	progress := &responseProgress{cancel: cancel, onStart: onStart}
-	progress.timer = time.AfterFunc(limit, progress.handleTimeout)
+	progress.timer = time.AfterFunc(timeout, progress.handleTimeout)
 	return context.WithValue(ctx, responseProgressKey{}, progress), func() {
 		progress.end()
 		cancel(nil)
@@ -58,7 +59,13 @@
 	}
 }
 
-// stalledCause is the *stalledError that ended a call's context, or the call's own error.
+// responseProgressOf returns the progress of a call by its context, nil if that has none.
+func responseProgressOf(ctx context.Context) *responseProgress {
+	progress, _ := ctx.Value(responseProgressKey{}).(*responseProgress)
+	return progress
+}
+
+// stalledCause returns the *stalledError that canceled a call's context, or else the call's own error.
 func stalledCause(ctx context.Context, err error) error {
 	var stalled *stalledError
 	if err != nil && errors.As(context.Cause(ctx), &stalled) {
@@ -67,19 +74,15 @@
 	return err
 }
 
-func responseProgressOf(ctx context.Context) *responseProgress {
-	found, _ := ctx.Value(responseProgressKey{}).(*responseProgress)
-	return found
-}
-
+// handleTimeout cancels the call.
 func (p *responseProgress) handleTimeout() {
 	p.mutex.Lock()
-	begun := p.started
+	started := p.started
 	p.mutex.Unlock()
-	p.cancel(&stalledError{responseStarted: begun})
+	p.cancel(&stalledError{responseStarted: started})
 }
 
-// note tells that something of the answer has come.
+// received takes that some of the response has arrived. It does nothing on a nil receiver.
 func (p *responseProgress) received() {
 	if p == nil {
 		return
@@ -99,7 +102,7 @@
 	}
 }
 
-// coming is for how long the answer has been coming; 0 before it began.
+// sinceStart returns the time since the response started, 0 before that.
 func (p *responseProgress) sinceStart() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -109,6 +112,7 @@
 	return time.Since(p.startedAt)
 }
 
+// end stops the timer. What arrives later doesn't start it again.
 func (p *responseProgress) end() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -116,38 +120,38 @@
 	p.timer.Stop()
 }
 
-// progressTransport notes the progress of the answers to its requests.
+// progressTransport records the progress of the responses to its requests.
 type progressTransport struct{ base http.RoundTripper }
 
-// RoundTrip implements http.RoundTripper.
+// RoundTrip implements [http.RoundTripper].
 func (t progressTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	response, err := t.base.RoundTrip(request)
 	if err != nil {
 		return nil, err
 	}
-	noted := responseProgressOf(request.Context())
-	noted.received()
-	response.Body = &progressBody{ReadCloser: response.Body, progress: noted}
+	progress := responseProgressOf(request.Context())
+	progress.received()
+	response.Body = &progressBody{ReadCloser: response.Body, progress: progress}
 	return response, nil
 }
 
-// CloseIdleConnections lets http.Client close them.
+// CloseIdleConnections lets [http.Client] close those of the base.
 func (t progressTransport) CloseIdleConnections() {
 	if closer, closes := t.base.(interface{ CloseIdleConnections() }); closes {
 		closer.CloseIdleConnections()
 	}
 }
 
-// progressBody is the body of an answer.
+// progressBody records the progress of reading a response's body.
 type progressBody struct {
 	io.ReadCloser
 	progress *responseProgress
 }
 
-func (b *progressBody) Read(into []byte) (int, error) {
-	read, err := b.ReadCloser.Read(into)
-	if read > 0 {
+func (b *progressBody) Read(buffer []byte) (int, error) {
+	count, err := b.ReadCloser.Read(buffer)
+	if count > 0 {
 		b.progress.received()
 	}
-	return read, err
+	return count, err
 }
--- a/internal/agent/seeds.go
+++ b/internal/agent/seeds.go
@@ -16,12 +16,12 @@
 // reloadInterval is the time between two looks at the settings file.
 const reloadInterval = time.Second
 
-// reloader reads the settings file again when it changes.
+// reloader follows the seeds in the settings file. It is not safe for concurrent use.
 type reloader struct {
 	path     string // empty: there is no file
 	logger   *zap.Logger
 	resolve  func(seed string) (string, error)
-	seeds    []string
+	seeds    []string // link addresses, as last read
 	modified time.Time
 	size     int64
 	polledAt time.Duration
@@ -37,8 +37,8 @@
 	return r
 }
 
-// look reads the file if it has changed since, at most once in reloadInterval. It returns the new addresses of the
-// seeds, and whether they are others than before.
+// poll reads the file if it has changed, at most once in reloadInterval. It returns the link addresses of the seeds and
+// whether they have changed.
 func (r *reloader) poll(now time.Duration) ([]string, bool) {
 	if r.path == "" || now-r.polledAt < reloadInterval {
 		return nil, false
@@ -53,7 +53,7 @@
 	return r.reload()
 }
 
-// read reads the file whether it has changed or not.
+// reload is poll without regard to whether the file has changed.
 func (r *reloader) reload() ([]string, bool) {
 	if r.path == "" {
 		return nil, false
@@ -71,8 +71,8 @@
 	return seeds, true
 }
 
-// resolveSeeds turns addresses of the operator's API into those of the link service. Seeds that aren't addresses
-// are left out.
+// resolveSeeds turns addresses of the operator's API into those of the link service. Seeds that are no addresses are
+// logged and left out.
 func resolveSeeds(seeds []string, resolve func(string) (string, error), logger *zap.Logger) []string {
 	addresses := make([]string, 0, len(seeds))
 	for _, seed := range seeds {
@@ -86,14 +86,14 @@
 	return addresses
 }
 
-// controlAddress finds the link service of a seed: at the seed's IP address and the first of the ports for own
-// messages, which are the same on all machines.
+// linkAddress returns what finds the link service of a seed: at the seed's host and the first port of the port range,
+// which is the same on all machines.
 func linkAddress(firstPort int) func(seed string) (string, error) {
 	port := strconv.Itoa(firstPort)
 	return func(seed string) (string, error) {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
-			return "", errors.Wrapf(err, "seed %q", seed)
+			return "", errors.Wrapf(err, "resolve seed %q", seed)
 		}
 		return net.JoinHostPort(host, port), nil
 	}
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -3,20 +3,21 @@
 import "time"
 
 const (
-	// graceMargin is kept from the time that the platform leaves a process to end.
+	// graceMargin is the part of the platform's grace period that is left unused.
 	graceMargin = time.Second
-	// proxyGoneTimeout is how long the proxy must have been out of reach before the agent ends after it. Where nobody
-	// listens any more, the proxy has ended, and both are started again at the same time.
+	// proxyGoneTimeout is how long the proxy must have been unreachable before it counts as ended. A refused connection
+	// counts at once: the proxy has ended, and both are restarted together.
 	proxyGoneTimeout = 300 * time.Millisecond
 )
 
-// ending is the agent's way out: control is told at once, then the proxy is served to its end.
+// shutdown is the state of a graceful shutdown: control is notified at once, and the proxy is served until it has ended.
 type shutdown struct {
 	requested        bool
-	deadline         time.Duration
-	proxyIncarnation uint64 // of the proxy that is served to its end, 0 if it was not known
+	deadline         time.Duration // by which the process ends in any case
+	proxyIncarnation uint64        // of the proxy process that is served to its end; 0 if none was known
 }
 
+// begin starts the shutdown, with the grace period that the platform leaves. Further calls do nothing.
 func (s *shutdown) begin(now, grace time.Duration, link *proxyLink) {
 	if s.requested {
 		return
@@ -28,18 +29,19 @@
 	link.nextExchange = min(link.nextExchange, now+shutdownExchangeInterval)
 }
 
-// over tells whether the process may end. Notices are calls to control that have not come back.
-func (s *shutdown) finished(now time.Duration, link *proxyLink, notices int) bool {
+// finished reports whether the process may end: at the deadline, or once the proxy has ended and no notice to control is
+// in flight.
+func (s *shutdown) finished(now time.Duration, link *proxyLink, noticesInFlight int) bool {
 	if !s.requested {
 		return false
 	}
 	if now >= s.deadline {
 		return true
 	}
-	return notices == 0 && s.proxyEnded(now, link)
+	return noticesInFlight == 0 && s.proxyEnded(now, link)
 }
 
-// proxyEnded tells whether the proxy has been out of reach for a while or has been started anew.
+// proxyEnded reports whether the proxy process that was served has ended, or has been replaced by another one.
 func (s *shutdown) proxyEnded(now time.Duration, link *proxyLink) bool {
 	if link.reachable {
 		return link.status.GetIncarnation() != s.proxyIncarnation
--- a/internal/agent/single_send_test.go
+++ b/internal/agent/single_send_test.go
@@ -18,8 +18,8 @@
 // callsOf are the calls that an agent makes, over one client.
 func callsOf(client connect.HTTPClient, url string) map[string]func(context.Context) error {
 	link := fieldrelayv1connect.NewControlLinkClient(client, url)
-	peer := fieldrelayv1connect.NewAgentPeerClient(client, url, uncompressedRequests()...)
-	feed := fieldrelayv1connect.NewProxyFeedClient(client, url, uncompressedRequests()...)
+	peer := fieldrelayv1connect.NewAgentPeerClient(client, url, clientOptions()...)
+	feed := fieldrelayv1connect.NewProxyFeedClient(client, url, clientOptions()...)
 	changes := []*pb.Change{change(1), change(2)}
 	return map[string]func(context.Context) error{
 		"Watch": func(ctx context.Context) error {
@@ -90,7 +90,7 @@
 	from := &pb.Neighbour{Host: "edge-2", Address: "10.0.0.2:7661", Zone: "zone-a", Region: "region-a"}
 	push := func() *pb.PushResponse {
 		return asked(s, func(answer chan<- *pb.PushResponse) event {
-			return pushRequested{request: &pb.PushRequest{From: from, Changes: []*pb.Change{change(1), change(2)}, List: serverList(1, "i-1")}, answer: answer}
+			return pushRequested{request: &pb.PushRequest{From: from, Changes: []*pb.Change{change(1), change(2)}, List: serverList(1, "i-1")}, response: answer}
 		})
 	}
 	first := push()
@@ -104,7 +104,7 @@
 
 	compare := func() *pb.CompareResponse {
 		return asked(s, func(answer chan<- *pb.CompareResponse) event {
-			return compareRequested{request: &pb.CompareRequest{From: from, Digests: gossip.NewReplica().Snapshot().Digests()}, answer: answer}
+			return compareRequested{request: &pb.CompareRequest{From: from, Digests: gossip.NewReplica().Snapshot().Digests()}, response: answer}
 		})
 	}
 	require.Equal(t, compare(), compare())
@@ -112,7 +112,7 @@
 
 	swap := func() *pb.ShuffleResponse {
 		return asked(s, func(answer chan<- *pb.ShuffleResponse) event {
-			return shuffleRequested{request: &pb.ShuffleRequest{From: from, Sample: []*pb.Neighbour{{Host: "edge-3", Address: "c:1"}}}, answer: answer}
+			return shuffleRequested{request: &pb.ShuffleRequest{From: from, Sample: []*pb.Neighbour{{Host: "edge-3", Address: "c:1"}}}, response: answer}
 		})
 	}
 	swap()
--- a/internal/agent/socket_linux.go
+++ b/internal/agent/socket_linux.go
@@ -7,11 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// unacknowledgedTimeout is how long bytes may stay unacknowledged before a connection counts as broken: a machine
-// without power or behind a cut says nothing.
+// unacknowledgedTimeout is how long sent bytes may stay unacknowledged before a connection counts as broken: a machine
+// without power or behind a partition closes none (TCP_USER_TIMEOUT, RFC 5482).
 const unacknowledgedTimeout = 2 * time.Second
 
-// controlSocket makes a socket notice that the other side is cut off. Connections inherit it from their listener.
+// controlSocket makes a socket notice that the other side is unreachable. Connections inherit the option from their
+// listener. It is for net.Dialer.Control and net.ListenConfig.Control.
 func controlSocket(_, _ string, connection syscall.RawConn) error {
 	var failure error
 	err := connection.Control(func(descriptor uintptr) {
--- a/internal/agent/update_source.go
+++ b/internal/agent/update_source.go
@@ -2,20 +2,20 @@
 
 import pb "fieldrelay/api/fieldrelay/v1"
 
-// delivery is a way on which a change of the control state comes to an agent.
+// updateSource is how a change of the control state reached this agent.
 type updateSource int
 
 const (
 	sourceUnknown updateSource = iota
-	sourceChanges              // a control machine's answer with changes
-	sourceRepair               // a control machine's answer with a repair
+	sourceChanges              // a control machine's response with changes
+	sourceRepair               // a control machine's response with a repair
 	sourcePush                 // another agent's push
-	sourceCompare              // another agent's answer to a comparison
+	sourceCompare              // another agent's response to a comparison
 )
 
-// String is the name in the log.
-func (d updateSource) String() string {
-	switch d {
+// String returns the name in the log.
+func (s updateSource) String() string {
+	switch s {
 	case sourceChanges:
 		return "changes"
 	case sourceRepair:
@@ -29,7 +29,7 @@
 	}
 }
 
-// updateSourceOf is the way on which an event brings changes.
+// updateSourceOf returns the source of the changes that an event carries.
 func updateSourceOf(received event) updateSource {
 	switch received := received.(type) {
 	case watchDone:
@@ -45,7 +45,7 @@
 	return sourceUnknown
 }
 
-// advertisedSequence is the highest sequence number that an event tells of, 0 if it tells of none.
+// advertisedSequence returns the highest sequence that an event names, 0 if it names none.
 func advertisedSequence(received event) uint64 {
 	switch received := received.(type) {
 	case watchDone:
@@ -62,6 +62,7 @@
 	return 0
 }
 
+// lastSequence returns the sequence of the last of some consecutive changes, 0 if there are none.
 func lastSequence(changes []*pb.Change) uint64 {
 	if len(changes) == 0 {
 		return 0
