--- a/internal/agent/call_failures.go
+++ b/internal/agent/call_failures.go
@@ -10,14 +10,14 @@
 	"go.uber.org/zap"
 )
 
-// failureKind tells how a call failed.
+// failureKind is how a call failed.
 type failureKind int
 
 const (
-	failureDialTimeout   failureKind = iota // none came up in time
-	failureTimeout                          // the call was not answered, or not read whole, in its time
-	failureReset                            // the other side refused the connection or broke it off
-	failureErrorResponse                    // the other process answered with an error
+	failureDialTimeout   failureKind = iota // no connection came up in time
+	failureTimeout                          // the response didn't start, or wasn't read completely, in time
+	failureReset                            // the connection was refused, or broken off by the other side
+	failureErrorResponse                    // the other process responded with an error
 	failureOther
 	failureKindCount
 )
@@ -37,13 +37,13 @@
 	return failureOther
 }
 
-// isStalled tells whether a call was given up because no answer came, or no more of it.
+// isStalled reports whether a call was canceled because its response did not start, or made no progress.
 func isStalled(err error) bool {
 	var stalled *stalledError
 	return errors.As(err, &stalled)
 }
 
-// isReset tells whether nobody listens at the other side, or it has closed the connection.
+// isReset reports whether nothing listens at the other side, or it has closed the connection.
 func isReset(err error) bool {
 	for _, cause := range []error{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE, io.EOF, io.ErrUnexpectedEOF} {
 		if errors.Is(err, cause) {
@@ -59,13 +59,13 @@
 
 func (c *failureCounts) count(err error) { c[failureKindOf(err)]++ }
 
-// fields are the counts for a line of the log, with names that begin by what was called.
+// fields are the counts in the line of counters. Their names begin with that of the called side.
 func (c *failureCounts) fields(called string) []zap.Field {
 	return []zap.Field{
-		zap.Uint64(called+"_no_connection", c[failureDialTimeout]),
-		zap.Uint64(called+"_timed_out", c[failureTimeout]),
-		zap.Uint64(called+"_reset", c[failureReset]),
-		zap.Uint64(called+"_refused", c[failureErrorResponse]),
-		zap.Uint64(called+"_failed_otherwise", c[failureOther]),
+		zap.Uint64(called+"_dial_timeouts", c[failureDialTimeout]),
+		zap.Uint64(called+"_timeouts", c[failureTimeout]),
+		zap.Uint64(called+"_resets", c[failureReset]),
+		zap.Uint64(called+"_error_responses", c[failureErrorResponse]),
+		zap.Uint64(called+"_other_failures", c[failureOther]),
 	}
 }
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -102,7 +102,7 @@
 		return c.handlePeerRequest(now, received)
 	case seedsReloaded:
 		c.control.endpoints.seeds = received.addresses
-		c.logger.Info("settings read again", zap.Strings("seeds", received.addresses))
+		c.logger.Info("settings reloaded", zap.Strings("seeds", received.addresses))
 	case shutdownRequested:
 		return c.handleShutdownRequested(now)
 	}
@@ -130,7 +130,7 @@
 // handleShutdownRequested begins the shutdown, and notifies the current control machine and another one of it.
 func (c *core) handleShutdownRequested(now time.Duration) []action {
 	c.shutdown.begin(now, c.grace, &c.proxy)
-	c.logger.Info("asked to end", zap.Duration("grace", c.grace))
+	c.logger.Info("shutdown requested", zap.Duration("grace", c.grace))
 	current := c.control.current
 	if current == "" {
 		return nil
--- a/internal/agent/core_control.go
+++ b/internal/agent/core_control.go
@@ -171,5 +171,5 @@
 		return
 	}
 	c.loggedControl = c.control.current
-	c.logger.Info("link to control", append(c.control.fields(), zap.Error(err))...)
+	c.logger.Info("control machine changed", append(c.control.fields(), zap.Error(err))...)
 }
--- a/internal/agent/core_proxy.go
+++ b/internal/agent/core_proxy.go
@@ -41,15 +41,15 @@
 func (c *core) logProxyChange(previous *proxyLink, discovered bool, err error) {
 	switch {
 	case discovered:
-		c.logger.Info("proxy found",
+		c.logger.Info("proxy discovered",
 			zap.Uint64("incarnation", c.proxy.status.GetIncarnation()),
 			zap.Uint64("sequence", c.proxy.status.GetSequence()))
 	case previous.reachable && !c.proxy.reachable:
-		c.logger.Warn("proxy gone", zap.Error(err))
+		c.logger.Warn("proxy unreachable", zap.Error(err))
 	case !previous.reachable && c.proxy.reachable:
-		c.logger.Info("proxy back")
+		c.logger.Info("proxy reachable")
 	}
 	if previous.ready() != c.proxy.ready() {
-		c.logger.Info("proxy readiness", zap.Bool("ready", c.proxy.ready()))
+		c.logger.Info("proxy readiness changed", zap.Bool("ready", c.proxy.ready()))
 	}
 }
--- a/internal/agent/counters.go
+++ b/internal/agent/counters.go
@@ -14,13 +14,13 @@
 
 // counters count what the agent did since it started.
 type counters struct {
-	watches          uint64
+	watches          uint64 // calls to control machines, of all kinds
 	watchFailures    uint64
-	staleResponses   uint64 // of control machines that held less than this agent
+	staleResponses   uint64 // of control machines behind this agent's replica
 	notices          uint64
 	probes           uint64
 	exchanges        uint64 // with the proxy
-	applies          uint64 // those of them that brought something
+	applies          uint64 // exchanges that carried something
 	proxyFailures    uint64
 	shuffles         uint64
 	pushes           uint64
@@ -29,29 +29,30 @@
 	pushesReceived   uint64
 	comparesReceived uint64
 	shufflesReceived uint64
-	lastLoggedAt     time.Duration
-	droppedActions   uint64
+	droppedActions   uint64 // calls to other agents beyond maxPeerCalls
 
 	watchFailureKinds failureCounts
 	proxyFailureKinds failureCounts
 	peerFailureKinds  failureCounts
-	longestWatch      time.Duration // of the calls to control that succeeded, with the time for which they were held
-	largestResponse   int           // in bytes, of the answers of control with changes or a repair
+	longestWatch      time.Duration // of the calls to control machines that succeeded, their waits included
+	largestResponse   int           // in bytes, of the responses of control machines with changes or a repair
+
+	lastLoggedAt time.Duration
 }
 
-// countResponse counts an answer of a control machine and how long its call took.
-func (c *counters) countResponse(took time.Duration, answer *pb.WatchResponse) {
-	c.longestWatch = max(c.longestWatch, took)
-	if packed := answer.GetPacked(); packed != nil {
-		c.largestResponse = max(c.largestResponse, proto.Size(packed)) // the rest was unpacked from it
+// countResponse counts a response of a control machine and the duration of its call.
+func (c *counters) countResponse(duration time.Duration, response *pb.WatchResponse) {
+	c.longestWatch = max(c.longestWatch, duration)
+	if compressed := response.GetPacked(); compressed != nil {
+		c.largestResponse = max(c.largestResponse, proto.Size(compressed)) // the changes were decompressed from it
 		return
 	}
-	if len(answer.GetChanges()) > 0 || answer.GetRepair() != nil {
-		c.largestResponse = max(c.largestResponse, proto.Size(answer))
+	if len(response.GetChanges()) > 0 || response.GetRepair() != nil {
+		c.largestResponse = max(c.largestResponse, proto.Size(response))
 	}
 }
 
-// due tells whether a line is due, and counts the next period from now if so.
+// due reports whether a line is due, and begins the next interval if so.
 func (c *counters) due(now time.Duration) bool {
 	if now-c.lastLoggedAt < countersInterval {
 		return false
@@ -64,7 +65,7 @@
 	fields := []zap.Field{
 		zap.Uint64("watches", c.watches),
 		zap.Uint64("watch_failures", c.watchFailures),
-		zap.Uint64("older_answers", c.staleResponses),
+		zap.Uint64("stale_responses", c.staleResponses),
 		zap.Uint64("notices", c.notices),
 		zap.Uint64("probes", c.probes),
 		zap.Uint64("proxy_exchanges", c.exchanges),
@@ -74,12 +75,12 @@
 		zap.Uint64("pushes", c.pushes),
 		zap.Uint64("compares", c.compares),
 		zap.Uint64("peer_failures", c.peerFailures),
-		zap.Uint64("pushes_taken", c.pushesReceived),
-		zap.Uint64("compares_taken", c.comparesReceived),
-		zap.Uint64("shuffles_taken", c.shufflesReceived),
+		zap.Uint64("pushes_received", c.pushesReceived),
+		zap.Uint64("compares_received", c.comparesReceived),
+		zap.Uint64("shuffles_received", c.shufflesReceived),
 		zap.Uint64("dropped_calls", c.droppedActions),
 		zap.Duration("longest_watch", c.longestWatch),
-		zap.Int("largest_answer", c.largestResponse),
+		zap.Int("largest_response", c.largestResponse),
 	}
 	fields = append(fields, c.watchFailureKinds.fields("watch")...)
 	fields = append(fields, c.proxyFailureKinds.fields("proxy")...)
--- a/internal/agent/lag.go
+++ b/internal/agent/lag.go
@@ -9,26 +9,26 @@
 	"fieldrelay/internal/lag"
 )
 
-// Limits above which a delay is worth a line of the log, and at whose end another.
+// Lags above which a line is logged, and another one when they are back below.
 const (
-	// replicaLagThreshold is for a change that somebody told of and that this agent lacks.
+	// replicaLagThreshold is for a change that was advertised to this agent and that its replica lacks.
 	replicaLagThreshold = 500 * time.Millisecond
-	// proxyLagThreshold is for a change that this agent holds and that its proxy has not reported.
+	// proxyLagThreshold is for a change in the replica that the proxy has not reported.
 	proxyLagThreshold = 500 * time.Millisecond
-	// unconfirmedThreshold is for the state held: since a control machine that holds the agreed state last knew no newer one.
+	// unconfirmedThreshold is for the time since a control machine with authority last had nothing newer than the replica.
 	unconfirmedThreshold = 2 * time.Second
 )
 
-// lateness measures, by this machine's steady clock, where a change of the control state is late: on its way to this
-// agent, or from here to the proxy. It decides nothing.
+// lagMonitor measures by this machine's monotonic clock how far a change of the control state lags: on its way to this
+// agent, and from here to the proxy. It only observes; no decision depends on it.
 type lagMonitor struct {
-	advertised   lag.Timeline // sequences that anybody told of
-	applied      lag.Timeline // sequences that this agent held
+	advertised   lag.Timeline // sequences that control machines and other agents have named
+	applied      lag.Timeline // sequences of the replica
 	reported     proxyReport
-	lastProxyLag time.Duration // from holding a sequence to the proxy's report of it
+	lastProxyLag time.Duration // from the replica having a sequence to the proxy's report of it
 	maxProxyLag  time.Duration
 
-	lastSource  updateSource // of the sequence held
+	lastSource  updateSource // of the replica's sequence
 	confirmedAt time.Duration
 
 	replicaEpisode     lag.Episode
@@ -36,14 +36,14 @@
 	unconfirmedEpisode lag.Episode
 }
 
-// proxyReport is what one process of the proxy reported to hold.
+// proxyReport is the sequence that a proxy process has reported.
 type proxyReport struct {
 	incarnation   uint64
 	sequence      uint64
-	firstReportAt time.Duration // when the process was first heard of
+	firstReportAt time.Duration // of that process; 0: no proxy is known
 }
 
-// observe looks at the state after an event.
+// observe takes the state after an event: the sequence of the replica and the last status of the proxy, if any.
 func (m *lagMonitor) observe(now time.Duration, received event, sequence uint64, proxy *pb.ProxyStatus) {
 	m.advertised.Record(advertisedSequence(received), now)
 	if sequence > m.applied.Newest() {
@@ -56,7 +56,7 @@
 	}
 }
 
-// observeProxy measures how long the proxy took for what it reports.
+// observeProxy measures the lag of what the proxy reports for the first time.
 func (m *lagMonitor) observeProxy(now time.Duration, status *pb.ProxyStatus) {
 	if status.GetIncarnation() != m.reported.incarnation || m.reported.firstReportAt == 0 {
 		m.reported = proxyReport{incarnation: status.GetIncarnation(), sequence: status.GetSequence(), firstReportAt: now}
@@ -65,19 +65,19 @@
 	if status.GetSequence() <= m.reported.sequence {
 		return
 	}
-	if _, lacked := m.applied.FirstMissing(m.reported.sequence); lacked {
+	if _, lagged := m.applied.FirstMissing(m.reported.sequence); lagged {
 		m.lastProxyLag = m.proxyLag(now)
 		m.maxProxyLag = max(m.maxProxyLag, m.lastProxyLag)
 	}
 	m.reported.sequence = status.GetSequence()
 }
 
-// replicaLag is how long this agent has lacked a change that it was told of.
+// replicaLag returns how long the replica has lacked a change that was advertised.
 func (m *lagMonitor) replicaLag(now time.Duration) time.Duration {
 	return m.advertised.Lag(now, m.applied.Newest(), 0)
 }
 
-// proxyLag is how long the proxy has lacked a change that this agent holds, as far as is known.
+// proxyLag returns how long the proxy has lacked a change that the replica has, as far as is known.
 func (m *lagMonitor) proxyLag(now time.Duration) time.Duration {
 	if m.reported.firstReportAt == 0 {
 		return 0
@@ -85,39 +85,66 @@
 	return m.applied.Lag(now, m.reported.sequence, m.reported.firstReportAt)
 }
 
-// confirm notes that a control machine which holds the agreed state knew nothing newer than this agent.
+// confirm takes that a control machine with authority had nothing newer than the replica.
 func (m *lagMonitor) confirm(now time.Duration) { m.confirmedAt = now }
 
-// log writes a line when a delay goes over its limit, and when it is back.
+// log writes a line when a lag rises above its threshold, and one when it is back below.
 func (m *lagMonitor) log(now time.Duration, logger *zap.Logger) {
-	replicaLag := m.replicaLag(now)
-	switch m.replicaEpisode.Update(replicaLag, replicaLagThreshold) {
+	m.logReplicaLag(now, logger)
+	m.logProxyLag(now, logger)
+	m.logUnconfirmed(now, logger)
+}
+
+func (m *lagMonitor) logReplicaLag(now time.Duration, logger *zap.Logger) {
+	current := m.replicaLag(now)
+	switch m.replicaEpisode.Update(current, replicaLagThreshold) {
 	case lag.Began:
-		logger.Warn("copy late", zap.Uint64("held", m.applied.Newest()), zap.Uint64("told", m.advertised.Newest()), zap.Duration("lag", replicaLag))
+		logger.Warn("replica lagging",
+			zap.Uint64("sequence", m.applied.Newest()),
+			zap.Uint64("advertised_sequence", m.advertised.Newest()),
+			zap.Duration("lag", current))
 	case lag.Ended:
-		logger.Info("copy up to date again", zap.Uint64("held", m.applied.Newest()), zap.Duration("longest", m.replicaEpisode.Longest()),
-			zap.Stringer("by", m.lastSource))
+		logger.Info("replica caught up",
+			zap.Uint64("sequence", m.applied.Newest()),
+			zap.Duration("max_lag", m.replicaEpisode.Longest()),
+			zap.Stringer("source", m.lastSource))
 	}
-	proxyLag := m.proxyLag(now)
-	switch m.proxyEpisode.Update(proxyLag, proxyLagThreshold) {
+}
+
+func (m *lagMonitor) logProxyLag(now time.Duration, logger *zap.Logger) {
+	current := m.proxyLag(now)
+	switch m.proxyEpisode.Update(current, proxyLagThreshold) {
 	case lag.Began:
-		logger.Warn("proxy late", zap.Uint64("held", m.applied.Newest()), zap.Uint64("reported", m.reported.sequence), zap.Duration("lag", proxyLag))
+		logger.Warn("proxy lagging",
+			zap.Uint64("sequence", m.applied.Newest()),
+			zap.Uint64("proxy_sequence", m.reported.sequence),
+			zap.Duration("lag", current))
 	case lag.Ended:
-		logger.Info("proxy up to date again", zap.Uint64("reported", m.reported.sequence), zap.Duration("longest", m.proxyEpisode.Longest()))
+		logger.Info("proxy caught up",
+			zap.Uint64("proxy_sequence", m.reported.sequence),
+			zap.Duration("max_lag", m.proxyEpisode.Longest()))
 	}
-	switch m.unconfirmedEpisode.Update(now-m.confirmedAt, unconfirmedThreshold) {
+}
+
+func (m *lagMonitor) logUnconfirmed(now time.Duration, logger *zap.Logger) {
+	current := now - m.confirmedAt
+	switch m.unconfirmedEpisode.Update(current, unconfirmedThreshold) {
 	case lag.Began:
-		logger.Warn("state unconfirmed", zap.Uint64("held", m.applied.Newest()), zap.Duration("for", now-m.confirmedAt))
+		logger.Warn("state unconfirmed",
+			zap.Uint64("sequence", m.applied.Newest()),
+			zap.Duration("unconfirmed", current))
 	case lag.Ended:
-		logger.Info("state confirmed again", zap.Uint64("held", m.applied.Newest()), zap.Duration("longest", m.unconfirmedEpisode.Longest()))
+		logger.Info("state confirmed",
+			zap.Uint64("sequence", m.applied.Newest()),
+			zap.Duration("max_unconfirmed", m.unconfirmedEpisode.Longest()))
 	}
 }
 
-// fields are the figures for the counters' line.
+// fields are the lags in the line of counters.
 func (m *lagMonitor) fields(now time.Duration) []zap.Field {
 	return []zap.Field{
-		zap.Uint64("told_sequence", m.advertised.Newest()),
-		zap.Duration("copy_lag", m.replicaLag(now)),
+		zap.Uint64("advertised_sequence", m.advertised.Newest()),
+		zap.Duration("replica_lag", m.replicaLag(now)),
 		zap.Duration("proxy_lag", m.proxyLag(now)),
 		zap.Duration("proxy_lag_last", m.lastProxyLag),
 		zap.Duration("proxy_lag_max", m.maxProxyLag),
--- a/internal/agent/lag_test.go
+++ b/internal/agent/lag_test.go
@@ -45,19 +45,19 @@
 	probe := takeWatch(s, watchProbe)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Authoritative: true, Sequence: 2}})
 	s.tickFor(replicaLagThreshold)
-	require.Empty(t, logs.FilterMessage("copy late").All())
+	require.Empty(t, logs.FilterMessage("replica lagging").All())
 	s.tickFor(2 * replicaLagThreshold)
-	line := requireLine(t, logs, "copy late")
-	require.EqualValues(t, 0, line["held"])
-	require.EqualValues(t, 2, line["told"])
+	line := requireLine(t, logs, "replica lagging")
+	require.EqualValues(t, 0, line["sequence"])
+	require.EqualValues(t, 2, line["advertised_sequence"])
 	require.Equal(t, 3*replicaLagThreshold, s.core.lag.replicaLag(s.now))
 
 	answer := make(chan *pb.PushResponse, 1)
 	push := &pb.PushRequest{From: &pb.Neighbour{Host: "edge-2", Address: "10.0.0.2:7661"}, Changes: []*pb.Change{change(1), change(2)}}
 	s.step(pushRequested{request: push, response: answer})
-	line = requireLine(t, logs, "copy up to date again")
-	require.Equal(t, "push", line["by"])
-	require.Equal(t, 3*replicaLagThreshold, line["longest"])
+	line = requireLine(t, logs, "replica caught up")
+	require.Equal(t, "push", line["source"])
+	require.Equal(t, 3*replicaLagThreshold, line["max_lag"])
 	require.Zero(t, s.core.lag.replicaLag(s.now))
 }
 
@@ -116,13 +116,13 @@
 	require.Zero(t, s.core.lag.proxyLag(s.now))
 	apply := takeOne[proxyCall](s)
 	s.tickFor(2 * proxyLagThreshold)
-	line := requireLine(t, logs, "proxy late")
-	require.EqualValues(t, 1, line["held"])
-	require.EqualValues(t, 0, line["reported"])
+	line := requireLine(t, logs, "proxy lagging")
+	require.EqualValues(t, 1, line["sequence"])
+	require.EqualValues(t, 0, line["proxy_sequence"])
 
 	s.step(proxyCallDone{call: apply, status: &pb.ProxyStatus{Incarnation: 7, Sequence: 1}})
-	line = requireLine(t, logs, "proxy up to date again")
-	require.Equal(t, 2*proxyLagThreshold, line["longest"])
+	line = requireLine(t, logs, "proxy caught up")
+	require.Equal(t, 2*proxyLagThreshold, line["max_lag"])
 	require.Equal(t, 2*proxyLagThreshold, s.core.lag.lastProxyLag)
 	require.Equal(t, 2*proxyLagThreshold, s.core.lag.maxProxyLag)
 	require.Zero(t, s.core.lag.proxyLag(s.now))
@@ -150,11 +150,11 @@
 	requireLine(t, logs, "state unconfirmed")
 	long := takeWatch(s, watchLongPoll)
 	s.step(watchDone{call: long, response: &pb.WatchResponse{Authoritative: false}})
-	require.Empty(t, logs.FilterMessage("state confirmed again").All(), "by a machine without the agreed state")
+	require.Empty(t, logs.FilterMessage("state confirmed").All(), "by a machine without the agreed state")
 	s.tickFor(time.Second)
 	s.step(watchDone{call: takeWatch(s, watchLongPoll), response: &pb.WatchResponse{Authoritative: true}})
-	line := requireLine(t, logs, "state confirmed again")
-	require.Equal(t, unconfirmedThreshold+2*time.Second, line["longest"])
+	line := requireLine(t, logs, "state confirmed")
+	require.Equal(t, unconfirmedThreshold+2*time.Second, line["max_unconfirmed"])
 }
 
 func TestCountersTellTheLags(t *testing.T) {
@@ -165,10 +165,10 @@
 	require.NotEmpty(t, lines)
 	line := lines[0].ContextMap()
 	for _, field := range []string{
-		"told_sequence", "copy_lag", "proxy_lag", "proxy_lag_last", "proxy_lag_max", "unconfirmed", "violations",
-		"longest_watch", "largest_answer",
-		"watch_no_connection", "watch_timed_out", "watch_reset", "watch_refused", "watch_failed_otherwise",
-		"proxy_timed_out", "peer_timed_out",
+		"advertised_sequence", "replica_lag", "proxy_lag", "proxy_lag_last", "proxy_lag_max", "unconfirmed", "violations",
+		"longest_watch", "largest_response",
+		"watch_dial_timeouts", "watch_timeouts", "watch_resets", "watch_error_responses", "watch_other_failures",
+		"proxy_timeouts", "peer_timeouts",
 	} {
 		require.Contains(t, line, field)
 	}
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -94,7 +94,7 @@
 	closeErr := p.server.Close()
 	p.caller.wait()
 	p.core.logCounters(p.now())
-	p.logger.Info("agent ended", zap.Error(err))
+	p.logger.Info("agent stopped", zap.Error(err))
 	return errors.CombineErrors(err, errors.Wrap(closeErr, "close the service to other agents"))
 }
 
--- a/internal/agent/seeds.go
+++ b/internal/agent/seeds.go
@@ -60,7 +60,7 @@
 	}
 	read, err := settings.Load(r.path)
 	if err != nil {
-		r.logger.Warn("settings can't be read again", zap.Error(err))
+		r.logger.Warn("settings reload failed", zap.Error(err))
 		return nil, false
 	}
 	seeds := resolveSeeds(read.Seeds, r.resolve, r.logger)
@@ -78,7 +78,7 @@
 	for _, seed := range seeds {
 		address, err := resolve(seed)
 		if err != nil {
-			logger.Warn("seed left out", zap.Error(err))
+			logger.Warn("seed ignored", zap.Error(err))
 			continue
 		}
 		addresses = append(addresses, address)
--- a/internal/agent/violations.go
+++ b/internal/agent/violations.go
@@ -7,25 +7,25 @@
 	"fieldrelay/internal/gossip"
 )
 
-// violations count what must never happen between this agent and its proxy. That the sequence of the copy never falls
-// is checked by core.step, which ends the process.
+// violations count broken invariants between this agent and its proxy. That the sequence of the replica never falls is
+// checked by core.step, which panics.
 type violations struct {
-	proxyRegressed uint64 // the proxy reported less than before in the same life
-	staleSent      uint64 // an exchange with the proxy carried what it had reported to hold
+	proxyRegressed uint64 // a proxy process reported a lower sequence than before
+	staleSent      uint64 // an exchange carried something that the proxy had reported already
 }
 
-// total is the number of violations of all kinds.
+// total returns the number of violations of all kinds.
 func (v *violations) total() uint64 { return v.proxyRegressed + v.staleSent }
 
-// checkReport compares two reports of the proxy, the earlier of which may be nil.
+// checkReport compares two consecutive reports of the proxy, the previous of which may be nil.
 func (v *violations) checkReport(logger *zap.Logger, previous, current *pb.ProxyStatus) {
 	if previous == nil || previous.GetIncarnation() != current.GetIncarnation() || current.GetSequence() >= previous.GetSequence() {
 		return
 	}
 	v.proxyRegressed++
-	logger.Error("the proxy fell back",
-		zap.Uint64("reported_before", previous.GetSequence()),
-		zap.Uint64("reported", current.GetSequence()))
+	logger.Error("proxy sequence decreased",
+		zap.Uint64("previous_sequence", previous.GetSequence()),
+		zap.Uint64("proxy_sequence", current.GetSequence()))
 }
 
 // checkSent compares what is sent to the proxy with what it reported.
@@ -34,10 +34,10 @@
 		return
 	}
 	v.staleSent++
-	logger.Error("older state is sent to the proxy", zap.Uint64("reported", reported.GetSequence()))
+	logger.Error("stale update sent to proxy", zap.Uint64("proxy_sequence", reported.GetSequence()))
 }
 
-// carriesStale tells whether something in an exchange is no newer than what the proxy reported to hold.
+// carriesStale reports whether something in an exchange is no newer than what the proxy reported.
 func carriesStale(apply *pb.ApplyRequest, reported *pb.ProxyStatus) bool {
 	if repair := apply.GetRepair(); repair != nil && repair.GetSequence() <= reported.GetSequence() {
 		return true
--- a/internal/agent/violations_test.go
+++ b/internal/agent/violations_test.go
@@ -24,7 +24,7 @@
 	require.Zero(t, s.core.violations.total(), "another process may hold less")
 	report(8, 0)
 	require.EqualValues(t, 1, s.core.violations.proxyRegressed)
-	requireLine(t, logs, "the proxy fell back")
+	requireLine(t, logs, "proxy sequence decreased")
 }
 
 func TestOlderStateForTheProxyIsAViolation(t *testing.T) {
