--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -11,60 +11,60 @@
 	"fieldrelay/internal/gossip"
 )
 
-func TestAgentFeedsItsProxyFromControl(t *testing.T) {
+func TestAgentUpdatesItsProxyFromControl(t *testing.T) {
 	control, proxy := newFakeControl(t), newFakeProxy(t)
 	control.commit(change(1), change(2))
-	control.alter(func() { control.replica.OfferList(time.Second, serverList(1, "i-1")) })
+	control.update(func() { control.replica.OfferList(time.Second, serverList(1, "i-1")) })
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("state, list and confirmation", func() bool {
+	proxy.waitFor("state, list and confirmation", func() bool {
 		return proxy.replica.Sequence() == 2 && proxy.replica.ListVersion() != nil && proxy.confirmed
 	})
 	control.commit(change(3))
-	proxy.await("a change", func() bool { return proxy.replica.Sequence() == 3 })
-	control.alter(func() { control.replica.OfferList(2*time.Second, serverList(2, "i-1", "i-2")) })
-	proxy.await("a list", func() bool { return proxy.replica.ListVersion().GetRevision() == 2 })
-	control.awaitRequest(t, "with the proxy's sequence", func(request *pb.WatchRequest) bool {
+	proxy.waitFor("a change", func() bool { return proxy.replica.Sequence() == 3 })
+	control.update(func() { control.replica.OfferList(2*time.Second, serverList(2, "i-1", "i-2")) })
+	proxy.waitFor("a list", func() bool { return proxy.replica.ListVersion().GetRevision() == 2 })
+	control.waitForRequest(t, "with the proxy's sequence", func(request *pb.WatchRequest) bool {
 		return request.GetAgent().GetSequence() == 3
 	})
 }
 
-func TestProxyThatStartsAnewIsFedAndConfirmedAnew(t *testing.T) {
+func TestRestartedProxyIsUpdatedAndConfirmedAgain(t *testing.T) {
 	control, proxy := newFakeControl(t), newFakeProxy(t)
 	control.commit(change(1))
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("confirmation", func() bool { return proxy.replica.Sequence() == 1 && proxy.confirmed })
+	proxy.waitFor("confirmation", func() bool { return proxy.replica.Sequence() == 1 && proxy.confirmed })
 	proxy.restart()
-	proxy.await("confirmation again", func() bool { return proxy.replica.Sequence() == 1 && proxy.confirmed })
+	proxy.waitFor("confirmation again", func() bool { return proxy.replica.Sequence() == 1 && proxy.confirmed })
 }
 
-func TestAgentThatComesBackHandsNothingOlder(t *testing.T) {
+func TestRestartedAgentSendsNothingOlder(t *testing.T) {
 	control, lagging, proxy := newFakeControl(t), newFakeControl(t), newFakeProxy(t)
 	control.commit(change(1), change(2))
-	control.alter(func() { control.replica.OfferList(time.Second, serverList(2, "i-1", "i-2")) })
+	control.update(func() { control.replica.OfferList(time.Second, serverList(2, "i-1", "i-2")) })
 	first := startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("state and list", func() bool { return proxy.replica.Sequence() == 2 && proxy.replica.ListVersion() != nil })
-	first.end()
+	proxy.waitFor("state and list", func() bool { return proxy.replica.Sequence() == 2 && proxy.replica.ListVersion() != nil })
+	first.shutDown()
 	first.requireEnded(t)
 
 	lagging.commit(change(1))
-	lagging.alter(func() { lagging.replica.OfferList(time.Second, serverList(1, "i-1")) })
+	lagging.update(func() { lagging.replica.OfferList(time.Second, serverList(1, "i-1")) })
 	startAgent(t, "edge-1", proxy.address, lagging.address)
-	lagging.awaitRequest(t, "by an agent that holds its state", func(request *pb.WatchRequest) bool {
+	lagging.waitForRequest(t, "by an agent with its state", func(request *pb.WatchRequest) bool {
 		return request.GetSequence() == 1 && request.GetAgent().GetSequence() == 2
 	})
 	lagging.commit(change(2), change(3))
-	proxy.await("what is newer", func() bool { return proxy.replica.Sequence() == 3 })
+	proxy.waitFor("what is newer", func() bool { return proxy.replica.Sequence() == 3 })
 	require.EqualValues(t, 2, proxy.replica.ListVersion().GetRevision())
 }
 
-func TestReadinessIsToldWithoutDelay(t *testing.T) {
+func TestReadinessIsReportedWithoutDelay(t *testing.T) {
 	control, proxy := newFakeControl(t), newFakeProxy(t)
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("confirmation", func() bool { return proxy.confirmed })
+	proxy.waitFor("confirmation", func() bool { return proxy.confirmed })
 	proxy.mu.Lock()
 	proxy.ready = true
 	proxy.mu.Unlock()
-	control.awaitRequest(t, "in a call that is not held", func(request *pb.WatchRequest) bool {
+	control.waitForRequest(t, "in a request without a wait", func(request *pb.WatchRequest) bool {
 		record := request.GetAgent()
 		return record.GetReady() && record.GetEdgeAddress() == "10.0.0.1:8144" && request.GetHoldMs() == 0
 	})
@@ -75,25 +75,25 @@
 	control.authoritative = false
 	control.commit(change(1))
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("committed state is committed state", func() bool { return proxy.replica.Sequence() == 1 })
+	proxy.waitFor("committed state is committed state", func() bool { return proxy.replica.Sequence() == 1 })
 	for range 4 {
-		control.awaitRequest(t, "again", func(*pb.WatchRequest) bool { return true })
+		control.waitForRequest(t, "again", func(*pb.WatchRequest) bool { return true })
 	}
 	require.False(t, proxy.confirmed)
-	control.alter(func() { control.authoritative = true })
-	proxy.await("confirmation", func() bool { return proxy.confirmed })
+	control.update(func() { control.authoritative = true })
+	proxy.waitFor("confirmation", func() bool { return proxy.confirmed })
 }
 
 func TestAgentThatLagsFarIsRepairedByDigests(t *testing.T) {
 	control, proxy := newFakeControl(t), newFakeProxy(t)
-	control.alter(func() {
+	control.update(func() {
 		older := gossip.NewReplica()
 		older.ApplyChanges([]*pb.Change{change(1), change(2)})
 		_, err := control.replica.Restore(nil, older.Snapshot().RepairFor(nil))
 		require.NoError(t, err)
 	})
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("the repaired state", func() bool { return proxy.replica.Sequence() == 2 })
+	proxy.waitFor("the repaired state", func() bool { return proxy.replica.Sequence() == 2 })
 	_, kept := proxy.replica.Snapshot().Get(catalog.KindRoutes, "route")
 	require.True(t, kept)
 }
@@ -102,20 +102,20 @@
 	control, proxy := newFakeControl(t), newFakeProxy(t)
 	control.commit(change(1))
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("state", func() bool { return proxy.replica.Sequence() == 1 })
+	proxy.waitFor("state", func() bool { return proxy.replica.Sequence() == 1 })
 	proxy.mu.Lock()
 	proxy.needsDigests = true
 	proxy.repairs = 0
 	proxy.mu.Unlock()
 	control.commit(change(2))
-	proxy.await("a repair", func() bool { return proxy.replica.Sequence() == 2 && proxy.repairs == 1 })
+	proxy.waitFor("a repair", func() bool { return proxy.replica.Sequence() == 2 && proxy.repairs == 1 })
 }
 
 func TestAgentMovesToAnotherControlMachine(t *testing.T) {
 	live, proxy := newFakeControl(t), newFakeProxy(t)
 	live.commit(change(1))
 	startAgent(t, "edge-1", proxy.address, "127.0.0.1:1", live.address)
-	proxy.await("state", func() bool { return proxy.replica.Sequence() == 1 && proxy.confirmed })
+	proxy.waitFor("state", func() bool { return proxy.replica.Sequence() == 1 && proxy.confirmed })
 }
 
 func TestAgentPrefersVotersOfItsZone(t *testing.T) {
@@ -125,7 +125,7 @@
 		{Host: "core-2", Address: near.address, Zone: "zone-a", Region: "region-a"},
 	}}
 	startAgent(t, "edge-1", proxy.address, far.address)
-	near.awaitRequest(t, "by an agent of its zone", func(request *pb.WatchRequest) bool {
+	near.waitForRequest(t, "by an agent of its zone", func(request *pb.WatchRequest) bool {
 		return request.GetViewNumber() == 1 && request.GetHoldMs() > 0
 	})
 }
@@ -138,11 +138,11 @@
 		{Host: "edge-4", AgeMs: 61_000},
 	}}
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.await("shares", func() bool { return proxy.shares.GetProxies() == 3 })
+	proxy.waitFor("shares", func() bool { return proxy.shares.GetProxies() == 3 })
 	require.Len(t, proxy.shares.GetMembers(), 3)
 }
 
-func TestAgentsPassNewsOnToThoseWithoutControl(t *testing.T) {
+func TestAgentsPassUpdatesOnToThoseWithoutControl(t *testing.T) {
 	control, first, second := newFakeControl(t), newFakeProxy(t), newFakeProxy(t)
 	control.commit(change(1))
 	cutOff := startAgent(t, "edge-2", second.address, "127.0.0.1:1")
@@ -150,23 +150,23 @@
 		{Host: "edge-2", AgentAddress: cutOff.address, Zone: "zone-a", Region: "region-a"},
 	}}
 	startAgent(t, "edge-1", first.address, control.address)
-	first.await("from control", func() bool { return first.replica.Sequence() == 1 })
+	first.waitFor("from control", func() bool { return first.replica.Sequence() == 1 })
 	control.commit(change(2))
-	second.await("by gossip", func() bool { return second.replica.Sequence() == 2 })
+	second.waitFor("by gossip", func() bool { return second.replica.Sequence() == 2 })
 	require.False(t, second.confirmed)
 }
 
-func TestAgentTellsThatItEndsAndServesItsProxyToTheEnd(t *testing.T) {
+func TestShutdownNotifiesControlAndServesTheProxyToItsEnd(t *testing.T) {
 	control, other, proxy := newFakeControl(t), newFakeControl(t), newFakeProxy(t)
 	running := startWithGrace(t, 3*time.Second, "edge-1", proxy.address, control.address, other.address)
-	proxy.await("confirmation", func() bool { return proxy.confirmed })
-	running.end()
+	proxy.waitFor("confirmation", func() bool { return proxy.confirmed })
+	running.shutDown()
 	for _, machine := range []*fakeControl{control, other} {
-		machine.awaitRequest(t, "that the agent ends", func(request *pb.WatchRequest) bool {
+		machine.waitForRequest(t, "that the agent ends", func(request *pb.WatchRequest) bool {
 			return request.GetAgent().GetDraining() && request.GetHoldMs() == 0
 		})
 		machine.commit(change(1))
 	}
-	proxy.await("a change while it ends", func() bool { return proxy.replica.Sequence() == 1 })
+	proxy.waitFor("a change while it ends", func() bool { return proxy.replica.Sequence() == 1 })
 	running.requireEnded(t)
 }
--- a/internal/agent/call_failures_test.go
+++ b/internal/agent/call_failures_test.go
@@ -31,7 +31,7 @@
 	return err
 }
 
-// listenWith accepts connections until the test ends and hands them over.
+// listenWith passes the connections that it accepts until the test ends to a function.
 func listenWith(t *testing.T, take func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 	return listener.Addr().String()
 }
 
-func TestFailedCallsAreToldApart(t *testing.T) {
+func TestFailedCallsAreClassified(t *testing.T) {
 	closed := listenWith(t, func(connection net.Conn) { _ = connection.Close() })
 	silent := listenWith(t, func(connection net.Conn) { t.Cleanup(func() { _ = connection.Close() }) })
 	gone, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -69,15 +69,15 @@
 func TestFailuresAndAnswersAreCounted(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	s.step(watchDone{call: takeWatch(s, watchLongPoll), err: errDialTimeout})
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	s.step(watchDone{call: requireWatch(s, watchLongPoll), err: errDialTimeout})
 	require.EqualValues(t, 1, s.core.counters.watchFailureKinds[failureDialTimeout])
 
 	s.tickFor(maxBackoff + minBackoff)
-	call := takeWatch(s, watchLongPoll)
+	call := requireWatch(s, watchLongPoll)
 	s.tickFor(700 * time.Millisecond)
-	answer := &pb.WatchResponse{Sequence: 1, Changes: []*pb.Change{change(1)}}
-	s.step(watchDone{call: call, response: answer})
+	response := &pb.WatchResponse{Sequence: 1, Changes: []*pb.Change{change(1)}}
+	s.step(watchDone{call: call, response: response})
 	require.Equal(t, s.now-call.started, s.core.counters.longestWatch)
 	require.Positive(t, s.core.counters.largestResponse)
 }
--- a/internal/agent/caller_test.go
+++ b/internal/agent/caller_test.go
@@ -14,11 +14,11 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// TestAMachineThatSaysNothingIsGivenUpSoon: it has no power, or is cut off.
-func TestAMachineThatSaysNothingIsGivenUpSoon(t *testing.T) {
+// TestSilentMachineIsAbandonedAfterTheDialTimeout: it has no power, or is behind a partition.
+func TestSilentMachineIsAbandonedAfterTheDialTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends := make(chan event, 1)
-		caller := newCaller(t.Context(), shuffle.Neighbour{}, "10.0.0.1:1", func(happened event) { ends <- happened })
+		caller := newCaller(t.Context(), shuffle.Neighbour{}, "10.0.0.1:1", func(received event) { ends <- received })
 		caller.client = &http.Client{Transport: &http.Transport{
 			DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 				<-ctx.Done()
@@ -34,15 +34,15 @@
 	})
 }
 
-// TestAMachineThatHoldsACallHasItsTime: only the connection has to come up soon.
-func TestAMachineThatHoldsACallHasItsTime(t *testing.T) {
+// TestDialTimeoutDoesNotBoundTheWaitForAResponse: it is for the connection alone.
+func TestDialTimeoutDoesNotBoundTheWaitForAResponse(t *testing.T) {
 	control := newFakeControl(t)
 	ends := make(chan event, 2)
-	caller := newCaller(t.Context(), shuffle.Neighbour{}, "127.0.0.1:1", func(happened event) { ends <- happened })
+	caller := newCaller(t.Context(), shuffle.Neighbour{}, "127.0.0.1:1", func(received event) { ends <- received })
 	const dial = 200 * time.Millisecond
 	request := &pb.WatchRequest{HoldMs: uint32(2 * dial / time.Millisecond)}
 	caller.start(watchCall{id: 7, address: control.address, request: request, dialTimeout: dial, timeout: watchTimeout})
-	require.Equal(t, watchResponseStarted{id: 7}, <-ends, "it is told that the answer comes")
+	require.Equal(t, watchResponseStarted{id: 7}, <-ends, "the start of the response is posted")
 	done := (<-ends).(watchDone)
 	require.NoError(t, done.err)
 	require.True(t, done.response.GetAuthoritative())
--- a/internal/agent/compressed_push_test.go
+++ b/internal/agent/compressed_push_test.go
@@ -11,19 +11,19 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// What a control machine sent packed goes to neighbours as it came, and an agent asks for it in that form.
-func TestLargeNewsOfControlIsPassedOnAsItCame(t *testing.T) {
+// An update that a control machine sent compressed is passed on to neighbours in that form, and an agent requests it so.
+func TestLargeUpdateIsPassedOnAsItCame(t *testing.T) {
 	m := newModel(1, 1, 1)
 	m.commitRoutes(routesAtFirst)
 	var packer packing.Packer
-	answer := &pb.WatchResponse{Authoritative: true, Sequence: 1, Repair: m.truth[1].RepairFor(nil)}
-	packer.PackAnswer(&pb.WatchRequest{TakesPacked: true}, answer)
-	packed := answer.GetPacked()
+	response := &pb.WatchResponse{Authoritative: true, Sequence: 1, Repair: m.truth[1].RepairFor(nil)}
+	packer.PackAnswer(&pb.WatchRequest{TakesPacked: true}, response)
+	packed := response.GetPacked()
 	require.NotNil(t, packed)
-	require.NoError(t, decompressWatch(answer))
+	require.NoError(t, decompressWatch(response))
 	s, call := newLinkedCore(t)
 	require.True(t, call.request.GetTakesPacked())
-	s.step(watchDone{call: call, response: answer})
+	s.step(watchDone{call: call, response: response})
 
 	other := shuffle.Neighbour{Host: "edge-2", Address: "10.0.0.2:7661"}
 	asks := compareCall{gossip.Compare{To: s.core.identity.neighbour, Digests: &pb.RangeDigests{}}}
--- a/internal/agent/control_endpoints_test.go
+++ b/internal/agent/control_endpoints_test.go
@@ -10,7 +10,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-func testTargets(seeds ...string) controlEndpoints {
+func newTestEndpoints(seeds ...string) controlEndpoints {
 	return newControlEndpoints("zone-a", "region-a", seeds, rand.New(rand.NewPCG(1, 1)))
 }
 
@@ -19,7 +19,7 @@
 }
 
 func TestChooseTakesTheNearestThatWorks(t *testing.T) {
-	known := testTargets("seed:1", "near:1")
+	known := newTestEndpoints("seed:1", "near:1")
 	known.voters = []*pb.Replica{
 		voter("far:1", "zone-c", "region-b"),
 		voter("near:1", "zone-a", "region-a"),
@@ -37,7 +37,7 @@
 }
 
 func TestChooseSpreadsOverEquals(t *testing.T) {
-	known := testTargets("a:1", "b:1", "c:1")
+	known := newTestEndpoints("a:1", "b:1", "c:1")
 	chosen := make(map[string]int)
 	for range 300 {
 		chosen[known.choose(0, "")]++
@@ -49,22 +49,22 @@
 }
 
 func TestChooseWithOneOrNone(t *testing.T) {
-	known := testTargets()
+	known := newTestEndpoints()
 	require.Empty(t, known.choose(0, ""))
 	known.seeds = []string{"a:1"}
 	require.Equal(t, "a:1", known.choose(0, "a:1"), "there is no other")
 	known.recordFailure(0, "a:1")
 	require.Equal(t, "a:1", known.choose(0, "a:1"))
-	require.Empty(t, testTargetsChoice("gone:1"), "one that is known no more")
+	require.Empty(t, testTargetsChoice("gone:1"), "one that is no longer known")
 }
 
 func testTargetsChoice(except string) string {
-	known := testTargets()
+	known := newTestEndpoints()
 	return known.choose(0, except)
 }
 
-func TestNearerComesBackOnlyAfterAWhile(t *testing.T) {
-	known := testTargets()
+func TestNearerMachineReturnsAfterItsCooldown(t *testing.T) {
+	known := newTestEndpoints()
 	known.voters = []*pb.Replica{voter("far:1", "zone-c", "region-b"), voter("near:1", "zone-a", "region-a")}
 	require.Equal(t, "near:1", known.nearer(0, "far:1"))
 	require.Empty(t, known.nearer(0, "near:1"))
@@ -74,7 +74,7 @@
 }
 
 func TestFailuresAreBounded(t *testing.T) {
-	known := testTargets()
+	known := newTestEndpoints()
 	for i := range 10 * maxRecordedFailures {
 		known.recordFailure(0, string(rune(i)))
 		require.LessOrEqual(t, len(known.failures), maxRecordedFailures)
--- a/internal/agent/control_link_test.go
+++ b/internal/agent/control_link_test.go
@@ -12,44 +12,44 @@
 	"fieldrelay/internal/catalog"
 )
 
-func testLink(seeds ...string) *controlLink {
-	made := newControlLink(testTargets(seeds...), rand.New(rand.NewPCG(1, 1)))
+func newTestControlLink(seeds ...string) *controlLink {
+	made := newControlLink(newTestEndpoints(seeds...), rand.New(rand.NewPCG(1, 1)))
 	return &made
 }
 
-func (l *controlLink) nextAt(now time.Duration) *watchCall {
+func (l *controlLink) nextLongPollAt(now time.Duration) *watchCall {
 	return l.nextWatch(now, &pb.AgentRecord{}, catalog.Empty(), false)
 }
 
 func TestOneLongPollAtATime(t *testing.T) {
-	l := testLink("a:1")
-	call := l.nextAt(0)
+	l := newTestControlLink("a:1")
+	call := l.nextLongPollAt(0)
 	require.EqualValues(t, watchWait/time.Millisecond, call.request.GetHoldMs())
-	require.Nil(t, l.nextAt(time.Second))
+	require.Nil(t, l.nextLongPollAt(time.Second))
 	l.handleResponse(time.Second, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
-	require.NotNil(t, l.nextAt(time.Second))
+	require.NotNil(t, l.nextLongPollAt(time.Second))
 }
 
 func TestFailureMovesOnWithGrowingBackoff(t *testing.T) {
-	l := testLink("a:1", "b:1")
+	l := newTestControlLink("a:1", "b:1")
 	now := time.Second
 	for failures := range 12 {
-		call := l.nextAt(now)
+		call := l.nextLongPollAt(now)
 		require.NotNil(t, call)
 		l.handleFailure(now, *call, errors.New("refused"))
 		require.NotEqual(t, call.address, l.current)
 		backoff := min(minBackoff<<failures, maxBackoff)
 		require.GreaterOrEqual(t, l.nextLongPoll-now, backoff/2)
 		require.LessOrEqual(t, l.nextLongPoll-now, backoff+backoff/2)
-		require.Nil(t, l.nextAt(l.nextLongPoll-1))
+		require.Nil(t, l.nextLongPollAt(l.nextLongPoll-1))
 		now = l.nextLongPoll
 	}
 }
 
-func TestMachineWithoutTheAgreedStateIsLeftAfterAWhile(t *testing.T) {
-	l := testLink("a:1", "b:1")
+func TestMachineWithoutAuthorityIsAbandonedAfterItsTimeout(t *testing.T) {
+	l := newTestControlLink("a:1", "b:1")
 	now := time.Second
-	first := l.nextAt(now)
+	first := l.nextLongPollAt(now)
 	for {
 		now += nonAuthoritativeWait
 		l.handleResponse(now, *first, &pb.WatchResponse{}, watchOutcome{})
@@ -57,47 +57,47 @@
 			break
 		}
 		require.Less(t, now, time.Second+nonAuthoritativeTimeout+2*nonAuthoritativeWait)
-		call := l.nextAt(now)
+		call := l.nextLongPollAt(now)
 		require.EqualValues(t, nonAuthoritativeWait/time.Millisecond, call.request.GetHoldMs())
 		require.Equal(t, first.address, call.address)
 		first = call
 	}
 	require.GreaterOrEqual(t, now, time.Second+nonAuthoritativeTimeout)
-	require.EqualValues(t, watchWait/time.Millisecond, l.nextAt(now).request.GetHoldMs())
+	require.EqualValues(t, watchWait/time.Millisecond, l.nextLongPollAt(now).request.GetHoldMs())
 }
 
-func TestAnswersWithoutNewsMakeNoTightLoop(t *testing.T) {
-	l := testLink("a:1")
+func TestEmptyResponsesMakeNoTightLoop(t *testing.T) {
+	l := newTestControlLink("a:1")
 	now, pause := time.Duration(0), minEmptyBackoff
 	for range 12 {
-		call := l.nextAt(now)
+		call := l.nextLongPollAt(now)
 		require.NotNil(t, call)
 		now += time.Millisecond
 		l.handleResponse(now, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
-		require.Nil(t, l.nextAt(now+pause-1))
+		require.Nil(t, l.nextLongPollAt(now+pause-1))
 		now += pause
 		pause = min(2*pause, maxEmptyBackoff)
 	}
-	l.handleResponse(now, *l.nextAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
-	require.NotNil(t, l.nextAt(now))
+	l.handleResponse(now, *l.nextLongPollAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
+	require.NotNil(t, l.nextLongPollAt(now))
 }
 
-func TestNearerMachineIsPreferredOnceTheLinkHasSettled(t *testing.T) {
-	l := testLink("far:1")
+func TestNearerMachineIsPreferredAfterTheMinimumTenure(t *testing.T) {
+	l := newTestControlLink("far:1")
 	l.adoptView(&pb.View{Number: 1, Voters: []*pb.Replica{voter("far:1", "zone-c", "region-b"), voter("near:1", "zone-a", "region-a")}})
 	l.switchTo(0, "far:1")
 	for now := time.Duration(0); now < minTenure; now += 50 * time.Millisecond {
-		call := l.nextAt(now)
+		call := l.nextLongPollAt(now)
 		require.Equal(t, "far:1", call.address)
 		l.handleResponse(now, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
 	}
-	l.handleResponse(minTenure, *l.nextAt(minTenure), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
-	require.Equal(t, "near:1", l.nextAt(minTenure).address)
+	l.handleResponse(minTenure, *l.nextLongPollAt(minTenure), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
+	require.Equal(t, "near:1", l.nextLongPollAt(minTenure).address)
 }
 
 func TestNextWatchWaitsALittleForTheProxy(t *testing.T) {
-	l := testLink("a:1")
-	call := l.nextAt(0)
+	l := newTestControlLink("a:1")
+	call := l.nextLongPollAt(0)
 	l.handleResponse(time.Second, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
 	require.Nil(t, l.nextWatch(time.Second, &pb.AgentRecord{}, catalog.Empty(), true))
 	due := l.nextDue(true)
@@ -105,19 +105,19 @@
 }
 
 func TestDigestsFollowWhenTheyAreNeeded(t *testing.T) {
-	l := testLink("a:1")
-	call := l.nextAt(0)
+	l := newTestControlLink("a:1")
+	call := l.nextLongPollAt(0)
 	require.Nil(t, call.request.GetDigests())
 	l.handleResponse(0, *call, &pb.WatchResponse{Authoritative: true, NeedDigests: true}, watchOutcome{moreAvailable: true})
-	call = l.nextAt(0)
+	call = l.nextLongPollAt(0)
 	require.NotNil(t, call.request.GetDigests())
 	require.NotNil(t, call.base)
 	l.handleResponse(0, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
-	require.Nil(t, l.nextAt(0).request.GetDigests())
+	require.Nil(t, l.nextLongPollAt(0).request.GetDigests())
 }
 
 func TestOnlyNewerViewsAreTaken(t *testing.T) {
-	l := testLink("a:1")
+	l := newTestControlLink("a:1")
 	require.True(t, l.adoptView(&pb.View{Number: 2, Voters: []*pb.Replica{voter("b:1", "", "")}}))
 	require.False(t, l.adoptView(&pb.View{Number: 1, Voters: []*pb.Replica{voter("c:1", "", "")}}))
 	require.False(t, l.adoptView(&pb.View{Number: 3}))
@@ -128,33 +128,33 @@
 }
 
 func TestSeedThatIsGoneIsLeft(t *testing.T) {
-	l := testLink("a:1")
-	call := l.nextAt(0)
+	l := newTestControlLink("a:1")
+	call := l.nextLongPollAt(0)
 	l.endpoints.seeds = []string{"b:1"}
 	l.handleResponse(time.Second, *call, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
-	require.Equal(t, "b:1", l.nextAt(time.Second).address)
+	require.Equal(t, "b:1", l.nextLongPollAt(time.Second).address)
 }
 
-func (l *controlLink) probeNow(now time.Duration) *watchCall {
+func (l *controlLink) nextProbeAt(now time.Duration) *watchCall {
 	return l.nextProbe(now, &pb.AgentRecord{}, catalog.Empty())
 }
 
-// loggedControl is a link whose current machine has shown that it holds the agreed state.
-func linkedTo(t *testing.T, now time.Duration, seeds ...string) *controlLink {
-	l := testLink(seeds...)
-	l.handleResponse(now, *l.nextAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
+// newEstablishedLink returns a link whose current machine has responded with authority.
+func newEstablishedLink(t *testing.T, now time.Duration, seeds ...string) *controlLink {
+	l := newTestControlLink(seeds...)
+	l.handleResponse(now, *l.nextLongPollAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
 	require.True(t, l.established)
 	return l
 }
 
-// TestAgentWithoutALinkAsksSeveralMachinesAtOnce: some of them may have no power yet.
-func TestAgentWithoutALinkAsksSeveralMachinesAtOnce(t *testing.T) {
-	l := testLink("a:1", "b:1", "c:1", "d:1", "e:1", "f:1", "g:1")
-	require.Nil(t, l.probeNow(0), "the long poll comes first")
-	long := l.nextAt(0)
+// TestAgentWithoutALinkProbesSeveralMachinesAtOnce: some of them may have no power yet.
+func TestAgentWithoutALinkProbesSeveralMachinesAtOnce(t *testing.T) {
+	l := newTestControlLink("a:1", "b:1", "c:1", "d:1", "e:1", "f:1", "g:1")
+	require.Nil(t, l.nextProbeAt(0), "the long poll comes first")
+	long := l.nextLongPollAt(0)
 	asked := map[string]bool{long.address: true}
 	var probes []*watchCall
-	for call := l.probeNow(0); call != nil; call = l.probeNow(0) {
+	for call := l.nextProbeAt(0); call != nil; call = l.nextProbeAt(0) {
 		require.True(t, call.request.GetProbe())
 		require.False(t, asked[call.address])
 		asked[call.address] = true
@@ -164,64 +164,64 @@
 
 	now := 100 * time.Millisecond
 	l.handleResponse(now, *probes[0], &pb.WatchResponse{}, watchOutcome{})
-	require.Equal(t, long.address, l.current, "it doesn't hold the agreed state")
+	require.Equal(t, long.address, l.current, "it has no authority")
 	l.handleResponse(now, *probes[1], &pb.WatchResponse{Authoritative: true}, watchOutcome{})
-	next := l.nextAt(now)
+	next := l.nextLongPollAt(now)
 	require.Equal(t, probes[1].address, next.address)
-	require.Nil(t, l.probeNow(now))
+	require.Nil(t, l.nextProbeAt(now))
 
 	l.handleFailure(now, *long, errDialTimeout)
-	require.Equal(t, next.address, l.current, "what was given up doesn't matter any more")
+	require.Equal(t, next.address, l.current, "the failure of an abandoned call changes nothing")
 	require.True(t, l.inFlight)
 	l.handleResponse(now, *next, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
-	require.Equal(t, next.address, l.nextAt(now).address)
+	require.Equal(t, next.address, l.nextLongPollAt(now).address)
 }
 
-// TestSilentMachineIsReplacedBeforeItsCallEnds: a cut says nothing.
+// TestSilentMachineIsReplacedBeforeItsCallEnds: a partition closes no connection.
 func TestSilentMachineIsReplacedBeforeItsCallEnds(t *testing.T) {
-	l := linkedTo(t, 0, "a:1", "b:1")
-	silent := l.nextAt(0)
+	l := newEstablishedLink(t, 0, "a:1", "b:1")
+	silent := l.nextLongPollAt(0)
 	overdue := watchWait + overdueMargin
-	require.Nil(t, l.probeNow(overdue-1))
+	require.Nil(t, l.nextProbeAt(overdue-1))
 	require.Equal(t, overdue, l.nextDue(false))
-	probe := l.probeNow(overdue)
+	probe := l.nextProbeAt(overdue)
 	require.NotEqual(t, silent.address, probe.address)
 	now := overdue + 50*time.Millisecond
 	l.handleResponse(now, *probe, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
-	next := l.nextAt(now)
+	next := l.nextLongPollAt(now)
 	require.Equal(t, probe.address, next.address)
 	require.Less(t, now, silent.started+silent.timeout)
 	l.handleResponse(now, *next, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
-	require.Equal(t, probe.address, l.current, "the silent one isn't gone back to soon")
+	require.Equal(t, probe.address, l.current, "the silent one is not returned to soon")
 }
 
 func TestMachinesAreProbedWhileTheCurrentOneLacksTheAgreedState(t *testing.T) {
-	l := linkedTo(t, 0, "a:1", "b:1")
-	call := l.nextAt(0)
+	l := newEstablishedLink(t, 0, "a:1", "b:1")
+	call := l.nextLongPollAt(0)
 	now := time.Second
 	l.handleResponse(now, *call, &pb.WatchResponse{}, watchOutcome{})
-	require.NotNil(t, l.nextAt(now))
-	require.Nil(t, l.probeNow(now+nonAuthoritativeProbeDelay-1), "while the view changes none of them holds it")
-	probe := l.probeNow(now + nonAuthoritativeProbeDelay)
+	require.NotNil(t, l.nextLongPollAt(now))
+	require.Nil(t, l.nextProbeAt(now+nonAuthoritativeProbeDelay-1), "no machine has authority while the view changes")
+	probe := l.nextProbeAt(now + nonAuthoritativeProbeDelay)
 	l.handleResponse(now+nonAuthoritativeProbeDelay, *probe, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
-	require.Equal(t, probe.address, l.nextAt(now+nonAuthoritativeProbeDelay).address)
+	require.Equal(t, probe.address, l.nextLongPollAt(now+nonAuthoritativeProbeDelay).address)
 }
 
 func TestMachineThatHoldsTheAgreedStateIsNotLeftForAProbe(t *testing.T) {
-	l := testLink("a:1", "b:1")
-	long, probe := l.nextAt(0), l.probeNow(0)
+	l := newTestControlLink("a:1", "b:1")
+	long, probe := l.nextLongPollAt(0), l.nextProbeAt(0)
 	l.handleResponse(0, *long, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
 	l.handleResponse(0, *probe, &pb.WatchResponse{Authoritative: true}, watchOutcome{})
-	require.Equal(t, long.address, l.nextAt(0).address)
+	require.Equal(t, long.address, l.nextLongPollAt(0).address)
 }
 
 // TestDialsAreShortAtFirst: a machine without power is tried again soon, a far one gets the time that it needs.
 func TestDialsAreShortAtFirst(t *testing.T) {
-	l := testLink("a:1")
+	l := newTestControlLink("a:1")
 	now := time.Duration(0)
 	before := time.Duration(0)
 	for range 8 {
-		call := l.nextAt(now)
+		call := l.nextLongPollAt(now)
 		require.GreaterOrEqual(t, call.dialTimeout, before)
 		require.LessOrEqual(t, call.dialTimeout, maxDialTimeout)
 		before = call.dialTimeout
@@ -229,22 +229,22 @@
 		now = l.nextLongPoll
 	}
 	require.Equal(t, maxDialTimeout, before)
-	l.handleResponse(now, *l.nextAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
-	require.Equal(t, minDialTimeout, l.nextAt(now).dialTimeout)
+	l.handleResponse(now, *l.nextLongPollAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
+	require.Equal(t, minDialTimeout, l.nextLongPollAt(now).dialTimeout)
 
-	l = testLink("a:1")
-	l.handleFailure(0, *l.nextAt(0), errors.New("refused"))
-	require.Equal(t, minDialTimeout, l.nextAt(l.nextLongPoll).dialTimeout, "a machine that refuses is near enough")
+	l = newTestControlLink("a:1")
+	l.handleFailure(0, *l.nextLongPollAt(0), errors.New("refused"))
+	require.Equal(t, minDialTimeout, l.nextLongPollAt(l.nextLongPoll).dialTimeout, "a machine that refuses is near enough")
 }
 
-// TestProbesAreNoTightLoop: whatever the machines answer, there are few calls.
+// TestProbesAreNoTightLoop: whatever the machines respond, there are few calls.
 func TestProbesAreNoTightLoop(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
-	l := testLink("a:1", "b:1", "c:1", "d:1")
-	l.nextAt(0)
+	l := newTestControlLink("a:1", "b:1", "c:1", "d:1")
+	l.nextLongPollAt(0)
 	count := 0
 	for now := time.Duration(0); now < 10*time.Second; now += time.Millisecond {
-		call := l.probeNow(now)
+		call := l.nextProbeAt(now)
 		if call == nil {
 			continue
 		}
@@ -257,10 +257,9 @@
 	require.LessOrEqual(t, len(l.probes.inFlight), maxProbes)
 }
 
-// TestEveryMachineIsProbedInItsTurn: the only one that holds the agreed state may be far away, behind others that
-// answer.
+// TestEveryMachineIsProbedInItsTurn: the only one with authority may be far away, behind others that respond.
 func TestEveryMachineIsProbedInItsTurn(t *testing.T) {
-	l := testLink("seed:1")
+	l := newTestControlLink("seed:1")
 	l.adoptView(&pb.View{Number: 1, Voters: []*pb.Replica{
 		voter("near-1:1", "zone-a", "region-a"),
 		voter("near-2:1", "zone-a", "region-a"),
@@ -268,11 +267,11 @@
 		voter("middle:1", "zone-b", "region-a"),
 		voter("far:1", "zone-c", "region-b"),
 	}})
-	l.nextAt(0)
+	l.nextLongPollAt(0)
 	now, asked := time.Duration(0), make(map[string]int)
 	for asked["far:1"] < 2 {
 		require.Less(t, now, 2*time.Second)
-		for call := l.probeNow(now); call != nil; call = l.probeNow(now) {
+		for call := l.nextProbeAt(now); call != nil; call = l.nextProbeAt(now) {
 			asked[call.address]++
 		}
 		now += probeWait
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -16,30 +16,30 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// steps is a core with the calls that it wants and that have not come back.
+// coreDriver steps a core and collects the calls that it returns, until a test takes and ends them.
 type coreDriver struct {
-	t    *testing.T
-	now  time.Duration
-	core *core
-	open []action
+	t       *testing.T
+	now     time.Duration
+	core    *core
+	pending []action
 }
 
 func newCoreDriver(t *testing.T, seeds ...string) *coreDriver {
 	self := shuffle.Neighbour{Host: "edge-1", Address: "10.0.0.1:7661", Zone: "zone-a", Region: "region-a"}
 	random := rand.New(rand.NewPCG(1, 1))
-	who := identity{neighbour: self, incarnation: 1}
-	return &coreDriver{t: t, core: newCore(who, seeds, 8*time.Second, random, zap.NewNop())}
+	identified := identity{neighbour: self, incarnation: 1}
+	return &coreDriver{t: t, core: newCore(identified, seeds, 8*time.Second, random, zap.NewNop())}
 }
 
-func (s *coreDriver) step(happened event) {
-	s.open = append(s.open, s.core.step(s.now, happened)...)
+func (s *coreDriver) step(received event) {
+	s.pending = append(s.pending, s.core.step(s.now, received)...)
 }
 
-// take takes the first open call of a type.
-func take[T action](s *coreDriver) (T, bool) {
-	for i, open := range s.open {
+// takeCall takes the first pending call of a type.
+func takeCall[T action](s *coreDriver) (T, bool) {
+	for i, open := range s.pending {
 		if call, ok := open.(T); ok {
-			s.open = append(s.open[:i:i], s.open[i+1:]...)
+			s.pending = append(s.pending[:i:i], s.pending[i+1:]...)
 			return call, true
 		}
 	}
@@ -47,19 +47,19 @@
 	return none, false
 }
 
-func takeOne[T action](s *coreDriver) T {
+func requireCall[T action](s *coreDriver) T {
 	s.t.Helper()
-	call, ok := take[T](s)
+	call, ok := takeCall[T](s)
 	require.True(s.t, ok, "no such call: %T", call)
 	return call
 }
 
-// takeWatch takes the first open call of a kind to a control machine.
-func takeWatch(s *coreDriver, kind watchKind) watchCall {
+// requireWatch takes the first open call of a kind to a control machine.
+func requireWatch(s *coreDriver, kind watchKind) watchCall {
 	s.t.Helper()
-	for i, open := range s.open {
+	for i, open := range s.pending {
 		if call, ok := open.(watchCall); ok && call.kind == kind {
-			s.open = append(s.open[:i:i], s.open[i+1:]...)
+			s.pending = append(s.pending[:i:i], s.pending[i+1:]...)
 			return call
 		}
 	}
@@ -67,84 +67,84 @@
 	return watchCall{}
 }
 
-func (s *coreDriver) proxyAnswers(status *pb.ProxyStatus) {
+func (s *coreDriver) proxyResponds(status *pb.ProxyStatus) {
 	s.t.Helper()
-	s.step(proxyCallDone{call: takeOne[proxyCall](s), status: status})
+	s.step(proxyCallDone{call: requireCall[proxyCall](s), status: status})
 }
 
 func TestFirstWatchWaitsForTheProxysStatus(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
-	_, watching := take[watchCall](s)
+	_, watching := takeCall[watchCall](s)
 	require.False(t, watching)
 	s.now += time.Millisecond
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7, Ready: true})
-	require.True(t, takeOne[watchCall](s).request.GetAgent().GetReady())
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7, Ready: true})
+	require.True(t, requireCall[watchCall](s).request.GetAgent().GetReady())
 }
 
-func TestFirstWatchWaitsNotForLong(t *testing.T) {
+func TestFirstWatchIsNotDelayedForLong(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
 	require.LessOrEqual(t, s.core.nextTick(s.now), maxFirstWatchDelay)
 	s.now = maxFirstWatchDelay
 	s.step(tick{})
-	require.False(t, takeOne[watchCall](s).request.GetAgent().GetReady())
+	require.False(t, requireCall[watchCall](s).request.GetAgent().GetReady())
 }
 
 func TestNoticeIsSentOnceForEachChangeOfReadiness(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	require.Equal(t, watchLongPoll, takeOne[watchCall](s).kind)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	require.Equal(t, watchLongPoll, requireCall[watchCall](s).kind)
 
 	s.now += exchangeInterval
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7, Ready: true})
-	notice := takeOne[watchCall](s)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7, Ready: true})
+	notice := requireCall[watchCall](s)
 	require.Equal(t, watchNotice, notice.kind)
 	require.Zero(t, notice.request.GetHoldMs())
 	require.True(t, notice.request.GetAgent().GetReady())
 	s.step(watchDone{call: notice, response: &pb.WatchResponse{}})
 	s.step(tick{})
-	_, again := take[watchCall](s)
+	_, again := takeCall[watchCall](s)
 	require.False(t, again)
 }
 
 func TestNewProxyIsConfirmedByANotice(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
-	s.step(proxyCallDone{call: takeOne[proxyCall](s), err: errors.New("refused")})
-	long := takeOne[watchCall](s)
+	s.step(proxyCallDone{call: requireCall[proxyCall](s), err: errors.New("refused")})
+	long := requireCall[watchCall](s)
 	s.now += proxyRetryInterval
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	notice := takeOne[watchCall](s)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	notice := requireCall[watchCall](s)
 	require.Equal(t, watchNotice, notice.kind)
 
 	s.now += time.Millisecond
 	s.step(watchDone{call: long, response: &pb.WatchResponse{Authoritative: true}})
-	require.False(t, s.core.proxy.confirmed, "asked before the proxy was known")
+	require.False(t, s.core.proxy.confirmed, "requested before the proxy was discovered")
 	s.step(watchDone{call: notice, response: &pb.WatchResponse{Authoritative: true}})
-	require.True(t, takeOne[proxyCall](s).apply.GetConfirmed())
+	require.True(t, requireCall[proxyCall](s).apply.GetConfirmed())
 }
 
 func TestStateBehindTheAgreedOneIsNotConfirmed(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	long := takeOne[watchCall](s)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	long := requireCall[watchCall](s)
 	s.step(watchDone{call: long, response: &pb.WatchResponse{Authoritative: true, Sequence: 5, NeedDigests: true}})
 	require.False(t, s.core.proxy.confirmed)
-	next := takeOne[watchCall](s)
+	next := requireCall[watchCall](s)
 	require.NotNil(t, next.request.GetDigests())
-	held := gossip.NewReplica()
-	held.ApplyChanges([]*pb.Change{change(1), change(2), change(3), change(4), change(5)})
+	replica := gossip.NewReplica()
+	replica.ApplyChanges([]*pb.Change{change(1), change(2), change(3), change(4), change(5)})
 	s.step(watchDone{call: next, response: &pb.WatchResponse{
 		Authoritative: true,
 		Sequence:      5,
-		Repair:        held.Snapshot().RepairFor(next.request.GetDigests()),
+		Repair:        replica.Snapshot().RepairFor(next.request.GetDigests()),
 	}})
-	apply := takeOne[proxyCall](s).apply
+	apply := requireCall[proxyCall](s).apply
 	require.True(t, apply.GetConfirmed())
 	require.EqualValues(t, 5, apply.GetRepair().GetSequence(), "the confirmed state comes with the confirmation")
 }
@@ -152,10 +152,10 @@
 func TestEndIsToldToTwoControlMachines(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1", "core-2:1", "core-3:1")
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7, Ready: true})
-	long := takeWatch(s, watchLongPoll)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7, Ready: true})
+	long := requireWatch(s, watchLongPoll)
 	s.step(shutdownRequested{})
-	first, second := takeWatch(s, watchNotice), takeWatch(s, watchNotice)
+	first, second := requireWatch(s, watchNotice), requireWatch(s, watchNotice)
 	require.Equal(t, long.address, first.address)
 	require.NotEqual(t, long.address, second.address)
 	for _, notice := range []watchCall{first, second} {
@@ -165,33 +165,33 @@
 	require.False(t, s.core.finished(s.now))
 }
 
-// TestAProbeConfirmsWhatItsMachineHolds: it is asked as any other call is.
+// TestAProbeConfirmsWhatItsMachineHolds, as any other request does.
 func TestAProbeConfirmsWhatItsMachineHolds(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	probe := takeWatch(s, watchProbe)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	probe := requireWatch(s, watchProbe)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Authoritative: true, Sequence: 1}})
-	require.False(t, s.core.proxy.confirmed, "it holds more")
-	require.Nil(t, takeWatch(s, watchLongPoll).request.GetDigests(), "what it holds comes with the long poll")
+	require.False(t, s.core.proxy.confirmed, "its machine has more")
+	require.Nil(t, requireWatch(s, watchLongPoll).request.GetDigests(), "its state comes with the long poll")
 }
 
-// TestAHungNoticeDoesNotSilenceTheNext: the machine that it went to is gone, another one took its place.
+// TestAHungNoticeDoesNotSilenceTheNext: its machine is gone, and another one is the current one.
 func TestAHungNoticeDoesNotSilenceTheNext(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	lost, probe := takeWatch(s, watchLongPoll), takeWatch(s, watchProbe)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	lost, probe := requireWatch(s, watchLongPoll), requireWatch(s, watchProbe)
 	s.now += exchangeInterval
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7, Ready: true})
-	require.Equal(t, lost.address, takeWatch(s, watchNotice).address)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7, Ready: true})
+	require.Equal(t, lost.address, requireWatch(s, watchNotice).address)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Authoritative: true}})
-	require.Equal(t, probe.address, takeWatch(s, watchLongPoll).address)
+	require.Equal(t, probe.address, requireWatch(s, watchLongPoll).address)
 	s.now += exchangeInterval
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	require.Equal(t, probe.address, takeWatch(s, watchNotice).address)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	require.Equal(t, probe.address, requireWatch(s, watchNotice).address)
 }
 
 func TestNeighbourThatFailsIsDroppedAndABusyOneStays(t *testing.T) {
--- a/internal/agent/digest_test.go
+++ b/internal/agent/digest_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/shuffle"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs anew")
+var update = flag.Bool("update", false, "record the digests of the runs again")
 
 // A change that should change no behaviour changes no call of any agent, to its proxy, to control or to another agent.
 func TestStormsHaveTheRecordedDigests(t *testing.T) {
@@ -22,15 +22,15 @@
 			digesttest.Compare(t, name, *update, func() *digesttest.Recorder {
 				recorder := digesttest.New(time.Second)
 				m := newModel(seed, 3, 6)
-				m.watch = func(who *modelAgent, happened event, wanted []action) {
-					recordAnswers(recorder, who, happened)
-					for _, one := range wanted {
-						recordCall(recorder, who, one)
+				m.observe = func(agent *modelAgent, received event, actions []action) {
+					recordResponses(recorder, agent, received)
+					for _, one := range actions {
+						recordCall(recorder, agent, one)
 					}
 				}
-				require.True(t, m.let(before))
+				require.True(t, m.commitAndWait(changesBeforeAbsence))
 				m.storm(m.now + 8*time.Second)
-				require.True(t, m.let(300))
+				require.True(t, m.commitAndWait(300))
 				for _, one := range m.agents[:2] {
 					one.deliver(shutdownRequested{})
 				}
@@ -52,51 +52,51 @@
 	}
 }
 
-func recordCall(recorder *digesttest.Recorder, who *modelAgent, wanted action) {
+func recordCall(recorder *digesttest.Recorder, agent *modelAgent, call action) {
 	begin := func(label string) *digesttest.Recorder {
-		return recorder.Entry(who.model.now, label).Text(who.self.Host).Number(who.incarnation)
+		return recorder.Entry(agent.model.now, label).Text(agent.self.Host).Number(agent.incarnation)
 	}
-	switch wanted := wanted.(type) {
+	switch call := call.(type) {
 	case watchCall:
-		label := map[watchKind]string{watchLongPoll: "watch", watchNotice: "notice", watchProbe: "probe"}[wanted.kind]
-		begin(label).Number(wanted.id).Text(wanted.address).Message(wanted.request).
-			Time(wanted.started).Time(wanted.dialTimeout).Time(wanted.timeout)
+		label := map[watchKind]string{watchLongPoll: "watch", watchNotice: "notice", watchProbe: "probe"}[call.kind]
+		begin(label).Number(call.id).Text(call.address).Message(call.request).
+			Time(call.started).Time(call.dialTimeout).Time(call.timeout)
 	case proxyCall:
-		begin("feed").Message(wanted.apply)
+		begin("feed").Message(call.apply)
 	case shuffleCall:
 		entry := begin("shuffle")
-		recordNeighbours(entry, wanted.To, wanted.From)
-		recordNeighbours(entry, wanted.Sample...)
+		recordNeighbours(entry, call.To, call.From)
+		recordNeighbours(entry, call.Sample...)
 	case pushCall:
-		entry := begin("push").Number(uint64(len(wanted.Changes)))
-		for _, change := range wanted.Changes {
+		entry := begin("push").Number(uint64(len(call.Changes)))
+		for _, change := range call.Changes {
 			entry.Message(change)
 		}
-		recordNeighbours(entry.Message(wanted.List), wanted.To)
+		recordNeighbours(entry.Message(call.List), call.To)
 	case compareCall:
-		recordNeighbours(begin("compare").Message(wanted.Digests).Message(wanted.List), wanted.To)
+		recordNeighbours(begin("compare").Message(call.Digests).Message(call.List), call.To)
 	default:
-		who.model.fail("an action that the digests do not know")
+		agent.model.fail("an action that the digests do not know")
 	}
 }
 
-// recordAnswers takes in what an agent answered to another one's call. Its answer stays where it is for the caller.
-func recordAnswers(recorder *digesttest.Recorder, who *modelAgent, happened event) {
+// recordResponses records the requests and responses of other agents. A response stays in its channel for the caller.
+func recordResponses(recorder *digesttest.Recorder, agent *modelAgent, received event) {
 	begin := func(label string) *digesttest.Recorder {
-		return recorder.Entry(who.model.now, label).Text(who.self.Host).Number(who.incarnation)
+		return recorder.Entry(agent.model.now, label).Text(agent.self.Host).Number(agent.incarnation)
 	}
-	switch happened := happened.(type) {
+	switch received := received.(type) {
 	case shuffleRequested:
-		begin("shuffle-asked").Message(happened.request)
+		begin("shuffle-asked").Message(received.request)
 	case pushRequested:
-		begin("push-asked").Message(happened.request).Number(who.core.replica.Sequence())
+		begin("push-asked").Message(received.request).Number(agent.core.replica.Sequence())
 	case compareRequested:
-		begin("compare-asked").Message(happened.request)
+		begin("compare-asked").Message(received.request)
 	case compareDone:
-		begin("compare-done").Flag(happened.err != nil).Message(happened.response)
+		begin("compare-done").Flag(received.err != nil).Message(received.response)
 	case shuffleDone:
-		begin("shuffle-done").Flag(happened.err != nil).Message(happened.response)
+		begin("shuffle-done").Flag(received.err != nil).Message(received.response)
 	case pushDone:
-		begin("push-done").Flag(happened.err != nil).Message(happened.response)
+		begin("push-done").Flag(received.err != nil).Message(received.response)
 	}
 }
--- a/internal/agent/distance_test.go
+++ b/internal/agent/distance_test.go
@@ -19,48 +19,48 @@
 	// defaultFarRuns is the number of runs of an agent far behind; AGENT_FAR sets another one, AGENT_FIRST the first
 	// seed.
 	defaultFarRuns = 35
-	// caughtUpWithin is the limit for an agent and its proxy to hold all that was committed when they returned.
-	caughtUpWithin = 3 * time.Second
+	// catchUpTimeout is the time in which an agent and its proxy have to have all that was committed when they returned.
+	catchUpTimeout = 3 * time.Second
 	// before is the number of changes before an absence.
-	before = 20
+	changesBeforeAbsence = 20
 )
 
 // absence is how an agent or its proxy misses changes.
 type absence int
 
 const (
-	absentCut       absence = iota // the machine is cut off from all others
-	absentControl                  // the agent is cut off from control, not from its neighbours
-	absentRestarted                // it is cut off from all, and started anew as it returns
+	absentCut       absence = iota // the machine is partitioned from all others
+	absentControl                  // the agent is partitioned from control, not from its neighbours
+	absentRestarted                // it is partitioned from all, and restarted as it returns
 	absentDown                     // the process is dead
-	absentProxy                    // the proxy beside it is dead, and starts anew
-	absentProxyCut                 // it is cut off from all, and its proxy alone is started anew as it returns
-	absentCore                     // all agents are cut off from control
+	absentProxy                    // the proxy beside it is dead, and restarted
+	absentProxyCut                 // it is partitioned from all, and its proxy alone is restarted as it returns
+	absentCore                     // all agents are partitioned from control
 	absences
 )
 
 func (a absence) String() string {
-	return [...]string{"cut off", "cut off from control", "cut off, restarted", "down", "proxy down", "cut off, proxy restarted", "all cut off from control"}[a]
+	return [...]string{"partitioned", "partitioned from control", "partitioned, restarted", "down", "proxy down", "partitioned, proxy restarted", "all partitioned from control"}[a]
 }
 
-// misleader is who answers a returning agent first, with an old state.
+// misleader is what sends a returning agent an old state first.
 type misleader int
 
 const (
 	misledByNobody      misleader = iota
-	misledByControl               // a control machine that hears of nothing new and doesn't say that it holds the agreed state
-	misledByAuthority             // one that says that it does
-	misledByNeighbour             // a neighbour that was cut off as well
-	misledByEarlierLife           // pushes of neighbours' earlier lives
+	misledByControl               // a control machine that receives nothing new and has no authority
+	misledByAuthority             // one that claims authority
+	misledByNeighbour             // a neighbour that was partitioned as well
+	misledByEarlierLife           // pushes of neighbours' earlier incarnations
 	misleaders
 )
 
 func (m misleader) String() string {
-	return [...]string{"nobody", "old control", "old control with authority", "old neighbour", "earlier life"}[m]
+	return [...]string{"nobody", "old control", "old control with authority", "old neighbour", "earlier incarnation"}[m]
 }
 
-// farRun is a run in which an agent or its proxy misses many changes.
-type farRun struct {
+// absenceRun is a run in which an agent or its proxy misses many changes.
+type absenceRun struct {
 	seed      uint64
 	distance  uint64
 	absence   absence
@@ -68,9 +68,9 @@
 	busy      bool
 }
 
-func farRunOf(seed uint64) farRun {
+func newAbsenceRun(seed uint64) absenceRun {
 	random := rand.New(rand.NewPCG(seed, 5))
-	run := farRun{
+	run := absenceRun{
 		seed:      seed,
 		distance:  300,
 		absence:   absence(seed % uint64(absences)),
@@ -86,57 +86,57 @@
 	return run
 }
 
-// playFar runs a model and returns how long the agent's proxy needed for what was committed as it returned.
-func playFar(run farRun, plant planted) (*model, time.Duration) {
+// runAbsence runs a model and returns how long the agent's proxy needed for what was committed as it returned.
+func runAbsence(run absenceRun, plant injectedFault) (*model, time.Duration) {
 	m := newModel(run.seed, 3, 5)
-	m.plant = plant
-	if !m.let(before) {
+	m.injected = plant
+	if !m.commitAndWait(changesBeforeAbsence) {
 		return m, 0
 	}
 	agent, neighbour := m.agents[0], m.agents[1]
-	m.leave(run.absence, agent)
+	m.beginAbsence(run.absence, agent)
 	old := m.controls[m.random.IntN(len(m.controls))]
 	switch run.misleader {
 	case misledByControl, misledByAuthority:
-		old.stuck = true
+		old.stalled = true
 		old.authoritative = run.misleader == misledByAuthority
 	case misledByNeighbour:
-		m.cut[neighbour.self.Address] = true
+		m.partitioned[neighbour.self.Address] = true
 	}
-	if !m.let(run.distance) {
+	if !m.commitAndWait(run.distance) {
 		return m, 0
 	}
 	if run.misleader == misledByControl || run.misleader == misledByAuthority {
 		m.onlyReaches(agent, old)
 	}
-	delete(m.cut, neighbour.self.Address)
+	delete(m.partitioned, neighbour.self.Address)
 	target := m.last()
 	if run.busy {
 		m.commitMany(100, func() {})
 	}
-	m.comeBack(run.absence, agent)
+	m.endAbsence(run.absence, agent)
 	if run.misleader == misledByEarlierLife {
 		m.after(m.upTo(50*time.Millisecond), agent.repeatPushes)
 	}
 	began := m.now
-	m.after(500*time.Millisecond, func() { m.mend(agent, old) })
+	m.after(500*time.Millisecond, func() { m.heal(agent, old) })
 	m.runUntil(time.Minute, func() bool { return !agent.proxy.dead && agent.proxy.replica.Sequence() >= target })
 	caught := m.now - began
-	if caught > caughtUpWithin {
+	if caught > catchUpTimeout {
 		m.fail("the proxy has caught up after %v", caught)
 	}
 	if !m.runUntil(20*time.Second, m.converged) {
-		m.fail("not all proxies hold the newest state")
+		m.fail("not all proxies have the newest state")
 	}
 	return m, caught
 }
 
-// let makes changes and waits until they are made.
-func (m *model) let(count uint64) bool {
+// commitAndWait commits changes, one after the other, and waits until all are.
+func (m *model) commitAndWait(count uint64) bool {
 	done := false
 	m.commitMany(count, func() { done = true })
 	if !m.runUntil(time.Duration(count)*100*time.Millisecond+time.Second, func() bool { return done }) {
-		m.fail("the model is stuck")
+		m.fail("the model makes no progress")
 	}
 	return done
 }
@@ -145,10 +145,10 @@
 	return !slices.ContainsFunc(m.agents, func(one *modelAgent) bool { return one.proxy.replica.Sequence() < m.last() })
 }
 
-func (m *model) leave(absence absence, agent *modelAgent) {
+func (m *model) beginAbsence(absence absence, agent *modelAgent) {
 	switch absence {
 	case absentCut, absentRestarted, absentProxyCut:
-		m.cut[agent.self.Address] = true
+		m.partitioned[agent.self.Address] = true
 	case absentControl:
 		m.setReach(agent, nil)
 	case absentDown:
@@ -165,7 +165,7 @@
 // setReach lets an agent reach some control machines only.
 func (m *model) setReach(agent *modelAgent, reached []*modelControl) {
 	for _, control := range m.controls {
-		m.cut[agent.self.Host+">"+control.address] = !slices.Contains(reached, control)
+		m.partitioned[agent.self.Host+">"+control.address] = !slices.Contains(reached, control)
 	}
 }
 
@@ -173,8 +173,8 @@
 	m.setReach(agent, []*modelControl{control})
 }
 
-func (m *model) comeBack(absence absence, agent *modelAgent) {
-	delete(m.cut, agent.self.Address)
+func (m *model) endAbsence(absence absence, agent *modelAgent) {
+	delete(m.partitioned, agent.self.Address)
 	switch absence {
 	case absentRestarted:
 		agent.kill()
@@ -190,10 +190,10 @@
 	}
 }
 
-// mend lets the agent reach all control machines again, and the old one hear of what is new.
-func (m *model) mend(agent *modelAgent, old *modelControl) {
+// heal lets the agent reach all control machines again, and the old one receive changes.
+func (m *model) heal(agent *modelAgent, old *modelControl) {
 	m.setReach(agent, m.controls)
-	old.stuck = false
+	old.stalled = false
 	old.authoritative = true
 	old.follow()
 }
@@ -210,8 +210,8 @@
 	first, count := environment("AGENT_FIRST", 1), environment("AGENT_FAR", defaultFarRuns)
 	caught := make(map[string][]time.Duration)
 	for seed := first; seed < first+count; seed++ {
-		run := farRunOf(uint64(seed))
-		m, after := playFar(run, planted{})
+		run := newAbsenceRun(uint64(seed))
+		m, after := runAbsence(run, injectedFault{})
 		require.Empty(t, m.failures, "%+v", run)
 		for _, kind := range []string{fmt.Sprint(run.distance, " changes"), run.absence.String(), run.misleader.String()} {
 			caught[kind] = append(caught[kind], after)
@@ -226,26 +226,26 @@
 	}
 }
 
-// Each check of the model is seen to find a fault.
+// Each check of the model finds an injected fault.
 func TestModelFindsPlantedFaults(t *testing.T) {
 	faults := []struct {
 		name    string
-		plant   planted
+		plant   injectedFault
 		finding string
 	}{
-		{"a proxy is handed a state of another number", planted{proxyCall: renumber}, "holds another state"},
-		{"a proxy is handed older changes", planted{proxyCall: olderChanges()}, "is handed changes up to"},
-		{"a proxy is handed an older state", planted{proxyCall: olderRepair()}, "is handed the state"},
-		{"a repair of control lacks what differs", planted{watch: withoutRanges}, "holds another state"},
-		{"control tells no state", planted{watch: withoutState}, "caught up after"},
+		{"a proxy is sent a state of another sequence", injectedFault{proxyCall: renumber}, "has another state"},
+		{"a proxy is sent older changes", injectedFault{proxyCall: olderChanges()}, "is sent changes up to"},
+		{"a proxy is sent an older state", injectedFault{proxyCall: olderRepair()}, "is sent the state"},
+		{"a repair of control lacks what differs", injectedFault{watch: withoutRanges}, "has another state"},
+		{"control sends no state", injectedFault{watch: withoutState}, "caught up after"},
 	}
 	for _, fault := range faults {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(absences) * uint64(misleaders) {
-				run := farRunOf(seed)
+				run := newAbsenceRun(seed)
 				run.distance = 300
-				if m, _ := playFar(run, fault.plant); strings.Contains(strings.Join(m.failures, "; "), fault.finding) {
+				if m, _ := runAbsence(run, fault.plant); strings.Contains(strings.Join(m.failures, "; "), fault.finding) {
 					return
 				}
 			}
@@ -254,7 +254,7 @@
 	}
 }
 
-// renumber takes the last change away from those that lead to a number.
+// renumber replaces the last of some changes by an empty one of the same sequence.
 func renumber(call *proxyCall) {
 	changes := call.apply.GetChanges()
 	if len(changes) < 2 {
@@ -265,7 +265,7 @@
 	call.apply.Changes = append(slices.Clone(changes[:len(changes)-1]), lacking)
 }
 
-// olderChanges hands the first changes again in place of later ones.
+// olderChanges sends the first changes again in place of later ones.
 func olderChanges() func(*proxyCall) {
 	var first []*pb.Change
 	return func(call *proxyCall) {
@@ -279,7 +279,7 @@
 	}
 }
 
-// olderRepair hands the first whole state again in place of later changes.
+// olderRepair sends the first complete state again in place of later changes.
 func olderRepair() func(*proxyCall) {
 	var first *pb.Repair
 	return func(call *proxyCall) {
@@ -299,7 +299,7 @@
 }
 
 func withoutState(response *pb.WatchResponse) {
-	if response.GetSequence() > before {
+	if response.GetSequence() > changesBeforeAbsence {
 		response.Changes, response.Repair, response.NeedDigests = nil, nil, false
 	}
 }
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -24,7 +24,7 @@
 	"fieldrelay/internal/settings"
 )
 
-// patience ends a test that waits in vain.
+// waitTimeout fails a test that still waits after it.
 const waitTimeout = 8 * time.Second
 
 func change(sequence uint64) *pb.Change {
@@ -40,7 +40,7 @@
 	return list
 }
 
-// fakeControl is a control machine that holds whatever a test commits.
+// fakeControl is a control machine whose state is what a test commits.
 type fakeControl struct {
 	fieldrelayv1connect.UnimplementedControlLinkHandler
 	address string
@@ -79,8 +79,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// alter changes what the control machine holds and wakes those that wait.
-func (f *fakeControl) alter(change func()) {
+// update changes the state of the control machine and wakes the long polls.
+func (f *fakeControl) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
@@ -89,7 +89,7 @@
 }
 
 func (f *fakeControl) commit(changes ...*pb.Change) {
-	f.alter(func() { f.replica.ApplyChanges(changes) })
+	f.update(func() { f.replica.ApplyChanges(changes) })
 }
 
 func (f *fakeControl) Watch(ctx context.Context, request *connect.Request[pb.WatchRequest]) (*connect.Response[pb.WatchResponse], error) {
@@ -98,16 +98,16 @@
 	case f.requests <- received:
 	default:
 	}
-	hold := time.NewTimer(time.Duration(received.GetHoldMs()) * time.Millisecond)
-	defer hold.Stop()
+	wait := time.NewTimer(time.Duration(received.GetHoldMs()) * time.Millisecond)
+	defer wait.Stop()
 	for {
-		response, news, changed := f.answer(received)
-		if news || received.GetHoldMs() == 0 {
+		response, updated, changed := f.respond(received)
+		if updated || received.GetHoldMs() == 0 {
 			return connect.NewResponse(response), nil
 		}
 		select {
 		case <-changed:
-		case <-hold.C:
+		case <-wait.C:
 			return connect.NewResponse(response), nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -115,7 +115,7 @@
 	}
 }
 
-func (f *fakeControl) answer(request *pb.WatchRequest) (response *pb.WatchResponse, news bool, changed <-chan struct{}) {
+func (f *fakeControl) respond(request *pb.WatchRequest) (response *pb.WatchResponse, updated bool, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	response = &pb.WatchResponse{
@@ -125,10 +125,10 @@
 		MembersSource: f.address,
 	}
 	if request.GetSequence() < f.replica.Sequence() {
-		news = true
-		changes, kept := f.replica.Since(request.GetSequence())
+		updated = true
+		changes, available := f.replica.Since(request.GetSequence())
 		switch {
-		case kept:
+		case available:
 			response.Changes = changes
 		case request.GetDigests() != nil:
 			response.Repair = f.replica.Snapshot().RepairFor(request.GetDigests())
@@ -138,21 +138,21 @@
 	}
 	if gossip.CompareVersions(f.replica.ListVersion(), request.GetList()) > 0 {
 		response.List = f.replica.List(time.Second)
-		news = true
+		updated = true
 	}
 	known := request.GetMembersSource() == f.address && request.GetMembersVersion() == f.members.GetVersion()
 	if f.members != nil && !known {
 		response.Members = f.members
-		news = true
+		updated = true
 	}
 	if f.view.GetNumber() > request.GetViewNumber() {
 		response.View = f.view
-		news = true
+		updated = true
 	}
-	return response, news, f.changed
+	return response, updated, f.changed
 }
 
-// fakeProxy keeps what it is fed, and checks that it never gets older state.
+// fakeProxy applies what it is sent, and checks that this is never older than what it has.
 type fakeProxy struct {
 	fieldrelayv1connect.UnimplementedProxyFeedHandler
 	t       *testing.T
@@ -162,22 +162,22 @@
 	replica      *gossip.Replica
 	incarnation  uint64
 	ready        bool
-	needsDigests bool // it can't use changes, and tells its digests
+	needsDigests bool // it can't use changes, and reports its digests
 	shares       *pb.Shares
 	confirmed    bool
 	repairs      int
-	events       chan struct{} // one for each exchange, as far as there is room
+	exchanges    chan struct{} // one for each exchange, as far as there is room
 }
 
 func newFakeProxy(t *testing.T) *fakeProxy {
-	proxy := &fakeProxy{t: t, replica: gossip.NewReplica(), incarnation: 1, events: make(chan struct{}, 1)}
+	proxy := &fakeProxy{t: t, replica: gossip.NewReplica(), incarnation: 1, exchanges: make(chan struct{}, 1)}
 	proxy.address = serve(t, func(mux *http.ServeMux) {
 		mux.Handle(fieldrelayv1connect.NewProxyFeedHandler(proxy))
 	})
 	return proxy
 }
 
-// restart makes it a new process that holds nothing.
+// restart replaces it by a new process without state.
 func (f *fakeProxy) restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -225,7 +225,7 @@
 
 func (f *fakeProxy) status() *connect.Response[pb.ProxyStatus] {
 	select {
-	case f.events <- struct{}{}:
+	case f.exchanges <- struct{}{}:
 	default:
 	}
 	status := &pb.ProxyStatus{
@@ -244,8 +244,8 @@
 	return connect.NewResponse(status)
 }
 
-// await waits until the proxy meets a condition.
-func (f *fakeProxy) await(what string, condition func() bool) {
+// waitFor waits until the proxy meets a condition.
+func (f *fakeProxy) waitFor(what string, condition func() bool) {
 	f.t.Helper()
 	end := time.NewTimer(waitTimeout)
 	defer end.Stop()
@@ -257,15 +257,15 @@
 			return
 		}
 		select {
-		case <-f.events:
+		case <-f.exchanges:
 		case <-end.C:
-			require.Fail(f.t, "the proxy waits in vain", what)
+			require.Fail(f.t, "the proxy does not get there in time", what)
 		}
 	}
 }
 
-// awaitRequest waits until the control machine is asked something that meets a condition.
-func (f *fakeControl) awaitRequest(t *testing.T, what string, condition func(request *pb.WatchRequest) bool) {
+// waitForRequest waits until the control machine receives a request that meets a condition.
+func (f *fakeControl) waitForRequest(t *testing.T, what string, condition func(request *pb.WatchRequest) bool) {
 	t.Helper()
 	end := time.NewTimer(waitTimeout)
 	defer end.Stop()
@@ -276,24 +276,24 @@
 				return
 			}
 		case <-end.C:
-			require.Fail(t, "control is not asked", what)
+			require.Fail(t, "control receives no such request", what)
 		}
 	}
 }
 
 // runningAgent is an agent on loopback.
 type runningAgent struct {
-	address string
-	end     context.CancelFunc
-	ended   chan error
+	address  string
+	shutDown context.CancelFunc
+	ended    chan error
 }
 
-// startAgent runs an agent until the test ends. It gets no time of grace.
+// startAgent runs an agent until the test ends, without a grace period.
 func startAgent(t *testing.T, host, proxy string, controls ...string) *runningAgent {
 	return startWithGrace(t, 0, host, proxy, controls...)
 }
 
-// startWithGrace runs an agent that has so long to end.
+// startWithGrace runs an agent with a grace period.
 func startWithGrace(t *testing.T, grace time.Duration, host, proxy string, controls ...string) *runningAgent {
 	from := &settings.Settings{
 		Hostname:  host,
@@ -312,7 +312,7 @@
 		LinkAddress: func(seed string) (string, error) { return seed, nil },
 	}
 	ctx, end := context.WithCancel(context.Background())
-	running := &runningAgent{address: listener.Addr().String(), end: end, ended: make(chan error, 1)}
+	running := &runningAgent{address: listener.Addr().String(), shutDown: end, ended: make(chan error, 1)}
 	logged, logs := observer.New(zap.InfoLevel)
 	logger := zaptest.NewLogger(t, zaptest.Level(zap.InfoLevel)).Named(host).WithOptions(
 		zap.WrapCore(func(printed zapcore.Core) zapcore.Core { return zapcore.NewTee(printed, logged) }))
@@ -325,7 +325,7 @@
 	return running
 }
 
-// requireNoViolations looks at the counters that an agent wrote at its end.
+// requireNoViolations checks the counters that an agent logged at its end.
 func requireNoViolations(t *testing.T, logs *observer.ObservedLogs) {
 	t.Helper()
 	counted := logs.FilterMessage("counters").All()
@@ -339,8 +339,8 @@
 	select {
 	case err := <-r.ended:
 		require.NoError(t, err)
-		r.ended <- nil // for whoever asks next
+		r.ended <- nil // for the next call
 	case <-time.After(waitTimeout):
-		require.Fail(t, "the agent doesn't end")
+		require.Fail(t, "the agent does not end")
 	}
 }
--- a/internal/agent/lag_test.go
+++ b/internal/agent/lag_test.go
@@ -13,14 +13,14 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// observed replaces the log of a core by one that a test reads.
-func observed(s *coreDriver) *observer.ObservedLogs {
+// observeLogs replaces the log of a core by one that a test reads.
+func observeLogs(s *coreDriver) *observer.ObservedLogs {
 	logged, logs := observer.New(zap.DebugLevel)
 	s.core.logger = zap.New(logged)
 	return logs
 }
 
-// requireLine wants exactly one line with a message and returns its fields.
+// requireLine requires exactly one line with a message and returns its fields.
 func requireLine(t *testing.T, logs *observer.ObservedLogs, message string) map[string]any {
 	t.Helper()
 	lines := logs.FilterMessage(message).All()
@@ -37,12 +37,12 @@
 	}
 }
 
-func TestLateCopyIsLoggedFromTheTimeItWasToldOf(t *testing.T) {
+func TestReplicaLagIsLoggedFromTheAdvertisement(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1", "core-2:1")
-	logs := observed(s)
+	logs := observeLogs(s)
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	probe := takeWatch(s, watchProbe)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	probe := requireWatch(s, watchProbe)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Authoritative: true, Sequence: 2}})
 	s.tickFor(replicaLagThreshold)
 	require.Empty(t, logs.FilterMessage("replica lagging").All())
@@ -52,29 +52,29 @@
 	require.EqualValues(t, 2, line["advertised_sequence"])
 	require.Equal(t, 3*replicaLagThreshold, s.core.lag.replicaLag(s.now))
 
-	answer := make(chan *pb.PushResponse, 1)
+	response := make(chan *pb.PushResponse, 1)
 	push := &pb.PushRequest{From: &pb.Neighbour{Host: "edge-2", Address: "10.0.0.2:7661"}, Changes: []*pb.Change{change(1), change(2)}}
-	s.step(pushRequested{request: push, response: answer})
+	s.step(pushRequested{request: push, response: response})
 	line = requireLine(t, logs, "replica caught up")
 	require.Equal(t, "push", line["source"])
 	require.Equal(t, 3*replicaLagThreshold, line["max_lag"])
 	require.Zero(t, s.core.lag.replicaLag(s.now))
 }
 
-func TestCopyThatFollowsEachChangeIsNotLate(t *testing.T) {
+func TestReplicaThatFollowsEachChangeIsNotLagging(t *testing.T) {
 	var l lagMonitor
 	logged, logs := observer.New(zap.DebugLevel)
 	for sequence := range uint64(100) {
 		now := time.Duration(sequence+1) * 300 * time.Millisecond
-		told := watchDone{response: &pb.WatchResponse{Sequence: sequence + 1}}
-		l.observe(now, told, sequence, nil)
+		advertised := watchDone{response: &pb.WatchResponse{Sequence: sequence + 1}}
+		l.observe(now, advertised, sequence, nil)
 		l.confirm(now)
 		l.log(now, zap.New(logged))
 	}
 	require.Zero(t, logs.Len(), "always one behind, and never the same one for long")
 }
 
-func TestEveryNewsTellsItsSequence(t *testing.T) {
+func TestEveryUpdateAdvertisesItsSequence(t *testing.T) {
 	digests := &pb.RangeDigests{Sequence: 5}
 	for expected, events := range map[uint64][]event{
 		0: {tick{}, shutdownRequested{}, proxyCallDone{}, watchDone{}, pushDone{}, compareDone{}, compareRequested{}, shuffleRequested{}},
@@ -87,34 +87,34 @@
 			compareDone{response: &pb.CompareResponse{Sequence: 5}},
 		},
 	} {
-		for _, happened := range events {
-			require.Equal(t, expected, advertisedSequence(happened), "%#v", happened)
+		for _, received := range events {
+			require.Equal(t, expected, advertisedSequence(received), "%#v", received)
 		}
 	}
 }
 
-func TestDeliveriesAreNamed(t *testing.T) {
-	for name, happened := range map[string]event{
+func TestUpdateSourcesAreNamed(t *testing.T) {
+	for name, received := range map[string]event{
 		"repair":  watchDone{response: &pb.WatchResponse{Repair: &pb.Repair{}}},
 		"changes": watchDone{response: &pb.WatchResponse{}},
 		"push":    pushRequested{},
 		"compare": compareDone{call: compareCall{gossip.Compare{To: shuffle.Neighbour{Host: "edge-2"}}}},
 		"unknown": tick{},
 	} {
-		require.Equal(t, name, updateSourceOf(happened).String())
+		require.Equal(t, name, updateSourceOf(received).String())
 	}
 }
 
-func TestLateProxyIsLoggedAndMeasured(t *testing.T) {
+func TestProxyLagIsLoggedAndMeasured(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1")
-	logs := observed(s)
+	logs := observeLogs(s)
 	s.now = time.Millisecond
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
 	repair := &pb.WatchResponse{Sequence: 1, Changes: []*pb.Change{change(1)}}
-	s.step(watchDone{call: takeWatch(s, watchLongPoll), response: repair})
+	s.step(watchDone{call: requireWatch(s, watchLongPoll), response: repair})
 	require.Zero(t, s.core.lag.proxyLag(s.now))
-	apply := takeOne[proxyCall](s)
+	apply := requireCall[proxyCall](s)
 	s.tickFor(2 * proxyLagThreshold)
 	line := requireLine(t, logs, "proxy lagging")
 	require.EqualValues(t, 1, line["sequence"])
@@ -128,7 +128,7 @@
 	require.Zero(t, s.core.lag.proxyLag(s.now))
 }
 
-func TestNewProxyIsLateFromItsOwnStart(t *testing.T) {
+func TestNewProxyLagsFromItsOwnStart(t *testing.T) {
 	var l lagMonitor
 	l.observe(time.Second, tick{}, 3, nil)
 	require.Zero(t, l.proxyLag(9*time.Second), "no proxy is known")
@@ -143,23 +143,23 @@
 
 func TestUnconfirmedStateIsLogged(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1")
-	logs := observed(s)
+	logs := observeLogs(s)
 	s.tickFor(unconfirmedThreshold)
 	require.Empty(t, logs.FilterMessage("state unconfirmed").All())
 	s.tickFor(time.Second)
 	requireLine(t, logs, "state unconfirmed")
-	long := takeWatch(s, watchLongPoll)
+	long := requireWatch(s, watchLongPoll)
 	s.step(watchDone{call: long, response: &pb.WatchResponse{Authoritative: false}})
-	require.Empty(t, logs.FilterMessage("state confirmed").All(), "by a machine without the agreed state")
+	require.Empty(t, logs.FilterMessage("state confirmed").All(), "by a machine without authority")
 	s.tickFor(time.Second)
-	s.step(watchDone{call: takeWatch(s, watchLongPoll), response: &pb.WatchResponse{Authoritative: true}})
+	s.step(watchDone{call: requireWatch(s, watchLongPoll), response: &pb.WatchResponse{Authoritative: true}})
 	line := requireLine(t, logs, "state confirmed")
 	require.Equal(t, unconfirmedThreshold+2*time.Second, line["max_unconfirmed"])
 }
 
-func TestCountersTellTheLags(t *testing.T) {
+func TestCountersContainTheLags(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1")
-	logs := observed(s)
+	logs := observeLogs(s)
 	s.tickFor(countersInterval + time.Second)
 	lines := logs.FilterMessage("counters").All()
 	require.NotEmpty(t, lines)
--- a/internal/agent/membership_test.go
+++ b/internal/agent/membership_test.go
@@ -41,7 +41,7 @@
 	require.EqualValues(t, 2, m.shares.GetVersion().GetRevision())
 }
 
-func TestMemberThatComesBackLingersNoMore(t *testing.T) {
+func TestMemberThatComesBackIsNoLongerLost(t *testing.T) {
 	m := newMembership(shuffle.Neighbour{Host: "self"}, 5)
 	m.update(0, "core-1", members(1, "a", "b"))
 	m.update(time.Second, "core-1", members(2, "a"))
@@ -50,7 +50,7 @@
 	require.Equal(t, []string{"a", "b", "self"}, sharingHosts(&m))
 }
 
-func TestSameListIsNoNews(t *testing.T) {
+func TestSameListIsNoUpdate(t *testing.T) {
 	m := newMembership(shuffle.Neighbour{Host: "self"}, 5)
 	require.False(t, m.update(0, "core-1", nil))
 	require.Nil(t, m.shares)
--- a/internal/agent/model_agent_test.go
+++ b/internal/agent/model_agent_test.go
@@ -20,88 +20,88 @@
 	proxy       *modelProxy
 	core        *core // nil while the process is dead
 	incarnation uint64
-	wakeAt      time.Duration
-	pushes      []*pb.PushRequest // that reached it, to come once more in a later life
+	nextTickAt  time.Duration
+	pushes      []*pb.PushRequest // received, to be repeated in a later incarnation
 }
 
 func (a *modelAgent) start() {
 	a.incarnation++
-	who := identity{neighbour: a.self, incarnation: a.incarnation}
-	a.core = newCore(who, a.seeds, time.Second, rand.New(rand.NewPCG(a.model.random.Uint64(), 1)), zap.NewNop())
-	a.wakeAt = 0
+	self := identity{neighbour: a.self, incarnation: a.incarnation}
+	a.core = newCore(self, a.seeds, time.Second, rand.New(rand.NewPCG(a.model.random.Uint64(), 1)), zap.NewNop())
+	a.nextTickAt = 0
 	a.deliver(tick{})
 }
 
 func (a *modelAgent) kill() { a.core = nil }
 
-// forThisRun returns what delivers an event to this life of the process only.
+// forThisRun returns a function that delivers an event to this incarnation of the process only.
 func (a *modelAgent) forThisRun() func(event) {
-	life := a.incarnation
-	return func(happened event) {
-		if a.incarnation == life {
-			a.deliver(happened)
+	incarnation := a.incarnation
+	return func(received event) {
+		if a.incarnation == incarnation {
+			a.deliver(received)
 		}
 	}
 }
 
-func (a *modelAgent) deliver(happened event) {
+func (a *modelAgent) deliver(received event) {
 	if a.core == nil {
 		return
 	}
 	before := a.core.replica.Sequence()
-	actions := a.core.step(a.model.now, happened)
-	if a.model.watch != nil {
-		a.model.watch(a, happened, actions)
+	actions := a.core.step(a.model.now, received)
+	if a.model.observe != nil {
+		a.model.observe(a, received, actions)
 	}
-	for _, wanted := range actions {
-		a.call(wanted)
+	for _, call := range actions {
+		a.call(call)
 	}
 	if a.core.violations.total() != 0 {
-		a.model.fail("%s counts violations: %+v", a.self.Host, a.core.violations)
+		a.model.fail("%s has violations: %+v", a.self.Host, a.core.violations)
 	}
 	if a.core.replica.Sequence() != before {
 		a.model.check(a.self.Host, a.core.replica.Snapshot())
 	}
-	wake := max(a.core.nextTick(a.model.now), a.model.now+minTickInterval)
-	if a.wakeAt <= a.model.now || wake < a.wakeAt {
-		a.wakeAt = wake
+	nextTick := max(a.core.nextTick(a.model.now), a.model.now+minTickInterval)
+	if a.nextTickAt <= a.model.now || nextTick < a.nextTickAt {
+		a.nextTickAt = nextTick
 		deliver := a.forThisRun()
-		a.model.after(wake-a.model.now, func() {
-			if a.wakeAt == wake {
+		a.model.after(nextTick-a.model.now, func() {
+			if a.nextTickAt == nextTick {
 				deliver(tick{})
 			}
 		})
 	}
 }
 
-var errModelTimeout = errors.New("no answer in time")
+var errModelTimeout = errors.New("no response within the timeout")
 
-func (a *modelAgent) call(wanted action) {
-	switch wanted := wanted.(type) {
+func (a *modelAgent) call(call action) {
+	switch call := call.(type) {
 	case watchCall:
-		a.watch(wanted)
+		a.watch(call)
 	case proxyCall:
-		a.exchange(wanted)
+		a.exchange(call)
 	case pushCall:
-		answer := make(chan *pb.PushResponse, 1)
-		request := &pb.PushRequest{From: neighbourMessage(a.self), Changes: wanted.Changes, List: wanted.List}
-		a.callPeer(wanted.To.Address, pushRequested{request, answer},
-			func() event { return pushDone{call: wanted, response: <-answer} }, pushDone{call: wanted, err: errModelTimeout})
+		response := make(chan *pb.PushResponse, 1)
+		request := &pb.PushRequest{From: neighbourMessage(a.self), Changes: call.Changes, List: call.List}
+		a.callPeer(call.To.Address, pushRequested{request, response},
+			func() event { return pushDone{call: call, response: <-response} }, pushDone{call: call, err: errModelTimeout})
 	case compareCall:
-		answer := make(chan *pb.CompareResponse, 1)
-		request := newCompareRequest(a.self, wanted)
-		a.callPeer(wanted.To.Address, compareRequested{request, answer},
-			func() event { return compareDone{call: wanted, response: <-answer} }, compareDone{call: wanted, err: errModelTimeout})
+		response := make(chan *pb.CompareResponse, 1)
+		request := newCompareRequest(a.self, call)
+		a.callPeer(call.To.Address, compareRequested{request, response},
+			func() event { return compareDone{call: call, response: <-response} }, compareDone{call: call, err: errModelTimeout})
 	case shuffleCall:
-		answer := make(chan *pb.ShuffleResponse, 1)
-		request := &pb.ShuffleRequest{From: neighbourMessage(a.self), Sample: neighbourMessages(wanted.Sample)}
-		a.callPeer(wanted.To.Address, shuffleRequested{request, answer},
-			func() event { return shuffleDone{call: wanted, response: <-answer} }, shuffleDone{call: wanted, err: errModelTimeout})
+		response := make(chan *pb.ShuffleResponse, 1)
+		request := &pb.ShuffleRequest{From: neighbourMessage(a.self), Sample: neighbourMessages(call.Sample)}
+		a.callPeer(call.To.Address, shuffleRequested{request, response},
+			func() event { return shuffleDone{call: call, response: <-response} }, shuffleDone{call: call, err: errModelTimeout})
 	}
 }
 
-func (a *modelAgent) isCut(address string) bool {
-	return a.model.cut[a.self.Address] || a.model.cut[address] || a.model.cut[a.self.Host+">"+address]
+func (a *modelAgent) isPartitioned(address string) bool {
+	return a.model.partitioned[a.self.Address] || a.model.partitioned[address] || a.model.partitioned[a.self.Host+">"+address]
 }
 
 func (a *modelAgent) watch(call watchCall) {
@@ -109,13 +109,13 @@
 	failed := func(after time.Duration, err error) {
 		m.after(after, func() { deliver(watchDone{call: call, err: err}) })
 	}
-	if a.isCut(call.address) {
+	if a.isPartitioned(call.address) {
 		failed(call.dialTimeout, errDialTimeout)
 		return
 	}
-	ended, begun := false, false
+	ended, started := false, false
 	m.after(call.timeout, func() {
-		if !ended && !begun {
+		if !ended && !started {
 			ended = true
 			deliver(watchDone{call: call, err: errModelTimeout})
 		}
@@ -125,7 +125,7 @@
 			return
 		}
 		ended = true
-		if a.isCut(call.address) {
+		if a.isPartitioned(call.address) {
 			failed(stallTimeout, &stalledError{responseStarted: true})
 			return
 		}
@@ -139,8 +139,8 @@
 			if ended {
 				return
 			}
-			begun = !a.isCut(call.address)
-			if begun {
+			started = !a.isPartitioned(call.address)
+			if started {
 				deliver(watchResponseStarted{id: call.id})
 			}
 			m.links.send(call.address, a.self.Address, proto.Size(response), func() {
@@ -168,20 +168,20 @@
 	return nil
 }
 
-// callPeer brings a call to another agent and its answer back.
-func (a *modelAgent) callPeer(address string, asked event, answer func() event, failed event) {
+// callPeer carries a call to another agent and its response back.
+func (a *modelAgent) callPeer(address string, request event, response func() event, failed event) {
 	m, deliver := a.model, a.forThisRun()
 	m.after(m.latency(), func() {
 		other := m.agent(address)
-		if other == nil || other.core == nil || a.isCut(address) {
+		if other == nil || other.core == nil || a.isPartitioned(address) {
 			m.after(peerTimeout, func() { deliver(failed) })
 			return
 		}
-		if push, isPush := asked.(pushRequested); isPush && len(other.pushes) < 100 {
+		if push, isPush := request.(pushRequested); isPush && len(other.pushes) < 100 {
 			other.pushes = append(other.pushes, push.request)
 		}
-		other.deliver(asked)
-		done := answer()
+		other.deliver(request)
+		done := response()
 		ended := false
 		m.after(maxCallDuration, func() {
 			if !ended {
@@ -189,19 +189,19 @@
 				deliver(failed)
 			}
 		})
-		m.links.send(address, a.self.Address, answerSize(done), func() {
+		m.links.send(address, a.self.Address, responseSize(done), func() {
 			m.after(m.latency(), func() {
-				if !ended && !a.isCut(address) {
+				if !ended && !a.isPartitioned(address) {
 					ended = true
-					deliver(unpackedAnswer(done))
+					deliver(decompressedResponse(done))
 				}
 			})
 		})
 	})
 }
 
-// unpackedAnswer is another agent's answer as the caller hands it on.
-func unpackedAnswer(done event) event {
+// decompressedResponse returns another agent's response as the caller posts it.
+func decompressedResponse(done event) event {
 	if compared, isCompare := done.(compareDone); isCompare {
 		compared.err = decompressCompare(compared.response)
 		return compared
@@ -209,8 +209,8 @@
 	return done
 }
 
-// answerSize is the size in bytes of another agent's answer.
-func answerSize(done event) int {
+// responseSize returns the size in bytes of another agent's response.
+func responseSize(done event) int {
 	switch done := done.(type) {
 	case pushDone:
 		return proto.Size(done.response)
@@ -222,7 +222,7 @@
 	return 0
 }
 
-// repeatPushes brings pushes once more that reached this machine long ago, from neighbours of earlier lives.
+// repeatPushes delivers again the pushes that this machine has received, also those of neighbours' earlier incarnations.
 func (a *modelAgent) repeatPushes() {
 	for _, request := range a.pushes {
 		a.deliver(pushRequested{request: request, response: make(chan *pb.PushResponse, 1)})
@@ -231,8 +231,8 @@
 
 func (a *modelAgent) exchange(call proxyCall) {
 	m, deliver := a.model, a.forThisRun()
-	if m.plant.proxyCall != nil {
-		m.plant.proxyCall(&call)
+	if m.injected.proxyCall != nil {
+		m.injected.proxyCall(&call)
 	}
 	m.after(m.upTo(2*time.Millisecond), func() {
 		if a.proxy.dead {
--- a/internal/agent/model_control_test.go
+++ b/internal/agent/model_control_test.go
@@ -8,27 +8,27 @@
 	"fieldrelay/internal/packing"
 )
 
-// modelControl answers watches as package controlserver does.
+// modelControl responds to watches as package controlserver does.
 type modelControl struct {
 	model         *model
 	address       string
 	replica       *gossip.Replica
 	authoritative bool
-	stuck         bool // it hears of nothing new
-	dead          bool // it answers nothing
+	stalled       bool // it receives nothing new
+	dead          bool // it responds to nothing
 	waiting       []*modelWatch
 	packer        packing.Packer
 }
 
-// modelWatch is a call that is held; after its answer done is nil.
+// modelWatch is a long poll that waits for an update.
 type modelWatch struct {
 	request *pb.WatchRequest
 	done    func(*pb.WatchResponse)
 }
 
-// follow takes all changes up to now, now and then as a whole state: then it keeps no changes from before.
+// follow applies all changes up to now, now and then as a complete state, after which it has no earlier changes.
 func (c *modelControl) follow() {
-	if c.stuck {
+	if c.stalled {
 		return
 	}
 	if c.model.random.IntN(200) == 0 {
@@ -38,44 +38,44 @@
 		}
 	}
 	c.replica.ApplyChanges(c.model.changes[c.replica.Sequence():])
-	c.answerWaiting(false)
+	c.respondToWaiting(false)
 }
 
-func (c *modelControl) answerWaiting(all bool) {
-	var kept []*modelWatch
+func (c *modelControl) respondToWaiting(all bool) {
+	var remaining []*modelWatch
 	for _, waiting := range c.waiting {
-		if response, news := c.compose(waiting.request); news || all {
+		if response, updated := c.respond(waiting.request); updated || all {
 			waiting.done(response)
 		} else {
-			kept = append(kept, waiting)
+			remaining = append(remaining, waiting)
 		}
 	}
-	c.waiting = kept
+	c.waiting = remaining
 }
 
 func (c *modelControl) watch(request *pb.WatchRequest, done func(*pb.WatchResponse)) {
-	response, news := c.compose(request)
-	if news || request.GetHoldMs() == 0 {
+	response, updated := c.respond(request)
+	if updated || request.GetHoldMs() == 0 {
 		done(response)
 		return
 	}
-	held := &modelWatch{request: request}
+	waiting := &modelWatch{request: request}
 	answered := false
-	held.done = func(response *pb.WatchResponse) {
+	waiting.done = func(response *pb.WatchResponse) {
 		if !answered {
 			answered = true
 			done(response)
 		}
 	}
-	c.waiting = append(c.waiting, held)
+	c.waiting = append(c.waiting, waiting)
 	c.model.after(time.Duration(request.GetHoldMs())*time.Millisecond, func() {
-		response, _ := c.compose(request)
-		held.done(response)
+		response, _ := c.respond(request)
+		waiting.done(response)
 	})
 }
 
-// compose is the answer as of now and whether it has to be sent at once.
-func (c *modelControl) compose(request *pb.WatchRequest) (*pb.WatchResponse, bool) {
+// respond returns the response as of now, and whether it is due at once.
+func (c *modelControl) respond(request *pb.WatchRequest) (*pb.WatchResponse, bool) {
 	response := &pb.WatchResponse{
 		Authoritative: c.authoritative,
 		Sequence:      c.replica.Sequence(),
@@ -85,30 +85,30 @@
 	if request.GetProbe() {
 		return response, c.authoritative
 	}
-	news := c.addState(response, request)
+	updated := c.addState(response, request)
 	c.packer.PackAnswer(request, response)
 	if request.GetMembersSource() != c.address {
 		response.Members = c.model.members()
-		news = true
+		updated = true
 	}
-	if c.model.plant.watch != nil {
-		c.model.plant.watch(response)
+	if c.model.injected.watch != nil {
+		c.model.injected.watch(response)
 	}
-	return response, news
+	return response, updated
 }
 
 func (c *modelControl) addState(response *pb.WatchResponse, request *pb.WatchRequest) bool {
-	switch held := request.GetSequence(); {
-	case held >= c.replica.Sequence():
+	switch sequence := request.GetSequence(); {
+	case sequence >= c.replica.Sequence():
 		return false
-	case held == 0:
+	case sequence == 0:
 		response.Repair = c.replica.Snapshot().RepairFor(nil)
 	default:
-		changes, kept := c.replica.Since(held)
+		changes, available := c.replica.Since(sequence)
 		switch digests := request.GetDigests(); {
-		case kept:
+		case available:
 			response.Changes = changes
-		case digests != nil && digests.GetSequence() == held:
+		case digests != nil && digests.GetSequence() == sequence:
 			response.Repair = c.replica.Snapshot().RepairFor(digests)
 		default:
 			response.NeedDigests = true
--- a/internal/agent/model_proxy_test.go
+++ b/internal/agent/model_proxy_test.go
@@ -6,7 +6,7 @@
 	"fieldrelay/internal/gossip"
 )
 
-// modelProxy takes in what it is fed as package proxy does: changes that follow, or a whole state.
+// modelProxy applies what it is sent as package proxy does: changes that follow its state, or a complete state.
 type modelProxy struct {
 	model       *model
 	replica     *gossip.Replica
@@ -24,7 +24,7 @@
 
 func (p *modelProxy) apply(request *pb.ApplyRequest) *pb.ProxyStatus {
 	if request.GetProxyIncarnation() == p.incarnation {
-		p.take(request)
+		p.applyUpdate(request)
 	}
 	status := &pb.ProxyStatus{Incarnation: p.incarnation, Sequence: p.replica.Sequence(), Generation: p.replica.Snapshot().Generation()}
 	if p.gap || p.replica.Sequence() == 0 {
@@ -33,12 +33,12 @@
 	return status
 }
 
-// take also checks that nothing in a call is older than what the proxy held when it told its status last.
-func (p *modelProxy) take(request *pb.ApplyRequest) {
+// applyUpdate also checks that nothing in a call is older than what the proxy last reported.
+func (p *modelProxy) applyUpdate(request *pb.ApplyRequest) {
 	before := p.replica.Sequence()
 	if repair := request.GetRepair(); repair != nil {
 		if repair.GetSequence() < before {
-			p.model.fail("a proxy that holds %d is handed the state %d", before, repair.GetSequence())
+			p.model.fail("a proxy at %d is sent the state %d", before, repair.GetSequence())
 		}
 		if len(repair.GetRanges()) == catalog.RangeCount {
 			_, err := p.replica.Restore(nil, repair)
@@ -52,7 +52,7 @@
 		p.replica.ApplyChanges([]*pb.Change{change})
 	}
 	if last := len(request.GetChanges()) - 1; last >= 0 && request.GetChanges()[last].GetSequence() < before {
-		p.model.fail("a proxy that holds %d is handed changes up to %d", before, request.GetChanges()[last].GetSequence())
+		p.model.fail("a proxy at %d is sent changes up to %d", before, request.GetChanges()[last].GetSequence())
 	}
 	p.model.check("a proxy", p.replica.Snapshot())
 }
--- a/internal/agent/model_test.go
+++ b/internal/agent/model_test.go
@@ -16,25 +16,25 @@
 
 // model is a set of agents with their proxies and control machines, without I/O, in simulated time.
 type model struct {
-	random   *rand.Rand
-	now      time.Duration
-	events   modelEvents
-	number   uint64
-	truth    []*catalog.Snapshot // by sequence
-	changes  []*pb.Change        // by sequence - 1
-	controls []*modelControl
-	agents   []*modelAgent
-	cut      map[string]bool // addresses that nobody reaches and from which nothing comes
-	failures []string
-	plant    planted
-	links    *modelLinks                                            // nil: of endless bandwidth
-	watch    func(who *modelAgent, happened event, wanted []action) // is told of each step; nil: nobody
+	random      *rand.Rand
+	now         time.Duration
+	events      modelEvents
+	number      uint64
+	truth       []*catalog.Snapshot // by sequence
+	changes     []*pb.Change        // by sequence - 1
+	controls    []*modelControl
+	agents      []*modelAgent
+	partitioned map[string]bool // addresses, or HOST>ADDRESS pairs, that no message reaches or leaves
+	failures    []string
+	injected    injectedFault
+	links       *modelLinks                                               // nil: of unlimited bandwidth
+	observe     func(agent *modelAgent, received event, actions []action) // called after each step; nil: nothing is called
 }
 
-// planted is a fault, to show that the model's checks find it. The zero value plants none.
-type planted struct {
-	proxyCall func(call *proxyCall)            // changes what a proxy is handed
-	watch     func(response *pb.WatchResponse) // changes what a control machine answers
+// injectedFault shows that the model's checks find a fault. The zero value injects none.
+type injectedFault struct {
+	proxyCall func(call *proxyCall)            // changes what a proxy is sent
+	watch     func(response *pb.WatchResponse) // changes what a control machine responds
 }
 
 type modelEvent struct {
@@ -62,10 +62,10 @@
 
 func newModel(seed uint64, controls, agents int) *model {
 	m := &model{
-		random: rand.New(rand.NewPCG(seed, 3)),
-		now:    time.Nanosecond,
-		truth:  []*catalog.Snapshot{catalog.Empty()},
-		cut:    make(map[string]bool),
+		random:      rand.New(rand.NewPCG(seed, 3)),
+		now:         time.Nanosecond,
+		truth:       []*catalog.Snapshot{catalog.Empty()},
+		partitioned: make(map[string]bool),
 	}
 	var seeds []string
 	for index := range controls {
@@ -122,17 +122,17 @@
 	m.failures = append(m.failures, fmt.Sprintf("%.3f ", m.now.Seconds())+fmt.Sprintf(format, arguments...))
 }
 
-// check wants a state to be the one that its sequence number stands for.
-func (m *model) check(who string, state *catalog.Snapshot) {
+// check fails the run unless a state is the one of its sequence.
+func (m *model) check(subject string, state *catalog.Snapshot) {
 	if !proto.Equal(m.truth[state.Sequence()].Digests(), state.Digests()) {
-		m.fail("%s holds another state %d", who, state.Sequence())
+		m.fail("%s has another state %d", subject, state.Sequence())
 	}
 }
 
 // last is the sequence of the newest change.
 func (m *model) last() uint64 { return uint64(len(m.changes)) }
 
-// commit makes a change and tells it to the control machines that follow, within some milliseconds.
+// commit makes a change, which the control machines receive within some milliseconds.
 func (m *model) commit() {
 	sequence := m.last() + 1
 	made := &pb.Change{Sequence: sequence, Generation: sequence}
@@ -155,7 +155,7 @@
 	m.add(made)
 }
 
-// add takes a change that follows the newest one.
+// add commits a change that follows the newest one.
 func (m *model) add(made *pb.Change) {
 	next, err := m.truth[made.GetSequence()-1].Apply(made)
 	if err != nil {
@@ -165,7 +165,7 @@
 	m.truth = append(m.truth, next)
 	m.changes = append(m.changes, made)
 	for _, control := range m.controls {
-		if !control.stuck {
+		if !control.stalled {
 			m.after(m.latency(), control.follow)
 		}
 	}
--- a/internal/agent/narrowlinks_storm_test.go
+++ b/internal/agent/narrowlinks_storm_test.go
@@ -9,30 +9,29 @@
 
 const (
 	// defaultNarrowStorms is the number of storms over narrow links; AGENT_NARROW_STORMS sets another one.
-	defaultNarrowStorms = 2
-	narrowRoutes        = 200
-	narrowEvery         = time.Second
-	narrowStormFor      = 12 * time.Second
+	defaultNarrowStorms  = 2
+	narrowRoutes         = 200
+	narrowCommitInterval = time.Second
+	narrowStormDuration  = 12 * time.Second
 )
 
-// Large changes over narrow links, beside agents, proxies and control machines that come and go, reach all proxies in the
-// end.
+// Large changes over narrow links, beside faults of agents, proxies and control machines, reach all proxies in the end.
 func TestAgentsThroughStormsOverNarrowLinks(t *testing.T) {
 	first, count := environment("AGENT_FIRST", 1), environment("AGENT_NARROW_STORMS", defaultNarrowStorms)
 	worst := time.Duration(0)
 	for seed := first; seed < first+count; seed++ {
 		m := newModel(uint64(seed), 3, 6)
-		m.narrow()
+		m.limitBandwidth()
 		for machine := range m.links.capacity {
 			m.links.capacity[machine] /= 20
 		}
 		m.commitRoutes(narrowRoutes)
 		require.True(t, m.runUntil(time.Minute, m.converged), "seed %d: the first state", seed)
-		end := m.now + narrowStormFor
+		end := m.now + narrowStormDuration
 		m.storm(end)
 		for m.now < end {
 			m.commitRoutes(1 + m.random.IntN(narrowRoutes))
-			m.runUntil(narrowEvery, func() bool { return false })
+			m.runUntil(narrowCommitInterval, func() bool { return false })
 		}
 		m.runUntil(20*time.Second, func() bool { return false })
 		m.commitRoutes(narrowRoutes)
--- a/internal/agent/narrowlinks_test.go
+++ b/internal/agent/narrowlinks_test.go
@@ -13,7 +13,7 @@
 	"fieldrelay/internal/packing"
 )
 
-// Links and sizes of the deployment whose operators saw changes come late: 61 edge machines on 10 Mbit/s and five
+// Links and sizes of a deployment in which changes were late (docs/incidents/config-late.md): 61 edge machines on 10 Mbit/s and five
 // control machines on 30 Mbit/s, of which two may be lost; 1,500 routes, and 1,400 more in one change.
 const (
 	edgeBandwidth    = 10e6 / 8 // bytes a second
@@ -23,12 +23,12 @@
 	lostMachines     = 2
 	routesAtFirst    = 1500
 	routesInChange   = 1400
-	// inForceWithin is the time that such operators give a change.
-	inForceWithin = 3 * time.Second
+	// maxApplyDelay is the longest time from a commit to the last proxy that such a deployment accepts.
+	maxApplyDelay = 3 * time.Second
 )
 
-// narrow gives the machines links of bounded bandwidth.
-func (m *model) narrow() {
+// limitBandwidth gives the machines links of bounded bandwidth.
+func (m *model) limitBandwidth() {
 	m.links = newModelLinks(m)
 	for _, control := range m.controls {
 		m.links.capacity[control.address] = controlBandwidth
@@ -58,11 +58,11 @@
 	m.add(made)
 }
 
-// lose takes control machines away without a word.
-func (m *model) lose(count int) {
-	for _, control := range m.controls[:count] {
+// loseControlMachines makes control machines fail silently.
+func (m *model) loseControlMachines() {
+	for _, control := range m.controls[:lostMachines] {
 		control.dead = true
-		m.cut[control.address] = true
+		m.partitioned[control.address] = true
 	}
 }
 
@@ -70,10 +70,10 @@
 func TestALargeChangeIsInForceInTimeOverNarrowLinks(t *testing.T) {
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
 		m := newModel(seed, coreMachines, edgeMachines)
-		m.narrow()
+		m.limitBandwidth()
 		m.commitRoutes(routesAtFirst)
 		require.True(t, m.runUntil(time.Minute, m.converged), "seed %d: the first state", seed)
-		m.lose(lostMachines)
+		m.loseControlMachines()
 		m.runUntil(5*time.Second, func() bool { return false })
 		for round := range 3 {
 			before := m.links.carried
@@ -82,45 +82,45 @@
 			inForce := m.runUntil(time.Minute, m.converged)
 			t.Logf("seed %d, change %d: in force after %v, %.1f MB carried", seed, round, m.now-began, (m.links.carried-before)/1e6)
 			require.True(t, inForce)
-			require.Less(t, m.now-began, inForceWithin, "seed %d, change %d", seed, round)
+			require.Less(t, m.now-began, maxApplyDelay, "seed %d, change %d", seed, round)
 		}
 		require.Empty(t, m.failures, "seed %d", seed)
 	}
 }
 
-// All agents that begin at once with nothing, as after a loss of power, hold the whole state in time.
+// All agents that start at once without state, as after a loss of power, have the complete state in time.
 func TestAllAgentsStartInTimeOverNarrowLinks(t *testing.T) {
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
 		m := newModel(seed, coreMachines, edgeMachines)
-		m.narrow()
-		m.lose(lostMachines)
+		m.limitBandwidth()
+		m.loseControlMachines()
 		m.commitRoutes(routesAtFirst)
 		m.commitRoutes(routesInChange)
 		inForce := m.runUntil(time.Minute, m.converged)
 		t.Logf("seed %d: in force after %v, %.1f MB carried", seed, m.now, m.links.carried/1e6)
 		require.True(t, inForce)
-		require.Less(t, m.now, inForceWithin, "seed %d", seed)
+		require.Less(t, m.now, maxApplyDelay, "seed %d", seed)
 		require.Empty(t, m.failures, "seed %d", seed)
 	}
 }
 
-// Over links so narrow that every answer takes longer than a call without any may, the agents still get all of it: what
-// is on its way is not given up and asked for anew.
-func TestAnswersThatTakeLongMakeHeadway(t *testing.T) {
+// Over links so narrow that every response takes longer than the timeout for its start, the agents still get all of it:
+// a response on its way is not abandoned and requested again.
+func TestSlowResponsesMakeProgress(t *testing.T) {
 	const (
 		narrower = 20
-		// slack allows for answers that are asked for twice, and those of neighbours.
+		// slack allows for responses that are requested twice, and those of neighbours.
 		slack = 3
 	)
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
 		m := newModel(seed, coreMachines, edgeMachines)
-		m.narrow()
+		m.limitBandwidth()
 		m.commitRoutes(10)
 		require.True(t, m.runUntil(time.Minute, m.converged), "seed %d: the first state", seed)
 		for machine := range m.links.capacity {
 			m.links.capacity[machine] /= narrower
 		}
-		m.lose(lostMachines)
+		m.loseControlMachines()
 		m.runUntil(5*time.Second, func() bool { return false })
 		began := m.now
 		m.commitRoutes(routesInChange)
--- a/internal/agent/partition_start_test.go
+++ b/internal/agent/partition_start_test.go
@@ -16,48 +16,48 @@
 )
 
 const (
-	cutStep = 10 * time.Millisecond
-	// longestCut is how long a control machine may be cut off from the others.
-	longestCut = 22 * time.Second
-	// commitEvery is the time between two changes of the agreed state.
-	commitEvery = 300 * time.Millisecond
-	// linkedWithin is how soon the proxy's state must be confirmed once the agent reaches the others.
-	linkedWithin = 3 * time.Second
-	// confirmedAge is how old the confirmed state may be: a call ends after watchTimeout.
-	confirmedAge = watchTimeout + 100*time.Millisecond
+	partitionStep = 10 * time.Millisecond
+	// maxPartition is the longest partition of a control machine from the others.
+	maxPartition = 22 * time.Second
+	// commitInterval is the time between two changes of the agreed state.
+	commitInterval = 300 * time.Millisecond
+	// confirmedWithin is the time in which the proxy's state has to be confirmed once the agent reaches the others.
+	confirmedWithin = 3 * time.Second
+	// maxStaleness bounds the age of the confirmed state: a call ends after watchTimeout.
+	maxStaleness = watchTimeout + 100*time.Millisecond
 )
 
-// cutStart is a simulated agent that starts while the first of its seeds is cut off from the other control
+// partitionedStart is a simulated agent that starts while one of its seeds is partitioned from the other control
 // machines; the agent itself may be on either side.
-type cutStart struct {
-	t        *testing.T
-	random   *rand.Rand
-	now      time.Duration
-	core     *core
-	pending  []pendingEvent
-	cutAt    time.Duration
-	joinAt   time.Duration
-	reaches  time.Duration // when the agent reaches the others
-	deceives bool          // the planted fault: the cut machine calls its state agreed
+type partitionedStart struct {
+	t               *testing.T
+	random          *rand.Rand
+	now             time.Duration
+	core            *core
+	pending         []pendingEvent
+	partitionedAt   time.Duration
+	healedAt        time.Duration
+	reachableAt     time.Duration // when the agent reaches the others
+	claimsAuthority bool          // the injected fault: the partitioned machine claims authority
 
 	proxy       *gossip.Replica
 	confirmedAt time.Duration // 0: not yet
-	stale       time.Duration // age of the confirmed state
+	staleness   time.Duration // age of the confirmed state
 }
 
 type pendingEvent struct {
-	at       time.Duration
-	happened event
+	at    time.Duration
+	event event
 }
 
-func newCutStart(t *testing.T, seed uint64) *cutStart {
+func newPartitionedStart(t *testing.T, seed uint64) *partitionedStart {
 	random := rand.New(rand.NewPCG(seed, 3))
-	s := &cutStart{t: t, random: random, proxy: gossip.NewReplica(), cutAt: 5 * time.Second}
-	s.joinAt = s.cutAt + time.Duration(random.Int64N(int64(longestCut)))
-	s.now = s.cutAt + time.Duration(random.Int64N(int64(s.joinAt-s.cutAt)+1))
-	s.reaches = s.now
+	s := &partitionedStart{t: t, random: random, proxy: gossip.NewReplica(), partitionedAt: 5 * time.Second}
+	s.healedAt = s.partitionedAt + time.Duration(random.Int64N(int64(maxPartition)))
+	s.now = s.partitionedAt + time.Duration(random.Int64N(int64(s.healedAt-s.partitionedAt)+1))
+	s.reachableAt = s.now
 	if random.IntN(2) == 0 {
-		s.reaches = s.joinAt
+		s.reachableAt = s.healedAt
 	}
 	self := shuffle.Neighbour{Host: "edge-1", Address: "10.0.0.1:7661", Zone: "zone-a", Region: "region-a"}
 	s.core = newCore(identity{neighbour: self, incarnation: 1}, seedsOf(random), 8*time.Second, random, zap.NewNop())
@@ -65,21 +65,21 @@
 	return s
 }
 
-// cutSeed is the machine that is cut off.
-const cutSeed = "core-0:1"
+// partitionedSeed is the machine that is partitioned from the others.
+const partitionedSeed = "core-0:1"
 
 func seedsOf(random *rand.Rand) []string {
-	seeds := []string{cutSeed, "core-1:1", "core-2:1"}
+	seeds := []string{partitionedSeed, "core-1:1", "core-2:1"}
 	random.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
 	return seeds
 }
 
 // agreed is the newest committed sequence at a time.
-func agreed(at time.Duration) uint64 { return uint64(at / commitEvery) }
+func agreed(at time.Duration) uint64 { return uint64(at / commitInterval) }
 
 // run plays until the proxy's state is confirmed, or until it should have been.
-func (s *cutStart) run() {
-	for end := s.reaches + linkedWithin; s.now < end && s.confirmedAt == 0; s.now += cutStep {
+func (s *partitionedStart) run() {
+	for end := s.reachableAt + confirmedWithin; s.now < end && s.confirmedAt == 0; s.now += partitionStep {
 		due := s.pending
 		s.pending = nil
 		for _, one := range due {
@@ -87,38 +87,38 @@
 				s.pending = append(s.pending, one)
 				continue
 			}
-			s.step(one.happened)
+			s.step(one.event)
 		}
 		s.step(tick{})
 	}
 }
 
-func (s *cutStart) step(happened event) {
-	for _, wanted := range s.core.step(s.now, happened) {
-		switch wanted := wanted.(type) {
+func (s *partitionedStart) step(received event) {
+	for _, call := range s.core.step(s.now, received) {
+		switch wanted := call.(type) {
 		case watchCall:
 			s.watch(wanted)
 		case proxyCall:
-			s.feed(wanted)
+			s.applyToProxy(wanted)
 		}
 	}
 	require.Zero(s.t, s.core.violations.total())
 }
 
-func (s *cutStart) later(wait time.Duration, happened event) {
-	s.pending = append(s.pending, pendingEvent{at: s.now + wait, happened: happened})
+func (s *partitionedStart) later(wait time.Duration, received event) {
+	s.pending = append(s.pending, pendingEvent{at: s.now + wait, event: received})
 }
 
-// watch lets a control machine answer, at once if it has news, at the end of the hold otherwise.
-func (s *cutStart) watch(call watchCall) {
-	if call.address != cutSeed && s.now < s.reaches {
-		s.later(call.dialTimeout, watchDone{call: call, err: errors.Mark(errors.New("cut"), errDialTimeout)})
+// watch lets a control machine respond: at once if it has an update or authority, otherwise at the end of the wait.
+func (s *partitionedStart) watch(call watchCall) {
+	if call.address != partitionedSeed && s.now < s.reachableAt {
+		s.later(call.dialTimeout, watchDone{call: call, err: errors.Mark(errors.New("partitioned"), errDialTimeout)})
 		return
 	}
-	isCut := call.address == cutSeed && s.now < s.joinAt
-	response := &pb.WatchResponse{Authoritative: !isCut || s.deceives, Sequence: agreed(s.now)}
+	isCut := call.address == partitionedSeed && s.now < s.healedAt
+	response := &pb.WatchResponse{Authoritative: !isCut || s.claimsAuthority, Sequence: agreed(s.now)}
 	if isCut {
-		response.Sequence = agreed(s.cutAt)
+		response.Sequence = agreed(s.partitionedAt)
 	}
 	if response.Sequence > call.request.GetSequence() && !call.request.GetProbe() {
 		response.Repair = stateUpTo(response.Sequence).Snapshot().RepairFor(nil)
@@ -130,22 +130,22 @@
 	s.later(wait, watchDone{call: call, response: response})
 }
 
-// states are copies by their sequence.
+// states are replicas by their sequence.
 var states = make(map[uint64]*gossip.Replica)
 
 func stateUpTo(sequence uint64) *gossip.Replica {
 	if states[sequence] == nil {
-		held := gossip.NewReplica()
+		replica := gossip.NewReplica()
 		for next := uint64(1); next <= sequence; next++ {
-			held.ApplyChanges([]*pb.Change{change(next)})
+			replica.ApplyChanges([]*pb.Change{change(next)})
 		}
-		states[sequence] = held
+		states[sequence] = replica
 	}
 	return states[sequence]
 }
 
-// feed lets the proxy take what it is given.
-func (s *cutStart) feed(call proxyCall) {
+// applyToProxy lets the proxy apply what it is sent.
+func (s *partitionedStart) applyToProxy(call proxyCall) {
 	if repair := call.apply.GetRepair(); repair != nil {
 		_, err := s.proxy.Restore(nil, repair)
 		require.NoError(s.t, err)
@@ -153,7 +153,7 @@
 	s.proxy.ApplyChanges(call.apply.GetChanges())
 	if call.apply.GetConfirmed() && s.confirmedAt == 0 {
 		s.confirmedAt = s.now
-		s.stale = s.now - time.Duration(s.proxy.Sequence()+1)*commitEvery
+		s.staleness = s.now - time.Duration(s.proxy.Sequence()+1)*commitInterval
 	}
 	status := &pb.ProxyStatus{Incarnation: 7, Sequence: s.proxy.Sequence(), Ready: s.confirmedAt > 0}
 	s.later(time.Millisecond, proxyCallDone{call: call, status: status})
@@ -162,13 +162,13 @@
 func TestAgentThatStartsDuringACutIsConfirmedByTheOthersAlone(t *testing.T) {
 	var waits, stales []time.Duration
 	for seed := range uint64(400) {
-		s := newCutStart(t, seed)
+		s := newPartitionedStart(t, seed)
 		s.run()
 		require.NotZero(t, s.confirmedAt, "seed %d: not confirmed", seed)
-		require.LessOrEqual(t, s.stale, confirmedAge, "seed %d", seed)
-		require.GreaterOrEqual(t, s.confirmedAt, s.reaches, "seed %d: by the cut machine", seed)
-		waits = append(waits, s.confirmedAt-s.reaches)
-		stales = append(stales, s.stale)
+		require.LessOrEqual(t, s.staleness, maxStaleness, "seed %d", seed)
+		require.GreaterOrEqual(t, s.confirmedAt, s.reachableAt, "seed %d: by the partitioned machine", seed)
+		waits = append(waits, s.confirmedAt-s.reachableAt)
+		stales = append(stales, s.staleness)
 	}
 	slices.Sort(waits)
 	t.Logf("confirmed after %v (p50), %v (p99), %v at most; the state was %v old at most",
@@ -178,10 +178,10 @@
 func TestACutMachineThatCallsItsStateAgreedIsFound(t *testing.T) {
 	found := 0
 	for seed := range uint64(40) {
-		s := newCutStart(t, seed)
-		s.deceives = true
+		s := newPartitionedStart(t, seed)
+		s.claimsAuthority = true
 		s.run()
-		if s.stale > confirmedAge {
+		if s.staleness > maxStaleness {
 			found++
 		}
 	}
--- a/internal/agent/proxy_link_test.go
+++ b/internal/agent/proxy_link_test.go
@@ -15,7 +15,7 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// feeding is a feed with all that it looks at.
+// proxyLinkFixture is a proxy link with what it reads.
 type proxyLinkFixture struct {
 	t       *testing.T
 	now     time.Duration
@@ -33,12 +33,14 @@
 	}
 }
 
-func (f *proxyLinkFixture) next() *proxyCall { return f.link.nextCall(f.now, f.replica, &f.members) }
+func (f *proxyLinkFixture) nextCall() *proxyCall {
+	return f.link.nextCall(f.now, f.replica, &f.members)
+}
 
-// exchange answers the call that is due with a status.
+// exchange ends the call that is due with a status.
 func (f *proxyLinkFixture) exchange(status *pb.ProxyStatus) *pb.ApplyRequest {
 	f.t.Helper()
-	call := f.next()
+	call := f.nextCall()
 	require.NotNil(f.t, call)
 	f.link.handleDone(f.now, proxyCallDone{call: *call, status: status})
 	return call.apply
@@ -46,7 +48,7 @@
 
 func (f *proxyLinkFixture) fail() {
 	f.t.Helper()
-	call := f.next()
+	call := f.nextCall()
 	require.NotNil(f.t, call)
 	f.link.handleDone(f.now, proxyCallDone{call: *call, err: errors.New("refused")})
 }
@@ -68,7 +70,7 @@
 	ahead := &pb.ProxyStatus{Incarnation: 7, Sequence: 5, List: &pb.ListVersion{Epoch: 9}}
 	f.exchange(ahead)
 	f.link.confirm(f.now)
-	require.Nil(t, f.next(), "neither state, nor list, nor confirmation")
+	require.Nil(t, f.nextCall(), "neither state, nor list, nor confirmation")
 	f.now += exchangeInterval
 	require.Nil(t, f.exchange(ahead))
 }
@@ -82,27 +84,27 @@
 	require.Len(t, apply.GetRepair().GetRanges(), catalog.RangeCount)
 }
 
-func TestWhatIsSentInVainIsNotSentAgainAtOnce(t *testing.T) {
+func TestUpdateNotTakenIsNotResentAtOnce(t *testing.T) {
 	f := newProxyLinkFixture(t)
 	f.replica.ApplyChanges([]*pb.Change{change(1)})
 	stuck := &pb.ProxyStatus{Incarnation: 7}
 	f.exchange(stuck)
 	require.NotNil(t, f.exchange(stuck))
-	require.Nil(t, f.next())
+	require.Nil(t, f.nextCall())
 	f.now += exchangeInterval
 	require.NotNil(t, f.exchange(stuck))
 	f.replica.ApplyChanges([]*pb.Change{change(2)})
-	require.Len(t, f.exchange(stuck).GetChanges(), 2, "news goes at once")
+	require.Len(t, f.exchange(stuck).GetChanges(), 2, "anything newer is sent at once")
 }
 
-func TestGoneProxyIsAskedForItsStatusFirst(t *testing.T) {
+func TestUnreachableProxyIsQueriedForItsStatusFirst(t *testing.T) {
 	f := newProxyLinkFixture(t)
 	f.exchange(&pb.ProxyStatus{Incarnation: 7, Ready: true})
 	require.True(t, f.link.ready())
 	f.replica.ApplyChanges([]*pb.Change{change(1)})
 	f.fail()
 	require.False(t, f.link.ready())
-	require.Nil(t, f.next())
+	require.Nil(t, f.nextCall())
 	f.now += proxyRetryInterval
 	require.Nil(t, f.exchange(&pb.ProxyStatus{Incarnation: 8}), "a status")
 	require.NotNil(t, f.exchange(&pb.ProxyStatus{Incarnation: 8, Sequence: 1}))
@@ -114,31 +116,31 @@
 	require.False(t, f.link.confirmed, "no proxy is known")
 	f.exchange(&pb.ProxyStatus{Incarnation: 7})
 	f.link.confirm(f.now - 1)
-	require.False(t, f.link.confirmed, "asked before the proxy was known")
+	require.False(t, f.link.confirmed, "requested before the proxy was discovered")
 	f.link.confirm(f.now)
 	require.True(t, f.exchange(&pb.ProxyStatus{Incarnation: 7}).GetConfirmed())
-	require.Nil(t, f.next(), "told once")
+	require.Nil(t, f.nextCall(), "delivered once")
 	f.now += exchangeInterval
 	f.exchange(&pb.ProxyStatus{Incarnation: 8})
 	require.True(t, f.link.awaitsConfirmation())
-	require.Nil(t, f.next())
+	require.Nil(t, f.nextCall())
 }
 
 func TestSharesAreSentWhenKnownAndNotTooOften(t *testing.T) {
 	f := newProxyLinkFixture(t)
 	status := &pb.ProxyStatus{Incarnation: 7}
 	f.exchange(status)
-	require.Nil(t, f.next(), "none are known")
+	require.Nil(t, f.nextCall(), "none are known")
 	f.members.update(f.now, "core-1", members(1, "a"))
 	require.EqualValues(t, 2, f.exchange(status).GetShares().GetProxies())
 	f.members.update(f.now, "core-1", members(2, "a", "b"))
-	require.Nil(t, f.next())
+	require.Nil(t, f.nextCall())
 	f.now += minSharesInterval
 	require.EqualValues(t, 3, f.exchange(status).GetShares().GetProxies())
 }
 
-// A call that was given up may reach the proxy after its successor. What counts is what the proxy says it holds.
-func TestSharesAreToldAgainUntilTheProxyHoldsThem(t *testing.T) {
+// A call that was abandoned may reach the proxy after its successor. What counts is what the proxy reports.
+func TestSharesAreResentUntilTheProxyReportsThem(t *testing.T) {
 	f := newProxyLinkFixture(t)
 	holds := func(revision uint64) *pb.ProxyStatus {
 		return &pb.ProxyStatus{Incarnation: 7, Shares: &pb.SharesVersion{Agent: 5, Revision: revision}}
@@ -149,14 +151,14 @@
 	f.now += minSharesInterval
 	f.members.update(f.now, "core-1", members(2, "a", "b"))
 	require.NotNil(t, f.exchange(holds(1)).GetShares(), "taken, and replaced by the one before")
-	require.Nil(t, f.next(), "not at once")
+	require.Nil(t, f.nextCall(), "not at once")
 	f.now += minSharesInterval
 	require.EqualValues(t, 2, f.exchange(holds(2)).GetShares().GetVersion().GetRevision())
 	f.now += minSharesInterval
 	require.Nil(t, f.exchange(holds(2)), "a status")
 }
 
-func TestEndingWaitsForTheProxyWithinItsGrace(t *testing.T) {
+func TestShutdownWaitsForTheProxyWithinTheGracePeriod(t *testing.T) {
 	const grace = 8 * time.Second
 	f := newProxyLinkFixture(t)
 	f.exchange(&pb.ProxyStatus{Incarnation: 7})
@@ -169,17 +171,17 @@
 	f.now += exchangeInterval
 	f.fail()
 	require.False(t, e.finished(f.now, &f.link, 0), "it may be back")
-	require.False(t, e.finished(f.now+proxyGoneTimeout, &f.link, 1), "control isn't told yet")
+	require.False(t, e.finished(f.now+proxyGoneTimeout, &f.link, 1), "control is not notified yet")
 	require.True(t, e.finished(f.now+proxyGoneTimeout, &f.link, 0))
 
 	f.now += proxyRetryInterval
 	f.exchange(&pb.ProxyStatus{Incarnation: 8})
-	require.True(t, e.finished(f.now, &f.link, 0), "another life of the proxy")
+	require.True(t, e.finished(f.now, &f.link, 0), "another incarnation of the proxy")
 }
 
-// TestEndingFollowsAProxyThatHasEnded: both are started again after the same wait, and a proxy whose agent comes
-// later serves nobody meanwhile.
-func TestEndingFollowsAProxyThatHasEnded(t *testing.T) {
+// TestShutdownFollowsAProxyThatHasEnded: both are restarted after the same delay, and a proxy whose agent comes later
+// serves nobody meanwhile.
+func TestShutdownFollowsAProxyThatHasEnded(t *testing.T) {
 	f := newProxyLinkFixture(t)
 	f.exchange(&pb.ProxyStatus{Incarnation: 7})
 	var e shutdown
@@ -187,14 +189,14 @@
 	f.now += shutdownExchangeInterval
 	f.exchange(&pb.ProxyStatus{Incarnation: 7, Draining: true})
 	f.now += shutdownExchangeInterval
-	call := f.next()
+	call := f.nextCall()
 	require.NotNil(t, call)
 	f.link.handleDone(f.now, proxyCallDone{call: *call, err: connect.NewError(connect.CodeUnavailable, syscall.ECONNREFUSED)})
 	require.True(t, e.finished(f.now, &f.link, 0))
 }
 
-// TestApplyIsMeantForOneProcess: a proxy that was started anew since its last status must not take the confirmation
-// of a state that was asked for before.
+// TestApplyIsMeantForOneProcess: a proxy that was restarted since its last status must not take the confirmation of a
+// state that was requested before.
 func TestApplyIsMeantForOneProcess(t *testing.T) {
 	f := newProxyLinkFixture(t)
 	f.replica.ApplyChanges([]*pb.Change{change(1)})
--- a/internal/agent/response_progress_test.go
+++ b/internal/agent/response_progress_test.go
@@ -16,15 +16,15 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// trickle is an answer's body that gives a byte at a time, each after a pause, and nothing more after the last.
-type trickle struct {
-	ctx   context.Context
-	left  int
-	pause time.Duration
-	ends  bool
+// slowBody is a response's body that returns a byte at a time, each after an interval. After the last it ends or stalls.
+type slowBody struct {
+	ctx      context.Context
+	left     int
+	interval time.Duration
+	ends     bool
 }
 
-func (b *trickle) Read(into []byte) (int, error) {
+func (b *slowBody) Read(into []byte) (int, error) {
 	if b.left == 0 && b.ends {
 		return 0, io.EOF
 	}
@@ -33,7 +33,7 @@
 		return 0, context.Cause(b.ctx)
 	}
 	select {
-	case <-time.After(b.pause):
+	case <-time.After(b.interval):
 		b.left--
 		into[0] = 'a'
 		return 1, nil
@@ -42,14 +42,17 @@
 	}
 }
 
-func (b *trickle) Close() error { return nil }
+func (b *slowBody) Close() error { return nil }
 
-// readAnswer reads an answer that begins after a while, and returns what ended it.
-func readAnswer(limit, silence time.Duration, body func(ctx context.Context) io.ReadCloser) (begun int, err error) {
-	ctx, cancel := withResponseProgress(context.Background(), limit, func() { begun++ })
+// startTimeout is the time in which a response to readResponse has to start.
+const startTimeout = time.Second
+
+// readResponse reads a response that starts after a delay, and returns how often its start was reported and what ended it.
+func readResponse(delay time.Duration, body func(ctx context.Context) io.ReadCloser) (begun int, err error) {
+	ctx, cancel := withResponseProgress(context.Background(), startTimeout, func() { begun++ })
 	defer cancel()
 	select {
-	case <-time.After(silence):
+	case <-time.After(delay):
 	case <-ctx.Done():
 		return begun, stalledCause(ctx, ctx.Err())
 	}
@@ -59,19 +62,19 @@
 	return begun, stalledCause(ctx, err)
 }
 
-func TestAnswersThatComeSlowlyAreReadToTheEnd(t *testing.T) {
+func TestSlowResponsesAreReadToTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		begun, err := readAnswer(time.Second, time.Second/2, func(ctx context.Context) io.ReadCloser {
-			return &trickle{ctx: ctx, left: 10, pause: time.Second, ends: true}
+		begun, err := readResponse(time.Second/2, func(ctx context.Context) io.ReadCloser {
+			return &slowBody{ctx: ctx, left: 10, interval: time.Second, ends: true}
 		})
 		require.NoError(t, err)
-		require.Equal(t, 1, begun, "it is told once that the answer comes")
+		require.Equal(t, 1, begun, "the start is reported once")
 		require.Equal(t, 10*time.Second+time.Second/2, time.Since(began))
 	})
 }
 
-// A list that was on its way for long is older than its writer told.
+// A list that took long to arrive is older than its writer reported.
 func TestListsAgeWhileTheyAreOnTheirWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := withResponseProgress(context.Background(), time.Second, nil)
@@ -79,7 +82,7 @@
 		noted := responseProgressOf(ctx)
 		require.Zero(t, noted.sinceStart())
 		noted.received()
-		_, err := io.ReadAll(&progressBody{ReadCloser: &trickle{ctx: ctx, left: 3, pause: time.Second, ends: true}, progress: noted})
+		_, err := io.ReadAll(&progressBody{ReadCloser: &slowBody{ctx: ctx, left: 3, interval: time.Second, ends: true}, progress: noted})
 		require.NoError(t, err)
 		list := &pb.ServerList{AgeMs: 200}
 		addTransferTime(list, noted.sinceStart())
@@ -96,13 +99,13 @@
 		body, err := proto.Marshal(&pb.WatchResponse{Authoritative: true, List: list})
 		require.NoError(t, err)
 		ends := make(chan event, 2)
-		caller := newCaller(t.Context(), shuffle.Neighbour{}, "10.0.0.1:1", func(happened event) { ends <- happened })
+		caller := newCaller(t.Context(), shuffle.Neighbour{}, "10.0.0.1:1", func(received event) { ends <- received })
 		caller.client.Transport = progressTransport{roundTripFunc(func(request *http.Request) (*http.Response, error) {
 			<-time.After(silence)
 			return &http.Response{
 				StatusCode: http.StatusOK,
 				Header:     http.Header{"Content-Type": {"application/proto"}},
-				Body:       io.NopCloser(io.MultiReader(bytes.NewReader(body[:4]), &slowReader{pause: pause}, bytes.NewReader(body[4:]))),
+				Body:       io.NopCloser(io.MultiReader(bytes.NewReader(body[:4]), &slowReader{delay: pause}, bytes.NewReader(body[4:]))),
 			}, nil
 		})}
 		caller.start(watchCall{id: 1, address: "10.0.0.2:1", request: &pb.WatchRequest{}, dialTimeout: time.Minute, timeout: watchTimeout})
@@ -114,31 +117,31 @@
 	})
 }
 
-// slowReader gives nothing, after a pause.
-type slowReader struct{ pause time.Duration }
+// slowReader is empty, and ends after a delay.
+type slowReader struct{ delay time.Duration }
 
 func (r *slowReader) Read([]byte) (int, error) {
-	<-time.After(r.pause)
+	<-time.After(r.delay)
 	return 0, io.EOF
 }
 
-func TestCallsWithoutAnAnswerEndAtTheirLimit(t *testing.T) {
+func TestCallsWithoutAResponseEndAtTheirTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		begun, err := readAnswer(time.Second, time.Minute, nil)
+		begun, err := readResponse(time.Minute, nil)
 		var stalled *stalledError
 		require.ErrorAs(t, err, &stalled)
 		require.False(t, stalled.responseStarted)
 		require.Zero(t, begun)
-		require.Equal(t, time.Second, time.Since(began))
+		require.Equal(t, startTimeout, time.Since(began))
 	})
 }
 
-func TestAnswersThatStallAreGivenUp(t *testing.T) {
+func TestStalledResponsesAreAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		_, err := readAnswer(time.Second, 0, func(ctx context.Context) io.ReadCloser {
-			return &trickle{ctx: ctx, left: 3, pause: time.Second}
+		_, err := readResponse(0, func(ctx context.Context) io.ReadCloser {
+			return &slowBody{ctx: ctx, left: 3, interval: time.Second}
 		})
 		var stalled *stalledError
 		require.ErrorAs(t, err, &stalled)
@@ -150,16 +153,16 @@
 func TestNoCallLastsLongerThanTheLongest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		_, err := readAnswer(time.Second, 0, func(ctx context.Context) io.ReadCloser {
-			return &trickle{ctx: ctx, left: 1000, pause: time.Second}
+		_, err := readResponse(0, func(ctx context.Context) io.ReadCloser {
+			return &slowBody{ctx: ctx, left: 1000, interval: time.Second}
 		})
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		require.Equal(t, maxCallDuration, time.Since(began))
 	})
 }
 
-// What a transport reads counts as progress of its call.
-func TestTransportNotesWhatComes(t *testing.T) {
+// Bytes that a transport reads are progress of its call.
+func TestTransportRecordsProgress(t *testing.T) {
 	base := &http.Transport{}
 	defer base.CloseIdleConnections()
 	base.RegisterProtocol("test", roundTripFunc(func(request *http.Request) (*http.Response, error) {
--- a/internal/agent/seeds_test.go
+++ b/internal/agent/seeds_test.go
@@ -19,7 +19,7 @@
 port-range = [7660,7675]
 `
 
-func TestSeedsAreReadAgainWhenTheFileChanges(t *testing.T) {
+func TestSeedsAreReloadedWhenTheFileChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.toml")
 	write := func(text string, modified time.Time) {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -52,7 +52,7 @@
 	require.Equal(t, []string{"10.0.0.3:7660"}, seeds)
 }
 
-func TestWithoutAFileNothingIsReadAgain(t *testing.T) {
+func TestWithoutAFileNothingIsReloaded(t *testing.T) {
 	r := newReloader("", nil, linkAddress(1), zap.NewNop())
 	_, changed := r.poll(time.Hour)
 	require.False(t, changed)
--- a/internal/agent/single_send_test.go
+++ b/internal/agent/single_send_test.go
@@ -50,7 +50,7 @@
 }
 
 // The transport must not send a call again by itself once a byte of it has left, whatever byte its connection is
-// reset at: a call that is given up might be taken later than its successor.
+// reset at: a call that is abandoned might arrive after its successor.
 func TestTransportSendsNoCallTwice(t *testing.T) {
 	for name := range callsOf(http.DefaultClient, "") {
 		t.Run(name, func(t *testing.T) {
@@ -76,43 +76,43 @@
 	require.NotEmpty(t, resettest.Repeated(t, server, 1, func() error { return call(t.Context()) }))
 }
 
-// asked lets another agent's call happen and returns the answer.
-func asked[T any](s *coreDriver, ask func(answer chan<- *T) event) *T {
-	answer := make(chan *T, 1)
-	s.step(ask(answer))
-	return <-answer
+// exchangeWithCore hands a request of another agent to the core and returns the response.
+func exchangeWithCore[T any](s *coreDriver, newRequest func(response chan<- *T) event) *T {
+	response := make(chan *T, 1)
+	s.step(newRequest(response))
+	return <-response
 }
 
-// Calls of other agents do no harm when they come twice.
+// Calls of other agents are idempotent.
 func TestCallsOfOthersMayComeTwice(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1")
 	s.now = exchangeInterval
 	from := &pb.Neighbour{Host: "edge-2", Address: "10.0.0.2:7661", Zone: "zone-a", Region: "region-a"}
 	push := func() *pb.PushResponse {
-		return asked(s, func(answer chan<- *pb.PushResponse) event {
-			return pushRequested{request: &pb.PushRequest{From: from, Changes: []*pb.Change{change(1), change(2)}, List: serverList(1, "i-1")}, response: answer}
+		return exchangeWithCore(s, func(response chan<- *pb.PushResponse) event {
+			return pushRequested{request: &pb.PushRequest{From: from, Changes: []*pb.Change{change(1), change(2)}, List: serverList(1, "i-1")}, response: response}
 		})
 	}
 	first := push()
 	require.EqualValues(t, 2, first.GetSequence())
 	digests := s.core.replica.Snapshot().Digests()
-	s.open = nil
+	s.pending = nil
 	require.Equal(t, first, push())
 	require.Equal(t, digests, s.core.replica.Snapshot().Digests())
-	_, passedOn := take[pushCall](s)
-	require.False(t, passedOn, "news that came before is passed on no more")
+	_, passedOn := takeCall[pushCall](s)
+	require.False(t, passedOn, "an update received before is not passed on again")
 
 	compare := func() *pb.CompareResponse {
-		return asked(s, func(answer chan<- *pb.CompareResponse) event {
-			return compareRequested{request: &pb.CompareRequest{From: from, Digests: gossip.NewReplica().Snapshot().Digests()}, response: answer}
+		return exchangeWithCore(s, func(response chan<- *pb.CompareResponse) event {
+			return compareRequested{request: &pb.CompareRequest{From: from, Digests: gossip.NewReplica().Snapshot().Digests()}, response: response}
 		})
 	}
 	require.Equal(t, compare(), compare())
 	require.Equal(t, digests, s.core.replica.Snapshot().Digests())
 
-	swap := func() *pb.ShuffleResponse {
-		return asked(s, func(answer chan<- *pb.ShuffleResponse) event {
-			return shuffleRequested{request: &pb.ShuffleRequest{From: from, Sample: []*pb.Neighbour{{Host: "edge-3", Address: "c:1"}}}, response: answer}
+	swap := func() {
+		exchangeWithCore(s, func(response chan<- *pb.ShuffleResponse) event {
+			return shuffleRequested{request: &pb.ShuffleRequest{From: from, Sample: []*pb.Neighbour{{Host: "edge-3", Address: "c:1"}}}, response: response}
 		})
 	}
 	swap()
--- a/internal/agent/slow_response_test.go
+++ b/internal/agent/slow_response_test.go
@@ -9,17 +9,17 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// linked is a core whose proxy is known, with its first long poll under way.
+// newLinkedCore returns a core whose proxy is known, with its first long poll in flight.
 func newLinkedCore(t *testing.T) (*coreDriver, watchCall) {
 	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.now = time.Millisecond
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	return s, takeWatch(s, watchLongPoll)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	return s, requireWatch(s, watchLongPoll)
 }
 
-// An answer that came slowly was true when it was written, which may be long ago.
-func TestAnAnswerThatCameSlowlyConfirmsNothing(t *testing.T) {
+// A slow response was true when it was written, which may be long ago.
+func TestSlowResponseConfirmsNothing(t *testing.T) {
 	s, call := newLinkedCore(t)
 	s.now = call.started + maxConfirmationLatency + time.Millisecond
 	s.step(watchDone{call: call, response: &pb.WatchResponse{Authoritative: true}})
@@ -31,21 +31,21 @@
 	require.True(t, s.core.proxy.confirmed)
 }
 
-// While an answer comes, the same is not asked for elsewhere, but not for ever.
-func TestOtherMachinesAreProbedLaterWhileAnAnswerComes(t *testing.T) {
+// While a response arrives the same is not requested elsewhere, for a bounded time.
+func TestOtherMachinesAreProbedLaterOnceAResponseHasStarted(t *testing.T) {
 	probed := func(coming bool, after time.Duration) bool {
 		s, call := newLinkedCore(t)
 		s.step(watchDone{call: call, response: &pb.WatchResponse{Authoritative: true}})
-		s.step(watchDone{call: takeWatch(s, watchProbe), response: &pb.WatchResponse{Authoritative: true}})
+		s.step(watchDone{call: requireWatch(s, watchProbe), response: &pb.WatchResponse{Authoritative: true}})
 		s.now += maxEmptyBackoff
 		s.step(tick{})
-		call = takeWatch(s, watchLongPoll)
+		call = requireWatch(s, watchLongPoll)
 		if coming {
 			s.step(watchResponseStarted{id: call.id})
 		}
 		s.now = call.started + watchWait + after
 		s.step(tick{})
-		for _, open := range s.open {
+		for _, open := range s.pending {
 			if probe, isWatch := open.(watchCall); isWatch && probe.kind == watchProbe {
 				return true
 			}
@@ -57,28 +57,28 @@
 	require.True(t, probed(true, overdueMargin+slowResponseAllowance))
 }
 
-// What a probe's answer tells of is asked for where it was told, once.
-func TestStateThatAProbeTellsOfIsFetched(t *testing.T) {
+// A state that the response to a probe names is requested from the same machine, once.
+func TestStateNamedByAProbeIsFetched(t *testing.T) {
 	s, call := newLinkedCore(t)
 	s.now += nonAuthoritativeProbeDelay
 	s.step(watchDone{call: call, err: errModelTimeout})
 	s.now += maxBackoff
 	s.step(tick{})
-	probe := takeWatch(s, watchProbe)
+	probe := requireWatch(s, watchProbe)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Sequence: 9}})
-	fetch := takeWatch(s, watchNotice)
+	fetch := requireWatch(s, watchNotice)
 	require.Equal(t, probe.address, fetch.address)
 	require.False(t, fetch.request.GetProbe())
 	require.Zero(t, fetch.request.GetSequence())
 }
 
-// An agent that holds nothing is told the view first, by a machine that holds the agreed state: that confirms nothing.
+// An agent without state is sent the view first by a machine with authority. That confirms nothing.
 func TestTheViewAloneConfirmsNothing(t *testing.T) {
 	s, call := newLinkedCore(t)
 	view := &pb.View{Number: 2, Voters: []*pb.Replica{{Address: "core-1:1"}, {Address: "core-2:1"}}}
 	s.step(watchDone{call: call, response: &pb.WatchResponse{Authoritative: true, Sequence: 5, View: view}})
 	require.False(t, s.core.proxy.confirmed)
-	next := takeWatch(s, watchLongPoll)
+	next := requireWatch(s, watchLongPoll)
 	require.EqualValues(t, 2, next.request.GetViewNumber())
 	require.Nil(t, next.request.GetDigests())
 }
--- a/internal/agent/state_fetch_load_test.go
+++ b/internal/agent/state_fetch_load_test.go
@@ -11,13 +11,13 @@
 	"fieldrelay/internal/packing"
 )
 
-// Agents that begin at once with nothing ask for the whole state once or twice each, not of every machine that has it.
-func TestAgentsThatStartDoNotAskForTheStateOfEveryMachine(t *testing.T) {
+// Agents that start at once without state request it once or twice each, not from every machine that has it.
+func TestStartingAgentsDoNotRequestTheStateFromEveryMachine(t *testing.T) {
 	const slack = 2
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
 		m := newModel(seed, coreMachines, edgeMachines)
-		m.narrow()
-		m.lose(lostMachines)
+		m.limitBandwidth()
+		m.loseControlMachines()
 		m.commitRoutes(routesAtFirst)
 		m.commitRoutes(routesInChange)
 		require.True(t, m.runUntil(time.Minute, m.converged))
--- a/internal/agent/violations_test.go
+++ b/internal/agent/violations_test.go
@@ -9,25 +9,25 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-func TestProxyThatFallsBackIsAViolation(t *testing.T) {
+func TestDecreasingProxySequenceIsAViolation(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1")
-	logs := observed(s)
+	logs := observeLogs(s)
 	report := func(incarnation, sequence uint64) {
 		s.now += exchangeInterval
 		s.step(tick{})
-		s.proxyAnswers(&pb.ProxyStatus{Incarnation: incarnation, Sequence: sequence})
+		s.proxyResponds(&pb.ProxyStatus{Incarnation: incarnation, Sequence: sequence})
 	}
 	report(7, 5)
 	report(7, 5)
 	report(7, 6)
 	report(8, 1)
-	require.Zero(t, s.core.violations.total(), "another process may hold less")
+	require.Zero(t, s.core.violations.total(), "another process may have less")
 	report(8, 0)
 	require.EqualValues(t, 1, s.core.violations.proxyRegressed)
 	requireLine(t, logs, "proxy sequence decreased")
 }
 
-func TestOlderStateForTheProxyIsAViolation(t *testing.T) {
+func TestStaleUpdateForTheProxyIsAViolation(t *testing.T) {
 	reported := &pb.ProxyStatus{Sequence: 5, List: &pb.ListVersion{Epoch: 1, Holder: "core-1", Revision: 3}}
 	for name, apply := range map[string]*pb.ApplyRequest{
 		"changes": {Changes: []*pb.Change{change(5), change(6)}},
