--- a/internal/packing/compressor.go
+++ b/internal/packing/compressor.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// maxKept bounds how many pieces of news a Packer remembers.
-	maxKept = 8
-	// maxKeptBytes bounds their size in bytes, packed.
-	maxKeptBytes = 1 << 20
+	// maxEntries bounds the entries of a Packer's cache.
+	maxEntries = 8
+	// maxCachedBytes bounds their size in bytes, compressed. One entry is cached however large it is.
+	maxCachedBytes = 1 << 20
 )
 
-// Key tells what a piece of news brings up to date. The news of one key is always the same.
+// Key identifies an update by the replicas that it applies to. All updates of one key are equal.
 type Key struct {
-	Base     uint64 // sequence of the copy that lacks it
-	Sequence uint64 // of the copy that has taken it
-	Digests  uint64 // DigestsKey of the copy's digests if the news is a repair that answers them
-	Whole    bool   // a repair of all ranges, which any earlier copy may take
+	Base     uint64 // sequence of the replica that lacks the update
+	Sequence uint64 // of that replica after the update
+	Digests  uint64 // DigestsKey of the replica's digests if the update is a repair that answers them
+	Whole    bool   // the update is a repair of all ranges, which applies to any earlier replica
 }
 
-// DigestsKey stands for the digests that a repair answers.
+// DigestsKey returns a hash of the digests that a repair answers, 0 if there are none.
 func DigestsKey(digests *pb.RangeDigests) uint64 {
 	if digests == nil {
 		return 0
@@ -37,72 +37,75 @@
 	return xxhash.Sum64(encoded)
 }
 
-// Packer packs each piece of news once, however many ask for it at the same time. It is safe for concurrent use.
+// Packer compresses each update once, however many callers request it at the same time, and caches the last ones. The
+// zero value is ready to use. It is safe for concurrent use.
 type Packer struct {
-	mutex sync.Mutex
-	kept  []keptNews // the one used last at the end
-	bytes int
-	packs uint64
+	mutex        sync.Mutex
+	entries      []entry // the least recently used first
+	bytes        int     // of the entries, compressed
+	compressions uint64
 }
 
-// keptNews is what became of a key.
-type keptNews struct {
-	key    Key
-	packed *pb.PackedNews // nil: not worth it
+// entry is the cached result for a key.
+type entry struct {
+	key        Key
+	compressed *pb.PackedNews // nil: the update is too small
 }
 
-// Packed is the news of a key, packed; nil if it is too small for that. The news is only made if it isn't kept.
-func (p *Packer) Packed(key Key, news func() *pb.StateNews) *pb.PackedNews {
+// Packed returns the compressed update of a key, nil if it is smaller than MinSize. The update is made, with the Packer
+// locked, only if no result is cached. The result is shared and must not be changed.
+func (p *Packer) Packed(key Key, makeUpdate func() *pb.StateNews) *pb.PackedNews {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if place := slices.IndexFunc(p.kept, func(kept keptNews) bool { return kept.key == key }); place >= 0 {
-		found := p.kept[place]
-		p.kept = append(slices.Delete(p.kept, place, place+1), found)
-		return found.packed
+	if index := slices.IndexFunc(p.entries, func(cached entry) bool { return cached.key == key }); index >= 0 {
+		found := p.entries[index]
+		p.entries = append(slices.Delete(p.entries, index, index+1), found)
+		return found.compressed
 	}
-	made := keptNews{key: key}
-	if encoded, err := proto.Marshal(news()); err == nil && len(encoded) >= MinSize {
-		made.packed = pack(key, encoded)
-		p.packs++
+	created := entry{key: key}
+	if encoded, err := proto.Marshal(makeUpdate()); err == nil && len(encoded) >= MinSize {
+		created.compressed = compress(key, encoded)
+		p.compressions++
 	}
-	p.keep(made)
-	return made.packed
+	p.add(created)
+	return created.compressed
 }
 
-// Packs is the number of pieces that were packed.
+// Packs returns the number of updates that were compressed.
 func (p *Packer) Packs() uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.packs
+	return p.compressions
 }
 
-func (p *Packer) keep(made keptNews) {
-	p.kept = append(p.kept, made)
-	p.bytes += len(made.packed.GetDeflated())
-	for len(p.kept) > 1 && (len(p.kept) > maxKept || p.bytes > maxKeptBytes) {
-		p.bytes -= len(p.kept[0].packed.GetDeflated())
-		p.kept = slices.Delete(p.kept, 0, 1)
+// add caches an entry, and evicts the least recently used ones beyond the bounds.
+func (p *Packer) add(created entry) {
+	p.entries = append(p.entries, created)
+	p.bytes += len(created.compressed.GetDeflated())
+	for len(p.entries) > 1 && (len(p.entries) > maxEntries || p.bytes > maxCachedBytes) {
+		p.bytes -= len(p.entries[0].compressed.GetDeflated())
+		p.entries = slices.Delete(p.entries, 0, 1)
 	}
 }
 
-// PackAnswer puts the changes or the repair of a control machine's answer to an agent in packed form, if they are large
-// and the agent takes that.
-func (p *Packer) PackAnswer(request *pb.WatchRequest, answer *pb.WatchResponse) {
-	if !request.GetTakesPacked() || len(answer.GetChanges()) == 0 && answer.GetRepair() == nil {
+// PackAnswer replaces the changes or the repair in a control machine's response to an agent by their compressed form, if
+// they are large enough and the agent accepts that.
+func (p *Packer) PackAnswer(request *pb.WatchRequest, response *pb.WatchResponse) {
+	if !request.GetTakesPacked() || len(response.GetChanges()) == 0 && response.GetRepair() == nil {
 		return
 	}
-	key := Key{Base: request.GetSequence(), Sequence: answer.GetSequence()}
-	if answer.GetRepair() != nil {
+	key := Key{Base: request.GetSequence(), Sequence: response.GetSequence()}
+	if response.GetRepair() != nil {
 		key.Whole = request.GetDigests() == nil
 		key.Digests = DigestsKey(request.GetDigests())
 	}
-	packed := p.Packed(key, func() *pb.StateNews {
-		return &pb.StateNews{Changes: answer.GetChanges(), Repair: answer.GetRepair()}
+	compressed := p.Packed(key, func() *pb.StateNews {
+		return &pb.StateNews{Changes: response.GetChanges(), Repair: response.GetRepair()}
 	})
-	if packed == nil {
+	if compressed == nil {
 		return
 	}
-	answer.Packed = packed
-	answer.Changes = nil
-	answer.Repair = nil
+	response.Packed = compressed
+	response.Changes = nil
+	response.Repair = nil
 }
--- a/internal/packing/compressor_test.go
+++ b/internal/packing/compressor_test.go
@@ -12,7 +12,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// manyRoutes is news of so many routes.
+// manyRoutes returns an update that adds some number of routes.
 func manyRoutes(count int) *pb.StateNews {
 	change := &pb.Change{Sequence: 8, Generation: 3}
 	for number := range count {
@@ -25,19 +25,19 @@
 	return &pb.StateNews{Changes: []*pb.Change{change}}
 }
 
-func TestNewsIsUnpackedAsItWas(t *testing.T) {
+func TestCompressedUpdateDecompressesToItself(t *testing.T) {
 	var packer Packer
-	news := manyRoutes(1400)
-	packed := packer.Packed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews { return news })
-	require.Less(t, proto.Size(packed)*4, proto.Size(news))
-	require.EqualValues(t, 7, packed.GetBase())
-	require.EqualValues(t, 8, packed.GetSequence())
-	back, err := Unpack(packed)
+	update := manyRoutes(1400)
+	compressed := packer.Packed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews { return update })
+	require.Less(t, proto.Size(compressed)*4, proto.Size(update))
+	require.EqualValues(t, 7, compressed.GetBase())
+	require.EqualValues(t, 8, compressed.GetSequence())
+	decompressed, err := Unpack(compressed)
 	require.NoError(t, err)
-	require.True(t, proto.Equal(news, back))
+	require.True(t, proto.Equal(update, decompressed))
 }
 
-func TestSmallNewsIsNotPacked(t *testing.T) {
+func TestSmallUpdateIsNotCompressed(t *testing.T) {
 	var packer Packer
 	made := 0
 	for range 3 {
@@ -46,21 +46,21 @@
 			return manyRoutes(2)
 		}))
 	}
-	require.Equal(t, 1, made, "that it is small is remembered")
+	require.Equal(t, 1, made, "that it is small is cached")
 }
 
-func TestNewsIsPackedOnceForAll(t *testing.T) {
+func TestUpdateIsCompressedOnceForAll(t *testing.T) {
 	var packer Packer
 	var made atomic.Int64
 	var group sync.WaitGroup
 	for range 60 {
 		group.Go(func() {
-			packed := packer.Packed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews {
+			compressed := packer.Packed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews {
 				made.Add(1)
 				return manyRoutes(300)
 			})
-			if packed == nil {
-				t.Error("it is not packed")
+			if compressed == nil {
+				t.Error("the update is not compressed")
 			}
 		})
 	}
@@ -69,35 +69,35 @@
 	require.EqualValues(t, 1, packer.Packs())
 }
 
-func TestWhatIsKeptIsBounded(t *testing.T) {
+func TestCacheIsBounded(t *testing.T) {
 	var packer Packer
 	for sequence := range uint64(100) {
 		packer.Packed(Key{Sequence: sequence}, func() *pb.StateNews { return manyRoutes(3000) })
-		require.LessOrEqual(t, len(packer.kept), maxKept)
-		require.LessOrEqual(t, packer.bytes, maxKeptBytes)
+		require.LessOrEqual(t, len(packer.entries), maxEntries)
+		require.LessOrEqual(t, packer.bytes, maxCachedBytes)
 	}
 	made := false
 	packer.Packed(Key{Sequence: 99}, func() *pb.StateNews { made = true; return nil })
-	require.False(t, made, "the newest is kept")
+	require.False(t, made, "the newest is cached")
 }
 
-func TestMalformedNewsIsRefused(t *testing.T) {
+func TestMalformedUpdateIsRejected(t *testing.T) {
 	var packer Packer
-	whole := packer.Packed(Key{Sequence: 8}, func() *pb.StateNews { return manyRoutes(300) })
+	valid := packer.Packed(Key{Sequence: 8}, func() *pb.StateNews { return manyRoutes(300) })
 	for name, spoil := range map[string]func(*pb.PackedNews){
-		"a size too small":   func(packed *pb.PackedNews) { packed.Size-- },
-		"a size too large":   func(packed *pb.PackedNews) { packed.Size++ },
-		"a size over bounds": func(packed *pb.PackedNews) { packed.Size = MaxSize + 1 },
-		"cut short":          func(packed *pb.PackedNews) { packed.Deflated = packed.Deflated[:100] },
-		"nothing":            func(packed *pb.PackedNews) { packed.Deflated = nil },
-		"another format":     func(packed *pb.PackedNews) { packed.Deflated = []byte("not deflated at all") },
+		"a size too small":   func(compressed *pb.PackedNews) { compressed.Size-- },
+		"a size too large":   func(compressed *pb.PackedNews) { compressed.Size++ },
+		"a size over bounds": func(compressed *pb.PackedNews) { compressed.Size = MaxSize + 1 },
+		"truncated":          func(compressed *pb.PackedNews) { compressed.Deflated = compressed.Deflated[:100] },
+		"nothing":            func(compressed *pb.PackedNews) { compressed.Deflated = nil },
+		"another format":     func(compressed *pb.PackedNews) { compressed.Deflated = []byte("not deflated at all") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			spoiled := proto.CloneOf(whole)
+			spoiled := proto.CloneOf(valid)
 			spoil(spoiled)
 			_, err := Unpack(spoiled)
-			var refused *MalformedError
-			require.ErrorAs(t, err, &refused)
+			var rejected *MalformedError
+			require.ErrorAs(t, err, &rejected)
 		})
 	}
 }
--- a/internal/packing/declared_size_test.go
+++ b/internal/packing/declared_size_test.go
@@ -10,8 +10,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// The size that news tells of is not to be believed: memory is taken for what there is.
-func TestASizeThatIsNotTrueTakesNoMemory(t *testing.T) {
+// The size that an update declares is not trusted: memory is allocated for what there is.
+func TestFalseDeclaredSizeAllocatesNoMemory(t *testing.T) {
 	spoiled := &pb.PackedNews{Size: MaxSize, Deflated: bytes.Repeat([]byte{0}, 20)}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/internal/packing/packing.go
+++ b/internal/packing/packing.go
@@ -1,6 +1,9 @@
-// Package packing compresses large news of the control state. A control machine packs what many agents lack once for all
-// of them, and agents pass it on as it came: a change of a thousand routes is a tenth as long packed, and the links
-// of the machines that it has to reach are narrow.
+// Package packing compresses large updates of the control state. A control machine compresses what many agents lack once
+// for all of them, and agents pass it on in that form: a change of a thousand routes takes a tenth of the bytes, and the
+// links of the machines that it has to reach are narrow.
+//
+// It neither decides what an agent lacks nor applies updates: that is for packages controlserver and gossip. What it
+// saves is in docs/config-delivery.md, "Time on the links".
 package packing
 
 import (
@@ -16,30 +19,31 @@
 )
 
 const (
-	// MinSize is the size in bytes from which on news is worth packing.
+	// MinSize is the size in bytes from which on an encoded update is compressed.
 	MinSize = 4 << 10
-	// MaxSize bounds the size in bytes of news that is unpacked.
+	// MaxSize bounds the size in bytes of an update that is decompressed.
 	MaxSize = 64 << 20
-	// maxInflation bounds how much longer data is than its DEFLATE form: a match of 258 bytes takes two bits or more.
+	// maxInflation bounds how many times longer data is than its DEFLATE form: a match of at most 258 bytes takes at
+	// least two bits (RFC 1951).
 	maxInflation = 1032
 )
 
-// MalformedError refuses packed news that can't be used.
+// MalformedError rejects a compressed update that can't be decompressed.
 type MalformedError struct {
-	Base, Sequence uint64
+	Base, Sequence uint64 // of the update, as it declares them
 	Reason         string
 }
 
 func (e *MalformedError) Error() string {
-	return fmt.Sprintf("packed news from %d to %d: %s", e.Base, e.Sequence, e.Reason)
+	return fmt.Sprintf("decompress the update from %d to %d: %s", e.Base, e.Sequence, e.Reason)
 }
 
-// pack compresses encoded news.
-func pack(key Key, encoded []byte) *pb.PackedNews {
+// compress returns the compressed form of an encoded update.
+func compress(key Key, encoded []byte) *pb.PackedNews {
 	var deflated bytes.Buffer
 	writer, err := flate.NewWriter(&deflated, flate.BestSpeed)
 	if err != nil {
-		panic(errors.Wrap(err, "packing: the level of compression")) // it is a constant of the library
+		panic(errors.Wrap(err, "packing: invariant broken: a level of compression that the library names")) // a constant
 	}
 	// Writing to memory doesn't fail.
 	_, _ = writer.Write(encoded)
@@ -54,29 +58,30 @@
 	}
 }
 
-// Unpack gives the news back. The error is a *MalformedError if that is not possible.
-func Unpack(packed *pb.PackedNews) (*pb.StateNews, error) {
-	size := int(packed.GetSize())
+// Unpack returns the update in a compressed one, or a *MalformedError. It takes no more memory than the compressed bytes
+// can expand to, whatever size they declare.
+func Unpack(compressed *pb.PackedNews) (*pb.StateNews, error) {
+	size := int(compressed.GetSize())
 	if size > MaxSize {
-		return nil, malformed(packed, fmt.Sprintf("%d bytes are more than %d", size, MaxSize))
+		return nil, malformed(compressed, fmt.Sprintf("%d bytes exceed the limit of %d", size, MaxSize))
 	}
-	encoded := make([]byte, 0, min(size, maxInflation*len(packed.GetDeflated())))
-	reader := flate.NewReader(bytes.NewReader(packed.GetDeflated()))
+	encoded := make([]byte, 0, min(size, maxInflation*len(compressed.GetDeflated())))
+	reader := flate.NewReader(bytes.NewReader(compressed.GetDeflated()))
 	buffer := bytes.NewBuffer(encoded)
-	read, err := io.Copy(buffer, io.LimitReader(reader, int64(size)+1))
+	read, err := io.Copy(buffer, io.LimitReader(reader, int64(size)+1)) // one more, to notice an update that is longer
 	if err != nil {
-		return nil, malformed(packed, err.Error())
+		return nil, malformed(compressed, err.Error())
 	}
 	if read != int64(size) {
-		return nil, malformed(packed, fmt.Sprintf("it does not hold the %d bytes that it tells", size))
+		return nil, malformed(compressed, fmt.Sprintf("its size is not the declared one of %d bytes", size))
 	}
-	news := &pb.StateNews{}
-	if err := proto.Unmarshal(buffer.Bytes(), news); err != nil {
-		return nil, malformed(packed, err.Error())
+	update := &pb.StateNews{}
+	if err := proto.Unmarshal(buffer.Bytes(), update); err != nil {
+		return nil, malformed(compressed, err.Error())
 	}
-	return news, nil
+	return update, nil
 }
 
-func malformed(packed *pb.PackedNews, reason string) error {
-	return &MalformedError{Base: packed.GetBase(), Sequence: packed.GetSequence(), Reason: reason}
+func malformed(compressed *pb.PackedNews, reason string) error {
+	return &MalformedError{Base: compressed.GetBase(), Sequence: compressed.GetSequence(), Reason: reason}
 }
