--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Two actors that write to one another from their handlers never wait for one another.
+// Two actors that send to one another from their messages do not deadlock.
 func TestPutNeverBlocksAndOrderIsKept(t *testing.T) {
 	a, b := New(), New()
 	var got []int
