--- a/internal/agent/control_link_test.go
+++ b/internal/agent/control_link_test.go
@@ -141,6 +141,7 @@
 
 // newEstablishedLink returns a link whose current machine has responded with authority.
 func newEstablishedLink(t *testing.T, now time.Duration, seeds ...string) *controlLink {
+	t.Helper()
 	l := newTestControlLink(seeds...)
 	l.handleResponse(now, *l.nextLongPollAt(now), &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
 	require.True(t, l.established)
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -25,20 +25,20 @@
 }
 
 func newCoreDriver(t *testing.T, seeds ...string) *coreDriver {
+	t.Helper()
 	self := shuffle.Neighbour{Host: "edge-1", Address: "10.0.0.1:7661", Zone: "zone-a", Region: "region-a"}
 	random := rand.New(rand.NewPCG(1, 1))
-	identified := identity{neighbour: self, incarnation: 1}
-	return &coreDriver{t: t, core: newCore(identified, seeds, 8*time.Second, random, zap.NewNop())}
+	return &coreDriver{t: t, core: newCore(identity{neighbour: self, incarnation: 1}, seeds, 8*time.Second, random, zap.NewNop())}
 }
 
 func (s *coreDriver) step(received event) {
 	s.pending = append(s.pending, s.core.step(s.now, received)...)
 }
 
-// takeCall takes the first pending call of a type.
-func takeCall[T action](s *coreDriver) (T, bool) {
-	for i, open := range s.pending {
-		if call, ok := open.(T); ok {
+// takeMatching takes the first pending call of a type that matches.
+func takeMatching[T action](s *coreDriver, matches func(call T) bool) (T, bool) {
+	for i, pending := range s.pending {
+		if call, ok := pending.(T); ok && matches(call) {
 			s.pending = append(s.pending[:i:i], s.pending[i+1:]...)
 			return call, true
 		}
@@ -47,6 +47,12 @@
 	return none, false
 }
 
+// takeCall takes the first pending call of a type.
+func takeCall[T action](s *coreDriver) (T, bool) {
+	return takeMatching(s, func(T) bool { return true })
+}
+
+// requireCall is takeCall for a call that has to be there.
 func requireCall[T action](s *coreDriver) T {
 	s.t.Helper()
 	call, ok := takeCall[T](s)
@@ -54,19 +60,15 @@
 	return call
 }
 
-// requireWatch takes the first open call of a kind to a control machine.
+// requireWatch takes the first pending call of a kind to a control machine, which has to be there.
 func requireWatch(s *coreDriver, kind watchKind) watchCall {
 	s.t.Helper()
-	for i, open := range s.pending {
-		if call, ok := open.(watchCall); ok && call.kind == kind {
-			s.pending = append(s.pending[:i:i], s.pending[i+1:]...)
-			return call
-		}
-	}
-	require.Fail(s.t, "no such call to control")
-	return watchCall{}
+	call, ok := takeMatching(s, func(call watchCall) bool { return call.kind == kind })
+	require.True(s.t, ok, "no such call to control")
+	return call
 }
 
+// proxyResponds ends the pending call to the proxy with a status.
 func (s *coreDriver) proxyResponds(status *pb.ProxyStatus) {
 	s.t.Helper()
 	s.step(proxyCallDone{call: requireCall[proxyCall](s), status: status})
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -55,6 +55,7 @@
 }
 
 func newFakeControl(t *testing.T) *fakeControl {
+	t.Helper()
 	control := &fakeControl{
 		replica:       gossip.NewReplica(),
 		authoritative: true,
@@ -69,6 +70,7 @@
 
 // serve serves on loopback until the test ends and returns the address.
 func serve(t *testing.T, handle func(mux *http.ServeMux)) string {
+	t.Helper()
 	mux := http.NewServeMux()
 	handle(mux)
 	server := httptest.NewServer(mux)
@@ -115,6 +117,7 @@
 	}
 }
 
+// respond returns the response as of now, whether it is due at once, and a channel that is closed at the next change.
 func (f *fakeControl) respond(request *pb.WatchRequest) (response *pb.WatchResponse, updated bool, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,18 +127,7 @@
 		Generation:    f.replica.Snapshot().Generation(),
 		MembersSource: f.address,
 	}
-	if request.GetSequence() < f.replica.Sequence() {
-		updated = true
-		changes, available := f.replica.Since(request.GetSequence())
-		switch {
-		case available:
-			response.Changes = changes
-		case request.GetDigests() != nil:
-			response.Repair = f.replica.Snapshot().RepairFor(request.GetDigests())
-		default:
-			response.NeedDigests = true
-		}
-	}
+	updated = f.addState(response, request)
 	if gossip.CompareVersions(f.replica.ListVersion(), request.GetList()) > 0 {
 		response.List = f.replica.List(time.Second)
 		updated = true
@@ -152,6 +144,23 @@
 	return response, updated, f.changed
 }
 
+// addState adds what the agent lacks of the state, and reports whether it lacks any.
+func (f *fakeControl) addState(response *pb.WatchResponse, request *pb.WatchRequest) bool {
+	if request.GetSequence() >= f.replica.Sequence() {
+		return false
+	}
+	changes, available := f.replica.Since(request.GetSequence())
+	switch {
+	case available:
+		response.Changes = changes
+	case request.GetDigests() != nil:
+		response.Repair = f.replica.Snapshot().RepairFor(request.GetDigests())
+	default:
+		response.NeedDigests = true
+	}
+	return true
+}
+
 // fakeProxy applies what it is sent, and checks that this is never older than what it has.
 type fakeProxy struct {
 	fieldrelayv1connect.UnimplementedProxyFeedHandler
@@ -170,6 +179,7 @@
 }
 
 func newFakeProxy(t *testing.T) *fakeProxy {
+	t.Helper()
 	proxy := &fakeProxy{t: t, replica: gossip.NewReplica(), incarnation: 1, exchanges: make(chan struct{}, 1)}
 	proxy.address = serve(t, func(mux *http.ServeMux) {
 		mux.Handle(fieldrelayv1connect.NewProxyFeedHandler(proxy))
@@ -290,11 +300,13 @@
 
 // startAgent runs an agent until the test ends, without a grace period.
 func startAgent(t *testing.T, host, proxy string, controls ...string) *runningAgent {
+	t.Helper()
 	return startWithGrace(t, 0, host, proxy, controls...)
 }
 
 // startWithGrace runs an agent with a grace period.
 func startWithGrace(t *testing.T, grace time.Duration, host, proxy string, controls ...string) *runningAgent {
+	t.Helper()
 	from := &settings.Settings{
 		Hostname:  host,
 		Address:   "127.0.0.1",
--- a/internal/agent/narrowlinks_test.go
+++ b/internal/agent/narrowlinks_test.go
@@ -13,8 +13,8 @@
 	"fieldrelay/internal/packing"
 )
 
-// Links and sizes of a deployment in which changes were late (docs/incidents/config-late.md): 61 edge machines on 10 Mbit/s and five
-// control machines on 30 Mbit/s, of which two may be lost; 1,500 routes, and 1,400 more in one change.
+// Links and sizes of a deployment in which changes were late (docs/incidents/config-late.md): 61 edge machines on
+// 10 Mbit/s and five control machines on 30 Mbit/s, of which two may be lost; 1,500 routes, and 1,400 more in one change.
 const (
 	edgeBandwidth    = 10e6 / 8 // bytes a second
 	controlBandwidth = 30e6 / 8 // bytes a second
--- a/internal/agent/partition_halves_test.go
+++ b/internal/agent/partition_halves_test.go
@@ -30,6 +30,7 @@
 
 // newHalves lets the agents converge, on any control machine or on those of the majority only.
 func newHalves(t *testing.T, seed uint64, majorityOnly bool) *halves {
+	t.Helper()
 	h := &halves{model: newModel(seed, 5, halfAgents)}
 	h.chain, h.majority = h.controls[:2], h.controls[2:]
 	if majorityOnly {
@@ -76,6 +77,7 @@
 
 // learnAll plays runs of one kind and returns the time of the slowest proxy in each, sorted.
 func learnAll(t *testing.T, majorityOnly bool, ackAfter time.Duration) []time.Duration {
+	t.Helper()
 	var took []time.Duration
 	for seed := range uint64(environment("AGENT_HALVES", halfSeeds)) {
 		took = append(took, newHalves(t, seed, majorityOnly).learn(t, ackAfter))
--- a/internal/agent/partition_start_test.go
+++ b/internal/agent/partition_start_test.go
@@ -51,6 +51,7 @@
 }
 
 func newPartitionedStart(t *testing.T, seed uint64) *partitionedStart {
+	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 3))
 	s := &partitionedStart{t: t, random: random, proxy: gossip.NewReplica(), partitionedAt: 5 * time.Second}
 	s.healedAt = s.partitionedAt + time.Duration(random.Int64N(int64(maxPartition)))
--- a/internal/agent/proxy_link_test.go
+++ b/internal/agent/proxy_link_test.go
@@ -25,6 +25,7 @@
 }
 
 func newProxyLinkFixture(t *testing.T) *proxyLinkFixture {
+	t.Helper()
 	return &proxyLinkFixture{
 		t:       t,
 		now:     time.Second,
--- a/internal/agent/response_progress_test.go
+++ b/internal/agent/response_progress_test.go
@@ -47,29 +47,29 @@
 // startTimeout is the time in which a response to readResponse has to start.
 const startTimeout = time.Second
 
-// readResponse reads a response that starts after a delay, and returns how often its start was reported and what ended it.
-func readResponse(delay time.Duration, body func(ctx context.Context) io.ReadCloser) (begun int, err error) {
-	ctx, cancel := withResponseProgress(context.Background(), startTimeout, func() { begun++ })
+// readResponse reads a response that starts after a delay. It returns how often its start was reported, and what ended it.
+func readResponse(delay time.Duration, body func(ctx context.Context) io.ReadCloser) (starts int, err error) {
+	ctx, cancel := withResponseProgress(context.Background(), startTimeout, func() { starts++ })
 	defer cancel()
 	select {
 	case <-time.After(delay):
 	case <-ctx.Done():
-		return begun, stalledCause(ctx, ctx.Err())
+		return starts, stalledCause(ctx, ctx.Err())
 	}
-	noted := responseProgressOf(ctx)
-	noted.received()
-	_, err = io.ReadAll(&progressBody{ReadCloser: body(ctx), progress: noted})
-	return begun, stalledCause(ctx, err)
+	progress := responseProgressOf(ctx)
+	progress.received()
+	_, err = io.ReadAll(&progressBody{ReadCloser: body(ctx), progress: progress})
+	return starts, stalledCause(ctx, err)
 }
 
 func TestSlowResponsesAreReadToTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		begun, err := readResponse(time.Second/2, func(ctx context.Context) io.ReadCloser {
+		starts, err := readResponse(time.Second/2, func(ctx context.Context) io.ReadCloser {
 			return &slowBody{ctx: ctx, left: 10, interval: time.Second, ends: true}
 		})
 		require.NoError(t, err)
-		require.Equal(t, 1, begun, "the start is reported once")
+		require.Equal(t, 1, starts, "the start is reported once")
 		require.Equal(t, 10*time.Second+time.Second/2, time.Since(began))
 	})
 }
@@ -79,15 +79,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := withResponseProgress(context.Background(), time.Second, nil)
 		defer cancel()
-		noted := responseProgressOf(ctx)
-		require.Zero(t, noted.sinceStart())
-		noted.received()
-		_, err := io.ReadAll(&progressBody{ReadCloser: &slowBody{ctx: ctx, left: 3, interval: time.Second, ends: true}, progress: noted})
+		progress := responseProgressOf(ctx)
+		require.Zero(t, progress.sinceStart())
+		progress.received()
+		_, err := io.ReadAll(&progressBody{ReadCloser: &slowBody{ctx: ctx, left: 3, interval: time.Second, ends: true}, progress: progress})
 		require.NoError(t, err)
 		list := &pb.ServerList{AgeMs: 200}
-		addTransferTime(list, noted.sinceStart())
+		addTransferTime(list, progress.sinceStart())
 		require.EqualValues(t, 3200, list.GetAgeMs())
-		addTransferTime(nil, noted.sinceStart())
+		addTransferTime(nil, progress.sinceStart())
 	})
 }
 
@@ -128,11 +128,11 @@
 func TestCallsWithoutAResponseEndAtTheirTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		begun, err := readResponse(time.Minute, nil)
+		starts, err := readResponse(time.Minute, nil)
 		var stalled *stalledError
 		require.ErrorAs(t, err, &stalled)
 		require.False(t, stalled.responseStarted)
-		require.Zero(t, begun)
+		require.Zero(t, starts)
 		require.Equal(t, startTimeout, time.Since(began))
 	})
 }
@@ -168,8 +168,8 @@
 	base.RegisterProtocol("test", roundTripFunc(func(request *http.Request) (*http.Response, error) {
 		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(make([]byte, 100)))}, nil
 	}))
-	begun := 0
-	ctx, cancel := withResponseProgress(t.Context(), time.Minute, func() { begun++ })
+	starts := 0
+	ctx, cancel := withResponseProgress(t.Context(), time.Minute, func() { starts++ })
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "test://control/", nil)
 	require.NoError(t, err)
@@ -179,7 +179,7 @@
 	require.NoError(t, err)
 	require.Len(t, body, 100)
 	require.NoError(t, response.Body.Close())
-	require.Equal(t, 1, begun)
+	require.Equal(t, 1, starts)
 }
 
 type roundTripFunc func(*http.Request) (*http.Response, error)
--- a/internal/agent/slow_response_test.go
+++ b/internal/agent/slow_response_test.go
@@ -11,6 +11,7 @@
 
 // newLinkedCore returns a core whose proxy is known, with its first long poll in flight.
 func newLinkedCore(t *testing.T) (*coreDriver, watchCall) {
+	t.Helper()
 	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.now = time.Millisecond
 	s.step(tick{})
--- a/internal/agent/state_fetch_test.go
+++ b/internal/agent/state_fetch_test.go
@@ -11,6 +11,7 @@
 
 // newProbingCore returns a core whose control machine has failed, with probes to the others in flight.
 func newProbingCore(t *testing.T) *coreDriver {
+	t.Helper()
 	s := newCoreDriver(t, "core-1:1", "core-2:1", "core-3:1", "core-4:1", "core-5:1")
 	s.now = time.Millisecond
 	s.step(tick{})
