--- a/internal/packing/compressor.go
+++ b/internal/packing/compressor.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxEntries bounds the entries of a Packer's cache.
+	// maxEntries bounds the entries of the cache.
 	maxEntries = 8
 	// maxCachedBytes bounds their size in bytes, compressed. One entry is cached however large it is.
 	maxCachedBytes = 1 << 20
@@ -52,8 +52,8 @@
 	compressed *pb.PackedNews // nil: the update is too small
 }
 
-// Packed returns the compressed update of a key, nil if it is smaller than MinSize. The update is made, with the Packer
-// locked, only if no result is cached. The result is shared and must not be changed.
+// Packed returns the compressed update of a key, nil if it is smaller than MinSize. The update is made, with the lock
+// held, only if no result is cached. The result is shared and must not be changed.
 func (p *Packer) Packed(key Key, makeUpdate func() *pb.StateNews) *pb.PackedNews {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
