--- a/internal/agent/compressed_push_test.go
+++ b/internal/agent/compressed_push_test.go
@@ -15,9 +15,9 @@
 func TestLargeUpdateIsPassedOnAsItCame(t *testing.T) {
 	m := newModel(1, 1, 1)
 	m.commitRoutes(routesAtFirst)
-	var packer packing.Packer
+	var packer packing.Compressor
 	response := &pb.WatchResponse{Authoritative: true, Sequence: 1, Repair: m.truth[1].RepairFor(nil)}
-	packer.PackAnswer(&pb.WatchRequest{TakesPacked: true}, response)
+	packer.CompressResponse(&pb.WatchRequest{TakesPacked: true}, response)
 	packed := response.GetPacked()
 	require.NotNil(t, packed)
 	require.NoError(t, decompressWatch(response))
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -147,7 +147,7 @@
 	fields := append(c.counters.fields(),
 		zap.Uint64("sequence", c.replica.Sequence()),
 		zap.Uint64("generation", c.replica.Snapshot().Generation()),
-		zap.Uint64("malformed_repairs", c.gossip.Malformed()),
+		zap.Uint64("malformed_repairs", c.gossip.MalformedRepairs()),
 		zap.Int("neighbours", len(c.partialView.Neighbours())),
 		zap.Uint32("members", c.members.shares.GetProxies()),
 		zap.Bool("proxy_ready", c.proxy.ready()))
--- a/internal/agent/core_peers.go
+++ b/internal/agent/core_peers.go
@@ -50,7 +50,7 @@
 			return nil
 		}
 		sample := neighboursFromMessages(done.response.GetSample())
-		c.partialView.Step(now, shuffle.Answered{From: done.call.To, Sample: sample})
+		c.partialView.Step(now, shuffle.ExchangeAnswered{From: done.call.To, Sample: sample})
 	case pushDone:
 		if c.recordPeerFailure(now, done.err, done.call.To.Host) {
 			return nil
@@ -64,7 +64,7 @@
 		if c.recordPeerFailure(now, done.err, done.call.To.Host) {
 			return nil
 		}
-		return c.gossipActions(c.gossip.Step(now, gossip.Compared{Request: done.call.Compare, Response: done.response}))
+		return c.gossipActions(c.gossip.Step(now, gossip.CompareAnswered{Request: done.call.Compare, Response: done.response}))
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	if connect.CodeOf(err) == connect.CodeResourceExhausted {
 		return true
 	}
-	c.partialView.Step(now, shuffle.Failed{Host: host})
+	c.partialView.Step(now, shuffle.ExchangeFailed{Host: host})
 	return true
 }
 
@@ -107,7 +107,7 @@
 		Sample: neighboursFromMessages(received.request.GetSample()),
 	})
 	for _, one := range produced {
-		if answer, ok := one.(shuffle.Answer); ok {
+		if answer, ok := one.(shuffle.ExchangeReply); ok {
 			received.response <- &pb.ShuffleResponse{Sample: neighbourMessages(answer.Sample)}
 		}
 	}
--- a/internal/agent/decompress.go
+++ b/internal/agent/decompress.go
@@ -24,7 +24,7 @@
 	if compressed == nil {
 		return changes, repair, nil
 	}
-	update, err := packing.Unpack(compressed)
+	update, err := packing.Decompress(compressed)
 	if err != nil {
 		return changes, repair, err
 	}
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -149,7 +149,7 @@
 	if request.GetSequence() >= f.replica.Sequence() {
 		return false
 	}
-	changes, available := f.replica.Since(request.GetSequence())
+	changes, available := f.replica.ChangesSince(request.GetSequence())
 	switch {
 	case available:
 		response.Changes = changes
--- a/internal/agent/model_control_test.go
+++ b/internal/agent/model_control_test.go
@@ -17,7 +17,7 @@
 	stalled       bool // it receives nothing new
 	dead          bool // it responds to nothing
 	waiting       []*modelWatch
-	packer        packing.Packer
+	packer        packing.Compressor
 }
 
 // modelWatch is a long poll that waits for an update.
@@ -86,7 +86,7 @@
 		return response, c.authoritative
 	}
 	updated := c.addState(response, request)
-	c.packer.PackAnswer(request, response)
+	c.packer.CompressResponse(request, response)
 	if request.GetMembersSource() != c.address {
 		response.Members = c.model.members()
 		updated = true
@@ -104,7 +104,7 @@
 	case sequence == 0:
 		response.Repair = c.replica.Snapshot().RepairFor(nil)
 	default:
-		changes, available := c.replica.Since(sequence)
+		changes, available := c.replica.ChangesSince(sequence)
 		switch digests := request.GetDigests(); {
 		case available:
 			response.Changes = changes
--- a/internal/agent/proxy_link.go
+++ b/internal/agent/proxy_link.go
@@ -118,7 +118,7 @@
 	if replica.Sequence() <= l.status.GetSequence() {
 		return false
 	}
-	changes, available := replica.Since(l.status.GetSequence())
+	changes, available := replica.ChangesSince(l.status.GetSequence())
 	if available && l.status.GetDigests() == nil {
 		apply.Changes = changes
 	} else {
--- a/internal/agent/state_fetch_load_test.go
+++ b/internal/agent/state_fetch_load_test.go
@@ -21,8 +21,8 @@
 		m.commitRoutes(routesAtFirst)
 		m.commitRoutes(routesInChange)
 		require.True(t, m.runUntil(time.Minute, m.converged))
-		key := packing.Key{Sequence: m.last(), Whole: true}
-		whole := m.controls[coreMachines-1].packer.Packed(key, func() *pb.StateNews {
+		key := packing.Key{Sequence: m.last(), Complete: true}
+		whole := m.controls[coreMachines-1].packer.Compressed(key, func() *pb.StateNews {
 			return &pb.StateNews{Repair: m.truth[m.last()].RepairFor(nil)}
 		})
 		once := float64(edgeMachines * proto.Size(whole))
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -74,7 +74,7 @@
 }
 
 // addFaults adds faults of a route.
-func (c *routeChecker) addFaults(route string, faults []configitem.Fault) {
+func (c *routeChecker) addFaults(route string, faults []configitem.FieldError) {
 	for _, fault := range faults {
 		c.faults.add(KindRoutes+"/"+route, fault.Field, "%s", fault.Reason)
 	}
@@ -105,7 +105,7 @@
 		c.addFaults(name, faults)
 	}
 	c.checkService(name, "backend", destination.Service)
-	for _, share := range destination.Shares {
+	for _, share := range destination.Split {
 		c.checkService(name, "split", share.Service)
 	}
 }
--- a/internal/configitem/decoder.go
+++ b/internal/configitem/decoder.go
@@ -4,11 +4,11 @@
 
 // decoder decodes members that validation does not check, and collects the faults of those that count as missing.
 type decoder struct {
-	faults []Fault
+	faults []FieldError
 }
 
 func (d *decoder) fault(field, reason string) {
-	d.faults = append(d.faults, Fault{Field: field, Reason: reason})
+	d.faults = append(d.faults, FieldError{Field: field, Reason: reason})
 }
 
 // nonNegative decodes a number of 0 or more.
--- a/internal/configitem/destination.go
+++ b/internal/configitem/destination.go
@@ -18,30 +18,30 @@
 	// Service is the name in "backend", as by jsonwalk.Unquoted; empty if there is none. It gets all requests if
 	// there is no split.
 	Service []byte
-	// Shares are the elements of "split". The sum of their weights is finite.
-	Shares []WeightedService
+	// Split are the elements of "split". The sum of their weights is finite.
+	Split []WeightedService
 }
 
 // Faults of a route's destination.
 var (
 	// ErrServiceNotText is the fault of a "backend" that is not text.
-	ErrServiceNotText = Fault{Field: fieldService, Reason: "is not a name"}
+	ErrServiceNotText = FieldError{Field: fieldService, Reason: "is not a name"}
 	// ErrNoService is the fault of a route that names no service at all.
-	ErrNoService = Fault{Field: fieldService, Reason: "no service is named"}
+	ErrNoService = FieldError{Field: fieldService, Reason: "no service is named"}
 	// ErrSplitNotList is the fault of a "split" that is not a list.
-	ErrSplitNotList = Fault{Field: fieldSplit, Reason: "is not a list"}
+	ErrSplitNotList = FieldError{Field: fieldSplit, Reason: "is not a list"}
 	// ErrNoWeight is the fault of a split whose weights add up to 0.
-	ErrNoWeight = Fault{Field: fieldSplit, Reason: "the shares add up to 0"}
+	ErrNoWeight = FieldError{Field: fieldSplit, Reason: "the shares add up to 0"}
 	// ErrWeight is the fault of a weight that is not a number or is negative; it counts as 0.
-	ErrWeight = Fault{Field: fieldSplit, Reason: "a share is not a number of 0 or more"}
+	ErrWeight = FieldError{Field: fieldSplit, Reason: "a share is not a number of 0 or more"}
 	// ErrSplitServiceNotText is the fault of an element of a split whose service is not text.
-	ErrSplitServiceNotText = Fault{Field: fieldSplit, Reason: "is not a name"}
+	ErrSplitServiceNotText = FieldError{Field: fieldSplit, Reason: "is not a name"}
 )
 
 // Destination returns the services that the route names, and their faults.
-func (r *Route) Destination() (Destination, []Fault) {
+func (r *Route) Destination() (Destination, []FieldError) {
 	var destination Destination
-	var faults []Fault
+	var faults []FieldError
 	wrongForm := r.service != nil && !jsonwalk.IsString(r.service)
 	if wrongForm {
 		faults = append(faults, ErrServiceNotText)
@@ -59,8 +59,8 @@
 		return destination, append(faults, ErrSplitNotList)
 	}
 	var total float64
-	destination.Shares, total, faults = parseSplit(r.split, faults)
-	onlyService := len(destination.Shares) == 0 && named
+	destination.Split, total, faults = parseSplit(r.split, faults)
+	onlyService := len(destination.Split) == 0 && named
 	if total <= 0 && !onlyService {
 		faults = append(faults, ErrNoWeight)
 	}
@@ -69,7 +69,7 @@
 
 // parseSplit parses the list of a split, returns its elements and the sum of their weights, and appends its faults. An
 // element that cannot be parsed has weight 0 and no service.
-func parseSplit(list []byte, faults []Fault) ([]WeightedService, float64, []Fault) {
+func parseSplit(list []byte, faults []FieldError) ([]WeightedService, float64, []FieldError) {
 	var services []WeightedService
 	total := 0.0
 	for element := range jsonwalk.Elements(list) {
@@ -85,7 +85,7 @@
 }
 
 // parseWeightedService parses one element of a split, and appends its faults.
-func parseWeightedService(element []byte, index int, faults []Fault) (WeightedService, []Fault) {
+func parseWeightedService(element []byte, index int, faults []FieldError) (WeightedService, []FieldError) {
 	var weighted WeightedService
 	if !jsonwalk.IsObject(element) {
 		return weighted, append(faults, splitFault("element %d is not an object", index))
@@ -106,8 +106,8 @@
 	return weighted, faults
 }
 
-func splitFault(format string, index int) Fault {
-	return Fault{Field: fieldSplit, Reason: fmt.Sprintf(format, index)}
+func splitFault(format string, index int) FieldError {
+	return FieldError{Field: fieldSplit, Reason: fmt.Sprintf(format, index)}
 }
 
 // scaleDown makes the sum of weights finite and keeps their proportions.
--- a/internal/configitem/limits.go
+++ b/internal/configitem/limits.go
@@ -20,7 +20,7 @@
 
 // ParseLimits parses the body of the setting that holds the request limits, and returns the faults of members that cannot
 // be used. A body that is not a JSON object sets no limits.
-func ParseLimits(body []byte) (Limits, []Fault) {
+func ParseLimits(body []byte) (Limits, []FieldError) {
 	if jsonwalk.IsNull(jsonwalk.Trim(body)) {
 		return Limits{}, nil
 	}
--- a/internal/configitem/options.go
+++ b/internal/configitem/options.go
@@ -30,7 +30,7 @@
 }
 
 // Options returns these members, and the faults of those that cannot be used.
-func (r *Route) Options() (RouteOptions, []Fault) {
+func (r *Route) Options() (RouteOptions, []FieldError) {
 	var d decoder
 	options := RouteOptions{
 		Kind:           d.kind(r.kind),
--- a/internal/configitem/route.go
+++ b/internal/configitem/route.go
@@ -86,20 +86,20 @@
 // Faults of a route's match.
 var (
 	// ErrHost is the fault of a route without a host.
-	ErrHost = Fault{Field: fieldHost, Reason: "is not a host name"}
+	ErrHost = FieldError{Field: fieldHost, Reason: "is not a host name"}
 	// ErrPathPrefix is the fault of a route with a prefix that no path begins with.
-	ErrPathPrefix = Fault{Field: fieldPrefix, Reason: "does not begin with a slash"}
+	ErrPathPrefix = FieldError{Field: fieldPrefix, Reason: "does not begin with a slash"}
 )
 
 // Match returns the route's match, or its fault.
-func (r *Route) Match() (Match, []Fault) {
+func (r *Route) Match() (Match, []FieldError) {
 	host := optionalText(r.host)
 	if host == "" {
-		return Match{}, []Fault{ErrHost}
+		return Match{}, []FieldError{ErrHost}
 	}
 	prefix := optionalText(r.prefix)
 	if !strings.HasPrefix(prefix, "/") {
-		return Match{}, []Fault{ErrPathPrefix}
+		return Match{}, []FieldError{ErrPathPrefix}
 	}
 	return Match{Host: CanonicalHost(host), Prefix: prefix}, nil
 }
@@ -107,22 +107,22 @@
 // Faults of a route's deadline.
 var (
 	// ErrDeadlineNotNumber is the fault of a deadline that is not a number.
-	ErrDeadlineNotNumber = Fault{Field: fieldDeadline, Reason: "is not a number"}
+	ErrDeadlineNotNumber = FieldError{Field: fieldDeadline, Reason: "is not a number"}
 	// ErrDeadlineNotPositive is the fault of a deadline of 0 or less.
-	ErrDeadlineNotPositive = Fault{Field: fieldDeadline, Reason: "is not above 0"}
+	ErrDeadlineNotPositive = FieldError{Field: fieldDeadline, Reason: "is not above 0"}
 )
 
 // Deadline returns the longest time that a request may take, in milliseconds, or its fault; 0 if it is missing.
-func (r *Route) Deadline() (float64, []Fault) {
+func (r *Route) Deadline() (float64, []FieldError) {
 	if r.deadline == nil {
 		return 0, nil
 	}
 	deadline, ok := jsonwalk.Number(r.deadline)
 	if !ok {
-		return 0, []Fault{ErrDeadlineNotNumber}
+		return 0, []FieldError{ErrDeadlineNotNumber}
 	}
 	if deadline <= 0 {
-		return 0, []Fault{ErrDeadlineNotPositive}
+		return 0, []FieldError{ErrDeadlineNotPositive}
 	}
 	return deadline, nil
 }
--- a/internal/configitem/service.go
+++ b/internal/configitem/service.go
@@ -35,7 +35,7 @@
 
 // ParseService parses the body of a service, and returns the faults of members that cannot be used. A body that is not a
 // JSON object gives a service of which nothing is known.
-func ParseService(body []byte) (Service, []Fault) {
+func ParseService(body []byte) (Service, []FieldError) {
 	object, faults := Object(body)
 	if faults != nil {
 		return Service{}, faults
--- a/internal/controlserver/compressed_test.go
+++ b/internal/controlserver/compressed_test.go
@@ -38,14 +38,14 @@
 		request.Agent = testAgent(fmt.Sprint("edge-", agent))
 		got := watchWith(t.Context(), link, request)
 		require.NoError(t, got.err)
-		updates, err := packing.Unpack(got.answer.GetPacked())
+		updates, err := packing.Decompress(got.answer.GetPacked())
 		require.NoError(t, err)
 		require.Len(t, updates.GetChanges(), 1)
 		require.Empty(t, got.answer.GetChanges())
 		plain = proto.Size(updates)
 		require.Less(t, 4*proto.Size(got.answer.GetPacked()), plain)
 	}
-	require.EqualValues(t, 1, link.packer.Packs())
+	require.EqualValues(t, 1, link.packer.Compressions())
 }
 
 func TestAgentsWithoutCompressionGetChanges(t *testing.T) {
@@ -77,7 +77,7 @@
 	partial := watch(p, request).answer
 	require.True(t, partial.GetPacked().GetRepairs())
 	require.False(t, partial.GetPacked().GetWhole())
-	updates, err := packing.Unpack(partial.GetPacked())
+	updates, err := packing.Decompress(partial.GetPacked())
 	require.NoError(t, err)
 	restored, err := behind.Restore(updates.GetRepair())
 	require.NoError(t, err)
--- a/internal/controlserver/directory.go
+++ b/internal/controlserver/directory.go
@@ -34,7 +34,7 @@
 		Authoritative: func() bool { return p.node.Status().Authoritative },
 		ZoneKnown:     p.knowsZone,
 		Endpoints: func(host, region, zone string) []string {
-			client := registry.Client{Region: region, Zone: zone, Homes: p.homeRegionsOf(host), Leaving: p.drainingEndpointTime()}
+			client := registry.Client{Region: region, Zone: zone, HomeRegions: p.homeRegionsOf(host), DrainGracePeriod: p.drainingEndpointTime()}
 			return p.soft.Endpoints(client, p.rotation.Add(1))
 		},
 		EndpointsLifetime: func() time.Duration {
--- a/internal/controlserver/lag.go
+++ b/internal/controlserver/lag.go
@@ -15,7 +15,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.lagMonitor.Committed(s.now(), committed.Sequence())
+	s.lagMonitor.RecordCommit(s.now(), committed.Sequence())
 	s.observedSequence.Store(max(s.observedSequence.Load(), committed.Sequence()))
 }
 
@@ -25,7 +25,7 @@
 	defer s.mutex.Unlock()
 	s.lagMonitor.SetBounds(bounds)
 	if !authoritative {
-		s.lagMonitor.SuspendBounds(s.now())
+		s.lagMonitor.ObserveUnsynchronized(s.now())
 	}
 }
 
@@ -39,18 +39,18 @@
 // lagBounds returns the lag monitor's bounds by the settings.
 func lagBounds(bounds settings.Bounds) registry.LagBounds {
 	return registry.LagBounds{
-		Contact: bounds.ContactFor(),
-		Apply:   bounds.ApplyWithin(),
-		Stretch: bounds.Stretch(),
+		MinContact:              bounds.ContactFor(),
+		ApplyDelay:              bounds.ApplyWithin(),
+		UnsynchronizedAllowance: bounds.Stretch(),
 	}
 }
 
 // lagStatus is the part of a status report about lagging agents.
 func lagStatus(stats registry.LagStats) *pb.LatenessStatus {
 	return &pb.LatenessStatus{
-		AgentsBehind: uint32(stats.Behind),
-		OldestLagMs:  milliseconds(stats.Oldest),
-		OldestHost:   stats.OldestHost,
+		AgentsBehind: uint32(stats.Lagging),
+		OldestLagMs:  milliseconds(stats.LongestLag),
+		OldestHost:   stats.LongestLagHost,
 		LateProxies:  stats.Violations,
 	}
 }
--- a/internal/controlserver/linkservice.go
+++ b/internal/controlserver/linkservice.go
@@ -47,7 +47,7 @@
 	host         string // of this machine
 	shuttingDown <-chan struct{}
 	watchSlots   chan struct{} // one token per open call
-	packer       packing.Packer
+	packer       packing.Compressor
 	counters     *watchCounters
 }
 
@@ -166,7 +166,7 @@
 		return response, true
 	}
 	hasUpdate := l.addState(response, watch, status.Committed)
-	l.packer.PackAnswer(watch, response)
+	l.packer.CompressResponse(watch, response)
 	if status.View.GetNumber() > watch.GetViewNumber() {
 		response.View = status.View
 		hasUpdate = true
--- a/internal/controlserver/logging.go
+++ b/internal/controlserver/logging.go
@@ -37,8 +37,8 @@
 		p.logger.Info("agent lag ended",
 			zap.String("host", event.Host),
 			zap.Uint64("reported_sequence", event.Reported),
-			zap.Duration("max_lag", event.Longest),
-			zap.Bool("contact_lost", event.Unheard))
+			zap.Duration("max_lag", event.LongestLag),
+			zap.Bool("contact_lost", event.LostContact))
 	case registry.ProxyBoundExceeded:
 		p.logger.Error("proxy exceeded the lag bound",
 			zap.String("host", event.Host),
@@ -69,9 +69,9 @@
 // lagFields are the figures of the lag monitor in the line of counters.
 func lagFields(stats registry.LagStats) []zap.Field {
 	return []zap.Field{
-		zap.Int("agents_lagging", stats.Behind),
-		zap.Duration("max_lag", stats.Oldest),
-		zap.String("max_lag_host", stats.OldestHost),
+		zap.Int("agents_lagging", stats.Lagging),
+		zap.Duration("max_lag", stats.LongestLag),
+		zap.String("max_lag_host", stats.LongestLagHost),
 		zap.Uint64("lag_bound_exceeded", stats.Violations),
 	}
 }
--- a/internal/controlserver/serve_test.go
+++ b/internal/controlserver/serve_test.go
@@ -99,7 +99,7 @@
 }
 
 // restrictedClient is a client that may be bound to its region.
-var restrictedClient = registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}
+var restrictedClient = registry.Client{Region: "cz-morava", Zone: "brno-hala", HomeRegions: route.HomeRegions{Unreadable: true}}
 
 // TestTheDirectoryFollowsTheHomesOfTheConfiguration: clients whose region has no proxy are sent to home regions of their host.
 func TestTheDirectoryFollowsTheHomesOfTheConfiguration(t *testing.T) {
--- a/internal/controlserver/softstate.go
+++ b/internal/controlserver/softstate.go
@@ -187,7 +187,7 @@
 	converging := now < s.convergingSince+directoryConvergenceTime
 	s.mutex.Unlock()
 	members := s.Snapshot().members
-	served := members.MostlyServing(now) && (!client.Homes.IsRestricted() || members.Serves(now, client.Region))
+	served := members.MostlyServing(now) && (!client.HomeRegions.IsRestricted() || members.Serves(now, client.Region))
 	if converging && !served {
 		return nil
 	}
--- a/internal/controlserver/softstate_test.go
+++ b/internal/controlserver/softstate_test.go
@@ -92,11 +92,11 @@
 		record.Region = "west"
 		p.soft.ObserveAgent(record, nil)
 	}
-	require.Len(t, p.soft.Endpoints(registry.Client{Region: "west", Homes: route.HomeRegions{Unreadable: true}}, 0), 2)
-	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "east", Homes: route.HomeRegions{Unreadable: true}}, 0), "its own proxies may not have been observed yet")
+	require.Len(t, p.soft.Endpoints(registry.Client{Region: "west", HomeRegions: route.HomeRegions{Unreadable: true}}, 0), 2)
+	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "east", HomeRegions: route.HomeRegions{Unreadable: true}}, 0), "its own proxies may not have been observed yet")
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east"}, 0), 2, "any proxy will do")
 	pass(p, directoryConvergenceTime)
-	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east", Homes: route.HomeRegions{Unreadable: true}}, 0), 2, "it has none")
+	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east", HomeRegions: route.HomeRegions{Unreadable: true}}, 0), 2, "it has none")
 }
 
 // TestManyAgentsWakeTheOthersOnce: agents are notified once of members that change together.
--- a/internal/gossip/antientropy.go
+++ b/internal/gossip/antientropy.go
@@ -109,7 +109,7 @@
 // these compares again, by digests.
 func (m *Machine) addMissingState(response *pb.CompareResponse, request CompareRequested) {
 	sequence := request.Digests.GetSequence()
-	changes, complete := m.replica.Since(sequence)
+	changes, complete := m.replica.ChangesSince(sequence)
 	repairable := len(request.Digests.GetDigests()) > 0
 	// A repair brings the complete state, a compressed update may bring only a part of it.
 	if request.AcceptsCompressed && (!complete && !repairable || isWorthCompressing(changes)) {
@@ -117,7 +117,7 @@
 	}
 	switch {
 	case response.Packed != nil:
-		response.Changes, _ = m.replica.Since(response.Packed.GetSequence())
+		response.Changes, _ = m.replica.ChangesSince(response.Packed.GetSequence())
 	case complete:
 		response.Changes = changes
 	case repairable:
@@ -127,7 +127,7 @@
 
 // finishCompare applies the answer to a comparison. If that leaves the replica behind the neighbour, a comparison by
 // digests follows, unless this one was by digests.
-func (m *Machine) finishCompare(now time.Duration, answer Compared) []Action {
+func (m *Machine) finishCompare(now time.Duration, answer CompareAnswered) []Action {
 	response := answer.Response
 	actions := m.applyUpdate(now, answer.Request.To.Host, UpdateReceived{
 		Changes:    response.GetChanges(),
--- a/internal/gossip/capacity_bench_test.go
+++ b/internal/gossip/capacity_bench_test.go
@@ -40,7 +40,7 @@
 	for b.Loop() {
 		compare := machine.versionComparison(self)
 		reply := other.Step(time.Minute, CompareRequested{From: self, Digests: compare.Digests, List: compare.List})
-		machine.Step(time.Minute, Compared{Request: compare, Response: reply[0].(CompareReply).Response})
+		machine.Step(time.Minute, CompareAnswered{Request: compare, Response: reply[0].(CompareReply).Response})
 	}
 }
 
--- a/internal/gossip/catchup_test.go
+++ b/internal/gossip/catchup_test.go
@@ -53,7 +53,7 @@
 				if p.alter != nil {
 					p.alter(reply.Response)
 				}
-				p.execute(now, host, p.machines[host].Step(now, Compared{Request: compare, Response: reply.Response}))
+				p.execute(now, host, p.machines[host].Step(now, CompareAnswered{Request: compare, Response: reply.Response}))
 			}
 		}
 	}
@@ -104,9 +104,9 @@
 	for _, sequence := range []uint64{11, 300, 899, 900} {
 		late := Compare{To: shuffle.Neighbour{Host: "edge-1"}, Digests: base.Digests(), Base: base}
 		response := &pb.CompareResponse{Sequence: sequence, Repair: stateAt(sequence).RepairFor(base.Digests())}
-		require.Empty(t, machine.Step(time.Second, Compared{Request: late, Response: response}))
+		require.Empty(t, machine.Step(time.Second, CompareAnswered{Request: late, Response: response}))
 		require.Empty(t, machine.Step(time.Second, UpdateReceived{Repair: stateAt(sequence).RepairFor(nil)}))
 		require.EqualValues(t, 900, replica.Sequence())
 	}
-	require.Zero(t, machine.Malformed())
+	require.Zero(t, machine.MalformedRepairs())
 }
--- a/internal/gossip/compressed_test.go
+++ b/internal/gossip/compressed_test.go
@@ -19,9 +19,9 @@
 
 // compressedFrom compresses changes for a replica at the sequence before them.
 func compressedFrom(made ...*pb.Change) *pb.PackedNews {
-	var packer packing.Packer
+	var packer packing.Compressor
 	key := packing.Key{Base: made[0].GetSequence() - 1, Sequence: made[len(made)-1].GetSequence()}
-	return packer.Packed(key, func() *pb.StateNews { return &pb.StateNews{Changes: made} })
+	return packer.Compressed(key, func() *pb.StateNews { return &pb.StateNews{Changes: made} })
 }
 
 // memberWithLargeUpdate returns a member at sequence 5 whose change 4 is large and came compressed.
--- a/internal/gossip/events.go
+++ b/internal/gossip/events.go
@@ -43,8 +43,8 @@
 	AcceptsCompressed bool // the answer may carry a compressed update
 }
 
-// Compared is a neighbour's answer to a Compare.
-type Compared struct {
+// CompareAnswered is a neighbour's answer to a Compare.
+type CompareAnswered struct {
 	Request  Compare
 	Response *pb.CompareResponse
 }
@@ -54,7 +54,7 @@
 func (PushRequested) isEvent()    {}
 func (PushAnswered) isEvent()     {}
 func (CompareRequested) isEvent() {}
-func (Compared) isEvent()         {}
+func (CompareAnswered) isEvent()  {}
 
 // Action is an output of a Machine, which the caller of Step has to carry out.
 type Action interface{ isAction() }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -61,8 +61,8 @@
 	return &Machine{replica: replica, view: view, random: random}
 }
 
-// Malformed returns the number of repairs that could not be used.
-func (m *Machine) Malformed() uint64 { return m.malformed }
+// MalformedRepairs returns the number of repairs that could not be used.
+func (m *Machine) MalformedRepairs() uint64 { return m.malformed }
 
 // Step handles an event at the time now of a monotonic clock, and returns the actions that follow from it, in order.
 func (m *Machine) Step(now time.Duration, event Event) []Action {
@@ -77,7 +77,7 @@
 		m.observeVersion(now, event.To, event.Sequence, event.List)
 	case CompareRequested:
 		return m.answerCompare(now, event)
-	case Compared:
+	case CompareAnswered:
 		return m.finishCompare(now, event)
 	}
 	return nil
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -135,7 +135,7 @@
 	case Compare:
 		event := CompareRequested{From: neighbour(m.from), Digests: action.Digests, List: action.List}
 		for _, answer := range s.step(m.to, event) {
-			s.answer(m.from, Compared{Request: action, Response: answer.(CompareReply).Response})
+			s.answer(m.from, CompareAnswered{Request: action, Response: answer.(CompareReply).Response})
 		}
 	}
 }
@@ -243,7 +243,7 @@
 	request := s.machines[0].versionComparison(neighbour(1))
 	reply := s.step(1, CompareRequested{From: neighbour(0), Digests: request.Digests, List: request.List})[0].(CompareReply)
 	require.True(t, proto.Equal(&pb.CompareResponse{Sequence: 3}, reply.Response))
-	require.Empty(t, s.step(0, Compared{Request: request, Response: reply.Response}))
+	require.Empty(t, s.step(0, CompareAnswered{Request: request, Response: reply.Response}))
 }
 
 func TestUpdateGoesNotBackToWhereItCameFrom(t *testing.T) {
@@ -271,6 +271,6 @@
 	machine := New(replica, fixedView{}, rand.New(rand.NewPCG(1, 1)))
 	bad := &pb.Repair{Sequence: 5, Ranges: []*pb.Range{{Index: 99}}}
 	require.Empty(t, machine.Step(0, UpdateReceived{Repair: bad}))
-	require.EqualValues(t, 1, machine.Malformed())
+	require.EqualValues(t, 1, machine.MalformedRepairs())
 	require.Zero(t, replica.Sequence())
 }
--- a/internal/gossip/partial_update_test.go
+++ b/internal/gossip/partial_update_test.go
@@ -24,8 +24,8 @@
 	}
 	apply(largeChange(10))
 	whole := source.RepairFor(nil)
-	var packer packing.Packer
-	compressedWhole := packer.Packed(packing.Key{Sequence: 10, Whole: true}, func() *pb.StateNews { return &pb.StateNews{Repair: whole} })
+	var packer packing.Compressor
+	compressedWhole := packer.Compressed(packing.Key{Sequence: 10, Complete: true}, func() *pb.StateNews { return &pb.StateNews{Repair: whole} })
 	require.NotNil(t, compressedWhole)
 	large := largeChange(11)
 	apply(large)
@@ -51,12 +51,12 @@
 		reply := ahead.Step(0, CompareRequested{From: neighbour(2), Digests: request.Digests, AcceptsCompressed: true})[0].(CompareReply)
 		response := reply.Response
 		if compressed := response.GetPacked(); compressed != nil {
-			unpacked, err := packing.Unpack(compressed)
+			unpacked, err := packing.Decompress(compressed)
 			require.NoError(t, err)
 			response.Changes = append(unpacked.GetChanges(), response.GetChanges()...)
 			response.Repair = unpacked.GetRepair()
 		}
-		for _, action := range behind.Step(0, Compared{Request: request, Response: response}) {
+		for _, action := range behind.Step(0, CompareAnswered{Request: request, Response: response}) {
 			if compare, ok := action.(Compare); ok {
 				pending = append(pending, compare)
 			}
--- a/internal/gossip/replica.go
+++ b/internal/gossip/replica.go
@@ -31,8 +31,10 @@
 // Sequence returns the sequence number of the last change applied, 0 before the first.
 func (r *Replica) Sequence() uint64 { return r.snapshot.Sequence() }
 
-// Since returns the changes after a sequence, and false if the history does not reach back so far.
-func (r *Replica) Since(sequence uint64) ([]*pb.Change, bool) { return r.history.Since(sequence) }
+// ChangesSince returns the changes after a sequence, and false if the history does not reach back so far.
+func (r *Replica) ChangesSince(sequence uint64) ([]*pb.Change, bool) {
+	return r.history.Since(sequence)
+}
 
 // ListVersion returns the version of the server list, nil if there is none.
 func (r *Replica) ListVersion() *pb.ListVersion { return r.list.message.GetVersion() }
--- a/internal/packing/compressor.go
+++ b/internal/packing/compressor.go
@@ -22,7 +22,7 @@
 	Base     uint64 // sequence of the replica that lacks the update
 	Sequence uint64 // of that replica after the update
 	Digests  uint64 // DigestsKey of the replica's digests if the update is a repair that answers them
-	Whole    bool   // the update is a repair of all ranges, which applies to any earlier replica
+	Complete bool   // the update is a repair of all ranges, which applies to any earlier replica
 }
 
 // DigestsKey returns a hash of the digests that a repair answers, 0 if there are none.
@@ -37,9 +37,9 @@
 	return xxhash.Sum64(encoded)
 }
 
-// Packer compresses each update once, however many callers request it at the same time, and caches the last ones. The
+// Compressor compresses each update once, however many callers request it at the same time, and caches the last ones. The
 // zero value is ready to use. It is safe for concurrent use.
-type Packer struct {
+type Compressor struct {
 	mutex        sync.Mutex
 	entries      []entry // the least recently used first
 	bytes        int     // of the entries, compressed
@@ -52,9 +52,9 @@
 	compressed *pb.PackedNews // nil: the update is too small
 }
 
-// Packed returns the compressed update of a key, nil if it is smaller than MinSize. The update is made, with the lock
+// Compressed returns the compressed update of a key, nil if it is smaller than MinSize. The update is made, with the lock
 // held, only if no result is cached. The result is shared and must not be changed.
-func (p *Packer) Packed(key Key, makeUpdate func() *pb.StateNews) *pb.PackedNews {
+func (p *Compressor) Compressed(key Key, makeUpdate func() *pb.StateNews) *pb.PackedNews {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if index := slices.IndexFunc(p.entries, func(cached entry) bool { return cached.key == key }); index >= 0 {
@@ -71,15 +71,15 @@
 	return created.compressed
 }
 
-// Packs returns the number of updates that were compressed.
-func (p *Packer) Packs() uint64 {
+// Compressions returns the number of updates that were compressed.
+func (p *Compressor) Compressions() uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.compressions
 }
 
 // add caches an entry, and evicts the least recently used ones beyond the bounds.
-func (p *Packer) add(created entry) {
+func (p *Compressor) add(created entry) {
 	p.entries = append(p.entries, created)
 	p.bytes += len(created.compressed.GetDeflated())
 	for len(p.entries) > 1 && (len(p.entries) > maxEntries || p.bytes > maxCachedBytes) {
@@ -88,18 +88,18 @@
 	}
 }
 
-// PackAnswer replaces the changes or the repair in a control machine's response to an agent by their compressed form, if
+// CompressResponse replaces the changes or the repair in a control machine's response to an agent by their compressed form, if
 // they are large enough and the agent accepts that.
-func (p *Packer) PackAnswer(request *pb.WatchRequest, response *pb.WatchResponse) {
+func (p *Compressor) CompressResponse(request *pb.WatchRequest, response *pb.WatchResponse) {
 	if !request.GetTakesPacked() || len(response.GetChanges()) == 0 && response.GetRepair() == nil {
 		return
 	}
 	key := Key{Base: request.GetSequence(), Sequence: response.GetSequence()}
 	if response.GetRepair() != nil {
-		key.Whole = request.GetDigests() == nil
+		key.Complete = request.GetDigests() == nil
 		key.Digests = DigestsKey(request.GetDigests())
 	}
-	compressed := p.Packed(key, func() *pb.StateNews {
+	compressed := p.Compressed(key, func() *pb.StateNews {
 		return &pb.StateNews{Changes: response.GetChanges(), Repair: response.GetRepair()}
 	})
 	if compressed == nil {
--- a/internal/packing/compressor_test.go
+++ b/internal/packing/compressor_test.go
@@ -26,22 +26,22 @@
 }
 
 func TestCompressedUpdateDecompressesToItself(t *testing.T) {
-	var packer Packer
+	var packer Compressor
 	update := manyRoutes(1400)
-	compressed := packer.Packed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews { return update })
+	compressed := packer.Compressed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews { return update })
 	require.Less(t, proto.Size(compressed)*4, proto.Size(update))
 	require.EqualValues(t, 7, compressed.GetBase())
 	require.EqualValues(t, 8, compressed.GetSequence())
-	decompressed, err := Unpack(compressed)
+	decompressed, err := Decompress(compressed)
 	require.NoError(t, err)
 	require.True(t, proto.Equal(update, decompressed))
 }
 
 func TestSmallUpdateIsNotCompressed(t *testing.T) {
-	var packer Packer
+	var packer Compressor
 	made := 0
 	for range 3 {
-		require.Nil(t, packer.Packed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews {
+		require.Nil(t, packer.Compressed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews {
 			made++
 			return manyRoutes(2)
 		}))
@@ -50,12 +50,12 @@
 }
 
 func TestUpdateIsCompressedOnceForAll(t *testing.T) {
-	var packer Packer
+	var packer Compressor
 	var made atomic.Int64
 	var group sync.WaitGroup
 	for range 60 {
 		group.Go(func() {
-			compressed := packer.Packed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews {
+			compressed := packer.Compressed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews {
 				made.Add(1)
 				return manyRoutes(300)
 			})
@@ -66,24 +66,24 @@
 	}
 	group.Wait()
 	require.EqualValues(t, 1, made.Load())
-	require.EqualValues(t, 1, packer.Packs())
+	require.EqualValues(t, 1, packer.Compressions())
 }
 
 func TestCacheIsBounded(t *testing.T) {
-	var packer Packer
+	var packer Compressor
 	for sequence := range uint64(100) {
-		packer.Packed(Key{Sequence: sequence}, func() *pb.StateNews { return manyRoutes(3000) })
+		packer.Compressed(Key{Sequence: sequence}, func() *pb.StateNews { return manyRoutes(3000) })
 		require.LessOrEqual(t, len(packer.entries), maxEntries)
 		require.LessOrEqual(t, packer.bytes, maxCachedBytes)
 	}
 	made := false
-	packer.Packed(Key{Sequence: 99}, func() *pb.StateNews { made = true; return nil })
+	packer.Compressed(Key{Sequence: 99}, func() *pb.StateNews { made = true; return nil })
 	require.False(t, made, "the newest is cached")
 }
 
 func TestMalformedUpdateIsRejected(t *testing.T) {
-	var packer Packer
-	valid := packer.Packed(Key{Sequence: 8}, func() *pb.StateNews { return manyRoutes(300) })
+	var packer Compressor
+	valid := packer.Compressed(Key{Sequence: 8}, func() *pb.StateNews { return manyRoutes(300) })
 	for name, spoil := range map[string]func(*pb.PackedNews){
 		"a size too small":   func(compressed *pb.PackedNews) { compressed.Size-- },
 		"a size too large":   func(compressed *pb.PackedNews) { compressed.Size++ },
@@ -95,7 +95,7 @@
 		t.Run(name, func(t *testing.T) {
 			spoiled := proto.CloneOf(valid)
 			spoil(spoiled)
-			_, err := Unpack(spoiled)
+			_, err := Decompress(spoiled)
 			var rejected *MalformedError
 			require.ErrorAs(t, err, &rejected)
 		})
--- a/internal/packing/declared_size_test.go
+++ b/internal/packing/declared_size_test.go
@@ -15,7 +15,7 @@
 	spoiled := &pb.PackedNews{Size: MaxSize, Deflated: bytes.Repeat([]byte{0}, 20)}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	_, err := Unpack(spoiled)
+	_, err := Decompress(spoiled)
 	runtime.ReadMemStats(&after)
 	require.Error(t, err)
 	require.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(1<<20))
--- a/internal/packing/key_test.go
+++ b/internal/packing/key_test.go
@@ -11,13 +11,13 @@
 
 // A repair answers the digests of one replica: another replica at the same sequence gets its own.
 func TestReplicasWithOtherDigestsGetOtherRepairs(t *testing.T) {
-	var packer Packer
+	var packer Compressor
 	items := manyRoutes(300).GetChanges()[0].GetUpserts()
 	repairFor := func(digest uint64, ranges ...*pb.Range) *pb.Repair {
 		request := &pb.WatchRequest{Sequence: 7, TakesPacked: true, Digests: &pb.RangeDigests{Sequence: 7, Digests: []uint64{digest}}}
 		response := &pb.WatchResponse{Sequence: 8, Repair: &pb.Repair{Sequence: 8, Ranges: ranges}}
-		packer.PackAnswer(request, response)
-		update, err := Unpack(response.GetPacked())
+		packer.CompressResponse(request, response)
+		update, err := Decompress(response.GetPacked())
 		require.NoError(t, err)
 		return update.GetRepair()
 	}
@@ -25,5 +25,5 @@
 	require.Len(t, repairFor(10, first).GetRanges(), 1)
 	require.Len(t, repairFor(11, first, second).GetRanges(), 2)
 	require.True(t, proto.Equal(first, repairFor(10).GetRanges()[0]), "that of the first is cached")
-	require.EqualValues(t, 2, packer.Packs())
+	require.EqualValues(t, 2, packer.Compressions())
 }
--- a/internal/packing/packing.go
+++ b/internal/packing/packing.go
@@ -53,14 +53,14 @@
 		Sequence: key.Sequence,
 		Size:     uint32(len(encoded)),
 		Deflated: deflated.Bytes(),
-		Repairs:  key.Whole || key.Digests != 0,
-		Whole:    key.Whole,
+		Repairs:  key.Complete || key.Digests != 0,
+		Whole:    key.Complete,
 	}
 }
 
-// Unpack returns the update in a compressed one, or a *MalformedError. It takes no more memory than the compressed bytes
+// Decompress returns the update in a compressed one, or a *MalformedError. It takes no more memory than the compressed bytes
 // can expand to, whatever size they declare.
-func Unpack(compressed *pb.PackedNews) (*pb.StateNews, error) {
+func Decompress(compressed *pb.PackedNews) (*pb.StateNews, error) {
 	size := int(compressed.GetSize())
 	if size > MaxSize {
 		return nil, malformed(compressed, fmt.Sprintf("%d bytes exceed the limit of %d", size, MaxSize))
--- a/internal/placement/admission.go
+++ b/internal/placement/admission.go
@@ -54,7 +54,7 @@
 	if owner == nil || request.Route == nil || request.Route.Target <= 0 || !p.overloaded(now, owner) {
 		return nil
 	}
-	if request.Returned { // rejected a second time, the request would be lost
+	if request.IsRetry { // rejected a second time, the request would be lost
 		return nil
 	}
 	p.findCandidates(now, owner, request)
@@ -70,7 +70,7 @@
 	if excess <= 0 || (!p.off(policy.Trickle) && owner.admitTrickle(now, request.Route.Name)) {
 		return nil
 	}
-	p.stats.Overload++
+	p.stats.Overloaded++
 	return &OverloadError{
 		Service:    owner.name,
 		Expected:   expected,
--- a/internal/placement/admission_test.go
+++ b/internal/placement/admission_test.go
@@ -13,7 +13,7 @@
 		require.NoError(t, f.p.Admit(f.now, f.greeting(i)))
 		f.serve(f.greeting(i), func(string) float64 { return 1 + 0.5*f.p.random.Float64() })
 	}
-	require.Zero(t, f.p.Stats().Overload)
+	require.Zero(t, f.p.Stats().Overloaded)
 }
 
 func TestLatenessAloneRejectsNoRequest(t *testing.T) {
@@ -60,7 +60,7 @@
 	require.GreaterOrEqual(t, overload.RetryAfter, minOverloadRetry)
 	require.LessOrEqual(t, overload.RetryAfter, maxOverloadRetry)
 	again := f.greeting(0)
-	again.Returned = true
+	again.IsRetry = true
 	require.NoError(t, f.p.Admit(f.now, again), "refused a second time it would be lost")
 	f.now += trickleInterval
 	require.NoError(t, f.p.Admit(f.now, f.greeting(0)), "no kind is starved")
--- a/internal/placement/announcement.go
+++ b/internal/placement/announcement.go
@@ -91,7 +91,7 @@
 	if known == nil || announcement.Tokens <= 0 || p.off(policy.Announcements) {
 		return
 	}
-	p.stats.Announced++
+	p.stats.AnnouncementsReceived++
 	p.recordPrefix(now, known, announcement.Prompt)
 	prefill := known.service.prefill.duration(announcement.Tokens)
 	known.busyUntil = min(max(known.busyUntil, now)+prefill, now+maxBusyTime)
--- a/internal/placement/announcement_test.go
+++ b/internal/placement/announcement_test.go
@@ -53,7 +53,7 @@
 	require.LessOrEqual(t, f.p.servers[id].busy(f.now), maxBusyTime)
 	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey("unknown"), Prompt: 1, Tokens: 5000})
 	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(id), Prompt: 1, Tokens: -5})
-	require.Equal(t, uint64(3*maxAnnouncedPrefixes), f.p.Stats().Announced)
+	require.Equal(t, uint64(3*maxAnnouncedPrefixes), f.p.Stats().AnnouncementsReceived)
 }
 
 func TestAnnouncementsAreNeitherSentNorTakenInWhenSwitchedOff(t *testing.T) {
--- a/internal/placement/attempt.go
+++ b/internal/placement/attempt.go
@@ -71,7 +71,7 @@
 	if s.warmingUp(now) {
 		p.slowStart.Take(now, s.warmingServer())
 		a.countedBySlowStart = true
-		p.stats.Cold++
+		p.stats.WarmingUp++
 	}
 	s.openAttempts++
 	s.reservedTokens += a.memoryTokens
--- a/internal/placement/chunks_test.go
+++ b/internal/placement/chunks_test.go
@@ -34,7 +34,7 @@
 func TestAPromptsAffinityKeyIsThatOfItsSharedChunks(t *testing.T) {
 	read := func(model string, parts ...PromptChunk) prompt {
 		var p prompt
-		p.reset(&Request{Model: model, Chunks: parts, Prompt: 10})
+		p.reset(&Request{Model: model, Chunks: parts, PromptTokens: 10})
 		return p
 	}
 	shared := []PromptChunk{{1, 800}, {2, 410}}
--- a/internal/placement/digest_test.go
+++ b/internal/placement/digest_test.go
@@ -76,11 +76,11 @@
 
 func reasonLabel(reason Reason) string {
 	switch reason {
-	case ReasonNone:
+	case ReasonNoServer:
 		return "none"
 	case ReasonEvacuated:
 		return "evacuated"
-	case ReasonHome:
+	case ReasonHomeRegions:
 		return "home"
 	case ReasonExcluded:
 		return "excluded"
@@ -108,7 +108,7 @@
 	w := newWorld(t)
 	var open []AttemptID
 	zones := []string{zoneA, zoneB, zoneE}
-	outcomes := []Outcome{Refused, Refused, Failed, Reset, TimedOut, Unreachable, ClientGone, NotSent}
+	outcomes := []Outcome{Rejected, Rejected, Failed, Reset, TimedOut, Unreachable, Canceled, NotSent}
 	for range 6000 {
 		w.now += time.Duration(random.IntN(50_000)) * time.Microsecond
 		switch draw := random.IntN(40); {
--- a/internal/placement/failurereport.go
+++ b/internal/placement/failurereport.go
@@ -52,7 +52,7 @@
 	if known == nil || p.off(policy.FailureReports) {
 		return
 	}
-	p.stats.Reported++
+	p.stats.FailureReports++
 	if known.succeededAt > 0 && now-known.succeededAt < successOverride {
 		return
 	}
--- a/internal/placement/failurereport_test.go
+++ b/internal/placement/failurereport_test.go
@@ -21,7 +21,7 @@
 	require.True(t, f.ready(id), "one zone may be cut off from the server")
 	f.p.FailureReported(f.now, id, zoneB)
 	require.False(t, f.ready(id))
-	require.Equal(t, uint64(3), f.p.Stats().Reported)
+	require.Equal(t, uint64(3), f.p.Stats().FailureReports)
 	f.now += 2 * firstEjection
 	require.True(t, f.p.servers[id].trialDue(f.now), "it is tried again as after failures of its own")
 }
--- a/internal/placement/fixture_test.go
+++ b/internal/placement/fixture_test.go
@@ -127,7 +127,7 @@
 		tokens += chunk.Tokens
 	}
 	return &Request{
-		Route: found, Service: found.Split[0].Service, Model: "m", Chunks: chunks, Prompt: tokens,
+		Route: found, Service: found.Split[0].Service, Model: "m", Chunks: chunks, PromptTokens: tokens,
 		Arrived: f.now, Remaining: found.Deadline,
 	}
 }
--- a/internal/placement/locality_test.go
+++ b/internal/placement/locality_test.go
@@ -266,5 +266,5 @@
 	for range 8 {
 		f.pick(f.request(routeBalance))
 	}
-	require.Zero(t, f.p.Stats().Cold)
+	require.Zero(t, f.p.Stats().WarmingUp)
 }
--- a/internal/placement/noserver.go
+++ b/internal/placement/noserver.go
@@ -10,12 +10,12 @@
 
 // The reasons, in the order in which the rules narrow the candidates: the last rule that left none is the reason.
 const (
-	ReasonNone      Reason = iota // no server of the service is known, or all are draining or gone
-	ReasonEvacuated               // those left are in evacuated zones
-	ReasonHome                    // those left are outside the route's home regions
-	ReasonExcluded                // those left already had the request
-	ReasonWarmingUp               // those left are warming up, and this proxy's quota share of them is used up
-	ReasonFull                    // those left have all connections in use that this proxy may open
+	ReasonNoServer    Reason = iota // no server of the service is known, or all are draining or gone
+	ReasonEvacuated                 // those left are in evacuated zones
+	ReasonHomeRegions               // those left are outside the route's home regions
+	ReasonExcluded                  // those left already had the request
+	ReasonWarmingUp                 // those left are warming up, and this proxy's quota share of them is used up
+	ReasonFull                      // those left have all connections in use that this proxy may open
 )
 
 // String describes the reason.
@@ -37,14 +37,14 @@
 
 // noServerReasons gives the reason why a request gets no server, by the server that passed the most rules.
 var noServerReasons = [...]Reason{
-	eligibilityGone:        ReasonNone,
+	eligibilityGone:        ReasonNoServer,
 	eligibilityEvacuated:   ReasonEvacuated,
-	eligibilityOutsideHome: ReasonHome,
+	eligibilityOutsideHome: ReasonHomeRegions,
 	eligibilityExcluded:    ReasonExcluded,
 	eligibilityWarmingUp:   ReasonWarmingUp,
 	eligibilityFull:        ReasonFull,
-	eligibilityCoolingDown: ReasonNone,
-	eligible:               ReasonNone,
+	eligibilityCoolingDown: ReasonNoServer,
+	eligible:               ReasonNoServer,
 }
 
 // How long a client is told to wait before a retry when there is no server for its request.
@@ -57,7 +57,7 @@
 
 // noServer counts a pick without a server and makes its error.
 func (p *Placer) noServer(now time.Duration, request *Request, reason Reason) error {
-	p.stats.None[reason]++
+	p.stats.NoServer[reason]++
 	return &NoServerError{Service: request.Service, Reason: reason, RetryAfter: p.retryAfter(now, reason)}
 }
 
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -15,13 +15,13 @@
 // The outcomes of an attempt.
 const (
 	Done        Outcome = iota // a complete answer, of any status that is not a failure of the server
-	Refused                    // the server rejected it without execution: it is full, or the deadline is too near
+	Rejected                   // the server rejected it without execution: it is full, or the deadline is too near
 	Misdirected                // status 421: the address belongs to another server now
 	Failed                     // status 5xx of the server, or bytes that are not a valid answer
 	Reset                      // the connection could not be opened, was reset or was closed early
 	TimedOut                   // no answer within the attempt's timeout
 	Unreachable                // the server's machine does not respond: it is down or partitioned
-	ClientGone                 // canceled because the client left: no evidence about the server
+	Canceled                   // canceled because the client left: no evidence about the server
 	NotSent                    // nothing was sent: as if the attempt had not been placed
 )
 
@@ -95,7 +95,7 @@
 	switch outcome {
 	case Done:
 		p.succeeded(now, a)
-	case Refused:
+	case Rejected:
 		p.rejected(now, a)
 	case Misdirected:
 		a.server.gone = true
@@ -106,7 +106,7 @@
 		p.failed(now, a, noAnswerWeight)
 	case Unreachable:
 		p.failed(now, a, unreachableWeight)
-	case ClientGone:
+	case Canceled:
 		p.canceled(now, a)
 	case NotSent:
 	}
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -22,7 +22,7 @@
 func (p *Placer) Pick(now time.Duration, request *Request) (Decision, error) {
 	owner := p.services[request.Service]
 	if owner == nil {
-		return Decision{}, p.noServer(now, request, ReasonNone)
+		return Decision{}, p.noServer(now, request, ReasonNoServer)
 	}
 	if len(p.attempts) >= maxAttempts {
 		return Decision{}, p.noServer(now, request, ReasonFull)
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -46,8 +46,8 @@
 			p.sharedTokens = total
 		}
 	}
-	p.totalTokens = max(request.Prompt, total)
-	p.memoryTokens = p.totalTokens + max(request.Generate, 0)
+	p.totalTokens = max(request.PromptTokens, total)
+	p.memoryTokens = p.totalTokens + max(request.MaxOutputTokens, 0)
 }
 
 // chunkTokens is the number of tokens of one chunk.
--- a/internal/placement/route_test.go
+++ b/internal/placement/route_test.go
@@ -24,5 +24,5 @@
 	_, err := f.p.Pick(f.now, request)
 	var none *NoServerError
 	require.ErrorAs(t, err, &none)
-	require.Equal(t, ReasonNone, none.Reason)
+	require.Equal(t, ReasonNoServer, none.Reason)
 }
--- a/internal/placement/selection_test.go
+++ b/internal/placement/selection_test.go
@@ -192,7 +192,7 @@
 	before := f.p.servers[full.ServerID].estimate.Speed()
 	f.now += 20 * time.Millisecond
 	f.p.Started(f.now, full.Attempt) // its first byte arrived
-	f.p.Finished(f.now, full.Attempt, Refused)
+	f.p.Finished(f.now, full.Attempt, Rejected)
 	after := f.p.servers[full.ServerID]
 	require.Less(t, after.estimate.Speed(), before)
 	require.Zero(t, after.failures)
@@ -210,7 +210,7 @@
 		server := f.serve(f.greeting(i), asPredicted)
 		require.NotEqual(t, dark.ServerID, server)
 	}
-	f.p.Finished(f.now, dark.Attempt, ClientGone)
+	f.p.Finished(f.now, dark.Attempt, Canceled)
 	require.Less(t, f.p.servers[dark.ServerID].estimate.Speed(), 0.6)
 }
 
@@ -249,15 +249,15 @@
 			request := f.greeting(0)
 			request.Service = "nobody"
 			return request
-		}, ReasonNone},
+		}, ReasonNoServer},
 		"draining": {func(f *fixture) {
 			drained := listed(modelService, 0, zoneA)
 			drained.Draining = true
 			f.list = []*pb.Server{drained}
 			f.relist()
-		}, nil, ReasonNone},
+		}, nil, ReasonNoServer},
 		"evacuated": {func(f *fixture) { f.p.SetEvacuated(f.now, []string{zoneA}) }, nil, ReasonEvacuated},
-		"home":      {nil, func(f *fixture) *Request { return f.request(routeEast) }, ReasonHome},
+		"home":      {nil, func(f *fixture) *Request { return f.request(routeEast) }, ReasonHomeRegions},
 		"tried": {nil, func(f *fixture) *Request {
 			request := f.greeting(0)
 			request.Excluded = []string{f.list[0].GetId()}
@@ -266,7 +266,7 @@
 		"gone": {func(f *fixture) {
 			f.list = nil
 			f.relist()
-		}, nil, ReasonNone},
+		}, nil, ReasonNoServer},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/placement/sim_test.go
+++ b/internal/placement/sim_test.go
@@ -220,7 +220,7 @@
 		{fmt.Sprint(kind.route, subject, "/", s.random.Uint64()), kind.own},
 	}
 	request := &Request{
-		Route: found, Service: modelService, Model: "m", Prompt: kind.shared + kind.own,
+		Route: found, Service: modelService, Model: "m", PromptTokens: kind.shared + kind.own,
 		Arrived: now, Remaining: found.Deadline,
 	}
 	for i, chunk := range chunks {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -92,8 +92,8 @@
 // Off reports whether a mechanism is off.
 func (s Switches) Off(m Mechanism) bool { return s.off&(1<<m) != 0 }
 
-// And returns the switches in which a mechanism is off if it is off in either.
-func (s Switches) And(other Switches) Switches { return Switches{off: s.off | other.off} }
+// Union returns the switches in which a mechanism is off if it is off in either.
+func (s Switches) Union(other Switches) Switches { return Switches{off: s.off | other.off} }
 
 // String returns the names of the mechanisms that are off, separated by commas.
 func (s Switches) String() string {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -30,7 +30,7 @@
 	var switches policy.Switches
 	require.Empty(t, switches.String())
 	require.False(t, switches.Off(policy.Spill))
-	require.True(t, switches.And(policy.Without(policy.Spill)).Off(policy.Spill))
+	require.True(t, switches.Union(policy.Without(policy.Spill)).Off(policy.Spill))
 }
 
 func TestUnknownNamesAreRejected(t *testing.T) {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -86,7 +86,7 @@
 	if x.handler.disabled.Off(policy.Priorities) {
 		return defaultPriority
 	}
-	return serverPriority(x.route.Priority, x.placement.Prompt, decision.PrefillTokens)
+	return serverPriority(x.route.Priority, x.placement.PromptTokens, decision.PrefillTokens)
 }
 
 // send writes the request to a connection and receives the head of the response. The connection uses the request's
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -142,12 +142,12 @@
 		zap.Uint64("picks_seeded", stats.Seeded),
 		zap.Uint64("picks_drawn", stats.Drawn),
 		zap.Uint64("picks_walked", stats.Walked),
-		zap.Uint64("picks_warming_up", stats.Cold),
+		zap.Uint64("picks_warming_up", stats.WarmingUp),
 		zap.Uint64("picks_other_region", stats.OtherRegion),
 		zap.Uint64("ejections", stats.Ejections),
 		zap.Uint64("within_target", stats.InTime),
 		zap.Uint64("beyond_target", stats.Late),
-		zap.Uint64("announcements_received", stats.Announced),
-		zap.Uint64("failure_reports_received", stats.Reported),
+		zap.Uint64("announcements_received", stats.AnnouncementsReceived),
+		zap.Uint64("failure_reports_received", stats.FailureReports),
 	}
 }
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -368,7 +368,7 @@
 			close(left)
 			<-first.closed
 			require.Empty(t, second.requests())
-			require.Equal(t, []placement.Outcome{placement.ClientGone}, r.placer.seenOutcomes())
+			require.Equal(t, []placement.Outcome{placement.Canceled}, r.placer.seenOutcomes())
 		})
 	}
 }
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -180,7 +180,7 @@
 	x.record(state)
 	x.placement.Excluded = append(x.placement.Excluded, decision.ServerID)
 	if x.isCanceled() {
-		x.finishAttempt(decision, placement.ClientGone)
+		x.finishAttempt(decision, placement.Canceled)
 		return outcomeCanceled
 	}
 	outcome := placementOutcomeOfError(err)
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -69,7 +69,7 @@
 		a.success = isSuccess(a.response.StatusCode)
 		return outcomeDelivered
 	case errors.As(err, &writeError):
-		a.close(executed, placement.ClientGone, false)
+		a.close(executed, placement.Canceled, false)
 		return outcomeCanceled
 	default:
 		a.close(possiblyExecuted, placementOutcomeOfError(a.conn.BodyError(err)), false)
--- a/internal/proxy/forward_test.go
+++ b/internal/proxy/forward_test.go
@@ -202,7 +202,7 @@
 	require.NoError(t, c.conn.Close())
 	<-server.closed
 	eventually(t, func() bool { return len(r.placer.seenOutcomes()) == 1 }, "the attempt ends")
-	require.Equal(t, placement.ClientGone, r.placer.seenOutcomes()[0])
+	require.Equal(t, placement.Canceled, r.placer.seenOutcomes()[0])
 }
 
 func TestServerThatClosesTwiceInARowIsLeaving(t *testing.T) {
--- a/internal/proxy/pickserver.go
+++ b/internal/proxy/pickserver.go
@@ -54,7 +54,7 @@
 	if x.stream != nil {
 		return earlier(time.Now().Add(resumptionWait), x.deadline)
 	}
-	if x.placement.Returned {
+	if x.placement.IsRetry {
 		return x.arrived.Add(min(x.deadline.Sub(x.arrived)/retriedWaitFraction, maxRetriedWait))
 	}
 	wait := x.route.Target / capacityWaitFraction
@@ -78,7 +78,7 @@
 		return 0, false
 	}
 	switch noServer.Reason {
-	case placement.ReasonFull, placement.ReasonWarmingUp, placement.ReasonNone:
+	case placement.ReasonFull, placement.ReasonWarmingUp, placement.ReasonNoServer:
 		return min(max(noServer.RetryAfter, minPickInterval), maxPickInterval), true
 	default:
 		return 0, false
--- a/internal/proxy/placementfields_test.go
+++ b/internal/proxy/placementfields_test.go
@@ -11,7 +11,7 @@
 
 func TestCountersTellHowServersArePicked(t *testing.T) {
 	encoder := zapcore.NewMapObjectEncoder()
-	for _, field := range placementFields(placement.Stats{Seeded: 3, Drawn: 7, Late: 2, Announced: 5}) {
+	for _, field := range placementFields(placement.Stats{Seeded: 3, Drawn: 7, Late: 2, AnnouncementsReceived: 5}) {
 		field.AddTo(encoder)
 	}
 	require.Equal(t, uint64(3), encoder.Fields["picks_seeded"])
--- a/internal/proxy/placementoutcome.go
+++ b/internal/proxy/placementoutcome.go
@@ -37,7 +37,7 @@
 	case response.StatusCode == http.StatusMisdirectedRequest:
 		return placement.Misdirected
 	case state == notExecuted:
-		return placement.Refused
+		return placement.Rejected
 	case state == possiblyExecuted, isServerFailure(response.StatusCode):
 		return placement.Failed
 	default:
--- a/internal/proxy/process.go
+++ b/internal/proxy/process.go
@@ -70,7 +70,7 @@
 
 func newProcess(configured *settings.Settings, logger *zap.Logger, options Options) *process {
 	bounds := configured.Bounds
-	disabled := configured.Policy.Switches().And(options.Off)
+	disabled := configured.Policy.Switches().Union(options.Disabled)
 	placer := placement.New(placement.Config{
 		Host:      configured.Hostname,
 		Zone:      configured.Zone,
@@ -127,7 +127,7 @@
 	if p.readyAddr, err = p.serveInternal(configured.Binds.Ready, p.lifecycle); err != nil {
 		return err
 	}
-	address := p.options.Feed
+	address := p.options.ConfigStreamAddress
 	if address == "" {
 		address = configured.LoopbackPort(configStreamPort)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -29,10 +29,10 @@
 
 // Options override parts of the settings. The zero value overrides nothing.
 type Options struct {
-	// Feed is the address (ip:port) at which the agent calls the proxy; empty: the loopback port of the settings.
-	Feed string
-	// Off are mechanisms of the policy that are disabled beside those of the settings.
-	Off policy.Switches
+	// ConfigStreamAddress is the address (ip:port) at which the agent calls the proxy; empty: the loopback port of the settings.
+	ConfigStreamAddress string
+	// Disabled are mechanisms of the policy that are disabled beside those of the settings.
+	Disabled policy.Switches
 }
 
 // Run serves until the context is canceled or SIGTERM or SIGINT comes, then shuts down gracefully within
--- a/internal/proxy/pure_test.go
+++ b/internal/proxy/pure_test.go
@@ -142,7 +142,7 @@
 		if value != "" {
 			header.Set(headerDeadline, value)
 		}
-		require.Equal(t, returned, placementRequest(header, found, 0, 0).Returned, value)
+		require.Equal(t, returned, placementRequest(header, found, 0, 0).IsRetry, value)
 	}
 }
 
@@ -150,7 +150,7 @@
 	now := time.Now()
 	x := &exchange{route: &route.Route{Target: time.Second}, arrived: now, deadline: now.Add(4 * time.Second)}
 	require.Equal(t, now.Add(time.Second/capacityWaitFraction), x.capacityWaitEnd())
-	x.placement.Returned = true
+	x.placement.IsRetry = true
 	require.Equal(t, now.Add(2*time.Second), x.capacityWaitEnd())
 	x.deadline = now.Add(time.Minute)
 	require.Equal(t, now.Add(maxRetriedWait), x.capacityWaitEnd())
--- a/internal/proxy/requestheaders.go
+++ b/internal/proxy/requestheaders.go
@@ -59,8 +59,8 @@
 		Model:   header.Get(headerModel),
 		Arrived: arrived,
 	}
-	request.Returned = clientTimeout(header)+retrySlack < matched.Deadline
-	request.Prompt, request.Generate = tokenCounts(header.Get(headerTokenCount))
+	request.IsRetry = clientTimeout(header)+retrySlack < matched.Deadline
+	request.PromptTokens, request.MaxOutputTokens = tokenCounts(header.Get(headerTokenCount))
 	if chunks := header.Get(headerPromptPrefix); chunks != "" {
 		// Without a readable list, no cached prefix is known.
 		request.Chunks, _ = placement.ParseChunks(chunks, nil)
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -140,7 +140,7 @@
 	a.record(state)
 	a.placement.Excluded = append(a.placement.Excluded, a.decision.ServerID)
 	if a.isCanceled() && !readToEnd {
-		outcome = placement.ClientGone
+		outcome = placement.Canceled
 	}
 	a.finishAttempt(a.decision, outcome)
 	notAborted := a.stopAbort()
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -61,7 +61,7 @@
 		a.success = true
 		return outcomeDelivered
 	case errors.As(err, &writeError):
-		a.close(executed, placement.ClientGone, false)
+		a.close(executed, placement.Canceled, false)
 		return outcomeCanceled
 	default:
 		a.close(executed, placementOutcomeOfError(a.conn.BodyError(err)), false)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -244,7 +244,7 @@
 		require.NoError(t, c.conn.Close())
 		<-server.closed
 		eventually(t, func() bool { return r.handler.counters.active.Load() == 0 }, "the request ends")
-		require.Equal(t, []placement.Outcome{placement.ClientGone}, r.placer.seenOutcomes())
+		require.Equal(t, []placement.Outcome{placement.Canceled}, r.placer.seenOutcomes())
 		require.Empty(t, second.requests())
 	}
 }
--- a/internal/registry/digest_test.go
+++ b/internal/registry/digest_test.go
@@ -54,7 +54,7 @@
 				members := agents.Refresh(e.now)
 				for region := range edgeRegions {
 					name := fmt.Sprintf("r%d", region)
-					client := Client{Region: name, Zone: name + "-z0", Homes: unreadableHomes}
+					client := Client{Region: name, Zone: name + "-z0", HomeRegions: unreadableHomes}
 					entry := recorder.Entry(e.now, "named").Number(uint64(index)).Number(uint64(region))
 					for _, address := range members.Endpoints(e.now, client, uint64(e.now)) {
 						entry.Text(address)
@@ -107,7 +107,7 @@
 		recorder.Entry(now, "behind").Text(action.Host).Number(action.Reported).Number(action.Committed).
 			Time(action.Lag).Flag(action.Ready)
 	case AgentCaughtUp:
-		recorder.Entry(now, "caught-up").Text(action.Host).Number(action.Reported).Time(action.Longest).Flag(action.Unheard)
+		recorder.Entry(now, "caught-up").Text(action.Host).Number(action.Reported).Time(action.LongestLag).Flag(action.LostContact)
 	case ProxyBoundExceeded:
 		recorder.Entry(now, "late").Text(action.Host).Number(action.Reported).Number(action.Committed).
 			Time(action.Lag).Time(action.Bound)
--- a/internal/registry/endpoints.go
+++ b/internal/registry/endpoints.go
@@ -32,16 +32,16 @@
 type Client struct {
 	Region string // empty: unknown
 	Zone   string // empty: unknown
-	// Homes are the home regions of the requested host's routes. Requests that have home regions must not be sent to
+	// HomeRegions are the home regions of the requested host's routes. Requests that have home regions must not be sent to
 	// proxies in regions that are neither one of these nor the client's.
-	Homes route.HomeRegions
-	// Leaving is the time for which a draining proxy may still be named if no other one is near.
-	Leaving time.Duration
+	HomeRegions route.HomeRegions
+	// DrainGracePeriod is the time for which a draining proxy may still be named if no other one is near.
+	DrainGracePeriod time.Duration
 }
 
 // isNear reports whether a region is near: all requests of the client may be sent to it.
 func (c *Client) isNear(region string) bool {
-	return !c.Homes.IsRestricted() || region == c.Region || c.Homes.AllAllowedIn(region)
+	return !c.HomeRegions.IsRestricted() || region == c.Region || c.HomeRegions.AllAllowedIn(region)
 }
 
 // Endpoints returns the edge addresses that a client is to use: the first of these sets that suffices, which is one with
@@ -80,7 +80,7 @@
 	if draining := m.recentlyDraining(now, client); len(draining) > 0 {
 		return rotated(draining, rotation)
 	}
-	return rotated(inHomeRegions(all, client.Homes), rotation)
+	return rotated(inHomeRegions(all, client.HomeRegions), rotation)
 }
 
 // recentlyDraining returns the records of the client's region that began to drain less than Client.Leaving ago.
@@ -89,7 +89,7 @@
 	for _, member := range m.list {
 		record := member.record
 		if record.Draining && record.Region == client.Region && record.EdgeAddress != "" &&
-			now-member.drainingSince < client.Leaving {
+			now-member.drainingSince < client.DrainGracePeriod {
 			result = append(result, record)
 		}
 	}
--- a/internal/registry/endpoints_sim_test.go
+++ b/internal/registry/endpoints_sim_test.go
@@ -160,7 +160,7 @@
 			for index, agents := range e.control {
 				for region := range edgeRegions {
 					name := fmt.Sprintf("r%d", region)
-					answer := agents.Refresh(e.now).Endpoints(e.now, Client{Region: name, Zone: name + "-z0", Homes: unreadableHomes}, uint64(e.now))
+					answer := agents.Refresh(e.now).Endpoints(e.now, Client{Region: name, Zone: name + "-z0", HomeRegions: unreadableHomes}, uint64(e.now))
 					gone += e.checkRunning(t, seed, answer)
 					switch e.checkNear(t, seed, index, name, answer, lastPartition) {
 					case reachNear:
--- a/internal/registry/endpoints_test.go
+++ b/internal/registry/endpoints_test.go
@@ -46,12 +46,12 @@
 		"two in the zone":          {Client{Region: "west", Zone: "a"}, []string{"a1:80", "a2:80"}},
 		"one of many: region":      {Client{Region: "west", Zone: "b"}, []string{"a1:80", "a2:80", "b1:80"}},
 		"one in the region: all":   {Client{Region: "east", Zone: "c"}, everyone},
-		"one in the region, bound": {Client{Region: "east", Zone: "c", Homes: unreadableHomes}, []string{"c1:80"}},
-		"one, the home is near":    {Client{Region: "east", Zone: "c", Homes: homes(3, map[string]int{"west": 3})}, []string{"a1:80", "a2:80", "b1:80", "c1:80"}},
-		"one, no proxy at home":    {Client{Region: "east", Zone: "c", Homes: homes(3, map[string]int{"south": 3})}, []string{"c1:80"}},
-		"none, the home is near":   {Client{Region: "south", Zone: "e", Homes: homes(3, map[string]int{"east": 3})}, []string{"c1:80"}},
-		"none in the region":       {Client{Region: "south", Zone: "e", Homes: unreadableHomes}, everyone},
-		"unknown place: all":       {Client{Homes: unreadableHomes}, everyone},
+		"one in the region, bound": {Client{Region: "east", Zone: "c", HomeRegions: unreadableHomes}, []string{"c1:80"}},
+		"one, the home is near":    {Client{Region: "east", Zone: "c", HomeRegions: homes(3, map[string]int{"west": 3})}, []string{"a1:80", "a2:80", "b1:80", "c1:80"}},
+		"one, no proxy at home":    {Client{Region: "east", Zone: "c", HomeRegions: homes(3, map[string]int{"south": 3})}, []string{"c1:80"}},
+		"none, the home is near":   {Client{Region: "south", Zone: "e", HomeRegions: homes(3, map[string]int{"east": 3})}, []string{"c1:80"}},
+		"none in the region":       {Client{Region: "south", Zone: "e", HomeRegions: unreadableHomes}, everyone},
+		"unknown place: all":       {Client{HomeRegions: unreadableHomes}, everyone},
 		"unknown zone: region":     {Client{Region: "north", Zone: "x"}, []string{"d1:80", "d2:80", "d3:80"}},
 	}
 	for name, one := range cases {
@@ -94,7 +94,7 @@
 			for _, record := range threeRegions() {
 				agents.Observe(now, record)
 			}
-			got := agents.Refresh(now).Endpoints(now, Client{Region: "east", Zone: "c", Homes: unreadableHomes}, 0)
+			got := agents.Refresh(now).Endpoints(now, Client{Region: "east", Zone: "c", HomeRegions: unreadableHomes}, 0)
 			require.Contains(t, got, "c1:80")
 			outside := slices.ContainsFunc(got, func(address string) bool { return address[0] != 'c' })
 			require.Equal(t, one.helped, outside, "%v", got)
@@ -125,7 +125,7 @@
 			for _, record := range threeRegions() {
 				agents.Observe(0, record)
 			}
-			got := agents.Refresh(0).Endpoints(0, Client{Region: one.region, Zone: "e", Homes: one.homes}, 1)
+			got := agents.Refresh(0).Endpoints(0, Client{Region: one.region, Zone: "e", HomeRegions: one.homes}, 1)
 			slices.Sort(got)
 			require.Equal(t, one.want, got)
 		})
@@ -166,7 +166,7 @@
 			own.Draining, own.Ready = true, false
 			agents.Observe(one.since, own)
 			agents.Observe(now, own) // it goes on reporting
-			client := Client{Region: one.region, Zone: "e", Homes: one.homes, Leaving: gracePeriod}
+			client := Client{Region: one.region, Zone: "e", HomeRegions: one.homes, DrainGracePeriod: gracePeriod}
 			got := agents.Refresh(now).Endpoints(now, client, 1)
 			slices.Sort(got)
 			require.Equal(t, one.want, got)
@@ -180,7 +180,7 @@
 	agents.Observe(0, agentRecord("b1", 1))
 	agents.Observe(0, agentRecord("c1", 1))
 	members := agents.Refresh(0)
-	require.Equal(t, []string{"b1:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-b", Homes: unreadableHomes}, 0), "a third of all suffices")
+	require.Equal(t, []string{"b1:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-b", HomeRegions: unreadableHomes}, 0), "a third of all suffices")
 }
 
 func TestServes(t *testing.T) {
@@ -210,8 +210,8 @@
 		agents.Observe(0, record)
 	}
 	members := agents.Refresh(0)
-	require.Equal(t, []string{"a4:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-a", Homes: unreadableHomes}, 0))
-	require.Empty(t, members.Endpoints(FailureTimeout, Client{Region: "region", Zone: "zone-a", Homes: unreadableHomes}, 0), "an old snapshot names nobody")
+	require.Equal(t, []string{"a4:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-a", HomeRegions: unreadableHomes}, 0))
+	require.Empty(t, members.Endpoints(FailureTimeout, Client{Region: "region", Zone: "zone-a", HomeRegions: unreadableHomes}, 0), "an old snapshot names nobody")
 }
 
 func TestEndpointsRotateAndAreBounded(t *testing.T) {
@@ -222,7 +222,7 @@
 	members := agents.Refresh(0)
 	firsts := make(map[string]bool)
 	for rotation := range uint64(100) {
-		endpoints := members.Endpoints(0, Client{Region: "region", Zone: "zone-a", Homes: unreadableHomes}, rotation)
+		endpoints := members.Endpoints(0, Client{Region: "region", Zone: "zone-a", HomeRegions: unreadableHomes}, rotation)
 		require.Len(t, endpoints, MaxEndpoints)
 		slices.Sort(endpoints[1:])
 		require.Len(t, slices.Compact(endpoints), MaxEndpoints)
--- a/internal/registry/events.go
+++ b/internal/registry/events.go
@@ -68,10 +68,10 @@
 
 // AgentCaughtUp ends the episode that an AgentLagging began.
 type AgentCaughtUp struct {
-	Host     string
-	Reported uint64        // sequence that the proxy has
-	Longest  time.Duration // longest lag in the episode
-	Unheard  bool          // this machine no longer receives the agent's reports: its proxy may still lag
+	Host        string
+	Reported    uint64        // sequence that the proxy has
+	LongestLag  time.Duration // longest lag in the episode
+	LostContact bool          // this machine no longer receives the agent's reports: its proxy may still lag
 }
 
 // ProxyBoundExceeded says that a proxy whose agent was in contact lagged by more than the deployment's bound. It comes
--- a/internal/registry/lag_agent.go
+++ b/internal/registry/lag_agent.go
@@ -51,5 +51,5 @@
 		return events
 	}
 	a.violated = false
-	return append(events, AgentCaughtUp{Host: host, Reported: a.sequence, Longest: a.episode.Longest(), Unheard: true})
+	return append(events, AgentCaughtUp{Host: host, Reported: a.sequence, LongestLag: a.episode.Longest(), LostContact: true})
 }
--- a/internal/registry/lag_monitor.go
+++ b/internal/registry/lag_monitor.go
@@ -18,9 +18,9 @@
 
 // LagBounds are the deployment's bounds on the delay of an acknowledged change.
 type LagBounds struct {
-	Contact time.Duration // for which a machine must have been in contact before the bound applies to it
-	Apply   time.Duration // from the acknowledgement until the change is in force; 0: there is no bound
-	Stretch time.Duration // added while this control machine is not synchronized
+	MinContact              time.Duration // for which a machine must have been in contact before the bound applies to it
+	ApplyDelay              time.Duration // from the acknowledgement until the change is in force; 0: there is no bound
+	UnsynchronizedAllowance time.Duration // added while this control machine is not synchronized
 }
 
 // LagMonitor measures how far proxies lag behind the configuration that is committed at this control machine, from the
@@ -38,10 +38,10 @@
 
 // LagStats summarize the lag of the proxies.
 type LagStats struct {
-	Behind     int           // proxies that lag by more than LagThreshold
-	Oldest     time.Duration // the longest lag of a proxy
-	OldestHost string
-	Violations uint64 // ProxyBoundExceeded since the start
+	Lagging        int           // proxies that lag by more than LagThreshold
+	LongestLag     time.Duration // the longest lag of a proxy
+	LongestLagHost string
+	Violations     uint64 // ProxyBoundExceeded since the start
 }
 
 // NewLagMonitor returns a monitor that knows no agents and no committed change, and has no bounds.
@@ -50,11 +50,13 @@
 // SetBounds changes the deployment's bounds.
 func (l *LagMonitor) SetBounds(bounds LagBounds) { l.bounds = bounds }
 
-// Committed records the newest sequence that is committed at this machine.
-func (l *LagMonitor) Committed(now time.Duration, sequence uint64) { l.committed.Record(sequence, now) }
+// RecordCommit records the newest sequence that is committed at this machine.
+func (l *LagMonitor) RecordCommit(now time.Duration, sequence uint64) {
+	l.committed.Record(sequence, now)
+}
 
-// SuspendBounds records that this machine is not synchronized with the control state now.
-func (l *LagMonitor) SuspendBounds(now time.Duration) {
+// ObserveUnsynchronized records that this machine is not synchronized with the control state now.
+func (l *LagMonitor) ObserveUnsynchronized(now time.Duration) {
 	l.unsynchronized = true
 	l.unsynchronizedAt = now
 }
@@ -96,11 +98,11 @@
 	for host, agent := range l.agents {
 		lagging := l.lagOf(now, agent)
 		if lagging > LagThreshold {
-			stats.Behind++
+			stats.Lagging++
 		}
-		if lagging > stats.Oldest {
-			stats.Oldest = lagging
-			stats.OldestHost = host
+		if lagging > stats.LongestLag {
+			stats.LongestLag = lagging
+			stats.LongestLagHost = host
 		}
 	}
 	return stats
@@ -155,7 +157,7 @@
 		}}
 	case lag.Ended:
 		agent.violated = false
-		return []Action{AgentCaughtUp{Host: host, Reported: agent.sequence, Longest: agent.episode.Longest()}}
+		return []Action{AgentCaughtUp{Host: host, Reported: agent.sequence, LongestLag: agent.episode.Longest()}}
 	}
 	return nil
 }
@@ -164,8 +166,8 @@
 func (l *LagMonitor) checkBound(events []Action, now time.Duration, host string, agent *trackedAgent) []Action {
 	lagging := l.lagOf(now, agent)
 	bound := l.boundFor(now, lagging, agent)
-	inContact := now-agent.contactSince >= l.bounds.Contact
-	if l.bounds.Apply <= 0 || agent.violated || !agent.ready || !inContact || lagging <= bound {
+	inContact := now-agent.contactSince >= l.bounds.MinContact
+	if l.bounds.ApplyDelay <= 0 || agent.violated || !agent.ready || !inContact || lagging <= bound {
 		return events
 	}
 	agent.violated = true
@@ -178,9 +180,9 @@
 // boundFor returns the longest lag that is allowed. An agent whose reports were overdue may have been partitioned for that
 // time, and this machine may have been out of sync itself.
 func (l *LagMonitor) boundFor(now, lagging time.Duration, agent *trackedAgent) time.Duration {
-	bound := l.bounds.Apply + agent.overdueTime
-	if l.unsynchronized && now-l.unsynchronizedAt < lagging+l.bounds.Contact {
-		bound += l.bounds.Stretch
+	bound := l.bounds.ApplyDelay + agent.overdueTime
+	if l.unsynchronized && now-l.unsynchronizedAt < lagging+l.bounds.MinContact {
+		bound += l.bounds.UnsynchronizedAllowance
 	}
 	return bound
 }
--- a/internal/registry/lag_monitor_sim_test.go
+++ b/internal/registry/lag_monitor_sim_test.go
@@ -56,7 +56,7 @@
 	e.now += followStep
 	if e.random.IntN(10) == 0 {
 		e.committed++
-		e.monitor.Committed(e.now, e.committed)
+		e.monitor.RecordCommit(e.now, e.committed)
 	}
 	for _, host := range e.hosts {
 		e.injectFault(host)
--- a/internal/registry/lag_monitor_test.go
+++ b/internal/registry/lag_monitor_test.go
@@ -9,7 +9,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-var testBounds = LagBounds{Contact: 4 * time.Second, Apply: 3 * time.Second, Stretch: 6 * time.Second}
+var testBounds = LagBounds{MinContact: 4 * time.Second, ApplyDelay: 3 * time.Second, UnsynchronizedAllowance: 6 * time.Second}
 
 // reportingAgent is a LagMonitor with the time and the reports of one agent.
 type reportingAgent struct {
@@ -26,8 +26,8 @@
 	r := &reportingAgent{t: t, now: time.Second, monitor: NewLagMonitor(), record: agentRecord("edge-1", 1)}
 	r.record.Sequence = 1
 	r.monitor.SetBounds(testBounds)
-	r.monitor.Committed(r.now, 1)
-	r.pass(testBounds.Contact)
+	r.monitor.RecordCommit(r.now, 1)
+	r.pass(testBounds.MinContact)
 	require.Empty(t, r.take())
 	return r
 }
@@ -63,34 +63,34 @@
 
 func TestAgentLagsAfterASecondUntilItsProxyHasTheChange(t *testing.T) {
 	r := newReportingAgent(t)
-	r.monitor.Committed(r.now, 2)
+	r.monitor.RecordCommit(r.now, 2)
 	r.pass(LagThreshold)
 	require.Empty(t, r.take())
-	require.Equal(t, LagStats{Oldest: LagThreshold, OldestHost: "edge-1"}, r.monitor.Stats(r.now))
+	require.Equal(t, LagStats{LongestLag: LagThreshold, LongestLagHost: "edge-1"}, r.monitor.Stats(r.now))
 	r.pass(time.Second)
 	lagging := r.take()
 	require.Len(t, lagging, 1)
 	require.Equal(t, AgentLagging{
 		Host: "edge-1", Reported: 1, Committed: 2, Lag: 2 * time.Second, Ready: true,
 	}, lagging[0])
-	require.Equal(t, LagStats{Behind: 1, Oldest: 2 * time.Second, OldestHost: "edge-1"}, r.monitor.Stats(r.now))
+	require.Equal(t, LagStats{Lagging: 1, LongestLag: 2 * time.Second, LongestLagHost: "edge-1"}, r.monitor.Stats(r.now))
 
 	r.record.Sequence = 2
 	r.report()
-	require.Equal(t, []Action{AgentCaughtUp{Host: "edge-1", Reported: 2, Longest: 2 * time.Second}}, r.take())
+	require.Equal(t, []Action{AgentCaughtUp{Host: "edge-1", Reported: 2, LongestLag: 2 * time.Second}}, r.take())
 	require.Zero(t, r.monitor.Stats(r.now))
 }
 
 // An agent calls as soon as it has a change, before its proxy does, and that long poll stays open for a second.
 func TestAgentThatReportsInTimeDoesNotLag(t *testing.T) {
 	r := newReportingAgent(t)
-	r.monitor.Committed(r.now, 2)
+	r.monitor.RecordCommit(r.now, 2)
 	r.now += 400 * time.Millisecond
 	r.report()
 	for range 4 {
 		r.now += expectedReportInterval / 4
 		r.events = append(r.events, r.monitor.Step(r.now)...)
-		require.Zero(t, r.monitor.Stats(r.now).Behind)
+		require.Zero(t, r.monitor.Stats(r.now).Lagging)
 	}
 	r.record.Sequence = 2
 	r.report()
@@ -99,7 +99,7 @@
 
 func TestSilentAgentLagsOnceItsReportIsOverdueAsWell(t *testing.T) {
 	r := newReportingAgent(t)
-	r.monitor.Committed(r.now, 2)
+	r.monitor.RecordCommit(r.now, 2)
 	require.Empty(t, r.monitor.Step(r.now+LagThreshold+expectedReportInterval))
 	lagging := r.monitor.Step(r.now + LagThreshold + expectedReportInterval + time.Millisecond)
 	require.Len(t, lagging, 1)
@@ -110,8 +110,8 @@
 	r := newReportingAgent(t)
 	for episode := range uint64(2) {
 		committed := episode + 2
-		r.monitor.Committed(r.now, committed)
-		r.pass(testBounds.Apply)
+		r.monitor.RecordCommit(r.now, committed)
+		r.pass(testBounds.ApplyDelay)
 		require.Equal(t, episode, r.monitor.Stats(r.now).Violations, "up to the bound")
 		r.pass(3 * time.Second)
 		require.Equal(t, episode+1, r.monitor.Stats(r.now).Violations)
@@ -120,7 +120,7 @@
 		exceeded, isExceeded := events[1].(ProxyBoundExceeded)
 		require.True(t, isExceeded)
 		require.Equal(t, committed, exceeded.Committed)
-		require.Equal(t, testBounds.Apply, exceeded.Bound)
+		require.Equal(t, testBounds.ApplyDelay, exceeded.Bound)
 		require.Greater(t, exceeded.Lag, exceeded.Bound)
 		r.record.Sequence = committed
 		r.report()
@@ -135,13 +135,13 @@
 		"the proxy takes no requests": func(r *reportingAgent) { r.record.Ready = false },
 		"no bound is known":           func(r *reportingAgent) { r.monitor.SetBounds(LagBounds{}) },
 		"this machine is out of sync": func(r *reportingAgent) {
-			r.monitor.SuspendBounds(r.now)
+			r.monitor.ObserveUnsynchronized(r.now)
 		},
 	} {
 		r := newReportingAgent(t)
 		change(r)
-		r.monitor.Committed(r.now, 2)
-		r.pass(2 * testBounds.Apply)
+		r.monitor.RecordCommit(r.now, 2)
+		r.pass(2 * testBounds.ApplyDelay)
 		require.Zero(t, r.monitor.Stats(r.now).Violations, name)
 	}
 }
@@ -156,11 +156,11 @@
 		},
 	} {
 		r := newReportingAgent(t)
-		r.monitor.Committed(r.now, 2)
+		r.monitor.RecordCommit(r.now, 2)
 		change(r)
 		r.report()
-		require.Zero(t, r.monitor.Stats(r.now).Oldest, name)
-		r.pass(testBounds.Contact - 250*time.Millisecond)
+		require.Zero(t, r.monitor.Stats(r.now).LongestLag, name)
+		r.pass(testBounds.MinContact - 250*time.Millisecond)
 		require.Zero(t, r.monitor.Stats(r.now).Violations, name)
 		r.pass(time.Second)
 		require.EqualValues(t, 1, r.monitor.Stats(r.now).Violations, name)
@@ -169,7 +169,7 @@
 
 func TestTimeWithoutReportsIsAllowedFor(t *testing.T) {
 	r := newReportingAgent(t)
-	r.monitor.Committed(r.now, 2)
+	r.monitor.RecordCommit(r.now, 2)
 	r.now += FailureTimeout - 100*time.Millisecond
 	r.report()
 	for range 2 {
@@ -182,7 +182,7 @@
 
 func TestAgentOfAnotherControlMachineIsNotEvaluatedHere(t *testing.T) {
 	r := newReportingAgent(t)
-	r.monitor.Committed(r.now, 2)
+	r.monitor.RecordCommit(r.now, 2)
 	r.pass(2 * time.Second)
 	require.IsType(t, AgentLagging{}, r.take()[0])
 	merged := agentRecord("edge-1", 1)
@@ -192,20 +192,20 @@
 	require.Zero(t, r.monitor.Stats(r.now))
 	events := r.monitor.Step(r.now)
 	require.Len(t, events, 1)
-	require.True(t, events[0].(AgentCaughtUp).Unheard)
+	require.True(t, events[0].(AgentCaughtUp).LostContact)
 
 	r.report()
 	r.monitor.Merge(r.now, []*pb.AgentRecord{aged(merged, time.Second)})
-	require.Equal(t, 1, r.monitor.Stats(r.now).Behind, "an older report changes nothing")
+	require.Equal(t, 1, r.monitor.Stats(r.now).Lagging, "an older report changes nothing")
 }
 
 func TestLostAgentEndsItsEpisode(t *testing.T) {
 	r := newReportingAgent(t)
-	r.monitor.Committed(r.now, 2)
+	r.monitor.RecordCommit(r.now, 2)
 	r.pass(2 * time.Second)
 	r.take()
 	events := r.monitor.Step(r.now + FailureTimeout)
-	require.Equal(t, []Action{AgentCaughtUp{Host: "edge-1", Reported: 1, Longest: 2 * time.Second, Unheard: true}}, events)
+	require.Equal(t, []Action{AgentCaughtUp{Host: "edge-1", Reported: 1, LongestLag: 2 * time.Second, LostContact: true}}, events)
 	require.Empty(t, r.monitor.agents)
 }
 
@@ -226,7 +226,7 @@
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
 		now += 100 * time.Millisecond
 		record.Sequence++
-		l.Committed(now, record.Sequence)
+		l.RecordCommit(now, record.Sequence)
 		l.Observe(now, record)
 		l.Step(now)
 	}))
--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -13,7 +13,7 @@
 	Name string
 	// LeftOut: nothing of the item can be used. If false, the item is in the table without the members at fault.
 	LeftOut bool
-	Faults  []configitem.Fault // at least one
+	Faults  []configitem.FieldError // at least one
 }
 
 // Error implements error.
--- a/internal/route/parse.go
+++ b/internal/route/parse.go
@@ -15,7 +15,7 @@
 // parseRoute returns the route of an item, and its faults. The route is nil if no request can match it; any other
 // member that cannot be used counts as missing. A route without services is kept, since its requests are to be
 // rejected (503) and not answered as unknown (404).
-func parseRoute(item *pb.Item) (*Route, []configitem.Fault) {
+func parseRoute(item *pb.Item) (*Route, []configitem.FieldError) {
 	object, faults := configitem.Object(item.GetBody())
 	if faults != nil {
 		return nil, faults
@@ -50,15 +50,15 @@
 
 // splitOf returns a route's services and the sum of their weights.
 func splitOf(destination configitem.Destination) ([]WeightedService, float64) {
-	if len(destination.Shares) == 0 {
+	if len(destination.Split) == 0 {
 		if len(destination.Service) == 0 {
 			return nil, 0
 		}
 		return []WeightedService{{Service: jsonwalk.TextOf(destination.Service), Weight: 1}}, 1
 	}
-	split := make([]WeightedService, 0, len(destination.Shares))
+	split := make([]WeightedService, 0, len(destination.Split))
 	total := 0.0
-	for _, share := range destination.Shares {
+	for _, share := range destination.Split {
 		split = append(split, WeightedService{Service: jsonwalk.TextOf(share.Service), Weight: share.Weight})
 		total += share.Weight
 	}
@@ -78,7 +78,7 @@
 }
 
 // parseService returns the service of an item, and its faults. A member that cannot be used counts as missing.
-func parseService(item *pb.Item) (*Service, []configitem.Fault) {
+func parseService(item *pb.Item) (*Service, []configitem.FieldError) {
 	body, faults := configitem.ParseService(item.GetBody())
 	service := &Service{
 		Name:           item.GetName(),
@@ -99,7 +99,7 @@
 }
 
 // parseLimits returns the request limits of an item, and its faults. A member that cannot be used counts as missing.
-func parseLimits(item *pb.Item) (RequestLimits, []configitem.Fault) {
+func parseLimits(item *pb.Item) (RequestLimits, []configitem.FieldError) {
 	body, faults := configitem.ParseLimits(item.GetBody())
 	limits := RequestLimits{
 		MaxHeaderBytes: int64(integer(body.MaxHeader)),
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -197,7 +197,7 @@
 }
 
 // report records the faults of an item, if there are any.
-func (c *change) report(item *pb.Item, faults []configitem.Fault, leftOut bool) {
+func (c *change) report(item *pb.Item, faults []configitem.FieldError, leftOut bool) {
 	if len(faults) == 0 {
 		return
 	}
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -163,7 +163,7 @@
 func TestItemsThatCannotBeUsedAreLeftOutAndReported(t *testing.T) {
 	cases := map[string]struct {
 		body string
-		want configitem.Fault
+		want configitem.FieldError
 	}{
 		"no JSON":                {`{`, configitem.ErrNotJSON},
 		"no body":                {``, configitem.ErrNotJSON},
--- a/internal/shuffle/digest_test.go
+++ b/internal/shuffle/digest_test.go
@@ -22,7 +22,7 @@
 				entry := recorder.Entry(s.now, "exchange").Text(host)
 				recordMembers(entry, action.To, action.From)
 				recordMembers(entry, action.Sample...)
-			case Answer:
+			case ExchangeReply:
 				recordMembers(recorder.Entry(s.now, "answer").Text(host), action.Sample...)
 			default:
 				t.Errorf("an action that the digests do not know")
--- a/internal/shuffle/events.go
+++ b/internal/shuffle/events.go
@@ -15,20 +15,20 @@
 	Sample []Neighbour
 }
 
-// Answered is the partner's answer to an Exchange.
-type Answered struct {
+// ExchangeAnswered is the partner's answer to an Exchange.
+type ExchangeAnswered struct {
 	From   Neighbour
 	Sample []Neighbour
 }
 
-// Failed says that a member did not answer.
-type Failed struct{ Host string }
+// ExchangeFailed says that a member did not answer.
+type ExchangeFailed struct{ Host string }
 
 func (Tick) isEvent()              {}
 func (MembersReceived) isEvent()   {}
 func (ExchangeRequested) isEvent() {}
-func (Answered) isEvent()          {}
-func (Failed) isEvent()            {}
+func (ExchangeAnswered) isEvent()  {}
+func (ExchangeFailed) isEvent()    {}
 
 // Action is an output of a View, which the caller of Step has to carry out.
 type Action interface{ isAction() }
@@ -40,8 +40,8 @@
 	Sample []Neighbour
 }
 
-// Answer answers an ExchangeRequested with a sample of the view.
-type Answer struct{ Sample []Neighbour }
+// ExchangeReply answers an ExchangeRequested with a sample of the view.
+type ExchangeReply struct{ Sample []Neighbour }
 
-func (Exchange) isAction() {}
-func (Answer) isAction()   {}
+func (Exchange) isAction()      {}
+func (ExchangeReply) isAction() {}
--- a/internal/shuffle/exchange.go
+++ b/internal/shuffle/exchange.go
@@ -57,12 +57,12 @@
 	caller.Age = 0
 	received := append([]Neighbour{caller}, bounded(request.Sample)...)
 	v.merge(now, received, sample)
-	return []Action{Answer{Sample: sample}}
+	return []Action{ExchangeReply{Sample: sample}}
 }
 
 // finishExchange merges the sample of the pending exchange's partner. Unlike in Cyclon, the partner stays a neighbour if
 // there is a slot for it. Answers that are not awaited are ignored.
-func (v *View) finishExchange(now time.Duration, answer Answered) {
+func (v *View) finishExchange(now time.Duration, answer ExchangeAnswered) {
 	if answer.From.Host == "" || answer.From.Host != v.pending.host {
 		return
 	}
--- a/internal/shuffle/shuffle.go
+++ b/internal/shuffle/shuffle.go
@@ -82,9 +82,9 @@
 		v.receiveMembers(now, event.Members)
 	case ExchangeRequested:
 		return v.answerExchange(now, event)
-	case Answered:
+	case ExchangeAnswered:
 		v.finishExchange(now, event)
-	case Failed:
+	case ExchangeFailed:
 		v.removeFailed(now, event.Host)
 	}
 	return nil
--- a/internal/shuffle/shuffle_test.go
+++ b/internal/shuffle/shuffle_test.go
@@ -83,19 +83,19 @@
 		require.LessOrEqual(s.t, len(exchange.Sample), ExchangeSize-1)
 		partner := s.members[s.index[exchange.To.Host]]
 		if s.dead[exchange.To.Host] || s.random.Float64() < s.loss {
-			from.Step(s.now, Failed{Host: exchange.To.Host})
+			from.Step(s.now, ExchangeFailed{Host: exchange.To.Host})
 			continue
 		}
-		answer := partner.Step(s.now, ExchangeRequested{From: exchange.From, Sample: exchange.Sample})[0].(Answer)
+		answer := partner.Step(s.now, ExchangeRequested{From: exchange.From, Sample: exchange.Sample})[0].(ExchangeReply)
 		if s.watch != nil {
 			s.watch(exchange.To.Host, answer)
 		}
 		s.check(partner)
 		if s.random.Float64() < s.loss {
-			from.Step(s.now, Failed{Host: exchange.To.Host})
+			from.Step(s.now, ExchangeFailed{Host: exchange.To.Host})
 			continue
 		}
-		from.Step(s.now, Answered{From: exchange.To, Sample: answer.Sample})
+		from.Step(s.now, ExchangeAnswered{From: exchange.To, Sample: answer.Sample})
 	}
 }
 
@@ -225,7 +225,7 @@
 	exchange := view.Step(ExchangeInterval, Tick{})[0].(Exchange)
 	require.Equal(t, old.Host, exchange.To.Host)
 	require.Len(t, exchange.Sample, 2)
-	view.Step(ExchangeInterval, Failed{Host: old.Host})
+	view.Step(ExchangeInterval, ExchangeFailed{Host: old.Host})
 	view.Step(ExchangeInterval, ExchangeRequested{From: member(2), Sample: []Neighbour{member(1)}})
 	require.Equal(t, -1, view.find(old.Host), "others can't bring it back")
 	view.Step(ExchangeInterval, ExchangeRequested{From: member(1)})
@@ -238,17 +238,17 @@
 	view.Step(0, Tick{})
 	exchange := view.Step(ExchangeInterval, Tick{})[0].(Exchange)
 	require.Empty(t, view.Neighbours())
-	view.Step(ExchangeInterval, Answered{From: member(2), Sample: []Neighbour{member(3)}})
+	view.Step(ExchangeInterval, ExchangeAnswered{From: member(2), Sample: []Neighbour{member(3)}})
 	require.Empty(t, view.Neighbours(), "an answer that is not awaited")
-	view.Step(ExchangeInterval, Answered{From: exchange.To, Sample: []Neighbour{member(0)}})
+	view.Step(ExchangeInterval, ExchangeAnswered{From: exchange.To, Sample: []Neighbour{member(0)}})
 	require.Len(t, view.Neighbours(), 1)
 }
 
 func TestViewFillsAgainAfterEveryNeighbourFailed(t *testing.T) {
 	view := New(member(0), rand.New(rand.NewPCG(1, 1)))
 	view.Step(0, MembersReceived{Members: []Neighbour{member(1), member(2)}})
-	view.Step(0, Failed{Host: member(1).Host})
-	view.Step(0, Failed{Host: member(2).Host})
+	view.Step(0, ExchangeFailed{Host: member(1).Host})
+	view.Step(0, ExchangeFailed{Host: member(2).Host})
 	require.Len(t, view.Neighbours(), 2, "the fault may be on this side")
 }
 
