--- a/internal/agent/core_control.go
+++ b/internal/agent/core_control.go
@@ -7,6 +7,7 @@
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/gossip"
+	"fieldrelay/internal/serverlist"
 	"fieldrelay/internal/shuffle"
 )
 
@@ -159,7 +160,7 @@
 		updated: viewChanged ||
 			membersChanged ||
 			c.replica.Sequence() > sequence ||
-			gossip.CompareVersions(c.replica.ListVersion(), listVersion) > 0,
+			serverlist.CompareVersions(c.replica.ListVersion(), listVersion) > 0,
 		moreAvailable: response.GetSequence() > c.replica.Sequence(),
 	}
 	return c.gossipActions(produced), outcome
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -21,6 +21,7 @@
 	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
 	"fieldrelay/internal/catalog"
 	"fieldrelay/internal/gossip"
+	"fieldrelay/internal/serverlist"
 	"fieldrelay/internal/settings"
 )
 
@@ -128,7 +129,7 @@
 		MembersSource: f.address,
 	}
 	updated = f.addState(response, request)
-	if gossip.CompareVersions(f.replica.ListVersion(), request.GetList()) > 0 {
+	if serverlist.CompareVersions(f.replica.ListVersion(), request.GetList()) > 0 {
 		response.List = f.replica.List(time.Second)
 		updated = true
 	}
--- a/internal/agent/proxy_link.go
+++ b/internal/agent/proxy_link.go
@@ -9,6 +9,7 @@
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/gossip"
+	"fieldrelay/internal/serverlist"
 )
 
 // Intervals and timeouts of the proxy link.
@@ -91,7 +92,7 @@
 		attempt.sequence = replica.Sequence()
 		attempt.digests = l.status.GetDigests() != nil
 	}
-	if gossip.CompareVersions(replica.ListVersion(), l.status.GetList()) > 0 {
+	if serverlist.CompareVersions(replica.ListVersion(), l.status.GetList()) > 0 {
 		apply.List = replica.List(now)
 		attempt.list = replica.ListVersion()
 		pending = true
--- a/internal/agent/violations.go
+++ b/internal/agent/violations.go
@@ -4,7 +4,7 @@
 	"go.uber.org/zap"
 
 	pb "fieldrelay/api/fieldrelay/v1"
-	"fieldrelay/internal/gossip"
+	"fieldrelay/internal/serverlist"
 )
 
 // violations count broken invariants between this agent and its proxy. That the sequence of the replica never falls is
@@ -46,5 +46,5 @@
 		return true
 	}
 	list := apply.GetList()
-	return list != nil && gossip.CompareVersions(list.GetVersion(), reported.GetList()) <= 0
+	return list != nil && serverlist.CompareVersions(list.GetVersion(), reported.GetList()) <= 0
 }
--- a/internal/controlserver/linkservice.go
+++ b/internal/controlserver/linkservice.go
@@ -10,6 +10,7 @@
 	"fieldrelay/internal/catalog"
 	"fieldrelay/internal/packing"
 	"fieldrelay/internal/registry"
+	"fieldrelay/internal/serverlist"
 )
 
 const (
@@ -219,7 +220,7 @@
 	if list == nil {
 		return false
 	}
-	difference := registry.CompareVersions(list.Version(), watch.GetList())
+	difference := serverlist.CompareVersions(list.Version(), watch.GetList())
 	if difference > 0 {
 		response.List = list.Message(l.soft.now())
 		return true
--- a/internal/controlserver/platform_test.go
+++ b/internal/controlserver/platform_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	pb "fieldrelay/api/fieldrelay/v1"
-	"fieldrelay/internal/registry"
+	"fieldrelay/internal/serverlist"
 	"fieldrelay/internal/settings"
 )
 
@@ -86,7 +86,7 @@
 	response := watch(p, &pb.WatchRequest{Agent: testAgent("edge-1")})
 	require.Equal(t, "i-7f3a91c2", response.answer.List.Servers[0].Id)
 	_, advertised := p.soft.Report()
-	require.Zero(t, registry.CompareVersions(advertised, response.answer.List.Version))
+	require.Zero(t, serverlist.CompareVersions(advertised, response.answer.List.Version))
 }
 
 func TestAFailedReadingKeepsTheList(t *testing.T) {
--- a/internal/controlserver/softstate.go
+++ b/internal/controlserver/softstate.go
@@ -7,6 +7,7 @@
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/registry"
+	"fieldrelay/internal/serverlist"
 )
 
 const (
@@ -263,7 +264,7 @@
 	snapshot := s.Snapshot()
 	unchanged := snapshot.converged == s.lastNotified.converged &&
 		snapshot.notifiedVersion == s.lastNotified.notifiedVersion &&
-		registry.CompareVersions(snapshot.list.Version(), s.lastNotified.list.Version()) == 0
+		serverlist.CompareVersions(snapshot.list.Version(), s.lastNotified.list.Version()) == 0
 	if unchanged {
 		return
 	}
--- a/internal/gossip/replica_test.go
+++ b/internal/gossip/replica_test.go
@@ -53,23 +53,6 @@
 	return message
 }
 
-func TestVersionsAreOrderedByEpochOwnerRevision(t *testing.T) {
-	ordered := []*pb.ListVersion{
-		nil,
-		version(1, "a", 9),
-		version(1, "b", 1),
-		version(1, "b", 2),
-		version(2, "a", 1),
-	}
-	for i, lower := range ordered {
-		require.Zero(t, CompareVersions(lower, lower))
-		for _, higher := range ordered[i+1:] {
-			require.Negative(t, CompareVersions(lower, higher))
-			require.Positive(t, CompareVersions(higher, lower))
-		}
-	}
-}
-
 // What is offered in any order, repeated and reordered, never lowers a version, and the state at a sequence is
 // the one state that this sequence has.
 func TestVersionsOnlyRise(t *testing.T) {
--- a/internal/registry/inventory_test.go
+++ b/internal/registry/inventory_test.go
@@ -1,7 +1,6 @@
 package registry
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -339,29 +338,3 @@
 		})
 	}
 }
-
-func TestCompareVersions(t *testing.T) {
-	ordered := []*pb.ListVersion{
-		nil,
-		{Epoch: 1, Holder: "a", Revision: 9},
-		{Epoch: 1, Holder: "b", Revision: 1},
-		{Epoch: 1, Holder: "b", Revision: 2},
-		{Epoch: 2, Holder: "a", Revision: 1},
-	}
-	for first := range ordered {
-		for second := range ordered {
-			got := CompareVersions(ordered[first], ordered[second])
-			require.Equal(t, compareInts(first, second), got, fmt.Sprint(first, second))
-		}
-	}
-}
-
-func compareInts(first, second int) int {
-	switch {
-	case first < second:
-		return -1
-	case first > second:
-		return 1
-	}
-	return 0
-}
--- a/internal/registry/versions.go
+++ b/internal/registry/versions.go
@@ -16,11 +16,6 @@
 	initialResendInterval = 100 * time.Millisecond
 )
 
-// CompareVersions is serverlist.CompareVersions, for callers that have not moved to it.
-func CompareVersions(first, second *pb.ListVersion) int {
-	return serverlist.CompareVersions(first, second)
-}
-
 // AdvertisedVersion is the version to advertise to the other control machines. It is that of the current list, or an
 // epoch alone, without an owner, if a higher epoch was observed, or if this machine is the owner and can't confirm its
 // list: whoever can poll the platform then goes above that epoch.
