--- a/internal/agent/counters.go
+++ b/internal/agent/counters.go
@@ -80,7 +80,7 @@
 		zap.Uint64("shuffles_received", c.shufflesReceived),
 		zap.Uint64("dropped_calls", c.droppedActions),
 		zap.Duration("longest_watch", c.longestWatch),
-		zap.Int("largest_response", c.largestResponse),
+		zap.Int("largest_response_bytes", c.largestResponse),
 	}
 	fields = append(fields, c.watchFailureKinds.fields("watch")...)
 	fields = append(fields, c.proxyFailureKinds.fields("proxy")...)
--- a/internal/agent/lag_test.go
+++ b/internal/agent/lag_test.go
@@ -166,7 +166,7 @@
 	line := lines[0].ContextMap()
 	for _, field := range []string{
 		"advertised_sequence", "replica_lag", "proxy_lag", "proxy_lag_last", "proxy_lag_max", "unconfirmed", "violations",
-		"longest_watch", "largest_response",
+		"longest_watch", "largest_response_bytes",
 		"watch_dial_timeouts", "watch_timeouts", "watch_resets", "watch_error_responses", "watch_other_failures",
 		"proxy_timeouts", "peer_timeouts",
 	} {
