--- a/internal/control/confirm.go
+++ b/internal/control/confirmation.go
@@ -19,8 +19,8 @@
 // statusConfirm is the status of a result that asks an origin to confirm its order.
 const statusConfirm = http.StatusContinue
 
-// confirmLimit is how long a number may be used.
-const confirmLimit = 600 * time.Millisecond
+// confirmationTimeout is how long a number may be used.
+const confirmationTimeout = 600 * time.Millisecond
 
 // confirmation is a number that was given for an order.
 type confirmation struct {
@@ -85,7 +85,7 @@
 }
 
 func (m *Machine) askConfirmation(from *pb.Replica, order *pb.Order) {
-	if len(m.head.confirmations) >= maxOrders {
+	if len(m.head.confirmations) >= maxPendingOrders {
 		return
 	}
 	m.checks.next++
@@ -94,7 +94,7 @@
 		id:      order.GetId(),
 		zone:    order.GetZone(),
 		number:  binary.BigEndian.AppendUint64(nil, m.checks.next),
-		expires: m.now + confirmLimit,
+		expires: m.now + confirmationTimeout,
 	}
 	m.head.confirmations = append(m.head.confirmations, given)
 	m.result(from, &pb.OrderResult{Id: order.GetId(), Status: statusConfirm, Body: given.number})
--- a/internal/control/confirm_test.go
+++ b/internal/control/confirmation_test.go
@@ -53,7 +53,7 @@
 func TestNumberOfAnEvacuationServesNotForLong(t *testing.T) {
 	c := newConfirming(t)
 	number := c.number(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
-	c.now += confirmLimit
+	c.now += confirmationTimeout
 	require.EqualValues(t, statusConfirm, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, number).GetStatus())
 }
 
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -7,8 +7,8 @@
 	"go.uber.org/zap"
 )
 
-// reportPeriod is the time between two lines of counters.
-const reportPeriod = 30 * time.Second
+// reportInterval is the time between two lines of counters.
+const reportInterval = 30 * time.Second
 
 // counters count since the start.
 type counters struct {
--- a/internal/control/disk.go
+++ b/internal/control/diskqueue.go
@@ -10,10 +10,10 @@
 
 // Limits on writes.
 const (
-	// slowWrite is how long a write may take before the disk counts as unhealthy.
-	slowWrite = time.Second
-	// maxUnsaved is the number of writes on their way from which no promise is given any more.
-	maxUnsaved = 16
+	// slowWriteThreshold is how long a write may take before the disk counts as unhealthy.
+	slowWriteThreshold = time.Second
+	// maxUnpersistedWrites is the number of writes on their way from which no promise is given any more.
+	maxUnpersistedWrites = 16
 	// snapshotBytes and snapshotRecords are what may follow a snapshot before the next one is due.
 	snapshotBytes   = 256 << 10
 	snapshotRecords = 512
@@ -112,16 +112,16 @@
 	}
 }
 
-// diskHealthy reports whether writes succeed within slowWrite.
+// diskHealthy reports whether writes succeed within slowWriteThreshold.
 func (m *Machine) diskHealthy() bool {
 	if m.disk.failed {
 		return false
 	}
-	return len(m.disk.waiting) == 0 || m.now-m.disk.waiting[0].started < slowWrite
+	return len(m.disk.waiting) == 0 || m.now-m.disk.waiting[0].started < slowWriteThreshold
 }
 
 // diskAccepts reports whether a promise may still be queued.
-func (m *Machine) diskAccepts() bool { return len(m.disk.waiting) < maxUnsaved }
+func (m *Machine) diskAccepts() bool { return len(m.disk.waiting) < maxUnpersistedWrites }
 
 // voterReply queues an acceptor's answer behind its record.
 func (m *Machine) voterReply(to *pb.Replica, message *pb.Message) {
--- a/internal/control/repeat_test.go
+++ b/internal/control/duplicatedelivery_test.go
@@ -16,7 +16,7 @@
 // might come once more.
 func TestTransportDeliversNoMessageTwice(t *testing.T) {
 	server := resettest.New(t)
-	peer := fieldrelayv1connect.NewControlPeerClient(newOutboxes(t.Context(), &counters{}).client, server.URL)
+	peer := fieldrelayv1connect.NewControlPeerClient(newPeerSenders(t.Context(), &counters{}).client, server.URL)
 	order := &pb.Message{Body: &pb.Message_Order{Order: &pb.Order{Id: 5, Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: "z"}}}
 	require.Empty(t, resettest.Repeated(t, server, 1, func() error {
 		_, err := peer.Deliver(t.Context(), connect.NewRequest(&pb.DeliverRequest{Messages: []*pb.Message{order}}))
@@ -35,7 +35,7 @@
 
 func TestMessagesThatAreDeliveredTwiceAreFound(t *testing.T) {
 	server := resettest.New(t)
-	client := &http.Client{Transport: replayable{newOutboxes(t.Context(), &counters{}).client.Transport}}
+	client := &http.Client{Transport: replayable{newPeerSenders(t.Context(), &counters{}).client.Transport}}
 	peer := fieldrelayv1connect.NewControlPeerClient(client, server.URL)
 	require.NotEmpty(t, resettest.Repeated(t, server, 1, func() error {
 		_, err := peer.Deliver(t.Context(), connect.NewRequest(&pb.DeliverRequest{}))
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -13,10 +13,10 @@
 
 // Times of founding, after a machine's start.
 const (
-	// gatherFor is the time for machines other than the seeds to be heard, so that they vote from the start.
-	gatherFor = 450 * time.Millisecond
-	// foundWithout is when a majority of the seeds founds without the others.
-	foundWithout = 1500 * time.Millisecond
+	// founderGatherWindow is the time for machines other than the seeds to be heard, so that they vote from the start.
+	founderGatherWindow = 450 * time.Millisecond
+	// partialFoundingDelay is when a majority of the seeds founds without the others.
+	partialFoundingDelay = 1500 * time.Millisecond
 )
 
 // founders are the machines that start for the first time, with this one, in the order of their hosts. Of two
@@ -29,7 +29,7 @@
 			continue
 		}
 		host := found.replica.GetHost()
-		if earlier := latest[host]; earlier == nil || found.heard > earlier.heard {
+		if earlier := latest[host]; earlier == nil || found.lastContact > earlier.lastContact {
 			latest[host] = found
 		}
 	}
@@ -63,9 +63,9 @@
 	}
 	age := m.now - m.started
 	if heard == len(m.config.Seeds) {
-		return age >= gatherFor
+		return age >= founderGatherWindow
 	}
-	return heard >= quorum.Majority(m.base()) && age >= foundWithout
+	return heard >= quorum.Majority(m.base()) && age >= partialFoundingDelay
 }
 
 // foundingView is the first view: all founders vote, seeds first if there are too many.
--- a/internal/control/head.go
+++ b/internal/control/headorders.go
@@ -12,8 +12,8 @@
 	"fieldrelay/internal/catalog"
 )
 
-// earlyLimit is how long an order is kept for the view that makes its receiver the head.
-const earlyLimit = resendOrder
+// earlyOrderTimeout is how long an order is kept for the view that makes its receiver the head.
+const earlyOrderTimeout = orderResendInterval
 
 // headOrders are the orders that arrived at this machine as the head of the chain.
 type headOrders struct {
@@ -29,8 +29,8 @@
 }
 
 const (
-	// smallOrder is the length of a body, in bytes, up to which an order may overtake larger ones.
-	smallOrder = 16 << 10
+	// maxSmallOrderBytes is the length of a body, in bytes, up to which an order may overtake larger ones.
+	maxSmallOrderBytes = 16 << 10
 	// maxOvertakes is the number of orders in a row that may overtake an older one.
 	maxOvertakes = 4
 )
@@ -59,21 +59,21 @@
 		m.keepEarly(from, order)
 		return
 	}
-	if !m.takesOrders() || len(m.head.queue) >= maxOrders {
+	if !m.takesOrders() || len(m.head.queue) >= maxPendingOrders {
 		m.result(from, unavailable(order.GetId()))
 		return
 	}
 	if !m.isConfirmed(from, order) {
 		return
 	}
-	m.head.queue = append(m.head.queue, &headOrder{from: from, order: order, expires: m.now + limitOf(order)})
+	m.head.queue = append(m.head.queue, &headOrder{from: from, order: order, expires: m.now + orderTimeoutOf(order)})
 }
 
 // keepEarly keeps an order that came before the view by which this machine is the head, and tells the origin of the
 // view in force, in case that is the one which lags.
 func (m *Machine) keepEarly(from *pb.Replica, order *pb.Order) {
-	if len(m.head.early) < maxOrders {
-		m.head.early = append(m.head.early, &headOrder{from: from, order: order, expires: m.now + earlyLimit})
+	if len(m.head.early) < maxPendingOrders {
+		m.head.early = append(m.head.early, &headOrder{from: from, order: order, expires: m.now + earlyOrderTimeout})
 	}
 	m.send(from, &pb.Message{Body: &pb.Message_Decided{Decided: &pb.Decided{View: m.View()}}})
 }
@@ -123,7 +123,7 @@
 // so that neither large orders nor small ones keep the others waiting.
 func (h *headOrders) takeNext() *headOrder {
 	place := slices.IndexFunc(h.queue, func(queued *headOrder) bool {
-		return len(queued.order.GetBody()) <= smallOrder
+		return len(queued.order.GetBody()) <= maxSmallOrderBytes
 	})
 	if place <= 0 || h.overtakes >= maxOvertakes {
 		place = 0
--- a/internal/control/head_test.go
+++ b/internal/control/headorders_test.go
@@ -27,8 +27,8 @@
 }
 
 func TestSmallOrdersOvertakeLargeOnesForAWhile(t *testing.T) {
-	const large = smallOrder + 1
-	require.Equal(t, []uint64{1, 2, 3}, queueOf(0, 5, smallOrder).takeAll())
+	const large = maxSmallOrderBytes + 1
+	require.Equal(t, []uint64{1, 2, 3}, queueOf(0, 5, maxSmallOrderBytes).takeAll())
 	require.Equal(t, []uint64{1, 2, 3}, queueOf(large, large, large).takeAll())
 	require.Equal(t, []uint64{3, 1, 2}, queueOf(large, large, 0).takeAll())
 	require.Equal(t, []uint64{3, 4, 5, 6, 1, 7, 8, 9, 10, 2, 11},
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -53,7 +53,7 @@
 	if report.Recovered == nil {
 		return inspection
 	}
-	state, err := recoverDurable(report.Recovered)
+	state, err := recoverState(report.Recovered)
 	inspection.Failure = err
 	inspection.Identity = state.identity
 	inspection.Bootstrap = state.bootstrap
@@ -79,7 +79,7 @@
 		return "change"
 	case recordRepair:
 		return "repair"
-	case recordBasis:
+	case recordSynchronizedView:
 		return "basis"
 	default:
 		return fmt.Sprintf("kind %d", kind)
--- a/internal/control/leaving.go
+++ b/internal/control/leaving.go
@@ -12,8 +12,8 @@
 const (
 	// LeaveTimeout is how long a machine goes on at most.
 	LeaveTimeout = 2 * time.Second
-	// leaveUnmet is when a machine counts as unfit for the chain, even if the copies required are not elsewhere.
-	leaveUnmet = 1500 * time.Millisecond
+	// leaveUnhealthyAfter is when a machine counts as unfit for the chain, even if the copies required are not elsewhere.
+	leaveUnhealthyAfter = 1500 * time.Millisecond
 )
 
 // leaving is the way out of a machine that was told to end.
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -69,7 +69,7 @@
 	leaving           leaving
 	origin            originOrders
 	head              headOrders
-	checks            viewChecks
+	checks            quorumChecks
 	advertisedByPeers peerAdvertisements
 	shown             *catalog.Snapshot // committed state that the shell was told last
 	sizes             ringSizes
@@ -77,7 +77,7 @@
 
 // NewMachine resumes from what the ring held. The error is a *RecordError if that cannot be read.
 func NewMachine(config Config, recovered *ring.Recovered) (*Machine, error) {
-	state, err := recoverDurable(recovered)
+	state, err := recoverState(recovered)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -151,7 +151,7 @@
 	l.step(OrderSubmitted{Request: 99, Order: replaceOrder(0, 3)})
 	pending := l.machine.origin.pending[0]
 	body := pending.order.GetBody()
-	l.now += limitOf(pending.order)
+	l.now += orderTimeoutOf(pending.order)
 	l.machine.now = l.now
 	before := len(l.sent)
 	l.machine.orderResult(l.machine.Self(), &pb.OrderResult{Id: pending.order.GetId(), Status: statusConfirm, Body: []byte("1")})
@@ -204,14 +204,14 @@
 func TestOrdersOnTheirWayAreBounded(t *testing.T) {
 	l := newLone(t)
 	l.hold = true
-	for request := range uint64(3 * maxOrders) {
+	for request := range uint64(3 * maxPendingOrders) {
 		l.step(OrderSubmitted{Request: request, Order: replaceOrder(0, request+1)})
 	}
-	require.Len(t, l.machine.origin.pending, maxOrders)
-	require.Len(t, l.replies, 2*maxOrders)
-	require.LessOrEqual(t, len(l.machine.head.queue), maxOrders)
+	require.Len(t, l.machine.origin.pending, maxPendingOrders)
+	require.Len(t, l.replies, 2*maxPendingOrders)
+	require.LessOrEqual(t, len(l.machine.head.queue), maxPendingOrders)
 	l.tick(7)
-	require.Len(t, l.replies, 3*maxOrders, "each is answered once")
+	require.Len(t, l.replies, 3*maxPendingOrders, "each is answered once")
 }
 
 func TestMessagesForAnotherIdentityOrClusterAreDropped(t *testing.T) {
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -51,7 +51,7 @@
 	}
 	m.compareWithTold() // before this message restores contact that was lost since the last tick
 	found := m.peers.note(from, m.now)
-	if heartbeat := message.GetHeartbeat(); heartbeat != nil && !found.take(heartbeat, m.now, m.wakesLate()) {
+	if heartbeat := message.GetHeartbeat(); heartbeat != nil && !found.acceptHeartbeat(heartbeat, m.now, m.wakesLate()) {
 		return
 	}
 	m.handle(message)
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -23,13 +23,13 @@
 
 // Bounds of a Node.
 const (
-	eventQueue = 256
+	eventQueueLength = 256
 	// submitSlack is added to an order's limit, to end the wait for a machine that does not answer at all.
 	submitSlack = time.Second
 	// leaveSlack is added to LeaveTimeout, to end the wait for a machine that does not answer at all.
 	leaveSlack = 200 * time.Millisecond
-	// deliverWait is how long a delivery waits for a machine that is behind.
-	deliverWait = 300 * time.Millisecond
+	// enqueueTimeout is how long a delivery waits for a machine that is behind.
+	enqueueTimeout = 300 * time.Millisecond
 )
 
 // Dial opens a connection, as net.Dialer.DialContext does. It bounds its time by itself.
@@ -70,26 +70,26 @@
 
 // Node runs a Machine: it owns the ring, the connections to other control machines and the clock.
 type Node struct {
-	options  Options
-	logger   *zap.Logger
-	began    time.Time
-	events   chan Event
-	outboxes *outboxes
-	writer   *writer
-	counters counters
+	options   Options
+	logger    *zap.Logger
+	startedAt time.Time
+	events    chan Event
+	senders   *peerSenders
+	writer    *ringWriter
+	counters  counters
 
 	// owned by the loop
 	machine *Machine
 
-	status  atomic.Pointer[Status]
-	stepped atomic.Int64 // when the loop was last at work, since began
-	left    chan bool    // holds whether the others agreed, once the machine has left
+	status     atomic.Pointer[Status]
+	lastTickAt atomic.Int64 // when the loop was last at work, since began
+	left       chan bool    // holds whether the others agreed, once the machine has left
 
-	mutex   sync.Mutex // guards what follows
-	changed chan struct{}
-	history *catalog.History
-	waiting map[uint64]chan *pb.OrderResult // by request
-	request uint64
+	mu          sync.Mutex // guards what follows
+	changed     chan struct{}
+	history     *catalog.History
+	replies     map[uint64]chan *pb.OrderResult // by request
+	lastRequest uint64
 }
 
 // Start opens the ring, again and again while the disk refuses, and starts the goroutines of the node; they
@@ -108,22 +108,22 @@
 		return nil, errors.Wrap(err, "recover the control state")
 	}
 	node := &Node{
-		options: options,
-		logger:  options.Logger.Named("control"),
-		began:   time.Now(),
-		events:  make(chan Event, eventQueue),
-		machine: machine,
-		changed: make(chan struct{}),
-		history: catalog.NewHistory(0),
-		waiting: make(map[uint64]chan *pb.OrderResult),
-		left:    make(chan bool, 1),
+		options:   options,
+		logger:    options.Logger.Named("control"),
+		startedAt: time.Now(),
+		events:    make(chan Event, eventQueueLength),
+		machine:   machine,
+		changed:   make(chan struct{}),
+		history:   catalog.NewHistory(0),
+		replies:   make(map[uint64]chan *pb.OrderResult),
+		left:      make(chan bool, 1),
 	}
-	node.outboxes = newOutboxes(ctx, &node.counters)
-	node.outboxes.undelivered = node.undelivered
+	node.senders = newPeerSenders(ctx, &node.counters)
+	node.senders.undelivered = node.undelivered
 	if options.Dial != nil {
-		node.outboxes.dialWith(options.Dial)
+		node.senders.dialWith(options.Dial)
 	}
-	node.writer = newWriter(opened, node.post, &node.counters)
+	node.writer = newRingWriter(opened, node.post, &node.counters)
 	node.publish()
 	go node.writer.run(ctx)
 	go node.loop(ctx)
@@ -167,9 +167,9 @@
 func (node *Node) Submit(ctx context.Context, order *pb.Order) *pb.OrderResult {
 	node.counters.orders.Add(1)
 	answer := make(chan *pb.OrderResult, 1)
-	request := node.expect(answer)
-	defer node.unexpect(request)
-	ctx, cancel := context.WithTimeout(ctx, limitOf(order)+submitSlack)
+	request := node.registerReply(answer)
+	defer node.unregisterReply(request)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeoutOf(order)+submitSlack)
 	defer cancel()
 	select {
 	case node.events <- OrderSubmitted{Request: request, Order: order}:
@@ -180,38 +180,38 @@
 	case result := <-answer:
 		return result
 	case <-ctx.Done():
-		node.withdraw(request)
+		node.cancelOrder(request)
 		return unavailable(0)
 	}
 }
 
 // withdraw tells the machine that nobody waits for an order any more.
-func (node *Node) withdraw(request uint64) {
+func (node *Node) cancelOrder(request uint64) {
 	select {
 	case node.events <- OrderCanceled{Request: request}:
 	default: // the order ends at its deadline
 	}
 }
 
-func (node *Node) expect(answer chan *pb.OrderResult) uint64 {
-	node.mutex.Lock()
-	defer node.mutex.Unlock()
-	node.request++
-	node.waiting[node.request] = answer
-	return node.request
+func (node *Node) registerReply(answer chan *pb.OrderResult) uint64 {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	node.lastRequest++
+	node.replies[node.lastRequest] = answer
+	return node.lastRequest
 }
 
-func (node *Node) unexpect(request uint64) {
-	node.mutex.Lock()
-	defer node.mutex.Unlock()
-	delete(node.waiting, request)
+func (node *Node) unregisterReply(request uint64) {
+	node.mu.Lock()
+	defer node.mu.Unlock()
+	delete(node.replies, request)
 }
 
 // Status tells what the node holds now. While the loop stands still, nothing tells whether the state has grown
 // old.
 func (node *Node) Status() Status {
 	status := *node.status.Load()
-	if time.Since(node.began)-time.Duration(node.stepped.Load()) >= stallThreshold {
+	if time.Since(node.startedAt)-time.Duration(node.lastTickAt.Load()) >= stallThreshold {
 		status.Authoritative = false
 	}
 	return status
@@ -220,15 +220,15 @@
 // Changed returns a channel that is closed at the next change of the committed state, the view, Authoritative
 // or Live.
 func (node *Node) Changed() <-chan struct{} {
-	node.mutex.Lock()
-	defer node.mutex.Unlock()
+	node.mu.Lock()
+	defer node.mu.Unlock()
 	return node.changed
 }
 
 // Since returns the committed changes after sequence, oldest first; false when they are not kept any more.
 func (node *Node) Since(sequence uint64) ([]*pb.Change, bool) {
-	node.mutex.Lock()
-	defer node.mutex.Unlock()
+	node.mu.Lock()
+	defer node.mu.Unlock()
 	return node.history.Since(sequence)
 }
 
@@ -236,7 +236,7 @@
 func (node *Node) Deliver(ctx context.Context, request *connect.Request[pb.DeliverRequest]) (*connect.Response[pb.DeliverResponse], error) {
 	messages := request.Msg.GetMessages()
 	node.counters.received.Add(uint64(len(messages)))
-	ctx, cancel := context.WithTimeout(ctx, deliverWait)
+	ctx, cancel := context.WithTimeout(ctx, enqueueTimeout)
 	defer cancel()
 	for _, message := range messages {
 		select {
--- a/internal/control/loop.go
+++ b/internal/control/nodeloop.go
@@ -17,7 +17,7 @@
 func (node *Node) loop(ctx context.Context) {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
-	report := time.NewTicker(reportPeriod)
+	report := time.NewTicker(reportInterval)
 	defer report.Stop()
 	node.step(Started{})
 	for {
@@ -29,7 +29,7 @@
 		case <-ticker.C:
 			node.step(Tick{})
 			node.publish()
-			node.stepped.Store(int64(time.Since(node.began)))
+			node.lastTickAt.Store(int64(time.Since(node.startedAt)))
 		case <-report.C:
 			node.counters.log(node.logger, node.Status())
 		}
@@ -37,7 +37,7 @@
 }
 
 func (node *Node) step(event Event) {
-	actions := node.machine.Step(time.Since(node.began), event)
+	actions := node.machine.Step(time.Since(node.startedAt), event)
 	soft := false
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -46,7 +46,7 @@
 				soft = true
 				node.addSoftState(heartbeat)
 			}
-			node.outboxes.send(action.Address, action.Message)
+			node.senders.send(action.Address, action.Message)
 		case Persist:
 			node.writer.queue <- action
 		case Reply:
@@ -94,10 +94,10 @@
 }
 
 func (node *Node) reply(action Reply) {
-	node.mutex.Lock()
-	answer := node.waiting[action.Request]
-	delete(node.waiting, action.Request)
-	node.mutex.Unlock()
+	node.mu.Lock()
+	answer := node.replies[action.Request]
+	delete(node.replies, action.Request)
+	node.mu.Unlock()
 	if answer != nil {
 		answer <- action.Result
 	}
@@ -105,14 +105,14 @@
 
 func (node *Node) committed(action Committed) {
 	node.counters.committed.Add(1)
-	node.mutex.Lock()
+	node.mu.Lock()
 	if action.Changes == nil {
 		node.history.Reset(action.Snapshot.Sequence())
 	}
 	for _, change := range action.Changes {
 		node.history.Add(change)
 	}
-	node.mutex.Unlock()
+	node.mu.Unlock()
 	node.publish()
 }
 
@@ -149,8 +149,8 @@
 		return
 	}
 	node.status.Store(status)
-	node.mutex.Lock()
-	defer node.mutex.Unlock()
+	node.mu.Lock()
+	defer node.mu.Unlock()
 	close(node.changed)
 	node.changed = make(chan struct{})
 }
--- a/internal/control/openring.go
+++ b/internal/control/openring.go
@@ -22,8 +22,8 @@
 	maxRingFolders = 4
 	ringFiles      = 2
 	ringBytes      = 512 << 10
-	// openPause is the wait before a disk that refuses is opened again.
-	openPause = 200 * time.Millisecond
+	// openBackoff is the wait before a disk that refuses is opened again.
+	openBackoff = 200 * time.Millisecond
 )
 
 // RingsCorruptError tells that as many rings as are kept are corrupt: the disk needs a look before another one is
@@ -46,7 +46,7 @@
 // disk: such a machine founds nothing.
 func openRing(ctx context.Context, options Options) (opened *ring.Ring, recovered *ring.Recovered, replaced bool, err error) {
 	if options.Storage != nil {
-		opened, recovered, err = openPatiently(ctx, "", options)
+		opened, recovered, err = openWithRetry(ctx, "", options)
 		return opened, recovered, false, err
 	}
 	if options.Settings.StateDir == "" {
@@ -55,8 +55,8 @@
 	number := currentRing(options.Settings.StateDir)
 	for {
 		folder := ringPath(options.Settings.StateDir, number)
-		opened, recovered, err = openPatiently(ctx, folder, options)
-		if !isDamage(err) {
+		opened, recovered, err = openWithRetry(ctx, folder, options)
+		if !isCorrupt(err) {
 			return opened, recovered, number > 1, err
 		}
 		if number == maxRingFolders {
@@ -70,14 +70,14 @@
 	}
 }
 
-// isDamage reports whether a ring holds no state that can be read. One of another version is not damaged.
-func isDamage(err error) bool {
+// isCorrupt reports whether a ring holds no state that can be read. One of another version is not damaged.
+func isCorrupt(err error) bool {
 	var corrupt *ring.CorruptError
 	return errors.As(err, &corrupt) && corrupt.Version == 0
 }
 
-// openPatiently opens a ring; the error is a *ring.CorruptError, or tells that ctx ended.
-func openPatiently(ctx context.Context, folder string, options Options) (*ring.Ring, *ring.Recovered, error) {
+// openWithRetry opens a ring; the error is a *ring.CorruptError, or tells that ctx ended.
+func openWithRetry(ctx context.Context, folder string, options Options) (*ring.Ring, *ring.Recovered, error) {
 	ringOptions := ring.Options{Files: ringFiles, FileBytes: ringBytes, Storage: options.Storage}
 	for {
 		opened, recovered, err := ring.Open(folder, ringOptions)
@@ -89,7 +89,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, nil, errors.Wrap(err, "open the ring")
-		case <-time.After(openPause):
+		case <-time.After(openBackoff):
 		}
 	}
 }
--- a/internal/control/openring_test.go
+++ b/internal/control/openring_test.go
@@ -84,7 +84,7 @@
 		require.True(t, recovered.Fresh)
 		require.Equal(t, number > 1, replaced)
 		require.NoError(t, opened.Snapshot([]byte("a snapshot of some length")))
-		require.NoError(t, opened.Append(ring.Record{Kind: recordBasis, Payload: []byte{0}}))
+		require.NoError(t, opened.Append(ring.Record{Kind: recordSynchronizedView, Payload: []byte{0}}))
 		require.NoError(t, opened.Close())
 		damage(t, ringPath(options.Settings.StateDir, number))
 	}
@@ -96,6 +96,6 @@
 
 // A ring of another version is not damaged: a machine that was set back to an older program must not leave it.
 func TestRingOfAnotherVersionIsLeftInUse(t *testing.T) {
-	require.False(t, isDamage(&ring.CorruptError{Version: 2}))
-	require.True(t, isDamage(&ring.CorruptError{Reason: "no snapshot"}))
+	require.False(t, isCorrupt(&ring.CorruptError{Version: 2}))
+	require.True(t, isCorrupt(&ring.CorruptError{Reason: "no snapshot"}))
 }
--- a/internal/control/origin.go
+++ b/internal/control/originorders.go
@@ -11,14 +11,14 @@
 
 // Times and bounds of orders.
 const (
-	// orderLimit is how long an order may take before it is answered 503; a large body adds its sendingTime.
-	orderLimit = 900 * time.Millisecond
-	// resendOrder is the wait before an unanswered order is sent again; a large body adds its sendingTime.
-	resendOrder = 300 * time.Millisecond
-	// slowLink, in bytes a second, is what one message is sure to get of a link.
-	slowLink = 250_000
-	// maxOrders bounds the orders on their way at one machine, as their origin and as the head each.
-	maxOrders = 64
+	// orderTimeout is how long an order may take before it is answered 503; a large body adds its transferTime.
+	orderTimeout = 900 * time.Millisecond
+	// orderResendInterval is the wait before an unanswered order is sent again; a large body adds its transferTime.
+	orderResendInterval = 300 * time.Millisecond
+	// minLinkRate, in bytes a second, is what one message is sure to get of a link.
+	minLinkRate = 250_000
+	// maxPendingOrders bounds the orders on their way at one machine, as their origin and as the head each.
+	maxPendingOrders = 64
 )
 
 // originOrders are the orders that arrived at this machine, the oldest first.
@@ -31,19 +31,21 @@
 	request  uint64
 	order    *pb.Order
 	deadline time.Duration
-	sent     time.Duration
+	sentAt   time.Duration
 	target   string // identity of the machine that it was forwarded to last; empty: there was none
 	// held is what this machine knew to be committed when it forwarded a read last; nil: nothing.
-	held *catalog.Snapshot
+	heldState *catalog.Snapshot
 }
 
-// sendingTime is how long a body may need on one link.
-func sendingTime(bytes int) time.Duration {
-	return time.Duration(bytes) * time.Second / slowLink
+// transferTime is how long a body may need on one link.
+func transferTime(bytes int) time.Duration {
+	return time.Duration(bytes) * time.Second / minLinkRate
 }
 
-// limitOf is how long an order may take.
-func limitOf(order *pb.Order) time.Duration { return orderLimit + sendingTime(len(order.GetBody())) }
+// orderTimeoutOf is how long an order may take.
+func orderTimeoutOf(order *pb.Order) time.Duration {
+	return orderTimeout + transferTime(len(order.GetBody()))
+}
 
 func unavailable(id uint64) *pb.OrderResult {
 	return &pb.OrderResult{Id: id, Status: http.StatusServiceUnavailable}
@@ -51,7 +53,7 @@
 
 // submit takes an order of the operator and forwards it.
 func (m *Machine) submit(event OrderSubmitted) {
-	full := len(m.origin.pending) >= maxOrders
+	full := len(m.origin.pending) >= maxPendingOrders
 	if m.View() == nil || !m.hearsMajority() || m.wakesLate() || full {
 		m.actions = append(m.actions, Reply{Request: event.Request, Result: unavailable(0)})
 		return
@@ -67,7 +69,7 @@
 			Zone: order.GetZone(),
 			Body: order.GetBody(),
 		},
-		deadline: m.now + limitOf(order),
+		deadline: m.now + orderTimeoutOf(order),
 	}
 	m.origin.pending = append(m.origin.pending, pending)
 	m.forward(pending)
@@ -82,7 +84,7 @@
 
 // forward sends an order to the head, or to the tail if it is a read.
 func (m *Machine) forward(pending *pendingOrder) {
-	pending.sent = m.now
+	pending.sentAt = m.now
 	target := m.replica.Head()
 	if pending.order.GetKind() == pb.Order_KIND_READ {
 		target = m.replica.Tail()
@@ -97,11 +99,11 @@
 // nameHeld tells the tail what this machine holds itself: if that is the newest state, the configuration, which may be
 // large, need not come from the tail.
 func (m *Machine) nameHeld(pending *pendingOrder) {
-	pending.held = m.replica.Committed()
+	pending.heldState = m.replica.Committed()
 	pending.order = &pb.Order{
 		Id:   pending.order.GetId(),
 		Kind: pb.Order_KIND_READ,
-		Held: sequenceOf(pending.held),
+		Held: sequenceOf(pending.heldState),
 	}
 }
 
@@ -117,7 +119,7 @@
 		switch {
 		case m.now >= pending.deadline:
 			m.answer(pending, unavailable(pending.order.GetId()))
-		case m.now-pending.sent >= resendOrder+sendingTime(len(pending.order.GetBody())):
+		case m.now-pending.sentAt >= orderResendInterval+transferTime(len(pending.order.GetBody())):
 			m.forward(pending)
 		}
 	}
@@ -134,14 +136,14 @@
 	case result.GetStatus() == statusConfirm:
 		m.confirm(pending, result.GetBody())
 	case result.GetHeldIsNewest():
-		m.answer(pending, readOf(result.GetId(), pending.held))
+		m.answer(pending, readResult(result.GetId(), pending.heldState))
 	default:
 		m.answer(pending, result)
 	}
 }
 
-// readOf is the result of a read of a state.
-func readOf(id uint64, state *catalog.Snapshot) *pb.OrderResult {
+// readResult is the result of a read of a state.
+func readResult(id uint64, state *catalog.Snapshot) *pb.OrderResult {
 	body, err := state.Configuration()
 	if err != nil {
 		return &pb.OrderResult{Id: id, Status: http.StatusInternalServerError}
--- a/internal/control/peerclient.go
+++ b/internal/control/peerclient.go
@@ -17,10 +17,10 @@
 // peerClient delivers messages to one machine, large ones compressed unless that machine is of a version that can't read
 // them. One goroutine uses it at a time.
 type peerClient struct {
-	compressed fieldrelayv1connect.ControlPeerClient
-	plain      fieldrelayv1connect.ControlPeerClient
-	plainLeft  int  // deliveries that go plain still
-	reads      bool // the machine has read a compressed delivery
+	compressed      fieldrelayv1connect.ControlPeerClient
+	plain           fieldrelayv1connect.ControlPeerClient
+	plainRemaining  int  // deliveries that go plain still
+	readsCompressed bool // the machine has read a compressed delivery
 }
 
 func newPeerClient(client *http.Client, address string) *peerClient {
@@ -36,26 +36,26 @@
 	if size < compressFrom {
 		return send(ctx, c.plain, request)
 	}
-	if c.plainLeft > 0 {
-		c.plainLeft--
+	if c.plainRemaining > 0 {
+		c.plainRemaining--
 		return send(ctx, c.plain, request)
 	}
 	err := send(ctx, c.compressed, request)
 	if err == nil {
-		c.reads = true
+		c.readsCompressed = true
 		return nil
 	}
 	if connect.CodeOf(err) == connect.CodeUnimplemented {
-		c.reads = false
+		c.readsCompressed = false
 	}
-	if c.reads || ctx.Err() != nil {
+	if c.readsCompressed || ctx.Err() != nil {
 		return err
 	}
 	// An earlier version refuses what is compressed before it has come whole, which may look like a broken connection.
 	if send(ctx, c.plain, request) != nil {
 		return err
 	}
-	c.plainLeft = plainDeliveries
+	c.plainRemaining = plainDeliveries
 	return nil
 }
 
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -9,44 +9,44 @@
 )
 
 const (
-	// forgetAfter is how long a silent machine that does not vote is remembered.
-	forgetAfter = 30 * time.Second
+	// peerRetention is how long a silent machine that does not vote is remembered.
+	peerRetention = 30 * time.Second
 	// maxPeers bounds the table of other machines.
 	maxPeers = 64
-	// steadyFor is how long a machine must have been live before it is added to the chain without need.
-	steadyFor = time.Second
+	// stableAfter is how long a machine must have been live before it is added to the chain without need.
+	stableAfter = time.Second
 )
 
 // peer is what is known of another control machine.
 type peer struct {
-	replica   *pb.Replica
-	heard     time.Duration // last time
-	liveSince time.Duration
-	heartbeat *pb.Heartbeat // the last one; nil before the first
-	inTouchAt time.Duration // when a heartbeat came that had not waited for this machine
-	ended     uint64        // incarnation that has said that it was told to end; 0: none has
+	replica             *pb.Replica
+	lastContact         time.Duration // last time
+	liveSince           time.Duration
+	heartbeat           *pb.Heartbeat // the last one; nil before the first
+	lastPromptHeartbeat time.Duration // when a heartbeat came that had not waited for this machine
+	leavingIncarnation  uint64        // incarnation that has said that it was told to end; 0: none has
 }
 
 // take keeps a heartbeat; it returns false if that is an earlier one of a process that was told to end. A machine that
 // was told to end and is back serves in the chain as soon as it holds the state. A late heartbeat may have waited
 // while this machine stood still.
-func (p *peer) take(heartbeat *pb.Heartbeat, now time.Duration, late bool) bool {
+func (p *peer) acceptHeartbeat(heartbeat *pb.Heartbeat, now time.Duration, late bool) bool {
 	incarnation := heartbeat.GetIncarnation()
-	if p.ended != 0 && incarnation == p.ended {
-		hasReturned := p.heartbeat.GetIncarnation() != p.ended
+	if p.leavingIncarnation != 0 && incarnation == p.leavingIncarnation {
+		hasReturned := p.heartbeat.GetIncarnation() != p.leavingIncarnation
 		if hasReturned || !heartbeat.GetLeaving() {
 			return false
 		}
 	}
-	if p.heartbeat.GetLeaving() && incarnation != p.ended {
-		p.liveSince = now - steadyFor
+	if p.heartbeat.GetLeaving() && incarnation != p.leavingIncarnation {
+		p.liveSince = now - stableAfter
 	}
 	if heartbeat.GetLeaving() {
-		p.ended = incarnation
+		p.leavingIncarnation = incarnation
 	}
 	p.heartbeat = heartbeat
 	if !late {
-		p.inTouchAt = now
+		p.lastPromptHeartbeat = now
 	}
 	return true
 }
@@ -62,22 +62,22 @@
 	found, known := t.known[replica.GetIdentity()]
 	if !known {
 		if len(t.known) >= maxPeers {
-			return &peer{replica: replica, heard: now}
+			return &peer{replica: replica, lastContact: now}
 		}
 		found = &peer{liveSince: now}
 		t.known[replica.GetIdentity()] = found
-	} else if now-found.heard > FailureTimeout {
+	} else if now-found.lastContact > FailureTimeout {
 		found.liveSince = now
 	}
 	found.replica = replica
-	found.heard = now
+	found.lastContact = now
 	return found
 }
 
 // excuse moves the time at which others were heard by what this machine has missed itself.
 func (t *peerTable) excuse(gap, now time.Duration) {
 	for _, found := range t.known {
-		found.heard = min(found.heard+gap, now)
+		found.lastContact = min(found.lastContact+gap, now)
 	}
 }
 
@@ -85,7 +85,7 @@
 func (t *peerTable) forget(now time.Duration, view *pb.View) {
 	for identity, found := range t.known {
 		votes := quorum.IndexOf(view.GetVoters(), identity) != quorum.NotFound
-		if !votes && now-found.heard > forgetAfter {
+		if !votes && now-found.lastContact > peerRetention {
 			delete(t.known, identity)
 		}
 	}
@@ -96,7 +96,7 @@
 		return true
 	}
 	found, known := m.peers.known[identity]
-	return known && m.now-found.heard <= FailureTimeout
+	return known && m.now-found.lastContact <= FailureTimeout
 }
 
 func (m *Machine) liveVoters() int {
@@ -117,7 +117,7 @@
 
 // isFit reports whether this machine can serve in the chain. One that was told to end can for a while.
 func (m *Machine) isFit() bool {
-	return m.isWell() && (!m.leaving.begun || m.now-m.leaving.since < leaveUnmet)
+	return m.isWell() && (!m.leaving.begun || m.now-m.leaving.since < leaveUnhealthyAfter)
 }
 
 // isWell reports whether the disk works and the machine is not cut off. One that has just started, or knows no
@@ -136,7 +136,7 @@
 	if !known {
 		return m.now - m.started
 	}
-	return m.now - found.heard
+	return m.now - found.lastContact
 }
 
 // electorate describes all known machines for the choice of voters.
@@ -197,7 +197,7 @@
 		Healthy:      m.isFit(),
 		Reachable:    true,
 		Synchronized: published.Synchronized && published.ViewNumber == m.View().GetNumber(),
-		Stable:       m.now-m.started >= steadyFor && m.mayReturn(m.self.GetIdentity()),
+		Stable:       m.now-m.started >= stableAfter && m.mayReturn(m.self.GetIdentity()),
 		Leaving:      m.leaving.begun,
 	}
 }
@@ -208,7 +208,7 @@
 		Healthy:      m.isLive(identity) && heartbeat.GetStorageHealthy(),
 		Reachable:    m.isLive(identity),
 		Synchronized: heartbeat.GetSynchronised() && heartbeat.GetViewNumber() == m.View().GetNumber(),
-		Stable:       m.now-found.liveSince >= steadyFor && m.mayReturn(identity),
+		Stable:       m.now-found.liveSince >= stableAfter && m.mayReturn(identity),
 		Leaving:      heartbeat.GetLeaving(),
 	}
 }
--- a/internal/control/oldlarge_test.go
+++ b/internal/control/plaindelivery_test.go
@@ -23,7 +23,7 @@
 	}
 	change := &pb.Change{Sequence: 1, Upserts: []*pb.Item{{Kind: "routes", Name: "r", Body: noise}}}
 	counted := &counters{}
-	boxes := newOutboxes(t.Context(), counted)
+	boxes := newPeerSenders(t.Context(), counted)
 	boxes.send(other.address, &pb.Message{Body: &pb.Message_Append{Append: &pb.Append{Changes: []*pb.Change{change}}}})
 	require.NotNil(t, other.next().GetAppend())
 	require.Zero(t, counted.failedCalls.Load())
--- a/internal/control/election.go
+++ b/internal/control/proposer.go
@@ -11,16 +11,16 @@
 
 // Times of elections.
 const (
-	// listenFirst is how long after its start a machine proposes nothing: it may not have heard the others.
-	listenFirst = 600 * time.Millisecond
-	// rankDelay is how much longer each voter waits than the one before it, once it sees a need.
-	rankDelay = 400 * time.Millisecond
-	// attemptLimit is how long one attempt may take.
-	attemptLimit = 750 * time.Millisecond
-	// retryPause is the shortest wait between two attempts; up to as much again is added at random.
-	retryPause = 200 * time.Millisecond
-	// leftoverAfter is how long an accepted value may stay undecided before another voter completes it.
-	leftoverAfter = 800 * time.Millisecond
+	// startupListenWindow is how long after its start a machine proposes nothing: it may not have heard the others.
+	startupListenWindow = 600 * time.Millisecond
+	// proposerRankDelay is how much longer each voter waits than the one before it, once it sees a need.
+	proposerRankDelay = 400 * time.Millisecond
+	// proposalTimeout is how long one attempt may take.
+	proposalTimeout = 750 * time.Millisecond
+	// proposalBackoff is the shortest wait between two attempts; up to as much again is added at random.
+	proposalBackoff = 200 * time.Millisecond
+	// undecidedTimeout is how long an accepted value may stay undecided before another voter completes it.
+	undecidedTimeout = 800 * time.Millisecond
 )
 
 // election is what a voter knows of attempts to change the view.
@@ -67,7 +67,7 @@
 		m.election.concern = m.now
 	}
 	waited := m.now - m.election.concern
-	if m.now < m.election.retryAt || waited < time.Duration(m.rank())*rankDelay {
+	if m.now < m.election.retryAt || waited < time.Duration(m.rank())*proposerRankDelay {
 		return
 	}
 	m.beginAttempt()
@@ -163,7 +163,7 @@
 
 // tickAttempt asks the voters that have not answered again, for a while.
 func (m *Machine) tickAttempt() {
-	if m.now-m.election.began > attemptLimit {
+	if m.now-m.election.began > proposalTimeout {
 		m.abandon()
 		return
 	}
@@ -184,5 +184,5 @@
 		m.election.highest = m.election.attempt.HighestObserved()
 	}
 	m.election.attempt = nil
-	m.election.retryAt = m.now + retryPause + time.Duration(m.random.Int64N(int64(retryPause)))
+	m.election.retryAt = m.now + proposalBackoff + time.Duration(m.random.Int64N(int64(proposalBackoff)))
 }
--- a/internal/control/check.go
+++ b/internal/control/quorumcheck.go
@@ -9,50 +9,50 @@
 )
 
 const (
-	// maxChecks bounds the results that wait for a check of the view.
-	maxChecks = 2 * maxOrders
-	// resendCheck is the wait before the voters are asked again.
-	resendCheck = 300 * time.Millisecond
+	// maxQuorumChecks bounds the results that wait for a check of the view.
+	maxQuorumChecks = 2 * maxPendingOrders
+	// quorumCheckResendInterval is the wait before the voters are asked again.
+	quorumCheckResendInterval = 300 * time.Millisecond
 )
 
-// viewChecks are results that may only leave when a majority of the voters knows of no later view: the state
+// quorumChecks are results that may only leave when a majority of the voters knows of no later view: the state
 // that they rest on was then the newest one.
-type viewChecks struct {
-	pending []*viewCheck
+type quorumChecks struct {
+	pending []*quorumCheck
 	next    uint64 // id
 }
 
-type viewCheck struct {
+type quorumCheck struct {
 	id      uint64
 	to      *pb.Replica
 	result  *pb.OrderResult
 	read    *catalog.Snapshot // whose configuration becomes the body of the result; nil: the result is whole
 	votes   map[int]bool      // by index among the voters
 	expires time.Duration
-	sent    time.Duration
+	sentAt  time.Duration
 }
 
 // check asks the voters and sends the result when a majority has answered well.
 func (m *Machine) check(to *pb.Replica, result *pb.OrderResult, read *catalog.Snapshot) {
-	if len(m.checks.pending) >= maxChecks {
+	if len(m.checks.pending) >= maxQuorumChecks {
 		m.result(to, unavailable(result.GetId()))
 		return
 	}
 	m.checks.next++
-	pending := &viewCheck{
+	pending := &quorumCheck{
 		id:      m.checks.next,
 		to:      to,
 		result:  result,
 		read:    read,
 		votes:   make(map[int]bool),
-		expires: m.now + orderLimit,
+		expires: m.now + orderTimeout,
 	}
 	m.checks.pending = append(m.checks.pending, pending)
 	m.askVoters(pending)
 }
 
-func (m *Machine) askVoters(pending *viewCheck) {
-	pending.sent = m.now
+func (m *Machine) askVoters(pending *quorumCheck) {
+	pending.sentAt = m.now
 	m.toVoters(&pb.Message{Body: &pb.Message_ViewCheck{ViewCheck: &pb.ViewCheck{
 		Id:         pending.id,
 		ViewNumber: m.View().GetNumber(),
@@ -69,7 +69,7 @@
 	return false
 }
 
-// viewCheck answers whether this voter knows of a later view, decided or accepted. A value that was promised
+// quorumCheck answers whether this voter knows of a later view, decided or accepted. A value that was promised
 // but not accepted cannot have been decided with this voter's help.
 func (m *Machine) viewCheck(from *pb.Replica, check *pb.ViewCheck) {
 	number := check.GetViewNumber()
@@ -102,11 +102,11 @@
 }
 
 // outcome is the result, with the configuration if it is that of a read.
-func (c *viewCheck) outcome() *pb.OrderResult {
+func (c *quorumCheck) outcome() *pb.OrderResult {
 	if c.read == nil {
 		return c.result
 	}
-	return readOf(c.result.GetId(), c.read)
+	return readResult(c.result.GetId(), c.read)
 }
 
 func (m *Machine) tickChecks() {
@@ -117,8 +117,8 @@
 		}
 	}
 	m.checks.pending = kept
-	for _, pending := range append([]*viewCheck(nil), kept...) {
-		if m.now-pending.sent >= resendCheck {
+	for _, pending := range append([]*quorumCheck(nil), kept...) {
+		if m.now-pending.sentAt >= quorumCheckResendInterval {
 			m.askVoters(pending)
 		}
 	}
--- a/internal/control/upgrade_test.go
+++ b/internal/control/recompression_test.go
@@ -39,7 +39,7 @@
 	t.Cleanup(server.Close)
 	other.address = strings.TrimPrefix(server.URL, "http://")
 
-	boxes := newOutboxes(t.Context(), &counters{})
+	boxes := newPeerSenders(t.Context(), &counters{})
 	boxes.send(other.address, manyRoutes())
 	require.NotNil(t, other.next())
 	server.CloseClientConnections()
--- a/internal/control/record.go
+++ b/internal/control/record.go
@@ -15,12 +15,12 @@
 
 // Kinds of records in the ring.
 const (
-	recordIdentity uint8 = 1 // pb.Message: From and, in a Heartbeat, Bootstrap
-	recordPromise  uint8 = 2 // pb.Promise: the acceptor
-	recordView     uint8 = 3 // basis, pb.View
-	recordChange   uint8 = 4 // basis, pb.Change
-	recordRepair   uint8 = 5 // basis, pb.Repair
-	recordBasis    uint8 = 6 // basis
+	recordIdentity         uint8 = 1 // pb.Message: From and, in a Heartbeat, Bootstrap
+	recordPromise          uint8 = 2 // pb.Promise: the acceptor
+	recordView             uint8 = 3 // basis, pb.View
+	recordChange           uint8 = 4 // basis, pb.Change
+	recordRepair           uint8 = 5 // basis, pb.Repair
+	recordSynchronizedView uint8 = 6 // basis
 )
 
 // RecordError tells that the disk holds a record that cannot be read.
@@ -35,7 +35,7 @@
 func (e *RecordError) Unwrap() error { return e.Cause }
 
 // durable is everything that a machine has on disk.
-type durable struct {
+type durableState struct {
 	identity  string
 	bootstrap bool // the disk was empty when the whole system started for the first time
 	acceptor  *pb.Promise
@@ -43,11 +43,11 @@
 	migrated  bool // the state was of an earlier version
 }
 
-func newDurable() durable { return durable{chain: chain.EmptyState()} }
+func newDurableState() durableState { return durableState{chain: chain.EmptyState()} }
 
-// recoverDurable reads what a ring held.
-func recoverDurable(recovered *ring.Recovered) (durable, error) {
-	state := newDurable()
+// recoverState reads what a ring held.
+func recoverState(recovered *ring.Recovered) (durableState, error) {
+	state := newDurableState()
 	records, err := splitSnapshot(recovered.Snapshot)
 	if err != nil {
 		return state, err
@@ -61,7 +61,7 @@
 	return state, nil
 }
 
-func (d *durable) apply(record ring.Record) error {
+func (d *durableState) apply(record ring.Record) error {
 	switch record.Kind {
 	case recordIdentity:
 		message := &pb.Message{}
@@ -84,7 +84,7 @@
 }
 
 // restoreAcceptor returns the acceptor for the view after the one in force.
-func (d *durable) restoreAcceptor() *quorum.Acceptor {
+func (d *durableState) restoreAcceptor() *quorum.Acceptor {
 	next := d.chain.View.GetNumber() + 1
 	if d.acceptor.GetViewNumber() != next {
 		return quorum.NewAcceptor(next)
@@ -113,7 +113,7 @@
 	case write.Repair != nil:
 		return encode(recordRepair, basis, write.Repair)
 	default:
-		return ring.Record{Kind: recordBasis, Payload: basis}
+		return ring.Record{Kind: recordSynchronizedView, Payload: basis}
 	}
 }
 
@@ -134,7 +134,7 @@
 	case recordRepair:
 		write.Repair = &pb.Repair{}
 		message = write.Repair
-	case recordBasis:
+	case recordSynchronizedView:
 		return write, nil
 	default:
 		return write, errors.New("unknown kind")
--- a/internal/control/dropped.go
+++ b/internal/control/rejoin.go
@@ -9,11 +9,11 @@
 
 // Times of machines that come and go.
 const (
-	// returnPause is how long a machine that was dropped from the chain stays outside; it doubles with each
-	// time up to maxReturnPause, and starts anew after a calm time of calmReturn.
-	returnPause    = time.Second
-	maxReturnPause = 16 * time.Second
-	calmReturn     = time.Minute
+	// minRejoinBackoff is how long a machine that was dropped from the chain stays outside; it doubles with each
+	// time up to maxRejoinBackoff, and starts anew after a calm time of rejoinBackoffReset.
+	minRejoinBackoff   = time.Second
+	maxRejoinBackoff   = 16 * time.Second
+	rejoinBackoffReset = time.Minute
 )
 
 // dropRecord tells how often and when a machine was dropped from the chain.
@@ -28,14 +28,14 @@
 	if !known {
 		return true
 	}
-	pause := min(returnPause<<min(record.count-1, 10), maxReturnPause)
+	pause := min(minRejoinBackoff<<min(record.count-1, 10), maxRejoinBackoff)
 	return m.now-record.at >= pause
 }
 
 // noteDropped remembers which machines a new view has left out of the chain, but for those that were told to end.
 func (m *Machine) noteDropped(before, after *pb.View) {
 	for identity, record := range m.election.dropped {
-		if m.now-record.at > calmReturn {
+		if m.now-record.at > rejoinBackoffReset {
 			delete(m.election.dropped, identity)
 		}
 	}
--- a/internal/control/writer.go
+++ b/internal/control/ringwriter.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// writeQueue bounds the writes that wait; the machine stops promising long before.
-	writeQueue = 256
-	// writePause is the wait before a write that failed is tried again.
-	writePause = 200 * time.Millisecond
+	// writeQueueLength bounds the writes that wait; the machine stops promising long before.
+	writeQueueLength = 256
+	// writeBackoff is the wait before a write that failed is tried again.
+	writeBackoff = 200 * time.Millisecond
 )
 
 // writer puts Persist actions on disk, in order, and tries again until each is there.
-type writer struct {
+type ringWriter struct {
 	ring     *ring.Ring
 	queue    chan Persist
 	post     func(context.Context, Event)
 	counters *counters
 }
 
-func newWriter(opened *ring.Ring, post func(context.Context, Event), counts *counters) *writer {
-	return &writer{ring: opened, queue: make(chan Persist, writeQueue), post: post, counters: counts}
+func newRingWriter(opened *ring.Ring, post func(context.Context, Event), counts *counters) *ringWriter {
+	return &ringWriter{ring: opened, queue: make(chan Persist, writeQueueLength), post: post, counters: counts}
 }
 
-func (w *writer) run(ctx context.Context) {
+func (w *ringWriter) run(ctx context.Context) {
 	defer func() { _ = w.ring.Close() }()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-w.queue:
-			batch := w.drain(first)
+			batch := w.coalesce(first)
 			if !w.write(ctx, batch) {
 				return
 			}
@@ -43,29 +43,29 @@
 }
 
 // drain joins all writes that wait into one: a snapshot replaces what came before it.
-func (w *writer) drain(batch Persist) Persist {
-	batch = afterSnapshot(batch)
+func (w *ringWriter) coalesce(batch Persist) Persist {
+	batch = dropCoveredRecords(batch)
 	for {
 		select {
 		case next := <-w.queue:
-			batch = join(batch, next)
+			batch = mergeWrites(batch, next)
 		default:
 			return batch
 		}
 	}
 }
 
-// afterSnapshot drops the records that a snapshot contains.
-func afterSnapshot(persist Persist) Persist {
+// dropCoveredRecords drops the records that a snapshot contains.
+func dropCoveredRecords(persist Persist) Persist {
 	if persist.Snapshot != nil {
 		persist.Records = nil
 	}
 	return persist
 }
 
-func join(batch, next Persist) Persist {
+func mergeWrites(batch, next Persist) Persist {
 	if next.Snapshot != nil {
-		return afterSnapshot(next)
+		return dropCoveredRecords(next)
 	}
 	batch.Token = next.Token
 	batch.Records = append(batch.Records, next.Records...)
@@ -73,9 +73,9 @@
 }
 
 // write returns false when ctx has ended.
-func (w *writer) write(ctx context.Context, batch Persist) bool {
+func (w *ringWriter) write(ctx context.Context, batch Persist) bool {
 	for {
-		err := w.try(&batch)
+		err := w.writeOnce(&batch)
 		if err == nil {
 			w.counters.writes.Add(1)
 			return true
@@ -85,12 +85,12 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(writePause):
+		case <-time.After(writeBackoff):
 		}
 	}
 }
 
-func (w *writer) try(batch *Persist) error {
+func (w *ringWriter) writeOnce(batch *Persist) error {
 	if batch.Snapshot != nil {
 		if err := w.ring.Snapshot(batch.Snapshot); err != nil {
 			return err
--- a/internal/control/authority.go
+++ b/internal/control/staleness.go
@@ -7,10 +7,10 @@
 	"fieldrelay/internal/quorum"
 )
 
-// behindLimit is how long a machine may lack a committed change that others have told of before it ceases to be
+// lagTimeout is how long a machine may lack a committed change that others have told of before it ceases to be
 // authoritative: changes follow the heartbeats that tell of them within a moment, unless a link is cut. It ceases
 // earlier if the silence limit ends before (see isOverdue).
-const behindLimit = 2 * HeartbeatInterval
+const lagTimeout = 2 * HeartbeatInterval
 
 // peerAdvertisements is the newest that heartbeats of other machines have told of. A machine that is cut off from the
 // chain alone, or that hears but is not heard, learns by it that the state that it holds has grown old.
@@ -48,7 +48,7 @@
 	count := 0
 	for _, replica := range replicas {
 		found, known := m.peers.known[replica.GetIdentity()]
-		lately := known && found.heartbeat != nil && m.now-found.inTouchAt <= FailureTimeout
+		lately := known && found.heartbeat != nil && m.now-found.lastPromptHeartbeat <= FailureTimeout
 		if lately || m.isSelf(replica) {
 			count++
 		}
@@ -66,7 +66,7 @@
 // isOverdue reports whether a change that this machine was told of has been missing for too long. It may have been
 // acknowledged at any time since the last heartbeat that did not tell of it, so that the silence limit runs from there.
 func (m *Machine) isOverdue() bool {
-	if m.now-m.advertisedByPeers.behindSince >= behindLimit {
+	if m.now-m.advertisedByPeers.behindSince >= lagTimeout {
 		return true
 	}
 	return m.advertisedByPeers.currentAt == 0 || m.now-m.advertisedByPeers.currentAt > FailureTimeout
--- a/internal/control/authority_test.go
+++ b/internal/control/staleness_test.go
@@ -95,14 +95,14 @@
 	a := newAgreed(t)
 	a.told(2, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
 	require.True(t, a.machine.Authoritative(), "the change may be on its way")
-	a.pass(behindLimit, 0, 1, 2)
+	a.pass(lagTimeout, 0, 1, 2)
 	require.False(t, a.machine.Authoritative())
 }
 
 func TestWhatAMachineThatJustStartedHasOnDiskMayBeCommitted(t *testing.T) {
 	a := newAgreed(t)
 	a.told(2, &pb.Heartbeat{ViewNumber: 1, Sequence: 1})
-	a.pass(behindLimit, 0, 1)
+	a.pass(lagTimeout, 0, 1)
 	require.False(t, a.machine.Authoritative())
 }
 
@@ -128,10 +128,10 @@
 }
 
 func TestThePictureThatAStandingLoopLeftGivesNoAuthority(t *testing.T) {
-	node := &Node{began: time.Now().Add(-time.Hour)}
+	node := &Node{startedAt: time.Now().Add(-time.Hour)}
 	node.status.Store(&Status{Authoritative: true})
-	node.stepped.Store(int64(time.Hour - stallThreshold))
+	node.lastTickAt.Store(int64(time.Hour - stallThreshold))
 	require.False(t, node.Status().Authoritative)
-	node.stepped.Store(int64(time.Hour))
+	node.lastTickAt.Store(int64(time.Hour))
 	require.True(t, node.Status().Authoritative)
 }
--- /dev/null
+++ b/internal/control/trafficclass.go
@@ -0,0 +1,39 @@
+package control
+
+import pb "fieldrelay/api/fieldrelay/v1"
+
+// lane is one of the two ways to another machine, each with a connection of its own, so that what others judge this
+// machine by does not wait behind a configuration.
+type trafficClass int
+
+const (
+	// classUrgent carries heartbeats, votes, acknowledgements and other short messages.
+	classUrgent trafficClass = iota
+	// classBulk carries the state and its changes, in the order in which they were sent, and whatever else is long.
+	classBulk
+	trafficClasses
+)
+
+// maxUrgentBytes is the length of an order or its result, in bytes, up to which it is short.
+const maxUrgentBytes = 4 << 10
+
+// classOf tells which way a message goes.
+func classOf(message *pb.Message) trafficClass {
+	switch body := message.GetBody().(type) {
+	case *pb.Message_Append, *pb.Message_SyncResponse, *pb.Message_ServerList:
+		return classBulk
+	case *pb.Message_Order:
+		return classOfSize(len(body.Order.GetBody()))
+	case *pb.Message_OrderResult:
+		return classOfSize(len(body.OrderResult.GetBody()))
+	default:
+		return classUrgent
+	}
+}
+
+func classOfSize(size int) trafficClass {
+	if size > maxUrgentBytes {
+		return classBulk
+	}
+	return classUrgent
+}
--- a/internal/control/lane_test.go
+++ b/internal/control/trafficclass_test.go
@@ -92,7 +92,7 @@
 // The others don't take a machine for silent because it sends them a configuration.
 func TestHeartbeatsDoNotWaitBehindAConfiguration(t *testing.T) {
 	other := newReceiver(t, CompressedDeliveries())
-	boxes := newOutboxes(t.Context(), &counters{})
+	boxes := newPeerSenders(t.Context(), &counters{})
 	boxes.send(other.address, manyRoutes())
 	boxes.send(other.address, beat())
 	require.NotNil(t, other.next().GetHeartbeat())
@@ -102,16 +102,16 @@
 
 func TestChangesKeepTheirOrder(t *testing.T) {
 	small := &pb.Message{Body: &pb.Message_Append{Append: &pb.Append{}}}
-	require.Equal(t, laneOf(manyRoutes()), laneOf(small))
-	require.Equal(t, laneUrgent, laneOf(&pb.Message{Body: &pb.Message_Order{Order: &pb.Order{Zone: "brno"}}}))
-	large := &pb.Order{Body: make([]byte, urgentSize+1)}
-	require.Equal(t, laneBulk, laneOf(&pb.Message{Body: &pb.Message_Order{Order: large}}))
+	require.Equal(t, classOf(manyRoutes()), classOf(small))
+	require.Equal(t, classUrgent, classOf(&pb.Message{Body: &pb.Message_Order{Order: &pb.Order{Zone: "brno"}}}))
+	large := &pb.Order{Body: make([]byte, maxUrgentBytes+1)}
+	require.Equal(t, classBulk, classOf(&pb.Message{Body: &pb.Message_Order{Order: large}}))
 }
 
 func TestLargeDeliveriesAreCompressed(t *testing.T) {
 	other := newReceiver(t, CompressedDeliveries())
 	close(other.release)
-	boxes := newOutboxes(t.Context(), &counters{})
+	boxes := newPeerSenders(t.Context(), &counters{})
 	message := manyRoutes()
 	boxes.send(other.address, message)
 	require.Len(t, other.next().GetAppend().GetChanges()[0].GetUpserts(), 1400)
@@ -125,7 +125,7 @@
 func TestMachinesThatReadNothingCompressedGetPlainDeliveries(t *testing.T) {
 	other := newReceiver(t, connect.WithCompression(gzipName, nil, nil))
 	close(other.release)
-	boxes := newOutboxes(t.Context(), &counters{})
+	boxes := newPeerSenders(t.Context(), &counters{})
 	for range 2 {
 		boxes.send(other.address, manyRoutes())
 		require.Len(t, other.next().GetAppend().GetChanges()[0].GetUpserts(), 1400)
@@ -135,7 +135,7 @@
 // A delivery whose connection is reset is told of, message by message; heartbeats are not, for others follow.
 func TestChangesThatWereNotDeliveredAreToldOf(t *testing.T) {
 	server := resettest.New(t)
-	boxes := newOutboxes(t.Context(), &counters{})
+	boxes := newPeerSenders(t.Context(), &counters{})
 	undelivered := make(chan *pb.Message, 16)
 	boxes.undelivered = func(message *pb.Message) { undelivered <- message }
 	address := strings.TrimPrefix(server.URL, "http://")
@@ -154,14 +154,14 @@
 }
 
 func TestChangesThatHaveWaitedForTooLongAreToldOf(t *testing.T) {
-	boxes := newOutboxes(t.Context(), &counters{})
+	boxes := newPeerSenders(t.Context(), &counters{})
 	var undelivered []*pb.Message
 	boxes.undelivered = func(message *pb.Message) { undelivered = append(undelivered, message) }
-	expired := queued{message: manyRoutes(), at: time.Now().Add(-2 * messageAge)}
-	fresh := queued{message: manyRoutes(), at: time.Now()}
-	for _, lane := range []lane{laneUrgent, laneBulk} {
-		box := &outbox{owner: boxes, key: boxKey{lane: lane}, queue: []queued{expired, fresh}}
-		require.Equal(t, []*pb.Message{fresh.message}, box.take())
+	expired := queuedMessage{message: manyRoutes(), at: time.Now().Add(-2 * maxQueueDelay)}
+	fresh := queuedMessage{message: manyRoutes(), at: time.Now()}
+	for _, lane := range []trafficClass{classUrgent, classBulk} {
+		box := &peerSender{owner: boxes, key: senderKey{class: lane}, queue: []queuedMessage{expired, fresh}}
+		require.Equal(t, []*pb.Message{fresh.message}, box.takeQueued())
 	}
 	require.Len(t, undelivered, 1)
 	require.Same(t, expired.message, undelivered[0])
--- a/internal/control/need.go
+++ b/internal/control/viewplan.go
@@ -11,10 +11,10 @@
 	if m.View() == nil {
 		return m.seesFounders()
 	}
-	if !m.isWell() || !m.hearsMajority() || m.now-m.started < listenFirst {
+	if !m.isWell() || !m.hearsMajority() || m.now-m.started < startupListenWindow {
 		return false
 	}
-	if m.acceptor.HasAccepted() && m.now-m.election.accepted > leftoverAfter {
+	if m.acceptor.HasAccepted() && m.now-m.election.accepted > undecidedTimeout {
 		return true
 	}
 	if m.isComplete() {
