--- a/internal/control/confirmation.go
+++ b/internal/control/confirmation.go
@@ -3,109 +3,121 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"net/http"
 	"slices"
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// An evacuation leaves no record of having been taken. A copy of an order that was answered long ago, late on
-// its way, would undo what was ordered since. So the head gives each evacuation a number that serves once, in
-// a result of status 100, and takes the order only when it comes back with that number: an origin sends it
-// again only while its caller waits for the answer. A number is of no use any more once another order on the
-// same zone was taken after it was given: the caller of that one may have waited for this one in vain before.
+// confirmationTimeout is how long a confirmation token may be used.
+const confirmationTimeout = 600 * time.Millisecond
 
-// statusConfirm is the status of a result that asks an origin to confirm its order.
-const statusConfirm = http.StatusContinue
+// confirmations guard evacuations, which unlike other orders leave no record of having been executed. A copy of an order
+// that was answered long ago, late on its way, would undo what was ordered since. So the head issues a token for each
+// evacuation that may be used once, in a result of status 100, and accepts the order only when it comes back with that
+// token: an origin sends it again only while its caller waits for the answer. A token is of no use any more once another
+// order on the same zone was executed after it was issued: the caller of that one may have waited for this one in vain
+// before.
+type confirmations struct {
+	clock  *clock
+	output *stepOutput
+	ids    *idSequence
 
-// confirmationTimeout is how long a number may be used.
-const confirmationTimeout = 600 * time.Millisecond
+	issued []confirmation
+	// executedAt holds, by zone, the newest number of ids when an order on the zone was executed last: tokens up to it
+	// are superseded.
+	executedAt map[string]uint64
+}
 
-// confirmation is a number that was given for an order.
+// confirmation is a token that was issued for an order.
 type confirmation struct {
 	origin  string // identity
 	id      uint64
 	zone    string
-	number  []byte
+	token   []byte
 	expires time.Duration
 }
 
-// isEvacuation reports whether an order needs confirmation.
-func isEvacuation(order *pb.Order) bool {
+// needsConfirmation reports whether an order is an evacuation.
+func needsConfirmation(order *pb.Order) bool {
 	kind := order.GetKind()
 	return kind == pb.Order_KIND_EVACUATE_BEGIN || kind == pb.Order_KIND_EVACUATE_FINISH
 }
 
-// isConfirmed reports whether an order came with the number that was given for it, which is used up by that.
-// If it did not, its origin is asked. A copy that came without the number does not take it back: two copies on
-// their way at once would undo each other's numbers for as long as the order lives.
-func (m *Machine) isConfirmed(from *pb.Replica, order *pb.Order) bool {
-	if !isEvacuation(order) {
+// redeem reports whether an order needs no confirmation, or came with the token issued for it, which is used up by that.
+// If it did not, its origin is asked. A copy that came without the token does not take it back: two copies on their way
+// at once would invalidate each other's tokens for as long as the order lives.
+func (c *confirmations) redeem(from *pb.Replica, order *pb.Order) bool {
+	if !needsConfirmation(order) {
 		return true
 	}
-	m.dropUselessNumbers()
-	index := slices.IndexFunc(m.head.confirmations, func(given confirmation) bool {
-		return given.origin == from.GetIdentity() && given.id == order.GetId()
+	c.discardUseless()
+	index := slices.IndexFunc(c.issued, func(issued confirmation) bool {
+		return issued.origin == from.GetIdentity() && issued.id == order.GetId()
 	})
 	if index < 0 {
-		m.askConfirmation(from, order)
+		c.request(from, order)
 		return false
 	}
-	number := m.head.confirmations[index].number
-	if !bytes.Equal(number, order.GetBody()) {
-		m.result(from, &pb.OrderResult{Id: order.GetId(), Status: statusConfirm, Body: number})
+	token := c.issued[index].token
+	if !bytes.Equal(token, order.GetBody()) {
+		c.sendToken(from, order, token)
 		return false
 	}
-	m.head.confirmations = slices.Delete(m.head.confirmations, index, index+1)
+	c.issued = slices.Delete(c.issued, index, index+1)
 	return true
 }
 
-// dropUselessNumbers forgets the numbers that are too old, and those given before another order on their zone.
-func (m *Machine) dropUselessNumbers() {
-	m.head.confirmations = slices.DeleteFunc(m.head.confirmations, func(given confirmation) bool {
-		return m.now >= given.expires || binary.BigEndian.Uint64(given.number) <= m.head.taken[given.zone]
+// request issues a token for an order and sends it to the origin.
+func (c *confirmations) request(from *pb.Replica, order *pb.Order) {
+	if len(c.issued) >= maxPendingOrders {
+		return
+	}
+	issued := confirmation{
+		origin:  from.GetIdentity(),
+		id:      order.GetId(),
+		zone:    order.GetZone(),
+		token:   binary.BigEndian.AppendUint64(nil, c.ids.next()),
+		expires: c.clock.now + confirmationTimeout,
+	}
+	c.issued = append(c.issued, issued)
+	c.sendToken(from, order, issued.token)
+}
+
+func (c *confirmations) sendToken(to *pb.Replica, order *pb.Order, token []byte) {
+	c.output.sendResult(to, &pb.OrderResult{Id: order.GetId(), Status: statusConfirm, Body: token})
+}
+
+// discardUseless forgets the tokens that are expired or superseded.
+func (c *confirmations) discardUseless() {
+	c.issued = slices.DeleteFunc(c.issued, func(issued confirmation) bool {
+		return c.clock.now >= issued.expires || c.isTokenSuperseded(issued.zone, issued.token)
 	})
 }
 
-// isOvertaken reports whether another order on the zone was taken after the number of this one was given.
-func (m *Machine) isOvertaken(order *pb.Order) bool {
-	return isEvacuation(order) && binary.BigEndian.Uint64(order.GetBody()) <= m.head.taken[order.GetZone()]
+// isSuperseded reports whether another order on the zone was executed after the token of this one was issued.
+func (c *confirmations) isSuperseded(order *pb.Order) bool {
+	return needsConfirmation(order) && c.isTokenSuperseded(order.GetZone(), order.GetBody())
 }
 
-// noteTaken makes all numbers given so far for a zone useless.
-func (m *Machine) noteTaken(order *pb.Order) {
-	if !isEvacuation(order) {
-		return
-	}
-	if m.head.taken == nil {
-		m.head.taken = make(map[string]uint64)
-	}
-	m.head.taken[order.GetZone()] = m.checks.next
+func (c *confirmations) isTokenSuperseded(zone string, token []byte) bool {
+	return binary.BigEndian.Uint64(token) <= c.executedAt[zone]
 }
 
-func (m *Machine) askConfirmation(from *pb.Replica, order *pb.Order) {
-	if len(m.head.confirmations) >= maxPendingOrders {
+// observeExecution supersedes all tokens issued so far for the zone of an order.
+func (c *confirmations) observeExecution(order *pb.Order) {
+	if !needsConfirmation(order) {
 		return
 	}
-	m.checks.next++
-	given := confirmation{
-		origin:  from.GetIdentity(),
-		id:      order.GetId(),
-		zone:    order.GetZone(),
-		number:  binary.BigEndian.AppendUint64(nil, m.checks.next),
-		expires: m.now + confirmationTimeout,
+	if c.executedAt == nil {
+		c.executedAt = make(map[string]uint64)
 	}
-	m.head.confirmations = append(m.head.confirmations, given)
-	m.result(from, &pb.OrderResult{Id: order.GetId(), Status: statusConfirm, Body: given.number})
+	c.executedAt[order.GetZone()] = c.ids.last
 }
 
-// confirm sends an order again with the number that the head has given for it, unless it is too late for that.
-func (m *Machine) confirm(pending *pendingOrder, number []byte) {
-	if m.now >= pending.deadline {
-		return
-	}
-	order := pending.order
-	pending.order = &pb.Order{Id: order.GetId(), Kind: order.GetKind(), Zone: order.GetZone(), Body: number}
-	m.forward(pending)
+// reset forgets the tokens of a view that was replaced; its head was another machine, or this one without knowing what
+// came in between.
+func (c *confirmations) reset() {
+	c.issued = nil
+	c.executedAt = nil
 }
--- a/internal/control/confirmation_test.go
+++ b/internal/control/confirmation_test.go
@@ -79,7 +79,7 @@
 	l.step(OrderCanceled{Request: 99})
 	require.Len(t, l.machine.origin.pending, 1)
 	before := len(l.sent)
-	l.machine.orderResult(l.machine.Self(), &pb.OrderResult{Id: l.machine.origin.next, Status: statusConfirm, Body: []byte("1")})
+	l.machine.origin.receiveResult(l.machine.Self(), &pb.OrderResult{Id: l.machine.origin.lastID, Status: statusConfirm, Body: []byte("1")})
 	require.Len(t, l.sent, before)
 	require.EqualValues(t, 98, l.machine.origin.pending[0].request)
 }
--- a/internal/control/diskqueue.go
+++ b/internal/control/diskqueue.go
@@ -12,119 +12,102 @@
 const (
 	// slowWriteThreshold is how long a write may take before the disk counts as unhealthy.
 	slowWriteThreshold = time.Second
-	// maxUnpersistedWrites is the number of writes on their way from which no promise is given any more.
+	// maxUnpersistedWrites is the number of pending writes from which no promise is given any more.
 	maxUnpersistedWrites = 16
 	// snapshotBytes and snapshotRecords are what may follow a snapshot before the next one is due.
 	snapshotBytes   = 256 << 10
 	snapshotRecords = 512
 )
 
-// diskQueue holds the writes that are not on disk yet, the oldest first.
+// diskQueue holds the writes that are not on disk yet, the oldest first. It keeps the rule "disk before send": what a
+// machine answers as an acceptor, and what it acknowledges as a replica, leaves only once the record behind it is on
+// disk, since a machine that restarts must not have forgotten what the others rely on.
 type diskQueue struct {
-	waiting []pendingWrite
-	next    uint64 // token
-	failed  bool   // the oldest write has failed at least once
-}
+	clock  *clock
+	output *stepOutput
+	// snapshot encodes everything that must be on disk once all writes so far are.
+	snapshot func() []byte
 
-type pendingWrite struct {
-	token   uint64
-	started time.Duration
-	chain   bool                    // the replica waits for it
-	replies []chain.OutgoingMessage // may leave when it is on disk
+	pending   []pendingWrite
+	lastToken uint64
+	failed    bool // the oldest write has failed at least once
+	schedule  snapshotSchedule
 }
 
-// ringSizes decides when a snapshot is due.
-type ringSizes struct {
-	snapshotDue bool
-	records     int
-	bytes       int
-	limit       int // of records
+type pendingWrite struct {
+	token    uint64
+	started  time.Duration
+	forChain bool                    // the replica waits for it
+	replies  []chain.OutgoingMessage // may leave once the write is on disk
 }
 
-// persist asks for records to be written, as a snapshot of everything when that is due.
-func (m *Machine) persist(records []ring.Record, forChain bool, replies []chain.OutgoingMessage) {
-	m.disk.next++
-	m.disk.waiting = append(m.disk.waiting, pendingWrite{
-		token:   m.disk.next,
-		started: m.now,
-		chain:   forChain,
-		replies: replies,
+// persist requests that records are written, as a snapshot of everything if one is due.
+func (d *diskQueue) persist(records []ring.Record, forChain bool, replies []chain.OutgoingMessage) {
+	d.lastToken++
+	d.pending = append(d.pending, pendingWrite{
+		token:    d.lastToken,
+		started:  d.clock.now,
+		forChain: forChain,
+		replies:  replies,
 	})
-	action := Persist{Token: m.disk.next, Records: records}
-	m.sizes.add(records)
-	if m.sizes.snapshotDue {
-		action.Snapshot = m.snapshot()
-		m.sizes = ringSizes{limit: m.sizes.limit}
+	action := Persist{Token: d.lastToken, Records: records}
+	d.schedule.add(records)
+	if d.schedule.due {
+		action.Snapshot = d.snapshot()
+		d.schedule.restart()
 	}
-	m.actions = append(m.actions, action)
+	d.output.add(action)
 }
 
-func (s *ringSizes) add(records []ring.Record) {
-	for _, record := range records {
-		s.records++
-		s.bytes += len(record.Payload)
-	}
-	if s.records >= s.limit || s.bytes >= snapshotBytes {
-		s.snapshotDue = true
-	}
+// persistThenSend sends a message once a record is on disk.
+func (d *diskQueue) persistThenSend(record ring.Record, to *pb.Replica, message *pb.Message) {
+	d.persist([]ring.Record{record}, false, []chain.OutgoingMessage{{To: to, Message: message}})
 }
 
-// snapshot is everything that must be on disk once all writes so far are.
-func (m *Machine) snapshot() []byte {
-	state := m.replica.State()
-	records := []ring.Record{identityRecord(m.self.GetIdentity(), m.bootstrap)}
-	if state.Newest.Sequence() > 0 {
-		repair := state.Newest.ReplicaRepairFor(nil)
-		records = append(records, writeRecord(chain.Write{Repair: repair, SynchronizedView: state.SynchronizedView}))
-	}
-	if state.View != nil {
-		records = append(records, writeRecord(chain.Write{View: state.View, SynchronizedView: state.SynchronizedView}))
+// persistStart writes the snapshot that is due at the start, if any.
+func (d *diskQueue) persistStart() {
+	if d.schedule.due {
+		d.persist(nil, false, nil)
 	}
-	if !m.acceptor.IsEmpty() {
-		records = append(records, promiseRecord(m.acceptor))
-	}
-	return joinSnapshot(records)
 }
 
-func (m *Machine) persisted(token uint64) {
-	m.disk.failed = false
-	for len(m.disk.waiting) > 0 && m.disk.waiting[0].token <= token {
-		done := m.disk.waiting[0]
-		m.disk.waiting = m.disk.waiting[1:]
-		for _, reply := range done.replies {
-			m.send(reply.To, reply.Message)
-		}
-		if done.chain {
-			m.saved()
-		}
+// next removes the oldest write if it is covered by a token that has come back.
+func (d *diskQueue) next(token uint64) (pendingWrite, bool) {
+	if len(d.pending) == 0 || d.pending[0].token > token {
+		return pendingWrite{}, false
 	}
+	done := d.pending[0]
+	d.pending = d.pending[1:]
+	return done, true
 }
 
-// saved goes on with what the replica has on disk now. The others are told at once of a view or a copy that is there:
-// machines that wait to end, to join or to be copied go on by that.
-func (m *Machine) saved() {
-	before := m.replica.Advertised()
-	m.perform(m.replica.WritesPersisted())
-	m.settleOrders()
-	after := m.replica.Advertised()
-	if after.ViewNumber != before.ViewNumber || after.Synchronized != before.Synchronized {
-		m.sendHeartbeats()
-	}
-}
-
-// diskHealthy reports whether writes succeed within slowWriteThreshold.
-func (m *Machine) diskHealthy() bool {
-	if m.disk.failed {
+// isHealthy reports whether writes succeed within slowWriteThreshold.
+func (d *diskQueue) isHealthy() bool {
+	if d.failed {
 		return false
 	}
-	return len(m.disk.waiting) == 0 || m.now-m.disk.waiting[0].started < slowWriteThreshold
+	return len(d.pending) == 0 || d.clock.now-d.pending[0].started < slowWriteThreshold
 }
 
-// diskAccepts reports whether a promise may still be queued.
-func (m *Machine) diskAccepts() bool { return len(m.disk.waiting) < maxUnpersistedWrites }
+// accepts reports whether a promise may still be queued.
+func (d *diskQueue) accepts() bool { return len(d.pending) < maxUnpersistedWrites }
 
-// voterReply queues an acceptor's answer behind its record.
-func (m *Machine) voterReply(to *pb.Replica, message *pb.Message) {
-	record := promiseRecord(m.acceptor)
-	m.persist([]ring.Record{record}, false, []chain.OutgoingMessage{{To: to, Message: message}})
+// snapshotSchedule decides when a snapshot is due, by what was written since the last one.
+type snapshotSchedule struct {
+	due        bool
+	records    int
+	bytes      int
+	maxRecords int
+}
+
+func (s *snapshotSchedule) add(records []ring.Record) {
+	for _, record := range records {
+		s.records++
+		s.bytes += len(record.Payload)
+	}
+	if s.records >= s.maxRecords || s.bytes >= snapshotBytes {
+		s.due = true
+	}
 }
+
+func (s *snapshotSchedule) restart() { *s = snapshotSchedule{maxRecords: s.maxRecords} }
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"math/rand/v2"
 	"slices"
 	"strconv"
 	"time"
@@ -13,19 +14,33 @@
 
 // Times of founding, after a machine's start.
 const (
-	// founderGatherWindow is the time for machines other than the seeds to be heard, so that they vote from the start.
+	// founderGatherWindow is the time for machines other than the seeds to be received from, so that they vote from the
+	// start.
 	founderGatherWindow = 450 * time.Millisecond
 	// partialFoundingDelay is when a majority of the seeds founds without the others.
 	partialFoundingDelay = 1500 * time.Millisecond
 )
 
+// founding is the bootstrap of the whole system: the seeds decide on view 1 as the voters of view 0, by the same
+// protocol as on every later view. A machine whose disk was not empty, or that was not started to bootstrap, takes no
+// part, so that a system is never founded a second time by machines that have lost their disks.
+type founding struct {
+	clock       *clock
+	local       *localMachine
+	peers       *peerTable
+	electorate  *electorate
+	seeds       []string
+	requirement chain.Requirement
+	random      *rand.Rand
+}
+
 // founders are the machines that start for the first time, with this one, in the order of their hosts. Of two
-// identities on one host, the one heard last counts.
-func (m *Machine) founders() []*pb.Replica {
+// identities on one host, the one received from last counts.
+func (f *founding) founders() []*pb.Replica {
 	latest := make(map[string]*peer)
-	for _, identity := range sortedKeys(m.peers.known) {
-		found := m.peers.known[identity]
-		if !m.isLive(identity) || !found.heartbeat.GetBootstrap() {
+	for _, identity := range f.peers.identities() {
+		found := f.peers.known[identity]
+		if !f.peers.isLive(identity) || !found.heartbeat.GetBootstrap() {
 			continue
 		}
 		host := found.replica.GetHost()
@@ -33,8 +48,8 @@
 			latest[host] = found
 		}
 	}
-	if m.bootstrap {
-		latest[m.self.GetHost()] = &peer{replica: m.self}
+	if f.local.bootstrap {
+		latest[f.local.replica.GetHost()] = &peer{replica: f.local.replica}
 	}
 	var founders []*pb.Replica
 	for _, host := range sortedKeys(latest) {
@@ -43,9 +58,9 @@
 	return founders
 }
 
-// founderAt returns the founder that serves an operator's address; nil if none was heard.
-func (m *Machine) founderAt(controlAddress string) *pb.Replica {
-	for _, founder := range m.founders() {
+// founderAt returns the founder that serves an operator's address; nil if there is none.
+func (f *founding) founderAt(controlAddress string) *pb.Replica {
+	for _, founder := range f.founders() {
 		if founder.GetControlAddress() == controlAddress {
 			return founder
 		}
@@ -53,41 +68,41 @@
 	return nil
 }
 
-// seesFounders reports whether enough seeds were heard to found the system.
-func (m *Machine) seesFounders() bool {
-	heard := 0
-	for _, seed := range m.config.Seeds {
-		if m.founderAt(seed) != nil {
-			heard++
+// isReady reports whether enough seeds are there to found the system.
+func (f *founding) isReady() bool {
+	present := 0
+	for _, seed := range f.seeds {
+		if f.founderAt(seed) != nil {
+			present++
 		}
 	}
-	age := m.now - m.started
-	if heard == len(m.config.Seeds) {
-		return age >= founderGatherWindow
+	if present == len(f.seeds) {
+		return f.clock.uptime() >= founderGatherWindow
 	}
-	return heard >= quorum.Majority(m.base()) && age >= partialFoundingDelay
+	return present >= quorum.Majority(f.electorate.base()) && f.clock.uptime() >= partialFoundingDelay
 }
 
-// foundingView is the first view: all founders vote, seeds first if there are too many.
-func (m *Machine) foundingView() *pb.View {
-	voters := m.founders()
+// firstView is the view to propose: all founders vote, seeds first if there are too many. Each call draws another name
+// for the cluster, so that systems founded apart from each other do not mix.
+func (f *founding) firstView() *pb.View {
+	voters := f.founders()
 	slices.SortStableFunc(voters, func(a, b *pb.Replica) int {
-		return cmp.Compare(m.seedOrder(a), m.seedOrder(b))
+		return cmp.Compare(f.seedPosition(a), f.seedPosition(b))
 	})
 	voters = voters[:min(len(voters), quorum.MaxVoters)]
 	return &pb.View{
 		Number:  1,
-		Cluster: strconv.FormatUint(m.random.Uint64(), 36),
+		Cluster: strconv.FormatUint(f.random.Uint64(), 36),
 		Voters:  voters,
-		Chain:   chain.InitialChain(voters, m.config.Requirement),
+		Chain:   chain.InitialChain(voters, f.requirement),
 	}
 }
 
-// seedOrder is the place of a machine among the seeds; all others come after them.
-func (m *Machine) seedOrder(replica *pb.Replica) int {
-	place := slices.Index(m.config.Seeds, replica.GetControlAddress())
-	if place < 0 {
-		return len(m.config.Seeds)
+// seedPosition is the position of a machine among the seeds; all others come after them.
+func (f *founding) seedPosition(replica *pb.Replica) int {
+	position := slices.Index(f.seeds, replica.GetControlAddress())
+	if position < 0 {
+		return len(f.seeds)
 	}
-	return place
+	return position
 }
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -227,7 +227,7 @@
 		require.NoError(t, err)
 		require.Equal(t, found.Identity, machine.Self().GetIdentity())
 		require.Equal(t, found.View.GetNumber(), machine.View().GetNumber())
-		require.Equal(t, found.Bootstrap, machine.bootstrap)
+		require.Equal(t, found.Bootstrap, machine.local.bootstrap)
 
 		// orders that were taken are known again, others on the same generations are not
 		for base := range uint64(7) {
--- a/internal/control/headorders.go
+++ b/internal/control/headorders.go
@@ -3,163 +3,134 @@
 import (
 	"encoding/json"
 	"net/http"
-	"slices"
-	"time"
 
 	"github.com/cockroachdb/errors"
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/chain"
 )
 
 // earlyOrderTimeout is how long an order is kept for the view that makes its receiver the head.
 const earlyOrderTimeout = orderResendInterval
 
-// headOrders are the orders that arrived at this machine as the head of the chain.
+// headOrders are the orders that arrived at this machine as the head of the chain. One at a time goes through the chain:
+// it is validated on the newest state, which is committed by then, proposed as a change, and answered once that is
+// committed. Whatever is here is of the view in force; a view change drops it all, and the origins send it to the new
+// head.
 type headOrders struct {
-	queue  []*headOrder
-	active *headOrder // its change is on its way through the chain; nil if there is none
+	clock         *clock
+	local         *localMachine
+	replica       *chain.Replica
+	replication   *replication
+	output        *stepOutput
+	checks        *quorumChecks
+	confirmations *confirmations
+	requirement   chain.Requirement
 
-	overtakes int // orders in a row that were taken before an older one
-
-	confirmations []confirmation
-	taken         map[string]uint64 // the last number given before an order on a zone was taken
-
-	early []*headOrder // came while another machine was the head; this one may become it
-}
-
-const (
-	// maxSmallOrderBytes is the length of a body, in bytes, up to which an order may overtake larger ones.
-	maxSmallOrderBytes = 16 << 10
-	// maxOvertakes is the number of orders in a row that may overtake an older one.
-	maxOvertakes = 4
-)
-
-type headOrder struct {
-	from     *pb.Replica // origin
-	order    *pb.Order
-	expires  time.Duration
-	sequence uint64 // of its change
-}
-
-func (o *headOrder) is(from *pb.Replica, id uint64) bool {
-	return o != nil && o.from.GetIdentity() == from.GetIdentity() && o.order.GetId() == id
+	queue  headQueue
+	active *headOrder   // its change is on its way through the chain; nil if there is none
+	early  []*headOrder // came while another machine was the head; this one may become it
 }
 
-// order takes an order that was forwarded to this machine.
-func (m *Machine) order(from *pb.Replica, order *pb.Order) {
-	if order.GetKind() == pb.Order_KIND_READ {
-		m.read(from, order)
-		return
-	}
-	if m.isKnownOrder(from, order.GetId()) {
+// receive takes an order that was forwarded to this machine.
+func (h *headOrders) receive(from *pb.Replica, order *pb.Order) {
+	if h.contains(from, order.GetId()) {
 		return
 	}
-	if !m.isHead() && m.View() != nil {
-		m.keepEarly(from, order)
+	if !h.isHead() && viewInForce(h.replica) != nil {
+		h.keepEarly(from, order)
 		return
 	}
-	if !m.takesOrders() || len(m.head.queue) >= maxPendingOrders {
-		m.result(from, unavailable(order.GetId()))
+	if !h.acceptsOrders() || len(h.queue.orders) >= maxPendingOrders {
+		h.output.sendResult(from, unavailable(order.GetId()))
 		return
 	}
-	if !m.isConfirmed(from, order) {
+	if !h.confirmations.redeem(from, order) {
 		return
 	}
-	m.head.queue = append(m.head.queue, &headOrder{from: from, order: order, expires: m.now + orderTimeoutOf(order)})
+	h.queue.orders = append(h.queue.orders, &headOrder{
+		from: from, order: order, expires: h.clock.now + orderTimeoutOf(order),
+	})
 }
 
-// keepEarly keeps an order that came before the view by which this machine is the head, and tells the origin of the
-// view in force, in case that is the one which lags.
-func (m *Machine) keepEarly(from *pb.Replica, order *pb.Order) {
-	if len(m.head.early) < maxPendingOrders {
-		m.head.early = append(m.head.early, &headOrder{from: from, order: order, expires: m.now + earlyOrderTimeout})
+// keepEarly keeps an order that came before the view by which this machine is the head, and sends the origin the view in
+// force, in case it is the origin that is behind.
+func (h *headOrders) keepEarly(from *pb.Replica, order *pb.Order) {
+	if len(h.early) < maxPendingOrders {
+		h.early = append(h.early, &headOrder{from: from, order: order, expires: h.clock.now + earlyOrderTimeout})
 	}
-	m.send(from, &pb.Message{Body: &pb.Message_Decided{Decided: &pb.Decided{View: m.View()}}})
+	h.output.sendView(from)
 }
 
-// takeEarly takes the orders that were kept, if this machine is the head now.
-func (m *Machine) takeEarly(early []*headOrder) {
+// enterView drops the orders of a view that was replaced, and takes the early ones if this machine is the head now.
+func (h *headOrders) enterView() {
+	early := h.early
+	h.queue = headQueue{}
+	h.active = nil
+	h.early = nil
+	h.confirmations.reset()
+	h.checks.reset()
 	for _, kept := range early {
-		if m.isHead() && m.now < kept.expires {
-			m.order(kept.from, kept.order)
+		if h.isHead() && h.clock.now < kept.expires {
+			h.receive(kept.from, kept.order)
 		}
 	}
 }
 
-func (m *Machine) isHead() bool {
-	return m.replica.Head().GetIdentity() == m.self.GetIdentity()
-}
+func (h *headOrders) isHead() bool { return h.replica.Head().GetIdentity() == h.local.identity() }
 
-// takesOrders reports whether this machine is the head of a chain that is long and wide enough.
-func (m *Machine) takesOrders() bool {
-	view := m.View()
-	return view != nil && m.isHead() && m.config.Requirement.MetBy(view.GetChain(), view.GetVoters())
+// acceptsOrders reports whether this machine is the head of a chain that is long and wide enough.
+func (h *headOrders) acceptsOrders() bool {
+	view := viewInForce(h.replica)
+	return view != nil && h.isHead() && h.requirement.MetBy(view.GetChain(), view.GetVoters())
 }
 
-func (m *Machine) isKnownOrder(from *pb.Replica, id uint64) bool {
-	if m.head.active.is(from, id) || m.isChecked(from, id) {
-		return true
-	}
-	for _, queued := range m.head.queue {
-		if queued.is(from, id) {
-			return true
-		}
-	}
-	return false
+// contains reports whether an order is here already: origins send again what is not answered.
+func (h *headOrders) contains(from *pb.Replica, id uint64) bool {
+	return h.active.is(from, id) || h.checks.contains(from, id) || h.queue.contains(from, id)
 }
 
-// pump gives the chain its next change while it takes one.
-func (m *Machine) pump() {
-	for m.head.active == nil && len(m.head.queue) > 0 && m.replica.AcceptsProposals() {
-		next := m.head.takeNext()
-		if m.now < next.expires {
-			m.execute(next)
-		}
-	}
+func (h *headOrders) tick() {
+	h.queue.expire(h.clock.now)
+	h.early = withoutExpired(h.early, h.clock.now)
 }
 
-// takeNext removes the order whose turn it is: the oldest small one, and after a few of these the oldest of all,
-// so that neither large orders nor small ones keep the others waiting.
-func (h *headOrders) takeNext() *headOrder {
-	place := slices.IndexFunc(h.queue, func(queued *headOrder) bool {
-		return len(queued.order.GetBody()) <= maxSmallOrderBytes
-	})
-	if place <= 0 || h.overtakes >= maxOvertakes {
-		place = 0
-		h.overtakes = 0
-	} else {
-		h.overtakes++
+// proposeNext gives the chain its next changes while it takes one.
+func (h *headOrders) proposeNext() {
+	for h.active == nil && len(h.queue.orders) > 0 && h.replica.AcceptsProposals() {
+		next := h.queue.next()
+		if h.clock.now < next.expires {
+			h.execute(next)
+		}
 	}
-	next := h.queue[place]
-	h.queue = slices.Delete(h.queue, place, place+1)
-	return next
 }
 
-// execute validates an order on the newest state, which is committed, and appends its change.
-func (m *Machine) execute(next *headOrder) {
-	if m.isOvertaken(next.order) {
-		m.askConfirmation(next.from, next.order)
+// execute validates an order on the newest state, which is committed, and proposes its change. An order that changes
+// nothing is answered after a quorum check: another head may have changed the state since.
+func (h *headOrders) execute(next *headOrder) {
+	if h.confirmations.isSuperseded(next.order) {
+		h.confirmations.request(next.from, next.order)
 		return
 	}
-	m.noteTaken(next.order)
-	change, err := prepareChange(m.replica.Newest(), next.order)
+	h.confirmations.observeExecution(next.order)
+	change, err := prepareChange(h.replica.Newest(), next.order)
 	if err != nil {
-		m.refuse(next, err)
+		h.refuse(next, err)
 		return
 	}
 	if change == nil {
-		m.check(next.from, &pb.OrderResult{Id: next.order.GetId(), Status: http.StatusOK}, nil)
+		h.checks.begin(next.from, &pb.OrderResult{Id: next.order.GetId(), Status: http.StatusOK}, nil)
 		return
 	}
-	output, err := m.replica.Propose(change)
+	output, err := h.replica.Propose(change)
 	if err != nil {
-		m.result(next.from, unavailable(next.order.GetId()))
+		h.output.sendResult(next.from, unavailable(next.order.GetId()))
 		return
 	}
 	next.sequence = change.GetSequence()
-	m.head.active = next
-	m.perform(output)
+	h.active = next
+	h.replication.perform(output)
 }
 
 // prepareChange returns the change that an order makes; nil if it makes none.
@@ -178,29 +149,29 @@
 	}
 }
 
-// refuse answers an order that leads to no change, once it is certain that this machine is still the head. An
-// order on a later generation than the current one is not refused for good: a copy of it that is still on its
-// way could be taken when that generation comes.
-func (m *Machine) refuse(next *headOrder, cause error) {
+// refuse answers an order that leads to no change, once it is certain that this machine is still the head. An order on a
+// later generation than the current one is not refused for good: a copy of it that is still on its way could be executed
+// when that generation comes.
+func (h *headOrders) refuse(next *headOrder, cause error) {
 	var refusal catalog.OrderError
-	early := next.order.GetBase() > m.replica.Newest().Generation()
-	if !errors.As(cause, &refusal) || (early && refusal.Status() != http.StatusOK) {
-		m.result(next.from, unavailable(next.order.GetId()))
+	isEarly := next.order.GetBase() > h.replica.Newest().Generation()
+	if !errors.As(cause, &refusal) || (isEarly && refusal.Status() != http.StatusOK) {
+		h.output.sendResult(next.from, unavailable(next.order.GetId()))
 		return
 	}
 	result := &pb.OrderResult{
 		Id:     next.order.GetId(),
 		Status: uint32(refusal.Status()),
-		Body:   reasonBody(refusal),
+		Body:   refusalBody(refusal),
 	}
 	if refusal.Status() == http.StatusServiceUnavailable {
-		m.result(next.from, result)
+		h.output.sendResult(next.from, result)
 		return
 	}
-	m.check(next.from, result, nil)
+	h.checks.begin(next.from, result, nil)
 }
 
-func reasonBody(refusal catalog.OrderError) []byte {
+func refusalBody(refusal catalog.OrderError) []byte {
 	if refusal.Status() == http.StatusOK {
 		return nil
 	}
@@ -213,56 +184,12 @@
 	return body
 }
 
-// settleOrders answers the active order once its change is committed.
-func (m *Machine) settleOrders() {
-	active := m.head.active
-	if active == nil || !m.replica.KnowsCommitted() || m.replica.Committed().Sequence() < active.sequence {
-		return
-	}
-	m.head.active = nil
-	m.result(active.from, &pb.OrderResult{Id: active.order.GetId(), Status: http.StatusOK})
-}
-
-// dropHeadOrders forgets the orders of a view that was replaced; their origins send them to the new head.
-func (m *Machine) dropHeadOrders() {
-	m.head = headOrders{}
-	m.checks.pending = nil
-}
-
-func (m *Machine) tickHead() {
-	m.head.queue = m.unexpired(m.head.queue)
-	m.head.early = m.unexpired(m.head.early)
-}
-
-func (m *Machine) unexpired(orders []*headOrder) []*headOrder {
-	return slices.DeleteFunc(orders, func(order *headOrder) bool { return m.now >= order.expires })
-}
-
-// result tells an order's origin the outcome.
-func (m *Machine) result(to *pb.Replica, result *pb.OrderResult) {
-	m.send(to, &pb.Message{Body: &pb.Message_OrderResult{OrderResult: result}})
-}
-
-// read takes a read that was forwarded to this machine as the tail.
-func (m *Machine) read(from *pb.Replica, order *pb.Order) {
-	if m.isChecked(from, order.GetId()) {
-		return
-	}
-	isTail := m.replica.Tail().GetIdentity() == m.self.GetIdentity()
-	if m.View() == nil || !isTail || !m.replica.KnowsCommitted() {
-		m.result(from, unavailable(order.GetId()))
-		return
-	}
-	committed := m.replica.Committed()
-	if committed.Generation() == 0 {
-		m.result(from, unavailable(order.GetId()))
-		return
-	}
-	result := &pb.OrderResult{Id: order.GetId(), Status: http.StatusOK}
-	if order.GetHeld() == committed.Sequence() {
-		result.HeldIsNewest = true
-		m.check(from, result, nil)
+// answerCommitted answers the active order once its change is committed.
+func (h *headOrders) answerCommitted() {
+	active := h.active
+	if active == nil || !h.replica.KnowsCommitted() || h.replica.Committed().Sequence() < active.sequence {
 		return
 	}
-	m.check(from, result, committed)
+	h.active = nil
+	h.output.sendResult(active.from, &pb.OrderResult{Id: active.order.GetId(), Status: http.StatusOK})
 }
--- /dev/null
+++ b/internal/control/headqueue.go
@@ -0,0 +1,60 @@
+package control
+
+import (
+	"slices"
+	"time"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+)
+
+const (
+	// maxSmallOrderBytes is the length of a body up to which an order may overtake larger ones.
+	maxSmallOrderBytes = 16 << 10
+	// maxOvertakes is the number of orders in a row that may overtake an older one.
+	maxOvertakes = 4
+)
+
+// headOrder is an order at the head of the chain.
+type headOrder struct {
+	from     *pb.Replica // origin
+	order    *pb.Order
+	expires  time.Duration
+	sequence uint64 // of its change; 0 before it is proposed
+}
+
+func (o *headOrder) is(from *pb.Replica, id uint64) bool {
+	return o != nil && o.from.GetIdentity() == from.GetIdentity() && o.order.GetId() == id
+}
+
+// headQueue holds the orders that wait at the head, the oldest first.
+type headQueue struct {
+	orders    []*headOrder
+	overtakes int // orders in a row that were taken before an older one
+}
+
+func (q *headQueue) contains(from *pb.Replica, id uint64) bool {
+	return slices.ContainsFunc(q.orders, func(queued *headOrder) bool { return queued.is(from, id) })
+}
+
+// next removes the order whose turn it is: the oldest small one, and after a few of these the oldest of all, so that
+// neither large orders nor small ones keep the others waiting.
+func (q *headQueue) next() *headOrder {
+	position := slices.IndexFunc(q.orders, func(queued *headOrder) bool {
+		return len(queued.order.GetBody()) <= maxSmallOrderBytes
+	})
+	if position <= 0 || q.overtakes >= maxOvertakes {
+		position = 0
+		q.overtakes = 0
+	} else {
+		q.overtakes++
+	}
+	next := q.orders[position]
+	q.orders = slices.Delete(q.orders, position, position+1)
+	return next
+}
+
+func (q *headQueue) expire(now time.Duration) { q.orders = withoutExpired(q.orders, now) }
+
+func withoutExpired(orders []*headOrder, now time.Duration) []*headOrder {
+	return slices.DeleteFunc(orders, func(order *headOrder) bool { return now >= order.expires })
+}
--- a/internal/control/headorders_test.go
+++ b/internal/control/headqueue_test.go
@@ -8,20 +8,20 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// queueOf makes a head's queue of orders with bodies of these lengths; their ids count from 1.
-func queueOf(lengths ...int) *headOrders {
-	head := &headOrders{}
+// queueOf makes a queue of orders with bodies of these lengths; their ids count from 1.
+func queueOf(lengths ...int) *headQueue {
+	queue := &headQueue{}
 	for index, length := range lengths {
 		order := &pb.Order{Id: uint64(index + 1), Body: make([]byte, length)}
-		head.queue = append(head.queue, &headOrder{order: order})
+		queue.orders = append(queue.orders, &headOrder{order: order})
 	}
-	return head
+	return queue
 }
 
-func (h *headOrders) takeAll() []uint64 {
+func (q *headQueue) takeAll() []uint64 {
 	var ids []uint64
-	for len(h.queue) > 0 {
-		ids = append(ids, h.takeNext().order.GetId())
+	for len(q.orders) > 0 {
+		ids = append(ids, q.next().order.GetId())
 	}
 	return ids
 }
--- /dev/null
+++ b/internal/control/heartbeat.go
@@ -0,0 +1,76 @@
+package control
+
+import (
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/chain"
+	"fieldrelay/internal/quorum"
+)
+
+// HeartbeatInterval is the time between two heartbeats to each other machine.
+const HeartbeatInterval = 2 * TickInterval
+
+// heartbeats sends the heartbeats of this machine: they show that it is up, how far it is, and what view it follows.
+type heartbeats struct {
+	clock       *clock
+	local       *localMachine
+	peers       *peerTable
+	replica     *chain.Replica
+	health      *localHealth
+	leaving     *leaving
+	output      *stepOutput
+	contacts    []string // operator's addresses that are tried until this machine votes and is in contact
+	peerAddress func(controlAddress string) string
+}
+
+// isDue reports whether heartbeats are sent at this tick. Before it knows a view, a machine sends at each.
+func (h *heartbeats) isDue() bool {
+	return viewInForce(h.replica) == nil || h.clock.ticks%uint64(HeartbeatInterval/TickInterval) == 0
+}
+
+// sendAll sends a heartbeat to the voters, then to the other live peers, then to the seeds if they are still needed;
+// one to each address.
+func (h *heartbeats) sendAll() {
+	message := h.message()
+	sent := make(map[string]bool)
+	for _, voter := range viewInForce(h.replica).GetVoters() {
+		address := h.peers.addressOf(voter)
+		sent[address] = true
+		h.output.sendTo(address, voter.GetIdentity(), message)
+	}
+	for _, identity := range h.peers.identities() {
+		address := h.peers.known[identity].replica.GetAddress()
+		if h.peers.isLive(identity) && !sent[address] {
+			sent[address] = true
+			h.output.sendTo(address, identity, message)
+		}
+	}
+	if h.isSettled() {
+		return
+	}
+	for _, seed := range h.contacts {
+		if address := h.peerAddress(seed); !sent[address] {
+			sent[address] = true
+			h.output.sendTo(address, "", message)
+		}
+	}
+}
+
+func (h *heartbeats) message() *pb.Message {
+	advertised := h.replica.Advertised()
+	return &pb.Message{Body: &pb.Message_Heartbeat{Heartbeat: &pb.Heartbeat{
+		ViewNumber:     advertised.ViewNumber,
+		Sequence:       advertised.Sequence,
+		Committed:      sequenceOf(h.replica.Committed()),
+		StorageHealthy: h.health.canServe(),
+		Synchronised:   advertised.Synchronized,
+		Bootstrap:      h.local.bootstrap && viewInForce(h.replica) == nil,
+		Incarnation:    h.local.incarnation,
+		Leaving:        h.leaving.begun,
+	}}}
+}
+
+// isSettled reports whether this machine votes and is in contact with a majority: it need not ask the seeds.
+func (h *heartbeats) isSettled() bool {
+	view := viewInForce(h.replica)
+	return quorum.VoterIndex(view, h.local.replica) != quorum.NotFound && h.peers.hasMajority(view)
+}
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -13,21 +13,6 @@
 	"fieldrelay/internal/ring"
 )
 
-// Periods and limits of a Machine.
-const (
-	// TickInterval is the time between two Tick events.
-	TickInterval = 150 * time.Millisecond
-	// HeartbeatInterval is the time between two heartbeats to each other machine.
-	HeartbeatInterval = 2 * TickInterval
-	// FailureTimeout is how long a machine may be silent before it counts as not live.
-	FailureTimeout = 1200 * time.Millisecond
-	// stallThreshold is the gap between two ticks from which a machine blames itself for the silence of others.
-	stallThreshold = 4 * TickInterval
-	// stallGracePeriod is how long after a late wake no orders are taken: they may have waited for the machine, and
-	// their senders given up.
-	stallGracePeriod = 500 * time.Millisecond
-)
-
 // Config is what a Machine must know at its start.
 type Config struct {
 	Self        *pb.Replica // without an identity
@@ -45,34 +30,44 @@
 	SpuriousProposals func() bool
 }
 
-// Machine is the whole of a control machine's part in agreement and replication.
+// Machine is a control machine's part in agreement and replication, as a state machine without I/O. It consists of parts
+// with one concern each, which joinParts joins; a part names the other parts that it uses as its first fields. A
+// Machine is not safe for concurrent use.
 type Machine struct {
-	config      Config
-	random      *rand.Rand
-	self        *pb.Replica
-	bootstrap   bool
-	incarnation uint64
-	contacts    []string // operator's addresses to ask when no majority is heard
-
-	now       time.Duration // of the event that is handled
-	lastTick  time.Duration
-	lastStall time.Duration // when the last late tick came; 0: none came
-	started   time.Duration
-	ticks     uint64
-	actions   []Action // of the event that is handled
-
-	acceptor          *quorum.Acceptor
-	replica           *chain.Replica
-	peers             peerTable
-	disk              diskQueue
-	election          election
-	leaving           leaving
-	origin            originOrders
-	head              headOrders
-	checks            quorumChecks
-	advertisedByPeers peerAdvertisements
-	shown             *catalog.Snapshot // committed state that the shell was told last
-	sizes             ringSizes
+	config Config
+
+	// What the parts share.
+	clock  *clock
+	local  *localMachine
+	output *stepOutput
+	ids    *idSequence
+
+	// What is known of the machines.
+	peers     *peerTable
+	heartbeat *heartbeats
+	staleness *staleness
+	health    *localHealth
+	leaving   *leaving
+
+	// Agreement on views.
+	electorate *electorate
+	planner    *viewPlanner
+	rejoin     *rejoinBackoff
+	founding   *founding
+	proposer   *proposer
+	voter      *voter
+
+	// The state of the chain, and the disk.
+	replica     *chain.Replica
+	replication *replication
+	disk        *diskQueue
+
+	// Orders of the operator.
+	origin        *originOrders
+	head          *headOrders
+	tail          *tailReads
+	confirmations *confirmations
+	checks        *quorumChecks
 }
 
 // NewMachine resumes from what the ring held. The error is a *RecordError if that cannot be read.
@@ -81,21 +76,14 @@
 	if err != nil {
 		return nil, err
 	}
-	machine := &Machine{
-		config:      config,
-		random:      config.Random,
-		incarnation: config.Random.Uint64(),
-		contacts:    config.Seeds,
-		bootstrap:   state.bootstrap,
-		acceptor:    state.restoreAcceptor(),
-	}
+	local := &localMachine{bootstrap: state.bootstrap, incarnation: config.Random.Uint64()}
 	identity := state.identity
-	if identity == "" {
+	isNew := identity == ""
+	if isNew {
 		identity = strconv.FormatUint(config.Random.Uint64(), 36)
-		machine.bootstrap = config.Bootstrap
-		machine.sizes.snapshotDue = true
+		local.bootstrap = config.Bootstrap
 	}
-	machine.self = &pb.Replica{
+	local.replica = &pb.Replica{
 		Host:           config.Self.GetHost(),
 		Identity:       identity,
 		Address:        config.Self.GetAddress(),
@@ -103,24 +91,109 @@
 		Region:         config.Self.GetRegion(),
 		ControlAddress: config.Self.GetControlAddress(),
 	}
-	if state.migrated {
-		machine.sizes.snapshotDue = true // behind it, no record is of the earlier version
+	machine := &Machine{
+		config:  config,
+		clock:   &clock{},
+		local:   local,
+		replica: chain.NewReplica(identity, state.chain, local.incarnation),
+	}
+	machine.joinParts()
+	machine.voter.acceptor = state.restoreAcceptor()
+	machine.disk.schedule = snapshotSchedule{
+		// behind a snapshot, no record is of an earlier version of this program
+		due:        isNew || state.migrated,
+		maxRecords: cmp.Or(config.SnapshotRecords, snapshotRecords),
 	}
-	machine.sizes.limit = cmp.Or(config.SnapshotRecords, snapshotRecords)
-	machine.replica = chain.NewReplica(identity, state.chain, machine.incarnation)
-	machine.peers = newPeerTable()
-	machine.election.dropped = make(map[string]dropRecord)
-	// answers to an earlier life of this machine must not be taken for answers to this one
-	machine.origin.next = config.Random.Uint64()
-	machine.checks.next = config.Random.Uint64() >> 1 // it must not wrap
+	machine.origin.lastID = config.Random.Uint64()
+	machine.ids.last = config.Random.Uint64() >> 1 // it must not wrap
 	return machine, nil
 }
 
-// Step handles one event. The time is of a steady clock that does not go backwards; its zero is of no
-// importance.
+// joinParts makes the parts and gives each the others that it uses.
+func (m *Machine) joinParts() {
+	m.joinPeers()
+	m.joinAgreement()
+	m.joinOrders()
+}
+
+func (m *Machine) joinPeers() {
+	m.peers = &peerTable{clock: m.clock, local: m.local, known: make(map[string]*peer)}
+	m.output = &stepOutput{local: m.local, peers: m.peers, replica: m.replica, deliverLocally: m.handle}
+	m.disk = &diskQueue{clock: m.clock, output: m.output, snapshot: m.snapshot}
+	m.staleness = &staleness{clock: m.clock, peers: m.peers, replica: m.replica}
+	m.replication = &replication{replica: m.replica, output: m.output, disk: m.disk, staleness: m.staleness}
+	m.leaving = &leaving{clock: m.clock}
+	m.health = &localHealth{clock: m.clock, disk: m.disk, peers: m.peers, leaving: m.leaving, replica: m.replica}
+	m.heartbeat = &heartbeats{
+		clock: m.clock, local: m.local, peers: m.peers, replica: m.replica, health: m.health, leaving: m.leaving,
+		output: m.output, contacts: m.config.Seeds, peerAddress: m.config.PeerAddress,
+	}
+}
+
+func (m *Machine) joinAgreement() {
+	m.electorate = &electorate{
+		local: m.local, replica: m.replica, output: m.output, seeds: m.config.Seeds, peerAddress: m.config.PeerAddress,
+	}
+	m.rejoin = &rejoinBackoff{clock: m.clock, removals: make(map[string]removal)}
+	m.planner = &viewPlanner{
+		clock: m.clock, local: m.local, peers: m.peers, replica: m.replica, health: m.health, leaving: m.leaving,
+		rejoin: m.rejoin, requirement: m.config.Requirement,
+	}
+	m.founding = &founding{
+		clock: m.clock, local: m.local, peers: m.peers, electorate: m.electorate, seeds: m.config.Seeds,
+		requirement: m.config.Requirement, random: m.config.Random,
+	}
+	m.voter = &voter{
+		clock: m.clock, replica: m.replica, electorate: m.electorate, planner: m.planner, disk: m.disk, output: m.output,
+		spuriousProposals: m.config.SpuriousProposals != nil,
+	}
+	m.proposer = &proposer{
+		clock: m.clock, local: m.local, replica: m.replica, peers: m.peers, health: m.health, planner: m.planner,
+		founding: m.founding, electorate: m.electorate, voter: m.voter, disk: m.disk, random: m.config.Random,
+		spurious: m.config.SpuriousProposals,
+	}
+}
+
+func (m *Machine) joinOrders() {
+	m.ids = &idSequence{}
+	m.checks = &quorumChecks{
+		clock: m.clock, replica: m.replica, electorate: m.electorate, output: m.output, ids: m.ids,
+	}
+	m.confirmations = &confirmations{clock: m.clock, output: m.output, ids: m.ids}
+	m.origin = &originOrders{clock: m.clock, peers: m.peers, replica: m.replica, output: m.output}
+	m.head = &headOrders{
+		clock: m.clock, local: m.local, replica: m.replica, replication: m.replication, output: m.output,
+		checks: m.checks, confirmations: m.confirmations, requirement: m.config.Requirement,
+	}
+	m.tail = &tailReads{local: m.local, replica: m.replica, output: m.output, checks: m.checks}
+}
+
+// Self is this machine, with its identity.
+func (m *Machine) Self() *pb.Replica { return m.local.replica }
+
+// View is the view in force, nil before founding or joining.
+func (m *Machine) View() *pb.View { return viewInForce(m.replica) }
+
+// Committed is the newest state known to be committed; nil before the first is known.
+func (m *Machine) Committed() *catalog.Snapshot { return m.replica.Committed() }
+
+// Authoritative reports whether the machine holds the state of the view in force, has had heartbeats of a majority of the
+// voters within FailureTimeout, and knows neither of a later view nor of changes that it does not get.
+func (m *Machine) Authoritative() bool { return m.staleness.isAuthoritative() }
+
+// Live lists the hosts of the live voters in the order of the view.
+func (m *Machine) Live() []string {
+	var hosts []string
+	for _, voter := range m.peers.liveVoters(m.View()) {
+		hosts = append(hosts, voter.GetHost())
+	}
+	return hosts
+}
+
+// Step handles one event and returns what the shell must do, in this order. The time is of a steady clock that does not
+// go backwards; its zero is of no importance.
 func (m *Machine) Step(now time.Duration, event Event) []Action {
-	m.now = now
-	m.actions = nil
+	m.clock.now = now
 	switch event := event.(type) {
 	case Started:
 		m.start()
@@ -135,110 +208,242 @@
 	case WriteFailed:
 		m.disk.failed = true
 	case OrderSubmitted:
-		m.submit(event)
+		m.origin.submit(event)
 	case OrderCanceled:
-		m.withdraw(event.Request)
+		m.origin.cancel(event.Request)
 	case BroadcastServerList:
-		m.broadcast(event.List)
+		m.broadcastServerList(event.List)
 	case SeedsChanged:
-		m.contacts = event.Seeds
+		m.heartbeat.contacts = event.Seeds
 	case Leave:
 		m.leave()
 	}
-	m.pump()
-	m.tellLeft()
-	return m.actions
+	m.head.proposeNext()
+	m.leaving.report(m.planner, m.output)
+	return m.output.takeActions()
 }
 
-// Self is this machine, with its identity.
-func (m *Machine) Self() *pb.Replica { return m.self }
+func (m *Machine) start() {
+	m.clock.start()
+	m.disk.persistStart()
+	if m.View() != nil {
+		m.output.add(ViewChanged{View: m.View()})
+	}
+	m.heartbeat.sendAll()
+	m.replication.perform(m.replica.Tick())
+}
 
-// View is the view in force, nil before founding or joining.
-func (m *Machine) View() *pb.View { return m.replica.State().View }
+// tick lets each part act on the time that has passed. The parts draw from one source of random numbers and send in this
+// order, on which recorded runs of the simulation rest.
+func (m *Machine) tick() {
+	if gap, stalled := m.clock.tick(); stalled {
+		m.peers.excuseStall(gap)
+		m.proposer.observeStall()
+	}
+	m.peers.expire(m.View())
+	m.staleness.update()
+	if m.heartbeat.isDue() {
+		m.heartbeat.sendAll()
+	}
+	m.replication.perform(m.replica.Tick())
+	m.proposer.tick()
+	m.origin.tick()
+	m.head.tick()
+	m.checks.tick()
+}
 
-// Committed is the newest state known to be committed; nil before the first is known.
-func (m *Machine) Committed() *catalog.Snapshot { return m.replica.Committed() }
+// receive checks that a message is meant for this machine, and records the contact with its sender.
+func (m *Machine) receive(message *pb.Message) {
+	from := message.GetFrom()
+	if from.GetIdentity() == "" || from.GetIdentity() == m.local.identity() {
+		return
+	}
+	if to := message.GetToIdentity(); to != "" && to != m.local.identity() {
+		m.observeStranger(from)
+		return
+	}
+	cluster := m.View().GetCluster()
+	if cluster != "" && message.GetCluster() != "" && message.GetCluster() != cluster {
+		return
+	}
+	m.staleness.update() // before this message restores contact that was lost since the last tick
+	found := m.peers.observe(from)
+	if heartbeat := message.GetHeartbeat(); heartbeat != nil &&
+		!found.acceptHeartbeat(heartbeat, m.clock.now, m.clock.isStalled()) {
+		return
+	}
+	m.handle(message)
+}
 
-// Live lists the hosts of the live voters in the order of the view.
-func (m *Machine) Live() []string {
-	var hosts []string
-	for _, voter := range m.View().GetVoters() {
-		if m.isLive(voter.GetIdentity()) {
-			hosts = append(hosts, voter.GetHost())
-		}
+// observeStranger records a machine that looks for an earlier identity of this one: a machine that has lost its disk,
+// and whose seeds are gone, finds the others by that.
+func (m *Machine) observeStranger(from *pb.Replica) {
+	if m.View() == nil {
+		m.peers.observe(from)
 	}
-	return hosts
 }
 
-// wakesLate reports whether what arrives now may have waited while the machine did not run.
-func (m *Machine) wakesLate() bool {
-	justWoke := m.lastStall > 0 && m.now-m.lastStall < stallGracePeriod
-	return justWoke || m.now-m.lastTick >= stallThreshold
+// handle dispatches a message, of another machine or of this one to itself.
+func (m *Machine) handle(message *pb.Message) {
+	from := message.GetFrom()
+	switch body := message.GetBody().(type) {
+	case *pb.Message_Prepare:
+		m.voter.prepare(from, body.Prepare)
+	case *pb.Message_Promise:
+		m.proposer.receivePromise(from, body.Promise)
+	case *pb.Message_Accept:
+		m.voter.accept(from, body.Accept)
+	case *pb.Message_Accepted:
+		m.receiveAccepted(from, body.Accepted)
+	case *pb.Message_Decided:
+		m.enterView(body.Decided.GetView())
+	case *pb.Message_Fenced:
+		m.enterView(body.Fenced.GetView())
+	case *pb.Message_Heartbeat:
+		m.receiveHeartbeat(from, body.Heartbeat)
+	case *pb.Message_Append, *pb.Message_Acknowledge, *pb.Message_SyncRequest, *pb.Message_SyncResponse:
+		m.receiveReplication(message)
+	case *pb.Message_Order:
+		m.receiveOrder(from, body.Order)
+	case *pb.Message_OrderResult:
+		m.origin.receiveResult(from, body.OrderResult)
+	case *pb.Message_ViewCheck:
+		m.voter.checkQuorum(from, body.ViewCheck)
+	case *pb.Message_ViewCheckResult:
+		m.checks.receive(from, body.ViewCheckResult)
+	case *pb.Message_ServerList:
+		m.output.add(ServerListReceived{List: body.ServerList})
+	}
 }
 
-func (m *Machine) start() {
-	m.started = m.now
-	m.lastTick = m.now
-	if m.sizes.snapshotDue {
-		m.persist(nil, false, nil)
+// receiveHeartbeat takes what a peer advertises, and sends it a later view.
+func (m *Machine) receiveHeartbeat(from *pb.Replica, heartbeat *pb.Heartbeat) {
+	m.output.add(HeartbeatReceived{From: from, Heartbeat: heartbeat})
+	if view := m.View(); view != nil && heartbeat.GetViewNumber() < view.GetNumber() {
+		m.output.sendView(from)
 	}
-	if m.View() != nil {
-		m.actions = append(m.actions, ViewChanged{View: m.View()})
+	m.staleness.observe(from, heartbeat)
+	m.replication.perform(m.replica.ObserveHeartbeat(from, heartbeat))
+}
+
+// receiveReplication takes a message of the chain, which may commit the change of the head's active order.
+func (m *Machine) receiveReplication(message *pb.Message) {
+	number := m.replication.receive(message)
+	m.head.answerCommitted()
+	m.replication.fence(message.GetFrom(), number)
+}
+
+func (m *Machine) receiveOrder(from *pb.Replica, order *pb.Order) {
+	if order.GetKind() == pb.Order_KIND_READ {
+		m.tail.receive(from, order)
+		return
 	}
-	m.sendHeartbeats()
-	m.perform(m.replica.Tick())
+	m.head.receive(from, order)
 }
 
-func (m *Machine) tick() {
-	gap := m.now - m.lastTick
-	m.lastTick = m.now
-	m.ticks++
-	if gap >= stallThreshold {
-		m.lastStall = m.now
-		m.peers.excuse(gap, m.now)
-		m.election.concern = 0
-	}
-	m.peers.forget(m.now, m.View())
-	m.compareWithTold()
-	if m.View() == nil || m.ticks%uint64(HeartbeatInterval/TickInterval) == 0 {
-		m.sendHeartbeats()
-	}
-	m.perform(m.replica.Tick())
-	m.tickElection()
-	m.tickOrigin()
-	m.tickHead()
-	m.tickChecks()
-}
-
-// perform turns the output of the replica into actions.
-func (m *Machine) perform(output chain.Output) {
-	for _, outgoing := range output.Messages {
-		m.send(outgoing.To, outgoing.Message)
-	}
-	if len(output.Writes) > 0 {
-		records := make([]ring.Record, 0, len(output.Writes))
-		for _, write := range output.Writes {
-			records = append(records, writeRecord(write))
+// receiveAccepted moves to a view that was decided by a proposal of this machine, and announces it.
+func (m *Machine) receiveAccepted(from *pb.Replica, accepted *pb.Accepted) {
+	decided := m.proposer.receiveAccepted(from, accepted)
+	if decided == nil {
+		return
+	}
+	before := m.View()
+	m.enterView(decided)
+	m.announce(before, decided)
+}
+
+// announce sends a decided view to its voters and to those of the view before it.
+func (m *Machine) announce(before, view *pb.View) {
+	message := decidedMessage(view)
+	for _, voter := range view.GetVoters() {
+		if !m.local.is(voter) {
+			m.output.send(voter, message)
+		}
+	}
+	for _, voter := range before.GetVoters() {
+		if quorum.IndexOf(view.GetVoters(), voter.GetIdentity()) == quorum.NotFound && !m.local.is(voter) {
+			m.output.send(voter, message)
+		}
+	}
+}
+
+// enterView moves to a decided view if it is later than the one in force. Views are decided one after another, so that a
+// later one of the same cluster supersedes whatever this machine did by earlier ones; a machine may skip some.
+func (m *Machine) enterView(view *pb.View) {
+	before := m.View()
+	if view.GetNumber() <= before.GetNumber() {
+		return
+	}
+	if before != nil && view.GetCluster() != before.GetCluster() {
+		return
+	}
+	m.rejoin.observeChange(before, view, m.planner.isLeaving)
+	m.voter.enterView(view)
+	m.proposer.enterView()
+	m.staleness.enterView()
+	m.replication.perform(m.replica.Adopt(view))
+	m.output.add(ViewChanged{View: view})
+	m.head.enterView()
+	m.origin.forwardAll()
+}
+
+// persisted goes on with what waited for writes that are on disk now.
+func (m *Machine) persisted(token uint64) {
+	m.disk.failed = false
+	for done, ok := m.disk.next(token); ok; done, ok = m.disk.next(token) {
+		for _, reply := range done.replies {
+			m.output.send(reply.To, reply.Message)
+		}
+		if done.forChain {
+			m.replicaPersisted()
 		}
-		m.persist(records, true, nil)
 	}
-	if output.Committed {
-		m.tellCommitted()
+}
+
+// replicaPersisted goes on with what the replica has on disk now. The others receive at once of a view or a state that is
+// there: machines that wait to end, to join or to be caught up go on by that.
+func (m *Machine) replicaPersisted() {
+	before := m.replica.Advertised()
+	m.replication.perform(m.replica.WritesPersisted())
+	m.head.answerCommitted()
+	after := m.replica.Advertised()
+	if after.ViewNumber != before.ViewNumber || after.Synchronized != before.Synchronized {
+		m.heartbeat.sendAll()
+	}
+}
+
+// snapshot encodes everything that must be on disk once all writes so far are.
+func (m *Machine) snapshot() []byte {
+	state := m.replica.State()
+	records := []ring.Record{identityRecord(m.local.identity(), m.local.bootstrap)}
+	if state.Newest.Sequence() > 0 {
+		repair := state.Newest.ReplicaRepairFor(nil)
+		records = append(records, writeRecord(chain.Write{Repair: repair, SynchronizedView: state.SynchronizedView}))
+	}
+	if state.View != nil {
+		records = append(records, writeRecord(chain.Write{View: state.View, SynchronizedView: state.SynchronizedView}))
+	}
+	if !m.voter.acceptor.IsEmpty() {
+		records = append(records, promiseRecord(m.voter.acceptor))
 	}
+	return joinSnapshot(records)
 }
 
-func (m *Machine) tellCommitted() {
-	committed := m.replica.Committed()
-	action := Committed{Snapshot: committed}
-	if m.shown == nil {
-		action.Changes = m.replica.RecentChanges()
-	} else if changes, found := m.replica.ChangesSince(m.shown.Sequence()); found {
-		action.Changes = changes
+// leave announces that this machine is to end, and has a view without it decided.
+func (m *Machine) leave() {
+	if !m.leaving.begin() {
+		return
 	}
-	for index, change := range action.Changes {
-		action.Changes[index] = catalog.ForAgents(change)
+	m.heartbeat.sendAll()
+	m.proposer.tick()
+}
+
+// broadcastServerList sends a server list to the live peers.
+func (m *Machine) broadcastServerList(list *pb.ServerList) {
+	message := &pb.Message{Body: &pb.Message_ServerList{ServerList: list}}
+	for _, identity := range m.peers.identities() {
+		if m.peers.isLive(identity) {
+			m.output.sendTo(m.peers.known[identity].replica.GetAddress(), identity, message)
+		}
 	}
-	m.shown = committed
-	m.compareWithTold()
-	m.actions = append(m.actions, action)
 }
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -152,9 +152,9 @@
 	pending := l.machine.origin.pending[0]
 	body := pending.order.GetBody()
 	l.now += orderTimeoutOf(pending.order)
-	l.machine.now = l.now
+	l.machine.clock.now = l.now
 	before := len(l.sent)
-	l.machine.orderResult(l.machine.Self(), &pb.OrderResult{Id: pending.order.GetId(), Status: statusConfirm, Body: []byte("1")})
+	l.machine.origin.receiveResult(l.machine.Self(), &pb.OrderResult{Id: pending.order.GetId(), Status: statusConfirm, Body: []byte("1")})
 	require.Len(t, l.sent, before)
 	require.Equal(t, body, pending.order.GetBody())
 }
@@ -183,10 +183,10 @@
 	l.tick(7)
 	require.Len(t, l.replies, 1)
 	require.EqualValues(t, http.StatusServiceUnavailable, l.replies[0].GetStatus())
-	require.False(t, l.machine.diskHealthy())
+	require.False(t, l.machine.disk.isHealthy())
 	l.hold = false
 	l.release()
-	require.True(t, l.machine.diskHealthy())
+	require.True(t, l.machine.disk.isHealthy())
 	l.requireStatus(http.StatusOK, replaceOrder(0, 3))
 }
 
@@ -195,10 +195,10 @@
 	l.hold = true
 	l.step(OrderSubmitted{Request: 50, Order: replaceOrder(0, 3)})
 	l.step(WriteFailed{})
-	require.False(t, l.machine.isFit())
+	require.False(t, l.machine.health.canServe())
 	l.hold = false
 	l.release()
-	require.True(t, l.machine.isFit())
+	require.True(t, l.machine.health.canServe())
 }
 
 func TestOrdersOnTheirWayAreBounded(t *testing.T) {
@@ -209,7 +209,7 @@
 	}
 	require.Len(t, l.machine.origin.pending, maxPendingOrders)
 	require.Len(t, l.replies, 2*maxPendingOrders)
-	require.LessOrEqual(t, len(l.machine.head.queue), maxPendingOrders)
+	require.LessOrEqual(t, len(l.machine.head.queue.orders), maxPendingOrders)
 	l.tick(7)
 	require.Len(t, l.replies, 3*maxPendingOrders, "each is answered once")
 }
--- a/internal/control/originorders.go
+++ b/internal/control/originorders.go
@@ -1,30 +1,25 @@
 package control
 
 import (
-	"net/http"
 	"slices"
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/chain"
 )
 
-// Times and bounds of orders.
-const (
-	// orderTimeout is how long an order may take before it is answered 503; a large body adds its transferTime.
-	orderTimeout = 900 * time.Millisecond
-	// orderResendInterval is the wait before an unanswered order is sent again; a large body adds its transferTime.
-	orderResendInterval = 300 * time.Millisecond
-	// minLinkRate, in bytes a second, is what one message is sure to get of a link.
-	minLinkRate = 250_000
-	// maxPendingOrders bounds the orders on their way at one machine, as their origin and as the head each.
-	maxPendingOrders = 64
-)
-
-// originOrders are the orders that arrived at this machine, the oldest first.
+// originOrders are the orders that were submitted at this machine, the oldest first. It forwards each to the head of the
+// chain, or to the tail if it is a read, again and again until it has an answer or time is up, and answers it once.
 type originOrders struct {
+	clock   *clock
+	peers   *peerTable
+	replica *chain.Replica
+	output  *stepOutput
+
 	pending []*pendingOrder
-	next    uint64 // id
+	// lastID begins at random in each run of this process, so that results of orders of an earlier run match none.
+	lastID uint64
 }
 
 type pendingOrder struct {
@@ -33,73 +28,60 @@
 	deadline time.Duration
 	sentAt   time.Duration
 	target   string // identity of the machine that it was forwarded to last; empty: there was none
-	// held is what this machine knew to be committed when it forwarded a read last; nil: nothing.
+	// heldState is what this machine knew to be committed when it forwarded a read last; nil: nothing.
 	heldState *catalog.Snapshot
 }
 
-// transferTime is how long a body may need on one link.
-func transferTime(bytes int) time.Duration {
-	return time.Duration(bytes) * time.Second / minLinkRate
-}
-
-// orderTimeoutOf is how long an order may take.
-func orderTimeoutOf(order *pb.Order) time.Duration {
-	return orderTimeout + transferTime(len(order.GetBody()))
-}
-
-func unavailable(id uint64) *pb.OrderResult {
-	return &pb.OrderResult{Id: id, Status: http.StatusServiceUnavailable}
-}
-
-// submit takes an order of the operator and forwards it.
-func (m *Machine) submit(event OrderSubmitted) {
-	full := len(m.origin.pending) >= maxPendingOrders
-	if m.View() == nil || !m.hearsMajority() || m.wakesLate() || full {
-		m.actions = append(m.actions, Reply{Request: event.Request, Result: unavailable(0)})
+// submit accepts an order of the operator and forwards it. An order that may have waited for a stalled process is
+// refused: its caller may have given up, and may have ordered something else since.
+func (o *originOrders) submit(event OrderSubmitted) {
+	isFull := len(o.pending) >= maxPendingOrders
+	if !o.peers.hasMajority(viewInForce(o.replica)) || o.clock.isStalled() || isFull {
+		o.output.add(Reply{Request: event.Request, Result: unavailable(0)})
 		return
 	}
-	m.origin.next++
+	o.lastID++
 	order := event.Order
 	pending := &pendingOrder{
 		request: event.Request,
 		order: &pb.Order{
-			Id:   m.origin.next,
+			Id:   o.lastID,
 			Kind: order.GetKind(),
 			Base: order.GetBase(),
 			Zone: order.GetZone(),
 			Body: order.GetBody(),
 		},
-		deadline: m.now + orderTimeoutOf(order),
+		deadline: o.clock.now + orderTimeoutOf(order),
 	}
-	m.origin.pending = append(m.origin.pending, pending)
-	m.forward(pending)
+	o.pending = append(o.pending, pending)
+	o.forward(pending)
 }
 
-// withdraw forgets an order whose caller has gone: it is neither sent again nor confirmed.
-func (m *Machine) withdraw(request uint64) {
-	m.origin.pending = slices.DeleteFunc(m.origin.pending, func(pending *pendingOrder) bool {
+// cancel forgets an order whose caller has gone: it is neither sent again nor confirmed.
+func (o *originOrders) cancel(request uint64) {
+	o.pending = slices.DeleteFunc(o.pending, func(pending *pendingOrder) bool {
 		return pending.request == request
 	})
 }
 
 // forward sends an order to the head, or to the tail if it is a read.
-func (m *Machine) forward(pending *pendingOrder) {
-	pending.sentAt = m.now
-	target := m.replica.Head()
+func (o *originOrders) forward(pending *pendingOrder) {
+	pending.sentAt = o.clock.now
+	target := o.replica.Head()
 	if pending.order.GetKind() == pb.Order_KIND_READ {
-		target = m.replica.Tail()
-		m.nameHeld(pending)
+		target = o.replica.Tail()
+		o.nameHeldState(pending)
 	}
 	pending.target = target.GetIdentity()
 	if target != nil {
-		m.send(target, &pb.Message{Body: &pb.Message_Order{Order: pending.order}})
+		o.output.send(target, &pb.Message{Body: &pb.Message_Order{Order: pending.order}})
 	}
 }
 
-// nameHeld tells the tail what this machine holds itself: if that is the newest state, the configuration, which may be
-// large, need not come from the tail.
-func (m *Machine) nameHeld(pending *pendingOrder) {
-	pending.heldState = m.replica.Committed()
+// nameHeldState names to the tail what this machine holds itself: if that is the newest state, the configuration, which
+// may be large, need not come from the tail.
+func (o *originOrders) nameHeldState(pending *pendingOrder) {
+	pending.heldState = o.replica.Committed()
 	pending.order = &pb.Order{
 		Id:   pending.order.GetId(),
 		Kind: pb.Order_KIND_READ,
@@ -107,48 +89,50 @@
 	}
 }
 
-// forwardAgain sends all pending orders to the chain of a new view.
-func (m *Machine) forwardAgain() {
-	for _, pending := range slices.Clone(m.origin.pending) {
-		m.forward(pending)
+// forwardAll sends all pending orders to the chain of a new view. Forwarding to this machine itself may answer an order,
+// hence the copy of the list.
+func (o *originOrders) forwardAll() {
+	for _, pending := range slices.Clone(o.pending) {
+		o.forward(pending)
 	}
 }
 
-func (m *Machine) tickOrigin() {
-	for _, pending := range slices.Clone(m.origin.pending) {
+func (o *originOrders) tick() {
+	for _, pending := range slices.Clone(o.pending) {
 		switch {
-		case m.now >= pending.deadline:
-			m.answer(pending, unavailable(pending.order.GetId()))
-		case m.now-pending.sentAt >= orderResendInterval+transferTime(len(pending.order.GetBody())):
-			m.forward(pending)
+		case o.clock.now >= pending.deadline:
+			o.answer(pending, unavailable(pending.order.GetId()))
+		case o.clock.now-pending.sentAt >= orderResendInterval+transferTime(len(pending.order.GetBody())):
+			o.forward(pending)
 		}
 	}
 }
 
-// orderResult answers the operator, or confirms the order if the head asks for that. A result that comes twice or
-// too late is dropped, as is one of another machine than the order was forwarded to last: a machine that was the
-// head or the tail of an earlier view no longer speaks for the chain. Ids begin at random in each life of this
-// machine, so that results of orders of an earlier life match none.
-func (m *Machine) orderResult(from *pb.Replica, result *pb.OrderResult) {
-	pending := m.origin.find(result.GetId())
+// receiveResult answers the operator, or confirms the order if the head asks for that. A result that comes twice or too
+// late is dropped, as is one of another machine than the order was forwarded to last: a machine that was the head or the
+// tail of an earlier view no longer speaks for the chain.
+func (o *originOrders) receiveResult(from *pb.Replica, result *pb.OrderResult) {
+	pending := o.find(result.GetId())
 	switch {
 	case pending == nil || pending.target != from.GetIdentity():
 	case result.GetStatus() == statusConfirm:
-		m.confirm(pending, result.GetBody())
+		o.confirm(pending, result.GetBody())
 	case result.GetHeldIsNewest():
-		m.answer(pending, readResult(result.GetId(), pending.heldState))
+		o.answer(pending, readResult(result.GetId(), pending.heldState))
 	default:
-		m.answer(pending, result)
+		o.answer(pending, result)
 	}
 }
 
-// readResult is the result of a read of a state.
-func readResult(id uint64, state *catalog.Snapshot) *pb.OrderResult {
-	body, err := state.Configuration()
-	if err != nil {
-		return &pb.OrderResult{Id: id, Status: http.StatusInternalServerError}
+// confirm sends an order again with the token that the head has issued for it. It does not once the order's time is up:
+// a token must only come back while the caller waits.
+func (o *originOrders) confirm(pending *pendingOrder, token []byte) {
+	if o.clock.now >= pending.deadline {
+		return
 	}
-	return &pb.OrderResult{Id: id, Status: http.StatusOK, Body: body}
+	order := pending.order
+	pending.order = &pb.Order{Id: order.GetId(), Kind: order.GetKind(), Zone: order.GetZone(), Body: token}
+	o.forward(pending)
 }
 
 // find returns the order with the given id, nil if there is none.
@@ -162,11 +146,11 @@
 }
 
 // answer gives the operator the result of an order, which is no longer pending from then on: it is answered once.
-func (m *Machine) answer(pending *pendingOrder, result *pb.OrderResult) {
-	index := slices.Index(m.origin.pending, pending)
+func (o *originOrders) answer(pending *pendingOrder, result *pb.OrderResult) {
+	index := slices.Index(o.pending, pending)
 	if index < 0 {
 		return
 	}
-	m.origin.pending = slices.Delete(m.origin.pending, index, index+1)
-	m.actions = append(m.actions, Reply{Request: pending.request, Result: result})
+	o.pending = slices.Delete(o.pending, index, index+1)
+	o.output.add(Reply{Request: pending.request, Result: result})
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -1,36 +1,43 @@
 package control
 
 import (
+	"maps"
+	"slices"
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
-	"fieldrelay/internal/chain"
 	"fieldrelay/internal/quorum"
 )
 
 const (
-	// peerRetention is how long a silent machine that does not vote is remembered.
+	// FailureTimeout is the time without a message from a peer after which it is suspected to have failed.
+	FailureTimeout = 1200 * time.Millisecond
+	// peerRetention is how long a peer that does not vote is remembered after its last message.
 	peerRetention = 30 * time.Second
-	// maxPeers bounds the table of other machines.
+	// maxPeers bounds the table of peers.
 	maxPeers = 64
-	// stableAfter is how long a machine must have been live before it is added to the chain without need.
+	// stableAfter is how long a peer must have been live before it is added to the chain without need.
 	stableAfter = time.Second
 )
 
 // peer is what is known of another control machine.
 type peer struct {
-	replica             *pb.Replica
-	lastContact         time.Duration // last time
-	liveSince           time.Duration
-	heartbeat           *pb.Heartbeat // the last one; nil before the first
-	lastPromptHeartbeat time.Duration // when a heartbeat came that had not waited for this machine
-	leavingIncarnation  uint64        // incarnation that has said that it was told to end; 0: none has
-}
-
-// take keeps a heartbeat; it returns false if that is an earlier one of a process that was told to end. A machine that
-// was told to end and is back serves in the chain as soon as it holds the state. A late heartbeat may have waited
-// while this machine stood still.
-func (p *peer) acceptHeartbeat(heartbeat *pb.Heartbeat, now time.Duration, late bool) bool {
+	replica     *pb.Replica // as the peer described itself last
+	lastContact time.Duration
+	liveSince   time.Duration
+	heartbeat   *pb.Heartbeat // the last one; nil before the first
+	// lastPromptHeartbeat is when the last heartbeat came that had not waited for this process to run.
+	lastPromptHeartbeat time.Duration
+	// leavingIncarnation is the incarnation that announced its graceful shutdown last; 0: none has.
+	leavingIncarnation uint64
+}
+
+// acceptHeartbeat keeps a heartbeat. It returns false for one that was sent before a heartbeat already kept: an
+// incarnation that has announced its shutdown never takes that back, and does not follow its own successor.
+//
+// A machine that returns after a graceful shutdown counts as stable at once, so that it serves in the chain as soon as
+// it holds the state.
+func (p *peer) acceptHeartbeat(heartbeat *pb.Heartbeat, now time.Duration, delayed bool) bool {
 	incarnation := heartbeat.GetIncarnation()
 	if p.leavingIncarnation != 0 && incarnation == p.leavingIncarnation {
 		hasReturned := p.heartbeat.GetIncarnation() != p.leavingIncarnation
@@ -45,20 +52,24 @@
 		p.leavingIncarnation = incarnation
 	}
 	p.heartbeat = heartbeat
-	if !late {
+	if !delayed {
 		p.lastPromptHeartbeat = now
 	}
 	return true
 }
 
+// peerTable is the failure detector: it knows the other machines by their messages, and suspects those that it has not
+// received from within FailureTimeout. Suspicion is a hint for proposals of views and for routing; safety never rests
+// on it.
 type peerTable struct {
-	known map[string]*peer // by identity
+	clock *clock
+	local *localMachine
+	known map[string]*peer // by identity; never this machine
 }
 
-func newPeerTable() peerTable { return peerTable{known: make(map[string]*peer)} }
-
-// note remembers that a machine was heard.
-func (t *peerTable) note(replica *pb.Replica, now time.Duration) *peer {
+// observe records a message of a machine. When the table is full, the returned peer is of this call only.
+func (t *peerTable) observe(replica *pb.Replica) *peer {
+	now := t.clock.now
 	found, known := t.known[replica.GetIdentity()]
 	if !known {
 		if len(t.known) >= maxPeers {
@@ -74,141 +85,83 @@
 	return found
 }
 
-// excuse moves the time at which others were heard by what this machine has missed itself.
-func (t *peerTable) excuse(gap, now time.Duration) {
+// excuseStall moves each last contact forward by the time that this process was stalled: the silence of that time is
+// not the peers' own.
+func (t *peerTable) excuseStall(gap time.Duration) {
 	for _, found := range t.known {
-		found.lastContact = min(found.lastContact+gap, now)
+		found.lastContact = min(found.lastContact+gap, t.clock.now)
 	}
 }
 
-// forget drops machines that do not vote and are silent.
-func (t *peerTable) forget(now time.Duration, view *pb.View) {
+// expire forgets machines that do not vote and have been silent for peerRetention.
+func (t *peerTable) expire(view *pb.View) {
 	for identity, found := range t.known {
 		votes := quorum.IndexOf(view.GetVoters(), identity) != quorum.NotFound
-		if !votes && now-found.lastContact > peerRetention {
+		if !votes && t.clock.now-found.lastContact > peerRetention {
 			delete(t.known, identity)
 		}
 	}
 }
 
-func (m *Machine) isLive(identity string) bool {
-	if identity == m.self.GetIdentity() {
-		return true
-	}
-	found, known := m.peers.known[identity]
-	return known && m.now-found.lastContact <= FailureTimeout
-}
+// identities lists the known peers in an order that does not differ from run to run.
+func (t *peerTable) identities() []string { return sortedKeys(t.known) }
 
-func (m *Machine) liveVoters() int {
-	live := 0
-	for _, voter := range m.View().GetVoters() {
-		if m.isLive(voter.GetIdentity()) {
-			live++
-		}
+// isLive reports whether a machine is not suspected to have failed; this machine never is.
+func (t *peerTable) isLive(identity string) bool {
+	if identity == t.local.identity() {
+		return true
 	}
-	return live
-}
-
-// hearsMajority reports whether a majority of the voters is live.
-func (m *Machine) hearsMajority() bool {
-	view := m.View()
-	return view != nil && m.liveVoters() >= quorum.Majority(view)
+	found, known := t.known[identity]
+	return known && t.clock.now-found.lastContact <= FailureTimeout
 }
 
-// isFit reports whether this machine can serve in the chain. One that was told to end can for a while.
-func (m *Machine) isFit() bool {
-	return m.isWell() && (!m.leaving.begun || m.now-m.leaving.since < leaveUnhealthyAfter)
-}
-
-// isWell reports whether the disk works and the machine is not cut off. One that has just started, or knows no
-// view, has had no time to hear the others.
-func (m *Machine) isWell() bool {
-	hasHeard := m.View() == nil || m.now-m.started < FailureTimeout || m.hearsMajority()
-	return m.diskHealthy() && hasHeard
-}
-
-// silence is how long a machine was not heard; since the start at least.
-func (m *Machine) silence(identity string) time.Duration {
-	if identity == m.self.GetIdentity() {
+// sinceContact is the time since the last message of a machine; for one that is not known, since the start.
+func (t *peerTable) sinceContact(identity string) time.Duration {
+	if identity == t.local.identity() {
 		return 0
 	}
-	found, known := m.peers.known[identity]
+	found, known := t.known[identity]
 	if !known {
-		return m.now - m.started
+		return t.clock.uptime()
 	}
-	return m.now - found.lastContact
+	return t.clock.now - found.lastContact
 }
 
-// electorate describes all known machines for the choice of voters.
-func (m *Machine) electorate() map[string]quorum.Peer {
-	peers := make(map[string]quorum.Peer, len(m.peers.known)+1)
-	for _, voter := range m.View().GetVoters() {
-		identity := voter.GetIdentity()
-		peers[identity] = quorum.Peer{
-			Replica:      voter,
-			SinceContact: m.silence(identity),
-			Live:         m.isLive(identity),
-			Leaving:      m.isLeaving(identity),
-			Left:         m.hasLeftChain(identity),
-		}
-	}
-	for identity, found := range m.peers.known {
-		peers[identity] = quorum.Peer{
-			Replica:         found.replica,
-			SinceContact:    m.silence(identity),
-			ContactDuration: m.now - found.liveSince,
-			Live:            m.isLive(identity),
-			KnowsView:       m.holdsView(found.heartbeat),
-			Leaving:         m.isLeaving(identity),
-			Left:            m.hasLeftChain(identity),
-		}
-	}
-	return peers
+// liveVoters lists the live voters of a view in its order.
+func (t *peerTable) liveVoters(view *pb.View) []*pb.Replica {
+	return slices.DeleteFunc(slices.Clone(view.GetVoters()), func(voter *pb.Replica) bool {
+		return !t.isLive(voter.GetIdentity())
+	})
 }
 
-// holdsView reports whether a machine has told that it holds the view in force or the one before.
-func (m *Machine) holdsView(heartbeat *pb.Heartbeat) bool {
-	number := heartbeat.GetViewNumber()
-	return number > 0 && number+1 >= m.View().GetNumber()
+// hasMajority reports whether a majority of the voters of a view is live; false without a view.
+func (t *peerTable) hasMajority(view *pb.View) bool {
+	return view != nil && len(t.liveVoters(view)) >= quorum.Majority(view)
 }
 
-// candidates describes the voters for the choice of a chain.
-func (m *Machine) candidates(voters []*pb.Replica) map[string]chain.Candidate {
-	candidates := make(map[string]chain.Candidate, len(voters))
-	for _, voter := range voters {
-		identity := voter.GetIdentity()
-		if identity == m.self.GetIdentity() {
-			candidates[identity] = m.ownCandidate()
-			continue
-		}
-		found, known := m.peers.known[identity]
-		if known {
-			candidates[identity] = m.peerCandidate(identity, found)
-		} else {
-			candidates[identity] = chain.Candidate{Healthy: m.silence(identity) <= FailureTimeout, Reachable: m.silence(identity) <= FailureTimeout}
+// heartbeatsWithin counts the replicas from which a heartbeat came within FailureTimeout and did not wait for this
+// process; this machine counts as one of them. Unlike isLive, a stall of this process is no excuse here.
+func (t *peerTable) heartbeatsWithin(replicas []*pb.Replica) int {
+	count := 0
+	for _, replica := range replicas {
+		found, known := t.known[replica.GetIdentity()]
+		prompt := known && found.heartbeat != nil && t.clock.now-found.lastPromptHeartbeat <= FailureTimeout
+		if prompt || t.local.is(replica) {
+			count++
 		}
 	}
-	return candidates
+	return count
 }
 
-func (m *Machine) ownCandidate() chain.Candidate {
-	published := m.replica.Advertised()
-	return chain.Candidate{
-		Healthy:      m.isFit(),
-		Reachable:    true,
-		Synchronized: published.Synchronized && published.ViewNumber == m.View().GetNumber(),
-		Stable:       m.now-m.started >= stableAfter && m.mayReturn(m.self.GetIdentity()),
-		Leaving:      m.leaving.begun,
+// addressOf is the peer service of a replica; the address that the replica itself sent last comes before the one in the
+// view.
+func (t *peerTable) addressOf(replica *pb.Replica) string {
+	if found, known := t.known[replica.GetIdentity()]; known {
+		return found.replica.GetAddress()
 	}
+	return replica.GetAddress()
 }
 
-func (m *Machine) peerCandidate(identity string, found *peer) chain.Candidate {
-	heartbeat := found.heartbeat
-	return chain.Candidate{
-		Healthy:      m.isLive(identity) && heartbeat.GetStorageHealthy(),
-		Reachable:    m.isLive(identity),
-		Synchronized: heartbeat.GetSynchronised() && heartbeat.GetViewNumber() == m.View().GetNumber(),
-		Stable:       m.now-found.liveSince >= stableAfter && m.mayReturn(identity),
-		Leaving:      heartbeat.GetLeaving(),
-	}
+func sortedKeys[V any](values map[string]V) []string {
+	return slices.Sorted(maps.Keys(values))
 }
--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -1,104 +1,141 @@
 package control
 
 import (
+	"math/rand/v2"
 	"slices"
 	"strconv"
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/chain"
 	"fieldrelay/internal/quorum"
 )
 
-// Times of elections.
+// Times of proposals.
 const (
-	// startupListenWindow is how long after its start a machine proposes nothing: it may not have heard the others.
+	// startupListenWindow is how long after its start a machine proposes nothing: it may not have received from the
+	// others yet.
 	startupListenWindow = 600 * time.Millisecond
-	// proposerRankDelay is how much longer each voter waits than the one before it, once it sees a need.
+	// proposerRankDelay is how much longer each voter waits than the one before it, once it wants a view change.
 	proposerRankDelay = 400 * time.Millisecond
-	// proposalTimeout is how long one attempt may take.
+	// proposalTimeout is how long one proposal may take.
 	proposalTimeout = 750 * time.Millisecond
-	// proposalBackoff is the shortest wait between two attempts; up to as much again is added at random.
+	// proposalBackoff is the shortest wait between two proposals; up to as much again is added at random.
 	proposalBackoff = 200 * time.Millisecond
-	// undecidedTimeout is how long an accepted value may stay undecided before another voter completes it.
+	// undecidedTimeout is how long an accepted proposal may stay undecided before another voter completes it.
 	undecidedTimeout = 800 * time.Millisecond
 )
 
-// election is what a voter knows of attempts to change the view.
-type election struct {
-	attempt  *quorum.Proposer // nil when none is under way
-	began    time.Duration    // of the attempt
-	retryAt  time.Duration
-	concern  time.Duration // since when a need is seen; 0: none is seen
-	highest  *pb.Ballot    // seen so far
-	accepted time.Duration // when this voter accepted a value last
-	dropped  map[string]dropRecord
+// proposer is this machine as a proposer of Paxos for the view that follows the one in force.
+//
+// Any voter may propose at any time without harm. So that proposals seldom compete, the voters take turns: each waits
+// by its rank among the live ones, and after a proposal that failed for a random backoff.
+type proposer struct {
+	clock      *clock
+	local      *localMachine
+	replica    *chain.Replica
+	peers      *peerTable
+	health     *localHealth
+	planner    *viewPlanner
+	founding   *founding
+	electorate *electorate
+	voter      *voter
+	disk       *diskQueue
+	random     *rand.Rand
+	// spurious reports whether to propose now without need; nil: never. See Config.SpuriousProposals.
+	spurious func() bool
+
+	proposal    *quorum.Proposer // nil when none is in flight
+	begunAt     time.Duration    // of the proposal
+	retryAt     time.Duration
+	wantedSince time.Duration // since when a view change is wanted; 0: none is
+	highest     *pb.Ballot    // highest proposal number observed, of this view
 }
 
-// base is the view whose voters decide on the next one.
-func (m *Machine) base() *pb.View {
-	if view := m.View(); view != nil {
-		return view
-	}
-	return quorum.BootstrapView(m.config.Seeds)
+// enterView drops what was of the proposals for a view that is decided now.
+func (p *proposer) enterView() {
+	p.proposal = nil
+	p.wantedSince = 0
+	p.highest = nil
 }
 
-// votes reports whether this machine is a voter on the next view.
-func (m *Machine) votes() bool {
-	if m.View() == nil && !m.bootstrap {
-		return false
-	}
-	return quorum.VoterIndex(m.base(), m.self) != quorum.NotFound
-}
+// observeStall starts the wait by rank anew: what seemed wanted rested on the silence of a stall.
+func (p *proposer) observeStall() { p.wantedSince = 0 }
 
-func (m *Machine) tickElection() {
-	if m.election.attempt != nil {
-		m.tickAttempt()
+// tick begins a proposal when it is this machine's turn, or goes on with the one in flight.
+func (p *proposer) tick() {
+	if p.proposal != nil {
+		p.resend()
 		return
 	}
-	if m.isRestless() {
-		m.beginAttempt()
+	if p.isSpurious() {
+		p.begin()
 		return
 	}
-	if !m.votes() || !m.seesNeed() {
-		m.election.concern = 0
+	if !p.electorate.includesSelf() || !p.wantsChange() {
+		p.wantedSince = 0
 		return
 	}
-	if m.election.concern == 0 {
-		m.election.concern = m.now
+	if p.wantedSince == 0 {
+		p.wantedSince = p.clock.now
 	}
-	waited := m.now - m.election.concern
-	if m.now < m.election.retryAt || waited < time.Duration(m.rank())*proposerRankDelay {
+	waited := p.clock.now - p.wantedSince
+	if p.clock.now < p.retryAt || waited < time.Duration(p.rank())*proposerRankDelay {
 		return
 	}
-	m.beginAttempt()
+	p.begin()
 }
 
-func (m *Machine) isRestless() bool {
-	return m.config.SpuriousProposals != nil && m.View() != nil && m.votes() && m.config.SpuriousProposals()
+func (p *proposer) isSpurious() bool {
+	return p.spurious != nil && viewInForce(p.replica) != nil && p.electorate.includesSelf() && p.spurious()
 }
 
-// rank is this machine's place among the live voters in the order in which they propose.
-func (m *Machine) rank() int {
+// wantsChange reports whether this machine should have another view decided. Only members of the chain better a chain
+// that works; the others act when a member must be removed.
+func (p *proposer) wantsChange() bool {
+	view := viewInForce(p.replica)
+	if view == nil {
+		return p.founding.isReady()
+	}
+	if !p.health.isHealthy() || !p.peers.hasMajority(view) || p.clock.uptime() < startupListenWindow {
+		return false
+	}
+	if p.voter.hasUndecided() {
+		return true
+	}
+	if p.planner.isComplete() {
+		return false
+	}
+	wanted, change := p.planner.wantedView()
+	if wanted == nil {
+		return false
+	}
+	inChain := quorum.IndexOf(view.GetChain(), p.local.identity()) != quorum.NotFound
+	return change.Removal || (inChain && change.any())
+}
+
+// rank is this machine's position among the live voters in the order in which they propose.
+func (p *proposer) rank() int {
 	rank := 0
-	for _, voter := range m.proposers() {
-		if m.isSelf(voter) {
+	for _, voter := range p.order() {
+		if p.local.is(voter) {
 			return rank
 		}
-		if m.isLiveVoter(voter) {
+		if p.isLive(voter) {
 			rank++
 		}
 	}
 	return rank
 }
 
-// proposers lists the voters in the order in which they propose: first the members of the chain that were told to
-// end, which know best why another view is needed, then the other members, then the rest.
-func (m *Machine) proposers() []*pb.Replica {
-	base := m.base()
-	var leavers, members, others []*pb.Replica
+// order lists the voters in the order in which they propose: first the members of the chain that are leaving, which know
+// best why another view is wanted, then the other members, then the rest.
+func (p *proposer) order() []*pb.Replica {
+	base := p.electorate.base()
+	var leaving, members, others []*pb.Replica
 	for _, member := range base.GetChain() {
-		if m.isLeaving(member.GetIdentity()) {
-			leavers = append(leavers, member)
+		if p.planner.isLeaving(member.GetIdentity()) {
+			leaving = append(leaving, member)
 		} else {
 			members = append(members, member)
 		}
@@ -108,81 +145,108 @@
 			others = append(others, voter)
 		}
 	}
-	return slices.Concat(leavers, members, others)
+	return slices.Concat(leaving, members, others)
 }
 
-// isSelf also holds for this machine's entry among the seeds.
-func (m *Machine) isSelf(voter *pb.Replica) bool {
+func (p *proposer) isLive(voter *pb.Replica) bool {
 	if voter.GetIdentity() == "" {
-		return voter.GetControlAddress() == m.self.GetControlAddress()
+		return p.founding.founderAt(voter.GetControlAddress()) != nil
 	}
-	return voter.GetIdentity() == m.self.GetIdentity()
+	return p.peers.isLive(voter.GetIdentity())
 }
 
-func (m *Machine) isLiveVoter(voter *pb.Replica) bool {
-	if voter.GetIdentity() == "" {
-		return m.founderAt(voter.GetControlAddress()) != nil
+// begin sends the first step. The name in the proposal number differs between machines and between runs of a process, so
+// that no number is used twice, although numbers are not kept on disk.
+func (p *proposer) begin() {
+	if !p.disk.accepts() {
+		return
+	}
+	highest := p.highest
+	if quorum.CompareProposalNumbers(p.voter.acceptor.Promised(), highest) > 0 {
+		highest = p.voter.acceptor.Promised()
 	}
-	return m.isLive(voter.GetIdentity())
+	name := p.local.replica.GetHost() + "/" + p.local.identity() + "/" + strconv.FormatUint(p.local.incarnation, 36)
+	proposal := quorum.NewProposer(p.electorate.base(), quorum.NextProposalNumber(highest, name))
+	p.proposal = proposal
+	p.begunAt = p.clock.now
+	p.electorate.sendToAll(&pb.Message{Body: &pb.Message_Prepare{Prepare: proposal.Prepare()}})
 }
 
-func (m *Machine) beginAttempt() {
-	if !m.diskAccepts() {
+// resend asks the live voters that have not answered again, until the proposal times out.
+func (p *proposer) resend() {
+	if p.clock.now-p.begunAt > proposalTimeout {
+		p.abandon()
 		return
 	}
-	highest := m.election.highest
-	if quorum.CompareProposalNumbers(m.acceptor.Promised(), highest) > 0 {
-		highest = m.acceptor.Promised()
+	message := &pb.Message{Body: &pb.Message_Prepare{Prepare: p.proposal.Prepare()}}
+	if p.proposal.Phase() == quorum.Accepting {
+		message = &pb.Message{Body: &pb.Message_Accept{Accept: p.proposal.Accept()}}
+	}
+	for index, voter := range p.electorate.base().GetVoters() {
+		if p.proposal.AwaitsVoter(index) && !p.local.is(voter) && p.isLive(voter) {
+			p.electorate.sendTo(voter, message)
+		}
 	}
-	name := m.self.GetHost() + "/" + m.self.GetIdentity() + "/" + strconv.FormatUint(m.incarnation, 36)
-	attempt := quorum.NewProposer(m.base(), quorum.NextProposalNumber(highest, name))
-	m.election.attempt = attempt
-	m.election.began = m.now
-	m.toVoters(&pb.Message{Body: &pb.Message_Prepare{Prepare: attempt.Prepare()}})
 }
 
-// toVoters sends to all voters on the next view, this machine included.
-func (m *Machine) toVoters(message *pb.Message) {
-	for _, voter := range m.base().GetVoters() {
-		m.toVoter(voter, message)
+// receivePromise takes a voter's answer to Prepare. With a majority of promises, the second step begins: with the
+// proposal that some voter has accepted earlier, which may be decided, else with the view that this machine wants.
+func (p *proposer) receivePromise(from *pb.Replica, promise *pb.Promise) {
+	proposal := p.proposal
+	if proposal == nil {
+		return
+	}
+	majority := proposal.Promised(from, promise)
+	if proposal.Phase() == quorum.Superseded {
+		p.abandon()
+		return
 	}
+	if !majority {
+		return
+	}
+	wanted := p.chooseView()
+	if wanted == nil && proposal.AcceptedEarlier() == nil {
+		p.abandon()
+		return
+	}
+	proposal.Choose(wanted)
+	p.electorate.sendToAll(&pb.Message{Body: &pb.Message_Accept{Accept: proposal.Accept()}})
 }
 
-// toVoter sends to one voter, which before founding is known by its operator's address only.
-func (m *Machine) toVoter(voter *pb.Replica, message *pb.Message) {
-	switch {
-	case m.isSelf(voter):
-		message.From = m.self
-		m.handle(message)
-	case voter.GetIdentity() == "":
-		m.sendTo(m.config.PeerAddress(voter.GetControlAddress()), "", message)
-	default:
-		m.send(voter, message)
+// chooseView is the view to propose if the voters leave the choice to this machine; nil if no change is wanted any more.
+func (p *proposer) chooseView() *pb.View {
+	if viewInForce(p.replica) == nil {
+		return p.founding.firstView()
 	}
+	wanted, change := p.planner.wantedView()
+	if !change.any() && p.spurious == nil {
+		return nil
+	}
+	return wanted
 }
 
-// tickAttempt asks the voters that have not answered again, for a while.
-func (m *Machine) tickAttempt() {
-	if m.now-m.election.began > proposalTimeout {
-		m.abandon()
-		return
+// receiveAccepted takes a voter's answer to Accept. It returns the view once this answer has decided it, else nil.
+func (p *proposer) receiveAccepted(from *pb.Replica, accepted *pb.Accepted) *pb.View {
+	proposal := p.proposal
+	if proposal == nil {
+		return nil
 	}
-	attempt := m.election.attempt
-	message := &pb.Message{Body: &pb.Message_Prepare{Prepare: attempt.Prepare()}}
-	if attempt.Phase() == quorum.Accepting {
-		message = &pb.Message{Body: &pb.Message_Accept{Accept: attempt.Accept()}}
+	decided := proposal.Accepted(from, accepted)
+	if proposal.Phase() == quorum.Superseded {
+		p.abandon()
+		return nil
 	}
-	for index, voter := range m.base().GetVoters() {
-		if attempt.AwaitsVoter(index) && !m.isSelf(voter) && m.isLiveVoter(voter) {
-			m.toVoter(voter, message)
-		}
+	if !decided {
+		return nil
 	}
+	return proposal.Value()
 }
 
-func (m *Machine) abandon() {
-	if m.election.attempt != nil {
-		m.election.highest = m.election.attempt.HighestObserved()
+// abandon gives the proposal up, and draws how long this machine waits before its next one.
+func (p *proposer) abandon() {
+	if p.proposal != nil {
+		p.highest = p.proposal.HighestObserved()
 	}
-	m.election.attempt = nil
-	m.election.retryAt = m.now + proposalBackoff + time.Duration(m.random.Int64N(int64(proposalBackoff)))
+	p.proposal = nil
+	p.retryAt = p.clock.now + proposalBackoff + time.Duration(p.random.Int64N(int64(proposalBackoff)))
 }
--- a/internal/control/quorumcheck.go
+++ b/internal/control/quorumcheck.go
@@ -1,104 +1,99 @@
 package control
 
 import (
+	"slices"
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/chain"
 	"fieldrelay/internal/quorum"
 )
 
 const (
-	// maxQuorumChecks bounds the results that wait for a check of the view.
+	// maxQuorumChecks bounds the results that wait for a quorum check.
 	maxQuorumChecks = 2 * maxPendingOrders
 	// quorumCheckResendInterval is the wait before the voters are asked again.
 	quorumCheckResendInterval = 300 * time.Millisecond
 )
 
-// quorumChecks are results that may only leave when a majority of the voters knows of no later view: the state
-// that they rest on was then the newest one.
+// quorumChecks holds results back until a majority of the voters knows of no later view, as Raft's ReadIndex does for
+// reads. A later view needs a majority that has accepted it; the two majorities share a voter, which accepted it only
+// after its answer here. So the state that a result rests on was the newest one when the check began.
 type quorumChecks struct {
+	clock      *clock
+	replica    *chain.Replica
+	electorate *electorate
+	output     *stepOutput
+	ids        *idSequence
+
 	pending []*quorumCheck
-	next    uint64 // id
 }
 
+// quorumCheck is one result that waits.
 type quorumCheck struct {
 	id      uint64
 	to      *pb.Replica
 	result  *pb.OrderResult
-	read    *catalog.Snapshot // whose configuration becomes the body of the result; nil: the result is whole
+	read    *catalog.Snapshot // whose configuration becomes the body of the result; nil: the result is complete
 	votes   map[int]bool      // by index among the voters
 	expires time.Duration
 	sentAt  time.Duration
 }
 
-// check asks the voters and sends the result when a majority has answered well.
-func (m *Machine) check(to *pb.Replica, result *pb.OrderResult, read *catalog.Snapshot) {
-	if len(m.checks.pending) >= maxQuorumChecks {
-		m.result(to, unavailable(result.GetId()))
+// begin asks the voters; the result leaves when a majority has agreed.
+func (c *quorumChecks) begin(to *pb.Replica, result *pb.OrderResult, read *catalog.Snapshot) {
+	if len(c.pending) >= maxQuorumChecks {
+		c.output.sendResult(to, unavailable(result.GetId()))
 		return
 	}
-	m.checks.next++
-	pending := &quorumCheck{
-		id:      m.checks.next,
+	check := &quorumCheck{
+		id:      c.ids.next(),
 		to:      to,
 		result:  result,
 		read:    read,
 		votes:   make(map[int]bool),
-		expires: m.now + orderTimeout,
+		expires: c.clock.now + orderTimeout,
 	}
-	m.checks.pending = append(m.checks.pending, pending)
-	m.askVoters(pending)
+	c.pending = append(c.pending, check)
+	c.askVoters(check)
 }
 
-func (m *Machine) askVoters(pending *quorumCheck) {
-	pending.sentAt = m.now
-	m.toVoters(&pb.Message{Body: &pb.Message_ViewCheck{ViewCheck: &pb.ViewCheck{
-		Id:         pending.id,
-		ViewNumber: m.View().GetNumber(),
+func (c *quorumChecks) askVoters(check *quorumCheck) {
+	check.sentAt = c.clock.now
+	c.electorate.sendToAll(&pb.Message{Body: &pb.Message_ViewCheck{ViewCheck: &pb.ViewCheck{
+		Id:         check.id,
+		ViewNumber: viewInForce(c.replica).GetNumber(),
 	}}})
 }
 
-// isChecked reports whether the result of an order waits for its check.
-func (m *Machine) isChecked(from *pb.Replica, id uint64) bool {
-	for _, pending := range m.checks.pending {
-		if pending.to.GetIdentity() == from.GetIdentity() && pending.result.GetId() == id {
-			return true
-		}
-	}
-	return false
+// contains reports whether the result of an order waits for its check.
+func (c *quorumChecks) contains(from *pb.Replica, id uint64) bool {
+	return slices.ContainsFunc(c.pending, func(check *quorumCheck) bool {
+		return check.to.GetIdentity() == from.GetIdentity() && check.result.GetId() == id
+	})
 }
 
-// quorumCheck answers whether this voter knows of a later view, decided or accepted. A value that was promised
-// but not accepted cannot have been decided with this voter's help.
-func (m *Machine) viewCheck(from *pb.Replica, check *pb.ViewCheck) {
-	number := check.GetViewNumber()
-	later := m.View().GetNumber() > number
-	accepted := m.acceptor.ViewNumber() > number && m.acceptor.HasAccepted()
-	m.send(from, &pb.Message{Body: &pb.Message_ViewCheckResult{ViewCheckResult: &pb.ViewCheckResult{
-		Id:         check.GetId(),
-		ViewNumber: number,
-		Current:    !later && !accepted,
-	}}})
-}
+// reset drops all checks: they were of a view that was replaced.
+func (c *quorumChecks) reset() { c.pending = nil }
 
-func (m *Machine) viewCheckResult(from *pb.Replica, answer *pb.ViewCheckResult) {
-	view := m.View()
+// receive takes a voter's answer.
+func (c *quorumChecks) receive(from *pb.Replica, answer *pb.ViewCheckResult) {
+	view := viewInForce(c.replica)
 	voter := quorum.VoterIndex(view, from)
 	if answer.GetViewNumber() != view.GetNumber() || !answer.GetCurrent() || voter == quorum.NotFound {
 		return
 	}
-	for index, pending := range m.checks.pending {
-		if pending.id != answer.GetId() {
-			continue
-		}
-		pending.votes[voter] = true
-		if len(pending.votes) >= quorum.Majority(view) {
-			m.checks.pending = append(m.checks.pending[:index], m.checks.pending[index+1:]...)
-			m.result(pending.to, pending.outcome())
-		}
+	index := slices.IndexFunc(c.pending, func(check *quorumCheck) bool { return check.id == answer.GetId() })
+	if index < 0 {
 		return
 	}
+	check := c.pending[index]
+	check.votes[voter] = true
+	if len(check.votes) >= quorum.Majority(view) {
+		c.pending = slices.Delete(c.pending, index, index+1)
+		c.output.sendResult(check.to, check.outcome())
+	}
 }
 
 // outcome is the result, with the configuration if it is that of a read.
@@ -109,17 +104,13 @@
 	return readResult(c.result.GetId(), c.read)
 }
 
-func (m *Machine) tickChecks() {
-	kept := m.checks.pending[:0]
-	for _, pending := range m.checks.pending {
-		if m.now < pending.expires {
-			kept = append(kept, pending)
-		}
-	}
-	m.checks.pending = kept
-	for _, pending := range append([]*quorumCheck(nil), kept...) {
-		if m.now-pending.sentAt >= quorumCheckResendInterval {
-			m.askVoters(pending)
+// tick drops the checks whose time is up and asks again for the others. Asking this machine itself may complete a check,
+// hence the copy of the list.
+func (c *quorumChecks) tick() {
+	c.pending = slices.DeleteFunc(c.pending, func(check *quorumCheck) bool { return c.clock.now >= check.expires })
+	for _, check := range slices.Clone(c.pending) {
+		if c.clock.now-check.sentAt >= quorumCheckResendInterval {
+			c.askVoters(check)
 		}
 	}
 }
--- a/internal/control/rejoin.go
+++ b/internal/control/rejoin.go
@@ -7,43 +7,50 @@
 	"fieldrelay/internal/quorum"
 )
 
-// Times of machines that come and go.
+// Times of machines that leave the chain and rejoin it.
 const (
-	// minRejoinBackoff is how long a machine that was dropped from the chain stays outside; it doubles with each
-	// time up to maxRejoinBackoff, and starts anew after a calm time of rejoinBackoffReset.
+	// minRejoinBackoff is how long a machine that was removed from the chain stays outside; it doubles with each removal
+	// up to maxRejoinBackoff, and starts anew after rejoinBackoffReset without one.
 	minRejoinBackoff   = time.Second
 	maxRejoinBackoff   = 16 * time.Second
 	rejoinBackoffReset = time.Minute
 )
 
-// dropRecord tells how often and when a machine was dropped from the chain.
-type dropRecord struct {
+// rejoinBackoff keeps a machine that comes and goes from changing the view each time: each change of the chain holds up
+// orders.
+type rejoinBackoff struct {
+	clock    *clock
+	removals map[string]removal // by identity
+}
+
+// removal is how often and when a machine was removed from the chain last.
+type removal struct {
 	count int
 	at    time.Duration
 }
 
-// mayReturn reports whether a machine that was dropped from the chain has been outside for long enough.
-func (m *Machine) mayReturn(identity string) bool {
-	record, known := m.election.dropped[identity]
+// mayRejoin reports whether a machine that was removed from the chain has been outside for long enough.
+func (r *rejoinBackoff) mayRejoin(identity string) bool {
+	last, known := r.removals[identity]
 	if !known {
 		return true
 	}
-	pause := min(minRejoinBackoff<<min(record.count-1, 10), maxRejoinBackoff)
-	return m.now-record.at >= pause
+	backoff := min(minRejoinBackoff<<min(last.count-1, 10), maxRejoinBackoff)
+	return r.clock.now-last.at >= backoff
 }
 
-// noteDropped remembers which machines a new view has left out of the chain, but for those that were told to end.
-func (m *Machine) noteDropped(before, after *pb.View) {
-	for identity, record := range m.election.dropped {
-		if m.now-record.at > rejoinBackoffReset {
-			delete(m.election.dropped, identity)
+// observeChange records which machines a new view has left out of the chain, but for those that are leaving.
+func (r *rejoinBackoff) observeChange(before, after *pb.View, isLeaving func(identity string) bool) {
+	for identity, last := range r.removals {
+		if r.clock.now-last.at > rejoinBackoffReset {
+			delete(r.removals, identity)
 		}
 	}
 	for _, member := range before.GetChain() {
 		identity := member.GetIdentity()
-		if quorum.IndexOf(after.GetChain(), identity) != quorum.NotFound || m.isLeaving(identity) {
+		if quorum.IndexOf(after.GetChain(), identity) != quorum.NotFound || isLeaving(identity) {
 			continue
 		}
-		m.election.dropped[identity] = dropRecord{count: m.election.dropped[identity].count + 1, at: m.now}
+		r.removals[identity] = removal{count: r.removals[identity].count + 1, at: r.clock.now}
 	}
 }
--- a/internal/control/staleness.go
+++ b/internal/control/staleness.go
@@ -4,117 +4,122 @@
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/chain"
 	"fieldrelay/internal/quorum"
 )
 
-// lagTimeout is how long a machine may lack a committed change that others have told of before it ceases to be
-// authoritative: changes follow the heartbeats that tell of them within a moment, unless a link is cut. It ceases
-// earlier if the silence limit ends before (see isOverdue).
+// lagTimeout is how long a machine may lack a committed change that peers advertise before it ceases to be
+// authoritative: changes follow the heartbeats that advertise them within a moment, unless a link is partitioned. It
+// ceases earlier if FailureTimeout ends before (see isOverdue).
 const lagTimeout = 2 * HeartbeatInterval
 
-// peerAdvertisements is the newest that heartbeats of other machines have told of. A machine that is cut off from the
-// chain alone, or that hears but is not heard, learns by it that the state that it holds has grown old.
-type peerAdvertisements struct {
-	view     uint64 // newest view number
-	sequence uint64 // newest committed sequence, in the view in force
-	// behindSince is since when this machine has committed less than sequence; 0: it has not.
+// staleness compares what this machine holds with the newest view and commit that heartbeats of peers advertise. By it a
+// machine that is partitioned from the chain alone, or that receives but cannot send, finds that its state has grown
+// old.
+type staleness struct {
+	clock   *clock
+	peers   *peerTable
+	replica *chain.Replica
+
+	advertisedView   uint64 // newest view number
+	advertisedCommit uint64 // newest committed sequence, in the view in force
+	// behindSince is since when this machine has committed less than advertisedCommit; 0: it has not.
 	behindSince time.Duration
-	// currentAt is when the last heartbeat of a member of the chain came that told of nothing which this machine
+	// currentAt is when the last heartbeat of a member of the chain came that advertised nothing which this machine
 	// lacked: whatever was acknowledged when it was sent is held here. 0: none came since the start.
 	currentAt time.Duration
-	// apart: heartbeats of a majority were missing, and since they are back not all that they tell of has come.
-	apart bool
+	// partitioned: heartbeats of a majority were missing, and since they are back not all that they advertise has
+	// come.
+	partitioned bool
 }
 
-// Authoritative reports whether the machine holds the state of the view in force, has had heartbeats of a
-// majority of the voters lately, and was told neither of a later view nor of changes that it does not get.
-func (m *Machine) Authoritative() bool {
-	return m.replica.KnowsCommitted() && m.hasHeartbeats() && !m.isBehind()
+// isAuthoritative reports whether this machine holds the state of the view in force, has had heartbeats of a majority of
+// the voters lately, and knows neither of a later view nor of changes that it does not get.
+func (s *staleness) isAuthoritative() bool {
+	return s.replica.KnowsCommitted() && s.hasHeartbeats() && !s.isBehind()
 }
 
-// hasHeartbeats reports whether heartbeats came lately of a majority of the voters, this one included, and of a
-// member of the chain: a chain that is out of reach as a whole may still acknowledge what was on its way. Other
-// messages do not count, for they do not tell how far their sender is, and a standstill of this machine is no
-// excuse.
-func (m *Machine) hasHeartbeats() bool {
-	view := m.View()
+// hasHeartbeats reports whether heartbeats came lately from a majority of the voters, this one included, and from a
+// member of the chain: a chain that is out of reach as a whole may still acknowledge what was on its way. Other messages
+// do not count, for they do not advertise how far their sender is, and a stall of this process is no excuse.
+func (s *staleness) hasHeartbeats() bool {
+	view := viewInForce(s.replica)
 	return view != nil &&
-		m.countHeartbeats(view.GetVoters()) >= quorum.Majority(view) &&
-		m.countHeartbeats(view.GetChain()) > 0
-}
-
-// countHeartbeats counts the replicas that sent a heartbeat lately; this machine is one of them.
-func (m *Machine) countHeartbeats(replicas []*pb.Replica) int {
-	count := 0
-	for _, replica := range replicas {
-		found, known := m.peers.known[replica.GetIdentity()]
-		lately := known && found.heartbeat != nil && m.now-found.lastPromptHeartbeat <= FailureTimeout
-		if lately || m.isSelf(replica) {
-			count++
-		}
-	}
-	return count
+		s.peers.heartbeatsWithin(view.GetVoters()) >= quorum.Majority(view) &&
+		s.peers.heartbeatsWithin(view.GetChain()) > 0
 }
 
-func (m *Machine) isBehind() bool {
-	if m.advertisedByPeers.view > m.View().GetNumber() || m.advertisedByPeers.apart {
+func (s *staleness) isBehind() bool {
+	if s.advertisedView > viewInForce(s.replica).GetNumber() || s.partitioned {
 		return true
 	}
-	return m.advertisedByPeers.behindSince > 0 && m.isOverdue()
+	return s.behindSince > 0 && s.isOverdue()
 }
 
-// isOverdue reports whether a change that this machine was told of has been missing for too long. It may have been
-// acknowledged at any time since the last heartbeat that did not tell of it, so that the silence limit runs from there.
-func (m *Machine) isOverdue() bool {
-	if m.now-m.advertisedByPeers.behindSince >= lagTimeout {
+// isOverdue reports whether an advertised change has been missing for too long. It may have been acknowledged at any
+// time since the last heartbeat that did not advertise it, so that FailureTimeout runs from there.
+func (s *staleness) isOverdue() bool {
+	if s.clock.now-s.behindSince >= lagTimeout {
 		return true
 	}
-	return m.advertisedByPeers.currentAt == 0 || m.now-m.advertisedByPeers.currentAt > FailureTimeout
+	return s.currentAt == 0 || s.clock.now-s.currentAt > FailureTimeout
 }
 
-// noteTold remembers what another machine's heartbeat tells of. One that has just started does not know how much
-// of what it has on disk is committed: all of it may be.
-func (m *Machine) noteTold(from *pb.Replica, heartbeat *pb.Heartbeat) {
-	m.advertisedByPeers.view = max(m.advertisedByPeers.view, heartbeat.GetViewNumber())
+// observe records what a peer's heartbeat advertises. A machine that has just started does not know how much of what it
+// has on disk is committed: all of it may be.
+func (s *staleness) observe(from *pb.Replica, heartbeat *pb.Heartbeat) {
+	s.advertisedView = max(s.advertisedView, heartbeat.GetViewNumber())
 	committed := heartbeat.GetCommitted()
 	if committed == 0 {
 		committed = heartbeat.GetSequence()
 	}
-	m.advertisedByPeers.sequence = max(m.advertisedByPeers.sequence, committed)
-	m.noteCurrent(from, committed)
-	m.compareWithTold()
+	s.advertisedCommit = max(s.advertisedCommit, committed)
+	if s.provesCurrent(from, committed) {
+		s.currentAt = s.clock.now
+	}
+	s.update()
 }
 
-// noteCurrent notes that a member of the chain told of nothing that this machine lacks. Each member knows a change to
-// be committed before the head acknowledges it. A heartbeat that has waited for this machine shows nothing of now.
-func (m *Machine) noteCurrent(from *pb.Replica, committed uint64) {
-	inChain := quorum.IndexOf(m.View().GetChain(), from.GetIdentity()) != quorum.NotFound
-	if inChain && !m.wakesLate() && committed <= sequenceOf(m.replica.Committed()) {
-		m.advertisedByPeers.currentAt = m.now
-	}
+// provesCurrent reports whether a member of the chain advertises nothing that this machine lacks. Each member knows a
+// change to be committed before the head acknowledges it, so that at the time of the heartbeat nothing was acknowledged
+// that is not here. A heartbeat that has waited for this process proves nothing of the present.
+func (s *staleness) provesCurrent(from *pb.Replica, committed uint64) bool {
+	inChain := quorum.IndexOf(viewInForce(s.replica).GetChain(), from.GetIdentity()) != quorum.NotFound
+	return inChain && !s.clock.isStalled() && committed <= sequenceOf(s.replica.Committed())
 }
 
-// compareWithTold keeps the time since when this machine lacks something that it was told of.
-func (m *Machine) compareWithTold() {
-	if !m.hasHeartbeats() {
-		m.advertisedByPeers.apart = true
+// update compares the committed state with the advertised one. It must run before anything that restores lost contact:
+// a loss between two ticks would go unnoticed otherwise.
+func (s *staleness) update() {
+	if !s.hasHeartbeats() {
+		s.partitioned = true
 	}
-	if sequenceOf(m.replica.Committed()) < m.advertisedByPeers.sequence {
-		if m.advertisedByPeers.behindSince == 0 {
-			m.advertisedByPeers.behindSince = m.now
+	if sequenceOf(s.replica.Committed()) < s.advertisedCommit {
+		if s.behindSince == 0 {
+			s.behindSince = s.clock.now
 		}
 		return
 	}
-	m.advertisedByPeers.behindSince = 0
-	if m.hasHeartbeats() {
-		m.advertisedByPeers.apart = false
+	s.behindSince = 0
+	if s.hasHeartbeats() {
+		s.partitioned = false
 	}
 }
 
-// forgetTold forgets the sequence told of in an earlier view: whoever follows the new one holds all of it. It holds
-// what was acknowledged in the new view until now as well, for it is the head of that or asks for its state from now on.
-func (m *Machine) forgetTold() {
-	m.advertisedByPeers.sequence = 0
-	m.advertisedByPeers.behindSince = 0
-	m.advertisedByPeers.currentAt = m.now
+// enterView forgets the commit advertised in an earlier view: whoever follows the new one holds all of it. This machine
+// holds what was acknowledged in the new view until now as well, for it is the head of that or requests its state from
+// now on.
+func (s *staleness) enterView() {
+	s.advertisedCommit = 0
+	s.behindSince = 0
+	s.currentAt = s.clock.now
+}
+
+// sequenceOf is 0 for nil.
+func sequenceOf(snapshot *catalog.Snapshot) uint64 {
+	if snapshot == nil {
+		return 0
+	}
+	return snapshot.Sequence()
 }
--- a/internal/control/staleness_test.go
+++ b/internal/control/staleness_test.go
@@ -65,10 +65,10 @@
 	machine, peers := startedIn(t, view)
 	hear(machine, TickInterval, peers[0])
 	hear(machine, TickInterval, peers[1])
-	require.True(t, machine.hearsMajority())
-	require.False(t, machine.hasHeartbeats())
+	require.True(t, machine.peers.hasMajority(machine.View()))
+	require.False(t, machine.staleness.hasHeartbeats())
 	hear(machine, TickInterval, peers[3])
-	require.True(t, machine.hasHeartbeats())
+	require.True(t, machine.staleness.hasHeartbeats())
 }
 
 func TestOtherMessagesThanHeartbeatsGiveNoAuthority(t *testing.T) {
@@ -79,7 +79,7 @@
 			a.receive(index, &pb.Message{Body: &pb.Message_ViewCheck{ViewCheck: &pb.ViewCheck{ViewNumber: 1}}})
 		}
 	}
-	require.True(t, a.machine.hearsMajority())
+	require.True(t, a.machine.peers.hasMajority(a.machine.View()))
 	require.False(t, a.machine.Authoritative())
 }
 
--- /dev/null
+++ b/internal/control/stepoutput.go
@@ -0,0 +1,70 @@
+package control
+
+import (
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/chain"
+)
+
+// stepOutput collects the actions of one Step, in the order in which the shell must carry them out, and addresses
+// messages.
+type stepOutput struct {
+	local   *localMachine
+	peers   *peerTable
+	replica *chain.Replica
+	// deliverLocally handles a message of this machine to itself, before send returns.
+	deliverLocally func(*pb.Message)
+
+	actions []Action
+}
+
+func (o *stepOutput) add(action Action) { o.actions = append(o.actions, action) }
+
+// takeActions returns the actions so far and begins anew.
+func (o *stepOutput) takeActions() []Action {
+	actions := o.actions
+	o.actions = nil
+	return actions
+}
+
+// send addresses a message to a replica. A message to this machine itself is handled at once, so that a caller must not
+// rely on state that the handling of its message may change.
+func (o *stepOutput) send(to *pb.Replica, message *pb.Message) {
+	if to.GetIdentity() == o.local.identity() {
+		o.sendToSelf(message)
+		return
+	}
+	o.sendTo(o.peers.addressOf(to), to.GetIdentity(), message)
+}
+
+func (o *stepOutput) sendToSelf(message *pb.Message) {
+	message.From = o.local.replica
+	o.deliverLocally(message)
+}
+
+// sendTo sends to an address. The receiver drops the message if it has another identity by now; an empty identity
+// leaves that open. Without an address, or with that of this machine, nothing is sent.
+func (o *stepOutput) sendTo(address, identity string, message *pb.Message) {
+	if address == "" || address == o.local.replica.GetAddress() {
+		return
+	}
+	o.add(Send{Address: address, Message: &pb.Message{
+		From:       o.local.replica,
+		ToIdentity: identity,
+		Cluster:    viewInForce(o.replica).GetCluster(),
+		Body:       message.GetBody(),
+	}})
+}
+
+// sendView sends the view in force to a machine that acted by an earlier one.
+func (o *stepOutput) sendView(to *pb.Replica) {
+	o.send(to, decidedMessage(viewInForce(o.replica)))
+}
+
+func decidedMessage(view *pb.View) *pb.Message {
+	return &pb.Message{Body: &pb.Message_Decided{Decided: &pb.Decided{View: view}}}
+}
+
+// sendResult sends the result of an order to its origin.
+func (o *stepOutput) sendResult(to *pb.Replica, result *pb.OrderResult) {
+	o.send(to, &pb.Message{Body: &pb.Message_OrderResult{OrderResult: result}})
+}
--- a/internal/control/viewplan.go
+++ b/internal/control/viewplan.go
@@ -6,79 +6,158 @@
 	"fieldrelay/internal/quorum"
 )
 
-// seesNeed reports whether this machine should have another view decided.
-func (m *Machine) seesNeed() bool {
-	if m.View() == nil {
-		return m.seesFounders()
-	}
-	if !m.isWell() || !m.hearsMajority() || m.now-m.started < startupListenWindow {
-		return false
-	}
-	if m.acceptor.HasAccepted() && m.now-m.election.accepted > undecidedTimeout {
-		return true
-	}
-	if m.isComplete() {
-		return false
+// viewPlanner derives the view that should follow the one in force from what this machine knows of the others. Machines
+// may differ in it; the voters then decide on one of the views that were proposed.
+type viewPlanner struct {
+	clock       *clock
+	local       *localMachine
+	peers       *peerTable
+	replica     *chain.Replica
+	health      *localHealth
+	leaving     *leaving
+	rejoin      *rejoinBackoff
+	requirement chain.Requirement
+}
+
+// viewChange is in what a wanted view differs from the one in force.
+type viewChange struct {
+	chain.Change
+	Voters bool // other voters
+}
+
+func (c viewChange) any() bool { return c.Removal || c.Addition || c.Voters }
+
+// wantedView is the view that should follow; nil when there can be none.
+func (p *viewPlanner) wantedView() (*pb.View, viewChange) {
+	view := viewInForce(p.replica)
+	voters, changed := quorum.NextVoters(view, p.votingPeers())
+	members, change := chain.NextChain(view, voters, p.chainCandidates(voters), p.requirement)
+	if members == nil {
+		return nil, viewChange{}
 	}
-	wanted, change := m.wantedView()
-	if wanted == nil {
-		return false
+	wanted := &pb.View{
+		Number:  view.GetNumber() + 1,
+		Cluster: view.GetCluster(),
+		Voters:  voters,
+		Chain:   members,
 	}
-	inChain := quorum.IndexOf(m.View().GetChain(), m.self.GetIdentity()) != quorum.NotFound
-	return change.Removal || (inChain && change.any())
+	return wanted, viewChange{Change: change, Voters: changed}
 }
 
-// isComplete reports, at little cost, whether the view cannot be bettered: the chain is as long as it may be,
-// all its members are fit, all voters are live and nobody waits to join.
-func (m *Machine) isComplete() bool {
-	view := m.View()
+// isComplete reports, at little cost, whether the view in force cannot be bettered: the chain is as long as it may be,
+// all voters are live, stay and have a disk that works, and no machine waits to vote.
+func (p *viewPlanner) isComplete() bool {
+	view := viewInForce(p.replica)
 	if len(view.GetChain()) != min(len(view.GetVoters()), chain.MaxLength) {
 		return false
 	}
 	for _, voter := range view.GetVoters() {
 		identity := voter.GetIdentity()
-		if !m.isLive(identity) || m.isLeaving(identity) {
+		if !p.peers.isLive(identity) || p.isLeaving(identity) {
 			return false
 		}
-		found, known := m.peers.known[identity]
+		found, known := p.peers.known[identity]
 		if known && !found.heartbeat.GetStorageHealthy() {
 			return false
 		}
 	}
-	return !m.hasJoiner()
+	return !p.hasJoiner()
 }
 
 // hasJoiner reports whether a live machine does not vote.
-func (m *Machine) hasJoiner() bool {
-	for identity := range m.peers.known {
-		if m.isLive(identity) && quorum.IndexOf(m.View().GetVoters(), identity) == quorum.NotFound {
+func (p *viewPlanner) hasJoiner() bool {
+	for identity := range p.peers.known {
+		if p.peers.isLive(identity) && quorum.IndexOf(viewInForce(p.replica).GetVoters(), identity) == quorum.NotFound {
 			return true
 		}
 	}
 	return false
 }
 
-// need tells how a wanted view differs from the one in force.
-type need struct {
-	chain.Change
-	Voters bool // other voters
+// isLeaving reports whether a machine has announced its graceful shutdown.
+func (p *viewPlanner) isLeaving(identity string) bool {
+	if identity == p.local.identity() {
+		return p.leaving.begun
+	}
+	found, known := p.peers.known[identity]
+	return known && found.heartbeat.GetLeaving()
+}
+
+// hasLeftChain reports whether a machine that is leaving is outside of the chain in force.
+func (p *viewPlanner) hasLeftChain(identity string) bool {
+	inChain := quorum.IndexOf(viewInForce(p.replica).GetChain(), identity) != quorum.NotFound
+	return !inChain && p.isLeaving(identity)
 }
 
-func (n need) any() bool { return n.Removal || n.Addition || n.Voters }
+// votingPeers describes all known machines for the choice of voters.
+func (p *viewPlanner) votingPeers() map[string]quorum.Peer {
+	peers := make(map[string]quorum.Peer, len(p.peers.known)+1)
+	for _, voter := range viewInForce(p.replica).GetVoters() {
+		peers[voter.GetIdentity()] = p.votingPeer(voter)
+	}
+	for identity, found := range p.peers.known {
+		described := p.votingPeer(found.replica)
+		described.ContactDuration = p.clock.now - found.liveSince
+		described.KnowsView = p.knowsView(found.heartbeat)
+		peers[identity] = described
+	}
+	return peers
+}
 
-// wantedView returns the view that should follow as this machine sees it; nil when there can be none.
-func (m *Machine) wantedView() (*pb.View, need) {
-	view := m.View()
-	voters, changed := quorum.NextVoters(view, m.electorate())
-	members, change := chain.NextChain(view, voters, m.candidates(voters), m.config.Requirement)
-	if members == nil {
-		return nil, need{}
+func (p *viewPlanner) votingPeer(replica *pb.Replica) quorum.Peer {
+	identity := replica.GetIdentity()
+	return quorum.Peer{
+		Replica:      replica,
+		SinceContact: p.peers.sinceContact(identity),
+		Live:         p.peers.isLive(identity),
+		Leaving:      p.isLeaving(identity),
+		Left:         p.hasLeftChain(identity),
 	}
-	wanted := &pb.View{
-		Number:  view.GetNumber() + 1,
-		Cluster: view.GetCluster(),
-		Voters:  voters,
-		Chain:   members,
+}
+
+// knowsView reports whether a machine has advertised the view in force or the one before.
+func (p *viewPlanner) knowsView(heartbeat *pb.Heartbeat) bool {
+	number := heartbeat.GetViewNumber()
+	return number > 0 && number+1 >= viewInForce(p.replica).GetNumber()
+}
+
+// chainCandidates describes voters for the choice of a chain.
+func (p *viewPlanner) chainCandidates(voters []*pb.Replica) map[string]chain.Candidate {
+	candidates := make(map[string]chain.Candidate, len(voters))
+	for _, voter := range voters {
+		identity := voter.GetIdentity()
+		if identity == p.local.identity() {
+			candidates[identity] = p.localCandidate()
+			continue
+		}
+		if found, known := p.peers.known[identity]; known {
+			candidates[identity] = p.peerCandidate(identity, found)
+			continue
+		}
+		reachable := p.peers.sinceContact(identity) <= FailureTimeout
+		candidates[identity] = chain.Candidate{Healthy: reachable, Reachable: reachable}
+	}
+	return candidates
+}
+
+func (p *viewPlanner) localCandidate() chain.Candidate {
+	advertised := p.replica.Advertised()
+	return chain.Candidate{
+		Healthy:      p.health.canServe(),
+		Reachable:    true,
+		Synchronized: advertised.Synchronized && advertised.ViewNumber == viewInForce(p.replica).GetNumber(),
+		Stable:       p.clock.uptime() >= stableAfter && p.rejoin.mayRejoin(p.local.identity()),
+		Leaving:      p.leaving.begun,
+	}
+}
+
+func (p *viewPlanner) peerCandidate(identity string, found *peer) chain.Candidate {
+	heartbeat := found.heartbeat
+	return chain.Candidate{
+		Healthy:      p.peers.isLive(identity) && heartbeat.GetStorageHealthy(),
+		Reachable:    p.peers.isLive(identity),
+		Synchronized: heartbeat.GetSynchronised() && heartbeat.GetViewNumber() == viewInForce(p.replica).GetNumber(),
+		Stable:       p.clock.now-found.liveSince >= stableAfter && p.rejoin.mayRejoin(identity),
+		Leaving:      heartbeat.GetLeaving(),
 	}
-	return wanted, need{Change: change, Voters: changed}
 }
