--- /dev/null
+++ b/internal/control/assemble.go
@@ -0,0 +1,108 @@
+package control
+
+import (
+	"cmp"
+	"strconv"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/chain"
+	"fieldrelay/internal/ring"
+)
+
+// NewMachine resumes from what the ring held. The error is a *RecordError if that cannot be read.
+func NewMachine(config Config, recovered *ring.Recovered) (*Machine, error) {
+	state, err := recoverState(recovered)
+	if err != nil {
+		return nil, err
+	}
+	local := &localMachine{bootstrap: state.bootstrap, incarnation: config.Random.Uint64()}
+	identity := state.identity
+	isNew := identity == ""
+	if isNew {
+		identity = strconv.FormatUint(config.Random.Uint64(), 36)
+		local.bootstrap = config.Bootstrap
+	}
+	local.replica = &pb.Replica{
+		Host:           config.Self.GetHost(),
+		Identity:       identity,
+		Address:        config.Self.GetAddress(),
+		Zone:           config.Self.GetZone(),
+		Region:         config.Self.GetRegion(),
+		ControlAddress: config.Self.GetControlAddress(),
+	}
+	machine := &Machine{
+		config:  config,
+		clock:   &clock{},
+		local:   local,
+		replica: chain.NewReplica(identity, state.chain, local.incarnation),
+	}
+	machine.joinParts()
+	machine.voter.acceptor = state.restoreAcceptor()
+	machine.disk.schedule = snapshotSchedule{
+		// behind a snapshot, no record is of an earlier version of this program
+		due:        isNew || state.migrated,
+		maxRecords: cmp.Or(config.SnapshotRecords, snapshotRecords),
+	}
+	machine.origin.lastID = config.Random.Uint64()
+	machine.ids.last = config.Random.Uint64() >> 1 // it must not wrap
+	return machine, nil
+}
+
+// joinParts makes the parts and gives each the others that it uses.
+func (m *Machine) joinParts() {
+	m.joinPeers()
+	m.joinAgreement()
+	m.joinOrders()
+}
+
+func (m *Machine) joinPeers() {
+	m.peers = &peerTable{clock: m.clock, local: m.local, known: make(map[string]*peer)}
+	m.output = &stepOutput{local: m.local, peers: m.peers, replica: m.replica, deliverLocally: m.handle}
+	m.disk = &diskQueue{clock: m.clock, output: m.output, snapshot: m.snapshot}
+	m.staleness = &staleness{clock: m.clock, peers: m.peers, replica: m.replica}
+	m.replication = &replication{replica: m.replica, output: m.output, disk: m.disk, staleness: m.staleness}
+	m.leaving = &leaving{clock: m.clock}
+	m.health = &localHealth{clock: m.clock, disk: m.disk, peers: m.peers, leaving: m.leaving, replica: m.replica}
+	m.heartbeat = &heartbeats{
+		clock: m.clock, local: m.local, peers: m.peers, replica: m.replica, health: m.health, leaving: m.leaving,
+		output: m.output, contacts: m.config.Seeds, peerAddress: m.config.PeerAddress,
+	}
+}
+
+func (m *Machine) joinAgreement() {
+	m.electorate = &electorate{
+		local: m.local, replica: m.replica, output: m.output, seeds: m.config.Seeds, peerAddress: m.config.PeerAddress,
+	}
+	m.rejoin = &rejoinBackoff{clock: m.clock, removals: make(map[string]removal)}
+	m.planner = &viewPlanner{
+		clock: m.clock, local: m.local, peers: m.peers, replica: m.replica, health: m.health, leaving: m.leaving,
+		rejoin: m.rejoin, requirement: m.config.Requirement,
+	}
+	m.founding = &founding{
+		clock: m.clock, local: m.local, peers: m.peers, electorate: m.electorate, seeds: m.config.Seeds,
+		requirement: m.config.Requirement, random: m.config.Random,
+	}
+	m.voter = &voter{
+		clock: m.clock, replica: m.replica, electorate: m.electorate, planner: m.planner, disk: m.disk, output: m.output,
+		spuriousProposals: m.config.SpuriousProposals != nil,
+	}
+	m.proposer = &proposer{
+		clock: m.clock, local: m.local, replica: m.replica, peers: m.peers, health: m.health, planner: m.planner,
+		founding: m.founding, electorate: m.electorate, voter: m.voter, disk: m.disk, random: m.config.Random,
+		spurious: m.config.SpuriousProposals,
+	}
+}
+
+func (m *Machine) joinOrders() {
+	m.ids = &idSequence{}
+	m.checks = &quorumChecks{
+		clock: m.clock, replica: m.replica, electorate: m.electorate, output: m.output, ids: m.ids,
+	}
+	m.confirmations = &confirmations{clock: m.clock, output: m.output, ids: m.ids}
+	m.origin = &originOrders{clock: m.clock, peers: m.peers, replica: m.replica, output: m.output}
+	m.head = &headOrders{
+		clock: m.clock, local: m.local, replica: m.replica, replication: m.replication, output: m.output,
+		checks: m.checks, confirmations: m.confirmations, requirement: m.config.Requirement,
+	}
+	m.tail = &tailReads{local: m.local, replica: m.replica, output: m.output, checks: m.checks}
+}
--- a/internal/control/clock.go
+++ b/internal/control/clock.go
@@ -13,7 +13,7 @@
 	stallGracePeriod = 500 * time.Millisecond
 )
 
-// clock is the time of the event that is being handled, and what the ticks tell of stalls of this process (the local
+// clock is the time of the event that is being handled, and what the ticks show of stalls of this process (the local
 // health of SWIM's Lifeguard). Machine sets it; the parts of the Machine only read it.
 type clock struct {
 	now       time.Duration
--- a/internal/control/compression.go
+++ b/internal/control/compression.go
@@ -11,22 +11,23 @@
 
 const (
 	gzipName = "gzip"
-	// compressFrom is the size in bytes from which on a delivery is compressed: configurations shrink to a tenth.
-	compressFrom = 16 << 10
+	// minCompressedBytes is the size from which on a delivery is compressed: configurations shrink to a tenth.
+	minCompressedBytes = 16 << 10
 )
 
-// newCompressor makes one that is quick and keeps little memory.
+// newCompressor returns one that is quick and keeps little memory.
 func newCompressor() connect.Compressor {
 	compressor, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
-		panic(errors.Wrap(err, "control: the level of compression")) // it is a constant of the library
+		panic(errors.Wrap(err, "control: compression level")) // it is a constant of the library
 	}
 	return compressor
 }
 
 func newDecompressor() connect.Decompressor { return &gzip.Reader{} }
 
-// CompressedDeliveries lets a handler of control machines' messages read compressed ones. Its own answers are empty.
+// CompressedDeliveries lets a handler of control machines' messages read compressed ones. Its own answers are empty, and
+// not compressed.
 func CompressedDeliveries() connect.HandlerOption {
 	return connect.WithHandlerOptions(
 		connect.WithCompression(gzipName, newDecompressor, newCompressor),
@@ -34,14 +35,14 @@
 	)
 }
 
-// compressing are the options of a client whose large deliveries are compressed.
-func compressing() connect.ClientOption {
+// compressedClient are the options of a client whose large deliveries are compressed.
+func compressedClient() connect.ClientOption {
 	return connect.WithClientOptions(
 		connect.WithAcceptCompression(gzipName, newDecompressor, newCompressor),
 		connect.WithSendGzip(),
-		connect.WithCompressMinBytes(compressFrom),
+		connect.WithCompressMinBytes(minCompressedBytes),
 	)
 }
 
-// plain are the options of a client for machines that read no compressed deliveries.
-func plain() connect.ClientOption { return connect.WithAcceptCompression(gzipName, nil, nil) }
+// plainClient are the options of a client for machines that read no compressed deliveries.
+func plainClient() connect.ClientOption { return connect.WithAcceptCompression(gzipName, nil, nil) }
--- a/internal/control/confirmation.go
+++ b/internal/control/confirmation.go
@@ -45,7 +45,7 @@
 }
 
 // redeem reports whether an order needs no confirmation, or came with the token issued for it, which is used up by that.
-// If it did not, its origin is asked. A copy that came without the token does not take it back: two copies on their way
+// If it did not, its origin is requested to confirm. A copy that came without the token does not take it back: two copies on their way
 // at once would invalidate each other's tokens for as long as the order lives.
 func (c *confirmations) redeem(from *pb.Replica, order *pb.Order) bool {
 	if !needsConfirmation(order) {
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -7,16 +7,22 @@
 	"go.uber.org/zap"
 )
 
-// reportInterval is the time between two lines of counters.
+// reportInterval is the time between two log lines of counters.
 const reportInterval = 30 * time.Second
 
-// counters count since the start.
+// counters count since the start of the process. They are written to the log, and safe for concurrent use.
 type counters struct {
-	sent, received, dropped atomic.Uint64 // messages
-	failedCalls             atomic.Uint64
-	writes, failedWrites    atomic.Uint64
-	orders, committed       atomic.Uint64
-	views                   atomic.Uint64
+	sent        atomic.Uint64 // messages that were delivered
+	received    atomic.Uint64 // messages
+	dropped     atomic.Uint64 // messages that were not sent: too many waited, or one waited for too long
+	failedCalls atomic.Uint64 // deliveries, each of several messages
+
+	writes       atomic.Uint64 // to the ring, each of several records
+	failedWrites atomic.Uint64
+
+	orders    atomic.Uint64 // submitted here
+	committed atomic.Uint64 // newer committed states
+	views     atomic.Uint64 // later views
 }
 
 func (c *counters) log(logger *zap.Logger, status Status) {
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -12,12 +12,12 @@
 	"fieldrelay/internal/ring"
 )
 
-// Inspection is what a control machine that started on a state folder would hold. Nothing is written to the
-// folder, also while a machine uses it; what that machine writes meanwhile may then look torn.
+// Inspection is what a control machine that started on a state folder would hold. Nothing is written to the folder, so
+// that a machine may be using it; what that machine writes meanwhile may then look torn.
 type Inspection struct {
 	Ring *ring.Report
-	// Failure tells why a machine could not start: a *ring.CorruptError or a *RecordError. What follows is then
-	// only as far as the records could be read.
+	// Failure is why a machine could not start: a *ring.CorruptError or a *RecordError. What follows then goes only as
+	// far as the records could be read.
 	Failure   error
 	Identity  string      // empty on a fresh disk
 	Bootstrap bool        // the disk was empty when the whole system started for the first time
@@ -27,15 +27,16 @@
 	State     *catalog.Snapshot
 }
 
-// NoStateError tells that a folder holds nothing of a control machine.
+// NoStateError is returned by Inspect for a folder that holds nothing of a control machine.
 type NoStateError struct{ Folder string }
 
+// Error names the folder.
 func (e *NoStateError) Error() string {
 	return e.Folder + " holds no state of a control machine: one that started on it would take it for a fresh disk"
 }
 
-// Inspect reads a control machine's state folder. The error is a *NoStateError or tells that the folder cannot
-// be read at all.
+// Inspect reads a control machine's state folder. The error is a *NoStateError, or says that the folder cannot be read at
+// all.
 func Inspect(stateDir string) (*Inspection, error) {
 	folder := ringPath(stateDir, currentRing(stateDir))
 	if _, err := os.Stat(folder); errors.Is(err, fs.ErrNotExist) {
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -1,35 +1,13 @@
 package control
 
 import (
-	"cmp"
-	"math/rand/v2"
-	"strconv"
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/catalog"
 	"fieldrelay/internal/chain"
-	"fieldrelay/internal/quorum"
-	"fieldrelay/internal/ring"
 )
 
-// Config is what a Machine must know at its start.
-type Config struct {
-	Self        *pb.Replica // without an identity
-	Seeds       []string    // ip:port of operator's APIs
-	Bootstrap   bool        // the whole system starts for the first time
-	Requirement chain.Requirement
-	// PeerAddress gives the ip:port of the peer service of a machine known by its operator's API.
-	PeerAddress func(controlAddress string) string
-	// Random must differ from start to start.
-	Random *rand.Rand
-	// SnapshotRecords is the number of records after which the ring gets a new snapshot; 0: the default.
-	SnapshotRecords int
-	// SpuriousProposals is asked at each tick whether to propose another view without need and out of turn; nil: never.
-	// It is for simulations: proposals that compete must do no harm.
-	SpuriousProposals func() bool
-}
-
 // Machine is a control machine's part in agreement and replication, as a state machine without I/O. It consists of parts
 // with one concern each, which joinParts joins; a part names the other parts that it uses as its first fields. A
 // Machine is not safe for concurrent use.
@@ -70,104 +48,6 @@
 	checks        *quorumChecks
 }
 
-// NewMachine resumes from what the ring held. The error is a *RecordError if that cannot be read.
-func NewMachine(config Config, recovered *ring.Recovered) (*Machine, error) {
-	state, err := recoverState(recovered)
-	if err != nil {
-		return nil, err
-	}
-	local := &localMachine{bootstrap: state.bootstrap, incarnation: config.Random.Uint64()}
-	identity := state.identity
-	isNew := identity == ""
-	if isNew {
-		identity = strconv.FormatUint(config.Random.Uint64(), 36)
-		local.bootstrap = config.Bootstrap
-	}
-	local.replica = &pb.Replica{
-		Host:           config.Self.GetHost(),
-		Identity:       identity,
-		Address:        config.Self.GetAddress(),
-		Zone:           config.Self.GetZone(),
-		Region:         config.Self.GetRegion(),
-		ControlAddress: config.Self.GetControlAddress(),
-	}
-	machine := &Machine{
-		config:  config,
-		clock:   &clock{},
-		local:   local,
-		replica: chain.NewReplica(identity, state.chain, local.incarnation),
-	}
-	machine.joinParts()
-	machine.voter.acceptor = state.restoreAcceptor()
-	machine.disk.schedule = snapshotSchedule{
-		// behind a snapshot, no record is of an earlier version of this program
-		due:        isNew || state.migrated,
-		maxRecords: cmp.Or(config.SnapshotRecords, snapshotRecords),
-	}
-	machine.origin.lastID = config.Random.Uint64()
-	machine.ids.last = config.Random.Uint64() >> 1 // it must not wrap
-	return machine, nil
-}
-
-// joinParts makes the parts and gives each the others that it uses.
-func (m *Machine) joinParts() {
-	m.joinPeers()
-	m.joinAgreement()
-	m.joinOrders()
-}
-
-func (m *Machine) joinPeers() {
-	m.peers = &peerTable{clock: m.clock, local: m.local, known: make(map[string]*peer)}
-	m.output = &stepOutput{local: m.local, peers: m.peers, replica: m.replica, deliverLocally: m.handle}
-	m.disk = &diskQueue{clock: m.clock, output: m.output, snapshot: m.snapshot}
-	m.staleness = &staleness{clock: m.clock, peers: m.peers, replica: m.replica}
-	m.replication = &replication{replica: m.replica, output: m.output, disk: m.disk, staleness: m.staleness}
-	m.leaving = &leaving{clock: m.clock}
-	m.health = &localHealth{clock: m.clock, disk: m.disk, peers: m.peers, leaving: m.leaving, replica: m.replica}
-	m.heartbeat = &heartbeats{
-		clock: m.clock, local: m.local, peers: m.peers, replica: m.replica, health: m.health, leaving: m.leaving,
-		output: m.output, contacts: m.config.Seeds, peerAddress: m.config.PeerAddress,
-	}
-}
-
-func (m *Machine) joinAgreement() {
-	m.electorate = &electorate{
-		local: m.local, replica: m.replica, output: m.output, seeds: m.config.Seeds, peerAddress: m.config.PeerAddress,
-	}
-	m.rejoin = &rejoinBackoff{clock: m.clock, removals: make(map[string]removal)}
-	m.planner = &viewPlanner{
-		clock: m.clock, local: m.local, peers: m.peers, replica: m.replica, health: m.health, leaving: m.leaving,
-		rejoin: m.rejoin, requirement: m.config.Requirement,
-	}
-	m.founding = &founding{
-		clock: m.clock, local: m.local, peers: m.peers, electorate: m.electorate, seeds: m.config.Seeds,
-		requirement: m.config.Requirement, random: m.config.Random,
-	}
-	m.voter = &voter{
-		clock: m.clock, replica: m.replica, electorate: m.electorate, planner: m.planner, disk: m.disk, output: m.output,
-		spuriousProposals: m.config.SpuriousProposals != nil,
-	}
-	m.proposer = &proposer{
-		clock: m.clock, local: m.local, replica: m.replica, peers: m.peers, health: m.health, planner: m.planner,
-		founding: m.founding, electorate: m.electorate, voter: m.voter, disk: m.disk, random: m.config.Random,
-		spurious: m.config.SpuriousProposals,
-	}
-}
-
-func (m *Machine) joinOrders() {
-	m.ids = &idSequence{}
-	m.checks = &quorumChecks{
-		clock: m.clock, replica: m.replica, electorate: m.electorate, output: m.output, ids: m.ids,
-	}
-	m.confirmations = &confirmations{clock: m.clock, output: m.output, ids: m.ids}
-	m.origin = &originOrders{clock: m.clock, peers: m.peers, replica: m.replica, output: m.output}
-	m.head = &headOrders{
-		clock: m.clock, local: m.local, replica: m.replica, replication: m.replication, output: m.output,
-		checks: m.checks, confirmations: m.confirmations, requirement: m.config.Requirement,
-	}
-	m.tail = &tailReads{local: m.local, replica: m.replica, output: m.output, checks: m.checks}
-}
-
 // Self is this machine, with its identity.
 func (m *Machine) Self() *pb.Replica { return m.local.replica }
 
@@ -341,52 +221,6 @@
 	m.head.receive(from, order)
 }
 
-// receiveAccepted moves to a view that was decided by a proposal of this machine, and announces it.
-func (m *Machine) receiveAccepted(from *pb.Replica, accepted *pb.Accepted) {
-	decided := m.proposer.receiveAccepted(from, accepted)
-	if decided == nil {
-		return
-	}
-	before := m.View()
-	m.enterView(decided)
-	m.announce(before, decided)
-}
-
-// announce sends a decided view to its voters and to those of the view before it.
-func (m *Machine) announce(before, view *pb.View) {
-	message := decidedMessage(view)
-	for _, voter := range view.GetVoters() {
-		if !m.local.is(voter) {
-			m.output.send(voter, message)
-		}
-	}
-	for _, voter := range before.GetVoters() {
-		if quorum.IndexOf(view.GetVoters(), voter.GetIdentity()) == quorum.NotFound && !m.local.is(voter) {
-			m.output.send(voter, message)
-		}
-	}
-}
-
-// enterView moves to a decided view if it is later than the one in force. Views are decided one after another, so that a
-// later one of the same cluster supersedes whatever this machine did by earlier ones; a machine may skip some.
-func (m *Machine) enterView(view *pb.View) {
-	before := m.View()
-	if view.GetNumber() <= before.GetNumber() {
-		return
-	}
-	if before != nil && view.GetCluster() != before.GetCluster() {
-		return
-	}
-	m.rejoin.observeChange(before, view, m.planner.isLeaving)
-	m.voter.enterView(view)
-	m.proposer.enterView()
-	m.staleness.enterView()
-	m.replication.perform(m.replica.Adopt(view))
-	m.output.add(ViewChanged{View: view})
-	m.head.enterView()
-	m.origin.forwardAll()
-}
-
 // persisted goes on with what waited for writes that are on disk now.
 func (m *Machine) persisted(token uint64) {
 	m.disk.failed = false
@@ -412,23 +246,6 @@
 	}
 }
 
-// snapshot encodes everything that must be on disk once all writes so far are.
-func (m *Machine) snapshot() []byte {
-	state := m.replica.State()
-	records := []ring.Record{identityRecord(m.local.identity(), m.local.bootstrap)}
-	if state.Newest.Sequence() > 0 {
-		repair := state.Newest.ReplicaRepairFor(nil)
-		records = append(records, writeRecord(chain.Write{Repair: repair, SynchronizedView: state.SynchronizedView}))
-	}
-	if state.View != nil {
-		records = append(records, writeRecord(chain.Write{View: state.View, SynchronizedView: state.SynchronizedView}))
-	}
-	if !m.voter.acceptor.IsEmpty() {
-		records = append(records, promiseRecord(m.voter.acceptor))
-	}
-	return joinSnapshot(records)
-}
-
 // leave announces that this machine is to end, and has a view without it decided.
 func (m *Machine) leave() {
 	if !m.leaving.begin() {
--- /dev/null
+++ b/internal/control/nodeoptions.go
@@ -0,0 +1,87 @@
+package control
+
+import (
+	"context"
+	crand "crypto/rand"
+	"encoding/binary"
+	"math/rand/v2"
+	"net"
+	"strconv"
+
+	"go.uber.org/zap"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/chain"
+	"fieldrelay/internal/ring"
+	"fieldrelay/internal/settings"
+)
+
+// Dial opens a connection, as net.Dialer.DialContext does. It bounds its time by itself.
+type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+
+// Options configures a Node. Its functions are called by the loop of the Node, and must not block.
+type Options struct {
+	Settings *settings.Settings
+	Logger   *zap.Logger
+	// ControlAddress is the ip:port of this machine's operator's API.
+	ControlAddress string
+	// Soft returns what each heartbeat carries besides the agreed state; nil: nothing.
+	Soft func() ([]*pb.AgentRecord, *pb.ListVersion)
+	// OnHeartbeat is called with each heartbeat of another control machine; nil: nothing is.
+	OnHeartbeat func(from *pb.Replica, heartbeat *pb.Heartbeat)
+	// OnServerList is called with each server list from another control machine; nil: nothing is.
+	OnServerList func(list *pb.ServerList)
+	// PeerAddress gives the peer service, ip:port, of a seed; nil: the seed's ip and the first port of the settings' port
+	// range.
+	PeerAddress func(seed string) string
+	// Dial opens connections to other control machines; nil: by TCP.
+	Dial Dial
+	// Storage holds the ring; nil: a folder under the settings' state folder.
+	Storage ring.Files
+}
+
+// machineConfig derives the Config of the Machine from the settings.
+func machineConfig(options Options) Config {
+	own := options.Settings
+	peerAddress := options.PeerAddress
+	if peerAddress == nil {
+		peerAddress = peerAddressOf(own)
+	}
+	return Config{
+		Self: &pb.Replica{
+			Host:           own.Hostname,
+			Address:        own.Port(0),
+			Zone:           own.Zone,
+			Region:         own.RegionOf(own.Zone),
+			ControlAddress: options.ControlAddress,
+		},
+		Seeds:     own.Seeds,
+		Bootstrap: own.Bootstrap,
+		Requirement: chain.Requirement{
+			Replicas: own.FaultBudget.Hosts + 1,
+			Zones:    own.FaultBudget.Zones + 1,
+			Regions:  own.FaultBudget.Regions + 1,
+		},
+		PeerAddress: peerAddress,
+		Random:      newRandom(),
+	}
+}
+
+// newRandom returns a source that differs from start to start.
+func newRandom() *rand.Rand {
+	var seed [16]byte
+	_, _ = crand.Read(seed[:]) // it never fails
+	return rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:]), binary.LittleEndian.Uint64(seed[8:])))
+}
+
+// peerAddressOf returns the rule by which a seed's peer service is found: all machines use the same ports.
+func peerAddressOf(own *settings.Settings) func(string) string {
+	port := strconv.Itoa(own.PortRange[0])
+	return func(seed string) string {
+		host, _, err := net.SplitHostPort(seed)
+		if err != nil {
+			return ""
+		}
+		return net.JoinHostPort(host, port)
+	}
+}
--- a/internal/control/openring.go
+++ b/internal/control/openring.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// ringFolder is the folder of the ring under the state folder. Those that take its place when it is corrupt
-	// have a number behind it.
+	// ringFolder is the folder of the ring under the state folder. Those that take its place when it is corrupt have a
+	// number appended to their names.
 	ringFolder = "control"
 	// maxRingFolders bounds the rings under a state folder, the corrupt ones included.
 	maxRingFolders = 4
 	ringFiles      = 2
 	ringBytes      = 512 << 10
-	// openBackoff is the wait before a disk that refuses is opened again.
+	// openBackoff is the wait before a ring that could not be opened is tried again.
 	openBackoff = 200 * time.Millisecond
 )
 
-// RingsCorruptError tells that as many rings as are kept are corrupt: the disk needs a look before another one is
-// begun.
+// RingsCorruptError is returned by Start when as many rings as are kept are corrupt: somebody must look at the disk before
+// another one is begun.
 type RingsCorruptError struct {
-	Folder string // of the last one
-	Err    error
+	Folder string // of the last ring
+	Err    error  // why that one cannot be read
 }
 
+// Error names the last ring, the number of those before it, and the cause.
 func (e *RingsCorruptError) Error() string {
 	return fmt.Sprintf("%s and %d rings before it are corrupt: %v", e.Folder, maxRingFolders-1, e.Err)
 }
@@ -40,10 +41,10 @@
 // Unwrap returns the cause.
 func (e *RingsCorruptError) Unwrap() error { return e.Err }
 
-// openRing opens the ring in use, again and again while the disk refuses. A ring that is corrupt is left as it is,
-// and another one is begun beside it: the machine then comes back as one that has lost its disk, with a new
-// identity, which promises nothing in the name of the old one. Replaced tells that the ring is not the first on its
-// disk: such a machine founds nothing.
+// openRing opens the ring in use, again and again while the disk fails. A ring that is corrupt is left as it is, and
+// another one is begun beside it: the machine then comes back as one that has lost its disk, with a new identity, which
+// promises nothing in the name of the old one. The result replaced says that the ring is not the first on its disk: such
+// a machine founds nothing.
 func openRing(ctx context.Context, options Options) (opened *ring.Ring, recovered *ring.Recovered, replaced bool, err error) {
 	if options.Storage != nil {
 		opened, recovered, err = openWithRetry(ctx, "", options)
@@ -63,20 +64,21 @@
 			return nil, nil, false, &RingsCorruptError{Folder: folder, Err: err}
 		}
 		number++
-		options.Logger.Error("the ring is corrupt; this machine comes back as another replica",
-			zap.String("corrupt", folder),
-			zap.String("begun", ringPath(options.Settings.StateDir, number)),
+		options.Logger.Error("ring corrupt, starting as a new replica",
+			zap.String("ring", folder),
+			zap.String("new_ring", ringPath(options.Settings.StateDir, number)),
 			zap.Error(err))
 	}
 }
 
-// isCorrupt reports whether a ring holds no state that can be read. One of another version is not damaged.
+// isCorrupt reports whether a ring holds no state that can be read. One of another version is in order.
 func isCorrupt(err error) bool {
 	var corrupt *ring.CorruptError
 	return errors.As(err, &corrupt) && corrupt.Version == 0
 }
 
-// openWithRetry opens a ring; the error is a *ring.CorruptError, or tells that ctx ended.
+// openWithRetry opens a ring, again and again until the disk allows it. The error is a *ring.CorruptError, or the one of
+// the last attempt before ctx ended.
 func openWithRetry(ctx context.Context, folder string, options Options) (*ring.Ring, *ring.Recovered, error) {
 	ringOptions := ring.Options{Files: ringFiles, FileBytes: ringBytes, Storage: options.Storage}
 	for {
@@ -85,7 +87,7 @@
 		if err == nil || errors.As(err, &corrupt) {
 			return opened, recovered, errors.Wrap(err, "open the ring")
 		}
-		options.Logger.Warn("the disk refuses", zap.Error(err))
+		options.Logger.Warn("opening the ring failed, retrying", zap.Duration("backoff", openBackoff), zap.Error(err))
 		select {
 		case <-ctx.Done():
 			return nil, nil, errors.Wrap(err, "open the ring")
--- a/internal/control/peerclient.go
+++ b/internal/control/peerclient.go
@@ -10,37 +10,41 @@
 	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
 )
 
-// plainDeliveries is how many deliveries go plain to a machine that read no compressed one, before another is tried: it
-// may be of a later version by then.
-const plainDeliveries = 8
+// maxPlainDeliveries is how many large deliveries go uncompressed to a machine that rejected a compressed one, before
+// another is tried: it may be of a later version by then.
+const maxPlainDeliveries = 8
 
-// peerClient delivers messages to one machine, large ones compressed unless that machine is of a version that can't read
-// them. One goroutine uses it at a time.
+// peerClient delivers messages to one machine, large ones compressed unless that machine is of a version that cannot read
+// them. It is not safe for concurrent use.
 type peerClient struct {
 	compressed      fieldrelayv1connect.ControlPeerClient
 	plain           fieldrelayv1connect.ControlPeerClient
-	plainRemaining  int  // deliveries that go plain still
+	plainRemaining  int  // large deliveries that still go uncompressed
 	readsCompressed bool // the machine has read a compressed delivery
 }
 
 func newPeerClient(client *http.Client, address string) *peerClient {
 	url := "http://" + address
 	return &peerClient{
-		compressed: fieldrelayv1connect.NewControlPeerClient(client, url, compressing()),
-		plain:      fieldrelayv1connect.NewControlPeerClient(client, url, plain()),
+		compressed: fieldrelayv1connect.NewControlPeerClient(client, url, compressedClient()),
+		plain:      fieldrelayv1connect.NewControlPeerClient(client, url, plainClient()),
 	}
 }
 
-// deliver sends a request of so many bytes.
+// deliver sends a request of size bytes.
+//
+// A failed compressed delivery is sent a second time, uncompressed, unless the machine is known to read compressed ones:
+// an earlier version rejects what is compressed before it has come completely, which may look like a broken connection.
+// Such a version has not read the first delivery, so that no message comes twice.
 func (c *peerClient) deliver(ctx context.Context, request *pb.DeliverRequest, size int) error {
-	if size < compressFrom {
-		return send(ctx, c.plain, request)
+	if size < minCompressedBytes {
+		return call(ctx, c.plain, request)
 	}
 	if c.plainRemaining > 0 {
 		c.plainRemaining--
-		return send(ctx, c.plain, request)
+		return call(ctx, c.plain, request)
 	}
-	err := send(ctx, c.compressed, request)
+	err := call(ctx, c.compressed, request)
 	if err == nil {
 		c.readsCompressed = true
 		return nil
@@ -51,15 +55,14 @@
 	if c.readsCompressed || ctx.Err() != nil {
 		return err
 	}
-	// An earlier version refuses what is compressed before it has come whole, which may look like a broken connection.
-	if send(ctx, c.plain, request) != nil {
+	if call(ctx, c.plain, request) != nil {
 		return err
 	}
-	c.plainRemaining = plainDeliveries
+	c.plainRemaining = maxPlainDeliveries
 	return nil
 }
 
-func send(ctx context.Context, client fieldrelayv1connect.ControlPeerClient, request *pb.DeliverRequest) error {
+func call(ctx context.Context, client fieldrelayv1connect.ControlPeerClient, request *pb.DeliverRequest) error {
 	_, err := client.Deliver(ctx, connect.NewRequest(request))
 	return err
 }
--- a/internal/control/peersender.go
+++ b/internal/control/peersender.go
@@ -14,48 +14,50 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Bounds of the ways to other machines.
+// Bounds of the connections to other machines.
 const (
 	maxPeerSenders    = 64 * int(trafficClasses)
 	maxQueuedMessages = 128
+	// senderIdleTimeout is how long a sender without messages keeps its goroutine.
 	senderIdleTimeout = 30 * time.Second
-	// maxQueueDelay is how long a message may wait for the one before it.
-	maxQueueDelay         = time.Second
-	dialTimeout           = 700 * time.Millisecond
-	deliverTimeout        = time.Second // a large delivery adds its transferTime
+	// maxQueueDelay is how long a message may wait for the one before it; after that it is dropped.
+	maxQueueDelay = time.Second
+	dialTimeout   = 700 * time.Millisecond
+	// deliverTimeout is how long one call may take; a large delivery adds its transferTime.
+	deliverTimeout = time.Second
+	// unacknowledgedTimeout ends a connection whose peer acknowledges nothing (TCP_USER_TIMEOUT, RFC 5482).
 	unacknowledgedTimeout = 1500 * time.Millisecond
 	idleConnTimeout       = 30 * time.Second
-	bufferBytes           = 4 << 10
+	connBufferBytes       = 4 << 10
 )
 
-// outboxes sends messages to other machines, each lane by its own goroutine, so that one that hangs holds up none
-// of the others.
+// peerSenders sends messages to other machines, each traffic class of each by a goroutine of its own, so that one that
+// hangs holds up none of the others. The goroutines end with ctx, and each also after senderIdleTimeout.
 type peerSenders struct {
-	ctx      context.Context
+	ctx      context.Context // bounds the goroutines that send starts
 	client   *http.Client
 	counters *counters
-	// undelivered is told of each message of classBulk that may not have reached its receiver; nil: nobody is. It must
-	// not block.
+	// undelivered is called with each message of classBulk that may not have reached its receiver; nil: nothing is. It
+	// must not block.
 	undelivered func(*pb.Message)
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards what follows and the queues of the senders
 	senders map[senderKey]*peerSender
 }
 
-// senderKey names an outbox.
 type senderKey struct {
 	address string
 	class   trafficClass
 }
 
-// outbox is one lane of the way to one machine.
+// peerSender sends one traffic class to one machine.
 type peerSender struct {
 	owner  *peerSenders
 	key    senderKey
-	client *peerClient // of the outbox's goroutine
-	ready  chan struct{}
+	client *peerClient   // of the goroutine
+	ready  chan struct{} // holds an item when the queue may have messages
 
-	queue []queuedMessage // guarded by the owner's mutex
+	queue []queuedMessage // guarded by the owner's mu
 }
 
 type queuedMessage struct {
@@ -74,18 +76,18 @@
 			DisableCompression:  true,
 			MaxIdleConnsPerHost: int(trafficClasses),
 			IdleConnTimeout:     idleConnTimeout,
-			ReadBufferSize:      bufferBytes,
-			WriteBufferSize:     bufferBytes,
+			ReadBufferSize:      connBufferBytes,
+			WriteBufferSize:     connBufferBytes,
 		}},
 	}
 }
 
 // dialWith replaces how connections are opened.
-func (o *peerSenders) dialWith(dial Dial) {
-	o.client.Transport.(*http.Transport).DialContext = dial
+func (s *peerSenders) dialWith(dial Dial) {
+	s.client.Transport.(*http.Transport).DialContext = dial
 }
 
-// setUserTimeout ends a connection whose peer does not acknowledge: behind a cut it would hang.
+// setUserTimeout ends a connection whose peer does not acknowledge: across a partition it would hang.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failure error
 	err := raw.Control(func(descriptor uintptr) {
@@ -97,120 +99,121 @@
 	return failure
 }
 
-// send queues a message; if too many wait, the oldest is dropped.
-func (o *peerSenders) send(address string, message *pb.Message) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// send queues a message; if too many wait, the oldest is dropped. It does not wait for the network.
+func (s *peerSenders) send(address string, message *pb.Message) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	key := senderKey{address: address, class: classOf(message)}
-	box := o.senders[key]
-	if box == nil {
-		if len(o.senders) >= maxPeerSenders {
-			o.counters.dropped.Add(1)
+	sender := s.senders[key]
+	if sender == nil {
+		if len(s.senders) >= maxPeerSenders {
+			s.counters.dropped.Add(1)
 			return
 		}
-		box = o.open(key)
+		sender = s.open(key)
 	}
-	box.push(queuedMessage{message: message, at: time.Now()})
+	sender.push(queuedMessage{message: message, at: time.Now()})
 	select {
-	case box.ready <- struct{}{}:
+	case sender.ready <- struct{}{}:
 	default:
 	}
 }
 
-func (o *peerSenders) open(key senderKey) *peerSender {
-	box := &peerSender{owner: o, key: key, ready: make(chan struct{}, 1), client: newPeerClient(o.client, key.address)}
-	o.senders[key] = box
-	go box.run()
-	return box
+func (s *peerSenders) open(key senderKey) *peerSender {
+	sender := &peerSender{owner: s, key: key, ready: make(chan struct{}, 1), client: newPeerClient(s.client, key.address)}
+	s.senders[key] = sender
+	go sender.run()
+	return sender
 }
 
-// push replaces a heartbeat that still waits by the newer one.
-func (b *peerSender) push(next queuedMessage) {
+// push replaces a heartbeat that still waits by the newer one. The caller holds the owner's mu.
+func (s *peerSender) push(next queuedMessage) {
 	if next.message.GetHeartbeat() != nil {
-		for index := range b.queue {
-			if b.queue[index].message.GetHeartbeat() != nil {
-				b.queue[index] = next
+		for index := range s.queue {
+			if s.queue[index].message.GetHeartbeat() != nil {
+				s.queue[index] = next
 				return
 			}
 		}
 	}
-	if len(b.queue) >= maxQueuedMessages {
-		b.queue = b.queue[1:]
-		b.owner.counters.dropped.Add(1)
+	if len(s.queue) >= maxQueuedMessages {
+		s.queue = s.queue[1:]
+		s.owner.counters.dropped.Add(1)
 	}
-	b.queue = append(b.queue, next)
+	s.queue = append(s.queue, next)
 }
 
-func (b *peerSender) run() {
+func (s *peerSender) run() {
 	for {
 		idle := time.NewTimer(senderIdleTimeout)
 		select {
-		case <-b.owner.ctx.Done():
+		case <-s.owner.ctx.Done():
 			idle.Stop()
 			return
-		case <-b.ready:
+		case <-s.ready:
 			idle.Stop()
-			b.deliver(b.takeQueued())
+			s.deliver(s.takeQueued())
 		case <-idle.C:
-			if b.closeIfEmpty() {
+			if s.closeIfEmpty() {
 				return
 			}
 		}
 	}
 }
 
-// close takes the outbox out of use unless a message has arrived.
-func (b *peerSender) closeIfEmpty() bool {
-	b.owner.mu.Lock()
-	defer b.owner.mu.Unlock()
-	if len(b.queue) > 0 {
+// closeIfEmpty takes the sender out of use unless a message has arrived.
+func (s *peerSender) closeIfEmpty() bool {
+	s.owner.mu.Lock()
+	defer s.owner.mu.Unlock()
+	if len(s.queue) > 0 {
 		return false
 	}
-	delete(b.owner.senders, b.key)
+	delete(s.owner.senders, s.key)
 	return true
 }
 
-// take returns the messages that are still worth sending.
-func (b *peerSender) takeQueued() []*pb.Message {
-	b.owner.mu.Lock()
-	defer b.owner.mu.Unlock()
+// takeQueued empties the queue, and returns the messages that have not waited for too long.
+func (s *peerSender) takeQueued() []*pb.Message {
+	s.owner.mu.Lock()
+	defer s.owner.mu.Unlock()
 	oldest := time.Now().Add(-maxQueueDelay)
-	messages := make([]*pb.Message, 0, len(b.queue))
+	messages := make([]*pb.Message, 0, len(s.queue))
 	var expired []*pb.Message
-	for _, waiting := range b.queue {
-		if waiting.at.Before(oldest) {
-			expired = append(expired, waiting.message)
+	for _, queued := range s.queue {
+		if queued.at.Before(oldest) {
+			expired = append(expired, queued.message)
 			continue
 		}
-		messages = append(messages, waiting.message)
+		messages = append(messages, queued.message)
 	}
-	b.queue = nil
-	b.owner.counters.dropped.Add(uint64(len(expired)))
-	b.reportUndelivered(expired)
+	s.queue = nil
+	s.owner.counters.dropped.Add(uint64(len(expired)))
+	s.reportUndelivered(expired)
 	return messages
 }
 
-func (b *peerSender) deliver(messages []*pb.Message) {
+// deliver sends messages in one call. They are not sent again here: an order might come twice.
+func (s *peerSender) deliver(messages []*pb.Message) {
 	if len(messages) == 0 {
 		return
 	}
 	request := &pb.DeliverRequest{Messages: messages}
 	size := proto.Size(request)
-	ctx, cancel := context.WithTimeout(b.owner.ctx, deliverTimeout+transferTime(size))
+	ctx, cancel := context.WithTimeout(s.owner.ctx, deliverTimeout+transferTime(size))
 	defer cancel()
-	if err := b.client.deliver(ctx, request, size); err != nil {
-		b.owner.counters.failedCalls.Add(1)
-		b.reportUndelivered(messages)
+	if err := s.client.deliver(ctx, request, size); err != nil {
+		s.owner.counters.failedCalls.Add(1)
+		s.reportUndelivered(messages)
 		return
 	}
-	b.owner.counters.sent.Add(uint64(len(messages)))
+	s.owner.counters.sent.Add(uint64(len(messages)))
 }
 
-func (b *peerSender) reportUndelivered(messages []*pb.Message) {
-	if b.key.class != classBulk || b.owner.undelivered == nil {
+func (s *peerSender) reportUndelivered(messages []*pb.Message) {
+	if s.key.class != classBulk || s.owner.undelivered == nil {
 		return
 	}
 	for _, message := range messages {
-		b.owner.undelivered(message)
+		s.owner.undelivered(message)
 	}
 }
--- a/internal/control/quorumcheck.go
+++ b/internal/control/quorumcheck.go
@@ -13,7 +13,7 @@
 const (
 	// maxQuorumChecks bounds the results that wait for a quorum check.
 	maxQuorumChecks = 2 * maxPendingOrders
-	// quorumCheckResendInterval is the wait before the voters are asked again.
+	// quorumCheckResendInterval is the wait before the voters are queried again.
 	quorumCheckResendInterval = 300 * time.Millisecond
 )
 
@@ -56,10 +56,10 @@
 		expires: c.clock.now + orderTimeout,
 	}
 	c.pending = append(c.pending, check)
-	c.askVoters(check)
+	c.queryVoters(check)
 }
 
-func (c *quorumChecks) askVoters(check *quorumCheck) {
+func (c *quorumChecks) queryVoters(check *quorumCheck) {
 	check.sentAt = c.clock.now
 	c.electorate.sendToAll(&pb.Message{Body: &pb.Message_ViewCheck{ViewCheck: &pb.ViewCheck{
 		Id:         check.id,
@@ -110,7 +110,7 @@
 	c.pending = slices.DeleteFunc(c.pending, func(check *quorumCheck) bool { return c.clock.now >= check.expires })
 	for _, check := range slices.Clone(c.pending) {
 		if c.clock.now-check.sentAt >= quorumCheckResendInterval {
-			c.askVoters(check)
+			c.queryVoters(check)
 		}
 	}
 }
--- a/internal/control/record.go
+++ b/internal/control/record.go
@@ -17,24 +17,25 @@
 const (
 	recordIdentity         uint8 = 1 // pb.Message: From and, in a Heartbeat, Bootstrap
 	recordPromise          uint8 = 2 // pb.Promise: the acceptor
-	recordView             uint8 = 3 // basis, pb.View
-	recordChange           uint8 = 4 // basis, pb.Change
-	recordRepair           uint8 = 5 // basis, pb.Repair
-	recordSynchronizedView uint8 = 6 // basis
+	recordView             uint8 = 3 // synchronized view, pb.View
+	recordChange           uint8 = 4 // synchronized view, pb.Change
+	recordRepair           uint8 = 5 // synchronized view, pb.Repair
+	recordSynchronizedView uint8 = 6 // synchronized view
 )
 
-// RecordError tells that the disk holds a record that cannot be read.
+// RecordError is returned for a record of the ring that cannot be read.
 type RecordError struct {
-	Kind  uint8
+	Kind  uint8 // see RecordName
 	Cause error
 }
 
+// Error names the kind of the record and the cause.
 func (e *RecordError) Error() string { return fmt.Sprintf("record of kind %d: %v", e.Kind, e.Cause) }
 
 // Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Cause }
 
-// durable is everything that a machine has on disk.
+// durableState is everything that a machine has on disk.
 type durableState struct {
 	identity  string
 	bootstrap bool // the disk was empty when the whole system started for the first time
@@ -45,7 +46,8 @@
 
 func newDurableState() durableState { return durableState{chain: chain.EmptyState()} }
 
-// recoverState reads what a ring held.
+// recoverState reads what a ring held: the records of its snapshot, then those behind it. On an error, the state is that
+// of the records before the one at fault.
 func recoverState(recovered *ring.Recovered) (durableState, error) {
 	state := newDurableState()
 	records, err := splitSnapshot(recovered.Snapshot)
@@ -61,6 +63,7 @@
 	return state, nil
 }
 
+// apply takes one record; later ones supersede earlier ones of their kind.
 func (d *durableState) apply(record ring.Record) error {
 	switch record.Kind {
 	case recordIdentity:
@@ -83,7 +86,8 @@
 	}
 }
 
-// restoreAcceptor returns the acceptor for the view after the one in force.
+// restoreAcceptor returns the acceptor for the view after the one in force. What was promised for an earlier view is of no
+// use any more.
 func (d *durableState) restoreAcceptor() *quorum.Acceptor {
 	next := d.chain.View.GetNumber() + 1
 	if d.acceptor.GetViewNumber() != next {
@@ -104,25 +108,25 @@
 }
 
 func writeRecord(write chain.Write) ring.Record {
-	basis := binary.AppendUvarint(nil, write.SynchronizedView)
+	prefix := binary.AppendUvarint(nil, write.SynchronizedView)
 	switch {
 	case write.View != nil:
-		return encode(recordView, basis, write.View)
+		return encode(recordView, prefix, write.View)
 	case write.Change != nil:
-		return encode(recordChange, basis, write.Change)
+		return encode(recordChange, prefix, write.Change)
 	case write.Repair != nil:
-		return encode(recordRepair, basis, write.Repair)
+		return encode(recordRepair, prefix, write.Repair)
 	default:
-		return ring.Record{Kind: recordSynchronizedView, Payload: basis}
+		return ring.Record{Kind: recordSynchronizedView, Payload: prefix}
 	}
 }
 
 func decodeWrite(record ring.Record) (chain.Write, error) {
-	basis, size := binary.Uvarint(record.Payload)
+	synchronizedView, size := binary.Uvarint(record.Payload)
 	if size <= 0 {
 		return chain.Write{}, errors.New("no basis")
 	}
-	write := chain.Write{SynchronizedView: basis}
+	write := chain.Write{SynchronizedView: synchronizedView}
 	var message proto.Message
 	switch record.Kind {
 	case recordView:
@@ -142,8 +146,8 @@
 	return write, proto.Unmarshal(record.Payload[size:], message)
 }
 
-// encode panics only if a message holds text that is not UTF-8, which no message that was received or parsed
-// from JSON does.
+// encode panics only if a message holds text that is not UTF-8, which no message that was received or parsed from JSON
+// does.
 func encode(kind uint8, prefix []byte, message proto.Message) ring.Record {
 	payload, err := proto.MarshalOptions{}.MarshalAppend(prefix, message)
 	if err != nil {
@@ -151,34 +155,3 @@
 	}
 	return ring.Record{Kind: kind, Payload: payload}
 }
-
-// joinSnapshot makes one payload of records: for each its kind, its length and its payload.
-func joinSnapshot(records []ring.Record) []byte {
-	size := 0
-	for _, record := range records {
-		size += len(record.Payload) + binary.MaxVarintLen64 + 1
-	}
-	payload := make([]byte, 0, size)
-	for _, record := range records {
-		payload = append(payload, record.Kind)
-		payload = binary.AppendUvarint(payload, uint64(len(record.Payload)))
-		payload = append(payload, record.Payload...)
-	}
-	return payload
-}
-
-func splitSnapshot(payload []byte) ([]ring.Record, error) {
-	var records []ring.Record
-	for len(payload) > 0 {
-		kind := payload[0]
-		length, size := binary.Uvarint(payload[1:])
-		payload = payload[1:]
-		if size <= 0 || uint64(len(payload)-size) < length {
-			return nil, &RecordError{Kind: kind, Cause: errors.New("cut short")}
-		}
-		payload = payload[size:]
-		records = append(records, ring.Record{Kind: kind, Payload: payload[:length]})
-		payload = payload[length:]
-	}
-	return records, nil
-}
--- a/internal/control/ringwriter.go
+++ b/internal/control/ringwriter.go
@@ -4,30 +4,35 @@
 	"context"
 	"time"
 
+	"go.uber.org/zap"
+
 	"fieldrelay/internal/ring"
 )
 
 const (
-	// writeQueueLength bounds the writes that wait; the machine stops promising long before.
+	// writeQueueLength bounds the writes that wait; the Machine gives no more promises long before.
 	writeQueueLength = 256
 	// writeBackoff is the wait before a write that failed is tried again.
 	writeBackoff = 200 * time.Millisecond
 )
 
-// writer puts Persist actions on disk, in order, and tries again until each is there.
+// ringWriter puts Persist actions on disk, in order, and tries each again until it succeeds. One goroutine, run, owns the
+// ring; the loop of the Node fills the queue.
 type ringWriter struct {
 	ring     *ring.Ring
 	queue    chan Persist
-	post     func(context.Context, Event)
+	post     func(context.Context, Event) // to the Machine; waits for room in its queue
 	counters *counters
+	logger   *zap.Logger
 }
 
-func newRingWriter(opened *ring.Ring, post func(context.Context, Event), counts *counters) *ringWriter {
-	return &ringWriter{ring: opened, queue: make(chan Persist, writeQueueLength), post: post, counters: counts}
+func newRingWriter(opened *ring.Ring, post func(context.Context, Event), counts *counters, logger *zap.Logger) *ringWriter {
+	return &ringWriter{ring: opened, queue: make(chan Persist, writeQueueLength), post: post, counters: counts, logger: logger}
 }
 
+// run writes until ctx ends, and closes the ring.
 func (w *ringWriter) run(ctx context.Context) {
-	defer func() { _ = w.ring.Close() }()
+	defer w.close()
 	for {
 		select {
 		case <-ctx.Done():
@@ -42,7 +47,14 @@
 	}
 }
 
-// drain joins all writes that wait into one: a snapshot replaces what came before it.
+// close loses nothing that was reported as persisted, whatever the disk says: each write is synchronous.
+func (w *ringWriter) close() {
+	if err := w.ring.Close(); err != nil {
+		w.logger.Warn("closing the ring failed", zap.Error(err))
+	}
+}
+
+// coalesce joins all writes that wait into one: a snapshot replaces what came before it.
 func (w *ringWriter) coalesce(batch Persist) Persist {
 	batch = dropCoveredRecords(batch)
 	for {
@@ -72,7 +84,7 @@
 	return batch
 }
 
-// write returns false when ctx has ended.
+// write tries until the batch is on disk; it returns false when ctx has ended before.
 func (w *ringWriter) write(ctx context.Context, batch Persist) bool {
 	for {
 		err := w.writeOnce(&batch)
@@ -90,6 +102,7 @@
 	}
 }
 
+// writeOnce clears the snapshot of the batch once that is written, so that another attempt goes on behind it.
 func (w *ringWriter) writeOnce(batch *Persist) error {
 	if batch.Snapshot != nil {
 		if err := w.ring.Snapshot(batch.Snapshot); err != nil {
--- /dev/null
+++ b/internal/control/snapshot.go
@@ -0,0 +1,59 @@
+package control
+
+import (
+	"encoding/binary"
+
+	"github.com/cockroachdb/errors"
+
+	"fieldrelay/internal/chain"
+	"fieldrelay/internal/ring"
+)
+
+// snapshot encodes everything that must be on disk once all writes so far are.
+func (m *Machine) snapshot() []byte {
+	state := m.replica.State()
+	records := []ring.Record{identityRecord(m.local.identity(), m.local.bootstrap)}
+	if state.Newest.Sequence() > 0 {
+		repair := state.Newest.ReplicaRepairFor(nil)
+		records = append(records, writeRecord(chain.Write{Repair: repair, SynchronizedView: state.SynchronizedView}))
+	}
+	if state.View != nil {
+		records = append(records, writeRecord(chain.Write{View: state.View, SynchronizedView: state.SynchronizedView}))
+	}
+	if !m.voter.acceptor.IsEmpty() {
+		records = append(records, promiseRecord(m.voter.acceptor))
+	}
+	return joinSnapshot(records)
+}
+
+// joinSnapshot makes one payload of records: for each its kind, its length and its payload.
+func joinSnapshot(records []ring.Record) []byte {
+	size := 0
+	for _, record := range records {
+		size += len(record.Payload) + binary.MaxVarintLen64 + 1
+	}
+	payload := make([]byte, 0, size)
+	for _, record := range records {
+		payload = append(payload, record.Kind)
+		payload = binary.AppendUvarint(payload, uint64(len(record.Payload)))
+		payload = append(payload, record.Payload...)
+	}
+	return payload
+}
+
+// splitSnapshot is the inverse of joinSnapshot.
+func splitSnapshot(payload []byte) ([]ring.Record, error) {
+	var records []ring.Record
+	for len(payload) > 0 {
+		kind := payload[0]
+		length, size := binary.Uvarint(payload[1:])
+		payload = payload[1:]
+		if size <= 0 || uint64(len(payload)-size) < length {
+			return nil, &RecordError{Kind: kind, Cause: errors.New("cut short")}
+		}
+		payload = payload[size:]
+		records = append(records, ring.Record{Kind: kind, Payload: payload[:length]})
+		payload = payload[length:]
+	}
+	return records, nil
+}
--- /dev/null
+++ b/internal/control/submit.go
@@ -0,0 +1,68 @@
+package control
+
+import (
+	"context"
+	"time"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+)
+
+// submitSlack is added to an order's timeout, to end the wait for a Machine that does not answer at all.
+const submitSlack = time.Second
+
+// Submit passes an order of the operator to the Machine and waits for its result: status 503 when it is not known within
+// a second, or longer for a large body. It never returns nil. It is safe for concurrent use.
+func (n *Node) Submit(ctx context.Context, order *pb.Order) *pb.OrderResult {
+	n.counters.orders.Add(1)
+	answer := make(chan *pb.OrderResult, 1) // so that the loop never waits for a caller
+	request := n.registerReply(answer)
+	defer n.unregisterReply(request)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeoutOf(order)+submitSlack)
+	defer cancel()
+	select {
+	case n.events <- OrderSubmitted{Request: request, Order: order}:
+	case <-ctx.Done():
+		return unavailable(0)
+	}
+	select {
+	case result := <-answer:
+		return result
+	case <-ctx.Done():
+		n.cancelOrder(request)
+		return unavailable(0)
+	}
+}
+
+// cancelOrder reports to the Machine that nobody waits for an order any more. With a full queue it is left out: the order
+// ends at its deadline.
+func (n *Node) cancelOrder(request uint64) {
+	select {
+	case n.events <- OrderCanceled{Request: request}:
+	default:
+	}
+}
+
+func (n *Node) registerReply(answer chan *pb.OrderResult) uint64 {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.lastRequest++
+	n.replies[n.lastRequest] = answer
+	return n.lastRequest
+}
+
+func (n *Node) unregisterReply(request uint64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.replies, request)
+}
+
+// reply carries out a Reply action; the caller may have gone.
+func (n *Node) reply(action Reply) {
+	n.mu.Lock()
+	answer := n.replies[action.Request]
+	delete(n.replies, action.Request)
+	n.mu.Unlock()
+	if answer != nil {
+		answer <- action.Result
+	}
+}
--- a/internal/control/tailreads.go
+++ b/internal/control/tailreads.go
@@ -16,8 +16,8 @@
 	checks  *quorumChecks
 }
 
-// receive takes a read that was forwarded to this machine. An origin that holds the newest state itself is told only
-// that.
+// receive takes a read that was forwarded to this machine. An origin that holds the newest state itself gets only
+// this information.
 func (t *tailReads) receive(from *pb.Replica, order *pb.Order) {
 	if t.checks.contains(from, order.GetId()) {
 		return
--- a/internal/control/trafficclass.go
+++ b/internal/control/trafficclass.go
@@ -2,8 +2,8 @@
 
 import pb "fieldrelay/api/fieldrelay/v1"
 
-// lane is one of the two ways to another machine, each with a connection of its own, so that what others judge this
-// machine by does not wait behind a configuration.
+// trafficClass says by which of two connections to a peer a message goes, so that what the others judge this machine by
+// does not wait behind a configuration.
 type trafficClass int
 
 const (
@@ -11,13 +11,14 @@
 	classUrgent trafficClass = iota
 	// classBulk carries the state and its changes, in the order in which they were sent, and whatever else is long.
 	classBulk
+	// trafficClasses is the number of classes.
 	trafficClasses
 )
 
-// maxUrgentBytes is the length of an order or its result, in bytes, up to which it is short.
+// maxUrgentBytes is the length of an order or its result up to which it is short.
 const maxUrgentBytes = 4 << 10
 
-// classOf tells which way a message goes.
+// classOf gives all messages of one kind whose order matters the same class.
 func classOf(message *pb.Message) trafficClass {
 	switch body := message.GetBody().(type) {
 	case *pb.Message_Append, *pb.Message_SyncResponse, *pb.Message_ServerList:
