--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -15,7 +15,7 @@
 // A node that was away for more changes than history keeps is repaired, and tells none of them as changes: who asks
 // it for those gets none, and the whole state in their place.
 func TestNodeFarBehindCatchesUp(t *testing.T) {
-	cluster := newTestCluster(t, 3)
+	cluster := newTestCluster(t)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 1)).GetStatus())
 	away := cluster.machines[2]
 	cluster.await(away, 5*time.Second, func(status Status) bool { return status.Committed.Generation() == 1 })
--- a/internal/control/confirmation_test.go
+++ b/internal/control/confirmation_test.go
@@ -9,21 +9,22 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// confirming is a machine that is the whole chain, and an origin elsewhere that is asked for confirmations.
-type confirming struct {
-	*lone
+// confirmingHead is a machine that is the whole chain, and an origin elsewhere that it requests confirmations from.
+type confirmingHead struct {
+	*singleMachine
 	origin *pb.Replica
 }
 
-func newConfirming(t *testing.T) *confirming {
-	return &confirming{
-		lone:   newLone(t),
-		origin: &pb.Replica{Host: "origin", Identity: "origin", Address: "10.0.0.2:7660"},
+func newConfirmingHead(t *testing.T) *confirmingHead {
+	t.Helper()
+	return &confirmingHead{
+		singleMachine: newSingleMachine(t),
+		origin:        &pb.Replica{Host: "origin", Identity: "origin", Address: "10.0.0.2:7660"},
 	}
 }
 
 // forward passes an order of the origin and returns the head's answer, nil if there is none.
-func (c *confirming) forward(id uint64, kind pb.Order_Kind, number []byte) *pb.OrderResult {
+func (c *confirmingHead) forward(id uint64, kind pb.Order_Kind, number []byte) *pb.OrderResult {
 	before := len(c.sent)
 	c.step(Received{Message: &pb.Message{
 		From: c.origin,
@@ -37,31 +38,32 @@
 	return nil
 }
 
-func (c *confirming) number(t *testing.T, id uint64, kind pb.Order_Kind) []byte {
-	asked := c.forward(id, kind, nil)
-	require.EqualValues(t, statusConfirm, asked.GetStatus())
-	return asked.GetBody()
+func (c *confirmingHead) requestToken(t *testing.T, id uint64, kind pb.Order_Kind) []byte {
+	t.Helper()
+	request := c.forward(id, kind, nil)
+	require.EqualValues(t, statusConfirm, request.GetStatus())
+	return request.GetBody()
 }
 
 func TestNumberOfAnEvacuationServesOnce(t *testing.T) {
-	c := newConfirming(t)
-	number := c.number(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
+	c := newConfirmingHead(t)
+	number := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
 	require.EqualValues(t, http.StatusOK, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, number).GetStatus())
 	require.EqualValues(t, statusConfirm, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, number).GetStatus())
 }
 
 func TestNumberOfAnEvacuationServesNotForLong(t *testing.T) {
-	c := newConfirming(t)
-	number := c.number(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
+	c := newConfirmingHead(t)
+	number := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
 	c.now += confirmationTimeout
 	require.EqualValues(t, statusConfirm, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, number).GetStatus())
 }
 
 // The caller of the first order has given it up: it has ordered the opposite since.
 func TestEvacuationThatWasOvertakenIsConfirmedAnew(t *testing.T) {
-	c := newConfirming(t)
-	begin := c.number(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
-	finish := c.number(t, 2, pb.Order_KIND_EVACUATE_FINISH)
+	c := newConfirmingHead(t)
+	begin := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
+	finish := c.requestToken(t, 2, pb.Order_KIND_EVACUATE_FINISH)
 	require.EqualValues(t, http.StatusOK, c.forward(2, pb.Order_KIND_EVACUATE_FINISH, finish).GetStatus())
 	again := c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, begin)
 	require.EqualValues(t, statusConfirm, again.GetStatus())
@@ -71,8 +73,8 @@
 }
 
 func TestEvacuationThatWasWithdrawnIsNotConfirmed(t *testing.T) {
-	l := newLone(t)
-	l.hold = true
+	l := newSingleMachine(t)
+	l.holdWrites = true
 	l.step(OrderSubmitted{Request: 98, Order: replaceOrder(0, 3)})
 	l.step(OrderSubmitted{Request: 99, Order: &pb.Order{Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: "z"}})
 	require.Len(t, l.machine.origin.pending, 2)
@@ -87,7 +89,7 @@
 // Where every message comes twice, an evacuation is confirmed all the same: copies on their way at once do not take
 // back each other's numbers.
 func TestCopiesOfAnEvacuationDoNotUndoEachOther(t *testing.T) {
-	c := newConfirming(t)
+	c := newConfirmingHead(t)
 	numbers := [][]byte{nil}
 	for range 4 {
 		var given [][]byte
--- a/internal/control/executedorders_test.go
+++ b/internal/control/executedorders_test.go
@@ -1,9 +1,7 @@
 package control
 
 import (
-	"compress/gzip"
 	"fmt"
-	"io"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -27,13 +25,8 @@
 // earlierDisk is what commit d046182 left on the disk of a system of one machine after 70 orders: a snapshot of
 // 66 of them and four records. It kept the last 64 orders as items.
 func earlierDisk(t *testing.T) *ring.Recovered {
-	packed, err := os.Open(filepath.Join("testdata", "ring-with-taken-items.gz"))
-	require.NoError(t, err)
-	defer func() { _ = packed.Close() }()
-	unpacked, err := gzip.NewReader(packed)
-	require.NoError(t, err)
-	content, err := io.ReadAll(unpacked)
-	require.NoError(t, err)
+	t.Helper()
+	content := goldenRead(t, "ring-with-taken-items.gz")
 	folder := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "ring-0"), content, 0o600))
 	opened, recovered, err := ring.Open(folder, ring.Options{Files: 2, FileBytes: 4 << 10})
@@ -45,7 +38,7 @@
 func TestTakenOrdersOfAnEarlierVersionAreKept(t *testing.T) {
 	recovered := earlierDisk(t)
 	require.Len(t, recovered.Records, 4)
-	l := &lone{t: t, base: recovered.Snapshot, records: recovered.Records}
+	l := &singleMachine{t: t, snapshot: recovered.Snapshot, records: recovered.Records}
 	l.restart()
 	require.Empty(t, l.records, "all of it is written anew")
 	requireEarlierOrders := func() {
@@ -70,7 +63,7 @@
 
 // Every order of a run is acknowledged again, after restarts from snapshots and from records too.
 func TestTakenOrdersSurviveRestarts(t *testing.T) {
-	l := newLone(t)
+	l := newSingleMachine(t)
 	const count = 400
 	for base := range uint64(count) {
 		l.requireStatus(http.StatusOK, noteOrder(base))
@@ -87,12 +80,12 @@
 
 // What leaves a machine for agents does not name the orders.
 func TestCommittedChangesDoNotNameTheirOrders(t *testing.T) {
-	l := newLone(t)
+	l := newSingleMachine(t)
 	for base := range uint64(5) {
 		l.requireStatus(http.StatusOK, noteOrder(base))
 	}
-	require.Len(t, l.told, 5)
-	for _, change := range l.told {
+	require.Len(t, l.committedChanges, 5)
+	for _, change := range l.committedChanges {
 		require.Empty(t, change.GetTaken())
 		require.Positive(t, change.GetGeneration())
 	}
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -91,11 +91,11 @@
 // machineDisk is what a machine by itself writes from founding on, with known random numbers.
 func machineDisk(t *testing.T) (snapshot []byte, records []ring.Record) {
 	t.Helper()
-	l := newLone(t)
+	l := newSingleMachine(t)
 	for base := range uint64(9) {
 		l.requireStatus(http.StatusOK, noteOrder(base))
 	}
-	return l.base, l.records
+	return l.snapshot, l.records
 }
 
 // writeRing gives the ring file that a snapshot and records make.
--- a/internal/control/headqueue_test.go
+++ b/internal/control/headqueue_test.go
@@ -18,7 +18,7 @@
 	return queue
 }
 
-func (q *headQueue) takeAll() []uint64 {
+func (q *headQueue) nextAll() []uint64 {
 	var ids []uint64
 	for len(q.orders) > 0 {
 		ids = append(ids, q.next().order.GetId())
@@ -28,10 +28,10 @@
 
 func TestSmallOrdersOvertakeLargeOnesForAWhile(t *testing.T) {
 	const large = maxSmallOrderBytes + 1
-	require.Equal(t, []uint64{1, 2, 3}, queueOf(0, 5, maxSmallOrderBytes).takeAll())
-	require.Equal(t, []uint64{1, 2, 3}, queueOf(large, large, large).takeAll())
-	require.Equal(t, []uint64{3, 1, 2}, queueOf(large, large, 0).takeAll())
+	require.Equal(t, []uint64{1, 2, 3}, queueOf(0, 5, maxSmallOrderBytes).nextAll())
+	require.Equal(t, []uint64{1, 2, 3}, queueOf(large, large, large).nextAll())
+	require.Equal(t, []uint64{3, 1, 2}, queueOf(large, large, 0).nextAll())
 	require.Equal(t, []uint64{3, 4, 5, 6, 1, 7, 8, 9, 10, 2, 11},
-		queueOf(large, large, 1, 2, 3, 4, 5, 6, 7, 8, 9).takeAll(), "the oldest is taken after four")
-	require.Equal(t, []uint64{1, 2, 3, 4, 5, 6, 7}, queueOf(1, 2, 3, 4, 5, 6, large).takeAll())
+		queueOf(large, large, 1, 2, 3, 4, 5, 6, 7, 8, 9).nextAll(), "the oldest is taken after four")
+	require.Equal(t, []uint64{1, 2, 3, 4, 5, 6, 7}, queueOf(1, 2, 3, 4, 5, 6, large).nextAll())
 }
--- a/internal/control/inspect_test.go
+++ b/internal/control/inspect_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestInspectFindsWhatAStartWouldHold(t *testing.T) {
-	cluster := newTestCluster(t, 3)
+	cluster := newTestCluster(t)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 3)).GetStatus())
 	for _, machine := range cluster.machines {
 		cluster.await(machine, 5*time.Second, func(status Status) bool {
@@ -56,7 +56,7 @@
 	var unreadable *RecordError
 	require.True(t, errors.As(inspection.Failure, &unreadable))
 	require.Equal(t, recordView, unreadable.Kind)
-	require.Equal(t, "own", inspection.Identity, "what came before the fault is told")
+	require.Equal(t, "own", inspection.Identity, "what came before the fault is reported")
 }
 
 func TestInspectOfAnotherFolder(t *testing.T) {
--- a/internal/control/leaving_test.go
+++ b/internal/control/leaving_test.go
@@ -15,7 +15,7 @@
 }
 
 func TestEachNodeLeavesAndReturns(t *testing.T) {
-	cluster := newTestCluster(t, 3)
+	cluster := newTestCluster(t)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 3)).GetStatus())
 	for index, leaver := range cluster.machines {
 		other := cluster.machines[(index+1)%3]
@@ -39,10 +39,10 @@
 }
 
 func TestLoneMachineLeavesAtOnce(t *testing.T) {
-	l := newLone(t)
+	l := newSingleMachine(t)
 	l.step(Leave{})
 	require.Equal(t, []Left{{}}, l.left)
 	l.step(Leave{})
 	l.tick(30)
-	require.Len(t, l.left, 1, "it is told once")
+	require.Len(t, l.left, 1, "it is reported once")
 }
--- a/internal/control/machine_test.go
+++ b/internal/control/machine_test.go
@@ -13,29 +13,30 @@
 	"fieldrelay/internal/ring"
 )
 
-// lone is a system of one machine, whose writes reach the disk at once unless they are held.
-type lone struct {
-	t       *testing.T
-	machine *Machine
-	now     time.Duration
-	records []ring.Record
-	base    []byte // snapshot on disk
-	hold    bool
-	held    []Persist
-	replies []*pb.OrderResult
-	sent    []Send
-	told    []*pb.Change // of the Committed actions
-	left    []Left
-	request uint64
+// singleMachine is a system of one machine, whose writes reach the disk at once unless holdWrites is set.
+type singleMachine struct {
+	t                *testing.T
+	machine          *Machine
+	now              time.Duration
+	records          []ring.Record
+	snapshot         []byte // snapshot on disk
+	holdWrites       bool
+	heldWrites       []Persist
+	replies          []*pb.OrderResult
+	sent             []Send
+	committedChanges []*pb.Change // of the Committed actions
+	left             []Left
+	lastRequest      uint64
 }
 
-func newLone(t *testing.T) *lone {
-	l := &lone{t: t}
+func newSingleMachine(t *testing.T) *singleMachine {
+	t.Helper()
+	l := &singleMachine{t: t}
 	l.restart()
 	return l
 }
 
-func (l *lone) restart() {
+func (l *singleMachine) restart() {
 	machine, err := NewMachine(Config{
 		Self:            &pb.Replica{Host: "core", Address: "10.0.0.1:7660", ControlAddress: "10.0.0.1:8146", Zone: "z"},
 		Seeds:           []string{"10.0.0.1:8146"},
@@ -44,24 +45,24 @@
 		PeerAddress:     func(string) string { return "10.0.0.1:7660" },
 		Random:          rand.New(rand.NewPCG(1, uint64(l.now))),
 		SnapshotRecords: 5,
-	}, &ring.Recovered{Snapshot: l.base, Records: l.records})
+	}, &ring.Recovered{Snapshot: l.snapshot, Records: l.records})
 	require.NoError(l.t, err)
 	l.machine = machine
 	l.step(Started{})
 	l.tick(10)
 }
 
-func (l *lone) step(event Event) {
+func (l *singleMachine) step(event Event) {
 	for _, action := range l.machine.Step(l.now, event) {
 		switch action := action.(type) {
 		case Persist:
-			l.held = append(l.held, action)
+			l.heldWrites = append(l.heldWrites, action)
 		case Reply:
 			l.replies = append(l.replies, action.Result)
 		case Send:
 			l.sent = append(l.sent, action)
 		case Committed:
-			l.told = append(l.told, action.Changes...)
+			l.committedChanges = append(l.committedChanges, action.Changes...)
 		case Left:
 			l.left = append(l.left, action)
 		}
@@ -69,12 +70,12 @@
 	l.release()
 }
 
-func (l *lone) release() {
-	for !l.hold && len(l.held) > 0 {
-		write := l.held[0]
-		l.held = l.held[1:]
+func (l *singleMachine) release() {
+	for !l.holdWrites && len(l.heldWrites) > 0 {
+		write := l.heldWrites[0]
+		l.heldWrites = l.heldWrites[1:]
 		if write.Snapshot != nil {
-			l.base = write.Snapshot
+			l.snapshot = write.Snapshot
 			l.records = nil
 		} else {
 			l.records = append(l.records, write.Records...)
@@ -83,7 +84,7 @@
 	}
 }
 
-func (l *lone) tick(times int) {
+func (l *singleMachine) tick(times int) {
 	for range times {
 		l.now += TickInterval
 		l.step(Tick{})
@@ -91,21 +92,21 @@
 }
 
 // order returns the answer to an order, which must come at once.
-func (l *lone) order(order *pb.Order) *pb.OrderResult {
-	l.request++
+func (l *singleMachine) submit(order *pb.Order) *pb.OrderResult {
+	l.lastRequest++
 	count := len(l.replies)
-	l.step(OrderSubmitted{Request: l.request, Order: order})
+	l.step(OrderSubmitted{Request: l.lastRequest, Order: order})
 	require.Len(l.t, l.replies, count+1)
 	return l.replies[count]
 }
 
-func (l *lone) requireStatus(status int, order *pb.Order) {
+func (l *singleMachine) requireStatus(status int, order *pb.Order) {
 	l.t.Helper()
-	require.EqualValues(l.t, status, l.order(order).GetStatus())
+	require.EqualValues(l.t, status, l.submit(order).GetStatus())
 }
 
 func TestStatusOfOrders(t *testing.T) {
-	l := newLone(t)
+	l := newSingleMachine(t)
 	l.requireStatus(http.StatusServiceUnavailable, &pb.Order{Kind: pb.Order_KIND_READ})
 	first := replaceOrder(0, 3)
 	l.requireStatus(http.StatusOK, first)
@@ -122,13 +123,13 @@
 	l.requireStatus(http.StatusOK, &pb.Order{Kind: pb.Order_KIND_EVACUATE_FINISH, Zone: "z"})
 	require.False(t, l.machine.Committed().Evacuated("z"))
 	l.requireStatus(http.StatusOK, &pb.Order{Kind: pb.Order_KIND_AMEND, Base: 7, Body: []byte(`{"gen":9}`)})
-	require.Contains(t, string(l.order(&pb.Order{Kind: pb.Order_KIND_READ}).GetBody()), `"gen":9`)
+	require.Contains(t, string(l.submit(&pb.Order{Kind: pb.Order_KIND_READ}).GetBody()), `"gen":9`)
 	l.requireStatus(http.StatusServiceUnavailable, &pb.Order{})
 }
 
 // An order on a generation that may yet come is not refused for good: a late copy could be taken then.
 func TestOrderOnALaterGenerationGetsNoClearAnswer(t *testing.T) {
-	l := newLone(t)
+	l := newSingleMachine(t)
 	l.requireStatus(http.StatusOK, replaceOrder(0, 3))
 	l.requireStatus(http.StatusServiceUnavailable, replaceOrder(5, 8))
 	l.requireStatus(http.StatusOK, replaceOrder(3, 5))
@@ -136,7 +137,7 @@
 }
 
 func TestOrdersAreRefusedRightAfterALateWake(t *testing.T) {
-	l := newLone(t)
+	l := newSingleMachine(t)
 	l.now += time.Second
 	l.requireStatus(http.StatusServiceUnavailable, replaceOrder(0, 3))
 	l.tick(1)
@@ -146,8 +147,8 @@
 }
 
 func TestLateConfirmationIsNotAnswered(t *testing.T) {
-	l := newLone(t)
-	l.hold = true
+	l := newSingleMachine(t)
+	l.holdWrites = true
 	l.step(OrderSubmitted{Request: 99, Order: replaceOrder(0, 3)})
 	pending := l.machine.origin.pending[0]
 	body := pending.order.GetBody()
@@ -160,13 +161,13 @@
 }
 
 func TestStateSurvivesARestart(t *testing.T) {
-	l := newLone(t)
+	l := newSingleMachine(t)
 	generation := uint64(0)
 	for next := uint64(3); next < 40; next += 3 {
 		l.requireStatus(http.StatusOK, replaceOrder(generation, next))
 		generation = next
 	}
-	require.NotEmpty(t, l.base, "a snapshot was due")
+	require.NotEmpty(t, l.snapshot, "a snapshot was due")
 	identity := l.machine.Self().GetIdentity()
 	before := l.machine.Committed().Digests()
 	l.restart()
@@ -176,34 +177,34 @@
 }
 
 func TestNothingIsAcknowledgedWhileTheDiskHangs(t *testing.T) {
-	l := newLone(t)
-	l.hold = true
+	l := newSingleMachine(t)
+	l.holdWrites = true
 	l.step(OrderSubmitted{Request: 50, Order: replaceOrder(0, 3)})
 	require.Empty(t, l.replies)
 	l.tick(7)
 	require.Len(t, l.replies, 1)
 	require.EqualValues(t, http.StatusServiceUnavailable, l.replies[0].GetStatus())
 	require.False(t, l.machine.disk.isHealthy())
-	l.hold = false
+	l.holdWrites = false
 	l.release()
 	require.True(t, l.machine.disk.isHealthy())
 	l.requireStatus(http.StatusOK, replaceOrder(0, 3))
 }
 
 func TestFailedWriteMakesTheDiskUnhealthyUntilOneSucceeds(t *testing.T) {
-	l := newLone(t)
-	l.hold = true
+	l := newSingleMachine(t)
+	l.holdWrites = true
 	l.step(OrderSubmitted{Request: 50, Order: replaceOrder(0, 3)})
 	l.step(WriteFailed{})
 	require.False(t, l.machine.health.canServe())
-	l.hold = false
+	l.holdWrites = false
 	l.release()
 	require.True(t, l.machine.health.canServe())
 }
 
 func TestOrdersOnTheirWayAreBounded(t *testing.T) {
-	l := newLone(t)
-	l.hold = true
+	l := newSingleMachine(t)
+	l.holdWrites = true
 	for request := range uint64(3 * maxPendingOrders) {
 		l.step(OrderSubmitted{Request: request, Order: replaceOrder(0, request+1)})
 	}
@@ -215,13 +216,13 @@
 }
 
 func TestMessagesForAnotherIdentityOrClusterAreDropped(t *testing.T) {
-	l := newLone(t)
+	l := newSingleMachine(t)
 	check := &pb.Message_ViewCheck{ViewCheck: &pb.ViewCheck{Id: 1, ViewNumber: 1}}
 	from := &pb.Replica{Host: "other", Identity: "o", Address: "10.0.0.2:7660"}
 	own := l.machine.Self().GetIdentity()
 	cluster := l.machine.View().GetCluster()
 	for _, message := range []*pb.Message{
-		{From: from, ToIdentity: "another life", Cluster: cluster, Body: check},
+		{From: from, ToIdentity: "another incarnation", Cluster: cluster, Body: check},
 		{From: from, ToIdentity: own, Cluster: "elsewhere", Body: check},
 		{From: &pb.Replica{}, ToIdentity: own, Cluster: cluster, Body: check},
 	} {
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -22,14 +22,17 @@
 
 // testMachine is one control machine on the loopback interface.
 type testMachine struct {
-	settings *settings.Settings
-	control  string
-	listener net.Listener
-	disk     *ringtest.Disk // nil: the ring is in the state folder
-	node     *Node
-	stop     func()
+	settings       *settings.Settings
+	controlAddress string
+	listener       net.Listener
+	disk           *ringtest.Disk // nil: the ring is in the state folder
+	node           *Node
+	stop           func()
 }
 
+// clusterSize is the number of machines of a testCluster.
+const clusterSize = 3
+
 // testCluster is a set of control machines that all are seeds.
 type testCluster struct {
 	t        *testing.T
@@ -37,15 +40,17 @@
 	peers    map[string]string // peer address by operator's address
 }
 
-func newTestCluster(t *testing.T, size int) *testCluster {
-	return newTestClusterOn(t, size, func(int) *ringtest.Disk { return nil })
+func newTestCluster(t *testing.T) *testCluster {
+	t.Helper()
+	return newTestClusterOn(t, func(int) *ringtest.Disk { return nil })
 }
 
 // newTestClusterOn starts machines on the given disks.
-func newTestClusterOn(t *testing.T, size int, diskOf func(index int) *ringtest.Disk) *testCluster {
+func newTestClusterOn(t *testing.T, diskOf func(index int) *ringtest.Disk) *testCluster {
+	t.Helper()
 	cluster := &testCluster{t: t, peers: make(map[string]string)}
 	var seeds []string
-	for index := range size {
+	for index := range clusterSize {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		port := listener.Addr().(*net.TCPAddr).Port
@@ -54,9 +59,9 @@
 		cluster.peers[control] = listener.Addr().String()
 		zone := "zone-" + strconv.Itoa(index)
 		cluster.machines = append(cluster.machines, &testMachine{
-			control:  control,
-			listener: listener,
-			disk:     diskOf(index),
+			controlAddress: control,
+			listener:       listener,
+			disk:           diskOf(index),
 			settings: &settings.Settings{
 				Hostname:    "core-" + strconv.Itoa(index),
 				Address:     "127.0.0.1",
@@ -86,7 +91,7 @@
 	options := Options{
 		Settings:       machine.settings,
 		Logger:         zap.NewNop(),
-		ControlAddress: machine.control,
+		ControlAddress: machine.controlAddress,
 		PeerAddress:    func(seed string) string { return c.peers[seed] },
 	}
 	if machine.disk != nil {
@@ -96,7 +101,7 @@
 	require.NoError(c.t, err)
 	machine.node = node
 	if machine.listener == nil {
-		machine.listener, err = net.Listen("tcp", c.peers[machine.control])
+		machine.listener, err = net.Listen("tcp", c.peers[machine.controlAddress])
 		require.NoError(c.t, err)
 	}
 	mux := http.NewServeMux()
@@ -151,7 +156,7 @@
 func authoritative(status Status) bool { return status.Authoritative }
 
 func TestThreeNodesFoundTakeOrdersAndReadThemBack(t *testing.T) {
-	cluster := newTestCluster(t, 3)
+	cluster := newTestCluster(t)
 	began := time.Now()
 	for _, machine := range cluster.machines {
 		cluster.await(machine, 5*time.Second, authoritative)
@@ -178,7 +183,7 @@
 }
 
 func TestAllNodesStoppedAtOnceResume(t *testing.T) {
-	cluster := newTestCluster(t, 3)
+	cluster := newTestCluster(t)
 	order := replaceOrder(0, 3)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[0], order).GetStatus())
 	for _, machine := range cluster.machines {
@@ -200,7 +205,7 @@
 	for index := range 3 {
 		t.Run(strconv.Itoa(index), func(t *testing.T) {
 			t.Parallel()
-			cluster := newTestCluster(t, 3)
+			cluster := newTestCluster(t)
 			require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 3)).GetStatus())
 			cluster.machines[index].stop()
 			began := time.Now()
@@ -213,7 +218,7 @@
 }
 
 func TestNodeWithAnEmptyDiskJoinsAgain(t *testing.T) {
-	cluster := newTestCluster(t, 3)
+	cluster := newTestCluster(t)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 3)).GetStatus())
 	wiped := cluster.machines[1]
 	wiped.stop()
@@ -233,7 +238,7 @@
 	for index := range 3 {
 		t.Run(strconv.Itoa(index), func(t *testing.T) {
 			t.Parallel()
-			cluster := newTestClusterOn(t, 3, func(index int) *ringtest.Disk {
+			cluster := newTestClusterOn(t, func(index int) *ringtest.Disk {
 				return ringtest.NewDisk(rand.New(rand.NewPCG(1, uint64(index))))
 			})
 			require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 3)).GetStatus())
--- a/internal/control/openring_test.go
+++ b/internal/control/openring_test.go
@@ -16,7 +16,7 @@
 )
 
 // damage changes bytes of the snapshots of a ring's files.
-func damage(t *testing.T, folder string) {
+func corruptRing(t *testing.T, folder string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "ring-*"))
 	require.NoError(t, err)
@@ -31,12 +31,12 @@
 }
 
 func TestNodeWithACorruptRingComesBackAsAnotherReplica(t *testing.T) {
-	cluster := newTestCluster(t, 3)
+	cluster := newTestCluster(t)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 3)).GetStatus())
 	machine := cluster.machines[1]
 	before := machine.node.Status().Self.GetIdentity()
 	machine.stop()
-	damage(t, filepath.Join(machine.settings.StateDir, ringFolder))
+	corruptRing(t, filepath.Join(machine.settings.StateDir, ringFolder))
 
 	began := time.Now()
 	cluster.start(machine)
@@ -62,11 +62,11 @@
 
 // A machine whose ring was corrupt founds nothing, even if its settings still say bootstrap.
 func TestCorruptRingsFoundNothing(t *testing.T) {
-	cluster := newTestCluster(t, 3)
+	cluster := newTestCluster(t)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 3)).GetStatus())
 	for _, machine := range cluster.machines {
 		machine.stop()
-		damage(t, filepath.Join(machine.settings.StateDir, ringFolder))
+		corruptRing(t, filepath.Join(machine.settings.StateDir, ringFolder))
 	}
 	for _, machine := range cluster.machines {
 		require.True(t, machine.settings.Bootstrap)
@@ -86,7 +86,7 @@
 		require.NoError(t, opened.Snapshot([]byte("a snapshot of some length")))
 		require.NoError(t, opened.Append(ring.Record{Kind: recordSynchronizedView, Payload: []byte{0}}))
 		require.NoError(t, opened.Close())
-		damage(t, ringPath(options.Settings.StateDir, number))
+		corruptRing(t, ringPath(options.Settings.StateDir, number))
 	}
 	_, _, _, err := openRing(context.Background(), options)
 	require.ErrorAs(t, err, &failure)
--- a/internal/control/originorders_test.go
+++ b/internal/control/originorders_test.go
@@ -11,7 +11,7 @@
 
 // A machine that hears no majority takes no order: its chain may be cut off from the others as a whole.
 func TestOrdersAreAnsweredAtOnceWithoutAMajority(t *testing.T) {
-	a := newAgreed(t)
+	a := newAuthoritativeMachine(t)
 	for _, kind := range []pb.Order_Kind{pb.Order_KIND_READ, pb.Order_KIND_REPLACE, pb.Order_KIND_EVACUATE_BEGIN} {
 		require.Empty(t, repliesTo(a, kind), "it is on its way")
 	}
@@ -24,7 +24,7 @@
 }
 
 // repliesTo returns what is answered at once to an order.
-func repliesTo(a *agreed, kind pb.Order_Kind) []Reply {
+func repliesTo(a *authoritativeMachine, kind pb.Order_Kind) []Reply {
 	var replies []Reply
 	for _, action := range a.machine.Step(a.now, OrderSubmitted{Order: &pb.Order{Kind: kind}}) {
 		if reply, isReply := action.(Reply); isReply {
@@ -34,15 +34,15 @@
 	return replies
 }
 
-// pendingOn submits an order whose write hangs, so that it stays pending.
-func pendingOn(l *lone, base, generation uint64) *pendingOrder {
-	l.hold = true
+// submitPending submits an order whose write hangs, so that it stays pending.
+func submitPending(l *singleMachine, base, generation uint64) *pendingOrder {
+	l.holdWrites = true
 	l.step(OrderSubmitted{Request: generation, Order: replaceOrder(base, generation)})
 	require.NotEmpty(l.t, l.machine.origin.pending)
 	return l.machine.origin.pending[len(l.machine.origin.pending)-1]
 }
 
-func (l *lone) receiveResult(from *pb.Replica, result *pb.OrderResult) {
+func (l *singleMachine) receiveResult(from *pb.Replica, result *pb.OrderResult) {
 	l.step(Received{Message: &pb.Message{
 		From:       from,
 		ToIdentity: l.machine.Self().GetIdentity(),
@@ -53,8 +53,8 @@
 
 // A result counts only from the machine that the order was forwarded to last.
 func TestResultsOfOtherMachinesAreDropped(t *testing.T) {
-	l := newLone(t)
-	pending := pendingOn(l, 0, 9)
+	l := newSingleMachine(t)
+	pending := submitPending(l, 0, 9)
 	head, other := &pb.Replica{Identity: "head", Address: "10.0.0.2:7660"}, &pb.Replica{Identity: "other", Address: "10.0.0.3:7660"}
 	pending.target = head.GetIdentity()
 	id, body := pending.order.GetId(), pending.order.GetBody()
@@ -73,8 +73,8 @@
 
 // An order that was forwarded to nobody is answered by nobody but its own deadline.
 func TestOrderWithoutAHeadIsAnsweredAtItsDeadline(t *testing.T) {
-	l := newLone(t)
-	pending := pendingOn(l, 0, 9)
+	l := newSingleMachine(t)
+	pending := submitPending(l, 0, 9)
 	pending.target = ""
 	l.receiveResult(&pb.Replica{Identity: "other"}, &pb.OrderResult{Id: pending.order.GetId(), Status: http.StatusOK})
 	require.Empty(t, l.replies)
@@ -84,15 +84,15 @@
 	require.EqualValues(t, http.StatusServiceUnavailable, l.replies[0].GetStatus())
 }
 
-// Results of an earlier life of this machine match no order of this one.
+// Results of an earlier incarnation of this machine match no order of this one.
 func TestResultsOfAnEarlierLifeAreDropped(t *testing.T) {
-	l := newLone(t)
-	earlier := pendingOn(l, 0, 9).order.GetId()
-	l.hold = false
+	l := newSingleMachine(t)
+	earlier := submitPending(l, 0, 9).order.GetId()
+	l.holdWrites = false
 	l.release()
 	l.replies = nil
 	l.restart()
-	pending := pendingOn(l, 9, 12)
+	pending := submitPending(l, 9, 12)
 	require.NotEqual(t, earlier, pending.order.GetId())
 	l.receiveResult(l.machine.Self(), &pb.OrderResult{Id: earlier, Status: http.StatusOK})
 	head := &pb.Replica{Identity: pending.target, Address: "10.0.0.2:7660"}
--- a/internal/control/plaindelivery_test.go
+++ b/internal/control/plaindelivery_test.go
@@ -14,7 +14,7 @@
 // before it has come whole.
 func TestLongDeliveriesReachMachinesThatReadNothingCompressed(t *testing.T) {
 	const size = 4 << 20
-	other := newReceiver(t, connect.WithCompression(gzipName, nil, nil))
+	other := newDeliveryReceiver(t, connect.WithCompression(gzipName, nil, nil))
 	close(other.release)
 	noise := make([]byte, size)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -23,8 +23,8 @@
 	}
 	change := &pb.Change{Sequence: 1, Upserts: []*pb.Item{{Kind: "routes", Name: "r", Body: noise}}}
 	counted := &counters{}
-	boxes := newPeerSenders(t.Context(), counted)
-	boxes.send(other.address, &pb.Message{Body: &pb.Message_Append{Append: &pb.Append{Changes: []*pb.Change{change}}}})
+	senders := newPeerSenders(t.Context(), counted)
+	senders.send(other.address, &pb.Message{Body: &pb.Message_Append{Append: &pb.Append{Changes: []*pb.Change{change}}}})
 	require.NotNil(t, other.next().GetAppend())
 	require.Zero(t, counted.failedCalls.Load())
 }
--- a/internal/control/readorders_test.go
+++ b/internal/control/readorders_test.go
@@ -9,8 +9,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// readFor has a lone machine, as the tail, answer a read of another machine that holds a state.
-func readFor(l *lone, held uint64) *pb.OrderResult {
+// readFor has a single machine, as the tail, answer a read of another machine that holds a state.
+func readFor(l *singleMachine, held uint64) *pb.OrderResult {
 	l.sent = nil
 	l.step(Received{Message: &pb.Message{
 		From:       &pb.Replica{Identity: "origin", Address: "10.0.0.2:7660"},
@@ -23,7 +23,7 @@
 }
 
 func TestTheTailSendsTheConfigurationToWhomLacksIt(t *testing.T) {
-	l := newLone(t)
+	l := newSingleMachine(t)
 	require.EqualValues(t, http.StatusServiceUnavailable, readFor(l, 0).GetStatus(), "there is none yet")
 	l.requireStatus(http.StatusOK, replaceOrder(0, 3))
 	l.requireStatus(http.StatusOK, replaceOrder(3, 7))
@@ -41,7 +41,7 @@
 }
 
 // readPendingAt submits a read at the head of a chain, and returns what was sent to the tail.
-func readPendingAt(a *agreed) (*pb.Order, *pb.Replica) {
+func readPendingAt(a *authoritativeMachine) (*pb.Order, *pb.Replica) {
 	for _, action := range a.machine.Step(a.now, OrderSubmitted{Request: 5, Order: &pb.Order{Kind: pb.Order_KIND_READ}}) {
 		if sent, isSend := action.(Send); isSend {
 			return sent.Message.GetOrder(), a.machine.replica.Tail()
@@ -50,7 +50,7 @@
 	return nil, nil
 }
 
-func (a *agreed) replyAfter(from *pb.Replica, result *pb.OrderResult) *pb.OrderResult {
+func (a *authoritativeMachine) replyAfter(from *pb.Replica, result *pb.OrderResult) *pb.OrderResult {
 	message := &pb.Message{From: from, Body: &pb.Message_OrderResult{OrderResult: result}}
 	for _, action := range a.machine.Step(a.now, Received{Message: message}) {
 		if reply, isReply := action.(Reply); isReply {
@@ -62,7 +62,7 @@
 
 // A tail of an earlier version names no state and sends all of it.
 func TestAReadPassesOnWhatTheTailSends(t *testing.T) {
-	a := newAgreed(t)
+	a := newAuthoritativeMachine(t)
 	order, tail := readPendingAt(a)
 	require.Equal(t, a.machine.Committed().Sequence(), order.GetHeld())
 	body := []byte(`{"gen":12}`)
@@ -70,9 +70,9 @@
 	require.Equal(t, body, reply.GetBody())
 }
 
-// A read says what was committed when the tail was asked, or something newer.
+// A read says what was committed when the tail received it, or something newer.
 func TestAReadAnswersFromTheStateThatItNamed(t *testing.T) {
-	a := newAgreed(t)
+	a := newAuthoritativeMachine(t)
 	order, tail := readPendingAt(a)
 	own, err := a.machine.Committed().Configuration()
 	require.NoError(t, err)
--- a/internal/control/recompression_test.go
+++ b/internal/control/recompression_test.go
@@ -18,7 +18,7 @@
 // compressed, though the way to it was never idle.
 func TestDeliveriesAreCompressedAfterTheOtherMachineWasUpgraded(t *testing.T) {
 	const deliveries = 20
-	other := &receiver{received: make(chan *pb.Message, 16), release: make(chan struct{})}
+	other := &deliveryReceiver{received: make(chan *pb.Message, 16), release: make(chan struct{})}
 	close(other.release)
 	_, old := fieldrelayv1connect.NewControlPeerHandler(other, connect.WithCompression(gzipName, nil, nil))
 	path, upgraded := fieldrelayv1connect.NewControlPeerHandler(other, CompressedDeliveries())
@@ -39,13 +39,13 @@
 	t.Cleanup(server.Close)
 	other.address = strings.TrimPrefix(server.URL, "http://")
 
-	boxes := newPeerSenders(t.Context(), &counters{})
-	boxes.send(other.address, manyRoutes())
+	senders := newPeerSenders(t.Context(), &counters{})
+	senders.send(other.address, largeAppend())
 	require.NotNil(t, other.next())
 	server.CloseClientConnections()
 	isUpgraded.Store(true)
 	for range deliveries {
-		boxes.send(other.address, manyRoutes())
+		senders.send(other.address, largeAppend())
 		require.NotNil(t, other.next())
 	}
 	require.Positive(t, compressed.Load())
--- a/internal/control/startup_test.go
+++ b/internal/control/startup_test.go
@@ -25,15 +25,15 @@
 	return view
 }
 
-// startedAgain returns the first machine of a view of five, as it starts on a disk that holds that view, and the
+// newRestartedMachine returns the first machine of a view of five, as it starts on a disk that holds that view, and the
 // others of the view.
-func startedAgain(t *testing.T) (*Machine, []*pb.Replica) {
+func newRestartedMachine(t *testing.T) (*Machine, []*pb.Replica) {
 	t.Helper()
-	return startedIn(t, viewOfFive())
+	return newRestartedMachineIn(t, viewOfFive())
 }
 
-// startedIn returns the first voter of a view, as it starts on a disk that holds that view, and the others.
-func startedIn(t *testing.T, view *pb.View) (*Machine, []*pb.Replica) {
+// newRestartedMachineIn returns the first voter of a view, as it starts on a disk that holds that view, and the others.
+func newRestartedMachineIn(t *testing.T, view *pb.View) (*Machine, []*pb.Replica) {
 	t.Helper()
 	machine, err := NewMachine(Config{
 		Self:        view.Voters[0],
@@ -49,19 +49,19 @@
 	return machine, view.GetVoters()[1:]
 }
 
-// hear passes a heartbeat of a machine that holds the view.
-func hear(machine *Machine, now time.Duration, from *pb.Replica) {
+// receiveHeartbeatOf passes a heartbeat of a machine that holds the view.
+func receiveHeartbeatOf(machine *Machine, now time.Duration, from *pb.Replica) {
 	machine.Step(now, Received{Message: &pb.Message{
 		From: from, ToIdentity: machine.Self().GetIdentity(), Cluster: "cluster",
 		Body: &pb.Message_Heartbeat{Heartbeat: &pb.Heartbeat{ViewNumber: 1, StorageHealthy: true, Synchronised: true}},
 	}})
 }
 
-// proposesAfter lets time pass, with heartbeats of some machines, and tells when a later view was first proposed.
-func proposesAfter(machine *Machine, heard []*pb.Replica, limit time.Duration) (time.Duration, bool) {
+// firstProposal lets time pass, with heartbeats of some machines, and returns when a later view was first proposed.
+func firstProposal(machine *Machine, senders []*pb.Replica, limit time.Duration) (time.Duration, bool) {
 	for now := TickInterval; now <= limit; now += TickInterval {
-		for _, other := range heard {
-			hear(machine, now, other)
+		for _, other := range senders {
+			receiveHeartbeatOf(machine, now, other)
 		}
 		for _, action := range machine.Step(now, Tick{}) {
 			if send, isSend := action.(Send); isSend && send.Message.GetPrepare() != nil {
@@ -73,14 +73,14 @@
 }
 
 func TestAMachineThatJustStartedLeavesTheOthersTimeToSpeak(t *testing.T) {
-	machine, others := startedAgain(t)
-	_, proposed := proposesAfter(machine, others[:3], FailureTimeout)
+	machine, others := newRestartedMachine(t)
+	_, proposed := firstProposal(machine, others[:3], FailureTimeout)
 	require.False(t, proposed, "the last one may have started as long ago as this one")
 }
 
 func TestAMachineThatJustStartedGivesUpThoseThatStaySilent(t *testing.T) {
-	machine, others := startedAgain(t)
-	after, proposed := proposesAfter(machine, others[:3], 2*FailureTimeout)
+	machine, others := newRestartedMachine(t)
+	after, proposed := firstProposal(machine, others[:3], 2*FailureTimeout)
 	require.True(t, proposed)
 	require.Greater(t, after, FailureTimeout)
 }
--- a/internal/control/trafficclass_test.go
+++ b/internal/control/trafficclass_test.go
@@ -20,15 +20,16 @@
 )
 
 // receiver takes deliveries; those that hold a change wait until it is released.
-type receiver struct {
+type deliveryReceiver struct {
 	address  string
 	received chan *pb.Message
 	release  chan struct{}
 	bytes    atomic.Int64 // of the bodies of all requests
 }
 
-func newReceiver(t *testing.T, options ...connect.HandlerOption) *receiver {
-	r := &receiver{received: make(chan *pb.Message, 16), release: make(chan struct{})}
+func newDeliveryReceiver(t *testing.T, options ...connect.HandlerOption) *deliveryReceiver {
+	t.Helper()
+	r := &deliveryReceiver{received: make(chan *pb.Message, 16), release: make(chan struct{})}
 	path, handler := fieldrelayv1connect.NewControlPeerHandler(r, options...)
 	mux := http.NewServeMux()
 	mux.HandleFunc(path, func(w http.ResponseWriter, request *http.Request) {
@@ -52,7 +53,7 @@
 	return read, err
 }
 
-func (r *receiver) Deliver(_ context.Context, request *connect.Request[pb.DeliverRequest]) (*connect.Response[pb.DeliverResponse], error) {
+func (r *deliveryReceiver) Deliver(_ context.Context, request *connect.Request[pb.DeliverRequest]) (*connect.Response[pb.DeliverResponse], error) {
 	for _, message := range request.Msg.GetMessages() {
 		if message.GetAppend() != nil {
 			<-r.release
@@ -63,7 +64,7 @@
 }
 
 // next is the next message that came, nil if none does in time.
-func (r *receiver) next() *pb.Message {
+func (r *deliveryReceiver) next() *pb.Message {
 	select {
 	case message := <-r.received:
 		return message
@@ -72,8 +73,8 @@
 	}
 }
 
-// manyRoutes is a change of many routes.
-func manyRoutes() *pb.Message {
+// largeAppend is a change of many routes.
+func largeAppend() *pb.Message {
 	change := &pb.Change{Sequence: 1, Generation: 1}
 	for number := range 1400 {
 		change.Upserts = append(change.Upserts, &pb.Item{
@@ -85,16 +86,16 @@
 	return &pb.Message{Body: &pb.Message_Append{Append: &pb.Append{Changes: []*pb.Change{change}}}}
 }
 
-func beat() *pb.Message {
+func heartbeatMessage() *pb.Message {
 	return &pb.Message{Body: &pb.Message_Heartbeat{Heartbeat: &pb.Heartbeat{}}}
 }
 
 // The others don't take a machine for silent because it sends them a configuration.
 func TestHeartbeatsDoNotWaitBehindAConfiguration(t *testing.T) {
-	other := newReceiver(t, CompressedDeliveries())
-	boxes := newPeerSenders(t.Context(), &counters{})
-	boxes.send(other.address, manyRoutes())
-	boxes.send(other.address, beat())
+	other := newDeliveryReceiver(t, CompressedDeliveries())
+	senders := newPeerSenders(t.Context(), &counters{})
+	senders.send(other.address, largeAppend())
+	senders.send(other.address, heartbeatMessage())
 	require.NotNil(t, other.next().GetHeartbeat())
 	close(other.release)
 	require.Len(t, other.next().GetAppend().GetChanges()[0].GetUpserts(), 1400)
@@ -102,18 +103,18 @@
 
 func TestChangesKeepTheirOrder(t *testing.T) {
 	small := &pb.Message{Body: &pb.Message_Append{Append: &pb.Append{}}}
-	require.Equal(t, classOf(manyRoutes()), classOf(small))
+	require.Equal(t, classOf(largeAppend()), classOf(small))
 	require.Equal(t, classUrgent, classOf(&pb.Message{Body: &pb.Message_Order{Order: &pb.Order{Zone: "brno"}}}))
 	large := &pb.Order{Body: make([]byte, maxUrgentBytes+1)}
 	require.Equal(t, classBulk, classOf(&pb.Message{Body: &pb.Message_Order{Order: large}}))
 }
 
 func TestLargeDeliveriesAreCompressed(t *testing.T) {
-	other := newReceiver(t, CompressedDeliveries())
+	other := newDeliveryReceiver(t, CompressedDeliveries())
 	close(other.release)
-	boxes := newPeerSenders(t.Context(), &counters{})
-	message := manyRoutes()
-	boxes.send(other.address, message)
+	senders := newPeerSenders(t.Context(), &counters{})
+	message := largeAppend()
+	senders.send(other.address, message)
 	require.Len(t, other.next().GetAppend().GetChanges()[0].GetUpserts(), 1400)
 	plainSize := 0
 	for _, item := range message.GetAppend().GetChanges()[0].GetUpserts() {
@@ -123,29 +124,29 @@
 }
 
 func TestMachinesThatReadNothingCompressedGetPlainDeliveries(t *testing.T) {
-	other := newReceiver(t, connect.WithCompression(gzipName, nil, nil))
+	other := newDeliveryReceiver(t, connect.WithCompression(gzipName, nil, nil))
 	close(other.release)
-	boxes := newPeerSenders(t.Context(), &counters{})
+	senders := newPeerSenders(t.Context(), &counters{})
 	for range 2 {
-		boxes.send(other.address, manyRoutes())
+		senders.send(other.address, largeAppend())
 		require.Len(t, other.next().GetAppend().GetChanges()[0].GetUpserts(), 1400)
 	}
 }
 
-// A delivery whose connection is reset is told of, message by message; heartbeats are not, for others follow.
+// A delivery whose connection is reset is reported, message by message; heartbeats are not, for others follow.
 func TestChangesThatWereNotDeliveredAreToldOf(t *testing.T) {
 	server := resettest.New(t)
-	boxes := newPeerSenders(t.Context(), &counters{})
+	senders := newPeerSenders(t.Context(), &counters{})
 	undelivered := make(chan *pb.Message, 16)
-	boxes.undelivered = func(message *pb.Message) { undelivered <- message }
+	senders.undelivered = func(message *pb.Message) { undelivered <- message }
 	address := strings.TrimPrefix(server.URL, "http://")
 	// A machine that has read a compressed delivery is not sent it plain after a failure.
-	boxes.send(address, manyRoutes())
-	require.Eventually(t, func() bool { return boxes.counters.sent.Load() == 1 }, 5*time.Second, time.Millisecond)
-	lost := manyRoutes()
-	for _, message := range []*pb.Message{beat(), lost} {
+	senders.send(address, largeAppend())
+	require.Eventually(t, func() bool { return senders.counters.sent.Load() == 1 }, 5*time.Second, time.Millisecond)
+	lost := largeAppend()
+	for _, message := range []*pb.Message{heartbeatMessage(), lost} {
 		server.Cut(resettest.WholeRequest)
-		boxes.send(address, message)
+		senders.send(address, message)
 		require.Eventually(t, func() bool { return server.Arrivals() == 1 }, 5*time.Second, time.Millisecond)
 	}
 	require.Eventually(t, func() bool { return len(undelivered) > 0 }, 5*time.Second, time.Millisecond)
@@ -154,14 +155,14 @@
 }
 
 func TestChangesThatHaveWaitedForTooLongAreToldOf(t *testing.T) {
-	boxes := newPeerSenders(t.Context(), &counters{})
+	senders := newPeerSenders(t.Context(), &counters{})
 	var undelivered []*pb.Message
-	boxes.undelivered = func(message *pb.Message) { undelivered = append(undelivered, message) }
-	expired := queuedMessage{message: manyRoutes(), at: time.Now().Add(-2 * maxQueueDelay)}
-	fresh := queuedMessage{message: manyRoutes(), at: time.Now()}
-	for _, lane := range []trafficClass{classUrgent, classBulk} {
-		box := &peerSender{owner: boxes, key: senderKey{class: lane}, queue: []queuedMessage{expired, fresh}}
-		require.Equal(t, []*pb.Message{fresh.message}, box.takeQueued())
+	senders.undelivered = func(message *pb.Message) { undelivered = append(undelivered, message) }
+	expired := queuedMessage{message: largeAppend(), at: time.Now().Add(-2 * maxQueueDelay)}
+	fresh := queuedMessage{message: largeAppend(), at: time.Now()}
+	for _, class := range []trafficClass{classUrgent, classBulk} {
+		sender := &peerSender{owner: senders, key: senderKey{class: class}, queue: []queuedMessage{expired, fresh}}
+		require.Equal(t, []*pb.Message{fresh.message}, sender.takeQueued())
 	}
 	require.Len(t, undelivered, 1)
 	require.Same(t, expired.message, undelivered[0])
--- a/internal/control/voter.go
+++ b/internal/control/voter.go
@@ -35,7 +35,7 @@
 
 // prepare answers a proposer's first step.
 func (v *voter) prepare(from *pb.Replica, prepare *pb.Prepare) {
-	if !v.answers(from, prepare.GetViewNumber()) {
+	if !v.answersFor(from, prepare.GetViewNumber()) {
 		return
 	}
 	if !v.agreesToChange(from) {
@@ -47,31 +47,33 @@
 		return
 	}
 	promise := v.acceptor.Prepare(prepare)
-	answer := &pb.Message{Body: &pb.Message_Promise{Promise: promise}}
-	if !promise.GetGranted() {
-		v.output.send(from, answer)
-		return
-	}
-	v.disk.persistThenSend(promiseRecord(v.acceptor), from, answer)
+	v.answer(from, promise.GetGranted(), &pb.Message{Body: &pb.Message_Promise{Promise: promise}})
 }
 
 // accept answers a proposer's second step.
 func (v *voter) accept(from *pb.Replica, accept *pb.Accept) {
-	if !v.answers(from, accept.GetViewNumber()) {
+	if !v.answersFor(from, accept.GetViewNumber()) {
 		return
 	}
 	accepted := v.acceptor.Accept(accept)
-	answer := &pb.Message{Body: &pb.Message_Accepted{Accepted: accepted}}
-	if !accepted.GetGranted() {
-		v.output.send(from, answer)
+	if accepted.GetGranted() {
+		v.acceptedAt = v.clock.now
+	}
+	v.answer(from, accepted.GetGranted(), &pb.Message{Body: &pb.Message_Accepted{Accepted: accepted}})
+}
+
+// answer sends what the acceptor has answered. What it has granted leaves only when its record is on disk; a rejection
+// binds it to nothing.
+func (v *voter) answer(to *pb.Replica, granted bool, message *pb.Message) {
+	if !granted {
+		v.output.send(to, message)
 		return
 	}
-	v.acceptedAt = v.clock.now
-	v.disk.persistThenSend(promiseRecord(v.acceptor), from, answer)
+	v.disk.persistThenSend(promiseRecord(v.acceptor), to, message)
 }
 
-// answers reports whether this machine answers the proposer of a view. It sends the view in force to one that is behind.
-func (v *voter) answers(from *pb.Replica, number uint64) bool {
+// answersFor reports whether this machine answers the proposer of a view. It sends the view in force to one that is behind.
+func (v *voter) answersFor(from *pb.Replica, number uint64) bool {
 	if view := viewInForce(v.replica); view != nil && number <= view.GetNumber() {
 		v.output.sendView(from)
 		return false
