--- a/internal/control/openring_test.go
+++ b/internal/control/openring_test.go
@@ -15,7 +15,7 @@
 	"fieldrelay/internal/settings"
 )
 
-// damage changes bytes of the snapshots of a ring's files.
+// corruptRing changes bytes of the snapshots of a ring's files.
 func corruptRing(t *testing.T, folder string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "ring-*"))
--- a/internal/control/trafficclass_test.go
+++ b/internal/control/trafficclass_test.go
@@ -19,7 +19,7 @@
 	"fieldrelay/internal/resettest"
 )
 
-// receiver takes deliveries; those that hold a change wait until it is released.
+// deliveryReceiver takes deliveries; those with a change wait until it is released.
 type deliveryReceiver struct {
 	address  string
 	received chan *pb.Message
--- a/internal/controlsim/episode_test.go
+++ b/internal/controlsim/adversary_episode_test.go
@@ -31,7 +31,7 @@
 // watch measures how long it takes until the system is repaired, takes orders, and is redundant.
 func (e *episode) watch() {
 	w := e.adversary.world
-	figures := e.adversary.figures
+	figures := e.adversary.measurements
 	began := max(e.at, e.resumed)
 	w.await(began, w.isRepaired, &figures.repairs)
 	w.after(began-w.now, func() { w.awaitAcknowledgement(&figures.acknowledgements) })
@@ -39,8 +39,8 @@
 }
 
 // await measures the time from a moment until something is reached.
-func (w *world) await(began time.Duration, reached func() bool, into *spans) {
-	w.every(probePeriod, func() bool {
+func (w *world) await(began time.Duration, reached func() bool, into *durations) {
+	w.every(redundancyCheckInterval, func() bool {
 		if w.now < began || !reached() {
 			return false
 		}
@@ -51,10 +51,10 @@
 
 // awaitAcknowledgement measures the time until an order is acknowledged that is sent to any running machine, and to
 // another one soon after.
-func (w *world) awaitAcknowledgement(into *spans) {
+func (w *world) awaitAcknowledgement(into *durations) {
 	began := w.now
 	done := false
-	w.every(orderPeriod, func() bool {
+	w.every(probeOrderInterval, func() bool {
 		if running := w.running(); !done && len(running) > 0 {
 			order := &pb.Order{Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: staleZone}
 			w.submit(running[w.random.IntN(len(running))], order, func(result *pb.OrderResult) {
--- a/internal/controlsim/losses_test.go
+++ b/internal/controlsim/adversary_losses_test.go
@@ -12,9 +12,9 @@
 		case twoMachines:
 			sets = append(sets, a.pairs()...)
 		case oneZone:
-			sets = append(sets, a.places(func(host *host) string { return host.zone })...)
+			sets = append(sets, a.groups(func(host *host) string { return host.zone })...)
 		case oneRegion:
-			sets = append(sets, a.places(func(host *host) string { return host.region })...)
+			sets = append(sets, a.groups(func(host *host) string { return host.region })...)
 		}
 	}
 	return sets
@@ -23,7 +23,7 @@
 // surplus are the machines, each by itself, of zones that have more of them than in the beginning.
 func (a *adversary) surplus() [][]*host {
 	excess := make(map[string]int)
-	for _, host := range a.world.living() {
+	for _, host := range a.world.remaining() {
 		excess[host.zone]++
 	}
 	for _, host := range a.world.hosts[:a.deployment.machines] {
@@ -37,7 +37,7 @@
 
 func (a *adversary) singles() [][]*host {
 	var sets [][]*host
-	for _, one := range a.world.living() {
+	for _, one := range a.world.remaining() {
 		sets = append(sets, []*host{one})
 	}
 	return sets
@@ -45,7 +45,7 @@
 
 func (a *adversary) pairs() [][]*host {
 	var sets [][]*host
-	living := a.world.living()
+	living := a.world.remaining()
 	for index, first := range living {
 		for _, second := range living[index+1:] {
 			sets = append(sets, []*host{first, second})
@@ -54,10 +54,10 @@
 	return sets
 }
 
-func (a *adversary) places(of func(*host) string) [][]*host {
+func (a *adversary) groups(of func(*host) string) [][]*host {
 	byPlace := make(map[string]int)
 	var sets [][]*host
-	for _, host := range a.world.living() {
+	for _, host := range a.world.remaining() {
 		index, known := byPlace[of(host)]
 		if !known {
 			index = len(sets)
--- a/internal/controlsim/adversary_planted_test.go
+++ b/internal/controlsim/adversary_planted_test.go
@@ -12,45 +12,36 @@
 )
 
 func TestAdversaryFindsPlantedFaults(t *testing.T) {
-	faults := []struct {
-		name     string
-		mutation mutation
-		finding  string
-	}{
+	faults := []plantedFault[mutation]{
 		{
-			name:     "machines are taken before the budget is free again",
-			mutation: mutation{strikeEarly: true}, finding: "not redundant",
+			name:    "machines are taken before the budget is free again",
+			planted: mutation{strikeEarly: true}, finding: "not redundant",
 		},
 		{
-			name:     "a machine that is told to end just ends",
-			mutation: mutation{leaveSilently: true}, finding: "not redundant",
+			name:    "a machine that is told to end just ends",
+			planted: mutation{leaveSilently: true}, finding: "not redundant",
 		},
 		{
-			name:     "changes are not on disk",
-			mutation: mutation{records: withoutChanges}, finding: "was acknowledged",
+			name:    "changes are not on disk",
+			planted: mutation{records: withoutChanges}, finding: "was acknowledged",
 		},
 		{
-			name:     "new machines are not let in",
-			mutation: mutation{message: hideView}, finding: "not redundant",
+			name:    "new machines are not let in",
+			planted: mutation{message: hideView}, finding: "not redundant",
 		},
 		{
-			name:     "a repair lacks what differs",
-			mutation: mutation{message: emptyRepairs}, finding: "two states of sequence",
+			name:    "a repair lacks what differs",
+			planted: mutation{message: emptyRepairs}, finding: "two states of sequence",
 		},
 	}
-	for _, fault := range faults {
-		t.Run(fault.name, func(t *testing.T) {
-			t.Parallel()
-			require.True(t, isFoundByAdversary(fault.mutation, fault.finding), "%q was not found", fault.finding)
-		})
-	}
+	requireFound(t, faults, isFoundByAdversary)
 }
 
 func isFoundByAdversary(planted mutation, finding string) bool {
 	for seed := range uint64(adversarySeeds) {
 		for _, deployment := range deployments[:3] {
 			w, _ := attack(deployment, seed, planted)
-			if strings.Contains(strings.Join(w.checker.failures, "; "), finding) {
+			if w.checker.hasFinding(finding) {
 				return true
 			}
 		}
@@ -62,7 +53,7 @@
 // comes.
 func TestAdversaryFindsThatNewMachinesAreLetInLate(t *testing.T) {
 	w, figures := attack(deployments[0], 1, mutation{message: withholdHeartbeats()})
-	missed := figures.strengths.worst() >= deployments[0].syncFor/2
+	missed := figures.strengths.worst() >= deployments[0].lostPeriod/2
 	require.True(t, missed || len(w.checker.failures) > 0)
 }
 
@@ -72,7 +63,7 @@
 	return err == nil && index >= deployments[0].machines
 }
 
-// hideView makes the machines that came later tell that they hold no view.
+// hideView makes the machines that came later advertise no view.
 func hideView(message *pb.Message) *pb.Message {
 	if message.GetHeartbeat() == nil || !isNew(message.GetFrom()) {
 		return message
--- a/internal/controlsim/adversary_test.go
+++ b/internal/controlsim/adversary_test.go
@@ -14,24 +14,24 @@
 	// adversarySeeds is the number of runs of each deployment, for the default number of seeds; with another number of
 	// those it is in proportion.
 	adversarySeeds = 8
-	// adversaryFor is how long a run lasts.
-	adversaryFor = 120 * time.Second
-	// orderPeriod is the time between two orders that are sent to find out when orders are acknowledged.
-	orderPeriod = 50 * time.Millisecond
-	// probePeriod is the time between two looks at the redundancy.
-	probePeriod = 10 * time.Millisecond
+	// adversaryDuration is how long a run lasts.
+	adversaryDuration = 120 * time.Second
+	// probeOrderInterval is the time between two orders that are sent to find out when orders are acknowledged.
+	probeOrderInterval = 50 * time.Millisecond
+	// redundancyCheckInterval is the time between two checks of the redundancy.
+	redundancyCheckInterval = 10 * time.Millisecond
 )
 
 // deployment is a kind of site with what has to be borne there at once.
 type deployment struct {
 	name                     string
 	machines, zones, regions int
-	required                 chain.Requirement
-	syncFor                  time.Duration // a machine counts as lost for so long after its start
+	requirement              chain.Requirement
+	lostPeriod               time.Duration // a machine counts as lost for so long after its start
 	losses                   []lossKind
 }
 
-// lossKind tells which machines may be lost at once.
+// lossKind is which machines may be lost at once.
 type lossKind int
 
 const (
@@ -43,50 +43,50 @@
 
 var deployments = []deployment{
 	{
-		name: "3 in 3 zones", machines: 3, zones: 3, syncFor: 4 * time.Second,
-		required: chain.Requirement{Replicas: 2, Zones: 2, Regions: 1}, losses: []lossKind{oneMachine, oneZone},
+		name: "3 in 3 zones", machines: 3, zones: 3, lostPeriod: 4 * time.Second,
+		requirement: chain.Requirement{Replicas: 2, Zones: 2, Regions: 1}, losses: []lossKind{oneMachine, oneZone},
 	},
 	{
-		name: "4 in 3 zones", machines: 4, zones: 3, syncFor: 4 * time.Second,
-		required: chain.Requirement{Replicas: 2, Zones: 1, Regions: 1}, losses: []lossKind{oneMachine},
+		name: "4 in 3 zones", machines: 4, zones: 3, lostPeriod: 4 * time.Second,
+		requirement: chain.Requirement{Replicas: 2, Zones: 1, Regions: 1}, losses: []lossKind{oneMachine},
 	},
 	{
-		name: "5 in 3 zones", machines: 5, zones: 3, syncFor: 4 * time.Second,
-		required: chain.Requirement{Replicas: 2, Zones: 2, Regions: 1}, losses: []lossKind{oneMachine, oneZone},
+		name: "5 in 3 zones", machines: 5, zones: 3, lostPeriod: 4 * time.Second,
+		requirement: chain.Requirement{Replicas: 2, Zones: 2, Regions: 1}, losses: []lossKind{oneMachine, oneZone},
 	},
 	{
-		name: "5 in 3 zones, two machines", machines: 5, zones: 3, syncFor: 4 * time.Second,
-		required: chain.Requirement{Replicas: 3, Zones: 2, Regions: 1}, losses: []lossKind{twoMachines, oneZone},
+		name: "5 in 3 zones, two machines", machines: 5, zones: 3, lostPeriod: 4 * time.Second,
+		requirement: chain.Requirement{Replicas: 3, Zones: 2, Regions: 1}, losses: []lossKind{twoMachines, oneZone},
 	},
 	{
-		name: "5 in 5 zones in 3 regions", machines: 5, zones: 5, regions: 3, syncFor: 4 * time.Second,
-		required: chain.Requirement{Replicas: 2, Zones: 2, Regions: 2}, losses: []lossKind{oneMachine, oneZone, oneRegion},
+		name: "5 in 5 zones in 3 regions", machines: 5, zones: 5, regions: 3, lostPeriod: 4 * time.Second,
+		requirement: chain.Requirement{Replicas: 2, Zones: 2, Regions: 2}, losses: []lossKind{oneMachine, oneZone, oneRegion},
 	},
 	{
-		name: "9 in 6 zones", machines: 9, zones: 6, syncFor: 6 * time.Second,
-		required: chain.Requirement{Replicas: 3, Zones: 2, Regions: 1}, losses: []lossKind{twoMachines, oneZone},
+		name: "9 in 6 zones", machines: 9, zones: 6, lostPeriod: 6 * time.Second,
+		requirement: chain.Requirement{Replicas: 3, Zones: 2, Regions: 1}, losses: []lossKind{twoMachines, oneZone},
 	},
 }
 
 // adversary takes machines for good as soon as the fault budget is free again, those that hurt most.
 type adversary struct {
-	world      *world
-	deployment deployment
-	ended      bool
-	freeAt     time.Duration // when the budget is free again
-	losses     int
-	figures    *lossFigures
+	world        *world
+	deployment   deployment
+	ended        bool
+	budgetFreeAt time.Duration // when the budget is free again
+	losses       int
+	measurements *lossMeasurements
 }
 
-// lossFigures are what losses were measured to take: until the chain is whole and enough for acknowledgements, since
+// lossMeasurements are what losses were measured to take: until the chain is whole and enough for acknowledgements, since
 // the loss or, where all others lost power, since the last of those was back; until an order was acknowledged, since
 // the same; until the voters are back to strength, too, since the last machine was back or its successor started.
-type lossFigures struct {
-	repairs, acknowledgements, strengths spans
+type lossMeasurements struct {
+	repairs, acknowledgements, strengths durations
 	leaves, disagreed                    int
 }
 
-func (f *lossFigures) add(other *lossFigures) {
+func (f *lossMeasurements) add(other *lossMeasurements) {
 	f.repairs = append(f.repairs, other.repairs...)
 	f.acknowledgements = append(f.acknowledgements, other.acknowledgements...)
 	f.strengths = append(f.strengths, other.strengths...)
@@ -99,12 +99,12 @@
 	if a.ended || len(a.world.checker.failures) > 0 {
 		return
 	}
-	if a.world.now < a.freeAt {
-		a.world.after(a.freeAt-a.world.now, a.next)
+	if a.world.now < a.budgetFreeAt {
+		a.world.after(a.budgetFreeAt-a.world.now, a.next)
 		return
 	}
 	if !a.isRedundant() {
-		a.world.checker.fail("not redundant %v after the last machine was back", a.deployment.syncFor)
+		a.world.checker.fail("not redundant %v after the last machine was back", a.deployment.lostPeriod)
 	}
 	switch draw := a.world.random.IntN(20); {
 	case len(a.surplus()) > 0 && draw < 12:
@@ -128,24 +128,24 @@
 	lost := episode{adversary: a, at: w.now}
 	goesForGood := w.chance(0.5)
 	for _, victim := range victims {
-		w.note("%s is lost, for good: %v", victim.name, goesForGood)
+		w.tracef("%s is lost, for good: %v", victim.name, goesForGood)
 		victim.wipe()
-		victim.gone = goesForGood
-		lost.returns(w.between(200*time.Millisecond, 3*time.Second), a.successor(victim))
+		victim.removed = goesForGood
+		lost.returns(w.durationBetween(200*time.Millisecond, 3*time.Second), a.successor(victim))
 	}
 	if w.chance(0.7) {
-		w.note("all others lose power")
-		for _, other := range w.living() {
+		w.tracef("all others lose power")
+		for _, other := range w.remaining() {
 			if other.machine != nil {
 				other.losePower()
-				lost.resumes(w.between(100*time.Millisecond, time.Second), other)
+				lost.resumes(w.durationBetween(100*time.Millisecond, time.Second), other)
 			}
 		}
 	}
 	lost.watch()
-	a.freeAt = lost.lastReturn + a.deployment.syncFor
+	a.budgetFreeAt = lost.lastReturn + a.deployment.lostPeriod
 	if w.plan.mutation.strikeEarly {
-		a.freeAt = w.now + 100*time.Millisecond
+		a.budgetFreeAt = w.now + 100*time.Millisecond
 	}
 	a.next()
 }
@@ -153,7 +153,7 @@
 // successor returns the start of a machine that was lost, or of another one in its place if it is gone.
 func (a *adversary) successor(lost *host) func() {
 	return func() {
-		if lost.gone {
+		if lost.removed {
 			a.startNew(lost)
 			return
 		}
@@ -165,32 +165,32 @@
 func (a *adversary) startNew(old *host) {
 	added := a.world.addHost(false)
 	added.zone, added.region = old.zone, old.region
-	a.world.note("%s is new, for %s", added.name, old.name)
+	a.world.tracef("%s is new, for %s", added.name, old.name)
 	added.start()
 }
 
-// terminate tells a machine to end and counts how that went.
+// terminate shuts a machine down gracefully and counts how that went.
 func (a *adversary) terminate(victim *host, forGood bool, then func()) {
 	w := a.world
-	w.note("%s is told to end, for good: %v", victim.name, forGood)
-	a.figures.leaves++
+	w.tracef("%s is told to end, for good: %v", victim.name, forGood)
+	a.measurements.leaves++
 	victim.terminate(func(bool) {
 		if forGood {
-			victim.gone = true
+			victim.removed = true
 			victim.wipe()
 		}
 		then()
 	})
 }
 
-// replaceNewFirst starts a successor and tells the old machine to end when that has had its time. The budget is free
+// replaceNewFirst starts a successor and shuts the old machine down gracefully when that has had its time. The budget is free
 // at that moment, and when the old one has ended.
 func (a *adversary) replaceNewFirst() {
 	w := a.world
 	old := a.worst(a.singles())[0]
 	a.startNew(old)
-	a.freeAt = w.now + a.deployment.syncFor
-	w.after(a.deployment.syncFor, func() {
+	a.budgetFreeAt = w.now + a.deployment.lostPeriod
+	w.after(a.deployment.lostPeriod, func() {
 		if a.ended {
 			return
 		}
@@ -202,7 +202,7 @@
 	})
 }
 
-// remove tells a machine to end whose successor has been there for long.
+// remove shuts a machine down gracefully whose successor has been there for long.
 func (a *adversary) remove() {
 	a.terminate(a.worst(a.surplus())[0], true, a.strike)
 }
@@ -215,7 +215,7 @@
 	a.lose()
 }
 
-// replaceOldFirst tells a machine to end and starts its successor after that.
+// replaceOldFirst shuts a machine down gracefully and starts its successor after that.
 func (a *adversary) replaceOldFirst() {
 	old := a.worst(a.singles())[0]
 	a.terminate(old, true, func() {
@@ -223,7 +223,7 @@
 	})
 }
 
-// restart tells a machine to end and starts it again.
+// restart shuts a machine down gracefully and starts it again.
 func (a *adversary) restart() {
 	victim := a.worst(a.singles())[0]
 	a.terminate(victim, false, func() { a.returnsLater(victim.start) })
@@ -232,29 +232,29 @@
 // returnsLater starts a machine after a while, and goes on when it has had its time.
 func (a *adversary) returnsLater(start func()) {
 	back := episode{adversary: a, at: a.world.now}
-	back.returns(a.world.between(200*time.Millisecond, time.Second), start)
+	back.returns(a.world.durationBetween(200*time.Millisecond, time.Second), start)
 	back.watch()
-	a.freeAt = back.lastReturn + a.deployment.syncFor
+	a.budgetFreeAt = back.lastReturn + a.deployment.lostPeriod
 	a.next()
 }
 
 // attack plays a run of a deployment.
-func attack(deployment deployment, seed uint64, planted mutation) (*world, *lossFigures) {
+func attack(deployment deployment, seed uint64, planted mutation) (*world, *lossMeasurements) {
 	plan := plan{
 		seed: seed, machines: deployment.machines, zones: deployment.zones, regions: deployment.regions,
-		required: deployment.required, mutation: planted, calm: true,
-		processor: float64(number("CONTROLSIM_PROCESSOR_PERCENT", 0)) / 100,
+		requirement: deployment.requirement, mutation: planted, calm: true,
+		processor: float64(envInt("CONTROLSIM_PROCESSOR_PERCENT", 0)) / 100,
 	}
 	w := newWorld(plan)
 	operators := []*operator{w.addOperator(1), w.addOperator(2)}
-	figures := &lossFigures{}
-	adversary := &adversary{world: w, deployment: deployment, figures: figures, freeAt: 2 * deployment.syncFor}
+	figures := &lossMeasurements{}
+	adversary := &adversary{world: w, deployment: deployment, measurements: figures, budgetFreeAt: 2 * deployment.lostPeriod}
 	w.after(0, adversary.next)
-	w.run(adversaryFor)
+	w.run(adversaryDuration)
 	adversary.ended = true
-	w.run(2 * deployment.syncFor)
+	w.run(2 * deployment.lostPeriod)
 	for _, operator := range operators {
-		operator.ended = true
+		operator.stopped = true
 	}
 	w.checkLiveness()
 	w.checker.finish()
@@ -262,12 +262,12 @@
 }
 
 func TestAcknowledgedStateOutlivesAnAdversary(t *testing.T) {
-	seeds := max(1, number("CONTROLSIM_SEEDS", defaultSeeds)*adversarySeeds/defaultSeeds)
-	first := number("CONTROLSIM_FIRST", 1)
+	seeds := max(1, envInt("CONTROLSIM_SEEDS", defaultSeeds)*adversarySeeds/defaultSeeds)
+	first := envInt("CONTROLSIM_FIRST", 1)
 	for _, deployment := range deployments {
 		t.Run(strings.ReplaceAll(deployment.name, " ", "-"), func(t *testing.T) {
 			t.Parallel()
-			var total lossFigures
+			var total lossMeasurements
 			failed := 0
 			for seed := first; seed < first+seeds && failed < maxFailed; seed++ {
 				w, figures := attack(deployment, uint64(seed), mutation{})
@@ -285,9 +285,9 @@
 			t.Logf("until an order is acknowledged: %v", total.acknowledgements)
 			t.Logf("until the voters are back to strength: %v", total.strengths)
 			t.Logf("%d were told to end", total.leaves)
-			require.Less(t, total.repairs.worst(), deployment.syncFor/2)
-			require.Less(t, total.strengths.worst(), deployment.syncFor/2)
-			require.Less(t, total.acknowledgements.worst(), deployment.syncFor/2)
+			require.Less(t, total.repairs.worst(), deployment.lostPeriod/2)
+			require.Less(t, total.strengths.worst(), deployment.lostPeriod/2)
+			require.Less(t, total.acknowledgements.worst(), deployment.lostPeriod/2)
 		})
 	}
 }
--- a/internal/controlsim/busystorm_test.go
+++ b/internal/controlsim/busystorm_test.go
@@ -3,8 +3,6 @@
 import (
 	"testing"
 	"time"
-
-	"github.com/stretchr/testify/require"
 )
 
 const (
@@ -19,35 +17,31 @@
 func playBusyStorm(plan plan) *world {
 	routes := 0
 	if plan.seed%4 == 0 {
-		routes = bigRoutes / 4
+		routes = largeConfigurationRoutes / 4
 	}
-	w := &farWorld{world: newWorld(plan)}
+	w := &catchupWorld{world: newWorld(plan)}
 	w.writer = w.addWriter(routes)
 	w.addReader()
 	other := w.addOperator(1)
-	storm := w.addTrouble()
+	storm := w.addRandomFaults()
 	w.run(busyStormFor)
 	storm.heal()
-	w.plan.restless = 0
-	w.writer.ended = true
-	other.ended = true
-	w.run(operatorPatience)
+	w.plan.spuriousProposals = 0
+	w.writer.stopped = true
+	other.stopped = true
+	w.run(operatorTimeout)
 	w.checkLiveness()
 	w.checker.finish()
 	return w.world
 }
 
 func TestHundredsOfChangesThroughStorms(t *testing.T) {
-	first := number("CONTROLSIM_FIRST", 1)
-	count := number("CONTROLSIM_BUSY", defaultBusySeeds)
-	var total figures
-	t.Cleanup(func() {
-		t.Logf("%d runs: %d acknowledged, %d refused, %d reads, %d views, %d failed", count,
-			total.acknowledged.Load(), total.refused.Load(), total.reads.Load(), total.views.Load(), total.failed.Load())
-		require.Positive(t, total.acknowledged.Load())
-	})
+	first := envInt("CONTROLSIM_FIRST", 1)
+	count := envInt("CONTROLSIM_BUSY", defaultBusySeeds)
+	var total totals
+	t.Cleanup(func() { total.requireAcknowledged(t, count) })
 	total.each(t, first, count, func(seed uint64) *world {
-		w := playBusyStorm(planOf(seed))
+		w := playBusyStorm(randomPlan(seed))
 		total.add(w)
 		return w
 	})
--- a/internal/controlsim/authority_calm_test.go
+++ b/internal/controlsim/calmauthority_test.go
@@ -14,43 +14,43 @@
 const (
 	// defaultCalmSeeds is the number of calm runs; CONTROLSIM_CALM_SEEDS sets another, CONTROLSIM_FIRST the first seed.
 	defaultCalmSeeds = 20
-	// calmFor is how long changes are made in a calm run.
-	calmFor = 10 * time.Second
-	// settleFor is the time after the founding in which the chain may still be extended.
-	settleFor = 3 * time.Second
+	// calmDuration is how long changes are made in a calm run.
+	calmDuration = 10 * time.Second
+	// chainSettlingTime is the time after the founding in which the chain may still be extended.
+	chainSettlingTime = 3 * time.Second
 )
 
-// authorityLapses counts the looks at which a machine that should be authoritative was not.
+// authorityLapses counts the checks at which a machine that should be authoritative was not.
 type authorityLapses struct {
-	looks, lapses int
-	ended         bool
+	checks, lapses int
+	ended          bool
 }
 
-// watchLapses looks at all machines until it is ended.
+// watchLapses checks all machines until it is stopped.
 func (w *world) watchLapses() *authorityLapses {
 	watch := &authorityLapses{}
-	w.every(authorityPeriod, func() bool {
-		watch.look(w)
+	w.every(authorityCheckInterval, func() bool {
+		watch.check(w)
 		return watch.ended
 	})
 	return watch
 }
 
-func (a *authorityLapses) look(w *world) {
-	for _, host := range w.living() {
+func (a *authorityLapses) check(w *world) {
+	for _, host := range w.remaining() {
 		if a.ended {
 			return
 		}
-		a.looks++
+		a.checks++
 		if !host.machine.Authoritative() {
 			a.lapses++
-			w.note("%s has no authority", host.name)
+			w.tracef("%s has no authority", host.name)
 		}
 	}
 }
 
 func (w *world) allAuthoritative() bool {
-	for _, host := range w.living() {
+	for _, host := range w.remaining() {
 		if host.machine == nil || !host.machine.Authoritative() {
 			return false
 		}
@@ -61,7 +61,7 @@
 // authorityTimes are how long all machines of calm runs needed for their authority.
 type authorityTimes struct {
 	mutex             sync.Mutex
-	founding, restart spans
+	founding, restart durations
 }
 
 func (a *authorityTimes) add(founding, restart time.Duration) {
@@ -74,20 +74,20 @@
 // playCalm founds a system, makes changes for a while and lets all machines start anew.
 func playCalm(t *testing.T, plan plan, times *authorityTimes) {
 	w := newWorld(plan)
-	require.True(t, w.runUntil(foundWithin, w.allAuthoritative), "no authority after the founding")
+	require.True(t, w.runUntil(foundingLimit, w.allAuthoritative), "no authority after the founding")
 	founding := w.now
 	operators := []*operator{w.addOperator(1), w.addOperator(2)}
-	w.run(settleFor)
+	w.run(chainSettlingTime)
 	watch := w.watchLapses()
-	w.run(calmFor)
+	w.run(calmDuration)
 	watch.ended = true
-	require.Positive(t, watch.looks)
+	require.Positive(t, watch.checks)
 	require.Zero(t, watch.lapses, w.trace)
 	for _, operator := range operators {
-		operator.ended = true
+		operator.stopped = true
 	}
 	restart := w.restartAll()
-	require.True(t, w.runUntil(foundWithin, w.allAuthoritative), "no authority after the restart")
+	require.True(t, w.runUntil(foundingLimit, w.allAuthoritative), "no authority after the restart")
 	times.add(founding, w.now-restart)
 	require.Empty(t, w.checker.failures)
 }
@@ -99,7 +99,7 @@
 	}
 	last := time.Duration(0)
 	for _, host := range w.hosts {
-		wait := w.upTo(300 * time.Millisecond)
+		wait := w.durationUpTo(300 * time.Millisecond)
 		last = max(last, wait)
 		w.after(wait, host.start)
 	}
@@ -108,8 +108,8 @@
 }
 
 func TestCalmMachinesKeepTheirAuthority(t *testing.T) {
-	first := number("CONTROLSIM_FIRST", 1)
-	count := number("CONTROLSIM_CALM_SEEDS", defaultCalmSeeds)
+	first := envInt("CONTROLSIM_FIRST", 1)
+	count := envInt("CONTROLSIM_CALM_SEEDS", defaultCalmSeeds)
 	var times authorityTimes
 	for seed := first; seed < first+count; seed++ {
 		playCalm(t, calmPlan(uint64(seed)), &times)
@@ -125,20 +125,20 @@
 }
 
 func (s slowLargeChanges) play(seed uint64) (*world, *authorityLapses) {
-	w := newWorld(plan{seed: seed, machines: 9, zones: 3, required: usualRequirement, calm: true})
-	w.acknowledgeOne(foundWithin)
-	w.run(settleFor)
+	w := newWorld(plan{seed: seed, machines: 9, zones: 3, requirement: defaultRequirement, calm: true})
+	w.acknowledgeOne()
+	w.run(chainSettlingTime)
 	size := len(largeBody(1, "/1-1/", "b"))
 	w.plan.bandwidth = int(time.Duration(size) * time.Second / s.sending)
-	operator := &sizedOperator{operator: operator{world: w, name: 1}, kind: "large", seen: make(latencies)}
+	operator := &sizedOperator{operator: operator{world: w, name: 1}, kind: "large", latencies: make(latencies)}
 	w.after(0, operator.next)
 	watch := w.watchLapses()
-	w.run(largeFor)
-	w.note("%v", operator.seen)
+	w.run(largeOrdersDuration)
+	w.tracef("%v", operator.latencies)
 	return w, watch
 }
 
-// A machine keeps its authority while a change is on its way that the heartbeats of others tell of already, up to
+// A machine keeps its authority while a change is on its way that the heartbeats of others advertise already, up to
 // the limit that is set for that, and loses it beyond.
 func TestLargeChangesOnSlowLinksLeaveTheAuthorityAsLongAsTheyMay(t *testing.T) {
 	for _, changes := range []slowLargeChanges{
@@ -149,7 +149,7 @@
 	} {
 		t.Run(fmt.Sprint(changes.sending), func(t *testing.T) {
 			w, watch := changes.play(1)
-			t.Log(w.checker.acknowledged, watch.looks, watch.lapses, w.trace[len(w.trace)-1])
+			t.Log(w.checker.acknowledged, watch.checks, watch.lapses, w.trace[len(w.trace)-1])
 			require.Equal(t, changes.keeps, watch.lapses == 0)
 			require.Positive(t, w.checker.acknowledged)
 		})
--- a/internal/controlsim/distance_planted_test.go
+++ b/internal/controlsim/catchup_planted_test.go
@@ -16,66 +16,57 @@
 const plantedDistance = 100
 
 func TestCheckerFindsPlantedFaultsFarBehind(t *testing.T) {
-	faults := []struct {
-		name     string
-		mutation mutation
-		finding  string // part of one of the findings
-	}{
+	faults := []plantedFault[mutation]{
 		{
-			name:     "a member that is behind never asks",
-			mutation: mutation{message: withoutLateRequests()},
-			finding:  "has not caught up",
+			name:    "a member that is behind never asks",
+			planted: mutation{message: withoutLateRequests()},
+			finding: "has not caught up",
 		},
 		{
-			name:     "a member is answered late",
-			mutation: mutation{message: withoutFirstAnswers()},
-			finding:  "has caught up after",
+			name:    "a member is answered late",
+			planted: mutation{message: withoutFirstAnswers()},
+			finding: "has caught up after",
 		},
 		{
-			name:     "a repair lacks what differs",
-			mutation: mutation{message: emptyRepairs},
-			finding:  "two states of sequence",
+			name:    "a repair lacks what differs",
+			planted: mutation{message: emptyRepairs},
+			finding: "two states of sequence",
 		},
 		{
-			name:     "a snapshot on disk lacks the state",
-			mutation: mutation{snapshots: identityOnly},
-			finding:  "cannot recover",
+			name:    "a snapshot on disk lacks the state",
+			planted: mutation{snapshots: identityOnly},
+			finding: "cannot recover",
 		},
 		{
-			name:     "all disks come back older than they promised",
-			mutation: mutation{oldDisks: true},
-			finding:  "in an earlier life",
+			name:    "all disks come back older than they promised",
+			planted: mutation{oldDisks: true},
+			finding: "in an earlier life",
 		},
 		{
-			name:     "all disks come back older than they promised, as the operator sees it",
-			mutation: mutation{oldDisks: true},
-			finding:  "was acknowledged",
+			name:    "all disks come back older than they promised, as the operator sees it",
+			planted: mutation{oldDisks: true},
+			finding: "was acknowledged",
 		},
 	}
-	for _, fault := range faults {
-		t.Run(fault.name, func(t *testing.T) {
-			t.Parallel()
-			require.True(t, isFoundFar(fault.mutation, fault.finding), "%q was not found", fault.finding)
-		})
-	}
+	requireFound(t, faults, isFoundInCatchup)
 }
 
-func isFoundFar(planted mutation, finding string) bool {
+func isFoundInCatchup(planted mutation, finding string) bool {
 	for seed := range uint64(absences) * uint64(obstacles) {
-		run := farPlan(seed)
+		run := randomCatchupRun(seed)
 		run.distance = plantedDistance
 		run.routes = 0
 		run.plan.mutation = planted
-		if strings.Contains(strings.Join(playFar(run).checker.failures, "; "), finding) {
+		if playCatchup(run).checker.hasFinding(finding) {
 			return true
 		}
 	}
 	return false
 }
 
-// A machine that takes the newest view for held, whatever it holds, heads a chain on old state.
+// A machine that takes the state of the newest view for synchronized, whatever it has, heads a chain on old state.
 func TestCheckerFindsAHeadOnOldState(t *testing.T) {
-	require.True(t, isFound(mutation{records: holdsNewestView()}, "heads view"))
+	require.True(t, isFoundInStorm(mutation{records: holdsNewestView()}, "heads view"))
 }
 
 // Kinds of records that begin with the basis, as package control writes them.
@@ -85,7 +76,7 @@
 	basisKind  = 6
 )
 
-// holdsNewestView makes all records say that the state of the newest view is held.
+// holdsNewestView makes all records say that the state of the newest view is synchronized.
 func holdsNewestView() func([]ring.Record) []ring.Record {
 	newest := uint64(0)
 	return func(records []ring.Record) []ring.Record {
@@ -152,43 +143,43 @@
 }
 
 func headWithOldDisk(t *testing.T, seed uint64) *world {
-	w := newWorld(threeCalm(seed, mutation{}))
-	require.True(t, w.acknowledgeOne(foundWithin))
-	w.run(foundWithin)
-	head := w.byPeer[w.hosts[0].machine.View().GetChain()[0].GetAddress()]
+	w := newWorld(threeMachines(seed, mutation{}))
+	require.True(t, w.acknowledgeOne())
+	w.run(foundingLimit)
+	head := w.chainHost(0)
 	restore := head.disk.Save()
 	for range 3 {
-		require.True(t, w.acknowledgeOne(foundWithin))
+		require.True(t, w.acknowledgeOne())
 	}
 	head.kill()
 	restore()
 	head.start()
-	w.run(foundWithin)
+	w.run(foundingLimit)
 	for range 3 {
-		w.acknowledgeOne(foundWithin)
+		w.acknowledgeOne()
 	}
 	return w
 }
 
 // A member whose disk lied may come back late without harm to the state: the view has changed, and it takes the state
-// of the new one before it takes part. Until it hears of that view it may tell what its disk holds as committed,
-// which is older than what it told before.
+// of the new one before it takes part. Until it learns of that view it may report what is on its disk as committed,
+// which is older than what it reported before.
 func TestMemberWithAnOldDiskIsRepairedInALaterView(t *testing.T) {
 	for seed := range uint64(20) {
-		run := farPlan(seed)
+		run := randomCatchupRun(seed)
 		run.absence, run.obstacle = absentKilled, obstacleNone
 		run.distance, run.routes = plantedDistance, 0
-		w := &farWorld{world: newWorld(run.plan), far: run}
+		w := &catchupWorld{world: newWorld(run.plan), scenario: run}
 		w.writer = w.addWriter(0)
-		require.True(t, w.reach(beforeAbsence, beforeAbsence*changeWithin))
+		require.True(t, w.awaitChanges(changesBeforeAbsence, changesBeforeAbsence*meanChangeLimit))
 		w.member = w.anyMember()
 		restore := w.member.disk.Save()
-		require.True(t, w.reach(beforeAbsence, beforeAbsence*changeWithin))
-		w.leave()
+		require.True(t, w.awaitChanges(changesBeforeAbsence, changesBeforeAbsence*meanChangeLimit))
+		w.beginAbsence()
 		restore()
-		require.True(t, w.reach(plantedDistance, plantedDistance*changeWithin))
-		w.comeBack()
-		w.writer.ended = true
+		require.True(t, w.awaitChanges(plantedDistance, plantedDistance*meanChangeLimit))
+		w.endAbsence()
+		w.writer.stopped = true
 		w.checkLiveness()
 		w.checker.finish()
 		for _, failure := range w.checker.failures {
--- a/internal/controlsim/distance_test.go
+++ b/internal/controlsim/catchup_test.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// defaultFarRuns is the number of runs with a member far behind; CONTROLSIM_FAR sets another one,
+	// defaultCatchupRuns is the number of runs with a member far behind; CONTROLSIM_FAR sets another one,
 	// CONTROLSIM_DISTANCE and CONTROLSIM_ROUTES what they would draw otherwise.
-	defaultFarRuns = 77
-	// caughtUpWithin is the limit for a member to hold all that was committed when it returned, from its return
-	// or from the end of the last trouble on its way: sync-s of the sites.
-	caughtUpWithin = 4 * time.Second
-	// changeWithin is what a change may take on the mean while one member is away.
-	changeWithin = time.Second
-	// beforeAbsence is the number of changes before a member leaves, and firstChangesWithin their limit.
-	beforeAbsence      = 20
-	firstChangesWithin = 30 * time.Second
-	// bigRoutes is the number of routes of a large configuration.
-	bigRoutes = 1120
+	defaultCatchupRuns = 77
+	// catchupLimit is the limit for a member to hold all that was committed when it returned, from its return
+	// or from the end of the last fault on its way: sync-s of the sites.
+	catchupLimit = 4 * time.Second
+	// meanChangeLimit is what a change may take on the mean while one member is away.
+	meanChangeLimit = time.Second
+	// changesBeforeAbsence is the number of changes before a member leaves, and firstChangesLimit their limit.
+	changesBeforeAbsence = 20
+	firstChangesLimit    = 30 * time.Second
+	// largeConfigurationRoutes is the number of routes of a large configuration.
+	largeConfigurationRoutes = 1120
 )
 
 // absence is how a member is away while the others go on.
@@ -32,13 +32,13 @@
 	absentPower
 	absentFrozen
 	absentCut
-	absentDeaf // hears nothing, but is heard
-	absentMute // hears, but is not heard
+	absentDeaf // receives nothing, but can send
+	absentMute // receives, but cannot send
 	absentFull
 	absentStalled
 	absentWiped
 	absentCorrupt
-	absentLeft // told to end, and left out by an agreed view
+	absentLeft // shut down gracefully, and left out by an agreed view
 	absences
 )
 
@@ -53,7 +53,7 @@
 	obstacleNone         obstacle = iota
 	obstacleLost                  // the first answers to its requests are lost
 	obstacleSourceKilled          // the machine that answers it is killed as it answers
-	obstacleSourceGone            // the machine that answers it is taken away for good
+	obstacleSourceGone            // the machine that answers it is removed for good
 	obstacleAllKilled             // all machines are killed as it is answered
 	obstacleAllPower              // all machines lose power as it is answered
 	obstacleTorn                  // it loses power in the middle of its next snapshot
@@ -64,8 +64,8 @@
 	return [...]string{"none", "answers lost", "source killed", "source gone", "all killed", "all without power", "snapshot torn"}[o]
 }
 
-// far is a run in which a member is away while many changes are made.
-type far struct {
+// catchupRun is a run in which a member is away while many changes are made.
+type catchupRun struct {
 	plan     plan
 	distance uint64 // changes committed meanwhile
 	routes   int    // of a configuration that is replaced whole now and then; 0: there is none such
@@ -74,23 +74,23 @@
 	busy     bool // changes go on while it catches up
 }
 
-func (f far) String() string {
+func (f catchupRun) String() string {
 	return fmt.Sprintf("seed %d: %d changes, %d routes, %v, %v, busy %v, %d machines",
 		f.plan.seed, f.distance, f.routes, f.absence, f.obstacle, f.busy, f.plan.machines)
 }
 
-// farPlan draws a run. Most are short, one in twelve is of 1,000 changes and one in sixty of 3,000.
-func farPlan(seed uint64) far {
+// randomCatchupRun draws a run. Most are short, one in twelve is of 1,000 changes and one in sixty of 3,000.
+func randomCatchupRun(seed uint64) catchupRun {
 	random := rand.New(rand.NewPCG(seed, 11))
-	run := far{
+	run := catchupRun{
 		plan: plan{
-			seed:      seed,
-			machines:  []int{3, 3, 4, 5, 5, 6, 9}[random.IntN(7)],
-			restless:  []float64{0, 0, 0, 0.02}[random.IntN(4)],
-			zones:     3,
-			required:  usualRequirement,
-			calm:      random.IntN(2) == 0,
-			bandwidth: 250_000 << random.IntN(4),
+			seed:              seed,
+			machines:          []int{3, 3, 4, 5, 5, 6, 9}[random.IntN(7)],
+			spuriousProposals: []float64{0, 0, 0, 0.02}[random.IntN(4)],
+			zones:             3,
+			requirement:       defaultRequirement,
+			calm:              random.IntN(2) == 0,
+			bandwidth:         250_000 << random.IntN(4),
 		},
 		distance: 300,
 		absence:  absence(seed % uint64(absences)),
@@ -103,10 +103,10 @@
 	case draw < 6:
 		run.distance = 1000
 	case draw < 14:
-		run.routes = bigRoutes
+		run.routes = largeConfigurationRoutes
 	}
 	if run.routes > 0 {
-		run.plan.restless = 0 // a large order over five slow links would not outlive the views
+		run.plan.spuriousProposals = 0 // a large order over five slow links would not outlive the views
 	}
 	if run.obstacle == obstacleTorn {
 		run.plan.snapshotRecords = 2 // the repair's write brings one
@@ -118,21 +118,21 @@
 }
 
 func TestMembersFarBehindCatchUp(t *testing.T) {
-	first := number("CONTROLSIM_FIRST", 1)
-	count := number("CONTROLSIM_FAR", defaultFarRuns)
-	var caught spread
+	first := envInt("CONTROLSIM_FIRST", 1)
+	count := envInt("CONTROLSIM_FAR", defaultCatchupRuns)
+	var caught durationsByKind
 	t.Cleanup(func() { t.Logf("caught up after:\n%s", strings.Join(caught.lines(), "\n")) })
-	var total figures
+	var total totals
 	total.each(t, first, count, func(seed uint64) *world {
-		run := farPlan(seed)
-		run.distance = uint64(number("CONTROLSIM_DISTANCE", int(run.distance)))
-		run.routes = number("CONTROLSIM_ROUTES", run.routes)
-		w := playFar(run)
-		w.note("%v", run)
-		caught.add(fmt.Sprintf("%4d changes, %4d routes", run.distance, run.routes), w.caught)
-		caught.add(fmt.Sprintf("calm network %v", run.plan.calm), w.caught)
-		caught.add(run.absence.String(), w.caught)
-		caught.add(fmt.Sprintf("%v, %d routes", w.met(), run.routes), w.caught)
+		run := randomCatchupRun(seed)
+		run.distance = uint64(envInt("CONTROLSIM_DISTANCE", int(run.distance)))
+		run.routes = envInt("CONTROLSIM_ROUTES", run.routes)
+		w := playCatchup(run)
+		w.tracef("%v", run)
+		caught.add(fmt.Sprintf("%4d changes, %4d routes", run.distance, run.routes), w.catchupTime)
+		caught.add(fmt.Sprintf("calm network %v", run.plan.calm), w.catchupTime)
+		caught.add(run.absence.String(), w.catchupTime)
+		caught.add(fmt.Sprintf("%v, %d routes", w.obstacleMet(), run.routes), w.catchupTime)
 		return w.world
 	})
 }
--- a/internal/controlsim/writer_test.go
+++ b/internal/controlsim/catchup_writer_test.go
@@ -23,7 +23,7 @@
 	bigEvery     = 100
 )
 
-func (w *farWorld) addWriter(routes int) *writer {
+func (w *catchupWorld) addWriter(routes int) *writer {
 	made := &writer{operator: &operator{world: w.world, name: writerName}, routes: routes}
 	w.after(500*time.Millisecond, made.next)
 	return made
@@ -31,7 +31,7 @@
 
 // next sends a change, or the first configuration while there is none.
 func (w *writer) next() {
-	if w.ended {
+	if w.stopped {
 		return
 	}
 	w.sent++
@@ -64,25 +64,25 @@
 		w.readBase()
 		return
 	}
-	w.ask(order, func(result *pb.OrderResult) {
+	w.submit(order, func(result *pb.OrderResult) {
 		switch status := result.GetStatus(); {
 		case status == http.StatusOK:
 			w.world.checker.acknowledge(change)
 			w.base = change.generation
 			w.next()
 		case status >= 400 && status < 500:
-			w.world.note("writer: %s base %d refused %d %s", change.key, change.base, status, result.GetBody())
+			w.world.tracef("writer: %s base %d refused %d %s", change.key, change.base, status, result.GetBody())
 			w.world.checker.refuse(change, status)
 			w.readBase()
 		default:
-			w.world.after(w.world.between(5*time.Millisecond, 100*time.Millisecond), func() { w.try(change, order, tries-1) })
+			w.world.after(w.world.durationBetween(5*time.Millisecond, 100*time.Millisecond), func() { w.try(change, order, tries-1) })
 		}
 	})
 }
 
 func (w *writer) readBase() {
 	least := w.world.checker.newestAcked
-	w.ask(&pb.Order{Kind: pb.Order_KIND_READ}, func(result *pb.OrderResult) {
+	w.submit(&pb.Order{Kind: pb.Order_KIND_READ}, func(result *pb.OrderResult) {
 		if result.GetStatus() == http.StatusOK {
 			w.base = generationOf(result.GetBody())
 			w.world.checker.read(least, w.base)
@@ -95,10 +95,10 @@
 const readEvery = 500 * time.Millisecond
 
 // addReader reads again and again: each read is as new as what was acknowledged before it began.
-func (w *farWorld) addReader() {
-	reader := &operator{world: w.world, name: writerName + 1, ended: true}
+func (w *catchupWorld) addReader() {
+	reader := &operator{world: w.world, name: writerName + 1, stopped: true}
 	w.every(readEvery, func() bool {
 		reader.read()
-		return w.writer.ended
+		return w.writer.stopped
 	})
 }
--- a/internal/controlsim/checker_test.go
+++ b/internal/controlsim/checker_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/http"
+	"strings"
 
 	"google.golang.org/protobuf/proto"
 
@@ -12,18 +13,18 @@
 	"fieldrelay/internal/quorum"
 )
 
-// checker looks at all actions of all machines and keeps what the rules need to be checked.
+// checker observes all actions of all machines and keeps what it takes to check the rules.
 type checker struct {
 	world    *world
 	failures []string
 
-	views     map[uint64]string            // content by number
-	committed map[uint64]*catalog.Snapshot // by sequence
-	last      uint64                       // highest sequence committed anywhere
-	ofHost    map[*host]uint64             // committed sequence in the host's present life
-	votes     map[voteKey]*vote
-	told      map[string]uint64 // highest committed sequence told, by identity, in all lives
-	newest    uint64            // highest number of a view
+	views           map[uint64]string            // content by number
+	committed       map[uint64]*catalog.Snapshot // by sequence
+	newestCommitted uint64                       // highest sequence committed anywhere
+	committedByHost map[*host]uint64             // committed sequence in the host's present incarnation
+	votes           map[voteKey]*vote
+	reported        map[string]uint64 // highest committed sequence reported, by identity, in all incarnations
+	newestView      uint64            // highest number of a view
 
 	inForce      map[string]bool   // keys of configurations that were committed
 	refused      map[string]uint32 // keys of those refused, with the status
@@ -36,15 +37,15 @@
 	evacuations  map[string]*evacuation
 }
 
-// notedKeys bounds the keys of one state in the lines of a run.
-const notedKeys = 4
+// maxTracedKeys bounds the keys of one state in the lines of a run.
+const maxTracedKeys = 4
 
 type voteKey struct {
 	identity string
 	number   uint64
 }
 
-// vote is what a voter has told about one view number.
+// vote is what a voter has answered for one view number.
 type vote struct {
 	promised *pb.Ballot
 	accepted *pb.Ballot
@@ -52,42 +53,47 @@
 
 func newChecker(w *world) *checker {
 	return &checker{
-		world:       w,
-		views:       make(map[uint64]string),
-		committed:   make(map[uint64]*catalog.Snapshot),
-		ofHost:      make(map[*host]uint64),
-		votes:       make(map[voteKey]*vote),
-		told:        make(map[string]uint64),
-		inForce:     make(map[string]bool),
-		refused:     make(map[string]uint32),
-		ackedByBase: make(map[uint64]string),
-		ackedByGen:  make(map[uint64]string),
-		evacuations: make(map[string]*evacuation),
+		world:           w,
+		views:           make(map[uint64]string),
+		committed:       make(map[uint64]*catalog.Snapshot),
+		committedByHost: make(map[*host]uint64),
+		votes:           make(map[voteKey]*vote),
+		reported:        make(map[string]uint64),
+		inForce:         make(map[string]bool),
+		refused:         make(map[string]uint32),
+		ackedByBase:     make(map[uint64]string),
+		ackedByGen:      make(map[uint64]string),
+		evacuations:     make(map[string]*evacuation),
 	}
 }
 
+// hasFinding reports whether a part of the findings so far is this one; each finding ends with a semicolon.
+func (c *checker) hasFinding(finding string) bool {
+	return strings.Contains(strings.Join(c.failures, "; ")+";", finding)
+}
+
 func (c *checker) fail(format string, arguments ...any) {
 	line := fmt.Sprintf(format, arguments...)
-	c.world.note("BROKEN %s", line)
+	c.world.tracef("BROKEN %s", line)
 	c.failures = append(c.failures, line)
 }
 
-func (c *checker) lifeBegins(host *host) { delete(c.ofHost, host) }
+func (c *checker) incarnationBegins(host *host) { delete(c.committedByHost, host) }
 
-func (c *checker) action(host *host, action control.Action) {
+func (c *checker) observe(host *host, action control.Action) {
 	switch action := action.(type) {
 	case control.ViewChanged:
-		c.view(host, action.View)
+		c.checkView(host, action.View)
 	case control.Committed:
-		c.commit(host, action)
+		c.checkCommitted(host, action)
 	case control.Send:
-		c.sent(action.Message)
-		c.leads(host, action.Message)
+		c.checkVotes(action.Message)
+		c.checkHead(host, action.Message)
 	}
 }
 
-// view: at most one view a number.
-func (c *checker) view(host *host, view *pb.View) {
+// checkView: at most one view a number.
+func (c *checker) checkView(host *host, view *pb.View) {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(view)
 	if err != nil {
 		c.fail("view %d cannot be encoded: %v", view.GetNumber(), err)
@@ -98,9 +104,9 @@
 		c.fail("%s: a second view %d", host.name, view.GetNumber())
 	}
 	if !found {
-		c.newest = max(c.newest, view.GetNumber())
+		c.newestView = max(c.newestView, view.GetNumber())
 		c.views[view.GetNumber()] = string(data)
-		c.world.note("view %d voters %s chain %s", view.GetNumber(), hosts(view.GetVoters()), hosts(view.GetChain()))
+		c.world.tracef("view %d voters %s chain %s", view.GetNumber(), hosts(view.GetVoters()), hosts(view.GetChain()))
 	}
 }
 
@@ -112,27 +118,27 @@
 	return line
 }
 
-// commit: one state a sequence number, versions never fall within a life, and changes lead from one to the next.
-func (c *checker) commit(host *host, action control.Committed) {
+// checkCommitted: one state a sequence number, versions never fall within an incarnation, and changes lead from one to the next.
+func (c *checker) checkCommitted(host *host, action control.Committed) {
 	snapshot := action.Snapshot
 	sequence := snapshot.Sequence()
-	if before, found := c.ofHost[host]; found && sequence <= before {
+	if before, found := c.committedByHost[host]; found && sequence <= before {
 		c.fail("%s: committed sequence falls from %d to %d", host.name, before, sequence)
 	}
-	if before, found := c.ofHost[host]; found && action.Changes != nil {
+	if before, found := c.committedByHost[host]; found && action.Changes != nil {
 		c.checkChanges(host, before, action)
 	}
-	c.ofHost[host] = sequence
-	c.tells(host, sequence)
+	c.committedByHost[host] = sequence
+	c.checkReported(host, sequence)
 	known, found := c.committed[sequence]
 	if !found {
 		c.committed[sequence] = snapshot
-		c.last = max(c.last, sequence)
+		c.newestCommitted = max(c.newestCommitted, sequence)
 		keys := newKeysOf(snapshot)
 		for _, key := range keys {
 			c.inForce[key] = true
 		}
-		c.world.note("%s commits %d generation %d %v %v", host.name, sequence, snapshot.Generation(), keys[:min(len(keys), notedKeys)], snapshot.EvacuatedZones())
+		c.world.tracef("%s commits %d generation %d %v %v", host.name, sequence, snapshot.Generation(), keys[:min(len(keys), maxTracedKeys)], snapshot.EvacuatedZones())
 		return
 	}
 	if !c.sameState(known, snapshot) {
@@ -156,39 +162,39 @@
 }
 
 func (c *checker) sameState(a, b *catalog.Snapshot) bool {
-	if c.world.plan.mutation.looseRecords {
+	if c.world.plan.mutation.ignoreExecutedOrders {
 		return sameItems(a, b)
 	}
 	return a.SameAs(b)
 }
 
-// tells: with the same disk, a machine never tells an older state than in an earlier life.
-func (c *checker) tells(host *host, sequence uint64) {
+// checkReported: with the same disk, a machine never reports an older state than in an earlier incarnation.
+func (c *checker) checkReported(host *host, sequence uint64) {
 	identity := host.machine.Self().GetIdentity()
-	if before := c.told[identity]; sequence < before {
+	if before := c.reported[identity]; sequence < before {
 		c.fail("%s: tells the state %d, and told %d in an earlier life", host.name, sequence, before)
 	}
-	c.told[identity] = max(c.told[identity], sequence)
+	c.reported[identity] = max(c.reported[identity], sequence)
 }
 
-// leads: the head of the newest view holds all that was ever committed as soon as it says that it holds the
+// checkHead: the head of the newest view holds all that was ever committed as soon as it says that it holds the
 // state of its view.
-func (c *checker) leads(host *host, message *pb.Message) {
+func (c *checker) checkHead(host *host, message *pb.Message) {
 	heartbeat := message.GetHeartbeat()
-	if !heartbeat.GetSynchronised() || heartbeat.GetViewNumber() != c.newest || heartbeat.GetSequence() >= c.last {
+	if !heartbeat.GetSynchronised() || heartbeat.GetViewNumber() != c.newestView || heartbeat.GetSequence() >= c.newestCommitted {
 		return
 	}
 	view := host.machine.View()
-	if view.GetNumber() == c.newest && quorum.IndexOf(view.GetChain(), host.machine.Self().GetIdentity()) == 0 {
-		c.fail("%s heads view %d on the state %d, %d is committed", host.name, c.newest, heartbeat.GetSequence(), c.last)
+	if view.GetNumber() == c.newestView && quorum.IndexOf(view.GetChain(), host.machine.Self().GetIdentity()) == 0 {
+		c.fail("%s heads view %d on the state %d, %d is committed", host.name, c.newestView, heartbeat.GetSequence(), c.newestCommitted)
 	}
 }
 
 // sameItems compares what agents carry of a state.
 func sameItems(a, b *catalog.Snapshot) bool { return proto.Equal(a.Digests(), b.Digests()) }
 
-// sent: a voter keeps its promises, whatever happens to it in between.
-func (c *checker) sent(message *pb.Message) {
+// checkVotes: a voter keeps its promises, whatever happens to it in between.
+func (c *checker) checkVotes(message *pb.Message) {
 	identity := message.GetFrom().GetIdentity()
 	if promise := message.GetPromise(); promise.GetGranted() {
 		known := c.vote(identity, promise.GetViewNumber())
@@ -241,7 +247,7 @@
 	if status == http.StatusBadRequest && !order.invalid {
 		c.fail("%s is valid and was refused (400)", order.key)
 	}
-	newest := c.committed[c.last]
+	newest := c.committed[c.newestCommitted]
 	if status == http.StatusPreconditionFailed && (newest == nil || newest.Generation() <= order.base) {
 		c.fail("%s on base %d was refused (412) though nothing later was committed", order.key, order.base)
 	}
@@ -262,20 +268,20 @@
 			c.fail("%s was refused (%d) but came in force", key, status)
 		}
 	}
-	newest := c.committed[c.last]
+	newest := c.committed[c.newestCommitted]
 	if newest == nil {
 		return
 	}
 	if newest.Generation() < c.newestAcked {
 		c.fail("generation %d is in force, %d was acknowledged", newest.Generation(), c.newestAcked)
 	}
-	for _, host := range c.world.living() {
+	for _, host := range c.world.remaining() {
 		if host.machine == nil || host.machine.Committed() == nil {
 			c.fail("%s holds no committed state at the end", host.name)
 			continue
 		}
 		if !c.sameState(host.machine.Committed(), newest) {
-			c.fail("%s holds %d at the end, not %d", host.name, host.machine.Committed().Sequence(), c.last)
+			c.fail("%s holds %d at the end, not %d", host.name, host.machine.Committed().Sequence(), c.newestCommitted)
 		}
 	}
 	for zone, known := range c.evacuations {
--- a/internal/controlsim/digest_test.go
+++ b/internal/controlsim/digest_test.go
@@ -21,7 +21,7 @@
 		"storm-3": stormRun(3),
 		"storm-7": stormRun(7),
 		"founding": func(_ *testing.T, watched mutation) *world {
-			plan := planOf(12)
+			plan := randomPlan(12)
 			plan.mutation = watched
 			return playFounding(plan)
 		},
@@ -30,10 +30,10 @@
 			plan.mutation = watched
 			w := newCalmWorld(t, plan)
 			operators := []*operator{w.addOperator(1), w.addOperator(2)}
-			w.roll(time.Second, &rollFigures{})
+			w.roll(time.Second, &rollMeasurements{})
 			w.run(time.Second*time.Duration(len(w.hosts)) + 4*time.Second)
 			for _, operator := range operators {
-				operator.ended = true
+				operator.stopped = true
 			}
 			w.checkLiveness()
 			return w
@@ -43,9 +43,9 @@
 			plan.mutation = watched
 			w := newCalmWorld(t, plan)
 			for _, host := range w.hosts {
-				w.after(w.upTo(300*time.Millisecond), func() { host.terminate(func(bool) {}) })
+				w.after(w.durationUpTo(300*time.Millisecond), func() { host.terminate(func(bool) {}) })
 			}
-			w.run(longestStay + 300*time.Millisecond)
+			w.run(maxLeaveTime + 300*time.Millisecond)
 			for _, host := range w.hosts {
 				host.start()
 			}
@@ -57,9 +57,9 @@
 			return w
 		},
 		"cuts": func(_ *testing.T, watched mutation) *world {
-			plan := cutPlan{plan: planOf(4)}
+			plan := partitionPlan{plan: randomPlan(4)}
 			plan.mutation = watched
-			return playCuts(plan).world
+			return playPartitions(plan).world
 		},
 		"large": func(_ *testing.T, watched mutation) *world {
 			mixed := mixtures()[0]
@@ -85,16 +85,16 @@
 
 func stormRun(seed uint64) func(*testing.T, mutation) *world {
 	return func(_ *testing.T, watched mutation) *world {
-		plan := planOf(seed)
+		plan := randomPlan(seed)
 		plan.mutation = watched
-		return play(plan)
+		return playStorm(plan)
 	}
 }
 
 // record takes in an action of a host's machine.
 func record(recorder *digesttest.Recorder, h *host, action control.Action) {
 	begin := func(label string) *digesttest.Recorder {
-		return recorder.Entry(h.world.now, label).Number(uint64(h.index)).Number(uint64(h.life))
+		return recorder.Entry(h.world.now, label).Number(uint64(h.index)).Number(uint64(h.incarnation))
 	}
 	switch action := action.(type) {
 	case control.Send:
--- a/internal/controlsim/disk_test.go
+++ b/internal/controlsim/disk_test.go
@@ -24,9 +24,9 @@
 		return
 	}
 	h.writing = true
-	life := h.life
-	h.world.after(h.world.between(time.Millisecond, 6*time.Millisecond), func() {
-		if h.life != life || h.machine == nil {
+	life := h.incarnation
+	h.world.after(h.world.durationBetween(time.Millisecond, 6*time.Millisecond), func() {
+		if h.incarnation != life || h.machine == nil {
 			return
 		}
 		h.writing = false
@@ -37,11 +37,11 @@
 }
 
 func (h *host) finishWrite() {
-	life := h.life
-	if err := h.put(h.writes[0]); err != nil {
+	life := h.incarnation
+	if err := h.writeRing(h.writes[0]); err != nil {
 		h.writing = true
 		h.world.after(200*time.Millisecond, func() {
-			if h.life == life {
+			if h.incarnation == life {
 				h.writing = false
 				h.writeNext()
 			}
@@ -55,7 +55,7 @@
 	h.writeNext()
 }
 
-func (h *host) put(write control.Persist) error {
+func (h *host) writeRing(write control.Persist) error {
 	if h.world.plan.mutation.loseWrites {
 		return nil
 	}
@@ -69,7 +69,7 @@
 func (h *host) losePower() {
 	if h.machine != nil && len(h.writes) > 0 && h.world.chance(0.7) {
 		h.disk.SetFaults(ringtest.Faults{Sync: 1})
-		_ = h.put(h.writes[0])
+		_ = h.writeRing(h.writes[0])
 		h.disk.SetFaults(ringtest.Faults{})
 	}
 	h.disk.PowerLoss()
@@ -83,10 +83,10 @@
 		return false
 	}
 	for _, write := range h.writes[:waits] {
-		_ = h.put(write)
+		_ = h.writeRing(write)
 	}
 	h.disk.SetFaults(ringtest.Faults{Sync: 1})
-	_ = h.put(h.writes[waits])
+	_ = h.writeRing(h.writes[waits])
 	h.disk.SetFaults(ringtest.Faults{})
 	h.disk.PowerLoss()
 	h.die()
@@ -97,7 +97,7 @@
 func (h *host) wipe() {
 	h.die()
 	h.disk.Wipe()
-	h.boot = false
+	h.bootstrap = false
 }
 
 // snapshotOffset lies in the first snapshot frame of a ring's file.
--- a/internal/controlsim/founding_test.go
+++ b/internal/controlsim/founding_test.go
@@ -16,30 +16,30 @@
 )
 
 // loseSeedWhileFounding takes the disk of one seed at some moment of the founding, at times while all others lose
-// power, and at times cuts two machines off from each other meanwhile.
+// power, and at times partitions two machines meanwhile.
 func (w *world) loseSeedWhileFounding() {
-	trouble := &trouble{world: w}
+	trouble := &faultInjector{world: w}
 	if w.chance(0.3) {
-		w.after(w.upTo(foundingFor), trouble.cut)
+		w.after(w.durationUpTo(foundingFor), trouble.cut)
 	}
-	w.after(w.upTo(foundingFor), func() {
+	w.after(w.durationUpTo(foundingFor), func() {
 		seed := w.hosts[w.random.IntN(len(w.seeds))]
 		if w.chance(0.4) {
 			for _, other := range w.hosts {
 				if other != seed {
 					other.losePower()
-					w.after(w.between(100*time.Millisecond, time.Second), other.start)
+					w.after(w.durationBetween(100*time.Millisecond, time.Second), other.start)
 				}
 			}
 		}
-		w.note("%s loses its disk", seed.name)
+		w.tracef("%s loses its disk", seed.name)
 		if w.chance(0.3) {
 			seed.corrupt()
 		} else {
 			seed.wipe()
 		}
-		seed.boot = false
-		w.after(w.between(50*time.Millisecond, time.Second), seed.start)
+		seed.bootstrap = false
+		w.after(w.durationBetween(50*time.Millisecond, time.Second), seed.start)
 	})
 }
 
@@ -48,7 +48,7 @@
 	w := newWorld(plan)
 	w.loseSeedWhileFounding()
 	w.run(foundingFor + time.Second)
-	w.plan.restless = 0
+	w.plan.spuriousProposals = 0
 	w.network.blocked = make(map[[2]int]bool)
 	w.checkLiveness()
 	w.checker.finish()
@@ -56,17 +56,17 @@
 }
 
 func TestFoundingOutlivesTheLossOfASeed(t *testing.T) {
-	first := number("CONTROLSIM_FIRST", 1)
-	count := number("CONTROLSIM_FOUNDING", defaultFoundingRuns)
-	var total figures
-	total.each(t, first, count, func(seed uint64) *world { return playFounding(planOf(seed)) })
+	first := envInt("CONTROLSIM_FIRST", 1)
+	count := envInt("CONTROLSIM_FOUNDING", defaultFoundingRuns)
+	var total totals
+	total.each(t, first, count, func(seed uint64) *world { return playFounding(randomPlan(seed)) })
 }
 
 // Two of three seeds that lose their disks while the system is founded are more than the budget allows: what they
 // may have accepted is gone, and nobody may found in their stead.
 func TestLossOfTwoSeedsWhileFoundingIsNoticed(t *testing.T) {
 	for seed := range uint64(plantedSeeds) {
-		w := newWorld(planOf(seed))
+		w := newWorld(randomPlan(seed))
 		w.after(350*time.Millisecond, func() {
 			for _, seed := range w.hosts[:2] {
 				seed.wipe()
@@ -74,7 +74,7 @@
 			}
 		})
 		w.run(foundingFor + time.Second)
-		w.plan.restless = 0
+		w.plan.spuriousProposals = 0
 		w.checkLiveness()
 		if strings.Contains(strings.Join(w.checker.failures, "; "), "no acknowledgement within") {
 			return
--- a/internal/controlsim/handover_test.go
+++ b/internal/controlsim/handover_test.go
@@ -11,23 +11,23 @@
 	"fieldrelay/internal/chain"
 )
 
-// handsOver reports whether a machine that holds the only copy, and is taken away for good shortly after its successor
+// handsOver reports whether a machine that holds the only copy, and is removed for good shortly after its successor
 // has started, has handed over its vote and all that was acknowledged.
 func handsOver(t *testing.T, seed uint64, planted mutation) bool {
 	w := newCalmWorld(t, plan{
 		seed: seed, machines: 1, zones: 1, calm: true, mutation: planted,
-		required: chain.Requirement{Replicas: 1, Zones: 1, Regions: 1},
+		requirement: chain.Requirement{Replicas: 1, Zones: 1, Regions: 1},
 	})
 	old := w.hosts[0]
 	added := w.addHost(false)
 	added.start()
-	w.run(w.between(50*time.Millisecond, 600*time.Millisecond))
+	w.run(w.durationBetween(50*time.Millisecond, 600*time.Millisecond))
 	old.terminate(func(bool) {
-		old.gone = true
+		old.removed = true
 		old.wipe()
 	})
-	w.run(longestStay)
-	require.True(t, old.gone)
+	w.run(maxLeaveTime)
+	require.True(t, old.removed)
 	w.checkLiveness()
 	w.checker.finish()
 	return len(w.checker.failures) == 0
@@ -51,7 +51,7 @@
 	require.False(t, handsOver(t, 1, mutation{leaveSilently: true}))
 }
 
-// lostRepairs is the number of answers, to a machine that asks for the state, that withoutFirstRepairs loses: so many
+// lostRepairs is the number of answers, to a machine that requests the state, that withoutFirstRepairs loses: so many
 // that the state comes late, and not so many that the leaver gives up.
 const lostRepairs = 2
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// pretendCopies makes every heartbeat tell that its sender holds the state.
+// pretendCopies makes every heartbeat advertise that its sender is synchronized.
 func pretendCopies(message *pb.Message) *pb.Message {
 	if message.GetHeartbeat() == nil {
 		return message
--- a/internal/controlsim/host_test.go
+++ b/internal/controlsim/host_test.go
@@ -15,71 +15,71 @@
 	"fieldrelay/internal/ring/ringtest"
 )
 
-// maxMissed bounds the events that wait for a host that is frozen.
-const maxMissed = 1000
+// maxDelayedEvents bounds the events that wait for a host that is frozen.
+const maxDelayedEvents = 1000
 
-// usualSnapshotRecords is so small that the ring wraps many times in a run.
-const usualSnapshotRecords = 40
+// defaultSnapshotRecords is so small that the ring wraps many times in a run.
+const defaultSnapshotRecords = 40
 
 // host is a machine of the world: its disk, and the process that runs on it.
 type host struct {
-	world   *world
-	index   int
-	name    string
-	control string // address of the operator's API
-	peer    string // address of the peer service
-	zone    string
-	region  string
-	disk    *ringtest.Disk
-	boot    bool     // the settings say bootstrap
-	seeds   []string // of the settings
-
-	machine   *control.Machine // nil while the process is dead
-	life      int              // counts starts
-	ring      *ring.Ring
-	writes    []control.Persist
-	writing   bool
-	stalled   bool // the disk hangs
-	full      bool // the disk refuses
-	frozen    bool
-	missed    []control.Event   // arrived while frozen
-	gone      bool              // taken away for good
-	ended     func(agreed bool) // called when the process has ended, after it was told to
-	waiting   int               // orders submitted here that were not answered
-	processor processor
+	world          *world
+	index          int
+	name           string
+	controlAddress string // address of the operator's API
+	peerAddress    string // address of the peer service
+	zone           string
+	region         string
+	disk           *ringtest.Disk
+	bootstrap      bool     // the settings say bootstrap
+	seeds          []string // of the settings
+
+	machine       *control.Machine // nil while the process is dead
+	incarnation   int              // counts starts
+	ring          *ring.Ring
+	writes        []control.Persist
+	writing       bool
+	stalled       bool // the disk hangs
+	full          bool // the disk refuses
+	frozen        bool
+	delayedEvents []control.Event   // arrived while frozen
+	removed       bool              // removed for good
+	onExit        func(agreed bool) // called when the process has ended, after a graceful shutdown
+	pendingOrders int               // orders submitted here that were not answered
+	processor     processor
 }
 
 func newHost(w *world, index int, bootstrap bool) *host {
 	name := fmt.Sprintf("core-%d", index)
 	zone := index % w.plan.zones
 	return &host{
-		world:   w,
-		index:   index,
-		name:    name,
-		control: name + ":8146",
-		peer:    name + ":7660",
-		zone:    "zone-" + strconv.Itoa(zone),
-		region:  "region-" + strconv.Itoa(zone%max(1, w.plan.regions)),
-		disk:    ringtest.NewDisk(rand.New(rand.NewPCG(w.plan.seed, uint64(index)))),
-		boot:    bootstrap,
+		world:          w,
+		index:          index,
+		name:           name,
+		controlAddress: name + ":8146",
+		peerAddress:    name + ":7660",
+		zone:           "zone-" + strconv.Itoa(zone),
+		region:         "region-" + strconv.Itoa(zone%max(1, w.plan.regions)),
+		disk:           ringtest.NewDisk(rand.New(rand.NewPCG(w.plan.seed, uint64(index)))),
+		bootstrap:      bootstrap,
 
 		processor: processor{share: w.plan.processor},
 	}
 }
 
 func (h *host) start() {
-	if h.gone || h.machine != nil {
+	if h.removed || h.machine != nil {
 		return
 	}
-	h.life++
-	if !h.boot {
+	h.incarnation++
+	if !h.bootstrap {
 		h.seeds = h.world.seedsFor(h)
 	}
 	opened, recovered, err := h.openRing()
 	var corrupt *ring.CorruptError
 	if errors.As(err, &corrupt) {
-		h.world.note("%s has a corrupt ring and comes back as another replica", h.name)
-		h.boot = false
+		h.world.tracef("%s has a corrupt ring and comes back as another replica", h.name)
+		h.bootstrap = false
 		h.disk.Wipe()
 		opened, recovered, err = h.openRing()
 	}
@@ -90,18 +90,18 @@
 	machine, err := control.NewMachine(control.Config{
 		Self: &pb.Replica{
 			Host:           h.name,
-			Address:        h.peer,
+			Address:        h.peerAddress,
 			Zone:           h.zone,
 			Region:         h.region,
-			ControlAddress: h.control,
+			ControlAddress: h.controlAddress,
 		},
 		Seeds:             h.seeds,
-		Bootstrap:         h.boot,
-		Requirement:       h.world.plan.required,
+		Bootstrap:         h.bootstrap,
+		Requirement:       h.world.plan.requirement,
 		PeerAddress:       h.world.peerOf,
 		Random:            rand.New(rand.NewPCG(h.world.random.Uint64(), h.world.random.Uint64())),
-		SnapshotRecords:   cmp.Or(h.world.plan.snapshotRecords, usualSnapshotRecords),
-		SpuriousProposals: h.world.restless(),
+		SnapshotRecords:   cmp.Or(h.world.plan.snapshotRecords, defaultSnapshotRecords),
+		SpuriousProposals: h.world.spuriousProposals(),
 	}, recovered)
 	if err != nil {
 		h.world.checker.fail("%s cannot recover: %v", h.name, err)
@@ -109,24 +109,24 @@
 	}
 	h.machine = machine
 	h.ring = opened
-	h.world.checker.lifeBegins(h)
+	h.world.checker.incarnationBegins(h)
 	h.deliver(control.Started{})
-	h.scheduleTick(h.life)
+	h.scheduleTick(h.incarnation)
 }
 
 func (w *world) peerOf(controlAddress string) string {
 	for _, host := range w.hosts {
-		if host.control == controlAddress {
-			return host.peer
+		if host.controlAddress == controlAddress {
+			return host.peerAddress
 		}
 	}
 	return ""
 }
 
 func (h *host) scheduleTick(life int) {
-	late := h.world.upTo(10 * time.Millisecond)
+	late := h.world.durationUpTo(10 * time.Millisecond)
 	h.world.after(control.TickInterval+late, func() {
-		if h.life != life || h.machine == nil {
+		if h.incarnation != life || h.machine == nil {
 			return
 		}
 		if !h.frozen {
@@ -142,8 +142,8 @@
 		return
 	}
 	if h.frozen {
-		if _, tick := next.(control.Tick); !tick && len(h.missed) < maxMissed {
-			h.missed = append(h.missed, next)
+		if _, tick := next.(control.Tick); !tick && len(h.delayedEvents) < maxDelayedEvents {
+			h.delayedEvents = append(h.delayedEvents, next)
 		}
 		return
 	}
@@ -163,7 +163,7 @@
 		if committed, commits := action.(control.Committed); commits {
 			action = h.world.plan.mutation.onCommitted(committed)
 		}
-		h.world.checker.action(h, action)
+		h.world.checker.observe(h, action)
 		switch action := action.(type) {
 		case control.Send:
 			h.world.network.send(h, action)
@@ -174,10 +174,10 @@
 			}
 			h.writeNext()
 		case control.Reply:
-			h.waiting--
+			h.pendingOrders--
 			h.world.answer(action)
 		case control.Left:
-			h.leaves(action)
+			h.exitAfterAnswers(action)
 		}
 	}
 }
@@ -193,15 +193,15 @@
 // die ends the process.
 func (h *host) die() {
 	h.machine = nil
-	h.tellEnded()
-	h.life++
+	h.reportExit()
+	h.incarnation++
 	h.ring = nil
 	h.writes = nil
 	h.writing = false
 	h.frozen = false
-	h.missed = nil
+	h.delayedEvents = nil
 	h.processor = processor{share: h.processor.share}
-	h.waiting = 0
+	h.pendingOrders = 0
 }
 
 func (h *host) kill() {
@@ -211,8 +211,8 @@
 
 func (h *host) thaw() {
 	h.frozen = false
-	missed := h.missed
-	h.missed = nil
+	missed := h.delayedEvents
+	h.delayedEvents = nil
 	for _, next := range missed {
 		h.deliver(next)
 	}
--- a/internal/controlsim/large_test.go
+++ b/internal/controlsim/largeorders_test.go
@@ -19,28 +19,30 @@
 // machines that have 0.15 of a core. Every order must get its clear answer in time.
 const (
 	largeRoutes = 1120
-	// coreShare is the processor of each machine.
-	coreShare = 0.15
-	// acknowledgeBy is the limit for a clear answer to a small order, as the sites set it.
-	acknowledgeBy = 5 * time.Second
-	// perRoute is added to that for each route of an order.
-	perRoute = 3 * time.Millisecond
-	largeFor = 30 * time.Second
+	// processorShare is the processor of each machine.
+	processorShare = 0.15
+	// answerLimit is the limit for a clear answer to a small order, as the sites set it.
+	answerLimit = 5 * time.Second
+	// answerLimitPerRoute is added to that for each route of an order.
+	answerLimitPerRoute = 3 * time.Millisecond
+	largeOrdersDuration = 30 * time.Second
 )
 
-// sized is an order with the time by which it needs a clear answer.
-type sized struct {
-	order  *pb.Order
-	routes int
-	sent   time.Duration
-	key    *configuration // nil for an evacuation
+// sizedOrder is an order with the time by which it needs a clear answer.
+type sizedOrder struct {
+	order         *pb.Order
+	routes        int
+	sent          time.Duration
+	configuration *configuration // nil for an evacuation
 }
 
-func (s *sized) limit() time.Duration { return acknowledgeBy + time.Duration(s.routes)*perRoute }
+func (s *sizedOrder) limit() time.Duration {
+	return answerLimit + time.Duration(s.routes)*answerLimitPerRoute
+}
 
-// patience is how long a caller waits for one answer.
-func (s *sized) patience() time.Duration {
-	return operatorPatience + time.Duration(s.routes)*perRoute
+// timeout is how long a caller waits for one answer.
+func (s *sizedOrder) timeout() time.Duration {
+	return operatorTimeout + time.Duration(s.routes)*answerLimitPerRoute
 }
 
 // latencies are the times to clear answers by kind of order.
@@ -63,8 +65,8 @@
 // sizedOperator sends orders of one kind, one at a time.
 type sizedOperator struct {
 	operator
-	kind string
-	seen latencies
+	kind      string
+	latencies latencies
 }
 
 // largeBody is a configuration of many routes, all of which differ from one to the next.
@@ -81,7 +83,7 @@
 }
 
 func (o *sizedOperator) next() {
-	if o.ended {
+	if o.stopped {
 		return
 	}
 	if o.kind == "evacuation" {
@@ -89,12 +91,12 @@
 		if o.count++; o.count%2 == 0 {
 			kind = pb.Order_KIND_EVACUATE_FINISH
 		}
-		o.start(&sized{order: &pb.Order{Kind: kind, Zone: fmt.Sprintf("zone-of-%d", o.name)}})
+		o.start(&sizedOrder{order: &pb.Order{Kind: kind, Zone: fmt.Sprintf("zone-of-%d", o.name)}})
 		return
 	}
-	o.ask(&pb.Order{Kind: pb.Order_KIND_READ}, func(result *pb.OrderResult) {
+	o.submit(&pb.Order{Kind: pb.Order_KIND_READ}, func(result *pb.OrderResult) {
 		if result.GetStatus() != http.StatusOK {
-			o.pause()
+			o.scheduleNext()
 			return
 		}
 		o.count++
@@ -102,9 +104,9 @@
 	})
 }
 
-func (o *sizedOperator) configuration(base uint64) *sized {
+func (o *sizedOperator) configuration(base uint64) *sizedOrder {
 	order := &configuration{key: fmt.Sprintf("/%d-%d/", o.name, o.count), base: base, generation: base + 1}
-	made := &sized{key: order}
+	made := &sizedOrder{configuration: order}
 	switch o.kind {
 	case "small":
 		order.amend = true
@@ -120,34 +122,34 @@
 	return made
 }
 
-func (o *sizedOperator) pause() {
-	o.world.after(o.world.between(5*time.Millisecond, 60*time.Millisecond), o.next)
+func (o *sizedOperator) scheduleNext() {
+	o.world.after(o.world.durationBetween(5*time.Millisecond, 60*time.Millisecond), o.next)
 }
 
-func (o *sizedOperator) start(order *sized) {
+func (o *sizedOperator) start(order *sizedOrder) {
 	order.sent = o.world.now
 	o.send(order, 20*time.Millisecond)
 }
 
 // send sends an order until there is a clear answer, with pauses that grow.
-func (o *sizedOperator) send(order *sized, pause time.Duration) {
-	o.askWithin(order.patience(), order.order, func(result *pb.OrderResult) {
+func (o *sizedOperator) send(order *sizedOrder, pause time.Duration) {
+	o.submitWithin(order.timeout(), order.order, func(result *pb.OrderResult) {
 		status := result.GetStatus()
 		if status >= http.StatusInternalServerError {
 			o.world.after(pause, func() { o.send(order, min(2*pause, 500*time.Millisecond)) })
 			return
 		}
 		span := o.world.now - order.sent
-		o.seen[o.kind] = append(o.seen[o.kind], span)
+		o.latencies[o.kind] = append(o.latencies[o.kind], span)
 		if span > order.limit() {
 			o.world.checker.fail("%s order waits %v for its answer %d", o.kind, span, status)
 		}
-		if status == http.StatusOK && order.key != nil {
-			o.world.checker.acknowledge(order.key)
-		} else if order.key != nil {
-			o.world.checker.refuse(order.key, status)
+		if status == http.StatusOK && order.configuration != nil {
+			o.world.checker.acknowledge(order.configuration)
+		} else if order.configuration != nil {
+			o.world.checker.refuse(order.configuration, status)
 		}
-		o.pause()
+		o.scheduleNext()
 	})
 }
 
@@ -158,37 +160,37 @@
 	kinds    []string
 	loses    func(*world, *pb.Message) bool // what the network loses; nil: nothing
 	mutation mutation
-	lasts    time.Duration // 0: largeFor
+	lasts    time.Duration // 0: largeOrdersDuration
 }
 
 // play runs the operators of a mixture on slow machines.
 func (m mixture) play(seed uint64) (*world, latencies) {
 	w := newWorld(plan{
-		seed:      seed,
-		machines:  m.machines,
-		zones:     3,
-		required:  usualRequirement,
-		calm:      true,
-		processor: m.share,
-		mutation:  m.mutation,
+		seed:        seed,
+		machines:    m.machines,
+		zones:       3,
+		requirement: defaultRequirement,
+		calm:        true,
+		processor:   m.share,
+		mutation:    m.mutation,
 	})
 	w.stateBytes = len(largeBody(1, "/1-1/", "b"))
-	w.acknowledgeOne(foundWithin)
+	w.acknowledgeOne()
 	if m.loses != nil {
-		w.network.loses = func(message *pb.Message) bool { return m.loses(w, message) }
+		w.network.alsoLoses = func(message *pb.Message) bool { return m.loses(w, message) }
 	}
 	seen := make(latencies)
 	var operators []*sizedOperator
 	for index, kind := range m.kinds {
-		operator := &sizedOperator{operator: operator{world: w, name: index + 1}, kind: kind, seen: seen}
+		operator := &sizedOperator{operator: operator{world: w, name: index + 1}, kind: kind, latencies: seen}
 		operators = append(operators, operator)
-		w.after(w.upTo(100*time.Millisecond), operator.next)
+		w.after(w.durationUpTo(100*time.Millisecond), operator.next)
 	}
-	w.run(cmp.Or(m.lasts, largeFor))
+	w.run(cmp.Or(m.lasts, largeOrdersDuration))
 	for _, operator := range operators {
-		operator.ended = true
+		operator.stopped = true
 	}
-	w.runUntil(convergeWithin, w.converged)
+	w.runUntil(convergenceLimit, w.converged)
 	w.checker.finish()
 	return w, seen
 }
@@ -197,9 +199,9 @@
 	var all []mixture
 	for _, machines := range []int{3, 5} {
 		all = append(all,
-			mixture{machines: machines, share: coreShare, kinds: repeatKinds("large", 4, "invalid", 1, "small", 2, "evacuation", 1)},
-			mixture{machines: machines, share: coreShare, kinds: repeatKinds("large", 6, "small", 1, "evacuation", 1)},
-			mixture{machines: machines, share: coreShare, kinds: repeatKinds("invalid", 6, "small", 1, "evacuation", 1)},
+			mixture{machines: machines, share: processorShare, kinds: repeatKinds("large", 4, "invalid", 1, "small", 2, "evacuation", 1)},
+			mixture{machines: machines, share: processorShare, kinds: repeatKinds("large", 6, "small", 1, "evacuation", 1)},
+			mixture{machines: machines, share: processorShare, kinds: repeatKinds("invalid", 6, "small", 1, "evacuation", 1)},
 		)
 	}
 	return all
@@ -218,7 +220,7 @@
 	for _, mixed := range mixtures() {
 		t.Run(fmt.Sprint(mixed.machines, mixed.kinds), func(t *testing.T) {
 			t.Parallel()
-			w, seen := mixed.play(uint64(number("CONTROLSIM_FIRST", 1)))
+			w, seen := mixed.play(uint64(envInt("CONTROLSIM_FIRST", 1)))
 			t.Log(seen)
 			require.Empty(t, w.checker.failures)
 			for _, kind := range mixed.kinds {
@@ -230,8 +232,8 @@
 
 func TestLargeOrdersFindPlantedFaults(t *testing.T) {
 	faults := map[string]mixture{
-		"the processors are too slow": {share: coreShare / 5},
-		"small orders are lost beside large ones": {share: coreShare, loses: func(w *world, message *pb.Message) bool {
+		"the processors are too slow": {share: processorShare / 5},
+		"small orders are lost beside large ones": {share: processorShare, loses: func(w *world, message *pb.Message) bool {
 			size := len(message.GetOrder().GetBody())
 			return size > 0 && size < 64<<10 && w.chance(0.97)
 		}},
--- a/internal/controlsim/largeread_test.go
+++ b/internal/controlsim/largereads_test.go
@@ -23,19 +23,19 @@
 
 // newNarrowWorld is a system of five machines on narrow links, with a large configuration in force everywhere.
 func newNarrowWorld(t *testing.T) *world {
-	w := newWorld(plan{seed: 1, machines: 5, zones: 3, required: usualRequirement, calm: true, bandwidth: narrowBandwidth})
-	require.True(t, w.acknowledgeOne(foundWithin))
+	w := newWorld(plan{seed: 1, machines: 5, zones: 3, requirement: defaultRequirement, calm: true, bandwidth: narrowBandwidth})
+	require.True(t, w.acknowledgeOne())
 	base := w.hosts[0].machine.Committed().Generation()
 	order := &pb.Order{Kind: pb.Order_KIND_REPLACE, Base: base, Body: largeBody(base+1, "/1-1/", "b")}
 	status := uint32(0)
 	w.submit(w.hosts[0], order, func(result *pb.OrderResult) { status = result.GetStatus() })
 	require.True(t, w.runUntil(10*time.Second, func() bool { return status != 0 }))
 	require.EqualValues(t, http.StatusOK, status)
-	require.True(t, w.runUntil(convergeWithin, w.converged))
+	require.True(t, w.runUntil(convergenceLimit, w.converged))
 	return w
 }
 
-// readAt reads the configuration at a machine, and tells how long that took.
+// readAt reads the configuration at a machine, and returns how long that took.
 func (w *world) readAt(t *testing.T, host *host) (*pb.OrderResult, time.Duration) {
 	began := w.now
 	var answer *pb.OrderResult
@@ -44,7 +44,7 @@
 	return answer, w.now - began
 }
 
-// A machine that holds the newest configuration needs only the word of the tail that it does: the configuration
+// A machine that holds the newest configuration needs the tail only to say that it does: the configuration
 // does not cross a link between control machines.
 func TestReadsCarryNoConfigurationBetweenMachines(t *testing.T) {
 	w := newNarrowWorld(t)
--- a/internal/controlsim/overtaken_test.go
+++ b/internal/controlsim/lateevacuation_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/control"
 )
 
-// A copy of an order to begin an evacuation has its number from the head and is held up on the way there. Its caller
+// A copy of an order to begin an evacuation has its confirmation token from the head and is delayed on the way there. Its caller
 // gives it up and gets the zone's evacuation begun and finished by way of another machine. Then the copy arrives.
 func TestEvacuationThatIsLateOnItsWayToTheHeadUndoesNothing(t *testing.T) {
 	require.False(t, isUndoneByALateCopy(t, true))
@@ -36,18 +36,18 @@
 		return &pb.Message{From: message.GetFrom()}
 	}
 	w := newWorld(plan{
-		seed:     5,
-		machines: 3,
-		zones:    3,
-		required: chain.Requirement{Replicas: 2, Zones: 2},
-		mutation: mutation{message: hold},
-		calm:     true,
+		seed:        5,
+		machines:    3,
+		zones:       3,
+		requirement: chain.Requirement{Replicas: 2, Zones: 2},
+		mutation:    mutation{message: hold},
+		calm:        true,
 	})
-	require.True(t, w.acknowledgeOne(foundWithin))
-	head := w.byPeer[w.hosts[0].machine.View().GetChain()[0].GetAddress()]
+	require.True(t, w.acknowledgeOne())
+	head := w.chainHost(0)
 	origin := w.otherThan(head)
 	w.submit(origin, &pb.Order{Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: staleZone}, func(*pb.OrderResult) {})
-	request := w.request
+	request := w.lastRequest
 	require.True(t, w.runUntil(time.Second, func() bool { return held != nil }))
 	w.acknowledgeEvacuation(t, head, pb.Order_KIND_EVACUATE_BEGIN)
 	w.acknowledgeEvacuation(t, head, pb.Order_KIND_EVACUATE_FINISH)
--- a/internal/controlsim/leaving_test.go
+++ b/internal/controlsim/leaving_test.go
@@ -16,55 +16,55 @@
 )
 
 const (
-	// shortestGap bounds the time without an acknowledgement when one machine of a calm system is told to end.
-	shortestGap = 300 * time.Millisecond
-	// longestReturn bounds the time from the start of a machine that was told to end until it serves in the chain again.
-	longestReturn = 2 * time.Second
-	// soonReturn is that bound where all others are there.
-	soonReturn = 800 * time.Millisecond
-	// fewestRolls is the smallest number of runs with rolls: each size of a system once.
-	fewestRolls = 8
-	// answersLimit is how long a process that was told to end waits for the answers to the orders that it took.
-	answersLimit = time.Second
-	// longestStay bounds the time from the signal to the end of the process.
-	longestStay = control.LeaveTimeout + 2*control.TickInterval + answersLimit
+	// maxGracefulGap bounds the time without an acknowledgement when one machine of a calm system is shut down gracefully.
+	maxGracefulGap = 300 * time.Millisecond
+	// maxReturnTime bounds the time from the start of a machine that was shut down gracefully until it serves in the chain again.
+	maxReturnTime = 2 * time.Second
+	// maxPromptReturnTime is that bound where all others are there.
+	maxPromptReturnTime = 800 * time.Millisecond
+	// minRolls is the smallest number of runs with rolls: each size of a system once.
+	minRolls = 8
+	// pendingAnswersTimeout is how long a process that was shut down gracefully waits for the answers to the orders that it took.
+	pendingAnswersTimeout = time.Second
+	// maxLeaveTime bounds the time from the signal to the end of the process.
+	maxLeaveTime = control.LeaveTimeout + 2*control.TickInterval + pendingAnswersTimeout
 )
 
-// terminate tells a machine to end, as SIGTERM does; done is called when its process has ended.
+// terminate shuts a machine down gracefully, as SIGTERM does; done is called when its process has ended.
 func (h *host) terminate(done func(agreed bool)) {
 	if h.machine == nil {
 		done(false)
 		return
 	}
-	h.ended = done
+	h.onExit = done
 	if h.world.plan.mutation.leaveSilently {
-		h.leaves(control.Left{})
+		h.exitAfterAnswers(control.Left{})
 		return
 	}
 	h.deliver(control.Leave{})
 }
 
-// leaves ends the process of a machine that was told to end, once it has answered the orders that it has taken.
-func (h *host) leaves(left control.Left) {
-	life := h.life
+// exitAfterAnswers ends the process of a machine that was shut down gracefully, once it has answered the orders that it has taken.
+func (h *host) exitAfterAnswers(left control.Left) {
+	life := h.incarnation
 	told := h.world.now
 	h.world.every(time.Millisecond, func() bool {
-		if h.life != life {
+		if h.incarnation != life {
 			return true
 		}
-		if h.waiting > 0 && h.world.now-told < answersLimit {
+		if h.pendingOrders > 0 && h.world.now-told < pendingAnswersTimeout {
 			return false
 		}
-		h.world.note("%s has left, agreed: %v", h.name, left.Agreed)
+		h.world.tracef("%s has left, agreed: %v", h.name, left.Agreed)
 		h.kill()
 		return true
 	})
 }
 
-// tellEnded calls what waits for the end of a process that was told to end, however it has ended.
-func (h *host) tellEnded() {
-	done := h.ended
-	h.ended = nil
+// reportExit calls what waits for the end of a process that was shut down gracefully, however it has ended.
+func (h *host) reportExit() {
+	done := h.onExit
+	h.onExit = nil
 	if done != nil {
 		h.world.after(0, func() { done(true) })
 	}
@@ -72,8 +72,8 @@
 
 // calmPlan has no faults but those that a test brings about.
 func calmPlan(seed uint64) plan {
-	plan := planOf(seed)
-	plan.restless = 0
+	plan := randomPlan(seed)
+	plan.spuriousProposals = 0
 	plan.calm = true
 	return plan
 }
@@ -81,16 +81,16 @@
 // newCalmWorld is founded, and has one configuration acknowledged.
 func newCalmWorld(t *testing.T, plan plan) *world {
 	w := newWorld(plan)
-	require.True(t, w.acknowledgeOne(foundWithin))
+	require.True(t, w.acknowledgeOne())
 	w.run(2 * time.Second)
 	return w
 }
 
 // acknowledgements sends one order after the other to a machine for a while and returns when each was
 // acknowledged.
-func (w *world) acknowledgements(at *host, span time.Duration) spans {
+func (w *world) acknowledgements(at *host, span time.Duration) durations {
 	end := w.now + span
-	var times spans
+	var times durations
 	var next func()
 	next = func() {
 		if w.now >= end {
@@ -110,7 +110,7 @@
 }
 
 // longestGap is the longest time between two of the times, or from the beginning to the first.
-func longestGap(times spans, began time.Duration) time.Duration {
+func longestGap(times durations, began time.Duration) time.Duration {
 	longest := time.Duration(0)
 	for _, at := range times {
 		longest = max(longest, at-began)
@@ -121,8 +121,8 @@
 
 // gapsAroundAnEnd measures the time without an acknowledgement around the end of one machine, at each place of the
 // chain and outside of it, and the time from the signal to the end of the process.
-func gapsAroundAnEnd(t *testing.T, planted mutation) (gaps, stays spans) {
-	for seed := range uint64(number("CONTROLSIM_SEEDS", defaultSeeds)) {
+func gapsAroundAnEnd(t *testing.T, planted mutation) (gaps, stays durations) {
+	for seed := range uint64(envInt("CONTROLSIM_SEEDS", defaultSeeds)) {
 		plan := calmPlan(seed)
 		plan.mutation = planted
 		w := newCalmWorld(t, plan)
@@ -140,7 +140,7 @@
 
 func TestOrdersGoOnWhenAMachineIsToldToEnd(t *testing.T) {
 	gaps, stays := gapsAroundAnEnd(t, mutation{})
-	require.Less(t, gaps.worst(), shortestGap)
+	require.Less(t, gaps.worst(), maxGracefulGap)
 	require.Less(t, stays.worst(), time.Second)
 }
 
@@ -149,15 +149,15 @@
 	require.Greater(t, gaps.worst(), control.FailureTimeout)
 }
 
-// Orders that are under way when the machine that took them, or the head, is told to end, are answered.
+// Orders that are in flight when the machine that took them, or the head, is shut down gracefully, are answered.
 func TestOrdersUnderWayAreAnsweredWhenTheirMachineIsToldToEnd(t *testing.T) {
 	for seed := range uint64(30) {
 		w := newCalmWorld(t, calmPlan(seed))
-		head := w.byPeer[w.hosts[0].machine.View().GetChain()[0].GetAddress()]
+		head := w.chainHost(0)
 		origin := w.hosts[int(seed)%len(w.hosts)]
 		answers := make(map[uint32]int)
 		for order := range 6 {
-			w.after(w.upTo(30*time.Millisecond), func() {
+			w.after(w.durationUpTo(30*time.Millisecond), func() {
 				zone := fmt.Sprintf("zone-%d", order)
 				w.submit(origin, &pb.Order{Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: zone}, func(result *pb.OrderResult) {
 					answers[result.GetStatus()]++
@@ -171,19 +171,19 @@
 	}
 }
 
-// rollFigures are what a roll of all machines was measured to take.
-type rollFigures struct {
-	stays, returns spans
+// rollMeasurements are what a roll of all machines was measured to take.
+type rollMeasurements struct {
+	stays, returns durations
 }
 
-// roll tells all machines to end in turn, waiting for a while between one and the next, and starts each again.
-func (w *world) roll(pause time.Duration, figures *rollFigures) {
+// roll shuts all machines down gracefully in turn, waiting for a while between one and the next, and starts each again.
+func (w *world) roll(pause time.Duration, figures *rollMeasurements) {
 	for index, host := range w.hosts {
 		w.after(time.Duration(index)*pause, func() {
 			told := w.now
 			host.terminate(func(bool) {
 				figures.stays = append(figures.stays, w.now-told)
-				w.after(w.between(200*time.Millisecond, 600*time.Millisecond), func() {
+				w.after(w.durationBetween(200*time.Millisecond, 600*time.Millisecond), func() {
 					host.start()
 					w.awaitReturn(host, figures)
 				})
@@ -194,17 +194,18 @@
 
 // awaitReturn measures how long a machine that was started takes until it votes, or stands by where its vote would make
 // an odd number even, and holds the state as a member of the chain, or outside of one that is full.
-func (w *world) awaitReturn(host *host, figures *rollFigures) {
+func (w *world) awaitReturn(host *host, figures *rollMeasurements) {
 	began := w.now
-	life := host.life
+	life := host.incarnation
 	w.every(20*time.Millisecond, func() bool {
-		if host.life != life {
+		if host.incarnation != life {
 			return true
 		}
 		view := host.machine.View()
 		inChain := quorum.IndexOf(view.GetChain(), host.machine.Self().GetIdentity()) != quorum.NotFound
 		isFull := len(view.GetChain()) == min(len(view.GetVoters()), chain.MaxLength)
-		if !(inChain || isFull) || !host.machine.Authoritative() && inChain {
+		isPlaced := inChain || isFull
+		if !isPlaced || (inChain && !host.machine.Authoritative()) {
 			return false
 		}
 		figures.returns = append(figures.returns, w.now-began)
@@ -221,10 +222,10 @@
 	})
 }
 
-// rollAll tells the machines of many systems to end in turn, while operators send orders.
-func rollAll(t *testing.T, pause time.Duration, planted mutation) rollFigures {
-	var figures rollFigures
-	for seed := range uint64(max(fewestRolls, number("CONTROLSIM_SEEDS", defaultSeeds)/3)) {
+// rollAll shuts the machines of many systems down gracefully in turn, while operators send orders.
+func rollAll(t *testing.T, pause time.Duration, planted mutation) rollMeasurements {
+	var figures rollMeasurements
+	for seed := range uint64(max(minRolls, envInt("CONTROLSIM_SEEDS", defaultSeeds)/3)) {
 		plan := calmPlan(seed)
 		plan.mutation = planted
 		w := newCalmWorld(t, plan)
@@ -232,7 +233,7 @@
 		w.roll(pause, &figures)
 		w.run(pause*time.Duration(len(w.hosts)) + 4*time.Second)
 		for _, operator := range operators {
-			operator.ended = true
+			operator.stopped = true
 		}
 		w.checkLiveness()
 		w.checker.finish()
@@ -246,17 +247,17 @@
 func TestMachinesAreToldToEndInTurn(t *testing.T) {
 	for _, pause := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second} {
 		figures := rollAll(t, pause, mutation{})
-		require.LessOrEqual(t, figures.stays.worst(), longestStay)
-		require.Less(t, figures.returns.worst(), longestReturn)
+		require.LessOrEqual(t, figures.stays.worst(), maxLeaveTime)
+		require.Less(t, figures.returns.worst(), maxReturnTime)
 	}
 }
 
-// A machine that is told to end while the others are all there serves in the chain soon after its start; not if the
+// A machine that is shut down gracefully while the others are all there serves in the chain soon after its start; not if the
 // others take its end for a loss, which the planted fault makes them do.
 func TestAMachineThatWasToldToEndReturnsSoon(t *testing.T) {
 	const pause = 3 * time.Second
-	require.Less(t, rollAll(t, pause, mutation{}).returns.worst(), soonReturn)
-	require.Greater(t, rollAll(t, pause, mutation{message: hideLeaving}).returns.worst(), soonReturn)
+	require.Less(t, rollAll(t, pause, mutation{}).returns.worst(), maxPromptReturnTime)
+	require.Greater(t, rollAll(t, pause, mutation{message: hideLeaving}).returns.worst(), maxPromptReturnTime)
 }
 
 func hideLeaving(message *pb.Message) *pb.Message {
@@ -270,16 +271,16 @@
 
 func TestAllMachinesAreToldToEndAtOnce(t *testing.T) {
 	for _, spread := range []time.Duration{time.Millisecond, 300 * time.Millisecond} {
-		var stays spans
+		var stays durations
 		for seed := range uint64(60) {
 			w := newCalmWorld(t, calmPlan(seed))
 			for _, host := range w.hosts {
-				w.after(w.upTo(spread), func() {
+				w.after(w.durationUpTo(spread), func() {
 					told := w.now
 					host.terminate(func(bool) { stays = append(stays, w.now-told) })
 				})
 			}
-			w.run(longestStay + spread)
+			w.run(maxLeaveTime + spread)
 			for _, host := range w.hosts {
 				require.Nil(t, host.machine, "seed %d", seed)
 				host.start()
@@ -289,6 +290,6 @@
 			require.Empty(t, w.checker.failures, "seed %d", seed)
 		}
 		t.Logf("within %v: from the signal to the end: %v", spread, stays)
-		require.LessOrEqual(t, stays.worst(), longestStay)
+		require.LessOrEqual(t, stays.worst(), maxLeaveTime)
 	}
 }
--- a/internal/controlsim/lostchange_test.go
+++ b/internal/controlsim/lostchange_test.go
@@ -15,7 +15,7 @@
 const (
 	// lostChangeRoutes is the number of routes of the change that is lost: its body has 424 KB.
 	lostChangeRoutes = 2000
-	// lostChangeWithin is the limit for its acknowledgement, lostChangeReset the time after which its sender is told.
+	// lostChangeWithin is the limit for its acknowledgement, lostChangeReset the time after which its sender learns of the loss.
 	lostChangeWithin = 2 * time.Second
 	lostChangeReset  = 50 * time.Millisecond
 )
@@ -24,7 +24,7 @@
 type lostChange struct {
 	link   int  // its position in the chain
 	losses int  // the first so many are lost; 0: all
-	told   bool // the sender is told of each
+	told   bool // the sender learns of each
 
 	// deliveries on the link, by what they carried
 	changes, states int
@@ -96,7 +96,7 @@
 }
 
 func (l *lostChange) play(t *testing.T, limit time.Duration) (time.Duration, bool) {
-	w := newCalmWorld(t, plan{seed: 1, machines: 5, zones: 3, required: usualRequirement, calm: true})
+	w := newCalmWorld(t, plan{seed: 1, machines: 5, zones: 3, requirement: defaultRequirement, calm: true})
 	require.Len(t, w.newestView().GetChain(), 5)
 	l.install(w)
 	return w.acknowledgeLarge(limit)
@@ -113,7 +113,7 @@
 	}
 }
 
-// Without word of the losses the receiver learns of them by heartbeats and asks for the state, and so does each machine
+// Without a report of the losses the receiver learns of them by heartbeats and requests the state, and so does each machine
 // behind it; an answer that is lost is not given again until it could have come through on a slow link.
 func TestALargeChangeThatIsLostUnnoticedIsAcknowledgedLate(t *testing.T) {
 	for losses := 1; losses <= 3; losses++ {
--- a/internal/controlsim/mutation_test.go
+++ b/internal/controlsim/mutation_test.go
@@ -8,21 +8,21 @@
 
 // mutation plants a fault, to show that the checker finds it. The zero value plants none.
 type mutation struct {
-	message    func(*pb.Message) *pb.Message
-	records    func([]ring.Record) []ring.Record
-	commits    func(control.Committed) control.Committed
-	reply      func(*pb.OrderResult) *pb.OrderResult
-	snapshots  func([]byte) []byte
-	oldDisks   bool // where all machines end at once, the disks come back as they were long before
-	loseWrites bool // writes are told to be on disk but are not
-	wipeTwo    bool // more disks are lost at once than the budget allows
+	message      func(*pb.Message) *pb.Message
+	records      func([]ring.Record) []ring.Record
+	commits      func(control.Committed) control.Committed
+	reply        func(*pb.OrderResult) *pb.OrderResult
+	snapshots    func([]byte) []byte
+	oldDisks     bool // where all machines end at once, the disks come back as they were long before
+	loseWrites   bool // writes are reported as persisted but are not
+	loseTwoDisks bool // more disks are lost at once than the budget allows
 	// the checker does not compare the machines' records of taken orders, so that other checks must find the fault
-	looseRecords bool
+	ignoreExecutedOrders bool
 
-	leaveSilently bool // a machine that is told to end just ends
+	leaveSilently bool // a machine that is shut down gracefully just ends
 	strikeEarly   bool // an adversary does not wait for the fault budget
 
-	watch func(*host, control.Action) // plants nothing: is told of each action as the machine gave it; nil: nobody
+	watch func(*host, control.Action) // plants nothing: is called with each action as the machine returned it; nil: nothing is
 }
 
 func (m *mutation) onMessage(message *pb.Message) *pb.Message {
--- a/internal/controlsim/operator_test.go
+++ b/internal/controlsim/operator_test.go
@@ -11,8 +11,8 @@
 	"fieldrelay/internal/catalog"
 )
 
-// operatorPatience is how long an operator waits for an answer before it goes to another machine.
-const operatorPatience = time.Second
+// operatorTimeout is how long an operator waits for an answer before it goes to another machine.
+const operatorTimeout = time.Second
 
 // configuration is an order of an operator; its key is a path that no other order has.
 type configuration struct {
@@ -59,26 +59,26 @@
 	return []string{route.Prefix}
 }
 
-// operator sends configurations, evacuations and reads, one at a time, as the operator's API tells it to.
+// operator sends configurations, evacuations and reads, one at a time, as the operator's API asks for.
 type operator struct {
-	world *world
-	name  int
-	count int
-	base  uint64 // newest generation that it knows of
-	ended bool
-	tries int
-	only  *host // the machine that it asks; nil: any
+	world    *world
+	name     int
+	count    int
+	base     uint64 // newest generation that it knows of
+	stopped  bool
+	attempts int
+	target   *host // the machine that it sends to; nil: any
 }
 
 func (w *world) addOperator(name int) *operator {
 	operator := &operator{world: w, name: name}
-	w.after(w.between(500*time.Millisecond, 1500*time.Millisecond), operator.next)
+	w.after(w.durationBetween(500*time.Millisecond, 1500*time.Millisecond), operator.next)
 	return operator
 }
 
 // next chooses what the operator does.
 func (o *operator) next() {
-	if o.ended {
+	if o.stopped {
 		return
 	}
 	switch draw := o.world.random.IntN(10); {
@@ -91,8 +91,8 @@
 	}
 }
 
-func (o *operator) pause() {
-	o.world.after(o.world.between(5*time.Millisecond, 400*time.Millisecond), o.next)
+func (o *operator) scheduleNext() {
+	o.world.after(o.world.durationBetween(5*time.Millisecond, 400*time.Millisecond), o.next)
 }
 
 func (o *operator) sendConfiguration() {
@@ -111,41 +111,41 @@
 		o.read()
 		return
 	}
-	o.ask(order.order(), func(result *pb.OrderResult) {
+	o.submit(order.order(), func(result *pb.OrderResult) {
 		switch status := result.GetStatus(); {
 		case status == http.StatusOK:
-			o.world.note("operator %d: %s base %d generation %d acknowledged", o.name, order.key, order.base, order.generation)
+			o.world.tracef("operator %d: %s base %d generation %d acknowledged", o.name, order.key, order.base, order.generation)
 			o.world.checker.acknowledge(order)
 			o.base = max(o.base, order.generation)
-			o.again(order)
+			o.resubmit(order)
 		case status >= 400 && status < 500:
-			o.world.note("operator %d: %s base %d refused %d", o.name, order.key, order.base, status)
+			o.world.tracef("operator %d: %s base %d refused %d", o.name, order.key, order.base, status)
 			o.world.checker.refuse(order, status)
 			o.read()
 		default:
-			wait := o.world.between(5*time.Millisecond, 300*time.Millisecond)
+			wait := o.world.durationBetween(5*time.Millisecond, 300*time.Millisecond)
 			o.world.after(wait, func() { o.send(order, tries-1) })
 		}
 	})
 }
 
-// again sends an acknowledged configuration once more, now and then: the answer is 200 again.
-func (o *operator) again(order *configuration) {
+// resubmit sends an acknowledged configuration once more, now and then: the answer is 200 again.
+func (o *operator) resubmit(order *configuration) {
 	if !o.world.chance(0.2) {
-		o.pause()
+		o.scheduleNext()
 		return
 	}
-	o.ask(order.order(), func(result *pb.OrderResult) {
+	o.submit(order.order(), func(result *pb.OrderResult) {
 		if status := result.GetStatus(); status != http.StatusOK && status != http.StatusServiceUnavailable {
 			o.world.checker.fail("%s was acknowledged, and refused when sent again: %d", order.key, status)
 		}
-		o.pause()
+		o.scheduleNext()
 	})
 }
 
 func (o *operator) read() {
 	least := o.world.checker.newestAcked
-	o.ask(&pb.Order{Kind: pb.Order_KIND_READ}, func(result *pb.OrderResult) {
+	o.submit(&pb.Order{Kind: pb.Order_KIND_READ}, func(result *pb.OrderResult) {
 		if result.GetStatus() == http.StatusOK {
 			var body struct {
 				Generation uint64 `json:"gen"`
@@ -156,16 +156,16 @@
 			o.world.checker.read(least, body.Generation)
 			o.base = max(o.base, body.Generation)
 		}
-		o.pause()
+		o.scheduleNext()
 	})
 }
 
-// ask sends an order to any machine. No answer in time counts as 503.
-func (o *operator) ask(order *pb.Order, done func(*pb.OrderResult)) {
-	o.askWithin(operatorPatience, order, done)
+// submit sends an order to any machine. No answer in time counts as 503.
+func (o *operator) submit(order *pb.Order, done func(*pb.OrderResult)) {
+	o.submitWithin(operatorTimeout, order, done)
 }
 
-func (o *operator) askWithin(patience time.Duration, order *pb.Order, done func(*pb.OrderResult)) {
+func (o *operator) submitWithin(patience time.Duration, order *pb.Order, done func(*pb.OrderResult)) {
 	answered := false
 	once := func(result *pb.OrderResult) {
 		if !answered {
@@ -173,7 +173,7 @@
 			done(result)
 		}
 	}
-	host := o.only
+	host := o.target
 	if host == nil {
 		host = o.world.anyHost()
 	}
@@ -183,8 +183,8 @@
 	})
 }
 
-// lateOrder is how long after its sending an order without a clear answer may still be carried out.
-const lateOrder = 3 * time.Second
+// maxOrderDelay is how long after its sending an order without a clear answer may still be carried out.
+const maxOrderDelay = 3 * time.Second
 
 // evacuation is what is known of a zone's evacuation. An order without a clear answer may have been carried
 // out or not, or may yet be.
@@ -195,8 +195,8 @@
 }
 
 func (e *evacuation) check(c *checker, zone string, evacuated bool) {
-	clear := e.unclear == 0 || e.known > e.unclear+lateOrder
-	if e.known > 0 && clear && e.begun != evacuated {
+	isKnown := e.unclear == 0 || e.known > e.unclear+maxOrderDelay
+	if e.known > 0 && isKnown && e.begun != evacuated {
 		c.fail("%s: evacuated is %v, acknowledged was %v", zone, evacuated, e.begun)
 	}
 }
@@ -215,16 +215,16 @@
 		kind = pb.Order_KIND_EVACUATE_BEGIN
 	}
 	sent := o.world.now
-	o.world.note("operator %d: %s begin %v", o.name, zone, begin)
+	o.world.tracef("operator %d: %s begin %v", o.name, zone, begin)
 	before := known.unclear
 	known.unclear = sent // until it is answered
-	o.ask(&pb.Order{Kind: kind, Zone: zone}, func(result *pb.OrderResult) {
+	o.submit(&pb.Order{Kind: kind, Zone: zone}, func(result *pb.OrderResult) {
 		if result.GetStatus() == http.StatusOK {
-			o.world.note("operator %d: %s begin %v acknowledged", o.name, zone, begin)
+			o.world.tracef("operator %d: %s begin %v acknowledged", o.name, zone, begin)
 			known.unclear = before
 			known.known = sent
 			known.begun = begin
 		}
-		o.pause()
+		o.scheduleNext()
 	})
 }
--- a/internal/controlsim/cutdraw_test.go
+++ b/internal/controlsim/partition_draw_test.go
@@ -5,7 +5,7 @@
 )
 
 // drawTarget picks a machine by its part in the newest view.
-func (s *cutStorm) drawTarget() (string, *host) {
+func (s *partitionStorm) drawTarget() (string, *host) {
 	roles := s.hostsByRole()
 	names := []string{"head", "middle", "tail", "learner", "proposer", "voter"}
 	name := names[s.world.random.IntN(len(names))]
@@ -15,7 +15,7 @@
 	return "any", s.world.anyHost()
 }
 
-func (s *cutStorm) hostsByRole() map[string][]*host {
+func (s *partitionStorm) hostsByRole() map[string][]*host {
 	roles := make(map[string][]*host)
 	view := s.world.newestView()
 	if view == nil {
@@ -45,7 +45,7 @@
 
 func (w *world) newestView() *pb.View {
 	var newest *pb.View
-	for _, host := range w.living() {
+	for _, host := range w.remaining() {
 		if host.machine != nil && host.machine.View().GetNumber() > newest.GetNumber() {
 			newest = host.machine.View()
 		}
@@ -53,6 +53,11 @@
 	return newest
 }
 
+// chainHost is the host at a position of the chain that the first host knows, the head at 0.
+func (w *world) chainHost(position int) *host {
+	return w.byPeer[w.hosts[0].machine.View().GetChain()[position].GetAddress()]
+}
+
 func (w *world) hostsOf(replicas []*pb.Replica) []*host {
 	var hosts []*host
 	for _, replica := range replicas {
@@ -64,14 +69,14 @@
 }
 
 // drawSide is the target alone, with a few others, or with its whole zone.
-func (s *cutStorm) drawSide(target *host) []*host {
+func (s *partitionStorm) drawSide(target *host) []*host {
 	side := []*host{target}
 	zone := s.world.chance(0.15)
 	others := 0.0
 	if s.world.chance(0.3) {
 		others = 0.4
 	}
-	for _, other := range s.world.living() {
+	for _, other := range s.world.remaining() {
 		if other != target && (zone && other.zone == target.zone || s.world.chance(others)) {
 			side = append(side, other)
 		}
@@ -80,14 +85,14 @@
 }
 
 // drawRest is all others, those of the target's zone or of other zones, or a single machine.
-func (s *cutStorm) drawRest(target *host, side []*host) []*host {
+func (s *partitionStorm) drawRest(target *host, side []*host) []*host {
 	within := make(map[*host]bool)
 	for _, host := range side {
 		within[host] = true
 	}
 	shape := s.world.random.IntN(6)
 	var rest []*host
-	for _, other := range s.world.living() {
+	for _, other := range s.world.remaining() {
 		sameZone := other.zone == target.zone
 		if within[other] || shape == 0 && !sameZone || shape == 1 && sameZone {
 			continue
@@ -102,7 +107,7 @@
 }
 
 // drawPairs is the ways that are blocked: out of the side, into it, or both.
-func (s *cutStorm) drawPairs(side, rest []*host) [][2]*host {
+func (s *partitionStorm) drawPairs(side, rest []*host) [][2]*host {
 	direction := s.world.random.IntN(4)
 	var pairs [][2]*host
 	for _, a := range side {
--- a/internal/controlsim/cutplanted_test.go
+++ b/internal/controlsim/partition_planted_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -17,7 +16,7 @@
 		name    string
 		message func(*pb.Message) *pb.Message
 		reply   func(*pb.OrderResult) *pb.OrderResult
-		passes  func(*pb.Message) bool // messages that no cut holds up
+		passes  func(*pb.Message) bool // messages that no partition stops
 		trusts  bool                   // evacuations are handed over at any age
 		crowd   bool                   // many voters outside of the chain, of whom none proposes without need
 		finding string
@@ -46,7 +45,7 @@
 		{
 			name:    "a voter agrees to every check of the view, behind every cut",
 			message: alwaysCurrent,
-			passes:  isViewCheck,
+			passes:  isQuorumCheck,
 			finding: "a read gives generation",
 		},
 		{
@@ -59,16 +58,16 @@
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(plantedSeeds) {
-				plan := cutPlan{plan: planOf(seed), passes: fault.passes, trustsCopies: fault.trusts}
+				plan := partitionPlan{plan: randomPlan(seed), passes: fault.passes, trustsCopies: fault.trusts}
 				plan.mutation.message = fault.message
 				plan.mutation.reply = fault.reply
-				plan.restless = plantedRestless
+				plan.spuriousProposals = plantedRestless
 				if fault.crowd {
-					plan.restless = 0
+					plan.spuriousProposals = 0
 					plan.machines = quorum.MaxVoters
 				}
-				run := playCuts(plan)
-				if strings.Contains(strings.Join(run.checker.failures, "; "), fault.finding) {
+				run := playPartitions(plan)
+				if run.checker.hasFinding(fault.finding) {
 					return
 				}
 			}
@@ -77,7 +76,7 @@
 	}
 }
 
-// withoutCommitted makes heartbeats tell that next to nothing is committed.
+// withoutCommitted makes heartbeats advertise that next to nothing is committed.
 func withoutCommitted(message *pb.Message) *pb.Message {
 	if message.GetHeartbeat().GetCommitted() == 0 {
 		return message
@@ -95,6 +94,6 @@
 	return &pb.OrderResult{Status: http.StatusBadRequest}
 }
 
-func isViewCheck(message *pb.Message) bool {
+func isQuorumCheck(message *pb.Message) bool {
 	return message.GetViewCheck() != nil || message.GetViewCheckResult() != nil
 }
--- a/internal/controlsim/cutrun_test.go
+++ b/internal/controlsim/partition_run_test.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// defaultCutSeeds is the number of runs; the environment variable CUTSIM_SEEDS sets another, CUTSIM_FIRST the
+	// defaultPartitionSeeds is the number of runs; the environment variable CUTSIM_SEEDS sets another, CUTSIM_FIRST the
 	// first seed.
-	defaultCutSeeds = 100
-	// aimedAtTarget is the part of an aimed operator's orders that go to the machine that was cut off last.
+	defaultPartitionSeeds = 100
+	// aimedAtTarget is the part of an aimed operator's orders that go to the machine that was partitioned last.
 	aimedAtTarget = 0.6
 )
 
-// cutPlan is a plan with what is planted in a storm of cuts.
-type cutPlan struct {
+// partitionPlan is a plan with what is planted in a partition storm.
+type partitionPlan struct {
 	plan
-	passes       func(*pb.Message) bool // messages that no cut holds up; nil: none
+	passes       func(*pb.Message) bool // messages that no partition stops; nil: none
 	trustsCopies bool                   // evacuations are handed over at any age
 }
 
-// cutRun is a world after a storm of cuts.
-type cutRun struct {
+// partitionRun is a world after a partition storm.
+type partitionRun struct {
 	*world
-	storm      *cutStorm
+	storm      *partitionStorm
 	authority  *authorityWatch
 	evacuators []*evacuator
 }
 
-// playCuts runs a world through a storm of cuts.
-func playCuts(plan cutPlan) *cutRun {
-	var storm *cutStorm
+// playPartitions runs a world through a partition storm.
+func playPartitions(plan partitionPlan) *partitionRun {
+	var storm *partitionStorm
 	planted := plan.mutation.message
 	plan.mutation.message = func(message *pb.Message) *pb.Message {
 		if storm != nil {
@@ -47,24 +47,24 @@
 		return planted(message)
 	}
 	w := newWorld(plan.plan)
-	w.network.passes = plan.passes
-	storm = w.addCuts()
-	w.onSubmit = storm.holdCopy
-	run := &cutRun{world: w, storm: storm, authority: w.watchAuthority()}
+	w.network.exempt = plan.passes
+	storm = w.addPartitionStorm()
+	w.onSubmit = storm.delayCopy
+	run := &partitionRun{world: w, storm: storm, authority: w.watchAuthority()}
 	for name := range 2 {
 		evacuator := w.addEvacuator(storm, name)
-		evacuator.trusts = plan.trustsCopies
+		evacuator.trustsCopies = plan.trustsCopies
 		run.evacuators = append(run.evacuators, evacuator)
 	}
 	operators := []*operator{w.addOperator(1), w.addOperator(2), w.addOperator(5)}
 	for _, operator := range operators[1:] {
 		storm.aim(operator)
 	}
-	w.run(cutsFor)
+	w.run(partitionStormDuration)
 	storm.heal()
-	w.plan.restless = 0
+	w.plan.spuriousProposals = 0
 	for _, operator := range operators {
-		operator.ended = true
+		operator.stopped = true
 	}
 	for _, evacuator := range run.evacuators {
 		evacuator.ended = true
@@ -74,39 +74,39 @@
 	return run
 }
 
-// aim has an operator ask, every now and then, only the machine that was cut off last.
-func (s *cutStorm) aim(operator *operator) {
-	operator.only = nil
+// aim has an operator use, every now and then, only the machine that was partitioned last.
+func (s *partitionStorm) aim(operator *operator) {
+	operator.target = nil
 	if s.target != nil && !s.ended && s.world.chance(aimedAtTarget) {
-		operator.only = s.target
+		operator.target = s.target
 	}
-	s.world.after(s.world.between(100*time.Millisecond, time.Second), func() { s.aim(operator) })
+	s.world.after(s.world.durationBetween(100*time.Millisecond, time.Second), func() { s.aim(operator) })
 }
 
-// cutFigures add up what happened in many runs.
-type cutFigures struct {
-	figures
+// partitionTotals add up what happened in many runs.
+type partitionTotals struct {
+	totals
 	cuts, joinedInElection, cutAgain, restarts, freezes, learners, cutAtJoin atomic.Int64
 	claims, longestStale                                                     atomic.Int64
 	evacuations, held, keptBack, withdrawn, heldCopies                       atomic.Int64
 }
 
-func (f *cutFigures) addRun(run *cutRun) {
+func (f *partitionTotals) addRun(run *partitionRun) {
 	f.add(run.world)
-	f.cuts.Add(int64(run.storm.cuts))
-	f.joinedInElection.Add(int64(run.storm.joinedInElection))
-	f.cutAgain.Add(int64(run.storm.cutAgain))
+	f.cuts.Add(int64(run.storm.partitions))
+	f.joinedInElection.Add(int64(run.storm.healedInElection))
+	f.cutAgain.Add(int64(run.storm.repartitioned))
 	f.restarts.Add(int64(run.storm.restarts))
 	f.freezes.Add(int64(run.storm.freezes))
-	f.cutAtJoin.Add(int64(run.storm.cutAtJoin))
+	f.cutAtJoin.Add(int64(run.storm.partitionedAtJoin))
 	f.learners.Add(int64(run.storm.roles["learner"]))
-	f.heldCopies.Add(int64(run.storm.heldCopies))
+	f.heldCopies.Add(int64(run.storm.delayedCopies))
 	f.claims.Add(int64(run.authority.claims))
 	for _, evacuator := range run.evacuators {
 		f.evacuations.Add(int64(evacuator.acknowledged))
-		f.held.Add(int64(evacuator.held))
-		f.keptBack.Add(int64(evacuator.keptBack))
-		f.withdrawn.Add(int64(evacuator.withdrawn))
+		f.held.Add(int64(evacuator.delayed))
+		f.keptBack.Add(int64(evacuator.rejected))
+		f.withdrawn.Add(int64(evacuator.canceled))
 	}
 	for {
 		longest := f.longestStale.Load()
@@ -117,7 +117,7 @@
 	}
 }
 
-func (f *cutFigures) log(t *testing.T, count int) {
+func (f *partitionTotals) log(t *testing.T, count int) {
 	t.Logf("%d runs, %d failed: %d cuts (%d of learners), %d ended by an election, %d straight after a join, %d of machines just voted in, %d restarts and %d standstills behind a cut",
 		count, f.failed.Load(), f.cuts.Load(), f.learners.Load(), f.joinedInElection.Load(), f.cutAgain.Load(),
 		f.cutAtJoin.Load(), f.restarts.Load(), f.freezes.Load())
@@ -129,9 +129,9 @@
 }
 
 func TestCutOffMachinesTellNothingWrong(t *testing.T) {
-	first := number("CUTSIM_FIRST", 1)
-	count := number("CUTSIM_SEEDS", defaultCutSeeds)
-	var total cutFigures
+	first := envInt("CUTSIM_FIRST", 1)
+	count := envInt("CUTSIM_SEEDS", defaultPartitionSeeds)
+	var total partitionTotals
 	t.Cleanup(func() {
 		total.log(t, count)
 		require.Positive(t, total.acknowledged.Load())
@@ -139,7 +139,7 @@
 		require.Positive(t, total.keptBack.Load())
 	})
 	total.each(t, first, count, func(seed uint64) *world {
-		run := playCuts(cutPlan{plan: planOf(seed)})
+		run := playPartitions(partitionPlan{plan: randomPlan(seed)})
 		total.addRun(run)
 		return run.world
 	})
--- a/internal/controlsim/planted_test.go
+++ b/internal/controlsim/plantedfaults_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -16,101 +15,110 @@
 // plantedSeeds is the number of runs within which a planted fault must be found.
 const plantedSeeds = 60
 
-// plantedRestless makes changes of view common, without which some faults do not show.
+// plantedRestless makes view changes common, without which some faults do not show.
 const plantedRestless = 0.2
 
+// plantedFault is a fault that a simulation must find.
+type plantedFault[P any] struct {
+	name    string
+	planted P      // a mutation, or what makes another one for each run
+	finding string // part of one of the findings
+}
+
+// requireFound requires that each fault is found, by isFound.
+func requireFound[P any](t *testing.T, faults []plantedFault[P], isFound func(planted P, finding string) bool) {
+	t.Helper()
+	for _, fault := range faults {
+		t.Run(fault.name, func(t *testing.T) {
+			t.Parallel()
+			require.True(t, isFound(fault.planted, fault.finding), "%q was not found", fault.finding)
+		})
+	}
+}
+
 func TestCheckerFindsPlantedFaults(t *testing.T) {
-	faults := []struct {
-		name     string
-		mutation mutation
-		finding  string // part of one of the findings
-	}{
+	faults := []plantedFault[mutation]{
 		{
-			name:     "a write is told to be on disk but is not",
-			mutation: mutation{loseWrites: true},
-			finding:  "no acknowledgement within",
+			name:    "a write is told to be on disk but is not",
+			planted: mutation{loseWrites: true},
+			finding: "no acknowledgement within",
 		},
 		{
-			name:     "promises are not on disk",
-			mutation: mutation{records: withoutPromises},
-			finding:  "forgets what it accepted",
+			name:    "promises are not on disk",
+			planted: mutation{records: withoutPromises},
+			finding: "forgets what it accepted",
 		},
 		{
-			name:     "a voter accepts whatever it promised",
-			mutation: mutation{message: grantAll},
-			finding:  "breaks its promise",
+			name:    "a voter accepts whatever it promised",
+			planted: mutation{message: grantAll},
+			finding: "breaks its promise",
 		},
 		{
-			name:     "an order of unknown fate is answered 412",
-			mutation: mutation{reply: refuseUnclear},
-			finding:  "was refused (412) but came in force",
+			name:    "an order of unknown fate is answered 412",
+			planted: mutation{reply: refuseUnclear},
+			finding: "was refused (412) but came in force",
 		},
 		{
-			name:     "a repair lacks what differs",
-			mutation: mutation{message: emptyRepairs},
-			finding:  "two states of sequence",
+			name:    "a repair lacks what differs",
+			planted: mutation{message: emptyRepairs},
+			finding: "two states of sequence",
 		},
 		{
-			name:     "changes are not on disk",
-			mutation: mutation{records: withoutChanges},
-			finding:  "was acknowledged",
+			name:    "changes are not on disk",
+			planted: mutation{records: withoutChanges},
+			finding: "was acknowledged",
 		},
 		{
-			name:     "more disks are lost than the budget allows",
-			mutation: mutation{wipeTwo: true},
-			finding:  "no acknowledgement within",
+			name:    "more disks are lost than the budget allows",
+			planted: mutation{loseTwoDisks: true},
+			finding: "no acknowledgement within",
 		},
 		{
-			name:     "a refused configuration is acknowledged",
-			mutation: mutation{reply: acknowledgeRefused},
-			finding:  "was never committed",
+			name:    "a refused configuration is acknowledged",
+			planted: mutation{reply: acknowledgeRefused},
+			finding: "was never committed",
 		},
 		{
-			name:     "the loser of a race is acknowledged",
-			mutation: mutation{reply: acknowledgeRefused},
-			finding:  "are both acknowledged",
+			name:    "the loser of a race is acknowledged",
+			planted: mutation{reply: acknowledgeRefused},
+			finding: "are both acknowledged",
 		},
 		{
-			name:     "an evacuation is ended where it should begin",
-			mutation: mutation{message: finishEvacuations},
-			finding:  "evacuated is false, acknowledged was true",
+			name:    "an evacuation is ended where it should begin",
+			planted: mutation{message: finishEvacuations},
+			finding: "evacuated is false, acknowledged was true",
 		},
 		{
-			name:     "an older state is told after a newer one",
-			mutation: mutation{commits: repeatFirst()},
-			finding:  "committed sequence falls",
+			name:    "an older state is told after a newer one",
+			planted: mutation{commits: repeatFirst()},
+			finding: "committed sequence falls",
 		},
 		{
-			name:     "changes that are told lack one",
-			mutation: mutation{commits: withoutFirstChange},
-			finding:  "changes ",
+			name:    "changes that are told lack one",
+			planted: mutation{commits: withoutFirstChange},
+			finding: "changes ",
 		},
 		{
-			name:     "a result goes to another caller than its own",
-			mutation: mutation{message: swapResults()},
-			finding:  "was never committed",
+			name:    "a result goes to another caller than its own",
+			planted: mutation{message: swapResults()},
+			finding: "was never committed",
 		},
 		{
-			name:     "every view is proposed twice",
-			mutation: mutation{message: otherValue()},
-			finding:  "a second view",
+			name:    "every view is proposed twice",
+			planted: mutation{message: otherValue()},
+			finding: "a second view",
 		},
 	}
-	for _, fault := range faults {
-		t.Run(fault.name, func(t *testing.T) {
-			t.Parallel()
-			require.True(t, isFound(fault.mutation, fault.finding), "%q was not found", fault.finding)
-		})
-	}
+	requireFound(t, faults, isFoundInStorm)
 }
 
-func isFound(planted mutation, finding string) bool {
+func isFoundInStorm(planted mutation, finding string) bool {
 	for seed := range uint64(plantedSeeds) {
-		plan := planOf(seed)
+		plan := randomPlan(seed)
 		plan.mutation = planted
-		plan.restless = plantedRestless
-		w := play(plan)
-		if strings.Contains(strings.Join(w.checker.failures, "; "), finding) {
+		plan.spuriousProposals = plantedRestless
+		w := playStorm(plan)
+		if w.checker.hasFinding(finding) {
 			return true
 		}
 	}
@@ -169,7 +177,7 @@
 	return changed
 }
 
-// repeatFirst tells the first committed state again in place of every tenth.
+// repeatFirst reports the first committed state again in place of every tenth.
 func repeatFirst() func(control.Committed) control.Committed {
 	count := 0
 	var first control.Committed
@@ -195,7 +203,7 @@
 	return committed
 }
 
-// emptyRepairs drops all ranges but the last, which holds the request's ticket.
+// emptyRepairs drops all ranges but the last, which has the request's ticket.
 func emptyRepairs(message *pb.Message) *pb.Message {
 	ranges := message.GetSyncResponse().GetRepair().GetRanges()
 	if len(ranges) < 2 {
@@ -207,7 +215,7 @@
 	return changed
 }
 
-// otherValue makes every second Decided tell another chain than was decided.
+// otherValue makes every second Decided name another chain than was decided.
 func otherValue() func(*pb.Message) *pb.Message {
 	count := 0
 	return func(message *pb.Message) *pb.Message {
--- a/internal/controlsim/race_planted_test.go
+++ b/internal/controlsim/race_planted_test.go
@@ -1,18 +1,13 @@
 package controlsim
 
 import (
-	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 )
 
 func TestRacesFindPlantedFaults(t *testing.T) {
-	faults := []struct {
-		name    string
-		plant   func() mutation
-		finding string
-	}{
+	faults := []plantedFault[func() mutation]{
 		{
 			"the loser is acknowledged",
 			func() mutation { return mutation{reply: acknowledgeRefused} },
@@ -37,13 +32,13 @@
 	for _, fault := range faults {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			require.True(t, isFoundByRaces(t, fault.plant, fault.finding), "%q was not found", fault.finding)
+			require.True(t, isFoundByRaces(t, fault.planted, fault.finding), "%q was not found", fault.finding)
 		})
 	}
 }
 
 func isFoundByRaces(t *testing.T, plant func() mutation, finding string) bool {
-	for _, change := range upheavals() {
+	for _, change := range viewChangeTriggers() {
 		for number := range plantedRaces {
 			planted := race{
 				seed:        uint64(number),
@@ -53,7 +48,7 @@
 				planted:     plant(),
 			}
 			w, _ := planted.run(t)
-			if strings.Contains(strings.Join(w.checker.failures, "; "), finding) {
+			if w.checker.hasFinding(finding) {
 				return true
 			}
 		}
--- a/internal/controlsim/race_test.go
+++ b/internal/controlsim/race_test.go
@@ -13,17 +13,17 @@
 
 // Two operators choose the same number for different changes of the same version, one of them a configuration and
 // the other an amendment, and a third sends the same body as the first, each through another machine. They do so
-// at every event of a change of view, while answers are lost at one place. CONTROLSIM_RACE_STRIDE sets how many
+// at every event of a view change, while answers are lost at one place. CONTROLSIM_RACE_STRIDE sets how many
 // events are passed over from one run to the next.
 const (
 	defaultRaceStride = 40
-	// raceHealsAfter is when the trouble ends that led to the change of view.
+	// raceHealsAfter is when the fault ends that led to the view change.
 	raceHealsAfter = 3 * time.Second
 	// raceLimit is the limit for clear answers after that.
 	raceLimit = 15 * time.Second
 	// raceLosses is the number of answers that are lost at the place in question.
 	raceLosses = 3
-	// maxRaceEvents bounds the events of a change of view.
+	// maxRaceEvents bounds the events of a view change.
 	maxRaceEvents = 5000
 	// plantedRaces is the number of races for each upheaval in which a planted fault is looked for.
 	plantedRaces = 120
@@ -35,14 +35,14 @@
 type racer struct {
 	operator
 	order  *configuration
-	host   int    // index of the machine that is asked next
+	host   int    // index of the machine that is used next
 	status uint32 // of the clear answer; 0: there is none yet
 }
 
 func (r *racer) send() {
-	r.only = r.world.hosts[r.host%len(r.world.hosts)]
+	r.target = r.world.hosts[r.host%len(r.world.hosts)]
 	r.host++
-	r.ask(r.order.order(), func(result *pb.OrderResult) {
+	r.submit(r.order.order(), func(result *pb.OrderResult) {
 		switch status := result.GetStatus(); {
 		case status == http.StatusOK:
 			r.world.checker.acknowledge(r.order)
@@ -51,7 +51,7 @@
 			r.world.checker.refuse(r.order, status)
 			r.status = status
 		default:
-			r.world.after(r.world.between(20*time.Millisecond, 120*time.Millisecond), r.send)
+			r.world.after(r.world.durationBetween(20*time.Millisecond, 120*time.Millisecond), r.send)
 		}
 	})
 }
@@ -59,14 +59,14 @@
 // raceWorld is a calm world in which one configuration was acknowledged.
 func raceWorld(t require.TestingT, seed uint64, planted mutation) (w *world, chained []*host) {
 	w = newWorld(plan{
-		seed:     seed,
-		machines: []int{3, 5}[seed%2],
-		zones:    3,
-		required: usualRequirement,
-		mutation: planted,
-		calm:     true,
+		seed:        seed,
+		machines:    []int{3, 5}[seed%2],
+		zones:       3,
+		requirement: defaultRequirement,
+		mutation:    planted,
+		calm:        true,
 	})
-	require.True(t, w.acknowledgeOne(foundWithin))
+	require.True(t, w.acknowledgeOne())
 	w.run(time.Second)
 	for _, member := range w.hosts[0].machine.View().GetChain() {
 		chained = append(chained, w.byPeer[member.GetAddress()])
@@ -84,20 +84,20 @@
 	return true
 }
 
-// race is one run: the orders are sent at an event of a change of view, or the other way round.
+// race is one run: the orders are sent at an event of a view change, or the other way round.
 type race struct {
 	seed        uint64
-	change      upheaval
+	change      viewChangeTrigger
 	loss        answerLoss
 	event       int
-	ordersFirst bool // the change of view begins at an event of the orders' way
+	ordersFirst bool // the view change begins at an event of the orders' way
 	planted     mutation
 }
 
 // run returns the world, and whether what the event is counted in was over before it.
 func (r race) run(t require.TestingT) (w *world, over bool) {
 	w, chained := raceWorld(t, r.seed, r.planted)
-	w.network.loses = r.losses()
+	w.network.alsoLoses = r.losses()
 	var racers []*racer
 	begin := func() { r.change.begin(w, chained) }
 	send := func() { racers = startRace(w, r.event) }
@@ -146,14 +146,14 @@
 	second := &configuration{key: "/2-1/", base: base, generation: base + 1, amend: true}
 	var racers []*racer
 	for index, order := range []*configuration{first, second, first} {
-		racer := &racer{operator: operator{world: w, name: index + 1, ended: true}, order: order, host: event + index}
+		racer := &racer{operator: operator{world: w, name: index + 1, stopped: true}, order: order, host: event + index}
 		racers = append(racers, racer)
-		w.after(w.upTo(3*time.Millisecond), racer.send)
+		w.after(w.durationUpTo(3*time.Millisecond), racer.send)
 	}
 	return racers
 }
 
-// checkRace: one of the two has won, and it is said so to whoever asks again, at every machine.
+// checkRace: one of the two has won, and whoever sends again learns so, at every machine.
 func checkRace(w *world, racers []*racer) {
 	won := func(r *racer) bool { return r.status == http.StatusOK }
 	if won(racers[0]) != won(racers[2]) {
@@ -177,7 +177,7 @@
 			}
 		}
 	}
-	w.runUntil(convergeWithin, w.converged)
+	w.runUntil(convergenceLimit, w.converged)
 	w.checker.finish()
 }
 
@@ -186,13 +186,13 @@
 func TestChangesOfViewAtEveryEventOfARace(t *testing.T) { sweepRaces(t, true) }
 
 func sweepRaces(t *testing.T, ordersFirst bool) {
-	stride := number("CONTROLSIM_RACE_STRIDE", defaultRaceStride)
-	var total figures
+	stride := envInt("CONTROLSIM_RACE_STRIDE", defaultRaceStride)
+	var total totals
 	t.Cleanup(func() {
 		t.Logf("%d races, %d failed", total.races.Load(), total.failed.Load())
 		require.Positive(t, total.races.Load())
 	})
-	for _, change := range upheavals() {
+	for _, change := range viewChangeTriggers() {
 		for place, loss := range answerLosses() {
 			if loss.caller > 0 {
 				continue // the operators ask again in any case
--- a/internal/controlsim/redundancy_test.go
+++ b/internal/controlsim/redundancy_test.go
@@ -9,7 +9,7 @@
 
 // running are the hosts whose process runs.
 func (w *world) running() []*host {
-	return slices.DeleteFunc(w.living(), func(host *host) bool { return host.machine == nil || host.frozen })
+	return slices.DeleteFunc(w.remaining(), func(host *host) bool { return host.machine == nil || host.frozen })
 }
 
 // runningAs returns the running host of a replica; nil if it does not run, or has another identity.
@@ -25,7 +25,7 @@
 // in as many places as required, and a majority of the voters runs.
 func (w *world) isRepaired() bool {
 	view := w.newestView()
-	if view == nil || !w.plan.required.MetBy(view.GetChain(), view.GetVoters()) {
+	if view == nil || !w.plan.requirement.MetBy(view.GetChain(), view.GetVoters()) {
 		return false
 	}
 	for _, member := range view.GetChain() {
--- a/internal/controlsim/repeats_planted_test.go
+++ b/internal/controlsim/repeatedorders_planted_test.go
@@ -3,10 +3,8 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"strings"
 	"testing"
 
-	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/proto"
 
 	pb "fieldrelay/api/fieldrelay/v1"
@@ -18,58 +16,49 @@
 const plantedRepeatSeeds = 12
 
 func TestRepeatsFindPlantedFaults(t *testing.T) {
-	faults := []struct {
-		name    string
-		plant   func() mutation // another one for each run
-		finding string          // part of one of the findings
-	}{
+	faults := []plantedFault[func() mutation]{
 		{
 			name:    "only the last orders are known again",
-			plant:   func() mutation { return mutation{message: forgetOrders(64)} },
+			planted: func() mutation { return mutation{message: forgetOrders(64)} },
 			finding: "was acknowledged, and refused when sent again: 412",
 		},
 		{
 			name:    "an order that is not known any more is refused",
-			plant:   func() mutation { return mutation{reply: refuseUnclear} },
+			planted: func() mutation { return mutation{reply: refuseUnclear} },
 			finding: "was acknowledged, and refused when sent again: 412",
 		},
 		{
 			name:    "changes are passed on without their orders",
-			plant:   func() mutation { return mutation{message: appendsWithoutOrders} },
+			planted: func() mutation { return mutation{message: appendsWithoutOrders} },
 			finding: "two states of sequence",
 		},
 		{
 			name:    "changes are passed on without their orders, and nobody compares",
-			plant:   func() mutation { return mutation{message: appendsWithoutOrders, looseRecords: true} },
+			planted: func() mutation { return mutation{message: appendsWithoutOrders, ignoreExecutedOrders: true} },
 			finding: "are not acknowledged again in calm times",
 		},
 		{
 			name:    "repairs lack the orders",
-			plant:   func() mutation { return mutation{message: repairsWithoutOrders, looseRecords: true} },
+			planted: func() mutation { return mutation{message: repairsWithoutOrders, ignoreExecutedOrders: true} },
 			finding: "are not acknowledged again in calm times",
 		},
 		{
 			name:    "disks lack the orders",
-			plant:   func() mutation { return mutation{records: changesWithoutOrders, looseRecords: true} },
+			planted: func() mutation { return mutation{records: changesWithoutOrders, ignoreExecutedOrders: true} },
 			finding: "are not acknowledged again in calm times",
 		},
 		{
 			name:    "the loser of a race is acknowledged",
-			plant:   func() mutation { return mutation{reply: acknowledgeRefused} },
+			planted: func() mutation { return mutation{reply: acknowledgeRefused} },
 			finding: "are both acknowledged as generation",
 		},
 		{
 			name:    "two on one version are acknowledged",
-			plant:   func() mutation { return mutation{reply: acknowledgeRefused} },
+			planted: func() mutation { return mutation{reply: acknowledgeRefused} },
 			finding: " are both acknowledged;",
 		},
 	}
-	for _, fault := range faults {
-		t.Run(fault.name, func(t *testing.T) {
-			t.Parallel()
-			require.True(t, isFoundByRepeats(fault.plant, fault.finding), "%q was not found", fault.finding)
-		})
-	}
+	requireFound(t, faults, isFoundByRepeats)
 }
 
 func isFoundByRepeats(plant func() mutation, finding string) bool {
@@ -77,7 +66,7 @@
 		plan := repeatPlan(seed)
 		plan.mutation = plant()
 		r := playRepeats(plan)
-		if strings.Contains(strings.Join(r.checker.failures, "; ")+";", finding) {
+		if r.checker.hasFinding(finding) {
 			return true
 		}
 	}
--- a/internal/controlsim/repeats_test.go
+++ b/internal/controlsim/repeatedorders_test.go
@@ -33,34 +33,34 @@
 	acknowledged []*configuration // each once, in the order of their first acknowledgement
 	known        map[string]bool  // keys of those
 	refused      []*configuration
-	underWay     map[string]*configuration
+	pending      map[string]*configuration
 	repeats      int     // answered 200
 	unclear      int     // repeats without a clear answer
 	loseAnswer   float64 // chance that the caller does not get an answer
 }
 
 func repeatPlan(seed uint64) plan {
-	chosen := planOf(seed)
-	chosen.restless = []float64{0, 0.02, 0.1}[seed%3]
+	chosen := randomPlan(seed)
+	chosen.spuriousProposals = []float64{0, 0.02, 0.1}[seed%3]
 	return chosen
 }
 
 func newRepeatWorld(plan plan) *repeatWorld {
 	r := &repeatWorld{
-		world:    newWorld(plan),
-		storm:    true,
-		known:    make(map[string]bool),
-		underWay: make(map[string]*configuration),
+		world:   newWorld(plan),
+		storm:   true,
+		known:   make(map[string]bool),
+		pending: make(map[string]*configuration),
 	}
 	losses := answerLosses()
 	loss := losses[plan.seed%uint64(len(losses))]
 	r.loseAnswer = loss.caller
 	if loss.lost != nil {
-		r.network.loses = func(message *pb.Message) bool { return loss.lost(message) && r.chance(answerLossChance) }
+		r.network.alsoLoses = func(message *pb.Message) bool { return loss.lost(message) && r.chance(answerLossChance) }
 	}
 	for name := 1; name <= repeatOperators; name++ {
-		operator := &repeatOperator{operator: operator{world: r.world, name: name}, all: r}
-		r.after(r.between(500*time.Millisecond, 1500*time.Millisecond), operator.next)
+		operator := &repeatOperator{operator: operator{world: r.world, name: name}, run: r}
+		r.after(r.durationBetween(500*time.Millisecond, 1500*time.Millisecond), operator.next)
 	}
 	return r
 }
@@ -68,12 +68,12 @@
 // playRepeats runs a world through a storm and returns it with the checker's findings.
 func playRepeats(plan plan) *repeatWorld {
 	r := newRepeatWorld(plan)
-	storm := r.addTrouble()
-	r.run(time.Duration(number("CONTROLSIM_REPEAT_SECONDS", repeatStormSeconds)) * time.Second)
+	storm := r.addRandomFaults()
+	r.run(time.Duration(envInt("CONTROLSIM_REPEAT_SECONDS", repeatStormSeconds)) * time.Second)
 	storm.heal()
-	r.plan.restless = 0
+	r.plan.spuriousProposals = 0
 	r.storm = false
-	r.network.loses = nil
+	r.network.alsoLoses = nil
 	r.loseAnswer = 0
 	r.checkLiveness()
 	r.checkFinalRepeats()
@@ -93,8 +93,8 @@
 	}
 	left := len(asked)
 	for index, order := range asked {
-		sender := &repeatOperator{operator: operator{world: r.world, name: 9, ended: true}, all: r}
-		r.after(time.Duration(index)*10*time.Millisecond, func() { sender.insistOn(order, &left) })
+		sender := &repeatOperator{operator: operator{world: r.world, name: 9, stopped: true}, run: r}
+		r.after(time.Duration(index)*10*time.Millisecond, func() { sender.resubmitUntilAcknowledged(order, &left) })
 	}
 	if !r.runUntil(finalRepeatsWithin, func() bool { return left == 0 }) {
 		r.checker.fail("%d acknowledged orders are not acknowledged again in calm times", left)
@@ -105,47 +105,47 @@
 	return r.acknowledged[r.random.IntN(len(r.acknowledged))]
 }
 
-func (r *repeatWorld) noteAcknowledged(order *configuration) {
+func (r *repeatWorld) recordAcknowledged(order *configuration) {
 	r.checker.acknowledge(order)
-	delete(r.underWay, order.key)
+	delete(r.pending, order.key)
 	if !r.known[order.key] {
 		r.known[order.key] = true
 		r.acknowledged = append(r.acknowledged, order)
 	}
 }
 
-// anyUnderWay is an order that some operator has sent and has no clear answer to.
-func (r *repeatWorld) anyUnderWay() *configuration {
-	keys := slices.Sorted(maps.Keys(r.underWay))
-	return r.underWay[keys[r.random.IntN(len(keys))]]
+// anyPending is an order that some operator has sent and has no clear answer to.
+func (r *repeatWorld) anyPending() *configuration {
+	keys := slices.Sorted(maps.Keys(r.pending))
+	return r.pending[keys[r.random.IntN(len(keys))]]
 }
 
 // repeatOperator is an operator that also sends again what anyone has sent.
 type repeatOperator struct {
 	operator
-	all *repeatWorld
+	run *repeatWorld
 }
 
 func (o *repeatOperator) next() {
-	if !o.all.storm {
+	if !o.run.storm {
 		return
 	}
 	switch draw := o.world.random.IntN(20); {
 	case draw < 9:
 		o.sendNew()
-	case draw < 14 && len(o.all.acknowledged) > 0:
-		o.repeat(o.all.anyAcknowledged())
-	case draw < 16 && len(o.all.underWay) > 0:
-		o.send(o.all.anyUnderWay(), 3)
-	case draw < 17 && len(o.all.refused) > 0: // it must not be taken now
-		o.send(o.all.refused[o.world.random.IntN(len(o.all.refused))], 1)
+	case draw < 14 && len(o.run.acknowledged) > 0:
+		o.repeat(o.run.anyAcknowledged())
+	case draw < 16 && len(o.run.pending) > 0:
+		o.send(o.run.anyPending(), 3)
+	case draw < 17 && len(o.run.refused) > 0: // it must not be taken now
+		o.send(o.run.refused[o.world.random.IntN(len(o.run.refused))], 1)
 	default:
 		o.read()
 	}
 }
 
-func (o *repeatOperator) pause() {
-	o.world.after(o.world.between(5*time.Millisecond, 60*time.Millisecond), o.next)
+func (o *repeatOperator) scheduleNext() {
+	o.world.after(o.world.durationBetween(5*time.Millisecond, 60*time.Millisecond), o.next)
 }
 
 // sendNew sends a new order. Two operators on one version mostly choose the same number for it.
@@ -161,27 +161,27 @@
 	if o.world.chance(0.1) {
 		order.generation += uint64(o.world.random.IntN(3))
 	}
-	o.all.underWay[order.key] = order
+	o.run.pending[order.key] = order
 	if o.world.chance(0.1) { // through two machines at once
-		o.ask(order.order(), func(result *pb.OrderResult) { o.settle(order, result) })
+		o.submit(order.order(), func(result *pb.OrderResult) { o.recordAnswer(order, result) })
 	}
 	o.send(order, 8)
 }
 
-// settle notes a clear answer and reports whether it was one.
-func (o *repeatOperator) settle(order *configuration, result *pb.OrderResult) bool {
+// recordAnswer records a clear answer and reports whether it was one.
+func (o *repeatOperator) recordAnswer(order *configuration, result *pb.OrderResult) bool {
 	switch status := result.GetStatus(); {
 	case status == http.StatusOK:
-		o.all.noteAcknowledged(order)
+		o.run.recordAcknowledged(order)
 		o.base = max(o.base, order.generation)
 		return true
 	case status >= 400 && status < 500:
-		if o.all.known[order.key] {
+		if o.run.known[order.key] {
 			o.world.checker.fail("%s was acknowledged, and refused when sent again: %d", order.key, status)
 		}
 		o.world.checker.refuse(order, status)
-		o.all.refused = append(o.all.refused, order)
-		delete(o.all.underWay, order.key)
+		o.run.refused = append(o.run.refused, order)
+		delete(o.run.pending, order.key)
 		return true
 	default:
 		return false
@@ -191,13 +191,13 @@
 // send sends an order until there is a clear answer, to another machine each time.
 func (o *repeatOperator) send(order *configuration, tries int) {
 	if tries == 0 {
-		delete(o.all.underWay, order.key)
+		delete(o.run.pending, order.key)
 		o.read()
 		return
 	}
-	o.ask(order.order(), func(result *pb.OrderResult) {
-		if !o.settle(order, result) {
-			wait := o.world.between(5*time.Millisecond, 300*time.Millisecond)
+	o.submit(order.order(), func(result *pb.OrderResult) {
+		if !o.recordAnswer(order, result) {
+			wait := o.world.durationBetween(5*time.Millisecond, 300*time.Millisecond)
 			o.world.after(wait, func() { o.send(order, tries-1) })
 			return
 		}
@@ -205,49 +205,49 @@
 			o.read()
 			return
 		}
-		o.pause()
+		o.scheduleNext()
 	})
 }
 
 // repeat sends an acknowledged order once more: the answer is 200 again, or there is no clear one.
 func (o *repeatOperator) repeat(order *configuration) {
-	o.ask(order.order(), func(result *pb.OrderResult) {
-		if o.settle(order, result) {
-			o.all.repeats++
+	o.submit(order.order(), func(result *pb.OrderResult) {
+		if o.recordAnswer(order, result) {
+			o.run.repeats++
 		} else {
-			o.all.unclear++
+			o.run.unclear++
 		}
-		o.pause()
+		o.scheduleNext()
 	})
 }
 
-// insistOn sends an acknowledged order until it is acknowledged again, and counts left down then.
-func (o *repeatOperator) insistOn(order *configuration, left *int) {
-	o.ask(order.order(), func(result *pb.OrderResult) {
-		if o.settle(order, result) {
+// resubmitUntilAcknowledged sends an acknowledged order until it is acknowledged again, and counts left down then.
+func (o *repeatOperator) resubmitUntilAcknowledged(order *configuration, left *int) {
+	o.submit(order.order(), func(result *pb.OrderResult) {
+		if o.recordAnswer(order, result) {
 			*left--
 			return
 		}
-		o.world.after(100*time.Millisecond, func() { o.insistOn(order, left) })
+		o.world.after(100*time.Millisecond, func() { o.resubmitUntilAcknowledged(order, left) })
 	})
 }
 
 func (o *repeatOperator) read() {
 	least := o.world.checker.newestAcked
-	o.ask(&pb.Order{Kind: pb.Order_KIND_READ}, func(result *pb.OrderResult) {
+	o.submit(&pb.Order{Kind: pb.Order_KIND_READ}, func(result *pb.OrderResult) {
 		if result.GetStatus() == http.StatusOK {
 			generation := generationOf(result.GetBody())
 			o.world.checker.read(least, generation)
 			o.base = max(o.base, generation)
 		}
-		o.pause()
+		o.scheduleNext()
 	})
 }
 
-// ask sends an order to any machine; the answer may be lost on its last way.
-func (o *repeatOperator) ask(order *pb.Order, done func(*pb.OrderResult)) {
-	o.operator.ask(order, func(result *pb.OrderResult) {
-		if o.world.chance(o.all.loseAnswer) {
+// submit sends an order to any machine; the answer may be lost on its last way.
+func (o *repeatOperator) submit(order *pb.Order, done func(*pb.OrderResult)) {
+	o.operator.submit(order, func(result *pb.OrderResult) {
+		if o.world.chance(o.run.loseAnswer) {
 			result = &pb.OrderResult{Status: http.StatusServiceUnavailable}
 		}
 		done(result)
@@ -255,9 +255,9 @@
 }
 
 func TestAcknowledgedOrdersAreNeverRefusedLater(t *testing.T) {
-	first := number("CONTROLSIM_REPEAT_FIRST", 1)
-	count := number("CONTROLSIM_REPEAT_SEEDS", defaultRepeatSeeds)
-	var total figures
+	first := envInt("CONTROLSIM_REPEAT_FIRST", 1)
+	count := envInt("CONTROLSIM_REPEAT_SEEDS", defaultRepeatSeeds)
+	var total totals
 	t.Cleanup(func() {
 		t.Logf("%d runs: %d orders acknowledged, the most in a run %d, %d again, %d of these without a clear answer, %d refused, %d views, %d failed",
 			count, total.acknowledged.Load(), total.most.Load(), total.repeats.Load(), total.unclear.Load(),
@@ -271,7 +271,7 @@
 	})
 }
 
-func (f *figures) addRepeats(r *repeatWorld) {
+func (f *totals) addRepeats(r *repeatWorld) {
 	f.acknowledged.Add(int64(len(r.acknowledged)))
 	f.refused.Add(int64(r.checker.refusals))
 	f.views.Add(int64(len(r.checker.views)))
--- a/internal/controlsim/replaced_test.go
+++ b/internal/controlsim/stalereplica_test.go
@@ -12,11 +12,11 @@
 	"fieldrelay/internal/control"
 )
 
-// staleOrder is the id of the orders in these tests, which no machine uses.
-const staleOrder = 424242
+// staleOrderID is the id of the orders in these tests, which no machine uses.
+const staleOrderID = 424242
 
-// A tail that was cut off holds an old view, though the messages of its check of the view pass. A read that
-// reaches it must not be answered with what it holds.
+// A tail that is partitioned has an old view, though the messages of its quorum check pass. A read that
+// reaches it must not be answered with its old state.
 func TestTailThatWasReplacedAnswersNoRead(t *testing.T) {
 	require.False(t, answersStaleRead(t, mutation{}))
 }
@@ -29,22 +29,22 @@
 func answersStaleRead(t *testing.T, planted mutation) bool {
 	answered := false
 	watch := func(message *pb.Message) *pb.Message {
-		if result := message.GetOrderResult(); result.GetId() == staleOrder && result.GetStatus() == http.StatusOK {
+		if result := message.GetOrderResult(); result.GetId() == staleOrderID && result.GetStatus() == http.StatusOK {
 			answered = true
 		}
 		return planted.onMessage(message)
 	}
-	w := newWorld(threeCalm(3, mutation{message: watch}))
-	require.True(t, w.acknowledgeOne(foundWithin))
-	tail := w.byPeer[w.hosts[0].machine.View().GetChain()[2].GetAddress()]
+	w := newWorld(threeMachines(3, mutation{message: watch}))
+	require.True(t, w.acknowledgeOne())
+	tail := w.chainHost(2)
 	w.cutOffButForChecks(tail)
 	w.run(2 * time.Second)
-	require.True(t, w.acknowledgeOneAt(w.otherThan(tail), foundWithin))
+	require.True(t, w.acknowledgeOneAt(w.otherThan(tail)))
 	tail.deliver(control.Received{Message: &pb.Message{
 		From:       w.otherThan(tail).machine.Self(),
 		ToIdentity: tail.machine.Self().GetIdentity(),
 		Body: &pb.Message_Order{Order: &pb.Order{
-			Id:   staleOrder,
+			Id:   staleOrderID,
 			Kind: pb.Order_KIND_READ,
 		}},
 	}})
@@ -52,7 +52,7 @@
 	return answered
 }
 
-// A head that was cut off holds an old view in which a zone is evacuated; that has been taken back since. An
+// A head that is partitioned has an old view in which a zone is evacuated; that has been taken back since. An
 // order to evacuate it, which changes nothing as the old head sees it, must not be acknowledged there.
 func TestHeadThatWasReplacedAcknowledgesNoEvacuation(t *testing.T) {
 	require.False(t, acknowledgesStaleEvacuation(t, mutation{}))
@@ -69,15 +69,15 @@
 	answered := false
 	var number []byte // given by the head for the order
 	watch := func(message *pb.Message) *pb.Message {
-		if result := message.GetOrderResult(); result.GetId() == staleOrder {
+		if result := message.GetOrderResult(); result.GetId() == staleOrderID {
 			number = result.GetBody()
 			answered = answered || result.GetStatus() == http.StatusOK
 		}
 		return planted.onMessage(message)
 	}
-	w := newWorld(threeCalm(4, mutation{message: watch}))
-	require.True(t, w.acknowledgeOne(foundWithin))
-	head := w.byPeer[w.hosts[0].machine.View().GetChain()[0].GetAddress()]
+	w := newWorld(threeMachines(4, mutation{message: watch}))
+	require.True(t, w.acknowledgeOne())
+	head := w.chainHost(0)
 	other := w.otherThan(head)
 	w.evacuateAt(t, other, pb.Order_KIND_EVACUATE_BEGIN)
 	w.cutOffButForChecks(head)
@@ -89,7 +89,7 @@
 			From:       other.machine.Self(),
 			ToIdentity: head.machine.Self().GetIdentity(),
 			Body: &pb.Message_Order{Order: &pb.Order{
-				Id:   staleOrder,
+				Id:   staleOrderID,
 				Kind: pb.Order_KIND_EVACUATE_BEGIN,
 				Zone: staleZone,
 				Body: number,
@@ -111,14 +111,12 @@
 	require.EqualValues(t, http.StatusOK, status)
 }
 
-// cutOffButForChecks cuts a host off from the others for all messages but those of checks of the view.
+// cutOffButForChecks partitions a host from the others for all messages but those of quorum checks.
 func (w *world) cutOffButForChecks(host *host) {
-	w.network.passes = func(message *pb.Message) bool {
-		return message.GetViewCheck() != nil || message.GetViewCheckResult() != nil
-	}
+	w.network.exempt = isQuorumCheck
 	for _, other := range w.hosts {
 		if other != host {
-			w.network.cut(host, other, false, true)
+			w.network.setBlocked(host, other, false, true)
 		}
 	}
 }
@@ -133,12 +131,13 @@
 }
 
 // acknowledgeOne gets one configuration acknowledged.
-func (w *world) acknowledgeOne(limit time.Duration) bool { return w.acknowledgeOneAt(nil, limit) }
+func (w *world) acknowledgeOne() bool { return w.acknowledgeOneAt(nil) }
 
-func (w *world) acknowledgeOneAt(host *host, limit time.Duration) bool {
-	operator := &operator{world: w, name: 4, ended: true, only: host, count: w.checker.acknowledged}
-	operator.insist()
-	return w.runUntil(limit, func() bool { return operator.tries < 0 })
+// acknowledgeOneAt does so by way of a host; nil: of any.
+func (w *world) acknowledgeOneAt(host *host) bool {
+	operator := &operator{world: w, name: 4, stopped: true, target: host, count: w.checker.acknowledged}
+	operator.submitUntilAcknowledged()
+	return w.runUntil(foundingLimit, func() bool { return operator.attempts < 0 })
 }
 
 func alwaysCurrent(message *pb.Message) *pb.Message {
--- a/internal/controlsim/upheaval_test.go
+++ b/internal/controlsim/viewchange_test.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// upheaval makes a change of view; chained are the hosts of the chain, the head first.
-type upheaval struct {
+// viewChangeTrigger makes a view change; chained are the hosts of the chain, the head first.
+type viewChangeTrigger struct {
 	name  string
 	begin func(w *world, chained []*host)
 	end   func(w *world, chained []*host)
 }
 
-func upheavals() []upheaval {
+func viewChangeTriggers() []viewChangeTrigger {
 	startAll := func(w *world, _ []*host) {
 		for _, host := range w.hosts {
 			host.start()
@@ -30,7 +30,7 @@
 	terminate := func(position int) func(*world, []*host) {
 		return func(_ *world, chained []*host) { chained[position].terminate(func(bool) {}) }
 	}
-	return []upheaval{
+	return []viewChangeTrigger{
 		{"the head is told to end", terminate(0), startAll},
 		{"the tail is told to end", terminate(2), startAll},
 		{"the head is killed", kill(0), startAll},
@@ -50,7 +50,7 @@
 			func(w *world, _ []*host) {
 				for _, host := range w.hosts {
 					host.losePower()
-					w.after(w.between(100*time.Millisecond, 400*time.Millisecond), host.start)
+					w.after(w.durationBetween(100*time.Millisecond, 400*time.Millisecond), host.start)
 				}
 			},
 			startAll,
--- a/internal/controlsim/world_test.go
+++ b/internal/controlsim/world_test.go
@@ -37,41 +37,41 @@
 
 // plan is what a world is made of.
 type plan struct {
-	seed      uint64
-	machines  int
-	zones     int
-	regions   int // 0: one
-	required  chain.Requirement
-	mutation  mutation
-	calm      bool    // no faults of the network
-	restless  float64 // probability that a voter proposes without need at a tick
-	processor float64 // share of a core of each host; 0: events take no time
+	seed              uint64
+	machines          int
+	zones             int
+	regions           int // 0: one
+	requirement       chain.Requirement
+	mutation          mutation
+	calm              bool    // no faults of the network
+	spuriousProposals float64 // probability that a voter proposes without need at a tick
+	processor         float64 // share of a core of each host; 0: events take no time
 	// bandwidth of each way between two machines in bytes a second, without queues; 0: no limit
 	bandwidth int
-	// overlapping: a disk may be lost in the midst of other troubles, as long as no second one is lost with it
-	overlapping bool
-	// snapshotRecords is the number of records after which a ring gets a snapshot; 0: usualSnapshotRecords
+	// overlappingLosses: a disk may be lost in the midst of other faults, as long as no second one is lost with it
+	overlappingLosses bool
+	// snapshotRecords is the number of records after which a ring gets a snapshot; 0: defaultSnapshotRecords
 	snapshotRecords int
 }
 
 // world is a set of machines with everything around them.
 type world struct {
-	plan    plan
-	random  *rand.Rand
-	now     time.Duration
-	events  eventQueue
-	numbers uint64
-
-	hosts    []*host
-	byPeer   map[string]*host
-	seeds    []string
-	network  network
-	checker  *checker
-	requests map[uint64]func(*pb.OrderResult)
-	request  uint64
-	lastHurt time.Duration // end of the last trouble
-	trace    []string
-	onSubmit func(*host, *pb.Order) // is told of each order that an operator sends; nil: nothing
+	plan            plan
+	random          *rand.Rand
+	now             time.Duration
+	events          eventQueue
+	lastEventNumber uint64
+
+	hosts        []*host
+	byPeer       map[string]*host
+	seeds        []string
+	network      network
+	checker      *checker
+	requests     map[uint64]func(*pb.OrderResult)
+	lastRequest  uint64
+	lastFaultEnd time.Duration // end of the last fault
+	trace        []string
+	onSubmit     func(*host, *pb.Order) // is called with each order that an operator sends; nil: nothing is
 
 	stateBytes int // size of the configuration, for the cost of checking an amendment
 	hooks      hooks
@@ -79,9 +79,9 @@
 
 // hooks let a test act at a certain step of a run; those that are nil do nothing.
 type hooks struct {
-	// onSend is told of each message; false loses it.
+	// onSend is called with each message; false loses it.
 	onSend func(from *host, send control.Send) bool
-	// onPersist is told of each write when it is queued.
+	// onPersist is called with each write when it is queued.
 	onPersist func(host *host, write control.Persist)
 }
 
@@ -97,12 +97,12 @@
 	for index := range plan.machines {
 		w.addHost(true)
 		if index < 3 {
-			w.seeds = append(w.seeds, w.hosts[index].control)
+			w.seeds = append(w.seeds, w.hosts[index].controlAddress)
 		}
 	}
 	for _, host := range w.hosts {
 		host.seeds = w.seeds
-		w.after(w.upTo(300*time.Millisecond), host.start)
+		w.after(w.durationUpTo(300*time.Millisecond), host.start)
 	}
 	return w
 }
@@ -111,13 +111,13 @@
 	index := len(w.hosts)
 	host := newHost(w, index, bootstrap)
 	w.hosts = append(w.hosts, host)
-	w.byPeer[host.peer] = host
+	w.byPeer[host.peerAddress] = host
 	return host
 }
 
 func (w *world) after(wait time.Duration, do func()) {
-	w.numbers++
-	heap.Push(&w.events, &event{at: w.now + wait, number: w.numbers, do: do})
+	w.lastEventNumber++
+	heap.Push(&w.events, &event{at: w.now + wait, number: w.lastEventNumber, do: do})
 }
 
 // run lets time pass.
@@ -145,40 +145,40 @@
 	next.do()
 }
 
-func (w *world) upTo(limit time.Duration) time.Duration {
+func (w *world) durationUpTo(limit time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(limit)))
 }
 
-func (w *world) between(least, most time.Duration) time.Duration {
-	return least + w.upTo(most-least)
+func (w *world) durationBetween(least, most time.Duration) time.Duration {
+	return least + w.durationUpTo(most-least)
 }
 
 func (w *world) chance(probability float64) bool { return w.random.Float64() < probability }
 
-// note adds a line to what is printed when a run fails.
-func (w *world) note(format string, arguments ...any) {
+// tracef adds a line to what is printed when a run fails.
+func (w *world) tracef(format string, arguments ...any) {
 	line := fmt.Sprintf("%9.3f ", w.now.Seconds()) + fmt.Sprintf(format, arguments...)
 	w.trace = append(w.trace, line)
 }
 
 // submit hands an order to a machine; done is called once with its answer, or never if the machine dies.
 func (w *world) submit(host *host, order *pb.Order, done func(*pb.OrderResult)) {
-	w.request++
-	w.requests[w.request] = done
+	w.lastRequest++
+	w.requests[w.lastRequest] = done
 	if w.onSubmit != nil {
 		w.onSubmit(host, order)
 	}
-	if host.machine != nil && len(host.missed) < maxMissed {
-		host.waiting++
+	if host.machine != nil && len(host.delayedEvents) < maxDelayedEvents {
+		host.pendingOrders++
 	}
-	host.deliver(control.OrderSubmitted{Request: w.request, Order: order})
+	host.deliver(control.OrderSubmitted{Request: w.lastRequest, Order: order})
 }
 
-// living are the hosts that were not taken away.
-func (w *world) living() []*host {
+// remaining are the hosts that were not removed for good.
+func (w *world) remaining() []*host {
 	var living []*host
 	for _, host := range w.hosts {
-		if !host.gone {
+		if !host.removed {
 			living = append(living, host)
 		}
 	}
@@ -188,7 +188,7 @@
 // seedsFor are the seeds that settings written now name to a host. Some may be gone, but one other machine is
 // there: without any, nobody could find the others.
 func (w *world) seedsFor(host *host) []string {
-	seeds := []string{w.anyOther(host).control, w.anyHost().control, w.anyHost().control}
+	seeds := []string{w.anyOther(host).controlAddress, w.anyHost().controlAddress, w.anyHost().controlAddress}
 	if w.chance(0.3) {
 		seeds = append(seeds[:1], w.seeds[1:]...)
 	}
@@ -196,7 +196,7 @@
 }
 
 func (w *world) anyOther(not *host) *host {
-	if len(w.living()) < 2 {
+	if len(w.remaining()) < 2 {
 		return not
 	}
 	for {
@@ -207,14 +207,14 @@
 }
 
 func (w *world) anyHost() *host {
-	living := w.living()
+	living := w.remaining()
 	return living[w.random.IntN(len(living))]
 }
 
-// restless returns what makes voters propose without need; nil if the plan has none of that.
-func (w *world) restless() func() bool {
-	if w.plan.restless == 0 {
+// spuriousProposals returns what makes voters propose without need; nil if the plan has none of that.
+func (w *world) spuriousProposals() func() bool {
+	if w.plan.spuriousProposals == 0 {
 		return nil
 	}
-	return func() bool { return w.chance(w.plan.restless) }
+	return func() bool { return w.chance(w.plan.spuriousProposals) }
 }
