--- a/internal/control/confirmation.go
+++ b/internal/control/confirmation.go
@@ -115,8 +115,7 @@
 	c.executedAt[order.GetZone()] = c.ids.last
 }
 
-// reset forgets the tokens of a view that was replaced; its head was another machine, or this one without knowing what
-// came in between.
+// reset forgets the tokens at a view change: another machine may have been the head in between.
 func (c *confirmations) reset() {
 	c.issued = nil
 	c.executedAt = nil
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -23,7 +23,7 @@
 //     later token stands for all earlier ones). The Machine keeps back what must not leave before: disk before send is
 //     its rule, and durability is the shell's;
 //   - send WriteFailed when a write fails, and try it again until it succeeds;
-//   - deliver each Send at most once; it may be lost, or arrive late and out of order;
+//   - carry each Send as far as the network allows; a message may be lost, or arrive late, out of order or twice;
 //   - answer the caller of an OrderSubmitted with its Reply, or say with OrderCanceled that nobody waits any more;
 //   - keep the ring for the next start: a machine whose disk is lost must come back with an empty ring, as another
 //     identity.
--- a/internal/control/electorate.go
+++ b/internal/control/electorate.go
@@ -23,8 +23,8 @@
 	return quorum.BootstrapView(e.seeds)
 }
 
-// includesSelf reports whether this machine votes on the next view. A machine that lost its disk does not take part in
-// founding, although it is among the seeds: it may have voted before.
+// includesSelf reports whether this machine votes on the next view. Before founding, a seed does only if it was started to
+// bootstrap on an empty disk: one that has lost its disk may have voted before.
 func (e *electorate) includesSelf() bool {
 	if viewInForce(e.replica) == nil && !e.local.bootstrap {
 		return false
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -22,8 +22,8 @@
 )
 
 // founding is the bootstrap of the whole system: the seeds decide on view 1 as the voters of view 0, by the same
-// protocol as on every later view. A machine whose disk was not empty, or that was not started to bootstrap, takes no
-// part, so that a system is never founded a second time by machines that have lost their disks.
+// protocol as on every later view. Only machines that were started to bootstrap on an empty disk take part; machines that
+// lose their disks later must be started without that setting, or they could found the system a second time.
 type founding struct {
 	clock       *clock
 	local       *localMachine
--- a/internal/control/local.go
+++ b/internal/control/local.go
@@ -9,8 +9,8 @@
 type localMachine struct {
 	replica     *pb.Replica
 	incarnation uint64 // random, another one in each run of the process
-	// bootstrap: the disk was empty when the whole system started for the first time, so that this machine may take
-	// part in founding it.
+	// bootstrap: the disk was empty at a start whose settings said that the whole system starts for the first time, so
+	// that this machine may take part in founding it. It is kept on disk.
 	bootstrap bool
 }
 
--- a/internal/control/peerclient.go
+++ b/internal/control/peerclient.go
@@ -35,7 +35,7 @@
 //
 // A failed compressed delivery is sent a second time, uncompressed, unless the machine is known to read compressed ones:
 // an earlier version rejects what is compressed before it has come completely, which may look like a broken connection.
-// Such a version has not read the first delivery, so that no message comes twice.
+// A later version may so get messages twice, which the protocol bears.
 func (c *peerClient) deliver(ctx context.Context, request *pb.DeliverRequest, size int) error {
 	if size < minCompressedBytes {
 		return call(ctx, c.plain, request)
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -59,8 +59,8 @@
 }
 
 // peerTable is the failure detector: it knows the other machines by their messages, and suspects those that it has not
-// received from within FailureTimeout. Suspicion is a hint for proposals of views and for routing; safety never rests
-// on it.
+// received from within FailureTimeout. Suspicion only leads to proposals of views and refusals of orders; what is
+// promised for orders does not rest on it.
 type peerTable struct {
 	clock *clock
 	local *localMachine
--- a/internal/control/peersender.go
+++ b/internal/control/peersender.go
@@ -192,7 +192,7 @@
 	return messages
 }
 
-// deliver sends messages in one call. They are not sent again here: an order might come twice.
+// deliver sends messages in one call. What fails is reported and dropped: whoever waits for an answer sends again.
 func (s *peerSender) deliver(messages []*pb.Message) {
 	if len(messages) == 0 {
 		return
--- a/internal/control/quorumcheck.go
+++ b/internal/control/quorumcheck.go
@@ -18,8 +18,9 @@
 )
 
 // quorumChecks holds results back until a majority of the voters knows of no later view, as Raft's ReadIndex does for
-// reads. A later view needs a majority that has accepted it; the two majorities share a voter, which accepted it only
-// after its answer here. So the state that a result rests on was the newest one when the check began.
+// reads. A view that was decided before the check began has been accepted by a majority, which shares a voter with the
+// majority that answers; that voter would not agree. So the view was the newest one when the check began, and with it the
+// state that the result rests on.
 type quorumChecks struct {
 	clock      *clock
 	replica    *chain.Replica
--- a/internal/controlsim/adversary_losses_test.go
+++ b/internal/controlsim/adversary_losses_test.go
@@ -70,7 +70,7 @@
 }
 
 // worst mostly picks the set without which the fewest votes and copies are left, now and then any.
-func (a *adversary) worst(sets [][]*host) []*host {
+func (a *adversary) mostHarmful(sets [][]*host) []*host {
 	w := a.world
 	view := w.newestView()
 	if view == nil || w.chance(0.2) {
--- a/internal/controlsim/adversary_test.go
+++ b/internal/controlsim/adversary_test.go
@@ -123,7 +123,7 @@
 // lose takes the worst machines that may be lost at once, mostly while all others lose power.
 func (a *adversary) lose() {
 	w := a.world
-	victims := a.worst(a.candidates())
+	victims := a.mostHarmful(a.candidates())
 	a.losses++
 	lost := episode{adversary: a, at: w.now}
 	goesForGood := w.chance(0.5)
@@ -187,7 +187,7 @@
 // at that moment, and when the old one has ended.
 func (a *adversary) replaceNewFirst() {
 	w := a.world
-	old := a.worst(a.singles())[0]
+	old := a.mostHarmful(a.singles())[0]
 	a.startNew(old)
 	a.budgetFreeAt = w.now + a.deployment.lostPeriod
 	w.after(a.deployment.lostPeriod, func() {
@@ -204,7 +204,7 @@
 
 // remove shuts a machine down gracefully whose successor has been there for long.
 func (a *adversary) remove() {
-	a.terminate(a.worst(a.surplus())[0], true, a.strike)
+	a.terminate(a.mostHarmful(a.surplus())[0], true, a.strike)
 }
 
 // strike takes machines at once.
@@ -217,7 +217,7 @@
 
 // replaceOldFirst shuts a machine down gracefully and starts its successor after that.
 func (a *adversary) replaceOldFirst() {
-	old := a.worst(a.singles())[0]
+	old := a.mostHarmful(a.singles())[0]
 	a.terminate(old, true, func() {
 		a.returnsLater(func() { a.startNew(old) })
 	})
@@ -225,7 +225,7 @@
 
 // restart shuts a machine down gracefully and starts it again.
 func (a *adversary) restart() {
-	victim := a.worst(a.singles())[0]
+	victim := a.mostHarmful(a.singles())[0]
 	a.terminate(victim, false, func() { a.returnsLater(victim.start) })
 }
 
--- a/internal/controlsim/delayedevacuation_test.go
+++ b/internal/controlsim/delayedevacuation_test.go
@@ -34,14 +34,14 @@
 
 // evacuationCopy is one request for an order.
 type evacuationCopy struct {
-	evacuator *evacuator
-	order     int
-	begin     bool
-	host      *host
-	sent      time.Duration
-	closed    bool // by its caller
-	request   uint64
-	life      int // of the machine that was handed the order
+	evacuator   *evacuator
+	order       int
+	begin       bool
+	host        *host
+	sent        time.Duration
+	closed      bool // by its caller
+	request     uint64
+	incarnation int // of the machine that was handed the order
 }
 
 func (w *world) addEvacuator(storm *partitionStorm, name int) *evacuator {
@@ -128,7 +128,7 @@
 		kind = pb.Order_KIND_EVACUATE_BEGIN
 	}
 	c.evacuator.submitted++
-	c.life = c.host.incarnation
+	c.incarnation = c.host.incarnation
 	c.request = c.evacuator.world.lastRequest + 1
 	c.evacuator.world.submit(c.host, &pb.Order{Kind: kind, Zone: c.evacuator.zone}, c.answered)
 }
@@ -140,7 +140,7 @@
 		return
 	}
 	c.evacuator.world.after(c.evacuator.world.durationUpTo(maxCloseDelay), func() {
-		if c.host.machine != nil && c.host.incarnation == c.life {
+		if c.host.machine != nil && c.host.incarnation == c.incarnation {
 			c.evacuator.canceled++
 			c.host.deliver(control.OrderCanceled{Request: c.request})
 		}
--- a/internal/controlsim/disk_test.go
+++ b/internal/controlsim/disk_test.go
@@ -24,9 +24,9 @@
 		return
 	}
 	h.writing = true
-	life := h.incarnation
+	incarnation := h.incarnation
 	h.world.after(h.world.durationBetween(time.Millisecond, 6*time.Millisecond), func() {
-		if h.incarnation != life || h.machine == nil {
+		if h.incarnation != incarnation || h.machine == nil {
 			return
 		}
 		h.writing = false
@@ -37,11 +37,11 @@
 }
 
 func (h *host) finishWrite() {
-	life := h.incarnation
+	incarnation := h.incarnation
 	if err := h.writeRing(h.writes[0]); err != nil {
 		h.writing = true
 		h.world.after(200*time.Millisecond, func() {
-			if h.incarnation == life {
+			if h.incarnation == incarnation {
 				h.writing = false
 				h.writeNext()
 			}
@@ -73,7 +73,7 @@
 		h.disk.SetFaults(ringtest.Faults{})
 	}
 	h.disk.PowerLoss()
-	h.die()
+	h.endProcess()
 }
 
 // tearSnapshot takes the power while the disk is at work on the oldest snapshot that waits; false if none does.
@@ -89,13 +89,13 @@
 	_ = h.writeRing(h.writes[waits])
 	h.disk.SetFaults(ringtest.Faults{})
 	h.disk.PowerLoss()
-	h.die()
+	h.endProcess()
 	return true
 }
 
 // wipe ends the process and empties the disk.
 func (h *host) wipe() {
-	h.die()
+	h.endProcess()
 	h.disk.Wipe()
 	h.bootstrap = false
 }
@@ -106,7 +106,7 @@
 // corrupt ends the process and damages the snapshots on its disk.
 func (h *host) corrupt() {
 	h.disk.Kill()
-	h.die()
+	h.endProcess()
 	names, err := h.disk.List()
 	if err != nil {
 		h.world.checker.fail("%s: %v", h.name, err)
--- a/internal/controlsim/founding_test.go
+++ b/internal/controlsim/founding_test.go
@@ -18,9 +18,9 @@
 // loseSeedWhileFounding takes the disk of one seed at some moment of the founding, at times while all others lose
 // power, and at times partitions two machines meanwhile.
 func (w *world) loseSeedWhileFounding() {
-	trouble := &faultInjector{world: w}
+	injector := &faultInjector{world: w}
 	if w.chance(0.3) {
-		w.after(w.durationUpTo(foundingFor), trouble.cut)
+		w.after(w.durationUpTo(foundingFor), injector.partitionPair)
 	}
 	w.after(w.durationUpTo(foundingFor), func() {
 		seed := w.hosts[w.random.IntN(len(w.seeds))]
--- a/internal/controlsim/host_test.go
+++ b/internal/controlsim/host_test.go
@@ -123,16 +123,16 @@
 	return ""
 }
 
-func (h *host) scheduleTick(life int) {
+func (h *host) scheduleTick(incarnation int) {
 	late := h.world.durationUpTo(10 * time.Millisecond)
 	h.world.after(control.TickInterval+late, func() {
-		if h.incarnation != life || h.machine == nil {
+		if h.incarnation != incarnation || h.machine == nil {
 			return
 		}
 		if !h.frozen {
 			h.deliver(control.Tick{})
 		}
-		h.scheduleTick(life)
+		h.scheduleTick(incarnation)
 	})
 }
 
@@ -191,7 +191,7 @@
 }
 
 // die ends the process.
-func (h *host) die() {
+func (h *host) endProcess() {
 	h.machine = nil
 	h.reportExit()
 	h.incarnation++
@@ -206,7 +206,7 @@
 
 func (h *host) kill() {
 	h.disk.Kill()
-	h.die()
+	h.endProcess()
 }
 
 func (h *host) thaw() {
--- a/internal/controlsim/lateevacuation_test.go
+++ b/internal/controlsim/lateevacuation_test.go
@@ -45,7 +45,7 @@
 	})
 	require.True(t, w.acknowledgeOne())
 	head := w.chainHost(0)
-	origin := w.otherThan(head)
+	origin := w.hostOtherThan(head)
 	w.submit(origin, &pb.Order{Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: staleZone}, func(*pb.OrderResult) {})
 	request := w.lastRequest
 	require.True(t, w.runUntil(time.Second, func() bool { return held != nil }))
--- a/internal/controlsim/leaving_test.go
+++ b/internal/controlsim/leaving_test.go
@@ -46,10 +46,10 @@
 
 // exitAfterAnswers ends the process of a machine that was shut down gracefully, once it has answered the orders that it has taken.
 func (h *host) exitAfterAnswers(left control.Left) {
-	life := h.incarnation
+	incarnation := h.incarnation
 	told := h.world.now
 	h.world.every(time.Millisecond, func() bool {
-		if h.incarnation != life {
+		if h.incarnation != incarnation {
 			return true
 		}
 		if h.pendingOrders > 0 && h.world.now-told < pendingAnswersTimeout {
@@ -129,7 +129,7 @@
 		victim := w.hosts[seed/8%uint64(plan.machines)]
 		began := w.now
 		w.after(0, func() { victim.terminate(func(bool) { stays = append(stays, w.now-began) }) })
-		gaps = append(gaps, longestGap(w.acknowledgements(w.otherThan(victim), 3*time.Second), began))
+		gaps = append(gaps, longestGap(w.acknowledgements(w.hostOtherThan(victim), 3*time.Second), began))
 		require.Nil(t, victim.machine, "seed %d", seed)
 		require.Empty(t, w.checker.failures, "seed %d", seed)
 	}
@@ -196,9 +196,9 @@
 // an odd number even, and holds the state as a member of the chain, or outside of one that is full.
 func (w *world) awaitReturn(host *host, figures *rollMeasurements) {
 	began := w.now
-	life := host.incarnation
+	incarnation := host.incarnation
 	w.every(20*time.Millisecond, func() bool {
-		if host.incarnation != life {
+		if host.incarnation != incarnation {
 			return true
 		}
 		view := host.machine.View()
--- a/internal/controlsim/network_test.go
+++ b/internal/controlsim/network_test.go
@@ -53,9 +53,9 @@
 	if hook := n.world.hooks.onSend; hook != nil && !hook(from, action) {
 		return
 	}
-	n.carry(from, to, action)
+	n.transmit(from, to, action)
 	if n.world.chance(n.duplicateRate) {
-		n.carry(from, to, action)
+		n.transmit(from, to, action)
 		n.reportUndelivered(from, action)
 	}
 }
@@ -65,15 +65,15 @@
 	if !n.reportsUndelivered {
 		return
 	}
-	life := from.incarnation
+	incarnation := from.incarnation
 	n.world.after(undeliveredReportDelay, func() {
-		if from.incarnation == life {
+		if from.incarnation == incarnation {
 			from.deliver(control.Undelivered{Message: action.Message})
 		}
 	})
 }
 
-func (n *network) carry(from, to *host, action control.Send) {
+func (n *network) transmit(from, to *host, action control.Send) {
 	delay := n.world.durationBetween(time.Millisecond/2, time.Millisecond+n.maxDelay) + n.world.sendingTime(action.Message)
 	if n.world.chance(n.longDelayRate) {
 		delay = n.world.durationUpTo(3 * time.Second)
@@ -81,14 +81,14 @@
 	if bandwidth := n.world.plan.bandwidth; bandwidth > 0 {
 		delay += time.Duration(proto.Size(action.Message)) * time.Second / time.Duration(bandwidth)
 	}
-	life := to.incarnation
+	incarnation := to.incarnation
 	n.world.after(delay, func() {
 		blocked := n.blocked[[2]int{from.index, to.index}]
 		if blocked && (n.exempt == nil || !n.exempt(action.Message)) {
 			return
 		}
 		// a message mostly does not reach a process that was started after it was sent
-		if to.incarnation != life && n.world.chance(0.7) {
+		if to.incarnation != incarnation && n.world.chance(0.7) {
 			return
 		}
 		to.deliver(control.Received{Message: action.Message})
--- a/internal/controlsim/partition_test.go
+++ b/internal/controlsim/partition_test.go
@@ -151,10 +151,10 @@
 	s.active++
 	s.world.tracef("%s freezes", target.name)
 	target.frozen = true
-	life := target.incarnation
+	incarnation := target.incarnation
 	s.world.after(s.world.durationUpTo(maxPartitionDuration), func() {
 		s.active--
-		if target.incarnation == life {
+		if target.incarnation == incarnation {
 			s.world.tracef("%s thaws", target.name)
 			target.thaw()
 		}
--- a/internal/controlsim/processor_test.go
+++ b/internal/controlsim/processor_test.go
@@ -49,10 +49,10 @@
 	next := h.processor.waiting[0]
 	h.processor.waiting = h.processor.waiting[1:]
 	h.processor.busy = true
-	life := h.incarnation
+	incarnation := h.incarnation
 	span := time.Duration(float64(h.costOf(next)) / h.processor.share)
 	h.world.after(span, func() {
-		if h.incarnation != life {
+		if h.incarnation != incarnation {
 			return
 		}
 		h.processor.busy = false
--- a/internal/controlsim/randomfaults_test.go
+++ b/internal/controlsim/randomfaults_test.go
@@ -17,251 +17,251 @@
 }
 
 func (w *world) addRandomFaults() *faultInjector {
-	trouble := &faultInjector{world: w}
-	w.after(w.durationBetween(10*time.Millisecond, 3*time.Second), trouble.next)
-	return trouble
+	injector := &faultInjector{world: w}
+	w.after(w.durationBetween(10*time.Millisecond, 3*time.Second), injector.next)
+	return injector
 }
 
-func (t *faultInjector) next() {
-	if t.ended {
+func (f *faultInjector) next() {
+	if f.ended {
 		return
 	}
-	w := t.world
+	w := f.world
 	switch w.random.IntN(13) {
 	case 0, 1:
-		t.restart((*host).kill)
+		f.restart((*host).kill)
 	case 2:
-		t.restart((*host).losePower)
+		f.restart((*host).losePower)
 	case 3:
-		t.freeze()
+		f.freeze()
 	case 4, 5:
-		t.cut()
+		f.partitionPair()
 	case 6:
-		t.isolate()
+		f.isolate()
 	case 7:
-		t.stall()
+		f.stall()
 	case 8:
-		t.fill()
+		f.fill()
 	case 9:
-		t.restartAll()
+		f.restartAll()
 	case 10:
-		t.terminate()
+		f.terminate()
 	default:
-		t.loseDisk()
+		f.loseDisk()
 	}
 	if w.chance(0.25) {
-		w.after(w.durationBetween(diskLossInterval, diskLossInterval+3*time.Second), t.afterCalm)
+		w.after(w.durationBetween(diskLossInterval, diskLossInterval+3*time.Second), f.afterCalm)
 		return
 	}
-	w.after(w.durationBetween(50*time.Millisecond, 2500*time.Millisecond), t.next)
+	w.after(w.durationBetween(50*time.Millisecond, 2500*time.Millisecond), f.next)
 }
 
 // afterCalm mostly takes a disk: a calm time is when the fault budget allows it.
-func (t *faultInjector) afterCalm() {
-	if !t.ended && t.world.chance(0.6) {
-		t.loseDisk()
+func (f *faultInjector) afterCalm() {
+	if !f.ended && f.world.chance(0.6) {
+		f.loseDisk()
 	}
-	t.next()
+	f.next()
 }
 
 // during runs begin now and end after a while.
-func (t *faultInjector) during(span time.Duration, end func()) {
-	t.active++
-	t.world.after(span, func() {
+func (f *faultInjector) during(span time.Duration, end func()) {
+	f.active++
+	f.world.after(span, func() {
 		end()
-		t.active--
-		t.world.lastFaultEnd = t.world.now
+		f.active--
+		f.world.lastFaultEnd = f.world.now
 	})
 }
 
 // span is mostly short, now and then long.
-func (t *faultInjector) span() time.Duration {
-	if t.world.chance(0.3) {
-		return t.world.durationBetween(time.Second, 6*time.Second)
+func (f *faultInjector) span() time.Duration {
+	if f.world.chance(0.3) {
+		return f.world.durationBetween(time.Second, 6*time.Second)
 	}
-	return t.world.durationBetween(20*time.Millisecond, time.Second)
+	return f.world.durationBetween(20*time.Millisecond, time.Second)
 }
 
-func (t *faultInjector) restart(end func(*host)) {
-	host := t.world.anyHost()
+func (f *faultInjector) restart(end func(*host)) {
+	host := f.world.anyHost()
 	if host.machine == nil {
 		return
 	}
-	t.world.tracef("%s ends", host.name)
+	f.world.tracef("%s ends", host.name)
 	end(host)
-	t.during(t.span(), func() {
-		t.world.tracef("%s starts", host.name)
+	f.during(f.span(), func() {
+		f.world.tracef("%s starts", host.name)
 		host.start()
 	})
 }
 
 // terminate shuts a machine down gracefully, and starts it again when it has.
-func (t *faultInjector) terminate() {
-	host := t.world.anyHost()
+func (f *faultInjector) terminate() {
+	host := f.world.anyHost()
 	if host.machine == nil || host.frozen || host.onExit != nil {
 		return
 	}
-	t.world.tracef("%s is told to end", host.name)
-	t.active++ // from the signal on, so that all is well only when the machine is back
+	f.world.tracef("%s is told to end", host.name)
+	f.active++ // from the signal on, so that all is well only when the machine is back
 	host.terminate(func(bool) {
-		t.active--
-		t.during(t.span(), func() {
-			t.world.tracef("%s starts", host.name)
+		f.active--
+		f.during(f.span(), func() {
+			f.world.tracef("%s starts", host.name)
 			host.start()
 		})
 	})
 }
 
-func (t *faultInjector) freeze() {
-	host := t.world.anyHost()
+func (f *faultInjector) freeze() {
+	host := f.world.anyHost()
 	if host.machine == nil || host.frozen {
 		return
 	}
-	t.world.tracef("%s freezes", host.name)
+	f.world.tracef("%s freezes", host.name)
 	host.frozen = true
-	life := host.incarnation
-	t.during(t.span(), func() {
-		if host.incarnation == life {
-			t.world.tracef("%s thaws", host.name)
+	incarnation := host.incarnation
+	f.during(f.span(), func() {
+		if host.incarnation == incarnation {
+			f.world.tracef("%s thaws", host.name)
 			host.thaw()
 		}
 	})
 }
 
-func (t *faultInjector) cut() {
-	a := t.world.anyHost()
-	b := t.world.anyHost()
+func (f *faultInjector) partitionPair() {
+	a := f.world.anyHost()
+	b := f.world.anyHost()
 	if a == b {
 		return
 	}
-	oneWay := t.world.chance(0.4)
-	t.world.tracef("cut %s %s one way: %v", a.name, b.name, oneWay)
-	t.world.network.setBlocked(a, b, oneWay, true)
-	t.during(t.span(), func() {
-		t.world.tracef("joined %s %s", a.name, b.name)
-		t.world.network.setBlocked(a, b, false, false)
+	oneWay := f.world.chance(0.4)
+	f.world.tracef("cut %s %s one way: %v", a.name, b.name, oneWay)
+	f.world.network.setBlocked(a, b, oneWay, true)
+	f.during(f.span(), func() {
+		f.world.tracef("joined %s %s", a.name, b.name)
+		f.world.network.setBlocked(a, b, false, false)
 	})
 }
 
 // isolate partitions one host, or several, from all others.
-func (t *faultInjector) isolate() {
-	living := t.world.remaining()
-	t.world.random.Shuffle(len(living), func(i, j int) { living[i], living[j] = living[j], living[i] })
-	side := living[:1+t.world.random.IntN(len(living)/2)]
+func (f *faultInjector) isolate() {
+	living := f.world.remaining()
+	f.world.random.Shuffle(len(living), func(i, j int) { living[i], living[j] = living[j], living[i] })
+	side := living[:1+f.world.random.IntN(len(living)/2)]
 	rest := living[len(side):]
-	oneWay := t.world.chance(0.3)
+	oneWay := f.world.chance(0.3)
 	set := func(blocked bool) {
 		for _, a := range side {
 			for _, b := range rest {
-				t.world.network.setBlocked(a, b, oneWay && blocked, blocked)
+				f.world.network.setBlocked(a, b, oneWay && blocked, blocked)
 			}
 		}
 	}
-	t.world.tracef("isolated %s and %d more, one way: %v", side[0].name, len(side)-1, oneWay)
+	f.world.tracef("isolated %s and %d more, one way: %v", side[0].name, len(side)-1, oneWay)
 	set(true)
-	t.during(t.span(), func() {
-		t.world.tracef("together again")
+	f.during(f.span(), func() {
+		f.world.tracef("together again")
 		set(false)
 	})
 }
 
-func (t *faultInjector) stall() {
-	host := t.world.anyHost()
-	t.world.tracef("disk of %s stalls", host.name)
+func (f *faultInjector) stall() {
+	host := f.world.anyHost()
+	f.world.tracef("disk of %s stalls", host.name)
 	host.setStalled(true)
-	t.during(t.span(), func() {
-		t.world.tracef("disk of %s works", host.name)
+	f.during(f.span(), func() {
+		f.world.tracef("disk of %s works", host.name)
 		host.setStalled(false)
 	})
 }
 
-func (t *faultInjector) fill() {
-	host := t.world.anyHost()
-	t.world.tracef("disk of %s is full", host.name)
+func (f *faultInjector) fill() {
+	host := f.world.anyHost()
+	f.world.tracef("disk of %s is full", host.name)
 	host.setFull(true)
-	t.during(t.span(), func() {
-		t.world.tracef("disk of %s has room", host.name)
+	f.during(f.span(), func() {
+		f.world.tracef("disk of %s has room", host.name)
 		host.setFull(false)
 	})
 }
 
 // restartAll kills all machines, or takes the power from all.
-func (t *faultInjector) restartAll() {
-	power := t.world.chance(0.5)
-	t.world.tracef("all end, power: %v", power)
-	for _, host := range t.world.remaining() {
+func (f *faultInjector) restartAll() {
+	power := f.world.chance(0.5)
+	f.world.tracef("all end, power: %v", power)
+	for _, host := range f.world.remaining() {
 		if power {
 			host.losePower()
 		} else if host.machine != nil {
 			host.kill()
 		}
-		t.during(t.world.durationBetween(100*time.Millisecond, time.Second), host.start)
+		f.during(f.world.durationBetween(100*time.Millisecond, time.Second), host.start)
 	}
 }
 
 // mayLoseDisk reports whether the fault budget allows another loss. Where losses overlap, a disk may be lost in the
 // midst of other faults, but not a second one before the machines have been whole again.
-func (t *faultInjector) mayLoseDisk() bool {
-	calm := t.active == 0 && t.world.now-t.world.lastFaultEnd >= diskLossInterval
-	if !t.world.plan.overlappingLosses {
+func (f *faultInjector) mayLoseDisk() bool {
+	calm := f.active == 0 && f.world.now-f.world.lastFaultEnd >= diskLossInterval
+	if !f.world.plan.overlappingLosses {
 		return calm
 	}
-	if calm && t.world.converged() {
-		t.diskLossPending = false
+	if calm && f.world.converged() {
+		f.diskLossPending = false
 	}
-	return !t.diskLossPending
+	return !f.diskLossPending
 }
 
 // loseDisk takes a disk, or a machine for good, perhaps while all others lose power.
-func (t *faultInjector) loseDisk() {
-	if !t.mayLoseDisk() && !t.world.plan.mutation.loseTwoDisks {
+func (f *faultInjector) loseDisk() {
+	if !f.mayLoseDisk() && !f.world.plan.mutation.loseTwoDisks {
 		return
 	}
-	t.diskLossPending = true
-	host := t.world.anyHost()
-	if t.world.chance(0.3) && len(t.world.hosts) < t.world.plan.machines+4 {
-		t.replace(host)
+	f.diskLossPending = true
+	host := f.world.anyHost()
+	if f.world.chance(0.3) && len(f.world.hosts) < f.world.plan.machines+4 {
+		f.replace(host)
 		return
 	}
-	others := t.world.chance(0.4)
-	t.world.tracef("%s loses its disk, others lose power: %v", host.name, others)
+	others := f.world.chance(0.4)
+	f.world.tracef("%s loses its disk, others lose power: %v", host.name, others)
 	if others {
-		for _, other := range t.world.remaining() {
+		for _, other := range f.world.remaining() {
 			if other != host {
 				other.losePower()
-				t.during(t.world.durationBetween(100*time.Millisecond, time.Second), other.start)
+				f.during(f.world.durationBetween(100*time.Millisecond, time.Second), other.start)
 			}
 		}
 	}
-	if t.world.chance(0.3) {
+	if f.world.chance(0.3) {
 		host.corrupt()
 	} else {
 		host.wipe()
 	}
-	t.during(t.span(), host.start)
-	if t.world.plan.mutation.loseTwoDisks {
-		other := t.world.anyHost()
+	f.during(f.span(), host.start)
+	if f.world.plan.mutation.loseTwoDisks {
+		other := f.world.anyHost()
 		other.wipe()
-		t.during(t.span(), other.start)
+		f.during(f.span(), other.start)
 	}
 }
 
 // replace removes a machine for good; another one starts elsewhere with an empty disk.
-func (t *faultInjector) replace(host *host) {
-	t.world.tracef("%s goes for good", host.name)
+func (f *faultInjector) replace(host *host) {
+	f.world.tracef("%s goes for good", host.name)
 	host.removed = true
 	host.wipe()
-	t.during(t.span(), func() {
-		added := t.world.addHost(false)
-		t.world.tracef("%s is new", added.name)
+	f.during(f.span(), func() {
+		added := f.world.addHost(false)
+		f.world.tracef("%s is new", added.name)
 		added.start()
 	})
 }
 
 // heal ends all faults.
-func (t *faultInjector) heal() {
-	t.ended = true
-	t.world.runUntil(10*time.Second, func() bool { return t.active == 0 })
-	t.world.network.blocked = make(map[[2]int]bool)
-	t.world.tracef("all is well")
+func (f *faultInjector) heal() {
+	f.ended = true
+	f.world.runUntil(10*time.Second, func() bool { return f.active == 0 })
+	f.world.network.blocked = make(map[[2]int]bool)
+	f.world.tracef("all is well")
 }
--- a/internal/controlsim/stalereplica_test.go
+++ b/internal/controlsim/stalereplica_test.go
@@ -39,9 +39,9 @@
 	tail := w.chainHost(2)
 	w.cutOffButForChecks(tail)
 	w.run(2 * time.Second)
-	require.True(t, w.acknowledgeOneAt(w.otherThan(tail)))
+	require.True(t, w.acknowledgeOneAt(w.hostOtherThan(tail)))
 	tail.deliver(control.Received{Message: &pb.Message{
-		From:       w.otherThan(tail).machine.Self(),
+		From:       w.hostOtherThan(tail).machine.Self(),
 		ToIdentity: tail.machine.Self().GetIdentity(),
 		Body: &pb.Message_Order{Order: &pb.Order{
 			Id:   staleOrderID,
@@ -78,7 +78,7 @@
 	w := newWorld(threeMachines(4, mutation{message: watch}))
 	require.True(t, w.acknowledgeOne())
 	head := w.chainHost(0)
-	other := w.otherThan(head)
+	other := w.hostOtherThan(head)
 	w.evacuateAt(t, other, pb.Order_KIND_EVACUATE_BEGIN)
 	w.cutOffButForChecks(head)
 	w.run(2 * time.Second)
@@ -121,7 +121,7 @@
 	}
 }
 
-func (w *world) otherThan(not *host) *host {
+func (w *world) hostOtherThan(not *host) *host {
 	for _, host := range w.hosts {
 		if host != not {
 			return host
