--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -25,7 +25,7 @@
 
 // Node is the shell around a Machine: it owns the ring, the connections to other control machines and the clock.
 //
-// Its goroutines end with the context of Start:
+// Its goroutines end with the context of Start; Wait waits for the first two:
 //
 //   - the loop (nodeloop.go) alone uses machine; it takes events from the queue, and never waits for the network;
 //   - the writer (ringwriter.go) alone uses the ring; the loop passes it Persist actions, and it passes events back;
@@ -42,6 +42,7 @@
 
 	machine   *Machine // of the loop
 	startedAt time.Time
+	running   sync.WaitGroup // the loop and the writer
 
 	status     atomic.Pointer[Status]
 	lastTickAt atomic.Int64 // when the loop handled a tick last, since startedAt, in nanoseconds
@@ -87,11 +88,15 @@
 	}
 	node.writer = newRingWriter(opened, node.post, &node.counters, node.logger)
 	node.publish()
-	go node.writer.run(ctx)
-	go node.loop(ctx)
+	node.running.Go(func() { node.writer.run(ctx) })
+	node.running.Go(func() { node.loop(ctx) })
 	return node, nil
 }
 
+// Wait returns when the loop has ended and the ring is closed; the context of Start ends them. Until then the state folder
+// may still be written to.
+func (n *Node) Wait() { n.running.Wait() }
+
 // Deliver implements fieldrelayv1connect.ControlPeerHandler: it queues the messages of another control machine.
 func (n *Node) Deliver(ctx context.Context, request *connect.Request[pb.DeliverRequest]) (*connect.Response[pb.DeliverResponse], error) {
 	messages := request.Msg.GetMessages()
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -112,6 +112,7 @@
 	machine.stop = func() {
 		cancel()
 		_ = server.Close()
+		node.Wait()
 		machine.listener = nil
 	}
 }
