--- a/internal/controlsim/adversary_episode_test.go
+++ b/internal/controlsim/adversary_episode_test.go
@@ -31,11 +31,11 @@
 // watch measures how long it takes until the system is repaired, takes orders, and is redundant.
 func (e *episode) watch() {
 	w := e.adversary.world
-	figures := e.adversary.measurements
+	measurements := e.adversary.measurements
 	began := max(e.at, e.resumed)
-	w.await(began, w.isRepaired, &figures.repairs)
-	w.after(began-w.now, func() { w.awaitAcknowledgement(&figures.acknowledgements) })
-	w.await(e.lastReturn, e.adversary.isRedundant, &figures.strengths)
+	w.await(began, w.isRepaired, &measurements.repairs)
+	w.after(began-w.now, func() { w.awaitAcknowledgement(&measurements.acknowledgements) })
+	w.await(e.lastReturn, e.adversary.isRedundant, &measurements.strengths)
 }
 
 // await measures the time from a moment until something is reached.
--- a/internal/controlsim/adversary_planted_test.go
+++ b/internal/controlsim/adversary_planted_test.go
@@ -52,8 +52,8 @@
 // A system that is slow to let new machines in misses the bound on its times, or is not redundant when the next loss
 // comes.
 func TestAdversaryFindsThatNewMachinesAreLetInLate(t *testing.T) {
-	w, figures := attack(deployments[0], 1, mutation{message: withholdHeartbeats()})
-	missed := figures.strengths.worst() >= deployments[0].lostPeriod/2
+	w, measurements := attack(deployments[0], 1, mutation{message: withholdHeartbeats()})
+	missed := measurements.strengths.worst() >= deployments[0].lostPeriod/2
 	require.True(t, missed || len(w.checker.failures) > 0)
 }
 
--- a/internal/controlsim/adversary_test.go
+++ b/internal/controlsim/adversary_test.go
@@ -247,8 +247,8 @@
 	}
 	w := newWorld(plan)
 	operators := []*operator{w.addOperator(1), w.addOperator(2)}
-	figures := &lossMeasurements{}
-	adversary := &adversary{world: w, deployment: deployment, measurements: figures, budgetFreeAt: 2 * deployment.lostPeriod}
+	measurements := &lossMeasurements{}
+	adversary := &adversary{world: w, deployment: deployment, measurements: measurements, budgetFreeAt: 2 * deployment.lostPeriod}
 	w.after(0, adversary.next)
 	w.run(adversaryDuration)
 	adversary.ended = true
@@ -258,7 +258,7 @@
 	}
 	w.checkLiveness()
 	w.checker.finish()
-	return w, figures
+	return w, measurements
 }
 
 func TestAcknowledgedStateOutlivesAnAdversary(t *testing.T) {
@@ -270,8 +270,8 @@
 			var total lossMeasurements
 			failed := 0
 			for seed := first; seed < first+seeds && failed < maxFailed; seed++ {
-				w, figures := attack(deployment, uint64(seed), mutation{})
-				total.add(figures)
+				w, measurements := attack(deployment, uint64(seed), mutation{})
+				total.add(measurements)
 				if len(w.checker.failures) == 0 {
 					continue
 				}
--- a/internal/controlsim/calmauthority_test.go
+++ b/internal/controlsim/calmauthority_test.go
@@ -73,6 +73,7 @@
 
 // playCalm founds a system, makes changes for a while and lets all machines start anew.
 func playCalm(t *testing.T, plan plan, times *authorityTimes) {
+	t.Helper()
 	w := newWorld(plan)
 	require.True(t, w.runUntil(foundingLimit, w.allAuthoritative), "no authority after the founding")
 	founding := w.now
--- a/internal/controlsim/catchup_planted_test.go
+++ b/internal/controlsim/catchup_planted_test.go
@@ -143,6 +143,7 @@
 }
 
 func headWithOldDisk(t *testing.T, seed uint64) *world {
+	t.Helper()
 	w := newWorld(threeMachines(seed, mutation{}))
 	require.True(t, w.acknowledgeOne())
 	w.run(foundingLimit)
--- a/internal/controlsim/catchup_world_test.go
+++ b/internal/controlsim/catchup_world_test.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// catchupWorld is a world while a far run is under way.
+// catchupWorld is a world during a catchupRun.
 type catchupWorld struct {
 	*world
 	scenario     catchupRun
--- a/internal/controlsim/chainpartition_test.go
+++ b/internal/controlsim/chainpartition_test.go
@@ -123,6 +123,7 @@
 
 // playChainPartition plays one partition; nil if the chain never came to lie in the smaller half.
 func playChainPartition(t *testing.T, seed uint64) *chainPartitionRun {
+	t.Helper()
 	r := &chainPartitionRun{world: newCalmWorld(t, plan{
 		seed: seed, machines: 5, zones: 3, calm: true, requirement: defaultRequirement,
 	})}
--- a/internal/controlsim/handover_test.go
+++ b/internal/controlsim/handover_test.go
@@ -14,6 +14,7 @@
 // handsOver reports whether a machine that holds the only copy, and is removed for good shortly after its successor
 // has started, has handed over its vote and all that was acknowledged.
 func handsOver(t *testing.T, seed uint64, planted mutation) bool {
+	t.Helper()
 	w := newCalmWorld(t, plan{
 		seed: seed, machines: 1, zones: 1, calm: true, mutation: planted,
 		requirement: chain.Requirement{Replicas: 1, Zones: 1, Regions: 1},
--- a/internal/controlsim/largeorders_test.go
+++ b/internal/controlsim/largeorders_test.go
@@ -51,13 +51,13 @@
 func (l latencies) String() string {
 	line := ""
 	for _, kind := range []string{"large", "invalid", "small", "evacuation"} {
-		spans := slices.Sorted(slices.Values(l[kind]))
-		if len(spans) == 0 {
+		times := slices.Sorted(slices.Values(l[kind]))
+		if len(times) == 0 {
 			line += kind + ": none; "
 			continue
 		}
-		line += fmt.Sprintf("%s: %d, median %v, worst %v; ", kind, len(spans),
-			spans[len(spans)/2].Round(time.Millisecond), spans[len(spans)-1].Round(time.Millisecond))
+		line += fmt.Sprintf("%s: %d, median %v, worst %v; ", kind, len(times),
+			times[len(times)/2].Round(time.Millisecond), times[len(times)-1].Round(time.Millisecond))
 	}
 	return line
 }
--- a/internal/controlsim/largereads_test.go
+++ b/internal/controlsim/largereads_test.go
@@ -23,6 +23,7 @@
 
 // newNarrowWorld is a system of five machines on narrow links, with a large configuration in force everywhere.
 func newNarrowWorld(t *testing.T) *world {
+	t.Helper()
 	w := newWorld(plan{seed: 1, machines: 5, zones: 3, requirement: defaultRequirement, calm: true, bandwidth: narrowBandwidth})
 	require.True(t, w.acknowledgeOne())
 	base := w.hosts[0].machine.Committed().Generation()
@@ -37,6 +38,7 @@
 
 // readAt reads the configuration at a machine, and returns how long that took.
 func (w *world) readAt(t *testing.T, host *host) (*pb.OrderResult, time.Duration) {
+	t.Helper()
 	began := w.now
 	var answer *pb.OrderResult
 	w.submit(host, &pb.Order{Kind: pb.Order_KIND_READ}, func(result *pb.OrderResult) { answer = result })
--- a/internal/controlsim/lateevacuation_test.go
+++ b/internal/controlsim/lateevacuation_test.go
@@ -25,6 +25,7 @@
 
 // isUndoneByALateCopy reports whether the zone is evacuated in the end.
 func isUndoneByALateCopy(t *testing.T, withdraws bool) bool {
+	t.Helper()
 	var held *pb.Message // the copy with its number
 	holds := true
 	hold := func(message *pb.Message) *pb.Message {
@@ -63,10 +64,8 @@
 
 // acknowledgeEvacuation has an order on staleZone acknowledged at the head, soon enough for numbers to be good still.
 func (w *world) acknowledgeEvacuation(t *testing.T, head *host, kind pb.Order_Kind) {
-	status := uint32(0)
-	w.submit(head, &pb.Order{Kind: kind, Zone: staleZone}, func(result *pb.OrderResult) {
-		status = result.GetStatus()
-	})
-	w.runUntil(200*time.Millisecond, func() bool { return status != 0 })
-	require.EqualValues(t, http.StatusOK, status)
+	t.Helper()
+	status := w.submitEvacuation(head, kind)
+	w.runUntil(200*time.Millisecond, func() bool { return *status != 0 })
+	require.EqualValues(t, http.StatusOK, *status)
 }
--- a/internal/controlsim/leaving_test.go
+++ b/internal/controlsim/leaving_test.go
@@ -80,6 +80,7 @@
 
 // newCalmWorld is founded, and has one configuration acknowledged.
 func newCalmWorld(t *testing.T, plan plan) *world {
+	t.Helper()
 	w := newWorld(plan)
 	require.True(t, w.acknowledgeOne())
 	w.run(2 * time.Second)
@@ -122,6 +123,7 @@
 // gapsAroundAnEnd measures the time without an acknowledgement around the end of one machine, at each place of the
 // chain and outside of it, and the time from the signal to the end of the process.
 func gapsAroundAnEnd(t *testing.T, planted mutation) (gaps, stays durations) {
+	t.Helper()
 	for seed := range uint64(envInt("CONTROLSIM_SEEDS", defaultSeeds)) {
 		plan := calmPlan(seed)
 		plan.mutation = planted
@@ -177,15 +179,15 @@
 }
 
 // roll shuts all machines down gracefully in turn, waiting for a while between one and the next, and starts each again.
-func (w *world) roll(pause time.Duration, figures *rollMeasurements) {
+func (w *world) roll(pause time.Duration, measurements *rollMeasurements) {
 	for index, host := range w.hosts {
 		w.after(time.Duration(index)*pause, func() {
 			told := w.now
 			host.terminate(func(bool) {
-				figures.stays = append(figures.stays, w.now-told)
+				measurements.stays = append(measurements.stays, w.now-told)
 				w.after(w.durationBetween(200*time.Millisecond, 600*time.Millisecond), func() {
 					host.start()
-					w.awaitReturn(host, figures)
+					w.awaitReturn(host, measurements)
 				})
 			})
 		})
@@ -194,7 +196,7 @@
 
 // awaitReturn measures how long a machine that was started takes until it votes, or stands by where its vote would make
 // an odd number even, and holds the state as a member of the chain, or outside of one that is full.
-func (w *world) awaitReturn(host *host, figures *rollMeasurements) {
+func (w *world) awaitReturn(host *host, measurements *rollMeasurements) {
 	began := w.now
 	incarnation := host.incarnation
 	w.every(20*time.Millisecond, func() bool {
@@ -208,29 +210,21 @@
 		if !isPlaced || (inChain && !host.machine.Authoritative()) {
 			return false
 		}
-		figures.returns = append(figures.returns, w.now-began)
+		measurements.returns = append(measurements.returns, w.now-began)
 		return true
 	})
 }
 
-// every calls a function again and again until it returns true.
-func (w *world) every(period time.Duration, done func() bool) {
-	w.after(period, func() {
-		if !done() {
-			w.every(period, done)
-		}
-	})
-}
-
 // rollAll shuts the machines of many systems down gracefully in turn, while operators send orders.
 func rollAll(t *testing.T, pause time.Duration, planted mutation) rollMeasurements {
-	var figures rollMeasurements
+	t.Helper()
+	var measurements rollMeasurements
 	for seed := range uint64(max(minRolls, envInt("CONTROLSIM_SEEDS", defaultSeeds)/3)) {
 		plan := calmPlan(seed)
 		plan.mutation = planted
 		w := newCalmWorld(t, plan)
 		operators := []*operator{w.addOperator(1), w.addOperator(2)}
-		w.roll(pause, &figures)
+		w.roll(pause, &measurements)
 		w.run(pause*time.Duration(len(w.hosts)) + 4*time.Second)
 		for _, operator := range operators {
 			operator.stopped = true
@@ -239,16 +233,16 @@
 		w.checker.finish()
 		require.Empty(t, w.checker.failures, "pause %v seed %d", pause, seed)
 	}
-	t.Logf("pause %v: from the signal to the end: %v", pause, figures.stays)
-	t.Logf("pause %v: from the start to the chain: %v", pause, figures.returns)
-	return figures
+	t.Logf("pause %v: from the signal to the end: %v", pause, measurements.stays)
+	t.Logf("pause %v: from the start to the chain: %v", pause, measurements.returns)
+	return measurements
 }
 
 func TestMachinesAreToldToEndInTurn(t *testing.T) {
 	for _, pause := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second} {
-		figures := rollAll(t, pause, mutation{})
-		require.LessOrEqual(t, figures.stays.worst(), maxLeaveTime)
-		require.Less(t, figures.returns.worst(), maxReturnTime)
+		measurements := rollAll(t, pause, mutation{})
+		require.LessOrEqual(t, measurements.stays.worst(), maxLeaveTime)
+		require.Less(t, measurements.returns.worst(), maxReturnTime)
 	}
 }
 
--- a/internal/controlsim/lostchange_test.go
+++ b/internal/controlsim/lostchange_test.go
@@ -96,6 +96,7 @@
 }
 
 func (l *lostChange) play(t *testing.T, limit time.Duration) (time.Duration, bool) {
+	t.Helper()
 	w := newCalmWorld(t, plan{seed: 1, machines: 5, zones: 3, requirement: defaultRequirement, calm: true})
 	require.Len(t, w.newestView().GetChain(), 5)
 	l.install(w)
--- a/internal/controlsim/operator_test.go
+++ b/internal/controlsim/operator_test.go
@@ -165,7 +165,7 @@
 	o.submitWithin(operatorTimeout, order, done)
 }
 
-func (o *operator) submitWithin(patience time.Duration, order *pb.Order, done func(*pb.OrderResult)) {
+func (o *operator) submitWithin(timeout time.Duration, order *pb.Order, done func(*pb.OrderResult)) {
 	answered := false
 	once := func(result *pb.OrderResult) {
 		if !answered {
@@ -178,7 +178,7 @@
 		host = o.world.anyHost()
 	}
 	o.world.submit(host, order, once)
-	o.world.after(patience, func() {
+	o.world.after(timeout, func() {
 		once(&pb.OrderResult{Status: http.StatusServiceUnavailable})
 	})
 }
--- a/internal/controlsim/partition_draw_test.go
+++ b/internal/controlsim/partition_draw_test.go
@@ -1,9 +1,5 @@
 package controlsim
 
-import (
-	pb "fieldrelay/api/fieldrelay/v1"
-)
-
 // drawTarget picks a machine by its part in the newest view.
 func (s *partitionStorm) drawTarget() (string, *host) {
 	roles := s.hostsByRole()
@@ -43,31 +39,6 @@
 	return roles
 }
 
-func (w *world) newestView() *pb.View {
-	var newest *pb.View
-	for _, host := range w.remaining() {
-		if host.machine != nil && host.machine.View().GetNumber() > newest.GetNumber() {
-			newest = host.machine.View()
-		}
-	}
-	return newest
-}
-
-// chainHost is the host at a position of the chain that the first host knows, the head at 0.
-func (w *world) chainHost(position int) *host {
-	return w.byPeer[w.hosts[0].machine.View().GetChain()[position].GetAddress()]
-}
-
-func (w *world) hostsOf(replicas []*pb.Replica) []*host {
-	var hosts []*host
-	for _, replica := range replicas {
-		if host := w.byPeer[replica.GetAddress()]; host != nil {
-			hosts = append(hosts, host)
-		}
-	}
-	return hosts
-}
-
 // drawSide is the target alone, with a few others, or with its whole zone.
 func (s *partitionStorm) drawSide(target *host) []*host {
 	side := []*host{target}
--- a/internal/controlsim/race_test.go
+++ b/internal/controlsim/race_test.go
@@ -57,7 +57,7 @@
 }
 
 // raceWorld is a calm world in which one configuration was acknowledged.
-func raceWorld(t require.TestingT, seed uint64, planted mutation) (w *world, chained []*host) {
+func raceWorld(t require.TestingT, seed uint64, planted mutation) (w *world, members []*host) {
 	w = newWorld(plan{
 		seed:        seed,
 		machines:    []int{3, 5}[seed%2],
@@ -69,9 +69,9 @@
 	require.True(t, w.acknowledgeOne())
 	w.run(time.Second)
 	for _, member := range w.hosts[0].machine.View().GetChain() {
-		chained = append(chained, w.byPeer[member.GetAddress()])
+		members = append(members, w.byPeer[member.GetAddress()])
 	}
-	return w, chained
+	return w, members
 }
 
 // isPast reports whether a later view than that of a number is in force everywhere and its head takes orders.
@@ -96,10 +96,10 @@
 
 // run returns the world, and whether what the event is counted in was over before it.
 func (r race) run(t require.TestingT) (w *world, over bool) {
-	w, chained := raceWorld(t, r.seed, r.planted)
+	w, members := raceWorld(t, r.seed, r.planted)
 	w.network.alsoLoses = r.losses()
 	var racers []*racer
-	begin := func() { r.change.begin(w, chained) }
+	begin := func() { r.change.begin(w, members) }
 	send := func() { racers = startRace(w, r.event) }
 	before := w.hosts[0].machine.View().GetNumber()
 	isOver := func() bool { return w.isPast(before) }
@@ -114,7 +114,7 @@
 	}
 	send()
 	w.run(raceHealsAfter)
-	r.change.end(w, chained)
+	r.change.end(w, members)
 	if !w.runUntil(raceLimit, func() bool { return isDecided(racers) }) {
 		w.checker.fail("the operators get no clear answer")
 		return w, over
@@ -186,6 +186,7 @@
 func TestChangesOfViewAtEveryEventOfARace(t *testing.T) { sweepRaces(t, true) }
 
 func sweepRaces(t *testing.T, ordersFirst bool) {
+	t.Helper()
 	stride := envInt("CONTROLSIM_RACE_STRIDE", defaultRaceStride)
 	var total totals
 	t.Cleanup(func() {
--- a/internal/controlsim/redundancy_test.go
+++ b/internal/controlsim/redundancy_test.go
@@ -7,20 +7,6 @@
 	"fieldrelay/internal/quorum"
 )
 
-// running are the hosts whose process runs.
-func (w *world) running() []*host {
-	return slices.DeleteFunc(w.remaining(), func(host *host) bool { return host.machine == nil || host.frozen })
-}
-
-// runningAs returns the running host of a replica; nil if it does not run, or has another identity.
-func (w *world) runningAs(replica *pb.Replica) *host {
-	host := w.byPeer[replica.GetAddress()]
-	if host == nil || host.machine == nil || host.frozen || host.machine.Self().GetIdentity() != replica.GetIdentity() {
-		return nil
-	}
-	return host
-}
-
 // isRepaired reports whether all members of the chain run and hold the state of the newest view, and are as many and
 // in as many places as required, and a majority of the voters runs.
 func (w *world) isRepaired() bool {
--- a/internal/controlsim/stalereplica_test.go
+++ b/internal/controlsim/stalereplica_test.go
@@ -27,6 +27,7 @@
 
 // answersStaleRead reports whether a replaced tail answers a read with an old configuration.
 func answersStaleRead(t *testing.T, planted mutation) bool {
+	t.Helper()
 	answered := false
 	watch := func(message *pb.Message) *pb.Message {
 		if result := message.GetOrderResult(); result.GetId() == staleOrderID && result.GetStatus() == http.StatusOK {
@@ -66,6 +67,7 @@
 const staleZone = "zone-x"
 
 func acknowledgesStaleEvacuation(t *testing.T, planted mutation) bool {
+	t.Helper()
 	answered := false
 	var number []byte // given by the head for the order
 	watch := func(message *pb.Message) *pb.Message {
@@ -103,12 +105,19 @@
 
 // evacuateAt has the evacuation of staleZone begun or ended by way of a host.
 func (w *world) evacuateAt(t *testing.T, host *host, kind pb.Order_Kind) {
-	status := uint32(0)
+	t.Helper()
+	status := w.submitEvacuation(host, kind)
+	w.run(time.Second)
+	require.EqualValues(t, http.StatusOK, *status)
+}
+
+// submitEvacuation sends an order on staleZone; the status becomes that of the answer.
+func (w *world) submitEvacuation(host *host, kind pb.Order_Kind) (status *uint32) {
+	status = new(uint32)
 	w.submit(host, &pb.Order{Kind: kind, Zone: staleZone}, func(result *pb.OrderResult) {
-		status = result.GetStatus()
+		*status = result.GetStatus()
 	})
-	w.run(time.Second)
-	require.EqualValues(t, http.StatusOK, status)
+	return status
 }
 
 // cutOffButForChecks partitions a host from the others for all messages but those of quorum checks.
@@ -121,25 +130,6 @@
 	}
 }
 
-func (w *world) hostOtherThan(not *host) *host {
-	for _, host := range w.hosts {
-		if host != not {
-			return host
-		}
-	}
-	return nil
-}
-
-// acknowledgeOne gets one configuration acknowledged.
-func (w *world) acknowledgeOne() bool { return w.acknowledgeOneAt(nil) }
-
-// acknowledgeOneAt does so by way of a host; nil: of any.
-func (w *world) acknowledgeOneAt(host *host) bool {
-	operator := &operator{world: w, name: 4, stopped: true, target: host, count: w.checker.acknowledged}
-	operator.submitUntilAcknowledged()
-	return w.runUntil(foundingLimit, func() bool { return operator.attempts < 0 })
-}
-
 func alwaysCurrent(message *pb.Message) *pb.Message {
 	if message.GetViewCheckResult() == nil {
 		return message
--- a/internal/controlsim/storm_test.go
+++ b/internal/controlsim/storm_test.go
@@ -1,8 +1,6 @@
 package controlsim
 
 import (
-	"fmt"
-	"net/http"
 	"os"
 	"strconv"
 	"strings"
@@ -12,7 +10,6 @@
 
 	"github.com/stretchr/testify/require"
 
-	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/chain"
 )
 
@@ -106,36 +103,6 @@
 	return true
 }
 
-// submitUntilAcknowledged reads and sends configurations until one is acknowledged; attempts is negative then.
-func (o *operator) submitUntilAcknowledged() {
-	o.attempts++
-	o.submit(&pb.Order{Kind: pb.Order_KIND_READ}, func(result *pb.OrderResult) {
-		base := o.world.checker.newestAcked
-		if result.GetStatus() == http.StatusOK {
-			base = generationOf(result.GetBody())
-		}
-		order := &configuration{key: fmt.Sprintf("/%d-%d-%d/", o.name, o.count, o.attempts), base: base, generation: base + 1}
-		o.submit(order.order(), func(result *pb.OrderResult) {
-			if result.GetStatus() == http.StatusOK {
-				o.world.checker.acknowledge(order)
-				o.attempts = -1
-				return
-			}
-			o.world.after(50*time.Millisecond, o.submitUntilAcknowledged)
-		})
-	})
-}
-
-func generationOf(body []byte) uint64 {
-	digits := strings.TrimPrefix(string(body), `{"gen":`)
-	end := strings.IndexAny(digits, ",}")
-	generation, err := strconv.ParseUint(digits[:max(end, 0)], 10, 64)
-	if err != nil {
-		return 0
-	}
-	return generation
-}
-
 // totals add up what happened in many runs.
 type totals struct {
 	acknowledged, refused, reads, views, failed atomic.Int64
--- a/internal/controlsim/viewchange_test.go
+++ b/internal/controlsim/viewchange_test.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// viewChangeTrigger makes a view change; chained are the hosts of the chain, the head first.
+// viewChangeTrigger makes a view change; members are the hosts of the chain, the head first.
 type viewChangeTrigger struct {
 	name  string
-	begin func(w *world, chained []*host)
-	end   func(w *world, chained []*host)
+	begin func(w *world, members []*host)
+	end   func(w *world, members []*host)
 }
 
 func viewChangeTriggers() []viewChangeTrigger {
@@ -17,18 +17,18 @@
 	}
 	joinAll := func(w *world, _ []*host) { w.network.blocked = make(map[[2]int]bool) }
 	cut := func(position int, from, to bool) func(*world, []*host) {
-		return func(w *world, chained []*host) {
+		return func(w *world, members []*host) {
 			for _, other := range w.hosts {
-				w.network.blocked[[2]int{chained[position].index, other.index}] = from
-				w.network.blocked[[2]int{other.index, chained[position].index}] = to
+				w.network.blocked[[2]int{members[position].index, other.index}] = from
+				w.network.blocked[[2]int{other.index, members[position].index}] = to
 			}
 		}
 	}
 	kill := func(position int) func(*world, []*host) {
-		return func(_ *world, chained []*host) { chained[position].kill() }
+		return func(_ *world, members []*host) { members[position].kill() }
 	}
 	terminate := func(position int) func(*world, []*host) {
-		return func(_ *world, chained []*host) { chained[position].terminate(func(bool) {}) }
+		return func(_ *world, members []*host) { members[position].terminate(func(bool) {}) }
 	}
 	return []viewChangeTrigger{
 		{"the head is told to end", terminate(0), startAll},
@@ -42,8 +42,8 @@
 		{"the tail is not heard", cut(2, true, false), joinAll},
 		{
 			"the head freezes",
-			func(_ *world, chained []*host) { chained[0].frozen = true },
-			func(_ *world, chained []*host) { chained[0].thaw() },
+			func(_ *world, members []*host) { members[0].frozen = true },
+			func(_ *world, members []*host) { members[0].thaw() },
 		},
 		{
 			"all lose power",
--- a/internal/controlsim/world_test.go
+++ b/internal/controlsim/world_test.go
@@ -138,6 +138,15 @@
 	return reached()
 }
 
+// every calls a function again and again until it returns true.
+func (w *world) every(period time.Duration, done func() bool) {
+	w.after(period, func() {
+		if !done() {
+			w.every(period, done)
+		}
+	})
+}
+
 // step lets the next event happen.
 func (w *world) step() {
 	next := heap.Pop(&w.events).(*event)
@@ -174,17 +183,6 @@
 	host.deliver(control.OrderSubmitted{Request: w.lastRequest, Order: order})
 }
 
-// remaining are the hosts that were not removed for good.
-func (w *world) remaining() []*host {
-	var living []*host
-	for _, host := range w.hosts {
-		if !host.removed {
-			living = append(living, host)
-		}
-	}
-	return living
-}
-
 // seedsFor are the seeds that settings written now name to a host. Some may be gone, but one other machine is
 // there: without any, nobody could find the others.
 func (w *world) seedsFor(host *host) []string {
@@ -195,22 +193,6 @@
 	return seeds
 }
 
-func (w *world) anyOther(not *host) *host {
-	if len(w.remaining()) < 2 {
-		return not
-	}
-	for {
-		if host := w.anyHost(); host != not {
-			return host
-		}
-	}
-}
-
-func (w *world) anyHost() *host {
-	living := w.remaining()
-	return living[w.random.IntN(len(living))]
-}
-
 // spuriousProposals returns what makes voters propose without need; nil if the plan has none of that.
 func (w *world) spuriousProposals() func() bool {
 	if w.plan.spuriousProposals == 0 {
