--- a/internal/controlsim/host_test.go
+++ b/internal/controlsim/host_test.go
@@ -67,6 +67,7 @@
 	}
 }
 
+// start begins another incarnation on the disk as it is. A disk that fails is opened again soon.
 func (h *host) start() {
 	if h.removed || h.machine != nil {
 		return
@@ -87,7 +88,21 @@
 		h.world.after(200*time.Millisecond, h.start)
 		return
 	}
-	machine, err := control.NewMachine(control.Config{
+	machine, err := control.NewMachine(h.machineConfig(), recovered)
+	if err != nil {
+		h.world.checker.fail("%s cannot recover: %v", h.name, err)
+		return
+	}
+	h.machine = machine
+	h.ring = opened
+	h.world.checker.incarnationBegins(h)
+	h.deliver(control.Started{})
+	h.scheduleTick(h.incarnation)
+}
+
+// machineConfig draws the random numbers of another incarnation.
+func (h *host) machineConfig() control.Config {
+	return control.Config{
 		Self: &pb.Replica{
 			Host:           h.name,
 			Address:        h.peerAddress,
@@ -102,18 +117,10 @@
 		Random:            rand.New(rand.NewPCG(h.world.random.Uint64(), h.world.random.Uint64())),
 		SnapshotRecords:   cmp.Or(h.world.plan.snapshotRecords, defaultSnapshotRecords),
 		SpuriousProposals: h.world.spuriousProposals(),
-	}, recovered)
-	if err != nil {
-		h.world.checker.fail("%s cannot recover: %v", h.name, err)
-		return
 	}
-	h.machine = machine
-	h.ring = opened
-	h.world.checker.incarnationBegins(h)
-	h.deliver(control.Started{})
-	h.scheduleTick(h.incarnation)
 }
 
+// peerOf is the peer service of the host that serves an operator's address.
 func (w *world) peerOf(controlAddress string) string {
 	for _, host := range w.hosts {
 		if host.controlAddress == controlAddress {
@@ -204,11 +211,13 @@
 	h.pendingOrders = 0
 }
 
+// kill ends the process as SIGKILL does: what it has written stays.
 func (h *host) kill() {
 	h.disk.Kill()
 	h.endProcess()
 }
 
+// thaw ends a freeze; what has arrived meanwhile is handled now.
 func (h *host) thaw() {
 	h.frozen = false
 	missed := h.delayedEvents
--- a/internal/controlsim/storm_test.go
+++ b/internal/controlsim/storm_test.go
@@ -29,6 +29,7 @@
 	convergenceLimit = 5 * time.Second
 )
 
+// envInt is the value of an environment variable, or otherwise if it is no number.
 func envInt(name string, otherwise int) int {
 	value, err := strconv.Atoi(os.Getenv(name))
 	if err != nil {
@@ -40,13 +41,14 @@
 // defaultRequirement is what a chain needs to take orders.
 var defaultRequirement = chain.Requirement{Replicas: 2, Zones: 2}
 
+// randomPlan draws the size of a system by the seed.
 func randomPlan(seed uint64) plan {
 	sizes := []int{3, 3, 3, 4, 5, 5, 6, 9}
 	machines := sizes[seed%uint64(len(sizes))]
-	restless := []float64{0, 0, 0, 0.02, 0.1}[seed%5]
+	spurious := []float64{0, 0, 0, 0.02, 0.1}[seed%5]
 	return plan{
 		seed:              seed,
-		spuriousProposals: restless,
+		spuriousProposals: spurious,
 		machines:          machines,
 		zones:             3,
 		requirement:       defaultRequirement,
@@ -94,6 +96,7 @@
 	w.runUntil(convergenceLimit, w.converged)
 }
 
+// converged reports whether all machines hold the newest state.
 func (w *world) converged() bool {
 	for _, host := range w.remaining() {
 		if host.machine == nil || host.machine.Committed() == nil || host.machine.Committed().Sequence() != w.checker.newestCommitted {
