--- a/internal/control/assemble.go
+++ b/internal/control/assemble.go
@@ -15,26 +15,12 @@
 	if err != nil {
 		return nil, err
 	}
-	local := &localMachine{bootstrap: state.bootstrap, incarnation: config.Random.Uint64()}
-	identity := state.identity
-	isNew := identity == ""
-	if isNew {
-		identity = strconv.FormatUint(config.Random.Uint64(), 36)
-		local.bootstrap = config.Bootstrap
-	}
-	local.replica = &pb.Replica{
-		Host:           config.Self.GetHost(),
-		Identity:       identity,
-		Address:        config.Self.GetAddress(),
-		Zone:           config.Self.GetZone(),
-		Region:         config.Self.GetRegion(),
-		ControlAddress: config.Self.GetControlAddress(),
-	}
+	local, isNew := newLocalMachine(config, state)
 	machine := &Machine{
 		config:  config,
 		clock:   &clock{},
 		local:   local,
-		replica: chain.NewReplica(identity, state.chain, local.incarnation),
+		replica: chain.NewReplica(local.identity(), state.chain, local.incarnation),
 	}
 	machine.joinParts()
 	machine.voter.acceptor = state.restoreAcceptor()
@@ -48,6 +34,26 @@
 	return machine, nil
 }
 
+// newLocalMachine takes the identity from the disk, or draws one if that is empty; isNew reports the latter.
+func newLocalMachine(config Config, state durableState) (local *localMachine, isNew bool) {
+	local = &localMachine{bootstrap: state.bootstrap, incarnation: config.Random.Uint64()}
+	identity := state.identity
+	if identity == "" {
+		isNew = true
+		identity = strconv.FormatUint(config.Random.Uint64(), 36)
+		local.bootstrap = config.Bootstrap
+	}
+	local.replica = &pb.Replica{
+		Host:           config.Self.GetHost(),
+		Identity:       identity,
+		Address:        config.Self.GetAddress(),
+		Zone:           config.Self.GetZone(),
+		Region:         config.Self.GetRegion(),
+		ControlAddress: config.Self.GetControlAddress(),
+	}
+	return local, isNew
+}
+
 // joinParts makes the parts and gives each the others that it uses.
 func (m *Machine) joinParts() {
 	m.joinPeers()
