--- a/cmd/fieldrelay-region/check_state.go
+++ b/cmd/fieldrelay-region/check_state.go
@@ -60,7 +60,7 @@
 		return
 	}
 	report.line("recovers: identity %s, of the founding: %t", inspection.Identity, inspection.Bootstrap)
-	printView(report, inspection.View, inspection.Basis)
+	printView(report, inspection.View, inspection.SynchronizedView)
 	if promise := inspection.Promise; promise != nil {
 		report.line("recovers: promise for view %d to %s, round %d, accepted a value: %t",
 			promise.GetViewNumber(), promise.GetPromised().GetProposer(), promise.GetPromised().GetRound(),
@@ -69,7 +69,7 @@
 	state := inspection.State
 	report.line("recovers: sequence %d, generation %d, %d items, evacuated zones %v",
 		state.Sequence(), state.Generation(), state.Len(), state.EvacuatedZones())
-	orders, since := state.TakenOrders()
+	orders, since := state.ExecutedOrders()
 	report.line("recovers: the orders taken since generation %d are known again, %d of them", since, orders)
 }
 
--- a/internal/catalog/executed_orders_test.go
+++ b/internal/catalog/executed_orders_test.go
@@ -91,7 +91,7 @@
 	require.Positive(t, forgotten)
 	require.GreaterOrEqual(t, count-forgotten, catalog.ExecutedOrdersCapacity)
 	require.Less(t, count-forgotten, catalog.ExecutedOrdersCapacity+64, "the record is bounded")
-	recorded, since := snapshot.TakenOrders()
+	recorded, since := snapshot.ExecutedOrders()
 	require.Equal(t, count-forgotten, recorded)
 	require.EqualValues(t, forgotten, since)
 }
@@ -134,7 +134,7 @@
 		require.Equal(t, http.StatusPreconditionFailed, answerTo(t, mine, others[0]))
 		require.Equal(t, http.StatusOK, answerTo(t, other, others[0]))
 		require.Equal(t, http.StatusPreconditionFailed, answerTo(t, other, ours[0]))
-		require.False(t, mine.SameAs(other))
+		require.False(t, mine.Equal(other))
 		snapshot = other
 	}
 }
@@ -151,7 +151,7 @@
 	for _, recorded := range []int{0, 1, 63, 64, 65, 128, 700, 1024, 1900, 1999, 2000} {
 		t.Run(fmt.Sprint(recorded), func(t *testing.T) {
 			repaired, repair := repairReplica(t, states[recorded], snapshot)
-			require.True(t, repaired.SameAs(snapshot))
+			require.True(t, repaired.Equal(snapshot))
 			require.LessOrEqual(t, len(repair.GetTaken().GetOrders()), (newest-recorded+64)*24,
 				"what the replica has is not sent")
 			if recorded == newest {
@@ -160,13 +160,13 @@
 			// a replica with a change that no other has
 			forked, lost := executeOrders(t, states[recorded], 1, "b")
 			repaired, _ = repairReplica(t, forked, snapshot)
-			require.True(t, repaired.SameAs(snapshot))
+			require.True(t, repaired.Equal(snapshot))
 			if recorded < newest {
 				require.Equal(t, http.StatusPreconditionFailed, answerTo(t, repaired, lost[0]))
 			}
 			// and back to an older state
 			repaired, _ = repairReplica(t, snapshot, states[recorded])
-			require.True(t, repaired.SameAs(states[recorded]))
+			require.True(t, repaired.Equal(states[recorded]))
 		})
 	}
 }
@@ -188,13 +188,13 @@
 	early, _ := executeOrders(t, catalog.Empty(), 3000, "a")
 	late, orders := executeOrders(t, early, catalog.ExecutedOrdersCapacity, "a")
 	repaired, repair := repairReplica(t, early, late)
-	require.True(t, repaired.SameAs(late))
+	require.True(t, repaired.Equal(late))
 	require.Less(t, len(repair.GetTaken().GetOrders()), (catalog.ExecutedOrdersCapacity+128)*24)
 	for _, order := range []executedOrder{orders[0], orders[len(orders)-1]} {
 		require.Equal(t, http.StatusOK, answerTo(t, repaired, order))
 	}
 	repaired, _ = repairReplica(t, late, early)
-	require.True(t, repaired.SameAs(early))
+	require.True(t, repaired.Equal(early))
 }
 
 // Agents receive changes and repairs without the record, and theirs stays empty.
@@ -245,7 +245,7 @@
 				require.Equal(t, http.StatusOK, answerTo(t, gap, later[0]))
 			}
 			repaired, _ := repairReplica(t, snapshot, gap)
-			require.True(t, repaired.SameAs(gap))
+			require.True(t, repaired.Equal(gap))
 		})
 	}
 }
--- a/internal/catalog/golden_test.go
+++ b/internal/catalog/golden_test.go
@@ -68,7 +68,7 @@
 				item.GetKind(), item.GetName(), item.GetOrder(), item.GetSequence(), item.GetBody()))
 		}
 	}
-	state.Orders, state.Since = snapshot.TakenOrders()
+	state.Orders, state.Since = snapshot.ExecutedOrders()
 	state.Config = json.RawMessage(readBack(t, snapshot))
 	digests := snapshot.ReplicaDigests()
 	state.Digests = map[string][]uint64{"items": digests.GetDigests(), "taken": digests.GetTaken().GetChunks()}
@@ -100,7 +100,7 @@
 	read, err := catalog.Unmarshal(stored)
 	require.NoError(t, err)
 	require.Equal(t, want, string(describe(t, read)))
-	require.True(t, read.SameAs(snapshot))
+	require.True(t, read.Equal(snapshot))
 	for base := range uint64(66) {
 		_, err = catalog.PrepareReplace(read, base, goldenOrder(base))
 		var already *catalog.AlreadyExecutedError
@@ -133,5 +133,5 @@
 		state, err = state.Apply(change)
 		require.NoError(t, err)
 	}
-	require.True(t, state.SameAs(snapshot))
+	require.True(t, state.Equal(snapshot))
 }
--- a/internal/catalog/legacy_orders.go
+++ b/internal/catalog/legacy_orders.go
@@ -17,9 +17,9 @@
 	legacyOrderLimit = 64
 )
 
-// MigrateTaken moves the orders that an earlier version has recorded as items to the record of executed orders. It
+// MigrateLegacyOrders moves the orders that an earlier version has recorded as items to the record of executed orders. It
 // returns the snapshot itself and false if there are none.
-func (s *Snapshot) MigrateTaken() (migrated *Snapshot, found bool) {
+func (s *Snapshot) MigrateLegacyOrders() (migrated *Snapshot, found bool) {
 	items := s.Items(legacyOrderKind)
 	if len(items) == 0 {
 		return s, false
--- a/internal/catalog/legacy_orders_test.go
+++ b/internal/catalog/legacy_orders_test.go
@@ -59,7 +59,7 @@
 	for _, count := range []int{1, legacyItemLimit - 1, legacyItemLimit, 200} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			state, orders := executeAsItems(t, catalog.Empty(), count)
-			migrated, found := state.MigrateTaken()
+			migrated, found := state.MigrateLegacyOrders()
 			require.True(t, found)
 			require.NotContains(t, migrated.Kinds(), "taken")
 			require.Equal(t, state.Sequence(), migrated.Sequence())
@@ -72,7 +72,7 @@
 				}
 				require.Equal(t, want, answerTo(t, migrated, order), "order %d", index)
 			}
-			again, found := migrated.MigrateTaken()
+			again, found := migrated.MigrateLegacyOrders()
 			require.False(t, found)
 			require.Same(t, migrated, again)
 		})
@@ -94,7 +94,7 @@
 		}
 	}
 	check(state)
-	migrated, found := state.MigrateTaken()
+	migrated, found := state.MigrateLegacyOrders()
 	require.True(t, found)
 	require.NotContains(t, migrated.Kinds(), "taken")
 	check(migrated)
@@ -114,7 +114,7 @@
 			change.Sequence, change.Generation = state.Sequence()+1, state.Generation()
 			damaged, err := state.Apply(change)
 			require.NoError(t, err)
-			migrated, found := damaged.MigrateTaken()
+			migrated, found := damaged.MigrateLegacyOrders()
 			require.True(t, found)
 			require.Equal(t, http.StatusServiceUnavailable, answerTo(t, migrated, orders[3]))
 			_, later := executeOrders(t, migrated, 1, "a")
--- a/internal/catalog/snapshot.go
+++ b/internal/catalog/snapshot.go
@@ -105,9 +105,9 @@
 	return zones
 }
 
-// TakenOrders returns the number of recorded executed orders and the generation that the oldest builds on: whether an
+// ExecutedOrders returns the number of recorded executed orders and the generation that the oldest builds on: whether an
 // order on an earlier generation was executed is not known. Only the control machines record any.
-func (s *Snapshot) TakenOrders() (count int, since uint64) {
+func (s *Snapshot) ExecutedOrders() (count int, since uint64) {
 	return s.executed.len(), s.executed.baseGeneration
 }
 
@@ -131,8 +131,8 @@
 	return editor.snapshot(change.GetSequence(), change.GetGeneration()), nil
 }
 
-// SameAs reports whether two snapshots are the same state, including the record of executed orders.
-func (s *Snapshot) SameAs(other *Snapshot) bool {
+// Equal reports whether two snapshots are the same state, including the record of executed orders.
+func (s *Snapshot) Equal(other *Snapshot) bool {
 	return proto.Equal(s.ReplicaDigests(), other.ReplicaDigests()) &&
 		s.executed.baseGeneration == other.executed.baseGeneration
 }
--- a/internal/catalog/snapshot_test.go
+++ b/internal/catalog/snapshot_test.go
@@ -34,7 +34,7 @@
 			replica, err := older.Restore(s.snapshot.ReplicaRepairFor(older.ReplicaDigests()))
 			require.NoError(t, err)
 			requireSame(t, s.snapshot, replica)
-			require.True(t, s.snapshot.SameAs(replica))
+			require.True(t, s.snapshot.Equal(replica))
 
 			changes, known := s.history.Since(older.Sequence())
 			require.True(t, known)
@@ -44,7 +44,7 @@
 				require.NoError(t, err)
 			}
 			requireSame(t, s.snapshot, applied)
-			require.True(t, s.snapshot.SameAs(applied))
+			require.True(t, s.snapshot.Equal(applied))
 		}
 		complete, err := s.snapshots[0].Restore(s.snapshot.RepairFor(nil))
 		require.NoError(t, err)
@@ -54,7 +54,7 @@
 		stored, err := catalog.Unmarshal(data)
 		require.NoError(t, err)
 		requireSame(t, s.snapshot, stored)
-		require.True(t, s.snapshot.SameAs(stored))
+		require.True(t, s.snapshot.Equal(stored))
 	})
 }
 
--- a/internal/chain/executed_orders_test.go
+++ b/internal/chain/executed_orders_test.go
@@ -42,8 +42,8 @@
 
 func (c *cluster) requireSameState(names ...string) {
 	for _, name := range names {
-		require.True(c.t, c.replicas[names[0]].Newest().SameAs(c.replicas[name].Newest()), name)
-		require.True(c.t, c.replicas[names[0]].Newest().SameAs(c.disk(name).Newest), "disk of %s", name)
+		require.True(c.t, c.replicas[names[0]].Newest().Equal(c.replicas[name].Newest()), name)
+		require.True(c.t, c.replicas[names[0]].Newest().Equal(c.disk(name).Newest), "disk of %s", name)
 	}
 }
 
@@ -123,7 +123,7 @@
 		}
 	}
 	c.restart("c", 99_000)
-	require.False(t, c.replicas["c"].Newest().SameAs(c.replicas["a"].Newest()))
+	require.False(t, c.replicas["c"].Newest().Equal(c.replicas["a"].Newest()))
 	c.adopt(viewNamed(2, three, "a", "b", "c"), three...)
 	c.runUntilQuiet(three...)
 	c.tick(8, three...)
--- a/internal/chain/sync_request.go
+++ b/internal/chain/sync_request.go
@@ -140,7 +140,7 @@
 	if !r.isLearner() {
 		r.state.SynchronizedView = r.state.View.GetNumber()
 	}
-	same := next.SameAs(r.state.Newest)
+	same := next.Equal(r.state.Newest)
 	r.synchronized = true
 	if same && r.isLearner() {
 		r.advertise()
--- a/internal/control/catchup_test.go
+++ b/internal/control/catchup_test.go
@@ -34,7 +34,7 @@
 		return status.Committed != nil && status.Committed.Sequence() >= newest.Sequence()
 	})
 	t.Logf("%d changes: caught up after %v", distance, time.Since(began))
-	require.True(t, newest.SameAs(away.node.Status().Committed))
+	require.True(t, newest.Equal(away.node.Status().Committed))
 	_, kept := away.node.Since(old.Sequence())
 	require.False(t, kept)
 	restored, err := old.Restore(away.node.Status().Committed.RepairFor(old.Digests()))
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -186,11 +186,11 @@
 			items = append(items, fmt.Sprintf("%s %s %d %d %s", kind, item.GetName(), item.GetOrder(), item.GetSequence(), item.GetBody()))
 		}
 	}
-	orders, since := found.State.TakenOrders()
+	orders, since := found.State.ExecutedOrders()
 	ballot := func(one *pb.Ballot) string { return fmt.Sprintf("%d %s", one.GetRound(), one.GetProposer()) }
 	text, err := json.MarshalIndent(map[string]any{
 		"records": kinds, "identity": found.Identity, "bootstrap": found.Bootstrap,
-		"view": viewValues(found.View), "basis": found.Basis,
+		"view": viewValues(found.View), "basis": found.SynchronizedView,
 		"sequence": found.State.Sequence(), "generation": found.State.Generation(), "items": items,
 		"evacuated": found.State.EvacuatedZones(), "taken-orders": orders, "taken-since": since,
 		"promise": map[string]any{"view": found.Promise.GetViewNumber(), "promised": ballot(found.Promise.GetPromised()),
--- a/internal/control/inspect.go
+++ b/internal/control/inspect.go
@@ -18,13 +18,13 @@
 	Ring *ring.Report
 	// Failure is why a machine could not start: a *ring.CorruptError or a *RecordError. What follows then goes only as
 	// far as the records could be read.
-	Failure   error
-	Identity  string      // empty on a fresh disk
-	Bootstrap bool        // the disk was empty when the whole system started for the first time
-	View      *pb.View    // nil before founding or joining
-	Basis     uint64      // all that was committed in views up to this one is in State
-	Promise   *pb.Promise // what was promised for the next view; nil if nothing
-	State     *catalog.Snapshot
+	Failure          error
+	Identity         string      // empty on a fresh disk
+	Bootstrap        bool        // the disk was empty when the whole system started for the first time
+	View             *pb.View    // nil before founding or joining
+	SynchronizedView uint64      // all that was committed in views up to this one is in State
+	Promise          *pb.Promise // what was promised for the next view; nil if nothing
+	State            *catalog.Snapshot
 }
 
 // NoStateError is returned by Inspect for a folder that holds nothing of a control machine.
@@ -59,7 +59,7 @@
 	inspection.Identity = state.identity
 	inspection.Bootstrap = state.bootstrap
 	inspection.View = state.chain.View
-	inspection.Basis = state.chain.SynchronizedView
+	inspection.SynchronizedView = state.chain.SynchronizedView
 	inspection.State = state.chain.Newest
 	if acceptor := state.restoreAcceptor(); !acceptor.IsEmpty() {
 		inspection.Promise = acceptor.Record()
--- a/internal/control/nodeloop.go
+++ b/internal/control/nodeloop.go
@@ -87,10 +87,10 @@
 
 // addSoftState completes a heartbeat. All messages of one round share the heartbeat, so that once a step is enough.
 func (n *Node) addSoftState(heartbeat *pb.Heartbeat) {
-	if n.options.Soft == nil {
+	if n.options.SoftState == nil {
 		return
 	}
-	heartbeat.Agents, heartbeat.List = n.options.Soft()
+	heartbeat.Agents, heartbeat.List = n.options.SoftState()
 }
 
 func (n *Node) viewChanged(view *pb.View) {
--- a/internal/control/nodeoptions.go
+++ b/internal/control/nodeoptions.go
@@ -25,8 +25,8 @@
 	Logger   *zap.Logger
 	// ControlAddress is the ip:port of this machine's operator's API.
 	ControlAddress string
-	// Soft returns what each heartbeat carries besides the agreed state; nil: nothing.
-	Soft func() ([]*pb.AgentRecord, *pb.ListVersion)
+	// SoftState returns what each heartbeat carries besides the agreed state; nil: nothing.
+	SoftState func() ([]*pb.AgentRecord, *pb.ListVersion)
 	// OnHeartbeat is called with each heartbeat of another control machine; nil: nothing is.
 	OnHeartbeat func(from *pb.Replica, heartbeat *pb.Heartbeat)
 	// OnServerList is called with each server list from another control machine; nil: nothing is.
@@ -37,7 +37,7 @@
 	// Dial opens connections to other control machines; nil: by TCP.
 	Dial Dial
 	// Storage holds the ring; nil: a folder under the settings' state folder.
-	Storage ring.Files
+	Storage ring.Storage
 }
 
 // machineConfig derives the Config of the Machine from the settings.
--- a/internal/control/record.go
+++ b/internal/control/record.go
@@ -59,7 +59,7 @@
 			return state, &RecordError{Kind: record.Kind, Cause: err}
 		}
 	}
-	state.chain.Newest, state.migrated = state.chain.Newest.MigrateTaken()
+	state.chain.Newest, state.migrated = state.chain.Newest.MigrateLegacyOrders()
 	return state, nil
 }
 
--- a/internal/controlserver/run.go
+++ b/internal/controlserver/run.go
@@ -71,7 +71,7 @@
 		Logger:         p.logger,
 		ControlAddress: initial.Binds.Control,
 		Dial:           p.options.Dial,
-		Soft:           p.soft.Report,
+		SoftState:      p.soft.Report,
 		OnHeartbeat:    p.heartbeatReceived,
 		OnServerList:   p.serverListReceived,
 	})
--- a/internal/controlsim/checker_test.go
+++ b/internal/controlsim/checker_test.go
@@ -165,7 +165,7 @@
 	if c.world.plan.mutation.ignoreExecutedOrders {
 		return sameItems(a, b)
 	}
-	return a.SameAs(b)
+	return a.Equal(b)
 }
 
 // checkReported: with the same disk, a machine never reports an older state than in an earlier incarnation.
--- a/internal/controlsim/delayedevacuation_test.go
+++ b/internal/controlsim/delayedevacuation_test.go
@@ -106,11 +106,11 @@
 // arrive has the machine take the order, as package operatorapi does, if it is young, or if the caller is still
 // there a moment later.
 func (c *evacuationCopy) arrive() {
-	if c.evacuator.trustsCopies || c.evacuator.world.now-c.sent <= operatorapi.YoungFor {
+	if c.evacuator.trustsCopies || c.evacuator.world.now-c.sent <= operatorapi.FreshRequestAge {
 		c.submit()
 		return
 	}
-	c.evacuator.world.after(operatorapi.CallerProof, func() {
+	c.evacuator.world.after(operatorapi.CallerCheckDelay, func() {
 		if c.closed {
 			c.evacuator.rejected++
 			return
--- a/internal/operatorapi/freshness.go
+++ b/internal/operatorapi/freshness.go
@@ -15,13 +15,13 @@
 // whose age is not certain is submitted only if its caller is still connected a moment later.
 
 const (
-	// YoungFor is the time, since its connection was ready for it, within which a request is certain to be fresh:
+	// FreshRequestAge is the time, since its connection was ready for it, within which a request is certain to be fresh:
 	// callers wait for a second, so its caller is still waiting.
-	YoungFor = 700 * time.Millisecond
+	FreshRequestAge = 700 * time.Millisecond
 
-	// CallerProof is how long after a request the end of its connection may arrive: one round trip when a partition
+	// CallerCheckDelay is how long after a request the end of its connection may arrive: one round trip when a partition
 	// ends.
-	CallerProof = 300 * time.Millisecond
+	CallerCheckDelay = 300 * time.Millisecond
 
 	// maxIgnoredBytes bounds the body of a request that needs none.
 	maxIgnoredBytes = 4 << 10
@@ -50,7 +50,7 @@
 func (c *connection) markReady() { c.readyAt.Store(int64(time.Since(epoch))) }
 
 func (c *connection) isFresh() bool {
-	return time.Since(epoch)-time.Duration(c.readyAt.Load()) <= YoungFor
+	return time.Since(epoch)-time.Duration(c.readyAt.Load()) <= FreshRequestAge
 }
 
 // connectionOf returns the connection of a request, nil without ConnContext.
@@ -66,20 +66,20 @@
 	}
 }
 
-// isFresh reports whether a request that is processed now is certain to have been sent within YoungFor.
+// isFresh reports whether a request that is processed now is certain to have been sent within FreshRequestAge.
 func isFresh(r *http.Request) bool {
 	conn := connectionOf(r)
 	return conn != nil && conn.isFresh()
 }
 
-// callerRemains waits for CallerProof and reports whether the caller is still connected then. The body, which has no
+// callerRemains waits for CallerCheckDelay and reports whether the caller is still connected then. The body, which has no
 // content, is read first, since net/http detects the end of a connection only behind it.
 func callerRemains(r *http.Request) bool {
 	_, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxIgnoredBytes))
 	if err != nil {
 		return false
 	}
-	check := time.NewTimer(CallerProof)
+	check := time.NewTimer(CallerCheckDelay)
 	defer check.Stop()
 	select {
 	case <-r.Context().Done():
--- a/internal/operatorapi/freshness_test.go
+++ b/internal/operatorapi/freshness_test.go
@@ -94,7 +94,7 @@
 	require.NoError(t, err)
 	require.NoError(t, answer.Body.Close())
 	require.Equal(t, http.StatusOK, answer.StatusCode)
-	require.Less(t, time.Since(began), CallerProof)
+	require.Less(t, time.Since(began), CallerCheckDelay)
 }
 
 func TestOrderOfACallerThatLeavesIsWithdrawn(t *testing.T) {
--- a/internal/ring/recovery.go
+++ b/internal/ring/recovery.go
@@ -16,7 +16,7 @@
 }
 
 // syncAll syncs all files and the folder, so that what is read from them now is durable.
-func syncAll(files Files) error {
+func syncAll(files Storage) error {
 	slots, err := listSlots(files)
 	if err != nil {
 		return err
@@ -39,7 +39,7 @@
 }
 
 // listSlots returns the numbers of the ring's files, sorted.
-func listSlots(files Files) ([]int, error) {
+func listSlots(files Storage) ([]int, error) {
 	names, err := files.List()
 	if err != nil {
 		return nil, errors.Wrap(err, "list the ring's files")
@@ -56,7 +56,7 @@
 
 // scanFiles finds the newest file with a valid snapshot and reads it. The error is a *CorruptError if a newer state
 // must have been there, or if a file is of another version.
-func scanFiles(files Files) (*scan, error) {
+func scanFiles(files Storage) (*scan, error) {
 	result, err := scanHeaders(files)
 	if err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 }
 
 // scanHeaders reads the headers of all files and sorts the files by epoch, newest first.
-func scanHeaders(files Files) (*scan, error) {
+func scanHeaders(files Storage) (*scan, error) {
 	slots, err := listSlots(files)
 	if err != nil {
 		return nil, err
--- a/internal/ring/report.go
+++ b/internal/ring/report.go
@@ -37,10 +37,10 @@
 
 // Check reads every record of the ring in a folder and reports what is there and what Open would recover. It changes
 // nothing. An error means that the files cannot be read.
-func Check(dir string) (*Report, error) { return CheckFiles(NewFolder(dir)) }
+func Check(dir string) (*Report, error) { return CheckStorage(NewFolder(dir)) }
 
-// CheckFiles is Check for any storage.
-func CheckFiles(files Files) (*Report, error) {
+// CheckStorage is Check for any storage.
+func CheckStorage(files Storage) (*Report, error) {
 	report := &Report{}
 	found, err := scanFiles(files)
 	switch {
@@ -70,7 +70,7 @@
 }
 
 // checkFile reads one file, as far as it is of this version.
-func checkFile(files Files, slot int) (FileReport, error) {
+func checkFile(files Storage, slot int) (FileReport, error) {
 	file := &candidate{slot: slot}
 	if err := file.readHeader(files); err != nil && !isCorrupt(err) {
 		return FileReport{}, err
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -22,7 +22,7 @@
 	FileBytes int64 // initial length of each file, at least 4 KB; DefaultFileBytes if 0
 	MaxBytes  int64 // bound on the length of all files together; DefaultMaxBytes if 0
 	// Storage holds the files; by default, the folder that Open is given.
-	Storage Files
+	Storage Storage
 	// Nonce returns a number that differs from all earlier ones; by default, a random one.
 	Nonce func() uint64
 }
@@ -74,7 +74,7 @@
 // Ring is an open ring. It is not safe for concurrent use.
 type Ring struct {
 	options Options
-	files   Files
+	files   Storage
 
 	current     *position
 	file        File   // of current; nil before the first
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -231,7 +231,7 @@
 	var corrupt *ring.CorruptError
 	_, _, err := ring.Open("", options)
 	require.ErrorAs(t, err, &corrupt)
-	report, err := ring.CheckFiles(disk)
+	report, err := ring.CheckStorage(disk)
 	require.NoError(t, err)
 	require.ErrorAs(t, report.Failure, &corrupt)
 	require.Nil(t, report.Recovered)
--- a/internal/ring/storage.go
+++ b/internal/ring/storage.go
@@ -2,8 +2,8 @@
 
 import "io"
 
-// Files is the folder in which a ring stores its files.
-type Files interface {
+// Storage is the folder in which a ring stores its files.
+type Storage interface {
 	// List returns the names of the files in the folder, none if the folder is missing.
 	List() ([]string, error)
 	// Open opens a file for reading and writing. A missing file is created if create is set; otherwise the
