--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -28,7 +28,7 @@
 func (c *counters) log(logger *zap.Logger, status Status) {
 	logger.Info("counters",
 		zap.Uint64("view", status.View.GetNumber()),
-		zap.Uint64("sequence", sequenceOf(status.Committed)),
+		zap.Uint64("sequence", status.Committed.Sequence()),
 		zap.Bool("authoritative", status.Authoritative),
 		zap.Uint64("sent", c.sent.Load()),
 		zap.Uint64("received", c.received.Load()),
--- a/internal/control/heartbeat.go
+++ b/internal/control/heartbeat.go
@@ -60,7 +60,7 @@
 	return &pb.Message{Body: &pb.Message_Heartbeat{Heartbeat: &pb.Heartbeat{
 		ViewNumber:     advertised.ViewNumber,
 		Sequence:       advertised.Sequence,
-		Committed:      sequenceOf(h.replica.Committed()),
+		Committed:      h.replica.Committed().Sequence(),
 		StorageHealthy: h.health.canServe(),
 		Synchronised:   advertised.Synchronized,
 		Bootstrap:      h.local.bootstrap && viewInForce(h.replica) == nil,
--- a/internal/control/originorders.go
+++ b/internal/control/originorders.go
@@ -85,7 +85,7 @@
 	pending.order = &pb.Order{
 		Id:   pending.order.GetId(),
 		Kind: pb.Order_KIND_READ,
-		Held: sequenceOf(pending.heldState),
+		Held: pending.heldState.Sequence(),
 	}
 }
 
--- a/internal/control/staleness.go
+++ b/internal/control/staleness.go
@@ -4,7 +4,6 @@
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
-	"fieldrelay/internal/catalog"
 	"fieldrelay/internal/chain"
 	"fieldrelay/internal/quorum"
 )
@@ -86,7 +85,7 @@
 // that is not here. A heartbeat that has waited for this process proves nothing of the present.
 func (s *staleness) provesCurrent(from *pb.Replica, committed uint64) bool {
 	inChain := quorum.IndexOf(viewInForce(s.replica).GetChain(), from.GetIdentity()) != quorum.NotFound
-	return inChain && !s.clock.isStalled() && committed <= sequenceOf(s.replica.Committed())
+	return inChain && !s.clock.isStalled() && committed <= s.replica.Committed().Sequence()
 }
 
 // update compares the committed state with the advertised one. It must run before anything that restores lost contact:
@@ -95,7 +94,7 @@
 	if !s.hasHeartbeats() {
 		s.partitioned = true
 	}
-	if sequenceOf(s.replica.Committed()) < s.advertisedCommit {
+	if s.replica.Committed().Sequence() < s.advertisedCommit {
 		if s.behindSince == 0 {
 			s.behindSince = s.clock.now
 		}
@@ -115,11 +114,3 @@
 	s.behindSince = 0
 	s.currentAt = s.clock.now
 }
-
-// sequenceOf is 0 for nil.
-func sequenceOf(snapshot *catalog.Snapshot) uint64 {
-	if snapshot == nil {
-		return 0
-	}
-	return snapshot.Sequence()
-}
