--- a/internal/rulesdoc/rulesdoc_test.go
+++ b/internal/rulesdoc/rulesdoc_test.go
@@ -1,4 +1,4 @@
-// Package rulesdoc tests that docs/region-rules.md names functions and tests that are there.
+// Package rulesdoc tests that pages in docs name functions, tests, files and packages that are there.
 package rulesdoc
 
 import (
@@ -56,22 +56,30 @@
 	}
 }
 
-// namesOf reads the package in a folder.
-func namesOf(t *testing.T, folder string) names {
+// declarationsOf reads the package in a folder.
+func declarationsOf(t *testing.T, folder string) []ast.Decl {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
 	require.NoError(t, err)
-	found := make(names)
+	var found []ast.Decl
 	for _, file := range files {
 		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 		require.NoError(t, err)
-		for _, declaration := range parsed.Decls {
-			switch declaration := declaration.(type) {
-			case *ast.FuncDecl:
-				found.addFunction(declaration)
-			case *ast.GenDecl:
-				found.addDeclaration(declaration)
-			}
+		found = append(found, parsed.Decls...)
+	}
+	return found
+}
+
+// namesOf reads the names of the package in a folder.
+func namesOf(t *testing.T, folder string) names {
+	t.Helper()
+	found := make(names)
+	for _, declaration := range declarationsOf(t, folder) {
+		switch declaration := declaration.(type) {
+		case *ast.FuncDecl:
+			found.addFunction(declaration)
+		case *ast.GenDecl:
+			found.addDeclaration(declaration)
 		}
 	}
 	return found
