--- a/internal/migration/execute/admit.go
+++ b/internal/migration/execute/admit.go
@@ -26,14 +26,14 @@
 }
 
 // bare is the bound without its margin.
-func (r *round) bare() room.Bound {
+func (r *round) bare() room.Headroom {
 	bound := r.config.Bound
 	bound.Margin = 0
 	return bound
 }
 
 // maySpare reports whether the rest serves the demand without a node. One that does not serve takes nothing away.
-func (r *round) maySpare(index int, node *room.Node, bound room.Bound) bool {
+func (r *round) maySpare(index int, node *room.Node, bound room.Headroom) bool {
 	if !slices.ContainsFunc(r.observation.Fleet, func(one room.Node) bool { return one.ID == node.ID }) {
 		return true
 	}
@@ -49,7 +49,7 @@
 	}
 	leaving := slices.Clone(r.observation.Fleet)
 	leaving = slices.DeleteFunc(leaving, func(one room.Node) bool { return !slices.Contains(withheld, one.ID) })
-	loads := room.Reread(r.observation.Loads, r.observation.Fleet, leaving)
+	loads := room.AddLostCachePrefill(r.observation.Loads, r.observation.Fleet, leaving)
 	if shortage := bound.Check(node.Group(), serving, loads); shortage != nil {
 		r.hold(index, HoldRoom, shortage)
 		return false
--- a/internal/migration/execute/execute_test.go
+++ b/internal/migration/execute/execute_test.go
@@ -58,7 +58,7 @@
 
 func (b *rig) newMachine(owner string) *Machine {
 	return NewMachine(Config{
-		Plan: b.made, Digest: "plan", Owner: owner, Bound: room.Bound{Margin: 0.1, Hosts: 1},
+		Plan: b.made, Digest: "plan", Owner: owner, Bound: room.Headroom{Margin: 0.1, Hosts: 1},
 		Fresh: 2 * time.Second, Calm: 3 * time.Second, Retry: time.Second, Settle: time.Second,
 	})
 }
@@ -119,7 +119,7 @@
 		seen.Nodes[id] = NodeStatus{Ready: true, Open: b.open[id], Movable: b.movable[id]}
 		seen.Fleet = append(seen.Fleet, server(id))
 	}
-	seen.Loads = []room.Load{{Region: "west", Group: lm, Need: room.Amount{room.Slots: b.slots}}}
+	seen.Loads = []room.Load{{Region: "west", Group: lm, Required: room.Amount{room.Slots: b.slots}}}
 	return seen
 }
 
--- a/internal/migration/execute/machine.go
+++ b/internal/migration/execute/machine.go
@@ -12,7 +12,7 @@
 	Plan   *plan.Plan
 	Digest string // of the plan
 	Owner  string // differs from start to start
-	Bound  room.Bound
+	Bound  room.Headroom
 	// Fresh is the age up to which an observation counts.
 	Fresh time.Duration
 	// Calm is how long after room was short nothing more is taken away.
--- a/internal/migration/plan/exhaustive_test.go
+++ b/internal/migration/plan/exhaustive_test.go
@@ -161,12 +161,12 @@
 		for _, group := range e.groups() {
 			today := input.Bound.Check(group, input.Nodes, loads)
 			then := input.Bound.Check(group, final, loads)
-			if then != nil && (today == nil || then.Part > today.Part+tolerance) {
+			if then != nil && (today == nil || then.Fraction > today.Fraction+tolerance) {
 				return 0, false
 			}
 		}
 	}
-	for _, begin := range input.Demand.Starts(now) {
+	for _, begin := range input.Demand.ChangesFrom(now) {
 		if input.Window > 0 && begin+lasts > input.Begin+input.Window {
 			return 0, false
 		}
@@ -203,7 +203,7 @@
 }
 
 func (e *enumeration) roomThrough(stage []bool, present []room.Node, phases [][]room.Node, begin, end time.Duration) bool {
-	for _, period := range e.input.Demand.During(begin, end) {
+	for _, period := range e.input.Demand.PeriodsDuring(begin, end) {
 		for number, nodes := range phases {
 			var gone []room.Node
 			touched := map[room.Group]bool{}
@@ -216,7 +216,7 @@
 					gone = append(gone, one.Old)
 				}
 			}
-			loads := room.Reread(e.input.Demand.Periods[period].Loads, present, gone)
+			loads := room.AddLostCachePrefill(e.input.Demand.Periods[period].Loads, present, gone)
 			for group := range touched {
 				if group.Kind != room.Core && e.input.Bound.Check(group, nodes, loads) != nil {
 					return false
--- a/internal/migration/plan/large_test.go
+++ b/internal/migration/plan/large_test.go
@@ -12,7 +12,7 @@
 
 // A large deployment is beyond trying all orders: the plan that is made is safe, and made in time.
 func TestLargeDeployment(t *testing.T) {
-	input := Input{Bound: room.Bound{Margin: 0.2, Hosts: 1, Zones: 1}, Core: Core{Hosts: 1, Zones: 1}}
+	input := Input{Bound: room.Headroom{Margin: 0.2, Hosts: 1, Zones: 1}, Core: Core{Hosts: 1, Zones: 1}}
 	lm := room.Group{Kind: room.Server, Service: "lm"}
 	add := func(kind room.Kind, service string, number int, slots float64, beside bool) {
 		zone := fmt.Sprintf("zone-%d", number%9)
@@ -39,10 +39,10 @@
 	for number := range 9 {
 		add(room.Core, "", number, 0, true)
 	}
-	quiet := []room.Load{{Region: "region-0", Group: lm, Need: room.Amount{room.Slots: 900}}}
+	quiet := []room.Load{{Region: "region-0", Group: lm, Required: room.Amount{room.Slots: 900}}}
 	busy := []room.Load{
-		{Region: "region-0", Group: lm, Need: room.Amount{room.Slots: 700}},
-		{Region: "region-1", Group: lm, Homes: []string{"region-1"}, Need: room.Amount{room.Slots: 640}},
+		{Region: "region-0", Group: lm, Required: room.Amount{room.Slots: 700}},
+		{Region: "region-1", Group: lm, HomeRegions: []string{"region-1"}, Required: room.Amount{room.Slots: 640}},
 	}
 	input.Demand = room.Profile{Cycle: 24 * time.Hour, Periods: []room.Period{
 		{Begin: 0, End: 12 * time.Hour, Loads: quiet}, {Begin: 12 * time.Hour, End: 24 * time.Hour, Loads: busy},
--- a/internal/migration/plan/make.go
+++ b/internal/migration/plan/make.go
@@ -117,7 +117,7 @@
 		return e.Obstacle != NoOrder
 	}
 	if e.Shortage != nil && other.Shortage != nil {
-		return e.Shortage.Part < other.Shortage.Part
+		return e.Shortage.Fraction < other.Shortage.Fraction
 	}
 	return e.Shortage == nil && other.Shortage != nil
 }
--- a/internal/migration/plan/model.go
+++ b/internal/migration/plan/model.go
@@ -56,7 +56,7 @@
 	Nodes        []room.Node // that serve now, the retiring ones included
 	Replacements []Replacement
 	Demand       room.Profile
-	Bound        room.Bound
+	Bound        room.Headroom
 	Core         Core
 	Places       map[Place]int // nodes that can run beside the present ones; no entry: any number
 	Share        float64       // 0: DefaultShare; a stage may always replace one
--- a/internal/migration/plan/plan_test.go
+++ b/internal/migration/plan/plan_test.go
@@ -17,7 +17,7 @@
 func node(kind room.Kind, service, id, zone string, slots float64) room.Node {
 	return room.Node{
 		ID: id, Kind: kind, Service: service, Zone: zone, Region: regionOf[zone],
-		Capacity: room.Amount{room.Slots: slots, room.Memory: 100 * slots, room.Reading: 10 * slots},
+		Capacity: room.Amount{room.Slots: slots, room.Memory: 100 * slots, room.Prefill: 10 * slots},
 	}
 }
 
@@ -26,7 +26,7 @@
 	zones := rapid.SampledFrom([]string{"a", "b", "c"})
 	input := Input{
 		Core: Core{Voters: []Voter{{"kept-a", "a"}, {"kept-b", "b"}, {"kept-c", "c"}}},
-		Bound: room.Bound{
+		Bound: room.Headroom{
 			Margin: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "margin"),
 			Hosts:  rapid.IntRange(0, 1).Draw(t, "hosts"),
 			Zones:  rapid.IntRange(0, 1).Draw(t, "zones"),
@@ -84,9 +84,9 @@
 		for _, group := range []room.Group{{Kind: room.Server, Service: "lm"}, {Kind: room.Server, Service: "plain"}, {Kind: room.Edge}} {
 			for _, region := range []string{"west", "east"} {
 				slots := float64(rapid.IntRange(0, 4).Draw(t, label))
-				one := room.Load{Region: region, Group: group, Need: room.Amount{room.Slots: slots, room.Reading: 5 * slots}, Saved: 3 * slots}
+				one := room.Load{Region: region, Group: group, Required: room.Amount{room.Slots: slots, room.Prefill: 5 * slots}, CachedPrefill: 3 * slots}
 				if rapid.IntRange(0, 3).Draw(t, "pinned") == 0 {
-					one.Homes = []string{region}
+					one.HomeRegions = []string{region}
 				}
 				all = append(all, one)
 			}
@@ -214,7 +214,7 @@
 // rodinne is the smaller site: 11 model servers in 3 zones, one core machine in each.
 func rodinne(beside bool) Input {
 	input := Input{
-		Bound: room.Bound{Margin: 0.2, Hosts: 1},
+		Bound: room.Headroom{Margin: 0.2, Hosts: 1},
 		Core:  Core{Hosts: 1, Zones: 1},
 	}
 	for index := range 11 {
@@ -237,8 +237,8 @@
 	}
 	lm := room.Group{Kind: room.Server, Service: "lm"}
 	input.Demand = room.Constant([]room.Load{
-		{Region: "west", Group: lm, Need: room.Amount{room.Slots: 200}},
-		{Region: "east", Group: lm, Need: room.Amount{room.Slots: 180}},
+		{Region: "west", Group: lm, Required: room.Amount{room.Slots: 200}},
+		{Region: "east", Group: lm, Required: room.Amount{room.Slots: 180}},
 	})
 	return input
 }
@@ -266,7 +266,7 @@
 					input.Replacements[index].Beside = false
 				}
 				input.Demand = room.Constant([]room.Load{{
-					Region: "east", Group: lm, Homes: []string{"east"}, Need: room.Amount{room.Slots: 200},
+					Region: "east", Group: lm, HomeRegions: []string{"east"}, Required: room.Amount{room.Slots: 200},
 				}})
 				input.Replacements = input.Replacements[:11]
 			},
@@ -274,7 +274,7 @@
 				require.Equal(t, NoRoom, refusal.Obstacle)
 				require.Equal(t, "east", refusal.Region)
 				require.Equal(t, room.Slots, refusal.Shortage.Resource)
-				require.InDelta(t, 8, refusal.Shortage.Lacking, 1e-6) // one of 5 away, another one lost
+				require.InDelta(t, 8, refusal.Shortage.Missing, 1e-6) // one of 5 away, another one lost
 				require.Equal(t, []Spare{{Count: 1, Kind: room.Server, Service: "lm", Zone: "c"}}, refusal.Spares)
 			},
 		},
@@ -284,7 +284,7 @@
 				input.Replacements[2].Beside = false // the only one of east that is taken out first
 				input.Share = 1
 				input.Demand = room.Constant([]room.Load{{
-					Region: "east", Group: lm, Homes: []string{"east"}, Need: room.Amount{room.Slots: 250},
+					Region: "east", Group: lm, HomeRegions: []string{"east"}, Required: room.Amount{room.Slots: 250},
 				}})
 			},
 			func(t *testing.T, refusal *RefusalError) {
@@ -334,8 +334,8 @@
 		},
 		"a later hour": {
 			func(input *Input) {
-				quiet := []room.Load{{Region: "east", Group: lm, Need: room.Amount{room.Slots: 100}}}
-				busy := []room.Load{{Region: "east", Group: lm, Need: room.Amount{room.Slots: 640}}}
+				quiet := []room.Load{{Region: "east", Group: lm, Required: room.Amount{room.Slots: 100}}}
+				busy := []room.Load{{Region: "east", Group: lm, Required: room.Amount{room.Slots: 640}}}
 				input.Replacements = input.Replacements[:11]
 				for index := range input.Replacements {
 					input.Replacements[index].Beside = false
--- a/internal/migration/plan/search.go
+++ b/internal/migration/plan/search.go
@@ -159,7 +159,7 @@
 	}
 	lasts := s.duration(batch)
 	best := &obstruction{obstacle: NoTime}
-	for _, begin := range s.input.Demand.Starts(from.end) {
+	for _, begin := range s.input.Demand.ChangesFrom(from.end) {
 		if s.input.Window > 0 && begin+lasts > s.input.Begin+s.input.Window {
 			break
 		}
@@ -167,7 +167,7 @@
 		if shortage == nil {
 			return s.made(from, batch, begin, lasts), nil
 		}
-		if best.shortage == nil || shortage.Part < best.shortage.Part {
+		if best.shortage == nil || shortage.Fraction < best.shortage.Fraction {
 			best = &obstruction{obstacle: NoRoom, shortage: shortage}
 		}
 	}
@@ -198,13 +198,13 @@
 // roomThrough returns the worst shortage of a stage from begin to end, or nil.
 func (s *searcher) roomThrough(done, batch counts, begin, end time.Duration) *room.Shortage {
 	var worst *room.Shortage
-	for _, period := range s.input.Demand.During(begin, end) {
+	for _, period := range s.input.Demand.PeriodsDuring(begin, end) {
 		for group := range s.groups {
 			if s.groups[group].untouchedBy(batch) {
 				continue
 			}
 			found := s.roomFor(group, period, done, batch)
-			if found != nil && (worst == nil || found.Part > worst.Part) {
+			if found != nil && (worst == nil || found.Fraction > worst.Fraction) {
 				worst = found
 			}
 		}
--- a/internal/migration/plan/stagecheck.go
+++ b/internal/migration/plan/stagecheck.go
@@ -201,7 +201,7 @@
 	}
 	whole := s.fleet(view, done, batch, before)
 	for _, at := range []phase{without, swapped, after} {
-		grown := room.Reread(loads, whole, s.leaving(view, done, batch, at))
+		grown := room.AddLostCachePrefill(loads, whole, s.leaving(view, done, batch, at))
 		if found := s.input.Bound.Check(view.group, s.fleet(view, done, batch, at), grown); found != nil {
 			return found
 		}
@@ -219,7 +219,7 @@
 				continue
 			}
 			today := s.roomFor(group, period, none, none)
-			if today == nil || found.Part > today.Part+tolerance {
+			if today == nil || found.Fraction > today.Fraction+tolerance {
 				return &obstruction{obstacle: NoRoom, shortage: found}
 			}
 		}
--- a/internal/migration/planfile/assemble.go
+++ b/internal/migration/planfile/assemble.go
@@ -73,8 +73,8 @@
 }
 
 // Bound is what must stay free.
-func (f *File) Bound() room.Bound {
-	return room.Bound{Margin: f.Room.Margin, Hosts: f.Room.Hosts, Zones: f.Room.Zones, Regions: f.Room.Regions}
+func (f *File) Bound() room.Headroom {
+	return room.Headroom{Margin: f.Room.Margin, Hosts: f.Room.Hosts, Zones: f.Room.Zones, Regions: f.Room.Regions}
 }
 
 func (a *assembly) compile() {
@@ -178,12 +178,12 @@
 
 func (l *Load) load() room.Load {
 	return room.Load{
-		Region: l.Region,
-		Group:  room.Group{Kind: room.Kind(l.Kind), Service: l.Service},
-		Model:  l.Model,
-		Homes:  l.Homes,
-		Need:   l.amount(),
-		Saved:  l.Saved,
+		Region:        l.Region,
+		Group:         room.Group{Kind: room.Kind(l.Kind), Service: l.Service},
+		Model:         l.Model,
+		HomeRegions:   l.Homes,
+		Required:      l.amount(),
+		CachedPrefill: l.Saved,
 	}
 }
 
@@ -210,14 +210,14 @@
 	told := make(map[room.Group]room.Amount)
 	for index := range a.nodes {
 		group := a.nodes[index].Group()
-		told[group] = told[group].Plus(a.nodes[index].Capacity)
+		told[group] = told[group].Add(a.nodes[index].Capacity)
 	}
 	for period := range input.Demand.Periods {
 		for index := range input.Demand.Periods[period].Loads {
 			load := &input.Demand.Periods[period].Loads[index]
 			for resource, amount := range told[load.Group] {
 				if amount == 0 {
-					load.Need[resource] = 0
+					load.Required[resource] = 0
 				}
 			}
 		}
--- a/internal/migration/planfile/planfile_test.go
+++ b/internal/migration/planfile/planfile_test.go
@@ -202,7 +202,7 @@
 
 	server := input.Replacements[0]
 	require.Equal(t, "i-1", server.Old.ID)
-	require.Equal(t, room.Amount{room.Slots: 64, room.Memory: 230413, room.Reading: 38700, room.Connections: 360}, server.Old.Capacity)
+	require.Equal(t, room.Amount{room.Slots: 64, room.Memory: 230413, room.Prefill: 38700, room.Connections: 360}, server.Old.Capacity)
 	require.Equal(t, 96.0, server.New.Capacity[room.Slots])
 	require.Equal(t, "west", server.New.Region)
 	require.Equal(t, plan.Times{
@@ -214,7 +214,7 @@
 	require.Equal(t, 16*time.Second, input.Replacements[3].Times.Linger)
 
 	late := input.Demand.Periods[1].Loads[0]
-	require.Equal(t, room.Amount{room.Slots: 60, room.Memory: 1000}, late.Need, "how fast servers write is not told")
+	require.Equal(t, room.Amount{room.Slots: 60, room.Memory: 1000}, late.Required, "how fast servers write is not told")
 
 	file.Periods = nil
 	input, err = file.Input(inventory(t))
--- a/internal/migration/planfile/schema.go
+++ b/internal/migration/planfile/schema.go
@@ -46,8 +46,8 @@
 	return room.Amount{
 		room.Slots:       a.Slots,
 		room.Memory:      a.Memory,
-		room.Reading:     a.Reading,
-		room.Writing:     a.Writing,
+		room.Prefill:     a.Reading,
+		room.Decode:      a.Writing,
 		room.Requests:    a.Requests,
 		room.Connections: a.Connections,
 	}
--- a/internal/migration/room/fit.go
+++ b/internal/migration/room/allocate.go
@@ -7,7 +7,7 @@
 )
 
 // rounding is the part of a load that may be left over by rounding.
-const rounding = 1e-9
+const roundingError = 1e-9
 
 // bin is the room of the nodes of one region that hold the same models.
 type bin struct {
@@ -18,24 +18,24 @@
 
 // fit lays the loads, scaled, over the nodes that are not lost (by index; nil: none is) and returns the worst
 // shortage, or nil if everything fits. Both are of one group.
-func fit(nodes []Node, lost []bool, loads []Load, scale float64) *Shortage {
-	bins := binsOf(nodes, lost)
+func allocate(nodes []Node, lost []bool, loads []Load, scale float64) *Shortage {
+	bins := groupIntoBins(nodes, lost)
 	var worst *Shortage
-	for _, load := range byFreedom(loads, bins) {
+	for _, load := range mostConstrainedFirst(loads, bins) {
 		left := 1.0
-		for _, target := range binsFor(load, bins) {
-			part := min(left, target.largestPart(load.Need.Times(scale)))
-			target.free = target.free.Minus(load.Need.Times(scale * part))
+		for _, target := range eligibleBins(load, bins) {
+			part := min(left, target.largestFraction(load.Required.Scale(scale)))
+			target.free = target.free.Sub(load.Required.Scale(scale * part))
 			left -= part
 		}
-		if left > rounding && (worst == nil || left > worst.Part) {
-			worst = shortageOf(load, bins, left, scale)
+		if left > roundingError && (worst == nil || left > worst.Fraction) {
+			worst = newShortage(load, bins, left, scale)
 		}
 	}
 	return worst
 }
 
-func binsOf(nodes []Node, lost []bool) []*bin {
+func groupIntoBins(nodes []Node, lost []bool) []*bin {
 	var bins []*bin
 	for index := range nodes {
 		if lost != nil && lost[index] {
@@ -49,7 +49,7 @@
 			bins = append(bins, &bin{region: node.Region, sample: node})
 			found = len(bins) - 1
 		}
-		bins[found].free = bins[found].free.Plus(node.Capacity)
+		bins[found].free = bins[found].free.Add(node.Capacity)
 	}
 	slices.SortFunc(bins, func(a, b *bin) int {
 		return cmp.Or(cmp.Compare(a.region, b.region), slices.Compare(a.sample.Models, b.sample.Models))
@@ -57,26 +57,26 @@
 	return bins
 }
 
-// byFreedom orders the loads that need anything: those that fewest bins may serve come first.
-func byFreedom(loads []Load, bins []*bin) []*Load {
+// mostConstrainedFirst orders the loads that need anything: those that fewest bins may serve come first.
+func mostConstrainedFirst(loads []Load, bins []*bin) []*Load {
 	ordered := make([]*Load, 0, len(loads))
 	for index := range loads {
-		if loads[index].Need != (Amount{}) {
+		if loads[index].Required != (Amount{}) {
 			ordered = append(ordered, &loads[index])
 		}
 	}
 	slices.SortStableFunc(ordered, func(a, b *Load) int {
-		return cmp.Compare(len(binsFor(a, bins)), len(binsFor(b, bins)))
+		return cmp.Compare(len(eligibleBins(a, bins)), len(eligibleBins(b, bins)))
 	})
 	return ordered
 }
 
-// binsFor gives the bins that may serve a load, those of its own region first.
-func binsFor(load *Load, bins []*bin) []*bin {
+// eligibleBins gives the bins that may serve a load, those of its own region first.
+func eligibleBins(load *Load, bins []*bin) []*bin {
 	var own, others []*bin
 	for _, candidate := range bins {
 		switch {
-		case !load.serves(candidate.region) || !candidate.sample.holds(load.Model):
+		case !load.allowsRegion(candidate.region) || !candidate.sample.servesModel(load.Model):
 		case candidate.region == load.Region:
 			own = append(own, candidate)
 		default:
@@ -86,8 +86,8 @@
 	return append(own, others...)
 }
 
-// largestPart is the largest part, up to the whole, of a need that fits into what is free.
-func (b *bin) largestPart(need Amount) float64 {
+// largestFraction is the largest part, up to the whole, of a need that fits into what is free.
+func (b *bin) largestFraction(need Amount) float64 {
 	part := 1.0
 	for resource, wanted := range need {
 		if wanted > 0 {
@@ -111,20 +111,20 @@
 	return found
 }
 
-func shortageOf(load *Load, bins []*bin, left, scale float64) *Shortage {
+func newShortage(load *Load, bins []*bin, left, scale float64) *Shortage {
 	var free Amount
-	for _, candidate := range binsFor(load, bins) {
-		free = free.Plus(candidate.free)
+	for _, candidate := range eligibleBins(load, bins) {
+		free = free.Add(candidate.free)
 	}
-	resource := scarcest(free, load.Need)
-	need := load.Need[resource] * scale
+	resource := scarcest(free, load.Required)
+	need := load.Required[resource] * scale
 	return &Shortage{
 		Region:   load.Region,
 		Group:    load.Group,
 		Model:    load.Model,
 		Resource: resource,
-		Need:     need,
-		Lacking:  need * left,
-		Part:     left,
+		Required: need,
+		Missing:  need * left,
+		Fraction: left,
 	}
 }
--- a/internal/migration/room/node.go
+++ b/internal/migration/room/node.go
@@ -40,28 +40,28 @@
 func (n *Node) Group() Group { return Group{Kind: n.Kind, Service: n.Service} }
 
 // holds reports whether the node serves a model; the empty name is any.
-func (n *Node) holds(model string) bool {
+func (n *Node) servesModel(model string) bool {
 	return model == "" || len(n.Models) == 0 || slices.Contains(n.Models, model)
 }
 
 // alike reports whether demand sees no difference between two nodes of a group.
-func alike(a, b *Node) bool {
+func interchangeable(a, b *Node) bool {
 	return a.Zone == b.Zone && a.Region == b.Region && a.Capacity == b.Capacity && slices.Equal(a.Models, b.Models)
 }
 
 // Load is what is asked of a group by the clients of one region.
 type Load struct {
-	Region string // of the clients
-	Group  Group
-	Model  string   // empty: any
-	Homes  []string // regions that may serve it; empty: any
-	Need   Amount   // at the same time, or a second
-	// Saved are the prompt tokens a second that need no reading, because they are kept at servers. When a server
+	Region      string // of the clients
+	Group       Group
+	Model       string   // empty: any
+	HomeRegions []string // regions that may serve it; empty: any
+	Required    Amount   // at the same time, or a second
+	// CachedPrefill are the prompt tokens a second that need no reading, because they are kept at servers. When a server
 	// retires, what it kept is read anew.
-	Saved float64
+	CachedPrefill float64
 }
 
 // serves reports whether a region may serve the load.
-func (l *Load) serves(region string) bool {
-	return len(l.Homes) == 0 || slices.Contains(l.Homes, region)
+func (l *Load) allowsRegion(region string) bool {
+	return len(l.HomeRegions) == 0 || slices.Contains(l.HomeRegions, region)
 }
--- a/internal/migration/room/profile.go
+++ b/internal/migration/room/profile.go
@@ -19,21 +19,21 @@
 // Constant is a profile with one demand at any time.
 func Constant(loads []Load) Profile { return Profile{Periods: []Period{{Loads: loads}}} }
 
-// During gives the periods, by index, that the time from begin to end touches.
-func (p *Profile) During(begin, end time.Duration) []int {
+// PeriodsDuring gives the periods, by index, that the time from begin to end touches.
+func (p *Profile) PeriodsDuring(begin, end time.Duration) []int {
 	if p.Cycle <= 0 || end-begin >= p.Cycle {
-		return p.all()
+		return p.allPeriods()
 	}
 	var touched []int
 	for index := range p.Periods {
-		if p.touches(&p.Periods[index], begin, end) {
+		if p.overlaps(&p.Periods[index], begin, end) {
 			touched = append(touched, index)
 		}
 	}
 	return touched
 }
 
-func (p *Profile) all() []int {
+func (p *Profile) allPeriods() []int {
 	all := make([]int, len(p.Periods))
 	for index := range all {
 		all[index] = index
@@ -41,7 +41,7 @@
 	return all
 }
 
-func (p *Profile) touches(period *Period, begin, end time.Duration) bool {
+func (p *Profile) overlaps(period *Period, begin, end time.Duration) bool {
 	shift := begin / p.Cycle * p.Cycle
 	for _, offset := range []time.Duration{shift, shift + p.Cycle} {
 		if period.Begin+offset < end && begin < period.End+offset {
@@ -51,9 +51,9 @@
 	return begin == end && period.Begin <= begin-shift && begin-shift < period.End
 }
 
-// Starts gives the moments, from begin to one cycle later, at which another demand sets in: begin first, then
+// ChangesFrom gives the moments, from begin to one cycle later, at which another demand sets in: begin first, then
 // the beginnings of periods in their order.
-func (p *Profile) Starts(begin time.Duration) []time.Duration {
+func (p *Profile) ChangesFrom(begin time.Duration) []time.Duration {
 	starts := []time.Duration{begin}
 	if p.Cycle <= 0 {
 		return starts
--- a/internal/migration/room/resource.go
+++ b/internal/migration/room/resource.go
@@ -9,8 +9,8 @@
 const (
 	Slots       Resource = iota // requests at once
 	Memory                      // tokens that running requests hold
-	Reading                     // prompt tokens a second
-	Writing                     // generated tokens a second
+	Prefill                     // prompt tokens a second
+	Decode                      // generated tokens a second
 	Requests                    // requests a second
 	Connections                 // open connections
 	ResourceCount
@@ -28,24 +28,24 @@
 // Amount is an amount of every resource.
 type Amount [ResourceCount]float64
 
-// Plus is the sum of two amounts.
-func (a Amount) Plus(b Amount) Amount {
+// Add is the sum of two amounts.
+func (a Amount) Add(b Amount) Amount {
 	for resource := range a {
 		a[resource] += b[resource]
 	}
 	return a
 }
 
-// Minus takes an amount away; nothing falls below 0.
-func (a Amount) Minus(b Amount) Amount {
+// Sub takes an amount away; nothing falls below 0.
+func (a Amount) Sub(b Amount) Amount {
 	for resource := range a {
 		a[resource] = max(a[resource]-b[resource], 0)
 	}
 	return a
 }
 
-// Times scales an amount.
-func (a Amount) Times(factor float64) Amount {
+// Scale scales an amount.
+func (a Amount) Scale(factor float64) Amount {
 	for resource := range a {
 		a[resource] *= factor
 	}
--- a/internal/migration/room/room_test.go
+++ b/internal/migration/room/room_test.go
@@ -15,7 +15,7 @@
 }
 
 func load(region string, slots float64, homes ...string) Load {
-	return Load{Region: region, Group: service, Homes: homes, Need: Amount{Slots: slots}}
+	return Load{Region: region, Group: service, HomeRegions: homes, Required: Amount{Slots: slots}}
 }
 
 func TestCheck(t *testing.T) {
@@ -24,24 +24,24 @@
 		server("c1", "c", "east", 10),
 	}
 	cases := map[string]struct {
-		bound Bound
+		bound Headroom
 		loads []Load
 		want  *Shortage
 	}{
-		"fits":                        {Bound{}, []Load{load("west", 30), load("east", 10)}, nil},
-		"spills":                      {Bound{}, []Load{load("west", 20), load("east", 20)}, nil},
-		"the whole is too much":       {Bound{}, []Load{load("west", 30), load("east", 20)}, &Shortage{Region: "east", Need: 20, Lacking: 10, Part: 0.5}},
-		"homes forbid spilling":       {Bound{}, []Load{load("west", 10), load("east", 20, "east")}, &Shortage{Region: "east", Need: 20, Lacking: 10, Part: 0.5}},
-		"homes come before the free":  {Bound{}, []Load{load("west", 30), load("east", 10, "west")}, nil},
-		"margin":                      {Bound{Margin: 0.5}, []Load{load("east", 10, "east")}, &Shortage{Region: "east", Need: 15, Lacking: 5, Part: 1.0 / 3}},
-		"loss of a host":              {Bound{Hosts: 1}, []Load{load("west", 25, "west")}, &Shortage{Region: "west", Need: 25, Lacking: 5, Part: 0.2, Lost: []string{"a1"}}},
-		"loss of two hosts":           {Bound{Hosts: 2}, []Load{load("west", 20, "west")}, &Shortage{Region: "west", Need: 20, Lacking: 10, Part: 0.5, Lost: []string{"a1", "a2"}}},
-		"loss of a zone":              {Bound{Zones: 1}, []Load{load("west", 15, "west")}, &Shortage{Region: "west", Need: 15, Lacking: 5, Part: 1.0 / 3, Lost: []string{"a"}}},
-		"loss of a region":            {Bound{Regions: 1}, []Load{load("east", 15)}, &Shortage{Region: "east", Need: 15, Lacking: 5, Part: 1.0 / 3, Lost: []string{"west"}}},
-		"a loss that leaves enough":   {Bound{Hosts: 1, Zones: 1}, []Load{load("west", 20)}, nil},
-		"no home left":                {Bound{Zones: 1}, []Load{load("east", 1, "east")}, &Shortage{Region: "east", Need: 1, Lacking: 1, Part: 1, Lost: []string{"c"}}},
-		"other groups are passed by":  {Bound{}, []Load{{Region: "west", Group: Group{Kind: Edge}, Need: Amount{Slots: 99}}}, nil},
-		"no demand, no server needed": {Bound{Regions: 2}, []Load{load("west", 0)}, nil},
+		"fits":                        {Headroom{}, []Load{load("west", 30), load("east", 10)}, nil},
+		"spills":                      {Headroom{}, []Load{load("west", 20), load("east", 20)}, nil},
+		"the whole is too much":       {Headroom{}, []Load{load("west", 30), load("east", 20)}, &Shortage{Region: "east", Required: 20, Missing: 10, Fraction: 0.5}},
+		"homes forbid spilling":       {Headroom{}, []Load{load("west", 10), load("east", 20, "east")}, &Shortage{Region: "east", Required: 20, Missing: 10, Fraction: 0.5}},
+		"homes come before the free":  {Headroom{}, []Load{load("west", 30), load("east", 10, "west")}, nil},
+		"margin":                      {Headroom{Margin: 0.5}, []Load{load("east", 10, "east")}, &Shortage{Region: "east", Required: 15, Missing: 5, Fraction: 1.0 / 3}},
+		"loss of a host":              {Headroom{Hosts: 1}, []Load{load("west", 25, "west")}, &Shortage{Region: "west", Required: 25, Missing: 5, Fraction: 0.2, Lost: []string{"a1"}}},
+		"loss of two hosts":           {Headroom{Hosts: 2}, []Load{load("west", 20, "west")}, &Shortage{Region: "west", Required: 20, Missing: 10, Fraction: 0.5, Lost: []string{"a1", "a2"}}},
+		"loss of a zone":              {Headroom{Zones: 1}, []Load{load("west", 15, "west")}, &Shortage{Region: "west", Required: 15, Missing: 5, Fraction: 1.0 / 3, Lost: []string{"a"}}},
+		"loss of a region":            {Headroom{Regions: 1}, []Load{load("east", 15)}, &Shortage{Region: "east", Required: 15, Missing: 5, Fraction: 1.0 / 3, Lost: []string{"west"}}},
+		"a loss that leaves enough":   {Headroom{Hosts: 1, Zones: 1}, []Load{load("west", 20)}, nil},
+		"no home left":                {Headroom{Zones: 1}, []Load{load("east", 1, "east")}, &Shortage{Region: "east", Required: 1, Missing: 1, Fraction: 1, Lost: []string{"c"}}},
+		"other groups are passed by":  {Headroom{}, []Load{{Region: "west", Group: Group{Kind: Edge}, Required: Amount{Slots: 99}}}, nil},
+		"no demand, no server needed": {Headroom{Regions: 2}, []Load{load("west", 0)}, nil},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -53,9 +53,9 @@
 			require.NotNil(t, got)
 			require.Equal(t, one.want.Region, got.Region)
 			require.Equal(t, one.want.Lost, got.Lost)
-			require.InDelta(t, one.want.Need, got.Need, 1e-6)
-			require.InDelta(t, one.want.Lacking, got.Lacking, 1e-6)
-			require.InDelta(t, one.want.Part, got.Part, 1e-6)
+			require.InDelta(t, one.want.Required, got.Required, 1e-6)
+			require.InDelta(t, one.want.Missing, got.Missing, 1e-6)
+			require.InDelta(t, one.want.Fraction, got.Fraction, 1e-6)
 		})
 	}
 }
@@ -65,12 +65,12 @@
 		{ID: "fast", Kind: Server, Region: "west", Service: "lm", Capacity: Amount{Slots: 10, Memory: 100}},
 		{ID: "large", Kind: Server, Region: "east", Service: "lm", Capacity: Amount{Slots: 10, Memory: 1000}},
 	}
-	heavy := Load{Region: "west", Group: service, Need: Amount{Slots: 12, Memory: 600}}
-	require.Nil(t, Bound{}.Check(service, nodes, []Load{heavy}))
-	heavy.Homes = []string{"west"}
-	got := Bound{}.Check(service, nodes, []Load{heavy})
+	heavy := Load{Region: "west", Group: service, Required: Amount{Slots: 12, Memory: 600}}
+	require.Nil(t, Headroom{}.Check(service, nodes, []Load{heavy}))
+	heavy.HomeRegions = []string{"west"}
+	got := Headroom{}.Check(service, nodes, []Load{heavy})
 	require.Equal(t, Memory, got.Resource)
-	require.InDelta(t, 500, got.Lacking, 1e-6)
+	require.InDelta(t, 500, got.Missing, 1e-6)
 	require.Contains(t, got.String(), "lm in west lacks 500 of 600 memory")
 }
 
@@ -81,9 +81,9 @@
 		one.Model = model
 		return one
 	}
-	require.Nil(t, Bound{}.Check(service, nodes, []Load{of("m", 15), of("n", 15)}))
-	require.Equal(t, "m", Bound{}.Check(service, nodes, []Load{of("m", 21)}).Model)
-	require.Nil(t, Bound{}.Check(service, nodes, []Load{of("", 30)}))
+	require.Nil(t, Headroom{}.Check(service, nodes, []Load{of("m", 15), of("n", 15)}))
+	require.Equal(t, "m", Headroom{}.Check(service, nodes, []Load{of("m", 21)}).Model)
+	require.Nil(t, Headroom{}.Check(service, nodes, []Load{of("", 30)}))
 }
 
 // What is found to fit must be servable: the total demand of any set of regions' pinned loads fits into them.
@@ -104,7 +104,7 @@
 			homes := rapid.SliceOfNDistinct(rapid.SampledFrom(regions), 0, 3, rapid.ID[string]).Draw(t, "homes")
 			loads = append(loads, load(region, float64(rapid.IntRange(1, 12).Draw(t, "need")), homes...))
 		}
-		fits := Bound{}.Check(service, nodes, loads) == nil
+		fits := Headroom{}.Check(service, nodes, loads) == nil
 		for set := range 1 << len(regions) {
 			within := func(region string) bool {
 				for index, name := range regions {
@@ -121,12 +121,12 @@
 				}
 			}
 			for _, one := range loads {
-				inside := len(one.Homes) > 0 || set == 1<<len(regions)-1
-				for _, home := range one.Homes {
+				inside := len(one.HomeRegions) > 0 || set == 1<<len(regions)-1
+				for _, home := range one.HomeRegions {
 					inside = inside && within(home)
 				}
 				if inside {
-					need += one.Need[Slots]
+					need += one.Required[Slots]
 				}
 			}
 			if need > have+1e-6 {
@@ -143,18 +143,18 @@
 		{ID: "3", Kind: Server, Region: "east", Service: "lm", Capacity: Amount{Memory: 100}},
 	}
 	loads := []Load{
-		{Region: "west", Group: service, Need: Amount{Reading: 50}, Saved: 40},
-		{Region: "east", Group: service, Need: Amount{Reading: 50}, Saved: 40},
-		{Region: "west", Group: service, Homes: []string{"east"}, Need: Amount{Reading: 50}, Saved: 40},
+		{Region: "west", Group: service, Required: Amount{Prefill: 50}, CachedPrefill: 40},
+		{Region: "east", Group: service, Required: Amount{Prefill: 50}, CachedPrefill: 40},
+		{Region: "west", Group: service, HomeRegions: []string{"east"}, Required: Amount{Prefill: 50}, CachedPrefill: 40},
 	}
-	changed := Reread(loads, nodes, nodes[1:2])
-	require.InDelta(t, 60, changed[0].Need[Reading], 1e-9)
-	require.InDelta(t, 50, changed[1].Need[Reading], 1e-9)
-	require.InDelta(t, 50, changed[2].Need[Reading], 1e-9)
-	require.InDelta(t, 50, loads[0].Need[Reading], 1e-9, "the loads are not written to")
-	changed = Reread(loads, nodes, nodes[2:])
-	require.InDelta(t, 90, changed[1].Need[Reading], 1e-9)
-	require.InDelta(t, 90, changed[2].Need[Reading], 1e-9)
+	changed := AddLostCachePrefill(loads, nodes, nodes[1:2])
+	require.InDelta(t, 60, changed[0].Required[Prefill], 1e-9)
+	require.InDelta(t, 50, changed[1].Required[Prefill], 1e-9)
+	require.InDelta(t, 50, changed[2].Required[Prefill], 1e-9)
+	require.InDelta(t, 50, loads[0].Required[Prefill], 1e-9, "the loads are not written to")
+	changed = AddLostCachePrefill(loads, nodes, nodes[2:])
+	require.InDelta(t, 90, changed[1].Required[Prefill], 1e-9)
+	require.InDelta(t, 90, changed[2].Required[Prefill], 1e-9)
 }
 
 func TestProfile(t *testing.T) {
@@ -177,11 +177,11 @@
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, one.want, profile.During(one.begin, one.end))
+			require.Equal(t, one.want, profile.PeriodsDuring(one.begin, one.end))
 		})
 	}
-	require.Equal(t, []time.Duration{9 * time.Hour, 20 * time.Hour, 24 * time.Hour, 32 * time.Hour}, profile.Starts(9*time.Hour))
+	require.Equal(t, []time.Duration{9 * time.Hour, 20 * time.Hour, 24 * time.Hour, 32 * time.Hour}, profile.ChangesFrom(9*time.Hour))
 	constant := Constant(nil)
-	require.Equal(t, []int{0}, constant.During(time.Hour, 30*time.Hour))
-	require.Equal(t, []time.Duration{time.Hour}, constant.Starts(time.Hour))
+	require.Equal(t, []int{0}, constant.PeriodsDuring(time.Hour, 30*time.Hour))
+	require.Equal(t, []time.Duration{time.Hour}, constant.ChangesFrom(time.Hour))
 }
--- a/internal/migration/simulate/case_test.go
+++ b/internal/migration/simulate/case_test.go
@@ -32,7 +32,7 @@
 // drawCase draws a deployment, its clients and what is to be replaced.
 func drawCase(random *rand.Rand) (plan.Input, []*client) {
 	input := plan.Input{
-		Bound: room.Bound{Margin: 0.1, Hosts: 1},
+		Bound: room.Headroom{Margin: 0.1, Hosts: 1},
 		Core:  plan.Core{Hosts: 1, Zones: random.IntN(2)},
 		Share: 0.5,
 	}
@@ -67,8 +67,8 @@
 func measuredPeaks(clients []*client) []room.Load {
 	loads := offeredLoads(clients, 0, 1)
 	for index := range loads {
-		mean := loads[index].Need[room.Slots]
-		loads[index].Need[room.Slots] = mean + 2.5*math.Sqrt(mean)
+		mean := loads[index].Required[room.Slots]
+		loads[index].Required[room.Slots] = mean + 2.5*math.Sqrt(mean)
 	}
 	return loads
 }
--- a/internal/migration/simulate/checker_test.go
+++ b/internal/migration/simulate/checker_test.go
@@ -172,11 +172,11 @@
 	for _, from := range clients {
 		need := needOf(from)
 		edges[from.region] += need
-		loads = append(loads, room.Load{Region: from.region, Group: serving, Homes: from.homes, Need: room.Amount{room.Slots: need}})
+		loads = append(loads, room.Load{Region: from.region, Group: serving, HomeRegions: from.homes, Required: room.Amount{room.Slots: need}})
 	}
 	for region, need := range edges {
 		loads = append(loads, room.Load{
-			Region: region, Group: room.Group{Kind: room.Edge}, Homes: []string{region}, Need: room.Amount{room.Slots: need},
+			Region: region, Group: room.Group{Kind: room.Edge}, HomeRegions: []string{region}, Required: room.Amount{room.Slots: need},
 		})
 	}
 	slices.SortFunc(loads, func(a, b room.Load) int { return compareLoads(&a, &b) })
@@ -184,7 +184,7 @@
 }
 
 func compareLoads(a, b *room.Load) int {
-	return cmp.Or(cmp.Compare(a.Group.Kind, b.Group.Kind), cmp.Compare(a.Region, b.Region), slices.Compare(a.Homes, b.Homes))
+	return cmp.Or(cmp.Compare(a.Group.Kind, b.Group.Kind), cmp.Compare(a.Region, b.Region), slices.Compare(a.HomeRegions, b.HomeRegions))
 }
 
 // check looks at the world after a step.
@@ -206,7 +206,7 @@
 		c.shortFor[group] = 0
 		return
 	}
-	if (room.Bound{}).Check(group, c.serving(c.store.committed.Withheld), c.asked()) == nil {
+	if (room.Headroom{}).Check(group, c.serving(c.store.committed.Withheld), c.asked()) == nil {
 		c.shortFor[group] = 0
 		return
 	}
--- a/internal/migration/simulate/control_test.go
+++ b/internal/migration/simulate/control_test.go
@@ -272,11 +272,11 @@
 		}
 		most := float64(slices.Max(from.samples))
 		edges[from.region] += most
-		loads = append(loads, room.Load{Region: from.region, Group: serving, Homes: from.homes, Need: room.Amount{room.Slots: most}})
+		loads = append(loads, room.Load{Region: from.region, Group: serving, HomeRegions: from.homes, Required: room.Amount{room.Slots: most}})
 	}
 	for region, most := range edges {
 		loads = append(loads, room.Load{
-			Region: region, Group: room.Group{Kind: room.Edge}, Homes: []string{region}, Need: room.Amount{room.Slots: most},
+			Region: region, Group: room.Group{Kind: room.Edge}, HomeRegions: []string{region}, Required: room.Amount{room.Slots: most},
 		})
 	}
 	slices.SortFunc(loads, func(a, b room.Load) int { return compareLoads(&a, &b) })
--- a/internal/migration/simulate/flaw_test.go
+++ b/internal/migration/simulate/flaw_test.go
@@ -34,7 +34,7 @@
 		}
 	case flawLittleLoad:
 		for index := range seen.Loads {
-			seen.Loads[index].Need = seen.Loads[index].Need.Times(0.1)
+			seen.Loads[index].Required = seen.Loads[index].Required.Scale(0.1)
 		}
 	case flawOldLoad:
 		seen.Loads = w.input.Demand.Periods[0].Loads
