--- a/internal/migration/room/allocate.go
+++ b/internal/migration/room/allocate.go
@@ -6,39 +6,40 @@
 	"slices"
 )
 
-// rounding is the part of a load that may be left over by rounding.
+// roundingError is the fraction of a load that may remain unallocated by rounding alone.
 const roundingError = 1e-9
 
-// bin is the room of the nodes of one region that hold the same models.
+// bin is the free capacity of the nodes of one region that serve the same models.
 type bin struct {
 	region string
 	sample *Node
 	free   Amount
 }
 
-// fit lays the loads, scaled, over the nodes that are not lost (by index; nil: none is) and returns the worst
-// shortage, or nil if everything fits. Both are of one group.
-func allocate(nodes []Node, lost []bool, loads []Load, scale float64) *Shortage {
-	bins := groupIntoBins(nodes, lost)
+// allocate distributes the loads, times a factor, over the nodes that have not failed (by index; nil: none has) and
+// returns the worst shortage, or nil if everything fits. Nodes and loads are of one group.
+func allocate(nodes []Node, failed []bool, loads []Load, factor float64) *Shortage {
+	bins := groupIntoBins(nodes, failed)
 	var worst *Shortage
 	for _, load := range mostConstrainedFirst(loads, bins) {
-		left := 1.0
+		unserved := 1.0
 		for _, target := range eligibleBins(load, bins) {
-			part := min(left, target.largestFraction(load.Required.Scale(scale)))
-			target.free = target.free.Sub(load.Required.Scale(scale * part))
-			left -= part
+			fraction := min(unserved, target.largestFraction(load.Required.Scale(factor)))
+			target.free = target.free.Sub(load.Required.Scale(factor * fraction))
+			unserved -= fraction
 		}
-		if left > roundingError && (worst == nil || left > worst.Fraction) {
-			worst = newShortage(load, bins, left, scale)
+		if unserved > roundingError && (worst == nil || unserved > worst.Fraction) {
+			worst = newShortage(load, bins, unserved, factor)
 		}
 	}
 	return worst
 }
 
-func groupIntoBins(nodes []Node, lost []bool) []*bin {
+// groupIntoBins sums the capacity of the nodes by region and models, ordered by both.
+func groupIntoBins(nodes []Node, failed []bool) []*bin {
 	var bins []*bin
 	for index := range nodes {
-		if lost != nil && lost[index] {
+		if failed != nil && failed[index] {
 			continue
 		}
 		node := &nodes[index]
@@ -57,7 +58,8 @@
 	return bins
 }
 
-// mostConstrainedFirst orders the loads that need anything: those that fewest bins may serve come first.
+// mostConstrainedFirst orders the loads that require anything, those with the fewest eligible bins first. Loads with
+// equally many keep their order.
 func mostConstrainedFirst(loads []Load, bins []*bin) []*Load {
 	ordered := make([]*Load, 0, len(loads))
 	for index := range loads {
@@ -71,7 +73,7 @@
 	return ordered
 }
 
-// eligibleBins gives the bins that may serve a load, those of its own region first.
+// eligibleBins returns the bins that may serve a load, those of its own region first.
 func eligibleBins(load *Load, bins []*bin) []*bin {
 	var own, others []*bin
 	for _, candidate := range bins {
@@ -86,45 +88,46 @@
 	return append(own, others...)
 }
 
-// largestFraction is the largest part, up to the whole, of a need that fits into what is free.
-func (b *bin) largestFraction(need Amount) float64 {
-	part := 1.0
-	for resource, wanted := range need {
-		if wanted > 0 {
-			part = min(part, b.free[resource]/wanted)
+// largestFraction returns the largest fraction, up to 1, of a required amount that fits into the free capacity.
+func (b *bin) largestFraction(required Amount) float64 {
+	fraction := 1.0
+	for resource, amount := range required {
+		if amount > 0 {
+			fraction = min(fraction, b.free[resource]/amount)
 		}
 	}
-	return part
+	return fraction
 }
 
-// scarcest is the resource of which the least is free for a need.
-func scarcest(free, need Amount) Resource {
-	found, least := Slots, math.Inf(1)
-	for resource, wanted := range need {
-		if wanted <= 0 {
-			continue
-		}
-		if part := free[resource] / wanted; part < least {
-			found, least = Resource(resource), part
-		}
-	}
-	return found
-}
-
-func newShortage(load *Load, bins []*bin, left, scale float64) *Shortage {
+// newShortage describes a load of which a fraction could not be allocated.
+func newShortage(load *Load, bins []*bin, unserved, factor float64) *Shortage {
 	var free Amount
 	for _, candidate := range eligibleBins(load, bins) {
 		free = free.Add(candidate.free)
 	}
 	resource := scarcest(free, load.Required)
-	need := load.Required[resource] * scale
+	required := load.Required[resource] * factor
 	return &Shortage{
 		Region:   load.Region,
 		Group:    load.Group,
 		Model:    load.Model,
 		Resource: resource,
-		Required: need,
-		Missing:  need * left,
-		Fraction: left,
+		Required: required,
+		Missing:  required * unserved,
+		Fraction: unserved,
 	}
 }
+
+// scarcest returns the required resource of which the smallest fraction is free.
+func scarcest(free, required Amount) Resource {
+	found, least := Slots, math.Inf(1)
+	for resource, amount := range required {
+		if amount <= 0 {
+			continue
+		}
+		if fraction := free[resource] / amount; fraction < least {
+			found, least = Resource(resource), fraction
+		}
+	}
+	return found
+}
--- a/internal/migration/room/cacheloss.go
+++ b/internal/migration/room/cacheloss.go
@@ -1,26 +1,28 @@
 package room
 
-// AddLostCachePrefill returns the loads as they are after nodes have left: what those kept of prompts is read anew by the
-// others. A load's kept prompts are taken to lie with its nodes by their memory.
-func AddLostCachePrefill(loads []Load, nodes, leaving []Node) []Load {
+// AddLostCachePrefill returns the loads as they are after nodes have gone: the prompt prefixes cached there must be
+// prefilled anew by the others, which adds to the prefill rate of each load. A load's cached prefixes are assumed to be
+// spread over its nodes in proportion to their memory, in its own region if it has nodes there. The nodes include the
+// departing ones.
+func AddLostCachePrefill(loads []Load, nodes, departing []Node) []Load {
 	changed := make([]Load, 0, len(loads))
 	for _, load := range loads {
-		own := load.allowsRegion(load.Region) && memoryFor(&load, nodes, true) > 0
-		if all := memoryFor(&load, nodes, own); all > 0 {
-			part := min(memoryFor(&load, leaving, own)/all, 1)
-			load.Required[Prefill] += load.CachedPrefill * part
+		inOwnRegion := load.allowsRegion(load.Region) && memoryFor(&load, nodes, true) > 0
+		if total := memoryFor(&load, nodes, inOwnRegion); total > 0 {
+			lost := min(memoryFor(&load, departing, inOwnRegion)/total, 1)
+			load.Required[Prefill] += load.CachedPrefill * lost
 		}
 		changed = append(changed, load)
 	}
 	return changed
 }
 
-// memoryFor is the memory of the nodes that may serve a load, only those of its own region or all.
-func memoryFor(load *Load, nodes []Node, sameRegionOnly bool) float64 {
+// memoryFor sums the memory of the nodes that may serve a load, in its own region only or in all.
+func memoryFor(load *Load, nodes []Node, inOwnRegion bool) float64 {
 	total := 0.0
 	for index := range nodes {
 		node := &nodes[index]
-		if sameRegionOnly && node.Region != load.Region {
+		if inOwnRegion && node.Region != load.Region {
 			continue
 		}
 		if node.Group() == load.Group && node.servesModel(load.Model) && load.allowsRegion(node.Region) {
--- a/internal/migration/room/room_test.go
+++ b/internal/migration/room/headroom_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"testing"
-	"time"
 
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
@@ -24,9 +23,9 @@
 		server("c1", "c", "east", 10),
 	}
 	cases := map[string]struct {
-		bound Headroom
-		loads []Load
-		want  *Shortage
+		headroom Headroom
+		loads    []Load
+		want     *Shortage
 	}{
 		"fits":                        {Headroom{}, []Load{load("west", 30), load("east", 10)}, nil},
 		"spills":                      {Headroom{}, []Load{load("west", 20), load("east", 20)}, nil},
@@ -45,7 +44,7 @@
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := one.bound.Check(service, nodes, one.loads)
+			got := one.headroom.Check(service, nodes, one.loads)
 			if one.want == nil {
 				require.Nil(t, got)
 				return
@@ -86,8 +85,9 @@
 	require.Nil(t, Headroom{}.Check(service, nodes, []Load{of("", 30)}))
 }
 
-// What is found to fit must be servable: the total demand of any set of regions' pinned loads fits into them.
-func TestFitNeverPromisesTooMuch(t *testing.T) {
+// Loads that are found to fit must be servable: for any set of regions, the loads whose home regions all lie in the set
+// fit into its capacity.
+func TestAllocationNeverExceedsCapacity(t *testing.T) {
 	regions := []string{"east", "north", "west"}
 	rapid.Check(t, func(t *rapid.T) {
 		var nodes []Node
@@ -135,53 +135,3 @@
 		}
 	})
 }
-
-func TestReread(t *testing.T) {
-	nodes := []Node{
-		{ID: "1", Kind: Server, Region: "west", Service: "lm", Capacity: Amount{Memory: 300}},
-		{ID: "2", Kind: Server, Region: "west", Service: "lm", Capacity: Amount{Memory: 100}},
-		{ID: "3", Kind: Server, Region: "east", Service: "lm", Capacity: Amount{Memory: 100}},
-	}
-	loads := []Load{
-		{Region: "west", Group: service, Required: Amount{Prefill: 50}, CachedPrefill: 40},
-		{Region: "east", Group: service, Required: Amount{Prefill: 50}, CachedPrefill: 40},
-		{Region: "west", Group: service, HomeRegions: []string{"east"}, Required: Amount{Prefill: 50}, CachedPrefill: 40},
-	}
-	changed := AddLostCachePrefill(loads, nodes, nodes[1:2])
-	require.InDelta(t, 60, changed[0].Required[Prefill], 1e-9)
-	require.InDelta(t, 50, changed[1].Required[Prefill], 1e-9)
-	require.InDelta(t, 50, changed[2].Required[Prefill], 1e-9)
-	require.InDelta(t, 50, loads[0].Required[Prefill], 1e-9, "the loads are not written to")
-	changed = AddLostCachePrefill(loads, nodes, nodes[2:])
-	require.InDelta(t, 90, changed[1].Required[Prefill], 1e-9)
-	require.InDelta(t, 90, changed[2].Required[Prefill], 1e-9)
-}
-
-func TestProfile(t *testing.T) {
-	day := 24 * time.Hour
-	profile := Profile{Cycle: day, Periods: []Period{
-		{Begin: 0, End: 8 * time.Hour}, {Begin: 8 * time.Hour, End: 20 * time.Hour}, {Begin: 20 * time.Hour, End: day},
-	}}
-	cases := map[string]struct {
-		begin, end time.Duration
-		want       []int
-	}{
-		"within one":        {time.Hour, 2 * time.Hour, []int{0}},
-		"up to a border":    {time.Hour, 8 * time.Hour, []int{0}},
-		"over a border":     {7 * time.Hour, 9 * time.Hour, []int{0, 1}},
-		"over midnight":     {23 * time.Hour, 25 * time.Hour, []int{0, 2}},
-		"on the next day":   {day + 9*time.Hour, day + 10*time.Hour, []int{1}},
-		"a day and more":    {time.Hour, 2 * day, []int{0, 1, 2}},
-		"a moment":          {20 * time.Hour, 20 * time.Hour, []int{2}},
-		"a moment, day two": {day + 8*time.Hour, day + 8*time.Hour, []int{1}},
-	}
-	for name, one := range cases {
-		t.Run(name, func(t *testing.T) {
-			require.Equal(t, one.want, profile.PeriodsDuring(one.begin, one.end))
-		})
-	}
-	require.Equal(t, []time.Duration{9 * time.Hour, 20 * time.Hour, 24 * time.Hour, 32 * time.Hour}, profile.ChangesFrom(9*time.Hour))
-	constant := Constant(nil)
-	require.Equal(t, []int{0}, constant.PeriodsDuring(time.Hour, 30*time.Hour))
-	require.Equal(t, []time.Duration{time.Hour}, constant.ChangesFrom(time.Hour))
-}
--- a/internal/migration/room/profile.go
+++ b/internal/migration/room/profile.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Period is a span of the day with the demand that is expected in it, at its highest.
+// Period is a span of time with the peak demand that is expected in it.
 type Period struct {
 	Begin time.Duration // since midnight, or since the beginning of the profile
 	End   time.Duration
 	Loads []Load
 }
 
-// Profile is the demand over time: periods that follow each other without gaps from 0 to Cycle, over and over.
-// With a Cycle of 0 the first period holds at any time.
+// Profile is demand over time: periods that follow each other without gaps from 0 to Cycle, repeated every Cycle. With a
+// Cycle of 0 the first period applies at any time.
 type Profile struct {
 	Cycle   time.Duration
 	Periods []Period
 }
 
-// Constant is a profile with one demand at any time.
+// Constant returns a profile with the same demand at any time.
 func Constant(loads []Load) Profile { return Profile{Periods: []Period{{Loads: loads}}} }
 
-// PeriodsDuring gives the periods, by index, that the time from begin to end touches.
+// PeriodsDuring returns the indexes of the periods that overlap the time from begin to end. The end is exclusive, except
+// that begin == end asks for the period of that moment.
 func (p *Profile) PeriodsDuring(begin, end time.Duration) []int {
 	if p.Cycle <= 0 || end-begin >= p.Cycle {
 		return p.allPeriods()
 	}
-	var touched []int
+	var during []int
 	for index := range p.Periods {
 		if p.overlaps(&p.Periods[index], begin, end) {
-			touched = append(touched, index)
+			during = append(during, index)
 		}
 	}
-	return touched
+	return during
 }
 
 func (p *Profile) allPeriods() []int {
@@ -41,31 +42,33 @@
 	return all
 }
 
+// overlaps reports whether an occurrence of the period shares time with the span from begin to end, which is shorter than
+// a cycle: so that only the cycle in which it begins and the next one count.
 func (p *Profile) overlaps(period *Period, begin, end time.Duration) bool {
-	shift := begin / p.Cycle * p.Cycle
-	for _, offset := range []time.Duration{shift, shift + p.Cycle} {
-		if period.Begin+offset < end && begin < period.End+offset {
+	cycleStart := begin / p.Cycle * p.Cycle
+	for _, start := range []time.Duration{cycleStart, cycleStart + p.Cycle} {
+		if period.Begin+start < end && begin < period.End+start {
 			return true
 		}
 	}
-	return begin == end && period.Begin <= begin-shift && begin-shift < period.End
+	return begin == end && period.Begin <= begin-cycleStart && begin-cycleStart < period.End
 }
 
-// ChangesFrom gives the moments, from begin to one cycle later, at which another demand sets in: begin first, then
-// the beginnings of periods in their order.
+// ChangesFrom returns the moments, from begin to one cycle later, at which the demand changes: begin itself first, then
+// the beginnings of periods in order of time.
 func (p *Profile) ChangesFrom(begin time.Duration) []time.Duration {
-	starts := []time.Duration{begin}
+	changes := []time.Duration{begin}
 	if p.Cycle <= 0 {
-		return starts
+		return changes
 	}
-	shift := begin / p.Cycle * p.Cycle
-	for _, offset := range []time.Duration{shift, shift + p.Cycle} {
+	cycleStart := begin / p.Cycle * p.Cycle
+	for _, start := range []time.Duration{cycleStart, cycleStart + p.Cycle} {
 		for index := range p.Periods {
-			at := p.Periods[index].Begin + offset
+			at := p.Periods[index].Begin + start
 			if at > begin && at < begin+p.Cycle {
-				starts = append(starts, at)
+				changes = append(changes, at)
 			}
 		}
 	}
-	return starts
+	return changes
 }
--- a/internal/migration/room/resource.go
+++ b/internal/migration/room/resource.go
@@ -2,22 +2,24 @@
 
 import "strconv"
 
-// Resource is one thing that a node has a limited amount of.
+// Resource is something that a node has a limited amount of.
 type Resource uint8
 
-// The resources.
+// The resources, with their units.
 const (
-	Slots       Resource = iota // requests at once
-	Memory                      // tokens that running requests hold
-	Prefill                     // prompt tokens a second
-	Decode                      // generated tokens a second
-	Requests                    // requests a second
-	Connections                 // open connections
-	ResourceCount
+	Slots         Resource = iota // concurrent requests
+	Memory                        // tokens held in memory by requests in flight
+	Prefill                       // prompt tokens processed a second
+	Decode                        // tokens generated a second
+	Requests                      // requests a second
+	Connections                   // open connections
+	ResourceCount                 // number of resources
 )
 
+// resourceNames are the keys of the plan file, and part of the texts that operators read.
 var resourceNames = [ResourceCount]string{"slots", "memory", "reading", "writing", "requests", "connections"}
 
+// String returns the resource's key in the plan file.
 func (r Resource) String() string {
 	if r >= ResourceCount {
 		return "resource " + strconv.Itoa(int(r))
@@ -25,10 +27,10 @@
 	return resourceNames[r]
 }
 
-// Amount is an amount of every resource.
+// Amount is a vector with an amount of each resource, indexed by it.
 type Amount [ResourceCount]float64
 
-// Add is the sum of two amounts.
+// Add returns the sum of two amounts.
 func (a Amount) Add(b Amount) Amount {
 	for resource := range a {
 		a[resource] += b[resource]
@@ -36,7 +38,7 @@
 	return a
 }
 
-// Sub takes an amount away; nothing falls below 0.
+// Sub returns the difference of two amounts, not below 0 for any resource.
 func (a Amount) Sub(b Amount) Amount {
 	for resource := range a {
 		a[resource] = max(a[resource]-b[resource], 0)
@@ -44,7 +46,7 @@
 	return a
 }
 
-// Scale scales an amount.
+// Scale returns the amount times a factor.
 func (a Amount) Scale(factor float64) Amount {
 	for resource := range a {
 		a[resource] *= factor
