--- a/internal/migration/execute/admit.go
+++ b/internal/migration/execute/admit.go
@@ -88,7 +88,7 @@
 // mayExchange reports whether a voter can be exchanged now.
 func (r *round) mayExchange(index int, replacement *plan.Replacement) bool {
 	in := plan.Voter{ID: replacement.New.ID, Zone: replacement.New.Zone}
-	obstacle, _ := r.observation.Core.Obstacle(replacement.Old.ID, in, replacement.Beside)
+	obstacle, _ := r.observation.Core.CheckExchange(replacement.Old.ID, in, replacement.Surge)
 	if obstacle != 0 || !r.observation.CoreSettled {
 		r.hold(index, HoldCore, nil)
 		return false
--- a/internal/migration/execute/advance.go
+++ b/internal/migration/execute/advance.go
@@ -59,7 +59,7 @@
 // giveBack lets the withheld node of a task get work again.
 func (r *round) giveBack(index int) {
 	r.counters.GivenBack++
-	if r.next.Tasks[index].Phase == Emptying || r.replacement(index).Beside {
+	if r.next.Tasks[index].Phase == Emptying || r.replacement(index).Surge {
 		r.enter(index, Warming)
 		return
 	}
@@ -107,7 +107,7 @@
 	if !r.mayBegin() {
 		return
 	}
-	if r.replacement(index).Beside {
+	if r.replacement(index).Surge {
 		r.enter(index, Starting)
 		return
 	}
@@ -131,7 +131,7 @@
 
 func (r *round) starting(index int) {
 	replacement := r.replacement(index)
-	if r.aborting() && replacement.Beside {
+	if r.aborting() && replacement.Surge {
 		r.enter(index, Emptying)
 		return
 	}
@@ -145,7 +145,7 @@
 func (r *round) warming(index int) {
 	replacement := r.replacement(index)
 	status, _ := r.status(replacement.New.ID)
-	if !replacement.Beside {
+	if !replacement.Surge {
 		if status.Ready {
 			r.enter(index, Finished)
 			return
@@ -182,7 +182,7 @@
 		return true
 	}
 	next, _ := r.status(replacement.New.ID)
-	return replacement.Beside && !next.Ready
+	return replacement.Surge && !next.Ready
 }
 
 func (r *round) withholding(index int) {
@@ -247,7 +247,7 @@
 		r.holdIfLate(index, HoldNotStopped, replacement.Times.Stop)
 		return
 	}
-	if replacement.Beside {
+	if replacement.Surge {
 		r.enter(index, Finished)
 		return
 	}
@@ -314,7 +314,7 @@
 		if task.Phase == Emptying {
 			return old.Votes && !next.Votes
 		}
-		return !old.Votes && (next.Votes || !replacement.Beside)
+		return !old.Votes && (next.Votes || !replacement.Surge)
 	}
 	return r.observation.InForce >= task.Since
 }
--- a/internal/migration/execute/check.go
+++ b/internal/migration/execute/check.go
@@ -125,7 +125,7 @@
 	for index, task := range after.Tasks {
 		replacement := &made.Stages[after.Stage].Replacements[index]
 		steps := placeSteps
-		if replacement.Beside {
+		if replacement.Surge {
 			steps = besideSteps
 		}
 		from := before.Tasks[index].Phase
--- a/internal/migration/execute/execute_test.go
+++ b/internal/migration/execute/execute_test.go
@@ -23,7 +23,7 @@
 func twoStages() *plan.Plan {
 	times := plan.Times{Start: time.Second, Warm: time.Second, Drain: 5 * time.Second, Linger: time.Second, Stop: time.Second}
 	return &plan.Plan{Stages: []plan.Stage{
-		{Replacements: []plan.Replacement{{Old: server("old-1"), New: server("new-1"), Beside: true, Times: times}}},
+		{Replacements: []plan.Replacement{{Old: server("old-1"), New: server("new-1"), Surge: true, Times: times}}},
 		{Begin: 20 * time.Second, Replacements: []plan.Replacement{{Old: server("old-2"), New: server("new-2"), Times: times}}},
 	}}
 }
--- a/internal/migration/execute/state.go
+++ b/internal/migration/execute/state.go
@@ -115,7 +115,7 @@
 	switch task.Phase {
 	case Starting, Warming:
 		s.Start = append(s.Start, next)
-		if !replacement.Beside {
+		if !replacement.Surge {
 			s.retire(old)
 		}
 	case Withholding, Draining:
@@ -125,7 +125,7 @@
 	case Emptying:
 		s.Withheld = append(s.Withheld, next)
 	case Removing, Returned:
-		if replacement.Beside {
+		if replacement.Surge {
 			s.retire(next)
 		}
 	}
@@ -142,9 +142,9 @@
 	old, next := replacement.Old.ID, replacement.New.ID
 	retired := task.Phase == Withholding || task.Phase == Draining || task.Phase == Stopping || task.Phase == Finished
 	switch {
-	case replacement.Beside && retired:
+	case replacement.Surge && retired:
 		return Swap{Out: old, In: next}
-	case replacement.Beside:
+	case replacement.Surge:
 		return Swap{Out: next, In: old}
 	case task.Phase == Waiting || task.Phase == Returned:
 		return Swap{In: old}
--- a/internal/migration/plan/class.go
+++ b/internal/migration/plan/class.go
@@ -13,12 +13,12 @@
 
 func (c *class) sample() *Replacement { return &c.members[0] }
 
-// classesOf sorts the replacements into classes, in the order of the input.
-func classesOf(replacements []Replacement) []class {
+// classify sorts the replacements into classes, in the order of the input.
+func classify(replacements []Replacement) []class {
 	var classes []class
 	for _, replacement := range replacements {
 		found := slices.IndexFunc(classes, func(candidate class) bool {
-			return sameClass(candidate.sample(), &replacement)
+			return equivalent(candidate.sample(), &replacement)
 		})
 		if found < 0 {
 			classes = append(classes, class{})
@@ -29,11 +29,11 @@
 	return classes
 }
 
-func sameClass(a, b *Replacement) bool {
-	return a.Beside == b.Beside && a.Times == b.Times && sameNode(&a.Old, &b.Old) && sameNode(&a.New, &b.New)
+func equivalent(a, b *Replacement) bool {
+	return a.Surge == b.Surge && a.Times == b.Times && equivalentNodes(&a.Old, &b.Old) && equivalentNodes(&a.New, &b.New)
 }
 
-func sameNode(a, b *room.Node) bool {
+func equivalentNodes(a, b *room.Node) bool {
 	return a.Group() == b.Group() && a.Zone == b.Zone && a.Region == b.Region && a.Capacity == b.Capacity &&
 		slices.Equal(a.Models, b.Models)
 }
@@ -61,7 +61,7 @@
 }
 
 // only keeps the counts of some classes.
-func (c counts) only(classes []int) counts {
+func (c counts) project(classes []int) counts {
 	kept := make(counts, 0, len(classes))
 	for _, index := range classes {
 		kept = append(kept, c[index])
@@ -120,22 +120,22 @@
 type phase uint8
 
 const (
-	before  phase = iota // no stage is under way
-	without              // what has no place beside is gone, the rest is as before
-	swapped              // besides, the other replacements have taken over
-	after                // all replacements have
+	beforeStage    phase = iota // no stage is under way
+	inPlaceRemoved              // what has no place beside is gone, the rest is as before
+	surgeTakenOver              // besides, the other replacements have taken over
+	afterStage                  // all replacements have
 )
 
 // fleet gives the nodes of a group that get new work in a phase of a stage.
-func (s *searcher) fleet(view *groupView, done, batch counts, at phase) []room.Node {
+func (s *searcher) servingNodes(view *groupView, done, batch counts, at phase) []room.Node {
 	nodes := slices.Clone(view.fixed)
 	for _, index := range view.classes {
 		for position, member := range s.classes[index].members {
 			inStage := position >= int(done[index]) && position < int(done[index]+batch[index])
 			switch {
-			case position < int(done[index]), inStage && at == after, inStage && at == swapped && member.Beside:
+			case position < int(done[index]), inStage && at == afterStage, inStage && at == surgeTakenOver && member.Surge:
 				nodes = append(nodes, member.New)
-			case inStage && !member.Beside && at != before:
+			case inStage && !member.Surge && at != beforeStage:
 			default:
 				nodes = append(nodes, member.Old)
 			}
@@ -145,12 +145,12 @@
 }
 
 // leaving gives the nodes of a group that have left in a phase of a stage.
-func (s *searcher) leaving(view *groupView, done, batch counts, at phase) []room.Node {
+func (s *searcher) departedNodes(view *groupView, done, batch counts, at phase) []room.Node {
 	var nodes []room.Node
 	for _, index := range view.classes {
 		members := s.classes[index].members[done[index] : done[index]+batch[index]]
 		for _, member := range members {
-			if !member.Beside || at != without {
+			if !member.Surge || at != inPlaceRemoved {
 				nodes = append(nodes, member.Old)
 			}
 		}
--- a/internal/migration/plan/exhaustive_test.go
+++ b/internal/migration/plan/exhaustive_test.go
@@ -71,10 +71,10 @@
 	input := e.input
 	present := e.nodesIf(func(i int) (bool, bool) { return !done[i], done[i] })
 	without := e.nodesIf(func(i int) (bool, bool) {
-		return !done[i] && (!stage[i] || input.Replacements[i].Beside), done[i]
+		return !done[i] && (!stage[i] || input.Replacements[i].Surge), done[i]
 	})
 	swapped := e.nodesIf(func(i int) (bool, bool) {
-		beside := input.Replacements[i].Beside
+		beside := input.Replacements[i].Surge
 		return !done[i] && !stage[i], done[i] || stage[i] && beside
 	})
 	final := e.nodesIf(func(i int) (bool, bool) { return !done[i] && !stage[i], done[i] || stage[i] })
@@ -86,7 +86,7 @@
 	voters := slices.Clone(input.Core.Voters)
 	for i, one := range input.Replacements {
 		if done[i] && one.Old.Kind == room.Core {
-			voters = Exchanged(voters, one.Old.ID, &Voter{ID: one.New.ID, Zone: one.New.Zone})
+			voters = ExchangeVoter(voters, one.Old.ID, &Voter{ID: one.New.ID, Zone: one.New.Zone})
 		}
 		if !stage[i] {
 			continue
@@ -108,9 +108,9 @@
 				size++
 			}
 		}
-		share := input.Share
+		share := input.BatchFraction
 		if share == 0 {
-			share = DefaultShare
+			share = DefaultBatchFraction
 		}
 		if count > 1 && float64(count) > share*float64(size) {
 			return 0, false
@@ -120,9 +120,9 @@
 		if !stage[i] || one.Old.Kind != room.Core {
 			continue
 		}
-		next := Exchanged(voters, one.Old.ID, nil)
+		next := ExchangeVoter(voters, one.Old.ID, nil)
 		spared := 0
-		if one.Beside {
+		if one.Surge {
 			next = append(next, Voter{ID: one.New.ID, Zone: one.New.Zone})
 			spared = survivors(voters, input.Core)
 		}
@@ -130,15 +130,15 @@
 			return 0, false
 		}
 	}
-	for place, free := range input.Places {
+	for place, free := range input.SurgeCapacity {
 		used := 0
 		for i, one := range input.Replacements {
-			if done[i] || stage[i] && one.Beside {
-				if (Place{one.New.Zone, one.New.Kind}) == place {
+			if done[i] || stage[i] && one.Surge {
+				if (SurgePool{one.New.Zone, one.New.Kind}) == place {
 					used++
 				}
 			}
-			if done[i] && (Place{one.Old.Zone, one.Old.Kind}) == place {
+			if done[i] && (SurgePool{one.Old.Zone, one.Old.Kind}) == place {
 				used--
 			}
 		}
@@ -159,9 +159,9 @@
 	for period := range input.Demand.Periods {
 		loads := input.Demand.Periods[period].Loads
 		for _, group := range e.groups() {
-			today := input.Bound.Check(group, input.Nodes, loads)
-			then := input.Bound.Check(group, final, loads)
-			if then != nil && (today == nil || then.Fraction > today.Fraction+tolerance) {
+			today := input.Headroom.Check(group, input.Nodes, loads)
+			then := input.Headroom.Check(group, final, loads)
+			if then != nil && (today == nil || then.Fraction > today.Fraction+roundingTolerance) {
 				return 0, false
 			}
 		}
@@ -212,13 +212,13 @@
 					continue
 				}
 				touched[one.Old.Group()] = true
-				if !one.Beside || number > 0 {
+				if !one.Surge || number > 0 {
 					gone = append(gone, one.Old)
 				}
 			}
 			loads := room.AddLostCachePrefill(e.input.Demand.Periods[period].Loads, present, gone)
 			for group := range touched {
-				if group.Kind != room.Core && e.input.Bound.Check(group, nodes, loads) != nil {
+				if group.Kind != room.Core && e.input.Headroom.Check(group, nodes, loads) != nil {
 					return false
 				}
 			}
--- a/internal/migration/plan/greedy.go
+++ b/internal/migration/plan/greedy.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// greedySteps bounds the states that a greedy order may look at; going back counts.
-const greedySteps = 2_000
+// maxGreedySteps bounds the states that a greedy order may look at; going back counts.
+const maxGreedySteps = 2_000
 
 // greedy makes one order for each longest duration that a stage may have at first, and returns the shortest.
-func (s *searcher) greedy() (last *step, complete bool) {
-	farthest := &step{done: make(counts, len(s.all)), end: s.input.Begin}
+func (s *searcher) searchGreedily() (last *step, complete bool) {
+	farthest := &step{done: make(counts, len(s.goal)), end: s.input.Begin}
 	var best *step
 	for _, limit := range s.durations() {
-		descent := &descent{searcher: s, limit: limit, dead: make(map[string]bool), farthest: farthest}
-		end := descent.from(&step{done: make(counts, len(s.all)), end: s.input.Begin})
+		descent := &greedySearch{searcher: s, limit: limit, deadEnds: make(map[string]bool), farthest: farthest}
+		end := descent.complete(&step{done: make(counts, len(s.goal)), end: s.input.Begin})
 		if end != nil && (best == nil || end.less(best)) {
 			best = end
 		}
@@ -37,49 +37,49 @@
 }
 
 // descent makes one order: it takes the stage that seems best and goes back where that leads nowhere.
-type descent struct {
+type greedySearch struct {
 	*searcher
 	limit    time.Duration // stages within it come first
-	dead     map[string]bool
+	deadEnds map[string]bool
 	steps    int
 	farthest *step
 }
 
 // from returns the last step of an order that goes on from a state; nil if none was found.
-func (d *descent) from(current *step) *step {
-	if slices.Equal(current.done, d.all) {
+func (d *greedySearch) complete(current *step) *step {
+	if slices.Equal(current.done, d.goal) {
 		return current
 	}
 	if current.done.total() > d.farthest.done.total() {
 		d.farthest = current
 	}
-	for _, alone := range d.singles(current) {
-		for _, next := range []*step{d.grown(current, alone), alone} {
+	for _, alone := range d.singleStages(current) {
+		for _, next := range []*step{d.enlarge(current, alone), alone} {
 			d.steps++
-			if d.steps > greedySteps {
+			if d.steps > maxGreedySteps {
 				return nil
 			}
-			if d.dead[string(next.done)] {
+			if d.deadEnds[string(next.done)] {
 				continue
 			}
-			if last := d.from(next); last != nil {
+			if last := d.complete(next); last != nil {
 				return last
 			}
 		}
 	}
-	d.dead[string(current.done)] = true
+	d.deadEnds[string(current.done)] = true
 	return nil
 }
 
 // singles gives the stages of one replacement that can follow: those within the limit first, the earlier ones
 // before the others, and of these the longest, beside which most finds time.
-func (d *descent) singles(from *step) []*step {
+func (d *greedySearch) singleStages(from *step) []*step {
 	var found []*step
-	for index := range d.all {
-		if from.done[index] == d.all[index] {
+	for index := range d.goal {
+		if from.done[index] == d.goal[index] {
 			continue
 		}
-		single := make(counts, len(d.all))
+		single := make(counts, len(d.goal))
 		single[index] = 1
 		if alone, _ := d.extend(from, single); alone != nil {
 			found = append(found, alone)
@@ -95,7 +95,7 @@
 	return found
 }
 
-func (d *descent) overLimit(one *step) int {
+func (d *greedySearch) overLimit(one *step) int {
 	if one.end-one.begin > d.limit {
 		return 1
 	}
@@ -103,11 +103,11 @@
 }
 
 // grown adds replacements to a stage as long as it begins and ends no later.
-func (d *descent) grown(from, stage *step) *step {
+func (d *greedySearch) enlarge(from, stage *step) *step {
 	for changed := true; changed; {
 		changed = false
-		for index := range d.all {
-			if next := d.withOneMore(from, stage, index); next != nil {
+		for index := range d.goal {
+			if next := d.enlargeBy(from, stage, index); next != nil {
 				stage, changed = next, true
 			}
 		}
@@ -115,13 +115,13 @@
 	return stage
 }
 
-func (d *descent) withOneMore(from, stage *step, index int) *step {
-	if from.done[index]+stage.batch[index] >= d.all[index] {
+func (d *greedySearch) enlargeBy(from, stage *step, index int) *step {
+	if from.done[index]+stage.batch[index] >= d.goal[index] {
 		return nil
 	}
 	batch := slices.Clone(stage.batch)
 	batch[index]++
-	if !d.withinShare(batch) {
+	if !d.withinPoolLimits(batch) {
 		return nil
 	}
 	next, _ := d.extend(from, batch)
--- a/internal/migration/plan/large_test.go
+++ b/internal/migration/plan/large_test.go
@@ -12,7 +12,7 @@
 
 // A large deployment is beyond trying all orders: the plan that is made is safe, and made in time.
 func TestLargeDeployment(t *testing.T) {
-	input := Input{Bound: room.Headroom{Margin: 0.2, Hosts: 1, Zones: 1}, Core: Core{Hosts: 1, Zones: 1}}
+	input := Input{Headroom: room.Headroom{Margin: 0.2, Hosts: 1, Zones: 1}, Core: Core{Hosts: 1, Zones: 1}}
 	lm := room.Group{Kind: room.Server, Service: "lm"}
 	add := func(kind room.Kind, service string, number int, slots float64, beside bool) {
 		zone := fmt.Sprintf("zone-%d", number%9)
@@ -23,7 +23,7 @@
 		next := old
 		next.ID += "-new"
 		input.Nodes = append(input.Nodes, old)
-		input.Replacements = append(input.Replacements, Replacement{Old: old, New: next, Beside: beside, Times: Times{
+		input.Replacements = append(input.Replacements, Replacement{Old: old, New: next, Surge: beside, Times: Times{
 			Start: time.Minute, Warm: time.Duration(number%4) * 10 * time.Second, Drain: 15 * time.Second, Stop: 5 * time.Second,
 		}})
 		if kind == room.Core {
--- a/internal/migration/plan/model.go
+++ b/internal/migration/plan/model.go
@@ -21,10 +21,10 @@
 // Replacement is one node that goes and the one that takes its place.
 type Replacement struct {
 	Old, New room.Node
-	// Beside tells that both can run at once: the old node serves until the new one is warm. Otherwise the new
+	// Surge tells that both can run at once: the old node serves until the new one is warm. Otherwise the new
 	// node needs the place of the old one, which must be gone first.
-	Beside bool
-	Times  Times
+	Surge bool
+	Times Times
 }
 
 // Voter is one control machine of the agreed view.
@@ -41,27 +41,27 @@
 	Hosts, Zones int
 }
 
-// Place is where a further node can be put.
-type Place struct {
+// Surge is where a further node can be put.
+type SurgePool struct {
 	Zone string
 	Kind room.Kind
 }
 
-// DefaultShare is the part of a service's nodes in a region that a stage replaces at most: nodes on new
+// DefaultBatchFraction is the part of a service's nodes in a region that a stage replaces at most: nodes on new
 // hardware have not proved themselves yet.
-const DefaultShare = 1.0 / 3
+const DefaultBatchFraction = 1.0 / 3
 
 // Input is what a plan is made from. It is not written to.
 type Input struct {
-	Nodes        []room.Node // that serve now, the retiring ones included
-	Replacements []Replacement
-	Demand       room.Profile
-	Bound        room.Headroom
-	Core         Core
-	Places       map[Place]int // nodes that can run beside the present ones; no entry: any number
-	Share        float64       // 0: DefaultShare; a stage may always replace one
-	Begin        time.Duration // on the time of the profile
-	Window       time.Duration // from Begin, in which all must be done; 0: any time
+	Nodes         []room.Node // that serve now, the retiring ones included
+	Replacements  []Replacement
+	Demand        room.Profile
+	Headroom      room.Headroom
+	Core          Core
+	SurgeCapacity map[SurgePool]int // nodes that can run beside the present ones; no entry: any number
+	BatchFraction float64           // 0: DefaultBatchFraction; a stage may always replace one
+	Begin         time.Duration     // on the time of the profile
+	Window        time.Duration     // from Begin, in which all must be done; 0: any time
 }
 
 // Plan is an order of stages.
@@ -75,6 +75,6 @@
 // Stage is a set of replacements that go on side by side.
 type Stage struct {
 	Begin        time.Duration // not before, on the time of the profile
-	Lasts        time.Duration // as expected
+	Duration     time.Duration // as expected
 	Replacements []Replacement
 }
--- a/internal/migration/plan/make.go
+++ b/internal/migration/plan/plan.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Make orders the replacements. The error is an *InputError or a *RefusalError.
+// Make orders the replacements. The error is an *InputError or a *InfeasibleError.
 func Make(input Input) (*Plan, error) {
-	if err := check(&input); err != nil {
+	if err := checkInput(&input); err != nil {
 		return nil, err
 	}
 	s := newSearcher(&input)
@@ -12,23 +12,23 @@
 	if complete {
 		return s.planOf(last), nil
 	}
-	refusal := s.refusal(last)
+	refusal := s.infeasibility(last)
 	s.addRemedies(refusal)
 	return nil, refusal
 }
 
 func (s *searcher) search() (last *step, complete bool) {
-	if s.isSmall() {
-		return s.shortest()
+	if s.exhaustiveIsAffordable() {
+		return s.searchExhaustively()
 	}
-	return s.greedy()
+	return s.searchGreedily()
 }
 
 // planOf lists the stages that led to a step.
 func (s *searcher) planOf(last *step) *Plan {
-	plan := &Plan{Begin: s.input.Begin, End: last.end, Shortest: s.isSmall()}
+	plan := &Plan{Begin: s.input.Begin, End: last.end, Shortest: s.exhaustiveIsAffordable()}
 	for current := last; current.parent != nil; current = current.parent {
-		stage := Stage{Begin: current.begin, Lasts: current.end - current.begin}
+		stage := Stage{Begin: current.begin, Duration: current.end - current.begin}
 		for index, count := range current.batch {
 			first := current.parent.done[index]
 			stage.Replacements = append(stage.Replacements, s.classes[index].members[first:first+count]...)
@@ -40,7 +40,7 @@
 }
 
 // check looks for contradictions in the input.
-func check(input *Input) error {
+func checkInput(input *Input) error {
 	present := make(map[string]bool)
 	for index := range input.Nodes {
 		id := input.Nodes[index].ID
@@ -74,7 +74,7 @@
 		return &InputError{Node: next.ID, Reason: "replaces two nodes"}
 	case old.Group() != next.Group():
 		return &InputError{Node: next.ID, Reason: "is of another kind or service than " + old.ID}
-	case !replacement.Beside && old.Zone != next.Zone:
+	case !replacement.Surge && old.Zone != next.Zone:
 		return &InputError{Node: next.ID, Reason: "is to take the place of a node in another zone"}
 	case replacement.Times.Total() <= 0:
 		return &InputError{Node: next.ID, Reason: "is to take no time"}
@@ -84,37 +84,37 @@
 }
 
 // refusal tells what stands against the stage after the farthest step.
-func (s *searcher) refusal(farthest *step) *RefusalError {
-	var best *RefusalError
-	for index := range s.all {
-		if farthest.done[index] == s.all[index] {
+func (s *searcher) infeasibility(farthest *step) *InfeasibleError {
+	var best *InfeasibleError
+	for index := range s.goal {
+		if farthest.done[index] == s.goal[index] {
 			continue
 		}
-		refusal := s.refusalOf(farthest, index)
-		if best == nil || refusal.milder(best) {
+		refusal := s.infeasibilityOf(farthest, index)
+		if best == nil || refusal.closerToFeasible(best) {
 			best = refusal
 		}
 	}
 	return best
 }
 
-// refusalOf tells what stands against replacing a node of a class. If nothing does, the search has only failed to
+// infeasibilityOf tells what stands against replacing a node of a class. If nothing does, the search has only failed to
 // find its way from there.
-func (s *searcher) refusalOf(farthest *step, index int) *RefusalError {
-	single := make(counts, len(s.all))
+func (s *searcher) infeasibilityOf(farthest *step, index int) *InfeasibleError {
+	single := make(counts, len(s.goal))
 	single[index] = 1
 	old := &s.classes[index].members[farthest.done[index]].Old
-	refusal := &RefusalError{Stage: farthest.stages + 1, Node: old.ID, Region: old.Region, Zone: old.Zone, Obstacle: NoOrder}
+	refusal := &InfeasibleError{Stage: farthest.stages + 1, Node: old.ID, Region: old.Region, Zone: old.Zone, Violated: ConstraintOrder}
 	if _, found := s.extend(farthest, single); found != nil {
-		refusal.Obstacle, refusal.Shortage, refusal.Lacking = found.obstacle, found.shortage, found.lacking
+		refusal.Violated, refusal.Shortage, refusal.Missing = found.constraint, found.shortage, found.missing
 	}
 	return refusal
 }
 
 // milder reports whether less is lacking than in another refusal, as far as that is known.
-func (e *RefusalError) milder(other *RefusalError) bool {
-	if e.Obstacle == NoOrder || other.Obstacle == NoOrder {
-		return e.Obstacle != NoOrder
+func (e *InfeasibleError) closerToFeasible(other *InfeasibleError) bool {
+	if e.Violated == ConstraintOrder || other.Violated == ConstraintOrder {
+		return e.Violated != ConstraintOrder
 	}
 	if e.Shortage != nil && other.Shortage != nil {
 		return e.Shortage.Fraction < other.Shortage.Fraction
--- a/internal/migration/plan/plan_test.go
+++ b/internal/migration/plan/plan_test.go
@@ -26,13 +26,13 @@
 	zones := rapid.SampledFrom([]string{"a", "b", "c"})
 	input := Input{
 		Core: Core{Voters: []Voter{{"kept-a", "a"}, {"kept-b", "b"}, {"kept-c", "c"}}},
-		Bound: room.Headroom{
+		Headroom: room.Headroom{
 			Margin: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "margin"),
 			Hosts:  rapid.IntRange(0, 1).Draw(t, "hosts"),
 			Zones:  rapid.IntRange(0, 1).Draw(t, "zones"),
 		},
-		Share: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "share"),
-		Begin: time.Duration(rapid.IntRange(0, 30).Draw(t, "begin")) * time.Second,
+		BatchFraction: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "share"),
+		Begin:         time.Duration(rapid.IntRange(0, 30).Draw(t, "begin")) * time.Second,
 	}
 	kinds := []struct {
 		kind    room.Kind
@@ -59,16 +59,16 @@
 		}
 		grown := slots + float64(rapid.IntRange(0, 3).Draw(t, "grown")/2) - float64(rapid.IntRange(0, 9).Draw(t, "weaker")/9)
 		input.Replacements = append(input.Replacements, Replacement{
-			Old: old, New: node(of.kind, of.service, fmt.Sprintf("new-%d", number), newZone, grown), Beside: beside,
+			Old: old, New: node(of.kind, of.service, fmt.Sprintf("new-%d", number), newZone, grown), Surge: beside,
 			Times: Times{Warm: time.Duration(rapid.IntRange(1, 3).Draw(t, "warm")) * 10 * time.Second, Drain: 5 * time.Second},
 		})
 	}
 	input.Core.Hosts = rapid.IntRange(0, 1).Draw(t, "core hosts")
 	input.Core.Zones = rapid.IntRange(0, 1).Draw(t, "core zones")
 	if rapid.Bool().Draw(t, "few places") {
-		input.Places = map[Place]int{}
+		input.SurgeCapacity = map[SurgePool]int{}
 		for _, zone := range []string{"a", "b", "c"} {
-			input.Places[Place{zone, room.Server}] = rapid.IntRange(0, 2).Draw(t, "places")
+			input.SurgeCapacity[SurgePool{zone, room.Server}] = rapid.IntRange(0, 2).Draw(t, "places")
 		}
 	}
 	input.Demand = drawDemand(t)
@@ -110,9 +110,9 @@
 		got, err := Make(input)
 		if !possible {
 			refused++
-			var refusal *RefusalError
+			var refusal *InfeasibleError
 			require.True(t, errors.As(err, &refusal), "%+v %v", got, err)
-			require.NotEmpty(t, refusal.Obstacle.String())
+			require.NotEmpty(t, refusal.Violated.String())
 			return
 		}
 		made++
@@ -144,7 +144,7 @@
 		}
 		end, possible := e.stageEnd(done, chosen, stage.Begin)
 		require.True(t, possible)
-		require.Equal(t, stage.Begin+stage.Lasts, end)
+		require.Equal(t, stage.Begin+stage.Duration, end)
 		now = end
 		for index := range done {
 			require.False(t, done[index] && chosen[index])
@@ -178,20 +178,20 @@
 	require.True(t, errors.As(Verify(input, made.Stages[1:]), &contradiction))
 	require.True(t, errors.As(Verify(input, append(made.Stages, made.Stages[0])), &contradiction))
 	require.True(t, errors.As(Verify(input, append([]Stage{{}}, made.Stages...)), &contradiction))
-	var refusal *RefusalError
+	var refusal *InfeasibleError
 	require.True(t, errors.As(Verify(input, []Stage{{Replacements: input.Replacements}}), &refusal))
-	require.Equal(t, TooMany, refusal.Obstacle)
+	require.Equal(t, ConstraintBatchSize, refusal.Violated)
 }
 
 func TestGreedyOrdersAreSafe(t *testing.T) {
 	stuck, equal, made := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		input := drawInput(t)
-		if check(&input) != nil {
+		if checkInput(&input) != nil {
 			return
 		}
 		s := newSearcher(&input)
-		last, complete := s.greedy()
+		last, complete := s.searchGreedily()
 		best, possible := exhaustive(&input)
 		if !complete {
 			if possible {
@@ -214,15 +214,15 @@
 // rodinne is the smaller site: 11 model servers in 3 zones, one core machine in each.
 func rodinne(beside bool) Input {
 	input := Input{
-		Bound: room.Headroom{Margin: 0.2, Hosts: 1},
-		Core:  Core{Hosts: 1, Zones: 1},
+		Headroom: room.Headroom{Margin: 0.2, Hosts: 1},
+		Core:     Core{Hosts: 1, Zones: 1},
 	}
 	for index := range 11 {
 		zone := []string{"a", "b", "c", "c", "a", "b", "c"}[index%7]
 		old := node(room.Server, "lm", fmt.Sprintf("old-%02d", index), zone, 64)
 		input.Nodes = append(input.Nodes, old)
 		input.Replacements = append(input.Replacements, Replacement{
-			Old: old, New: node(room.Server, "lm", fmt.Sprintf("new-%02d", index), zone, 64), Beside: beside,
+			Old: old, New: node(room.Server, "lm", fmt.Sprintf("new-%02d", index), zone, 64), Surge: beside,
 			Times: Times{Start: 10 * time.Second, Warm: 3 * time.Second, Drain: 15 * time.Second, Linger: time.Second, Stop: 5 * time.Second},
 		})
 	}
@@ -231,7 +231,7 @@
 		input.Nodes = append(input.Nodes, old)
 		input.Core.Voters = append(input.Core.Voters, Voter{ID: old.ID, Zone: zone})
 		input.Replacements = append(input.Replacements, Replacement{
-			Old: old, New: node(room.Core, "", "core-new-"+zone, zone, 0), Beside: true,
+			Old: old, New: node(room.Core, "", "core-new-"+zone, zone, 0), Surge: true,
 			Times: Times{Start: 10 * time.Second, Warm: 5 * time.Second, Stop: 8 * time.Second},
 		})
 	}
@@ -258,20 +258,20 @@
 	lm := room.Group{Kind: room.Server, Service: "lm"}
 	cases := map[string]struct {
 		change func(*Input)
-		check  func(*testing.T, *RefusalError)
+		check  func(*testing.T, *InfeasibleError)
 	}{
 		"a region with homes has no room": {
 			func(input *Input) {
 				for index := range input.Replacements {
-					input.Replacements[index].Beside = false
+					input.Replacements[index].Surge = false
 				}
 				input.Demand = room.Constant([]room.Load{{
 					Region: "east", Group: lm, HomeRegions: []string{"east"}, Required: room.Amount{room.Slots: 200},
 				}})
 				input.Replacements = input.Replacements[:11]
 			},
-			func(t *testing.T, refusal *RefusalError) {
-				require.Equal(t, NoRoom, refusal.Obstacle)
+			func(t *testing.T, refusal *InfeasibleError) {
+				require.Equal(t, ConstraintCapacity, refusal.Violated)
 				require.Equal(t, "east", refusal.Region)
 				require.Equal(t, room.Slots, refusal.Shortage.Resource)
 				require.InDelta(t, 8, refusal.Shortage.Missing, 1e-6) // one of 5 away, another one lost
@@ -281,13 +281,13 @@
 		"the stage that fails is numbered": {
 			func(input *Input) {
 				input.Replacements = input.Replacements[:3]
-				input.Replacements[2].Beside = false // the only one of east that is taken out first
-				input.Share = 1
+				input.Replacements[2].Surge = false // the only one of east that is taken out first
+				input.BatchFraction = 1
 				input.Demand = room.Constant([]room.Load{{
 					Region: "east", Group: lm, HomeRegions: []string{"east"}, Required: room.Amount{room.Slots: 250},
 				}})
 			},
-			func(t *testing.T, refusal *RefusalError) {
+			func(t *testing.T, refusal *InfeasibleError) {
 				require.Equal(t, 2, refusal.Stage)
 				require.Equal(t, "old-02", refusal.Node)
 			},
@@ -296,16 +296,16 @@
 			func(input *Input) {
 				input.Replacements = input.Replacements[11:]
 				for index := range input.Replacements {
-					input.Replacements[index].Beside = false
+					input.Replacements[index].Surge = false
 				}
 			},
-			func(t *testing.T, refusal *RefusalError) {
-				require.Equal(t, Voters, refusal.Obstacle)
-				require.Equal(t, 1, refusal.Lacking)
+			func(t *testing.T, refusal *InfeasibleError) {
+				require.Equal(t, ConstraintMajority, refusal.Violated)
+				require.Equal(t, 1, refusal.Missing)
 				require.Equal(t, []Spare{
-					{Count: 1, Kind: room.Core, Zone: "a", Place: true},
-					{Count: 1, Kind: room.Core, Zone: "b", Place: true},
-					{Count: 1, Kind: room.Core, Zone: "c", Place: true},
+					{Count: 1, Kind: room.Core, Zone: "a", Surge: true},
+					{Count: 1, Kind: room.Core, Zone: "b", Surge: true},
+					{Count: 1, Kind: room.Core, Zone: "c", Surge: true},
 				}, refusal.Spares)
 			},
 		},
@@ -317,19 +317,19 @@
 				next.ID = "plain-2"
 				input.Replacements = []Replacement{{Old: plain, New: next, Times: Times{Warm: time.Second}}}
 			},
-			func(t *testing.T, refusal *RefusalError) {
-				require.Equal(t, LastServer, refusal.Obstacle)
-				require.Equal(t, []Spare{{Count: 1, Kind: room.Server, Service: "plain", Zone: "a", Place: true}}, refusal.Spares)
+			func(t *testing.T, refusal *InfeasibleError) {
+				require.Equal(t, ConstraintLastServer, refusal.Violated)
+				require.Equal(t, []Spare{{Count: 1, Kind: room.Server, Service: "plain", Zone: "a", Surge: true}}, refusal.Spares)
 			},
 		},
 		"no place": {
 			func(input *Input) {
-				input.Places = map[Place]int{{"b", room.Server}: 0}
+				input.SurgeCapacity = map[SurgePool]int{{"b", room.Server}: 0}
 			},
-			func(t *testing.T, refusal *RefusalError) {
-				require.Equal(t, NoPlace, refusal.Obstacle)
+			func(t *testing.T, refusal *InfeasibleError) {
+				require.Equal(t, ConstraintSurge, refusal.Violated)
 				require.Equal(t, "b", refusal.Zone)
-				require.Equal(t, []Spare{{Count: 1, Kind: room.Server, Service: "lm", Zone: "b", Place: true}}, refusal.Spares)
+				require.Equal(t, []Spare{{Count: 1, Kind: room.Server, Service: "lm", Zone: "b", Surge: true}}, refusal.Spares)
 			},
 		},
 		"a later hour": {
@@ -338,7 +338,7 @@
 				busy := []room.Load{{Region: "east", Group: lm, Required: room.Amount{room.Slots: 640}}}
 				input.Replacements = input.Replacements[:11]
 				for index := range input.Replacements {
-					input.Replacements[index].Beside = false
+					input.Replacements[index].Surge = false
 				}
 				input.Demand = room.Profile{Cycle: 24 * time.Hour, Periods: []room.Period{
 					{Begin: 0, End: 6 * time.Hour, Loads: quiet},
@@ -348,10 +348,10 @@
 				input.Begin = 12 * time.Hour
 				input.Window = time.Hour
 			},
-			func(t *testing.T, refusal *RefusalError) {
-				require.Equal(t, NoRoom, refusal.Obstacle)
-				require.NotNil(t, refusal.Later)
-				require.Equal(t, 22*time.Hour, *refusal.Later)
+			func(t *testing.T, refusal *InfeasibleError) {
+				require.Equal(t, ConstraintCapacity, refusal.Violated)
+				require.NotNil(t, refusal.FeasibleBegin)
+				require.Equal(t, 22*time.Hour, *refusal.FeasibleBegin)
 			},
 		},
 	}
@@ -360,7 +360,7 @@
 			input := rodinne(true)
 			one.change(&input)
 			_, err := Make(input)
-			var refusal *RefusalError
+			var refusal *InfeasibleError
 			require.True(t, errors.As(err, &refusal), "%v", err)
 			one.check(t, refusal)
 			t.Log(refusal)
@@ -376,9 +376,9 @@
 		"is replaced twice":              func(input *Input) { input.Replacements[1].Old = input.Replacements[0].Old },
 		"replaces two nodes":             func(input *Input) { input.Replacements[1].New.ID = input.Replacements[0].New.ID },
 		"of another kind or service":     func(input *Input) { input.Replacements[0].New.Service = "plain" },
-		"place of a node in another":     func(input *Input) { input.Replacements[0].Beside, input.Replacements[0].New.Zone = false, "c" },
+		"place of a node in another":     func(input *Input) { input.Replacements[0].Surge, input.Replacements[0].New.Zone = false, "c" },
 		"to take no time":                func(input *Input) { input.Replacements[0].Times = Times{} },
-		"no contradiction, but no place": func(input *Input) { input.Places = map[Place]int{{"a", room.Server}: 0} },
+		"no contradiction, but no place": func(input *Input) { input.SurgeCapacity = map[SurgePool]int{{"a", room.Server}: 0} },
 	}
 	for reason, change := range cases {
 		t.Run(reason, func(t *testing.T) {
--- a/internal/migration/plan/spare.go
+++ b/internal/migration/plan/remedies.go
@@ -8,35 +8,35 @@
 	"fieldrelay/internal/migration/room"
 )
 
-// mostSpare is the largest number of spare nodes and places that a refusal proposes.
-const mostSpare = 4
+// maxSpares is the largest number of spare nodes and places that a refusal proposes.
+const maxSpares = 4
 
 // addRemedies looks for spare capacity that would do, one node or place after the other at what is lacking, and,
 // if there is a window, for a later hour.
-func (s *searcher) addRemedies(refusal *RefusalError) {
+func (s *searcher) addRemedies(refusal *InfeasibleError) {
 	if s.input.Window > 0 {
 		later := *s.input
 		later.Window = 0
 		if last, complete := newSearcher(&later).search(); complete {
 			begin := firstStage(last).begin
-			refusal.Later = &begin
+			refusal.FeasibleBegin = &begin
 		}
 	}
 	spares := []Spare{}
 	current, lacking := s, refusal
-	for number := range mostSpare {
+	for number := range maxSpares {
 		spare := current.spareFor(lacking)
 		if spare == nil {
 			return
 		}
 		spares = addSpare(spares, *spare)
 		current = newSearcher(current.withSpare(lacking, spare, spareID(number)))
-		last, complete := current.greedy()
+		last, complete := current.searchGreedily()
 		if complete {
 			refusal.Spares = spares
 			return
 		}
-		lacking = current.refusal(last)
+		lacking = current.infeasibility(last)
 	}
 }
 
@@ -62,30 +62,30 @@
 func spareID(number int) string { return fmt.Sprintf("(spare %d)", number+1) }
 
 // spareFor proposes one node or place where it is lacking; nil if capacity would not help.
-func (s *searcher) spareFor(refusal *RefusalError) *Spare {
-	replacement := s.replacing(refusal.Node)
+func (s *searcher) spareFor(refusal *InfeasibleError) *Spare {
+	replacement := s.replacementOf(refusal.Node)
 	old := &replacement.Old
-	switch refusal.Obstacle {
-	case NoRoom:
-		model := s.modelNode(refusal.Shortage, old)
+	switch refusal.Violated {
+	case ConstraintCapacity:
+		model := s.templateNode(refusal.Shortage, old)
 		return &Spare{Count: 1, Kind: model.Kind, Service: model.Service, Zone: model.Zone}
-	case NoPlace:
-		return &Spare{Count: 1, Kind: old.Kind, Service: old.Service, Zone: replacement.New.Zone, Place: true}
-	case Voters, Replicas, LastServer:
-		if !replacement.Beside {
-			return &Spare{Count: 1, Kind: old.Kind, Service: old.Service, Zone: old.Zone, Place: true}
+	case ConstraintSurge:
+		return &Spare{Count: 1, Kind: old.Kind, Service: old.Service, Zone: replacement.New.Zone, Surge: true}
+	case ConstraintMajority, ConstraintReplicas, ConstraintLastServer:
+		if !replacement.Surge {
+			return &Spare{Count: 1, Kind: old.Kind, Service: old.Service, Zone: old.Zone, Surge: true}
 		}
 	}
 	return nil
 }
 
-func (s *searcher) replacing(id string) *Replacement {
+func (s *searcher) replacementOf(id string) *Replacement {
 	found := slices.IndexFunc(s.input.Replacements, func(one Replacement) bool { return one.Old.ID == id })
 	return &s.input.Replacements[found]
 }
 
-// modelNode is the largest node in the region that is short, or the node that is to be replaced.
-func (s *searcher) modelNode(shortage *room.Shortage, old *room.Node) *room.Node {
+// templateNode is the largest node in the region that is short, or the node that is to be replaced.
+func (s *searcher) templateNode(shortage *room.Shortage, old *room.Node) *room.Node {
 	best := old
 	for index := range s.input.Nodes {
 		node := &s.input.Nodes[index]
@@ -100,24 +100,24 @@
 }
 
 // withSpare returns the input with a spare node or place.
-func (s *searcher) withSpare(refusal *RefusalError, spare *Spare, id string) *Input {
+func (s *searcher) withSpare(refusal *InfeasibleError, spare *Spare, id string) *Input {
 	input := *s.input
-	if !spare.Place {
-		node := *s.modelNode(refusal.Shortage, &s.replacing(refusal.Node).Old)
+	if !spare.Surge {
+		node := *s.templateNode(refusal.Shortage, &s.replacementOf(refusal.Node).Old)
 		node.ID = id
 		input.Nodes = append(slices.Clone(input.Nodes), node)
 		return &input
 	}
-	if place := (Place{Zone: spare.Zone, Kind: spare.Kind}); refusal.Obstacle == NoPlace {
-		input.Places = maps.Clone(input.Places)
-		input.Places[place]++
+	if place := (SurgePool{Zone: spare.Zone, Kind: spare.Kind}); refusal.Violated == ConstraintSurge {
+		input.SurgeCapacity = maps.Clone(input.SurgeCapacity)
+		input.SurgeCapacity[place]++
 		return &input
 	}
 	input.Replacements = slices.Clone(input.Replacements)
 	for index := range input.Replacements {
 		old := &input.Replacements[index].Old
 		if old.Zone == spare.Zone && old.Group() == (room.Group{Kind: spare.Kind, Service: spare.Service}) {
-			input.Replacements[index].Beside = true
+			input.Replacements[index].Surge = true
 		}
 	}
 	return &input
--- a/internal/migration/plan/search.go
+++ b/internal/migration/plan/search.go
@@ -8,51 +8,51 @@
 	"fieldrelay/internal/migration/room"
 )
 
-// exactPairs is the number of pairs of a state and a stage up to which all are tried.
-const exactPairs = 200_000
+// maxExhaustivePairs is the number of pairs of a state and a stage up to which all are tried.
+const maxExhaustivePairs = 200_000
 
 // searcher looks for an order of stages.
 type searcher struct {
-	input   *Input
-	classes []class
-	groups  []groupView
-	pools   []int  // of each class, an index among most
-	most    []int  // by pool, that a stage may replace
-	all     counts // everything is replaced
-	rooms   map[roomKey]*room.Shortage
-	zones   map[zoneKey]bool
-	stands  map[string]*obstruction
+	input           *Input
+	classes         []class
+	groups          []groupView
+	classPools      []int  // of each class, an index among most
+	poolLimits      []int  // by pool, that a stage may replace
+	goal            counts // everything is replaced
+	shortageCache   map[shortageKey]*room.Shortage
+	lastServerCache map[lastServerKey]bool
+	restCache       map[string]*violation
 }
 
 func newSearcher(input *Input) *searcher {
 	s := &searcher{
-		input:   input,
-		classes: classesOf(input.Replacements),
-		rooms:   make(map[roomKey]*room.Shortage),
-		zones:   make(map[zoneKey]bool),
-		stands:  make(map[string]*obstruction),
+		input:           input,
+		classes:         classify(input.Replacements),
+		shortageCache:   make(map[shortageKey]*room.Shortage),
+		lastServerCache: make(map[lastServerKey]bool),
+		restCache:       make(map[string]*violation),
 	}
 	s.groups = groupsOf(input, s.classes)
 	for _, one := range s.classes {
-		s.all = append(s.all, uint8(len(one.members)))
+		s.goal = append(s.goal, uint8(len(one.members)))
 	}
-	s.limitPools()
+	s.computePoolLimits()
 	return s
 }
 
-// isSmall reports whether all pairs of a state and a stage can be tried.
-func (s *searcher) isSmall() bool {
+// exhaustiveIsAffordable reports whether all pairs of a state and a stage can be tried.
+func (s *searcher) exhaustiveIsAffordable() bool {
 	states := 1
-	for _, count := range s.all {
+	for _, count := range s.goal {
 		states *= int(count) + 1
-		if states > exactPairs {
+		if states > maxExhaustivePairs {
 			return false
 		}
 	}
 	stages := 0
-	return s.eachBatch(make(counts, len(s.all)), func(counts) bool {
+	return s.eachBatch(make(counts, len(s.goal)), func(counts) bool {
 		stages++
-		return stages*states <= exactPairs
+		return stages*states <= maxExhaustivePairs
 	})
 }
 
@@ -91,8 +91,8 @@
 
 // shortest tries all orders. To arrive at a state sooner is never worse, as it may be held there for any time; so the
 // states are settled in the order of their time. It returns the last step, or the farthest that was reached.
-func (s *searcher) shortest() (last *step, complete bool) {
-	origin := &step{done: make(counts, len(s.all)), end: s.input.Begin}
+func (s *searcher) searchExhaustively() (last *step, complete bool) {
+	origin := &step{done: make(counts, len(s.goal)), end: s.input.Begin}
 	open := &frontier{origin}
 	settled := make(map[string]bool)
 	farthest := origin
@@ -102,7 +102,7 @@
 			continue
 		}
 		settled[string(current.done)] = true
-		if slices.Equal(current.done, s.all) {
+		if slices.Equal(current.done, s.goal) {
 			return current, true
 		}
 		if current.done.total() > farthest.done.total() {
@@ -124,7 +124,7 @@
 // eachBatch calls visit for every stage that could follow a state, as long as that returns true; it returns false
 // if visit did. The batch is used again.
 func (s *searcher) eachBatch(done counts, visit func(counts) bool) bool {
-	return s.batchesFrom(0, done, make(counts, len(done)), slices.Clone(s.most), visit)
+	return s.batchesFrom(0, done, make(counts, len(done)), slices.Clone(s.poolLimits), visit)
 }
 
 // batchesFrom varies the classes from an index on. most is what the pools may still give.
@@ -132,12 +132,12 @@
 	if index == len(batch) {
 		return batch.total() == 0 || visit(batch)
 	}
-	from := s.pools[index]
+	from := s.classPools[index]
 	for {
 		if !s.batchesFrom(index+1, done, batch, most, visit) {
 			return false
 		}
-		if batch[index] == s.all[index]-done[index] || most[from] == 0 {
+		if batch[index] == s.goal[index]-done[index] || most[from] == 0 {
 			break
 		}
 		batch[index]++
@@ -149,32 +149,32 @@
 }
 
 // extend makes a stage as early as may be after a step; nil, with what stands against it, if it cannot be made.
-func (s *searcher) extend(from *step, batch counts) (*step, *obstruction) {
-	if found := s.structural(from.done, batch); found != nil {
+func (s *searcher) extend(from *step, batch counts) (*step, *violation) {
+	if found := s.checkStructure(from.done, batch); found != nil {
 		return nil, found
 	}
 	next := from.done.plus(batch)
-	if found := s.stand(next); found != nil {
+	if found := s.checkRest(next); found != nil {
 		return nil, found
 	}
 	lasts := s.duration(batch)
-	best := &obstruction{obstacle: NoTime}
+	best := &violation{constraint: ConstraintTime}
 	for _, begin := range s.input.Demand.ChangesFrom(from.end) {
 		if s.input.Window > 0 && begin+lasts > s.input.Begin+s.input.Window {
 			break
 		}
-		shortage := s.roomThrough(from.done, batch, begin, begin+lasts)
+		shortage := s.worstShortage(from.done, batch, begin, begin+lasts)
 		if shortage == nil {
-			return s.made(from, batch, begin, lasts), nil
+			return s.newStep(from, batch, begin, lasts), nil
 		}
 		if best.shortage == nil || shortage.Fraction < best.shortage.Fraction {
-			best = &obstruction{obstacle: NoRoom, shortage: shortage}
+			best = &violation{constraint: ConstraintCapacity, shortage: shortage}
 		}
 	}
 	return nil, best
 }
 
-func (s *searcher) made(from *step, batch counts, begin, lasts time.Duration) *step {
+func (s *searcher) newStep(from *step, batch counts, begin, lasts time.Duration) *step {
 	return &step{
 		done:   from.done.plus(batch),
 		end:    begin + lasts,
@@ -185,25 +185,25 @@
 	}
 }
 
-func (s *searcher) stand(done counts) *obstruction {
+func (s *searcher) checkRest(done counts) *violation {
 	key := string(done)
-	found, known := s.stands[key]
+	found, known := s.restCache[key]
 	if !known {
-		found = s.standing(done)
-		s.stands[key] = found
+		found = s.computeRest(done)
+		s.restCache[key] = found
 	}
 	return found
 }
 
-// roomThrough returns the worst shortage of a stage from begin to end, or nil.
-func (s *searcher) roomThrough(done, batch counts, begin, end time.Duration) *room.Shortage {
+// worstShortage returns the worst shortage of a stage from begin to end, or nil.
+func (s *searcher) worstShortage(done, batch counts, begin, end time.Duration) *room.Shortage {
 	var worst *room.Shortage
 	for _, period := range s.input.Demand.PeriodsDuring(begin, end) {
 		for group := range s.groups {
 			if s.groups[group].untouchedBy(batch) {
 				continue
 			}
-			found := s.roomFor(group, period, done, batch)
+			found := s.shortageOf(group, period, done, batch)
 			if found != nil && (worst == nil || found.Fraction > worst.Fraction) {
 				worst = found
 			}
--- a/internal/migration/plan/verify.go
+++ b/internal/migration/plan/verify.go
@@ -3,14 +3,14 @@
 import "slices"
 
 // Verify checks stages that were read from a file: the error is an *InputError if they do not make every
-// replacement of the input once, or a *RefusalError for the first stage that is not safe. Stages may begin later
+// replacement of the input once, or a *InfeasibleError for the first stage that is not safe. Stages may begin later
 // than they could.
 func Verify(input Input, stages []Stage) error {
-	if err := check(&input); err != nil {
+	if err := checkInput(&input); err != nil {
 		return err
 	}
 	s := newSearcher(&input)
-	current := &step{done: make(counts, len(s.all)), end: input.Begin}
+	current := &step{done: make(counts, len(s.goal)), end: input.Begin}
 	made := make(map[string]bool)
 	for number, stage := range stages {
 		batch, err := s.batchOf(&stage, made)
@@ -23,25 +23,25 @@
 		current.end = max(current.end, stage.Begin)
 		next, found := s.extend(current, batch)
 		if next != nil && next.begin != current.end { // it could be made, but later
-			found = &obstruction{obstacle: NoRoom, shortage: s.roomThrough(current.done, batch, current.end, current.end+s.duration(batch))}
+			found = &violation{constraint: ConstraintCapacity, shortage: s.worstShortage(current.done, batch, current.end, current.end+s.duration(batch))}
 		}
-		if !s.withinShare(batch) {
-			found = &obstruction{obstacle: TooMany}
+		if !s.withinPoolLimits(batch) {
+			found = &violation{constraint: ConstraintBatchSize}
 		}
 		if found != nil {
-			return unsafe(number, &stage, found)
+			return newInfeasible(number, &stage, found)
 		}
 		current = next
 	}
-	if !slices.Equal(current.done, s.all) {
-		return &InputError{Node: s.missing(made), Reason: "is in no stage"}
+	if !slices.Equal(current.done, s.goal) {
+		return &InputError{Node: s.firstUnplanned(made), Reason: "is in no stage"}
 	}
 	return nil
 }
 
 // batchOf finds the classes of a stage's replacements.
 func (s *searcher) batchOf(stage *Stage, made map[string]bool) (counts, error) {
-	batch := make(counts, len(s.all))
+	batch := make(counts, len(s.goal))
 	for _, replacement := range stage.Replacements {
 		id := replacement.Old.ID
 		index := slices.IndexFunc(s.classes, func(one class) bool {
@@ -56,20 +56,20 @@
 	return batch, nil
 }
 
-func unsafe(number int, stage *Stage, found *obstruction) error {
+func newInfeasible(number int, stage *Stage, found *violation) error {
 	old := &stage.Replacements[0].Old
-	return &RefusalError{
+	return &InfeasibleError{
 		Stage:    number + 1,
 		Node:     old.ID,
 		Region:   old.Region,
 		Zone:     old.Zone,
-		Obstacle: found.obstacle,
+		Violated: found.constraint,
 		Shortage: found.shortage,
-		Lacking:  found.lacking,
+		Missing:  found.missing,
 	}
 }
 
-func (s *searcher) missing(made map[string]bool) string {
+func (s *searcher) firstUnplanned(made map[string]bool) string {
 	for index := range s.input.Replacements {
 		if id := s.input.Replacements[index].Old.ID; !made[id] {
 			return id
--- a/internal/migration/planfile/assemble.go
+++ b/internal/migration/planfile/assemble.go
@@ -52,14 +52,14 @@
 	a.addNodes()
 	begin, _ := parseTimeOfDay(f.Begin)
 	input := plan.Input{
-		Nodes:  a.nodes,
-		Bound:  f.Bound(),
-		Core:   a.core(),
-		Places: a.places(),
-		Share:  f.Share,
-		Begin:  begin,
-		Window: durationOr(f.Window, 0),
-		Demand: a.demand(),
+		Nodes:         a.nodes,
+		Headroom:      f.Bound(),
+		Core:          a.core(),
+		SurgeCapacity: a.places(),
+		BatchFraction: f.Share,
+		Begin:         begin,
+		Window:        durationOr(f.Window, 0),
+		Demand:        a.demand(),
 	}
 	for index := range f.Replacements {
 		replacement, err := a.replacement(&f.Replacements[index])
@@ -150,10 +150,10 @@
 	return core
 }
 
-func (a *assembly) places() map[plan.Place]int {
-	places := make(map[plan.Place]int)
+func (a *assembly) places() map[plan.SurgePool]int {
+	places := make(map[plan.SurgePool]int)
 	for _, one := range a.file.Places {
-		places[plan.Place{Zone: one.Zone, Kind: room.Kind(one.Kind)}] = one.Free
+		places[plan.SurgePool{Zone: one.Zone, Kind: room.Kind(one.Kind)}] = one.Free
 	}
 	return places
 }
@@ -202,7 +202,7 @@
 	next.Zone = cmp.Or(one.Zone, old.Zone)
 	next.Region = cmp.Or(a.inventory.Settings.RegionOf(next.Zone), old.Region)
 	next.Capacity = a.told(&next, true, old.Capacity)
-	return plan.Replacement{Old: old, New: next, Beside: one.Beside, Times: a.times(&old, one)}, nil
+	return plan.Replacement{Old: old, New: next, Surge: one.Beside, Times: a.times(&old, one)}, nil
 }
 
 // dropUntold leaves resources out of the demand on a group of which no node's capacity is told.
--- a/internal/migration/planfile/planfile_test.go
+++ b/internal/migration/planfile/planfile_test.go
@@ -198,7 +198,7 @@
 	require.Equal(t, plan.Core{Hosts: 1, Zones: 1, Voters: []plan.Voter{{ID: "core-1", Zone: "hall-a"}, {ID: "core-2", Zone: "hall-b"}, {ID: "core-3", Zone: "hall-c"}}}, input.Core)
 	require.Equal(t, 21*time.Hour+30*time.Minute, input.Begin)
 	require.Equal(t, 6*time.Hour, input.Window)
-	require.Equal(t, map[plan.Place]int{{Zone: "hall-a", Kind: room.Server}: 1}, input.Places)
+	require.Equal(t, map[plan.SurgePool]int{{Zone: "hall-a", Kind: room.Server}: 1}, input.SurgeCapacity)
 
 	server := input.Replacements[0]
 	require.Equal(t, "i-1", server.Old.ID)
@@ -265,9 +265,9 @@
 	}
 	again.Stages[0].Begin = "21:30"
 	_, err = again.Plan(input)
-	var refusal *plan.RefusalError
+	var refusal *plan.InfeasibleError
 	require.True(t, errors.As(err, &refusal), "%v", err)
-	require.Equal(t, plan.NoRoom, refusal.Obstacle)
+	require.Equal(t, plan.ConstraintCapacity, refusal.Violated)
 	require.Equal(t, "i-2", refusal.Node)
 }
 
--- a/internal/migration/planfile/stages.go
+++ b/internal/migration/planfile/stages.go
@@ -19,7 +19,7 @@
 	planned := *f
 	planned.Stages = nil
 	for _, stage := range made.Stages {
-		written := Stage{Begin: formatTime(stage.Begin), Lasts: stage.Lasts.String()}
+		written := Stage{Begin: formatTime(stage.Begin), Lasts: stage.Duration.String()}
 		for _, one := range stage.Replacements {
 			written.Replace = append(written.Replace, f.nameOf(&one))
 		}
@@ -42,12 +42,12 @@
 func (f *File) Plan(input plan.Input) (*plan.Plan, error) {
 	made := &plan.Plan{Begin: input.Begin, End: input.Begin}
 	for _, written := range f.Stages {
-		stage := plan.Stage{Lasts: durationOr(written.Lasts, 0)}
+		stage := plan.Stage{Duration: durationOr(written.Lasts, 0)}
 		stage.Begin, _ = parseTimeOfDay(written.Begin)
 		for _, name := range written.Replace {
 			stage.Replacements = append(stage.Replacements, f.named(name, input.Replacements)...)
 		}
-		made.End = stage.Begin + stage.Lasts
+		made.End = stage.Begin + stage.Duration
 		made.Stages = append(made.Stages, stage)
 	}
 	if err := plan.Verify(input, made.Stages); err != nil {
@@ -112,19 +112,19 @@
 
 // writeRemarks tells a reviewer what a stage does.
 func writeRemarks(buffer *bytes.Buffer, number int, stage *plan.Stage) {
-	fmt.Fprintf(buffer, "\n# Stage %d, from %s on, about %s.\n", number, formatTime(stage.Begin), stage.Lasts)
+	fmt.Fprintf(buffer, "\n# Stage %d, from %s on, about %s.\n", number, formatTime(stage.Begin), stage.Duration)
 	buffer.WriteString("# Before each step: room as measured then, a warm server left in the zone, voters within the budget.\n")
 	for index := range stage.Replacements {
 		one := &stage.Replacements[index]
 		times := &one.Times
 		fmt.Fprintf(buffer, "#   %s %s -> %s in %s\n", one.Old.Group(), one.Old.ID, one.New.ID, one.New.Zone)
-		if one.Beside {
+		if one.Surge {
 			fmt.Fprintf(buffer, "#     hand-over: new first, up in %s, warm in %s\n", times.Start, times.Warm)
 		} else {
 			fmt.Fprintf(buffer, "#     hand-over: old first; the new one is up in %s, warm in %s\n", times.Start, times.Warm)
 		}
 		fmt.Fprintf(buffer, "#     drain: replies up to %s, %s on their way\n", times.Drain, times.Linger)
-		fmt.Fprintf(buffer, "#     check: all proxies confirmed, no reply open, new node ready%s\n", orAfter(one.Beside))
+		fmt.Fprintf(buffer, "#     check: all proxies confirmed, no reply open, new node ready%s\n", orAfter(one.Surge))
 		fmt.Fprintf(buffer, "#     way back: the old node serves again at once, until it may be stopped (%s)\n", times.Stop.Round(time.Millisecond))
 	}
 }
--- a/internal/migration/simulate/case_test.go
+++ b/internal/migration/simulate/case_test.go
@@ -32,9 +32,9 @@
 // drawCase draws a deployment, its clients and what is to be replaced.
 func drawCase(random *rand.Rand) (plan.Input, []*client) {
 	input := plan.Input{
-		Bound: room.Headroom{Margin: 0.1, Hosts: 1},
-		Core:  plan.Core{Hosts: 1, Zones: random.IntN(2)},
-		Share: 0.5,
+		Headroom:      room.Headroom{Margin: 0.1, Hosts: 1},
+		Core:          plan.Core{Hosts: 1, Zones: random.IntN(2)},
+		BatchFraction: 0.5,
 	}
 	for _, kind := range []room.Kind{room.Server, room.Edge, room.Core} {
 		for number, zone := range placesOf(random, kind) {
@@ -52,7 +52,7 @@
 			if random.IntN(2) == 0 {
 				replacement := drawReplacement(random, spec)
 				if kind == room.Core && input.Core.Zones > 0 || kind == room.Edge && zone == "b" {
-					replacement.Beside = true // there is no other safe way
+					replacement.Surge = true // there is no other safe way
 				}
 				input.Replacements = append(input.Replacements, replacement)
 			}
@@ -81,7 +81,7 @@
 	if old.Kind == room.Edge {
 		times.Linger += addressLife
 	}
-	return plan.Replacement{Old: old, New: next, Beside: random.IntN(2) == 0, Times: times}
+	return plan.Replacement{Old: old, New: next, Surge: random.IntN(2) == 0, Times: times}
 }
 
 // scenario is a deployment with a plan for it.
--- a/internal/migration/simulate/checker_test.go
+++ b/internal/migration/simulate/checker_test.go
@@ -129,7 +129,7 @@
 	if settled && !slices.ContainsFunc(serving, sameZone) {
 		c.broken(ruleLast, "%s is withheld", one.spec.ID)
 	}
-	bound := c.input.Bound
+	bound := c.input.Headroom
 	bound.Margin = 0
 	if shortage := bound.Check(one.spec.Group(), serving, c.offered(surely)); settled && shortage != nil {
 		c.broken(ruleRoom, "%s is withheld, and %s", one.spec.ID, shortage)
--- a/internal/migration/simulate/control_test.go
+++ b/internal/migration/simulate/control_test.go
@@ -98,7 +98,7 @@
 		Plan:   s.plan,
 		Digest: "plan",
 		Owner:  fmt.Sprintf("core/%d", s.names),
-		Bound:  s.input.Bound,
+		Bound:  s.input.Headroom,
 		Fresh:  2 * time.Second,
 		Calm:   2 * time.Second,
 		Retry:  time.Second,
@@ -226,7 +226,7 @@
 
 func (s *store) status(one *node) execute.NodeStatus {
 	status := execute.NodeStatus{Ready: one.ready(s.now), Votes: one.votes, Open: len(one.open)}
-	if one.spec.Kind == room.Core && !s.input.Replacements[s.replacementOf(one)].Beside {
+	if one.spec.Kind == room.Core && !s.input.Replacements[s.replacementOf(one)].Surge {
 		status.Ready = status.Ready && one.votes
 	}
 	for _, open := range one.open {
