--- /dev/null
+++ b/internal/migration/plan/capacity.go
@@ -0,0 +1,92 @@
+package plan
+
+import (
+	"time"
+
+	"fieldrelay/internal/migration/room"
+)
+
+// shortageKey is what the answer of shortageOf depends on.
+type shortageKey struct {
+	group, period int
+	done, batch   string
+}
+
+// shortageOf returns the shortage of a group during a stage, with the demand of one period, or nil.
+func (s *searcher) shortageOf(group, period int, done, batch counts) *room.Shortage {
+	view := &s.groups[group]
+	key := shortageKey{group, period, string(done.project(view.classes)), string(batch.project(view.classes))}
+	if known, found := s.shortageCache[key]; found {
+		return known
+	}
+	found := s.computeShortage(view, period, done, batch)
+	s.shortageCache[key] = found
+	return found
+}
+
+// computeShortage computes shortageOf: in each phase of the stage, or in the state before it if the stage leaves the
+// group alone.
+func (s *searcher) computeShortage(view *groupView, period int, done, batch counts) *room.Shortage {
+	loads := s.input.Demand.Periods[period].Loads
+	if view.untouchedBy(batch) {
+		return s.input.Headroom.Check(view.group, s.servingNodes(view, done, batch, beforeStage), loads)
+	}
+	whole := s.servingNodes(view, done, batch, beforeStage)
+	for _, at := range []phase{inPlaceRemoved, surgeTakenOver, afterStage} {
+		grown := room.AddLostCachePrefill(loads, whole, s.departedNodes(view, done, batch, at))
+		if found := s.input.Headroom.Check(view.group, s.servingNodes(view, done, batch, at), grown); found != nil {
+			return found
+		}
+	}
+	return nil
+}
+
+// worstShortage returns the worst shortage during a stage from begin to end, or nil.
+func (s *searcher) worstShortage(done, batch counts, begin, end time.Duration) *room.Shortage {
+	var worst *room.Shortage
+	for _, period := range s.input.Demand.PeriodsDuring(begin, end) {
+		for group := range s.groups {
+			if s.groups[group].untouchedBy(batch) {
+				continue
+			}
+			found := s.shortageOf(group, period, done, batch)
+			if found != nil && (worst == nil || found.Fraction > worst.Fraction) {
+				worst = found
+			}
+		}
+	}
+	return worst
+}
+
+// roundingTolerance is the difference of two shortages that may come from rounding alone.
+const roundingTolerance = 1e-6
+
+// checkRest is computeRest with a cache.
+func (s *searcher) checkRest(done counts) *violation {
+	key := string(done)
+	found, known := s.restCache[key]
+	if !known {
+		found = s.computeRest(done)
+		s.restCache[key] = found
+	}
+	return found
+}
+
+// computeRest checks that a state between stages serves every period as well as the present fleet does: an operator may
+// pause the run there for long.
+func (s *searcher) computeRest(done counts) *violation {
+	none := make(counts, len(done))
+	for group := range s.groups {
+		for period := range s.input.Demand.Periods {
+			found := s.shortageOf(group, period, done, none)
+			if found == nil {
+				continue
+			}
+			today := s.shortageOf(group, period, none, none)
+			if today == nil || found.Fraction > today.Fraction+roundingTolerance {
+				return &violation{constraint: ConstraintCapacity, shortage: found}
+			}
+		}
+	}
+	return nil
+}
--- a/internal/migration/plan/errors.go
+++ b/internal/migration/plan/errors.go
@@ -8,29 +8,31 @@
 	"fieldrelay/internal/migration/room"
 )
 
-// InputError tells that no plan can be made because the input contradicts itself.
+// InputError reports that the input contradicts itself, so that no plan can be made from it.
 type InputError struct {
 	Node   string // id
 	Reason string
 }
 
+// Error names the node and what is wrong with it.
 func (e *InputError) Error() string { return fmt.Sprintf("node %q %s", e.Node, e.Reason) }
 
-// Constraint is what keeps a replacement from being made.
+// Constraint is a condition that every stage of a plan must meet.
 type Constraint uint8
 
-// The obstacles.
+// The constraints.
 const (
-	ConstraintCapacity   Constraint = iota + 1 // the rest cannot serve the demand
-	ConstraintLastServer                       // a zone would have no warm server of the service
-	ConstraintMajority                         // the voters would not bear the fault budget
-	ConstraintReplicas                         // the chain would not bear the fault budget
-	ConstraintSurge                            // no place for the replacement beside the old node
-	ConstraintTime                             // it would not be done within the window, or not at this hour
-	ConstraintOrder                            // it could be replaced next, but no order was found that goes on from there
-	ConstraintBatchSize                        // a stage of a file that replaces more at once than it may
+	ConstraintCapacity   Constraint = iota + 1 // the rest must have the capacity for the demand
+	ConstraintLastServer                       // a zone must keep a warm server of each service
+	ConstraintMajority                         // the voters must keep a majority under the fault budget
+	ConstraintReplicas                         // the chain must keep a replica under the fault budget
+	ConstraintSurge                            // new nodes beside old ones must have a place to run
+	ConstraintTime                             // the plan must end within its window, a stage of a file at its time
+	ConstraintOrder                            // another stage must follow; reported if the search found none
+	ConstraintBatchSize                        // a stage of a file must not replace more nodes than a plan may
 )
 
+// constraintNames are texts for operators.
 var constraintNames = map[Constraint]string{
 	ConstraintCapacity:   "no room",
 	ConstraintLastServer: "last warm server of the zone",
@@ -42,19 +44,21 @@
 	ConstraintBatchSize:  "too many at once",
 }
 
+// String returns what an operator reads if the constraint is violated.
 func (o Constraint) String() string { return constraintNames[o] }
 
-// Spare is a capacity that would make a plan possible.
+// Spare is additional capacity that would make a plan feasible.
 type Spare struct {
 	Count   int
 	Kind    room.Kind
 	Service string // of servers
 	Zone    string
-	// Surge tells that replacements need room to run beside the old nodes; otherwise further nodes are needed
-	// for good, like those that are there.
+	// Surge means places in which new nodes can run beside old ones for the time of their replacement. Otherwise
+	// Count further nodes are needed for good, like those that are there.
 	Surge bool
 }
 
+// String returns a phrase for an operator.
 func (s *Spare) String() string {
 	what := room.Group{Kind: s.Kind, Service: s.Service}.String()
 	if s.Surge {
@@ -63,19 +67,21 @@
 	return fmt.Sprintf("%d more of %s in %s", s.Count, what, s.Zone)
 }
 
-// InfeasibleError tells that there is no safe order, and what is lacking where.
+// InfeasibleError reports that no order of stages meets the constraints: the stage and node at which the best attempt
+// ended, the constraint that is violated there, and what is missing.
 type InfeasibleError struct {
-	Stage         int // number, from 1, of the stage that cannot be made; the ones before can
+	Stage         int // number, from 1, of the stage that is infeasible; those before it are feasible
 	Node          string
 	Region        string // of the node
 	Zone          string // of the node
 	Violated      Constraint
 	Shortage      *room.Shortage // for ConstraintCapacity
-	Missing       int            // voters, replicas or places
-	Spares        []Spare        // capacity that was found to be enough; empty: none was found
-	FeasibleBegin *time.Duration // the beginning of the first stage if there were no window; nil: none, or no window
+	Missing       int            // number of voters, replicas, servers or places; 0 for other constraints
+	Spares        []Spare        // with which a plan was found; empty: none was found
+	FeasibleBegin *time.Duration // of the first stage if the window were unlimited; nil: infeasible then too, or no window
 }
 
+// Error returns one line for an operator with all that is known.
 func (e *InfeasibleError) Error() string {
 	text := &strings.Builder{}
 	fmt.Fprintf(text, "stage %d: %s in %s (%s) cannot be replaced: %s", e.Stage, e.Node, e.Zone, e.Region, e.Violated)
--- /dev/null
+++ b/internal/migration/plan/fleet.go
@@ -0,0 +1,99 @@
+package plan
+
+import (
+	"slices"
+
+	"fieldrelay/internal/migration/room"
+)
+
+// groupView is a group of serving nodes, some of which are to be replaced.
+type groupView struct {
+	group   room.Group
+	fixed   []room.Node // that are not replaced
+	classes []int       // of its replacements, by index among all classes
+}
+
+// untouchedBy reports whether a stage replaces no node of the group.
+func (g *groupView) untouchedBy(batch counts) bool {
+	for _, index := range g.classes {
+		if batch[index] > 0 {
+			return false
+		}
+	}
+	return true
+}
+
+// groupsOf returns the groups of which nodes are replaced. Core machines do not serve requests and have none.
+func groupsOf(input *Input, classes []class) []groupView {
+	var groups []groupView
+	for index := range classes {
+		group := classes[index].sample().Old.Group()
+		if group.Kind == room.Core {
+			continue
+		}
+		found := slices.IndexFunc(groups, func(candidate groupView) bool { return candidate.group == group })
+		if found < 0 {
+			groups = append(groups, groupView{group: group, fixed: fixedNodes(input, group)})
+			found = len(groups) - 1
+		}
+		groups[found].classes = append(groups[found].classes, index)
+	}
+	return groups
+}
+
+// fixedNodes returns the nodes of a group that are not replaced.
+func fixedNodes(input *Input, group room.Group) []room.Node {
+	var fixed []room.Node
+	for _, node := range input.Nodes {
+		replaced := slices.ContainsFunc(input.Replacements, func(replacement Replacement) bool {
+			return replacement.Old.ID == node.ID
+		})
+		if node.Group() == group && !replaced {
+			fixed = append(fixed, node)
+		}
+	}
+	return fixed
+}
+
+// phase is a part of a stage, told apart by which nodes get new requests. A stage is checked in each of its phases, as
+// if it lasted from the beginning of the stage to its end.
+type phase uint8
+
+const (
+	beforeStage    phase = iota // the stage has not begun
+	inPlaceRemoved              // old nodes that are replaced in place are gone, the rest is as before
+	surgeTakenOver              // in addition, new nodes started beside old ones have taken over
+	afterStage                  // all new nodes serve
+)
+
+// servingNodes returns the nodes of a group that get new requests in a phase of a stage.
+func (s *searcher) servingNodes(view *groupView, done, batch counts, at phase) []room.Node {
+	nodes := slices.Clone(view.fixed)
+	for _, index := range view.classes {
+		for position, member := range s.classes[index].members {
+			inStage := position >= int(done[index]) && position < int(done[index]+batch[index])
+			switch {
+			case position < int(done[index]), inStage && at == afterStage, inStage && at == surgeTakenOver && member.Surge:
+				nodes = append(nodes, member.New)
+			case inStage && !member.Surge && at != beforeStage:
+			default:
+				nodes = append(nodes, member.Old)
+			}
+		}
+	}
+	return nodes
+}
+
+// departedNodes returns the nodes of a group that no longer serve in a phase of a stage, of those of the stage.
+func (s *searcher) departedNodes(view *groupView, done, batch counts, at phase) []room.Node {
+	var nodes []room.Node
+	for _, index := range view.classes {
+		members := s.classes[index].members[done[index] : done[index]+batch[index]]
+		for _, member := range members {
+			if !member.Surge || at != inPlaceRemoved {
+				nodes = append(nodes, member.Old)
+			}
+		}
+	}
+	return nodes
+}
--- a/internal/migration/plan/greedy.go
+++ b/internal/migration/plan/greedy.go
@@ -6,20 +6,22 @@
 	"time"
 )
 
-// maxGreedySteps bounds the states that a greedy order may look at; going back counts.
+// maxGreedySteps bounds the states that a greedy search visits, backtracking included.
 const maxGreedySteps = 2_000
 
-// greedy makes one order for each longest duration that a stage may have at first, and returns the shortest.
+// searchGreedily runs one greedy search for each duration of a replacement, which prefers stages up to that duration, and
+// returns the last step of the order that ends first. If none finds an order, it returns the step with the most
+// replacements made.
 func (s *searcher) searchGreedily() (last *step, complete bool) {
 	farthest := &step{done: make(counts, len(s.goal)), end: s.input.Begin}
 	var best *step
-	for _, limit := range s.durations() {
-		descent := &greedySearch{searcher: s, limit: limit, deadEnds: make(map[string]bool), farthest: farthest}
-		end := descent.complete(&step{done: make(counts, len(s.goal)), end: s.input.Begin})
+	for _, preferred := range s.durations() {
+		search := &greedySearch{searcher: s, preferred: preferred, deadEnds: make(map[string]bool), farthest: farthest}
+		end := search.complete(&step{done: make(counts, len(s.goal)), end: s.input.Begin})
 		if end != nil && (best == nil || end.less(best)) {
 			best = end
 		}
-		farthest = descent.farthest
+		farthest = search.farthest
 	}
 	if best != nil {
 		return best, true
@@ -27,6 +29,7 @@
 	return farthest, false
 }
 
+// durations returns the distinct durations of the replacements, in ascending order.
 func (s *searcher) durations() []time.Duration {
 	var all []time.Duration
 	for index := range s.classes {
@@ -36,58 +39,58 @@
 	return slices.Compact(all)
 }
 
-// descent makes one order: it takes the stage that seems best and goes back where that leads nowhere.
+// greedySearch is a depth-first search with backtracking that tries the most promising stage first.
 type greedySearch struct {
 	*searcher
-	limit    time.Duration // stages within it come first
-	deadEnds map[string]bool
-	steps    int
-	farthest *step
+	preferred time.Duration   // stages that take no longer come first
+	deadEnds  map[string]bool // states from which no order was found
+	steps     int
+	farthest  *step // with the most replacements made
 }
 
-// from returns the last step of an order that goes on from a state; nil if none was found.
-func (d *greedySearch) complete(current *step) *step {
-	if slices.Equal(current.done, d.goal) {
+// complete returns the last step of an order that goes on from a step; nil if none was found.
+func (g *greedySearch) complete(current *step) *step {
+	if slices.Equal(current.done, g.goal) {
 		return current
 	}
-	if current.done.total() > d.farthest.done.total() {
-		d.farthest = current
+	if current.done.total() > g.farthest.done.total() {
+		g.farthest = current
 	}
-	for _, alone := range d.singleStages(current) {
-		for _, next := range []*step{d.enlarge(current, alone), alone} {
-			d.steps++
-			if d.steps > maxGreedySteps {
+	for _, alone := range g.singleStages(current) {
+		for _, next := range []*step{g.enlarge(current, alone), alone} {
+			g.steps++
+			if g.steps > maxGreedySteps {
 				return nil
 			}
-			if d.deadEnds[string(next.done)] {
+			if g.deadEnds[string(next.done)] {
 				continue
 			}
-			if last := d.complete(next); last != nil {
+			if last := g.complete(next); last != nil {
 				return last
 			}
 		}
 	}
-	d.deadEnds[string(current.done)] = true
+	g.deadEnds[string(current.done)] = true
 	return nil
 }
 
-// singles gives the stages of one replacement that can follow: those within the limit first, the earlier ones
-// before the others, and of these the longest, beside which most finds time.
-func (d *greedySearch) singleStages(from *step) []*step {
+// singleStages returns the feasible stages of one replacement: those of the preferred duration first, earlier ones before
+// later ones, and of these the longest, beside which most others have time.
+func (g *greedySearch) singleStages(from *step) []*step {
 	var found []*step
-	for index := range d.goal {
-		if from.done[index] == d.goal[index] {
+	for index := range g.goal {
+		if from.done[index] == g.goal[index] {
 			continue
 		}
-		single := make(counts, len(d.goal))
+		single := make(counts, len(g.goal))
 		single[index] = 1
-		if alone, _ := d.extend(from, single); alone != nil {
+		if alone, _ := g.extend(from, single); alone != nil {
 			found = append(found, alone)
 		}
 	}
 	slices.SortStableFunc(found, func(a, b *step) int {
 		return cmp.Or(
-			cmp.Compare(d.overLimit(a), d.overLimit(b)),
+			cmp.Compare(g.overPreferred(a), g.overPreferred(b)),
 			cmp.Compare(a.begin, b.begin),
 			cmp.Compare(b.end, a.end),
 		)
@@ -95,19 +98,20 @@
 	return found
 }
 
-func (d *greedySearch) overLimit(one *step) int {
-	if one.end-one.begin > d.limit {
+// overPreferred returns the sort key of a stage: 1 if it takes longer than preferred, else 0.
+func (g *greedySearch) overPreferred(stage *step) int {
+	if stage.end-stage.begin > g.preferred {
 		return 1
 	}
 	return 0
 }
 
-// grown adds replacements to a stage as long as it begins and ends no later.
-func (d *greedySearch) enlarge(from, stage *step) *step {
+// enlarge adds replacements to a stage for as long as it neither begins nor ends later for it.
+func (g *greedySearch) enlarge(from, stage *step) *step {
 	for changed := true; changed; {
 		changed = false
-		for index := range d.goal {
-			if next := d.enlargeBy(from, stage, index); next != nil {
+		for index := range g.goal {
+			if next := g.enlargeBy(from, stage, index); next != nil {
 				stage, changed = next, true
 			}
 		}
@@ -115,16 +119,17 @@
 	return stage
 }
 
-func (d *greedySearch) enlargeBy(from, stage *step, index int) *step {
-	if from.done[index]+stage.batch[index] >= d.goal[index] {
+// enlargeBy returns the stage with one more replacement of a class, or nil if that is infeasible or delays it.
+func (g *greedySearch) enlargeBy(from, stage *step, index int) *step {
+	if from.done[index]+stage.batch[index] >= g.goal[index] {
 		return nil
 	}
 	batch := slices.Clone(stage.batch)
 	batch[index]++
-	if !d.withinPoolLimits(batch) {
+	if !g.withinPoolLimits(batch) {
 		return nil
 	}
-	next, _ := d.extend(from, batch)
+	next, _ := g.extend(from, batch)
 	if next == nil || next.begin > stage.begin || next.end > stage.end {
 		return nil
 	}
--- /dev/null
+++ b/internal/migration/plan/lastserver.go
@@ -0,0 +1,50 @@
+package plan
+
+import (
+	"fieldrelay/internal/migration/room"
+)
+
+// lastServerKey is what the answer of takesLastServer depends on.
+type lastServerKey struct {
+	group       int
+	done, batch string
+}
+
+// takesLastServer reports whether a zone would have no node of a group during a stage, although it has one before the
+// stage and is to have one when all replacements are made.
+func (s *searcher) takesLastServer(group int, done, batch counts) bool {
+	view := &s.groups[group]
+	if view.untouchedBy(batch) {
+		return false
+	}
+	key := lastServerKey{group, string(done.project(view.classes)), string(batch.project(view.classes))}
+	takes, known := s.lastServerCache[key]
+	if !known {
+		takes = s.emptiesZone(view, done, batch)
+		s.lastServerCache[key] = takes
+	}
+	return takes
+}
+
+// emptiesZone computes takesLastServer.
+func (s *searcher) emptiesZone(view *groupView, done, batch counts) bool {
+	present := zonesOf(s.servingNodes(view, done, batch, beforeStage))
+	final := zonesOf(s.servingNodes(view, s.goal, make(counts, len(s.goal)), beforeStage))
+	for _, at := range []phase{inPlaceRemoved, surgeTakenOver} {
+		during := zonesOf(s.servingNodes(view, done, batch, at))
+		for zone := range present {
+			if final[zone] && !during[zone] {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+func zonesOf(nodes []room.Node) map[string]bool {
+	zones := make(map[string]bool)
+	for index := range nodes {
+		zones[nodes[index].Zone] = true
+	}
+	return zones
+}
--- /dev/null
+++ b/internal/migration/plan/pools.go
@@ -0,0 +1,58 @@
+package plan
+
+import (
+	"fieldrelay/internal/migration/room"
+)
+
+// pool is a set of nodes of which a stage may replace a limited number: those of a group in a region. The core machines
+// of all regions are one pool.
+type pool struct {
+	group  room.Group
+	region string
+}
+
+func poolOf(node *room.Node) pool {
+	if node.Kind == room.Core {
+		return pool{group: node.Group()}
+	}
+	return pool{group: node.Group(), region: node.Region}
+}
+
+// computePoolLimits sets how many nodes of each pool a stage may replace: a fraction of them, but at least one.
+func (s *searcher) computePoolLimits() {
+	fraction := s.input.BatchFraction
+	if fraction <= 0 {
+		fraction = DefaultBatchFraction
+	}
+	sizes := make(map[pool]int)
+	for index := range s.input.Nodes {
+		sizes[poolOf(&s.input.Nodes[index])]++
+	}
+	known := make(map[pool]int)
+	for index := range s.classes {
+		key := poolOf(&s.classes[index].sample().Old)
+		position, found := known[key]
+		if !found {
+			position = len(s.poolLimits)
+			known[key] = position
+			most := max(1, int(fraction*float64(sizes[key])))
+			if key.group.Kind == room.Core {
+				most = maxCoresPerStage
+			}
+			s.poolLimits = append(s.poolLimits, most)
+		}
+		s.classPools = append(s.classPools, position)
+	}
+}
+
+// withinPoolLimits reports whether a stage replaces no more nodes of any pool than it may.
+func (s *searcher) withinPoolLimits(batch counts) bool {
+	used := make([]int, len(s.poolLimits))
+	for index, count := range batch {
+		used[s.classPools[index]] += int(count)
+		if used[s.classPools[index]] > s.poolLimits[s.classPools[index]] {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/migration/plan/remedies.go
+++ b/internal/migration/plan/remedies.go
@@ -4,42 +4,37 @@
 	"fmt"
 	"maps"
 	"slices"
+	"time"
 
 	"fieldrelay/internal/migration/room"
 )
 
-// maxSpares is the largest number of spare nodes and places that a refusal proposes.
+// maxSpares is the largest number of spare nodes and places that an InfeasibleError proposes.
 const maxSpares = 4
 
-// addRemedies looks for spare capacity that would do, one node or place after the other at what is lacking, and,
-// if there is a window, for a later hour.
-func (s *searcher) addRemedies(refusal *InfeasibleError) {
-	if s.input.Window > 0 {
-		later := *s.input
-		later.Window = 0
-		if last, complete := newSearcher(&later).search(); complete {
-			begin := firstStage(last).begin
-			refusal.FeasibleBegin = &begin
-		}
-	}
+// addRemedies adds what would make the plan feasible: spare capacity, found by adding one node or place at a time where
+// it is missing, and, if there is a window, a later begin.
+func (s *searcher) addRemedies(infeasible *InfeasibleError) {
+	infeasible.FeasibleBegin = s.beginWithoutWindow()
 	spares := []Spare{}
-	current, lacking := s, refusal
+	current, remaining := s, infeasible
 	for number := range maxSpares {
-		spare := current.spareFor(lacking)
+		spare := current.spareFor(remaining)
 		if spare == nil {
 			return
 		}
 		spares = addSpare(spares, *spare)
-		current = newSearcher(current.withSpare(lacking, spare, spareID(number)))
+		current = newSearcher(current.withSpare(remaining, spare, spareID(number)))
 		last, complete := current.searchGreedily()
 		if complete {
-			refusal.Spares = spares
+			infeasible.Spares = spares
 			return
 		}
-		lacking = current.infeasibility(last)
+		remaining = current.infeasibility(last)
 	}
 }
 
+// firstStage returns the step of the first stage of an order.
 func firstStage(last *step) *step {
 	for last.parent.parent != nil {
 		last = last.parent
@@ -47,6 +42,7 @@
 	return last
 }
 
+// addSpare adds a spare to a list that counts equal ones together.
 func addSpare(spares []Spare, one Spare) []Spare {
 	for index := range spares {
 		same := spares[index]
@@ -61,14 +57,14 @@
 
 func spareID(number int) string { return fmt.Sprintf("(spare %d)", number+1) }
 
-// spareFor proposes one node or place where it is lacking; nil if capacity would not help.
-func (s *searcher) spareFor(refusal *InfeasibleError) *Spare {
-	replacement := s.replacementOf(refusal.Node)
+// spareFor proposes one node or place where it is missing; nil if capacity would not help.
+func (s *searcher) spareFor(infeasible *InfeasibleError) *Spare {
+	replacement := s.replacementOf(infeasible.Node)
 	old := &replacement.Old
-	switch refusal.Violated {
+	switch infeasible.Violated {
 	case ConstraintCapacity:
-		model := s.templateNode(refusal.Shortage, old)
-		return &Spare{Count: 1, Kind: model.Kind, Service: model.Service, Zone: model.Zone}
+		template := s.templateNode(infeasible.Shortage, old)
+		return &Spare{Count: 1, Kind: template.Kind, Service: template.Service, Zone: template.Zone}
 	case ConstraintSurge:
 		return &Spare{Count: 1, Kind: old.Kind, Service: old.Service, Zone: replacement.New.Zone, Surge: true}
 	case ConstraintMajority, ConstraintReplicas, ConstraintLastServer:
@@ -79,12 +75,14 @@
 	return nil
 }
 
+// replacementOf returns the replacement of an old node, which must be in the input.
 func (s *searcher) replacementOf(id string) *Replacement {
 	found := slices.IndexFunc(s.input.Replacements, func(one Replacement) bool { return one.Old.ID == id })
 	return &s.input.Replacements[found]
 }
 
-// templateNode is the largest node in the region that is short, or the node that is to be replaced.
+// templateNode returns the node that a spare is to be like: the largest one in the region with the shortage, or else the
+// node that is to be replaced.
 func (s *searcher) templateNode(shortage *room.Shortage, old *room.Node) *room.Node {
 	best := old
 	for index := range s.input.Nodes {
@@ -99,16 +97,16 @@
 	return best
 }
 
-// withSpare returns the input with a spare node or place.
-func (s *searcher) withSpare(refusal *InfeasibleError, spare *Spare, id string) *Input {
+// withSpare returns a copy of the input with a spare node, named by id, or a spare place.
+func (s *searcher) withSpare(infeasible *InfeasibleError, spare *Spare, id string) *Input {
 	input := *s.input
 	if !spare.Surge {
-		node := *s.templateNode(refusal.Shortage, &s.replacementOf(refusal.Node).Old)
+		node := *s.templateNode(infeasible.Shortage, &s.replacementOf(infeasible.Node).Old)
 		node.ID = id
 		input.Nodes = append(slices.Clone(input.Nodes), node)
 		return &input
 	}
-	if place := (SurgePool{Zone: spare.Zone, Kind: spare.Kind}); refusal.Violated == ConstraintSurge {
+	if place := (SurgePool{Zone: spare.Zone, Kind: spare.Kind}); infeasible.Violated == ConstraintSurge {
 		input.SurgeCapacity = maps.Clone(input.SurgeCapacity)
 		input.SurgeCapacity[place]++
 		return &input
@@ -122,3 +120,18 @@
 	}
 	return &input
 }
+
+// beginWithoutWindow returns when the first stage would begin if the window were unlimited; nil if that is infeasible
+// too, or if there is no window.
+func (s *searcher) beginWithoutWindow() *time.Duration {
+	if s.input.Window <= 0 {
+		return nil
+	}
+	unlimited := *s.input
+	unlimited.Window = 0
+	last, complete := newSearcher(&unlimited).search()
+	if !complete {
+		return nil
+	}
+	return &firstStage(last).begin
+}
--- a/internal/migration/plan/voters.go
+++ b/internal/migration/plan/voters.go
@@ -1,25 +1,31 @@
 package plan
 
-import "slices"
+import (
+	"slices"
 
-// maxCoresPerStage is the number of core machines that a stage replaces at most: views change by one voter at a
-// time, and one replica is what every fault budget leaves.
+	"fieldrelay/internal/migration/room"
+)
+
+// maxCoresPerStage is the number of core machines that a stage replaces at most: a view change exchanges one voter at a
+// time, and every fault budget allows for the loss of one replica.
 const maxCoresPerStage = 1
 
-// missingVotes is the number of voters that are lacking for a majority after the worst loss within the budget;
-// 0 if the voters bear it.
+// missingVotes returns how many voters are missing for a majority after the worst failure within the fault budget; 0 if
+// the voters survive it.
 func (c *Core) missingVotes(voters []Voter) int {
 	majority := len(voters)/2 + 1
 	left := min(len(voters)-c.Hosts, len(voters)-votersInLargestZones(voters, c.Zones))
 	return max(majority-left, 0)
 }
 
-// missingReplicas is the number of machines that are lacking for a chain that bears the budget.
+// missingReplicas returns how many machines are missing for a chain that keeps a replica under the fault budget, as many
+// zones as there are permitting.
 func (c *Core) missingReplicas(voters []Voter) int {
 	zones := min(c.Zones+1, countZones(c.Voters))
 	return max(c.Hosts+1-len(voters), zones-countZones(voters), 0)
 }
 
+// votersInLargestZones counts the voters in the given number of zones with the most of them.
 func votersInLargestZones(voters []Voter, count int) int {
 	sizes := make(map[string]int)
 	for _, voter := range voters {
@@ -46,7 +52,7 @@
 	return len(zones)
 }
 
-// ExchangeVoter returns the voters with one of them replaced by another, or only out if in is nil.
+// ExchangeVoter returns the voters with one of them replaced by another, or removed if in is nil.
 func ExchangeVoter(voters []Voter, out string, in *Voter) []Voter {
 	next := slices.DeleteFunc(slices.Clone(voters), func(voter Voter) bool { return voter.ID == out })
 	if in != nil {
@@ -55,24 +61,55 @@
 	return next
 }
 
-// Constraint tells what forbids replacing a voter, and how many voters or replicas are lacking; 0 if nothing does.
-// Beside the old machine the new one takes its vote in one view, which must bear the budget as well as the
-// present view does. Without a place beside, the old machine is voted out first, and the rest must bear it.
-func (c *Core) CheckExchange(out string, in Voter, surge bool) (Constraint, int) {
+// CheckExchange returns the constraint that forbids replacing a voter, and how many voters or replicas are missing; 0 if
+// the replacement is allowed. With surge the new machine takes over the vote in one view change, and the new view must
+// survive the fault budget as well as the present one does. In place, the old machine is voted out first, and the rest
+// must survive the budget in full.
+func (c *Core) CheckExchange(out string, in Voter, surge bool) (violated Constraint, missing int) {
 	if !slices.ContainsFunc(c.Voters, func(voter Voter) bool { return voter.ID == out }) {
 		return 0, 0
 	}
-	votes, replicas := 0, 0 // that may be lacking
+	toleratedVotes, toleratedReplicas := 0, 0
 	next := ExchangeVoter(c.Voters, out, nil)
 	if surge {
-		votes, replicas = c.missingVotes(c.Voters), c.missingReplicas(c.Voters)
+		toleratedVotes, toleratedReplicas = c.missingVotes(c.Voters), c.missingReplicas(c.Voters)
 		next = ExchangeVoter(c.Voters, out, &in)
 	}
-	if lacking := c.missingVotes(next); lacking > votes {
-		return ConstraintMajority, lacking
+	if missing := c.missingVotes(next); missing > toleratedVotes {
+		return ConstraintMajority, missing
 	}
-	if lacking := c.missingReplicas(next); lacking > replicas {
-		return ConstraintReplicas, lacking
+	if missing := c.missingReplicas(next); missing > toleratedReplicas {
+		return ConstraintReplicas, missing
 	}
 	return 0, 0
 }
+
+// checkVoters checks the constraints of the voters and the chain for the core machines of a stage.
+func (s *searcher) checkVoters(done, batch counts) *violation {
+	core := s.input.Core
+	for index, count := range done {
+		for _, member := range s.classes[index].members[:count] {
+			core.Voters = exchangeReplaced(core.Voters, &member)
+		}
+	}
+	for index, count := range batch {
+		if count == 0 || s.classes[index].sample().Old.Kind != room.Core {
+			continue
+		}
+		member := s.classes[index].members[done[index]]
+		in := Voter{ID: member.New.ID, Zone: member.New.Zone}
+		if obstacle, lacking := core.CheckExchange(member.Old.ID, in, member.Surge); obstacle != 0 {
+			return &violation{constraint: obstacle, missing: lacking}
+		}
+	}
+	return nil
+}
+
+// exchangeReplaced returns the voters after a replacement; they are the same if the old node is no voter.
+func exchangeReplaced(voters []Voter, replacement *Replacement) []Voter {
+	isVoter := slices.ContainsFunc(voters, func(voter Voter) bool { return voter.ID == replacement.Old.ID })
+	if !isVoter {
+		return voters
+	}
+	return ExchangeVoter(voters, replacement.Old.ID, &Voter{ID: replacement.New.ID, Zone: replacement.New.Zone})
+}
