--- /dev/null
+++ b/internal/migration/plan/fixture_test.go
@@ -0,0 +1,139 @@
+package plan
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"fieldrelay/internal/migration/room"
+)
+
+var regionOf = map[string]string{"a": "west", "b": "west", "c": "east"}
+
+func node(kind room.Kind, service, id, zone string, slots float64) room.Node {
+	return room.Node{
+		ID: id, Kind: kind, Service: service, Zone: zone, Region: regionOf[zone],
+		Capacity: room.Amount{room.Slots: slots, room.Memory: 100 * slots, room.Prefill: 10 * slots},
+	}
+}
+
+// drawInput draws a small case: three kinds of nodes, few replacements, one or two periods.
+func drawInput(t *rapid.T) Input {
+	zones := rapid.SampledFrom([]string{"a", "b", "c"})
+	input := Input{
+		Core: Core{Voters: []Voter{{"kept-a", "a"}, {"kept-b", "b"}, {"kept-c", "c"}}},
+		Headroom: room.Headroom{
+			Margin: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "margin"),
+			Hosts:  rapid.IntRange(0, 1).Draw(t, "hosts"),
+			Zones:  rapid.IntRange(0, 1).Draw(t, "zones"),
+		},
+		BatchFraction: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "share"),
+		Begin:         time.Duration(rapid.IntRange(0, 30).Draw(t, "begin")) * time.Second,
+	}
+	kinds := []struct {
+		kind    room.Kind
+		service string
+	}{{room.Server, "lm"}, {room.Server, "lm"}, {room.Server, "plain"}, {room.Edge, ""}, {room.Core, ""}}
+	left := rapid.IntRange(2, 4).Draw(t, "replacements")
+	for number := range rapid.IntRange(6, 12).Draw(t, "nodes") {
+		of := rapid.SampledFrom(kinds).Draw(t, "kind")
+		zone := zones.Draw(t, "zone")
+		slots := float64(rapid.IntRange(5, 7).Draw(t, "slots"))
+		old := node(of.kind, of.service, fmt.Sprintf("old-%d", number), zone, slots)
+		if of.kind == room.Core {
+			input.Core.Voters = append(input.Core.Voters, Voter{ID: old.ID, Zone: zone})
+		}
+		input.Nodes = append(input.Nodes, old)
+		if left == 0 || number > 0 && rapid.IntRange(0, 3).Draw(t, "kept") == 0 {
+			continue
+		}
+		left--
+		beside := of.kind == room.Core || rapid.IntRange(0, 2).Draw(t, "beside") > 0
+		newZone := zone
+		if beside && rapid.IntRange(0, 4).Draw(t, "moves") == 0 {
+			newZone = zones.Draw(t, "new zone")
+		}
+		grown := slots + float64(rapid.IntRange(0, 3).Draw(t, "grown")/2) - float64(rapid.IntRange(0, 9).Draw(t, "weaker")/9)
+		input.Replacements = append(input.Replacements, Replacement{
+			Old: old, New: node(of.kind, of.service, fmt.Sprintf("new-%d", number), newZone, grown), Surge: beside,
+			Times: Times{Warm: time.Duration(rapid.IntRange(1, 3).Draw(t, "warm")) * 10 * time.Second, Drain: 5 * time.Second},
+		})
+	}
+	input.Core.Hosts = rapid.IntRange(0, 1).Draw(t, "core hosts")
+	input.Core.Zones = rapid.IntRange(0, 1).Draw(t, "core zones")
+	if rapid.Bool().Draw(t, "few places") {
+		input.SurgeCapacity = map[SurgePool]int{}
+		for _, zone := range []string{"a", "b", "c"} {
+			input.SurgeCapacity[SurgePool{zone, room.Server}] = rapid.IntRange(0, 2).Draw(t, "places")
+		}
+	}
+	input.Demand = drawDemand(t)
+	if rapid.IntRange(0, 3).Draw(t, "window") == 0 {
+		input.Window = time.Duration(rapid.IntRange(30, 120).Draw(t, "seconds")) * time.Second
+	}
+	return input
+}
+
+func drawDemand(t *rapid.T) room.Profile {
+	loads := func(label string) []room.Load {
+		var all []room.Load
+		for _, group := range []room.Group{{Kind: room.Server, Service: "lm"}, {Kind: room.Server, Service: "plain"}, {Kind: room.Edge}} {
+			for _, region := range []string{"west", "east"} {
+				slots := float64(rapid.IntRange(0, 4).Draw(t, label))
+				one := room.Load{Region: region, Group: group, Required: room.Amount{room.Slots: slots, room.Prefill: 5 * slots}, CachedPrefill: 3 * slots}
+				if rapid.IntRange(0, 3).Draw(t, "pinned") == 0 {
+					one.HomeRegions = []string{region}
+				}
+				all = append(all, one)
+			}
+		}
+		return all
+	}
+	if rapid.Bool().Draw(t, "constant") {
+		return room.Constant(loads("slots"))
+	}
+	return room.Profile{Cycle: 100 * time.Second, Periods: []room.Period{
+		{Begin: 0, End: 60 * time.Second, Loads: loads("by day")},
+		{Begin: 60 * time.Second, End: 100 * time.Second, Loads: loads("by night")},
+	}}
+}
+
+// smallSite is a site of 11 model servers in 3 zones, with a core machine in each zone.
+func smallSite(beside bool) Input {
+	input := Input{
+		Headroom: room.Headroom{Margin: 0.2, Hosts: 1},
+		Core:     Core{Hosts: 1, Zones: 1},
+	}
+	for index := range 11 {
+		zone := []string{"a", "b", "c", "c", "a", "b", "c"}[index%7]
+		old := node(room.Server, "lm", fmt.Sprintf("old-%02d", index), zone, 64)
+		input.Nodes = append(input.Nodes, old)
+		input.Replacements = append(input.Replacements, Replacement{
+			Old: old, New: node(room.Server, "lm", fmt.Sprintf("new-%02d", index), zone, 64), Surge: beside,
+			Times: Times{Start: 10 * time.Second, Warm: 3 * time.Second, Drain: 15 * time.Second, Linger: time.Second, Stop: 5 * time.Second},
+		})
+	}
+	for _, zone := range []string{"a", "b", "c"} {
+		old := node(room.Core, "", "core-"+zone, zone, 0)
+		input.Nodes = append(input.Nodes, old)
+		input.Core.Voters = append(input.Core.Voters, Voter{ID: old.ID, Zone: zone})
+		input.Replacements = append(input.Replacements, Replacement{
+			Old: old, New: node(room.Core, "", "core-new-"+zone, zone, 0), Surge: true,
+			Times: Times{Start: 10 * time.Second, Warm: 5 * time.Second, Stop: 8 * time.Second},
+		})
+	}
+	lm := room.Group{Kind: room.Server, Service: "lm"}
+	input.Demand = room.Constant([]room.Load{
+		{Region: "west", Group: lm, Required: room.Amount{room.Slots: 200}},
+		{Region: "east", Group: lm, Required: room.Amount{room.Slots: 180}},
+	})
+	return input
+}
+
+// testingT is what a *testing.T and a *rapid.T have in common.
+type testingT interface {
+	require.TestingT
+	Helper()
+}
--- /dev/null
+++ b/internal/migration/plan/input_test.go
@@ -0,0 +1,38 @@
+package plan
+
+import (
+	"testing"
+
+	"github.com/cockroachdb/errors"
+	"github.com/stretchr/testify/require"
+
+	"fieldrelay/internal/migration/room"
+)
+
+func TestInputErrors(t *testing.T) {
+	cases := map[string]func(*Input){
+		"is listed twice":                func(input *Input) { input.Nodes = append(input.Nodes, input.Nodes[0]) },
+		"is not there":                   func(input *Input) { input.Replacements[0].Old.ID = "gone" },
+		"is there already":               func(input *Input) { input.Replacements[0].New.ID = "old-01" },
+		"is replaced twice":              func(input *Input) { input.Replacements[1].Old = input.Replacements[0].Old },
+		"replaces two nodes":             func(input *Input) { input.Replacements[1].New.ID = input.Replacements[0].New.ID },
+		"of another kind or service":     func(input *Input) { input.Replacements[0].New.Service = "plain" },
+		"place of a node in another":     func(input *Input) { input.Replacements[0].Surge, input.Replacements[0].New.Zone = false, "c" },
+		"to take no time":                func(input *Input) { input.Replacements[0].Times = Times{} },
+		"no contradiction, but no place": func(input *Input) { input.SurgeCapacity = map[SurgePool]int{{"a", room.Server}: 0} },
+	}
+	for reason, change := range cases {
+		t.Run(reason, func(t *testing.T) {
+			input := smallSite(true)
+			change(&input)
+			_, err := Make(input)
+			var contradiction *InputError
+			if reason == "no contradiction, but no place" {
+				require.False(t, errors.As(err, &contradiction))
+				return
+			}
+			require.True(t, errors.As(err, &contradiction), "%v", err)
+			require.Contains(t, contradiction.Error(), reason)
+		})
+	}
+}
