--- a/internal/migration/planfile/times.go
+++ b/internal/migration/planfile/defaulttimes.go
@@ -10,8 +10,8 @@
 
 // times gives the expected durations of a replacement: those of the file, else those that follow from the
 // configuration and the bounds in force.
-func (a *assembly) times(old *room.Node, one *Replacement) plan.Times {
-	usual := a.usualTimes(old)
+func (a *inputBuilder) times(old *room.Node, one *Replacement) plan.Times {
+	usual := a.defaultTimes(old)
 	return plan.Times{
 		Start:  durationOr(one.Start, usual.Start),
 		Warm:   durationOr(one.Warm, usual.Warm),
@@ -21,28 +21,28 @@
 	}
 }
 
-func (a *assembly) usualTimes(old *room.Node) plan.Times {
+func (a *inputBuilder) defaultTimes(old *room.Node) plan.Times {
 	bounds := &a.inventory.Settings.Bounds
-	times := plan.Times{Start: usualStart, Stop: bounds.Grace()}
+	times := plan.Times{Start: defaultStart, Stop: bounds.Grace()}
 	switch old.Kind {
 	case room.Server:
 		if service, found := a.table.Service(old.Service); found {
 			times.Warm = service.Warmup
 		}
-		times.Drain = a.longestReply(old.Service)
-		times.Linger = usualLinger
+		times.Drain = a.longestResponse(old.Service)
+		times.Linger = defaultLinger
 		times.Stop = bounds.DrainWithin() + a.inventory.Settings.CloudAPI.MaxLag()
 	case room.Edge:
-		times.Drain = a.longestReply("")
-		times.Linger = addressLives*bounds.TTLMax() + usualLinger
+		times.Drain = a.longestResponse("")
+		times.Linger = addressTTLs*bounds.TTLMax() + defaultLinger
 	case room.Core:
 		times.Warm = bounds.SyncFor()
 	}
 	return times
 }
 
-// longestReply is the longest that a request to a service may be held; to any, if the name is empty.
-func (a *assembly) longestReply(service string) time.Duration {
+// longestResponse is the longest that a request to a service may be held; to any, if the name is empty.
+func (a *inputBuilder) longestResponse(service string) time.Duration {
 	longest := time.Duration(0)
 	for _, item := range a.inventory.Snapshot.Items(catalog.KindRoutes) {
 		found, ok := a.table.Route(item.GetName())
--- a/internal/migration/planfile/golden_test.go
+++ b/internal/migration/planfile/golden_test.go
@@ -27,7 +27,7 @@
 // Guards the file that a reviewer has in hands: a plan is written with its remarks to the very bytes; a file of an
 // earlier program is read, written again to the very bytes, named by the same digest, and its stages hold.
 func TestGoldenPlanFile(t *testing.T) {
-	file, err := Parse([]byte(good))
+	file, err := Parse([]byte(wholeFile))
 	require.NoError(t, err)
 	input, err := file.Input(inventory(t))
 	require.NoError(t, err)
--- a/internal/migration/planfile/assemble.go
+++ b/internal/migration/planfile/input.go
@@ -16,10 +16,10 @@
 
 // Usual times where neither the file nor the configuration tells them.
 const (
-	usualStart  = 30 * time.Second // until a new node answers
-	usualLinger = time.Second      // on the way from a proxy to a server
-	// addressLives is how many times an address's time to live some clients keep it.
-	addressLives = 3
+	defaultStart  = 30 * time.Second // until a new node answers
+	defaultLinger = time.Second      // on the way from a proxy to a server
+	// addressTTLs is how many times an address's time to live some clients keep it.
+	addressTTLs = 3
 )
 
 // Inventory is what is known of the deployment.
@@ -33,12 +33,12 @@
 }
 
 // assembly joins a file and an inventory.
-type assembly struct {
-	file      *File
-	inventory *Inventory
-	table     *route.Table
-	nodes     []room.Node
-	addresses map[string]string // ids of servers by address
+type inputBuilder struct {
+	file        *File
+	inventory   *Inventory
+	table       *route.Table
+	nodes       []room.Node
+	idByAddress map[string]string // ids of servers by address
 }
 
 // Input makes the input of a planner. The error is a *plan.InputError if the file names what is not there, or a
@@ -47,16 +47,16 @@
 	if err := tomlfile.Join(formatName, f.validate()); err != nil {
 		return plan.Input{}, err
 	}
-	a := &assembly{file: f, inventory: inventory, addresses: make(map[string]string)}
-	a.compile()
+	a := &inputBuilder{file: f, inventory: inventory, idByAddress: make(map[string]string)}
+	a.compileRoutes()
 	a.addNodes()
 	begin, _ := parseTimeOfDay(f.Begin)
 	input := plan.Input{
 		Nodes:         a.nodes,
-		Headroom:      f.Bound(),
-		Core:          a.core(),
-		SurgeCapacity: a.places(),
-		BatchFraction: f.Share,
+		Headroom:      f.RequiredHeadroom(),
+		Core:          a.control(),
+		SurgeCapacity: a.surgeCapacity(),
+		BatchFraction: f.BatchFraction,
 		Begin:         begin,
 		Window:        durationOr(f.Window, 0),
 		Demand:        a.demand(),
@@ -68,16 +68,16 @@
 		}
 		input.Replacements = append(input.Replacements, replacement)
 	}
-	a.dropUntold(&input)
+	a.dropUnknownResources(&input)
 	return input, nil
 }
 
-// Bound is what must stay free.
-func (f *File) Bound() room.Headroom {
-	return room.Headroom{Margin: f.Room.Margin, Hosts: f.Room.Hosts, Zones: f.Room.Zones, Regions: f.Room.Regions}
+// RequiredHeadroom is what must stay free.
+func (f *File) RequiredHeadroom() room.Headroom {
+	return room.Headroom{Margin: f.Headroom.Margin, Hosts: f.Headroom.Hosts, Zones: f.Headroom.Zones, Regions: f.Headroom.Regions}
 }
 
-func (a *assembly) compile() {
+func (a *inputBuilder) compileRoutes() {
 	var items []*pb.Item
 	for _, kind := range []string{catalog.KindRoutes, catalog.KindBackends} {
 		items = append(items, a.inventory.Snapshot.Items(kind)...)
@@ -85,18 +85,18 @@
 	a.table, _ = route.FromItems(items) // what cannot be used does not serve
 }
 
-func (a *assembly) addNodes() {
+func (a *inputBuilder) addNodes() {
 	for _, listed := range a.inventory.Servers {
 		if listed.GetDraining() {
 			continue
 		}
-		node := a.server(listed)
-		a.addresses[listed.GetAddress()] = node.ID
+		node := a.serverNode(listed)
+		a.idByAddress[listed.GetAddress()] = node.ID
 		a.nodes = append(a.nodes, node)
 	}
 	for _, agent := range a.inventory.Agents {
 		node := room.Node{ID: agent.GetHost(), Kind: room.Edge, Zone: agent.GetZone(), Region: agent.GetRegion()}
-		node.Capacity = a.told(&node, false, node.Capacity)
+		node.Capacity = a.applyFileCapacity(&node, false, node.Capacity)
 		a.nodes = append(a.nodes, node)
 	}
 	for _, voter := range a.inventory.View.GetVoters() {
@@ -106,7 +106,7 @@
 	}
 }
 
-func (a *assembly) server(listed *pb.Server) room.Node {
+func (a *inputBuilder) serverNode(listed *pb.Server) room.Node {
 	node := room.Node{
 		ID:      listed.GetId(),
 		Kind:    room.Server,
@@ -123,12 +123,12 @@
 			node.Capacity[room.Memory] = float64(service.Runtime.CacheTokens)
 		}
 	}
-	node.Capacity = a.told(&node, false, node.Capacity)
+	node.Capacity = a.applyFileCapacity(&node, false, node.Capacity)
 	return node
 }
 
 // told puts in what the file tells of a node's capacity.
-func (a *assembly) told(node *room.Node, isNew bool, capacity room.Amount) room.Amount {
+func (a *inputBuilder) applyFileCapacity(node *room.Node, isNew bool, capacity room.Amount) room.Amount {
 	for index := range a.file.Capacities {
 		one := &a.file.Capacities[index]
 		if one.Kind != string(node.Kind) || one.Service != node.Service || (one.New && !isNew) {
@@ -141,7 +141,7 @@
 	return capacity
 }
 
-func (a *assembly) core() plan.Core {
+func (a *inputBuilder) control() plan.Core {
 	budget := a.inventory.Settings.FaultBudget
 	core := plan.Core{Hosts: budget.Hosts, Zones: budget.Zones}
 	for _, voter := range a.inventory.View.GetVoters() {
@@ -150,15 +150,15 @@
 	return core
 }
 
-func (a *assembly) places() map[plan.SurgePool]int {
+func (a *inputBuilder) surgeCapacity() map[plan.SurgePool]int {
 	places := make(map[plan.SurgePool]int)
-	for _, one := range a.file.Places {
+	for _, one := range a.file.SurgePools {
 		places[plan.SurgePool{Zone: one.Zone, Kind: room.Kind(one.Kind)}] = one.Free
 	}
 	return places
 }
 
-func (a *assembly) demand() room.Profile {
+func (a *inputBuilder) demand() room.Profile {
 	if len(a.file.Periods) == 0 {
 		return room.Constant(slices.Clone(a.inventory.Loads))
 	}
@@ -181,16 +181,16 @@
 		Region:        l.Region,
 		Group:         room.Group{Kind: room.Kind(l.Kind), Service: l.Service},
 		Model:         l.Model,
-		HomeRegions:   l.Homes,
+		HomeRegions:   l.HomeRegions,
 		Required:      l.amount(),
-		CachedPrefill: l.Saved,
+		CachedPrefill: l.CachedPrefill,
 	}
 }
 
-func (a *assembly) replacement(one *Replacement) (plan.Replacement, error) {
+func (a *inputBuilder) replacement(one *Replacement) (plan.Replacement, error) {
 	id := one.Old
 	if one.Kind == string(room.Server) {
-		id = cmp.Or(a.addresses[one.Old], one.Old)
+		id = cmp.Or(a.idByAddress[one.Old], one.Old)
 	}
 	index := slices.IndexFunc(a.nodes, func(node room.Node) bool { return node.ID == id && string(node.Kind) == one.Kind })
 	if index < 0 {
@@ -201,12 +201,12 @@
 	next.ID = one.New
 	next.Zone = cmp.Or(one.Zone, old.Zone)
 	next.Region = cmp.Or(a.inventory.Settings.RegionOf(next.Zone), old.Region)
-	next.Capacity = a.told(&next, true, old.Capacity)
-	return plan.Replacement{Old: old, New: next, Surge: one.Beside, Times: a.times(&old, one)}, nil
+	next.Capacity = a.applyFileCapacity(&next, true, old.Capacity)
+	return plan.Replacement{Old: old, New: next, Surge: one.Surge, Times: a.times(&old, one)}, nil
 }
 
-// dropUntold leaves resources out of the demand on a group of which no node's capacity is told.
-func (a *assembly) dropUntold(input *plan.Input) {
+// dropUnknownResources leaves resources out of the demand on a group of which no node's capacity is told.
+func (a *inputBuilder) dropUnknownResources(input *plan.Input) {
 	told := make(map[room.Group]room.Amount)
 	for index := range a.nodes {
 		group := a.nodes[index].Group()
--- a/internal/migration/planfile/stages.go
+++ b/internal/migration/planfile/plan.go
@@ -19,7 +19,7 @@
 	planned := *f
 	planned.Stages = nil
 	for _, stage := range made.Stages {
-		written := Stage{Begin: formatTime(stage.Begin), Lasts: stage.Duration.String()}
+		written := Stage{Begin: formatTime(stage.Begin), Duration: stage.Duration.String()}
 		for _, one := range stage.Replacements {
 			written.Replace = append(written.Replace, f.nameOf(&one))
 		}
@@ -42,10 +42,10 @@
 func (f *File) Plan(input plan.Input) (*plan.Plan, error) {
 	made := &plan.Plan{Begin: input.Begin, End: input.Begin}
 	for _, written := range f.Stages {
-		stage := plan.Stage{Duration: durationOr(written.Lasts, 0)}
+		stage := plan.Stage{Duration: durationOr(written.Duration, 0)}
 		stage.Begin, _ = parseTimeOfDay(written.Begin)
 		for _, name := range written.Replace {
-			stage.Replacements = append(stage.Replacements, f.named(name, input.Replacements)...)
+			stage.Replacements = append(stage.Replacements, f.replacementNamed(name, input.Replacements)...)
 		}
 		made.End = stage.Begin + stage.Duration
 		made.Stages = append(made.Stages, stage)
@@ -57,7 +57,7 @@
 }
 
 // named finds the replacement whose old node the file names so. Replacements lie in the order of the file.
-func (f *File) named(name string, replacements []plan.Replacement) []plan.Replacement {
+func (f *File) replacementNamed(name string, replacements []plan.Replacement) []plan.Replacement {
 	index := slices.IndexFunc(f.Replacements, func(one Replacement) bool { return one.Old == name })
 	if index < 0 || index >= len(replacements) {
 		return nil
@@ -124,12 +124,12 @@
 			fmt.Fprintf(buffer, "#     hand-over: old first; the new one is up in %s, warm in %s\n", times.Start, times.Warm)
 		}
 		fmt.Fprintf(buffer, "#     drain: replies up to %s, %s on their way\n", times.Drain, times.Linger)
-		fmt.Fprintf(buffer, "#     check: all proxies confirmed, no reply open, new node ready%s\n", orAfter(one.Surge))
+		fmt.Fprintf(buffer, "#     check: all proxies confirmed, no reply open, new node ready%s\n", checkSuffix(one.Surge))
 		fmt.Fprintf(buffer, "#     way back: the old node serves again at once, until it may be stopped (%s)\n", times.Stop.Round(time.Millisecond))
 	}
 }
 
-func orAfter(beside bool) string {
+func checkSuffix(beside bool) string {
 	if beside {
 		return ""
 	}
--- a/internal/migration/planfile/planfile_test.go
+++ b/internal/migration/planfile/planfile_test.go
@@ -14,7 +14,7 @@
 	"fieldrelay/internal/settings"
 )
 
-const good = `name = "rack-b"
+const wholeFile = `name = "rack-b"
 begin = "21:30"
 window = "6h"
 
@@ -93,17 +93,17 @@
 slots = 200
 `
 
-func TestFaultsByKeyAndPlace(t *testing.T) {
+func TestFaultsNameKeyAndLine(t *testing.T) {
 	cases := map[string]struct {
 		content string
 		want    []string
 	}{
 		"not TOML":       {"name = \n", []string{"line 1"}},
 		"nothing":        {"", []string{"begin: cannot be blank", "name: cannot be blank", "replace: cannot be blank"}},
-		"a key unknown":  {good + "[[replace]]\nkind=\"core\"\nold=\"a\"\nnew=\"b\"\nbesides = true\n", []string{"line 82: replace[4].besides: is not known"}},
-		"of wrong types": {"name = 3\nbegin = true\n" + good[len("name = \"rack-b\"\nbegin = \"21:30\"\n"):], []string{"line 1: name: ", "line 2: begin: "}},
+		"a key unknown":  {wholeFile + "[[replace]]\nkind=\"core\"\nold=\"a\"\nnew=\"b\"\nbesides = true\n", []string{"line 82: replace[4].besides: is not known"}},
+		"of wrong types": {"name = 3\nbegin = true\n" + wholeFile[len("name = \"rack-b\"\nbegin = \"21:30\"\n"):], []string{"line 1: name: ", "line 2: begin: "}},
 		"a wrong value and a wrong type": {
-			good[:len(good)-len("slots = 200\n")] + "slots = \"many\"\n[[stage]]\nbegin = \"x\"\nlasts = \"1s\"\nreplace = [\"i-2\", \"i-2\", \"zz\"]\n",
+			wholeFile[:len(wholeFile)-len("slots = 200\n")] + "slots = \"many\"\n[[stage]]\nbegin = \"x\"\nlasts = \"1s\"\nreplace = [\"i-2\", \"i-2\", \"zz\"]\n",
 			[]string{
 				`line 33: replace[0].old: "10.1.0.9:80" is in no stage`,
 				`line 46: replace[2].old: "core-1" is in no stage`,
@@ -189,7 +189,7 @@
 }
 
 func TestInput(t *testing.T) {
-	file, err := Parse([]byte(good))
+	file, err := Parse([]byte(wholeFile))
 	require.NoError(t, err)
 	input, err := file.Input(inventory(t))
 	require.NoError(t, err)
@@ -228,8 +228,8 @@
 	require.Equal(t, "nowhere", contradiction.Node)
 }
 
-func TestPlanIsWrittenReadAndCheckedAgain(t *testing.T) {
-	file, err := Parse([]byte(good))
+func TestPlanIsWrittenReadAndVerified(t *testing.T) {
+	file, err := Parse([]byte(wholeFile))
 	require.NoError(t, err)
 	input, err := file.Input(inventory(t))
 	require.NoError(t, err)
--- a/internal/migration/planfile/schema.go
+++ b/internal/migration/planfile/schema.go
@@ -5,28 +5,28 @@
 // File is the content of a migration's file. Times are texts: "15:04" or "15:04:05" of the day, and durations
 // such as "1m30s".
 type File struct {
-	Name         string        `toml:"name"`
-	Begin        string        `toml:"begin"`            // time of day
-	Window       string        `toml:"window,omitempty"` // from begin, in which all must be done; empty: any time
-	Share        float64       `toml:"share,omitempty"`  // largest part of a service in a region that a stage replaces
-	Room         Room          `toml:"room"`
-	Places       []Place       `toml:"place,omitempty"`
-	Capacities   []Capacity    `toml:"capacity,omitempty"`
-	Replacements []Replacement `toml:"replace"`
-	Periods      []Period      `toml:"period,omitempty"`
-	Stages       []Stage       `toml:"stage,omitempty"`
+	Name          string        `toml:"name"`
+	Begin         string        `toml:"begin"`            // time of day
+	Window        string        `toml:"window,omitempty"` // from begin, in which all must be done; empty: any time
+	BatchFraction float64       `toml:"share,omitempty"`  // largest part of a service in a region that a stage replaces
+	Headroom      Headroom      `toml:"room"`
+	SurgePools    []SurgePool   `toml:"place,omitempty"`
+	Capacities    []Capacity    `toml:"capacity,omitempty"`
+	Replacements  []Replacement `toml:"replace"`
+	Periods       []Period      `toml:"period,omitempty"`
+	Stages        []Stage       `toml:"stage,omitempty"`
 }
 
-// Room is what must stay free.
-type Room struct {
+// Headroom is what must stay free.
+type Headroom struct {
 	Margin  float64 `toml:"margin"` // part of the demand
 	Hosts   int     `toml:"hosts-lost"`
 	Zones   int     `toml:"zones-lost"`
 	Regions int     `toml:"regions-lost"`
 }
 
-// Place tells how many nodes can run in a zone beside those that are there.
-type Place struct {
+// SurgePool tells how many nodes can run in a zone beside those that are there.
+type SurgePool struct {
 	Zone string `toml:"zone"`
 	Kind string `toml:"kind"`
 	Free int    `toml:"free"`
@@ -36,8 +36,8 @@
 type Amounts struct {
 	Slots       float64 `toml:"slots,omitempty"`
 	Memory      float64 `toml:"memory,omitempty"`
-	Reading     float64 `toml:"reading,omitempty"`
-	Writing     float64 `toml:"writing,omitempty"`
+	Prefill     float64 `toml:"reading,omitempty"`
+	Decode      float64 `toml:"writing,omitempty"`
 	Requests    float64 `toml:"requests,omitempty"`
 	Connections float64 `toml:"connections,omitempty"`
 }
@@ -46,8 +46,8 @@
 	return room.Amount{
 		room.Slots:       a.Slots,
 		room.Memory:      a.Memory,
-		room.Prefill:     a.Reading,
-		room.Decode:      a.Writing,
+		room.Prefill:     a.Prefill,
+		room.Decode:      a.Decode,
 		room.Requests:    a.Requests,
 		room.Connections: a.Connections,
 	}
@@ -65,11 +65,11 @@
 // Replacement names a node that goes and the one that comes. Servers are named by address (or, the old one, by
 // incarnation), machines by host.
 type Replacement struct {
-	Kind   string `toml:"kind"`
-	Old    string `toml:"old"`
-	New    string `toml:"new"`
-	Zone   string `toml:"zone,omitempty"` // of the new node; empty: as the old one
-	Beside bool   `toml:"beside"`         // both can run at once
+	Kind  string `toml:"kind"`
+	Old   string `toml:"old"`
+	New   string `toml:"new"`
+	Zone  string `toml:"zone,omitempty"` // of the new node; empty: as the old one
+	Surge bool   `toml:"beside"`         // both can run at once
 	// Expected times, empty for the usual ones.
 	Start string `toml:"start,omitempty"`
 	Warm  string `toml:"warm,omitempty"`
@@ -86,18 +86,18 @@
 
 // Load is what the clients of a region ask of a service, or of the edge machines.
 type Load struct {
-	Region  string   `toml:"region"`
-	Kind    string   `toml:"kind"`
-	Service string   `toml:"service,omitempty"`
-	Model   string   `toml:"model,omitempty"`
-	Homes   []string `toml:"homes,omitempty"`
-	Saved   float64  `toml:"saved,omitempty"` // prompt tokens a second that kept prompts save
+	Region        string   `toml:"region"`
+	Kind          string   `toml:"kind"`
+	Service       string   `toml:"service,omitempty"`
+	Model         string   `toml:"model,omitempty"`
+	HomeRegions   []string `toml:"homes,omitempty"`
+	CachedPrefill float64  `toml:"saved,omitempty"` // prompt tokens a second that kept prompts save
 	Amounts
 }
 
 // Stage is a stage of a plan. Replacements are named by their old nodes.
 type Stage struct {
-	Begin   string   `toml:"begin"` // since the midnight before the file's begin; may pass 24:00:00
-	Lasts   string   `toml:"lasts"`
-	Replace []string `toml:"replace"`
+	Begin    string   `toml:"begin"` // since the midnight before the file's begin; may pass 24:00:00
+	Duration string   `toml:"lasts"`
+	Replace  []string `toml:"replace"`
 }
--- a/internal/migration/planfile/validate.go
+++ b/internal/migration/planfile/validate.go
@@ -17,50 +17,50 @@
 
 const day = 24 * time.Hour
 
-// mostLost bounds the losses that are tried in all combinations.
-const mostLost = 3
+// maxFailures bounds the losses that are tried in all combinations.
+const maxFailures = 3
 
 var (
-	text      = []validation.Rule{validation.Required}
-	kind      = []validation.Rule{validation.Required, validation.In(string(room.Server), string(room.Edge), string(room.Core))}
-	serving   = []validation.Rule{validation.Required, validation.In(string(room.Server), string(room.Edge))}
-	ofDay     = []validation.Rule{validation.Required, validation.By(isTimeOfDay)}
-	duration  = []validation.Rule{validation.By(isDuration)}
-	figure    = []validation.Rule{validation.By(isFigure), validation.Min(0.0)}
-	part      = []validation.Rule{validation.By(isFigure), validation.Min(0.0), validation.Max(1.0)}
-	lost      = []validation.Rule{validation.Min(0), validation.Max(mostLost)}
-	count     = []validation.Rule{validation.Min(0)}
-	needed    = []validation.Rule{validation.Required}
-	names     = []validation.Rule{validation.Required, validation.Each(validation.Required)}
-	stageTime = []validation.Rule{validation.Required, validation.By(isStageTime)}
+	required         = []validation.Rule{validation.Required}
+	nodeKind         = []validation.Rule{validation.Required, validation.In(string(room.Server), string(room.Edge), string(room.Core))}
+	servingKind      = []validation.Rule{validation.Required, validation.In(string(room.Server), string(room.Edge))}
+	timeOfDay        = []validation.Rule{validation.Required, validation.By(isTimeOfDay)}
+	optionalDuration = []validation.Rule{validation.By(isDuration)}
+	nonNegative      = []validation.Rule{validation.By(isFinite), validation.Min(0.0)}
+	fraction         = []validation.Rule{validation.By(isFinite), validation.Min(0.0), validation.Max(1.0)}
+	failures         = []validation.Rule{validation.Min(0), validation.Max(maxFailures)}
+	nonNegativeCount = []validation.Rule{validation.Min(0)}
+	needed           = []validation.Rule{validation.Required}
+	nonEmptyNames    = []validation.Rule{validation.Required, validation.Each(validation.Required)}
+	stageTime        = []validation.Rule{validation.Required, validation.By(isStageTime)}
 )
 
 // checker collects the faults of a file, without their lines.
-type checker struct{ faults []*tomlfile.Fault }
+type validator struct{ faults []*tomlfile.Fault }
 
-func (c *checker) check(key string, value any, rules []validation.Rule) {
+func (c *validator) check(key string, value any, rules []validation.Rule) {
 	if err := validation.Validate(value, rules...); err != nil {
 		c.add(key, err.Error())
 	}
 }
 
-func (c *checker) add(key, reason string) {
+func (c *validator) add(key, reason string) {
 	c.faults = append(c.faults, &tomlfile.Fault{Key: key, Reason: reason})
 }
 
 func (f *File) validate() []*tomlfile.Fault {
-	c := &checker{}
-	c.check("name", f.Name, text)
-	c.check("begin", f.Begin, ofDay)
-	c.check("window", f.Window, duration)
-	c.check("share", f.Share, part)
-	c.check("room.margin", f.Room.Margin, figure)
-	c.check("room.hosts-lost", f.Room.Hosts, lost)
-	c.check("room.zones-lost", f.Room.Zones, lost)
-	c.check("room.regions-lost", f.Room.Regions, lost)
+	c := &validator{}
+	c.check("name", f.Name, required)
+	c.check("begin", f.Begin, timeOfDay)
+	c.check("window", f.Window, optionalDuration)
+	c.check("share", f.BatchFraction, fraction)
+	c.check("room.margin", f.Headroom.Margin, nonNegative)
+	c.check("room.hosts-lost", f.Headroom.Hosts, failures)
+	c.check("room.zones-lost", f.Headroom.Zones, failures)
+	c.check("room.regions-lost", f.Headroom.Regions, failures)
 	c.check("replace", f.Replacements, needed)
-	for index := range f.Places {
-		c.place(fmt.Sprintf("place[%d].", index), &f.Places[index])
+	for index := range f.SurgePools {
+		c.surgePool(fmt.Sprintf("place[%d].", index), &f.SurgePools[index])
 	}
 	for index := range f.Capacities {
 		c.capacity(fmt.Sprintf("capacity[%d].", index), &f.Capacities[index])
@@ -71,63 +71,63 @@
 	return c.faults
 }
 
-func (c *checker) place(key string, place *Place) {
-	c.check(key+"zone", place.Zone, text)
-	c.check(key+"kind", place.Kind, kind)
-	c.check(key+"free", place.Free, count)
+func (c *validator) surgePool(key string, place *SurgePool) {
+	c.check(key+"zone", place.Zone, required)
+	c.check(key+"kind", place.Kind, nodeKind)
+	c.check(key+"free", place.Free, nonNegativeCount)
 }
 
-func (c *checker) capacity(key string, capacity *Capacity) {
-	c.check(key+"kind", capacity.Kind, serving)
+func (c *validator) capacity(key string, capacity *Capacity) {
+	c.check(key+"kind", capacity.Kind, servingKind)
 	c.service(key, capacity.Kind, capacity.Service)
 	c.amounts(key, &capacity.Amounts)
 }
 
 // service checks that a service is named for servers, and only for them.
-func (c *checker) service(key, kind, service string) {
+func (c *validator) service(key, kind, service string) {
 	if (kind == string(room.Server)) != (service != "") && kind != "" {
 		c.add(key+"service", "must be named for servers, and for nothing else")
 	}
 }
 
-func (c *checker) amounts(key string, amounts *Amounts) {
+func (c *validator) amounts(key string, amounts *Amounts) {
 	for resource, value := range amounts.amount() {
-		c.check(key+room.Resource(resource).String(), value, figure)
+		c.check(key+room.Resource(resource).String(), value, nonNegative)
 	}
 }
 
-func (c *checker) replacements(replacements []Replacement) {
+func (c *validator) replacements(replacements []Replacement) {
 	used := make(map[string]bool)
 	for index := range replacements {
 		one := &replacements[index]
 		key := fmt.Sprintf("replace[%d].", index)
-		c.check(key+"kind", one.Kind, kind)
-		c.check(key+"old", one.Old, text)
-		c.check(key+"new", one.New, text)
-		c.check(key+"start", one.Start, duration)
-		c.check(key+"warm", one.Warm, duration)
-		c.check(key+"drain", one.Drain, duration)
-		c.check(key+"stop", one.Stop, duration)
+		c.check(key+"kind", one.Kind, nodeKind)
+		c.check(key+"old", one.Old, required)
+		c.check(key+"new", one.New, required)
+		c.check(key+"start", one.Start, optionalDuration)
+		c.check(key+"warm", one.Warm, optionalDuration)
+		c.check(key+"drain", one.Drain, optionalDuration)
+		c.check(key+"stop", one.Stop, optionalDuration)
 		for _, named := range []struct{ member, name string }{{"old", one.Old}, {"new", one.New}} {
 			if named.name != "" && used[named.name] {
 				c.add(key+named.member, fmt.Sprintf("%q is named twice", named.name))
 			}
 			used[named.name] = true
 		}
-		if !one.Beside && one.Zone != "" {
+		if !one.Surge && one.Zone != "" {
 			c.add(key+"zone", "must not be told of a node that takes the place of the old one")
 		}
 	}
 }
 
 // periods checks that the day is covered without gaps.
-func (c *checker) periods(periods []Period) {
+func (c *validator) periods(periods []Period) {
 	end := time.Duration(0)
 	for index := range periods {
 		one := &periods[index]
 		key := fmt.Sprintf("period[%d].", index)
-		c.check(key+"from", one.From, ofDay)
-		c.check(key+"until", one.Until, ofDay)
+		c.check(key+"from", one.From, timeOfDay)
+		c.check(key+"until", one.Until, timeOfDay)
 		for position := range one.Loads {
 			c.load(fmt.Sprintf("%sload[%d].", key, position), &one.Loads[position])
 		}
@@ -146,16 +146,16 @@
 	}
 }
 
-func (c *checker) load(key string, load *Load) {
-	c.check(key+"region", load.Region, text)
-	c.check(key+"kind", load.Kind, serving)
+func (c *validator) load(key string, load *Load) {
+	c.check(key+"region", load.Region, required)
+	c.check(key+"kind", load.Kind, servingKind)
 	c.service(key, load.Kind, load.Service)
-	c.check(key+"saved", load.Saved, figure)
+	c.check(key+"saved", load.CachedPrefill, nonNegative)
 	c.amounts(key, &load.Amounts)
 }
 
 // stages checks that the stages, if there are any, make every replacement once.
-func (c *checker) stages(f *File) {
+func (c *validator) stages(f *File) {
 	if len(f.Stages) == 0 {
 		return
 	}
@@ -164,8 +164,8 @@
 		one := &f.Stages[index]
 		key := fmt.Sprintf("stage[%d].", index)
 		c.check(key+"begin", one.Begin, stageTime)
-		c.check(key+"lasts", one.Lasts, duration)
-		c.check(key+"replace", one.Replace, names)
+		c.check(key+"lasts", one.Duration, optionalDuration)
+		c.check(key+"replace", one.Replace, nonEmptyNames)
 		for _, old := range one.Replace {
 			if slices.Contains(planned, old) {
 				c.add(key+"replace", fmt.Sprintf("%q is replaced twice", old))
@@ -183,7 +183,7 @@
 	}
 }
 
-func isFigure(value any) error {
+func isFinite(value any) error {
 	number := value.(float64)
 	if math.IsNaN(number) || math.IsInf(number, 0) {
 		return errors.New("must be a finite number")
