--- a/internal/migration/planfile/defaulttimes.go
+++ b/internal/migration/planfile/defaulttimes.go
@@ -8,32 +8,42 @@
 	"fieldrelay/internal/migration/room"
 )
 
-// times gives the expected durations of a replacement: those of the file, else those that follow from the
-// configuration and the bounds in force.
-func (a *inputBuilder) times(old *room.Node, one *Replacement) plan.Times {
-	usual := a.defaultTimes(old)
+// Durations that neither the file nor the configuration gives.
+const (
+	defaultStart  = 30 * time.Second // until a new node answers
+	defaultLinger = time.Second      // of a request on its way from a proxy to a server
+	// addressTTLs is for how many times the time to live of an edge address some clients keep using it.
+	addressTTLs = 3
+)
+
+// times returns the expected durations of a replacement: those of the file, else the defaults.
+func (b *inputBuilder) times(old *room.Node, one *Replacement) plan.Times {
+	defaults := b.defaultTimes(old)
 	return plan.Times{
-		Start:  durationOr(one.Start, usual.Start),
-		Warm:   durationOr(one.Warm, usual.Warm),
-		Drain:  durationOr(one.Drain, usual.Drain),
-		Linger: usual.Linger,
-		Stop:   durationOr(one.Stop, usual.Stop),
+		Start:  durationOr(one.Start, defaults.Start),
+		Warm:   durationOr(one.Warm, defaults.Warm),
+		Drain:  durationOr(one.Drain, defaults.Drain),
+		Linger: defaults.Linger,
+		Stop:   durationOr(one.Stop, defaults.Stop),
 	}
 }
 
-func (a *inputBuilder) defaultTimes(old *room.Node) plan.Times {
-	bounds := &a.inventory.Settings.Bounds
+// defaultTimes returns durations that follow from the configuration and the bounds in force. Clients keep the address of
+// an edge machine for a few times its time to live, and the machine lingers that long, so that no response is cut off
+// when it stops.
+func (b *inputBuilder) defaultTimes(old *room.Node) plan.Times {
+	bounds := &b.inventory.Settings.Bounds
 	times := plan.Times{Start: defaultStart, Stop: bounds.Grace()}
 	switch old.Kind {
 	case room.Server:
-		if service, found := a.table.Service(old.Service); found {
+		if service, found := b.table.Service(old.Service); found {
 			times.Warm = service.Warmup
 		}
-		times.Drain = a.longestResponse(old.Service)
+		times.Drain = b.longestResponse(old.Service)
 		times.Linger = defaultLinger
-		times.Stop = bounds.DrainWithin() + a.inventory.Settings.CloudAPI.MaxLag()
+		times.Stop = bounds.DrainWithin() + b.inventory.Settings.CloudAPI.MaxLag()
 	case room.Edge:
-		times.Drain = a.longestResponse("")
+		times.Drain = b.longestResponse("")
 		times.Linger = addressTTLs*bounds.TTLMax() + defaultLinger
 	case room.Core:
 		times.Warm = bounds.SyncFor()
@@ -41,26 +51,15 @@
 	return times
 }
 
-// longestResponse is the longest that a request to a service may be held; to any, if the name is empty.
-func (a *inputBuilder) longestResponse(service string) time.Duration {
+// longestResponse returns the longest deadline of the routes that lead to a service, or of all routes if the name is
+// empty: no response takes longer.
+func (b *inputBuilder) longestResponse(service string) time.Duration {
 	longest := time.Duration(0)
-	for _, item := range a.inventory.Snapshot.Items(catalog.KindRoutes) {
-		found, ok := a.table.Route(item.GetName())
+	for _, item := range b.inventory.Snapshot.Items(catalog.KindRoutes) {
+		found, ok := b.table.Route(item.GetName())
 		if ok && (service == "" || found.LeadsTo(service)) {
 			longest = max(longest, found.Deadline)
 		}
 	}
 	return longest
 }
-
-// durationOr reads a duration of a checked file; empty stands for the usual one.
-func durationOr(value string, usual time.Duration) time.Duration {
-	if value == "" {
-		return usual
-	}
-	parsed, err := time.ParseDuration(value)
-	if err != nil {
-		return usual
-	}
-	return parsed
-}
--- a/internal/migration/planfile/golden_test.go
+++ b/internal/migration/planfile/golden_test.go
@@ -24,8 +24,8 @@
 	return string(content)
 }
 
-// Guards the file that a reviewer has in hands: a plan is written with its remarks to the very bytes; a file of an
-// earlier program is read, written again to the very bytes, named by the same digest, and its stages hold.
+// Guards the file as reviewers and earlier programs know it: a plan is written with its comments to the same bytes; a file
+// of an earlier program is read, written again to the same bytes, has the same digest, and its stages are verified.
 func TestGoldenPlanFile(t *testing.T) {
 	file, err := Parse([]byte(wholeFile))
 	require.NoError(t, err)
--- a/internal/migration/planfile/input.go
+++ b/internal/migration/planfile/input.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/catalog"
@@ -14,14 +13,6 @@
 	"fieldrelay/internal/tomlfile"
 )
 
-// Usual times where neither the file nor the configuration tells them.
-const (
-	defaultStart  = 30 * time.Second // until a new node answers
-	defaultLinger = time.Second      // on the way from a proxy to a server
-	// addressTTLs is how many times an address's time to live some clients keep it.
-	addressTTLs = 3
-)
-
 // Inventory is what is known of the deployment.
 type Inventory struct {
 	Settings *settings.Settings
@@ -29,108 +20,113 @@
 	Servers  []*pb.Server
 	Agents   []*pb.AgentRecord
 	View     *pb.View
-	Loads    []room.Load // as measured, for a file without periods
+	Loads    []room.Load // as measured; used by a file without periods
 }
 
-// assembly joins a file and an inventory.
+// inputBuilder makes the input of a planner from a file and an inventory.
 type inputBuilder struct {
 	file        *File
 	inventory   *Inventory
 	table       *route.Table
 	nodes       []room.Node
-	idByAddress map[string]string // ids of servers by address
+	idByAddress map[string]string // of servers
 }
 
-// Input makes the input of a planner. The error is a *plan.InputError if the file names what is not there, or a
-// *FaultsError if it was not checked.
+// Input makes the input of a planner. The error is a *plan.InputError if the file names a node that does not exist, or a
+// *FaultsError if the file is at fault.
 func (f *File) Input(inventory *Inventory) (plan.Input, error) {
 	if err := tomlfile.Join(formatName, f.validate()); err != nil {
 		return plan.Input{}, err
 	}
-	a := &inputBuilder{file: f, inventory: inventory, idByAddress: make(map[string]string)}
-	a.compileRoutes()
-	a.addNodes()
+	b := &inputBuilder{file: f, inventory: inventory, idByAddress: make(map[string]string)}
+	b.compileRoutes()
+	b.addNodes()
 	begin, _ := parseTimeOfDay(f.Begin)
 	input := plan.Input{
-		Nodes:         a.nodes,
+		Nodes:         b.nodes,
 		Headroom:      f.RequiredHeadroom(),
-		Core:          a.control(),
-		SurgeCapacity: a.surgeCapacity(),
+		Core:          b.control(),
+		SurgeCapacity: b.surgeCapacity(),
 		BatchFraction: f.BatchFraction,
 		Begin:         begin,
 		Window:        durationOr(f.Window, 0),
-		Demand:        a.demand(),
+		Demand:        b.demand(),
 	}
 	for index := range f.Replacements {
-		replacement, err := a.replacement(&f.Replacements[index])
+		replacement, err := b.replacement(&f.Replacements[index])
 		if err != nil {
 			return plan.Input{}, err
 		}
 		input.Replacements = append(input.Replacements, replacement)
 	}
-	a.dropUnknownResources(&input)
+	b.dropUnknownResources(&input)
 	return input, nil
 }
 
-// RequiredHeadroom is what must stay free.
+// RequiredHeadroom returns the capacity that must stay free.
 func (f *File) RequiredHeadroom() room.Headroom {
 	return room.Headroom{Margin: f.Headroom.Margin, Hosts: f.Headroom.Hosts, Zones: f.Headroom.Zones, Regions: f.Headroom.Regions}
 }
 
-func (a *inputBuilder) compileRoutes() {
+// compileRoutes compiles the routes and services in force. Items that cannot be compiled are left out, as the proxies do:
+// they serve nothing.
+func (b *inputBuilder) compileRoutes() {
 	var items []*pb.Item
 	for _, kind := range []string{catalog.KindRoutes, catalog.KindBackends} {
-		items = append(items, a.inventory.Snapshot.Items(kind)...)
+		items = append(items, b.inventory.Snapshot.Items(kind)...)
 	}
-	a.table, _ = route.FromItems(items) // what cannot be used does not serve
+	b.table, _ = route.FromItems(items)
 }
 
-func (a *inputBuilder) addNodes() {
-	for _, listed := range a.inventory.Servers {
+// addNodes lists the nodes that serve now. A draining server is on its way out and gets nothing new: it is left out.
+func (b *inputBuilder) addNodes() {
+	for _, listed := range b.inventory.Servers {
 		if listed.GetDraining() {
 			continue
 		}
-		node := a.serverNode(listed)
-		a.idByAddress[listed.GetAddress()] = node.ID
-		a.nodes = append(a.nodes, node)
+		node := b.serverNode(listed)
+		b.idByAddress[listed.GetAddress()] = node.ID
+		b.nodes = append(b.nodes, node)
 	}
-	for _, agent := range a.inventory.Agents {
+	for _, agent := range b.inventory.Agents {
 		node := room.Node{ID: agent.GetHost(), Kind: room.Edge, Zone: agent.GetZone(), Region: agent.GetRegion()}
-		node.Capacity = a.applyFileCapacity(&node, false, node.Capacity)
-		a.nodes = append(a.nodes, node)
+		node.Capacity = b.applyFileCapacity(&node, false, node.Capacity)
+		b.nodes = append(b.nodes, node)
 	}
-	for _, voter := range a.inventory.View.GetVoters() {
-		a.nodes = append(a.nodes, room.Node{
+	for _, voter := range b.inventory.View.GetVoters() {
+		b.nodes = append(b.nodes, room.Node{
 			ID: voter.GetHost(), Kind: room.Core, Zone: voter.GetZone(), Region: voter.GetRegion(),
 		})
 	}
 }
 
-func (a *inputBuilder) serverNode(listed *pb.Server) room.Node {
+// serverNode returns the node of a server. Its capacity is what the server list says, overridden by the service's runtime
+// and then by the file.
+func (b *inputBuilder) serverNode(listed *pb.Server) room.Node {
 	node := room.Node{
 		ID:      listed.GetId(),
 		Kind:    room.Server,
 		Zone:    listed.GetZone(),
-		Region:  a.inventory.Settings.RegionOf(listed.GetZone()),
+		Region:  b.inventory.Settings.RegionOf(listed.GetZone()),
 		Service: listed.GetService(),
 		Models:  slices.Sorted(slices.Values(listed.GetModels())),
 	}
 	node.Capacity[room.Slots] = float64(listed.GetCapacity())
-	if service, found := a.table.Service(node.Service); found {
+	if service, found := b.table.Service(node.Service); found {
 		node.Capacity[room.Connections] = float64(service.MaxConnections)
 		if service.Runtime != nil {
 			node.Capacity[room.Slots] = cmp.Or(float64(service.Runtime.Capacity), node.Capacity[room.Slots])
 			node.Capacity[room.Memory] = float64(service.Runtime.CacheTokens)
 		}
 	}
-	node.Capacity = a.applyFileCapacity(&node, false, node.Capacity)
+	node.Capacity = b.applyFileCapacity(&node, false, node.Capacity)
 	return node
 }
 
-// told puts in what the file tells of a node's capacity.
-func (a *inputBuilder) applyFileCapacity(node *room.Node, isNew bool, capacity room.Amount) room.Amount {
-	for index := range a.file.Capacities {
-		one := &a.file.Capacities[index]
+// applyFileCapacity overrides a capacity with the amounts that the file gives for the node.
+func (b *inputBuilder) applyFileCapacity(node *room.Node, isNew bool, capacity room.Amount) room.Amount {
+	for index := range b.file.Capacities {
+		one := &b.file.Capacities[index]
 		if one.Kind != string(node.Kind) || one.Service != node.Service || (one.New && !isNew) {
 			continue
 		}
@@ -141,30 +137,32 @@
 	return capacity
 }
 
-func (a *inputBuilder) control() plan.Core {
-	budget := a.inventory.Settings.FaultBudget
+// control returns the voters in force with the fault budget of the settings.
+func (b *inputBuilder) control() plan.Core {
+	budget := b.inventory.Settings.FaultBudget
 	core := plan.Core{Hosts: budget.Hosts, Zones: budget.Zones}
-	for _, voter := range a.inventory.View.GetVoters() {
+	for _, voter := range b.inventory.View.GetVoters() {
 		core.Voters = append(core.Voters, plan.Voter{ID: voter.GetHost(), Zone: voter.GetZone()})
 	}
 	return core
 }
 
-func (a *inputBuilder) surgeCapacity() map[plan.SurgePool]int {
+func (b *inputBuilder) surgeCapacity() map[plan.SurgePool]int {
 	places := make(map[plan.SurgePool]int)
-	for _, one := range a.file.SurgePools {
+	for _, one := range b.file.SurgePools {
 		places[plan.SurgePool{Zone: one.Zone, Kind: room.Kind(one.Kind)}] = one.Free
 	}
 	return places
 }
 
-func (a *inputBuilder) demand() room.Profile {
-	if len(a.file.Periods) == 0 {
-		return room.Constant(slices.Clone(a.inventory.Loads))
+// demand returns the periods of the file, or the measured loads as constant demand.
+func (b *inputBuilder) demand() room.Profile {
+	if len(b.file.Periods) == 0 {
+		return room.Constant(slices.Clone(b.inventory.Loads))
 	}
 	profile := room.Profile{Cycle: day}
-	for index := range a.file.Periods {
-		one := &a.file.Periods[index]
+	for index := range b.file.Periods {
+		one := &b.file.Periods[index]
 		period := room.Period{}
 		period.Begin, _ = parseTimeOfDay(one.From)
 		period.End, _ = parseTimeOfDay(one.Until)
@@ -187,35 +185,37 @@
 	}
 }
 
-func (a *inputBuilder) replacement(one *Replacement) (plan.Replacement, error) {
+// replacement returns a replacement of the file. Its error is a *plan.InputError.
+func (b *inputBuilder) replacement(one *Replacement) (plan.Replacement, error) {
 	id := one.Old
 	if one.Kind == string(room.Server) {
-		id = cmp.Or(a.idByAddress[one.Old], one.Old)
+		id = cmp.Or(b.idByAddress[one.Old], one.Old)
 	}
-	index := slices.IndexFunc(a.nodes, func(node room.Node) bool { return node.ID == id && string(node.Kind) == one.Kind })
+	index := slices.IndexFunc(b.nodes, func(node room.Node) bool { return node.ID == id && string(node.Kind) == one.Kind })
 	if index < 0 {
 		return plan.Replacement{}, &plan.InputError{Node: one.Old, Reason: "is to be replaced, but is not there"}
 	}
-	old := a.nodes[index]
+	old := b.nodes[index]
 	next := old
 	next.ID = one.New
 	next.Zone = cmp.Or(one.Zone, old.Zone)
-	next.Region = cmp.Or(a.inventory.Settings.RegionOf(next.Zone), old.Region)
-	next.Capacity = a.applyFileCapacity(&next, true, old.Capacity)
-	return plan.Replacement{Old: old, New: next, Surge: one.Surge, Times: a.times(&old, one)}, nil
+	next.Region = cmp.Or(b.inventory.Settings.RegionOf(next.Zone), old.Region)
+	next.Capacity = b.applyFileCapacity(&next, true, old.Capacity)
+	return plan.Replacement{Old: old, New: next, Surge: one.Surge, Times: b.times(&old, one)}, nil
 }
 
-// dropUnknownResources leaves resources out of the demand on a group of which no node's capacity is told.
-func (a *inputBuilder) dropUnknownResources(input *plan.Input) {
-	told := make(map[room.Group]room.Amount)
-	for index := range a.nodes {
-		group := a.nodes[index].Group()
-		told[group] = told[group].Add(a.nodes[index].Capacity)
+// dropUnknownResources removes from the demand the resources for which no capacity of the group is known: otherwise an
+// unknown capacity would count as none.
+func (b *inputBuilder) dropUnknownResources(input *plan.Input) {
+	known := make(map[room.Group]room.Amount)
+	for index := range b.nodes {
+		group := b.nodes[index].Group()
+		known[group] = known[group].Add(b.nodes[index].Capacity)
 	}
 	for period := range input.Demand.Periods {
 		for index := range input.Demand.Periods[period].Loads {
 			load := &input.Demand.Periods[period].Loads[index]
-			for resource, amount := range told[load.Group] {
+			for resource, amount := range known[load.Group] {
 				if amount == 0 {
 					load.Required[resource] = 0
 				}
--- /dev/null
+++ b/internal/migration/planfile/input_test.go
@@ -0,0 +1,52 @@
+package planfile
+
+import (
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/stretchr/testify/require"
+
+	"fieldrelay/internal/migration/plan"
+	"fieldrelay/internal/migration/room"
+)
+
+func TestInput(t *testing.T) {
+	file, err := Parse([]byte(wholeFile))
+	require.NoError(t, err)
+	input, err := file.Input(inventory(t))
+	require.NoError(t, err)
+
+	require.Len(t, input.Nodes, 8)
+	require.Equal(t, plan.Core{Hosts: 1, Zones: 1, Voters: []plan.Voter{{ID: "core-1", Zone: "hall-a"}, {ID: "core-2", Zone: "hall-b"}, {ID: "core-3", Zone: "hall-c"}}}, input.Core)
+	require.Equal(t, 21*time.Hour+30*time.Minute, input.Begin)
+	require.Equal(t, 6*time.Hour, input.Window)
+	require.Equal(t, map[plan.SurgePool]int{{Zone: "hall-a", Kind: room.Server}: 1}, input.SurgeCapacity)
+
+	server := input.Replacements[0]
+	require.Equal(t, "i-1", server.Old.ID)
+	require.Equal(t, room.Amount{room.Slots: 64, room.Memory: 230413, room.Prefill: 38700, room.Connections: 360}, server.Old.Capacity)
+	require.Equal(t, 96.0, server.New.Capacity[room.Slots])
+	require.Equal(t, "west", server.New.Region)
+	require.Equal(t, plan.Times{
+		Start: 20 * time.Second, Warm: 3 * time.Second, Drain: 5 * time.Second, Linger: time.Second, Stop: 4800 * time.Millisecond,
+	}, server.Times)
+	require.Equal(t, "i-2", input.Replacements[1].Old.ID)
+	require.Equal(t, 4*time.Second, input.Replacements[2].Times.Warm)
+	require.Equal(t, 9*time.Second, input.Replacements[3].Times.Drain)
+	require.Equal(t, 16*time.Second, input.Replacements[3].Times.Linger)
+
+	late := input.Demand.Periods[1].Loads[0]
+	require.Equal(t, room.Amount{room.Slots: 60, room.Memory: 1000}, late.Required, "how fast servers write is not told")
+
+	file.Periods = nil
+	input, err = file.Input(inventory(t))
+	require.NoError(t, err)
+	require.Equal(t, time.Duration(0), input.Demand.Cycle)
+
+	file.Replacements[0].Old = "nowhere"
+	_, err = file.Input(inventory(t))
+	var contradiction *plan.InputError
+	require.True(t, errors.As(err, &contradiction), "%v", err)
+	require.Equal(t, "nowhere", contradiction.Node)
+}
--- a/internal/migration/planfile/schema.go
+++ b/internal/migration/planfile/schema.go
@@ -1,14 +1,16 @@
 package planfile
 
-import "fieldrelay/internal/migration/room"
+import (
+	"fieldrelay/internal/migration/room"
+)
 
-// File is the content of a migration's file. Times are texts: "15:04" or "15:04:05" of the day, and durations
-// such as "1m30s".
+// File is the content of a plan file. Times of day are texts such as "15:04" or "15:04:05", durations are texts such as
+// "1m30s". The keys are an interface to operators; golden_test.go guards them.
 type File struct {
 	Name          string        `toml:"name"`
 	Begin         string        `toml:"begin"`            // time of day
-	Window        string        `toml:"window,omitempty"` // from begin, in which all must be done; empty: any time
-	BatchFraction float64       `toml:"share,omitempty"`  // largest part of a service in a region that a stage replaces
+	Window        string        `toml:"window,omitempty"` // from begin, within which all must be done; empty: no limit
+	BatchFraction float64       `toml:"share,omitempty"`  // of a service in a region that a stage replaces at most; 0: the default of plan
 	Headroom      Headroom      `toml:"room"`
 	SurgePools    []SurgePool   `toml:"place,omitempty"`
 	Capacities    []Capacity    `toml:"capacity,omitempty"`
@@ -17,22 +19,22 @@
 	Stages        []Stage       `toml:"stage,omitempty"`
 }
 
-// Headroom is what must stay free.
+// Headroom is the capacity that must stay free.
 type Headroom struct {
-	Margin  float64 `toml:"margin"` // part of the demand
+	Margin  float64 `toml:"margin"` // fraction of the demand
 	Hosts   int     `toml:"hosts-lost"`
 	Zones   int     `toml:"zones-lost"`
 	Regions int     `toml:"regions-lost"`
 }
 
-// SurgePool tells how many nodes can run in a zone beside those that are there.
+// SurgePool is the number of nodes that can run in a zone beside those that are there.
 type SurgePool struct {
 	Zone string `toml:"zone"`
 	Kind string `toml:"kind"`
 	Free int    `toml:"free"`
 }
 
-// Amounts are amounts of the resources; what is 0 is not told.
+// Amounts are amounts of the resources of package room, in its units; 0 means unknown.
 type Amounts struct {
 	Slots       float64 `toml:"slots,omitempty"`
 	Memory      float64 `toml:"memory,omitempty"`
@@ -53,8 +55,8 @@
 	}
 }
 
-// Capacity tells what a node bears, where the configuration does not: each server of a service, or each edge
-// machine. New tells it of the nodes that come.
+// Capacity is the capacity of each server of a service, or of each edge machine, where the configuration does not give it.
+// With New it applies to new nodes only. Of several entries, the last one that gives a resource counts for it.
 type Capacity struct {
 	Kind    string `toml:"kind"`
 	Service string `toml:"service,omitempty"`
@@ -62,42 +64,42 @@
 	Amounts
 }
 
-// Replacement names a node that goes and the one that comes. Servers are named by address (or, the old one, by
-// incarnation), machines by host.
+// Replacement names an old node and the new one. Servers are named by address (the old one also by incarnation),
+// machines by host.
 type Replacement struct {
 	Kind  string `toml:"kind"`
 	Old   string `toml:"old"`
 	New   string `toml:"new"`
-	Zone  string `toml:"zone,omitempty"` // of the new node; empty: as the old one
+	Zone  string `toml:"zone,omitempty"` // of the new node; empty: that of the old one
 	Surge bool   `toml:"beside"`         // both can run at once
-	// Expected times, empty for the usual ones.
+	// Expected durations; empty: the defaults, see defaultTimes.
 	Start string `toml:"start,omitempty"`
 	Warm  string `toml:"warm,omitempty"`
 	Drain string `toml:"drain,omitempty"`
 	Stop  string `toml:"stop,omitempty"`
 }
 
-// Period is a part of the day with the highest demand that is expected in it.
+// Period is a part of the day with the peak demand that is expected in it.
 type Period struct {
 	From  string `toml:"from"`
 	Until string `toml:"until"`
 	Loads []Load `toml:"load"`
 }
 
-// Load is what the clients of a region ask of a service, or of the edge machines.
+// Load is the demand of the clients of a region on a service, or on the edge machines.
 type Load struct {
 	Region        string   `toml:"region"`
 	Kind          string   `toml:"kind"`
 	Service       string   `toml:"service,omitempty"`
 	Model         string   `toml:"model,omitempty"`
 	HomeRegions   []string `toml:"homes,omitempty"`
-	CachedPrefill float64  `toml:"saved,omitempty"` // prompt tokens a second that kept prompts save
+	CachedPrefill float64  `toml:"saved,omitempty"` // prompt tokens a second that need no prefill, since their prefix is cached
 	Amounts
 }
 
 // Stage is a stage of a plan. Replacements are named by their old nodes.
 type Stage struct {
-	Begin    string   `toml:"begin"` // since the midnight before the file's begin; may pass 24:00:00
+	Begin    string   `toml:"begin"` // since the midnight before the file's begin; may exceed 24:00:00
 	Duration string   `toml:"lasts"`
 	Replace  []string `toml:"replace"`
 }
