--- a/internal/migration/execute/admit.go
+++ b/internal/migration/execute/capacity.go
@@ -7,72 +7,72 @@
 	"fieldrelay/internal/migration/room"
 )
 
-// mayWithhold reports whether the old node of a task can be spared now, with the margin that a plan leaves.
-func (r *round) mayWithhold(index int) bool {
+// mayCordon reports whether the old node of a task can be spared now, with the margin that a plan leaves.
+func (r *transition) mayCordon(index int) bool {
 	replacement := r.replacement(index)
 	if replacement.Old.Kind == room.Core {
 		return r.mayExchange(index, replacement)
 	}
-	return r.maySpare(index, &replacement.Old, r.config.Bound)
+	return r.canSpare(index, &replacement.Old, r.config.Headroom)
 }
 
-// mayEmpty reports whether the new node of a task can be spared on the way back. No margin is asked for.
-func (r *round) mayEmpty(index int) bool {
+// mayDrainNew reports whether the new node of a task can be spared on the way back. No margin is asked for.
+func (r *transition) mayDrainNew(index int) bool {
 	replacement := r.replacement(index)
 	if replacement.New.Kind == room.Core {
 		return true
 	}
-	return r.maySpare(index, &replacement.New, r.bare())
+	return r.canSpare(index, &replacement.New, r.withoutMargin())
 }
 
 // bare is the bound without its margin.
-func (r *round) bare() room.Headroom {
-	bound := r.config.Bound
+func (r *transition) withoutMargin() room.Headroom {
+	bound := r.config.Headroom
 	bound.Margin = 0
 	return bound
 }
 
-// maySpare reports whether the rest serves the demand without a node. One that does not serve takes nothing away.
-func (r *round) maySpare(index int, node *room.Node, bound room.Headroom) bool {
+// canSpare reports whether the rest serves the demand without a node. One that does not serve takes nothing away.
+func (r *transition) canSpare(index int, node *room.Node, bound room.Headroom) bool {
 	if !slices.ContainsFunc(r.observation.Fleet, func(one room.Node) bool { return one.ID == node.ID }) {
 		return true
 	}
-	if r.short && r.now-r.shortAt < r.config.Calm {
-		r.hold(index, HoldCalm, nil)
+	if r.hadShortage && r.now-r.lastShortageAt < r.config.ShortageBackoff {
+		r.block(index, BlockShortageBackoff, nil)
 		return false
 	}
-	withheld := append(r.withheld(), node.ID)
+	withheld := append(r.cordoned(), node.ID)
 	serving := r.serving(withheld)
 	if r.isLast(node, serving) {
-		r.hold(index, HoldLast, nil)
+		r.block(index, BlockLastServer, nil)
 		return false
 	}
 	leaving := slices.Clone(r.observation.Fleet)
 	leaving = slices.DeleteFunc(leaving, func(one room.Node) bool { return !slices.Contains(withheld, one.ID) })
 	loads := room.AddLostCachePrefill(r.observation.Loads, r.observation.Fleet, leaving)
 	if shortage := bound.Check(node.Group(), serving, loads); shortage != nil {
-		r.hold(index, HoldRoom, shortage)
+		r.block(index, BlockCapacity, shortage)
 		return false
 	}
 	return true
 }
 
 // withheld lists the nodes that the next state withholds.
-func (r *round) withheld() []string {
+func (r *transition) cordoned() []string {
 	derived := r.next.clone()
 	derived.derive(r.config.Plan)
-	return derived.Withheld
+	return derived.Cordoned
 }
 
 // serving gives the nodes that get new work while some are withheld.
-func (r *round) serving(withheld []string) []room.Node {
+func (r *transition) serving(withheld []string) []room.Node {
 	return slices.DeleteFunc(slices.Clone(r.observation.Fleet), func(node room.Node) bool {
 		return slices.Contains(withheld, node.ID)
 	})
 }
 
 // isLast reports whether no other node of the group serves in a node's zone, though the zone is to keep one.
-func (r *round) isLast(node *room.Node, serving []room.Node) bool {
+func (r *transition) isLast(node *room.Node, serving []room.Node) bool {
 	sameZone := func(other *room.Node) bool { return other.Group() == node.Group() && other.Zone == node.Zone }
 	if slices.ContainsFunc(serving, func(other room.Node) bool { return sameZone(&other) }) {
 		return false
@@ -86,11 +86,11 @@
 }
 
 // mayExchange reports whether a voter can be exchanged now.
-func (r *round) mayExchange(index int, replacement *plan.Replacement) bool {
+func (r *transition) mayExchange(index int, replacement *plan.Replacement) bool {
 	in := plan.Voter{ID: replacement.New.ID, Zone: replacement.New.Zone}
 	obstacle, _ := r.observation.Core.CheckExchange(replacement.Old.ID, in, replacement.Surge)
-	if obstacle != 0 || !r.observation.CoreSettled {
-		r.hold(index, HoldCore, nil)
+	if obstacle != 0 || !r.observation.CoreConverged {
+		r.block(index, BlockCore, nil)
 		return false
 	}
 	return true
@@ -98,17 +98,17 @@
 
 // relieve gives nodes back, the last one first, as long as a group is short of room without its margin. It does
 // not ask which of them helps: while a group is short anywhere, nothing of it is taken away.
-func (r *round) relieve() {
+func (r *transition) resolveShortages() {
 	for _, group := range r.groups() {
 		shortage := r.shortage(group)
 		if shortage == nil {
 			continue
 		}
-		r.short, r.shortAt = true, r.now
-		r.hold(noTask, HoldRoom, shortage)
+		r.hadShortage, r.lastShortageAt = true, r.now
+		r.block(wholeStage, BlockCapacity, shortage)
 		for index := len(r.next.Tasks) - 1; index >= 0 && shortage != nil; index-- {
-			if r.isReturnable(index, group) {
-				r.giveBack(index)
+			if r.canUncordon(index, group) {
+				r.uncordon(index)
 				shortage = r.shortage(group)
 			}
 		}
@@ -116,11 +116,11 @@
 }
 
 // shortage is what a group lacks now, without its margin.
-func (r *round) shortage(group room.Group) *room.Shortage {
-	return r.bare().Check(group, r.serving(r.withheld()), r.observation.Loads)
+func (r *transition) shortage(group room.Group) *room.Shortage {
+	return r.withoutMargin().Check(group, r.serving(r.cordoned()), r.observation.Loads)
 }
 
-func (r *round) groups() []room.Group {
+func (r *transition) groups() []room.Group {
 	var groups []room.Group
 	for index := range r.next.Tasks {
 		group := r.replacement(index).Old.Group()
@@ -131,14 +131,14 @@
 	return groups
 }
 
-// isReturnable reports whether a task withholds a node of a group that could serve at once.
-func (r *round) isReturnable(index int, group room.Group) bool {
+// canUncordon reports whether a task withholds a node of a group that could serve at once.
+func (r *transition) canUncordon(index int, group room.Group) bool {
 	replacement := r.replacement(index)
 	id := ""
 	switch r.next.Tasks[index].Phase {
-	case Withholding, Draining:
+	case Cordoning, Draining:
 		id = replacement.Old.ID
-	case Emptying:
+	case RollbackDraining:
 		id = replacement.New.ID
 	}
 	return slices.ContainsFunc(r.observation.Fleet, func(node room.Node) bool {
--- a/internal/migration/execute/event.go
+++ b/internal/migration/execute/event.go
@@ -21,28 +21,28 @@
 // Stored tells that the state of the last Store is acknowledged.
 type Stored struct{ Revision uint64 }
 
-// Refused tells that another state than the expected one is in place.
-type Refused struct{ Current *State }
+// Rejected tells that another state than the expected one is in place.
+type Rejected struct{ Current *State }
 
-// Wished is the operator's wish in force.
-type Wished struct{ Wish Wish }
+// DirectiveSet is the operator's wish in force.
+type DirectiveSet struct{ Directive Directive }
 
 // Observed is a whole observation.
 type Observed struct{ Observation *Observation }
 
-func (Tick) executeEvent()     {}
-func (Loaded) executeEvent()   {}
-func (Stored) executeEvent()   {}
-func (Refused) executeEvent()  {}
-func (Wished) executeEvent()   {}
-func (Observed) executeEvent() {}
+func (Tick) executeEvent()         {}
+func (Loaded) executeEvent()       {}
+func (Stored) executeEvent()       {}
+func (Rejected) executeEvent()     {}
+func (DirectiveSet) executeEvent() {}
+func (Observed) executeEvent()     {}
 
-// Wish is what the operator wants of a run.
-type Wish uint8
+// Directive is what the operator wants of a run.
+type Directive uint8
 
 // The wishes. An abort cannot be taken back.
 const (
-	Proceed Wish = iota
+	Proceed Directive = iota
 	Pause
 	Abort
 )
@@ -52,14 +52,14 @@
 	Began   time.Duration // before the first look, on the machine's clock
 	Elapsed time.Duration // time of day, on the time of the plan's profile
 	Nodes   map[string]NodeStatus
-	// InForce is the revision of the run's state that every proxy has in force that may be sending, proxies
+	// ConfirmedRevision is the revision of the run's state that every proxy has in force that may be sending, proxies
 	// included that cannot be reached at present.
-	InForce uint64
-	Fleet   []room.Node // that are warm and serve, withheld ones included
-	Loads   []room.Load // as measured of late
-	Core    plan.Core   // the voters of the view in force
-	// CoreSettled tells that all voters are live and hold the view in force.
-	CoreSettled bool
+	ConfirmedRevision uint64
+	Fleet             []room.Node // that are warm and serve, withheld ones included
+	Loads             []room.Load // as measured of late
+	Core              plan.Core   // the voters of the view in force
+	// CoreConverged tells that all voters are live and hold the view in force.
+	CoreConverged bool
 }
 
 // NodeStatus is what was seen of a node that runs, or that may run still.
@@ -68,10 +68,10 @@
 	// without an old machine beside, votes.
 	Ready bool
 	Votes bool // of a core machine: in the view in force
-	// Open counts requests on their way to it or on it, as the proxies and the node itself count them, whichever
+	// InFlight counts requests on their way to it or on it, as the proxies and the node itself count them, whichever
 	// is more.
-	Open    int
-	Movable int // of these, streams that can go on elsewhere
+	InFlight   int
+	Migratable int // of these, streams that can go on elsewhere
 }
 
 // Action is something that the shell of a Machine has to do.
--- a/internal/migration/execute/execute_test.go
+++ b/internal/migration/execute/execute_test.go
@@ -29,7 +29,7 @@
 }
 
 // rig feeds a machine; its store takes what may follow, its nodes do what the state says.
-type rig struct {
+type harness struct {
 	t       *testing.T
 	made    *plan.Plan
 	machine *Machine
@@ -46,8 +46,8 @@
 	blind   bool     // nothing is observed
 }
 
-func newRig(t *testing.T) *rig {
-	b := &rig{
+func newHarness(t *testing.T) *harness {
+	b := &harness{
 		t: t, made: twoStages(), open: map[string]int{}, movable: map[string]int{}, slots: 10,
 		nodes: map[string]bool{"old-1": true, "old-2": true, "kept": true},
 	}
@@ -56,14 +56,14 @@
 	return b
 }
 
-func (b *rig) newMachine(owner string) *Machine {
+func (b *harness) newMachine(owner string) *Machine {
 	return NewMachine(Config{
-		Plan: b.made, Digest: "plan", Owner: owner, Bound: room.Headroom{Margin: 0.1, Hosts: 1},
-		Fresh: 2 * time.Second, Calm: 3 * time.Second, Retry: time.Second, Settle: time.Second,
+		Plan: b.made, Digest: "plan", Owner: owner, Headroom: room.Headroom{Margin: 0.1, Hosts: 1},
+		MaxObservationAge: 2 * time.Second, ShortageBackoff: 3 * time.Second, StoreRetryInterval: time.Second, MaxStartDelay: time.Second,
 	})
 }
 
-func (b *rig) feed(event Event) {
+func (b *harness) feed(event Event) {
 	for _, action := range b.machine.Step(b.now, event) {
 		switch action := action.(type) {
 		case Changed:
@@ -73,14 +73,14 @@
 				b.asked = append(b.asked, action.State)
 				continue
 			}
-			require.NoError(b.t, CheckStep(b.stored, action.State, b.made))
+			require.NoError(b.t, CheckTransition(b.stored, action.State, b.made))
 			b.stored = action.State
 		}
 	}
 }
 
 // run lets time pass until a state is reached, or fails.
-func (b *rig) run(until func() bool) {
+func (b *harness) run(until func() bool) {
 	b.t.Helper()
 	for range 1000 {
 		if until() {
@@ -89,11 +89,11 @@
 		b.pass()
 	}
 	var text bytes.Buffer
-	require.NoError(b.t, WriteProgress(&text, b.made, b.stored, b.machine.Holds()))
+	require.NoError(b.t, WriteProgress(&text, b.made, b.stored, b.machine.Blockers()))
 	require.Fail(b.t, "not reached", "%s", text.String())
 }
 
-func (b *rig) pass() {
+func (b *harness) pass() {
 	b.now += 200 * time.Millisecond
 	if b.stored != nil {
 		for _, id := range b.stored.Start {
@@ -113,27 +113,27 @@
 	b.feed(Tick{})
 }
 
-func (b *rig) observation() *Observation {
-	seen := &Observation{Began: b.now, Elapsed: b.now, Nodes: map[string]NodeStatus{}, InForce: b.inForce()}
+func (b *harness) observation() *Observation {
+	seen := &Observation{Began: b.now, Elapsed: b.now, Nodes: map[string]NodeStatus{}, ConfirmedRevision: b.inForce()}
 	for id := range b.nodes {
-		seen.Nodes[id] = NodeStatus{Ready: true, Open: b.open[id], Movable: b.movable[id]}
+		seen.Nodes[id] = NodeStatus{Ready: true, InFlight: b.open[id], Migratable: b.movable[id]}
 		seen.Fleet = append(seen.Fleet, server(id))
 	}
 	seen.Loads = []room.Load{{Region: "west", Group: lm, Required: room.Amount{room.Slots: b.slots}}}
 	return seen
 }
 
-func (b *rig) phase(phase Phase) func() bool {
+func (b *harness) phase(phase Phase) func() bool {
 	return func() bool { return len(b.stored.Tasks) > 0 && b.stored.Tasks[0].Phase == phase }
 }
 
-func (b *rig) outcome(outcome Outcome) func() bool {
+func (b *harness) outcome(outcome Outcome) func() bool {
 	return func() bool { return b.stored.Outcome == outcome }
 }
 
-func (b *rig) holds(reason HoldReason) func() bool {
+func (b *harness) blockedBy(reason BlockReason) func() bool {
 	return func() bool {
-		for _, hold := range b.machine.Holds() {
+		for _, hold := range b.machine.Blockers() {
 			if hold.Reason == reason {
 				return true
 			}
@@ -143,7 +143,7 @@
 }
 
 func TestRunToTheEnd(t *testing.T) {
-	b := newRig(t)
+	b := newHarness(t)
 	b.feed(Loaded{})
 	b.run(b.outcome(Done))
 	b.pass()
@@ -155,48 +155,48 @@
 	}, b.changes)
 	require.Greater(t, b.now, 20*time.Second, "the second stage has its hour")
 	require.Equal(t, map[string]bool{"new-1": true, "new-2": true, "kept": true}, b.nodes)
-	require.Equal(t, []string{"old-1", "old-2"}, b.stored.Withheld)
-	require.Equal(t, uint64(2), b.machine.Counters().Withheld)
+	require.Equal(t, []string{"old-1", "old-2"}, b.stored.Cordoned)
+	require.Equal(t, uint64(2), b.machine.Counters().Cordoned)
 	var text bytes.Buffer
-	require.NoError(t, WriteProgress(&text, b.made, b.stored, b.machine.Holds()))
+	require.NoError(t, WriteProgress(&text, b.made, b.stored, b.machine.Blockers()))
 	require.Equal(t, "done: stage 2 of 2\n", text.String())
 	text.Reset()
-	require.NoError(t, WriteProgress(&text, b.made, nil, []Hold{{Old: "old-1", Reason: HoldBusy}}))
+	require.NoError(t, WriteProgress(&text, b.made, nil, []Blocker{{Old: "old-1", Reason: BlockInFlight}}))
 	require.Equal(t, "not begun\n  waits: old-1: replies are still in generation\n", text.String())
 }
 
 func TestWaitsForProxiesAndReplies(t *testing.T) {
-	b := newRig(t)
+	b := newHarness(t)
 	b.open["old-1"] = 2
 	b.inForce = func() uint64 { return 0 }
 	b.feed(Loaded{})
-	b.run(b.phase(Withholding))
-	b.run(b.holds(HoldUnconfirmed))
-	require.Equal(t, []string{"old-1"}, b.stored.Withheld)
+	b.run(b.phase(Cordoning))
+	b.run(b.blockedBy(BlockUnconfirmed))
+	require.Equal(t, []string{"old-1"}, b.stored.Cordoned)
 	b.inForce = func() uint64 { return b.stored.Revision }
 	b.run(b.phase(Draining))
-	b.run(b.holds(HoldBusy))
-	require.Empty(t, b.stored.Moving)
+	b.run(b.blockedBy(BlockInFlight))
+	require.Empty(t, b.stored.Migrating)
 	b.movable["old-1"] = 1
-	b.run(func() bool { return len(b.stored.Moving) == 1 })
-	require.Equal(t, uint64(1), b.machine.Counters().Moves)
+	b.run(func() bool { return len(b.stored.Migrating) == 1 })
+	require.Equal(t, uint64(1), b.machine.Counters().Migrated)
 	b.open["old-1"] = 0
 	b.run(b.outcome(Done))
 }
 
 func TestGivesBackWhenRoomFalls(t *testing.T) {
-	b := newRig(t)
+	b := newHarness(t)
 	b.open["old-1"] = 1
 	b.feed(Loaded{})
 	b.run(b.phase(Draining))
 	b.slots = 25 // three servers remain, one of which may be lost
 	b.run(b.phase(Warming))
-	require.Empty(t, b.stored.Withheld)
-	b.run(b.holds(HoldRoom))
+	require.Empty(t, b.stored.Cordoned)
+	b.run(b.blockedBy(BlockCapacity))
 	b.slots = 10
-	b.run(b.holds(HoldCalm))
+	b.run(b.blockedBy(BlockShortageBackoff))
 	b.run(b.phase(Draining))
-	require.Equal(t, uint64(1), b.machine.Counters().GivenBack)
+	require.Equal(t, uint64(1), b.machine.Counters().Uncordoned)
 
 	delete(b.nodes, "new-1") // the replacement fails
 	b.run(b.phase(Warming))
@@ -205,14 +205,14 @@
 }
 
 func TestPauseAndResume(t *testing.T) {
-	b := newRig(t)
+	b := newHarness(t)
 	b.feed(Loaded{})
 	b.run(b.phase(Warming))
-	b.feed(Wished{Wish: Pause})
+	b.feed(DirectiveSet{Directive: Pause})
 	before := b.stored
-	b.run(b.holds(HoldPaused))
+	b.run(b.blockedBy(BlockPaused))
 	require.Equal(t, before, b.stored)
-	b.feed(Wished{Wish: Proceed})
+	b.feed(DirectiveSet{Directive: Proceed})
 	b.run(b.outcome(Done))
 }
 
@@ -223,19 +223,19 @@
 		end   Phase
 		left  map[string]bool
 	}{
-		"not begun":        {Starting, 0, Returned, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
-		"warming":          {Warming, 0, Returned, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
-		"draining":         {Draining, 0, Returned, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
+		"not begun":        {Starting, 0, RolledBack, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
+		"warming":          {Warming, 0, RolledBack, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
+		"draining":         {Draining, 0, RolledBack, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
 		"released":         {Stopping, 0, Finished, map[string]bool{"new-1": true, "old-2": true, "kept": true}},
-		"in place":         {Draining, 1, Returned, map[string]bool{"new-1": true, "old-2": true, "kept": true}},
+		"in place":         {Draining, 1, RolledBack, map[string]bool{"new-1": true, "old-2": true, "kept": true}},
 		"in place, no way": {Starting, 1, Finished, map[string]bool{"new-1": true, "new-2": true, "kept": true}},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newRig(t)
+			b := newHarness(t)
 			b.feed(Loaded{})
 			b.run(func() bool { return b.stored.Stage == one.stage && b.phase(one.at)() })
-			b.feed(Wished{Wish: Abort})
+			b.feed(DirectiveSet{Directive: Abort})
 			b.run(b.outcome(Aborted))
 			require.Equal(t, one.end, b.stored.Tasks[0].Phase)
 			require.Equal(t, one.left, b.nodes)
@@ -245,7 +245,7 @@
 }
 
 func TestAnotherMachineTakesOver(t *testing.T) {
-	b := newRig(t)
+	b := newHarness(t)
 	b.feed(Loaded{})
 	b.run(b.phase(Warming))
 	first := b.machine
@@ -260,8 +260,8 @@
 	second := b.machine
 	b.machine = first
 	b.run(func() bool { return len(b.asked) > 0 })
-	require.Error(t, CheckStep(b.stored, b.asked[0], b.made), "it was overtaken")
-	b.feed(Refused{Current: b.stored})
+	require.Error(t, CheckTransition(b.stored, b.asked[0], b.made), "it was overtaken")
+	b.feed(Rejected{Current: b.stored})
 	require.True(t, first.Fenced())
 	require.Empty(t, first.Step(b.now+time.Minute, Tick{}))
 
@@ -270,7 +270,7 @@
 }
 
 func TestClaimsAgainAfterALastWriteOfTheOneBefore(t *testing.T) {
-	b := newRig(t)
+	b := newHarness(t)
 	b.feed(Loaded{})
 	b.run(b.phase(Warming))
 	old := b.stored
@@ -279,13 +279,13 @@
 	b.feed(Loaded{State: old})
 	require.Len(t, b.asked, 1)
 	b.mute = false
-	b.feed(Refused{Current: b.stored})
+	b.feed(Rejected{Current: b.stored})
 	require.Equal(t, "two", b.stored.Owner)
 	require.Equal(t, Draining, b.stored.Tasks[0].Phase)
 }
 
 func TestAsksAgainAndSeesNothingWithoutObservations(t *testing.T) {
-	b := newRig(t)
+	b := newHarness(t)
 	b.mute = true
 	b.feed(Loaded{})
 	b.now += 2 * time.Second
@@ -295,19 +295,19 @@
 	b.feed(Stored{Revision: 7})
 	require.Nil(t, b.machine.State(), "that was another one")
 
-	b = newRig(t)
+	b = newHarness(t)
 	b.feed(Loaded{})
 	b.blind = true
-	b.run(b.holds(HoldBlind))
+	b.run(b.blockedBy(BlockNoObservation))
 	require.Equal(t, uint64(1), b.stored.Revision)
 }
 
 func TestAnotherPlan(t *testing.T) {
-	b := newRig(t)
+	b := newHarness(t)
 	b.feed(Loaded{State: &State{Plan: "other", Revision: 3, Outcome: Running}})
 	require.True(t, b.machine.Fenced())
 
-	b = newRig(t)
+	b = newHarness(t)
 	b.stored = &State{Plan: "other", Epoch: 4, Revision: 9, Outcome: Aborted}
 	b.feed(Loaded{State: b.stored})
 	require.Equal(t, uint64(10), b.stored.Revision)
@@ -329,7 +329,7 @@
 		change func(*State)
 		reason string
 	}{
-		"withholds":        {func(s *State) { s.Tasks[0] = Task{Phase: Withholding, Since: 6} }, ""},
+		"withholds":        {func(s *State) { s.Tasks[0] = Task{Phase: Cordoning, Since: 6} }, ""},
 		"claims":           {func(s *State) { s.Epoch, s.Owner = 2, "two" }, ""},
 		"aborts":           {func(s *State) { s.Outcome = Aborting }, ""},
 		"of long ago":      {func(s *State) { s.Revision = 5 }, "revision 5 does not follow 5"},
@@ -350,12 +350,12 @@
 			if next.Stage < len(made.Stages) {
 				next.derive(made)
 			}
-			err := CheckStep(base, next, made)
+			err := CheckTransition(base, next, made)
 			if one.reason == "" {
 				require.NoError(t, err)
 				return
 			}
-			var refused *StepError
+			var refused *TransitionError
 			require.True(t, errors.As(err, &refused), "%v", err)
 			require.Contains(t, err.Error(), one.reason)
 		})
@@ -363,8 +363,8 @@
 	tampered := base.clone()
 	tampered.Revision++
 	tampered.Stop = []string{"kept"}
-	require.ErrorContains(t, CheckStep(base, tampered, made), "does not follow from the tasks")
+	require.ErrorContains(t, CheckTransition(base, tampered, made), "does not follow from the tasks")
 	ended := base.clone()
 	ended.Outcome = Aborted
-	require.ErrorContains(t, CheckStep(ended, tampered, made), "does not follow")
+	require.ErrorContains(t, CheckTransition(ended, tampered, made), "does not follow")
 }
--- a/internal/migration/execute/machine.go
+++ b/internal/migration/execute/machine.go
@@ -9,50 +9,50 @@
 
 // Config is what a Machine is told once.
 type Config struct {
-	Plan   *plan.Plan
-	Digest string // of the plan
-	Owner  string // differs from start to start
-	Bound  room.Headroom
-	// Fresh is the age up to which an observation counts.
-	Fresh time.Duration
-	// Calm is how long after room was short nothing more is taken away.
-	Calm time.Duration
-	// Retry is the wait before an unanswered Store is asked for again.
-	Retry time.Duration
-	// Settle is how long it may take to start a node after the state that asks for it was read.
-	Settle time.Duration
+	Plan     *plan.Plan
+	Digest   string // of the plan
+	Owner    string // differs from start to start
+	Headroom room.Headroom
+	// MaxObservationAge is the age up to which an observation counts.
+	MaxObservationAge time.Duration
+	// ShortageBackoff is how long after room was short nothing more is taken away.
+	ShortageBackoff time.Duration
+	// StoreRetryInterval is the wait before an unanswered Store is asked for again.
+	StoreRetryInterval time.Duration
+	// MaxStartDelay is how long it may take to start a node after the state that asks for it was read.
+	MaxStartDelay time.Duration
 }
 
 // Machine is one control machine's part in a run while it has the duty.
 type Machine struct {
 	config Config
 
-	loaded  bool
-	state   *State // acknowledged; nil before the first
-	pending *State // asked to be stored; nil if there is none
-	askedAt time.Duration
-	fenced  bool
-	wish    Wish
-	stirred bool // something was learnt since the last look for a next state
-
-	now         time.Duration
-	observation *Observation
-	short       bool          // room was short at some time
-	shortAt     time.Duration // when it last was
-	entered     []time.Duration
-	confirmed   []time.Duration // when a task's withholding was seen in force everywhere; 0: not yet
-	holds       []Hold
-	counters    Counters
-	actions     []Action
+	loaded           bool
+	state            *State // acknowledged; nil before the first
+	pending          *State // asked to be stored; nil if there is none
+	storeRequestedAt time.Duration
+	fenced           bool
+	directive        Directive
+	inputChanged     bool // something was learnt since the last look for a next state
+
+	now            time.Duration
+	observation    *Observation
+	hadShortage    bool          // room was short at some time
+	lastShortageAt time.Duration // when it last was
+	enteredAt      []time.Duration
+	confirmedAt    []time.Duration // when a task's withholding was seen in force everywhere; 0: not yet
+	blockers       []Blocker
+	counters       Counters
+	actions        []Action
 }
 
 // Counters are totals since the start of the machine.
 type Counters struct {
-	Stored    uint64 // states acknowledged
-	Refusals  uint64 // states refused
-	Withheld  uint64 // nodes withheld
-	GivenBack uint64 // nodes given back because room fell or the replacement failed
-	Moves     uint64 // nodes whose streams were told to move
+	Stored     uint64 // states acknowledged
+	Rejected   uint64 // states refused
+	Cordoned   uint64 // nodes withheld
+	Uncordoned uint64 // nodes given back because room fell or the replacement failed
+	Migrated   uint64 // nodes whose streams were told to move
 }
 
 // NewMachine returns a machine that waits for Loaded.
@@ -76,19 +76,19 @@
 	}
 	switch event := event.(type) {
 	case Loaded:
-		m.loaded, m.stirred = true, true
+		m.loaded, m.inputChanged = true, true
 		m.adopt(event.State)
 	case Stored:
-		m.stirred = true
+		m.inputChanged = true
 		m.acknowledged(event.Revision)
-	case Refused:
-		m.stirred = true
-		m.refused(event.Current)
-	case Wished:
-		m.stirred = m.stirred || m.wish != event.Wish
-		m.wish = event.Wish
+	case Rejected:
+		m.inputChanged = true
+		m.rejected(event.Current)
+	case DirectiveSet:
+		m.inputChanged = m.inputChanged || m.directive != event.Directive
+		m.directive = event.Directive
 	case Observed:
-		m.stirred = true
+		m.inputChanged = true
 		m.observe(event.Observation)
 	}
 	m.proceed()
@@ -105,19 +105,19 @@
 func (m *Machine) adopt(state *State) {
 	m.state = state
 	m.pending = nil
-	m.restartTimes()
+	m.resetTimers()
 }
 
-// restartTimes forgets what was waited out: what is known of it ends with the machine that waited.
-func (m *Machine) restartTimes() {
+// resetTimers forgets what was waited out: what is known of it ends with the machine that waited.
+func (m *Machine) resetTimers() {
 	count := 0
 	if m.state != nil {
 		count = len(m.state.Tasks)
 	}
-	m.entered = make([]time.Duration, count)
-	m.confirmed = make([]time.Duration, count)
-	for index := range m.entered {
-		m.entered[index] = m.now
+	m.enteredAt = make([]time.Duration, count)
+	m.confirmedAt = make([]time.Duration, count)
+	for index := range m.enteredAt {
+		m.enteredAt[index] = m.now
 	}
 }
 
@@ -129,20 +129,20 @@
 	m.state = m.pending
 	m.pending = nil
 	m.counters.Stored++
-	m.tell(before)
+	m.reportChanges(before)
 }
 
 // tell reports what changed between two acknowledged states, and begins the times of the phases.
-func (m *Machine) tell(before *State) {
+func (m *Machine) reportChanges(before *State) {
 	if before == nil || before.Plan != m.state.Plan {
-		m.restartTimes()
+		m.resetTimers()
 		return
 	}
 	if before.Outcome != m.state.Outcome {
 		m.report(Changed{Stage: before.Stage, From: string(before.Outcome), To: string(m.state.Outcome)})
 	}
 	if before.Stage != m.state.Stage {
-		m.restartTimes()
+		m.resetTimers()
 		m.report(Changed{Stage: before.Stage, From: string(Running), To: string(Finished)})
 		return
 	}
@@ -150,9 +150,9 @@
 		if task.Phase == before.Tasks[index].Phase {
 			continue
 		}
-		m.entered[index] = m.now
+		m.enteredAt[index] = m.now
 		if task.Phase != Draining {
-			m.confirmed[index] = 0
+			m.confirmedAt[index] = 0
 		}
 		replacement := m.replacement(index)
 		m.report(Changed{
@@ -169,12 +169,12 @@
 
 // refused learns that the state in place is not the one that was expected: another machine has the duty, or an
 // earlier one wrote a last state before this one took over.
-func (m *Machine) refused(current *State) {
+func (m *Machine) rejected(current *State) {
 	if m.pending == nil || current == nil {
 		return
 	}
-	m.counters.Refusals++
-	if m.claimed() || current.Epoch >= m.pending.Epoch {
+	m.counters.Rejected++
+	if m.ownsEpoch() || current.Epoch >= m.pending.Epoch {
 		m.fenced = true
 		return
 	}
@@ -182,20 +182,20 @@
 }
 
 // claimed reports whether the acknowledged state is of this machine's epoch.
-func (m *Machine) claimed() bool { return m.state != nil && m.state.Owner == m.config.Owner }
+func (m *Machine) ownsEpoch() bool { return m.state != nil && m.state.Owner == m.config.Owner }
 
 // proceed asks for the next state, if there is one to ask for.
 func (m *Machine) proceed() {
 	switch {
 	case !m.loaded:
 	case m.pending != nil:
-		if m.now >= m.askedAt+m.config.Retry {
-			m.ask()
+		if m.now >= m.storeRequestedAt+m.config.StoreRetryInterval {
+			m.requestStore()
 		}
-	case !m.claimed():
+	case !m.ownsEpoch():
 		m.claim()
-	case m.stirred || !m.fresh():
-		m.stirred = false
+	case m.inputChanged || !m.observationIsFresh():
+		m.inputChanged = false
 		m.advance()
 	}
 }
@@ -226,11 +226,11 @@
 	next.Revision++
 	next.derive(m.config.Plan)
 	m.pending = next
-	m.ask()
+	m.requestStore()
 }
 
-func (m *Machine) ask() {
-	m.askedAt = m.now
+func (m *Machine) requestStore() {
+	m.storeRequestedAt = m.now
 	m.actions = append(m.actions, Store{State: m.pending})
 }
 
--- a/internal/migration/execute/state.go
+++ b/internal/migration/execute/state.go
@@ -13,16 +13,16 @@
 // The phases of a replacement, in their order. Where both nodes can run at once the new one is started and
 // warmed before the old one is withheld; otherwise after it is gone.
 const (
-	Waiting     Phase = "waiting"
-	Starting    Phase = "starting"    // the new node is to be started
-	Warming     Phase = "warming"     // the new node runs; until it bears its full load, has caught up
-	Withholding Phase = "withholding" // the old node is to get nothing new; until all proxies know
-	Draining    Phase = "draining"    // until the old node's last reply has ended
-	Stopping    Phase = "stopping"    // the old node may be stopped; there is no way back from here
-	Finished    Phase = "finished"
-	Emptying    Phase = "emptying" // on the way back: the new node is to get nothing new, until it is idle
-	Removing    Phase = "removing" // on the way back: the new node may be stopped
-	Returned    Phase = "returned" // the old node serves as before
+	Waiting          Phase = "waiting"
+	Starting         Phase = "starting"    // the new node is to be started
+	Warming          Phase = "warming"     // the new node runs; until it bears its full load, has caught up
+	Cordoning        Phase = "withholding" // the old node is to get nothing new; until all proxies know
+	Draining         Phase = "draining"    // until the old node's last reply has ended
+	Stopping         Phase = "stopping"    // the old node may be stopped; there is no way back from here
+	Finished         Phase = "finished"
+	RollbackDraining Phase = "emptying" // on the way back: the new node is to get nothing new, until it is idle
+	RollbackStopping Phase = "removing" // on the way back: the new node may be stopped
+	RolledBack       Phase = "returned" // the old node serves as before
 )
 
 // Outcome is where the whole run is.
@@ -43,8 +43,8 @@
 type Task struct {
 	Phase Phase `json:"phase"`
 	// Since is the revision of the state that began to withhold a node, or to let go of it, in this phase.
-	Since  uint64 `json:"since,omitempty"`
-	Moving bool   `json:"moving,omitempty"` // the old node's resumable streams are to be moved
+	Since     uint64 `json:"since,omitempty"`
+	Migrating bool   `json:"moving,omitempty"` // the old node's resumable streams are to be moved
 }
 
 // Swap tells of two core machines which is to vote and which not; it is carried out when the one that is to vote
@@ -65,11 +65,11 @@
 	Tasks    []Task  `json:"tasks"` // of the stage
 
 	// What follows from the tasks, for those who carry it out.
-	Withheld []string `json:"withheld,omitempty"` // get nothing new
-	Moving   []string `json:"moving,omitempty"`   // their resumable streams go on elsewhere
-	Start    []string `json:"start,omitempty"`    // are to be running
-	Stop     []string `json:"stop,omitempty"`     // may be stopped
-	Swaps    []Swap   `json:"swaps,omitempty"`
+	Cordoned  []string `json:"withheld,omitempty"` // get nothing new
+	Migrating []string `json:"moving,omitempty"`   // their resumable streams go on elsewhere
+	Start     []string `json:"start,omitempty"`    // are to be running
+	Stop      []string `json:"stop,omitempty"`     // may be stopped
+	Swaps     []Swap   `json:"swaps,omitempty"`
 }
 
 func (s *State) clone() *State {
@@ -94,10 +94,10 @@
 // derive fills in what follows from the tasks, and from the stages that are over: what has retired stays withheld
 // and may be stopped, should it come back.
 func (s *State) derive(made *plan.Plan) {
-	s.Withheld, s.Moving, s.Start, s.Stop, s.Swaps = nil, nil, nil, nil, nil
+	s.Cordoned, s.Migrating, s.Start, s.Stop, s.Swaps = nil, nil, nil, nil, nil
 	for _, stage := range made.Stages[:s.Stage] {
 		for index := range stage.Replacements {
-			s.retire(stage.Replacements[index].Old.ID)
+			s.release(stage.Replacements[index].Old.ID)
 		}
 	}
 	for index := range s.Tasks {
@@ -105,8 +105,8 @@
 	}
 }
 
-func (s *State) retire(id string) {
-	s.Withheld = append(s.Withheld, id)
+func (s *State) release(id string) {
+	s.Cordoned = append(s.Cordoned, id)
 	s.Stop = append(s.Stop, id)
 }
 
@@ -116,21 +116,21 @@
 	case Starting, Warming:
 		s.Start = append(s.Start, next)
 		if !replacement.Surge {
-			s.retire(old)
+			s.release(old)
 		}
-	case Withholding, Draining:
-		s.Withheld = append(s.Withheld, old)
+	case Cordoning, Draining:
+		s.Cordoned = append(s.Cordoned, old)
 	case Stopping, Finished:
-		s.retire(old)
-	case Emptying:
-		s.Withheld = append(s.Withheld, next)
-	case Removing, Returned:
+		s.release(old)
+	case RollbackDraining:
+		s.Cordoned = append(s.Cordoned, next)
+	case RollbackStopping, RolledBack:
 		if replacement.Surge {
-			s.retire(next)
+			s.release(next)
 		}
 	}
-	if task.Moving {
-		s.Moving = append(s.Moving, old)
+	if task.Migrating {
+		s.Migrating = append(s.Migrating, old)
 	}
 	if replacement.Old.Kind == room.Core {
 		s.Swaps = append(s.Swaps, swapOf(task, replacement))
@@ -140,15 +140,15 @@
 // swapOf tells who is to vote while a core machine is replaced.
 func swapOf(task *Task, replacement *plan.Replacement) Swap {
 	old, next := replacement.Old.ID, replacement.New.ID
-	retired := task.Phase == Withholding || task.Phase == Draining || task.Phase == Stopping || task.Phase == Finished
+	retired := task.Phase == Cordoning || task.Phase == Draining || task.Phase == Stopping || task.Phase == Finished
 	switch {
 	case replacement.Surge && retired:
 		return Swap{Out: old, In: next}
 	case replacement.Surge:
 		return Swap{Out: next, In: old}
-	case task.Phase == Waiting || task.Phase == Returned:
+	case task.Phase == Waiting || task.Phase == RolledBack:
 		return Swap{In: old}
-	case task.Phase == Withholding || task.Phase == Draining || task.Phase == Stopping:
+	case task.Phase == Cordoning || task.Phase == Draining || task.Phase == Stopping:
 		return Swap{Out: old}
 	}
 	return Swap{Out: old, In: next}
--- a/internal/migration/execute/advance.go
+++ b/internal/migration/execute/transition.go
@@ -7,7 +7,7 @@
 )
 
 // round is one attempt to find the next state.
-type round struct {
+type transition struct {
 	*Machine
 	next    *State
 	changed bool
@@ -15,24 +15,24 @@
 
 // advance looks for what can be done next and asks for it to be stored.
 func (m *Machine) advance() {
-	m.holds = nil
+	m.blockers = nil
 	if m.state.Outcome.Ended() {
 		return
 	}
-	r := &round{Machine: m, next: m.state.clone()}
-	if m.wish == Abort && r.next.Outcome == Running {
+	r := &transition{Machine: m, next: m.state.clone()}
+	if m.directive == Abort && r.next.Outcome == Running {
 		r.next.Outcome = Aborting
 		r.changed = true
 	}
-	if m.fresh() {
+	if m.observationIsFresh() {
 		r.confirm()
-		r.relieve()
+		r.resolveShortages()
 		for index := range r.next.Tasks {
 			r.step(index)
 		}
 		r.finishStage()
 	} else {
-		m.hold(noTask, HoldBlind, nil)
+		m.block(wholeStage, BlockNoObservation, nil)
 	}
 	if r.changed {
 		m.propose(r.next)
@@ -40,39 +40,39 @@
 }
 
 // fresh reports whether the observation is young enough.
-func (m *Machine) fresh() bool {
-	return m.observation != nil && m.now-m.observation.Began <= m.config.Fresh
+func (m *Machine) observationIsFresh() bool {
+	return m.observation != nil && m.now-m.observation.Began <= m.config.MaxObservationAge
 }
 
-func (r *round) enter(index int, phase Phase) {
+func (r *transition) enter(index int, phase Phase) {
 	r.next.Tasks[index] = Task{Phase: phase}
 	switch phase {
-	case Withholding, Emptying:
+	case Cordoning, RollbackDraining:
 		r.next.Tasks[index].Since = r.next.Revision + 1
-		r.counters.Withheld++
+		r.counters.Cordoned++
 	case Draining:
 		r.next.Tasks[index].Since = r.state.Tasks[index].Since
 	}
 	r.changed = true
 }
 
-// giveBack lets the withheld node of a task get work again.
-func (r *round) giveBack(index int) {
-	r.counters.GivenBack++
-	if r.next.Tasks[index].Phase == Emptying || r.replacement(index).Surge {
+// uncordon lets the withheld node of a task get work again.
+func (r *transition) uncordon(index int) {
+	r.counters.Uncordoned++
+	if r.next.Tasks[index].Phase == RollbackDraining || r.replacement(index).Surge {
 		r.enter(index, Warming)
 		return
 	}
 	r.enter(index, Waiting)
 }
 
-func (r *round) status(id string) (NodeStatus, bool) {
+func (r *transition) status(id string) (NodeStatus, bool) {
 	status, present := r.observation.Nodes[id]
 	return status, present
 }
 
 // step moves one task on by one phase, if it may.
-func (r *round) step(index int) {
+func (r *transition) step(index int) {
 	task := r.next.Tasks[index]
 	if task != r.state.Tasks[index] {
 		return // given back in this round
@@ -84,24 +84,24 @@
 		r.starting(index)
 	case Warming:
 		r.warming(index)
-	case Withholding:
-		r.withholding(index)
+	case Cordoning:
+		r.cordoning(index)
 	case Draining:
 		r.draining(index)
 	case Stopping:
 		r.stopping(index)
-	case Emptying:
-		r.emptying(index)
-	case Removing:
-		r.removing(index)
+	case RollbackDraining:
+		r.rollbackDraining(index)
+	case RollbackStopping:
+		r.rollbackStopping(index)
 	}
 }
 
-func (r *round) aborting() bool { return r.next.Outcome == Aborting }
+func (r *transition) aborting() bool { return r.next.Outcome == Aborting }
 
-func (r *round) waiting(index int) {
+func (r *transition) waiting(index int) {
 	if r.aborting() {
-		r.enter(index, Returned)
+		r.enter(index, RolledBack)
 		return
 	}
 	if !r.mayBegin() {
@@ -111,38 +111,38 @@
 		r.enter(index, Starting)
 		return
 	}
-	if r.mayWithhold(index) {
-		r.enter(index, Withholding)
+	if r.mayCordon(index) {
+		r.enter(index, Cordoning)
 	}
 }
 
 // mayBegin reports whether the stage's hour has come and nothing new is held up.
-func (r *round) mayBegin() bool {
-	if r.wish == Pause {
-		r.hold(noTask, HoldPaused, nil)
+func (r *transition) mayBegin() bool {
+	if r.directive == Pause {
+		r.block(wholeStage, BlockPaused, nil)
 		return false
 	}
 	if r.observation.Elapsed < r.config.Plan.Stages[r.state.Stage].Begin {
-		r.hold(noTask, HoldEarly, nil)
+		r.block(wholeStage, BlockTooEarly, nil)
 		return false
 	}
 	return true
 }
 
-func (r *round) starting(index int) {
+func (r *transition) starting(index int) {
 	replacement := r.replacement(index)
 	if r.aborting() && replacement.Surge {
-		r.enter(index, Emptying)
+		r.enter(index, RollbackDraining)
 		return
 	}
 	if _, present := r.status(replacement.New.ID); present {
 		r.enter(index, Warming)
 		return
 	}
-	r.holdIfLate(index, HoldNotStarted, replacement.Times.Start)
+	r.blockIfLate(index, BlockNotStarted, replacement.Times.Start)
 }
 
-func (r *round) warming(index int) {
+func (r *transition) warming(index int) {
 	replacement := r.replacement(index)
 	status, _ := r.status(replacement.New.ID)
 	if !replacement.Surge {
@@ -150,30 +150,30 @@
 			r.enter(index, Finished)
 			return
 		}
-		r.holdIfLate(index, HoldNotReady, replacement.Times.Warm)
+		r.blockIfLate(index, BlockNotReady, replacement.Times.Warm)
 		return
 	}
 	if r.aborting() {
-		if !status.Ready || r.mayEmpty(index) {
-			r.enter(index, Emptying)
+		if !status.Ready || r.mayDrainNew(index) {
+			r.enter(index, RollbackDraining)
 		}
 		return
 	}
 	if !status.Ready {
-		r.holdIfLate(index, HoldNotReady, replacement.Times.Warm)
+		r.blockIfLate(index, BlockNotReady, replacement.Times.Warm)
 		return
 	}
-	if r.wish == Pause {
-		r.hold(index, HoldPaused, nil)
+	if r.directive == Pause {
+		r.block(index, BlockPaused, nil)
 		return
 	}
-	if r.mayWithhold(index) {
-		r.enter(index, Withholding)
+	if r.mayCordon(index) {
+		r.enter(index, Cordoning)
 	}
 }
 
-// mustGoBack reports whether a node that is withheld but not yet let go has to serve again.
-func (r *round) mustGoBack(index int) bool {
+// mustRollBack reports whether a node that is withheld but not yet let go has to serve again.
+func (r *transition) mustRollBack(index int) bool {
 	replacement := r.replacement(index)
 	if _, present := r.status(replacement.Old.ID); !present {
 		return false // it has failed meanwhile
@@ -185,66 +185,66 @@
 	return replacement.Surge && !next.Ready
 }
 
-func (r *round) withholding(index int) {
-	if r.mustGoBack(index) {
-		r.giveBack(index)
+func (r *transition) cordoning(index int) {
+	if r.mustRollBack(index) {
+		r.uncordon(index)
 		return
 	}
-	if r.confirmed[index] > 0 {
+	if r.confirmedAt[index] > 0 {
 		r.enter(index, Draining)
 		return
 	}
-	r.holdIfLate(index, HoldUnconfirmed, 0)
+	r.blockIfLate(index, BlockUnconfirmed, 0)
 }
 
-func (r *round) draining(index int) {
-	if r.mustGoBack(index) {
-		r.giveBack(index)
+func (r *transition) draining(index int) {
+	if r.mustRollBack(index) {
+		r.uncordon(index)
 		return
 	}
 	replacement := r.replacement(index)
 	status, present := r.status(replacement.Old.ID)
 	if present && !r.idle(index, status) {
-		r.moveIfLate(index, status)
+		r.migrateIfLate(index, status)
 		return
 	}
-	if r.wish == Pause {
-		r.hold(index, HoldPaused, nil)
+	if r.directive == Pause {
+		r.block(index, BlockPaused, nil)
 		return
 	}
-	if replacement.Old.Kind == room.Core && !r.observation.CoreSettled {
-		r.hold(index, HoldCore, nil)
+	if replacement.Old.Kind == room.Core && !r.observation.CoreConverged {
+		r.block(index, BlockCore, nil)
 		return
 	}
 	r.enter(index, Stopping)
 }
 
 // idle reports whether nothing is on the withheld node of a task any more, nor on its way to it.
-func (r *round) idle(index int, status NodeStatus) bool {
-	confirmed := r.confirmed[index]
+func (r *transition) idle(index int, status NodeStatus) bool {
+	confirmed := r.confirmedAt[index]
 	linger := r.replacement(index).Times.Linger
-	return confirmed > 0 && r.observation.Began >= confirmed+linger && status.Open == 0
+	return confirmed > 0 && r.observation.Began >= confirmed+linger && status.InFlight == 0
 }
 
-// moveIfLate has resumable streams moved away from a node that takes longer than the longest reply.
-func (r *round) moveIfLate(index int, status NodeStatus) {
+// migrateIfLate has resumable streams moved away from a node that takes longer than the longest reply.
+func (r *transition) migrateIfLate(index int, status NodeStatus) {
 	replacement := r.replacement(index)
 	longest := replacement.Times.Drain + replacement.Times.Linger
-	if r.now-r.entered[index] <= longest {
+	if r.now-r.enteredAt[index] <= longest {
 		return
 	}
-	r.hold(index, HoldBusy, nil)
-	if status.Movable > 0 && !r.next.Tasks[index].Moving && r.wish == Proceed {
-		r.next.Tasks[index].Moving = true
-		r.counters.Moves++
+	r.block(index, BlockInFlight, nil)
+	if status.Migratable > 0 && !r.next.Tasks[index].Migrating && r.directive == Proceed {
+		r.next.Tasks[index].Migrating = true
+		r.counters.Migrated++
 		r.changed = true
 	}
 }
 
-func (r *round) stopping(index int) {
+func (r *transition) stopping(index int) {
 	replacement := r.replacement(index)
 	if _, present := r.status(replacement.Old.ID); present {
-		r.holdIfLate(index, HoldNotStopped, replacement.Times.Stop)
+		r.blockIfLate(index, BlockNotStopped, replacement.Times.Stop)
 		return
 	}
 	if replacement.Surge {
@@ -254,33 +254,33 @@
 	r.enter(index, Starting)
 }
 
-func (r *round) emptying(index int) {
+func (r *transition) rollbackDraining(index int) {
 	status, present := r.status(r.replacement(index).New.ID)
 	if !present || r.idle(index, status) {
-		r.enter(index, Removing)
+		r.enter(index, RollbackStopping)
 		return
 	}
-	r.holdIfLate(index, HoldBusy, r.replacement(index).Times.Drain)
+	r.blockIfLate(index, BlockInFlight, r.replacement(index).Times.Drain)
 }
 
 // removing ends when the new node is gone, and a start that was asked for before would have shown.
-func (r *round) removing(index int) {
+func (r *transition) rollbackStopping(index int) {
 	_, present := r.status(r.replacement(index).New.ID)
-	if !present && r.observation.Began >= r.entered[index]+r.config.Settle {
-		r.enter(index, Returned)
+	if !present && r.observation.Began >= r.enteredAt[index]+r.config.MaxStartDelay {
+		r.enter(index, RolledBack)
 		return
 	}
-	r.holdIfLate(index, HoldNotStopped, r.config.Settle+r.replacement(index).Times.Stop)
+	r.blockIfLate(index, BlockNotStopped, r.config.MaxStartDelay+r.replacement(index).Times.Stop)
 }
 
 // finishStage goes on to the next stage when all tasks of the present one have come to their end and that is
 // acknowledged.
-func (r *round) finishStage() {
+func (r *transition) finishStage() {
 	if r.changed {
 		return
 	}
 	for _, task := range r.next.Tasks {
-		if task.Phase != Finished && task.Phase != Returned {
+		if task.Phase != Finished && task.Phase != RolledBack {
 			return
 		}
 	}
@@ -293,17 +293,17 @@
 }
 
 // confirm notes which withholdings are in force everywhere.
-func (r *round) confirm() {
+func (r *transition) confirm() {
 	for index, task := range r.state.Tasks {
-		if r.confirmed[index] == 0 && r.inForce(index, task) {
-			r.confirmed[index] = max(r.now, time.Nanosecond)
+		if r.confirmedAt[index] == 0 && r.isConfirmed(index, task) {
+			r.confirmedAt[index] = max(r.now, time.Nanosecond)
 		}
 	}
 }
 
-func (r *round) inForce(index int, task Task) bool {
+func (r *transition) isConfirmed(index int, task Task) bool {
 	switch task.Phase {
-	case Withholding, Draining, Emptying:
+	case Cordoning, Draining, RollbackDraining:
 	default:
 		return false
 	}
@@ -311,10 +311,10 @@
 	if replacement.Old.Kind == room.Core {
 		old, _ := r.status(replacement.Old.ID)
 		next, _ := r.status(replacement.New.ID)
-		if task.Phase == Emptying {
+		if task.Phase == RollbackDraining {
 			return old.Votes && !next.Votes
 		}
 		return !old.Votes && (next.Votes || !replacement.Surge)
 	}
-	return r.observation.InForce >= task.Since
+	return r.observation.ConfirmedRevision >= task.Since
 }
--- a/internal/migration/simulate/checker_test.go
+++ b/internal/migration/simulate/checker_test.go
@@ -80,13 +80,13 @@
 // stored looks at a state that takes the place of another one.
 func (c *checker) stored(before, after *execute.State) {
 	c.counts.states++
-	if err := execute.CheckStep(before, after, c.plan); err != nil {
+	if err := execute.CheckTransition(before, after, c.plan); err != nil {
 		c.broken(ruleSteps, "%v", err)
 		return
 	}
 	var withheld []string
 	if before != nil {
-		withheld = before.Withheld
+		withheld = before.Cordoned
 		c.noteRetired(before, after)
 	}
 	for index, task := range after.Tasks {
@@ -97,7 +97,7 @@
 			c.counts.givenBack++
 		}
 	}
-	for _, id := range after.Withheld {
+	for _, id := range after.Cordoned {
 		one := c.nodes[id]
 		if one.ready(c.now) && one.spec.Kind != room.Core && !slices.Contains(withheld, id) {
 			c.withholding(one, after)
@@ -106,7 +106,7 @@
 }
 
 func isGivenBack(from, to execute.Phase) bool {
-	withheld := from == execute.Withholding || from == execute.Draining || from == execute.Emptying
+	withheld := from == execute.Cordoning || from == execute.Draining || from == execute.RollbackDraining
 	return withheld && (to == execute.Warming || to == execute.Waiting)
 }
 
@@ -121,7 +121,7 @@
 
 // withholding looks at a node that is to get nothing new from now on.
 func (c *checker) withholding(one *node, after *execute.State) {
-	serving := c.serving(after.Withheld)
+	serving := c.serving(after.Cordoned)
 	sameZone := func(other room.Node) bool {
 		return other.Group() == one.spec.Group() && other.Zone == one.spec.Zone
 	}
@@ -206,7 +206,7 @@
 		c.shortFor[group] = 0
 		return
 	}
-	if (room.Headroom{}).Check(group, c.serving(c.store.committed.Withheld), c.asked()) == nil {
+	if (room.Headroom{}).Check(group, c.serving(c.store.committed.Cordoned), c.asked()) == nil {
 		c.shortFor[group] = 0
 		return
 	}
@@ -224,9 +224,9 @@
 		replacement := c.plan.Stages[committed.Stage].Replacements[index]
 		id := ""
 		switch task.Phase {
-		case execute.Withholding, execute.Draining:
+		case execute.Cordoning, execute.Draining:
 			id = replacement.Old.ID
-		case execute.Emptying:
+		case execute.RollbackDraining:
 			id = replacement.New.ID
 		}
 		if id != "" && replacement.Old.Group() == group && c.nodes[id].ready(c.now) {
@@ -266,9 +266,9 @@
 func (c *checker) end() {
 	state := c.store.committed
 	if state == nil || !state.Outcome.Ended() {
-		var holds []execute.Hold
+		var holds []execute.Blocker
 		for _, one := range c.store.instances {
-			holds = append(holds, one.machine.Holds()...)
+			holds = append(holds, one.machine.Blockers()...)
 		}
 		c.broken(ruleEnd, "it has not ended: %+v; holds %+v", state, holds)
 		return
@@ -292,7 +292,7 @@
 	if old.spec.Kind == room.Core && (!old.votes || next.votes) {
 		c.broken(ruleEnd, "%s is to vote instead of %s", old.spec.ID, next.spec.ID)
 	}
-	if slices.Contains(c.store.committed.Withheld, old.spec.ID) {
+	if slices.Contains(c.store.committed.Cordoned, old.spec.ID) {
 		c.broken(ruleEnd, "%s is withheld", old.spec.ID)
 	}
 }
--- a/internal/migration/simulate/control_test.go
+++ b/internal/migration/simulate/control_test.go
@@ -16,7 +16,7 @@
 	committed *execute.State
 	withheld  []withheldSince // of edge machines, for the directory
 	cutUntil  time.Duration   // the core
-	wish      execute.Wish
+	wish      execute.Directive
 	instances []*instance
 	names     int
 	nextAt    time.Duration // when a next instance gets the duty; 0: it is held
@@ -78,7 +78,7 @@
 			s.drop(one)
 			continue
 		}
-		s.feed(one, execute.Wished{Wish: s.wish})
+		s.feed(one, execute.DirectiveSet{Directive: s.wish})
 		if s.now-one.observed >= 300*time.Millisecond {
 			one.observed = s.now
 			observation := s.observe()
@@ -95,14 +95,14 @@
 	}
 	s.names++
 	fresh := &instance{machine: execute.NewMachine(execute.Config{
-		Plan:   s.plan,
-		Digest: "plan",
-		Owner:  fmt.Sprintf("core/%d", s.names),
-		Bound:  s.input.Headroom,
-		Fresh:  2 * time.Second,
-		Calm:   2 * time.Second,
-		Retry:  time.Second,
-		Settle: commandLife + time.Second,
+		Plan:               s.plan,
+		Digest:             "plan",
+		Owner:              fmt.Sprintf("core/%d", s.names),
+		Headroom:           s.input.Headroom,
+		MaxObservationAge:  2 * time.Second,
+		ShortageBackoff:    2 * time.Second,
+		StoreRetryInterval: time.Second,
+		MaxStartDelay:      commandLife + time.Second,
 	})}
 	s.instances = append(s.instances, fresh)
 	s.later(fresh, execute.Loaded{State: s.committed}, time.Second)
@@ -160,7 +160,7 @@
 		expected = asked.Revision == s.committed.Revision+1 && asked.Epoch >= s.committed.Epoch
 	}
 	if !expected && s.flaw != flawStoresAll {
-		s.answer(from, execute.Refused{Current: s.committed})
+		s.answer(from, execute.Rejected{Current: s.committed})
 		return
 	}
 	s.checker.stored(s.committed, asked)
@@ -177,7 +177,7 @@
 
 func (s *store) noteEdges() {
 	var edges []string
-	for _, id := range s.committed.Withheld {
+	for _, id := range s.committed.Cordoned {
 		if s.nodes[id].spec.Kind == room.Edge {
 			edges = append(edges, id)
 		}
@@ -199,17 +199,17 @@
 // observe looks at the deployment as the shell of an executor does.
 func (s *store) observe() *execute.Observation {
 	seen := &execute.Observation{
-		Began:       s.now,
-		Elapsed:     s.now,
-		Nodes:       map[string]execute.NodeStatus{},
-		InForce:     s.inForce(),
-		Core:        plan.Core{Hosts: s.input.Core.Hosts, Zones: s.input.Core.Zones},
-		CoreSettled: s.majority(),
+		Began:             s.now,
+		Elapsed:           s.now,
+		Nodes:             map[string]execute.NodeStatus{},
+		ConfirmedRevision: s.inForce(),
+		Core:              plan.Core{Hosts: s.input.Core.Hosts, Zones: s.input.Core.Zones},
+		CoreConverged:     s.majority(),
 	}
 	for _, one := range s.order {
 		if one.votes {
 			seen.Core.Voters = append(seen.Core.Voters, plan.Voter{ID: one.spec.ID, Zone: one.spec.Zone})
-			seen.CoreSettled = seen.CoreSettled && one.present
+			seen.CoreConverged = seen.CoreConverged && one.present
 		}
 		if !one.present {
 			continue
@@ -225,18 +225,18 @@
 }
 
 func (s *store) status(one *node) execute.NodeStatus {
-	status := execute.NodeStatus{Ready: one.ready(s.now), Votes: one.votes, Open: len(one.open)}
+	status := execute.NodeStatus{Ready: one.ready(s.now), Votes: one.votes, InFlight: len(one.open)}
 	if one.spec.Kind == room.Core && !s.input.Replacements[s.replacementOf(one)].Surge {
 		status.Ready = status.Ready && one.votes
 	}
 	for _, open := range one.open {
 		if open.resumable {
-			status.Movable++
+			status.Migratable++
 		}
 		// a proxy that is cut off reports nothing, and a server sees only what has arrived
 		unseen := one.spec.Kind == room.Server && s.now < open.edge.cutUntil && s.now < open.arrivesAt
 		if unseen || s.flaw == flawSeesArrived && s.now < open.arrivesAt {
-			status.Open--
+			status.InFlight--
 		}
 	}
 	return status
--- a/internal/migration/simulate/flaw_test.go
+++ b/internal/migration/simulate/flaw_test.go
@@ -26,10 +26,10 @@
 func (f flaw) distort(w *world, seen *execute.Observation) {
 	switch f {
 	case flawConfirms:
-		seen.InForce = ^uint64(0)
+		seen.ConfirmedRevision = ^uint64(0)
 	case flawNothing:
 		for id, status := range seen.Nodes {
-			status.Open = 0
+			status.InFlight = 0
 			seen.Nodes[id] = status
 		}
 	case flawLittleLoad:
@@ -53,7 +53,7 @@
 			}
 		}
 	case flawDeaf:
-		seen.InForce = 0
+		seen.ConfirmedRevision = 0
 	}
 }
 
--- a/internal/migration/simulate/traffic_test.go
+++ b/internal/migration/simulate/traffic_test.go
@@ -108,7 +108,7 @@
 	for _, own := range []bool{true, false} {
 		for _, one := range w.order {
 			usable := one.spec.Kind == room.Server && one.ready(w.now) && from.serves(one.spec.Region) &&
-				!slices.Contains(edge.inForce.Withheld, one.spec.ID)
+				!slices.Contains(edge.inForce.Cordoned, one.spec.ID)
 			if !usable || own != (one.spec.Region == edge.spec.Region) {
 				continue
 			}
@@ -127,7 +127,7 @@
 // move takes up elsewhere what a proxy carries of streams that are to move and can.
 func (w *world) move(edge *node) {
 	for _, one := range slices.Clone(edge.open) {
-		if !slices.Contains(edge.inForce.Moving, one.server.spec.ID) {
+		if !slices.Contains(edge.inForce.Migrating, one.server.spec.ID) {
 			continue
 		}
 		if !one.resumable || w.now < one.arrivesAt {
