--- a/internal/migration/execute/blocker.go
+++ b/internal/migration/execute/blocker.go
@@ -1,17 +1,13 @@
 package execute
 
 import (
-	"fmt"
-	"io"
 	"slices"
-	"strings"
 	"time"
 
-	"fieldrelay/internal/migration/plan"
 	"fieldrelay/internal/migration/room"
 )
 
-// BlockReason is why something waits.
+// BlockReason is why something waits, as the operator reads it.
 type BlockReason string
 
 // The reasons.
@@ -30,71 +26,52 @@
 	BlockNotStopped      BlockReason = "the retired node is still there"
 )
 
-// wholeStage stands for the whole stage.
+// wholeStage stands for all tasks of a stage instead of the index of one.
 const wholeStage = -1
 
-// lateFactor is the multiple of the planned time after which a phase counts as late.
+// lateFactor is the multiple of its planned duration after which a phase counts as late.
 const lateFactor = 3
 
-// minLateness is the least time after which a phase counts as late.
+// minLateness is the shortest time in a phase after which it counts as late.
 const minLateness = 5 * time.Second
 
-// Blocker is something that waits.
+// Blocker is a reason for which a replacement, or the whole stage, waits.
 type Blocker struct {
 	Old, New string // ids of the replacement; empty for the whole stage
 	Reason   BlockReason
 	Shortage *room.Shortage // for BlockCapacity
 }
 
+// block records a blocker, once.
 func (m *Machine) block(index int, reason BlockReason, shortage *room.Shortage) {
-	hold := Blocker{Reason: reason, Shortage: shortage}
+	blocker := Blocker{Reason: reason, Shortage: shortage}
 	if index != wholeStage {
 		replacement := m.replacement(index)
-		hold.Old, hold.New = replacement.Old.ID, replacement.New.ID
+		blocker.Old, blocker.New = replacement.Old.ID, replacement.New.ID
 	}
-	if !slices.Contains(m.blockers, hold) {
-		m.blockers = append(m.blockers, hold)
+	if !slices.Contains(m.blockers, blocker) {
+		m.blockers = append(m.blockers, blocker)
 	}
 }
 
-// blockIfLate tells that a phase takes far longer than planned.
+// blockIfLate records a blocker if a phase takes far longer than planned.
 func (m *Machine) blockIfLate(index int, reason BlockReason, planned time.Duration) {
 	if m.now-m.enteredAt[index] > max(lateFactor*planned, minLateness) {
 		m.block(index, reason, nil)
 	}
 }
 
-// Blockers lists what waits at present and why.
+// Blockers returns what the run waits for at present, as of the last search for a next state.
 func (m *Machine) Blockers() []Blocker { return m.blockers }
 
-// WriteProgress writes how far a run is and what it waits for, for a person at a terminal. state is nil before the
-// first was stored.
-func WriteProgress(output io.Writer, made *plan.Plan, state *State, blockers []Blocker) error {
-	text := &strings.Builder{}
-	if state == nil {
-		text.WriteString("not begun\n")
-	} else {
-		stages := len(made.Stages)
-		fmt.Fprintf(text, "%s: stage %d of %d\n", state.Outcome, min(state.Stage+1, stages), stages)
-		for index, task := range state.Tasks {
-			replacement := &made.Stages[state.Stage].Replacements[index]
-			fmt.Fprintf(text, "  %-12s %s -> %s\n", task.Phase, replacement.Old.ID, replacement.New.ID)
-		}
+// String returns one line for an operator.
+func (b Blocker) String() string {
+	text := string(b.Reason)
+	if b.Old != "" {
+		text = b.Old + ": " + text
 	}
-	for _, hold := range blockers {
-		fmt.Fprintf(text, "  waits: %s\n", hold)
-	}
-	_, err := io.WriteString(output, text.String())
-	return err
-}
-
-func (h Blocker) String() string {
-	text := string(h.Reason)
-	if h.Old != "" {
-		text = h.Old + ": " + text
-	}
-	if h.Shortage != nil {
-		text += ": " + h.Shortage.String()
+	if b.Shortage != nil {
+		text += ": " + b.Shortage.String()
 	}
 	return text
 }
--- a/internal/migration/execute/event.go
+++ b/internal/migration/execute/event.go
@@ -7,27 +7,27 @@
 	"fieldrelay/internal/migration/room"
 )
 
-// Event is something that a Machine is told.
+// Event is an input of a Machine.
 type Event interface{ executeEvent() }
 
-// Tick tells the time passing, several times a second. It costs next to nothing: what is to be done next is looked
-// for when something was learnt.
+// Tick reports that time has passed; it is to come several times a second. It is cheap: a next state is only looked for
+// when another event has come, or when the observation has become too old.
 type Tick struct{}
 
-// Loaded is the newest acknowledged state of the run; nil if there is none yet. It is read once, when the
-// machine gets the duty.
+// Loaded is the newest acknowledged state of the run, nil if there is none yet. It is read once, when the machine becomes
+// the owner of the singleton role.
 type Loaded struct{ State *State }
 
-// Stored tells that the state of the last Store is acknowledged.
+// Stored acknowledges the state of the last Store.
 type Stored struct{ Revision uint64 }
 
-// Rejected tells that another state than the expected one is in place.
+// Rejected reports that the last Store was rejected, since another state than the expected one is in place.
 type Rejected struct{ Current *State }
 
-// DirectiveSet is the operator's wish in force.
+// DirectiveSet reports the operator's directive in force.
 type DirectiveSet struct{ Directive Directive }
 
-// Observed is a whole observation.
+// Observed is a complete observation.
 type Observed struct{ Observation *Observation }
 
 func (Tick) executeEvent()         {}
@@ -40,48 +40,48 @@
 // Directive is what the operator wants of a run.
 type Directive uint8
 
-// The wishes. An abort cannot be taken back.
+// The directives.
 const (
 	Proceed Directive = iota
-	Pause
-	Abort
+	Pause             // hold every step that takes capacity away
+	Abort             // roll back what can be, finish the rest; cannot be taken back
 )
 
-// Observation is what was seen of the deployment within a short time.
+// Observation is what was observed of the deployment within a short time.
 type Observation struct {
-	Began   time.Duration // before the first look, on the machine's clock
-	Elapsed time.Duration // time of day, on the time of the plan's profile
+	Began   time.Duration // before the first query, on the machine's clock
+	Elapsed time.Duration // time of day, on the time scale of the plan's profile
 	Nodes   map[string]NodeStatus
-	// ConfirmedRevision is the revision of the run's state that every proxy has in force that may be sending, proxies
-	// included that cannot be reached at present.
+	// ConfirmedRevision is the revision of the run's state that is in force at every proxy that may still be sending,
+	// including proxies that cannot be reached at present.
 	ConfirmedRevision uint64
-	Fleet             []room.Node // that are warm and serve, withheld ones included
-	Loads             []room.Load // as measured of late
+	Fleet             []room.Node // that are warm and serve, cordoned ones included
+	Loads             []room.Load // as measured recently
 	Core              plan.Core   // the voters of the view in force
-	// CoreConverged tells that all voters are live and hold the view in force.
+	// CoreConverged means that all voters are live and hold the view in force.
 	CoreConverged bool
 }
 
-// NodeStatus is what was seen of a node that runs, or that may run still.
+// NodeStatus is what was observed of a node that runs, or that may still be running.
 type NodeStatus struct {
-	// Ready: it answers, and bears its full load; of a core machine: it holds the state and, if it is to vote
-	// without an old machine beside, votes.
+	// Ready means that the node answers and has warmed up; of a core machine, that it holds the control state and, if
+	// it is to vote without an old machine beside it, that it votes.
 	Ready bool
 	Votes bool // of a core machine: in the view in force
-	// InFlight counts requests on their way to it or on it, as the proxies and the node itself count them, whichever
-	// is more.
+	// InFlight is the number of requests on their way to the node or on it: the larger one of the counts of the proxies
+	// and of the node itself.
 	InFlight   int
-	Migratable int // of these, streams that can go on elsewhere
+	Migratable int // of these, streams that can be resumed elsewhere
 }
 
-// Action is something that the shell of a Machine has to do.
+// Action is something that the caller of a Machine has to do.
 type Action interface{ executeAction() }
 
-// Store asks for a state to be kept in place of the one with the revision before; by the same machine it may be
-// asked for again. It is answered by Stored or Refused, or not at all.
+// Store asks for a state to be put in place of the one with the revision before. The same machine may ask for it again. It
+// is answered by Stored or Rejected, or not at all.
 type Store struct{ State *State }
 
-// Changed tells a change of phase or outcome that is acknowledged, for the log.
+// Changed reports an acknowledged change of a phase or an outcome, for the log.
 type Changed struct {
 	Stage    int
 	Old, New string // ids; empty for the run as a whole
--- /dev/null
+++ b/internal/migration/execute/harness_test.go
@@ -0,0 +1,144 @@
+package execute
+
+import (
+	"bytes"
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"fieldrelay/internal/migration/plan"
+	"fieldrelay/internal/migration/room"
+)
+
+var lm = room.Group{Kind: room.Server, Service: "lm"}
+
+func server(id string) room.Node {
+	return room.Node{ID: id, Kind: room.Server, Service: "lm", Zone: "a", Region: "west", Capacity: room.Amount{room.Slots: 10}}
+}
+
+// twoStages replaces one server with surge in the first stage, and one in place in the second.
+func twoStages() *plan.Plan {
+	times := plan.Times{Start: time.Second, Warm: time.Second, Drain: 5 * time.Second, Linger: time.Second, Stop: time.Second}
+	return &plan.Plan{Stages: []plan.Stage{
+		{Replacements: []plan.Replacement{{Old: server("old-1"), New: server("new-1"), Surge: true, Times: times}}},
+		{Begin: 20 * time.Second, Replacements: []plan.Replacement{{Old: server("old-2"), New: server("new-2"), Times: times}}},
+	}}
+}
+
+// harness feeds a machine; its store accepts the states that may follow, and its nodes do what the state says.
+type harness struct {
+	t                 *testing.T
+	made              *plan.Plan
+	machine           *Machine
+	now               time.Duration
+	stored            *State
+	inFlight          map[string]int
+	migratable        map[string]int
+	nodes             map[string]bool
+	slots             float64 // demand
+	confirmedRevision func() uint64
+	changes           []string
+	requested         []*State // while stores go unanswered
+	storeUnanswered   bool     // stores are neither answered nor carried out
+	unobserved        bool     // no observation is made
+}
+
+func newHarness(t *testing.T) *harness {
+	t.Helper()
+	h := &harness{
+		t: t, made: twoStages(), inFlight: map[string]int{}, migratable: map[string]int{}, slots: 10,
+		nodes: map[string]bool{"old-1": true, "old-2": true, "kept": true},
+	}
+	h.confirmedRevision = func() uint64 { return h.stored.Revision }
+	h.machine = h.newMachine("one")
+	return h
+}
+
+func (h *harness) newMachine(owner string) *Machine {
+	return NewMachine(Config{
+		Plan: h.made, Digest: "plan", Owner: owner, Headroom: room.Headroom{Margin: 0.1, Hosts: 1},
+		MaxObservationAge: 2 * time.Second, ShortageBackoff: 3 * time.Second, StoreRetryInterval: time.Second, MaxStartDelay: time.Second,
+	})
+}
+
+func (h *harness) feed(event Event) {
+	for _, action := range h.machine.Step(h.now, event) {
+		switch action := action.(type) {
+		case Changed:
+			h.changes = append(h.changes, fmt.Sprintf("%s%s>%s", action.New, action.From, action.To))
+		case Store:
+			if h.storeUnanswered {
+				h.requested = append(h.requested, action.State)
+				continue
+			}
+			require.NoError(h.t, CheckTransition(h.stored, action.State, h.made))
+			h.stored = action.State
+		}
+	}
+}
+
+// run lets time pass until a condition holds; the test fails if it never does.
+func (h *harness) run(until func() bool) {
+	h.t.Helper()
+	for range 1000 {
+		if until() {
+			return
+		}
+		h.pass()
+	}
+	var text bytes.Buffer
+	require.NoError(h.t, WriteProgress(&text, h.made, h.stored, h.machine.Blockers()))
+	require.Fail(h.t, "not reached", "%s", text.String())
+}
+
+// pass lets a fifth of a second pass: nodes start and stop, and the machine gets its events.
+func (h *harness) pass() {
+	h.now += 200 * time.Millisecond
+	if h.stored != nil {
+		for _, id := range h.stored.Start {
+			h.nodes[id] = true
+		}
+		for _, id := range h.stored.Stop {
+			require.Zero(h.t, h.inFlight[id])
+			delete(h.nodes, id)
+		}
+	}
+	if h.stored != nil {
+		h.feed(Stored{Revision: h.stored.Revision})
+	}
+	if h.stored != nil && !h.unobserved {
+		h.feed(Observed{Observation: h.observation()})
+	}
+	h.feed(Tick{})
+}
+
+func (h *harness) observation() *Observation {
+	seen := &Observation{Began: h.now, Elapsed: h.now, Nodes: map[string]NodeStatus{}, ConfirmedRevision: h.confirmedRevision()}
+	for id := range h.nodes {
+		seen.Nodes[id] = NodeStatus{Ready: true, InFlight: h.inFlight[id], Migratable: h.migratable[id]}
+		seen.Fleet = append(seen.Fleet, server(id))
+	}
+	seen.Loads = []room.Load{{Region: "west", Group: lm, Required: room.Amount{room.Slots: h.slots}}}
+	return seen
+}
+
+func (h *harness) phase(phase Phase) func() bool {
+	return func() bool { return len(h.stored.Tasks) > 0 && h.stored.Tasks[0].Phase == phase }
+}
+
+func (h *harness) outcome(outcome Outcome) func() bool {
+	return func() bool { return h.stored.Outcome == outcome }
+}
+
+func (h *harness) blockedBy(reason BlockReason) func() bool {
+	return func() bool {
+		for _, hold := range h.machine.Blockers() {
+			if hold.Reason == reason {
+				return true
+			}
+		}
+		return false
+	}
+}
--- a/internal/migration/execute/machine.go
+++ b/internal/migration/execute/machine.go
@@ -7,40 +7,41 @@
 	"fieldrelay/internal/migration/room"
 )
 
-// Config is what a Machine is told once.
+// Config is what a Machine is created with.
 type Config struct {
 	Plan     *plan.Plan
 	Digest   string // of the plan
-	Owner    string // differs from start to start
+	Owner    string // another one after each start
 	Headroom room.Headroom
-	// MaxObservationAge is the age up to which an observation counts.
+	// MaxObservationAge is the age up to which an observation is acted on.
 	MaxObservationAge time.Duration
-	// ShortageBackoff is how long after room was short nothing more is taken away.
+	// ShortageBackoff is the time after a shortage in which no further capacity is taken away.
 	ShortageBackoff time.Duration
-	// StoreRetryInterval is the wait before an unanswered Store is asked for again.
+	// StoreRetryInterval is the time after which an unanswered Store is repeated.
 	StoreRetryInterval time.Duration
-	// MaxStartDelay is how long it may take to start a node after the state that asks for it was read.
+	// MaxStartDelay is the longest time from reading the state that asks for a node until the node has started.
 	MaxStartDelay time.Duration
 }
 
-// Machine is one control machine's part in a run while it has the duty.
+// Machine executes a plan for one control machine while that owns the singleton role. It is a state machine without I/O,
+// clock or goroutine, and is not safe for concurrent use.
 type Machine struct {
 	config Config
 
 	loaded           bool
 	state            *State // acknowledged; nil before the first
-	pending          *State // asked to be stored; nil if there is none
+	pending          *State // to be stored, not yet acknowledged; nil if there is none
 	storeRequestedAt time.Duration
 	fenced           bool
 	directive        Directive
-	inputChanged     bool // something was learnt since the last look for a next state
+	inputChanged     bool // since the last search for a next state
 
 	now            time.Duration
 	observation    *Observation
-	hadShortage    bool          // room was short at some time
-	lastShortageAt time.Duration // when it last was
-	enteredAt      []time.Duration
-	confirmedAt    []time.Duration // when a task's withholding was seen in force everywhere; 0: not yet
+	hadShortage    bool
+	lastShortageAt time.Duration   // if hadShortage
+	enteredAt      []time.Duration // by task: when its phase was acknowledged
+	confirmedAt    []time.Duration // by task: when its cordon was seen in force at all proxies; 0: not yet
 	blockers       []Blocker
 	counters       Counters
 	actions        []Action
@@ -49,25 +50,25 @@
 // Counters are totals since the start of the machine.
 type Counters struct {
 	Stored     uint64 // states acknowledged
-	Rejected   uint64 // states refused
-	Cordoned   uint64 // nodes withheld
-	Uncordoned uint64 // nodes given back because room fell or the replacement failed
-	Migrated   uint64 // nodes whose streams were told to move
+	Rejected   uint64 // states rejected
+	Cordoned   uint64 // nodes cordoned
+	Uncordoned uint64 // nodes that serve again because of a shortage, an abort or a failed replacement
+	Migrated   uint64 // nodes whose streams were to be resumed elsewhere
 }
 
 // NewMachine returns a machine that waits for Loaded.
 func NewMachine(config Config) *Machine { return &Machine{config: config} }
 
-// Fenced reports whether another machine has taken over; this one does nothing more.
+// Fenced reports whether another machine has taken over. A fenced machine does nothing more.
 func (m *Machine) Fenced() bool { return m.fenced }
 
-// State is the newest acknowledged state; nil before the first.
+// State returns the newest acknowledged state; nil before the first.
 func (m *Machine) State() *State { return m.state }
 
-// Counters are totals since the start.
+// Counters returns the totals since the start.
 func (m *Machine) Counters() Counters { return m.counters }
 
-// Step takes an event and returns what is to be done. The time is of a steady clock.
+// Step handles an event and returns what is to be done. now is the time of a monotonic clock.
 func (m *Machine) Step(now time.Duration, event Event) []Action {
 	m.now = now
 	m.actions = nil
@@ -95,96 +96,14 @@
 	return m.actions
 }
 
+// observe keeps the newest observation; they may arrive out of order.
 func (m *Machine) observe(observation *Observation) {
 	if m.observation == nil || observation.Began > m.observation.Began {
 		m.observation = observation
 	}
 }
 
-// adopt takes over a state that others may have written.
-func (m *Machine) adopt(state *State) {
-	m.state = state
-	m.pending = nil
-	m.resetTimers()
-}
-
-// resetTimers forgets what was waited out: what is known of it ends with the machine that waited.
-func (m *Machine) resetTimers() {
-	count := 0
-	if m.state != nil {
-		count = len(m.state.Tasks)
-	}
-	m.enteredAt = make([]time.Duration, count)
-	m.confirmedAt = make([]time.Duration, count)
-	for index := range m.enteredAt {
-		m.enteredAt[index] = m.now
-	}
-}
-
-func (m *Machine) acknowledged(revision uint64) {
-	if m.pending == nil || m.pending.Revision != revision {
-		return
-	}
-	before := m.state
-	m.state = m.pending
-	m.pending = nil
-	m.counters.Stored++
-	m.reportChanges(before)
-}
-
-// tell reports what changed between two acknowledged states, and begins the times of the phases.
-func (m *Machine) reportChanges(before *State) {
-	if before == nil || before.Plan != m.state.Plan {
-		m.resetTimers()
-		return
-	}
-	if before.Outcome != m.state.Outcome {
-		m.report(Changed{Stage: before.Stage, From: string(before.Outcome), To: string(m.state.Outcome)})
-	}
-	if before.Stage != m.state.Stage {
-		m.resetTimers()
-		m.report(Changed{Stage: before.Stage, From: string(Running), To: string(Finished)})
-		return
-	}
-	for index, task := range m.state.Tasks {
-		if task.Phase == before.Tasks[index].Phase {
-			continue
-		}
-		m.enteredAt[index] = m.now
-		if task.Phase != Draining {
-			m.confirmedAt[index] = 0
-		}
-		replacement := m.replacement(index)
-		m.report(Changed{
-			Stage: m.state.Stage,
-			Old:   replacement.Old.ID,
-			New:   replacement.New.ID,
-			From:  string(before.Tasks[index].Phase),
-			To:    string(task.Phase),
-		})
-	}
-}
-
-func (m *Machine) report(changed Changed) { m.actions = append(m.actions, changed) }
-
-// refused learns that the state in place is not the one that was expected: another machine has the duty, or an
-// earlier one wrote a last state before this one took over.
-func (m *Machine) rejected(current *State) {
-	if m.pending == nil || current == nil {
-		return
-	}
-	m.counters.Rejected++
-	if m.ownsEpoch() || current.Epoch >= m.pending.Epoch {
-		m.fenced = true
-		return
-	}
-	m.adopt(current)
-}
-
-// claimed reports whether the acknowledged state is of this machine's epoch.
-func (m *Machine) ownsEpoch() bool { return m.state != nil && m.state.Owner == m.config.Owner }
-
-// proceed asks for the next state, if there is one to ask for.
+// proceed requests the next state, if there is one to request.
 func (m *Machine) proceed() {
 	switch {
 	case !m.loaded:
@@ -200,40 +119,6 @@
 	}
 }
 
-// claim begins an epoch of this machine. Nothing else changes with it, unless the run is a new one.
-func (m *Machine) claim() {
-	next := &State{Plan: m.config.Digest, Outcome: Running}
-	switch {
-	case m.state == nil:
-		next.enter(0, m.config.Plan)
-	case m.state.Plan == m.config.Digest && m.state.Outcome.Ended():
-		return
-	case m.state.Plan == m.config.Digest:
-		next = m.state.clone()
-	case m.state.Outcome.Ended():
-		next.Epoch, next.Revision = m.state.Epoch, m.state.Revision
-		next.enter(0, m.config.Plan)
-	default: // a run of another plan is not over
-		m.fenced = true
-		return
-	}
-	next.Epoch++
-	next.Owner = m.config.Owner
-	m.propose(next)
-}
-
-func (m *Machine) propose(next *State) {
-	next.Revision++
-	next.derive(m.config.Plan)
-	m.pending = next
-	m.requestStore()
-}
-
-func (m *Machine) requestStore() {
-	m.storeRequestedAt = m.now
-	m.actions = append(m.actions, Store{State: m.pending})
-}
-
 func (m *Machine) replacement(index int) *plan.Replacement {
 	return &m.config.Plan.Stages[m.state.Stage].Replacements[index]
 }
--- a/internal/migration/execute/state.go
+++ b/internal/migration/execute/state.go
@@ -7,66 +7,67 @@
 	"fieldrelay/internal/migration/room"
 )
 
-// Phase is how far a replacement is.
+// Phase is how far a replacement has come. The values are part of the stored state.
 type Phase string
 
-// The phases of a replacement, in their order. Where both nodes can run at once the new one is started and
-// warmed before the old one is withheld; otherwise after it is gone.
+// The phases of a replacement, in their order. With surge the new node is started and warmed up before the old one is
+// cordoned; in place it is started after the old one is gone.
 const (
 	Waiting          Phase = "waiting"
 	Starting         Phase = "starting"    // the new node is to be started
-	Warming          Phase = "warming"     // the new node runs; until it bears its full load, has caught up
-	Cordoning        Phase = "withholding" // the old node is to get nothing new; until all proxies know
-	Draining         Phase = "draining"    // until the old node's last reply has ended
-	Stopping         Phase = "stopping"    // the old node may be stopped; there is no way back from here
+	Warming          Phase = "warming"     // the new node runs, but has not warmed up or caught up yet
+	Cordoning        Phase = "withholding" // the old node is to get no new requests, until all proxies have confirmed it
+	Draining         Phase = "draining"    // until the old node's last response has ended
+	Stopping         Phase = "stopping"    // the old node may be stopped; there is no rollback from here on
 	Finished         Phase = "finished"
-	RollbackDraining Phase = "emptying" // on the way back: the new node is to get nothing new, until it is idle
-	RollbackStopping Phase = "removing" // on the way back: the new node may be stopped
+	RollbackDraining Phase = "emptying" // rollback: the new node is to get no new requests, until none is in flight
+	RollbackStopping Phase = "removing" // rollback: the new node may be stopped
 	RolledBack       Phase = "returned" // the old node serves as before
 )
 
-// Outcome is where the whole run is.
+// Outcome is the state of the whole run. The values are part of the stored state.
 type Outcome string
 
 // The outcomes.
 const (
 	Running  Outcome = "running"
-	Aborting Outcome = "aborting" // what can go back goes back, the rest is finished
+	Aborting Outcome = "aborting" // what can be rolled back is, the rest is finished
 	Aborted  Outcome = "aborted"
 	Done     Outcome = "done"
 )
 
-// Ended reports whether nothing more will be done.
+// Ended reports whether the run is over.
 func (o Outcome) Ended() bool { return o == Done || o == Aborted }
 
-// Task is one replacement of the present stage.
+// Task is one replacement of the current stage.
 type Task struct {
 	Phase Phase `json:"phase"`
-	// Since is the revision of the state that began to withhold a node, or to let go of it, in this phase.
+	// Since is the revision of the state that cordoned a node in this phase; proxies confirm this revision or a later one.
 	Since     uint64 `json:"since,omitempty"`
-	Migrating bool   `json:"moving,omitempty"` // the old node's resumable streams are to be moved
+	Migrating bool   `json:"moving,omitempty"` // the old node's resumable streams are to be resumed elsewhere
 }
 
-// Swap tells of two core machines which is to vote and which not; it is carried out when the one that is to vote
-// holds the state, in one view. Either side may be empty.
+// Swap says which of two core machines is to vote and which is not. It is carried out in one view change, once the one
+// that is to vote holds the control state. Either side may be empty.
 type Swap struct {
 	Out string `json:"out,omitempty"`
 	In  string `json:"in,omitempty"`
 }
 
-// State is what is kept of a run. It is never changed in place once it was handed out.
+// State is the stored state of a run, an item of the control state. Proxies, edge directories, the platform and the voters
+// read it and act on it. It is immutable once it was handed out. The JSON keys are a stored format.
 type State struct {
 	Plan     string  `json:"plan"` // digest of the plan
 	Epoch    uint64  `json:"epoch"`
-	Owner    string  `json:"owner"` // the machine whose epoch it is; differs from start to start
+	Owner    string  `json:"owner"` // the machine whose epoch it is; another one after each start
 	Revision uint64  `json:"revision"`
 	Outcome  Outcome `json:"outcome"`
 	Stage    int     `json:"stage"` // index
 	Tasks    []Task  `json:"tasks"` // of the stage
 
-	// What follows from the tasks, for those who carry it out.
-	Cordoned  []string `json:"withheld,omitempty"` // get nothing new
-	Migrating []string `json:"moving,omitempty"`   // their resumable streams go on elsewhere
+	// Derived from the tasks, for those who act on it; ids of nodes.
+	Cordoned  []string `json:"withheld,omitempty"` // get no new requests
+	Migrating []string `json:"moving,omitempty"`   // their resumable streams are resumed elsewhere
 	Start     []string `json:"start,omitempty"`    // are to be running
 	Stop      []string `json:"stop,omitempty"`     // may be stopped
 	Swaps     []Swap   `json:"swaps,omitempty"`
@@ -91,8 +92,8 @@
 	}
 }
 
-// derive fills in what follows from the tasks, and from the stages that are over: what has retired stays withheld
-// and may be stopped, should it come back.
+// derive computes what follows from the tasks and from the stages that are over. A released node stays cordoned and may be
+// stopped, should it come back.
 func (s *State) derive(made *plan.Plan) {
 	s.Cordoned, s.Migrating, s.Start, s.Stop, s.Swaps = nil, nil, nil, nil, nil
 	for _, stage := range made.Stages[:s.Stage] {
@@ -105,6 +106,7 @@
 	}
 }
 
+// release lets a node be stopped.
 func (s *State) release(id string) {
 	s.Cordoned = append(s.Cordoned, id)
 	s.Stop = append(s.Stop, id)
@@ -137,7 +139,7 @@
 	}
 }
 
-// swapOf tells who is to vote while a core machine is replaced.
+// swapOf returns which core machine of a replacement is to vote.
 func swapOf(task *Task, replacement *plan.Replacement) Swap {
 	old, next := replacement.Old.ID, replacement.New.ID
 	retired := task.Phase == Cordoning || task.Phase == Draining || task.Phase == Stopping || task.Phase == Finished
--- a/internal/migration/execute/transitioncheck.go
+++ b/internal/migration/execute/transitioncheck.go
@@ -7,17 +7,17 @@
 	"fieldrelay/internal/migration/plan"
 )
 
-// TransitionError tells that a state may not follow another one.
+// TransitionError reports that a state may not follow another one.
 type TransitionError struct{ Reason string }
 
+// Error returns the reason.
 func (e *TransitionError) Error() string { return "migration: " + e.Reason }
 
 func transitionErrorf(format string, arguments ...any) error {
 	return &TransitionError{Reason: fmt.Sprintf(format, arguments...)}
 }
 
-// surgeTransitions and inPlaceTransitions are the phases that may follow a phase, where both nodes can run at once and where
-// the new one needs the place of the old one.
+// surgeTransitions and inPlaceTransitions are the phases that may follow a phase, by the kind of replacement.
 var (
 	surgeTransitions = map[Phase][]Phase{
 		Waiting:          {Starting, RolledBack},
@@ -39,8 +39,8 @@
 	}
 )
 
-// CheckTransition returns a *TransitionError if a state may not be put in place of another one (nil: of none). It is for the
-// head of the chain, which so refuses whoever was overtaken, and for tests.
+// CheckTransition returns a *TransitionError if a state may not be put in place of another one (nil: of none). The head of
+// the chain is to call it, so that it rejects a machine that was overtaken; tests do.
 func CheckTransition(before, after *State, made *plan.Plan) error {
 	if before == nil {
 		before = &State{}
@@ -67,6 +67,7 @@
 	return checkTasks(before, after, made)
 }
 
+// checkOwner checks that a state continues the epoch in force or begins the next one.
 func checkOwner(before, after *State) error {
 	claims := after.Epoch == before.Epoch+1
 	goesOn := after.Epoch == before.Epoch && after.Owner == before.Owner
@@ -99,6 +100,7 @@
 	return nil
 }
 
+// checkBeginning checks the first state of a run.
 func checkBeginning(before, after *State) error {
 	if before.Plan != "" && !before.Outcome.Ended() {
 		return transitionErrorf("another plan is under way")
@@ -110,6 +112,7 @@
 	return nil
 }
 
+// checkNextStage checks the first state of a later stage.
 func checkNextStage(before, after *State) error {
 	unfinished := slices.ContainsFunc(before.Tasks, func(task Task) bool { return task.Phase != Finished })
 	if after.Stage != before.Stage+1 || unfinished || after.Outcome == Aborted {
@@ -121,6 +124,7 @@
 	return nil
 }
 
+// checkTasks checks the phases within a stage.
 func checkTasks(before, after *State, made *plan.Plan) error {
 	for index, task := range after.Tasks {
 		replacement := &made.Stages[after.Stage].Replacements[index]
--- /dev/null
+++ b/internal/migration/execute/transitioncheck_test.go
@@ -0,0 +1,56 @@
+package execute
+
+import (
+	"testing"
+
+	"github.com/cockroachdb/errors"
+	"github.com/stretchr/testify/require"
+)
+
+func TestCheckTransition(t *testing.T) {
+	made := twoStages()
+	base := &State{Plan: "plan", Epoch: 1, Owner: "one", Revision: 5, Outcome: Running, Tasks: []Task{{Phase: Warming}}}
+	base.derive(made)
+	cases := map[string]struct {
+		change func(*State)
+		reason string
+	}{
+		"withholds":        {func(s *State) { s.Tasks[0] = Task{Phase: Cordoning, Since: 6} }, ""},
+		"claims":           {func(s *State) { s.Epoch, s.Owner = 2, "two" }, ""},
+		"aborts":           {func(s *State) { s.Outcome = Aborting }, ""},
+		"of long ago":      {func(s *State) { s.Revision = 5 }, "revision 5 does not follow 5"},
+		"without an epoch": {func(s *State) { s.Owner = "two" }, `epoch 1 of "two" does not follow`},
+		"leaps":            {func(s *State) { s.Tasks[0].Phase = Stopping }, "old-1 cannot go from warming to stopping"},
+		"goes back":        {func(s *State) { s.Tasks[0].Phase = Waiting }, "old-1 cannot go from warming to waiting"},
+		"skips a stage":    {func(s *State) { s.Stage = 1; s.Tasks[0].Phase = Waiting }, "stage 1 does not follow stage 0"},
+		"has no tasks":     {func(s *State) { s.Tasks = nil }, "0 tasks in stage 0"},
+		"is out of range":  {func(s *State) { s.Stage = 3 }, "no stage 3"},
+		"ends early":       {func(s *State) { s.Outcome = Aborted }, "old-1 is warming at the end of an abort"},
+		"is of another":    {func(s *State) { s.Plan = "other" }, "another plan is under way"},
+	}
+	for name, one := range cases {
+		t.Run(name, func(t *testing.T) {
+			next := base.clone()
+			next.Revision++
+			one.change(next)
+			if next.Stage < len(made.Stages) {
+				next.derive(made)
+			}
+			err := CheckTransition(base, next, made)
+			if one.reason == "" {
+				require.NoError(t, err)
+				return
+			}
+			var transitionError *TransitionError
+			require.True(t, errors.As(err, &transitionError), "%v", err)
+			require.Contains(t, err.Error(), one.reason)
+		})
+	}
+	tampered := base.clone()
+	tampered.Revision++
+	tampered.Stop = []string{"kept"}
+	require.ErrorContains(t, CheckTransition(base, tampered, made), "does not follow from the tasks")
+	ended := base.clone()
+	ended.Outcome = Aborted
+	require.ErrorContains(t, CheckTransition(ended, tampered, made), "does not follow")
+}
--- /dev/null
+++ b/internal/migration/execute/voters.go
@@ -0,0 +1,16 @@
+package execute
+
+import (
+	"fieldrelay/internal/migration/plan"
+)
+
+// mayExchange reports whether the voters and the chain permit to replace a core machine now.
+func (t *transition) mayExchange(index int, replacement *plan.Replacement) bool {
+	in := plan.Voter{ID: replacement.New.ID, Zone: replacement.New.Zone}
+	violated, _ := t.observation.Core.CheckExchange(replacement.Old.ID, in, replacement.Surge)
+	if violated != 0 || !t.observation.CoreConverged {
+		t.block(index, BlockCore, nil)
+		return false
+	}
+	return true
+}
