--- a/internal/migration/simulate/checker_test.go
+++ b/internal/migration/simulate/checker_test.go
@@ -1,7 +1,6 @@
 package simulate
 
 import (
-	"cmp"
 	"fmt"
 	"slices"
 	"time"
@@ -11,213 +10,191 @@
 	"fieldrelay/internal/migration/room"
 )
 
-// rule names what the checker watches over.
+// rule is a condition that the checker checks.
 type rule string
 
 const (
-	ruleLost     rule = "no reply is lost by the migration"
-	ruleDoubled  rule = "no reply is doubled"
-	ruleRoom     rule = "nothing is taken for which there is no room"
-	ruleReaction rule = "what is withheld is given back when room falls"
+	ruleLost     rule = "no response is lost by the migration"
+	ruleDoubled  rule = "no response is duplicated"
+	ruleCapacity rule = "no capacity is taken that is needed"
+	ruleReaction rule = "cordoned nodes serve again when capacity falls short"
 	ruleLast     rule = "a zone keeps a warm server"
-	ruleVoters   rule = "the voters bear the fault budget"
-	ruleSteps    rule = "states follow each other as they may"
-	ruleEnd      rule = "a run ends, and as it should"
+	ruleVoters   rule = "the voters survive the fault budget"
+	ruleSteps    rule = "states follow each other by allowed transitions"
+	ruleEnd      rule = "a run ends, with the right nodes"
 )
 
-// violation is a broken rule.
+// violation is a violated rule.
 type violation struct {
 	rule rule
 	at   time.Duration
 	text string
 }
 
-// reaction is how long an executor that works may take to give a node back.
-const reaction = 5 * time.Second
+// reactionTimeout is how long a working executor may take to uncordon a node.
+const reactionTimeout = 5 * time.Second
 
-// surely is the part of the offered load that measured demand is never below.
-const surely = 0.75
+// minMeasuredFraction is the fraction of the offered load that measured demand is never below.
+const minMeasuredFraction = 0.75
 
-// checker watches a world.
+// checker checks the rules on a deployment.
 type checker struct {
-	*world
+	*deployment
 	violations []violation
-	only       rule // that is watched; empty: all
+	only       rule // the one that is checked; empty: all
 	shortFor   map[room.Group]time.Duration
-	seen       map[execute.Phase]int // phases that were entered
+	phases     map[execute.Phase]int // how often each was entered
 }
 
-func newChecker(w *world) *checker {
-	return &checker{world: w, shortFor: map[room.Group]time.Duration{}, seen: map[execute.Phase]int{}}
+func newChecker(d *deployment) *checker {
+	return &checker{deployment: d, shortFor: map[room.Group]time.Duration{}, phases: map[execute.Phase]int{}}
 }
 
-func (c *checker) broken(broken rule, format string, arguments ...any) {
+// report records a violation, up to ten.
+func (c *checker) report(broken rule, format string, arguments ...any) {
 	if len(c.violations) < 10 && (c.only == "" || c.only == broken) {
 		c.violations = append(c.violations, violation{broken, c.now, fmt.Sprintf(format, arguments...)})
 	}
 }
 
-func (c *checker) lost(one *reply, why string) {
-	c.broken(ruleLost, "from %s by %s: %s", one.edge.spec.ID, one.server.spec.ID, why)
+// lost records a response that the migration has lost.
+func (c *checker) lost(one *response, why string) {
+	c.report(ruleLost, "from %s by %s: %s", one.edge.spec.ID, one.server.spec.ID, why)
 }
 
-func (c *checker) whole(one *reply) {
-	if one.runs != 1 || one.written > one.length+tick {
-		c.broken(ruleDoubled, "%d runs, %s written of %s", one.runs, one.written, one.length)
+// completed checks a complete response.
+func (c *checker) completed(one *response) {
+	if one.executions != 1 || one.written > one.length+tick {
+		c.report(ruleDoubled, "%d runs, %s written of %s", one.executions, one.written, one.length)
 	}
 }
 
-// stopping looks at a node that is about to be stopped.
+// stopping checks a node that is about to be stopped.
 func (c *checker) stopping(one *node) {
 	if one.votes {
-		c.broken(ruleVoters, "%s is stopped while it votes", one.spec.ID)
+		c.report(ruleVoters, "%s is stopped while it votes", one.spec.ID)
 	}
 	if !slices.Contains(c.store.committed.Stop, one.spec.ID) {
-		c.broken(ruleSteps, "%s is stopped, which the state does not say any more", one.spec.ID)
+		c.report(ruleSteps, "%s is stopped, which the state does not say any more", one.spec.ID)
 	}
 }
 
-// stored looks at a state that takes the place of another one.
+// stored checks a state that replaces another one.
 func (c *checker) stored(before, after *execute.State) {
 	c.counts.states++
 	if err := execute.CheckTransition(before, after, c.plan); err != nil {
-		c.broken(ruleSteps, "%v", err)
+		c.report(ruleSteps, "%v", err)
 		return
 	}
-	var withheld []string
+	var cordoned []string
 	if before != nil {
-		withheld = before.Cordoned
-		c.noteRetired(before, after)
+		cordoned = before.Cordoned
+		c.checkReleased(before, after)
 	}
 	for index, task := range after.Tasks {
 		if before == nil || before.Stage != after.Stage || task.Phase != before.Tasks[index].Phase {
-			c.seen[task.Phase]++
+			c.phases[task.Phase]++
 		}
-		if before != nil && before.Stage == after.Stage && isGivenBack(before.Tasks[index].Phase, task.Phase) {
-			c.counts.givenBack++
+		if before != nil && before.Stage == after.Stage && isUncordoned(before.Tasks[index].Phase, task.Phase) {
+			c.counts.uncordoned++
 		}
 	}
 	for _, id := range after.Cordoned {
 		one := c.nodes[id]
-		if one.ready(c.now) && one.spec.Kind != room.Core && !slices.Contains(withheld, id) {
-			c.withholding(one, after)
+		if one.ready(c.now) && one.spec.Kind != room.Core && !slices.Contains(cordoned, id) {
+			c.cordoning(one, after)
 		}
 	}
 }
 
-func isGivenBack(from, to execute.Phase) bool {
-	withheld := from == execute.Cordoning || from == execute.Draining || from == execute.RollbackDraining
-	return withheld && (to == execute.Warming || to == execute.Waiting)
+func isUncordoned(from, to execute.Phase) bool {
+	cordoned := from == execute.Cordoning || from == execute.Draining || from == execute.RollbackDraining
+	return cordoned && (to == execute.Warming || to == execute.Waiting)
 }
 
-// noteRetired checks that what may be stopped stays so.
-func (c *checker) noteRetired(before, after *execute.State) {
+// checkReleased checks that a released node stays released.
+func (c *checker) checkReleased(before, after *execute.State) {
 	for _, id := range before.Stop {
 		if !slices.Contains(after.Stop, id) {
-			c.broken(ruleSteps, "%s is not to be stopped any more", id)
+			c.report(ruleSteps, "%s is not to be stopped any more", id)
 		}
 	}
 }
 
-// withholding looks at a node that is to get nothing new from now on.
-func (c *checker) withholding(one *node, after *execute.State) {
+// cordoning checks a node that gets no new requests from now on.
+func (c *checker) cordoning(one *node, after *execute.State) {
 	serving := c.serving(after.Cordoned)
 	sameZone := func(other room.Node) bool {
 		return other.Group() == one.spec.Group() && other.Zone == one.spec.Zone
 	}
-	settled := c.now >= c.faults.troubleAt
-	if settled && !slices.ContainsFunc(serving, sameZone) {
-		c.broken(ruleLast, "%s is withheld", one.spec.ID)
+	stable := c.now >= c.faults.unstableUntil
+	if stable && !slices.ContainsFunc(serving, sameZone) {
+		c.report(ruleLast, "%s is cordoned", one.spec.ID)
 	}
-	bound := c.input.Headroom
-	bound.Margin = 0
-	if shortage := bound.Check(one.spec.Group(), serving, c.offered(surely)); settled && shortage != nil {
-		c.broken(ruleRoom, "%s is withheld, and %s", one.spec.ID, shortage)
+	headroom := c.input.Headroom
+	headroom.Margin = 0
+	if shortage := headroom.Check(one.spec.Group(), serving, c.offeredLoads(minMeasuredFraction)); stable && shortage != nil {
+		c.report(ruleCapacity, "%s is cordoned, and %s", one.spec.ID, shortage)
 	}
 }
 
-// serving gives the nodes that truly serve and are not withheld.
-func (c *checker) serving(withheld []string) []room.Node {
+// serving returns the nodes that really serve and are not cordoned.
+func (c *checker) serving(cordoned []string) []room.Node {
 	var nodes []room.Node
 	for _, one := range c.order {
-		if one.ready(c.now) && !slices.Contains(withheld, one.spec.ID) {
+		if one.ready(c.now) && !slices.Contains(cordoned, one.spec.ID) {
 			nodes = append(nodes, one.spec)
 		}
 	}
 	return nodes
 }
 
-// offered gives the true demand, scaled.
-func (c *checker) offered(scale float64) []room.Load {
+// offeredLoads returns the true demand, scaled.
+func (c *checker) offeredLoads(scale float64) []room.Load {
 	return offeredLoads(c.clients, c.now, scale)
 }
 
-// asked gives the demand that is there already: a burst takes a while to fill the servers.
-func (c *checker) asked() []room.Load {
+// arrivedLoads returns the demand that has arrived already: a burst takes a while to fill the servers.
+func (c *checker) arrivedLoads() []room.Load {
 	return loadsBy(c.clients, func(from *client) float64 {
-		if from.turnedAt > 0 && c.now-from.turnedAt < time.Second {
-			return from.offered(c.now) * surely
+		if from.rejectedAt > 0 && c.now-from.rejectedAt < time.Second {
+			return from.offered(c.now) * minMeasuredFraction
 		}
-		return min(from.offered(c.now)*surely, float64(c.openOf(from)))
+		return min(from.offered(c.now)*minMeasuredFraction, float64(c.inFlightOf(from)))
 	})
 }
 
-func offeredLoads(clients []*client, now time.Duration, scale float64) []room.Load {
-	return loadsBy(clients, func(from *client) float64 { return from.offered(now) * scale })
-}
-
-func loadsBy(clients []*client, needOf func(*client) float64) []room.Load {
-	var loads []room.Load
-	edges := map[string]float64{}
-	for _, from := range clients {
-		need := needOf(from)
-		edges[from.region] += need
-		loads = append(loads, room.Load{Region: from.region, Group: serving, HomeRegions: from.homes, Required: room.Amount{room.Slots: need}})
-	}
-	for region, need := range edges {
-		loads = append(loads, room.Load{
-			Region: region, Group: room.Group{Kind: room.Edge}, HomeRegions: []string{region}, Required: room.Amount{room.Slots: need},
-		})
-	}
-	slices.SortFunc(loads, func(a, b room.Load) int { return compareLoads(&a, &b) })
-	return loads
-}
-
-func compareLoads(a, b *room.Load) int {
-	return cmp.Or(cmp.Compare(a.Group.Kind, b.Group.Kind), cmp.Compare(a.Region, b.Region), slices.Compare(a.HomeRegions, b.HomeRegions))
-}
-
-// check looks at the world after a step.
+// check checks the deployment after a step.
 func (c *checker) check() {
 	c.checkVoters()
 	if c.store.committed == nil {
 		return
 	}
-	for _, group := range []room.Group{serving, {Kind: room.Edge}} {
+	for _, group := range []room.Group{lmServers, {Kind: room.Edge}} {
 		c.checkReaction(group)
 	}
 }
 
-// checkReaction measures for how long room is short although nodes are withheld that could be given back.
+// checkReaction measures for how long there is a shortage although nodes are cordoned that could serve again.
 func (c *checker) checkReaction(group room.Group) {
-	returnable := c.returnable(group)
-	works := slices.ContainsFunc(c.store.instances, func(one *instance) bool { return !one.outdated && c.now >= one.frozen })
+	returnable := c.uncordonable(group)
+	works := slices.ContainsFunc(c.store.instances, func(one *instance) bool { return !one.outdated && c.now >= one.frozenUntil })
 	if len(returnable) == 0 || !works || !c.store.majority() {
 		c.shortFor[group] = 0
 		return
 	}
-	if (room.Headroom{}).Check(group, c.serving(c.store.committed.Cordoned), c.asked()) == nil {
+	if (room.Headroom{}).Check(group, c.serving(c.store.committed.Cordoned), c.arrivedLoads()) == nil {
 		c.shortFor[group] = 0
 		return
 	}
 	c.shortFor[group] += tick
-	if c.shortFor[group] == reaction {
-		c.broken(ruleReaction, "%v are withheld from %s", returnable, group)
+	if c.shortFor[group] == reactionTimeout {
+		c.report(ruleReaction, "%v are cordoned in %s", returnable, group)
 	}
 }
 
-// returnable lists the nodes of a group that are withheld and could serve again.
-func (c *checker) returnable(group room.Group) []string {
+// uncordonable lists the nodes of a group that are cordoned and could serve again.
+func (c *checker) uncordonable(group room.Group) []string {
 	committed := c.store.committed
 	var ids []string
 	for index, task := range committed.Tasks {
@@ -236,6 +213,7 @@
 	return ids
 }
 
+// checkVoters checks that the voters survive the fault budget as well as they did at the beginning.
 func (c *checker) checkVoters() {
 	var voters []plan.Voter
 	for _, one := range c.order {
@@ -245,32 +223,19 @@
 	}
 	core := c.input.Core
 	if survivors(voters, core) < min(0, survivors(core.Voters, core)) {
-		c.broken(ruleVoters, "%v do not bear the budget", voters)
-	}
-}
-
-// survivors is how many voters more than a majority remain after the worst loss within the budget.
-func survivors(voters []plan.Voter, core plan.Core) int {
-	worst := len(voters) - core.Hosts
-	zones := map[string]int{}
-	for _, voter := range voters {
-		zones[voter.Zone]++
-		if core.Zones > 0 {
-			worst = min(worst, len(voters)-zones[voter.Zone])
-		}
+		c.report(ruleVoters, "%v do not bear the budget", voters)
 	}
-	return worst - len(voters)/2 - 1
 }
 
-// end looks at the world after the run.
+// end checks the deployment after the run.
 func (c *checker) end() {
 	state := c.store.committed
 	if state == nil || !state.Outcome.Ended() {
-		var holds []execute.Blocker
+		var blockers []execute.Blocker
 		for _, one := range c.store.instances {
-			holds = append(holds, one.machine.Blockers()...)
+			blockers = append(blockers, one.machine.Blockers()...)
 		}
-		c.broken(ruleEnd, "it has not ended: %+v; holds %+v", state, holds)
+		c.report(ruleEnd, "it has not ended: %+v; blockers %+v", state, blockers)
 		return
 	}
 	for number, stage := range c.plan.Stages {
@@ -281,18 +246,32 @@
 	}
 }
 
+// endOf checks the nodes of a replacement after the run.
 func (c *checker) endOf(replacement *plan.Replacement, finished bool) {
 	old, next := c.nodes[replacement.Old.ID], c.nodes[replacement.New.ID]
 	if finished {
 		old, next = next, old
 	}
 	if !old.ready(c.now) || next.present {
-		c.broken(ruleEnd, "%s is to serve and %s is to be gone", old.spec.ID, next.spec.ID)
+		c.report(ruleEnd, "%s is to serve and %s is to be gone", old.spec.ID, next.spec.ID)
 	}
 	if old.spec.Kind == room.Core && (!old.votes || next.votes) {
-		c.broken(ruleEnd, "%s is to vote instead of %s", old.spec.ID, next.spec.ID)
+		c.report(ruleEnd, "%s is to vote instead of %s", old.spec.ID, next.spec.ID)
 	}
 	if slices.Contains(c.store.committed.Cordoned, old.spec.ID) {
-		c.broken(ruleEnd, "%s is withheld", old.spec.ID)
+		c.report(ruleEnd, "%s is cordoned", old.spec.ID)
+	}
+}
+
+// survivors returns how many voters more than a majority remain after the worst failure within the budget.
+func survivors(voters []plan.Voter, core plan.Core) int {
+	worst := len(voters) - core.Hosts
+	zones := map[string]int{}
+	for _, voter := range voters {
+		zones[voter.Zone]++
+		if core.Zones > 0 {
+			worst = min(worst, len(voters)-zones[voter.Zone])
+		}
 	}
+	return worst - len(voters)/2 - 1
 }
--- /dev/null
+++ b/internal/migration/simulate/executor_test.go
@@ -0,0 +1,203 @@
+package simulate
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"fieldrelay/internal/migration/execute"
+	"fieldrelay/internal/migration/room"
+)
+
+// store is the chain: it keeps one state by compare-and-set, and its answers may be lost.
+type store struct {
+	*deployment
+	committed        *execute.State
+	cordons          []cordon      // of edge machines, for the directory
+	partitionedUntil time.Duration // the core machines
+	directive        execute.Directive
+	instances        []*instance
+	starts           int           // of instances, for their names
+	takeoverAt       time.Duration // when the next instance takes the singleton role; 0: it has an owner
+	messages         []message
+}
+
+// cordon is the edge machines that are cordoned from a time on.
+type cordon struct {
+	at    time.Duration
+	edges []string
+}
+
+// message is an event on its way to an instance, or a state on its way to the chain.
+type message struct {
+	at        time.Duration
+	instance  *instance
+	event     execute.Event  // nil: requested is to be stored
+	requested *execute.State // to be stored
+}
+
+// instance is one executor process.
+type instance struct {
+	machine     *execute.Machine
+	frozenUntil time.Duration
+	observedAt  time.Duration
+	outdated    bool // another instance owns the singleton role
+}
+
+func newStore(d *deployment) *store { return &store{deployment: d, takeoverAt: tick} }
+
+// majority reports whether a majority of the voters is live and not partitioned.
+func (s *store) majority() bool {
+	voters, live := 0, 0
+	for _, one := range s.order {
+		if one.votes {
+			voters++
+			if one.present {
+				live++
+			}
+		}
+	}
+	return 2*live > voters && s.now >= s.partitionedUntil
+}
+
+// step delivers the messages that are due and feeds the instances.
+func (s *store) step() {
+	if s.takeoverAt > 0 && s.now >= s.takeoverAt && s.majority() {
+		s.takeoverAt = 0
+		s.startInstance()
+	}
+	due := slices.DeleteFunc(slices.Clone(s.messages), func(one message) bool { return one.at > s.now })
+	s.messages = slices.DeleteFunc(s.messages, func(one message) bool { return one.at <= s.now })
+	for _, one := range due {
+		if one.event != nil {
+			s.feed(one.instance, one.event)
+		} else {
+			s.compareAndSet(one.instance, one.requested)
+		}
+	}
+	for _, one := range slices.Clone(s.instances) {
+		if one.machine.Fenced() {
+			s.drop(one)
+			continue
+		}
+		s.feed(one, execute.DirectiveSet{Directive: s.directive})
+		if s.now-one.observedAt >= 300*time.Millisecond {
+			one.observedAt = s.now
+			observation := s.observe()
+			s.later(one, execute.Observed{Observation: observation}, 400*time.Millisecond)
+		}
+		s.feed(one, execute.Tick{})
+	}
+}
+
+// startInstance makes a new instance the owner of the singleton role. It reads the committed state first.
+func (s *store) startInstance() {
+	for _, one := range s.instances {
+		one.outdated = true
+	}
+	s.starts++
+	fresh := &instance{machine: execute.NewMachine(execute.Config{
+		Plan:               s.plan,
+		Digest:             "plan",
+		Owner:              fmt.Sprintf("core/%d", s.starts),
+		Headroom:           s.input.Headroom,
+		MaxObservationAge:  2 * time.Second,
+		ShortageBackoff:    2 * time.Second,
+		StoreRetryInterval: time.Second,
+		MaxStartDelay:      maxCommandDelay + time.Second,
+	})}
+	s.instances = append(s.instances, fresh)
+	s.later(fresh, execute.Loaded{State: s.committed}, time.Second)
+}
+
+// drop ends an instance; another one takes over if it was the owner.
+func (s *store) drop(one *instance) {
+	s.instances = slices.DeleteFunc(s.instances, func(other *instance) bool { return other == one })
+	if !one.outdated {
+		s.takeoverAt = s.now + s.durationBetween(500*time.Millisecond, 3*time.Second)
+	}
+}
+
+// later delivers an event after a random delay.
+func (s *store) later(to *instance, event execute.Event, most time.Duration) {
+	s.messages = append(s.messages, message{at: s.now + s.durationBetween(0, most), instance: to, event: event})
+}
+
+// feed passes an event to an instance and carries out its actions, unless it is killed in between.
+func (s *store) feed(to *instance, event execute.Event) {
+	if !slices.Contains(s.instances, to) {
+		return
+	}
+	if s.now < to.frozenUntil {
+		if _, passing := event.(execute.Tick); !passing {
+			s.messages = append(s.messages, message{at: to.frozenUntil, instance: to, event: event})
+		}
+		return
+	}
+	for _, action := range to.machine.Step(s.now, event) {
+		store, isStore := action.(execute.Store)
+		if !isStore {
+			continue
+		}
+		killed := s.faults.killAfterStore(s.deployment)
+		if !killed || s.happens(0.5) {
+			s.messages = append(s.messages, message{at: s.now + s.durationBetween(0, 200*time.Millisecond), instance: to, requested: store.State})
+		}
+		if killed {
+			s.drop(to)
+			return
+		}
+	}
+}
+
+// compareAndSet puts a state in place of the one before, if that is the expected one.
+func (s *store) compareAndSet(from *instance, next *execute.State) {
+	if !s.majority() {
+		return
+	}
+	if s.committed != nil && s.committed.Revision == next.Revision && s.committed.Owner == next.Owner {
+		s.answer(from, execute.Stored{Revision: next.Revision}) // a repeated request
+		return
+	}
+	expected := next.Revision == 1
+	if s.committed != nil {
+		expected = next.Revision == s.committed.Revision+1 && next.Epoch >= s.committed.Epoch
+	}
+	if !expected && s.planted != faultUnconditionalStore {
+		s.answer(from, execute.Rejected{Current: s.committed})
+		return
+	}
+	s.checker.stored(s.committed, next)
+	s.committed = next
+	s.recordCordons()
+	s.answer(from, execute.Stored{Revision: next.Revision})
+}
+
+// answer sends an answer that may be lost.
+func (s *store) answer(to *instance, event execute.Event) {
+	if !s.happens(s.faults.lostAnswerFraction) {
+		s.later(to, event, 200*time.Millisecond)
+	}
+}
+
+// recordCordons records the edge machines that the committed state cordons.
+func (s *store) recordCordons() {
+	var edges []string
+	for _, id := range s.committed.Cordoned {
+		if s.nodes[id].spec.Kind == room.Edge {
+			edges = append(edges, id)
+		}
+	}
+	s.cordons = append(s.cordons, cordon{at: s.now, edges: edges})
+}
+
+// directoryAt returns the edge machines that were left out of the directory at a time.
+func (s *store) directoryAt(at time.Duration) []string {
+	var edges []string
+	for _, one := range s.cordons {
+		if one.at <= at {
+			edges = one.edges
+		}
+	}
+	return edges
+}
--- a/internal/migration/simulate/faults_test.go
+++ b/internal/migration/simulate/faults_test.go
@@ -7,24 +7,24 @@
 	"fieldrelay/internal/migration/room"
 )
 
-// faults is what goes wrong in a run.
+// faults is what fails in a run, and what the operator does.
 type faults struct {
-	until       time.Duration // nothing new goes wrong after it
-	rate        float64       // faults a second
-	lostAnswers float64       // part of the chain's answers
-	killPart    float64       // part of the stores at which the executor is killed
-	killAt      int           // the store, counted from 1, at which it is killed as well; 0: none
-	abortAt     time.Duration // 0: never
-	stores      int
-	only        int           // the one kind of fault that happens; 0: all
-	burst       float64       // highest factor of a burst
-	growAt      time.Duration // when all demand grows for good; 0: never
-	growth      float64       // by which factor
-	back        time.Duration // longest until a crashed node is back
-	send        time.Duration // longest from a proxy to a server
-	spread      float64       // chance of a proxy to hear of a new state in a tick
-	troubleAt   time.Duration // until which an executor may not have seen what happened last
-	resumeAt    time.Duration // when the operator resumes; 0: it is not paused
+	until              time.Duration // no new fault after it
+	rate               float64       // faults a second
+	lostAnswerFraction float64       // of the chain's answers
+	killFraction       float64       // of the stores at which the executor is killed
+	killAt             int           // the store, counted from 1, at which it is killed as well; 0: none
+	abortAt            time.Duration // 0: never
+	stores             int           // so far
+	only               int           // the one kind of fault that occurs; allKinds: any
+	maxBurst           float64       // factor on the rate of a client
+	growAt             time.Duration // when all demand grows for good; 0: never
+	growth             float64       // by which factor
+	maxDowntime        time.Duration // of a crashed node
+	maxSendDelay       time.Duration // from a proxy to a server
+	propagation        float64       // probability that a proxy gets a new state in a tick
+	unstableUntil      time.Duration // until which an executor may not have observed the last fault
+	resumeAt           time.Duration // when the operator resumes the run; 0: it is not paused
 }
 
 // The kinds of faults.
@@ -34,79 +34,58 @@
 	crashEdge
 	crashCore
 	burstDemand
-	cutOff
+	partitionNetwork
 	disturb
-	pause
-	faultKinds = pause
+	pauseRun
+	faultKinds = pauseRun
 )
 
-// usualFaults is what goes wrong in most runs.
-func usualFaults() faults {
+// defaultFaults is what fails in most runs.
+func defaultFaults() faults {
 	return faults{
-		until: faultsUntil, rate: 0.25, lostAnswers: 0.1, killPart: 0.1, spread: 0.15,
-		burst: 2.5, back: 12 * time.Second, send: slowestSend,
+		until: faultsUntil, rate: 0.25, lostAnswerFraction: 0.1, killFraction: 0.1, propagation: 0.15,
+		maxBurst: 2.5, maxDowntime: 12 * time.Second, maxSendDelay: maxSendDelay,
 	}
 }
 
-// unsettled is how long an executor may take to see what has happened, and a state to be stored.
-const unsettled = 5 * time.Second
+// stabilization is how long it may take an executor to observe a fault, and a state to be stored.
+const stabilization = 5 * time.Second
 
-func (f *faults) killAfterStore(w *world) bool {
+// killAfterStore decides whether the executor is killed at a store.
+func (f *faults) killAfterStore(d *deployment) bool {
 	f.stores++
-	if f.stores == f.killAt || w.now < f.until && w.chance(f.killPart) {
-		w.counts.kills++
+	if f.stores == f.killAt || d.now < f.until && d.happens(f.killFraction) {
+		d.counts.kills++
 		return true
 	}
 	return false
 }
 
-// applyFaults lets something go wrong, now and then, and the operator act.
-func (w *world) applyFaults() {
-	f := &w.faults
-	if f.abortAt > 0 && w.now >= f.abortAt {
-		w.store.wish = execute.Abort
-	}
-	if f.resumeAt > 0 && w.now >= f.resumeAt && w.store.wish == execute.Pause {
-		w.store.wish, f.resumeAt = execute.Proceed, 0
-	}
-	if f.growAt > 0 && w.now >= f.growAt {
+// applyFaults lets faults occur at random, and the operator act.
+func (d *deployment) applyFaults() {
+	f := &d.faults
+	d.applyOperator()
+	if f.growAt > 0 && d.now >= f.growAt {
 		f.growAt = 0
-		f.troubleAt = w.now + unsettled
-		for _, from := range w.clients {
+		f.unstableUntil = d.now + stabilization
+		for _, from := range d.clients {
 			from.burst, from.burstEnds = f.growth, longestRun
 		}
 	}
-	if w.now >= f.until || !w.chance(f.rate*tick.Seconds()) {
+	if d.now >= f.until || !d.happens(f.rate*tick.Seconds()) {
 		return
 	}
 	kind := f.only
 	if kind == allKinds {
-		kind = 1 + w.random.IntN(faultKinds)
-	}
-	switch kind {
-	case crashServer:
-		w.crashOne(room.Server)
-	case crashEdge:
-		w.crashOne(room.Edge)
-	case crashCore:
-		w.crashOne(room.Core)
-	case burstDemand:
-		w.burst()
-	case cutOff:
-		w.cut()
-	case disturb:
-		w.disturbExecutor()
-	case pause:
-		if w.store.wish == execute.Proceed {
-			w.store.wish, f.resumeAt = execute.Pause, w.now+w.between(time.Second, 10*time.Second)
-		}
+		kind = 1 + d.random.IntN(faultKinds)
 	}
+	d.applyFault(kind)
 }
 
-// crashOne crashes a node of a kind, one at a time as the fault budget has it.
-func (w *world) crashOne(kind room.Kind) {
+// crashOne crashes a node of a kind, unless one is down: the fault budget is one.
+func (d *deployment) crashOne(kind room.Kind) {
 	var candidates []*node
-	for _, one := range w.order {
+	for _, one := range d.order {
 		if one.spec.Kind != kind {
 			continue
 		}
@@ -120,51 +99,84 @@
 	if len(candidates) == 0 {
 		return
 	}
-	w.counts.crashes++
-	back := w.between(w.faults.back/3, w.faults.back)
-	w.faults.troubleAt = w.now + unsettled
-	w.crash(candidates[w.random.IntN(len(candidates))], back)
+	d.counts.crashes++
+	back := d.durationBetween(d.faults.maxDowntime/3, d.faults.maxDowntime)
+	d.faults.unstableUntil = d.now + stabilization
+	d.crash(candidates[d.random.IntN(len(candidates))], back)
 }
 
-func (w *world) burst() {
-	from := w.clients[w.random.IntN(len(w.clients))]
-	from.burst = 1.5 + (w.faults.burst-1.5)*w.random.Float64()
-	from.burstEnds = w.now + w.between(5*time.Second, 15*time.Second)
-	w.faults.troubleAt = w.now + unsettled
-	w.counts.bursts++
+func (d *deployment) burst() {
+	from := d.clients[d.random.IntN(len(d.clients))]
+	from.burst = 1.5 + (d.faults.maxBurst-1.5)*d.random.Float64()
+	from.burstEnds = d.now + d.durationBetween(5*time.Second, 15*time.Second)
+	d.faults.unstableUntil = d.now + stabilization
+	d.counts.bursts++
 }
 
-// cut cuts a proxy or the core off.
-func (w *world) cut() {
-	w.counts.cuts++
-	if w.chance(0.3) {
-		w.store.cutUntil = w.now + w.between(time.Second, 5*time.Second)
+// partition separates a proxy, or the core machines, from the others.
+func (d *deployment) partition() {
+	d.counts.partitions++
+	if d.happens(0.3) {
+		d.store.partitionedUntil = d.now + d.durationBetween(time.Second, 5*time.Second)
 		return
 	}
-	for _, one := range w.order {
-		if one.spec.Kind == room.Edge && one.present && w.chance(0.3) {
-			one.cutUntil = w.now + w.between(time.Second, 12*time.Second)
+	for _, one := range d.order {
+		if one.spec.Kind == room.Edge && one.present && d.happens(0.3) {
+			one.partitionedUntil = d.now + d.durationBetween(time.Second, 12*time.Second)
 			return
 		}
 	}
 }
 
-// disturbExecutor kills the executor, freezes it, or has a second one take the duty while it goes on.
-func (w *world) disturbExecutor() {
-	if len(w.store.instances) == 0 {
+// disturbExecutor kills the executor, freezes it, or lets a second instance take over while it goes on.
+func (d *deployment) disturbExecutor() {
+	if len(d.store.instances) == 0 {
 		return
 	}
-	one := w.store.instances[w.random.IntN(len(w.store.instances))]
-	w.counts.kills++
-	switch w.random.IntN(3) {
+	one := d.store.instances[d.random.IntN(len(d.store.instances))]
+	d.counts.kills++
+	switch d.random.IntN(3) {
 	case 0:
-		w.store.drop(one)
+		d.store.drop(one)
 	case 1:
-		one.frozen = w.now + w.between(time.Second, 8*time.Second)
+		one.frozenUntil = d.now + d.durationBetween(time.Second, 8*time.Second)
 		fallthrough
 	case 2:
-		if w.store.nextAt == 0 {
-			w.store.nextAt = w.now + w.between(tick, 2*time.Second)
+		if d.store.takeoverAt == 0 {
+			d.store.takeoverAt = d.now + d.durationBetween(tick, 2*time.Second)
+		}
+	}
+}
+
+// applyOperator lets the operator abort or resume the run.
+func (d *deployment) applyOperator() {
+	f := &d.faults
+	if f.abortAt > 0 && d.now >= f.abortAt {
+		d.store.directive = execute.Abort
+	}
+	if f.resumeAt > 0 && d.now >= f.resumeAt && d.store.directive == execute.Pause {
+		d.store.directive, f.resumeAt = execute.Proceed, 0
+	}
+}
+
+// applyFault lets a fault of a kind occur.
+func (d *deployment) applyFault(kind int) {
+	switch kind {
+	case crashServer:
+		d.crashOne(room.Server)
+	case crashEdge:
+		d.crashOne(room.Edge)
+	case crashCore:
+		d.crashOne(room.Core)
+	case burstDemand:
+		d.burst()
+	case partitionNetwork:
+		d.partition()
+	case disturb:
+		d.disturbExecutor()
+	case pauseRun:
+		if d.store.directive == execute.Proceed {
+			d.store.directive, d.faults.resumeAt = execute.Pause, d.now+d.durationBetween(time.Second, 10*time.Second)
 		}
 	}
 }
--- /dev/null
+++ b/internal/migration/simulate/observation_test.go
@@ -0,0 +1,108 @@
+package simulate
+
+import (
+	"slices"
+
+	"fieldrelay/internal/migration/execute"
+	"fieldrelay/internal/migration/plan"
+	"fieldrelay/internal/migration/room"
+)
+
+// observe observes the deployment as the caller of an executor does.
+func (s *store) observe() *execute.Observation {
+	observation := &execute.Observation{
+		Began:             s.now,
+		Elapsed:           s.now,
+		Nodes:             map[string]execute.NodeStatus{},
+		ConfirmedRevision: s.confirmedRevision(),
+		Core:              plan.Core{Hosts: s.input.Core.Hosts, Zones: s.input.Core.Zones},
+		CoreConverged:     s.majority(),
+	}
+	for _, one := range s.order {
+		if one.votes {
+			observation.Core.Voters = append(observation.Core.Voters, plan.Voter{ID: one.spec.ID, Zone: one.spec.Zone})
+			observation.CoreConverged = observation.CoreConverged && one.present
+		}
+		if !one.present {
+			continue
+		}
+		observation.Nodes[one.spec.ID] = s.status(one)
+		if one.spec.Kind != room.Core && one.ready(s.now) {
+			observation.Fleet = append(observation.Fleet, one.spec)
+		}
+	}
+	observation.Loads = s.measuredLoads()
+	s.planted.distort(s.deployment, observation)
+	return observation
+}
+
+func (s *store) status(one *node) execute.NodeStatus {
+	status := execute.NodeStatus{Ready: one.ready(s.now), Votes: one.votes, InFlight: len(one.inFlight)}
+	if one.spec.Kind == room.Core && !s.input.Replacements[s.replacementOf(one)].Surge {
+		status.Ready = status.Ready && one.votes
+	}
+	for _, response := range one.inFlight {
+		if response.resumable {
+			status.Migratable++
+		}
+		// A partitioned proxy reports nothing, and a server sees only the requests that have arrived.
+		unseen := one.spec.Kind == room.Server && s.now < response.edge.partitionedUntil && s.now < response.arrivesAt
+		if unseen || s.planted == faultArrivedOnly && s.now < response.arrivesAt {
+			status.InFlight--
+		}
+	}
+	return status
+}
+
+// replacementOf returns the index of the replacement that a node belongs to; 0 if there is none.
+func (s *store) replacementOf(one *node) int {
+	return max(slices.IndexFunc(s.input.Replacements, func(r plan.Replacement) bool {
+		return r.New.ID == one.spec.ID || r.Old.ID == one.spec.ID
+	}), 0)
+}
+
+// confirmedRevision returns the revision in force at every edge machine that may be sending. A crashed one counts until it
+// is back.
+func (s *store) confirmedRevision() uint64 {
+	least := ^uint64(0)
+	for _, one := range s.order {
+		if one.spec.Kind == room.Edge && (one.present || one.restartAt > 0) {
+			least = min(least, one.state.Revision)
+		}
+	}
+	return least
+}
+
+// measuredLoads returns the demand as measured: the most that was in flight at once in the last seconds.
+func (s *store) measuredLoads() []room.Load {
+	edges := map[string]float64{}
+	var loads []room.Load
+	for _, from := range s.clients {
+		from.samples = append(from.samples, s.inFlightOf(from)+from.rejected)
+		from.rejected = 0
+		if len(from.samples) > 10 {
+			from.samples = from.samples[1:]
+		}
+		peak := float64(slices.Max(from.samples))
+		edges[from.region] += peak
+		loads = append(loads, room.Load{Region: from.region, Group: lmServers, HomeRegions: from.homeRegions, Required: room.Amount{room.Slots: peak}})
+	}
+	for region, peak := range edges {
+		loads = append(loads, room.Load{
+			Region: region, Group: room.Group{Kind: room.Edge}, HomeRegions: []string{region}, Required: room.Amount{room.Slots: peak},
+		})
+	}
+	slices.SortFunc(loads, func(a, b room.Load) int { return compareLoads(&a, &b) })
+	return loads
+}
+
+// inFlightOf counts the responses of a client that are in flight.
+func (d *deployment) inFlightOf(from *client) int {
+	count := 0
+	for _, one := range d.responses {
+		if one.client == from {
+			count++
+		}
+	}
+	return count
+}
--- a/internal/migration/simulate/case_test.go
+++ b/internal/migration/simulate/scenario_test.go
@@ -10,12 +10,12 @@
 	"fieldrelay/internal/migration/room"
 )
 
-var serving = room.Group{Kind: room.Server, Service: "lm"}
+var lmServers = room.Group{Kind: room.Server, Service: "lm"}
 
 var regionOf = map[string]string{"a": "west", "b": "west", "c": "east"}
 
-// placesOf lists the zone of every node of a kind: two zones in one region, one in the other.
-func placesOf(random *rand.Rand, kind room.Kind) []string {
+// zonesOf lists the zone of every node of a kind: two zones in one region, one in the other.
+func zonesOf(random *rand.Rand, kind room.Kind) []string {
 	switch kind {
 	case room.Server:
 		zones := []string{"a", "a", "b", "b", "c", "c", "c"}
@@ -37,11 +37,11 @@
 		BatchFraction: 0.5,
 	}
 	for _, kind := range []room.Kind{room.Server, room.Edge, room.Core} {
-		for number, zone := range placesOf(random, kind) {
+		for number, zone := range zonesOf(random, kind) {
 			spec := room.Node{ID: fmt.Sprintf("%s-%d", kind, number), Kind: kind, Zone: zone, Region: regionOf[zone]}
 			switch kind {
 			case room.Server:
-				spec.Service = serving.Service
+				spec.Service = lmServers.Service
 				spec.Capacity[room.Slots] = float64(14 + random.IntN(4))
 			case room.Edge:
 				spec.Capacity[room.Slots] = 100
@@ -52,7 +52,7 @@
 			if random.IntN(2) == 0 {
 				replacement := drawReplacement(random, spec)
 				if kind == room.Core && input.Core.Zones > 0 || kind == room.Edge && zone == "b" {
-					replacement.Surge = true // there is no other safe way
+					replacement.Surge = true // in place is infeasible
 				}
 				input.Replacements = append(input.Replacements, replacement)
 			}
@@ -63,7 +63,7 @@
 	return input, clients
 }
 
-// measuredPeaks is the demand as a long measurement shows it: the mean and what chance adds to it.
+// measuredPeaks returns the demand as a long measurement shows it: the mean with the fluctuation of a Poisson process.
 func measuredPeaks(clients []*client) []room.Load {
 	loads := offeredLoads(clients, 0, 1)
 	for index := range loads {
@@ -77,9 +77,9 @@
 	next := old
 	next.ID += "-new"
 	next.Capacity[room.Slots] += float64(random.IntN(3))
-	times := plan.Times{Start: commandLife, Warm: 3 * time.Second, Drain: longestReply, Linger: time.Second, Stop: commandLife}
+	times := plan.Times{Start: maxCommandDelay, Warm: 3 * time.Second, Drain: longestResponse, Linger: time.Second, Stop: maxCommandDelay}
 	if old.Kind == room.Edge {
-		times.Linger += addressLife
+		times.Linger += addressTTL
 	}
 	return plan.Replacement{Old: old, New: next, Surge: random.IntN(2) == 0, Times: times}
 }
@@ -91,7 +91,7 @@
 	clients []*client
 }
 
-// drawScenario draws cases until one has a safe order of at least one stage.
+// drawScenario draws cases until one has a feasible plan of at least one stage.
 func drawScenario(seed uint64) *scenario {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for {
@@ -103,7 +103,7 @@
 	}
 }
 
-// freshClients gives clients that have not asked for anything yet.
+// freshClients returns copies of the clients that have not sent a request yet.
 func (s *scenario) freshClients() []*client {
 	fresh := make([]*client, 0, len(s.clients))
 	for _, one := range s.clients {
@@ -118,14 +118,14 @@
 	for _, region := range []string{"west", "east"} {
 		for number := range 2 {
 			one := &client{
-				region:    region,
-				rate:      3 + 4*random.Float64(),
-				mean:      time.Duration(1000+random.IntN(1500)) * time.Millisecond,
-				resumable: number == 0,
-				burst:     1,
+				region:       region,
+				rate:         3 + 4*random.Float64(),
+				meanDuration: time.Duration(1000+random.IntN(1500)) * time.Millisecond,
+				resumable:    number == 0,
+				burst:        1,
 			}
 			if random.IntN(3) == 0 {
-				one.homes = []string{region}
+				one.homeRegions = []string{region}
 			}
 			clients = append(clients, one)
 		}
