--- a/internal/migration/plan/constraints.go
+++ b/internal/migration/plan/constraints.go
@@ -40,9 +40,9 @@
 		needed[surgePoolOf(&sample.New)] += int(count)
 		needed[surgePoolOf(&sample.Old)] -= int(count)
 	}
-	for place, free := range s.input.SurgeCapacity {
-		if lacking := needed[place] - free; lacking > 0 {
-			return &violation{constraint: ConstraintSurge, missing: lacking}
+	for pool, free := range s.input.SurgeCapacity {
+		if missing := needed[pool] - free; missing > 0 {
+			return &violation{constraint: ConstraintSurge, missing: missing}
 		}
 	}
 	return nil
--- a/internal/migration/plan/fleet.go
+++ b/internal/migration/plan/fleet.go
@@ -55,7 +55,7 @@
 	return fixed
 }
 
-// phase is a part of a stage, told apart by which nodes get new requests. A stage is checked in each of its phases, as
+// phase is a part of a stage, distinguished by which nodes get new requests. A stage is checked in each of its phases, as
 // if it lasted from the beginning of the stage to its end.
 type phase uint8
 
--- a/internal/migration/plan/voters.go
+++ b/internal/migration/plan/voters.go
@@ -98,8 +98,8 @@
 		}
 		member := s.classes[index].members[done[index]]
 		in := Voter{ID: member.New.ID, Zone: member.New.Zone}
-		if obstacle, lacking := core.CheckExchange(member.Old.ID, in, member.Surge); obstacle != 0 {
-			return &violation{constraint: obstacle, missing: lacking}
+		if violated, missing := core.CheckExchange(member.Old.ID, in, member.Surge); violated != 0 {
+			return &violation{constraint: violated, missing: missing}
 		}
 	}
 	return nil
--- a/internal/migration/planfile/input_test.go
+++ b/internal/migration/planfile/input_test.go
@@ -37,7 +37,7 @@
 	require.Equal(t, 16*time.Second, input.Replacements[3].Times.Linger)
 
 	late := input.Demand.Periods[1].Loads[0]
-	require.Equal(t, room.Amount{room.Slots: 60, room.Memory: 1000}, late.Required, "how fast servers write is not told")
+	require.Equal(t, room.Amount{room.Slots: 60, room.Memory: 1000}, late.Required, "the decode rate of the servers is unknown")
 
 	file.Periods = nil
 	input, err = file.Input(inventory(t))
--- a/internal/migration/room/headroom.go
+++ b/internal/migration/room/headroom.go
@@ -4,7 +4,7 @@
 
 // Headroom is the capacity that must stay free beyond the demand.
 type Headroom struct {
-	// Margin is kept for bursts while no node has failed, as a fraction of the demand.
+	// Margin is reserved for bursts while no node has failed, as a fraction of the demand.
 	Margin float64
 	// Hosts, Zones and Regions are the fault budget. Each number of failures by itself, not all three together, must
 	// leave capacity for the demand without its margin.
