--- a/internal/migration/execute/harness_test.go
+++ b/internal/migration/execute/harness_test.go
@@ -30,7 +30,7 @@
 // harness feeds a machine; its store accepts the states that may follow, and its nodes do what the state says.
 type harness struct {
 	t                 *testing.T
-	made              *plan.Plan
+	migrationPlan     *plan.Plan
 	machine           *Machine
 	now               time.Duration
 	stored            *State
@@ -48,7 +48,7 @@
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	h := &harness{
-		t: t, made: twoStages(), inFlight: map[string]int{}, migratable: map[string]int{}, slots: 10,
+		t: t, migrationPlan: twoStages(), inFlight: map[string]int{}, migratable: map[string]int{}, slots: 10,
 		nodes: map[string]bool{"old-1": true, "old-2": true, "kept": true},
 	}
 	h.confirmedRevision = func() uint64 { return h.stored.Revision }
@@ -58,7 +58,7 @@
 
 func (h *harness) newMachine(owner string) *Machine {
 	return NewMachine(Config{
-		Plan: h.made, Digest: "plan", Owner: owner, Headroom: room.Headroom{Margin: 0.1, Hosts: 1},
+		Plan: h.migrationPlan, Digest: "plan", Owner: owner, Headroom: room.Headroom{Margin: 0.1, Hosts: 1},
 		MaxObservationAge: 2 * time.Second, ShortageBackoff: 3 * time.Second, StoreRetryInterval: time.Second, MaxStartDelay: time.Second,
 	})
 }
@@ -73,7 +73,7 @@
 				h.requested = append(h.requested, action.State)
 				continue
 			}
-			require.NoError(h.t, CheckTransition(h.stored, action.State, h.made))
+			require.NoError(h.t, CheckTransition(h.stored, action.State, h.migrationPlan))
 			h.stored = action.State
 		}
 	}
@@ -89,7 +89,7 @@
 		h.pass()
 	}
 	var text bytes.Buffer
-	require.NoError(h.t, WriteProgress(&text, h.made, h.stored, h.machine.Blockers()))
+	require.NoError(h.t, WriteProgress(&text, h.migrationPlan, h.stored, h.machine.Blockers()))
 	require.Fail(h.t, "not reached", "%s", text.String())
 }
 
--- a/internal/migration/execute/machine_test.go
+++ b/internal/migration/execute/machine_test.go
@@ -24,10 +24,10 @@
 	require.Equal(t, []string{"old-1", "old-2"}, h.stored.Cordoned)
 	require.Equal(t, uint64(2), h.machine.Counters().Cordoned)
 	var text bytes.Buffer
-	require.NoError(t, WriteProgress(&text, h.made, h.stored, h.machine.Blockers()))
+	require.NoError(t, WriteProgress(&text, h.migrationPlan, h.stored, h.machine.Blockers()))
 	require.Equal(t, "done: stage 2 of 2\n", text.String())
 	text.Reset()
-	require.NoError(t, WriteProgress(&text, h.made, nil, []Blocker{{Old: "old-1", Reason: BlockInFlight}}))
+	require.NoError(t, WriteProgress(&text, h.migrationPlan, nil, []Blocker{{Old: "old-1", Reason: BlockInFlight}}))
 	require.Equal(t, "not begun\n  waits: old-1: replies are still in generation\n", text.String())
 }
 
@@ -126,7 +126,7 @@
 	second := h.machine
 	h.machine = first
 	h.run(func() bool { return len(h.requested) > 0 })
-	require.Error(t, CheckTransition(h.stored, h.requested[0], h.made), "it was overtaken")
+	require.Error(t, CheckTransition(h.stored, h.requested[0], h.migrationPlan), "it was overtaken")
 	h.feed(Rejected{Current: h.stored})
 	require.True(t, first.Fenced())
 	require.Empty(t, first.Step(h.now+time.Minute, Tick{}))
--- a/internal/migration/execute/progress.go
+++ b/internal/migration/execute/progress.go
@@ -10,15 +10,15 @@
 
 // WriteProgress writes the progress of a run and what it waits for, as text for an operator. state is nil before the first
 // was stored. The error is that of the writer.
-func WriteProgress(output io.Writer, made *plan.Plan, state *State, blockers []Blocker) error {
+func WriteProgress(output io.Writer, migrationPlan *plan.Plan, state *State, blockers []Blocker) error {
 	text := &strings.Builder{}
 	if state == nil {
 		text.WriteString("not begun\n")
 	} else {
-		stages := len(made.Stages)
+		stages := len(migrationPlan.Stages)
 		fmt.Fprintf(text, "%s: stage %d of %d\n", state.Outcome, min(state.Stage+1, stages), stages)
 		for index, task := range state.Tasks {
-			replacement := &made.Stages[state.Stage].Replacements[index]
+			replacement := &migrationPlan.Stages[state.Stage].Replacements[index]
 			fmt.Fprintf(text, "  %-12s %s -> %s\n", task.Phase, replacement.Old.ID, replacement.New.ID)
 		}
 	}
--- a/internal/migration/execute/state.go
+++ b/internal/migration/execute/state.go
@@ -80,29 +80,29 @@
 }
 
 // enter begins a stage; after the last one the run is done.
-func (s *State) enter(stage int, made *plan.Plan) {
+func (s *State) enter(stage int, migrationPlan *plan.Plan) {
 	s.Stage = stage
 	s.Tasks = nil
-	if stage >= len(made.Stages) {
+	if stage >= len(migrationPlan.Stages) {
 		s.Outcome = Done
 		return
 	}
-	for range made.Stages[stage].Replacements {
+	for range migrationPlan.Stages[stage].Replacements {
 		s.Tasks = append(s.Tasks, Task{Phase: Waiting})
 	}
 }
 
 // derive computes what follows from the tasks and from the stages that are over. A released node stays cordoned and may be
 // stopped, should it come back.
-func (s *State) derive(made *plan.Plan) {
+func (s *State) derive(migrationPlan *plan.Plan) {
 	s.Cordoned, s.Migrating, s.Start, s.Stop, s.Swaps = nil, nil, nil, nil, nil
-	for _, stage := range made.Stages[:s.Stage] {
+	for _, stage := range migrationPlan.Stages[:s.Stage] {
 		for index := range stage.Replacements {
 			s.release(stage.Replacements[index].Old.ID)
 		}
 	}
 	for index := range s.Tasks {
-		s.deriveTask(&s.Tasks[index], &made.Stages[s.Stage].Replacements[index])
+		s.deriveTask(&s.Tasks[index], &migrationPlan.Stages[s.Stage].Replacements[index])
 	}
 }
 
--- a/internal/migration/execute/transitioncheck.go
+++ b/internal/migration/execute/transitioncheck.go
@@ -41,7 +41,7 @@
 
 // CheckTransition returns a *TransitionError if a state may not be put in place of another one (nil: of none). The head of
 // the chain is to call it, so that it rejects a machine that was overtaken; tests do.
-func CheckTransition(before, after *State, made *plan.Plan) error {
+func CheckTransition(before, after *State, migrationPlan *plan.Plan) error {
 	if before == nil {
 		before = &State{}
 	}
@@ -51,7 +51,7 @@
 	if err := checkOwner(before, after); err != nil {
 		return err
 	}
-	if err := checkShape(after, made); err != nil {
+	if err := checkShape(after, migrationPlan); err != nil {
 		return err
 	}
 	switch {
@@ -64,7 +64,7 @@
 	case before.Stage != after.Stage:
 		return checkNextStage(before, after)
 	}
-	return checkTasks(before, after, made)
+	return checkTasks(before, after, migrationPlan)
 }
 
 // checkOwner checks that a state continues the epoch in force or begins the next one.
@@ -78,19 +78,19 @@
 }
 
 // checkShape checks a state by itself.
-func checkShape(state *State, made *plan.Plan) error {
-	if state.Stage < 0 || state.Stage > len(made.Stages) {
+func checkShape(state *State, migrationPlan *plan.Plan) error {
+	if state.Stage < 0 || state.Stage > len(migrationPlan.Stages) {
 		return transitionErrorf("there is no stage %d", state.Stage)
 	}
 	tasks := 0
-	if state.Stage < len(made.Stages) {
-		tasks = len(made.Stages[state.Stage].Replacements)
+	if state.Stage < len(migrationPlan.Stages) {
+		tasks = len(migrationPlan.Stages[state.Stage].Replacements)
 	}
 	if len(state.Tasks) != tasks || (tasks == 0) != (state.Outcome == Done) {
 		return transitionErrorf("%d tasks in stage %d of a run that is %s", len(state.Tasks), state.Stage, state.Outcome)
 	}
 	derived := state.clone()
-	derived.derive(made)
+	derived.derive(migrationPlan)
 	same := slices.Equal(derived.Cordoned, state.Cordoned) && slices.Equal(derived.Migrating, state.Migrating) &&
 		slices.Equal(derived.Start, state.Start) && slices.Equal(derived.Stop, state.Stop) &&
 		slices.Equal(derived.Swaps, state.Swaps)
@@ -125,9 +125,9 @@
 }
 
 // checkTasks checks the phases within a stage.
-func checkTasks(before, after *State, made *plan.Plan) error {
+func checkTasks(before, after *State, migrationPlan *plan.Plan) error {
 	for index, task := range after.Tasks {
-		replacement := &made.Stages[after.Stage].Replacements[index]
+		replacement := &migrationPlan.Stages[after.Stage].Replacements[index]
 		steps := inPlaceTransitions
 		if replacement.Surge {
 			steps = surgeTransitions
--- a/internal/migration/execute/transitioncheck_test.go
+++ b/internal/migration/execute/transitioncheck_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestCheckTransition(t *testing.T) {
-	made := twoStages()
+	migrationPlan := twoStages()
 	base := &State{Plan: "plan", Epoch: 1, Owner: "one", Revision: 5, Outcome: Running, Tasks: []Task{{Phase: Warming}}}
-	base.derive(made)
+	base.derive(migrationPlan)
 	cases := map[string]struct {
 		change func(*State)
 		reason string
@@ -33,10 +33,10 @@
 			next := base.clone()
 			next.Revision++
 			one.change(next)
-			if next.Stage < len(made.Stages) {
-				next.derive(made)
+			if next.Stage < len(migrationPlan.Stages) {
+				next.derive(migrationPlan)
 			}
-			err := CheckTransition(base, next, made)
+			err := CheckTransition(base, next, migrationPlan)
 			if one.reason == "" {
 				require.NoError(t, err)
 				return
@@ -49,8 +49,8 @@
 	tampered := base.clone()
 	tampered.Revision++
 	tampered.Stop = []string{"kept"}
-	require.ErrorContains(t, CheckTransition(base, tampered, made), "does not follow from the tasks")
+	require.ErrorContains(t, CheckTransition(base, tampered, migrationPlan), "does not follow from the tasks")
 	ended := base.clone()
 	ended.Outcome = Aborted
-	require.ErrorContains(t, CheckTransition(ended, tampered, made), "does not follow")
+	require.ErrorContains(t, CheckTransition(ended, tampered, migrationPlan), "does not follow")
 }
--- a/internal/migration/plan/remedies.go
+++ b/internal/migration/plan/remedies.go
@@ -106,9 +106,9 @@
 		input.Nodes = append(slices.Clone(input.Nodes), node)
 		return &input
 	}
-	if place := (SurgePool{Zone: spare.Zone, Kind: spare.Kind}); infeasible.Violated == ConstraintSurge {
+	if pool := (SurgePool{Zone: spare.Zone, Kind: spare.Kind}); infeasible.Violated == ConstraintSurge {
 		input.SurgeCapacity = maps.Clone(input.SurgeCapacity)
-		input.SurgeCapacity[place]++
+		input.SurgeCapacity[pool]++
 		return &input
 	}
 	input.Replacements = slices.Clone(input.Replacements)
--- a/internal/migration/planfile/golden_test.go
+++ b/internal/migration/planfile/golden_test.go
@@ -31,10 +31,10 @@
 	require.NoError(t, err)
 	input, err := file.Input(inventory(t))
 	require.NoError(t, err)
-	made, err := plan.Make(input)
+	migrationPlan, err := plan.Make(input)
 	require.NoError(t, err)
-	planned := file.WithPlan(made)
-	reviewed, err := planned.Write(made)
+	planned := file.WithPlan(migrationPlan)
+	reviewed, err := planned.Write(migrationPlan)
 	require.NoError(t, err)
 	require.Equal(t, golden(t, "golden-reviewed.toml", reviewed), string(reviewed))
 
--- a/internal/migration/planfile/plan.go
+++ b/internal/migration/planfile/plan.go
@@ -7,10 +7,10 @@
 )
 
 // WithPlan returns a copy of the file with the stages of a plan instead of its own.
-func (f *File) WithPlan(made *plan.Plan) *File {
+func (f *File) WithPlan(migrationPlan *plan.Plan) *File {
 	planned := *f
 	planned.Stages = nil
-	for _, stage := range made.Stages {
+	for _, stage := range migrationPlan.Stages {
 		written := Stage{Begin: formatTime(stage.Begin), Duration: stage.Duration.String()}
 		for _, one := range stage.Replacements {
 			written.Replace = append(written.Replace, f.nameOf(&one))
@@ -32,20 +32,20 @@
 
 // Plan returns the plan of the file's stages after verifying it. The errors are those of plan.Verify.
 func (f *File) Plan(input plan.Input) (*plan.Plan, error) {
-	made := &plan.Plan{Begin: input.Begin, End: input.Begin}
+	migrationPlan := &plan.Plan{Begin: input.Begin, End: input.Begin}
 	for _, written := range f.Stages {
 		stage := plan.Stage{Duration: durationOr(written.Duration, 0)}
 		stage.Begin, _ = parseTimeOfDay(written.Begin)
 		for _, name := range written.Replace {
 			stage.Replacements = append(stage.Replacements, f.replacementNamed(name, input.Replacements)...)
 		}
-		made.End = stage.Begin + stage.Duration
-		made.Stages = append(made.Stages, stage)
+		migrationPlan.End = stage.Begin + stage.Duration
+		migrationPlan.Stages = append(migrationPlan.Stages, stage)
 	}
-	if err := plan.Verify(input, made.Stages); err != nil {
+	if err := plan.Verify(input, migrationPlan.Stages); err != nil {
 		return nil, err
 	}
-	return made, nil
+	return migrationPlan, nil
 }
 
 // replacementNamed returns the replacement whose old node has a name in the file, as a slice of one, or nothing. The
--- a/internal/migration/planfile/plan_test.go
+++ b/internal/migration/planfile/plan_test.go
@@ -15,11 +15,11 @@
 	require.NoError(t, err)
 	input, err := file.Input(inventory(t))
 	require.NoError(t, err)
-	made, err := plan.Make(input)
+	migrationPlan, err := plan.Make(input)
 	require.NoError(t, err)
 
-	planned := file.WithPlan(made)
-	content, err := planned.Write(made)
+	planned := file.WithPlan(migrationPlan)
+	content, err := planned.Write(migrationPlan)
 	require.NoError(t, err)
 	t.Logf("%s", content)
 	again, err := Parse(content)
@@ -33,10 +33,10 @@
 
 	checked, err := again.Plan(input)
 	require.NoError(t, err)
-	require.Len(t, checked.Stages, len(made.Stages))
+	require.Len(t, checked.Stages, len(migrationPlan.Stages))
 	for index, stage := range checked.Stages {
-		require.Equal(t, made.Stages[index].Replacements, stage.Replacements)
-		require.InDelta(t, made.Stages[index].Begin, stage.Begin, float64(time.Second))
+		require.Equal(t, migrationPlan.Stages[index].Replacements, stage.Replacements)
+		require.InDelta(t, migrationPlan.Stages[index].Begin, stage.Begin, float64(time.Second))
 	}
 
 	// the server that goes before its replacement comes is put into the busy hours
--- a/internal/migration/planfile/validate.go
+++ b/internal/migration/planfile/validate.go
@@ -51,10 +51,10 @@
 	return v.faults
 }
 
-func (v *validator) surgePool(key string, place *SurgePool) {
-	v.check(key+"zone", place.Zone, required)
-	v.check(key+"kind", place.Kind, nodeKind)
-	v.check(key+"free", place.Free, nonNegativeCount)
+func (v *validator) surgePool(key string, pool *SurgePool) {
+	v.check(key+"zone", pool.Zone, required)
+	v.check(key+"kind", pool.Kind, nodeKind)
+	v.check(key+"free", pool.Free, nonNegativeCount)
 }
 
 func (v *validator) capacity(key string, capacity *Capacity) {
--- a/internal/migration/planfile/write.go
+++ b/internal/migration/planfile/write.go
@@ -24,7 +24,7 @@
 }
 
 // Write returns the file as TOML, with comments for the reviewer on each stage if the plan of the stages is given.
-func (f *File) Write(made *plan.Plan) ([]byte, error) {
+func (f *File) Write(migrationPlan *plan.Plan) ([]byte, error) {
 	head := *f
 	head.Stages = nil
 	data, err := toml.Marshal(&head)
@@ -32,12 +32,12 @@
 		return nil, errors.Wrap(err, "write the plan")
 	}
 	buffer := bytes.NewBuffer(data)
-	if made != nil {
-		writeSummary(buffer, made)
+	if migrationPlan != nil {
+		writeSummary(buffer, migrationPlan)
 	}
 	for index := range f.Stages {
-		if made != nil {
-			writeRemarks(buffer, index+1, &made.Stages[index])
+		if migrationPlan != nil {
+			writeRemarks(buffer, index+1, &migrationPlan.Stages[index])
 		}
 		stage, err := toml.Marshal(struct {
 			Stages []Stage `toml:"stage"`
@@ -50,12 +50,12 @@
 	return buffer.Bytes(), nil
 }
 
-func writeSummary(buffer *bytes.Buffer, made *plan.Plan) {
+func writeSummary(buffer *bytes.Buffer, migrationPlan *plan.Plan) {
 	order := "the best of the orders that were tried"
-	if made.Shortest {
+	if migrationPlan.Shortest {
 		order = "no order takes less time"
 	}
-	fmt.Fprintf(buffer, "\n# %d stages, done by %s (%s).\n", len(made.Stages), formatTime(made.End), order)
+	fmt.Fprintf(buffer, "\n# %d stages, done by %s (%s).\n", len(migrationPlan.Stages), formatTime(migrationPlan.End), order)
 }
 
 // writeRemarks writes a comment that explains a stage to its reviewer.
--- a/internal/migration/simulate/deployment_test.go
+++ b/internal/migration/simulate/deployment_test.go
@@ -108,11 +108,11 @@
 	uncordoned                int
 }
 
-func newDeployment(random *rand.Rand, input plan.Input, made *plan.Plan, clients []*client, planted plantedFault) *deployment {
+func newDeployment(random *rand.Rand, input plan.Input, migrationPlan *plan.Plan, clients []*client, planted plantedFault) *deployment {
 	if planted == faultArrivedOnly {
-		made = withoutLinger(made)
+		migrationPlan = withoutLinger(migrationPlan)
 	}
-	d := &deployment{random: random, input: input, plan: made, nodes: map[string]*node{}, clients: clients, planted: planted}
+	d := &deployment{random: random, input: input, plan: migrationPlan, nodes: map[string]*node{}, clients: clients, planted: planted}
 	for _, spec := range input.Nodes {
 		d.add(spec, true)
 	}
@@ -124,9 +124,9 @@
 	return d
 }
 
-func withoutLinger(made *plan.Plan) *plan.Plan {
-	changed := *made
-	changed.Stages = slices.Clone(made.Stages)
+func withoutLinger(migrationPlan *plan.Plan) *plan.Plan {
+	changed := *migrationPlan
+	changed.Stages = slices.Clone(migrationPlan.Stages)
 	for number := range changed.Stages {
 		replacements := slices.Clone(changed.Stages[number].Replacements)
 		for index := range replacements {
--- a/internal/migration/simulate/scenario_test.go
+++ b/internal/migration/simulate/scenario_test.go
@@ -96,9 +96,9 @@
 	random := rand.New(rand.NewPCG(seed, 1))
 	for {
 		input, clients := drawCase(random)
-		made, err := plan.Make(input)
-		if err == nil && len(made.Stages) > 0 {
-			return &scenario{input: input, plan: made, clients: clients}
+		migrationPlan, err := plan.Make(input)
+		if err == nil && len(migrationPlan.Stages) > 0 {
+			return &scenario{input: input, plan: migrationPlan, clients: clients}
 		}
 	}
 }
--- a/internal/migration/simulate/traffic_test.go
+++ b/internal/migration/simulate/traffic_test.go
@@ -74,10 +74,10 @@
 	if from.resumable && d.happens(0.01) {
 		length = 4 * longestResponse // longer than any plan expects
 	}
-	made := &response{client: from, edge: edge, remaining: length, length: length, resumable: from.resumable, executions: 1}
-	edge.inFlight = append(edge.inFlight, made)
-	d.responses = append(d.responses, made)
-	d.send(made, server)
+	started := &response{client: from, edge: edge, remaining: length, length: length, resumable: from.resumable, executions: 1}
+	edge.inFlight = append(edge.inFlight, started)
+	d.responses = append(d.responses, started)
+	d.send(started, server)
 }
 
 func (d *deployment) send(one *response, server *node) {
