--- a/internal/migration/planfile/fixture_test.go
+++ b/internal/migration/planfile/fixture_test.go
@@ -7,6 +7,7 @@
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/migration/plan"
 	"fieldrelay/internal/migration/room"
 	"fieldrelay/internal/settings"
 )
@@ -126,3 +127,22 @@
 		Loads: []room.Load{{Region: "west", Group: room.Group{Kind: room.Server, Service: "lm"}}},
 	}
 }
+
+// parseWholeFile returns the file and the planner's input that it makes of the inventory.
+func parseWholeFile(t *testing.T) (*File, plan.Input) {
+	t.Helper()
+	file, err := Parse([]byte(wholeFile))
+	require.NoError(t, err)
+	input, err := file.Input(inventory(t))
+	require.NoError(t, err)
+	return file, input
+}
+
+// planWholeFile returns the file with its input and the plan for it.
+func planWholeFile(t *testing.T) (*File, plan.Input, *plan.Plan) {
+	t.Helper()
+	file, input := parseWholeFile(t)
+	migrationPlan, err := plan.Make(input)
+	require.NoError(t, err)
+	return file, input, migrationPlan
+}
--- a/internal/migration/planfile/golden_test.go
+++ b/internal/migration/planfile/golden_test.go
@@ -7,8 +7,6 @@
 	"testing"
 
 	"github.com/stretchr/testify/require"
-
-	"fieldrelay/internal/migration/plan"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -27,12 +25,7 @@
 // Guards the file as reviewers and earlier programs know it: a plan is written with its comments to the same bytes; a file
 // of an earlier program is read, written again to the same bytes, has the same digest, and its stages are verified.
 func TestGoldenPlanFile(t *testing.T) {
-	file, err := Parse([]byte(wholeFile))
-	require.NoError(t, err)
-	input, err := file.Input(inventory(t))
-	require.NoError(t, err)
-	migrationPlan, err := plan.Make(input)
-	require.NoError(t, err)
+	file, input, migrationPlan := planWholeFile(t)
 	planned := file.WithPlan(migrationPlan)
 	reviewed, err := planned.Write(migrationPlan)
 	require.NoError(t, err)
--- a/internal/migration/planfile/input_test.go
+++ b/internal/migration/planfile/input_test.go
@@ -12,10 +12,7 @@
 )
 
 func TestInput(t *testing.T) {
-	file, err := Parse([]byte(wholeFile))
-	require.NoError(t, err)
-	input, err := file.Input(inventory(t))
-	require.NoError(t, err)
+	file, input := parseWholeFile(t)
 
 	require.Len(t, input.Nodes, 8)
 	require.Equal(t, plan.Core{Hosts: 1, Zones: 1, Voters: []plan.Voter{{ID: "core-1", Zone: "hall-a"}, {ID: "core-2", Zone: "hall-b"}, {ID: "core-3", Zone: "hall-c"}}}, input.Core)
@@ -40,7 +37,7 @@
 	require.Equal(t, room.Amount{room.Slots: 60, room.Memory: 1000}, late.Required, "the decode rate of the servers is unknown")
 
 	file.Periods = nil
-	input, err = file.Input(inventory(t))
+	input, err := file.Input(inventory(t))
 	require.NoError(t, err)
 	require.Equal(t, time.Duration(0), input.Demand.Cycle)
 
--- a/internal/migration/planfile/plan_test.go
+++ b/internal/migration/planfile/plan_test.go
@@ -11,12 +11,7 @@
 )
 
 func TestPlanIsWrittenReadAndVerified(t *testing.T) {
-	file, err := Parse([]byte(wholeFile))
-	require.NoError(t, err)
-	input, err := file.Input(inventory(t))
-	require.NoError(t, err)
-	migrationPlan, err := plan.Make(input)
-	require.NoError(t, err)
+	file, input, migrationPlan := planWholeFile(t)
 
 	planned := file.WithPlan(migrationPlan)
 	content, err := planned.Write(migrationPlan)
