--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,7 +40,7 @@
 	}
 	got := []any{cfg.Name, cfg.Listen, cfg.Discovery, cfg.Seed, cfg.Known.Generation, cfg.Procs, cfg.MemoryBytes,
 		cfg.Inbound + cfg.Outbound, cfg.DialTimeout, cfg.ConnIdle, cfg.DrainGrace, cfg.LongestDeadline(), cfg.Logic.Tenants,
-		cfg.Logic.OverShareWorth}
+		cfg.Logic.OverShareValue}
 	want := []any{"n4", "127.0.0.2:80", "127.0.0.1:85", uint64(0x8c1f30d27a5be964), uint64(41), 2, int64(192 << 20),
 		960, 120 * time.Millisecond, defaultConnIdle, 400 * time.Millisecond, 5 * time.Second,
 		[]logic.Tenant{{Name: "novakovi", Share: 0.39, Allowance: 70}}, 0.05}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -97,16 +97,16 @@
 func (s *Settings) Logic() (logic.Config, error) {
 	cfg := logic.Config{
 		Zone: s.Locality, Balancers: s.Balancers, Subscribe: s.Discovery == "subscribe",
-		WorthByWork: s.WorthBy == "work", WarmKeys: s.Specifics.WarmKeys, Tick: s.Tick.Duration(),
-		Prices: logic.Prices(s.Prices), OverShareWorth: s.OverShare,
+		ValuePerWork: s.WorthBy == "work", KeyAffinity: s.Specifics.WarmKeys, Tick: s.Tick.Duration(),
+		Prices: logic.Prices(s.Prices), OverShareValue: s.OverShare,
 		Contract: logic.Contract{
-			AnswerGrace: s.Contract.AnswerGrace.Duration(),
-			AskEvery:    s.Contract.AskEvery.Duration(), ColdFrom: s.Contract.ColdFrom,
-			Cold:           s.Contract.Cold.Duration(),
-			ShedAfterStart: s.Contract.ShedStart, GoneIsAdvice: s.Contract.GoneAdvice,
+			AnswerGrace:  s.Contract.AnswerGrace.Duration(),
+			ListInterval: s.Contract.AskEvery.Duration(), SlowStartMinCapacity: s.Contract.ColdFrom,
+			SlowStartWindow: s.Contract.Cold.Duration(),
+			BusyMayHaveRun:  s.Contract.ShedStart, GoneIsAdvisory: s.Contract.GoneAdvice,
 		},
 		Limits: logic.Limits{
-			Attempts: s.Limits.Attempts, Cancel: s.Limits.Cancel, Parallel: s.Limits.Parallel,
+			MaxAttempts: s.Limits.Attempts, Cancel: s.Limits.Cancel, ParallelAttempts: s.Limits.Parallel,
 			RetryAfter:    s.Limits.RetryAfter,
 			MaxRetryAfter: s.Limits.MaxRetryAfter.Duration(),
 		},
@@ -147,8 +147,8 @@
 		}
 		cfg.Classes = append(cfg.Classes, logic.Class{
 			Name: c.Name, Effect: effect, Group: group, Window: c.Window.Duration(),
-			Aim: c.Aim.Duration(), AimStretch: c.AimStretch, Deadline: c.Deadline.Duration(),
-			LateWorth: c.LateWorth, Worth: c.Worth, Stream: c.Stream,
+			LatencyTarget: c.Aim.Duration(), TargetPerWork: c.AimStretch, Deadline: c.Deadline.Duration(),
+			LateValue: c.LateWorth, Value: c.Worth, Stream: c.Stream,
 		})
 	}
 	return cfg, nil
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -76,7 +76,7 @@
 	figures.List(classNames(cfg.Logic.Classes)...)
 
 	nodes := nodehttp.NewNodes(nodehttp.Options{DialTimeout: cfg.DialTimeout, ConnIdle: cfg.ConnIdle,
-		Settle: nodehttp.Settle, DrainGrace: cfg.DrainGrace, GoneAdvice: cfg.Logic.Contract.GoneIsAdvice, MaxConns: cfg.Outbound, Gate: gate,
+		Settle: nodehttp.Settle, DrainGrace: cfg.DrainGrace, GoneAdvice: cfg.Logic.Contract.GoneIsAdvisory, MaxConns: cfg.Outbound, Gate: gate,
 		Figures: figures}, hub.Part("node"))
 	core, err := relay.New(cfg.Logic, cfg.Seed, nodes, hub.Part("relay"))
 	if err != nil {
@@ -191,7 +191,7 @@
 				})
 				members.setTenants(next.Logic.Tenants)
 				classes.Set(next.Logic.Classes, next.Logic.Tenants) // after the relay's mailbox has the change: it comes first
-				log.Info().Strs("classes", names).Int("attempts", next.Logic.Limits.Attempts).Msg("classes in force")
+				log.Info().Strs("classes", names).Int("attempts", next.Logic.Limits.MaxAttempts).Msg("classes in force")
 			}), nil
 		}},
 		{Name: "fleet", Prepare: members.prepare},
--- a/internal/emulate/policy.go
+++ b/internal/emulate/policy.go
@@ -65,7 +65,7 @@
 		return nil, fmt.Errorf("no policy %q; there are %v", name, Policies())
 	}
 	p := &baseline{pick: pick, rng: rand.New(rand.NewPCG(seed, 0)), truth: truth, nodes: map[uint64]*seen{},
-		open: map[uint64]*asked{}, effects: map[string]logic.Effect{}, attempts: cfg.Limits.Attempts}
+		open: map[uint64]*asked{}, effects: map[string]logic.Effect{}, attempts: cfg.Limits.MaxAttempts}
 	for _, c := range cfg.Classes {
 		p.effects[c.Name] = c.Effect
 	}
@@ -169,7 +169,7 @@
 		acts = p.send(ev.Request, r, acts)
 	case logic.EvOutcome:
 		acts = p.outcome(ev, acts)
-	case logic.EvWithdrawn:
+	case logic.EvClientGone:
 		delete(p.open, ev.Request)
 	}
 	return acts
@@ -181,7 +181,7 @@
 		if r.mayRun {
 			return append(acts, logic.Action{Kind: logic.ActFail, Request: id})
 		}
-		return append(acts, logic.Action{Kind: logic.ActRefuse, Request: id})
+		return append(acts, logic.Action{Kind: logic.ActReject, Request: id})
 	}
 	s := p.pick(p)
 	s.out++
--- a/internal/emulate/scenario.go
+++ b/internal/emulate/scenario.go
@@ -360,16 +360,16 @@
 // module is what a sidecar's decision module is told.
 func (s *Scenario) module() logic.Config {
 	cfg := logic.Config{Zone: "a", Balancers: s.Sidecars, Subscribe: true, Tick: 5 * time.Millisecond,
-		Contract: logic.Contract{AnswerGrace: 20 * time.Millisecond, AskEvery: 10 * time.Second, ColdFrom: 1},
-		Limits:   logic.Limits{Attempts: 6, Cancel: true, RetryAfter: true, MaxRetryAfter: 3 * time.Second}}
+		Contract: logic.Contract{AnswerGrace: 20 * time.Millisecond, ListInterval: 10 * time.Second, SlowStartMinCapacity: 1},
+		Limits:   logic.Limits{MaxAttempts: 6, Cancel: true, RetryAfter: true, MaxRetryAfter: 3 * time.Second}}
 	for _, n := range s.Nodes {
-		cfg.Contract.ColdFrom = min(cfg.Contract.ColdFrom, n.ColdFrom)
-		cfg.Contract.Cold = max(cfg.Contract.Cold, seconds(n.Cold))
+		cfg.Contract.SlowStartMinCapacity = min(cfg.Contract.SlowStartMinCapacity, n.ColdFrom)
+		cfg.Contract.SlowStartWindow = max(cfg.Contract.SlowStartWindow, seconds(n.Cold))
 	}
 	for _, c := range s.Classes {
 		cfg.Classes = append(cfg.Classes, logic.Class{Name: c.Name, Effect: effects[c.Effect], Group: logic.GroupAll,
-			Window: seconds(c.Window / 1e3), Aim: seconds(c.Aim / 1e3), Deadline: seconds(c.Deadline / 1e3),
-			LateWorth: c.LateWorth, Worth: c.Worth})
+			Window: seconds(c.Window / 1e3), LatencyTarget: seconds(c.Aim / 1e3), Deadline: seconds(c.Deadline / 1e3),
+			LateValue: c.LateWorth, Value: c.Worth})
 	}
 	return cfg
 }
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -210,13 +210,13 @@
 	j.expires = w.now + seconds(k.Deadline/1e3)
 	w.jobs[j.id] = j
 	w.result.Tries++
-	c.step(&logic.Event{Kind: logic.EvRequest, Request: j.id, Class: k.Name, Repeat: j.try > 0, Hint: seconds(j.work), Expires: j.expires})
+	c.step(&logic.Event{Kind: logic.EvRequest, Request: j.id, Class: k.Name, Retry: j.try > 0, ExpectedWork: seconds(j.work), Expires: j.expires})
 	grace := j.expires + w.cfg.Contract.AnswerGrace
 	w.at(grace, task(func() {
 		if !j.ended { // a broken rule: nobody has answered in time
 			w.result.Broken.Dropped++
 			c.end(j, unanswered, 0)
-			c.step(&logic.Event{Kind: logic.EvWithdrawn, Request: j.id})
+			c.step(&logic.Event{Kind: logic.EvClientGone, Request: j.id})
 		}
 	}), 0)
 }
@@ -240,7 +240,7 @@
 			out := j.attempts[a.Attempt]
 			w.at(w.now, task(func() { c.giveUp(out, logic.Canceled) }), 0)
 		}
-	case logic.ActRefuse:
+	case logic.ActReject:
 		if j := w.jobs[a.Request]; j != nil && !j.ended {
 			if j.mayRun > 0 && w.cfg.Classes[j.class].Effect == logic.Unsafe {
 				w.result.Broken.Refusals++
@@ -263,7 +263,7 @@
 	case logic.ActWatch:
 		c.watch = true
 		w.at(w.now+w.listDelay(), task(func() { c.members(true, false) }), 0)
-	case logic.ActRelease:
+	case logic.ActCloseIdle:
 		if n := w.nodes[a.Server]; n != nil {
 			n.conns -= c.idle[a.Server]
 		}
--- a/internal/front/http/submit.go
+++ b/internal/front/http/submit.go
@@ -119,7 +119,7 @@
 	t.callers.Store(&callers)
 	table := make(map[string]*class, len(classes))
 	for _, c := range classes {
-		table[c.Name] = &class{method: fasthttp.MethodPost, keyed: c.Effect == logic.Keyed, worth: max(c.Worth, leastWorth)}
+		table[c.Name] = &class{method: fasthttp.MethodPost, keyed: c.Effect == logic.Keyed, worth: max(c.Value, leastWorth)}
 		if c.Effect == logic.Safe {
 			table[c.Name].method = fasthttp.MethodGet
 		}
--- a/internal/relay/observe.go
+++ b/internal/relay/observe.go
@@ -57,15 +57,15 @@
 // warm is the part of its full capacity that a node has at the least since its start, by the contract.
 func (r *Relay) warm(n *node) float64 {
 	c, age := &r.cfg.Contract, r.now()-n.since
-	if n.since <= 0 || c.Cold <= 0 || age >= c.Cold {
+	if n.since <= 0 || c.SlowStartWindow <= 0 || age >= c.SlowStartWindow {
 		return 1
 	}
-	return c.ColdFrom + (1-c.ColdFrom)*float64(max(age, 0))/float64(c.Cold)
+	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*float64(max(age, 0))/float64(c.SlowStartWindow)
 }
 
 // Allot tells the module what of a tenant's allowance is this sidecar's, in requests a second; below 0: an equal part.
 func (r *Relay) Allot(tenant string, rate float64) {
-	r.box.Put(func() { r.balancer.Allot(tenant, rate) })
+	r.box.Put(func() { r.balancer.SetTenantAllowance(tenant, rate) })
 }
 
 // drainHeld is for how long a node is seen as draining on the word of others that the list does not bear out.
@@ -121,7 +121,7 @@
 // the list tells nothing: lists have gaps.
 func (r *Relay) tellDrains(m Member) {
 	n := r.open[m.ID]
-	if r.observer == nil || n == nil || n.since != m.Since || m.State == logic.Gone && r.cfg.Contract.GoneIsAdvice {
+	if r.observer == nil || n == nil || n.since != m.Since || m.State == logic.Gone && r.cfg.Contract.GoneIsAdvisory {
 		return
 	}
 	if is := m.State != logic.Ready; is != (n.member.State != logic.Ready) {
--- a/internal/relay/observe_test.go
+++ b/internal/relay/observe_test.go
@@ -26,7 +26,7 @@
 func TestClaimsAreLetThrough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "once", Effect: logic.Unsafe, Deadline: time.Second}},
-			Limits: logic.Limits{Attempts: 3}}
+			Limits: logic.Limits{MaxAttempts: 3}}
 		w := &watcher{outcomes: map[string]int{}, full: true}
 		b := newBench(t, cfg, 1, w)
 		b.list(true, member(8, logic.Ready), member(9, logic.Ready))
@@ -58,7 +58,7 @@
 		}
 		warm := 0.0
 		b.on(func() {
-			b.cfg.Contract = logic.Contract{ColdFrom: 0.2, Cold: 10 * time.Second}
+			b.cfg.Contract = logic.Contract{SlowStartMinCapacity: 0.2, SlowStartWindow: 10 * time.Second}
 			warm = b.warm(&node{since: b.now() - 5*time.Second})
 		})
 		if warm < 0.599 || warm > 0.601 {
@@ -110,7 +110,7 @@
 func TestAvoid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "safe", Deadline: time.Second}},
-			Limits: logic.Limits{Attempts: 3}}
+			Limits: logic.Limits{MaxAttempts: 3}}
 		w := &watcher{outcomes: map[string]int{}}
 		b := newBench(t, cfg, 1, w)
 		one, two := member(8, logic.Ready), member(9, logic.Ready)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -217,13 +217,13 @@
 // now on follow them, open ones keep the class they came under. done is called on the relay's goroutine with what the module said of them; with
 // an error nothing has changed.
 func (r *Relay) Reclass(next logic.Config, done func(error)) {
-	classes, attempts := next.Classes, next.Limits.Attempts
+	classes, attempts := next.Classes, next.Limits.MaxAttempts
 	r.box.Put(func() {
-		err := r.balancer.Reclass(classes, attempts)
+		err := r.balancer.SetClasses(classes, attempts)
 		if err == nil {
-			r.balancer.Retenant(next.Tenants, next.OverShareWorth)
-			r.cfg.Classes, r.cfg.Limits.Attempts = classes, attempts
-			r.cfg.Tenants, r.cfg.OverShareWorth = next.Tenants, next.OverShareWorth
+			r.balancer.SetTenants(next.Tenants, next.OverShareValue)
+			r.cfg.Classes, r.cfg.Limits.MaxAttempts = classes, attempts
+			r.cfg.Tenants, r.cfg.OverShareValue = next.Tenants, next.OverShareValue
 		}
 		done(err)
 	})
@@ -245,7 +245,7 @@
 		r.calls[j.Request.CallID] = true
 		r.jobs[id] = &job{Job: j, out: map[int]claim{}}
 		r.step(&logic.Event{Kind: logic.EvRequest, Request: id, Class: j.Class, Tenant: j.Tenant,
-			Repeat: j.Repeat, Hint: j.Hint, Expires: r.moment(j.Expires)})
+			Retry: j.Repeat, ExpectedWork: j.Hint, Expires: r.moment(j.Expires)})
 	})
 	return id
 }
@@ -255,7 +255,7 @@
 	r.box.Put(func() {
 		if j := r.jobs[id]; j != nil && !j.ended {
 			j.end()
-			r.step(&logic.Event{Kind: logic.EvWithdrawn, Request: id})
+			r.step(&logic.Event{Kind: logic.EvClientGone, Request: id})
 			r.forget(id)
 		}
 	})
@@ -309,7 +309,7 @@
 				r.open[c.node].Cancel(id)
 			}
 		}
-	case logic.ActRefuse:
+	case logic.ActReject:
 		r.answer(a.Request, Answer{Verdict: Requeue, RetryAfter: a.After})
 	case logic.ActFail:
 		r.answer(a.Request, Answer{Verdict: Failed})
@@ -317,7 +317,7 @@
 		r.wake(a.At, a.Timer)
 	case logic.ActWatch:
 		r.list.Watch()
-	case logic.ActRelease:
+	case logic.ActCloseIdle:
 		if n := r.open[a.Server]; n != nil && n.Node != nil {
 			n.Release()
 		}
@@ -490,7 +490,7 @@
 
 // retire closes an execute node that is gone from the list once nothing is out there.
 func (r *Relay) retire(id uint64, n *node) {
-	if n.member.State == logic.Gone && n.out == 0 && !r.cfg.Contract.GoneIsAdvice {
+	if n.member.State == logic.Gone && n.out == 0 && !r.cfg.Contract.GoneIsAdvisory {
 		if n.Node != nil {
 			n.Close()
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -163,12 +163,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := &bench{claims: map[uint64]Claim{}, gate: budget.NewGate(1<<20, 1)}
-				class := logic.Class{Name: "safe", Aim: 500 * time.Millisecond, Deadline: time.Second, LateWorth: 0.5}
+				class := logic.Class{Name: "safe", LatencyTarget: 500 * time.Millisecond, Deadline: time.Second, LateValue: 0.5}
 				unsafe := class
 				unsafe.Name, unsafe.Effect = "unsafe", logic.Unsafe
 				cfg := logic.Config{Tick: 5 * time.Millisecond, Subscribe: true, Classes: []logic.Class{class, unsafe},
-					Contract: logic.Contract{AskEvery: 4 * time.Second},
-					Limits:   logic.Limits{Attempts: 3, Cancel: true}}
+					Contract: logic.Contract{ListInterval: 4 * time.Second},
+					Limits:   logic.Limits{MaxAttempts: 3, Cancel: true}}
 				var err error
 				if b.Relay, err = New(cfg, 1, b, zerolog.Nop()); err != nil {
 					t.Fatal(err)
@@ -225,7 +225,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, logic.Config{Classes: []logic.Class{{Name: "c", Aim: time.Second, Deadline: time.Second}}}, 1, nil)
+				b := newBench(t, logic.Config{Classes: []logic.Class{{Name: "c", LatencyTarget: time.Second, Deadline: time.Second}}}, 1, nil)
 				b.Members(Members{Complete: true, Members: []Member{{Server: logic.Server{ID: 1}, Addr: "h:1", Told: time.Now()}}})
 				job := b.submit("c")
 				request := b.claims[job].Request
--- a/internal/relay/same_test.go
+++ b/internal/relay/same_test.go
@@ -14,9 +14,9 @@
 // script plays drawn jobs, outcomes and lists to a relay and gives all that it told the others, in order.
 func script(t *testing.T, seed uint64, o Observer) (lines []string) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "safe", Deadline: time.Second, Aim: 300 * time.Millisecond},
-			{Name: "once", Effect: logic.Unsafe, Deadline: time.Second}}, Limits: logic.Limits{Attempts: 4, RetryAfter: true, MaxRetryAfter: time.Second, Cancel: true},
-			Contract: logic.Contract{ColdFrom: 0.3, Cold: time.Second}}
+		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "safe", Deadline: time.Second, LatencyTarget: 300 * time.Millisecond},
+			{Name: "once", Effect: logic.Unsafe, Deadline: time.Second}}, Limits: logic.Limits{MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: time.Second, Cancel: true},
+			Contract: logic.Contract{SlowStartMinCapacity: 0.3, SlowStartWindow: time.Second}}
 		b := newBench(t, cfg, seed, o)
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var all []Member
--- a/internal/relay/suspend_test.go
+++ b/internal/relay/suspend_test.go
@@ -13,7 +13,7 @@
 func TestSuspend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "safe", Deadline: time.Second}},
-			Limits: logic.Limits{Attempts: 3}}
+			Limits: logic.Limits{MaxAttempts: 3}}
 		b := newBench(t, cfg, 1, nil)
 		a := member(8, logic.Ready)
 		a.Name = "a"
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -145,7 +145,7 @@
 			ev.Outcome, ev.Final = out, final == "1"
 		}
 	case "WITHDRAWN":
-		ev.Kind = logic.EvWithdrawn
+		ev.Kind = logic.EvClientGone
 		ev.Request, errs[0] = l.Int("ref", true)
 	case "REMINDER":
 		ev.Kind = logic.EvWake
@@ -174,9 +174,9 @@
 	ev.Key, errs[2] = l.Int("object", false)
 	_, ev.HasKey = l.Text("object")
 	ev.Expires, errs[3] = l.Time("expires_ms", true)
-	ev.Repeat = bits&2 != 0
+	ev.Retry = bits&2 != 0
 	if bits&1 != 0 {
-		ev.Hint, errs[4] = l.Time("weight_hint_ms", false)
+		ev.ExpectedWork, errs[4] = l.Time("weight_hint_ms", false)
 	}
 	return errors.Join(errs[:]...)
 }
@@ -198,7 +198,7 @@
 		duration(out, "timeout_ms", a.After)
 	case logic.ActCancel:
 		line(out, "CALL_OFF", inst, "ref", a.Request, "send_no", uint64(a.Attempt))
-	case logic.ActRefuse:
+	case logic.ActReject:
 		line(out, "SHED", inst, "ref", a.Request)
 		duration(out, "not_before_for_ms", a.After)
 	case logic.ActFail:
@@ -209,7 +209,7 @@
 		fmt.Fprintf(out, " token=%d.%d", a.Timer.Kind, a.Timer.ID)
 	case logic.ActWatch:
 		line(out, "WATCH", inst, "want", uint64(1))
-	case logic.ActRelease:
+	case logic.ActCloseIdle:
 		line(out, "RELEASE", inst, "server", a.Server)
 	case logic.ActLog:
 		Note(out, "DEBUG", inst, a.Text)
--- a/logic/admission.go
+++ b/logic/admission.go
@@ -27,17 +27,17 @@
 	}
 	r := &request{id: ev.Request, class: c, key: ev.Key, hasKey: ev.HasKey, cost: 1, arrived: b.now,
 		expires: ev.Expires, tenant: entry(b.tenants, ev.Tenant)}
-	aim := c.Aim
-	if ev.Hint > 0 {
-		r.cost = ev.Hint.Seconds()
-		aim += time.Duration(c.AimStretch * float64(ev.Hint))
+	aim := c.LatencyTarget
+	if ev.ExpectedWork > 0 {
+		r.cost = ev.ExpectedWork.Seconds()
+		aim += time.Duration(c.TargetPerWork * float64(ev.ExpectedWork))
 	}
 	if aim <= 0 {
 		aim = c.Deadline
 	}
 	r.full = b.now + aim
 	r.aim = min(r.full, r.expires)
-	if ev.Repeat && c.owed > 0 { // its time runs from its first try, one of those that failed
+	if ev.Retry && c.owed > 0 { // its time runs from its first try, one of those that failed
 		r.aim = min(r.aim, c.owed)
 	}
 	b.requests[r.id] = r
@@ -118,8 +118,8 @@
 
 // worth is what a unit of c's work is worth.
 func (b *Balancer) worth(c *class) float64 {
-	worth := max(c.Worth, leastWorth)
-	if b.cfg.WorthByWork || c.work == 0 {
+	worth := max(c.Value, leastWorth)
+	if b.cfg.ValuePerWork || c.work == 0 {
 		return worth
 	}
 	return worth * c.asked / c.work
--- a/logic/api.go
+++ b/logic/api.go
@@ -37,19 +37,19 @@
 	GroupCell
 )
 
-// Class is one class of requests. Zero LateWorth means an answer after Aim is
+// Class is one class of requests. Zero LateValue means an answer after Aim is
 // worth nothing.
 type Class struct {
-	Name       string
-	Effect     Effect
-	Group      Group
-	Window     time.Duration // how long repeats are dropped, from the first attempt that may have run
-	Aim        time.Duration // an answer within this has its full worth; 0: none stated
-	AimStretch float64       // the aim grows by this multiple of the request's own work
-	Deadline   time.Duration
-	LateWorth  float64
-	Worth      float64 // of a request or of a unit of its work, as Config.WorthByWork says; 0: not told
-	Stream     bool
+	Name          string
+	Effect        Effect
+	Group         Group
+	Window        time.Duration // how long repeats are dropped, from the first attempt that may have run
+	LatencyTarget time.Duration // an answer within this has its full worth; 0: none stated
+	TargetPerWork float64       // the aim grows by this multiple of the request's own work
+	Deadline      time.Duration
+	LateValue     float64
+	Value         float64 // of a request or of a unit of its work, as Config.ValuePerWork says; 0: not told
+	Stream        bool
 }
 
 // Prices are costs as a part of a request's worth.
@@ -61,23 +61,23 @@
 
 // Contract states the figures of the rules.
 type Contract struct {
-	AnswerGrace time.Duration
-	AskEvery    time.Duration
-	ColdFrom    float64 // a server starts at this fraction of its capacity or above
-	Cold        time.Duration
-	// ShedAfterStart: a busy answer does not prove that the attempt never ran.
-	ShedAfterStart bool
-	// GoneIsAdvice: a server that the list calls gone, or leaves out, may still be sent to, unless it was listed as draining.
-	GoneIsAdvice bool
+	AnswerGrace          time.Duration
+	ListInterval         time.Duration
+	SlowStartMinCapacity float64 // a server starts at this fraction of its capacity or above
+	SlowStartWindow      time.Duration
+	// BusyMayHaveRun: a busy answer does not prove that the attempt never ran.
+	BusyMayHaveRun bool
+	// GoneIsAdvisory: a server that the list calls gone, or leaves out, may still be sent to, unless it was listed as draining.
+	GoneIsAdvisory bool
 }
 
 // Limits says what the site permits.
 type Limits struct {
-	Attempts      int // attempts for a request
-	Cancel        bool
-	Parallel      bool // two attempts of a request may be out at once
-	RetryAfter    bool
-	MaxRetryAfter time.Duration
+	MaxAttempts      int // attempts for a request
+	Cancel           bool
+	ParallelAttempts bool // two attempts of a request may be out at once
+	RetryAfter       bool
+	MaxRetryAfter    time.Duration
 }
 
 // Config is what a balancer is told once, at its start.
@@ -86,21 +86,21 @@
 	Balancers int
 	Subscribe bool // the server list must be asked for
 	Classes   []Class
-	// WorthByWork: a class's worth is that of a unit of work, so that heavy requests are worth more.
-	WorthByWork bool
-	WarmKeys    bool // a server that met a key lately serves it with less work
-	Tick        time.Duration
-	Prices      Prices
-	Contract    Contract
-	Limits      Limits
+	// ValuePerWork: a class's worth is that of a unit of work, so that heavy requests are worth more.
+	ValuePerWork bool
+	KeyAffinity  bool // a server that met a key lately serves it with less work
+	Tick         time.Duration
+	Prices       Prices
+	Contract     Contract
+	Limits       Limits
 	// Tenants are the callers that the settings name; none: the site has no tenants.
 	Tenants []Tenant
-	// OverShareWorth is what a request beyond its tenant's share is worth, as a part of its class's worth (0 to 1).
-	OverShareWorth float64
+	// OverShareValue is what a request beyond its tenant's share is worth, as a part of its class's worth (0 to 1).
+	OverShareValue float64
 }
 
-// Allot tells what of a tenant's allowance is this sidecar's, in requests a second; below 0: an equal part, as at first.
-func (b *Balancer) Allot(tenant string, rate float64) { b.door.Allot(tenant, rate) }
+// SetTenantAllowance tells what of a tenant's allowance is this sidecar's, in requests a second; below 0: an equal part, as at first.
+func (b *Balancer) SetTenantAllowance(tenant string, rate float64) { b.door.Allot(tenant, rate) }
 
 // Tenant is a caller with a share of what the fleet can do; what it sends beyond that is worth little.
 type Tenant = door.Tenant
@@ -127,7 +127,7 @@
 // Outcome tells how an attempt ended.
 type Outcome uint8
 
-// The outcomes. Refused and Skipped prove that the attempt never ran; Busy does too, unless Contract.ShedAfterStart.
+// The outcomes. Refused and Skipped prove that the attempt never ran; Busy does too, unless Contract.BusyMayHaveRun.
 const (
 	Done Outcome = iota
 	Errored
@@ -144,34 +144,34 @@
 
 // The events.
 const (
-	EvMembers   EventKind = iota // Servers, Complete: the list or a change to it
-	EvListLost                   // an ask for the list failed, or the subscription broke
-	EvRequest                    // a request came in
-	EvStarted                    // the streamed answer of an attempt began
-	EvOutcome                    // an attempt ended
-	EvWithdrawn                  // the client has gone
-	EvWake                       // a wake-up is due
+	EvMembers    EventKind = iota // Servers, Complete: the list or a change to it
+	EvListLost                    // an ask for the list failed, or the subscription broke
+	EvRequest                     // a request came in
+	EvStarted                     // the streamed answer of an attempt began
+	EvOutcome                     // an attempt ended
+	EvClientGone                  // the client has gone
+	EvWake                        // a wake-up is due
 )
 
 // Event is one event; Kind says which fields have meaning.
 type Event struct {
-	Kind     EventKind
-	Servers  []Server
-	Complete bool   // Servers is the whole list
-	Stored   bool   // it is the list kept from before this start
-	Request  uint64 // request id
-	Class    string
-	Tenant   string // "": none
-	Repeat   bool   // the client asks again for what was not served
-	Key      uint64
-	HasKey   bool
-	Hint     time.Duration // expected work; 0: not told
-	Expires  time.Duration // when the client stops waiting; EvListLost: when what was missed counts as told, 0: as AskEvery says
-	Attempt  int
-	Latency  time.Duration
-	Outcome  Outcome
-	Final    bool  // the request is concluded
-	Timer    Timer // of the wake-up, as it was asked for
+	Kind         EventKind
+	Servers      []Server
+	Complete     bool   // Servers is the whole list
+	Stored       bool   // it is the list kept from before this start
+	Request      uint64 // request id
+	Class        string
+	Tenant       string // "": none
+	Retry        bool   // the client asks again for what was not served
+	Key          uint64
+	HasKey       bool
+	ExpectedWork time.Duration // expected work; 0: not told
+	Expires      time.Duration // when the client stops waiting; EvListLost: when what was missed counts as told, 0: as ListInterval says
+	Attempt      int
+	Latency      time.Duration
+	Outcome      Outcome
+	Final        bool  // the request is concluded
+	Timer        Timer // of the wake-up, as it was asked for
 }
 
 // TimerKind tells what a wake-up is for.
@@ -179,10 +179,10 @@
 
 // The kinds of wake-up.
 const (
-	TimerAim    TimerKind = iota // the request's aim is about to pass
-	TimerHeld                    // a held request is about to be hopeless
+	TimerTarget TimerKind = iota // the request's aim is about to pass
+	TimerQueued                  // a held request is about to be hopeless
 	TimerExpire                  // the client is about to stop waiting
-	TimerAsk                     // ask for the server list
+	TimerList                    // ask for the server list
 	TimerIdle                    // the connections to a server have been idle for long
 )
 
@@ -197,14 +197,14 @@
 
 // The actions.
 const (
-	ActSend    ActionKind = iota // start an attempt of Request at Server with time-out After, and not from At on (0: at any time)
-	ActCancel                    // stop waiting for Attempt of Request
-	ActRefuse                    // final answer: a retry does no harm; retry no sooner than After
-	ActFail                      // final answer: failed, effect unknown
-	ActWake                      // ask for EvWake at At
-	ActWatch                     // subscribe to the server list
-	ActRelease                   // close the idle connections to Server
-	ActLog                       // a line for the operators
+	ActSend      ActionKind = iota // start an attempt of Request at Server with time-out After, and not from At on (0: at any time)
+	ActCancel                      // stop waiting for Attempt of Request
+	ActReject                      // final answer: a retry does no harm; retry no sooner than After
+	ActFail                        // final answer: failed, effect unknown
+	ActWake                        // ask for EvWake at At
+	ActWatch                       // subscribe to the server list
+	ActCloseIdle                   // close the idle connections to Server
+	ActLog                         // a line for the operators
 )
 
 // Action is one action; Kind says which fields have meaning.
@@ -257,7 +257,7 @@
 		return nil, errors.New("logic: settings name no class")
 	}
 	c := &cfg.Contract
-	if min(c.ColdFrom, 1-c.ColdFrom) < 0 || min(c.AskEvery, c.Cold, cfg.Tick) < 0 || cfg.Limits.Attempts < 0 {
+	if min(c.SlowStartMinCapacity, 1-c.SlowStartMinCapacity) < 0 || min(c.ListInterval, c.SlowStartWindow, cfg.Tick) < 0 || cfg.Limits.MaxAttempts < 0 {
 		return nil, errors.New("logic: settings hold a negative time or count, or a share not within 0 to 1")
 	}
 	b := &Balancer{
@@ -265,17 +265,17 @@
 		byID: map[uint64]*server{}, requests: map[uint64]*request{}, seed: seed,
 		slack: selection.NewSlack(selection.PaperBands),
 		ways:  map[string]*suspect{}, cells: map[int]*suspect{}, tenants: map[string]*suspect{},
-		door: door.New(cfg.Tenants, cfg.Balancers, cfg.OverShareWorth, ageing),
+		door: door.New(cfg.Tenants, cfg.Balancers, cfg.OverShareValue, ageing),
 	}
-	return b, b.Reclass(cfg.Classes, cfg.Limits.Attempts)
+	return b, b.SetClasses(cfg.Classes, cfg.Limits.MaxAttempts)
 }
 
-// Reclass takes new classes and bound on attempts for requests from now on; open ones keep their class. An
+// SetClasses takes new classes and bound on attempts for requests from now on; open ones keep their class. An
 // unchanged class keeps what was learnt of it. Of classes with a negative time nothing is taken.
-func (b *Balancer) Reclass(classes []Class, attempts int) error {
+func (b *Balancer) SetClasses(classes []Class, attempts int) error {
 	kinds, named := make([]*class, 0, len(classes)), make(map[string]*class, len(classes))
 	for _, c := range classes {
-		if c.Aim < 0 || c.Deadline < 0 || c.Window < 0 {
+		if c.LatencyTarget < 0 || c.Deadline < 0 || c.Window < 0 {
 			return fmt.Errorf("logic: class %q has a negative time", c.Name)
 		}
 		k := b.classes[c.Name]
@@ -284,12 +284,12 @@
 		}
 		kinds, named[c.Name] = append(kinds, k), k
 	}
-	b.kinds, b.classes, b.cfg.Classes, b.cfg.Limits.Attempts = kinds, named, classes, max(attempts, 1)
+	b.kinds, b.classes, b.cfg.Classes, b.cfg.Limits.MaxAttempts = kinds, named, classes, max(attempts, 1)
 	return nil
 }
 
-// Retenant takes the tenants and the worth beyond a share from now on; what was counted of those kept stays.
-func (b *Balancer) Retenant(tenants []Tenant, overShare float64) { b.door.Set(tenants, overShare) }
+// SetTenants takes the tenants and the worth beyond a share from now on; what was counted of those kept stays.
+func (b *Balancer) SetTenants(tenants []Tenant, overShare float64) { b.door.Set(tenants, overShare) }
 
 // Step takes one event and appends the actions that follow from it.
 func (b *Balancer) Step(now time.Duration, ev *Event, acts []Action) []Action {
@@ -308,7 +308,7 @@
 		}
 	case EvOutcome:
 		b.outcome(ev)
-	case EvWithdrawn:
+	case EvClientGone:
 		if r := b.requests[ev.Request]; r != nil && !r.closed {
 			b.close(r, false)
 		}
--- a/logic/choice.go
+++ b/logic/choice.go
@@ -141,7 +141,7 @@
 	for i, s := range set {
 		b.weights[i] *= far[b.across(s)]
 	}
-	if b.cfg.WarmKeys && r.hasKey {
+	if b.cfg.KeyAffinity && r.hasKey {
 		b.weights[slices.Index(set, home(r, set))] *= warmPull * float64(len(set))
 	}
 	return set[selection.Draw(b.weights, b.rng.Float64())]
@@ -150,7 +150,7 @@
 // send starts an attempt of r, if a server can take it.
 func (b *Balancer) send(r *request) bool {
 	full := b.cfg.Balancers >= limitsHold && float64(b.out) >= b.most()
-	if n := len(r.attempts); n >= b.cfg.Limits.Attempts || (n == 0 && full) {
+	if n := len(r.attempts); n >= b.cfg.Limits.MaxAttempts || (n == 0 && full) {
 		return false
 	}
 	if b.candidates(r); len(b.set) == 0 {
@@ -166,8 +166,8 @@
 		s.credit--
 	}
 	b.act(Action{Kind: ActSend, Request: r.id, Server: s.ID, After: r.expires - b.now, At: by})
-	if c := r.class; a.no == 0 && !c.Stream && c.LateWorth == 0 && r.aim < r.expires {
-		b.at(r.aim-b.cfg.Tick, TimerAim, r.id)
+	if c := r.class; a.no == 0 && !c.Stream && c.LateValue == 0 && r.aim < r.expires {
+		b.at(r.aim-b.cfg.Tick, TimerTarget, r.id)
 	}
 	return true
 }
--- a/logic/digest_test.go
+++ b/logic/digest_test.go
@@ -27,11 +27,11 @@
 
 func recordAction(t *testing.T, recorder *digesttest.Recorder, now time.Duration, a Action) {
 	kinds := map[ActionKind]string{
-		ActSend: "send", ActCancel: "cancel", ActRefuse: "refuse", ActFail: "fail", ActWake: "wake",
-		ActWatch: "watch", ActRelease: "release", ActLog: "log",
+		ActSend: "send", ActCancel: "cancel", ActReject: "refuse", ActFail: "fail", ActWake: "wake",
+		ActWatch: "watch", ActCloseIdle: "release", ActLog: "log",
 	}
 	timers := map[TimerKind]string{
-		TimerAim: "aim", TimerHeld: "held", TimerExpire: "expire", TimerAsk: "ask", TimerIdle: "idle",
+		TimerTarget: "aim", TimerQueued: "held", TimerExpire: "expire", TimerList: "ask", TimerIdle: "idle",
 	}
 	label, known := kinds[a.Kind]
 	timer, knownTimer := timers[a.Timer.Kind]
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -10,8 +10,8 @@
 func Example() {
 	b, err := logic.New(logic.Config{
 		Zone:    "a",
-		Classes: []logic.Class{{Name: "read", Aim: 200 * time.Millisecond, Deadline: time.Second}},
-		Limits:  logic.Limits{Attempts: 3, Cancel: true, Parallel: true},
+		Classes: []logic.Class{{Name: "read", LatencyTarget: 200 * time.Millisecond, Deadline: time.Second}},
+		Limits:  logic.Limits{MaxAttempts: 3, Cancel: true, ParallelAttempts: true},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
--- a/logic/fault_test.go
+++ b/logic/fault_test.go
@@ -9,7 +9,7 @@
 
 func advice(effect Effect) Config {
 	cfg := settings(effect)
-	cfg.Contract.GoneIsAdvice = true
+	cfg.Contract.GoneIsAdvisory = true
 	return cfg
 }
 
@@ -31,7 +31,7 @@
 	for _, complete := range []bool{false, true} {
 		for _, isAdvice := range []bool{false, true} {
 			cfg := settings(Safe)
-			cfg.Contract.GoneIsAdvice = isAdvice
+			cfg.Contract.GoneIsAdvisory = isAdvice
 			r := newRig(t, cfg, fleet(3)...)
 			r.tally(1, 30)
 			gone := []Server{{ID: 2, State: Gone}}
@@ -133,7 +133,7 @@
 
 // ask hands in a request of a class and a tenant.
 func (r *rig) ask(id uint64, class, tenant string, repeat bool) []Action {
-	return r.step(Event{Kind: EvRequest, Request: id, Class: class, Tenant: tenant, Repeat: repeat,
+	return r.step(Event{Kind: EvRequest, Request: id, Class: class, Tenant: tenant, Retry: repeat,
 		Expires: r.now + 900*ms})
 }
 
@@ -183,7 +183,7 @@
 
 func TestClassThatWaitsEverywhereIsRefusedAndTriedNowAndThen(t *testing.T) {
 	cfg := settings(Safe)
-	cfg.Classes = append(cfg.Classes, Class{Name: "slow", Aim: 400 * ms, Deadline: time.Second})
+	cfg.Classes = append(cfg.Classes, Class{Name: "slow", LatencyTarget: 400 * ms, Deadline: time.Second})
 	r := newRig(t, cfg, fleet(3)...)
 	r.tally(1, 60)
 	refused, sent := 0, 0
@@ -213,8 +213,8 @@
 	r := newRig(t, settings(Safe), fleet(2)...)
 	r.request(1)
 	r.now += 396 * ms
-	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerAim, ID: 1}})
-	if !r.has(ActRefuse) {
+	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerTarget, ID: 1}})
+	if !r.has(ActReject) {
 		t.Errorf("no final answer at the aim: %+v", r.acts)
 	}
 }
@@ -224,9 +224,9 @@
 	r.tally(10, 20)
 	r.request(1)
 	r.now += 396 * ms
-	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerAim, ID: 1}})
+	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerTarget, ID: 1}})
 	r.now += 50 * ms
-	if r.ask(2, "c", "", true); !r.has(ActRefuse) {
+	if r.ask(2, "c", "", true); !r.has(ActReject) {
 		t.Errorf("a repeat past its aim was not refused: %+v", r.acts)
 	}
 	if r.ask(3, "c", "", false); !r.has(ActSend) {
@@ -240,17 +240,17 @@
 	r := newRig(t, cfg, fleet(2)...)
 	r.tally(10, 20)
 	r.b.slack.Share = 0.6 // a tenth of what is let in at 1/calm is missing: 0.3 s of an ageing time of 3 s
-	for id := uint64(100); !r.has(ActRefuse); id++ {
+	for id := uint64(100); !r.has(ActReject); id++ {
 		r.request(id)
 	}
-	if a, _ := r.find(ActRefuse); a.After < 250*ms || a.After > 350*ms {
+	if a, _ := r.find(ActReject); a.After < 250*ms || a.After > 350*ms {
 		t.Errorf("shedding a little, repeats are asked to wait %v", a.After)
 	}
 	r.b.slack.Share = 1
 	r.request(1000)
 	r.now += 396 * ms
-	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerAim, ID: 1000}})
-	if a, _ := r.find(ActRefuse); a.After != time.Second {
+	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerTarget, ID: 1000}})
+	if a, _ := r.find(ActReject); a.After != time.Second {
 		t.Errorf("past its aim, a repeat is asked to wait %v", a.After)
 	}
 }
--- a/logic/list.go
+++ b/logic/list.go
@@ -78,7 +78,7 @@
 		b.enter(s)
 	}
 	// A list that is old makes no cold server warm and, where it may be wrong, ends no drain.
-	since, drained := max(s.Since, e.Since), b.cfg.Contract.GoneIsAdvice && s.State == Draining
+	since, drained := max(s.Since, e.Since), b.cfg.Contract.GoneIsAdvisory && s.State == Draining
 	if s.Server, s.Since = *e, since; drained {
 		s.State = Draining
 	}
@@ -89,7 +89,7 @@
 // outcomes decide, but for one that was draining: it stays barred for good.
 func (b *Balancer) gone(s *server) {
 	switch {
-	case !b.cfg.Contract.GoneIsAdvice:
+	case !b.cfg.Contract.GoneIsAdvisory:
 		b.drop(s)
 	case s.State == Draining:
 		b.unplace(s)
@@ -108,10 +108,10 @@
 // coldFraction is the share of its full capacity that s has at the least.
 func (b *Balancer) coldFraction(s *server) float64 {
 	c, age := &b.cfg.Contract, b.now-s.Since
-	if s.Since <= 0 || c.Cold <= 0 || age >= c.Cold {
+	if s.Since <= 0 || c.SlowStartWindow <= 0 || age >= c.SlowStartWindow {
 		return 1
 	}
-	return c.ColdFrom + (1-c.ColdFrom)*float64(max(age, 0))/float64(c.Cold)
+	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*float64(max(age, 0))/float64(c.SlowStartWindow)
 }
 
 // enter sets up an unknown server, at random so that first polls do not meet if it is cold, and puts it into
@@ -152,7 +152,7 @@
 }
 
 func (b *Balancer) longestAsk() time.Duration {
-	return max(time.Duration(askShare*float64(b.cfg.Contract.AskEvery)), time.Second)
+	return max(time.Duration(askShare*float64(b.cfg.Contract.ListInterval)), time.Second)
 }
 
 // listWork is how long the list's service may need for a call of each sidecar: it does not grow with them and
@@ -181,5 +181,5 @@
 
 func (b *Balancer) askIn(wait time.Duration) {
 	b.askAt = b.now + wait
-	b.at(b.askAt, TimerAsk, 0)
+	b.at(b.askAt, TimerList, 0)
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -24,10 +24,10 @@
 func settings(effect Effect) Config {
 	return Config{
 		Zone: "z1", Balancers: 3, Tick: 5 * ms,
-		Classes: []Class{{Name: "c", Effect: effect, Group: GroupCell, Window: 500 * ms, Aim: 400 * ms,
+		Classes: []Class{{Name: "c", Effect: effect, Group: GroupCell, Window: 500 * ms, LatencyTarget: 400 * ms,
 			Deadline: 1000 * ms}},
-		Contract: Contract{AskEvery: 10 * time.Second, ColdFrom: 0.2, Cold: 10 * time.Second},
-		Limits:   Limits{Attempts: 4, Cancel: true, Parallel: true},
+		Contract: Contract{ListInterval: 10 * time.Second, SlowStartMinCapacity: 0.2, SlowStartWindow: 10 * time.Second},
+		Limits:   Limits{MaxAttempts: 4, Cancel: true, ParallelAttempts: true},
 	}
 }
 
@@ -96,9 +96,9 @@
 
 func TestNewRejectsUnusableSettings(t *testing.T) {
 	bad := settings(Safe)
-	bad.Contract.ColdFrom = 2
+	bad.Contract.SlowStartMinCapacity = 2
 	neg := settings(Safe)
-	neg.Classes[0].Aim = -1
+	neg.Classes[0].LatencyTarget = -1
 	for _, cfg := range []Config{{}, bad, neg} {
 		if _, err := New(cfg, 1); err == nil || !strings.HasPrefix(err.Error(), "logic: ") {
 			t.Errorf("New(%+v): error %v", cfg, err)
@@ -185,7 +185,7 @@
 		} else if ok {
 			r.outcome(id, 1, 10*ms, Done)
 		}
-		if _, ok := r.find(ActRefuse); ok {
+		if _, ok := r.find(ActReject); ok {
 			t.Fatal("a keyed request that may have run was refused")
 		}
 		r.now += time.Second
@@ -198,7 +198,7 @@
 		r.request(1)
 		r.now += 795 * ms
 		r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerExpire, ID: 1}})
-		_, refused := r.find(ActRefuse)
+		_, refused := r.find(ActReject)
 		_, failed := r.find(ActFail)
 		if refused == failed {
 			t.Errorf("effect %d: refused %t, failed %t", effect, refused, failed)
@@ -239,7 +239,7 @@
 	before := cold.credit
 	for id := range uint64(50) {
 		r.step(Event{Kind: EvRequest, Request: id, Class: "c", Expires: r.now}) // its client waits no longer
-		if _, refused := r.find(ActRefuse); !refused {
+		if _, refused := r.find(ActReject); !refused {
 			t.Fatal("not refused")
 		}
 	}
@@ -259,7 +259,7 @@
 			list[i].Since = time.Minute // the clock stands: all stay as cold as they can be
 		}
 		r := newRig(t, settings(Safe), list...)
-		r.b.cfg.Contract.ColdFrom = 0.5
+		r.b.cfg.Contract.SlowStartMinCapacity = 0.5
 		got := 0
 		for id := range uint64(400) {
 			for todo := r.request(id); len(todo) > 0; todo = todo[1:] { // an answer lets a held request go
@@ -301,7 +301,7 @@
 	cfg := settings(Safe)
 	cfg.Subscribe = true
 	r := newRig(t, cfg, fleet(1)...)
-	r.wakeFor(TimerAsk)
+	r.wakeFor(TimerList)
 	if _, ok := r.find(ActWatch); !ok {
 		t.Fatal("no subscription at the start")
 	}
@@ -332,7 +332,7 @@
 			early++
 		}
 		r.step(Event{Kind: EvListLost})
-		if w, _ := r.find(ActWake); w.At-r.now < work/3 || w.At-r.now > cfg.Contract.AskEvery/2 {
+		if w, _ := r.find(ActWake); w.At-r.now < work/3 || w.At-r.now > cfg.Contract.ListInterval/2 {
 			t.Errorf("asked again after %s, a call of each needs %s", w.At-r.now, work)
 		}
 	}
@@ -342,7 +342,7 @@
 }
 
 // What a silent watch missed counts as told 6 s after its last line, and a drain gives half a second more. Asked for after
-// the wait that spares the service, up to half of AskEvery, the list came later than that.
+// the wait that spares the service, up to half of ListInterval, the list came later than that.
 func TestAMissedListIsAskedForBeforeItCountsAsTold(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Subscribe, cfg.Balancers = true, 300
@@ -370,7 +370,7 @@
 			t.Errorf("seed %d: the second call comes %s after what was missed counts as told", seed, late)
 		}
 		r.step(Event{Kind: EvListLost, Expires: told}) // it counts as told: the service is spared again
-		if w, _ := r.find(ActWake); r.now > told && w.At-r.now < cfg.Contract.AskEvery/32 {
+		if w, _ := r.find(ActWake); r.now > told && w.At-r.now < cfg.Contract.ListInterval/32 {
 			t.Errorf("seed %d: asked again after %s though all is told", seed, w.At-r.now)
 		}
 	}
@@ -383,7 +383,7 @@
 	r := newRig(t, settings(Safe), fleet(1)...)
 	r.serve(1, func(uint64) time.Duration { return ms })
 	for _, ev := range []Event{
-		{Kind: EvOutcome, Request: 1}, {Kind: EvOutcome, Request: 9}, {Kind: EvWithdrawn, Request: 1},
+		{Kind: EvOutcome, Request: 1}, {Kind: EvOutcome, Request: 9}, {Kind: EvClientGone, Request: 1},
 		{Kind: EvWake, Timer: Timer{Kind: TimerExpire, ID: 1}}, {Kind: EvStarted, Request: 1},
 	} {
 		if acts := r.step(ev); len(acts) > 0 {
@@ -433,7 +433,7 @@
 
 func TestKeyedIsNotResentAfterItsWindow(t *testing.T) {
 	cfg := settings(Keyed)
-	cfg.Classes[0].Aim = 1000 * ms
+	cfg.Classes[0].LatencyTarget = 1000 * ms
 	for _, at := range []time.Duration{300 * ms, 600 * ms} {
 		r := newRig(t, cfg, fleet(3)...)
 		r.request(1)
@@ -550,7 +550,7 @@
 
 func TestKeysKeepToTheirHome(t *testing.T) {
 	cfg := settings(Safe)
-	cfg.WarmKeys = true
+	cfg.KeyAffinity = true
 	r := newRig(t, cfg, fleet(6)...)
 	count := map[uint64]int{}
 	for id := range uint64(300) {
@@ -597,7 +597,7 @@
 		r.request(1000 + id)
 	}
 	for _, a := range r.acts {
-		if a.Kind == ActWake && a.Timer.Kind == TimerHeld {
+		if a.Kind == ActWake && a.Timer.Kind == TimerQueued {
 			if room := r.now + 400*ms - a.At; room < 70*ms {
 				t.Errorf("held until %v before the aim; answers take 20 to 60 ms", room)
 			}
@@ -674,7 +674,7 @@
 func TestBusyIsNoProofWhereWorkIsShedAfterItsStart(t *testing.T) {
 	for _, shed := range []bool{false, true} {
 		cfg := settings(Unsafe)
-		cfg.Contract.ShedAfterStart = shed
+		cfg.Contract.BusyMayHaveRun = shed
 		r := newRig(t, cfg, fleet(3)...)
 		r.request(1)
 		r.outcome(1, 0, ms, Busy)
@@ -685,7 +685,7 @@
 			t.Errorf("unsafe, shed after start %t: failed %t", shed, failed)
 		}
 		cfg = settings(Keyed)
-		cfg.Contract.ShedAfterStart = shed
+		cfg.Contract.BusyMayHaveRun = shed
 		list := fleet(2)
 		list[1].Cell = 1 // no repeat of the other's keys is dropped here
 		r = newRig(t, cfg, list...)
@@ -697,8 +697,8 @@
 		}
 		if r.outcome(1, 1, ms, Busy); shed {
 			r.now += 395 * ms
-			r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerAim, ID: 1}})
-			if _, refused := r.find(ActRefuse); refused {
+			r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerTarget, ID: 1}})
+			if _, refused := r.find(ActReject); refused {
 				t.Error("a keyed request that may have run was refused")
 			}
 		}
@@ -797,7 +797,7 @@
 		w, _ = r.find(ActWake)
 		r.now = w.At
 		r.step(Event{Kind: EvWake, Timer: w.Timer})
-		if a, ok := r.find(ActRelease); !ok || a.Server != s {
+		if a, ok := r.find(ActCloseIdle); !ok || a.Server != s {
 			t.Errorf("idle connection not closed: %+v", r.acts)
 		}
 	}
@@ -872,11 +872,11 @@
 		t.Errorf("slack %.2f -> %.2f, late %d times", slack, r.b.slack.Share, r.b.servers[0].lates)
 	}
 	r.step(Event{Kind: EvRequest, Request: 2000, Class: "c", Expires: r.now + 20*ms})
-	if _, refused := r.find(ActRefuse); !refused {
+	if _, refused := r.find(ActReject); !refused {
 		t.Errorf("a client that leaves before any answer can come: %+v", r.acts)
 	}
 	r.step(Event{Kind: EvRequest, Request: 2001, Class: "c", Expires: r.now - 100*ms}) // came in a stall
-	if _, refused := r.find(ActRefuse); !refused {
+	if _, refused := r.find(ActReject); !refused {
 		t.Errorf("an expired request is not settled first: %+v", r.acts)
 	}
 }
@@ -926,12 +926,12 @@
 			r.now += time.Second
 			answered := map[uint64]bool{}
 			for _, w := range wakes {
-				if w.Kind == ActRefuse {
+				if w.Kind == ActReject {
 					answered[w.Request] = true
 				}
 				if w.Kind == ActWake {
 					for _, a := range r.step(Event{Kind: EvWake, Timer: w.Timer}) {
-						if a.Kind == ActRefuse || a.Kind == ActFail {
+						if a.Kind == ActReject || a.Kind == ActFail {
 							answered[a.Request] = true
 						}
 					}
@@ -948,8 +948,8 @@
 // one, although the servers could have done most of theirs.
 func TestCheapWorkGivesWayFirst(t *testing.T) {
 	cfg := settings(Safe)
-	cfg.WorthByWork = true
-	cfg.Classes = []Class{{Name: "cheap", Worth: 1}, {Name: "dear", Worth: 10}, {Name: "dear too", Worth: 10}}
+	cfg.ValuePerWork = true
+	cfg.Classes = []Class{{Name: "cheap", Value: 1}, {Name: "dear", Value: 10}, {Name: "dear too", Value: 10}}
 	r := newRig(t, cfg, fleet(3)...)
 	for _, c := range r.b.kinds {
 		c.demand(r.now, 1)
@@ -974,7 +974,7 @@
 // tenants. Before, both were let in alike (0.64), though what is beyond a share is worth a twentieth.
 func TestTenantsBeyondTheirShareGiveWayFirst(t *testing.T) {
 	cfg := settings(Safe)
-	cfg.Balancers, cfg.OverShareWorth = 1, 0.05
+	cfg.Balancers, cfg.OverShareValue = 1, 0.05
 	cfg.Tenants = []Tenant{{Name: "over", Share: 0.5, Allowance: 50}, {Name: "within", Share: 0.5, Allowance: 200}}
 	r := newRig(t, cfg, fleet(3)...)
 	r.b.rate, r.b.rateAt = 200, r.now
@@ -996,7 +996,7 @@
 // kind was refused to a fleet with room.
 func TestKindThatIsTurnedAwayIsSentElsewhere(t *testing.T) {
 	cfg := settings(Safe)
-	cfg.Classes = append(cfg.Classes, Class{Name: "odd", Aim: 400 * ms, Deadline: 1000 * ms})
+	cfg.Classes = append(cfg.Classes, Class{Name: "odd", LatencyTarget: 400 * ms, Deadline: 1000 * ms})
 	r := newRig(t, cfg, fleet(6)...)
 	for id := range uint64(300) {
 		r.serve(id, func(uint64) time.Duration { return 20 * ms })
@@ -1059,7 +1059,7 @@
 // rests at once.
 func TestGoneAndSilentRestsAtOnceWhereOthersFailToo(t *testing.T) {
 	cfg := settings(Safe)
-	cfg.Contract.GoneIsAdvice = true
+	cfg.Contract.GoneIsAdvisory = true
 	r := newRig(t, cfg, fleet(3)...)
 	r.request(1)
 	s := r.b.byID[r.sent()]
@@ -1086,7 +1086,7 @@
 		id := uint64(0)
 		ask := func(class string, work time.Duration) bool {
 			id++
-			r.step(Event{Kind: EvRequest, Request: id, Class: class, Hint: work, Expires: r.now + 800*ms})
+			r.step(Event{Kind: EvRequest, Request: id, Class: class, ExpectedWork: work, Expires: r.now + 800*ms})
 			_, sent := r.find(ActSend)
 			return sent
 		}
@@ -1123,7 +1123,7 @@
 		r.b.cfg.Balancers = c.sidecars
 		for id := range uint64(c.answered + c.silent) {
 			r.now += 50 * ms
-			r.step(Event{Kind: EvRequest, Request: id, Class: "c", Hint: c.hint, Expires: r.now + 800*ms})
+			r.step(Event{Kind: EvRequest, Request: id, Class: "c", ExpectedWork: c.hint, Expires: r.now + 800*ms})
 			if _, sent := r.find(ActSend); sent && int(id) < c.answered {
 				r.outcome(id, 0, 40*ms, Done)
 			}
--- a/logic/outcome.go
+++ b/logic/outcome.go
@@ -24,7 +24,7 @@
 	a.srv.out = slices.DeleteFunc(a.srv.out, func(o *attempt) bool { return o == a })
 	b.idle(a.srv)
 	a.mayRun = ev.Outcome != Refused && ev.Outcome != Skipped &&
-		(ev.Outcome != Busy || b.cfg.Contract.ShedAfterStart)
+		(ev.Outcome != Busy || b.cfg.Contract.BusyMayHaveRun)
 	b.learn(a, ev)
 	if ev.Final && !r.closed {
 		if !r.started {
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -49,10 +49,10 @@
 func randomConfig(rng *rand.Rand) Config {
 	cfg := Config{
 		Zone: "z0", Balancers: 1 + rng.IntN(9), Tick: time.Duration(1+rng.IntN(5)) * ms,
-		Subscribe: rng.IntN(2) == 0, WarmKeys: rng.IntN(2) == 0,
-		Contract: Contract{AskEvery: 10 * time.Second, ColdFrom: 0.1 + 0.4*rng.Float64(), Cold: 20 * time.Second,
-			AnswerGrace: 20 * ms, ShedAfterStart: rng.IntN(2) == 0, GoneIsAdvice: rng.IntN(2) == 0},
-		Limits: Limits{Attempts: 1 + rng.IntN(6), Cancel: rng.IntN(2) == 0, Parallel: rng.IntN(3) > 0,
+		Subscribe: rng.IntN(2) == 0, KeyAffinity: rng.IntN(2) == 0,
+		Contract: Contract{ListInterval: 10 * time.Second, SlowStartMinCapacity: 0.1 + 0.4*rng.Float64(), SlowStartWindow: 20 * time.Second,
+			AnswerGrace: 20 * ms, BusyMayHaveRun: rng.IntN(2) == 0, GoneIsAdvisory: rng.IntN(2) == 0},
+		Limits: Limits{MaxAttempts: 1 + rng.IntN(6), Cancel: rng.IntN(2) == 0, ParallelAttempts: rng.IntN(3) > 0,
 			RetryAfter: rng.IntN(2) == 0, MaxRetryAfter: time.Second},
 	}
 	for i := range 1 + rng.IntN(3) {
@@ -62,7 +62,7 @@
 		}
 		cfg.Classes = append(cfg.Classes, Class{Name: string(rune('a' + i)), Effect: Effect(rng.IntN(3)),
 			Group: Group(rng.IntN(3)), Window: time.Duration(100+rng.IntN(1000)) * ms,
-			Aim: time.Duration(rng.IntN(4)) * 150 * ms, Deadline: 1500 * ms, LateWorth: late,
+			LatencyTarget: time.Duration(rng.IntN(4)) * 150 * ms, Deadline: 1500 * ms, LateValue: late,
 			Stream: rng.IntN(4) == 0})
 	}
 	return cfg
@@ -87,7 +87,7 @@
 		}
 		c.wakes = append(c.wakes, a)
 		return
-	case ActWatch, ActLog, ActRelease:
+	case ActWatch, ActLog, ActCloseIdle:
 		return
 	}
 	r := c.requests[a.Request]
@@ -101,7 +101,7 @@
 		if !c.cfg.Limits.Cancel || a.Attempt >= len(r.attempts) {
 			c.t.Fatalf("illegal cancel %+v", a)
 		}
-	case ActRefuse, ActFail:
+	case ActReject, ActFail:
 		if r.over {
 			c.t.Fatalf("two final answers for request %d", a.Request)
 		}
@@ -110,7 +110,7 @@
 			c.t.Fatalf("request %d answered %v late", a.Request, c.now-r.expires)
 		}
 		keyedAll := r.class.Effect == Keyed && r.class.Group == GroupAll
-		if a.Kind == ActRefuse && r.class.Effect != Safe && !keyedAll && r.ran() {
+		if a.Kind == ActReject && r.class.Effect != Safe && !keyedAll && r.ran() {
 			c.t.Fatalf("request %d refused though it may have run", a.Request)
 		}
 	}
@@ -125,7 +125,7 @@
 	if s == nil || c.banned[a.Server] {
 		c.t.Fatalf("sent to server %d, which is unknown, draining or gone", a.Server)
 	}
-	if r.over || len(r.attempts) >= c.cfg.Limits.Attempts {
+	if r.over || len(r.attempts) >= c.cfg.Limits.MaxAttempts {
 		c.t.Fatalf("illegal attempt for request %d", a.Request)
 	}
 	for _, o := range r.attempts {
@@ -135,7 +135,7 @@
 		from := c.list[o.server]
 		same := r.class.Group == GroupAll || (r.class.Group == GroupZone && from.Zone == s.Zone) ||
 			(r.class.Group == GroupCell && from.Cell == s.Cell)
-		if r.class.Effect == Unsafe || (o.out && !c.cfg.Limits.Parallel) ||
+		if r.class.Effect == Unsafe || (o.out && !c.cfg.Limits.ParallelAttempts) ||
 			(r.class.Effect == Keyed && (!same || c.now-o.sent > r.class.Window)) {
 			c.t.Fatalf("effect %d: request %d sent again against the rules", r.class.Effect, a.Request)
 		}
@@ -184,7 +184,7 @@
 	case 2:
 		entry.Since = c.now
 	case 3: // a start that the list tells of late: warm by now
-		entry.Since = max(entry.Since+1, c.now-c.cfg.Contract.Cold)
+		entry.Since = max(entry.Since+1, c.now-c.cfg.Contract.SlowStartWindow)
 	}
 	if s == nil && entry.State != Ready {
 		return
@@ -200,7 +200,7 @@
 
 // ban keeps the rule on drains by itself: where gone is advice only a drain bars, until a later start.
 func (c *checker) ban(id uint64, state State, later bool) {
-	advice := c.cfg.Contract.GoneIsAdvice
+	advice := c.cfg.Contract.GoneIsAdvisory
 	switch {
 	case state == Draining || (state == Gone && !advice):
 		c.banned[id] = true
@@ -282,7 +282,7 @@
 			} else if c.rng.IntN(2) == 0 {
 				o = Done
 			}
-			a.out, a.mayRun = false, (o != Busy || c.cfg.Contract.ShedAfterStart) && o != Refused && o != Skipped
+			a.out, a.mayRun = false, (o != Busy || c.cfg.Contract.BusyMayHaveRun) && o != Refused && o != Skipped
 			final := r.over || o == Done
 			if o == Done {
 				r.over = true
@@ -341,7 +341,7 @@
 			if len(c.order) > 0 {
 				id := c.order[rng.IntN(len(c.order))]
 				c.requests[id].over = true
-				c.step(Event{Kind: EvWithdrawn, Request: id})
+				c.step(Event{Kind: EvClientGone, Request: id})
 			}
 		case 3:
 			if rng.IntN(10) == 0 {
--- a/logic/reclass_test.go
+++ b/logic/reclass_test.go
@@ -9,7 +9,7 @@
 // that did not change is kept.
 func TestReclass(t *testing.T) {
 	a := Class{Name: "a", Deadline: time.Second}
-	b, err := New(Config{Tick: 5 * time.Millisecond, Classes: []Class{a}, Limits: Limits{Attempts: 3}}, 1)
+	b, err := New(Config{Tick: 5 * time.Millisecond, Classes: []Class{a}, Limits: Limits{MaxAttempts: 3}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,22 +27,22 @@
 	}
 	learnt := b.classes["a"]
 	bClass := Class{Name: "b", Deadline: 2 * time.Second}
-	if err := b.Reclass([]Class{a, bClass}, 2); err != nil {
+	if err := b.SetClasses([]Class{a, bClass}, 2); err != nil {
 		t.Fatal(err)
 	}
 	if fails(2, "b") {
 		t.Error("an added class is not served")
 	}
-	if b.classes["a"] != learnt || b.cfg.Limits.Attempts != 2 {
+	if b.classes["a"] != learnt || b.cfg.Limits.MaxAttempts != 2 {
 		t.Error("an unchanged class lost what was learnt of it, or the bound on attempts did not change")
 	}
-	if err := b.Reclass([]Class{bClass}, 0); err != nil || b.cfg.Limits.Attempts != 1 {
-		t.Fatal(err, b.cfg.Limits.Attempts)
+	if err := b.SetClasses([]Class{bClass}, 0); err != nil || b.cfg.Limits.MaxAttempts != 1 {
+		t.Fatal(err, b.cfg.Limits.MaxAttempts)
 	}
 	if !fails(3, "a") {
 		t.Error("a dropped class is served")
 	}
-	if b.Reclass([]Class{{Name: "c", Deadline: -1}}, 1) == nil || b.classes["b"] == nil {
+	if b.SetClasses([]Class{{Name: "c", Deadline: -1}}, 1) == nil || b.classes["b"] == nil {
 		t.Error("classes with a negative time are taken")
 	}
 }
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -34,7 +34,7 @@
 func (b *Balancer) mayRepeat(r *request, s *server) bool {
 	by := b.repeatBy(r)
 	return (by == 0 || b.now < by) && !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		return a.counts() && (r.class.Effect == Unsafe || (a.out && !b.cfg.Limits.Parallel) ||
+		return a.counts() && (r.class.Effect == Unsafe || (a.out && !b.cfg.Limits.ParallelAttempts) ||
 			(r.class.Effect == Keyed && !sameGroup(r.class.Group, a.srv, s)))
 	})
 }
@@ -59,7 +59,7 @@
 
 // useful is the time after which an answer is worth nothing.
 func (r *request) useful() time.Duration {
-	if r.class.LateWorth > 0 {
+	if r.class.LateValue > 0 {
 		return r.expires
 	}
 	return r.aim
@@ -75,7 +75,7 @@
 	// Turned away as full wherever it could go: another send would only feed the jam. Where one kind of
 	// request alone is turned away, other servers take it, and nothing has run.
 	ends = ends || (r.busy && r.fault == byAll)
-	if ends || len(r.attempts) >= b.cfg.Limits.Attempts || b.hopeless(r) {
+	if ends || len(r.attempts) >= b.cfg.Limits.MaxAttempts || b.hopeless(r) {
 		b.settle(r)
 		return
 	}
@@ -90,7 +90,7 @@
 	r.held = true
 	b.held = append(b.held, r)
 	need := r.class.mean + heldSpread*r.class.dev // sent any later, most answers would be late
-	b.at(r.useful()-seconds(need), TimerHeld, r.id)
+	b.at(r.useful()-seconds(need), TimerQueued, r.id)
 }
 
 // release sends what is held, newest first: it has the most time left. What cannot make it ends by its timer.
@@ -112,7 +112,7 @@
 func (b *Balancer) settle(r *request) {
 	answer := Action{Kind: ActFail, Request: r.id}
 	if r.mayRefuse() {
-		answer.Kind = ActRefuse
+		answer.Kind = ActReject
 		if b.cfg.Limits.RetryAfter {
 			answer.After = min(b.prospect(r), b.cfg.Limits.MaxRetryAfter)
 		}
@@ -156,15 +156,15 @@
 // wake takes in that a wake-up is due.
 func (b *Balancer) wake(t Timer) {
 	switch s, r := b.byID[t.ID], b.requests[t.ID]; {
-	case t.Kind == TimerAsk:
+	case t.Kind == TimerList:
 		if b.askAt > 0 && b.isDue(b.askAt) {
 			b.ask()
 		}
 	case t.Kind == TimerIdle:
 		if s != nil && len(s.out) == 0 && b.isDue(s.releaseAt) {
-			b.act(Action{Kind: ActRelease, Server: s.ID})
+			b.act(Action{Kind: ActCloseIdle, Server: s.ID})
 		}
-	case r != nil && !r.closed && !r.started && (r.held || t.Kind != TimerHeld):
+	case r != nil && !r.closed && !r.started && (r.held || t.Kind != TimerQueued):
 		b.settle(r)
 		b.release()
 	}
