--- a/internal/contract/transport.go
+++ b/internal/contract/transport.go
@@ -16,9 +16,9 @@
 
 // NodesMaker makes transports to execute nodes, of which a Peer plays one.
 type NodesMaker struct {
-	New func(t T) relay.Nodes
+	New func(t T) relay.Transport
 	// Request is what a claim with a call id asks; Whole tells how many of the bytes that a peer has read are one, 0: not yet.
-	Request func(callID string) *relay.Request
+	Request func(callID string) *relay.Payload
 	Whole   func(b []byte) int
 	// Answer is a good answer with a body.
 	Answer func(body string) string
@@ -103,28 +103,28 @@
 // reports are what a transport has reported.
 type reports struct {
 	mu  sync.Mutex
-	all map[relay.ClaimID][]relay.Result
+	all map[relay.AttemptID][]relay.Result
 }
 
-func newReports() *reports { return &reports{all: map[relay.ClaimID][]relay.Result{}} }
+func newReports() *reports { return &reports{all: map[relay.AttemptID][]relay.Result{}} }
 
-func (r *reports) add(id relay.ClaimID, res relay.Result) {
+func (r *reports) add(id relay.AttemptID, res relay.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.all[id] = append(r.all[id], res)
 }
 
-func (r *reports) of(id relay.ClaimID) []relay.Result {
+func (r *reports) of(id relay.AttemptID) []relay.Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.all[id]
 }
 
-func claimID(n int) relay.ClaimID { return relay.ClaimID{Job: uint64(n)} }
+func claimID(n int) relay.AttemptID { return relay.AttemptID{Request: uint64(n)} }
 
 // claim makes a claim and waits for its report.
-func (m NodesMaker) claim(node relay.Node, r *reports, n int, patience time.Duration) (relay.Result, error) {
-	node.Claim(relay.Claim{ID: claimID(n), Request: m.Request(fmt.Sprintf("c%d", n)), Deadline: time.Now().Add(patience)})
+func (m NodesMaker) claim(node relay.Server, r *reports, n int, patience time.Duration) (relay.Result, error) {
+	node.Start(relay.Attempt{ID: claimID(n), Payload: m.Request(fmt.Sprintf("c%d", n)), Deadline: time.Now().Add(patience)})
 	err := until(fmt.Sprintf("a report of claim %d", n), func() bool { return len(r.of(claimID(n))) > 0 })
 	if err != nil {
 		return relay.Result{}, err
@@ -133,13 +133,13 @@
 }
 
 // open opens the node of a peer.
-func (m NodesMaker) open(t T, behave func(net.Conn, int)) (*peer, relay.Node, *reports, error) {
+func (m NodesMaker) open(t T, behave func(net.Conn, int)) (*peer, relay.Server, *reports, error) {
 	p, err := newPeer(m, behave)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	r := newReports()
-	return p, m.New(t).Open(relay.Member{Name: "n", Addr: p.ln.Addr().String(), Told: time.Now()}, r.add), r, nil
+	return p, m.New(t).Open(relay.Member{Name: "n", Addr: p.ln.Addr().String(), ListedAt: time.Now()}, r.add), r, nil
 }
 
 func nodesOutcomes(t T, m NodesMaker) error {
@@ -187,7 +187,7 @@
 	address := ln.Addr().String()
 	ln.Close()
 	r := newReports()
-	node := m.New(t).Open(relay.Member{Addr: address, Told: time.Now()}, r.add)
+	node := m.New(t).Open(relay.Member{Addr: address, ListedAt: time.Now()}, r.add)
 	defer node.Close()
 	if res, err := m.claim(node, r, 1, patience/10); err != nil || res.Outcome != logic.Refused {
 		return fmt.Errorf("nobody there: outcome %d, %v", res.Outcome, err)
@@ -258,13 +258,13 @@
 	}
 	defer good.close()
 	r := newReports()
-	a := nodes.Open(relay.Member{Name: "a", Addr: silent.ln.Addr().String(), Told: time.Now()}, r.add)
-	b := nodes.Open(relay.Member{Name: "b", Addr: good.ln.Addr().String(), Told: time.Now()}, r.add)
+	a := nodes.Open(relay.Member{Name: "a", Addr: silent.ln.Addr().String(), ListedAt: time.Now()}, r.add)
+	b := nodes.Open(relay.Member{Name: "b", Addr: good.ln.Addr().String(), ListedAt: time.Now()}, r.add)
 	defer b.Close()
 	defer a.Close()
 	from := time.Now()
 	for n := 100; n < 104; n++ {
-		a.Claim(relay.Claim{ID: claimID(n), Request: m.Request("s"), Deadline: time.Now().Add(time.Second)})
+		a.Start(relay.Attempt{ID: claimID(n), Payload: m.Request("s"), Deadline: time.Now().Add(time.Second)})
 	}
 	if res, err := m.claim(b, r, 1, patience); err != nil || res.Outcome != logic.Done {
 		return fmt.Errorf("beside a silent node: outcome %d, %v", res.Outcome, err)
@@ -290,7 +290,7 @@
 	if _, err := m.claim(node, r, 1, time.Second); err != nil {
 		return err
 	}
-	gone := relay.Member{Name: "n", Addr: p.ln.Addr().String(), Told: time.Now().Add(-time.Minute)}
+	gone := relay.Member{Name: "n", Addr: p.ln.Addr().String(), ListedAt: time.Now().Add(-time.Minute)}
 	gone.State = logic.Gone
 	node.Update(gone)
 	res, err := m.claim(node, r, 2, time.Second)
@@ -316,7 +316,7 @@
 	if _, err := m.claim(node, r, 1, time.Second); err != nil {
 		return err
 	}
-	node.Claim(relay.Claim{ID: claimID(2), Request: m.Request("c2"), Deadline: time.Now().Add(200 * time.Millisecond)})
+	node.Start(relay.Attempt{ID: claimID(2), Payload: m.Request("c2"), Deadline: time.Now().Add(200 * time.Millisecond)})
 	if err := until("the second request", func() bool { return p.count() == 2 }); err != nil {
 		return err
 	}
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -48,13 +48,13 @@
 	Verdicts() ([]string, error)
 	Outcome(node string, failed bool, took time.Duration) // of a claim
 	Listed(nodes []verdict.Node)                          // those that take claims
-	// Drains tells that the list has an execute node, by its start, as draining or gone; or no longer so.
+	// DrainChanged tells that the list has an execute node, by its start, as draining or gone; or no longer so.
 	Drains(node string, since time.Duration, drains bool)
 	// Say tells the whole fleet that an execute node is suspended, or restored.
 	Say(node string, suspended bool) error
 	// Admit lets a request through the limits of the fleet, or tells after what time to come again. It does not wait.
 	Admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool)
-	// Claim lets an attempt at an execute node through, or not. done, if there is one, is called once it has ended.
+	// BeforeAttempt lets an attempt at an execute node through, or not. done, if there is one, is called once it has ended.
 	Claim(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool)
 	Set(next settings.Settings) // of which only what is live differs
 	Close()                     // leaves: the others are told
--- a/internal/daemon/manage.go
+++ b/internal/daemon/manage.go
@@ -62,10 +62,10 @@
 	if f == nil {
 		return errors.New("fleet off")
 	}
-	if o.core.Lists(id) || !suspended {
+	if o.core.IsListed(id) || !suspended {
 		return f.Say(id, suspended)
 	}
-	return relay.ErrUnknown
+	return relay.ErrUnknownServer
 }
 
 func (o *operations) Restore(id string) error {
@@ -115,8 +115,8 @@
 	if err := k.read(keySuspended, &names); err != nil {
 		return nil, err
 	}
-	if len(names) > relay.MostSuspended {
-		return nil, fmt.Errorf("%d suspended execute nodes, %d at most", len(names), relay.MostSuspended)
+	if len(names) > relay.MaxSuspended {
+		return nil, fmt.Errorf("%d suspended execute nodes, %d at most", len(names), relay.MaxSuspended)
 	}
 	return names, nil
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -58,7 +58,7 @@
 	}
 	for end := time.Now().Add(fleetPatience); ; <-time.After(fleetPace) {
 		f, err := p.join(FleetOptions{Settings: s, Quotas: q, Rules: r, Name: p.name, Words: p.told.read(), Changed: p.told.changed,
-			Zone: p.zone, Avoid: p.core.Avoid, Drains: p.told.drains, Tenants: p.tenants, Allot: p.core.Allot}, p.log)
+			Zone: p.zone, Avoid: p.core.SetEjected, Drains: p.told.drains, Tenants: p.tenants, Allot: p.core.SetTenantAllowance}, p.log)
 		if err == nil {
 			p.mu.Lock()
 			p.now = f
@@ -91,11 +91,11 @@
 		f.Abandon()
 	default:
 		f.Close()
-		p.core.Avoid(nil)
+		p.core.SetEjected(nil)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for _, t := range p.tenants { // equal parts again, as without a fleet
-			p.core.Allot(t.Name, -1)
+			p.core.SetTenantAllowance(t.Name, -1)
 		}
 	}
 }
@@ -110,8 +110,8 @@
 	}
 }
 
-// Outcome passes on what came of a claim; how busy a node is, or that a claim was given up, tells nothing of its health.
-func (p *peers) Outcome(node string, o logic.Outcome, took time.Duration) {
+// AttemptEnded passes on what came of a claim; how busy a node is, or that a claim was given up, tells nothing of its health.
+func (p *peers) AttemptEnded(node string, o logic.Outcome, took time.Duration) {
 	f := p.running()
 	if f == nil {
 		return
@@ -124,23 +124,23 @@
 	}
 }
 
-// Claim asks the limits of the fleet for an attempt.
-func (p *peers) Claim(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
+// BeforeAttempt asks the limits of the fleet for an attempt.
+func (p *peers) BeforeAttempt(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
 	if f := p.running(); f != nil {
 		return f.Claim(node, class, tenant, again, warm, ends)
 	}
 	return nil, true
 }
 
-// Drains passes on what the list says.
-func (p *peers) Drains(node string, since time.Duration, drains bool) {
+// DrainChanged passes on what the list says.
+func (p *peers) DrainChanged(node string, since time.Duration, drains bool) {
 	if f := p.running(); f != nil {
 		f.Drains(node, since, drains)
 	}
 }
 
-// Listed keeps what is listed for a fleet that is joined later, and passes it on.
-func (p *peers) Listed(nodes []relay.Listed) {
+// ServersListed keeps what is listed for a fleet that is joined later, and passes it on.
+func (p *peers) ServersListed(nodes []relay.ListedServer) {
 	all := make([]verdict.Node, len(nodes))
 	for i, n := range nodes {
 		all[i] = verdict.Node{Name: n.Name, Zone: n.Zone, Since: n.Since}
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	figures.Hosts(core.Hosts)
+	figures.Hosts(core.ServerCounts)
 	kept := keptFor(os.TempDir(), cfg.Name)
 	names, err := suspensions(kept)
 	if err != nil {
@@ -101,7 +101,7 @@
 	list := platform.New(cfg.Discovery, core, gate, hub.Part("list"))
 	members := &peers{name: cfg.Name, log: hub.Part("fleet"), join: join, zone: cfg.Logic.Zone, tenants: cfg.Logic.Tenants, core: core, told: newTold(core, kept, hub.Part("fleet"))}
 	if join != nil {
-		core.Observe(members)
+		core.SetObserver(members)
 	}
 	core.Start(list)
 	list.Start(cfg.Known)
@@ -143,7 +143,7 @@
 			for _, f := range fronts.Fronts() {
 				f.Trim()
 			}
-			core.Trim()
+			core.TrimIdle()
 		}
 	}, hub.Part("memory"), stop)
 	opened, err := fronts.Prepare(cfg.Fronts())
@@ -184,7 +184,7 @@
 			return reconfig.Do(func() {
 				names := classNames(next.Logic.Classes)
 				figures.List(names...)
-				core.Reclass(next.Logic, func(err error) {
+				core.Reconfigure(next.Logic, func(err error) {
 					if err != nil {
 						log.Error().Err(err).Msg("classes not changed")
 					}
--- a/internal/daemon/told.go
+++ b/internal/daemon/told.go
@@ -77,7 +77,7 @@
 // drains passes on what is new of execute nodes that drain.
 func (t *told) drains(news []verdict.Word) {
 	for _, w := range news {
-		t.core.Drains(w.Node, w.Since, w.Suspended)
+		t.core.ReportDrain(w.Node, w.Since, w.Suspended)
 	}
 }
 
--- a/internal/front/http/crossing_test.go
+++ b/internal/front/http/crossing_test.go
@@ -24,7 +24,7 @@
 func play(t *testing.T, ln net.Listener, conns int, steps string) {
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 	gate := budget.NewGate(8<<20, 9)
-	r := &script{stage, gate, make(chan relay.Job, 9)}
+	r := &script{stage, gate, make(chan relay.Request, 9)}
 	f := New(r, Options{Gate: gate, Classes: []logic.Class{{Name: "look"}}}, zerolog.Nop())
 	f.Limit(conns)
 	go f.Serve(ln)
@@ -61,7 +61,7 @@
 	ln := scenario.Listen(t)
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 	gate := budget.NewGate(8<<20, 9)
-	r := &script{stage, gate, make(chan relay.Job, 9)}
+	r := &script{stage, gate, make(chan relay.Request, 9)}
 	f := New(r, Options{Gate: gate, Classes: []logic.Class{{Name: "look"}}}, zerolog.Nop())
 	f.Limit(9)
 	go f.Serve(ln)
@@ -103,7 +103,7 @@
 func TestShutdownDeliversTheAnswerPastUnreadBytes(t *testing.T) {
 	ln := scenario.Listen(t)
 	gate := budget.NewGate(8<<20, 9)
-	r := &script{scenario.NewStage(nil), gate, make(chan relay.Job, 9)}
+	r := &script{scenario.NewStage(nil), gate, make(chan relay.Request, 9)}
 	f := New(r, Options{Gate: gate, Classes: []logic.Class{{Name: "look"}}}, zerolog.Nop())
 	f.Limit(9)
 	go f.Serve(ln)
@@ -115,13 +115,13 @@
 	nc.(*net.TCPConn).SetReadBuffer(4 << 10)
 	request := strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace("GET /look" + head + `\r\n`)
 	io.WriteString(nc, strings.Repeat(request, 500)) // more than the server's buffer takes
-	body := strings.Repeat("x", relay.MostBody)
+	body := strings.Repeat("x", relay.MaxBodySize)
 	j := <-r.jobs
 	ended := make(chan error, 1)
 	go func() { ended <- f.Shutdown(context.Background()) }()
 	scenario.Await(t, "the shutdown has begun", f.closing.Load)
 	j.Answer(relay.Answer{Body: []byte(body)})
-	j.Request.Held.Release()
+	j.Payload.Charge.Release()
 	nc.SetDeadline(time.Now().Add(10 * time.Second))
 	got, err := io.ReadAll(nc)
 	if err != nil || !strings.HasSuffix(string(got), body) || strings.Count(string(got), "200 OK") != 1 {
@@ -175,7 +175,7 @@
 // The front tells that a client has gone as soon as the system knows, whoever has read of it, and that it is there while it is.
 func TestDepartedIsToldAtOnce(t *testing.T) {
 	ln := scenario.Listen(t)
-	r := &script{scenario.NewStage(nil), budget.NewGate(8<<20, 9), make(chan relay.Job, 9)}
+	r := &script{scenario.NewStage(nil), budget.NewGate(8<<20, 9), make(chan relay.Request, 9)}
 	f := New(r, Options{Classes: []logic.Class{{Name: "look"}}}, zerolog.Nop())
 	f.Limit(9)
 	go f.Serve(ln)
@@ -185,10 +185,10 @@
 	}
 	io.WriteString(nc, strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace("GET /look"+head+`\r\nGET /look`))
 	j := <-r.jobs
-	if !j.Request.Wanted() {
+	if !j.Payload.Wanted() {
 		t.Error("not wanted though its client waits")
 	}
 	nc.Close()
-	scenario.Await(t, "the client's leaving is told", func() bool { return !j.Request.Wanted() })
+	scenario.Await(t, "the client's leaving is told", func() bool { return !j.Payload.Wanted() })
 	r.jobs <- j // for the withdrawal, which takes it from there
 }
--- a/internal/front/http/submit.go
+++ b/internal/front/http/submit.go
@@ -27,7 +27,7 @@
 
 // Relay takes jobs.
 type Relay interface {
-	Submit(relay.Job) uint64
+	Submit(relay.Request) uint64
 	Withdraw(uint64)
 	Ready() bool
 }
@@ -286,7 +286,7 @@
 		defer fig.Inflight.Add(-1)
 	}
 	if f.opts.Admit != nil {
-		done, after, ok := f.opts.Admit(job.Class, job.Tenant, job.Repeat, job.Expires)
+		done, after, ok := f.opts.Admit(job.Class, job.Tenant, job.Retry, job.Expires)
 		if !ok {
 			f.over(ctx, job, after)
 			return
@@ -296,15 +296,15 @@
 	conn.expires = job.Expires
 	waiting := &reply{answers: make(chan relay.Answer, 1)}
 	job.Answer = waiting.answer
-	job.Request.Departed = func() bool { return socket.Departed(conn.Conn) }
+	job.Payload.ClientGone = func() bool { return socket.Departed(conn.Conn) }
 	watch := conn.watch()
 	id := f.relay.Submit(job)
 	select {
 	case a := <-waiting.answers:
 		watch.stop()
-		conn.held = a.Held
+		conn.held = a.Charge
 		write(ctx, a)
-		f.opts.Figures.Count(job.Class, outcome(a.Verdict))
+		f.opts.Figures.Count(job.Class, outcome(a.Kind))
 		if f.closing.Load() || f.paused.Load() != nil {
 			ctx.SetConnectionClose()
 		}
@@ -320,8 +320,8 @@
 }
 
 // over turns a request back that is over a limit.
-func (f *Front) over(ctx *fasthttp.RequestCtx, job relay.Job, after time.Duration) {
-	job.Request.Held.Release()
+func (f *Front) over(ctx *fasthttp.RequestCtx, job relay.Request, after time.Duration) {
+	job.Payload.Charge.Release()
 	ctx.Error("over a limit", fasthttp.StatusServiceUnavailable)
 	if limits := f.opts.Limits; limits.RetryAfter {
 		if limits.MaxRetryAfter > 0 {
@@ -345,7 +345,7 @@
 	if r.settled.CompareAndSwap(false, true) {
 		r.answers <- a
 	} else {
-		a.Held.Release()
+		a.Charge.Release()
 	}
 }
 
@@ -353,7 +353,7 @@
 func (r *reply) leave() {
 	if !r.settled.CompareAndSwap(false, true) {
 		a := <-r.answers
-		a.Held.Release()
+		a.Charge.Release()
 	}
 }
 
@@ -401,8 +401,8 @@
 }
 
 // head reads the head of a request. What fasthttp uses again after the handler is copied.
-func (f *Front) head(ctx *fasthttp.RequestCtx, arrived time.Time) (relay.Job, int, error) {
-	var none relay.Job
+func (f *Front) head(ctx *fasthttp.RequestCtx, arrived time.Time) (relay.Request, int, error) {
+	var none relay.Request
 	h := &ctx.Request.Header
 	// Where two headers tell the length, an execute node may see another request in the body.
 	if h.ConnectionClose() && twoLengths(h.RawHeaders()) {
@@ -451,16 +451,16 @@
 			return none, bad, errors.New("X-Call-Cost: not a time in microseconds")
 		}
 	}
-	return relay.Job{
-		Class: name, Tenant: caller, Repeat: string(h.Peek("X-Again")) == "1", Hint: hint, Expires: arrived.Add(budget),
-		Request: &relay.Request{Method: class.method, Target: target, ContentType: string(h.ContentType()),
+	return relay.Request{
+		Class: name, Tenant: caller, Retry: string(h.Peek("X-Again")) == "1", ExpectedWork: hint, Expires: arrived.Add(budget),
+		Payload: &relay.Payload{Method: class.method, Target: target, ContentType: string(h.ContentType()),
 			CallID: callID, IdempotencyKey: key},
 	}, 0, nil
 }
 
 // body charges a request and reads its body, which stays in the system until there is room for it. An error without
 // a code is one of reading.
-func (f *Front) body(ctx *fasthttp.RequestCtx, conn *watchedConn, job *relay.Job) (code int, err error) {
+func (f *Front) body(ctx *fasthttp.RequestCtx, conn *watchedConn, job *relay.Request) (code int, err error) {
 	length := max(ctx.Request.Header.ContentLength(), -1)
 	stream := ctx.RequestBodyStream()
 	if stream == nil {
@@ -472,7 +472,7 @@
 		ask.Bytes = jobBytes + smallBody
 	}
 	left := job.Expires.Sub(now)
-	until := now.Add(min(time.Duration(doorShare*float64(left)), left-time.Duration(workLeft*float64(job.Hint))))
+	until := now.Add(min(time.Duration(doorShare*float64(left)), left-time.Duration(workLeft*float64(job.ExpectedWork))))
 	held, err := f.opts.Gate.Enter(ask, until, nil)
 	if err != nil {
 		return fasthttp.StatusServiceUnavailable, errShort
@@ -481,7 +481,7 @@
 		if err != nil {
 			held.Release()
 		} else {
-			job.Request.Held = held
+			job.Payload.Charge = held
 		}
 	}()
 	if stream == nil || length == 0 {
@@ -494,8 +494,8 @@
 	conn.reading(true)
 	defer conn.reading(false)
 	if length > 0 {
-		job.Request.Body = make([]byte, length)
-		_, err = io.ReadFull(stream, job.Request.Body)
+		job.Payload.Body = make([]byte, length)
+		_, err = io.ReadFull(stream, job.Payload.Body)
 		return 0, err
 	}
 	// In chunks: nothing tells how long it will be.
@@ -504,7 +504,7 @@
 		n, err := stream.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		if errors.Is(err, io.EOF) {
-			job.Request.Body = body
+			job.Payload.Body = body
 			return 0, nil
 		}
 		if err != nil {
@@ -513,10 +513,10 @@
 		if len(body) < cap(body) {
 			continue
 		}
-		if len(body) > relay.MostBody {
+		if len(body) > relay.MaxBodySize {
 			return fasthttp.StatusRequestEntityTooLarge, errTooLarge
 		}
-		size := min(grownBy*cap(body), relay.MostBody+1)
+		size := min(grownBy*cap(body), relay.MaxBodySize+1)
 		ask.Bytes, ask.Grown = jobBytes+int64(size), true
 		more, err := f.opts.Gate.Enter(ask, until, nil)
 		if err != nil {
@@ -533,7 +533,7 @@
 
 // refuseLong keeps fasthttp from waiting for the first byte of a body that is refused by its length alone.
 func refuseLong(h *fasthttp.RequestHeader) (unchanged fasthttp.RequestConfig) {
-	if h.ContentLength() > relay.MostBody {
+	if h.ContentLength() > relay.MaxBodySize {
 		h.SetContentLength(0)
 		h.Set(tooLong, "1")
 	}
@@ -569,28 +569,28 @@
 }
 
 func write(ctx *fasthttp.RequestCtx, a relay.Answer) {
-	switch a.Verdict {
+	switch a.Kind {
 	case relay.Served:
 		ctx.Response.SetBodyRaw(a.Body)
 		ctx.Response.Header.SetContentType(a.ContentType)
-	case relay.Requeue:
+	case relay.Rejected:
 		ctx.Error("requeue", fasthttp.StatusServiceUnavailable)
 		if a.RetryAfter > 0 {
 			retryAfter(ctx, a.RetryAfter)
 		}
 	case relay.Failed:
 		ctx.Error("failed", fasthttp.StatusBadGateway)
-	case relay.Again:
+	case relay.Duplicate:
 		ctx.Error("X-Call-Id: of another request", fasthttp.StatusConflict)
 	}
 }
 
 // outcome is how the figures count a verdict.
-func outcome(v relay.Verdict) metrics.Outcome {
+func outcome(v relay.AnswerKind) metrics.Outcome {
 	switch v {
 	case relay.Served:
 		return metrics.Success
-	case relay.Requeue:
+	case relay.Rejected:
 		return metrics.Busy
 	case relay.Failed:
 		return metrics.Failure
--- a/internal/front/http/submit_test.go
+++ b/internal/front/http/submit_test.go
@@ -19,12 +19,12 @@
 type script struct {
 	stage *scenario.Stage
 	gate  *budget.Gate
-	jobs  chan relay.Job
+	jobs  chan relay.Request
 }
 
-func (s *script) Submit(j relay.Job) uint64 {
-	text := fmt.Sprintf("job %s %s %s%s%s hint=%v", j.Class, j.Request.Method, j.Request.Target, j.Request.IdempotencyKey,
-		j.Request.Body, j.Hint)
+func (s *script) Submit(j relay.Request) uint64 {
+	text := fmt.Sprintf("job %s %s %s%s%s hint=%v", j.Class, j.Payload.Method, j.Payload.Target, j.Payload.IdempotencyKey,
+		j.Payload.Body, j.ExpectedWork)
 	if j.Tenant != "" {
 		text += " caller=" + j.Tenant
 	}
@@ -35,23 +35,23 @@
 func (s *script) Withdraw(id uint64) {
 	s.stage.Event(fmt.Sprint("withdrawn ", id))
 	j := <-s.jobs
-	j.Answer(relay.Answer{Held: s.gate.Must(budget.Answers, 9)}) // it has crossed the withdrawal
-	j.Request.Held.Release()
+	j.Answer(relay.Answer{Charge: s.gate.Must(budget.Answers, 9)}) // it has crossed the withdrawal
+	j.Payload.Charge.Release()
 }
 func (s *script) Ready() bool { return true }
 
 func (s *script) answer(text string) {
 	j := <-s.jobs
-	defer j.Request.Held.Release() // as the relay does once the job has ended
+	defer j.Payload.Charge.Release() // as the relay does once the job has ended
 	switch verdict, body, _ := strings.Cut(text, " "); verdict {
 	case "served":
-		j.Answer(relay.Answer{Body: []byte(body), ContentType: "text/x", Held: s.gate.Must(budget.Answers, int64(len(body)))})
+		j.Answer(relay.Answer{Body: []byte(body), ContentType: "text/x", Charge: s.gate.Must(budget.Answers, int64(len(body)))})
 	case "refused":
-		j.Answer(relay.Answer{Verdict: relay.Requeue, RetryAfter: 250 * time.Millisecond})
+		j.Answer(relay.Answer{Kind: relay.Rejected, RetryAfter: 250 * time.Millisecond})
 	case "failed":
-		j.Answer(relay.Answer{Verdict: relay.Failed})
+		j.Answer(relay.Answer{Kind: relay.Failed})
 	case "again":
-		j.Answer(relay.Answer{Verdict: relay.Again})
+		j.Answer(relay.Answer{Kind: relay.Duplicate})
 	}
 }
 
@@ -63,7 +63,7 @@
 }
 
 func TestFront(t *testing.T) {
-	big := fmt.Sprint(relay.MostBody + 1)
+	big := fmt.Sprint(relay.MaxBodySize + 1)
 	for name, steps := range map[string]string{
 		"served unchanged, then the next request": `
 			a send GET /look/x?q=%41` + head + `X-Call-Cost: 2500\r\n\r\n
@@ -222,7 +222,7 @@
 			ln := scenario.Listen(t)
 			stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 			gate := budget.NewGate(8<<20, 9)
-			r := &script{stage, gate, make(chan relay.Job, 9)}
+			r := &script{stage, gate, make(chan relay.Request, 9)}
 			f := New(r, Options{Gate: gate, Classes: []logic.Class{{Name: "look"}, {Name: "pay", Effect: logic.Keyed},
 				{Name: "once", Effect: logic.Unsafe}}, Tenants: []logic.Tenant{{Name: "novakovi", Share: 0.39}}}, zerolog.Nop())
 			f.Limit(10)
@@ -293,7 +293,7 @@
 			ln := scenario.Listen(t)
 			stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 			gate := budget.NewGate(1<<20, 9)
-			r := &script{stage, gate, make(chan relay.Job, 9)}
+			r := &script{stage, gate, make(chan relay.Request, 9)}
 			f := New(r, Options{Gate: gate, Limits: logic.Limits{RetryAfter: true},
 				Classes: []logic.Class{{Name: "look"}, {Name: "pay", Effect: logic.Keyed}}}, zerolog.Nop())
 			f.Limit(10)
--- a/internal/relay/observe_test.go
+++ b/internal/relay/observe_test.go
@@ -59,7 +59,7 @@
 		warm := 0.0
 		b.on(func() {
 			b.cfg.Contract = logic.Contract{SlowStartMinCapacity: 0.2, SlowStartWindow: 10 * time.Second}
-			warm = b.warm(&node{since: b.now() - 5*time.Second})
+			warm = b.capacity(&server{startedAt: b.now() - 5*time.Second})
 		})
 		if warm < 0.599 || warm > 0.601 {
 			t.Errorf("%g warm at half of the cold time", warm)
@@ -67,13 +67,13 @@
 	})
 }
 
-func (w *watcher) Outcome(node string, o logic.Outcome, took time.Duration) {
+func (w *watcher) AttemptEnded(node string, o logic.Outcome, took time.Duration) {
 	if o == logic.Done && took >= 0 {
 		w.outcomes[node]++
 	}
 }
 
-func (w *watcher) Claim(node, _, _ string, again bool, warm float64, _ time.Time) (func(), bool) {
+func (w *watcher) BeforeAttempt(node, _, _ string, again bool, warm float64, _ time.Time) (func(), bool) {
 	w.warm = warm
 	if w.full {
 		return nil, false
@@ -90,15 +90,15 @@
 
 // on does something on the relay's goroutine and waits for it.
 func (b *bench) on(do func()) {
-	b.box.Put(do)
+	b.mailbox.Put(do)
 	synctest.Wait()
 }
 
-func (w *watcher) Drains(node string, since time.Duration, drains bool) {
+func (w *watcher) DrainChanged(node string, since time.Duration, drains bool) {
 	w.drains = append(w.drains, fmt.Sprint(node, since, drains))
 }
 
-func (w *watcher) Listed(nodes []Listed) {
+func (w *watcher) ServersListed(nodes []ListedServer) {
 	w.listed = nil
 	for _, n := range nodes {
 		w.listed = append(w.listed, n.Name)
@@ -117,7 +117,7 @@
 		one.Name, two.Name = "a", "b"
 		b.list(true, one, two)
 		avoid := func(names ...string) {
-			b.Avoid(names)
+			b.SetEjected(names)
 			synctest.Wait()
 		}
 		claims := func(of int) int {
@@ -136,48 +136,48 @@
 			return n
 		}
 		avoid("a")
-		if _, down := b.Hosts(); down != 1 || !b.Ready() {
+		if _, down := b.ServerCounts(); down != 1 || !b.Ready() {
 			t.Errorf("down %d, ready %v", down, b.Ready())
 		}
 		b.list(true, one, two) // discovery says nothing of it
 		if n := claims(20); n == 0 {
 			t.Error("no claims")
 		}
-		if n := b.open[8].out; n != 0 {
+		if n := b.servers[8].inFlight; n != 0 {
 			t.Errorf("%d claims at the node that is avoided", n)
 		}
 		if !slices.Equal(w.listed, []string{"a", "b"}) {
 			t.Errorf("%v listed: what is avoided counts as listed", w.listed)
 		}
 		avoid()
-		if _, down := b.Hosts(); down != 0 || b.open[8].member.Since != one.Since {
+		if _, down := b.ServerCounts(); down != 0 || b.servers[8].member.Since != one.Since {
 			t.Errorf("%d down; it was not started anew", down)
 		}
 		avoid("a", "b")
-		if _, down := b.Hosts(); down != 0 || !b.Ready() {
+		if _, down := b.ServerCounts(); down != 0 || !b.Ready() {
 			t.Errorf("down %d, ready %v: nothing else is ready", down, b.Ready())
 		}
 		// Another sidecar has heard that it drains: it gets nothing new, whatever the list says, for a minute or until a later
 		// start of it is listed; of another start nothing is meant.
 		for _, since := range []time.Duration{5, one.Since} {
-			b.Drains("a", since, true)
+			b.ReportDrain("a", since, true)
 			synctest.Wait()
 			b.list(true, one, two)
-			if _, down := b.Hosts(); (down == 1) != (since == one.Since) {
+			if _, down := b.ServerCounts(); (down == 1) != (since == one.Since) {
 				t.Errorf("%d down with one draining since %v", down, since)
 			}
 		}
 		later := one
 		later.Since = b.now()
 		b.list(false, later)
-		if _, down := b.Hosts(); down != 0 {
+		if _, down := b.ServerCounts(); down != 0 {
 			t.Error("the one that started later drains")
 		}
 		b.list(false, one)
-		time.Sleep(drainHeld + time.Second)
+		time.Sleep(drainReportTTL + time.Second)
 		synctest.Wait()
-		if _, down := b.Hosts(); down != 0 || len(b.draining) != 0 {
-			t.Errorf("%d down after a minute, %d kept", down, len(b.draining))
+		if _, down := b.ServerCounts(); down != 0 || len(b.reportedDrains) != 0 {
+			t.Errorf("%d down after a minute, %d kept", down, len(b.reportedDrains))
 		}
 		// What its own list says is passed on; a gap in it is not.
 		two.State = logic.Draining
@@ -196,7 +196,7 @@
 		two.State = logic.Draining
 		b.list(true, one, two)
 		synctest.Wait()
-		if _, down := b.Hosts(); down != 0 || !b.Ready() {
+		if _, down := b.ServerCounts(); down != 0 || !b.Ready() {
 			t.Errorf("the other one drains: down %d, ready %v", down, b.Ready())
 		}
 	})
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -17,74 +17,74 @@
 	"fieldrelay/logic"
 )
 
-// MostBody bounds the body of a job and of its answer. Fronts and execute nodes keep to it.
-const MostBody = 64 << 10
+// MaxBodySize bounds the body of a job and of its answer. Fronts and execute nodes keep to it.
+const MaxBodySize = 64 << 10
 
-// Request is what a job asks of an execute node. Nothing in it is changed on the way.
-type Request struct {
+// Payload is what a job asks of an execute node. Nothing in it is changed on the way.
+type Payload struct {
 	Method         string
 	Target         string // path and query
 	Body           []byte
 	ContentType    string
 	CallID         string
 	IdempotencyKey string
-	// Departed tells whether its client has gone, as the system knows it at that moment: also where no goroutine has
+	// ClientGone tells whether its client has gone, as the system knows it at that moment: also where no goroutine has
 	// come to see it. nil: only Withdraw tells. It must not block and may be called from any goroutine.
-	Departed func() bool
-	ended    atomic.Bool // it has its final answer, or its client has withdrawn it
-	// Held is the charge for all of it. Who writes the request out holds it for as long; the relay gives back its own
+	ClientGone func() bool
+	ended      atomic.Bool // it has its final answer, or its client has withdrawn it
+	// Charge is the charge for all of it. Who writes the request out holds it for as long; the relay gives back its own
 	// hold once the job has ended and each of its claims is reported.
-	Held *budget.Charge
+	Charge *budget.Charge
 }
 
 // Wanted tells whether an attempt of the request may still begin: nobody has answered it, and its client waits for it. Who
 // writes an attempt asks just before its first byte.
-func (r *Request) Wanted() bool { return !r.ended.Load() && (r.Departed == nil || !r.Departed()) }
-
-// Job is a request as a front took it from a submitter.
-type Job struct {
-	Class   string
-	Tenant  string        // the caller as X-Caller names it; "": none
-	Repeat  bool          // the submitter asks again
-	Hint    time.Duration // expected work; 0: not told
-	Expires time.Time     // when the submitter stops waiting
-	Request *Request
+func (r *Payload) Wanted() bool { return !r.ended.Load() && (r.ClientGone == nil || !r.ClientGone()) }
+
+// Request is a request as a front took it from a submitter.
+type Request struct {
+	Class        string
+	Tenant       string        // the caller as X-Caller names it; "": none
+	Retry        bool          // the submitter asks again
+	ExpectedWork time.Duration // expected work; 0: not told
+	Expires      time.Time     // when the submitter stops waiting
+	Payload      *Payload
 	// Answer is called once, on the relay's actor, unless the job is withdrawn first. It must not block.
 	Answer func(Answer)
 }
 
-// Verdict is the kind of a final answer.
-type Verdict uint8
+// Kind is the kind of a final answer.
+type AnswerKind uint8
 
 // The final answers of a job.
 const (
-	Served  Verdict = iota // an execute node's answer, unchanged
-	Requeue                // a requeue notice: coming again does no harm
-	Failed                 // no assurance of any effect
-	Again                  // not taken: its id is that of a job that is open or has just ended
+	Served    AnswerKind = iota // an execute node's answer, unchanged
+	Rejected                    // a requeue notice: coming again does no harm
+	Failed                      // no assurance of any effect
+	Duplicate                   // not taken: its id is that of a job that is open or has just ended
 )
 
 // Answer is the final answer of a job.
 type Answer struct {
-	Verdict     Verdict
+	Kind        AnswerKind
 	Body        []byte
 	ContentType string
 	RetryAfter  time.Duration  // with a requeue notice; 0: no advice
-	Held        *budget.Charge // for the body; given back by who takes the answer, once it is written
+	Charge      *budget.Charge // for the body; given back by who takes the answer, once it is written
 }
 
-// ClaimID names one claim: the job and the number of its attempt.
-type ClaimID struct {
-	Job     uint64
+// AttemptID names one claim: the job and the number of its attempt.
+type AttemptID struct {
+	Request uint64
 	Attempt int
 }
 
-// Claim is one attempt of a job at an execute node.
-type Claim struct {
-	ID       ClaimID
-	Request  *Request
-	Deadline time.Time // when the claim is given up
-	Begin    time.Time // its first byte may leave before this; zero: at any time before the deadline
+// Attempt is one attempt of a job at an execute node.
+type Attempt struct {
+	ID         AttemptID
+	Payload    *Payload
+	Deadline   time.Time // when the claim is given up
+	SendBefore time.Time // its first byte may leave before this; zero: at any time before the deadline
 }
 
 // Result is how a claim ended.
@@ -93,38 +93,38 @@
 	At          time.Time
 	Body        []byte // with Done only
 	ContentType string
-	Held        *budget.Charge // for the body; passed on with it
+	Charge      *budget.Charge // for the body; passed on with it
 }
 
-// Node is one execute node. No call blocks.
-type Node interface {
-	Claim(Claim)
-	Cancel(ClaimID)
-	Release()      // close the connections that carry nothing
-	Trim()         // close those that have carried nothing for a while
+// Server is one execute node. No call blocks.
+type Server interface {
+	Start(Attempt)
+	Cancel(AttemptID)
+	CloseIdle()    // close the connections that carry nothing
+	TrimIdle()     // close those that have carried nothing for a while
 	Update(Member) // the list has changed it
 	Close()        // no further claim comes
 }
 
-// Nodes makes execute nodes. Each claim given to one is reported exactly once.
-type Nodes interface {
-	Open(m Member, report func(ClaimID, Result)) Node
+// Transport makes execute nodes. Each claim given to one is reported exactly once.
+type Transport interface {
+	Open(m Member, report func(AttemptID, Result)) Server
 }
 
-// List is where the execute nodes are learned from.
-type List interface {
+// ServerList is where the execute nodes are learned from.
+type ServerList interface {
 	Watch() // ask for changes from now on; answered by Members or ListLost
 }
 
 // Member is one entry of the list.
 type Member struct {
 	logic.Server
-	Name string // as the list writes it: what an operator calls it
-	Addr string
-	Told time.Time // when the list said so
+	Name     string // as the list writes it: what an operator calls it
+	Addr     string
+	ListedAt time.Time // when the list said so
 }
 
-// Members is the list or a change to it.
+// UpdateMembers is the list or a change to it.
 type Members struct {
 	Members  []Member
 	Complete bool // it is the whole list
@@ -133,92 +133,92 @@
 
 // Relay is the actor of the decision module.
 type Relay struct {
-	log   zerolog.Logger
-	cfg   logic.Config
-	seed  uint64
-	nodes Nodes
-	list  List
-	box   *mailbox.Mailbox
-	jobID atomic.Uint64
-	ready atomic.Bool
-	epoch time.Time     // with the monotonic clock
-	unix  time.Duration // of epoch
+	log       zerolog.Logger
+	cfg       logic.Config
+	seed      uint64
+	transport Transport
+	source    ServerList
+	mailbox   *mailbox.Mailbox
+	lastID    atomic.Uint64
+	ready     atomic.Bool
+	epoch     time.Time     // with the monotonic clock
+	epochUnix time.Duration // of epoch
 
 	// What follows belongs to the actor.
-	balancer   *logic.Balancer
-	life       int // of the balancer: wake-ups of an earlier one are not its own
-	restarting bool
-	acts       []logic.Action
-	jobs       map[uint64]*job
-	calls      map[string]bool // the ids of the jobs, for a while longer than those
-	open       map[uint64]*node
-	suspended  map[string]bool  // names of execute nodes that get nothing new, whatever the list says
-	avoided    map[string]bool  // likewise, by verdict of the fleet
-	draining   map[string]drain // by the word of others
-	observer   Observer         // nil: none
-
-	listed, down atomic.Int64 // execute nodes listed, and those of them suspended
-}
-
-// callKept is how long the id of a job that has ended is known. Whoever copies the id of an open job may come just
+	balancer       *logic.Balancer
+	incarnation    int // of the balancer: wake-ups of an earlier one are not its own
+	restarting     bool
+	actions        []logic.Action
+	requests       map[uint64]*request
+	recentCalls    map[string]bool // the ids of the jobs, for a while longer than those
+	servers        map[uint64]*server
+	suspended      map[string]bool        // names of execute nodes that get nothing new, whatever the list says
+	ejected        map[string]bool        // likewise, by verdict of the fleet
+	reportedDrains map[string]drainReport // by the word of others
+	observer       Observer               // nil: none
+
+	listed, unavailable atomic.Int64 // execute nodes listed, and those of them suspended
+}
+
+// duplicateWindow is how long the id of a job that has ended is known. Whoever copies the id of an open job may come just
 // after its end.
-const callKept = 2 * time.Second
+const duplicateWindow = 2 * time.Second
 
-type job struct {
-	Job
+type request struct {
+	Request
 	ended    bool
 	attempts int
-	sent     int           // attempts that limits of the fleet let through
-	out      map[int]claim // not yet reported
+	admitted int              // attempts that limits of the fleet let through
+	inFlight map[int]inFlight // not yet reported
 }
 
 // end marks a job as concluded, on this actor and for those who hold its request: a claim of it that waits for a connection
 // begins no more, whether or not the module may call it off.
-func (j *job) end() {
+func (j *request) end() {
 	j.ended = true
-	j.Request.ended.Store(true)
+	j.Payload.ended.Store(true)
 }
 
-type claim struct {
-	node   uint64
-	issued time.Time
-	done   func() // gives back what it holds of limits; nil: nothing
+type inFlight struct {
+	serverID  uint64
+	startedAt time.Time
+	release   func() // gives back what it holds of limits; nil: nothing
 }
 
 // node is an execute node of the list. Most of a long list never get a claim: those have no Node.
-type node struct {
-	Node
-	member Member
-	out    int           // claims not yet reported
-	since  time.Duration // its start, by the list
+type server struct {
+	Server
+	member    Member
+	inFlight  int           // claims not yet reported
+	startedAt time.Duration // its start, by the list
 }
 
 // New makes a relay for the settings of the module.
-func New(cfg logic.Config, seed uint64, nodes Nodes, log zerolog.Logger) (*Relay, error) {
+func New(cfg logic.Config, seed uint64, nodes Transport, log zerolog.Logger) (*Relay, error) {
 	b, err := logic.New(cfg, seed)
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
 	return &Relay{
-		log: log, cfg: cfg, seed: seed, nodes: nodes, box: mailbox.New(),
-		epoch: now, unix: time.Duration(now.UnixNano()), balancer: b,
-		jobs: map[uint64]*job{}, calls: map[string]bool{}, open: map[uint64]*node{}, suspended: map[string]bool{},
+		log: log, cfg: cfg, seed: seed, transport: nodes, mailbox: mailbox.New(),
+		epoch: now, epochUnix: time.Duration(now.UnixNano()), balancer: b,
+		requests: map[uint64]*request{}, recentCalls: map[string]bool{}, servers: map[uint64]*server{}, suspended: map[string]bool{},
 	}, nil
 }
 
 // Start lets the actor run.
-func (r *Relay) Start(list List) {
-	r.list = list
-	go r.box.Run()
+func (r *Relay) Start(list ServerList) {
+	r.source = list
+	go r.mailbox.Run()
 }
 
-// Reclass takes the classes of new settings, their bound on attempts and the tenants with their shares: jobs from
+// Reconfigure takes the classes of new settings, their bound on attempts and the tenants with their shares: jobs from
 // now on follow them, open ones keep the class they came under. done is called on the relay's goroutine with what the module said of them; with
 // an error nothing has changed.
-func (r *Relay) Reclass(next logic.Config, done func(error)) {
+func (r *Relay) Reconfigure(next logic.Config, done func(error)) {
 	classes, attempts := next.Classes, next.Limits.MaxAttempts
-	r.box.Put(func() {
+	r.mailbox.Put(func() {
 		err := r.balancer.SetClasses(classes, attempts)
 		if err == nil {
 			r.balancer.SetTenants(next.Tenants, next.OverShareValue)
@@ -234,26 +234,26 @@
 
 // Submit takes a job and gives its number. One that comes under the id of another would be a second copy of that
 // to the execute nodes: it is not taken.
-func (r *Relay) Submit(j Job) uint64 {
-	id := r.jobID.Add(1)
-	r.box.Put(func() {
-		if r.calls[j.Request.CallID] {
-			j.Request.Held.Release()
-			j.Answer(Answer{Verdict: Again})
+func (r *Relay) Submit(j Request) uint64 {
+	id := r.lastID.Add(1)
+	r.mailbox.Put(func() {
+		if r.recentCalls[j.Payload.CallID] {
+			j.Payload.Charge.Release()
+			j.Answer(Answer{Kind: Duplicate})
 			return
 		}
-		r.calls[j.Request.CallID] = true
-		r.jobs[id] = &job{Job: j, out: map[int]claim{}}
+		r.recentCalls[j.Payload.CallID] = true
+		r.requests[id] = &request{Request: j, inFlight: map[int]inFlight{}}
 		r.step(&logic.Event{Kind: logic.EvRequest, Request: id, Class: j.Class, Tenant: j.Tenant,
-			Retry: j.Repeat, ExpectedWork: j.Hint, Expires: r.moment(j.Expires)})
+			Retry: j.Retry, ExpectedWork: j.ExpectedWork, Expires: r.moduleTime(j.Expires)})
 	})
 	return id
 }
 
 // Withdraw tells that the submitter of a job has gone. An answer may cross it.
 func (r *Relay) Withdraw(id uint64) {
-	r.box.Put(func() {
-		if j := r.jobs[id]; j != nil && !j.ended {
+	r.mailbox.Put(func() {
+		if j := r.requests[id]; j != nil && !j.ended {
 			j.end()
 			r.step(&logic.Event{Kind: logic.EvClientGone, Request: id})
 			r.forget(id)
@@ -261,18 +261,18 @@
 	})
 }
 
-// Members takes in the list or a change to it.
-func (r *Relay) Members(l Members) {
-	r.box.Put(func() { r.members(l) })
+// UpdateMembers takes in the list or a change to it.
+func (r *Relay) UpdateMembers(l Members) {
+	r.mailbox.Put(func() { r.applyMembers(l) })
 }
 
 // ListLost tells that a watch failed or broke off, and when what is missed counts as told; the zero time: by the contract's
 // interval alone.
 func (r *Relay) ListLost(told time.Time) {
-	r.box.Put(func() {
+	r.mailbox.Put(func() {
 		ev := &logic.Event{Kind: logic.EvListLost}
 		if !told.IsZero() {
-			ev.Expires = r.moment(told)
+			ev.Expires = r.moduleTime(told)
 		}
 		r.step(ev)
 	})
@@ -280,9 +280,9 @@
 
 // moment is a time on the module's clock: Unix time at the start and monotonic time since, so that it
 // only goes forward and yet compares with the times in the list.
-func (r *Relay) moment(t time.Time) time.Duration { return r.unix + t.Sub(r.epoch) }
+func (r *Relay) moduleTime(t time.Time) time.Duration { return r.epochUnix + t.Sub(r.epoch) }
 
-func (r *Relay) now() time.Duration { return r.moment(time.Now()) }
+func (r *Relay) now() time.Duration { return r.moduleTime(time.Now()) }
 
 // step lets the module decide on one event. A panic in it costs the open jobs, not the process.
 func (r *Relay) step(ev *logic.Event) {
@@ -292,34 +292,34 @@
 			r.restart()
 		}
 	}()
-	r.acts = r.balancer.Step(r.now(), ev, r.acts[:0])
-	for i := range r.acts {
-		r.act(&r.acts[i])
+	r.actions = r.balancer.Step(r.now(), ev, r.actions[:0])
+	for i := range r.actions {
+		r.perform(&r.actions[i])
 	}
 }
 
-func (r *Relay) act(a *logic.Action) {
+func (r *Relay) perform(a *logic.Action) {
 	switch a.Kind {
 	case logic.ActSend:
 		r.send(a)
 	case logic.ActCancel:
-		id := ClaimID{a.Request, a.Attempt}
-		if j := r.jobs[a.Request]; j != nil {
-			if c, out := j.out[a.Attempt]; out {
-				r.open[c.node].Cancel(id)
+		id := AttemptID{a.Request, a.Attempt}
+		if j := r.requests[a.Request]; j != nil {
+			if c, out := j.inFlight[a.Attempt]; out {
+				r.servers[c.serverID].Cancel(id)
 			}
 		}
 	case logic.ActReject:
-		r.answer(a.Request, Answer{Verdict: Requeue, RetryAfter: a.After})
+		r.finish(a.Request, Answer{Kind: Rejected, RetryAfter: a.After})
 	case logic.ActFail:
-		r.answer(a.Request, Answer{Verdict: Failed})
+		r.finish(a.Request, Answer{Kind: Failed})
 	case logic.ActWake:
-		r.wake(a.At, a.Timer)
+		r.scheduleWake(a.At, a.Timer)
 	case logic.ActWatch:
-		r.list.Watch()
+		r.source.Watch()
 	case logic.ActCloseIdle:
-		if n := r.open[a.Server]; n != nil && n.Node != nil {
-			n.Release()
+		if n := r.servers[a.Server]; n != nil && n.Server != nil {
+			n.CloseIdle()
 		}
 	case logic.ActLog:
 		r.log.Info().Str("from", "module").Msg(a.Text)
@@ -327,11 +327,11 @@
 }
 
 // wake steps the module at a time of its clock, and not before it.
-func (r *Relay) wake(at time.Duration, timer logic.Timer) {
-	life := r.life
+func (r *Relay) scheduleWake(at time.Duration, timer logic.Timer) {
+	life := r.incarnation
 	time.AfterFunc(at-r.now(), func() {
-		r.box.Put(func() {
-			if r.life == life {
+		r.mailbox.Put(func() {
+			if r.incarnation == life {
 				r.step(&logic.Event{Kind: logic.EvWake, Timer: timer})
 			}
 		})
@@ -339,162 +339,162 @@
 }
 
 func (r *Relay) send(a *logic.Action) {
-	j, n := r.jobs[a.Request], r.open[a.Server]
-	id := ClaimID{a.Request, j.attempts}
+	j, n := r.requests[a.Request], r.servers[a.Server]
+	id := AttemptID{a.Request, j.attempts}
 	now := time.Now()
 	j.attempts++
 	deadline := j.Expires
 	if a.After > 0 {
 		deadline = now.Add(min(a.After, j.Expires.Sub(now)))
 	}
-	if n.Node == nil {
-		n.Node = r.nodes.Open(n.member, r.report)
+	if n.Server == nil {
+		n.Server = r.transport.Open(n.member, r.reportResult)
 	}
 	var done func()
 	let := true
 	if r.observer != nil {
-		done, let = r.observer.Claim(n.member.Name, j.Class, j.Tenant, j.sent > 0, r.warm(n), j.Expires)
+		done, let = r.observer.BeforeAttempt(n.member.Name, j.Class, j.Tenant, j.admitted > 0, r.capacity(n), j.Expires)
 	}
-	j.out[id.Attempt] = claim{node: a.Server, issued: now, done: done}
-	n.out++
+	j.inFlight[id.Attempt] = inFlight{serverID: a.Server, startedAt: now, release: done}
+	n.inFlight++
 	if let {
-		j.sent++
+		j.admitted++
 	} else {
-		r.box.Put(func() { r.outcome(id, Result{Outcome: logic.Skipped, At: time.Now()}) })
+		r.mailbox.Put(func() { r.attemptEnded(id, Result{Outcome: logic.Skipped, At: time.Now()}) })
 		return
 	}
-	c := Claim{ID: id, Request: j.Request, Deadline: deadline}
+	c := Attempt{ID: id, Payload: j.Payload, Deadline: deadline}
 	if a.At > 0 {
-		c.Begin = r.epoch.Add(a.At - r.unix)
+		c.SendBefore = r.epoch.Add(a.At - r.epochUnix)
 	}
-	n.Claim(c)
+	n.Start(c)
 }
 
 // report is called by an execute node, once for each claim.
-func (r *Relay) report(id ClaimID, res Result) {
-	r.box.Put(func() { r.outcome(id, res) })
+func (r *Relay) reportResult(id AttemptID, res Result) {
+	r.mailbox.Put(func() { r.attemptEnded(id, res) })
 }
 
 // outcome settles a claim. All that may cross (a late answer, a cancel, a withdrawal, the end of the time)
 // meets here, on one actor: whoever ended the job first has ended it.
-func (r *Relay) outcome(id ClaimID, res Result) {
-	j := r.jobs[id.Job]
-	var c claim
+func (r *Relay) attemptEnded(id AttemptID, res Result) {
+	j := r.requests[id.Request]
+	var c inFlight
 	out := false
 	if j != nil {
-		c, out = j.out[id.Attempt]
+		c, out = j.inFlight[id.Attempt]
 	}
 	if !out {
-		r.log.Error().Uint64("job", id.Job).Int("attempt", id.Attempt).Msg("report of a claim that is not out")
-		res.Held.Release()
+		r.log.Error().Uint64("job", id.Request).Int("attempt", id.Attempt).Msg("report of a claim that is not out")
+		res.Charge.Release()
 		return
 	}
-	delete(j.out, id.Attempt)
-	n := r.open[c.node]
-	n.out--
+	delete(j.inFlight, id.Attempt)
+	n := r.servers[c.serverID]
+	n.inFlight--
 	switch {
-	case c.done == nil:
+	case c.release == nil:
 	case res.Outcome == logic.TimedOut || res.Outcome == logic.Canceled || res.Outcome == logic.Reset:
-		time.AfterFunc(time.Until(j.Expires), func() { r.box.Put(c.done) }) // the node may still work on it
+		time.AfterFunc(time.Until(j.Expires), func() { r.mailbox.Put(c.release) }) // the node may still work on it
 	default:
-		c.done()
+		c.release()
 	}
 	if r.observer != nil {
-		r.observer.Outcome(n.member.Name, res.Outcome, res.At.Sub(c.issued))
+		r.observer.AttemptEnded(n.member.Name, res.Outcome, res.At.Sub(c.startedAt))
 	}
 	if res.Outcome == logic.Done {
-		r.answer(id.Job, Answer{Verdict: Served, Body: res.Body, ContentType: res.ContentType, Held: res.Held})
+		r.finish(id.Request, Answer{Kind: Served, Body: res.Body, ContentType: res.ContentType, Charge: res.Charge})
 	}
-	r.step(&logic.Event{Kind: logic.EvOutcome, Request: id.Job, Attempt: id.Attempt,
-		Latency: res.At.Sub(c.issued), Outcome: res.Outcome, Final: j.ended})
-	r.forget(id.Job)
-	r.retire(c.node, n)
+	r.step(&logic.Event{Kind: logic.EvOutcome, Request: id.Request, Attempt: id.Attempt,
+		Latency: res.At.Sub(c.startedAt), Outcome: res.Outcome, Final: j.ended})
+	r.forget(id.Request)
+	r.closeIfGone(c.serverID, n)
 }
 
 // answer gives a job its final answer, unless it has had one or its submitter has gone.
-func (r *Relay) answer(id uint64, a Answer) {
-	if j := r.jobs[id]; j != nil && !j.ended {
+func (r *Relay) finish(id uint64, a Answer) {
+	if j := r.requests[id]; j != nil && !j.ended {
 		j.end()
 		j.Answer(a)
 		r.forget(id)
 		return
 	}
-	a.Held.Release() // nobody takes it
+	a.Charge.Release() // nobody takes it
 }
 
 // forget drops a job that has ended once each of its claims is reported.
 func (r *Relay) forget(id uint64) {
-	if j := r.jobs[id]; j != nil && j.ended && len(j.out) == 0 {
-		delete(r.jobs, id)
-		j.Request.Held.Release()
-		call := j.Request.CallID // the timer keeps no more of the job than this
-		time.AfterFunc(callKept, func() {
-			r.box.Put(func() { delete(r.calls, call) })
+	if j := r.requests[id]; j != nil && j.ended && len(j.inFlight) == 0 {
+		delete(r.requests, id)
+		j.Payload.Charge.Release()
+		call := j.Payload.CallID // the timer keeps no more of the job than this
+		time.AfterFunc(duplicateWindow, func() {
+			r.mailbox.Put(func() { delete(r.recentCalls, call) })
 		})
 	}
 }
 
-func (r *Relay) members(l Members) {
+func (r *Relay) applyMembers(l Members) {
 	ev := logic.Event{Kind: logic.EvMembers, Complete: l.Complete, Stored: l.Stored}
 	named := map[uint64]bool{}
 	for _, m := range l.Members {
 		named[m.ID] = true
 		if !l.Stored {
-			r.tellDrains(m)
+			r.notifyDrain(m)
 		}
-		r.member(m)
-		ev.Servers = append(ev.Servers, r.seen(m).Server)
+		r.applyMember(m)
+		ev.Servers = append(ev.Servers, r.effective(m).Server)
 	}
 	if l.Complete {
-		for id, n := range r.open {
+		for id, n := range r.servers {
 			if !named[id] {
 				gone := n.member
-				gone.State, gone.Told = logic.Gone, time.Now()
-				r.member(gone)
+				gone.State, gone.ListedAt = logic.Gone, time.Now()
+				r.applyMember(gone)
 			}
 		}
 	}
 	r.step(&ev)
-	for id, n := range r.open {
-		r.retire(id, n)
+	for id, n := range r.servers {
+		r.closeIfGone(id, n)
 	}
-	usable := r.count()
-	r.leaveOne()
+	usable := r.updateReadiness()
+	r.restoreIfNoneReady()
 	r.log.Info().Int("changed", len(l.Members)).Bool("complete", l.Complete).Bool("stored", l.Stored).
 		Int("usable", usable).Msg("list")
 }
 
-// Trim gives back the connections to execute nodes that have carried nothing for a while: their bytes are needed.
-func (r *Relay) Trim() {
-	r.box.Put(func() {
-		for _, n := range r.open {
-			if n.Node != nil {
-				n.Trim()
+// TrimIdle gives back the connections to execute nodes that have carried nothing for a while: their bytes are needed.
+func (r *Relay) TrimIdle() {
+	r.mailbox.Put(func() {
+		for _, n := range r.servers {
+			if n.Server != nil {
+				n.TrimIdle()
 			}
 		}
 	})
 }
 
-func (r *Relay) member(m Member) {
-	n := r.open[m.ID]
+func (r *Relay) applyMember(m Member) {
+	n := r.servers[m.ID]
 	switch {
 	case n != nil:
-		n.member, n.since = m, m.Since
-		if n.Node != nil {
-			n.Update(r.seen(m))
+		n.member, n.startedAt = m, m.Since
+		if n.Server != nil {
+			n.Update(r.effective(m))
 		}
 	case m.State != logic.Gone:
-		r.open[m.ID] = &node{member: m, since: m.Since}
+		r.servers[m.ID] = &server{member: m, startedAt: m.Since}
 	}
 }
 
 // retire closes an execute node that is gone from the list once nothing is out there.
-func (r *Relay) retire(id uint64, n *node) {
-	if n.member.State == logic.Gone && n.out == 0 && !r.cfg.Contract.GoneIsAdvisory {
-		if n.Node != nil {
+func (r *Relay) closeIfGone(id uint64, n *server) {
+	if n.member.State == logic.Gone && n.inFlight == 0 && !r.cfg.Contract.GoneIsAdvisory {
+		if n.Server != nil {
 			n.Close()
 		}
-		delete(r.open, id)
+		delete(r.servers, id)
 	}
 }
 
@@ -502,11 +502,11 @@
 // starts from the list as it stands.
 func (r *Relay) restart() {
 	r.ready.Store(false)
-	for id, j := range r.jobs {
-		for attempt, c := range j.out {
-			r.open[c.node].Cancel(ClaimID{id, attempt})
+	for id, j := range r.requests {
+		for attempt, c := range j.inFlight {
+			r.servers[c.serverID].Cancel(AttemptID{id, attempt})
 		}
-		r.answer(id, Answer{Verdict: Failed})
+		r.finish(id, Answer{Kind: Failed})
 	}
 	b, err := logic.New(r.cfg, r.seed)
 	if err != nil {
@@ -514,18 +514,18 @@
 		return
 	}
 	r.balancer = b
-	r.life++
+	r.incarnation++
 	r.seed++
 	if r.restarting { // it fails on the list itself: wait for the next one
 		return
 	}
 	r.restarting = true
 	stored := Members{Complete: true, Stored: true}
-	for _, n := range r.open {
+	for _, n := range r.servers {
 		stored.Members = append(stored.Members, n.member)
 	}
-	r.box.Put(func() {
-		r.members(stored)
+	r.mailbox.Put(func() {
+		r.applyMembers(stored)
 		r.restarting = false
 	})
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -20,23 +20,23 @@
 	gate   *budget.Gate
 	lines  []string
 	taken  uint64
-	report func(ClaimID, Result)
-	claims map[uint64]Claim // the last one of each job
+	report func(AttemptID, Result)
+	claims map[uint64]Attempt // the last one of each job
 }
 
 // newBench starts a relay of these settings, with an observer where there is one, until the test ends. It is called in a bubble.
 func newBench(t *testing.T, cfg logic.Config, seed uint64, o Observer) *bench {
 	t.Helper()
-	b := &bench{claims: map[uint64]Claim{}, gate: budget.NewGate(1<<24, 1)}
+	b := &bench{claims: map[uint64]Attempt{}, gate: budget.NewGate(1<<24, 1)}
 	var err error
 	if b.Relay, err = New(cfg, seed, b, zerolog.Nop()); err != nil {
 		t.Fatal(err)
 	}
 	if o != nil {
-		b.Observe(o)
+		b.SetObserver(o)
 	}
 	b.Start(b)
-	t.Cleanup(b.box.Close)
+	t.Cleanup(b.mailbox.Close)
 	return b
 }
 
@@ -44,7 +44,7 @@
 	b.lines = append(b.lines, fmt.Sprintf(format, args...))
 }
 
-func (b *bench) Open(m Member, report func(ClaimID, Result)) Node {
+func (b *bench) Open(m Member, report func(AttemptID, Result)) Server {
 	b.report = report
 	return &benchNode{b, m.ID}
 }
@@ -56,15 +56,15 @@
 	id uint64
 }
 
-func (n *benchNode) Claim(c Claim) {
-	n.b.claims[c.ID.Job] = c
-	n.b.note("claim %d.%d at %d for %v", c.ID.Job, c.ID.Attempt, n.id, time.Until(c.Deadline))
+func (n *benchNode) Start(c Attempt) {
+	n.b.claims[c.ID.Request] = c
+	n.b.note("claim %d.%d at %d for %v", c.ID.Request, c.ID.Attempt, n.id, time.Until(c.Deadline))
 }
-func (n *benchNode) Cancel(id ClaimID) { n.b.note("cancel %d.%d", id.Job, id.Attempt) }
-func (n *benchNode) Release()          {}
-func (n *benchNode) Trim()             {}
-func (n *benchNode) Update(m Member)   { n.b.note("node %d state %d", n.id, m.State) }
-func (n *benchNode) Close()            { n.b.note("node %d closed", n.id) }
+func (n *benchNode) Cancel(id AttemptID) { n.b.note("cancel %d.%d", id.Request, id.Attempt) }
+func (n *benchNode) CloseIdle()          {}
+func (n *benchNode) TrimIdle()           {}
+func (n *benchNode) Update(m Member)     { n.b.note("node %d state %d", n.id, m.State) }
+func (n *benchNode) Close()              { n.b.note("node %d closed", n.id) }
 
 // submit gives the relay a job whose submitter waits for a second.
 func (b *bench) submit(class string) uint64 {
@@ -75,21 +75,21 @@
 }
 
 func (b *bench) submitAs(id uint64, call, class string) {
-	b.Submit(Job{Class: class, Expires: time.Now().Add(time.Second), Request: &Request{CallID: call, Held: b.gate.Must(budget.Jobs, 1)}, Answer: func(a Answer) {
-		a.Held.Release()
-		b.note("answer %d %s%s", id, [...]string{"served ", "requeue", "failed", "again"}[a.Verdict], a.Body)
+	b.Submit(Request{Class: class, Expires: time.Now().Add(time.Second), Payload: &Payload{CallID: call, Charge: b.gate.Must(budget.Jobs, 1)}, Answer: func(a Answer) {
+		a.Charge.Release()
+		b.note("answer %d %s%s", id, [...]string{"served ", "requeue", "failed", "again"}[a.Kind], a.Body)
 	}})
 	synctest.Wait()
 }
 
 func (b *bench) outcome(job uint64, o logic.Outcome, body string) {
 	b.report(b.claims[job].ID, Result{Outcome: o, At: time.Now(), Body: []byte(body),
-		Held: b.gate.Must(budget.Answers, int64(len(body)))})
+		Charge: b.gate.Must(budget.Answers, int64(len(body)))})
 	synctest.Wait()
 }
 
 func (b *bench) list(complete bool, members ...Member) {
-	b.Members(Members{Complete: complete, Members: members})
+	b.UpdateMembers(Members{Complete: complete, Members: members})
 	synctest.Wait()
 }
 
@@ -141,7 +141,7 @@
 			b.submitAs(2, "call1", "safe")
 			b.outcome(id, logic.Done, "hi")
 			b.submitAs(3, "call1", "safe")
-			time.Sleep(callKept)
+			time.Sleep(duplicateWindow)
 			synctest.Wait()
 			b.submitAs(4, "call1", "odd")
 		}, "claim 1.0 at 8 for 1s, answer 2 again, answer 1 served hi, answer 3 again, answer 4 failed"},
@@ -152,7 +152,7 @@
 		// A panic in the module costs its open jobs, not the process; the next job is served.
 		"a panic of the module": {func(b *bench) {
 			b.submit("safe")
-			b.box.Put(func() { b.balancer = &logic.Balancer{} })
+			b.mailbox.Put(func() { b.balancer = &logic.Balancer{} })
 			b.list(false, member(8, logic.Ready))
 			b.outcome(1, logic.Canceled, "")
 			id := b.submit("safe")
@@ -162,7 +162,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := &bench{claims: map[uint64]Claim{}, gate: budget.NewGate(1<<20, 1)}
+				b := &bench{claims: map[uint64]Attempt{}, gate: budget.NewGate(1<<20, 1)}
 				class := logic.Class{Name: "safe", LatencyTarget: 500 * time.Millisecond, Deadline: time.Second, LateValue: 0.5}
 				unsafe := class
 				unsafe.Name, unsafe.Effect = "unsafe", logic.Unsafe
@@ -174,18 +174,18 @@
 					t.Fatal(err)
 				}
 				b.Start(b)
-				defer b.box.Close()
+				defer b.mailbox.Close()
 				b.list(false, member(8, logic.Ready))
 				c.play(b)
 				synctest.Wait()
 				if diff := cmp.Diff(strings.Split(c.want, ", "), b.lines); diff != "" {
 					t.Errorf("told (-want +got):\n%s", diff)
 				}
-				if held := b.gate.State().Sum(); held != int64(len(b.jobs)) {
-					t.Errorf("%d bytes held for %d jobs", held, len(b.jobs))
+				if held := b.gate.State().Sum(); held != int64(len(b.requests)) {
+					t.Errorf("%d bytes held for %d jobs", held, len(b.requests))
 				}
-				if len(b.jobs) != 0 && !strings.HasPrefix(name, "an unsafe") {
-					t.Errorf("%d jobs are kept", len(b.jobs))
+				if len(b.requests) != 0 && !strings.HasPrefix(name, "an unsafe") {
+					t.Errorf("%d jobs are kept", len(b.requests))
 				}
 			})
 		})
@@ -202,13 +202,13 @@
 			t.Fatal(err)
 		}
 		at := b.now() + 1500*time.Microsecond
-		b.wake(at, logic.Timer{})
+		b.scheduleWake(at, logic.Timer{})
 		time.Sleep(1500*time.Microsecond - time.Nanosecond)
 		synctest.Wait()
-		early := b.box.Len()
+		early := b.mailbox.Len()
 		time.Sleep(time.Nanosecond)
 		synctest.Wait()
-		got := []any{early, b.box.Len(), b.now()}
+		got := []any{early, b.mailbox.Len(), b.now()}
 		if diff := cmp.Diff([]any{0, 1, time.Duration(time.Now().UnixNano())}, got); diff != "" {
 			t.Errorf("messages before and at the time, and the clock (-want +got):\n%s", diff)
 		}
@@ -226,16 +226,16 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newBench(t, logic.Config{Classes: []logic.Class{{Name: "c", LatencyTarget: time.Second, Deadline: time.Second}}}, 1, nil)
-				b.Members(Members{Complete: true, Members: []Member{{Server: logic.Server{ID: 1}, Addr: "h:1", Told: time.Now()}}})
+				b.UpdateMembers(Members{Complete: true, Members: []Member{{Server: logic.Server{ID: 1}, Addr: "h:1", ListedAt: time.Now()}}})
 				job := b.submit("c")
-				request := b.claims[job].Request
+				request := b.claims[job].Payload
 				before := request.Wanted()
 				end(b, job)
 				synctest.Wait()
 				if after := request.Wanted(); !before || after {
 					t.Errorf("wanted before %t, after %t", before, after)
 				}
-				gone := Request{Departed: func() bool { return true }}
+				gone := Payload{ClientGone: func() bool { return true }}
 				if gone.Wanted() {
 					t.Error("wanted though its client has gone")
 				}
--- a/internal/relay/same_test.go
+++ b/internal/relay/same_test.go
@@ -36,14 +36,14 @@
 				id := open[at]
 				out, there := false, false
 				b.on(func() {
-					if j := b.jobs[id]; j != nil {
-						_, out = j.out[b.claims[id].ID.Attempt]
+					if j := b.requests[id]; j != nil {
+						_, out = j.inFlight[b.claims[id].ID.Attempt]
 					}
 				})
 				if out {
 					b.outcome(id, []logic.Outcome{logic.Done, logic.Done, logic.Errored, logic.Busy, logic.Refused, logic.Reset}[rng.IntN(6)], "x")
 				}
-				b.on(func() { there = b.jobs[id] != nil })
+				b.on(func() { there = b.requests[id] != nil })
 				if !there {
 					open = slices.Delete(open, at, at+1)
 				}
--- a/internal/relay/suspend_test.go
+++ b/internal/relay/suspend_test.go
@@ -23,7 +23,7 @@
 			synctest.Wait()
 			return
 		}
-		if _, err := ask(func(d func([]string, error)) { b.Suspend("zz", true, d) }); !errors.Is(err, ErrUnknown) {
+		if _, err := ask(func(d func([]string, error)) { b.Suspend("zz", true, d) }); !errors.Is(err, ErrUnknownServer) {
 			t.Errorf("unknown name: %v", err)
 		}
 		for range 2 {
@@ -32,7 +32,7 @@
 			}
 		}
 		b.list(true, a) // discovery says nothing of it
-		if listed, down := b.Hosts(); listed != 1 || down != 1 || b.Ready() {
+		if listed, down := b.ServerCounts(); listed != 1 || down != 1 || b.Ready() {
 			t.Errorf("listed %d down %d ready %v", listed, down, b.Ready())
 		}
 		b.lines = nil
@@ -47,7 +47,7 @@
 		if names, err := ask(func(d func([]string, error)) { b.Restore("a", d) }); err != nil || len(names) != 0 {
 			t.Errorf("restore: %v %v", names, err)
 		}
-		if _, down := b.Hosts(); down != 0 || !b.Ready() {
+		if _, down := b.ServerCounts(); down != 0 || !b.Ready() {
 			t.Errorf("down %d after restore", down)
 		}
 	})
--- a/internal/source/platform/contract_test.go
+++ b/internal/source/platform/contract_test.go
@@ -24,7 +24,7 @@
 }
 
 func (n *names) ListLost(time.Time) { n.gone() }
-func (n *names) Members(l relay.Members) {
+func (n *names) UpdateMembers(l relay.Members) {
 	if l.Stored {
 		return
 	}
--- a/internal/source/platform/nodelist.go
+++ b/internal/source/platform/nodelist.go
@@ -20,7 +20,7 @@
 
 // Sink is told what discovery says. No call may block.
 type Sink interface {
-	Members(relay.Members)
+	UpdateMembers(relay.Members)
 	ListLost(told time.Time) // told: when what is missed counts as told
 }
 
@@ -204,7 +204,7 @@
 		}
 	}
 	for _, e := range l.Instances {
-		entry := relay.Member{Name: e.ID, Addr: e.Addr, Told: now}
+		entry := relay.Member{Name: e.ID, Addr: e.Addr, ListedAt: now}
 		entry.ID, entry.Zone, entry.Cell = a.id(e.ID), e.Zone, e.Cell
 		entry.State, entry.Since = e.State, e.Started
 		m.Members = append(m.Members, entry)
@@ -216,7 +216,7 @@
 	kept := a.gate.Must(budget.Lists, int64(len(a.ids)*keptBytes))
 	a.kept.Release()
 	a.kept = kept
-	a.sink.Members(m)
+	a.sink.UpdateMembers(m)
 }
 
 // id gives an instance the number by which the module knows it: from a hash, so that it is the same after a
--- a/internal/source/platform/nodelist_test.go
+++ b/internal/source/platform/nodelist_test.go
@@ -26,7 +26,7 @@
 		s.Event(fmt.Sprintf("lost, told within %ds", int(left.Seconds())+1))
 	}
 }
-func (s told) Members(l relay.Members) {
+func (s told) UpdateMembers(l relay.Members) {
 	text := fmt.Sprintf("complete=%t stored=%t", l.Complete, l.Stored)
 	for _, m := range l.Members {
 		text += fmt.Sprintf(" %s/%d/%s", m.Addr, m.State, m.Since)
--- a/internal/transport/http/conn.go
+++ b/internal/transport/http/conn.go
@@ -105,7 +105,7 @@
 // grace (together until), its client, its final answer, its connection.
 func (c *conn) send(parts net.Buffers, of *claim, until time.Time) error {
 	switch {
-	case !time.Now().Before(until) || !of.Request.Wanted():
+	case !time.Now().Before(until) || !of.Payload.Wanted():
 		return errOver
 	case !c.ask():
 		return errStale
@@ -237,7 +237,7 @@
 	switch length := h.ContentLength(); {
 	case h.StatusCode() == fasthttp.StatusNoContent || h.StatusCode() == fasthttp.StatusNotModified:
 		return a, nil
-	case length > relay.MostBody:
+	case length > relay.MaxBodySize:
 		return a, errSpoilt
 	case length >= 0 && a.outcome != logic.Done:
 		_, err = io.CopyN(io.Discard, br, int64(length))
@@ -263,13 +263,13 @@
 func (c *conn) readChunks(br *bufio.Reader, a *answer) error {
 	chunks := httputil.NewChunkedReader(br)
 	if a.outcome != logic.Done {
-		n, err := io.Copy(io.Discard, io.LimitReader(chunks, relay.MostBody+1))
-		if n > relay.MostBody {
+		n, err := io.Copy(io.Discard, io.LimitReader(chunks, relay.MaxBodySize+1))
+		if n > relay.MaxBodySize {
 			return errSpoilt
 		}
 		return err
 	}
-	for size := firstChunks; ; size = min(grownBy*size, relay.MostBody+1) {
+	for size := firstChunks; ; size = min(grownBy*size, relay.MaxBodySize+1) {
 		more, err := c.charge(int64(size))
 		if err != nil {
 			return err
@@ -290,7 +290,7 @@
 			return err
 		case err != nil:
 			return err
-		case len(a.body) > relay.MostBody:
+		case len(a.body) > relay.MaxBodySize:
 			return errSpoilt
 		}
 	}
@@ -323,21 +323,21 @@
 // encode writes out the head of a claim's request. Its body goes out from where it is held.
 func encode(c *claim, host string, now time.Time) []byte {
 	var h fasthttp.RequestHeader
-	h.SetMethod(c.Request.Method)
-	h.SetRequestURI(c.Request.Target)
+	h.SetMethod(c.Payload.Method)
+	h.SetRequestURI(c.Payload.Target)
 	h.SetHost(host)
-	h.Set("X-Call-Id", c.Request.CallID)
-	if c.Request.IdempotencyKey != "" {
-		h.Set("Idempotency-Key", c.Request.IdempotencyKey)
+	h.Set("X-Call-Id", c.Payload.CallID)
+	if c.Payload.IdempotencyKey != "" {
+		h.Set("Idempotency-Key", c.Payload.IdempotencyKey)
 	}
-	if c.Request.ContentType != "" {
-		h.SetContentType(c.Request.ContentType)
+	if c.Payload.ContentType != "" {
+		h.SetContentType(c.Payload.ContentType)
 	}
 	h.Set("X-Budget", strconv.FormatFloat(c.Deadline.Sub(now).Seconds(), 'f', 3, 64))
-	if c.Request.Method != fasthttp.MethodGet {
-		h.SetContentLength(len(c.Request.Body))
+	if c.Payload.Method != fasthttp.MethodGet {
+		h.SetContentLength(len(c.Payload.Body))
 	}
 	return h.Header()
 }
 
-var _ relay.Nodes = (*Nodes)(nil)
+var _ relay.Transport = (*Nodes)(nil)
--- a/internal/transport/http/crossing_test.go
+++ b/internal/transport/http/crossing_test.go
@@ -64,7 +64,7 @@
 	t.Cleanup(func() { close(x.release) })
 	x.node = NewNodes(opts, zerolog.Nop()).Open(relay.Member{Addr: x.ln.Addr().String()}, tell(x.Stage)).(*node)
 	t.Cleanup(x.node.Close)
-	x.Calls["claim"] = func(id string) { x.node.Claim(aClaim(id, time.Minute)) }
+	x.Calls["claim"] = func(id string) { x.node.Start(aClaim(id, time.Minute)) }
 	return x
 }
 
@@ -189,7 +189,7 @@
 			x.Calls["crossed"] = func(id string) {
 				c := aClaim(id, time.Minute)
 				asked := false
-				c.Request.Departed = func() bool { // the last question before the first byte
+				c.Payload.ClientGone = func() bool { // the last question before the first byte
 					if asked {
 						return false
 					}
@@ -209,7 +209,7 @@
 					})
 					return false
 				}
-				x.node.Claim(c)
+				x.node.Start(c)
 			}
 			x.Play(t, `
 				claim send 1
@@ -252,13 +252,13 @@
 // late its connection comes up; the connection is kept for others.
 func TestNothingBeginsTooLate(t *testing.T) {
 	for name, c := range map[string]struct {
-		before func(c *relay.Claim) // it is made
-		during func(x *crossing)    // its dial
+		before func(c *relay.Attempt) // it is made
+		during func(x *crossing)      // its dial
 	}{
-		"the client has gone": {before: func(c *relay.Claim) { c.Request.Departed = func() bool { return true } }},
-		"its window is over":  {before: func(c *relay.Claim) { c.Begin = time.Now() }},
+		"the client has gone": {before: func(c *relay.Attempt) { c.Payload.ClientGone = func() bool { return true } }},
+		"its window is over":  {before: func(c *relay.Attempt) { c.SendBefore = time.Now() }},
 		"its node drains": {during: func(x *crossing) {
-			x.node.Update(relay.Member{Told: time.Now().Add(-time.Hour), Server: drains})
+			x.node.Update(relay.Member{ListedAt: time.Now().Add(-time.Hour), Server: drains})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -268,7 +268,7 @@
 				if c.before != nil {
 					c.before(&claim)
 				}
-				x.node.Claim(claim)
+				x.node.Start(claim)
 			}
 			x.Calls["dial"] = func(string) {
 				gate := <-x.dials
@@ -296,8 +296,8 @@
 	}
 	x.Calls["gone"] = func(id string) {
 		c := aClaim(id, time.Minute)
-		c.Request.Departed = func() bool { return true }
-		x.node.Claim(c)
+		c.Payload.ClientGone = func() bool { return true }
+		x.node.Start(c)
 	}
 	x.Play(t, `
 		claim send 1
--- a/internal/transport/http/executenode.go
+++ b/internal/transport/http/executenode.go
@@ -67,9 +67,9 @@
 }
 
 // Open starts the actor of a node.
-func (s *Nodes) Open(m relay.Member, report func(relay.ClaimID, relay.Result)) relay.Node {
+func (s *Nodes) Open(m relay.Member, report func(relay.AttemptID, relay.Result)) relay.Server {
 	n := &node{nodes: s, log: s.log.With().Str("node", m.Addr).Logger(), report: report,
-		box: mailbox.New(), claims: map[relay.ClaimID]*claim{}, conns: map[*conn]bool{}}
+		box: mailbox.New(), claims: map[relay.AttemptID]*claim{}, conns: map[*conn]bool{}}
 	n.Update(m) // as any later word of the list: it may be draining already
 	go n.box.Run()
 	return n
@@ -79,12 +79,12 @@
 type node struct {
 	nodes  *Nodes
 	log    zerolog.Logger
-	report func(relay.ClaimID, relay.Result)
+	report func(relay.AttemptID, relay.Result)
 	box    *mailbox.Mailbox
 
 	member  relay.Member
 	barred  time.Time // when the list said that nothing more may be sent; zero: it may
-	claims  map[relay.ClaimID]*claim
+	claims  map[relay.AttemptID]*claim
 	waiting []*claim // of those, the ones without a connection, the oldest first
 	conns   map[*conn]bool
 	idle    []*conn // in the order of their last use
@@ -95,7 +95,7 @@
 
 // claim is one that has not been reported.
 type claim struct {
-	relay.Claim
+	relay.Attempt
 	conn    *conn              // nil while it waits for one
 	abandon context.CancelFunc // ends the dial that was begun for it
 	timer   *time.Timer        // its deadline
@@ -103,13 +103,13 @@
 
 // Claim, Cancel, Release, Trim, Update and Close are the messages of relay.Node.
 
-func (n *node) Claim(c relay.Claim) { n.box.Put(func() { n.start(c) }) }
+func (n *node) Start(c relay.Attempt) { n.box.Put(func() { n.start(c) }) }
 
-func (n *node) Cancel(id relay.ClaimID) { n.box.Put(func() { n.giveUp(id, logic.Canceled) }) }
+func (n *node) Cancel(id relay.AttemptID) { n.box.Put(func() { n.giveUp(id, logic.Canceled) }) }
 
-func (n *node) Release() { n.box.Put(n.closeIdle) }
+func (n *node) CloseIdle() { n.box.Put(n.closeIdle) }
 
-func (n *node) Trim() {
+func (n *node) TrimIdle() {
 	n.box.Put(func() {
 		for len(n.idle) > 0 && time.Since(n.idle[0].rested) > trimmed {
 			n.drop(n.idle[0])
@@ -142,7 +142,7 @@
 		n.barred = time.Time{}
 	case m.State == logic.Gone && n.nodes.opts.GoneAdvice: // the module decides
 	case n.barred.IsZero():
-		n.barred = m.Told
+		n.barred = m.ListedAt
 	}
 	if !moved {
 		m.Addr = n.member.Addr
@@ -154,8 +154,8 @@
 }
 
 // start takes a claim.
-func (n *node) start(rc relay.Claim) {
-	c := &claim{Claim: rc}
+func (n *node) start(rc relay.Attempt) {
+	c := &claim{Attempt: rc}
 	n.claims[c.ID] = c
 	c.timer = time.AfterFunc(time.Until(c.Deadline), func() {
 		n.box.Put(func() { n.giveUp(c.ID, logic.TimedOut) })
@@ -277,15 +277,15 @@
 	n.waiting = slices.DeleteFunc(n.waiting, func(o *claim) bool { return o == c })
 	c.conn, conn.claim, conn.writing = conn, c, true
 	now, until := time.Now(), c.Deadline
-	if !c.Begin.IsZero() && c.Begin.Before(until) {
-		until = c.Begin
+	if !c.SendBefore.IsZero() && c.SendBefore.Before(until) {
+		until = c.SendBefore
 	}
 	if grace := n.barred.Add(time.Duration((1 - drainMargin) * float64(n.nodes.opts.DrainGrace))); !n.barred.IsZero() && grace.Before(until) {
 		until = grace
 	}
-	parts := net.Buffers{encode(c, n.member.Addr, now), c.Request.Body}
+	parts := net.Buffers{encode(c, n.member.Addr, now), c.Payload.Body}
 	// A claim given up meanwhile, and with it the job, may be forgotten before this has let go of its bytes.
-	held := c.Request.Held
+	held := c.Payload.Charge
 	held.Hold()
 	go func() {
 		err := conn.send(parts, c, until)
@@ -361,12 +361,12 @@
 		conn.answered, conn.claim, c.conn = true, nil, nil // at rest it may carry another claim at once
 		n.rest(conn, time.Now())
 	}
-	n.end(c, a.outcome, relay.Result{At: a.at, Body: a.body, ContentType: a.contentType, Held: a.held})
+	n.end(c, a.outcome, relay.Result{At: a.at, Body: a.body, ContentType: a.contentType, Charge: a.held})
 }
 
 // giveUp ends a claim that is not waited for. Its connection is closed before it is reported, so that no
 // other claim of its job can be out while this one is.
-func (n *node) giveUp(id relay.ClaimID, outcome logic.Outcome) {
+func (n *node) giveUp(id relay.AttemptID, outcome logic.Outcome) {
 	c := n.claims[id]
 	if c == nil {
 		return
--- a/internal/transport/http/executenode_test.go
+++ b/internal/transport/http/executenode_test.go
@@ -175,26 +175,26 @@
 			gate := budget.NewGate(8<<20, 9)
 			var jobs sync.Map // what each holds until its claim is reported
 			f := openNodes(gate)
-			n := f.Open(relay.Member{Addr: ln.Addr().String()}, func(id relay.ClaimID, r relay.Result) {
+			n := f.Open(relay.Member{Addr: ln.Addr().String()}, func(id relay.AttemptID, r relay.Result) {
 				tell(stage)(id, r)
-				held, _ := jobs.Load(id.Job)
+				held, _ := jobs.Load(id.Request)
 				held.(*budget.Charge).Release()
 			})
 			claim := func(patience time.Duration) func(string) {
 				return func(id string) {
 					c := aClaim(id, patience)
-					c.Request.Held = gate.Must(budget.Jobs, 4)
-					jobs.Store(c.ID.Job, c.Request.Held)
-					n.Claim(c)
+					c.Payload.Charge = gate.Must(budget.Jobs, 4)
+					jobs.Store(c.ID.Request, c.Payload.Charge)
+					n.Start(c)
 				}
 			}
 			stage.Calls["claim"], stage.Calls["soon"] = claim(time.Minute), claim(500*time.Millisecond)
 			stage.Calls["cancel"] = func(id string) { n.Cancel(aClaim(id, 0).ID) }
-			stage.Calls["release"] = func(string) { n.Release() }
+			stage.Calls["release"] = func(string) { n.CloseIdle() }
 			stage.Calls["leave"] = func(string) { n.Close() }
 			stage.Calls["drain"] = func(ago string) {
 				ms, _ := time.ParseDuration(ago + "ms")
-				n.Update(relay.Member{Server: logic.Server{State: logic.Draining}, Told: time.Now().Add(-ms)})
+				n.Update(relay.Member{Server: logic.Server{State: logic.Draining}, ListedAt: time.Now().Add(-ms)})
 			}
 			stage.Play(t, strings.ReplaceAll(steps, "\t", ""))
 			n.Close()
@@ -217,7 +217,7 @@
 			gate := budget.NewGate(1<<20, 9)
 			full := gate.Must(budget.Lists, 1<<20)
 			n := openMember(t, stage, relay.Member{Addr: ln.Addr().String()}, gate)
-			stage.Calls["claim"] = func(id string) { n.Claim(aClaim(id, time.Minute)) }
+			stage.Calls["claim"] = func(id string) { n.Start(aClaim(id, time.Minute)) }
 			stage.Calls["cancel"] = func(id string) { n.Cancel(aClaim(id, 0).ID) }
 			stage.Calls["leave"] = func(string) { n.Close() }
 			stage.Calls["waiting"] = func(string) {
@@ -239,9 +239,9 @@
 	gate := budget.NewGate(64<<20, 9)
 	n := openMember(t, stage, relay.Member{Addr: ln.Addr().String()}, gate)
 	c := aClaim("1", time.Minute)
-	c.Request.Body = make([]byte, 32<<20) // more than the system takes for a peer that does not read
-	c.Request.Held = gate.Must(budget.Jobs, int64(len(c.Request.Body)))
-	n.Claim(c)
+	c.Payload.Body = make([]byte, 32<<20) // more than the system takes for a peer that does not read
+	c.Payload.Charge = gate.Must(budget.Jobs, int64(len(c.Payload.Body)))
+	n.Start(c)
 	peer, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -250,7 +250,7 @@
 	if _, err := peer.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	c.Request.Held.Release()
+	c.Payload.Charge.Release()
 	if held := gate.State().Held[budget.Jobs]; held == 0 {
 		t.Error("bytes came back while they were written")
 	}
@@ -266,7 +266,7 @@
 	ln.Close()
 	stage := scenario.NewStage(nil)
 	n := open(t, stage, ln.Addr())
-	stage.Calls["claim"] = func(id string) { n.Claim(aClaim(id, time.Minute)) }
+	stage.Calls["claim"] = func(id string) { n.Start(aClaim(id, time.Minute)) }
 	stage.Play(t, "claim send 1\n wait 1 refused")
 }
 
@@ -275,8 +275,8 @@
 	ln := scenario.Listen(t)
 	stage := scenario.NewStage(scenario.Accepter(ln))
 	n := openMember(t, stage, relay.Member{Server: logic.Server{State: logic.Draining}, Addr: ln.Addr().String(),
-		Told: time.Now().Add(-time.Second)}, nil)
-	stage.Calls["claim"] = func(id string) { n.Claim(aClaim(id, time.Minute)) }
+		ListedAt: time.Now().Add(-time.Second)}, nil)
+	stage.Calls["claim"] = func(id string) { n.Start(aClaim(id, time.Minute)) }
 	stage.Play(t, "claim send 1\n wait 1 skipped\n a wait nothing")
 }
 
@@ -285,8 +285,8 @@
 func TestAnswerOvertakesTheWrite(t *testing.T) {
 	near, _ := net.Pipe()
 	reports := 0
-	n := &node{nodes: NewNodes(Options{ConnIdle: time.Minute}, zerolog.Nop()), claims: map[relay.ClaimID]*claim{},
-		report: func(relay.ClaimID, relay.Result) { reports++ }}
+	n := &node{nodes: NewNodes(Options{ConnIdle: time.Minute}, zerolog.Nop()), claims: map[relay.AttemptID]*claim{},
+		report: func(relay.AttemptID, relay.Result) { reports++ }}
 	c := &conn{node: n, nc: near, writing: true, claim: &claim{timer: time.NewTimer(time.Minute)}}
 	n.conns = map[*conn]bool{c: true}
 	c.claim.conn = c
@@ -334,11 +334,11 @@
 	}
 }
 
-func open(t *testing.T, stage *scenario.Stage, addr net.Addr) relay.Node {
+func open(t *testing.T, stage *scenario.Stage, addr net.Addr) relay.Server {
 	return openMember(t, stage, relay.Member{Addr: addr.String()}, nil)
 }
 
-func openMember(t *testing.T, stage *scenario.Stage, m relay.Member, gate *budget.Gate) relay.Node {
+func openMember(t *testing.T, stage *scenario.Stage, m relay.Member, gate *budget.Gate) relay.Server {
 	n := openNodes(gate).Open(m, tell(stage))
 	t.Cleanup(n.Close)
 	return n
@@ -350,17 +350,17 @@
 }
 
 // tell passes reports on to a stage.
-func tell(stage *scenario.Stage) func(relay.ClaimID, relay.Result) {
-	return func(id relay.ClaimID, r relay.Result) {
-		r.Held.Release()
-		stage.Event(strings.TrimSpace(fmt.Sprintf("%d %s %s", id.Job, outcomes[r.Outcome], r.Body)))
+func tell(stage *scenario.Stage) func(relay.AttemptID, relay.Result) {
+	return func(id relay.AttemptID, r relay.Result) {
+		r.Charge.Release()
+		stage.Event(strings.TrimSpace(fmt.Sprintf("%d %s %s", id.Request, outcomes[r.Outcome], r.Body)))
 	}
 }
 
-func aClaim(id string, patience time.Duration) relay.Claim {
-	c := relay.Claim{Deadline: time.Now().Add(patience), Request: &relay.Request{
+func aClaim(id string, patience time.Duration) relay.Attempt {
+	c := relay.Attempt{Deadline: time.Now().Add(patience), Payload: &relay.Payload{
 		Method: "POST", Target: "/pay//a/../b?q=%41", Body: []byte("body"), CallID: "c1", IdempotencyKey: "k"}}
-	fmt.Sscan(id, &c.ID.Job)
+	fmt.Sscan(id, &c.ID.Request)
 	return c
 }
 
@@ -373,7 +373,7 @@
 		n.idle, n.conns[c] = append(n.idle, c), true
 	}
 	young := n.idle[1]
-	n.Trim()
+	n.TrimIdle()
 	n.box.Close()
 	n.box.Run()
 	if len(n.idle) != 1 || n.idle[0] != young {
