--- a/logic/admission.go
+++ b/logic/admission.go
@@ -9,72 +9,72 @@
 
 type class struct {
 	Class
-	mean, dev float64 // aged answer time of successes, in seconds
-	quick     float64 // what an answer takes where nothing waits, about the lowest tenth
-	asked     float64 // aged requests a second,
-	work      float64 // and the work of them,
-	askedAt   time.Duration
-	suspect
-	tried time.Duration // when one was last let in although the class drags
-	owed  time.Duration // the latest aim of a request that ended unserved
+	meanLatency, latencyDeviation float64 // aged answer time of successes, in seconds
+	quickLatency                  float64 // what an answer takes where nothing waits, about the lowest tenth
+	requestRate                   float64 // aged requests a second,
+	workRate                      float64 // and the work of them,
+	ratesUpdated                  time.Duration
+	faultShares
+	lastAdmitted time.Duration // when one was last let in although the class drags
+	missedTarget time.Duration // the latest aim of a request that ended unserved
 }
 
-func (b *Balancer) request(ev *Event) {
+func (b *Balancer) onRequest(ev *Event) {
 	c := b.classes[ev.Class]
 	if c == nil { // nothing is known of it, so nothing is promised
-		b.act(Action{Kind: ActFail, Request: ev.Request})
+		b.emit(Action{Kind: ActFail, Request: ev.Request})
 		return
 	}
-	r := &request{id: ev.Request, class: c, key: ev.Key, hasKey: ev.HasKey, cost: 1, arrived: b.now,
-		expires: ev.Expires, tenant: entry(b.tenants, ev.Tenant)}
+	r := &request{id: ev.Request, class: c, key: ev.Key, hasKey: ev.HasKey, work: 1, arrived: b.now,
+		expires: ev.Expires, tenantShares: sharesOf(b.tenants, ev.Tenant)}
 	aim := c.LatencyTarget
 	if ev.ExpectedWork > 0 {
-		r.cost = ev.ExpectedWork.Seconds()
+		r.work = ev.ExpectedWork.Seconds()
 		aim += time.Duration(c.TargetPerWork * float64(ev.ExpectedWork))
 	}
 	if aim <= 0 {
 		aim = c.Deadline
 	}
-	r.full = b.now + aim
-	r.aim = min(r.full, r.expires)
-	if ev.Retry && c.owed > 0 { // its time runs from its first try, one of those that failed
-		r.aim = min(r.aim, c.owed)
+	r.fullTarget = b.now + aim
+	r.target = min(r.fullTarget, r.expires)
+	if ev.Retry && c.missedTarget > 0 { // its time runs from its first try, one of those that failed
+		r.target = min(r.target, c.missedTarget)
 	}
 	b.requests[r.id] = r
-	b.rate += 1/ageing.Seconds() - selection.Alpha(b.now-b.rateAt)*b.rate
-	if b.rateAt = b.now; b.slack.Begin(b.now) {
-		b.began = b.now
+	b.requestRate += 1/agingTime.Seconds() - selection.Alpha(b.now-b.rateUpdated)*b.requestRate
+	if b.rateUpdated = b.now; b.slack.Begin(b.now) {
+		b.firstRequest = b.now
 	}
-	b.at(r.expires-b.cfg.Tick, TimerExpire, r.id)
-	c.demand(b.now, r.cost)
-	b.door.Arrive(b.now, ev.Tenant)
+	b.wakeAt(r.expires-b.cfg.Tick, TimerExpire, r.id)
+	c.recordDemand(b.now, r.work)
+	b.ledger.Arrive(b.now, ev.Tenant)
 	// Servers that answer late to all spend their whole capacity on it, a jam that holds itself up. Letting
 	// in less than is answered in time drains it.
-	refused := b.impatient(r) || b.drags(c) || b.rng.Float64() > b.admits(c, ev.Tenant)
-	if !refused || b.cfg.Balancers < limitsHold { // many would earn together what cold servers cannot do
-		b.earn()
+	refused := b.expiresTooSoon(r) || b.isPersistentlyLate(c) || b.rng.Float64() > b.admitProbability(c, ev.Tenant)
+	if !refused || b.cfg.Balancers < boundMinBalancers { // many would earn together what cold servers cannot do
+		b.grantSlowStartCredit()
 	}
 	if refused {
-		b.settle(r)
-	} else if c.tried = b.now; !b.send(r) {
-		b.hold(r)
+		b.finish(r)
+	} else if c.lastAdmitted = b.now; !b.send(r) {
+		b.enqueue(r)
 	}
 }
 
 // demand takes in that a request of c asks for work, or with none that time has passed.
-func (c *class) demand(now time.Duration, work float64) {
-	keep := 1 - selection.Alpha(now-c.askedAt)
-	c.asked, c.work, c.askedAt = c.asked*keep, c.work*keep, now
+func (c *class) recordDemand(now time.Duration, work float64) {
+	keep := 1 - selection.Alpha(now-c.ratesUpdated)
+	c.requestRate, c.workRate, c.ratesUpdated = c.requestRate*keep, c.workRate*keep, now
 	if work > 0 {
-		c.asked += 1 / ageing.Seconds()
-		c.work += work / ageing.Seconds()
+		c.requestRate += 1 / agingTime.Seconds()
+		c.workRate += work / agingTime.Seconds()
 	}
 }
 
-func (b *Balancer) load() (all float64) {
-	for _, c := range b.kinds {
-		c.demand(b.now, 0)
-		all += c.work
+func (b *Balancer) workRate() (all float64) {
+	for _, c := range b.classOrder {
+		c.recordDemand(b.now, 0)
+		all += c.workRate
 	}
 	return all
 }
@@ -82,29 +82,29 @@
 // most is how many attempts may be out: a multiple of what the work asked for keeps busy where nothing waits,
 // and a margin for chance, as in square-root staffing (Halfin and Whitt). What waits, waits here: with a
 // limit of one a server each, eighty sidecars crowded all servers, which slowed down and stayed so.
-func (b *Balancer) most() float64 {
-	w := b.load() / selection.Alpha(b.now-b.began) // what has come since the start is told of in part
-	return 1 + outTimes*w + outRoots*math.Sqrt(w)
+func (b *Balancer) maxInFlight() float64 {
+	w := b.workRate() / selection.Alpha(b.now-b.firstRequest) // what has come since the start is told of in part
+	return 1 + inFlightFactor*w + inFlightRootFactor*math.Sqrt(w)
 }
 
 // admits is the part of c's requests from tenant that is let in; the slack says how much can be done in time.
 // Classes, and tenants beyond their share, give way in inverse proportion to their worth: shed alike, the
 // dear would lose as much as the cheap; with the cheap shed alone, nothing of those would be served in a jam.
-func (b *Balancer) admits(c *class, tenant string) float64 {
-	in := calm * b.slack.Share
+func (b *Balancer) admitProbability(c *class, tenant string) float64 {
+	in := admitSlackFactor * b.slack.Share
 	if in >= 1 {
 		return 1
 	}
-	mix := b.door.Mix(b.now, b.rate*(1-selection.Alpha(b.now-b.rateAt)))
-	all, high := b.load(), 0.0 // the level over a kind's worth is its part that gives way
-	for _, o := range b.kinds {
-		high = max(high, b.worth(o))
+	mix := b.ledger.Mix(b.now, b.requestRate*(1-selection.Alpha(b.now-b.rateUpdated)))
+	all, high := b.workRate(), 0.0 // the level over a kind's worth is its part that gives way
+	for _, o := range b.classOrder {
+		high = max(high, b.valuePerWork(o))
 	}
 	for low, step := 0.0, 0; step < levelSteps; step++ {
 		level, shed := (low+high)/2, 0.0
-		for _, o := range b.kinds {
+		for _, o := range b.classOrder {
 			for _, t := range mix {
-				shed += o.work * t.Part * min(1, level/(b.worth(o)*t.Worth))
+				shed += o.workRate * t.Part * min(1, level/(b.valuePerWork(o)*t.Worth))
 			}
 		}
 		if shed < (1-in*in)*all {
@@ -113,39 +113,39 @@
 			high = level
 		}
 	}
-	return max(1-high/(b.worth(c)*b.door.Worth(tenant)), trickle)
+	return max(1-high/(b.valuePerWork(c)*b.ledger.Worth(tenant)), minAdmitProbability)
 }
 
 // worth is what a unit of c's work is worth.
-func (b *Balancer) worth(c *class) float64 {
-	worth := max(c.Value, leastWorth)
-	if b.cfg.ValuePerWork || c.work == 0 {
+func (b *Balancer) valuePerWork(c *class) float64 {
+	worth := max(c.Value, minValue)
+	if b.cfg.ValuePerWork || c.workRate == 0 {
 		return worth
 	}
-	return worth * c.asked / c.work
+	return worth * c.requestRate / c.workRate
 }
 
 // drags tells whether c waits past its aim wherever it goes, and not because all do: sent, its requests would
 // hold places for nothing. One an ageing time shows when that ends.
-func (b *Balancer) drags(c *class) bool {
-	return c.suspect[late] > max(dragging, b.self[late]) && b.now < c.tried+ageing
+func (b *Balancer) isPersistentlyLate(c *class) bool {
+	return c.faultShares[lateness] > max(lateClassThreshold, b.overall[lateness]) && b.now < c.lastAdmitted+agingTime
 }
 
 // impatient tells whether r is worth nothing when a quick answer could come: its client leaves or came again.
-func (b *Balancer) impatient(r *request) bool {
-	end := r.useful()
-	return end < r.full && b.now+seconds(r.class.quick) >= end
+func (b *Balancer) expiresTooSoon(r *request) bool {
+	end := r.usefulUntil()
+	return end < r.fullTarget && b.now+seconds(r.class.quickLatency) >= end
 }
 
 // sample moves the slack: the aged share of requests answered well in time. What ended before that could be
 // told, by an error or a client's leave, says nothing of crowding.
-func (b *Balancer) sample(r *request, done bool) {
-	early := b.now <= r.arrived+time.Duration(easy*float64(r.full-r.arrived))
-	if good := done && early; !good && (r.ofKind() || (early && !r.busy)) {
+func (b *Balancer) observeSlack(r *request, done bool) {
+	early := b.now <= r.arrived+time.Duration(earlyFraction*float64(r.fullTarget-r.arrived))
+	if good := done && early; !good && (r.isAtFault() || (early && !r.lastBusy)) {
 		return
 	}
 	b.slack.Observe(b.now, done && early)
-	if (b.shedding && b.slack.Share > b.slack.High) || (!b.shedding && calm*b.slack.Share < 1) {
+	if (b.shedding && b.slack.Share > b.slack.High) || (!b.shedding && admitSlackFactor*b.slack.Share < 1) {
 		b.shedding = !b.shedding
 		b.logf("shedding %t: slack %.2f", b.shedding, b.slack.Share)
 	}
@@ -153,13 +153,13 @@
 
 // prospect is how long a repeat of r had better wait: until the slack lets it in or its class is
 // tried again, for an answer time at the least; where it is late already, as long as may be asked.
-func (b *Balancer) prospect(r *request) time.Duration {
-	if b.now+b.cfg.Tick >= r.aim {
+func (b *Balancer) retryAfter(r *request) time.Duration {
+	if b.now+b.cfg.Tick >= r.target {
 		return b.cfg.Limits.MaxRetryAfter
 	}
-	wait := time.Duration((1 - min(calm*b.slack.Share, 1)) * float64(ageing))
-	if c := r.class; b.drags(c) {
-		wait = c.tried + ageing - b.now
+	wait := time.Duration((1 - min(admitSlackFactor*b.slack.Share, 1)) * float64(agingTime))
+	if c := r.class; b.isPersistentlyLate(c) {
+		wait = c.lastAdmitted + agingTime - b.now
 	}
-	return max(wait, seconds(r.class.mean))
+	return max(wait, seconds(r.class.meanLatency))
 }
--- a/logic/api.go
+++ b/logic/api.go
@@ -100,7 +100,7 @@
 }
 
 // SetTenantAllowance tells what of a tenant's allowance is this sidecar's, in requests a second; below 0: an equal part, as at first.
-func (b *Balancer) SetTenantAllowance(tenant string, rate float64) { b.door.Allot(tenant, rate) }
+func (b *Balancer) SetTenantAllowance(tenant string, rate float64) { b.ledger.Allot(tenant, rate) }
 
 // Tenant is a caller with a share of what the fleet can do; what it sends beyond that is worth little.
 type Tenant = door.Tenant
@@ -221,34 +221,34 @@
 
 // Balancer makes the decisions of one sidecar.
 type Balancer struct {
-	cfg       Config
-	classes   map[string]*class
-	kinds     []*class // the same, in the settings' order
-	rng       *rand.Rand
-	seed      uint64
-	servers   []*server // in this sidecar's own order
-	set       []*server // scratch of candidates: where a request may go
-	weights   []float64 // scratch of softmax
-	rate      float64   // aged own requests a second
-	rateAt    time.Duration
-	byID      map[uint64]*server
-	out       int // attempts out
-	requests  map[uint64]*request
-	held      []*request
-	self      suspect
-	ways      map[string]*suspect // by zone
-	cells     map[int]*suspect
-	tenants   map[string]*suspect
-	door      *door.Door // what tenants send against their shares
-	slack     selection.Slack
-	began     time.Duration // the first request
-	shedding  bool          // as last logged
-	listWrong bool          // it calls most servers gone: no proof
-	walk      selection.Walk[*server]
-	askAt     time.Duration // when to ask for the list (again); 0: no need
-	askWait   time.Duration
-	now       time.Duration
-	acts      []Action
+	cfg            Config
+	classes        map[string]*class
+	classOrder     []*class // the same, in the settings' order
+	rng            *rand.Rand
+	seed           uint64
+	servers        []*server // in this sidecar's own order
+	candidates     []*server // scratch of candidates: where a request may go
+	weights        []float64 // scratch of softmax
+	requestRate    float64   // aged own requests a second
+	rateUpdated    time.Duration
+	byID           map[uint64]*server
+	inFlight       int // attempts out
+	requests       map[uint64]*request
+	queue          []*request
+	overall        faultShares
+	zones          map[string]*faultShares // by zone
+	cells          map[int]*faultShares
+	tenants        map[string]*faultShares
+	ledger         *door.Door // what tenants send against their shares
+	slack          selection.Slack
+	firstRequest   time.Duration // the first request
+	shedding       bool          // as last logged
+	listDistrusted bool          // it calls most servers gone: no proof
+	walk           selection.Walk[*server]
+	listRequestAt  time.Duration // when to ask for the list (again); 0: no need
+	listBackoff    time.Duration
+	now            time.Duration
+	actions        []Action
 }
 
 // New makes a balancer, or tells what makes the settings unusable.
@@ -264,8 +264,8 @@
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		byID: map[uint64]*server{}, requests: map[uint64]*request{}, seed: seed,
 		slack: selection.NewSlack(selection.PaperBands),
-		ways:  map[string]*suspect{}, cells: map[int]*suspect{}, tenants: map[string]*suspect{},
-		door: door.New(cfg.Tenants, cfg.Balancers, cfg.OverShareValue, ageing),
+		zones: map[string]*faultShares{}, cells: map[int]*faultShares{}, tenants: map[string]*faultShares{},
+		ledger: door.New(cfg.Tenants, cfg.Balancers, cfg.OverShareValue, agingTime),
 	}
 	return b, b.SetClasses(cfg.Classes, cfg.Limits.MaxAttempts)
 }
@@ -284,52 +284,52 @@
 		}
 		kinds, named[c.Name] = append(kinds, k), k
 	}
-	b.kinds, b.classes, b.cfg.Classes, b.cfg.Limits.MaxAttempts = kinds, named, classes, max(attempts, 1)
+	b.classOrder, b.classes, b.cfg.Classes, b.cfg.Limits.MaxAttempts = kinds, named, classes, max(attempts, 1)
 	return nil
 }
 
 // SetTenants takes the tenants and the worth beyond a share from now on; what was counted of those kept stays.
-func (b *Balancer) SetTenants(tenants []Tenant, overShare float64) { b.door.Set(tenants, overShare) }
+func (b *Balancer) SetTenants(tenants []Tenant, overShare float64) { b.ledger.Set(tenants, overShare) }
 
 // Step takes one event and appends the actions that follow from it.
 func (b *Balancer) Step(now time.Duration, ev *Event, acts []Action) []Action {
-	b.now, b.acts = now, acts
+	b.now, b.actions = now, acts
 	switch ev.Kind {
 	case EvMembers:
-		b.members(ev)
+		b.onMembers(ev)
 	case EvListLost:
-		b.listLost(ev.Expires)
+		b.onListLost(ev.Expires)
 	case EvRequest:
-		b.request(ev)
+		b.onRequest(ev)
 	case EvStarted:
-		if a := b.attempt(ev); a != nil && !a.req.started {
-			a.req.started = true
-			b.answered(a, ev.Latency)
+		if a := b.attemptOf(ev); a != nil && !a.request.started {
+			a.request.started = true
+			b.recordAnswer(a, ev.Latency)
 		}
 	case EvOutcome:
-		b.outcome(ev)
+		b.onOutcome(ev)
 	case EvClientGone:
 		if r := b.requests[ev.Request]; r != nil && !r.closed {
 			b.close(r, false)
 		}
 	case EvWake:
-		b.wake(ev.Timer)
+		b.onWake(ev.Timer)
 	}
-	acts, b.acts = b.acts, nil
+	acts, b.actions = b.actions, nil
 	return acts
 }
 
-func (b *Balancer) act(a Action) { b.acts = append(b.acts, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 func (b *Balancer) logf(format string, args ...any) {
-	b.act(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
+	b.emit(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // at asks for a wake-up at t about the request or server id.
-func (b *Balancer) at(t time.Duration, kind TimerKind, id uint64) {
-	b.act(Action{Kind: ActWake, At: max(t, b.now), Timer: Timer{Kind: kind, ID: id}})
+func (b *Balancer) wakeAt(t time.Duration, kind TimerKind, id uint64) {
+	b.emit(Action{Kind: ActWake, At: max(t, b.now), Timer: Timer{Kind: kind, ID: id}})
 }
 
 // isDue tells whether a wake-up for t has come. The host may round t down: woken a fraction early, a sidecar
--- a/logic/fault_test.go
+++ b/logic/fault_test.go
@@ -115,7 +115,7 @@
 	r := newRig(t, settings(Safe), fleet(3)...)
 	r.list(false, Server{ID: 2, Zone: "z1", Since: r.now})
 	r.list(false, Server{ID: 2, Zone: "z1"})
-	if s := r.b.byID[2]; r.b.coldFraction(s) == 1 {
+	if s := r.b.byID[2]; r.b.capacityFraction(s) == 1 {
 		t.Error("an entry with an older start made a cold server warm")
 	}
 }
@@ -124,7 +124,7 @@
 	r := newRig(t, advice(Safe), fleet(3)...)
 	r.tally(1, 30)
 	r.list(true, fleet(1)...)
-	r.now += 2 * goneKept * ageing
+	r.now += 2 * goneRetention * agingTime
 	r.list(true, fleet(1)...)
 	if len(r.b.servers) != 1 {
 		t.Errorf("%d servers are still known, 1 is listed", len(r.b.servers))
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: time.Minute}
-	b.rate, b.rateAt = 1e3, r.now // a busy sidecar: all servers are in use
+	b.requestRate, b.rateUpdated = 1e3, r.now // a busy sidecar: all servers are in use
 	r.step(Event{Kind: EvMembers, Servers: servers, Complete: true, Stored: true})
 	return r
 }
@@ -219,7 +219,7 @@
 		}
 		r.outcome(id, 0, ms, Done) // the clock stands: the server stays as cold as it can be
 	}
-	if most := 400*coldShare*0.2/3.2 + coldBurst; float64(cold) > most {
+	if most := 400*slowStartShare*0.2/3.2 + slowStartMaxCredit; float64(cold) > most {
 		t.Errorf("a cold server got %d of 400 sends, %v at most", cold, most)
 	}
 	if cold == 0 {
@@ -231,21 +231,21 @@
 func TestRefusedRequestsEarnNothing(t *testing.T) {
 	list := fleet(4)
 	cfg := settings(Safe)
-	cfg.Balancers = limitsHold
+	cfg.Balancers = boundMinBalancers
 	r := newRig(t, cfg, list...)
 	list[0].Since = r.now
 	r.step(Event{Kind: EvMembers, Servers: list[:1]})
 	cold := r.b.byID[list[0].ID]
-	before := cold.credit
+	before := cold.slowStartCredit
 	for id := range uint64(50) {
 		r.step(Event{Kind: EvRequest, Request: id, Class: "c", Expires: r.now}) // its client waits no longer
 		if _, refused := r.find(ActReject); !refused {
 			t.Fatal("not refused")
 		}
 	}
-	refused := cold.credit
+	refused := cold.slowStartCredit
 	r.request(100)
-	if let := cold.credit; refused != before || let == before {
+	if let := cold.slowStartCredit; refused != before || let == before {
 		t.Errorf("credit %.2f, after 50 refused %.2f, after one let in %.2f", before, refused, let)
 	}
 }
@@ -269,7 +269,7 @@
 				}
 			}
 		}
-		if float64(got) < 0.9*part || float64(got) > 1.3*part+float64(cold)*coldBurst {
+		if float64(got) < 0.9*part || float64(got) > 1.3*part+float64(cold)*slowStartMaxCredit {
 			t.Errorf("%d cold servers of 10 got %d of 400 sends, their part is %.0f", cold, got, part)
 		}
 	}
@@ -467,12 +467,12 @@
 		r.request(id)
 	}
 	s := r.b.servers[0]
-	old := s.out[0]
+	old := s.inFlight[0]
 	r.b.now = r.now
 	r.b.eject(s)
 	r.now += 50 * ms
-	r.outcome(old.req.id, 0, 50*ms, Done)
-	if r.now >= s.ejected || s.backoff == ejectFirst {
+	r.outcome(old.request.id, 0, 50*ms, Done)
+	if r.now >= s.ejectedUntil || s.ejectBackoff == minEjectBackoff {
 		t.Error("an old answer ended the ejection")
 	}
 }
@@ -505,13 +505,13 @@
 			r.request(base + k)
 		}
 		r.now += 20 * ms
-		for len(s.out) > 0 {
-			a := s.out[0]
+		for len(s.inFlight) > 0 {
+			a := s.inFlight[0]
 			latency := 20 * ms
 			if r.b.rng.IntN(10) == 0 {
 				latency = 180 * ms
 			}
-			r.outcome(a.req.id, a.no, latency, Done)
+			r.outcome(a.request.id, a.number, latency, Done)
 		}
 	}
 	if s.limit < 8 {
@@ -711,9 +711,9 @@
 	for _, c := range []struct {
 		gap         time.Duration
 		least, most int
-	}{{500 * ms, subsetLeast, 8}, {10 * ms, 50, 50}} {
+	}{{500 * ms, minSubsetSize, 8}, {10 * ms, 50, 50}} {
 		r := newRig(t, settings(Safe), fleet(50)...)
-		r.b.rate = 0
+		r.b.requestRate = 0
 		used := map[uint64]bool{}
 		for id := range uint64(600) {
 			r.now += c.gap - 5*ms
@@ -742,13 +742,13 @@
 
 func TestSubsetWidensWhenItsServersFail(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(12)...)
-	r.b.rate, r.b.now = 0, r.now
-	for _, s := range r.b.servers[:subsetLeast] {
+	r.b.requestRate, r.b.now = 0, r.now
+	for _, s := range r.b.servers[:minSubsetSize] {
 		r.b.eject(s)
 	}
 	for id := range uint64(10) {
 		s := r.serve(id, func(uint64) time.Duration { return 5 * ms })
-		if slices.ContainsFunc(r.b.servers[:subsetLeast], func(o *server) bool { return o.ID == s }) {
+		if slices.ContainsFunc(r.b.servers[:minSubsetSize], func(o *server) bool { return o.ID == s }) {
 			t.Fatalf("server %d used though it is ejected", s)
 		}
 		r.now += 50 * ms
@@ -779,7 +779,7 @@
 		cfg.Balancers = 1000
 		cfg.Prices.Connection, cfg.Prices.Handshake = price, 0.08
 		r := newRig(t, cfg, fleet(1)...)
-		r.b.rate = 2
+		r.b.requestRate = 2
 		s := r.serve(1, func(uint64) time.Duration { return 10 * ms })
 		w, ok := r.find(ActWake)
 		if ok != (price > 0) {
@@ -868,8 +868,8 @@
 		r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerExpire, ID: id}})
 		r.outcome(id, 0, 115*ms, Canceled)
 	}
-	if r.b.slack.Share < slack-0.01 || r.b.servers[0].lates > 0 {
-		t.Errorf("slack %.2f -> %.2f, late %d times", slack, r.b.slack.Share, r.b.servers[0].lates)
+	if r.b.slack.Share < slack-0.01 || r.b.servers[0].lateInRow > 0 {
+		t.Errorf("slack %.2f -> %.2f, late %d times", slack, r.b.slack.Share, r.b.servers[0].lateInRow)
 	}
 	r.step(Event{Kind: EvRequest, Request: 2000, Class: "c", Expires: r.now + 20*ms})
 	if _, refused := r.find(ActReject); !refused {
@@ -917,7 +917,7 @@
 		bare := Config{Classes: []Class{{Name: "c", Effect: Keyed, Group: GroupZone}}} // nothing else is told
 		for _, cfg := range []Config{settings(Unsafe), bare} {
 			r := newRig(t, cfg, servers...)
-			r.b.rate = 0
+			r.b.requestRate = 0
 			var wakes []Action
 			for id := range uint64(40) {
 				wakes = append(wakes, r.request(id)...)
@@ -951,16 +951,16 @@
 	cfg.ValuePerWork = true
 	cfg.Classes = []Class{{Name: "cheap", Value: 1}, {Name: "dear", Value: 10}, {Name: "dear too", Value: 10}}
 	r := newRig(t, cfg, fleet(3)...)
-	for _, c := range r.b.kinds {
-		c.demand(r.now, 1)
+	for _, c := range r.b.classOrder {
+		c.recordDemand(r.now, 1)
 	}
 	var got [][2]float64
-	for _, slack := range []float64{1 / calm, 0.9 / calm, 0.5 / calm, 0} {
+	for _, slack := range []float64{1 / admitSlackFactor, 0.9 / admitSlackFactor, 0.5 / admitSlackFactor, 0} {
 		r.b.slack.Share = slack
-		got = append(got, [2]float64{r.b.admits(r.b.kinds[0], ""), r.b.admits(r.b.kinds[1], "")})
+		got = append(got, [2]float64{r.b.admitProbability(r.b.classOrder[0], ""), r.b.admitProbability(r.b.classOrder[1], "")})
 	}
 	// In all, the square of calm times the slack is let in: of three equal parts 2.43, 0.75 and nothing.
-	want := [][2]float64{{1, 1}, {0.525, 0.9525}, {trickle, 0.375}, {trickle, trickle}}
+	want := [][2]float64{{1, 1}, {0.525, 0.9525}, {minAdmitProbability, 0.375}, {minAdmitProbability, minAdmitProbability}}
 	for i := range want {
 		for j := range want[i] {
 			if math.Abs(got[i][j]-want[i][j]) > 1e-4 {
@@ -977,14 +977,14 @@
 	cfg.Balancers, cfg.OverShareValue = 1, 0.05
 	cfg.Tenants = []Tenant{{Name: "over", Share: 0.5, Allowance: 50}, {Name: "within", Share: 0.5, Allowance: 200}}
 	r := newRig(t, cfg, fleet(3)...)
-	r.b.rate, r.b.rateAt = 200, r.now
+	r.b.requestRate, r.b.rateUpdated = 200, r.now
 	for at := r.now - 20*time.Second; at < r.now; at += 10 * ms { // a hundred a second of each
-		r.b.door.Arrive(at, "over")
-		r.b.door.Arrive(at, "within")
+		r.b.ledger.Arrive(at, "over")
+		r.b.ledger.Arrive(at, "within")
 	}
-	r.b.kinds[0].demand(r.now, 1)
-	r.b.slack.Share = 0.8 / calm // 0.36 of the work is shed
-	over, within := r.b.admits(r.b.kinds[0], "over"), r.b.admits(r.b.kinds[0], "within")
+	r.b.classOrder[0].recordDemand(r.now, 1)
+	r.b.slack.Share = 0.8 / admitSlackFactor // 0.36 of the work is shed
+	over, within := r.b.admitProbability(r.b.classOrder[0], "over"), r.b.admitProbability(r.b.classOrder[0], "within")
 	// Half of what "over" sends is worth a twentieth: one of its requests is worth 0.525 of one of "within".
 	// Given way in inverse proportion to that, at a level of 0.248: 0.528 and 0.752 let in, 0.36 in all shed.
 	if math.Abs(over-0.528) > 0.01 || math.Abs(within-0.752) > 0.01 || math.Abs((2-over-within)/2-0.36) > 1e-3 {
@@ -1025,7 +1025,7 @@
 	r := newRig(t, settings(Safe), fleet(6)...)
 	rng := rand.New(rand.NewPCG(1, 1))
 	play := func(first uint64, broken *server) {
-		for id := first; id < first+20000 && broken.ejected == 0; id++ {
+		for id := first; id < first+20000 && broken.ejectedUntil == 0; id++ {
 			r.b.slack.Share = 1 // nothing is shed
 			r.request(id)
 			for attempt := 0; ; attempt++ {
@@ -1044,12 +1044,12 @@
 	}
 	play(1, &server{})
 	for _, s := range r.b.servers {
-		if s.ejected > 0 {
+		if s.ejectedUntil > 0 {
 			t.Errorf("server %d was ejected", s.ID)
 		}
 	}
-	if s := r.b.servers[2]; s.ejected == 0 {
-		if play(100000, s); s.ejected == 0 {
+	if s := r.b.servers[2]; s.ejectedUntil == 0 {
+		if play(100000, s); s.ejectedUntil == 0 {
 			t.Error("a server that answers nothing was not ejected")
 		}
 	}
@@ -1064,10 +1064,10 @@
 	r.request(1)
 	s := r.b.byID[r.sent()]
 	for _, o := range r.b.servers {
-		o.failing = 0.1
+		o.failureShare = 0.1
 	}
 	s.State = Gone
-	if r.outcome(1, 0, ms, Reset); s.ejected == 0 {
+	if r.outcome(1, 0, ms, Reset); s.ejectedUntil == 0 {
 		t.Error("not ejected")
 	}
 }
@@ -1128,8 +1128,8 @@
 				r.outcome(id, 0, 40*ms, Done)
 			}
 		}
-		if r.b.out < c.leastOut || r.b.out > c.mostOut {
-			t.Errorf("%+v: %d attempts are out", c, r.b.out)
+		if r.b.inFlight < c.leastOut || r.b.inFlight > c.mostOut {
+			t.Errorf("%+v: %d attempts are out", c, r.b.inFlight)
 		}
 	}
 }
--- a/logic/outcome.go
+++ b/logic/outcome.go
@@ -7,168 +7,168 @@
 )
 
 // attempt gives the attempt that ev speaks of, or nil if there is none.
-func (b *Balancer) attempt(ev *Event) *attempt {
+func (b *Balancer) attemptOf(ev *Event) *attempt {
 	if r := b.requests[ev.Request]; r != nil && ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
 		return r.attempts[ev.Attempt]
 	}
 	return nil
 }
 
-func (b *Balancer) outcome(ev *Event) {
-	a := b.attempt(ev)
-	if a == nil || !a.out {
+func (b *Balancer) onOutcome(ev *Event) {
+	a := b.attemptOf(ev)
+	if a == nil || !a.inFlight {
 		return
 	}
-	r := a.req
-	a.out, r.busy, b.out = false, ev.Outcome == Busy, b.out-1
-	a.srv.out = slices.DeleteFunc(a.srv.out, func(o *attempt) bool { return o == a })
-	b.idle(a.srv)
-	a.mayRun = ev.Outcome != Refused && ev.Outcome != Skipped &&
+	r := a.request
+	a.inFlight, r.lastBusy, b.inFlight = false, ev.Outcome == Busy, b.inFlight-1
+	a.server.inFlight = slices.DeleteFunc(a.server.inFlight, func(o *attempt) bool { return o == a })
+	b.scheduleIdleClose(a.server)
+	a.mayHaveRun = ev.Outcome != Refused && ev.Outcome != Skipped &&
 		(ev.Outcome != Busy || b.cfg.Contract.BusyMayHaveRun)
 	b.learn(a, ev)
 	if ev.Final && !r.closed {
 		if !r.started {
-			b.sample(r, ev.Outcome == Done)
+			b.observeSlack(r, ev.Outcome == Done)
 		}
 		b.close(r, ev.Outcome == Done)
 	}
 	if !r.closed {
-		b.again(r, a)
+		b.retry(r, a)
 	}
 	b.forget(r)
-	b.release()
+	b.dispatchQueue()
 }
 
 // learn takes in what an attempt tells of its server.
 func (b *Balancer) learn(a *attempt, ev *Event) {
-	s := a.srv
+	s := a.server
 	switch ev.Outcome {
 	case Skipped: // tells nothing of the server
 	case Done:
-		if !a.req.started {
-			b.answered(a, ev.Latency)
+		if !a.request.started {
+			b.recordAnswer(a, ev.Latency)
 		}
 	case Canceled, TimedOut:
-		if a.gaveUp || (ev.Outcome == TimedOut && b.now >= a.req.full-b.cfg.Tick) {
-			b.failed(a, ev.Outcome)
-		} else if v := a.req.cost / max(ev.Latency.Seconds(), 1e-3); v < s.Speed() {
+		if a.canceledLate || (ev.Outcome == TimedOut && b.now >= a.request.fullTarget-b.cfg.Tick) {
+			b.recordFailure(a, ev.Outcome)
+		} else if v := a.request.work / max(ev.Latency.Seconds(), 1e-3); v < s.Speed() {
 			s.Observe(b.now, v) // it had not answered by then: slower than this at best
 		}
 	default:
-		b.failed(a, ev.Outcome)
+		b.recordFailure(a, ev.Outcome)
 	}
 }
 
-func (b *Balancer) answered(a *attempt, latency time.Duration) {
-	s, r, sec := a.srv, a.req, max(latency.Seconds(), 1e-3)
-	b.blame(a, failed, false)
-	own := b.blame(a, late, b.now > r.full)
-	s.Observe(b.now, r.cost/sec)
-	s.fails, s.alive = 0, b.now
-	s.failing -= meanStep * s.failing
+func (b *Balancer) recordAnswer(a *attempt, latency time.Duration) {
+	s, r, sec := a.server, a.request, max(latency.Seconds(), 1e-3)
+	b.attribute(a, failure, false)
+	own := b.attribute(a, lateness, b.now > r.fullTarget)
+	s.Observe(b.now, r.work/sec)
+	s.failuresInRow, s.lastResponse = 0, b.now
+	s.failureShare -= meanStep * s.failureShare
 	// Answers to what was sent before an ejection do not end it.
-	if s.backoff > ejectFirst && a.sent >= s.ejected && b.now <= r.full {
+	if s.ejectBackoff > minEjectBackoff && a.sentAt >= s.ejectedUntil && b.now <= r.fullTarget {
 		b.logf("server %d recovered", s.ID)
-		s.backoff = ejectFirst
+		s.ejectBackoff = minEjectBackoff
 	}
 	c := r.class
-	if c.mean == 0 {
-		c.mean, c.dev, c.quick = sec, sec/2, sec
-	}
-	if b.now <= r.full {
-		c.dev += meanStep * (math.Abs(sec-c.mean) - c.dev)
-		c.mean += meanStep * (sec - c.mean)
-	}
-	c.quick += quickStep * (min(sec, c.quick) - c.quick + max(sec-c.quick, 0)/10)
-	room := max((r.full-r.arrived).Seconds()-c.quick, 0)
-	s.slow -= lateStep * s.slow
-	if sec > c.quick+shrinkAbove*room {
-		if own && (!a.crowded || b.now > r.full) { // else its limit answers
-			s.lates++
+	if c.meanLatency == 0 {
+		c.meanLatency, c.latencyDeviation, c.quickLatency = sec, sec/2, sec
+	}
+	if b.now <= r.fullTarget {
+		c.latencyDeviation += meanStep * (math.Abs(sec-c.meanLatency) - c.latencyDeviation)
+		c.meanLatency += meanStep * (sec - c.meanLatency)
+	}
+	c.quickLatency += quickStep * (min(sec, c.quickLatency) - c.quickLatency + max(sec-c.quickLatency, 0)/10)
+	room := max((r.fullTarget-r.arrived).Seconds()-c.quickLatency, 0)
+	s.slowShare -= slowStep * s.slowShare
+	if sec > c.quickLatency+shrinkAbove*room {
+		if own && (!a.crowded || b.now > r.fullTarget) { // else its limit answers
+			s.lateInRow++
 		}
-		b.tighten(a)
-	} else if s.lates = 0; a.crowded && sec <= c.quick+growBelow*room {
-		s.limit += max(1/s.limit, grow)
+		b.shrinkLimit(a)
+	} else if s.lateInRow = 0; a.crowded && sec <= c.quickLatency+growBelow*room {
+		s.limit += max(1/s.limit, minLimitGrowth)
 	}
-	if b.now > r.aim {
+	if b.now > r.target {
 		b.walk.Leave(s)
 	}
 }
 
 // failed counts a failure as speed zero and ejects on a row of them or on a high share of errors (a fast
 // failure would otherwise look like an idle server).
-func (b *Balancer) failed(a *attempt, o Outcome) {
-	s, what := a.srv, failed
+func (b *Balancer) recordFailure(a *attempt, o Outcome) {
+	s, what := a.server, failure
 	if o == TimedOut || o == Canceled {
-		what = late
+		what = lateness
 	}
-	own := b.blame(a, what, true)
-	s.failing += meanStep * (1 - s.failing)
+	own := b.attribute(a, what, true)
+	s.failureShare += meanStep * (1 - s.failureShare)
 	// Late though others were answered meanwhile: a queue, which the limit is for.
-	if own && (what == failed || s.alive <= a.sent) {
-		s.fails++
+	if own && (what == failure || s.lastResponse <= a.sentAt) {
+		s.failuresInRow++
 	}
-	if !a.req.ofKind() {
+	if !a.request.isAtFault() {
 		s.Observe(b.now, 0)
 		b.walk.Leave(s)
 	}
-	b.tighten(a)
-	if what == failed {
-		s.alive = b.now
+	b.shrinkLimit(a)
+	if what == failure {
+		s.lastResponse = b.now
 	} else if own {
-		s.lates++
+		s.lateInRow++
 	}
 	// Called gone and silent: the list was right, so the longest rest follows at once.
-	row := b.run()
+	row := b.ejectThreshold()
 	if s.State == Gone && o != Errored && o != Busy {
-		s.fails, s.backoff = row, ejectMost
+		s.failuresInRow, s.ejectBackoff = row, maxEjectBackoff
 	}
-	if s.fails >= row || s.suspect[failed] > ejectShare {
+	if s.failuresInRow >= row || s.faultShares[failure] > ejectFailureShare {
 		b.eject(s)
 	}
 }
 
 // tighten lowers the limit of a slow server, once for the attempts then out, by half the share of slow
 // answers (as DCTCP does): spread in the work cuts little, a queue deep.
-func (b *Balancer) tighten(a *attempt) {
-	s := a.srv
-	if s.slow += lateStep; a.sent >= s.shrunk && !a.req.ofKind() {
-		s.limit, s.shrunk = max(1, s.limit*(1-s.slow*cut)), b.now
+func (b *Balancer) shrinkLimit(a *attempt) {
+	s := a.server
+	if s.slowShare += slowStep; a.sentAt >= s.limitShrunkAt && !a.request.isAtFault() {
+		s.limit, s.limitShrunkAt = max(1, s.limit*(1-s.slowShare*limitCut)), b.now
 	}
 }
 
 // run is how many failures in a row tell that a server is at fault. Where attempts fail now and then at all,
 // as when connections break on the way, a busy sidecar soon sees a few in a row anywhere: four of six servers
 // were ejected for that, and the others overrun.
-func (b *Balancer) run() int {
+func (b *Balancer) ejectThreshold() int {
 	shares := []float64{0} // the list may have gone meanwhile
 	for _, s := range b.servers {
-		shares = append(shares, s.failing)
+		shares = append(shares, s.failureShare)
 	}
 	slices.Sort(shares)
 	usual := min(max(shares[len(shares)/2], 1e-3), 0.5) // of the middle one: a few at fault do not move it
-	return max(ejectFails, int(math.Ceil(math.Log(ejectChance)/math.Log(usual))))
+	return max(minEjectFailures, int(math.Ceil(math.Log(ejectChance)/math.Log(usual))))
 }
 
 // eject rests a hung or failing server for a while that doubles, then tries it with one attempt at a time.
 func (b *Balancer) eject(s *server) {
-	if b.now < s.ejected {
+	if b.now < s.ejectedUntil {
 		return
 	}
-	s.ejected, s.limit = b.now+time.Duration(s.backoff*float64(ageing)), 1
+	s.ejectedUntil, s.limit = b.now+time.Duration(s.ejectBackoff*float64(agingTime)), 1
 	b.logf("server %d ejected for %.1fs: %d failures, errors %.2f", s.ID,
-		(s.ejected - b.now).Seconds(), s.fails, s.suspect[failed])
-	s.backoff = min(2*s.backoff, ejectMost)
+		(s.ejectedUntil - b.now).Seconds(), s.failuresInRow, s.faultShares[failure])
+	s.ejectBackoff = min(2*s.ejectBackoff, maxEjectBackoff)
 }
 
 // idle plans the closing of s's idle connections once they have cost as much as a new handshake, so that
 // never more than twice the least is paid. All sidecars are taken to have this one's traffic.
-func (b *Balancer) idle(s *server) {
+func (b *Balancer) scheduleIdleClose(s *server) {
 	p := &b.cfg.Prices
-	if len(s.out) > 0 || p.Connection <= 0 {
+	if len(s.inFlight) > 0 || p.Connection <= 0 {
 		return
 	}
-	all := max(b.rate*float64(max(b.cfg.Balancers, 1)), 1e-3)
-	s.releaseAt = b.now + seconds(min(p.Handshake/p.Connection*connsPriced*float64(len(b.servers))/all, 1e6))
-	b.at(s.releaseAt, TimerIdle, s.ID)
+	all := max(b.requestRate*float64(max(b.cfg.Balancers, 1)), 1e-3)
+	s.closeIdleAt = b.now + seconds(min(p.Handshake/p.Connection*pricedConnections*float64(len(b.servers))/all, 1e6))
+	b.wakeAt(s.closeIdleAt, TimerIdle, s.ID)
 }
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -142,7 +142,7 @@
 	}
 	r.attempts = append(r.attempts, seenAttempt{server: a.Server, sent: c.now, out: true, timeout: c.now + a.After})
 	c.sends++
-	if c.b.coldFraction(c.b.byID[a.Server]) < 1 {
+	if c.b.capacityFraction(c.b.byID[a.Server]) < 1 {
 		c.coldGot[a.Server]++
 	}
 	if got := float64(c.coldGot[a.Server]); got > c.cold[a.Server]+3 {
@@ -153,8 +153,8 @@
 // earn books each cold server's present part of a request, of what the subset can do: half of it at the least.
 func (c *checker) earn() {
 	for id, s := range c.list {
-		if f := c.b.coldFraction(&server{Server: *s}); f < 1 && !c.banned[id] {
-			c.cold[id] += 2 * f / float64(min(c.ready(), c.b.width()))
+		if f := c.b.capacityFraction(&server{Server: *s}); f < 1 && !c.banned[id] {
+			c.cold[id] += 2 * f / float64(min(c.ready(), c.b.subsetSize()))
 		}
 	}
 }
