--- a/logic/admission.go
+++ b/logic/admission.go
@@ -6,27 +6,14 @@
 	"fieldrelay/logic/selection"
 )
 
+// onRequest admits a request, and then sends or queues it, or gives it a final answer at once.
 func (b *Balancer) onRequest(ev *Event) {
 	c := b.classes[ev.Class]
-	if c == nil { // nothing is known of it, so nothing is promised
+	if c == nil { // its effect is unknown, so a rejection could not be vouched for
 		b.emit(Action{Kind: ActFail, Request: ev.Request})
 		return
 	}
-	r := &request{id: ev.Request, class: c, key: ev.Key, hasKey: ev.HasKey, work: 1, arrived: b.now,
-		expires: ev.Expires, tenantShares: sharesOf(b.tenants, ev.Tenant)}
-	aim := c.LatencyTarget
-	if ev.ExpectedWork > 0 {
-		r.work = ev.ExpectedWork.Seconds()
-		aim += time.Duration(c.TargetPerWork * float64(ev.ExpectedWork))
-	}
-	if aim <= 0 {
-		aim = c.Deadline
-	}
-	r.fullTarget = b.now + aim
-	r.target = min(r.fullTarget, r.expires)
-	if ev.Retry && c.missedTarget > 0 { // its time runs from its first try, one of those that failed
-		r.target = min(r.target, c.missedTarget)
-	}
+	r := b.newRequest(ev, c)
 	b.requests[r.id] = r
 	b.requestRate += 1/agingTime.Seconds() - selection.Alpha(b.now-b.rateUpdated)*b.requestRate
 	if b.rateUpdated = b.now; b.slack.Begin(b.now) {
@@ -35,29 +22,59 @@
 	b.wakeAt(r.expires-b.cfg.Tick, TimerExpire, r.id)
 	c.recordDemand(b.now, r.work)
 	b.ledger.Arrive(b.now, ev.Tenant)
-	// Servers that answer late to all spend their whole capacity on it, a jam that holds itself up. Letting
-	// in less than is answered in time drains it.
-	refused := b.expiresTooSoon(r) || b.isPersistentlyLate(c) || b.rng.Float64() > b.admitProbability(c, ev.Tenant)
-	if !refused || b.cfg.Balancers < boundMinBalancers { // many would earn together what cold servers cannot do
+	// Servers that answer everything late spend their whole capacity on it, and so the overload sustains
+	// itself. Admitting less than is answered in time drains it.
+	rejected := b.expiresTooSoon(r) || b.isPersistentlyLate(c) ||
+		b.rng.Float64() > b.admitProbability(c, ev.Tenant)
+	// Many sidecars would together earn credit for requests that the servers in slow start cannot serve.
+	if !rejected || b.cfg.Balancers < boundMinBalancers {
 		b.grantSlowStartCredit()
 	}
-	if refused {
+	if rejected {
 		b.finish(r)
 	} else if c.lastAdmitted = b.now; !b.send(r) {
 		b.enqueue(r)
 	}
 }
 
-// admits is the part of c's requests from tenant that is let in; the slack says how much can be done in time.
-// Classes, and tenants beyond their share, give way in inverse proportion to their worth: shed alike, the
-// dear would lose as much as the cheap; with the cheap shed alone, nothing of those would be served in a jam.
+// newRequest returns the state of the request of ev, which has class c.
+func (b *Balancer) newRequest(ev *Event, c *class) *request {
+	r := &request{id: ev.Request, class: c, key: ev.Key, hasKey: ev.HasKey, work: 1, arrived: b.now,
+		expires: ev.Expires, tenantShares: sharesOf(b.tenants, ev.Tenant)}
+	target := c.LatencyTarget
+	if ev.ExpectedWork > 0 {
+		r.work = ev.ExpectedWork.Seconds()
+		target += time.Duration(c.TargetPerWork * float64(ev.ExpectedWork))
+	}
+	if target <= 0 {
+		target = c.Deadline
+	}
+	r.fullTarget = b.now + target
+	r.target = min(r.fullTarget, r.expires)
+	if ev.Retry && c.missedTarget > 0 { // its target counts from its first request, one of those that failed
+		r.target = min(r.target, c.missedTarget)
+	}
+	return r
+}
+
+// admitProbability is the share of the requests of class c from tenant that is admitted. The slack says how
+// much can be answered in time. Classes, and tenants beyond their quota share, are shed in inverse proportion
+// to their value: shed alike, the valuable would lose as much as the cheap; with only the cheap shed, none of
+// those would be served during an overload.
 func (b *Balancer) admitProbability(c *class, tenant string) float64 {
-	in := admitSlackFactor * b.slack.Share
-	if in >= 1 {
+	admitted := admitSlackFactor * b.slack.Share
+	if admitted >= 1 {
 		return 1
 	}
+	level := b.sheddingLevel(admitted)
+	return max(1-level/(b.valuePerWork(c)*b.ledger.Worth(tenant)), minAdmitProbability)
+}
+
+// sheddingLevel returns the level that sheds all but the square of admitted of the work: a class and tenant
+// lose the level over their value, at most everything. It is found by bisection.
+func (b *Balancer) sheddingLevel(admitted float64) float64 {
 	mix := b.ledger.Mix(b.now, b.requestRate*(1-selection.Alpha(b.now-b.rateUpdated)))
-	all, high := b.workRate(), 0.0 // the level over a kind's worth is its part that gives way
+	all, high := b.workRate(), 0.0
 	for _, o := range b.classOrder {
 		high = max(high, b.valuePerWork(o))
 	}
@@ -68,37 +85,40 @@
 				shed += o.workRate * t.Part * min(1, level/(b.valuePerWork(o)*t.Worth))
 			}
 		}
-		if shed < (1-in*in)*all {
+		if shed < (1-admitted*admitted)*all {
 			low = level
 		} else {
 			high = level
 		}
 	}
-	return max(1-high/(b.valuePerWork(c)*b.ledger.Worth(tenant)), minAdmitProbability)
+	return high
 }
 
-// impatient tells whether r is worth nothing when a quick answer could come: its client leaves or came again.
+// expiresTooSoon reports whether not even a quick answer to r would be of value: its client stops waiting
+// before, or retries what missed its target.
 func (b *Balancer) expiresTooSoon(r *request) bool {
 	end := r.usefulUntil()
 	return end < r.fullTarget && b.now+seconds(r.class.quickLatency) >= end
 }
 
-// sample moves the slack: the aged share of requests answered well in time. What ended before that could be
-// told, by an error or a client's leave, says nothing of crowding.
-func (b *Balancer) observeSlack(r *request, done bool) {
+// observeSlack updates the slack, the aged share of requests that are answered well within their target. A
+// request that ended early for another reason, by an error or since its client has gone, says nothing about
+// overload and is left out.
+func (b *Balancer) observeSlack(r *request, served bool) {
 	early := b.now <= r.arrived+time.Duration(earlyFraction*float64(r.fullTarget-r.arrived))
-	if good := done && early; !good && (r.isAtFault() || (early && !r.lastBusy)) {
+	if good := served && early; !good && (r.isAtFault() || (early && !r.lastBusy)) {
 		return
 	}
-	b.slack.Observe(b.now, done && early)
-	if (b.shedding && b.slack.Share > b.slack.High) || (!b.shedding && admitSlackFactor*b.slack.Share < 1) {
+	b.slack.Observe(b.now, served && early)
+	admitted := admitSlackFactor * b.slack.Share
+	if (b.shedding && b.slack.Share > b.slack.High) || (!b.shedding && admitted < 1) {
 		b.shedding = !b.shedding
 		b.logf("shedding %t: slack %.2f", b.shedding, b.slack.Share)
 	}
 }
 
-// prospect is how long a repeat of r had better wait: until the slack lets it in or its class is
-// tried again, for an answer time at the least; where it is late already, as long as may be asked.
+// retryAfter is the time after which a retry of r has a prospect: once the slack admits it or its class is
+// tried again, and no less than a mean answer time. For a request past its target it is the longest allowed.
 func (b *Balancer) retryAfter(r *request) time.Duration {
 	if b.now+b.cfg.Tick >= r.target {
 		return b.cfg.Limits.MaxRetryAfter
--- a/logic/candidates.go
+++ b/logic/candidates.go
@@ -2,51 +2,60 @@
 
 import "slices"
 
-// width is the size of the subset: as many servers as the own requests keep fresh within δ.
+// subsetSize is the number of servers that this sidecar uses: as many as its requests can keep freshly
+// sampled within an aging time.
 func (b *Balancer) subsetSize() int {
 	return max(int(b.requestRate*agingTime.Seconds()/freshSamples), minSubsetSize)
 }
 
-// candidates sets b.set to the servers r may go to: the first in this sidecar's order, as many as its width,
-// that the rules allow, neither ejected nor tried (if none, one of those, so others rest), under their limit.
+// findCandidates sets b.candidates to the servers that r may be sent to now: those of its subset that are
+// below their limit and not expected to answer too late.
 func (b *Balancer) findCandidates(r *request) {
+	b.findSubset(r)
+	heavy := b.isHeavy(r)
+	b.candidates = slices.DeleteFunc(b.candidates, func(s *server) bool {
+		n := float64(len(s.inFlight))
+		return n >= max(s.limit, 1) || (heavy && n >= max(s.limit-1, 1))
+	})
+	b.dropLateServers(r)
+}
+
+// findSubset sets b.candidates to the subset of r: the first servers in this sidecar's own order that the
+// rules allow, neither ejected nor tried by r before. If there is none, it is the one of the others whose
+// ejection ends first, so that the rest recover.
+func (b *Balancer) findSubset(r *request) {
 	b.candidates = b.candidates[:0]
-	var last *server
-	var fit [2]int // of the near servers and of those across
-	width := b.subsetSize()
+	var fallback *server
+	var found [2]int // by zoneSide
+	size := b.subsetSize()
 	if b.cfg.Prices.CrossZone <= 0 {
-		fit[1] = width
+		found[1] = size
 	}
 	for _, s := range b.servers {
-		zone := b.zoneSide(s)
-		if fit[0] >= width && fit[1] >= width {
+		side := b.zoneSide(s)
+		if found[0] >= size && found[1] >= size {
 			break
 		}
-		spent := b.capacityFraction(s) < 1 && s.slowStartCredit < 1
-		if fit[zone] >= width || b.isExcluded(s) || !b.mayAttemptAt(r, s) || spent {
+		noCredit := b.capacityFraction(s) < 1 && s.slowStartCredit < 1
+		if found[side] >= size || b.isExcluded(s) || !b.mayAttemptAt(r, s) || noCredit {
 			continue
 		}
 		if b.now >= s.ejectedUntil && !r.tried(s) {
-			fit[zone]++
+			found[side]++
 			b.candidates = append(b.candidates, s)
-		} else if last == nil || s.ejectedUntil < last.ejectedUntil {
-			last = s
+		} else if fallback == nil || s.ejectedUntil < fallback.ejectedUntil {
+			fallback = s
 		}
 	}
-	if len(b.candidates) == 0 && last != nil {
-		b.candidates = append(b.candidates, last)
+	if len(b.candidates) == 0 && fallback != nil {
+		b.candidates = append(b.candidates, fallback)
 	}
-	heavy := b.isHeavy(r)
-	b.candidates = slices.DeleteFunc(b.candidates, func(s *server) bool {
-		n := float64(len(s.inFlight))
-		return n >= max(s.limit, 1) || (heavy && n >= max(s.limit-1, 1))
-	})
-	b.dropLateServers(r)
 }
 
-// dropLateServers takes the servers that lately answered too late for r out of its candidates, unless that leaves
-// none. The price of crossing would keep requests there, and a thousand sidecars that each tried again after
-// a time would hold a jam up: a small share of the own requests tries the one heard of least lately.
+// dropLateServers removes the candidates that are expected to answer too late for r, unless all are. A small
+// share of the requests probes the least recently sampled of them instead. Without the removal the price of
+// crossing zones keeps requests there; without the bound on probes, a thousand sidecars that each try again
+// after a time sustain the overload.
 func (b *Balancer) dropLateServers(r *request) {
 	left := (r.usefulUntil() - b.now).Seconds() * usableTimeLeft
 	tooLate := func(s *server) bool {
@@ -55,14 +64,14 @@
 	if !slices.ContainsFunc(b.candidates, func(s *server) bool { return !tooLate(s) }) {
 		return
 	}
-	var again *server
+	var probe *server
 	for _, s := range b.candidates {
-		if tooLate(s) && len(s.inFlight) == 0 && (again == nil || s.SampledAt() < again.SampledAt()) {
-			again = s
+		if tooLate(s) && len(s.inFlight) == 0 && (probe == nil || s.SampledAt() < probe.SampledAt()) {
+			probe = s
 		}
 	}
-	if again != nil && b.rng.Float64() < lateProbeShare {
-		b.candidates = append(b.candidates[:0], again)
+	if probe != nil && b.rng.Float64() < lateProbeShare {
+		b.candidates = append(b.candidates[:0], probe)
 		return
 	}
 	b.candidates = slices.DeleteFunc(b.candidates, tooLate)
--- a/logic/class.go
+++ b/logic/class.go
@@ -8,19 +8,21 @@
 	"fieldrelay/logic/selection"
 )
 
+// class is what this sidecar has measured of a class of requests.
 type class struct {
 	Class
-	meanLatency, latencyDeviation float64 // aged answer time of successes, in seconds
-	quickLatency                  float64 // what an answer takes where nothing waits, about the lowest tenth
-	requestRate                   float64 // aged requests a second,
-	workRate                      float64 // and the work of them,
-	ratesUpdated                  time.Duration
+	meanLatency      float64 // of answers within the full target, in seconds, aged
+	latencyDeviation float64 // mean absolute deviation from it
+	quickLatency     float64 // seconds of an answer that did not queue: about the lowest tenth
+	requestRate      float64 // requests a second, aged as of ratesUpdated
+	workRate         float64 // and their work a second
+	ratesUpdated     time.Duration
 	faultShares
-	lastAdmitted time.Duration // when one was last let in although the class drags
-	missedTarget time.Duration // the latest aim of a request that ended unserved
+	lastAdmitted time.Duration // when a request was last admitted
+	missedTarget time.Duration // latest full target of the requests that ended unserved
 }
 
-// demand takes in that a request of c asks for work, or with none that time has passed.
+// recordDemand counts a request of c and its work; with work 0 it only ages the rates to now.
 func (c *class) recordDemand(now time.Duration, work float64) {
 	keep := 1 - selection.Alpha(now-c.ratesUpdated)
 	c.requestRate, c.workRate, c.ratesUpdated = c.requestRate*keep, c.workRate*keep, now
@@ -30,42 +32,47 @@
 	}
 }
 
-func (b *Balancer) workRate() (all float64) {
+// workRate is the work a second that clients of this sidecar request, over all classes.
+func (b *Balancer) workRate() (sum float64) {
 	for _, c := range b.classOrder {
 		c.recordDemand(b.now, 0)
-		all += c.workRate
+		sum += c.workRate
 	}
-	return all
+	return sum
 }
 
-// most is how many attempts may be out: a multiple of what the work asked for keeps busy where nothing waits,
-// and a margin for chance, as in square-root staffing (Halfin and Whitt). What waits, waits here: with a
-// limit of one a server each, eighty sidecars crowded all servers, which slowed down and stayed so.
+// maxInFlight bounds the attempts in flight: a multiple of the servers that the requested work occupies where
+// nothing queues, and a margin for chance, as in square-root staffing (Halfin and Whitt, 1981). The rest
+// queues in this sidecar: with a limit of one a server each, eighty sidecars crowded all servers, which
+// slowed down and stayed slow.
 func (b *Balancer) maxInFlight() float64 {
-	w := b.workRate() / selection.Alpha(b.now-b.firstRequest) // what has come since the start is told of in part
-	return 1 + inFlightFactor*w + inFlightRootFactor*math.Sqrt(w)
+	// Soon after the first request the aged rate has only a part of its final value.
+	occupied := b.workRate() / selection.Alpha(b.now-b.firstRequest)
+	return 1 + inFlightFactor*occupied + inFlightRootFactor*math.Sqrt(occupied)
 }
 
-// worth is what a unit of c's work is worth.
+// valuePerWork is the value of a unit of work of class c.
 func (b *Balancer) valuePerWork(c *class) float64 {
-	worth := max(c.Value, minValue)
+	value := max(c.Value, minValue)
 	if b.cfg.ValuePerWork || c.workRate == 0 {
-		return worth
+		return value
 	}
-	return worth * c.requestRate / c.workRate
+	return value * c.requestRate / c.workRate
 }
 
-// drags tells whether c waits past its aim wherever it goes, and not because all do: sent, its requests would
-// hold places for nothing. One an ageing time shows when that ends.
+// isPersistentlyLate reports whether c misses its target at whichever server it is sent to, while not all
+// requests do: its attempts would occupy servers for nothing. One request an aging time is admitted all the
+// same, to notice when that ends.
 func (b *Balancer) isPersistentlyLate(c *class) bool {
-	return c.faultShares[lateness] > max(lateClassThreshold, b.overall[lateness]) && b.now < c.lastAdmitted+agingTime
+	return c.faultShares[lateness] > max(lateClassThreshold, b.overall[lateness]) &&
+		b.now < c.lastAdmitted+agingTime
 }
 
-// heavy tells whether r is so much work beside what else comes that light requests would wait for its like
-// alone: a limit counts attempts, and a burst of long ones took every place for as long as they lasted.
+// isHeavy reports whether r is so much more work than a class in recent use that light requests would queue
+// behind its like. Limits count attempts, and a burst of long ones occupied every place for its duration.
 func (b *Balancer) isHeavy(r *request) bool {
 	return slices.ContainsFunc(b.classOrder, func(c *class) bool {
-		lately := c.requestRate * (1 - selection.Alpha(b.now-c.ratesUpdated)) * agingTime.Seconds()
-		return lately > minRecentRequests && r.work*c.requestRate > heavyFactor*c.workRate
+		recent := c.requestRate * (1 - selection.Alpha(b.now-c.ratesUpdated)) * agingTime.Seconds()
+		return recent > minRecentRequests && r.work*c.requestRate > heavyFactor*c.workRate
 	})
 }
--- a/logic/ejection.go
+++ b/logic/ejection.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// run is how many failures in a row tell that a server is at fault. Where attempts fail now and then at all,
-// as when connections break on the way, a busy sidecar soon sees a few in a row anywhere: four of six servers
-// were ejected for that, and the others overrun.
+// ejectThreshold is the number of failures in a row that ejects a server: as many as chance brings rarely.
+// Where some attempts fail everywhere, as with connections that break on the way, a busy sidecar soon sees a
+// few in a row anywhere: four of six servers were ejected for that, and the other two overloaded.
 func (b *Balancer) ejectThreshold() int {
-	shares := []float64{0} // the list may have gone meanwhile
+	shares := []float64{0} // the list may have lost all servers meanwhile
 	for _, s := range b.servers {
 		shares = append(shares, s.failureShare)
 	}
 	slices.Sort(shares)
-	usual := min(max(shares[len(shares)/2], 1e-3), 0.5) // of the middle one: a few at fault do not move it
-	return max(minEjectFailures, int(math.Ceil(math.Log(ejectChance)/math.Log(usual))))
+	median := min(max(shares[len(shares)/2], 1e-3), 0.5) // a few faulty servers do not move it
+	return max(minEjectFailures, int(math.Ceil(math.Log(ejectChance)/math.Log(median))))
 }
 
-// eject rests a hung or failing server for a while that doubles, then tries it with one attempt at a time.
+// eject stops sends to a hung or failing server for a time that doubles with each ejection; after it, one
+// attempt at a time probes the server. It is outlier ejection as known from Envoy.
 func (b *Balancer) eject(s *server) {
 	if b.now < s.ejectedUntil {
 		return
--- a/logic/fault.go
+++ b/logic/fault.go
@@ -1,22 +1,36 @@
 package logic
 
-// suspect is one that an outcome may be the fault of: the aged shares of failed and of late ones laid to it.
-type faultShares [2]float64
+// A bad outcome may be the fault of the server, of what it shares with others (its cell, the path to its
+// zone), of the kind of request, or of everything, as in an overload. Attribution keeps them apart: without
+// it a tenant whose requests fail anywhere, or a zone out of reach, ejected server after server, and a class
+// that is late everywhere passed for an overload.
 
-const failure, lateness = 0, 1 // places in a suspect
+// faultKind is a kind of bad outcome.
+type faultKind int
 
-// The suspects of an outcome. The first stands for all that this sidecar reaches, as in a crowded fleet.
 const (
-	suspectAll = iota
+	failure faultKind = iota
+	lateness
+	faultKinds // their number
+)
+
+// faultShares are the aged shares of bad outcomes attributed to one suspect, by kind.
+type faultShares [faultKinds]float64
+
+// suspect is what a bad outcome may be attributed to.
+type suspect int
+
+const (
+	suspectAll suspect = iota // everything that this sidecar reaches
 	suspectServer
 	suspectCell
-	suspectZone // to the server's zone
+	suspectZone // the path to the server's zone
 	suspectClass
 	suspectTenant
 	suspectCount
 )
 
-// entry gives the suspect of a key, a new one if there is none yet.
+// sharesOf returns the shares of key k in m, new ones if there are none yet.
 func sharesOf[K comparable](m map[K]*faultShares, k K) *faultShares {
 	if m[k] == nil {
 		m[k] = &faultShares{}
@@ -24,33 +38,36 @@
 	return m[k]
 }
 
-// blame lays an outcome to its suspects: a bad one in proportion to what was laid to them before, so that
-// what is seen alike across servers ends up at what they share; a good one clears all. It tells whether the
-// server is the likeliest, true of a good one. Without it a caller whose requests fail anywhere,
-// or a zone out of reach, ejected server after server, and a class that waits everywhere passed for a jam.
-func (b *Balancer) attribute(a *attempt, what int, bad bool) (own bool) {
+// attribute updates the shares of all suspects of an attempt's outcome. A bad outcome is attributed in
+// proportion to what was attributed before, so that what is seen alike across servers accumulates at what
+// they have in common; a good one lowers all. It records the likeliest suspect of a bad outcome in the
+// request, and reports whether that is the server; of a good outcome it reports true.
+func (b *Balancer) attribute(a *attempt, kind faultKind, bad bool) (toServer bool) {
 	s, r := a.server, a.request
-	of := [suspectCount]*faultShares{&b.overall, &s.faultShares, s.cellShares, s.zoneShares, &r.class.faultShares, r.tenantShares}
-	total, top := serverFaultPrior-sharedFaultPrior, 0.0
-	for _, x := range of {
-		total += x[what] + sharedFaultPrior
+	shares := [suspectCount]*faultShares{&b.overall, &s.faultShares, s.cellShares, s.zoneShares,
+		&r.class.faultShares, r.tenantShares}
+	total, highest := serverFaultPrior-sharedFaultPrior, 0.0
+	for _, x := range shares {
+		total += x[kind] + sharedFaultPrior
 	}
-	for i, x := range of {
-		step, part := sharedFaultStep, x[what]+sharedFaultPrior
-		if i == suspectServer {
-			step, part = serverFaultStep, x[what]+serverFaultPrior
+	for i, x := range shares {
+		step, part := sharedFaultStep, x[kind]+sharedFaultPrior
+		if suspect(i) == suspectServer {
+			step, part = serverFaultStep, x[kind]+serverFaultPrior
 		}
+		// A class or tenant is held at fault for failures only once they are frequent.
+		eligible := suspect(i) < suspectClass || kind == lateness || x[kind] > lateClassThreshold
 		if part /= total; !bad {
 			part = 0
-		} else if part > top && (i < suspectClass || what == lateness || x[what] > lateClassThreshold) {
-			top, r.fault = part, i
+		} else if part > highest && eligible {
+			highest, r.fault = part, suspect(i)
 		}
-		if !bad || part > x[what] {
-			x[what] += step * (part - x[what])
+		if !bad || part > x[kind] {
+			x[kind] += step * (part - x[kind])
 		}
 	}
 	return !bad || r.fault == suspectServer
 }
 
-// isAtFault tells whether it is the kind of r that goes wrong, wherever it is sent.
+// isAtFault reports whether r itself, by its class or tenant, is the likeliest cause of its last bad outcome.
 func (r *request) isAtFault() bool { return r.fault == suspectClass || r.fault == suspectTenant }
--- a/logic/listrequest.go
+++ b/logic/listrequest.go
@@ -2,21 +2,24 @@
 
 import "time"
 
-const listEntryTime = time.Millisecond // assumed work of the list's service for an entry
+// listEntryTime is the time that the list's service is assumed to need for one entry of an answer.
+const listEntryTime = time.Millisecond
 
-// ask subscribes to the list. The subscription is kept up because a sidecar without one is held to a list
-// that it has not seen.
+// requestList subscribes to the server list. The subscription is kept up, because a sidecar without one is
+// held to a list that it has not received.
 func (b *Balancer) requestList() {
 	b.emit(Action{Kind: ActWatch})
-	b.scheduleListRequest(2 * b.maxListWait()) // should no answer come at all
+	b.scheduleListRequest(2 * b.maxListWait()) // in case no answer comes at all
 }
 
+// maxListWait is the longest wait before the list is requested again.
 func (b *Balancer) maxListWait() time.Duration {
 	return max(time.Duration(listWaitShare*float64(b.cfg.Contract.ListInterval)), time.Second)
 }
 
-// listServiceTime is how long the list's service may need for a call of each sidecar: it does not grow with them and
-// works on, call by call, also at those that were given up. What it does within one wait is not spread.
+// listServiceTime is how long the list's service may need to answer a call from each sidecar. The service
+// does not scale with them, and processes call after call, also those that were given up. Work that takes no
+// longer than one wait is not spread.
 func (b *Balancer) listServiceTime() time.Duration {
 	n := time.Duration(b.cfg.Balancers)
 	if work := n * time.Duration(len(b.servers)) * listEntryTime; work > b.maxListWait() {
@@ -25,18 +28,21 @@
 	return n * b.cfg.Tick
 }
 
-// onListLost asks again after a wait that doubles and lets the calls of all others pass, so that a service in
-// trouble is not kept there. Where what was missed counts as told soon, a second call has time before that.
-func (b *Balancer) onListLost(told time.Duration) {
-	if b.cfg.Subscribe {
-		work := min(b.listServiceTime(), 2*b.maxListWait())
-		b.listBackoff = min(max(2*b.listBackoff, b.maxListWait()/16, work), max(b.maxListWait(), work))
-		wait := (0.5 + b.rng.Float64()/2) * float64(b.listBackoff)
-		if told > b.now {
-			wait = min(wait, b.rng.Float64()*float64(max(told-b.now, b.maxListWait()/8))/2)
-		}
-		b.scheduleListRequest(time.Duration(wait))
+// onListLost schedules another request with exponential backoff and jitter, over a time in which the calls
+// of all sidecars are answered, so that they do not keep an overloaded service overloaded. A change that was
+// missed counts as notified at the given time, if that is not 0: the wait leaves time for a second call.
+func (b *Balancer) onListLost(notifiedAt time.Duration) {
+	if !b.cfg.Subscribe {
+		return
 	}
+	longest := b.maxListWait()
+	work := min(b.listServiceTime(), 2*longest)
+	b.listBackoff = min(max(2*b.listBackoff, longest/16, work), max(longest, work))
+	wait := (0.5 + b.rng.Float64()/2) * float64(b.listBackoff)
+	if notifiedAt > b.now {
+		wait = min(wait, b.rng.Float64()*float64(max(notifiedAt-b.now, longest/8))/2)
+	}
+	b.scheduleListRequest(time.Duration(wait))
 }
 
 func (b *Balancer) scheduleListRequest(wait time.Duration) {
--- a/logic/outcome.go
+++ b/logic/outcome.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// attempt gives the attempt that ev speaks of, or nil if there is none.
+// attemptOf returns the attempt that ev is about, or nil if it is not known.
 func (b *Balancer) attemptOf(ev *Event) *attempt {
 	if r := b.requests[ev.Request]; r != nil && ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
 		return r.attempts[ev.Attempt]
@@ -14,6 +14,7 @@
 	return nil
 }
 
+// onOutcome ends an attempt, decides what follows for its request, and sends what is queued.
 func (b *Balancer) onOutcome(ev *Event) {
 	a := b.attemptOf(ev)
 	if a == nil || !a.inFlight {
@@ -39,11 +40,11 @@
 	b.dispatchQueue()
 }
 
-// learn takes in what an attempt tells of its server.
+// learn updates what is known about the server of a by its outcome.
 func (b *Balancer) learn(a *attempt, ev *Event) {
 	s := a.server
 	switch ev.Outcome {
-	case Skipped: // tells nothing of the server
+	case Skipped: // it never reached the server
 	case Done:
 		if !a.request.started {
 			b.recordAnswer(a, ev.Latency)
@@ -52,60 +53,85 @@
 		if a.canceledLate || (ev.Outcome == TimedOut && b.now >= a.request.fullTarget-b.cfg.Tick) {
 			b.recordFailure(a, ev.Outcome)
 		} else if v := a.request.work / max(ev.Latency.Seconds(), 1e-3); v < s.Speed() {
-			s.Observe(b.now, v) // it had not answered by then: slower than this at best
+			s.Observe(b.now, v) // no answer by then: it is no faster than this
 		}
 	default:
 		b.recordFailure(a, ev.Outcome)
 	}
 }
 
+// recordAnswer updates the estimates of the server and the class by an answer after latency.
 func (b *Balancer) recordAnswer(a *attempt, latency time.Duration) {
-	s, r, sec := a.server, a.request, max(latency.Seconds(), 1e-3)
+	s, r, took := a.server, a.request, max(latency.Seconds(), 1e-3)
+	onTime := b.now <= r.fullTarget
 	b.attribute(a, failure, false)
-	own := b.attribute(a, lateness, b.now > r.fullTarget)
-	s.Observe(b.now, r.work/sec)
+	serverAtFault := b.attribute(a, lateness, !onTime)
+	s.Observe(b.now, r.work/took)
 	s.failuresInRow, s.lastResponse = 0, b.now
 	s.failureShare -= meanStep * s.failureShare
-	// Answers to what was sent before an ejection do not end it.
-	if s.ejectBackoff > minEjectBackoff && a.sentAt >= s.ejectedUntil && b.now <= r.fullTarget {
+	// An answer to what was sent before an ejection does not end it.
+	if s.ejectBackoff > minEjectBackoff && a.sentAt >= s.ejectedUntil && onTime {
 		b.logf("server %d recovered", s.ID)
 		s.ejectBackoff = minEjectBackoff
 	}
-	c := r.class
+	r.class.recordLatency(took, onTime)
+	b.adjustLimit(a, took, serverAtFault)
+	if b.now > r.target {
+		b.walk.Leave(s)
+	}
+}
+
+// recordLatency updates the latency estimates of c by an answer after some seconds.
+func (c *class) recordLatency(took float64, onTime bool) {
 	if c.meanLatency == 0 {
-		c.meanLatency, c.latencyDeviation, c.quickLatency = sec, sec/2, sec
+		c.meanLatency, c.latencyDeviation, c.quickLatency = took, took/2, took
 	}
-	if b.now <= r.fullTarget {
-		c.latencyDeviation += meanStep * (math.Abs(sec-c.meanLatency) - c.latencyDeviation)
-		c.meanLatency += meanStep * (sec - c.meanLatency)
+	if onTime {
+		c.latencyDeviation += meanStep * (math.Abs(took-c.meanLatency) - c.latencyDeviation)
+		c.meanLatency += meanStep * (took - c.meanLatency)
 	}
-	c.quickLatency += quickStep * (min(sec, c.quickLatency) - c.quickLatency + max(sec-c.quickLatency, 0)/10)
-	room := max((r.fullTarget-r.arrived).Seconds()-c.quickLatency, 0)
+	quicker, slower := min(took, c.quickLatency)-c.quickLatency, max(took-c.quickLatency, 0)
+	c.quickLatency += quickStep * (quicker + slower/10)
+}
+
+// adjustLimit moves the limit of a's server by an answer after some seconds: a slow one shrinks it, and a
+// quick one to an attempt that used an upper part of it lets it grow.
+func (b *Balancer) adjustLimit(a *attempt, took float64, serverAtFault bool) {
+	s, r := a.server, a.request
+	quick := r.class.quickLatency
+	slowest := max((r.fullTarget-r.arrived).Seconds()-quick, 0) // from a quick answer to the target
 	s.slowShare -= slowStep * s.slowShare
-	if sec > c.quickLatency+shrinkAbove*room {
-		if own && (!a.crowded || b.now > r.fullTarget) { // else its limit answers
+	if took > quick+shrinkAbove*slowest {
+		// A crowded attempt that is slow but on time is answered by the limit alone.
+		if serverAtFault && (!a.crowded || b.now > r.fullTarget) {
 			s.lateInRow++
 		}
 		b.shrinkLimit(a)
-	} else if s.lateInRow = 0; a.crowded && sec <= c.quickLatency+growBelow*room {
+	} else if s.lateInRow = 0; a.crowded && took <= quick+growBelow*slowest {
 		s.limit += max(1/s.limit, minLimitGrowth)
 	}
-	if b.now > r.target {
-		b.walk.Leave(s)
+}
+
+// shrinkLimit lowers the limit of a slow server by half the share of its slow answers, as DCTCP does, and
+// once for all attempts then in flight: scattered slow answers cut little, a queue cuts deep.
+func (b *Balancer) shrinkLimit(a *attempt) {
+	s := a.server
+	if s.slowShare += slowStep; a.sentAt >= s.limitShrunkAt && !a.request.isAtFault() {
+		s.limit, s.limitShrunkAt = max(1, s.limit*(1-s.slowShare*limitCut)), b.now
 	}
 }
 
-// failed counts a failure as speed zero and ejects on a row of them or on a high share of errors (a fast
-// failure would otherwise look like an idle server).
-func (b *Balancer) recordFailure(a *attempt, o Outcome) {
-	s, what := a.server, failure
-	if o == TimedOut || o == Canceled {
-		what = lateness
-	}
-	own := b.attribute(a, what, true)
+// recordFailure counts a failure as a sample of speed zero, since a quick failure would otherwise look like
+// an idle server. A run of failures, or a high share of them, ejects the server.
+func (b *Balancer) recordFailure(a *attempt, outcome Outcome) {
+	s, kind := a.server, failure
+	if outcome == TimedOut || outcome == Canceled {
+		kind = lateness
+	}
+	serverAtFault := b.attribute(a, kind, true)
 	s.failureShare += meanStep * (1 - s.failureShare)
-	// Late though others were answered meanwhile: a queue, which the limit is for.
-	if own && (what == failure || s.lastResponse <= a.sentAt) {
+	// Late though it responded to others meanwhile: it has a queue, which is for the limit to cut.
+	if serverAtFault && (kind == failure || s.lastResponse <= a.sentAt) {
 		s.failuresInRow++
 	}
 	if !a.request.isAtFault() {
@@ -113,26 +139,17 @@
 		b.walk.Leave(s)
 	}
 	b.shrinkLimit(a)
-	if what == failure {
+	if kind == failure {
 		s.lastResponse = b.now
-	} else if own {
+	} else if serverAtFault {
 		s.lateInRow++
 	}
-	// Called gone and silent: the list was right, so the longest rest follows at once.
-	row := b.ejectThreshold()
-	if s.State == Gone && o != Errored && o != Busy {
-		s.failuresInRow, s.ejectBackoff = row, maxEjectBackoff
+	threshold := b.ejectThreshold()
+	// Listed as gone and without a response: the list was right, so the longest ejection follows at once.
+	if s.State == Gone && outcome != Errored && outcome != Busy {
+		s.failuresInRow, s.ejectBackoff = threshold, maxEjectBackoff
 	}
-	if s.failuresInRow >= row || s.faultShares[failure] > ejectFailureShare {
+	if s.failuresInRow >= threshold || s.faultShares[failure] > ejectFailureShare {
 		b.eject(s)
 	}
 }
-
-// tighten lowers the limit of a slow server, once for the attempts then out, by half the share of slow
-// answers (as DCTCP does): spread in the work cuts little, a queue deep.
-func (b *Balancer) shrinkLimit(a *attempt) {
-	s := a.server
-	if s.slowShare += slowStep; a.sentAt >= s.limitShrunkAt && !a.request.isAtFault() {
-		s.limit, s.limitShrunkAt = max(1, s.limit*(1-s.slowShare*limitCut)), b.now
-	}
-}
--- a/logic/pick.go
+++ b/logic/pick.go
@@ -9,7 +9,7 @@
 	"fieldrelay/logic/selection"
 )
 
-// send starts an attempt of r, if a server can take it.
+// send starts an attempt of r and reports true, if a server can take it.
 func (b *Balancer) send(r *request) bool {
 	full := b.cfg.Balancers >= boundMinBalancers && float64(b.inFlight) >= b.maxInFlight()
 	if n := len(r.attempts); n >= b.cfg.Limits.MaxAttempts || (n == 0 && full) {
@@ -18,7 +18,7 @@
 	if b.findCandidates(r); len(b.candidates) == 0 {
 		return false
 	}
-	s, by := b.pick(r, b.candidates), b.repeatDeadline(r)
+	s, sendBefore := b.pick(r, b.candidates), b.repeatDeadline(r)
 	a := &attempt{request: r, number: len(r.attempts), server: s, sentAt: b.now, inFlight: true}
 	a.crowded = float64(len(s.inFlight)+1) >= crowdedFraction*s.limit
 	r.attempts = append(r.attempts, a)
@@ -27,70 +27,74 @@
 	if b.capacityFraction(s) < 1 {
 		s.slowStartCredit--
 	}
-	b.emit(Action{Kind: ActSend, Request: r.id, Server: s.ID, After: r.expires - b.now, At: by})
+	b.emit(Action{Kind: ActSend, Request: r.id, Server: s.ID, After: r.expires - b.now, At: sendBefore})
 	if c := r.class; a.number == 0 && !c.Stream && c.LateValue == 0 && r.target < r.expires {
 		b.wakeAt(r.target-b.cfg.Tick, TimerTarget, r.id)
 	}
 	return true
 }
 
-// pick chooses among the candidates: seeding first, then by the paper's rule.
-func (b *Balancer) pick(r *request, set []*server) *server {
-	if i := slices.IndexFunc(set, func(s *server) bool { return !s.Seeded() && len(s.inFlight) == 0 }); i >= 0 {
-		return set[i]
+// pick chooses one of the candidates: first one that has no sample yet, then by the rule of package
+// selection.
+func (b *Balancer) pick(r *request, candidates []*server) *server {
+	unseeded := func(s *server) bool { return !s.Seeded() && len(s.inFlight) == 0 }
+	if i := slices.IndexFunc(candidates, unseeded); i >= 0 {
+		return candidates[i]
 	}
 	tau, walk := b.slack.Temperature()
 	if walk {
-		return b.walk.Pick(b.servers, set, b.effectiveSpeed)
+		return b.walk.Pick(b.servers, candidates, b.effectiveSpeed)
 	}
-	return b.pickSoftmax(r, set, tau)
+	return b.pickSoftmax(r, candidates, tau)
 }
 
-// softmax draws by the speeds of set; price and a key's home scale the weights.
-func (b *Balancer) pickSoftmax(r *request, set []*server, tau float64) *server {
+// pickSoftmax draws a candidate by effective speed at temperature tau. The price of crossing zones lowers a
+// weight, and affinity to the request's key raises one.
+func (b *Balancer) pickSoftmax(r *request, candidates []*server, tau float64) *server {
 	b.weights = b.weights[:0]
-	for _, s := range set {
+	for _, s := range candidates {
 		b.weights = append(b.weights, b.effectiveSpeed(s))
 	}
 	if !selection.Weigh(b.weights, tau) {
-		return set[b.rng.IntN(len(set))]
+		return candidates[b.rng.IntN(len(candidates))]
 	}
-	far := [2]float64{1, math.Exp(-crossZoneScale * b.cfg.Prices.CrossZone)}
-	for i, s := range set {
-		b.weights[i] *= far[b.zoneSide(s)]
+	sideFactor := [2]float64{1, math.Exp(-crossZoneScale * b.cfg.Prices.CrossZone)}
+	for i, s := range candidates {
+		b.weights[i] *= sideFactor[b.zoneSide(s)]
 	}
 	if b.cfg.KeyAffinity && r.hasKey {
-		b.weights[slices.Index(set, affinityServer(r, set))] *= affinityWeight * float64(len(set))
+		b.weights[slices.Index(candidates, affinityServer(r, candidates))] *=
+			affinityWeight * float64(len(candidates))
 	}
-	return set[selection.Draw(b.weights, b.rng.Float64())]
+	return candidates[selection.Draw(b.weights, b.rng.Float64())]
 }
 
-// home gives the server of set that ranks first for the key of r: all sidecars rank alike, and a server that
-// comes or goes moves its own keys only.
-func affinityServer(r *request, set []*server) *server {
-	return slices.MaxFunc(set, func(x, y *server) int {
+// affinityServer returns the candidate that ranks first for the key of r by rendezvous hashing: all sidecars
+// rank alike, and a server that joins or leaves moves no other keys than its own.
+func affinityServer(r *request, candidates []*server) *server {
+	return slices.MaxFunc(candidates, func(x, y *server) int {
 		return cmp.Compare(hash(r.key, x.ID), hash(r.key, y.ID))
 	})
 }
 
-// hash mixes a key and a server for rendezvous ranking.
+// hash mixes a key and a server's id for rendezvous hashing (Thaler and Ravishankar, 1998).
 func hash(key, id uint64) uint64 {
 	h := (key ^ bits.RotateLeft64(id*0x9e3779b97f4a7c15, 31)) * 0xbf58476d1ce4e5b9
 	h = (h ^ h>>29) * 0x94d049bb133111eb
 	return h ^ h>>32
 }
 
-// effective is the speed that s is expected to show to the next request: its estimate, bounded by its
-// silence, scaled by its crowding and its errors.
+// effectiveSpeed is the speed that s is expected to show to the next request: its estimate, bounded by how
+// long it has not responded, and scaled by its failures and by the attempts in flight there.
 func (b *Balancer) effectiveSpeed(s *server) float64 {
 	v := s.Speed()
 	if len(s.inFlight) > 0 {
-		// A hung server answers nothing: its silence while work is out bounds its speed.
+		// A hung server yields no samples; the time without a response bounds its speed.
 		if silent := b.now - max(s.lastResponse, s.inFlight[0].sentAt); silent > 0 {
 			v = min(v, s.inFlight[0].request.work/silent.Seconds())
 		}
 	}
-	// Answers tell late of a queue; the own attempts out tell at once.
 	v *= (1 - s.faultShares[failure]) * (1 - s.cellShares[failure]) * (1 - s.zoneShares[failure])
+	// Answers show a queue late; this sidecar's own attempts in flight show it at once.
 	return v / (1 + float64(len(s.inFlight)))
 }
--- a/logic/request.go
+++ b/logic/request.go
@@ -5,34 +5,43 @@
 	"time"
 )
 
+// request is the state of a client's request from its arrival until it has a final answer and no attempt in
+// flight. All times are on the caller's clock.
 type request struct {
-	id                      uint64
-	class                   *class
-	key                     uint64
-	hasKey                  bool
-	work                    float64       // hinted work in seconds, 1 where none is told
-	target                  time.Duration // clock time; cut short by the client's patience
-	fullTarget              time.Duration // and not cut short: what servers are judged by
-	arrived, expires        time.Duration
-	tenantShares            *faultShares
-	attempts                []*attempt
-	closed, started, queued bool
-	lastBusy                bool // its last attempt met a full server
-	fault                   int  // likeliest suspect of its last attempt that went wrong
+	id           uint64
+	class        *class
+	key          uint64
+	hasKey       bool
+	work         float64       // expected work in seconds; 1 if not told
+	target       time.Duration // when an answer loses its full value, at most expires
+	fullTarget   time.Duration // likewise, not bounded by expires: servers are judged by it
+	arrived      time.Duration
+	expires      time.Duration // when the client stops waiting
+	tenantShares *faultShares
+	attempts     []*attempt
+	closed       bool // it has its final answer, or its client has gone
+	started      bool // its streamed answer has begun
+	queued       bool
+	lastBusy     bool    // its last attempt was turned away as busy
+	fault        suspect // likeliest cause of its last bad outcome
 }
 
+// attempt is one send of a request to a server.
 type attempt struct {
-	request                       *request
-	number                        int
-	server                        *server
-	sentAt                        time.Duration
-	inFlight, mayHaveRun, crowded bool
-	canceledLate                  bool // called off because no answer came in time
+	request      *request
+	number       int
+	server       *server
+	sentAt       time.Duration
+	inFlight     bool // no outcome yet
+	mayHaveRun   bool // its outcome does not prove that it never ran
+	crowded      bool // it used an upper part of the server's limit
+	canceledLate bool // canceled because no answer came in time
 }
 
 func (a *attempt) isInFlight() bool { return a.inFlight }
 
-func (a *attempt) possiblyExecuted() bool { return a.inFlight || a.mayHaveRun } // it is not proved never to have run
+// possiblyExecuted reports whether it is not proved that the attempt never ran, and never will.
+func (a *attempt) possiblyExecuted() bool { return a.inFlight || a.mayHaveRun }
 
 func (r *request) tried(s *server) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.server == s })
@@ -46,12 +55,13 @@
 	return slices.ContainsFunc(r.attempts, (*attempt).possiblyExecuted)
 }
 
-// mayReject tells whether a refusal is true: a retry can do no harm.
+// mayReject reports whether r may be rejected: the client may take it that a retry does no harm.
 func (r *request) mayReject() bool {
-	return r.class.Effect == Safe || (r.class.Effect == Keyed && r.class.Group == GroupAll) || !r.mayHaveRun()
+	repeatsDropped := r.class.Effect == Keyed && r.class.Group == GroupAll
+	return r.class.Effect == Safe || repeatsDropped || !r.mayHaveRun()
 }
 
-// useful is the time after which an answer is worth nothing.
+// usefulUntil is the time after which an answer has no value.
 func (r *request) usefulUntil() time.Duration {
 	if r.class.LateValue > 0 {
 		return r.expires
@@ -59,19 +69,21 @@
 	return r.target
 }
 
-// hopeless tells whether an attempt sent now would be late.
+// wouldBeLate reports whether an attempt sent now is expected to be answered too late.
 func (b *Balancer) wouldBeLate(r *request) bool {
 	return b.now+seconds(r.class.meanLatency) >= r.usefulUntil()
 }
 
+// enqueue lets r wait until a server can take it, or until most answers would be too late.
 func (b *Balancer) enqueue(r *request) {
 	r.queued = true
 	b.queue = append(b.queue, r)
-	need := r.class.meanLatency + queueDeviations*r.class.latencyDeviation // sent any later, most answers would be late
-	b.wakeAt(r.usefulUntil()-seconds(need), TimerQueued, r.id)
+	needed := r.class.meanLatency + queueDeviations*r.class.latencyDeviation
+	b.wakeAt(r.usefulUntil()-seconds(needed), TimerQueued, r.id)
 }
 
-// release sends what is held, newest first: it has the most time left. What cannot make it ends by its timer.
+// dispatchQueue sends what is queued, newest first, since that has the most time left. A request that will
+// not be sent in time ends by its timer.
 func (b *Balancer) dispatchQueue() {
 	for i := len(b.queue) - 1; i >= 0 && b.send(b.queue[i]); i-- {
 		b.queue[i].queued = false
@@ -79,7 +91,7 @@
 	}
 }
 
-// settle gives the final answer without a server's.
+// finish gives the final answer to r without one from a server: a rejection where that is true, or a failure.
 func (b *Balancer) finish(r *request) {
 	answer := Action{Kind: ActFail, Request: r.id}
 	if r.mayReject() {
@@ -95,7 +107,7 @@
 	b.close(r, false)
 }
 
-// close ends r and calls off what is still out for it.
+// close ends r, and cancels its attempts in flight where that is permitted.
 func (b *Balancer) close(r *request, served bool) {
 	if r.closed = true; !served {
 		r.class.missedTarget = max(r.class.missedTarget, r.fullTarget)
@@ -115,7 +127,7 @@
 	b.forget(r)
 }
 
-// forget drops a finished request once nothing is out for it.
+// forget drops a closed request once none of its attempts is in flight.
 func (b *Balancer) forget(r *request) {
 	if r.closed && !r.hasAttemptInFlight() {
 		delete(b.requests, r.id)
--- a/logic/serverlist.go
+++ b/logic/serverlist.go
@@ -5,33 +5,36 @@
 	"time"
 )
 
+// onMembers applies the server list or a change to it, and sends what the new servers can take.
 func (b *Balancer) onMembers(ev *Event) {
-	named := make(map[uint64]bool, len(ev.Servers))
+	listed := make(map[uint64]bool, len(ev.Servers))
 	for i := range ev.Servers {
-		named[ev.Servers[i].ID] = true
+		listed[ev.Servers[i].ID] = true
 		b.applyMember(&ev.Servers[i])
 	}
-	missing := 0
+	gone := 0
 	for _, s := range slices.Clone(b.servers) {
-		if ev.Complete && !named[s.ID] {
+		if ev.Complete && !listed[s.ID] {
 			b.markGone(s)
 		}
 		if s.State == Gone {
-			missing++
+			gone++
 			if b.now-max(s.goneAt, s.lastResponse) > goneRetention*agingTime {
 				b.removeServer(s)
 			}
 		}
 	}
-	b.listDistrusted = float64(missing) > listDistrustShare*float64(len(b.servers))
+	b.listDistrusted = float64(gone) > listDistrustShare*float64(len(b.servers))
 	if !ev.Stored {
 		b.listRequestAt, b.listBackoff = 0, 0
 	} else if b.cfg.Subscribe {
-		b.scheduleListRequest(time.Duration(b.rng.Float64() * float64(min(b.listServiceTime(), b.maxListWait()))))
+		spread := float64(min(b.listServiceTime(), b.maxListWait()))
+		b.scheduleListRequest(time.Duration(b.rng.Float64() * spread))
 	}
 	b.dispatchQueue()
 }
 
+// applyMember applies one entry of the list.
 func (b *Balancer) applyMember(e *Server) {
 	s := b.byID[e.ID]
 	switch {
@@ -44,21 +47,22 @@
 		s = &server{Server: *e}
 		b.byID[e.ID] = s
 		b.addServer(s)
-	case e.Since > s.Since: // it restarted: what was learned is of another process
+	case e.Since > s.Since: // it restarted: what was measured is of another process
 		b.removeFromOrder(s)
 		*s = server{Server: Server{ID: e.ID}, inFlight: s.inFlight}
 		b.addServer(s)
 	}
-	// A list that is old makes no cold server warm and, where it may be wrong, ends no drain.
-	since, drained := max(s.Since, e.Since), b.cfg.Contract.GoneIsAdvisory && s.State == Draining
-	if s.Server, s.Since = *e, since; drained {
+	// An outdated list ends no slow start and, where gone is advisory, no drain.
+	since := max(s.Since, e.Since)
+	staysDraining := b.cfg.Contract.GoneIsAdvisory && s.State == Draining
+	if s.Server, s.Since = *e, since; staysDraining {
 		s.State = Draining
 	}
 	s.zoneShares, s.cellShares = sharesOf(b.zones, e.Zone), sharesOf(b.cells, e.Cell)
 }
 
-// gone takes in that the list calls s gone or leaves it out. Where that is advice, s is kept and the own
-// outcomes decide, but for one that was draining: it stays barred for good.
+// markGone records that the list has s as gone or leaves it out. Where that is advisory, s is kept and its
+// outcomes decide, unless it was draining: then it gets nothing until a later start.
 func (b *Balancer) markGone(s *server) {
 	switch {
 	case !b.cfg.Contract.GoneIsAdvisory:
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -1,35 +1,38 @@
 package logic
 
-// capacityFraction is the share of its full capacity that s has at the least.
+// capacityFraction is the least fraction (0 to 1) of its full capacity that s has now: during slow start it
+// grows linearly from the contract's minimum.
 func (b *Balancer) capacityFraction(s *server) float64 {
 	c, age := &b.cfg.Contract, b.now-s.Since
 	if s.Since <= 0 || c.SlowStartWindow <= 0 || age >= c.SlowStartWindow {
 		return 1
 	}
-	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*float64(max(age, 0))/float64(c.SlowStartWindow)
+	warmedUp := (1 - c.SlowStartMinCapacity) * float64(max(age, 0)) / float64(c.SlowStartWindow)
+	return c.SlowStartMinCapacity + warmedUp
 }
 
-// earn gives the cold servers of the subset, and no others, their parts of a request that came in. The sum
-// over all sidecars keeps the rule: each server is in as many subsets as any other. Sends would not do as a
-// measure: with most of a fleet cold, each would allow less than one.
+// grantSlowStartCredit gives the servers of the subset that are in slow start, and no others, their part of
+// one request. Each server is in as many subsets as any other, so the sum over all sidecars keeps the rule.
+// Credit is earned by requests and not by sends: with most of a fleet in slow start, sends would earn each
+// server less than one.
 func (b *Balancer) grantSlowStartCredit() {
-	width := min(b.subsetSize(), len(b.servers))
-	var met [2]int
-	var able [2]float64 // what the subset can do, in servers
-	var cold []*server
+	size := min(b.subsetSize(), len(b.servers))
+	var found [2]int        // by zoneSide
+	var capacity [2]float64 // of the subset, in servers
+	var warming []*server
 	for _, s := range b.servers {
-		zone := b.zoneSide(s)
-		if met[zone] >= width || b.isExcluded(s) || b.now < s.ejectedUntil {
+		side := b.zoneSide(s)
+		if found[side] >= size || b.isExcluded(s) || b.now < s.ejectedUntil {
 			continue
 		}
-		met[zone]++
-		able[zone] += b.capacityFraction(s)
+		found[side]++
+		capacity[side] += b.capacityFraction(s)
 		if b.capacityFraction(s) < 1 {
-			cold = append(cold, s)
+			warming = append(warming, s)
 		}
 	}
-	for _, s := range cold {
-		part := b.capacityFraction(s) / max(able[b.zoneSide(s)], slowStartMinSubset*float64(width))
+	for _, s := range warming {
+		part := b.capacityFraction(s) / max(capacity[b.zoneSide(s)], slowStartMinSubset*float64(size))
 		s.slowStartCredit = min(s.slowStartCredit+slowStartShare*part, slowStartMaxCredit)
 	}
 }
--- a/logic/tuning.go
+++ b/logic/tuning.go
@@ -2,53 +2,91 @@
 
 import "fieldrelay/logic/selection"
 
-// Tuning. Every value is dimensionless, but for ageing. What the paper sets is in selection.
-const (
-	agingTime = selection.Delta // the paper's, for all that is aged here
-
-	pricedConnections   = 100.0 // the price of connections is for so many a server (the settings' unit)
-	freshSamples        = 4.0   // samples of a server within δ that its estimate needs
-	boundMinBalancers   = 16    // sidecars; fewer keep to limits alone: with the bound on, an earlier day read low
-	inFlightFactor      = 1.8   // times the work asked for may be out: a standard core is faster than most
-	inFlightRootFactor  = 2.5   // and so many roots of it: chance brings as much beside the mean
-	minSubsetSize       = 2     // servers in use however little comes: one may fail and one be tried again
-	usableTimeLeft      = 0.7   // of the time left: a server expected to take longer is left
-	lateRunLimit        = 2     // and one that was too late so many times in a row
-	lateProbeShare      = 0.05  // share of the own requests that tries such servers again
-	slowStartShare      = 1.3   // of a cold server's present part of what the subset can do; its queue takes chance
-	slowStartMinSubset  = 0.65  // part of its full work that a subset is taken to do: twice the present part at most
-	slowStartMaxCredit  = 1.5   // most sends a cold server can have saved up
-	initialLimit        = 2.0   // attempts that may be out at an unknown server
-	growBelow           = 0.1   // part of the way from a quick answer to the aim: quicker ones let a limit grow
-	shrinkAbove         = 0.3   // and those past this part make it shrink
-	minLimitGrowth      = 0.25  // least that a quick answer gives to a limit: growth keeps up at any size
-	quickStep           = 0.1   // how fast the idea of a quick answer falls; it rises a tenth as fast
-	slowStep            = 0.125 // weight of an answer in the share of slow ones
-	limitCut            = 0.5   // of the share of slow answers is taken from a limit, once an answer time
-	serverFaultStep     = 0.15  // weight of an outcome in what is laid to its server
-	sharedFaultStep     = 0.4   // and to what servers share: it must be known before three failures in a row eject
-	serverFaultPrior    = 0.05  // what is laid to a server unseen, against
-	sharedFaultPrior    = 0.03  // this for each of the rest: servers fail most often
-	lateClassThreshold  = 0.3   // aged share of lateness laid to a class that lets in one request an ageing time
-	meanStep            = 0.02  // weight of an answer in a class's mean: fifty smooth its spread
-	heavyFactor         = 100.0 // work of the lightest class in use: at 20 times, busy days of like requests lost
-	minRecentRequests   = 0.3   // aged number of requests of a class in use: one within about an ageing time
-	crowdedFraction     = 0.5   // a limit grows only when this part of it is in use
-	minEjectFailures    = 3     // failures in a row that eject, or more:
-	ejectChance         = 1e-5  // as many as would come by chance this rarely
-	ejectFailureShare   = 0.3   // aged share of errors that ejects
-	minEjectBackoff     = 1.0   // first ejection, in ageing times; doubles up to maxEjectBackoff
-	maxEjectBackoff     = 4.0
-	queueDeviations     = 4.0  // a held request is given up this many deviations before the mean answer time
-	windowSafety        = 0.95 // of a repeat window: its end is not ours to gamble with
-	affinityWeight      = 2.0  // weight of a key's home server, in fair shares of the rest
-	crossZoneScale      = 40.0 // how strongly the price of crossing zones scales a weight down
-	earlyFraction       = 0.4  // part of the aim within which an answer counts for the slack: jams show early
-	admitSlackFactor    = 1.5  // times the slack, squared: the part of the requests that is let in
-	minAdmitProbability = 0.05 // part let in however bad it looks, so that a recovery is seen
-	levelSteps          = 20   // halvings that find how much of each class gives way
-	minValue            = 1e-3 // of a class whose worth is not told
-	goneRetention       = 20.0 // ageing times without an answer after which one called gone is forgotten
-	listDistrustShare   = 0.5  // part of all servers: when more are called gone, it is the list that is wrong
-	listWaitShare       = 0.25 // of the contract's interval: longest wait before the list is asked for again
+// The constants of the decisions. All are dimensionless but for agingTime; what the paper of package
+// selection sets is there. "Aged" is weighted by an exponential decay over agingTime.
+
+// agingTime is the paper's time constant, used for all that is aged here.
+const agingTime = selection.Delta
+
+// The subset of servers in use, and attempts in flight.
+const (
+	freshSamples       = 4.0 // samples of a server within agingTime that its estimate needs
+	minSubsetSize      = 2   // one server may fail while another is probed
+	boundMinBalancers  = 16  // sidecars; fewer use limits alone: with the bound, an earlier day scored low
+	inFlightFactor     = 1.8 // attempts in flight per occupied server: a standard core is faster than most
+	inFlightRootFactor = 2.5 // and per square root of those: margin for chance beside the mean
+)
+
+// Choice of a server.
+const (
+	usableTimeLeft = 0.7  // a server expected to need more than this part of the time left is dropped
+	lateRunLimit   = 2    // and one with so many late outcomes in a row
+	lateProbeShare = 0.05 // share of this sidecar's requests that probes such servers
+	affinityWeight = 2.0  // weight of a key's affinity server, in fair shares of the others
+	crossZoneScale = 40.0 // how strongly the price of crossing zones lowers a weight
+)
+
+// Slow start.
+const (
+	slowStartShare     = 1.3  // of a server's present part of the subset's capacity: its queue absorbs chance
+	slowStartMinSubset = 0.65 // part of its full capacity that a subset is assumed to have at the least
+	slowStartMaxCredit = 1.5  // sends that a server can have saved up
+)
+
+// Limits of attempts in flight at a server.
+const (
+	initialLimit    = 2.0   // attempts in flight at a server without samples
+	growBelow       = 0.1   // an answer within this part of the way from quick to the target grows a limit
+	shrinkAbove     = 0.3   // and one past this part shrinks it
+	minLimitGrowth  = 0.25  // least growth by a quick answer, so that it keeps up at any size
+	limitCut        = 0.5   // part of the share of slow answers that is cut from a limit, once an answer time
+	slowStep        = 0.125 // weight of an answer in the share of slow ones
+	crowdedFraction = 0.5   // a limit grows only when this part of it is in use
+)
+
+// Latency and work of a class.
+const (
+	meanStep          = 0.02  // weight of an answer in a mean: fifty smooth the spread
+	quickStep         = 0.1   // weight of a quicker answer in the quick latency; of a slower one, a tenth
+	heavyFactor       = 100.0 // times the work of a recent class: with 20, busy days of like requests lost
+	minRecentRequests = 0.3   // aged requests of a class in recent use: one within about agingTime
+)
+
+// Attribution of faults.
+const (
+	serverFaultStep    = 0.15 // weight of an outcome in the share of its server
+	sharedFaultStep    = 0.4  // and of the others: these must be known before failures in a row eject
+	serverFaultPrior   = 0.05 // prior share of a server: servers are at fault most often
+	sharedFaultPrior   = 0.03 // and of each of the others
+	lateClassThreshold = 0.3  // share above which a class is taken to be at fault by itself
+)
+
+// Ejection.
+const (
+	minEjectFailures  = 3    // failures in a row that eject, or more if chance brings as many
+	ejectChance       = 1e-5 // with at least this probability
+	ejectFailureShare = 0.3  // share of failures that ejects
+	minEjectBackoff   = 1.0  // first ejection, in aging times; it doubles up to the maximum
+	maxEjectBackoff   = 4.0
 )
+
+// Admission and queueing.
+const (
+	earlyFraction       = 0.4  // part of the target within which an answer is early: overload shows soon
+	admitSlackFactor    = 1.5  // times the slack, squared, is the share of requests that is admitted
+	minAdmitProbability = 0.05 // however low the slack, so that a recovery is noticed
+	levelSteps          = 20   // bisection steps of the shedding level
+	minValue            = 1e-3 // of a class whose value is not told
+	queueDeviations     = 4.0  // margin beside the mean answer time at which a queued request is given up
+	windowSafety        = 0.95 // part of a repeat window that is used: its exact end is not known here
+)
+
+// The server list.
+const (
+	goneRetention     = 20.0 // aging times without a response after which a gone server is forgotten
+	listDistrustShare = 0.5  // with more than this part of the servers gone, the list is taken to be wrong
+	listWaitShare     = 0.25 // of the contract's interval: longest wait before the list is requested again
+)
+
+// pricedConnections is the number of connections a server that the price of connections is stated for.
+const pricedConnections = 100.0
