--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -7,104 +7,122 @@
 	"fieldrelay/logic"
 )
 
-// AttemptID names one claim: the job and the number of its attempt.
+// AttemptID names one attempt: its request and its number, from 0.
 type AttemptID struct {
 	Request uint64
 	Attempt int
 }
 
-// Attempt is one attempt of a job at an execute node.
+// Attempt is one attempt of a request at a server.
 type Attempt struct {
 	ID         AttemptID
 	Payload    *Payload
-	Deadline   time.Time // when the claim is given up
-	SendBefore time.Time // its first byte may leave before this; zero: at any time before the deadline
+	Deadline   time.Time // when the attempt times out
+	SendBefore time.Time // its first byte must be written before; zero: before the deadline
 }
 
-// Result is how a claim ended.
+// Result is how an attempt ended.
 type Result struct {
 	Outcome     logic.Outcome
 	At          time.Time
-	Body        []byte // with Done only
+	Body        []byte // with logic.Done only
 	ContentType string
-	Charge      *budget.Charge // for the body; passed on with it
+	Charge      *budget.Charge // for the body; its hold passes to the relay
 }
 
-type inFlight struct {
+// pendingAttempt is an attempt that is not yet reported.
+type pendingAttempt struct {
 	serverID  uint64
 	startedAt time.Time
-	release   func() // gives back what it holds of limits; nil: nothing
+	release   func() // returns what it reserved with the observer; nil: nothing
 }
 
+// send starts an attempt, or has it end as skipped if the observer does not let it through.
 func (r *Relay) send(a *logic.Action) {
-	j, n := r.requests[a.Request], r.servers[a.Server]
-	id := AttemptID{a.Request, j.attempts}
+	req, s := r.requests[a.Request], r.servers[a.Server]
+	id := AttemptID{a.Request, req.attempts}
 	now := time.Now()
-	j.attempts++
-	deadline := j.Expires
+	req.attempts++
+	deadline := req.Expires
 	if a.After > 0 {
-		deadline = now.Add(min(a.After, j.Expires.Sub(now)))
+		deadline = now.Add(min(a.After, req.Expires.Sub(now)))
 	}
-	if n.Server == nil {
-		n.Server = r.transport.Open(n.member, r.reportResult)
+	if s.Server == nil {
+		s.Server = r.transport.Open(s.member, r.reportResult)
 	}
-	var done func()
-	let := true
+	var release func()
+	admitted := true
 	if r.observer != nil {
-		done, let = r.observer.BeforeAttempt(n.member.Name, j.Class, j.Tenant, j.admitted > 0, r.capacity(n), j.Expires)
+		release, admitted = r.observer.BeforeAttempt(s.member.Name, req.Class, req.Tenant, req.admitted > 0,
+			r.capacity(s), req.Expires)
 	}
-	j.inFlight[id.Attempt] = inFlight{serverID: a.Server, startedAt: now, release: done}
-	n.inFlight++
-	if let {
-		j.admitted++
-	} else {
+	req.pending[id.Attempt] = pendingAttempt{serverID: a.Server, startedAt: now, release: release}
+	s.pending++
+	if !admitted {
 		r.mailbox.Put(func() { r.attemptEnded(id, Result{Outcome: logic.Skipped, At: time.Now()}) })
 		return
 	}
-	c := Attempt{ID: id, Payload: j.Payload, Deadline: deadline}
+	req.admitted++
+	attempt := Attempt{ID: id, Payload: req.Payload, Deadline: deadline}
 	if a.At > 0 {
-		c.SendBefore = r.epoch.Add(a.At - r.epochUnix)
+		attempt.SendBefore = r.epoch.Add(a.At - r.epochUnix)
 	}
-	n.Start(c)
+	s.Start(attempt)
 }
 
-// report is called by an execute node, once for each claim.
+// cancel stops waiting for an attempt that is not yet reported.
+func (r *Relay) cancel(id AttemptID) {
+	if req := r.requests[id.Request]; req != nil {
+		if p, pending := req.pending[id.Attempt]; pending {
+			r.servers[p.serverID].Cancel(id)
+		}
+	}
+}
+
+// reportResult is called by a server, once for each attempt.
 func (r *Relay) reportResult(id AttemptID, res Result) {
 	r.mailbox.Put(func() { r.attemptEnded(id, res) })
 }
 
-// outcome settles a claim. All that may cross (a late answer, a cancel, a withdrawal, the end of the time)
-// meets here, on one actor: whoever ended the job first has ended it.
+// attemptEnded concludes an attempt. Whatever may race (a late answer, a cancellation, a withdrawal, the
+// expiry) meets here, on one actor: whichever ended the request first has ended it.
 func (r *Relay) attemptEnded(id AttemptID, res Result) {
-	j := r.requests[id.Request]
-	var c inFlight
-	out := false
-	if j != nil {
-		c, out = j.inFlight[id.Attempt]
+	req := r.requests[id.Request]
+	var p pendingAttempt
+	pending := false
+	if req != nil {
+		p, pending = req.pending[id.Attempt]
 	}
-	if !out {
-		r.log.Error().Uint64("job", id.Request).Int("attempt", id.Attempt).Msg("report of a claim that is not out")
+	if !pending {
+		r.log.Error().Uint64("request", id.Request).Int("attempt", id.Attempt).
+			Msg("result of an attempt that is not in flight")
 		res.Charge.Release()
 		return
 	}
-	delete(j.inFlight, id.Attempt)
-	n := r.servers[c.serverID]
-	n.inFlight--
-	switch {
-	case c.release == nil:
-	case res.Outcome == logic.TimedOut || res.Outcome == logic.Canceled || res.Outcome == logic.Reset:
-		time.AfterFunc(time.Until(j.Expires), func() { r.mailbox.Put(c.release) }) // the node may still work on it
-	default:
-		c.release()
-	}
+	delete(req.pending, id.Attempt)
+	s := r.servers[p.serverID]
+	s.pending--
+	r.releaseReserved(p, req, res.Outcome)
 	if r.observer != nil {
-		r.observer.AttemptEnded(n.member.Name, res.Outcome, res.At.Sub(c.startedAt))
+		r.observer.AttemptEnded(s.member.Name, res.Outcome, res.At.Sub(p.startedAt))
 	}
 	if res.Outcome == logic.Done {
 		r.finish(id.Request, Answer{Kind: Served, Body: res.Body, ContentType: res.ContentType, Charge: res.Charge})
 	}
 	r.step(&logic.Event{Kind: logic.EvOutcome, Request: id.Request, Attempt: id.Attempt,
-		Latency: res.At.Sub(c.startedAt), Outcome: res.Outcome, Final: j.ended})
+		Latency: res.At.Sub(p.startedAt), Outcome: res.Outcome, Final: req.ended})
 	r.forget(id.Request)
-	r.closeIfGone(c.serverID, n)
+	r.closeIfGone(p.serverID, s)
+}
+
+// releaseReserved returns what an attempt reserved with the observer: at once, or when the request expires if
+// the server may still work on it.
+func (r *Relay) releaseReserved(p pendingAttempt, req *request, outcome logic.Outcome) {
+	switch {
+	case p.release == nil:
+	case outcome == logic.TimedOut || outcome == logic.Canceled || outcome == logic.Reset:
+		time.AfterFunc(time.Until(req.Expires), func() { r.mailbox.Put(p.release) })
+	default:
+		p.release()
+	}
 }
--- a/internal/relay/differential_test.go
+++ b/internal/relay/differential_test.go
@@ -11,7 +11,7 @@
 	"fieldrelay/logic"
 )
 
-// script plays drawn jobs, outcomes and lists to a relay and gives all that it told the others, in order.
+// script plays drawn requests, outcomes and lists to a relay and gives all that it sent to the others, in order.
 func script(t *testing.T, seed uint64, o Observer) (lines []string) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "safe", Deadline: time.Second, LatencyTarget: 300 * time.Millisecond},
@@ -21,7 +21,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		var all []Member
 		for i := range 5 {
-			m := member(uint64(i+1), logic.Ready)
+			m := member(uint64(i + 1))
 			m.Name = fmt.Sprint("n", i+1)
 			all = append(all, m)
 		}
@@ -37,7 +37,7 @@
 				out, there := false, false
 				b.on(func() {
 					if j := b.requests[id]; j != nil {
-						_, out = j.inFlight[b.claims[id].ID.Attempt]
+						_, out = j.pending[b.attempts[id].ID.Attempt]
 					}
 				})
 				if out {
@@ -62,11 +62,11 @@
 	return lines
 }
 
-// Without a fleet, and in one that limits nothing and avoids nothing, the same is decided: event by event, to the word.
+// Without a fleet, and in one that limits nothing and ejects nothing, the same is decided: event by event, to the word.
 func TestSameDecisionsWithoutAFleet(t *testing.T) {
 	claims := 0
 	for seed := range uint64(20) {
-		alone, observed := script(t, seed, nil), script(t, seed, &watcher{outcomes: map[string]int{}})
+		alone, observed := script(t, seed, nil), script(t, seed, &recordingObserver{outcomes: map[string]int{}})
 		if !slices.Equal(alone, observed) {
 			t.Fatalf("seed %d:\n%q\n%q", seed, alone, observed)
 		}
@@ -77,7 +77,7 @@
 	}
 	t.Logf("%d lines compared", claims)
 	// It would be noticed.
-	if slices.Equal(script(t, 3, nil), script(t, 3, &watcher{outcomes: map[string]int{}, full: true})) {
+	if slices.Equal(script(t, 3, nil), script(t, 3, &recordingObserver{outcomes: map[string]int{}, rejecting: true})) {
 		t.Error("an observer that lets nothing through makes no difference")
 	}
 }
--- a/internal/relay/ejection.go
+++ b/internal/relay/ejection.go
@@ -2,46 +2,48 @@
 
 import "maps"
 
-// SetEjected makes the module see the execute nodes of these names as draining until the next call, whatever the list says
-// meanwhile; those of the last call that are not among them come back as they were. It takes effect only as long as
-// another node is ready.
+// SetEjected has the module see the servers of these names as draining until the next call, whatever the list
+// says. Those of the last call that are not among them return to their former state, without a slow start. It
+// takes effect only while another server is ready.
 func (r *Relay) SetEjected(names []string) {
 	r.mailbox.Put(func() {
 		next := make(map[string]bool, len(names))
 		for _, name := range names {
 			next[name] = true
 		}
-		was := r.ejected
+		previous := r.ejected
 		r.ejected = next
-		for name := range next {
-			if !was[name] {
-				r.refreshNamed(name)
-			}
-		}
-		for name := range was {
-			if !next[name] {
-				r.refreshNamed(name)
-			}
-		}
+		r.refreshMissing(next, previous)
+		r.refreshMissing(previous, next)
 		r.restoreIfNoneReady()
 	})
 }
 
-// restoreIfNoneReady gives up all avoiding, also of what drains by the word of others alone, where nothing else is ready.
+// refreshMissing refreshes the servers named in one set and not in the other.
+func (r *Relay) refreshMissing(names, others map[string]bool) {
+	for name := range names {
+		if !others[name] {
+			r.refreshNamed(name)
+		}
+	}
+}
+
+// restoreIfNoneReady drops all ejections and reported drains if no other server is ready: a doubtful server
+// is better than none.
 func (r *Relay) restoreIfNoneReady() {
 	if len(r.ejected)+len(r.reportedDrains) == 0 || r.ready.Load() {
 		return
 	}
-	was := maps.Clone(r.ejected)
-	if was == nil {
-		was = map[string]bool{}
+	dropped := maps.Clone(r.ejected)
+	if dropped == nil {
+		dropped = map[string]bool{}
 	}
 	for name := range r.reportedDrains {
-		was[name] = true
+		dropped[name] = true
 	}
 	r.ejected, r.reportedDrains = nil, nil
-	for name := range was {
+	for name := range dropped {
 		r.refreshNamed(name)
 	}
-	r.log.Warn().Int("nodes", len(was)).Msg("nothing else is ready: the fleet's verdicts are not followed")
+	r.log.Warn().Int("servers", len(dropped)).Msg("ejections and reported drains ignored: no other server is ready")
 }
--- /dev/null
+++ b/internal/relay/module.go
@@ -0,0 +1,92 @@
+package relay
+
+import (
+	"fmt"
+	"runtime/debug"
+	"time"
+
+	"fieldrelay/logic"
+)
+
+// step lets the module decide on one event and carries out its actions. A panic in it fails the open
+// requests, not the process.
+func (r *Relay) step(ev *logic.Event) {
+	defer func() {
+		if p := recover(); p != nil {
+			r.log.Error().Str("panic", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("decision module failed")
+			r.restart()
+		}
+	}()
+	r.actions = r.balancer.Step(r.now(), ev, r.actions[:0])
+	for i := range r.actions {
+		r.perform(&r.actions[i])
+	}
+}
+
+// perform carries out one action of the module.
+func (r *Relay) perform(a *logic.Action) {
+	switch a.Kind {
+	case logic.ActSend:
+		r.send(a)
+	case logic.ActCancel:
+		r.cancel(AttemptID{a.Request, a.Attempt})
+	case logic.ActReject:
+		r.finish(a.Request, Answer{Kind: Rejected, RetryAfter: a.After})
+	case logic.ActFail:
+		r.finish(a.Request, Answer{Kind: Failed})
+	case logic.ActWake:
+		r.scheduleWake(a.At, a.Timer)
+	case logic.ActWatch:
+		r.list.Watch()
+	case logic.ActCloseIdle:
+		if s := r.servers[a.Server]; s != nil && s.Server != nil {
+			s.CloseIdle()
+		}
+	case logic.ActLog:
+		r.log.Info().Str("from", "module").Msg(a.Text)
+	}
+}
+
+// scheduleWake wakes the module at a time of its clock, and not before it.
+func (r *Relay) scheduleWake(at time.Duration, timer logic.Timer) {
+	incarnation := r.incarnation
+	time.AfterFunc(at-r.now(), func() {
+		r.mailbox.Put(func() {
+			if r.incarnation == incarnation {
+				r.step(&logic.Event{Kind: logic.EvWake, Timer: timer})
+			}
+		})
+	})
+}
+
+// restart replaces a module that has failed: its open requests fail, their attempts are canceled, and a new
+// module starts from the list as it stands.
+func (r *Relay) restart() {
+	r.ready.Store(false)
+	for id, req := range r.requests {
+		for attempt, p := range req.pending {
+			r.servers[p.serverID].Cancel(AttemptID{id, attempt})
+		}
+		r.finish(id, Answer{Kind: Failed})
+	}
+	b, err := logic.New(r.cfg, r.seed)
+	if err != nil {
+		r.log.Error().Err(err).Msg("decision module not restarted")
+		return
+	}
+	r.balancer = b
+	r.incarnation++
+	r.seed++
+	if r.restarting { // it fails on the list itself: wait for the next one
+		return
+	}
+	r.restarting = true
+	stored := Members{Complete: true, Stored: true}
+	for _, s := range r.servers {
+		stored.Members = append(stored.Members, s.member)
+	}
+	r.mailbox.Put(func() {
+		r.applyMembers(stored)
+		r.restarting = false
+	})
+}
--- a/internal/relay/observe_test.go
+++ b/internal/relay/observe_test.go
@@ -11,81 +11,81 @@
 	"fieldrelay/logic"
 )
 
-// watcher writes down what an observer is told.
-type watcher struct {
-	outcomes map[string]int
-	listed   []string
-	drains   []string
-	held     int
-	warm     float64
-	full     bool // no claim is let through
+// recordingObserver writes down what an observer receives.
+type recordingObserver struct {
+	outcomes  map[string]int
+	listed    []string
+	drains    []string
+	reserved  int
+	capacity  float64
+	rejecting bool // no attempt may start
 }
 
-// A claim that the limits do not let through is never written: the module goes on as its rules allow, and what the others
-// hold is given back once each.
-func TestClaimsAreLetThrough(t *testing.T) {
+// An attempt that the limits do not admit is never written: the module goes on as its rules allow, and what the others
+// have reserved is released once each.
+func TestObserverAdmitsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "once", Effect: logic.Unsafe, Deadline: time.Second}},
 			Limits: logic.Limits{MaxAttempts: 3}}
-		w := &watcher{outcomes: map[string]int{}, full: true}
+		w := &recordingObserver{outcomes: map[string]int{}, rejecting: true}
 		b := newBench(t, cfg, 1, w)
-		b.list(true, member(8, logic.Ready), member(9, logic.Ready))
+		b.list(true, member(8), member(9))
 		b.lines = nil
 		b.submit("once")
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		if got := strings.Join(b.lines, ", "); got != "answer 1 requeue" {
+		if got := strings.Join(b.lines, ", "); got != "answer 1 rejected" {
 			t.Errorf("%q: it never ran, so coming again does no harm", got)
 		}
-		b.on(func() { w.full = false })
+		b.on(func() { w.rejecting = false })
 		id := b.submit("once")
-		if held, warm := w.of(b); held != 1 || warm != 1 {
-			t.Errorf("%d held by one claim, %g warm", held, warm)
+		if reserved, capacity := w.state(b); reserved != 1 || capacity != 1 {
+			t.Errorf("%d reserved by one attempt, capacity %g", reserved, capacity)
 		}
 		b.outcome(id, logic.Done, "hi")
-		if held, _ := w.of(b); held != 0 {
-			t.Errorf("%d held after it", held)
+		if reserved, _ := w.state(b); reserved != 0 {
+			t.Errorf("%d reserved after it", reserved)
 		}
-		id = b.submit("once") // the node may work on what broke off until the request's time is over
+		id = b.submit("once") // the server may work on what broke off until the request's time is over
 		b.outcome(id, logic.Reset, "")
-		if held, _ := w.of(b); held != 1 {
-			t.Errorf("%d held by what broke off", held)
+		if reserved, _ := w.state(b); reserved != 1 {
+			t.Errorf("%d reserved by what broke off", reserved)
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if held, _ := w.of(b); held != 0 {
-			t.Errorf("%d held after the request's time", held)
+		if reserved, _ := w.state(b); reserved != 0 {
+			t.Errorf("%d reserved after the request's time", reserved)
 		}
-		warm := 0.0
+		capacity := 0.0
 		b.on(func() {
 			b.cfg.Contract = logic.Contract{SlowStartMinCapacity: 0.2, SlowStartWindow: 10 * time.Second}
-			warm = b.capacity(&server{startedAt: b.now() - 5*time.Second})
+			capacity = b.capacity(&server{startedAt: b.now() - 5*time.Second})
 		})
-		if warm < 0.599 || warm > 0.601 {
-			t.Errorf("%g warm at half of the cold time", warm)
+		if capacity < 0.599 || capacity > 0.601 {
+			t.Errorf("capacity %g at half of the slow start", capacity)
 		}
 	})
 }
 
-func (w *watcher) AttemptEnded(node string, o logic.Outcome, took time.Duration) {
+func (w *recordingObserver) AttemptEnded(server string, o logic.Outcome, took time.Duration) {
 	if o == logic.Done && took >= 0 {
-		w.outcomes[node]++
+		w.outcomes[server]++
 	}
 }
 
-func (w *watcher) BeforeAttempt(node, _, _ string, again bool, warm float64, _ time.Time) (func(), bool) {
-	w.warm = warm
-	if w.full {
+func (w *recordingObserver) BeforeAttempt(_, _, _ string, _ bool, capacity float64, _ time.Time) (func(), bool) {
+	w.capacity = capacity
+	if w.rejecting {
 		return nil, false
 	}
-	w.held++
-	return func() { w.held-- }, true
+	w.reserved++
+	return func() { w.reserved-- }, true
 }
 
-// of tells what is held, and how warm the last node was, as the relay's goroutine has it.
-func (w *watcher) of(b *bench) (held int, warm float64) {
-	b.on(func() { held, warm = w.held, w.warm })
-	return held, warm
+// state returns what is reserved, and the capacity of the last server, as the actor has them.
+func (w *recordingObserver) state(b *bench) (reserved int, capacity float64) {
+	b.on(func() { reserved, capacity = w.reserved, w.capacity })
+	return reserved, capacity
 }
 
 // on does something on the relay's goroutine and waits for it.
@@ -94,33 +94,33 @@
 	synctest.Wait()
 }
 
-func (w *watcher) DrainChanged(node string, since time.Duration, drains bool) {
-	w.drains = append(w.drains, fmt.Sprint(node, since, drains))
+func (w *recordingObserver) DrainChanged(server string, startedAt time.Duration, draining bool) {
+	w.drains = append(w.drains, fmt.Sprint(server, startedAt, draining))
 }
 
-func (w *watcher) ServersListed(nodes []ListedServer) {
+func (w *recordingObserver) ServersListed(servers []ListedServer) {
 	w.listed = nil
-	for _, n := range nodes {
-		w.listed = append(w.listed, n.Name)
+	for _, s := range servers {
+		w.listed = append(w.listed, s.Name)
 	}
 	slices.Sort(w.listed)
 }
 
-// Nodes that are avoided get no claim, come back as they were, and are used all the same where nothing else is ready.
-func TestAvoid(t *testing.T) {
+// Servers that are ejected get no attempt, come back as they were, and are used all the same where nothing else is ready.
+func TestEjectedServersGetNoAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "safe", Deadline: time.Second}},
 			Limits: logic.Limits{MaxAttempts: 3}}
-		w := &watcher{outcomes: map[string]int{}}
+		w := &recordingObserver{outcomes: map[string]int{}}
 		b := newBench(t, cfg, 1, w)
-		one, two := member(8, logic.Ready), member(9, logic.Ready)
+		one, two := member(8), member(9)
 		one.Name, two.Name = "a", "b"
 		b.list(true, one, two)
-		avoid := func(names ...string) {
+		eject := func(names ...string) {
 			b.SetEjected(names)
 			synctest.Wait()
 		}
-		claims := func(of int) int {
+		attempts := func(of int) int {
 			b.lines = nil
 			for range of {
 				b.submit("safe")
@@ -129,35 +129,35 @@
 			}
 			n := 0
 			for _, l := range b.lines {
-				if strings.HasPrefix(l, "claim") {
+				if strings.HasPrefix(l, "attempt") {
 					n++
 				}
 			}
 			return n
 		}
-		avoid("a")
+		eject("a")
 		if _, down := b.ServerCounts(); down != 1 || !b.Ready() {
 			t.Errorf("down %d, ready %v", down, b.Ready())
 		}
 		b.list(true, one, two) // discovery says nothing of it
-		if n := claims(20); n == 0 {
-			t.Error("no claims")
+		if n := attempts(20); n == 0 {
+			t.Error("no attempts")
 		}
-		if n := b.servers[8].inFlight; n != 0 {
-			t.Errorf("%d claims at the node that is avoided", n)
+		if n := b.servers[8].pending; n != 0 {
+			t.Errorf("%d attempts at the server that is ejected", n)
 		}
 		if !slices.Equal(w.listed, []string{"a", "b"}) {
-			t.Errorf("%v listed: what is avoided counts as listed", w.listed)
+			t.Errorf("%v listed: what is ejected counts as listed", w.listed)
 		}
-		avoid()
+		eject()
 		if _, down := b.ServerCounts(); down != 0 || b.servers[8].member.Since != one.Since {
 			t.Errorf("%d down; it was not started anew", down)
 		}
-		avoid("a", "b")
+		eject("a", "b")
 		if _, down := b.ServerCounts(); down != 0 || !b.Ready() {
 			t.Errorf("down %d, ready %v: nothing else is ready", down, b.Ready())
 		}
-		// Another sidecar has heard that it drains: it gets nothing new, whatever the list says, for a minute or until a later
+		// Another sidecar has reported that it drains: it gets nothing new, whatever the list says, for a minute or until a later
 		// start of it is listed; of another start nothing is meant.
 		for _, since := range []time.Duration{5, one.Since} {
 			b.ReportDrain("a", since, true)
@@ -190,9 +190,9 @@
 		two.State = logic.Ready
 		b.list(false, two)
 		if want := []string{"b0s true", "b0s false", "b0s true", "b0s false"}; !slices.Equal(w.drains, want) {
-			t.Errorf("%q told, not %q", w.drains, want)
+			t.Errorf("%q reported, not %q", w.drains, want)
 		}
-		avoid("a")
+		eject("a")
 		two.State = logic.Draining
 		b.list(true, one, two)
 		synctest.Wait()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,20 +14,20 @@
 	"fieldrelay/logic"
 )
 
-// bench stands in for the front, the execute nodes and the list, and writes down what they are told.
+// bench stands in for the listener, the servers and the list, and writes down what they receive.
 type bench struct {
 	*Relay
-	gate   *budget.Gate
-	lines  []string
-	taken  uint64
-	report func(AttemptID, Result)
-	claims map[uint64]Attempt // the last one of each job
+	gate      *budget.Gate
+	lines     []string
+	submitted uint64
+	report    func(AttemptID, Result)
+	attempts  map[uint64]Attempt // the last one of each request
 }
 
 // newBench starts a relay of these settings, with an observer where there is one, until the test ends. It is called in a bubble.
 func newBench(t *testing.T, cfg logic.Config, seed uint64, o Observer) *bench {
 	t.Helper()
-	b := &bench{claims: map[uint64]Attempt{}, gate: budget.NewGate(1<<24, 1)}
+	b := &bench{attempts: map[uint64]Attempt{}, gate: budget.NewGate(1<<24, 1)}
 	var err error
 	if b.Relay, err = New(cfg, seed, b, zerolog.Nop()); err != nil {
 		t.Fatal(err)
@@ -46,30 +46,30 @@
 
 func (b *bench) Open(m Member, report func(AttemptID, Result)) Server {
 	b.report = report
-	return &benchNode{b, m.ID}
+	return &benchServer{b, m.ID}
 }
 
 func (b *bench) Watch() { b.note("watch") }
 
-type benchNode struct {
+type benchServer struct {
 	b  *bench
 	id uint64
 }
 
-func (n *benchNode) Start(c Attempt) {
-	n.b.claims[c.ID.Request] = c
-	n.b.note("claim %d.%d at %d for %v", c.ID.Request, c.ID.Attempt, n.id, time.Until(c.Deadline))
+func (n *benchServer) Start(c Attempt) {
+	n.b.attempts[c.ID.Request] = c
+	n.b.note("attempt %d.%d at %d for %v", c.ID.Request, c.ID.Attempt, n.id, time.Until(c.Deadline))
 }
-func (n *benchNode) Cancel(id AttemptID) { n.b.note("cancel %d.%d", id.Request, id.Attempt) }
-func (n *benchNode) CloseIdle()          {}
-func (n *benchNode) TrimIdle()           {}
-func (n *benchNode) Update(m Member)     { n.b.note("node %d state %d", n.id, m.State) }
-func (n *benchNode) Close()              { n.b.note("node %d closed", n.id) }
+func (n *benchServer) Cancel(id AttemptID) { n.b.note("cancel %d.%d", id.Request, id.Attempt) }
+func (n *benchServer) CloseIdle()          {}
+func (n *benchServer) TrimIdle()           {}
+func (n *benchServer) Update(m Member)     { n.b.note("server %d state %d", n.id, m.State) }
+func (n *benchServer) Close()              { n.b.note("server %d closed", n.id) }
 
-// submit gives the relay a job whose submitter waits for a second.
+// submit gives the relay a request whose client waits for a second.
 func (b *bench) submit(class string) uint64 {
-	b.taken++
-	id := b.taken
+	b.submitted++
+	id := b.submitted
 	b.submitAs(id, fmt.Sprint("call", id), class)
 	return id
 }
@@ -77,13 +77,13 @@
 func (b *bench) submitAs(id uint64, call, class string) {
 	b.Submit(Request{Class: class, Expires: time.Now().Add(time.Second), Payload: &Payload{CallID: call, Charge: b.gate.Must(budget.Jobs, 1)}, Answer: func(a Answer) {
 		a.Charge.Release()
-		b.note("answer %d %s%s", id, [...]string{"served ", "requeue", "failed", "again"}[a.Kind], a.Body)
+		b.note("answer %d %s%s", id, [...]string{"served ", "rejected", "failed", "duplicate"}[a.Kind], a.Body)
 	}})
 	synctest.Wait()
 }
 
-func (b *bench) outcome(job uint64, o logic.Outcome, body string) {
-	b.report(b.claims[job].ID, Result{Outcome: o, At: time.Now(), Body: []byte(body),
+func (b *bench) outcome(request uint64, o logic.Outcome, body string) {
+	b.report(b.attempts[request].ID, Result{Outcome: o, At: time.Now(), Body: []byte(body),
 		Charge: b.gate.Must(budget.Answers, int64(len(body)))})
 	synctest.Wait()
 }
@@ -93,8 +93,9 @@
 	synctest.Wait()
 }
 
-func member(id uint64, state logic.State) Member {
-	return Member{Server: logic.Server{ID: id, State: state}}
+// member is a ready server without a name.
+func member(id uint64) Member {
+	return Member{Server: logic.Server{ID: id}}
 }
 
 func TestRelay(t *testing.T) {
@@ -105,38 +106,38 @@
 		"served": {func(b *bench) {
 			id := b.submit("safe")
 			b.outcome(id, logic.Done, "hi")
-		}, "claim 1.0 at 8 for 1s, answer 1 served hi"},
-		"the next claim follows the outcome of the last": {func(b *bench) {
+		}, "attempt 1.0 at 8 for 1s, answer 1 served hi"},
+		"the next attempt follows the outcome of the last": {func(b *bench) {
 			id := b.submit("safe")
 			b.outcome(id, logic.Refused, "")
 			b.outcome(id, logic.Done, "hi")
-		}, "claim 1.0 at 8 for 1s, claim 1.1 at 8 for 1s, answer 1 served hi"},
-		"a job that the module does not know of fails at once": {func(b *bench) {
+		}, "attempt 1.0 at 8 for 1s, attempt 1.1 at 8 for 1s, answer 1 served hi"},
+		"a request that the module does not know of fails at once": {func(b *bench) {
 			b.submit("odd")
 		}, "answer 1 failed"},
-		// A late answer crosses the end of the time: one answer, and the claim is still told to the module.
+		// A late answer crosses the end of the time: one answer, and the attempt is still reported to the module.
 		"the end of the time and an answer cross": {func(b *bench) {
 			id := b.submit("safe")
 			time.Sleep(time.Second)
 			b.outcome(id, logic.Done, "late")
-		}, "claim 1.0 at 8 for 1s, answer 1 requeue, cancel 1.0"},
+		}, "attempt 1.0 at 8 for 1s, answer 1 rejected, cancel 1.0"},
 		"a withdrawal and an answer cross": {func(b *bench) {
 			id := b.submit("safe")
 			b.Withdraw(id)
 			b.outcome(id, logic.Done, "late")
 			b.Withdraw(id)
-		}, "claim 1.0 at 8 for 1s, cancel 1.0"},
-		"an unsafe job that may have run is not refused": {func(b *bench) {
+		}, "attempt 1.0 at 8 for 1s, cancel 1.0"},
+		"an unsafe request that may have run is not rejected": {func(b *bench) {
 			b.submit("unsafe")
 			time.Sleep(time.Second)
-		}, "claim 1.0 at 8 for 1s, answer 1 failed, cancel 1.0"},
-		"a node that a whole list leaves out is gone, and closed once nothing is out": {func(b *bench) {
+		}, "attempt 1.0 at 8 for 1s, answer 1 failed, cancel 1.0"},
+		"a server that a whole list leaves out is gone, and closed once nothing is out": {func(b *bench) {
 			id := b.submit("safe")
-			b.list(true, member(9, logic.Ready))
+			b.list(true, member(9))
 			b.outcome(id, logic.Done, "hi")
-		}, "claim 1.0 at 8 for 1s, node 8 state 2, answer 1 served hi, node 8 closed"},
-		// Under the id of an open job a second copy of that would be out, and one of its answers go to another.
-		"a job under the id of another": {func(b *bench) {
+		}, "attempt 1.0 at 8 for 1s, server 8 state 2, answer 1 served hi, server 8 closed"},
+		// Under the id of an open request a second copy of that would be out, and one of its answers go to another.
+		"a request under the id of another": {func(b *bench) {
 			id := b.submit("safe")
 			b.submitAs(2, "call1", "safe")
 			b.outcome(id, logic.Done, "hi")
@@ -144,25 +145,25 @@
 			time.Sleep(duplicateWindow)
 			synctest.Wait()
 			b.submitAs(4, "call1", "odd")
-		}, "claim 1.0 at 8 for 1s, answer 2 again, answer 1 served hi, answer 3 again, answer 4 failed"},
+		}, "attempt 1.0 at 8 for 1s, answer 2 duplicate, answer 1 served hi, answer 3 duplicate, answer 4 failed"},
 		"a lost list is asked for again": {func(b *bench) {
 			b.ListLost(time.Time{})
 			time.Sleep(time.Second)
 		}, "watch"},
-		// A panic in the module costs its open jobs, not the process; the next job is served.
+		// A panic in the module costs its open requests, not the process; the next request is served.
 		"a panic of the module": {func(b *bench) {
 			b.submit("safe")
 			b.mailbox.Put(func() { b.balancer = &logic.Balancer{} })
-			b.list(false, member(8, logic.Ready))
+			b.list(false, member(8))
 			b.outcome(1, logic.Canceled, "")
 			id := b.submit("safe")
 			b.outcome(id, logic.Done, "hi")
-		}, "claim 1.0 at 8 for 1s, node 8 state 0, cancel 1.0, answer 1 failed, node 8 state 0, watch, " +
-			"claim 2.0 at 8 for 1s, answer 2 served hi"},
+		}, "attempt 1.0 at 8 for 1s, server 8 state 0, cancel 1.0, answer 1 failed, server 8 state 0, watch, " +
+			"attempt 2.0 at 8 for 1s, answer 2 served hi"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := &bench{claims: map[uint64]Attempt{}, gate: budget.NewGate(1<<20, 1)}
+				b := &bench{attempts: map[uint64]Attempt{}, gate: budget.NewGate(1<<20, 1)}
 				class := logic.Class{Name: "safe", LatencyTarget: 500 * time.Millisecond, Deadline: time.Second, LateValue: 0.5}
 				unsafe := class
 				unsafe.Name, unsafe.Effect = "unsafe", logic.Unsafe
@@ -175,17 +176,17 @@
 				}
 				b.Start(b)
 				defer b.mailbox.Close()
-				b.list(false, member(8, logic.Ready))
+				b.list(false, member(8))
 				c.play(b)
 				synctest.Wait()
 				if diff := cmp.Diff(strings.Split(c.want, ", "), b.lines); diff != "" {
-					t.Errorf("told (-want +got):\n%s", diff)
+					t.Errorf("received (-want +got):\n%s", diff)
 				}
 				if held := b.gate.State().Sum(); held != int64(len(b.requests)) {
-					t.Errorf("%d bytes held for %d jobs", held, len(b.requests))
+					t.Errorf("%d bytes held for %d requests", held, len(b.requests))
 				}
 				if len(b.requests) != 0 && !strings.HasPrefix(name, "an unsafe") {
-					t.Errorf("%d jobs are kept", len(b.requests))
+					t.Errorf("%d requests are kept", len(b.requests))
 				}
 			})
 		})
@@ -193,7 +194,7 @@
 }
 
 // The module's times compare with those in the list, and a wake-up never comes early: woken before its time, it
-// would drop the wake-up and hold the job past its end.
+// would drop the wake-up and hold the request past its end.
 func TestClockIsUnixTimeAndWakesAreNotEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &bench{}
@@ -215,8 +216,8 @@
 	})
 }
 
-// A request is wanted until its final answer or its client's leaving, and that is told to whoever still holds a claim of it,
-// also where the module may not call claims off.
+// A request is wanted until its final answer or its client's leaving, and that is told to whoever still holds an attempt of it,
+// also where the module may not call attempts off.
 func TestAnEndedRequestIsNotWanted(t *testing.T) {
 	for name, end := range map[string]func(b *bench, job uint64){
 		"withdrawn": func(b *bench, job uint64) { b.Withdraw(job) },
@@ -228,7 +229,7 @@
 				b := newBench(t, logic.Config{Classes: []logic.Class{{Name: "c", LatencyTarget: time.Second, Deadline: time.Second}}}, 1, nil)
 				b.UpdateMembers(Members{Complete: true, Members: []Member{{Server: logic.Server{ID: 1}, Addr: "h:1", ListedAt: time.Now()}}})
 				job := b.submit("c")
-				request := b.claims[job].Payload
+				request := b.attempts[job].Payload
 				before := request.Wanted()
 				end(b, job)
 				synctest.Wait()
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -6,61 +6,70 @@
 	"fieldrelay/logic"
 )
 
-// Server is one execute node. No call blocks.
+// Server is the connections to one server. No call blocks.
 type Server interface {
+	// Start begins an attempt. Each one is reported exactly once, by the function given to Transport.Open.
 	Start(Attempt)
+	// Cancel ends an attempt that is not yet reported; another one is left alone.
 	Cancel(AttemptID)
-	CloseIdle()    // close the connections that carry nothing
-	TrimIdle()     // close those that have carried nothing for a while
-	Update(Member) // the list has changed it
-	Close()        // no further claim comes
+	// CloseIdle closes the connections without an attempt.
+	CloseIdle()
+	// TrimIdle closes those that have had none for a while.
+	TrimIdle()
+	// Update takes over a changed entry of the list.
+	Update(Member)
+	// Close says that no further attempt will start.
+	Close()
 }
 
-// Transport makes execute nodes. Each claim given to one is reported exactly once.
+// Transport connects to servers.
 type Transport interface {
+	// Open returns the server of an entry. It calls report once for each attempt, from any goroutine.
 	Open(m Member, report func(AttemptID, Result)) Server
 }
 
-// ServerList is where the execute nodes are learned from.
+// ServerList is the source of the server list.
 type ServerList interface {
-	Watch() // ask for changes from now on; answered by Members or ListLost
+	// Watch requests the list and changes to it from now on. It is answered by Relay.UpdateMembers or
+	// Relay.ListLost, and does not block.
+	Watch()
 }
 
-// Member is one entry of the list.
+// Member is one entry of the server list.
 type Member struct {
 	logic.Server
-	Name     string // as the list writes it: what an operator calls it
+	Name     string // as the list writes it, and as operators call the server
 	Addr     string
 	ListedAt time.Time // when the list said so
 }
 
-// UpdateMembers is the list or a change to it.
+// Members is the server list or a change to it.
 type Members struct {
 	Members  []Member
 	Complete bool // it is the whole list
-	Stored   bool // it was kept from before this start
+	Stored   bool // it was stored before this start
 }
 
-// node is an execute node of the list. Most of a long list never get a claim: those have no Node.
+// server is a server of the list. Most servers of a long list never get an attempt: those have a nil Server.
 type server struct {
 	Server
 	member    Member
-	inFlight  int           // claims not yet reported
-	startedAt time.Duration // its start, by the list
+	pending   int           // attempts not yet reported
+	startedAt time.Duration // by the list, on the module's clock
 }
 
-// UpdateMembers takes in the list or a change to it.
+// UpdateMembers applies the server list or a change to it.
 func (r *Relay) UpdateMembers(l Members) {
 	r.mailbox.Put(func() { r.applyMembers(l) })
 }
 
-// ListLost tells that a watch failed or broke off, and when what is missed counts as told; the zero time: by the contract's
-// interval alone.
-func (r *Relay) ListLost(told time.Time) {
+// ListLost reports that a watch failed or broke off. notifiedAt is when a change that was missed counts as
+// notified; the zero time: as the contract's interval says.
+func (r *Relay) ListLost(notifiedAt time.Time) {
 	r.mailbox.Put(func() {
 		ev := &logic.Event{Kind: logic.EvListLost}
-		if !told.IsZero() {
-			ev.Expires = r.moduleTime(told)
+		if !notifiedAt.IsZero() {
+			ev.Expires = r.moduleTime(notifiedAt)
 		}
 		r.step(ev)
 	})
@@ -68,9 +77,9 @@
 
 func (r *Relay) applyMembers(l Members) {
 	ev := logic.Event{Kind: logic.EvMembers, Complete: l.Complete, Stored: l.Stored}
-	named := map[uint64]bool{}
+	listed := map[uint64]bool{}
 	for _, m := range l.Members {
-		named[m.ID] = true
+		listed[m.ID] = true
 		if !l.Stored {
 			r.notifyDrain(m)
 		}
@@ -78,68 +87,76 @@
 		ev.Servers = append(ev.Servers, r.effective(m).Server)
 	}
 	if l.Complete {
-		for id, n := range r.servers {
-			if !named[id] {
-				gone := n.member
-				gone.State, gone.ListedAt = logic.Gone, time.Now()
-				r.applyMember(gone)
-			}
-		}
+		r.markOthersGone(listed)
 	}
 	r.step(&ev)
-	for id, n := range r.servers {
-		r.closeIfGone(id, n)
+	for id, s := range r.servers {
+		r.closeIfGone(id, s)
 	}
 	usable := r.updateReadiness()
 	r.restoreIfNoneReady()
 	r.log.Info().Int("changed", len(l.Members)).Bool("complete", l.Complete).Bool("stored", l.Stored).
-		Int("usable", usable).Msg("list")
+		Int("usable", usable).Msg("server list updated")
 }
 
 func (r *Relay) applyMember(m Member) {
-	n := r.servers[m.ID]
+	s := r.servers[m.ID]
 	switch {
-	case n != nil:
-		n.member, n.startedAt = m, m.Since
-		if n.Server != nil {
-			n.Update(r.effective(m))
+	case s != nil:
+		s.member, s.startedAt = m, m.Since
+		if s.Server != nil {
+			s.Update(r.effective(m))
 		}
 	case m.State != logic.Gone:
 		r.servers[m.ID] = &server{member: m, startedAt: m.Since}
 	}
 }
 
-// retire closes an execute node that is gone from the list once nothing is out there.
-func (r *Relay) closeIfGone(id uint64, n *server) {
-	if n.member.State == logic.Gone && n.inFlight == 0 && !r.cfg.Contract.GoneIsAdvisory {
-		if n.Server != nil {
-			n.Close()
+// markOthersGone marks the servers that a complete list leaves out. The module does so by itself.
+func (r *Relay) markOthersGone(listed map[uint64]bool) {
+	for id, s := range r.servers {
+		if !listed[id] {
+			gone := s.member
+			gone.State, gone.ListedAt = logic.Gone, time.Now()
+			r.applyMember(gone)
+		}
+	}
+}
+
+// closeIfGone closes a server that is gone from the list once it has no pending attempt. Where gone is
+// advisory the module may still send to it.
+func (r *Relay) closeIfGone(id uint64, s *server) {
+	if s.member.State == logic.Gone && s.pending == 0 && !r.cfg.Contract.GoneIsAdvisory {
+		if s.Server != nil {
+			s.Close()
 		}
 		delete(r.servers, id)
 	}
 }
 
-// TrimIdle gives back the connections to execute nodes that have carried nothing for a while: their bytes are needed.
+// TrimIdle closes the connections to servers that have been idle for a while, to free their bytes.
 func (r *Relay) TrimIdle() {
 	r.mailbox.Put(func() {
-		for _, n := range r.servers {
-			if n.Server != nil {
-				n.TrimIdle()
+		for _, s := range r.servers {
+			if s.Server != nil {
+				s.TrimIdle()
 			}
 		}
 	})
 }
 
-// warm is the part of its full capacity that a node has at the least since its start, by the contract.
-func (r *Relay) capacity(n *server) float64 {
-	c, age := &r.cfg.Contract, r.now()-n.startedAt
-	if n.startedAt <= 0 || c.SlowStartWindow <= 0 || age >= c.SlowStartWindow {
+// capacity is the least fraction (0 to 1) of its full capacity that a server has now, by the contract: during
+// slow start it grows linearly.
+func (r *Relay) capacity(s *server) float64 {
+	c, age := &r.cfg.Contract, r.now()-s.startedAt
+	if s.startedAt <= 0 || c.SlowStartWindow <= 0 || age >= c.SlowStartWindow {
 		return 1
 	}
 	return c.SlowStartMinCapacity + (1-c.SlowStartMinCapacity)*float64(max(age, 0))/float64(c.SlowStartWindow)
 }
 
-// seen is what the module is told of a member: a suspended one, or one that is avoided, is draining.
+// effective is the entry as the module sees it: a server that is ready by the list but suspended, ejected or
+// reported to drain is draining.
 func (r *Relay) effective(m Member) Member {
 	if (r.suspended[m.Name] || r.ejected[m.Name] || r.drainReported(m)) && m.State == logic.Ready {
 		m.State = logic.Draining
@@ -147,69 +164,73 @@
 	return m
 }
 
-// refresh tells the module of one execute node as it is to be seen now.
+// refresh notifies the module and the server of an entry whose effective state may have changed.
 func (r *Relay) refresh(m Member) {
-	seen := r.effective(m)
-	if n := r.servers[m.ID]; n != nil && n.Server != nil {
-		seen.ListedAt = time.Now()
-		n.Update(seen)
+	effective := r.effective(m)
+	if s := r.servers[m.ID]; s != nil && s.Server != nil {
+		effective.ListedAt = time.Now()
+		s.Update(effective)
 	}
-	r.step(&logic.Event{Kind: logic.EvMembers, Servers: []logic.Server{seen.Server}})
+	r.step(&logic.Event{Kind: logic.EvMembers, Servers: []logic.Server{effective.Server}})
 	r.updateReadiness()
 }
 
 func (r *Relay) refreshNamed(name string) {
-	if n := r.listedServer(name); n != nil {
-		r.refresh(n.member)
+	if s := r.listedServer(name); s != nil {
+		r.refresh(s.member)
 	}
 }
 
+// listedServer returns the server of that name which the list has, or nil.
 func (r *Relay) listedServer(name string) *server {
-	for _, n := range r.servers {
-		if n.member.Name == name && n.member.State != logic.Gone {
-			return n
+	for _, s := range r.servers {
+		if s.member.Name == name && s.member.State != logic.Gone {
+			return s
 		}
 	}
 	return nil
 }
 
-// IsListed tells whether the list has an execute node of that name. It asks the relay's goroutine, which must not be the
-// caller's, and takes a relay that does not answer in listedTimeout for yes.
+// listedTimeout is how long IsListed waits for the actor.
+const listedTimeout = 300 * time.Millisecond
+
+// IsListed reports whether the list has a server of that name. It waits for the actor, and must not be called
+// on it; if the actor does not answer in time the name is taken to be listed.
 func (r *Relay) IsListed(name string) bool {
-	told := make(chan bool, 1)
-	r.mailbox.Put(func() { told <- r.listedServer(name) != nil })
+	answer := make(chan bool, 1)
+	r.mailbox.Put(func() { answer <- r.listedServer(name) != nil })
 	select {
-	case listed := <-told:
+	case listed := <-answer:
 		return listed
 	case <-time.After(listedTimeout):
 		return true
 	}
 }
 
-const listedTimeout = 300 * time.Millisecond
-
-// ServerCounts tells how many execute nodes are listed and how many of those are suspended. Any goroutine may ask.
-func (r *Relay) ServerCounts() (listed, down int) {
+// ServerCounts returns how many servers are listed, and how many of those are suspended, ejected or reported
+// to drain.
+func (r *Relay) ServerCounts() (listed, unavailable int) {
 	return int(r.listed.Load()), int(r.unavailable.Load())
 }
 
-// count keeps readiness and the figures of the list up to date, and tells how many nodes take claims.
+// updateReadiness updates readiness and the counts of servers, notifies the observer, and returns how many
+// servers take attempts.
 func (r *Relay) updateReadiness() (usable int) {
-	listed, down := 0, 0
-	for _, n := range r.servers {
-		switch {
-		case n.member.State == logic.Gone:
-		case r.suspended[n.member.Name] || (r.ejected[n.member.Name] || r.drainReported(n.member)) && n.member.State == logic.Ready:
-			listed, down = listed+1, down+1
+	listed, unavailable := 0, 0
+	for _, s := range r.servers {
+		switch state := r.effective(s.member).State; {
+		case s.member.State == logic.Gone:
+		case r.suspended[s.member.Name] || state != s.member.State:
+			listed, unavailable = listed+1, unavailable+1
 		default:
 			listed++
-			if n.member.State == logic.Ready {
+			if state == logic.Ready {
 				usable++
 			}
 		}
 	}
 	r.listed.Store(int64(listed))
-	r.unavailable.Store(int64(down))
+	r.unavailable.Store(int64(unavailable))
 	r.ready.Store(usable > 0)
 	r.notifyListed()
 	return usable
--- a/internal/relay/suspension_test.go
+++ b/internal/relay/suspension_test.go
@@ -9,13 +9,13 @@
 	"fieldrelay/logic"
 )
 
-// A suspended node gets no claim, whatever the list says, until it is restored; an unknown name is refused.
+// A suspended server gets no attempt, whatever the list says, until it is restored; an unknown name is rejected.
 func TestSuspend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := logic.Config{Tick: 5 * time.Millisecond, Classes: []logic.Class{{Name: "safe", Deadline: time.Second}},
 			Limits: logic.Limits{MaxAttempts: 3}}
 		b := newBench(t, cfg, 1, nil)
-		a := member(8, logic.Ready)
+		a := member(8)
 		a.Name = "a"
 		b.list(true, a)
 		ask := func(do func(func([]string, error))) (names []string, err error) {
@@ -37,11 +37,11 @@
 		}
 		b.lines = nil
 		b.submit("safe")
-		time.Sleep(2 * time.Second) // the job ends meanwhile, and nothing more is written down before the look
+		time.Sleep(2 * time.Second) // the request ends meanwhile, and nothing more is written down before the look
 		synctest.Wait()
 		for _, l := range b.lines {
-			if len(l) > 5 && l[:5] == "claim" {
-				t.Errorf("a suspended node is claimed: %s", l)
+			if len(l) > 7 && l[:7] == "attempt" {
+				t.Errorf("a suspended server is sent to: %s", l)
 			}
 		}
 		if names, err := ask(func(d func([]string, error)) { b.Restore("a", d) }); err != nil || len(names) != 0 {
