--- a/internal/daemon/manage.go
+++ b/internal/daemon/manage.go
@@ -123,14 +123,14 @@
 
 func (o *operations) Pause() {
 	o.paused.Store(true)
-	for _, f := range o.fronts.Fronts() {
+	for _, f := range o.fronts.Servers() {
 		f.Pause()
 	}
 }
 
 func (o *operations) Resume() {
 	o.paused.Store(false)
-	for _, f := range o.fronts.Fronts() {
+	for _, f := range o.fronts.Servers() {
 		f.Resume()
 	}
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -119,9 +119,9 @@
 	if join != nil {
 		admit = members.admit
 	}
-	fronts := front.NewSet(func(front.Listen) front.Front {
-		return fronthttp.New(core, fronthttp.Options{Classes: cfg.Logic.Classes, Limits: cfg.Logic.Limits, Gate: gate,
-			Figures: figures, Table: classes, Admit: admit}, hub.Part("front"))
+	fronts := front.NewSet(func(front.Listener) front.Server {
+		return fronthttp.New(core, fronthttp.Options{ClassSettings: cfg.Logic.Classes, Limits: cfg.Logic.Limits, Gate: gate,
+			Metrics: figures, Classes: classes, Admit: admit}, hub.Part("front"))
 	}, inherited.Listeners, patience, hub.Part("front"))
 	ops := &operations{core: core, fronts: fronts, figures: figures, peers: members, told: members.told, kept: kept, log: hub.Part("manage")}
 	var managed *manage.Server
@@ -140,8 +140,8 @@
 	defer close(stop)
 	go resident.Watch(plan, gate, func(d budget.Degree) {
 		if d >= budget.Idle {
-			for _, f := range fronts.Fronts() {
-				f.Trim()
+			for _, f := range fronts.Servers() {
+				f.TrimIdle()
 			}
 			core.TrimIdle()
 		}
@@ -159,7 +159,7 @@
 		}
 	}
 	opened.Commit()
-	fronts.Settle()
+	fronts.CloseUnused()
 	if inherited.Replaces() { // only now has the process before this one cause to leave the fleet's address
 		members.start(cfg.Operator.Fleet, cfg.Operator.Quota, cfg.Operator.Rules, true)
 	}
@@ -227,8 +227,8 @@
 	}
 	members.stop(handedOver)
 	if !handedOver {
-		for _, f := range fronts.Fronts() {
-			f.Stopping()
+		for _, f := range fronts.Servers() {
+			f.MarkNotReady()
 		}
 		<-time.After(linger)
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -21,55 +21,55 @@
 	"fieldrelay/internal/socket"
 )
 
-// Front takes jobs from submitters on one listener.
-type Front interface {
+// Server takes jobs from submitters on one listener.
+type Server interface {
 	// Serve answers the connections of ln until Shutdown. It is called once, on a goroutine of its own.
 	Serve(ln net.Listener) error
-	// Limit bounds the connections that are open at a time. It may be called at any time, also before Serve.
-	Limit(conns int)
-	// Trim closes connections that have carried no request for a while: their bytes are needed.
-	Trim()
+	// SetMaxConns bounds the connections that are open at a time. It may be called at any time, also before Serve.
+	SetMaxConns(conns int)
+	// TrimIdle closes connections that have carried no request for a while: their bytes are needed.
+	TrimIdle()
 	// Pause makes readiness say no and ends connections once idle, until Resume.
 	Pause()
 	Resume()
-	// Stopping makes readiness say no; all else goes on.
-	Stopping()
+	// MarkNotReady makes readiness say no; all else goes on.
+	MarkNotReady()
 	// Shutdown closes the listener, ends idle connections and waits until all that was taken is answered.
 	Shutdown(ctx context.Context) error
 }
 
 // Settings are the section front of the operator's file.
 type Settings struct {
-	HTTP []Listen `toml:"http"` // further HTTP listeners, beside the platform's
+	HTTP []Listener `toml:"http"` // further HTTP listeners, beside the platform's
 }
 
-// Listen is a listener.
-type Listen struct {
+// Listener is a listener.
+type Listener struct {
 	Address     string `toml:"listen"`      // host:port, or unix: and a path
 	Mode        string `toml:"mode"`        // of a Unix socket's file, in octal digits; 0600 if empty
 	Connections int    `toml:"connections"` // that are open at a time; 64 if 0
 }
 
 const (
-	unixPrefix         = "unix:"
-	defaultMode        = 0o600
-	defaultConnections = 64
-	queueTime          = 500 * time.Millisecond // for what waits to be accepted at a front that goes away,
-	queuePace          = 5 * time.Millisecond   // looked at so often
-	mostPath           = 100                    // bytes; the system takes 107 (unix(7), sun_path)
+	unixPrefix          = "unix:"
+	defaultMode         = 0o600
+	defaultConnections  = 64
+	backlogTimeout      = 500 * time.Millisecond // for what waits to be accepted at a front that goes away,
+	backlogPollInterval = 5 * time.Millisecond   // looked at so often
+	maxSocketPath       = 100                    // bytes; the system takes 107 (unix(7), sun_path)
 )
 
-// Conns is the number of connections that the listener may hold.
-func (l *Listen) Conns() int {
+// MaxConns is the number of connections that the listener may hold.
+func (l *Listener) MaxConns() int {
 	if l.Connections == 0 {
 		return defaultConnections
 	}
 	return l.Connections
 }
 
-func (l *Listen) path() (string, bool) { return strings.CutPrefix(l.Address, unixPrefix) }
+func (l *Listener) path() (string, bool) { return strings.CutPrefix(l.Address, unixPrefix) }
 
-func (l *Listen) mode() (os.FileMode, error) {
+func (l *Listener) mode() (os.FileMode, error) {
 	if l.Mode == "" {
 		return defaultMode, nil
 	}
@@ -90,8 +90,8 @@
 		path, unix := l.path()
 		_, port, err := net.SplitHostPort(l.Address)
 		switch {
-		case unix && (path == "" || len(path) > mostPath):
-			fault(key+"listen", l.Address, fmt.Sprintf("unix: and a path of up to %d bytes", mostPath))
+		case unix && (path == "" || len(path) > maxSocketPath):
+			fault(key+"listen", l.Address, fmt.Sprintf("unix: and a path of up to %d bytes", maxSocketPath))
 		case !unix && (err != nil || port == "" || port == "0"):
 			fault(key+"listen", l.Address, "host:port, or unix: and a path")
 		case seen[l.Address]:
@@ -101,7 +101,7 @@
 		if _, err := l.mode(); err != nil || l.Mode != "" && !unix {
 			fault(key+"mode", l.Mode, "up to three octal digits, for a Unix socket")
 		}
-		if left -= l.Conns(); l.Connections < 0 || left < 0 {
+		if left -= l.MaxConns(); l.Connections < 0 || left < 0 {
 			fault(key+"connections", l.Connections, fmt.Sprintf("1 or more, of %d for all fronts beside the platform's", conns))
 		}
 	}
@@ -109,10 +109,10 @@
 
 // Set is the fronts that serve. One goroutine uses it; Fronts may be called from any.
 type Set struct {
-	open     func(l Listen) Front
-	log      zerolog.Logger
-	adopted  map[string]net.Listener // handed over by the process before this one, by address
-	patience time.Duration           // for what a front that goes away has taken
+	newServer    func(l Listener) Server
+	log          zerolog.Logger
+	inherited    map[string]net.Listener // handed over by the process before this one, by address
+	drainTimeout time.Duration           // for what a front that goes away has taken
 
 	failed chan error
 
@@ -121,15 +121,15 @@
 }
 
 type serving struct {
-	Front
-	listen Listen
-	ln     net.Listener
+	Server
+	settings Listener
+	ln       net.Listener
 }
 
 // NewSet makes a set that serves nothing yet. open makes a front for a listener. adopted are listeners that are open
 // already; those that no settings name are closed by Settle.
-func NewSet(open func(Listen) Front, adopted map[string]net.Listener, patience time.Duration, log zerolog.Logger) *Set {
-	return &Set{open: open, log: log, adopted: adopted, patience: patience, running: map[string]*serving{}, failed: make(chan error, 1)}
+func NewSet(open func(Listener) Server, adopted map[string]net.Listener, patience time.Duration, log zerolog.Logger) *Set {
+	return &Set{newServer: open, log: log, inherited: adopted, drainTimeout: patience, running: map[string]*serving{}, failed: make(chan error, 1)}
 }
 
 // Failed receives the error of a front that cannot go on.
@@ -137,15 +137,15 @@
 
 // Change is what Prepare has bound. Either Commit or Abort ends it.
 type Change struct {
-	set    *Set
-	bound  []*serving
-	limits []Listen
-	gone   []*serving
+	set     *Set
+	bound   []*serving
+	kept    []Listener
+	removed []*serving
 }
 
 // Prepare binds what want names and does not serve yet. If anything cannot be bound, nothing stays bound and nothing
 // has changed.
-func (s *Set) Prepare(want []Listen) (*Change, error) {
+func (s *Set) Prepare(want []Listener) (*Change, error) {
 	c := &Change{set: s}
 	named := map[string]bool{}
 	for _, l := range want {
@@ -155,10 +155,10 @@
 		}
 		named[l.Address] = true
 		if r := s.running[l.Address]; r != nil {
-			c.limits = append(c.limits, l)
+			c.kept = append(c.kept, l)
 			continue
 		}
-		ln := s.adopted[l.Address]
+		ln := s.inherited[l.Address]
 		if ln == nil {
 			var err error
 			if ln, err = Bind(l); err != nil {
@@ -166,11 +166,11 @@
 				return nil, fmt.Errorf("front %s: %w", l.Address, err)
 			}
 		}
-		c.bound = append(c.bound, &serving{listen: l, ln: ln})
+		c.bound = append(c.bound, &serving{settings: l, ln: ln})
 	}
 	for address, r := range s.running {
 		if !named[address] {
-			c.gone = append(c.gone, r)
+			c.removed = append(c.removed, r)
 		}
 	}
 	return c, nil
@@ -179,9 +179,9 @@
 // Abort gives back what was bound.
 func (c *Change) Abort() {
 	for _, b := range c.bound {
-		if c.set.adopted[b.listen.Address] == nil {
+		if c.set.inherited[b.settings.Address] == nil {
 			b.ln.Close()
-			b.unlink()
+			b.removeSocketFile()
 		}
 	}
 	c.bound = nil
@@ -192,55 +192,55 @@
 	s := c.set
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, l := range c.limits {
+	for _, l := range c.kept {
 		r := s.running[l.Address]
-		r.listen = l
-		r.Limit(l.Conns())
-		r.chmod(s.log)
+		r.settings = l
+		r.SetMaxConns(l.MaxConns())
+		r.setMode(s.log)
 	}
 	for _, b := range c.bound {
-		delete(s.adopted, b.listen.Address)
-		b.Front = s.open(b.listen)
-		b.Limit(b.listen.Conns())
-		s.running[b.listen.Address] = b
-		s.log.Info().Str("front", b.listen.Address).Stringer("address", b.ln.Addr()).Int("connections", b.listen.Conns()).Msg("front opened")
+		delete(s.inherited, b.settings.Address)
+		b.Server = s.newServer(b.settings)
+		b.SetMaxConns(b.settings.MaxConns())
+		s.running[b.settings.Address] = b
+		s.log.Info().Str("front", b.settings.Address).Stringer("address", b.ln.Addr()).Int("connections", b.settings.MaxConns()).Msg("front opened")
 		go func() {
 			if err := b.Serve(b.ln); err != nil && !errors.Is(err, net.ErrClosed) {
 				select {
-				case s.failed <- fmt.Errorf("front %s: %w", b.listen.Address, err):
+				case s.failed <- fmt.Errorf("front %s: %w", b.settings.Address, err):
 				default:
 				}
 			}
 		}()
 	}
-	for _, r := range c.gone {
-		delete(s.running, r.listen.Address)
-		r.unlink() // before its listener closes: none may bind in between and lose its file
+	for _, r := range c.removed {
+		delete(s.running, r.settings.Address)
+		r.removeSocketFile() // before its listener closes: none may bind in between and lose its file
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), s.patience)
+			ctx, cancel := context.WithTimeout(context.Background(), s.drainTimeout)
 			defer cancel()
-			r.emptyQueue()
+			r.waitForBacklog()
 			err := r.Shutdown(ctx)
-			s.log.Info().Str("front", r.listen.Address).AnErr("left", err).Msg("front closed")
+			s.log.Info().Str("front", r.settings.Address).AnErr("left", err).Msg("front closed")
 		}()
 	}
 }
 
-// Settle closes what was handed over and is not used.
-func (s *Set) Settle() {
-	for address, ln := range s.adopted {
+// CloseUnused closes what was handed over and is not used.
+func (s *Set) CloseUnused() {
+	for address, ln := range s.inherited {
 		ln.Close()
-		delete(s.adopted, address)
+		delete(s.inherited, address)
 	}
 }
 
-// Fronts are the fronts that serve now, for Trim and the like.
-func (s *Set) Fronts() []Front {
+// Servers are the fronts that serve now, for Trim and the like.
+func (s *Set) Servers() []Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var all []Front
+	var all []Server
 	for _, r := range s.running {
-		all = append(all, r.Front)
+		all = append(all, r.Server)
 	}
 	return all
 }
@@ -260,7 +260,7 @@
 	ended := make(chan error, len(s.running))
 	for _, r := range s.running {
 		if !handedOver {
-			r.unlink()
+			r.removeSocketFile()
 		}
 		go func() { ended <- r.Shutdown(ctx) }()
 	}
@@ -275,7 +275,7 @@
 
 // Bind opens a listener. The file of a Unix socket that nobody listens at, left by a process that was killed, is
 // replaced; one that another process serves is an error.
-func Bind(l Listen) (net.Listener, error) {
+func Bind(l Listener) (net.Listener, error) {
 	path, unix := l.path()
 	if !unix {
 		return net.Listen("tcp", l.Address)
@@ -319,22 +319,22 @@
 	return ln, nil
 }
 
-// emptyQueue waits a moment until no connection waits to be accepted: what waits when a listener closes is reset.
-func (s *serving) emptyQueue() {
-	for end := time.Now().Add(queueTime); socket.Pending(s.ln) && time.Now().Before(end); {
-		<-time.After(queuePace)
+// waitForBacklog waits a moment until no connection waits to be accepted: what waits when a listener closes is reset.
+func (s *serving) waitForBacklog() {
+	for end := time.Now().Add(backlogTimeout); socket.Pending(s.ln) && time.Now().Before(end); {
+		<-time.After(backlogPollInterval)
 	}
 }
 
-func (s *serving) unlink() {
-	if path, unix := s.listen.path(); unix {
+func (s *serving) removeSocketFile() {
+	if path, unix := s.settings.path(); unix {
 		os.Remove(path)
 	}
 }
 
-func (s *serving) chmod(log zerolog.Logger) {
-	if path, unix := s.listen.path(); unix {
-		if mode, err := s.listen.mode(); err == nil {
+func (s *serving) setMode(log zerolog.Logger) {
+	if path, unix := s.settings.path(); unix {
+		if mode, err := s.settings.mode(); err == nil {
 			if err := os.Chmod(path, mode); err != nil {
 				log.Error().Err(err).Msg("mode of a socket not set")
 			}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -45,11 +45,11 @@
 		})
 	}
 }
-func (g *greeter) Limit(n int) { g.limit = n }
-func (g *greeter) Trim()       {}
-func (g *greeter) Pause()      {}
-func (g *greeter) Resume()     {}
-func (g *greeter) Stopping()   {}
+func (g *greeter) SetMaxConns(n int) { g.limit = n }
+func (g *greeter) TrimIdle()         {}
+func (g *greeter) Pause()            {}
+func (g *greeter) Resume()           {}
+func (g *greeter) MarkNotReady()     {}
 func (g *greeter) Shutdown(context.Context) error {
 	scenarioWait(func() bool { g.mu.Lock(); defer g.mu.Unlock(); return g.ln != nil })
 	g.ln.Close()
@@ -65,7 +65,7 @@
 
 func newSet(t *testing.T) (*Set, map[string]*greeter) {
 	made := map[string]*greeter{}
-	s := NewSet(func(l Listen) Front {
+	s := NewSet(func(l Listener) Server {
 		made[l.Address] = &greeter{}
 		return made[l.Address]
 	}, nil, time.Minute, zerolog.Nop())
@@ -80,7 +80,7 @@
 	return s, made
 }
 
-func apply(t *testing.T, s *Set, want ...Listen) {
+func apply(t *testing.T, s *Set, want ...Listener) {
 	t.Helper()
 	c, err := s.Prepare(want)
 	if err != nil {
@@ -115,7 +115,7 @@
 // A front that goes away answers what it has taken, and takes nothing more; its place can be had again.
 func TestFrontsComeAndGo(t *testing.T) {
 	s, made := newSet(t)
-	a, b := Listen{Address: free(t)}, Listen{Address: unixPrefix + filepath.Join(t.TempDir(), "b.sock"), Mode: "0640"}
+	a, b := Listener{Address: free(t)}, Listener{Address: unixPrefix + filepath.Join(t.TempDir(), "b.sock"), Mode: "0640"}
 	apply(t, s, a, b)
 	open, err := greeted(b.Address)
 	if err != nil {
@@ -161,21 +161,21 @@
 	if err := os.WriteFile(filepath.Join(dir, "file"), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	fresh := Listen{Address: unixPrefix + filepath.Join(dir, "fresh.sock")}
+	fresh := Listener{Address: unixPrefix + filepath.Join(dir, "fresh.sock")}
 	for name, c := range map[string]struct {
-		bad  Listen
+		bad  Listener
 		want error
 	}{
-		"a port that is taken":              {Listen{Address: taken}, syscall.EADDRINUSE},
-		"a socket that another one serves":  {Listen{Address: unixPrefix + filepath.Join(dir, "held.sock")}, syscall.EADDRINUSE},
-		"a file that is no socket":          {Listen{Address: unixPrefix + filepath.Join(dir, "file")}, nil},
-		"a folder that is not there":        {Listen{Address: unixPrefix + filepath.Join(dir, "none", "x")}, os.ErrNotExist},
+		"a port that is taken":              {Listener{Address: taken}, syscall.EADDRINUSE},
+		"a socket that another one serves":  {Listener{Address: unixPrefix + filepath.Join(dir, "held.sock")}, syscall.EADDRINUSE},
+		"a file that is no socket":          {Listener{Address: unixPrefix + filepath.Join(dir, "file")}, nil},
+		"a folder that is not there":        {Listener{Address: unixPrefix + filepath.Join(dir, "none", "x")}, os.ErrNotExist},
 		"the same twice, each fine by self": {fresh, nil},
 	} {
 		s, _ := newSet(t)
-		old := Listen{Address: free(t)}
+		old := Listener{Address: free(t)}
 		apply(t, s, old)
-		_, err := s.Prepare([]Listen{fresh, c.bad})
+		_, err := s.Prepare([]Listener{fresh, c.bad})
 		if err == nil || c.want != nil && !errors.Is(err, c.want) {
 			t.Errorf("%s: error %v", name, err)
 		}
@@ -200,7 +200,7 @@
 	ln.(*net.UnixListener).SetUnlinkOnClose(false)
 	ln.Close()
 	s, _ := newSet(t)
-	apply(t, s, Listen{Address: unixPrefix + path})
+	apply(t, s, Listener{Address: unixPrefix + path})
 	nc, err := greeted(unixPrefix + path)
 	if err != nil {
 		t.Fatal(err)
@@ -213,7 +213,7 @@
 }
 
 func TestCheck(t *testing.T) {
-	s := Settings{HTTP: []Listen{{Address: "127.0.0.1:81"}, {Address: "unix:/x", Mode: "0660", Connections: 30}, {Address: "127.0.0.1:81"},
+	s := Settings{HTTP: []Listener{{Address: "127.0.0.1:81"}, {Address: "unix:/x", Mode: "0660", Connections: 30}, {Address: "127.0.0.1:81"},
 		{Address: "nowhere"}, {Address: "127.0.0.1:82", Mode: "0600"}, {Address: "unix:"}, {Address: "unix:/y", Mode: "999"},
 		{Address: "127.0.0.1:83", Connections: -1}, {Address: "127.0.0.1:84", Connections: 900}}}
 	var got []string
--- a/internal/front/http/crossing_test.go
+++ b/internal/front/http/crossing_test.go
@@ -25,8 +25,8 @@
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 	gate := budget.NewGate(8<<20, 9)
 	r := &script{stage, gate, make(chan relay.Request, 9)}
-	f := New(r, Options{Gate: gate, Classes: []logic.Class{{Name: "look"}}}, zerolog.Nop())
-	f.Limit(conns)
+	f := New(r, Options{Gate: gate, ClassSettings: []logic.Class{{Name: "look"}}}, zerolog.Nop())
+	f.SetMaxConns(conns)
 	go f.Serve(ln)
 	stage.Calls["relay"] = r.answer
 	stage.Calls["shutdown"] = func(string) {
@@ -62,8 +62,8 @@
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 	gate := budget.NewGate(8<<20, 9)
 	r := &script{stage, gate, make(chan relay.Request, 9)}
-	f := New(r, Options{Gate: gate, Classes: []logic.Class{{Name: "look"}}}, zerolog.Nop())
-	f.Limit(9)
+	f := New(r, Options{Gate: gate, ClassSettings: []logic.Class{{Name: "look"}}}, zerolog.Nop())
+	f.SetMaxConns(9)
 	go f.Serve(ln)
 	stage.Calls["relay"] = r.answer
 	stage.Calls["read"] = func(string) {
@@ -104,8 +104,8 @@
 	ln := scenario.Listen(t)
 	gate := budget.NewGate(8<<20, 9)
 	r := &script{scenario.NewStage(nil), gate, make(chan relay.Request, 9)}
-	f := New(r, Options{Gate: gate, Classes: []logic.Class{{Name: "look"}}}, zerolog.Nop())
-	f.Limit(9)
+	f := New(r, Options{Gate: gate, ClassSettings: []logic.Class{{Name: "look"}}}, zerolog.Nop())
+	f.SetMaxConns(9)
 	go f.Serve(ln)
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -153,13 +153,13 @@
 	ln.none.Store(true)
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 	f := New(&script{stage: stage}, Options{}, zerolog.Nop())
-	f.Limit(9)
+	f.SetMaxConns(9)
 	begun := time.Now()
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(ln) }()
 	scenario.Await(t, "it is tried again", func() bool { return ln.calls.Load() >= 4 })
 	// One more at first, and one for the limit that was set, which may have made room.
-	if most := int64(time.Since(begun)/acceptAgain) + 2; ln.calls.Load() > most {
+	if most := int64(time.Since(begun)/acceptRetryInterval) + 2; ln.calls.Load() > most {
 		t.Errorf("accept was called %d times, %d at the most", ln.calls.Load(), most)
 	}
 	ln.none.Store(false)
@@ -176,8 +176,8 @@
 func TestDepartedIsToldAtOnce(t *testing.T) {
 	ln := scenario.Listen(t)
 	r := &script{scenario.NewStage(nil), budget.NewGate(8<<20, 9), make(chan relay.Request, 9)}
-	f := New(r, Options{Classes: []logic.Class{{Name: "look"}}}, zerolog.Nop())
-	f.Limit(9)
+	f := New(r, Options{ClassSettings: []logic.Class{{Name: "look"}}}, zerolog.Nop())
+	f.SetMaxConns(9)
 	go f.Serve(ln)
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
--- a/internal/front/http/submit_test.go
+++ b/internal/front/http/submit_test.go
@@ -223,9 +223,9 @@
 			stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 			gate := budget.NewGate(8<<20, 9)
 			r := &script{stage, gate, make(chan relay.Request, 9)}
-			f := New(r, Options{Gate: gate, Classes: []logic.Class{{Name: "look"}, {Name: "pay", Effect: logic.Keyed},
+			f := New(r, Options{Gate: gate, ClassSettings: []logic.Class{{Name: "look"}, {Name: "pay", Effect: logic.Keyed},
 				{Name: "once", Effect: logic.Unsafe}}, Tenants: []logic.Tenant{{Name: "novakovi", Share: 0.39}}}, zerolog.Nop())
-			f.Limit(10)
+			f.SetMaxConns(10)
 			go f.Serve(ln)
 			stage.Calls["relay"] = r.answer
 			stage.Calls["pause"] = func(string) { f.Pause() }
@@ -295,8 +295,8 @@
 			gate := budget.NewGate(1<<20, 9)
 			r := &script{stage, gate, make(chan relay.Request, 9)}
 			f := New(r, Options{Gate: gate, Limits: logic.Limits{RetryAfter: true},
-				Classes: []logic.Class{{Name: "look"}, {Name: "pay", Effect: logic.Keyed}}}, zerolog.Nop())
-			f.Limit(10)
+				ClassSettings: []logic.Class{{Name: "look"}, {Name: "pay", Effect: logic.Keyed}}}, zerolog.Nop())
+			f.SetMaxConns(10)
 			go f.Serve(ln)
 			var taken []*budget.Charge
 			take := func() (err error) {
@@ -332,7 +332,7 @@
 	ln := scenario.Listen(t)
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 	f := New(&script{stage: stage}, Options{}, zerolog.Nop())
-	f.Limit(1)
+	f.SetMaxConns(1)
 	go f.Serve(ln)
 	const ask = ` send GET /ready HTTP/1.1\r\nHost: o\r\n\r\n` + "\n"
 	stage.Play(t, "a"+ask+"a expect 200\n b"+ask+"a close\n b expect 200")
@@ -347,7 +347,7 @@
 		gate.Must(budget.Lists, 1<<10)
 	}
 	f := New(&script{stage: stage}, Options{Gate: gate}, zerolog.Nop())
-	f.Limit(10)
+	f.SetMaxConns(10)
 	go f.Serve(ln)
 	start := time.Now()
 	stage.Play(t, "a send GET /rea\n b send GET /ready HTTP/1.1\\r\\nHost: o\\r\\n\\r\\n\n a expect 408\n a wait\n b expect 200")
@@ -373,8 +373,8 @@
 			t.Parallel()
 			ln := scenario.Listen(t)
 			stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
-			f := New(&script{stage: stage}, Options{Classes: []logic.Class{{Name: "pay", Effect: logic.Keyed}}}, zerolog.Nop())
-			f.Limit(1)
+			f := New(&script{stage: stage}, Options{ClassSettings: []logic.Class{{Name: "pay", Effect: logic.Keyed}}}, zerolog.Nop())
+			f.SetMaxConns(1)
 			go f.Serve(ln)
 			start := time.Now()
 			stage.Play(t, steps)
