--- a/internal/front/http/body.go
+++ b/internal/front/http/body.go
@@ -11,94 +11,118 @@
 	"fieldrelay/internal/relay"
 )
 
-// What is charged to the budget, beside bodies and answers.
+// Charges to the byte budget, beside bodies and answers.
 const (
-	requestBytes = 4 << 10 // a job's head and its bookkeeping in the relay, the module and a node
-	// maxWaitFraction is the part of its time that a request may wait for bytes: refused after half of it, with nothing sent,
-	// it would have cost its submitter more than a refusal.
+	requestBytes = 4 << 10 // the head of a request, and its state in the relay, the module and a server's connection
+	// maxWaitFraction is the part of its time that a request may wait for bytes: rejected after half of it, with
+	// nothing sent, it would have cost its client more than a rejection.
 	maxWaitFraction = 0.45
-	// Where its work is told, so many times of that must be left: a job that can only just be served passes for one that
-	// the whole fleet was slow to answer.
+	// minTimeLeftPerWork times the expected work, if told, must be left after the wait: a request that can only
+	// just be served looks like one that the whole fleet was slow to answer.
 	minTimeLeftPerWork = 2.5
-	initialBodyBytes   = 4 << 10 // the first charge for a body in chunks; later ones are bodyGrowth times as large
-	bodyGrowth         = 4
-	minValue           = 0.01 // of a class that tells none
+	initialBodyBytes   = 4 << 10 // first charge for a body in chunks
+	bodyGrowth         = 4       // factor of the later ones
 )
 
-// body charges a request and reads its body, which stays in the system until there is room for it. An error without
-// a code is one of reading.
-func (f *Server) readBody(ctx *fasthttp.RequestCtx, conn *watchedConn, job *relay.Request) (code int, err error) {
-	length := max(ctx.Request.Header.ContentLength(), -1)
+// readBody charges a request and reads its body, which stays in the operating system until there are bytes for it.
+// The error is a *rejectionError or one of reading. Without an error the request owns the charge.
+func (s *Server) readBody(ctx *fasthttp.RequestCtx, conn *watchedConn, req *relay.Request) (err error) {
+	length := max(ctx.Request.Header.ContentLength(), -1) // below 0: in chunks
 	stream := ctx.RequestBodyStream()
 	if stream == nil {
 		length = 0
 	}
 	now := time.Now()
-	ask := budget.Ask{Kind: budget.Jobs, Bytes: requestBytes + int64(length), Worth: f.classes.value(job.Class)}
-	if length < 0 {
-		ask.Bytes = requestBytes + initialBodyBytes
-	}
-	left := job.Expires.Sub(now)
-	until := now.Add(min(time.Duration(maxWaitFraction*float64(left)), left-time.Duration(minTimeLeftPerWork*float64(job.ExpectedWork))))
-	held, err := f.options.Gate.Enter(ask, until, nil)
-	if err != nil {
-		return fasthttp.StatusServiceUnavailable, errNoMemory
+	c := s.newBodyCharge(req, length, now)
+	if err := c.enter(); err != nil {
+		return err
 	}
 	defer func() {
 		if err != nil {
-			held.Release()
+			c.charge.Release()
 		} else {
-			job.Payload.Charge = held
+			req.Payload.Charge = c.charge
 		}
 	}()
-	if stream == nil || length == 0 {
-		return 0, nil
+	if length == 0 {
+		return nil
 	}
-	waited := time.Now()
-	if waited.Sub(now) > time.Millisecond { // that was no fault of the submitter
-		conn.Conn.SetReadDeadline(waited.Add(readTimeout))
+	entered := time.Now()
+	if entered.Sub(now) > time.Millisecond { // the wait was not the client's fault
+		setReadDeadline(conn.Conn, entered.Add(readTimeout))
 	}
 	conn.setReceiving(true)
 	defer conn.setReceiving(false)
 	if length > 0 {
-		job.Payload.Body = make([]byte, length)
-		_, err = io.ReadFull(stream, job.Payload.Body)
-		return 0, err
+		req.Payload.Body = make([]byte, length)
+		_, err = io.ReadFull(stream, req.Payload.Body)
+		return err
+	}
+	req.Payload.Body, err = c.readChunks(stream)
+	return err
+}
+
+// bodyCharge is the charge of a request while its body is read.
+type bodyCharge struct {
+	gate   *budget.Gate
+	ask    budget.Ask
+	until  time.Time // when to stop waiting for bytes
+	charge *budget.Charge
+}
+
+// newBodyCharge prepares the charge of a request with a body of some length, below 0 if that is not known.
+func (s *Server) newBodyCharge(req *relay.Request, length int, now time.Time) bodyCharge {
+	ask := budget.Ask{Kind: budget.Jobs, Bytes: requestBytes + int64(length), Worth: s.classes.value(req.Class)}
+	if length < 0 {
+		ask.Bytes = requestBytes + initialBodyBytes
 	}
-	// In chunks: nothing tells how long it will be.
+	left := req.Expires.Sub(now)
+	longestWait := min(time.Duration(maxWaitFraction*float64(left)),
+		left-time.Duration(minTimeLeftPerWork*float64(req.ExpectedWork)))
+	return bodyCharge{gate: s.options.Gate, ask: ask, until: now.Add(longestWait)}
+}
+
+// enter waits for the bytes of the present ask and sets the charge, or returns errNoMemory with the charge as it was.
+func (c *bodyCharge) enter() error {
+	charge, err := c.gate.Enter(c.ask, c.until, nil)
+	if err != nil {
+		return errNoMemory
+	}
+	c.charge = charge
+	return nil
+}
+
+// readChunks reads a body of unknown length, and raises the charge as it grows.
+func (c *bodyCharge) readChunks(stream io.Reader) ([]byte, error) {
 	body := make([]byte, 0, initialBodyBytes)
 	for {
 		n, err := stream.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
-		if errors.Is(err, io.EOF) {
-			job.Payload.Body = body
-			return 0, nil
-		}
-		if err != nil {
-			return 0, err
-		}
-		if len(body) < cap(body) {
+		switch {
+		case errors.Is(err, io.EOF):
+			return body, nil
+		case err != nil:
+			return nil, err
+		case len(body) < cap(body):
 			continue
-		}
-		if len(body) > relay.MaxBodySize {
-			return fasthttp.StatusRequestEntityTooLarge, errTooLarge
+		case len(body) > relay.MaxBodySize:
+			return nil, errTooLarge
 		}
 		size := min(bodyGrowth*cap(body), relay.MaxBodySize+1)
-		ask.Bytes, ask.Grown = requestBytes+int64(size), true
-		more, err := f.options.Gate.Enter(ask, until, nil)
-		if err != nil {
-			return fasthttp.StatusServiceUnavailable, errNoMemory
+		c.ask.Bytes, c.ask.Grown = requestBytes+int64(size), true
+		previous := c.charge
+		if err := c.enter(); err != nil {
+			return nil, err
 		}
 		body = append(make([]byte, 0, size), body...)
-		held.Release()
-		held = more
+		previous.Release()
 	}
 }
 
-// bodyTooLongHeader marks the head of a request whose body is not going to be read.
+// bodyTooLongHeader marks the head of a request whose body will not be read.
 const bodyTooLongHeader = "X-Body-Too-Long"
 
-// skipLongBody keeps fasthttp from waiting for the first byte of a body that is refused by its length alone.
+// skipLongBody keeps fasthttp from waiting for the first byte of a body that is rejected by its length alone.
 func skipLongBody(h *fasthttp.RequestHeader) (unchanged fasthttp.RequestConfig) {
 	if h.ContentLength() > relay.MaxBodySize {
 		h.SetContentLength(0)
--- a/internal/front/http/classes.go
+++ b/internal/front/http/classes.go
@@ -8,21 +8,24 @@
 	"fieldrelay/logic"
 )
 
-// class is what the front knows of a class.
+// minValue is the value of a class that states none.
+const minValue = 0.01
+
+// class is what a server needs to know about a class.
 type class struct {
 	method   string
 	needsKey bool // a request must carry Idempotency-Key
 	value    float64
 }
 
-// ClassSettings is the table of the classes that fronts take. It may change while they serve: a request is read under
-// the table as it was when its head came. Any goroutine may use it.
+// Classes is the table of the classes and tenants that servers accept. It may change while they serve: a request
+// is parsed by the table as it was when its head arrived. It is safe for concurrent use.
 type Classes struct {
 	table   atomic.Pointer[map[string]*class]
 	tenants atomic.Pointer[map[string]bool] // empty: the site names no tenants
 }
 
-// NewClasses makes a table of classes and of the tenants that may call.
+// NewClasses returns a table of classes and of the tenants that may call.
 func NewClasses(classes []logic.Class, tenants []logic.Tenant) *Classes {
 	t := &Classes{}
 	t.Set(classes, tenants)
@@ -31,22 +34,23 @@
 
 // Set replaces the table.
 func (t *Classes) Set(classes []logic.Class, tenants []logic.Tenant) {
-	callers := make(map[string]bool, len(tenants))
+	names := make(map[string]bool, len(tenants))
 	for _, tenant := range tenants {
-		callers[tenant.Name] = true
+		names[tenant.Name] = true
 	}
-	t.tenants.Store(&callers)
+	t.tenants.Store(&names)
 	table := make(map[string]*class, len(classes))
 	for _, c := range classes {
-		table[c.Name] = &class{method: fasthttp.MethodPost, needsKey: c.Effect == logic.Keyed, value: max(c.Value, minValue)}
+		method := fasthttp.MethodPost
 		if c.Effect == logic.Safe {
-			table[c.Name].method = fasthttp.MethodGet
+			method = fasthttp.MethodGet
 		}
+		table[c.Name] = &class{method: method, needsKey: c.Effect == logic.Keyed, value: max(c.Value, minValue)}
 	}
 	t.table.Store(&table)
 }
 
-// worth is what a request of the class is worth to the budget; of one dropped meanwhile, the least.
+// value is that of a request of the class, for the byte budget; of a class dropped meanwhile, the least.
 func (t *Classes) value(name string) float64 {
 	if c, ok := t.get(name); ok {
 		return c.value
@@ -54,14 +58,14 @@
 	return minValue
 }
 
-// caller tells whether X-Caller may name this tenant: one of the settings, or any of good form where they name none.
-// An absent header names none and passes.
+// mayCall reports whether X-Caller may name this tenant: one of the settings, or any well-formed one where they
+// name none. An absent header is accepted.
 func (t *Classes) mayCall(name string) bool {
 	if name == "" {
 		return true
 	}
-	callers := *t.tenants.Load()
-	return isToken(name) && (len(callers) == 0 || callers[name])
+	tenants := *t.tenants.Load()
+	return isToken(name) && (len(tenants) == 0 || tenants[name])
 }
 
 func (t *Classes) get(name string) (*class, bool) {
--- a/internal/front/http/conn.go
+++ b/internal/front/http/conn.go
@@ -10,42 +10,42 @@
 	"fieldrelay/internal/budget"
 )
 
-// What a connection is charged: its goroutine, the server's state for it and its read buffer; and while a request is
-// in work the watch on its end, the buffers of both ways and the deeper stacks. As measured, with the odd bytes that
-// the allocator rounds up.
-const (
-	connBytes = 12 << 10
-	busyBytes = 6 << 10
-)
-
-// finalReadTimeout is how long an idle connection is read once more before it is closed to make room or at a shutdown.
+// finalReadTimeout is how long an idle connection is read once more before it is closed, at an eviction or a shutdown.
 const finalReadTimeout = time.Millisecond
 
-// watchedConn tells while a job runs that its submitter has gone, which fasthttp does not: a read goes on
-// during the job, and what it gets of the next request is kept for the server's own read.
+// ended is a deadline in the past: it ends a pending read or accept at once.
+var ended = time.Unix(1, 0)
+
+// setReadDeadline sets a deadline. Its error is left to the next read, which fails on a closed connection.
+func setReadDeadline(nc net.Conn, t time.Time) { _ = nc.SetReadDeadline(t) }
+
+// watchedConn is a connection that notices its client's end while a request is served, which fasthttp does not: a read
+// goes on meanwhile, and what it gets of the next request is kept for fasthttp's own read.
 type watchedConn struct {
 	net.Conn
 	listener      *listener
-	firstDeadline time.Time      // when its first request must be there
-	readAhead     []byte         // read during a job; used by one goroutine at a time
-	answered      bool           // its first request is; the server's goroutine's, as the next four
-	expires       time.Time      // when the submitter of its request stops waiting
-	lastWrite     time.Time      // when something was last written
-	answerCharge  *budget.Charge // for the answer that is being written; it goes back with the next read or the end
-	connCharge    *budget.Charge // for the connection itself
+	connCharge    *budget.Charge
+	firstDeadline time.Time // of the reading of its first request
+	readAhead     []byte    // read during a request; owned by the watch while there is one, or else by the goroutine that serves
+
+	// Owned by the goroutine that serves.
+	answered     bool           // its first request is
+	expires      time.Time      // when the client of its request stops waiting
+	lastWrite    time.Time      // zero: nothing was written
+	answerCharge *budget.Charge // of the answer being written; released by the next read or the close
 
 	// Under the listener's lock.
-	busy          bool           // a request has begun to come and is not answered
-	idleSince     time.Time      // when it was last not
-	closing       bool           // it is to end: there is no room for it
+	busy          bool           // a request has begun to arrive and is not answered
+	busySince     time.Time      // since when
+	idleSince     time.Time      // when it was last busy
 	requestCharge *budget.Charge // while it is busy
-	busySince     time.Time      // since when it is
-	received      bool           // nothing more of its request is awaited from the submitter
-	evicted       bool           // it is to end though a request has begun to come
+	received      bool           // nothing more of its request is awaited from the client
+	closing       bool           // it is to end, to free its place
+	evicted       bool           // and that although a request has begun to arrive
 }
 
-// SetReadDeadline keeps the first request to the time from when its connection was made: however slowly one comes,
-// and however long its connection stood in the queue, it does not hold a slot for longer.
+// SetReadDeadline bounds the reading of the first request by the time from when the connection was made: however slowly
+// a request arrives, and however long its connection stood in the backlog, it does not occupy a place for longer.
 func (c *watchedConn) SetReadDeadline(t time.Time) error {
 	if !c.answered && t.After(c.firstDeadline) {
 		t = c.firstDeadline
@@ -53,8 +53,8 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// SetWriteDeadline keeps an answer to the time in which it can be of use: a submitter that does not take it holds no
-// bytes for longer.
+// SetWriteDeadline bounds the writing of an answer by the time in which it is of use: a client that does not read it
+// occupies no bytes for longer.
 func (c *watchedConn) SetWriteDeadline(t time.Time) error {
 	if last := later(c.expires, time.Now()).Add(writeGracePeriod); !t.IsZero() && !c.expires.IsZero() && t.After(last) {
 		t = last
@@ -69,14 +69,14 @@
 	return b
 }
 
-// releaseAnswer gives back what an answer that has been written held.
+// releaseAnswer releases the charge of an answer that has been written.
 func (c *watchedConn) releaseAnswer() {
 	c.answerCharge.Release()
 	c.answerCharge = nil
 }
 
-// Read reads for the server. At a shutdown, or when it is to end, an idle connection is looked at once more: a request
-// that has come in but was not yet read counts as taken, and fasthttp's own closing of idle connections would lose it.
+// Read reads for fasthttp. An idle connection that is to end is read once more: a request that has arrived but was not
+// read counts as accepted, and fasthttp's own closing of idle connections would lose it.
 func (c *watchedConn) Read(p []byte) (int, error) {
 	c.releaseAnswer()
 	if len(c.readAhead) > 0 {
@@ -85,9 +85,9 @@
 		c.setBusy(true)
 		return n, nil
 	}
-	looked := c.boundRead()
+	bounded := c.boundRead()
 	n, err := c.Conn.Read(p)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && !looked && c.boundRead() {
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && !bounded && c.boundRead() {
 		n, err = c.Conn.Read(p)
 	}
 	if n > 0 {
@@ -96,27 +96,28 @@
 	return n, err
 }
 
-// look bounds the next read if the connection idles and is to end, and lifts what a shutdown that came a moment
-// ago has set if a request has begun.
+// boundRead bounds the next read if the connection is to end, and reports whether it is. For a request that has begun
+// to arrive it replaces the deadline in the past that a shutdown may just have set.
 func (c *watchedConn) boundRead() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	if !c.listener.draining && !c.closing {
+	switch {
+	case !c.listener.draining && !c.closing:
 		return false
+	case c.evicted:
+		setReadDeadline(c.Conn, ended)
+	case c.busy:
+		setReadDeadline(c.Conn, time.Now().Add(readTimeout))
+	default:
+		setReadDeadline(c.Conn, time.Now().Add(finalReadTimeout))
 	}
-	if c.evicted {
-		c.Conn.SetReadDeadline(time.Unix(1, 0))
-		return true
-	}
-	wait := finalReadTimeout
-	if c.busy {
-		wait = readTimeout
-	}
-	c.Conn.SetReadDeadline(time.Now().Add(wait))
 	return true
 }
 
-// Write writes for the server. An interim answer ends no request.
+// interim begins a 100 Continue response, which ends no request.
+var interim = []byte("HTTP/1.1 100 ")
+
+// Write writes for fasthttp.
 func (c *watchedConn) Write(p []byte) (int, error) {
 	if !bytes.HasPrefix(p, interim) {
 		c.answered = true
@@ -126,8 +127,7 @@
 	return c.Conn.Write(p)
 }
 
-var interim = []byte("HTTP/1.1 100 ")
-
+// setBusy records that a request has begun to arrive, or is answered.
 func (c *watchedConn) setBusy(busy bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -143,20 +143,20 @@
 	}
 	if c.busy = busy; !busy {
 		c.idleSince = time.Now()
-	} else if c.closing && !c.evicted { // a request came in the last moment
+	} else if c.closing && !c.evicted { // a request arrived at the last moment
 		c.keepOpen()
-		c.SetReadDeadline(time.Now().Add(readTimeout))
+		setReadDeadline(c, time.Now().Add(readTimeout))
 	}
 }
 
-// reading tells whether more of a request is awaited from the submitter.
+// setReceiving records whether more of a request is awaited from the client.
 func (c *watchedConn) setReceiving(more bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.received = !more
 }
 
-// stay takes back that the connection is to end.
+// keepOpen revokes that the connection is to end. The listener's lock is held.
 func (c *watchedConn) keepOpen() {
 	if c.closing {
 		c.closing = false
@@ -165,10 +165,10 @@
 	c.listener.signalReleased()
 }
 
-// Close ends the connection, after an answer in a way that leaves the client time to read it.
+// Close ends the connection. After an answer it leaves the client time to read that.
 func (c *watchedConn) Close() error {
 	c.linger()
-	err := c.Conn.Close() // before its slot is free: the next one needs the descriptor
+	err := c.Conn.Close() // before its place is free: the next connection needs the descriptor
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	if c.listener.conns[c] {
--- a/internal/front/http/drain.go
+++ b/internal/front/http/drain.go
@@ -8,9 +8,17 @@
 	"fieldrelay/internal/socket"
 )
 
-// drain has the listener closed once what waits in the system's queue is taken, wakes the idle connections, and waits until
-// every connection has ended. The goroutine that accepts is the one that closes: a connection is either taken by it or
-// refused by the system.
+// A listener that shuts down accepts connections from the operating system's backlog for backlogTimeout. Without a
+// descriptor for one it tries again at each interval.
+const (
+	backlogTimeout       = 200 * time.Millisecond
+	backlogRetryInterval = 5 * time.Millisecond
+)
+
+// deadliner is a listener whose pending accept can be ended.
+type deadliner interface{ SetDeadline(time.Time) error }
+
+// drain shuts down the listener and waits until every connection has ended, or returns the error of ctx.
 func (l *listener) drain(ctx context.Context) error {
 	l.shutDown()
 	select {
@@ -21,21 +29,23 @@
 	}
 }
 
+// shutDown has the accepting goroutine accept the backlog and then close the listener, and ends the idle connections.
+// Since that goroutine closes, a connection is either accepted by it or refused by the system.
 func (l *listener) shutDown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.draining {
 		l.draining, l.backlogUntil = true, time.Now().Add(backlogTimeout)
 		close(l.closed)
-		if bounded, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
-			bounded.SetDeadline(time.Unix(1, 0)) // wakes the one that accepts
+		if d, ok := l.Listener.(deadliner); ok {
+			_ = d.SetDeadline(ended) // a listener that is closed already needs none
 		} else {
-			l.Listener.Close()
+			_ = l.Close() // end closes it again
 		}
 	}
 	for c := range l.conns {
 		if !c.busy {
-			c.Conn.SetReadDeadline(time.Unix(1, 0))
+			setReadDeadline(c.Conn, ended)
 		}
 	}
 	l.checkEmpty()
@@ -47,31 +57,32 @@
 	return l.draining
 }
 
-// backlog takes what the system had accepted when the listener was told to drain, and then closes it: closed first, it
-// would reset those connections, with the requests that they carry.
+// acceptBacklog accepts what the operating system had accepted before the shutdown, and then closes the listener:
+// closed first, it would reset those connections together with their requests.
 func (l *listener) acceptBacklog() (net.Conn, error) {
 	for time.Now().Before(l.backlogUntil) && socket.Pending(l.Listener) {
-		if bounded, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
-			bounded.SetDeadline(l.backlogUntil)
+		if d, ok := l.Listener.(deadliner); ok {
+			_ = d.SetDeadline(l.backlogUntil) // accept reports a closed listener
 		}
 		if nc, err := l.accept(); err == nil {
 			return nc, nil
 		}
-		<-time.After(backlogRetryInterval) // no descriptor is left: one may come back
+		<-time.After(backlogRetryInterval)
 	}
 	l.end()
 	return nil, net.ErrClosed
 }
 
-// end closes the listener, on the goroutine that accepts.
+// end closes the listener, on the accepting goroutine.
 func (l *listener) end() {
-	l.Listener.Close()
+	_ = l.Close() // it may be closed already
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.acceptEnded = true
 	l.checkEmpty()
 }
 
+// checkEmpty closes empty when nothing is left to drain. The lock is held.
 func (l *listener) checkEmpty() {
 	if l.draining && l.acceptEnded && len(l.conns) == 0 {
 		l.once.Do(func() { close(l.empty) })
--- a/internal/front/http/evict.go
+++ b/internal/front/http/evict.go
@@ -7,39 +7,37 @@
 	"fieldrelay/internal/socket"
 )
 
-// crowded is how often a listener that finds no room in the budget looks again.
-const memoryPollInterval = 20 * time.Millisecond
-
-// dropped is how many large requests that wait for bytes are refused at each of these looks.
-const rejectedPerPoll = 4
-
-// minIdleTime is how long a submitter may count on a connection that carries no request.
-const minIdleTime = 2 * time.Second
-
-// stalled is how long a request that has begun to come may stay unfinished where others wait for its place. Whoever
-// has one to make sends it in one go.
-const stallTimeout = 500 * time.Millisecond
-
-// spareSlotsDivisor is the part of the slots that is kept free while connections idle: one in so many.
-const spareSlotsDivisor = 8
+const (
+	// memoryPollInterval is how often a listener for which the budget has no bytes checks again.
+	memoryPollInterval = 20 * time.Millisecond
+	// rejectedPerPoll is how many large requests that wait for bytes are rejected at each check.
+	rejectedPerPoll = 4
+	// minIdleTime is how long a client may count on a connection that carries no request.
+	minIdleTime = 2 * time.Second
+	// stallTimeout is how long a request may take to arrive while others wait for its place. Clients send a request
+	// in one go.
+	stallTimeout = 500 * time.Millisecond
+	// One place in spareSlotsDivisor is kept free while connections idle.
+	spareSlotsDivisor = 8
+)
 
-// room waits for a free slot.
+// waitForCapacity waits until a connection may be accepted. Once the listener is closed it returns net.ErrClosed.
 func (l *listener) waitForCapacity() error {
 	for {
 		lacking := !l.gate.Spare(connBytes + busyBytes)
-		short := lacking && socket.Pending(l.Listener) // else nobody is kept out by it
+		short := lacking && socket.Pending(l.Listener) // else it keeps nobody out
 		l.memoryShort.Store(short)
 		wait, full := l.evict(short)
 		if !full && !lacking {
 			return nil
 		}
 		if lacking {
-			// Whoever waits for a large body's bytes holds a connection meanwhile: better it learns at once that it must
-			// come again than that others are not heard at all.
+			// A client that waits for a large body's bytes occupies a connection meanwhile: it had better be rejected
+			// than that others are not served at all.
 			if short && wait > memoryPollInterval {
 				l.gate.Drop(rejectedPerPoll)
 			}
-			wait = memoryPollInterval // bytes come back in other ways as well
+			wait = memoryPollInterval // bytes are released in other ways as well
 		}
 		var aged <-chan time.Time
 		if wait > 0 {
@@ -54,9 +52,9 @@
 	}
 }
 
-// evict tells the connection that has carried no request for the longest time to end when slots or, as short says,
-// bytes run short; where none is idle for long, the one whose request has been coming for the longest. It reports
-// whether there is no slot left, and if one frees itself by age only, when.
+// evict ends a connection when places, or with short bytes, run short: the one that has been idle for longest, or if
+// none has been for minIdleTime, the one whose request has been arriving for longest. It reports whether all places
+// are taken, and if a connection becomes evictable by age, after what time; 0: none does.
 func (l *listener) evict(short bool) (wait time.Duration, full bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,49 +62,55 @@
 	if !short && len(l.conns)-l.closing < l.maxConns-l.maxConns/spareSlotsDivisor {
 		return 0, full
 	}
-	var idle, slow *watchedConn
-	for c := range l.conns {
-		switch {
-		case c.closing:
-		case !c.busy && (idle == nil || c.idleSince.Before(idle.idleSince)):
-			idle = c
-		case c.busy && !c.received && (slow == nil || c.busySince.Before(slow.busySince)):
-			slow = c
-		}
-	}
+	victim, slowest := l.longestIdleAndSlowest()
 	wait = time.Hour
-	if idle != nil {
-		wait = time.Until(idle.idleSince.Add(minIdleTime))
+	if victim != nil {
+		wait = time.Until(victim.idleSince.Add(minIdleTime))
 	}
-	if slow != nil && wait > 0 && (full || short) {
-		wait, idle = min(wait, time.Until(slow.busySince.Add(stallTimeout))), slow
+	if slowest != nil && wait > 0 && (full || short) {
+		wait, victim = min(wait, time.Until(slowest.busySince.Add(stallTimeout))), slowest
 	}
 	switch {
-	case idle == nil:
+	case victim == nil:
 		return 0, full
 	case wait > 0:
 		return wait, full
 	}
-	l.evictConn(idle)
+	l.evictConn(victim)
 	return 0, full
 }
 
-// expel tells a connection to end.
+// longestIdleAndSlowest returns the connection that has been idle for longest, and the one whose request has been
+// arriving for longest, or nil for each that there is none of. The lock is held.
+func (l *listener) longestIdleAndSlowest() (idle, slowest *watchedConn) {
+	for c := range l.conns {
+		switch {
+		case c.closing:
+		case !c.busy && (idle == nil || c.idleSince.Before(idle.idleSince)):
+			idle = c
+		case c.busy && !c.received && (slowest == nil || c.busySince.Before(slowest.busySince)):
+			slowest = c
+		}
+	}
+	return idle, slowest
+}
+
+// evictConn has a connection end. The lock is held.
 func (l *listener) evictConn(c *watchedConn) {
 	c.closing, c.evicted = true, c.busy
 	l.closing++
-	c.Conn.SetReadDeadline(time.Unix(1, 0))
+	setReadDeadline(c.Conn, ended)
 }
 
-// TrimIdle ends the connections that submitters can no longer count on.
+// trimIdle ends the connections that clients can no longer count on.
 func (l *listener) trimIdle() { l.endIdle(minIdleTime) }
 
-// endIdle ends the connections that have carried no request for least.
-func (l *listener) endIdle(least time.Duration) {
+// endIdle ends the connections that have been idle for a time.
+func (l *listener) endIdle(minIdle time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		if !c.busy && !c.closing && time.Since(c.idleSince) >= least {
+		if !c.busy && !c.closing && time.Since(c.idleSince) >= minIdle {
 			l.evictConn(c)
 		}
 	}
--- a/internal/front/http/handle.go
+++ b/internal/front/http/handle.go
@@ -1,6 +1,7 @@
 package http
 
 import (
+	"errors"
 	"net"
 	"sync/atomic"
 	"time"
@@ -12,84 +13,103 @@
 	"fieldrelay/internal/socket"
 )
 
-func (f *Server) handle(ctx *fasthttp.RequestCtx) {
+// handle answers one request.
+func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) == "/ready" {
-		if f.paused.Load() != nil {
-			ctx.SetConnectionClose()
-		}
-		if f.notReady.Load() || f.paused.Load() != nil || !f.relay.Ready() {
-			ctx.Error("not ready", fasthttp.StatusServiceUnavailable)
-		}
+		s.answerReady(ctx)
 		return
 	}
 	conn := ctx.Conn().(*watchedConn)
 	conn.releaseAnswer()
 	conn.setReceiving(false)
-	job, code, err := f.parseHead(ctx, time.Now().Add(-queueDelay(conn.Conn)))
+	req, err := s.parseHead(ctx, time.Now().Add(-queueDelay(conn.Conn)))
 	if err == nil {
-		code, err = f.readBody(ctx, conn, &job)
+		err = s.readBody(ctx, conn, &req)
 	}
 	if err != nil {
-		if job.Class != "" && code == fasthttp.StatusServiceUnavailable {
-			f.options.Metrics.Count(job.Class, metrics.Busy)
+		if errors.Is(err, errNoMemory) {
+			s.options.Metrics.Count(req.Class, metrics.Busy)
 		}
-		f.reject(ctx, conn, code, err)
+		s.reject(ctx, conn, err)
 		return
 	}
-	if fig := f.options.Metrics; fig != nil {
-		fig.Inflight.Add(1)
-		defer fig.Inflight.Add(-1)
+	if m := s.options.Metrics; m != nil {
+		m.Inflight.Add(1)
+		defer m.Inflight.Add(-1)
 	}
-	if f.options.Admit != nil {
-		done, after, ok := f.options.Admit(job.Class, job.Tenant, job.Retry, job.Expires)
+	if s.options.Admit != nil {
+		done, after, ok := s.options.Admit(req.Class, req.Tenant, req.Retry, req.Expires)
 		if !ok {
-			f.rejectOverLimit(ctx, job, after)
+			s.rejectOverLimit(ctx, req, after)
 			return
 		}
 		defer done()
 	}
-	conn.expires = job.Expires
-	waiting := &reply{answers: make(chan relay.Answer, 1)}
-	job.Answer = waiting.answer
-	job.Payload.ClientGone = func() bool { return socket.Departed(conn.Conn) }
+	s.serve(ctx, conn, req)
+}
+
+func (s *Server) answerReady(ctx *fasthttp.RequestCtx) {
+	paused := s.paused.Load() != nil
+	if paused {
+		ctx.SetConnectionClose()
+	}
+	if s.notReady.Load() || paused || !s.relay.Ready() {
+		ctx.Error("not ready", fasthttp.StatusServiceUnavailable)
+	}
+}
+
+// serve submits a request and waits for its answer or the client's end.
+func (s *Server) serve(ctx *fasthttp.RequestCtx, conn *watchedConn, req relay.Request) {
+	conn.expires = req.Expires
+	pending := &reply{answers: make(chan relay.Answer, 1)}
+	req.Answer = pending.answer
+	req.Payload.ClientGone = func() bool { return socket.Departed(conn.Conn) }
 	watch := conn.watch()
-	id := f.relay.Submit(job)
+	id := s.relay.Submit(req)
 	select {
-	case a := <-waiting.answers:
+	case a := <-pending.answers:
 		watch.stop()
 		conn.answerCharge = a.Charge
 		writeAnswer(ctx, a)
-		f.options.Metrics.Count(job.Class, metricOutcome(a.Kind))
-		if f.closing.Load() || f.paused.Load() != nil {
+		s.options.Metrics.Count(req.Class, metricOutcome(a.Kind))
+		if s.endsConns() {
 			ctx.SetConnectionClose()
 		}
 	case <-watch.gone:
 		watch.stop()
-		f.relay.Withdraw(id)
-		waiting.abandon()
-		// A submitter that only ended its sending would take anything that fasthttp now writes for an answer:
-		// the connection is taken from it and closed with nothing written.
+		s.relay.Withdraw(id)
+		pending.abandon()
+		// A client that only ended its sending would take whatever fasthttp now writes for an answer: the
+		// connection is taken from it and closed with nothing written.
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(net.Conn) {})
 	}
 }
 
-// over turns a request back that is over a limit.
-func (f *Server) rejectOverLimit(ctx *fasthttp.RequestCtx, job relay.Request, after time.Duration) {
-	job.Payload.Charge.Release()
-	ctx.Error("over a limit", fasthttp.StatusServiceUnavailable)
-	if limits := f.options.Limits; limits.RetryAfter {
-		if limits.MaxRetryAfter > 0 {
-			after = min(after, limits.MaxRetryAfter)
-		}
-		setRetryAfter(ctx, after)
+// reply passes a request's answer from the relay to the connection, unless the client goes first.
+type reply struct {
+	answers chan relay.Answer
+	decided atomic.Bool // by whichever of the two comes first
+}
+
+// answer is called by the relay, once at the most.
+func (r *reply) answer(a relay.Answer) {
+	if r.decided.CompareAndSwap(false, true) {
+		r.answers <- a
+	} else {
+		a.Charge.Release()
 	}
-	f.options.Metrics.Count(job.Class, metrics.Busy)
-	if f.closing.Load() || f.paused.Load() != nil {
-		ctx.SetConnectionClose()
+}
+
+// abandon releases the charge of an answer that the client's end has crossed, and has a later one released.
+func (r *reply) abandon() {
+	if !r.decided.CompareAndSwap(false, true) {
+		a := <-r.answers
+		a.Charge.Release()
 	}
 }
 
+// writeAnswer writes a final answer of the relay.
 func writeAnswer(ctx *fasthttp.RequestCtx, a relay.Answer) {
 	switch a.Kind {
 	case relay.Served:
@@ -107,9 +127,12 @@
 	}
 }
 
-// outcome is how the figures count a verdict.
-func metricOutcome(v relay.AnswerKind) metrics.Outcome {
-	switch v {
+// notCounted is no outcome of the metrics: no server saw the request.
+const notCounted = metrics.Outcome(255)
+
+// metricOutcome is how the metrics count an answer.
+func metricOutcome(kind relay.AnswerKind) metrics.Outcome {
+	switch kind {
 	case relay.Served:
 		return metrics.Success
 	case relay.Rejected:
@@ -117,27 +140,5 @@
 	case relay.Failed:
 		return metrics.Failure
 	}
-	return metrics.Outcome(255) // not counted: no node saw it
-}
-
-// reply is where a job's answer meets its submitter, if that is still there.
-type reply struct {
-	answers chan relay.Answer
-	decided atomic.Bool // by whichever of the two comes first
-}
-
-func (r *reply) answer(a relay.Answer) {
-	if r.decided.CompareAndSwap(false, true) {
-		r.answers <- a
-	} else {
-		a.Charge.Release()
-	}
-}
-
-// leave gives back what an answer that has crossed the submitter's leaving holds, and what a later one would.
-func (r *reply) abandon() {
-	if !r.decided.CompareAndSwap(false, true) {
-		a := <-r.answers
-		a.Charge.Release()
-	}
+	return notCounted
 }
--- a/internal/front/http/listener.go
+++ b/internal/front/http/listener.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"net"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -12,42 +13,46 @@
 	"fieldrelay/internal/socket"
 )
 
-// What the system refuses for want of descriptors or memory is tried again after so long, or when a connection has ended.
-const acceptRetryInterval = 50 * time.Millisecond
-
-// backlogTimeout bounds how long a listener that shuts down goes on taking connections that the system has accepted already.
+// Charge of a connection to the byte budget: its goroutine, fasthttp's state for it and its read buffer; and during
+// a request the watch, the buffers of both directions and the deeper stacks. Measured, with what the allocator rounds
+// up.
 const (
-	backlogTimeout       = 200 * time.Millisecond
-	backlogRetryInterval = 5 * time.Millisecond
+	connBytes = 12 << 10
+	busyBytes = 6 << 10
 )
 
-// listener keeps hold of its connections, so that they can be watched during a job, let go at a shutdown, and
-// closed to make room: submitters that say nothing would else keep all others out.
+// acceptRetryInterval is the wait after an accept that failed for want of descriptors or memory, unless a connection
+// ends before.
+const acceptRetryInterval = 50 * time.Millisecond
+
+// listener tracks its connections, so that they can be watched during a request, ended at a shutdown, and evicted:
+// silent clients would otherwise keep all others out.
 type listener struct {
 	net.Listener
-	gate         *budget.Gate
-	memoryShort  atomic.Bool   // connections waited at the last look, for want of bytes
-	released     chan struct{} // a connection has ended, or one that was to end goes on
-	closed       chan struct{} // no connection is taken any more
+	gate        *budget.Gate
+	memoryShort atomic.Bool   // connections waited at the last check for want of bytes
+	released    chan struct{} // signaled when a connection has ended, or one that was to end stays
+	closed      chan struct{} // closed when the listener begins to drain
+
 	mu           sync.Mutex
-	maxConns     int // connections that may be open
+	maxConns     int
 	conns        map[*watchedConn]bool
-	closing      int // of them have been told to end
+	closing      int // of them, evicted
 	draining     bool
-	backlogUntil time.Time     // it takes what waits in the system's queue; set before closed is closed
-	acceptEnded  bool          // no connection is on its way from the system's queue to conns any more
-	empty        chan struct{} // closed when it drains and no connection is left
-	once         sync.Once
+	backlogUntil time.Time     // until when the backlog is accepted; set before closed is closed
+	acceptEnded  bool          // no connection is on its way from the backlog to conns
+	empty        chan struct{} // closed once it drains and no connection is left
+	once         sync.Once     // of the closing of empty
 }
 
-func newListener(ln net.Listener, most int, gate *budget.Gate) *listener {
-	return &listener{Listener: ln, gate: gate, maxConns: most, released: make(chan struct{}, 1), closed: make(chan struct{}),
-		conns: map[*watchedConn]bool{}, empty: make(chan struct{})}
+func newListener(ln net.Listener, maxConns int, gate *budget.Gate) *listener {
+	return &listener{Listener: ln, gate: gate, maxConns: maxConns, released: make(chan struct{}, 1),
+		closed: make(chan struct{}), conns: map[*watchedConn]bool{}, empty: make(chan struct{})}
 }
 
-// Accept leaves a connection beyond the limit in the system's queue, since its request would be lost if it were
-// taken and closed, and makes room for it. An error that may pass ends no service: idle connections give way, and it is
-// tried again when one has ended or after a while.
+// Accept leaves a connection beyond the bound in the operating system's backlog until there is a place for it: taken
+// and closed, its request would be lost. A transient error does not end the service: idle connections are closed, and
+// accept is tried again.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		if err := l.waitForCapacity(); err != nil {
@@ -72,40 +77,35 @@
 	}
 }
 
-// accept takes one connection.
+// accept accepts one connection and tracks it.
 func (l *listener) accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	// It may have stood in the queue for a while.
-	quiet := socket.Quiet(nc)
-	c := &watchedConn{Conn: nc, listener: l, connCharge: l.gate.Must(budget.Conns, connBytes), idleSince: time.Now().Add(-quiet),
-		firstDeadline: time.Now().Add(max(readTimeout-quiet, minReadTimeout))}
+	quiet := socket.Quiet(nc) // it may have stood in the backlog for a while
+	c := &watchedConn{Conn: nc, listener: l, connCharge: l.gate.Must(budget.Conns, connBytes),
+		idleSince: time.Now().Add(-quiet), firstDeadline: time.Now().Add(max(readTimeout-quiet, minReadTimeout))}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = true
-	if l.draining { // it was taken in the last moment: what it carries is answered
-		c.Conn.SetReadDeadline(time.Unix(1, 0))
+	if l.draining { // accepted at the last moment: a request that it carries is answered
+		setReadDeadline(c.Conn, ended)
 	}
 	return c, nil
 }
 
-// passing tells whether an error of accept may end by itself: no descriptor or memory is left, or the client has gone.
+// isTransient reports whether an error of accept may pass: descriptors or memory are short, or the client has gone.
 func isTransient(err error) bool {
-	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EINTR} {
-		if errors.Is(err, e) {
-			return true
-		}
-	}
-	return false
+	transient := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED, syscall.EINTR}
+	return slices.ContainsFunc(transient, func(e error) bool { return errors.Is(err, e) })
 }
 
-// limit sets how many connections may be open.
-func (l *listener) setMaxConns(most int) {
+// setMaxConns bounds the connections that are open at a time.
+func (l *listener) setMaxConns(conns int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.maxConns = most
+	l.maxConns = conns
 	l.signalReleased()
 }
 
--- a/internal/front/http/pause.go
+++ b/internal/front/http/pause.go
@@ -2,38 +2,41 @@
 
 import "time"
 
-// Pausing: how long a connection may idle before it is ended, and how often that is looked at.
+// While a server is paused, a connection is ended once it has been idle for pausedIdleTimeout, which is checked
+// at each interval.
 const (
 	pausedIdleTimeout  = 300 * time.Millisecond
 	pauseCheckInterval = 100 * time.Millisecond
 )
 
-// Pause makes /ready say no and ends every connection once it carries no request, until Resume. What is taken is
-// answered; nothing else changes.
-func (f *Server) Pause() {
-	done := make(chan struct{})
-	if !f.paused.CompareAndSwap(nil, &done) {
-		return
+// Pause lets /ready say no and ends every connection once it carries no request, until Resume. Requests are
+// answered as before.
+func (s *Server) Pause() {
+	resumed := make(chan struct{})
+	if s.paused.CompareAndSwap(nil, &resumed) {
+		go s.endIdleUntil(resumed)
 	}
-	go func() {
-		tick := time.NewTicker(pauseCheckInterval)
-		defer tick.Stop()
-		for !f.closing.Load() { // a front that shuts down ends its connections itself
-			if l := f.listener.Load(); l != nil {
-				l.endIdle(pausedIdleTimeout)
-			}
-			select {
-			case <-done:
-				return
-			case <-tick.C:
-			}
+}
+
+// endIdleUntil ends idle connections until resumed is closed or the server shuts down, which ends them by itself.
+func (s *Server) endIdleUntil(resumed <-chan struct{}) {
+	tick := time.NewTicker(pauseCheckInterval)
+	defer tick.Stop()
+	for !s.closing.Load() {
+		if l := s.listener.Load(); l != nil {
+			l.endIdle(pausedIdleTimeout)
 		}
-	}()
+		select {
+		case <-resumed:
+			return
+		case <-tick.C:
+		}
+	}
 }
 
-// Resume undoes Pause.
-func (f *Server) Resume() {
-	if done := f.paused.Swap(nil); done != nil {
-		close(*done)
+// Resume ends a pause.
+func (s *Server) Resume() {
+	if resumed := s.paused.Swap(nil); resumed != nil {
+		close(*resumed)
 	}
 }
--- a/internal/front/http/reject.go
+++ b/internal/front/http/reject.go
@@ -2,55 +2,95 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"strconv"
 	"time"
 
 	"github.com/valyala/fasthttp"
+
+	"fieldrelay/internal/metrics"
+	"fieldrelay/internal/relay"
 )
 
-// errNoMemory tells that the budget had no room for a request in time.
-var errNoMemory = errors.New("short of memory")
+// discardTimeout bounds the reading of the rest of an unwanted body before its connection is closed.
+const discardTimeout = 250 * time.Millisecond
+
+// rejectionError is the error of a request that is answered without the relay.
+type rejectionError struct {
+	status int
+	reason string // the body of the answer
+}
+
+// Error is the reason, as the client gets it.
+func (e *rejectionError) Error() string { return e.reason }
 
-var errTooLarge = errors.New("body over 64 KiB")
+// badHead returns the rejection of a malformed head.
+func badHead(format string, args ...any) error {
+	return &rejectionError{fasthttp.StatusBadRequest, fmt.Sprintf(format, args...)}
+}
+
+var (
+	// errNoMemory: the byte budget had nothing for a request in time.
+	errNoMemory = &rejectionError{fasthttp.StatusServiceUnavailable, "short of memory"}
+	errTooLarge = &rejectionError{fasthttp.StatusRequestEntityTooLarge, "body over 64 KiB"}
+)
 
-// reject answers a request that becomes no job.
-func (f *Server) reject(ctx *fasthttp.RequestCtx, conn *watchedConn, code int, err error) {
-	switch {
-	case code != 0:
-		if stream := ctx.RequestBodyStream(); errors.Is(err, errNoMemory) && stream != nil && f.listener.Load().memoryShort.Load() {
-			// Others wait to be heard. What is unread when a connection closes would take the answer with it.
-			conn.Conn.SetReadDeadline(time.Now().Add(discardTimeout))
-			io.Copy(io.Discard, stream)
+// reject answers a request that is not submitted. An error other than a rejectionError is one of reading the body.
+func (s *Server) reject(ctx *fasthttp.RequestCtx, conn *watchedConn, err error) {
+	var rejection *rejectionError
+	if errors.As(err, &rejection) {
+		stream := ctx.RequestBodyStream()
+		if rejection == errNoMemory && stream != nil && s.listener.Load().memoryShort.Load() {
+			// Other clients wait for this one's place. Unread bytes at the close would destroy the answer.
+			setReadDeadline(conn.Conn, time.Now().Add(discardTimeout))
+			_, _ = io.Copy(io.Discard, stream) // what cannot be read need not be
 			ctx.SetConnectionClose()
 		}
-		ctx.Error(err.Error(), code)
-		if errors.Is(err, errNoMemory) {
-			f.adviseRetryAfter(ctx)
+		ctx.Error(rejection.reason, rejection.status)
+		if rejection == errNoMemory {
+			s.adviseRetryAfter(ctx)
 		}
-	default: // the body cannot be read
+	} else {
 		badRequest(ctx, err)
 		ctx.SetConnectionClose()
 	}
-	// What is left of the body is passed over behind the answer, for a while.
-	conn.Conn.SetReadDeadline(time.Now().Add(readTimeout))
+	// fasthttp reads the rest of the body after the answer, for so long at the most.
+	setReadDeadline(conn.Conn, time.Now().Add(readTimeout))
+}
+
+// rejectOverLimit answers a request that the fleet's limits do not admit.
+func (s *Server) rejectOverLimit(ctx *fasthttp.RequestCtx, req relay.Request, after time.Duration) {
+	req.Payload.Charge.Release()
+	ctx.Error("over a limit", fasthttp.StatusServiceUnavailable)
+	if limits := s.options.Limits; limits.RetryAfter {
+		if limits.MaxRetryAfter > 0 {
+			after = min(after, limits.MaxRetryAfter)
+		}
+		setRetryAfter(ctx, after)
+	}
+	s.options.Metrics.Count(req.Class, metrics.Busy)
+	if s.endsConns() {
+		ctx.SetConnectionClose()
+	}
 }
 
-// advise tells when a request that found no room had better come again.
-func (f *Server) adviseRetryAfter(ctx *fasthttp.RequestCtx) {
-	if !f.options.Limits.RetryAfter {
+// adviseRetryAfter says when a request for which there were no bytes should be retried.
+func (s *Server) adviseRetryAfter(ctx *fasthttp.RequestCtx) {
+	if !s.options.Limits.RetryAfter {
 		return
 	}
-	after := f.options.Gate.Advice(requestBytes + int64(max(ctx.Request.Header.ContentLength(), 0)))
-	if most := f.options.Limits.MaxRetryAfter; most > 0 {
-		after = min(after, most)
+	after := s.options.Gate.Advice(requestBytes + int64(max(ctx.Request.Header.ContentLength(), 0)))
+	if longest := s.options.Limits.MaxRetryAfter; longest > 0 {
+		after = min(after, longest)
 	}
 	if after > 0 {
 		setRetryAfter(ctx, after)
 	}
 }
 
+// setRetryAfter sets the header to seconds with three decimals.
 func setRetryAfter(ctx *fasthttp.RequestCtx, after time.Duration) {
 	ctx.Response.Header.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 }
