--- a/internal/front/http/crossing_test.go
+++ b/internal/front/http/lifecycle_test.go
@@ -20,14 +20,20 @@
 	"fieldrelay/logic"
 )
 
-// play serves a front with so many connections at ln and plays a scenario against it.
+// start serves ln until the server is shut down, or for the rest of the tests.
+func start(s *Server, ln net.Listener) {
+	go func() { _ = s.Serve(ln) }()
+}
+
+// play serves a server with so many connections at ln and plays a scenario against it.
 func play(t *testing.T, ln net.Listener, conns int, steps string) {
+	t.Helper()
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 	gate := budget.NewGate(8<<20, 9)
-	r := &script{stage, gate, make(chan relay.Request, 9)}
+	r := &scriptedRelay{stage, gate, make(chan relay.Request, 9)}
 	f := New(r, Options{Gate: gate, ClassSettings: []logic.Class{{Name: "look"}}}, zerolog.Nop())
 	f.SetMaxConns(conns)
-	go f.Serve(ln)
+	start(f, ln)
 	stage.Calls["relay"] = r.answer
 	stage.Calls["shutdown"] = func(string) {
 		go func() { stage.Event(fmt.Sprint("shut down ", f.Shutdown(context.Background()))) }()
@@ -41,10 +47,10 @@
 func TestShutdownServesTheBacklog(t *testing.T) {
 	play(t, scenario.Listen(t), 1, `
 		a send GET /look`+head+`\r\n
-		wait job look GET /look hint=0s
+		wait request look GET /look hint=0s
 		b send GET /look/2`+head+`\r\n
 		shutdown send now
-		wait job look GET /look/2 hint=0s
+		wait request look GET /look/2 hint=0s
 		relay send served one
 		a expect Connection: close
 		a expect one
@@ -61,10 +67,10 @@
 	ln := scenario.Listen(t)
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 	gate := budget.NewGate(8<<20, 9)
-	r := &script{stage, gate, make(chan relay.Request, 9)}
+	r := &scriptedRelay{stage, gate, make(chan relay.Request, 9)}
 	f := New(r, Options{Gate: gate, ClassSettings: []logic.Class{{Name: "look"}}}, zerolog.Nop())
 	f.SetMaxConns(9)
-	go f.Serve(ln)
+	start(f, ln)
 	stage.Calls["relay"] = r.answer
 	stage.Calls["read"] = func(string) {
 		scenario.Await(t, "the first byte is read", func() bool {
@@ -91,7 +97,7 @@
 		read send it
 		shutdown send now
 		a send ET /look`+head+`\r\n
-		wait job look GET /look hint=0s
+		wait request look GET /look hint=0s
 		relay send served one
 		a expect Connection: close
 		a expect one
@@ -103,29 +109,35 @@
 func TestShutdownDeliversTheAnswerPastUnreadBytes(t *testing.T) {
 	ln := scenario.Listen(t)
 	gate := budget.NewGate(8<<20, 9)
-	r := &script{scenario.NewStage(nil), gate, make(chan relay.Request, 9)}
+	r := &scriptedRelay{scenario.NewStage(nil), gate, make(chan relay.Request, 9)}
 	f := New(r, Options{Gate: gate, ClassSettings: []logic.Class{{Name: "look"}}}, zerolog.Nop())
 	f.SetMaxConns(9)
-	go f.Serve(ln)
+	start(f, ln)
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
-	nc.(*net.TCPConn).SetReadBuffer(4 << 10)
+	t.Cleanup(func() { _ = nc.Close() })
+	if err := nc.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
+		t.Fatal(err)
+	}
 	request := strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace("GET /look" + head + `\r\n`)
-	io.WriteString(nc, strings.Repeat(request, 500)) // more than the server's buffer takes
+	if _, err := io.WriteString(nc, strings.Repeat(request, 500)); err != nil { // more than the server's buffer takes
+		t.Fatal(err)
+	}
 	body := strings.Repeat("x", relay.MaxBodySize)
-	j := <-r.jobs
+	req := <-r.requests
 	ended := make(chan error, 1)
 	go func() { ended <- f.Shutdown(context.Background()) }()
 	scenario.Await(t, "the shutdown has begun", f.closing.Load)
-	j.Answer(relay.Answer{Body: []byte(body)})
-	j.Payload.Charge.Release()
-	nc.SetDeadline(time.Now().Add(10 * time.Second))
+	req.Answer(relay.Answer{Body: []byte(body)})
+	req.Payload.Charge.Release()
+	if err := nc.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
 	got, err := io.ReadAll(nc)
 	if err != nil || !strings.HasSuffix(string(got), body) || strings.Count(string(got), "200 OK") != 1 {
-		t.Errorf("of an answer of %d bytes %d came, then %v", len(body), len(got), err)
+		t.Errorf("of an answer of %d bytes %d arrived, then %v", len(body), len(got), err)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -152,7 +164,7 @@
 	ln := &scarce{Listener: scenario.Listen(t)}
 	ln.none.Store(true)
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
-	f := New(&script{stage: stage}, Options{}, zerolog.Nop())
+	f := New(&scriptedRelay{stage: stage}, Options{}, zerolog.Nop())
 	f.SetMaxConns(9)
 	begun := time.Now()
 	served := make(chan error, 1)
@@ -166,29 +178,36 @@
 	stage.Play(t, `
 		a send GET /ready HTTP/1.1\r\nHost: o\r\n\r\n
 		a expect 200`)
-	f.Shutdown(context.Background())
+	if err := f.Shutdown(context.Background()); err != nil {
+		t.Error(err)
+	}
 	if err := <-served; err != nil {
 		t.Error(err)
 	}
 }
 
-// The front tells that a client has gone as soon as the system knows, whoever has read of it, and that it is there while it is.
+// A client's end is reported as soon as the system knows of it, whether or not it was read, and not before.
 func TestDepartedIsToldAtOnce(t *testing.T) {
 	ln := scenario.Listen(t)
-	r := &script{scenario.NewStage(nil), budget.NewGate(8<<20, 9), make(chan relay.Request, 9)}
+	r := &scriptedRelay{scenario.NewStage(nil), budget.NewGate(8<<20, 9), make(chan relay.Request, 9)}
 	f := New(r, Options{ClassSettings: []logic.Class{{Name: "look"}}}, zerolog.Nop())
 	f.SetMaxConns(9)
-	go f.Serve(ln)
+	start(f, ln)
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(nc, strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace("GET /look"+head+`\r\nGET /look`))
-	j := <-r.jobs
-	if !j.Payload.Wanted() {
+	both := strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace("GET /look" + head + `\r\nGET /look`)
+	if _, err := io.WriteString(nc, both); err != nil {
+		t.Fatal(err)
+	}
+	req := <-r.requests
+	if !req.Payload.Wanted() {
 		t.Error("not wanted though its client waits")
 	}
-	nc.Close()
-	scenario.Await(t, "the client's leaving is told", func() bool { return !j.Payload.Wanted() })
-	r.jobs <- j // for the withdrawal, which takes it from there
+	if err := nc.Close(); err != nil {
+		t.Fatal(err)
+	}
+	scenario.Await(t, "the client's end is reported", func() bool { return !req.Payload.Wanted() })
+	r.requests <- req // for the withdrawal, which takes it from there
 }
--- a/internal/front/http/submit_test.go
+++ b/internal/front/http/server_test.go
@@ -15,43 +15,43 @@
 	"fieldrelay/logic"
 )
 
-// script stands in for the relay: it tells of each call and answers as the scenario says.
-type script struct {
-	stage *scenario.Stage
-	gate  *budget.Gate
-	jobs  chan relay.Request
+// scriptedRelay stands in for the relay: it records each call and answers as the scenario says.
+type scriptedRelay struct {
+	stage    *scenario.Stage
+	gate     *budget.Gate
+	requests chan relay.Request
 }
 
-func (s *script) Submit(j relay.Request) uint64 {
-	text := fmt.Sprintf("job %s %s %s%s%s hint=%v", j.Class, j.Payload.Method, j.Payload.Target, j.Payload.IdempotencyKey,
-		j.Payload.Body, j.ExpectedWork)
-	if j.Tenant != "" {
-		text += " caller=" + j.Tenant
+func (s *scriptedRelay) Submit(req relay.Request) uint64 {
+	text := fmt.Sprintf("request %s %s %s%s%s hint=%v", req.Class, req.Payload.Method, req.Payload.Target, req.Payload.IdempotencyKey,
+		req.Payload.Body, req.ExpectedWork)
+	if req.Tenant != "" {
+		text += " caller=" + req.Tenant
 	}
 	s.stage.Event(text)
-	s.jobs <- j
+	s.requests <- req
 	return 7
 }
-func (s *script) Withdraw(id uint64) {
+func (s *scriptedRelay) Withdraw(id uint64) {
 	s.stage.Event(fmt.Sprint("withdrawn ", id))
-	j := <-s.jobs
-	j.Answer(relay.Answer{Charge: s.gate.Must(budget.Answers, 9)}) // it has crossed the withdrawal
-	j.Payload.Charge.Release()
+	req := <-s.requests
+	req.Answer(relay.Answer{Charge: s.gate.Must(budget.Answers, 9)}) // it crosses the withdrawal
+	req.Payload.Charge.Release()
 }
-func (s *script) Ready() bool { return true }
+func (s *scriptedRelay) Ready() bool { return true }
 
-func (s *script) answer(text string) {
-	j := <-s.jobs
-	defer j.Payload.Charge.Release() // as the relay does once the job has ended
-	switch verdict, body, _ := strings.Cut(text, " "); verdict {
+func (s *scriptedRelay) answer(text string) {
+	req := <-s.requests
+	defer req.Payload.Charge.Release() // as the relay does once the request has ended
+	switch kind, body, _ := strings.Cut(text, " "); kind {
 	case "served":
-		j.Answer(relay.Answer{Body: []byte(body), ContentType: "text/x", Charge: s.gate.Must(budget.Answers, int64(len(body)))})
-	case "refused":
-		j.Answer(relay.Answer{Kind: relay.Rejected, RetryAfter: 250 * time.Millisecond})
+		req.Answer(relay.Answer{Body: []byte(body), ContentType: "text/x", Charge: s.gate.Must(budget.Answers, int64(len(body)))})
+	case "rejected":
+		req.Answer(relay.Answer{Kind: relay.Rejected, RetryAfter: 250 * time.Millisecond})
 	case "failed":
-		j.Answer(relay.Answer{Kind: relay.Failed})
-	case "again":
-		j.Answer(relay.Answer{Kind: relay.Duplicate})
+		req.Answer(relay.Answer{Kind: relay.Failed})
+	case "duplicate":
+		req.Answer(relay.Answer{Kind: relay.Duplicate})
 	}
 }
 
@@ -67,71 +67,71 @@
 	for name, steps := range map[string]string{
 		"served unchanged, then the next request": `
 			a send GET /look/x?q=%41` + head + `X-Call-Cost: 2500\r\n\r\n
-			wait job look GET /look/x?q=%41 hint=2.5ms
+			wait request look GET /look/x?q=%41 hint=2.5ms
 			relay send served one
 			a expect 200 OK
 			a expect \r\n\r\none
 			a send POST /pay` + head + `Idempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi
-			wait job pay POST /paykhi hint=0s
-			relay send refused
+			wait request pay POST /paykhi hint=0s
+			relay send rejected
 			a expect 503
 			a expect Retry-After: 0.250`,
 		"failed": `
 			a send GET /look` + head + `\r\n
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			relay send failed
 			a expect 502`,
-		// fasthttp does not tell a handler that its client has left.
-		"a submitter that leaves withdraws its job": `
+		// fasthttp does not notify a handler that its client has gone.
+		"a client that leaves withdraws its request": `
 			a send GET /look` + head + `\r\n
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			a close
 			wait withdrawn 7`,
 		// Its end stands behind the bytes of a next request, which nobody reads yet.
-		"a submitter that sends ahead and leaves withdraws its job": `
+		"a client that sends ahead and leaves withdraws its request": `
 			a send GET /look` + head + `\r\n
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			a send GET /look/2` + head + `\r\n
 			a close
 			wait withdrawn 7`,
-		"a submitter that sends much at once and leaves withdraws its job": `
+		"a client that sends much at once and leaves withdraws its request": `
 			a send ` + strings.Repeat(`GET /look`+head+`\r\n`, 200) + `
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			a close
 			wait withdrawn 7`,
-		"a submitter that sends ahead and ends its sending gets no answer that no node made": `
+		"a client that sends ahead and ends its sending gets no answer that no server made": `
 			a send GET /look` + head + `\r\n
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			a send GET /look/2` + head + `\r\n
 			a half-close
 			wait withdrawn 7
 			a wait nothing`,
-		"a submitter that only ends its sending gets no answer that no node made": `
+		"a client that only ends its sending gets no answer that no server made": `
 			a send GET /look` + head + `\r\n
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			a half-close
 			wait withdrawn 7
 			a wait nothing`,
-		// An answer must not wait for the job that stands behind it.
+		// An answer must not wait for the request behind it.
 		"two requests at once": `
 			a send GET /look` + head + `\r\nGET /look/2` + head + `\r\n
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			relay send served one
 			a expect one
-			wait job look GET /look/2 hint=0s
+			wait request look GET /look/2 hint=0s
 			relay send served two
 			a expect two`,
-		// The watch during a job reads the first byte of what follows; it must not be lost.
+		// The watch during a request reads the first byte of what follows; it must not be lost.
 		"the next request may come early": `
 			a send GET /look` + head + `\r\n
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			a send GET /look/2` + head + `\r\n
 			relay send served one
 			a expect one
-			wait job look GET /look/2 hint=0s
+			wait request look GET /look/2 hint=0s
 			relay send served two
 			a expect two`,
-		// Bad input is answered by the front and reaches no execute node.
+		// Bad input is answered by the front and reaches no server.
 		"no id":      `a send GET /look HTTP/1.1\r\nHost: o\r\nX-Budget: 1\r\n\r\n` + "\n a expect 400",
 		"odd id":     `a send GET /look HTTP/1.1\r\nHost: o\r\nX-Budget: 1\r\nX-Call-Id: a b\r\n\r\n` + "\n a expect 400",
 		"no budget":  `a send GET /look HTTP/1.1\r\nHost: o\r\nX-Call-Id: c\r\n\r\n` + "\n a expect 400",
@@ -142,13 +142,13 @@
 		// A single-shot class needs no key: it is sent once in any case.
 		"single shot without a key": `
 			a send POST /once` + head + `Content-Length: 2\r\n\r\nhi
-			wait job once POST /oncehi hint=0s
+			wait request once POST /oncehi hint=0s
 			relay send served done
 			a expect done`,
-		// The tenant is one of the settings; another, a malformed one, or two are turned down before any node.
+		// The tenant is one of the settings; another, a malformed one, or two are rejected before any server.
 		"a tenant of the settings": `
 			a send GET /look` + head + `X-Caller: novakovi\r\n\r\n
-			wait job look GET /look hint=0s caller=novakovi
+			wait request look GET /look hint=0s caller=novakovi
 			relay send served one
 			a expect one`,
 		"no tenant named": `a send GET /look` + head + `X-Caller: acme\r\n\r\n` + "\n a expect 400",
@@ -161,8 +161,8 @@
 		"hex budget":      `a send GET /look HTTP/1.1\r\nHost: o\r\nX-Call-Id: c\r\nX-Budget: 0x1\r\n\r\n` + "\n a expect 400",
 		"two ids":         `a send GET /look` + head + `X-Call-Id: c2\r\n\r\n` + "\n a expect 400",
 		"two budgets":     `a send GET /look` + head + `X-Budget: 2\r\n\r\n` + "\n a expect 400",
-		// A body whose length is told in two ways, or in none that can be, may hide another request: nothing of it is
-		// read as one, here or at a node.
+		// A body whose length is stated in two ways, or in none that can be, may hide another request: nothing of it is
+		// read as one, here or at a server.
 		"both lengths":     unreadable(`Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n`),
 		"both, other way":  unreadable(`transfer-encoding: chunked\r\ncontent-length: 5\r\n\r\n0\r\n\r\n`),
 		"identity":         unreadable(`Content-Length: 2\r\nTransfer-Encoding: identity\r\n\r\nhi`),
@@ -179,19 +179,19 @@
 		"head without end": `a send GET /look HTTP/1.1\r\n` + strings.Repeat(`X-More: of the same\r\n`, 400) + "\n a wait",
 		"the id of another": `
 			a send GET /look` + head + `\r\n
-			wait job look GET /look hint=0s
-			relay send again
+			wait request look GET /look hint=0s
+			relay send duplicate
 			a expect 409`,
 		"ready": `a send GET /ready HTTP/1.1\r\nHost: o\r\n\r\n` + "\n a expect 200",
 		// Paused, /ready says no and ends its connection; an idle connection ends, a taken request is answered
 		// with Connection: close; resumed, /ready says yes again.
 		"pause and resume": `
 			idle send GET /look` + head + `\r\n
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			relay send served first
 			idle expect first
 			a send GET /look` + head + `\r\n
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			pause send now
 			idle wait
 			relay send served last
@@ -209,7 +209,7 @@
 			idle send GET /ready HTTP/1.1\r\nHost: o\r\n\r\n
 			idle expect 200
 			a send GET /look` + head + `\r\n
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			shutdown send now
 			idle wait
 			relay send served last
@@ -222,11 +222,11 @@
 			ln := scenario.Listen(t)
 			stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 			gate := budget.NewGate(8<<20, 9)
-			r := &script{stage, gate, make(chan relay.Request, 9)}
+			r := &scriptedRelay{stage, gate, make(chan relay.Request, 9)}
 			f := New(r, Options{Gate: gate, ClassSettings: []logic.Class{{Name: "look"}, {Name: "pay", Effect: logic.Keyed},
 				{Name: "once", Effect: logic.Unsafe}}, Tenants: []logic.Tenant{{Name: "novakovi", Share: 0.39}}}, zerolog.Nop())
 			f.SetMaxConns(10)
-			go f.Serve(ln)
+			start(f, ln)
 			stage.Calls["relay"] = r.answer
 			stage.Calls["pause"] = func(string) { f.Pause() }
 			stage.Calls["resume"] = func(string) { f.Resume() }
@@ -239,7 +239,7 @@
 	}
 }
 
-// While the budget has no room a body stays unread, and its submitter learns in time when to come again. Small
+// While the budget has no bytes a body stays unread, and its client learns in time when to retry. Small
 // requests pass.
 func TestShortOfBytes(t *testing.T) {
 	const post = `POST /pay` + head + `Idempotency-Key: k\r\n`
@@ -247,42 +247,42 @@
 	whole := post + fmt.Sprint(`Content-Length: `, len(large)) + `\r\n\r\n` + large
 	inChunks := post + `Transfer-Encoding: chunked\r\n\r\n` + fmt.Sprintf("%x", len(large)) + `\r\n` + large + `\r\n0\r\n\r\n`
 	for name, steps := range map[string]string{
-		"refused, and the connection goes on": `
+		"rejected, and the connection stays open": `
 			a send ` + whole + `
 			a expect 503
 			a expect Retry-After: 
 			a expect \r\n\r\nshort of memory
 			a send GET /look` + head + `\r\n
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			relay send served one
 			a expect one`,
-		"refused while its chunks come": `
+		"rejected while its chunks arrive": `
 			a send ` + inChunks + `
 			a expect 503
 			a send GET /look` + head + `\r\n
-			wait job look GET /look hint=0s
+			wait request look GET /look hint=0s
 			relay send served one
 			a expect one`,
 		"small ones pass": `
 			a send ` + whole + `
 			b send ` + post + `Content-Length: 2\r\n\r\nhi
-			wait job pay POST /paykhi hint=0s
+			wait request pay POST /paykhi hint=0s
 			relay send served one
 			b expect one
 			a expect 503`,
 		"served once there is room": `
 			a send ` + whole + `
 			room send now
-			wait job pay POST /payk` + large + ` hint=0s
+			wait request pay POST /payk` + large + ` hint=0s
 			relay send served one
 			a expect one`,
 		"in chunks, once there is room": `
 			a send ` + inChunks + `
 			room send now
-			wait job pay POST /payk` + large + ` hint=0s
+			wait request pay POST /payk` + large + ` hint=0s
 			relay send served one
 			a expect one`,
-		"a submitter that stops half way gives its bytes back": `
+		"a client that stops half way gives its bytes back": `
 			room send now
 			a send ` + whole[:len(whole)-9] + `
 			a expect 408
@@ -293,11 +293,11 @@
 			ln := scenario.Listen(t)
 			stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 			gate := budget.NewGate(1<<20, 9)
-			r := &script{stage, gate, make(chan relay.Request, 9)}
+			r := &scriptedRelay{stage, gate, make(chan relay.Request, 9)}
 			f := New(r, Options{Gate: gate, Limits: logic.Limits{RetryAfter: true},
 				ClassSettings: []logic.Class{{Name: "look"}, {Name: "pay", Effect: logic.Keyed}}}, zerolog.Nop())
 			f.SetMaxConns(10)
-			go f.Serve(ln)
+			start(f, ln)
 			var taken []*budget.Charge
 			take := func() (err error) {
 				c, err := gate.Enter(budget.Ask{Kind: budget.Jobs, Bytes: 64 << 10, Worth: 1}, time.Now(), nil)
@@ -327,13 +327,13 @@
 	}
 }
 
-// One connection over the limit waits for its turn instead of being turned away.
+// One connection over the limit waits for its turn instead of being rejected.
 func TestConnectionsBeyondTheLimitWait(t *testing.T) {
 	ln := scenario.Listen(t)
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
-	f := New(&script{stage: stage}, Options{}, zerolog.Nop())
+	f := New(&scriptedRelay{stage: stage}, Options{}, zerolog.Nop())
 	f.SetMaxConns(1)
-	go f.Serve(ln)
+	start(f, ln)
 	const ask = ` send GET /ready HTTP/1.1\r\nHost: o\r\n\r\n` + "\n"
 	stage.Play(t, "a"+ask+"a expect 200\n b"+ask+"a close\n b expect 200")
 }
@@ -346,9 +346,9 @@
 	for gate.Spare(2*connBytes + busyBytes) {
 		gate.Must(budget.Lists, 1<<10)
 	}
-	f := New(&script{stage: stage}, Options{Gate: gate}, zerolog.Nop())
+	f := New(&scriptedRelay{stage: stage}, Options{Gate: gate}, zerolog.Nop())
 	f.SetMaxConns(10)
-	go f.Serve(ln)
+	start(f, ln)
 	start := time.Now()
 	stage.Play(t, "a send GET /rea\n b send GET /ready HTTP/1.1\\r\\nHost: o\\r\\n\\r\\n\n a expect 408\n a wait\n b expect 200")
 	if took := time.Since(start); took > 2*time.Second {
@@ -356,7 +356,7 @@
 	}
 }
 
-// Submitters that say nothing, stay for good or never finish keep no other out, and learn so in time.
+// Clients that send nothing, stay for good or never finish keep no others out, and are answered in time.
 func TestSlotsAreFreed(t *testing.T) {
 	const ask = ` send GET /ready HTTP/1.1\r\nHost: o\r\n\r\n` + "\n"
 	const busy = "\n b" + ask + "b expect 200" // there is one slot
@@ -373,9 +373,9 @@
 			t.Parallel()
 			ln := scenario.Listen(t)
 			stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
-			f := New(&script{stage: stage}, Options{ClassSettings: []logic.Class{{Name: "pay", Effect: logic.Keyed}}}, zerolog.Nop())
+			f := New(&scriptedRelay{stage: stage}, Options{ClassSettings: []logic.Class{{Name: "pay", Effect: logic.Keyed}}}, zerolog.Nop())
 			f.SetMaxConns(1)
-			go f.Serve(ln)
+			start(f, ln)
 			start := time.Now()
 			stage.Play(t, steps)
 			if took := time.Since(start); took > 3*time.Second {
--- a/internal/front/front_test.go
+++ b/internal/front/set_test.go
@@ -20,7 +20,7 @@
 	"fieldrelay/internal/scenario"
 )
 
-// greeter is a front that greets whoever connects and then waits for a byte, which it answers.
+// greeter is a server that greets whoever connects and then waits for a byte, which it answers.
 type greeter struct {
 	mu    sync.Mutex
 	ln    net.Listener
@@ -38,10 +38,11 @@
 			return err
 		}
 		g.open.Go(func() {
-			defer nc.Close()
-			io.WriteString(nc, "hello")
-			nc.Read(make([]byte, 1))
-			io.WriteString(nc, "bye")
+			// The tests look at what arrives, so errors need no report here.
+			_, _ = io.WriteString(nc, "hello")
+			_, _ = nc.Read(make([]byte, 1))
+			_, _ = io.WriteString(nc, "bye")
+			_ = nc.Close()
 		})
 	}
 }
@@ -52,9 +53,9 @@
 func (g *greeter) MarkNotReady()     {}
 func (g *greeter) Shutdown(context.Context) error {
 	scenarioWait(func() bool { g.mu.Lock(); defer g.mu.Unlock(); return g.ln != nil })
-	g.ln.Close()
+	err := g.ln.Close()
 	g.open.Wait()
-	return nil
+	return err
 }
 
 func scenarioWait(holds func() bool) {
@@ -71,9 +72,9 @@
 	}, nil, time.Minute, zerolog.Nop())
 	t.Cleanup(func() {
 		for address, ln := range s.Listeners() {
-			ln.Close()
+			_ = ln.Close() // it may be closed already
 			if path, unix := strings.CutPrefix(address, unixPrefix); unix {
-				os.Remove(path)
+				_ = os.Remove(path) // likewise removed
 			}
 		}
 	})
@@ -89,7 +90,7 @@
 	c.Commit()
 }
 
-// greeted connects and gives what comes first.
+// greeted connects and reads the greeting.
 func greeted(address string) (net.Conn, error) {
 	network := "tcp"
 	if path, unix := strings.CutPrefix(address, unixPrefix); unix {
@@ -99,20 +100,29 @@
 	if err != nil {
 		return nil, err
 	}
-	nc.SetDeadline(time.Now().Add(5 * time.Second))
+	if err := nc.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		return nil, err
+	}
 	_, err = io.ReadFull(nc, make([]byte, 5))
 	return nc, err
 }
 
-// free gives an address that nobody listens at.
+func closeIt(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// free returns an address that nobody listens at.
 func free(t *testing.T) string {
 	t.Helper()
 	ln := scenario.Listen(t)
-	ln.Close()
+	closeIt(t, ln)
 	return ln.Addr().String()
 }
 
-// A front that goes away answers what it has taken, and takes nothing more; its place can be had again.
+// A removed listener answers the requests that it has accepted and accepts nothing more; its address can be bound again.
 func TestFrontsComeAndGo(t *testing.T) {
 	s, made := newSet(t)
 	a, b := Listener{Address: free(t)}, Listener{Address: unixPrefix + filepath.Join(t.TempDir(), "b.sock"), Mode: "0640"}
@@ -121,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer open.Close()
+	t.Cleanup(func() { _ = open.Close() })
 	if info, err := os.Stat(strings.TrimPrefix(b.Address, unixPrefix)); err != nil || info.Mode().Perm() != 0o640 {
 		t.Errorf("%v, %v", info, err)
 	}
@@ -130,14 +140,16 @@
 	if made[a.Address].limit != 9 {
 		t.Errorf("%d connections", made[a.Address].limit)
 	}
-	scenario.Await(t, "b takes nothing more", func() bool {
+	scenario.Await(t, "b accepts nothing more", func() bool {
 		nc, err := greeted(b.Address)
 		if err == nil {
-			nc.Close()
+			closeIt(t, nc)
 		}
 		return err != nil
 	})
-	io.WriteString(open, "x")
+	if _, err := io.WriteString(open, "x"); err != nil {
+		t.Error(err)
+	}
 	if rest, err := io.ReadAll(open); err != nil || string(rest) != "bye" {
 		t.Errorf("what was open got %q, %v", rest, err)
 	}
@@ -145,11 +157,11 @@
 	if nc, err := greeted(b.Address); err != nil {
 		t.Error(err)
 	} else {
-		nc.Close()
+		closeIt(t, nc)
 	}
 }
 
-// With one address taken nothing changes: no new front serves, none that was to go has gone, no file is left.
+// With one address taken nothing changes: no new listener serves, none is removed, no file is left.
 func TestNothingChangesIfOneCannotBeBound(t *testing.T) {
 	dir := t.TempDir()
 	taken := scenario.Listen(t).Addr().String()
@@ -157,7 +169,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	t.Cleanup(func() { _ = held.Close() })
 	if err := os.WriteFile(filepath.Join(dir, "file"), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -180,12 +192,12 @@
 			t.Errorf("%s: error %v", name, err)
 		}
 		if nc, err := greeted(old.Address); err != nil {
-			t.Errorf("%s: the old front: %v", name, err)
+			t.Errorf("%s: the old listener: %v", name, err)
 		} else {
-			nc.Close()
+			closeIt(t, nc)
 		}
 		if _, err := os.Lstat(strings.TrimPrefix(fresh.Address, unixPrefix)); !errors.Is(err, os.ErrNotExist) {
-			t.Errorf("%s: the new front's file: %v", name, err)
+			t.Errorf("%s: the new listener's file: %v", name, err)
 		}
 	}
 }
@@ -198,14 +210,14 @@
 		t.Fatal(err)
 	}
 	ln.(*net.UnixListener).SetUnlinkOnClose(false)
-	ln.Close()
+	closeIt(t, ln)
 	s, _ := newSet(t)
 	apply(t, s, Listener{Address: unixPrefix + path})
 	nc, err := greeted(unixPrefix + path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	nc.Close()
+	closeIt(t, nc)
 	left, err := os.ReadDir(filepath.Dir(path))
 	if err != nil || len(left) != 1 {
 		t.Errorf("%v, %v", left, err)
