--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -26,7 +26,7 @@
 	"fieldrelay/internal/relay"
 	"fieldrelay/internal/resident"
 	"fieldrelay/internal/source/platform"
-	nodehttp "fieldrelay/internal/transport/http"
+	transporthttp "fieldrelay/internal/transport/http"
 	"fieldrelay/logic"
 )
 
@@ -75,9 +75,9 @@
 	figures := metrics.New(figuresPrefix)
 	figures.List(classNames(cfg.Logic.Classes)...)
 
-	nodes := nodehttp.NewNodes(nodehttp.Options{DialTimeout: cfg.DialTimeout, ConnIdle: cfg.ConnIdle,
-		Settle: nodehttp.Settle, DrainGrace: cfg.DrainGrace, GoneAdvice: cfg.Logic.Contract.GoneIsAdvisory, MaxConns: cfg.Outbound, Gate: gate,
-		Figures: figures}, hub.Part("node"))
+	nodes := transporthttp.NewTransport(transporthttp.Options{DialTimeout: cfg.DialTimeout, ConnIdle: cfg.ConnIdle,
+		SettleTime: transporthttp.SettleTime, DrainGrace: cfg.DrainGrace, GoneIsAdvisory: cfg.Logic.Contract.GoneIsAdvisory, MaxConns: cfg.Outbound, Gate: gate,
+		Metrics: figures}, hub.Part("node"))
 	core, err := relay.New(cfg.Logic, cfg.Seed, nodes, hub.Part("relay"))
 	if err != nil {
 		return err
--- a/internal/transport/http/conn.go
+++ b/internal/transport/http/conn.go
@@ -22,72 +22,72 @@
 
 // conn is a connection to an execute node. It carries one claim at a time.
 type conn struct {
-	node   *node
-	nc     net.Conn
-	addr   string
-	gone   chan struct{}  // closed with the connection
-	cost   *budget.Charge // for the connection and its reader
-	broken atomic.Bool    // nothing more can be read, or what came belongs to no claim
+	server     *server
+	nc         net.Conn
+	addr       string
+	closed     chan struct{}  // closed with the connection
+	connCharge *budget.Charge // for the connection and its reader
+	broken     atomic.Bool    // nothing more can be read, or what came belongs to no claim
 
 	// A claim is being or has been written on it and is not answered. Whoever writes sets it while nothing is unread, and
 	// the reader takes nothing from the system before it has looked: so what came before a claim is never its answer.
-	turn  sync.Mutex
-	asked bool
+	mu       sync.Mutex
+	awaiting bool
 
-	hurried atomic.Bool // its claim was put on it before it had rested
+	unsettled atomic.Bool // its claim was put on it before it had rested
 
-	last  uint64    // digest of the last answer; the reader's, as the next two
-	begun time.Time // when the present answer began to come, while it is read; the reader's
-	late  bool      // a bound stands on that; the reader's
+	lastDigest  uint64    // digest of the last answer; the reader's, as the next two
+	answerBegan time.Time // when the present answer began to come, while it is read; the reader's
+	bounded     bool      // a bound stands on that; the reader's
 
 	// What follows belongs to the node's actor.
-	claim    *claim // nil: none
-	writing  bool
-	early    *answer // came while the request was being written
-	over     bool    // nothing more comes
-	retire   *time.Timer
-	rested   time.Time // since when it is idle, or was last; zero: it never was
-	answered bool      // it has brought an answer
+	attempt     *attempt // nil: none
+	writing     bool
+	earlyAnswer *answer // came while the request was being written
+	ended       bool    // nothing more comes
+	idleTimer   *time.Timer
+	idleSince   time.Time // since when it is idle, or was last; zero: it never was
+	answered    bool      // it has brought an answer
 }
 
 // An answer that has begun to come and does not end is as bad as none, and costs the job the time for another claim.
-const answerTime = 400 * time.Millisecond
+const answerTimeout = 400 * time.Millisecond
 
-// mostInterim is how many 1xx answers may stand in front of an answer.
-const mostInterim = 16
+// maxInterim is how many 1xx answers may stand in front of an answer.
+const maxInterim = 16
 
 // What is charged for a connection: its reader with stack and buffer, and the node's state for it; and for the body of
 // an answer in chunks, at first and by how many times more whenever that is full.
 const (
-	connBytes   = 12 << 10
-	firstChunks = 4 << 10
-	grownBy     = 4
+	connBytes        = 12 << 10
+	initialBodyBytes = 4 << 10
+	bodyGrowth       = 4
 )
 
-// mostWait bounds the wait of an answer for its bytes where a claim has no end of its own.
-const mostWait = 10 * time.Second
+// maxBytesWait bounds the wait of an answer for its bytes where a claim has no end of its own.
+const maxBytesWait = 10 * time.Second
 
-var errSpoilt = errors.New("not an answer")
+var errMalformed = errors.New("not an answer")
 
 // answer is what came back for a claim.
 type answer struct {
 	outcome     logic.Outcome
 	body        []byte
 	contentType string
-	held        *budget.Charge // for the body
+	charge      *budget.Charge // for the body
 	last        bool           // the connection ends with it
 	at          time.Time
 }
 
-func newConn(n *node, nc net.Conn, addr string) *conn {
-	return &conn{node: n, nc: nc, addr: addr, gone: make(chan struct{}),
-		cost: n.nodes.opts.Gate.Must(budget.Conns, connBytes)}
+func newConn(n *server, nc net.Conn, addr string) *conn {
+	return &conn{server: n, nc: nc, addr: addr, closed: make(chan struct{}),
+		connCharge: n.transport.options.Gate.Must(budget.Conns, connBytes)}
 }
 
 // wake ends the idle time of a connection.
-func (c *conn) wake() {
-	c.retire.Stop()
-	c.retire = nil
+func (c *conn) stopIdleTimer() {
+	c.idleTimer.Stop()
+	c.idleTimer = nil
 }
 
 // usable tells whether the connection can carry a claim: its end has not come, nor anything since the last answer, such as
@@ -96,19 +96,19 @@
 
 // Why a claim was not written. Nothing of it has left.
 var (
-	errOver  = errors.New("it may no longer be sent")
-	errStale = errors.New("its connection has ended or brings what nobody asked for")
+	errExpired   = errors.New("it may no longer be sent")
+	errConnStale = errors.New("its connection has ended or brings what nobody asked for")
 )
 
 // send writes a claim out, unless by now it may not be sent. All that can speak against it is looked at here, just before
 // its first byte, since anything may have happened while it waited: its deadline, the end of its window or of a drain's
 // grace (together until), its client, its final answer, its connection.
-func (c *conn) send(parts net.Buffers, of *claim, until time.Time) error {
+func (c *conn) send(parts net.Buffers, of *attempt, until time.Time) error {
 	switch {
 	case !time.Now().Before(until) || !of.Payload.Wanted():
-		return errOver
-	case !c.ask():
-		return errStale
+		return errExpired
+	case !c.reserve():
+		return errConnStale
 	}
 	c.nc.SetWriteDeadline(of.Deadline)
 	_, err := parts.WriteTo(c.nc)
@@ -116,76 +116,76 @@
 }
 
 // ask makes the connection a claim's, if it is usable.
-func (c *conn) ask() bool {
-	c.turn.Lock()
-	defer c.turn.Unlock()
-	c.asked = c.usable()
-	return c.asked
+func (c *conn) reserve() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.awaiting = c.usable()
+	return c.awaiting
 }
 
-func (c *conn) isAsked() bool {
-	c.turn.Lock()
-	defer c.turn.Unlock()
-	return c.asked
+func (c *conn) isAwaiting() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.awaiting
 }
 
-// answeredWhole ends what ask has begun.
-func (c *conn) answeredWhole() {
-	c.turn.Lock()
-	defer c.turn.Unlock()
-	c.asked = false
+// answerComplete ends what ask has begun.
+func (c *conn) answerComplete() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.awaiting = false
 }
 
 // read hands on each answer until the connection ends or cannot be used again. It always reads, so that the end
 // of an idle connection is noticed at once. No read outlasts the claim's deadline or the idle time: at either
 // the actor closes it.
 func (c *conn) read() {
-	defer c.cost.Release()
+	defer c.connCharge.Release()
 	br := bufio.NewReader(c)
 	for last := false; !last; {
 		err := socket.Readable(c.nc)
-		if err != nil || !c.isAsked() {
+		if err != nil || !c.isAwaiting() {
 			break // nothing is taken: whoever looks sees that it is there
 		}
 		if _, err = br.Peek(1); err != nil {
 			break
 		}
-		c.begun = time.Now()
+		c.answerBegan = time.Now()
 		a, err := c.readAnswer(br)
 		if err != nil {
 			break
 		}
-		if c.repeats(&a) {
-			a.held.Release()
+		if c.isDuplicate(&a) {
+			a.charge.Release()
 			break
 		}
-		if c.begun = (time.Time{}); c.late {
-			c.late = false
+		if c.answerBegan = (time.Time{}); c.bounded {
+			c.bounded = false
 			c.nc.SetReadDeadline(time.Time{})
 		}
 		// Bytes behind an answer belong to nothing that was asked.
 		a.last = a.last || br.Buffered() > 0
 		a.at, last = time.Now(), a.last
-		c.answeredWhole()
-		if !c.node.box.Put(func() { c.node.answered(c, a) }) {
-			a.held.Release()
+		c.answerComplete()
+		if !c.server.mailbox.Put(func() { c.server.onAnswer(c, a) }) {
+			a.charge.Release()
 		}
 	}
 	c.broken.Store(true)
-	c.node.box.Put(func() { c.node.ended(c) })
+	c.server.mailbox.Put(func() { c.server.onEnded(c) })
 }
 
 // repeats tells whether a served answer is, byte for byte, the one before on this connection, which had not rested since: a
 // second copy of that, come late, since answers differ. Rejections are alike as a rule: the second of two proves nothing then,
 // in case it is a copy of the first.
-func (c *conn) repeats(a *answer) bool {
+func (c *conn) isDuplicate(a *answer) bool {
 	digest := xxhash.New()
 	digest.Write([]byte{byte(a.outcome)})
 	digest.WriteString(a.contentType)
 	digest.Write(a.body)
-	before := c.last
-	c.last = digest.Sum64()
-	alike := c.hurried.Load() && c.last == before
+	before := c.lastDigest
+	c.lastDigest = digest.Sum64()
+	alike := c.unsettled.Load() && c.lastDigest == before
 	if a.outcome != logic.Done {
 		if alike && a.outcome == logic.Busy {
 			a.outcome = logic.Errored
@@ -193,16 +193,16 @@
 		return false
 	}
 	if !alike {
-		c.node.nodes.answers.add(c.last)
+		c.server.transport.answers.add(c.lastDigest)
 	}
 	return alike
 }
 
 // Read reads for the reader. An answer mostly comes at once: only one that does not is timed.
 func (c *conn) Read(p []byte) (int, error) {
-	if !c.begun.IsZero() && !c.late {
-		c.late = true
-		c.nc.SetReadDeadline(c.begun.Add(answerTime))
+	if !c.answerBegan.IsZero() && !c.bounded {
+		c.bounded = true
+		c.nc.SetReadDeadline(c.answerBegan.Add(answerTimeout))
 	}
 	return c.nc.Read(p)
 }
@@ -221,29 +221,29 @@
 		if h.StatusCode() >= fasthttp.StatusOK {
 			break
 		}
-		if h.StatusCode() < fasthttp.StatusContinue || h.StatusCode() == fasthttp.StatusSwitchingProtocols || interim == mostInterim {
-			return a, errSpoilt
+		if h.StatusCode() < fasthttp.StatusContinue || h.StatusCode() == fasthttp.StatusSwitchingProtocols || interim == maxInterim {
+			return a, errMalformed
 		}
 	}
-	a = answer{outcome: outcome(resp), last: h.ConnectionClose()}
+	a = answer{outcome: outcomeOf(resp), last: h.ConnectionClose()}
 	if a.outcome == logic.Done {
 		a.contentType = string(h.ContentType())
 	}
 	defer func() {
 		if err != nil {
-			a.held.Release()
+			a.charge.Release()
 		}
 	}()
 	switch length := h.ContentLength(); {
 	case h.StatusCode() == fasthttp.StatusNoContent || h.StatusCode() == fasthttp.StatusNotModified:
 		return a, nil
 	case length > relay.MaxBodySize:
-		return a, errSpoilt
+		return a, errMalformed
 	case length >= 0 && a.outcome != logic.Done:
 		_, err = io.CopyN(io.Discard, br, int64(length))
 		return a, err
 	case length >= 0:
-		if a.held, err = c.charge(int64(length)); err != nil {
+		if a.charge, err = c.waitForBytes(int64(length)); err != nil {
 			return a, err
 		}
 		a.body = make([]byte, length)
@@ -255,7 +255,7 @@
 		}
 		return a, h.ReadTrailer(br)
 	default:
-		return a, errSpoilt
+		return a, errMalformed
 	}
 }
 
@@ -265,18 +265,18 @@
 	if a.outcome != logic.Done {
 		n, err := io.Copy(io.Discard, io.LimitReader(chunks, relay.MaxBodySize+1))
 		if n > relay.MaxBodySize {
-			return errSpoilt
+			return errMalformed
 		}
 		return err
 	}
-	for size := firstChunks; ; size = min(grownBy*size, relay.MaxBodySize+1) {
-		more, err := c.charge(int64(size))
+	for size := initialBodyBytes; ; size = min(bodyGrowth*size, relay.MaxBodySize+1) {
+		more, err := c.waitForBytes(int64(size))
 		if err != nil {
 			return err
 		}
 		body := append(make([]byte, 0, size), a.body...)
-		a.held.Release()
-		a.held, a.body = more, body
+		a.charge.Release()
+		a.charge, a.body = more, body
 		n, err := io.ReadFull(chunks, body[len(body):size])
 		a.body = body[:len(body)+n]
 		switch {
@@ -291,24 +291,24 @@
 		case err != nil:
 			return err
 		case len(a.body) > relay.MaxBodySize:
-			return errSpoilt
+			return errMalformed
 		}
 	}
 }
 
 // charge waits for the bytes of an answer, as long as its connection is there: at the claim's deadline the actor
 // closes it. The time that an answer may take counts anew from when it has them.
-func (c *conn) charge(bytes int64) (*budget.Charge, error) {
-	held, err := c.node.nodes.opts.Gate.Enter(budget.Ask{Kind: budget.Answers, Bytes: bytes}, time.Now().Add(mostWait), c.gone)
-	if now := time.Now(); err == nil && now.Sub(c.begun) > answerTime/4 {
-		c.begun, c.late = now, true
-		c.nc.SetReadDeadline(now.Add(answerTime))
+func (c *conn) waitForBytes(bytes int64) (*budget.Charge, error) {
+	held, err := c.server.transport.options.Gate.Enter(budget.Ask{Kind: budget.Answers, Bytes: bytes}, time.Now().Add(maxBytesWait), c.closed)
+	if now := time.Now(); err == nil && now.Sub(c.answerBegan) > answerTimeout/4 {
+		c.answerBegan, c.bounded = now, true
+		c.nc.SetReadDeadline(now.Add(answerTimeout))
 	}
 	return held, err
 }
 
 // outcome tells what an answer means. One that the protocol does not name may have run.
-func outcome(resp *fasthttp.Response) logic.Outcome {
+func outcomeOf(resp *fasthttp.Response) logic.Outcome {
 	switch code := resp.StatusCode(); {
 	case code == fasthttp.StatusOK:
 		return logic.Done
@@ -321,7 +321,7 @@
 }
 
 // encode writes out the head of a claim's request. Its body goes out from where it is held.
-func encode(c *claim, host string, now time.Time) []byte {
+func encodeHead(c *attempt, host string, now time.Time) []byte {
 	var h fasthttp.RequestHeader
 	h.SetMethod(c.Payload.Method)
 	h.SetRequestURI(c.Payload.Target)
@@ -340,4 +340,4 @@
 	return h.Header()
 }
 
-var _ relay.Transport = (*Nodes)(nil)
+var _ relay.Transport = (*Transport)(nil)
--- a/internal/transport/http/contract_test.go
+++ b/internal/transport/http/contract_test.go
@@ -15,7 +15,7 @@
 
 var transports = contract.NodesMaker{
 	New: func(contract.T) relay.Transport {
-		return NewNodes(Options{DialTimeout: time.Second, ConnIdle: time.Minute, DrainGrace: 500 * time.Millisecond, MaxConns: 16}, zerolog.Nop())
+		return NewTransport(Options{DialTimeout: time.Second, ConnIdle: time.Minute, DrainGrace: 500 * time.Millisecond, MaxConns: 16}, zerolog.Nop())
 	},
 	Request: func(callID string) *relay.Payload {
 		return &relay.Payload{Method: "GET", Target: "/look", CallID: callID}
--- a/internal/transport/http/crossing_test.go
+++ b/internal/transport/http/crossing_test.go
@@ -20,7 +20,7 @@
 type crossing struct {
 	*scenario.Stage
 	ln      net.Listener
-	node    *node
+	node    *server
 	release chan struct{}      // closed at the end
 	dials   chan chan struct{} // of each dial: closed to let it go on; dials go on at once while this is nil
 }
@@ -62,16 +62,16 @@
 		return &slowReader{TCPConn: nc.(*net.TCPConn), release: x.release}, nil
 	}
 	t.Cleanup(func() { close(x.release) })
-	x.node = NewNodes(opts, zerolog.Nop()).Open(relay.Member{Addr: x.ln.Addr().String()}, tell(x.Stage)).(*node)
+	x.node = NewTransport(opts, zerolog.Nop()).Open(relay.Member{Addr: x.ln.Addr().String()}, reportTo(x.Stage)).(*server)
 	t.Cleanup(x.node.Close)
-	x.Calls["claim"] = func(id string) { x.node.Start(aClaim(id, time.Minute)) }
+	x.Calls["claim"] = func(id string) { x.node.Start(newAttempt(id, time.Minute)) }
 	return x
 }
 
 // in does something on the node's actor.
 func (x *crossing) in(do func()) {
 	done := make(chan struct{})
-	x.node.box.Put(func() {
+	x.node.mailbox.Put(func() {
 		defer close(done)
 		do()
 	})
@@ -81,9 +81,9 @@
 // A second copy of an answer that comes late is taken for no other answer: where answers differ it is known, and ends the
 // attempt on its connection.
 func TestALateSecondCopyIsNoAnswer(t *testing.T) {
-	x := newCrossing(t, Options{Settle: time.Minute}, false)
+	x := newCrossing(t, Options{SettleTime: time.Minute}, false)
 	for digest := range uint64(apart) {
-		x.node.nodes.answers.add(digest)
+		x.node.transport.answers.add(digest)
 	}
 	x.Play(t, `
 		claim send 1
@@ -100,7 +100,7 @@
 // Where nothing tells a copy (answers may be alike, or not enough of them are known) a connection rests after each, so that a
 // late copy comes on one that nobody has asked; and an answer like the one before is one.
 func TestAnswersAlikeAreAnswers(t *testing.T) {
-	newCrossing(t, Options{Settle: time.Minute}, false).Play(t, `
+	newCrossing(t, Options{SettleTime: time.Minute}, false).Play(t, `
 		claim send 1
 		a expect body
 		a send `+ok+`
@@ -111,7 +111,7 @@
 		a wait
 		b send `+ok+`
 		wait 2 done hi`)
-	newCrossing(t, Options{Settle: time.Nanosecond}, false).Play(t, `
+	newCrossing(t, Options{SettleTime: time.Nanosecond}, false).Play(t, `
 		claim send 1
 		a expect body
 		a send `+ok+`
@@ -126,9 +126,9 @@
 // its request never ran.
 func TestALateSecondRejectionProvesNothing(t *testing.T) {
 	const busy = "HTTP/1.1 503 E\\r\\nX-Rejected: 1\\r\\nContent-Length: 0\\r\\n\\r\\n"
-	x := newCrossing(t, Options{Settle: time.Minute}, false)
+	x := newCrossing(t, Options{SettleTime: time.Minute}, false)
 	for digest := range uint64(apart) {
-		x.node.nodes.answers.add(digest)
+		x.node.transport.answers.add(digest)
 	}
 	x.Play(t, `
 		claim send 1
@@ -139,7 +139,7 @@
 		a expect body
 		a send `+busy+`
 		wait 2 errored`)
-	newCrossing(t, Options{Settle: time.Nanosecond}, false).Play(t, `
+	newCrossing(t, Options{SettleTime: time.Nanosecond}, false).Play(t, `
 		claim send 1
 		a expect body
 		a send `+busy+`
@@ -152,9 +152,9 @@
 
 // An answer that differs from the one before is one, however soon its connection was asked again.
 func TestAnswersThatDifferNeedNoRest(t *testing.T) {
-	x := newCrossing(t, Options{Settle: time.Minute}, false)
+	x := newCrossing(t, Options{SettleTime: time.Minute}, false)
 	for digest := range uint64(apart) {
-		x.node.nodes.answers.add(digest)
+		x.node.transport.answers.add(digest)
 	}
 	x.Play(t, `
 		claim send 1
@@ -187,7 +187,7 @@
 				return nc, err
 			}
 			x.Calls["crossed"] = func(id string) {
-				c := aClaim(id, time.Minute)
+				c := newAttempt(id, time.Minute)
 				asked := false
 				c.Payload.ClientGone = func() bool { // the last question before the first byte
 					if asked {
@@ -264,7 +264,7 @@
 		t.Run(name, func(t *testing.T) {
 			x := newCrossing(t, Options{}, true)
 			x.Calls["claim"] = func(id string) {
-				claim := aClaim(id, time.Minute)
+				claim := newAttempt(id, time.Minute)
 				if c.before != nil {
 					c.before(&claim)
 				}
@@ -292,10 +292,10 @@
 func TestAClaimNotSentIsNoUse(t *testing.T) {
 	x := newCrossing(t, Options{}, false)
 	x.Calls["aged"] = func(string) {
-		x.in(func() { x.node.idle[0].rested = time.Now().Add(-time.Minute) })
+		x.in(func() { x.node.idle[0].idleSince = time.Now().Add(-time.Minute) })
 	}
 	x.Calls["gone"] = func(id string) {
-		c := aClaim(id, time.Minute)
+		c := newAttempt(id, time.Minute)
 		c.Payload.ClientGone = func() bool { return true }
 		x.node.Start(c)
 	}
--- a/internal/transport/http/executenode.go
+++ b/internal/transport/http/executenode.go
@@ -23,15 +23,15 @@
 
 // Options are what all execute nodes share.
 type Options struct {
-	DialTimeout time.Duration
-	Dial        func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the system's
-	ConnIdle    time.Duration                                                     // the node's machine closes a connection idle for this long
-	DrainGrace  time.Duration                                                     // sends to a node told to drain or gone must have stopped after this
-	GoneAdvice  bool                                                              // one called gone may still be sent to
-	Settle      time.Duration                                                     // a connection rests so long after an answer
-	MaxConns    int                                                               // to all nodes together
-	Gate        *budget.Gate                                                      // nil: nothing is counted
-	Figures     *metrics.Registry                                                 // nil: no figures are kept; else BackendCalls counts claims written whole
+	DialTimeout    time.Duration
+	Dial           func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the system's
+	ConnIdle       time.Duration                                                     // the node's machine closes a connection idle for this long
+	DrainGrace     time.Duration                                                     // sends to a node told to drain or gone must have stopped after this
+	GoneIsAdvisory bool                                                              // one called gone may still be sent to
+	SettleTime     time.Duration                                                     // a connection rests so long after an answer
+	MaxConns       int                                                               // to all nodes together
+	Gate           *budget.Gate                                                      // nil: nothing is counted
+	Metrics        *metrics.Registry                                                 // nil: no figures are kept; else BackendCalls counts claims written whole
 }
 
 // Before the limits of the rules, time for what lies between the last check and the wire.
@@ -40,360 +40,362 @@
 	drainMargin = 0.2 // of DrainGrace
 )
 
-// Settle is how long a connection rests after an answer before it is used again. What a node sends behind an answer (its
+// SettleTime is how long a connection rests after an answer before it is used again. What a node sends behind an answer (its
 // end, or a second copy of the answer) comes some milliseconds later and carries no sign of whose it is: on a connection
 // that was asked again by then it would be taken for the next answer. A connection that has not rested is used where there
 // is no other, since one more costs the node a handshake, but only if a copy would be known: answers all differ.
-const Settle = 50 * time.Millisecond
+const SettleTime = 50 * time.Millisecond
 
 // trimmed is how long a connection must have been idle to be closed because bytes are short: one that the next claim is
 // likely to need would only have to be opened again, at the node's cost.
-const trimmed = time.Second
+const minIdleTime = time.Second
 
-// Nodes opens execute nodes and counts their connections.
-type Nodes struct {
-	opts    Options
+// Transport opens execute nodes and counts their connections.
+type Transport struct {
+	options Options
 	log     zerolog.Logger
 	conns   atomic.Int64
 	answers answers
 }
 
-// NewNodes makes a set that has no node yet.
-func NewNodes(opts Options, log zerolog.Logger) *Nodes {
+// NewTransport makes a set that has no node yet.
+func NewTransport(opts Options, log zerolog.Logger) *Transport {
 	if opts.Dial == nil {
 		opts.Dial = new(net.Dialer).DialContext
 	}
-	return &Nodes{opts: opts, log: log}
+	return &Transport{options: opts, log: log}
 }
 
 // Open starts the actor of a node.
-func (s *Nodes) Open(m relay.Member, report func(relay.AttemptID, relay.Result)) relay.Server {
-	n := &node{nodes: s, log: s.log.With().Str("node", m.Addr).Logger(), report: report,
-		box: mailbox.New(), claims: map[relay.AttemptID]*claim{}, conns: map[*conn]bool{}}
+func (s *Transport) Open(m relay.Member, report func(relay.AttemptID, relay.Result)) relay.Server {
+	n := &server{transport: s, log: s.log.With().Str("node", m.Addr).Logger(), report: report,
+		mailbox: mailbox.New(), attempts: map[relay.AttemptID]*attempt{}, conns: map[*conn]bool{}}
 	n.Update(m) // as any later word of the list: it may be draining already
-	go n.box.Run()
+	go n.mailbox.Run()
 	return n
 }
 
 // node is the actor of one execute node. All but the first four fields belong to it.
-type node struct {
-	nodes  *Nodes
-	log    zerolog.Logger
-	report func(relay.AttemptID, relay.Result)
-	box    *mailbox.Mailbox
-
-	member  relay.Member
-	barred  time.Time // when the list said that nothing more may be sent; zero: it may
-	claims  map[relay.AttemptID]*claim
-	waiting []*claim // of those, the ones without a connection, the oldest first
-	conns   map[*conn]bool
-	idle    []*conn // in the order of their last use
-	settled *time.Timer
-	dials   int // under way
-	closed  bool
+type server struct {
+	transport *Transport
+	log       zerolog.Logger
+	report    func(relay.AttemptID, relay.Result)
+	mailbox   *mailbox.Mailbox
+
+	member        relay.Member
+	excludedSince time.Time // when the list said that nothing more may be sent; zero: it may
+	attempts      map[relay.AttemptID]*attempt
+	queue         []*attempt // of those, the ones without a connection, the oldest first
+	conns         map[*conn]bool
+	idle          []*conn // in the order of their last use
+	settleTimer   *time.Timer
+	dials         int // under way
+	closed        bool
 }
 
 // claim is one that has not been reported.
-type claim struct {
+type attempt struct {
 	relay.Attempt
-	conn    *conn              // nil while it waits for one
-	abandon context.CancelFunc // ends the dial that was begun for it
-	timer   *time.Timer        // its deadline
+	conn       *conn              // nil while it waits for one
+	cancelDial context.CancelFunc // ends the dial that was begun for it
+	timer      *time.Timer        // its deadline
 }
 
 // Claim, Cancel, Release, Trim, Update and Close are the messages of relay.Node.
 
-func (n *node) Start(c relay.Attempt) { n.box.Put(func() { n.start(c) }) }
+func (n *server) Start(c relay.Attempt) { n.mailbox.Put(func() { n.accept(c) }) }
 
-func (n *node) Cancel(id relay.AttemptID) { n.box.Put(func() { n.giveUp(id, logic.Canceled) }) }
+func (n *server) Cancel(id relay.AttemptID) { n.mailbox.Put(func() { n.abandon(id, logic.Canceled) }) }
 
-func (n *node) CloseIdle() { n.box.Put(n.closeIdle) }
+func (n *server) CloseIdle() { n.mailbox.Put(n.closeIdle) }
 
-func (n *node) TrimIdle() {
-	n.box.Put(func() {
-		for len(n.idle) > 0 && time.Since(n.idle[0].rested) > trimmed {
-			n.drop(n.idle[0])
+func (n *server) TrimIdle() {
+	n.mailbox.Put(func() {
+		for len(n.idle) > 0 && time.Since(n.idle[0].idleSince) > minIdleTime {
+			n.closeConn(n.idle[0])
 		}
 	})
 }
 
-func (n *node) Update(m relay.Member) { n.box.Put(func() { n.update(m) }) }
+func (n *server) Update(m relay.Member) { n.mailbox.Put(func() { n.applyUpdate(m) }) }
 
-func (n *node) Close() {
-	n.box.Put(func() {
+func (n *server) Close() {
+	n.mailbox.Put(func() {
 		n.closed = true
 		n.closeIdle()
-		n.finish()
+		n.endIfClosed()
 	})
 }
 
 // finish ends the actor once no connection is left and none is being dialled: one that came up afterwards
 // would stay open for good.
-func (n *node) finish() {
+func (n *server) endIfClosed() {
 	if n.closed && n.dials == 0 && len(n.conns) == 0 {
-		n.box.Close()
+		n.mailbox.Close()
 	}
 }
 
-func (n *node) update(m relay.Member) {
+func (n *server) applyUpdate(m relay.Member) {
 	moved := m.Addr != n.member.Addr && m.Addr != ""
 	switch {
 	case m.State == logic.Ready:
-		n.barred = time.Time{}
-	case m.State == logic.Gone && n.nodes.opts.GoneAdvice: // the module decides
-	case n.barred.IsZero():
-		n.barred = m.ListedAt
+		n.excludedSince = time.Time{}
+	case m.State == logic.Gone && n.transport.options.GoneIsAdvisory: // the module decides
+	case n.excludedSince.IsZero():
+		n.excludedSince = m.ListedAt
 	}
 	if !moved {
 		m.Addr = n.member.Addr
 	}
 	n.member = m
-	if moved || !n.barred.IsZero() {
+	if moved || !n.excludedSince.IsZero() {
 		n.closeIdle()
 	}
 }
 
 // start takes a claim.
-func (n *node) start(rc relay.Attempt) {
-	c := &claim{Attempt: rc}
-	n.claims[c.ID] = c
+func (n *server) accept(rc relay.Attempt) {
+	c := &attempt{Attempt: rc}
+	n.attempts[c.ID] = c
 	c.timer = time.AfterFunc(time.Until(c.Deadline), func() {
-		n.box.Put(func() { n.giveUp(c.ID, logic.TimedOut) })
+		n.mailbox.Put(func() { n.abandon(c.ID, logic.TimedOut) })
 	})
-	n.begin(c)
+	n.assign(c)
 }
 
 // begin puts a claim on a connection that has rested or, where there is none, dials one for it. It waits for whichever is
 // there first: that one, or one that comes to rest meanwhile. So no claim waits for a slow dial alone.
-func (n *node) begin(c *claim) {
-	n.waiting = append(n.waiting, c)
-	n.serve()
-	if slices.Contains(n.waiting, c) {
+func (n *server) assign(c *attempt) {
+	n.queue = append(n.queue, c)
+	n.dispatch()
+	if slices.Contains(n.queue, c) {
 		n.dial(c)
 	}
 }
 
 // serve gives the connections that have rested to the claims that wait, the oldest first.
-func (n *node) serve() {
-	for len(n.waiting) > 0 {
-		conn := n.rouse()
+func (n *server) dispatch() {
+	for len(n.queue) > 0 {
+		conn := n.takeIdle()
 		if conn == nil {
-			n.serveLater()
+			n.scheduleDispatch()
 			return
 		}
 		// Its end may be on its way in the mailbox: a request written now would be lost for nothing.
 		if !conn.usable() {
-			n.drop(conn)
+			n.closeConn(conn)
 			continue
 		}
-		n.write(n.waiting[0], conn)
+		n.write(n.queue[0], conn)
 	}
 }
 
-// serveLater looks again when the next connection has rested.
-func (n *node) serveLater() {
-	if len(n.idle) == 0 || n.settled != nil {
+// scheduleDispatch looks again when the next connection has rested.
+func (n *server) scheduleDispatch() {
+	if len(n.idle) == 0 || n.settleTimer != nil {
 		return
 	}
-	n.settled = time.AfterFunc(time.Until(n.idle[0].rested.Add(n.nodes.opts.Settle)), func() {
-		n.box.Put(func() {
-			n.settled = nil
-			n.serve()
+	n.settleTimer = time.AfterFunc(time.Until(n.idle[0].idleSince.Add(n.transport.options.SettleTime)), func() {
+		n.mailbox.Put(func() {
+			n.settleTimer = nil
+			n.dispatch()
 		})
 	})
 }
 
 // rouse takes an idle connection: of those that have rested the one used last, so that the others are retired; if none
 // has, the one that has rested for longest, or none.
-func (n *node) rouse() *conn {
+func (n *server) takeIdle() *conn {
 	i, now := len(n.idle)-1, time.Now()
-	resting := func(i int) bool { return n.idle[i].answered && now.Sub(n.idle[i].rested) < n.nodes.opts.Settle }
+	resting := func(i int) bool {
+		return n.idle[i].answered && now.Sub(n.idle[i].idleSince) < n.transport.options.SettleTime
+	}
 	for ; i > 0 && resting(i); i-- {
 	}
-	if i < 0 || resting(i) && !n.nodes.answers.differ() {
+	if i < 0 || resting(i) && !n.transport.answers.differ() {
 		return nil
 	}
 	conn := n.idle[i]
-	conn.hurried.Store(resting(i))
+	conn.unsettled.Store(resting(i))
 	n.idle = slices.Delete(n.idle, i, i+1)
-	conn.wake()
+	conn.stopIdleTimer()
 	return conn
 }
 
-func (n *node) dial(c *claim) {
-	if len(n.idle) > 0 && n.nodes.conns.Load() >= int64(n.nodes.opts.MaxConns) { // it has not rested: another takes its place
-		n.drop(n.idle[0])
+func (n *server) dial(c *attempt) {
+	if len(n.idle) > 0 && n.transport.conns.Load() >= int64(n.transport.options.MaxConns) { // it has not rested: another takes its place
+		n.closeConn(n.idle[0])
 	}
-	if n.nodes.conns.Add(1) > int64(n.nodes.opts.MaxConns) {
-		n.nodes.conns.Add(-1)
-		n.log.Warn().Int("limit", n.nodes.opts.MaxConns).Msg("no socket left for a claim")
-		n.end(c, logic.Skipped, relay.Result{})
+	if n.transport.conns.Add(1) > int64(n.transport.options.MaxConns) {
+		n.transport.conns.Add(-1)
+		n.log.Warn().Int("limit", n.transport.options.MaxConns).Msg("no socket left for a claim")
+		n.complete(c, logic.Skipped, relay.Result{})
 		return
 	}
 	n.dials++
-	ctx, abandon := context.WithTimeout(context.Background(), n.nodes.opts.DialTimeout)
-	c.abandon = abandon
+	ctx, abandon := context.WithTimeout(context.Background(), n.transport.options.DialTimeout)
+	c.cancelDial = abandon
 	addr := n.member.Addr
 	go func() {
 		defer abandon()
-		nc, err := n.nodes.opts.Dial(ctx, "tcp", addr)
-		n.box.Put(func() { n.dialled(c, addr, nc, err) })
+		nc, err := n.transport.options.Dial(ctx, "tcp", addr)
+		n.mailbox.Put(func() { n.onDialed(c, addr, nc, err) })
 	}()
 }
 
-func (n *node) dialled(c *claim, addr string, nc net.Conn, err error) {
+func (n *server) onDialed(c *attempt, addr string, nc net.Conn, err error) {
 	n.dials--
 	if err != nil {
-		n.nodes.conns.Add(-1)
-		defer n.finish()
-		if slices.Contains(n.waiting, c) {
+		n.transport.conns.Add(-1)
+		defer n.endIfClosed()
+		if slices.Contains(n.queue, c) {
 			n.log.Debug().Err(err).Msg("not connected")
-			n.end(c, logic.Refused, relay.Result{})
+			n.complete(c, logic.Refused, relay.Result{})
 		}
 		return
 	}
 	conn := newConn(n, nc, addr)
 	n.conns[conn] = true
 	go conn.read()
-	if !slices.Contains(n.waiting, c) && len(n.waiting) > 0 {
-		c = n.waiting[0]
+	if !slices.Contains(n.queue, c) && len(n.queue) > 0 {
+		c = n.queue[0]
 	}
 	switch {
-	case !slices.Contains(n.waiting, c) || conn.addr != n.member.Addr:
-		n.rest(conn, time.Now())
-		if slices.Contains(n.waiting, c) { // its node has moved meanwhile
+	case !slices.Contains(n.queue, c) || conn.addr != n.member.Addr:
+		n.keepIdle(conn, time.Now())
+		if slices.Contains(n.queue, c) { // its node has moved meanwhile
 			n.dial(c)
 		}
 	case conn.usable():
 		n.write(c, conn)
 	default: // a node that speaks before it is asked
-		n.drop(conn)
-		n.end(c, logic.Refused, relay.Result{})
+		n.closeConn(conn)
+		n.complete(c, logic.Refused, relay.Result{})
 	}
 }
 
 // write sends a claim, unless it may no longer be sent.
-func (n *node) write(c *claim, conn *conn) {
-	n.waiting = slices.DeleteFunc(n.waiting, func(o *claim) bool { return o == c })
-	c.conn, conn.claim, conn.writing = conn, c, true
+func (n *server) write(c *attempt, conn *conn) {
+	n.queue = slices.DeleteFunc(n.queue, func(o *attempt) bool { return o == c })
+	c.conn, conn.attempt, conn.writing = conn, c, true
 	now, until := time.Now(), c.Deadline
 	if !c.SendBefore.IsZero() && c.SendBefore.Before(until) {
 		until = c.SendBefore
 	}
-	if grace := n.barred.Add(time.Duration((1 - drainMargin) * float64(n.nodes.opts.DrainGrace))); !n.barred.IsZero() && grace.Before(until) {
+	if grace := n.excludedSince.Add(time.Duration((1 - drainMargin) * float64(n.transport.options.DrainGrace))); !n.excludedSince.IsZero() && grace.Before(until) {
 		until = grace
 	}
-	parts := net.Buffers{encode(c, n.member.Addr, now), c.Payload.Body}
+	parts := net.Buffers{encodeHead(c, n.member.Addr, now), c.Payload.Body}
 	// A claim given up meanwhile, and with it the job, may be forgotten before this has let go of its bytes.
 	held := c.Payload.Charge
 	held.Hold()
 	go func() {
 		err := conn.send(parts, c, until)
 		held.Release()
-		if fig := n.nodes.opts.Figures; err == nil && fig != nil {
+		if fig := n.transport.options.Metrics; err == nil && fig != nil {
 			fig.BackendCalls.Add(1)
 		}
-		n.box.Put(func() { n.written(conn, err) })
+		n.mailbox.Put(func() { n.onWritten(conn, err) })
 	}()
 }
 
 // written learns whether the last byte has left: what breaks before that never ran.
-func (n *node) written(conn *conn, err error) {
+func (n *server) onWritten(conn *conn, err error) {
 	conn.writing = false
-	if conn.early != nil {
-		a := *conn.early
-		conn.early = nil
+	if conn.earlyAnswer != nil {
+		a := *conn.earlyAnswer
+		conn.earlyAnswer = nil
 		a.last = a.last || err != nil
-		n.answered(conn, a)
+		n.onAnswer(conn, a)
 		return
 	}
-	c := conn.claim
+	c := conn.attempt
 	switch {
-	case errors.Is(err, errOver):
+	case errors.Is(err, errExpired):
 		if c != nil {
-			n.end(c, logic.Skipped, relay.Result{})
+			n.complete(c, logic.Skipped, relay.Result{})
 		}
-		n.rest(conn, conn.rested)
-	case errors.Is(err, errStale) && c != nil && !conn.rested.IsZero():
-		n.drop(conn)
-		conn.claim, c.conn = nil, nil
-		n.begin(c)
+		n.keepIdle(conn, conn.idleSince)
+	case errors.Is(err, errConnStale) && c != nil && !conn.idleSince.IsZero():
+		n.closeConn(conn)
+		conn.attempt, c.conn = nil, nil
+		n.assign(c)
 	case err != nil:
-		n.drop(conn)
-		n.broke(conn, logic.Refused)
-	case conn.over:
-		n.broke(conn, logic.Reset)
+		n.closeConn(conn)
+		n.failAttempt(conn, logic.Refused)
+	case conn.ended:
+		n.failAttempt(conn, logic.Reset)
 	}
 }
 
 // broke ends the claim of a connection that has ended without an answer.
-func (n *node) broke(conn *conn, outcome logic.Outcome) {
-	if c := conn.claim; c != nil {
-		n.end(c, outcome, relay.Result{})
+func (n *server) failAttempt(conn *conn, outcome logic.Outcome) {
+	if c := conn.attempt; c != nil {
+		n.complete(c, outcome, relay.Result{})
 	}
 }
 
 // ended learns that nothing more comes from a connection.
-func (n *node) ended(conn *conn) {
-	conn.over = true
-	n.drop(conn)
+func (n *server) onEnded(conn *conn) {
+	conn.ended = true
+	n.closeConn(conn)
 	if !conn.writing { // else the end of the write tells whether the request left whole
-		n.broke(conn, logic.Reset)
+		n.failAttempt(conn, logic.Reset)
 	}
 }
 
 // answered takes in an answer.
-func (n *node) answered(conn *conn, a answer) {
-	c := conn.claim
+func (n *server) onAnswer(conn *conn, a answer) {
+	c := conn.attempt
 	switch {
 	case c == nil: // an answer that nobody asked for
-		a.held.Release()
-		n.drop(conn)
+		a.charge.Release()
+		n.closeConn(conn)
 		return
 	case conn.writing:
 		// A quick answer can overtake the word that its request has left. Taken at once, it left the connection
 		// unfit for the next claim, which had to open another.
-		conn.early = &a
+		conn.earlyAnswer = &a
 		return
 	case a.last:
-		n.drop(conn)
+		n.closeConn(conn)
 	default:
-		conn.answered, conn.claim, c.conn = true, nil, nil // at rest it may carry another claim at once
-		n.rest(conn, time.Now())
+		conn.answered, conn.attempt, c.conn = true, nil, nil // at rest it may carry another claim at once
+		n.keepIdle(conn, time.Now())
 	}
-	n.end(c, a.outcome, relay.Result{At: a.at, Body: a.body, ContentType: a.contentType, Charge: a.held})
+	n.complete(c, a.outcome, relay.Result{At: a.at, Body: a.body, ContentType: a.contentType, Charge: a.charge})
 }
 
-// giveUp ends a claim that is not waited for. Its connection is closed before it is reported, so that no
+// abandon ends a claim that is not waited for. Its connection is closed before it is reported, so that no
 // other claim of its job can be out while this one is.
-func (n *node) giveUp(id relay.AttemptID, outcome logic.Outcome) {
-	c := n.claims[id]
+func (n *server) abandon(id relay.AttemptID, outcome logic.Outcome) {
+	c := n.attempts[id]
 	if c == nil {
 		return
 	}
 	if c.conn != nil {
-		if c.conn.early != nil { // an answer that came too soon to be taken
-			c.conn.early.held.Release()
-			c.conn.early = nil
+		if c.conn.earlyAnswer != nil { // an answer that came too soon to be taken
+			c.conn.earlyAnswer.charge.Release()
+			c.conn.earlyAnswer = nil
 		}
-		n.drop(c.conn)
-	} else if c.abandon != nil {
-		c.abandon()
+		n.closeConn(c.conn)
+	} else if c.cancelDial != nil {
+		c.cancelDial()
 		if outcome == logic.TimedOut {
 			outcome = logic.Skipped // nothing of it was sent
 		}
 	}
-	n.end(c, outcome, relay.Result{})
+	n.complete(c, outcome, relay.Result{})
 }
 
 // end reports a claim.
-func (n *node) end(c *claim, outcome logic.Outcome, res relay.Result) {
+func (n *server) complete(c *attempt, outcome logic.Outcome, res relay.Result) {
 	c.timer.Stop()
 	if c.conn != nil {
-		c.conn.claim = nil
+		c.conn.attempt = nil
 	}
-	delete(n.claims, c.ID)
-	n.waiting = slices.DeleteFunc(n.waiting, func(o *claim) bool { return o == c })
+	delete(n.attempts, c.ID)
+	n.queue = slices.DeleteFunc(n.queue, func(o *attempt) bool { return o == c })
 	res.Outcome = outcome
 	if res.At.IsZero() {
 		res.At = time.Now()
@@ -403,62 +405,62 @@
 
 // rest keeps a connection for the next claim, for a time that ends safely before the node closes it: it counts from the last
 // answer on it, also where a claim was put on it meanwhile and not sent.
-func (n *node) rest(conn *conn, since time.Time) {
+func (n *server) keepIdle(conn *conn, since time.Time) {
 	if !n.conns[conn] {
 		return
 	}
-	if n.closed || !n.barred.IsZero() || conn.addr != n.member.Addr || conn.broken.Load() {
-		n.drop(conn)
+	if n.closed || !n.excludedSince.IsZero() || conn.addr != n.member.Addr || conn.broken.Load() {
+		n.closeConn(conn)
 		return
 	}
 	if since.IsZero() {
 		since = time.Now()
 	}
-	i := slices.IndexFunc(n.idle, later(since))
+	i := slices.IndexFunc(n.idle, idleAfter(since))
 	if i < 0 {
 		i = len(n.idle)
 	}
 	n.idle = slices.Insert(n.idle, i, conn)
-	conn.rested = since
-	idle := time.Duration((1 - idleMargin) * float64(n.nodes.opts.ConnIdle))
+	conn.idleSince = since
+	idle := time.Duration((1 - idleMargin) * float64(n.transport.options.ConnIdle))
 	var timer *time.Timer
 	timer = time.AfterFunc(time.Until(since.Add(idle)), func() {
-		n.box.Put(func() {
-			if conn.retire == timer { // it has not been used since
-				n.drop(conn)
+		n.mailbox.Put(func() {
+			if conn.idleTimer == timer { // it has not been used since
+				n.closeConn(conn)
 			}
 		})
 	})
-	conn.retire = timer
-	n.serve()
+	conn.idleTimer = timer
+	n.dispatch()
 }
 
 // later picks connections that came to rest after a time.
-func later(than time.Time) func(*conn) bool {
-	return func(c *conn) bool { return c.rested.After(than) }
+func idleAfter(than time.Time) func(*conn) bool {
+	return func(c *conn) bool { return c.idleSince.After(than) }
 }
 
-func (n *node) closeIdle() {
+func (n *server) closeIdle() {
 	for len(n.idle) > 0 {
-		n.drop(n.idle[len(n.idle)-1])
+		n.closeConn(n.idle[len(n.idle)-1])
 	}
 }
 
 // drop closes a connection. Its reader ends by that.
-func (n *node) drop(conn *conn) {
+func (n *server) closeConn(conn *conn) {
 	if !n.conns[conn] {
 		return
 	}
 	delete(n.conns, conn)
-	n.nodes.conns.Add(-1)
+	n.transport.conns.Add(-1)
 	conn.nc.Close()
-	close(conn.gone)
+	close(conn.closed)
 	for i, o := range n.idle {
 		if o == conn {
-			o.wake()
+			o.stopIdleTimer()
 			n.idle = slices.Delete(n.idle, i, i+1)
 			break
 		}
 	}
-	n.finish()
+	n.endIfClosed()
 }
--- a/internal/transport/http/executenode_test.go
+++ b/internal/transport/http/executenode_test.go
@@ -108,7 +108,7 @@
 		"3 GB chunk":   spoilt(`HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\nhi`),
 		"noise":        spoilt(`\x00\x17 noise 200 noise\r\n\r\n`),
 		"endless head": spoilt(`HTTP/1.1 200 OK\r\n` + strings.Repeat(`X-More: of the same\r\n`, 400)),
-		"endless 1xx":  spoilt(strings.Repeat(`HTTP/1.1 100 Continue\r\n\r\n`, mostInterim+1)),
+		"endless 1xx":  spoilt(strings.Repeat(`HTTP/1.1 100 Continue\r\n\r\n`, maxInterim+1)),
 		"half a head":  spoilt(`HTTP/1.1 200 OK\r\nConte`),
 		"half a body":  spoilt(`HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi`),
 		// A second copy counts as out while the first connection is open.
@@ -174,22 +174,22 @@
 			stage := scenario.NewStage(scenario.Accepter(ln))
 			gate := budget.NewGate(8<<20, 9)
 			var jobs sync.Map // what each holds until its claim is reported
-			f := openNodes(gate)
+			f := openTransport(gate)
 			n := f.Open(relay.Member{Addr: ln.Addr().String()}, func(id relay.AttemptID, r relay.Result) {
-				tell(stage)(id, r)
+				reportTo(stage)(id, r)
 				held, _ := jobs.Load(id.Request)
 				held.(*budget.Charge).Release()
 			})
 			claim := func(patience time.Duration) func(string) {
 				return func(id string) {
-					c := aClaim(id, patience)
+					c := newAttempt(id, patience)
 					c.Payload.Charge = gate.Must(budget.Jobs, 4)
 					jobs.Store(c.ID.Request, c.Payload.Charge)
 					n.Start(c)
 				}
 			}
 			stage.Calls["claim"], stage.Calls["soon"] = claim(time.Minute), claim(500*time.Millisecond)
-			stage.Calls["cancel"] = func(id string) { n.Cancel(aClaim(id, 0).ID) }
+			stage.Calls["cancel"] = func(id string) { n.Cancel(newAttempt(id, 0).ID) }
 			stage.Calls["release"] = func(string) { n.CloseIdle() }
 			stage.Calls["leave"] = func(string) { n.Close() }
 			stage.Calls["drain"] = func(ago string) {
@@ -217,8 +217,8 @@
 			gate := budget.NewGate(1<<20, 9)
 			full := gate.Must(budget.Lists, 1<<20)
 			n := openMember(t, stage, relay.Member{Addr: ln.Addr().String()}, gate)
-			stage.Calls["claim"] = func(id string) { n.Start(aClaim(id, time.Minute)) }
-			stage.Calls["cancel"] = func(id string) { n.Cancel(aClaim(id, 0).ID) }
+			stage.Calls["claim"] = func(id string) { n.Start(newAttempt(id, time.Minute)) }
+			stage.Calls["cancel"] = func(id string) { n.Cancel(newAttempt(id, 0).ID) }
 			stage.Calls["leave"] = func(string) { n.Close() }
 			stage.Calls["waiting"] = func(string) {
 				scenario.Await(t, "the answer waits", func() bool { return gate.State().Waiting == 1 })
@@ -238,7 +238,7 @@
 	stage := scenario.NewStage(nil)
 	gate := budget.NewGate(64<<20, 9)
 	n := openMember(t, stage, relay.Member{Addr: ln.Addr().String()}, gate)
-	c := aClaim("1", time.Minute)
+	c := newAttempt("1", time.Minute)
 	c.Payload.Body = make([]byte, 32<<20) // more than the system takes for a peer that does not read
 	c.Payload.Charge = gate.Must(budget.Jobs, int64(len(c.Payload.Body)))
 	n.Start(c)
@@ -266,7 +266,7 @@
 	ln.Close()
 	stage := scenario.NewStage(nil)
 	n := open(t, stage, ln.Addr())
-	stage.Calls["claim"] = func(id string) { n.Start(aClaim(id, time.Minute)) }
+	stage.Calls["claim"] = func(id string) { n.Start(newAttempt(id, time.Minute)) }
 	stage.Play(t, "claim send 1\n wait 1 refused")
 }
 
@@ -276,7 +276,7 @@
 	stage := scenario.NewStage(scenario.Accepter(ln))
 	n := openMember(t, stage, relay.Member{Server: logic.Server{State: logic.Draining}, Addr: ln.Addr().String(),
 		ListedAt: time.Now().Add(-time.Second)}, nil)
-	stage.Calls["claim"] = func(id string) { n.Start(aClaim(id, time.Minute)) }
+	stage.Calls["claim"] = func(id string) { n.Start(newAttempt(id, time.Minute)) }
 	stage.Play(t, "claim send 1\n wait 1 skipped\n a wait nothing")
 }
 
@@ -285,14 +285,14 @@
 func TestAnswerOvertakesTheWrite(t *testing.T) {
 	near, _ := net.Pipe()
 	reports := 0
-	n := &node{nodes: NewNodes(Options{ConnIdle: time.Minute}, zerolog.Nop()), claims: map[relay.AttemptID]*claim{},
+	n := &server{transport: NewTransport(Options{ConnIdle: time.Minute}, zerolog.Nop()), attempts: map[relay.AttemptID]*attempt{},
 		report: func(relay.AttemptID, relay.Result) { reports++ }}
-	c := &conn{node: n, nc: near, writing: true, claim: &claim{timer: time.NewTimer(time.Minute)}}
+	c := &conn{server: n, nc: near, writing: true, attempt: &attempt{timer: time.NewTimer(time.Minute)}}
 	n.conns = map[*conn]bool{c: true}
-	c.claim.conn = c
-	n.answered(c, answer{})
+	c.attempt.conn = c
+	n.onAnswer(c, answer{})
 	early := reports
-	n.written(c, nil)
+	n.onWritten(c, nil)
 	if diff := cmp.Diff([]int{0, 1, 1}, []int{early, reports, len(n.idle)}); diff != "" {
 		t.Errorf("reports before and after the write, idle connections (-want +got):\n%s", diff)
 	}
@@ -313,22 +313,22 @@
 		"none has":         {[]time.Duration{0, 0, 0}, 0, false},
 		"none, alike":      {[]time.Duration{0, 0, 0}, -1, true},
 	} {
-		n := &node{nodes: NewNodes(Options{Settle: Settle}, zerolog.Nop())}
+		n := &server{transport: NewTransport(Options{SettleTime: SettleTime}, zerolog.Nop())}
 		for digest := range uint64(apart) {
-			n.nodes.answers.add(digest)
+			n.transport.answers.add(digest)
 		}
 		if c.alike {
-			n.nodes.answers.add(0)
+			n.transport.answers.add(0)
 		}
 		for _, ago := range c.rested {
-			n.idle = append(n.idle, &conn{answered: true, rested: now.Add(time.Second / 2).Add(-ago), retire: time.NewTimer(time.Minute)})
+			n.idle = append(n.idle, &conn{answered: true, idleSince: now.Add(time.Second / 2).Add(-ago), idleTimer: time.NewTimer(time.Minute)})
 		}
 		idle := slices.Clone(n.idle)
 		left := 2
 		if c.want < 0 {
 			left = 3
 		}
-		if got := slices.Index(idle, n.rouse()); got != c.want || len(n.idle) != left {
+		if got := slices.Index(idle, n.takeIdle()); got != c.want || len(n.idle) != left {
 			t.Errorf("%s: connection %d, want %d", name, got, c.want)
 		}
 	}
@@ -339,25 +339,25 @@
 }
 
 func openMember(t *testing.T, stage *scenario.Stage, m relay.Member, gate *budget.Gate) relay.Server {
-	n := openNodes(gate).Open(m, tell(stage))
+	n := openTransport(gate).Open(m, reportTo(stage))
 	t.Cleanup(n.Close)
 	return n
 }
 
-func openNodes(gate *budget.Gate) *Nodes {
-	return NewNodes(Options{DialTimeout: 5 * time.Second, ConnIdle: time.Minute,
+func openTransport(gate *budget.Gate) *Transport {
+	return NewTransport(Options{DialTimeout: 5 * time.Second, ConnIdle: time.Minute,
 		DrainGrace: 500 * time.Millisecond, MaxConns: 2, Gate: gate}, zerolog.Nop())
 }
 
 // tell passes reports on to a stage.
-func tell(stage *scenario.Stage) func(relay.AttemptID, relay.Result) {
+func reportTo(stage *scenario.Stage) func(relay.AttemptID, relay.Result) {
 	return func(id relay.AttemptID, r relay.Result) {
 		r.Charge.Release()
 		stage.Event(strings.TrimSpace(fmt.Sprintf("%d %s %s", id.Request, outcomes[r.Outcome], r.Body)))
 	}
 }
 
-func aClaim(id string, patience time.Duration) relay.Attempt {
+func newAttempt(id string, patience time.Duration) relay.Attempt {
 	c := relay.Attempt{Deadline: time.Now().Add(patience), Payload: &relay.Payload{
 		Method: "POST", Target: "/pay//a/../b?q=%41", Body: []byte("body"), CallID: "c1", IdempotencyKey: "k"}}
 	fmt.Sscan(id, &c.ID.Request)
@@ -367,15 +367,15 @@
 // Where bytes are short, a connection that has been idle for long goes, and one that the next claim may need stays.
 func TestTrimLeavesWhatIsInUse(t *testing.T) {
 	near, _ := net.Pipe()
-	n := &node{nodes: NewNodes(Options{}, zerolog.Nop()), box: mailbox.New(), conns: map[*conn]bool{}}
+	n := &server{transport: NewTransport(Options{}, zerolog.Nop()), mailbox: mailbox.New(), conns: map[*conn]bool{}}
 	for _, rested := range []time.Duration{time.Minute, 0} {
-		c := &conn{node: n, nc: near, gone: make(chan struct{}), rested: time.Now().Add(-rested), retire: time.NewTimer(time.Minute)}
+		c := &conn{server: n, nc: near, closed: make(chan struct{}), idleSince: time.Now().Add(-rested), idleTimer: time.NewTimer(time.Minute)}
 		n.idle, n.conns[c] = append(n.idle, c), true
 	}
 	young := n.idle[1]
 	n.TrimIdle()
-	n.box.Close()
-	n.box.Run()
+	n.mailbox.Close()
+	n.mailbox.Run()
 	if len(n.idle) != 1 || n.idle[0] != young {
 		t.Errorf("%d connections are left", len(n.idle))
 	}
