--- a/internal/transport/http/attempt.go
+++ b/internal/transport/http/attempt.go
@@ -14,209 +14,228 @@
 	"fieldrelay/logic"
 )
 
-// claim is one that has not been reported.
+// attempt is an attempt that is not yet reported.
 type attempt struct {
 	relay.Attempt
-	conn       *conn              // nil while it waits for one
-	cancelDial context.CancelFunc // ends the dial that was begun for it
-	timer      *time.Timer        // its deadline
+	conn       *conn              // nil while it is queued
+	cancelDial context.CancelFunc // of the dial that was begun for it; nil: none
+	timer      *time.Timer        // of its deadline
 }
 
-// start takes a claim.
-func (n *server) accept(rc relay.Attempt) {
-	c := &attempt{Attempt: rc}
-	n.attempts[c.ID] = c
-	c.timer = time.AfterFunc(time.Until(c.Deadline), func() {
-		n.mailbox.Put(func() { n.abandon(c.ID, logic.TimedOut) })
+// accept begins an attempt.
+func (s *server) accept(ra relay.Attempt) {
+	a := &attempt{Attempt: ra}
+	s.attempts[a.ID] = a
+	a.timer = time.AfterFunc(time.Until(a.Deadline), func() {
+		s.mailbox.Put(func() { s.abandon(a.ID, logic.TimedOut) })
 	})
-	n.assign(c)
+	s.assign(a)
 }
 
-// begin puts a claim on a connection that has rested or, where there is none, dials one for it. It waits for whichever is
-// there first: that one, or one that comes to rest meanwhile. So no claim waits for a slow dial alone.
-func (n *server) assign(c *attempt) {
-	n.queue = append(n.queue, c)
-	n.dispatch()
-	if slices.Contains(n.queue, c) {
-		n.dial(c)
+// assign gives an attempt a settled connection or, if there is none, dials one for it. The attempt gets whichever comes
+// first, that connection or another one that settles meanwhile, so that a slow dial delays nothing by itself.
+func (s *server) assign(a *attempt) {
+	s.queue = append(s.queue, a)
+	s.dispatch()
+	if s.isQueued(a) {
+		s.dial(a)
 	}
 }
 
-// serve gives the connections that have rested to the claims that wait, the oldest first.
-func (n *server) dispatch() {
-	for len(n.queue) > 0 {
-		conn := n.takeIdle()
+func (s *server) isQueued(a *attempt) bool { return slices.Contains(s.queue, a) }
+
+// dequeue removes an attempt from the queue, if it is in it.
+func (s *server) dequeue(a *attempt) {
+	s.queue = slices.DeleteFunc(s.queue, func(o *attempt) bool { return o == a })
+}
+
+// dispatch gives the settled connections to the queued attempts, the oldest first.
+func (s *server) dispatch() {
+	for len(s.queue) > 0 {
+		conn := s.takeIdle()
 		if conn == nil {
-			n.scheduleDispatch()
+			s.scheduleDispatch()
 			return
 		}
 		// Its end may be on its way in the mailbox: a request written now would be lost for nothing.
 		if !conn.usable() {
-			n.closeConn(conn)
+			s.closeConn(conn)
 			continue
 		}
-		n.write(n.queue[0], conn)
+		s.write(s.queue[0], conn)
 	}
 }
 
-// scheduleDispatch looks again when the next connection has rested.
-func (n *server) scheduleDispatch() {
-	if len(n.idle) == 0 || n.settleTimer != nil {
+// scheduleDispatch dispatches again when the next connection has settled.
+func (s *server) scheduleDispatch() {
+	if len(s.idle) == 0 || s.settleTimer != nil {
 		return
 	}
-	n.settleTimer = time.AfterFunc(time.Until(n.idle[0].idleSince.Add(n.transport.options.SettleTime)), func() {
-		n.mailbox.Put(func() {
-			n.settleTimer = nil
-			n.dispatch()
+	settled := s.idle[0].idleSince.Add(s.transport.options.SettleTime)
+	s.settleTimer = time.AfterFunc(time.Until(settled), func() {
+		s.mailbox.Put(func() {
+			s.settleTimer = nil
+			s.dispatch()
 		})
 	})
 }
 
-// write sends a claim, unless it may no longer be sent.
-func (n *server) write(c *attempt, conn *conn) {
-	n.queue = slices.DeleteFunc(n.queue, func(o *attempt) bool { return o == c })
-	c.conn, conn.attempt, conn.writing = conn, c, true
-	now, until := time.Now(), c.Deadline
-	if !c.SendBefore.IsZero() && c.SendBefore.Before(until) {
-		until = c.SendBefore
-	}
-	if grace := n.excludedSince.Add(time.Duration((1 - drainMargin) * float64(n.transport.options.DrainGrace))); !n.excludedSince.IsZero() && grace.Before(until) {
-		until = grace
-	}
-	parts := net.Buffers{encodeHead(c, n.member.Addr, now), c.Payload.Body}
-	// A claim given up meanwhile, and with it the job, may be forgotten before this has let go of its bytes.
-	held := c.Payload.Charge
-	held.Hold()
+// write writes an attempt to a connection, unless it may no longer be sent.
+func (s *server) write(a *attempt, conn *conn) {
+	s.dequeue(a)
+	a.conn, conn.attempt, conn.writing = conn, a, true
+	now := time.Now()
+	until := s.sendDeadline(a)
+	parts := net.Buffers{encodeHead(a, s.member.Addr, now), a.Payload.Body}
+	// An attempt that is abandoned meanwhile, and with it its request, may be forgotten while its bytes are still in use.
+	charge := a.Payload.Charge
+	charge.Hold()
 	go func() {
-		err := conn.send(parts, c, until)
-		held.Release()
-		if fig := n.transport.options.Metrics; err == nil && fig != nil {
-			fig.BackendCalls.Add(1)
+		err := conn.send(parts, a, until)
+		charge.Release()
+		if m := s.transport.options.Metrics; err == nil && m != nil {
+			m.BackendCalls.Add(1)
 		}
-		n.mailbox.Put(func() { n.onWritten(conn, err) })
+		s.mailbox.Put(func() { s.onWritten(conn, err) })
 	}()
 }
 
-// written learns whether the last byte has left: what breaks before that never ran.
-func (n *server) onWritten(conn *conn, err error) {
+// sendDeadline is when the first byte of an attempt must have been written: its own bounds, and the grace of a drain.
+func (s *server) sendDeadline(a *attempt) time.Time {
+	until := a.Deadline
+	if !a.SendBefore.IsZero() && a.SendBefore.Before(until) {
+		until = a.SendBefore
+	}
+	if s.excludedSince.IsZero() {
+		return until
+	}
+	grace := time.Duration((1 - drainMargin) * float64(s.transport.options.DrainGrace))
+	if end := s.excludedSince.Add(grace); end.Before(until) {
+		return end
+	}
+	return until
+}
+
+// onWritten handles the end of a write. What broke before its last byte was written never ran.
+func (s *server) onWritten(conn *conn, err error) {
 	conn.writing = false
 	if conn.earlyAnswer != nil {
-		a := *conn.earlyAnswer
+		early := *conn.earlyAnswer
 		conn.earlyAnswer = nil
-		a.last = a.last || err != nil
-		n.onAnswer(conn, a)
+		early.last = early.last || err != nil
+		s.onAnswer(conn, early)
 		return
 	}
-	c := conn.attempt
+	a := conn.attempt
 	switch {
 	case errors.Is(err, errExpired):
-		if c != nil {
-			n.complete(c, logic.Skipped, relay.Result{})
+		if a != nil {
+			s.complete(a, logic.Skipped, relay.Result{})
 		}
-		n.keepIdle(conn, conn.idleSince)
-	case errors.Is(err, errConnStale) && c != nil && !conn.idleSince.IsZero():
-		n.closeConn(conn)
-		conn.attempt, c.conn = nil, nil
-		n.assign(c)
+		s.keepIdle(conn, conn.idleSince)
+	case errors.Is(err, errConnStale) && a != nil && !conn.idleSince.IsZero():
+		s.closeConn(conn)
+		conn.attempt, a.conn = nil, nil
+		s.assign(a)
 	case err != nil:
-		n.closeConn(conn)
-		n.failAttempt(conn, logic.Refused)
+		s.closeConn(conn)
+		s.failAttempt(conn, logic.Refused)
 	case conn.ended:
-		n.failAttempt(conn, logic.Reset)
+		s.failAttempt(conn, logic.Reset)
 	}
 }
 
-// answered takes in an answer.
-func (n *server) onAnswer(conn *conn, a answer) {
-	c := conn.attempt
+// onAnswer handles an answer.
+func (s *server) onAnswer(conn *conn, got answer) {
+	a := conn.attempt
 	switch {
-	case c == nil: // an answer that nobody asked for
-		a.charge.Release()
-		n.closeConn(conn)
+	case a == nil: // nothing was asked
+		got.charge.Release()
+		s.closeConn(conn)
 		return
 	case conn.writing:
-		// A quick answer can overtake the word that its request has left. Taken at once, it left the connection
-		// unfit for the next claim, which had to open another.
-		conn.earlyAnswer = &a
+		// A quick answer can overtake the message that its request is written. Handled at once, it left the connection
+		// unfit for the next attempt, which had to open another.
+		conn.earlyAnswer = &got
 		return
-	case a.last:
-		n.closeConn(conn)
+	case got.last:
+		s.closeConn(conn)
 	default:
-		conn.answered, conn.attempt, c.conn = true, nil, nil // at rest it may carry another claim at once
-		n.keepIdle(conn, time.Now())
+		conn.answered, conn.attempt, a.conn = true, nil, nil // kept idle, it may carry another attempt at once
+		s.keepIdle(conn, time.Now())
 	}
-	n.complete(c, a.outcome, relay.Result{At: a.at, Body: a.body, ContentType: a.contentType, Charge: a.charge})
+	s.complete(a, got.outcome, relay.Result{At: got.at, Body: got.body, ContentType: got.contentType, Charge: got.charge})
 }
 
-// ended learns that nothing more comes from a connection.
-func (n *server) onEnded(conn *conn) {
+// onEnded handles that nothing more will be read from a connection.
+func (s *server) onEnded(conn *conn) {
 	conn.ended = true
-	n.closeConn(conn)
-	if !conn.writing { // else the end of the write tells whether the request left whole
-		n.failAttempt(conn, logic.Reset)
+	s.closeConn(conn)
+	if !conn.writing { // else the end of the write says whether the request was written whole
+		s.failAttempt(conn, logic.Reset)
+	}
+}
+
+// failAttempt completes the attempt of a connection that ended without an answer.
+func (s *server) failAttempt(conn *conn, outcome logic.Outcome) {
+	if a := conn.attempt; a != nil {
+		s.complete(a, outcome, relay.Result{})
 	}
 }
 
-// abandon ends a claim that is not waited for. Its connection is closed before it is reported, so that no
-// other claim of its job can be out while this one is.
-func (n *server) abandon(id relay.AttemptID, outcome logic.Outcome) {
-	c := n.attempts[id]
-	if c == nil {
+// abandon ends an attempt that is canceled or timed out. Its connection is closed before it is reported, so that no other
+// attempt of its request can be in flight while this one is.
+func (s *server) abandon(id relay.AttemptID, outcome logic.Outcome) {
+	a := s.attempts[id]
+	if a == nil {
 		return
 	}
-	if c.conn != nil {
-		if c.conn.earlyAnswer != nil { // an answer that came too soon to be taken
-			c.conn.earlyAnswer.charge.Release()
-			c.conn.earlyAnswer = nil
+	if a.conn != nil {
+		if early := a.conn.earlyAnswer; early != nil {
+			early.charge.Release()
+			a.conn.earlyAnswer = nil
 		}
-		n.closeConn(c.conn)
-	} else if c.cancelDial != nil {
-		c.cancelDial()
+		s.closeConn(a.conn)
+	} else if a.cancelDial != nil {
+		a.cancelDial()
 		if outcome == logic.TimedOut {
 			outcome = logic.Skipped // nothing of it was sent
 		}
 	}
-	n.complete(c, outcome, relay.Result{})
-}
-
-// broke ends the claim of a connection that has ended without an answer.
-func (n *server) failAttempt(conn *conn, outcome logic.Outcome) {
-	if c := conn.attempt; c != nil {
-		n.complete(c, outcome, relay.Result{})
-	}
+	s.complete(a, outcome, relay.Result{})
 }
 
-// end reports a claim.
-func (n *server) complete(c *attempt, outcome logic.Outcome, res relay.Result) {
-	c.timer.Stop()
-	if c.conn != nil {
-		c.conn.attempt = nil
+// complete reports an attempt.
+func (s *server) complete(a *attempt, outcome logic.Outcome, res relay.Result) {
+	a.timer.Stop()
+	if a.conn != nil {
+		a.conn.attempt = nil
 	}
-	delete(n.attempts, c.ID)
-	n.queue = slices.DeleteFunc(n.queue, func(o *attempt) bool { return o == c })
+	delete(s.attempts, a.ID)
+	s.dequeue(a)
 	res.Outcome = outcome
 	if res.At.IsZero() {
 		res.At = time.Now()
 	}
-	n.report(c.ID, res)
+	s.report(a.ID, res)
 }
 
-// encode writes out the head of a claim's request. Its body goes out from where it is held.
-func encodeHead(c *attempt, host string, now time.Time) []byte {
+// encodeHead encodes the head of an attempt's request. The body is written from where it is stored.
+func encodeHead(a *attempt, host string, now time.Time) []byte {
 	var h fasthttp.RequestHeader
-	h.SetMethod(c.Payload.Method)
-	h.SetRequestURI(c.Payload.Target)
+	h.SetMethod(a.Payload.Method)
+	h.SetRequestURI(a.Payload.Target)
 	h.SetHost(host)
-	h.Set("X-Call-Id", c.Payload.CallID)
-	if c.Payload.IdempotencyKey != "" {
-		h.Set("Idempotency-Key", c.Payload.IdempotencyKey)
+	h.Set("X-Call-Id", a.Payload.CallID)
+	if a.Payload.IdempotencyKey != "" {
+		h.Set("Idempotency-Key", a.Payload.IdempotencyKey)
 	}
-	if c.Payload.ContentType != "" {
-		h.SetContentType(c.Payload.ContentType)
+	if a.Payload.ContentType != "" {
+		h.SetContentType(a.Payload.ContentType)
 	}
-	h.Set("X-Budget", strconv.FormatFloat(c.Deadline.Sub(now).Seconds(), 'f', 3, 64))
-	if c.Payload.Method != fasthttp.MethodGet {
-		h.SetContentLength(len(c.Payload.Body))
+	h.Set("X-Budget", strconv.FormatFloat(a.Deadline.Sub(now).Seconds(), 'f', 3, 64))
+	if a.Payload.Method != fasthttp.MethodGet {
+		h.SetContentLength(len(a.Payload.Body))
 	}
 	return h.Header()
 }
--- a/internal/transport/http/conn.go
+++ b/internal/transport/http/conn.go
@@ -8,85 +8,80 @@
 	"time"
 
 	"fieldrelay/internal/budget"
-	"fieldrelay/internal/relay"
 	"fieldrelay/internal/socket"
 )
 
-// conn is a connection to an execute node. It carries one claim at a time.
+// connBytes is the charge of a connection: its reader with stack and buffer, and the server's state for it.
+const connBytes = 12 << 10
+
+// conn is a connection to a server. It carries one attempt at a time.
 type conn struct {
 	server     *server
 	nc         net.Conn
 	addr       string
 	closed     chan struct{}  // closed with the connection
-	connCharge *budget.Charge // for the connection and its reader
-	broken     atomic.Bool    // nothing more can be read, or what came belongs to no claim
+	connCharge *budget.Charge // released by the reader
+	broken     atomic.Bool    // nothing more can be read, or what arrived belongs to no attempt
+	unsettled  atomic.Bool    // its attempt was assigned before it had settled
 
-	// A claim is being or has been written on it and is not answered. Whoever writes sets it while nothing is unread, and
-	// the reader takes nothing from the system before it has looked: so what came before a claim is never its answer.
+	// awaiting: an attempt is being or has been written and is not answered. The writer sets it while nothing is unread,
+	// and the reader takes nothing from the operating system before it has checked it: so what arrived before an attempt is
+	// never its answer.
 	mu       sync.Mutex
 	awaiting bool
 
-	unsettled atomic.Bool // its claim was put on it before it had rested
-
-	lastDigest  uint64    // digest of the last answer; the reader's, as the next two
-	answerBegan time.Time // when the present answer began to come, while it is read; the reader's
-	bounded     bool      // a bound stands on that; the reader's
+	// Owned by the reader.
+	lastDigest  uint64    // of the last answer
+	answerBegan time.Time // when the present answer began to arrive; zero: none does
+	bounded     bool      // a read deadline is set for it
 
-	// What follows belongs to the node's actor.
+	// Owned by the server's actor.
 	attempt     *attempt // nil: none
 	writing     bool
-	earlyAnswer *answer // came while the request was being written
-	ended       bool    // nothing more comes
+	earlyAnswer *answer // arrived while the request was being written
+	ended       bool    // nothing more will be read
 	idleTimer   *time.Timer
-	idleSince   time.Time // since when it is idle, or was last; zero: it never was
-	answered    bool      // it has brought an answer
+	idleSince   time.Time // or when it last was idle; zero: never
+	answered    bool      // it has carried an answer
 }
 
-// What is charged for a connection: its reader with stack and buffer, and the node's state for it; and for the body of
-// an answer in chunks, at first and by how many times more whenever that is full.
-const (
-	connBytes        = 12 << 10
-	initialBodyBytes = 4 << 10
-	bodyGrowth       = 4
-)
-
-func newConn(n *server, nc net.Conn, addr string) *conn {
-	return &conn{server: n, nc: nc, addr: addr, closed: make(chan struct{}),
-		connCharge: n.transport.options.Gate.Must(budget.Conns, connBytes)}
+func newConn(s *server, nc net.Conn, addr string) *conn {
+	return &conn{server: s, nc: nc, addr: addr, closed: make(chan struct{}),
+		connCharge: s.transport.options.Gate.Must(budget.Conns, connBytes)}
 }
 
-// wake ends the idle time of a connection.
+// stopIdleTimer ends the idle time of a connection.
 func (c *conn) stopIdleTimer() {
 	c.idleTimer.Stop()
 	c.idleTimer = nil
 }
 
-// usable tells whether the connection can carry a claim: its end has not come, nor anything since the last answer, such as
-// a second copy of that, which would be taken for the answer to this claim.
+// usable reports whether the connection can carry an attempt: it has not ended, and nothing has arrived since the last
+// answer, such as a second copy of that, which would be taken for the answer to this attempt.
 func (c *conn) usable() bool { return !c.broken.Load() && !socket.Unread(c.nc) }
 
-// Why a claim was not written. Nothing of it has left.
+// Why an attempt was not written. No byte of it was.
 var (
-	errExpired   = errors.New("it may no longer be sent")
-	errConnStale = errors.New("its connection has ended or brings what nobody asked for")
+	errExpired   = errors.New("attempt may no longer be sent")
+	errConnStale = errors.New("connection has ended or carries unrequested bytes")
 )
 
-// send writes a claim out, unless by now it may not be sent. All that can speak against it is looked at here, just before
-// its first byte, since anything may have happened while it waited: its deadline, the end of its window or of a drain's
+// send writes an attempt, or returns errExpired or errConnStale. All that can speak against it is checked here, just before
+// its first byte, since anything may have happened while it was queued: its deadline, the end of its window or of a drain's
 // grace (together until), its client, its final answer, its connection.
-func (c *conn) send(parts net.Buffers, of *attempt, until time.Time) error {
+func (c *conn) send(parts net.Buffers, a *attempt, until time.Time) error {
 	switch {
-	case !time.Now().Before(until) || !of.Payload.Wanted():
+	case !time.Now().Before(until) || !a.Payload.Wanted():
 		return errExpired
 	case !c.reserve():
 		return errConnStale
 	}
-	c.nc.SetWriteDeadline(of.Deadline)
+	_ = c.nc.SetWriteDeadline(a.Deadline) // on a closed connection the write fails
 	_, err := parts.WriteTo(c.nc)
 	return err
 }
 
-// ask makes the connection a claim's, if it is usable.
+// reserve lets the next answer be that of an attempt, if the connection is usable.
 func (c *conn) reserve() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,11 +95,9 @@
 	return c.awaiting
 }
 
-// answerComplete ends what ask has begun.
+// answerComplete ends what reserve has begun.
 func (c *conn) answerComplete() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.awaiting = false
 }
-
-var _ relay.Transport = (*Transport)(nil)
--- a/internal/transport/http/contract_test.go
+++ b/internal/transport/http/contract_test.go
@@ -31,20 +31,20 @@
 func TestTransportContract(t *testing.T) { contract.Run(t, contract.NodesClauses, transports) }
 
 // bent is a transport that is wrong on purpose.
-type bent struct {
+type faultyTransport struct {
 	relay.Transport
 	wrong string
-	t     *testing.T // at whose end a node left open is closed
+	t     *testing.T // at whose end a server left open is closed
 }
 
-type bentNode struct {
+type faultyServer struct {
 	relay.Server
 	wrong  string
 	report func(relay.AttemptID, relay.Result)
 }
 
-func (b bent) Open(m relay.Member, report func(relay.AttemptID, relay.Result)) relay.Server {
-	n := &bentNode{wrong: b.wrong, report: report}
+func (b faultyTransport) Open(m relay.Member, report func(relay.AttemptID, relay.Result)) relay.Server {
+	n := &faultyServer{wrong: b.wrong, report: report}
 	switch b.wrong {
 	case "twice":
 		report = func(id relay.AttemptID, r relay.Result) { n.report(id, r); n.report(id, r) }
@@ -61,7 +61,7 @@
 	return n
 }
 
-func (n *bentNode) Start(c relay.Attempt) {
+func (n *faultyServer) Start(c relay.Attempt) {
 	n.Server.Start(c)
 	if n.wrong == "again" && c.ID.Request > 1 && c.ID.Request%2 == 1 {
 		again := c
@@ -73,13 +73,13 @@
 	}
 }
 
-func (n *bentNode) Update(m relay.Member) {
+func (n *faultyServer) Update(m relay.Member) {
 	if n.wrong != "gone" {
 		n.Server.Update(m)
 	}
 }
 
-func (n *bentNode) Close() {
+func (n *faultyServer) Close() {
 	if n.wrong != "open" {
 		n.Server.Close()
 	}
@@ -89,7 +89,7 @@
 func TestBrokenTransportsAreNamed(t *testing.T) {
 	for i, wrong := range []string{"twice", "again", "stray", "waits", "gone", "open"} {
 		m := transports
-		m.New = func(inner contract.T) relay.Transport { return bent{transports.New(inner), wrong, t} }
+		m.New = func(inner contract.T) relay.Transport { return faultyTransport{transports.New(inner), wrong, t} }
 		if clause := contract.NodesClauses[i]; clause.Check(t, m) == nil {
 			t.Errorf("%s: not named for a transport that is wrong by %q", clause.Name, wrong)
 		}
--- a/internal/transport/http/digests.go
+++ b/internal/transport/http/digests.go
@@ -5,36 +5,36 @@
 	"sync"
 )
 
-// apart is how many answers in a row have to differ before that is relied on.
-const apart = 16
+// minDistinct is how many successive answers have to differ before that is relied on.
+const minDistinct = 16
 
-// answers are the digests of the last answers of requests served, of all nodes: they are of one kind. Any goroutine may use
-// them.
-type answers struct {
-	mu    sync.Mutex
-	last  []uint64
-	alike bool // two of them were
+// answerDigests are the digests of the last served answers, of all servers together since their answers are of one kind. It
+// is safe for concurrent use.
+type answerDigests struct {
+	mu       sync.Mutex
+	last     []uint64
+	repeated bool // two were equal, now or ever
 }
 
-func (a *answers) add(digest uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.alike {
+func (d *answerDigests) add(digest uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.repeated {
 		return
 	}
-	if a.alike = slices.Contains(a.last, digest); a.alike {
-		a.last = nil
+	if d.repeated = slices.Contains(d.last, digest); d.repeated {
+		d.last = nil
 		return
 	}
-	if len(a.last) == apart {
-		a.last = slices.Delete(a.last, 0, 1)
+	if len(d.last) == minDistinct {
+		d.last = slices.Delete(d.last, 0, 1)
 	}
-	a.last = append(a.last, digest)
+	d.last = append(d.last, digest)
 }
 
-// differ tells whether no two answers are alike, as far as any have been heard.
-func (a *answers) differ() bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return len(a.last) == apart
+// differ reports whether answers have all differed so far, and there were enough of them.
+func (d *answerDigests) differ() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.last) == minDistinct
 }
--- a/internal/transport/http/pool.go
+++ b/internal/transport/http/pool.go
@@ -10,139 +10,149 @@
 	"fieldrelay/logic"
 )
 
-// trimmed is how long a connection must have been idle to be closed because bytes are short: one that the next claim is
-// likely to need would only have to be opened again, at the node's cost.
+// minIdleTime is how long a connection must have been idle to be closed because bytes are short: one that the next attempt
+// is likely to need would only have to be opened again, at the server's cost.
 const minIdleTime = time.Second
 
-// rouse takes an idle connection: of those that have rested the one used last, so that the others are retired; if none
-// has, the one that has rested for longest, or none.
-func (n *server) takeIdle() *conn {
-	i, now := len(n.idle)-1, time.Now()
-	resting := func(i int) bool {
-		return n.idle[i].answered && now.Sub(n.idle[i].idleSince) < n.transport.options.SettleTime
+// takeIdle takes an idle connection: of the settled ones the one used last, so that the others can expire; if none is
+// settled, the one idle for longest, provided that a copy of its last answer would be recognized. It returns nil if there
+// is none.
+func (s *server) takeIdle() *conn {
+	i, now := len(s.idle)-1, time.Now()
+	settling := func(i int) bool {
+		return s.idle[i].answered && now.Sub(s.idle[i].idleSince) < s.transport.options.SettleTime
 	}
-	for ; i > 0 && resting(i); i-- {
+	for i > 0 && settling(i) {
+		i--
 	}
-	if i < 0 || resting(i) && !n.transport.answers.differ() {
+	if i < 0 || settling(i) && !s.transport.answers.differ() {
 		return nil
 	}
-	conn := n.idle[i]
-	conn.unsettled.Store(resting(i))
-	n.idle = slices.Delete(n.idle, i, i+1)
+	conn := s.idle[i]
+	conn.unsettled.Store(settling(i))
+	s.idle = slices.Delete(s.idle, i, i+1)
 	conn.stopIdleTimer()
 	return conn
 }
 
-func (n *server) dial(c *attempt) {
-	if len(n.idle) > 0 && n.transport.conns.Load() >= int64(n.transport.options.MaxConns) { // it has not rested: another takes its place
-		n.closeConn(n.idle[0])
-	}
-	if n.transport.conns.Add(1) > int64(n.transport.options.MaxConns) {
-		n.transport.conns.Add(-1)
-		n.log.Warn().Int("limit", n.transport.options.MaxConns).Msg("no socket left for a claim")
-		n.complete(c, logic.Skipped, relay.Result{})
+// dial opens a connection for a queued attempt. Without a place for one more the attempt is skipped.
+func (s *server) dial(a *attempt) {
+	options := &s.transport.options
+	// An idle connection that has not settled gives its place to the new one.
+	if len(s.idle) > 0 && s.transport.conns.Load() >= int64(options.MaxConns) {
+		s.closeConn(s.idle[0])
+	}
+	if s.transport.conns.Add(1) > int64(options.MaxConns) {
+		s.transport.conns.Add(-1)
+		s.log.Warn().Int("max_conns", options.MaxConns).Msg("attempt skipped: too many connections")
+		s.complete(a, logic.Skipped, relay.Result{})
 		return
 	}
-	n.dials++
-	ctx, abandon := context.WithTimeout(context.Background(), n.transport.options.DialTimeout)
-	c.cancelDial = abandon
-	addr := n.member.Addr
+	s.dials++
+	ctx, cancel := context.WithTimeout(context.Background(), options.DialTimeout)
+	a.cancelDial = cancel
+	addr := s.member.Addr
 	go func() {
-		defer abandon()
-		nc, err := n.transport.options.Dial(ctx, "tcp", addr)
-		n.mailbox.Put(func() { n.onDialed(c, addr, nc, err) })
+		defer cancel()
+		nc, err := options.Dial(ctx, "tcp", addr)
+		s.mailbox.Put(func() { s.onDialed(a, addr, nc, err) })
 	}()
 }
 
-func (n *server) onDialed(c *attempt, addr string, nc net.Conn, err error) {
-	n.dials--
+// onDialed handles the end of a dial that was begun for an attempt.
+func (s *server) onDialed(a *attempt, addr string, nc net.Conn, err error) {
+	s.dials--
 	if err != nil {
-		n.transport.conns.Add(-1)
-		defer n.endIfClosed()
-		if slices.Contains(n.queue, c) {
-			n.log.Debug().Err(err).Msg("not connected")
-			n.complete(c, logic.Refused, relay.Result{})
+		s.transport.conns.Add(-1)
+		defer s.endIfClosed()
+		if s.isQueued(a) {
+			s.log.Debug().Err(err).Msg("connection failed")
+			s.complete(a, logic.Refused, relay.Result{})
 		}
 		return
 	}
-	conn := newConn(n, nc, addr)
-	n.conns[conn] = true
+	conn := newConn(s, nc, addr)
+	s.conns[conn] = true
 	go conn.read()
-	if !slices.Contains(n.queue, c) && len(n.queue) > 0 {
-		c = n.queue[0]
+	if !s.isQueued(a) && len(s.queue) > 0 {
+		a = s.queue[0]
 	}
 	switch {
-	case !slices.Contains(n.queue, c) || conn.addr != n.member.Addr:
-		n.keepIdle(conn, time.Now())
-		if slices.Contains(n.queue, c) { // its node has moved meanwhile
-			n.dial(c)
+	case !s.isQueued(a) || conn.addr != s.member.Addr:
+		s.keepIdle(conn, time.Now())
+		if s.isQueued(a) { // the server has moved meanwhile
+			s.dial(a)
 		}
 	case conn.usable():
-		n.write(c, conn)
-	default: // a node that speaks before it is asked
-		n.closeConn(conn)
-		n.complete(c, logic.Refused, relay.Result{})
+		s.write(a, conn)
+	default: // a server that sends before it is asked
+		s.closeConn(conn)
+		s.complete(a, logic.Refused, relay.Result{})
 	}
 }
 
-// rest keeps a connection for the next claim, for a time that ends safely before the node closes it: it counts from the last
-// answer on it, also where a claim was put on it meanwhile and not sent.
-func (n *server) keepIdle(conn *conn, since time.Time) {
-	if !n.conns[conn] {
+// keepIdle keeps a connection for the next attempt, until safely before the server closes it. That counts from the last
+// answer on it, since, also if an attempt was assigned meanwhile and not sent.
+func (s *server) keepIdle(conn *conn, since time.Time) {
+	if !s.conns[conn] {
 		return
 	}
-	if n.closed || !n.excludedSince.IsZero() || conn.addr != n.member.Addr || conn.broken.Load() {
-		n.closeConn(conn)
+	if s.closed || !s.excludedSince.IsZero() || conn.addr != s.member.Addr || conn.broken.Load() {
+		s.closeConn(conn)
 		return
 	}
 	if since.IsZero() {
 		since = time.Now()
 	}
-	i := slices.IndexFunc(n.idle, idleAfter(since))
+	i := slices.IndexFunc(s.idle, idleAfter(since))
 	if i < 0 {
-		i = len(n.idle)
+		i = len(s.idle)
 	}
-	n.idle = slices.Insert(n.idle, i, conn)
+	s.idle = slices.Insert(s.idle, i, conn)
 	conn.idleSince = since
-	idle := time.Duration((1 - idleMargin) * float64(n.transport.options.ConnIdle))
+	expires := since.Add(time.Duration((1 - idleMargin) * float64(s.transport.options.ConnIdle)))
 	var timer *time.Timer
-	timer = time.AfterFunc(time.Until(since.Add(idle)), func() {
-		n.mailbox.Put(func() {
+	timer = time.AfterFunc(time.Until(expires), func() {
+		s.mailbox.Put(func() {
 			if conn.idleTimer == timer { // it has not been used since
-				n.closeConn(conn)
+				s.closeConn(conn)
 			}
 		})
 	})
 	conn.idleTimer = timer
-	n.dispatch()
+	s.dispatch()
 }
 
-// later picks connections that came to rest after a time.
-func idleAfter(than time.Time) func(*conn) bool {
-	return func(c *conn) bool { return c.idleSince.After(than) }
+// idleAfter selects connections that became idle after a time.
+func idleAfter(t time.Time) func(*conn) bool {
+	return func(c *conn) bool { return c.idleSince.After(t) }
 }
 
-func (n *server) closeIdle() {
-	for len(n.idle) > 0 {
-		n.closeConn(n.idle[len(n.idle)-1])
+// trimIdle closes the connections that have been idle for minIdleTime.
+func (s *server) trimIdle() {
+	for len(s.idle) > 0 && time.Since(s.idle[0].idleSince) > minIdleTime {
+		s.closeConn(s.idle[0])
 	}
 }
 
-// drop closes a connection. Its reader ends by that.
-func (n *server) closeConn(conn *conn) {
-	if !n.conns[conn] {
+func (s *server) closeIdle() {
+	for len(s.idle) > 0 {
+		s.closeConn(s.idle[len(s.idle)-1])
+	}
+}
+
+// closeConn closes a connection, which ends its reader. For one that is closed already it does nothing.
+func (s *server) closeConn(conn *conn) {
+	if !s.conns[conn] {
 		return
 	}
-	delete(n.conns, conn)
-	n.transport.conns.Add(-1)
-	conn.nc.Close()
+	delete(s.conns, conn)
+	s.transport.conns.Add(-1)
+	_ = conn.nc.Close() // nothing more is read from it or written to it
 	close(conn.closed)
-	for i, o := range n.idle {
-		if o == conn {
-			o.stopIdleTimer()
-			n.idle = slices.Delete(n.idle, i, i+1)
-			break
-		}
+	if i := slices.Index(s.idle, conn); i >= 0 {
+		conn.stopIdleTimer()
+		s.idle = slices.Delete(s.idle, i, i+1)
 	}
-	n.endIfClosed()
+	s.endIfClosed()
 }
--- a/internal/transport/http/races_test.go
+++ b/internal/transport/http/races_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net"
 	"sync/atomic"
@@ -15,9 +16,9 @@
 	"fieldrelay/internal/socket"
 )
 
-// crossing is a node whose claims can be held up at each point where another event may come first: in their dial, and just
+// crossing is a server whose attempts can be delayed at each point where another event may come first: in their dial, and just
 // before their first byte, where the request is asked whether its client is still there.
-type crossing struct {
+type race struct {
 	*scenario.Stage
 	ln      net.Listener
 	node    *server
@@ -42,8 +43,8 @@
 	return n, err
 }
 
-func newCrossing(t *testing.T, opts Options, held bool) *crossing {
-	x := &crossing{ln: scenario.Listen(t), release: make(chan struct{})}
+func newRace(t *testing.T, opts Options, held bool) *race {
+	x := &race{ln: scenario.Listen(t), release: make(chan struct{})}
 	x.Stage = scenario.NewStage(scenario.Accepter(x.ln))
 	opts.DialTimeout, opts.ConnIdle, opts.DrainGrace, opts.MaxConns = time.Minute, time.Minute, time.Minute, 9
 	if held {
@@ -64,12 +65,12 @@
 	t.Cleanup(func() { close(x.release) })
 	x.node = NewTransport(opts, zerolog.Nop()).Open(relay.Member{Addr: x.ln.Addr().String()}, reportTo(x.Stage)).(*server)
 	t.Cleanup(x.node.Close)
-	x.Calls["claim"] = func(id string) { x.node.Start(newAttempt(id, time.Minute)) }
+	x.Calls["attempt"] = func(id string) { x.node.Start(newAttempt(id, time.Minute)) }
 	return x
 }
 
-// in does something on the node's actor.
-func (x *crossing) in(do func()) {
+// in does something on the server's actor.
+func (x *race) in(do func()) {
 	done := make(chan struct{})
 	x.node.mailbox.Put(func() {
 		defer close(done)
@@ -81,70 +82,70 @@
 // A second copy of an answer that comes late is taken for no other answer: where answers differ it is known, and ends the
 // attempt on its connection.
 func TestALateSecondCopyIsNoAnswer(t *testing.T) {
-	x := newCrossing(t, Options{SettleTime: time.Minute}, false)
-	for digest := range uint64(apart) {
+	x := newRace(t, Options{SettleTime: time.Minute}, false)
+	for digest := range uint64(minDistinct) {
 		x.node.transport.answers.add(digest)
 	}
 	x.Play(t, `
-		claim send 1
+		attempt send 1
 		a expect body
 		a send `+ok+`
 		wait 1 done hi
-		claim send 2
+		attempt send 2
 		a expect body
 		a send `+ok+`
 		wait 2 reset
 		a wait`)
 }
 
-// Where nothing tells a copy (answers may be alike, or not enough of them are known) a connection rests after each, so that a
+// Where nothing tells a copy (answers may be alike, or not enough of them are known) a connection settles after each, so that a
 // late copy comes on one that nobody has asked; and an answer like the one before is one.
 func TestAnswersAlikeAreAnswers(t *testing.T) {
-	newCrossing(t, Options{SettleTime: time.Minute}, false).Play(t, `
-		claim send 1
+	newRace(t, Options{SettleTime: time.Minute}, false).Play(t, `
+		attempt send 1
 		a expect body
 		a send `+ok+`
 		wait 1 done hi
-		claim send 2
+		attempt send 2
 		b expect body
 		a send `+ok+`
 		a wait
 		b send `+ok+`
 		wait 2 done hi`)
-	newCrossing(t, Options{SettleTime: time.Nanosecond}, false).Play(t, `
-		claim send 1
+	newRace(t, Options{SettleTime: time.Nanosecond}, false).Play(t, `
+		attempt send 1
 		a expect body
 		a send `+ok+`
 		wait 1 done hi
-		claim send 2
+		attempt send 2
 		a expect body
 		a send `+ok+`
 		wait 2 done hi`)
 }
 
-// The second of two rejections alike, on a connection that had not rested, may be a copy of the first: it does not prove that
+// The second of two rejections alike, on a connection that had not settled, may be a copy of the first: it does not prove that
 // its request never ran.
 func TestALateSecondRejectionProvesNothing(t *testing.T) {
 	const busy = "HTTP/1.1 503 E\\r\\nX-Rejected: 1\\r\\nContent-Length: 0\\r\\n\\r\\n"
-	x := newCrossing(t, Options{SettleTime: time.Minute}, false)
-	for digest := range uint64(apart) {
+	x := newRace(t, Options{SettleTime: time.Minute}, false)
+	for digest := range uint64(minDistinct) {
 		x.node.transport.answers.add(digest)
 	}
 	x.Play(t, `
-		claim send 1
+		attempt send 1
 		a expect body
 		a send `+busy+`
 		wait 1 busy
-		claim send 2
+		attempt send 2
 		a expect body
 		a send `+busy+`
 		wait 2 errored`)
-	newCrossing(t, Options{SettleTime: time.Nanosecond}, false).Play(t, `
-		claim send 1
+	newRace(t, Options{SettleTime: time.Nanosecond}, false).Play(t, `
+		attempt send 1
 		a expect body
 		a send `+busy+`
 		wait 1 busy
-		claim send 2
+		attempt send 2
 		a expect body
 		a send `+busy+`
 		wait 2 busy`)
@@ -152,32 +153,40 @@
 
 // An answer that differs from the one before is one, however soon its connection was asked again.
 func TestAnswersThatDifferNeedNoRest(t *testing.T) {
-	x := newCrossing(t, Options{SettleTime: time.Minute}, false)
-	for digest := range uint64(apart) {
+	x := newRace(t, Options{SettleTime: time.Minute}, false)
+	for digest := range uint64(minDistinct) {
 		x.node.transport.answers.add(digest)
 	}
 	x.Play(t, `
-		claim send 1
+		attempt send 1
 		a expect body
 		a send `+ok+`
 		wait 1 done hi
-		claim send 2
+		attempt send 2
 		a expect body
 		a send HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nho
 		wait 2 done ho`)
 }
 
-// What a node sends between the choice of its connection and the first byte of a claim is no answer to that claim, and its
-// end then costs no attempt: nothing has left, so another connection carries the claim.
+// What a server sends between the choice of its connection and the first byte of an attempt is no answer to that attempt, and its
+// end then costs no attempt: nothing has left, so another connection carries the attempt.
 func TestANodeSpeaksBetweenChoiceAndWrite(t *testing.T) {
-	for name, cross := range map[string]func(server net.Conn){
-		"a second copy": func(server net.Conn) { io.WriteString(server, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong") },
-		"half a line":   func(server net.Conn) { io.WriteString(server, "HTTP/1.1 2") },
-		"its end":       func(server net.Conn) { server.Close() },
-		"a reset":       func(server net.Conn) { server.(*net.TCPConn).SetLinger(0); server.Close() },
+	for name, cross := range map[string]func(server net.Conn) error{
+		"a second copy": func(server net.Conn) error {
+			_, err := io.WriteString(server, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
+			return err
+		},
+		"half a line": func(server net.Conn) error {
+			_, err := io.WriteString(server, "HTTP/1.1 2")
+			return err
+		},
+		"its end": func(server net.Conn) error { return server.Close() },
+		"a reset": func(server net.Conn) error {
+			return errors.Join(server.(*net.TCPConn).SetLinger(0), server.Close())
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := newCrossing(t, Options{}, false)
+			x := newRace(t, Options{}, false)
 			var server net.Conn
 			open := x.Open
 			x.Open = func(peer string) (nc net.Conn, err error) {
@@ -203,7 +212,9 @@
 					conn := <-chosen
 					slow := conn.nc.(*slowReader)
 					slow.slow.Store(true)
-					cross(server)
+					if err := cross(server); err != nil {
+						t.Error(err)
+					}
 					scenario.Await(t, "it has come", func() bool {
 						return conn.broken.Load() || socket.Unread(conn.nc) || slow.took.Load()
 					})
@@ -212,7 +223,7 @@
 				x.node.Start(c)
 			}
 			x.Play(t, `
-				claim send 1
+				attempt send 1
 				a expect body
 				a send `+ok+`
 				wait 1 done hi
@@ -224,17 +235,17 @@
 	}
 }
 
-// A claim whose dial hangs is carried by the connection that comes to rest first.
+// An attempt whose dial hangs is carried by the connection that comes to rest first.
 func TestASlowDialHoldsNothingUp(t *testing.T) {
-	x := newCrossing(t, Options{}, true)
+	x := newRace(t, Options{}, true)
 	x.Calls["dial"] = func(string) { close(<-x.dials) }
 	var hung chan struct{}
 	x.Calls["hung"] = func(string) { hung = <-x.dials }
 	x.Play(t, `
-		claim send 1
+		attempt send 1
 		dial send on
 		a expect body
-		claim send 2
+		attempt send 2
 		hung send its dial
 		a send `+ok+`
 		wait 1 done hi
@@ -248,22 +259,22 @@
 	})
 }
 
-// Nothing of a claim leaves once its client has gone, its request has its answer, or its window or its grace is over, however
+// Nothing of an attempt leaves once its client has gone, its request has its answer, or its window or its grace is over, however
 // late its connection comes up; the connection is kept for others.
 func TestNothingBeginsTooLate(t *testing.T) {
 	for name, c := range map[string]struct {
 		before func(c *relay.Attempt) // it is made
-		during func(x *crossing)      // its dial
+		during func(x *race)          // its dial
 	}{
 		"the client has gone": {before: func(c *relay.Attempt) { c.Payload.ClientGone = func() bool { return true } }},
 		"its window is over":  {before: func(c *relay.Attempt) { c.SendBefore = time.Now() }},
-		"its node drains": {during: func(x *crossing) {
+		"its server drains": {during: func(x *race) {
 			x.node.Update(relay.Member{ListedAt: time.Now().Add(-time.Hour), Server: drains})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := newCrossing(t, Options{}, true)
-			x.Calls["claim"] = func(id string) {
+			x := newRace(t, Options{}, true)
+			x.Calls["attempt"] = func(id string) {
 				claim := newAttempt(id, time.Minute)
 				if c.before != nil {
 					c.before(&claim)
@@ -279,7 +290,7 @@
 			}
 			x.Calls["leave"] = func(string) { x.node.Close() }
 			x.Play(t, `
-				claim send 1
+				attempt send 1
 				dial send on
 				wait 1 skipped
 				leave send now
@@ -288,9 +299,9 @@
 	}
 }
 
-// A connection that was chosen for a claim and carried nothing goes on idling from its last answer: the node closes it by that.
+// A connection that was chosen for an attempt and carried nothing goes on idling from its last answer: the server closes it by that.
 func TestAClaimNotSentIsNoUse(t *testing.T) {
-	x := newCrossing(t, Options{}, false)
+	x := newRace(t, Options{}, false)
 	x.Calls["aged"] = func(string) {
 		x.in(func() { x.node.idle[0].idleSince = time.Now().Add(-time.Minute) })
 	}
@@ -300,7 +311,7 @@
 		x.node.Start(c)
 	}
 	x.Play(t, `
-		claim send 1
+		attempt send 1
 		a expect body
 		a send `+ok+`
 		wait 1 done hi
--- a/internal/transport/http/reader.go
+++ b/internal/transport/http/reader.go
@@ -16,57 +16,48 @@
 	"fieldrelay/logic"
 )
 
-// An answer that has begun to come and does not end is as bad as none, and costs the job the time for another claim.
-const answerTimeout = 400 * time.Millisecond
-
-// maxInterim is how many 1xx answers may stand in front of an answer.
-const maxInterim = 16
-
-// maxBytesWait bounds the wait of an answer for its bytes where a claim has no end of its own.
-const maxBytesWait = 10 * time.Second
+const (
+	// answerTimeout bounds an answer from its first byte: one that does not end is as bad as none, and costs the request
+	// the time for another attempt.
+	answerTimeout = 400 * time.Millisecond
+	// maxInterim is how many 1xx responses may precede an answer.
+	maxInterim = 16
+	// maxBytesWait bounds the wait of an answer for its bytes. As a rule the attempt's deadline ends it before.
+	maxBytesWait = 10 * time.Second
+	// initialBodyBytes is the first charge for a body in chunks, and bodyGrowth the factor of the next ones.
+	initialBodyBytes = 4 << 10
+	bodyGrowth       = 4
+)
 
+// errMalformed is the error of a response that cannot be an answer.
 var errMalformed = errors.New("not an answer")
 
-// answer is what came back for a claim.
+// answer is what a connection brought for an attempt.
 type answer struct {
 	outcome     logic.Outcome
 	body        []byte
 	contentType string
 	charge      *budget.Charge // for the body
-	last        bool           // the connection ends with it
+	last        bool           // the connection cannot be used again
 	at          time.Time
 }
 
-// read hands on each answer until the connection ends or cannot be used again. It always reads, so that the end
-// of an idle connection is noticed at once. No read outlasts the claim's deadline or the idle time: at either
-// the actor closes it.
+// read passes each answer to the server's actor, until the connection ends or cannot be used again. It always reads, so
+// that the end of an idle connection is noticed at once. No read outlasts the attempt's deadline or the idle time, since at
+// either the actor closes the connection.
 func (c *conn) read() {
 	defer c.connCharge.Release()
 	br := bufio.NewReader(c)
 	for last := false; !last; {
-		err := socket.Readable(c.nc)
-		if err != nil || !c.isAwaiting() {
-			break // nothing is taken: whoever looks sees that it is there
-		}
-		if _, err = br.Peek(1); err != nil {
+		// Unrequested bytes are left unread, where usable sees them.
+		if err := socket.Readable(c.nc); err != nil || !c.isAwaiting() {
 			break
 		}
-		c.answerBegan = time.Now()
-		a, err := c.readAnswer(br)
+		a, err := c.readNext(br)
 		if err != nil {
 			break
 		}
-		if c.isDuplicate(&a) {
-			a.charge.Release()
-			break
-		}
-		if c.answerBegan = (time.Time{}); c.bounded {
-			c.bounded = false
-			c.nc.SetReadDeadline(time.Time{})
-		}
-		// Bytes behind an answer belong to nothing that was asked.
-		a.last = a.last || br.Buffered() > 0
-		a.at, last = time.Now(), a.last
+		last = a.last
 		c.answerComplete()
 		if !c.server.mailbox.Put(func() { c.server.onAnswer(c, a) }) {
 			a.charge.Release()
@@ -76,91 +67,135 @@
 	c.server.mailbox.Put(func() { c.server.onEnded(c) })
 }
 
-// repeats tells whether a served answer is, byte for byte, the one before on this connection, which had not rested since: a
-// second copy of that, come late, since answers differ. Rejections are alike as a rule: the second of two proves nothing then,
-// in case it is a copy of the first.
+// errDuplicate is the error of a second copy of an answer.
+var errDuplicate = errors.New("second copy of an answer")
+
+// readNext reads the next answer.
+func (c *conn) readNext(br *bufio.Reader) (answer, error) {
+	if _, err := br.Peek(1); err != nil {
+		return answer{}, err
+	}
+	c.answerBegan = time.Now()
+	a, err := c.readAnswer(br)
+	if err != nil {
+		return answer{}, err
+	}
+	if c.isDuplicate(&a) {
+		a.charge.Release()
+		return answer{}, errDuplicate
+	}
+	c.answerBegan = time.Time{}
+	if c.bounded {
+		c.bounded = false
+		c.setReadDeadline(time.Time{})
+	}
+	a.last = a.last || br.Buffered() > 0 // bytes behind an answer were not requested
+	a.at = time.Now()
+	return a, nil
+}
+
+// setReadDeadline sets a deadline. Its error is left to the next read, which fails on a closed connection.
+func (c *conn) setReadDeadline(t time.Time) { _ = c.nc.SetReadDeadline(t) }
+
+// isDuplicate reports whether a served answer is, byte for byte, the one before on this connection, which had not settled
+// in between: a late second copy, since answers differ. Rejections are alike as a rule: the second of two equal ones may be
+// a copy of the first, and so it is taken to prove nothing.
 func (c *conn) isDuplicate(a *answer) bool {
-	digest := xxhash.New()
-	digest.Write([]byte{byte(a.outcome)})
-	digest.WriteString(a.contentType)
-	digest.Write(a.body)
-	before := c.lastDigest
-	c.lastDigest = digest.Sum64()
-	alike := c.unsettled.Load() && c.lastDigest == before
+	previous := c.lastDigest
+	c.lastDigest = a.digest()
+	equal := c.unsettled.Load() && c.lastDigest == previous
 	if a.outcome != logic.Done {
-		if alike && a.outcome == logic.Busy {
+		if equal && a.outcome == logic.Busy {
 			a.outcome = logic.Errored
 		}
 		return false
 	}
-	if !alike {
+	if !equal {
 		c.server.transport.answers.add(c.lastDigest)
 	}
-	return alike
+	return equal
 }
 
-// Read reads for the reader. An answer mostly comes at once: only one that does not is timed.
+func (a *answer) digest() uint64 {
+	digest := xxhash.New() // its writes do not fail
+	_, _ = digest.Write([]byte{byte(a.outcome)})
+	_, _ = digest.WriteString(a.contentType)
+	_, _ = digest.Write(a.body)
+	return digest.Sum64()
+}
+
+// Read reads for the reader. Most answers arrive in one piece: a deadline is set only for one that does not.
 func (c *conn) Read(p []byte) (int, error) {
 	if !c.answerBegan.IsZero() && !c.bounded {
 		c.bounded = true
-		c.nc.SetReadDeadline(c.answerBegan.Add(answerTimeout))
+		c.setReadDeadline(c.answerBegan.Add(answerTimeout))
 	}
 	return c.nc.Read(p)
 }
 
-// readAnswer reads one answer of bounded size. One whose length is not told ends only with its connection, so that
-// nothing tells a whole one from a part. Only a body that is passed on is held, in bytes of its own that are charged
-// before they are there; while the budget has none the body stays in the system.
+// readAnswer reads one answer of bounded size. A body without a stated length, which ends only with its connection, is
+// malformed, since a whole one cannot be told from a part.
 func (c *conn) readAnswer(br *bufio.Reader) (a answer, err error) {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	h := &resp.Header
+	if err := readHead(br, &resp.Header); err != nil {
+		return a, err
+	}
+	a = answer{outcome: outcomeOf(resp), last: resp.Header.ConnectionClose()}
+	if a.outcome == logic.Done {
+		a.contentType = string(resp.Header.ContentType())
+	}
+	if err := c.readBody(br, &resp.Header, &a); err != nil {
+		a.charge.Release()
+		return a, err
+	}
+	return a, nil
+}
+
+// readHead reads the head of an answer, past interim responses.
+func readHead(br *bufio.Reader, h *fasthttp.ResponseHeader) error {
 	for interim := 0; ; interim++ {
 		if err := h.Read(br); err != nil {
-			return a, err
-		}
-		if h.StatusCode() >= fasthttp.StatusOK {
-			break
+			return err
 		}
-		if h.StatusCode() < fasthttp.StatusContinue || h.StatusCode() == fasthttp.StatusSwitchingProtocols || interim == maxInterim {
-			return a, errMalformed
+		switch code := h.StatusCode(); {
+		case code >= fasthttp.StatusOK:
+			return nil
+		case code < fasthttp.StatusContinue, code == fasthttp.StatusSwitchingProtocols, interim == maxInterim:
+			return errMalformed
 		}
 	}
-	a = answer{outcome: outcomeOf(resp), last: h.ConnectionClose()}
-	if a.outcome == logic.Done {
-		a.contentType = string(h.ContentType())
-	}
-	defer func() {
-		if err != nil {
-			a.charge.Release()
-		}
-	}()
+}
+
+// readBody reads the body of an answer. Only one that is passed on is stored; it is charged first, and while the budget has
+// no bytes it stays in the operating system.
+func (c *conn) readBody(br *bufio.Reader, h *fasthttp.ResponseHeader, a *answer) (err error) {
 	switch length := h.ContentLength(); {
 	case h.StatusCode() == fasthttp.StatusNoContent || h.StatusCode() == fasthttp.StatusNotModified:
-		return a, nil
+		return nil
 	case length > relay.MaxBodySize:
-		return a, errMalformed
+		return errMalformed
 	case length >= 0 && a.outcome != logic.Done:
 		_, err = io.CopyN(io.Discard, br, int64(length))
-		return a, err
+		return err
 	case length >= 0:
 		if a.charge, err = c.waitForBytes(int64(length)); err != nil {
-			return a, err
+			return err
 		}
 		a.body = make([]byte, length)
 		_, err = io.ReadFull(br, a.body)
-		return a, err
+		return err
 	case length == -1: // in chunks
-		if err = c.readChunks(br, &a); err != nil {
-			return a, err
+		if err = c.readChunks(br, a); err != nil {
+			return err
 		}
-		return a, h.ReadTrailer(br)
+		return h.ReadTrailer(br)
 	default:
-		return a, errMalformed
+		return errMalformed
 	}
 }
 
-// readChunks reads a body that tells its length in parts.
+// readChunks reads a body in chunks, and raises the charge as it grows.
 func (c *conn) readChunks(br *bufio.Reader, a *answer) error {
 	chunks := httputil.NewChunkedReader(br)
 	if a.outcome != logic.Done {
@@ -184,7 +219,7 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		case errors.Is(err, io.ErrUnexpectedEOF):
-			// Its end, or that of the connection in the midst of it: only the first stays the same.
+			// The end of the body, or of the connection within it: only the first is repeated by another read.
 			if _, err = chunks.Read(make([]byte, 1)); errors.Is(err, io.EOF) {
 				return nil
 			}
@@ -197,18 +232,19 @@
 	}
 }
 
-// charge waits for the bytes of an answer, as long as its connection is there: at the claim's deadline the actor
-// closes it. The time that an answer may take counts anew from when it has them.
+// waitForBytes waits for the charge of an answer's body, as long as its connection is open: at the attempt's deadline the
+// actor closes it. The time that an answer may take counts anew from then.
 func (c *conn) waitForBytes(bytes int64) (*budget.Charge, error) {
-	held, err := c.server.transport.options.Gate.Enter(budget.Ask{Kind: budget.Answers, Bytes: bytes}, time.Now().Add(maxBytesWait), c.closed)
+	ask := budget.Ask{Kind: budget.Answers, Bytes: bytes}
+	charge, err := c.server.transport.options.Gate.Enter(ask, time.Now().Add(maxBytesWait), c.closed)
 	if now := time.Now(); err == nil && now.Sub(c.answerBegan) > answerTimeout/4 {
 		c.answerBegan, c.bounded = now, true
-		c.nc.SetReadDeadline(now.Add(answerTimeout))
+		c.setReadDeadline(now.Add(answerTimeout))
 	}
-	return held, err
+	return charge, err
 }
 
-// outcome tells what an answer means. One that the protocol does not name may have run.
+// outcomeOf is what an answer means. One that the protocol does not name may have run.
 func outcomeOf(resp *fasthttp.Response) logic.Outcome {
 	switch code := resp.StatusCode(); {
 	case code == fasthttp.StatusOK:
--- a/internal/transport/http/server.go
+++ b/internal/transport/http/server.go
@@ -1,7 +1,6 @@
-// Package http carries claims to execute nodes over HTTP. Each node has
-// an actor that owns its connections and its claims and reports each claim
-// exactly once. It never sends anything a second time: what follows an outcome
-// is the module's to decide.
+// Package http sends attempts to servers over HTTP/1.1. Each server has an actor that owns its connections and
+// attempts and reports each attempt exactly once. Nothing is ever sent a second time: what follows an outcome is decided by
+// the module. It implements relay.Transport; the contract that it keeps is tested by package contract.
 package http
 
 import (
@@ -19,57 +18,68 @@
 	"fieldrelay/logic"
 )
 
-// Options are what all execute nodes share.
+// Options are the settings of a transport.
 type Options struct {
-	DialTimeout    time.Duration
-	Dial           func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the system's
-	ConnIdle       time.Duration                                                     // the node's machine closes a connection idle for this long
-	DrainGrace     time.Duration                                                     // sends to a node told to drain or gone must have stopped after this
-	GoneIsAdvisory bool                                                              // one called gone may still be sent to
-	SettleTime     time.Duration                                                     // a connection rests so long after an answer
-	MaxConns       int                                                               // to all nodes together
-	Gate           *budget.Gate                                                      // nil: nothing is counted
-	Metrics        *metrics.Registry                                                 // nil: no figures are kept; else BackendCalls counts claims written whole
+	DialTimeout time.Duration
+	// Dial opens a connection; nil: net.Dialer.
+	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+	// ConnIdle is the time after which a server closes an idle connection.
+	ConnIdle time.Duration
+	// DrainGrace is the time after which nothing may be sent to a server listed as draining or gone.
+	DrainGrace time.Duration
+	// GoneIsAdvisory: a server listed as gone may still be sent to.
+	GoneIsAdvisory bool
+	// SettleTime is how long a connection settles after an answer; in service, the constant of that name.
+	SettleTime time.Duration
+	// MaxConns bounds the connections to all servers together.
+	MaxConns int
+	// Gate is the byte budget; nil: bytes are not counted.
+	Gate *budget.Gate
+	// Metrics counts attempts written whole as BackendCalls; nil: none.
+	Metrics *metrics.Registry
 }
 
-// Before the limits of the rules, time for what lies between the last check and the wire.
+// Margins before limits of the rules, for what lies between the last check and the wire.
 const (
-	idleMargin  = 0.1 // of ConnIdle: a connection is retired so much earlier
+	idleMargin  = 0.1 // of ConnIdle
 	drainMargin = 0.2 // of DrainGrace
 )
 
-// SettleTime is how long a connection rests after an answer before it is used again. What a node sends behind an answer (its
-// end, or a second copy of the answer) comes some milliseconds later and carries no sign of whose it is: on a connection
-// that was asked again by then it would be taken for the next answer. A connection that has not rested is used where there
-// is no other, since one more costs the node a handshake, but only if a copy would be known: answers all differ.
+// SettleTime is how long a connection settles after an answer before it is used again. What a server sends behind an answer
+// (its end, or a second copy of the answer) arrives some milliseconds later and does not say what it belongs to: on a
+// connection that carries the next attempt by then it would be taken for that one's answer. A connection that has not
+// settled is used if there is no other, since one more costs the server a handshake, but only while a copy would be
+// recognized, because answers all differ.
 const SettleTime = 50 * time.Millisecond
 
-// Transport opens execute nodes and counts their connections.
+// Transport connects to servers and counts the connections to all of them.
 type Transport struct {
 	options Options
 	log     zerolog.Logger
 	conns   atomic.Int64
-	answers answers
+	answers answerDigests
 }
 
-// NewTransport makes a set that has no node yet.
-func NewTransport(opts Options, log zerolog.Logger) *Transport {
-	if opts.Dial == nil {
-		opts.Dial = new(net.Dialer).DialContext
+var _ relay.Transport = (*Transport)(nil)
+
+// NewTransport returns a transport without servers.
+func NewTransport(options Options, log zerolog.Logger) *Transport {
+	if options.Dial == nil {
+		options.Dial = new(net.Dialer).DialContext
 	}
-	return &Transport{options: opts, log: log}
+	return &Transport{options: options, log: log}
 }
 
-// Open starts the actor of a node.
-func (s *Transport) Open(m relay.Member, report func(relay.AttemptID, relay.Result)) relay.Server {
-	n := &server{transport: s, log: s.log.With().Str("node", m.Addr).Logger(), report: report,
+// Open starts the actor of a server.
+func (t *Transport) Open(m relay.Member, report func(relay.AttemptID, relay.Result)) relay.Server {
+	s := &server{transport: t, log: t.log.With().Str("server", m.Addr).Logger(), report: report,
 		mailbox: mailbox.New(), attempts: map[relay.AttemptID]*attempt{}, conns: map[*conn]bool{}}
-	n.Update(m) // as any later word of the list: it may be draining already
-	go n.mailbox.Run()
-	return n
+	s.Update(m) // like any later entry: the server may be draining already
+	go s.mailbox.Run()
+	return s
 }
 
-// node is the actor of one execute node. All but the first four fields belong to it.
+// server is the actor of one server. All but the first four fields belong to it.
 type server struct {
 	transport *Transport
 	log       zerolog.Logger
@@ -81,60 +91,58 @@
 	attempts      map[relay.AttemptID]*attempt
 	queue         []*attempt // of those, the ones without a connection, the oldest first
 	conns         map[*conn]bool
-	idle          []*conn // in the order of their last use
-	settleTimer   *time.Timer
-	dials         int // under way
+	idle          []*conn     // of those, the ones without an attempt, in the order of their last use
+	settleTimer   *time.Timer // dispatches when an idle connection has settled; nil: not set
+	dials         int         // under way
 	closed        bool
 }
 
-// Claim, Cancel, Release, Trim, Update and Close are the messages of relay.Node.
+// The methods of relay.Server are messages to the actor.
 
-func (n *server) Start(c relay.Attempt) { n.mailbox.Put(func() { n.accept(c) }) }
+func (s *server) Start(a relay.Attempt) { s.mailbox.Put(func() { s.accept(a) }) }
 
-func (n *server) Cancel(id relay.AttemptID) { n.mailbox.Put(func() { n.abandon(id, logic.Canceled) }) }
+func (s *server) Cancel(id relay.AttemptID) {
+	s.mailbox.Put(func() { s.abandon(id, logic.Canceled) })
+}
 
-func (n *server) CloseIdle() { n.mailbox.Put(n.closeIdle) }
+func (s *server) CloseIdle() { s.mailbox.Put(s.closeIdle) }
 
-func (n *server) TrimIdle() {
-	n.mailbox.Put(func() {
-		for len(n.idle) > 0 && time.Since(n.idle[0].idleSince) > minIdleTime {
-			n.closeConn(n.idle[0])
-		}
-	})
-}
+func (s *server) TrimIdle() { s.mailbox.Put(s.trimIdle) }
 
-func (n *server) Update(m relay.Member) { n.mailbox.Put(func() { n.applyUpdate(m) }) }
+func (s *server) Update(m relay.Member) { s.mailbox.Put(func() { s.applyUpdate(m) }) }
 
-func (n *server) Close() {
-	n.mailbox.Put(func() {
-		n.closed = true
-		n.closeIdle()
-		n.endIfClosed()
+func (s *server) Close() {
+	s.mailbox.Put(func() {
+		s.closed = true
+		s.closeIdle()
+		s.endIfClosed()
 	})
 }
 
-// finish ends the actor once no connection is left and none is being dialled: one that came up afterwards
-// would stay open for good.
-func (n *server) endIfClosed() {
-	if n.closed && n.dials == 0 && len(n.conns) == 0 {
-		n.mailbox.Close()
+// endIfClosed ends the actor once no connection is left and none is being dialed: one that opened afterwards would never be
+// closed.
+func (s *server) endIfClosed() {
+	if s.closed && s.dials == 0 && len(s.conns) == 0 {
+		s.mailbox.Close()
 	}
 }
 
-func (n *server) applyUpdate(m relay.Member) {
-	moved := m.Addr != n.member.Addr && m.Addr != ""
+// applyUpdate takes over a changed entry of the list. Connections to an earlier address, and those to a server that may not
+// be sent to, are closed as soon as they are idle.
+func (s *server) applyUpdate(m relay.Member) {
+	moved := m.Addr != s.member.Addr && m.Addr != ""
 	switch {
 	case m.State == logic.Ready:
-		n.excludedSince = time.Time{}
-	case m.State == logic.Gone && n.transport.options.GoneIsAdvisory: // the module decides
-	case n.excludedSince.IsZero():
-		n.excludedSince = m.ListedAt
+		s.excludedSince = time.Time{}
+	case m.State == logic.Gone && s.transport.options.GoneIsAdvisory: // the module decides
+	case s.excludedSince.IsZero():
+		s.excludedSince = m.ListedAt
 	}
 	if !moved {
-		m.Addr = n.member.Addr
+		m.Addr = s.member.Addr
 	}
-	n.member = m
-	if moved || !n.excludedSince.IsZero() {
-		n.closeIdle()
+	s.member = m
+	if moved || !s.excludedSince.IsZero() {
+		s.closeIdle()
 	}
 }
--- a/internal/transport/http/server_test.go
+++ b/internal/transport/http/server_test.go
@@ -28,18 +28,18 @@
 	ok    = `HTTP/1.1 ` + reply
 )
 
-// onAnother is a claim that is served on a second connection.
-const onAnother = "\n claim send 2\n b expect body\n b send " + ok + "\n wait 2 done hi"
+// onAnother is an attempt that is served on a second connection.
+const onAnother = "\n attempt send 2\n b expect body\n b send " + ok + "\n wait 2 done hi"
 
-// spoilt is a claim whose node sends something that is not an answer and keeps the connection open.
+// spoilt is an attempt whose server sends something that is not an answer and keeps the connection open.
 func spoilt(text string) string {
-	return "claim send 1\n a expect body\n a send " + text + "\n wait 1 reset\n a wait"
+	return "attempt send 1\n a expect body\n a send " + text + "\n wait 1 reset\n a wait"
 }
 
-func TestClaims(t *testing.T) {
+func TestAttempts(t *testing.T) {
 	for name, steps := range map[string]string{
 		"served, and the connection is used again": `
-			claim send 1
+			attempt send 1
 			a expect POST /pay//a/../b?q=%41 HTTP/1.1\r\n
 			a expect X-Call-Id: c1\r\n
 			a expect Idempotency-Key: k\r\n
@@ -47,54 +47,54 @@
 			a expect \r\n\r\nbody
 			a send ` + ok + `
 			wait 1 done hi
-			claim send 2
+			attempt send 2
 			a expect body
 			a send ` + ok + `
 			wait 2 done hi`,
 		"an error may have run": `
-			claim send 1
+			attempt send 1
 			a expect body
 			a send HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n
 			wait 1 errored`,
 		"turned away only with the mark": `
-			claim send 1
+			attempt send 1
 			a expect body
 			a send HTTP/1.1 503 E\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n
 			wait 1 busy
-			claim send 2
+			attempt send 2
 			a expect body
 			a send HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n
 			wait 2 errored`,
 		"what breaks after the last byte may have run": `
-			claim send 1
+			attempt send 1
 			a expect body
 			a close
 			wait 1 reset`,
 		"half an answer is none": `
-			claim send 1
+			attempt send 1
 			a expect body
 			a send HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi
 			a close
 			wait 1 reset`,
 		"1xx answers may stand in front": `
-			claim send 1
+			attempt send 1
 			a expect body
 			a send HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n` + ok + `
 			wait 1 done hi`,
 		"a load report is no part of the answer": `
-			claim send 1
+			attempt send 1
 			a expect body
 			a send HTTP/1.1 200 OK\r\nX-Load-Report: {"queue":\r\nContent-Length: 2\r\n\r\nhi
 			wait 1 done hi`,
-		// What stands behind an answer would be taken for the answer to the next claim.
+		// What stands behind an answer would be taken for the answer to the next attempt.
 		"a connection that brings more than an answer is left": `
-			claim send 1
+			attempt send 1
 			a expect body
 			a send ` + ok + `HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong
 			wait 1 done hi
 			a wait` + onAnother,
 		"what comes while nothing is asked ends the connection": `
-			claim send 1
+			attempt send 1
 			a expect body
 			a send ` + ok + `
 			wait 1 done hi
@@ -112,57 +112,57 @@
 		"half a head":  spoilt(`HTTP/1.1 200 OK\r\nConte`),
 		"half a body":  spoilt(`HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi`),
 		// A second copy counts as out while the first connection is open.
-		"a claim is given up by closing its connection": `
-			claim send 1
+		"an attempt is given up by closing its connection": `
+			attempt send 1
 			a expect body
 			cancel send 1
 			wait 1 canceled
 			a wait`,
-		"the deadline ends a silent claim": `
+		"the deadline ends a silent attempt": `
 			soon send 1
 			a expect body
 			wait 1 timed out
 			a wait`,
 		// A request written to a connection whose end has come would be lost.
 		"an idle connection's end is noticed at once": `
-			claim send 1
+			attempt send 1
 			a expect body
 			a send HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi
 			wait 1 done hi
 			a wait` + onAnother,
 		"idle connections are given back": `
-			claim send 1
+			attempt send 1
 			a expect body
 			a send ` + ok + `
 			wait 1 done hi
 			release send now
 			a wait`,
-		"a node that drains keeps no idle connection": `
-			claim send 1
+		"a server that drains keeps no idle connection": `
+			attempt send 1
 			a expect body
 			drain send 0
 			a send ` + ok + `
 			wait 1 done hi
 			a wait`,
-		// A claim that waited in the mailbox or for its connection must not reach a node that drains for long.
+		// An attempt that waited in the mailbox or for its connection must not reach a server that drains for long.
 		"nothing is written once the grace of a drain is over": `
 			drain send 1000
-			claim send 1
+			attempt send 1
 			wait 1 skipped
 			a wait`,
 		"no socket is left": `
-			claim send 1
+			attempt send 1
 			a expect body
-			claim send 2
+			attempt send 2
 			b expect body
-			claim send 3
+			attempt send 3
 			wait 3 skipped
 			cancel send 1
 			wait 1 canceled
 			cancel send 2
 			wait 2 canceled`,
-		"a node that leaves closes what is idle": `
-			claim send 1
+		"a server that leaves closes what is idle": `
+			attempt send 1
 			a expect body
 			a send ` + ok + `
 			wait 1 done hi
@@ -173,7 +173,7 @@
 			ln := scenario.Listen(t)
 			stage := scenario.NewStage(scenario.Accepter(ln))
 			gate := budget.NewGate(8<<20, 9)
-			var jobs sync.Map // what each holds until its claim is reported
+			var jobs sync.Map // what each holds until its attempt is reported
 			f := openTransport(gate)
 			n := f.Open(relay.Member{Addr: ln.Addr().String()}, func(id relay.AttemptID, r relay.Result) {
 				reportTo(stage)(id, r)
@@ -188,7 +188,7 @@
 					n.Start(c)
 				}
 			}
-			stage.Calls["claim"], stage.Calls["soon"] = claim(time.Minute), claim(500*time.Millisecond)
+			stage.Calls["attempt"], stage.Calls["soon"] = claim(time.Minute), claim(500*time.Millisecond)
 			stage.Calls["cancel"] = func(id string) { n.Cancel(newAttempt(id, 0).ID) }
 			stage.Calls["release"] = func(string) { n.CloseIdle() }
 			stage.Calls["leave"] = func(string) { n.Close() }
@@ -203,13 +203,13 @@
 	}
 }
 
-// An answer waits in the system until there are bytes for it, and a claim given up meanwhile waits no more.
+// An answer waits in the system until there are bytes for it, and an attempt given up meanwhile waits no more.
 func TestAnswersWaitForBytes(t *testing.T) {
 	const reply = `a send HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi all ok`
 	for name, steps := range map[string]string{
-		"until they are there":  "room send now\n wait 1 done hi all ok",
-		"until it is given up":  "cancel send 1\n wait 1 canceled\n a wait",
-		"until the node leaves": "cancel send 1\n wait 1 canceled\n leave send now\n a wait",
+		"until they are there":    "room send now\n wait 1 done hi all ok",
+		"until it is given up":    "cancel send 1\n wait 1 canceled\n a wait",
+		"until the server leaves": "cancel send 1\n wait 1 canceled\n leave send now\n a wait",
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := scenario.Listen(t)
@@ -217,24 +217,26 @@
 			gate := budget.NewGate(1<<20, 9)
 			full := gate.Must(budget.Lists, 1<<20)
 			n := openMember(t, stage, relay.Member{Addr: ln.Addr().String()}, gate)
-			stage.Calls["claim"] = func(id string) { n.Start(newAttempt(id, time.Minute)) }
+			stage.Calls["attempt"] = func(id string) { n.Start(newAttempt(id, time.Minute)) }
 			stage.Calls["cancel"] = func(id string) { n.Cancel(newAttempt(id, 0).ID) }
 			stage.Calls["leave"] = func(string) { n.Close() }
 			stage.Calls["waiting"] = func(string) {
 				scenario.Await(t, "the answer waits", func() bool { return gate.State().Waiting == 1 })
 			}
 			stage.Calls["room"] = func(string) { full.Release() }
-			stage.Play(t, "claim send 1\n a expect body\n "+reply+"\n waiting send for it\n "+steps)
+			stage.Play(t, "attempt send 1\n a expect body\n "+reply+"\n waiting send for it\n "+steps)
 			n.Close()
 			scenario.Await(t, "every byte has come back", func() bool { return gate.State().Sum() == gate.State().Held[budget.Lists] })
 		})
 	}
 }
 
-// A job may end while the claim that was given up for it is still being written: its bytes are not given back before.
-func TestBytesAreHeldWhileTheyAreWritten(t *testing.T) {
+// A request may end while the attempt that was given up for it is still being written: its bytes are not given back before.
+func TestBytesAreChargedWhileTheyAreWritten(t *testing.T) {
 	ln := scenario.Listen(t)
-	ln.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
+	if err := ln.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
 	stage := scenario.NewStage(nil)
 	gate := budget.NewGate(64<<20, 9)
 	n := openMember(t, stage, relay.Member{Addr: ln.Addr().String()}, gate)
@@ -246,7 +248,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer peer.Close()
+	t.Cleanup(func() { _ = peer.Close() })
 	if _, err := peer.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
@@ -263,24 +265,26 @@
 // What cannot connect never ran.
 func TestNoConnectionIsRefused(t *testing.T) {
 	ln := scenario.Listen(t)
-	ln.Close()
+	if err := ln.Close(); err != nil {
+		t.Fatal(err)
+	}
 	stage := scenario.NewStage(nil)
 	n := open(t, stage, ln.Addr())
-	stage.Calls["claim"] = func(id string) { n.Start(newAttempt(id, time.Minute)) }
-	stage.Play(t, "claim send 1\n wait 1 refused")
+	stage.Calls["attempt"] = func(id string) { n.Start(newAttempt(id, time.Minute)) }
+	stage.Play(t, "attempt send 1\n wait 1 refused")
 }
 
-// A list may name a node first when it drains already; the grace counts from then.
+// A list may name a server first when it drains already; the grace counts from then.
 func TestDrainingFromTheStart(t *testing.T) {
 	ln := scenario.Listen(t)
 	stage := scenario.NewStage(scenario.Accepter(ln))
 	n := openMember(t, stage, relay.Member{Server: logic.Server{State: logic.Draining}, Addr: ln.Addr().String(),
 		ListedAt: time.Now().Add(-time.Second)}, nil)
-	stage.Calls["claim"] = func(id string) { n.Start(newAttempt(id, time.Minute)) }
-	stage.Play(t, "claim send 1\n wait 1 skipped\n a wait nothing")
+	stage.Calls["attempt"] = func(id string) { n.Start(newAttempt(id, time.Minute)) }
+	stage.Play(t, "attempt send 1\n wait 1 skipped\n a wait nothing")
 }
 
-// The word that a request has left whole may come after its answer: the claim ends once both are there, with its
+// The word that a request has left whole may come after its answer: the attempt ends once both are there, with its
 // connection ready for the next one.
 func TestAnswerOvertakesTheWrite(t *testing.T) {
 	near, _ := net.Pipe()
@@ -298,10 +302,10 @@
 	}
 }
 
-// What a node sends behind an answer may still be on its way: a connection that has just answered rests, and of those that
+// What a server sends behind an answer may still be on its way: a connection that has just answered rests, and of those that
 // have rested the one used last serves, so that the others are retired. Where none has, the one that rests longest serves, or
 // none if answers may be alike.
-func TestConnectionsRestBetweenClaims(t *testing.T) {
+func TestConnectionsSettleBetweenAttempts(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
 		rested []time.Duration // ago, in the order of use
@@ -314,7 +318,7 @@
 		"none, alike":      {[]time.Duration{0, 0, 0}, -1, true},
 	} {
 		n := &server{transport: NewTransport(Options{SettleTime: SettleTime}, zerolog.Nop())}
-		for digest := range uint64(apart) {
+		for digest := range uint64(minDistinct) {
 			n.transport.answers.add(digest)
 		}
 		if c.alike {
@@ -349,7 +353,7 @@
 		DrainGrace: 500 * time.Millisecond, MaxConns: 2, Gate: gate}, zerolog.Nop())
 }
 
-// tell passes reports on to a stage.
+// reportTo passes results to a stage.
 func reportTo(stage *scenario.Stage) func(relay.AttemptID, relay.Result) {
 	return func(id relay.AttemptID, r relay.Result) {
 		r.Charge.Release()
@@ -357,14 +361,17 @@
 	}
 }
 
-func newAttempt(id string, patience time.Duration) relay.Attempt {
-	c := relay.Attempt{Deadline: time.Now().Add(patience), Payload: &relay.Payload{
+// newAttempt returns an attempt of the request of a number, which times out after a time.
+func newAttempt(id string, timeout time.Duration) relay.Attempt {
+	c := relay.Attempt{Deadline: time.Now().Add(timeout), Payload: &relay.Payload{
 		Method: "POST", Target: "/pay//a/../b?q=%41", Body: []byte("body"), CallID: "c1", IdempotencyKey: "k"}}
-	fmt.Sscan(id, &c.ID.Request)
+	if _, err := fmt.Sscan(id, &c.ID.Request); err != nil {
+		panic(err) // an error in a scenario
+	}
 	return c
 }
 
-// Where bytes are short, a connection that has been idle for long goes, and one that the next claim may need stays.
+// Where bytes are short, a connection that has been idle for long goes, and one that the next attempt may need stays.
 func TestTrimLeavesWhatIsInUse(t *testing.T) {
 	near, _ := net.Pipe()
 	n := &server{transport: NewTransport(Options{}, zerolog.Nop()), mailbox: mailbox.New(), conns: map[*conn]bool{}}
