--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -106,7 +106,7 @@
 	core.Start(list)
 	list.Start(cfg.Known)
 	if !cfg.Logic.Subscribe { // the module asks for nothing where lists are pushed
-		list.Keep()
+		list.KeepWatching()
 	}
 	defer list.Close()
 
@@ -196,7 +196,7 @@
 		}},
 		{Name: "fleet", Prepare: members.prepare},
 		{Name: "list", Prepare: func(next *config.Config) (reconfig.Change, error) {
-			return reconfig.Do(func() { list.Move(next.Discovery) }), nil
+			return reconfig.Do(func() { list.SetAddr(next.Discovery) }), nil
 		}},
 	}}
 	handedOver := false
--- a/internal/source/endpoints/list.go
+++ b/internal/source/endpoints/list.go
@@ -33,7 +33,7 @@
 var states = map[string]logic.State{"Ready": logic.Ready, "Terminating": logic.Draining, "Gone": logic.Gone}
 
 // form is an entry as it is written.
-type form struct {
+type entryJSON struct {
 	ID        string `json:"instanceId"`
 	Addr      string `json:"hostPort"`
 	Zone      string `json:"zone"`
@@ -43,7 +43,7 @@
 }
 
 // instance checks the entry of a number.
-func (e *form) instance(i int) (Instance, error) {
+func (e *entryJSON) instance(i int) (Instance, error) {
 	state, ok := states[e.Lifecycle]
 	_, _, err := net.SplitHostPort(e.Addr)
 	switch {
@@ -53,15 +53,15 @@
 		return Instance{}, fmt.Errorf("instances[%d].lifecycle: %q is unknown", i, e.Lifecycle)
 	case err != nil && state != logic.Gone:
 		return Instance{}, fmt.Errorf("instances[%d].hostPort: %q is not host:port", i, e.Addr)
-	case e.Started < 0 || e.Started > mostMillis:
+	case e.Started < 0 || e.Started > maxMillis:
 		return Instance{}, fmt.Errorf("instances[%d].startedAtMs: %d is out of range", i, e.Started)
 	}
 	return Instance{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Cell: e.Cell,
 		State: state, Started: time.Duration(e.Started) * time.Millisecond}, nil
 }
 
-// mostMillis keeps a Unix time within a duration.
-const mostMillis = int64(1) << 43
+// maxMillis keeps a Unix time within a duration.
+const maxMillis = int64(1) << 43
 
 // ErrTooLong tells that an object takes more bytes than the decoder was allowed.
 var ErrTooLong = errors.New("object too long")
@@ -69,27 +69,27 @@
 // Decoder reads object after object and holds no more than an entry of one in the form in which it came: a list of
 // thousands takes no second and third copy of itself.
 type Decoder struct {
-	in   *bounded
-	json *json.Decoder
-	most int
-	// Entry, if there is one, is called before an entry is kept.
-	Entry func()
+	in       *limitedReader
+	json     *json.Decoder
+	maxBytes int
+	// OnEntry, if there is one, is called before an entry is kept.
+	OnEntry func()
 }
 
 // NewDecoder reads objects of most bytes each, and white space between them.
-func NewDecoder(r io.Reader, most int) *Decoder {
-	in := &bounded{from: r}
-	return &Decoder{in: in, json: json.NewDecoder(in), most: most}
+func NewDecoder(r io.Reader, maxBytes int) *Decoder {
+	in := &limitedReader{from: r}
+	return &Decoder{in: in, json: json.NewDecoder(in), maxBytes: maxBytes}
 }
 
 // bounded gives no more than left bytes.
-type bounded struct {
+type limitedReader struct {
 	from  io.Reader
 	left  int
 	begun bool // something of the present object has been given
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
+func (b *limitedReader) Read(p []byte) (int, error) {
 	if b.left <= 0 {
 		return 0, ErrTooLong
 	}
@@ -102,13 +102,13 @@
 	return n, err
 }
 
-// Within tells whether an object has begun and not ended. It is asked while Next reads.
-func (d *Decoder) Within() bool { return d.in.begun }
+// InObject tells whether an object has begun and not ended. It is asked while Next reads.
+func (d *Decoder) InObject() bool { return d.in.begun }
 
 // Next reads an object. At the end of all it returns io.EOF; any other error ends the decoder's use and names the key
 // at fault.
 func (d *Decoder) Next() (List, error) {
-	d.in.left = d.most
+	d.in.left = d.maxBytes
 	rest, _ := io.ReadAll(d.json.Buffered())
 	d.in.begun = len(bytes.TrimSpace(rest)) > 0
 	t, err := d.json.Token()
@@ -123,7 +123,7 @@
 	for d.json.More() {
 		key, err := d.json.Token()
 		if err != nil {
-			return List{}, unended(err)
+			return List{}, unexpectedEOF(err)
 		}
 		var into any = new(json.RawMessage)
 		switch key {
@@ -133,16 +133,16 @@
 			into = &l.Reset
 		case "instances":
 			if l.Instances, err = d.entries(); err != nil {
-				return List{}, unended(err)
+				return List{}, unexpectedEOF(err)
 			}
 			continue
 		}
 		if err := d.json.Decode(into); err != nil {
-			return List{}, fmt.Errorf("%v: %w", key, unended(err))
+			return List{}, fmt.Errorf("%v: %w", key, unexpectedEOF(err))
 		}
 	}
 	if _, err := d.json.Token(); err != nil {
-		return List{}, unended(err)
+		return List{}, unexpectedEOF(err)
 	}
 	if !known {
 		return List{}, errors.New("generation: missing")
@@ -151,7 +151,7 @@
 }
 
 // unended tells the end of all within an object from that between two.
-func unended(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -169,10 +169,10 @@
 	var all []Instance
 	zones := map[string]string{} // one copy of each
 	for d.json.More() {
-		if d.Entry != nil {
-			d.Entry()
+		if d.OnEntry != nil {
+			d.OnEntry()
 		}
-		var e form
+		var e entryJSON
 		if err := d.json.Decode(&e); err != nil {
 			return nil, fmt.Errorf("instances[%d]: %w", len(all), err)
 		}
@@ -195,7 +195,7 @@
 	d := NewDecoder(bytes.NewReader(text), len(text)+1)
 	l, err := d.Next()
 	if err != nil {
-		return List{}, unended(err)
+		return List{}, unexpectedEOF(err)
 	}
 	if _, err := d.json.Token(); !errors.Is(err, io.EOF) {
 		return List{}, errors.New("more stands behind the object")
--- a/internal/source/platform/nodelist_test.go
+++ b/internal/source/platform/nodelist_test.go
@@ -57,7 +57,7 @@
 		"a refusal is a loss":            begin + `d send HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n` + "\n wait lost, told within 6s",
 		"a malformed line is a loss":     begin + head + chunk(`{"generation":x}\n`) + "\n wait lost, told within 6s\n d wait",
 		"an unknown lifecycle is a loss": begin + head + chunk(strings.Replace(change, "Terminating", "Odd", 1)) + "\n wait lost, told within 6s\n d wait",
-		"a long line is a loss":          begin + head + `200000\r\n{"generation":4,"note":"` + strings.Repeat("x", mostLine) + "\n wait lost, told within 6s\n d wait",
+		"a long line is a loss":          begin + head + `200000\r\n{"generation":4,"note":"` + strings.Repeat("x", maxObjectBytes) + "\n wait lost, told within 6s\n d wait",
 		// Discovery writes every 2 s: a watch that says nothing is lost, although its connection stays open.
 		"a call that is not answered is a loss": begin + "wait lost, told within 4s\n d wait",
 		"a watch that tells nothing is a loss":  begin + head + "\n wait lost, told within 4s\n d wait",
@@ -129,9 +129,9 @@
 			}
 			a.Start(known)
 			t.Cleanup(a.Close)
-			stage.Calls["keep"] = func(string) { a.Keep() }
+			stage.Calls["keep"] = func(string) { a.KeepWatching() }
 			stage.Calls["watch"] = func(string) { a.Watch() }
-			stage.Calls["move"] = func(string) { a.Move(next.Addr().String()) }
+			stage.Calls["move"] = func(string) { a.SetAddr(next.Addr().String()) }
 			stage.Play(t, stored+steps)
 		})
 	}
@@ -162,7 +162,7 @@
 			text := strings.NewReplacer(`\r`, "\r", `\n`, "\n")
 			fmt.Fprint(nc, text.Replace(strings.TrimPrefix(head, "d send ")))
 			fmt.Fprint(nc, text.Replace(chunk(c.object)))
-			beats := time.NewTicker(silence / 5)
+			beats := time.NewTicker(silenceTimeout / 5)
 			defer beats.Stop()
 			begun := time.Now()
 			ended := make(chan struct{})
@@ -170,7 +170,7 @@
 				defer close(ended)
 				for range beats.C {
 					_, err := fmt.Fprint(nc, text.Replace(chunk(`\n`)))
-					if err != nil || !strings.HasSuffix(c.object, half) && time.Since(begun) > 2*silence {
+					if err != nil || !strings.HasSuffix(c.object, half) && time.Since(begun) > 2*silenceTimeout {
 						return
 					}
 				}
@@ -189,9 +189,9 @@
 // Whatever a failed call was (refused, answered with an error, cut, or hung in its dial or after it), the next one has at least
 // half of the time that was left, and that is enough for a call: the schedule's worst case as a sum.
 func TestTheCallAfterAFailureHasTimeLeft(t *testing.T) {
-	left := toldMiss - dialing - silence // of a call that hung to its end, from when it began
+	left := notifiedAfterLoss - dialTimeout - silenceTimeout // of a call that hung to its end, from when it began
 	if call := left - left/2; call < time.Second {
-		t.Errorf("the next call has %s of the %s after which a change counts as told", call, toldMiss)
+		t.Errorf("the next call has %s of the %s after which a change counts as told", call, notifiedAfterLoss)
 	}
 	ln := scenario.Listen(t)
 	ln.Close() // nobody is there: refused
@@ -209,13 +209,13 @@
 // The module knows a node by a number that is the same after a restart, and no two nodes share one.
 func TestIDsAreStable(t *testing.T) {
 	a, b := New("", nil, nil, zerolog.Nop()), New("", nil, nil, zerolog.Nop())
-	b.id("other")
-	if diff := cmp.Diff(a.id("s-5be2a07c"), b.id("s-5be2a07c")); diff != "" {
+	b.idOf("other")
+	if diff := cmp.Diff(a.idOf("s-5be2a07c"), b.idOf("s-5be2a07c")); diff != "" {
 		t.Error(diff)
 	}
-	first := a.id("first")
+	first := a.idOf("first")
 	delete(a.ids, "first")
-	if a.id("first") == first {
+	if a.idOf("first") == first {
 		t.Error("two instances share a number")
 	}
 }
--- a/internal/source/platform/stream.go
+++ b/internal/source/platform/stream.go
@@ -17,16 +17,16 @@
 
 // stream is one watch on discovery, for what came after a generation or, from 0, for the whole list. close may be called from another goroutine than run.
 type stream struct {
-	addr   string
-	after  uint64
-	entry  func()    // called before an entry is held
-	heard  time.Time // when the last line came, or the call began; of run's goroutine, until it has returned
-	ctx    context.Context
-	cancel context.CancelFunc
+	addr     string
+	after    uint64
+	onEntry  func()    // called before an entry is held
+	lastLine time.Time // when the last line came, or the call began; of run's goroutine, until it has returned
+	ctx      context.Context
+	cancel   context.CancelFunc
 }
 
 func newStream(addr string, after uint64) *stream {
-	s := &stream{addr: addr, after: after, heard: time.Now()}
+	s := &stream{addr: addr, after: after, lastLine: time.Now()}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
@@ -35,18 +35,18 @@
 
 // lines reads for as long as a line comes to its end now and then. Within an object an empty one is no sign of life: the
 // rest of that object would never come.
-type lines struct {
+type lineReader struct {
 	io.Reader
-	conn    net.Conn
-	heard   *time.Time
-	objects **endpoints.Decoder
+	conn     net.Conn
+	lastLine *time.Time
+	objects  **endpoints.Decoder
 }
 
-func (l lines) Read(p []byte) (int, error) {
+func (l lineReader) Read(p []byte) (int, error) {
 	n, err := l.Reader.Read(p)
-	if bytes.IndexByte(p[:n], '\n') >= 0 && (len(bytes.TrimSpace(p[:n])) > 0 || !(*l.objects).Within()) {
-		*l.heard = time.Now()
-		l.conn.SetDeadline(l.heard.Add(silence))
+	if bytes.IndexByte(p[:n], '\n') >= 0 && (len(bytes.TrimSpace(p[:n])) > 0 || !(*l.objects).InObject()) {
+		*l.lastLine = time.Now()
+		l.conn.SetDeadline(l.lastLine.Add(silenceTimeout))
 	}
 	return n, err
 }
@@ -54,7 +54,7 @@
 // run asks for the changes and hands each object to tell, until the watch ends.
 func (s *stream) run(tell func(endpoints.List)) error {
 	defer s.cancel()
-	dialer := net.Dialer{Timeout: dialing}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(s.ctx, "tcp", s.addr)
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 	defer conn.Close()
 	defer context.AfterFunc(s.ctx, func() { conn.Close() })()
 
-	conn.SetDeadline(time.Now().Add(silence))
+	conn.SetDeadline(time.Now().Add(silenceTimeout))
 	target := "/v1/endpoints?watch=1"
 	if s.after > 0 {
 		target += fmt.Sprintf("&after=%d", s.after)
@@ -73,15 +73,15 @@
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	resp.StreamBody = true
-	if err := resp.ReadLimitBody(bufio.NewReader(conn), mostLine); err != nil {
+	if err := resp.ReadLimitBody(bufio.NewReader(conn), maxObjectBytes); err != nil {
 		return err
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
 		return fmt.Errorf("discovery answered %d", resp.StatusCode())
 	}
 	var objects *endpoints.Decoder
-	objects = endpoints.NewDecoder(lines{resp.BodyStream(), conn, &s.heard, &objects}, mostLine)
-	objects.Entry = s.entry
+	objects = endpoints.NewDecoder(lineReader{resp.BodyStream(), conn, &s.lastLine, &objects}, maxObjectBytes)
+	objects.OnEntry = s.onEntry
 	for {
 		l, err := objects.Next()
 		switch {
