--- a/internal/source/endpoints/list.go
+++ b/internal/source/endpoints/list.go
@@ -1,4 +1,5 @@
-// Package endpoints is the form in which discovery, and the stored list, name execute nodes.
+// Package endpoints decodes the server list in the form that discovery and the stored list have: JSON objects with a
+// generation and instances. It checks each entry, and neither reads files nor connects.
 package endpoints
 
 import (
@@ -20,7 +21,7 @@
 	Instances  []Instance
 }
 
-// Instance is one execute node as discovery names it.
+// Instance is one server as discovery names it.
 type Instance struct {
 	ID      string
 	Addr    string
@@ -32,7 +33,21 @@
 
 var states = map[string]logic.State{"Ready": logic.Ready, "Terminating": logic.Draining, "Gone": logic.Gone}
 
-// form is an entry as it is written.
+// KeyError is the error of a key with an unusable value.
+type KeyError struct {
+	Key    string // as in instances[3].hostPort
+	Reason string
+}
+
+// Error names the key and the reason.
+func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
+
+// keyError returns the error of a key of the entry at an index.
+func keyError(i int, key, format string, args ...any) error {
+	return &KeyError{fmt.Sprintf("instances[%d].%s", i, key), fmt.Sprintf(format, args...)}
+}
+
+// entryJSON is an entry in JSON.
 type entryJSON struct {
 	ID        string `json:"instanceId"`
 	Addr      string `json:"hostPort"`
@@ -42,51 +57,51 @@
 	Started   int64  `json:"startedAtMs"`
 }
 
-// instance checks the entry of a number.
+// instance checks an entry and returns it. i is its index in the list, for errors.
 func (e *entryJSON) instance(i int) (Instance, error) {
 	state, ok := states[e.Lifecycle]
 	_, _, err := net.SplitHostPort(e.Addr)
 	switch {
 	case e.ID == "":
-		return Instance{}, fmt.Errorf("instances[%d].instanceId: missing", i)
+		return Instance{}, keyError(i, "instanceId", "missing")
 	case !ok:
-		return Instance{}, fmt.Errorf("instances[%d].lifecycle: %q is unknown", i, e.Lifecycle)
+		return Instance{}, keyError(i, "lifecycle", "%q is unknown", e.Lifecycle)
 	case err != nil && state != logic.Gone:
-		return Instance{}, fmt.Errorf("instances[%d].hostPort: %q is not host:port", i, e.Addr)
+		return Instance{}, keyError(i, "hostPort", "%q is not host:port", e.Addr)
 	case e.Started < 0 || e.Started > maxMillis:
-		return Instance{}, fmt.Errorf("instances[%d].startedAtMs: %d is out of range", i, e.Started)
+		return Instance{}, keyError(i, "startedAtMs", "%d is out of range", e.Started)
 	}
 	return Instance{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Cell: e.Cell,
 		State: state, Started: time.Duration(e.Started) * time.Millisecond}, nil
 }
 
-// maxMillis keeps a Unix time within a duration.
+// maxMillis bounds a Unix time in milliseconds, so that it fits into a time.Duration.
 const maxMillis = int64(1) << 43
 
-// ErrTooLong tells that an object takes more bytes than the decoder was allowed.
+// ErrTooLong is the error of an object that takes more bytes than the decoder allows.
 var ErrTooLong = errors.New("object too long")
 
-// Decoder reads object after object and holds no more than an entry of one in the form in which it came: a list of
-// thousands takes no second and third copy of itself.
+// Decoder reads a sequence of objects. It buffers no more than an entry of one, so that a list of thousands takes no second
+// and third copy of itself. It is not safe for concurrent use.
 type Decoder struct {
 	in       *limitedReader
 	json     *json.Decoder
 	maxBytes int
-	// OnEntry, if there is one, is called before an entry is kept.
+	// OnEntry, unless nil, is called before each entry is decoded.
 	OnEntry func()
 }
 
-// NewDecoder reads objects of most bytes each, and white space between them.
+// NewDecoder returns a decoder of objects of up to maxBytes each, and any white space between them.
 func NewDecoder(r io.Reader, maxBytes int) *Decoder {
 	in := &limitedReader{from: r}
 	return &Decoder{in: in, json: json.NewDecoder(in), maxBytes: maxBytes}
 }
 
-// bounded gives no more than left bytes.
+// limitedReader reads no more than left bytes of an object.
 type limitedReader struct {
 	from  io.Reader
 	left  int
-	begun bool // something of the present object has been given
+	begun bool // a part of the present object has been read
 }
 
 func (b *limitedReader) Read(p []byte) (int, error) {
@@ -94,7 +109,7 @@
 		return 0, ErrTooLong
 	}
 	n, err := b.from.Read(p[:min(len(p), b.left)])
-	// White space alone, between two objects, may go on for good.
+	// White space alone, between two objects, may go on forever.
 	if len(bytes.TrimSpace(p[:n])) > 0 {
 		b.left -= n
 		b.begun = true
@@ -102,11 +117,11 @@
 	return n, err
 }
 
-// InObject tells whether an object has begun and not ended. It is asked while Next reads.
+// InObject reports whether an object has begun and not ended. It may be called by the reader that Next reads from.
 func (d *Decoder) InObject() bool { return d.in.begun }
 
-// Next reads an object. At the end of all it returns io.EOF; any other error ends the decoder's use and names the key
-// at fault.
+// Next reads an object. At the end of the sequence it returns io.EOF. Any other error names the key at fault, and the
+// decoder cannot be used afterwards.
 func (d *Decoder) Next() (List, error) {
 	d.in.left = d.maxBytes
 	rest, _ := io.ReadAll(d.json.Buffered())
@@ -119,38 +134,45 @@
 		return List{}, fmt.Errorf("%v is not an object", t)
 	}
 	var l List
-	known := false
+	hasGeneration := false
 	for d.json.More() {
 		key, err := d.json.Token()
 		if err != nil {
 			return List{}, unexpectedEOF(err)
 		}
-		var into any = new(json.RawMessage)
-		switch key {
-		case "generation":
-			known, into = true, &l.Generation
-		case "reset":
-			into = &l.Reset
-		case "instances":
-			if l.Instances, err = d.entries(); err != nil {
-				return List{}, unexpectedEOF(err)
-			}
-			continue
-		}
-		if err := d.json.Decode(into); err != nil {
-			return List{}, fmt.Errorf("%v: %w", key, unexpectedEOF(err))
+		if err := d.value(key, &l); err != nil {
+			return List{}, err
 		}
+		hasGeneration = hasGeneration || key == "generation"
 	}
 	if _, err := d.json.Token(); err != nil {
 		return List{}, unexpectedEOF(err)
 	}
-	if !known {
-		return List{}, errors.New("generation: missing")
+	if !hasGeneration {
+		return List{}, &KeyError{"generation", "missing"}
 	}
 	return l, nil
 }
 
-// unended tells the end of all within an object from that between two.
+// value decodes the value of a key into l. Unknown keys are skipped.
+func (d *Decoder) value(key json.Token, l *List) (err error) {
+	var into any = new(json.RawMessage)
+	switch key {
+	case "generation":
+		into = &l.Generation
+	case "reset":
+		into = &l.Reset
+	case "instances":
+		l.Instances, err = d.entries()
+		return unexpectedEOF(err)
+	}
+	if err := d.json.Decode(into); err != nil {
+		return fmt.Errorf("%v: %w", key, unexpectedEOF(err))
+	}
+	return nil
+}
+
+// unexpectedEOF replaces io.EOF, which within an object is not the end of the sequence.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -158,16 +180,17 @@
 	return err
 }
 
+// entries decodes the list of entries. null is an empty one.
 func (d *Decoder) entries() ([]Instance, error) {
 	t, err := d.json.Token()
-	if err != nil || t == nil { // null is an empty list
+	if err != nil || t == nil {
 		return nil, err
 	}
 	if t != json.Delim('[') {
 		return nil, fmt.Errorf("instances: %v is not a list", t)
 	}
 	var all []Instance
-	zones := map[string]string{} // one copy of each
+	zones := map[string]string{} // shares the text of equal names
 	for d.json.More() {
 		if d.OnEntry != nil {
 			d.OnEntry()
@@ -190,7 +213,7 @@
 	return all, err
 }
 
-// Parse reads a text that is one object. The error names the key at fault.
+// Parse decodes a text that is one object. The error names the key at fault.
 func Parse(text []byte) (List, error) {
 	d := NewDecoder(bytes.NewReader(text), len(text)+1)
 	l, err := d.Next()
--- a/internal/source/platform/nodelist_test.go
+++ b/internal/source/platform/source_test.go
@@ -15,18 +15,18 @@
 	"fieldrelay/internal/source/endpoints"
 )
 
-// told stands in for the relay.
-type told struct{ *scenario.Stage }
+// recordingSink stands in for the relay.
+type recordingSink struct{ *scenario.Stage }
 
-func (s told) ListLost(told time.Time) {
-	switch left := time.Until(told); {
+func (s recordingSink) ListLost(notifiedAt time.Time) {
+	switch left := time.Until(notifiedAt); {
 	case left <= 0:
-		s.Event("lost, told already")
+		s.Event("lost, notified already")
 	default:
-		s.Event(fmt.Sprintf("lost, told within %ds", int(left.Seconds())+1))
+		s.Event(fmt.Sprintf("lost, notified within %ds", int(left.Seconds())+1))
 	}
 }
-func (s told) UpdateMembers(l relay.Members) {
+func (s recordingSink) UpdateMembers(l relay.Members) {
 	text := fmt.Sprintf("complete=%t stored=%t", l.Complete, l.Stored)
 	for _, m := range l.Members {
 		text += fmt.Sprintf(" %s/%d/%s", m.Addr, m.State, m.Since)
@@ -50,33 +50,33 @@
 		"changes are told, and the next watch asks for what came after": begin + head + chunk(change) + `
 			wait complete=false stored=false h:1/1/7ms
 			d close
-			wait lost, told within 6s
+			wait lost, notified within 6s
 			watch send now
 			e expect after=5 HTTP`,
 		"an empty line is no change":     begin + head + chunk(`\n`) + chunk(change) + "\n wait complete=false stored=false h:1/1/7ms",
-		"a refusal is a loss":            begin + `d send HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n` + "\n wait lost, told within 6s",
-		"a malformed line is a loss":     begin + head + chunk(`{"generation":x}\n`) + "\n wait lost, told within 6s\n d wait",
-		"an unknown lifecycle is a loss": begin + head + chunk(strings.Replace(change, "Terminating", "Odd", 1)) + "\n wait lost, told within 6s\n d wait",
-		"a long line is a loss":          begin + head + `200000\r\n{"generation":4,"note":"` + strings.Repeat("x", maxObjectBytes) + "\n wait lost, told within 6s\n d wait",
+		"a refusal is a loss":            begin + `d send HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n` + "\n wait lost, notified within 6s",
+		"a malformed line is a loss":     begin + head + chunk(`{"generation":x}\n`) + "\n wait lost, notified within 6s\n d wait",
+		"an unknown lifecycle is a loss": begin + head + chunk(strings.Replace(change, "Terminating", "Odd", 1)) + "\n wait lost, notified within 6s\n d wait",
+		"a long line is a loss":          begin + head + `200000\r\n{"generation":4,"note":"` + strings.Repeat("x", maxObjectBytes) + "\n wait lost, notified within 6s\n d wait",
 		// Discovery writes every 2 s: a watch that says nothing is lost, although its connection stays open.
-		"a call that is not answered is a loss": begin + "wait lost, told within 4s\n d wait",
-		"a watch that tells nothing is a loss":  begin + head + "\n wait lost, told within 4s\n d wait",
+		"a call that is not answered is a loss": begin + "wait lost, notified within 4s\n d wait",
+		"a watch that tells nothing is a loss":  begin + head + "\n wait lost, notified within 4s\n d wait",
 		// A watch missed changes from its last line on: they count as told 6 s later, so 3.5 s are left once 2.5 s of silence
 		// are noticed. That holds for each further call until one begins.
 		"silence is a loss with little time left": begin + head + chunk(change) + `
 			wait complete=false stored=false h:1/1/7ms
-			wait lost, told within 4s
+			wait lost, notified within 4s
 			d wait
 			watch send now
 			e expect after=5 HTTP
 			e send HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n
-			wait lost, told within 4s
+			wait lost, notified within 4s
 			watch send now
 			f expect after=5 HTTP
 			f ` + strings.TrimPrefix(head, "d ") + chunk(strings.Replace(change, "5", "6", 1)) + `
 			wait complete=false stored=false h:1/1/7ms
 			f close
-			wait lost, told within 6s`,
+			wait lost, notified within 6s`,
 		// Where lists are pushed nobody asks: the watch is opened at once, and again after each loss.
 		"a kept watch": `keep send now
 			d expect GET /v1/endpoints?watch=1&after=4 HTTP/1.1\r\n
@@ -84,17 +84,17 @@
 			` + head + chunk(change) + `
 			wait complete=false stored=false h:1/1/7ms
 			d close
-			wait lost, told within 6s
+			wait lost, notified within 6s
 			e expect after=5 HTTP
 			e send HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n
-			wait lost, told within 6s
+			wait lost, notified within 6s
 			f expect after=5 HTTP`,
 		"a move that fails leaves little time": begin + head + `
 			move send away
 			d wait
 			moved expect GET /v1/endpoints?watch=1 HTTP/1.1\r\n
 			moved send HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n
-			wait lost, told within 4s`,
+			wait lost, notified within 4s`,
 		// A second ask replaces the watch; the first must not be told as lost.
 		"a new watch ends the old one": begin + head + `
 			watch send again
@@ -122,7 +122,7 @@
 				}
 				return scenario.Accepter(ln)(peer)
 			})
-			a := New(ln.Addr().String(), told{stage}, nil, zerolog.Nop())
+			a := New(ln.Addr().String(), recordingSink{stage}, nil, zerolog.Nop())
 			known, err := endpoints.Parse([]byte(`{"generation":4,"instances":[{"instanceId":"x","hostPort":"h:9","lifecycle":"Ready"}]}`))
 			if err != nil {
 				t.Fatal(err)
@@ -143,14 +143,14 @@
 	half, _, _ := strings.Cut(change, `{"instanceId"`)
 	for name, c := range map[string]struct{ object, want string }{
 		"between objects":     {change, "complete=false stored=false h:1/1/7ms"},
-		"within an object":    {half, "lost, told within 4s"},
+		"within an object":    {half, "lost, notified within 4s"},
 		"within the next one": {change + half, "complete=false stored=false h:1/1/7ms"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			ln := scenario.Listen(t)
 			stage := scenario.NewStage(scenario.Accepter(ln))
-			a := New(ln.Addr().String(), told{stage}, nil, zerolog.Nop())
+			a := New(ln.Addr().String(), recordingSink{stage}, nil, zerolog.Nop())
 			a.Start(endpoints.List{})
 			t.Cleanup(a.Close)
 			a.Watch()
@@ -158,10 +158,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer nc.Close()
+			t.Cleanup(func() { _ = nc.Close() })
 			text := strings.NewReplacer(`\r`, "\r", `\n`, "\n")
-			fmt.Fprint(nc, text.Replace(strings.TrimPrefix(head, "d send ")))
-			fmt.Fprint(nc, text.Replace(chunk(c.object)))
+			if _, err := fmt.Fprint(nc, text.Replace(strings.TrimPrefix(head, "d send ")+chunk(c.object))); err != nil {
+				t.Fatal(err)
+			}
 			beats := time.NewTicker(silenceTimeout / 5)
 			defer beats.Stop()
 			begun := time.Now()
@@ -177,11 +178,11 @@
 			}()
 			steps := "wait complete=true stored=true\n wait " + c.want
 			if name == "within the next one" {
-				steps += "\n wait lost, told within 4s"
+				steps += "\n wait lost, notified within 4s"
 			}
 			stage.Play(t, steps)
 			<-ended
-			stage.Play(t, "") // and nothing else was told
+			stage.Play(t, "") // and nothing else was notified
 		})
 	}
 }
@@ -191,22 +192,24 @@
 func TestTheCallAfterAFailureHasTimeLeft(t *testing.T) {
 	left := notifiedAfterLoss - dialTimeout - silenceTimeout // of a call that hung to its end, from when it began
 	if call := left - left/2; call < time.Second {
-		t.Errorf("the next call has %s of the %s after which a change counts as told", call, notifiedAfterLoss)
+		t.Errorf("the next call has %s of the %s after which a change counts as notified", call, notifiedAfterLoss)
 	}
 	ln := scenario.Listen(t)
-	ln.Close() // nobody is there: refused
+	if err := ln.Close(); err != nil { // nobody listens: refused
+		t.Fatal(err)
+	}
 	for name, addr := range map[string]string{"refused": ln.Addr().String(), "hung": scenario.Listen(t).Addr().String()} {
 		stage := scenario.NewStage(nil)
-		a := New(addr, told{stage}, nil, zerolog.Nop())
+		a := New(addr, recordingSink{stage}, nil, zerolog.Nop())
 		a.Start(endpoints.List{})
 		a.Watch()
-		want := map[string]string{"refused": "lost, told within 6s", "hung": "lost, told within 4s"}[name]
+		want := map[string]string{"refused": "lost, notified within 6s", "hung": "lost, notified within 4s"}[name]
 		stage.Play(t, "wait complete=true stored=true\n wait "+want)
 		a.Close()
 	}
 }
 
-// The module knows a node by a number that is the same after a restart, and no two nodes share one.
+// The module knows a server by an id that is the same after a restart, and no two servers share one.
 func TestIDsAreStable(t *testing.T) {
 	a, b := New("", nil, nil, zerolog.Nop()), New("", nil, nil, zerolog.Nop())
 	b.idOf("other")
@@ -216,6 +219,6 @@
 	first := a.idOf("first")
 	delete(a.ids, "first")
 	if a.idOf("first") == first {
-		t.Error("two instances share a number")
+		t.Error("two servers share an id")
 	}
 }
--- a/internal/source/platform/stream.go
+++ b/internal/source/platform/stream.go
@@ -15,12 +15,22 @@
 	"fieldrelay/internal/source/endpoints"
 )
 
-// stream is one watch on discovery, for what came after a generation or, from 0, for the whole list. close may be called from another goroutine than run.
+// errWatchEnded is the error of a watch that discovery has ended.
+var errWatchEnded = errors.New("discovery ended the watch")
+
+// statusError is the error of a call that discovery answered with another status than 200.
+type statusError int
+
+// Error names the status.
+func (e statusError) Error() string { return fmt.Sprintf("discovery answered %d", int(e)) }
+
+// stream is one watch: of the changes after a generation or, with 0, of the whole list. close may be called from another
+// goroutine than run.
 type stream struct {
 	addr     string
 	after    uint64
-	onEntry  func()    // called before an entry is held
-	lastLine time.Time // when the last line came, or the call began; of run's goroutine, until it has returned
+	onEntry  func()    // called before an entry is stored
+	lastLine time.Time // when the last line arrived, or the call began; owned by run until it has returned
 	ctx      context.Context
 	cancel   context.CancelFunc
 }
@@ -33,65 +43,76 @@
 
 func (s *stream) close() { s.cancel() }
 
-// lines reads for as long as a line comes to its end now and then. Within an object an empty one is no sign of life: the
-// rest of that object would never come.
+// lineReader reads as long as a line ends within silenceTimeout. Within an object an empty line does not count: the rest of
+// that object would never arrive.
 type lineReader struct {
 	io.Reader
 	conn     net.Conn
 	lastLine *time.Time
-	objects  **endpoints.Decoder
+	decoder  **endpoints.Decoder
 }
 
 func (l lineReader) Read(p []byte) (int, error) {
 	n, err := l.Reader.Read(p)
-	if bytes.IndexByte(p[:n], '\n') >= 0 && (len(bytes.TrimSpace(p[:n])) > 0 || !(*l.objects).InObject()) {
+	if bytes.IndexByte(p[:n], '\n') >= 0 && (len(bytes.TrimSpace(p[:n])) > 0 || !(*l.decoder).InObject()) {
 		*l.lastLine = time.Now()
-		l.conn.SetDeadline(l.lastLine.Add(silenceTimeout))
+		setDeadline(l.conn, l.lastLine.Add(silenceTimeout))
 	}
 	return n, err
 }
 
-// run asks for the changes and hands each object to tell, until the watch ends.
-func (s *stream) run(tell func(endpoints.List)) error {
+// setDeadline sets a deadline. Its error is left to the next read or write, which fails on a closed connection.
+func setDeadline(conn net.Conn, t time.Time) { _ = conn.SetDeadline(t) }
+
+// run opens the watch and calls update with each object, until the watch ends. It never returns nil.
+func (s *stream) run(update func(endpoints.List)) error {
 	defer s.cancel()
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(s.ctx, "tcp", s.addr)
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
-	defer context.AfterFunc(s.ctx, func() { conn.Close() })()
+	defer func() { _ = conn.Close() }() // it was only read from
+	defer context.AfterFunc(s.ctx, func() { _ = conn.Close() })()
 
-	conn.SetDeadline(time.Now().Add(silenceTimeout))
-	target := "/v1/endpoints?watch=1"
-	if s.after > 0 {
-		target += fmt.Sprintf("&after=%d", s.after)
-	}
-	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, s.addr); err != nil {
-		return err
-	}
+	setDeadline(conn, time.Now().Add(silenceTimeout))
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	resp.StreamBody = true
-	if err := resp.ReadLimitBody(bufio.NewReader(conn), maxObjectBytes); err != nil {
+	if err := s.request(conn, resp); err != nil {
 		return err
 	}
-	if resp.StatusCode() != fasthttp.StatusOK {
-		return fmt.Errorf("discovery answered %d", resp.StatusCode())
-	}
-	var objects *endpoints.Decoder
-	objects = endpoints.NewDecoder(lineReader{resp.BodyStream(), conn, &s.lastLine, &objects}, maxObjectBytes)
-	objects.OnEntry = s.onEntry
+	var decoder *endpoints.Decoder
+	decoder = endpoints.NewDecoder(lineReader{resp.BodyStream(), conn, &s.lastLine, &decoder}, maxObjectBytes)
+	decoder.OnEntry = s.onEntry
 	for {
-		l, err := objects.Next()
+		l, err := decoder.Next()
 		switch {
 		case errors.Is(err, io.EOF):
-			return errors.New("discovery ended the watch")
+			return errWatchEnded
 		case errors.As(err, new(net.Error)):
 			return err
 		case err != nil:
 			return fmt.Errorf("malformed list: %w", err)
 		}
-		tell(l)
+		update(l)
+	}
+}
+
+// request sends the request and reads the head of the response, whose body is the stream.
+func (s *stream) request(conn net.Conn, resp *fasthttp.Response) error {
+	target := "/v1/endpoints?watch=1"
+	if s.after > 0 {
+		target += fmt.Sprintf("&after=%d", s.after)
+	}
+	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, s.addr); err != nil {
+		return err
+	}
+	resp.StreamBody = true
+	if err := resp.ReadLimitBody(bufio.NewReader(conn), maxObjectBytes); err != nil {
+		return err
+	}
+	if resp.StatusCode() != fasthttp.StatusOK {
+		return statusError(resp.StatusCode())
 	}
+	return nil
 }
