--- a/logic/admission.go
+++ b/logic/admission.go
@@ -21,7 +21,7 @@
 	}
 	b.wakeAt(r.expires-b.cfg.Tick, TimerExpire, r.id)
 	c.recordDemand(b.now, r.work)
-	b.ledger.Arrive(b.now, ev.Tenant)
+	b.accounts.Count(b.now, ev.Tenant)
 	// Servers that answer everything late spend their whole capacity on it, and so the overload sustains
 	// itself. Admitting less than is answered in time drains it.
 	rejected := b.expiresTooSoon(r) || b.isPersistentlyLate(c) ||
@@ -67,13 +67,13 @@
 		return 1
 	}
 	level := b.sheddingLevel(admitted)
-	return max(1-level/(b.valuePerWork(c)*b.ledger.Worth(tenant)), minAdmitProbability)
+	return max(1-level/(b.valuePerWork(c)*b.accounts.Value(tenant)), minAdmitProbability)
 }
 
 // sheddingLevel returns the level that sheds all but the square of admitted of the work: a class and tenant
 // lose the level over their value, at most everything. It is found by bisection.
 func (b *Balancer) sheddingLevel(admitted float64) float64 {
-	mix := b.ledger.Mix(b.now, b.requestRate*(1-selection.Alpha(b.now-b.rateUpdated)))
+	mix := b.accounts.Mix(b.now, b.requestRate*(1-selection.Alpha(b.now-b.rateUpdated)))
 	all, high := b.workRate(), 0.0
 	for _, o := range b.classOrder {
 		high = max(high, b.valuePerWork(o))
@@ -82,7 +82,7 @@
 		level, shed := (low+high)/2, 0.0
 		for _, o := range b.classOrder {
 			for _, t := range mix {
-				shed += o.workRate * t.Part * min(1, level/(b.valuePerWork(o)*t.Worth))
+				shed += o.workRate * t.Fraction * min(1, level/(b.valuePerWork(o)*t.Value))
 			}
 		}
 		if shed < (1-admitted*admitted)*all {
--- a/logic/admission_test.go
+++ b/logic/admission_test.go
@@ -140,8 +140,8 @@
 	r := newRig(t, cfg, fleet(3)...)
 	r.b.requestRate, r.b.rateUpdated = 200, r.now
 	for at := r.now - 20*time.Second; at < r.now; at += 10 * ms { // a hundred a second of each
-		r.b.ledger.Arrive(at, "over")
-		r.b.ledger.Arrive(at, "within")
+		r.b.accounts.Count(at, "over")
+		r.b.accounts.Count(at, "within")
 	}
 	r.b.classOrder[0].recordDemand(r.now, 1)
 	r.b.slack.Share = 0.8 / admitSlackFactor // 0.36 of the work is shed
--- a/logic/balancer.go
+++ b/logic/balancer.go
@@ -26,7 +26,7 @@
 
 	classes    map[string]*class
 	classOrder []*class // the same, in the order of the settings
-	ledger     *door.Door
+	accounts   *door.Accounts
 
 	slack    selection.Slack
 	shedding bool // as last logged
@@ -58,7 +58,7 @@
 		byID: map[uint64]*server{}, requests: map[uint64]*request{}, seed: seed,
 		slack: selection.NewSlack(selection.PaperBands),
 		zones: map[string]*faultShares{}, cells: map[int]*faultShares{}, tenants: map[string]*faultShares{},
-		ledger: door.New(cfg.Tenants, cfg.Balancers, cfg.OverShareValue, agingTime),
+		accounts: door.New(cfg.Tenants, cfg.Balancers, cfg.OverShareValue, agingTime),
 	}
 	return b, b.SetClasses(cfg.Classes, cfg.Limits.MaxAttempts)
 }
@@ -99,12 +99,14 @@
 // SetTenants replaces the tenants and the value of requests beyond a quota share, as in Config, from now on.
 // What was counted of a tenant that stays is kept.
 func (b *Balancer) SetTenants(tenants []Tenant, overShareValue float64) {
-	b.ledger.Set(tenants, overShareValue)
+	b.accounts.Set(tenants, overShareValue)
 }
 
 // SetTenantAllowance sets this sidecar's part of a tenant's allowance, in requests a second. Below 0 it is
 // an equal part, as at the start.
-func (b *Balancer) SetTenantAllowance(tenant string, rate float64) { b.ledger.Allot(tenant, rate) }
+func (b *Balancer) SetTenantAllowance(tenant string, rate float64) {
+	b.accounts.SetAllowance(tenant, rate)
+}
 
 // Step appends to actions those that follow from ev at the time now, and returns the result. Times count
 // from any fixed moment, the same for all events and the list; now must not go back. What ev refers to is
