--- a/internal/budget/gate.go
+++ b/internal/budget/gate.go
@@ -9,23 +9,23 @@
 
 // What ends an ask without a grant.
 var (
-	ErrShort = errors.New("budget: no bytes in time")
-	ErrLeft  = errors.New("budget: the asker has left")
+	ErrNoBytes  = errors.New("budget: no bytes in time")
+	ErrCanceled = errors.New("budget: the asker has left")
 )
 
 // Gate is a ledger that goroutines share. A nil gate grants everything and counts nothing. No call but Enter blocks.
 type Gate struct {
 	epoch   time.Time
-	pressed chan struct{} // the degree has changed
+	changed chan struct{} // the degree has changed
 
-	mu     sync.Mutex
-	ledger *Ledger
-	seen   Degree // as pressed last told
+	mu       sync.Mutex
+	ledger   *Ledger
+	notified Pressure // as pressed last told
 }
 
 // NewGate makes a gate of so many bytes, at which at most queue asks wait.
 func NewGate(bytes int64, queue int) *Gate {
-	return &Gate{epoch: time.Now(), pressed: make(chan struct{}, 1), ledger: NewLedger(bytes, queue)}
+	return &Gate{epoch: time.Now(), changed: make(chan struct{}, 1), ledger: NewLedger(bytes, queue)}
 }
 
 // Charge is bytes that are held by one or more. It goes back to the budget with the last of them, once. A nil charge
@@ -52,7 +52,7 @@
 	}
 	switch left := c.holders.Add(-1); {
 	case left == 0:
-		c.gate.do(func(now time.Duration, l *Ledger) { l.Give(now, c.kind, c.bytes, c.large) })
+		c.gate.withLedger(func(now time.Duration, l *Ledger) { l.Release(now, c.kind, c.bytes, c.large) })
 	case left < 0:
 		panic("budget: a charge was given back twice")
 	}
@@ -66,57 +66,57 @@
 	return c.bytes
 }
 
-func (g *Gate) charge(a *Ask) *Charge {
+func (g *Gate) charge(a *Reservation) *Charge {
 	c := &Charge{gate: g, kind: a.Kind, bytes: a.Bytes, large: a.isLarge()}
 	c.holders.Store(1)
 	return c
 }
 
 // do runs something on the ledger and tells of a change of its degree.
-func (g *Gate) do(what func(now time.Duration, l *Ledger)) {
+func (g *Gate) withLedger(what func(now time.Duration, l *Ledger)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	what(time.Since(g.epoch), g.ledger)
-	if d := g.ledger.Degree(); d != g.seen {
-		g.seen = d
+	if d := g.ledger.Pressure(); d != g.notified {
+		g.notified = d
 		select {
-		case g.pressed <- struct{}{}:
+		case g.changed <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Enter asks for bytes and waits for them until a time, or until left is closed.
-func (g *Gate) Enter(a Ask, until time.Time, left <-chan struct{}) (*Charge, error) {
+// Reserve asks for bytes and waits for them until a time, or until left is closed.
+func (g *Gate) Reserve(a Reservation, until time.Time, left <-chan struct{}) (*Charge, error) {
 	if g == nil {
 		return nil, nil
 	}
 	a.Until = until.Sub(g.epoch)
-	var reply Reply
+	var reply Decision
 	var told chan struct{}
-	g.do(func(now time.Duration, l *Ledger) {
-		reply = l.Ask(now, &a, func() { close(told) })
-		if reply == Wait {
+	g.withLedger(func(now time.Duration, l *Ledger) {
+		reply = l.Reserve(now, &a, func() { close(told) })
+		if reply == Queued {
 			told = make(chan struct{})
 		}
 	})
 	switch reply {
 	case Granted:
 		return g.charge(&a), nil
-	case Refused:
-		return nil, ErrShort
+	case Rejected:
+		return nil, ErrNoBytes
 	}
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
-	err := ErrShort
+	err := ErrNoBytes
 	select {
 	case <-told:
 	case <-timer.C:
 	case <-left:
-		err = ErrLeft
+		err = ErrCanceled
 	}
-	g.do(func(now time.Duration, l *Ledger) {
-		if !l.Leave(now, &a) && !a.Lost() {
+	g.withLedger(func(now time.Duration, l *Ledger) {
+		if !l.Cancel(now, &a) && !a.Dropped() {
 			err = nil // granted, if only this moment
 		}
 	})
@@ -126,56 +126,56 @@
 	return g.charge(&a), nil
 }
 
-// Must holds bytes whatever is free.
-func (g *Gate) Must(k Kind, bytes int64) *Charge {
+// ForceReserve holds bytes whatever is free.
+func (g *Gate) ForceReserve(k Kind, bytes int64) *Charge {
 	if g == nil {
 		return nil
 	}
-	g.do(func(_ time.Duration, l *Ledger) { l.Must(k, bytes) })
-	return g.charge(&Ask{Kind: k, Bytes: bytes})
+	g.withLedger(func(_ time.Duration, l *Ledger) { l.ForceReserve(k, bytes) })
+	return g.charge(&Reservation{Kind: k, Bytes: bytes})
 }
 
-// Spare tells whether there is room for a connection of so many bytes.
-func (g *Gate) Spare(bytes int64) bool {
+// HasRoomForConn tells whether there is room for a connection of so many bytes.
+func (g *Gate) HasRoomForConn(bytes int64) bool {
 	spare := true
 	if g != nil {
-		g.do(func(_ time.Duration, l *Ledger) { spare = l.Spare(bytes) })
+		g.withLedger(func(_ time.Duration, l *Ledger) { spare = l.HasRoomForConn(bytes) })
 	}
 	return spare
 }
 
-// Drop ends the waiting of up to so many large asks, the least worth for their bytes first.
-func (g *Gate) Drop(most int) {
-	g.do(func(_ time.Duration, l *Ledger) {
+// DropLarge ends the waiting of up to so many large asks, the least worth for their bytes first.
+func (g *Gate) DropLarge(most int) {
+	g.withLedger(func(_ time.Duration, l *Ledger) {
 		for range most {
-			if !l.Drop() {
+			if !l.DropLarge() {
 				return
 			}
 		}
 	})
 }
 
-// Advice is how long one that was refused so many bytes had better stay away; 0: not known.
-func (g *Gate) Advice(bytes int64) time.Duration {
+// RetryAfter is how long one that was refused so many bytes had better stay away; 0: not known.
+func (g *Gate) RetryAfter(bytes int64) time.Duration {
 	var after time.Duration
-	g.do(func(now time.Duration, l *Ledger) { after = l.Advice(now, bytes) })
+	g.withLedger(func(now time.Duration, l *Ledger) { after = l.RetryAfter(now, bytes) })
 	return after
 }
 
-// Pressed receives when the degree of pressure has changed.
-func (g *Gate) Pressed() <-chan struct{} { return g.pressed }
+// PressureChanged receives when the degree of pressure has changed.
+func (g *Gate) PressureChanged() <-chan struct{} { return g.changed }
 
 // Resize sets the size, up to that with which the gate was made.
 func (g *Gate) Resize(bytes int64) {
-	g.do(func(now time.Duration, l *Ledger) { l.Resize(now, bytes) })
+	g.withLedger(func(now time.Duration, l *Ledger) { l.Resize(now, bytes) })
 }
 
 // State is what a gate holds at a moment, in bytes.
 type State struct {
-	Degree  Degree
-	Total   int64
-	Held    [kinds]int64
-	Waiting int
+	Pressure Pressure
+	Total    int64
+	Held     [kinds]int64
+	Waiting  int
 }
 
 // Sum is the number of bytes held of all kinds.
@@ -191,8 +191,8 @@
 func (g *Gate) State() State {
 	var s State
 	if g != nil {
-		g.do(func(_ time.Duration, l *Ledger) {
-			s = State{Degree: l.Degree(), Total: l.Total(), Held: l.held, Waiting: l.Waiting()}
+		g.withLedger(func(_ time.Duration, l *Ledger) {
+			s = State{Pressure: l.Pressure(), Total: l.Total(), Held: l.held, Waiting: l.Waiting()}
 		})
 	}
 	return s
--- a/internal/budget/gate_test.go
+++ b/internal/budget/gate_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	var held []*Charge
 	for {
-		c, err := g.Enter(Ask{Kind: Jobs, Bytes: 64 << 10, Worth: 1}, time.Now(), nil)
+		c, err := g.Reserve(Reservation{Kind: Requests, Bytes: 64 << 10, Value: 1}, time.Now(), nil)
 		if err != nil {
 			return held
 		}
@@ -26,24 +26,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(mb, 9)
 		held := fill(t, g)
-		ask := Ask{Kind: Jobs, Bytes: 64 << 10, Worth: 1}
+		ask := Reservation{Kind: Requests, Bytes: 64 << 10, Value: 1}
 
 		start := time.Now()
-		if _, err := g.Enter(ask, start.Add(time.Second), nil); !errors.Is(err, ErrShort) || time.Since(start) != time.Second {
+		if _, err := g.Reserve(ask, start.Add(time.Second), nil); !errors.Is(err, ErrNoBytes) || time.Since(start) != time.Second {
 			t.Errorf("%v after %v", err, time.Since(start))
 		}
 		left := make(chan struct{})
 		time.AfterFunc(time.Second, func() { close(left) })
-		if _, err := g.Enter(ask, start.Add(time.Hour), left); !errors.Is(err, ErrLeft) {
+		if _, err := g.Reserve(ask, start.Add(time.Hour), left); !errors.Is(err, ErrCanceled) {
 			t.Error(err)
 		}
 		time.AfterFunc(time.Second, held[0].Release)
-		c, err := g.Enter(ask, time.Now().Add(time.Hour), nil)
+		c, err := g.Reserve(ask, time.Now().Add(time.Hour), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.AfterFunc(time.Second, func() { g.Drop(3) })
-		if _, err := g.Enter(ask, time.Now().Add(time.Hour), nil); !errors.Is(err, ErrShort) {
+		time.AfterFunc(time.Second, func() { g.DropLarge(3) })
+		if _, err := g.Reserve(ask, time.Now().Add(time.Hour), nil); !errors.Is(err, ErrNoBytes) {
 			t.Errorf("dropped: %v", err)
 		}
 		for _, c := range append(held[1:], c) {
@@ -58,7 +58,7 @@
 // A charge that several hold goes back with the last, and a holder too many is a fault of the program.
 func TestChargeGoesBackOnce(t *testing.T) {
 	g := NewGate(mb, 1)
-	c := g.Must(Lists, 10)
+	c := g.ForceReserve(Lists, 10)
 	c.Hold()
 	c.Release()
 	if s := g.State(); s.Held[Lists] != 10 {
@@ -84,8 +84,8 @@
 		all.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			for range 50 {
-				kind := []Kind{Jobs, Answers}[rng.IntN(2)]
-				c, err := g.Enter(Ask{Kind: kind, Bytes: rng.Int64N(64 << 10), Worth: rng.Float64() + 0.1},
+				kind := []Kind{Requests, Answers}[rng.IntN(2)]
+				c, err := g.Reserve(Reservation{Kind: kind, Bytes: rng.Int64N(64 << 10), Value: rng.Float64() + 0.1},
 					time.Now().Add(time.Duration(rng.IntN(2000))*time.Microsecond), nil)
 				if err == nil {
 					c.Hold()
--- a/internal/budget/ledger.go
+++ b/internal/budget/ledger.go
@@ -19,7 +19,7 @@
 // What bytes are held for. Jobs are the bodies and the bookkeeping of requests that have passed the door.
 const (
 	Conns Kind = iota
-	Jobs
+	Requests
 	Answers
 	Lists
 	kinds
@@ -27,83 +27,85 @@
 
 func (k Kind) String() string { return [kinds]string{"conns", "jobs", "answers", "lists"}[k] }
 
-// Degree is how short bytes are. Each degree asks for all that those below it do.
-type Degree uint8
+// Pressure is how short bytes are. Each degree asks for all that those below it do.
+type Pressure uint8
 
 // The degrees of pressure, and what each asks for.
 const (
-	Calm  Degree = iota
-	Trim         // idle buffers and pools are given back
-	Idle         // idle connections are closed
-	Large        // new large bodies wait
-	Dear         // new jobs wait, those worth most for their bytes first
-	degrees
+	NoPressure  Pressure = iota
+	TrimBuffers          // idle buffers and pools are given back
+	CloseIdle            // idle connections are closed
+	QueueLarge           // new large bodies wait
+	QueueAll             // new jobs wait, those worth most for their bytes first
+	pressures
 )
 
-func (d Degree) String() string { return [degrees]string{"calm", "trim", "idle", "large", "dear"}[d] }
+func (d Pressure) String() string {
+	return [pressures]string{"calm", "trim", "idle", "large", "dear"}[d]
+}
 
 // Parts of the budget.
 const (
 	// reserve is kept for answers and lists: what was taken must be answered though the door is shut.
-	reserve = 0.2
-	// largeMost is the most of what the door may hold that large asks hold of it, and largeShare the most of what the
+	reservedFraction = 0.2
+	// maxLargeFraction is the most of what the door may hold that large asks hold of it, and maxLargeShare the most of what the
 	// connections that there are leave: small ones, which are most of the traffic and cost little, and the connections
 	// that they are yet to come on find room beside any number of large ones.
-	largeMost, largeShare = 0.45, 0.75
-	connMost              = 0.9 // of the door's room may be held when a connection is let in
+	maxLargeFraction, maxLargeShare = 0.45, 0.75
+	maxConnFraction                 = 0.9 // of the door's room may be held when a connection is let in
 	// Of the door's room that is held, where each degree begins. It ends a little below, or it would come and go with
 	// every job.
 	trimAt, idleAt, largeAt, dearAt = 0.5, 0.65, 0.75, 0.95
-	slackening                      = 0.1
-	leastTotal                      = 512 << 10 // bytes; a budget that shrinks stops here
+	hysteresis                      = 0.1
+	minTotal                        = 512 << 10 // bytes; a budget that shrinks stops here
 )
 
-// rateAge is the time constant of the rate at which bytes come back.
-const rateAge = 2 * time.Second
+// rateTimeConstant is the time constant of the rate at which bytes come back.
+const rateTimeConstant = 2 * time.Second
 
-// LargeFrom is from how many bytes on an ask is large.
-const LargeFrom = 8 << 10
+// LargeBytes is from how many bytes on an ask is large.
+const LargeBytes = 8 << 10
 
-// Ask is a wish to hold bytes. All but the first fields are the ledger's.
-type Ask struct {
-	Kind  Kind
-	Bytes int64
-	Worth float64       // of being granted; the door weighs it against Bytes
-	Until time.Duration // how long it may wait, on the ledger's clock
-	Grown bool          // more for what is held already: it goes before new asks
+// Reservation is a wish to hold bytes. All but the first fields are the ledger's.
+type Reservation struct {
+	Kind    Kind
+	Bytes   int64
+	Value   float64       // of being granted; the door weighs it against Bytes
+	Until   time.Duration // how long it may wait, on the ledger's clock
+	Extends bool          // more for what is held already: it goes before new asks
 
 	granted func() // told of a grant; on the goroutine that brought it about
 	waiting bool
 }
 
-// Reply is what a ledger says to an ask.
-type Reply uint8
+// Decision is what a ledger says to an ask.
+type Decision uint8
 
 // The replies. After Wait comes either a call of granted or, by Leave, the end of the waiting.
 const (
-	Granted Reply = iota
-	Wait
-	Refused
+	Granted Decision = iota
+	Queued
+	Rejected
 )
 
 // Ledger counts the bytes that are held and decides on asks for more. It is not safe for concurrent use.
 type Ledger struct {
-	full   int64 // the size as it was set
-	total  int64 // the present one; less while the budget is found to be wrong
-	held   [kinds]int64
-	large  int64 // of the jobs, held by large asks
-	door   []*Ask
-	inside []*Ask // answers, in the order of their coming
-	queue  int    // most that may wait at the door
-	degree Degree
-	rate   float64 // bytes a second that jobs give back, aged
-	rateAt time.Duration
+	size        int64 // the size as it was set
+	total       int64 // the present one; less while the budget is found to be wrong
+	held        [kinds]int64
+	large       int64 // of the jobs, held by large asks
+	requests    []*Reservation
+	answers     []*Reservation // answers, in the order of their coming
+	maxQueue    int            // most that may wait at the door
+	pressure    Pressure
+	releaseRate float64 // bytes a second that jobs give back, aged
+	rateUpdated time.Duration
 }
 
 // NewLedger makes a ledger of so many bytes, at whose door at most queue asks wait.
 func NewLedger(bytes int64, queue int) *Ledger {
-	bytes = max(bytes, leastTotal)
-	return &Ledger{full: bytes, total: bytes, queue: queue}
+	bytes = max(bytes, minTotal)
+	return &Ledger{size: bytes, total: bytes, maxQueue: queue}
 }
 
 // Held is the number of bytes held for a kind.
@@ -112,11 +114,11 @@
 // Total is the present size of the budget in bytes.
 func (l *Ledger) Total() int64 { return l.total }
 
-// Degree is the present degree of pressure.
-func (l *Ledger) Degree() Degree { return l.degree }
+// Pressure is the present degree of pressure.
+func (l *Ledger) Pressure() Pressure { return l.pressure }
 
 // Waiting is the number of asks that wait, at the door and inside.
-func (l *Ledger) Waiting() int { return len(l.door) + len(l.inside) }
+func (l *Ledger) Waiting() int { return len(l.requests) + len(l.answers) }
 
 func (l *Ledger) sum() int64 {
 	var all int64
@@ -127,157 +129,157 @@
 }
 
 // room is what jobs and connections may hold together: the budget less the reserve.
-func (l *Ledger) room() int64 { return int64((1 - reserve) * float64(l.total)) }
+func (l *Ledger) capacity() int64 { return int64((1 - reservedFraction) * float64(l.total)) }
 
-// Ask wants bytes. An ask that must wait is kept until it is granted or leaves.
-func (l *Ledger) Ask(now time.Duration, a *Ask, granted func()) Reply {
-	defer l.weigh()
-	if l.fits(a) && (a.Kind != Jobs || !l.behind(a)) {
+// Reservation wants bytes. An ask that must wait is kept until it is granted or leaves.
+func (l *Ledger) Reserve(now time.Duration, a *Reservation, granted func()) Decision {
+	defer l.updatePressure()
+	if l.fits(a) && (a.Kind != Requests || !l.isBehind(a)) {
 		l.take(a)
 		return Granted
 	}
-	if a.Until <= now || a.Bytes > l.largest(a) {
-		return Refused
+	if a.Until <= now || a.Bytes > l.maxGrant(a) {
+		return Rejected
 	}
 	a.granted, a.waiting = granted, true
-	if a.Kind != Jobs {
-		l.inside = append(l.inside, a)
-		return Wait
+	if a.Kind != Requests {
+		l.answers = append(l.answers, a)
+		return Queued
 	}
-	at, _ := slices.BinarySearchFunc(l.door, a, func(o, a *Ask) int {
+	at, _ := slices.BinarySearchFunc(l.requests, a, func(o, a *Reservation) int {
 		if before(a, o) {
 			return 1
 		}
 		return -1 // behind all of its like
 	})
-	l.door = slices.Insert(l.door, at, a)
-	if len(l.door) <= l.queue {
-		return Wait
+	l.requests = slices.Insert(l.requests, at, a)
+	if len(l.requests) <= l.maxQueue {
+		return Queued
 	}
-	if l.door[len(l.door)-1] != a {
-		l.Drop()
-		return Wait
+	if l.requests[len(l.requests)-1] != a {
+		l.DropLarge()
+		return Queued
 	}
-	l.leave(a)
-	return Refused
+	l.dequeue(a)
+	return Rejected
 }
 
-// Drop ends the waiting of the ask at the door that is worth least for its bytes, if there is one that waits for
+// DropLarge ends the waiting of the ask at the door that is worth least for its bytes, if there is one that waits for
 // bytes of a large share.
-func (l *Ledger) Drop() bool {
-	for i := len(l.door) - 1; i >= 0; i-- {
-		if last := l.door[i]; last.isLarge() || len(l.door) > l.queue {
+func (l *Ledger) DropLarge() bool {
+	for i := len(l.requests) - 1; i >= 0; i-- {
+		if last := l.requests[i]; last.isLarge() || len(l.requests) > l.maxQueue {
 			last.Until = 0
-			l.leave(last)
+			l.dequeue(last)
 			last.granted()
-			l.weigh()
+			l.updatePressure()
 			return true
 		}
 	}
 	return false
 }
 
-// Lost tells whether a waiting ask was dropped for one that is worth more. Its granted was called without a grant.
-func (a *Ask) Lost() bool { return a.Until == 0 }
+// Dropped tells whether a waiting ask was dropped for one that is worth more. Its granted was called without a grant.
+func (a *Reservation) Dropped() bool { return a.Until == 0 }
 
 // before is the order at the door: what is already half inside, then by worth to bytes.
-func before(a, b *Ask) bool {
-	if a.Grown != b.Grown {
-		return a.Grown
+func before(a, b *Reservation) bool {
+	if a.Extends != b.Extends {
+		return a.Extends
 	}
-	return a.density() > b.density()
+	return a.valuePerByte() > b.valuePerByte()
 }
 
-func (a *Ask) density() float64 { return a.Worth / float64(max(a.Bytes, 1)) }
+func (a *Reservation) valuePerByte() float64 { return a.Value / float64(max(a.Bytes, 1)) }
 
-func (a *Ask) isLarge() bool { return a.Kind == Jobs && a.Bytes >= LargeFrom }
+func (a *Reservation) isLarge() bool { return a.Kind == Requests && a.Bytes >= LargeBytes }
 
 // behind tells whether another that waits would come first and needs the same room. Large asks that wait for their
 // own share hold up no small one.
-func (l *Ledger) behind(a *Ask) bool {
-	for _, o := range l.door {
+func (l *Ledger) isBehind(a *Reservation) bool {
+	for _, o := range l.requests {
 		if o.isLarge() == a.isLarge() && !before(a, o) {
 			return true
 		}
 	}
-	return len(l.inside) > 0 && a.isLarge() // answers that wait have the next bytes
+	return len(l.answers) > 0 && a.isLarge() // answers that wait have the next bytes
 }
 
 // largest is the most that an ask of its kind can ever be granted.
-func (l *Ledger) largest(a *Ask) int64 {
+func (l *Ledger) maxGrant(a *Reservation) int64 {
 	switch {
 	case a.isLarge():
-		return l.largeRoom()
-	case a.Kind == Jobs:
-		return l.room()
+		return l.largeCapacity()
+	case a.Kind == Requests:
+		return l.capacity()
 	default:
 		return l.total
 	}
 }
 
-func (l *Ledger) largeRoom() int64 { return int64(largeMost * float64(l.room())) }
+func (l *Ledger) largeCapacity() int64 { return int64(maxLargeFraction * float64(l.capacity())) }
 
-func (l *Ledger) fits(a *Ask) bool {
-	if a.Kind != Jobs {
+func (l *Ledger) fits(a *Reservation) bool {
+	if a.Kind != Requests {
 		return l.sum()+a.Bytes <= l.total
 	}
-	free := l.room() - l.sum()
+	free := l.capacity() - l.sum()
 	if a.isLarge() {
 		// Beside the connections that there are, a part of the room stays for small ones.
-		share := int64(largeShare * float64(l.room()-l.held[Conns]-l.held[Lists]))
-		return a.Bytes <= free && l.large+a.Bytes <= min(share, l.largeRoom())
+		share := int64(maxLargeShare * float64(l.capacity()-l.held[Conns]-l.held[Lists]))
+		return a.Bytes <= free && l.large+a.Bytes <= min(share, l.largeCapacity())
 	}
 	return a.Bytes <= free
 }
 
-func (l *Ledger) take(a *Ask) {
+func (l *Ledger) take(a *Reservation) {
 	l.held[a.Kind] += a.Bytes
 	if a.isLarge() {
 		l.large += a.Bytes
 	}
 }
 
-// Must holds bytes whatever is free: what they are for is already there, and is bounded by count elsewhere.
-func (l *Ledger) Must(k Kind, bytes int64) {
+// ForceReserve holds bytes whatever is free: what they are for is already there, and is bounded by count elsewhere.
+func (l *Ledger) ForceReserve(k Kind, bytes int64) {
 	l.held[k] += bytes
-	l.weigh()
+	l.updatePressure()
 }
 
-// Spare tells whether so many bytes can be had for a connection while small jobs still find room.
-func (l *Ledger) Spare(bytes int64) bool {
-	return l.sum()+bytes <= int64(connMost*float64(l.room()))
+// HasRoomForConn tells whether so many bytes can be had for a connection while small jobs still find room.
+func (l *Ledger) HasRoomForConn(bytes int64) bool {
+	return l.sum()+bytes <= int64(maxConnFraction*float64(l.capacity()))
 }
 
-// Give takes bytes back and grants what fits now: answers before new jobs.
-func (l *Ledger) Give(now time.Duration, k Kind, bytes int64, large bool) {
+// Release takes bytes back and grants what fits now: answers before new jobs.
+func (l *Ledger) Release(now time.Duration, k Kind, bytes int64, large bool) {
 	l.held[k] -= bytes
 	if large {
 		l.large -= bytes
 	}
-	if k == Jobs {
-		l.returned(now, bytes)
+	if k == Requests {
+		l.recordRelease(now, bytes)
 	}
-	l.grant(now)
-	l.weigh()
+	l.grantQueued(now)
+	l.updatePressure()
 }
 
-func (l *Ledger) returned(now time.Duration, bytes int64) {
-	gap := max(now-l.rateAt, 0)
-	l.rate = l.rate*math.Exp(-float64(gap)/float64(rateAge)) + float64(bytes)/rateAge.Seconds()
-	l.rateAt = now
+func (l *Ledger) recordRelease(now time.Duration, bytes int64) {
+	gap := max(now-l.rateUpdated, 0)
+	l.releaseRate = l.releaseRate*math.Exp(-float64(gap)/float64(rateTimeConstant)) + float64(bytes)/rateTimeConstant.Seconds()
+	l.rateUpdated = now
 }
 
-func (l *Ledger) grant(now time.Duration) {
-	for len(l.inside) > 0 && l.fits(l.inside[0]) {
-		l.admit(l.inside[0])
+func (l *Ledger) grantQueued(now time.Duration) {
+	for len(l.answers) > 0 && l.fits(l.answers[0]) {
+		l.grant(l.answers[0])
 	}
-	for i := 0; i < len(l.door); {
-		a := l.door[i]
+	for i := 0; i < len(l.requests); {
+		a := l.requests[i]
 		switch {
 		case a.Until <= now: // it is about to leave by itself
 			i++
-		case l.fits(a) && !(a.isLarge() && len(l.inside) > 0):
-			l.admit(a)
+		case l.fits(a) && !(a.isLarge() && len(l.answers) > 0):
+			l.grant(a)
 		case a.isLarge():
 			i++ // the small ones behind it do not need its share
 		default:
@@ -286,68 +288,68 @@
 	}
 }
 
-func (l *Ledger) admit(a *Ask) {
-	l.leave(a)
+func (l *Ledger) grant(a *Reservation) {
+	l.dequeue(a)
 	l.take(a)
 	a.granted()
 }
 
-// Leave ends the waiting of an ask. It tells whether the ask was still waiting: if not, it has been granted or lost.
-func (l *Ledger) Leave(now time.Duration, a *Ask) bool {
+// Cancel ends the waiting of an ask. It tells whether the ask was still waiting: if not, it has been granted or lost.
+func (l *Ledger) Cancel(now time.Duration, a *Reservation) bool {
 	if !a.waiting {
 		return false
 	}
-	l.leave(a)
-	l.grant(now) // it may have stood before others
-	l.weigh()
+	l.dequeue(a)
+	l.grantQueued(now) // it may have stood before others
+	l.updatePressure()
 	return true
 }
 
-func (l *Ledger) leave(a *Ask) {
+func (l *Ledger) dequeue(a *Reservation) {
 	a.waiting = false
-	same := func(o *Ask) bool { return o == a }
-	l.door = slices.DeleteFunc(l.door, same)
-	l.inside = slices.DeleteFunc(l.inside, same)
+	same := func(o *Reservation) bool { return o == a }
+	l.requests = slices.DeleteFunc(l.requests, same)
+	l.answers = slices.DeleteFunc(l.answers, same)
 }
 
-// Advice is how long one that was refused so many bytes had better stay away: until the jobs that hold the room and
+// RetryAfter is how long one that was refused so many bytes had better stay away: until the jobs that hold the room and
 // the asks that wait before it have given back enough at the present rate. 0: nothing is known of the rate.
-func (l *Ledger) Advice(now time.Duration, bytes int64) time.Duration {
-	rate := l.rate * math.Exp(-float64(max(now-l.rateAt, 0))/float64(rateAge))
+func (l *Ledger) RetryAfter(now time.Duration, bytes int64) time.Duration {
+	rate := l.releaseRate * math.Exp(-float64(max(now-l.rateUpdated, 0))/float64(rateTimeConstant))
 	if rate < 1 {
 		return 0
 	}
-	need := l.sum() + bytes - l.room()
-	if bytes >= LargeFrom {
-		need = max(need, l.large+bytes-l.largeRoom())
+	need := l.sum() + bytes - l.capacity()
+	if bytes >= LargeBytes {
+		need = max(need, l.large+bytes-l.largeCapacity())
 	}
-	for _, o := range l.door {
+	for _, o := range l.requests {
 		need += o.Bytes
 	}
 	return time.Duration(min(float64(max(need, 0))/rate, 60) * float64(time.Second))
 }
 
 // weigh sets the degree of pressure.
-func (l *Ledger) weigh() {
-	used := float64(l.sum()) / float64(max(l.room(), 1))
-	if len(l.door) > 0 {
+func (l *Ledger) updatePressure() {
+	used := float64(l.sum()) / float64(max(l.capacity(), 1))
+	if len(l.requests) > 0 {
 		used = max(used, largeAt)
-		if !l.door[len(l.door)-1].isLarge() || !l.door[0].isLarge() {
+		if !l.requests[len(l.requests)-1].isLarge() || !l.requests[0].isLarge() {
 			used = max(used, dearAt)
 		}
 	}
-	at := [degrees]float64{0, trimAt, idleAt, largeAt, dearAt}
-	for l.degree < Dear && used >= at[l.degree+1] {
-		l.degree++
+	at := [pressures]float64{0, trimAt, idleAt, largeAt, dearAt}
+	for l.pressure < QueueAll && used >= at[l.pressure+1] {
+		l.pressure++
 	}
-	for l.degree > Calm && used < at[l.degree]-slackening {
-		l.degree--
+	for l.pressure > NoPressure && used < at[l.pressure]-hysteresis {
+		l.pressure--
 	}
 }
 
 // Resize makes the budget smaller than it was set, or as large again.
 func (l *Ledger) Resize(now time.Duration, bytes int64) {
-	l.total = min(max(bytes, leastTotal), l.full)
-	l.grant(now)
-	l.weigh()
+	l.total = min(max(bytes, minTotal), l.size)
+	l.grantQueued(now)
+	l.updatePressure()
 }
--- a/internal/budget/ledger_test.go
+++ b/internal/budget/ledger_test.go
@@ -16,21 +16,21 @@
 type desk struct {
 	l       *Ledger
 	now     time.Duration
-	asks    map[string]*Ask
+	asks    map[string]*Reservation
 	granted []string
 }
 
 func newDesk(bytes int64, queue int) *desk {
-	return &desk{l: NewLedger(bytes, queue), asks: map[string]*Ask{}}
+	return &desk{l: NewLedger(bytes, queue), asks: map[string]*Reservation{}}
 }
 
-func (d *desk) ask(name string, a Ask) Reply {
+func (d *desk) ask(name string, a Reservation) Decision {
 	if a.Until == 0 {
 		a.Until = time.Hour
 	}
 	d.asks[name] = &a
-	return d.l.Ask(d.now, &a, func() {
-		if !a.Lost() {
+	return d.l.Reserve(d.now, &a, func() {
+		if !a.Dropped() {
 			d.granted = append(d.granted, name)
 		}
 	})
@@ -38,39 +38,41 @@
 
 func (d *desk) give(name string) {
 	a := d.asks[name]
-	d.l.Give(d.now, a.Kind, a.Bytes, a.isLarge())
+	d.l.Release(d.now, a.Kind, a.Bytes, a.isLarge())
 }
 
 // fill takes all that large asks may have, in parts of 60 KiB.
 func (d *desk) fill() {
-	for i := 0; d.ask(fmt.Sprint("large", i), Ask{Kind: Jobs, Bytes: 60 << 10, Worth: 1, Until: -1}) == Granted; i++ {
+	for i := 0; d.ask(fmt.Sprint("large", i), Reservation{Kind: Requests, Bytes: 60 << 10, Value: 1, Until: -1}) == Granted; i++ {
 	}
 }
 
-func job(bytes int64, worth float64) Ask { return Ask{Kind: Jobs, Bytes: bytes, Worth: worth} }
+func job(bytes int64, worth float64) Reservation {
+	return Reservation{Kind: Requests, Bytes: bytes, Value: worth}
+}
 
 // With all the room for large bodies taken, what waits is granted by worth to bytes and small asks
 // pass all of it.
 func TestOrderAtTheDoor(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		asks  []Ask
+		asks  []Reservation
 		first string // the grants once one large ask has come back
 	}{
-		{"of like worth, the first to come", []Ask{job(64<<10, 1), job(64<<10, 1)}, "w0"},
-		{"of like size, the dearer", []Ask{job(64<<10, 1), job(64<<10, 2)}, "w1"},
-		{"of like worth, the smaller", []Ask{job(64<<10, 1), job(16<<10, 1)}, "w1"},
-		{"more for what is held already, before all", []Ask{job(16<<10, 9), {Kind: Jobs, Bytes: 64 << 10, Worth: 1, Grown: true}}, "w1"},
-		{"an answer before any job", []Ask{job(16<<10, 9), {Kind: Answers, Bytes: 400 << 10}}, "w1"},
+		{"of like worth, the first to come", []Reservation{job(64<<10, 1), job(64<<10, 1)}, "w0"},
+		{"of like size, the dearer", []Reservation{job(64<<10, 1), job(64<<10, 2)}, "w1"},
+		{"of like worth, the smaller", []Reservation{job(64<<10, 1), job(16<<10, 1)}, "w1"},
+		{"more for what is held already, before all", []Reservation{job(16<<10, 9), {Kind: Requests, Bytes: 64 << 10, Value: 1, Extends: true}}, "w1"},
+		{"an answer before any job", []Reservation{job(16<<10, 9), {Kind: Answers, Bytes: 400 << 10}}, "w1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := newDesk(mb, 9)
 			d.fill()
 			if c.asks[1].Kind == Answers { // all but what an answer will need
-				d.l.Must(Conns, 300<<10)
+				d.l.ForceReserve(Conns, 300<<10)
 			}
 			for i, a := range c.asks {
-				if got := d.ask(fmt.Sprint("w", i), a); got != Wait {
+				if got := d.ask(fmt.Sprint("w", i), a); got != Queued {
 					t.Fatalf("ask %d: %v", i, got)
 				}
 			}
@@ -95,10 +97,10 @@
 	if small < 50 {
 		t.Errorf("%d small asks found room", small)
 	}
-	if got := d.ask("answer", Ask{Kind: Answers, Bytes: 64 << 10}); got != Granted {
+	if got := d.ask("answer", Reservation{Kind: Answers, Bytes: 64 << 10}); got != Granted {
 		t.Errorf("with the door shut an answer is told %v", got)
 	}
-	if d.l.Spare(4 << 10) {
+	if d.l.HasRoomForConn(4 << 10) {
 		t.Error("with the door shut there is room for a connection")
 	}
 }
@@ -106,26 +108,26 @@
 // What waits too long, is more than could ever be granted or finds the queue full of better ones is refused.
 func TestRefusals(t *testing.T) {
 	d := newDesk(mb, 2)
-	got := []Reply{d.ask("too large", job(mb, 1))}
+	got := []Decision{d.ask("too large", job(mb, 1))}
 	d.fill()
-	got = append(got, d.ask("late", Ask{Kind: Jobs, Bytes: 64 << 10, Worth: 9, Until: -1}),
+	got = append(got, d.ask("late", Reservation{Kind: Requests, Bytes: 64 << 10, Value: 9, Until: -1}),
 		d.ask("second", job(64<<10, 3)), d.ask("cheap", job(64<<10, 2)), d.ask("dear", job(64<<10, 4)),
 		d.ask("cheapest", job(64<<10, 1)))
-	want := []Reply{Refused, Refused, Wait, Wait, Wait, Refused}
+	want := []Decision{Rejected, Rejected, Queued, Queued, Queued, Rejected}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if !d.asks["cheap"].Lost() || d.l.Waiting() != 2 {
+	if !d.asks["cheap"].Dropped() || d.l.Waiting() != 2 {
 		t.Errorf("%d wait, and not the dearest", d.l.Waiting())
 	}
-	if !d.l.Drop() || !d.asks["second"].Lost() {
+	if !d.l.DropLarge() || !d.asks["second"].Dropped() {
 		t.Error("the least worth is not the one that is dropped")
 	}
 }
 
 func TestAdviceFollowsTheRate(t *testing.T) {
 	d := newDesk(mb, 9)
-	if d.l.Advice(0, 64<<10) != 0 {
+	if d.l.RetryAfter(0, 64<<10) != 0 {
 		t.Error("advice without any knowledge")
 	}
 	d.fill()
@@ -134,10 +136,10 @@
 		d.give("large0")
 		d.ask("large0", job(60<<10, 1))
 	}
-	if got := d.l.Advice(d.now, 64<<10); got < 100*time.Millisecond || got > 500*time.Millisecond {
+	if got := d.l.RetryAfter(d.now, 64<<10); got < 100*time.Millisecond || got > 500*time.Millisecond {
 		t.Errorf("come again in %v", got)
 	}
-	if a, b := d.l.Advice(d.now, 64<<10), d.l.Advice(d.now+3*time.Second, 64<<10); b <= a {
+	if a, b := d.l.RetryAfter(d.now, 64<<10), d.l.RetryAfter(d.now+3*time.Second, 64<<10); b <= a {
 		t.Errorf("%v, and %v once nothing comes back", a, b)
 	}
 }
@@ -147,18 +149,18 @@
 	l := NewLedger(mb, 9)
 	var seen []string
 	note := func() {
-		if n := len(seen); n == 0 || seen[n-1] != l.Degree().String() {
-			seen = append(seen, l.Degree().String())
+		if n := len(seen); n == 0 || seen[n-1] != l.Pressure().String() {
+			seen = append(seen, l.Pressure().String())
 		}
 	}
 	const step = 8 << 10
 	n := 0
-	for ; l.sum() < l.room(); n++ {
-		l.Must(Conns, step)
+	for ; l.sum() < l.capacity(); n++ {
+		l.ForceReserve(Conns, step)
 		note()
 	}
 	for ; n > 0; n-- {
-		l.Give(0, Conns, step, false)
+		l.Release(0, Conns, step, false)
 		note()
 	}
 	if diff := cmp.Diff("calm trim idle large dear large idle trim calm", strings.Join(seen, " ")); diff != "" {
@@ -172,8 +174,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger(int64(rapid.IntRange(1, 4).Draw(t, "MB"))*mb, rapid.IntRange(1, 8).Draw(t, "queue"))
 		now := time.Duration(0)
-		var out, waiting []*Ask
-		told := map[*Ask]int{}
+		var out, waiting []*Reservation
+		told := map[*Reservation]int{}
 		settle := func() {
 			rest := waiting[:0]
 			for _, a := range waiting {
@@ -182,7 +184,7 @@
 					t.Fatal("told twice")
 				case told[a] == 0:
 					rest = append(rest, a)
-				case !a.Lost():
+				case !a.Dropped():
 					out = append(out, a)
 				}
 			}
@@ -193,54 +195,54 @@
 			now += time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond
 			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
 			case what <= 2:
-				kinds := []Kind{Jobs, Jobs, Answers}
-				a := &Ask{Kind: kinds[what], Bytes: int64(rapid.IntRange(0, 80<<10).Draw(t, "bytes")),
-					Worth: rapid.Float64Range(0.1, 3).Draw(t, "worth"), Until: now + time.Hour}
-				switch l.Ask(now, a, func() { told[a]++ }) {
+				kinds := []Kind{Requests, Requests, Answers}
+				a := &Reservation{Kind: kinds[what], Bytes: int64(rapid.IntRange(0, 80<<10).Draw(t, "bytes")),
+					Value: rapid.Float64Range(0.1, 3).Draw(t, "worth"), Until: now + time.Hour}
+				switch l.Reserve(now, a, func() { told[a]++ }) {
 				case Granted:
 					out = append(out, a)
 					if l.sum() > l.total {
 						t.Fatalf("%d of %d are held", l.sum(), l.total)
 					}
-				case Wait:
+				case Queued:
 					waiting = append(waiting, a)
 				}
 			case what == 3 && len(out) > 0:
 				i := rapid.IntRange(0, len(out)-1).Draw(t, "back")
 				a := out[i]
 				out = append(out[:i], out[i+1:]...)
-				l.Give(now, a.Kind, a.Bytes, a.isLarge())
+				l.Release(now, a.Kind, a.Bytes, a.isLarge())
 			case what == 4 && len(waiting) > 0:
 				i := rapid.IntRange(0, len(waiting)-1).Draw(t, "leaves")
 				a := waiting[i]
-				if !l.Leave(now, a) && told[a] == 0 {
+				if !l.Cancel(now, a) && told[a] == 0 {
 					t.Fatal("it neither waited nor was told")
 				}
 				if told[a] == 0 {
 					waiting = append(waiting[:i], waiting[i+1:]...)
 				}
 			case what == 5:
-				l.Must(Conns, 20<<10)
+				l.ForceReserve(Conns, 20<<10)
 				forced++
 			}
 			settle()
-			if len(l.inside) > 0 && l.fits(l.inside[0]) {
+			if len(l.answers) > 0 && l.fits(l.answers[0]) {
 				t.Fatal("an answer waits that fits")
 			}
-			if len(l.inside) == 0 && len(l.door) > 0 && l.fits(l.door[0]) {
+			if len(l.answers) == 0 && len(l.requests) > 0 && l.fits(l.requests[0]) {
 				t.Fatal("the first at the door waits and fits")
 			}
 		}
 		for range forced {
-			l.Give(now, Conns, 20<<10, false)
+			l.Release(now, Conns, 20<<10, false)
 		}
 		for settle(); len(out) > 0; settle() {
 			a := out[0]
 			out = out[1:]
-			l.Give(now, a.Kind, a.Bytes, a.isLarge())
+			l.Release(now, a.Kind, a.Bytes, a.isLarge())
 		}
-		if l.sum() != 0 || l.large != 0 || len(waiting) != 0 || l.Degree() != Calm {
-			t.Fatalf("in the end %d bytes held, %d large, %d waiting, %v", l.sum(), l.large, len(waiting), l.Degree())
+		if l.sum() != 0 || l.large != 0 || len(waiting) != 0 || l.Pressure() != NoPressure {
+			t.Fatalf("in the end %d bytes held, %d large, %d waiting, %v", l.sum(), l.large, len(waiting), l.Pressure())
 		}
 	})
 }
--- a/internal/front/http/conn.go
+++ b/internal/front/http/conn.go
@@ -135,7 +135,7 @@
 		c.received = false
 		if busy {
 			c.busySince = time.Now()
-			c.requestCharge = c.listener.gate.Must(budget.Conns, busyBytes)
+			c.requestCharge = c.listener.gate.ForceReserve(budget.Conns, busyBytes)
 		} else {
 			c.requestCharge.Release()
 			c.requestCharge = nil
--- a/internal/front/http/evict.go
+++ b/internal/front/http/evict.go
@@ -24,7 +24,7 @@
 // waitForCapacity waits until a connection may be accepted. Once the listener is closed it returns net.ErrClosed.
 func (l *listener) waitForCapacity() error {
 	for {
-		lacking := !l.gate.Spare(connBytes + busyBytes)
+		lacking := !l.gate.HasRoomForConn(connBytes + busyBytes)
 		short := lacking && socket.Pending(l.Listener) // else it keeps nobody out
 		l.memoryShort.Store(short)
 		wait, full := l.evict(short)
@@ -35,7 +35,7 @@
 			// A client that waits for a large body's bytes occupies a connection meanwhile: it had better be rejected
 			// than that others are not served at all.
 			if short && wait > memoryPollInterval {
-				l.gate.Drop(rejectedPerPoll)
+				l.gate.DropLarge(rejectedPerPoll)
 			}
 			wait = memoryPollInterval // bytes are released in other ways as well
 		}
--- a/internal/front/http/listener.go
+++ b/internal/front/http/listener.go
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	quiet := socket.Quiet(nc) // it may have stood in the backlog for a while
-	c := &watchedConn{Conn: nc, listener: l, connCharge: l.gate.Must(budget.Conns, connBytes),
+	c := &watchedConn{Conn: nc, listener: l, connCharge: l.gate.ForceReserve(budget.Conns, connBytes),
 		idleSince: time.Now().Add(-quiet), firstDeadline: time.Now().Add(max(readTimeout-quiet, minReadTimeout))}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/front/http/reject.go
+++ b/internal/front/http/reject.go
@@ -81,7 +81,7 @@
 	if !s.options.Limits.RetryAfter {
 		return
 	}
-	after := s.options.Gate.Advice(requestBytes + int64(max(ctx.Request.Header.ContentLength(), 0)))
+	after := s.options.Gate.RetryAfter(requestBytes + int64(max(ctx.Request.Header.ContentLength(), 0)))
 	if longest := s.options.Limits.MaxRetryAfter; longest > 0 {
 		after = min(after, longest)
 	}
--- a/internal/front/http/server_test.go
+++ b/internal/front/http/server_test.go
@@ -35,7 +35,7 @@
 func (s *scriptedRelay) Withdraw(id uint64) {
 	s.stage.Event(fmt.Sprint("withdrawn ", id))
 	req := <-s.requests
-	req.Answer(relay.Answer{Charge: s.gate.Must(budget.Answers, 9)}) // it crosses the withdrawal
+	req.Answer(relay.Answer{Charge: s.gate.ForceReserve(budget.Answers, 9)}) // it crosses the withdrawal
 	req.Payload.Charge.Release()
 }
 func (s *scriptedRelay) Ready() bool { return true }
@@ -45,7 +45,7 @@
 	defer req.Payload.Charge.Release() // as the relay does once the request has ended
 	switch kind, body, _ := strings.Cut(text, " "); kind {
 	case "served":
-		req.Answer(relay.Answer{Body: []byte(body), ContentType: "text/x", Charge: s.gate.Must(budget.Answers, int64(len(body)))})
+		req.Answer(relay.Answer{Body: []byte(body), ContentType: "text/x", Charge: s.gate.ForceReserve(budget.Answers, int64(len(body)))})
 	case "rejected":
 		req.Answer(relay.Answer{Kind: relay.Rejected, RetryAfter: 250 * time.Millisecond})
 	case "failed":
@@ -300,7 +300,7 @@
 			start(f, ln)
 			var taken []*budget.Charge
 			take := func() (err error) {
-				c, err := gate.Enter(budget.Ask{Kind: budget.Jobs, Bytes: 64 << 10, Worth: 1}, time.Now(), nil)
+				c, err := gate.Reserve(budget.Reservation{Kind: budget.Requests, Bytes: 64 << 10, Value: 1}, time.Now(), nil)
 				if err == nil {
 					taken = append(taken, c)
 				}
@@ -343,8 +343,8 @@
 	ln := scenario.Listen(t)
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 	gate := budget.NewGate(1<<20, 9)
-	for gate.Spare(2*connBytes + busyBytes) {
-		gate.Must(budget.Lists, 1<<10)
+	for gate.HasRoomForConn(2*connBytes + busyBytes) {
+		gate.ForceReserve(budget.Lists, 1<<10)
 	}
 	f := New(&scriptedRelay{stage: stage}, Options{Gate: gate}, zerolog.Nop())
 	f.SetMaxConns(10)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -75,7 +75,7 @@
 }
 
 func (b *bench) submitAs(id uint64, call, class string) {
-	b.Submit(Request{Class: class, Expires: time.Now().Add(time.Second), Payload: &Payload{CallID: call, Charge: b.gate.Must(budget.Jobs, 1)}, Answer: func(a Answer) {
+	b.Submit(Request{Class: class, Expires: time.Now().Add(time.Second), Payload: &Payload{CallID: call, Charge: b.gate.ForceReserve(budget.Requests, 1)}, Answer: func(a Answer) {
 		a.Charge.Release()
 		b.note("answer %d %s%s", id, [...]string{"served ", "rejected", "failed", "duplicate"}[a.Kind], a.Body)
 	}})
@@ -84,7 +84,7 @@
 
 func (b *bench) outcome(request uint64, o logic.Outcome, body string) {
 	b.report(b.attempts[request].ID, Result{Outcome: o, At: time.Now(), Body: []byte(body),
-		Charge: b.gate.Must(budget.Answers, int64(len(body)))})
+		Charge: b.gate.ForceReserve(budget.Answers, int64(len(body)))})
 	synctest.Wait()
 }
 
--- a/internal/resident/resident.go
+++ b/internal/resident/resident.go
@@ -136,17 +136,17 @@
 
 // Watch keeps a gate and the collector in step with the system until stop is closed. relieve is called, on its
 // goroutine, at every look under pressure, with the present degree.
-func Watch(p Plan, gate *budget.Gate, relieve func(budget.Degree), log zerolog.Logger, stop <-chan struct{}) {
+func Watch(p Plan, gate *budget.Gate, relieve func(budget.Pressure), log zerolog.Logger, stop <-chan struct{}) {
 	w := &watch{plan: p, gate: gate, relieve: relieve, log: log, full: gate.State().Total}
 	w.look()
 	for {
 		wait := pace
-		if w.degree > budget.Calm || w.owed {
+		if w.degree > budget.NoPressure || w.owed {
 			wait = pressing
 		}
 		timer := time.NewTimer(wait)
 		select {
-		case <-gate.Pressed():
+		case <-gate.PressureChanged():
 			w.step()
 		case <-timer.C:
 			w.look()
@@ -161,11 +161,11 @@
 type watch struct {
 	plan    Plan
 	gate    *budget.Gate
-	relieve func(budget.Degree)
+	relieve func(budget.Pressure)
 	log     zerolog.Logger
 	full    int64
 	sizes   Sizes // at the last look
-	degree  budget.Degree
+	degree  budget.Pressure
 	percent int
 	limit   int64
 	owed    bool // memory is to be given back to the system
@@ -177,17 +177,17 @@
 // step takes in the degree, and tells where each begins and ends.
 func (w *watch) step() {
 	s := w.gate.State()
-	for w.degree < s.Degree {
+	for w.degree < s.Pressure {
 		w.degree++
 		w.log.Warn().Stringer("degree", w.degree).Int64("held", s.Sum()).Int64("of", s.Total).Int("waiting", s.Waiting).
 			Msg("memory pressure begins")
 	}
-	for w.degree > s.Degree {
+	for w.degree > s.Pressure {
 		w.log.Info().Stringer("degree", w.degree).Int64("held", s.Sum()).Int64("of", s.Total).Msg("memory pressure ends")
 		w.degree--
 		w.calm = time.Now()
 	}
-	if w.degree > budget.Calm {
+	if w.degree > budget.NoPressure {
 		w.owed = true
 		w.relieve(w.degree)
 	}
@@ -232,10 +232,10 @@
 		w.log.Info().Int64("in all", w.shrunk).Msg("the budget has its full size again")
 		w.shrunk = 0
 	}
-	if !w.owed && w.degree == budget.Calm && time.Since(w.freed) > freeing && w.plan.Surplus(sizes, s.Sum()) {
+	if !w.owed && w.degree == budget.NoPressure && time.Since(w.freed) > freeing && w.plan.Surplus(sizes, s.Sum()) {
 		w.owed, w.calm = true, time.Now()
 	}
-	if w.owed && w.degree == budget.Calm && time.Since(w.calm) > resting {
+	if w.owed && w.degree == budget.NoPressure && time.Since(w.calm) > resting {
 		w.owed, w.freed = false, time.Now()
 		debug.FreeOSMemory()
 	}
--- a/internal/resident/resident_test.go
+++ b/internal/resident/resident_test.go
@@ -88,10 +88,10 @@
 		t.Errorf("%+v", sizes)
 	}
 	gate := budget.NewGate(4*mb, 1)
-	asked := make(chan budget.Degree, 64)
+	asked := make(chan budget.Pressure, 64)
 	stop, ended := make(chan struct{}), make(chan struct{})
 	go func() {
-		Watch(NewPlan(1<<40, sizes), gate, func(d budget.Degree) {
+		Watch(NewPlan(1<<40, sizes), gate, func(d budget.Pressure) {
 			select {
 			case asked <- d:
 			default:
@@ -99,8 +99,8 @@
 		}, zerolog.Nop(), stop)
 		close(ended)
 	}()
-	held := gate.Must(budget.Conns, 3*mb)
-	for want := budget.Idle; ; {
+	held := gate.ForceReserve(budget.Conns, 3*mb)
+	for want := budget.CloseIdle; ; {
 		select {
 		case d := <-asked:
 			if d < want {
--- a/internal/source/platform/members.go
+++ b/internal/source/platform/members.go
@@ -28,7 +28,7 @@
 			delete(a.usedIDs, entry.ID)
 		}
 	}
-	charge := a.gate.Must(budget.Lists, int64(len(a.ids)*listedBytes))
+	charge := a.gate.ForceReserve(budget.Lists, int64(len(a.ids)*listedBytes))
 	a.charge.Release()
 	a.charge = charge
 	a.sink.UpdateMembers(m)
--- a/internal/source/platform/source.go
+++ b/internal/source/platform/source.go
@@ -197,7 +197,7 @@
 // add charges one more entry.
 func (r *readCharges) add() {
 	if r.entries++; r.entries%entriesPerCharge == 1 {
-		r.charges = append(r.charges, r.gate.Must(budget.Lists, entriesPerCharge*readBytes))
+		r.charges = append(r.charges, r.gate.ForceReserve(budget.Lists, entriesPerCharge*readBytes))
 	}
 }
 
--- a/internal/transport/http/conn.go
+++ b/internal/transport/http/conn.go
@@ -47,7 +47,7 @@
 
 func newConn(s *server, nc net.Conn, addr string) *conn {
 	return &conn{server: s, nc: nc, addr: addr, closed: make(chan struct{}),
-		connCharge: s.transport.options.Gate.Must(budget.Conns, connBytes)}
+		connCharge: s.transport.options.Gate.ForceReserve(budget.Conns, connBytes)}
 }
 
 // stopIdleTimer ends the idle time of a connection.
--- a/internal/transport/http/server_test.go
+++ b/internal/transport/http/server_test.go
@@ -183,7 +183,7 @@
 			claim := func(patience time.Duration) func(string) {
 				return func(id string) {
 					c := newAttempt(id, patience)
-					c.Payload.Charge = gate.Must(budget.Jobs, 4)
+					c.Payload.Charge = gate.ForceReserve(budget.Requests, 4)
 					jobs.Store(c.ID.Request, c.Payload.Charge)
 					n.Start(c)
 				}
@@ -215,7 +215,7 @@
 			ln := scenario.Listen(t)
 			stage := scenario.NewStage(scenario.Accepter(ln))
 			gate := budget.NewGate(1<<20, 9)
-			full := gate.Must(budget.Lists, 1<<20)
+			full := gate.ForceReserve(budget.Lists, 1<<20)
 			n := openMember(t, stage, relay.Member{Addr: ln.Addr().String()}, gate)
 			stage.Calls["attempt"] = func(id string) { n.Start(newAttempt(id, time.Minute)) }
 			stage.Calls["cancel"] = func(id string) { n.Cancel(newAttempt(id, 0).ID) }
@@ -242,7 +242,7 @@
 	n := openMember(t, stage, relay.Member{Addr: ln.Addr().String()}, gate)
 	c := newAttempt("1", time.Minute)
 	c.Payload.Body = make([]byte, 32<<20) // more than the system takes for a peer that does not read
-	c.Payload.Charge = gate.Must(budget.Jobs, int64(len(c.Payload.Body)))
+	c.Payload.Charge = gate.ForceReserve(budget.Requests, int64(len(c.Payload.Body)))
 	n.Start(c)
 	peer, err := ln.Accept()
 	if err != nil {
@@ -253,12 +253,12 @@
 		t.Fatal(err)
 	}
 	c.Payload.Charge.Release()
-	if held := gate.State().Held[budget.Jobs]; held == 0 {
+	if held := gate.State().Held[budget.Requests]; held == 0 {
 		t.Error("bytes came back while they were written")
 	}
 	n.Cancel(c.ID)
 	stage.Play(t, "wait 1 canceled")
-	scenario.Await(t, "the body's bytes have come back", func() bool { return gate.State().Held[budget.Jobs] == 0 })
+	scenario.Await(t, "the body's bytes have come back", func() bool { return gate.State().Held[budget.Requests] == 0 })
 	n.Close()
 }
 
