--- a/internal/budget/gate_test.go
+++ b/internal/budget/gate_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// large fills what large asks may hold.
+// fill reserves all that large reservations may have.
 func fill(t *testing.T, g *Gate) []*Charge {
 	t.Helper()
 	var held []*Charge
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestEnterWaits(t *testing.T) {
+func TestReserveWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(mb, 9)
 		held := fill(t, g)
@@ -55,13 +55,13 @@
 	})
 }
 
-// A charge that several hold goes back with the last, and a holder too many is a fault of the program.
-func TestChargeGoesBackOnce(t *testing.T) {
+// A charge with several holders is returned with the last, and one release too many is a fault of the program.
+func TestChargeIsReturnedOnce(t *testing.T) {
 	g := NewGate(mb, 1)
 	c := g.ForceReserve(Lists, 10)
 	c.Hold()
 	c.Release()
-	if s := g.State(); s.Held[Lists] != 10 {
+	if s := g.State(); s.Reserved[Lists] != 10 {
 		t.Errorf("%+v with one holder left", s)
 	}
 	c.Release()
@@ -70,14 +70,14 @@
 	}
 	defer func() {
 		if recover() == nil {
-			t.Error("given back twice without a word")
+			t.Error("released twice without a panic")
 		}
 	}()
 	c.Release()
 }
 
-// Many goroutines that come, wait, lose patience and go leave nothing behind. Run under the race detector.
-func TestGateUnderManyHands(t *testing.T) {
+// Many goroutines that reserve, wait, time out and release leave nothing reserved. It is of use with the race detector.
+func TestGateUnderManyGoroutines(t *testing.T) {
 	g := NewGate(2*mb, 16)
 	var all sync.WaitGroup
 	for seed := range uint64(64) {
@@ -100,7 +100,7 @@
 		if g.State().Sum() == 0 {
 			break
 		}
-		time.Sleep(time.Millisecond) // the last of the goroutines that give back
+		time.Sleep(time.Millisecond) // the last of the goroutines that release
 	}
 	if s := g.State(); s.Sum() != 0 || s.Waiting != 0 {
 		t.Errorf("%+v is left", s)
--- a/internal/budget/ledger_test.go
+++ b/internal/budget/ledger_test.go
@@ -12,7 +12,7 @@
 
 const mb = 1 << 20
 
-// desk plays asks against a ledger and writes down the order of the grants.
+// desk plays reservations against a ledger and records the order of the grants.
 type desk struct {
 	l       *Ledger
 	now     time.Duration
@@ -20,8 +20,9 @@
 	granted []string
 }
 
-func newDesk(bytes int64, queue int) *desk {
-	return &desk{l: NewLedger(bytes, queue), asks: map[string]*Reservation{}}
+// newDesk has a ledger of a megabyte.
+func newDesk(maxQueue int) *desk {
+	return &desk{l: NewLedger(mb, maxQueue), asks: map[string]*Reservation{}}
 }
 
 func (d *desk) ask(name string, a Reservation) Decision {
@@ -41,32 +42,31 @@
 	d.l.Release(d.now, a.Kind, a.Bytes, a.isLarge())
 }
 
-// fill takes all that large asks may have, in parts of 60 KiB.
+// fill reserves all that large reservations may have, in parts of 60 KiB.
 func (d *desk) fill() {
 	for i := 0; d.ask(fmt.Sprint("large", i), Reservation{Kind: Requests, Bytes: 60 << 10, Value: 1, Until: -1}) == Granted; i++ {
 	}
 }
 
-func job(bytes int64, worth float64) Reservation {
+func request(bytes int64, worth float64) Reservation {
 	return Reservation{Kind: Requests, Bytes: bytes, Value: worth}
 }
 
-// With all the room for large bodies taken, what waits is granted by worth to bytes and small asks
-// pass all of it.
-func TestOrderAtTheDoor(t *testing.T) {
+// With all bytes for large bodies reserved, the queue is granted by value per byte, and small reservations pass all of it.
+func TestQueuedRequestsAreGrantedByValuePerByte(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		asks  []Reservation
 		first string // the grants once one large ask has come back
 	}{
-		{"of like worth, the first to come", []Reservation{job(64<<10, 1), job(64<<10, 1)}, "w0"},
-		{"of like size, the dearer", []Reservation{job(64<<10, 1), job(64<<10, 2)}, "w1"},
-		{"of like worth, the smaller", []Reservation{job(64<<10, 1), job(16<<10, 1)}, "w1"},
-		{"more for what is held already, before all", []Reservation{job(16<<10, 9), {Kind: Requests, Bytes: 64 << 10, Value: 1, Extends: true}}, "w1"},
-		{"an answer before any job", []Reservation{job(16<<10, 9), {Kind: Answers, Bytes: 400 << 10}}, "w1"},
+		{"of equal value, the first to arrive", []Reservation{request(64<<10, 1), request(64<<10, 1)}, "w0"},
+		{"of equal size, the one of more value", []Reservation{request(64<<10, 1), request(64<<10, 2)}, "w1"},
+		{"of equal value, the smaller", []Reservation{request(64<<10, 1), request(16<<10, 1)}, "w1"},
+		{"an extension, before all", []Reservation{request(16<<10, 9), {Kind: Requests, Bytes: 64 << 10, Value: 1, Extends: true}}, "w1"},
+		{"an answer before any request", []Reservation{request(16<<10, 9), {Kind: Answers, Bytes: 400 << 10}}, "w1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newDesk(mb, 9)
+			d := newDesk(9)
 			d.fill()
 			if c.asks[1].Kind == Answers { // all but what an answer will need
 				d.l.ForceReserve(Conns, 300<<10)
@@ -87,32 +87,32 @@
 	}
 }
 
-func TestSmallAsksPassLargeOnesThatWait(t *testing.T) {
-	d := newDesk(mb, 9)
+func TestSmallReservationsPassQueuedLargeOnes(t *testing.T) {
+	d := newDesk(9)
 	d.fill()
 	small := 0
-	for d.ask("small", job(4<<10, 0.1)) == Granted {
+	for d.ask("small", request(4<<10, 0.1)) == Granted {
 		small++
 	}
 	if small < 50 {
-		t.Errorf("%d small asks found room", small)
+		t.Errorf("%d small reservations were granted", small)
 	}
 	if got := d.ask("answer", Reservation{Kind: Answers, Bytes: 64 << 10}); got != Granted {
-		t.Errorf("with the door shut an answer is told %v", got)
+		t.Errorf("with nothing admitted the decision on an answer is %v", got)
 	}
-	if d.l.HasRoomForConn(4 << 10) {
-		t.Error("with the door shut there is room for a connection")
+	if d.l.FitsConn(4 << 10) {
+		t.Error("with nothing admitted there is room for a connection")
 	}
 }
 
 // What waits too long, is more than could ever be granted or finds the queue full of better ones is refused.
-func TestRefusals(t *testing.T) {
-	d := newDesk(mb, 2)
-	got := []Decision{d.ask("too large", job(mb, 1))}
+func TestRejections(t *testing.T) {
+	d := newDesk(2)
+	got := []Decision{d.ask("too large", request(mb, 1))}
 	d.fill()
 	got = append(got, d.ask("late", Reservation{Kind: Requests, Bytes: 64 << 10, Value: 9, Until: -1}),
-		d.ask("second", job(64<<10, 3)), d.ask("cheap", job(64<<10, 2)), d.ask("dear", job(64<<10, 4)),
-		d.ask("cheapest", job(64<<10, 1)))
+		d.ask("second", request(64<<10, 3)), d.ask("cheap", request(64<<10, 2)), d.ask("dear", request(64<<10, 4)),
+		d.ask("cheapest", request(64<<10, 1)))
 	want := []Decision{Rejected, Rejected, Queued, Queued, Queued, Rejected}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
@@ -125,8 +125,8 @@
 	}
 }
 
-func TestAdviceFollowsTheRate(t *testing.T) {
-	d := newDesk(mb, 9)
+func TestRetryAfterFollowsTheRate(t *testing.T) {
+	d := newDesk(9)
 	if d.l.RetryAfter(0, 64<<10) != 0 {
 		t.Error("advice without any knowledge")
 	}
@@ -134,7 +134,7 @@
 	for i := range 40 { // 640 KiB a second
 		d.now = time.Duration(i) * 100 * time.Millisecond
 		d.give("large0")
-		d.ask("large0", job(60<<10, 1))
+		d.ask("large0", request(60<<10, 1))
 	}
 	if got := d.l.RetryAfter(d.now, 64<<10); got < 100*time.Millisecond || got > 500*time.Millisecond {
 		t.Errorf("come again in %v", got)
@@ -145,7 +145,7 @@
 }
 
 // Each degree begins and ends once while the room fills and empties.
-func TestDegrees(t *testing.T) {
+func TestPressure(t *testing.T) {
 	l := NewLedger(mb, 9)
 	var seen []string
 	note := func() {
@@ -170,7 +170,7 @@
 
 // Whatever comes, in whatever order: nothing is granted beyond the budget, nothing waits that would fit, every grant
 // is told once, and all bytes come back.
-func TestLedgerKeepsItsPromises(t *testing.T) {
+func TestLedgerKeepsItsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger(int64(rapid.IntRange(1, 4).Draw(t, "MB"))*mb, rapid.IntRange(1, 8).Draw(t, "queue"))
 		now := time.Duration(0)
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -236,7 +236,7 @@
 	defer cancel()
 	err = fronts.Shutdown(ctx, handedOver)
 	left := leftOver(gate)
-	log.Info().Int64("jobs", left.Held[budget.Requests]).Int64("answers", left.Held[budget.Answers]).Msg("ended")
+	log.Info().Int64("jobs", left.Reserved[budget.Requests]).Int64("answers", left.Reserved[budget.Answers]).Msg("ended")
 	return err
 }
 
@@ -252,7 +252,7 @@
 // leftOver tells what is held once all is answered. The last claims may still have to be reported.
 func leftOver(gate *budget.Gate) budget.State {
 	s := gate.State()
-	for end := time.Now().Add(lastClaims); s.Held[budget.Requests]+s.Held[budget.Answers] > 0 && time.Now().Before(end); s = gate.State() {
+	for end := time.Now().Add(lastClaims); s.Reserved[budget.Requests]+s.Reserved[budget.Answers] > 0 && time.Now().Before(end); s = gate.State() {
 		<-time.After(lastClaims / 50)
 	}
 	return s
--- a/internal/front/http/body.go
+++ b/internal/front/http/body.go
@@ -64,27 +64,27 @@
 
 // bodyCharge is the charge of a request while its body is read.
 type bodyCharge struct {
-	gate   *budget.Gate
-	ask    budget.Reservation
-	until  time.Time // when to stop waiting for bytes
-	charge *budget.Charge
+	gate        *budget.Gate
+	reservation budget.Reservation
+	until       time.Time // when to stop waiting for bytes
+	charge      *budget.Charge
 }
 
 // newBodyCharge prepares the charge of a request with a body of some length, below 0 if that is not known.
 func (s *Server) newBodyCharge(req *relay.Request, length int, now time.Time) bodyCharge {
-	ask := budget.Reservation{Kind: budget.Requests, Bytes: requestBytes + int64(length), Value: s.classes.value(req.Class)}
+	r := budget.Reservation{Kind: budget.Requests, Bytes: requestBytes + int64(length), Value: s.classes.value(req.Class)}
 	if length < 0 {
-		ask.Bytes = requestBytes + initialBodyBytes
+		r.Bytes = requestBytes + initialBodyBytes
 	}
 	left := req.Expires.Sub(now)
 	longestWait := min(time.Duration(maxWaitFraction*float64(left)),
 		left-time.Duration(minTimeLeftPerWork*float64(req.ExpectedWork)))
-	return bodyCharge{gate: s.options.Gate, ask: ask, until: now.Add(longestWait)}
+	return bodyCharge{gate: s.options.Gate, reservation: r, until: now.Add(longestWait)}
 }
 
-// enter waits for the bytes of the present ask and sets the charge, or returns errNoMemory with the charge as it was.
+// enter waits for the bytes of the present reservation and sets the charge, or returns errNoMemory with the charge as it was.
 func (c *bodyCharge) enter() error {
-	charge, err := c.gate.Reserve(c.ask, c.until, nil)
+	charge, err := c.gate.Reserve(c.reservation, c.until, nil)
 	if err != nil {
 		return errNoMemory
 	}
@@ -109,7 +109,7 @@
 			return nil, errTooLarge
 		}
 		size := min(bodyGrowth*cap(body), relay.MaxBodySize+1)
-		c.ask.Bytes, c.ask.Extends = requestBytes+int64(size), true
+		c.reservation.Bytes, c.reservation.Extends = requestBytes+int64(size), true
 		previous := c.charge
 		if err := c.enter(); err != nil {
 			return nil, err
--- a/internal/front/http/evict.go
+++ b/internal/front/http/evict.go
@@ -24,7 +24,7 @@
 // waitForCapacity waits until a connection may be accepted. Once the listener is closed it returns net.ErrClosed.
 func (l *listener) waitForCapacity() error {
 	for {
-		lacking := !l.gate.HasRoomForConn(connBytes + busyBytes)
+		lacking := !l.gate.FitsConn(connBytes + busyBytes)
 		short := lacking && socket.Pending(l.Listener) // else it keeps nobody out
 		l.memoryShort.Store(short)
 		wait, full := l.evict(short)
--- a/internal/front/http/server_test.go
+++ b/internal/front/http/server_test.go
@@ -343,7 +343,7 @@
 	ln := scenario.Listen(t)
 	stage := scenario.NewStage(scenario.Dialer(ln.Addr().String()))
 	gate := budget.NewGate(1<<20, 9)
-	for gate.HasRoomForConn(2*connBytes + busyBytes) {
+	for gate.FitsConn(2*connBytes + busyBytes) {
 		gate.ForceReserve(budget.Lists, 1<<10)
 	}
 	f := New(&scriptedRelay{stage: stage}, Options{Gate: gate}, zerolog.Nop())
--- a/internal/transport/http/reader.go
+++ b/internal/transport/http/reader.go
@@ -235,8 +235,8 @@
 // waitForBytes waits for the charge of an answer's body, as long as its connection is open: at the attempt's deadline the
 // actor closes it. The time that an answer may take counts anew from then.
 func (c *conn) waitForBytes(bytes int64) (*budget.Charge, error) {
-	ask := budget.Reservation{Kind: budget.Answers, Bytes: bytes}
-	charge, err := c.server.transport.options.Gate.Reserve(ask, time.Now().Add(maxBytesWait), c.closed)
+	r := budget.Reservation{Kind: budget.Answers, Bytes: bytes}
+	charge, err := c.server.transport.options.Gate.Reserve(r, time.Now().Add(maxBytesWait), c.closed)
 	if now := time.Now(); err == nil && now.Sub(c.answerBegan) > answerTimeout/4 {
 		c.answerBegan, c.bounded = now, true
 		c.setReadDeadline(now.Add(answerTimeout))
--- a/internal/transport/http/server_test.go
+++ b/internal/transport/http/server_test.go
@@ -226,7 +226,7 @@
 			stage.Calls["room"] = func(string) { full.Release() }
 			stage.Play(t, "attempt send 1\n a expect body\n "+reply+"\n waiting send for it\n "+steps)
 			n.Close()
-			scenario.Await(t, "every byte has come back", func() bool { return gate.State().Sum() == gate.State().Held[budget.Lists] })
+			scenario.Await(t, "every byte has come back", func() bool { return gate.State().Sum() == gate.State().Reserved[budget.Lists] })
 		})
 	}
 }
@@ -253,12 +253,12 @@
 		t.Fatal(err)
 	}
 	c.Payload.Charge.Release()
-	if held := gate.State().Held[budget.Requests]; held == 0 {
+	if held := gate.State().Reserved[budget.Requests]; held == 0 {
 		t.Error("bytes came back while they were written")
 	}
 	n.Cancel(c.ID)
 	stage.Play(t, "wait 1 canceled")
-	scenario.Await(t, "the body's bytes have come back", func() bool { return gate.State().Held[budget.Requests] == 0 })
+	scenario.Await(t, "the body's bytes have come back", func() bool { return gate.State().Reserved[budget.Requests] == 0 })
 	n.Close()
 }
 
