--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -71,7 +71,7 @@
 		}
 		d.replacing = true
 		d.reload()
-		d.giveUp = func() {
+		d.cancelReplacement = func() {
 			if taken {
 				d.replaced <- replacement{pid: 1}
 			} else {
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -27,10 +27,10 @@
 	}
 	if *update {
 		folder := t.TempDir()
-		kept := keptFor(folder, "golden")
-		require.NoError(t, kept.write(keySuspended, []string{"early"}))
-		require.NoError(t, kept.write(keyWords, words))
-		require.NoError(t, kept.write(keySuspended, names))
+		kept := newStoredState(folder, "golden")
+		require.NoError(t, kept.save(keySuspended, []string{"early"}))
+		require.NoError(t, kept.save(keyFleetStatements, words))
+		require.NoError(t, kept.save(keySuspended, names))
 		content, err := os.ReadFile(filepath.Join(folder, name))
 		require.NoError(t, err)
 		require.NoError(t, os.WriteFile(golden, content, 0o600))
@@ -39,11 +39,11 @@
 	require.NoError(t, err)
 	folder := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, name), content, 0o600))
-	kept := keptFor(folder, "golden")
+	kept := newStoredState(folder, "golden")
 	var readNames []string
-	require.NoError(t, kept.read("suspended", &readNames))
+	require.NoError(t, kept.load("suspended", &readNames))
 	require.Equal(t, names, readNames)
 	var readWords []verdict.Word
-	require.NoError(t, kept.read("words", &readWords))
+	require.NoError(t, kept.load("words", &readWords))
 	require.Equal(t, words, readWords)
 }
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -71,21 +71,21 @@
 func Main(start StartFleet) {
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	if len(os.Args) > 1 {
-		fmt.Fprintln(os.Stderr, "fieldrelay:", become(func(string) string { return ctlName }, os.Args[1:]))
+		fmt.Fprintln(os.Stderr, "fieldrelay:", execSibling(func(string) string { return ctlName }, os.Args[1:]))
 		os.Exit(1)
 	}
 	if start == nil && config.NamesFleet(os.Getenv(operatorEnv)) {
-		fmt.Fprintln(os.Stderr, "fieldrelay: fleet:", become(func(self string) string { return self + fleetSuffix }, nil))
+		fmt.Fprintln(os.Stderr, "fieldrelay: fleet:", execSibling(func(self string) string { return self + fleetSuffix }, nil))
 		os.Exit(1)
 	}
 	if err := run(os.Getenv, os.Stderr, start); err != nil {
-		tell(os.Stderr, err)
+		printError(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
 // become turns this process into a program beside it. It returns only if that cannot be.
-func become(name func(self string) string, args []string) error {
+func execSibling(name func(self string) string, args []string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -101,7 +101,7 @@
 }
 
 // tell writes a line for an error, or for each fault of a configuration.
-func tell(w io.Writer, err error) {
+func printError(w io.Writer, err error) {
 	if faults := (config.Faults)(nil); errors.As(err, &faults) {
 		for _, f := range faults {
 			fmt.Fprintln(w, "fieldrelay:", f)
--- a/internal/daemon/manage.go
+++ b/internal/daemon/manage.go
@@ -17,69 +17,69 @@
 )
 
 // What the management address waits for the relay, at most: a caller waits a second, however busy the sidecar is.
-const manageWait = 600 * time.Millisecond
+const relayTimeout = 600 * time.Millisecond
 
-// listFirst is how long STATUS waits for the first list before it says yes all the same.
-const listFirst = 2 * time.Second
+// firstListTimeout is how long STATUS waits for the first list before it says yes all the same.
+const firstListTimeout = 2 * time.Second
 
-// operations carries out the commands of the management address. Its methods come back within manageWait.
+// operations carries out the commands of the management address. Its methods come back within relayTimeout.
 type operations struct {
-	core    *relay.Relay
-	fronts  *front.Set
-	figures *metrics.Registry
-	peers   *peers
-	told    *told
-	kept    *kept // for the process after this one
-	log     zerolog.Logger
-
-	serving  atomic.Int64 // Unix nanoseconds since fronts take clients; 0: not yet
-	stopping atomic.Bool
-	paused   atomic.Bool
-	mu       sync.Mutex // one suspension at a time, so that the file is written in order
+	relay            *relay.Relay
+	listeners        *front.Set
+	metrics          *metrics.Registry
+	fleet            *fleetClient
+	fleetSuspensions *fleetSuspensions
+	stored           *storedState // for the process after this one
+	log              zerolog.Logger
+
+	servingSince atomic.Int64 // Unix nanoseconds since fronts take clients; 0: not yet
+	stopping     atomic.Bool
+	paused       atomic.Bool
+	mu           sync.Mutex // one suspension at a time, so that the file is written in order
 }
 
 func (o *operations) Ready() bool {
-	since := o.serving.Load()
+	since := o.servingSince.Load()
 	if since == 0 || o.stopping.Load() || o.paused.Load() {
 		return false
 	}
-	return o.core.Ready() || time.Since(time.Unix(0, since)) > listFirst
+	return o.relay.Ready() || time.Since(time.Unix(0, since)) > firstListTimeout
 }
 
 func (o *operations) Suspend(id string) error {
-	o.told.hand(id, true)
-	err := o.change(func(done func([]string, error)) { o.core.Suspend(id, true, done) })
+	o.fleetSuspensions.setByHand(id, true)
+	err := o.changeSuspension(func(done func([]string, error)) { o.relay.Suspend(id, true, done) })
 	o.log.Info().Str("node", id).AnErr("refused", err).Msg("suspend")
 	if err != nil {
-		o.told.hand(id, false)
+		o.fleetSuspensions.setByHand(id, false)
 	}
 	return err
 }
 
 // SuspendFleet suspends a listed execute node for the whole fleet, or restores it. It holds here in any case.
 func (o *operations) SuspendFleet(id string, suspended bool) error {
-	f := o.peers.running()
+	f := o.fleet.running()
 	if f == nil {
 		return errors.New("fleet off")
 	}
-	if o.core.IsListed(id) || !suspended {
+	if o.relay.IsListed(id) || !suspended {
 		return f.Say(id, suspended)
 	}
 	return relay.ErrUnknownServer
 }
 
 func (o *operations) Restore(id string) error {
-	if o.told.hand(id, false) {
+	if o.fleetSuspensions.setByHand(id, false) {
 		return errors.New("suspended for the fleet: RESTORE " + id + " fleet")
 	}
-	err := o.change(func(done func([]string, error)) { o.core.Restore(id, done) })
+	err := o.changeSuspension(func(done func([]string, error)) { o.relay.Restore(id, done) })
 	o.log.Info().Str("node", id).AnErr("refused", err).Msg("restore")
 	return err
 }
 
 // change asks the relay and keeps what it then suspends. A relay too busy to answer in time has the change in its
 // mailbox all the same: it takes effect, and the caller hears yes.
-func (o *operations) change(ask func(done func([]string, error))) error {
+func (o *operations) changeSuspension(ask func(done func([]string, error))) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	type result struct {
@@ -93,26 +93,26 @@
 		if r.err != nil {
 			return r.err
 		}
-		o.keep(r.names)
-	case <-time.After(manageWait):
+		o.store(r.names)
+	case <-time.After(relayTimeout):
 		o.log.Warn().Msg("relay slow to take a suspension: answered before it was done")
 	}
 	return nil
 }
 
 // keep writes the names suspended now where the process after this one finds them.
-func (o *operations) keep(names []string) {
-	if o.kept == nil {
+func (o *operations) store(names []string) {
+	if o.stored == nil {
 		return
 	}
-	if err := o.kept.write(keySuspended, o.told.here(names)); err != nil {
+	if err := o.stored.save(keySuspended, o.fleetSuspensions.byHandOnly(names)); err != nil {
 		o.log.Error().Err(err).Msg("suspensions not kept for the next process")
 	}
 }
 
 // suspensions reads what the process before this one kept. None kept is none.
-func suspensions(k *kept) (names []string, err error) {
-	if err := k.read(keySuspended, &names); err != nil {
+func loadSuspensions(k *storedState) (names []string, err error) {
+	if err := k.load(keySuspended, &names); err != nil {
 		return nil, err
 	}
 	if len(names) > relay.MaxSuspended {
@@ -123,14 +123,14 @@
 
 func (o *operations) Pause() {
 	o.paused.Store(true)
-	for _, f := range o.fronts.Servers() {
+	for _, f := range o.listeners.Servers() {
 		f.Pause()
 	}
 }
 
 func (o *operations) Resume() {
 	o.paused.Store(false)
-	for _, f := range o.fronts.Servers() {
+	for _, f := range o.listeners.Servers() {
 		f.Resume()
 	}
 }
--- a/internal/daemon/manage_test.go
+++ b/internal/daemon/manage_test.go
@@ -51,38 +51,38 @@
 // What one process suspends, the next one reads; a file that is not a list is an error, none is none.
 func TestSuspensionsKept(t *testing.T) {
 	dir := t.TempDir()
-	o := &operations{told: &told{}, kept: keptFor(dir, "s")}
-	if names, err := suspensions(o.kept); err != nil || names != nil {
+	o := &operations{fleetSuspensions: &fleetSuspensions{}, stored: newStoredState(dir, "s")}
+	if names, err := loadSuspensions(o.stored); err != nil || names != nil {
 		t.Fatalf("no file: %v %v", names, err)
 	}
-	o.keep([]string{"a", "b"})
-	if names, err := suspensions(o.kept); err != nil || !slices.Equal(names, []string{"a", "b"}) {
+	o.store([]string{"a", "b"})
+	if names, err := loadSuspensions(o.stored); err != nil || !slices.Equal(names, []string{"a", "b"}) {
 		t.Fatalf("kept: %v %v", names, err)
 	}
 	// What only the fleet has suspended is the fleet's to restore: kept as by hand, it would stay so for good.
-	o.told.suspended, o.told.byHand = []string{"b", "c"}, map[string]bool{"c": true}
-	o.keep([]string{"a", "b", "c"})
-	if names, err := suspensions(o.kept); err != nil || !slices.Equal(names, []string{"a", "c"}) {
+	o.fleetSuspensions.byFleet, o.fleetSuspensions.byHand = []string{"b", "c"}, map[string]bool{"c": true}
+	o.store([]string{"a", "b", "c"})
+	if names, err := loadSuspensions(o.stored); err != nil || !slices.Equal(names, []string{"a", "c"}) {
 		t.Fatalf("kept beside the fleet's: %v %v", names, err)
 	}
-	if err := os.WriteFile(o.kept.options.Path, []byte("{"), 0o600); err != nil {
+	if err := os.WriteFile(o.stored.options.Path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if names, err := suspensions(o.kept); err == nil {
+	if names, err := loadSuspensions(o.stored); err == nil {
 		t.Errorf("a broken file is taken: %q", names)
 	}
 	// What a program before the store kept goes on, and is gone once it is kept anew.
-	earlier := keptFor(dir, "e")
-	if err := os.WriteFile(earlier.earlier[keySuspended], []byte(`["x"]`), 0o600); err != nil {
+	earlier := newStoredState(dir, "e")
+	if err := os.WriteFile(earlier.legacyFiles[keySuspended], []byte(`["x"]`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if names, err := suspensions(earlier); err != nil || !slices.Equal(names, []string{"x"}) {
+	if names, err := loadSuspensions(earlier); err != nil || !slices.Equal(names, []string{"x"}) {
 		t.Errorf("of an earlier program: %v %v", names, err)
 	}
-	if err := earlier.write(keySuspended, []string{"y"}); err != nil {
+	if err := earlier.save(keySuspended, []string{"y"}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := os.Stat(earlier.earlier[keySuspended]); err == nil {
+	if _, err := os.Stat(earlier.legacyFiles[keySuspended]); err == nil {
 		t.Error("the earlier file is still there, for an earlier program to believe")
 	}
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -21,24 +21,24 @@
 
 // How long a process that replaces another tries to get the fleet's address, which the other one still has.
 const (
-	fleetPatience = 5 * time.Second
-	fleetPace     = 50 * time.Millisecond
+	joinTimeout       = 5 * time.Second
+	joinRetryInterval = 50 * time.Millisecond
 )
 
 // peers is this process's part in the fleet of sidecars, if the operator's file names one. Without one it is empty.
-type peers struct {
-	name string
-	log  zerolog.Logger
-	zone string
-	core *relay.Relay
-	told *told      // what the fleet says of execute nodes
-	join StartFleet // nil: this program has no fleet in it
-
-	mu  sync.Mutex
-	is  settings.Settings // in force
-	all quota.All         // likewise
-	led rules.Settings    // likewise
-	now Fleet             // nil: off
+type fleetClient struct {
+	name        string
+	log         zerolog.Logger
+	zone        string
+	relay       *relay.Relay
+	suspensions *fleetSuspensions // what the fleet says of execute nodes
+	join        StartFleet        // nil: this program has no fleet in it
+
+	mu       sync.Mutex
+	settings settings.Settings // in force
+	quotas   quota.All         // likewise
+	rules    rules.Settings    // likewise
+	fleet    Fleet             // nil: off
 	// listed are the execute nodes that take claims.
 	listed  []verdict.Node
 	tenants []logic.Tenant
@@ -46,9 +46,9 @@
 
 // start joins. A process that replaces another waits until that one has left the address, and serves alone if it does
 // not.
-func (p *peers) start(s settings.Settings, q quota.All, r rules.Settings, replaces bool) error {
+func (p *fleetClient) start(s settings.Settings, q quota.All, r rules.Settings, replaces bool) error {
 	p.mu.Lock()
-	p.is, p.all, p.led = s, q, r
+	p.settings, p.quotas, p.rules = s, q, r
 	p.mu.Unlock()
 	if !s.Enabled() {
 		return nil
@@ -56,12 +56,12 @@
 	if p.join == nil {
 		return errors.New("fleet: this program has none in it")
 	}
-	for end := time.Now().Add(fleetPatience); ; <-time.After(fleetPace) {
-		f, err := p.join(FleetOptions{Settings: s, Quotas: q, Rules: r, Name: p.name, Words: p.told.read(), Changed: p.told.changed,
-			Zone: p.zone, Avoid: p.core.SetEjected, Drains: p.told.drains, Tenants: p.tenants, Allot: p.core.SetTenantAllowance}, p.log)
+	for end := time.Now().Add(joinTimeout); ; <-time.After(joinRetryInterval) {
+		f, err := p.join(FleetOptions{Settings: s, Quotas: q, Rules: r, Name: p.name, Words: p.suspensions.restore(), Changed: p.suspensions.onChanged,
+			Zone: p.zone, Avoid: p.relay.SetEjected, Drains: p.suspensions.reportDrains, Tenants: p.tenants, Allot: p.relay.SetTenantAllowance}, p.log)
 		if err == nil {
 			p.mu.Lock()
-			p.now = f
+			p.fleet = f
 			f.Listed(p.listed)
 			p.mu.Unlock()
 			return nil
@@ -76,14 +76,14 @@
 	}
 }
 
-func (p *peers) running() Fleet {
+func (p *fleetClient) running() Fleet {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.now
+	return p.fleet
 }
 
 // stop leaves the fleet; handedOver: without a word, since the new process goes on under the name.
-func (p *peers) stop(handedOver bool) {
+func (p *fleetClient) stop(handedOver bool) {
 	f := p.running()
 	switch {
 	case f == nil:
@@ -91,27 +91,27 @@
 		f.Abandon()
 	default:
 		f.Close()
-		p.core.SetEjected(nil)
+		p.relay.SetEjected(nil)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for _, t := range p.tenants { // equal parts again, as without a fleet
-			p.core.SetTenantAllowance(t.Name, -1)
+			p.relay.SetTenantAllowance(t.Name, -1)
 		}
 	}
 }
 
 // setTenants takes over the tenants of new settings.
-func (p *peers) setTenants(all []logic.Tenant) {
+func (p *fleetClient) setTenants(all []logic.Tenant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tenants = all
-	if p.now != nil {
-		p.now.SetTenants(all)
+	if p.fleet != nil {
+		p.fleet.SetTenants(all)
 	}
 }
 
 // AttemptEnded passes on what came of a claim; how busy a node is, or that a claim was given up, tells nothing of its health.
-func (p *peers) AttemptEnded(node string, o logic.Outcome, took time.Duration) {
+func (p *fleetClient) AttemptEnded(node string, o logic.Outcome, took time.Duration) {
 	f := p.running()
 	if f == nil {
 		return
@@ -125,7 +125,7 @@
 }
 
 // BeforeAttempt asks the limits of the fleet for an attempt.
-func (p *peers) BeforeAttempt(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
+func (p *fleetClient) BeforeAttempt(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
 	if f := p.running(); f != nil {
 		return f.Claim(node, class, tenant, again, warm, ends)
 	}
@@ -133,14 +133,14 @@
 }
 
 // DrainChanged passes on what the list says.
-func (p *peers) DrainChanged(node string, since time.Duration, drains bool) {
+func (p *fleetClient) DrainChanged(node string, since time.Duration, drains bool) {
 	if f := p.running(); f != nil {
 		f.Drains(node, since, drains)
 	}
 }
 
 // ServersListed keeps what is listed for a fleet that is joined later, and passes it on.
-func (p *peers) ServersListed(nodes []relay.ListedServer) {
+func (p *fleetClient) ServersListed(nodes []relay.ListedServer) {
 	all := make([]verdict.Node, len(nodes))
 	for i, n := range nodes {
 		all[i] = verdict.Node{Name: n.Name, Zone: n.Zone, Since: n.Since}
@@ -148,14 +148,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listed = all
-	if p.now != nil {
-		p.now.Listed(all)
+	if p.fleet != nil {
+		p.fleet.Listed(all)
 	}
 }
 
 // fleetLines asks the fleet for lines, if there is one.
 func (o *operations) fleetLines(ask func(Fleet) ([]string, error)) ([]string, error) {
-	f := o.peers.running()
+	f := o.fleet.running()
 	if f == nil {
 		return nil, errors.New("fleet off")
 	}
@@ -163,30 +163,30 @@
 }
 
 // prepare is the section's part of a reload. What can fail, a new address, is tried before anything changes.
-func (p *peers) prepare(next *config.Config) (reconfig.Change, error) {
+func (p *fleetClient) prepare(next *config.Config) (reconfig.Change, error) {
 	s, q, r := next.Operator.Fleet, next.Operator.Quota, next.Operator.Rules
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	switch was := p.is; {
-	case was.Equal(s) && slices.Equal(p.all, q) && p.led.Equal(r) && r.File == "":
+	switch was := p.settings; {
+	case was.Equal(s) && slices.Equal(p.quotas, q) && p.rules.Equal(r) && r.File == "":
 		return nil, nil
-	case p.now != nil && was.Live(s) && p.led.Live(r):
-		if err := p.now.CheckRules(r); err != nil {
+	case p.fleet != nil && was.Live(s) && p.rules.Live(r):
+		if err := p.fleet.CheckRules(r); err != nil {
 			return nil, err
 		}
 		return reconfig.Do(func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.is, p.all, p.led = s, q, r
-			p.now.Set(s)
-			p.now.SetQuotas(q)
-			p.now.SetRules(r)
+			p.settings, p.quotas, p.rules = s, q, r
+			p.fleet.Set(s)
+			p.fleet.SetQuotas(q)
+			p.fleet.SetRules(r)
 		}), nil
 	case s.Enabled() && p.join == nil:
 		return reconfig.Do(func() {
 			p.log.Warn().Str("fleet", s.Fleet).Msg("a fleet is named: it is joined at the next start or replacement")
 		}), nil
-	case s.Enabled() && (p.now == nil || was.Listen != s.Listen):
+	case s.Enabled() && (p.fleet == nil || was.Listen != s.Listen):
 		probe, err := net.Listen("tcp", s.Listen)
 		if err != nil {
 			return nil, err
@@ -196,7 +196,7 @@
 	return reconfig.Do(func() {
 		p.stop(false)
 		p.mu.Lock()
-		p.now = nil
+		p.fleet = nil
 		p.mu.Unlock()
 		if err := p.start(s, q, r, false); err != nil {
 			p.log.Error().Err(err).Msg("fleet not joined, serving alone")
@@ -205,7 +205,7 @@
 }
 
 func (o *operations) Recover() error {
-	f := o.peers.running()
+	f := o.fleet.running()
 	if f == nil {
 		return errors.New("fleet off")
 	}
@@ -215,7 +215,7 @@
 }
 
 // admit is asked by fronts, for each request.
-func (p *peers) admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool) {
+func (p *fleetClient) admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool) {
 	if f := p.running(); f != nil {
 		return f.Admit(class, tenant, again, ends)
 	}
@@ -235,9 +235,9 @@
 }
 
 func (o *operations) Figures() []string {
-	lines := o.figures.Lines()
-	if f := o.peers.running(); f != nil {
-		lines = append(lines, f.Figures(figuresPrefix)...)
+	lines := o.metrics.Lines()
+	if f := o.fleet.running(); f != nil {
+		lines = append(lines, f.Figures(metricsPrefix)...)
 	}
 	return lines
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -30,15 +30,15 @@
 	"fieldrelay/logic"
 )
 
-// figuresPrefix begins every StatsD line.
-const figuresPrefix = "lb"
+// metricsPrefix begins every StatsD line.
+const metricsPrefix = "lb"
 
 const (
-	linger   = 500 * time.Millisecond // after SIGTERM, new connections go on coming for so long
-	patience = 10 * time.Second       // over the longest deadline, for the last answers
+	shutdownDelay     = 500 * time.Millisecond // after SIGTERM, new connections go on coming for so long
+	answerGracePeriod = 10 * time.Second       // over the longest deadline, for the last answers
 	// After the last answer, for claims that were given up to be reported.
-	lastClaims = 100 * time.Millisecond
-	readyPace  = 10 * time.Millisecond // of the looks of a process that replaces another
+	lastResultsTimeout = 100 * time.Millisecond
+	readyPollInterval  = 10 * time.Millisecond // of the looks of a process that replaces another
 )
 
 // run serves until SIGTERM and then until all that was taken is answered. On SIGHUP it reads its configuration
@@ -72,7 +72,7 @@
 	}
 	plan := resident.NewPlan(cfg.MemoryBytes, sizes)
 	gate := budget.NewGate(plan.Budget(), cfg.Inbound)
-	figures := metrics.New(figuresPrefix)
+	figures := metrics.New(metricsPrefix)
 	figures.List(classNames(cfg.Logic.Classes)...)
 
 	nodes := transporthttp.NewTransport(transporthttp.Options{DialTimeout: cfg.DialTimeout, ConnIdle: cfg.ConnIdle,
@@ -83,8 +83,8 @@
 		return err
 	}
 	figures.Hosts(core.ServerCounts)
-	kept := keptFor(os.TempDir(), cfg.Name)
-	names, err := suspensions(kept)
+	kept := newStoredState(os.TempDir(), cfg.Name)
+	names, err := loadSuspensions(kept)
 	if err != nil {
 		log.Warn().Err(err).Msg("suspensions of the process before not taken")
 	}
@@ -99,7 +99,7 @@
 		inherited.Listeners[cfg.Listen] = ln
 	}
 	list := platform.New(cfg.Discovery, core, gate, hub.Part("list"))
-	members := &peers{name: cfg.Name, log: hub.Part("fleet"), join: join, zone: cfg.Logic.Zone, tenants: cfg.Logic.Tenants, core: core, told: newTold(core, kept, hub.Part("fleet"))}
+	members := &fleetClient{name: cfg.Name, log: hub.Part("fleet"), join: join, zone: cfg.Logic.Zone, tenants: cfg.Logic.Tenants, relay: core, suspensions: newFleetSuspensions(core, kept, hub.Part("fleet"))}
 	if join != nil {
 		core.SetObserver(members)
 	}
@@ -110,10 +110,10 @@
 	}
 	defer list.Close()
 
-	patience := cfg.LongestDeadline() + patience
+	patience := cfg.LongestDeadline() + answerGracePeriod
 	classes := fronthttp.NewClasses(cfg.Logic.Classes, cfg.Logic.Tenants)
 	for _, name := range names {
-		members.told.hand(name, true)
+		members.suspensions.setByHand(name, true)
 	}
 	var admit fronthttp.Admit
 	if join != nil {
@@ -123,7 +123,7 @@
 		return fronthttp.New(core, fronthttp.Options{ClassSettings: cfg.Logic.Classes, Limits: cfg.Logic.Limits, Gate: gate,
 			Metrics: figures, Classes: classes, Admit: admit}, hub.Part("front"))
 	}, inherited.Listeners, patience, hub.Part("front"))
-	ops := &operations{core: core, fronts: fronts, figures: figures, peers: members, told: members.told, kept: kept, log: hub.Part("manage")}
+	ops := &operations{relay: core, listeners: fronts, metrics: figures, fleet: members, fleetSuspensions: members.suspensions, stored: kept, log: hub.Part("manage")}
 	var managed *manage.Server
 	if ln := inherited.Listeners[cfg.Mgmt]; cfg.Mgmt != "" && ln != nil {
 		managed = manage.Serve(ln, ops, hub.Part("manage"))
@@ -163,12 +163,12 @@
 	if inherited.Replaces() { // only now has the process before this one cause to leave the fleet's address
 		members.start(cfg.Operator.Fleet, cfg.Operator.Quota, cfg.Operator.Rules, true)
 	}
-	ops.serving.Store(time.Now().UnixNano())
+	ops.servingSince.Store(time.Now().UnixNano())
 	log.Info().Stringer("listen", fronts.Listeners()[cfg.Listen].Addr()).Int("procs", cfg.Procs).Int("inbound", cfg.Inbound).
 		Int("outbound", cfg.Outbound).Int64("floor", plan.Floor).Int64("budget", plan.Budget()).
 		Int("pid", os.Getpid()).Bool("replaces", inherited.Replaces()).Msg("serving")
 
-	d := &daemon{figures: figures, getenv: getenv, running: cfg, generation: 1, log: log, replaced: make(chan replacement, 1), parts: []reconfig.Part[*config.Config]{
+	d := &daemon{metrics: figures, getenv: getenv, running: cfg, generation: 1, log: log, replaced: make(chan replacement, 1), parts: []reconfig.Part[*config.Config]{
 		{Name: "front", Prepare: func(next *config.Config) (reconfig.Change, error) {
 			next.Listen = cfg.Listen // the platform's own does not move
 			change, err := fronts.Prepare(next.Fronts())
@@ -230,12 +230,12 @@
 		for _, f := range fronts.Servers() {
 			f.MarkNotReady()
 		}
-		<-time.After(linger)
+		<-time.After(shutdownDelay)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	err = fronts.Shutdown(ctx, handedOver)
-	left := leftOver(gate)
+	left := unreturnedBytes(gate)
 	log.Info().Int64("jobs", left.Reserved[budget.Requests]).Int64("answers", left.Reserved[budget.Answers]).Msg("ended")
 	return err
 }
@@ -249,18 +249,18 @@
 	return names
 }
 
-// leftOver tells what is held once all is answered. The last claims may still have to be reported.
-func leftOver(gate *budget.Gate) budget.State {
+// unreturnedBytes tells what is held once all is answered. The last claims may still have to be reported.
+func unreturnedBytes(gate *budget.Gate) budget.State {
 	s := gate.State()
-	for end := time.Now().Add(lastClaims); s.Reserved[budget.Requests]+s.Reserved[budget.Answers] > 0 && time.Now().Before(end); s = gate.State() {
-		<-time.After(lastClaims / 50)
+	for end := time.Now().Add(lastResultsTimeout); s.Reserved[budget.Requests]+s.Reserved[budget.Answers] > 0 && time.Now().Before(end); s = gate.State() {
+		<-time.After(lastResultsTimeout / 50)
 	}
 	return s
 }
 
 // takeOver waits until this process can serve and then tells the one that it replaces, if there is one.
 func takeOver(inherited *handover.Inherited, core *relay.Relay, patience time.Duration) error {
-	for end := time.Now().Add(patience); inherited.Replaces() && !core.Ready(); <-time.After(readyPace) {
+	for end := time.Now().Add(patience); inherited.Replaces() && !core.Ready(); <-time.After(readyPollInterval) {
 		if time.Now().After(end) {
 			return errors.New("no execute node is listed in time: the process before this one goes on")
 		}
@@ -270,17 +270,17 @@
 
 // daemon is what changes while it runs. It belongs to the goroutine of run.
 type daemon struct {
-	figures    *metrics.Registry
+	metrics    *metrics.Registry
 	getenv     func(string) string
 	running    *config.Config // as it was started
 	generation int            // of the settings in force
 	parts      []reconfig.Part[*config.Config]
 	log        zerolog.Logger
 
-	replacing bool
-	giveUp    context.CancelFunc // ends the start of the new process
-	reloads   bool               // one was asked for meanwhile
-	replaced  chan replacement
+	replacing         bool
+	cancelReplacement context.CancelFunc // ends the start of the new process
+	reloadPending     bool               // one was asked for meanwhile
+	replaced          chan replacement
 }
 
 // replacement is how the start of a new process ended.
@@ -293,7 +293,7 @@
 // effect; of a file that cannot be used nothing is taken.
 func (d *daemon) reload() {
 	if d.replacing { // the new process reads the files itself; if it does not take over, they are read here
-		d.reloads = true
+		d.reloadPending = true
 		return
 	}
 	next, err := config.Reload(d.getenv, d.getenv(operatorEnv))
@@ -302,11 +302,11 @@
 	}
 	if err != nil {
 		d.log.Error().Err(err).Int("generation", d.generation).Msg("configuration not reloaded")
-		d.figures.Reconfigured(false)
+		d.metrics.Reconfigured(false)
 		return
 	}
 	d.generation++
-	d.figures.Reconfigured(true)
+	d.metrics.Reconfigured(true)
 	d.log.Info().Int("generation", d.generation).Str("discovery", next.Discovery).Strs("at next start", d.running.Changed(next)).
 		Msg("configuration reloaded")
 }
@@ -327,7 +327,7 @@
 	wait := d.running.Operator.Replace.Wait()
 	d.log.Info().Str("binary", binary).Dur("patience", wait).Msg("replacement started")
 	ctx, giveUp := context.WithCancel(context.Background())
-	d.giveUp = giveUp
+	d.cancelReplacement = giveUp
 	go func() {
 		defer giveUp()
 		pid, err := handover.Start(ctx, binary, nil, listeners, wait)
@@ -341,8 +341,8 @@
 	if !d.replacing {
 		return false
 	}
-	d.giveUp()
-	d.reloads = false
+	d.cancelReplacement()
+	d.reloadPending = false
 	return d.replacedBy(<-d.replaced)
 }
 
@@ -354,8 +354,8 @@
 		return true
 	}
 	d.log.Error().Err(r.err).Msg("replacement failed, this process goes on")
-	if d.reloads {
-		d.reloads = false
+	if d.reloadPending {
+		d.reloadPending = false
 		d.reload()
 	}
 	return false
--- a/internal/daemon/told.go
+++ b/internal/daemon/told.go
@@ -12,24 +12,24 @@
 
 // told is what the fleet says of execute nodes, as this process goes by it. What was suspended by hand here stays apart:
 // a node takes jobs again once neither of the two has it suspended.
-type told struct {
-	core *relay.Relay
-	kept *kept
-	log  zerolog.Logger
+type fleetSuspensions struct {
+	relay  *relay.Relay
+	stored *storedState
+	log    zerolog.Logger
 
-	mu        sync.Mutex
-	suspended []string        // by the fleet's word
-	byHand    map[string]bool // here
+	mu      sync.Mutex
+	byFleet []string        // by the fleet's word
+	byHand  map[string]bool // here
 }
 
-func newTold(core *relay.Relay, kept *kept, log zerolog.Logger) *told {
-	return &told{core: core, kept: kept, log: log, byHand: map[string]bool{}}
+func newFleetSuspensions(core *relay.Relay, kept *storedState, log zerolog.Logger) *fleetSuspensions {
+	return &fleetSuspensions{relay: core, stored: kept, log: log, byHand: map[string]bool{}}
 }
 
 // read is what the process before this one kept; it takes effect.
-func (t *told) read() []verdict.Word {
+func (t *fleetSuspensions) restore() []verdict.Word {
 	var words []verdict.Word
-	if err := t.kept.read(keyWords, &words); err != nil {
+	if err := t.stored.load(keyFleetStatements, &words); err != nil {
 		t.log.Warn().Err(err).Msg("what the fleet said of execute nodes before not taken")
 		return nil
 	}
@@ -40,14 +40,14 @@
 }
 
 // changed takes over what the fleet says now, and keeps it.
-func (t *told) changed(all []verdict.Word) {
+func (t *fleetSuspensions) onChanged(all []verdict.Word) {
 	t.apply(all)
-	if err := t.kept.write(keyWords, all); err != nil {
+	if err := t.stored.save(keyFleetStatements, all); err != nil {
 		t.log.Error().Err(err).Msg("what the fleet says of execute nodes not kept for the next process")
 	}
 }
 
-func (t *told) apply(all []verdict.Word) {
+func (t *fleetSuspensions) apply(all []verdict.Word) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var next []string
@@ -62,27 +62,27 @@
 		}
 	}
 	for _, node := range next {
-		if !slices.Contains(t.suspended, node) {
-			t.core.Suspend(node, false, done("suspended for the fleet", node))
+		if !slices.Contains(t.byFleet, node) {
+			t.relay.Suspend(node, false, done("suspended for the fleet", node))
 		}
 	}
-	for _, node := range t.suspended {
+	for _, node := range t.byFleet {
 		if !slices.Contains(next, node) && !t.byHand[node] {
-			t.core.Restore(node, done("restored for the fleet", node))
+			t.relay.Restore(node, done("restored for the fleet", node))
 		}
 	}
-	t.suspended = next
+	t.byFleet = next
 }
 
 // drains passes on what is new of execute nodes that drain.
-func (t *told) drains(news []verdict.Word) {
+func (t *fleetSuspensions) reportDrains(news []verdict.Word) {
 	for _, w := range news {
-		t.core.ReportDrain(w.Node, w.Since, w.Suspended)
+		t.relay.ReportDrain(w.Node, w.Since, w.Suspended)
 	}
 }
 
 // hand takes in that a node was suspended here by hand, or that this ended. It tells whether the fleet has it suspended.
-func (t *told) hand(node string, suspended bool) (byFleet bool) {
+func (t *fleetSuspensions) setByHand(node string, suspended bool) (byFleet bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if suspended {
@@ -90,12 +90,12 @@
 	} else {
 		delete(t.byHand, node)
 	}
-	return slices.Contains(t.suspended, node)
+	return slices.Contains(t.byFleet, node)
 }
 
 // here are the names that are suspended by hand, of those that the relay has suspended.
-func (t *told) here(names []string) []string {
+func (t *fleetSuspensions) byHandOnly(names []string) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return slices.Contains(t.suspended, n) && !t.byHand[n] })
+	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return slices.Contains(t.byFleet, n) && !t.byHand[n] })
 }
