--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -1,5 +1,5 @@
-// Package daemon is the sidecar as a program: wiring and signals. It decides
-// nothing.
+// Package daemon is the sidecar as a program: it wires the parts together, handles signals and the management commands,
+// reloads the configuration and replaces its own process. It decides nothing about requests.
 package daemon
 
 import (
@@ -26,48 +26,65 @@
 // operatorEnv names the operator's file.
 const operatorEnv = "FIELDRELAY_OPERATOR"
 
-// What the programs beside this one are called.
+// Names of the programs beside this one.
 const (
 	ctlName     = "fieldrelayctl"
 	fleetSuffix = "-fleet"
 )
 
-// Fleet is this process's part in a fleet of sidecars. Its methods may be called from any goroutine.
+// Fleet is this process's membership in a fleet of sidecars. Its methods may be called from any goroutine and, but for
+// Close and Recover, do not block.
 type Fleet interface {
-	Peers() ([]string, error)       // a line a member
-	Figures(prefix string) []string // StatsD lines
-	Recover() error                 // the voters begin anew with this process
-	SetQuotas(all quota.All)        // the limits of the fleet
-	// CheckRules reads the file of rules of new settings; SetRules takes it over and pushes what it says.
+	// Peers returns a line for each member.
+	Peers() ([]string, error)
+	// Figures returns StatsD lines whose names begin with a prefix.
+	Figures(prefix string) []string
+	// Recover has the voters begin anew with this process.
+	Recover() error
+	// SetQuotas replaces the limits of the fleet.
+	SetQuotas(all quota.All)
+	// CheckRules reads the rules' file of new settings.
 	CheckRules(next rules.Settings) error
+	// SetRules takes over what CheckRules has read, and pushes it.
 	SetRules(next rules.Settings)
-	Rules() ([]string, error)      // what there is to tell of rules
-	SetTenants(all []logic.Tenant) // of the settings
-	Quotas() []string              // a line a limit
-	// Verdicts has a line for each execute node that is spoken of.
+	// Rules returns lines on the rules in force.
+	Rules() ([]string, error)
+	// SetTenants replaces the tenants of the settings.
+	SetTenants(all []logic.Tenant)
+	// Quotas returns a line for each limit.
+	Quotas() []string
+	// Verdicts returns a line for each server with a decision on its health.
 	Verdicts() ([]string, error)
-	Outcome(node string, failed bool, took time.Duration) // of a claim
-	Listed(nodes []verdict.Node)                          // those that take claims
-	// DrainChanged tells that the list has an execute node, by its start, as draining or gone; or no longer so.
+	// Outcome is how an attempt ended, and the time that it took.
+	Outcome(node string, failed bool, took time.Duration)
+	// Listed is all servers that take attempts.
+	Listed(nodes []verdict.Node)
+	// Drains is that the list has a server, by its start, as draining or gone, or no longer so.
 	Drains(node string, since time.Duration, drains bool)
-	// Say tells the whole fleet that an execute node is suspended, or restored.
+	// Say suspends a server for the whole fleet, or restores it.
 	Say(node string, suspended bool) error
-	// Admit lets a request through the limits of the fleet, or tells after what time to come again. It does not wait.
+	// Admit lets a request through the limits of the fleet, or says after what time to retry. done is called once it has
+	// ended.
 	Admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool)
-	// BeforeAttempt lets an attempt at an execute node through, or not. done, if there is one, is called once it has ended.
+	// Claim lets an attempt at a server through the limits of the fleet, or not. done, unless nil, is called once it has
+	// ended.
 	Claim(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool)
-	Set(next settings.Settings) // of which only what is live differs
-	Close()                     // leaves: the others are told
-	Abandon()                   // ends without a word
+	// Set takes over settings that differ only in what may change while it runs.
+	Set(next settings.Settings)
+	// Close leaves the fleet and notifies the others.
+	Close()
+	// Abandon ends without notifying the others.
+	Abandon()
 }
 
-// StartFleet opens the sockets and joins.
+// StartFleet opens the sockets of a fleet and joins it.
 type StartFleet func(o FleetOptions, log zerolog.Logger) (Fleet, error)
 
-// FleetOptions are what a fleet is started with.
+// FleetOptions are the settings and callbacks of a fleet.
 type FleetOptions = options.Options
 
-// Main is the program. Without start it has no fleet in it, and becomes the program beside it that has where one is named.
+// Main is the program. Without start it has no fleet in it, and executes the program beside it that has one if the
+// operator's file names a fleet.
 func Main(start StartFleet) {
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	if len(os.Args) > 1 {
@@ -84,7 +101,7 @@
 	}
 }
 
-// become turns this process into a program beside it. It returns only if that cannot be.
+// execSibling executes a program beside this one in its place. It returns only with an error.
 func execSibling(name func(self string) string, args []string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -94,19 +111,20 @@
 	return fmt.Errorf("%s: %w", other, syscall.Exec(other, append([]string{other}, args...), os.Environ()))
 }
 
-// successor is the program that replaces this one: it reads the operator's file anew.
+// successor is the path of the program that replaces this one. It is the one without a fleet, which reads the operator's
+// file anew and executes the other one if a fleet is named.
 func successor(self string) string {
-	// The file may have been replaced: what the system then calls the old one is no path.
+	// If the file was replaced, the system adds a suffix to the path of the old one.
 	return strings.TrimSuffix(strings.TrimSuffix(self, " (deleted)"), fleetSuffix)
 }
 
-// tell writes a line for an error, or for each fault of a configuration.
+// printError writes a line for an error, or for each fault of a configuration. Errors of the writer have no remedy.
 func printError(w io.Writer, err error) {
 	if faults := (config.Faults)(nil); errors.As(err, &faults) {
 		for _, f := range faults {
-			fmt.Fprintln(w, "fieldrelay:", f)
+			_, _ = fmt.Fprintln(w, "fieldrelay:", f)
 		}
 		return
 	}
-	fmt.Fprintln(w, "fieldrelay:", err)
+	_, _ = fmt.Fprintln(w, "fieldrelay:", err)
 }
--- /dev/null
+++ b/internal/daemon/reload.go
@@ -0,0 +1,99 @@
+package daemon
+
+import (
+	"context"
+
+	"github.com/rs/zerolog"
+
+	"fieldrelay/internal/config"
+	"fieldrelay/internal/metrics"
+	"fieldrelay/internal/reconfig"
+	"fieldrelay/logic"
+)
+
+// daemon is what handles signals: reloads of the configuration and the replacement of the process. It belongs to one
+// goroutine.
+type daemon struct {
+	metrics    *metrics.Registry
+	getenv     func(string) string
+	running    *config.Config // as it was started
+	generation int            // of the settings in force
+	parts      []reconfig.Part[*config.Config]
+	log        zerolog.Logger
+
+	replacing         bool
+	cancelReplacement context.CancelFunc // ends the start of the new process
+	reloadPending     bool               // a reload was requested while replacing
+	replaced          chan replacement
+}
+
+// reload takes over from the files what can change while the sidecar serves. All parts prepare before anything takes
+// effect; of a file that cannot be used nothing is taken over.
+func (d *daemon) reload() {
+	if d.replacing { // the new process reads the files itself; if it does not take over, they are read here
+		d.reloadPending = true
+		return
+	}
+	next, err := config.Reload(d.getenv, d.getenv(operatorEnv))
+	if err == nil {
+		err = reconfig.Apply(d.parts, next)
+	}
+	if err != nil {
+		d.log.Error().Err(err).Int("generation", d.generation).Msg("configuration not reloaded")
+		d.metrics.Reconfigured(false)
+		return
+	}
+	d.generation++
+	d.metrics.Reconfigured(true)
+	d.log.Info().Int("generation", d.generation).Str("discovery", next.Discovery).
+		Strs("at next start", d.running.Changed(next)).Msg("configuration reloaded")
+}
+
+// reloadParts are the parts of the sidecar that a reload changes, in the order in which they take effect.
+func (s *sidecar) reloadParts() []reconfig.Part[*config.Config] {
+	return []reconfig.Part[*config.Config]{
+		{Name: "front", Prepare: s.prepareListeners},
+		{Name: "log", Prepare: func(next *config.Config) (reconfig.Change, error) {
+			return reconfig.Do(func() { s.hub.Set(next.Operator.Log) }), nil
+		}},
+		{Name: "classes", Prepare: func(next *config.Config) (reconfig.Change, error) {
+			return reconfig.Do(func() { s.setClasses(next.Logic) }), nil
+		}},
+		{Name: "fleet", Prepare: s.fleet.prepare},
+		{Name: "list", Prepare: func(next *config.Config) (reconfig.Change, error) {
+			return reconfig.Do(func() { s.list.SetAddr(next.Discovery) }), nil
+		}},
+	}
+}
+
+func (s *sidecar) prepareListeners(next *config.Config) (reconfig.Change, error) {
+	next.Listen = s.cfg.Listen // the platform's own address does not change
+	change, err := s.listeners.Prepare(next.Fronts())
+	if err != nil {
+		return nil, err // a nil *front.Change would be a reconfig.Change that is not nil
+	}
+	return change, nil
+}
+
+// setClasses lets new classes and tenants take effect.
+func (s *sidecar) setClasses(next logic.Config) {
+	names := classNames(next.Classes)
+	s.metrics.List(names...)
+	s.relay.Reconfigure(next, func(err error) {
+		if err != nil {
+			s.log.Error().Err(err).Msg("classes not changed")
+		}
+	})
+	s.fleet.setTenants(next.Tenants)
+	s.classes.Set(next.Classes, next.Tenants) // after the change is in the relay's mailbox, which handles it before any request of a new class
+	s.log.Info().Strs("classes", names).Int("attempts", next.Limits.MaxAttempts).Msg("classes in force")
+}
+
+// classNames are the names of classes, in their order.
+func classNames(classes []logic.Class) []string {
+	names := make([]string, len(classes))
+	for i, c := range classes {
+		names[i] = c.Name
+	}
+	return names
+}
--- a/internal/daemon/kept.go
+++ b/internal/daemon/state.go
@@ -12,30 +12,30 @@
 	"fieldrelay/internal/store"
 )
 
-// kept is what a sidecar leaves to the process after it: in $TMPDIR, which a process that replaces it shares. Nothing is
-// opened, made or locked before there is something to keep.
+// storedState is what a sidecar stores for the next process: in $TMPDIR, which a process that replaces it shares. Nothing is
+// opened, created or locked before there is something to store.
 type storedState struct {
 	options     store.Options
-	legacyFiles map[string]string // key to the file in which programs before the store kept it, as JSON
+	legacyFiles map[string]string // by key: the JSON file in which versions before the store had it
 }
 
 const (
 	maxStoredBytes   = 4 << 20
-	storeLockTimeout = 300 * time.Millisecond // for another process of this sidecar; a caller of the management address waits for it
+	storeLockTimeout = 300 * time.Millisecond // for the lock of another process; a caller of the management address waits for it
 
-	keySuspended       = "suspended" // names suspended by hand
-	keyFleetStatements = "words"     // what the fleet says of execute nodes
+	keySuspended       = "suspended" // names of servers suspended by hand
+	keyFleetStatements = "words"     // the fleet's statements on servers
 )
 
-// newStoredState is what is kept in a folder for the sidecar of a name.
+// newStoredState returns the state in a folder of the sidecar of a name.
 func newStoredState(dir, name string) *storedState {
 	path := filepath.Join(dir, "fieldrelay-"+filepath.Base(name))
 	return &storedState{options: store.Options{Path: path + ".kept", Owner: name, Most: maxStoredBytes, Wait: storeLockTimeout},
 		legacyFiles: map[string]string{keySuspended: path + ".suspended.json", keyFleetStatements: path + ".fleet.json"}}
 }
 
-// read reads what was kept under a key into v; nothing kept leaves v as it is. The error is a line for the operator: what
-// was kept is not used.
+// load decodes what is stored under a key into v; if nothing is, v stays as it is. With an error, which is for the operator,
+// nothing of it is used.
 func (k *storedState) load(key string, v any) error {
 	if _, err := os.Stat(k.options.Path); err == nil {
 		var text []byte
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// write keeps v under a key, in place of what was kept there before.
+// save stores v under a key, in place of what was there.
 func (k *storedState) save(key string, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
