--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Told to end while a new process starts, the daemon does not wait for that one's patience; whether it has taken over is told
-// by how its start ended.
+// A daemon that is to end while a new process starts does not wait for that one's time-out; whether that has taken over is
+// known from how its start ended.
 func TestTheEndWaitsForNoReplacement(t *testing.T) {
 	for name, taken := range map[string]bool{"it has not taken over": false, "it has, at that moment": true} {
 		d, log := idle(t, "version = 1\n[replace]\nenabled = true\n# end\n")
--- a/internal/daemon/management_test.go
+++ b/internal/daemon/management_test.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"errors"
 	"net"
 	"os"
 	"slices"
@@ -15,21 +16,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	t.Cleanup(func() { _ = held.Close() })
 	f, err := held.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	fd, err := syscall.Dup(int(f.Fd()))
-	f.Close()
-	if err != nil {
+	if err = errors.Join(err, f.Close()); err != nil {
 		t.Fatal(err)
 	}
 	ln, err := platformSocket(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	t.Cleanup(func() { _ = ln.Close() })
 	if ln.Addr().String() != held.Addr().String() {
 		t.Fatalf("serves %s, the platform holds %s", ln.Addr(), held.Addr())
 	}
@@ -37,12 +37,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
+	t.Cleanup(func() { _ = nc.Close() })
 	in, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	in.Close()
+	if err := in.Close(); err != nil {
+		t.Error(err)
+	}
 	if _, err := platformSocket(1 << 19); err == nil {
 		t.Error("a descriptor that is not open is taken")
 	}
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -37,7 +37,14 @@
 	addr string
 }
 
-// start starts a sidecar that is told of so many descriptors, with so many in fact.
+func closeIt(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// start starts a sidecar whose configuration says that it has so many descriptors, with so many in fact.
 func start(t *testing.T, binary string, sockets, in int, discovery string, known []standin.Entry) *process {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +52,7 @@
 		t.Fatal(err)
 	}
 	p := &process{addr: ln.Addr().String()}
-	ln.Close() // its port is the sidecar's
+	closeIt(t, ln) // its port is the sidecar's
 	config, err := json.Marshal(map[string]any{"listen": p.addr, "discovery": discovery, "seed": "1",
 		"limits": map[string]any{"sockets": sockets}, "known": json.RawMessage(standin.Object(1, known)),
 		"settings": json.RawMessage(sidecarSettings)})
@@ -62,21 +69,25 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		p.cmd.Process.Kill()
-		p.cmd.Wait()
+		_, _ = p.cmd.Process.Kill(), p.cmd.Wait() // it may have ended already
 	})
 	return p
 }
 
-// ask sends a request on a connection of its own and gives the status of its answer, or 0.
+// ask sends a request on a connection of its own and returns the status of its answer, or 0.
 func (p *process) ask(path string) int {
 	nc, err := net.DialTimeout("tcp", p.addr, time.Second)
 	if err != nil {
 		return 0
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(5 * time.Second))
-	fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: o\r\nX-Call-Id: c%d\r\nX-Budget: 4\r\n\r\n", path, time.Now().UnixNano())
+	defer func() { _ = nc.Close() }()
+	if err := nc.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		return 0
+	}
+	const request = "GET %s HTTP/1.1\r\nHost: o\r\nX-Call-Id: c%d\r\nX-Budget: 4\r\n\r\n"
+	if _, err := fmt.Fprintf(nc, request, path, time.Now().UnixNano()); err != nil {
+		return 0
+	}
 	head := make([]byte, len("HTTP/1.1 200"))
 	if _, err := io.ReadFull(nc, head); err != nil {
 		return 0
@@ -114,14 +125,14 @@
 			defer node.Close()
 			ln := scenario.Listen(t)
 			discovery := ln.Addr().String()
-			ln.Close()
+			closeIt(t, ln)
 			p := start(t, binary, sockets, in, discovery, []standin.Entry{standin.Ready("n", node.Addr())})
 			scenario.Await(t, "it is ready", func() bool { return p.ask("/ready") == http.StatusOK })
 
 			var idle []net.Conn
 			defer func() {
 				for _, nc := range idle {
-					nc.Close()
+					_ = nc.Close() // the sidecar may have ended it
 				}
 			}()
 			begun, used := time.Now(), p.cpu(t)
@@ -132,7 +143,7 @@
 				}
 				idle = append(idle, nc)
 				if len(idle)%2 == 0 { // and some have asked once
-					fmt.Fprint(nc, "GET /ready HTTP/1.1\r\nHost: o\r\n\r\n")
+					_, _ = fmt.Fprint(nc, "GET /ready HTTP/1.1\r\nHost: o\r\n\r\n") // the sidecar may have ended it
 				}
 			}
 			scenario.Await(t, "a request is served", func() bool { return p.ask("/look") == http.StatusOK })
@@ -143,14 +154,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer back.Close()
-			back.(*net.TCPListener).SetDeadline(time.Now().Add(6 * time.Second)) // when what it tells counts as told
+			t.Cleanup(func() { _ = back.Close() })
+			// By then, what it says counts as notified.
+			if err := back.(*net.TCPListener).SetDeadline(time.Now().Add(6 * time.Second)); err != nil {
+				t.Fatal(err)
+			}
 			nc, err := back.Accept()
 			if err != nil {
 				t.Fatalf("discovery is back and is not asked: %v", err)
 			}
-			nc.Close()
-			p.cmd.Process.Signal(syscall.SIGTERM)
+			closeIt(t, nc)
+			if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+				t.Fatal(err)
+			}
 			if err := p.cmd.Wait(); err != nil {
 				t.Errorf("it ended with %v", err)
 			}
@@ -172,7 +188,7 @@
 	for i := range 19 {
 		known = append(known, standin.Ready(fmt.Sprint("dead", i), dead.Addr().String()))
 	}
-	dead.Close()
+	closeIt(t, dead)
 	binary := program(t)
 	for name, discovery := range map[string]string{"down": dead.Addr().String(), "silent": scenario.Listen(t).Addr().String()} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -68,16 +68,16 @@
 			text = config(moved)
 		}
 		write(text)
-		syscall.Kill(os.Getpid(), syscall.SIGHUP)
+		signalSelf(t, syscall.SIGHUP)
 		<-log.reloads
 	}
 	// A file that is cut short changes nothing, in the other file neither.
 	stage.Calls["operator"] = func(text string) {
 		operator(text)
-		syscall.Kill(os.Getpid(), syscall.SIGHUP)
+		signalSelf(t, syscall.SIGHUP)
 		<-log.reloads
 	}
-	stage.Calls["terminate"] = func(string) { syscall.Kill(os.Getpid(), syscall.SIGTERM) }
+	stage.Calls["terminate"] = func(string) { signalSelf(t, syscall.SIGTERM) }
 	const ask = `send GET /look HTTP/1.1\r\nHost: o\r\nX-Call-Id: ID\r\nX-Budget: 5\r\n\r\n`
 	const reply = `send HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n`
 	stage.Play(t, strings.NewReplacer("REPLY", reply).Replace(`
@@ -133,7 +133,7 @@
 		front = <-log.listen
 	}
 	stage.Calls["signal"] = func(name string) {
-		syscall.Kill(os.Getpid(), map[string]syscall.Signal{"TERM": syscall.SIGTERM, "HUP": syscall.SIGHUP}[name])
+		signalSelf(t, map[string]syscall.Signal{"TERM": syscall.SIGTERM, "HUP": syscall.SIGHUP}[name])
 	}
 	stage.Play(t, `
 		program send start
@@ -184,7 +184,7 @@
 	stage := scenario.NewStage(scenario.Accepter(discovery))
 	go func() { stage.Event(fmt.Sprint("ended ", run(os.Getenv, log, nil))) }()
 	<-log.listen
-	stage.Calls["terminate"] = func(string) { syscall.Kill(os.Getpid(), syscall.SIGTERM) }
+	stage.Calls["terminate"] = func(string) { signalSelf(t, syscall.SIGTERM) }
 	stage.Play(t, `
 		first expect GET /v1/endpoints?watch=1&after=1 HTTP/1.1
 		first close
@@ -192,3 +192,11 @@
 		terminate send now
 		wait ended <nil>`)
 }
+
+// signalSelf sends a signal to this process.
+func signalSelf(t *testing.T, s syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(os.Getpid(), s); err != nil {
+		t.Error(err)
+	}
+}
