--- a/internal/resident/resident.go
+++ b/internal/resident/resident.go
@@ -19,32 +19,32 @@
 )
 
 const (
-	pace     = time.Second            // of a look at the system
-	pressing = 200 * time.Millisecond // the same, under pressure
-	freeing  = 10 * time.Second       // and no sooner than so long after the last time
-	resting  = time.Second            // calm for so long, what the flood has left is given back to the system
+	checkInterval         = time.Second            // of a look at the system
+	pressureCheckInterval = 200 * time.Millisecond // the same, under pressure
+	minFreeInterval       = 10 * time.Second       // and no sooner than so long after the last time
+	calmBeforeFree        = time.Second            // calm for so long, what the flood has left is given back to the system
 )
 
 // How the limit of the process is shared out.
 const (
-	margin      = 0.06    // of the limit is left to chance, and
-	leastMargin = 5 << 19 // so many bytes at the least: a collector that gets no core for a moment comes late
-	live        = 0.7     // of the rest may be live: with less garbage between two collections, those never end
-	least       = 2 << 20 // bytes of heap over the floor, below which no budget can work
-	shrink      = 0.5     // of what is found too much is taken from the budget at a look,
-	regrow      = 0.05    // and of the full size given back at a later one
-	alarm       = 0.95    // of the limit: resident memory over that is too much,
-	relief      = 0.85    // and under that leaves room again
-	freePercent = 100     // the collector's usual pace
-	tightest    = 25      // and its hardest
-	unseen      = 1 << 20 // bytes of the program that are first touched when it serves
+	marginFraction   = 0.06    // of the limit is left to chance, and
+	minMargin        = 5 << 19 // so many bytes at the least: a collector that gets no core for a moment comes late
+	liveFraction     = 0.7     // of the rest may be live: with less garbage between two collections, those never end
+	minHeap          = 2 << 20 // bytes of heap over the floor, below which no budget can work
+	shrinkFraction   = 0.5     // of what is found too much is taken from the budget at a look,
+	growFraction     = 0.05    // and of the full size given back at a later one
+	shrinkAbove      = 0.95    // of the limit: resident memory over that is too much,
+	growBelow        = 0.85    // and under that leaves room again
+	maxGCPercent     = 100     // the collector's usual pace
+	minGCPercent     = 25      // and its hardest
+	untouchedProgram = 1 << 20 // bytes of the program that are first touched when it serves
 )
 
 // Sizes is the memory of a process in bytes, as the system tells it.
 type Sizes struct {
-	Resident int64 // all of it
-	File     int64 // of that, pages of files: the program itself
-	Counted  int64 // what the Go runtime holds against its soft limit
+	Resident       int64 // all of it
+	File           int64 // of that, pages of files: the program itself
+	RuntimeCounted int64 // what the Go runtime holds against its soft limit
 }
 
 // Unknown is taken for the sizes of a process whose system does not tell them: more than was ever seen at a start.
@@ -80,12 +80,12 @@
 	}
 	counted := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(counted)
-	s.Counted = int64(counted[0].Value.Uint64() - counted[1].Value.Uint64())
+	s.RuntimeCounted = int64(counted[0].Value.Uint64() - counted[1].Value.Uint64())
 	return s, nil
 }
 
 // untouched is what the Go runtime counts that is not resident: it has asked for it and never written there.
-func (s Sizes) untouched() int64 { return max(s.Counted-(s.Resident-s.File), 0) }
+func (s Sizes) untouched() int64 { return max(s.RuntimeCounted-(s.Resident-s.File), 0) }
 
 // Plan shares out a limit of bytes.
 type Plan struct {
@@ -97,14 +97,14 @@
 // NewPlan makes a plan from the sizes of a process that does not serve yet. More of its program is touched once it
 // does.
 func NewPlan(limit int64, at Sizes) Plan {
-	return Plan{Limit: limit, Floor: at.Resident + unseen, File: at.File + unseen}
+	return Plan{Limit: limit, Floor: at.Resident + untouchedProgram, File: at.File + untouchedProgram}
 }
 
-func (p Plan) usable() int64 { return p.Limit - max(int64(margin*float64(p.Limit)), leastMargin) }
+func (p Plan) usable() int64 { return p.Limit - max(int64(marginFraction*float64(p.Limit)), minMargin) }
 
 // Budget is the number of live bytes that may be held for others.
 func (p Plan) Budget() int64 {
-	return int64(live * float64(max(p.usable()-p.Floor, least)))
+	return int64(liveFraction * float64(max(p.usable()-p.Floor, minHeap)))
 }
 
 // Collector gives the soft limit of the Go runtime in bytes and the collector's percentage for so many live bytes:
@@ -113,7 +113,7 @@
 func (p Plan) Collector(at Sizes, held int64) (limit int64, percent int) {
 	limit = p.usable() - max(at.File, p.File) + at.untouched()
 	heap := max(p.Floor-p.File, 0) + held
-	return limit, int(min(max(100*(limit-heap)/max(heap, 1), tightest), freePercent))
+	return limit, int(min(max(100*(limit-heap)/max(heap, 1), minGCPercent), maxGCPercent))
 }
 
 // Surplus tells whether much more is resident than the program and what is held take: a burst that never was pressure
@@ -124,12 +124,12 @@
 
 // Resize gives the size that a budget should have after a look, and by how much it had to shrink.
 func (p Plan) Resize(total, full, resident int64) (size, by int64) {
-	if over := resident - int64(alarm*float64(p.Limit)); over > 0 {
-		by = int64(shrink * float64(over))
+	if over := resident - int64(shrinkAbove*float64(p.Limit)); over > 0 {
+		by = int64(shrinkFraction * float64(over))
 		return total - by, by
 	}
-	if resident < int64(relief*float64(p.Limit)) {
-		return min(total+int64(regrow*float64(full)), full), 0
+	if resident < int64(growBelow*float64(p.Limit)) {
+		return min(total+int64(growFraction*float64(full)), full), 0
 	}
 	return total, 0
 }
@@ -137,19 +137,19 @@
 // Watch keeps a gate and the collector in step with the system until stop is closed. relieve is called, on its
 // goroutine, at every look under pressure, with the present degree.
 func Watch(p Plan, gate *budget.Gate, relieve func(budget.Pressure), log zerolog.Logger, stop <-chan struct{}) {
-	w := &watch{plan: p, gate: gate, relieve: relieve, log: log, full: gate.State().Total}
-	w.look()
+	w := &watcher{plan: p, gate: gate, relieve: relieve, log: log, fullSize: gate.State().Total}
+	w.check()
 	for {
-		wait := pace
-		if w.degree > budget.NoPressure || w.owed {
-			wait = pressing
+		wait := checkInterval
+		if w.pressure > budget.NoPressure || w.freePending {
+			wait = pressureCheckInterval
 		}
 		timer := time.NewTimer(wait)
 		select {
 		case <-gate.PressureChanged():
-			w.step()
+			w.applyPressure()
 		case <-timer.C:
-			w.look()
+			w.check()
 		case <-stop:
 			timer.Stop()
 			return
@@ -158,85 +158,85 @@
 	}
 }
 
-type watch struct {
-	plan    Plan
-	gate    *budget.Gate
-	relieve func(budget.Pressure)
-	log     zerolog.Logger
-	full    int64
-	sizes   Sizes // at the last look
-	degree  budget.Pressure
-	percent int
-	limit   int64
-	owed    bool // memory is to be given back to the system
-	calm    time.Time
-	freed   time.Time // when memory was last given back
-	shrunk  int64     // as last told
+type watcher struct {
+	plan        Plan
+	gate        *budget.Gate
+	relieve     func(budget.Pressure)
+	log         zerolog.Logger
+	fullSize    int64
+	sizes       Sizes // at the last look
+	pressure    budget.Pressure
+	gcPercent   int
+	limit       int64
+	freePending bool // memory is to be given back to the system
+	calmSince   time.Time
+	lastFree    time.Time // when memory was last given back
+	shrunkBy    int64     // as last told
 }
 
 // step takes in the degree, and tells where each begins and ends.
-func (w *watch) step() {
+func (w *watcher) applyPressure() {
 	s := w.gate.State()
-	for w.degree < s.Pressure {
-		w.degree++
-		w.log.Warn().Stringer("degree", w.degree).Int64("held", s.Sum()).Int64("of", s.Total).Int("waiting", s.Waiting).
+	for w.pressure < s.Pressure {
+		w.pressure++
+		w.log.Warn().Stringer("degree", w.pressure).Int64("held", s.Sum()).Int64("of", s.Total).Int("waiting", s.Waiting).
 			Msg("memory pressure begins")
 	}
-	for w.degree > s.Pressure {
-		w.log.Info().Stringer("degree", w.degree).Int64("held", s.Sum()).Int64("of", s.Total).Msg("memory pressure ends")
-		w.degree--
-		w.calm = time.Now()
+	for w.pressure > s.Pressure {
+		w.log.Info().Stringer("degree", w.pressure).Int64("held", s.Sum()).Int64("of", s.Total).Msg("memory pressure ends")
+		w.pressure--
+		w.calmSince = time.Now()
 	}
-	if w.degree > budget.NoPressure {
-		w.owed = true
-		w.relieve(w.degree)
+	if w.pressure > budget.NoPressure {
+		w.freePending = true
+		w.relieve(w.pressure)
 	}
-	w.collector(s)
+	w.setCollector(s)
 }
 
-func (w *watch) collector(s budget.State) {
+func (w *watcher) setCollector(s budget.State) {
 	limit, percent := w.plan.Collector(w.sizes, s.Sum())
 	if limit != w.limit {
 		w.limit = limit
 		debug.SetMemoryLimit(limit)
 	}
-	if percent != w.percent {
-		w.percent = percent
+	if percent != w.gcPercent {
+		w.gcPercent = percent
 		debug.SetGCPercent(percent)
 	}
 }
 
 // look compares the budget with the system.
-func (w *watch) look() {
+func (w *watcher) check() {
 	sizes, err := Read()
 	if err == nil {
 		w.sizes = sizes
 	}
-	w.step()
+	w.applyPressure()
 	if err != nil {
 		return // a system that does not tell: the plan holds as it was made
 	}
 	s := w.gate.State()
-	size, by := w.plan.Resize(s.Total, w.full, sizes.Resident)
+	size, by := w.plan.Resize(s.Total, w.fullSize, sizes.Resident)
 	if size != s.Total {
 		w.gate.Resize(size)
 	}
 	switch {
-	case by > 0 && w.shrunk == 0:
+	case by > 0 && w.shrunkBy == 0:
 		w.log.Warn().Int64("resident", sizes.Resident).Int64("limit", w.plan.Limit).Int64("held", s.Sum()).Int64("by", by).
 			Msg("more memory is resident than the budget tells: it shrinks")
-		w.shrunk = by
+		w.shrunkBy = by
 	case by > 0:
-		w.shrunk += by
-	case w.shrunk > 0 && size == w.full:
-		w.log.Info().Int64("in all", w.shrunk).Msg("the budget has its full size again")
-		w.shrunk = 0
+		w.shrunkBy += by
+	case w.shrunkBy > 0 && size == w.fullSize:
+		w.log.Info().Int64("in all", w.shrunkBy).Msg("the budget has its full size again")
+		w.shrunkBy = 0
 	}
-	if !w.owed && w.degree == budget.NoPressure && time.Since(w.freed) > freeing && w.plan.Surplus(sizes, s.Sum()) {
-		w.owed, w.calm = true, time.Now()
+	if !w.freePending && w.pressure == budget.NoPressure && time.Since(w.lastFree) > minFreeInterval && w.plan.Surplus(sizes, s.Sum()) {
+		w.freePending, w.calmSince = true, time.Now()
 	}
-	if w.owed && w.degree == budget.NoPressure && time.Since(w.calm) > resting {
-		w.owed, w.freed = false, time.Now()
+	if w.freePending && w.pressure == budget.NoPressure && time.Since(w.calmSince) > calmBeforeFree {
+		w.freePending, w.lastFree = false, time.Now()
 		debug.FreeOSMemory()
 	}
 }
--- a/internal/resident/resident_test.go
+++ b/internal/resident/resident_test.go
@@ -12,7 +12,7 @@
 const mb = 1 << 20
 
 func TestPlanLeavesRoomForGarbage(t *testing.T) {
-	at := Sizes{Resident: 9 * mb, File: 6 * mb, Counted: 6 * mb}
+	at := Sizes{Resident: 9 * mb, File: 6 * mb, RuntimeCounted: 6 * mb}
 	for _, limit := range []int64{24, 32, 64, 192} {
 		p := NewPlan(limit*mb, at)
 		held := p.Budget()
@@ -26,7 +26,7 @@
 		if free, _ := p.Collector(at, 0); free != soft {
 			t.Errorf("%d MB: the runtime's limit moves with what is held", limit)
 		}
-		if percent < tightest || percent > freePercent {
+		if percent < minGCPercent || percent > maxGCPercent {
 			t.Errorf("%d MB: %d percent", limit, percent)
 		}
 	}
@@ -37,10 +37,10 @@
 
 // What the runtime counts and never touched is no memory: the soft limit is as much higher.
 func TestUntouchedMemoryDoesNotCount(t *testing.T) {
-	at := Sizes{Resident: 9 * mb, File: 6 * mb, Counted: 3 * mb}
+	at := Sizes{Resident: 9 * mb, File: 6 * mb, RuntimeCounted: 3 * mb}
 	p := NewPlan(24*mb, at)
 	tight, _ := p.Collector(at, 0)
-	at.Counted += 4 * mb
+	at.RuntimeCounted += 4 * mb
 	if loose, _ := p.Collector(at, 0); loose-tight != 4*mb {
 		t.Errorf("%d more", loose-tight)
 	}
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Skip(err)
 	}
-	if sizes.Resident < sizes.File || sizes.Counted == 0 {
+	if sizes.Resident < sizes.File || sizes.RuntimeCounted == 0 {
 		t.Errorf("%+v", sizes)
 	}
 	gate := budget.NewGate(4*mb, 1)
