--- a/internal/resident/resident_test.go
+++ b/internal/resident/resident_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// What the runtime counts and never touched is no memory: the soft limit is as much higher.
+// What the runtime counts and has never touched is no memory: the soft limit is as much higher.
 func TestUntouchedMemoryDoesNotCount(t *testing.T) {
 	at := Sizes{Resident: 9 * mb, File: 6 * mb, RuntimeCounted: 3 * mb}
 	p := NewPlan(24*mb, at)
@@ -46,7 +46,7 @@
 	}
 }
 
-// Over the alarm the budget shrinks look by look and stays where it is in between; with room again it comes back.
+// Above shrinkAbove the budget shrinks check by check, stays as it is in between, and below growBelow it grows back.
 func TestBudgetFollowsTheSystem(t *testing.T) {
 	p := NewPlan(100*mb, Sizes{Resident: 10 * mb})
 	const full = 60 * mb
@@ -60,16 +60,16 @@
 	if same, by := p.Resize(size, full, 90*mb); same != size || by != 0 {
 		t.Errorf("neither too much nor room: %d, by %d", same, by)
 	}
-	looks := 0
-	for ; size < full && looks < 100; looks++ {
+	checks := 0
+	for ; size < full && checks < 100; checks++ {
 		size, _ = p.Resize(size, full, 50*mb)
 	}
-	if looks == 100 || size != full {
-		t.Errorf("%d after %d looks with room", size, looks)
+	if checks == 100 || size != full {
+		t.Errorf("%d after %d checks with room", size, checks)
 	}
 }
 
-// What a burst has left is given back, also where it was none that pressed; what is in use is not looked for.
+// What a burst has left is returned, also if it caused no pressure; what is in use is not.
 func TestSurplus(t *testing.T) {
 	p := NewPlan(192*mb, Sizes{Resident: 9 * mb})
 	got := []bool{p.Surplus(Sizes{Resident: 12 * mb}, 0), p.Surplus(Sizes{Resident: 80 * mb}, 2*mb), p.Surplus(Sizes{Resident: 80 * mb}, 40*mb)}
