--- /dev/null
+++ b/internal/agent/caller.go
@@ -0,0 +1,245 @@
+package agent
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"net/http/httptrace"
+	"sync"
+	"time"
+
+	"connectrpc.com/connect"
+	"github.com/cockroachdb/errors"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
+	"fieldrelay/internal/shuffle"
+)
+
+const (
+	// peerTimeout is the time in which the response to a call to another agent has to start.
+	peerTimeout = 1500 * time.Millisecond
+	// maxPeerCalls bounds the calls to other agents in flight.
+	maxPeerCalls = 16
+	// connectTimeout is the time in which a connection has to come up.
+	connectTimeout = time.Second
+	// maxMessageBytes is the size of the largest message that is read.
+	maxMessageBytes = 16 << 20
+	// connectionBufferBytes is the size of a connection's buffer in each direction.
+	connectionBufferBytes = 2 << 10
+	// maxIdleConnections bounds the connections that carry no call, and maxIdlePerHost those to one host.
+	maxIdleConnections = 24
+	maxIdlePerHost     = 2
+	// idleTimeout is the time after which a connection that carries no call is closed.
+	idleTimeout = 90 * time.Second
+)
+
+// caller makes the calls that the core wants, each in a goroutine of its own, and posts their ends as events. Its method
+// start is for one goroutine only.
+type caller struct {
+	self      shuffle.Neighbour
+	client    *http.Client
+	proxy     fieldrelayv1connect.ProxyFeedClient
+	peerSlots chan struct{} // holds an element for each call to another agent in flight
+	post      func(event)
+	ctx       context.Context // of all calls
+	running   sync.WaitGroup
+
+	controlAddress string // that control goes to
+	control        fieldrelayv1connect.ControlLinkClient
+}
+
+// newCaller makes a caller to the proxy at an address. Its calls are canceled with ctx; wait waits for them.
+func newCaller(ctx context.Context, self shuffle.Neighbour, proxy string, post func(event)) *caller {
+	client := &http.Client{Transport: progressTransport{newTransport()}}
+	return &caller{
+		self:      self,
+		client:    client,
+		proxy:     fieldrelayv1connect.NewProxyFeedClient(client, baseURL(proxy), clientOptions()...),
+		peerSlots: make(chan struct{}, maxPeerCalls),
+		post:      post,
+		ctx:       ctx,
+	}
+}
+
+// newTransport returns a transport that keeps few connections open for long, with small buffers.
+func newTransport() *http.Transport {
+	dialer := net.Dialer{
+		Timeout:         connectTimeout,
+		KeepAliveConfig: keepAlive,
+		Control:         controlSocket,
+	}
+	return &http.Transport{
+		DialContext:         dialer.DialContext,
+		DisableCompression:  true,
+		MaxIdleConns:        maxIdleConnections,
+		MaxIdleConnsPerHost: maxIdlePerHost,
+		IdleConnTimeout:     idleTimeout,
+		ReadBufferSize:      connectionBufferBytes,
+		WriteBufferSize:     connectionBufferBytes,
+	}
+}
+
+// dialWith replaces how connections are opened.
+func (c *caller) dialWith(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
+	transport := newTransport()
+	transport.DialContext = dial
+	c.client.Transport = progressTransport{transport}
+}
+
+// clientOptions are those of calls whose responses aren't worth compressing.
+func clientOptions() []connect.ClientOption {
+	return []connect.ClientOption{
+		connect.WithAcceptCompression("gzip", nil, nil),
+		connect.WithReadMaxBytes(maxMessageBytes),
+	}
+}
+
+func baseURL(address string) string { return "http://" + address }
+
+// start starts a call and reports whether there was a slot for it.
+func (c *caller) start(call action) bool {
+	switch call := call.(type) {
+	case watchCall:
+		c.watch(call)
+	case proxyCall:
+		c.run(exchangeTimeout, nil, func(ctx context.Context) event { return c.callProxy(ctx, call) })
+	case shuffleCall:
+		return c.runPeer(func(ctx context.Context) event { return c.shuffle(ctx, call) })
+	case pushCall:
+		return c.runPeer(func(ctx context.Context) event { return c.push(ctx, call) })
+	case compareCall:
+		return c.runPeer(func(ctx context.Context) event { return c.compare(ctx, call) })
+	}
+	return true
+}
+
+// run makes a call in a goroutine of its own and posts the event that it returns. The call is canceled when its response
+// doesn't start within the timeout, or makes no progress after that. onStart, unless nil, is called when it starts.
+func (c *caller) run(timeout time.Duration, onStart func(), call func(ctx context.Context) event) {
+	c.running.Go(func() {
+		ctx, cancel := withResponseProgress(c.ctx, timeout, onStart)
+		defer cancel()
+		c.post(call(ctx))
+	})
+}
+
+// runPeer makes a call to another agent if there is a slot for it, and reports whether there was.
+func (c *caller) runPeer(call func(ctx context.Context) event) bool {
+	select {
+	case c.peerSlots <- struct{}{}:
+	default:
+		return false
+	}
+	c.run(peerTimeout, nil, func(ctx context.Context) event {
+		defer func() { <-c.peerSlots }()
+		return call(ctx)
+	})
+	return true
+}
+
+func (c *caller) watch(call watchCall) {
+	client := c.controlClient(call.address)
+	onStart := func() { c.post(watchResponseStarted{id: call.id}) }
+	c.run(call.timeout, onStart, func(ctx context.Context) event {
+		ctx, release := withDialTimeout(ctx, call.dialTimeout)
+		defer release()
+		response, err := client.Watch(ctx, connect.NewRequest(call.request))
+		if err != nil && errors.Is(context.Cause(ctx), errDialTimeout) {
+			err = errDialTimeout
+		}
+		err = stalledCause(ctx, err)
+		message := messageOf(response)
+		if err == nil {
+			addTransferTime(message.GetList(), responseProgressOf(ctx).sinceStart())
+			err = decompressWatch(message)
+		}
+		return watchDone{call: call, response: message, err: err}
+	})
+}
+
+// withDialTimeout returns a context that is canceled with errDialTimeout unless its call has a connection in time. The
+// function that it returns releases it.
+func withDialTimeout(ctx context.Context, timeout time.Duration) (context.Context, func()) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	timer := time.AfterFunc(timeout, func() { cancel(errDialTimeout) })
+	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(httptrace.GotConnInfo) { timer.Stop() },
+	})
+	return traced, func() {
+		timer.Stop()
+		cancel(nil)
+	}
+}
+
+// controlClient returns the client of a control machine. That of the last machine is cached.
+func (c *caller) controlClient(address string) fieldrelayv1connect.ControlLinkClient {
+	if address != c.controlAddress {
+		c.controlAddress = address
+		c.control = fieldrelayv1connect.NewControlLinkClient(c.client, baseURL(address), connect.WithReadMaxBytes(maxMessageBytes))
+	}
+	return c.control
+}
+
+func (c *caller) callProxy(ctx context.Context, call proxyCall) event {
+	var response *connect.Response[pb.ProxyStatus]
+	var err error
+	if call.apply != nil {
+		response, err = c.proxy.Apply(ctx, connect.NewRequest(call.apply))
+	} else {
+		response, err = c.proxy.Status(ctx, connect.NewRequest(&pb.StatusRequest{}))
+	}
+	return proxyCallDone{call: call, status: messageOf(response), err: stalledCause(ctx, err)}
+}
+
+func (c *caller) shuffle(ctx context.Context, call shuffleCall) event {
+	request := &pb.ShuffleRequest{From: neighbourMessage(call.From), Sample: neighbourMessages(call.Sample)}
+	response, err := c.peer(call.To).Shuffle(ctx, connect.NewRequest(request))
+	return shuffleDone{call: call, response: messageOf(response), err: stalledCause(ctx, err)}
+}
+
+func (c *caller) push(ctx context.Context, call pushCall) event {
+	request := &pb.PushRequest{From: neighbourMessage(c.self), Changes: call.Changes, List: call.List}
+	response, err := c.peer(call.To).Push(ctx, connect.NewRequest(request))
+	return pushDone{call: call, response: messageOf(response), err: stalledCause(ctx, err)}
+}
+
+func (c *caller) compare(ctx context.Context, call compareCall) event {
+	response, err := c.peer(call.To).Compare(ctx, connect.NewRequest(newCompareRequest(c.self, call)))
+	message := messageOf(response)
+	if err == nil {
+		addTransferTime(message.GetList(), responseProgressOf(ctx).sinceStart())
+		err = decompressCompare(message)
+	}
+	return compareDone{call: call, response: message, err: stalledCause(ctx, err)}
+}
+
+// addTransferTime adds the time that a response took to arrive to the age of the server list in it, which is nil if
+// there is none. Its writer named the age as of writing, and what is left of its servers' lifetimes counts from there.
+func addTransferTime(list *pb.ServerList, transfer time.Duration) {
+	if list != nil {
+		list.AgeMs += uint32(transfer / time.Millisecond)
+	}
+}
+
+func newCompareRequest(self shuffle.Neighbour, call compareCall) *pb.CompareRequest {
+	return &pb.CompareRequest{From: neighbourMessage(self), Digests: call.Digests, List: call.List, TakesPacked: true}
+}
+
+func (c *caller) peer(neighbour shuffle.Neighbour) fieldrelayv1connect.AgentPeerClient {
+	return fieldrelayv1connect.NewAgentPeerClient(c.client, baseURL(neighbour.Address), clientOptions()...)
+}
+
+// wait returns when all calls have ended. Their context has to be canceled before.
+func (c *caller) wait() {
+	c.running.Wait()
+	c.client.CloseIdleConnections()
+}
+
+// messageOf returns the message of a response, nil if there is none.
+func messageOf[T any](response *connect.Response[T]) *T {
+	if response == nil {
+		return nil
+	}
+	return response.Msg
+}
--- /dev/null
+++ b/internal/agent/compressed_push_test.go
@@ -0,0 +1,33 @@
+package agent
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/gossip"
+	"fieldrelay/internal/packing"
+	"fieldrelay/internal/shuffle"
+)
+
+// An update that a control machine sent compressed is passed on to neighbours in that form, and an agent requests it so.
+func TestLargeUpdateIsPassedOnAsItCame(t *testing.T) {
+	m := newModel(1, 1, 1)
+	m.commitRoutes(routesAtFirst)
+	var packer packing.Compressor
+	response := &pb.WatchResponse{Authoritative: true, Sequence: 1, Repair: m.truth[1].RepairFor(nil)}
+	packer.CompressResponse(&pb.WatchRequest{TakesPacked: true}, response)
+	packed := response.GetPacked()
+	require.NotNil(t, packed)
+	require.NoError(t, decompressWatch(response))
+	s, call := newLinkedCore(t)
+	require.True(t, call.request.GetTakesPacked())
+	s.step(watchDone{call: call, response: response})
+
+	other := shuffle.Neighbour{Host: "edge-2", Address: "10.0.0.2:7661"}
+	asks := compareCall{gossip.Compare{To: s.core.identity.neighbour, Digests: &pb.RangeDigests{}}}
+	replies := make(chan *pb.CompareResponse, 1)
+	s.step(compareRequested{request: newCompareRequest(other, asks), response: replies})
+	require.Same(t, packed, (<-replies).GetPacked())
+}
--- /dev/null
+++ b/internal/agent/control_probes.go
@@ -0,0 +1,135 @@
+package agent
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/catalog"
+)
+
+const (
+	// maxProbes bounds the probes in flight. Only one of five control machines may have authority.
+	maxProbes = 4
+	// probeWait is the longest time that a control machine is asked to wait for authority before it responds. Then
+	// another one is probed.
+	probeWait = 300 * time.Millisecond
+	// slowResponseAllowance is how much later a long poll is overdue once its response has started.
+	slowResponseAllowance = time.Second
+	// probeTimeout is the time in which the response to a probe has to start.
+	probeTimeout = probeWait + 700*time.Millisecond
+	// never is a time that is never reached.
+	never = time.Duration(math.MaxInt64)
+)
+
+// probes are the requests to control machines that could replace the current one. Their responses carry no state, so
+// that many agents may probe several machines at once.
+type probes struct {
+	inFlight         []string      // addresses being probed
+	nonAuthoritative []string      // addresses that responded without authority since the current machine last had it
+	nextStart        time.Duration // earliest time of the next probe
+}
+
+// finish takes the end of a probe.
+func (p *probes) finish(address string, nextStart time.Duration) {
+	p.inFlight = slices.DeleteFunc(p.inFlight, func(other string) bool { return other == address })
+	p.nextStart = nextStart
+}
+
+// isProbing reports whether a replacement of the current control machine is wanted.
+func (l *controlLink) isProbing(now time.Duration) bool { return now >= l.probingSince() }
+
+// probingSince returns the time, past or future, from which a replacement of the current control machine is wanted.
+func (l *controlLink) probingSince() time.Duration {
+	switch {
+	case l.longPoll.id == 0:
+		return never // the first long poll has not been sent yet
+	case !l.established && l.inFlight && l.responding:
+		return l.overdueAt() // the state of its machine is on its way
+	case !l.established:
+		return 0
+	case l.nonAuthoritative:
+		return l.nonAuthoritativeSince + nonAuthoritativeProbeDelay
+	case l.inFlight:
+		return l.overdueAt()
+	}
+	return never
+}
+
+// overdueAt returns the time at which the long poll in flight is overdue. A response that has started gets longer:
+// requested from another machine it would load the links once more.
+func (l *controlLink) overdueAt() time.Duration {
+	wait := time.Duration(l.longPoll.request.GetHoldMs()) * time.Millisecond
+	overdue := l.longPoll.started + wait + overdueMargin
+	if l.responding {
+		overdue += slowResponseAllowance
+	}
+	return overdue
+}
+
+// nextProbe returns the probe that is due, nil if none is.
+func (l *controlLink) nextProbe(now time.Duration, record *pb.AgentRecord, state *catalog.Snapshot) *watchCall {
+	if now < l.nextProbeDue() {
+		return nil
+	}
+	address := l.chooseProbeTarget(now)
+	if address == "" {
+		l.probes.nextStart = now + maxBackoff
+		return nil
+	}
+	l.probes.inFlight = append(l.probes.inFlight, address)
+	call := l.newCall(now, address, record, state)
+	call.kind = watchProbe
+	call.base = nil
+	call.request.Digests = nil
+	call.request.Probe = true
+	call.request.HoldMs = uint32(probeWait / time.Millisecond)
+	call.timeout = probeTimeout
+	return &call
+}
+
+// chooseProbeTarget returns the control machine to probe next, empty if there is none. It prefers machines that have not
+// yet responded without authority, and begins anew when all of them have.
+func (l *controlLink) chooseProbeTarget(now time.Duration) string {
+	excluded := append(slices.Clone(l.probes.inFlight), l.current)
+	if address := l.endpoints.chooseExcept(now, slices.Concat(excluded, l.probes.nonAuthoritative)); address != "" {
+		return address
+	}
+	l.probes.nonAuthoritative = nil
+	return l.endpoints.chooseExcept(now, excluded)
+}
+
+// nextProbeDue returns the earliest time of the next probe.
+func (l *controlLink) nextProbeDue() time.Duration {
+	if len(l.probes.inFlight) >= maxProbes {
+		return never
+	}
+	return max(l.probingSince(), l.probes.nextStart)
+}
+
+// handleProbeResponse takes the response to a probe. A machine with authority becomes the current one if a replacement
+// is still wanted.
+func (l *controlLink) handleProbeResponse(now time.Duration, call watchCall, response *pb.WatchResponse, outcome watchOutcome) {
+	l.probes.finish(call.address, now)
+	if !response.GetAuthoritative() {
+		// A response that carried an update came before the machine had its time to gain authority.
+		if !outcome.updated {
+			l.probes.nonAuthoritative = append(l.probes.nonAuthoritative, call.address)
+		}
+		return
+	}
+	if !l.isProbing(now) || !l.endpoints.known(call.address) {
+		return
+	}
+	if l.established {
+		l.endpoints.recordFailure(now, l.current)
+	}
+	l.switchTo(now, call.address)
+	l.probes.nonAuthoritative = nil
+	l.established = true
+	l.inFlight = false // a long poll to the previous machine is abandoned
+	l.consecutiveFailures = 0
+	l.dialTimeout = minDialTimeout
+	l.nextLongPoll = now
+}
--- a/internal/agent/core_test.go
+++ b/internal/agent/core_test.go
@@ -16,30 +16,30 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// steps is a core with the calls that it wants and that have not come back.
-type steps struct {
-	t    *testing.T
-	now  time.Duration
-	core *core
-	open []action
+// coreDriver steps a core and collects the calls that it returns, until a test takes and ends them.
+type coreDriver struct {
+	t       *testing.T
+	now     time.Duration
+	core    *core
+	pending []action
 }
 
-func newSteps(t *testing.T, seeds ...string) *steps {
+func newCoreDriver(t *testing.T, seeds ...string) *coreDriver {
+	t.Helper()
 	self := shuffle.Neighbour{Host: "edge-1", Address: "10.0.0.1:7661", Zone: "zone-a", Region: "region-a"}
 	random := rand.New(rand.NewPCG(1, 1))
-	who := identity{neighbour: self, incarnation: 1}
-	return &steps{t: t, core: newCore(who, seeds, 8*time.Second, random, zap.NewNop())}
+	return &coreDriver{t: t, core: newCore(identity{neighbour: self, incarnation: 1}, seeds, 8*time.Second, random, zap.NewNop())}
 }
 
-func (s *steps) step(happened event) {
-	s.open = append(s.open, s.core.step(s.now, happened)...)
+func (s *coreDriver) step(received event) {
+	s.pending = append(s.pending, s.core.step(s.now, received)...)
 }
 
-// take takes the first open call of a type.
-func take[T action](s *steps) (T, bool) {
-	for i, open := range s.open {
-		if call, ok := open.(T); ok {
-			s.open = append(s.open[:i:i], s.open[i+1:]...)
+// takeMatching takes the first pending call of a type that matches.
+func takeMatching[T action](s *coreDriver, matches func(call T) bool) (T, bool) {
+	for i, pending := range s.pending {
+		if call, ok := pending.(T); ok && matches(call) {
+			s.pending = append(s.pending[:i:i], s.pending[i+1:]...)
 			return call, true
 		}
 	}
@@ -47,171 +47,173 @@
 	return none, false
 }
 
-func takeOne[T action](s *steps) T {
+// takeCall takes the first pending call of a type.
+func takeCall[T action](s *coreDriver) (T, bool) {
+	return takeMatching(s, func(T) bool { return true })
+}
+
+// requireCall is takeCall for a call that has to be there.
+func requireCall[T action](s *coreDriver) T {
 	s.t.Helper()
-	call, ok := take[T](s)
+	call, ok := takeCall[T](s)
 	require.True(s.t, ok, "no such call: %T", call)
 	return call
 }
 
-// takeWatch takes the first open call of a kind to a control machine.
-func takeWatch(s *steps, kind watchKind) watchCall {
+// requireWatch takes the first pending call of a kind to a control machine, which has to be there.
+func requireWatch(s *coreDriver, kind watchKind) watchCall {
 	s.t.Helper()
-	for i, open := range s.open {
-		if call, ok := open.(watchCall); ok && call.kind == kind {
-			s.open = append(s.open[:i:i], s.open[i+1:]...)
-			return call
-		}
-	}
-	require.Fail(s.t, "no such call to control")
-	return watchCall{}
+	call, ok := takeMatching(s, func(call watchCall) bool { return call.kind == kind })
+	require.True(s.t, ok, "no such call to control")
+	return call
 }
 
-func (s *steps) proxyAnswers(status *pb.ProxyStatus) {
+// proxyResponds ends the pending call to the proxy with a status.
+func (s *coreDriver) proxyResponds(status *pb.ProxyStatus) {
 	s.t.Helper()
-	s.step(feedDone{call: takeOne[feedCall](s), status: status})
+	s.step(proxyCallDone{call: requireCall[proxyCall](s), status: status})
 }
 
 func TestFirstWatchWaitsForTheProxysStatus(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
-	_, watching := take[watchCall](s)
+	_, watching := takeCall[watchCall](s)
 	require.False(t, watching)
 	s.now += time.Millisecond
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7, Ready: true})
-	require.True(t, takeOne[watchCall](s).request.GetAgent().GetReady())
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7, Ready: true})
+	require.True(t, requireCall[watchCall](s).request.GetAgent().GetReady())
 }
 
-func TestFirstWatchWaitsNotForLong(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+func TestFirstWatchIsNotDelayedForLong(t *testing.T) {
+	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
-	require.LessOrEqual(t, s.core.wake(s.now), firstWatchBy)
-	s.now = firstWatchBy
+	require.LessOrEqual(t, s.core.nextTick(s.now), maxFirstWatchDelay)
+	s.now = maxFirstWatchDelay
 	s.step(tick{})
-	require.False(t, takeOne[watchCall](s).request.GetAgent().GetReady())
+	require.False(t, requireCall[watchCall](s).request.GetAgent().GetReady())
 }
 
 func TestNoticeIsSentOnceForEachChangeOfReadiness(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	require.Equal(t, watchLong, takeOne[watchCall](s).kind)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	require.Equal(t, watchLongPoll, requireCall[watchCall](s).kind)
 
-	s.now += feedPeriod
+	s.now += exchangeInterval
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7, Ready: true})
-	notice := takeOne[watchCall](s)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7, Ready: true})
+	notice := requireCall[watchCall](s)
 	require.Equal(t, watchNotice, notice.kind)
 	require.Zero(t, notice.request.GetHoldMs())
 	require.True(t, notice.request.GetAgent().GetReady())
 	s.step(watchDone{call: notice, response: &pb.WatchResponse{}})
 	s.step(tick{})
-	_, again := take[watchCall](s)
+	_, again := takeCall[watchCall](s)
 	require.False(t, again)
 }
 
 func TestNewProxyIsConfirmedByANotice(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
-	s.step(feedDone{call: takeOne[feedCall](s), err: errors.New("refused")})
-	long := takeOne[watchCall](s)
-	s.now += feedRetry
+	s.step(proxyCallDone{call: requireCall[proxyCall](s), err: errors.New("refused")})
+	long := requireCall[watchCall](s)
+	s.now += proxyRetryInterval
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	notice := takeOne[watchCall](s)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	notice := requireCall[watchCall](s)
 	require.Equal(t, watchNotice, notice.kind)
 
 	s.now += time.Millisecond
 	s.step(watchDone{call: long, response: &pb.WatchResponse{Authoritative: true}})
-	require.False(t, s.core.feed.confirmed, "asked before the proxy was known")
+	require.False(t, s.core.proxy.confirmed, "requested before the proxy was discovered")
 	s.step(watchDone{call: notice, response: &pb.WatchResponse{Authoritative: true}})
-	require.True(t, takeOne[feedCall](s).apply.GetConfirmed())
+	require.True(t, requireCall[proxyCall](s).apply.GetConfirmed())
 }
 
 func TestStateBehindTheAgreedOneIsNotConfirmed(t *testing.T) {
-	s := newSteps(t, "core-1:1")
+	s := newCoreDriver(t, "core-1:1")
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	long := takeOne[watchCall](s)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	long := requireCall[watchCall](s)
 	s.step(watchDone{call: long, response: &pb.WatchResponse{Authoritative: true, Sequence: 5, NeedDigests: true}})
-	require.False(t, s.core.feed.confirmed)
-	next := takeOne[watchCall](s)
+	require.False(t, s.core.proxy.confirmed)
+	next := requireCall[watchCall](s)
 	require.NotNil(t, next.request.GetDigests())
-	held := gossip.NewReplica()
-	held.ApplyChanges([]*pb.Change{change(1), change(2), change(3), change(4), change(5)})
+	replica := gossip.NewReplica()
+	replica.ApplyChanges([]*pb.Change{change(1), change(2), change(3), change(4), change(5)})
 	s.step(watchDone{call: next, response: &pb.WatchResponse{
 		Authoritative: true,
 		Sequence:      5,
-		Repair:        held.Snapshot().RepairFor(next.request.GetDigests()),
+		Repair:        replica.Snapshot().RepairFor(next.request.GetDigests()),
 	}})
-	apply := takeOne[feedCall](s).apply
+	apply := requireCall[proxyCall](s).apply
 	require.True(t, apply.GetConfirmed())
 	require.EqualValues(t, 5, apply.GetRepair().GetSequence(), "the confirmed state comes with the confirmation")
 }
 
 func TestEndIsToldToTwoControlMachines(t *testing.T) {
-	s := newSteps(t, "core-1:1", "core-2:1", "core-3:1")
+	s := newCoreDriver(t, "core-1:1", "core-2:1", "core-3:1")
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7, Ready: true})
-	long := takeWatch(s, watchLong)
-	s.step(endRequested{})
-	first, second := takeWatch(s, watchNotice), takeWatch(s, watchNotice)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7, Ready: true})
+	long := requireWatch(s, watchLongPoll)
+	s.step(shutdownRequested{})
+	first, second := requireWatch(s, watchNotice), requireWatch(s, watchNotice)
 	require.Equal(t, long.address, first.address)
 	require.NotEqual(t, long.address, second.address)
 	for _, notice := range []watchCall{first, second} {
 		require.True(t, notice.request.GetAgent().GetDraining())
 		require.False(t, notice.request.GetAgent().GetReady())
 	}
-	require.False(t, s.core.over(s.now))
+	require.False(t, s.core.finished(s.now))
 }
 
-// TestAProbeConfirmsWhatItsMachineHolds: it is asked as any other call is.
+// TestAProbeConfirmsWhatItsMachineHolds, as any other request does.
 func TestAProbeConfirmsWhatItsMachineHolds(t *testing.T) {
-	s := newSteps(t, "core-1:1", "core-2:1")
+	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	probe := takeWatch(s, watchProbe)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	probe := requireWatch(s, watchProbe)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Authoritative: true, Sequence: 1}})
-	require.False(t, s.core.feed.confirmed, "it holds more")
-	require.Nil(t, takeWatch(s, watchLong).request.GetDigests(), "what it holds comes with the long poll")
+	require.False(t, s.core.proxy.confirmed, "its machine has more")
+	require.Nil(t, requireWatch(s, watchLongPoll).request.GetDigests(), "its state comes with the long poll")
 }
 
-// TestAHungNoticeDoesNotSilenceTheNext: the machine that it went to is gone, another one took its place.
+// TestAHungNoticeDoesNotSilenceTheNext: its machine is gone, and another one is the current one.
 func TestAHungNoticeDoesNotSilenceTheNext(t *testing.T) {
-	s := newSteps(t, "core-1:1", "core-2:1")
+	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	lost, probe := takeWatch(s, watchLong), takeWatch(s, watchProbe)
-	s.now += feedPeriod
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	lost, probe := requireWatch(s, watchLongPoll), requireWatch(s, watchProbe)
+	s.now += exchangeInterval
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7, Ready: true})
-	require.Equal(t, lost.address, takeWatch(s, watchNotice).address)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7, Ready: true})
+	require.Equal(t, lost.address, requireWatch(s, watchNotice).address)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Authoritative: true}})
-	require.Equal(t, probe.address, takeWatch(s, watchLong).address)
-	s.now += feedPeriod
+	require.Equal(t, probe.address, requireWatch(s, watchLongPoll).address)
+	s.now += exchangeInterval
 	s.step(tick{})
-	s.proxyAnswers(&pb.ProxyStatus{Incarnation: 7})
-	require.Equal(t, probe.address, takeWatch(s, watchNotice).address)
+	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
+	require.Equal(t, probe.address, requireWatch(s, watchNotice).address)
 }
 
 func TestNeighbourThatFailsIsDroppedAndABusyOneStays(t *testing.T) {
-	s := newSteps(t, "core-1:1")
-	s.core.view.Step(0, shuffle.MembersReceived{Members: []shuffle.Neighbour{
+	s := newCoreDriver(t, "core-1:1")
+	s.core.partialView.Step(0, shuffle.MembersReceived{Members: []shuffle.Neighbour{
 		{Host: "edge-2", Address: "a:1"},
 		{Host: "edge-3", Address: "b:1"},
 	}})
 	call := compareCall{gossip.Compare{To: shuffle.Neighbour{Host: "edge-2"}}}
 	s.step(compareDone{call: call, err: connect.NewError(connect.CodeResourceExhausted, errBusy)})
-	require.Len(t, s.core.view.Neighbours(), 2)
+	require.Len(t, s.core.partialView.Neighbours(), 2)
 	s.step(compareDone{call: call, err: connect.NewError(connect.CodeUnavailable, errors.New("reset"))})
-	require.Len(t, s.core.view.Neighbours(), 1)
+	require.Len(t, s.core.partialView.Neighbours(), 1)
 	require.EqualValues(t, 2, s.core.counters.peerFailures)
 }
 
 func TestFullQueueRefusesCallsOfOthers(t *testing.T) {
 	inbox := make(chan event, 1)
 	inbox <- tick{}
-	_, err := peerService{inbox: inbox}.Compare(context.Background(), connect.NewRequest(&pb.CompareRequest{}))
+	_, err := peerService{events: inbox}.Compare(context.Background(), connect.NewRequest(&pb.CompareRequest{}))
 	require.Equal(t, connect.CodeResourceExhausted, connect.CodeOf(err))
 	require.ErrorIs(t, err, errBusy)
 }
--- /dev/null
+++ b/internal/agent/decompress.go
@@ -0,0 +1,32 @@
+package agent
+
+import (
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/packing"
+)
+
+// decompressWatch expands the compressed update in a response, if there is one. The compressed form stays, to be passed
+// on to other agents. The error is a *packing.MalformedError.
+func decompressWatch(response *pb.WatchResponse) (err error) {
+	response.Changes, response.Repair, err = decompress(response.GetPacked(), response.GetChanges(), response.GetRepair())
+	return err
+}
+
+// decompressCompare is decompressWatch for the response of another agent.
+func decompressCompare(response *pb.CompareResponse) (err error) {
+	response.Changes, response.Repair, err = decompress(response.GetPacked(), response.GetChanges(), response.GetRepair())
+	return err
+}
+
+// decompress returns the changes and the repair of a response. Changes beside a compressed update follow those in it.
+// Without one, or if it is malformed, they are returned as they are.
+func decompress(compressed *pb.PackedNews, changes []*pb.Change, repair *pb.Repair) ([]*pb.Change, *pb.Repair, error) {
+	if compressed == nil {
+		return changes, repair, nil
+	}
+	update, err := packing.Decompress(compressed)
+	if err != nil {
+		return changes, repair, err
+	}
+	return append(update.GetChanges(), changes...), update.GetRepair(), nil
+}
--- a/internal/agent/fakes_test.go
+++ b/internal/agent/fakes_test.go
@@ -21,11 +21,12 @@
 	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
 	"fieldrelay/internal/catalog"
 	"fieldrelay/internal/gossip"
+	"fieldrelay/internal/serverlist"
 	"fieldrelay/internal/settings"
 )
 
-// patience ends a test that waits in vain.
-const patience = 8 * time.Second
+// waitTimeout fails a test that still waits after it.
+const waitTimeout = 8 * time.Second
 
 func change(sequence uint64) *pb.Change {
 	item := &pb.Item{Kind: catalog.KindRoutes, Name: "route", Order: 1, Sequence: sequence, Body: []byte(`{}`)}
@@ -40,13 +41,13 @@
 	return list
 }
 
-// fakeControl is a control machine that holds whatever a test commits.
+// fakeControl is a control machine whose state is what a test commits.
 type fakeControl struct {
 	fieldrelayv1connect.UnimplementedControlLinkHandler
 	address string
 
 	mu            sync.Mutex
-	held          *gossip.Replica
+	replica       *gossip.Replica
 	members       *pb.Members
 	view          *pb.View
 	authoritative bool
@@ -55,8 +56,9 @@
 }
 
 func newFakeControl(t *testing.T) *fakeControl {
+	t.Helper()
 	control := &fakeControl{
-		held:          gossip.NewReplica(),
+		replica:       gossip.NewReplica(),
 		authoritative: true,
 		changed:       make(chan struct{}),
 		requests:      make(chan *pb.WatchRequest, 1000),
@@ -69,6 +71,7 @@
 
 // serve serves on loopback until the test ends and returns the address.
 func serve(t *testing.T, handle func(mux *http.ServeMux)) string {
+	t.Helper()
 	mux := http.NewServeMux()
 	handle(mux)
 	server := httptest.NewServer(mux)
@@ -79,8 +82,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// alter changes what the control machine holds and wakes those that wait.
-func (f *fakeControl) alter(change func()) {
+// update changes the state of the control machine and wakes the long polls.
+func (f *fakeControl) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
@@ -89,25 +92,25 @@
 }
 
 func (f *fakeControl) commit(changes ...*pb.Change) {
-	f.alter(func() { f.held.ApplyChanges(changes) })
+	f.update(func() { f.replica.ApplyChanges(changes) })
 }
 
 func (f *fakeControl) Watch(ctx context.Context, request *connect.Request[pb.WatchRequest]) (*connect.Response[pb.WatchResponse], error) {
-	asked := request.Msg
+	received := request.Msg
 	select {
-	case f.requests <- asked:
+	case f.requests <- received:
 	default:
 	}
-	hold := time.NewTimer(time.Duration(asked.GetHoldMs()) * time.Millisecond)
-	defer hold.Stop()
+	wait := time.NewTimer(time.Duration(received.GetHoldMs()) * time.Millisecond)
+	defer wait.Stop()
 	for {
-		response, news, changed := f.answer(asked)
-		if news || asked.GetHoldMs() == 0 {
+		response, updated, changed := f.respond(received)
+		if updated || received.GetHoldMs() == 0 {
 			return connect.NewResponse(response), nil
 		}
 		select {
 		case <-changed:
-		case <-hold.C:
+		case <-wait.C:
 			return connect.NewResponse(response), nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -115,73 +118,81 @@
 	}
 }
 
-func (f *fakeControl) answer(asked *pb.WatchRequest) (response *pb.WatchResponse, news bool, changed <-chan struct{}) {
+// respond returns the response as of now, whether it is due at once, and a channel that is closed at the next change.
+func (f *fakeControl) respond(request *pb.WatchRequest) (response *pb.WatchResponse, updated bool, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	response = &pb.WatchResponse{
 		Authoritative: f.authoritative,
-		Sequence:      f.held.Sequence(),
-		Generation:    f.held.Snapshot().Generation(),
+		Sequence:      f.replica.Sequence(),
+		Generation:    f.replica.Snapshot().Generation(),
 		MembersSource: f.address,
 	}
-	if asked.GetSequence() < f.held.Sequence() {
-		news = true
-		changes, kept := f.held.Since(asked.GetSequence())
-		switch {
-		case kept:
-			response.Changes = changes
-		case asked.GetDigests() != nil:
-			response.Repair = f.held.Snapshot().RepairFor(asked.GetDigests())
-		default:
-			response.NeedDigests = true
-		}
-	}
-	if gossip.CompareVersions(f.held.ListVersion(), asked.GetList()) > 0 {
-		response.List = f.held.List(time.Second)
-		news = true
+	updated = f.addState(response, request)
+	if serverlist.CompareVersions(f.replica.ListVersion(), request.GetList()) > 0 {
+		response.List = f.replica.List(time.Second)
+		updated = true
 	}
-	known := asked.GetMembersSource() == f.address && asked.GetMembersVersion() == f.members.GetVersion()
+	known := request.GetMembersSource() == f.address && request.GetMembersVersion() == f.members.GetVersion()
 	if f.members != nil && !known {
 		response.Members = f.members
-		news = true
+		updated = true
 	}
-	if f.view.GetNumber() > asked.GetViewNumber() {
+	if f.view.GetNumber() > request.GetViewNumber() {
 		response.View = f.view
-		news = true
+		updated = true
 	}
-	return response, news, f.changed
+	return response, updated, f.changed
 }
 
-// fakeProxy keeps what it is fed, and checks that it never gets older state.
+// addState adds what the agent lacks of the state, and reports whether it lacks any.
+func (f *fakeControl) addState(response *pb.WatchResponse, request *pb.WatchRequest) bool {
+	if request.GetSequence() >= f.replica.Sequence() {
+		return false
+	}
+	changes, available := f.replica.ChangesSince(request.GetSequence())
+	switch {
+	case available:
+		response.Changes = changes
+	case request.GetDigests() != nil:
+		response.Repair = f.replica.Snapshot().RepairFor(request.GetDigests())
+	default:
+		response.NeedDigests = true
+	}
+	return true
+}
+
+// fakeProxy applies what it is sent, and checks that this is never older than what it has.
 type fakeProxy struct {
 	fieldrelayv1connect.UnimplementedProxyFeedHandler
 	t       *testing.T
 	address string
 
-	mu          sync.Mutex
-	held        *gossip.Replica
-	incarnation uint64
-	ready       bool
-	needs       bool // it can't use changes, and tells its digests
-	shares      *pb.Shares
-	confirmed   bool
-	repairs     int
-	events      chan struct{} // one for each exchange, as far as there is room
+	mu           sync.Mutex
+	replica      *gossip.Replica
+	incarnation  uint64
+	ready        bool
+	needsDigests bool // it can't use changes, and reports its digests
+	shares       *pb.Shares
+	confirmed    bool
+	repairs      int
+	exchanges    chan struct{} // one for each exchange, as far as there is room
 }
 
 func newFakeProxy(t *testing.T) *fakeProxy {
-	proxy := &fakeProxy{t: t, held: gossip.NewReplica(), incarnation: 1, events: make(chan struct{}, 1)}
+	t.Helper()
+	proxy := &fakeProxy{t: t, replica: gossip.NewReplica(), incarnation: 1, exchanges: make(chan struct{}, 1)}
 	proxy.address = serve(t, func(mux *http.ServeMux) {
 		mux.Handle(fieldrelayv1connect.NewProxyFeedHandler(proxy))
 	})
 	return proxy
 }
 
-// restart makes it a new process that holds nothing.
+// restart replaces it by a new process without state.
 func (f *fakeProxy) restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.held = gossip.NewReplica()
+	f.replica = gossip.NewReplica()
 	f.incarnation++
 	f.shares = nil
 	f.confirmed = false
@@ -197,23 +208,23 @@
 func (f *fakeProxy) Apply(_ context.Context, request *connect.Request[pb.ApplyRequest]) (*connect.Response[pb.ProxyStatus], error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	base := f.held.Snapshot()
+	base := f.replica.Snapshot()
 	for _, change := range request.Msg.GetChanges() {
 		if change.GetSequence() <= base.Sequence() {
 			f.t.Errorf("change %d for a proxy at %d", change.GetSequence(), base.Sequence())
 		}
 	}
-	if !f.needs {
-		f.held.ApplyChanges(request.Msg.GetChanges())
+	if !f.needsDigests {
+		f.replica.ApplyChanges(request.Msg.GetChanges())
 	}
 	if repair := request.Msg.GetRepair(); repair != nil {
-		if moved, err := f.held.Restore(base, repair); err != nil || !moved {
+		if moved, err := f.replica.Restore(base, repair); err != nil || !moved {
 			f.t.Errorf("repair to %d for a proxy at %d: %v", repair.GetSequence(), base.Sequence(), err)
 		}
 		f.repairs++
-		f.needs = false
+		f.needsDigests = false
 	}
-	if list := request.Msg.GetList(); list != nil && f.held.OfferList(time.Minute, list) == gossip.ListStale {
+	if list := request.Msg.GetList(); list != nil && f.replica.OfferList(time.Minute, list) == gossip.ListStale {
 		f.t.Errorf("an old list: %v", list.GetVersion())
 	}
 	if shares := request.Msg.GetShares(); shares != nil {
@@ -225,29 +236,29 @@
 
 func (f *fakeProxy) status() *connect.Response[pb.ProxyStatus] {
 	select {
-	case f.events <- struct{}{}:
+	case f.exchanges <- struct{}{}:
 	default:
 	}
 	status := &pb.ProxyStatus{
 		Host:        "edge-1",
 		Incarnation: f.incarnation,
-		Sequence:    f.held.Sequence(),
-		Generation:  f.held.Snapshot().Generation(),
-		List:        f.held.ListVersion(),
+		Sequence:    f.replica.Sequence(),
+		Generation:  f.replica.Snapshot().Generation(),
+		List:        f.replica.ListVersion(),
 		Ready:       f.ready,
 		EdgeAddress: "10.0.0.1:8144",
 		Shares:      f.shares.GetVersion(),
 	}
-	if f.needs {
-		status.Digests = f.held.Snapshot().Digests()
+	if f.needsDigests {
+		status.Digests = f.replica.Snapshot().Digests()
 	}
 	return connect.NewResponse(status)
 }
 
-// await waits until the proxy meets a condition.
-func (f *fakeProxy) await(what string, condition func() bool) {
+// waitFor waits until the proxy meets a condition.
+func (f *fakeProxy) waitFor(what string, condition func() bool) {
 	f.t.Helper()
-	end := time.NewTimer(patience)
+	end := time.NewTimer(waitTimeout)
 	defer end.Stop()
 	for {
 		f.mu.Lock()
@@ -257,17 +268,17 @@
 			return
 		}
 		select {
-		case <-f.events:
+		case <-f.exchanges:
 		case <-end.C:
-			require.Fail(f.t, "the proxy waits in vain", what)
+			require.Fail(f.t, "the proxy does not get there in time", what)
 		}
 	}
 }
 
-// awaitRequest waits until the control machine is asked something that meets a condition.
-func (f *fakeControl) awaitRequest(t *testing.T, what string, condition func(request *pb.WatchRequest) bool) {
+// waitForRequest waits until the control machine receives a request that meets a condition.
+func (f *fakeControl) waitForRequest(t *testing.T, what string, condition func(request *pb.WatchRequest) bool) {
 	t.Helper()
-	end := time.NewTimer(patience)
+	end := time.NewTimer(waitTimeout)
 	defer end.Stop()
 	for {
 		select {
@@ -276,25 +287,27 @@
 				return
 			}
 		case <-end.C:
-			require.Fail(t, "control is not asked", what)
+			require.Fail(t, "control receives no such request", what)
 		}
 	}
 }
 
 // runningAgent is an agent on loopback.
 type runningAgent struct {
-	address string
-	end     context.CancelFunc
-	ended   chan error
+	address  string
+	shutDown context.CancelFunc
+	ended    chan error
 }
 
-// startAgent runs an agent until the test ends. It gets no time of grace.
+// startAgent runs an agent until the test ends, without a grace period.
 func startAgent(t *testing.T, host, proxy string, controls ...string) *runningAgent {
+	t.Helper()
 	return startWithGrace(t, 0, host, proxy, controls...)
 }
 
-// startWithGrace runs an agent that has so long to end.
+// startWithGrace runs an agent with a grace period.
 func startWithGrace(t *testing.T, grace time.Duration, host, proxy string, controls ...string) *runningAgent {
+	t.Helper()
 	from := &settings.Settings{
 		Hostname:  host,
 		Address:   "127.0.0.1",
@@ -312,7 +325,7 @@
 		LinkAddress: func(seed string) (string, error) { return seed, nil },
 	}
 	ctx, end := context.WithCancel(context.Background())
-	running := &runningAgent{address: listener.Addr().String(), end: end, ended: make(chan error, 1)}
+	running := &runningAgent{address: listener.Addr().String(), shutDown: end, ended: make(chan error, 1)}
 	logged, logs := observer.New(zap.InfoLevel)
 	logger := zaptest.NewLogger(t, zaptest.Level(zap.InfoLevel)).Named(host).WithOptions(
 		zap.WrapCore(func(printed zapcore.Core) zapcore.Core { return zapcore.NewTee(printed, logged) }))
@@ -325,7 +338,7 @@
 	return running
 }
 
-// requireNoViolations looks at the counters that an agent wrote at its end.
+// requireNoViolations checks the counters that an agent logged at its end.
 func requireNoViolations(t *testing.T, logs *observer.ObservedLogs) {
 	t.Helper()
 	counted := logs.FilterMessage("counters").All()
@@ -339,8 +352,8 @@
 	select {
 	case err := <-r.ended:
 		require.NoError(t, err)
-		r.ended <- nil // for whoever asks next
-	case <-time.After(patience):
-		require.Fail(t, "the agent doesn't end")
+		r.ended <- nil // for the next call
+	case <-time.After(waitTimeout):
+		require.Fail(t, "the agent does not end")
 	}
 }
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -10,65 +10,66 @@
 )
 
 const (
-	// lingerFor is how long a proxy that was lost may still be sending: its part of the common bounds isn't given to
-	// others before.
-	lingerFor = 60 * time.Second
-	// maxMembers bounds how many members are remembered.
+	// lostMemberRetention is how long a lost proxy may still be sending requests. Its quota share isn't given to others
+	// before.
+	lostMemberRetention = 60 * time.Second
+	// maxMembers bounds the members remembered, and the lost ones among them.
 	maxMembers = 4096
 )
 
-// membership is what is known of the edge machines.
+// membership is what is known of the edge machines, and the quota shares that follow from it: the proxies that share a
+// bound are those of all members, of those lost lately and of this machine itself.
 type membership struct {
-	self      *pb.Neighbour
-	source    string // control machine that numbered version
-	version   uint64
-	known     bool            // a list has been heard
-	current   []*pb.Neighbour // of the last list
-	lingering map[string]lingerer
-	shares    *pb.Shares
-	told      *pb.SharesVersion // of shares
+	self          *pb.Neighbour
+	source        string // control machine that numbered version
+	version       uint64
+	received      bool                  // a list has been received
+	members       []*pb.Neighbour       // of the last list
+	lost          map[string]lostMember // by host
+	shares        *pb.Shares
+	sharesVersion *pb.SharesVersion
 }
 
-// lingerer is a member that the last list doesn't name.
-type lingerer struct {
-	member *pb.Neighbour
-	until  time.Duration
+// lostMember is a member of an earlier list that the last one doesn't name.
+type lostMember struct {
+	member    *pb.Neighbour
+	expiresAt time.Duration
 }
 
 func newMembership(self shuffle.Neighbour, incarnation uint64) membership {
 	return membership{
-		self:      toMessage(self),
-		lingering: make(map[string]lingerer),
-		told:      &pb.SharesVersion{Agent: incarnation},
+		self:          neighbourMessage(self),
+		lost:          make(map[string]lostMember),
+		sharesVersion: &pb.SharesVersion{Agent: incarnation},
 	}
 }
 
-// take learns a list of members and tells whether it was another one than before.
-func (m *membership) take(now time.Duration, source string, list *pb.Members) bool {
-	if list == nil || m.known && source == m.source && list.GetVersion() == m.version {
+// update takes a list of members and reports whether it is another one than the last.
+func (m *membership) update(now time.Duration, source string, list *pb.Members) bool {
+	if list == nil || m.received && source == m.source && list.GetVersion() == m.version {
 		return false
 	}
-	before := m.current
+	previous := m.members
 	m.source = source
 	m.version = list.GetVersion()
-	m.known = true
-	m.current = currentMembers(list)
-	for _, member := range m.current {
-		delete(m.lingering, member.GetHost())
+	m.received = true
+	m.members = liveMembers(list)
+	for _, member := range m.members {
+		delete(m.lost, member.GetHost())
 	}
-	for _, member := range before {
-		m.linger(now, member)
+	for _, member := range previous {
+		m.retain(now, member)
 	}
-	m.rebuild()
+	m.updateShares()
 	return true
 }
 
-// currentMembers are those members that were heard of lately enough to be sending.
-func currentMembers(list *pb.Members) []*pb.Neighbour {
+// liveMembers returns the members of a list that control has received a heartbeat from lately enough to be sending.
+func liveMembers(list *pb.Members) []*pb.Neighbour {
 	members := make([]*pb.Neighbour, 0, len(list.GetAgents()))
 	for _, record := range list.GetAgents() {
 		age := time.Duration(record.GetAgeMs()) * time.Millisecond
-		if age > lingerFor || record.GetHost() == "" || len(members) == maxMembers {
+		if age > lostMemberRetention || record.GetHost() == "" || len(members) == maxMembers {
 			continue
 		}
 		members = append(members, &pb.Neighbour{
@@ -81,46 +82,49 @@
 	return members
 }
 
-// linger keeps a member that the present list doesn't name.
-func (m *membership) linger(now time.Duration, member *pb.Neighbour) {
-	named := slices.ContainsFunc(m.current, func(other *pb.Neighbour) bool { return other.GetHost() == member.GetHost() })
-	_, kept := m.lingering[member.GetHost()]
-	if named || kept || len(m.lingering) >= maxMembers {
+// retain keeps a member that the last list doesn't name as lost.
+func (m *membership) retain(now time.Duration, member *pb.Neighbour) {
+	_, retained := m.lost[member.GetHost()]
+	if containsHost(m.members, member.GetHost()) || retained || len(m.lost) >= maxMembers {
 		return
 	}
-	m.lingering[member.GetHost()] = lingerer{member: member, until: now + lingerFor}
+	m.lost[member.GetHost()] = lostMember{member: member, expiresAt: now + lostMemberRetention}
 }
 
-// heard tells that a control machine has answered, whose list is still the one held: those that it doesn't name go
-// in time. While no control machine answers nobody goes.
-func (m *membership) heard(now time.Duration) {
+// expireLost forgets lost members in time. It is called when a control machine has responded, so that none is forgotten
+// while none responds.
+func (m *membership) expireLost(now time.Duration) {
 	expired := false
-	for host, lingerer := range m.lingering {
-		if lingerer.until <= now {
-			delete(m.lingering, host)
+	for host, lost := range m.lost {
+		if lost.expiresAt <= now {
+			delete(m.lost, host)
 			expired = true
 		}
 	}
 	if expired {
-		m.rebuild()
+		m.updateShares()
 	}
 }
 
-// rebuild makes the shares anew.
-func (m *membership) rebuild() {
-	members := slices.Clone(m.current)
-	for _, lingerer := range m.lingering {
-		members = append(members, lingerer.member)
+// updateShares recomputes the quota shares, under a new revision if they have changed.
+func (m *membership) updateShares() {
+	members := slices.Clone(m.members)
+	for _, lost := range m.lost {
+		members = append(members, lost.member)
 	}
-	if !slices.ContainsFunc(members, func(other *pb.Neighbour) bool { return other.GetHost() == m.self.GetHost() }) {
+	if !containsHost(members, m.self.GetHost()) {
 		members = append(members, m.self)
 	}
 	slices.SortFunc(members, func(a, b *pb.Neighbour) int { return strings.Compare(a.GetHost(), b.GetHost()) })
 	if m.shares != nil && slices.EqualFunc(m.shares.GetMembers(), members, sameMember) {
 		return
 	}
-	m.told = &pb.SharesVersion{Agent: m.told.GetAgent(), Revision: m.told.GetRevision() + 1}
-	m.shares = &pb.Shares{Proxies: uint32(len(members)), Members: members, Version: m.told}
+	m.sharesVersion = &pb.SharesVersion{Agent: m.sharesVersion.GetAgent(), Revision: m.sharesVersion.GetRevision() + 1}
+	m.shares = &pb.Shares{Proxies: uint32(len(members)), Members: members, Version: m.sharesVersion}
+}
+
+func containsHost(members []*pb.Neighbour, host string) bool {
+	return slices.ContainsFunc(members, func(member *pb.Neighbour) bool { return member.GetHost() == host })
 }
 
 func sameMember(a, b *pb.Neighbour) bool {
@@ -130,5 +134,5 @@
 		a.GetAddress() == b.GetAddress()
 }
 
-// neighbours are the members of the last list, for the partial view.
-func (m *membership) neighbours() []shuffle.Neighbour { return fromMessages(m.current) }
+// neighbours returns the members of the last list, for the partial view.
+func (m *membership) neighbours() []shuffle.Neighbour { return neighboursFromMessages(m.members) }
--- /dev/null
+++ b/internal/agent/proxy_link_test.go
@@ -0,0 +1,212 @@
+package agent
+
+import (
+	"syscall"
+	"testing"
+	"time"
+
+	"connectrpc.com/connect"
+	"github.com/cockroachdb/errors"
+	"github.com/stretchr/testify/require"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/gossip"
+	"fieldrelay/internal/shuffle"
+)
+
+// proxyLinkFixture is a proxy link with what it reads.
+type proxyLinkFixture struct {
+	t       *testing.T
+	now     time.Duration
+	link    proxyLink
+	replica *gossip.Replica
+	members membership
+}
+
+func newProxyLinkFixture(t *testing.T) *proxyLinkFixture {
+	t.Helper()
+	return &proxyLinkFixture{
+		t:       t,
+		now:     time.Second,
+		replica: gossip.NewReplica(),
+		members: newMembership(shuffle.Neighbour{Host: "self"}, 5),
+	}
+}
+
+func (f *proxyLinkFixture) nextCall() *proxyCall {
+	return f.link.nextCall(f.now, f.replica, &f.members)
+}
+
+// exchange ends the call that is due with a status.
+func (f *proxyLinkFixture) exchange(status *pb.ProxyStatus) *pb.ApplyRequest {
+	f.t.Helper()
+	call := f.nextCall()
+	require.NotNil(f.t, call)
+	f.link.handleDone(f.now, proxyCallDone{call: *call, status: status})
+	return call.apply
+}
+
+func (f *proxyLinkFixture) fail() {
+	f.t.Helper()
+	call := f.nextCall()
+	require.NotNil(f.t, call)
+	f.link.handleDone(f.now, proxyCallDone{call: *call, err: errors.New("refused")})
+}
+
+func TestFirstIsAStatus(t *testing.T) {
+	f := newProxyLinkFixture(t)
+	f.replica.ApplyChanges([]*pb.Change{change(1), change(2)})
+	require.Nil(t, f.exchange(&pb.ProxyStatus{Incarnation: 7, Sequence: 1}))
+	apply := f.exchange(&pb.ProxyStatus{Incarnation: 7, Sequence: 2})
+	require.Len(t, apply.GetChanges(), 1)
+	require.EqualValues(t, 2, apply.GetChanges()[0].GetSequence())
+}
+
+func TestProxyThatIsAheadGetsNothing(t *testing.T) {
+	f := newProxyLinkFixture(t)
+	f.replica.ApplyChanges([]*pb.Change{change(1)})
+	f.replica.OfferList(0, serverList(1, "i-1"))
+	f.link.confirmed = true
+	ahead := &pb.ProxyStatus{Incarnation: 7, Sequence: 5, List: &pb.ListVersion{Epoch: 9}}
+	f.exchange(ahead)
+	f.link.confirm(f.now)
+	require.Nil(t, f.nextCall(), "neither state, nor list, nor confirmation")
+	f.now += exchangeInterval
+	require.Nil(t, f.exchange(ahead))
+}
+
+func TestProxyWithDigestsGetsARepair(t *testing.T) {
+	f := newProxyLinkFixture(t)
+	f.replica.ApplyChanges([]*pb.Change{change(1)})
+	f.exchange(&pb.ProxyStatus{Incarnation: 7, Digests: &pb.RangeDigests{}})
+	apply := f.exchange(&pb.ProxyStatus{Incarnation: 7, Sequence: 1})
+	require.Empty(t, apply.GetChanges())
+	require.Len(t, apply.GetRepair().GetRanges(), catalog.RangeCount)
+}
+
+func TestUpdateNotTakenIsNotResentAtOnce(t *testing.T) {
+	f := newProxyLinkFixture(t)
+	f.replica.ApplyChanges([]*pb.Change{change(1)})
+	stuck := &pb.ProxyStatus{Incarnation: 7}
+	f.exchange(stuck)
+	require.NotNil(t, f.exchange(stuck))
+	require.Nil(t, f.nextCall())
+	f.now += exchangeInterval
+	require.NotNil(t, f.exchange(stuck))
+	f.replica.ApplyChanges([]*pb.Change{change(2)})
+	require.Len(t, f.exchange(stuck).GetChanges(), 2, "anything newer is sent at once")
+}
+
+func TestUnreachableProxyIsQueriedForItsStatusFirst(t *testing.T) {
+	f := newProxyLinkFixture(t)
+	f.exchange(&pb.ProxyStatus{Incarnation: 7, Ready: true})
+	require.True(t, f.link.ready())
+	f.replica.ApplyChanges([]*pb.Change{change(1)})
+	f.fail()
+	require.False(t, f.link.ready())
+	require.Nil(t, f.nextCall())
+	f.now += proxyRetryInterval
+	require.Nil(t, f.exchange(&pb.ProxyStatus{Incarnation: 8}), "a status")
+	require.NotNil(t, f.exchange(&pb.ProxyStatus{Incarnation: 8, Sequence: 1}))
+}
+
+func TestConfirmationIsForOneIncarnation(t *testing.T) {
+	f := newProxyLinkFixture(t)
+	f.link.confirm(f.now)
+	require.False(t, f.link.confirmed, "no proxy is known")
+	f.exchange(&pb.ProxyStatus{Incarnation: 7})
+	f.link.confirm(f.now - 1)
+	require.False(t, f.link.confirmed, "requested before the proxy was discovered")
+	f.link.confirm(f.now)
+	require.True(t, f.exchange(&pb.ProxyStatus{Incarnation: 7}).GetConfirmed())
+	require.Nil(t, f.nextCall(), "delivered once")
+	f.now += exchangeInterval
+	f.exchange(&pb.ProxyStatus{Incarnation: 8})
+	require.True(t, f.link.awaitsConfirmation())
+	require.Nil(t, f.nextCall())
+}
+
+func TestSharesAreSentWhenKnownAndNotTooOften(t *testing.T) {
+	f := newProxyLinkFixture(t)
+	status := &pb.ProxyStatus{Incarnation: 7}
+	f.exchange(status)
+	require.Nil(t, f.nextCall(), "none are known")
+	f.members.update(f.now, "core-1", members(1, "a"))
+	require.EqualValues(t, 2, f.exchange(status).GetShares().GetProxies())
+	f.members.update(f.now, "core-1", members(2, "a", "b"))
+	require.Nil(t, f.nextCall())
+	f.now += minSharesInterval
+	require.EqualValues(t, 3, f.exchange(status).GetShares().GetProxies())
+}
+
+// A call that was abandoned may reach the proxy after its successor. What counts is what the proxy reports.
+func TestSharesAreResentUntilTheProxyReportsThem(t *testing.T) {
+	f := newProxyLinkFixture(t)
+	holds := func(revision uint64) *pb.ProxyStatus {
+		return &pb.ProxyStatus{Incarnation: 7, Shares: &pb.SharesVersion{Agent: 5, Revision: revision}}
+	}
+	f.exchange(&pb.ProxyStatus{Incarnation: 7})
+	f.members.update(f.now, "core-1", members(1, "a"))
+	require.NotNil(t, f.exchange(holds(1)).GetShares())
+	f.now += minSharesInterval
+	f.members.update(f.now, "core-1", members(2, "a", "b"))
+	require.NotNil(t, f.exchange(holds(1)).GetShares(), "taken, and replaced by the one before")
+	require.Nil(t, f.nextCall(), "not at once")
+	f.now += minSharesInterval
+	require.EqualValues(t, 2, f.exchange(holds(2)).GetShares().GetVersion().GetRevision())
+	f.now += minSharesInterval
+	require.Nil(t, f.exchange(holds(2)), "a status")
+}
+
+func TestShutdownWaitsForTheProxyWithinTheGracePeriod(t *testing.T) {
+	const grace = 8 * time.Second
+	f := newProxyLinkFixture(t)
+	f.exchange(&pb.ProxyStatus{Incarnation: 7})
+	var e shutdown
+	require.False(t, e.finished(f.now, &f.link, 0))
+	e.begin(f.now, grace, &f.link)
+	require.False(t, e.finished(f.now, &f.link, 0))
+	require.True(t, e.finished(f.now+grace-graceMargin, &f.link, 1), "the grace ends")
+
+	f.now += exchangeInterval
+	f.fail()
+	require.False(t, e.finished(f.now, &f.link, 0), "it may be back")
+	require.False(t, e.finished(f.now+proxyGoneTimeout, &f.link, 1), "control is not notified yet")
+	require.True(t, e.finished(f.now+proxyGoneTimeout, &f.link, 0))
+
+	f.now += proxyRetryInterval
+	f.exchange(&pb.ProxyStatus{Incarnation: 8})
+	require.True(t, e.finished(f.now, &f.link, 0), "another incarnation of the proxy")
+}
+
+// TestShutdownFollowsAProxyThatHasEnded: both are restarted after the same delay, and a proxy whose agent comes later
+// serves nobody meanwhile.
+func TestShutdownFollowsAProxyThatHasEnded(t *testing.T) {
+	f := newProxyLinkFixture(t)
+	f.exchange(&pb.ProxyStatus{Incarnation: 7})
+	var e shutdown
+	e.begin(f.now, 8*time.Second, &f.link)
+	f.now += shutdownExchangeInterval
+	f.exchange(&pb.ProxyStatus{Incarnation: 7, Draining: true})
+	f.now += shutdownExchangeInterval
+	call := f.nextCall()
+	require.NotNil(t, call)
+	f.link.handleDone(f.now, proxyCallDone{call: *call, err: connect.NewError(connect.CodeUnavailable, syscall.ECONNREFUSED)})
+	require.True(t, e.finished(f.now, &f.link, 0))
+}
+
+// TestApplyIsMeantForOneProcess: a proxy that was restarted since its last status must not take the confirmation of a
+// state that was requested before.
+func TestApplyIsMeantForOneProcess(t *testing.T) {
+	f := newProxyLinkFixture(t)
+	f.replica.ApplyChanges([]*pb.Change{change(1)})
+	f.exchange(&pb.ProxyStatus{Incarnation: 7, Sequence: 1})
+	f.link.confirm(f.now)
+	apply := f.exchange(&pb.ProxyStatus{Incarnation: 8})
+	require.True(t, apply.GetConfirmed())
+	require.EqualValues(t, 7, apply.GetProxyIncarnation())
+	apply = f.exchange(&pb.ProxyStatus{Incarnation: 8, Sequence: 1})
+	require.False(t, apply.GetConfirmed())
+	require.EqualValues(t, 8, apply.GetProxyIncarnation())
+}
--- a/internal/agent/reload.go
+++ b/internal/agent/seeds.go
@@ -13,18 +13,18 @@
 	"fieldrelay/internal/settings"
 )
 
-// reloadPeriod is the time between two looks at the settings file.
-const reloadPeriod = time.Second
+// reloadInterval is the time between two looks at the settings file.
+const reloadInterval = time.Second
 
-// reloader reads the settings file again when it changes.
+// reloader follows the seeds in the settings file. It is not safe for concurrent use.
 type reloader struct {
 	path     string // empty: there is no file
 	logger   *zap.Logger
 	resolve  func(seed string) (string, error)
-	seeds    []string
+	seeds    []string // link addresses, as last read
 	modified time.Time
 	size     int64
-	lookedAt time.Duration
+	polledAt time.Duration
 }
 
 // newReloader follows the file at path, of which seeds were read.
@@ -37,30 +37,30 @@
 	return r
 }
 
-// look reads the file if it has changed since, at most once in reloadPeriod. It returns the new addresses of the
-// seeds, and whether they are others than before.
-func (r *reloader) look(now time.Duration) ([]string, bool) {
-	if r.path == "" || now-r.lookedAt < reloadPeriod {
+// poll reads the file if it has changed, at most once in reloadInterval. It returns the link addresses of the seeds and
+// whether they have changed.
+func (r *reloader) poll(now time.Duration) ([]string, bool) {
+	if r.path == "" || now-r.polledAt < reloadInterval {
 		return nil, false
 	}
-	r.lookedAt = now
+	r.polledAt = now
 	information, err := os.Stat(r.path)
 	if err != nil || information.ModTime().Equal(r.modified) && information.Size() == r.size {
 		return nil, false
 	}
 	r.modified = information.ModTime()
 	r.size = information.Size()
-	return r.read()
+	return r.reload()
 }
 
-// read reads the file whether it has changed or not.
-func (r *reloader) read() ([]string, bool) {
+// reload is poll without regard to whether the file has changed.
+func (r *reloader) reload() ([]string, bool) {
 	if r.path == "" {
 		return nil, false
 	}
 	read, err := settings.Load(r.path)
 	if err != nil {
-		r.logger.Warn("settings can't be read again", zap.Error(err))
+		r.logger.Warn("settings reload failed", zap.Error(err))
 		return nil, false
 	}
 	seeds := resolveSeeds(read.Seeds, r.resolve, r.logger)
@@ -71,14 +71,14 @@
 	return seeds, true
 }
 
-// resolveSeeds turns addresses of the operator's API into those of the link service. Seeds that aren't addresses
-// are left out.
+// resolveSeeds turns addresses of the operator's API into those of the link service. Seeds that are no addresses are
+// logged and left out.
 func resolveSeeds(seeds []string, resolve func(string) (string, error), logger *zap.Logger) []string {
 	addresses := make([]string, 0, len(seeds))
 	for _, seed := range seeds {
 		address, err := resolve(seed)
 		if err != nil {
-			logger.Warn("seed left out", zap.Error(err))
+			logger.Warn("seed ignored", zap.Error(err))
 			continue
 		}
 		addresses = append(addresses, address)
@@ -86,14 +86,14 @@
 	return addresses
 }
 
-// linkAddress finds the link service of a seed: at the seed's IP address and the first of the ports for own
-// messages, which are the same on all machines.
+// linkAddress returns what finds the link service of a seed: at the seed's host and the first port of the port range,
+// which is the same on all machines.
 func linkAddress(firstPort int) func(seed string) (string, error) {
 	port := strconv.Itoa(firstPort)
 	return func(seed string) (string, error) {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
-			return "", errors.Wrapf(err, "seed %q", seed)
+			return "", errors.Wrapf(err, "resolve seed %q", seed)
 		}
 		return net.JoinHostPort(host, port), nil
 	}
--- a/internal/agent/socket_linux.go
+++ b/internal/agent/socket_linux.go
@@ -7,15 +7,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// unacknowledgedFor is how long bytes may stay unacknowledged before a connection counts as broken: a machine
-// without power or behind a cut says nothing.
-const unacknowledgedFor = 2 * time.Second
+// unacknowledgedTimeout is how long sent bytes may stay unacknowledged before a connection counts as broken: a machine
+// without power or behind a partition closes none (TCP_USER_TIMEOUT, RFC 5482).
+const unacknowledgedTimeout = 2 * time.Second
 
-// controlSocket makes a socket notice that the other side is cut off. Connections inherit it from their listener.
+// controlSocket makes a socket notice that the other side is unreachable. Connections inherit the option from their
+// listener. It is for net.Dialer.Control and net.ListenConfig.Control.
 func controlSocket(_, _ string, connection syscall.RawConn) error {
 	var failure error
 	err := connection.Control(func(descriptor uintptr) {
-		limit := int(unacknowledgedFor / time.Millisecond)
+		limit := int(unacknowledgedTimeout / time.Millisecond)
 		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, limit)
 	})
 	if err != nil {
--- a/internal/catalog/document.go
+++ b/internal/catalog/document.go
@@ -3,13 +3,14 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"math"
 	"strconv"
 
 	"fieldrelay/internal/jsonwalk"
 )
 
-// Names of members that have a meaning of their own in an order.
+// Names of members with a meaning of their own in an order.
 const (
 	memberGeneration = "gen"
 	memberUpsert     = "upsert"
@@ -22,7 +23,7 @@
 // entry is one named part of a document: a member of a collection or a setting.
 type entry struct {
 	name string
-	body []byte // a part of the order's body
+	body []byte // shares memory with the order's body
 }
 
 // section is one member of a configuration.
@@ -33,12 +34,12 @@
 	body       []byte  // of a setting
 }
 
-// document is a configuration, or the upserts of an amendment, taken apart.
+// document is a parsed configuration, or the parsed upserts of an amendment.
 type document struct {
 	sections []section
 }
 
-// parseObject checks that data is one JSON object and returns it without space around it.
+// parseObject checks that data is one JSON object and returns it without the white space around it.
 func parseObject(data []byte) ([]byte, error) {
 	if !json.Valid(data) {
 		return nil, invalid("", "", "the body is not JSON")
@@ -50,30 +51,31 @@
 	return object, nil
 }
 
-// parseDocument takes the members of an object apart. Where a name comes twice, the last one counts.
+// parseDocument parses the members of an object. If a name occurs twice, the last one counts.
 func parseDocument(object []byte, faults *InvalidError) document {
 	var parsed document
-	places := make(map[string]int)
+	indexes := make(map[string]int)
 	for key, value := range jsonwalk.Members(object) {
 		name := jsonwalk.TextOf(key)
 		if name == memberGeneration {
 			continue
 		}
 		next := parseSection(name, value, faults)
-		if place, twice := places[name]; twice {
-			parsed.sections[place] = next
+		if index, duplicate := indexes[name]; duplicate {
+			parsed.sections[index] = next
 			continue
 		}
-		places[name] = len(parsed.sections)
+		indexes[name] = len(parsed.sections)
 		parsed.sections = append(parsed.sections, next)
 	}
 	return parsed
 }
 
+// parseSection parses one member: a collection if it is a list of objects with distinct names, otherwise a setting.
 func parseSection(name string, value []byte, faults *InvalidError) section {
-	whole := section{name: name, body: value}
+	setting := section{name: name, body: value}
 	if !isCollection(name) {
-		return whole
+		return setting
 	}
 	required := name == KindRoutes || name == KindBackends
 	if required && jsonwalk.IsNull(value) {
@@ -83,41 +85,42 @@
 		if required {
 			faults.add("", name, "is not a list")
 		}
-		return whole
+		return setting
 	}
-	entries, problem := namedEntries(value)
-	if problem != "" {
+	entries, err := parseNamedEntries(value)
+	if err != nil {
 		if required {
-			faults.add("", name, "%s", problem)
+			faults.add("", name, "%v", err)
 		}
-		return whole
+		return setting
 	}
 	return section{name: name, collection: true, entries: entries}
 }
 
-// namedEntries reads a list of objects with different names. It tells what is wrong if the list is not one.
-func namedEntries(array []byte) (entries []entry, problem string) {
+// parseNamedEntries parses a list of objects with distinct names. The error says why the list is not one; its text is a
+// part of the answer to the operator.
+func parseNamedEntries(array []byte) ([]entry, error) {
+	var entries []entry
 	seen := make(map[string]bool)
 	for element := range jsonwalk.Elements(array) {
-		place := strconv.Itoa(len(entries))
 		if !jsonwalk.IsObject(element) {
-			return nil, "element " + place + " is not an object"
+			return nil, fmt.Errorf("element %d is not an object", len(entries))
 		}
 		quoted := jsonwalk.Member(element, "name")
 		if !jsonwalk.IsString(quoted) {
-			return nil, "element " + place + " has no name"
+			return nil, fmt.Errorf("element %d has no name", len(entries))
 		}
 		name := jsonwalk.Text(quoted)
 		if seen[name] {
-			return nil, "the name " + strconv.Quote(name) + " comes twice"
+			return nil, fmt.Errorf("the name %q comes twice", name)
 		}
 		seen[name] = true
 		entries = append(entries, entry{name: name, body: element})
 	}
-	return entries, ""
+	return entries, nil
 }
 
-// parseRemovals reads the lists of names that an amendment removes, by collection.
+// parseRemovals parses the lists of names that an amendment removes, by collection.
 func parseRemovals(value []byte, faults *InvalidError) map[string][]string {
 	if value == nil {
 		return nil
@@ -132,7 +135,7 @@
 		if jsonwalk.IsNull(list) {
 			continue
 		}
-		names, ok := nameList(list)
+		names, ok := parseNames(list)
 		if !ok {
 			faults.add("", memberRemove+"."+kind, "is not a list of names")
 			continue
@@ -144,7 +147,8 @@
 	return removals
 }
 
-func nameList(value []byte) ([]string, bool) {
+// parseNames parses a list of strings; false if it is not one.
+func parseNames(value []byte) ([]string, bool) {
 	if !jsonwalk.IsArray(value) {
 		return nil, false
 	}
@@ -158,11 +162,11 @@
 	return names, true
 }
 
-// largestExactFloat is the end of the whole numbers that a float64 holds exactly.
+// largestExactFloat is the number up to which a float64 represents all integers exactly.
 const largestExactFloat = 1 << 53
 
-// wholeNumber reads a number that is not negative and has no fraction, however it is written (7, 7.0, 7e0).
-func wholeNumber(value []byte) (uint64, bool) {
+// parseInteger parses a non-negative integer in any notation of JSON (7, 7.0, 7e0).
+func parseInteger(value []byte) (uint64, bool) {
 	if number, err := strconv.ParseUint(string(value), 10, 64); err == nil {
 		return number, true
 	}
@@ -173,14 +177,14 @@
 	return uint64(number), true
 }
 
-// generationOf reads the gen of an order and checks that it is above the current one.
-func generationOf(object []byte, current uint64, faults *InvalidError) uint64 {
+// parseGeneration parses the gen of an order and checks that it is above the current one.
+func parseGeneration(object []byte, current uint64, faults *InvalidError) uint64 {
 	value := jsonwalk.Member(object, memberGeneration)
 	if value == nil {
 		faults.add("", memberGeneration, "is missing")
 		return 0
 	}
-	generation, ok := wholeNumber(value)
+	generation, ok := parseInteger(value)
 	if !ok {
 		faults.add("", memberGeneration, "is not a whole number")
 		return 0
@@ -191,7 +195,7 @@
 	return generation
 }
 
-// writeMember appends one member to an object that is being written.
+// writeMember writes one more member of an object, after a comma.
 func writeMember(buffer *bytes.Buffer, name string, body []byte) error {
 	quoted, err := json.Marshal(name)
 	if err != nil {
--- a/internal/catalog/validate.go
+++ b/internal/catalog/validate.go
@@ -6,25 +6,26 @@
 	"fieldrelay/internal/jsonwalk"
 )
 
-// validate checks the rules of the operator's API that concern routes and services. It runs over the
-// configuration that an order would bring into force and looks at each body once.
+// validate checks the rules of the operator API that concern routes and services. It parses each route of the
+// configuration that an order would bring into force once.
 //
-// An order is refused for what it brings, not for what was in force before: an earlier version of this program may
-// have accepted what this one refuses, and an amendment of something else has to remain possible.
-func validate(current, next *Snapshot, sent sentRoutes, faults *InvalidError) {
+// An order is rejected for what it submits, not for what was in force before: an earlier version of this program may
+// have accepted what this one rejects, and an amendment of something else has to remain possible.
+func validate(current, next *Snapshot, submitted submittedRoutes, faults *InvalidError) {
 	routes := next.Items(KindRoutes)
 	checker := routeChecker{
-		sent:     sent,
-		services: namesOf(next.Items(KindBackends)),
-		current:  current,
-		owners:   make(map[configitem.Match]string, len(routes)),
-		faults:   faults,
+		submitted: submitted,
+		services:  namesOf(next.Items(KindBackends)),
+		current:   current,
+		routeOf:   make(map[configitem.Match]string, len(routes)),
+		faults:    faults,
 	}
 	for _, item := range routes {
 		checker.check(item)
 	}
 }
 
+// namesOf returns the set of the items' names.
 func namesOf(items []*pb.Item) map[string]bool {
 	names := make(map[string]bool, len(items))
 	for _, item := range items {
@@ -33,80 +34,83 @@
 	return names
 }
 
-// sentRoutes tells which routes an order sends.
-type sentRoutes struct {
-	all   bool
+// submittedRoutes is the set of the routes that an order submits.
+type submittedRoutes struct {
+	all   bool // the order is a whole configuration
 	names map[string]bool
 }
 
-func (s *sentRoutes) add(entries []entry) {
+// add adds the routes of an amendment.
+func (s *submittedRoutes) add(entries []entry) {
 	if s.names == nil {
 		s.names = make(map[string]bool, len(entries))
 	}
-	for _, sent := range entries {
-		s.names[sent.name] = true
+	for _, route := range entries {
+		s.names[route.name] = true
 	}
 }
 
-func (s *sentRoutes) includes(route string) bool { return s.all || s.names[route] }
+func (s *submittedRoutes) includes(route string) bool { return s.all || s.names[route] }
 
+// routeChecker checks the routes of the next configuration, one after another.
 type routeChecker struct {
-	sent     sentRoutes
-	services map[string]bool // of the next configuration
-	current  *Snapshot
-	owners   map[configitem.Match]string // name of the route that has this place
-	faults   *InvalidError
+	submitted submittedRoutes
+	services  map[string]bool // of the next configuration
+	current   *Snapshot
+	routeOf   map[configitem.Match]string // name of the route with this match
+	faults    *InvalidError
 }
 
+// check checks one route.
 func (c *routeChecker) check(item *pb.Item) {
 	name := item.GetName()
 	route := configitem.ParseRoute(item.GetBody())
-	c.checkPlace(name, &route)
-	if c.sent.includes(name) {
+	c.checkMatch(name, &route)
+	if c.submitted.includes(name) {
 		_, faults := route.Deadline()
-		c.add(name, faults)
+		c.addFaults(name, faults)
 	}
 	c.checkServices(name, &route)
 }
 
-// add adds faults of a route.
-func (c *routeChecker) add(route string, faults []configitem.Fault) {
+// addFaults adds faults of a route.
+func (c *routeChecker) addFaults(route string, faults []configitem.FieldError) {
 	for _, fault := range faults {
 		c.faults.add(KindRoutes+"/"+route, fault.Field, "%s", fault.Reason)
 	}
 }
 
-// checkPlace refuses a route that no request can be matched with, and two for the same requests.
-func (c *routeChecker) checkPlace(name string, route *configitem.Route) {
-	place, faults := route.Match()
+// checkMatch rejects a route that matches no request, and a route that matches the same requests as another.
+func (c *routeChecker) checkMatch(name string, route *configitem.Route) {
+	match, faults := route.Match()
 	if faults != nil {
-		if c.sent.includes(name) {
-			c.add(name, faults)
+		if c.submitted.includes(name) {
+			c.addFaults(name, faults)
 		}
 		return
 	}
-	owner, taken := c.owners[place]
-	if taken && (c.sent.includes(name) || c.sent.includes(owner)) {
+	owner, duplicate := c.routeOf[match]
+	if duplicate && (c.submitted.includes(name) || c.submitted.includes(owner)) {
 		c.faults.add(KindRoutes+"/"+name, "path-prefix", "route %q has the same host and prefix", owner)
 	}
-	if !taken {
-		c.owners[place] = name
+	if !duplicate {
+		c.routeOf[match] = name
 	}
 }
 
 // checkServices checks the services that a route names, by "backend" or by "split".
 func (c *routeChecker) checkServices(name string, route *configitem.Route) {
 	destination, faults := route.Destination()
-	if c.sent.includes(name) {
-		c.add(name, faults)
+	if c.submitted.includes(name) {
+		c.addFaults(name, faults)
 	}
 	c.checkService(name, "backend", destination.Service)
-	for _, share := range destination.Shares {
+	for _, share := range destination.Split {
 		c.checkService(name, "split", share.Service)
 	}
 }
 
-// checkService refuses a service that is not there, unless an earlier version left the route without it.
+// checkService rejects a service that does not exist, unless an earlier version has accepted the route without it.
 func (c *routeChecker) checkService(route, field string, service []byte) {
 	if len(service) == 0 || c.services[string(service)] {
 		return
@@ -115,7 +119,7 @@
 	if c.services[name] {
 		return
 	}
-	if _, removed := c.current.Get(KindBackends, name); removed || c.sent.includes(route) {
+	if _, removed := c.current.Get(KindBackends, name); removed || c.submitted.includes(route) {
 		c.faults.add(KindRoutes+"/"+route, field, "there is no service %q", name)
 	}
 }
--- a/internal/chain/taken_test.go
+++ b/internal/chain/executed_orders_test.go
@@ -10,11 +10,11 @@
 	"fieldrelay/internal/catalog"
 )
 
-// takenOrderBytes is what one taken order needs in a repair.
-const takenOrderBytes = 24
+// encodedOrderBytes is the size of one executed order in a repair.
+const encodedOrderBytes = 24
 
-// takeOrders has the head take so many orders.
-func (c *cluster) takeOrders(head string, count int, names ...string) {
+// executeOrders has the head execute a number of orders.
+func (c *cluster) executeOrders(head string, count int, names ...string) {
 	for range count {
 		newest := c.replicas[head].Newest()
 		base := newest.Generation()
@@ -23,13 +23,13 @@
 		require.True(c.t, c.replicas[head].AcceptsProposals())
 		output, err := c.replicas[head].Propose(change)
 		require.NoError(c.t, err)
-		c.take(head, output)
-		c.settle(names...)
+		c.collect(head, output)
+		c.runUntilQuiet(names...)
 	}
 }
 
-// watchRepairs collects the taken orders that the replicas send each other in repairs.
-func (c *cluster) watchRepairs() *[]*pb.TakenOrders {
+// recordRepairs records the executed orders in the repairs that the replicas send each other.
+func (c *cluster) recordRepairs() *[]*pb.TakenOrders {
 	var seen []*pb.TakenOrders
 	c.holdBack = func(message *pb.Message) bool {
 		if repair := message.GetSyncResponse().GetRepair(); repair != nil {
@@ -42,91 +42,90 @@
 
 func (c *cluster) requireSameState(names ...string) {
 	for _, name := range names {
-		require.True(c.t, c.replicas[names[0]].Newest().SameAs(c.replicas[name].Newest()), name)
-		require.True(c.t, c.replicas[names[0]].Newest().SameAs(c.disk(name).Newest), "disk of %s", name)
+		require.True(c.t, c.replicas[names[0]].Newest().Equal(c.replicas[name].Newest()), name)
+		require.True(c.t, c.replicas[names[0]].Newest().Equal(c.disk(name).Newest), "disk of %s", name)
 	}
 }
 
-// A member that was away gets the orders that it lacks, whole chunks of them, and not the others.
+// A member that was partitioned receives the chunks of orders that it lacks, and not the others.
 func TestRepairsBringTheOrdersThatAreLacking(t *testing.T) {
-	c := founded(t)
-	c.takeOrders("a", 1000, three...)
+	c := newRunningCluster(t)
+	c.executeOrders("a", 1000, three...)
 	c.requireSameState(three...)
-	c.cut["c"] = true
+	c.partitioned["c"] = true
 	c.adopt(viewNamed(2, three, "a", "b"), "a", "b")
-	c.settle("a", "b")
-	c.takeOrders("a", 300, "a", "b")
-	c.cut["c"] = false
-	repairs := c.watchRepairs()
+	c.runUntilQuiet("a", "b")
+	c.executeOrders("a", 300, "a", "b")
+	c.partitioned["c"] = false
+	repairs := c.recordRepairs()
 	c.adopt(viewNamed(3, three, "a", "b", "c"), three...)
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.tick(8, three...)
 	c.requireSameState(three...)
 	require.NotEmpty(t, *repairs)
 	for _, repair := range *repairs {
-		require.LessOrEqual(t, len(repair.GetOrders()), (300+64)*takenOrderBytes)
+		require.LessOrEqual(t, len(repair.GetOrders()), (300+64)*encodedOrderBytes)
 	}
 }
 
-// A learner gets each order with its change, and a new one all of them.
+// A learner receives each order with its change, and a new one all of them.
 func TestLearnersHoldTheOrders(t *testing.T) {
-	c := founded(t)
-	c.takeOrders("a", 10, three...)
+	c := newRunningCluster(t)
+	c.executeOrders("a", 10, three...)
 	c.adopt(viewNamed(2, three, "a", "b"), three...)
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.tick(8, three...)
-	c.takeOrders("a", 10, three...)
+	c.executeOrders("a", 10, three...)
 	c.requireSameState(three...)
 	require.EqualValues(t, 20, c.replicas["c"].Committed().Generation())
 	c.disks["c"] = nil
 	c.restart("c", 99_000)
 	c.adopt(viewNamed(2, three, "a", "b"), "c")
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.tick(8, three...)
 	c.requireSameState(three...)
 }
 
-// A head that takes over knows the orders of the one before, and a change that only that one had is dropped with
-// its order.
+// A new head knows the orders of the one before. A change that only that one had is discarded with its order.
 func TestTheNextHeadKnowsTheOrders(t *testing.T) {
-	c := founded(t)
-	c.takeOrders("a", 100, three...)
-	c.cut["a"] = true
+	c := newRunningCluster(t)
+	c.executeOrders("a", 100, three...)
+	c.partitioned["a"] = true
 	change, err := catalog.PrepareReplace(c.replicas["a"].Newest(), 100, []byte(`{"gen":101,"only":"a"}`))
 	require.NoError(t, err)
 	output, err := c.replicas["a"].Propose(change)
 	require.NoError(t, err)
-	c.take("a", output)
-	c.settle(three...)
+	c.collect("a", output)
+	c.runUntilQuiet(three...)
 	c.adopt(viewNamed(2, three, "b", "c"), "b", "c")
-	c.settle("b", "c")
-	c.takeOrders("b", 5, "b", "c")
-	c.cut["a"] = false
+	c.runUntilQuiet("b", "c")
+	c.executeOrders("b", 5, "b", "c")
+	c.partitioned["a"] = false
 	c.adopt(viewNamed(2, three, "b", "c"), "a")
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.tick(8, three...)
 	c.requireSameState("b", "c", "a")
-	var taken *catalog.AlreadyExecutedError
-	var lost *catalog.ConflictError
+	var executed *catalog.AlreadyExecutedError
+	var conflict *catalog.ConflictError
 	_, err = catalog.PrepareReplace(c.replicas["a"].Newest(), 0, []byte(`{"gen":1}`))
-	require.ErrorAs(t, err, &taken)
+	require.ErrorAs(t, err, &executed)
 	_, err = catalog.PrepareReplace(c.replicas["a"].Newest(), 100, []byte(`{"gen":101,"only":"a"}`))
-	require.ErrorAs(t, err, &lost)
+	require.ErrorAs(t, err, &conflict)
 }
 
-// A member whose record differs, though it holds the same items at the same sequence, gets the orders.
+// A member whose record of orders differs receives it, though its items and its sequence are the same.
 func TestAMemberThatLacksOnlyTheOrdersGetsThem(t *testing.T) {
-	c := founded(t)
-	c.takeOrders("a", 10, three...)
+	c := newRunningCluster(t)
+	c.executeOrders("a", 10, three...)
 	for index, write := range c.disks["c"] {
 		if write.Change != nil {
 			c.disks["c"][index].Change = catalog.ForAgents(write.Change)
 		}
 	}
 	c.restart("c", 99_000)
-	require.False(t, c.replicas["c"].Newest().SameAs(c.replicas["a"].Newest()))
+	require.False(t, c.replicas["c"].Newest().Equal(c.replicas["a"].Newest()))
 	c.adopt(viewNamed(2, three, "a", "b", "c"), three...)
-	c.settle(three...)
+	c.runUntilQuiet(three...)
 	c.tick(8, three...)
 	c.requireSameState(three...)
 }
--- /dev/null
+++ b/internal/chain/next_chain.go
@@ -0,0 +1,55 @@
+package chain
+
+import (
+	"slices"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+)
+
+// MaxLength is the highest number of replicas in a chain.
+const MaxLength = 5
+
+// Candidate is what is known of a voter that may be a member of the next chain.
+type Candidate struct {
+	Healthy      bool // reachable, and its disk works
+	Reachable    bool // not suspected to have failed, whether its disk works or not
+	Synchronized bool // as it advertises, in the view in force
+	Stable       bool // for so long without a failure that it may be added although the chain is redundant enough
+	Leaving      bool // has announced its graceful shutdown: a member only until the others are redundant enough
+}
+
+// Change is how a chain differs from the one before.
+type Change struct {
+	Removal  bool // a member was removed
+	Addition bool // a member was added
+}
+
+// NextChain returns the chain that should follow that of the view, among the next voters, and how it differs. It
+// returns nil if no healthy member is synchronized: no other replica can be the head without losing commits.
+func NextChain(
+	view *pb.View, voters []*pb.Replica, candidates map[string]Candidate, required Requirement,
+) ([]*pb.Replica, Change) {
+	next := builder{voters: voters, candidates: candidates, required: required}
+	if !next.keepMembers(view.GetChain()) {
+		return nil, Change{}
+	}
+	next.evictForDomain()
+	removal := len(next.chain)+len(next.diskFaulty) < len(view.GetChain())
+	kept := len(next.chain)
+	next.addMembers()
+	change := Change{Removal: removal, Addition: len(next.chain) > kept}
+	return append(next.chain, next.diskFaulty...), change
+}
+
+// InitialChain returns the chain of the first view: spread over failure domains, ordered by region and zone.
+func InitialChain(voters []*pb.Replica, required Requirement) []*pb.Replica {
+	ordered := slices.Clone(voters)
+	slices.SortFunc(ordered, byDomain)
+	first := builder{voters: ordered, candidates: make(map[string]Candidate, len(voters)), required: required}
+	for _, voter := range voters {
+		first.candidates[voter.GetIdentity()] = Candidate{Healthy: true, Synchronized: true, Stable: true}
+	}
+	first.addMembers()
+	slices.SortFunc(first.chain, byDomain)
+	return first.chain
+}
--- a/internal/chain/replica.go
+++ b/internal/chain/replica.go
@@ -12,75 +12,80 @@
 	Message *pb.Message
 }
 
-// Output is what an event leads to.
+// Output is the reaction to an event.
 type Output struct {
-	// Writes must reach the disk together and in the order of the outputs; then Saved must be called once. No
-	// message in any output tells of a write that is not on disk.
+	// Writes must be persisted together and in the order of the outputs; then WritesPersisted must be called, once for
+	// each output that has any. No message in any output depends on a write that is not on disk.
 	Writes   []Write
 	Messages []OutgoingMessage
-	// Committed: the committed state is a newer one.
+	// Committed: Replica.Committed has advanced.
 	Committed bool
 }
 
-// Advertised is what other machines may be told about a replica: it is on disk.
+// Advertised is what a replica advertises to other machines: what it has on disk.
 type Advertised struct {
 	ViewNumber uint64
 	Sequence   uint64
-	// Synchronized: a member of the chain is a source for the next view; a learner follows the tail.
+	// Synchronized: as a member of the chain, the replica can be the head of the next chain; as a learner, it follows
+	// the tail.
 	Synchronized bool
 }
 
-// Replica is one machine's part in the chain.
+// Replica is one machine's part in the chain, or a learner outside of it. Its methods are events, which return what
+// must be done, and queries.
 type Replica struct {
-	self       string // identity
-	state      State  // after all writes that were handed out
-	unsaved    int    // outputs with writes that are not on disk yet
-	advertised Advertised
-
-	// of the view in force
-	synchronised bool   // holds the state of the view
-	commitKnown  bool   // something is known to be committed in this view
-	acknowledged uint64 // by the successor
-	passed       pacing // of appends to the successor
-	passedFrom   uint64 // sequence of the copies that the last of these serves, and of later ones
-	lag          int    // heartbeats in a row that told of an upstream that is ahead
-	request      *syncRequest
-	waiting      map[string]*pb.Message // SyncRequests that came too early, by identity
-	answered     map[string]*pacing     // of answers to SyncRequests, by identity
-	standbys     []*pb.Replica          // machines without a vote that took their state from this one
-
-	previous    *catalog.Snapshot // before the last change; nil after a repair
-	committed   *catalog.Snapshot // newest known; nil before the first
-	incarnation uint64
-}
-
-// maxWaiting bounds the early requests that a replica remembers.
-const maxWaiting = 2 * quorum.MaxVoters
-
-// NewReplica resumes from what is on disk. The ticket tells the sync requests of this life from those of
-// earlier ones and must be another one after each start.
-func NewReplica(identity string, state State, ticket uint64) *Replica {
+	self        string // identity
+	state       State  // after all writes of the outputs so far, on disk or not
+	unpersisted int    // number of outputs with writes that are not on disk yet
+	advertised  Advertised
+
+	// These are reset with each view.
+	synchronized     bool   // holds the state of the view: its predecessor's, or its own if it is the head
+	commitKnown      bool   // something is known to be committed in the view
+	acknowledged     uint64 // sequence that the successor has acknowledged
+	appendPacer      pacer  // of appends to the successor
+	appendBase       uint64 // sequence on which the changes of the last append build
+	heartbeatsBehind int    // consecutive heartbeats of a predecessor that is ahead
+	request          *syncRequest
+	responsePacers   map[string]*pacer // of sync responses, by identity of the receiver
+	standbys         []*pb.Replica     // learners without a vote that have synchronized with this replica
+
+	earlyRequests map[string]*pb.Message // sync requests that cannot be answered yet, by identity of the sender
+	previous      *catalog.Snapshot      // before the last change; nil after a repair
+	committed     *catalog.Snapshot      // newest known; nil before the first
+	syncToken     uint64                 // of the last sync request
+}
+
+// maxEarlyRequests bounds the early requests, and the receivers of sync responses, that a replica remembers.
+const maxEarlyRequests = 2 * quorum.MaxVoters
+
+// NewReplica resumes from the durable state. The incarnation must differ from run to run, by more than the number of
+// requests of a run: it is the first of the tokens that tell this run's sync requests from those of earlier ones.
+func NewReplica(identity string, state State, incarnation uint64) *Replica {
 	replica := &Replica{
-		self:        identity,
-		state:       state,
-		incarnation: ticket,
+		self:      identity,
+		state:     state,
+		syncToken: incarnation,
 	}
 	replica.enterView()
-	replica.publish()
+	replica.advertise()
 	return replica
 }
 
-// State is the state after all writes that were handed out.
+// State is the state after all writes of the outputs so far, on disk or not.
 func (r *Replica) State() State { return r.state }
 
-// Advertised is what other machines may be told.
+// Newest is the state on which the next change builds.
+func (r *Replica) Newest() *catalog.Snapshot { return r.state.Newest }
+
+// Advertised is what may be advertised to other machines.
 func (r *Replica) Advertised() Advertised { return r.advertised }
 
-// Committed is the newest state known to be committed; nil before the first is known.
+// Committed is the newest state that is known to be committed; nil before the first.
 func (r *Replica) Committed() *catalog.Snapshot { return r.committed }
 
-// ChangesSince returns the changes after sequence up to the committed state, oldest first; false when they
-// are not kept.
+// ChangesSince returns the changes after a sequence up to the committed state, oldest first; false when the history
+// does not reach back that far.
 func (r *Replica) ChangesSince(sequence uint64) ([]*pb.Change, bool) {
 	changes, found := r.state.History.Since(sequence)
 	if !found {
@@ -92,7 +97,7 @@
 	return changes, true
 }
 
-// RecentChanges returns the kept changes up to the committed state, oldest first.
+// RecentChanges returns the changes of the history up to the committed state, oldest first.
 func (r *Replica) RecentChanges() []*pb.Change {
 	committed := r.committed.Sequence()
 	for back := min(committed, catalog.HistoryMaxChanges); back > 0; back-- {
@@ -103,160 +108,100 @@
 	return nil
 }
 
-// Adopt moves to a later view that was decided. From now on messages of earlier views are refused.
-func (r *Replica) Adopt(view *pb.View) Output {
-	var output Output
-	if view.GetNumber() <= r.state.View.GetNumber() {
-		return output
-	}
-	r.leaveView()
-	r.state.View = view
-	r.enterView()
-	r.write(&output, Write{View: view, SynchronizedView: r.state.SynchronizedView})
-	return output
-}
-
-// leaveView counts the view as covered if nothing can have been committed in it.
-func (r *Replica) leaveView() {
-	if r.state.isSource(r.self) {
-		r.state.SynchronizedView = max(r.state.SynchronizedView, r.state.View.GetNumber())
-	}
-}
-
-// enterView sets what belongs to a view. The head's state is that of the view by definition.
-func (r *Replica) enterView() {
-	number := r.state.View.GetNumber()
-	position := r.state.position(r.self)
-	if position == 0 && r.state.SynchronizedView+1 == number {
-		r.state.SynchronizedView = number
-	}
-	r.synchronised = position != quorum.NotFound && r.state.SynchronizedView == number
-	r.commitKnown = false
-	r.acknowledged = 0
-	r.passed = pacing{}
-	r.lag = 0
-	r.request = nil
-	r.answered = make(map[string]*pacing)
-	r.standbys = nil
-	r.dropOldRequests()
-}
-
-// AcceptsProposals reports whether the replica is the head and takes another change: the one before is committed.
+// AcceptsProposals reports whether the replica is the head and the change before is committed, so that it takes
+// another.
 func (r *Replica) AcceptsProposals() bool {
 	return r.isHead() && r.FullyCommitted()
 }
 
 // FullyCommitted reports whether the replica holds the state of its view and knows all of it to be committed.
 func (r *Replica) FullyCommitted() bool {
-	if r.unsaved > 0 || !r.synchronised || !r.commitKnown {
+	if r.unpersisted > 0 || !r.synchronized || !r.commitKnown {
 		return false
 	}
 	return r.committed.Sequence() == r.state.Newest.Sequence()
 }
 
 // KnowsCommitted reports whether the replica knows what is committed in its view.
-func (r *Replica) KnowsCommitted() bool { return r.synchronised && r.commitKnown }
-
-// Newest is the state that the next change builds on.
-func (r *Replica) Newest() *catalog.Snapshot { return r.state.Newest }
+func (r *Replica) KnowsCommitted() bool { return r.synchronized && r.commitKnown }
 
-// Propose appends a change at the head; it must be open and the change must follow Newest.
+// Propose appends a change at the head. AcceptsProposals must hold. The error is a *catalog.SequenceError if the change
+// does not follow Newest.
 func (r *Replica) Propose(change *pb.Change) (Output, error) {
 	var output Output
-	if err := r.apply(&output, change); err != nil {
+	if err := r.applyChange(&output, change); err != nil {
 		return Output{}, err
 	}
 	return output, nil
 }
 
-// WritesPersisted tells that the writes of the oldest output that had some are on disk.
+// WritesPersisted must be called when the writes of the oldest output that had some, and has not been confirmed yet,
+// are on disk.
 func (r *Replica) WritesPersisted() Output {
 	var output Output
-	r.unsaved--
-	if r.unsaved == 0 {
-		r.publish()
-		r.proceed(&output)
+	r.unpersisted--
+	if r.unpersisted == 0 {
+		r.advertise()
+		r.resume(&output)
 	}
 	return output
 }
 
-// Tick repeats what got no answer. It is meant to be called every 100 to 200 ms.
+// Tick retries what was not answered. It is meant to be called every 100 to 200 ms.
 func (r *Replica) Tick() Output {
 	var output Output
-	r.passed.tick()
-	for _, answered := range r.answered {
-		answered.tick()
+	r.appendPacer.tick()
+	for _, responsePacer := range r.responsePacers {
+		responsePacer.tick()
 	}
-	if r.unsaved > 0 || r.state.View == nil {
+	if r.unpersisted > 0 || r.state.View == nil {
 		return output
 	}
 	switch {
-	case !r.synchronised || r.request != nil:
-		r.repeatRequest(&output)
-	case r.awaitsSuccessor() && r.passed.isDue():
-		r.passOn(&output)
+	case !r.synchronized || r.request != nil:
+		r.retrySync(&output)
+	case r.awaitsAcknowledge() && r.appendPacer.isDue():
+		r.sendAppend(&output)
 	case r.isTail() && !r.commitKnown:
 		r.commitTail(&output)
 	}
 	return output
 }
 
-// Reachable notes how far another machine's copy reaches. If the upstream stays ahead, its state is asked for.
-func (r *Replica) ObserveHeartbeat(from *pb.Replica, heartbeat *pb.Heartbeat) Output {
-	var output Output
-	if !r.isUpstream(from) || heartbeat.GetViewNumber() != r.state.View.GetNumber() {
-		return output
-	}
-	if heartbeat.GetSequence() <= r.state.Newest.Sequence() || r.unsaved > 0 || !r.synchronised {
-		r.lag = 0
-		return output
-	}
-	r.lag++
-	if r.lag > 1 && r.request == nil {
-		r.ask(&output)
-	}
-	return output
-}
-
-func (r *Replica) publish() {
+// advertise updates what the replica advertises. All of the state must be on disk.
+func (r *Replica) advertise() {
 	r.advertised = Advertised{
 		ViewNumber:   r.state.View.GetNumber(),
 		Sequence:     r.state.Newest.Sequence(),
-		Synchronized: r.state.isSource(r.self) || (r.isLearner() && r.synchronised),
+		Synchronized: r.state.isSynchronized(r.self) || (r.isLearner() && r.synchronized),
 	}
 }
 
-// proceed does what was waiting for the disk.
-func (r *Replica) proceed(output *Output) {
+// resume does what had to wait until the writes were on disk.
+func (r *Replica) resume(output *Output) {
 	if r.state.View == nil {
 		return
 	}
-	if !r.synchronised {
-		r.ask(output)
+	if !r.synchronized {
+		r.requestSync(output)
 		return
 	}
 	if r.isLearner() {
-		r.commit(output, r.state.Newest)
+		r.markCommitted(output, r.state.Newest)
 		return
 	}
-	r.answerWaiting(output)
+	r.answerEarlyRequests(output)
 	if r.isTail() {
 		r.commitTail(output)
 		return
 	}
-	if r.awaitsSuccessor() {
-		r.passOn(output)
+	if r.awaitsAcknowledge() {
+		r.sendAppend(output)
 	}
 }
 
-func (r *Replica) write(output *Output, write Write) {
-	if len(output.Writes) == 0 {
-		r.unsaved++
-	}
-	output.Writes = append(output.Writes, write)
-}
-
-func (r *Replica) apply(output *Output, change *pb.Change) error {
+// applyChange adds a change to the state and the output.
+func (r *Replica) applyChange(output *Output, change *pb.Change) error {
 	next, err := r.state.Newest.Apply(change)
 	if err != nil {
 		return err
@@ -264,6 +209,17 @@
 	r.previous = r.state.Newest
 	r.state.Newest = next
 	r.state.History.Add(change)
-	r.write(output, Write{Change: change, SynchronizedView: r.state.SynchronizedView})
+	r.addWrite(output, Write{Change: change, SynchronizedView: r.state.SynchronizedView})
 	return nil
 }
+
+func (r *Replica) addWrite(output *Output, write Write) {
+	if len(output.Writes) == 0 {
+		r.unpersisted++
+	}
+	output.Writes = append(output.Writes, write)
+}
+
+func (r *Replica) send(output *Output, to *pb.Replica, message *pb.Message) {
+	output.Messages = append(output.Messages, OutgoingMessage{To: to, Message: message})
+}
--- a/internal/control/distance_test.go
+++ b/internal/control/catchup_test.go
@@ -15,7 +15,7 @@
 // A node that was away for more changes than history keeps is repaired, and tells none of them as changes: who asks
 // it for those gets none, and the whole state in their place.
 func TestNodeFarBehindCatchesUp(t *testing.T) {
-	cluster := newTestCluster(t, 3)
+	cluster := newTestCluster(t)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 1)).GetStatus())
 	away := cluster.machines[2]
 	cluster.await(away, 5*time.Second, func(status Status) bool { return status.Committed.Generation() == 1 })
@@ -34,7 +34,7 @@
 		return status.Committed != nil && status.Committed.Sequence() >= newest.Sequence()
 	})
 	t.Logf("%d changes: caught up after %v", distance, time.Since(began))
-	require.True(t, newest.SameAs(away.node.Status().Committed))
+	require.True(t, newest.Equal(away.node.Status().Committed))
 	_, kept := away.node.Since(old.Sequence())
 	require.False(t, kept)
 	restored, err := old.Restore(away.node.Status().Committed.RepairFor(old.Digests()))
--- /dev/null
+++ b/internal/control/diskqueue.go
@@ -0,0 +1,113 @@
+package control
+
+import (
+	"time"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/chain"
+	"fieldrelay/internal/ring"
+)
+
+// Limits on writes.
+const (
+	// slowWriteThreshold is how long a write may take before the disk counts as unhealthy.
+	slowWriteThreshold = time.Second
+	// maxUnpersistedWrites is the number of pending writes from which no promise is given any more.
+	maxUnpersistedWrites = 16
+	// snapshotBytes and snapshotRecords are what may follow a snapshot before the next one is due.
+	snapshotBytes   = 256 << 10
+	snapshotRecords = 512
+)
+
+// diskQueue holds the writes that are not on disk yet, the oldest first. It keeps the rule "disk before send": what a
+// machine answers as an acceptor, and what it acknowledges as a replica, leaves only once the record behind it is on
+// disk, since a machine that restarts must not have forgotten what the others rely on.
+type diskQueue struct {
+	clock  *clock
+	output *stepOutput
+	// snapshot encodes everything that must be on disk once all writes so far are.
+	snapshot func() []byte
+
+	pending   []pendingWrite
+	lastToken uint64
+	failed    bool // the oldest write has failed at least once
+	schedule  snapshotSchedule
+}
+
+type pendingWrite struct {
+	token    uint64
+	started  time.Duration
+	forChain bool                    // the replica waits for it
+	replies  []chain.OutgoingMessage // may leave once the write is on disk
+}
+
+// persist requests that records are written, as a snapshot of everything if one is due.
+func (d *diskQueue) persist(records []ring.Record, forChain bool, replies []chain.OutgoingMessage) {
+	d.lastToken++
+	d.pending = append(d.pending, pendingWrite{
+		token:    d.lastToken,
+		started:  d.clock.now,
+		forChain: forChain,
+		replies:  replies,
+	})
+	action := Persist{Token: d.lastToken, Records: records}
+	d.schedule.add(records)
+	if d.schedule.due {
+		action.Snapshot = d.snapshot()
+		d.schedule.restart()
+	}
+	d.output.add(action)
+}
+
+// persistThenSend sends a message once a record is on disk.
+func (d *diskQueue) persistThenSend(record ring.Record, to *pb.Replica, message *pb.Message) {
+	d.persist([]ring.Record{record}, false, []chain.OutgoingMessage{{To: to, Message: message}})
+}
+
+// persistStart writes the snapshot that is due at the start, if any.
+func (d *diskQueue) persistStart() {
+	if d.schedule.due {
+		d.persist(nil, false, nil)
+	}
+}
+
+// next removes the oldest write if it is covered by a token that has come back.
+func (d *diskQueue) next(token uint64) (pendingWrite, bool) {
+	if len(d.pending) == 0 || d.pending[0].token > token {
+		return pendingWrite{}, false
+	}
+	done := d.pending[0]
+	d.pending = d.pending[1:]
+	return done, true
+}
+
+// isHealthy reports whether writes succeed within slowWriteThreshold.
+func (d *diskQueue) isHealthy() bool {
+	if d.failed {
+		return false
+	}
+	return len(d.pending) == 0 || d.clock.now-d.pending[0].started < slowWriteThreshold
+}
+
+// accepts reports whether a promise may still be queued.
+func (d *diskQueue) accepts() bool { return len(d.pending) < maxUnpersistedWrites }
+
+// snapshotSchedule decides when a snapshot is due, by what was written since the last one.
+type snapshotSchedule struct {
+	due        bool
+	records    int
+	bytes      int
+	maxRecords int
+}
+
+func (s *snapshotSchedule) add(records []ring.Record) {
+	for _, record := range records {
+		s.records++
+		s.bytes += len(record.Payload)
+	}
+	if s.records >= s.maxRecords || s.bytes >= snapshotBytes {
+		s.due = true
+	}
+}
+
+func (s *snapshotSchedule) restart() { *s = snapshotSchedule{maxRecords: s.maxRecords} }
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -91,11 +91,11 @@
 // machineDisk is what a machine by itself writes from founding on, with known random numbers.
 func machineDisk(t *testing.T) (snapshot []byte, records []ring.Record) {
 	t.Helper()
-	l := newLone(t)
+	l := newSingleMachine(t)
 	for base := range uint64(9) {
 		l.requireStatus(http.StatusOK, noteOrder(base))
 	}
-	return l.base, l.records
+	return l.snapshot, l.records
 }
 
 // writeRing gives the ring file that a snapshot and records make.
@@ -186,11 +186,11 @@
 			items = append(items, fmt.Sprintf("%s %s %d %d %s", kind, item.GetName(), item.GetOrder(), item.GetSequence(), item.GetBody()))
 		}
 	}
-	orders, since := found.State.TakenOrders()
+	orders, since := found.State.ExecutedOrders()
 	ballot := func(one *pb.Ballot) string { return fmt.Sprintf("%d %s", one.GetRound(), one.GetProposer()) }
 	text, err := json.MarshalIndent(map[string]any{
 		"records": kinds, "identity": found.Identity, "bootstrap": found.Bootstrap,
-		"view": viewValues(found.View), "basis": found.Basis,
+		"view": viewValues(found.View), "basis": found.SynchronizedView,
 		"sequence": found.State.Sequence(), "generation": found.State.Generation(), "items": items,
 		"evacuated": found.State.EvacuatedZones(), "taken-orders": orders, "taken-since": since,
 		"promise": map[string]any{"view": found.Promise.GetViewNumber(), "promised": ballot(found.Promise.GetPromised()),
@@ -227,7 +227,7 @@
 		require.NoError(t, err)
 		require.Equal(t, found.Identity, machine.Self().GetIdentity())
 		require.Equal(t, found.View.GetNumber(), machine.View().GetNumber())
-		require.Equal(t, found.Bootstrap, machine.bootstrap)
+		require.Equal(t, found.Bootstrap, machine.local.bootstrap)
 
 		// orders that were taken are known again, others on the same generations are not
 		for base := range uint64(7) {
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -1,126 +1,79 @@
 package control
 
 import (
-	"cmp"
-	"math/rand/v2"
-	"strconv"
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/catalog"
 	"fieldrelay/internal/chain"
-	"fieldrelay/internal/quorum"
-	"fieldrelay/internal/ring"
 )
 
-// Periods and limits of a Machine.
-const (
-	// TickInterval is the time between two Tick events.
-	TickInterval = 150 * time.Millisecond
-	// HeartbeatInterval is the time between two heartbeats to each other machine.
-	HeartbeatInterval = 2 * TickInterval
-	// FailureTimeout is how long a machine may be silent before it counts as not live.
-	FailureTimeout = 1200 * time.Millisecond
-	// stallThreshold is the gap between two ticks from which a machine blames itself for the silence of others.
-	stallThreshold = 4 * TickInterval
-	// stallGracePeriod is how long after a late wake no orders are taken: they may have waited for the machine, and
-	// their senders given up.
-	stallGracePeriod = 500 * time.Millisecond
-)
+// Machine is a control machine's part in agreement and replication, as a state machine without I/O. It consists of parts
+// with one concern each, which joinParts joins; a part names the other parts that it uses as its first fields. A
+// Machine is not safe for concurrent use.
+type Machine struct {
+	config Config
 
-// Config is what a Machine must know at its start.
-type Config struct {
-	Self        *pb.Replica // without an identity
-	Seeds       []string    // ip:port of operator's APIs
-	Bootstrap   bool        // the whole system starts for the first time
-	Requirement chain.Requirement
-	// PeerAddress gives the ip:port of the peer service of a machine known by its operator's API.
-	PeerAddress func(controlAddress string) string
-	// Random must differ from start to start.
-	Random *rand.Rand
-	// SnapshotRecords is the number of records after which the ring gets a new snapshot; 0: the default.
-	SnapshotRecords int
-	// SpuriousProposals is asked at each tick whether to propose another view without need and out of turn; nil: never.
-	// It is for simulations: proposals that compete must do no harm.
-	SpuriousProposals func() bool
-}
+	// What the parts share.
+	clock  *clock
+	local  *localMachine
+	output *stepOutput
+	ids    *idSequence
 
-// Machine is the whole of a control machine's part in agreement and replication.
-type Machine struct {
-	config      Config
-	random      *rand.Rand
-	self        *pb.Replica
-	bootstrap   bool
-	incarnation uint64
-	contacts    []string // operator's addresses to ask when no majority is heard
-
-	now       time.Duration // of the event that is handled
-	lastTick  time.Duration
-	lastStall time.Duration // when the last late tick came; 0: none came
-	started   time.Duration
-	ticks     uint64
-	actions   []Action // of the event that is handled
-
-	acceptor          *quorum.Acceptor
-	replica           *chain.Replica
-	peers             peerTable
-	disk              diskQueue
-	election          election
-	leaving           leaving
-	origin            originOrders
-	head              headOrders
-	checks            viewChecks
-	advertisedByPeers peerAdvertisements
-	shown             *catalog.Snapshot // committed state that the shell was told last
-	sizes             ringSizes
+	// What is known of the machines.
+	peers     *peerTable
+	heartbeat *heartbeats
+	staleness *staleness
+	health    *localHealth
+	leaving   *leaving
+
+	// Agreement on views.
+	electorate *electorate
+	planner    *viewPlanner
+	rejoin     *rejoinBackoff
+	founding   *founding
+	proposer   *proposer
+	voter      *voter
+
+	// The state of the chain, and the disk.
+	replica     *chain.Replica
+	replication *replication
+	disk        *diskQueue
+
+	// Orders of the operator.
+	origin        *originOrders
+	head          *headOrders
+	tail          *tailReads
+	confirmations *confirmations
+	checks        *quorumChecks
 }
 
-// NewMachine resumes from what the ring held. The error is a *RecordError if that cannot be read.
-func NewMachine(config Config, recovered *ring.Recovered) (*Machine, error) {
-	state, err := recoverDurable(recovered)
-	if err != nil {
-		return nil, err
-	}
-	machine := &Machine{
-		config:      config,
-		random:      config.Random,
-		incarnation: config.Random.Uint64(),
-		contacts:    config.Seeds,
-		bootstrap:   state.bootstrap,
-		acceptor:    state.restoreAcceptor(),
-	}
-	identity := state.identity
-	if identity == "" {
-		identity = strconv.FormatUint(config.Random.Uint64(), 36)
-		machine.bootstrap = config.Bootstrap
-		machine.sizes.snapshotDue = true
-	}
-	machine.self = &pb.Replica{
-		Host:           config.Self.GetHost(),
-		Identity:       identity,
-		Address:        config.Self.GetAddress(),
-		Zone:           config.Self.GetZone(),
-		Region:         config.Self.GetRegion(),
-		ControlAddress: config.Self.GetControlAddress(),
-	}
-	if state.migrated {
-		machine.sizes.snapshotDue = true // behind it, no record is of the earlier version
-	}
-	machine.sizes.limit = cmp.Or(config.SnapshotRecords, snapshotRecords)
-	machine.replica = chain.NewReplica(identity, state.chain, machine.incarnation)
-	machine.peers = newPeerTable()
-	machine.election.dropped = make(map[string]dropRecord)
-	// answers to an earlier life of this machine must not be taken for answers to this one
-	machine.origin.next = config.Random.Uint64()
-	machine.checks.next = config.Random.Uint64() >> 1 // it must not wrap
-	return machine, nil
+// Self is this machine, with its identity.
+func (m *Machine) Self() *pb.Replica { return m.local.replica }
+
+// View is the view in force, nil before founding or joining.
+func (m *Machine) View() *pb.View { return viewInForce(m.replica) }
+
+// Committed is the newest state known to be committed; nil before the first is known.
+func (m *Machine) Committed() *catalog.Snapshot { return m.replica.Committed() }
+
+// Authoritative reports whether the machine holds the state of the view in force, has had heartbeats of a majority of the
+// voters within FailureTimeout, and knows neither of a later view nor of changes that it does not get.
+func (m *Machine) Authoritative() bool { return m.staleness.isAuthoritative() }
+
+// Live lists the hosts of the live voters in the order of the view.
+func (m *Machine) Live() []string {
+	var hosts []string
+	for _, voter := range m.peers.liveVoters(m.View()) {
+		hosts = append(hosts, voter.GetHost())
+	}
+	return hosts
 }
 
-// Step handles one event. The time is of a steady clock that does not go backwards; its zero is of no
-// importance.
+// Step handles one event and returns what the shell must do, in this order. The time is of a steady clock that does not
+// go backwards; its zero is of no importance.
 func (m *Machine) Step(now time.Duration, event Event) []Action {
-	m.now = now
-	m.actions = nil
+	m.clock.now = now
 	switch event := event.(type) {
 	case Started:
 		m.start()
@@ -135,110 +88,179 @@
 	case WriteFailed:
 		m.disk.failed = true
 	case OrderSubmitted:
-		m.submit(event)
+		m.origin.submit(event)
 	case OrderCanceled:
-		m.withdraw(event.Request)
+		m.origin.cancel(event.Request)
 	case BroadcastServerList:
-		m.broadcast(event.List)
+		m.broadcastServerList(event.List)
 	case SeedsChanged:
-		m.contacts = event.Seeds
+		m.heartbeat.contacts = event.Seeds
 	case Leave:
 		m.leave()
 	}
-	m.pump()
-	m.tellLeft()
-	return m.actions
+	m.head.proposeNext()
+	m.leaving.report(m.planner, m.output)
+	return m.output.takeActions()
 }
 
-// Self is this machine, with its identity.
-func (m *Machine) Self() *pb.Replica { return m.self }
-
-// View is the view in force, nil before founding or joining.
-func (m *Machine) View() *pb.View { return m.replica.State().View }
+func (m *Machine) start() {
+	m.clock.start()
+	m.disk.persistStart()
+	if m.View() != nil {
+		m.output.add(ViewChanged{View: m.View()})
+	}
+	m.heartbeat.sendAll()
+	m.replication.perform(m.replica.Tick())
+}
 
-// Committed is the newest state known to be committed; nil before the first is known.
-func (m *Machine) Committed() *catalog.Snapshot { return m.replica.Committed() }
+// tick lets each part act on the time that has passed. The parts draw from one source of random numbers and send in this
+// order, on which recorded runs of the simulation rest.
+func (m *Machine) tick() {
+	if gap, stalled := m.clock.tick(); stalled {
+		m.peers.excuseStall(gap)
+		m.proposer.observeStall()
+	}
+	m.peers.expire(m.View())
+	m.staleness.update()
+	if m.heartbeat.isDue() {
+		m.heartbeat.sendAll()
+	}
+	m.replication.perform(m.replica.Tick())
+	m.proposer.tick()
+	m.origin.tick()
+	m.head.tick()
+	m.checks.tick()
+}
 
-// Live lists the hosts of the live voters in the order of the view.
-func (m *Machine) Live() []string {
-	var hosts []string
-	for _, voter := range m.View().GetVoters() {
-		if m.isLive(voter.GetIdentity()) {
-			hosts = append(hosts, voter.GetHost())
-		}
+// receive checks that a message is meant for this machine, and records the contact with its sender.
+func (m *Machine) receive(message *pb.Message) {
+	from := message.GetFrom()
+	if from.GetIdentity() == "" || from.GetIdentity() == m.local.identity() {
+		return
 	}
-	return hosts
+	if to := message.GetToIdentity(); to != "" && to != m.local.identity() {
+		m.observeStranger(from)
+		return
+	}
+	cluster := m.View().GetCluster()
+	if cluster != "" && message.GetCluster() != "" && message.GetCluster() != cluster {
+		return
+	}
+	m.staleness.update() // before this message restores contact that was lost since the last tick
+	found := m.peers.observe(from)
+	if heartbeat := message.GetHeartbeat(); heartbeat != nil &&
+		!found.acceptHeartbeat(heartbeat, m.clock.now, m.clock.isStalled()) {
+		return
+	}
+	m.handle(message)
 }
 
-// wakesLate reports whether what arrives now may have waited while the machine did not run.
-func (m *Machine) wakesLate() bool {
-	justWoke := m.lastStall > 0 && m.now-m.lastStall < stallGracePeriod
-	return justWoke || m.now-m.lastTick >= stallThreshold
+// observeStranger records a machine that looks for an earlier identity of this one: a machine that has lost its disk,
+// and whose seeds are gone, finds the others by that.
+func (m *Machine) observeStranger(from *pb.Replica) {
+	if m.View() == nil {
+		m.peers.observe(from)
+	}
 }
 
-func (m *Machine) start() {
-	m.started = m.now
-	m.lastTick = m.now
-	if m.sizes.snapshotDue {
-		m.persist(nil, false, nil)
+// handle dispatches a message, of another machine or of this one to itself.
+func (m *Machine) handle(message *pb.Message) {
+	from := message.GetFrom()
+	switch body := message.GetBody().(type) {
+	case *pb.Message_Prepare:
+		m.voter.prepare(from, body.Prepare)
+	case *pb.Message_Promise:
+		m.proposer.receivePromise(from, body.Promise)
+	case *pb.Message_Accept:
+		m.voter.accept(from, body.Accept)
+	case *pb.Message_Accepted:
+		m.receiveAccepted(from, body.Accepted)
+	case *pb.Message_Decided:
+		m.enterView(body.Decided.GetView())
+	case *pb.Message_Fenced:
+		m.enterView(body.Fenced.GetView())
+	case *pb.Message_Heartbeat:
+		m.receiveHeartbeat(from, body.Heartbeat)
+	case *pb.Message_Append, *pb.Message_Acknowledge, *pb.Message_SyncRequest, *pb.Message_SyncResponse:
+		m.receiveReplication(message)
+	case *pb.Message_Order:
+		m.receiveOrder(from, body.Order)
+	case *pb.Message_OrderResult:
+		m.origin.receiveResult(from, body.OrderResult)
+	case *pb.Message_ViewCheck:
+		m.voter.checkQuorum(from, body.ViewCheck)
+	case *pb.Message_ViewCheckResult:
+		m.checks.receive(from, body.ViewCheckResult)
+	case *pb.Message_ServerList:
+		m.output.add(ServerListReceived{List: body.ServerList})
 	}
-	if m.View() != nil {
-		m.actions = append(m.actions, ViewChanged{View: m.View()})
+}
+
+// receiveHeartbeat takes what a peer advertises, and sends it a later view.
+func (m *Machine) receiveHeartbeat(from *pb.Replica, heartbeat *pb.Heartbeat) {
+	m.output.add(HeartbeatReceived{From: from, Heartbeat: heartbeat})
+	if view := m.View(); view != nil && heartbeat.GetViewNumber() < view.GetNumber() {
+		m.output.sendView(from)
 	}
-	m.sendHeartbeats()
-	m.perform(m.replica.Tick())
+	m.staleness.observe(from, heartbeat)
+	m.replication.perform(m.replica.ObserveHeartbeat(from, heartbeat))
 }
 
-func (m *Machine) tick() {
-	gap := m.now - m.lastTick
-	m.lastTick = m.now
-	m.ticks++
-	if gap >= stallThreshold {
-		m.lastStall = m.now
-		m.peers.excuse(gap, m.now)
-		m.election.concern = 0
-	}
-	m.peers.forget(m.now, m.View())
-	m.compareWithTold()
-	if m.View() == nil || m.ticks%uint64(HeartbeatInterval/TickInterval) == 0 {
-		m.sendHeartbeats()
-	}
-	m.perform(m.replica.Tick())
-	m.tickElection()
-	m.tickOrigin()
-	m.tickHead()
-	m.tickChecks()
+// receiveReplication takes a message of the chain, which may commit the change of the head's active order.
+func (m *Machine) receiveReplication(message *pb.Message) {
+	number := m.replication.receive(message)
+	m.head.answerCommitted()
+	m.replication.fence(message.GetFrom(), number)
 }
 
-// perform turns the output of the replica into actions.
-func (m *Machine) perform(output chain.Output) {
-	for _, outgoing := range output.Messages {
-		m.send(outgoing.To, outgoing.Message)
+func (m *Machine) receiveOrder(from *pb.Replica, order *pb.Order) {
+	if order.GetKind() == pb.Order_KIND_READ {
+		m.tail.receive(from, order)
+		return
 	}
-	if len(output.Writes) > 0 {
-		records := make([]ring.Record, 0, len(output.Writes))
-		for _, write := range output.Writes {
-			records = append(records, writeRecord(write))
+	m.head.receive(from, order)
+}
+
+// persisted goes on with what waited for writes that are on disk now.
+func (m *Machine) persisted(token uint64) {
+	m.disk.failed = false
+	for done, ok := m.disk.next(token); ok; done, ok = m.disk.next(token) {
+		for _, reply := range done.replies {
+			m.output.send(reply.To, reply.Message)
+		}
+		if done.forChain {
+			m.replicaPersisted()
 		}
-		m.persist(records, true, nil)
 	}
-	if output.Committed {
-		m.tellCommitted()
+}
+
+// replicaPersisted goes on with what the replica has on disk now. The others receive at once of a view or a state that is
+// there: machines that wait to end, to join or to be caught up go on by that.
+func (m *Machine) replicaPersisted() {
+	before := m.replica.Advertised()
+	m.replication.perform(m.replica.WritesPersisted())
+	m.head.answerCommitted()
+	after := m.replica.Advertised()
+	if after.ViewNumber != before.ViewNumber || after.Synchronized != before.Synchronized {
+		m.heartbeat.sendAll()
 	}
 }
 
-func (m *Machine) tellCommitted() {
-	committed := m.replica.Committed()
-	action := Committed{Snapshot: committed}
-	if m.shown == nil {
-		action.Changes = m.replica.RecentChanges()
-	} else if changes, found := m.replica.ChangesSince(m.shown.Sequence()); found {
-		action.Changes = changes
+// leave announces that this machine is to end, and has a view without it decided.
+func (m *Machine) leave() {
+	if !m.leaving.begin() {
+		return
 	}
-	for index, change := range action.Changes {
-		action.Changes[index] = catalog.ForAgents(change)
+	m.heartbeat.sendAll()
+	m.proposer.tick()
+}
+
+// broadcastServerList sends a server list to the live peers.
+func (m *Machine) broadcastServerList(list *pb.ServerList) {
+	message := &pb.Message{Body: &pb.Message_ServerList{ServerList: list}}
+	for _, identity := range m.peers.identities() {
+		if m.peers.isLive(identity) {
+			m.output.sendTo(m.peers.known[identity].replica.GetAddress(), identity, message)
+		}
 	}
-	m.shown = committed
-	m.compareWithTold()
-	m.actions = append(m.actions, action)
 }
--- /dev/null
+++ b/internal/control/nodeloop.go
@@ -0,0 +1,112 @@
+package control
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+)
+
+// loop steps the Machine with events and carries out its actions. It is the only goroutine that uses the Machine. It
+// waits for nobody but the writer, and for that only while writeQueueLength writes wait.
+func (n *Node) loop(ctx context.Context) {
+	ticker := time.NewTicker(TickInterval)
+	defer ticker.Stop()
+	report := time.NewTicker(reportInterval)
+	defer report.Stop()
+	n.step(Started{})
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case event := <-n.events:
+			n.step(event)
+		case <-ticker.C:
+			n.step(Tick{})
+			n.publish()
+			n.lastTickAt.Store(int64(time.Since(n.startedAt)))
+		case <-report.C:
+			n.counters.log(n.logger, n.Status())
+		}
+	}
+}
+
+func (n *Node) step(event Event) {
+	actions := n.machine.Step(time.Since(n.startedAt), event)
+	hasSoftState := false
+	for _, action := range actions {
+		switch action := action.(type) {
+		case Send:
+			if heartbeat := action.Message.GetHeartbeat(); heartbeat != nil && !hasSoftState {
+				hasSoftState = true
+				n.addSoftState(heartbeat)
+			}
+			n.senders.send(action.Address, action.Message)
+		case Persist:
+			n.writer.queue <- action
+		case Reply:
+			n.reply(action)
+		case Committed:
+			n.counters.committed.Add(1)
+			n.addCommitted(action)
+			n.publish()
+		case ViewChanged:
+			n.viewChanged(action.View)
+		case HeartbeatReceived:
+			if n.options.OnHeartbeat != nil {
+				n.options.OnHeartbeat(action.From, action.Heartbeat)
+			}
+		case ServerListReceived:
+			if n.options.OnServerList != nil {
+				n.options.OnServerList(action.List)
+			}
+		case Left:
+			n.left <- action.Agreed
+		}
+	}
+}
+
+// post puts an event into the queue, and waits for room in it.
+func (n *Node) post(ctx context.Context, event Event) {
+	select {
+	case n.events <- event:
+	case <-ctx.Done():
+	}
+}
+
+// postUndelivered reports a message that may be lost. With a full queue it does not: the message is sent again in any
+// case, only later.
+func (n *Node) postUndelivered(message *pb.Message) {
+	select {
+	case n.events <- Undelivered{Message: message}:
+	default:
+	}
+}
+
+// addSoftState completes a heartbeat. All messages of one round share the heartbeat, so that once a step is enough.
+func (n *Node) addSoftState(heartbeat *pb.Heartbeat) {
+	if n.options.SoftState == nil {
+		return
+	}
+	heartbeat.Agents, heartbeat.List = n.options.SoftState()
+}
+
+func (n *Node) viewChanged(view *pb.View) {
+	n.counters.views.Add(1)
+	n.logger.Info("view",
+		zap.Uint64("number", view.GetNumber()),
+		zap.Strings("voters", hostsOf(view.GetVoters())),
+		zap.Strings("chain", hostsOf(view.GetChain())),
+	)
+	n.publish()
+}
+
+func hostsOf(replicas []*pb.Replica) []string {
+	hosts := make([]string, 0, len(replicas))
+	for _, replica := range replicas {
+		hosts = append(hosts, replica.GetHost())
+	}
+	return hosts
+}
--- a/internal/control/openring_test.go
+++ b/internal/control/openring_test.go
@@ -15,8 +15,8 @@
 	"fieldrelay/internal/settings"
 )
 
-// damage changes bytes of the snapshots of a ring's files.
-func damage(t *testing.T, folder string) {
+// corruptRing changes bytes of the snapshots of a ring's files.
+func corruptRing(t *testing.T, folder string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "ring-*"))
 	require.NoError(t, err)
@@ -31,12 +31,12 @@
 }
 
 func TestNodeWithACorruptRingComesBackAsAnotherReplica(t *testing.T) {
-	cluster := newTestCluster(t, 3)
+	cluster := newTestCluster(t)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 3)).GetStatus())
 	machine := cluster.machines[1]
 	before := machine.node.Status().Self.GetIdentity()
 	machine.stop()
-	damage(t, filepath.Join(machine.settings.StateDir, ringFolder))
+	corruptRing(t, filepath.Join(machine.settings.StateDir, ringFolder))
 
 	began := time.Now()
 	cluster.start(machine)
@@ -62,11 +62,11 @@
 
 // A machine whose ring was corrupt founds nothing, even if its settings still say bootstrap.
 func TestCorruptRingsFoundNothing(t *testing.T) {
-	cluster := newTestCluster(t, 3)
+	cluster := newTestCluster(t)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 3)).GetStatus())
 	for _, machine := range cluster.machines {
 		machine.stop()
-		damage(t, filepath.Join(machine.settings.StateDir, ringFolder))
+		corruptRing(t, filepath.Join(machine.settings.StateDir, ringFolder))
 	}
 	for _, machine := range cluster.machines {
 		require.True(t, machine.settings.Bootstrap)
@@ -84,9 +84,9 @@
 		require.True(t, recovered.Fresh)
 		require.Equal(t, number > 1, replaced)
 		require.NoError(t, opened.Snapshot([]byte("a snapshot of some length")))
-		require.NoError(t, opened.Append(ring.Record{Kind: recordBasis, Payload: []byte{0}}))
+		require.NoError(t, opened.Append(ring.Record{Kind: recordSynchronizedView, Payload: []byte{0}}))
 		require.NoError(t, opened.Close())
-		damage(t, ringPath(options.Settings.StateDir, number))
+		corruptRing(t, ringPath(options.Settings.StateDir, number))
 	}
 	_, _, _, err := openRing(context.Background(), options)
 	require.ErrorAs(t, err, &failure)
@@ -96,6 +96,6 @@
 
 // A ring of another version is not damaged: a machine that was set back to an older program must not leave it.
 func TestRingOfAnotherVersionIsLeftInUse(t *testing.T) {
-	require.False(t, isDamage(&ring.CorruptError{Version: 2}))
-	require.True(t, isDamage(&ring.CorruptError{Reason: "no snapshot"}))
+	require.False(t, isCorrupt(&ring.CorruptError{Version: 2}))
+	require.True(t, isCorrupt(&ring.CorruptError{Reason: "no snapshot"}))
 }
--- /dev/null
+++ b/internal/control/originorders.go
@@ -0,0 +1,156 @@
+package control
+
+import (
+	"slices"
+	"time"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/chain"
+)
+
+// originOrders are the orders that were submitted at this machine, the oldest first. It forwards each to the head of the
+// chain, or to the tail if it is a read, again and again until it has an answer or time is up, and answers it once.
+type originOrders struct {
+	clock   *clock
+	peers   *peerTable
+	replica *chain.Replica
+	output  *stepOutput
+
+	pending []*pendingOrder
+	// lastID begins at random in each run of this process, so that results of orders of an earlier run match none.
+	lastID uint64
+}
+
+type pendingOrder struct {
+	request  uint64
+	order    *pb.Order
+	deadline time.Duration
+	sentAt   time.Duration
+	target   string // identity of the machine that it was forwarded to last; empty: there was none
+	// heldState is what this machine knew to be committed when it forwarded a read last; nil: nothing.
+	heldState *catalog.Snapshot
+}
+
+// submit accepts an order of the operator and forwards it. An order that may have waited for a stalled process is
+// refused: its caller may have given up, and may have ordered something else since.
+func (o *originOrders) submit(event OrderSubmitted) {
+	isFull := len(o.pending) >= maxPendingOrders
+	if !o.peers.hasMajority(viewInForce(o.replica)) || o.clock.isStalled() || isFull {
+		o.output.add(Reply{Request: event.Request, Result: unavailable(0)})
+		return
+	}
+	o.lastID++
+	order := event.Order
+	pending := &pendingOrder{
+		request: event.Request,
+		order: &pb.Order{
+			Id:   o.lastID,
+			Kind: order.GetKind(),
+			Base: order.GetBase(),
+			Zone: order.GetZone(),
+			Body: order.GetBody(),
+		},
+		deadline: o.clock.now + orderTimeoutOf(order),
+	}
+	o.pending = append(o.pending, pending)
+	o.forward(pending)
+}
+
+// cancel forgets an order whose caller has gone: it is neither sent again nor confirmed.
+func (o *originOrders) cancel(request uint64) {
+	o.pending = slices.DeleteFunc(o.pending, func(pending *pendingOrder) bool {
+		return pending.request == request
+	})
+}
+
+// forward sends an order to the head, or to the tail if it is a read.
+func (o *originOrders) forward(pending *pendingOrder) {
+	pending.sentAt = o.clock.now
+	target := o.replica.Head()
+	if pending.order.GetKind() == pb.Order_KIND_READ {
+		target = o.replica.Tail()
+		o.nameHeldState(pending)
+	}
+	pending.target = target.GetIdentity()
+	if target != nil {
+		o.output.send(target, &pb.Message{Body: &pb.Message_Order{Order: pending.order}})
+	}
+}
+
+// nameHeldState names to the tail what this machine holds itself: if that is the newest state, the configuration, which
+// may be large, need not come from the tail.
+func (o *originOrders) nameHeldState(pending *pendingOrder) {
+	pending.heldState = o.replica.Committed()
+	pending.order = &pb.Order{
+		Id:   pending.order.GetId(),
+		Kind: pb.Order_KIND_READ,
+		Held: pending.heldState.Sequence(),
+	}
+}
+
+// forwardAll sends all pending orders to the chain of a new view. Forwarding to this machine itself may answer an order,
+// hence the copy of the list.
+func (o *originOrders) forwardAll() {
+	for _, pending := range slices.Clone(o.pending) {
+		o.forward(pending)
+	}
+}
+
+func (o *originOrders) tick() {
+	for _, pending := range slices.Clone(o.pending) {
+		switch {
+		case o.clock.now >= pending.deadline:
+			o.answer(pending, unavailable(pending.order.GetId()))
+		case o.clock.now-pending.sentAt >= orderResendInterval+transferTime(len(pending.order.GetBody())):
+			o.forward(pending)
+		}
+	}
+}
+
+// receiveResult answers the operator, or confirms the order if the head asks for that. A result that comes twice or too
+// late is dropped, as is one of another machine than the order was forwarded to last: a machine that was the head or the
+// tail of an earlier view no longer speaks for the chain.
+func (o *originOrders) receiveResult(from *pb.Replica, result *pb.OrderResult) {
+	pending := o.find(result.GetId())
+	switch {
+	case pending == nil || pending.target != from.GetIdentity():
+	case result.GetStatus() == statusConfirm:
+		o.confirm(pending, result.GetBody())
+	case result.GetHeldIsNewest():
+		o.answer(pending, readResult(result.GetId(), pending.heldState))
+	default:
+		o.answer(pending, result)
+	}
+}
+
+// confirm sends an order again with the token that the head has issued for it. It does not once the order's time is up:
+// a token must only come back while the caller waits.
+func (o *originOrders) confirm(pending *pendingOrder, token []byte) {
+	if o.clock.now >= pending.deadline {
+		return
+	}
+	order := pending.order
+	pending.order = &pb.Order{Id: order.GetId(), Kind: order.GetKind(), Zone: order.GetZone(), Body: token}
+	o.forward(pending)
+}
+
+// find returns the order with the given id, nil if there is none.
+func (o *originOrders) find(id uint64) *pendingOrder {
+	for _, pending := range o.pending {
+		if pending.order.GetId() == id {
+			return pending
+		}
+	}
+	return nil
+}
+
+// answer gives the operator the result of an order, which is no longer pending from then on: it is answered once.
+func (o *originOrders) answer(pending *pendingOrder, result *pb.OrderResult) {
+	index := slices.Index(o.pending, pending)
+	if index < 0 {
+		return
+	}
+	o.pending = slices.Delete(o.pending, index, index+1)
+	o.output.add(Reply{Request: pending.request, Result: result})
+}
--- a/internal/controlserver/found_test.go
+++ b/internal/controlserver/bootstrap_test.go
@@ -15,8 +15,7 @@
 
 // loneMachine returns the settings of a control machine that is the only seed.
 func loneMachine(folder string) *settings.Settings {
-	own := testSettings()
-	own.Binds = settings.Binds{Control: "127.0.0.2:0", Directory: "127.0.0.3:0"}
+	own := servingSettings()
 	own.Seeds = []string{own.Binds.Control}
 	own.Bootstrap = true
 	own.QuorumMember = true
@@ -28,7 +27,7 @@
 // ends with the function returned.
 func start(t *testing.T, own *settings.Settings) (address string, end func()) {
 	t.Helper()
-	p := newProcess(newSettingsWatch("", own, zap.NewNop()), zap.NewNop(), 1)
+	p := newProcess(newSettingsWatcher("", own, zap.NewNop()), zap.NewNop(), 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	node, err := p.startNode(ctx)
 	require.NoError(t, err)
--- /dev/null
+++ b/internal/controlserver/lag.go
@@ -0,0 +1,56 @@
+package controlserver
+
+import (
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/registry"
+	"fieldrelay/internal/settings"
+)
+
+// ObserveCommitted passes the newest snapshot committed at this machine to the lag monitor. For a known snapshot it
+// takes no lock.
+func (s *softState) ObserveCommitted(committed *catalog.Snapshot) {
+	if committed == nil || committed.Sequence() <= s.observedSequence.Load() {
+		return
+	}
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.lagMonitor.RecordCommit(s.now(), committed.Sequence())
+	s.observedSequence.Store(max(s.observedSequence.Load(), committed.Sequence()))
+}
+
+// SetLagBounds sets the bounds of the lag monitor. While this machine is not authoritative they are suspended.
+func (s *softState) SetLagBounds(bounds registry.LagBounds, authoritative bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.lagMonitor.SetBounds(bounds)
+	if !authoritative {
+		s.lagMonitor.ObserveUnsynchronized(s.now())
+	}
+}
+
+// LagStats returns how far agents lag behind the committed state.
+func (s *softState) LagStats() registry.LagStats {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.lagMonitor.Stats(s.now())
+}
+
+// lagBounds returns the lag monitor's bounds by the settings.
+func lagBounds(bounds settings.Bounds) registry.LagBounds {
+	return registry.LagBounds{
+		MinContact:              bounds.ContactFor(),
+		ApplyDelay:              bounds.ApplyWithin(),
+		UnsynchronizedAllowance: bounds.Stretch(),
+	}
+}
+
+// lagStatus is the part of a status report about lagging agents.
+func lagStatus(stats registry.LagStats) *pb.LatenessStatus {
+	return &pb.LatenessStatus{
+		AgentsBehind: uint32(stats.Lagging),
+		OldestLagMs:  milliseconds(stats.LongestLag),
+		OldestHost:   stats.LongestLagHost,
+		LateProxies:  stats.Violations,
+	}
+}
--- /dev/null
+++ b/internal/controlserver/linkservice.go
@@ -0,0 +1,245 @@
+package controlserver
+
+import (
+	"context"
+	"time"
+
+	"connectrpc.com/connect"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/packing"
+	"fieldrelay/internal/registry"
+	"fieldrelay/internal/serverlist"
+)
+
+const (
+	// maxWatchWait bounds the time for which a long poll of an agent stays open without an update.
+	maxWatchWait = time.Second
+
+	// maxConcurrentWatches bounds the long polls that are open at this machine.
+	maxConcurrentWatches = 1024
+)
+
+// ShuttingDownError rejects a call because this process is shutting down.
+type ShuttingDownError struct{}
+
+// Error returns the text that the caller gets.
+func (*ShuttingDownError) Error() string { return "this control machine is ending" }
+
+// TooManyWatchesError rejects a call because maxConcurrentWatches are open already.
+type TooManyWatchesError struct{}
+
+// Error returns the text that the caller gets.
+func (*TooManyWatchesError) Error() string { return "too many agents wait at this control machine" }
+
+// AgentMissingError rejects a call that does not name its agent.
+type AgentMissingError struct{}
+
+// Error returns the text that the caller gets.
+func (*AgentMissingError) Error() string { return "the call names no agent" }
+
+// linkService implements the ControlLink service, by which agents get updates. Each call is a long poll (RFC 6202):
+// it is answered at once if there is an update for the agent, otherwise with the next one or after the wait that the
+// agent asked for. It is safe for concurrent use; each call runs in the goroutine of its HTTP request.
+type linkService struct {
+	node         Node
+	soft         *softState
+	host         string // of this machine
+	shuttingDown <-chan struct{}
+	watchSlots   chan struct{} // one token per open call
+	packer       packing.Compressor
+	counters     *watchCounters
+}
+
+func newLinkService(node Node, soft *softState, host string, shuttingDown <-chan struct{}) *linkService {
+	return &linkService{
+		node:         node,
+		soft:         soft,
+		host:         host,
+		shuttingDown: shuttingDown,
+		watchSlots:   make(chan struct{}, maxConcurrentWatches),
+		counters:     &watchCounters{},
+	}
+}
+
+// Watch records the agent's report and answers when there is an update for it, at the latest after the wait that it
+// asks for, which is bounded by maxWatchWait.
+func (l *linkService) Watch(ctx context.Context, request *connect.Request[pb.WatchRequest]) (*connect.Response[pb.WatchResponse], error) {
+	select {
+	case l.watchSlots <- struct{}{}:
+		defer func() { <-l.watchSlots }()
+	default:
+		return nil, l.reject(connect.CodeResourceExhausted, &TooManyWatchesError{})
+	}
+	watch := request.Msg
+	if watch.GetAgent().GetHost() == "" {
+		return nil, l.reject(connect.CodeInvalidArgument, &AgentMissingError{})
+	}
+	if l.isShuttingDown() {
+		return nil, l.reject(connect.CodeUnavailable, &ShuttingDownError{})
+	}
+	l.soft.ObserveAgent(watch.GetAgent(), watch.GetList())
+	compose := l.compose
+	if watch.GetProbe() {
+		compose = l.composeProbe
+	}
+	response, err := l.await(ctx, watch, compose)
+	if err != nil {
+		l.counters.canceled.Add(1)
+		return nil, err
+	}
+	l.counters.count(watch, response)
+	return connect.NewResponse(response), nil
+}
+
+// reject counts a rejected call and returns its error.
+func (l *linkService) reject(code connect.Code, cause error) error {
+	l.counters.rejected.Add(1)
+	return connect.NewError(code, cause)
+}
+
+// composer returns the response as of now, and whether it has an update, that is, must be sent at once.
+type composer func(watch *pb.WatchRequest) (response *pb.WatchResponse, hasUpdate bool)
+
+// await composes responses until one has an update or the wait is over. A change of this machine's authority counts
+// as an update. The only error is that of a canceled ctx.
+func (l *linkService) await(ctx context.Context, watch *pb.WatchRequest, compose composer) (*pb.WatchResponse, error) {
+	wait := time.NewTimer(min(time.Duration(watch.GetHoldMs())*time.Millisecond, maxWatchWait))
+	defer wait.Stop()
+	authoritative := l.node.Status().Authoritative
+	for {
+		// The channels are taken before the response is composed, so that no later change is missed.
+		stateChanged, softChanged := l.node.Changed(), l.soft.Changed()
+		response, hasUpdate := compose(watch)
+		if hasUpdate || response.Authoritative != authoritative {
+			return response, nil
+		}
+		select {
+		case <-stateChanged:
+		case <-softChanged:
+		case <-wait.C:
+			response, _ = compose(watch) // again, since it carries ages
+			return response, nil
+		case <-l.shuttingDown:
+			return response, nil
+		case <-ctx.Done():
+			return nil, connect.NewError(connect.CodeCanceled, ctx.Err())
+		}
+	}
+}
+
+func (l *linkService) isShuttingDown() bool {
+	select {
+	case <-l.shuttingDown:
+		return true
+	default:
+		return false
+	}
+}
+
+// composeProbe answers a probe: an agent looks for an authoritative control machine. It carries no state.
+func (l *linkService) composeProbe(watch *pb.WatchRequest) (*pb.WatchResponse, bool) {
+	status := l.node.Status()
+	response := &pb.WatchResponse{Authoritative: status.Authoritative, MembersSource: l.host}
+	if status.Committed != nil {
+		response.Sequence = status.Committed.Sequence()
+		response.Generation = status.Committed.Generation()
+	}
+	if status.View.GetNumber() > watch.GetViewNumber() {
+		response.View = status.View // its voters are further machines to probe
+	}
+	return response, status.Authoritative || response.View != nil
+}
+
+// compose returns the response as of now and whether it has something that the agent lacks.
+func (l *linkService) compose(watch *pb.WatchRequest) (*pb.WatchResponse, bool) {
+	status := l.node.Status()
+	l.soft.ObserveCommitted(status.Committed)
+	response := &pb.WatchResponse{Authoritative: status.Authoritative, MembersSource: l.host}
+	if isFirstRequest(watch) && len(status.View.GetVoters()) > 0 {
+		response.View = status.View
+		if status.Committed != nil {
+			// Without the sequence the agent would take its empty replica for confirmed.
+			response.Sequence = status.Committed.Sequence()
+			response.Generation = status.Committed.Generation()
+		}
+		return response, true
+	}
+	hasUpdate := l.addState(response, watch, status.Committed)
+	l.packer.CompressResponse(watch, response)
+	if status.View.GetNumber() > watch.GetViewNumber() {
+		response.View = status.View
+		hasUpdate = true
+	}
+	snapshot := l.soft.Snapshot()
+	hasUpdate = l.addList(response, watch, snapshot.list) || hasUpdate
+	hasUpdate = l.addMembers(response, watch, snapshot) || hasUpdate
+	return response, hasUpdate
+}
+
+// isFirstRequest reports whether an agent knows nothing yet. It gets the view before anything large: until the first
+// answer it probes other control machines too, and cancels this call for the first of them that answers.
+func isFirstRequest(watch *pb.WatchRequest) bool {
+	return watch.GetViewNumber() == 0 && watch.GetSequence() == 0
+}
+
+// addState adds what the agent's replica of the control state lacks: the changes since its sequence as long as they
+// are in the history, else a repair by the digests of its ranges, which it is asked for if it sent none.
+func (l *linkService) addState(response *pb.WatchResponse, watch *pb.WatchRequest, committed *catalog.Snapshot) bool {
+	if committed == nil {
+		return false
+	}
+	response.Sequence = committed.Sequence()
+	response.Generation = committed.Generation()
+	if committed.Sequence() <= watch.GetSequence() {
+		return false
+	}
+	if watch.GetSequence() == 0 {
+		response.Repair = committed.RepairFor(nil)
+		return true
+	}
+	if changes, available := l.node.Since(watch.GetSequence()); available && len(changes) > 0 {
+		response.Changes = changes
+		last := changes[len(changes)-1]
+		response.Sequence = last.GetSequence()
+		response.Generation = last.GetGeneration()
+		return true
+	}
+	if digests := watch.GetDigests(); digests != nil && digests.GetSequence() == watch.GetSequence() {
+		response.Repair = committed.RepairFor(digests)
+		return true
+	}
+	response.NeedDigests = true
+	return true
+}
+
+// addList adds the server list if it is newer than the agent's; if it is the same version, only its age, which is no
+// update.
+func (l *linkService) addList(response *pb.WatchResponse, watch *pb.WatchRequest, list *registry.ServerList) bool {
+	if list == nil {
+		return false
+	}
+	difference := serverlist.CompareVersions(list.Version(), watch.GetList())
+	if difference > 0 {
+		response.List = list.Message(l.soft.now())
+		return true
+	}
+	if difference == 0 {
+		response.List = list.Confirmation(l.soft.now())
+	}
+	return false
+}
+
+// addMembers adds the members if the agent has an older version of them, or one of another control machine: versions
+// of different machines cannot be compared.
+func (l *linkService) addMembers(response *pb.WatchResponse, watch *pb.WatchRequest, snapshot *softSnapshot) bool {
+	if !snapshot.converged {
+		return false
+	}
+	if watch.GetMembersSource() == l.host && snapshot.isCurrent(watch.GetMembersVersion()) {
+		return false
+	}
+	response.Members = snapshot.members.Message(l.soft.now())
+	return true
+}
--- a/internal/controlserver/link_test.go
+++ b/internal/controlserver/linkservice_test.go
@@ -15,7 +15,7 @@
 	"fieldrelay/internal/control"
 )
 
-// watched is the outcome of a Watch in a bubble of synctest.
+// watched is the result of a Watch in a bubble of synctest.
 type watched struct {
 	answer *pb.WatchResponse
 	err    error
@@ -24,10 +24,10 @@
 
 // watch calls Watch directly.
 func watch(p *process, request *pb.WatchRequest) watched {
-	return watchWith(context.Background(), newLink(p.node, p.soft, "control-1", p.ending), request)
+	return watchWith(context.Background(), newLinkService(p.node, p.soft, "control-1", p.shuttingDown), request)
 }
 
-func watchWith(ctx context.Context, link *link, request *pb.WatchRequest) watched {
+func watchWith(ctx context.Context, link *linkService, request *pb.WatchRequest) watched {
 	began := time.Now()
 	response, err := link.Watch(ctx, connect.NewRequest(request))
 	result := watched{err: err, took: time.Since(began)}
@@ -37,21 +37,21 @@
 	return result
 }
 
-// current is a request of an agent that holds all that the process can tell.
+// current is a request of an agent that has all that the process knows.
 func current(p *process) *pb.WatchRequest {
 	status := p.node.Status()
 	return &pb.WatchRequest{
 		Agent:          testAgent("edge-1"),
 		Sequence:       status.Committed.Sequence(),
 		ViewNumber:     status.View.GetNumber(),
-		MembersVersion: p.soft.Picture().members.Version(),
+		MembersVersion: p.soft.Snapshot().members.Version(),
 		MembersSource:  "control-1",
-		List:           p.soft.Picture().list.Version(),
+		List:           p.soft.Snapshot().list.Version(),
 		HoldMs:         800,
 	}
 }
 
-func TestWatchHoldsWithoutNews(t *testing.T) {
+func TestWatchWaitsWithoutAnUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		replace(t, node, 0, 7)
@@ -64,14 +64,14 @@
 
 		long := current(p)
 		long.HoldMs = 60000
-		require.Equal(t, longestHold, watch(p, long).took)
+		require.Equal(t, maxWatchWait, watch(p, long).took)
 		none := current(p)
 		none.HoldMs = 0
 		require.Zero(t, watch(p, none).took)
 	})
 }
 
-func TestWatchTellsChangesAsTheyCome(t *testing.T) {
+func TestWatchSendsChangesAsTheyCome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		replace(t, node, 0, 7)
@@ -98,7 +98,7 @@
 	})
 }
 
-func TestWatchBringsAnEmptyCopyTheWholeState(t *testing.T) {
+func TestWatchSendsAnEmptyReplicaTheCompleteState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		replace(t, node, 0, 7)
@@ -111,7 +111,7 @@
 	})
 }
 
-func TestWatchRepairsAnOldCopy(t *testing.T) {
+func TestWatchRepairsAStaleReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		replace(t, node, 0, 7)
@@ -147,7 +147,7 @@
 	})
 }
 
-func TestWatchTellsAView(t *testing.T) {
+func TestWatchSendsAView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		request := current(p)
@@ -161,7 +161,7 @@
 
 // An agent that starts probes other machines while its first call is under way, and gives that call up for the first one
 // that answers: what is large would be sent in vain.
-func TestWatchTellsAnAgentThatKnowsNothingTheViewFirst(t *testing.T) {
+func TestWatchSendsAnAgentThatKnowsNothingTheViewFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		replace(t, node, 0, 7)
@@ -172,7 +172,7 @@
 		require.NoError(t, first.err)
 		require.Zero(t, first.took)
 		require.Equal(t, view, first.answer.GetView())
-		require.Equal(t, node.Status().Committed.Sequence(), first.answer.GetSequence(), "it is told that it lacks something")
+		require.Equal(t, node.Status().Committed.Sequence(), first.answer.GetSequence(), "it learns that it lacks something")
 		require.Nil(t, first.answer.GetRepair())
 		require.Nil(t, first.answer.GetPacked())
 		require.Nil(t, first.answer.GetMembers())
@@ -184,49 +184,49 @@
 	})
 }
 
-func TestWatchTellsMembersOnceSettled(t *testing.T) {
+func TestWatchSendsMembersOnceConverged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
 		request := current(p)
 		request.MembersSource = "control-9"
-		require.Nil(t, watch(p, request).answer.Members, "a list that may be short is not told")
+		require.Nil(t, watch(p, request).answer.Members, "a list that may be incomplete is not sent")
 
-		pass(p, membersSettling)
-		p.soft.Heard(testAgent("edge-2"), nil)
+		pass(p, membersConvergenceTime)
+		p.soft.ObserveAgent(testAgent("edge-2"), nil)
 		p.tick()
 		got := watch(p, request)
 		require.Zero(t, got.took)
 		require.Len(t, got.answer.Members.Agents, 2)
 		require.Equal(t, "control-1", got.answer.MembersSource)
 
-		pass(p, membersPeriod)
+		pass(p, membersNotifyInterval)
 		request = current(p)
-		time.AfterFunc(100*time.Millisecond, func() { p.soft.Heard(testAgent("edge-3"), nil) })
+		time.AfterFunc(100*time.Millisecond, func() { p.soft.ObserveAgent(testAgent("edge-3"), nil) })
 		time.AfterFunc(250*time.Millisecond, p.tick)
 		got = watch(p, request)
-		require.Equal(t, 250*time.Millisecond, got.took, "members are told at the next tick")
+		require.Equal(t, 250*time.Millisecond, got.took, "agents are notified of members at the next tick")
 		require.Len(t, got.answer.Members.Agents, 3)
 	})
 }
 
-// TestMembersAreToldOnceASecond: while many machines start, each change would cost a whole list for every agent.
-func TestMembersAreToldOnceASecond(t *testing.T) {
+// TestMembersAreNotifiedOncePerInterval: while many machines start, each change would cost a whole list for every agent.
+func TestMembersAreNotifiedOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
-		pass(p, membersSettling)
-		ticks := time.NewTicker(tickEvery)
+		pass(p, membersConvergenceTime)
+		ticks := time.NewTicker(tickInterval)
 		defer ticks.Stop()
 		ended := make(chan struct{})
 		go func() {
 			for index := range 12 {
 				<-ticks.C
-				p.soft.Heard(testAgent(fmt.Sprintf("edge-%d", index)), nil)
+				p.soft.ObserveAgent(testAgent(fmt.Sprintf("edge-%d", index)), nil)
 				p.tick()
 			}
 			close(ended)
 		}()
 		lists, request := 0, current(p)
-		for began := time.Now(); time.Since(began) < 12*tickEvery; {
+		for began := time.Now(); time.Since(began) < 12*tickInterval; {
 			answer := watch(p, request).answer
 			if answer.Members == nil {
 				continue
@@ -235,15 +235,15 @@
 			request.MembersSource, request.MembersVersion = answer.MembersSource, answer.Members.Version
 		}
 		<-ended
-		require.InDelta(t, 12*tickEvery/membersPeriod, lists, 1)
+		require.InDelta(t, 12*tickInterval/membersNotifyInterval, lists, 1)
 	})
 }
 
-// TestProbesFindTheMachineThatHoldsTheAgreedState: they are answered as soon as this one does, with little.
-func TestProbesFindTheMachineThatHoldsTheAgreedState(t *testing.T) {
+// TestProbesFindAnAuthoritativeMachine: they are answered as soon as this one does, with little.
+func TestProbesFindAnAuthoritativeMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
-		pass(p, membersSettling)
+		pass(p, membersConvergenceTime)
 		replace(t, node, 0, 7)
 		probe := &pb.WatchRequest{Agent: testAgent("edge-1"), HoldMs: 800, Probe: true}
 		got := watch(p, probe)
@@ -253,12 +253,12 @@
 		require.Equal(t, uint64(1), got.answer.View.Number)
 		require.Nil(t, got.answer.Repair)
 		require.Nil(t, got.answer.Members)
-		require.Equal(t, 1, p.soft.Picture().members.Live())
+		require.Equal(t, 1, p.soft.Snapshot().members.Live())
 
 		node.alter(func(status *control.Status) { status.Authoritative = false })
 		got = watch(p, probe)
 		require.Zero(t, got.took)
-		require.Equal(t, uint64(1), got.answer.View.Number, "it names others that may be asked")
+		require.Equal(t, uint64(1), got.answer.View.Number, "its voters are further machines to probe")
 		probe.ViewNumber = 1
 		require.Equal(t, 800*time.Millisecond, watch(p, probe).took)
 		time.AfterFunc(100*time.Millisecond, func() {
@@ -268,13 +268,13 @@
 	})
 }
 
-func TestWatchTellsTheServerList(t *testing.T) {
+func TestWatchSendsTheServerList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
 		request := current(p)
 		version := &pb.ListVersion{Epoch: 3, Holder: "control-2", Revision: 1}
 		list := &pb.ServerList{Version: version, AgeMs: 50, Servers: []*pb.Server{{Id: "i-1"}}}
-		time.AfterFunc(100*time.Millisecond, func() { p.serverList(list) })
+		time.AfterFunc(100*time.Millisecond, func() { p.serverListReceived(list) })
 		got := watch(p, request)
 		require.Equal(t, 100*time.Millisecond, got.took)
 		require.Len(t, got.answer.List.Servers, 1)
@@ -282,7 +282,7 @@
 
 		got = watch(p, current(p))
 		require.Equal(t, 800*time.Millisecond, got.took)
-		require.Empty(t, got.answer.List.Servers, "the version held is only confirmed")
+		require.Empty(t, got.answer.List.Servers, "a known version is only confirmed")
 		require.Equal(t, uint32(850), got.answer.List.AgeMs)
 	})
 }
@@ -292,11 +292,11 @@
 		p, _ := newTestProcess(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(100*time.Millisecond, cancel)
-		got := watchWith(ctx, newLink(p.node, p.soft, "control-1", p.ending), current(p))
+		got := watchWith(ctx, newLinkService(p.node, p.soft, "control-1", p.shuttingDown), current(p))
 		require.Equal(t, connect.CodeCanceled, connect.CodeOf(got.err))
 		require.Equal(t, 100*time.Millisecond, got.took)
 
-		time.AfterFunc(200*time.Millisecond, func() { close(p.ending) })
+		time.AfterFunc(200*time.Millisecond, func() { close(p.shuttingDown) })
 		got = watch(p, current(p))
 		require.NoError(t, got.err)
 		require.Equal(t, 200*time.Millisecond, got.took)
@@ -304,19 +304,19 @@
 	})
 }
 
-func TestWatchRefusals(t *testing.T) {
+func TestWatchRejections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
 		require.Equal(t, connect.CodeInvalidArgument, connect.CodeOf(watch(p, &pb.WatchRequest{}).err))
 
-		link := newLink(p.node, p.soft, "control-1", p.ending)
-		for range maxWatches {
+		link := newLinkService(p.node, p.soft, "control-1", p.shuttingDown)
+		for range maxConcurrentWatches {
 			go watchWith(context.Background(), link, current(p))
 		}
 		synctest.Wait()
 		got := watchWith(context.Background(), link, current(p))
 		require.Equal(t, connect.CodeResourceExhausted, connect.CodeOf(got.err))
-		close(p.ending)
+		close(p.shuttingDown)
 		synctest.Wait()
 	})
 }
@@ -328,5 +328,5 @@
 	require.NoError(t, err)
 	require.Equal(t, uint64(7), response.Msg.Generation)
 	require.NotNil(t, response.Msg.Repair)
-	require.Equal(t, 1, p.soft.Picture().members.Live())
+	require.Equal(t, 1, p.soft.Snapshot().members.Live())
 }
--- a/internal/controlserver/platform_test.go
+++ b/internal/controlserver/platform_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"errors"
-	"fmt"
+	"io"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	pb "fieldrelay/api/fieldrelay/v1"
-	"fieldrelay/internal/registry"
+	"fieldrelay/internal/serverlist"
 	"fieldrelay/internal/settings"
 )
 
@@ -26,7 +26,7 @@
 			http.Error(w, "over the rate", http.StatusTooManyRequests)
 			return
 		}
-		fmt.Fprint(w, page)
+		_, _ = io.WriteString(w, page)
 	}))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
@@ -71,7 +71,7 @@
 	}
 }
 
-// TestThePlatformsListReachesAgents lets a process read the list as its duty.
+// TestThePlatformsListReachesAgents lets a process poll the list as owner of that role.
 func TestThePlatformsListReachesAgents(t *testing.T) {
 	p, node := newTestProcess(t)
 	current := *testSettings()
@@ -79,14 +79,14 @@
 	p.settings.current.Store(&current)
 	p.tick()
 	pass(p, time.Second)
-	require.True(t, p.soft.Holder())
-	require.Equal(t, int64(1), p.pollsGood.Load())
+	require.True(t, p.soft.IsOwner())
+	require.Equal(t, int64(1), p.pollsSucceeded.Load())
 	require.Len(t, node.broadcast, 1)
 	require.Len(t, node.broadcast[0].Servers, 1)
 	response := watch(p, &pb.WatchRequest{Agent: testAgent("edge-1")})
 	require.Equal(t, "i-7f3a91c2", response.answer.List.Servers[0].Id)
-	_, told := p.soft.Report()
-	require.Zero(t, registry.CompareVersions(told, response.answer.List.Version))
+	_, advertised := p.soft.Report()
+	require.Zero(t, serverlist.CompareVersions(advertised, response.answer.List.Version))
 }
 
 func TestAFailedReadingKeepsTheList(t *testing.T) {
@@ -97,7 +97,7 @@
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
-		fmt.Fprint(w, `{"servers":[`+entry+`]}`)
+		_, _ = io.WriteString(w, `{"servers":[`+entry+`]}`)
 	}))
 	t.Cleanup(server.Close)
 	p.settings.current.Store(withPlatform(strings.TrimPrefix(server.URL, "http://")))
@@ -105,7 +105,7 @@
 	pass(p, 3*time.Second)
 	require.Equal(t, int64(3), calls.Load())
 	require.Equal(t, int64(2), p.pollsFailed.Load())
-	require.Equal(t, 1, p.soft.Picture().list.Len())
+	require.Equal(t, 1, p.soft.Snapshot().list.Len())
 }
 
 func withPlatform(address string) *settings.Settings {
--- a/internal/controlserver/serve_test.go
+++ b/internal/controlserver/serve_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -46,13 +47,12 @@
 	}
 	response, err := http.DefaultClient.Do(message)
 	require.NoError(t, err)
-	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
-	require.NoError(t, err)
+	require.NoError(t, errors.Join(err, response.Body.Close()))
 	return response.StatusCode, string(answer)
 }
 
-// An evacuation that was taken at a machine whose settings name the zone is not refused by one whose do not.
+// An evacuation that was accepted at a machine whose settings name the zone is not rejected by one whose do not.
 func TestAnEvacuationThatWasTakenIsNotRefusedElsewhere(t *testing.T) {
 	p, node := newTestProcess(t)
 	server := operatorServer(t, p)
@@ -92,21 +92,24 @@
 
 func TestTheDirectoryWaitsUntilItKnowsEnough(t *testing.T) {
 	p, _ := newTestProcess(t)
-	p.soft.Heard(testAgent("edge-1"), nil)
-	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
-	p.started = p.started.Add(-directorySettling)
-	require.Equal(t, []string{"10.0.0.1:8144"}, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
+	p.soft.ObserveAgent(testAgent("edge-1"), nil)
+	require.Empty(t, p.soft.Endpoints(restrictedClient, 0))
+	p.started = p.started.Add(-directoryConvergenceTime)
+	require.Equal(t, []string{"10.0.0.1:8144"}, p.soft.Endpoints(restrictedClient, 0))
 }
 
-// TestTheDirectoryFollowsTheHomesOfTheConfiguration: clients whose region has no proxy are sent to homes of their host.
+// restrictedClient is a client that may be bound to its region.
+var restrictedClient = registry.Client{Region: "cz-morava", Zone: "brno-hala", HomeRegions: route.HomeRegions{Unreadable: true}}
+
+// TestTheDirectoryFollowsTheHomesOfTheConfiguration: clients whose region has no proxy are sent to home regions of their host.
 func TestTheDirectoryFollowsTheHomesOfTheConfiguration(t *testing.T) {
 	p, _ := newTestProcess(t)
 	for host, region := range map[string]string{"edge-1": "west", "edge-2": "west", "edge-3": "east", "edge-4": "east"} {
 		record := testAgent(host)
 		record.Region, record.EdgeAddress = region, region+":"+host
-		p.soft.Heard(record, nil)
+		p.soft.ObserveAgent(record, nil)
 	}
-	p.started = p.started.Add(-directorySettling)
+	p.started = p.started.Add(-directoryConvergenceTime)
 	server := operatorServer(t, p)
 	named := func(name, region string) []string {
 		status, body := request(t, "GET", server.URL+"/api/lookup?name="+name+"&geo="+region, "", "")
@@ -142,20 +145,18 @@
 	p, _ := newTestProcess(t)
 	starting := testAgent("edge-3")
 	starting.Ready = false
-	p.soft.Heard(starting, nil)
-	p.soft.Heard(testAgent("edge-1"), nil)
-	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0))
-	p.soft.Heard(testAgent("edge-2"), nil)
-	require.Len(t, p.soft.Endpoints(registry.Client{Region: "cz-morava", Zone: "brno-hala", Homes: route.HomeRegions{Unreadable: true}}, 0), 2)
+	p.soft.ObserveAgent(starting, nil)
+	p.soft.ObserveAgent(testAgent("edge-1"), nil)
+	require.Empty(t, p.soft.Endpoints(restrictedClient, 0))
+	p.soft.ObserveAgent(testAgent("edge-2"), nil)
+	require.Len(t, p.soft.Endpoints(restrictedClient, 0), 2)
 }
 
 // TestServeAnswersWhatItTook starts all listeners and ends the process while an order is under way.
 func TestServeAnswersWhatItTook(t *testing.T) {
 	p, node := newTestProcess(t)
 	node.block = make(chan struct{})
-	current := *testSettings()
-	current.Binds = settings.Binds{Control: "127.0.0.2:0", Directory: "127.0.0.3:0"}
-	p.settings.current.Store(&current)
+	p.settings.current.Store(servingSettings())
 	servers, err := p.listenAll(t.Context())
 	require.NoError(t, err)
 	require.Len(t, servers, 3)
@@ -178,7 +179,7 @@
 		p.shutDown(servers, func() {})
 		close(ended)
 	}()
-	<-p.ending
+	<-p.shuttingDown
 	close(node.block)
 	require.Equal(t, 200, <-answers)
 	<-ended
@@ -188,10 +189,10 @@
 	p, _ := newTestProcess(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.NoError(t, p.work(ctx, nil, nil))
+	require.NoError(t, p.runLoop(ctx, nil, nil))
 	failed := make(chan error, 1)
 	failed <- http.ErrServerClosed
-	require.ErrorIs(t, p.work(t.Context(), nil, failed), http.ErrServerClosed)
+	require.ErrorIs(t, p.runLoop(t.Context(), nil, failed), http.ErrServerClosed)
 }
 
 func TestRunServesUntilItsContextEnds(t *testing.T) {
@@ -204,12 +205,12 @@
 	ended := make(chan error, 1)
 	go func() { ended <- Run(ctx, loneMachine(filepath.Join(folder, "state")), zap.New(core)) }()
 	require.Eventually(t, func() bool {
-		return lines.FilterMessage("holds the agreed state").Len() > 0 &&
-			lines.FilterMessage("settings read again").Len() > 0
+		return lines.FilterMessage("authority changed").Len() > 0 &&
+			lines.FilterMessage("settings reloaded").Len() > 0
 	}, 10*time.Second, 10*time.Millisecond)
 	cancel()
 	require.NoError(t, <-ended)
-	require.Equal(t, 1, lines.FilterMessage("counters").FilterField(zap.Int64("polls", 0)).Len())
+	require.Equal(t, 1, lines.FilterMessage("counters").FilterField(zap.Int64("polls_succeeded", 0)).Len())
 }
 
 const settingsText = `
@@ -227,27 +228,27 @@
 	initial, err := settings.Load(path)
 	require.NoError(t, err)
 	core, lines := observer.New(zap.InfoLevel)
-	watch := newSettingsWatch(path, initial, zap.New(core))
+	watcher := newSettingsWatcher(path, initial, zap.New(core))
 
-	require.False(t, watch.Check(false), "the file is as it was")
-	require.False(t, watch.Check(true))
+	require.False(t, watcher.Check(false), "the file is as it was")
+	require.False(t, watcher.Check(true))
 	info, err := os.Stat(path)
 	require.NoError(t, err)
 	write(strings.Replace(settingsText, "core", "bore", 1))
 	require.NoError(t, os.Chtimes(path, info.ModTime(), info.ModTime()))
-	require.False(t, watch.Check(false), "the file looks as it was")
-	require.True(t, watch.Check(true), "upon a signal it is read anyway")
+	require.False(t, watcher.Check(false), "the file looks as it was")
+	require.True(t, watcher.Check(true), "upon a signal it is read anyway")
 
 	write(settingsText + "[zones]\nolomouc-hala = \"cz-morava\"\n")
-	require.True(t, watch.Check(false))
-	require.True(t, watch.Current().KnowsZone("olomouc-hala"))
+	require.True(t, watcher.Check(false))
+	require.True(t, watcher.Current().KnowsZone("olomouc-hala"))
 
 	lines.TakeAll()
 	write("hostname = 3")
-	require.False(t, watch.Check(false))
-	require.False(t, watch.Check(true))
-	require.Equal(t, 1, lines.Len(), "a fault is told once")
-	require.True(t, watch.Current().KnowsZone("olomouc-hala"))
+	require.False(t, watcher.Check(false))
+	require.False(t, watcher.Check(true))
+	require.Equal(t, 1, lines.Len(), "an error is logged once")
+	require.True(t, watcher.Current().KnowsZone("olomouc-hala"))
 }
 
 // TestOtherSeedsReachTheNode: the known machines may all have been replaced.
@@ -258,7 +259,7 @@
 	initial, err := settings.Load(path)
 	require.NoError(t, err)
 	p, node := newTestProcess(t)
-	p.settings = newSettingsWatch(path, initial, zap.NewNop())
+	p.settings = newSettingsWatcher(path, initial, zap.NewNop())
 	p.checkSettings(t.Context(), true)
 	require.Empty(t, node.seeds, "nothing changed")
 	require.NoError(t, os.WriteFile(path, []byte(seeds("10.0.0.2:80")), 0o600))
@@ -266,11 +267,11 @@
 	require.Equal(t, []string{"10.0.0.2:80"}, node.seeds)
 }
 
-// TestHostsWithHomesAreTold: while the machine is out of touch, every host counts as one.
-func TestHostsWithHomesAreTold(t *testing.T) {
+// TestHostsWithHomeRegionsAreKnown: without authority, every host counts as restricted.
+func TestHostsWithHomeRegionsAreKnown(t *testing.T) {
 	p, node := newTestProcess(t)
 	node.alter(func(status *control.Status) { status.Committed = nil })
-	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homesOf("photos.example"), "no configuration is known")
+	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homeRegionsOf("photos.example"), "no configuration is known")
 	body := []byte(`{"gen":1,"routes":[{"name":"r","vhost":"photos.example","path-prefix":"/a/","deadline-ms":5,"backend":"b","home-regions":["west"]}],"backends":[{"name":"b"}]}`)
 	change, err := catalog.PrepareReplace(catalog.Empty(), 0, body)
 	require.NoError(t, err)
@@ -280,8 +281,8 @@
 		status.Committed = committed
 		status.Authoritative = true
 	})
-	require.Equal(t, route.HomeRegions{Routes: 1, ByRegion: map[string]int{"west": 1}}, p.homesOf("photos.example"))
-	require.Equal(t, route.HomeRegions{}, p.homesOf("tills.example"))
+	require.Equal(t, route.HomeRegions{Routes: 1, ByRegion: map[string]int{"west": 1}}, p.homeRegionsOf("photos.example"))
+	require.Equal(t, route.HomeRegions{}, p.homeRegionsOf("tills.example"))
 	node.alter(func(status *control.Status) { status.Authoritative = false })
-	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homesOf("tills.example"))
+	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homeRegionsOf("tills.example"))
 }
--- a/internal/controlserver/status_test.go
+++ b/internal/controlserver/statusservice_test.go
@@ -27,7 +27,7 @@
 
 func TestStatusBeforeAnythingIsKnown(t *testing.T) {
 	p, node := newTestProcess(t)
-	node.alter(func(held *control.Status) { *held = control.Status{} })
+	node.alter(func(status *control.Status) { *status = control.Status{} })
 	report := describe(t, p)
 	require.Nil(t, report.View)
 	require.Nil(t, report.Catalog)
@@ -40,13 +40,13 @@
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 7)
 	node.Submit(t.Context(), &pb.Order{Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: "brno-hala"})
-	p.serverList(&pb.ServerList{
+	p.serverListReceived(&pb.ServerList{
 		Version: &pb.ListVersion{Epoch: 3, Holder: "control-2", Revision: 1},
 		Servers: []*pb.Server{{Id: "i-1"}, {Id: "i-2", Draining: true}},
 	})
-	p.soft.Heard(testAgent("edge-1"), nil)
+	p.soft.ObserveAgent(testAgent("edge-1"), nil)
 	pass(p, registry.FailureTimeout)
-	p.soft.Heard(testAgent("edge-2"), nil)
+	p.soft.ObserveAgent(testAgent("edge-2"), nil)
 	p.tick()
 
 	report := describe(t, p)
@@ -63,6 +63,6 @@
 	require.Equal(t, uint32(2), report.Duty.Servers)
 	require.Equal(t, uint32(1), report.Duty.Draining)
 	require.Len(t, report.Agents, 2)
-	require.True(t, report.Agents[0].Lost, "edge-1 has been silent")
+	require.True(t, report.Agents[0].Lost, "edge-1 has had no contact")
 	require.False(t, report.Agents[1].Lost)
 }
--- a/internal/controlsim/cutdraw_test.go
+++ b/internal/controlsim/partition_draw_test.go
@@ -1,11 +1,7 @@
 package controlsim
 
-import (
-	pb "fieldrelay/api/fieldrelay/v1"
-)
-
 // drawTarget picks a machine by its part in the newest view.
-func (s *cutStorm) drawTarget() (string, *host) {
+func (s *partitionStorm) drawTarget() (string, *host) {
 	roles := s.hostsByRole()
 	names := []string{"head", "middle", "tail", "learner", "proposer", "voter"}
 	name := names[s.world.random.IntN(len(names))]
@@ -15,7 +11,7 @@
 	return "any", s.world.anyHost()
 }
 
-func (s *cutStorm) hostsByRole() map[string][]*host {
+func (s *partitionStorm) hostsByRole() map[string][]*host {
 	roles := make(map[string][]*host)
 	view := s.world.newestView()
 	if view == nil {
@@ -43,35 +39,15 @@
 	return roles
 }
 
-func (w *world) newestView() *pb.View {
-	var newest *pb.View
-	for _, host := range w.living() {
-		if host.machine != nil && host.machine.View().GetNumber() > newest.GetNumber() {
-			newest = host.machine.View()
-		}
-	}
-	return newest
-}
-
-func (w *world) hostsOf(replicas []*pb.Replica) []*host {
-	var hosts []*host
-	for _, replica := range replicas {
-		if host := w.byPeer[replica.GetAddress()]; host != nil {
-			hosts = append(hosts, host)
-		}
-	}
-	return hosts
-}
-
 // drawSide is the target alone, with a few others, or with its whole zone.
-func (s *cutStorm) drawSide(target *host) []*host {
+func (s *partitionStorm) drawSide(target *host) []*host {
 	side := []*host{target}
 	zone := s.world.chance(0.15)
 	others := 0.0
 	if s.world.chance(0.3) {
 		others = 0.4
 	}
-	for _, other := range s.world.living() {
+	for _, other := range s.world.remaining() {
 		if other != target && (zone && other.zone == target.zone || s.world.chance(others)) {
 			side = append(side, other)
 		}
@@ -80,14 +56,14 @@
 }
 
 // drawRest is all others, those of the target's zone or of other zones, or a single machine.
-func (s *cutStorm) drawRest(target *host, side []*host) []*host {
+func (s *partitionStorm) drawRest(target *host, side []*host) []*host {
 	within := make(map[*host]bool)
 	for _, host := range side {
 		within[host] = true
 	}
 	shape := s.world.random.IntN(6)
 	var rest []*host
-	for _, other := range s.world.living() {
+	for _, other := range s.world.remaining() {
 		sameZone := other.zone == target.zone
 		if within[other] || shape == 0 && !sameZone || shape == 1 && sameZone {
 			continue
@@ -102,7 +78,7 @@
 }
 
 // drawPairs is the ways that are blocked: out of the side, into it, or both.
-func (s *cutStorm) drawPairs(side, rest []*host) [][2]*host {
+func (s *partitionStorm) drawPairs(side, rest []*host) [][2]*host {
 	direction := s.world.random.IntN(4)
 	var pairs [][2]*host
 	for _, a := range side {
--- a/internal/controlsim/race_test.go
+++ b/internal/controlsim/race_test.go
@@ -13,17 +13,17 @@
 
 // Two operators choose the same number for different changes of the same version, one of them a configuration and
 // the other an amendment, and a third sends the same body as the first, each through another machine. They do so
-// at every event of a change of view, while answers are lost at one place. CONTROLSIM_RACE_STRIDE sets how many
+// at every event of a view change, while answers are lost at one place. CONTROLSIM_RACE_STRIDE sets how many
 // events are passed over from one run to the next.
 const (
 	defaultRaceStride = 40
-	// raceHealsAfter is when the trouble ends that led to the change of view.
+	// raceHealsAfter is when the fault ends that led to the view change.
 	raceHealsAfter = 3 * time.Second
 	// raceLimit is the limit for clear answers after that.
 	raceLimit = 15 * time.Second
 	// raceLosses is the number of answers that are lost at the place in question.
 	raceLosses = 3
-	// maxRaceEvents bounds the events of a change of view.
+	// maxRaceEvents bounds the events of a view change.
 	maxRaceEvents = 5000
 	// plantedRaces is the number of races for each upheaval in which a planted fault is looked for.
 	plantedRaces = 120
@@ -35,14 +35,14 @@
 type racer struct {
 	operator
 	order  *configuration
-	host   int    // index of the machine that is asked next
+	host   int    // index of the machine that is used next
 	status uint32 // of the clear answer; 0: there is none yet
 }
 
 func (r *racer) send() {
-	r.only = r.world.hosts[r.host%len(r.world.hosts)]
+	r.target = r.world.hosts[r.host%len(r.world.hosts)]
 	r.host++
-	r.ask(r.order.order(), func(result *pb.OrderResult) {
+	r.submit(r.order.order(), func(result *pb.OrderResult) {
 		switch status := result.GetStatus(); {
 		case status == http.StatusOK:
 			r.world.checker.acknowledge(r.order)
@@ -51,27 +51,27 @@
 			r.world.checker.refuse(r.order, status)
 			r.status = status
 		default:
-			r.world.after(r.world.between(20*time.Millisecond, 120*time.Millisecond), r.send)
+			r.world.after(r.world.durationBetween(20*time.Millisecond, 120*time.Millisecond), r.send)
 		}
 	})
 }
 
 // raceWorld is a calm world in which one configuration was acknowledged.
-func raceWorld(t require.TestingT, seed uint64, planted mutation) (w *world, chained []*host) {
+func raceWorld(t require.TestingT, seed uint64, planted mutation) (w *world, members []*host) {
 	w = newWorld(plan{
-		seed:     seed,
-		machines: []int{3, 5}[seed%2],
-		zones:    3,
-		required: usualRequirement,
-		mutation: planted,
-		calm:     true,
+		seed:        seed,
+		machines:    []int{3, 5}[seed%2],
+		zones:       3,
+		requirement: defaultRequirement,
+		mutation:    planted,
+		calm:        true,
 	})
-	require.True(t, w.acknowledgeOne(foundWithin))
+	require.True(t, w.acknowledgeOne())
 	w.run(time.Second)
 	for _, member := range w.hosts[0].machine.View().GetChain() {
-		chained = append(chained, w.byPeer[member.GetAddress()])
+		members = append(members, w.byPeer[member.GetAddress()])
 	}
-	return w, chained
+	return w, members
 }
 
 // isPast reports whether a later view than that of a number is in force everywhere and its head takes orders.
@@ -84,22 +84,22 @@
 	return true
 }
 
-// race is one run: the orders are sent at an event of a change of view, or the other way round.
+// race is one run: the orders are sent at an event of a view change, or the other way round.
 type race struct {
 	seed        uint64
-	change      upheaval
+	change      viewChangeTrigger
 	loss        answerLoss
 	event       int
-	ordersFirst bool // the change of view begins at an event of the orders' way
+	ordersFirst bool // the view change begins at an event of the orders' way
 	planted     mutation
 }
 
 // run returns the world, and whether what the event is counted in was over before it.
 func (r race) run(t require.TestingT) (w *world, over bool) {
-	w, chained := raceWorld(t, r.seed, r.planted)
-	w.network.loses = r.losses()
+	w, members := raceWorld(t, r.seed, r.planted)
+	w.network.alsoLoses = r.losses()
 	var racers []*racer
-	begin := func() { r.change.begin(w, chained) }
+	begin := func() { r.change.begin(w, members) }
 	send := func() { racers = startRace(w, r.event) }
 	before := w.hosts[0].machine.View().GetNumber()
 	isOver := func() bool { return w.isPast(before) }
@@ -114,7 +114,7 @@
 	}
 	send()
 	w.run(raceHealsAfter)
-	r.change.end(w, chained)
+	r.change.end(w, members)
 	if !w.runUntil(raceLimit, func() bool { return isDecided(racers) }) {
 		w.checker.fail("the operators get no clear answer")
 		return w, over
@@ -146,14 +146,14 @@
 	second := &configuration{key: "/2-1/", base: base, generation: base + 1, amend: true}
 	var racers []*racer
 	for index, order := range []*configuration{first, second, first} {
-		racer := &racer{operator: operator{world: w, name: index + 1, ended: true}, order: order, host: event + index}
+		racer := &racer{operator: operator{world: w, name: index + 1, stopped: true}, order: order, host: event + index}
 		racers = append(racers, racer)
-		w.after(w.upTo(3*time.Millisecond), racer.send)
+		w.after(w.durationUpTo(3*time.Millisecond), racer.send)
 	}
 	return racers
 }
 
-// checkRace: one of the two has won, and it is said so to whoever asks again, at every machine.
+// checkRace: one of the two has won, and whoever sends again learns so, at every machine.
 func checkRace(w *world, racers []*racer) {
 	won := func(r *racer) bool { return r.status == http.StatusOK }
 	if won(racers[0]) != won(racers[2]) {
@@ -177,7 +177,7 @@
 			}
 		}
 	}
-	w.runUntil(convergeWithin, w.converged)
+	w.runUntil(convergenceLimit, w.converged)
 	w.checker.finish()
 }
 
@@ -186,13 +186,14 @@
 func TestChangesOfViewAtEveryEventOfARace(t *testing.T) { sweepRaces(t, true) }
 
 func sweepRaces(t *testing.T, ordersFirst bool) {
-	stride := number("CONTROLSIM_RACE_STRIDE", defaultRaceStride)
-	var total figures
+	t.Helper()
+	stride := envInt("CONTROLSIM_RACE_STRIDE", defaultRaceStride)
+	var total totals
 	t.Cleanup(func() {
 		t.Logf("%d races, %d failed", total.races.Load(), total.failed.Load())
 		require.Positive(t, total.races.Load())
 	})
-	for _, change := range upheavals() {
+	for _, change := range viewChangeTriggers() {
 		for place, loss := range answerLosses() {
 			if loss.caller > 0 {
 				continue // the operators ask again in any case
--- /dev/null
+++ b/internal/gossip/catchup_test.go
@@ -0,0 +1,112 @@
+package gossip
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/catalog"
+	"fieldrelay/internal/shuffle"
+)
+
+// farDistances reach from what the history keeps to twelve times that.
+var farDistances = []uint64{1, catalog.HistoryMaxChanges, catalog.HistoryMaxChanges + 1, 1000, 3000}
+
+// pair is two members that know only each other.
+type pair struct {
+	machines map[string]*Machine
+	compared int                       // comparisons made
+	alter    func(*pb.CompareResponse) // an injected fault
+}
+
+func newPair(behind, ahead uint64) *pair {
+	p := &pair{machines: make(map[string]*Machine)}
+	for host, sequence := range map[string]uint64{"behind": behind, "ahead": ahead} {
+		other := "ahead"
+		if host == "ahead" {
+			other = "behind"
+		}
+		replica := NewReplica()
+		replica.ApplyChanges(changes(1, sequence))
+		view := fixedView{{Host: other, Address: other}}
+		p.machines[host] = New(replica, view, rand.New(rand.NewPCG(ahead, 1)))
+	}
+	return p
+}
+
+// execute carries out the comparisons of a member, and those that follow from them.
+func (p *pair) execute(now time.Duration, host string, actions []Action) {
+	for _, action := range actions {
+		compare, isCompare := action.(Compare)
+		if !isCompare {
+			continue
+		}
+		p.compared++
+		from := shuffle.Neighbour{Host: host, Address: host}
+		request := CompareRequested{From: from, Digests: compare.Digests, List: compare.List}
+		for _, answer := range p.machines[compare.To.Host].Step(now, request) {
+			if reply, isReply := answer.(CompareReply); isReply {
+				if p.alter != nil {
+					p.alter(reply.Response)
+				}
+				p.execute(now, host, p.machines[host].Step(now, CompareAnswered{Request: compare, Response: reply.Response}))
+			}
+		}
+	}
+}
+
+func (p *pair) sequence(host string) uint64 { return p.machines[host].replica.Sequence() }
+
+// runUntilCaughtUp lets time pass until the member that is behind has caught up, and returns when that was.
+func (p *pair) runUntilCaughtUp(limit time.Duration, target uint64) time.Duration {
+	for now := time.Duration(0); now < limit; now += 200 * time.Millisecond {
+		for host, machine := range p.machines {
+			p.execute(now, host, machine.Step(now, Tick{}))
+		}
+		if p.sequence("behind") == target {
+			return now
+		}
+	}
+	return limit
+}
+
+// A member that is any number of changes behind has caught up after the first comparison with one that is not: at
+// once as far as the history reaches, else with the ranges that differ.
+func TestMemberFarBehindCatchesUpWithOneNeighbour(t *testing.T) {
+	for _, distance := range farDistances {
+		t.Run(fmt.Sprint(distance), func(t *testing.T) {
+			members := newPair(10, 10+distance)
+			caughtUp := members.runUntilCaughtUp(2*CompareInterval, 10+distance)
+			require.Less(t, caughtUp, 2*CompareInterval)
+			require.LessOrEqual(t, members.compared, 4, "two for versions, one of them with digests behind it")
+			require.EqualValues(t, 10+distance, members.sequence("ahead"), "it applies nothing older")
+			require.Equal(t, stateAt(10+distance).Digests().GetDigests(), members.machines["behind"].replica.Snapshot().Digests().GetDigests())
+		})
+	}
+}
+
+func TestComparisonWithoutStateLeavesAMemberBehind(t *testing.T) {
+	members := newPair(10, 1010)
+	members.alter = func(response *pb.CompareResponse) { response.Changes, response.Repair = nil, nil }
+	require.Equal(t, 2*CompareInterval, members.runUntilCaughtUp(2*CompareInterval, 1010))
+}
+
+// A repair that comes late, or from an earlier incarnation of a neighbour, changes nothing.
+func TestRepairsOfEarlierLivesAreLeft(t *testing.T) {
+	replica := NewReplica()
+	replica.ApplyChanges(changes(1, 900))
+	machine := New(replica, fixedView{}, rand.New(rand.NewPCG(1, 1)))
+	base := stateAt(10)
+	for _, sequence := range []uint64{11, 300, 899, 900} {
+		late := Compare{To: shuffle.Neighbour{Host: "edge-1"}, Digests: base.Digests(), Base: base}
+		response := &pb.CompareResponse{Sequence: sequence, Repair: stateAt(sequence).RepairFor(base.Digests())}
+		require.Empty(t, machine.Step(time.Second, CompareAnswered{Request: late, Response: response}))
+		require.Empty(t, machine.Step(time.Second, UpdateReceived{Repair: stateAt(sequence).RepairFor(nil)}))
+		require.EqualValues(t, 900, replica.Sequence())
+	}
+	require.Zero(t, machine.MalformedRepairs())
+}
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -9,9 +9,9 @@
 	"fieldrelay/internal/digesttest"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs anew")
+var update = flag.Bool("update", false, "record the digests of the runs again")
 
-// A change that should change no behaviour changes nothing that members send each other.
+// A refactoring leaves as it is what members send each other.
 func TestSwarmHasTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "swarm", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(time.Second)
@@ -23,16 +23,16 @@
 			}
 		}
 		for sequence := uint64(1); sequence <= 20; sequence++ {
-			s.tell(s.random.IntN(len(s.machines)), UpdateReceived{
+			s.deliverEvent(s.random.IntN(len(s.machines)), UpdateReceived{
 				Changes: changes(1, sequence),
 				List:    list(sequence, fmt.Sprint("i-", sequence)),
 			})
 			s.rounds(200 * time.Millisecond)
 		}
-		s.copies[0].history.Reset(20)
+		s.replicas[0].history.Reset(20)
 		s.rounds(15 * time.Second)
-		for _, held := range s.copies {
-			recorder.Entry(s.now, "end").Number(held.Sequence()).Message(held.Snapshot().Digests()).Message(held.ListVersion())
+		for _, replica := range s.replicas {
+			recorder.Entry(s.now, "end").Number(replica.Sequence()).Message(replica.Snapshot().Digests()).Message(replica.ListVersion())
 		}
 		return recorder
 	})
--- a/internal/operatorapi/orders.go
+++ b/internal/operatorapi/orders.go
@@ -2,10 +2,7 @@
 
 import (
 	"context"
-	"errors"
-	"io"
 	"net/http"
-	"os"
 	"time"
 
 	pb "fieldrelay/api/fieldrelay/v1"
@@ -13,29 +10,20 @@
 )
 
 const (
-	// submitLimit is the longest wait for the result of an order with a small body: the caller waits a second.
-	submitLimit = 900 * time.Millisecond
+	// submitTimeout bounds the wait for the result of an order with a small body: operators wait for a second.
+	submitTimeout = 900 * time.Millisecond
 
-	// smallBodyBytes is the size up to which a body counts as small.
-	smallBodyBytes = 64 << 10
+	// submitTimeoutPerKiB extends the wait for each KiB beyond a small body: operators wait longer for large ones.
+	submitTimeoutPerKiB = time.Millisecond
 
-	// limitPerKiB lengthens the wait for each KiB beyond a small body: callers wait longer for large ones.
-	limitPerKiB = time.Millisecond
+	// maxSubmitTimeout bounds the wait for any size.
+	maxSubmitTimeout = 5 * time.Second
 
-	// longestSubmitLimit bounds the wait whatever the size.
-	longestSubmitLimit = 5 * time.Second
-
-	// receiveLimit is the longest time in which a body may arrive.
-	receiveLimit = 10 * time.Second
-
-	// maxOrders bounds the orders under way at this machine.
-	maxOrders = 64
-
-	// maxLargeBodies bounds the bodies in memory that are not small.
-	maxLargeBodies = 3
+	// maxConcurrentOrders bounds the open orders at this machine.
+	maxConcurrentOrders = 64
 )
 
-// ReplaceConfiguration puts a whole configuration in force.
+// ReplaceConfiguration replaces the configuration in force as a whole.
 func (s *Server) ReplaceConfiguration(w http.ResponseWriter, r *http.Request, params operator.ReplaceConfigurationParams) {
 	s.configure(w, r, pb.Order_KIND_REPLACE, params.XFieldrelayBaseRev)
 }
@@ -45,38 +33,39 @@
 	s.configure(w, r, pb.Order_KIND_AMEND, params.XFieldrelayBaseRev)
 }
 
-// ReadConfiguration answers the newest acknowledged configuration.
+// ReadConfiguration responds with the newest acknowledged configuration.
 func (s *Server) ReadConfiguration(w http.ResponseWriter, r *http.Request) {
 	s.submit(w, r, &pb.Order{Kind: pb.Order_KIND_READ})
 }
 
-// BeginEvacuation begins to empty a zone.
+// BeginEvacuation begins the evacuation of a zone: its servers get no new requests.
 func (s *Server) BeginEvacuation(w http.ResponseWriter, r *http.Request, zone operator.Zone) {
 	s.evacuate(w, r, &pb.Order{Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: zone})
 }
 
-// FinishEvacuation takes the evacuation of a zone back.
+// FinishEvacuation ends the evacuation of a zone.
 func (s *Server) FinishEvacuation(w http.ResponseWriter, r *http.Request, zone operator.Zone) {
 	s.evacuate(w, r, &pb.Order{Kind: pb.Order_KIND_EVACUATE_FINISH, Zone: zone})
 }
 
+// evacuate submits an order about a zone, unless it may have been delayed in the network and its caller is gone.
 func (s *Server) evacuate(w http.ResponseWriter, r *http.Request, order *pb.Order) {
 	if !s.options.ZoneKnown(order.Zone) {
-		s.refuse(w, s.unknownZone(order.Zone))
+		s.reject(w, s.unknownZone(order.Zone))
 		return
 	}
-	if !isYoung(r) && !awaitCaller(r) {
-		s.refuse(w, &CallerGoneError{})
+	if !isFresh(r) && !callerRemains(r) {
+		s.reject(w, &CallerGoneError{})
 		return
 	}
 	s.submit(w, r, order)
 }
 
-// unknownZone is what an order on a zone that is not known here is refused with. A machine that is out of touch
-// may only have missed that it was added.
-func (s *Server) unknownZone(zone string) RefusalError {
-	if !s.options.InTouch() {
-		return &OutOfTouchError{}
+// unknownZone returns the rejection of an order for a zone that is not known here. A machine that is not authoritative
+// may just not know it yet.
+func (s *Server) unknownZone(zone string) RejectionError {
+	if !s.options.Authoritative() {
+		return &NotAuthoritativeError{}
 	}
 	return &UnknownZoneError{Zone: zone}
 }
@@ -84,133 +73,59 @@
 // configure reads the body of a configuration order and submits it.
 func (s *Server) configure(w http.ResponseWriter, r *http.Request, kind pb.Order_Kind, base *uint64) {
 	if base == nil {
-		s.refuse(w, &MissingBaseError{})
+		s.reject(w, &MissingBaseError{})
 		return
 	}
 	if !s.options.Ready() {
-		s.refuse(w, &NotReadyError{})
+		s.reject(w, &NotReadyError{})
 		return
 	}
 	if r.ContentLength > s.options.MaxBodyBytes {
-		s.refuse(w, &BodyTooLargeError{LimitBytes: s.options.MaxBodyBytes})
+		s.reject(w, &BodyTooLargeError{LimitBytes: s.options.MaxBodyBytes})
 		return
 	}
-	large := &largeBody{tokens: s.largeBodies}
+	large := &largeBodySlot{slots: s.largeBodySlots}
 	defer large.release()
 	body, err := s.readBody(w, r, large)
 	if err != nil {
-		s.refuse(w, err)
+		s.reject(w, err)
 		return
 	}
 	s.submit(w, r, &pb.Order{Kind: kind, Base: *base, Body: body})
 }
 
-// submit hands an order over and answers with its result.
+// submit submits an order and responds with its result.
 func (s *Server) submit(w http.ResponseWriter, r *http.Request, order *pb.Order) {
 	if !s.options.Ready() {
-		s.refuse(w, &NotReadyError{})
+		s.reject(w, &NotReadyError{})
 		return
 	}
-	if !take(s.orders) {
-		s.refuse(w, &BusyError{})
+	if !tryAcquire(s.orderSlots) {
+		s.reject(w, &BusyError{})
 		return
 	}
-	defer release(s.orders)
-	ctx, cancel := context.WithTimeout(r.Context(), limitFor(len(order.Body)))
+	defer releaseSlot(s.orderSlots)
+	ctx, cancel := context.WithTimeout(r.Context(), submitTimeoutFor(len(order.Body)))
 	defer cancel()
-	s.answer(w, s.options.Orders.Submit(ctx, order))
+	s.writeResult(w, s.options.Orders.Submit(ctx, order))
 }
 
-// limitFor is the longest wait for the result of an order with a body of that size.
-func limitFor(bodyBytes int) time.Duration {
+// submitTimeoutFor returns the longest wait for the result of an order with a body of that size.
+func submitTimeoutFor(bodyBytes int) time.Duration {
 	beyond := max(0, bodyBytes-smallBodyBytes)
-	limit := submitLimit + time.Duration(beyond>>10)*limitPerKiB
-	return min(limit, longestSubmitLimit)
-}
-
-// largeBody is the place of one body among the large ones in memory, if it is large.
-type largeBody struct {
-	tokens chan struct{}
-	held   bool
-}
-
-// claim takes a place. The error is a *BusyError if there is none.
-func (l *largeBody) claim() error {
-	if !take(l.tokens) {
-		return &BusyError{}
-	}
-	l.held = true
-	return nil
-}
-
-func (l *largeBody) release() {
-	if l.held {
-		release(l.tokens)
-	}
-}
-
-// readBody reads the whole body within the bounds of size and time.
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, large *largeBody) ([]byte, error) {
-	// An error only means that the connection's own limits stay in force.
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(receiveLimit))
-	limited := http.MaxBytesReader(w, r.Body, s.options.MaxBodyBytes)
-	body, err := readWhole(limited, r.ContentLength, large)
-	if err == nil {
-		return body, nil
-	}
-	if busy, full := errors.AsType[*BusyError](err); full {
-		return nil, busy
-	}
-	var tooLarge *http.MaxBytesError
-	if errors.As(err, &tooLarge) {
-		return nil, &BodyTooLargeError{LimitBytes: s.options.MaxBodyBytes}
-	}
-	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return nil, &BodySlowError{}
-	}
-	return nil, &BodyBrokenError{Cause: err}
-}
-
-// readWhole reads to the end, into a buffer of the right size if the length is known. A body claims its place
-// once it is known to be large.
-func readWhole(reader io.Reader, length int64, large *largeBody) ([]byte, error) {
-	if length < 0 {
-		return readUnsized(reader, large)
-	}
-	if length > smallBodyBytes {
-		if err := large.claim(); err != nil {
-			return nil, err
-		}
-	}
-	body := make([]byte, length)
-	_, err := io.ReadFull(reader, body)
-	if err != nil && length > 0 {
-		return nil, err
-	}
-	return body, nil
-}
-
-// readUnsized reads a body whose length is not told.
-func readUnsized(reader io.Reader, large *largeBody) ([]byte, error) {
-	start, err := io.ReadAll(io.LimitReader(reader, smallBodyBytes+1))
-	if err != nil || len(start) <= smallBodyBytes {
-		return start, err
-	}
-	if err := large.claim(); err != nil {
-		return nil, err
-	}
-	rest, err := io.ReadAll(reader)
-	return append(start, rest...), err
+	timeout := submitTimeout + time.Duration(beyond>>10)*submitTimeoutPerKiB
+	return min(timeout, maxSubmitTimeout)
 }
 
-// take takes one token if there is room.
-func take(tokens chan struct{}) bool {
+// tryAcquire acquires a slot if one is free.
+func tryAcquire(slots chan struct{}) bool {
 	select {
-	case tokens <- struct{}{}:
+	case slots <- struct{}{}:
 		return true
 	default:
 		return false
 	}
 }
 
-func release(tokens chan struct{}) { <-tokens }
+// releaseSlot returns a slot that tryAcquire acquired.
+func releaseSlot(slots chan struct{}) { <-slots }
--- a/internal/operatorapi/refusal.go
+++ b/internal/operatorapi/rejection.go
@@ -9,23 +9,24 @@
 	"fieldrelay/internal/catalog"
 )
 
-// RefusalBody is the body of the answer to an order that the catalog refused: with every fault, its item and
-// its field.
-func RefusalBody(refusal catalog.OrderError) []byte {
-	result := &ResultError{HTTPStatus: refusal.Status()}
-	detail := operator.RefusalDetail{Code: result.Code(), Message: refusal.Error()}
-	if conflict, other := errors.AsType[*catalog.ConflictError](refusal); other {
+// RejectionBody returns the body of the response to an order that the catalog rejected. It lists every fault with its
+// item and field.
+func RejectionBody(rejection catalog.OrderError) []byte {
+	result := &ResultError{HTTPStatus: rejection.Status()}
+	detail := operator.RefusalDetail{Code: result.Code(), Message: rejection.Error()}
+	if conflict, isConflict := errors.AsType[*catalog.ConflictError](rejection); isConflict {
 		current := int64(conflict.Current)
 		detail.Gen = &current
 	}
-	if invalid, faulty := errors.AsType[*catalog.InvalidError](refusal); faulty {
+	if invalid, isInvalid := errors.AsType[*catalog.InvalidError](rejection); isInvalid {
 		faults := faultsOf(invalid)
 		detail.Faults = &faults
 		detail.Message = fmt.Sprintf("the configuration has %d faults", len(invalid.Faults)+invalid.Omitted)
 	}
-	return marshalRefusal(detail)
+	return marshalRejection(detail)
 }
 
+// faultsOf converts the faults of a configuration to the form of the API.
 func faultsOf(invalid *catalog.InvalidError) []operator.Fault {
 	faults := make([]operator.Fault, 0, len(invalid.Faults))
 	for _, fault := range invalid.Faults {
@@ -38,7 +39,7 @@
 	return faults
 }
 
-// optional is nil for an empty text.
+// optional returns nil for an empty text.
 func optional(text string) *string {
 	if text == "" {
 		return nil
@@ -46,7 +47,8 @@
 	return &text
 }
 
-func marshalRefusal(detail operator.RefusalDetail) []byte {
+// marshalRejection returns the body of a rejection.
+func marshalRejection(detail operator.RefusalDetail) []byte {
 	body, err := json.Marshal(operator.Refusal{Error: detail})
 	if err != nil {
 		return []byte("{}")
@@ -54,9 +56,9 @@
 	return body
 }
 
-// typedRefusal gives the body of a refusal that only tells its reason as a text the form of all refusals. Any
-// other body is returned as it is.
-func typedRefusal(status int, body []byte) []byte {
+// structuredRejection converts the body of a rejection that has only a text, as the control state returns it, into the
+// form of all rejections. Any other body is returned unchanged.
+func structuredRejection(status int, body []byte) []byte {
 	var plain struct {
 		Error string `json:"error"`
 	}
@@ -64,5 +66,5 @@
 		return body
 	}
 	code := (&ResultError{HTTPStatus: status}).Code()
-	return marshalRefusal(operator.RefusalDetail{Code: code, Message: plain.Error})
+	return marshalRejection(operator.RefusalDetail{Code: code, Message: plain.Error})
 }
--- /dev/null
+++ b/internal/packing/compressor.go
@@ -0,0 +1,111 @@
+package packing
+
+import (
+	"slices"
+	"sync"
+
+	"github.com/cespare/xxhash/v2"
+	"google.golang.org/protobuf/proto"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+)
+
+const (
+	// maxEntries bounds the entries of the cache.
+	maxEntries = 8
+	// maxCachedBytes bounds their size in bytes, compressed. One entry is cached however large it is.
+	maxCachedBytes = 1 << 20
+)
+
+// Key identifies an update by the replicas that it applies to. All updates of one key are equal.
+type Key struct {
+	Base     uint64 // sequence of the replica that lacks the update
+	Sequence uint64 // of that replica after the update
+	Digests  uint64 // DigestsKey of the replica's digests if the update is a repair that answers them
+	Complete bool   // the update is a repair of all ranges, which applies to any earlier replica
+}
+
+// DigestsKey returns a hash of the digests that a repair answers, 0 if there are none.
+func DigestsKey(digests *pb.RangeDigests) uint64 {
+	if digests == nil {
+		return 0
+	}
+	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(digests)
+	if err != nil {
+		return 0
+	}
+	return xxhash.Sum64(encoded)
+}
+
+// Compressor compresses each update once, however many callers request it at the same time, and caches the last ones. The
+// zero value is ready to use. It is safe for concurrent use.
+type Compressor struct {
+	mutex        sync.Mutex
+	entries      []entry // the least recently used first
+	bytes        int     // of the entries, compressed
+	compressions uint64
+}
+
+// entry is the cached result for a key.
+type entry struct {
+	key        Key
+	compressed *pb.PackedNews // nil: the update is too small
+}
+
+// Compressed returns the compressed update of a key, nil if it is smaller than MinSize. The update is made, with the lock
+// held, only if no result is cached. The result is shared and must not be changed.
+func (p *Compressor) Compressed(key Key, makeUpdate func() *pb.StateNews) *pb.PackedNews {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if index := slices.IndexFunc(p.entries, func(cached entry) bool { return cached.key == key }); index >= 0 {
+		found := p.entries[index]
+		p.entries = append(slices.Delete(p.entries, index, index+1), found)
+		return found.compressed
+	}
+	created := entry{key: key}
+	if encoded, err := proto.Marshal(makeUpdate()); err == nil && len(encoded) >= MinSize {
+		created.compressed = compress(key, encoded)
+		p.compressions++
+	}
+	p.add(created)
+	return created.compressed
+}
+
+// Compressions returns the number of updates that were compressed.
+func (p *Compressor) Compressions() uint64 {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.compressions
+}
+
+// add caches an entry, and evicts the least recently used ones beyond the bounds.
+func (p *Compressor) add(created entry) {
+	p.entries = append(p.entries, created)
+	p.bytes += len(created.compressed.GetDeflated())
+	for len(p.entries) > 1 && (len(p.entries) > maxEntries || p.bytes > maxCachedBytes) {
+		p.bytes -= len(p.entries[0].compressed.GetDeflated())
+		p.entries = slices.Delete(p.entries, 0, 1)
+	}
+}
+
+// CompressResponse replaces the changes or the repair in a control machine's response to an agent by their compressed form, if
+// they are large enough and the agent accepts that.
+func (p *Compressor) CompressResponse(request *pb.WatchRequest, response *pb.WatchResponse) {
+	if !request.GetTakesPacked() || len(response.GetChanges()) == 0 && response.GetRepair() == nil {
+		return
+	}
+	key := Key{Base: request.GetSequence(), Sequence: response.GetSequence()}
+	if response.GetRepair() != nil {
+		key.Complete = request.GetDigests() == nil
+		key.Digests = DigestsKey(request.GetDigests())
+	}
+	compressed := p.Compressed(key, func() *pb.StateNews {
+		return &pb.StateNews{Changes: response.GetChanges(), Repair: response.GetRepair()}
+	})
+	if compressed == nil {
+		return
+	}
+	response.Packed = compressed
+	response.Changes = nil
+	response.Repair = nil
+}
