--- /dev/null
+++ b/internal/packing/compressor_test.go
@@ -0,0 +1,103 @@
+package packing
+
+import (
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"google.golang.org/protobuf/proto"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+)
+
+// manyRoutes returns an update that adds some number of routes.
+func manyRoutes(count int) *pb.StateNews {
+	change := &pb.Change{Sequence: 8, Generation: 3}
+	for number := range count {
+		change.Upserts = append(change.Upserts, &pb.Item{
+			Kind: "routes",
+			Name: fmt.Sprintf("r-%d", number),
+			Body: fmt.Appendf(nil, `{"name":"r-%d","vhost":"h%d.example","deadline-ms":5000}`, number, number*7919),
+		})
+	}
+	return &pb.StateNews{Changes: []*pb.Change{change}}
+}
+
+func TestCompressedUpdateDecompressesToItself(t *testing.T) {
+	var packer Compressor
+	update := manyRoutes(1400)
+	compressed := packer.Compressed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews { return update })
+	require.Less(t, proto.Size(compressed)*4, proto.Size(update))
+	require.EqualValues(t, 7, compressed.GetBase())
+	require.EqualValues(t, 8, compressed.GetSequence())
+	decompressed, err := Decompress(compressed)
+	require.NoError(t, err)
+	require.True(t, proto.Equal(update, decompressed))
+}
+
+func TestSmallUpdateIsNotCompressed(t *testing.T) {
+	var packer Compressor
+	made := 0
+	for range 3 {
+		require.Nil(t, packer.Compressed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews {
+			made++
+			return manyRoutes(2)
+		}))
+	}
+	require.Equal(t, 1, made, "that it is small is cached")
+}
+
+func TestUpdateIsCompressedOnceForAll(t *testing.T) {
+	var packer Compressor
+	var made atomic.Int64
+	var group sync.WaitGroup
+	for range 60 {
+		group.Go(func() {
+			compressed := packer.Compressed(Key{Base: 7, Sequence: 8}, func() *pb.StateNews {
+				made.Add(1)
+				return manyRoutes(300)
+			})
+			if compressed == nil {
+				t.Error("the update is not compressed")
+			}
+		})
+	}
+	group.Wait()
+	require.EqualValues(t, 1, made.Load())
+	require.EqualValues(t, 1, packer.Compressions())
+}
+
+func TestCacheIsBounded(t *testing.T) {
+	var packer Compressor
+	for sequence := range uint64(100) {
+		packer.Compressed(Key{Sequence: sequence}, func() *pb.StateNews { return manyRoutes(3000) })
+		require.LessOrEqual(t, len(packer.entries), maxEntries)
+		require.LessOrEqual(t, packer.bytes, maxCachedBytes)
+	}
+	made := false
+	packer.Compressed(Key{Sequence: 99}, func() *pb.StateNews { made = true; return nil })
+	require.False(t, made, "the newest is cached")
+}
+
+func TestMalformedUpdateIsRejected(t *testing.T) {
+	var packer Compressor
+	valid := packer.Compressed(Key{Sequence: 8}, func() *pb.StateNews { return manyRoutes(300) })
+	for name, spoil := range map[string]func(*pb.PackedNews){
+		"a size too small":   func(compressed *pb.PackedNews) { compressed.Size-- },
+		"a size too large":   func(compressed *pb.PackedNews) { compressed.Size++ },
+		"a size over bounds": func(compressed *pb.PackedNews) { compressed.Size = MaxSize + 1 },
+		"truncated":          func(compressed *pb.PackedNews) { compressed.Deflated = compressed.Deflated[:100] },
+		"nothing":            func(compressed *pb.PackedNews) { compressed.Deflated = nil },
+		"another format":     func(compressed *pb.PackedNews) { compressed.Deflated = []byte("not deflated at all") },
+	} {
+		t.Run(name, func(t *testing.T) {
+			spoiled := proto.CloneOf(valid)
+			spoil(spoiled)
+			_, err := Decompress(spoiled)
+			var rejected *MalformedError
+			require.ErrorAs(t, err, &rejected)
+		})
+	}
+}
--- a/internal/placement/admit_test.go
+++ b/internal/placement/admission_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOnCalmDaysEverythingIsLetIn(t *testing.T) {
+func TestEveryRequestIsAdmittedWithoutOverload(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	for i := range 500 {
 		require.NoError(t, f.p.Admit(f.now, f.greeting(i)))
 		f.serve(f.greeting(i), func(string) float64 { return 1 + 0.5*f.p.random.Float64() })
 	}
-	require.Zero(t, f.p.Stats().Overload)
+	require.Zero(t, f.p.Stats().Overloaded)
 }
 
-func TestLatenessAloneRefusesNobody(t *testing.T) {
+func TestLatenessAloneRejectsNoRequest(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
 	for range 50 { // answers come late, but not because requests wait at servers
@@ -28,13 +28,14 @@
 	}
 }
 
-// overloaded makes a fixture whose servers have answered at many times the predicted time for a while.
+// overloaded makes a fixture whose servers have taken a multiple of the predicted time for a while.
 func overloaded(t *testing.T, times float64) *fixture {
+	t.Helper()
 	f := newFixture(t, 0, westAndEast()[:6:6])
 	for i := range 200 {
 		f.serve(f.greeting(i), func(string) float64 { return times })
 	}
-	require.Less(t, f.p.ServiceSlack(modelService), admitSlack)
+	require.Less(t, f.p.ServiceSlack(modelService), admitAllSlack)
 	return f
 }
 
@@ -56,12 +57,12 @@
 	err := f.p.Admit(f.now, f.greeting(0))
 	var overload *OverloadError
 	require.ErrorAs(t, err, &overload)
-	require.GreaterOrEqual(t, overload.RetryAfter, overloadRetryLeast)
-	require.LessOrEqual(t, overload.RetryAfter, overloadRetryMost)
+	require.GreaterOrEqual(t, overload.RetryAfter, minOverloadRetry)
+	require.LessOrEqual(t, overload.RetryAfter, maxOverloadRetry)
 	again := f.greeting(0)
-	again.Returned = true
+	again.IsRetry = true
 	require.NoError(t, f.p.Admit(f.now, again), "refused a second time it would be lost")
-	f.now += trickleEvery
+	f.now += trickleInterval
 	require.NoError(t, f.p.Admit(f.now, f.greeting(0)), "no kind is starved")
 }
 
@@ -85,7 +86,7 @@
 	}
 }
 
-func TestServersThatAnswerAgainEndTheRefusals(t *testing.T) {
+func TestServersThatAnswerAgainEndTheRejections(t *testing.T) {
 	f := overloaded(t, 12)
 	for i := range 100 {
 		f.serve(f.greeting(i), asPredicted)
--- /dev/null
+++ b/internal/placement/failurereport.go
@@ -0,0 +1,64 @@
+package placement
+
+import (
+	"time"
+
+	"fieldrelay/internal/policy"
+)
+
+const (
+	// reportTTL is how long a report of a failure counts.
+	reportTTL = 2 * time.Second
+	// reportingZones is the number of zones whose proxies must have reported a server before this proxy ejects it without
+	// a failure of its own: a partition between two zones looks like a failure from one of them alone.
+	reportingZones = 2
+	// successOverride is how long a success of this proxy's own outweighs the reports of others.
+	successOverride = time.Second
+)
+
+// failureReports holds when the proxies of some zones last reported a server.
+type failureReports [reportingZones]struct {
+	zone string
+	at   time.Duration
+}
+
+// add records a report in place of the oldest, and returns the number of zones whose reports count.
+func (r *failureReports) add(now time.Duration, zone string) int {
+	oldest := 0
+	for i := range r {
+		if r[i].zone == zone {
+			oldest = i
+			break
+		}
+		if r[i].at < r[oldest].at {
+			oldest = i
+		}
+	}
+	r[oldest].zone, r[oldest].at = zone, now
+	zones := 0
+	for i := range r {
+		if r[i].zone != "" && now-r[i].at < reportTTL {
+			zones++
+		}
+	}
+	return zones
+}
+
+// FailureReported takes in that another proxy, in a zone of the region, had a new connection to a server fail. The
+// report of one zone makes the next failure of this proxy's own enough to eject the server; those of two zones eject it
+// by themselves.
+func (p *Placer) FailureReported(now time.Duration, serverID, zone string) {
+	known := p.servers[serverID]
+	if known == nil || p.off(policy.FailureReports) {
+		return
+	}
+	p.stats.FailureReports++
+	if known.succeededAt > 0 && now-known.succeededAt < successOverride {
+		return
+	}
+	if known.failureReports.add(now, zone) >= reportingZones {
+		p.eject(now, known, ejectAfter)
+		return
+	}
+	known.failures = max(known.failures, ejectAfter-noAnswerWeight)
+}
--- a/internal/placement/random_test.go
+++ b/internal/placement/random_test.go
@@ -13,8 +13,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// world is a Placer under random events, beside what the rules are checked against: the list and the zones
-// as they were told last.
+// world is a Placer under random events, together with what the rules are checked against: the list and the zones
+// as they were last set.
 type world struct {
 	*fixture
 	evacuated map[string]bool
@@ -29,6 +29,7 @@
 }
 
 func newWorld(t *testing.T) *world {
+	t.Helper()
 	return &world{
 		fixture:   newFixture(t, 0, append(westAndEast(), listed(plainService, 1, zoneA), listed(plainService, 2, zoneE))),
 		evacuated: map[string]bool{},
@@ -38,7 +39,7 @@
 	}
 }
 
-// listedNow gives the list's entry of a server.
+// listedNow returns the list's entry of a server, nil if there is none.
 func (w *world) listedNow(id string) *pb.Server {
 	i := slices.IndexFunc(w.list, func(s *pb.Server) bool { return s.GetId() == id })
 	if i < 0 {
@@ -47,7 +48,7 @@
 	return w.list[i]
 }
 
-// mayGetNew tells by the list and the zones alone whether a server may get a request of a route.
+// mayGetNew reports, by the list and the zones alone, whether a server may get a request of a route.
 func (w *world) mayGetNew(id, zone, routeName string) bool {
 	entry := w.listedNow(id)
 	if entry == nil || entry.GetDraining() || w.evacuated[zone] || w.banned[id] {
@@ -78,11 +79,11 @@
 	w.open[decision.Attempt] = openAttempt{decision: decision, route: routeName}
 }
 
-// requireNone checks that a request was not turned away while a warm server with room could have it.
+// requireNone checks that no request was rejected while a warm server with capacity could take it.
 func (w *world) requireNone(t *rapid.T, request *Request, none *NoServerError) {
 	for _, entry := range w.list {
 		known := w.p.servers[entry.GetId()]
-		if entry.GetService() != request.Service || known.cold(w.now) || known.open >= w.p.maxConnections(known.service) {
+		if entry.GetService() != request.Service || known.warmingUp(w.now) || known.openAttempts >= w.p.maxConnections(known.service) {
 			continue
 		}
 		allowed := w.mayGetNew(entry.GetId(), entry.GetZone(), request.Route.Name) &&
@@ -166,26 +167,26 @@
 	w.p.SetEvacuated(w.now, slices.Sorted(maps.Keys(w.evacuated)))
 }
 
-// check holds the accounts against the attempts that are open.
+// check compares the counts of the servers with the open attempts.
 func (w *world) check(t *rapid.T) {
 	require.Len(t, w.p.attempts, len(w.open))
 	open, ahead, held, unanswered := map[*server]int{}, map[*server]int{}, map[*server]int{}, map[*server]int{}
 	for id, a := range w.p.attempts {
 		require.Equal(t, id, a.id)
 		open[a.server]++
-		held[a.server] += a.toHold
+		held[a.server] += a.memoryTokens
 		if !a.started {
 			unanswered[a.server]++
-			ahead[a.server] += a.toRead
+			ahead[a.server] += a.prefillTokens
 		}
 	}
 	for _, s := range w.p.servers {
-		require.Equal(t, open[s], s.open, s.id)
-		require.Equal(t, ahead[s], s.ahead, s.id)
-		require.Equal(t, held[s], s.held, s.id)
+		require.Equal(t, open[s], s.openAttempts, s.id)
+		require.Equal(t, ahead[s], s.queuedPrefillTokens, s.id)
+		require.Equal(t, held[s], s.reservedTokens, s.id)
 		require.Len(t, s.unanswered, unanswered[s], s.id)
 		require.Contains(t, s.service.servers, s)
-		require.LessOrEqual(t, s.kept.parts, keptMost)
+		require.LessOrEqual(t, s.cachedPrefixes.length, maxCachedPrefixes)
 	}
 	require.InDelta(t, 0.5, w.p.Slack(), 0.5)
 }
--- a/internal/placement/design_test.go
+++ b/internal/placement/selection_test.go
@@ -70,7 +70,7 @@
 	require.Positive(t, f.p.Stats().Walked)
 }
 
-func TestAServerThatFailsRestsAndIsTriedAgain(t *testing.T) {
+func TestAServerThatFailsIsEjectedAndTriedAgain(t *testing.T) {
 	f := newFixture(t, 0, []*pb.Server{listed(plainService, 0, zoneA), listed(plainService, 1, zoneA)})
 	dead := f.list[0].GetId()
 	outcome := func(server string) Outcome {
@@ -89,10 +89,10 @@
 		f.p.Finished(f.now, decision.Attempt, outcome(decision.ServerID))
 		f.now += 80 * time.Millisecond
 	}
-	require.Less(t, attempts, 16, "rests of 1, 2, 4 and then 8 s")
+	require.Less(t, attempts, 16, "ejections of 1, 2, 4 and then 8 s")
 	require.Greater(t, attempts, 5)
 
-	// It comes back; after its next trial it is in use again.
+	// It recovers; after its next trial it is in use again.
 	counts := map[string]int{}
 	for range 300 {
 		counts[f.serve(f.request(routeBalance), asPredicted)]++
@@ -123,11 +123,11 @@
 			}
 			tell(f, dead)
 			require.EqualValues(t, 1, f.p.Stats().Ejections)
-			for began := f.now; f.now < began+restFirst; {
+			for began := f.now; f.now < began+firstEjection; {
 				require.NotEqual(t, dead, f.serve(f.request(routeBalance), asPredicted))
 			}
-			f.now += 2 * restFirst
-			require.Equal(t, dead, f.pick(f.request(routeBalance)).ServerID, "one trial after its rest")
+			f.now += 2 * firstEjection
+			require.Equal(t, dead, f.pick(f.request(routeBalance)).ServerID, "one trial after its ejection")
 		})
 	}
 	f := newFixture(t, 0, nil)
@@ -145,7 +145,7 @@
 		return request
 	}
 	f.p.ServerUnreachable(f.now, dead)
-	f.now += 2 * restFirst
+	f.now += 2 * firstEjection
 	for range 20 {
 		require.NotEqual(t, dead, f.serve(lastTry(), func(string) float64 { return 0.1 }))
 	}
@@ -153,7 +153,7 @@
 	require.Equal(t, dead, trial.ServerID)
 	f.p.Finished(f.now, trial.Attempt, NotSent)
 
-	f.now += trialByAll
+	f.now += cautiousTrialPeriod
 	require.Equal(t, dead, f.pick(lastTry()).ServerID, "no other request came")
 }
 
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestServersThatRestAreUsedWhenNoOtherIsLeft(t *testing.T) {
+func TestEjectedServersAreUsedWhenNoOtherIsLeft(t *testing.T) {
 	f := newFixture(t, 0, []*pb.Server{listed(plainService, 0, zoneA)})
 	for range 5 {
 		decision := f.pick(f.request(routeBalance))
@@ -182,7 +182,7 @@
 	f.pick(f.request(routeBalance))
 }
 
-func TestARefusalCountsAsSpeedZeroAndIsNoFailure(t *testing.T) {
+func TestARejectionCountsAsSpeedZeroAndIsNoFailure(t *testing.T) {
 	f := newFixture(t, 0, []*pb.Server{listed(plainService, 0, zoneA), listed(plainService, 1, zoneA)})
 	for range 4 {
 		f.serve(f.request(routeBalance), asPredicted)
@@ -191,8 +191,8 @@
 	full := f.pick(f.request(routeBalance))
 	before := f.p.servers[full.ServerID].estimate.Speed()
 	f.now += 20 * time.Millisecond
-	f.p.Started(f.now, full.Attempt) // its head came
-	f.p.Finished(f.now, full.Attempt, Refused)
+	f.p.Started(f.now, full.Attempt) // its first byte arrived
+	f.p.Finished(f.now, full.Attempt, Rejected)
 	after := f.p.servers[full.ServerID]
 	require.Less(t, after.estimate.Speed(), before)
 	require.Zero(t, after.failures)
@@ -210,7 +210,7 @@
 		server := f.serve(f.greeting(i), asPredicted)
 		require.NotEqual(t, dark.ServerID, server)
 	}
-	f.p.Finished(f.now, dark.Attempt, ClientGone)
+	f.p.Finished(f.now, dark.Attempt, Canceled)
 	require.Less(t, f.p.servers[dark.ServerID].estimate.Speed(), 0.6)
 }
 
@@ -227,7 +227,7 @@
 func TestTheProxysConnectionsAreBounded(t *testing.T) {
 	f := newFixture(t, 0, []*pb.Server{listed(plainService, 0, zoneA)})
 	bound := f.pick(f.request(routeBalance)).MaxConnections
-	require.Equal(t, 12, bound) // 0.9 of 100 by 7
+	require.Equal(t, 12, bound) // 0.9 of 100 connections, shared by 7 proxies
 	for range bound - 1 {
 		f.pick(f.request(routeBalance))
 	}
@@ -249,15 +249,15 @@
 			request := f.greeting(0)
 			request.Service = "nobody"
 			return request
-		}, ReasonNone},
+		}, ReasonNoServer},
 		"draining": {func(f *fixture) {
 			drained := listed(modelService, 0, zoneA)
 			drained.Draining = true
 			f.list = []*pb.Server{drained}
 			f.relist()
-		}, nil, ReasonNone},
+		}, nil, ReasonNoServer},
 		"evacuated": {func(f *fixture) { f.p.SetEvacuated(f.now, []string{zoneA}) }, nil, ReasonEvacuated},
-		"home":      {nil, func(f *fixture) *Request { return f.request(routeEast) }, ReasonHome},
+		"home":      {nil, func(f *fixture) *Request { return f.request(routeEast) }, ReasonHomeRegions},
 		"tried": {nil, func(f *fixture) *Request {
 			request := f.greeting(0)
 			request.Excluded = []string{f.list[0].GetId()}
@@ -266,7 +266,7 @@
 		"gone": {func(f *fixture) {
 			f.list = nil
 			f.relist()
-		}, nil, ReasonNone},
+		}, nil, ReasonNoServer},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -30,10 +30,10 @@
 	var switches policy.Switches
 	require.Empty(t, switches.String())
 	require.False(t, switches.Off(policy.Spill))
-	require.True(t, switches.And(policy.Without(policy.Spill)).Off(policy.Spill))
+	require.True(t, switches.Union(policy.Without(policy.Spill)).Off(policy.Spill))
 }
 
-func TestUnknownNamesAreTold(t *testing.T) {
+func TestUnknownNamesAreRejected(t *testing.T) {
 	_, err := policy.Parse([]string{"spill", "spil"})
 	var unknown *policy.UnknownError
 	require.True(t, errors.As(err, &unknown))
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -14,22 +14,23 @@
 	"fieldrelay/internal/route"
 )
 
-// TestAProxyWithoutAConfigurationDeniesNothing: what it knows too little of to serve it answers 503, never 4xx.
+// TestAProxyWithoutAConfigurationDeniesNothing: what the proxy can't judge without a configuration is answered with
+// 503, never with 4xx.
 func TestAProxyWithoutAConfigurationDeniesNothing(t *testing.T) {
 	states := map[string]*pb.ApplyRequest{
-		"nothing":                  {},
-		"a list alone":             {List: &pb.ServerList{Version: &pb.ListVersion{Epoch: 1}}, Confirmed: true},
-		"an evacuation alone":      {Changes: []*pb.Change{{Sequence: 1, Upserts: []*pb.Item{{Kind: catalog.KindEvacuation, Name: "z1"}}}}},
-		"a change after a gap":     {Changes: []*pb.Change{{Sequence: 2, Generation: 8}}, Confirmed: true},
-		"a part of a whole repair": {Repair: &pb.Repair{Sequence: 1, Generation: 7, Ranges: []*pb.Range{{Index: 1}}}, Confirmed: true},
+		"nothing":                 {},
+		"a list alone":            {List: &pb.ServerList{Version: &pb.ListVersion{Epoch: 1}}, Confirmed: true},
+		"an evacuation alone":     {Changes: []*pb.Change{{Sequence: 1, Upserts: []*pb.Item{{Kind: catalog.KindEvacuation, Name: "z1"}}}}},
+		"a change after a gap":    {Changes: []*pb.Change{{Sequence: 2, Generation: 8}}, Confirmed: true},
+		"a repair of some ranges": {Repair: &pb.Repair{Sequence: 1, Generation: 7, Ranges: []*pb.Range{{Index: 1}}}, Confirmed: true},
 	}
 	const soon = headerDeadline + ": 40\r\n"
 	requests := map[string]func(c *client){
-		"plain":      func(c *client) { c.ask("GET", "/m/x", soon, "") },
-		"body":       func(c *client) { c.ask("POST", "/m/x", soon, "body") },
-		"large head": func(c *client) { c.ask("GET", "/m/x", soon+"X-Long: "+repeated("x", 30_000)+"\r\n", "") },
+		"plain":      func(c *client) { c.send("GET", "/m/x", soon, "") },
+		"body":       func(c *client) { c.send("POST", "/m/x", soon, "body") },
+		"large head": func(c *client) { c.send("GET", "/m/x", soon+"X-Long: "+repeated("x", 30_000)+"\r\n", "") },
 		"large body": func(c *client) {
-			c.ask("POST", "/m/x", soon+fmt.Sprintf("Content-Length: %d\r\n", defaultMaxBody+1), "")
+			c.send("POST", "/m/x", soon+fmt.Sprintf("Content-Length: %d\r\n", defaultMaxBody+1), "")
 		},
 	}
 	for name, state := range states {
@@ -39,7 +40,7 @@
 			for kind, send := range requests {
 				c := r.dial()
 				send(c)
-				response, _ := c.answer("POST")
+				response, _ := c.receive("POST")
 				require.Equal(t, http.StatusServiceUnavailable, response.StatusCode, kind)
 				require.NotEmpty(t, response.Header.Get("Retry-After"), kind)
 				require.Equal(t, kind == "large body", response.Close, kind)
@@ -49,8 +50,8 @@
 	}
 }
 
-// TestALateRequestOfADrainIsTakenOnlyIfItEndsInTime: one that is broken off at the end counts as lost if it was sent
-// later than 3 s after SIGTERM.
+// TestALateRequestOfADrainIsTakenOnlyIfItEndsInTime: a request that is aborted at the end counts as lost if it was
+// sent later than 3 s after SIGTERM.
 func TestALateRequestOfADrainIsTakenOnlyIfItEndsInTime(t *testing.T) {
 	const route = 4 * time.Second // the deadline of /m/
 	now := time.Now()
@@ -67,12 +68,12 @@
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			server := newStandIn(t, "i-1", good("ok"))
-			r := newRig(t, server)
-			r.handler.lifecycle.leave(one.times)
+			server := newFakeServer(t, "i-1", ok("ok"))
+			r := newTestProxy(t, server)
+			r.handler.lifecycle.drain(one.times)
 			c := r.dial()
-			c.ask("POST", "/m/x", one.headers, "body")
-			response, body := c.answer("POST")
+			c.send("POST", "/m/x", one.headers, "body")
+			response, body := c.receive("POST")
 			require.True(t, response.Close)
 			if one.taken {
 				require.Equal(t, http.StatusOK, response.StatusCode)
@@ -81,42 +82,42 @@
 			}
 			require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 			require.NotEmpty(t, response.Header.Get("Retry-After"))
-			require.Empty(t, server.got(), "it has not run and will not")
+			require.Empty(t, server.requests(), "it has not run and will not")
 			eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "its body is freed")
 		})
 	}
 }
 
-// TestRequestsThatMayBeBrokenOffAreSentEarly: whatever the grace period, what is taken without regard to its deadline
-// was sent within the 3 s in which the rules forgive that it is broken off.
+// TestRequestsThatMayBeBrokenOffAreSentEarly: whatever the grace period, requests that are accepted without regard
+// to their deadline were sent within the 3 s in which the rules allow to abort them.
 func TestRequestsThatMayBeBrokenOffAreSentEarly(t *testing.T) {
 	const forgiven = 3 * time.Second
 	for grace := 100 * time.Millisecond; grace < 2*time.Minute; grace += 100 * time.Millisecond {
 		plan := planDrain(grace)
-		require.Less(t, plan.late, forgiven)
-		require.LessOrEqual(t, plan.late, plan.refuse)
-		require.LessOrEqual(t, plan.refuse, plan.abandon)
-		require.Less(t, plan.abandon, grace)
+		require.Less(t, plan.deadlineCheck, forgiven)
+		require.LessOrEqual(t, plan.deadlineCheck, plan.reject)
+		require.LessOrEqual(t, plan.reject, plan.abort)
+		require.Less(t, plan.abort, grace)
 	}
 }
 
-// TestConnectionsThatRestAreKept: clients take connections up that have rested for four fifths of keepalive-ms.
+// TestConnectionsThatRestAreKept: clients reuse connections that have been idle for four fifths of keepalive-ms.
 func TestConnectionsThatRestAreKept(t *testing.T) {
 	for _, keepAlive := range []time.Duration{0, 100 * time.Millisecond, 15 * time.Second, time.Hour} {
-		limits := frontLimitsOf(route.RequestLimits{KeepAlive: keepAlive})
-		server := (&front{}).newServer(limits, nil)
+		limits := connLimitsOf(route.RequestLimits{KeepAlive: keepAlive})
+		server := (&clientListener{}).newServer(limits, nil)
 		require.GreaterOrEqual(t, server.IdleTimeout, keepAlive+limitSlack)
 		require.Zero(t, server.ReadTimeout)
 		require.Zero(t, server.WriteTimeout)
 	}
 }
 
-// TestConnectionsWithNarrowerLimitsEnd: a connection that was accepted before the limits were widened is left by its
-// client, which may go by the new ones; one with wider limits stays.
+// TestConnectionsWithNarrowerLimitsEnd: a connection that was accepted before the limits were widened is closed
+// after a response, since the client may go by the new ones; one with wider limits stays.
 func TestConnectionsWithNarrowerLimitsEnd(t *testing.T) {
-	server := newStandIn(t, "i-1", good("ok"))
+	server := newFakeServer(t, "i-1", ok("ok"))
 	r := startProcess(t, 1)
-	r.fill(server)
+	r.configure(server)
 	sequence := uint64(1)
 	limit := func(setting string) {
 		sequence++
@@ -124,9 +125,9 @@
 			Kind: catalog.KindSetting, Name: "req-limits", Sequence: sequence, Body: []byte(setting),
 		}}}}})
 	}
-	asks := func(c *client) *http.Response {
-		c.ask("GET", "/m/x", "", "")
-		response, body := c.answer("GET")
+	asks := func(c *client) clientResponse {
+		c.send("GET", "/m/x", "", "")
+		response, body := c.receive("GET")
 		require.Equal(t, "ok", body)
 		return response
 	}
@@ -143,10 +144,10 @@
 	require.False(t, asks(fresh).Close)
 }
 
-// TestWhatDescribesARequestReachesItsServer: no option of a connection takes the protocol's own headers away.
+// TestWhatDescribesARequestReachesItsServer: no Connection header removes the protocol's own headers.
 func TestWhatDescribesARequestReachesItsServer(t *testing.T) {
-	server := newStandIn(t, "i-1", text(200, seal+"Connection: "+headerServerSeal+"\r\nVersions: 4\r\n", "ok"))
-	r := newRig(t, server)
+	server := newFakeServer(t, "i-1", text(200, seal+"Connection: "+headerServerSeal+"\r\nVersions: 4\r\n", "ok"))
+	r := newTestProxy(t, server)
 	described := http.Header{
 		headerModel:        {"m, with \"all\" of it; q=1"},
 		headerTokenCount:   {"1460,80"},
@@ -160,26 +161,26 @@
 	headers.WriteString("Connection: keep-alive, " + headerModel + ", x-fieldrelay-token-count\r\n")
 	headers.WriteString("Connection: " + headerPromptPrefix + "\r\n")
 	c := r.dial()
-	c.ask("GET", "/m/x", headers.String(), "")
-	response, _ := c.answer("GET")
+	c.send("GET", "/m/x", headers.String(), "")
+	response, _ := c.receive("GET")
 	require.Equal(t, "seal", response.Header.Get(headerServerSeal))
 	require.Equal(t, "4", response.Header.Get("Versions"))
 	for name, values := range described {
-		require.Equal(t, values, server.got()[0].header[name], name)
+		require.Equal(t, values, server.requests()[0].header[name], name)
 	}
 }
 
-// TestOwnAnswersBearNoSeal: where a server's answer can't be passed on, the proxy's own carries nothing of it.
+// TestOwnAnswersBearNoSeal: where a server's response can't be forwarded, the proxy's own contains nothing of it.
 func TestOwnAnswersBearNoSeal(t *testing.T) {
 	sealed := map[string]reply{
-		"a promise":    text(503, declines+seal+"X-Server: 1\r\n", "full"),
+		"a promise":    text(503, notExecutedHeader+seal+"X-Server: 1\r\n", "full"),
 		"misdirected":  text(421, seal+"X-Server: 1\r\n", ""),
 		"a cut answer": raw(answerHead + "X-Server: 1\r\nContent-Length: 9\r\n\r\nno"),
 		"429":          text(429, seal+"X-Server: 1\r\n", ""),
 	}
 	for name, answer := range sealed {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, newStandIn(t, "i-1", answer))
+			r := newTestProxy(t, newFakeServer(t, "i-1", answer))
 			for _, target := range []string{"/m/x", "/i/x", "/s/x", "/r/x"} {
 				response, _ := r.get(target)
 				require.Contains(t, []int{502, 503}, response.StatusCode)
--- a/internal/proxy/announcer_test.go
+++ b/internal/proxy/announcements_test.go
@@ -12,32 +12,35 @@
 	"fieldrelay/internal/placement"
 )
 
-// ears is a listener that keeps what it hears.
-type ears struct {
-	told     chan placement.Announcement
-	failures chan [2]string // server and zone
+// recordingHandler records the announcements that it receives.
+type recordingHandler struct {
+	announcements chan placement.Announcement
+	failures      chan [2]string // server and zone
 }
 
-func newEars() ears {
-	return ears{told: make(chan placement.Announcement, 16), failures: make(chan [2]string, 16)}
+func newRecordingHandler() recordingHandler {
+	return recordingHandler{announcements: make(chan placement.Announcement, 16), failures: make(chan [2]string, 16)}
 }
 
-func (e ears) announced(told placement.Announcement) { e.told <- told }
-func (e ears) failureReported(server, zone string)   { e.failures <- [2]string{server, zone} }
+func (e recordingHandler) announcementReceived(announcement placement.Announcement) {
+	e.announcements <- announcement
+}
+func (e recordingHandler) failureReported(server, zone string) { e.failures <- [2]string{server, zone} }
 
-// announcerAt opens an announcer on an address of the loopback range, whose port all share, and gives what it hears.
-func announcerAt(t *testing.T, address netip.AddrPort) (*announcer, ears) {
+// announcerAt starts an announcer at an address of the loopback range, whose port all share, and returns it with
+// its handler.
+func announcerAt(t *testing.T, address netip.AddrPort) (*announcer, recordingHandler) {
 	t.Helper()
-	heard := newEars()
-	opened, err := newAnnouncer(address.String(), "west", "zone-a", heard)
+	handler := newRecordingHandler()
+	announcer, err := newAnnouncer(address.String(), "west", "zone-a", handler)
 	require.NoError(t, err)
-	t.Cleanup(opened.close)
-	go opened.listen()
-	go opened.send()
-	return opened, heard
+	t.Cleanup(announcer.close)
+	go announcer.receiveLoop()
+	go announcer.sendLoop()
+	return announcer, handler
 }
 
-// freePort gives a port that is free on the whole loopback range.
+// freePort returns a port that is free on the whole loopback range.
 func freePort(t *testing.T) uint16 {
 	t.Helper()
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{})
@@ -46,14 +49,14 @@
 	return socket.LocalAddr().(*net.UDPAddr).AddrPort().Port()
 }
 
-func nextHeard[T any](t *testing.T, heard chan T) (told T) {
+func nextReceived[T any](t *testing.T, from chan T) (received T) {
 	t.Helper()
 	select {
-	case told = <-heard:
+	case received = <-from:
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "nothing was heard")
+		require.Fail(t, "nothing was received")
 	}
-	return told
+	return received
 }
 
 func member(address, region string) *pb.Neighbour {
@@ -72,14 +75,14 @@
 		member("127.0.9.1:7001", "west"), member("127.0.9.2:7001", "west"), member("127.0.9.3:7001", "east"),
 		member("no address", "west"),
 	})
-	told := placement.Announcement{Server: placement.ServerKey("i-7f3a"), Prompt: 1 << 31, Tokens: 9190}
-	sender.tell(told)
-	sender.tell(placement.Announcement{Server: 7}) // nothing to tell
-	require.Equal(t, told, nextHeard(t, near.told))
-	sender.report("i-7f3b")
-	require.Equal(t, [2]string{"i-7f3b", "zone-a"}, nextHeard(t, near.failures))
-	for _, other := range []ears{echo, far, near} {
-		require.Empty(t, other.told)
+	announcement := placement.Announcement{Server: placement.ServerKey("i-7f3a"), Prompt: 1 << 31, Tokens: 9190}
+	sender.announce(announcement)
+	sender.announce(placement.Announcement{Server: 7}) // nothing to tell
+	require.Equal(t, announcement, nextReceived(t, near.announcements))
+	sender.reportFailure("i-7f3b")
+	require.Equal(t, [2]string{"i-7f3b", "zone-a"}, nextReceived(t, near.failures))
+	for _, other := range []recordingHandler{echo, far, near} {
+		require.Empty(t, other.announcements)
 		require.Empty(t, other.failures)
 	}
 }
@@ -87,7 +90,7 @@
 func TestBytesThatAreNoAnnouncementAreLeft(t *testing.T) {
 	port := freePort(t)
 	at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 9, 4}), port)
-	_, heard := announcerAt(t, at)
+	_, handler := announcerAt(t, at)
 	socket, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(at))
 	require.NoError(t, err)
 	defer func() { _ = socket.Close() }()
@@ -95,32 +98,32 @@
 		_, err := socket.Write(datagram)
 		require.NoError(t, err)
 	}
-	require.Equal(t, placement.Announcement{Server: 9, Tokens: 5}, nextHeard(t, heard.told))
+	require.Equal(t, placement.Announcement{Server: 9, Tokens: 5}, nextReceived(t, handler.announcements))
 }
 
 func TestTellingNeverWaits(t *testing.T) {
-	opened, err := newAnnouncer("127.0.9.5:0", "west", "zone-a", newEars())
+	announcer, err := newAnnouncer("127.0.9.5:0", "west", "zone-a", newRecordingHandler())
 	require.NoError(t, err)
-	defer opened.close()
-	for range 10 * maxUntold { // nobody sends
-		opened.tell(placement.Announcement{Server: 9, Tokens: 1})
+	defer announcer.close()
+	for range 10 * announceQueueSize { // nobody sends
+		announcer.announce(placement.Announcement{Server: 9, Tokens: 1})
 	}
-	require.Len(t, opened.untold, maxUntold)
+	require.Len(t, announcer.queue, announceQueueSize)
 }
 
 func TestAProxyWithoutAnAnnouncerTellsNothing(t *testing.T) {
 	var none *announcer
-	none.report("x")
-	none.tell(placement.Announcement{Server: 9, Tokens: 1})
+	none.reportFailure("x")
+	none.announce(placement.Announcement{Server: 9, Tokens: 1})
 	none.setMembers(nil)
 	none.close()
 }
 
 func TestAnAddressInUseIsTold(t *testing.T) {
-	opened, err := newAnnouncer("127.0.9.6:0", "west", "zone-a", nil)
+	announcer, err := newAnnouncer("127.0.9.6:0", "west", "zone-a", nil)
 	require.NoError(t, err)
-	defer opened.close()
-	_, err = newAnnouncer(opened.socket.LocalAddr().String(), "west", "zone-a", nil)
+	defer announcer.close()
+	_, err = newAnnouncer(announcer.socket.LocalAddr().String(), "west", "zone-a", nil)
 	require.Error(t, err)
 	_, err = newAnnouncer("nowhere", "west", "zone-a", nil)
 	require.Error(t, err)
@@ -131,9 +134,9 @@
 	require.True(t, d.mayReport("i-1"))
 	require.False(t, d.mayReport("i-1"))
 	require.True(t, d.mayReport("i-2"))
-	d.start = d.start.Add(-reportEvery)
+	d.start = d.start.Add(-reportInterval)
 	require.True(t, d.mayReport("i-1"))
-	d.start = d.start.Add(-2 * reportEvery)
-	d.dropReported()
-	require.Empty(t, d.reported)
+	d.start = d.start.Add(-2 * reportInterval)
+	d.expireReports()
+	require.Empty(t, d.lastReport)
 }
--- /dev/null
+++ b/internal/proxy/attemptlog_explore_test.go
@@ -0,0 +1,211 @@
+package proxy
+
+import (
+	"fmt"
+	"hash/fnv"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/stretchr/testify/require"
+
+	"fieldrelay/internal/explore"
+)
+
+// attemptLogSteps are the steps of an attempt log, so that a test can plant a fault in one.
+type attemptLogSteps struct {
+	record      func(*attemptLog, executionState)
+	mayRetry    func(*attemptLog, time.Duration) bool
+	finalStatus func(*attemptLog, time.Duration) int
+}
+
+func unmodifiedSteps() attemptLogSteps {
+	return attemptLogSteps{record: (*attemptLog).record, mayRetry: (*attemptLog).mayRetry, finalStatus: (*attemptLog).finalStatus}
+}
+
+// exploredRequest is a request as servers see it, beside its attempt log.
+type exploredRequest struct {
+	steps     attemptLogSteps
+	log       attemptLog
+	remaining time.Duration
+	runs      int // that truly happened
+	unclear   int // attempts of which nobody can tell whether they ran
+	sent      int
+	attempts  int
+	answer    int // given to the client; 0: none yet
+	own       bool
+}
+
+// attemptEnd is a way in which an attempt can end.
+type attemptEnd struct {
+	name    string
+	state   executionState
+	ran     bool // whatever the state says
+	success bool // a usable answer, which is passed on
+}
+
+var attemptEnds = []attemptEnd{
+	{name: "was not sent", state: unsent},
+	{name: "was promised not to have run", state: notExecuted},
+	{name: "was lost and had run", state: possiblyExecuted, ran: true},
+	{name: "was lost and had not run", state: possiblyExecuted},
+	{name: "ran and broke off", state: executed, ran: true},
+	{name: "ran and was answered", state: executed, ran: true, success: true},
+}
+
+func (r *exploredRequest) isOngoing() bool {
+	return r.answer == 0 && (r.attempts == 0 || r.steps.mayRetry(&r.log, r.remaining))
+}
+
+// Events implements explore.System.
+func (r *exploredRequest) Events() []string {
+	if r.answer != 0 {
+		return nil
+	}
+	names := []string{"it is given up"}
+	if r.remaining > 0 {
+		names = append(names, "the deadline passes")
+	}
+	if r.isOngoing() {
+		for _, end := range attemptEnds {
+			names = append(names, end.name)
+		}
+	}
+	return names
+}
+
+// Do implements explore.System.
+func (r *exploredRequest) Do(event int) {
+	switch names := r.Events(); names[event] {
+	case "it is given up":
+		r.answer, r.own = r.steps.finalStatus(&r.log, r.remaining), true
+	case "the deadline passes":
+		r.remaining = 0
+	default:
+		r.attempt(attemptEnds[event-(len(names)-len(attemptEnds))])
+	}
+}
+
+func (r *exploredRequest) attempt(end attemptEnd) {
+	r.attempts++
+	r.steps.record(&r.log, end.state)
+	if end.state != unsent {
+		r.sent++
+	}
+	if end.ran {
+		r.runs++
+	}
+	if end.state == possiblyExecuted {
+		r.unclear++
+	}
+	if end.success {
+		r.answer = http.StatusOK
+	}
+}
+
+// Hash implements explore.System.
+func (r *exploredRequest) Hash() uint64 {
+	hash := fnv.New64a()
+	_, _ = fmt.Fprintf(hash, "%+v %v %d %d %d %d %d %v", r.log, r.remaining, r.runs, r.unclear, r.sent, r.attempts, r.answer, r.own)
+	return hash.Sum64()
+}
+
+// Check implements explore.System.
+func (r *exploredRequest) Check() error {
+	mayHaveRun := r.runs > 0 || r.unclear > 0
+	switch {
+	case !r.log.idempotent && r.runs > 1:
+		return errors.Newf("ran %d times", r.runs)
+	case r.sent > r.log.maxAttempts:
+		return errors.Newf("was sent to %d servers of %d", r.sent, r.log.maxAttempts)
+	case r.attempts > r.log.maxAttempts+maxUnsentAttempts:
+		return errors.Newf("%d attempts", r.attempts)
+	case r.own && isRejectionStatus(r.answer) && mayHaveRun:
+		return errors.Newf("%d promises that it has not run", r.answer)
+	case r.own && !isRejectionStatus(r.answer) && !mayHaveRun:
+		return errors.Newf("%d although it has not run", r.answer)
+	case r.own && r.answer == http.StatusGatewayTimeout && r.remaining > 0:
+		return errors.New("out of time before the deadline")
+	}
+	return nil
+}
+
+// exploreAttemptLog explores all orders of a request's events.
+func exploreAttemptLog(steps attemptLogSteps, idempotent bool, maxAttempts int) (explore.Result, error) {
+	return explore.All(func() explore.System {
+		return &exploredRequest{steps: steps, log: attemptLog{idempotent: idempotent, maxAttempts: maxAttempts}, remaining: time.Second}
+	}, maxAttempts+maxUnsentAttempts+3, 200_000)
+}
+
+func TestLedgerInAllOrders(t *testing.T) {
+	for _, repeatable := range []bool{false, true} {
+		for tries := 1; tries <= 3; tries++ {
+			result, err := exploreAttemptLog(unmodifiedSteps(), repeatable, tries)
+			require.NoError(t, err)
+			require.True(t, result.Full)
+			t.Logf("repeatable %v, %d tries: %+v", repeatable, tries, result)
+		}
+	}
+}
+
+func TestExplorationFindsFaultsOfTheLedger(t *testing.T) {
+	faults := map[string]struct {
+		plant   func(*attemptLogSteps)
+		finding string
+	}{
+		"a lost attempt is forgotten": {func(s *attemptLogSteps) {
+			s.record = func(l *attemptLog, f executionState) {
+				if f == possiblyExecuted {
+					f = notExecuted
+				}
+				l.record(f)
+			}
+		}, "promises that it has not run"},
+		"a run is taken back by a promise": {func(s *attemptLogSteps) {
+			s.record = func(l *attemptLog, f executionState) {
+				l.record(f)
+				l.possiblyExecuted = l.possiblyExecuted && f != notExecuted
+			}
+		}, "promises"},
+		"all requests are repeated": {func(s *attemptLogSteps) {
+			s.mayRetry = func(l *attemptLog, left time.Duration) bool {
+				changed := *l
+				changed.idempotent = true
+				return changed.mayRetry(left)
+			}
+		}, "ran 2 times"},
+		"tries are not counted": {func(s *attemptLogSteps) {
+			s.mayRetry = func(l *attemptLog, left time.Duration) bool {
+				changed := *l
+				changed.sent = 0
+				return changed.mayRetry(left)
+			}
+		}, "servers of"},
+		"unsent attempts are not counted": {func(s *attemptLogSteps) {
+			s.mayRetry = func(l *attemptLog, left time.Duration) bool {
+				changed := *l
+				changed.unsent = 0
+				return changed.mayRetry(left)
+			}
+		}, "attempts"},
+		"every end is a refusal": {func(s *attemptLogSteps) {
+			s.finalStatus = func(*attemptLog, time.Duration) int { return http.StatusServiceUnavailable }
+		}, "promises"},
+		"no end is a refusal": {func(s *attemptLogSteps) {
+			s.finalStatus = func(*attemptLog, time.Duration) int { return http.StatusBadGateway }
+		}, "although it has not run"},
+	}
+	for name, fault := range faults {
+		t.Run(name, func(t *testing.T) {
+			steps := unmodifiedSteps()
+			fault.plant(&steps)
+			var found error
+			for _, repeatable := range []bool{false, true} {
+				_, err := exploreAttemptLog(steps, repeatable, 2)
+				found = errors.CombineErrors(found, err)
+			}
+			require.ErrorContains(t, found, fault.finding)
+		})
+	}
+}
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// BenchmarkForward sends requests one after another over one connection, with a client and a server that do
-// next to nothing, so that most of the time is the proxy's.
+// BenchmarkForward sends requests one after another over one connection, with a client and a server that do next to
+// nothing, so that most of the time is the proxy's.
 func BenchmarkForward(b *testing.B) {
 	t := &testing.T{}
 	answer := []byte("HTTP/1.1 200 OK\r\n" + headerAttemptID + ": id1\r\n" + seal + "Content-Length: 2\r\n\r\nok")
@@ -18,7 +18,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -38,17 +38,23 @@
 			}()
 		}
 	}()
-	server := &standIn{}
+	server := &fakeServer{}
 	server.server.ID = "i-1"
 	server.server.Address = listener.Addr().String()
-	r := newRig(t, server)
+	r := newTestProxy(t, server)
 	conn, err := net.Dial("tcp4", r.address)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	request := []byte("POST /m/x HTTP/1.1\r\nHost: h.example\r\n" + headerAttemptID + ": id1\r\n" + headerDeadline +
 		": 5000\r\nContent-Type: text/plain\r\nX-Fieldrelay-Model: m\r\nContent-Length: " + strconv.Itoa(200) + "\r\n\r\n" + string(bytes.Repeat([]byte("b"), 200)))
+	repeatRequest(b, conn, request)
+}
+
+// repeatRequest measures a request on a connection to the proxy. Its response has a body of two bytes.
+func repeatRequest(b *testing.B, conn net.Conn, request []byte) {
+	b.Helper()
 	reader := bufio.NewReader(conn)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	// defaultMaxBody bounds request bodies while the configuration names no bound.
+	// defaultMaxBody bounds request bodies, in bytes, while the configuration doesn't.
 	defaultMaxBody = 4 << 20
-	// firstBody is the buffer that a body of unknown length begins with.
-	firstBody = 4 << 10
-	// pooledBody is the largest buffer that is kept for another request.
-	pooledBody = 64 << 10
+	// initialBodyBytes is the initial size of the buffer for a body of unknown length.
+	initialBodyBytes = 4 << 10
+	// maxPooledBytes is the largest buffer that goes back to the pool.
+	maxPooledBytes = 64 << 10
 )
 
 var (
-	errBodyTooLarge = errors.New("request body is too large")
-	errNoMemory     = errors.New("no memory left for bodies")
-	errBodyCut      = errors.New("request body did not come whole")
+	errBodyTooLarge   = errors.New("request body is too large")
+	errNoMemory       = errors.New("memory limit for bodies is reached")
+	errBodyIncomplete = errors.New("request body is incomplete")
 )
 
-var buffers = sync.Pool{New: func() any {
-	buffer := make([]byte, 0, firstBody)
+var bufferPool = sync.Pool{New: func() any {
+	buffer := make([]byte, 0, initialBodyBytes)
 	return &buffer
 }}
 
-// chargedBuffer holds a body and remembers what was charged for it.
+// chargedBuffer is a buffer whose size is charged to the memory limit. A nil one is empty and may be freed.
 type chargedBuffer struct {
 	bytes   []byte
-	charged int64
-	memory  *memoryBound
-	pooled  *[]byte
+	charged int64 // bytes
+	memory  *memoryLimit
+	pooled  *[]byte // from bufferPool, to which it returns
 }
 
-// newChargedBuffer returns an empty buffer with room for size bytes.
-func newChargedBuffer(memory *memoryBound, size int) (*chargedBuffer, error) {
-	if !memory.take(int64(size)) {
+// newChargedBuffer returns an empty buffer with a capacity of size bytes, or errNoMemory.
+func newChargedBuffer(memory *memoryLimit, size int) (*chargedBuffer, error) {
+	if !memory.reserve(int64(size)) {
 		return nil, errNoMemory
 	}
-	pooled := buffers.Get().(*[]byte)
-	held := &chargedBuffer{bytes: (*pooled)[:0], charged: int64(size), memory: memory, pooled: pooled}
-	if cap(held.bytes) < size {
-		held.bytes = make([]byte, 0, size)
+	pooled := bufferPool.Get().(*[]byte)
+	buffer := &chargedBuffer{bytes: (*pooled)[:0], charged: int64(size), memory: memory, pooled: pooled}
+	if cap(buffer.bytes) < size {
+		buffer.bytes = make([]byte, 0, size)
 	}
-	return held, nil
+	return buffer, nil
 }
 
-// grow makes room for at least one more byte by doubling.
+// grow doubles the capacity.
 func (b *chargedBuffer) grow() error {
-	more := max(cap(b.bytes), firstBody)
-	if !b.memory.take(int64(more)) {
+	more := max(cap(b.bytes), initialBodyBytes)
+	if !b.memory.reserve(int64(more)) {
 		return errNoMemory
 	}
 	b.charged += int64(more)
@@ -63,21 +63,22 @@
 	return nil
 }
 
-// free gives the memory back. The bytes must not be used afterwards.
+// free returns the memory. The bytes must not be used afterwards.
 func (b *chargedBuffer) free() {
 	if b == nil {
 		return
 	}
-	b.memory.give(b.charged)
-	if cap(b.bytes) <= pooledBody {
+	b.memory.release(b.charged)
+	if cap(b.bytes) <= maxPooledBytes {
 		*b.pooled = b.bytes[:0]
 	}
-	buffers.Put(b.pooled)
+	bufferPool.Put(b.pooled)
 	b.bytes = nil
 }
 
-// fill reads until the end of the source or until limit bytes are held; whole tells whether the end came.
-func (b *chargedBuffer) fill(source io.Reader, limit int) (whole bool, err error) {
+// fill reads until the end of the source or until more than limit bytes have come; complete reports whether the end
+// came.
+func (b *chargedBuffer) fill(source io.Reader, limit int) (complete bool, err error) {
 	for {
 		if len(b.bytes) == cap(b.bytes) {
 			if err := b.grow(); err != nil {
@@ -86,7 +87,7 @@
 		}
 		n, err := source.Read(b.bytes[len(b.bytes):cap(b.bytes)])
 		b.bytes = b.bytes[:len(b.bytes)+n]
-		if err == io.EOF {
+		if err == io.EOF { // never wrapped, see io.Reader
 			return true, nil
 		}
 		if err != nil {
@@ -98,7 +99,8 @@
 	}
 }
 
-// readBody reads the body of a client's request whole. It returns nil when there is none.
+// readBody reads the body of a client's request completely; nil if there is none. Its errors are errBodyTooLarge,
+// errNoMemory and errBodyIncomplete.
 func (h *handler) readBody(control *http.ResponseController, request *http.Request, maxBytes int64, deadline time.Time) (*chargedBuffer, error) {
 	if request.ContentLength == 0 {
 		return nil, nil
@@ -109,13 +111,13 @@
 	if request.ContentLength > maxBytes {
 		return nil, errBodyTooLarge
 	}
-	// One byte more than the length, so that the end is seen without growing.
-	body, err := newChargedBuffer(h.memory, max(int(request.ContentLength)+1, firstBody))
+	// One byte more than the length, so that the end of the body is read without growing.
+	body, err := newChargedBuffer(h.memory, max(int(request.ContentLength)+1, initialBodyBytes))
 	if err != nil {
 		return nil, err
 	}
 	_ = control.SetReadDeadline(deadline)
-	whole, err := body.fill(request.Body, int(maxBytes))
+	complete, err := body.fill(request.Body, int(maxBytes))
 	_ = control.SetReadDeadline(time.Time{})
 	switch {
 	case err != nil:
@@ -123,8 +125,8 @@
 		if errors.Is(err, errNoMemory) {
 			return nil, err
 		}
-		return nil, errors.CombineErrors(errBodyCut, err)
-	case !whole:
+		return nil, errors.CombineErrors(errBodyIncomplete, err)
+	case !complete:
 		body.free()
 		return nil, errBodyTooLarge
 	default:
--- a/internal/proxy/capacity_bench_test.go
+++ b/internal/proxy/capacity_bench_test.go
@@ -16,12 +16,12 @@
 // capacityEvents is the number of events of a stream of the benchmark.
 const capacityEvents = 1000
 
-// BenchmarkCapacityEvents passes the events of streams on, as they come from a server that writes each by
-// itself. One operation is one event.
+// BenchmarkCapacityEvents forwards the events of streams from a server that writes each by itself. One operation is
+// one event.
 func BenchmarkCapacityEvents(b *testing.B) {
 	t := &testing.T{}
-	server := streamingStandIn(b)
-	r := newRig(t, server)
+	server := streamingFakeServer(b)
+	r := newTestProxy(t, server)
 	client := &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	body := bytes.Repeat([]byte("b"), 200)
 	b.ReportAllocs()
@@ -52,8 +52,8 @@
 	}
 }
 
-// streamingStandIn answers each request by a stream whose events are written one by one.
-func streamingStandIn(b *testing.B) *standIn {
+// streamingFakeServer responds to each request with a stream whose events are written one by one.
+func streamingFakeServer(b *testing.B) *fakeServer {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -69,7 +69,7 @@
 			go streamForever(conn, head)
 		}
 	}()
-	server := &standIn{}
+	server := &fakeServer{}
 	server.server.ID = "i-1"
 	server.server.Address = listener.Addr().String()
 	return server
@@ -102,7 +102,7 @@
 	event := []byte("id: 12\ndata: abcdefghijklmnopqrstuvwxyz0123456789\n\n")
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, whole := scanner.scan(event); !whole {
+		if _, complete := scanner.scan(event); !complete {
 			b.Fatal("no event")
 		}
 	}
@@ -114,25 +114,25 @@
 	return &pb.Item{Kind: catalog.KindRoutes, Name: fmt.Sprintf("r-%04d", number), Sequence: sequence, Body: []byte(body)}
 }
 
-// BenchmarkCapacitySwapOfOneChange takes in a change of one of 1,500 routes.
+// BenchmarkCapacitySwapOfOneChange applies a change of one of 1,500 routes.
 func BenchmarkCapacitySwapOfOneChange(b *testing.B) {
-	held := newState()
+	store := newSnapshotStore()
 	first := &pb.Change{Sequence: 1, Generation: 1}
 	for number := range 1500 {
 		first.Upserts = append(first.Upserts, capacityRoute(1, number))
 	}
-	held.apply(&pb.ApplyRequest{Changes: []*pb.Change{first}})
+	store.apply(&pb.ApplyRequest{Changes: []*pb.Change{first}})
 	b.ReportAllocs()
 	for b.Loop() {
-		sequence := held.load().sequence + 1
+		sequence := store.load().sequence + 1
 		change := &pb.Change{Sequence: sequence, Generation: sequence, Upserts: []*pb.Item{capacityRoute(sequence, int(sequence)%1500)}}
-		held.apply(&pb.ApplyRequest{Changes: []*pb.Change{change}})
+		store.apply(&pb.ApplyRequest{Changes: []*pb.Change{change}})
 	}
 }
 
-// BenchmarkCapacitySwapOfList takes in a list of 3,100 servers.
+// BenchmarkCapacitySwapOfList applies a list of 3,100 servers.
 func BenchmarkCapacitySwapOfList(b *testing.B) {
-	held := newState()
+	store := newSnapshotStore()
 	list := &pb.ServerList{}
 	for i := range 3100 {
 		list.Servers = append(list.Servers, &pb.Server{Id: fmt.Sprintf("i-%08x", i), Address: fmt.Sprintf("10.%d.%d.%d:8080", i/2500, i/250, i%250)})
@@ -140,6 +140,6 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		list.Version = &pb.ListVersion{Epoch: 1, Revision: uint64(i) + 1}
-		held.apply(&pb.ApplyRequest{List: list})
+		store.apply(&pb.ApplyRequest{List: list})
 	}
 }
--- /dev/null
+++ b/internal/proxy/configstream.go
@@ -0,0 +1,129 @@
+package proxy
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"connectrpc.com/connect"
+	"go.uber.org/zap"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/limits"
+)
+
+// configStream is the service that the agent beside this proxy calls to deliver configuration, server lists and
+// quota shares (ProxyFeed on the wire). It is safe for concurrent use; updates are applied one at a time.
+type configStream struct {
+	mu          sync.Mutex // one Apply at a time, so that the placer gets snapshots in order
+	host        string
+	incarnation uint64
+	edgeAddress string // address for clients, ip:port
+	snapshots   *snapshotStore
+	dispatcher  *dispatcher
+	announcer   *announcer
+	lifecycle   *lifecycle
+	counters    *counters
+	shares      atomic.Pointer[pb.SharesVersion] // of the quota shares in force
+	logger      *zap.Logger
+	liveness    *agentLiveness
+	clock       func() time.Duration // steady clock, see process.now
+	// onSnapshot is called with each new snapshot, with mu locked.
+	onSnapshot func(*snapshot, update)
+}
+
+// Apply applies changes, a full state, a server list and quota shares, and returns what is in force afterwards. A
+// message to an earlier incarnation of this proxy is ignored: its confirmation was requested before this process
+// started.
+func (s *configStream) Apply(_ context.Context, request *connect.Request[pb.ApplyRequest]) (*connect.Response[pb.ProxyStatus], error) {
+	start := s.clock()
+	s.liveness.recordContact(start)
+	if wanted := request.Msg.GetProxyIncarnation(); wanted != 0 && wanted != s.incarnation {
+		return connect.NewResponse(s.status(s.snapshots.load())), nil
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	defer func() { s.counters.countApply(s.clock() - start) }()
+	before := s.snapshots.load()
+	current, applied := s.snapshots.apply(request.Msg)
+	s.counters.countUpdate(applied)
+	if applied.tableChanged {
+		s.dispatcher.setTable(current.table)
+	}
+	if applied.listChanged {
+		s.dispatcher.setServers(request.Msg.GetList())
+	}
+	s.applyShares(request.Msg.GetShares())
+	s.logUpdate(before, current, applied)
+	s.onSnapshot(current, applied)
+	if applied.tableChanged || applied.listChanged {
+		s.snapshots.notifyWaiters()
+	}
+	return connect.NewResponse(s.status(current)), nil
+}
+
+// applyShares puts quota shares in force, unless later ones of the same agent process are in force already: a call
+// that the agent has given up may arrive after its successor.
+func (s *configStream) applyShares(shares *pb.Shares) {
+	if shares == nil || limits.IsOutdated(shares.GetVersion(), s.shares.Load()) {
+		return
+	}
+	s.shares.Store(shares.GetVersion())
+	s.dispatcher.setQuotaShares(shares)
+	s.announcer.setMembers(shares.GetMembers())
+}
+
+// Status returns what is in force.
+func (s *configStream) Status(context.Context, *connect.Request[pb.StatusRequest]) (*connect.Response[pb.ProxyStatus], error) {
+	s.liveness.recordContact(s.clock())
+	return connect.NewResponse(s.status(s.snapshots.load())), nil
+}
+
+// status builds the answer to the agent. It asks for the full state by a digest without ranges.
+func (s *configStream) status(current *snapshot) *pb.ProxyStatus {
+	status := &pb.ProxyStatus{
+		Host:        s.host,
+		Incarnation: s.incarnation,
+		Sequence:    current.sequence,
+		Generation:  current.generation,
+		List:        current.list,
+		Ready:       s.lifecycle.ready(current),
+		Draining:    s.lifecycle.draining(),
+		EdgeAddress: s.edgeAddress,
+		Shares:      s.shares.Load(),
+	}
+	if s.snapshots.needsFullState() {
+		// Without digests of ranges, the agent answers with the full state.
+		status.Digests = &pb.RangeDigests{Sequence: current.sequence, Generation: current.generation}
+	}
+	return status
+}
+
+// logUpdate logs what an update changed, one line a change.
+func (s *configStream) logUpdate(before, current *snapshot, applied update) {
+	for _, item := range applied.rejected {
+		s.logger.Warn("configuration item rejected", zap.Error(item))
+	}
+	for _, item := range applied.partial {
+		s.logger.Warn("configuration item partially applied", zap.Error(item))
+	}
+	if applied.regressed {
+		s.counters.regressions.Add(1)
+		s.logger.Error("configuration regressed",
+			zap.Uint64("previous_sequence", before.sequence),
+			zap.Uint64("previous_generation", before.generation),
+			zap.Uint64("sequence", current.sequence),
+			zap.Uint64("generation", current.generation))
+	}
+	if applied.tableChanged {
+		s.logger.Info("configuration applied",
+			zap.Uint64("sequence", current.sequence),
+			zap.Uint64("generation", current.generation),
+			zap.Int("routes", current.table.Routes()),
+			zap.Strings("evacuated_zones", current.table.Evacuated()))
+	}
+	if before.complete() != current.complete() {
+		s.logger.Info("proxy ready", zap.Int("servers", len(current.servers)))
+	}
+}
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"net/http"
 	"sync/atomic"
 	"time"
 
@@ -10,140 +11,143 @@
 	"fieldrelay/internal/proxy/upstream"
 )
 
-// counters are what the proxy has done since its start.
+// counters count what the proxy has done since its start. They are safe for concurrent use. docs/region-proxy.md
+// describes them for operators.
 type counters struct {
-	active      atomic.Int64 // requests in progress
-	connections atomic.Int64 // of clients, open
-	requests    atomic.Uint64
-	delivered   atomic.Uint64 // answers of servers passed on whole
-	held        atomic.Uint64 // requests that came before the proxy could serve
-	refused     atomic.Uint64 // own 503
-	failed      atomic.Uint64 // own 502 and 504
-	denied      atomic.Uint64 // own 4xx
-	broken      atomic.Uint64 // answers that ended early
-	clientsGone atomic.Uint64
-	attempts    atomic.Uint64 // sent to a server
-	repeats     atomic.Uint64 // among them, beyond the first of a request
-	resumed     atomic.Uint64 // streams taken up at another server
-	noBudget    atomic.Uint64 // repeats that the common budget did not allow
-	promised    atomic.Uint64 // attempts that a server did not run
-	unknown     atomic.Uint64 // attempts whose fate is not known
-	unsent      atomic.Uint64 // attempts that failed before anything was sent
-	overloaded  atomic.Uint64 // requests not admitted
-	unplaced    atomic.Uint64 // requests for which there was no server
-	lateChanges atomic.Uint64 // attempts given up because the state changed just before sending
-	olderStates atomic.Uint64 // states and changes from the agent that were no newer than what was held
-	gaps        atomic.Uint64 // exchanges with the agent whose changes did not follow on what was held
-	repairs     atomic.Uint64 // whole states that were taken in
-	leftOut     atomic.Uint64 // items of the configuration of which nothing could be used
-	inPart      atomic.Uint64 // items of the configuration of which some members could not be used
-	applies     atomic.Uint64 // exchanges with the agent that brought something
-	applyLast   atomic.Int64  // nanoseconds that the last of them took
-	applyMax    atomic.Int64  // nanoseconds that the longest of them took
+	active               atomic.Int64 // requests in flight
+	connections          atomic.Int64 // open connections of clients
+	requests             atomic.Uint64
+	delivered            atomic.Uint64 // responses of servers forwarded to their end
+	startupWaits         atomic.Uint64 // requests that came before the proxy could serve
+	unavailable          atomic.Uint64 // the proxy's own 503
+	failed               atomic.Uint64 // the proxy's own 502 and 504
+	clientErrors         atomic.Uint64 // the proxy's own 4xx
+	broken               atomic.Uint64 // responses that broke off
+	clientsGone          atomic.Uint64
+	attempts             atomic.Uint64 // sent to a server
+	retries              atomic.Uint64 // among them, after the first of a request
+	resumed              atomic.Uint64 // streams resumed at another server
+	retryBudgetExhausted atomic.Uint64 // retries that the retry budget did not allow
+	notExecuted          atomic.Uint64 // attempts that a server rejected without running them
+	possiblyExecuted     atomic.Uint64 // attempts of which is not known whether they were run
+	unsent               atomic.Uint64 // attempts that failed before anything was sent
+	overloaded           atomic.Uint64 // requests not admitted
+	noServer             atomic.Uint64 // requests for which there was no server
+	withdrawn            atomic.Uint64 // attempts given up since the state changed just before sending
+	staleUpdates         atomic.Uint64 // states and changes of the agent that were not newer than the snapshot
+	gaps                 atomic.Uint64 // calls of the agent whose changes did not follow on the snapshot
+	fullStates           atomic.Uint64 // full states that were applied
+	itemsRejected        atomic.Uint64 // items of the configuration of which nothing could be applied
+	itemsPartial         atomic.Uint64 // items of the configuration of which some members could not be applied
+	applies              atomic.Uint64 // calls of the agent that were applied
+	applyLast            atomic.Int64  // nanoseconds that the last of them took
+	applyMax             atomic.Int64  // nanoseconds that the longest of them took
 
-	// Violations of what must never happen.
-	fellBack  atomic.Uint64 // snapshots that were older than the one before
-	olderUsed atomic.Uint64 // requests that used an older snapshot than a request before them
+	// Violated invariants.
+	regressions atomic.Uint64 // snapshots that were older than the one before
+	staleReads  atomic.Uint64 // requests that used an older snapshot than a request before them
 }
 
-// violations is the number of violations of all kinds.
-func (c *counters) violations() uint64 { return c.fellBack.Load() + c.olderUsed.Load() }
+// violations is the number of violated invariants.
+func (c *counters) violations() uint64 { return c.regressions.Load() + c.staleReads.Load() }
 
-func (c *counters) countOwn(status int) {
+// countOwnResponse counts a response of the proxy itself.
+func (c *counters) countOwnResponse(status int) {
 	switch {
-	case status == 503 || status == 429:
-		c.refused.Add(1)
-	case status >= 500:
+	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
+		c.unavailable.Add(1)
+	case status >= http.StatusInternalServerError:
 		c.failed.Add(1)
 	default:
-		c.denied.Add(1)
+		c.clientErrors.Add(1)
 	}
 }
 
-// countFed counts what an exchange with the agent brought.
-func (c *counters) countFed(done update) {
-	c.olderStates.Add(uint64(done.older))
-	c.repairs.Add(uint64(done.repairs))
-	c.leftOut.Add(uint64(len(done.leftOut)))
-	c.inPart.Add(uint64(len(done.inPart)))
-	if done.gap {
+// countUpdate counts the result of a call of the agent.
+func (c *counters) countUpdate(applied update) {
+	c.staleUpdates.Add(uint64(applied.stale))
+	c.fullStates.Add(uint64(applied.fullStates))
+	c.itemsRejected.Add(uint64(len(applied.rejected)))
+	c.itemsPartial.Add(uint64(len(applied.partial)))
+	if applied.gap {
 		c.gaps.Add(1)
 	}
 }
 
-// countApply counts the time that an exchange with the agent took. Only one runs at a time.
+// countApply counts the duration of a call of the agent. Calls are applied one at a time.
 func (c *counters) countApply(took time.Duration) {
 	c.applies.Add(1)
 	c.applyLast.Store(int64(took))
 	c.applyMax.Store(max(c.applyMax.Load(), int64(took)))
 }
 
-func (c *counters) countFate(f fate) {
-	switch f {
-	case fateNotSent:
+// countExecution counts the result of an attempt; executed ones are not counted by themselves.
+func (c *counters) countExecution(state executionState) {
+	switch state {
+	case unsent:
 		c.unsent.Add(1)
-	case fatePromised:
-		c.promised.Add(1)
-	case fateUnknown:
-		c.unknown.Add(1)
+	case notExecuted:
+		c.notExecuted.Add(1)
+	case possiblyExecuted:
+		c.possiblyExecuted.Add(1)
 	}
 }
 
-// fields are the counters for a line of the log.
+// fields returns the counters as fields of a log line.
 func (c *counters) fields(connections upstream.Stats, slack float64, memory int64) []zap.Field {
 	return []zap.Field{
-		zap.Int64("active", c.active.Load()),
-		zap.Int64("connections", c.connections.Load()),
+		zap.Int64("active_requests", c.active.Load()),
+		zap.Int64("client_connections", c.connections.Load()),
 		zap.Uint64("requests", c.requests.Load()),
 		zap.Uint64("delivered", c.delivered.Load()),
-		zap.Uint64("held", c.held.Load()),
-		zap.Uint64("refused", c.refused.Load()),
-		zap.Uint64("failed", c.failed.Load()),
-		zap.Uint64("denied", c.denied.Load()),
-		zap.Uint64("broken", c.broken.Load()),
-		zap.Uint64("clients-gone", c.clientsGone.Load()),
+		zap.Uint64("startup_waits", c.startupWaits.Load()),
+		zap.Uint64("unavailable", c.unavailable.Load()),
+		zap.Uint64("gateway_errors", c.failed.Load()),
+		zap.Uint64("client_errors", c.clientErrors.Load()),
+		zap.Uint64("broken_responses", c.broken.Load()),
+		zap.Uint64("client_cancellations", c.clientsGone.Load()),
 		zap.Uint64("attempts", c.attempts.Load()),
-		zap.Uint64("repeats", c.repeats.Load()),
-		zap.Uint64("resumed", c.resumed.Load()),
-		zap.Uint64("no-budget", c.noBudget.Load()),
-		zap.Uint64("promised", c.promised.Load()),
-		zap.Uint64("unknown", c.unknown.Load()),
+		zap.Uint64("retries", c.retries.Load()),
+		zap.Uint64("streams_resumed", c.resumed.Load()),
+		zap.Uint64("retry_budget_exhausted", c.retryBudgetExhausted.Load()),
+		zap.Uint64("not_executed", c.notExecuted.Load()),
+		zap.Uint64("possibly_executed", c.possiblyExecuted.Load()),
 		zap.Uint64("unsent", c.unsent.Load()),
-		zap.Uint64("overloaded", c.overloaded.Load()),
-		zap.Uint64("unplaced", c.unplaced.Load()),
-		zap.Uint64("late-changes", c.lateChanges.Load()),
-		zap.Uint64("older-states", c.olderStates.Load()),
-		zap.Uint64("gaps", c.gaps.Load()),
-		zap.Uint64("repairs", c.repairs.Load()),
-		zap.Uint64("items-left-out", c.leftOut.Load()),
-		zap.Uint64("items-in-part", c.inPart.Load()),
+		zap.Uint64("not_admitted", c.overloaded.Load()),
+		zap.Uint64("no_server", c.noServer.Load()),
+		zap.Uint64("attempts_withdrawn", c.withdrawn.Load()),
+		zap.Uint64("stale_updates", c.staleUpdates.Load()),
+		zap.Uint64("update_gaps", c.gaps.Load()),
+		zap.Uint64("full_states", c.fullStates.Load()),
+		zap.Uint64("items_rejected", c.itemsRejected.Load()),
+		zap.Uint64("items_partially_applied", c.itemsPartial.Load()),
 		zap.Uint64("applies", c.applies.Load()),
-		zap.Duration("apply-last", time.Duration(c.applyLast.Load())),
-		zap.Duration("apply-max", time.Duration(c.applyMax.Load())),
+		zap.Duration("apply_last", time.Duration(c.applyLast.Load())),
+		zap.Duration("apply_max", time.Duration(c.applyMax.Load())),
 		zap.Uint64("violations", c.violations()),
-		zap.Uint64("dialled", connections.Dialled),
-		zap.Uint64("dials-failed", connections.Refused),
-		zap.Uint64("reused", connections.Reused),
-		zap.Uint64("stale", connections.Stale),
-		zap.Uint64("surplus", connections.Surplus),
-		zap.Int("idle", connections.IdleNow),
+		zap.Uint64("connections_dialed", connections.Dialed),
+		zap.Uint64("dials_failed", connections.DialsFailed),
+		zap.Uint64("connections_reused", connections.Reused),
+		zap.Uint64("connections_stale", connections.Stale),
+		zap.Uint64("connections_surplus", connections.Surplus),
+		zap.Int("connections_idle", connections.IdleNow),
 		zap.Float64("slack", slack),
-		zap.Int64("body-bytes", memory),
+		zap.Int64("body_bytes", memory),
 	}
 }
 
-// placementFields are the counts of the placement for a line of the log.
+// placementFields returns the placer's counters as fields of a log line.
 func placementFields(stats placement.Stats) []zap.Field {
 	return []zap.Field{
-		zap.Uint64("picks-seeded", stats.Seeded),
-		zap.Uint64("picks-drawn", stats.Drawn),
-		zap.Uint64("picks-walked", stats.Walked),
-		zap.Uint64("picks-cold", stats.Cold),
-		zap.Uint64("picks-other-region", stats.OtherRegion),
+		zap.Uint64("picks_seeded", stats.Seeded),
+		zap.Uint64("picks_drawn", stats.Drawn),
+		zap.Uint64("picks_walked", stats.Walked),
+		zap.Uint64("picks_warming_up", stats.WarmingUp),
+		zap.Uint64("picks_other_region", stats.OtherRegion),
 		zap.Uint64("ejections", stats.Ejections),
-		zap.Uint64("in-time", stats.InTime),
-		zap.Uint64("late", stats.Late),
-		zap.Uint64("announcements-heard", stats.Announced),
-		zap.Uint64("failures-reported", stats.Reported),
+		zap.Uint64("within_target", stats.InTime),
+		zap.Uint64("beyond_target", stats.Late),
+		zap.Uint64("announcements_received", stats.AnnouncementsReceived),
+		zap.Uint64("failure_reports_received", stats.FailureReports),
 	}
 }
--- a/internal/proxy/distance_test.go
+++ b/internal/proxy/distance_test.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	// defaultFarRuns is the number of runs in which a proxy is fed at random; PROXY_FAR sets another one.
+	// defaultFarRuns is the number of runs in which a proxy gets random updates; PROXY_FAR replaces it.
 	defaultFarRuns = 20
 	// farChanges is the number of changes of a run.
 	farChanges = 600
 	farRoutes  = 12
-	// farExchanges is the number of exchanges of a run.
+	// farExchanges is the number of calls of the agent in a run.
 	farExchanges = 60
 )
 
-// fedState is a proxy's state with the history that it is fed from.
-type fedState struct {
-	t       *testing.T
-	random  *rand.Rand
-	truth   []*catalog.Snapshot // by sequence
-	changes []*pb.Change        // by sequence - 1
-	state   *state
-	alter   func(*pb.ApplyRequest) // a planted fault
+// testConfigStream is a proxy's snapshot store with the history of changes that it gets.
+type testConfigStream struct {
+	t         *testing.T
+	random    *rand.Rand
+	truth     []*catalog.Snapshot // by sequence
+	changes   []*pb.Change        // by sequence - 1
+	snapshots *snapshotStore
+	alter     func(*pb.ApplyRequest) // a planted fault
 }
 
-func newFedState(t *testing.T, seed uint64) *fedState {
-	f := &fedState{t: t, random: rand.New(rand.NewPCG(seed, 8)), truth: []*catalog.Snapshot{catalog.Empty()}, state: newState()}
+func newTestConfigStream(t *testing.T, seed uint64) *testConfigStream {
+	f := &testConfigStream{t: t, random: rand.New(rand.NewPCG(seed, 8)), truth: []*catalog.Snapshot{catalog.Empty()}, snapshots: newSnapshotStore()}
 	for sequence := uint64(1); sequence <= farChanges; sequence++ {
 		made := f.makeChange(sequence)
 		next, err := f.truth[sequence-1].Apply(made)
@@ -48,8 +48,8 @@
 	return f
 }
 
-// makeChange gives some routes other paths, at times all of them, or takes some away, or evacuates.
-func (f *fedState) makeChange(sequence uint64) *pb.Change {
+// makeChange gives some routes other paths, at times all of them, or removes some, or evacuates.
+func (f *testConfigStream) makeChange(sequence uint64) *pb.Change {
 	made := &pb.Change{Sequence: sequence, Generation: sequence}
 	if sequence == 1 || f.random.IntN(50) == 0 {
 		made.ReplacesAll = true
@@ -76,32 +76,32 @@
 	return made
 }
 
-// feed hands the state what an agent could hand it that is new, old, of an earlier life, or lost its beginning. It
-// returns what is wrong afterwards, or nothing.
-func (f *fedState) feed() string {
-	before := f.state.load()
+// feed applies what an agent could send that is new, old, of an earlier incarnation, or has lost its beginning. It
+// returns what is wrong afterwards, or an empty string.
+func (f *testConfigStream) feed() string {
+	before := f.snapshots.load()
 	request := f.request()
 	if f.alter != nil {
 		f.alter(request)
 	}
-	held, done := f.state.apply(request)
+	current, applied := f.snapshots.apply(request)
 	switch {
-	case held.sequence < before.sequence:
+	case current.sequence < before.sequence:
 		return "an older state"
-	case held.sequence > before.sequence != done.tableChanged:
-		return "a change that is not told"
-	case !before.confirmed && held.confirmed && f.state.gap:
-		return "what was confirmed is not held"
-	case done.fellBack:
+	case current.sequence > before.sequence != applied.tableChanged:
+		return "a change that is not reported"
+	case !before.confirmed && current.confirmed && f.snapshots.gap:
+		return "the confirmed state is not in force"
+	case applied.regressed:
 		return "a snapshot that fell back"
 	}
-	return f.difference(held)
+	return f.difference(current)
 }
 
-func (f *fedState) request() *pb.ApplyRequest {
+func (f *testConfigStream) request() *pb.ApplyRequest {
 	at := uint64(f.random.IntN(farChanges)) + 1
-	if f.random.IntN(2) == 0 { // near what is held
-		at = min(f.state.load().sequence+1, farChanges)
+	if f.random.IntN(2) == 0 { // near the current sequence
+		at = min(f.snapshots.load().sequence+1, farChanges)
 	}
 	to := min(at+uint64(f.random.IntN(300)), farChanges)
 	request := &pb.ApplyRequest{Confirmed: f.random.IntN(5) == 0}
@@ -116,20 +116,20 @@
 	return request
 }
 
-// difference tells how the table differs from that of the state that the sequence number stands for.
-func (f *fedState) difference(held *snapshot) string {
+// difference says how the table differs from that of the state that the sequence stands for.
+func (f *testConfigStream) difference(current *snapshot) string {
 	var items []*pb.Item
-	for _, part := range f.truth[held.sequence].RepairFor(nil).GetRanges() {
+	for _, part := range f.truth[current.sequence].RepairFor(nil).GetRanges() {
 		items = append(items, part.GetItems()...)
 	}
 	wanted, faults := route.FromItems(items)
 	require.Empty(f.t, faults)
 	switch {
-	case wanted.Routes() != held.table.Routes():
+	case wanted.Routes() != current.table.Routes():
 		return "another number of routes"
-	case !slices.Equal(wanted.Services(), held.table.Services()):
+	case !slices.Equal(wanted.Services(), current.table.Services()):
 		return "other services"
-	case !slices.Equal(wanted.Evacuated(), held.table.Evacuated()):
+	case !slices.Equal(wanted.Evacuated(), current.table.Evacuated()):
 		return "other evacuations"
 	}
 	for index := range farRoutes {
@@ -138,9 +138,9 @@
 		if !found {
 			continue
 		}
-		looked, found := held.table.Lookup("h.example", other.PathPrefix+"x")
+		looked, found := current.table.Lookup("h.example", other.PathPrefix+"x")
 		if !found || looked.Name != name {
-			return fmt.Sprintf("another path of %s at %d", name, held.sequence)
+			return fmt.Sprintf("another path of %s at %d", name, current.sequence)
 		}
 	}
 	return ""
@@ -154,23 +154,23 @@
 	return value
 }
 
-// A proxy that missed hundreds of changes, and is fed in any order, never falls back and holds what its sequence
-// number stands for. It has caught up with the first exchange that brings changes that follow, or the whole.
+// A proxy that missed hundreds of changes, and gets them in any order, never regresses and has what its sequence stands
+// for. It has caught up with the first call that brings changes that follow, or the full state.
 func TestProxyFedInAnyOrderNeverFallsBack(t *testing.T) {
 	for seed := range uint64(runsOf("PROXY_FAR", defaultFarRuns)) {
-		f := newFedState(t, seed)
+		f := newTestConfigStream(t, seed)
 		for range farExchanges {
 			require.Empty(t, f.feed(), "seed %d", seed)
 		}
-		held := f.state.load().sequence
-		last := &pb.ApplyRequest{Changes: f.changes[held:]}
-		if f.state.wantsWhole() {
+		current := f.snapshots.load().sequence
+		last := &pb.ApplyRequest{Changes: f.changes[current:]}
+		if f.snapshots.needsFullState() {
 			last = &pb.ApplyRequest{Repair: f.truth[farChanges].RepairFor(nil)}
 		}
-		f.state.apply(last)
-		require.EqualValues(t, farChanges, f.state.load().sequence)
-		require.False(t, f.state.wantsWhole())
-		require.Empty(t, f.difference(f.state.load()))
+		f.snapshots.apply(last)
+		require.EqualValues(t, farChanges, f.snapshots.load().sequence)
+		require.False(t, f.snapshots.needsFullState())
+		require.Empty(t, f.difference(f.snapshots.load()))
 	}
 }
 
@@ -185,7 +185,7 @@
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(defaultFarRuns) {
-				f := newFedState(t, seed)
+				f := newTestConfigStream(t, seed)
 				f.alter = fault.alter
 				for range farExchanges {
 					if strings.Contains(f.feed(), fault.finding) {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -1,272 +1,133 @@
 package proxy
 
 import (
-	"net"
 	"net/http"
-	"strconv"
-	"strings"
 	"time"
 
-	"github.com/cockroachdb/errors"
-
-	"fieldrelay/internal/placement"
 	"fieldrelay/internal/policy"
 	"fieldrelay/internal/proxy/upstream"
 	"fieldrelay/internal/route"
 )
 
-const (
-	// retryAfterSetup is told to clients while no configuration is held yet.
-	retryAfterSetup = 200 * time.Millisecond
-	// retryAfterShort is told where a new try may succeed at once, here or at another proxy.
-	retryAfterShort = 50 * time.Millisecond
-	// writeSlack is how long after the deadline an answer may still be written to a client that reads slowly. What a
-	// machine holds a quarter of a second past its route's deadline has a price, half a second breaks a rule.
-	writeSlack = 200 * time.Millisecond
-	// returnedSlack is how much less than the route's deadline a client's first try may tell: its way here takes
-	// time. Later tries tell what is left, which is less by the answer to the first one at least.
-	returnedSlack = 60 * time.Millisecond
-	// longestDeadline bounds what a client or a route may ask for.
-	longestDeadline = 10 * time.Minute
-)
+// writeSlack is how long after the deadline a response may still be written to a client that reads slowly. By the
+// rules a request that lasts a quarter of a second past its route's deadline costs, and half a second is a violation.
+const writeSlack = 200 * time.Millisecond
 
-// handler serves the requests of clients.
+// handler serves the requests of clients. It is safe for concurrent use.
 type handler struct {
-	state      *state
+	snapshots  *snapshotStore
 	lifecycle  *lifecycle
 	dispatcher *dispatcher
-	announcer  *announcer // nil: nothing is announced
+	announcer  *announcer // nil: announcements are off
 	pool       *upstream.Pool
-	memory     *memoryBound
+	memory     *memoryLimit
 	counters   *counters
-	draw       func() float64 // uniform in [0, 1)
-	off        policy.Switches
+	random     func() float64 // uniform in [0, 1)
+	disabled   policy.Switches
 }
 
-// ServeHTTP answers one request. Where an answer has to end early, the client's connection ends with it, so
-// that the answer can't look whole.
+// ServeHTTP serves one request. If the response has to end early, the client's connection is aborted, so that the
+// response can't look complete.
 func (h *handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	arrived := time.Now()
 	h.counters.requests.Add(1)
 	h.counters.active.Add(1)
 	defer h.counters.active.Add(-1)
-	exchange, refusal := h.prepare(writer, request, arrived)
-	if refusal != nil {
-		h.refuse(writer, refusal)
+	exchange, rejected := h.prepare(writer, request, arrived)
+	if rejected != nil {
+		h.reject(writer, rejected)
 		return
 	}
-	defer exchange.free()
+	defer exchange.freeBody()
 	if !exchange.run() {
-		endVisibly(writer, request)
-	}
-}
-
-// endVisibly ends a client's connection in the middle of an answer. An answer with a length or in chunks is seen
-// to be cut; one that a client of HTTP/1.0 gets may end with the connection, so that this must be reset.
-func endVisibly(writer http.ResponseWriter, request *http.Request) {
-	if !request.ProtoAtLeast(1, 1) {
-		conn, _, err := http.NewResponseController(writer).Hijack()
-		if err == nil {
-			if socket, ok := conn.(*net.TCPConn); ok {
-				_ = socket.SetLinger(0)
-			}
-			_ = conn.Close()
-		}
-	}
-	panic(http.ErrAbortHandler)
-}
-
-// refusal is an answer of the proxy's own to a request that was not passed on.
-type refusal struct {
-	status     int
-	retryAfter time.Duration // 0: not told
-	ends       bool          // the connection can't be used any longer
-}
-
-// refusalToLeave is the answer to a request that comes too late in a drain.
-var refusalToLeave = &refusal{status: http.StatusServiceUnavailable, retryAfter: retryAfterShort, ends: true}
-
-// refuse writes an answer of the proxy's own. It goes out however late it comes.
-func (h *handler) refuse(writer http.ResponseWriter, own *refusal) {
-	h.counters.countOwn(own.status)
-	_ = http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(writeSlack))
-	header := writer.Header()
-	suppressDefaults(header)
-	if own.retryAfter > 0 {
-		header["Retry-After"] = []string{retryAfter(own.retryAfter)}
+		abortConnection(writer, request)
 	}
-	header["Content-Length"] = []string{"0"}
-	if own.ends || h.lifecycle.draining() {
-		askToLeave(header)
-	}
-	writer.WriteHeader(own.status)
 }
 
-// askToLeave ends the client's connection after the answer.
-func askToLeave(header http.Header) { header["Connection"] = []string{"close"} }
-
-// prepare reads a request whole and finds its route. The body is read before anything else is decided, so
-// that the connection stays usable and an attempt is always whole.
-func (h *handler) prepare(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*exchange, *refusal) {
-	attemptID, proper := attemptIDOf(request.Header)
+// prepare reads a request completely and finds its route. The body is read before anything else is decided, so that
+// the connection stays usable and each attempt sends a complete request. The caller frees the body of the exchange.
+func (h *handler) prepare(writer http.ResponseWriter, request *http.Request, arrived time.Time) (*exchange, *rejection) {
+	attemptID, hasID := attemptIDOf(request.Header)
 	target, hasPath := originForm(request.RequestURI)
-	if !proper || !hasPath {
-		return nil, &refusal{status: http.StatusBadRequest}
+	if !hasID || !hasPath {
+		return nil, &rejection{status: http.StatusBadRequest}
 	}
-	if h.lifecycle.phase() >= phaseRefusing {
-		return nil, refusalToLeave
+	if h.lifecycle.phase() >= phaseRejecting {
+		return nil, drainRejection
 	}
 	control := http.NewResponseController(writer)
-	taken, err := h.takeIn(control, request, target, arrived)
+	received, err := h.receive(control, request, target, arrived)
 	if err != nil {
-		return nil, refusalOf(err)
+		return nil, rejectionOf(err)
 	}
-	if !h.lifecycle.takes(time.Now(), taken.deadline) {
-		taken.body.free()
-		return nil, refusalToLeave
+	if !h.lifecycle.accepts(time.Now(), received.deadline) {
+		received.body.free()
+		return nil, drainRejection
 	}
-	found := taken.route
+	matched := received.route
 	return &exchange{
 		handler:   h,
 		client:    writer,
 		request:   request,
 		target:    target,
 		attemptID: attemptID,
-		route:     found,
-		place:     placementRequest(request.Header, found, h.draw(), h.dispatcher.at(taken.at)),
-		body:      taken.body,
-		arrived:   taken.at,
-		deadline:  taken.deadline,
-		ledger:    ledger{repeatable: found.IsIdempotent(), tries: max(found.MaxAttempts, 1)},
+		route:     matched,
+		placement: placementRequest(request.Header, matched, h.random(), h.dispatcher.at(received.readyAt)),
+		body:      received.body,
+		arrived:   received.readyAt,
+		deadline:  received.deadline,
+		attempts:  attemptLog{idempotent: matched.IsIdempotent(), maxAttempts: max(matched.MaxAttempts, 1)},
 	}, nil
 }
 
-// intake is a request that was read whole, with its route.
-type intake struct {
+// receivedRequest is a request that was read completely, with its route.
+type receivedRequest struct {
 	route    *route.Route
 	body     *chargedBuffer // nil: none
-	at       time.Time      // from which on it could be passed on
+	readyAt  time.Time      // when it could be forwarded: after a startup wait
 	deadline time.Time
 }
 
-// takeIn reads the body and finds the route; a proxy that has just started first waits until it can.
-func (h *handler) takeIn(control *http.ResponseController, request *http.Request, target string, arrived time.Time) (taken intake, err error) {
-	floor := h.state.used.floor()
-	held := h.state.load()
-	taken.at = arrived
-	early := !held.usable()
-	if early {
-		if held, taken.body, err = h.holdUntilUsable(control, request, target, arrived); err != nil {
-			return taken, err
+// receive reads the body and finds the route. Just after the start of the proxy it first waits until it can, see
+// waitUntilUsable.
+func (h *handler) receive(control *http.ResponseController, request *http.Request, target string, arrived time.Time) (received receivedRequest, err error) {
+	usedBefore := h.snapshots.usedSequence.floor()
+	current := h.snapshots.load()
+	received.readyAt = arrived
+	waited := !current.usable()
+	if waited {
+		if current, received.body, err = h.waitUntilUsable(control, request, target, arrived); err != nil {
+			return received, err
 		}
-		taken.at = time.Now()
+		received.readyAt = time.Now()
 	}
 	defer func() {
 		if err != nil {
-			taken.body.free()
+			received.body.free()
 		}
 	}()
-	h.noteUse(held, floor)
-	if !held.configured() {
-		return taken, errNoConfiguration
+	h.checkSequence(current, usedBefore)
+	if !current.configured() {
+		return received, errNoConfiguration
 	}
-	found, ok := held.table.Lookup(request.Host, pathOf(target))
+	matched, ok := current.table.Lookup(request.Host, pathOf(target))
 	if !ok {
-		return taken, errNoRoute
+		return received, errNoRoute
 	}
-	taken.route = found
-	taken.deadline = arrived.Add(holdFor(request.Header, found))
-	_ = control.SetWriteDeadline(taken.deadline.Add(writeSlack))
-	if !early {
-		taken.body, err = h.readBody(control, request, held.table.RequestLimits().MaxBodyBytes, taken.deadline)
+	received.route = matched
+	received.deadline = arrived.Add(timeoutFor(request.Header, matched))
+	_ = control.SetWriteDeadline(received.deadline.Add(writeSlack))
+	if !waited {
+		received.body, err = h.readBody(control, request, current.table.RequestLimits().MaxBodyBytes, received.deadline)
 	}
-	return taken, err
+	return received, err
 }
 
-// noteUse checks that a request uses no older snapshot than those before it: floor was read when it came.
-func (h *handler) noteUse(held *snapshot, floor uint64) {
-	if held.sequence < floor {
-		h.counters.olderUsed.Add(1)
+// checkSequence counts a request that uses an older snapshot than an earlier one did, which must never happen.
+// usedBefore was read when the request arrived.
+func (h *handler) checkSequence(current *snapshot, usedBefore uint64) {
+	if current.sequence < usedBefore {
+		h.counters.staleReads.Add(1)
 	}
-	h.state.used.use(held.sequence)
-}
-
-var (
-	errNoConfiguration = errors.New("no configuration is held")
-	errNoRoute         = errors.New("no route")
-	errNoBounds        = errors.New("the request is larger than is taken before a configuration tells its bounds")
-)
-
-// refusalOf is the answer to a request that was not taken in.
-func refusalOf(err error) *refusal {
-	switch {
-	case errors.Is(err, errNoRoute):
-		return &refusal{status: http.StatusNotFound}
-	case errors.Is(err, errNoConfiguration):
-		return &refusal{status: http.StatusServiceUnavailable, retryAfter: retryAfterSetup}
-	case errors.Is(err, errNoBounds):
-		return &refusal{status: http.StatusServiceUnavailable, retryAfter: retryAfterSetup, ends: true}
-	case errors.Is(err, errBodyTooLarge):
-		return &refusal{status: http.StatusRequestEntityTooLarge, ends: true}
-	case errors.Is(err, errNoMemory):
-		return &refusal{status: http.StatusServiceUnavailable, retryAfter: retryAfterShort, ends: true}
-	default:
-		return &refusal{status: http.StatusRequestTimeout, ends: true}
-	}
-}
-
-// attemptIDOf returns the id of a request; there must be exactly one.
-func attemptIDOf(header http.Header) (string, bool) {
-	values := header[headerAttemptID]
-	if len(values) != 1 || values[0] == "" {
-		return "", false
-	}
-	return values[0], true
-}
-
-// holdFor is how long a request may be held: what the client waits, but no longer than the route allows.
-func holdFor(header http.Header, found *route.Route) time.Duration {
-	told := deadlineTold(header)
-	if found.Deadline > 0 {
-		return min(told, found.Deadline)
-	}
-	return told
-}
-
-// deadlineTold is how long a client says that it waits, at most longestDeadline.
-func deadlineTold(header http.Header) time.Duration {
-	values := header[headerDeadline]
-	if len(values) == 0 {
-		return longestDeadline
-	}
-	milliseconds, err := strconv.ParseFloat(strings.TrimSpace(values[0]), 64)
-	if err != nil || milliseconds < 0 || milliseconds > float64(longestDeadline/time.Millisecond) {
-		return longestDeadline
-	}
-	return time.Duration(milliseconds * float64(time.Millisecond))
-}
-
-// placementRequest tells placement what the headers of a request say about its size.
-func placementRequest(header http.Header, found *route.Route, draw float64, arrived time.Duration) placement.Request {
-	request := placement.Request{
-		Route:   found,
-		Service: found.PickService(draw),
-		Model:   header.Get(headerModel),
-		Arrived: arrived,
-	}
-	request.Returned = deadlineTold(header)+returnedSlack < found.Deadline
-	request.Prompt, request.Generate = tokenCounts(header.Get(headerTokenCount))
-	if parts := header.Get(headerPromptPrefix); parts != "" {
-		// A list that can't be read only means that nothing is known of kept parts.
-		request.Chunks, _ = placement.ParseChunks(parts, nil)
-	}
-	return request
-}
-
-// tokenCounts reads X-Fieldrelay-Token-Count: the prompt's tokens, and the most that are generated.
-func tokenCounts(value string) (prompt, generate int) {
-	first, second, _ := strings.Cut(value, ",")
-	prompt, _ = strconv.Atoi(strings.TrimSpace(first))
-	generate, _ = strconv.Atoi(strings.TrimSpace(second))
-	return max(prompt, 0), max(generate, 0)
+	h.snapshots.usedSequence.raise(current.sequence)
 }
--- a/internal/proxy/largechange_bench_test.go
+++ b/internal/proxy/largechange_bench_test.go
@@ -8,8 +8,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// BenchmarkLargeChangeFromTheWire takes in 1,400 routes beside 1,500, from the bytes that the agent sends: what one
-// exchange costs the proxy, but for the sockets.
+// BenchmarkLargeChangeFromTheWire applies 1,400 routes beside 1,500, from the bytes that the agent sends: what one
+// call costs the proxy, except for the sockets.
 func BenchmarkLargeChangeFromTheWire(b *testing.B) {
 	first := &pb.Change{Sequence: 1, Generation: 1}
 	for number := range 1500 {
@@ -23,19 +23,19 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	held := newState()
-	held.apply(&pb.ApplyRequest{Changes: []*pb.Change{first}})
-	before := held.load()
+	store := newSnapshotStore()
+	store.apply(&pb.ApplyRequest{Changes: []*pb.Change{first}})
+	before := store.load()
 	b.ReportAllocs()
 	b.ReportMetric(float64(len(wire)), "bytes-sent")
 	for b.Loop() {
-		held.current.Store(before)
+		store.current.Store(before)
 		request := &pb.ApplyRequest{}
 		if err := proto.Unmarshal(wire, request); err != nil {
 			b.Fatal(err)
 		}
-		if _, done := held.apply(request); !done.tableChanged {
-			b.Fatal("not taken in")
+		if _, applied := store.apply(request); !applied.tableChanged {
+			b.Fatal("not applied")
 		}
 	}
 }
--- /dev/null
+++ b/internal/proxy/listener.go
@@ -0,0 +1,187 @@
+package proxy
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"fieldrelay/internal/route"
+)
+
+// acceptBackoff is the wait after a connection could not be accepted.
+const acceptBackoff = 5 * time.Millisecond
+
+// clientListener accepts the connections of clients. The limits of a running http.Server can't be changed, so new
+// limits start a new server, which gets the connections accepted from then on. Connections of earlier servers keep
+// their limits, and are closed after their next response if the new limits are wider. It is safe for concurrent
+// use.
+type clientListener struct {
+	listener    net.Listener
+	handler     http.Handler
+	baseContext context.Context // parent of the contexts of all requests
+	counters    *counters
+	logger      *zap.Logger
+	slots       chan struct{} // semaphore: one element for each open connection
+
+	mu       sync.Mutex
+	limits   connLimits
+	current  *connQueue        // of the server with the present limits
+	handlers []*limitedHandler // one for each limits so far that are not superseded
+	closed   bool
+	idle     map[net.Conn]struct{} // connections that serve no request
+}
+
+func newClientListener(base context.Context, listener net.Listener, handler http.Handler, maxConnections int, counters *counters, logger *zap.Logger) *clientListener {
+	l := &clientListener{
+		listener:    listener,
+		handler:     handler,
+		baseContext: base,
+		counters:    counters,
+		logger:      logger,
+		slots:       make(chan struct{}, maxConnections),
+		idle:        make(map[net.Conn]struct{}),
+	}
+	l.setLimits(connLimitsOf(route.RequestLimits{}))
+	return l
+}
+
+// setLimits puts limits in force for the connections accepted from now on. It starts a server whose Serve ends when
+// its queue is closed by the next limits, or with the process; its connections go on.
+func (l *clientListener) setLimits(limits connLimits) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed || (l.current != nil && l.limits == limits) {
+		return
+	}
+	if l.current != nil {
+		l.current.close()
+	}
+	l.limits = limits
+	l.current = newConnQueue(l.listener.Addr())
+	server := l.newServer(limits, l.handlerFor(limits))
+	go func(accepted *connQueue) { _ = server.Serve(accepted) }(l.current)
+}
+
+// handlerFor returns the handler for connections under the given limits, and marks those with narrower limits as
+// superseded. The caller holds the lock.
+func (l *clientListener) handlerFor(limits connLimits) *limitedHandler {
+	l.handlers = slices.DeleteFunc(l.handlers, func(previous *limitedHandler) bool {
+		narrower := previous.limits.narrowerThan(limits)
+		if narrower {
+			previous.superseded.Store(true)
+		}
+		return narrower
+	})
+	for _, previous := range l.handlers {
+		if previous.limits == limits {
+			return previous
+		}
+	}
+	created := &limitedHandler{Handler: l.handler, limits: limits}
+	l.handlers = append(l.handlers, created)
+	return created
+}
+
+func (l *clientListener) newServer(limits connLimits, handler http.Handler) *http.Server {
+	protocols := new(http.Protocols)
+	protocols.SetHTTP1(true)
+	return &http.Server{
+		Handler:           handler,
+		ReadHeaderTimeout: limits.headerRead,
+		IdleTimeout:       limits.keepAlive,
+		MaxHeaderBytes:    limits.maxHeader,
+		ConnState:         l.track,
+		BaseContext:       func(net.Listener) context.Context { return l.baseContext },
+		ErrorLog:          zap.NewStdLog(zap.NewNop()), // faults of single connections are not logged
+		Protocols:         protocols,
+		// OPTIONS * has no route, and is rejected like other requests without one.
+		DisableGeneralOptionsHandler: true,
+	}
+}
+
+// track counts open connections and keeps the set of idle ones; it is called by http.Server for each change of
+// state.
+func (l *clientListener) track(conn net.Conn, state http.ConnState) {
+	switch state {
+	case http.StateNew:
+		l.counters.connections.Add(1)
+		l.setIdle(conn)
+	case http.StateIdle:
+		l.setIdle(conn)
+	case http.StateActive:
+		l.mu.Lock()
+		delete(l.idle, conn)
+		l.mu.Unlock()
+	case http.StateClosed, http.StateHijacked:
+		l.counters.connections.Add(-1)
+		l.mu.Lock()
+		delete(l.idle, conn)
+		l.mu.Unlock()
+		<-l.slots
+	}
+}
+
+func (l *clientListener) setIdle(conn net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.idle[conn] = struct{}{}
+}
+
+// serve accepts connections until close. It blocks while the maximum number of connections is open.
+func (l *clientListener) serve() {
+	for {
+		l.slots <- struct{}{}
+		conn, err := l.listener.Accept()
+		if err != nil {
+			<-l.slots
+			if l.isClosed() {
+				return
+			}
+			l.logger.Warn("accepting a connection failed, retrying", zap.Error(err))
+			time.Sleep(acceptBackoff)
+			continue
+		}
+		l.dispatch(conn)
+	}
+}
+
+// dispatch gives a connection to the server with the limits in force, which may be replaced meanwhile.
+func (l *clientListener) dispatch(conn net.Conn) {
+	for {
+		l.mu.Lock()
+		current := l.current
+		l.mu.Unlock()
+		if current.offer(conn) {
+			return
+		}
+	}
+}
+
+func (l *clientListener) isClosed() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.closed
+}
+
+// close ends accepting. Open connections stay open.
+func (l *clientListener) close() {
+	l.mu.Lock()
+	l.closed = true
+	l.mu.Unlock()
+	_ = l.listener.Close()
+}
+
+// closeIdle closes the connections that serve no request. Their server waits in a read: it is woken by the expired
+// deadline and closes the connection, while a request that has just been received is served.
+func (l *clientListener) closeIdle() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for conn := range l.idle {
+		_ = conn.SetReadDeadline(time.Unix(1, 0))
+	}
+}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,88 +1,42 @@
-// Package proxy is the data plane of an edge machine: it takes the requests of clients, passes each to a
-// server of its route's service and the answer back, as the rules of the deployment ask.
+// Package proxy is the data plane of an edge machine: it accepts clients' requests, forwards each to a server of its
+// route's service, and returns the response.
 //
-// A request is read whole before anything is decided. What became of it at each server is written down in
-// one place, the ledger, and only the ledger says whether it may go to another server and which answer is
-// true when none of a server's can be passed on. All that the proxy serves by comes from the agent beside it
-// over loopback and is held as one immutable snapshot; without the agent it serves on by the last one.
+// It promises that a request is not run more often than its route allows, and that a client never takes an incomplete
+// or foreign response for a complete one. A request is read completely before anything is decided. What became of it at
+// each server is recorded in one place, attemptLog, which alone decides whether it may be sent to another server and
+// which status is true when no server's response can be forwarded.
+//
+// It decides neither which server gets a request (package placement) nor what a configuration means (package route), and
+// it persists nothing. All that it serves by comes from the agent beside it over loopback (configStream) and is one
+// immutable snapshot; without the agent it serves on by the last one.
+//
+// The way of a request: clientListener, handler, exchange (one request), attempt (at one server), upstream.Conn.
+// docs/region-proxy.md describes the proxy for operators, docs/region-rules.md the rules that it keeps, and
+// docs/design-regional.md the design.
 package proxy
 
 import (
 	"context"
-	"math/rand/v2"
-	"net"
-	"net/http"
 	"os"
 	"os/signal"
-	"sync/atomic"
 	"syscall"
-	"time"
 
-	"github.com/cockroachdb/errors"
 	"go.uber.org/zap"
 
-	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
-	"fieldrelay/internal/limits"
-	"fieldrelay/internal/placement"
 	"fieldrelay/internal/policy"
-	"fieldrelay/internal/proxy/upstream"
 	"fieldrelay/internal/settings"
 )
 
-const (
-	// feedPort is the number, among the machine's ports for own messages, of the port that the agent feeds.
-	feedPort = 2
-	// countersPeriod is the time between two lines with the counters.
-	countersPeriod = time.Minute
-	// housekeepingPeriod is the time between two looks at idle connections and at the settings file.
-	housekeepingPeriod = time.Second
-	// drainPeriod is the time between two looks at how many requests are left while the process ends.
-	drainPeriod = 10 * time.Millisecond
-	// bodyShare is the part of the memory (one in bodyShare) that bodies in flight may take.
-	bodyShare = 8
-	megabyte  = 1 << 20
-	// descriptorsHeld is the number of descriptors that are not for connections.
-	descriptorsHeld = 256
-	// minConnections is the least number of clients' connections.
-	minConnections = 64
-	// checkTimeout bounds how long a call of the platform or of the agent may take.
-	checkTimeout = 5 * time.Second
-)
-
-// process is a running proxy.
-type process struct {
-	options    Options
-	off        policy.Switches
-	logger     *zap.Logger
-	lifecycle  *lifecycle
-	state      *state
-	dispatcher *dispatcher
-	announcer  *announcer // nil: nothing is announced
-	pool       *upstream.Pool
-	memory     *memoryBound
-	counters   *counters
-	contact    *contact
-	started    time.Time
-	front      *front
-	reloader   *reloader
-	grace      atomic.Int64    // nanoseconds
-	base       context.Context // of all requests
-	abandon    context.CancelFunc
-	beside     []*http.Server // for other callers than clients
-	feedAddr   net.Addr
-	readyAddr  net.Addr
-}
-
-// Options replace what a proxy takes from its settings. The zero value replaces nothing.
+// Options override parts of the settings. The zero value overrides nothing.
 type Options struct {
-	// Feed is the address, ip:port, at which the agent feeds the proxy.
-	Feed string
-	// Off are mechanisms that are switched off beside those of the settings.
-	Off policy.Switches
+	// ConfigStreamAddress is the address (ip:port) at which the agent calls the proxy; empty: the loopback port of the settings.
+	ConfigStreamAddress string
+	// Disabled are mechanisms of the policy that are disabled beside those of the settings.
+	Disabled policy.Switches
 }
 
-// Run serves until the context or SIGTERM ends it, and returns when the requests that it took are answered or
-// the grace period is nearly over. It returns an error only if it can't start.
+// Run serves until the context is canceled or SIGTERM or SIGINT comes, then shuts down gracefully within
+// bounds.grace-s. SIGHUP reloads the settings. It returns an error only if the proxy can't start.
 func Run(ctx context.Context, configured *settings.Settings, logger *zap.Logger) error {
 	return RunWith(ctx, configured, logger, Options{})
 }
@@ -100,246 +54,10 @@
 		p.stop()
 		return err
 	}
-	logger.Info("proxy started", zap.String("edge", configured.Binds.Edge), zap.Stringer("off", p.off))
+	logger.Info("proxy started", zap.String("address", configured.Binds.Edge), zap.Stringer("disabled", p.disabled))
 	p.serve(terminate.Done(), reload)
 	p.drain()
 	p.stop()
-	logger.Info("proxy ended", p.counterFields()...)
+	logger.Info("proxy stopped", p.counterFields()...)
 	return nil
 }
-
-func newProcess(configured *settings.Settings, logger *zap.Logger, options Options) *process {
-	bounds := configured.Bounds
-	off := configured.Policy.Switches().And(options.Off)
-	placer := placement.New(placement.Config{
-		Host:      configured.Hostname,
-		Zone:      configured.Zone,
-		Regions:   configured.Zones,
-		Seed:      rand.Uint64(),
-		SlowStart: limits.SlowStartConfig{Excess: bounds.WarmExcess, Extra: bounds.WarmExtra},
-		Off:       off,
-	})
-	budget := limits.NewRetryBudget(limits.RetryConfig{
-		Ratio:  bounds.RetryRatio,
-		Extra:  bounds.RetryExtra,
-		Window: bounds.RetryWindow(),
-	}, configured.Hostname)
-	p := &process{
-		options:    options,
-		off:        off,
-		logger:     logger,
-		state:      newState(),
-		dispatcher: newDispatcher(placer, budget),
-		pool:       upstream.NewPool(upstream.Config{KeepNone: off.Off(policy.ConnectionReuse)}),
-		memory:     newMemoryBound(int64(configured.Limits.MemoryMB * megabyte / bodyShare)),
-		counters:   &counters{},
-		contact:    &contact{logger: logger},
-		started:    time.Now(),
-	}
-	p.base, p.abandon = context.WithCancel(context.Background())
-	p.lifecycle = &lifecycle{held: p.state.load}
-	p.grace.Store(int64(bounds.Grace()))
-	path, _ := settings.Path() // without one, nothing is read again
-	p.reloader = newReloader(path, logger, p.applySettings)
-	return p
-}
-
-// applySettings takes in what may change while the process runs.
-func (p *process) applySettings(changed *settings.Settings) {
-	p.grace.Store(int64(changed.Bounds.Grace()))
-}
-
-// start opens the three listeners: clients, the platform's checks, and the agent.
-func (p *process) start(configured *settings.Settings) error {
-	base := p.base
-	// The proxy needs no probes of its own on clients' connections: idle ones end by time.
-	config := net.ListenConfig{KeepAlive: -1}
-	config.SetMultipathTCP(false)
-	listener, err := config.Listen(base, "tcp4", configured.Binds.Edge)
-	if err != nil {
-		return errors.Wrap(err, "listen for clients")
-	}
-	p.startAnnouncer(configured)
-	connections := max((configured.Limits.Descriptors-descriptorsHeld)/2, minConnections)
-	p.front = newFront(base, listener, p.requestHandler(), connections, p.counters, p.logger)
-	go p.front.serve()
-	if p.readyAddr, err = p.serveBeside(configured.Binds.Ready, p.lifecycle); err != nil {
-		return err
-	}
-	feedAddress := p.options.Feed
-	if feedAddress == "" {
-		feedAddress = configured.LoopbackPort(feedPort)
-	}
-	p.feedAddr, err = p.serveBeside(feedAddress, p.feedHandler(configured))
-	return err
-}
-
-// startAnnouncer opens the socket for announcements where the machine has a port for it. A proxy serves without one
-// as well.
-func (p *process) startAnnouncer(configured *settings.Settings) {
-	ports := configured.PortRange
-	if (p.off.Off(policy.Announcements) && p.off.Off(policy.FailureReports)) || ports[1]-ports[0] < announcePort {
-		return
-	}
-	region := configured.RegionOf(configured.Zone)
-	opened, err := newAnnouncer(configured.Port(announcePort), region, configured.Zone, p.dispatcher)
-	if err != nil {
-		p.logger.Warn("no announcements", zap.Error(err))
-		return
-	}
-	p.announcer = opened
-	go opened.listen()
-	go opened.send()
-}
-
-func (p *process) requestHandler() *handler {
-	return &handler{
-		state:      p.state,
-		lifecycle:  p.lifecycle,
-		dispatcher: p.dispatcher,
-		announcer:  p.announcer,
-		pool:       p.pool,
-		memory:     p.memory,
-		counters:   p.counters,
-		draw:       rand.Float64,
-		off:        p.off,
-	}
-}
-
-func (p *process) feedHandler(configured *settings.Settings) http.Handler {
-	service := &feed{
-		host:        configured.Hostname,
-		incarnation: rand.Uint64() | 1,
-		edgeAddress: configured.Binds.Edge,
-		state:       p.state,
-		dispatcher:  p.dispatcher,
-		announcer:   p.announcer,
-		lifecycle:   p.lifecycle,
-		counters:    p.counters,
-		logger:      p.logger,
-		contact:     p.contact,
-		now:         p.now,
-		changed:     p.snapshotChanged,
-	}
-	path, handler := fieldrelayv1connect.NewProxyFeedHandler(service)
-	mux := http.NewServeMux()
-	mux.Handle(path, handler)
-	return mux
-}
-
-// snapshotChanged takes in a new snapshot where limits or servers changed.
-func (p *process) snapshotChanged(held *snapshot, done update) {
-	if done.tableChanged {
-		p.front.setLimits(frontLimitsOf(held.table.RequestLimits()))
-	}
-	if done.listChanged {
-		p.sweep(held)
-	}
-}
-
-// sweep closes connections that were idle for too long or that lead to servers that are gone or out of reach.
-func (p *process) sweep(held *snapshot) {
-	silent := p.pool.Sweep(time.Now(), func(server upstream.Server) bool {
-		_, listed := held.servers[server]
-		return listed
-	})
-	for _, server := range silent {
-		p.dispatcher.serverUnreachable(server.ID)
-	}
-}
-
-// serveBeside opens a listener for other callers than clients and returns its address.
-func (p *process) serveBeside(address string, handler http.Handler) (net.Addr, error) {
-	listener, err := net.Listen("tcp4", address)
-	if err != nil {
-		return nil, errors.Wrapf(err, "listen on %s", address)
-	}
-	server := &http.Server{
-		Handler:           handler,
-		ReadHeaderTimeout: checkTimeout,
-		ErrorLog:          zap.NewStdLog(zap.NewNop()),
-	}
-	p.beside = append(p.beside, server)
-	go func() { _ = server.Serve(listener) }()
-	return listener.Addr(), nil
-}
-
-// serve does the regular work until the process is told to end.
-func (p *process) serve(terminate <-chan struct{}, reload <-chan os.Signal) {
-	housekeeping := time.NewTicker(housekeepingPeriod)
-	defer housekeeping.Stop()
-	report := time.NewTicker(countersPeriod)
-	defer report.Stop()
-	for {
-		select {
-		case <-terminate:
-			return
-		case <-reload:
-			p.reloader.read()
-		case <-housekeeping.C:
-			p.reloader.look()
-			p.sweep(p.state.load())
-			p.contact.look(p.now())
-		case <-report.C:
-			p.logger.Info("counters", p.counterFields()...)
-		}
-	}
-}
-
-func (p *process) counterFields() []zap.Field {
-	fields := p.counters.fields(p.pool.Stats(), p.dispatcher.slack(), p.memory.used.Load())
-	fields = append(fields, placementFields(p.dispatcher.stats())...)
-	return append(fields, zap.Duration("agent-silence", p.contact.age(p.now())))
-}
-
-// now is the steady time since the start.
-func (p *process) now() time.Duration { return time.Since(p.started) }
-
-// drain goes through the phases of the end: it takes requests for as long as clients may hold the address,
-// then refuses new ones, and breaks off what is left when the grace period is nearly over.
-func (p *process) drain() {
-	began := time.Now()
-	plan := planDrain(time.Duration(p.grace.Load()))
-	p.lifecycle.leave(plan.from(began))
-	p.logger.Info("told to end", zap.Duration("refuse-after", plan.refuse), zap.Duration("abandon-after", plan.abandon))
-	time.Sleep(time.Until(began.Add(plan.refuse)))
-	p.front.close()
-	p.lifecycle.enter(phaseRefusing)
-	idle := func() bool {
-		p.front.closeIdle()
-		return p.counters.connections.Load() == 0
-	}
-	if p.waitUntil(began.Add(plan.abandon), idle) {
-		return
-	}
-	p.logger.Warn("requests broken off at the end", zap.Int64("requests", p.counters.active.Load()))
-	p.lifecycle.enter(phaseAbandoned)
-	p.abandon()
-	p.waitUntil(time.Now().Add(exitReserve/2), idle)
-}
-
-// waitUntil looks at a condition until it holds, or until the given time; it tells whether it held.
-func (p *process) waitUntil(end time.Time, holds func() bool) bool {
-	ticker := time.NewTicker(drainPeriod)
-	defer ticker.Stop()
-	for time.Now().Before(end) {
-		if holds() {
-			return true
-		}
-		<-ticker.C
-	}
-	return holds()
-}
-
-// stop closes what is still open.
-func (p *process) stop() {
-	p.abandon()
-	if p.front != nil {
-		p.front.close()
-	}
-	for _, server := range p.beside {
-		_ = server.Close()
-	}
-	p.pool.Close()
-	p.announcer.close()
-}
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -9,8 +9,8 @@
 	"fieldrelay/internal/settings"
 )
 
-// reloader follows the settings file: it is read again when it has changed, with or without a signal. A file
-// that is at fault is told and ignored.
+// reloader follows the settings file, and loads it again when it has changed, with or without a signal. A file that
+// can't be loaded is logged and ignored. It is not safe for concurrent use.
 type reloader struct {
 	path     string // empty: there is no file to follow
 	modified time.Time
@@ -21,12 +21,12 @@
 
 func newReloader(path string, logger *zap.Logger, apply func(*settings.Settings)) *reloader {
 	r := &reloader{path: path, logger: logger, apply: apply}
-	r.changed()
+	r.hasChanged()
 	return r
 }
 
-// changed tells whether the file is another one than at the last look.
-func (r *reloader) changed() bool {
+// hasChanged reports whether the file's time or size has changed since the last call.
+func (r *reloader) hasChanged() bool {
 	if r.path == "" {
 		return false
 	}
@@ -39,24 +39,24 @@
 	return !same
 }
 
-// look reads the file again if it has changed.
-func (r *reloader) look() {
-	if r.changed() {
-		r.read()
+// reloadIfChanged loads the file again if it has changed.
+func (r *reloader) reloadIfChanged() {
+	if r.hasChanged() {
+		r.reload()
 	}
 }
 
-// read reads the file again.
-func (r *reloader) read() {
+// reload loads the file again.
+func (r *reloader) reload() {
 	if r.path == "" {
 		return
 	}
-	r.changed()
+	r.hasChanged()
 	loaded, err := settings.Load(r.path)
 	if err != nil {
-		r.logger.Warn("settings ignored", zap.Error(err))
+		r.logger.Warn("settings reload failed, previous settings stay in force", zap.Error(err))
 		return
 	}
 	r.apply(loaded)
-	r.logger.Info("settings read again")
+	r.logger.Info("settings reloaded")
 }
--- a/internal/proxy/state_test.go
+++ b/internal/proxy/snapshot_test.go
@@ -23,7 +23,7 @@
 	return &pb.Change{Sequence: 1, Generation: 7, ReplacesAll: true, Upserts: []*pb.Item{routeItem(1), serviceItem(1)}}
 }
 
-func wholeRepair(sequence, generation uint64, items ...*pb.Item) *pb.Repair {
+func fullRepair(sequence, generation uint64, items ...*pb.Item) *pb.Repair {
 	repair := &pb.Repair{Sequence: sequence, Generation: generation}
 	for index := range catalog.RangeCount {
 		repair.Ranges = append(repair.Ranges, &pb.Range{Index: uint32(index)})
@@ -33,65 +33,65 @@
 }
 
 func TestStateFollowsChangesInSequence(t *testing.T) {
-	s := newState()
-	require.True(t, s.wantsWhole())
+	s := newSnapshotStore()
+	require.True(t, s.needsFullState())
 	require.False(t, s.load().configured())
 
-	held, done := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
-	require.True(t, done.tableChanged)
-	require.Empty(t, done.leftOut)
-	require.Empty(t, done.inPart)
-	require.EqualValues(t, 7, held.generation)
-	require.Equal(t, 1, held.table.Routes())
-	require.False(t, s.wantsWhole())
+	current, applied := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
+	require.True(t, applied.tableChanged)
+	require.Empty(t, applied.rejected)
+	require.Empty(t, applied.partial)
+	require.EqualValues(t, 7, current.generation)
+	require.Equal(t, 1, current.table.Routes())
+	require.False(t, s.needsFullState())
 
-	_, done = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
-	require.False(t, done.tableChanged, "a change that was taken is ignored")
+	_, applied = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
+	require.False(t, applied.tableChanged, "a change that was applied already is ignored")
 
 	evacuate := &pb.Change{Sequence: 2, Generation: 7, Upserts: []*pb.Item{{Kind: catalog.KindEvacuation, Name: "z1", Sequence: 2}}}
-	held, _ = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{evacuate}})
-	require.Equal(t, []string{"z1"}, held.table.Evacuated())
-	require.Equal(t, 1, held.table.Routes())
+	current, _ = s.apply(&pb.ApplyRequest{Changes: []*pb.Change{evacuate}})
+	require.Equal(t, []string{"z1"}, current.table.Evacuated())
+	require.Equal(t, 1, current.table.Routes())
 }
 
 func TestStateAsksForTheWholeAfterAGap(t *testing.T) {
-	s := newState()
+	s := newSnapshotStore()
 	s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
-	held, done := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: 3, Generation: 9}}, Confirmed: true})
-	require.False(t, done.tableChanged)
-	require.EqualValues(t, 1, held.sequence)
-	require.False(t, held.confirmed, "what was confirmed is not held")
-	require.True(t, s.wantsWhole())
-
-	held, _ = s.apply(&pb.ApplyRequest{Repair: &pb.Repair{Sequence: 3, Generation: 9, Ranges: []*pb.Range{{Index: 1}}}})
-	require.EqualValues(t, 1, held.sequence, "a part of a state is not enough")
-	require.True(t, s.wantsWhole())
-
-	held, done = s.apply(&pb.ApplyRequest{Repair: wholeRepair(3, 9, serviceItem(3)), Confirmed: true})
-	require.True(t, done.tableChanged)
-	require.EqualValues(t, 3, held.sequence)
-	require.Zero(t, held.table.Routes())
-	require.True(t, held.confirmed)
-	require.False(t, s.wantsWhole())
+	current, applied := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: 3, Generation: 9}}, Confirmed: true})
+	require.False(t, applied.tableChanged)
+	require.EqualValues(t, 1, current.sequence)
+	require.False(t, current.confirmed, "the confirmed state is not in force")
+	require.True(t, s.needsFullState())
+
+	current, _ = s.apply(&pb.ApplyRequest{Repair: &pb.Repair{Sequence: 3, Generation: 9, Ranges: []*pb.Range{{Index: 1}}}})
+	require.EqualValues(t, 1, current.sequence, "a repair of some ranges is not enough")
+	require.True(t, s.needsFullState())
+
+	current, applied = s.apply(&pb.ApplyRequest{Repair: fullRepair(3, 9, serviceItem(3)), Confirmed: true})
+	require.True(t, applied.tableChanged)
+	require.EqualValues(t, 3, current.sequence)
+	require.Zero(t, current.table.Routes())
+	require.True(t, current.confirmed)
+	require.False(t, s.needsFullState())
 }
 
 func TestStateNeverFallsBack(t *testing.T) {
-	s := newState()
-	s.apply(&pb.ApplyRequest{Repair: wholeRepair(5, 9, routeItem(5), serviceItem(5))})
+	s := newSnapshotStore()
+	s.apply(&pb.ApplyRequest{Repair: fullRepair(5, 9, routeItem(5), serviceItem(5))})
 	for _, request := range []*pb.ApplyRequest{
-		{Repair: wholeRepair(4, 8)},
-		{Repair: wholeRepair(5, 9)},
+		{Repair: fullRepair(4, 8)},
+		{Repair: fullRepair(5, 9)},
 		{Changes: []*pb.Change{firstChange()}},
 	} {
-		held, done := s.apply(request)
-		require.False(t, done.tableChanged)
-		require.EqualValues(t, 5, held.sequence)
-		require.Equal(t, 1, held.table.Routes())
+		current, applied := s.apply(request)
+		require.False(t, applied.tableChanged)
+		require.EqualValues(t, 5, current.sequence)
+		require.Equal(t, 1, current.table.Routes())
 	}
 }
 
 func TestServerListsOnlyRise(t *testing.T) {
-	s := newState()
+	s := newSnapshotStore()
 	list := func(epoch uint64, holder string, revision uint64, ids ...string) *pb.ServerList {
 		made := &pb.ServerList{Version: &pb.ListVersion{Epoch: epoch, Holder: holder, Revision: revision}}
 		for _, id := range ids {
@@ -112,15 +112,15 @@
 		{nil, false},
 	}
 	for index, step := range steps {
-		_, done := s.apply(&pb.ApplyRequest{List: step.list})
-		require.Equal(t, step.taken, done.listChanged, "step %d", index)
+		_, applied := s.apply(&pb.ApplyRequest{List: step.list})
+		require.Equal(t, step.taken, applied.listChanged, "step %d", index)
 	}
 	require.Empty(t, s.load().servers)
 }
 
 func TestReadiness(t *testing.T) {
-	s := newState()
-	life := &lifecycle{held: s.load}
+	s := newSnapshotStore()
+	life := &lifecycle{snapshot: s.load}
 	require.False(t, life.ready(s.load()))
 	s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
 	require.False(t, life.ready(s.load()))
@@ -128,7 +128,7 @@
 	require.False(t, life.ready(s.load()))
 	s.apply(&pb.ApplyRequest{Confirmed: true})
 	require.True(t, life.ready(s.load()))
-	life.enter(phaseLeaving)
+	life.enter(phaseDraining)
 	require.False(t, life.ready(s.load()))
 	require.True(t, life.draining())
 }
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -8,128 +8,118 @@
 	"github.com/cockroachdb/errors"
 
 	"fieldrelay/internal/placement"
-	"fieldrelay/internal/proxy/upstream"
 )
 
-const (
-	// maxEvent is the largest event that is passed on.
-	maxEvent = 256 << 10
-)
+// maxEventBytes is the largest event that is forwarded.
+const maxEventBytes = 256 << 10
 
 var (
-	errEventTooLarge = errors.New("event is too large")
-	errNotContinued  = errors.New("the stream was not taken up after the last event")
+	errEventTooLarge = errors.New("event in the stream is too large")
+	errNotResumed    = errors.New("server did not resume the stream after the last event")
 )
 
-// clientStream is the answer to one client that is made of events, from one server or, where the stream may
-// be resumed, from several in turn.
+// clientStream is a client's response that is made of server-sent events, from one server or, where the route
+// allows it, from several in turn.
 type clientStream struct {
-	writer     http.ResponseWriter
-	flusher    http.Flusher
-	scanner    *eventScanner
-	mayResume  bool // the route allows it
-	anyPassed  bool // an event was passed on
-	continuing bool // the next event must follow on the last one
+	writer    http.ResponseWriter
+	flusher   http.Flusher
+	scanner   *eventScanner
+	resumable bool // the route allows it to be resumed
+	eventSent bool // an event was sent to the client
+	resuming  bool // the next event must come after the last one sent
 }
 
-// resumable tells whether another server can go on where the stream was cut: after the event that was passed on
-// last, which the id of an earlier one would bring again.
-func (s *clientStream) resumable() bool {
-	return s.mayResume && (!s.anyPassed || (s.scanner.lastID != "" && !s.scanner.unnumbered))
+// canResume reports whether another server can continue the stream after the event that was sent last. It can't if
+// that event had no id: continuing after the id of an earlier event would repeat it.
+func (s *clientStream) canResume() bool {
+	return s.resumable && (!s.eventSent || (s.scanner.lastID != "" && !s.scanner.eventWithoutID))
 }
 
-// lastID is the id of the last event that was passed on, empty if there was none.
+// lastID is the id of the last event that was sent; empty if there was none.
 func (s *clientStream) lastID() string { return s.scanner.lastID }
 
-// restart prepares for the events of another server. What was read of a torn event is dropped.
+// restart prepares for the events of another server. An incomplete event of the earlier one is dropped.
 func (s *clientStream) restart() {
 	last := s.scanner.lastID
 	s.scanner = newEventScanner()
 	s.scanner.lastID = last
-	s.continuing = s.anyPassed
+	s.resuming = s.eventSent
 }
 
-// receiveStream passes the events of one server on.
-func (a *attempt) receiveStream() verdict {
-	if a.exchange.stream == nil {
+// receiveStream forwards the events of one server.
+func (a *attempt) receiveStream() attemptOutcome {
+	if a.stream == nil {
 		a.beginStream()
 	} else {
-		a.exchange.stream.restart()
+		a.stream.restart()
 	}
-	err := a.passEvents(a.exchange.stream)
+	err := a.forwardEvents(a.stream)
 	var writeError *clientWriteError
 	switch {
 	case err == nil:
-		a.close(fateRan, placement.Done, true)
+		a.close(executed, placement.Done, true)
 		a.success = true
-		return verdictDelivered
+		return outcomeDelivered
 	case errors.As(err, &writeError):
-		a.close(fateRan, placement.ClientGone, false)
-		return verdictGone
+		a.close(executed, placement.Canceled, false)
+		return outcomeCanceled
 	default:
-		a.close(fateRan, outcomeOfError(a.conn.BodyError(err)), false)
-		return a.failedUnlessGone()
+		a.close(executed, placementOutcomeOfError(a.conn.BodyError(err)), false)
+		return a.failedOrCanceled()
 	}
 }
 
-// beginStream passes the head on. It goes out at once, unless the first event is there already and can go
-// with it.
+// beginStream sends the headers of the stream. They are flushed at once unless the first event has been received
+// already and can go with them.
 func (a *attempt) beginStream() {
 	flusher, _ := a.client.(http.Flusher)
 	stream := &clientStream{
 		writer:    a.client,
 		flusher:   flusher,
 		scanner:   newEventScanner(),
-		mayResume: a.route.Resumable,
+		resumable: a.route.Resumable,
 	}
 	header := a.client.Header()
-	copyAnswerHeader(header, a.response.Header)
-	if told := a.response.Header["Content-Length"]; len(told) > 0 && !stream.mayResume {
-		header["Content-Length"] = told
+	copyResponseHeader(header, a.response.Header)
+	if length := a.response.Header["Content-Length"]; len(length) > 0 && !stream.resumable {
+		header["Content-Length"] = length
 	}
-	a.beginAnswer()
-	if !a.conn.MoreBuffered() {
+	a.sendHeaders()
+	if !a.conn.HasBuffered() {
 		flusher.Flush()
 	}
-	a.exchange.stream = stream
+	a.stream = stream
 }
 
-// clientWriteError tells that the client no longer takes its answer.
-type clientWriteError struct{ err error }
-
-func (e *clientWriteError) Error() string { return "write to the client: " + e.err.Error() }
-
-func (e *clientWriteError) Unwrap() error { return e.err }
-
-// passEvents passes events on as they come, each batch that came together by one write. It returns nil at
-// the proper end of the stream.
-func (a *attempt) passEvents(stream *clientStream) error {
-	pooled := buffers.Get().(*[]byte)
-	defer buffers.Put(pooled)
+// forwardEvents forwards events as they come. Events that came together are written together. It returns nil at the
+// proper end of the stream.
+func (a *attempt) forwardEvents(stream *clientStream) error {
+	pooled := bufferPool.Get().(*[]byte)
+	defer bufferPool.Put(pooled)
 	buffer := (*pooled)[:cap(*pooled)]
 	filled := 0
 	for {
 		n, readError := a.response.Body.Read(buffer[filled:])
-		whole, err := stream.take(buffer[filled : filled+n])
+		complete, err := stream.scan(buffer[filled : filled+n])
 		if err != nil {
 			return err
 		}
-		if whole > 0 {
-			if err := a.passBatch(stream, buffer[:filled+whole]); err != nil {
+		if complete > 0 {
+			if err := a.forwardBatch(stream, buffer[:filled+complete]); err != nil {
 				return err
 			}
-			copy(buffer, buffer[filled+whole:filled+n])
-			filled = n - whole
+			copy(buffer, buffer[filled+complete:filled+n])
+			filled = n - complete
 		} else {
 			filled += n
 		}
 		switch {
-		case readError == io.EOF:
-			return a.passRest(stream, buffer[:filled])
+		case readError == io.EOF: // never wrapped, see io.Reader
+			return a.forwardTail(stream, buffer[:filled])
 		case readError != nil:
 			return readError
 		case filled == len(buffer):
-			if len(buffer) >= maxEvent {
+			if len(buffer) >= maxEventBytes {
 				return errEventTooLarge
 			}
 			buffer = append(buffer, make([]byte, len(buffer))...)
@@ -137,49 +127,51 @@
 	}
 }
 
-// take scans bytes that came and returns how many of them end with a whole event, 0 if none ended.
-func (s *clientStream) take(data []byte) (whole int, err error) {
+// scan scans received bytes and returns how many of them end with a complete event, 0 if none ended. It returns
+// errNotResumed if a server that continues a stream begins with an event that the client has already.
+func (s *clientStream) scan(data []byte) (complete int, err error) {
 	for position := 0; position < len(data); {
 		before := s.scanner.lastID
-		taken, ended := s.scanner.scan(data[position:])
-		position += taken
+		scanned, ended := s.scanner.scan(data[position:])
+		position += scanned
 		if !ended {
 			break
 		}
-		if s.continuing && !follows(before, s.scanner.lastID) {
+		if s.resuming && !isLaterID(before, s.scanner.lastID) {
 			s.scanner.lastID = before
-			return 0, errNotContinued
+			return 0, errNotResumed
 		}
-		s.continuing = false
-		whole = position
+		s.resuming = false
+		complete = position
 	}
-	return whole, nil
+	return complete, nil
 }
 
-func (a *attempt) passBatch(stream *clientStream, batch []byte) error {
-	if a.firstAnswer.IsZero() {
-		a.firstAnswer = time.Now()
+// forwardBatch sends the client bytes that end with a complete event, and flushes them.
+func (a *attempt) forwardBatch(stream *clientStream, batch []byte) error {
+	if a.firstByte.IsZero() {
+		a.firstByte = time.Now()
 	}
 	if _, err := stream.writer.Write(batch); err != nil {
 		return &clientWriteError{err}
 	}
 	stream.flusher.Flush()
-	if !a.spoke {
+	if !a.eventForwarded {
 		a.handler.dispatcher.started(a.decision.Attempt)
 	}
-	a.spoke = true
-	stream.anyPassed = true
+	a.eventForwarded = true
+	stream.eventSent = true
 	return nil
 }
 
-// passRest passes on what follows the last event at the proper end of a stream. A stream that ends with its
-// connection has no proper end within an event: its server broke off.
-func (a *attempt) passRest(stream *clientStream, rest []byte) error {
+// forwardTail forwards what follows the last complete event at the end of a stream. If the stream is
+// close-delimited, an end within an event can't be told from a server that broke off, and counts as that.
+func (a *attempt) forwardTail(stream *clientStream, rest []byte) error {
 	if len(rest) == 0 {
 		return nil
 	}
-	if upstream.EndsWithConnection(a.response) {
+	if a.response.IsCloseDelimited() {
 		return io.ErrUnexpectedEOF
 	}
-	return a.passBatch(stream, rest)
+	return a.forwardBatch(stream, rest)
 }
--- a/internal/proxy/trial_test.go
+++ b/internal/proxy/trial_test.go
@@ -25,7 +25,7 @@
 	return strings.HasPrefix(target, "/long/s/") || strings.HasPrefix(target, "/long/r/")
 }
 
-// framing is how the end of an answer is told.
+// framing is how the end of a response is marked.
 type framing int
 
 const (
@@ -41,12 +41,12 @@
 const (
 	reactsWell      reaction = iota // 200
 	reactsFailed                    // 500
-	reactsDeclined                  // 503 with the promise that the request has not run
+	reactsDeclined                  // 503 that says that the request was not run
 	reactsUnclearly                 // 503 without
 	reactions
 )
 
-// stage is where a server does something else than it should.
+// stage is where a server injects its fault.
 type stage int
 
 const (
@@ -54,32 +54,32 @@
 	inAnswer               // so many bytes of the answer were written
 )
 
-// misdeed is what it does there.
-type misdeed int
+// fault is what it does there.
+type fault int
 
 const (
-	resetsThere   misdeed = iota
-	closesThere           // both ways
-	fallsSilent           // and keeps the connection
-	answersEarly          // then reads on
-	answersLater          // like answersEarly, but reads on when its client has its answer
-	answersCloses         // answers early, then closes
-	writesGarbage         // then closes
-	answersTwice          // at once
-	repeatsLater          // answers once more where the answer to the next request is due
-	answersOther          // with the id of another request, then with its own
-	splices               // bytes of another answer directly before its own
-	clientLeaves          // it falls silent, and the client leaves
+	resetsThere   fault = iota
+	closesThere         // both ways
+	fallsSilent         // and keeps the connection
+	answersEarly        // then reads on
+	answersLater        // like answersEarly, but reads on when its client has its answer
+	answersCloses       // answers early, then closes
+	writesGarbage       // then closes
+	answersTwice        // at once
+	repeatsLater        // answers once more where the answer to the next request is due
+	answersOther        // with the id of another request, then with its own
+	splices             // bytes of another answer directly before its own
+	clientLeaves        // it falls silent, and the client leaves
 )
 
-var misdeedNames = map[misdeed]string{
+var misdeedNames = map[fault]string{
 	resetsThere: "resets", closesThere: "closes", fallsSilent: "falls silent", answersEarly: "answers early",
 	answersLater: "answers early, reads on later", answersCloses: "answers early and closes", writesGarbage: "writes garbage",
 	answersTwice: "answers twice", repeatsLater: "repeats its answer later", answersOther: "answers another first",
 	splices: "splices answers", clientLeaves: "is left by the client",
 }
 
-// trial is one request that meets a server which misbehaves at one place.
+// trial is one request to a server that injects one fault.
 type trial struct {
 	kind     requestKind
 	framing  framing
@@ -87,7 +87,7 @@
 	reused   bool // the connection to the server has served before
 	stage    stage
 	offset   int // bytes
-	misdeed  misdeed
+	fault    fault
 	id       string
 	payload  string
 }
@@ -98,7 +98,7 @@
 		where = "of the answer"
 	}
 	return fmt.Sprintf("%s, framing %d, reaction %d, reused %v: server %s at byte %d %s",
-		tr.kind.name, tr.framing, tr.reaction, tr.reused, misdeedNames[tr.misdeed], tr.offset, where)
+		tr.kind.name, tr.framing, tr.reaction, tr.reused, misdeedNames[tr.fault], tr.offset, where)
 }
 
 // pieces is the number of events of a stream.
@@ -108,7 +108,7 @@
 	return fmt.Sprintf("id: %d\ndata: %s by %s\n\n", number, id, server)
 }
 
-// answerOf is the head and the framed body with which a server answers a request.
+// answerOf returns the head and the framed body with which a server responds to a request.
 func answerOf(server, id string, stream bool, after int, framed framing, react reaction) (head, body string) {
 	var parts []string
 	switch {
--- a/internal/proxy/upstream/idle.go
+++ b/internal/proxy/upstream/idle.go
@@ -1,52 +1,35 @@
 package upstream
 
 import (
-	"net/http"
-	"strconv"
-	"strings"
-	"time"
+	"errors"
+	"syscall"
 )
 
+// idleState is what a check of an idle connection finds.
+type idleState uint8
+
 const (
-	// defaultIdleTime is how long a connection is kept idle when the server tells no time.
-	defaultIdleTime = 4 * time.Second
-	// maxIdleTime bounds the time that a server may tell.
-	maxIdleTime = 30 * time.Second
-	// minIdleTime is the shortest time worth keeping a connection for.
-	minIdleTime = 100 * time.Millisecond
-	// idleMargin is left before the server would close the connection: the way there takes time.
-	idleMargin = 500 * time.Millisecond
+	idleUsable      idleState = iota // open, and nothing is there to read
+	idleUnusable                     // closed by the server, or unexpected bytes came
+	idleUnreachable                  // the other machine has not acknowledged the kernel's keep-alive probes
 )
 
-// noteIdleTime remembers the time that a server gives in Keep-Alive.
-func (c *Conn) noteIdleTime(header http.Header) {
-	values := header["Keep-Alive"]
-	if len(values) == 0 {
-		return
-	}
-	if told, ok := keepAliveTimeout(values[0]); ok {
-		c.idleTime = usableIdleTime(told)
+// checkIdle checks an idle connection with one read that doesn't block.
+func (c *Conn) checkIdle() idleState {
+	var readError error
+	var n int
+	err := c.raw.Read(func(descriptor uintptr) bool {
+		n, readError = syscall.Read(int(descriptor), c.peekBuffer[:])
+		return true
+	})
+	switch {
+	case err != nil || n > 0:
+		return idleUnusable
+	case errors.Is(readError, syscall.EAGAIN):
+		return idleUsable
+	case errors.Is(readError, syscall.ETIMEDOUT):
+		return idleUnreachable
+	default:
+		return idleUnusable
 	}
 }
-
-// keepAliveTimeout reads the timeout parameter of a Keep-Alive header.
-func keepAliveTimeout(value string) (time.Duration, bool) {
-	for parameter := range strings.SplitSeq(value, ",") {
-		name, number, found := strings.Cut(strings.TrimSpace(parameter), "=")
-		if !found || !strings.EqualFold(strings.TrimSpace(name), "timeout") {
-			continue
-		}
-		seconds, err := strconv.ParseUint(strings.Trim(number, "\" "), 10, 16)
-		if err != nil {
-			return 0, false
-		}
-		return time.Duration(seconds) * time.Second, true
-	}
-	return 0, false
-}
-
-// usableIdleTime is the part of the told time during which a connection is reused.
-func usableIdleTime(told time.Duration) time.Duration {
-	usable := min(told, maxIdleTime) - idleMargin
-	return max(usable, 0)
-}
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -1,7 +1,13 @@
-// Package upstream holds the connections to servers: HTTP/1.1, one request at a time on each connection.
+// Package upstream keeps connections to servers: HTTP/1.1 over TCP, one request at a time on each connection.
 //
-// A connection is reused only while it is certain that nothing but the answer to the next request can come
-// on it: the last answer was read whole, nothing followed it, and the server has not closed.
+// It promises that a response is taken only for the request it belongs to. A connection is reused only if nothing but
+// the response to the next request can come on it: the last response was read to its end, nothing followed it, the last
+// request was received completely, and the server has not closed. Errors say whether a request can have reached the
+// server (DialError, SendError, ResponseError).
+//
+// It is not a general HTTP client: it neither retries nor follows redirects, and it doesn't know TLS or HTTP/2. Which
+// server gets a request and whether it is retried is decided in package proxy. docs/region-rules.md lists the
+// rules that it keeps.
 package upstream
 
 import (
@@ -16,112 +22,124 @@
 	maxIdlePerServer = 16
 	// maxIdle bounds the idle connections to all servers together.
 	maxIdle = 512
-	// minDial is the shortest wait for a connection to come up that makes sense.
-	minDial = 50 * time.Millisecond
-	// dialShare is the part of the time left (one in dialShare) that one connection may take to come up.
-	dialShare = 3
-	// contactIdle is how long the machine at the other end of an idle connection may give no sign of itself.
-	contactIdle = 500 * time.Millisecond
-	// probeAfter is the silence after which the system asks a machine for a sign of life. It gives the connection
-	// up probeEvery later, or when the contact that its user set has passed, whichever the system goes by.
-	probeAfter = time.Second
-	probeEvery = time.Second
-	probeCount = 1
+	// minDialTimeout is the shortest timeout of a dial that makes sense.
+	minDialTimeout = 50 * time.Millisecond
+	// dialFraction is the fraction of the remaining time (one in dialFraction) that one dial may take.
+	dialFraction = 3
+	// idleUserTimeout is the user timeout of idle connections, see Conn.setUserTimeout.
+	idleUserTimeout = 500 * time.Millisecond
+	// keepAliveIdle is the time without traffic after which the kernel sends a keep-alive probe. It gives the
+	// connection up keepAliveInterval later, or when the user timeout has passed, whichever the kernel goes by.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 1
 )
 
-// Server is one life of a server at one address.
+// Server is one incarnation of a server at one address.
 type Server struct {
 	ID      string
 	Address string // ip:port
 }
 
-// DialTimeouts tells how long a machine may fail to answer before a connection to it is given up. It is about
-// the other machine's system: a server that is silent because it works is waited for until the deadline.
+// DialTimeouts bounds how long a server's machine may not answer at the level of TCP. A server that is busy with a
+// request while its machine acknowledges is not affected: it has until the deadline.
 type DialTimeouts struct {
-	Dial    time.Duration // for a new connection to come up
-	Contact time.Duration // without any sign of the machine, while one is asked for
+	Dial           time.Duration // for a new connection to come up
+	Unacknowledged time.Duration // for sent data and keep-alive probes to be acknowledged; see RFC 5482
 }
 
-// host is what the pool knows of one server.
-type host struct {
-	idle []*Conn // the one used last is last
-	// idleTime is how long idle connections to this server have proved to stay open.
-	idleTime time.Duration
+// serverConns is what the pool knows of one server.
+type serverConns struct {
+	idle []*Conn // in the order of their last use
+	// idleTimeout bounds how long connections to this server are kept idle. It starts at maxIdleTimeout and falls when
+	// the server closes earlier than that.
+	idleTimeout time.Duration
 }
 
 // Stats counts what a pool has done since its start.
 type Stats struct {
-	Dialled  uint64 // connections that came up
-	Refused  uint64 // connections that did not
-	Reused   uint64 // requests on a connection that had served before
-	Stale    uint64 // idle connections found closed by the server
-	Surplus  uint64 // connections given up because bytes followed a whole answer
-	IdleNow  int
-	HostsNow int
+	Dialed      uint64 // connections that came up
+	DialsFailed uint64 // connections that did not
+	Reused      uint64 // requests on a connection that had served before
+	Stale       uint64 // idle connections that the server had closed
+	Surplus     uint64 // connections closed since bytes followed a complete response
+	IdleNow     int    // idle connections at present
+	ServersNow  int    // servers known at present
 }
 
-// Pool keeps idle connections. It is safe for concurrent use.
+// Pool keeps idle connections to servers. It is safe for concurrent use.
 type Pool struct {
-	config Config
-	mu     sync.Mutex
-	hosts  map[Server]*host
-	idle   int
-	closed bool
-	stats  Stats
+	config  Config
+	mu      sync.Mutex // guards what follows
+	servers map[Server]*serverConns
+	idle    int // idle connections to all servers
+	closed  bool
+	stats   Stats
 }
 
-// Config is what a pool is told once. The zero value is the usual one.
+// Config sets a pool up. The zero value is the default.
 type Config struct {
-	KeepNone bool // no connection is used again
+	DisableReuse bool // close each connection after one request
 }
 
 // NewPool returns an empty pool.
 func NewPool(config Config) *Pool {
-	return &Pool{config: config, hosts: make(map[Server]*host)}
+	return &Pool{config: config, servers: make(map[Server]*serverConns)}
 }
 
-// Connect returns a connection to the server whose reads and writes end at the deadline: an idle one, or
-// else a new one. A failure is a *DialError.
-func (p *Pool) Connect(ctx context.Context, server Server, patience DialTimeouts, deadline time.Time) (*Conn, error) {
+// Connect returns a connection to the server, an idle one or else a new one. Its reads and writes fail at the deadline.
+// The context bounds the dial only. A failure is a *DialError.
+func (p *Pool) Connect(ctx context.Context, server Server, timeouts DialTimeouts, deadline time.Time) (*Conn, error) {
 	conn := p.takeIdle(server, deadline)
 	if conn == nil {
 		var err error
-		began := time.Now()
-		if conn, err = p.dial(ctx, server, patience, deadline); err != nil {
-			p.countDial(false)
-			silent := ctx.Err() == nil && time.Since(began) >= patience.Dial
-			return nil, &DialError{Server: server, TimedOut: silent, Err: err}
+		if conn, err = p.dialCounted(ctx, server, timeouts, deadline); err != nil {
+			return nil, err
 		}
-		p.countDial(true)
 	}
-	conn.setContact(patience.Contact)
+	conn.setUserTimeout(timeouts.Unacknowledged)
+	return conn, nil
+}
+
+// dialCounted opens a connection, counts the result, and classifies a failure.
+func (p *Pool) dialCounted(ctx context.Context, server Server, timeouts DialTimeouts, deadline time.Time) (*Conn, error) {
+	start := time.Now()
+	conn, err := p.dial(ctx, server, timeouts, deadline)
+	p.recordDial(err == nil)
+	if err != nil {
+		timedOut := ctx.Err() == nil && time.Since(start) >= timeouts.Dial
+		return nil, &DialError{Server: server, TimedOut: timedOut, Err: err}
+	}
 	return conn, nil
 }
 
+// takeIdle returns the idle connection that was used last and is still usable; nil if there is none. It closes those
+// that are not usable. The sockets are checked without the lock.
 func (p *Pool) takeIdle(server Server, deadline time.Time) *Conn {
 	for {
 		conn := p.popIdle(server)
 		if conn == nil {
 			return nil
 		}
-		age := time.Since(conn.idleFrom)
-		if age >= conn.idleTime {
+		age := time.Since(conn.idleSince)
+		if age >= conn.idleTimeout {
 			conn.close()
 			continue
 		}
 		conn.SetDeadline(deadline)
-		if conn.look() == conditionQuiet {
+		if conn.checkIdle() == idleUsable {
 			return conn
 		}
 		conn.close()
-		p.noteStale(server, age)
+		p.recordStale(server, age)
 	}
 }
 
+// popIdle removes the idle connection that was used last, and counts it as reused.
 func (p *Pool) popIdle(server Server) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.hosts[server]
+	known := p.servers[server]
 	if known == nil || len(known.idle) == 0 {
 		return nil
 	}
@@ -134,23 +152,24 @@
 	return conn
 }
 
-// noteStale learns from a connection that the server closed while it was idle: the server keeps idle
-// connections for less than that age.
-func (p *Pool) noteStale(server Server, age time.Duration) {
+// recordStale counts an idle connection that the server had closed, and lowers the idle timeout of the server, which
+// closes idle connections earlier than at that age. It takes back the count that popIdle made.
+func (p *Pool) recordStale(server Server, age time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.Stale++
 	p.stats.Reused--
-	if known := p.hosts[server]; known != nil {
-		known.idleTime = max(min(known.idleTime, age/2), minIdleTime)
+	if known := p.servers[server]; known != nil {
+		known.idleTimeout = max(min(known.idleTimeout, age/2), minIdleTimeout)
 	}
 }
 
-func (p *Pool) dial(ctx context.Context, server Server, patience DialTimeouts, deadline time.Time) (*Conn, error) {
+// dial opens a connection with keep-alive probes and the given deadline.
+func (p *Pool) dial(ctx context.Context, server Server, timeouts DialTimeouts, deadline time.Time) (*Conn, error) {
 	dialer := net.Dialer{
-		Timeout: dialTimeout(patience.Dial, time.Until(deadline)),
+		Timeout: dialTimeout(timeouts.Dial, time.Until(deadline)),
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
 		},
 	}
 	socket, err := dialer.DialContext(ctx, "tcp4", server.Address)
@@ -166,31 +185,32 @@
 	return conn, nil
 }
 
-// dialTimeout is the longest that one connection may take to come up when so much time is left.
-func dialTimeout(patience, left time.Duration) time.Duration {
-	return max(min(patience, left/dialShare), minDial)
+// dialTimeout bounds one dial by its own limit and by a fraction of the remaining time, so that a further server can
+// be tried.
+func dialTimeout(limit, left time.Duration) time.Duration {
+	return max(min(limit, left/dialFraction), minDialTimeout)
 }
 
-func (p *Pool) countDial(up bool) {
+func (p *Pool) recordDial(succeeded bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if up {
-		p.stats.Dialled++
+	if succeeded {
+		p.stats.Dialed++
 	} else {
-		p.stats.Refused++
+		p.stats.DialsFailed++
 	}
 }
 
-// Release gives a connection back after an answer was read to its end. It is kept when it can be reused
-// and closed otherwise: also when the answer came before the server had read the whole request, the rest of which
-// is due before anything else.
+// Release returns a connection whose response was read to its end. It becomes idle if it can be reused, and is closed
+// otherwise. A connection whose server responded before it had received the whole request is closed: the rest of that
+// request would come before the next one.
 func (p *Pool) Release(conn *Conn) {
 	conn.stopSending()
-	surplus := conn.MoreBuffered()
-	reusable := !conn.broken && !surplus && conn.idleTime >= minIdleTime && conn.delivered()
+	surplus := conn.HasBuffered()
+	reusable := !conn.broken && !surplus && conn.idleTimeout >= minIdleTimeout && conn.acknowledged()
 	conn.detachReader()
 	if reusable {
-		conn.setContact(contactIdle)
+		conn.setUserTimeout(idleUserTimeout)
 		if p.keep(conn) {
 			return
 		}
@@ -203,42 +223,43 @@
 	}
 }
 
+// keep makes a connection idle and returns true, unless a bound is reached or the pool is closed.
 func (p *Pool) keep(conn *Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.config.KeepNone || p.idle >= maxIdle {
+	if p.closed || p.config.DisableReuse || p.idle >= maxIdle {
 		return false
 	}
-	known := p.hosts[conn.server]
+	known := p.servers[conn.server]
 	if known == nil {
-		known = &host{idleTime: maxIdleTime}
-		p.hosts[conn.server] = known
+		known = &serverConns{idleTimeout: maxIdleTimeout}
+		p.servers[conn.server] = known
 	}
 	if len(known.idle) >= maxIdlePerServer {
 		return false
 	}
 	conn.reused = true
-	conn.rest = nil
-	conn.idleTime = min(conn.idleTime, known.idleTime)
-	conn.idleFrom = time.Now()
+	conn.pending = nil
+	conn.idleTimeout = min(conn.idleTimeout, known.idleTimeout)
+	conn.idleSince = time.Now()
 	known.idle = append(known.idle, conn)
 	p.idle++
 	return true
 }
 
-// Discard closes a connection that must not be reused.
+// Discard resets a connection that must not be reused, and returns when the body of its request is no longer in use.
 func (p *Pool) Discard(conn *Conn) {
 	conn.Abort()
 	conn.stopSending()
 	conn.detachReader()
 }
 
-// Stats returns the counters.
+// Stats returns the counts since the start and the present numbers.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	stats := p.stats
 	stats.IdleNow = p.idle
-	stats.HostsNow = len(p.hosts)
+	stats.ServersNow = len(p.servers)
 	return stats
 }
--- a/internal/proxy/upstream/send.go
+++ b/internal/proxy/upstream/send.go
@@ -9,30 +9,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// remainder is the part of a long request that the system did not take at once. It is written by a goroutine of
-// its own, so that an answer is seen that comes before the server has read the whole request.
-type remainder struct {
-	ended   chan struct{} // closed when the goroutine is done
-	written int64         // valid once ended is closed
+// pendingWrite is the part of a long request that the kernel didn't accept at once. A goroutine of its own writes it,
+// so that a response is seen that comes before the server has read the whole request. The goroutine ends with the
+// request or with the connection; stopSending waits for it.
+type pendingWrite struct {
+	done    chan struct{} // closed when the goroutine has ended
+	written int64         // bytes of the request; valid once done is closed
 	err     error         // likewise
 }
 
-// Send writes one whole request: its head, ending with an empty line, and its body. It keeps the body, but not
-// the head, until the connection is given back to its pool. A body that is not empty may still be on its way when
-// Send returns; what becomes of it shows in Receive.
+// Send writes one request: its head, with the empty line that ends it, and its body. A failure is a *SendError.
+//
+// The head may be reused when Send returns. The body is used until the connection is released or discarded: part of it
+// may still be unsent when Send returns. Whether that part was sent shows in Receive.
 func (c *Conn) Send(head, body []byte) error {
 	c.attachReader()
-	c.long = false
+	c.separateBody = false
 	if len(body) == 0 {
 		written, err := c.socket.Write(head)
 		return c.sendError(int64(written), err)
 	}
-	c.long = true
-	written, err := c.writeNow(head, body)
+	c.separateBody = true
+	written, err := c.writeAvailable(head, body)
 	if err != nil || written == len(head)+len(body) {
 		return c.sendError(int64(written), err)
 	}
-	c.writeRest(head, body, written)
+	c.writePending(head, body, written)
 	return nil
 }
 
@@ -44,8 +46,8 @@
 	return &SendError{Server: c.server, Written: written, Err: err}
 }
 
-// writeNow hands the system as much of a request as it takes at once.
-func (c *Conn) writeNow(head, body []byte) (written int, err error) {
+// writeAvailable writes as much of a request as the kernel accepts without blocking, which may be nothing.
+func (c *Conn) writeAvailable(head, body []byte) (written int, err error) {
 	var writeError error
 	err = c.raw.Write(func(descriptor uintptr) bool {
 		written, writeError = unix.Writev(int(descriptor), [][]byte{head, body})
@@ -58,62 +60,63 @@
 	return written, err
 }
 
-// writeRest begins to write what is left of a request of which the system took some bytes.
-func (c *Conn) writeRest(head, body []byte, taken int) {
-	rest := &remainder{ended: make(chan struct{}), written: int64(taken)}
-	parts := net.Buffers{body[max(taken-len(head), 0):]}
-	if taken < len(head) {
-		parts = net.Buffers{bytes.Clone(head[taken:]), body}
+// writePending starts the goroutine that writes what is left of a request after its first written bytes.
+func (c *Conn) writePending(head, body []byte, written int) {
+	pending := &pendingWrite{done: make(chan struct{}), written: int64(written)}
+	buffers := net.Buffers{body[max(written-len(head), 0):]}
+	if written < len(head) {
+		buffers = net.Buffers{bytes.Clone(head[written:]), body}
 	}
-	c.rest = rest
+	c.pending = pending
 	go func() {
-		defer close(rest.ended)
-		written, err := parts.WriteTo(c.socket)
-		rest.written += written
-		rest.err = err
+		defer close(pending.done)
+		more, err := buffers.WriteTo(c.socket)
+		pending.written += more
+		pending.err = err
 	}()
 }
 
-// sentWhole tells whether the system has taken the whole request.
-func (c *Conn) sentWhole() bool {
-	if c.rest == nil {
+// fullySent reports whether the kernel has accepted the whole request.
+func (c *Conn) fullySent() bool {
+	if c.pending == nil {
 		return true
 	}
 	select {
-	case <-c.rest.ended:
-		return c.rest.err == nil
+	case <-c.pending.done:
+		return c.pending.err == nil
 	default:
 		return false
 	}
 }
 
-// stopSending gives up what is left of a request, and returns when its body is no longer used. It closes the
-// connection unless the request was sent whole.
+// stopSending gives up what is unsent of a request and returns when its body is no longer in use. It closes the
+// connection unless the request was fully sent: the server still expects the rest of the body.
 func (c *Conn) stopSending() {
-	if c.rest == nil {
+	if c.pending == nil {
 		return
 	}
-	if !c.sentWhole() {
+	if !c.fullySent() {
 		c.broken = true
 		c.Abort()
 	}
-	<-c.rest.ended
+	<-c.pending.done
 }
 
-// delivered tells whether the other machine's system has taken a request whole, as it has when the server answered
-// after reading it. Only long requests are looked at: the others fit into what any system takes.
-func (c *Conn) delivered() bool {
-	if !c.long {
+// acknowledged reports whether the other machine's kernel has received all of a request, as it has when the server
+// responds after reading it. Only requests with a separate body are checked: the others are smaller than any send
+// buffer. Where the kernel doesn't support the query, the request counts as received.
+func (c *Conn) acknowledged() bool {
+	if !c.separateBody {
 		return true
 	}
-	waiting, known := 0, false
+	unacknowledged, known := 0, false
 	err := c.raw.Control(func(descriptor uintptr) {
 		var failure error
-		waiting, failure = unix.IoctlGetInt(int(descriptor), unix.SIOCOUTQ)
+		unacknowledged, failure = unix.IoctlGetInt(int(descriptor), unix.SIOCOUTQ)
 		known = failure == nil
 	})
-	return err == nil && (!known || waiting == 0)
+	return err == nil && (!known || unacknowledged == 0)
 }
 
-// sentNothing tells whether no byte of a request whose sending was stopped has left.
-func (c *Conn) sentNothing() bool { return c.rest != nil && c.rest.written == 0 }
+// nothingSent reports whether no byte of a request whose sending was stopped has left.
+func (c *Conn) nothingSent() bool { return c.pending != nil && c.pending.written == 0 }
--- a/internal/proxy/upstream/send_test.go
+++ b/internal/proxy/upstream/send_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// longBody is more than the systems of both ends take while the server does not read.
+// longBody is more than the kernels of both ends buffer while the server does not read.
 const longBody = 32 << 20
 
 func longRequest() (head, body []byte) {
@@ -23,8 +23,8 @@
 	return head, body
 }
 
-// early reads the head of a request, answers, and calls then with what is read from then on.
-func early(answer string, then func(conn *net.TCPConn, rest *bufio.Reader)) func(*net.TCPConn) {
+// respondEarly reads the head of a request, responds, and calls then with the reader of the rest.
+func respondEarly(answer string, then func(conn *net.TCPConn, rest *bufio.Reader)) func(*net.TCPConn) {
 	return func(conn *net.TCPConn) {
 		reader := bufio.NewReader(conn)
 		if _, err := http.ReadRequest(reader); err != nil {
@@ -35,8 +35,8 @@
 	}
 }
 
-// sendLong sends a long request to a server and reads the head of its answer.
-func sendLong(t *testing.T, pool *Pool, server Server) (*Conn, []byte, *http.Response, error) {
+// sendLong sends a long request to a server and receives the head of its response.
+func sendLong(t *testing.T, pool *Pool, server Server) (*Conn, []byte, Response, error) {
 	t.Helper()
 	conn := connect(t, pool, server)
 	head, body := longRequest()
@@ -46,12 +46,12 @@
 	return conn, body, response, err
 }
 
-// A server that answers before it has read a long body gets the rest of that body or nothing: never the bytes of
+// A server that responds before it has read a long body gets the rest of that body or nothing, never the bytes of
 // another request.
 func TestEarlyAnswerEndsAConnectionWhoseRequestWasNotSentWhole(t *testing.T) {
 	answered := make(chan struct{})
 	got := make(chan []byte, 1)
-	server := scriptedServer(t, early(goodAnswer, func(_ *net.TCPConn, rest *bufio.Reader) {
+	server := scriptedServer(t, respondEarly(goodAnswer, func(_ *net.TCPConn, rest *bufio.Reader) {
 		<-answered
 		all, _ := io.ReadAll(rest)
 		got <- all
@@ -69,24 +69,24 @@
 	require.True(t, bytes.HasPrefix(body, rest))
 }
 
-// requireBodyUnused checks that nothing more is taken from a request's body, whose memory may be used again.
+// requireBodyUnused checks that a request's body is no longer read, so that its memory may be reused.
 func requireBodyUnused(t *testing.T, conn *Conn) {
 	t.Helper()
 	select {
-	case <-conn.rest.ended:
+	case <-conn.pending.done:
 	default:
 		require.Fail(t, "the body is still being sent")
 	}
 }
 
-// Once the whole request was sent, an early answer leaves the connection as good as any other.
+// Once the whole request was sent, an early response does not keep the connection from being reused.
 func TestEarlyAnswerToARequestThatIsSentWholeInTheEnd(t *testing.T) {
 	read := make(chan []byte, 1)
-	server := scriptedServer(t, early(goodAnswer, func(conn *net.TCPConn, rest *bufio.Reader) {
+	server := scriptedServer(t, respondEarly(goodAnswer, func(conn *net.TCPConn, rest *bufio.Reader) {
 		all := make([]byte, longBody)
 		_, _ = io.ReadFull(rest, all)
 		read <- all
-		answering(goodAnswer)(conn)
+		respond(goodAnswer)(conn)
 		_, _ = io.Copy(io.Discard, conn)
 	}))
 	pool := NewPool(Config{})
@@ -94,21 +94,21 @@
 	require.NoError(t, err)
 	require.Equal(t, "ok", readAll(t, response))
 	require.True(t, bytes.Equal(body, <-read))
-	require.Eventually(t, func() bool { return conn.sentWhole() && conn.delivered() }, patience, pause)
+	require.Eventually(t, func() bool { return conn.fullySent() && conn.acknowledged() }, testTimeout, pollInterval)
 	pool.Release(conn)
 	require.Equal(t, 1, pool.Stats().IdleNow)
 	_, response, err = exchange(t, pool, server)
 	require.NoError(t, err)
 	require.Equal(t, "ok", readAll(t, response))
-	require.EqualValues(t, 1, pool.Stats().Dialled)
+	require.EqualValues(t, 1, pool.Stats().Dialed)
 }
 
-// The system may have taken a request whole that the server has not read: the next one would wait behind it.
+// The kernel may have accepted a whole request that the server has not read: the next one would wait behind it.
 func TestEarlyAnswerToARequestThatTheSystemStillHolds(t *testing.T) {
 	answered := make(chan struct{})
 	server := scriptedServer(t, func(conn *net.TCPConn) {
 		_ = conn.SetReadBuffer(64 << 10)
-		early(goodAnswer, func(*net.TCPConn, *bufio.Reader) { <-answered })(conn)
+		respondEarly(goodAnswer, func(*net.TCPConn, *bufio.Reader) { <-answered })(conn)
 	})
 	pool := NewPool(Config{})
 	conn := connect(t, pool, server)
@@ -123,9 +123,9 @@
 	close(answered)
 }
 
-// A server that declines a long request without reading it closes with bytes unread, which resets the connection.
+// A server that rejects a long request without reading it closes with bytes unread, which resets the connection.
 func TestEarlyAnswerBeforeAResetIsSeen(t *testing.T) {
-	server := scriptedServer(t, early(goodAnswer, func(conn *net.TCPConn, _ *bufio.Reader) { _ = conn.Close() }))
+	server := scriptedServer(t, respondEarly(goodAnswer, func(conn *net.TCPConn, _ *bufio.Reader) { _ = conn.Close() }))
 	pool := NewPool(Config{})
 	conn, _, response, err := sendLong(t, pool, server)
 	require.NoError(t, err)
@@ -134,24 +134,24 @@
 	require.Zero(t, pool.Stats().IdleNow)
 }
 
-// Whichever side of the connection takes note of a reset, the answer does not look whole.
+// Whether reading or writing observes a reset first, the response does not look complete.
 func TestEarlyAnswerWithoutALengthThatIsReset(t *testing.T) {
 	unsized := "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\nbody"
-	server := scriptedServer(t, early(unsized, func(conn *net.TCPConn, _ *bufio.Reader) { _ = conn.SetLinger(0) }))
+	server := scriptedServer(t, respondEarly(unsized, func(conn *net.TCPConn, _ *bufio.Reader) { _ = conn.SetLinger(0) }))
 	for range 20 {
 		pool := NewPool(Config{})
 		conn, _, response, err := sendLong(t, pool, server)
 		require.NoError(t, err)
 		_, err = io.ReadAll(response.Body)
-		var answerError *AnswerError
+		var answerError *ResponseError
 		require.ErrorAs(t, conn.BodyError(err), &answerError)
 		require.Equal(t, FaultBroken, answerError.Fault)
 		pool.Discard(conn)
 	}
 }
 
-// The system holds bytes of a request for a server that does not read. They must not reach it once the request
-// was given up.
+// The kernel buffers bytes of a request for a server that does not read. They must not reach it once the request was
+// aborted.
 func TestAbortTakesBackWhatIsOnItsWay(t *testing.T) {
 	begun, aborted := make(chan struct{}), make(chan struct{})
 	got := make(chan error, 1)
@@ -170,18 +170,18 @@
 	head, body := longRequest()
 	require.NoError(t, conn.Send(head, body))
 	<-begun
-	require.Eventually(t, func() bool { return unacknowledged(t, conn) > 0 }, patience, pause)
+	require.Eventually(t, func() bool { return unacknowledged(t, conn) > 0 }, testTimeout, pollInterval)
 	pool.Discard(conn)
 	requireBodyUnused(t, conn)
 	close(aborted)
 	require.ErrorContains(t, <-got, "reset")
-	require.False(t, conn.sentWhole())
+	require.False(t, conn.fullySent())
 }
 
-// A connection of which the system took nothing carried no request.
+// If the kernel accepted nothing of a request, the server cannot have run it.
 func TestLongRequestOfWhichNothingWasSent(t *testing.T) {
 	pool := NewPool(Config{})
-	conn := connect(t, pool, scriptedServer(t, holding()))
+	conn := connect(t, pool, scriptedServer(t, respondAndKeepOpen()))
 	head, body := longRequest()
 	conn.Abort()
 	var sendError *SendError
@@ -189,10 +189,10 @@
 	require.Zero(t, sendError.Written)
 	pool.Discard(conn)
 
-	conn = connect(t, pool, scriptedServer(t, holding()))
+	conn = connect(t, pool, scriptedServer(t, respondAndKeepOpen()))
 	conn.attachReader()
 	conn.Abort()
-	conn.writeRest(head, body, 0)
+	conn.writePending(head, body, 0)
 	_, err := conn.Receive(http.MethodPost, "id1")
 	require.ErrorAs(t, err, &sendError)
 	require.Zero(t, sendError.Written)
@@ -209,30 +209,30 @@
 	require.NoError(t, conn.Send(head, body))
 	conn.SetDeadline(time.Now().Add(20 * time.Millisecond))
 	_, err := conn.Receive(http.MethodPost, "id1")
-	var answerError *AnswerError
+	var answerError *ResponseError
 	require.ErrorAs(t, err, &answerError)
-	require.Equal(t, FaultTimeout, answerError.Fault)
+	require.Equal(t, FaultDeadline, answerError.Fault)
 	require.False(t, errors.As(err, new(*SendError)), "some of it was sent")
 	pool.Discard(conn)
 }
 
-// The parts of a request go out in order and once, wherever the system stops taking them.
+// A request is sent in order and once, wherever the kernel stops accepting it.
 func TestRequestIsWrittenOnceWhereverItIsSplit(t *testing.T) {
 	head, body := []byte("the head"), []byte("and the body")
-	whole := string(head) + string(body)
-	for taken := range len(whole) {
+	request := string(head) + string(body)
+	for written := range len(request) {
 		got := make(chan string, 1)
 		pool := NewPool(Config{})
 		conn := connect(t, pool, scriptedServer(t, func(conn *net.TCPConn) {
-			all := make([]byte, len(whole)-taken)
+			all := make([]byte, len(request)-written)
 			_, _ = io.ReadFull(conn, all)
 			got <- string(all)
 		}))
-		conn.writeRest(head, body, taken)
-		require.Equal(t, whole[taken:], <-got)
-		<-conn.rest.ended
-		require.EqualValues(t, len(whole), conn.rest.written)
-		require.True(t, conn.sentWhole())
+		conn.writePending(head, body, written)
+		require.Equal(t, request[written:], <-got)
+		<-conn.pending.done
+		require.EqualValues(t, len(request), conn.pending.written)
+		require.True(t, conn.fullySent())
 		pool.Discard(conn)
 	}
 }
--- a/internal/proxy/upstream/upstream_test.go
+++ b/internal/proxy/upstream/upstream_test.go
@@ -6,7 +6,6 @@
 	"io"
 	"net"
 	"net/http"
-	"syscall"
 	"testing"
 	"time"
 
@@ -14,14 +13,14 @@
 	"golang.org/x/sys/unix"
 )
 
-var usual = DialTimeouts{Dial: time.Second, Contact: 2 * time.Second}
+var defaultTimeouts = DialTimeouts{Dial: time.Second, Unacknowledged: 2 * time.Second}
 
 const (
-	patience = 5 * time.Second
-	pause    = 2 * time.Millisecond
+	testTimeout  = 5 * time.Second
+	pollInterval = 2 * time.Millisecond
 )
 
-// scriptedServer runs a script on each connection that it accepts.
+// scriptedServer starts a server that runs a script on each connection that it accepts.
 func scriptedServer(t *testing.T, script func(conn *net.TCPConn)) Server {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -34,7 +33,7 @@
 				return
 			}
 			go func() {
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				script(conn.(*net.TCPConn))
 			}()
 		}
@@ -42,8 +41,8 @@
 	return Server{ID: "i-1", Address: listener.Addr().String()}
 }
 
-// answering reads requests and answers the n-th one with answers[n]; then it closes.
-func answering(answers ...string) func(*net.TCPConn) {
+// respond reads requests and responds to the n-th one with answers[n]; then it closes.
+func respond(answers ...string) func(*net.TCPConn) {
 	return func(conn *net.TCPConn) {
 		reader := bufio.NewReader(conn)
 		for _, answer := range answers {
@@ -57,10 +56,10 @@
 	}
 }
 
-// holding answers like answering and then keeps the connection open.
-func holding(answers ...string) func(*net.TCPConn) {
+// respondAndKeepOpen responds like respond and then keeps the connection open until the client closes.
+func respondAndKeepOpen(answers ...string) func(*net.TCPConn) {
 	return func(conn *net.TCPConn) {
-		answering(answers...)(conn)
+		respond(answers...)(conn)
 		_, _ = io.Copy(io.Discard, conn)
 	}
 }
@@ -72,12 +71,12 @@
 
 func connect(t *testing.T, pool *Pool, server Server) *Conn {
 	t.Helper()
-	conn, err := pool.Connect(context.Background(), server, usual, time.Now().Add(patience))
+	conn, err := pool.Connect(context.Background(), server, defaultTimeouts, time.Now().Add(testTimeout))
 	require.NoError(t, err)
 	return conn
 }
 
-func exchange(t *testing.T, pool *Pool, server Server) (*Conn, *http.Response, error) {
+func exchange(t *testing.T, pool *Pool, server Server) (*Conn, Response, error) {
 	t.Helper()
 	conn := connect(t, pool, server)
 	require.NoError(t, conn.Send([]byte(head), nil))
@@ -85,7 +84,7 @@
 	return conn, response, err
 }
 
-func readAll(t *testing.T, response *http.Response) string {
+func readAll(t *testing.T, response Response) string {
 	t.Helper()
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
@@ -94,7 +93,7 @@
 
 func TestConnectionIsReused(t *testing.T) {
 	pool := NewPool(Config{})
-	server := scriptedServer(t, holding(goodAnswer, goodAnswer))
+	server := scriptedServer(t, respondAndKeepOpen(goodAnswer, goodAnswer))
 	for range 2 {
 		conn, response, err := exchange(t, pool, server)
 		require.NoError(t, err)
@@ -102,7 +101,7 @@
 		pool.Release(conn)
 	}
 	stats := pool.Stats()
-	require.EqualValues(t, 1, stats.Dialled)
+	require.EqualValues(t, 1, stats.Dialed)
 	require.EqualValues(t, 1, stats.Reused)
 	require.Equal(t, 1, stats.IdleNow)
 	pool.Close()
@@ -111,7 +110,7 @@
 
 func TestConnectionIsNotReused(t *testing.T) {
 	cases := map[string]string{
-		"told to close":     "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",
+		"Connection: close": "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",
 		"surplus bytes":     goodAnswer + goodAnswer,
 		"no idle time":      "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\nKeep-Alive: timeout=0\r\n\r\nok",
 		"answer of HTTP1.0": "HTTP/1.0 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\n\r\nok",
@@ -119,7 +118,7 @@
 	for name, answer := range cases {
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool(Config{})
-			server := scriptedServer(t, holding(answer))
+			server := scriptedServer(t, respondAndKeepOpen(answer))
 			conn, response, err := exchange(t, pool, server)
 			require.NoError(t, err)
 			require.Equal(t, "ok", readAll(t, response))
@@ -131,10 +130,10 @@
 
 func TestIdleConnectionThatSpokeOrClosedIsNotUsed(t *testing.T) {
 	scripts := map[string]func(*net.TCPConn){
-		"closed": answering(goodAnswer),
+		"closed": respond(goodAnswer),
 		"reset": func(conn *net.TCPConn) {
 			_ = conn.SetLinger(0)
-			answering(goodAnswer)(conn)
+			respond(goodAnswer)(conn)
 		},
 	}
 	for name, script := range scripts {
@@ -144,7 +143,7 @@
 			conn, response, err := exchange(t, pool, server)
 			require.NoError(t, err)
 			readAll(t, response)
-			require.Eventually(t, func() bool { return conn.look() == conditionSpent }, patience, pause)
+			require.Eventually(t, func() bool { return conn.checkIdle() == idleUnusable }, testTimeout, pollInterval)
 			pool.Release(conn)
 			again := connect(t, pool, server)
 			require.False(t, again.Reused())
@@ -158,7 +157,7 @@
 	pool := NewPool(Config{})
 	late := make(chan struct{})
 	server := scriptedServer(t, func(conn *net.TCPConn) {
-		answering(goodAnswer)(conn)
+		respond(goodAnswer)(conn)
 		<-late
 		_, _ = io.WriteString(conn, goodAnswer)
 		_, _ = io.Copy(io.Discard, conn)
@@ -168,33 +167,30 @@
 	readAll(t, response)
 	pool.Release(conn)
 	close(late)
-	waitReadable(t, conn)
+	requireReadable(t, conn)
 	again := connect(t, pool, server)
 	require.NotSame(t, conn, again)
 	pool.Discard(again)
 }
 
-// waitReadable waits until bytes can be read from a connection, without taking them.
-func waitReadable(t *testing.T, conn *Conn) {
+// requireReadable waits until bytes can be read from a connection, without consuming them.
+func requireReadable(t *testing.T, conn *Conn) {
 	t.Helper()
-	require.NoError(t, conn.socket.SetReadDeadline(time.Now().Add(patience)))
-	var peeked [1]byte
-	require.NoError(t, conn.raw.Read(func(descriptor uintptr) bool {
-		n, _, err := syscall.Recvfrom(int(descriptor), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		return err == nil && n > 0
-	}))
+	n, err := awaitReadable(conn)
+	require.NoError(t, err)
+	require.Positive(t, n)
 }
 
 func TestSilenceEndsAtTheDeadline(t *testing.T) {
 	pool := NewPool(Config{})
-	server := scriptedServer(t, holding())
-	conn, err := pool.Connect(context.Background(), server, usual, time.Now().Add(30*time.Millisecond))
+	server := scriptedServer(t, respondAndKeepOpen())
+	conn, err := pool.Connect(context.Background(), server, defaultTimeouts, time.Now().Add(30*time.Millisecond))
 	require.NoError(t, err)
 	require.NoError(t, conn.Send([]byte(head), nil))
 	_, err = conn.Receive(http.MethodGet, "id1")
-	var answerError *AnswerError
+	var answerError *ResponseError
 	require.ErrorAs(t, err, &answerError)
-	require.Equal(t, FaultTimeout, answerError.Fault)
+	require.Equal(t, FaultDeadline, answerError.Fault)
 }
 
 func TestAbortEndsTheExchange(t *testing.T) {
@@ -216,7 +212,7 @@
 	<-stop
 	select {
 	case <-gone:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the server did not see the end")
 	}
 }
@@ -224,12 +220,12 @@
 func TestDialTimeout(t *testing.T) {
 	require.Equal(t, time.Second, dialTimeout(time.Second, time.Minute))
 	require.Equal(t, 200*time.Millisecond, dialTimeout(time.Second, 600*time.Millisecond))
-	require.Equal(t, minDial, dialTimeout(time.Second, 0))
+	require.Equal(t, minDialTimeout, dialTimeout(time.Second, 0))
 }
 
 func TestContactIsSetForEachUse(t *testing.T) {
 	pool := NewPool(Config{})
-	server := scriptedServer(t, holding(goodAnswer))
+	server := scriptedServer(t, respondAndKeepOpen(goodAnswer))
 	timeout := func(conn *Conn) (milliseconds int) {
 		require.NoError(t, conn.raw.Control(func(descriptor uintptr) {
 			var err error
@@ -241,8 +237,8 @@
 	first := connect(t, pool, server)
 	require.Equal(t, 2000, timeout(first))
 	pool.Release(first)
-	require.EqualValues(t, contactIdle/time.Millisecond, timeout(first))
-	again, err := pool.Connect(context.Background(), server, DialTimeouts{Contact: 9 * time.Second}, time.Now().Add(patience))
+	require.EqualValues(t, idleUserTimeout/time.Millisecond, timeout(first))
+	again, err := pool.Connect(context.Background(), server, DialTimeouts{Unacknowledged: 9 * time.Second}, time.Now().Add(testTimeout))
 	require.NoError(t, err)
 	require.Same(t, first, again)
 	require.Equal(t, 9000, timeout(again))
@@ -250,7 +246,7 @@
 
 func TestSendToClosedConnectionTellsWhatWasWritten(t *testing.T) {
 	pool := NewPool(Config{})
-	conn := connect(t, pool, scriptedServer(t, holding()))
+	conn := connect(t, pool, scriptedServer(t, respondAndKeepOpen()))
 	conn.Abort()
 	err := conn.Send([]byte(head), []byte("body"))
 	var sendError *SendError
@@ -260,7 +256,7 @@
 
 func TestIdleConnectionsAreBoundedAndAge(t *testing.T) {
 	pool := NewPool(Config{})
-	server := scriptedServer(t, holding(goodAnswer))
+	server := scriptedServer(t, respondAndKeepOpen(goodAnswer))
 	var conns []*Conn
 	for range maxIdlePerServer + 3 {
 		conns = append(conns, connect(t, pool, server))
@@ -271,26 +267,26 @@
 	require.Equal(t, maxIdlePerServer, pool.Stats().IdleNow)
 	pool.Sweep(time.Now(), nil)
 	require.Equal(t, maxIdlePerServer, pool.Stats().IdleNow)
-	pool.Sweep(time.Now().Add(defaultIdleTime), nil)
+	pool.Sweep(time.Now().Add(defaultIdleTimeout), nil)
 	require.Zero(t, pool.Stats().IdleNow)
 	pool.Sweep(time.Now(), func(Server) bool { return false })
-	require.Zero(t, pool.Stats().HostsNow)
+	require.Zero(t, pool.Stats().ServersNow)
 }
 
 func TestStaleConnectionsShortenTheIdleTime(t *testing.T) {
 	pool := NewPool(Config{})
 	server := Server{ID: "i-1"}
-	pool.hosts[server] = &host{idleTime: maxIdleTime}
-	pool.noteStale(server, 2*time.Second)
-	require.Equal(t, time.Second, pool.hosts[server].idleTime)
-	pool.noteStale(server, 0)
-	require.Equal(t, minIdleTime, pool.hosts[server].idleTime)
+	pool.servers[server] = &serverConns{idleTimeout: maxIdleTimeout}
+	pool.recordStale(server, 2*time.Second)
+	require.Equal(t, time.Second, pool.servers[server].idleTimeout)
+	pool.recordStale(server, 0)
+	require.Equal(t, minIdleTimeout, pool.servers[server].idleTimeout)
 }
 
 func TestKeepAliveTimeout(t *testing.T) {
 	cases := map[string]struct {
-		told time.Duration
-		ok   bool
+		timeout time.Duration
+		ok      bool
 	}{
 		"timeout=5":          {5 * time.Second, true},
 		"max=9, Timeout = 3": {3 * time.Second, true},
@@ -300,10 +296,10 @@
 		"":                   {0, false},
 	}
 	for value, test := range cases {
-		told, ok := keepAliveTimeout(value)
+		timeout, ok := keepAliveTimeout(value)
 		require.Equal(t, test.ok, ok, value)
-		require.Equal(t, test.told, told, value)
+		require.Equal(t, test.timeout, timeout, value)
 	}
-	require.Zero(t, usableIdleTime(0))
-	require.Equal(t, 4500*time.Millisecond, usableIdleTime(5*time.Second))
+	require.Zero(t, usableIdleTimeout(0))
+	require.Equal(t, 4500*time.Millisecond, usableIdleTimeout(5*time.Second))
 }
--- a/internal/quorum/paxos_test.go
+++ b/internal/quorum/paxos_test.go
@@ -24,11 +24,11 @@
 	return view
 }
 
-// paxos is a set of voters and proposers whose messages go any way and may be lost or repeated.
+// paxos is a set of voters and proposers whose messages may be reordered, lost or repeated.
 type paxos struct {
 	base      *pb.View
 	acceptors []*Acceptor
-	disks     []*pb.Promise
+	records   []*pb.Promise // what each acceptor has on disk
 	proposers []*Proposer
 	inFlight  []func()
 	decided   map[string]bool
@@ -40,7 +40,7 @@
 	for index := range voters {
 		p.base.Voters = append(p.base.Voters, replica(strconv.Itoa(index)))
 		p.acceptors = append(p.acceptors, NewAcceptor(5))
-		p.disks = append(p.disks, NewAcceptor(5).Record())
+		p.records = append(p.records, NewAcceptor(5).Record())
 	}
 	return p
 }
@@ -53,7 +53,7 @@
 		}
 	}
 	if len(p.proposers)%2 == 1 {
-		highest = nil // a proposer that has heard of nothing
+		highest = nil // a proposer that has observed no number
 	}
 	number := len(p.proposers)
 	proposer := NewProposer(p.base, NextProposalNumber(highest, fmt.Sprintf("proposer-%d", number)))
@@ -65,7 +65,7 @@
 
 func (p *paxos) prepare(voter int, proposer *Proposer, number int) {
 	promise := p.acceptors[voter].Prepare(proposer.Prepare())
-	p.disks[voter] = p.acceptors[voter].Record()
+	p.records[voter] = p.acceptors[voter].Record()
 	p.inFlight = append(p.inFlight, func() {
 		if !proposer.Promised(p.base.GetVoters()[voter], promise) {
 			return
@@ -81,7 +81,7 @@
 
 func (p *paxos) accept(voter int, proposer *Proposer, accept *pb.Accept) {
 	accepted := p.acceptors[voter].Accept(accept)
-	p.disks[voter] = p.acceptors[voter].Record()
+	p.records[voter] = p.acceptors[voter].Record()
 	p.inFlight = append(p.inFlight, func() {
 		if proposer.Accepted(p.base.GetVoters()[voter], accepted) {
 			data, _ := proto.Marshal(proposer.Value())
@@ -90,7 +90,7 @@
 	})
 }
 
-// step does one thing at random.
+// step begins a proposal, restarts an acceptor or delivers a message, at random.
 func (p *paxos) step(t *rapid.T) {
 	draw := rapid.IntRange(0, 19).Draw(t, "what")
 	if draw == 0 && len(p.proposers) < 6 {
@@ -99,7 +99,7 @@
 	}
 	if draw == 1 {
 		voter := rapid.IntRange(0, len(p.acceptors)-1).Draw(t, "restarted")
-		p.acceptors[voter] = RestoreAcceptor(p.disks[voter])
+		p.acceptors[voter] = RestoreAcceptor(p.records[voter])
 		p.restarts++
 		return
 	}
--- a/internal/registry/capacity_bench_test.go
+++ b/internal/registry/capacity_bench_test.go
@@ -85,12 +85,12 @@
 	}
 }
 
-func benchmarkMarshal(b *testing.B, make func() proto.Message) {
+func benchmarkMarshal(b *testing.B, message func() proto.Message) {
 	b.Helper()
 	b.ReportAllocs()
 	size := 0
 	for b.Loop() {
-		data, err := proto.Marshal(make())
+		data, err := proto.Marshal(message())
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -99,8 +99,8 @@
 	b.ReportMetric(float64(size), "B/message")
 }
 
-// BenchmarkCapacityHeardAndRefresh hears one agent's changed record and lists all anew.
-func BenchmarkCapacityHeardAndRefresh(b *testing.B) {
+// BenchmarkCapacityObserveAndRefresh observes one agent's changed record and lists all members again.
+func BenchmarkCapacityObserveAndRefresh(b *testing.B) {
 	agents := capacityAgents(390)
 	records := []*pb.AgentRecord{capacityRecord(5), capacityRecord(5)}
 	records[1].Ready = false
@@ -116,7 +116,7 @@
 	first, second := capacityServers(3100), capacityServers(3100)
 	b.ReportAllocs()
 	for b.Loop() {
-		if !sameServers(first, second, time.Second) {
+		if !pollTolerances.Same(first, second, time.Second) {
 			b.Fatal("not the same")
 		}
 	}
--- a/internal/registry/digest_test.go
+++ b/internal/registry/digest_test.go
@@ -9,13 +9,11 @@
 	"time"
 
 	"fieldrelay/internal/digesttest"
-	"fieldrelay/internal/route"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs anew")
+var update = flag.Bool("update", false, "record the digests of the runs again")
 
-// A change that should change no behaviour changes nothing that control machines tell each other of the servers, and
-// when they read the platform's list.
+// A refactoring leaves as they are the lists that control machines send each other, and the times of their polls.
 func TestInventoriesHaveTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "inventories", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(5 * time.Second)
@@ -35,7 +33,7 @@
 		}
 		s.run(60*time.Second, func() {
 			if s.random.IntN(30) == 0 {
-				s.trouble()
+				s.injectFault()
 			}
 			for _, machine := range s.machines {
 				recorder.Entry(s.now, "told").Text(machine.host).Message(machine.inventory.AdvertisedVersion()).Flag(machine.inventory.IsOwner())
@@ -56,7 +54,7 @@
 				members := agents.Refresh(e.now)
 				for region := range edgeRegions {
 					name := fmt.Sprintf("r%d", region)
-					client := Client{Region: name, Zone: name + "-z0", Homes: route.HomeRegions{Unreadable: true}}
+					client := Client{Region: name, Zone: name + "-z0", HomeRegions: unreadableHomes}
 					entry := recorder.Entry(e.now, "named").Number(uint64(index)).Number(uint64(region))
 					for _, address := range members.Endpoints(e.now, client, uint64(e.now)) {
 						entry.Text(address)
@@ -68,26 +66,25 @@
 	})
 }
 
-// What control machines say of proxies that are late, over agents that are cut off, proxies that start anew, and one
-// that takes no changes.
-func TestLatenessHasTheRecordedDigests(t *testing.T) {
+// The actions of a lag monitor over agents that are partitioned, proxies that restart, and one that takes no changes.
+func TestLagMonitorHasTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "lateness", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(5 * time.Second)
 		e := newFollowingEdge(4)
 		e.hosts[3].stuck = true
-		e.hosts[3].reportedBy = 2200 * time.Millisecond
-		told := 0
+		e.hosts[3].reportInterval = 2200 * time.Millisecond
+		recorded := 0
 		for e.now < followTime {
 			e.step()
-			// Agents are looked at in no certain order; what is said of one is in order.
-			said := slices.Clone(e.events[told:])
-			slices.SortStableFunc(said, func(a, b Action) int { return strings.Compare(hostOf(a), hostOf(b)) })
-			for _, action := range said {
-				recordLateness(t, recorder, e.now, action)
+			// Agents are evaluated in no certain order; the actions of one agent are in order.
+			actions := slices.Clone(e.events[recorded:])
+			slices.SortStableFunc(actions, func(a, b Action) int { return strings.Compare(hostOf(a), hostOf(b)) })
+			for _, action := range actions {
+				recordLagAction(t, recorder, e.now, action)
 			}
-			told = len(e.events)
+			recorded = len(e.events)
 		}
-		recorder.Entry(e.now, "violations").Number(uint64(e.lateness.Stats(e.now).Violations))
+		recorder.Entry(e.now, "violations").Number(e.monitor.Stats(e.now).Violations)
 		return recorder
 	})
 }
@@ -104,13 +101,13 @@
 	return ""
 }
 
-func recordLateness(t *testing.T, recorder *digesttest.Recorder, now time.Duration, action Action) {
+func recordLagAction(t *testing.T, recorder *digesttest.Recorder, now time.Duration, action Action) {
 	switch action := action.(type) {
 	case AgentLagging:
 		recorder.Entry(now, "behind").Text(action.Host).Number(action.Reported).Number(action.Committed).
 			Time(action.Lag).Flag(action.Ready)
 	case AgentCaughtUp:
-		recorder.Entry(now, "caught-up").Text(action.Host).Number(action.Reported).Time(action.Longest).Flag(action.Unheard)
+		recorder.Entry(now, "caught-up").Text(action.Host).Number(action.Reported).Time(action.LongestLag).Flag(action.LostContact)
 	case ProxyBoundExceeded:
 		recorder.Entry(now, "late").Text(action.Host).Number(action.Reported).Number(action.Committed).
 			Time(action.Lag).Time(action.Bound)
--- a/internal/registry/inventory.go
+++ b/internal/registry/inventory.go
@@ -3,190 +3,66 @@
 import (
 	"math/rand/v2"
 	"time"
-
-	pb "fieldrelay/api/fieldrelay/v1"
-)
-
-// Times of the duty of reading the platform's list. Each call to the platform has its price, and all control
-// machines together stay far under its rate.
-const (
-	// PollInterval is the time between two readings of the list.
-	PollInterval = time.Second
-
-	// PollTimeout is the longest time from sending the first call of a reading to the whole receipt of its
-	// last answer; a reading that took longer is thrown away.
-	PollTimeout = 1500 * time.Millisecond
-
-	// staleAfter is the age of the news at which the next machine takes the duty over.
-	staleAfter = 2 * time.Second
-
-	// rankWait is how much longer each further machine waits for the one before it.
-	rankWait = 700 * time.Millisecond
-
-	// longestJitter is added to every wait.
-	longestJitter = 300 * time.Millisecond
-
-	// introduction is the time after the start in which a machine that has no list only listens: whoever holds one
-	// sends it at the first heartbeat.
-	introduction = 60 * time.Millisecond
-
-	// firstReadingCalls is the number of calls to the platform that the first reading of a machine may need: so many
-	// machines read the list at once, right after the introduction, as the platform's rate allows for. A proxy
-	// serves nothing without a list, and a call costs less than one request that is refused.
-	firstReadingCalls = 10
-
-	// firstReadersWait is how long the next machines wait for those before them to read the first list.
-	firstReadersWait = 250 * time.Millisecond
-
-	// firstRetry is the shortest wait before a machine without a list tries again to read it; as much again is
-	// added at random.
-	firstRetry = 300 * time.Millisecond
-
-	// settling is the time after the start for which a machine waits for a list that another one says it holds, and
-	// before which it does not take the duty over.
-	settling = time.Second
-
-	// preemptAfter is how long a machine is the first in order, with another one in the duty, before it takes
-	// the duty back.
-	preemptAfter = 3 * time.Second
-
-	// slowestPeriod bounds the wait between failing readings of a machine that does not have the duty.
-	slowestPeriod = 2 * time.Second
-
-	// resendEvery is the shortest time between two sendings of the whole list to machines that lag.
-	resendEvery = 500 * time.Millisecond
-
-	// resendFirst stands for resendEvery if the machine that lags has no list at all: it has just started, after
-	// the last sending, and the edge waits.
-	resendFirst = 100 * time.Millisecond
-
-	// firstEpochs is the number of epochs out of which the first one is drawn.
-	firstEpochs = 1 << 32
-
-	// rateShare is the part of the platform's rate (one call in so many) that the machine in the duty uses.
-	rateShare = 3
-
-	// apartShare is how much less of the rate a machine uses that does not hear most of the others: each part of a
-	// core that is cut into many reads the list for itself.
-	apartShare = 4
 )
 
-// Event is something that an Inventory is told.
-type Event interface{ inventoryEvent() }
-
-// Tick tells the time passing, several times a second.
-type Tick struct {
-	// LiveHosts names the hosts of the live control machines, this one included, in the order of the agreed view;
-	// it is empty while no view is known.
-	LiveHosts []string
-	// Position is the place of this machine in that order if all machines were live.
-	Position int
-	// Partitioned: this machine does not hear a majority of the control machines.
-	Partitioned bool
-}
-
-// PollDone ends the reading that the last StartPoll asked for.
-type PollDone struct {
-	SentAt  time.Duration // when the first call was sent
-	Pages   int           // calls made
-	Servers []*pb.Server
-	Failed  bool // no whole list was read
-}
-
-// ListReceived is a list from another control machine.
-type ListReceived struct{ List *pb.ServerList }
-
-// VersionObserved is the version that another control machine (Peer) or an agent says it holds.
-type VersionObserved struct {
-	Version *pb.ListVersion
-	Peer    bool
-}
-
-func (Tick) inventoryEvent()            {}
-func (PollDone) inventoryEvent()        {}
-func (ListReceived) inventoryEvent()    {}
-func (VersionObserved) inventoryEvent() {}
-
-// Action is something that the shell of an Inventory has to do.
-type Action interface{ inventoryAction() }
-
-// StartPoll asks for one reading of the platform's list, ended by PollDone. No second one is asked for before.
-type StartPoll struct{}
-
-// SendList asks for a message to all other control machines.
-type SendList struct{ List *pb.ServerList }
-
-// ListChanged tells that Current holds another version.
-type ListChanged struct{}
-
-func (StartPoll) inventoryAction()   {}
-func (SendList) inventoryAction()    {}
-func (ListChanged) inventoryAction() {}
-
-// ServerInventory is one control machine's part in keeping the list of servers: it merges lists of others and reads
-// the platform's list itself while it has the duty. The first live machine in the agreed order has the duty,
-// under an epoch higher than any that it has seen; lists under lower epochs are refused. When the news grows
-// old, the next machines try in turn.
+// ServerInventory is one control machine's part in keeping the platform's server list. It is a state machine: Step
+// takes an event and returns the actions that the caller has to carry out.
+//
+// Polling the platform is a singleton role: one machine, the owner, polls and sends the list to its peers. The owner is
+// the first live machine in the order of the view. There is no lease. An owner publishes under an epoch above every one
+// that it has observed, and lists of lower epochs are ignored, so the epoch fences earlier owners. If the list is not
+// confirmed in time, the next machines in order take the role over, one after another. Two machines may poll for a
+// while; then the list of the higher version wins everywhere.
 type ServerInventory struct {
 	self   string
-	rate   float64 // calls a second that the platform accepts from all machines
+	rate   float64 // calls a second that the platform accepts from all machines together; 0: unknown
 	random *rand.Rand
 
-	current *ServerList
-	highest uint64 // epoch seen
-
-	polling   bool
-	nextPoll  time.Duration
-	failures  int // in a row
-	lastPages int
-
-	startedAt  time.Duration
-	started    bool
-	now        time.Duration // of the last step
-	promised   bool          // another control machine holds a list that has not come yet
-	order      []string
-	place      int           // in order if all machines were live
-	apart      bool          // a majority is not heard
-	firstSince time.Duration // since when this machine was the first in order and another one had the duty
-	isFirst    bool
-	jitter     time.Duration
-	sentAt     time.Duration // when the whole list was last sent to the other control machines
-
-	// fenced tells that another control machine holds a list above this machine's own.
-	fenced bool
-	// overtaken tells that an agent holds a list above this machine's own.
-	overtaken bool
+	startedAt time.Duration // time of the first step
+	started   bool
+	now       time.Duration // time of the last step
+
+	// From the last Tick.
+	liveHosts   []string
+	position    int
+	partitioned bool
+
+	// The list, and what is known of others.
+	current        *ServerList // nil before the first
+	highestEpoch   uint64      // highest observed, own ones included
+	epochAnnounced bool        // a peer has named a list, and none has come yet
+	fencedByPeer   bool        // a peer has a newer list than the one that this machine owns
+	mustRaiseEpoch bool        // a version above this machine's outlived its owner; the next poll begins an epoch
+	lastSentAt     time.Duration
+
+	// The singleton role.
+	firstInOrder      bool          // this machine is the first in order, and another one is the owner
+	firstInOrderSince time.Duration // counts only if firstInOrder
+	jitter            time.Duration // part of the takeover delay, drawn anew for each list
+
+	// Polls.
+	polling             bool // a poll is in flight
+	nextPollAt          time.Duration
+	consecutiveFailures int
+	lastPages           int // calls that the last poll took
 }
 
 // NewServerInventory returns the inventory of the control machine named self. rate is the number of calls a second
-// that the platform accepts, 0 if that is unknown.
+// that the platform accepts from all machines together, 0 if that is unknown.
 func NewServerInventory(self string, rate float64, random *rand.Rand) *ServerInventory {
 	inventory := &ServerInventory{self: self, rate: rate, random: random, lastPages: 1}
 	inventory.drawJitter()
 	return inventory
 }
 
-// Current is the newest list known, nil before the first.
+// Current returns the newest list known, nil before the first.
 func (i *ServerInventory) Current() *ServerList { return i.current }
 
-// IsOwner reports whether this machine has the duty, as far as it knows.
-func (i *ServerInventory) IsOwner() bool {
-	return i.current != nil && i.current.version.GetHolder() == i.self && !i.fenced
-}
-
-// AdvertisedVersion is the version to tell the other control machines: the one held, or only an epoch, without a holder, if
-// a higher one was seen, or if this machine has had the duty in vain: whoever can read the list then goes above it.
-func (i *ServerInventory) AdvertisedVersion() *pb.ListVersion {
-	if i.highest > i.current.Version().GetEpoch() || i.isStale(i.now) {
-		return &pb.ListVersion{Epoch: i.highest}
-	}
-	return i.current.Version()
-}
-
 // SetRate changes the number of calls a second that the platform accepts.
 func (i *ServerInventory) SetRate(rate float64) { i.rate = rate }
 
-// Step takes an event and returns what is to be done.
+// Step handles an event at the time now and returns the actions that follow from it, in order. The first step counts
+// as the start of the process.
 func (i *ServerInventory) Step(now time.Duration, event Event) []Action {
 	if !i.started {
 		i.started = true
@@ -195,23 +71,22 @@
 	i.now = now
 	switch event := event.(type) {
 	case Tick:
-		i.order, i.place, i.apart = event.LiveHosts, event.Position, event.Partitioned
+		i.liveHosts, i.position, i.partitioned = event.LiveHosts, event.Position, event.Partitioned
 		return i.tick(now)
 	case PollDone:
-		return i.pollDone(now, event)
+		return i.finishPoll(now, event)
 	case ListReceived:
-		return i.listReceived(now, event.List)
+		return i.receiveList(now, event.List)
 	case VersionObserved:
-		return i.versionSeen(now, event)
+		return i.observeVersion(now, event)
 	}
 	return nil
 }
 
-func (i *ServerInventory) drawJitter() {
-	i.jitter = time.Duration(i.random.Int64N(int64(longestJitter)))
-}
-
-// seeEpoch remembers the highest epoch.
-func (i *ServerInventory) seeEpoch(version *pb.ListVersion) {
-	i.highest = max(i.highest, version.GetEpoch())
+// setCurrent replaces the current list by a newer one. What was known of versions above the old one no longer counts.
+func (i *ServerInventory) setCurrent(list *ServerList) {
+	i.current = list
+	i.fencedByPeer = false
+	i.mustRaiseEpoch = false
+	i.drawJitter()
 }
--- /dev/null
+++ b/internal/registry/inventory_partition_test.go
@@ -0,0 +1,158 @@
+package registry
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+)
+
+const (
+	// longestPartition is how long a machine may be partitioned.
+	longestPartition = 22 * time.Second
+	// maxRegression is how much older the content of a list may be than that of the one which it replaces: an
+	// owner whose polls fail counts until staleThreshold, and a poll takes PollTimeout at most.
+	maxRegression = staleThreshold + PollTimeout
+)
+
+// contentHistory records when the platform's list had which content.
+type contentHistory struct {
+	since map[string]time.Duration // by content: until when the platform last had it
+	now   string
+}
+
+func contentOf(servers []*pb.Server) string {
+	var ids []string
+	for _, server := range servers {
+		ids = append(ids, server.GetId())
+	}
+	slices.Sort(ids)
+	return strings.Join(ids, " ")
+}
+
+// lastTrue returns when the platform's list last had the content of a list.
+func (c *contentHistory) lastTrue(now time.Duration, list *ServerList) time.Duration {
+	content := contentOf(list.servers)
+	if content == c.now {
+		return now
+	}
+	return c.since[content]
+}
+
+// partitionSimulation is a simulation in which machines are partitioned from the others, with and without the platform.
+type partitionSimulation struct {
+	*simulation
+	contents             contentHistory
+	held                 []*ServerList
+	worstRegression      time.Duration // by which a list was older than the one that it replaced
+	confirmsWithoutPolls bool          // injected fault: a list counts as confirmed though no poll succeeds
+}
+
+func newPartitionSimulation(t *testing.T, seed uint64) *partitionSimulation {
+	c := &partitionSimulation{simulation: newSimulation(t, seed)}
+	c.contents = contentHistory{since: make(map[string]time.Duration), now: contentOf(c.servers)}
+	c.held = make([]*ServerList, len(c.machines))
+	return c
+}
+
+// observe is called at every step.
+func (c *partitionSimulation) observe() {
+	if c.random.IntN(60) == 0 {
+		c.changeServers()
+		c.contents.since[c.contents.now] = c.now
+		c.contents.now = contentOf(c.servers)
+	}
+	for index, machine := range c.machines {
+		if c.confirmsWithoutPolls && machine.inventory.IsOwner() {
+			machine.inventory.current = machine.inventory.current.confirmed(c.now)
+		}
+		list := machine.inventory.Current()
+		before := c.held[index]
+		c.held[index] = list
+		if before == nil || list == nil || before.version == list.version {
+			continue
+		}
+		back := c.contents.lastTrue(c.now, before) - c.contents.lastTrue(c.now, list)
+		c.worstRegression = max(c.worstRegression, back)
+	}
+}
+
+// partition separates a machine from the others for a while, in one direction or both. The platform is unreachable for
+// a part of that time, and perhaps beyond it.
+func (c *partitionSimulation) partition() {
+	machine := c.machines[c.random.IntN(len(c.machines))]
+	span := time.Duration(c.random.Int64N(int64(longestPartition)))
+	sighted := time.Duration(c.random.Int64N(int64(longestPartition)))
+	direction := c.random.IntN(4)
+	machine.sendsNothing, machine.receivesNothing = direction != 0, direction != 1
+	c.run(min(span, sighted), c.observe)
+	machine.platformUnreachable = c.random.IntN(4) > 0
+	c.run(max(0, span-sighted), c.observe)
+	machine.sendsNothing, machine.receivesNothing = false, false
+	c.run(time.Duration(c.random.Int64N(int64(4*time.Second))), c.observe)
+	machine.platformUnreachable = false
+	c.run(time.Duration(c.random.Int64N(int64(4*time.Second))), c.observe)
+}
+
+func TestAListOfACutOffMachineUndoesNoLaterOne(t *testing.T) {
+	worst := time.Duration(0)
+	for seed := range uint64(100) {
+		c := newPartitionSimulation(t, seed)
+		c.run(5*time.Second, c.observe)
+		for range 4 {
+			c.partition()
+			require.LessOrEqual(t, c.worstRegression, maxRegression, "seed %d", seed)
+		}
+		worst = max(worst, c.worstRegression)
+		c.heal()
+		c.run(12*time.Second, func() {})
+		c.requireAgreement()
+	}
+	t.Logf("lists went back by %v at most", worst)
+}
+
+func TestAgeIsWhatKeepsAnOldListFromReplacingALaterOne(t *testing.T) {
+	worst := time.Duration(0)
+	for seed := range uint64(20) {
+		c := newPartitionSimulation(t, seed)
+		c.confirmsWithoutPolls = true
+		c.run(5*time.Second, c.observe)
+		for range 4 {
+			c.partition()
+		}
+		worst = max(worst, c.worstRegression)
+	}
+	require.Greater(t, worst, maxRegression)
+}
+
+// Each side of a partition polls, and together they keep to the platform's rate.
+func TestAMachineThatIsApartReadsManyPagesLessOften(t *testing.T) {
+	inventory, now := newOwner(t, serverNamed("a"))
+	inventory.lastPages = 28
+	polls := 0
+	for end := now + 40*time.Second; now < end; now += 100 * time.Millisecond {
+		for range inventory.Step(now, Tick{LiveHosts: []string{"m1"}, Partitioned: true}) {
+			polls++
+			inventory.Step(now, PollDone{SentAt: now, Pages: 28, Servers: []*pb.Server{serverNamed("a")}})
+		}
+	}
+	require.InDelta(t, 40/8, polls, 1, "28 pages at a twelfth of 42 a second: one poll in eight seconds")
+}
+
+// A machine that has no list gets even an old one: the platform may be unreachable for all.
+func TestAnOldListIsSentToAMachineWithoutOneAlone(t *testing.T) {
+	inventory, now := newOwner(t, serverNamed("a"))
+	now += staleThreshold
+	for now < 2*staleThreshold+time.Second {
+		now += 100 * time.Millisecond
+		inventory.Step(now, Tick{LiveHosts: []string{"m1", "m2"}})
+		inventory.Step(now, PollDone{SentAt: now, Pages: 1, Failed: true})
+	}
+	require.Empty(t, inventory.AdvertisedVersion().GetHolder())
+	require.Empty(t, inventory.Step(now, VersionObserved{Version: &pb.ListVersion{Epoch: 1, Holder: "m2", Revision: 1}, Peer: true}))
+	require.Len(t, inventory.Step(now, VersionObserved{Peer: true}), 1)
+}
