--- a/internal/registry/inventory_sim_test.go
+++ b/internal/registry/inventory_sim_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/serverlist"
 )
 
 const (
@@ -19,37 +20,37 @@
 
 // simulatedMachine is one control machine of a simulation.
 type simulatedMachine struct {
-	host      string
-	inventory *ServerInventory
-	frozen    bool
-	deaf      bool // hears no other machine
-	mute      bool // is heard by no other machine
-	blind     bool // cut from the platform
-	pollEnds  time.Duration
-	poll      *PollDone
-	last      *pb.ListVersion
+	host                string
+	inventory           *ServerInventory
+	frozen              bool
+	receivesNothing     bool // receives from no other machine
+	sendsNothing        bool // no other machine receives from it
+	platformUnreachable bool // its polls fail
+	pollEnds            time.Duration
+	poll                *PollDone
+	last                *pb.ListVersion
 }
 
-// delivery is a message under way.
+// delivery is a message in transit.
 type delivery struct {
 	at   time.Duration
 	to   int
 	what Event
 }
 
-// simulation lets several inventories read a platform's list whose servers change.
+// simulation is several inventories that poll a platform whose servers change.
 type simulation struct {
-	t        *testing.T
-	random   *rand.Rand
-	now      time.Duration
-	machines []*simulatedMachine
-	mail     []delivery
-	servers  []*pb.Server
-	changed  time.Duration // when the platform's list last changed
-	down     bool          // the platform answers nothing
-	lossy    bool          // messages are lost now and then
-	calls    []time.Duration
-	watch    func(host string, action Action) // is told of each action; nil: nobody
+	t            *testing.T
+	random       *rand.Rand
+	now          time.Duration
+	machines     []*simulatedMachine
+	inTransit    []delivery
+	servers      []*pb.Server
+	changed      time.Duration // when the platform's list last changed
+	platformDown bool          // the platform answers nothing
+	lossy        bool          // messages are lost now and then
+	calls        []time.Duration
+	watch        func(host string, action Action) // called with each action, unless nil
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
@@ -68,11 +69,11 @@
 	s.send(index, VersionObserved{Peer: true}) // the first heartbeat
 }
 
-// order names the machines that the given one hears, itself included.
+// order returns the machines that the given one is in contact with, itself included.
 func (s *simulation) order(self int) []string {
 	var order []string
 	for index, machine := range s.machines {
-		reachable := !machine.frozen && !machine.mute && !s.machines[self].deaf
+		reachable := !machine.frozen && !machine.sendsNothing && !s.machines[self].receivesNothing
 		if index == self || reachable {
 			order = append(order, machine.host)
 		}
@@ -82,11 +83,11 @@
 
 func (s *simulation) send(from int, what Event) {
 	for to, machine := range s.machines {
-		if to == from || machine.deaf || s.machines[from].mute || s.lossy && s.random.IntN(20) == 0 {
+		if to == from || machine.receivesNothing || s.machines[from].sendsNothing || s.lossy && s.random.IntN(20) == 0 {
 			continue
 		}
 		delay := time.Duration(s.random.IntN(60)) * time.Millisecond
-		s.mail = append(s.mail, delivery{at: s.now + delay, to: to, what: what})
+		s.inTransit = append(s.inTransit, delivery{at: s.now + delay, to: to, what: what})
 	}
 }
 
@@ -105,7 +106,7 @@
 	}
 	require.NoError(s.t, machine.inventory.Check())
 	version := machine.inventory.Current().Version()
-	require.GreaterOrEqual(s.t, CompareVersions(version, machine.last), 0, "a version went back at %s", machine.host)
+	require.GreaterOrEqual(s.t, serverlist.CompareVersions(version, machine.last), 0, "the version fell at %s", machine.host)
 	machine.last = version
 }
 
@@ -113,7 +114,7 @@
 	s.calls = append(s.calls, s.now)
 	machine.poll = &PollDone{SentAt: s.now, Pages: 1, Servers: slices.Clone(s.servers)}
 	machine.pollEnds = s.now + time.Duration(s.random.IntN(300))*time.Millisecond
-	if s.down || machine.blind {
+	if s.platformDown || machine.platformUnreachable {
 		machine.poll.Failed = true
 		machine.pollEnds = s.now + time.Second
 	}
@@ -122,11 +123,11 @@
 // advance lets one step of time pass.
 func (s *simulation) advance() {
 	s.now += simulationStep
-	due := s.mail
-	s.mail = nil
+	due := s.inTransit
+	s.inTransit = nil
 	for _, one := range due {
 		if one.at > s.now || s.machines[one.to].frozen {
-			s.mail = append(s.mail, one)
+			s.inTransit = append(s.inTransit, one)
 			continue
 		}
 		s.step(one.to, one.what)
@@ -151,7 +152,7 @@
 	s.checkCalls()
 }
 
-// checkCalls sees that the calls of one second stay far under the platform's rate.
+// checkCalls requires that the calls of one second stay far under the platform's rate.
 func (s *simulation) checkCalls() {
 	for len(s.calls) > 0 && s.calls[0] <= s.now-time.Second {
 		s.calls = s.calls[1:]
@@ -159,17 +160,17 @@
 	require.Less(s.t, float64(len(s.calls)), simulationRate/2)
 }
 
-// trouble changes something at random.
-func (s *simulation) trouble() {
+// injectFault injects or ends a fault, or changes the servers, at random.
+func (s *simulation) injectFault() {
 	machine := s.machines[s.random.IntN(len(s.machines))]
 	switch s.random.IntN(6) {
 	case 0:
 		machine.frozen = !machine.frozen
 	case 1:
-		cut := !machine.mute
-		machine.mute, machine.deaf, machine.blind = cut, cut, cut
+		partitioned := !machine.sendsNothing
+		machine.sendsNothing, machine.receivesNothing, machine.platformUnreachable = partitioned, partitioned, partitioned
 	case 2:
-		s.down = !s.down
+		s.platformDown = !s.platformDown
 	case 3:
 		s.restart(slices.Index(s.machines, machine))
 	default:
@@ -188,12 +189,12 @@
 	s.servers = slices.CompactFunc(sortServers(s.servers), func(one, other *pb.Server) bool { return one.Id == other.Id })
 }
 
-// calm ends all trouble.
-func (s *simulation) calm() {
-	s.down = false
+// heal ends all faults.
+func (s *simulation) heal() {
+	s.platformDown = false
 	s.lossy = false
 	for _, machine := range s.machines {
-		machine.frozen, machine.mute, machine.deaf, machine.blind = false, false, false, false
+		machine.frozen, machine.sendsNothing, machine.receivesNothing, machine.platformUnreachable = false, false, false, false
 	}
 }
 
@@ -205,12 +206,12 @@
 	}
 }
 
-// requireAgreement sees that one machine has the duty and that all hold the platform's list.
+// requireAgreement requires one owner, and the platform's list at all machines.
 func (s *simulation) requireAgreement() {
-	holders := 0
+	owners := 0
 	for _, machine := range s.machines {
 		if machine.inventory.IsOwner() {
-			holders++
+			owners++
 		}
 		list := machine.inventory.Current()
 		require.NotNil(s.t, list)
@@ -220,7 +221,7 @@
 			require.Equal(s.t, sortServers(s.servers), list.servers)
 		}
 	}
-	require.Equal(s.t, 1, holders)
+	require.Equal(s.t, 1, owners)
 }
 
 func TestInventoriesAgreeAfterTrouble(t *testing.T) {
@@ -231,13 +232,13 @@
 				s.lossy = true
 				s.run(20*time.Second, func() {
 					if s.random.IntN(30) == 0 {
-						s.trouble()
+						s.injectFault()
 					}
 				})
-				s.calm()
+				s.heal()
 				s.run(12*time.Second, func() {})
 				s.requireAgreement()
-				require.Equal(t, "m0", s.machines[0].inventory.Current().Version().Holder, "the first in order has the duty")
+				require.Equal(t, "m0", s.machines[0].inventory.Current().Version().Holder, "the first in order is the owner")
 				s.changeServers()
 				s.run(3*time.Second, func() {})
 				s.requireAgreement()
@@ -252,11 +253,11 @@
 		s := newSimulation(t, seed)
 		s.run(10*time.Second, func() {})
 		s.requireAgreement()
-		s.mail = nil // they were down for longer than a message is under way
+		s.inTransit = nil // they were down for longer than a message is in transit
 		for index := range s.machines {
 			s.restart(index)
 		}
-		s.run(time.Second, func() {}) // an introduction, a tick, the slowest reading and the way to the others
+		s.run(time.Second, func() {}) // the listen window, a tick, the slowest poll and the messages to the others
 		for _, machine := range s.machines {
 			require.NotNil(t, machine.inventory.Current())
 		}
@@ -265,7 +266,7 @@
 	}
 }
 
-// TestOneMachineRestartsWithoutADispute: its first heartbeat brings it the list of the machine in the duty.
+// TestOneMachineRestartsWithoutADispute: its first heartbeat brings it the list of the owner.
 func TestOneMachineRestartsWithoutADispute(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(t, seed)
--- a/internal/registry/inventory_test.go
+++ b/internal/registry/inventory_test.go
@@ -1,7 +1,6 @@
 package registry
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -9,6 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/serverlist"
 )
 
 func serverNamed(id string) *pb.Server {
@@ -19,8 +19,8 @@
 	return NewServerInventory(self, 42, rand.New(rand.NewPCG(1, 2)))
 }
 
-// ticked steps through ticks until the time is over and returns the actions.
-func ticked(inventory *ServerInventory, from, to time.Duration, order ...string) []Action {
+// tickThrough steps through the ticks from one time to another and returns their actions.
+func tickThrough(inventory *ServerInventory, from, to time.Duration, order ...string) []Action {
 	var actions []Action
 	for now := from; now <= to; now += 100 * time.Millisecond {
 		actions = append(actions, inventory.Step(now, Tick{LiveHosts: order})...)
@@ -28,11 +28,11 @@
 	return actions
 }
 
-// holding returns an inventory that has the duty and read a list at the time returned.
-func holding(t *testing.T, servers ...*pb.Server) (*ServerInventory, time.Duration) {
+// newOwner returns an inventory that is the owner, and the time at which it has polled the servers.
+func newOwner(t *testing.T, servers ...*pb.Server) (*ServerInventory, time.Duration) {
 	t.Helper()
 	inventory := newTestInventory("m1")
-	require.Equal(t, []Action{StartPoll{}}, ticked(inventory, 0, 2*time.Second, "m1", "m2"))
+	require.Equal(t, []Action{StartPoll{}}, tickThrough(inventory, 0, 2*time.Second, "m1", "m2"))
 	actions := inventory.Step(2*time.Second, PollDone{SentAt: 2 * time.Second, Pages: 1, Servers: servers})
 	require.Len(t, actions, 2)
 	require.Equal(t, ListChanged{}, actions[0])
@@ -40,8 +40,8 @@
 	return inventory, 2 * time.Second
 }
 
-func TestFirstMachineReadsTheList(t *testing.T) {
-	inventory, now := holding(t, serverNamed("b"), serverNamed("a"))
+func TestFirstMachinePollsTheList(t *testing.T) {
+	inventory, now := newOwner(t, serverNamed("b"), serverNamed("a"))
 	require.NoError(t, inventory.Check())
 	list := inventory.Current().Message(now + time.Second)
 	require.Equal(t, "a", list.Servers[0].Id)
@@ -50,74 +50,74 @@
 	require.NotZero(t, list.Version.Epoch)
 }
 
-// TestAMachineWithoutAListReadsItAtOnce: nothing is served before the first list.
-func TestAMachineWithoutAListReadsItAtOnce(t *testing.T) {
+// TestMachineWithoutAListPollsAtOnce: nothing is served before the first list.
+func TestMachineWithoutAListPollsAtOnce(t *testing.T) {
 	for rank, order := range [][]string{{"m1"}, {"m2", "m1"}, {"m2", "m3", "m1"}} {
 		inventory := newTestInventory("m1")
-		require.Empty(t, inventory.Step(0, Tick{LiveHosts: order}), "who holds a list has the time to send it")
-		require.Equal(t, []Action{StartPoll{}}, inventory.Step(introduction, Tick{LiveHosts: order}), "rank %d", rank)
-		done := PollDone{SentAt: introduction, Pages: 1, Servers: []*pb.Server{serverNamed("a")}}
-		require.Len(t, inventory.Step(introduction+20*time.Millisecond, done), 2)
+		require.Empty(t, inventory.Step(0, Tick{LiveHosts: order}), "a peer that has a list gets the time to send it")
+		require.Equal(t, []Action{StartPoll{}}, inventory.Step(startupListenWindow, Tick{LiveHosts: order}), "rank %d", rank)
+		done := PollDone{SentAt: startupListenWindow, Pages: 1, Servers: []*pb.Server{serverNamed("a")}}
+		require.Len(t, inventory.Step(startupListenWindow+20*time.Millisecond, done), 2)
 		require.True(t, inventory.IsOwner())
 	}
 }
 
-// TestMachinesThatStartTogetherKeepToThePlatformsRate: they read the first list in groups.
+// TestMachinesThatStartTogetherKeepToThePlatformsRate: they poll for the first time in groups.
 func TestMachinesThatStartTogetherKeepToThePlatformsRate(t *testing.T) {
 	for _, rate := range []float64{8, 20, 42} {
 		calls := make(map[time.Duration]float64)
 		for place := range 9 {
 			inventory := NewServerInventory("m1", rate, rand.New(rand.NewPCG(1, uint64(place))))
 			for now := time.Duration(0); ; now += 10 * time.Millisecond {
-				require.LessOrEqual(t, now, introduction+8*firstReadersWait)
+				require.LessOrEqual(t, now, startupListenWindow+8*initialPollStagger)
 				if len(inventory.Step(now, Tick{LiveHosts: []string{"m1"}, Position: place})) > 0 {
-					calls[now] += firstReadingCalls
+					calls[now] += callsPerInitialPoll
 					break
 				}
 			}
 		}
 		for now, count := range calls {
-			require.LessOrEqual(t, count, max(rate, firstReadingCalls), "at %s", now)
+			require.LessOrEqual(t, count, max(rate, callsPerInitialPoll), "at %s", now)
 		}
-		require.Contains(t, calls, introduction)
+		require.Contains(t, calls, startupListenWindow)
 	}
 }
 
-// TestTheFirstReadingIsTriedAgainSoon: not by all machines at the same time.
-func TestTheFirstReadingIsTriedAgainSoon(t *testing.T) {
+// TestFailedFirstPollIsRetriedSoon: not by all machines at the same time.
+func TestFailedFirstPollIsRetriedSoon(t *testing.T) {
 	inventory := newTestInventory("m1")
 	require.Empty(t, inventory.Step(0, Tick{LiveHosts: []string{"m1"}}))
-	now := introduction
+	now := startupListenWindow
 	for range 5 {
 		require.Equal(t, []Action{StartPoll{}}, inventory.Step(now, Tick{LiveHosts: []string{"m1"}}))
 		inventory.Step(now, PollDone{SentAt: now, Pages: 1, Failed: true})
-		require.Empty(t, inventory.Step(now+firstRetry-1, Tick{LiveHosts: []string{"m1"}}))
-		now += 2 * firstRetry
+		require.Empty(t, inventory.Step(now+minInitialRetryDelay-1, Tick{LiveHosts: []string{"m1"}}))
+		now += 2 * minInitialRetryDelay
 	}
 }
 
-// TestAMachineThatStartsAnewLeavesTheDuty: a machine that starts beside others takes their list.
-func TestAMachineThatStartsAnewLeavesTheDuty(t *testing.T) {
+// TestRestartedMachineTakesTheListOfItsPeers: a machine that starts beside others takes their list.
+func TestRestartedMachineTakesTheListOfItsPeers(t *testing.T) {
 	inventory := newTestInventory("m1")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m2", Revision: 1}
 	inventory.Step(0, VersionObserved{Version: version, Peer: true})
-	require.Empty(t, ticked(inventory, 0, settling-time.Millisecond, "m1", "m2"), "the list is under way")
-	inventory.Step(settling, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
-	require.Empty(t, ticked(inventory, settling, staleAfter, "m1", "m2"))
+	require.Empty(t, tickThrough(inventory, 0, startupGracePeriod-time.Millisecond, "m1", "m2"), "the list is in transit")
+	inventory.Step(startupGracePeriod, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
+	require.Empty(t, tickThrough(inventory, startupGracePeriod, staleThreshold, "m1", "m2"))
 	require.Equal(t, "m2", inventory.Current().Version().GetHolder())
 
 	inventory = newTestInventory("m1")
 	inventory.Step(0, VersionObserved{Version: version, Peer: true})
-	require.Equal(t, []Action{StartPoll{}}, ticked(inventory, 0, settling, "m1", "m2"), "it never came")
+	require.Equal(t, []Action{StartPoll{}}, tickThrough(inventory, 0, startupGracePeriod, "m1", "m2"), "it never came")
 }
 
-func TestNoReadingWithoutAView(t *testing.T) {
-	require.Empty(t, ticked(newTestInventory("m1"), 0, 20*time.Second))
-	require.Empty(t, ticked(newTestInventory("m1"), 0, 20*time.Second, "m2", "m3"), "not a voter")
+func TestNoPollWithoutAView(t *testing.T) {
+	require.Empty(t, tickThrough(newTestInventory("m1"), 0, 20*time.Second))
+	require.Empty(t, tickThrough(newTestInventory("m1"), 0, 20*time.Second, "m2", "m3"), "not a voter")
 }
 
-func TestReadingsGoOnOnceASecond(t *testing.T) {
-	inventory, now := holding(t, serverNamed("a"))
+func TestOwnerPollsOnceASecond(t *testing.T) {
+	inventory, now := newOwner(t, serverNamed("a"))
 	polls := 0
 	for end := now + 10*time.Second; now < end; now += 100 * time.Millisecond {
 		for range inventory.Step(now, Tick{LiveHosts: []string{"m1"}}) {
@@ -132,9 +132,9 @@
 	require.Equal(t, uint64(1), inventory.Current().Version().Revision)
 }
 
-func TestManyPagesStretchThePeriod(t *testing.T) {
-	inventory, now := holding(t, serverNamed("a"))
-	inventory.lastPages = 28 // 28 pages at a third of 42 a second: one reading in two seconds
+func TestManyPagesStretchThePollInterval(t *testing.T) {
+	inventory, now := newOwner(t, serverNamed("a"))
+	inventory.lastPages = 28 // 28 pages at a third of 42 a second: one poll in two seconds
 	polls := 0
 	for end := now + 20*time.Second; now < end; now += 100 * time.Millisecond {
 		for range inventory.Step(now, Tick{LiveHosts: []string{"m1"}}) {
@@ -170,7 +170,7 @@
 		t.Run(name, func(t *testing.T) {
 			first := serverNamed("a")
 			first.WarmLeftMs = 5000
-			inventory, start := holding(t, first)
+			inventory, start := newOwner(t, first)
 			now := start + time.Second
 			require.Len(t, inventory.Step(now, Tick{LiveHosts: []string{"m1"}}), 1)
 			inventory.Step(now, PollDone{SentAt: now, Pages: 1, Servers: one.servers})
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestUselessReadingsKeepTheLastList(t *testing.T) {
+func TestFailedPollsKeepTheLastList(t *testing.T) {
 	cases := map[string]PollDone{
 		"failed":   {Failed: true, Pages: 1},
 		"empty":    {Pages: 1},
@@ -188,7 +188,7 @@
 	}
 	for name, done := range cases {
 		t.Run(name, func(t *testing.T) {
-			inventory, start := holding(t, serverNamed("a"))
+			inventory, start := newOwner(t, serverNamed("a"))
 			before := inventory.Current()
 			now := start + time.Second
 			require.Len(t, inventory.Step(now, Tick{LiveHosts: []string{"m1"}}), 1)
@@ -232,39 +232,39 @@
 	}
 }
 
-func TestConfirmationRefreshesTheNews(t *testing.T) {
+func TestConfirmationMakesTheListFresh(t *testing.T) {
 	inventory := newTestInventory("m9")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m2", Revision: 1}
 	inventory.Step(0, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
 	inventory.Step(4*time.Second, ListReceived{List: &pb.ServerList{Version: version, AgeMs: 300}})
 	require.Equal(t, 300*time.Millisecond, inventory.Current().Age(4*time.Second))
-	require.Equal(t, uint32(4000), inventory.Current().Message(4*time.Second).AgeMs, "remaining times date from the reading")
+	require.Equal(t, uint32(4000), inventory.Current().Message(4*time.Second).AgeMs, "remaining times date from the poll")
 }
 
 func TestNextMachineTakesOverUnderAHigherEpoch(t *testing.T) {
 	inventory := newTestInventory("m2")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m1", Revision: 1}
 	inventory.Step(0, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
-	require.Empty(t, ticked(inventory, 0, staleAfter, "m1", "m2", "m3"))
-	require.Equal(t, []Action{StartPoll{}}, ticked(inventory, staleAfter, staleAfter+longestJitter, "m1", "m2", "m3"))
-	now := staleAfter + longestJitter
+	require.Empty(t, tickThrough(inventory, 0, staleThreshold, "m1", "m2", "m3"))
+	require.Equal(t, []Action{StartPoll{}}, tickThrough(inventory, staleThreshold, staleThreshold+maxJitter, "m1", "m2", "m3"))
+	now := staleThreshold + maxJitter
 	inventory.Step(now, PollDone{SentAt: now, Pages: 1, Servers: []*pb.Server{serverNamed("a")}})
 	require.True(t, inventory.IsOwner())
 	require.Equal(t, uint64(6), inventory.Current().Version().Epoch)
 }
 
-func TestFreshNewsEndsATakeOver(t *testing.T) {
+func TestConfirmedListEndsATakeover(t *testing.T) {
 	inventory := newTestInventory("m2")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m1", Revision: 1}
 	fresh := ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}}
 	inventory.Step(0, fresh)
-	require.NotEmpty(t, ticked(inventory, 0, 3*time.Second, "m1", "m2"))
+	require.NotEmpty(t, tickThrough(inventory, 0, 3*time.Second, "m1", "m2"))
 	inventory.Step(3*time.Second, fresh)
 	require.Empty(t, inventory.Step(3*time.Second, PollDone{SentAt: 3 * time.Second, Pages: 1, Servers: []*pb.Server{serverNamed("a")}}))
 	require.False(t, inventory.IsOwner())
 }
 
-func TestFirstMachineTakesTheDutyBack(t *testing.T) {
+func TestFirstMachineInOrderPreemptsTheOwner(t *testing.T) {
 	inventory := newTestInventory("m1")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m2", Revision: 1}
 	var polledAt time.Duration
@@ -275,40 +275,40 @@
 			polledAt = now
 		}
 	}
-	require.GreaterOrEqual(t, polledAt, preemptAfter)
+	require.GreaterOrEqual(t, polledAt, preemptionDelay)
 	inventory.Step(polledAt, PollDone{SentAt: polledAt, Pages: 1, Servers: []*pb.Server{serverNamed("a")}})
 	require.Equal(t, uint64(6), inventory.Current().Version().Epoch)
 }
 
-func TestAHolderThatWakesYields(t *testing.T) {
-	inventory, start := holding(t, serverNamed("a"))
+func TestOwnerThatWasSuspendedYields(t *testing.T) {
+	inventory, start := newOwner(t, serverNamed("a"))
 	epoch := inventory.Current().Version().Epoch
 	now := start + time.Second
-	seen := &pb.ListVersion{Epoch: epoch + 1, Holder: "m2", Revision: 1}
-	inventory.Step(now, VersionObserved{Version: seen, Peer: true})
+	observed := &pb.ListVersion{Epoch: epoch + 1, Holder: "m2", Revision: 1}
+	inventory.Step(now, VersionObserved{Version: observed, Peer: true})
 	require.False(t, inventory.IsOwner())
 	require.Equal(t, epoch+1, inventory.AdvertisedVersion().Epoch)
-	inventory.Step(now, ListReceived{List: &pb.ServerList{Version: seen, Servers: []*pb.Server{serverNamed("a")}}})
+	inventory.Step(now, ListReceived{List: &pb.ServerList{Version: observed, Servers: []*pb.Server{serverNamed("a")}}})
 	require.Equal(t, "m2", inventory.Current().Version().Holder)
 }
 
-// TestALeftoverVersionIsOutbid: an agent, or a control machine that heard of it, holds a version of an earlier
-// life of all control machines.
-func TestALeftoverVersionIsOutbid(t *testing.T) {
+// TestVersionThatOutlivedItsOwnerIsSuperseded: an agent, or a control machine that observed it there, has a version from
+// before all control machines were restarted.
+func TestVersionThatOutlivedItsOwnerIsSuperseded(t *testing.T) {
 	for _, higher := range []uint64{0, 1, 1000} {
 		for _, peer := range []bool{false, true} {
-			inventory, start := holding(t, serverNamed("a"))
+			inventory, start := newOwner(t, serverNamed("a"))
 			epoch := inventory.Current().Version().Epoch
-			seen := VersionObserved{Version: &pb.ListVersion{Epoch: epoch + higher, Holder: "z", Revision: 7}, Peer: peer}
+			observed := VersionObserved{Version: &pb.ListVersion{Epoch: epoch + higher, Holder: "z", Revision: 7}, Peer: peer}
 			if peer {
-				seen.Version = &pb.ListVersion{Epoch: epoch + higher + 1}
+				observed.Version = &pb.ListVersion{Epoch: epoch + higher + 1}
 			}
 			now := start + 300*time.Millisecond
-			require.Equal(t, []Action{StartPoll{}}, inventory.Step(now, seen), "without waiting for the next reading")
-			require.Empty(t, inventory.Step(now, seen), "one reading is enough")
+			require.Equal(t, []Action{StartPoll{}}, inventory.Step(now, observed), "without waiting for the next interval")
+			require.Empty(t, inventory.Step(now, observed), "one poll is enough")
 			actions := inventory.Step(now, PollDone{SentAt: now, Pages: 1, Servers: []*pb.Server{serverNamed("a")}})
 			require.Len(t, actions, 2, "the same servers are a new list")
-			require.Positive(t, CompareVersions(inventory.Current().Version(), seen.Version))
+			require.Positive(t, serverlist.CompareVersions(inventory.Current().Version(), observed.Version))
 		}
 	}
 }
@@ -316,51 +316,25 @@
 func TestALaggingMachineGetsTheWholeList(t *testing.T) {
 	epoch := func(inventory *ServerInventory) uint64 { return inventory.Current().Version().Epoch }
 	cases := map[string]struct {
-		held  func(inventory *ServerInventory) *pb.ListVersion
-		pause time.Duration
+		held     func(inventory *ServerInventory) *pb.ListVersion
+		interval time.Duration
 	}{
-		"one that has just started":    {func(*ServerInventory) *pb.ListVersion { return nil }, resendFirst},
-		"one that heard of the duty":   {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i)} }, resendFirst},
-		"one that holds an older list": {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i) - 1, Holder: "m2"} }, resendEvery},
+		"one that has just started":  {func(*ServerInventory) *pb.ListVersion { return nil }, initialResendInterval},
+		"one that observed an epoch": {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i)} }, initialResendInterval},
+		"one that has an older list": {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i) - 1, Holder: "m2"} }, resendInterval},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			inventory, start := holding(t, serverNamed("a"))
+			inventory, start := newOwner(t, serverNamed("a"))
 			lagging := VersionObserved{Version: one.held(inventory), Peer: true}
-			require.Empty(t, inventory.Step(start+one.pause-1, lagging), "the list is still under way")
-			now := start + one.pause
+			require.Empty(t, inventory.Step(start+one.interval-1, lagging), "the list is still in transit")
+			now := start + one.interval
 			actions := inventory.Step(now, lagging)
 			require.Len(t, actions, 1)
 			require.Len(t, actions[0].(SendList).List.Servers, 1)
 			require.Empty(t, inventory.Step(now, lagging))
 			current := VersionObserved{Version: inventory.Current().Version(), Peer: true}
-			require.Empty(t, inventory.Step(now+resendEvery, current))
+			require.Empty(t, inventory.Step(now+resendInterval, current))
 		})
 	}
 }
-
-func TestCompareVersions(t *testing.T) {
-	ordered := []*pb.ListVersion{
-		nil,
-		{Epoch: 1, Holder: "a", Revision: 9},
-		{Epoch: 1, Holder: "b", Revision: 1},
-		{Epoch: 1, Holder: "b", Revision: 2},
-		{Epoch: 2, Holder: "a", Revision: 1},
-	}
-	for first := range ordered {
-		for second := range ordered {
-			got := CompareVersions(ordered[first], ordered[second])
-			require.Equal(t, compareInts(first, second), got, fmt.Sprint(first, second))
-		}
-	}
-}
-
-func compareInts(first, second int) int {
-	switch {
-	case first < second:
-		return -1
-	case first > second:
-		return 1
-	}
-	return 0
-}
--- /dev/null
+++ b/internal/registry/lag_monitor.go
@@ -0,0 +1,188 @@
+package registry
+
+import (
+	"time"
+
+	pb "fieldrelay/api/fieldrelay/v1"
+	"fieldrelay/internal/lag"
+)
+
+const (
+	// LagThreshold is how long a proxy may lack a committed change before it counts as lagging.
+	LagThreshold = time.Second
+
+	// expectedReportInterval is the time within which an agent that gets its answers reports again: each long poll stays
+	// open for a second at most.
+	expectedReportInterval = time.Second
+)
+
+// LagBounds are the deployment's bounds on the delay of an acknowledged change.
+type LagBounds struct {
+	MinContact              time.Duration // for which a machine must have been in contact before the bound applies to it
+	ApplyDelay              time.Duration // from the acknowledgement until the change is in force; 0: there is no bound
+	UnsynchronizedAllowance time.Duration // added while this control machine is not synchronized
+}
+
+// LagMonitor measures how far proxies lag behind the configuration that is committed at this control machine, from the
+// reports of their agents. It decides nothing: its results are for logs and counters. An agent is evaluated only while
+// its last report came to this machine from itself, so that one machine evaluates it. A LagMonitor is not safe for
+// concurrent use.
+type LagMonitor struct {
+	committed        lag.Timeline
+	agents           map[string]*trackedAgent
+	bounds           LagBounds
+	unsynchronized   bool          // this machine has been out of sync with the control state before
+	unsynchronizedAt time.Duration // when it last was
+	violations       uint64
+}
+
+// LagStats summarize the lag of the proxies.
+type LagStats struct {
+	Lagging        int           // proxies that lag by more than LagThreshold
+	LongestLag     time.Duration // the longest lag of a proxy
+	LongestLagHost string
+	Violations     uint64 // ProxyBoundExceeded since the start
+}
+
+// NewLagMonitor returns a monitor that knows no agents and no committed change, and has no bounds.
+func NewLagMonitor() *LagMonitor { return &LagMonitor{agents: make(map[string]*trackedAgent)} }
+
+// SetBounds changes the deployment's bounds.
+func (l *LagMonitor) SetBounds(bounds LagBounds) { l.bounds = bounds }
+
+// RecordCommit records the newest sequence that is committed at this machine.
+func (l *LagMonitor) RecordCommit(now time.Duration, sequence uint64) {
+	l.committed.Record(sequence, now)
+}
+
+// ObserveUnsynchronized records that this machine is not synchronized with the control state now.
+func (l *LagMonitor) ObserveUnsynchronized(now time.Duration) {
+	l.unsynchronized = true
+	l.unsynchronizedAt = now
+}
+
+// Observe takes a report that came from the agent itself. Only such a report can show that a bound was exceeded.
+func (l *LagMonitor) Observe(now time.Duration, record *pb.AgentRecord) []Action {
+	agent := l.accept(now, record, true)
+	if agent == nil {
+		return nil
+	}
+	events := l.updateEpisode(now, record.GetHost(), agent)
+	return l.checkBound(events, now, record.GetHost(), agent)
+}
+
+// Merge takes reports that another control machine received, with their ages.
+func (l *LagMonitor) Merge(now time.Duration, records []*pb.AgentRecord) {
+	for _, record := range records {
+		l.accept(now-time.Duration(record.GetAgeMs())*time.Millisecond, record, false)
+	}
+}
+
+// Step evaluates all agents at the time now, and removes those whose last report is FailureTimeout old.
+func (l *LagMonitor) Step(now time.Duration) []Action {
+	var events []Action
+	for host, agent := range l.agents {
+		if now-agent.receivedAt >= FailureTimeout {
+			events = agent.endEpisode(events, host)
+			delete(l.agents, host)
+			continue
+		}
+		events = append(events, l.updateEpisode(now, host, agent)...)
+	}
+	return events
+}
+
+// Stats summarizes the lag at the time now.
+func (l *LagMonitor) Stats(now time.Duration) LagStats {
+	stats := LagStats{Violations: l.violations}
+	for host, agent := range l.agents {
+		lagging := l.lagOf(now, agent)
+		if lagging > LagThreshold {
+			stats.Lagging++
+		}
+		if lagging > stats.LongestLag {
+			stats.LongestLag = lagging
+			stats.LongestLagHost = host
+		}
+	}
+	return stats
+}
+
+// accept takes a report and returns its agent. It returns nil for a report that is ignored: a later one is known, or there
+// are MaxAgents already.
+func (l *LagMonitor) accept(receivedAt time.Duration, record *pb.AgentRecord, direct bool) *trackedAgent {
+	if record.GetHost() == "" {
+		return nil
+	}
+	agent := l.agents[record.GetHost()]
+	if agent == nil {
+		if len(l.agents) >= MaxAgents {
+			return nil
+		}
+		agent = &trackedAgent{contactSince: receivedAt, receivedAt: receivedAt}
+		l.agents[record.GetHost()] = agent
+	}
+	if receivedAt < agent.receivedAt || !direct && agent.mayBeOlder(receivedAt, record) {
+		return nil
+	}
+	agent.update(receivedAt, record)
+	agent.direct = direct
+	if l.committed.Lag(receivedAt, agent.sequence, agent.contactSince) <= LagThreshold {
+		agent.overdueTime = 0
+	}
+	return agent
+}
+
+// lagOf returns for how long an agent's proxy is known to have lacked a committed change, 0 for an agent that is not
+// evaluated. The next report is due expectedReportInterval after the last one. Until then the proxy may have the change
+// while its agent had no occasion to report so.
+func (l *LagMonitor) lagOf(now time.Duration, agent *trackedAgent) time.Duration {
+	if !agent.evaluated || !agent.direct {
+		return 0
+	}
+	known := max(agent.receivedAt, now-expectedReportInterval)
+	return l.committed.Lag(known, agent.sequence, agent.contactSince)
+}
+
+// updateEpisode evaluates the lag of an agent and returns an action if an episode began or ended.
+func (l *LagMonitor) updateEpisode(now time.Duration, host string, agent *trackedAgent) []Action {
+	if !agent.direct || !agent.evaluated {
+		return agent.endEpisode(nil, host)
+	}
+	lagging := l.lagOf(now, agent)
+	switch agent.episode.Update(lagging, LagThreshold) {
+	case lag.Began:
+		return []Action{AgentLagging{
+			Host: host, Reported: agent.sequence, Committed: l.committed.Newest(), Lag: lagging, Ready: agent.ready,
+		}}
+	case lag.Ended:
+		agent.violated = false
+		return []Action{AgentCaughtUp{Host: host, Reported: agent.sequence, LongestLag: agent.episode.Longest()}}
+	}
+	return nil
+}
+
+// checkBound appends a ProxyBoundExceeded if a report that has just come from the agent itself shows one.
+func (l *LagMonitor) checkBound(events []Action, now time.Duration, host string, agent *trackedAgent) []Action {
+	lagging := l.lagOf(now, agent)
+	bound := l.boundFor(now, lagging, agent)
+	inContact := now-agent.contactSince >= l.bounds.MinContact
+	if l.bounds.ApplyDelay <= 0 || agent.violated || !agent.ready || !inContact || lagging <= bound {
+		return events
+	}
+	agent.violated = true
+	l.violations++
+	return append(events, ProxyBoundExceeded{
+		Host: host, Reported: agent.sequence, Committed: l.committed.Newest(), Lag: lagging, Bound: bound,
+	})
+}
+
+// boundFor returns the longest lag that is allowed. An agent whose reports were overdue may have been partitioned for that
+// time, and this machine may have been out of sync itself.
+func (l *LagMonitor) boundFor(now, lagging time.Duration, agent *trackedAgent) time.Duration {
+	bound := l.bounds.ApplyDelay + agent.overdueTime
+	if l.unsynchronized && now-l.unsynchronizedAt < lagging+l.bounds.MinContact {
+		bound += l.bounds.UnsynchronizedAllowance
+	}
+	return bound
+}
--- a/internal/registry/lateness_sim_test.go
+++ b/internal/registry/lag_monitor_sim_test.go
@@ -18,32 +18,32 @@
 )
 
 // followingEdge is an edge whose proxies follow the changes of one control machine within longestDelivery while their
-// agents reach it. Agents are cut off, and proxies start anew.
+// agents reach it. Agents are partitioned, and proxies restart.
 type followingEdge struct {
 	random    *rand.Rand
 	now       time.Duration
-	lateness  *LagMonitor
+	monitor   *LagMonitor
 	committed uint64
 	hosts     []*followingHost
 	events    []Action
 }
 
 type followingHost struct {
-	name       string
-	sequence   uint64
-	cutUntil   time.Duration
-	reportAt   time.Duration
-	arrivesAt  time.Duration // of the changes that are under way, up to arrives; 0: none are
-	arrives    uint64
-	stuck      bool          // planted: its proxy takes no changes
-	reportedBy time.Duration // longest time between two reports
+	name             string
+	sequence         uint64
+	partitionedUntil time.Duration
+	reportAt         time.Duration
+	arrivesAt        time.Duration // of the changes in transit, up to arrives; 0: none are
+	arrives          uint64
+	stuck            bool          // injected fault: its proxy takes no changes
+	reportInterval   time.Duration // longest time between two reports
 }
 
 func newFollowingEdge(seed uint64) *followingEdge {
-	e := &followingEdge{random: rand.New(rand.NewPCG(seed, 11)), lateness: NewLagMonitor()}
-	e.lateness.SetBounds(testBounds)
+	e := &followingEdge{random: rand.New(rand.NewPCG(seed, 11)), monitor: NewLagMonitor()}
+	e.monitor.SetBounds(testBounds)
 	for index := range followHosts {
-		e.hosts = append(e.hosts, &followingHost{name: fmt.Sprint("edge-", index), reportedBy: time.Second})
+		e.hosts = append(e.hosts, &followingHost{name: fmt.Sprint("edge-", index), reportInterval: time.Second})
 	}
 	return e
 }
@@ -56,31 +56,31 @@
 	e.now += followStep
 	if e.random.IntN(10) == 0 {
 		e.committed++
-		e.lateness.Committed(e.now, e.committed)
+		e.monitor.RecordCommit(e.now, e.committed)
 	}
 	for _, host := range e.hosts {
-		e.disturb(host)
-		if e.now >= host.cutUntil {
+		e.injectFault(host)
+		if e.now >= host.partitionedUntil {
 			e.follow(host)
 		}
 	}
-	e.events = append(e.events, e.lateness.Step(e.now)...)
+	e.events = append(e.events, e.monitor.Step(e.now)...)
 }
 
-// disturb cuts a host off at times, or starts its proxy anew.
-func (e *followingEdge) disturb(host *followingHost) {
+// injectFault partitions a host at times, or restarts its proxy.
+func (e *followingEdge) injectFault(host *followingHost) {
 	switch e.random.IntN(600) {
 	case 0:
-		host.cutUntil = e.now + e.upTo(5*time.Second)
+		host.partitionedUntil = e.now + e.upTo(5*time.Second)
 		host.arrivesAt = 0
-		host.reportAt = host.cutUntil + e.upTo(300*time.Millisecond)
+		host.reportAt = host.partitionedUntil + e.upTo(300*time.Millisecond)
 	case 1:
 		host.sequence = 0
 		host.arrivesAt = 0
 	}
 }
 
-// follow lets a host in contact get what is under way to it and report what its proxy holds.
+// follow lets a host in contact receive what is in transit to it and report what its proxy has.
 func (e *followingEdge) follow(host *followingHost) {
 	if host.arrivesAt > 0 && e.now >= host.arrivesAt {
 		host.sequence = max(host.sequence, host.arrives)
@@ -94,10 +94,10 @@
 	if e.now < host.reportAt {
 		return
 	}
-	host.reportAt = e.now + host.reportedBy
+	host.reportAt = e.now + host.reportInterval
 	record := agentRecord(host.name, 1)
 	record.Sequence = host.sequence
-	e.events = append(e.events, e.lateness.Observe(e.now, record)...)
+	e.events = append(e.events, e.monitor.Observe(e.now, record)...)
 }
 
 func (e *followingEdge) run() {
@@ -106,34 +106,35 @@
 	}
 }
 
-// Proxies that take changes while their agents are in contact never break the bound, whatever cuts and starts come.
-func TestProxiesThatFollowAreNeverCalledLate(t *testing.T) {
-	behind := 0
+// Proxies that take changes while their agents are in contact never exceed the bound, whatever partitions and restarts
+// come.
+func TestProxiesThatFollowNeverExceedTheBound(t *testing.T) {
+	lagging := 0
 	for seed := range uint64(40) {
 		e := newFollowingEdge(seed)
 		e.run()
-		require.Zero(t, e.lateness.Stats(e.now).Violations, "seed %d", seed)
+		require.Zero(t, e.monitor.Stats(e.now).Violations, "seed %d", seed)
 		for _, event := range e.events {
 			if _, is := event.(AgentLagging); is {
-				behind++
+				lagging++
 			}
 		}
 	}
-	require.Positive(t, behind, "some were behind after a cut")
+	require.Positive(t, lagging, "some lagged after a partition")
 }
 
-// A proxy that takes no changes is found, also if its agent's calls time out, so that it is seldom heard.
+// A proxy that takes no changes is found, also if its agent's calls time out, so that reports are rare.
 func TestProxyThatTakesNoChangesIsFound(t *testing.T) {
 	for _, reportedBy := range []time.Duration{time.Second, 2200 * time.Millisecond, 2900 * time.Millisecond} {
 		for seed := range uint64(10) {
 			e := newFollowingEdge(seed)
 			e.hosts[3].stuck = true
-			e.hosts[3].reportedBy = reportedBy
+			e.hosts[3].reportInterval = reportedBy
 			e.run()
 			found := 0
 			for _, event := range e.events {
-				if late, is := event.(ProxyBoundExceeded); is {
-					require.Equal(t, "edge-3", late.Host)
+				if exceeded, is := event.(ProxyBoundExceeded); is {
+					require.Equal(t, "edge-3", exceeded.Host)
 					found++
 				}
 			}
--- a/internal/shuffle/digest_test.go
+++ b/internal/shuffle/digest_test.go
@@ -8,9 +8,9 @@
 	"fieldrelay/internal/digesttest"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs anew")
+var update = flag.Bool("update", false, "record the digests of the runs again")
 
-// A change that should change no behaviour changes no exchange between members, and no view.
+// A refactoring leaves the exchanges between members and their views as they are.
 func TestSwarmHasTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "swarm", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(10 * time.Second)
@@ -22,13 +22,13 @@
 				entry := recorder.Entry(s.now, "exchange").Text(host)
 				recordMembers(entry, action.To, action.From)
 				recordMembers(entry, action.Sample...)
-			case Answer:
+			case ExchangeReply:
 				recordMembers(recorder.Entry(s.now, "answer").Text(host), action.Sample...)
 			default:
 				t.Errorf("an action that the digests do not know")
 			}
 		}
-		s.seedFew(3)
+		s.bootstrapFromPredecessors(3)
 		s.run(time.Minute)
 		for _, i := range s.random.Perm(swarmSize)[:swarmSize/4] {
 			s.dead[member(i).Host] = true
--- /dev/null
+++ b/internal/shuffle/reserve.go
@@ -0,0 +1,74 @@
+package shuffle
+
+import "time"
+
+// refill fills free slots at random from the members that control knows: first those of the own region, up to
+// ownRegionSlots. If no neighbour is left, the failures are cleared: the fault may be on this side.
+func (v *View) refill(now time.Duration) {
+	if len(v.neighbours) == 0 && v.pending.host == "" {
+		clear(v.failedUntil)
+	}
+	if len(v.neighbours) >= ViewSize || len(v.reserve) == 0 {
+		return
+	}
+	order := v.random.Perm(len(v.reserve))
+	for _, i := range order {
+		if v.countOwnRegion() >= ownRegionSlots {
+			break
+		}
+		if v.reserve[i].Region == v.self.Region {
+			v.insertIfFree(now, v.reserve[i])
+		}
+	}
+	for _, i := range order {
+		v.insertIfFree(now, v.reserve[i])
+	}
+}
+
+// insertIfFree inserts a member if there is a free slot and it is not in the view or the partner of the pending exchange.
+func (v *View) insertIfFree(now time.Duration, member Neighbour) {
+	if len(v.neighbours) >= ViewSize || member.Host == v.pending.host || v.find(member.Host) >= 0 {
+		return
+	}
+	v.insert(now, member)
+}
+
+// receiveMembers records the members that control knows, and refills free slots.
+func (v *View) receiveMembers(now time.Duration, members []Neighbour) {
+	reserve := make([]Neighbour, 0, min(len(members), maxReserve))
+	for _, member := range members {
+		if len(reserve) == maxReserve {
+			break
+		}
+		if member.Host == v.self.Host || member.Address == "" {
+			continue
+		}
+		reserve = append(reserve, member)
+	}
+	v.reserve = reserve
+	v.refill(now)
+}
+
+// removeFailed removes a member that did not answer. It is not inserted again for failureRetention, unless it begins an
+// exchange itself.
+func (v *View) removeFailed(now time.Duration, host string) {
+	if v.pending.host == host {
+		v.pending = pendingExchange{}
+	}
+	if i := v.find(host); i >= 0 {
+		v.remove(i)
+	}
+	if len(v.failedUntil) < maxFailures {
+		v.failedUntil[host] = now + failureRetention
+	}
+	v.refill(now)
+}
+
+// expireFailures removes the failures that are older than failureRetention.
+func (v *View) expireFailures(now time.Duration) {
+	for host, until := range v.failedUntil {
+		if until <= now {
+			delete(v.failedUntil, host)
+		}
+	}
+}
--- a/internal/shuffle/shuffle_test.go
+++ b/internal/shuffle/shuffle_test.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	swarmSize = 400
-	regions   = 3
-	tickEvery = time.Second
+	swarmSize    = 400
+	regions      = 3
+	tickInterval = time.Second
 )
 
-// swarm is a simulation of many members without a network of their own: an exchange is delivered at once or fails.
+// swarm simulates many members without a network: an exchange is delivered at once or fails.
 type swarm struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -24,7 +24,7 @@
 	dead    map[string]bool
 	now     time.Duration
 	loss    float64
-	watch   func(host string, action Action) // is told of each action; nil: nobody
+	watch   func(host string, action Action) // called with each action, unless nil
 }
 
 func member(i int) Neighbour {
@@ -51,8 +51,8 @@
 	return s
 }
 
-// seedFew tells each member only its predecessors: exchanges alone have to mix the graph.
-func (s *swarm) seedFew(few int) {
+// bootstrapFromPredecessors gives each member only its predecessors: exchanges alone have to mix the graph.
+func (s *swarm) bootstrapFromPredecessors(few int) {
 	for i, view := range s.members {
 		var known []Neighbour
 		for back := 1; back <= few; back++ {
@@ -64,7 +64,7 @@
 }
 
 func (s *swarm) run(span time.Duration) {
-	for end := s.now + span; s.now < end; s.now += tickEvery {
+	for end := s.now + span; s.now < end; s.now += tickInterval {
 		for _, i := range s.random.Perm(len(s.members)) {
 			if view := s.members[i]; !s.dead[view.self.Host] {
 				s.deliver(view, view.Step(s.now, Tick{}))
@@ -83,23 +83,23 @@
 		require.LessOrEqual(s.t, len(exchange.Sample), ExchangeSize-1)
 		partner := s.members[s.index[exchange.To.Host]]
 		if s.dead[exchange.To.Host] || s.random.Float64() < s.loss {
-			from.Step(s.now, Failed{Host: exchange.To.Host})
+			from.Step(s.now, ExchangeFailed{Host: exchange.To.Host})
 			continue
 		}
-		answer := partner.Step(s.now, ExchangeRequested{From: exchange.From, Sample: exchange.Sample})[0].(Answer)
+		answer := partner.Step(s.now, ExchangeRequested{From: exchange.From, Sample: exchange.Sample})[0].(ExchangeReply)
 		if s.watch != nil {
 			s.watch(exchange.To.Host, answer)
 		}
 		s.check(partner)
 		if s.random.Float64() < s.loss {
-			from.Step(s.now, Failed{Host: exchange.To.Host})
+			from.Step(s.now, ExchangeFailed{Host: exchange.To.Host})
 			continue
 		}
-		from.Step(s.now, Answered{From: exchange.To, Sample: answer.Sample})
+		from.Step(s.now, ExchangeAnswered{From: exchange.To, Sample: answer.Sample})
 	}
 }
 
-// check looks at what must always hold of one view.
+// check requires the invariants of one view.
 func (s *swarm) check(view *View) {
 	if len(view.neighbours) > ViewSize {
 		s.t.Fatalf("%d neighbours", len(view.neighbours))
@@ -107,21 +107,22 @@
 	seen := make(map[string]bool, ViewSize)
 	for _, neighbour := range view.neighbours {
 		if neighbour.Host == view.self.Host || seen[neighbour.Host] {
-			s.t.Fatalf("%s holds itself or a neighbour twice: %v", view.self.Host, view.neighbours)
+			s.t.Fatalf("%s has itself or a neighbour twice: %v", view.self.Host, view.neighbours)
 		}
 		seen[neighbour.Host] = true
 	}
 }
 
-// reached counts the members that live and are reached from the first one that lives, along neighbours either way.
-func (s *swarm) reached() (reached, living int) {
+// reached counts the live members, and those of them that are reached from the first one along neighbours in either
+// direction.
+func (s *swarm) reached() (reached, live int) {
 	links := make(map[string][]string)
 	var start string
 	for _, view := range s.members {
 		if s.dead[view.self.Host] {
 			continue
 		}
-		living++
+		live++
 		if start == "" {
 			start = view.self.Host
 		}
@@ -141,12 +142,12 @@
 			}
 		}
 	}
-	return len(seen), living
+	return len(seen), live
 }
 
 func (s *swarm) requireConnected() {
-	reached, living := s.reached()
-	require.Equal(s.t, living, reached, "members reached")
+	reached, live := s.reached()
+	require.Equal(s.t, live, reached, "members reached")
 }
 
 func (s *swarm) maxInDegree() int {
@@ -164,14 +165,14 @@
 func TestSwarmMixesIntoAConnectedGraphOfBoundedDegree(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newSwarm(t, seed)
-		s.seedFew(3)
+		s.bootstrapFromPredecessors(3)
 		s.run(3 * time.Minute)
 		s.requireConnected()
 		require.LessOrEqual(t, s.maxInDegree(), 4*ViewSize)
 		for _, view := range s.members {
 			require.Len(t, view.neighbours, ViewSize)
-			require.GreaterOrEqual(t, view.ownRegion(), ownRegionPlaces)
-			require.GreaterOrEqual(t, len(view.neighbours)-view.ownRegion(), otherRegionPlaces)
+			require.GreaterOrEqual(t, view.countOwnRegion(), ownRegionSlots)
+			require.GreaterOrEqual(t, len(view.neighbours)-view.countOwnRegion(), otherRegionSlots)
 		}
 	}
 }
@@ -179,7 +180,7 @@
 func TestSurvivorsStayConnectedWhenHalfDie(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newSwarm(t, seed)
-		s.seedFew(3)
+		s.bootstrapFromPredecessors(3)
 		s.run(2 * time.Minute)
 		for _, i := range s.random.Perm(swarmSize)[:swarmSize/2] {
 			s.dead[member(i).Host] = true
@@ -197,7 +198,7 @@
 				}
 			}
 		}
-		require.Less(t, toDead, swarmSize/2*ViewSize/20, "places of survivors held by the dead")
+		require.Less(t, toDead, swarmSize/2*ViewSize/20, "slots of survivors with dead neighbours")
 	}
 }
 
@@ -224,9 +225,9 @@
 	exchange := view.Step(ExchangeInterval, Tick{})[0].(Exchange)
 	require.Equal(t, old.Host, exchange.To.Host)
 	require.Len(t, exchange.Sample, 2)
-	view.Step(ExchangeInterval, Failed{Host: old.Host})
+	view.Step(ExchangeInterval, ExchangeFailed{Host: old.Host})
 	view.Step(ExchangeInterval, ExchangeRequested{From: member(2), Sample: []Neighbour{member(1)}})
-	require.Equal(t, -1, view.find(old.Host), "on the word of others")
+	require.Equal(t, -1, view.find(old.Host), "others can't bring it back")
 	view.Step(ExchangeInterval, ExchangeRequested{From: member(1)})
 	require.GreaterOrEqual(t, view.find(old.Host), 0, "it calls itself")
 }
@@ -237,18 +238,18 @@
 	view.Step(0, Tick{})
 	exchange := view.Step(ExchangeInterval, Tick{})[0].(Exchange)
 	require.Empty(t, view.Neighbours())
-	view.Step(ExchangeInterval, Answered{From: member(2), Sample: []Neighbour{member(3)}})
-	require.Empty(t, view.Neighbours(), "an answer that nobody waits for")
-	view.Step(ExchangeInterval, Answered{From: exchange.To, Sample: []Neighbour{member(0)}})
+	view.Step(ExchangeInterval, ExchangeAnswered{From: member(2), Sample: []Neighbour{member(3)}})
+	require.Empty(t, view.Neighbours(), "an answer that is not awaited")
+	view.Step(ExchangeInterval, ExchangeAnswered{From: exchange.To, Sample: []Neighbour{member(0)}})
 	require.Len(t, view.Neighbours(), 1)
 }
 
 func TestViewFillsAgainAfterEveryNeighbourFailed(t *testing.T) {
 	view := New(member(0), rand.New(rand.NewPCG(1, 1)))
 	view.Step(0, MembersReceived{Members: []Neighbour{member(1), member(2)}})
-	view.Step(0, Failed{Host: member(1).Host})
-	view.Step(0, Failed{Host: member(2).Host})
-	require.Len(t, view.Neighbours(), 2, "the fault may have been here")
+	view.Step(0, ExchangeFailed{Host: member(1).Host})
+	view.Step(0, ExchangeFailed{Host: member(2).Host})
+	require.Len(t, view.Neighbours(), 2, "the fault may be on this side")
 }
 
 func TestSamplesOfStrangersAreBounded(t *testing.T) {
--- a/internal/status/text.go
+++ b/internal/status/text.go
@@ -13,20 +13,36 @@
 // columnPadding separates the columns of tables.
 const columnPadding = 2
 
-// WriteText writes a survey for people: the findings first, then the view, the control machines, the duty and
-// the agents.
+// WriteText writes a survey for people: the findings first, then the view, the control machines and the agents.
 func (s *Survey) WriteText(output io.Writer) error {
 	var text strings.Builder
 	s.writeFindings(&text)
 	s.writeView(&text)
 	s.writeMachines(&text)
-	if report := bestMembers(s.reports()); report != nil {
+	if report := mostReliableMembers(s.reports()); report != nil {
 		writeAgents(&text, report)
 	}
 	_, err := io.WriteString(output, text.String())
 	return err
 }
 
+// table writes rows with aligned columns. Its writer is a strings.Builder, which does not fail.
+type table struct {
+	writer *tabwriter.Writer
+}
+
+func newTable(text *strings.Builder) *table {
+	return &table{writer: tabwriter.NewWriter(text, 0, 0, columnPadding, ' ', 0)}
+}
+
+// row writes one row; tabs separate its columns.
+func (t *table) row(format string, values ...any) {
+	_, _ = fmt.Fprintf(t.writer, format+"\n", values...)
+}
+
+// flush aligns and writes the rows.
+func (t *table) flush() { _ = t.writer.Flush() }
+
 func (s *Survey) writeFindings(text *strings.Builder) {
 	found := s.Findings()
 	if len(found) == 0 {
@@ -52,35 +68,36 @@
 
 func (s *Survey) writeMachines(text *strings.Builder) {
 	text.WriteString("\n")
-	table := tabwriter.NewWriter(text, 0, 0, columnPadding, ' ', 0)
-	fmt.Fprintln(table, "CONTROL\tZONE\tUP\tVIEW\tPART\tSEQUENCE\tGEN\tEVACUATED\tLIST\tAGE\tSERVERS\tPOLLS\tACKED\tREFUSED\t503")
+	rows := newTable(text)
+	rows.row("CONTROL\tZONE\tUP\tVIEW\tPART\tSEQUENCE\tGEN\tEVACUATED\tLIST\tAGE\tSERVERS\tPOLLS\tACKED\tREFUSED\t503")
 	for _, machine := range s.Machines {
 		if machine.Report == nil {
-			fmt.Fprintf(table, "%s\t%s\n", machine.Host, "silent")
+			rows.row("%s\t%s", machine.Host, "silent")
 			continue
 		}
-		writeMachine(table, machine.Report)
+		writeMachine(rows, machine.Report)
 	}
-	table.Flush()
+	rows.flush()
 }
 
-func writeMachine(table io.Writer, report *pb.ControlStatusReport) {
-	catalog, duty, orders := report.GetCatalog(), report.GetDuty(), report.GetOrders()
-	fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\n",
+// writeMachine writes the row of a control machine.
+func writeMachine(rows *table, report *pb.ControlStatusReport) {
+	catalog, polling, orders := report.GetCatalog(), report.GetDuty(), report.GetOrders()
+	rows.row("%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d",
 		report.GetSelf().GetHost(), report.GetSelf().GetZone(), duration(report.GetUptimeMs()),
-		report.GetView().GetNumber(), part(report),
+		report.GetView().GetNumber(), machineState(report),
 		catalog.GetSequence(), catalog.GetGeneration(), orDash(strings.Join(catalog.GetEvacuatedZones(), ",")),
-		listVersion(duty.GetList()), listAge(duty),
-		servers(duty), polls(duty),
+		listVersion(polling.GetList()), listAge(polling),
+		servers(polling), polls(polling),
 		orders.GetAcknowledged(), orders.GetRefused(), orders.GetUnavailable())
 }
 
-// part tells a machine's place in its view and whether it holds the agreed state.
-func part(report *pb.ControlStatusReport) string {
-	place := "outside"
+// machineState returns a machine's role in its view, whether it is authoritative and whether it polls the server list.
+func machineState(report *pb.ControlStatusReport) string {
+	state := "outside"
 	for _, voter := range report.GetView().GetVoters() {
 		if voter.GetIdentity() == report.GetSelf().GetIdentity() {
-			place = "voter"
+			state = "voter"
 		}
 	}
 	chain := report.GetView().GetChain()
@@ -90,22 +107,23 @@
 		}
 		switch index {
 		case 0:
-			place = "head"
+			state = "head"
 		case len(chain) - 1:
-			place = "tail"
+			state = "tail"
 		default:
-			place = "middle"
+			state = "middle"
 		}
 	}
 	if !report.GetAuthoritative() {
-		place += ", cut off or behind"
+		state += ", cut off or behind"
 	}
 	if report.GetDuty().GetHolder() {
-		place += ", reads the list"
+		state += ", reads the list"
 	}
-	return place
+	return state
 }
 
+// writeAgents writes the table of the agents that one control machine knows.
 func writeAgents(text *strings.Builder, report *pb.ControlStatusReport) {
 	live := 0
 	for _, agent := range report.GetAgents() {
@@ -118,16 +136,16 @@
 	if !report.GetMembersSettled() {
 		text.WriteString("(it has just started: there may be more)\n")
 	}
-	table := tabwriter.NewWriter(text, 0, 0, columnPadding, ' ', 0)
-	fmt.Fprintln(table, "AGENT\tZONE\tSTATE\tSEQUENCE\tBEHIND\tHEARD\tEDGE")
+	rows := newTable(text)
+	rows.row("AGENT\tZONE\tSTATE\tSEQUENCE\tBEHIND\tHEARD\tEDGE")
 	for _, agent := range report.GetAgents() {
 		record := agent.GetRecord()
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%s ago\t%s\n",
+		rows.row("%s\t%s\t%s\t%d\t%d\t%s ago\t%s",
 			record.GetHost(), record.GetZone(), agentState(agent), record.GetSequence(),
-			behind(report.GetCatalog().GetSequence(), record.GetSequence()),
+			lag(report.GetCatalog().GetSequence(), record.GetSequence()),
 			duration(uint64(record.GetAgeMs())), record.GetEdgeAddress())
 	}
-	table.Flush()
+	rows.flush()
 }
 
 func agentState(agent *pb.AgentStatus) string {
@@ -143,11 +161,11 @@
 	}
 }
 
-func behind(newest, held uint64) uint64 {
-	if held >= newest {
+func lag(newest, reported uint64) uint64 {
+	if reported >= newest {
 		return 0
 	}
-	return newest - held
+	return newest - reported
 }
 
 func listVersion(version *pb.ListVersion) string {
@@ -157,28 +175,28 @@
 	return fmt.Sprintf("%d/%s/%d", version.GetEpoch(), version.GetHolder(), version.GetRevision())
 }
 
-func listAge(duty *pb.DutyStatus) string {
-	if duty.GetList() == nil {
+func listAge(polling *pb.DutyStatus) string {
+	if polling.GetList() == nil {
 		return "-"
 	}
-	return duration(duty.GetListAgeMs())
+	return duration(polling.GetListAgeMs())
 }
 
-func servers(duty *pb.DutyStatus) string {
-	if duty.GetDraining() == 0 {
-		return fmt.Sprint(duty.GetServers())
+func servers(polling *pb.DutyStatus) string {
+	if polling.GetDraining() == 0 {
+		return fmt.Sprint(polling.GetServers())
 	}
-	return fmt.Sprintf("%d, %d draining", duty.GetServers(), duty.GetDraining())
+	return fmt.Sprintf("%d, %d draining", polling.GetServers(), polling.GetDraining())
 }
 
-func polls(duty *pb.DutyStatus) string {
-	if duty.GetPollsFailed() == 0 {
-		return fmt.Sprint(duty.GetPolls())
+func polls(polling *pb.DutyStatus) string {
+	if polling.GetPollsFailed() == 0 {
+		return fmt.Sprint(polling.GetPolls())
 	}
-	return fmt.Sprintf("%d, %d failed", duty.GetPolls(), duty.GetPollsFailed())
+	return fmt.Sprintf("%d, %d failed", polling.GetPolls(), polling.GetPollsFailed())
 }
 
-// duration is a time to a tenth of a second, or to the second when it is long.
+// duration formats a time to a tenth of a second, or to the second from a minute on.
 func duration(milliseconds uint64) string {
 	value := time.Duration(milliseconds) * time.Millisecond
 	if value >= time.Minute {
