--- a/internal/budget/ledger.go
+++ b/internal/budget/ledger.go
@@ -1,10 +1,3 @@
-// Package budget decides who may hold how many bytes. A Ledger is the decision
-// alone: no I/O, clock or goroutine, so that tests and models drive it with
-// times of their own. A Gate shares one ledger among goroutines and makes those
-// wait that it lets wait.
-//
-// The bytes of a budget are live ones: what the collector has not yet freed of
-// others is the business of whoever sets its size.
 package budget
 
 import (
@@ -13,341 +6,181 @@
 	"time"
 )
 
-// Kind is what bytes are held for.
-type Kind uint8
-
-// What bytes are held for. Jobs are the bodies and the bookkeeping of requests that have passed the door.
-const (
-	Conns Kind = iota
-	Jobs
-	Answers
-	Lists
-	kinds
-)
-
-func (k Kind) String() string { return [kinds]string{"conns", "jobs", "answers", "lists"}[k] }
-
-// Degree is how short bytes are. Each degree asks for all that those below it do.
-type Degree uint8
-
-// The degrees of pressure, and what each asks for.
+// Fractions of the budget.
 const (
-	Calm  Degree = iota
-	Trim         // idle buffers and pools are given back
-	Idle         // idle connections are closed
-	Large        // new large bodies wait
-	Dear         // new jobs wait, those worth most for their bytes first
-	degrees
+	// reservedFraction is kept for answers and lists: what was admitted must be answered while no more is admitted.
+	reservedFraction = 0.2
+	// maxLargeFraction is the most of the capacity that large reservations may have, and maxLargeShare the most of what
+	// the present connections leave of it: small ones, which are most of the traffic and cost little, and the connections
+	// that are yet to bring them find room beside any number of large ones.
+	maxLargeFraction, maxLargeShare = 0.45, 0.75
+	maxConnFraction                 = 0.9 // of the capacity may be in use when a connection is accepted
 )
 
-func (d Degree) String() string { return [degrees]string{"calm", "trim", "idle", "large", "dear"}[d] }
-
-// Parts of the budget.
 const (
-	// reserve is kept for answers and lists: what was taken must be answered though the door is shut.
-	reserve = 0.2
-	// largeMost is the most of what the door may hold that large asks hold of it, and largeShare the most of what the
-	// connections that there are leave: small ones, which are most of the traffic and cost little, and the connections
-	// that they are yet to come on find room beside any number of large ones.
-	largeMost, largeShare = 0.45, 0.75
-	connMost              = 0.9 // of the door's room may be held when a connection is let in
-	// Of the door's room that is held, where each degree begins. It ends a little below, or it would come and go with
-	// every job.
-	trimAt, idleAt, largeAt, dearAt = 0.5, 0.65, 0.75, 0.95
-	slackening                      = 0.1
-	leastTotal                      = 512 << 10 // bytes; a budget that shrinks stops here
+	minTotal         = 512 << 10       // bytes; a budget is never smaller
+	rateTimeConstant = 2 * time.Second // of the aged rate at which requests release bytes
 )
 
-// rateAge is the time constant of the rate at which bytes come back.
-const rateAge = 2 * time.Second
-
-// LargeFrom is from how many bytes on an ask is large.
-const LargeFrom = 8 << 10
-
-// Ask is a wish to hold bytes. All but the first fields are the ledger's.
-type Ask struct {
-	Kind  Kind
-	Bytes int64
-	Worth float64       // of being granted; the door weighs it against Bytes
-	Until time.Duration // how long it may wait, on the ledger's clock
-	Grown bool          // more for what is held already: it goes before new asks
-
-	granted func() // told of a grant; on the goroutine that brought it about
-	waiting bool
-}
-
-// Reply is what a ledger says to an ask.
-type Reply uint8
-
-// The replies. After Wait comes either a call of granted or, by Leave, the end of the waiting.
-const (
-	Granted Reply = iota
-	Wait
-	Refused
-)
-
-// Ledger counts the bytes that are held and decides on asks for more. It is not safe for concurrent use.
+// Ledger counts the reserved bytes and decides on reservations. It is not safe for concurrent use. Times are on a clock of
+// the caller's that never goes back.
 type Ledger struct {
-	full   int64 // the size as it was set
-	total  int64 // the present one; less while the budget is found to be wrong
-	held   [kinds]int64
-	large  int64 // of the jobs, held by large asks
-	door   []*Ask
-	inside []*Ask // answers, in the order of their coming
-	queue  int    // most that may wait at the door
-	degree Degree
-	rate   float64 // bytes a second that jobs give back, aged
-	rateAt time.Duration
+	size     int64 // as set
+	total    int64 // at present; less while the size is found to be too large for the memory in use
+	reserved [kinds]int64
+	large    int64          // of the requests' bytes, those of large reservations
+	requests []*Reservation // that wait, in their order
+	maxQueue int            // bound on requests
+	answers  []*Reservation // answers and lists that wait, in the order of arrival
+	pressure Pressure
+
+	releaseRate float64 // bytes a second that requests release, aged as of rateUpdated
+	rateUpdated time.Duration
 }
 
-// NewLedger makes a ledger of so many bytes, at whose door at most queue asks wait.
-func NewLedger(bytes int64, queue int) *Ledger {
-	bytes = max(bytes, leastTotal)
-	return &Ledger{full: bytes, total: bytes, queue: queue}
+// NewLedger returns a ledger of so many bytes, at which at most maxQueue reservations for requests wait.
+func NewLedger(bytes int64, maxQueue int) *Ledger {
+	bytes = max(bytes, minTotal)
+	return &Ledger{size: bytes, total: bytes, maxQueue: maxQueue}
 }
 
-// Held is the number of bytes held for a kind.
-func (l *Ledger) Held(k Kind) int64 { return l.held[k] }
+// Reserved is the number of bytes reserved for a kind.
+func (l *Ledger) Reserved(k Kind) int64 { return l.reserved[k] }
 
 // Total is the present size of the budget in bytes.
 func (l *Ledger) Total() int64 { return l.total }
 
-// Degree is the present degree of pressure.
-func (l *Ledger) Degree() Degree { return l.degree }
+// Pressure is the present level of pressure.
+func (l *Ledger) Pressure() Pressure { return l.pressure }
 
-// Waiting is the number of asks that wait, at the door and inside.
-func (l *Ledger) Waiting() int { return len(l.door) + len(l.inside) }
+// Waiting is the number of reservations that wait.
+func (l *Ledger) Waiting() int { return len(l.requests) + len(l.answers) }
 
 func (l *Ledger) sum() int64 {
 	var all int64
-	for _, n := range l.held {
+	for _, n := range l.reserved {
 		all += n
 	}
 	return all
 }
 
-// room is what jobs and connections may hold together: the budget less the reserve.
-func (l *Ledger) room() int64 { return int64((1 - reserve) * float64(l.total)) }
-
-// Ask wants bytes. An ask that must wait is kept until it is granted or leaves.
-func (l *Ledger) Ask(now time.Duration, a *Ask, granted func()) Reply {
-	defer l.weigh()
-	if l.fits(a) && (a.Kind != Jobs || !l.behind(a)) {
-		l.take(a)
-		return Granted
-	}
-	if a.Until <= now || a.Bytes > l.largest(a) {
-		return Refused
-	}
-	a.granted, a.waiting = granted, true
-	if a.Kind != Jobs {
-		l.inside = append(l.inside, a)
-		return Wait
-	}
-	at, _ := slices.BinarySearchFunc(l.door, a, func(o, a *Ask) int {
-		if before(a, o) {
-			return 1
-		}
-		return -1 // behind all of its like
-	})
-	l.door = slices.Insert(l.door, at, a)
-	if len(l.door) <= l.queue {
-		return Wait
-	}
-	if l.door[len(l.door)-1] != a {
-		l.Drop()
-		return Wait
-	}
-	l.leave(a)
-	return Refused
-}
-
-// Drop ends the waiting of the ask at the door that is worth least for its bytes, if there is one that waits for
-// bytes of a large share.
-func (l *Ledger) Drop() bool {
-	for i := len(l.door) - 1; i >= 0; i-- {
-		if last := l.door[i]; last.isLarge() || len(l.door) > l.queue {
-			last.Until = 0
-			l.leave(last)
-			last.granted()
-			l.weigh()
-			return true
-		}
-	}
-	return false
-}
+// capacity is what requests and connections may have together: the budget without the fraction for answers and lists.
+func (l *Ledger) capacity() int64 { return int64((1 - reservedFraction) * float64(l.total)) }
 
-// Lost tells whether a waiting ask was dropped for one that is worth more. Its granted was called without a grant.
-func (a *Ask) Lost() bool { return a.Until == 0 }
+// largeCapacity is the most that large reservations may have.
+func (l *Ledger) largeCapacity() int64 { return int64(maxLargeFraction * float64(l.capacity())) }
 
-// before is the order at the door: what is already half inside, then by worth to bytes.
-func before(a, b *Ask) bool {
-	if a.Grown != b.Grown {
-		return a.Grown
-	}
-	return a.density() > b.density()
-}
-
-func (a *Ask) density() float64 { return a.Worth / float64(max(a.Bytes, 1)) }
-
-func (a *Ask) isLarge() bool { return a.Kind == Jobs && a.Bytes >= LargeFrom }
-
-// behind tells whether another that waits would come first and needs the same room. Large asks that wait for their
-// own share hold up no small one.
-func (l *Ledger) behind(a *Ask) bool {
-	for _, o := range l.door {
-		if o.isLarge() == a.isLarge() && !before(a, o) {
-			return true
-		}
-	}
-	return len(l.inside) > 0 && a.isLarge() // answers that wait have the next bytes
-}
-
-// largest is the most that an ask of its kind can ever be granted.
-func (l *Ledger) largest(a *Ask) int64 {
+// maxGrant is the most that a reservation like r can ever be granted.
+func (l *Ledger) maxGrant(r *Reservation) int64 {
 	switch {
-	case a.isLarge():
-		return l.largeRoom()
-	case a.Kind == Jobs:
-		return l.room()
+	case r.isLarge():
+		return l.largeCapacity()
+	case r.Kind == Requests:
+		return l.capacity()
 	default:
 		return l.total
 	}
 }
 
-func (l *Ledger) largeRoom() int64 { return int64(largeMost * float64(l.room())) }
-
-func (l *Ledger) fits(a *Ask) bool {
-	if a.Kind != Jobs {
-		return l.sum()+a.Bytes <= l.total
-	}
-	free := l.room() - l.sum()
-	if a.isLarge() {
-		// Beside the connections that there are, a part of the room stays for small ones.
-		share := int64(largeShare * float64(l.room()-l.held[Conns]-l.held[Lists]))
-		return a.Bytes <= free && l.large+a.Bytes <= min(share, l.largeRoom())
+// fits reports whether there are bytes for r now.
+func (l *Ledger) fits(r *Reservation) bool {
+	if r.Kind != Requests {
+		return l.sum()+r.Bytes <= l.total
 	}
-	return a.Bytes <= free
-}
-
-func (l *Ledger) take(a *Ask) {
-	l.held[a.Kind] += a.Bytes
-	if a.isLarge() {
-		l.large += a.Bytes
+	free := l.capacity() - l.sum()
+	if r.isLarge() {
+		share := int64(maxLargeShare * float64(l.capacity()-l.reserved[Conns]-l.reserved[Lists]))
+		return r.Bytes <= free && l.large+r.Bytes <= min(share, l.largeCapacity())
 	}
+	return r.Bytes <= free
 }
 
-// Must holds bytes whatever is free: what they are for is already there, and is bounded by count elsewhere.
-func (l *Ledger) Must(k Kind, bytes int64) {
-	l.held[k] += bytes
-	l.weigh()
+// FitsConn reports whether a connection can have so many bytes while small requests still find room.
+func (l *Ledger) FitsConn(bytes int64) bool {
+	return l.sum()+bytes <= int64(maxConnFraction*float64(l.capacity()))
 }
 
-// Spare tells whether so many bytes can be had for a connection while small jobs still find room.
-func (l *Ledger) Spare(bytes int64) bool {
-	return l.sum()+bytes <= int64(connMost*float64(l.room()))
-}
-
-// Give takes bytes back and grants what fits now: answers before new jobs.
-func (l *Ledger) Give(now time.Duration, k Kind, bytes int64, large bool) {
-	l.held[k] -= bytes
-	if large {
-		l.large -= bytes
+// Reserve grants r, rejects it, or queues it until it is granted, dropped or canceled. granted is called when a queued one is
+// granted or dropped.
+func (l *Ledger) Reserve(now time.Duration, r *Reservation, granted func()) Decision {
+	defer l.updatePressure()
+	if l.fits(r) && (r.Kind != Requests || !l.isBehind(r)) {
+		l.take(r)
+		return Granted
 	}
-	if k == Jobs {
-		l.returned(now, bytes)
+	if r.Until <= now || r.Bytes > l.maxGrant(r) {
+		return Rejected
 	}
-	l.grant(now)
-	l.weigh()
+	r.granted, r.waiting = granted, true
+	if r.Kind != Requests {
+		l.answers = append(l.answers, r)
+		return Queued
+	}
+	return l.enqueue(r)
 }
 
-func (l *Ledger) returned(now time.Duration, bytes int64) {
-	gap := max(now-l.rateAt, 0)
-	l.rate = l.rate*math.Exp(-float64(gap)/float64(rateAge)) + float64(bytes)/rateAge.Seconds()
-	l.rateAt = now
+// ForceReserve reserves bytes whether or not they are free: what they are for exists already, and its number is bounded
+// elsewhere.
+func (l *Ledger) ForceReserve(k Kind, bytes int64) {
+	l.reserved[k] += bytes
+	l.updatePressure()
 }
 
-func (l *Ledger) grant(now time.Duration) {
-	for len(l.inside) > 0 && l.fits(l.inside[0]) {
-		l.admit(l.inside[0])
-	}
-	for i := 0; i < len(l.door); {
-		a := l.door[i]
-		switch {
-		case a.Until <= now: // it is about to leave by itself
-			i++
-		case l.fits(a) && !(a.isLarge() && len(l.inside) > 0):
-			l.admit(a)
-		case a.isLarge():
-			i++ // the small ones behind it do not need its share
-		default:
-			return
-		}
+// take reserves the bytes of r.
+func (l *Ledger) take(r *Reservation) {
+	l.reserved[r.Kind] += r.Bytes
+	if r.isLarge() {
+		l.large += r.Bytes
 	}
 }
 
-func (l *Ledger) admit(a *Ask) {
-	l.leave(a)
-	l.take(a)
-	a.granted()
-}
-
-// Leave ends the waiting of an ask. It tells whether the ask was still waiting: if not, it has been granted or lost.
-func (l *Ledger) Leave(now time.Duration, a *Ask) bool {
-	if !a.waiting {
-		return false
+// Release returns bytes, of a large reservation or not, and grants what fits now: answers before new requests.
+func (l *Ledger) Release(now time.Duration, k Kind, bytes int64, large bool) {
+	l.reserved[k] -= bytes
+	if large {
+		l.large -= bytes
+	}
+	if k == Requests {
+		l.recordRelease(now, bytes)
 	}
-	l.leave(a)
-	l.grant(now) // it may have stood before others
-	l.weigh()
-	return true
+	l.grantQueued(now)
+	l.updatePressure()
 }
 
-func (l *Ledger) leave(a *Ask) {
-	a.waiting = false
-	same := func(o *Ask) bool { return o == a }
-	l.door = slices.DeleteFunc(l.door, same)
-	l.inside = slices.DeleteFunc(l.inside, same)
+func (l *Ledger) recordRelease(now time.Duration, bytes int64) {
+	gap := max(now-l.rateUpdated, 0)
+	aged := l.releaseRate * math.Exp(-float64(gap)/float64(rateTimeConstant))
+	l.releaseRate = aged + float64(bytes)/rateTimeConstant.Seconds()
+	l.rateUpdated = now
 }
 
-// Advice is how long one that was refused so many bytes had better stay away: until the jobs that hold the room and
-// the asks that wait before it have given back enough at the present rate. 0: nothing is known of the rate.
-func (l *Ledger) Advice(now time.Duration, bytes int64) time.Duration {
-	rate := l.rate * math.Exp(-float64(max(now-l.rateAt, 0))/float64(rateAge))
+// RetryAfter is the time after which a rejected request for so many bytes should be retried: when the reserved bytes and
+// those of the queue before it have been released at the present rate, at most a minute. 0: the rate is not known.
+func (l *Ledger) RetryAfter(now time.Duration, bytes int64) time.Duration {
+	rate := l.releaseRate * math.Exp(-float64(max(now-l.rateUpdated, 0))/float64(rateTimeConstant))
 	if rate < 1 {
 		return 0
 	}
-	need := l.sum() + bytes - l.room()
-	if bytes >= LargeFrom {
-		need = max(need, l.large+bytes-l.largeRoom())
+	need := l.sum() + bytes - l.capacity()
+	if bytes >= LargeBytes {
+		need = max(need, l.large+bytes-l.largeCapacity())
 	}
-	for _, o := range l.door {
-		need += o.Bytes
+	for _, r := range l.requests {
+		need += r.Bytes
 	}
 	return time.Duration(min(float64(max(need, 0))/rate, 60) * float64(time.Second))
 }
 
-// weigh sets the degree of pressure.
-func (l *Ledger) weigh() {
-	used := float64(l.sum()) / float64(max(l.room(), 1))
-	if len(l.door) > 0 {
-		used = max(used, largeAt)
-		if !l.door[len(l.door)-1].isLarge() || !l.door[0].isLarge() {
-			used = max(used, dearAt)
-		}
-	}
-	at := [degrees]float64{0, trimAt, idleAt, largeAt, dearAt}
-	for l.degree < Dear && used >= at[l.degree+1] {
-		l.degree++
-	}
-	for l.degree > Calm && used < at[l.degree]-slackening {
-		l.degree--
-	}
+// Resize sets the size, up to the one that the ledger was made with.
+func (l *Ledger) Resize(now time.Duration, bytes int64) {
+	l.total = min(max(bytes, minTotal), l.size)
+	l.grantQueued(now)
+	l.updatePressure()
 }
 
-// Resize makes the budget smaller than it was set, or as large again.
-func (l *Ledger) Resize(now time.Duration, bytes int64) {
-	l.total = min(max(bytes, leastTotal), l.full)
-	l.grant(now)
-	l.weigh()
+// isBehind reports whether a queued request comes before r and needs the same bytes. Large ones, which wait for their own
+// share, do not delay small ones.
+func (l *Ledger) isBehind(r *Reservation) bool {
+	behind := func(o *Reservation) bool { return o.isLarge() == r.isLarge() && !before(r, o) }
+	return slices.ContainsFunc(l.requests, behind) || len(l.answers) > 0 && r.isLarge() // answers get the next bytes
 }
--- /dev/null
+++ b/internal/front/http/pause.go
@@ -0,0 +1,42 @@
+package http
+
+import "time"
+
+// While a server is paused, a connection is ended once it has been idle for pausedIdleTimeout, which is checked
+// at each interval.
+const (
+	pausedIdleTimeout  = 300 * time.Millisecond
+	pauseCheckInterval = 100 * time.Millisecond
+)
+
+// Pause lets /ready say no and ends every connection once it carries no request, until Resume. Requests are
+// answered as before.
+func (s *Server) Pause() {
+	resumed := make(chan struct{})
+	if s.paused.CompareAndSwap(nil, &resumed) {
+		go s.endIdleUntil(resumed)
+	}
+}
+
+// endIdleUntil ends idle connections until resumed is closed or the server shuts down, which ends them by itself.
+func (s *Server) endIdleUntil(resumed <-chan struct{}) {
+	tick := time.NewTicker(pauseCheckInterval)
+	defer tick.Stop()
+	for !s.closing.Load() {
+		if l := s.listener.Load(); l != nil {
+			l.endIdle(pausedIdleTimeout)
+		}
+		select {
+		case <-resumed:
+			return
+		case <-tick.C:
+		}
+	}
+}
+
+// Resume ends a pause.
+func (s *Server) Resume() {
+	if resumed := s.paused.Swap(nil); resumed != nil {
+		close(*resumed)
+	}
+}
--- a/internal/resident/resident_test.go
+++ b/internal/resident/resident_test.go
@@ -12,7 +12,7 @@
 const mb = 1 << 20
 
 func TestPlanLeavesRoomForGarbage(t *testing.T) {
-	at := Sizes{Resident: 9 * mb, File: 6 * mb, Counted: 6 * mb}
+	at := Sizes{Resident: 9 * mb, File: 6 * mb, RuntimeCounted: 6 * mb}
 	for _, limit := range []int64{24, 32, 64, 192} {
 		p := NewPlan(limit*mb, at)
 		held := p.Budget()
@@ -26,7 +26,7 @@
 		if free, _ := p.Collector(at, 0); free != soft {
 			t.Errorf("%d MB: the runtime's limit moves with what is held", limit)
 		}
-		if percent < tightest || percent > freePercent {
+		if percent < minGCPercent || percent > maxGCPercent {
 			t.Errorf("%d MB: %d percent", limit, percent)
 		}
 	}
@@ -35,18 +35,18 @@
 	}
 }
 
-// What the runtime counts and never touched is no memory: the soft limit is as much higher.
+// What the runtime counts and has never touched is no memory: the soft limit is as much higher.
 func TestUntouchedMemoryDoesNotCount(t *testing.T) {
-	at := Sizes{Resident: 9 * mb, File: 6 * mb, Counted: 3 * mb}
+	at := Sizes{Resident: 9 * mb, File: 6 * mb, RuntimeCounted: 3 * mb}
 	p := NewPlan(24*mb, at)
 	tight, _ := p.Collector(at, 0)
-	at.Counted += 4 * mb
+	at.RuntimeCounted += 4 * mb
 	if loose, _ := p.Collector(at, 0); loose-tight != 4*mb {
 		t.Errorf("%d more", loose-tight)
 	}
 }
 
-// Over the alarm the budget shrinks look by look and stays where it is in between; with room again it comes back.
+// Above shrinkAbove the budget shrinks check by check, stays as it is in between, and below growBelow it grows back.
 func TestBudgetFollowsTheSystem(t *testing.T) {
 	p := NewPlan(100*mb, Sizes{Resident: 10 * mb})
 	const full = 60 * mb
@@ -60,16 +60,16 @@
 	if same, by := p.Resize(size, full, 90*mb); same != size || by != 0 {
 		t.Errorf("neither too much nor room: %d, by %d", same, by)
 	}
-	looks := 0
-	for ; size < full && looks < 100; looks++ {
+	checks := 0
+	for ; size < full && checks < 100; checks++ {
 		size, _ = p.Resize(size, full, 50*mb)
 	}
-	if looks == 100 || size != full {
-		t.Errorf("%d after %d looks with room", size, looks)
+	if checks == 100 || size != full {
+		t.Errorf("%d after %d checks with room", size, checks)
 	}
 }
 
-// What a burst has left is given back, also where it was none that pressed; what is in use is not looked for.
+// What a burst has left is returned, also if it caused no pressure; what is in use is not.
 func TestSurplus(t *testing.T) {
 	p := NewPlan(192*mb, Sizes{Resident: 9 * mb})
 	got := []bool{p.Surplus(Sizes{Resident: 12 * mb}, 0), p.Surplus(Sizes{Resident: 80 * mb}, 2*mb), p.Surplus(Sizes{Resident: 80 * mb}, 40*mb)}
@@ -84,14 +84,14 @@
 	if err != nil {
 		t.Skip(err)
 	}
-	if sizes.Resident < sizes.File || sizes.Counted == 0 {
+	if sizes.Resident < sizes.File || sizes.RuntimeCounted == 0 {
 		t.Errorf("%+v", sizes)
 	}
 	gate := budget.NewGate(4*mb, 1)
-	asked := make(chan budget.Degree, 64)
+	asked := make(chan budget.Pressure, 64)
 	stop, ended := make(chan struct{}), make(chan struct{})
 	go func() {
-		Watch(NewPlan(1<<40, sizes), gate, func(d budget.Degree) {
+		Watch(NewPlan(1<<40, sizes), gate, func(d budget.Pressure) {
 			select {
 			case asked <- d:
 			default:
@@ -99,8 +99,8 @@
 		}, zerolog.Nop(), stop)
 		close(ended)
 	}()
-	held := gate.Must(budget.Conns, 3*mb)
-	for want := budget.Idle; ; {
+	held := gate.ForceReserve(budget.Conns, 3*mb)
+	for want := budget.CloseIdle; ; {
 		select {
 		case d := <-asked:
 			if d < want {
--- a/internal/source/endpoints/list.go
+++ b/internal/source/endpoints/list.go
@@ -1,4 +1,5 @@
-// Package endpoints is the form in which discovery, and the stored list, name execute nodes.
+// Package endpoints decodes the server list in the form that discovery and the stored list have: JSON objects with a
+// generation and instances. It checks each entry, and neither reads files nor connects.
 package endpoints
 
 import (
@@ -20,7 +21,7 @@
 	Instances  []Instance
 }
 
-// Instance is one execute node as discovery names it.
+// Instance is one server as discovery names it.
 type Instance struct {
 	ID      string
 	Addr    string
@@ -32,8 +33,22 @@
 
 var states = map[string]logic.State{"Ready": logic.Ready, "Terminating": logic.Draining, "Gone": logic.Gone}
 
-// form is an entry as it is written.
-type form struct {
+// KeyError is the error of a key with an unusable value.
+type KeyError struct {
+	Key    string // as in instances[3].hostPort
+	Reason string
+}
+
+// Error names the key and the reason.
+func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
+
+// keyError returns the error of a key of the entry at an index.
+func keyError(i int, key, format string, args ...any) error {
+	return &KeyError{fmt.Sprintf("instances[%d].%s", i, key), fmt.Sprintf(format, args...)}
+}
+
+// entryJSON is an entry in JSON.
+type entryJSON struct {
 	ID        string `json:"instanceId"`
 	Addr      string `json:"hostPort"`
 	Zone      string `json:"zone"`
@@ -42,59 +57,59 @@
 	Started   int64  `json:"startedAtMs"`
 }
 
-// instance checks the entry of a number.
-func (e *form) instance(i int) (Instance, error) {
+// instance checks an entry and returns it. i is its index in the list, for errors.
+func (e *entryJSON) instance(i int) (Instance, error) {
 	state, ok := states[e.Lifecycle]
 	_, _, err := net.SplitHostPort(e.Addr)
 	switch {
 	case e.ID == "":
-		return Instance{}, fmt.Errorf("instances[%d].instanceId: missing", i)
+		return Instance{}, keyError(i, "instanceId", "missing")
 	case !ok:
-		return Instance{}, fmt.Errorf("instances[%d].lifecycle: %q is unknown", i, e.Lifecycle)
+		return Instance{}, keyError(i, "lifecycle", "%q is unknown", e.Lifecycle)
 	case err != nil && state != logic.Gone:
-		return Instance{}, fmt.Errorf("instances[%d].hostPort: %q is not host:port", i, e.Addr)
-	case e.Started < 0 || e.Started > mostMillis:
-		return Instance{}, fmt.Errorf("instances[%d].startedAtMs: %d is out of range", i, e.Started)
+		return Instance{}, keyError(i, "hostPort", "%q is not host:port", e.Addr)
+	case e.Started < 0 || e.Started > maxMillis:
+		return Instance{}, keyError(i, "startedAtMs", "%d is out of range", e.Started)
 	}
 	return Instance{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Cell: e.Cell,
 		State: state, Started: time.Duration(e.Started) * time.Millisecond}, nil
 }
 
-// mostMillis keeps a Unix time within a duration.
-const mostMillis = int64(1) << 43
+// maxMillis bounds a Unix time in milliseconds, so that it fits into a time.Duration.
+const maxMillis = int64(1) << 43
 
-// ErrTooLong tells that an object takes more bytes than the decoder was allowed.
+// ErrTooLong is the error of an object that takes more bytes than the decoder allows.
 var ErrTooLong = errors.New("object too long")
 
-// Decoder reads object after object and holds no more than an entry of one in the form in which it came: a list of
-// thousands takes no second and third copy of itself.
+// Decoder reads a sequence of objects. It buffers no more than an entry of one, so that a list of thousands takes no second
+// and third copy of itself. It is not safe for concurrent use.
 type Decoder struct {
-	in   *bounded
-	json *json.Decoder
-	most int
-	// Entry, if there is one, is called before an entry is kept.
-	Entry func()
+	in       *limitedReader
+	json     *json.Decoder
+	maxBytes int
+	// OnEntry, unless nil, is called before each entry is decoded.
+	OnEntry func()
 }
 
-// NewDecoder reads objects of most bytes each, and white space between them.
-func NewDecoder(r io.Reader, most int) *Decoder {
-	in := &bounded{from: r}
-	return &Decoder{in: in, json: json.NewDecoder(in), most: most}
+// NewDecoder returns a decoder of objects of up to maxBytes each, and any white space between them.
+func NewDecoder(r io.Reader, maxBytes int) *Decoder {
+	in := &limitedReader{from: r}
+	return &Decoder{in: in, json: json.NewDecoder(in), maxBytes: maxBytes}
 }
 
-// bounded gives no more than left bytes.
-type bounded struct {
+// limitedReader reads no more than left bytes of an object.
+type limitedReader struct {
 	from  io.Reader
 	left  int
-	begun bool // something of the present object has been given
+	begun bool // a part of the present object has been read
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
+func (b *limitedReader) Read(p []byte) (int, error) {
 	if b.left <= 0 {
 		return 0, ErrTooLong
 	}
 	n, err := b.from.Read(p[:min(len(p), b.left)])
-	// White space alone, between two objects, may go on for good.
+	// White space alone, between two objects, may go on forever.
 	if len(bytes.TrimSpace(p[:n])) > 0 {
 		b.left -= n
 		b.begun = true
@@ -102,13 +117,13 @@
 	return n, err
 }
 
-// Within tells whether an object has begun and not ended. It is asked while Next reads.
-func (d *Decoder) Within() bool { return d.in.begun }
+// InObject reports whether an object has begun and not ended. It may be called by the reader that Next reads from.
+func (d *Decoder) InObject() bool { return d.in.begun }
 
-// Next reads an object. At the end of all it returns io.EOF; any other error ends the decoder's use and names the key
-// at fault.
+// Next reads an object. At the end of the sequence it returns io.EOF. Any other error names the key at fault, and the
+// decoder cannot be used afterwards.
 func (d *Decoder) Next() (List, error) {
-	d.in.left = d.most
+	d.in.left = d.maxBytes
 	rest, _ := io.ReadAll(d.json.Buffered())
 	d.in.begun = len(bytes.TrimSpace(rest)) > 0
 	t, err := d.json.Token()
@@ -119,60 +134,68 @@
 		return List{}, fmt.Errorf("%v is not an object", t)
 	}
 	var l List
-	known := false
+	hasGeneration := false
 	for d.json.More() {
 		key, err := d.json.Token()
 		if err != nil {
-			return List{}, unended(err)
+			return List{}, unexpectedEOF(err)
 		}
-		var into any = new(json.RawMessage)
-		switch key {
-		case "generation":
-			known, into = true, &l.Generation
-		case "reset":
-			into = &l.Reset
-		case "instances":
-			if l.Instances, err = d.entries(); err != nil {
-				return List{}, unended(err)
-			}
-			continue
-		}
-		if err := d.json.Decode(into); err != nil {
-			return List{}, fmt.Errorf("%v: %w", key, unended(err))
+		if err := d.value(key, &l); err != nil {
+			return List{}, err
 		}
+		hasGeneration = hasGeneration || key == "generation"
 	}
 	if _, err := d.json.Token(); err != nil {
-		return List{}, unended(err)
+		return List{}, unexpectedEOF(err)
 	}
-	if !known {
-		return List{}, errors.New("generation: missing")
+	if !hasGeneration {
+		return List{}, &KeyError{"generation", "missing"}
 	}
 	return l, nil
 }
 
-// unended tells the end of all within an object from that between two.
-func unended(err error) error {
+// value decodes the value of a key into l. Unknown keys are skipped.
+func (d *Decoder) value(key json.Token, l *List) (err error) {
+	var into any = new(json.RawMessage)
+	switch key {
+	case "generation":
+		into = &l.Generation
+	case "reset":
+		into = &l.Reset
+	case "instances":
+		l.Instances, err = d.entries()
+		return unexpectedEOF(err)
+	}
+	if err := d.json.Decode(into); err != nil {
+		return fmt.Errorf("%v: %w", key, unexpectedEOF(err))
+	}
+	return nil
+}
+
+// unexpectedEOF replaces io.EOF, which within an object is not the end of the sequence.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
+// entries decodes the list of entries. null is an empty one.
 func (d *Decoder) entries() ([]Instance, error) {
 	t, err := d.json.Token()
-	if err != nil || t == nil { // null is an empty list
+	if err != nil || t == nil {
 		return nil, err
 	}
 	if t != json.Delim('[') {
 		return nil, fmt.Errorf("instances: %v is not a list", t)
 	}
 	var all []Instance
-	zones := map[string]string{} // one copy of each
+	zones := map[string]string{} // shares the text of equal names
 	for d.json.More() {
-		if d.Entry != nil {
-			d.Entry()
+		if d.OnEntry != nil {
+			d.OnEntry()
 		}
-		var e form
+		var e entryJSON
 		if err := d.json.Decode(&e); err != nil {
 			return nil, fmt.Errorf("instances[%d]: %w", len(all), err)
 		}
@@ -190,12 +213,12 @@
 	return all, err
 }
 
-// Parse reads a text that is one object. The error names the key at fault.
+// Parse decodes a text that is one object. The error names the key at fault.
 func Parse(text []byte) (List, error) {
 	d := NewDecoder(bytes.NewReader(text), len(text)+1)
 	l, err := d.Next()
 	if err != nil {
-		return List{}, unended(err)
+		return List{}, unexpectedEOF(err)
 	}
 	if _, err := d.json.Token(); !errors.Is(err, io.EOF) {
 		return List{}, errors.New("more stands behind the object")
--- a/internal/transport/http/contract_test.go
+++ b/internal/transport/http/contract_test.go
@@ -14,11 +14,11 @@
 )
 
 var transports = contract.NodesMaker{
-	New: func(contract.T) relay.Nodes {
-		return NewNodes(Options{DialTimeout: time.Second, ConnIdle: time.Minute, DrainGrace: 500 * time.Millisecond, MaxConns: 16}, zerolog.Nop())
+	New: func(contract.T) relay.Transport {
+		return NewTransport(Options{DialTimeout: time.Second, ConnIdle: time.Minute, DrainGrace: 500 * time.Millisecond, MaxConns: 16}, zerolog.Nop())
 	},
-	Request: func(callID string) *relay.Request {
-		return &relay.Request{Method: "GET", Target: "/look", CallID: callID}
+	Request: func(callID string) *relay.Payload {
+		return &relay.Payload{Method: "GET", Target: "/look", CallID: callID}
 	},
 	Whole: func(b []byte) int {
 		return bytes.Index(b, []byte("\r\n\r\n")) + 4*min(1, 1+bytes.Index(b, []byte("\r\n\r\n")))
@@ -31,57 +31,57 @@
 func TestTransportContract(t *testing.T) { contract.Run(t, contract.NodesClauses, transports) }
 
 // bent is a transport that is wrong on purpose.
-type bent struct {
-	relay.Nodes
+type faultyTransport struct {
+	relay.Transport
 	wrong string
-	t     *testing.T // at whose end a node left open is closed
+	t     *testing.T // at whose end a server left open is closed
 }
 
-type bentNode struct {
-	relay.Node
+type faultyServer struct {
+	relay.Server
 	wrong  string
-	report func(relay.ClaimID, relay.Result)
+	report func(relay.AttemptID, relay.Result)
 }
 
-func (b bent) Open(m relay.Member, report func(relay.ClaimID, relay.Result)) relay.Node {
-	n := &bentNode{wrong: b.wrong, report: report}
+func (b faultyTransport) Open(m relay.Member, report func(relay.AttemptID, relay.Result)) relay.Server {
+	n := &faultyServer{wrong: b.wrong, report: report}
 	switch b.wrong {
 	case "twice":
-		report = func(id relay.ClaimID, r relay.Result) { n.report(id, r); n.report(id, r) }
+		report = func(id relay.AttemptID, r relay.Result) { n.report(id, r); n.report(id, r) }
 	case "stray":
-		report = func(id relay.ClaimID, r relay.Result) {
-			if id.Job > 1 && r.Outcome == logic.Done {
+		report = func(id relay.AttemptID, r relay.Result) {
+			if id.Request > 1 && r.Outcome == logic.Done {
 				r.Body = []byte("stray")
 			}
 			n.report(id, r)
 		}
 	}
-	n.Node = b.Nodes.Open(m, report)
-	b.t.Cleanup(n.Node.Close)
+	n.Server = b.Transport.Open(m, report)
+	b.t.Cleanup(n.Server.Close)
 	return n
 }
 
-func (n *bentNode) Claim(c relay.Claim) {
-	n.Node.Claim(c)
-	if n.wrong == "again" && c.ID.Job > 1 && c.ID.Job%2 == 1 {
+func (n *faultyServer) Start(c relay.Attempt) {
+	n.Server.Start(c)
+	if n.wrong == "again" && c.ID.Request > 1 && c.ID.Request%2 == 1 {
 		again := c
 		again.ID.Attempt = 1
-		n.Node.Claim(again)
+		n.Server.Start(again)
 	}
-	if n.wrong == "waits" && c.ID.Job >= 100 {
+	if n.wrong == "waits" && c.ID.Request >= 100 {
 		<-time.After(300 * time.Millisecond)
 	}
 }
 
-func (n *bentNode) Update(m relay.Member) {
+func (n *faultyServer) Update(m relay.Member) {
 	if n.wrong != "gone" {
-		n.Node.Update(m)
+		n.Server.Update(m)
 	}
 }
 
-func (n *bentNode) Close() {
+func (n *faultyServer) Close() {
 	if n.wrong != "open" {
-		n.Node.Close()
+		n.Server.Close()
 	}
 }
 
@@ -89,7 +89,7 @@
 func TestBrokenTransportsAreNamed(t *testing.T) {
 	for i, wrong := range []string{"twice", "again", "stray", "waits", "gone", "open"} {
 		m := transports
-		m.New = func(inner contract.T) relay.Nodes { return bent{transports.New(inner), wrong, t} }
+		m.New = func(inner contract.T) relay.Transport { return faultyTransport{transports.New(inner), wrong, t} }
 		if clause := contract.NodesClauses[i]; clause.Check(t, m) == nil {
 			t.Errorf("%s: not named for a transport that is wrong by %q", clause.Name, wrong)
 		}
--- /dev/null
+++ b/internal/transport/http/pool.go
@@ -0,0 +1,158 @@
+package http
+
+import (
+	"context"
+	"net"
+	"slices"
+	"time"
+
+	"fieldrelay/internal/relay"
+	"fieldrelay/logic"
+)
+
+// minIdleTime is how long a connection must have been idle to be closed because bytes are short: one that the next attempt
+// is likely to need would only have to be opened again, at the server's cost.
+const minIdleTime = time.Second
+
+// takeIdle takes an idle connection: of the settled ones the one used last, so that the others can expire; if none is
+// settled, the one idle for longest, provided that a copy of its last answer would be recognized. It returns nil if there
+// is none.
+func (s *server) takeIdle() *conn {
+	i, now := len(s.idle)-1, time.Now()
+	settling := func(i int) bool {
+		return s.idle[i].answered && now.Sub(s.idle[i].idleSince) < s.transport.options.SettleTime
+	}
+	for i > 0 && settling(i) {
+		i--
+	}
+	if i < 0 || settling(i) && !s.transport.answers.differ() {
+		return nil
+	}
+	conn := s.idle[i]
+	conn.unsettled.Store(settling(i))
+	s.idle = slices.Delete(s.idle, i, i+1)
+	conn.stopIdleTimer()
+	return conn
+}
+
+// dial opens a connection for a queued attempt. Without a place for one more the attempt is skipped.
+func (s *server) dial(a *attempt) {
+	options := &s.transport.options
+	// An idle connection that has not settled gives its place to the new one.
+	if len(s.idle) > 0 && s.transport.conns.Load() >= int64(options.MaxConns) {
+		s.closeConn(s.idle[0])
+	}
+	if s.transport.conns.Add(1) > int64(options.MaxConns) {
+		s.transport.conns.Add(-1)
+		s.log.Warn().Int("max_conns", options.MaxConns).Msg("attempt skipped: too many connections")
+		s.complete(a, logic.Skipped, relay.Result{})
+		return
+	}
+	s.dials++
+	ctx, cancel := context.WithTimeout(context.Background(), options.DialTimeout)
+	a.cancelDial = cancel
+	addr := s.member.Addr
+	go func() {
+		defer cancel()
+		nc, err := options.Dial(ctx, "tcp", addr)
+		s.mailbox.Put(func() { s.onDialed(a, addr, nc, err) })
+	}()
+}
+
+// onDialed handles the end of a dial that was begun for an attempt.
+func (s *server) onDialed(a *attempt, addr string, nc net.Conn, err error) {
+	s.dials--
+	if err != nil {
+		s.transport.conns.Add(-1)
+		defer s.endIfClosed()
+		if s.isQueued(a) {
+			s.log.Debug().Err(err).Msg("connection failed")
+			s.complete(a, logic.Refused, relay.Result{})
+		}
+		return
+	}
+	conn := newConn(s, nc, addr)
+	s.conns[conn] = true
+	go conn.read()
+	if !s.isQueued(a) && len(s.queue) > 0 {
+		a = s.queue[0]
+	}
+	switch {
+	case !s.isQueued(a) || conn.addr != s.member.Addr:
+		s.keepIdle(conn, time.Now())
+		if s.isQueued(a) { // the server has moved meanwhile
+			s.dial(a)
+		}
+	case conn.usable():
+		s.write(a, conn)
+	default: // a server that sends before it is asked
+		s.closeConn(conn)
+		s.complete(a, logic.Refused, relay.Result{})
+	}
+}
+
+// keepIdle keeps a connection for the next attempt, until safely before the server closes it. That counts from the last
+// answer on it, since, also if an attempt was assigned meanwhile and not sent.
+func (s *server) keepIdle(conn *conn, since time.Time) {
+	if !s.conns[conn] {
+		return
+	}
+	if s.closed || !s.excludedSince.IsZero() || conn.addr != s.member.Addr || conn.broken.Load() {
+		s.closeConn(conn)
+		return
+	}
+	if since.IsZero() {
+		since = time.Now()
+	}
+	i := slices.IndexFunc(s.idle, idleAfter(since))
+	if i < 0 {
+		i = len(s.idle)
+	}
+	s.idle = slices.Insert(s.idle, i, conn)
+	conn.idleSince = since
+	expires := since.Add(time.Duration((1 - idleMargin) * float64(s.transport.options.ConnIdle)))
+	var timer *time.Timer
+	timer = time.AfterFunc(time.Until(expires), func() {
+		s.mailbox.Put(func() {
+			if conn.idleTimer == timer { // it has not been used since
+				s.closeConn(conn)
+			}
+		})
+	})
+	conn.idleTimer = timer
+	s.dispatch()
+}
+
+// idleAfter selects connections that became idle after a time.
+func idleAfter(t time.Time) func(*conn) bool {
+	return func(c *conn) bool { return c.idleSince.After(t) }
+}
+
+// trimIdle closes the connections that have been idle for minIdleTime.
+func (s *server) trimIdle() {
+	for len(s.idle) > 0 && time.Since(s.idle[0].idleSince) > minIdleTime {
+		s.closeConn(s.idle[0])
+	}
+}
+
+func (s *server) closeIdle() {
+	for len(s.idle) > 0 {
+		s.closeConn(s.idle[len(s.idle)-1])
+	}
+}
+
+// closeConn closes a connection, which ends its reader. For one that is closed already it does nothing.
+func (s *server) closeConn(conn *conn) {
+	if !s.conns[conn] {
+		return
+	}
+	delete(s.conns, conn)
+	s.transport.conns.Add(-1)
+	_ = conn.nc.Close() // nothing more is read from it or written to it
+	close(conn.closed)
+	if i := slices.Index(s.idle, conn); i >= 0 {
+		conn.stopIdleTimer()
+		s.idle = slices.Delete(s.idle, i, i+1)
+	}
+	s.endIfClosed()
+}
--- a/logic/outcome.go
+++ b/logic/outcome.go
@@ -6,169 +6,150 @@
 	"time"
 )
 
-// attempt gives the attempt that ev speaks of, or nil if there is none.
-func (b *Balancer) attempt(ev *Event) *attempt {
+// attemptOf returns the attempt that ev is about, or nil if it is not known.
+func (b *Balancer) attemptOf(ev *Event) *attempt {
 	if r := b.requests[ev.Request]; r != nil && ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
 		return r.attempts[ev.Attempt]
 	}
 	return nil
 }
 
-func (b *Balancer) outcome(ev *Event) {
-	a := b.attempt(ev)
-	if a == nil || !a.out {
+// onOutcome ends an attempt, decides what follows for its request, and sends what is queued.
+func (b *Balancer) onOutcome(ev *Event) {
+	a := b.attemptOf(ev)
+	if a == nil || !a.inFlight {
 		return
 	}
-	r := a.req
-	a.out, r.busy, b.out = false, ev.Outcome == Busy, b.out-1
-	a.srv.out = slices.DeleteFunc(a.srv.out, func(o *attempt) bool { return o == a })
-	b.idle(a.srv)
-	a.mayRun = ev.Outcome != Refused && ev.Outcome != Skipped &&
-		(ev.Outcome != Busy || b.cfg.Contract.ShedAfterStart)
+	r := a.request
+	a.inFlight, r.lastBusy, b.inFlight = false, ev.Outcome == Busy, b.inFlight-1
+	a.server.inFlight = slices.DeleteFunc(a.server.inFlight, func(o *attempt) bool { return o == a })
+	b.scheduleIdleClose(a.server)
+	a.mayHaveRun = ev.Outcome != Refused && ev.Outcome != Skipped &&
+		(ev.Outcome != Busy || b.cfg.Contract.BusyMayHaveRun)
 	b.learn(a, ev)
 	if ev.Final && !r.closed {
 		if !r.started {
-			b.sample(r, ev.Outcome == Done)
+			b.observeSlack(r, ev.Outcome == Done)
 		}
 		b.close(r, ev.Outcome == Done)
 	}
 	if !r.closed {
-		b.again(r, a)
+		b.retry(r, a)
 	}
 	b.forget(r)
-	b.release()
+	b.dispatchQueue()
 }
 
-// learn takes in what an attempt tells of its server.
+// learn updates what is known about the server of a by its outcome.
 func (b *Balancer) learn(a *attempt, ev *Event) {
-	s := a.srv
+	s := a.server
 	switch ev.Outcome {
-	case Skipped: // tells nothing of the server
+	case Skipped: // it never reached the server
 	case Done:
-		if !a.req.started {
-			b.answered(a, ev.Latency)
+		if !a.request.started {
+			b.recordAnswer(a, ev.Latency)
 		}
 	case Canceled, TimedOut:
-		if a.gaveUp || (ev.Outcome == TimedOut && b.now >= a.req.full-b.cfg.Tick) {
-			b.failed(a, ev.Outcome)
-		} else if v := a.req.cost / max(ev.Latency.Seconds(), 1e-3); v < s.Speed() {
-			s.Observe(b.now, v) // it had not answered by then: slower than this at best
+		if a.canceledLate || (ev.Outcome == TimedOut && b.now >= a.request.fullTarget-b.cfg.Tick) {
+			b.recordFailure(a, ev.Outcome)
+		} else if v := a.request.work / max(ev.Latency.Seconds(), 1e-3); v < s.Speed() {
+			s.Observe(b.now, v) // no answer by then: it is no faster than this
 		}
 	default:
-		b.failed(a, ev.Outcome)
+		b.recordFailure(a, ev.Outcome)
 	}
 }
 
-func (b *Balancer) answered(a *attempt, latency time.Duration) {
-	s, r, sec := a.srv, a.req, max(latency.Seconds(), 1e-3)
-	b.blame(a, failed, false)
-	own := b.blame(a, late, b.now > r.full)
-	s.Observe(b.now, r.cost/sec)
-	s.fails, s.alive = 0, b.now
-	s.failing -= meanStep * s.failing
-	// Answers to what was sent before an ejection do not end it.
-	if s.backoff > ejectFirst && a.sent >= s.ejected && b.now <= r.full {
+// recordAnswer updates the estimates of the server and the class by an answer after latency.
+func (b *Balancer) recordAnswer(a *attempt, latency time.Duration) {
+	s, r, took := a.server, a.request, max(latency.Seconds(), 1e-3)
+	onTime := b.now <= r.fullTarget
+	b.attribute(a, failure, false)
+	serverAtFault := b.attribute(a, lateness, !onTime)
+	s.Observe(b.now, r.work/took)
+	s.failuresInRow, s.lastResponse = 0, b.now
+	s.failureShare -= meanStep * s.failureShare
+	// An answer to what was sent before an ejection does not end it.
+	if s.ejectBackoff > minEjectBackoff && a.sentAt >= s.ejectedUntil && onTime {
 		b.logf("server %d recovered", s.ID)
-		s.backoff = ejectFirst
-	}
-	c := r.class
-	if c.mean == 0 {
-		c.mean, c.dev, c.quick = sec, sec/2, sec
-	}
-	if b.now <= r.full {
-		c.dev += meanStep * (math.Abs(sec-c.mean) - c.dev)
-		c.mean += meanStep * (sec - c.mean)
-	}
-	c.quick += quickStep * (min(sec, c.quick) - c.quick + max(sec-c.quick, 0)/10)
-	room := max((r.full-r.arrived).Seconds()-c.quick, 0)
-	s.slow -= lateStep * s.slow
-	if sec > c.quick+shrinkAbove*room {
-		if own && (!a.crowded || b.now > r.full) { // else its limit answers
-			s.lates++
-		}
-		b.tighten(a)
-	} else if s.lates = 0; a.crowded && sec <= c.quick+growBelow*room {
-		s.limit += max(1/s.limit, grow)
+		s.ejectBackoff = minEjectBackoff
 	}
-	if b.now > r.aim {
+	r.class.recordLatency(took, onTime)
+	b.adjustLimit(a, took, serverAtFault)
+	if b.now > r.target {
 		b.walk.Leave(s)
 	}
 }
 
-// failed counts a failure as speed zero and ejects on a row of them or on a high share of errors (a fast
-// failure would otherwise look like an idle server).
-func (b *Balancer) failed(a *attempt, o Outcome) {
-	s, what := a.srv, failed
-	if o == TimedOut || o == Canceled {
-		what = late
-	}
-	own := b.blame(a, what, true)
-	s.failing += meanStep * (1 - s.failing)
-	// Late though others were answered meanwhile: a queue, which the limit is for.
-	if own && (what == failed || s.alive <= a.sent) {
-		s.fails++
-	}
-	if !a.req.ofKind() {
-		s.Observe(b.now, 0)
-		b.walk.Leave(s)
+// recordLatency updates the latency estimates of c by an answer after some seconds.
+func (c *class) recordLatency(took float64, onTime bool) {
+	if c.meanLatency == 0 {
+		c.meanLatency, c.latencyDeviation, c.quickLatency = took, took/2, took
 	}
-	b.tighten(a)
-	if what == failed {
-		s.alive = b.now
-	} else if own {
-		s.lates++
-	}
-	// Called gone and silent: the list was right, so the longest rest follows at once.
-	row := b.run()
-	if s.State == Gone && o != Errored && o != Busy {
-		s.fails, s.backoff = row, ejectMost
-	}
-	if s.fails >= row || s.suspect[failed] > ejectShare {
-		b.eject(s)
+	if onTime {
+		c.latencyDeviation += meanStep * (math.Abs(took-c.meanLatency) - c.latencyDeviation)
+		c.meanLatency += meanStep * (took - c.meanLatency)
 	}
+	quicker, slower := min(took, c.quickLatency)-c.quickLatency, max(took-c.quickLatency, 0)
+	c.quickLatency += quickStep * (quicker + slower/10)
 }
 
-// tighten lowers the limit of a slow server, once for the attempts then out, by half the share of slow
-// answers (as DCTCP does): spread in the work cuts little, a queue deep.
-func (b *Balancer) tighten(a *attempt) {
-	s := a.srv
-	if s.slow += lateStep; a.sent >= s.shrunk && !a.req.ofKind() {
-		s.limit, s.shrunk = max(1, s.limit*(1-s.slow*cut)), b.now
+// adjustLimit moves the limit of a's server by an answer after some seconds: a slow one shrinks it, and a
+// quick one to an attempt that used an upper part of it lets it grow.
+func (b *Balancer) adjustLimit(a *attempt, took float64, serverAtFault bool) {
+	s, r := a.server, a.request
+	quick := r.class.quickLatency
+	slowest := max((r.fullTarget-r.arrived).Seconds()-quick, 0) // from a quick answer to the target
+	s.slowShare -= slowStep * s.slowShare
+	if took > quick+shrinkAbove*slowest {
+		// A crowded attempt that is slow but on time is answered by the limit alone.
+		if serverAtFault && (!a.crowded || b.now > r.fullTarget) {
+			s.lateInRow++
+		}
+		b.shrinkLimit(a)
+	} else if s.lateInRow = 0; a.crowded && took <= quick+growBelow*slowest {
+		s.limit += max(1/s.limit, minLimitGrowth)
 	}
 }
 
-// run is how many failures in a row tell that a server is at fault. Where attempts fail now and then at all,
-// as when connections break on the way, a busy sidecar soon sees a few in a row anywhere: four of six servers
-// were ejected for that, and the others overrun.
-func (b *Balancer) run() int {
-	shares := []float64{0} // the list may have gone meanwhile
-	for _, s := range b.servers {
-		shares = append(shares, s.failing)
-	}
-	slices.Sort(shares)
-	usual := min(max(shares[len(shares)/2], 1e-3), 0.5) // of the middle one: a few at fault do not move it
-	return max(ejectFails, int(math.Ceil(math.Log(ejectChance)/math.Log(usual))))
-}
-
-// eject rests a hung or failing server for a while that doubles, then tries it with one attempt at a time.
-func (b *Balancer) eject(s *server) {
-	if b.now < s.ejected {
-		return
+// shrinkLimit lowers the limit of a slow server by half the share of its slow answers, as DCTCP does, and
+// once for all attempts then in flight: scattered slow answers cut little, a queue cuts deep.
+func (b *Balancer) shrinkLimit(a *attempt) {
+	s := a.server
+	if s.slowShare += slowStep; a.sentAt >= s.limitShrunkAt && !a.request.isAtFault() {
+		s.limit, s.limitShrunkAt = max(1, s.limit*(1-s.slowShare*limitCut)), b.now
 	}
-	s.ejected, s.limit = b.now+time.Duration(s.backoff*float64(ageing)), 1
-	b.logf("server %d ejected for %.1fs: %d failures, errors %.2f", s.ID,
-		(s.ejected - b.now).Seconds(), s.fails, s.suspect[failed])
-	s.backoff = min(2*s.backoff, ejectMost)
 }
 
-// idle plans the closing of s's idle connections once they have cost as much as a new handshake, so that
-// never more than twice the least is paid. All sidecars are taken to have this one's traffic.
-func (b *Balancer) idle(s *server) {
-	p := &b.cfg.Prices
-	if len(s.out) > 0 || p.Connection <= 0 {
-		return
+// recordFailure counts a failure as a sample of speed zero, since a quick failure would otherwise look like
+// an idle server. A run of failures, or a high share of them, ejects the server.
+func (b *Balancer) recordFailure(a *attempt, outcome Outcome) {
+	s, kind := a.server, failure
+	if outcome == TimedOut || outcome == Canceled {
+		kind = lateness
+	}
+	serverAtFault := b.attribute(a, kind, true)
+	s.failureShare += meanStep * (1 - s.failureShare)
+	// Late though it responded to others meanwhile: it has a queue, which is for the limit to cut.
+	if serverAtFault && (kind == failure || s.lastResponse <= a.sentAt) {
+		s.failuresInRow++
+	}
+	if !a.request.isAtFault() {
+		s.Observe(b.now, 0)
+		b.walk.Leave(s)
+	}
+	b.shrinkLimit(a)
+	if kind == failure {
+		s.lastResponse = b.now
+	} else if serverAtFault {
+		s.lateInRow++
+	}
+	threshold := b.ejectThreshold()
+	// Listed as gone and without a response: the list was right, so the longest ejection follows at once.
+	if s.State == Gone && outcome != Errored && outcome != Busy {
+		s.failuresInRow, s.ejectBackoff = threshold, maxEjectBackoff
+	}
+	if s.failuresInRow >= threshold || s.faultShares[failure] > ejectFailureShare {
+		b.eject(s)
 	}
-	all := max(b.rate*float64(max(b.cfg.Balancers, 1)), 1e-3)
-	s.releaseAt = b.now + seconds(min(p.Handshake/p.Connection*connsPriced*float64(len(b.servers))/all, 1e6))
-	b.at(s.releaseAt, TimerIdle, s.ID)
 }
--- a/logic/random_test.go
+++ b/logic/random_test.go
@@ -34,25 +34,26 @@
 	b        *Balancer
 	now      time.Duration
 	list     map[uint64]*Server
-	banned   map[uint64]bool // told to drain or gone
+	banned   map[uint64]bool // listed as draining or gone
 	requests map[uint64]*seenRequest
 	order    []uint64
 	wakes    []Action
 	sends    int
-	cold     map[uint64]float64 // sends a cold server may have had
+	cold     map[uint64]float64 // sends a server in slow start may have had
 	coldGot  map[uint64]int
 	history  []Action
 	nextID   uint64
-	watch    func(now time.Duration, a Action) // is told of each action; nil: nobody
+	watch    func(now time.Duration, a Action) // gets each action; nil: nobody
 }
 
 func randomConfig(rng *rand.Rand) Config {
 	cfg := Config{
 		Zone: "z0", Balancers: 1 + rng.IntN(9), Tick: time.Duration(1+rng.IntN(5)) * ms,
-		Subscribe: rng.IntN(2) == 0, WarmKeys: rng.IntN(2) == 0,
-		Contract: Contract{AskEvery: 10 * time.Second, ColdFrom: 0.1 + 0.4*rng.Float64(), Cold: 20 * time.Second,
-			AnswerGrace: 20 * ms, ShedAfterStart: rng.IntN(2) == 0, GoneIsAdvice: rng.IntN(2) == 0},
-		Limits: Limits{Attempts: 1 + rng.IntN(6), Cancel: rng.IntN(2) == 0, Parallel: rng.IntN(3) > 0,
+		Subscribe: rng.IntN(2) == 0, KeyAffinity: rng.IntN(2) == 0,
+		Contract: Contract{ListInterval: 10 * time.Second, SlowStartMinCapacity: 0.1 + 0.4*rng.Float64(),
+			SlowStartWindow: 20 * time.Second,
+			AnswerGrace:     20 * ms, BusyMayHaveRun: rng.IntN(2) == 0, GoneIsAdvisory: rng.IntN(2) == 0},
+		Limits: Limits{MaxAttempts: 1 + rng.IntN(6), Cancel: rng.IntN(2) == 0, ParallelAttempts: rng.IntN(3) > 0,
 			RetryAfter: rng.IntN(2) == 0, MaxRetryAfter: time.Second},
 	}
 	for i := range 1 + rng.IntN(3) {
@@ -62,7 +63,7 @@
 		}
 		cfg.Classes = append(cfg.Classes, Class{Name: string(rune('a' + i)), Effect: Effect(rng.IntN(3)),
 			Group: Group(rng.IntN(3)), Window: time.Duration(100+rng.IntN(1000)) * ms,
-			Aim: time.Duration(rng.IntN(4)) * 150 * ms, Deadline: 1500 * ms, LateWorth: late,
+			LatencyTarget: time.Duration(rng.IntN(4)) * 150 * ms, Deadline: 1500 * ms, LateValue: late,
 			Stream: rng.IntN(4) == 0})
 	}
 	return cfg
@@ -87,7 +88,7 @@
 		}
 		c.wakes = append(c.wakes, a)
 		return
-	case ActWatch, ActLog, ActRelease:
+	case ActWatch, ActLog, ActCloseIdle:
 		return
 	}
 	r := c.requests[a.Request]
@@ -101,7 +102,7 @@
 		if !c.cfg.Limits.Cancel || a.Attempt >= len(r.attempts) {
 			c.t.Fatalf("illegal cancel %+v", a)
 		}
-	case ActRefuse, ActFail:
+	case ActReject, ActFail:
 		if r.over {
 			c.t.Fatalf("two final answers for request %d", a.Request)
 		}
@@ -110,8 +111,8 @@
 			c.t.Fatalf("request %d answered %v late", a.Request, c.now-r.expires)
 		}
 		keyedAll := r.class.Effect == Keyed && r.class.Group == GroupAll
-		if a.Kind == ActRefuse && r.class.Effect != Safe && !keyedAll && r.ran() {
-			c.t.Fatalf("request %d refused though it may have run", a.Request)
+		if a.Kind == ActReject && r.class.Effect != Safe && !keyedAll && r.ran() {
+			c.t.Fatalf("request %d rejected though it may have run", a.Request)
 		}
 	}
 }
@@ -125,7 +126,7 @@
 	if s == nil || c.banned[a.Server] {
 		c.t.Fatalf("sent to server %d, which is unknown, draining or gone", a.Server)
 	}
-	if r.over || len(r.attempts) >= c.cfg.Limits.Attempts {
+	if r.over || len(r.attempts) >= c.cfg.Limits.MaxAttempts {
 		c.t.Fatalf("illegal attempt for request %d", a.Request)
 	}
 	for _, o := range r.attempts {
@@ -135,26 +136,27 @@
 		from := c.list[o.server]
 		same := r.class.Group == GroupAll || (r.class.Group == GroupZone && from.Zone == s.Zone) ||
 			(r.class.Group == GroupCell && from.Cell == s.Cell)
-		if r.class.Effect == Unsafe || (o.out && !c.cfg.Limits.Parallel) ||
+		if r.class.Effect == Unsafe || (o.out && !c.cfg.Limits.ParallelAttempts) ||
 			(r.class.Effect == Keyed && (!same || c.now-o.sent > r.class.Window)) {
 			c.t.Fatalf("effect %d: request %d sent again against the rules", r.class.Effect, a.Request)
 		}
 	}
 	r.attempts = append(r.attempts, seenAttempt{server: a.Server, sent: c.now, out: true, timeout: c.now + a.After})
 	c.sends++
-	if c.b.coldFraction(c.b.byID[a.Server]) < 1 {
+	if c.b.capacityFraction(c.b.byID[a.Server]) < 1 {
 		c.coldGot[a.Server]++
 	}
 	if got := float64(c.coldGot[a.Server]); got > c.cold[a.Server]+3 {
-		c.t.Fatalf("cold server %d got %v sends, share %.1f", a.Server, got, c.cold[a.Server])
+		c.t.Fatalf("server %d in slow start got %v sends, share %.1f", a.Server, got, c.cold[a.Server])
 	}
 }
 
-// earn books each cold server's present part of a request, of what the subset can do: half of it at the least.
+// earn adds each server's present part of a request while it is in slow start: of the subset's capacity, which is half at the
+// least.
 func (c *checker) earn() {
 	for id, s := range c.list {
-		if f := c.b.coldFraction(&server{Server: *s}); f < 1 && !c.banned[id] {
-			c.cold[id] += 2 * f / float64(min(c.ready(), c.b.width()))
+		if f := c.b.capacityFraction(&server{Server: *s}); f < 1 && !c.banned[id] {
+			c.cold[id] += 2 * f / float64(min(c.ready(), c.b.subsetSize()))
 		}
 	}
 }
@@ -183,8 +185,8 @@
 		entry.State = Gone
 	case 2:
 		entry.Since = c.now
-	case 3: // a start that the list tells of late: warm by now
-		entry.Since = max(entry.Since+1, c.now-c.cfg.Contract.Cold)
+	case 3: // a start that the list has late: warm by now
+		entry.Since = max(entry.Since+1, c.now-c.cfg.Contract.SlowStartWindow)
 	}
 	if s == nil && entry.State != Ready {
 		return
@@ -200,7 +202,7 @@
 
 // ban keeps the rule on drains by itself: where gone is advice only a drain bars, until a later start.
 func (c *checker) ban(id uint64, state State, later bool) {
-	advice := c.cfg.Contract.GoneIsAdvice
+	advice := c.cfg.Contract.GoneIsAdvisory
 	switch {
 	case state == Draining || (state == Gone && !advice):
 		c.banned[id] = true
@@ -282,7 +284,7 @@
 			} else if c.rng.IntN(2) == 0 {
 				o = Done
 			}
-			a.out, a.mayRun = false, (o != Busy || c.cfg.Contract.ShedAfterStart) && o != Refused && o != Skipped
+			a.out, a.mayRun = false, (o != Busy || c.cfg.Contract.BusyMayHaveRun) && o != Refused && o != Skipped
 			final := r.over || o == Done
 			if o == Done {
 				r.over = true
@@ -341,7 +343,7 @@
 			if len(c.order) > 0 {
 				id := c.order[rng.IntN(len(c.order))]
 				c.requests[id].over = true
-				c.step(Event{Kind: EvWithdrawn, Request: id})
+				c.step(Event{Kind: EvClientGone, Request: id})
 			}
 		case 3:
 			if rng.IntN(10) == 0 {
--- /dev/null
+++ b/logic/request.go
@@ -0,0 +1,135 @@
+package logic
+
+import (
+	"slices"
+	"time"
+)
+
+// request is the state of a client's request from its arrival until it has a final answer and no attempt in
+// flight. All times are on the caller's clock.
+type request struct {
+	id           uint64
+	class        *class
+	key          uint64
+	hasKey       bool
+	work         float64       // expected work in seconds; 1 if not told
+	target       time.Duration // when an answer loses its full value, at most expires
+	fullTarget   time.Duration // likewise, not bounded by expires: servers are judged by it
+	arrived      time.Duration
+	expires      time.Duration // when the client stops waiting
+	tenantShares *faultShares
+	attempts     []*attempt
+	closed       bool // it has its final answer, or its client has gone
+	started      bool // its streamed answer has begun
+	queued       bool
+	lastBusy     bool    // its last attempt was turned away as busy
+	fault        suspect // likeliest cause of its last bad outcome
+}
+
+// attempt is one send of a request to a server.
+type attempt struct {
+	request      *request
+	number       int
+	server       *server
+	sentAt       time.Duration
+	inFlight     bool // no outcome yet
+	mayHaveRun   bool // its outcome does not prove that it never ran
+	crowded      bool // it used an upper part of the server's limit
+	canceledLate bool // canceled because no answer came in time
+}
+
+func (a *attempt) isInFlight() bool { return a.inFlight }
+
+// possiblyExecuted reports whether it is not proved that the attempt never ran, and never will.
+func (a *attempt) possiblyExecuted() bool { return a.inFlight || a.mayHaveRun }
+
+func (r *request) tried(s *server) bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.server == s })
+}
+
+func (r *request) hasAttemptInFlight() bool {
+	return slices.ContainsFunc(r.attempts, (*attempt).isInFlight)
+}
+
+func (r *request) mayHaveRun() bool {
+	return slices.ContainsFunc(r.attempts, (*attempt).possiblyExecuted)
+}
+
+// mayReject reports whether r may be rejected: the client may take it that a retry does no harm.
+func (r *request) mayReject() bool {
+	repeatsDropped := r.class.Effect == Keyed && r.class.Group == GroupAll
+	return r.class.Effect == Safe || repeatsDropped || !r.mayHaveRun()
+}
+
+// usefulUntil is the time after which an answer has no value.
+func (r *request) usefulUntil() time.Duration {
+	if r.class.LateValue > 0 {
+		return r.expires
+	}
+	return r.target
+}
+
+// wouldBeLate reports whether an attempt sent now is expected to be answered too late.
+func (b *Balancer) wouldBeLate(r *request) bool {
+	return b.now+seconds(r.class.meanLatency) >= r.usefulUntil()
+}
+
+// enqueue lets r wait until a server can take it, or until most answers would be too late.
+func (b *Balancer) enqueue(r *request) {
+	r.queued = true
+	b.queue = append(b.queue, r)
+	needed := r.class.meanLatency + queueDeviations*r.class.latencyDeviation
+	b.wakeAt(r.usefulUntil()-seconds(needed), TimerQueued, r.id)
+}
+
+// dispatchQueue sends what is queued, newest first, since that has the most time left. A request that will
+// not be sent in time ends by its timer.
+func (b *Balancer) dispatchQueue() {
+	for i := len(b.queue) - 1; i >= 0 && b.send(b.queue[i]); i-- {
+		b.queue[i].queued = false
+		b.queue = b.queue[:i]
+	}
+}
+
+// finish gives the final answer to r without one from a server: a rejection where that is true, or a failure.
+func (b *Balancer) finish(r *request) {
+	answer := Action{Kind: ActFail, Request: r.id}
+	if r.mayReject() {
+		answer.Kind = ActReject
+		if b.cfg.Limits.RetryAfter {
+			answer.After = min(b.retryAfter(r), b.cfg.Limits.MaxRetryAfter)
+		}
+	}
+	b.emit(answer)
+	if len(r.attempts) > 0 {
+		b.observeSlack(r, false)
+	}
+	b.close(r, false)
+}
+
+// close ends r, and cancels its attempts in flight where that is permitted.
+func (b *Balancer) close(r *request, served bool) {
+	if r.closed = true; !served {
+		r.class.missedTarget = max(r.class.missedTarget, r.fullTarget)
+	}
+	if r.queued {
+		r.queued = false
+		b.queue = slices.DeleteFunc(b.queue, func(o *request) bool { return o == r })
+	}
+	if b.cfg.Limits.Cancel && !r.started {
+		for _, a := range r.attempts {
+			if a.inFlight {
+				a.canceledLate = b.now >= r.fullTarget-b.cfg.Tick
+				b.emit(Action{Kind: ActCancel, Request: r.id, Attempt: a.number})
+			}
+		}
+	}
+	b.forget(r)
+}
+
+// forget drops a closed request once none of its attempts is in flight.
+func (b *Balancer) forget(r *request) {
+	if r.closed && !r.hasAttemptInFlight() {
+		delete(b.requests, r.id)
+	}
+}
--- /dev/null
+++ b/logic/serverlist.go
@@ -0,0 +1,75 @@
+package logic
+
+import (
+	"slices"
+	"time"
+)
+
+// onMembers applies the server list or a change to it, and sends what the new servers can take.
+func (b *Balancer) onMembers(ev *Event) {
+	listed := make(map[uint64]bool, len(ev.Servers))
+	for i := range ev.Servers {
+		listed[ev.Servers[i].ID] = true
+		b.applyMember(&ev.Servers[i])
+	}
+	gone := 0
+	for _, s := range slices.Clone(b.servers) {
+		if ev.Complete && !listed[s.ID] {
+			b.markGone(s)
+		}
+		if s.State == Gone {
+			gone++
+			if b.now-max(s.goneAt, s.lastResponse) > goneRetention*agingTime {
+				b.removeServer(s)
+			}
+		}
+	}
+	b.listDistrusted = float64(gone) > listDistrustShare*float64(len(b.servers))
+	if !ev.Stored {
+		b.listRequestAt, b.listBackoff = 0, 0
+	} else if b.cfg.Subscribe {
+		spread := float64(min(b.listServiceTime(), b.maxListWait()))
+		b.scheduleListRequest(time.Duration(b.rng.Float64() * spread))
+	}
+	b.dispatchQueue()
+}
+
+// applyMember applies one entry of the list.
+func (b *Balancer) applyMember(e *Server) {
+	s := b.byID[e.ID]
+	switch {
+	case e.State == Gone:
+		if s != nil {
+			b.markGone(s)
+		}
+		return
+	case s == nil:
+		s = &server{Server: *e}
+		b.byID[e.ID] = s
+		b.addServer(s)
+	case e.Since > s.Since: // it restarted: what was measured is of another process
+		b.removeFromOrder(s)
+		*s = server{Server: Server{ID: e.ID}, inFlight: s.inFlight}
+		b.addServer(s)
+	}
+	// An outdated list ends no slow start and, where gone is advisory, no drain.
+	since := max(s.Since, e.Since)
+	staysDraining := b.cfg.Contract.GoneIsAdvisory && s.State == Draining
+	if s.Server, s.Since = *e, since; staysDraining {
+		s.State = Draining
+	}
+	s.zoneShares, s.cellShares = sharesOf(b.zones, e.Zone), sharesOf(b.cells, e.Cell)
+}
+
+// markGone records that the list has s as gone or leaves it out. Where that is advisory, s is kept and its
+// outcomes decide, unless it was draining: then it gets nothing until a later start.
+func (b *Balancer) markGone(s *server) {
+	switch {
+	case !b.cfg.Contract.GoneIsAdvisory:
+		b.removeServer(s)
+	case s.State == Draining:
+		b.removeFromOrder(s)
+	case s.State == Ready:
+		s.State, s.goneAt = Gone, b.now
+	}
+}
--- /dev/null
+++ b/logic/slowstart.go
@@ -0,0 +1,38 @@
+package logic
+
+// capacityFraction is the least fraction (0 to 1) of its full capacity that s has now: during slow start it
+// grows linearly from the contract's minimum.
+func (b *Balancer) capacityFraction(s *server) float64 {
+	c, age := &b.cfg.Contract, b.now-s.Since
+	if s.Since <= 0 || c.SlowStartWindow <= 0 || age >= c.SlowStartWindow {
+		return 1
+	}
+	warmedUp := (1 - c.SlowStartMinCapacity) * float64(max(age, 0)) / float64(c.SlowStartWindow)
+	return c.SlowStartMinCapacity + warmedUp
+}
+
+// grantSlowStartCredit gives the servers of the subset that are in slow start, and no others, their part of
+// one request. Each server is in as many subsets as any other, so the sum over all sidecars keeps the rule.
+// Credit is earned by requests and not by sends: with most of a fleet in slow start, sends would earn each
+// server less than one.
+func (b *Balancer) grantSlowStartCredit() {
+	size := min(b.subsetSize(), len(b.servers))
+	var found [2]int        // by zoneSide
+	var capacity [2]float64 // of the subset, in servers
+	var warming []*server
+	for _, s := range b.servers {
+		side := b.zoneSide(s)
+		if found[side] >= size || b.isExcluded(s) || b.now < s.ejectedUntil {
+			continue
+		}
+		found[side]++
+		capacity[side] += b.capacityFraction(s)
+		if b.capacityFraction(s) < 1 {
+			warming = append(warming, s)
+		}
+	}
+	for _, s := range warming {
+		part := b.capacityFraction(s) / max(capacity[b.zoneSide(s)], slowStartMinSubset*float64(size))
+		s.slowStartCredit = min(s.slowStartCredit+slowStartShare*part, slowStartMaxCredit)
+	}
+}
