--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -54,6 +54,8 @@
 	nodes  []*Node
 	byAddr map[string]*Node
 	cut    map[[2]int]bool
+	// Acted is called for each action of a member, before anything is done with it. It may be nil.
+	Acted func(n *Node, at time.Duration, a fleet.Action)
 	// Heard is called for each action of a member that others may judge. It may be nil.
 	Heard func(n *Node, at time.Duration, a fleet.Action)
 	// Passed is called for each frame that a member is about to get. It may be nil.
@@ -295,6 +297,9 @@
 	}
 	w := n.world
 	for _, a := range n.Core.Step(n.clock(w.now), e) {
+		if w.Acted != nil {
+			w.Acted(n, w.now, a)
+		}
 		switch a := a.(type) {
 		case fleet.Transmit:
 			n.transmit(a)
