--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -210,7 +210,7 @@
 	}
 	c.holder.Set(cfg.Limits)
 	c.grants.Set(cfg.Limits)
-	cfg.View.Members, cfg.View.Member = c.member.Those, c.member.Peer
+	cfg.View.Members, cfg.View.Member = c.member.PresentRecords, c.member.Peer
 	views, err := view.New(cfg.View, now)
 	c.views = views
 	if cfg.Rules != nil && err == nil {
@@ -383,7 +383,7 @@
 
 // spread sends a frame to some others, drawn anew each time.
 func (c *Core) spread(f peer.Frame) {
-	others := c.member.Those()
+	others := c.member.PresentRecords()
 	c.rng.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	sent := 0
 	for _, r := range others {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -101,7 +101,7 @@
 		Limits: limits, Demand: f.limits.demand, Words: opts.Words}
 	if set.Verdicts && f.avoid != nil {
 		f.seen.on = true
-		cfg.Seen, cfg.VerdictPct, cfg.Member.Zone = &f.seen, set.VerdictPc, opts.Zone[:min(len(opts.Zone), member.MostZone)]
+		cfg.Seen, cfg.VerdictPct, cfg.Member.Zone = &f.seen, set.VerdictPc, opts.Zone[:min(len(opts.Zone), member.MaxZoneBytes)]
 	}
 	push, err := f.ruled.begin(&cfg, set, opts, log)
 	if err != nil {
@@ -172,7 +172,7 @@
 			f.transmit(a)
 		case MemberChanged:
 			f.log.Info().Str("member", a.Record.Name).Str("addr", a.Record.Addr).Stringer("state", a.Record.State).Stringer("was", a.Was).
-				Uint64("incarnation", a.Record.Inc).Bool("new", a.New).Str("by", a.Record.By).Msg("member changed")
+				Uint64("incarnation", a.Record.Incarnation).Bool("new", a.New).Str("by", a.Record.SuspectedBy).Msg("member changed")
 		case Save:
 			if err := f.keeper.save(a.Change); err != nil {
 				// What was not kept must not be answered for: without its state this process is no voter.
@@ -288,14 +288,14 @@
 			return ""
 		}
 		held := max(0, f.core.Views().Until()-now)
-		lines = append(lines, fmt.Sprintf("%s self inc=%d heard=0ms addr=%s view=%s mode=%s held=%dms boot=%x%s", self.Name, self.Inc, self.Addr,
+		lines = append(lines, fmt.Sprintf("%s self inc=%d heard=0ms addr=%s view=%s mode=%s held=%dms boot=%x%s", self.Name, self.Incarnation, self.Addr,
 			in(self.Name, self.Boot), strings.ReplaceAll(f.core.Mode().String(), " ", "-"), held.Milliseconds(), self.Boot, role(self.Name)))
 		for _, k := range f.core.Members().Others() {
 			heard := "never"
-			if k.Heard >= 0 {
-				heard = fmt.Sprintf("%dms", (now - k.Heard).Milliseconds())
+			if k.LastContact >= 0 {
+				heard = fmt.Sprintf("%dms", (now - k.LastContact).Milliseconds())
 			}
-			lines = append(lines, fmt.Sprintf("%s %s inc=%d heard=%s addr=%s view=%s boot=%x%s", k.Name, k.State, k.Inc, heard, k.Addr,
+			lines = append(lines, fmt.Sprintf("%s %s inc=%d heard=%s addr=%s view=%s boot=%x%s", k.Name, k.State, k.Incarnation, heard, k.Addr,
 				in(k.Name, k.Boot), k.Boot, role(k.Name)))
 		}
 	})
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -41,7 +41,7 @@
 		case k.Present():
 			all = append(all, skew.Member{Name: k.Name, Boot: k.Boot, Reads: k.Reads, Away: -1})
 		case k.State == member.Failed:
-			all = append(all, skew.Member{Name: k.Name, Boot: k.Boot, Reads: k.Reads, Away: c.now - k.Since})
+			all = append(all, skew.Member{Name: k.Name, Boot: k.Boot, Reads: k.Reads, Away: c.now - k.StateSince})
 		}
 	}
 	return all
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -58,8 +58,8 @@
 	if s.Pace < leastPace || s.Pace > mostPace {
 		fault("pace_ms", s.Pace, fmt.Sprintf("%d to %d", leastPace, mostPace))
 	}
-	if len(s.Name) > member.MostName {
-		fault("name", s.Name, fmt.Sprintf("up to %d bytes", member.MostName))
+	if len(s.Name) > member.MaxNameBytes {
+		fault("name", s.Name, fmt.Sprintf("up to %d bytes", member.MaxNameBytes))
 	}
 	if len(s.Join) > mostJoin {
 		fault("join", len(s.Join), fmt.Sprintf("%d addresses at most", mostJoin))
@@ -100,8 +100,8 @@
 
 func checkAddress(key, address string, fault func(key string, read any, allowed string)) {
 	// No names: a look-up could keep the actor waiting.
-	if _, err := netip.ParseAddrPort(address); err != nil || len(address) > member.MostAddr {
-		fault(key, address, fmt.Sprintf("an IP address and port, up to %d bytes", member.MostAddr))
+	if _, err := netip.ParseAddrPort(address); err != nil || len(address) > member.MaxAddrBytes {
+		fault(key, address, fmt.Sprintf("an IP address and port, up to %d bytes", member.MaxAddrBytes))
 	}
 }
 
@@ -136,7 +136,7 @@
 	lines := []string{fmt.Sprintf("fleet: nobody holds a view for longer than lease_ms * (1 + drift) = %v after the next one was decided", held)}
 	for _, n := range []int{5, 50, 500} {
 		lines = append(lines, fmt.Sprintf("fleet: among %d members a crash is known to all within n * pace + pace + 12 * max(1, log10 n) * pace = %v, as a rule in a fraction of that",
-			n, member.Detection(n, s.PaceTime()).Round(time.Millisecond)))
+			n, member.DetectionTime(n, s.PaceTime()).Round(time.Millisecond)))
 	}
 	if s.Refounds() {
 		pace := s.PaceTime()
--- a/internal/fleetsim/comeback_test.go
+++ b/internal/fleetsim/comeback_test.go
@@ -245,7 +245,7 @@
 	g := v.got[to.Index]
 	g[0]++
 	g[1] += bytes
-	if f.Member != nil && f.Member.Kind == member.TableTold && !f.Member.Part {
+	if f.Member != nil && f.Member.Kind == member.SyncReply && !f.Member.Partial {
 		v.told[f.From.Name]++
 		v.Tables = max(v.Tables, v.told[f.From.Name])
 	}
--- a/internal/fleetsim/digest_test.go
+++ b/internal/fleetsim/digest_test.go
@@ -208,9 +208,9 @@
 		held, ok := n.Core.Views().View()
 		group, leader := n.Core.Views().Voting()
 		entry.Number(uint64(n.Core.Mode())).Flag(ok).Bytes(encoded(t, held)).Bytes(encoded(t, group)).Text(leader)
-		entry.Number(uint64(n.Core.Members().Present())).Number(uint64(n.Core.Members().Score()))
+		entry.Number(uint64(n.Core.Members().Present())).Number(uint64(n.Core.Members().HealthScore()))
 		for _, other := range n.Core.Members().Others() {
-			entry.Bytes(encoded(t, other.Record)).Time(other.Since).Time(other.Heard)
+			entry.Bytes(encoded(t, other.Record)).Time(other.StateSince).Time(other.LastContact)
 		}
 		amount, past, until := n.Core.Holder().Part("x", n.clock(w.Now()))
 		entry.Number(uint64(amount)).Number(uint64(past)).Time(until)
--- a/internal/fleetsim/member_test.go
+++ b/internal/fleetsim/member_test.go
@@ -49,7 +49,7 @@
 	if !w.Run(from+within, func() bool { return whole(w) }) {
 		for _, n := range w.Nodes() {
 			if n.Core != nil {
-				t.Logf("%s sees %d, doubt %d", n.Name, n.Core.Members().Present(), n.Core.Members().Score())
+				t.Logf("%s sees %d, doubt %d", n.Name, n.Core.Members().Present(), n.Core.Members().HealthScore())
 			}
 		}
 		t.Fatalf("not one table within %v", within)
@@ -69,7 +69,7 @@
 				victim := w.Node(size - 1)
 				victim.Kill()
 				from := w.Now()
-				if !w.Run(from+member.Detection(size, 250*time.Millisecond), func() bool { return sees(w, size-1, member.Failed) == size-1 }) {
+				if !w.Run(from+member.DetectionTime(size, 250*time.Millisecond), func() bool { return sees(w, size-1, member.Failed) == size-1 }) {
 					t.Fatalf("%d of %d know", sees(w, size-1, member.Failed), size-1)
 				}
 				t.Log(w.Now() - from)
--- a/internal/member/check_test.go
+++ b/internal/member/check_test.go
@@ -32,10 +32,10 @@
 		w.highest[i] = map[string]Record{}
 		for j, other := range threeNames {
 			if j != i {
-				w.step(i, Received{From: Record{Name: other, Addr: other, Boot: uint64(j + 1), Inc: 1}, Message: Message{Kind: News}})
+				w.step(i, Received{From: Record{Name: other, Addr: other, Boot: uint64(j + 1), Incarnation: 1}, Message: Message{Kind: Gossip}})
 			}
 		}
-		w.machines[i].news.clear() // all is told
+		w.machines[i].broadcasts.clear() // all is told
 	}
 	clear(w.links)
 	return w
@@ -50,14 +50,14 @@
 		}
 		for j, name := range threeNames {
 			if s.To.Name == name && len(w.links[[2]int{i, j}]) < 3 {
-				s.Message.News = append([]Record(nil), s.Message.News...)
+				s.Message.Updates = append([]Record(nil), s.Message.Updates...)
 				w.links[[2]int{i, j}] = append(w.links[[2]int{i, j}], s)
 			}
 		}
 	}
 	// Per observer, what is believed of a process never goes back.
 	for name, p := range m.peers {
-		if was, ok := w.highest[i][name]; ok && was.newer(p.Record) {
+		if was, ok := w.highest[i][name]; ok && was.supersedes(p.Record) {
 			w.broken = fmt.Errorf("%s believed %+v and now %+v", m.self.Name, was, p.Record)
 		}
 		w.highest[i][name] = p.Record
@@ -103,14 +103,14 @@
 		return
 	}
 	accused := uint64(0)
-	for _, r := range s.Message.News {
-		if r.Name == to.self.Name && r.Boot == to.self.Boot && r.State != Alive && r.Inc >= to.self.Inc {
-			accused = max(accused, r.Inc)
+	for _, r := range s.Message.Updates {
+		if r.Name == to.self.Name && r.Boot == to.self.Boot && r.State != Alive && r.Incarnation >= to.self.Incarnation {
+			accused = max(accused, r.Incarnation)
 		}
 	}
 	from := w.machines[id[0]].self // by its word now: an envelope is made when it is sent, and this only grows
 	w.step(id[1], Received{From: from, Message: s.Message})
-	if accused > 0 && to.self.Inc <= accused {
+	if accused > 0 && to.self.Incarnation <= accused {
 		w.broken = fmt.Errorf("%s heard that it is suspect at %d and did not refute", to.self.Name, accused)
 	}
 }
@@ -131,8 +131,8 @@
 	for i, m := range w.machines {
 		for name, p := range m.peers {
 			of := w.machines[strings.Index("abc", name)]
-			if p.Boot == of.self.Boot && p.Inc > of.self.Inc {
-				return fmt.Errorf("%s believes that %s has come to %d; it is at %d", threeNames[i], name, p.Inc, of.self.Inc)
+			if p.Boot == of.self.Boot && p.Incarnation > of.self.Incarnation {
+				return fmt.Errorf("%s believes that %s has come to %d; it is at %d", threeNames[i], name, p.Incarnation, of.self.Incarnation)
 			}
 			if p.State == Left {
 				return fmt.Errorf("%s believes that %s left", threeNames[i], name)
@@ -145,15 +145,15 @@
 func (w *three) Hash() uint64 {
 	var b strings.Builder
 	for i, m := range w.machines {
-		fmt.Fprintln(&b, m.self, m.score, m.periodDue-w.now, m.gossipDue-w.now, m.agreeing, m.news.fresh, m.news.told, m.order, m.helping)
+		fmt.Fprintln(&b, m.self, m.healthScore, m.probeDue-w.now, m.gossipDue-w.now, m.equalDigests, m.broadcasts.fresh, m.broadcasts.transmitted, m.probeOrder, m.relays)
 		if m.probe != nil {
 			fmt.Fprintln(&b, *m.probe)
 		}
 		for _, name := range m.names {
 			p := m.peers[name]
-			fmt.Fprintln(&b, p.Record, p.shown)
+			fmt.Fprintln(&b, p.Record, p.reported)
 			if p.suspicion != nil {
-				fmt.Fprintln(&b, p.suspicion.until-w.now, p.suspicion.by)
+				fmt.Fprintln(&b, p.suspicion.deadline-w.now, p.suspicion.accusers)
 			}
 		}
 		for j := range 3 {
@@ -169,8 +169,8 @@
 	w := newThree(mutate)
 	a := w.machines[0]
 	r := a.peers["c"].Record
-	r.State, r.By = Suspect, "a"
-	a.learn(r)
+	r.State, r.SuspectedBy = Suspect, "a"
+	a.merge(r)
 	a.out = nil
 	return w
 }
@@ -199,8 +199,8 @@
 				if mutate == Resurrection { // c has failed by a's word, and b does not know
 					a := w.machines[0]
 					r := a.peers["c"].Record
-					r.State, r.By = Failed, ""
-					a.learn(r)
+					r.State, r.SuspectedBy = Failed, ""
+					a.merge(r)
 					a.out = nil
 					w.highest[0]["c"] = r
 				}
--- a/internal/member/machine.go
+++ b/internal/member/machine.go
@@ -18,75 +18,75 @@
 	peers map[string]*peer
 	names []string // of peers, sorted: nothing may follow from the order of a map
 
-	order   []string // whom to probe, this round
-	probe   *probe
-	score   int // of the doubt of oneself
-	seq     uint64
-	helping []help
-	news    newsQueue
-	waiting []*peer // with a suspicion or a held return
-	digest  uint64
-	count   int               // of those present, with this one
-	summed  bool              // digest and count are up to date
-	seeds   map[string]string // address to join by to the name of who answered there: it may say that it is reached elsewhere
-	asked   string            // the address that was asked last, with number askedSeq
-	askedAs uint64
-	correct Record // what is known of the asker, if that is not what it says; for the answer that is being made
-
-	periodDue, gossipDue, failedDue, seedDue, syncDue time.Duration
-	joinWait                                          time.Duration
-	differsSince                                      time.Duration // -1: they do not
-	agreeing                                          int           // digests in a row that were the same
-	ended                                             bool
-	tablesAt                                          time.Duration // begin of the pace in which
-	tables                                            int           // so many whole tables were asked for
-	now                                               time.Duration
-	out                                               []Action
+	probeOrder   []string // whom to probe, this round
+	probe        *probe
+	healthScore  int // of the doubt of oneself
+	seq          uint64
+	relays       []relayedProbe
+	broadcasts   broadcastQueue
+	timed        []*peer // with a suspicion or a held return
+	digest       uint64
+	presentCount int               // of those present, with this one
+	digestValid  bool              // digest and count are up to date
+	seedNames    map[string]string // address to join by to the name of who answered there: it may say that it is reached elsewhere
+	joinAddr     string            // the address that was asked last, with number askedSeq
+	joinSeq      uint64
+	correction   Record // what is known of the asker, if that is not what it says; for the answer that is being made
+
+	probeDue, gossipDue, failedPingDue, seedSyncDue, syncDue time.Duration
+	joinBackoff                                              time.Duration
+	divergedSince                                            time.Duration // -1: they do not
+	equalDigests                                             int           // digests in a row that were the same
+	ended                                                    bool
+	syncWindowStart                                          time.Duration // begin of the pace in which
+	syncsInWindow                                            int           // so many whole tables were asked for
+	now                                                      time.Duration
+	out                                                      []Action
 }
 
 type peer struct {
 	Record
-	shown     State // what has been told; Alive and Suspect differ from Failed only after a hold
-	since     time.Duration
-	heard     time.Duration // of the last message from it; -1: none
-	suspicion *suspicion
-	flaps     []time.Duration // of returns
-	hold      time.Duration   // until when a return is not told; 0: none is held
-	holdFor   time.Duration
+	reported    State // what has been told; Alive and Suspect differ from Failed only after a hold
+	stateSince  time.Duration
+	lastContact time.Duration // of the last message from it; -1: none
+	suspicion   *suspicion
+	returns     []time.Duration // of returns
+	dampedUntil time.Duration   // until when a return is not told; 0: none is held
+	damping     time.Duration
 }
 
 type suspicion struct {
-	since, until time.Duration
-	by           []string
+	begunAt, deadline time.Duration
+	accusers          []string
 }
 
 type probe struct {
-	name       string
-	seq        uint64
-	directDue  time.Duration // 0: the others are asked already
-	nacksAsked int
-	nacks      int
-	acked      bool
+	name          string
+	seq           uint64
+	ackDeadline   time.Duration // 0: the others are asked already
+	nacksExpected int
+	nacksReceived int
+	acked         bool
 }
 
 // help is a probe for another.
-type help struct {
-	seq     uint64 // ours
-	asker   Record
-	askSeq  uint64
-	nackDue time.Duration // 0: said already
-	endDue  time.Duration
+type relayedProbe struct {
+	seq          uint64 // ours
+	requester    Record
+	requesterSeq uint64
+	nackDue      time.Duration // 0: said already
+	endDue       time.Duration
 }
 
 // New makes a machine. now is the present on the clock that Step is called with.
 func New(cfg Config, now time.Duration) *Machine {
-	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Boot)), peers: map[string]*peer{}, seeds: map[string]string{}, now: now, differsSince: -1}
-	m.self = Record{Name: cfg.Name, Addr: cfg.Addr, Boot: cfg.Boot, Inc: max(1, cfg.Inc), Zone: cfg.Zone, Reads: cfg.Reads}
+	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Boot)), peers: map[string]*peer{}, seedNames: map[string]string{}, now: now, divergedSince: -1}
+	m.self = Record{Name: cfg.Name, Addr: cfg.Addr, Boot: cfg.Boot, Incarnation: max(1, cfg.Incarnation), Zone: cfg.Zone, Reads: cfg.Reads}
 	m.seq = uint64(m.rng.Uint32()) // an answer to an earlier process of this name must not pass for one to this one
-	m.periodDue = now + m.jitter(cfg.Pace)
-	m.seedDue = now
-	m.joinWait = joinFirst * cfg.Pace
-	m.failedDue = now + m.jitter(askFailed*cfg.Pace)
+	m.probeDue = now + m.jitter(cfg.Pace)
+	m.seedSyncDue = now
+	m.joinBackoff = joinBackoffMin * cfg.Pace
+	m.failedPingDue = now + m.jitter(failedPingInterval*cfg.Pace)
 	m.syncDue = now
 	m.gossipDue = now
 	return m
@@ -95,14 +95,14 @@
 // Self is the record of this process.
 func (m *Machine) Self() Record { return m.self }
 
-// Score is the doubt of oneself, 0 to 8.
-func (m *Machine) Score() int { return m.score }
+// HealthScore is the doubt of oneself, 0 to 8.
+func (m *Machine) HealthScore() int { return m.healthScore }
 
 // Known is a process other than this one, as it is told to those above: a return that is held still counts as failed.
 type Known struct {
 	Record
-	Since time.Duration // of the state
-	Heard time.Duration // of its last message; -1: none
+	StateSince  time.Duration // of the state
+	LastContact time.Duration // of its last message; -1: none
 }
 
 // Others are all that is known, by name.
@@ -110,22 +110,22 @@
 	all := make([]Known, 0, len(m.names))
 	for _, name := range m.names {
 		p := m.peers[name]
-		k := Known{p.Record, p.since, p.heard}
-		k.State = p.shown
+		k := Known{p.Record, p.stateSince, p.lastContact}
+		k.State = p.reported
 		all = append(all, k)
 	}
 	return all
 }
 
-// Those are the records of those present, this process among them, by name.
-func (m *Machine) Those() []Record {
+// PresentRecords are the records of those present, this process among them, by name.
+func (m *Machine) PresentRecords() []Record {
 	all := make([]Record, 0, m.Present())
 	own := false
 	for _, name := range m.names {
 		if !own && name > m.self.Name {
 			all, own = append(all, m.self), true
 		}
-		if p := m.peers[name]; p.shown <= Suspect {
+		if p := m.peers[name]; p.reported <= Suspect {
 			all = append(all, p.Record)
 		}
 	}
@@ -142,14 +142,14 @@
 		return Record{}, false
 	}
 	r := p.Record
-	r.State = p.shown
+	r.State = p.reported
 	return r, true
 }
 
 // Present is how many are there, with this one.
 func (m *Machine) Present() int {
-	m.sum()
-	return m.count
+	m.presentDigest()
+	return m.presentCount
 }
 
 // Next is when Step is to be called with Tick at the latest.
@@ -157,24 +157,24 @@
 	if m.ended {
 		return math.MaxInt64
 	}
-	next := min(m.periodDue, m.failedDue, m.seedDue)
-	if !m.news.empty() {
+	next := min(m.probeDue, m.failedPingDue, m.seedSyncDue)
+	if !m.broadcasts.empty() {
 		next = min(next, m.gossipDue)
 	}
-	if m.probe != nil && m.probe.directDue > 0 {
-		next = min(next, m.probe.directDue)
+	if m.probe != nil && m.probe.ackDeadline > 0 {
+		next = min(next, m.probe.ackDeadline)
 	}
-	for _, h := range m.helping {
+	for _, h := range m.relays {
 		if h.nackDue > 0 {
 			next = min(next, h.nackDue)
 		}
 	}
-	for _, p := range m.waiting {
+	for _, p := range m.timed {
 		if p.suspicion != nil {
-			next = min(next, p.suspicion.until)
+			next = min(next, p.suspicion.deadline)
 		}
-		if p.hold > 0 {
-			next = min(next, p.hold)
+		if p.dampedUntil > 0 {
+			next = min(next, p.dampedUntil)
 		}
 	}
 	return next
@@ -188,45 +188,45 @@
 		return nil
 	}
 	now = max(now, m.now)
-	m.lateBy(now - m.Next())
+	m.allowForStall(now - m.Next())
 	m.now = now
 	switch e := e.(type) {
 	case Received:
-		m.received(e.From, e.Message)
+		m.receive(e.From, e.Message)
 	case Leave:
-		m.leave()
+		m.announceLeave()
 	case Seeds:
 		m.cfg.Join = e.Join
-		clear(m.seeds)
-		m.seedDue = now
+		clear(m.seedNames)
+		m.seedSyncDue = now
 	}
 	if !m.ended {
-		m.timers()
+		m.runTimers()
 	}
 	return m.out
 }
 
-// lateBy moves what is being waited for when the process was held up: answers may lie unread, and who slept judges no
+// allowForStall moves what is being waited for when the process was held up: answers may lie unread, and who slept judges no
 // one by that.
-func (m *Machine) lateBy(late time.Duration) {
-	if late <= time.Duration(lateness*float64(m.cfg.Pace)) {
+func (m *Machine) allowForStall(late time.Duration) {
+	if late <= time.Duration(stallThreshold*float64(m.cfg.Pace)) {
 		return
 	}
-	m.score = min(mostScore, m.score+1)
-	m.periodDue += late
-	if m.probe != nil && m.probe.directDue > 0 {
-		m.probe.directDue += late
+	m.healthScore = min(maxHealthScore, m.healthScore+1)
+	m.probeDue += late
+	if m.probe != nil && m.probe.ackDeadline > 0 {
+		m.probe.ackDeadline += late
 	}
-	for i := range m.helping {
-		if m.helping[i].nackDue > 0 {
-			m.helping[i].nackDue += late
+	for i := range m.relays {
+		if m.relays[i].nackDue > 0 {
+			m.relays[i].nackDue += late
 		}
-		m.helping[i].endDue += late
+		m.relays[i].endDue += late
 	}
-	for _, p := range m.waiting {
+	for _, p := range m.timed {
 		if s := p.suspicion; s != nil {
-			s.since += late
-			s.until += late
+			s.begunAt += late
+			s.deadline += late
 		}
 	}
 }
@@ -236,74 +236,74 @@
 }
 
 // stretched is a pace, longer while this process doubts itself.
-func (m *Machine) stretched() time.Duration { return time.Duration(m.score+1) * m.cfg.Pace }
+func (m *Machine) scaledPace() time.Duration { return time.Duration(m.healthScore+1) * m.cfg.Pace }
 
-func (m *Machine) timers() {
-	for _, p := range slices.Clone(m.waiting) {
-		if s := p.suspicion; s != nil && s.until <= m.now {
+func (m *Machine) runTimers() {
+	for _, p := range slices.Clone(m.timed) {
+		if s := p.suspicion; s != nil && s.deadline <= m.now {
 			r := p.Record
-			r.State, r.By = Failed, ""
-			m.believe(p, r)
+			r.State, r.SuspectedBy = Failed, ""
+			m.apply(p, r)
 		}
-		if p.hold > 0 && p.hold <= m.now {
-			p.hold = 0
-			m.show(p)
+		if p.dampedUntil > 0 && p.dampedUntil <= m.now {
+			p.dampedUntil = 0
+			m.report(p)
 		}
 	}
-	m.waiting = slices.DeleteFunc(m.waiting, func(p *peer) bool { return p.suspicion == nil && p.hold == 0 })
-	m.helping = slices.DeleteFunc(m.helping, func(h help) bool { return h.endDue <= m.now })
-	for i := range m.helping {
-		if h := &m.helping[i]; h.nackDue > 0 && h.nackDue <= m.now {
+	m.timed = slices.DeleteFunc(m.timed, func(p *peer) bool { return p.suspicion == nil && p.dampedUntil == 0 })
+	m.relays = slices.DeleteFunc(m.relays, func(h relayedProbe) bool { return h.endDue <= m.now })
+	for i := range m.relays {
+		if h := &m.relays[i]; h.nackDue > 0 && h.nackDue <= m.now {
 			h.nackDue = 0
-			m.send(h.asker, Message{Kind: Nack, Seq: h.askSeq})
+			m.send(h.requester, Message{Kind: Nack, Seq: h.requesterSeq})
 		}
 	}
-	if p := m.probe; p != nil && p.directDue > 0 && p.directDue <= m.now && !p.acked {
-		p.directDue = 0
-		m.askOthers(p)
+	if p := m.probe; p != nil && p.ackDeadline > 0 && p.ackDeadline <= m.now && !p.acked {
+		p.ackDeadline = 0
+		m.requestIndirectProbes(p)
 	}
-	if m.periodDue <= m.now {
-		m.endProbe()
-		m.nextProbe()
-		m.periodDue = m.now + m.stretched()
+	if m.probeDue <= m.now {
+		m.finishProbe()
+		m.startProbe()
+		m.probeDue = m.now + m.scaledPace()
 	}
-	if m.failedDue <= m.now {
-		m.failedDue = m.now + askFailed*m.cfg.Pace/2 + m.jitter(askFailed*m.cfg.Pace)
-		for _, p := range m.pick(1, func(p *peer) bool { return p.State == Failed }) {
+	if m.failedPingDue <= m.now {
+		m.failedPingDue = m.now + failedPingInterval*m.cfg.Pace/2 + m.jitter(failedPingInterval*m.cfg.Pace)
+		for _, p := range m.sample(1, func(p *peer) bool { return p.State == Failed }) {
 			m.ping(p, m.nextSeq())
 		}
-		m.forgetOld()
+		m.reap()
 	}
-	if m.seedDue <= m.now {
-		m.callSeeds()
+	if m.seedSyncDue <= m.now {
+		m.syncWithSeed()
 	}
-	if !m.news.empty() && m.gossipDue <= m.now {
-		m.gossipDue = m.now + time.Duration(gossipPart*float64(m.cfg.Pace))
-		for _, p := range m.pick(gossipWidth, (*peer).present) {
-			m.send(p.Record, Message{Kind: News})
+	if !m.broadcasts.empty() && m.gossipDue <= m.now {
+		m.gossipDue = m.now + time.Duration(gossipFraction*float64(m.cfg.Pace))
+		for _, p := range m.sample(gossipNodes, (*peer).present) {
+			m.send(p.Record, Message{Kind: Gossip})
 		}
 		if len(m.names) == 0 {
-			m.news.clear()
+			m.broadcasts.clear()
 		}
 	}
 }
 
 func (p *peer) present() bool { return p.Present() }
 
-// callSeeds asks for the table at an address to join by: soon and again while nobody is there, seldom afterwards, when
+// syncWithSeed asks for the table at an address to join by: soon and again while nobody is there, seldom afterwards, when
 // only an address at which nobody known stands is of use (two sides that have forgotten each other).
-func (m *Machine) callSeeds() {
+func (m *Machine) syncWithSeed() {
 	alone := m.Present() == 1
 	if !alone {
-		m.joinWait = joinFirst * m.cfg.Pace
-		m.seedDue = m.now + askSeeds*m.cfg.Pace/2 + m.jitter(askSeeds*m.cfg.Pace)
+		m.joinBackoff = joinBackoffMin * m.cfg.Pace
+		m.seedSyncDue = m.now + seedSyncInterval*m.cfg.Pace/2 + m.jitter(seedSyncInterval*m.cfg.Pace)
 	} else {
-		m.seedDue = m.now + m.joinWait/2 + m.jitter(m.joinWait)
-		m.joinWait = min(2*m.joinWait, joinMost*m.cfg.Pace)
+		m.seedSyncDue = m.now + m.joinBackoff/2 + m.jitter(m.joinBackoff)
+		m.joinBackoff = min(2*m.joinBackoff, joinBackoffMax*m.cfg.Pace)
 	}
 	var open []string
 	for _, a := range m.cfg.Join {
-		if p := m.peers[m.seeds[a]]; p != nil && p.Present() {
+		if p := m.peers[m.seedNames[a]]; p != nil && p.Present() {
 			continue
 		}
 		if a != m.cfg.Addr && !slices.ContainsFunc(m.names, func(n string) bool { return m.peers[n].Present() && m.peers[n].Addr == a }) {
@@ -313,8 +313,8 @@
 	if len(open) == 0 {
 		return
 	}
-	m.asked, m.askedAs = open[m.rng.IntN(len(open))], m.nextSeq()
-	m.sendTable(Record{Addr: m.asked}, Table, m.askedAs)
+	m.joinAddr, m.joinSeq = open[m.rng.IntN(len(open))], m.nextSeq()
+	m.sendSync(Record{Addr: m.joinAddr}, Sync, m.joinSeq)
 }
 
 func (m *Machine) nextSeq() uint64 {
@@ -326,76 +326,76 @@
 	m.send(p.Record, Message{Kind: Ping, Seq: seq, To: p.Name})
 }
 
-// nextProbe asks the next one of this round.
-func (m *Machine) nextProbe() {
+// startProbe asks the next one of this round.
+func (m *Machine) startProbe() {
 	for range 2 {
-		for len(m.order) > 0 {
-			p := m.peers[m.order[0]]
-			m.order = m.order[1:]
+		for len(m.probeOrder) > 0 {
+			p := m.peers[m.probeOrder[0]]
+			m.probeOrder = m.probeOrder[1:]
 			if p != nil && p.Present() {
-				m.probe = &probe{name: p.Name, seq: m.nextSeq(), directDue: m.now + time.Duration(directPart*float64(m.stretched()))}
+				m.probe = &probe{name: p.Name, seq: m.nextSeq(), ackDeadline: m.now + time.Duration(ackTimeoutFraction*float64(m.scaledPace()))}
 				m.ping(p, m.probe.seq)
 				return
 			}
 		}
-		m.order = append(m.order[:0:0], m.names...)
-		m.rng.Shuffle(len(m.order), func(i, j int) { m.order[i], m.order[j] = m.order[j], m.order[i] })
+		m.probeOrder = append(m.probeOrder[:0:0], m.names...)
+		m.rng.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 	}
 }
 
-func (m *Machine) askOthers(pr *probe) {
+func (m *Machine) requestIndirectProbes(pr *probe) {
 	p := m.peers[pr.name]
 	if p == nil {
 		return
 	}
-	for _, h := range m.pick(helpers, func(q *peer) bool { return q.State == Alive && q.Name != pr.name }) {
-		pr.nacksAsked++
+	for _, h := range m.sample(indirectProbers, func(q *peer) bool { return q.State == Alive && q.Name != pr.name }) {
+		pr.nacksExpected++
 		m.send(h.Record, Message{Kind: PingReq, Seq: pr.seq, Target: Record{Name: p.Name, Addr: p.Addr}})
 	}
 }
 
-// endProbe judges the probe of the pace that is over.
-func (m *Machine) endProbe() {
+// finishProbe judges the probe of the pace that is over.
+func (m *Machine) finishProbe() {
 	pr := m.probe
 	m.probe = nil
 	if pr == nil {
 		return
 	}
 	if pr.acked {
-		m.score = max(0, m.score-1)
+		m.healthScore = max(0, m.healthScore-1)
 		return
 	}
 	// Helpers that say nothing at all speak against this process, not against the one that was asked.
-	if missing := pr.nacksAsked - pr.nacks; missing > 0 {
-		m.score = min(mostScore, m.score+missing)
-	} else if pr.nacksAsked == 0 {
-		m.score = min(mostScore, m.score+1)
+	if missing := pr.nacksExpected - pr.nacksReceived; missing > 0 {
+		m.healthScore = min(maxHealthScore, m.healthScore+missing)
+	} else if pr.nacksExpected == 0 {
+		m.healthScore = min(maxHealthScore, m.healthScore+1)
 	}
 	if p := m.peers[pr.name]; p != nil && p.Present() {
 		r := p.Record
-		r.State, r.By = Suspect, m.self.Name
-		m.learn(r)
+		r.State, r.SuspectedBy = Suspect, m.self.Name
+		m.merge(r)
 	}
 }
 
-func (m *Machine) received(from Record, msg Message) {
+func (m *Machine) receive(from Record, msg Message) {
 	if from.Valid() != nil || from.Name == m.self.Name {
 		if from.Name == m.self.Name && from.Boot != m.self.Boot {
-			m.aboutMe(from)
+			m.receiveSelf(from)
 		}
 		return
 	}
-	from.State, from.By = Alive, ""
-	m.learn(from)
+	from.State, from.SuspectedBy = Alive, ""
+	m.merge(from)
 	if p := m.peers[from.Name]; p != nil && p.Boot == from.Boot {
-		p.heard = m.now
+		p.lastContact = m.now
 	}
-	for _, r := range msg.News {
+	for _, r := range msg.Updates {
 		if m.ended {
 			return
 		}
 		if r.Valid() == nil {
-			m.learn(r)
+			m.merge(r)
 		}
 	}
 	if m.ended {
@@ -406,9 +406,9 @@
 		return
 	}
 	// An asker that was started anew does not know how far its name has come.
-	if known.Boot != from.Boot || known.Inc > from.Inc {
-		m.correct = known.Record
-		defer func() { m.correct = Record{} }()
+	if known.Boot != from.Boot || known.Incarnation > from.Incarnation {
+		m.correction = known.Record
+		defer func() { m.correction = Record{} }()
 	}
 	// It is reached where it says it is, also while another record of its name still counts.
 	answer := Record{Name: from.Name, Addr: from.Addr}
@@ -418,135 +418,135 @@
 			m.send(answer, Message{Kind: Ack, Seq: msg.Seq})
 		}
 	case PingReq:
-		if msg.Target.Valid() == nil && len(m.helping) < MostMembers {
-			h := help{seq: m.nextSeq(), asker: answer, askSeq: msg.Seq,
-				nackDue: m.now + time.Duration(directPart*float64(m.cfg.Pace)), endDue: m.now + 2*m.cfg.Pace}
-			m.helping = append(m.helping, h)
+		if msg.Target.Valid() == nil && len(m.relays) < MaxMembers {
+			h := relayedProbe{seq: m.nextSeq(), requester: answer, requesterSeq: msg.Seq,
+				nackDue: m.now + time.Duration(ackTimeoutFraction*float64(m.cfg.Pace)), endDue: m.now + 2*m.cfg.Pace}
+			m.relays = append(m.relays, h)
 			m.send(Record{Name: msg.Target.Name, Addr: msg.Target.Addr}, Message{Kind: Ping, Seq: h.seq, To: msg.Target.Name})
 		}
 	case Ack:
-		m.acked(msg.Seq)
+		m.receiveAck(msg.Seq)
 	case Nack:
 		if m.probe != nil && m.probe.seq == msg.Seq {
-			m.probe.nacks++
+			m.probe.nacksReceived++
 		}
-	case Table:
-		m.tellTable(answer, msg.Seq)
-	case TableTold:
-		if msg.Part { // the next one that has another table is asked for all of it
-			m.differsSince = m.now - (differs+1)*m.cfg.Pace
+	case Sync:
+		m.answerSync(answer, msg.Seq)
+	case SyncReply:
+		if msg.Partial { // the next one that has another table is asked for all of it
+			m.divergedSince = m.now - (syncAfter+1)*m.cfg.Pace
 			m.syncDue = m.now + m.jitter(m.cfg.Pace)
 		}
-		if msg.Seq == m.askedAs && m.asked != "" && len(m.seeds) < MostMembers {
-			m.seeds[m.asked], m.asked = from.Name, ""
+		if msg.Seq == m.joinSeq && m.joinAddr != "" && len(m.seedNames) < MaxMembers {
+			m.seedNames[m.joinAddr], m.joinAddr = from.Name, ""
 		}
 	}
 	if msg.Digest != 0 {
-		m.compare(answer, msg.Digest)
+		m.compareDigest(answer, msg.Digest)
 	}
 }
 
-func (m *Machine) acked(seq uint64) {
+func (m *Machine) receiveAck(seq uint64) {
 	if p := m.probe; p != nil && p.seq == seq {
-		p.acked, p.directDue = true, 0
+		p.acked, p.ackDeadline = true, 0
 		return
 	}
-	for i, h := range m.helping {
+	for i, h := range m.relays {
 		if h.seq == seq {
-			m.helping = slices.Delete(m.helping, i, i+1)
-			m.send(h.asker, Message{Kind: Ack, Seq: h.askSeq})
+			m.relays = slices.Delete(m.relays, i, i+1)
+			m.send(h.requester, Message{Kind: Ack, Seq: h.requesterSeq})
 			return
 		}
 	}
 }
 
 // compare exchanges tables with one that goes on having another one.
-func (m *Machine) compare(with Record, digest uint64) {
-	if digest == m.sum() {
-		m.differsSince = -1
-		if m.agreeing++; m.agreeing >= agree { // what all know need not be told: after many joins that would take minutes
-			m.news.known()
+func (m *Machine) compareDigest(with Record, digest uint64) {
+	if digest == m.presentDigest() {
+		m.divergedSince = -1
+		if m.equalDigests++; m.equalDigests >= equalDigestsToSettle { // what all know need not be told: after many joins that would take minutes
+			m.broadcasts.dropSettled()
 		}
 		return
 	}
-	m.agreeing = 0
-	if m.differsSince < 0 {
-		m.differsSince = m.now
+	m.equalDigests = 0
+	if m.divergedSince < 0 {
+		m.divergedSince = m.now
 	}
-	if m.now-m.differsSince > differs*m.cfg.Pace && m.syncDue <= m.now {
-		m.syncDue = m.now + differs*m.cfg.Pace + m.jitter(differs*m.cfg.Pace)
-		m.sendTable(with, Table, 0)
+	if m.now-m.divergedSince > syncAfter*m.cfg.Pace && m.syncDue <= m.now {
+		m.syncDue = m.now + syncAfter*m.cfg.Pace + m.jitter(syncAfter*m.cfg.Pace)
+		m.sendSync(with, Sync, 0)
 	}
 }
 
 // sum is the digest of those present: the same where the same processes are believed to be there.
-func (m *Machine) sum() uint64 {
-	if m.summed {
+func (m *Machine) presentDigest() uint64 {
+	if m.digestValid {
 		return m.digest
 	}
-	m.digest, m.count, m.summed = hash(m.self), 1, true
+	m.digest, m.presentCount, m.digestValid = recordHash(m.self), 1, true
 	for _, p := range m.peers {
 		if p.Present() {
-			m.count++
-			m.digest ^= hash(p.Record)
+			m.presentCount++
+			m.digest ^= recordHash(p.Record)
 		}
 	}
 	return m.digest
 }
 
-func hash(r Record) uint64 {
+func recordHash(r Record) uint64 {
 	h := xxhash.Sum64String(r.Name) ^ bits.RotateLeft64(r.Boot, 17)
-	h = (h ^ r.Inc) * 0x9e3779b97f4a7c15
+	h = (h ^ r.Incarnation) * 0x9e3779b97f4a7c15
 	return h ^ h>>29
 }
 
 // send adds what goes with every datagram. What the receiver has to hear for its own sake comes first.
 func (m *Machine) send(to Record, msg Message) {
 	if msg.Kind == Ping || msg.Kind == Ack {
-		msg.Digest = m.sum()
+		msg.Digest = m.presentDigest()
 	}
-	if m.correct.Name != "" && m.correct.Name == to.Name {
-		msg.News = append(msg.News, m.correct)
+	if m.correction.Name != "" && m.correction.Name == to.Name {
+		msg.Updates = append(msg.Updates, m.correction)
 	} else if p := m.peers[to.Name]; p != nil && p.State != Alive {
-		msg.News = append(msg.News, p.Record)
+		msg.Updates = append(msg.Updates, p.Record)
 	}
-	msg.News = m.news.take(msg.News, to.Name, spread*bits.Len(uint(m.Present())))
+	msg.Updates = m.broadcasts.appendTo(msg.Updates, to.Name, retransmitMult*bits.Len(uint(m.Present())))
 	m.out = append(m.out, Send{To: to, Message: msg})
 }
 
-func (m *Machine) sendTable(to Record, kind Kind, seq uint64) {
+func (m *Machine) sendSync(to Record, kind Kind, seq uint64) {
 	all := make([]Record, 0, len(m.names)+1)
 	all = append(all, m.self)
-	if kind == TableTold || to.Name != "" {
+	if kind == SyncReply || to.Name != "" {
 		for _, name := range m.names {
 			all = append(all, m.peers[name].Record)
 		}
 	}
-	m.out = append(m.out, Send{To: to, Message: Message{Kind: kind, Seq: seq, News: all}, Stream: true})
+	m.out = append(m.out, Send{To: to, Message: Message{Kind: kind, Seq: seq, Updates: all}, Stream: true})
 }
 
-// tellTable tells all that is known, or, to those who ask after many others, whom else to ask: when most of a fleet is started
+// answerSync tells all that is known, or, to those who ask after many others, whom else to ask: when most of a fleet is started
 // at once, all ask the few addresses to join by.
-func (m *Machine) tellTable(to Record, seq uint64) {
-	if m.now-m.tablesAt >= m.cfg.Pace {
-		m.tablesAt, m.tables = m.now, 0
+func (m *Machine) answerSync(to Record, seq uint64) {
+	if m.now-m.syncWindowStart >= m.cfg.Pace {
+		m.syncWindowStart, m.syncsInWindow = m.now, 0
 	}
-	if m.tables++; m.tables <= mostTables || len(m.names) <= named {
-		m.sendTable(to, TableTold, seq)
+	if m.syncsInWindow++; m.syncsInWindow <= maxFullSyncs || len(m.names) <= referrals {
+		m.sendSync(to, SyncReply, seq)
 		return
 	}
 	all := []Record{m.self}
-	for _, p := range m.pick(named, (*peer).present) {
+	for _, p := range m.sample(referrals, (*peer).present) {
 		all = append(all, p.Record)
 	}
-	m.out = append(m.out, Send{To: to, Message: Message{Kind: TableTold, Seq: seq, News: all, Part: true}, Stream: true})
+	m.out = append(m.out, Send{To: to, Message: Message{Kind: SyncReply, Seq: seq, Updates: all, Partial: true}, Stream: true})
 }
 
 // tell queues news.
-func (m *Machine) tell(r Record) { m.news.add(r) }
+func (m *Machine) broadcast(r Record) { m.broadcasts.add(r) }
 
 // pick draws up to n different processes.
-func (m *Machine) pick(n int, fits func(*peer) bool) []*peer {
+func (m *Machine) sample(n int, fits func(*peer) bool) []*peer {
 	if len(m.names) == 0 {
 		return nil
 	}
@@ -567,21 +567,21 @@
 	return drawn
 }
 
-func (m *Machine) leave() {
+func (m *Machine) announceLeave() {
 	m.self.State = Left
-	m.tell(m.self)
-	told := m.pick(8, (*peer).present)
+	m.broadcast(m.self)
+	told := m.sample(8, (*peer).present)
 	for _, p := range told {
-		m.send(p.Record, Message{Kind: News})
-		m.send(p.Record, Message{Kind: News}) // a datagram may be lost
+		m.send(p.Record, Message{Kind: Gossip})
+		m.send(p.Record, Message{Kind: Gossip}) // a datagram may be lost
 	}
 	m.ended = true
 }
 
-// forgetOld drops those that failed or left long ago.
-func (m *Machine) forgetOld() {
+// reap drops those that failed or left long ago.
+func (m *Machine) reap() {
 	for _, name := range slices.Clone(m.names) {
-		if p := m.peers[name]; !p.Present() && m.now-p.since > forget*m.cfg.Pace {
+		if p := m.peers[name]; !p.Present() && m.now-p.stateSince > reapAfter*m.cfg.Pace {
 			delete(m.peers, name)
 			m.names = slices.DeleteFunc(m.names, func(n string) bool { return n == name })
 		}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -34,29 +34,29 @@
 
 // Bounds of what is taken from others.
 const (
-	MostMembers = 2048 // processes known at once, with those that failed or left
-	MostName    = 40   // bytes of a name
-	MostAddr    = 64   // bytes of an address
-	MostZone    = 40   // bytes of a zone's name
-	MostReads   = 128  // bytes of what it reads
-	mostNews    = 6    // records in a datagram, so that it stays within 1,400 bytes
-	mostQueued  = 4 * MostMembers
+	MaxMembers    = 2048 // processes known at once, with those that failed or left
+	MaxNameBytes  = 40   // bytes of a name
+	MaxAddrBytes  = 64   // bytes of an address
+	MaxZoneBytes  = 40   // bytes of a zone's name
+	MaxReadsBytes = 128  // bytes of what it reads
+	maxUpdates    = 6    // records in a datagram, so that it stays within 1,400 bytes
+	maxQueued     = 4 * MaxMembers
 )
 
 // Record is what is known of a process.
 type Record struct {
-	Name string `cbor:"1,keyasint"`
-	Addr string `cbor:"2,keyasint,omitempty"` // host:port, of datagrams and of streams
-	Boot uint64 `cbor:"3,keyasint,omitempty"` // of this start: the later of two starts has the higher one
-	Inc  uint64 `cbor:"4,keyasint,omitempty"` // only the process itself raises it
+	Name        string `cbor:"1,keyasint"`
+	Addr        string `cbor:"2,keyasint,omitempty"` // host:port, of datagrams and of streams
+	Boot        uint64 `cbor:"3,keyasint,omitempty"` // of this start: the later of two starts has the higher one
+	Incarnation uint64 `cbor:"4,keyasint,omitempty"` // only the process itself raises it
 	// State is what is believed of it at that incarnation.
 	State State `cbor:"5,keyasint,omitempty"`
-	// By is who suspects it.
-	By string `cbor:"6,keyasint,omitempty"`
-	// Over is the boot of another process of this name above which this one went: only who has heard of that
+	// SuspectedBy is who suspects it.
+	SuspectedBy string `cbor:"6,keyasint,omitempty"`
+	// Supersedes is the boot of another process of this name above which this one went: only who has heard of that
 	// process can say so.
-	Over uint64 `cbor:"7,keyasint,omitempty"`
-	Zone string `cbor:"8,keyasint,omitempty"` // where it stands, by its own word
+	Supersedes uint64 `cbor:"7,keyasint,omitempty"`
+	Zone       string `cbor:"8,keyasint,omitempty"` // where it stands, by its own word
 	// Reads is which formats of rules it reads, by its own word; empty: none.
 	Reads string `cbor:"9,keyasint,omitempty"`
 }
@@ -65,10 +65,10 @@
 func (r Record) Present() bool { return r.State <= Suspect }
 
 // newer tells whether r overrules q, which is of the same name.
-func (r Record) newer(q Record) bool {
+func (r Record) supersedes(q Record) bool {
 	switch {
-	case r.Inc != q.Inc:
-		return r.Inc > q.Inc
+	case r.Incarnation != q.Incarnation:
+		return r.Incarnation > q.Incarnation
 	case r.Boot != q.Boot:
 		return r.Boot > q.Boot
 	}
@@ -78,9 +78,9 @@
 // Valid tells what keeps a record from being taken.
 func (r Record) Valid() error {
 	switch {
-	case r.Name == "" || len(r.Name) > MostName || len(r.By) > MostName:
-		return fmt.Errorf("member: a name of %d bytes, 1 to %d are taken", len(r.Name), MostName)
-	case len(r.Addr) > MostAddr || len(r.Zone) > MostZone || len(r.Reads) > MostReads:
+	case r.Name == "" || len(r.Name) > MaxNameBytes || len(r.SuspectedBy) > MaxNameBytes:
+		return fmt.Errorf("member: a name of %d bytes, 1 to %d are taken", len(r.Name), MaxNameBytes)
+	case len(r.Addr) > MaxAddrBytes || len(r.Zone) > MaxZoneBytes || len(r.Reads) > MaxReadsBytes:
 		return errors.New("member: address, zone or formats too long")
 	case r.State > Left:
 		return errors.New("member: unknown state")
@@ -97,20 +97,20 @@
 	Ack                       // an answer to Ping, or passed on for a PingReq
 	PingReq                   // ask Target for me
 	Nack                      // I asked, it has not answered
-	News                      // nothing but records
-	Table                     // all that I know; tell me all that you know
-	TableTold                 // all that I know, as an answer
+	Gossip                    // nothing but records
+	Sync                      // all that I know; tell me all that you know
+	SyncReply                 // all that I know, as an answer
 )
 
-// Message passes between members. All kinds but Table and TableTold fit a datagram.
+// Message passes between members. All kinds but Table and SyncReply fit a datagram.
 type Message struct {
-	Kind   Kind     `cbor:"1,keyasint"`
-	Seq    uint64   `cbor:"2,keyasint,omitempty"` // of the asker
-	To     string   `cbor:"3,keyasint,omitempty"` // Ping: who is meant; another process does not answer
-	Target Record   `cbor:"4,keyasint,omitzero"`  // PingReq: whom to ask
-	Digest uint64   `cbor:"5,keyasint,omitempty"` // of the records of those present
-	News   []Record `cbor:"6,keyasint,omitempty"`
-	Part   bool     `cbor:"7,keyasint,omitempty"` // TableTold: not all that I know, ask one of those named
+	Kind    Kind     `cbor:"1,keyasint"`
+	Seq     uint64   `cbor:"2,keyasint,omitempty"` // of the asker
+	To      string   `cbor:"3,keyasint,omitempty"` // Ping: who is meant; another process does not answer
+	Target  Record   `cbor:"4,keyasint,omitzero"`  // PingReq: whom to ask
+	Digest  uint64   `cbor:"5,keyasint,omitempty"` // of the records of those present
+	Updates []Record `cbor:"6,keyasint,omitempty"`
+	Partial bool     `cbor:"7,keyasint,omitempty"` // SyncReply: not all that I know, ask one of those named
 }
 
 // Event is what happens to the machine.
@@ -164,15 +164,15 @@
 
 // Config is what a machine is made with.
 type Config struct {
-	Name  string
-	Addr  string // where the others reach it
-	Boot  uint64 // of this start, see NewBoot
-	Inc   uint64 // the first incarnation; 0 is 1
-	Zone  string // where it stands; empty: not told
-	Reads string // which formats of rules it reads; empty: none
-	Join  []string
-	Pace  time.Duration // between two probes
-	Seed  uint64
+	Name        string
+	Addr        string // where the others reach it
+	Boot        uint64 // of this start, see NewBoot
+	Incarnation uint64 // the first incarnation; 0 is 1
+	Zone        string // where it stands; empty: not told
+	Reads       string // which formats of rules it reads; empty: none
+	Join        []string
+	Pace        time.Duration // between two probes
+	Seed        uint64
 	// Mutate makes the machine wrong on purpose, so that tests can show that they would notice. Nothing else sets it.
 	Mutate Mutation
 }
@@ -189,38 +189,38 @@
 
 // The constants of the detector, in paces unless said otherwise.
 const (
-	directPart  = 0.4 // of a pace, for the answer to a probe
-	helpers     = 3   // who are asked to ask
-	leastFactor = 3   // least suspicion: this * max(1, log10 n)
-	mostFactor  = 4   // most suspicion: this * least
-	lookers     = 6   // who look for themselves when they hear of a suspicion
-	mostScore   = 8   // of the doubt of oneself
-	gossipPart  = 0.25
-	gossipWidth = 3  // whom news is sent to each quarter of a pace
-	spread      = 3  // each news is sent spread * ceil(log2(n+1)) times
-	askFailed   = 8  // between two calls to one of those that failed
-	askSeeds    = 64 // between two calls to an address of the file, while others are there
-	joinFirst   = 1  // between two calls while nobody is there: first,
-	joinMost    = 16 // and doubled up to this
-	agree       = 3  // digests in a row that are the same: the table is known
-	differs     = 4  // for so long tables may differ before they are exchanged
-	mostTables  = 4  // whole tables told in a pace; who asks beyond is named some others
-	named       = 6  // of those
-	forget      = 2400
-	lateness    = 0.5 // a call later than this: the process was held up
-	flapsFree   = 5   // returns in flapsIn that count at once
-	flapsIn     = time.Minute
-	holdFirst   = 2
-	holdMost    = 64
+	ackTimeoutFraction   = 0.4 // of a pace, for the answer to a probe
+	indirectProbers      = 3   // who are asked to ask
+	suspicionMult        = 3   // least suspicion: this * max(1, log10 n)
+	suspicionMaxMult     = 4   // most suspicion: this * least
+	suspectProbers       = 6   // who look for themselves when they hear of a suspicion
+	maxHealthScore       = 8   // of the doubt of oneself
+	gossipFraction       = 0.25
+	gossipNodes          = 3  // whom news is sent to each quarter of a pace
+	retransmitMult       = 3  // each news is sent spread * ceil(log2(n+1)) times
+	failedPingInterval   = 8  // between two calls to one of those that failed
+	seedSyncInterval     = 64 // between two calls to an address of the file, while others are there
+	joinBackoffMin       = 1  // between two calls while nobody is there: first,
+	joinBackoffMax       = 16 // and doubled up to this
+	equalDigestsToSettle = 3  // digests in a row that are the same: the table is known
+	syncAfter            = 4  // for so long tables may differ before they are exchanged
+	maxFullSyncs         = 4  // whole tables told in a pace; who asks beyond is named some others
+	referrals            = 6  // of those
+	reapAfter            = 2400
+	stallThreshold       = 0.5 // a call later than this: the process was held up
+	undampedReturns      = 5   // returns in returnWindow that count at once
+	returnWindow         = time.Minute
+	dampingMin           = 2
+	dampingMax           = 64
 )
 
 // NewBoot numbers a start: its time, then chance. The time only tells which of two living processes of one name was
 // there first; a clock that is set back makes the other one give way, nothing worse.
 func NewBoot(unixMilli int64, random uint64) uint64 { return uint64(unixMilli)<<20 | random&(1<<20-1) }
 
-// Detection is the longest time from a crash to the word "failed" at a member that gets no confirmation of its
+// DetectionTime is the longest time from a crash to the word "failed" at a member that gets no confirmation of its
 // suspicion, among n members and with a score of doubt of 0: a round of probes, a pace, the longest suspicion.
-func Detection(n int, pace time.Duration) time.Duration {
+func DetectionTime(n int, pace time.Duration) time.Duration {
 	_, most := suspicionBounds(n, pace)
 	return time.Duration(n)*pace + pace + most
 }
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -13,18 +13,18 @@
 	m := New(Config{Name: "a", Addr: "a:1", Boot: 1, Pace: pace, Seed: 1}, 0)
 	var all []Record
 	for i := range 50 {
-		all = append(all, Record{Name: fmt.Sprintf("m%d", i), Addr: fmt.Sprintf("m%d:1", i), Boot: 1, Inc: 1})
+		all = append(all, Record{Name: fmt.Sprintf("m%d", i), Addr: fmt.Sprintf("m%d:1", i), Boot: 1, Incarnation: 1})
 	}
-	m.Step(0, Received{From: all[0], Message: Message{Kind: TableTold, News: all}})
+	m.Step(0, Received{From: all[0], Message: Message{Kind: SyncReply, Updates: all}})
 	ask := func(now time.Duration) (whole, part int) {
 		for i := range 20 {
-			for _, a := range m.Step(now, Received{From: all[i], Message: Message{Kind: Table, Seq: uint64(i + 1)}}) {
+			for _, a := range m.Step(now, Received{From: all[i], Message: Message{Kind: Sync, Seq: uint64(i + 1)}}) {
 				s, ok := a.(Send)
 				switch {
-				case !ok || s.Message.Kind != TableTold:
-				case s.Message.Part:
-					if part++; len(s.Message.News) > named+1 || len(s.Message.News) < 2 {
-						t.Errorf("%d named", len(s.Message.News))
+				case !ok || s.Message.Kind != SyncReply:
+				case s.Message.Partial:
+					if part++; len(s.Message.Updates) > referrals+1 || len(s.Message.Updates) < 2 {
+						t.Errorf("%d named", len(s.Message.Updates))
 					}
 				default:
 					whole++
@@ -34,7 +34,7 @@
 		return whole, part
 	}
 	for i := range 2 {
-		if whole, part := ask(time.Duration(1+2*i) * pace); whole != mostTables || part != 20-mostTables {
+		if whole, part := ask(time.Duration(1+2*i) * pace); whole != maxFullSyncs || part != 20-maxFullSyncs {
 			t.Errorf("pace %d: %d whole tables, %d parts for 20 that ask", i+1, whole, part)
 		}
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -14,10 +14,10 @@
 	"fieldrelay/internal/member"
 )
 
-var sender = member.Record{Name: "a", Addr: "127.0.0.1:1", Boot: 7, Inc: 2}
+var sender = member.Record{Name: "a", Addr: "127.0.0.1:1", Boot: 7, Incarnation: 2}
 
 func TestFrames(t *testing.T) {
-	ping := &member.Message{Kind: member.Ping, Seq: 3, To: "b", News: []member.Record{sender}}
+	ping := &member.Message{Kind: member.Ping, Seq: 3, To: "b", Updates: []member.Record{sender}}
 	good, err := Encode(Frame{Fleet: "x", From: sender, Member: ping})
 	if err != nil {
 		t.Fatal(err)
@@ -43,14 +43,14 @@
 		f, err := Decode(c.frame, c.fleet)
 		if (err == nil) != c.taken || c.want != nil && !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
-		} else if c.taken && (f.Member == nil || f.Member.Seq != 3 || f.Member.News[0] != sender) {
+		} else if c.taken && (f.Member == nil || f.Member.Seq != 3 || f.Member.Updates[0] != sender) {
 			t.Errorf("%s: read %+v", name, f)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	good, _ := Encode(Frame{Fleet: "x", From: sender, Member: &member.Message{Kind: member.Table, News: []member.Record{sender, sender}}})
+	good, _ := Encode(Frame{Fleet: "x", From: sender, Member: &member.Message{Kind: member.Sync, Updates: []member.Record{sender, sender}}})
 	f.Add(good)
 	f.Add(good[:9])
 	f.Add([]byte{0xbf, 0xff})
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -142,7 +142,7 @@
 // Five processes: one crashes, one stands still, one leaves, one is replaced, and each comes back.
 func TestProcessesComeAndGo(t *testing.T) {
 	r := running(t, Options{Sidecars: 5})
-	bound := member.Detection(5, pace) + 10*time.Second // a busy machine
+	bound := member.DetectionTime(5, pace) + 10*time.Second // a busy machine
 	victim := r.Sidecars[4]
 	require.NoError(t, victim.Kill())
 	t.Log("a crash is known after ", until(t, r, bound, "a crash", believe(r, victim, "failed")))
--- a/internal/skew/machine.go
+++ b/internal/skew/machine.go
@@ -281,7 +281,7 @@
 		}
 	case Reading:
 		if o := m.offer; o != nil && msg.Round == o.round && msg.Digest == o.digest && len(msg.Misread) <= 300 && len(msg.Trial) <= len(rules.Trial{}) {
-			if _, known := o.readings[from]; known || len(o.readings) < member.MostMembers { // made-up names fill no more
+			if _, known := o.readings[from]; known || len(o.readings) < member.MaxMembers { // made-up names fill no more
 				o.readings[from] = reading{boot, msg.Trial, msg.Misread}
 			}
 		}
--- a/internal/view/check_test.go
+++ b/internal/view/check_test.go
@@ -39,7 +39,7 @@
 	w.boots[i] += 10
 	here := func(name string) (member.Record, bool) {
 		at := strings.Index("abc", name)
-		return member.Record{Name: name, Addr: name, Boot: w.boots[at], Inc: 1}, !w.without || at < 2
+		return member.Record{Name: name, Addr: name, Boot: w.boots[at], Incarnation: 1}, !w.without || at < 2
 	}
 	m, err := New(Config{Name: names[i], Boot: w.boots[i], Voters: names[:], Pace: pace, Lease: 20 * pace, Drift: 0.01, Seed: uint64(i), Kept: kept.Clone(), Mutate: w.mutate,
 		Member: here, Members: func() (all []member.Record) {
@@ -108,7 +108,7 @@
 func (w *three) deliver(id [2]int) {
 	msg := w.links[id][0]
 	w.links[id] = w.links[id][1:]
-	w.step(id[1], Received{From: member.Record{Name: names[id[0]], Addr: names[id[0]], Boot: w.boots[id[0]], Inc: 1}, Message: msg})
+	w.step(id[1], Received{From: member.Record{Name: names[id[0]], Addr: names[id[0]], Boot: w.boots[id[0]], Incarnation: 1}, Message: msg})
 }
 
 func (w *three) step(i int, e Event) {
--- a/internal/view/quiet_test.go
+++ b/internal/view/quiet_test.go
@@ -11,7 +11,7 @@
 // nothing is in it: it may have been lost.
 func TestFoundedGroupWaitsForLeases(t *testing.T) {
 	for name, kept := range map[string]*Kept{"no store": nil, "a store that is blank": {}} {
-		self := member.Record{Name: "a", Addr: "a", Boot: 9, Inc: 1}
+		self := member.Record{Name: "a", Addr: "a", Boot: 9, Incarnation: 1}
 		m, err := New(Config{Name: "a", Boot: 9, Voters: []string{"a"}, Pace: pace, Lease: 20 * pace, Drift: 0.01, Seed: 1, Kept: kept,
 			Members: func() []member.Record { return []member.Record{self} }, Member: func(string) (member.Record, bool) { return self, true }}, 0)
 		if err != nil {
--- a/internal/view/voter.go
+++ b/internal/view/voter.go
@@ -164,7 +164,7 @@
 		next.Rules = m.voter.rules
 	}
 	for _, r := range present {
-		next.Members = append(next.Members, Member{Name: r.Name, Addr: r.Addr, Boot: r.Boot, Inc: r.Inc, Share: uint32(whole / len(present))})
+		next.Members = append(next.Members, Member{Name: r.Name, Addr: r.Addr, Boot: r.Boot, Inc: r.Incarnation, Share: uint32(whole / len(present))})
 	}
 	return next
 }
