--- /dev/null
+++ b/internal/member/damping.go
@@ -0,0 +1,32 @@
+package member
+
+import (
+	"slices"
+	"time"
+)
+
+// flapping counts a return and tells whether it is held.
+func (m *Machine) dampReturn(p *peer) bool {
+	if p.dampedUntil > 0 {
+		return true
+	}
+	p.returns = slices.DeleteFunc(p.returns, func(at time.Duration) bool { return m.now-at > returnWindow })
+	p.returns = append(p.returns, m.now)
+	if len(p.returns) <= undampedReturns {
+		p.damping = 0
+		return false
+	}
+	p.returns = p.returns[len(p.returns)-undampedReturns-1:]
+	p.damping = min(max(dampingMin*m.cfg.Pace, 2*p.damping), dampingMax*m.cfg.Pace)
+	p.dampedUntil = m.now + p.damping
+	m.watchTimers(p)
+	return true
+}
+
+// show tells those above.
+func (m *Machine) report(p *peer) {
+	if was := p.reported; was != p.State {
+		p.reported = p.State
+		m.out = append(m.out, Changed{Record: p.Record, Was: was})
+	}
+}
--- a/internal/member/machine.go
+++ b/internal/member/machine.go
@@ -6,8 +6,6 @@
 	"math/rand/v2"
 	"slices"
 	"time"
-
-	"github.com/cespare/xxhash/v2"
 )
 
 // Machine is the state of one member. It is not safe for use by several goroutines.
@@ -55,29 +53,6 @@
 	damping     time.Duration
 }
 
-type suspicion struct {
-	begunAt, deadline time.Duration
-	accusers          []string
-}
-
-type probe struct {
-	name          string
-	seq           uint64
-	ackDeadline   time.Duration // 0: the others are asked already
-	nacksExpected int
-	nacksReceived int
-	acked         bool
-}
-
-// help is a probe for another.
-type relayedProbe struct {
-	seq          uint64 // ours
-	requester    Record
-	requesterSeq uint64
-	nackDue      time.Duration // 0: said already
-	endDue       time.Duration
-}
-
 // New makes a machine. now is the present on the clock that Step is called with.
 func New(cfg Config, now time.Duration) *Machine {
 	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Boot)), peers: map[string]*peer{}, seedNames: map[string]string{}, now: now, divergedSince: -1}
@@ -92,66 +67,6 @@
 	return m
 }
 
-// Self is the record of this process.
-func (m *Machine) Self() Record { return m.self }
-
-// HealthScore is the doubt of oneself, 0 to 8.
-func (m *Machine) HealthScore() int { return m.healthScore }
-
-// Known is a process other than this one, as it is told to those above: a return that is held still counts as failed.
-type Known struct {
-	Record
-	StateSince  time.Duration // of the state
-	LastContact time.Duration // of its last message; -1: none
-}
-
-// Others are all that is known, by name.
-func (m *Machine) Others() []Known {
-	all := make([]Known, 0, len(m.names))
-	for _, name := range m.names {
-		p := m.peers[name]
-		k := Known{p.Record, p.stateSince, p.lastContact}
-		k.State = p.reported
-		all = append(all, k)
-	}
-	return all
-}
-
-// PresentRecords are the records of those present, this process among them, by name.
-func (m *Machine) PresentRecords() []Record {
-	all := make([]Record, 0, m.Present())
-	own := false
-	for _, name := range m.names {
-		if !own && name > m.self.Name {
-			all, own = append(all, m.self), true
-		}
-		if p := m.peers[name]; p.reported <= Suspect {
-			all = append(all, p.Record)
-		}
-	}
-	if !own {
-		all = append(all, m.self)
-	}
-	return all
-}
-
-// Peer is the record of one other process.
-func (m *Machine) Peer(name string) (Record, bool) {
-	p, ok := m.peers[name]
-	if !ok {
-		return Record{}, false
-	}
-	r := p.Record
-	r.State = p.reported
-	return r, true
-}
-
-// Present is how many are there, with this one.
-func (m *Machine) Present() int {
-	m.presentDigest()
-	return m.presentCount
-}
-
 // Next is when Step is to be called with Tick at the latest.
 func (m *Machine) Next() time.Duration {
 	if m.ended {
@@ -290,94 +205,11 @@
 
 func (p *peer) present() bool { return p.Present() }
 
-// syncWithSeed asks for the table at an address to join by: soon and again while nobody is there, seldom afterwards, when
-// only an address at which nobody known stands is of use (two sides that have forgotten each other).
-func (m *Machine) syncWithSeed() {
-	alone := m.Present() == 1
-	if !alone {
-		m.joinBackoff = joinBackoffMin * m.cfg.Pace
-		m.seedSyncDue = m.now + seedSyncInterval*m.cfg.Pace/2 + m.jitter(seedSyncInterval*m.cfg.Pace)
-	} else {
-		m.seedSyncDue = m.now + m.joinBackoff/2 + m.jitter(m.joinBackoff)
-		m.joinBackoff = min(2*m.joinBackoff, joinBackoffMax*m.cfg.Pace)
-	}
-	var open []string
-	for _, a := range m.cfg.Join {
-		if p := m.peers[m.seedNames[a]]; p != nil && p.Present() {
-			continue
-		}
-		if a != m.cfg.Addr && !slices.ContainsFunc(m.names, func(n string) bool { return m.peers[n].Present() && m.peers[n].Addr == a }) {
-			open = append(open, a)
-		}
-	}
-	if len(open) == 0 {
-		return
-	}
-	m.joinAddr, m.joinSeq = open[m.rng.IntN(len(open))], m.nextSeq()
-	m.sendSync(Record{Addr: m.joinAddr}, Sync, m.joinSeq)
-}
-
 func (m *Machine) nextSeq() uint64 {
 	m.seq++
 	return m.seq
 }
 
-func (m *Machine) ping(p *peer, seq uint64) {
-	m.send(p.Record, Message{Kind: Ping, Seq: seq, To: p.Name})
-}
-
-// startProbe asks the next one of this round.
-func (m *Machine) startProbe() {
-	for range 2 {
-		for len(m.probeOrder) > 0 {
-			p := m.peers[m.probeOrder[0]]
-			m.probeOrder = m.probeOrder[1:]
-			if p != nil && p.Present() {
-				m.probe = &probe{name: p.Name, seq: m.nextSeq(), ackDeadline: m.now + time.Duration(ackTimeoutFraction*float64(m.scaledPace()))}
-				m.ping(p, m.probe.seq)
-				return
-			}
-		}
-		m.probeOrder = append(m.probeOrder[:0:0], m.names...)
-		m.rng.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
-	}
-}
-
-func (m *Machine) requestIndirectProbes(pr *probe) {
-	p := m.peers[pr.name]
-	if p == nil {
-		return
-	}
-	for _, h := range m.sample(indirectProbers, func(q *peer) bool { return q.State == Alive && q.Name != pr.name }) {
-		pr.nacksExpected++
-		m.send(h.Record, Message{Kind: PingReq, Seq: pr.seq, Target: Record{Name: p.Name, Addr: p.Addr}})
-	}
-}
-
-// finishProbe judges the probe of the pace that is over.
-func (m *Machine) finishProbe() {
-	pr := m.probe
-	m.probe = nil
-	if pr == nil {
-		return
-	}
-	if pr.acked {
-		m.healthScore = max(0, m.healthScore-1)
-		return
-	}
-	// Helpers that say nothing at all speak against this process, not against the one that was asked.
-	if missing := pr.nacksExpected - pr.nacksReceived; missing > 0 {
-		m.healthScore = min(maxHealthScore, m.healthScore+missing)
-	} else if pr.nacksExpected == 0 {
-		m.healthScore = min(maxHealthScore, m.healthScore+1)
-	}
-	if p := m.peers[pr.name]; p != nil && p.Present() {
-		r := p.Record
-		r.State, r.SuspectedBy = Suspect, m.self.Name
-		m.merge(r)
-	}
-}
-
 func (m *Machine) receive(from Record, msg Message) {
 	if from.Valid() != nil || from.Name == m.self.Name {
 		if from.Name == m.self.Name && from.Boot != m.self.Boot {
@@ -446,60 +278,6 @@
 	}
 }
 
-func (m *Machine) receiveAck(seq uint64) {
-	if p := m.probe; p != nil && p.seq == seq {
-		p.acked, p.ackDeadline = true, 0
-		return
-	}
-	for i, h := range m.relays {
-		if h.seq == seq {
-			m.relays = slices.Delete(m.relays, i, i+1)
-			m.send(h.requester, Message{Kind: Ack, Seq: h.requesterSeq})
-			return
-		}
-	}
-}
-
-// compare exchanges tables with one that goes on having another one.
-func (m *Machine) compareDigest(with Record, digest uint64) {
-	if digest == m.presentDigest() {
-		m.divergedSince = -1
-		if m.equalDigests++; m.equalDigests >= equalDigestsToSettle { // what all know need not be told: after many joins that would take minutes
-			m.broadcasts.dropSettled()
-		}
-		return
-	}
-	m.equalDigests = 0
-	if m.divergedSince < 0 {
-		m.divergedSince = m.now
-	}
-	if m.now-m.divergedSince > syncAfter*m.cfg.Pace && m.syncDue <= m.now {
-		m.syncDue = m.now + syncAfter*m.cfg.Pace + m.jitter(syncAfter*m.cfg.Pace)
-		m.sendSync(with, Sync, 0)
-	}
-}
-
-// sum is the digest of those present: the same where the same processes are believed to be there.
-func (m *Machine) presentDigest() uint64 {
-	if m.digestValid {
-		return m.digest
-	}
-	m.digest, m.presentCount, m.digestValid = recordHash(m.self), 1, true
-	for _, p := range m.peers {
-		if p.Present() {
-			m.presentCount++
-			m.digest ^= recordHash(p.Record)
-		}
-	}
-	return m.digest
-}
-
-func recordHash(r Record) uint64 {
-	h := xxhash.Sum64String(r.Name) ^ bits.RotateLeft64(r.Boot, 17)
-	h = (h ^ r.Incarnation) * 0x9e3779b97f4a7c15
-	return h ^ h>>29
-}
-
 // send adds what goes with every datagram. What the receiver has to hear for its own sake comes first.
 func (m *Machine) send(to Record, msg Message) {
 	if msg.Kind == Ping || msg.Kind == Ack {
@@ -514,34 +292,6 @@
 	m.out = append(m.out, Send{To: to, Message: msg})
 }
 
-func (m *Machine) sendSync(to Record, kind Kind, seq uint64) {
-	all := make([]Record, 0, len(m.names)+1)
-	all = append(all, m.self)
-	if kind == SyncReply || to.Name != "" {
-		for _, name := range m.names {
-			all = append(all, m.peers[name].Record)
-		}
-	}
-	m.out = append(m.out, Send{To: to, Message: Message{Kind: kind, Seq: seq, Updates: all}, Stream: true})
-}
-
-// answerSync tells all that is known, or, to those who ask after many others, whom else to ask: when most of a fleet is started
-// at once, all ask the few addresses to join by.
-func (m *Machine) answerSync(to Record, seq uint64) {
-	if m.now-m.syncWindowStart >= m.cfg.Pace {
-		m.syncWindowStart, m.syncsInWindow = m.now, 0
-	}
-	if m.syncsInWindow++; m.syncsInWindow <= maxFullSyncs || len(m.names) <= referrals {
-		m.sendSync(to, SyncReply, seq)
-		return
-	}
-	all := []Record{m.self}
-	for _, p := range m.sample(referrals, (*peer).present) {
-		all = append(all, p.Record)
-	}
-	m.out = append(m.out, Send{To: to, Message: Message{Kind: SyncReply, Seq: seq, Updates: all, Partial: true}, Stream: true})
-}
-
 // tell queues news.
 func (m *Machine) broadcast(r Record) { m.broadcasts.add(r) }
 
--- a/internal/member/belief.go
+++ b/internal/member/merge.go
@@ -1,9 +1,7 @@
 package member
 
 import (
-	"math"
 	"slices"
-	"time"
 )
 
 // learn takes a record in, if it tells something new.
@@ -79,47 +77,6 @@
 	}
 }
 
-// show tells those above.
-func (m *Machine) report(p *peer) {
-	if was := p.reported; was != p.State {
-		p.reported = p.State
-		m.out = append(m.out, Changed{Record: p.Record, Was: was})
-	}
-}
-
-// flapping counts a return and tells whether it is held.
-func (m *Machine) dampReturn(p *peer) bool {
-	if p.dampedUntil > 0 {
-		return true
-	}
-	p.returns = slices.DeleteFunc(p.returns, func(at time.Duration) bool { return m.now-at > returnWindow })
-	p.returns = append(p.returns, m.now)
-	if len(p.returns) <= undampedReturns {
-		p.damping = 0
-		return false
-	}
-	p.returns = p.returns[len(p.returns)-undampedReturns-1:]
-	p.damping = min(max(dampingMin*m.cfg.Pace, 2*p.damping), dampingMax*m.cfg.Pace)
-	p.dampedUntil = m.now + p.damping
-	m.watchTimers(p)
-	return true
-}
-
-// suspect begins or ends the suspicion that goes with a record.
-func (m *Machine) updateSuspicion(p *peer, r Record) {
-	p.suspicion = nil
-	if r.State != Suspect {
-		return
-	}
-	p.suspicion = &suspicion{begunAt: m.now, accusers: []string{r.SuspectedBy}}
-	m.setDeadline(p.suspicion)
-	m.watchTimers(p)
-	// Some look for themselves, however many there are.
-	if r.SuspectedBy != m.self.Name && m.rng.IntN(max(1, m.Present())) < suspectProbers {
-		m.probeOrder = slices.Insert(m.probeOrder, 0, p.Name)
-	}
-}
-
 // await has the timers look at a process.
 func (m *Machine) watchTimers(p *peer) {
 	if !slices.Contains(m.timed, p) {
@@ -127,35 +84,6 @@
 	}
 }
 
-// confirm counts another accuser of a suspect.
-func (m *Machine) confirmSuspicion(p *peer, r Record) {
-	s := p.suspicion
-	if s == nil || len(s.accusers) > indirectProbers || slices.Contains(s.accusers, r.SuspectedBy) {
-		return
-	}
-	s.accusers = append(s.accusers, r.SuspectedBy)
-	m.setDeadline(s)
-	m.broadcast(r)
-}
-
-// suspicionBounds are the shortest and the longest time from suspicion to failure among n members.
-func suspicionBounds(n int, pace time.Duration) (least, most time.Duration) {
-	least = time.Duration(suspicionMult * max(1, math.Log10(float64(n))) * float64(pace))
-	return least, suspicionMaxMult * least
-}
-
-// setDeadline says how long a suspect has to refute: the more accuse it, the shorter.
-func (m *Machine) setDeadline(s *suspicion) {
-	n := m.Present()
-	least, most := suspicionBounds(n, m.scaledPace())
-	k := min(indirectProbers, n-2) // how many others could accuse it
-	wait := least
-	if c := len(s.accusers) - 1; c < k {
-		wait = most - time.Duration(float64(most-least)*math.Log(float64(c+1))/math.Log(float64(k+1)))
-	}
-	s.deadline = s.begunAt + wait
-}
-
 // receiveSelf answers what others say of this process, or of another one of its name.
 func (m *Machine) receiveSelf(r Record) {
 	if m.ended {
