--- a/internal/member/broadcast.go
+++ b/internal/member/broadcast.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// broadcastQueue is what still has to be told, what was told the least first: what is new, then the rest in turn. A take costs
-// what it takes, however much waits.
+// broadcastQueue is the queue of updates that are piggybacked on messages: first those that were never transmitted, then the
+// others in turn. Taking from it costs as much as is taken, whatever its length.
 type broadcastQueue struct {
 	fresh, transmitted []broadcast
-	counts             map[string]int // how many items each process has: most have none, and need not be looked for
+	counts             map[string]int // updates queued by process: most have none, and the queue is not searched for them
 }
 
+// broadcast is an update that is transmitted a limited number of times.
 type broadcast struct {
 	Record
 	transmits int
@@ -18,23 +19,24 @@
 
 func (q *broadcastQueue) clear() { q.fresh, q.transmitted, q.counts = nil, nil, nil }
 
-// add queues a record. What is older about the same process goes; each accuser of a suspect counts by itself.
+// add queues an update. It replaces those of the same process that it supersedes; the accusations of a suspect by different
+// members stand beside each other.
 func (q *broadcastQueue) add(r Record) {
 	if q.counts == nil {
 		q.counts = map[string]int{}
 	}
 	if q.counts[r.Name] > 0 {
-		old := func(n broadcast) bool {
+		superseded := func(n broadcast) bool {
 			if n.Name != r.Name || n.SuspectedBy != r.SuspectedBy && n.Incarnation >= r.Incarnation && n.State >= r.State {
 				return false
 			}
 			q.uncount(n.Name)
 			return true
 		}
-		q.fresh, q.transmitted = slices.DeleteFunc(q.fresh, old), slices.DeleteFunc(q.transmitted, old)
+		q.fresh, q.transmitted = slices.DeleteFunc(q.fresh, superseded), slices.DeleteFunc(q.transmitted, superseded)
 	}
 	for len(q.fresh)+len(q.transmitted) >= maxQueued {
-		from := &q.transmitted // told at least once, before what is not
+		from := &q.transmitted // these were transmitted at least once, so they are dropped first
 		if len(q.transmitted) == 0 {
 			from = &q.fresh
 		}
@@ -45,13 +47,15 @@
 	q.counts[r.Name]++
 }
 
+// uncount takes an update of a process out of the counts.
 func (q *broadcastQueue) uncount(name string) {
 	if q.counts[name]--; q.counts[name] <= 0 {
 		delete(q.counts, name)
 	}
 }
 
-// take adds news for a receiver to a message, which has room for maxUpdates in all. An item is told limit times.
+// appendTo appends updates for a receiver to those of its message, up to maxUpdates in all. An update leaves the queue after
+// it was transmitted limit times.
 func (q *broadcastQueue) appendTo(to []Record, receiver string, limit int) []Record {
 	for left := len(q.fresh) + len(q.transmitted); left > 0 && len(to) < maxUpdates; left-- {
 		from := &q.fresh
@@ -60,7 +64,7 @@
 		}
 		n := (*from)[0]
 		*from = (*from)[1:]
-		if n.Name != receiver || n.State != Alive { // who lives knows that itself
+		if n.Name != receiver || n.State != Alive { // the receiver knows that it is alive
 			to = append(to, n.Record)
 			n.transmits++
 		}
@@ -73,14 +77,14 @@
 	return to
 }
 
-// known drops what stands in the table: others have the same one. Suspicions do not stand there.
+// dropSettled drops the updates that equal digests prove others to have. Suspicions are not part of the digest, and stay.
 func (q *broadcastQueue) dropSettled() {
-	old := func(n broadcast) bool {
+	settled := func(n broadcast) bool {
 		if n.State == Suspect {
 			return false
 		}
 		q.uncount(n.Name)
 		return true
 	}
-	q.fresh, q.transmitted = slices.DeleteFunc(q.fresh, old), slices.DeleteFunc(q.transmitted, old)
+	q.fresh, q.transmitted = slices.DeleteFunc(q.fresh, settled), slices.DeleteFunc(q.transmitted, settled)
 }
--- a/internal/member/check_test.go
+++ b/internal/member/check_test.go
@@ -13,12 +13,12 @@
 	"fieldrelay/internal/explore"
 )
 
-// three is a fleet of three machines, with every message held until it is delivered or dropped.
+// three is a fleet of three machines, whose messages stay on their links until they are delivered or dropped.
 type three struct {
 	machines [3]*Machine
 	now      time.Duration
 	links    map[[2]int][]Send // by sender and receiver
-	crashed  bool              // the third has been
+	crashed  bool              // the third machine has crashed
 	highest  [3]map[string]Record
 	broken   error
 }
@@ -35,7 +35,7 @@
 				w.step(i, Received{From: Record{Name: other, Addr: other, Boot: uint64(j + 1), Incarnation: 1}, Message: Message{Kind: Gossip}})
 			}
 		}
-		w.machines[i].broadcasts.clear() // all is told
+		w.machines[i].broadcasts.clear() // all have every record
 	}
 	clear(w.links)
 	return w
@@ -108,10 +108,10 @@
 			accused = max(accused, r.Incarnation)
 		}
 	}
-	from := w.machines[id[0]].self // by its word now: an envelope is made when it is sent, and this only grows
+	from := w.machines[id[0]].self // as it is now: the record sent with the message may be older, and incarnations only grow
 	w.step(id[1], Received{From: from, Message: s.Message})
 	if accused > 0 && to.self.Incarnation <= accused {
-		w.broken = fmt.Errorf("%s heard that it is suspect at %d and did not refute", to.self.Name, accused)
+		w.broken = fmt.Errorf("%s received that it is suspect at %d and did not refute", to.self.Name, accused)
 	}
 }
 
@@ -164,7 +164,7 @@
 	return xxhash.Sum64String(b.String())
 }
 
-// prepared is the fleet with one of it suspect by another, who has news of that: what can go wrong is near.
+// prepared is the fleet with one member suspected by another, whose update is queued: faults are few steps away.
 func prepared(mutate Mutation) *three {
 	w := newThree(mutate)
 	a := w.machines[0]
@@ -196,7 +196,7 @@
 		for depth := 1; depth <= 6 && found == nil; depth++ {
 			_, found = explore.All(func() explore.System {
 				w := prepared(mutate)
-				if mutate == Resurrection { // c has failed by a's word, and b does not know
+				if mutate == Resurrection { // a believes that c has failed, and b does not know
 					a := w.machines[0]
 					r := a.peers["c"].Record
 					r.State, r.SuspectedBy = Failed, ""
--- /dev/null
+++ b/internal/member/disseminate.go
@@ -0,0 +1,49 @@
+package member
+
+import (
+	"math/bits"
+	"time"
+)
+
+// leaveReceivers is how many members a shutdown is announced to.
+const leaveReceivers = 8
+
+// send sends a message with the updates that its datagram has room for. First comes what the receiver is to refute or to
+// correct of itself.
+func (m *Machine) send(to Record, msg Message) {
+	if msg.Kind == Ping || msg.Kind == Ack {
+		msg.Digest = m.presentDigest()
+	}
+	if m.correction.Name != "" && m.correction.Name == to.Name {
+		msg.Updates = append(msg.Updates, m.correction)
+	} else if p := m.peers[to.Name]; p != nil && p.State != Alive {
+		msg.Updates = append(msg.Updates, p.Record)
+	}
+	msg.Updates = m.broadcasts.appendTo(msg.Updates, to.Name, retransmitMult*bits.Len(uint(m.Present())))
+	m.out = append(m.out, Send{To: to, Message: msg})
+}
+
+// broadcast queues an update for dissemination.
+func (m *Machine) broadcast(r Record) { m.broadcasts.add(r) }
+
+// gossip sends a round of queued updates.
+func (m *Machine) gossip() {
+	m.gossipDue = m.now + time.Duration(gossipFraction*float64(m.cfg.Pace))
+	for _, p := range m.sample(gossipNodes, (*peer).present) {
+		m.send(p.Record, Message{Kind: Gossip})
+	}
+	if len(m.names) == 0 {
+		m.broadcasts.clear()
+	}
+}
+
+// announceLeave announces the shutdown of this process to some members, and ends the machine.
+func (m *Machine) announceLeave() {
+	m.self.State = Left
+	m.broadcast(m.self)
+	for _, p := range m.sample(leaveReceivers, (*peer).present) {
+		m.send(p.Record, Message{Kind: Gossip})
+		m.send(p.Record, Message{Kind: Gossip}) // a datagram may be lost
+	}
+	m.ended = true
+}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,28 +1,27 @@
-// Package member holds what one sidecar believes of the others: who is there
-// and who has failed. It is a state machine: Step(now, event) -> actions,
-// without I/O, clock or goroutine, and the same seed and events give the same
-// actions. The method is SWIM (probe, indirect probe, suspicion, incarnations)
-// with the doubt of oneself of Lifeguard; docs/design-fleet.md says what was
-// changed and why.
+// Package member is the failure detector of a fleet: what one sidecar believes of the others, which of them are present
+// and which have failed. It is a state machine, Step(now, event) -> actions, without I/O, clock or goroutine, and the same
+// seed and events give the same actions.
+//
+// The protocol is SWIM (Das, Gupta, Motivala, 2002: probe, indirect probe, suspicion, incarnations) with the health score
+// of Lifeguard (Dadgar, Phillips, Currey, 2017). It gives each member an opinion, not an agreement: what the members agree
+// on is decided in package view. docs/design-fleet.md says what was changed of the protocol, and why.
 package member
 
-import (
-	"time"
-)
+import "time"
 
-// Event is what happens to the machine.
+// Event is an input of the machine.
 type Event interface{ event() }
 
-// The events. A machine that is told nothing still has to be called at Next.
+// The events. A machine without events still has to be stepped with Tick when Next says so.
 type (
-	// Tick is that time has passed.
+	// Tick reports that time has passed.
 	Tick struct{}
 	// Received is a message, with the record that its sender gave of itself.
 	Received struct {
 		From    Record
 		Message Message
 	}
-	// Leave is that this process is about to end.
+	// Leave reports that this process is about to shut down.
 	Leave struct{}
 	// Seeds replaces the addresses to join by.
 	Seeds struct{ Join []string }
@@ -33,25 +32,26 @@
 func (Leave) event()    {}
 func (Seeds) event()    {}
 
-// Action is what the machine wants done.
+// Action is an output of the machine, for its caller to carry out in order.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Send is a message for a process. To.Name is empty for an address to join by. Stream says that it is too long
-	// for a datagram.
+	// Send sends a message to a process. To.Name is empty for an address to join by. Stream is set if the message may be
+	// too long for a datagram.
 	Send struct {
 		To      Record
 		Message Message
 		Stream  bool
 	}
-	// Changed is a new belief. Was is the last one; New is a process not known before, or started anew.
+	// Changed reports a new belief about a process. Was is the state reported last; New is set for a process that was not
+	// known before, or was started anew.
 	Changed struct {
 		Record Record
 		Was    State
 		New    bool
 	}
-	// Yield is that another living process holds this one's name: this machine has ended.
+	// Yield reports that another living process holds this one's name and takes precedence: this machine has ended.
 	Yield struct{ To Record }
 )
 
@@ -62,55 +62,57 @@
 // Config is what a machine is made with.
 type Config struct {
 	Name        string
-	Addr        string // where the others reach it
-	Boot        uint64 // of this start, see NewBoot
-	Incarnation uint64 // the first incarnation; 0 is 1
-	Zone        string // where it stands; empty: not told
-	Reads       string // which formats of rules it reads; empty: none
-	Join        []string
-	Pace        time.Duration // between two probes
-	Seed        uint64
-	// Mutate makes the machine wrong on purpose, so that tests can show that they would notice. Nothing else sets it.
+	Addr        string        // host:port at which the others reach this process
+	Boot        uint64        // of this start, see NewBoot
+	Incarnation uint64        // the first incarnation; 0 is 1
+	Zone        string        // failure domain of this process; empty: not known
+	Reads       string        // formats of rules that this process reads; empty: none
+	Join        []string      // addresses to join by
+	Pace        time.Duration // SWIM's protocol period: the interval between two probes
+	Seed        uint64        // of the random draws, together with Boot
+	// Mutate injects a fault, so that tests can show that they would notice it. Nothing else sets it.
 	Mutate Mutation
 }
 
-// Mutation is a fault put in on purpose.
+// Mutation is a fault that a test injects.
 type Mutation uint8
 
 // The mutations.
 const (
 	NoMutation   Mutation = iota
-	NoRefutation          // a suspect keeps silent
-	Resurrection          // an old incarnation brings back who failed
+	NoRefutation          // a suspect does not refute
+	Resurrection          // a record of an old incarnation revives a failed process
 )
 
-// The constants of the detector, in paces unless said otherwise.
+// The constants of the detector: times are in paces unless said otherwise.
 const (
-	ackTimeoutFraction   = 0.4 // of a pace, for the answer to a probe
-	indirectProbers      = 3   // who are asked to ask
-	suspicionMult        = 3   // least suspicion: this * max(1, log10 n)
-	suspicionMaxMult     = 4   // most suspicion: this * least
-	suspectProbers       = 6   // who look for themselves when they hear of a suspicion
-	maxHealthScore       = 8   // of the doubt of oneself
-	gossipFraction       = 0.25
-	gossipNodes          = 3  // whom news is sent to each quarter of a pace
-	retransmitMult       = 3  // each news is sent spread * ceil(log2(n+1)) times
-	failedPingInterval   = 8  // between two calls to one of those that failed
-	seedSyncInterval     = 64 // between two calls to an address of the file, while others are there
-	joinBackoffMin       = 1  // between two calls while nobody is there: first,
-	joinBackoffMax       = 16 // and doubled up to this
-	equalDigestsToSettle = 3  // digests in a row that are the same: the table is known
-	syncAfter            = 4  // for so long tables may differ before they are exchanged
-	maxFullSyncs         = 4  // whole tables told in a pace; who asks beyond is named some others
-	referrals            = 6  // of those
-	reapAfter            = 2400
-	stallThreshold       = 0.5 // a call later than this: the process was held up
-	undampedReturns      = 5   // returns in returnWindow that count at once
-	returnWindow         = time.Minute
-	dampingMin           = 2
-	dampingMax           = 64
+	ackTimeoutFraction   = 0.4  // of a pace: timeout of a direct probe, after which indirect ones are requested
+	indirectProbers      = 3    // processes that are requested to probe; as many more accusers shorten a suspicion
+	suspicionMult        = 3    // shortest suspicion: this * max(1, log10 n)
+	suspicionMaxMult     = 4    // longest suspicion: this * the shortest
+	suspectProbers       = 6    // expected number of members that probe a suspect themselves when they learn of it
+	maxHealthScore       = 8    // at which this process trusts its own observations the least
+	gossipFraction       = 0.25 // of a pace: interval between two rounds of gossip
+	gossipNodes          = 3    // receivers of a round of gossip
+	retransmitMult       = 3    // each update is transmitted this * ceil(log2(n+1)) times
+	maxUpdates           = 6    // updates in a datagram, so that it stays within 1,400 bytes
+	maxQueued            = 4 * MaxMembers
+	failedPingInterval   = 8           // between two pings of a process that failed: it may be back
+	seedSyncInterval     = 64          // between two exchanges with an address to join by while others are present
+	joinBackoffMin       = 1           // between two such exchanges while nobody is present: at first,
+	joinBackoffMax       = 16          // and doubled up to this
+	equalDigestsToSettle = 3           // equal digests in a row after which the tables count as equal
+	syncAfter            = 4           // for so long digests may differ before the tables are exchanged
+	maxFullSyncs         = 4           // whole tables sent in a pace; further requesters are referred to other members
+	referrals            = 6           // members that such a requester is referred to
+	reapAfter            = 2400        // after which a process that failed or left is forgotten
+	stallThreshold       = 0.5         // a step later than this: the process itself was stalled
+	undampedReturns      = 5           // returns within returnWindow that are reported at once
+	returnWindow         = time.Minute // in which the returns of a process are counted
+	dampingMin           = 2           // for so long the next return is not reported,
+	dampingMax           = 64          // doubled with each further one up to this
 )
 
-// NewBoot numbers a start: its time, then chance. The time only tells which of two living processes of one name was
-// there first; a clock that is set back makes the other one give way, nothing worse.
+// NewBoot numbers a start of a process by its time, in milliseconds since 1970, and a random number. The time only decides
+// which of two living processes of one name was started first; if a clock was set back the other one yields, nothing worse.
 func NewBoot(unixMilli int64, random uint64) uint64 { return uint64(unixMilli)<<20 | random&(1<<20-1) }
--- a/internal/member/merge.go
+++ b/internal/member/merge.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// learn takes a record in, if it tells something new.
+// merge takes in a record if it supersedes what is known.
 func (m *Machine) merge(r Record) {
 	if r.Name == m.self.Name {
 		m.receiveSelf(r)
@@ -19,10 +19,10 @@
 		m.peers[r.Name] = p
 		at, _ := slices.BinarySearch(m.names, r.Name)
 		m.names = slices.Insert(m.names, at, r.Name)
-		if r.Present() { // a new one is probed within this round, at a place that is drawn
+		if r.Present() { // it is probed within this round, at a position that is drawn
 			m.probeOrder = slices.Insert(m.probeOrder, m.rng.IntN(len(m.probeOrder)+1), r.Name)
 		}
-		m.accept(p, r, true)
+		m.introduce(p, r)
 		return
 	}
 	if r.State == Suspect && p.State == Suspect && r.Incarnation == p.Incarnation && r.Boot == p.Boot {
@@ -30,32 +30,28 @@
 		return
 	}
 	if r.supersedes(p.Record) || m.cfg.Mutate == Resurrection && r.State == Alive && !p.Present() {
-		m.accept(p, r, false)
+		if r.Addr == "" {
+			r.Addr = p.Addr
+		}
+		m.apply(p, r)
 	}
 }
 
-// accept takes over a record that overrules the one before.
-func (m *Machine) accept(p *peer, r Record, first bool) {
-	if r.Addr == "" {
-		r.Addr = p.Addr
-	}
-	if first {
-		p.Record, p.stateSince = r, m.now
-		m.digestValid = false
-		m.updateSuspicion(p, r)
-		p.reported = r.State
-		m.broadcast(r)
-		if r.Present() {
-			m.out = append(m.out, Changed{Record: r, New: true})
-		}
-		return
+// introduce takes in the first record of a process.
+func (m *Machine) introduce(p *peer, r Record) {
+	p.Record, p.stateSince = r, m.now
+	m.digestValid = false
+	m.updateSuspicion(p, r)
+	p.reported = r.State
+	m.broadcast(r)
+	if r.Present() {
+		m.out = append(m.out, Changed{Record: r, New: true})
 	}
-	m.apply(p, r)
 }
 
-// believe changes what is held of a process, and passes it on.
+// apply replaces the record of a process, broadcasts it and reports the change, unless it is a return that is damped.
 func (m *Machine) apply(p *peer, r Record) {
-	was, anew := p.State, p.Boot != r.Boot
+	was, restarted := p.State, p.Boot != r.Boot
 	p.Record = r
 	m.digestValid = false
 	if was != r.State {
@@ -64,12 +60,12 @@
 	m.updateSuspicion(p, r)
 	m.broadcast(r)
 	if p.reported > Suspect && p.Present() && m.dampReturn(p) {
-		return // told once the hold is over
+		return // reported when the damping is over
 	}
 	if !p.Present() {
 		p.dampedUntil = 0
 	}
-	if anew && p.reported == p.State && p.Present() {
+	if restarted && p.reported == p.State && p.Present() {
 		m.out = append(m.out, Changed{Record: r, Was: p.reported, New: true})
 	}
 	if p.dampedUntil == 0 {
@@ -77,14 +73,8 @@
 	}
 }
 
-// await has the timers look at a process.
-func (m *Machine) watchTimers(p *peer) {
-	if !slices.Contains(m.timed, p) {
-		m.timed = append(m.timed, p)
-	}
-}
-
-// receiveSelf answers what others say of this process, or of another one of its name.
+// receiveSelf takes in what others say of this process, or of another one of its name, and refutes it with a higher
+// incarnation.
 func (m *Machine) receiveSelf(r Record) {
 	if m.ended {
 		return
@@ -99,8 +89,8 @@
 		m.broadcast(m.self)
 		return
 	}
-	// Another process has, or had, this name. Only one that lives can have heard of this one; of two that live the
-	// one started later gives way, which both see alike.
+	// Another process has, or had, this name. Only a living one can have received a record of this process, and so set
+	// Supersedes; of two living ones the one started later yields, and both come to the same result.
 	if r.Supersedes == m.self.Boot && r.Boot < m.self.Boot {
 		m.ended = true
 		m.out = append(m.out, Yield{To: r})
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
+// probe is the probe of this protocol period.
 type probe struct {
 	name          string
 	seq           uint64
-	ackDeadline   time.Duration // 0: the others are asked already
-	nacksExpected int
+	ackDeadline   time.Duration // of the direct probe; 0: indirect ones have been requested, or it was answered
+	nacksExpected int           // processes that were requested to probe
 	nacksReceived int
 	acked         bool
 }
 
-// help is a probe for another.
+// relayedProbe is a probe on behalf of another process.
 type relayedProbe struct {
-	seq          uint64 // ours
+	seq          uint64 // of our ping
 	requester    Record
 	requesterSeq uint64
-	nackDue      time.Duration // 0: said already
-	endDue       time.Duration
+	nackDue      time.Duration // 0: the Nack was sent
+	endDue       time.Duration // when the probe is forgotten
 }
 
-// startProbe asks the next one of this round.
+// startProbe pings the next process of this round. Each round visits all that are present, in an order of its own.
 func (m *Machine) startProbe() {
-	for range 2 {
+	for range 2 { // the rest of this round, then a new one
 		for len(m.probeOrder) > 0 {
 			p := m.peers[m.probeOrder[0]]
 			m.probeOrder = m.probeOrder[1:]
@@ -40,18 +41,24 @@
 	}
 }
 
+// ping requests an Ack of a process.
+func (m *Machine) ping(p *peer, seq uint64) {
+	m.send(p.Record, Message{Kind: Ping, Seq: seq, To: p.Name})
+}
+
+// requestIndirectProbes has other members probe a process that did not answer in time.
 func (m *Machine) requestIndirectProbes(pr *probe) {
-	p := m.peers[pr.name]
-	if p == nil {
+	target := m.peers[pr.name]
+	if target == nil {
 		return
 	}
-	for _, h := range m.sample(indirectProbers, func(q *peer) bool { return q.State == Alive && q.Name != pr.name }) {
+	for _, relay := range m.sample(indirectProbers, func(p *peer) bool { return p.State == Alive && p.Name != pr.name }) {
 		pr.nacksExpected++
-		m.send(h.Record, Message{Kind: PingReq, Seq: pr.seq, Target: Record{Name: p.Name, Addr: p.Addr}})
+		m.send(relay.Record, Message{Kind: PingReq, Seq: pr.seq, Target: Record{Name: target.Name, Addr: target.Addr}})
 	}
 }
 
-// finishProbe judges the probe of the pace that is over.
+// finishProbe evaluates the probe of the protocol period that is over.
 func (m *Machine) finishProbe() {
 	pr := m.probe
 	m.probe = nil
@@ -62,32 +69,52 @@
 		m.healthScore = max(0, m.healthScore-1)
 		return
 	}
-	// Helpers that say nothing at all speak against this process, not against the one that was asked.
+	// Relays that send not even a Nack are evidence against this process, not against the probed one (Lifeguard).
 	if missing := pr.nacksExpected - pr.nacksReceived; missing > 0 {
 		m.healthScore = min(maxHealthScore, m.healthScore+missing)
 	} else if pr.nacksExpected == 0 {
 		m.healthScore = min(maxHealthScore, m.healthScore+1)
 	}
 	if p := m.peers[pr.name]; p != nil && p.Present() {
-		r := p.Record
-		r.State, r.SuspectedBy = Suspect, m.self.Name
-		m.merge(r)
+		suspect := p.Record
+		suspect.State, suspect.SuspectedBy = Suspect, m.self.Name
+		m.merge(suspect)
 	}
 }
 
-func (m *Machine) ping(p *peer, seq uint64) {
-	m.send(p.Record, Message{Kind: Ping, Seq: seq, To: p.Name})
+// relayProbe pings a process on behalf of another.
+func (m *Machine) relayProbe(requester Record, request Message) {
+	target := request.Target
+	if target.Valid() != nil || len(m.relays) >= MaxMembers {
+		return
+	}
+	relay := relayedProbe{seq: m.nextSeq(), requester: requester, requesterSeq: request.Seq,
+		nackDue: m.now + time.Duration(ackTimeoutFraction*float64(m.cfg.Pace)), endDue: m.now + 2*m.cfg.Pace}
+	m.relays = append(m.relays, relay)
+	m.send(Record{Name: target.Name, Addr: target.Addr}, Message{Kind: Ping, Seq: relay.seq, To: target.Name})
+}
+
+// runRelayTimers forgets relayed probes that are over, and sends the Nacks that are due.
+func (m *Machine) runRelayTimers() {
+	m.relays = slices.DeleteFunc(m.relays, func(r relayedProbe) bool { return r.endDue <= m.now })
+	for i := range m.relays {
+		if r := &m.relays[i]; r.nackDue > 0 && r.nackDue <= m.now {
+			r.nackDue = 0
+			m.send(r.requester, Message{Kind: Nack, Seq: r.requesterSeq})
+		}
+	}
 }
 
+// receiveAck takes in the answer to a ping, and passes it on if the ping was relayed.
 func (m *Machine) receiveAck(seq uint64) {
 	if p := m.probe; p != nil && p.seq == seq {
 		p.acked, p.ackDeadline = true, 0
 		return
 	}
-	for i, h := range m.relays {
-		if h.seq == seq {
+	for i, r := range m.relays {
+		if r.seq == seq {
 			m.relays = slices.Delete(m.relays, i, i+1)
-			m.send(h.requester, Message{Kind: Ack, Seq: h.requesterSeq})
+			m.send(r.requester, Message{Kind: Ack, Seq: r.requesterSeq})
 			return
 		}
 	}
--- a/internal/member/query.go
+++ b/internal/member/query.go
@@ -4,20 +4,21 @@
 	"time"
 )
 
-// Known is a process other than this one, as it is told to those above: a return that is held still counts as failed.
+// Known is a process other than this one, in the state reported last: one whose return is damped still counts as failed.
 type Known struct {
 	Record
-	StateSince  time.Duration // of the state
-	LastContact time.Duration // of its last message; -1: none
+	StateSince  time.Duration // when the state last changed
+	LastContact time.Duration // when its last message was received; -1: none was
 }
 
-// Self is the record of this process.
+// Self returns the record of this process.
 func (m *Machine) Self() Record { return m.self }
 
-// HealthScore is the doubt of oneself, 0 to 8.
+// HealthScore is Lifeguard's local health score, 0 (healthy) to maxHealthScore: the higher, the less this process trusts its
+// own observations.
 func (m *Machine) HealthScore() int { return m.healthScore }
 
-// Others are all that is known, by name.
+// Others returns all known processes but this one, by name, including those that failed or left.
 func (m *Machine) Others() []Known {
 	all := make([]Known, 0, len(m.names))
 	for _, name := range m.names {
@@ -29,25 +30,25 @@
 	return all
 }
 
-// PresentRecords are the records of those present, this process among them, by name.
+// PresentRecords returns the records of those present, including this process, by name.
 func (m *Machine) PresentRecords() []Record {
 	all := make([]Record, 0, m.Present())
-	own := false
+	selfAdded := false
 	for _, name := range m.names {
-		if !own && name > m.self.Name {
-			all, own = append(all, m.self), true
+		if !selfAdded && name > m.self.Name {
+			all, selfAdded = append(all, m.self), true
 		}
 		if p := m.peers[name]; p.reported <= Suspect {
 			all = append(all, p.Record)
 		}
 	}
-	if !own {
+	if !selfAdded {
 		all = append(all, m.self)
 	}
 	return all
 }
 
-// Peer is the record of one other process.
+// Peer returns the record of another process, in the state reported last, and whether the process is known.
 func (m *Machine) Peer(name string) (Record, bool) {
 	p, ok := m.peers[name]
 	if !ok {
@@ -58,7 +59,7 @@
 	return r, true
 }
 
-// Present is how many are there, with this one.
+// Present returns how many processes are present, including this one.
 func (m *Machine) Present() int {
 	m.presentDigest()
 	return m.presentCount
--- a/internal/member/suspicion.go
+++ b/internal/member/suspicion.go
@@ -6,12 +6,14 @@
 	"time"
 )
 
+// suspicion is the time that a suspect has to refute. The more members accuse it independently, the shorter that is
+// (Lifeguard's dynamic suspicion timeout).
 type suspicion struct {
 	begunAt, deadline time.Duration
-	accusers          []string
+	accusers          []string // names, the first accuser first
 }
 
-// suspect begins or ends the suspicion that goes with a record.
+// updateSuspicion begins or ends the suspicion that goes with a record.
 func (m *Machine) updateSuspicion(p *peer, r Record) {
 	p.suspicion = nil
 	if r.State != Suspect {
@@ -20,13 +22,13 @@
 	p.suspicion = &suspicion{begunAt: m.now, accusers: []string{r.SuspectedBy}}
 	m.setDeadline(p.suspicion)
 	m.watchTimers(p)
-	// Some look for themselves, however many there are.
+	// A few members probe the suspect themselves at once, however many members there are.
 	if r.SuspectedBy != m.self.Name && m.rng.IntN(max(1, m.Present())) < suspectProbers {
 		m.probeOrder = slices.Insert(m.probeOrder, 0, p.Name)
 	}
 }
 
-// confirm counts another accuser of a suspect.
+// confirmSuspicion counts another accuser of a suspect.
 func (m *Machine) confirmSuspicion(p *peer, r Record) {
 	s := p.suspicion
 	if s == nil || len(s.accusers) > indirectProbers || slices.Contains(s.accusers, r.SuspectedBy) {
@@ -37,27 +39,27 @@
 	m.broadcast(r)
 }
 
-// suspicionBounds are the shortest and the longest time from suspicion to failure among n members.
-func suspicionBounds(n int, pace time.Duration) (least, most time.Duration) {
-	least = time.Duration(suspicionMult * max(1, math.Log10(float64(n))) * float64(pace))
-	return least, suspicionMaxMult * least
+// suspicionBounds returns the shortest and the longest time from suspicion to failure among n members.
+func suspicionBounds(n int, pace time.Duration) (shortest, longest time.Duration) {
+	shortest = time.Duration(suspicionMult * max(1, math.Log10(float64(n))) * float64(pace))
+	return shortest, suspicionMaxMult * shortest
 }
 
-// setDeadline says how long a suspect has to refute: the more accuse it, the shorter.
+// setDeadline computes until when the suspect can refute, from the number of its accusers.
 func (m *Machine) setDeadline(s *suspicion) {
 	n := m.Present()
-	least, most := suspicionBounds(n, m.scaledPace())
-	k := min(indirectProbers, n-2) // how many others could accuse it
-	wait := least
+	shortest, longest := suspicionBounds(n, m.scaledPace())
+	k := min(indirectProbers, n-2) // further accusers that count
+	timeout := shortest
 	if c := len(s.accusers) - 1; c < k {
-		wait = most - time.Duration(float64(most-least)*math.Log(float64(c+1))/math.Log(float64(k+1)))
+		timeout = longest - time.Duration(float64(longest-shortest)*math.Log(float64(c+1))/math.Log(float64(k+1)))
 	}
-	s.deadline = s.begunAt + wait
+	s.deadline = s.begunAt + timeout
 }
 
-// DetectionTime is the longest time from a crash to the word "failed" at a member that gets no confirmation of its
-// suspicion, among n members and with a score of doubt of 0: a round of probes, a pace, the longest suspicion.
+// DetectionTime is the longest time from a crash until a member believes it, among n members, if nobody confirms the
+// member's suspicion and its health score is 0: a round of probes, a pace, the longest suspicion.
 func DetectionTime(n int, pace time.Duration) time.Duration {
-	_, most := suspicionBounds(n, pace)
-	return time.Duration(n)*pace + pace + most
+	_, longest := suspicionBounds(n, pace)
+	return time.Duration(n)*pace + pace + longest
 }
--- a/internal/member/sync.go
+++ b/internal/member/sync.go
@@ -4,39 +4,46 @@
 	"slices"
 )
 
-// syncWithSeed asks for the table at an address to join by: soon and again while nobody is there, seldom afterwards, when
-// only an address at which nobody known stands is of use (two sides that have forgotten each other).
+// syncWithSeed requests the table from an address to join by: soon, and with a growing backoff, while no other process is
+// present; seldom afterwards, and then only from an address at which no known process is: two sides of a partition that
+// have forgotten each other find each other by that.
 func (m *Machine) syncWithSeed() {
-	alone := m.Present() == 1
-	if !alone {
+	if m.Present() > 1 {
 		m.joinBackoff = joinBackoffMin * m.cfg.Pace
 		m.seedSyncDue = m.now + seedSyncInterval*m.cfg.Pace/2 + m.jitter(seedSyncInterval*m.cfg.Pace)
 	} else {
 		m.seedSyncDue = m.now + m.joinBackoff/2 + m.jitter(m.joinBackoff)
 		m.joinBackoff = min(2*m.joinBackoff, joinBackoffMax*m.cfg.Pace)
 	}
-	var open []string
-	for _, a := range m.cfg.Join {
-		if p := m.peers[m.seedNames[a]]; p != nil && p.Present() {
+	unknown := m.unknownSeeds()
+	if len(unknown) == 0 {
+		return
+	}
+	m.joinAddr, m.joinSeq = unknown[m.rng.IntN(len(unknown))], m.nextSeq()
+	m.sendSync(Record{Addr: m.joinAddr}, Sync, m.joinSeq)
+}
+
+// unknownSeeds returns the addresses to join by at which no process is known to be present.
+func (m *Machine) unknownSeeds() (addrs []string) {
+	for _, addr := range m.cfg.Join {
+		if p := m.peers[m.seedNames[addr]]; p != nil && p.Present() {
 			continue
 		}
-		if a != m.cfg.Addr && !slices.ContainsFunc(m.names, func(n string) bool { return m.peers[n].Present() && m.peers[n].Addr == a }) {
-			open = append(open, a)
+		occupied := func(name string) bool { return m.peers[name].Present() && m.peers[name].Addr == addr }
+		if addr != m.cfg.Addr && !slices.ContainsFunc(m.names, occupied) {
+			addrs = append(addrs, addr)
 		}
 	}
-	if len(open) == 0 {
-		return
-	}
-	m.joinAddr, m.joinSeq = open[m.rng.IntN(len(open))], m.nextSeq()
-	m.sendSync(Record{Addr: m.joinAddr}, Sync, m.joinSeq)
+	return addrs
 }
 
-// compare exchanges tables with one that goes on having another one.
+// compareDigest takes in the digest of another member, and exchanges tables with it once digests have differed for a while:
+// gossip alone usually brings them together before.
 func (m *Machine) compareDigest(with Record, digest uint64) {
 	if digest == m.presentDigest() {
 		m.divergedSince = -1
-		if m.equalDigests++; m.equalDigests >= equalDigestsToSettle { // what all know need not be told: after many joins that would take minutes
-			m.broadcasts.dropSettled()
+		if m.equalDigests++; m.equalDigests >= equalDigestsToSettle {
+			m.broadcasts.dropSettled() // after many joins, transmitting them all would take minutes
 		}
 		return
 	}
@@ -50,7 +57,8 @@
 	}
 }
 
-// sum is the digest of those present: the same where the same processes are believed to be there.
+// presentDigest is the digest of those present, this process included: two members have the same one if they believe the
+// same processes to be present, in the same incarnations.
 func (m *Machine) presentDigest() uint64 {
 	if m.digestValid {
 		return m.digest
@@ -65,19 +73,20 @@
 	return m.digest
 }
 
+// sendSync sends all records; in a request to an address to join by, only that of this process.
 func (m *Machine) sendSync(to Record, kind Kind, seq uint64) {
-	all := make([]Record, 0, len(m.names)+1)
-	all = append(all, m.self)
+	records := make([]Record, 0, len(m.names)+1)
+	records = append(records, m.self)
 	if kind == SyncReply || to.Name != "" {
 		for _, name := range m.names {
-			all = append(all, m.peers[name].Record)
+			records = append(records, m.peers[name].Record)
 		}
 	}
-	m.out = append(m.out, Send{To: to, Message: Message{Kind: kind, Seq: seq, Updates: all}, Stream: true})
+	m.out = append(m.out, Send{To: to, Message: Message{Kind: kind, Seq: seq, Updates: records}, Stream: true})
 }
 
-// answerSync tells all that is known, or, to those who ask after many others, whom else to ask: when most of a fleet is started
-// at once, all ask the few addresses to join by.
+// answerSync sends all records. After maxFullSyncs requests in a pace it refers requesters to other members: when most of a
+// fleet is started at once, all of it asks the few addresses to join by.
 func (m *Machine) answerSync(to Record, seq uint64) {
 	if m.now-m.syncWindowStart >= m.cfg.Pace {
 		m.syncWindowStart, m.syncsInWindow = m.now, 0
@@ -86,9 +95,20 @@
 		m.sendSync(to, SyncReply, seq)
 		return
 	}
-	all := []Record{m.self}
+	records := []Record{m.self}
 	for _, p := range m.sample(referrals, (*peer).present) {
-		all = append(all, p.Record)
+		records = append(records, p.Record)
+	}
+	m.out = append(m.out, Send{To: to, Message: Message{Kind: SyncReply, Seq: seq, Updates: records, Partial: true}, Stream: true})
+}
+
+// receiveSyncReply takes in where an answer came from; its records were merged already.
+func (m *Machine) receiveSyncReply(sender string, reply Message) {
+	if reply.Partial { // the next member whose digest differs is asked for its whole table
+		m.divergedSince = m.now - (syncAfter+1)*m.cfg.Pace
+		m.syncDue = m.now + m.jitter(m.cfg.Pace)
+	}
+	if reply.Seq == m.joinSeq && m.joinAddr != "" && len(m.seedNames) < MaxMembers {
+		m.seedNames[m.joinAddr], m.joinAddr = sender, ""
 	}
-	m.out = append(m.out, Send{To: to, Message: Message{Kind: SyncReply, Seq: seq, Updates: all, Partial: true}, Stream: true})
 }
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// When most of a fleet is started at once all ask the few addresses to join by: whoever asks after many others in a pace is
-// named some members in place of all.
+// When most of a fleet is started at once, all of it asks the few addresses to join by: after many requests in a pace, further
+// requesters are referred to some members in place of all.
 func TestWholeTablesAreToldToFewInAPace(t *testing.T) {
 	const pace = time.Second
 	m := New(Config{Name: "a", Addr: "a:1", Boot: 1, Pace: pace, Seed: 1}, 0)
