--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -235,7 +235,7 @@
 		next = min(next, c.back)
 	}
 	if c.mode == Together {
-		next = min(next, c.views.Until())
+		next = min(next, c.views.LeaseEnd())
 	}
 	return next
 }
@@ -333,7 +333,7 @@
 
 // limit does what is due for the limits.
 func (c *Core) limit() {
-	if era, term, confirmed, ok := c.views.Leads(); ok {
+	if era, term, confirmed, ok := c.views.Leadership(); ok {
 		c.grants.Lead(c.now, quota.Term{Era: era, Term: term}, confirmed)
 	} else {
 		c.grants.Follow()
@@ -352,7 +352,7 @@
 	report := c.holder.Report(c.now)
 	gap := min(reportPaces*c.cfg.Member.Pace*time.Duration(max(1, len(v.Members)/reportSmall)), c.cfg.View.Lease/reportMost)
 	c.holder.Wait(c.now + gap*3/4 + time.Duration(c.rng.Int64N(int64(gap/2)+1)))
-	_, leader := c.views.Voting()
+	_, leader := c.views.VoterGroup()
 	if leader == c.cfg.Member.Name {
 		if g, ok := c.grants.Reported(c.now, quota.Who{Name: leader, Boot: c.cfg.Member.Boot}, report); ok {
 			c.granted(g)
@@ -410,7 +410,7 @@
 		if asked, ok := c.pings[msg.Seq]; ok && msg.Kind == member.Ack {
 			delete(c.pings, msg.Seq)
 			if f.Stamp != nil {
-				c.agree(view.Stamped{From: f.From, Stamp: *f.Stamp, Asked: asked})
+				c.agree(view.Stamped{From: f.From, Stamp: *f.Stamp, RequestedAt: asked})
 			}
 		}
 	}
@@ -516,7 +516,7 @@
 	if c.mode == Yielded {
 		return
 	}
-	switch held := c.views.Holds(c.now); {
+	switch held := c.views.HoldsLease(c.now); {
 	case !held && c.mode == Together:
 		c.back = 0
 		c.change(CutOff, "the lease of view "+c.id()+" ran out")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -82,7 +82,7 @@
 	}
 	f.channel = channel
 	boot, seed := member.NewBoot(time.Now().UnixMilli(), random()), random()
-	var kept *view.Kept
+	var kept *view.StoredState
 	if set.State != "" {
 		var why string
 		if f.keeper, kept, why, err = openKeeper(set.State, set.Fleet, set.Name); err != nil {
@@ -97,7 +97,7 @@
 		Member: member.Config{Name: set.Name, Addr: cmp.Or(set.Advertise, channel.Addr()), Boot: boot, Join: set.Join,
 			Pace: set.PaceTime(), Seed: seed},
 		View: view.Config{Name: set.Name, Boot: boot, Voters: set.Voters, Pace: set.PaceTime(), Lease: set.LeaseTime(),
-			Drift: set.DriftPart(), Seed: seed, Kept: kept, Refound: set.Refounds()},
+			Drift: set.DriftPart(), Seed: seed, Stored: kept, Refound: set.Refounds()},
 		Limits: limits, Demand: f.limits.demand, Words: opts.Words}
 	if set.Verdicts && f.avoid != nil {
 		f.seen.on = true
@@ -207,7 +207,7 @@
 			f.ruled.line(f.log, a)
 		case Notice:
 			level := zerolog.InfoLevel
-			if a.Loud {
+			if a.Alert {
 				level = zerolog.ErrorLevel
 			}
 			f.log.WithLevel(level).Msg(a.Text)
@@ -273,7 +273,7 @@
 			}
 			return "none"
 		}
-		group, leader := f.core.Views().Voting()
+		group, leader := f.core.Views().VoterGroup()
 		role := func(name string) string {
 			if name == self.Name && !f.core.Views().VoteCounts() {
 				return "" // one of its name did, before it was started anew, and may still be counted in its place
@@ -287,7 +287,7 @@
 			}
 			return ""
 		}
-		held := max(0, f.core.Views().Until()-now)
+		held := max(0, f.core.Views().LeaseEnd()-now)
 		lines = append(lines, fmt.Sprintf("%s self inc=%d heard=0ms addr=%s view=%s mode=%s held=%dms boot=%x%s", self.Name, self.Incarnation, self.Addr,
 			in(self.Name, self.Boot), strings.ReplaceAll(f.core.Mode().String(), " ", "-"), held.Milliseconds(), self.Boot, role(self.Name)))
 		for _, k := range f.core.Members().Others() {
--- a/internal/fleet/keep.go
+++ b/internal/fleet/keep.go
@@ -30,14 +30,14 @@
 
 // openKeeper opens the state of a member of a fleet and reads it. That of another member is not touched. why is a line on
 // state that is there and cannot be used.
-func openKeeper(folder, fleet, name string) (k *keeper, kept *view.Kept, why string, err error) {
+func openKeeper(folder, fleet, name string) (k *keeper, kept *view.StoredState, why string, err error) {
 	s, found, err := bolt.Open(store.Options{Path: filepath.Join(folder, keptFile), Owner: fleet + "/" + name, Most: mostKept, Wait: openWait}, upgradeKept)
 	if err != nil {
 		return nil, nil, "", err
 	}
-	k, kept = &keeper{s}, &view.Kept{}
+	k, kept = &keeper{s}, &view.StoredState{}
 	kept.Voter, kept.Era = k.number("voter"), k.number("era")
-	kept.Hard, _ = s.Get("hard")
+	kept.HardState, _ = s.Get("hard")
 	kept.Snapshot, _ = s.Get("snapshot")
 	err = s.Each(entryKeys, func(key string, data []byte) error {
 		index, err := strconv.ParseUint(key[len(entryKeys):], 16, 64)
@@ -95,8 +95,8 @@
 		b.Put("voter", binary.BigEndian.AppendUint64(nil, c.Voter))
 		b.Put("era", binary.BigEndian.AppendUint64(nil, c.Era))
 	}
-	if c.Hard != nil {
-		b.Put("hard", c.Hard)
+	if c.HardState != nil {
+		b.Put("hard", c.HardState)
 	}
 	if len(c.Entries) > 0 {
 		b.DeleteRange(entryKey(c.Entries[0].Index), entryEnd)
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -26,8 +26,8 @@
 	cfg.Name, cfg.Boot, cfg.Pace, cfg.Seed = c.cfg.Member.Name, c.cfg.Member.Boot, c.cfg.Member.Pace, c.cfg.Member.Seed
 	cfg.Bound = view.Bound(c.cfg.View.Lease, c.cfg.View.Drift)
 	cfg.View, cfg.Decided = c.views.View, c.views.Decided
-	cfg.Holds = func() bool { return c.views.Holds(c.now) }
-	cfg.Leader = func() string { _, leader := c.views.Voting(); return leader }
+	cfg.Holds = func() bool { return c.views.HoldsLease(c.now) }
+	cfg.Leader = func() string { _, leader := c.views.VoterGroup(); return leader }
 	cfg.Members = c.readers
 	c.skew = skew.New(cfg, now)
 }
@@ -64,7 +64,7 @@
 		case skew.Spread:
 			c.spread(peer.Frame{Rules: &a.Message})
 		case skew.Propose:
-			c.agree(view.Rule{Rules: a.Rules})
+			c.agree(view.ProposeRules{Rules: a.Rules})
 		case skew.Force:
 			c.out = append(c.out, RulesForced{a.Compiled})
 		case skew.Line:
--- a/internal/fleetsim/comeback_test.go
+++ b/internal/fleetsim/comeback_test.go
@@ -21,7 +21,7 @@
 	t.Helper()
 	w = New(o)
 	w.Heard = func(_ *Node, _ time.Duration, a fleet.Action) {
-		if n, ok := a.(fleet.Notice); ok && n.Loud {
+		if n, ok := a.(fleet.Notice); ok && n.Alert {
 			notices = append(notices, n.Text)
 		}
 	}
@@ -203,7 +203,7 @@
 		k := w.Watch()
 		w.StartAll(time.Second)
 		w.Run(60*time.Second, w.Agreed)
-		votes := func(i int) func() bool { return func() bool { return w.nodes[i].Core.Views().Votes() } }
+		votes := func(i int) func() bool { return func() bool { return w.nodes[i].Core.Views().IsVoter() } }
 		for i := range 2 { // one after the other, for good as it seems
 			w.nodes[i].Kill()
 			w.nodes[i].LoseState()
--- a/internal/fleetsim/digest_test.go
+++ b/internal/fleetsim/digest_test.go
@@ -159,7 +159,7 @@
 		begin("member").Bytes(encoded(t, action.Record)).Number(uint64(action.Was)).Flag(action.New)
 	case fleet.Save:
 		c := action.Change
-		entry := begin("save").Flag(c.Forget).Number(c.Voter).Number(c.Era).Bytes(c.Hard).Bytes(c.Snapshot).Number(uint64(len(c.Entries)))
+		entry := begin("save").Flag(c.Forget).Number(c.Voter).Number(c.Era).Bytes(c.HardState).Bytes(c.Snapshot).Number(uint64(len(c.Entries)))
 		for _, one := range c.Entries {
 			entry.Number(one.Index).Bytes(one.Data)
 		}
@@ -168,7 +168,7 @@
 	case fleet.Adopted:
 		begin("adopted").Bytes(encoded(t, action.View))
 	case fleet.Notice:
-		begin("notice").Flag(action.Loud)
+		begin("notice").Flag(action.Alert)
 	case fleet.WordsChanged:
 		begin("words").Bytes(encoded(t, action.All))
 	case fleet.DrainsChanged:
@@ -206,7 +206,7 @@
 			continue
 		}
 		held, ok := n.Core.Views().View()
-		group, leader := n.Core.Views().Voting()
+		group, leader := n.Core.Views().VoterGroup()
 		entry.Number(uint64(n.Core.Mode())).Flag(ok).Bytes(encoded(t, held)).Bytes(encoded(t, group)).Text(leader)
 		entry.Number(uint64(n.Core.Members().Present())).Number(uint64(n.Core.Members().HealthScore()))
 		for _, other := range n.Core.Members().Others() {
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -73,7 +73,7 @@
 	world      *World
 	since      time.Duration // of this start, on the world's clock
 	rate       float64
-	kept       *view.Kept
+	kept       *view.StoredState
 	Edition    rules.Edition // that its last process went by
 	setBack    time.Duration
 	start      uint64 // number of this start
@@ -221,7 +221,7 @@
 	}
 	boot, seed := member.NewBoot(w.now.Milliseconds()+1, n.boots), w.opts.Seed*7919+uint64(n.Index)
 	if w.opts.LoseLog && n.kept != nil {
-		n.kept = &view.Kept{Voter: n.kept.Voter, Era: n.kept.Era}
+		n.kept = &view.StoredState{Voter: n.kept.Voter, Era: n.kept.Era}
 	}
 	var voters []string
 	for i := range min(w.opts.Voters, len(w.nodes)) {
@@ -235,7 +235,7 @@
 		Limits: w.opts.Limits, Mutate: w.opts.MutateQuota, Demand: demand,
 		Member: member.Config{Name: n.Name, Addr: n.Addr, Boot: boot, Join: join, Pace: w.opts.Pace, Seed: seed, Mutate: w.opts.Mutate},
 		View: view.Config{Name: n.Name, Boot: boot, Voters: voters, Pace: w.opts.Pace, Lease: w.opts.Lease, Drift: 2.1 * w.opts.Drift, Seed: seed,
-			Kept: n.kept.Clone(), Refound: w.opts.Refound, Mutate: w.opts.MutateView}}
+			Stored: n.kept.Clone(), Refound: w.opts.Refound, Mutate: w.opts.MutateView}}
 	if w.opts.Station != nil {
 		w.opts.Station.join(n, &cfg)
 	}
@@ -306,9 +306,9 @@
 		case fleet.Save:
 			if w.opts.Keep {
 				if n.kept == nil {
-					n.kept = &view.Kept{}
+					n.kept = &view.StoredState{}
 				}
-				if err := n.kept.Merge(a.Change); err != nil {
+				if err := n.kept.Apply(a.Change); err != nil {
 					panic(err)
 				}
 			}
--- a/internal/fleetsim/rules_test.go
+++ b/internal/fleetsim/rules_test.go
@@ -65,7 +65,7 @@
 	w.Stepped = func(n *Node, at time.Duration) {
 		now := map[uint64]bool{}
 		for _, m := range w.nodes {
-			if m.Core == nil || m.stopped || m.Core.Skew() == nil || m.Core.Skew().Edition() == nil || !m.Core.Views().Holds(m.clock(at)) || m.Core.Skew().Behind() != "" {
+			if m.Core == nil || m.stopped || m.Core.Skew() == nil || m.Core.Skew().Edition() == nil || !m.Core.Views().HoldsLease(m.clock(at)) || m.Core.Skew().Behind() != "" {
 				continue
 			}
 			e := m.Core.Skew().Edition().Edition.Number
--- a/internal/fleetsim/storm.go
+++ b/internal/fleetsim/storm.go
@@ -33,7 +33,7 @@
 		switch rng.IntN(7) {
 		case 0, 1:
 			// Without state, a voter's place must be filled before another one goes.
-			if n.Core == nil || (voter || n.Core.Views().Votes()) && !w.opts.Keep && !w.allVote() {
+			if n.Core == nil || (voter || n.Core.Views().IsVoter()) && !w.opts.Keep && !w.allVote() {
 				continue
 			}
 			n.Kill()
@@ -88,11 +88,11 @@
 // allVote tells whether all named voters run and vote.
 func (w *World) allVote() bool {
 	for _, n := range w.nodes[:w.opts.Voters] {
-		if n.Core == nil || n.stopped || !n.Core.Views().Votes() {
+		if n.Core == nil || n.stopped || !n.Core.Views().IsVoter() {
 			return false
 		}
-		group, leader := n.Core.Views().Voting()
-		first, _ := w.nodes[0].Core.Views().Voting()
+		group, leader := n.Core.Views().VoterGroup()
+		first, _ := w.nodes[0].Core.Views().VoterGroup()
 		if len(group.Voters) != w.opts.Voters || leader == "" || !slices.Equal(group.Voters, first.Voters) {
 			return false
 		}
@@ -119,7 +119,7 @@
 			continue
 		}
 		v, ok := n.Core.Views().View()
-		if !ok || n.stopped || len(v.Members) != up || v.ID != want.ID || !n.Core.Views().Holds(n.clock(w.now)) {
+		if !ok || n.stopped || len(v.Members) != up || v.ID != want.ID || !n.Core.Views().HoldsLease(n.clock(w.now)) {
 			return false
 		}
 	}
--- a/internal/fleetsim/view_test.go
+++ b/internal/fleetsim/view_test.go
@@ -20,9 +20,9 @@
 			continue
 		}
 		v, _ := n.Core.Views().View()
-		group, leader := n.Core.Views().Voting()
+		group, leader := n.Core.Views().VoterGroup()
 		t.Logf("%s sees %d, view %v of %d, until %v of %v, mode %v, votes %v, group %v, leader %q", n.Name, n.Core.Members().Present(), v.ID, len(v.Members),
-			n.Core.Views().Until(), n.clock(w.Now()), n.Core.Mode(), n.Core.Views().Votes(), group, leader)
+			n.Core.Views().LeaseEnd(), n.clock(w.Now()), n.Core.Mode(), n.Core.Views().IsVoter(), group, leader)
 	}
 }
 
@@ -177,14 +177,14 @@
 	agree(t, w, 30*time.Second)
 	late := w.Node(4)
 	before, _ := late.Core.Views().View()
-	if !late.Core.Views().Holds(late.clock(w.Now())) {
+	if !late.Core.Views().HoldsLease(late.clock(w.Now())) {
 		t.Fatal("it holds nothing")
 	}
 	late.Stop(60 * time.Second) // it has looked, and not acted so far
 	if !w.Run(w.Now()+40*time.Second, func() bool {
 		v, _ := w.Node(0).Core.Views().View()
 		_, in := v.Find(late.Name)
-		return !in && w.Node(0).Core.Views().Holds(w.Node(0).clock(w.Now()))
+		return !in && w.Node(0).Core.Views().HoldsLease(w.Node(0).clock(w.Now()))
 	}) {
 		t.Fatal("no view without it")
 	}
@@ -194,7 +194,7 @@
 		t.Error("an act by the old view passes after one by the new view")
 	}
 	w.Run(w.Now()+60*time.Second, func() bool { return !late.stopped })
-	if late.Core.Views().Holds(late.clock(w.Now())) {
+	if late.Core.Views().HoldsLease(late.clock(w.Now())) {
 		t.Error("it holds the old view when it goes on")
 	}
 	agree(t, w, 30*time.Second)
@@ -220,7 +220,7 @@
 			w.Split(c.side)
 			w.Run(w.Now()+15*time.Second, nil) // past every lease: from here on nothing may change
 			for _, n := range w.Nodes() {
-				holds := n.Core.Views().Holds(n.clock(w.Now()))
+				holds := n.Core.Views().HoldsLease(n.clock(w.Now()))
 				if want := slices.Contains(c.together, n.Index); holds != want {
 					t.Errorf("%s holds a view: %v", n.Name, holds)
 				}
--- a/internal/fleetsim/watch.go
+++ b/internal/fleetsim/watch.go
@@ -94,7 +94,7 @@
 }
 
 func (k *Watch) look(n *Node, at time.Duration) {
-	if n.Core == nil || n.stopped || !n.Core.Views().Holds(n.clock(at)) {
+	if n.Core == nil || n.stopped || !n.Core.Views().HoldsLease(n.clock(at)) {
 		return
 	}
 	k.Held++
--- a/internal/view/check_test.go
+++ b/internal/view/check_test.go
@@ -22,7 +22,7 @@
 // there is given: all, or all but the third.
 type three struct {
 	machines [3]*Machine
-	kept     [3]*Kept
+	kept     [3]*StoredState
 	boots    [3]uint64
 	loseLog  bool // a voter that is started anew keeps its identity and nothing else: a fault put in on purpose
 	mutate   Mutation
@@ -35,13 +35,13 @@
 	broken   error
 }
 
-func (w *three) start(i int, kept *Kept) {
+func (w *three) start(i int, kept *StoredState) {
 	w.boots[i] += 10
 	here := func(name string) (member.Record, bool) {
 		at := strings.Index("abc", name)
 		return member.Record{Name: name, Addr: name, Boot: w.boots[at], Incarnation: 1}, !w.without || at < 2
 	}
-	m, err := New(Config{Name: names[i], Boot: w.boots[i], Voters: names[:], Pace: pace, Lease: 20 * pace, Drift: 0.01, Seed: uint64(i), Kept: kept.Clone(), Mutate: w.mutate,
+	m, err := New(Config{Name: names[i], Boot: w.boots[i], Voters: names[:], Pace: pace, Lease: 20 * pace, Drift: 0.01, Seed: uint64(i), Stored: kept.Clone(), Mutate: w.mutate,
 		Member: here, Members: func() (all []member.Record) {
 			for _, name := range names {
 				if r, ok := here(name); ok {
@@ -62,7 +62,7 @@
 	w := &three{mutate: mutate, links: map[[2]int][]Message{}, sums: map[ID]uint64{}, decided: map[ID]time.Duration{}}
 	for i := range names {
 		w.boots[i] = uint64(i + 1)
-		w.kept[i] = &Kept{}
+		w.kept[i] = &StoredState{}
 		w.start(i, nil)
 	}
 	for range 2000 {
@@ -84,7 +84,7 @@
 				}
 			}
 		}
-		if w.all(func(m *Machine) bool { return m.Holds(w.now) && m.pending == nil }) {
+		if w.all(func(m *Machine) bool { return m.HoldsLease(w.now) && m.pending == nil }) {
 			return w
 		}
 	}
@@ -121,7 +121,7 @@
 				}
 			}
 		case Save:
-			if err := w.kept[i].Merge(a.Change); err != nil {
+			if err := w.kept[i].Apply(a.Change); err != nil {
 				w.broken = err
 			}
 		case Decided:
@@ -183,9 +183,9 @@
 		w.start(i, w.kept[i])
 		return
 	}
-	lost := &Kept{}
+	lost := &StoredState{}
 	if w.loseLog {
-		lost = &Kept{Voter: w.kept[i].Voter, Era: w.kept[i].Era}
+		lost = &StoredState{Voter: w.kept[i].Voter, Era: w.kept[i].Era}
 	}
 	w.kept[i] = lost
 	w.start(i, lost)
@@ -207,7 +207,7 @@
 	for i, m := range w.machines {
 		v, _ := m.View()
 		next, ok := w.decided[ID{v.ID.Era, v.ID.Number + 1}]
-		if m.Holds(w.now) && ok && w.now-next > Bound(20*pace, 0) {
+		if m.HoldsLease(w.now) && ok && w.now-next > Bound(20*pace, 0) {
 			return fmt.Errorf("%s holds %v, %v after the next one was decided", names[i], v.ID, w.now-next)
 		}
 	}
@@ -217,12 +217,12 @@
 func (w *three) Hash() uint64 {
 	var b strings.Builder
 	for i, m := range w.machines {
-		fmt.Fprintln(&b, m.view.ID, m.view.Sum(), m.pending != nil, m.fresh, m.confirmed-w.now, m.leader, m.seq, len(m.asked), m.askDue-w.now, m.blank, m.founds.due-w.now)
+		fmt.Fprintln(&b, m.view.ID, m.view.Sum(), m.pending != nil, m.isConfirmed, m.confirmedAt-w.now, m.leader, m.seq, len(m.queries), m.queryDue-w.now, m.identity, m.founding.due-w.now)
 		if v := m.voter; v != nil {
 			s := v.node.BasicStatus()
 			last, _ := v.store.LastIndex()
-			fmt.Fprintln(&b, v.id, s.RaftState, s.Lead, s.GetTerm(), s.GetVote(), s.GetCommit(), last, v.applied, v.decided.View.ID, v.tickDue-w.now, v.standAt-w.now,
-				v.confirmDue-w.now, v.differs-w.now, v.proposed-w.now, len(v.reads), len(v.waiting), len(v.candidates))
+			fmt.Fprintln(&b, v.id, s.RaftState, s.Lead, s.GetTerm(), s.GetVote(), s.GetCommit(), last, v.appliedIndex, v.decided.View.ID, v.tickDue-w.now, v.campaignDue-w.now,
+				v.readDue-w.now, v.differsSince-w.now, v.proposedAt-w.now, len(v.pendingReads), len(v.readStates), len(v.candidates))
 		}
 		for j := range names {
 			for _, msg := range w.links[[2]int{i, j}] {
@@ -271,18 +271,18 @@
 // What was kept and is not whole is no state to vote with.
 func TestKeptStateThatIsNotWhole(t *testing.T) {
 	w := newThree(NoMutation)
-	for name, spoil := range map[string]func(k *Kept){
-		"entries that were decided are missing": func(k *Kept) { k.Entries, k.Snapshot = nil, nil },
-		"an entry out of its place":             func(k *Kept) { k.Entries = append(k.Entries, Entry{Index: 99, Data: k.Entries[0].Data}) },
-		"no snapshot to be read":                func(k *Kept) { k.Snapshot = []byte{1, 2, 3} },
+	for name, spoil := range map[string]func(k *StoredState){
+		"entries that were decided are missing": func(k *StoredState) { k.Entries, k.Snapshot = nil, nil },
+		"an entry out of its place":             func(k *StoredState) { k.Entries = append(k.Entries, Entry{Index: 99, Data: k.Entries[0].Data}) },
+		"no snapshot to be read":                func(k *StoredState) { k.Snapshot = []byte{1, 2, 3} },
 	} {
 		k := w.kept[0].Clone()
 		spoil(k)
-		if _, err := New(Config{Name: "a", Boot: 1, Voters: names[:], Pace: pace, Lease: 20 * pace, Kept: k}, 0); err == nil {
+		if _, err := New(Config{Name: "a", Boot: 1, Voters: names[:], Pace: pace, Lease: 20 * pace, Stored: k}, 0); err == nil {
 			t.Error(name, ": taken")
 		}
 	}
-	if _, err := New(Config{Name: "a", Boot: 1, Voters: names[:], Pace: pace, Lease: 20 * pace, Kept: w.kept[0].Clone()}, 0); err != nil {
+	if _, err := New(Config{Name: "a", Boot: 1, Voters: names[:], Pace: pace, Lease: 20 * pace, Stored: w.kept[0].Clone()}, 0); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/view/kept.go
+++ b/internal/view/kept.go
@@ -12,12 +12,12 @@
 
 // Change is what is to be kept on top of what is kept already. Fields that are empty change nothing.
 type Change struct {
-	Forget   bool   // all that was kept, first
-	Voter    uint64 // identity
-	Era      uint64
-	Hard     []byte // the engine's own state
-	Snapshot []byte // entries up to its index need not be kept
-	Entries  []Entry
+	Forget    bool   // all that was kept, first
+	Voter     uint64 // identity
+	Era       uint64
+	HardState []byte // the engine's own state
+	Snapshot  []byte // entries up to its index need not be kept
+	Entries   []Entry
 }
 
 // Entry is one of the engine's log. It replaces those kept with the same and with higher numbers.
@@ -26,25 +26,25 @@
 	Data  []byte `cbor:"2,keyasint"`
 }
 
-// Kept is the state of a voter, as it is read back.
-type Kept struct {
-	Voter    uint64  `cbor:"1,keyasint"`
-	Era      uint64  `cbor:"2,keyasint"`
-	Hard     []byte  `cbor:"3,keyasint"`
-	Snapshot []byte  `cbor:"4,keyasint"`
-	Entries  []Entry `cbor:"5,keyasint"` // by number, without a gap
+// StoredState is the state of a voter, as it is read back.
+type StoredState struct {
+	Voter     uint64  `cbor:"1,keyasint"`
+	Era       uint64  `cbor:"2,keyasint"`
+	HardState []byte  `cbor:"3,keyasint"`
+	Snapshot  []byte  `cbor:"4,keyasint"`
+	Entries   []Entry `cbor:"5,keyasint"` // by number, without a gap
 }
 
-// Merge keeps a change.
-func (k *Kept) Merge(c Change) error {
+// Apply keeps a change.
+func (k *StoredState) Apply(c Change) error {
 	if c.Forget {
-		*k = Kept{}
+		*k = StoredState{}
 	}
 	if c.Voter != 0 {
 		k.Voter, k.Era = c.Voter, c.Era
 	}
-	if c.Hard != nil {
-		k.Hard = c.Hard
+	if c.HardState != nil {
+		k.HardState = c.HardState
 	}
 	if len(c.Entries) > 0 {
 		for len(k.Entries) > 0 && k.Entries[len(k.Entries)-1].Index >= c.Entries[0].Index {
@@ -73,7 +73,7 @@
 }
 
 // Clone is a copy that later changes do not touch.
-func (k *Kept) Clone() *Kept {
+func (k *StoredState) Clone() *StoredState {
 	if k == nil {
 		return nil
 	}
@@ -83,12 +83,12 @@
 }
 
 // storage is the engine's own store, filled with what was kept.
-func (k *Kept) storage() (*raft.MemoryStorage, decided, error) {
-	var d decided
+func (k *StoredState) engineStorage() (*raft.MemoryStorage, decidedState, error) {
+	var d decidedState
 	var s raftpb.Snapshot
 	var hard raftpb.HardState
 	store := raft.NewMemoryStorage()
-	if err := errors.Join(proto.Unmarshal(k.Snapshot, &s), proto.Unmarshal(k.Hard, &hard)); err != nil {
+	if err := errors.Join(proto.Unmarshal(k.Snapshot, &s), proto.Unmarshal(k.HardState, &hard)); err != nil {
 		return nil, d, fmt.Errorf("view: kept state: %w", err)
 	}
 	if s.GetMetadata().GetIndex() > 0 {
--- a/internal/view/quiet_test.go
+++ b/internal/view/quiet_test.go
@@ -10,15 +10,15 @@
 // A group that is founded confirms nothing before the leases of one before it are over, also where a store is there and
 // nothing is in it: it may have been lost.
 func TestFoundedGroupWaitsForLeases(t *testing.T) {
-	for name, kept := range map[string]*Kept{"no store": nil, "a store that is blank": {}} {
+	for name, kept := range map[string]*StoredState{"no store": nil, "a store that is blank": {}} {
 		self := member.Record{Name: "a", Addr: "a", Boot: 9, Incarnation: 1}
-		m, err := New(Config{Name: "a", Boot: 9, Voters: []string{"a"}, Pace: pace, Lease: 20 * pace, Drift: 0.01, Seed: 1, Kept: kept,
+		m, err := New(Config{Name: "a", Boot: 9, Voters: []string{"a"}, Pace: pace, Lease: 20 * pace, Drift: 0.01, Seed: 1, Stored: kept,
 			Members: func() []member.Record { return []member.Record{self} }, Member: func(string) (member.Record, bool) { return self, true }}, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Duration(0)
-		for !m.Holds(now) && now < time.Hour {
+		for !m.HoldsLease(now) && now < time.Hour {
 			now = max(now+1, m.Next())
 			m.Step(now, Tick{})
 		}
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -53,11 +53,11 @@
 	Digest string `cbor:"2,keyasint,omitempty"` // of the content, in hexadecimal digits
 }
 
-// mostDigest bounds a digest, in bytes.
-const mostDigest = 64
+// maxDigestBytes bounds a digest, in bytes.
+const maxDigestBytes = 64
 
 // whole is what the shares of a view sum to at the most.
-const whole = 1_000_000
+const wholeShare = 1_000_000
 
 // Find gives the member of a name.
 func (v *View) Find(name string) (Member, bool) {
@@ -115,30 +115,30 @@
 
 // The kinds.
 const (
-	Ask      Kind = iota + 1 // what do you know?
-	Told                     // an answer to Ask, Found and Begin
-	Found                    // do you promise to join the group of this era?
-	Promise                  // yes, under this identity
-	Begin                    // the group is founded
-	Invite                   // take the place of a voter that stays away: draw an identity and ask
-	Raft                     // of the engine
-	Survey                   // what do you know of the voters? Asked before a group is founded in the place of a lost one
-	Surveyed                 // an answer to it
+	Query        Kind = iota + 1 // what do you know?
+	QueryReply                   // an answer to Ask, Found and Begin
+	FoundRequest                 // do you promise to join the group of this era?
+	FoundPromise                 // yes, under this identity
+	FoundCommit                  // the group is founded
+	Invite                       // take the place of a voter that stays away: draw an identity and ask
+	Raft                         // of the engine
+	Survey                       // what do you know of the voters? Asked before a group is founded in the place of a lost one
+	SurveyReply                  // an answer to it
 )
 
 // Message passes between members.
 type Message struct {
-	Kind   Kind   `cbor:"1,keyasint"`
-	Seq    uint64 `cbor:"2,keyasint,omitempty"` // of the asker
-	Have   ID     `cbor:"3,keyasint,omitzero"`  // Ask: the view it has
-	Voter  uint64 `cbor:"4,keyasint,omitempty"` // identity of a voter that belongs to no group; Raft: of the sender
-	To     uint64 `cbor:"5,keyasint,omitempty"` // Raft: identity of the receiver
-	Group  Group  `cbor:"6,keyasint,omitzero"`
-	View   *View  `cbor:"7,keyasint,omitempty"` // Told: if it is not what the asker has
-	Stamp  Stamp  `cbor:"8,keyasint,omitzero"`  // Told
-	Leader string `cbor:"9,keyasint,omitempty"` // Told: who leads the voters, as far as is known
-	Raft   []byte `cbor:"10,keyasint,omitempty"`
-	Safe   bool   `cbor:"11,keyasint,omitempty"` // Found, Promise: after a survey
+	Kind        Kind   `cbor:"1,keyasint"`
+	Seq         uint64 `cbor:"2,keyasint,omitempty"` // of the asker
+	Have        ID     `cbor:"3,keyasint,omitzero"`  // Ask: the view it has
+	Voter       uint64 `cbor:"4,keyasint,omitempty"` // identity of a voter that belongs to no group; Raft: of the sender
+	To          uint64 `cbor:"5,keyasint,omitempty"` // Raft: identity of the receiver
+	Group       Group  `cbor:"6,keyasint,omitzero"`
+	View        *View  `cbor:"7,keyasint,omitempty"` // Told: if it is not what the asker has
+	Stamp       Stamp  `cbor:"8,keyasint,omitzero"`  // Told
+	Leader      string `cbor:"9,keyasint,omitempty"` // Told: who leads the voters, as far as is known
+	Raft        []byte `cbor:"10,keyasint,omitempty"`
+	AfterSurvey bool   `cbor:"11,keyasint,omitempty"` // Found, Promise: after a survey
 }
 
 // Event is what happens to the machine.
@@ -155,23 +155,23 @@
 	}
 	// Stamped is a stamp that came with the answer to a question that was asked at Asked.
 	Stamped struct {
-		From  member.Record
-		Stamp Stamp
-		Asked time.Duration
+		From        member.Record
+		Stamp       Stamp
+		RequestedAt time.Duration
 	}
 	// Recover is the operator's word that the majority of the voters is lost for good: this process founds a group of its
 	// own with what it knows.
 	Recover struct{}
-	// Rule is that this process, where it leads, is to propose an edition of rules with the next view. It says so again
+	// ProposeRules is that this process, where it leads, is to propose an edition of rules with the next view. It says so again
 	// until the view has them.
-	Rule struct{ Rules Rules }
+	ProposeRules struct{ Rules Rules }
 )
 
-func (Rule) event()     {}
-func (Tick) event()     {}
-func (Received) event() {}
-func (Stamped) event()  {}
-func (Recover) event()  {}
+func (ProposeRules) event() {}
+func (Tick) event()         {}
+func (Received) event()     {}
+func (Stamped) event()      {}
+func (Recover) event()      {}
 
 // Action is what the machine wants done.
 type Action interface{ action() }
@@ -191,8 +191,8 @@
 	Adopted struct{ View View }
 	// Notice is a line for the operator. Loud: something has to be done about it.
 	Notice struct {
-		Text string
-		Loud bool
+		Text  string
+		Alert bool
 	}
 )
 
@@ -211,7 +211,7 @@
 	Lease  time.Duration
 	Drift  float64 // by how much clocks may run faster or slower than one another
 	Seed   uint64
-	Kept   *Kept // what was kept of an earlier process of this voter; nil: nothing
+	Stored *StoredState // what was kept of an earlier process of this voter; nil: nothing
 	// Members are those present by this process's opinion, itself among them, by name.
 	Members func() []member.Record
 	// Member is the opinion on one other.
@@ -234,20 +234,20 @@
 
 // Times in paces, unless said otherwise.
 const (
-	tickPart      = 1  // of the engine
-	confirmEvery  = 2  // the leader asks the majority whether it still leads
-	heartbeat     = 4  // ticks
-	election      = 8  // ticks without the leader until the first may stand; up to twice as many
-	askEvery      = 2  // of a voter without a group, and of a member whose view is old
-	settleFor     = 1  // an opinion has to differ for so long before a view is proposed
-	proposeAgain  = 8  // until a proposal that came to nothing is made again
-	away          = 60 // until a voter that stays away is replaced
-	leaderless    = 40 // until the lack of a leader is told loudly
-	foundAgain    = 8  // between two tries to found
-	mostLog       = 64 // entries kept behind the last snapshot
-	mostMessage   = 128 << 10
-	mostInflight  = 64
-	mostProposals = 1 << 20 // bytes
+	tickInterval     = 1  // of the engine
+	readInterval     = 2  // the leader asks the majority whether it still leads
+	heartbeatTicks   = 4  // ticks
+	electionTicks    = 8  // ticks without the leader until the first may stand; up to twice as many
+	queryInterval    = 2  // of a voter without a group, and of a member whose view is old
+	proposalDelay    = 1  // an opinion has to differ for so long before a view is proposed
+	proposalTimeout  = 8  // until a proposal that came to nothing is made again
+	absenceTimeout   = 60 // until a voter that stays away is replaced
+	leaderlessAlert  = 40 // until the lack of a leader is told loudly
+	foundingInterval = 8  // between two tries to found
+	maxLogEntries    = 64 // entries kept behind the last snapshot
+	maxRaftMessage   = 128 << 10
+	maxInflight      = 64
+	maxUncommitted   = 1 << 20 // bytes
 )
 
 // Bound is the longest time for which a member can hold a view after the next one was decided.
--- a/internal/view/votecounts_test.go
+++ b/internal/view/votecounts_test.go
@@ -20,7 +20,7 @@
 		"nothing is known so far": {nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := &Machine{voter: &voter{id: own, conf: c.conf}}
+			m := &Machine{voter: &voter{id: own, confState: c.conf}}
 			if counts := m.VoteCounts(); counts != c.counts {
 				t.Errorf("counts: %v", counts)
 			}
