--- /dev/null
+++ b/internal/view/founding.go
@@ -0,0 +1,162 @@
+package view
+
+import (
+	"slices"
+	"time"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+)
+
+// founding is a try to found a group, by the first of the named voters.
+type founding struct {
+	era         uint64 // of the try; 0: none
+	attempts    uint64
+	promises    map[string]uint64
+	due         time.Duration
+	promisedEra uint64 // era of the last try that this process has promised to join
+	afterSurvey bool   // after a survey
+	lastView    View   // that is known, then: its rules go on
+}
+
+// founder tells whether it is this process's part to found a group: the first, by name, of those the file names.
+func (m *Machine) isFounder() bool {
+	return m.awaitsGroup() && slices.Min(m.cfg.Voters) == m.cfg.Name && m.group.Era == 0
+}
+
+// proposeGroup asks all named voters for their promise. All must be there and blank: one that is not belongs to a group,
+// and tells which.
+func (m *Machine) proposeGroup() {
+	m.founding.due = m.now + foundingInterval*m.cfg.Pace/2 + m.jitter(foundingInterval*m.cfg.Pace)
+	for _, name := range m.cfg.Voters {
+		if r, ok := m.cfg.Member(name); name != m.cfg.Name && (!ok || !r.Present()) {
+			return
+		}
+	}
+	m.founding.attempts++
+	m.founding.afterSurvey, m.founding.lastView = false, View{}
+	m.founding.era = max(m.cfg.Boot+m.founding.attempts, m.view.ID.Era+1)
+	m.founding.promisedEra = m.founding.era
+	m.founding.promises = map[string]uint64{m.cfg.Name: m.identity}
+	for _, name := range m.cfg.Voters {
+		m.send(name, Message{Kind: FoundRequest, Seq: m.founding.era})
+	}
+	m.foundIfPromised()
+}
+
+func (m *Machine) answerFoundRequest(to string, msg Message) {
+	if !m.awaitsGroup() || m.group.Era != 0 || !slices.Contains(m.cfg.Voters, to) {
+		group, leader := m.VoterGroup()
+		m.send(to, Message{Kind: FoundPromise, Seq: msg.Seq, Group: group, Leader: leader}) // no
+		return
+	}
+	m.founding.promisedEra = msg.Seq
+	m.send(to, Message{Kind: FoundPromise, Seq: msg.Seq, Voter: m.identity, Have: m.view.ID})
+}
+
+func (m *Machine) receivePromise(from string, msg Message) {
+	if m.founding.era == 0 || msg.Seq != m.founding.era || !m.isFounder() && (!m.founding.afterSurvey || !m.awaitsGroup()) || !slices.Contains(m.cfg.Voters, from) || msg.AfterSurvey != m.founding.afterSurvey {
+		return
+	}
+	if msg.Voter == 0 { // it belongs to a group: this process has to join that one
+		m.founding.era = 0
+		if msg.Group.Era > 0 && m.group.Era == 0 {
+			m.group, m.leader = msg.Group, msg.Leader
+		}
+		return
+	}
+	if msg.Have.Era >= m.founding.era { // it knows a later view: the new era must be later still
+		m.founding.attempts += msg.Have.Era - m.founding.era + 1
+		m.founding.era = 0
+		return
+	}
+	m.founding.promises[from] = msg.Voter
+	m.foundIfPromised()
+}
+
+// founded begins the group once all have promised.
+func (m *Machine) foundIfPromised() {
+	if len(m.founding.promises) < len(m.cfg.Voters) {
+		return
+	}
+	g := Group{Era: m.founding.era}
+	for _, name := range slices.Sorted(slices.Values(m.cfg.Voters)) {
+		g.Voters = append(g.Voters, Voter{name, m.founding.promises[name]})
+	}
+	m.startGroup(g, View{ID: ID{Era: g.Era}, Rules: m.founding.lastView.Rules})
+	for _, v := range g.Voters {
+		m.send(v.Name, Message{Kind: FoundCommit, Group: g})
+	}
+	m.notice(false, "group of voters founded, era %x", g.Era)
+}
+
+// found begins a group with this process as its first. The others get the state from it, as any later voter does.
+func (m *Machine) startGroup(g Group, v View) {
+	var ids []uint64
+	for _, voter := range g.Voters {
+		ids = append(ids, voter.ID)
+	}
+	d := decidedState{Group: g, View: v}
+	one := uint64(1)
+	snapshot := &raftpb.Snapshot{Data: encode(d), Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: &raftpb.ConfState{Voters: ids}}}
+	hard := &raftpb.HardState{Term: &one, Commit: &one}
+	change := Change{Forget: true, Voter: m.identity, Era: g.Era, HardState: marshal(hard), Snapshot: marshal(snapshot)}
+	m.out = append(m.out, Save{change})
+	m.guard(func() {
+		kept := &StoredState{}
+		if err := kept.Apply(change); err != nil {
+			panic(err)
+		}
+		store, d, err := kept.engineStorage()
+		if err == nil {
+			err = m.startEngine(store, d, g.Era)
+		}
+		if err != nil {
+			panic(err)
+		}
+		_ = m.voter.node.Campaign() // one that may not stand now stands when its time comes
+		m.processReady()
+	})
+}
+
+// recover founds a group of this process alone, with what it knows. Others join it as voters that are missing.
+func (m *Machine) recoverGroup() {
+	era := max(m.cfg.Boot+m.founding.attempts+1, m.view.ID.Era+1, m.group.Era+1)
+	m.founding.attempts++
+	v := m.view
+	if m.voter != nil {
+		era = max(era, m.voter.decided.Group.Era+1)
+		if m.voter.decided.View.ID.Compare(v.ID) > 0 {
+			v = m.voter.decided.View
+		}
+	}
+	v.ID = ID{Era: era}
+	m.voter, m.identity, m.cfg.Stored = nil, 0, nil
+	m.drawIdentity()
+	m.notice(true, "recovered by the operator's word: a new group of voters, era %x. Leases of the old one run out within %v", era,
+		Bound(m.cfg.Lease, m.cfg.Drift))
+	m.startGroup(Group{Era: era, Voters: []Voter{{m.cfg.Name, m.identity}}}, v)
+}
+
+// begin joins a group to which this process belongs by its identity.
+func (m *Machine) joinGroup(g Group) {
+	if _, ok := g.voter(m.identity); !ok || !m.awaitsGroup() || g.Era == 0 {
+		return
+	}
+	m.guard(func() {
+		if err := m.startEngine(raft.NewMemoryStorage(), decidedState{}, g.Era); err != nil {
+			panic(err)
+		}
+	})
+	if m.voter != nil {
+		m.out = append(m.out, Save{Change{Forget: true, Voter: m.identity, Era: g.Era}})
+	}
+}
+
+// awaitsGroup tells whether this process could vote and belongs to no group.
+func (m *Machine) awaitsGroup() bool { return m.voter == nil && m.identity != 0 }
+
+func (m *Machine) mayVote(name string) bool {
+	ok := m.group.hasVoter(name)
+	return ok || slices.Contains(m.cfg.Voters, name)
+}
