--- a/internal/view/apply.go
+++ b/internal/view/apply.go
@@ -11,20 +11,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// decided is what the voters have decided, as it stands in a snapshot.
+// decidedState is what the voters have decided, as a snapshot has it.
 type decidedState struct {
 	Group Group `cbor:"1,keyasint"`
 	View  View  `cbor:"2,keyasint"`
 }
 
-// command is what is proposed.
+// command is what a log entry holds.
 type command struct {
 	View *View `cbor:"1,keyasint,omitempty"`
-	// Nonce tells this proposal from one of the same view by another leader, which may be decided long since.
+	// Nonce distinguishes this proposal from one of the same view by another leader, which may have been decided long ago.
 	Nonce uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// work does what the engine wants, until it wants nothing.
+// processReady does what the engine wants, until it wants nothing more.
 func (m *Machine) processReady() {
 	v := m.voter
 	for v.node.HasReady() {
@@ -48,13 +48,13 @@
 	m.compact(false)
 }
 
-// keep is what has to be synced before the engine's messages leave.
+// persist saves what has to be synced before the engine's messages are sent.
 func (m *Machine) persist(rd raft.Ready) {
 	v := m.voter
 	c := Change{Voter: v.id, Era: v.decided.Group.Era}
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		c.Snapshot = marshal(rd.Snapshot)
-		_ = v.store.ApplySnapshot(rd.Snapshot) // one that is out of date changes nothing
+		_ = v.store.ApplySnapshot(rd.Snapshot) // an outdated one changes nothing
 	}
 	if !raft.IsEmptyHardState(rd.HardState) {
 		c.HardState = marshal(rd.HardState)
@@ -71,6 +71,7 @@
 	}
 }
 
+// sendRaft sends messages of the engine.
 func (m *Machine) sendRaft(messages []*raftpb.Message) {
 	v := m.voter
 	for _, em := range messages {
@@ -82,13 +83,14 @@
 			continue
 		}
 		if em.GetType() == raftpb.MsgSnap {
-			// Lost, it would not be sent again until the engine hears so: the peer's next answer says what it lacks.
+			// If the snapshot is lost, the engine would wait for a report. The answer to the next append says what is missing.
 			defer v.node.ReportSnapshot(em.GetTo(), raft.SnapshotFinish)
 		}
 		m.send(name, Message{Kind: Raft, Voter: v.id, To: em.GetTo(), Group: Group{Era: v.decided.Group.Era}, Raft: marshal(em)})
 	}
 }
 
+// applySnapshot takes in a snapshot of another voter.
 func (m *Machine) applySnapshot(s *raftpb.Snapshot) {
 	v := m.voter
 	var d decidedState
@@ -99,55 +101,69 @@
 	m.decide(d, -1)
 }
 
-// apply takes in one entry that is decided.
+// apply takes in one committed entry.
 func (m *Machine) apply(e *raftpb.Entry) {
 	v := m.voter
 	v.appliedIndex = e.GetIndex()
 	switch e.GetType() {
 	case raftpb.EntryNormal:
-		var c command
-		if len(e.GetData()) == 0 {
-			return
+		if len(e.GetData()) > 0 {
+			m.applyCommand(e.GetData())
 		}
-		if err := cbor.Unmarshal(e.GetData(), &c); err != nil {
-			panic(fmt.Errorf("an entry that cannot be read: %w", err))
-		}
-		last := v.decided.View.ID
-		if c.View == nil || c.View.ID.Era != last.Era || c.View.ID.Number != last.Number+1 {
-			return // made before another one was decided
-		}
-		since := time.Duration(-1)
-		if v.proposedAt >= 0 && c.Nonce == v.proposalNonce {
-			since = v.proposedAt
-		}
-		v.proposedAt = -1
-		m.decide(decidedState{Group: v.decided.Group, View: *c.View}, since)
 	case raftpb.EntryConfChangeV2, raftpb.EntryConfChange:
-		var change raftpb.ConfChangeV2
-		if err := proto.Unmarshal(e.GetData(), &change); err != nil {
-			panic(fmt.Errorf("a change of voters that cannot be read: %w", err))
-		}
-		v.confState = v.node.ApplyConfChange(&change)
-		v.changeProposedAt = -1
-		d := v.decided
-		var add Voter
-		if len(change.GetContext()) > 0 && cbor.Unmarshal(change.GetContext(), &add) == nil && add.ID != 0 {
-			d.Group.Voters = append(slices.Clone(d.Group.Voters), add)
-		}
-		// Those of the old group stay known until it is left for good: they still have to be heard.
-		d.Group.Voters = slices.DeleteFunc(slices.Clone(d.Group.Voters), func(o Voter) bool {
-			return !slices.Contains(v.confState.GetVoters(), o.ID) && !slices.Contains(v.confState.GetVotersOutgoing(), o.ID)
-		})
-		m.decide(d, -1)
-		m.compact(true) // a new voter must find itself in the snapshot that it is sent
-		if !slices.Contains(v.confState.GetVoters(), v.id) && !slices.Contains(v.confState.GetVotersOutgoing(), v.id) {
-			v.replaced = true
-		}
+		m.applyVoterChange(e.GetData())
+	}
+}
+
+// applyCommand takes in a committed view, if it follows the last one.
+func (m *Machine) applyCommand(data []byte) {
+	v := m.voter
+	var c command
+	if err := cbor.Unmarshal(data, &c); err != nil {
+		panic(fmt.Errorf("an entry that cannot be read: %w", err))
 	}
+	last := v.decided.View.ID
+	if c.View == nil || c.View.ID.Era != last.Era || c.View.ID.Number != last.Number+1 {
+		return // proposed before another view was decided
+	}
+	proposedAt := time.Duration(-1)
+	if v.proposedAt >= 0 && c.Nonce == v.proposalNonce {
+		proposedAt = v.proposedAt
+	}
+	v.proposedAt = -1
+	m.decide(decidedState{Group: v.decided.Group, View: *c.View}, proposedAt)
+}
+
+// applyVoterChange takes in a committed change of voters.
+func (m *Machine) applyVoterChange(data []byte) {
+	v := m.voter
+	var change raftpb.ConfChangeV2
+	if err := proto.Unmarshal(data, &change); err != nil {
+		panic(fmt.Errorf("a change of voters that cannot be read: %w", err))
+	}
+	v.confState = v.node.ApplyConfChange(&change)
+	v.changeProposedAt = -1
+	d := v.decided
+	var add Voter
+	if len(change.GetContext()) > 0 && cbor.Unmarshal(change.GetContext(), &add) == nil && add.ID != 0 {
+		d.Group.Voters = append(slices.Clone(d.Group.Voters), add)
+	}
+	// Voters of the old group stay in it until the joint consensus is over: a majority of them is still needed.
+	d.Group.Voters = slices.DeleteFunc(slices.Clone(d.Group.Voters), func(one Voter) bool { return !v.inConfState(one.ID) })
+	m.decide(d, -1)
+	m.compact(true) // a new voter must find itself in the snapshot that it is sent
+	if !v.inConfState(v.id) {
+		v.replaced = true
+	}
+}
+
+// inConfState reports whether an identity votes in the present group, or in the old one of a joint consensus.
+func (v *voter) inConfState(id uint64) bool {
+	return slices.Contains(v.confState.GetVoters(), id) || slices.Contains(v.confState.GetVotersOutgoing(), id)
 }
 
-// decide takes in what the voters have decided; since is when this process proposed it, if it did.
-func (m *Machine) decide(d decidedState, since time.Duration) {
+// decide takes in what the voters have decided. proposedAt is when this process proposed it; -1: it did not.
+func (m *Machine) decide(d decidedState, proposedAt time.Duration) {
 	v := m.voter
 	newer := d.View.ID.Number > 0 && d.View.ID != v.decided.View.ID
 	v.decided = d
@@ -158,17 +174,17 @@
 	m.out = append(m.out, Decided{View: d.View})
 	if !m.hasView || d.View.ID.Compare(m.latest()) > 0 || d.View.ID.Era != m.view.ID.Era && !m.mayBeCurrent() {
 		m.adopt(d.View)
-		// Decided after it was proposed, it was the newest at some moment since.
-		if since >= 0 && v.quietUntil <= m.now && m.latest() == d.View.ID {
-			m.confirmLatest(since)
+		// The view was decided after it was proposed, so it was the newest at some moment since.
+		if proposedAt >= 0 && v.quietUntil <= m.now && m.latest() == d.View.ID {
+			m.confirmLatest(proposedAt)
 		}
 	}
 }
 
-// compact makes a snapshot of what is decided and drops the log before it.
-func (m *Machine) compact(now bool) {
+// compact makes a snapshot of what is decided and drops the log before it: at once, or when the log is long enough.
+func (m *Machine) compact(atOnce bool) {
 	v := m.voter
-	if v.appliedIndex == v.snapshotIndex || !now && v.appliedIndex-v.snapshotIndex < maxLogEntries {
+	if v.appliedIndex == v.snapshotIndex || !atOnce && v.appliedIndex-v.snapshotIndex < maxLogEntries {
 		return
 	}
 	s, err := v.store.CreateSnapshot(v.appliedIndex, v.confState, encode(v.decided))
@@ -182,10 +198,11 @@
 	m.out = append(m.out, Save{Change{Snapshot: marshal(s)}})
 }
 
+// encode is the CBOR form of a value.
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // numbers, text and lists of them
+		panic(err) // never: it has numbers, text and lists of them
 	}
 	return b
 }
--- a/internal/view/check_test.go
+++ b/internal/view/check_test.go
@@ -18,13 +18,13 @@
 
 var names = [3]string{"a", "b", "c"}
 
-// three is a group of three voters, with every message held until it is delivered or dropped. Their opinion on who is
-// there is given: all, or all but the third.
+// three is a group of three voters, whose messages stay on their links until they are delivered or dropped. Their opinion on
+// who is present is given: all, or all but the third.
 type three struct {
 	machines [3]*Machine
 	kept     [3]*StoredState
 	boots    [3]uint64
-	loseLog  bool // a voter that is started anew keeps its identity and nothing else: a fault put in on purpose
+	loseLog  bool // a restarted voter keeps its identity and nothing else: an injected fault
 	mutate   Mutation
 	now      time.Duration
 	without  bool // the third is believed to have failed
@@ -57,7 +57,7 @@
 	w.machines[i] = m
 }
 
-// newThree is a group that has founded itself and holds its first view.
+// newThree is a group that was founded and holds the lease on its first view.
 func newThree(mutate Mutation) *three {
 	w := &three{mutate: mutate, links: map[[2]int][]Message{}, sums: map[ID]uint64{}, decided: map[ID]time.Duration{}}
 	for i := range names {
@@ -268,7 +268,7 @@
 	t.Log(found)
 }
 
-// What was kept and is not whole is no state to vote with.
+// A voter does not start with a stored state that is incomplete.
 func TestKeptStateThatIsNotWhole(t *testing.T) {
 	w := newThree(NoMutation)
 	for name, spoil := range map[string]func(k *StoredState){
--- a/internal/view/founding.go
+++ b/internal/view/founding.go
@@ -8,24 +8,24 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// founding is a try to found a group, by the first of the named voters.
+// founding is the attempt to found a group, by the first of the named voters.
 type founding struct {
-	era         uint64 // of the try; 0: none
+	era         uint64 // of the attempt; 0: none is under way
 	attempts    uint64
-	promises    map[string]uint64
-	due         time.Duration
-	promisedEra uint64 // era of the last try that this process has promised to join
-	afterSurvey bool   // after a survey
-	lastView    View   // that is known, then: its rules go on
+	promises    map[string]uint64 // identities under which the named voters have promised to join
+	due         time.Duration     // of the next attempt
+	promisedEra uint64            // era of the last attempt that this process has promised to join
+	afterSurvey bool              // a survey has shown that no earlier group can decide again
+	lastView    View              // the last known view then, whose rules stay in force
 }
 
-// founder tells whether it is this process's part to found a group: the first, by name, of those the file names.
+// isFounder reports whether this process is to found a group: it is the first, by name, of the voters that the settings name.
 func (m *Machine) isFounder() bool {
 	return m.awaitsGroup() && slices.Min(m.cfg.Voters) == m.cfg.Name && m.group.Era == 0
 }
 
-// proposeGroup asks all named voters for their promise. All must be there and blank: one that is not belongs to a group,
-// and tells which.
+// proposeGroup requests the promises of all named voters. All must be present and belong to no group: one that belongs to a
+// group answers with it.
 func (m *Machine) proposeGroup() {
 	m.founding.due = m.now + foundingInterval*m.cfg.Pace/2 + m.jitter(foundingInterval*m.cfg.Pace)
 	for _, name := range m.cfg.Voters {
@@ -44,28 +44,32 @@
 	m.foundIfPromised()
 }
 
+// answerFoundRequest promises to join the group of an era, unless this process belongs to a group.
 func (m *Machine) answerFoundRequest(to string, msg Message) {
 	if !m.awaitsGroup() || m.group.Era != 0 || !slices.Contains(m.cfg.Voters, to) {
 		group, leader := m.VoterGroup()
-		m.send(to, Message{Kind: FoundPromise, Seq: msg.Seq, Group: group, Leader: leader}) // no
+		m.send(to, Message{Kind: FoundPromise, Seq: msg.Seq, Group: group, Leader: leader}) // refused
 		return
 	}
 	m.founding.promisedEra = msg.Seq
 	m.send(to, Message{Kind: FoundPromise, Seq: msg.Seq, Voter: m.identity, Have: m.view.ID})
 }
 
+// receivePromise takes in the answer to a FoundRequest.
 func (m *Machine) receivePromise(from string, msg Message) {
-	if m.founding.era == 0 || msg.Seq != m.founding.era || !m.isFounder() && (!m.founding.afterSurvey || !m.awaitsGroup()) || !slices.Contains(m.cfg.Voters, from) || msg.AfterSurvey != m.founding.afterSurvey {
+	founds := m.isFounder() || m.founding.afterSurvey && m.awaitsGroup()
+	if m.founding.era == 0 || msg.Seq != m.founding.era || msg.AfterSurvey != m.founding.afterSurvey ||
+		!founds || !slices.Contains(m.cfg.Voters, from) {
 		return
 	}
-	if msg.Voter == 0 { // it belongs to a group: this process has to join that one
+	if msg.Voter == 0 { // the sender belongs to a group, which this process has to join
 		m.founding.era = 0
 		if msg.Group.Era > 0 && m.group.Era == 0 {
 			m.group, m.leader = msg.Group, msg.Leader
 		}
 		return
 	}
-	if msg.Have.Era >= m.founding.era { // it knows a later view: the new era must be later still
+	if msg.Have.Era >= m.founding.era { // the sender knows a later view: the new era must be later still
 		m.founding.attempts += msg.Have.Era - m.founding.era + 1
 		m.founding.era = 0
 		return
@@ -74,7 +78,7 @@
 	m.foundIfPromised()
 }
 
-// founded begins the group once all have promised.
+// foundIfPromised founds the group once all named voters have promised to join.
 func (m *Machine) foundIfPromised() {
 	if len(m.founding.promises) < len(m.cfg.Voters) {
 		return
@@ -90,7 +94,7 @@
 	m.notice(false, "group of voters founded, era %x", g.Era)
 }
 
-// found begins a group with this process as its first. The others get the state from it, as any later voter does.
+// startGroup starts a group with this process as its first voter. The others get the state from it, as later voters do.
 func (m *Machine) startGroup(g Group, v View) {
 	var ids []uint64
 	for _, voter := range g.Voters {
@@ -103,23 +107,23 @@
 	change := Change{Forget: true, Voter: m.identity, Era: g.Era, HardState: marshal(hard), Snapshot: marshal(snapshot)}
 	m.out = append(m.out, Save{change})
 	m.guard(func() {
-		kept := &StoredState{}
-		if err := kept.Apply(change); err != nil {
+		stored := &StoredState{}
+		if err := stored.Apply(change); err != nil {
 			panic(err)
 		}
-		store, d, err := kept.engineStorage()
+		store, d, err := stored.engineStorage()
 		if err == nil {
 			err = m.startEngine(store, d, g.Era)
 		}
 		if err != nil {
 			panic(err)
 		}
-		_ = m.voter.node.Campaign() // one that may not stand now stands when its time comes
+		_ = m.voter.node.Campaign() // a voter that may not campaign now does so when its timer ends
 		m.processReady()
 	})
 }
 
-// recover founds a group of this process alone, with what it knows. Others join it as voters that are missing.
+// recoverGroup founds a group of this process alone, with what it knows. The group takes in others until it is complete.
 func (m *Machine) recoverGroup() {
 	era := max(m.cfg.Boot+m.founding.attempts+1, m.view.ID.Era+1, m.group.Era+1)
 	m.founding.attempts++
@@ -138,7 +142,7 @@
 	m.startGroup(Group{Era: era, Voters: []Voter{{m.cfg.Name, m.identity}}}, v)
 }
 
-// begin joins a group to which this process belongs by its identity.
+// joinGroup joins a group that includes this process's identity.
 func (m *Machine) joinGroup(g Group) {
 	if _, ok := g.voter(m.identity); !ok || !m.awaitsGroup() || g.Era == 0 {
 		return
@@ -153,10 +157,10 @@
 	}
 }
 
-// awaitsGroup tells whether this process could vote and belongs to no group.
+// awaitsGroup reports whether this process could vote and belongs to no group.
 func (m *Machine) awaitsGroup() bool { return m.voter == nil && m.identity != 0 }
 
+// mayVote reports whether a member votes as far as is known, or is named by the settings.
 func (m *Machine) mayVote(name string) bool {
-	ok := m.group.hasVoter(name)
-	return ok || slices.Contains(m.cfg.Voters, name)
+	return m.group.hasVoter(name) || slices.Contains(m.cfg.Voters, name)
 }
--- a/internal/view/group.go
+++ b/internal/view/group.go
@@ -4,18 +4,19 @@
 	"slices"
 )
 
-// Voter is one of those who decide. Its number belongs to its state, not to its name: with the state it is lost.
+// Voter is a member that decides views. Its identity belongs to its stored state, not to its name: it is lost with the state.
 type Voter struct {
 	Name string `cbor:"1,keyasint"`
 	ID   uint64 `cbor:"2,keyasint"`
 }
 
-// Group is who decides the views of an era.
+// Group is the voters that decide the views of an era.
 type Group struct {
 	Era    uint64  `cbor:"1,keyasint,omitempty"`
 	Voters []Voter `cbor:"2,keyasint,omitempty"`
 }
 
+// voter returns the voter of an identity.
 func (g Group) voter(id uint64) (Voter, bool) {
 	for _, v := range g.Voters {
 		if v.ID == id {
--- a/internal/view/lease.go
+++ b/internal/view/lease.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// Bound is the longest time for which a member can hold a view after the next one was decided.
+// Bound is the longest time for which a member can hold the lease on a view after the next view was decided. drift is by how
+// much clocks may run faster or slower than one another.
 func Bound(lease time.Duration, drift float64) time.Duration {
 	return time.Duration(float64(lease) * (1 + drift))
 }
 
-// LeaseEnd is the time to which this member holds its view: it belongs to it, and the view was the newest at some moment
-// within the lease before. A time that has passed: it does not hold it.
+// LeaseEnd is when this member's lease on its view ends: the member belongs to the view, and the view was the newest at some
+// moment within the lease before that time. If the time has passed, it holds no lease.
 func (m *Machine) LeaseEnd() time.Duration {
 	if !m.isConfirmed {
 		return math.MinInt64
@@ -22,10 +23,12 @@
 	return m.confirmedAt + m.cfg.Lease
 }
 
-// HoldsLease tells whether this member holds its view at a time, which must be read after whatever is done by that word.
+// HoldsLease reports whether this member holds the lease on its view at a time. To act safely under the lease, read the clock
+// after the act, or have who carries it out ask a Fence.
 func (m *Machine) HoldsLease(now time.Duration) bool { return now < m.LeaseEnd() }
 
-// Stamp goes with an answer. m.now is when the question was taken in, or earlier: the age is none too small.
+// Stamp returns the stamp for an answer. now must not be before the request was sent: the requester counts the age from there,
+// and it must not be too small.
 func (m *Machine) Stamp(now time.Duration) Stamp {
 	if !m.hasView {
 		return Stamp{}
@@ -37,57 +40,73 @@
 	return s
 }
 
-// stamped takes in how fresh the view of another is, or was when it was asked for.
-func (m *Machine) receiveStamp(from string, s Stamp, asked time.Duration, v *View) {
+// maxStampQueries is how many queries may be unanswered for a stamp to cause another one.
+const maxStampQueries = 4
+
+// confirmedAt returns from when on the stamped view was the newest at some moment, on this member's clock, and whether the
+// stamp says so. requestedAt is when the request that the stamp answers was sent: the age counts from there, so that time on
+// links only makes the lease shorter.
+func (s Stamp) confirmedAt(requestedAt time.Duration, drift float64) (at time.Duration, known bool) {
+	age := time.Duration(s.Age-1) * time.Microsecond
+	at = requestedAt - time.Duration(float64(age)*(1+drift))
+	return at, s.Age > 0 && s.Age < uint64(math.MaxInt64/int64(time.Microsecond))/2
+}
+
+// receiveStamp takes in which view another member had when it answered a request sent at requestedAt, and the view itself
+// if the answer has it.
+func (m *Machine) receiveStamp(from string, s Stamp, requestedAt time.Duration, v *View) {
 	if s.ID == (ID{}) {
 		return
 	}
 	if m.cfg.Mutate == PushedAge {
-		asked = m.now
+		requestedAt = m.now
 	}
-	age := time.Duration(s.Age-1) * time.Microsecond
-	at := asked - time.Duration(float64(age)*(1+m.cfg.Drift))
-	known := s.Age > 0 && s.Age < uint64(math.MaxInt64/int64(time.Microsecond))/2
+	at, known := s.confirmedAt(requestedAt, m.cfg.Drift)
 	if m.hasView && s.ID == m.latest() {
 		if known {
 			m.confirmLatest(at)
 		}
 		return
 	}
-	if m.hasView && s.ID == m.view.ID { // of the one before the latest
+	if m.hasView && s.ID == m.view.ID { // the one before the pending one
 		if known && at > m.confirmedAt {
 			m.confirmedAt = at
 		}
 		return
 	}
-	// Views of one era follow one another; another era is gone to if it is later, or if this one is surely over.
-	switch {
-	case !m.hasView || s.ID.Compare(m.latest()) > 0:
-	case m.voter != nil && s.ID.Era < m.voter.decided.Group.Era: // a new group waits for the leases of the one before it
-		return
-	case s.ID.Era < m.view.ID.Era && known && m.now-at < m.cfg.Lease && !m.mayBeCurrent():
-	default:
+	if !m.maySwitchTo(s.ID, at, known) {
 		return
 	}
-	if v == nil || v.ID != s.ID {
-		if !known && m.hasView && s.ID.Era != m.view.ID.Era {
-			return
-		}
-		if len(m.queries) < 4 { // the view itself is too long for a stamp
+	// Nobody vouches for a view of another group whose stamp has no age.
+	unconfirmed := !known && m.hasView && s.ID.Era != m.view.ID.Era
+	switch {
+	case unconfirmed:
+	case v == nil || v.ID != s.ID: // a view is too long for a stamp
+		if len(m.queries) < maxStampQueries {
 			m.query(from)
 		}
-		return
-	}
-	if s.ID.Era != m.view.ID.Era && m.hasView && !known {
-		return // of another group, and nobody vouches for it
+	default:
+		m.adopt(*v)
+		if known {
+			m.confirmLatest(at)
+		}
 	}
-	m.adopt(*v)
-	if known {
-		m.confirmLatest(at)
+}
+
+// maySwitchTo reports whether a view that another member has may replace the one in force. Views of one era follow one
+// another. A view of another era does if that era is later, or if the present era is surely over; at is from when on the
+// view was the newest at some moment, if that is known.
+func (m *Machine) maySwitchTo(id ID, at time.Duration, known bool) bool {
+	switch {
+	case !m.hasView || id.Compare(m.latest()) > 0:
+		return true
+	case m.voter != nil && id.Era < m.voter.decided.Group.Era: // a new group waits for the leases of the one before it
+		return false
 	}
+	return id.Era < m.view.ID.Era && known && m.now-at < m.cfg.Lease && !m.mayBeCurrent()
 }
 
-// latest is the newest view that this member knows of.
+// latest is the number of the newest view that this member knows of.
 func (m *Machine) latest() ID {
 	if m.pending != nil {
 		return m.pending.ID
@@ -95,7 +114,7 @@
 	return m.view.ID
 }
 
-// vouched takes in that the latest view was the newest at some moment from a time on.
+// confirmLatest extends the lease: the latest view was the newest one at some moment from a time on.
 func (m *Machine) confirmLatest(at time.Duration) {
 	if m.pending != nil {
 		m.switchTo(*m.pending)
@@ -106,12 +125,13 @@
 	}
 }
 
-// current tells whether the view may still be the newest, as far as this member's lease goes.
+// mayBeCurrent reports whether some member may still hold the lease on the view in force here.
 func (m *Machine) mayBeCurrent() bool {
 	return m.isConfirmed && m.now < m.confirmedAt+m.cfg.Lease+Bound(m.cfg.Lease, m.cfg.Drift)
 }
 
-// adopt takes over a view. While the one before is held and the new one is not vouched for, the one before goes on.
+// adopt takes over a view. While the lease on the one before lasts and the new one is not confirmed, the one before stays in
+// force: otherwise a member without contact to the voters would give up a lease for nothing.
 func (m *Machine) adopt(v View) {
 	if m.hasView && m.HoldsLease(m.now) && v.ID.Era == m.view.ID.Era {
 		m.pending = &v
@@ -121,6 +141,7 @@
 	m.switchTo(v)
 }
 
+// switchTo puts a view in force, without a lease so far.
 func (m *Machine) switchTo(v View) {
 	m.view, m.hasView, m.isConfirmed, m.pending = v, true, false, nil
 	m.out = append(m.out, Adopted{View: v})
--- a/internal/view/machine.go
+++ b/internal/view/machine.go
@@ -1,7 +1,6 @@
 package view
 
 import (
-	"encoding/binary"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -10,44 +9,46 @@
 	"fieldrelay/internal/member"
 )
 
-// Machine is the state of one member. It is not safe for use by several goroutines.
+// Machine is one member's part in the agreement on views. It is not safe for concurrent use.
 type Machine struct {
 	cfg Config
 	rng *rand.Rand
 	now time.Duration
 	out []Action
 
-	// What this member goes by.
-	view         View
-	hasView      bool          // a view at all
-	pending      *View         // a newer one, not confirmed so far, while this one is still held
-	confirmedAt  time.Duration // it was the newest at some moment from then on
-	isConfirmed  bool          // confirmed holds
-	everHeld     bool          // it has been held at some time
-	group        Group         // as far as is known
+	// The view in force here, and the lease on it.
+	view        View
+	hasView     bool
+	pending     *View         // a newer view, not confirmed yet, while the lease on this one lasts; nil: none
+	confirmedAt time.Duration // the view was the newest at some moment from this time on; valid if isConfirmed
+	isConfirmed bool
+	everHeld    bool // this member has held a lease on some view
+
+	// The voters, as far as is known.
+	group        Group
 	leader       string
-	seq          uint64
-	queries      map[uint64]time.Duration // questions out, by number
+	seq          uint64                   // of the last request
+	queries      map[uint64]time.Duration // when each unanswered query was sent, by its number
 	queryDue     time.Duration
-	lastLed      time.Duration // a leader was known, or nothing was to be led
-	lossReported bool          // that there is none has been told
-
-	voter    *voter // nil: this process does not vote
-	identity uint64 // identity under which it would; 0: none drawn
-	founding founding
-	survey   survey
-	// surveyLastLed is when the voters were last led as far as the surveyor knows.
-	surveyLastLed time.Duration
+	lastLed      time.Duration // when a leader was last known, or there was nothing to lead
+	lossReported bool          // the loss of the majority was reported
+
+	voter         *voter // nil: this process does not vote
+	identity      uint64 // identity under which this process would vote; 0: none was drawn
+	founding      founding
+	survey        survey
+	surveyLastLed time.Duration // when the surveyor last knew the voters to be led
 }
 
-// New makes a machine. Faults of what was kept are the error.
+// New makes a machine. now is the present time on the monotonic clock that Step is called with. The error says in what the
+// stored state is inconsistent.
 func New(cfg Config, now time.Duration) (*Machine, error) {
-	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Boot)), now: now, queries: map[uint64]time.Duration{}}
-	m.seq = uint64(m.rng.Uint32()) // an answer to an earlier process of this name must not pass for one to this one
+	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Boot)), now: now, queries: make(map[uint64]time.Duration)}
+	m.seq = uint64(m.rng.Uint32()) // so that an answer to an earlier process of this name does not pass for one to this process
 	m.queryDue, m.lastLed = now+m.jitter(cfg.Pace), now
 	m.founding.due = now + m.jitter(cfg.Pace)
 	m.surveyLastLed = now
-	if cfg.Stored != nil && cfg.Stored.Voter == 0 { // a store in which nothing was is no state: leases that it would tell of may run
+	if cfg.Stored != nil && cfg.Stored.Voter == 0 { // an empty store may be a lost one: leases of an earlier group may last
 		m.cfg.Stored, cfg.Stored = nil, nil
 	}
 	if cfg.Stored != nil {
@@ -65,14 +66,15 @@
 	return m, nil
 }
 
+// jitter draws a duration from 0 to d.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return time.Duration(m.rng.Int64N(int64(d) + 1))
 }
 
-// View is the view that this member goes by, if it has one. It may be old: see Holds.
+// View returns the view in force here, and whether there is one. It may be outdated: see HoldsLease.
 func (m *Machine) View() (View, bool) { return m.view, m.hasView }
 
-// Decided is the view that the voters have decided last, as this one knows, if it votes.
+// Decided returns the view that the voters decided last, as far as this voter knows; false if this process does not vote.
 func (m *Machine) Decided() (View, bool) {
 	if m.voter == nil {
 		return View{}, false
@@ -80,7 +82,7 @@
 	return m.voter.decided.View, true
 }
 
-// VoterGroup tells who votes as far as is known, and who leads.
+// VoterGroup returns the voters as far as is known, and the name of their leader, empty if there is none.
 func (m *Machine) VoterGroup() (Group, string) {
 	if m.voter != nil {
 		return m.voter.decided.Group, m.leaderName()
@@ -88,8 +90,8 @@
 	return m.group, m.leader
 }
 
-// Leadership tells whether this process leads the voters as far as it knows, under which era and term, and when a majority has
-// last confirmed that: at no later time has another one led before.
+// Leadership returns whether this process leads the voters as far as it knows, in which era and Raft term, and when a majority
+// last confirmed that: no other process had led in a later term before that time.
 func (m *Machine) Leadership() (era, term uint64, confirmed time.Duration, ok bool) {
 	if m.voter == nil || !m.voter.leads() || m.voter.leadConfirmedAt < 0 {
 		return 0, 0, 0, false
@@ -97,16 +99,16 @@
 	return m.voter.decided.Group.Era, m.voter.node.BasicStatus().GetTerm(), m.voter.leadConfirmedAt, true
 }
 
-// IsVoter tells whether this process votes.
+// IsVoter reports whether this process votes.
 func (m *Machine) IsVoter() bool { return m.voter != nil }
 
-// VoteCounts tells whether this process votes under its own identity and no earlier group has to be heard any more: until
-// then an earlier one of its name may still be among those of whom a majority is needed, and another loss could take that.
+// VoteCounts reports whether this process votes under its own identity and no joint consensus with an earlier group is under
+// way: until then an earlier voter of its name may still count for the majority, and the loss of another voter could lose that.
 func (m *Machine) VoteCounts() bool {
 	return m.voter != nil && slices.Contains(m.voter.confState.GetVoters(), m.voter.id) && len(m.voter.confState.GetVotersOutgoing()) == 0
 }
 
-// Next is when Step is to be called with Tick at the latest.
+// Next is the time by which Step has to be called with Tick, if no event comes before.
 func (m *Machine) Next() time.Duration {
 	next := m.queryDue
 	if m.voter != nil {
@@ -121,39 +123,40 @@
 	return next
 }
 
-// Step takes an event at a time that is never before that of the last call.
-func (m *Machine) Step(now time.Duration, e Event) []Action {
+// Step takes an event at a time, on the clock of New, that is not before that of the last call.
+func (m *Machine) Step(now time.Duration, event Event) []Action {
 	m.out = nil
 	m.now = max(now, m.now)
 	if m.pending != nil && !m.HoldsLease(m.now) {
 		m.switchTo(*m.pending)
 	}
-	switch e := e.(type) {
+	switch event := event.(type) {
 	case Received:
-		m.receive(e.From, e.Message)
+		m.receive(event.From, event.Message)
 	case Stamped:
-		m.receiveStamp(e.From.Name, e.Stamp, e.RequestedAt, nil)
+		m.receiveStamp(event.From.Name, event.Stamp, event.RequestedAt, nil)
 	case Recover:
 		m.recoverGroup()
 	case ProposeRules:
-		if m.voter != nil && m.voter.leads() && len(e.Rules.Digest) <= maxDigestBytes && e.Rules.Number > m.voter.decided.View.Rules.Number {
-			m.voter.wantedRules = e.Rules
-		}
+		m.wantRules(event.Rules)
 	}
 	m.guard(m.runTimers)
 	return m.out
 }
 
-func (m *Machine) notice(loud bool, format string, args ...any) {
-	m.out = append(m.out, Notice{Text: fmt.Sprintf(format, args...), Alert: loud})
+// notice reports something to the operator; alert says that something has to be done about it.
+func (m *Machine) notice(alert bool, format string, args ...any) {
+	m.out = append(m.out, Notice{Text: fmt.Sprintf(format, args...), Alert: alert})
 }
 
+// send sends a message to another member.
 func (m *Machine) send(to string, msg Message) {
 	if to != m.cfg.Name {
 		m.out = append(m.out, Send{To: to, Message: msg})
 	}
 }
 
+// runTimers does what is due.
 func (m *Machine) runTimers() {
 	if m.voter != nil {
 		m.runVoterTimers()
@@ -165,38 +168,19 @@
 		m.runSurvey()
 	}
 	if m.queryDue <= m.now {
-		m.queryDue = m.now + queryInterval*m.cfg.Pace/2 + m.jitter(queryInterval*m.cfg.Pace)
-		// With time left, what comes with the answers to probes is enough.
-		leaderless := m.voter != nil && m.leaderName() == "" // it may have been replaced and not know
-		if m.awaitsGroup() || leaderless || m.pending != nil || !m.HoldsLease(m.now+m.cfg.Lease/4) {
-			m.query(m.drawVoter())
-		}
-		for seq, at := range m.queries {
-			if m.now-at > m.cfg.Lease {
-				delete(m.queries, seq)
-			}
-		}
+		m.runQueryTimer()
 		m.watchLeader()
 	}
 }
 
+// receive takes in a message of another member.
 func (m *Machine) receive(from member.Record, msg Message) {
 	switch msg.Kind {
 	case Query:
-		if msg.Voter != 0 && m.voter != nil {
-			if _, known := m.voter.candidates[from.Name]; known || len(m.voter.candidates) < maxCandidates {
-				m.voter.candidates[from.Name] = candidate{id: msg.Voter, offeredAt: m.now}
-			}
-		}
+		m.addCandidate(from.Name, msg.Voter)
 		m.answerQuery(from.Name, msg)
 	case QueryReply:
-		asked, ours := m.queries[msg.Seq]
-		delete(m.queries, msg.Seq)
-		if !ours { // an answer to nothing says nothing about the time
-			return
-		}
-		m.learnGroup(msg)
-		m.receiveStamp(from.Name, msg.Stamp, asked, msg.View)
+		m.receiveReply(from.Name, msg)
 	case Survey:
 		m.send(from.Name, m.surveyReply(msg.Seq))
 	case SurveyReply:
@@ -211,7 +195,7 @@
 		}
 	case FoundPromise:
 		m.receivePromise(from.Name, msg)
-	case FoundCommit: // of an earlier try than the last one promised, it must not count: the later one may be founded
+	case FoundCommit: // of an earlier attempt than the one promised last it must not count: that one may have succeeded
 		if msg.Group.Era == m.founding.promisedEra {
 			m.joinGroup(msg.Group)
 		}
@@ -225,7 +209,7 @@
 	}
 }
 
-// watchLeader tells loudly when the voters have had no leader for long: the majority may be lost for good.
+// watchLeader reports when the voters have had no leader for long: their majority may be lost for good.
 func (m *Machine) watchLeader() {
 	led := m.voter != nil && m.leaderName() != "" || m.voter == nil && (m.isConfirmed && m.now < m.confirmedAt+m.cfg.Lease || !m.everHeld && m.group.Era == 0)
 	switch {
@@ -241,10 +225,3 @@
 			"say RECOVER at the management address of one that is left; docs/peers.md tells what that may cost")
 	}
 }
-
-func decodeSeq(b []byte) uint64 {
-	if len(b) != 8 {
-		return 0
-	}
-	return binary.BigEndian.Uint64(b)
-}
--- a/internal/view/query.go
+++ b/internal/view/query.go
@@ -1,6 +1,20 @@
 package view
 
-// drawVoter draws one to ask: of the group, as far as that is known, or of those the file names.
+// runQueryTimer queries a voter if what comes with the answers to probes is not enough.
+func (m *Machine) runQueryTimer() {
+	m.queryDue = m.now + queryInterval*m.cfg.Pace/2 + m.jitter(queryInterval*m.cfg.Pace)
+	leaderless := m.voter != nil && m.leaderName() == "" // it may have been replaced without notice
+	if m.awaitsGroup() || leaderless || m.pending != nil || !m.HoldsLease(m.now+m.cfg.Lease/4) {
+		m.query(m.drawVoter())
+	}
+	for seq, at := range m.queries {
+		if m.now-at > m.cfg.Lease {
+			delete(m.queries, seq)
+		}
+	}
+}
+
+// drawVoter draws a voter to query: of the group, as far as that is known, or of those that the settings name.
 func (m *Machine) drawVoter() string {
 	if m.awaitsGroup() && m.leader != "" && m.leader != m.cfg.Name && m.rng.IntN(2) == 0 {
 		return m.leader
@@ -13,20 +27,21 @@
 	if len(names) == 0 || m.rng.IntN(4) == 0 {
 		names = m.cfg.Voters
 	}
-	open := names[:0:0]
-	for _, n := range names {
-		if r, ok := m.cfg.Member(n); n != m.cfg.Name && ok && r.Present() {
-			open = append(open, n)
+	present := names[:0:0]
+	for _, name := range names {
+		if r, ok := m.cfg.Member(name); name != m.cfg.Name && ok && r.Present() {
+			present = append(present, name)
 		}
 	}
-	if len(open) == 0 {
+	if len(present) == 0 {
 		return ""
 	}
-	return open[m.rng.IntN(len(open))]
+	return present[m.rng.IntN(len(present))]
 }
 
-func (m *Machine) query(whom string) {
-	if whom == "" || whom == m.cfg.Name {
+// query requests what another member knows of views and voters.
+func (m *Machine) query(name string) {
+	if name == "" || name == m.cfg.Name {
 		return
 	}
 	m.seq++
@@ -38,14 +53,14 @@
 	if m.awaitsGroup() {
 		msg.Voter = m.identity
 	}
-	m.send(whom, msg)
+	m.send(name, msg)
 }
 
-// tell answers a question.
-func (m *Machine) answerQuery(to string, q Message) {
+// answerQuery answers a query with what this member knows.
+func (m *Machine) answerQuery(to string, query Message) {
 	group, leader := m.VoterGroup()
-	msg := Message{Kind: QueryReply, Seq: q.Seq, Group: group, Leader: leader, Stamp: m.Stamp(m.now)}
-	if m.hasView && m.view.ID != q.Have {
+	msg := Message{Kind: QueryReply, Seq: query.Seq, Group: group, Leader: leader, Stamp: m.Stamp(m.now)}
+	if m.hasView && m.view.ID != query.Have {
 		msg.View = &m.view
 	}
 	if m.awaitsGroup() {
@@ -54,27 +69,27 @@
 	m.send(to, msg)
 }
 
-// learnGroup takes in who votes.
+// receiveReply takes in the answer to a query.
+func (m *Machine) receiveReply(from string, reply Message) {
+	requestedAt, ours := m.queries[reply.Seq]
+	delete(m.queries, reply.Seq)
+	if !ours { // without the time of the query its stamp has no meaning
+		return
+	}
+	m.learnGroup(reply)
+	m.receiveStamp(from, reply.Stamp, requestedAt, reply.View)
+}
+
+// learnGroup takes in the voters that another member knows.
 func (m *Machine) learnGroup(msg Message) {
 	if msg.Group.Era == 0 {
-		if msg.Voter != 0 && m.founding.era != 0 { // another one without a group
+		if msg.Voter != 0 && m.founding.era != 0 { // another voter without a group
 			m.founding.due = min(m.founding.due, m.now+m.cfg.Pace)
 		}
 		return
 	}
 	if m.voter != nil {
-		_, mine := msg.Group.voter(m.voter.id)
-		if msg.Group.Era == m.voter.decided.Group.Era && !mine && len(msg.Group.Voters) > 0 && m.leaderName() == "" &&
-			msg.Stamp.Age > 0 && msg.Stamp.ID.Number > m.voter.decided.View.ID.Number {
-			m.leaveGroup()
-			return
-		}
-		// A group of a later era took over: the operator's word, or a founding after all others had lost their state.
-		if msg.Group.Era > m.voter.decided.Group.Era && msg.Stamp.Age > 0 {
-			m.notice(true, "another group of voters decides, of era %x: this one's vote is given up", msg.Group.Era)
-			m.giveUpVote()
-			m.group, m.leader = msg.Group, msg.Leader
-		}
+		m.compareGroup(msg)
 		return
 	}
 	if msg.Group.Era >= m.group.Era || !m.mayBeCurrent() {
@@ -82,3 +97,20 @@
 	}
 	m.joinGroup(msg.Group)
 }
+
+// compareGroup has this voter leave its group if another member knows of one that replaces it.
+func (m *Machine) compareGroup(msg Message) {
+	own := m.voter.decided
+	_, included := msg.Group.voter(m.voter.id)
+	if msg.Group.Era == own.Group.Era && !included && len(msg.Group.Voters) > 0 && m.leaderName() == "" &&
+		msg.Stamp.Age > 0 && msg.Stamp.ID.Number > own.View.ID.Number {
+		m.leaveGroup()
+		return
+	}
+	// A group of a later era took over: founded by RECOVER, or after all others had lost their state.
+	if msg.Group.Era > own.Group.Era && msg.Stamp.Age > 0 {
+		m.notice(true, "another group of voters decides, of era %x: this one's vote is given up", msg.Group.Era)
+		m.giveUpVote()
+		m.group, m.leader = msg.Group, msg.Leader
+	}
+}
--- a/internal/view/quiet_test.go
+++ b/internal/view/quiet_test.go
@@ -7,8 +7,8 @@
 	"fieldrelay/internal/member"
 )
 
-// A group that is founded confirms nothing before the leases of one before it are over, also where a store is there and
-// nothing is in it: it may have been lost.
+// A new group confirms nothing before the leases of an earlier one are over, also if there is a store and it is empty: its
+// content may have been lost.
 func TestFoundedGroupWaitsForLeases(t *testing.T) {
 	for name, kept := range map[string]*StoredState{"no store": nil, "a store that is blank": {}} {
 		self := member.Record{Name: "a", Addr: "a", Boot: 9, Incarnation: 1}
--- a/internal/view/replacement.go
+++ b/internal/view/replacement.go
@@ -9,16 +9,26 @@
 	"fieldrelay/internal/member"
 )
 
-// candidate is one that could vote and belongs to no group.
+// candidate is a member that offers to vote and belongs to no group.
 type candidate struct {
 	id        uint64
 	offeredAt time.Duration
 }
 
-// maxCandidates bounds those that are remembered.
+// maxCandidates bounds the candidates, and the senders, that a voter remembers.
 const maxCandidates = 64
 
-// proposeVoters replaces a voter that lost its state, or stays away, by one that offers itself.
+// addCandidate remembers a member that offers to vote under an identity; 0: it does not.
+func (m *Machine) addCandidate(name string, identity uint64) {
+	if identity == 0 || m.voter == nil {
+		return
+	}
+	if _, known := m.voter.candidates[name]; known || len(m.voter.candidates) < maxCandidates {
+		m.voter.candidates[name] = candidate{id: identity, offeredAt: m.now}
+	}
+}
+
+// proposeVoters replaces a voter that lost its state, or is absent for long, by a candidate.
 func (m *Machine) proposeVoters() {
 	v := m.voter
 	if v.changeProposedAt >= 0 && m.now-v.changeProposedAt < proposalTimeout*m.cfg.Pace || len(v.confState.GetVotersOutgoing()) > 0 {
@@ -30,22 +40,35 @@
 		}
 	}
 	group := v.decided.Group
-	// In the place of its own name at once: the one before is gone with its state.
+	// A candidate replaces the voter of its own name at once: that one is gone with its state.
 	for _, old := range group.Voters {
 		if c, ok := v.candidates[old.Name]; ok && c.id != old.ID {
 			m.changeVoters(old, Voter{old.Name, c.id})
 			return
 		}
 	}
-	add := m.bestCandidate()
 	if len(group.Voters) < len(m.cfg.Voters) {
-		if add.ID != 0 {
-			m.changeVoters(Voter{}, add)
-		} else {
-			m.invite()
-		}
+		m.addVoter(Voter{})
 		return
 	}
+	if old, ok := m.longAbsent(); ok {
+		m.addVoter(old)
+	}
+}
+
+// addVoter takes the best candidate into the group, for an old voter if there is one; without a candidate it invites a member.
+func (m *Machine) addVoter(old Voter) {
+	if add := m.bestCandidate(); add.ID != 0 {
+		m.changeVoters(old, add)
+	} else {
+		m.invite()
+	}
+}
+
+// longAbsent returns a voter that has been absent for absenceTimeout.
+func (m *Machine) longAbsent() (Voter, bool) {
+	v := m.voter
+	group := v.decided.Group
 	for id := range v.absentSince {
 		if _, ok := group.voter(id); !ok {
 			delete(v.absentSince, id)
@@ -61,32 +84,28 @@
 			v.absentSince[old.ID] = m.now
 		}
 		if m.now-v.absentSince[old.ID] > absenceTimeout*m.cfg.Pace {
-			if add.ID != 0 {
-				m.changeVoters(old, add)
-			} else {
-				m.invite()
-			}
-			return
+			return old, true
 		}
 	}
+	return Voter{}, false
 }
 
-// bestCandidate is one without a vote that offers itself; those the file names come first.
+// bestCandidate returns a candidate without a vote: first one that the settings name, then the first by name.
 func (m *Machine) bestCandidate() Voter {
 	var best Voter
 	for name, c := range m.voter.candidates {
 		if m.voter.decided.Group.hasVoter(name) {
 			continue
 		}
-		better := best.ID == 0 || slices.Contains(m.cfg.Voters, name) && !slices.Contains(m.cfg.Voters, best.Name)
-		if better || slices.Contains(m.cfg.Voters, name) == slices.Contains(m.cfg.Voters, best.Name) && name < best.Name {
+		named, bestNamed := slices.Contains(m.cfg.Voters, name), slices.Contains(m.cfg.Voters, best.Name)
+		if best.ID == 0 || named && !bestNamed || named == bestNamed && name < best.Name {
 			best = Voter{name, c.id}
 		}
 	}
 	return best
 }
 
-// invite asks one that is there and does not vote.
+// invite requests a member that is alive and does not vote to offer itself.
 func (m *Machine) invite() {
 	for _, r := range m.cfg.Members() {
 		if !m.voter.decided.Group.hasVoter(r.Name) && r.State == member.Alive && r.Name != m.cfg.Name {
@@ -96,15 +115,16 @@
 	}
 }
 
-// changeVoters takes one in and lets one go, in one step that needs a majority of both groups.
+// changeVoters takes one voter in and leaves one out, by joint consensus: until the change is over, a majority of the old group
+// and one of the new group are needed.
 func (m *Machine) changeVoters(old, add Voter) {
 	change := &raftpb.ConfChangeV2{Context: encode(add)}
-	single := func(kind raftpb.ConfChangeType, id uint64) {
+	addSingle := func(kind raftpb.ConfChangeType, id uint64) {
 		change.Changes = append(change.Changes, &raftpb.ConfChangeSingle{Type: &kind, NodeId: &id})
 	}
-	single(raftpb.ConfChangeAddNode, add.ID)
+	addSingle(raftpb.ConfChangeAddNode, add.ID)
 	if old.ID != 0 {
-		single(raftpb.ConfChangeRemoveNode, old.ID)
+		addSingle(raftpb.ConfChangeRemoveNode, old.ID)
 	}
 	if m.voter.node.ProposeConfChange(change) == nil {
 		m.voter.changeProposedAt = m.now
--- a/internal/view/stored.go
+++ b/internal/view/stored.go
@@ -10,85 +10,86 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Change is what is to be kept on top of what is kept already. Fields that are empty change nothing.
+// Change is a change of the stored state. Empty fields change nothing.
 type Change struct {
-	Forget    bool   // all that was kept, first
-	Voter     uint64 // identity
+	Forget    bool   // drop all that was stored, first
+	Voter     uint64 // identity under which this process votes
 	Era       uint64
-	HardState []byte // the engine's own state
-	Snapshot  []byte // entries up to its index need not be kept
+	HardState []byte // Raft's term, vote and commit index
+	Snapshot  []byte // replaces the entries up to its index
 	Entries   []Entry
 }
 
-// Entry is one of the engine's log. It replaces those kept with the same and with higher numbers.
+// Entry is an entry of the engine's log. It replaces the stored ones of the same and of higher indexes.
 type Entry struct {
 	Index uint64 `cbor:"1,keyasint"`
 	Data  []byte `cbor:"2,keyasint"`
 }
 
-// StoredState is the state of a voter, as it is read back.
+// StoredState is the stored state of a voter.
 type StoredState struct {
 	Voter     uint64  `cbor:"1,keyasint"`
 	Era       uint64  `cbor:"2,keyasint"`
 	HardState []byte  `cbor:"3,keyasint"`
 	Snapshot  []byte  `cbor:"4,keyasint"`
-	Entries   []Entry `cbor:"5,keyasint"` // by number, without a gap
+	Entries   []Entry `cbor:"5,keyasint"` // by index, without a gap
 }
 
-// Apply keeps a change.
-func (k *StoredState) Apply(c Change) error {
+// Apply makes a change. Its error is that of a snapshot that cannot be read.
+func (st *StoredState) Apply(c Change) error {
 	if c.Forget {
-		*k = StoredState{}
+		*st = StoredState{}
 	}
 	if c.Voter != 0 {
-		k.Voter, k.Era = c.Voter, c.Era
+		st.Voter, st.Era = c.Voter, c.Era
 	}
 	if c.HardState != nil {
-		k.HardState = c.HardState
+		st.HardState = c.HardState
 	}
 	if len(c.Entries) > 0 {
-		for len(k.Entries) > 0 && k.Entries[len(k.Entries)-1].Index >= c.Entries[0].Index {
-			k.Entries = k.Entries[:len(k.Entries)-1]
+		for len(st.Entries) > 0 && st.Entries[len(st.Entries)-1].Index >= c.Entries[0].Index {
+			st.Entries = st.Entries[:len(st.Entries)-1]
 		}
-		k.Entries = append(k.Entries, c.Entries...)
+		st.Entries = append(st.Entries, c.Entries...)
 	}
 	if c.Snapshot != nil {
-		k.Snapshot = c.Snapshot
+		st.Snapshot = c.Snapshot
 		last, err := SnapshotIndex(c.Snapshot)
 		if err != nil {
 			return err
 		}
-		for len(k.Entries) > 0 && k.Entries[0].Index <= last {
-			k.Entries = k.Entries[1:]
+		for len(st.Entries) > 0 && st.Entries[0].Index <= last {
+			st.Entries = st.Entries[1:]
 		}
 	}
 	return nil
 }
 
-// SnapshotIndex is the number up to which a snapshot stands for the entries.
+// SnapshotIndex returns the index up to which a snapshot replaces the entries.
 func SnapshotIndex(snapshot []byte) (uint64, error) {
 	var s raftpb.Snapshot
 	err := proto.Unmarshal(snapshot, &s)
 	return s.GetMetadata().GetIndex(), err
 }
 
-// Clone is a copy that later changes do not touch.
-func (k *StoredState) Clone() *StoredState {
-	if k == nil {
+// Clone returns a copy that is independent of later changes.
+func (st *StoredState) Clone() *StoredState {
+	if st == nil {
 		return nil
 	}
-	c := *k
-	c.Entries = append([]Entry(nil), k.Entries...)
+	c := *st
+	c.Entries = append([]Entry(nil), st.Entries...)
 	return &c
 }
 
-// storage is the engine's own store, filled with what was kept.
-func (k *StoredState) engineStorage() (*raft.MemoryStorage, decidedState, error) {
+// engineStorage returns the engine's store and what the voters have decided, from the stored state. The error says in what
+// that is inconsistent: a voter must not vote without all that it has promised.
+func (st *StoredState) engineStorage() (*raft.MemoryStorage, decidedState, error) {
 	var d decidedState
 	var s raftpb.Snapshot
 	var hard raftpb.HardState
 	store := raft.NewMemoryStorage()
-	if err := errors.Join(proto.Unmarshal(k.Snapshot, &s), proto.Unmarshal(k.HardState, &hard)); err != nil {
+	if err := errors.Join(proto.Unmarshal(st.Snapshot, &s), proto.Unmarshal(st.HardState, &hard)); err != nil {
 		return nil, d, fmt.Errorf("view: kept state: %w", err)
 	}
 	if s.GetMetadata().GetIndex() > 0 {
@@ -97,12 +98,12 @@
 		}
 	}
 	var entries []*raftpb.Entry
-	for i, e := range k.Entries {
+	for i, e := range st.Entries {
 		entry := new(raftpb.Entry)
 		if err := proto.Unmarshal(e.Data, entry); err != nil {
 			return nil, d, fmt.Errorf("view: kept entry %d: %w", e.Index, err)
 		}
-		if entry.GetIndex() != e.Index || i > 0 && e.Index != k.Entries[i-1].Index+1 || e.Index <= s.GetMetadata().GetIndex() {
+		if entry.GetIndex() != e.Index || i > 0 && e.Index != st.Entries[i-1].Index+1 || e.Index <= s.GetMetadata().GetIndex() {
 			return nil, d, fmt.Errorf("view: kept entry %d is out of its place", e.Index)
 		}
 		entries = append(entries, entry)
@@ -117,10 +118,11 @@
 	return store, d, errors.Join(store.SetHardState(&hard), store.Append(entries))
 }
 
+// marshal is the encoded form of a message of the engine; never nil, which would mean that there is none.
 func marshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // the engine's own messages have a form
+		panic(err) // never: the engine's own messages can be encoded
 	}
 	if b == nil {
 		b = []byte{}
--- a/internal/view/survey.go
+++ b/internal/view/survey.go
@@ -7,68 +7,61 @@
 	"time"
 )
 
-// survey is what the first named voter asks everybody, before it founds a group in the place of one that can never decide
-// again. docs/design-comeback.md says when that may be.
+// survey is the first named voter's survey of all members, before it founds a group in the place of one that can never decide
+// again. docs/design-comeback.md says when that is safe.
 type survey struct {
-	seq         uint64
-	requestedAt time.Duration // when the last of those asked so far was asked
-	requested   []string
-	remaining   []string // not asked so far
+	seq         uint64        // of the survey under way; 0: none is
+	requestedAt time.Duration // when the last request was sent
+	requested   []string      // names of those that were sent a request
+	remaining   []string      // names of those that were not so far
 	replies     map[string]Message
-	due         time.Duration
-	reported    string // the last line on what is missing
+	due         time.Duration // of the next survey
+	reported    string        // what is missing, as it was reported last
 }
 
-// In paces, but for surveyBatch.
+// The constants of a survey, in paces but for batchesPerPace and surveyBatch.
 const (
-	surveyDelay    = 20 // without a leader: elections are over by then, and so is the shortest lease but 12 paces
+	surveyDelay    = 20 // without a leader before a survey: elections are over by then, and of the shortest lease 12 paces are left
 	surveyInterval = 4  // between two surveys; up to twice as many
-	surveyTimeout  = 1  // for the answers
-	batchesPerPace = 4  // parts of a pace between two batches
-	surveyBatch    = 8  // who are asked at a time: all at once would answer at once
+	surveyTimeout  = 1  // for the replies to the last request
+	batchesPerPace = 4  // batches of requests in a pace
+	surveyBatch    = 8  // requests in a batch: all members at once would also reply at once
 )
 
-// surveys tells whether it is this process's part to survey.
+// isSurveyor reports whether this process is to survey the others: it is the first, by name, of the named voters.
 func (m *Machine) isSurveyor() bool {
 	return m.cfg.Refound && slices.Contains(m.cfg.Voters, m.cfg.Name) && slices.Min(m.cfg.Voters) == m.cfg.Name
 }
 
-// refound surveys, and founds where that is safe.
+// runSurvey surveys the members while the voters have no leader, and founds a new group if that is safe.
 func (m *Machine) runSurvey() {
 	s := &m.survey
-	led := m.leaderName() != "" || m.HoldsLease(m.now) || m.knownGroup().Era == 0
-	if led {
+	if m.leaderName() != "" || m.HoldsLease(m.now) || m.knownGroup().Era == 0 {
 		m.surveyLastLed = m.now
 		s.seq = 0
 		return
 	}
-	if m.now-m.surveyLastLed < surveyDelay*m.cfg.Pace {
-		return
-	}
-	if s.seq != 0 {
-		switch wait := surveyTimeout * m.cfg.Pace; {
-		case len(s.remaining) > 0 && m.votersReplied() && m.now-s.requestedAt >= m.cfg.Pace/batchesPerPace:
-			batch := s.remaining[:min(surveyBatch, len(s.remaining))]
-			s.remaining = s.remaining[len(batch):]
-			m.sendSurvey(batch)
-		case m.now-s.requestedAt >= wait:
-			m.finishSurvey()
-			s.seq = 0
-			s.due = m.now + surveyInterval*m.cfg.Pace + m.jitter(surveyInterval*m.cfg.Pace)
-		}
-		return
-	}
-	if s.due > m.now {
-		return
+	switch {
+	case m.now-m.surveyLastLed < surveyDelay*m.cfg.Pace:
+	case s.seq != 0:
+		m.continueSurvey()
+	case s.due <= m.now:
+		m.beginSurvey()
 	}
+}
+
+// beginSurvey surveys the named voters that are present. Without all of their replies the other members need not be asked.
+func (m *Machine) beginSurvey() {
+	s := &m.survey
 	m.seq++
-	s.seq, s.replies, s.requested, s.remaining = m.seq, map[string]Message{m.cfg.Name: m.surveyReply(m.seq)}, []string{m.cfg.Name}, nil
+	s.seq, s.requested, s.remaining = m.seq, []string{m.cfg.Name}, nil
+	s.replies = map[string]Message{m.cfg.Name: m.surveyReply(m.seq)}
 	var voters []string
 	for _, r := range m.cfg.Members() {
 		switch {
 		case r.Name == m.cfg.Name:
 		case slices.Contains(m.cfg.Voters, r.Name):
-			voters = append(voters, r.Name) // without all of these the others need not be asked
+			voters = append(voters, r.Name)
 		default:
 			s.remaining = append(s.remaining, r.Name)
 		}
@@ -76,6 +69,22 @@
 	m.sendSurvey(voters)
 }
 
+// continueSurvey surveys the next batch of members once the named voters have replied, and evaluates the replies in the end.
+func (m *Machine) continueSurvey() {
+	s := &m.survey
+	switch {
+	case len(s.remaining) > 0 && m.votersReplied() && m.now-s.requestedAt >= m.cfg.Pace/batchesPerPace:
+		batch := s.remaining[:min(surveyBatch, len(s.remaining))]
+		s.remaining = s.remaining[len(batch):]
+		m.sendSurvey(batch)
+	case m.now-s.requestedAt >= surveyTimeout*m.cfg.Pace:
+		m.finishSurvey()
+		s.seq = 0
+		s.due = m.now + surveyInterval*m.cfg.Pace + m.jitter(surveyInterval*m.cfg.Pace)
+	}
+}
+
+// sendSurvey surveys some members.
 func (m *Machine) sendSurvey(names []string) {
 	m.survey.requestedAt = m.now
 	m.survey.requested = append(m.survey.requested, names...)
@@ -84,18 +93,19 @@
 	}
 }
 
-// votersReplied tells whether all named voters have answered.
+// votersReplied reports whether all named voters have replied.
 func (m *Machine) votersReplied() bool {
 	return !slices.ContainsFunc(m.cfg.Voters, func(name string) bool { _, ok := m.survey.replies[name]; return !ok })
 }
 
+// knownGroup is the group of voters as far as this process knows.
 func (m *Machine) knownGroup() Group {
 	g, _ := m.VoterGroup()
 	return g
 }
 
-// surveyed is what this process answers: the group it knows, the identity under which it votes, 0 for none, and its last
-// view with its age.
+// surveyReply is this process's reply to a survey: the group it knows, the identity under which it votes, 0 for none, and its
+// last view with its age.
 func (m *Machine) surveyReply(seq uint64) Message {
 	group, leader := m.VoterGroup()
 	msg := Message{Kind: SurveyReply, Seq: seq, Group: group, Leader: leader, Stamp: m.Stamp(m.now)}
@@ -107,13 +117,13 @@
 		if m.voter != nil && m.voter.decided.View.ID.Compare(v.ID) > 0 {
 			v = m.voter.decided.View
 		}
-		v.Members = nil // which the surveyor has, or asks one for
+		v.Members = nil // the surveyor has them, or queries them
 		msg.View = &v
 	}
 	return msg
 }
 
-// finishSurvey looks whether the answers prove that no group of the latest era can decide again.
+// finishSurvey founds a new group if the replies prove that no group of the latest era can decide again.
 func (m *Machine) finishSurvey() {
 	era, last, missing := m.evaluateSurvey()
 	if missing != "" {
@@ -140,84 +150,115 @@
 	m.foundIfPromised()
 }
 
-// evaluateSurvey gives the latest era, the last known view, and what keeps a new group from being founded; empty: nothing.
+// evaluateSurvey returns the latest era, the last known view, and what keeps a new group from being founded; empty: nothing.
 func (m *Machine) evaluateSurvey() (era uint64, last View, missing string) {
+	if missing = m.missingReplies(); missing != "" {
+		return 0, View{}, missing
+	}
+	era, last, groups, missing := m.collectReplies()
+	if missing != "" {
+		return era, last, missing
+	}
+	if last.Members, missing = m.lastMembers(last); missing != "" {
+		return era, last, missing
+	}
+	if m.cfg.Mutate == RefoundBlind {
+		return era, last, ""
+	}
+	var absent []string
+	for _, member := range last.Members {
+		if _, ok := m.survey.replies[member.Name]; !ok {
+			absent = append(absent, member.Name)
+		}
+	}
+	for _, group := range groups {
+		if left := m.possibleVoters(group, era, absent); len(left) > len(group.Voters)/2 {
+			return era, last, fmt.Sprintf("%s may still be the majority of the voters", strings.Join(left, ", "))
+		}
+	}
+	return era, last, ""
+}
+
+// missingReplies says whose reply is missing; empty: nobody's.
+func (m *Machine) missingReplies() string {
 	s := &m.survey
 	for _, name := range m.cfg.Voters {
 		if _, ok := s.replies[name]; !ok {
-			return 0, last, "voter " + name + " has not answered"
+			return "voter " + name + " has not answered"
 		}
 	}
 	if len(s.remaining) > 0 {
-		return 0, last, "not all have been asked"
+		return "not all have been asked"
 	}
 	for _, name := range s.requested {
 		if _, ok := s.replies[name]; !ok {
-			return 0, last, name + " is there and has not answered"
+			return name + " is there and has not answered"
 		}
 	}
-	var groups []Group
-	for _, msg := range s.replies {
-		era = max(era, msg.Group.Era)
+	return ""
+}
+
+// collectReplies returns the latest era of the replies, the last view, without its members, and the groups of that era that
+// any reply names; or what in the replies keeps a new group from being founded.
+func (m *Machine) collectReplies() (era uint64, last View, groups []Group, missing string) {
+	s := &m.survey
+	for _, reply := range s.replies {
+		era = max(era, reply.Group.Era)
 	}
 	for _, name := range s.requested {
-		msg := s.replies[name]
-		if age := time.Duration(msg.Stamp.Age) * time.Microsecond; msg.Stamp.Age > 0 && age < Bound(m.cfg.Lease, m.cfg.Drift) {
-			return era, last, fmt.Sprintf("%s has a view that was the newest %v ago", name, age.Round(time.Millisecond))
-		}
-		if msg.View != nil && (msg.View.ID.Compare(last.ID) > 0 || last.ID == ID{}) {
-			last = *msg.View
-		}
-		if msg.Group.Era == era && !slices.ContainsFunc(groups, func(g Group) bool { return slices.Equal(g.Voters, msg.Group.Voters) }) {
-			groups = append(groups, msg.Group)
+		reply := s.replies[name]
+		if age := time.Duration(reply.Stamp.Age) * time.Microsecond; reply.Stamp.Age > 0 && age < Bound(m.cfg.Lease, m.cfg.Drift) {
+			return era, last, nil, fmt.Sprintf("%s has a view that was the newest %v ago", name, age.Round(time.Millisecond))
 		}
-		if msg.Voter != 0 && msg.Group.Era == era {
-			if _, known := msg.Group.voter(msg.Voter); !known {
-				return era, last, name + " votes in a group that nobody knows"
-			}
+		if reply.View != nil && (reply.View.ID.Compare(last.ID) > 0 || last.ID == ID{}) {
+			last = *reply.View
 		}
-	}
-	var away []string
-	switch last.ID {
-	case ID{}:
-	case m.latest():
-		last.Members = m.view.Members
-		if m.pending != nil {
-			last.Members = m.pending.Members
+		if reply.Group.Era != era {
+			continue
 		}
-	default:
-		if m.voter == nil || m.voter.decided.View.ID != last.ID {
-			for _, name := range s.requested {
-				if v := s.replies[name].View; v != nil && v.ID == last.ID {
-					m.query(name)
-					break
-				}
-			}
-			return era, last, "who belongs to view " + last.ID.String() + " is asked for"
+		if !slices.ContainsFunc(groups, func(g Group) bool { return slices.Equal(g.Voters, reply.Group.Voters) }) {
+			groups = append(groups, reply.Group)
 		}
-		last.Members = m.voter.decided.View.Members
-	}
-	for _, x := range last.Members {
-		if _, ok := s.replies[x.Name]; !ok {
-			away = append(away, x.Name)
+		if _, known := reply.Group.voter(reply.Voter); reply.Voter != 0 && !known {
+			return era, last, nil, name + " votes in a group that nobody knows"
 		}
 	}
-	if m.cfg.Mutate == RefoundBlind {
-		return era, last, ""
+	return era, last, groups, ""
+}
+
+// lastMembers returns the members of the last view. If this process does not know them, it queries them.
+func (m *Machine) lastMembers(last View) (members []Member, missing string) {
+	switch {
+	case last.ID == ID{}:
+		return last.Members, ""
+	case last.ID == m.latest() && m.pending != nil:
+		return m.pending.Members, ""
+	case last.ID == m.latest():
+		return m.view.Members, ""
+	case m.voter != nil && m.voter.decided.View.ID == last.ID:
+		return m.voter.decided.View.Members, ""
 	}
-	for _, g := range groups {
-		left := slices.Clone(away) // any of these may have been taken in as a voter since
-		for _, v := range g.Voters {
-			msg, answered := s.replies[v.Name]
-			if (answered && msg.Voter == v.ID && msg.Group.Era == era || !answered) && !slices.Contains(left, v.Name) {
-				left = append(left, v.Name)
-			}
+	for _, name := range m.survey.requested {
+		if v := m.survey.replies[name].View; v != nil && v.ID == last.ID {
+			m.query(name)
+			break
 		}
-		if len(left) > len(g.Voters)/2 {
-			return era, last, fmt.Sprintf("%s may still be the majority of the voters", strings.Join(left, ", "))
+	}
+	return nil, "who belongs to view " + last.ID.String() + " is asked for"
+}
+
+// possibleVoters returns the names of those that may still vote in a group: the absent members of the last view, any of which
+// may have become a voter since, and the voters that have kept their identity or did not reply.
+func (m *Machine) possibleVoters(group Group, era uint64, absent []string) []string {
+	left := slices.Clone(absent)
+	for _, voter := range group.Voters {
+		reply, replied := m.survey.replies[voter.Name]
+		keptIdentity := replied && reply.Voter == voter.ID && reply.Group.Era == era
+		if (keptIdentity || !replied) && !slices.Contains(left, voter.Name) {
+			left = append(left, voter.Name)
 		}
 	}
-	return era, last, ""
+	return left
 }
 
 // promiseAfterSurvey gives up what this process was as a voter, and promises to join the group that is founded.
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,8 +1,10 @@
-// Package view holds what the sidecars of a fleet agree on: numbered views of
-// who belongs, decided by a majority of a few voters (go.etcd.io/raft), and how
-// fresh the view is that a member holds. It is a state machine: Step(now,
-// event) -> actions, without I/O, clock or goroutine, and the same seed and
-// events give the same actions. docs/design-fleet.md says why it is so.
+// Package view is the agreement of a fleet's sidecars: numbered views of the membership, decided by a majority of a few voters
+// (Raft, go.etcd.io/raft), and each member's lease on its view. No member holds the lease on a view for longer than Bound
+// after the next one was decided. It is a state machine, Step(now, event) -> actions, without I/O, clock or goroutine, and
+// the same seed and events give the same actions.
+//
+// Who is present is the opinion of package member; this package makes an agreement of the leader's. docs/design-fleet.md
+// describes the design, docs/design-comeback.md when a lost group of voters may be replaced.
 package view
 
 import (
@@ -17,49 +19,50 @@
 	"fieldrelay/internal/member"
 )
 
-// ID numbers a view. Era is drawn when a group of voters is founded, as a rule higher than those before; Number counts
-// from there. Under one ID there is one view.
+// ID numbers a view. Era is chosen when a group of voters is founded, as a rule higher than the eras before; Number counts
+// the views of the era. There is one view of an ID.
 type ID struct {
 	Era    uint64 `cbor:"1,keyasint,omitempty"`
 	Number uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Compare orders views of one history.
+// Compare orders the numbers of views of one history.
 func (i ID) Compare(j ID) int {
 	return cmp.Or(cmp.Compare(i.Era, j.Era), cmp.Compare(i.Number, j.Number))
 }
 
+// String is the number as logs and operators see it: the era in hexadecimal, a dot, the number.
 func (i ID) String() string { return fmt.Sprintf("%x.%d", i.Era, i.Number) }
 
-// Member is one who belongs.
+// Member is a member of a view.
 type Member struct {
-	Name  string `cbor:"1,keyasint"`
-	Addr  string `cbor:"2,keyasint"`
-	Boot  uint64 `cbor:"3,keyasint"`
-	Inc   uint64 `cbor:"4,keyasint"` // as it was when the view was decided
-	Share uint32 `cbor:"5,keyasint"` // of what is divided, in millionths; the shares of all sum to no more than a million
+	Name        string `cbor:"1,keyasint"`
+	Addr        string `cbor:"2,keyasint"`
+	Boot        uint64 `cbor:"3,keyasint"`
+	Incarnation uint64 `cbor:"4,keyasint"` // the incarnation when the view was proposed
+	Share       uint32 `cbor:"5,keyasint"` // of what is divided among the members, in millionths; the shares sum to at most a million
 }
 
-// View is what was agreed. Members come by name.
+// View is a view of the membership that was agreed on.
 type View struct {
 	ID      ID       `cbor:"1,keyasint"`
-	Members []Member `cbor:"2,keyasint"`
-	Rules   Rules    `cbor:"3,keyasint,omitzero"` // that hold with it
+	Members []Member `cbor:"2,keyasint"`          // by name
+	Rules   Rules    `cbor:"3,keyasint,omitzero"` // in force with the view
 }
 
-// Rules names the edition of rules that holds with a view: who goes by the view goes by that edition.
+// Rules names the edition of rules that is in force with a view.
 type Rules struct {
 	Number uint64 `cbor:"1,keyasint,omitempty"` // 0: none
-	Digest string `cbor:"2,keyasint,omitempty"` // of the content, in hexadecimal digits
+	Digest string `cbor:"2,keyasint,omitempty"` // of the content, hexadecimal
 }
 
-// maxDigestBytes bounds a digest, in bytes.
+// maxDigestBytes is the length limit of a digest.
 const maxDigestBytes = 64
 
-// whole is what the shares of a view sum to at the most.
+// wholeShare is what the shares of a view sum to at most.
 const wholeShare = 1_000_000
 
-// Find gives the member of a name.
+// Find returns the member of a name, and whether there is one.
 func (v *View) Find(name string) (Member, bool) {
 	at, ok := slices.BinarySearchFunc(v.Members, name, func(m Member, name string) int { return cmp.Compare(m.Name, name) })
 	if !ok {
@@ -68,38 +71,38 @@
 	return v.Members[at], true
 }
 
-// Sum is a number that differs where the contents do.
+// Sum is a hash of the content.
 func (v *View) Sum() uint64 {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // it holds numbers and text
+		panic(err) // never: it has numbers and text
 	}
 	return xxhash.Sum64(b)
 }
 
-// Event is what happens to the machine.
+// Event is an input of the machine.
 type Event interface{ event() }
 
 // The events.
 type (
-	// Tick is that time has passed.
+	// Tick reports that time has passed.
 	Tick struct{}
 	// Received is a message of another member.
 	Received struct {
 		From    member.Record
 		Message Message
 	}
-	// Stamped is a stamp that came with the answer to a question that was asked at Asked.
+	// Stamped is a stamp that came with the answer to a request that was sent at RequestedAt.
 	Stamped struct {
 		From        member.Record
 		Stamp       Stamp
 		RequestedAt time.Duration
 	}
-	// Recover is the operator's word that the majority of the voters is lost for good: this process founds a group of its
-	// own with what it knows.
+	// Recover is the operator's decision that the majority of the voters is lost for good: this process founds a group of
+	// its own with what it knows.
 	Recover struct{}
-	// ProposeRules is that this process, where it leads, is to propose an edition of rules with the next view. It says so again
-	// until the view has them.
+	// ProposeRules has this process, if it leads, propose an edition of rules with the next view. The caller repeats it until
+	// a view has them.
 	ProposeRules struct{ Rules Rules }
 )
 
@@ -109,23 +112,23 @@
 func (Stamped) event()      {}
 func (Recover) event()      {}
 
-// Action is what the machine wants done.
+// Action is an output of the machine, for its caller to carry out in order.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Send is a message for a member, by name.
+	// Send sends a message to a member, by name.
 	Send struct {
 		To      string
 		Message Message
 	}
-	// Save is state that has to be kept, and synced, before any action after it is done.
+	// Save stores a change of the voter's state. It must be on disk, synced, before a later action is carried out.
 	Save struct{ Change Change }
-	// Decided is that this voter learns of a new view from the engine.
+	// Decided reports a new view that the voters have decided, at a voter.
 	Decided struct{ View View }
-	// Adopted is that this member now goes by a view.
+	// Adopted reports the view that is in force at this member from now on.
 	Adopted struct{ View View }
-	// Notice is a line for the operator. Loud: something has to be done about it.
+	// Notice is a line for the operator. Alert is set if something has to be done about it.
 	Notice struct {
 		Text  string
 		Alert bool
@@ -142,46 +145,46 @@
 type Config struct {
 	Name   string
 	Boot   uint64
-	Voters []string // the names of those who found the group, 1, 3 or 5
-	Pace   time.Duration
+	Voters []string      // names of the voters that found the group: 1, 3 or 5
+	Pace   time.Duration // unit of the protocol's timeouts and intervals, see member.Config
 	Lease  time.Duration
 	Drift  float64 // by how much clocks may run faster or slower than one another
 	Seed   uint64
-	Stored *StoredState // what was kept of an earlier process of this voter; nil: nothing
-	// Members are those present by this process's opinion, itself among them, by name.
+	Stored *StoredState // state that an earlier process of this voter stored; nil: none
+	// Members returns those present by this process's opinion, including itself, by name.
 	Members func() []member.Record
-	// Member is the opinion on one other.
+	// Member returns the opinion on another process, and whether it is known.
 	Member func(name string) (member.Record, bool)
-	// Refound has the named voters found a new group by themselves where a survey proves that no old one can decide again.
+	// Refound has the named voters found a new group by themselves once a survey proves that no earlier one can decide again.
 	Refound bool
-	Mutate  Mutation // of tests alone
+	Mutate  Mutation // set by tests only
 }
 
-// Mutation is a fault put in on purpose.
+// Mutation is a fault that a test injects.
 type Mutation uint8
 
 // The mutations.
 const (
 	NoMutation      Mutation = iota
-	WithoutMajority          // a voter that hears no leader decides alone
-	PushedAge                // an age counts from when it was heard, not from when it was asked for
-	RefoundBlind             // a new group is founded whoever may be left of the old one
+	WithoutMajority          // a voter without a leader decides alone
+	PushedAge                // an age counts from when it was received, not from when it was requested
+	RefoundBlind             // a new group is founded whatever may be left of the old one
 )
 
-// Times in paces, unless said otherwise.
+// The constants of the agreement: times are in paces unless said otherwise.
 const (
-	tickInterval     = 1  // of the engine
-	readInterval     = 2  // the leader asks the majority whether it still leads
-	heartbeatTicks   = 4  // ticks
-	electionTicks    = 8  // ticks without the leader until the first may stand; up to twice as many
-	queryInterval    = 2  // of a voter without a group, and of a member whose view is old
-	proposalDelay    = 1  // an opinion has to differ for so long before a view is proposed
-	proposalTimeout  = 8  // until a proposal that came to nothing is made again
-	absenceTimeout   = 60 // until a voter that stays away is replaced
-	leaderlessAlert  = 40 // until the lack of a leader is told loudly
-	foundingInterval = 8  // between two tries to found
-	maxLogEntries    = 64 // entries kept behind the last snapshot
-	maxRaftMessage   = 128 << 10
-	maxInflight      = 64
-	maxUncommitted   = 1 << 20 // bytes
+	tickInterval     = 1         // of the engine's ticks
+	heartbeatTicks   = 4         // ticks between two heartbeats of the leader
+	electionTicks    = 8         // ticks without a leader until a voter campaigns; with jitter up to twice as many
+	readInterval     = 2         // after which the leader confirms again with a majority that it leads
+	queryInterval    = 2         // of a voter without a group, and of a member whose lease is about to end
+	proposalDelay    = 1         // for so long the leader's opinion has to differ before it proposes a view
+	proposalTimeout  = 8         // after which a proposal that was not decided is made again
+	absenceTimeout   = 60        // after which an absent voter is replaced
+	leaderlessAlert  = 40        // after which the lack of a leader is reported to the operator
+	foundingInterval = 8         // between two attempts to found a group
+	maxLogEntries    = 64        // entries kept after the last snapshot
+	maxRaftMessage   = 128 << 10 // bytes of an append
+	maxInflight      = 64        // unanswered appends to a voter
+	maxUncommitted   = 1 << 20   // bytes of pending proposals
 )
--- a/internal/view/votecounts_test.go
+++ b/internal/view/votecounts_test.go
@@ -6,8 +6,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// One that was started anew is told the group with its earlier identity first, then the change that takes it in while
-// those of the old group still have to be heard. Only after that may another voter be lost.
+// A restarted voter first receives the group with its earlier identity, then the change that takes it in, by joint consensus
+// with the old group. Only after that may another voter be lost.
 func TestAVoteCountsOnceTheOldGroupIsLeft(t *testing.T) {
 	const own, earlier, other = 11, 7, 3
 	for name, c := range map[string]struct {
--- a/internal/view/voter.go
+++ b/internal/view/voter.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// voter is the part of a machine that votes: the engine, and what it has decided.
+// voter is the part of a machine that votes: the Raft engine, and what the voters have decided.
 type voter struct {
 	id            uint64
 	node          *raft.RawNode
@@ -23,40 +23,41 @@
 	snapshotIndex uint64 // index of the last snapshot
 
 	tickDue          time.Duration
-	readDue          time.Duration
-	leadConfirmedAt  time.Duration // the last time at which this voter surely led; -1: never
-	campaignDue      time.Duration // without a word of a leader until then, this voter stands
-	quietUntil       time.Duration // nothing is confirmed before: leases of an earlier group may run
+	campaignDue      time.Duration // without a message of a leader until then, this voter campaigns
+	readDue          time.Duration // of the next read index request
 	pendingReads     map[uint64]time.Duration
-	readStates       []raft.ReadState // confirmed by the majority; the log is not applied so far
-	differsSince     time.Duration    // since when the leader's opinion is not the view; -1: it is
-	proposedAt       time.Duration    // when the last proposal was made; -1: none is open
-	proposalNonce    uint64           // its nonce
-	wantedRules      Rules            // to be proposed with the next view, if they are later than the present ones
-	changeProposedAt time.Duration    // when the last change of voters was proposed; -1: none
+	readStates       []raft.ReadState // confirmed by the majority; the log may not be applied so far
+	leadConfirmedAt  time.Duration    // the last time at which this voter surely led; -1: never
+	quietUntil       time.Duration    // nothing is confirmed before: leases of an earlier group may last
+	differsSince     time.Duration    // since when the leader's opinion differs from the view; -1: it does not
+	proposedAt       time.Duration    // when the pending view was proposed; -1: none is pending
+	proposalNonce    uint64           // of the pending view
+	wantedRules      Rules            // to propose with the next view, if they are newer than those in force
+	changeProposedAt time.Duration    // when the pending change of voters was proposed; -1: none is pending
 	candidates       map[string]candidate
-	absentSince      map[uint64]time.Duration // voters that stay away, since when
-	senders          map[uint64]string        // names of those who have sent something: a new voter knows no group so far
-	replaced         bool                     // it has been replaced
+	absentSince      map[uint64]time.Duration // since when absent voters have been so, by identity
+	senders          map[uint64]string        // names of those that sent Raft messages: a new voter knows no group so far
+	replaced         bool                     // the group has left this voter behind
 }
 
-// silent has the engine log nothing: it would write where the program's own log goes. What matters is told as a Notice.
+// quietLogger keeps the engine from logging to where the program's own log goes. What matters is reported as a Notice.
 type quietLogger struct{ *raft.DefaultLogger }
 
-// engine starts the engine on a store.
+// startEngine starts the engine on a store, as a voter of the group of an era.
 func (m *Machine) startEngine(store *raft.MemoryStorage, d decidedState, era uint64) error {
 	snapshot, err := store.Snapshot()
 	if err != nil {
 		return err
 	}
-	v := &voter{id: m.identity, store: store, decided: d, confState: snapshot.GetMetadata().GetConfState(), appliedIndex: snapshot.GetMetadata().GetIndex(),
-		tickDue: m.now + m.jitter(tickInterval*m.cfg.Pace), readDue: m.now, leadConfirmedAt: -1, pendingReads: map[uint64]time.Duration{}, differsSince: -1, proposedAt: -1, changeProposedAt: -1,
-		candidates: map[string]candidate{}, absentSince: map[uint64]time.Duration{}, senders: map[uint64]string{}}
+	last := snapshot.GetMetadata()
+	v := &voter{id: m.identity, store: store, decided: d, confState: last.GetConfState(), appliedIndex: last.GetIndex(), snapshotIndex: last.GetIndex(),
+		tickDue: m.now + m.jitter(tickInterval*m.cfg.Pace), readDue: m.now, leadConfirmedAt: -1, differsSince: -1, proposedAt: -1, changeProposedAt: -1,
+		pendingReads: make(map[uint64]time.Duration), candidates: make(map[string]candidate), absentSince: make(map[uint64]time.Duration),
+		senders: make(map[uint64]string)}
 	v.decided.Group.Era = era
-	if m.cfg.Stored == nil { // leases of a group before this one may still run, and this process would not know
+	if m.cfg.Stored == nil { // leases of an earlier group may last, and this process would not know
 		v.quietUntil = m.now + Bound(m.cfg.Lease, m.cfg.Drift)
 	}
-	v.snapshotIndex = v.appliedIndex
 	quiet := quietLogger{&raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}
 	v.node, err = raft.NewRawNode(&raft.Config{ID: v.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: store, Applied: v.appliedIndex,
 		MaxSizePerMsg: maxRaftMessage, MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: maxUncommitted, CheckQuorum: true, PreVote: true, Logger: quiet})
@@ -69,11 +70,12 @@
 	return nil
 }
 
-// resetElectionTimer puts off standing for leader. The engine would draw that time itself, from a source that is not seeded.
+// resetElectionTimer postpones the next campaign. The engine would draw its time itself, but from a source that is not seeded.
 func (m *Machine) resetElectionTimer() {
 	m.voter.campaignDue = m.now + electionTicks*tickInterval*m.cfg.Pace + m.jitter(electionTicks*tickInterval*m.cfg.Pace)
 }
 
+// leaderName is the name of the voters' leader, as far as this voter knows; empty if it knows none or does not vote.
 func (m *Machine) leaderName() string {
 	if m.voter == nil {
 		return ""
@@ -86,29 +88,30 @@
 
 func (v *voter) leads() bool { return v.node.BasicStatus().RaftState == raft.StateLeader }
 
+// runVoterTimers ticks the engine, and does what a leader does.
 func (m *Machine) runVoterTimers() {
 	v := m.voter
 	if v.tickDue > m.now {
 		return
 	}
 	if m.now-v.tickDue > electionTicks*m.cfg.Pace {
-		m.resetElectionTimer() // the process was held up: the leader's word may lie unread
+		m.resetElectionTimer() // this process was stalled: messages of the leader may be unread
 	}
 	v.tickDue = m.now + tickInterval*m.cfg.Pace
 	if v.leads() {
 		v.node.Tick()
 	} else {
 		v.node.TickQuiesced()
-		_, mine := v.decided.Group.voter(v.id)
-		if v.campaignDue <= m.now && (mine || v.appliedIndex > 0) {
+		_, included := v.decided.Group.voter(v.id)
+		if v.campaignDue <= m.now && (included || v.appliedIndex > 0) {
 			m.resetElectionTimer()
-			_ = v.node.Campaign() // one that may not stand now stands later
+			_ = v.node.Campaign() // a voter that may not campaign now does so later
 		}
 	}
 	if m.voter.leads() {
 		m.runLeader()
 	} else {
-		v.wantedRules = Rules{} // the next one that leads asks all anew
+		v.wantedRules = Rules{} // the next leader is requested anew
 	}
 	m.processReady()
 	if v = m.voter; v == nil {
@@ -122,7 +125,7 @@
 	}
 }
 
-// lead is what the leader does at each tick.
+// runLeader does what the leader does at each tick: it confirms with a majority that it leads, and proposes.
 func (m *Machine) runLeader() {
 	v := m.voter
 	if v.readDue <= m.now && v.quietUntil <= m.now {
@@ -137,13 +140,20 @@
 		v.node.ReadIndex(binary.BigEndian.AppendUint64(nil, m.seq))
 	}
 	if v.appliedIndex < v.node.BasicStatus().GetCommit() {
-		return // it may not know its own views yet
+		return // it may not know the latest view yet
 	}
 	m.proposeView()
 	m.proposeVoters()
 }
 
-// next is the view that this process's opinion asks for.
+// wantRules has this process, if it leads, propose an edition of rules with the next view.
+func (m *Machine) wantRules(rules Rules) {
+	if v := m.voter; v != nil && v.leads() && len(rules.Digest) <= maxDigestBytes && rules.Number > v.decided.View.Rules.Number {
+		v.wantedRules = rules
+	}
+}
+
+// nextView is the view that this process would have next, by its opinion on who is present.
 func (m *Machine) nextView() View {
 	present := m.cfg.Members()
 	next := View{ID: ID{Era: m.voter.decided.Group.Era, Number: m.voter.decided.View.ID.Number + 1}, Rules: m.voter.decided.View.Rules}
@@ -151,11 +161,12 @@
 		next.Rules = m.voter.wantedRules
 	}
 	for _, r := range present {
-		next.Members = append(next.Members, Member{Name: r.Name, Addr: r.Addr, Boot: r.Boot, Inc: r.Incarnation, Share: uint32(wholeShare / len(present))})
+		next.Members = append(next.Members, Member{Name: r.Name, Addr: r.Addr, Boot: r.Boot, Incarnation: r.Incarnation, Share: uint32(wholeShare / len(present))})
 	}
 	return next
 }
 
+// proposeView proposes the next view once this process's opinion has differed from the present one for a while.
 func (m *Machine) proposeView() {
 	v := m.voter
 	next := m.nextView()
@@ -178,7 +189,7 @@
 	}
 }
 
-// receiveRaft passes a message to the engine.
+// receiveRaft passes a Raft message to the engine, if it is of this voter's group.
 func (m *Machine) receiveRaft(from string, msg Message) {
 	var em raftpb.Message
 	if proto.Unmarshal(msg.Raft, &em) != nil {
@@ -211,7 +222,7 @@
 	m.processReady()
 }
 
-// confirm counts what the majority has confirmed, once the log is applied that far.
+// confirmReads extends the lease by the read requests that a majority has confirmed, once the log is applied that far.
 func (m *Machine) confirmReads() {
 	v := m.voter
 	v.readStates = slices.DeleteFunc(v.readStates, func(r raft.ReadState) bool {
@@ -231,7 +242,7 @@
 	})
 }
 
-// forget gives the vote up, with the identity.
+// giveUpVote gives up the vote and the identity. A named voter draws a new one.
 func (m *Machine) giveUpVote() {
 	m.voter, m.identity, m.cfg.Stored = nil, 0, nil
 	m.out = append(m.out, Save{Change{Forget: true}})
@@ -240,7 +251,7 @@
 	}
 }
 
-// replaced is that another voter has this one's place.
+// leaveGroup ends a vote that another voter has taken over.
 func (m *Machine) leaveGroup() {
 	group := m.voter.decided.Group
 	m.notice(false, "another voter has taken this one's place")
@@ -248,8 +259,8 @@
 	m.group = group
 }
 
-// guard runs what calls the engine, which panics where its state contradicts a message. A sidecar goes on without a
-// vote then; its identity is gone with the state.
+// guard runs what calls the engine, which panics if its state contradicts a message. The sidecar then goes on without a vote;
+// the identity is given up with the state, so that nothing that was promised under it is broken.
 func (m *Machine) guard(do func()) {
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -260,8 +271,17 @@
 	do()
 }
 
+// drawIdentity draws an identity to vote under, if there is none.
 func (m *Machine) drawIdentity() {
 	for m.identity == 0 {
 		m.identity = m.rng.Uint64()
 	}
 }
+
+// decodeSeq reads the number that a read request of the engine carries; 0 is none.
+func decodeSeq(b []byte) uint64 {
+	if len(b) != 8 {
+		return 0
+	}
+	return binary.BigEndian.Uint64(b)
+}
