--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -21,9 +21,9 @@
 	const name = "fieldrelay-golden.kept"
 	golden := filepath.Join("testdata", name)
 	names := []string{"node-1", "node-ä"}
-	words := []verdict.Word{
-		{Node: "node-1", Count: 3, By: "other", Suspended: true, Since: 1500 * time.Millisecond},
-		{Node: "node-2", Count: 1, By: "me"},
+	words := []verdict.Statement{
+		{Node: "node-1", Version: 3, Author: "other", Suspended: true, Since: 1500 * time.Millisecond},
+		{Node: "node-2", Version: 1, Author: "me"},
 	}
 	if *update {
 		folder := t.TempDir()
@@ -43,7 +43,7 @@
 	var readNames []string
 	require.NoError(t, kept.read("suspended", &readNames))
 	require.Equal(t, names, readNames)
-	var readWords []verdict.Word
+	var readWords []verdict.Statement
 	require.NoError(t, kept.read("words", &readWords))
 	require.Equal(t, words, readWords)
 }
--- a/internal/daemon/told.go
+++ b/internal/daemon/told.go
@@ -27,8 +27,8 @@
 }
 
 // read is what the process before this one kept; it takes effect.
-func (t *told) read() []verdict.Word {
-	var words []verdict.Word
+func (t *told) read() []verdict.Statement {
+	var words []verdict.Statement
 	if err := t.kept.read(keyWords, &words); err != nil {
 		t.log.Warn().Err(err).Msg("what the fleet said of execute nodes before not taken")
 		return nil
@@ -40,14 +40,14 @@
 }
 
 // changed takes over what the fleet says now, and keeps it.
-func (t *told) changed(all []verdict.Word) {
+func (t *told) changed(all []verdict.Statement) {
 	t.apply(all)
 	if err := t.kept.write(keyWords, all); err != nil {
 		t.log.Error().Err(err).Msg("what the fleet says of execute nodes not kept for the next process")
 	}
 }
 
-func (t *told) apply(all []verdict.Word) {
+func (t *told) apply(all []verdict.Statement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var next []string
@@ -75,7 +75,7 @@
 }
 
 // drains passes on what is new of execute nodes that drain.
-func (t *told) drains(news []verdict.Word) {
+func (t *told) drains(news []verdict.Statement) {
 	for _, w := range news {
 		t.core.Drains(w.Node, w.Since, w.Suspended)
 	}
--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -96,13 +96,13 @@
 	// Notice is a line for the operator.
 	Notice struct{ view.Notice }
 	// WordsChanged is all that is now known of execute nodes.
-	WordsChanged struct{ All []verdict.Word }
+	WordsChanged struct{ All []verdict.Statement }
 	// Avoid is the execute nodes that this member sends nothing new to from now on, by the fleet's verdict.
 	Avoid struct{ verdict.Avoid }
 	// VerdictLine is a line on a verdict.
-	VerdictLine struct{ verdict.Line }
+	VerdictLine struct{ verdict.LogEntry }
 	// DrainsChanged is what is new of execute nodes that drain.
-	DrainsChanged struct{ News []verdict.Word }
+	DrainsChanged struct{ News []verdict.Statement }
 	// PartsChanged is that this member's parts of the limits may have changed.
 	PartsChanged struct{}
 	// RulesForced is that this member goes by an edition from now on, whole.
@@ -139,8 +139,8 @@
 	Limits []quota.Limit
 	// Demand tells what this member could use of a limit, and what it has in use. It is called in Step.
 	Demand func(limit string, now time.Duration) (demand, used quota.Unit)
-	Mutate quota.Mutation // of tests alone
-	Words  []verdict.Word // kept from before
+	Mutate quota.Mutation      // of tests alone
+	Words  []verdict.Statement // kept from before
 	// Seen is what this member knows of execute nodes; nil: no verdicts are made. Its methods are called in Step.
 	Seen          Seen
 	VerdictPct    int              // of the listed nodes, and of each zone's, that may be under verdict
@@ -188,8 +188,8 @@
 	wordsDue time.Duration // of the next exchange of all words
 	holder   *quota.Holder
 	grants   *quota.Granter
-	judge    *verdict.Judge // nil: no verdicts are made
-	skew     *skew.Machine  // nil: no rules
+	judge    *verdict.Evaluator // nil: no verdicts are made
+	skew     *skew.Machine      // nil: no rules
 	mode     Mode
 	back     time.Duration // when the lease that is held again is shown; 0: none is waited for
 	out      []Action
@@ -203,9 +203,9 @@
 	c.holder = quota.NewHolder(times, uint64(c.rng.Uint32()), now+c.jitter(), cfg.Mutate)
 	c.grants = quota.NewGranter(times, cfg.Mutate)
 	c.words.Merge(cfg.Words)
-	c.drains.Rolls = true
+	c.drains.EvictsOldest = true
 	if cfg.Seen != nil {
-		c.judge = verdict.NewJudge(verdict.Config{Name: cfg.Member.Name, Zone: cfg.Member.Zone, Boot: cfg.Member.Boot, Pace: cfg.Member.Pace,
+		c.judge = verdict.NewEvaluator(verdict.Config{Name: cfg.Member.Name, Zone: cfg.Member.Zone, Boot: cfg.Member.Boot, Pace: cfg.Member.Pace,
 			MostPct: cfg.VerdictPct, Mutate: cfg.MutateVerdict}, now+c.jitter())
 	}
 	c.holder.Set(cfg.Limits)
@@ -264,12 +264,12 @@
 	case Recover:
 		c.agree(view.Recover{})
 	case Say:
-		if w, err := c.words.Say(e.Node, c.cfg.Member.Name, e.Suspended); err == nil {
-			c.pass([]verdict.Word{w})
+		if w, err := c.words.Declare(e.Node, c.cfg.Member.Name, e.Suspended); err == nil {
+			c.pass([]verdict.Statement{w})
 		}
 	case Drains:
-		if w, isNew := c.drains.SayDrains(e.Node, c.cfg.Member.Name, e.Since, e.Drains); isNew && c.judge != nil {
-			c.passDrains([]verdict.Word{w})
+		if w, isNew := c.drains.DeclareDraining(e.Node, c.cfg.Member.Name, e.Since, e.Drains); isNew && c.judge != nil {
+			c.passDrains([]verdict.Statement{w})
 		}
 	case Limits:
 		c.holder.Set(e.Limits)
@@ -286,7 +286,7 @@
 		c.rule(skew.Tick{})
 		c.limit()
 		if c.judge != nil && c.judge.Next() <= c.now {
-			c.judged(verdict.Look{Evidence: c.cfg.Seen.Evidence(c.now), Peers: c.observers(), Nodes: c.cfg.Seen.Listed()})
+			c.judged(verdict.Evaluate{Evidence: c.cfg.Seen.Evidence(c.now), Peers: c.observers(), Nodes: c.cfg.Seen.Listed()})
 		}
 	}
 	c.setMode()
@@ -294,7 +294,7 @@
 }
 
 // Judge knows the verdicts on execute nodes; nil: none are made.
-func (c *Core) Judge() *verdict.Judge { return c.judge }
+func (c *Core) Judge() *verdict.Evaluator { return c.judge }
 
 // observers are this member, those that are there, and those of the view that this member went by last: who is cut off with
 // few takes those for no majority.
@@ -313,13 +313,13 @@
 func (c *Core) judged(e verdict.Event) {
 	for _, a := range c.judge.Step(c.now, e) {
 		switch a := a.(type) {
-		case verdict.Tell:
+		case verdict.Send:
 			c.spread(peer.Frame{Opinions: a.Opinions})
 		case verdict.Avoid:
 			c.out = append(c.out, Avoid{a})
 		case verdict.Forget:
 			c.cfg.Seen.Forget(a.Node)
-		case verdict.Line:
+		case verdict.LogEntry:
 			c.out = append(c.out, VerdictLine{a})
 		}
 	}
@@ -368,12 +368,12 @@
 func (c *Core) Words() *verdict.Table { return &c.words }
 
 // pass tells what is new to some others at once; each passes it on once, so all know within a few steps.
-func (c *Core) pass(news []verdict.Word) {
+func (c *Core) pass(news []verdict.Statement) {
 	c.out = append(c.out, WordsChanged{c.words.All()})
 	c.spread(peer.Frame{Words: news})
 }
 
-func (c *Core) passDrains(news []verdict.Word) {
+func (c *Core) passDrains(news []verdict.Statement) {
 	c.out = append(c.out, DrainsChanged{news})
 	c.spread(peer.Frame{Drains: news})
 }
@@ -431,7 +431,7 @@
 		}
 	}
 	if len(f.Opinions) > 0 && c.judge != nil {
-		c.judged(verdict.Heard{Opinions: f.Opinions})
+		c.judged(verdict.Received{Opinions: f.Opinions})
 	}
 	if f.Report != nil {
 		if g, ok := c.grants.Reported(c.now, quota.Who{Name: f.From.Name, Boot: f.From.Boot}, *f.Report); ok {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -52,9 +52,9 @@
 	keeper   *keeper
 	origin   time.Time
 	wake     *time.Timer
-	changed  func(all []verdict.Word)
+	changed  func(all []verdict.Statement)
 	avoid    func(nodes []string)
-	drains   func(news []verdict.Word)
+	drains   func(news []verdict.Statement)
 	allot    func(tenant string, rate float64)
 	ruled    ruled
 	strange  map[string]bool // senders refused, which are told in one line each
@@ -198,7 +198,7 @@
 			f.avoided.Store(int64(len(a.Nodes)))
 			f.avoid(a.Nodes)
 		case VerdictLine:
-			f.log.Info().Str("node", a.Node).Str("verdict", a.What).Strs("observers", a.Observers).Dur("for", a.For).Msg("verdict")
+			f.log.Info().Str("node", a.Node).Str("verdict", a.Event).Strs("observers", a.Observers).Dur("for", a.Term).Msg("verdict")
 		case PartsChanged:
 			f.limits.tell(f.core.Holder())
 		case RulesForced:
--- a/internal/fleet/options/options.go
+++ b/internal/fleet/options/options.go
@@ -15,10 +15,10 @@
 	Settings settings.Settings
 	Quotas   quota.All
 	Rules    rules.Settings
-	Name     string         // the sidecar's, for settings that give none
-	Words    []verdict.Word // on execute nodes, kept from before
+	Name     string              // the sidecar's, for settings that give none
+	Words    []verdict.Statement // on execute nodes, kept from before
 	// Changed is told all words on execute nodes when they change, on the actor's goroutine. It must not block.
-	Changed func(all []verdict.Word)
+	Changed func(all []verdict.Statement)
 	Zone    string // where this sidecar stands
 	// Avoid is told the execute nodes that get nothing new from here by verdict of the fleet, likewise.
 	Avoid   func(nodes []string)
@@ -26,5 +26,5 @@
 	// Allot is told what of a tenant's allowance is this member's, in requests a second, likewise.
 	Allot func(tenant string, rate float64)
 	// Drains is told what is new of execute nodes that drain by the word of a member, likewise.
-	Drains func(news []verdict.Word)
+	Drains func(news []verdict.Statement)
 }
--- a/internal/fleetsim/digest_test.go
+++ b/internal/fleetsim/digest_test.go
@@ -176,7 +176,7 @@
 	case fleet.Avoid:
 		begin("avoid").Bytes(encoded(t, action.Nodes))
 	case fleet.VerdictLine:
-		begin("verdict").Text(action.Node).Bytes(encoded(t, action.Observers)).Time(action.For)
+		begin("verdict").Text(action.Node).Bytes(encoded(t, action.Observers)).Time(action.Term)
 	case fleet.PartsChanged:
 		begin("parts")
 	case fleet.RulesForced:
--- a/internal/fleetsim/verdict_test.go
+++ b/internal/fleetsim/verdict_test.go
@@ -114,7 +114,7 @@
 }{
 	{"one in five lies: every node is bad", 10, func(s *Station, _ time.Duration) {
 		s.Sees = func(m, n int, failed bool) bool { return failed || m%5 == 0 && n%2 == 0 }
-	}, nil, []verdict.Mutation{verdict.OneVoice}},
+	}, nil, []verdict.Mutation{verdict.SingleVote}},
 	{"a node that one zone cannot reach", 9, func(s *Station, from time.Duration) {
 		s.Outcome = func(m, n int, at time.Duration) (bool, time.Duration) {
 			return m%3 == 0 && n == 4 && at > from, 20 * time.Millisecond
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -32,22 +32,22 @@
 
 // Frame is what passes between two sidecars. Fields that a reader does not know are passed over.
 type Frame struct {
-	Version uint8           `cbor:"1,keyasint"`            // the highest that the sender speaks
-	Least   uint8           `cbor:"2,keyasint"`            // the lowest that it reads
-	Fleet   string          `cbor:"3,keyasint"`            // of another fleet nothing is taken
-	From    member.Record   `cbor:"4,keyasint"`            // the sender, by its own word
-	Member  *member.Message `cbor:"5,keyasint,omitempty"`  // of the failure detector
-	View    *view.Message   `cbor:"6,keyasint,omitempty"`  // of the agreement
-	Stamp   *view.Stamp     `cbor:"7,keyasint,omitempty"`  // with an Ack: the sender's view
-	Report  *quota.Report   `cbor:"8,keyasint,omitempty"`  // of a holder of parts of limits
-	Grant   *quota.Grant    `cbor:"9,keyasint,omitempty"`  // to it
-	Words   []verdict.Word  `cbor:"10,keyasint,omitempty"` // on execute nodes
-	Sum     uint64          `cbor:"11,keyasint,omitempty"` // with a Ping and an Ack: the digest of the sender's words
+	Version uint8               `cbor:"1,keyasint"`            // the highest that the sender speaks
+	Least   uint8               `cbor:"2,keyasint"`            // the lowest that it reads
+	Fleet   string              `cbor:"3,keyasint"`            // of another fleet nothing is taken
+	From    member.Record       `cbor:"4,keyasint"`            // the sender, by its own word
+	Member  *member.Message     `cbor:"5,keyasint,omitempty"`  // of the failure detector
+	View    *view.Message       `cbor:"6,keyasint,omitempty"`  // of the agreement
+	Stamp   *view.Stamp         `cbor:"7,keyasint,omitempty"`  // with an Ack: the sender's view
+	Report  *quota.Report       `cbor:"8,keyasint,omitempty"`  // of a holder of parts of limits
+	Grant   *quota.Grant        `cbor:"9,keyasint,omitempty"`  // to it
+	Words   []verdict.Statement `cbor:"10,keyasint,omitempty"` // on execute nodes
+	Sum     uint64              `cbor:"11,keyasint,omitempty"` // with a Ping and an Ack: the digest of the sender's words
 	// Opinions are what members think of execute nodes.
 	Opinions []verdict.Opinion `cbor:"12,keyasint,omitempty"`
 	// Drains are words on execute nodes that drain.
-	Drains []verdict.Word `cbor:"13,keyasint,omitempty"`
-	Rules  *skew.Message  `cbor:"14,keyasint,omitempty"` // of the checker of rules
+	Drains []verdict.Statement `cbor:"13,keyasint,omitempty"`
+	Rules  *skew.Message       `cbor:"14,keyasint,omitempty"` // of the checker of rules
 }
 
 // What keeps a frame from being taken.
--- a/internal/verdict/judge.go
+++ b/internal/verdict/judge.go
@@ -12,42 +12,42 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Judgement is what one observer says of one node.
-type Judgement struct {
+// Rating is what one observer says of one node.
+type Rating struct {
 	Node string `cbor:"1,keyasint"`
 	Bad  bool   `cbor:"2,keyasint,omitempty"`
 }
 
 // Opinion is what one observer says. A later one of it replaces it whole.
 type Opinion struct {
-	By     string        `cbor:"1,keyasint"`
-	Boot   uint64        `cbor:"2,keyasint"`
-	Seq    uint64        `cbor:"3,keyasint"`
-	Age    time.Duration `cbor:"4,keyasint,omitempty"` // since it was made, without the time on links
-	Judged []Judgement   `cbor:"5,keyasint,omitempty"`
+	Author  string        `cbor:"1,keyasint"`
+	Boot    uint64        `cbor:"2,keyasint"`
+	Seq     uint64        `cbor:"3,keyasint"`
+	Age     time.Duration `cbor:"4,keyasint,omitempty"` // since it was made, without the time on links
+	Ratings []Rating      `cbor:"5,keyasint,omitempty"`
 }
 
 // Bounds of opinions.
 const (
-	MostJudged   = 16  // nodes in an opinion
-	MostPanel    = 16  // observers of a zone whose opinions count
-	MostZones    = 16  // of observers; those of further ones have no voice
-	MostTold     = 32  // opinions in a frame
-	mostStanding = 256 // nodes under verdict, or of which one is remembered
+	MaxRatings   = 16  // nodes in an opinion
+	MaxPanel     = 16  // observers of a zone whose opinions count
+	MaxZones     = 16  // of observers; those of further ones have no voice
+	MaxForwarded = 32  // opinions in a frame
+	maxVerdicts  = 256 // nodes under verdict, or of which one is remembered
 )
 
 // What a judge goes by, in paces.
 const (
-	lookPaces  = 0.25 // between two looks at the evidence
-	tellPaces  = 0.25 // what others think waits so long to be passed on
-	tellTimes  = 3    // each time to others, so that hardly anybody misses it
-	againPaces = 12   // an opinion is said again
-	freshPaces = 48   // and forgotten
-	termFirst  = 16   // of a verdict
-	termMost   = 240
-	stagePaces = 8 // of a trial
-	gracePaces = 4 // what was said of a node so shortly after a trial began tells of before
-	forgetting = 8 // terms after which a verdict that is made again is a first one
+	evaluationInterval = 0.25 // between two looks at the evidence
+	forwardInterval    = 0.25 // what others think waits so long to be passed on
+	forwardTimes       = 3    // each time to others, so that hardly anybody misses it
+	repeatInterval     = 12   // an opinion is said again
+	opinionLifetime    = 48   // and forgotten
+	minTerm            = 16   // of a verdict
+	maxTerm            = 240
+	trialStage         = 8 // of a trial
+	trialGrace         = 4 // what was said of a node so shortly after a trial began tells of before
+	memoryTerms        = 8 // terms after which a verdict that is made again is a first one
 )
 
 // Mutation is a fault put in on purpose.
@@ -55,14 +55,14 @@
 
 // The mutations.
 const (
-	NoMutation Mutation = iota
-	OneVoice            // one observer condemns
-	OwnFaults           // what fails everywhere is held against the nodes
-	NoCap               // any part of the nodes may be under verdict
-	NoExpiry            // a verdict stays
-	OneZone             // what one zone condemns holds everywhere
-	AllAtOnce           // all try a node that is let back
-	OldNews             // an older opinion replaces a newer one
+	NoMutation    Mutation = iota
+	SingleVote             // one observer condemns
+	OwnFaults              // what fails everywhere is held against the nodes
+	NoCap                  // any part of the nodes may be under verdict
+	NoExpiry               // a verdict stays
+	OneZone                // what one zone condemns holds everywhere
+	AllAtOnce              // all try a node that is let back
+	StaleOpinions          // an older opinion replaces a newer one
 )
 
 // Bounds are what is promised, a line each.
@@ -71,7 +71,7 @@
 	return []string{
 		fmt.Sprintf("verdicts: at most %d%% of the listed execute nodes, and of each zone's, are avoided at once (one where that is less than one)", pct),
 		fmt.Sprintf("verdicts: what was seen counts for %v after it was said last, a verdict lasts %v to %v, a trial %v more, whatever fails",
-			paces(freshPaces), paces(termFirst), paces(termMost), paces(2*stagePaces)),
+			paces(opinionLifetime), paces(minTerm), paces(maxTerm), paces(2*trialStage)),
 	}
 }
 
@@ -98,128 +98,128 @@
 
 // The events.
 type (
-	// Look is that it looks at what this member knows. It is due at Next.
-	Look struct {
+	// Evaluate is that it looks at what this member knows. It is due at Next.
+	Evaluate struct {
 		Evidence []Evidence
 		Peers    []Peer // this member and those that are there, or belong to the view
 		Nodes    []Node
 	}
-	// Heard is opinions from another member.
-	Heard struct{ Opinions []Opinion }
+	// Received is opinions from another member.
+	Received struct{ Opinions []Opinion }
 )
 
-func (Look) event()  {}
-func (Heard) event() {}
+func (Evaluate) event() {}
+func (Received) event() {}
 
 // Action is what a Judge wants done.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Tell is opinions for some others.
-	Tell struct{ Opinions []Opinion }
+	// Send is opinions for some others.
+	Send struct{ Opinions []Opinion }
 	// Avoid is the nodes that this member sends nothing new to from now on; all others it may.
 	Avoid struct{ Nodes []string }
 	// Forget is that what was counted of a node is to be forgotten.
 	Forget struct{ Node string }
-	// Line is for the log.
-	Line struct {
-		Node, What string
-		Observers  []string
-		For        time.Duration
+	// LogEntry is for the log.
+	LogEntry struct {
+		Node, Event string
+		Observers   []string
+		Term        time.Duration
 	}
 )
 
-func (Tell) action()   {}
-func (Avoid) action()  {}
-func (Forget) action() {}
-func (Line) action()   {}
+func (Send) action()     {}
+func (Avoid) action()    {}
+func (Forget) action()   {}
+func (LogEntry) action() {}
 
 // stage is how far a verdict has come.
 type stage uint8
 
 const (
-	avoided stage = iota
-	few           // tried by few members,
-	half          // by half of them
-	past          // all may send to it; remembered for what comes next
+	stageAvoided stage = iota
+	stageFew           // tried by few members,
+	stageHalf          // by half of them
+	stagePast          // all may send to it; remembered for what comes next
 )
 
 func (s stage) String() string { return [...]string{"avoid", "few", "half", "past"}[s] }
 
 // standing is a verdict on a node.
-type standing struct {
-	node      Node
-	stage     stage
-	since     time.Duration // of the verdict
-	until     time.Duration // of the stage
-	tried     time.Duration // when the trial began
-	term      time.Duration
-	round     uint64
-	observers []string
+type verdict struct {
+	node        Node
+	stage       stage
+	condemnedAt time.Duration // of the verdict
+	stageEnd    time.Duration // of the stage
+	trialStart  time.Duration // when the trial began
+	term        time.Duration
+	round       uint64
+	observers   []string
 }
 
 // heard is an opinion with when it was made, on this member's clock.
-type heard struct {
+type receivedOpinion struct {
 	Opinion
-	made time.Duration
+	madeAt time.Duration
 }
 
-// Judge is one member's part in the verdicts of the fleet. It is a state machine without I/O, clock or goroutine.
-type Judge struct {
-	cfg      Config
-	opinions map[string]*heard
-	news     map[string]int // observers whose opinion is to be told, and how often
-	panels   map[string][]string
-	zoneOf   map[string]string // of the observers of all panels
-	peers    []Peer
-	nodes    map[string]Node
-	zones    map[string]int // nodes by zone
-	standing map[string]*standing
-	was      map[string]bool // bad in this member's eyes
-	avoid    []string
-	look     time.Duration
-	tell     time.Duration
-	said     time.Duration
-	seq      uint64
-	out      []Action
+// Evaluator is one member's part in the verdicts of the fleet. It is a state machine without I/O, clock or goroutine.
+type Evaluator struct {
+	cfg           Config
+	opinions      map[string]*receivedOpinion
+	toForward     map[string]int // observers whose opinion is to be told, and how often
+	panels        map[string][]string
+	zoneOf        map[string]string // of the observers of all panels
+	peers         []Peer
+	nodes         map[string]Node
+	zones         map[string]int // nodes by zone
+	verdicts      map[string]*verdict
+	ratedBad      map[string]bool // bad in this member's eyes
+	avoided       []string
+	evaluationDue time.Duration
+	forwardDue    time.Duration
+	publishedAt   time.Duration
+	seq           uint64
+	out           []Action
 }
 
-// NewJudge makes a judge that knows of nothing.
-func NewJudge(cfg Config, now time.Duration) *Judge {
-	return &Judge{cfg: cfg, news: map[string]int{}, opinions: map[string]*heard{}, panels: map[string][]string{}, zoneOf: map[string]string{}, nodes: map[string]Node{},
-		zones: map[string]int{}, standing: map[string]*standing{}, was: map[string]bool{}, look: now, tell: math.MaxInt64}
+// NewEvaluator makes a judge that knows of nothing.
+func NewEvaluator(cfg Config, now time.Duration) *Evaluator {
+	return &Evaluator{cfg: cfg, toForward: map[string]int{}, opinions: map[string]*receivedOpinion{}, panels: map[string][]string{}, zoneOf: map[string]string{}, nodes: map[string]Node{},
+		zones: map[string]int{}, verdicts: map[string]*verdict{}, ratedBad: map[string]bool{}, evaluationDue: now, forwardDue: math.MaxInt64}
 }
 
-func (j *Judge) paces(n float64) time.Duration { return time.Duration(n * float64(j.cfg.Pace)) }
+func (j *Evaluator) paces(n float64) time.Duration { return time.Duration(n * float64(j.cfg.Pace)) }
 
 // Next is when Look is due.
-func (j *Judge) Next() time.Duration { return min(j.look, j.tell) }
+func (j *Evaluator) Next() time.Duration { return min(j.evaluationDue, j.forwardDue) }
 
 // Step takes an event in.
-func (j *Judge) Step(now time.Duration, e Event) []Action {
+func (j *Evaluator) Step(now time.Duration, e Event) []Action {
 	j.out = nil
 	switch e := e.(type) {
-	case Heard:
+	case Received:
 		for _, o := range e.Opinions {
-			j.hear(now, o)
+			j.receive(now, o)
 		}
-	case Look:
-		if now >= j.look {
-			j.look = now + j.paces(lookPaces)
-			j.gather(e)
-			j.speak(now, e.Evidence)
+	case Evaluate:
+		if now >= j.evaluationDue {
+			j.evaluationDue = now + j.paces(evaluationInterval)
+			j.updateMembership(e)
+			j.publish(now, e.Evidence)
 			j.decide(now)
 		}
-		if now >= j.tell {
-			j.pass(now)
+		if now >= j.forwardDue {
+			j.forward(now)
 		}
 	}
 	return j.out
 }
 
 // gather takes in who is there, and draws the panels.
-func (j *Judge) gather(e Look) {
+func (j *Evaluator) updateMembership(e Evaluate) {
 	clear(j.nodes)
 	clear(j.zones)
 	for _, n := range e.Nodes {
@@ -236,13 +236,13 @@
 		j.panels[p.Zone] = append(j.panels[p.Zone], p.Name)
 	}
 	for i, zone := range slices.Sorted(maps.Keys(j.panels)) {
-		if i >= MostZones {
+		if i >= MaxZones {
 			delete(j.panels, zone)
 			continue
 		}
-		if names := j.panels[zone]; len(names) > MostPanel {
-			draw(names, "panel")
-			j.panels[zone] = names[:MostPanel]
+		if names := j.panels[zone]; len(names) > MaxPanel {
+			orderByHash(names, "panel")
+			j.panels[zone] = names[:MaxPanel]
 		}
 		for _, name := range j.panels[zone] {
 			j.zoneOf[name] = zone
@@ -251,66 +251,66 @@
 }
 
 // draw orders names by a hash with a word: the same everywhere, and evenly spread over words.
-func draw(names []string, word string) {
+func orderByHash(names []string, word string) {
 	rank := func(name string) uint64 { return xxhash.Sum64String(word + "\x00" + name) }
 	slices.SortFunc(names, func(a, b string) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a, b)) })
 }
 
 // hear takes an opinion in, if it is new and its speaker has a voice.
-func (j *Judge) hear(now time.Duration, o Opinion) {
-	_, voice := j.zoneOf[o.By]
-	was := j.opinions[o.By]
-	if !voice || o.By == j.cfg.Name || len(o.Judged) > MostJudged || o.Age < 0 || o.Age > j.paces(freshPaces) {
+func (j *Evaluator) receive(now time.Duration, o Opinion) {
+	_, voice := j.zoneOf[o.Author]
+	was := j.opinions[o.Author]
+	if !voice || o.Author == j.cfg.Name || len(o.Ratings) > MaxRatings || o.Age < 0 || o.Age > j.paces(opinionLifetime) {
 		return
 	}
-	if was != nil && (o.Boot < was.Boot || o.Boot == was.Boot && o.Seq <= was.Seq) && j.cfg.Mutate != OldNews {
+	if was != nil && (o.Boot < was.Boot || o.Boot == was.Boot && o.Seq <= was.Seq) && j.cfg.Mutate != StaleOpinions {
 		return
 	}
-	for _, g := range o.Judged {
-		if g.Node == "" || len(g.Node) > MostNode {
+	for _, g := range o.Ratings {
+		if g.Node == "" || len(g.Node) > MaxNodeBytes {
 			return
 		}
 	}
-	j.opinions[o.By] = &heard{o, now - o.Age}
-	j.queue(o.By, now+j.paces(tellPaces))
+	j.opinions[o.Author] = &receivedOpinion{o, now - o.Age}
+	j.enqueue(o.Author, now+j.paces(forwardInterval))
 }
 
 // queue has an opinion told at a time.
-func (j *Judge) queue(by string, at time.Duration) {
-	j.news[by] = tellTimes
-	j.tell = min(j.tell, at)
+func (j *Evaluator) enqueue(by string, at time.Duration) {
+	j.toForward[by] = forwardTimes
+	j.forwardDue = min(j.forwardDue, at)
 }
 
-// pass tells what is new, at the most MostTold opinions at a time.
-func (j *Judge) pass(now time.Duration) {
+// pass tells what is new, at the most MaxForwarded opinions at a time.
+func (j *Evaluator) forward(now time.Duration) {
 	var told []Opinion
-	for _, by := range slices.SortedFunc(maps.Keys(j.news), func(a, b string) int { return cmp.Or(j.news[b]-j.news[a], cmp.Compare(a, b)) }) {
+	for _, by := range slices.SortedFunc(maps.Keys(j.toForward), func(a, b string) int { return cmp.Or(j.toForward[b]-j.toForward[a], cmp.Compare(a, b)) }) {
 		o := j.opinions[by]
-		if j.news[by]--; j.news[by] == 0 || o == nil {
-			delete(j.news, by)
+		if j.toForward[by]--; j.toForward[by] == 0 || o == nil {
+			delete(j.toForward, by)
 		}
 		if o != nil {
 			one := o.Opinion
-			one.Age = now - o.made
+			one.Age = now - o.madeAt
 			told = append(told, one)
 		}
-		if len(told) == MostTold {
+		if len(told) == MaxForwarded {
 			break
 		}
 	}
-	j.tell = math.MaxInt64
-	if len(j.news) > 0 {
-		j.tell = now + j.paces(tellPaces)
+	j.forwardDue = math.MaxInt64
+	if len(j.toForward) > 0 {
+		j.forwardDue = now + j.paces(forwardInterval)
 	}
 	if len(told) > 0 {
-		j.out = append(j.out, Tell{told})
+		j.out = append(j.out, Send{told})
 	}
 }
 
 // speak forms this member's own opinion and says it if it is new, or if it was long ago.
-func (j *Judge) speak(now time.Duration, evidence []Evidence) {
+func (j *Evaluator) publish(now time.Duration, evidence []Evidence) {
 	for by, o := range j.opinions {
-		if _, voice := j.zoneOf[by]; by != j.cfg.Name && (!voice || now-o.made > j.paces(freshPaces)) {
+		if _, voice := j.zoneOf[by]; by != j.cfg.Name && (!voice || now-o.madeAt > j.paces(opinionLifetime)) {
 			delete(j.opinions, by)
 		}
 	}
@@ -318,44 +318,44 @@
 		delete(j.opinions, j.cfg.Name)
 		return
 	}
-	bad, good := opinion(evidence, j.was, j.cfg.Mutate)
-	clear(j.was)
+	bad, good := rate(evidence, j.ratedBad, j.cfg.Mutate)
+	clear(j.ratedBad)
 	for _, n := range bad {
-		j.was[n] = true
+		j.ratedBad[n] = true
 	}
-	spoken := j.spoken()
-	var judged []Judgement
+	spoken := j.accused()
+	var judged []Rating
 	for _, n := range bad {
-		if _, listed := j.nodes[n]; listed && len(judged) < MostJudged {
-			judged = append(judged, Judgement{n, true})
+		if _, listed := j.nodes[n]; listed && len(judged) < MaxRatings {
+			judged = append(judged, Rating{n, true})
 		}
 	}
 	for _, n := range good {
-		if spoken[n] && len(judged) < MostJudged {
-			judged = append(judged, Judgement{n, false})
+		if spoken[n] && len(judged) < MaxRatings {
+			judged = append(judged, Rating{n, false})
 		}
 	}
 	mine := j.opinions[j.cfg.Name]
 	if mine == nil && len(judged) == 0 {
 		return
 	}
-	if mine != nil && slices.Equal(mine.Judged, judged) {
-		mine.made = now // it is what this member thinks at present
-		if len(judged) == 0 || now-j.said < j.paces(againPaces) {
+	if mine != nil && slices.Equal(mine.Ratings, judged) {
+		mine.madeAt = now // it is what this member thinks at present
+		if len(judged) == 0 || now-j.publishedAt < j.paces(repeatInterval) {
 			return
 		}
 	}
 	j.seq++
-	j.said = now
-	j.opinions[j.cfg.Name] = &heard{Opinion{By: j.cfg.Name, Boot: j.cfg.Boot, Seq: j.seq, Judged: judged}, now}
-	j.queue(j.cfg.Name, now)
+	j.publishedAt = now
+	j.opinions[j.cfg.Name] = &receivedOpinion{Opinion{Author: j.cfg.Name, Boot: j.cfg.Boot, Seq: j.seq, Ratings: judged}, now}
+	j.enqueue(j.cfg.Name, now)
 }
 
 // spoken are the listed nodes that somebody calls bad.
-func (j *Judge) spoken() map[string]bool {
+func (j *Evaluator) accused() map[string]bool {
 	all := map[string]bool{}
 	for _, o := range j.opinions {
-		for _, g := range o.Judged {
+		for _, g := range o.Ratings {
 			if _, listed := j.nodes[g.Node]; g.Bad && listed {
 				all[g.Node] = true
 			}
@@ -365,11 +365,11 @@
 }
 
 // voices are who say bad and good of a node, of what was said after a time.
-func (j *Judge) voices(node string, after time.Duration) (bad, good []string) {
+func (j *Evaluator) votes(node string, after time.Duration) (bad, good []string) {
 	for by, o := range j.opinions {
-		for _, g := range o.Judged {
+		for _, g := range o.Ratings {
 			switch {
-			case g.Node != node || o.made < after:
+			case g.Node != node || o.madeAt < after:
 			case g.Bad:
 				bad = append(bad, by)
 			default:
@@ -382,7 +382,7 @@
 }
 
 // guilty tells whether a node is condemned for this member's zone.
-func (j *Judge) guilty(bad, good []string) bool {
+func (j *Evaluator) condemned(bad, good []string) bool {
 	zones, here := 0, false
 	heads := func(names []string) map[string]int {
 		by := map[string]int{}
@@ -393,7 +393,7 @@
 	}
 	against, inFavour := heads(bad), heads(good)
 	for zone, n := range against {
-		if most := len(j.panels[zone]); n >= leastVoices && 2*n > most || j.cfg.Mutate == OneVoice {
+		if most := len(j.panels[zone]); n >= minVotes && 2*n > most || j.cfg.Mutate == SingleVote {
 			zones++
 			here = here || zone == j.cfg.Zone
 		}
@@ -404,132 +404,132 @@
 	return zones >= 2 && 2*inFavour[j.cfg.Zone] <= len(j.panels[j.cfg.Zone])
 }
 
-// leastVoices is how many must say bad, however few there are.
-const leastVoices = 2
+// minVotes is how many must say bad, however few there are.
+const minVotes = 2
 
 // decide moves the verdicts on.
-func (j *Judge) decide(now time.Duration) {
-	names := j.spoken()
-	for n := range j.standing {
+func (j *Evaluator) decide(now time.Duration) {
+	names := j.accused()
+	for n := range j.verdicts {
 		names[n] = true
 	}
 	for _, n := range slices.Sorted(maps.Keys(names)) {
-		j.one(now, n)
+		j.advance(now, n)
 	}
 	if j.cfg.Mutate != NoCap {
-		j.shrink()
+		j.enforceCap()
 	}
 	var avoid []string
-	for n, s := range j.standing {
-		if s.stage == avoided || s.stage < past && !slices.Contains(j.triers(n, s), j.cfg.Name) {
+	for n, s := range j.verdicts {
+		if s.stage == stageAvoided || s.stage < stagePast && !slices.Contains(j.trialMembers(n, s), j.cfg.Name) {
 			avoid = append(avoid, n)
 		}
 	}
 	slices.Sort(avoid)
-	if !slices.Equal(avoid, j.avoid) {
-		j.avoid = avoid
+	if !slices.Equal(avoid, j.avoided) {
+		j.avoided = avoid
 		j.out = append(j.out, Avoid{slices.Clone(avoid)})
 	}
 }
 
-func (j *Judge) one(now time.Duration, name string) {
-	s := j.standing[name]
+func (j *Evaluator) advance(now time.Duration, name string) {
+	s := j.verdicts[name]
 	node, listed := j.nodes[name]
 	if !listed || s != nil && s.node.Since != node.Since {
-		delete(j.standing, name)
+		delete(j.verdicts, name)
 		return
 	}
 	after := time.Duration(math.MinInt64)
-	if s != nil && s.stage > avoided {
-		after = s.tried + j.paces(gracePaces)
+	if s != nil && s.stage > stageAvoided {
+		after = s.trialStart + j.paces(trialGrace)
 	}
-	bad, good := j.voices(name, after)
+	bad, good := j.votes(name, after)
 	switch {
 	case s == nil:
-		if j.guilty(bad, good) && j.room(node) && len(j.standing) < mostStanding {
-			s = &standing{node: node, term: j.paces(termFirst)}
-			j.standing[name] = s
+		if j.condemned(bad, good) && j.hasCapacity(node) && len(j.verdicts) < maxVerdicts {
+			s = &verdict{node: node, term: j.paces(minTerm)}
+			j.verdicts[name] = s
 			j.condemn(now, name, s, bad)
 		}
-	case s.stage == avoided:
-		if now >= s.until && j.cfg.Mutate != NoExpiry {
-			s.stage, s.tried, s.until = few, now, now+j.paces(stagePaces)
+	case s.stage == stageAvoided:
+		if now >= s.stageEnd && j.cfg.Mutate != NoExpiry {
+			s.stage, s.trialStart, s.stageEnd = stageFew, now, now+j.paces(trialStage)
 			if j.cfg.Mutate == AllAtOnce {
-				s.stage, s.until = past, now+forgetting*s.term
+				s.stage, s.stageEnd = stagePast, now+memoryTerms*s.term
 			}
-			j.out = append(j.out, Forget{name}, Line{Node: name, What: "tried again"})
-			delete(j.was, name)
+			j.out = append(j.out, Forget{name}, LogEntry{Node: name, Event: "tried again"})
+			delete(j.ratedBad, name)
 		}
-	case s.stage == past:
-		if now >= s.until {
-			delete(j.standing, name)
-		} else if j.guilty(bad, good) && j.room(node) {
-			s.term = min(2*s.term, j.paces(termMost))
+	case s.stage == stagePast:
+		if now >= s.stageEnd {
+			delete(j.verdicts, name)
+		} else if j.condemned(bad, good) && j.hasCapacity(node) {
+			s.term = min(2*s.term, j.paces(maxTerm))
 			j.condemn(now, name, s, bad)
 		}
 	default:
-		triers := j.triers(name, s)
+		triers := j.trialMembers(name, s)
 		against := 0
 		for _, by := range bad {
 			if slices.Contains(triers, by) {
 				against++
 			}
 		}
-		if against >= leastVoices && 2*against > len(triers) || j.guilty(bad, good) {
-			s.term = min(2*s.term, j.paces(termMost))
+		if against >= minVotes && 2*against > len(triers) || j.condemned(bad, good) {
+			s.term = min(2*s.term, j.paces(maxTerm))
 			j.condemn(now, name, s, bad)
-		} else if now >= s.until {
+		} else if now >= s.stageEnd {
 			s.stage++
-			s.until = now + j.paces(stagePaces)
-			if s.stage == past {
-				s.until = now + forgetting*s.term
-				j.out = append(j.out, Line{Node: name, What: "back"})
+			s.stageEnd = now + j.paces(trialStage)
+			if s.stage == stagePast {
+				s.stageEnd = now + memoryTerms*s.term
+				j.out = append(j.out, LogEntry{Node: name, Event: "back"})
 			}
 		}
 	}
 }
 
-func (j *Judge) condemn(now time.Duration, name string, s *standing, bad []string) {
-	s.stage, s.since, s.until, s.round, s.observers = avoided, now, now+s.term, s.round+1, bad
-	j.out = append(j.out, Line{Node: name, What: "avoided", Observers: bad, For: s.term})
+func (j *Evaluator) condemn(now time.Duration, name string, s *verdict, bad []string) {
+	s.stage, s.condemnedAt, s.stageEnd, s.round, s.observers = stageAvoided, now, now+s.term, s.round+1, bad
+	j.out = append(j.out, LogEntry{Node: name, Event: "avoided", Observers: bad, Term: s.term})
 }
 
 // triers are who send to a node at its stage of a trial: drawn anew with each verdict on it.
-func (j *Judge) triers(node string, s *standing) []string {
+func (j *Evaluator) trialMembers(node string, s *verdict) []string {
 	names := make([]string, 0, len(j.peers))
 	for _, p := range j.peers {
 		names = append(names, p.Name)
 	}
-	draw(names, fmt.Sprint(node, s.round))
+	orderByHash(names, fmt.Sprint(node, s.round))
 	n := max(3, (len(names)+7)/8)
-	if s.stage == half {
+	if s.stage == stageHalf {
 		n = max(n, (len(names)+1)/2)
 	}
 	return names[:min(n, len(names))]
 }
 
 // room tells whether one more node may be under verdict.
-func (j *Judge) room(node Node) bool {
+func (j *Evaluator) hasCapacity(node Node) bool {
 	if j.cfg.Mutate == NoCap {
 		return true
 	}
 	all, zone := 0, 0
-	for _, s := range j.standing {
-		if s.stage < past {
+	for _, s := range j.verdicts {
+		if s.stage < stagePast {
 			all++
 			if s.node.Zone == node.Zone {
 				zone++
 			}
 		}
 	}
-	return all < j.most(len(j.nodes), leastNodes) && zone < j.most(j.zones[node.Zone], leastInZone)
+	return all < j.maxAvoided(len(j.nodes), minNodes) && zone < j.maxAvoided(j.zones[node.Zone], minNodesInZone)
 }
 
 // Where fewer are listed none is condemned.
-const leastNodes, leastInZone = 3, 2
+const minNodes, minNodesInZone = 3, 2
 
 // most is how many of some nodes may be under verdict.
-func (j *Judge) most(nodes, least int) int {
+func (j *Evaluator) maxAvoided(nodes, least int) int {
 	if nodes < least {
 		return 0
 	}
@@ -537,43 +537,43 @@
 }
 
 // shrink lets the latest go where the list has become too short for so many.
-func (j *Judge) shrink() {
+func (j *Evaluator) enforceCap() {
 	for {
-		var latest *standing
+		var latest *verdict
 		name, all := "", 0
-		for n, s := range j.standing {
-			if s.stage >= past {
+		for n, s := range j.verdicts {
+			if s.stage >= stagePast {
 				continue
 			}
 			all++
-			if latest == nil || s.since > latest.since || s.since == latest.since && n > name {
+			if latest == nil || s.condemnedAt > latest.condemnedAt || s.condemnedAt == latest.condemnedAt && n > name {
 				latest, name = s, n
 			}
 		}
-		if all <= j.most(len(j.nodes), leastNodes) {
+		if all <= j.maxAvoided(len(j.nodes), minNodes) {
 			return
 		}
-		delete(j.standing, name)
-		j.out = append(j.out, Line{Node: name, What: "back: few are listed"})
+		delete(j.verdicts, name)
+		j.out = append(j.out, LogEntry{Node: name, Event: "back: few are listed"})
 	}
 }
 
 // Lines has a line for each node that is spoken of or under verdict.
-func (j *Judge) Lines(now time.Duration) (lines []string) {
-	names := j.spoken()
-	for n := range j.standing {
+func (j *Evaluator) Lines(now time.Duration) (lines []string) {
+	names := j.accused()
+	for n := range j.verdicts {
 		names[n] = true
 	}
 	for _, n := range slices.Sorted(maps.Keys(names)) {
-		bad, good := j.voices(n, math.MinInt64)
+		bad, good := j.votes(n, math.MinInt64)
 		here := "used"
-		if slices.Contains(j.avoid, n) {
+		if slices.Contains(j.avoided, n) {
 			here = "avoided"
 		}
 		said := fmt.Sprintf("here=%s said_bad=%d said_good=%d", here, len(bad), len(good))
-		if s := j.standing[n]; s != nil {
-			lines = append(lines, fmt.Sprintf("%s %s age=%dms left=%dms round=%d %s observers=%s", n, s.stage, (now-s.since).Milliseconds(),
-				max(0, s.until-now).Milliseconds(), s.round, said, strings.Join(s.observers, ",")))
+		if s := j.verdicts[n]; s != nil {
+			lines = append(lines, fmt.Sprintf("%s %s age=%dms left=%dms round=%d %s observers=%s", n, s.stage, (now-s.condemnedAt).Milliseconds(),
+				max(0, s.stageEnd-now).Milliseconds(), s.round, said, strings.Join(s.observers, ",")))
 		} else {
 			lines = append(lines, n+" none "+said)
 		}
--- a/internal/verdict/judge_test.go
+++ b/internal/verdict/judge_test.go
@@ -20,7 +20,7 @@
 type bench struct {
 	mutate Mutation
 	now    time.Duration
-	judges []*Judge
+	judges []*Evaluator
 	bad    [3]bool // in whose eyes n1 is
 	flight []letter
 	said   [3][]bool    // what each said of n1, by number of its opinion: 1 is the first
@@ -36,7 +36,7 @@
 func newBench(mutate Mutation) *bench {
 	b := &bench{mutate: mutate}
 	for i := range 3 {
-		b.judges = append(b.judges, NewJudge(Config{Name: fmt.Sprint(i), Zone: "z", Boot: 1, Pace: pace, MostPct: 25, Mutate: mutate}, 0))
+		b.judges = append(b.judges, NewEvaluator(Config{Name: fmt.Sprint(i), Zone: "z", Boot: 1, Pace: pace, MostPct: 25, Mutate: mutate}, 0))
 		b.said[i] = []bool{false}
 	}
 	for i := range 3 {
@@ -49,12 +49,12 @@
 	b.now += pace
 	var evidence []Evidence
 	for n := range 4 {
-		e := Evidence{Node: fmt.Sprintf("n%d", n+1), Done: 8, Answered: 8, Took: time.Millisecond}
+		e := Evidence{Node: fmt.Sprintf("n%d", n+1), Succeeded: 8, LatencySamples: 8, Latency: time.Millisecond}
 		if n == 0 && b.bad[i] {
-			e.Done, e.Failed = 0, 8
+			e.Succeeded, e.Failed = 0, 8
 		}
-		for range lastly {
-			e.Recent = append(e.Recent, Ending{b.now, e.Failed > 0})
+		for range maxSamples {
+			e.Recent = append(e.Recent, Outcome{b.now, e.Failed > 0})
 		}
 		evidence = append(evidence, e)
 	}
@@ -66,34 +66,34 @@
 			peers = append(peers, Peer{fmt.Sprint(n), "z"})
 		}
 	}
-	b.take(i, b.judges[i].Step(b.now, Look{evidence, peers, nodes}))
+	b.take(i, b.judges[i].Step(b.now, Evaluate{evidence, peers, nodes}))
 }
 
 func (b *bench) take(i int, actions []Action) {
 	// What it says it has thought before it condemns.
 	slices.SortStableFunc(actions, func(a, _ Action) int {
-		if _, tell := a.(Tell); tell {
+		if _, tell := a.(Send); tell {
 			return -1
 		}
 		return 0
 	})
 	for _, a := range actions {
 		switch a := a.(type) {
-		case Tell:
+		case Send:
 			for _, o := range a.Opinions {
-				by, _ := strconv.Atoi(o.By)
+				by, _ := strconv.Atoi(o.Author)
 				if by == i && o.Seq == uint64(len(b.said[i])) {
-					b.said[i] = append(b.said[i], slices.Contains(o.Judged, Judgement{"n1", true}))
+					b.said[i] = append(b.said[i], slices.Contains(o.Ratings, Rating{"n1", true}))
 					b.known[i][i] = o.Seq
 				}
 				for to := range 3 {
-					if to != i && to != by && !slices.ContainsFunc(b.flight, func(l letter) bool { return l.to == to && l.o.By == o.By && l.o.Seq == o.Seq }) {
+					if to != i && to != by && !slices.ContainsFunc(b.flight, func(l letter) bool { return l.to == to && l.o.Author == o.Author && l.o.Seq == o.Seq }) {
 						b.flight = append(b.flight, letter{to, o})
 					}
 				}
 			}
-		case Line:
-			if a.What != "avoided" {
+		case LogEntry:
+			if a.Event != "avoided" {
 				continue
 			}
 			// Two of three at the least, each by the newest word of it that has come here.
@@ -115,7 +115,7 @@
 		names = append(names, fmt.Sprint("look ", i), fmt.Sprint("turn ", i))
 	}
 	for _, l := range b.flight { // it comes, and may come again: it is lost if it never does
-		names = append(names, fmt.Sprint("to ", l.to, " from ", l.o.By, " number ", l.o.Seq))
+		names = append(names, fmt.Sprint("to ", l.to, " from ", l.o.Author, " number ", l.o.Seq))
 	}
 	return names
 }
@@ -129,19 +129,19 @@
 	default:
 		l := b.flight[e-6]
 		b.now++
-		by, _ := strconv.Atoi(l.o.By)
+		by, _ := strconv.Atoi(l.o.Author)
 		b.known[l.to][by] = max(b.known[l.to][by], l.o.Seq)
-		b.take(l.to, b.judges[l.to].Step(b.now, Heard{[]Opinion{l.o}}))
+		b.take(l.to, b.judges[l.to].Step(b.now, Received{[]Opinion{l.o}}))
 	}
 }
 
 func (b *bench) Hash() uint64 {
 	text := fmt.Sprint(b.bad, b.said, b.known)
 	for _, l := range b.flight {
-		text += fmt.Sprint(l.to, l.o.By, l.o.Seq)
+		text += fmt.Sprint(l.to, l.o.Author, l.o.Seq)
 	}
 	for _, j := range b.judges {
-		text += strings.Join(j.Lines(b.now), ";") + fmt.Sprint(j.was, j.seq)
+		text += strings.Join(j.Lines(b.now), ";") + fmt.Sprint(j.ratedBad, j.seq)
 	}
 	var h uint64 = 14695981039346656037
 	for _, c := range []byte(text) {
@@ -164,7 +164,7 @@
 		t.Errorf("%+v %v", r, err)
 	}
 	t.Logf("%+v", r)
-	for _, m := range []Mutation{OneVoice, OldNews} {
+	for _, m := range []Mutation{SingleVote, StaleOpinions} {
 		if _, err := explore.All(func() explore.System { return newBench(m) }, 10, 1<<20); err == nil {
 			t.Errorf("mutation %d not noticed", m)
 		} else {
@@ -179,7 +179,7 @@
 		ta.Count(time.Duration(i)*time.Second, "a", i < 15, time.Duration(i)*time.Millisecond)
 	}
 	got := ta.Evidence(19 * time.Second) // the last eight: three failed, five done in 15 to 19 ms
-	want := Evidence{Node: "a", Failed: 3, Done: 5, Answered: 5, Took: 17 * time.Millisecond}
+	want := Evidence{Node: "a", Failed: 3, Succeeded: 5, LatencySamples: 5, Latency: 17 * time.Millisecond}
 	if len(got) == 1 && len(got[0].Recent) == 8 {
 		got[0].Recent = nil
 	}
@@ -189,10 +189,10 @@
 	if got := ta.Evidence(40 * time.Second); len(got) != 0 || len(ta.nodes) != 0 {
 		t.Errorf("%+v after 20 s of nothing", got)
 	}
-	for i := range MostNodes + 10 {
+	for i := range MaxNodes + 10 {
 		ta.Count(0, fmt.Sprint(i), false, 0)
 	}
-	if len(ta.nodes) != MostNodes {
+	if len(ta.nodes) != MaxNodes {
 		t.Errorf("%d nodes counted", len(ta.nodes))
 	}
 }
@@ -201,22 +201,22 @@
 func TestHearIsBounded(t *testing.T) {
 	b := newBench(NoMutation)
 	j := b.judges[0]
-	ok := Judgement{"n1", true}
+	ok := Rating{"n1", true}
 	for name, o := range map[string]Opinion{
-		"of a stranger": {By: "9", Boot: 1, Seq: 1, Judged: []Judgement{ok}},
-		"of this one":   {By: "0", Boot: 1, Seq: 9, Judged: []Judgement{ok}},
-		"too many":      {By: "1", Boot: 1, Seq: 9, Judged: make([]Judgement, MostJudged+1)},
-		"a long name":   {By: "1", Boot: 1, Seq: 9, Judged: []Judgement{{Node: strings.Repeat("n", MostNode+1)}}},
-		"too old":       {By: "1", Boot: 1, Seq: 9, Age: time.Hour, Judged: []Judgement{ok}},
-		"from to come":  {By: "1", Boot: 1, Seq: 9, Age: -1, Judged: []Judgement{ok}},
+		"of a stranger": {Author: "9", Boot: 1, Seq: 1, Ratings: []Rating{ok}},
+		"of this one":   {Author: "0", Boot: 1, Seq: 9, Ratings: []Rating{ok}},
+		"too many":      {Author: "1", Boot: 1, Seq: 9, Ratings: make([]Rating, MaxRatings+1)},
+		"a long name":   {Author: "1", Boot: 1, Seq: 9, Ratings: []Rating{{Node: strings.Repeat("n", MaxNodeBytes+1)}}},
+		"too old":       {Author: "1", Boot: 1, Seq: 9, Age: time.Hour, Ratings: []Rating{ok}},
+		"from to come":  {Author: "1", Boot: 1, Seq: 9, Age: -1, Ratings: []Rating{ok}},
 	} {
-		j.Step(b.now, Heard{[]Opinion{o}})
+		j.Step(b.now, Received{[]Opinion{o}})
 		if len(j.opinions) != 0 {
 			t.Errorf("%s: taken", name)
 		}
 	}
-	j.Step(b.now, Heard{[]Opinion{{By: "1", Boot: 1, Seq: 9, Judged: []Judgement{ok}}}})
-	j.Step(b.now, Heard{[]Opinion{{By: "1", Boot: 2, Seq: 1}}}) // a new process of the name begins anew
+	j.Step(b.now, Received{[]Opinion{{Author: "1", Boot: 1, Seq: 9, Ratings: []Rating{ok}}}})
+	j.Step(b.now, Received{[]Opinion{{Author: "1", Boot: 2, Seq: 1}}}) // a new process of the name begins anew
 	if o := j.opinions["1"]; o == nil || o.Boot != 2 {
 		t.Errorf("%+v", o)
 	}
@@ -224,24 +224,24 @@
 
 // The list becomes short while nodes are under verdict: the latest goes back into use.
 func TestFewAreListed(t *testing.T) {
-	j := NewJudge(Config{Name: "0", Zone: "z", Pace: pace, MostPct: 25}, 0)
+	j := NewEvaluator(Config{Name: "0", Zone: "z", Pace: pace, MostPct: 25}, 0)
 	for i, n := range []string{"n1", "n2"} {
-		j.standing[n] = &standing{node: Node{Name: n, Zone: "z"}, since: time.Duration(i), until: time.Hour}
+		j.verdicts[n] = &verdict{node: Node{Name: n, Zone: "z"}, condemnedAt: time.Duration(i), stageEnd: time.Hour}
 	}
 	var nodes []Node
 	for i := range 8 {
 		nodes = append(nodes, Node{Name: fmt.Sprintf("n%d", i+1), Zone: "z"})
 	}
-	j.Step(0, Look{Nodes: nodes})
-	if !slices.Equal(j.avoid, []string{"n1", "n2"}) {
-		t.Errorf("%v of eight", j.avoid)
+	j.Step(0, Evaluate{Nodes: nodes})
+	if !slices.Equal(j.avoided, []string{"n1", "n2"}) {
+		t.Errorf("%v of eight", j.avoided)
 	}
-	j.Step(time.Minute, Look{Nodes: nodes[:7]})
-	if !slices.Equal(j.avoid, []string{"n1"}) {
-		t.Errorf("%v of seven", j.avoid)
+	j.Step(time.Minute, Evaluate{Nodes: nodes[:7]})
+	if !slices.Equal(j.avoided, []string{"n1"}) {
+		t.Errorf("%v of seven", j.avoided)
 	}
-	j.Step(2*time.Minute, Look{Nodes: nodes[:2]})
-	if len(j.avoid) != 0 {
-		t.Errorf("%v of two", j.avoid)
+	j.Step(2*time.Minute, Evaluate{Nodes: nodes[:2]})
+	if len(j.avoided) != 0 {
+		t.Errorf("%v of two", j.avoided)
 	}
 }
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -13,15 +13,15 @@
 func TestWordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var members [4]Table
-		var said []Word
+		var said []Statement
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			at := rapid.IntRange(0, 3).Draw(t, "member")
 			if len(said) > 0 && rapid.Bool().Draw(t, "hears") { // of something said before
-				members[at].Merge([]Word{said[rapid.IntRange(0, len(said)-1).Draw(t, "what")]})
+				members[at].Merge([]Statement{said[rapid.IntRange(0, len(said)-1).Draw(t, "what")]})
 				continue
 			}
 			node := fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, "node"))
-			w, err := members[at].Say(node, fmt.Sprint("m", at), rapid.Bool().Draw(t, "suspends"))
+			w, err := members[at].Declare(node, fmt.Sprint("m", at), rapid.Bool().Draw(t, "suspends"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -37,7 +37,7 @@
 		}
 		for _, w := range said { // what holds in the end was said by somebody who knew all that it overrules, or is a suspension
 			for _, holds := range members[0].All() {
-				if holds.Node == w.Node && w.Suspended && !holds.Suspended && holds.Count <= w.Count {
+				if holds.Node == w.Node && w.Suspended && !holds.Suspended && holds.Version <= w.Version {
 					t.Fatalf("%v is undone by %v", w, holds)
 				}
 			}
@@ -47,21 +47,21 @@
 
 func TestBounds(t *testing.T) {
 	var a Table
-	for i := range MostWords {
-		if _, err := a.Say(fmt.Sprint("n", i), "m", true); err != nil {
+	for i := range MaxStatements {
+		if _, err := a.Declare(fmt.Sprint("n", i), "m", true); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := a.Say("one more", "m", true); err == nil {
+	if _, err := a.Declare("one more", "m", true); err == nil {
 		t.Error("it was taken")
 	}
-	if _, err := a.Say("n7", "m", false); err != nil { // restored, it makes room
+	if _, err := a.Declare("n7", "m", false); err != nil { // restored, it makes room
 		t.Fatal(err)
 	}
-	if _, err := a.Say("one more", "m", true); err != nil || len(a.All()) != MostWords || slices.Contains(a.Suspended(), "n7") {
+	if _, err := a.Declare("one more", "m", true); err != nil || len(a.All()) != MaxStatements || slices.Contains(a.Suspended(), "n7") {
 		t.Error(err, len(a.All()))
 	}
-	if len(a.Merge([]Word{{Node: "", Count: 1}, {Node: "x"}, {Node: string(make([]byte, MostNode+1)), Count: 9}})) != 0 {
+	if len(a.Merge([]Statement{{Node: "", Version: 1}, {Node: "x"}, {Node: string(make([]byte, MaxNodeBytes+1)), Version: 9}})) != 0 {
 		t.Error("words without a form were taken")
 	}
 	var b Table
