--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -206,7 +206,7 @@
 	c.drains.EvictsOldest = true
 	if cfg.Seen != nil {
 		c.judge = verdict.NewEvaluator(verdict.Config{Name: cfg.Member.Name, Zone: cfg.Member.Zone, Boot: cfg.Member.Boot, Pace: cfg.Member.Pace,
-			MostPct: cfg.VerdictPct, Mutate: cfg.MutateVerdict}, now+c.jitter())
+			MaxPercent: cfg.VerdictPct, Mutate: cfg.MutateVerdict}, now+c.jitter())
 	}
 	c.holder.Set(cfg.Limits)
 	c.grants.Set(cfg.Limits)
--- a/internal/verdict/bench_test.go
+++ b/internal/verdict/bench_test.go
@@ -8,7 +8,7 @@
 
 // A look of one among a thousand members at a hundred healthy nodes.
 func BenchmarkLook(b *testing.B) {
-	j := NewEvaluator(Config{Name: "m0", Zone: "z0", Pace: 250 * time.Millisecond, MostPct: 25}, 0)
+	j := NewEvaluator(Config{Name: "m0", Zone: "z0", Pace: 250 * time.Millisecond, MaxPercent: 25}, 0)
 	var look Evaluate
 	for i := range 1000 {
 		look.Peers = append(look.Peers, Peer{fmt.Sprint("m", i), fmt.Sprint("z", i%3)})
--- a/internal/verdict/evaluator.go
+++ b/internal/verdict/evaluator.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// What a judge goes by, in paces.
+// The constants of the evaluation: times are in paces.
 const (
-	evaluationInterval = 0.25 // between two looks at the evidence
-	forwardInterval    = 0.25 // what others think waits so long to be passed on
-	forwardTimes       = 3    // each time to others, so that hardly anybody misses it
-	repeatInterval     = 12   // an opinion is said again
-	opinionLifetime    = 48   // and forgotten
-	minTerm            = 16   // of a verdict
-	maxTerm            = 240
-	trialStage         = 8 // of a trial
-	trialGrace         = 4 // what was said of a node so shortly after a trial began tells of before
-	memoryTerms        = 8 // terms after which a verdict that is made again is a first one
+	evaluationInterval = 0.25 // between two evaluations of the evidence
+	forwardInterval    = 0.25 // before a received opinion is forwarded
+	forwardTimes       = 3    // rounds in which an opinion is sent, each to other members, so that hardly any misses it
+	repeatInterval     = 12   // after which an unchanged opinion is sent again
+	opinionLifetime    = 48   // after which an opinion no longer counts
+	minTerm            = 16   // of a first verdict
+	maxTerm            = 240  // of repeated ones
+	trialStage         = 8    // duration of each stage of a trial
+	trialGrace         = 4    // opinions of so shortly after the start of a trial are about the time before
+	memoryTerms        = 8    // terms for which an ended verdict is remembered; the next one after that counts as a first one
 )
 
-// Mutation is a fault put in on purpose.
+// Mutation is a fault that a test injects.
 type Mutation uint8
 
 // The mutations.
 const (
 	NoMutation    Mutation = iota
 	SingleVote             // one observer condemns
-	OwnFaults              // what fails everywhere is held against the nodes
-	NoCap                  // any part of the nodes may be under verdict
-	NoExpiry               // a verdict stays
-	OneZone                // what one zone condemns holds everywhere
-	AllAtOnce              // all try a node that is let back
+	OwnFaults              // failures that occur at all nodes count against each
+	NoCap                  // any number of nodes may be under verdict
+	NoExpiry               // a verdict does not end
+	OneZone                // the vote of one zone counts in all
+	AllAtOnce              // all members try a node at once after a verdict
 	StaleOpinions          // an older opinion replaces a newer one
 )
 
-// Bounds are what is promised, a line each.
+// Bounds returns the guarantees at a pace and a cap in percent, as lines for the operator.
 func Bounds(pace time.Duration, pct int) []string {
 	paces := func(n float64) time.Duration { return time.Duration(n * float64(pace)) }
 	return []string{
@@ -51,51 +51,52 @@
 // Peer is a member of the fleet.
 type Peer struct{ Name, Zone string }
 
-// Node is an execute node that takes jobs, by the list.
+// Node is an execute node on the member's list that takes requests.
 type Node struct {
 	Name, Zone string
-	Since      time.Duration // its start: what was known of the one before it is void
+	Since      time.Duration // when it was started: what was known of an earlier process of its name does not count
 }
 
-// Config is what a Judge is made with.
+// Config is what an Evaluator is made with.
 type Config struct {
 	Name, Zone string
 	Boot       uint64
 	Pace       time.Duration
-	MostPct    int // percent of the listed nodes, and of each zone's, that may be under verdict
+	MaxPercent int // percent of the listed nodes, and of each zone's, that may be under verdict
 	Mutate     Mutation
 }
 
-// Event is what happens to a Judge.
+// Event is an input of an Evaluator.
 type Event interface{ event() }
 
 // The events.
 type (
-	// Evaluate is that it looks at what this member knows. It is due at Next.
+	// Evaluate has it evaluate what this member knows. It is due at Next.
 	Evaluate struct {
 		Evidence []Evidence
-		Peers    []Peer // this member and those that are there, or belong to the view
+		Peers    []Peer // this member, those present, and the other members of its view
 		Nodes    []Node
 	}
-	// Received is opinions from another member.
+	// Received is opinions that another member sent.
 	Received struct{ Opinions []Opinion }
 )
 
 func (Evaluate) event() {}
 func (Received) event() {}
 
-// Action is what a Judge wants done.
+// Action is an output of an Evaluator, for its caller to carry out in order.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Send is opinions for some others.
+	// Send sends opinions to a few other members.
 	Send struct{ Opinions []Opinion }
-	// Avoid is the nodes that this member sends nothing new to from now on; all others it may.
+	// Avoid names all nodes to which this member sends nothing new from now on.
 	Avoid struct{ Nodes []string }
-	// Forget is that what was counted of a node is to be forgotten.
+	// Forget has the evidence of a node dropped.
 	Forget struct{ Node string }
-	// LogEntry is for the log.
+	// LogEntry is for the log: what happened to the verdict on a node. Observers are who voted against it, Term is how long
+	// it is avoided; both are set if it is avoided.
 	LogEntry struct {
 		Node, Event string
 		Observers   []string
@@ -108,77 +109,87 @@
 func (Forget) action()   {}
 func (LogEntry) action() {}
 
-// Evaluator is one member's part in the verdicts of the fleet. It is a state machine without I/O, clock or goroutine.
+// Evaluator is one member's part in the verdicts of the fleet: it rates the nodes by the member's own evidence, exchanges the
+// ratings with the others, and counts votes. It is a state machine without I/O, clock or goroutine, and not safe for
+// concurrent use.
 type Evaluator struct {
 	cfg           Config
-	opinions      map[string]*receivedOpinion
-	toForward     map[string]int // observers whose opinion is to be told, and how often
-	panels        map[string][]string
-	zoneOf        map[string]string // of the observers of all panels
-	peers         []Peer
-	nodes         map[string]Node
-	zones         map[string]int // nodes by zone
-	verdicts      map[string]*verdict
-	ratedBad      map[string]bool // bad in this member's eyes
-	avoided       []string
-	evaluationDue time.Duration
-	forwardDue    time.Duration
-	publishedAt   time.Duration
-	seq           uint64
 	out           []Action
+	evaluationDue time.Duration
+
+	// Membership, as of the last evaluation.
+	peers  []Peer
+	panels map[string][]string // by zone, the observers whose opinions count
+	zoneOf map[string]string   // zone of each observer of a panel
+	nodes  map[string]Node
+	zones  map[string]int // number of nodes by zone
+
+	// Opinions.
+	opinions    map[string]*receivedOpinion // by author, this member included
+	ratedBad    map[string]bool             // nodes that this member's own evidence speaks against
+	seq         uint64                      // of this member's last opinion
+	publishedAt time.Duration               // when it was last sent
+	toForward   map[string]int              // authors whose opinions are still to be sent, and how often
+	forwardDue  time.Duration
+
+	verdicts map[string]*verdict // by node
+	avoided  []string            // as last reported by Avoid
 }
 
-// NewEvaluator makes a judge that knows of nothing.
+// NewEvaluator makes an evaluator that knows of no node. now is the present time on the clock that Step is called with.
 func NewEvaluator(cfg Config, now time.Duration) *Evaluator {
-	return &Evaluator{cfg: cfg, toForward: map[string]int{}, opinions: map[string]*receivedOpinion{}, panels: map[string][]string{}, zoneOf: map[string]string{}, nodes: map[string]Node{},
-		zones: map[string]int{}, verdicts: map[string]*verdict{}, ratedBad: map[string]bool{}, evaluationDue: now, forwardDue: math.MaxInt64}
+	return &Evaluator{cfg: cfg, evaluationDue: now, forwardDue: math.MaxInt64,
+		panels: make(map[string][]string), zoneOf: make(map[string]string), nodes: make(map[string]Node), zones: make(map[string]int),
+		opinions: make(map[string]*receivedOpinion), ratedBad: make(map[string]bool), toForward: make(map[string]int),
+		verdicts: make(map[string]*verdict)}
 }
 
-func (j *Evaluator) paces(n float64) time.Duration { return time.Duration(n * float64(j.cfg.Pace)) }
+// paces is a number of paces.
+func (e *Evaluator) paces(n float64) time.Duration { return time.Duration(n * float64(e.cfg.Pace)) }
 
-// Next is when Look is due.
-func (j *Evaluator) Next() time.Duration { return min(j.evaluationDue, j.forwardDue) }
+// Next is when Evaluate is due.
+func (e *Evaluator) Next() time.Duration { return min(e.evaluationDue, e.forwardDue) }
 
-// Step takes an event in.
-func (j *Evaluator) Step(now time.Duration, e Event) []Action {
-	j.out = nil
-	switch e := e.(type) {
+// Step takes an event at a time that is not before that of the last call.
+func (e *Evaluator) Step(now time.Duration, event Event) []Action {
+	e.out = nil
+	switch event := event.(type) {
 	case Received:
-		for _, o := range e.Opinions {
-			j.receive(now, o)
+		for _, o := range event.Opinions {
+			e.receive(now, o)
 		}
 	case Evaluate:
-		if now >= j.evaluationDue {
-			j.evaluationDue = now + j.paces(evaluationInterval)
-			j.updateMembership(e)
-			j.publish(now, e.Evidence)
-			j.decide(now)
+		if now >= e.evaluationDue {
+			e.evaluationDue = now + e.paces(evaluationInterval)
+			e.updateMembership(event)
+			e.publish(now, event.Evidence)
+			e.decide(now)
 		}
-		if now >= j.forwardDue {
-			j.forward(now)
+		if now >= e.forwardDue {
+			e.forward(now)
 		}
 	}
-	return j.out
+	return e.out
 }
 
-// Lines has a line for each node that is spoken of or under verdict.
-func (j *Evaluator) Lines(now time.Duration) (lines []string) {
-	names := j.accused()
-	for n := range j.verdicts {
+// Lines returns a line for the operator on each node that somebody rates bad, or that is or was under verdict.
+func (e *Evaluator) Lines(now time.Duration) (lines []string) {
+	names := e.accused()
+	for n := range e.verdicts {
 		names[n] = true
 	}
 	for _, n := range slices.Sorted(maps.Keys(names)) {
-		bad, good := j.votes(n, math.MinInt64)
+		bad, good := e.votes(n, math.MinInt64)
 		here := "used"
-		if slices.Contains(j.avoided, n) {
+		if slices.Contains(e.avoided, n) {
 			here = "avoided"
 		}
-		said := fmt.Sprintf("here=%s said_bad=%d said_good=%d", here, len(bad), len(good))
-		if s := j.verdicts[n]; s != nil {
+		votes := fmt.Sprintf("here=%s said_bad=%d said_good=%d", here, len(bad), len(good))
+		if s := e.verdicts[n]; s != nil {
 			lines = append(lines, fmt.Sprintf("%s %s age=%dms left=%dms round=%d %s observers=%s", n, s.stage, (now-s.condemnedAt).Milliseconds(),
-				max(0, s.stageEnd-now).Milliseconds(), s.round, said, strings.Join(s.observers, ",")))
+				max(0, s.stageEnd-now).Milliseconds(), s.round, votes, strings.Join(s.observers, ",")))
 		} else {
-			lines = append(lines, n+" none "+said)
+			lines = append(lines, n+" none "+votes)
 		}
 	}
 	return lines
--- a/internal/verdict/evaluator_test.go
+++ b/internal/verdict/evaluator_test.go
@@ -15,17 +15,17 @@
 
 const pace = time.Second
 
-// bench is three judges of one zone and four nodes, of which only n1 may be bad. What is judged by is only what was said
-// and heard.
+// bench is three evaluators of one zone and four nodes, of which only n1 may be bad. It is checked by what was sent and
+// received alone.
 type bench struct {
-	mutate Mutation
-	now    time.Duration
-	judges []*Evaluator
-	bad    [3]bool // in whose eyes n1 is
-	flight []letter
-	said   [3][]bool    // what each said of n1, by number of its opinion: 1 is the first
-	known  [3][3]uint64 // the newest opinion of each that each has heard
-	broken error
+	mutate     Mutation
+	now        time.Duration
+	evaluators []*Evaluator
+	bad        [3]bool // whose evidence speaks against n1
+	flight     []letter
+	said       [3][]bool    // how each rated n1, by number of its opinion: 1 is the first
+	known      [3][3]uint64 // the newest opinion of each that each has received
+	broken     error
 }
 
 type letter struct {
@@ -36,7 +36,7 @@
 func newBench(mutate Mutation) *bench {
 	b := &bench{mutate: mutate}
 	for i := range 3 {
-		b.judges = append(b.judges, NewEvaluator(Config{Name: fmt.Sprint(i), Zone: "z", Boot: 1, Pace: pace, MostPct: 25, Mutate: mutate}, 0))
+		b.evaluators = append(b.evaluators, NewEvaluator(Config{Name: fmt.Sprint(i), Zone: "z", Boot: 1, Pace: pace, MaxPercent: 25, Mutate: mutate}, 0))
 		b.said[i] = []bool{false}
 	}
 	for i := range 3 {
@@ -66,11 +66,11 @@
 			peers = append(peers, Peer{fmt.Sprint(n), "z"})
 		}
 	}
-	b.take(i, b.judges[i].Step(b.now, Evaluate{evidence, peers, nodes}))
+	b.take(i, b.evaluators[i].Step(b.now, Evaluate{evidence, peers, nodes}))
 }
 
 func (b *bench) take(i int, actions []Action) {
-	// What it says it has thought before it condemns.
+	// An opinion that is sent was formed before the node was condemned.
 	slices.SortStableFunc(actions, func(a, _ Action) int {
 		if _, tell := a.(Send); tell {
 			return -1
@@ -96,15 +96,15 @@
 			if a.Event != "avoided" {
 				continue
 			}
-			// Two of three at the least, each by the newest word of it that has come here.
-			heads := 0
+			// By two of three at least, each by its newest opinion that has come here.
+			votes := 0
 			for by := range 3 {
 				if b.said[by][b.known[i][by]] {
-					heads++
+					votes++
 				}
 			}
-			if heads < 2 && b.broken == nil {
-				b.broken = fmt.Errorf("judge %d condemns by %v, %d heads", i, a.Observers, heads)
+			if votes < 2 && b.broken == nil {
+				b.broken = fmt.Errorf("member %d condemns by %v, %d votes", i, a.Observers, votes)
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 	for i := range 3 {
 		names = append(names, fmt.Sprint("look ", i), fmt.Sprint("turn ", i))
 	}
-	for _, l := range b.flight { // it comes, and may come again: it is lost if it never does
+	for _, l := range b.flight { // it may come once, again, or never
 		names = append(names, fmt.Sprint("to ", l.to, " from ", l.o.Author, " number ", l.o.Seq))
 	}
 	return names
@@ -131,7 +131,7 @@
 		b.now++
 		by, _ := strconv.Atoi(l.o.Author)
 		b.known[l.to][by] = max(b.known[l.to][by], l.o.Seq)
-		b.take(l.to, b.judges[l.to].Step(b.now, Received{[]Opinion{l.o}}))
+		b.take(l.to, b.evaluators[l.to].Step(b.now, Received{[]Opinion{l.o}}))
 	}
 }
 
@@ -140,7 +140,7 @@
 	for _, l := range b.flight {
 		text += fmt.Sprint(l.to, l.o.Author, l.o.Seq)
 	}
-	for _, j := range b.judges {
+	for _, j := range b.evaluators {
 		text += strings.Join(j.Lines(b.now), ";") + fmt.Sprint(j.ratedBad, j.seq)
 	}
 	var h uint64 = 14695981039346656037
@@ -152,8 +152,8 @@
 
 func (b *bench) Check() error { return b.broken }
 
-// Every order of looks, turns of mind and late, lost and repeated opinions among three: nobody is condemned by less than two
-// heads, by the newest word of each that has come.
+// Every order of evaluations, changed evidence and late, lost and repeated opinions among three: no node is condemned by fewer
+// than two, by the newest opinion of each that has come.
 func TestEveryOrder(t *testing.T) {
 	depth := 7
 	if d, err := strconv.Atoi(os.Getenv("EXPLORE_DEPTH")); err == nil {
@@ -197,10 +197,10 @@
 	}
 }
 
-// Opinions that no honest member would send are not taken.
+// Opinions that no honest member would send are rejected.
 func TestHearIsBounded(t *testing.T) {
 	b := newBench(NoMutation)
-	j := b.judges[0]
+	j := b.evaluators[0]
 	ok := Rating{"n1", true}
 	for name, o := range map[string]Opinion{
 		"of a stranger": {Author: "9", Boot: 1, Seq: 1, Ratings: []Rating{ok}},
@@ -216,15 +216,15 @@
 		}
 	}
 	j.Step(b.now, Received{[]Opinion{{Author: "1", Boot: 1, Seq: 9, Ratings: []Rating{ok}}}})
-	j.Step(b.now, Received{[]Opinion{{Author: "1", Boot: 2, Seq: 1}}}) // a new process of the name begins anew
+	j.Step(b.now, Received{[]Opinion{{Author: "1", Boot: 2, Seq: 1}}}) // a new process of the name starts its numbers anew
 	if o := j.opinions["1"]; o == nil || o.Boot != 2 {
 		t.Errorf("%+v", o)
 	}
 }
 
-// The list becomes short while nodes are under verdict: the latest goes back into use.
+// When the list becomes short while nodes are under verdict, the one condemned last goes back into use.
 func TestFewAreListed(t *testing.T) {
-	j := NewEvaluator(Config{Name: "0", Zone: "z", Pace: pace, MostPct: 25}, 0)
+	j := NewEvaluator(Config{Name: "0", Zone: "z", Pace: pace, MaxPercent: 25}, 0)
 	for i, n := range []string{"n1", "n2"} {
 		j.verdicts[n] = &verdict{node: Node{Name: n, Zone: "z"}, condemnedAt: time.Duration(i), stageEnd: time.Hour}
 	}
--- a/internal/verdict/evidence.go
+++ b/internal/verdict/evidence.go
@@ -8,33 +8,32 @@
 
 // Bounds of the evidence that one member keeps.
 const (
-	MaxNodes       = 4096             // execute nodes counted
-	maxSamples     = 8                // outcomes of a node that count,
-	sampleLifetime = 10 * time.Second // none older than this
-	mostZone       = 64               // bytes of a zone's name
+	MaxNodes       = 4096             // execute nodes with evidence
+	maxSamples     = 8                // last outcomes of a node that count
+	sampleLifetime = 10 * time.Second // after which an outcome no longer counts
 )
 
-// sample is one outcome.
+// sample is the outcome of one attempt.
 type sample struct {
 	at      time.Duration
 	latency time.Duration // of an answer
 	failed  bool
-	present bool
+	present bool // the sample was taken
 }
 
-// recent are the last outcomes of one node.
+// samples is a ring of the last outcomes of a node.
 type samples struct {
 	ring [maxSamples]sample
 	next int
 }
 
-// Tally counts outcomes by execute node, by what came last: it is as quick as the traffic. It is not safe for use by
-// several goroutines. The zero Tally has counted nothing.
+// Tally keeps the last outcomes of attempts at each execute node, so that it reacts as fast as there is traffic. It is not safe
+// for concurrent use. The zero Tally is empty.
 type Tally struct {
 	nodes map[string]*samples
 }
 
-// Version takes in the outcome of one attempt: failed, or answered after a time.
+// Count takes in the outcome of an attempt: failed, or answered after a time.
 func (t *Tally) Count(now time.Duration, node string, failed bool, took time.Duration) {
 	r := t.nodes[node]
 	if r == nil {
@@ -51,27 +50,27 @@
 	r.next = (r.next + 1) % maxSamples
 }
 
-// Forget drops what is counted of a node.
+// Forget drops the outcomes of a node.
 func (t *Tally) Forget(node string) { delete(t.nodes, node) }
 
-// Evidence is what one member has seen of a node lately.
+// Evidence is what the recent attempts of one member at a node came to.
 type Evidence struct {
 	Node                string
 	Succeeded           int
 	Failed              int
-	ConsecutiveFailures int           // failures since the last answer
-	Recent              []Outcome     // the last first
-	Latency             time.Duration // of an answer, the mean
-	LatencySamples      int           // that it is the mean of
+	ConsecutiveFailures int           // since the last answer
+	Recent              []Outcome     // the last one first
+	Latency             time.Duration // mean of the answers
+	LatencySamples      int           // number of those
 }
 
-// Outcome is when an attempt ended and how.
+// Outcome is when an attempt ended, and how.
 type Outcome struct {
 	At     time.Duration
 	Failed bool
 }
 
-// Evidence is what counts at a time, by node. Nodes of which nothing does are forgotten.
+// Evidence returns what counts at a time, by node. It forgets the nodes without any.
 func (t *Tally) Evidence(now time.Duration) (all []Evidence) {
 	for node, r := range t.nodes {
 		e := Evidence{Node: node}
--- a/internal/verdict/limit.go
+++ b/internal/verdict/limit.go
@@ -1,12 +1,12 @@
 package verdict
 
-// room tells whether one more node may be under verdict.
-func (j *Evaluator) hasCapacity(node Node) bool {
-	if j.cfg.Mutate == NoCap {
+// hasCapacity reports whether one more node may be under verdict, in all and in its zone.
+func (e *Evaluator) hasCapacity(node Node) bool {
+	if e.cfg.Mutate == NoCap {
 		return true
 	}
 	all, zone := 0, 0
-	for _, s := range j.verdicts {
+	for _, s := range e.verdicts {
 		if s.stage < stagePast {
 			all++
 			if s.node.Zone == node.Zone {
@@ -14,26 +14,26 @@
 			}
 		}
 	}
-	return all < j.maxAvoided(len(j.nodes), minNodes) && zone < j.maxAvoided(j.zones[node.Zone], minNodesInZone)
+	return all < e.maxAvoided(len(e.nodes), minNodes) && zone < e.maxAvoided(e.zones[node.Zone], minNodesInZone)
 }
 
-// Where fewer are listed none is condemned.
+// With fewer listed nodes than these none is condemned.
 const minNodes, minNodesInZone = 3, 2
 
-// most is how many of some nodes may be under verdict.
-func (j *Evaluator) maxAvoided(nodes, least int) int {
+// maxAvoided is how many of a number of nodes may be under verdict; none of fewer than least.
+func (e *Evaluator) maxAvoided(nodes, least int) int {
 	if nodes < least {
 		return 0
 	}
-	return max(1, nodes*j.cfg.MostPct/100)
+	return max(1, nodes*e.cfg.MaxPercent/100)
 }
 
-// shrink lets the latest go where the list has become too short for so many.
-func (j *Evaluator) enforceCap() {
+// enforceCap ends the latest verdicts if the list has become too short for so many.
+func (e *Evaluator) enforceCap() {
 	for {
 		var latest *verdict
 		name, all := "", 0
-		for n, s := range j.verdicts {
+		for n, s := range e.verdicts {
 			if s.stage >= stagePast {
 				continue
 			}
@@ -42,10 +42,10 @@
 				latest, name = s, n
 			}
 		}
-		if all <= j.maxAvoided(len(j.nodes), minNodes) {
+		if all <= e.maxAvoided(len(e.nodes), minNodes) {
 			return
 		}
-		delete(j.verdicts, name)
-		j.out = append(j.out, LogEntry{Node: name, Event: "back: few are listed"})
+		delete(e.verdicts, name)
+		e.out = append(e.out, LogEntry{Node: name, Event: "back: few are listed"})
 	}
 }
--- a/internal/verdict/opinion.go
+++ b/internal/verdict/opinion.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Rating is what one observer says of one node.
+// Rating is an observer's rating of a node.
 type Rating struct {
 	Node string `cbor:"1,keyasint"`
 	Bad  bool   `cbor:"2,keyasint,omitempty"`
 }
 
-// Opinion is what one observer says. A later one of it replaces it whole.
+// Opinion is all ratings of one observer. A later opinion of the same author replaces it whole.
 type Opinion struct {
 	Author  string        `cbor:"1,keyasint"`
 	Boot    uint64        `cbor:"2,keyasint"`
 	Seq     uint64        `cbor:"3,keyasint"`
-	Age     time.Duration `cbor:"4,keyasint,omitempty"` // since it was made, without the time on links
+	Age     time.Duration `cbor:"4,keyasint,omitempty"` // since it was formed, without the time on links
 	Ratings []Rating      `cbor:"5,keyasint,omitempty"`
 }
 
@@ -27,121 +27,127 @@
 const (
 	MaxRatings   = 16  // nodes in an opinion
 	MaxPanel     = 16  // observers of a zone whose opinions count
-	MaxZones     = 16  // of observers; those of further ones have no voice
+	MaxZones     = 16  // zones of observers; the observers of further ones have no vote
 	MaxForwarded = 32  // opinions in a frame
-	maxVerdicts  = 256 // nodes under verdict, or of which one is remembered
+	maxVerdicts  = 256 // nodes under verdict, or with one that is remembered
 )
 
-// heard is an opinion with when it was made, on this member's clock.
+// receivedOpinion is an opinion with the time at which it was formed, on this member's clock.
 type receivedOpinion struct {
 	Opinion
 	madeAt time.Duration
 }
 
-// hear takes an opinion in, if it is new and its speaker has a voice.
-func (j *Evaluator) receive(now time.Duration, o Opinion) {
-	_, voice := j.zoneOf[o.Author]
-	was := j.opinions[o.Author]
-	if !voice || o.Author == j.cfg.Name || len(o.Ratings) > MaxRatings || o.Age < 0 || o.Age > j.paces(opinionLifetime) {
+// receive takes in an opinion if it is new, well-formed and its author has a vote.
+func (e *Evaluator) receive(now time.Duration, o Opinion) {
+	_, hasVote := e.zoneOf[o.Author]
+	was := e.opinions[o.Author]
+	if !hasVote || o.Author == e.cfg.Name || len(o.Ratings) > MaxRatings || o.Age < 0 || o.Age > e.paces(opinionLifetime) {
 		return
 	}
-	if was != nil && (o.Boot < was.Boot || o.Boot == was.Boot && o.Seq <= was.Seq) && j.cfg.Mutate != StaleOpinions {
+	if was != nil && (o.Boot < was.Boot || o.Boot == was.Boot && o.Seq <= was.Seq) && e.cfg.Mutate != StaleOpinions {
 		return
 	}
-	for _, g := range o.Ratings {
-		if g.Node == "" || len(g.Node) > MaxNodeBytes {
+	for _, rating := range o.Ratings {
+		if rating.Node == "" || len(rating.Node) > MaxNodeBytes {
 			return
 		}
 	}
-	j.opinions[o.Author] = &receivedOpinion{o, now - o.Age}
-	j.enqueue(o.Author, now+j.paces(forwardInterval))
+	e.opinions[o.Author] = &receivedOpinion{o, now - o.Age}
+	e.enqueue(o.Author, now+e.paces(forwardInterval))
 }
 
-// queue has an opinion told at a time.
-func (j *Evaluator) enqueue(by string, at time.Duration) {
-	j.toForward[by] = forwardTimes
-	j.forwardDue = min(j.forwardDue, at)
+// enqueue has the opinion of an author sent, from a time on.
+func (e *Evaluator) enqueue(author string, at time.Duration) {
+	e.toForward[author] = forwardTimes
+	e.forwardDue = min(e.forwardDue, at)
 }
 
-// pass tells what is new, at the most MaxForwarded opinions at a time.
-func (j *Evaluator) forward(now time.Duration) {
-	var told []Opinion
-	for _, by := range slices.SortedFunc(maps.Keys(j.toForward), func(a, b string) int { return cmp.Or(j.toForward[b]-j.toForward[a], cmp.Compare(a, b)) }) {
-		o := j.opinions[by]
-		if j.toForward[by]--; j.toForward[by] == 0 || o == nil {
-			delete(j.toForward, by)
+// forward sends new opinions, at most MaxForwarded at a time: first those that were sent the fewest times.
+func (e *Evaluator) forward(now time.Duration) {
+	var opinions []Opinion
+	fewestSent := func(a, b string) int { return cmp.Or(e.toForward[b]-e.toForward[a], cmp.Compare(a, b)) }
+	for _, author := range slices.SortedFunc(maps.Keys(e.toForward), fewestSent) {
+		o := e.opinions[author]
+		if e.toForward[author]--; e.toForward[author] == 0 || o == nil {
+			delete(e.toForward, author)
 		}
 		if o != nil {
-			one := o.Opinion
-			one.Age = now - o.madeAt
-			told = append(told, one)
+			sent := o.Opinion
+			sent.Age = now - o.madeAt
+			opinions = append(opinions, sent)
 		}
-		if len(told) == MaxForwarded {
+		if len(opinions) == MaxForwarded {
 			break
 		}
 	}
-	j.forwardDue = math.MaxInt64
-	if len(j.toForward) > 0 {
-		j.forwardDue = now + j.paces(forwardInterval)
+	e.forwardDue = math.MaxInt64
+	if len(e.toForward) > 0 {
+		e.forwardDue = now + e.paces(forwardInterval)
 	}
-	if len(told) > 0 {
-		j.out = append(j.out, Send{told})
+	if len(opinions) > 0 {
+		e.out = append(e.out, Send{opinions})
 	}
 }
 
-// speak forms this member's own opinion and says it if it is new, or if it was long ago.
-func (j *Evaluator) publish(now time.Duration, evidence []Evidence) {
-	for by, o := range j.opinions {
-		if _, voice := j.zoneOf[by]; by != j.cfg.Name && (!voice || now-o.madeAt > j.paces(opinionLifetime)) {
-			delete(j.opinions, by)
+// publish forms this member's own opinion, and has it sent if it has changed or was sent long ago.
+func (e *Evaluator) publish(now time.Duration, evidence []Evidence) {
+	for author, o := range e.opinions {
+		if _, hasVote := e.zoneOf[author]; author != e.cfg.Name && (!hasVote || now-o.madeAt > e.paces(opinionLifetime)) {
+			delete(e.opinions, author)
 		}
 	}
-	if _, voice := j.zoneOf[j.cfg.Name]; !voice {
-		delete(j.opinions, j.cfg.Name)
+	if _, hasVote := e.zoneOf[e.cfg.Name]; !hasVote {
+		delete(e.opinions, e.cfg.Name)
 		return
 	}
-	bad, good := rate(evidence, j.ratedBad, j.cfg.Mutate)
-	clear(j.ratedBad)
-	for _, n := range bad {
-		j.ratedBad[n] = true
+	ratings := e.rateNodes(evidence)
+	own := e.opinions[e.cfg.Name]
+	if own == nil && len(ratings) == 0 {
+		return
 	}
-	spoken := j.accused()
-	var judged []Rating
-	for _, n := range bad {
-		if _, listed := j.nodes[n]; listed && len(judged) < MaxRatings {
-			judged = append(judged, Rating{n, true})
+	if own != nil && slices.Equal(own.Ratings, ratings) {
+		own.madeAt = now // it is still this member's opinion
+		if len(ratings) == 0 || now-e.publishedAt < e.paces(repeatInterval) {
+			return
 		}
 	}
-	for _, n := range good {
-		if spoken[n] && len(judged) < MaxRatings {
-			judged = append(judged, Rating{n, false})
-		}
+	e.seq++
+	e.publishedAt = now
+	e.opinions[e.cfg.Name] = &receivedOpinion{Opinion{Author: e.cfg.Name, Boot: e.cfg.Boot, Seq: e.seq, Ratings: ratings}, now}
+	e.enqueue(e.cfg.Name, now)
+}
+
+// rateNodes rates the listed nodes by the evidence: those that are bad, and those that are good though somebody rates them bad.
+func (e *Evaluator) rateNodes(evidence []Evidence) (ratings []Rating) {
+	bad, good := rate(evidence, e.ratedBad, e.cfg.Mutate)
+	clear(e.ratedBad)
+	for _, node := range bad {
+		e.ratedBad[node] = true
 	}
-	mine := j.opinions[j.cfg.Name]
-	if mine == nil && len(judged) == 0 {
-		return
+	for _, node := range bad {
+		if _, listed := e.nodes[node]; listed && len(ratings) < MaxRatings {
+			ratings = append(ratings, Rating{node, true})
+		}
 	}
-	if mine != nil && slices.Equal(mine.Ratings, judged) {
-		mine.madeAt = now // it is what this member thinks at present
-		if len(judged) == 0 || now-j.publishedAt < j.paces(repeatInterval) {
-			return
+	accused := e.accused()
+	for _, node := range good {
+		if accused[node] && len(ratings) < MaxRatings {
+			ratings = append(ratings, Rating{node, false})
 		}
 	}
-	j.seq++
-	j.publishedAt = now
-	j.opinions[j.cfg.Name] = &receivedOpinion{Opinion{Author: j.cfg.Name, Boot: j.cfg.Boot, Seq: j.seq, Ratings: judged}, now}
-	j.enqueue(j.cfg.Name, now)
+	return ratings
 }
 
-// spoken are the listed nodes that somebody calls bad.
-func (j *Evaluator) accused() map[string]bool {
-	all := map[string]bool{}
-	for _, o := range j.opinions {
-		for _, g := range o.Ratings {
-			if _, listed := j.nodes[g.Node]; g.Bad && listed {
-				all[g.Node] = true
+// accused returns the listed nodes that somebody rates bad.
+func (e *Evaluator) accused() map[string]bool {
+	nodes := make(map[string]bool)
+	for _, o := range e.opinions {
+		for _, rating := range o.Ratings {
+			if _, listed := e.nodes[rating.Node]; rating.Bad && listed {
+				nodes[rating.Node] = true
 			}
 		}
 	}
-	return all
+	return nodes
 }
--- a/internal/verdict/panel.go
+++ b/internal/verdict/panel.go
@@ -9,48 +9,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// gather takes in who is there, and draws the panels.
-func (j *Evaluator) updateMembership(e Evaluate) {
-	clear(j.nodes)
-	clear(j.zones)
-	for _, n := range e.Nodes {
-		j.nodes[n.Name] = n
-		j.zones[n.Zone]++
+// updateMembership takes in the nodes and the observers, and chooses the panel of each zone.
+func (e *Evaluator) updateMembership(event Evaluate) {
+	clear(e.nodes)
+	clear(e.zones)
+	for _, n := range event.Nodes {
+		e.nodes[n.Name] = n
+		e.zones[n.Zone]++
 	}
-	if slices.Equal(e.Peers, j.peers) {
-		return // as they were: the panels are too
+	if slices.Equal(event.Peers, e.peers) {
+		return // the panels stay as they are
 	}
-	j.peers = e.Peers
-	clear(j.panels)
-	clear(j.zoneOf)
-	for _, p := range e.Peers {
-		j.panels[p.Zone] = append(j.panels[p.Zone], p.Name)
+	e.peers = event.Peers
+	clear(e.panels)
+	clear(e.zoneOf)
+	for _, p := range event.Peers {
+		e.panels[p.Zone] = append(e.panels[p.Zone], p.Name)
 	}
-	for i, zone := range slices.Sorted(maps.Keys(j.panels)) {
+	for i, zone := range slices.Sorted(maps.Keys(e.panels)) {
 		if i >= MaxZones {
-			delete(j.panels, zone)
+			delete(e.panels, zone)
 			continue
 		}
-		if names := j.panels[zone]; len(names) > MaxPanel {
+		if names := e.panels[zone]; len(names) > MaxPanel {
 			orderByHash(names, "panel")
-			j.panels[zone] = names[:MaxPanel]
+			e.panels[zone] = names[:MaxPanel]
 		}
-		for _, name := range j.panels[zone] {
-			j.zoneOf[name] = zone
+		for _, name := range e.panels[zone] {
+			e.zoneOf[name] = zone
 		}
 	}
 }
 
-// draw orders names by a hash with a word: the same everywhere, and evenly spread over words.
-func orderByHash(names []string, word string) {
-	rank := func(name string) uint64 { return xxhash.Sum64String(word + "\x00" + name) }
+// orderByHash orders names by a hash with a salt: all members get the same order, and each salt gives another one.
+func orderByHash(names []string, salt string) {
+	rank := func(name string) uint64 { return xxhash.Sum64String(salt + "\x00" + name) }
 	slices.SortFunc(names, func(a, b string) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a, b)) })
 }
 
-// triers are who send to a node at its stage of a trial: drawn anew with each verdict on it.
-func (j *Evaluator) trialMembers(node string, s *verdict) []string {
-	names := make([]string, 0, len(j.peers))
-	for _, p := range j.peers {
+// trialMembers returns the names of those that send to a node at its stage of a trial. Each verdict on it chooses others.
+func (e *Evaluator) trialMembers(node string, s *verdict) []string {
+	names := make([]string, 0, len(e.peers))
+	for _, p := range e.peers {
 		names = append(names, p.Name)
 	}
 	orderByHash(names, fmt.Sprint(node, s.round))
--- a/internal/verdict/rating.go
+++ b/internal/verdict/rating.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// What makes a node bad in the eyes of one member.
+// The thresholds by which a member rates a node. Those for a node that was rated bad before are lower, so that ratings do not
+// alternate.
 const (
-	minSamples             = 3    // of a node, to say anything of it
-	minCompared            = 3    // nodes with as many samples
-	minConcurrent          = 8    // outcomes of others since a node began to fail
-	badFailureRate         = 0.75 // of failures, on top of the median node's, and
-	goodFailureRate        = 0.25 // what the median node, or one that was bad, must not pass
-	badConsecutiveFailures = 4    // failures, however many answers came before: the module soon stops to send there
-	slowFactor             = 4    // the median node's time, and
-	recoveredFactor        = 2    // what one that was slow must not pass
+	minSamples             = 3    // outcomes of a node without which it is not rated
+	minCompared            = 3    // nodes with that many, without which none is rated
+	minConcurrent          = 8    // outcomes at other nodes since a node began to fail, without which it is not rated bad
+	badFailureRate         = 0.75 // more than at the other nodes: the node is bad
+	goodFailureRate        = 0.25 // the same for a node that was bad; with more at the other nodes none is bad
+	badConsecutiveFailures = 4    // the node is bad however many answers came before: the module soon stops sending to it
+	slowFactor             = 4    // times the median latency: the node is bad
+	recoveredFactor        = 2    // the same for a node that was bad
 )
 
-// opinion judges each node that there is evidence enough of, by the others. was tells which were bad before.
+// rate rates each node with enough evidence in comparison with the others. wasBad has those that were bad before.
 func rate(all []Evidence, wasBad map[string]bool, mutate Mutation) (bad, good []string) {
 	all = slices.DeleteFunc(slices.Clone(all), func(e Evidence) bool { return e.Succeeded+e.Failed < minSamples })
 	if len(all) < minCompared && mutate != OwnFaults {
@@ -34,7 +35,7 @@
 	everywhere := median(shares)
 	usual := median(times)
 	for i, e := range all {
-		own := max(everywhere, concurrentFailureRate(all, i)) // what fails everywhere is not the node's
+		own := max(everywhere, concurrentFailureRate(all, i)) // failures that occur at all nodes are not the node's own
 		if mutate == OwnFaults {
 			own = 0
 		}
@@ -52,8 +53,8 @@
 	return bad, good
 }
 
-// meanwhile is the share of failures at the better two thirds of the other nodes since the first failure at one that
-// counts against it: what begins to go wrong everywhere has not yet come to show in all that is kept of the others.
+// concurrentFailureRate is the failure rate of the better two thirds of the other nodes since the first failure that counts
+// against one: a fault that has just begun at all nodes does not show in their older outcomes.
 func concurrentFailureRate(all []Evidence, at int) float64 {
 	e := all[at]
 	if e.Failed == 0 {
@@ -84,7 +85,7 @@
 		}
 	}
 	if len(counts) < minCompared-1 || seen < minConcurrent {
-		return 1 // it cannot be told yet
+		return 1 // not known yet: the node is not rated bad
 	}
 	slices.SortFunc(counts, func(a, b count) int { return cmp.Compare(a.failed/a.of, b.failed/b.of) })
 	var better count
@@ -94,9 +95,10 @@
 	return better.failed / better.of
 }
 
+// failureRate is the fraction of attempts that failed.
 func failureRate(e Evidence) float64 { return float64(e.Failed) / float64(e.Succeeded+e.Failed) }
 
-// median is the lower one of an even number.
+// median is the median, of an even number of values the lower one of the middle two.
 func median(all []float64) float64 {
 	if len(all) == 0 {
 		return 0
--- a/internal/verdict/statement_test.go
+++ b/internal/verdict/statement_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// In whatever order words come, and however often, all end with the same table; and no suspension is undone by a word
-// that did not know of it.
+// In whatever order statements come, and however often, all members end with the same table; and no suspension is undone by a
+// statement whose author did not know of it.
 func TestWordsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var members [4]Table
 		var said []Statement
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			at := rapid.IntRange(0, 3).Draw(t, "member")
-			if len(said) > 0 && rapid.Bool().Draw(t, "hears") { // of something said before
+			if len(said) > 0 && rapid.Bool().Draw(t, "hears") { // a statement made before
 				members[at].Merge([]Statement{said[rapid.IntRange(0, len(said)-1).Draw(t, "what")]})
 				continue
 			}
@@ -35,7 +35,7 @@
 				t.Fatalf("%v\n%v", members[i].All(), members[0].All())
 			}
 		}
-		for _, w := range said { // what holds in the end was said by somebody who knew all that it overrules, or is a suspension
+		for _, w := range said { // the statement in the end was made with knowledge of all that it supersedes, or is a suspension
 			for _, holds := range members[0].All() {
 				if holds.Node == w.Node && w.Suspended && !holds.Suspended && holds.Version <= w.Version {
 					t.Fatalf("%v is undone by %v", w, holds)
@@ -55,14 +55,14 @@
 	if _, err := a.Declare("one more", "m", true); err == nil {
 		t.Error("it was taken")
 	}
-	if _, err := a.Declare("n7", "m", false); err != nil { // restored, it makes room
+	if _, err := a.Declare("n7", "m", false); err != nil { // restored, the node makes room
 		t.Fatal(err)
 	}
 	if _, err := a.Declare("one more", "m", true); err != nil || len(a.All()) != MaxStatements || slices.Contains(a.Suspended(), "n7") {
 		t.Error(err, len(a.All()))
 	}
 	if len(a.Merge([]Statement{{Node: "", Version: 1}, {Node: "x"}, {Node: string(make([]byte, MaxNodeBytes+1)), Version: 9}})) != 0 {
-		t.Error("words without a form were taken")
+		t.Error("statements without a form were merged")
 	}
 	var b Table
 	if b.Digest() != 0 || b.Digest() == a.Digest() {
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,7 +1,11 @@
-// Package verdict holds what a fleet of sidecars says of execute nodes: which
-// are suspended by hand for all of them, which one member's list has as
-// draining (Table: words that merge the same way in any order, twice or once),
-// and which most of them see failing (Judge). It has no I/O and no clock.
+// Package verdict holds what the sidecars of a fleet say about execute nodes, without I/O or clock:
+//
+//   - which nodes an operator suspended for the whole fleet, and which a member's list has as draining (Table, a map of
+//     last-writer-wins registers that merge in any order, once or repeatedly);
+//   - which nodes fail or are slow in the experience of most members (Tally, Evaluator), the verdicts.
+//
+// It needs no voters and no agreement: each member counts the votes that it has received. docs/design-shared.md describes the
+// design, docs/verdicts.md is the page for operators.
 package verdict
 
 import (
@@ -11,113 +15,133 @@
 	"time"
 )
 
-// stage is how far a verdict has come.
+// stage is the stage of a verdict.
 type stage uint8
 
 const (
-	stageAvoided stage = iota
-	stageFew           // tried by few members,
-	stageHalf          // by half of them
-	stagePast          // all may send to it; remembered for what comes next
+	stageAvoided stage = iota // no member sends to the node
+	stageFew                  // a trial by a few members,
+	stageHalf                 // and by half of them
+	stagePast                 // all members send to it; the verdict is remembered, so that the next one lasts longer
 )
 
+// String is the stage as operators see it.
 func (s stage) String() string { return [...]string{"avoid", "few", "half", "past"}[s] }
 
-// standing is a verdict on a node.
+// verdict is a verdict on a node.
 type verdict struct {
 	node        Node
 	stage       stage
-	condemnedAt time.Duration // of the verdict
-	stageEnd    time.Duration // of the stage
-	trialStart  time.Duration // when the trial began
-	term        time.Duration
-	round       uint64
-	observers   []string
+	condemnedAt time.Duration
+	stageEnd    time.Duration
+	trialStart  time.Duration
+	term        time.Duration // for how long the node is avoided
+	round       uint64        // how often it was condemned in a row
+	observers   []string      // who voted against it
 }
 
-// decide moves the verdicts on.
-func (j *Evaluator) decide(now time.Duration) {
-	names := j.accused()
-	for n := range j.verdicts {
+// decide advances the verdicts, and reports which nodes to avoid if that has changed.
+func (e *Evaluator) decide(now time.Duration) {
+	names := e.accused()
+	for n := range e.verdicts {
 		names[n] = true
 	}
 	for _, n := range slices.Sorted(maps.Keys(names)) {
-		j.advance(now, n)
+		e.advance(now, n)
 	}
-	if j.cfg.Mutate != NoCap {
-		j.enforceCap()
+	if e.cfg.Mutate != NoCap {
+		e.enforceCap()
 	}
 	var avoid []string
-	for n, s := range j.verdicts {
-		if s.stage == stageAvoided || s.stage < stagePast && !slices.Contains(j.trialMembers(n, s), j.cfg.Name) {
+	for n, s := range e.verdicts {
+		if s.stage == stageAvoided || s.stage < stagePast && !slices.Contains(e.trialMembers(n, s), e.cfg.Name) {
 			avoid = append(avoid, n)
 		}
 	}
 	slices.Sort(avoid)
-	if !slices.Equal(avoid, j.avoided) {
-		j.avoided = avoid
-		j.out = append(j.out, Avoid{slices.Clone(avoid)})
+	if !slices.Equal(avoid, e.avoided) {
+		e.avoided = avoid
+		e.out = append(e.out, Avoid{slices.Clone(avoid)})
 	}
 }
 
-func (j *Evaluator) advance(now time.Duration, name string) {
-	s := j.verdicts[name]
-	node, listed := j.nodes[name]
-	if !listed || s != nil && s.node.Since != node.Since {
-		delete(j.verdicts, name)
+// advance advances the verdict on a node, or makes one.
+func (e *Evaluator) advance(now time.Duration, name string) {
+	v := e.verdicts[name]
+	node, listed := e.nodes[name]
+	if !listed || v != nil && v.node.Since != node.Since {
+		delete(e.verdicts, name)
 		return
 	}
 	after := time.Duration(math.MinInt64)
-	if s != nil && s.stage > stageAvoided {
-		after = s.trialStart + j.paces(trialGrace)
+	if v != nil && v.stage > stageAvoided {
+		after = v.trialStart + e.paces(trialGrace)
 	}
-	bad, good := j.votes(name, after)
+	bad, good := e.votes(name, after)
 	switch {
-	case s == nil:
-		if j.condemned(bad, good) && j.hasCapacity(node) && len(j.verdicts) < maxVerdicts {
-			s = &verdict{node: node, term: j.paces(minTerm)}
-			j.verdicts[name] = s
-			j.condemn(now, name, s, bad)
+	case v == nil:
+		if e.condemned(bad, good) && e.hasCapacity(node) && len(e.verdicts) < maxVerdicts {
+			v = &verdict{node: node, term: e.paces(minTerm)}
+			e.verdicts[name] = v
+			e.condemn(now, name, v, bad)
 		}
-	case s.stage == stageAvoided:
-		if now >= s.stageEnd && j.cfg.Mutate != NoExpiry {
-			s.stage, s.trialStart, s.stageEnd = stageFew, now, now+j.paces(trialStage)
-			if j.cfg.Mutate == AllAtOnce {
-				s.stage, s.stageEnd = stagePast, now+memoryTerms*s.term
-			}
-			j.out = append(j.out, Forget{name}, LogEntry{Node: name, Event: "tried again"})
-			delete(j.ratedBad, name)
+	case v.stage == stageAvoided:
+		if now >= v.stageEnd && e.cfg.Mutate != NoExpiry {
+			e.beginTrial(now, name, v)
 		}
-	case s.stage == stagePast:
-		if now >= s.stageEnd {
-			delete(j.verdicts, name)
-		} else if j.condemned(bad, good) && j.hasCapacity(node) {
-			s.term = min(2*s.term, j.paces(maxTerm))
-			j.condemn(now, name, s, bad)
+	case v.stage == stagePast:
+		if now >= v.stageEnd {
+			delete(e.verdicts, name)
+		} else if e.condemned(bad, good) && e.hasCapacity(node) {
+			e.condemnAgain(now, name, v, bad)
 		}
 	default:
-		triers := j.trialMembers(name, s)
-		against := 0
-		for _, by := range bad {
-			if slices.Contains(triers, by) {
-				against++
-			}
-		}
-		if against >= minVotes && 2*against > len(triers) || j.condemned(bad, good) {
-			s.term = min(2*s.term, j.paces(maxTerm))
-			j.condemn(now, name, s, bad)
-		} else if now >= s.stageEnd {
-			s.stage++
-			s.stageEnd = now + j.paces(trialStage)
-			if s.stage == stagePast {
-				s.stageEnd = now + memoryTerms*s.term
-				j.out = append(j.out, LogEntry{Node: name, Event: "back"})
-			}
+		e.advanceTrial(now, name, v, bad, good)
+	}
+}
+
+// beginTrial lets few members send to a node whose term is over. Evidence from before must not count against it.
+func (e *Evaluator) beginTrial(now time.Duration, name string, v *verdict) {
+	v.stage, v.trialStart, v.stageEnd = stageFew, now, now+e.paces(trialStage)
+	if e.cfg.Mutate == AllAtOnce {
+		v.stage, v.stageEnd = stagePast, now+memoryTerms*v.term
+	}
+	e.out = append(e.out, Forget{name}, LogEntry{Node: name, Event: "tried again"})
+	delete(e.ratedBad, name)
+}
+
+// advanceTrial condemns a node again if most of those that try it rate it bad, and else goes on to the next stage in time.
+func (e *Evaluator) advanceTrial(now time.Duration, name string, v *verdict, bad, good []string) {
+	members := e.trialMembers(name, v)
+	against := 0
+	for _, observer := range bad {
+		if slices.Contains(members, observer) {
+			against++
 		}
 	}
+	if against >= minVotes && 2*against > len(members) || e.condemned(bad, good) {
+		e.condemnAgain(now, name, v, bad)
+		return
+	}
+	if now < v.stageEnd {
+		return
+	}
+	v.stage++
+	v.stageEnd = now + e.paces(trialStage)
+	if v.stage == stagePast {
+		v.stageEnd = now + memoryTerms*v.term
+		e.out = append(e.out, LogEntry{Node: name, Event: "back"})
+	}
+}
+
+// condemn has a node avoided for the verdict's term.
+func (e *Evaluator) condemn(now time.Duration, name string, v *verdict, observers []string) {
+	v.stage, v.condemnedAt, v.stageEnd, v.round, v.observers = stageAvoided, now, now+v.term, v.round+1, observers
+	e.out = append(e.out, LogEntry{Node: name, Event: "avoided", Observers: observers, Term: v.term})
 }
 
-func (j *Evaluator) condemn(now time.Duration, name string, s *verdict, bad []string) {
-	s.stage, s.condemnedAt, s.stageEnd, s.round, s.observers = stageAvoided, now, now+s.term, s.round+1, bad
-	j.out = append(j.out, LogEntry{Node: name, Event: "avoided", Observers: bad, Term: s.term})
+// condemnAgain does so for twice as long as before.
+func (e *Evaluator) condemnAgain(now time.Duration, name string, v *verdict, observers []string) {
+	v.term = min(2*v.term, e.paces(maxTerm))
+	e.condemn(now, name, v, observers)
 }
--- a/internal/verdict/vote.go
+++ b/internal/verdict/vote.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// voices are who say bad and good of a node, of what was said after a time.
-func (j *Evaluator) votes(node string, after time.Duration) (bad, good []string) {
-	for by, o := range j.opinions {
-		for _, g := range o.Ratings {
+// votes returns who rates a node bad, in order, and who good, by the opinions that were formed after a time.
+func (e *Evaluator) votes(node string, after time.Duration) (bad, good []string) {
+	for author, o := range e.opinions {
+		for _, rating := range o.Ratings {
 			switch {
-			case g.Node != node || o.madeAt < after:
-			case g.Bad:
-				bad = append(bad, by)
+			case rating.Node != node || o.madeAt < after:
+			case rating.Bad:
+				bad = append(bad, author)
 			default:
-				good = append(good, by)
+				good = append(good, author)
 			}
 		}
 	}
@@ -22,28 +22,29 @@
 	return bad, good
 }
 
-// minVotes is how many must say bad, however few there are.
+// minVotes is how many observers must rate a node bad, however few there are.
 const minVotes = 2
 
-// guilty tells whether a node is condemned for this member's zone.
-func (j *Evaluator) condemned(bad, good []string) bool {
+// condemned reports whether the votes on a node suffice to avoid it in this member's zone: those of the zone's majority, or of
+// the majorities of two other zones, unless most of this zone's observers rate it good.
+func (e *Evaluator) condemned(bad, good []string) bool {
 	zones, here := 0, false
-	heads := func(names []string) map[string]int {
-		by := map[string]int{}
-		for _, n := range names {
-			by[j.zoneOf[n]]++
+	countByZone := func(names []string) map[string]int {
+		count := make(map[string]int)
+		for _, name := range names {
+			count[e.zoneOf[name]]++
 		}
-		return by
+		return count
 	}
-	against, inFavour := heads(bad), heads(good)
+	against, inFavour := countByZone(bad), countByZone(good)
 	for zone, n := range against {
-		if most := len(j.panels[zone]); n >= minVotes && 2*n > most || j.cfg.Mutate == SingleVote {
+		if panel := len(e.panels[zone]); n >= minVotes && 2*n > panel || e.cfg.Mutate == SingleVote {
 			zones++
-			here = here || zone == j.cfg.Zone
+			here = here || zone == e.cfg.Zone
 		}
 	}
-	if here || j.cfg.Mutate == OneZone && zones > 0 {
+	if here || e.cfg.Mutate == OneZone && zones > 0 {
 		return true
 	}
-	return zones >= 2 && 2*inFavour[j.cfg.Zone] <= len(j.panels[j.cfg.Zone])
+	return zones >= 2 && 2*inFavour[e.cfg.Zone] <= len(e.panels[e.cfg.Zone])
 }
