--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -108,7 +108,7 @@
 	// RulesForced is that this member goes by an edition from now on, whole.
 	RulesForced struct{ Compiled *rules.Compiled }
 	// RulesLine is a line on rules for the operator.
-	RulesLine struct{ skew.Line }
+	RulesLine struct{ skew.LogEntry }
 	// ModeChanged is a new mode.
 	ModeChanged struct {
 		Mode, Was Mode
@@ -442,7 +442,7 @@
 		c.granted(*f.Grant)
 	}
 	if f.Rules != nil {
-		c.rule(skew.Heard{From: f.From, Message: *f.Rules})
+		c.rule(skew.Received{From: f.From, Message: *f.Rules})
 	}
 	if f.View != nil {
 		c.agree(view.Received{From: f.From, Message: *f.View})
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -26,7 +26,7 @@
 	cfg.Name, cfg.Boot, cfg.Pace, cfg.Seed = c.cfg.Member.Name, c.cfg.Member.Boot, c.cfg.Member.Pace, c.cfg.Member.Seed
 	cfg.Bound = view.Bound(c.cfg.View.Lease, c.cfg.View.Drift)
 	cfg.View, cfg.Decided = c.views.View, c.views.Decided
-	cfg.Holds = func() bool { return c.views.HoldsLease(c.now) }
+	cfg.HoldsLease = func() bool { return c.views.HoldsLease(c.now) }
 	cfg.Leader = func() string { _, leader := c.views.VoterGroup(); return leader }
 	cfg.Members = c.readers
 	c.skew = skew.New(cfg, now)
@@ -35,13 +35,13 @@
 // readers are those whose understanding of rules may matter.
 func (c *Core) readers() []skew.Member {
 	self := c.member.Self()
-	all := []skew.Member{{Name: self.Name, Boot: self.Boot, Reads: self.Reads, Away: -1}}
+	all := []skew.Member{{Name: self.Name, Boot: self.Boot, Reads: self.Reads, AbsentFor: -1}}
 	for _, k := range c.member.Others() {
 		switch {
 		case k.Present():
-			all = append(all, skew.Member{Name: k.Name, Boot: k.Boot, Reads: k.Reads, Away: -1})
+			all = append(all, skew.Member{Name: k.Name, Boot: k.Boot, Reads: k.Reads, AbsentFor: -1})
 		case k.State == member.Failed:
-			all = append(all, skew.Member{Name: k.Name, Boot: k.Boot, Reads: k.Reads, Away: c.now - k.StateSince})
+			all = append(all, skew.Member{Name: k.Name, Boot: k.Boot, Reads: k.Reads, AbsentFor: c.now - k.StateSince})
 		}
 	}
 	return all
@@ -61,13 +61,13 @@
 			if to, ok := c.member.Peer(a.To); ok && to.Addr != "" {
 				c.transmit(to, peer.Frame{Rules: &a.Message}, false)
 			}
-		case skew.Spread:
+		case skew.Gossip:
 			c.spread(peer.Frame{Rules: &a.Message})
 		case skew.Propose:
 			c.agree(view.ProposeRules{Rules: a.Rules})
-		case skew.Force:
+		case skew.Enforce:
 			c.out = append(c.out, RulesForced{a.Compiled})
-		case skew.Line:
+		case skew.LogEntry:
 			c.out = append(c.out, RulesLine{a})
 		}
 	}
@@ -113,12 +113,12 @@
 	r.kept = store.Options{Path: filepath.Join(set.State, editionFile), Owner: set.Fleet + "/" + set.Name, Most: mostEdition, Wait: editionWait}
 	found, err := store.Edit(store.Disk{}, r.kept, func(s store.Store) error {
 		if text, ok := s.Get(editionKey); ok {
-			return cbor.Unmarshal(text, &cfg.Rules.Kept)
+			return cbor.Unmarshal(text, &cfg.Rules.Stored)
 		}
 		return nil
 	})
 	if err != nil || found.Why != "" {
-		cfg.Rules.Kept = rules.Edition{}
+		cfg.Rules.Stored = rules.Edition{}
 		log.Warn().Err(err).Str("why", found.Why).Msg("edition kept before not taken")
 	}
 	return push, nil
@@ -146,7 +146,7 @@
 
 func (r *ruled) line(log zerolog.Logger, l RulesLine) {
 	level := zerolog.InfoLevel
-	if l.Loud {
+	if l.Alert {
 		level = zerolog.ErrorLevel
 	}
 	log.WithLevel(level).Str("rules", l.Text).Msg("rules")
--- a/internal/fleetsim/digest_test.go
+++ b/internal/fleetsim/digest_test.go
@@ -118,7 +118,7 @@
 		if member == 4 {
 			c.Reads = one
 		}
-		c.Behind = 1
+		c.MaxBehind = 1
 	})
 	w := recordedWorld(t, recorder, options)
 	w.StartAll(time.Second)
@@ -182,7 +182,7 @@
 	case fleet.RulesForced:
 		begin("rules").Bytes(encoded(t, action.Compiled.Edition))
 	case fleet.RulesLine:
-		begin("rules-line").Flag(action.Loud)
+		begin("rules-line").Flag(action.Alert)
 	case fleet.ModeChanged:
 		begin("mode").Number(uint64(action.Mode)).Number(uint64(action.Was))
 	default:
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -241,7 +241,7 @@
 	}
 	if w.opts.Rules != nil {
 		if cfg.Rules = w.opts.Rules(n.Index); cfg.Rules != nil {
-			cfg.Rules.Kept = n.Edition
+			cfg.Rules.Stored = n.Edition
 			cfg.Member.Reads = cfg.Rules.Reads.String()
 		}
 	}
--- a/internal/fleetsim/rules_test.go
+++ b/internal/fleetsim/rules_test.go
@@ -102,7 +102,7 @@
 
 func readers(reads func(member int) rules.Reads, change func(member int, c *skew.Config)) func(int) *skew.Config {
 	return func(member int) *skew.Config {
-		c := &skew.Config{Reads: rules.Here(), Return: 5 * time.Second, Hear: 10 * time.Second}
+		c := &skew.Config{Reads: rules.Here(), ReturnTimeout: 5 * time.Second, ReplyTimeout: 10 * time.Second}
 		if reads != nil {
 			c.Reads = reads(member)
 		}
@@ -205,8 +205,8 @@
 		}), line: "m5 reads otherwise: case "},
 		"lowered":          {rules: readers(old, func(_ int, c *skew.Config) { c.Lower = true }), plain: true, force: true},
 		"would lose":       {rules: readers(old, func(_ int, c *skew.Config) { c.Lower = true }), line: "it would lose failed traces kept after the fact"},
-		"one left behind":  {rules: readers(old, func(_ int, c *skew.Config) { c.Behind = 1 }), force: true, line: "m5: behind: edition 1: rules sampling 2.0: format not read"},
-		"none left behind": {rules: readers(old, func(member int, c *skew.Config) { c.Behind = 0 }), line: "m5 cannot read"},
+		"one left behind":  {rules: readers(old, func(_ int, c *skew.Config) { c.MaxBehind = 1 }), force: true, line: "m5: behind: edition 1: rules sampling 2.0: format not read"},
+		"none left behind": {rules: readers(old, func(member int, c *skew.Config) { c.MaxBehind = 0 }), line: "m5 cannot read"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, x := begun(t, Options{Members: 5, Seed: 3, Delay: 2 * time.Millisecond, Rules: c.rules})
@@ -232,7 +232,7 @@
 
 // A member that is away and may return counts; one that answers slowly is waited for; one upgraded afterwards lets it through.
 func TestRulesWaitForTheAway(t *testing.T) {
-	w, x := begun(t, Options{Members: 5, Seed: 3, Delay: 2 * time.Millisecond, Rules: readers(nil, func(_ int, c *skew.Config) { c.Return = 20 * time.Second })})
+	w, x := begun(t, Options{Members: 5, Seed: 3, Delay: 2 * time.Millisecond, Rules: readers(nil, func(_ int, c *skew.Config) { c.ReturnTimeout = 20 * time.Second })})
 	w.Node(4).Kill()
 	killed := w.Now()
 	w.Run(w.Now()+5*time.Second, nil)
@@ -251,7 +251,7 @@
 // storm has editions pushed while members are killed, stopped and cut off, and frames lost.
 func storm(t testing.TB, seed uint64, mutate skew.Mutation) (*watched, int) {
 	w := New(Options{Members: 7, Seed: seed, Delay: 5 * time.Millisecond, Jitter: 20 * time.Millisecond, Loss: 0.03, Drift: 0.002, Keep: true,
-		Rules: readers(nil, func(_ int, c *skew.Config) { c.Mutate, c.Return, c.Hear = mutate, 2*time.Second, 2*time.Second })})
+		Rules: readers(nil, func(_ int, c *skew.Config) { c.Mutate, c.ReturnTimeout, c.ReplyTimeout = mutate, 2*time.Second, 2*time.Second })})
 	x := watchRules(w)
 	w.StartAll(time.Second)
 	rng := w.rng
--- a/internal/skew/check_test.go
+++ b/internal/skew/check_test.go
@@ -46,12 +46,12 @@
 
 func (w *three) start(i int, odd bool) {
 	w.boots[i] += 10
-	cfg := Config{Name: name(i), Boot: w.boots[i], Pace: pace, Bound: 20 * pace, Seed: uint64(i), Reads: rules.Here(), Hear: 1000 * pace, Mutate: w.mutate,
-		View: func() (view.View, bool) { return w.adopted[i], true }, Holds: func() bool { return w.adopted[i].ID == w.decided.ID },
+	cfg := Config{Name: name(i), Boot: w.boots[i], Pace: pace, Bound: 20 * pace, Seed: uint64(i), Reads: rules.Here(), ReplyTimeout: 1000 * pace, Mutate: w.mutate,
+		View: func() (view.View, bool) { return w.adopted[i], true }, HoldsLease: func() bool { return w.adopted[i].ID == w.decided.ID },
 		Decided: func() (view.View, bool) { return w.decided, true }, Leader: func() string { return name(w.leader) },
 		Members: func() (all []Member) {
 			for j := range 3 {
-				all = append(all, Member{Name: name(j), Boot: w.boots[j], Reads: rules.Here().String(), Away: -1})
+				all = append(all, Member{Name: name(j), Boot: w.boots[j], Reads: rules.Here().String(), AbsentFor: -1})
 			}
 			return all
 		}}
@@ -83,14 +83,14 @@
 		switch a := a.(type) {
 		case Send:
 			w.put(i, strings.Index("abc", a.To), a.Message)
-		case Spread:
+		case Gossip:
 			for j := range 3 {
 				w.put(i, j, a.Message)
 			}
 		case Propose:
 			w.propose(a.Rules)
-		case Force:
-			d := digest(a.Compiled.Edition)
+		case Enforce:
+			d := editionDigest(a.Compiled.Edition)
 			if was := w.digests[a.Compiled.Edition.Number]; was != d {
 				w.broken = fmt.Errorf("%s goes by edition %d as %.6s, agreed was %.6s", name(i), a.Compiled.Edition.Number, d, was)
 			}
@@ -150,7 +150,7 @@
 			}
 			take := func() Message { m := w.links[id][0]; w.links[id] = w.links[id][1:]; return m }
 			add(fmt.Sprintf("%s>%s", name(i), name(j)), func() {
-				w.step(j, Heard{From: member.Record{Name: name(i), Boot: w.boots[i]}, Message: take()})
+				w.step(j, Received{From: member.Record{Name: name(i), Boot: w.boots[i]}, Message: take()})
 			})
 		}
 		if w.adopted[i].ID != w.decided.ID {
@@ -181,13 +181,13 @@
 	h := xxhash.New()
 	_, _ = fmt.Fprint(h, w.leader, w.boots, w.decided.ID, w.decided.Rules, w.restarts, w.pushed, w.now)
 	for i, m := range w.machines {
-		_, _ = fmt.Fprint(h, w.adopted[i].ID, m.forced, m.behind, m.pushed, m.mine != nil, m.phase, len(m.passed), len(m.queue))
+		_, _ = fmt.Fprint(h, w.adopted[i].ID, m.enforcedDigest, m.behind, m.pushedDigest, m.pushed != nil, m.pushedPhase, len(m.forwardedTrials), len(m.drafts))
 		if o := m.offer; o != nil {
-			_, _ = fmt.Fprint(h, o.digest, o.phase, o.proposed, len(o.readings), o.readings["a"].boot, o.readings["b"].boot, o.readings["c"].boot)
+			_, _ = fmt.Fprint(h, o.digest, o.phase, o.proposedAt, len(o.replies), o.replies["a"].boot, o.replies["b"].boot, o.replies["c"].boot)
 		}
 		for j := range 3 {
 			for _, msg := range w.links[[2]int{i, j}] {
-				_, _ = fmt.Fprint(h, j, msg.Kind, msg.Digest, msg.Round, msg.Phase)
+				_, _ = fmt.Fprint(h, j, msg.Kind, msg.Digest, msg.TrialID, msg.Phase)
 			}
 		}
 	}
@@ -259,10 +259,10 @@
 		for n := uint64(1); n <= 2; n++ {
 			e := numbered(int(n))
 			e.Number = n
-			w.machines[2].hold(e)
-			w.digests[n] = digest(e)
+			w.machines[2].load(e)
+			w.digests[n] = editionDigest(e)
 			w.decided.ID.Number++
-			w.decided.Rules = view.Rules{Number: n, Digest: digest(e)}
+			w.decided.Rules = view.Rules{Number: n, Digest: editionDigest(e)}
 			w.adopted[2] = w.decided
 			w.step(2, Tick{})
 			if n == 1 {
--- a/internal/skew/configure.go
+++ b/internal/skew/configure.go
@@ -16,7 +16,7 @@
 	if !s.On {
 		return nil, nil
 	}
-	c := &Config{Reads: rules.Here(), Lower: s.Policy == "lower", Behind: s.Behind, Return: s.ReturnTime(), Hear: s.HearTime()}
+	c := &Config{Reads: rules.Here(), Lower: s.Policy == "lower", MaxBehind: s.Behind, ReturnTimeout: s.ReturnTime(), ReplyTimeout: s.HearTime()}
 	if len(s.Reads) == 0 {
 		return c, nil
 	}
--- a/internal/skew/skew.go
+++ b/internal/skew/skew.go
@@ -31,19 +31,19 @@
 	return [...]string{"nothing", "offered", "read", "agreed", "in force", "rejected"}[min(p, Rejected)]
 }
 
-// Understanding is what became of a member's trial.
-type Understanding uint8
+// Outcome is what became of a member's trial.
+type Outcome uint8
 
 // What a trial can come to.
 const (
-	Silent Understanding = iota
-	Understands
-	CannotRead
-	Otherwise // it reads it and decides otherwise
+	NoReply Outcome = iota
+	Compatible
+	Unreadable
+	Divergent // it reads it and decides otherwise
 )
 
-func (u Understanding) String() string {
-	return [...]string{"not heard of", "understands", "cannot read", "reads otherwise"}[min(u, Otherwise)]
+func (u Outcome) String() string {
+	return [...]string{"not heard of", "understands", "cannot read", "reads otherwise"}[min(u, Divergent)]
 }
 
 // Kind is what a message is.
@@ -51,26 +51,26 @@
 
 // The kinds.
 const (
-	Draft   Kind = iota + 1 // from who pushes, to the leader: the edition, without a number
-	Status                  // back: how far it has come
-	Offer                   // try this edition; passed on once by each
-	Reading                 // what came of the trial, to the leader
-	Want                    // who has the content of this digest?
-	Have                    // this is it
+	Draft          Kind = iota + 1 // from who pushes, to the leader: the edition, without a number
+	Status                         // back: how far it has come
+	Offer                          // try this edition; passed on once by each
+	TrialReply                     // what came of the trial, to the leader
+	ContentRequest                 // who has the content of this digest?
+	ContentReply                   // this is it
 )
 
 // Message passes between members.
 type Message struct {
-	Kind    Kind           `cbor:"1,keyasint"`
-	Edition *rules.Edition `cbor:"2,keyasint,omitempty"` // Draft, Offer, Have
-	Leader  string         `cbor:"3,keyasint,omitempty"` // Offer: who is to be answered
-	Round   uint64         `cbor:"4,keyasint,omitempty"` // Offer: of the leader's trial; Reading: the same
-	Digest  string         `cbor:"5,keyasint,omitempty"` // Status, Want
-	Trial   []byte         `cbor:"6,keyasint,omitempty"` // Reading: of who reads it
-	Misread string         `cbor:"7,keyasint,omitempty"` // Reading: why it cannot be read
-	Phase   Phase          `cbor:"8,keyasint,omitempty"` // Status
-	Number  uint64         `cbor:"9,keyasint,omitempty"` // Status
-	Why     []string       `cbor:"10,keyasint,omitempty"`
+	Kind      Kind           `cbor:"1,keyasint"`
+	Edition   *rules.Edition `cbor:"2,keyasint,omitempty"` // Draft, Offer, Have
+	Leader    string         `cbor:"3,keyasint,omitempty"` // Offer: who is to be answered
+	TrialID   uint64         `cbor:"4,keyasint,omitempty"` // Offer: of the leader's trial; Reading: the same
+	Digest    string         `cbor:"5,keyasint,omitempty"` // Status, Want
+	Trial     []byte         `cbor:"6,keyasint,omitempty"` // Reading: of who reads it
+	ReadError string         `cbor:"7,keyasint,omitempty"` // Reading: why it cannot be read
+	Phase     Phase          `cbor:"8,keyasint,omitempty"` // Status
+	Number    uint64         `cbor:"9,keyasint,omitempty"` // Status
+	Reasons   []string       `cbor:"10,keyasint,omitempty"`
 }
 
 // Event is what happens to the machine.
@@ -80,8 +80,8 @@
 type (
 	// Tick is that time has passed, or that the view may have changed.
 	Tick struct{}
-	// Heard is a message of another member.
-	Heard struct {
+	// Received is a message of another member.
+	Received struct {
 		From    member.Record
 		Message Message
 	}
@@ -89,9 +89,9 @@
 	Push struct{ Edition rules.Edition }
 )
 
-func (Tick) event()  {}
-func (Heard) event() {}
-func (Push) event()  {}
+func (Tick) event()     {}
+func (Received) event() {}
+func (Push) event()     {}
 
 // Action is what the machine wants done.
 type Action interface{ action() }
@@ -103,44 +103,44 @@
 		To      string
 		Message Message
 	}
-	// Spread is a message for some others, drawn anew each time.
-	Spread struct{ Message Message }
+	// Gossip is a message for some others, drawn anew each time.
+	Gossip struct{ Message Message }
 	// Propose is what the leader has agreed with the next view.
 	Propose struct{ Rules view.Rules }
-	// Force is that this member goes by an edition from now on, whole.
-	Force struct{ Compiled *rules.Compiled }
-	// Line is a line for the operator.
-	Line struct {
-		Text string
-		Loud bool
+	// Enforce is that this member goes by an edition from now on, whole.
+	Enforce struct{ Compiled *rules.Compiled }
+	// LogEntry is a line for the operator.
+	LogEntry struct {
+		Text  string
+		Alert bool
 	}
 )
 
-func (Send) action()    {}
-func (Spread) action()  {}
-func (Propose) action() {}
-func (Force) action()   {}
-func (Line) action()    {}
+func (Send) action()     {}
+func (Gossip) action()   {}
+func (Propose) action()  {}
+func (Enforce) action()  {}
+func (LogEntry) action() {}
 
 // Config is what a machine is made with. The functions are called in Step.
 type Config struct {
-	Name   string
-	Boot   uint64
-	Pace   time.Duration
-	Bound  time.Duration // for which a view is held at the most after the next was decided: view.Bound
-	Seed   uint64
-	Reads  rules.Reads
-	Lower  bool          // write an edition in a format that all read, where that loses nothing
-	Behind int           // members that may be left behind
-	Return time.Duration // a member that is away counts for so long
-	Hear   time.Duration // a member that does not answer is not heard of after so long
-	Kept   rules.Edition // that this member went by before it was started; number 0: none
-
-	View    func() (view.View, bool)
-	Holds   func() bool              // the view, which is the newest then
-	Decided func() (view.View, bool) // by the voters, where this member votes
-	Leader  func() string
-	Members func() []Member // all that are known, this one among them, by name
+	Name          string
+	Boot          uint64
+	Pace          time.Duration
+	Bound         time.Duration // for which a view is held at the most after the next was decided: view.Bound
+	Seed          uint64
+	Reads         rules.Reads
+	Lower         bool          // write an edition in a format that all read, where that loses nothing
+	MaxBehind     int           // members that may be left behind
+	ReturnTimeout time.Duration // a member that is away counts for so long
+	ReplyTimeout  time.Duration // a member that does not answer is not heard of after so long
+	Stored        rules.Edition // that this member went by before it was started; number 0: none
+
+	View       func() (view.View, bool)
+	HoldsLease func() bool              // the view, which is the newest then
+	Decided    func() (view.View, bool) // by the voters, where this member votes
+	Leader     func() string
+	Members    func() []Member // all that are known, this one among them, by name
 	// Decide is how this program decides a case; nil: as it does.
 	Decide func(c *rules.Compiled, q rules.Case) string
 	Mutate Mutation
@@ -148,10 +148,10 @@
 
 // Member is another sidecar, by this one's opinion.
 type Member struct {
-	Name  string
-	Boot  uint64
-	Reads string
-	Away  time.Duration // for so long by now; -1: it is there; what has left for good is not among them
+	Name      string
+	Boot      uint64
+	Reads     string
+	AbsentFor time.Duration // for so long by now; -1: it is there; what has left for good is not among them
 }
 
 // Mutation is a fault put in on purpose.
@@ -170,25 +170,25 @@
 
 // Times in paces.
 const (
-	draftEvery   = 4 // a draft is sent to the leader again
-	tellAfter    = 2 // who has not answered is told directly, and again
-	tellAtOnce   = 8 // of those, in a pace
-	wantEvery    = 2
-	proposeEvery = 4
-	mostPasses   = 4  // offers passed on in a pace
-	mostPassed   = 32 // rounds that are remembered
-	mostHeld     = 6  // editions whose content is kept
-	mostQueue    = 4  // drafts that wait
-	mostWhy      = 16 // lines of why
+	draftInterval       = 4 // a draft is sent to the leader again
+	directOfferInterval = 2 // who has not answered is told directly, and again
+	maxDirectOffers     = 8 // of those, in a pace
+	contentInterval     = 2
+	proposalInterval    = 4
+	maxForwards         = 4  // offers passed on in a pace
+	maxRememberedTrials = 32 // rounds that are remembered
+	maxEditions         = 6  // editions whose content is kept
+	maxDrafts           = 4  // drafts that wait
+	maxReasons          = 16 // lines of why
 )
 
 // held is an edition whose content is here.
-type held struct {
+type cachedEdition struct {
 	edition  rules.Edition
 	compiled *rules.Compiled // nil: it cannot be read
 	err      error
 	trial    rules.Trial
-	used     time.Duration
+	usedAt   time.Duration
 }
 
 // Bounds are what the section promises, with figures.
