--- a/internal/skew/skew.go
+++ b/internal/skew/skew.go
@@ -14,65 +14,6 @@
 	"fieldrelay/internal/view"
 )
 
-// Phase is how far an edition has come, as the leader has it.
-type Phase uint8
-
-// The phases.
-const (
-	Nothing  Phase = iota
-	Offered        // told to the members, some of which have not answered
-	Read           // every member has answered
-	Agreed         // proposed with a view
-	InForce        // the decided view has it
-	Rejected       // it cannot be read, or nothing may be lost and something would
-)
-
-func (p Phase) String() string {
-	return [...]string{"nothing", "offered", "read", "agreed", "in force", "rejected"}[min(p, Rejected)]
-}
-
-// Outcome is what became of a member's trial.
-type Outcome uint8
-
-// What a trial can come to.
-const (
-	NoReply Outcome = iota
-	Compatible
-	Unreadable
-	Divergent // it reads it and decides otherwise
-)
-
-func (u Outcome) String() string {
-	return [...]string{"not heard of", "understands", "cannot read", "reads otherwise"}[min(u, Divergent)]
-}
-
-// Kind is what a message is.
-type Kind uint8
-
-// The kinds.
-const (
-	Draft          Kind = iota + 1 // from who pushes, to the leader: the edition, without a number
-	Status                         // back: how far it has come
-	Offer                          // try this edition; passed on once by each
-	TrialReply                     // what came of the trial, to the leader
-	ContentRequest                 // who has the content of this digest?
-	ContentReply                   // this is it
-)
-
-// Message passes between members.
-type Message struct {
-	Kind      Kind           `cbor:"1,keyasint"`
-	Edition   *rules.Edition `cbor:"2,keyasint,omitempty"` // Draft, Offer, Have
-	Leader    string         `cbor:"3,keyasint,omitempty"` // Offer: who is to be answered
-	TrialID   uint64         `cbor:"4,keyasint,omitempty"` // Offer: of the leader's trial; Reading: the same
-	Digest    string         `cbor:"5,keyasint,omitempty"` // Status, Want
-	Trial     []byte         `cbor:"6,keyasint,omitempty"` // Reading: of who reads it
-	ReadError string         `cbor:"7,keyasint,omitempty"` // Reading: why it cannot be read
-	Phase     Phase          `cbor:"8,keyasint,omitempty"` // Status
-	Number    uint64         `cbor:"9,keyasint,omitempty"` // Status
-	Reasons   []string       `cbor:"10,keyasint,omitempty"`
-}
-
 // Event is what happens to the machine.
 type Event interface{ event() }
 
@@ -182,15 +123,6 @@
 	maxReasons          = 16 // lines of why
 )
 
-// held is an edition whose content is here.
-type cachedEdition struct {
-	edition  rules.Edition
-	compiled *rules.Compiled // nil: it cannot be read
-	err      error
-	trial    rules.Trial
-	usedAt   time.Duration
-}
-
 // Bounds are what the section promises, with figures.
 func Bounds(lease time.Duration, drift float64) []string {
 	b := view.Bound(lease, drift).Round(time.Millisecond)
