--- a/internal/skew/check_test.go
+++ b/internal/skew/check_test.go
@@ -17,8 +17,8 @@
 
 const pace = time.Second
 
-// three are three members of a view, with every message held until it is delivered or dropped. What the leader proposes is
-// decided at once and reaches the others when the exploration says so.
+// three is three members of a view, whose messages stay on their links until they are delivered or dropped. What the leader
+// proposes is decided at once and reaches the others when the exploration says so.
 type three struct {
 	machines [3]*Machine
 	boots    [3]uint64
@@ -29,7 +29,7 @@
 	links    map[[2]int][]Message
 	agreedAt map[uint64]time.Duration
 	digests  map[uint64]string
-	odd      func(*rules.Compiled, rules.Case) string // how the third understands the rules; nil: as the others
+	odd      func(*rules.Compiled, rules.Case) string // how the third decides cases; nil: as the others
 	restarts int
 	mutate   Mutation
 	broken   error
@@ -134,7 +134,7 @@
 	})
 }
 
-// each goes through what can happen now. do is called for one of them at the most.
+// each goes through what can happen now. do is called for at most one of them.
 func (w *three) each(see func(string, func())) {
 	type event struct {
 		name string
@@ -197,7 +197,7 @@
 func (w *three) Check() error { return w.broken }
 
 // Every order of up to six events of three members, one of which may read the rules otherwise, be started anew, or push
-// another edition, while the leader changes: an edition is agreed only once all understand it, and gone by as it was agreed.
+// another edition, while the leader changes: an edition is agreed only once all are compatible, and in force as it was agreed.
 func TestEveryOrder(t *testing.T) {
 	for name, odd := range map[string]func(*rules.Compiled, rules.Case) string{"all alike": nil,
 		"one reads otherwise": func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }} {
@@ -222,7 +222,7 @@
 	}
 }
 
-// do lets an event of a name happen, if it can.
+// do lets events of some names happen, if they can.
 func (w *three) do(names ...string) {
 	for _, name := range names {
 		for i, n := range w.Events() {
@@ -234,7 +234,7 @@
 	}
 }
 
-// An answer of an earlier process does not count for the one that was started after it, which may be of another version.
+// A reply of an earlier process does not count for the one that was started after it, which may be of another version.
 func TestAnswerOfAnEarlierProcess(t *testing.T) {
 	for name, mutate := range map[string]Mutation{"as it is": NoMutation, "any answer of the name": AnyBoot} {
 		w := newThree(nil, mutate)
@@ -251,7 +251,7 @@
 	}
 }
 
-// A view of an earlier time, which is not held, takes nobody back to an earlier edition.
+// An outdated view without a lease takes no member back to an earlier edition.
 func TestEarlierViewTakesNobodyBack(t *testing.T) {
 	for name, mutate := range map[string]Mutation{"as it is": NoMutation, "back": OverwritesNew} {
 		w := newThree(nil, mutate)
--- a/internal/skew/configure.go
+++ b/internal/skew/configure.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/skew/settings"
 )
 
-// Configure is what a machine is made with by the operator's file; nil: rules are off. Its error names formats that this
+// Configure returns the configuration of a machine by the settings; nil if rules are off. The error names a format that this
 // program does not read.
 func Configure(s settings.Settings) (*Config, error) {
 	if !s.On {
@@ -20,20 +20,20 @@
 	if len(s.Reads) == 0 {
 		return c, nil
 	}
-	held := rules.Reads{}
+	reads := rules.Reads{}
 	for _, text := range s.Reads {
 		kind, format, _ := strings.Cut(text, " ")
 		f, err := rules.ParseFormat(strings.TrimSpace(format))
 		if err != nil || !rules.Here().Has(rules.Kind(kind), f) {
 			return nil, fmt.Errorf("rules.reads: %q; this program reads %s", text, rules.Here())
 		}
-		held[rules.Kind(kind)] = append(held[rules.Kind(kind)], f)
+		reads[rules.Kind(kind)] = append(reads[rules.Kind(kind)], f)
 	}
-	c.Reads = held
+	c.Reads = reads
 	return c, nil
 }
 
-// ReadFile reads the file of rules that is pushed. Its error has a line for each fault.
+// ReadFile reads the file of rules that is pushed. The error has a line for each fault.
 func ReadFile(path string) (rules.Edition, error) {
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > rules.MostFile {
--- a/internal/skew/edition.go
+++ b/internal/skew/edition.go
@@ -9,49 +9,55 @@
 	"fieldrelay/internal/view"
 )
 
-// held is an edition whose content is here.
+// cachedEdition is an edition whose content is here, with what reading it came to.
 type cachedEdition struct {
 	edition  rules.Edition
-	compiled *rules.Compiled // nil: it cannot be read
+	compiled *rules.Compiled // nil: it cannot be read, see err
 	err      error
 	trial    rules.Trial
 	usedAt   time.Duration
 }
 
+// editionDigest is the digest of an edition's content, hexadecimal.
 func editionDigest(e rules.Edition) string { d := e.Digest(); return hex.EncodeToString(d[:]) }
 
-// hold reads an edition and keeps what came of it. Of too many, the one that was used longest ago goes.
+// load reads an edition, unless it is cached, and decides its cases. The edition that is in force here stays cached.
 func (m *Machine) load(e rules.Edition) *cachedEdition {
 	d := editionDigest(e)
-	if h := m.editions[d]; h != nil {
-		h.usedAt = m.now
-		return h
+	if cached := m.editions[d]; cached != nil {
+		cached.usedAt = m.now
+		return cached
 	}
-	h := &cachedEdition{edition: e, usedAt: m.now}
-	if h.compiled, h.err = rules.Read(e, m.cfg.Reads); h.err == nil {
-		decide := h.compiled.Decide
+	loaded := &cachedEdition{edition: e, usedAt: m.now}
+	if loaded.compiled, loaded.err = rules.Read(e, m.cfg.Reads); loaded.err == nil {
+		decide := loaded.compiled.Decide
 		if m.cfg.Decide != nil {
-			decide = func(q rules.Case) string { return m.cfg.Decide(h.compiled, q) }
+			decide = func(q rules.Case) string { return m.cfg.Decide(loaded.compiled, q) }
 		}
-		h.trial = rules.TryWith(h.compiled, decide)
+		loaded.trial = rules.TryWith(loaded.compiled, decide)
 	}
 	if len(m.editions) >= maxEditions {
-		oldest := ""
-		for k, o := range m.editions {
-			if o.compiled != nil && o.compiled == m.enforced {
-				continue
-			}
-			if oldest == "" || o.usedAt < m.editions[oldest].usedAt || o.usedAt == m.editions[oldest].usedAt && k < oldest {
-				oldest = k
-			}
+		m.evictEdition()
+	}
+	m.editions[d] = loaded
+	return loaded
+}
+
+// evictEdition drops the cached edition that was used longest ago.
+func (m *Machine) evictEdition() {
+	oldest := ""
+	for digest, cached := range m.editions {
+		if cached.compiled != nil && cached.compiled == m.enforced {
+			continue
+		}
+		if oldest == "" || cached.usedAt < m.editions[oldest].usedAt || cached.usedAt == m.editions[oldest].usedAt && digest < oldest {
+			oldest = digest
 		}
-		delete(m.editions, oldest)
 	}
-	m.editions[d] = h
-	return h
+	delete(m.editions, oldest)
 }
 
-// agreed is the edition of the view that this member goes by.
+// agreed returns the edition of the view that is in force at this member.
 func (m *Machine) agreed() view.Rules {
 	v, ok := m.cfg.View()
 	if !ok {
@@ -60,7 +66,7 @@
 	return v.Rules
 }
 
-// follow goes by the edition of the view, once its content is here and is read.
+// enforceAgreed puts the edition of the view in force, once its content is here and was read.
 func (m *Machine) enforceAgreed() {
 	a := m.agreed()
 	if a.Number == 0 || m.enforced != nil && m.enforced.Edition.Number == a.Number && m.enforcedDigest == a.Digest {
@@ -68,48 +74,48 @@
 		return
 	}
 	if m.enforced != nil && a.Number < m.enforced.Edition.Number && !m.cfg.HoldsLease() && m.cfg.Mutate != OverwritesNew {
-		// The view is of an earlier time: this member knows better until it has a later one.
+		// The view is outdated: this member has known a later one, and keeps its edition until it has that again.
 		m.fallBehind(fmt.Sprintf("the view has edition %d, this member went by %d", a.Number, m.enforced.Edition.Number))
 		return
 	}
-	h := m.editions[a.Digest]
+	cached := m.editions[a.Digest]
 	switch {
-	case h == nil && m.cfg.Mutate == HalfInForce:
+	case cached == nil && m.cfg.Mutate == HalfInForce:
 		m.enforced, m.enforcedDigest = &rules.Compiled{Edition: rules.Edition{Number: a.Number}}, a.Digest
 		m.out = append(m.out, Enforce{Compiled: m.enforced})
 		return
-	case h == nil:
+	case cached == nil:
 		m.fallBehind(fmt.Sprintf("the content of edition %d is not here", a.Number))
 		if m.contentDue <= m.now {
 			m.contentDue = m.now + contentInterval*m.cfg.Pace/2 + time.Duration(m.rng.Int64N(int64(contentInterval*m.cfg.Pace)))
 			m.send(m.drawMember(), Message{Kind: ContentRequest, Digest: a.Digest})
 		}
 		return
-	case h.compiled == nil:
-		m.fallBehind(fmt.Sprintf("edition %d: %v", a.Number, h.err))
+	case cached.compiled == nil:
+		m.fallBehind(fmt.Sprintf("edition %d: %v", a.Number, cached.err))
 		m.contentDue = m.now + draftInterval*m.cfg.Pace
 		return
 	}
-	c := *h.compiled
-	c.Edition.Number = a.Number
-	h.compiled, h.usedAt, m.enforced, m.enforcedDigest, m.behind = &c, m.now, &c, a.Digest, ""
-	m.out = append(m.out, Enforce{Compiled: &c})
+	compiled := *cached.compiled
+	compiled.Edition.Number = a.Number
+	cached.compiled, cached.usedAt, m.enforced, m.enforcedDigest, m.behind = &compiled, m.now, &compiled, a.Digest, ""
+	m.out = append(m.out, Enforce{Compiled: &compiled})
 	m.log(false, "edition %d (%.12s) in force", a.Number, a.Digest)
 }
 
-// fall tells once that this member is behind.
-func (m *Machine) fallBehind(why string) {
-	if m.behind != why {
-		m.behind = why
+// fallBehind reports, once for each reason, that the edition of the view is not in force here.
+func (m *Machine) fallBehind(reason string) {
+	if m.behind != reason {
+		m.behind = reason
 		on := "no edition"
 		if m.enforced != nil {
 			on = fmt.Sprintf("edition %d", m.enforced.Edition.Number)
 		}
-		m.log(true, "behind: %s; %s goes on", why, on)
+		m.log(true, "behind: %s; %s goes on", reason, on)
 	}
 }
 
-// anybody is one of the view, the leader as a rule: it has tried what it proposed.
+// drawMember draws a member of the view; half of the time it is the leader, which has the content of what it proposed.
 func (m *Machine) drawMember() string {
 	v, _ := m.cfg.View()
 	if leader := m.cfg.Leader(); leader != "" && leader != m.cfg.Name && m.rng.IntN(2) == 0 {
--- a/internal/skew/evaluate.go
+++ b/internal/skew/evaluate.go
@@ -9,7 +9,8 @@
 	"fieldrelay/internal/view"
 )
 
-// Results are those of the trial that this member runs, or of the last one.
+// Results returns what became of the trial that this member runs, with its phase and the number of its edition; without one, the
+// number of the agreed edition.
 func (m *Machine) Results() (phase Phase, number uint64, all []Result) {
 	v, _ := m.cfg.Decided()
 	if m.offer == nil {
@@ -18,84 +19,95 @@
 	return m.offer.phase, m.offer.edition.Number, m.results(v)
 }
 
+// results returns what became of the trial at each participant.
 func (m *Machine) results(v view.View) (all []Result) {
+	own := m.load(m.offer.edition)
+	for _, one := range m.participants(v) {
+		outcome, reason := m.result(own, one)
+		all = append(all, Result{Name: one.Name, Outcome: outcome, Reason: reason})
+	}
+	return all
+}
+
+// result returns what became of the trial at a member, by its reply and by what it says that it reads.
+func (m *Machine) result(own *cachedEdition, one Member) (outcome Outcome, reason string) {
 	o := m.offer
-	own := m.load(o.edition)
-	for _, k := range m.participants(v) {
-		r := Result{Name: k.Name}
-		got, ok := o.replies[k.Name]
-		if ok && got.boot != k.Boot && m.cfg.Mutate != AnyBoot {
-			ok = false // an earlier process of its name has answered
-		}
-		reads, err := rules.ParseReads(k.Reads)
-		var cannot *rules.Rule
-		for i, rule := range o.edition.Rules {
-			if err == nil && !reads.Has(rule.Kind, rule.Format) && cannot == nil {
-				cannot = &o.edition.Rules[i]
-			}
-		}
-		switch {
-		case cannot != nil:
-			r.Outcome, r.Reason = Unreadable, fmt.Sprintf("it reads %q, not %s %s, which this program does", k.Reads, cannot.Kind, cannot.Format)
-		case m.cfg.Mutate == TrustsClaims:
-			r.Outcome = Compatible
-		case !ok && m.cfg.Mutate == SkipsSilent:
-			r.Outcome = Compatible
-		case !ok:
-			r.Reason = fmt.Sprintf("for %v", (m.now - o.offeredAt).Round(time.Millisecond))
-			if k.AbsentFor >= 0 {
-				r.Reason = fmt.Sprintf("away for %v, and may return within %v", k.AbsentFor.Round(time.Millisecond), m.cfg.ReturnTimeout)
-			}
-		case got.readError != "":
-			r.Outcome, r.Reason = Unreadable, got.readError
-		case len(got.trial) != len(own.trial):
-			r.Outcome, r.Reason = Divergent, "its answer has no form"
-		default:
-			r.Outcome = Compatible
-			if at := rules.Differs(own.trial, rules.Trial(got.trial)); at == 0 {
-				r.Outcome, r.Reason = Divergent, "in another canonical form"
-			} else if at > 0 {
-				q := rules.DrawCases(own.compiled)[at-1]
-				r.Outcome, r.Reason = Divergent, fmt.Sprintf("case %d (%s), where this one decides: %s", at, q, own.compiled.Decide(q))
-			}
+	got, replied := o.replies[one.Name]
+	if replied && got.boot != one.Boot && m.cfg.Mutate != AnyBoot {
+		replied = false // an earlier process of its name has replied
+	}
+	unread := unreadRule(o.edition, one.Reads)
+	switch {
+	case unread != nil:
+		return Unreadable, fmt.Sprintf("it reads %q, not %s %s, which this program does", one.Reads, unread.Kind, unread.Format)
+	case m.cfg.Mutate == TrustsClaims, !replied && m.cfg.Mutate == SkipsSilent:
+		return Compatible, ""
+	case !replied && one.AbsentFor >= 0:
+		return NoReply, fmt.Sprintf("away for %v, and may return within %v", one.AbsentFor.Round(time.Millisecond), m.cfg.ReturnTimeout)
+	case !replied:
+		return NoReply, fmt.Sprintf("for %v", (m.now - o.offeredAt).Round(time.Millisecond))
+	case got.readError != "":
+		return Unreadable, got.readError
+	case len(got.trial) != len(own.trial):
+		return Divergent, "its answer has no form"
+	}
+	switch at := rules.Differs(own.trial, rules.Trial(got.trial)); {
+	case at == 0:
+		return Divergent, "in another canonical form"
+	case at > 0:
+		q := rules.DrawCases(own.compiled)[at-1]
+		return Divergent, fmt.Sprintf("case %d (%s), where this one decides: %s", at, q, own.compiled.Decide(q))
+	}
+	return Compatible, ""
+}
+
+// unreadRule returns the first rule of an edition whose format a member does not say that it reads; nil: there is none, or what
+// the member says cannot be parsed.
+func unreadRule(e rules.Edition, memberReads string) *rules.Rule {
+	reads, err := rules.ParseReads(memberReads)
+	if err != nil {
+		return nil
+	}
+	for i, rule := range e.Rules {
+		if !reads.Has(rule.Kind, rule.Format) {
+			return &e.Rules[i]
 		}
-		all = append(all, r)
 	}
-	return all
+	return nil
 }
 
-// judge looks whether the edition may hold, by the policy.
+// evaluate proposes the edition once enough members have tried it with the same outcome, by the policy.
 func (m *Machine) evaluate(v view.View) {
 	o := m.offer
-	bad, open := 0, 0
+	incompatible, pending := 0, 0
 	o.reasons = nil
 	for _, r := range m.results(v) {
 		switch {
 		case r.Outcome == Compatible:
 			continue
 		case r.Outcome == NoReply && m.now-o.offeredAt < m.cfg.ReplyTimeout:
-			open++
+			pending++
 		default:
-			bad++
+			incompatible++
 		}
 		if len(o.reasons) < maxReasons {
 			o.reasons = append(o.reasons, fmt.Sprintf("%s %s: %s", r.Name, r.Outcome, r.Reason))
 		}
 	}
-	if open > 0 {
+	if pending > 0 {
 		return
 	}
 	if o.phase == Offered {
 		o.phase = Read
-		m.log(bad > 0, "edition %d read%s", o.edition.Number, reasonSuffix(o.reasons))
+		m.log(incompatible > 0, "edition %d read%s", o.edition.Number, reasonSuffix(o.reasons))
 	}
-	if bad > m.cfg.MaxBehind {
+	if incompatible > m.cfg.MaxBehind {
 		if m.cfg.Lower && o.loweredFrom == "" {
 			m.offerLowered(v)
 		}
 		return
 	}
-	// Leases of views with the edition before may run.
+	// Leases on views with the edition before may last.
 	if m.lastAgreed.Number > 0 && m.now-m.agreedAt < m.cfg.Bound && m.cfg.Mutate != NoWait {
 		return
 	}
@@ -106,11 +118,11 @@
 	m.out = append(m.out, Propose{Rules: view.Rules{Number: o.edition.Number, Digest: o.digest}})
 }
 
-// lower offers the edition in formats that all read.
+// offerLowered puts on trial the edition rewritten in formats that all participants read, if it loses nothing by that.
 func (m *Machine) offerLowered(v view.View) {
 	common := m.cfg.Reads
-	for _, k := range m.participants(v) {
-		reads, err := rules.ParseReads(k.Reads)
+	for _, one := range m.participants(v) {
+		reads, err := rules.ParseReads(one.Reads)
 		if err != nil {
 			return
 		}
@@ -129,7 +141,7 @@
 	switch {
 	case len(lost) > 0:
 		m.reject(m.offer.edition, "in a format that all read it would lose "+strings.Join(lost, ", "))
-	case editionDigest(e) == from: // it is not the format that keeps it from being understood
+	case editionDigest(e) == from: // the format is not why members are incompatible
 	default:
 		m.beginTrial(e, from)
 	}
--- a/internal/skew/lines.go
+++ b/internal/skew/lines.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Lines are what there is to tell of rules, for the management address.
+// Lines returns the state of rules at this member, as lines for the operator.
 func (m *Machine) Lines() []string {
 	a := m.agreed()
 	here := "none"
--- a/internal/skew/machine.go
+++ b/internal/skew/machine.go
@@ -6,59 +6,60 @@
 	"strings"
 	"time"
 
-	"fieldrelay/internal/member"
 	"fieldrelay/internal/rules"
 	"fieldrelay/internal/view"
 )
 
-// Machine is the state of one member. It is not safe for use by several goroutines.
+// Machine is one member's part in the check of rules. It is not safe for concurrent use.
 type Machine struct {
 	cfg Config
 	rng *rand.Rand
 	now time.Duration
 	out []Action
 
-	editions        map[string]*cachedEdition // by digest
-	enforced        *rules.Compiled           // gone by; nil: nothing so far
-	enforcedDigest  string                    // its digest
-	behind          string                    // why this member does not go by its view's edition; empty: it does
-	contentDue      time.Duration             // when the content is asked for again
-	forwardedTrials []uint64                  // the last rounds that were passed on: with one alone, two rounds would go on for ever
-	paceStart       time.Duration             // begin of the present pace,
-	forwards        int                       // and offers passed on in it
-
-	// Of who pushes.
-	pushed       *rules.Edition
-	pushedDigest string // its digest
+	editions       map[string]*cachedEdition // by digest
+	enforced       *rules.Compiled           // the edition in force here; nil: none so far
+	enforcedDigest string
+	behind         string        // why the edition of the view is not in force here; empty: it is
+	contentDue     time.Duration // of the next request for its content
+
+	// Forwarding of offers. Several trials are remembered: with one alone, the offers of two would be forwarded forever.
+	forwardedTrials []uint64
+	paceStart       time.Duration // begin of the pace in which forwards counts
+	forwards        int           // offers forwarded in that pace
+
+	// The edition that is pushed here.
+	pushed       *rules.Edition // nil: none, or it is settled
+	pushedDigest string
+	pushedPhase  Phase // as the leader last reported it
 	draftDue     time.Duration
-	pushedPhase  Phase // of it, as the leader said last
 
-	// Of the leader.
+	// The leader's part.
 	isLeader   bool
-	agreedAt   time.Duration // the agreed edition last changed, as seen here
-	lastAgreed view.Rules    // agreed, as seen here
+	lastAgreed view.Rules
+	agreedAt   time.Duration // when lastAgreed changed, as seen here
 	drafts     []rules.Edition
-	offer      *offer
-	rejections map[string]string // digest to why it was rejected
+	offer      *offer            // the trial under way; nil: none
+	rejections map[string]string // reasons by digest
 }
 
-// New makes a machine.
+// New makes a machine. now is the present time on the monotonic clock that Step is called with.
 func New(cfg Config, now time.Duration) *Machine {
-	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Boot^0x5ce0)), now: now, editions: map[string]*cachedEdition{}, rejections: map[string]string{}}
+	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Boot^0x5ce0)), now: now,
+		editions: make(map[string]*cachedEdition), rejections: make(map[string]string)}
 	if cfg.Stored.Number > 0 {
-		h := m.load(cfg.Stored)
-		m.enforced, m.enforcedDigest = h.compiled, editionDigest(cfg.Stored)
+		m.enforced, m.enforcedDigest = m.load(cfg.Stored).compiled, editionDigest(cfg.Stored)
 	}
 	return m
 }
 
-// Edition is what this member goes by; nil: nothing.
+// Edition returns the edition in force here; nil: none.
 func (m *Machine) Edition() *rules.Compiled { return m.enforced }
 
-// MaxBehind tells why this member does not go by the edition of its view; empty: it does.
+// Behind returns why the edition of this member's view is not in force here; empty: it is.
 func (m *Machine) Behind() string { return m.behind }
 
-// Next is when Step is to be called with Tick at the latest.
+// Next is the time by which Step has to be called with Tick, if no event comes before.
 func (m *Machine) Next() time.Duration {
 	next := m.now + 4*draftInterval*m.cfg.Pace
 	if m.pushed != nil {
@@ -73,20 +74,21 @@
 	return max(next, m.now+m.cfg.Pace/4)
 }
 
-// Step takes an event at a time that is never before that of the last call.
-func (m *Machine) Step(now time.Duration, e Event) []Action {
+// Step takes an event at a time that is not before that of the last call.
+func (m *Machine) Step(now time.Duration, event Event) []Action {
 	m.out, m.now = nil, max(now, m.now)
-	if leads := m.cfg.Leader() == m.cfg.Name; leads != m.isLeader { // before the event: a draft may be the first that a leader hears of it
+	// Before the event: a draft may be the first sign for a process that it leads.
+	if leads := m.cfg.Leader() == m.cfg.Name; leads != m.isLeader {
 		m.isLeader, m.agreedAt = leads, m.now
-		m.offer, m.drafts = nil, nil // who pushes says so to the next one
+		m.offer, m.drafts = nil, nil // drafts are sent again to the next leader
 	}
-	switch e := e.(type) {
+	switch event := event.(type) {
 	case Received:
-		m.receive(e.From.Name, e.From.Boot, e.Message)
+		m.receive(event.From.Name, event.From.Boot, event.Message)
 	case Push:
-		e.Edition.Number = 0
-		m.load(e.Edition)
-		m.pushed, m.pushedDigest, m.draftDue, m.pushedPhase = &e.Edition, editionDigest(e.Edition), m.now, Nothing
+		event.Edition.Number = 0
+		m.load(event.Edition)
+		m.pushed, m.pushedDigest, m.draftDue, m.pushedPhase = &event.Edition, editionDigest(event.Edition), m.now, Nothing
 	}
 	m.enforceAgreed()
 	m.sendDraft()
@@ -94,10 +96,12 @@
 	return m.out
 }
 
-func (m *Machine) log(loud bool, format string, args ...any) {
-	m.out = append(m.out, LogEntry{Text: fmt.Sprintf(format, args...), Alert: loud})
+// log reports something to the operator; alert says that something has to be done about it.
+func (m *Machine) log(alert bool, format string, args ...any) {
+	m.out = append(m.out, LogEntry{Text: fmt.Sprintf(format, args...), Alert: alert})
 }
 
+// send sends a message to a member, which may be this one.
 func (m *Machine) send(to string, msg Message) {
 	if to == m.cfg.Name {
 		m.receive(to, m.cfg.Boot, msg)
@@ -106,6 +110,7 @@
 	}
 }
 
+// receive takes in a message of a member. boot is of the process that sent it.
 func (m *Machine) receive(from string, boot uint64, msg Message) {
 	switch msg.Kind {
 	case Draft:
@@ -113,37 +118,16 @@
 			m.receiveDraft(from, *msg.Edition)
 		}
 	case Status:
-		if m.pushed != nil && msg.Digest == m.pushedDigest && msg.Phase != m.pushedPhase {
-			m.pushedPhase = msg.Phase
-			m.log(msg.Phase == Rejected, "the edition pushed here (%.12s) is %s%s", msg.Digest, msg.Phase, reasonSuffix(msg.Reasons))
-			if msg.Phase == Rejected || msg.Phase == InForce {
-				m.pushed = nil
-			}
-		}
+		m.receiveStatus(msg)
 	case Offer:
-		if msg.Edition == nil {
-			return
-		}
-		h := m.load(*msg.Edition)
-		answer := Message{Kind: TrialReply, TrialID: msg.TrialID, Digest: editionDigest(*msg.Edition)}
-		if h.err != nil {
-			answer.ReadError = h.err.Error()[:min(len(h.err.Error()), 300)]
-		} else {
-			answer.Trial = h.trial[:]
-		}
-		m.send(msg.Leader, answer)
-		if from != m.cfg.Name {
-			m.forward(msg)
+		if msg.Edition != nil {
+			m.receiveOffer(from, msg)
 		}
 	case TrialReply:
-		if o := m.offer; o != nil && msg.TrialID == o.trialID && msg.Digest == o.digest && len(msg.ReadError) <= 300 && len(msg.Trial) <= len(rules.Trial{}) {
-			if _, known := o.replies[from]; known || len(o.replies) < member.MaxMembers { // made-up names fill no more
-				o.replies[from] = reply{boot, msg.Trial, msg.ReadError}
-			}
-		}
+		m.receiveReply(from, boot, msg)
 	case ContentRequest:
-		if h := m.editions[msg.Digest]; h != nil && from != m.cfg.Name {
-			m.send(from, Message{Kind: ContentReply, Edition: &h.edition})
+		if cached := m.editions[msg.Digest]; cached != nil && from != m.cfg.Name {
+			m.send(from, Message{Kind: ContentReply, Edition: &cached.edition})
 		}
 	case ContentReply:
 		if msg.Edition != nil && editionDigest(*msg.Edition) == m.agreed().Digest {
@@ -152,9 +136,10 @@
 	}
 }
 
-func reasonSuffix(why []string) string {
-	if len(why) == 0 {
+// reasonSuffix is the end of a line with reasons, if there are any.
+func reasonSuffix(reasons []string) string {
+	if len(reasons) == 0 {
 		return ""
 	}
-	return ": " + strings.Join(why, "; ")
+	return ": " + strings.Join(reasons, "; ")
 }
--- a/internal/skew/message.go
+++ b/internal/skew/message.go
@@ -1,31 +1,29 @@
 package skew
 
-import (
-	"fieldrelay/internal/rules"
-)
+import "fieldrelay/internal/rules"
 
-// Kind is what a message is.
+// Kind is what a message requests or answers.
 type Kind uint8
 
-// The kinds.
+// The kinds of messages.
 const (
-	Draft          Kind = iota + 1 // from who pushes, to the leader: the edition, without a number
-	Status                         // back: how far it has come
-	Offer                          // try this edition; passed on once by each
-	TrialReply                     // what came of the trial, to the leader
-	ContentRequest                 // who has the content of this digest?
-	ContentReply                   // this is it
+	Draft          Kind = iota + 1 // to the leader: an edition that is pushed at the sender, without a number
+	Status                         // answers a Draft: how far the edition has come
+	Offer                          // requests a trial of an edition; each member forwards it once
+	TrialReply                     // answers an Offer, to the leader
+	ContentRequest                 // requests the content of a digest
+	ContentReply                   // answers a ContentRequest
 )
 
 // Message passes between members.
 type Message struct {
 	Kind      Kind           `cbor:"1,keyasint"`
-	Edition   *rules.Edition `cbor:"2,keyasint,omitempty"` // Draft, Offer, Have
-	Leader    string         `cbor:"3,keyasint,omitempty"` // Offer: who is to be answered
-	TrialID   uint64         `cbor:"4,keyasint,omitempty"` // Offer: of the leader's trial; Reading: the same
-	Digest    string         `cbor:"5,keyasint,omitempty"` // Status, Want
-	Trial     []byte         `cbor:"6,keyasint,omitempty"` // Reading: of who reads it
-	ReadError string         `cbor:"7,keyasint,omitempty"` // Reading: why it cannot be read
+	Edition   *rules.Edition `cbor:"2,keyasint,omitempty"` // Draft, Offer, ContentReply
+	Leader    string         `cbor:"3,keyasint,omitempty"` // Offer: who gets the reply
+	TrialID   uint64         `cbor:"4,keyasint,omitempty"` // Offer: number of the leader's trial; TrialReply: the same
+	Digest    string         `cbor:"5,keyasint,omitempty"` // Status, TrialReply, ContentRequest
+	Trial     []byte         `cbor:"6,keyasint,omitempty"` // TrialReply: how the sender decides the cases
+	ReadError string         `cbor:"7,keyasint,omitempty"` // TrialReply: why the sender cannot read the edition
 	Phase     Phase          `cbor:"8,keyasint,omitempty"` // Status
 	Number    uint64         `cbor:"9,keyasint,omitempty"` // Status
 	Reasons   []string       `cbor:"10,keyasint,omitempty"`
--- a/internal/skew/outcome.go
+++ b/internal/skew/outcome.go
@@ -1,38 +1,40 @@
 package skew
 
-// Phase is how far an edition has come, as the leader has it.
+// Phase is how far an edition has come, at the leader.
 type Phase uint8
 
 // The phases.
 const (
-	Nothing  Phase = iota
-	Offered        // told to the members, some of which have not answered
-	Read           // every member has answered
-	Agreed         // proposed with a view
-	InForce        // the decided view has it
-	Rejected       // it cannot be read, or nothing may be lost and something would
+	Nothing  Phase = iota // not known to the leader
+	Offered               // on trial; some members have not replied
+	Read                  // all have replied
+	Agreed                // proposed with a view
+	InForce               // part of the decided view
+	Rejected              // the leader cannot read it, or it would lose something in a format that all read
 )
 
+// String is the phase as operators see it.
 func (p Phase) String() string {
 	return [...]string{"nothing", "offered", "read", "agreed", "in force", "rejected"}[min(p, Rejected)]
 }
 
-// Outcome is what became of a member's trial.
+// Outcome is what the trial at a member came to.
 type Outcome uint8
 
-// What a trial can come to.
+// The outcomes.
 const (
-	NoReply Outcome = iota
-	Compatible
-	Unreadable
-	Divergent // it reads it and decides otherwise
+	NoReply    Outcome = iota
+	Compatible         // it decides all cases as the leader does
+	Unreadable         // it cannot read the edition
+	Divergent          // it reads the edition and decides some case otherwise
 )
 
-func (u Outcome) String() string {
-	return [...]string{"not heard of", "understands", "cannot read", "reads otherwise"}[min(u, Divergent)]
+// String is the outcome as operators see it.
+func (o Outcome) String() string {
+	return [...]string{"not heard of", "understands", "cannot read", "reads otherwise"}[min(o, Divergent)]
 }
 
-// Result is what became of one member's trial.
+// Result is what the trial at a member came to, and why.
 type Result struct {
 	Name    string
 	Outcome Outcome
--- a/internal/skew/push.go
+++ b/internal/skew/push.go
@@ -7,7 +7,7 @@
 	"fieldrelay/internal/rules"
 )
 
-// push sends this member's edition to the leader until that has told that it is settled.
+// sendDraft sends the edition that is pushed here to the leader, again and again until it is in force or rejected.
 func (m *Machine) sendDraft() {
 	if m.pushed == nil {
 		return
@@ -23,7 +23,19 @@
 	m.send(m.cfg.Leader(), Message{Kind: Draft, Edition: m.pushed})
 }
 
-// drafted takes in an edition that somebody pushes, where this member leads, and tells how far it has come.
+// receiveStatus takes in how far the edition that is pushed here has come.
+func (m *Machine) receiveStatus(msg Message) {
+	if m.pushed == nil || msg.Digest != m.pushedDigest || msg.Phase == m.pushedPhase {
+		return
+	}
+	m.pushedPhase = msg.Phase
+	m.log(msg.Phase == Rejected, "the edition pushed here (%.12s) is %s%s", msg.Digest, msg.Phase, reasonSuffix(msg.Reasons))
+	if msg.Phase == Rejected || msg.Phase == InForce {
+		m.pushed = nil
+	}
+}
+
+// receiveDraft takes in an edition that is pushed at a member, if this member leads, and answers with its status.
 func (m *Machine) receiveDraft(from string, e rules.Edition) {
 	if !m.isLeader {
 		return
@@ -37,9 +49,10 @@
 		status.Phase, status.Number, status.Reasons = o.phase, o.edition.Number, o.reasons
 	case m.rejections[d] != "":
 		status.Phase, status.Reasons = Rejected, []string{m.rejections[d]}
-		delete(m.rejections, d) // pushed again later, it is tried again
+		delete(m.rejections, d) // if it is pushed again later, there is another trial
 	default:
-		if !slices.ContainsFunc(m.drafts, func(q rules.Edition) bool { return editionDigest(q) == d }) && len(m.drafts) < maxDrafts {
+		queued := slices.ContainsFunc(m.drafts, func(draft rules.Edition) bool { return editionDigest(draft) == d })
+		if !queued && len(m.drafts) < maxDrafts {
 			m.drafts = append(m.drafts, e)
 		}
 	}
--- a/internal/skew/skew.go
+++ b/internal/skew/skew.go
@@ -1,8 +1,9 @@
-// Package skew checks, before an edition of rules holds, that every sidecar
-// understands it: each one reads it and decides drawn cases, and the member that
-// leads the voters compares. It is a state machine: Step(now, event) ->
-// actions, without I/O, clock or goroutine, and the same seed and events give
-// the same actions. docs/design-rules.md says why it is so.
+// Package skew guards a fleet against version skew: before an edition of rules comes into force, every sidecar reads it and
+// decides cases drawn from it, and the leader of the voters compares the decisions. It is a state machine, Step(now, event) ->
+// actions, without I/O, clock or goroutine, and the same seed and events give the same actions.
+//
+// It shows that the members decide the drawn cases alike, not that they would decide all alike. Rules themselves are in package
+// rules; docs/design-rules.md describes the design, docs/rules.md is the page for operators.
 package skew
 
 import (
@@ -14,19 +15,19 @@
 	"fieldrelay/internal/view"
 )
 
-// Event is what happens to the machine.
+// Event is an input of the machine.
 type Event interface{ event() }
 
 // The events.
 type (
-	// Tick is that time has passed, or that the view may have changed.
+	// Tick reports that time has passed, or that the view may have changed.
 	Tick struct{}
 	// Received is a message of another member.
 	Received struct {
 		From    member.Record
 		Message Message
 	}
-	// Push is the edition of this member's file, which it wants to hold. Its number does not count.
+	// Push is the edition of this member's file, to be put in force. Its number does not count.
 	Push struct{ Edition rules.Edition }
 )
 
@@ -34,23 +35,23 @@
 func (Received) event() {}
 func (Push) event()     {}
 
-// Action is what the machine wants done.
+// Action is an output of the machine, for its caller to carry out in order.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Send is a message for a member, by name.
+	// Send sends a message to a member, by name.
 	Send struct {
 		To      string
 		Message Message
 	}
-	// Gossip is a message for some others, drawn anew each time.
+	// Gossip sends a message to a few other members, drawn anew each time.
 	Gossip struct{ Message Message }
-	// Propose is what the leader has agreed with the next view.
+	// Propose has the leader propose an edition with the next view.
 	Propose struct{ Rules view.Rules }
-	// Enforce is that this member goes by an edition from now on, whole.
+	// Enforce puts an edition in force at this member, all of it at once.
 	Enforce struct{ Compiled *rules.Compiled }
-	// LogEntry is a line for the operator.
+	// LogEntry is a line for the operator. Alert is set if something has to be done about it.
 	LogEntry struct {
 		Text  string
 		Alert bool
@@ -68,21 +69,21 @@
 	Name          string
 	Boot          uint64
 	Pace          time.Duration
-	Bound         time.Duration // for which a view is held at the most after the next was decided: view.Bound
+	Bound         time.Duration // longest time that a view's lease lasts after the next view was decided: view.Bound
 	Seed          uint64
 	Reads         rules.Reads
-	Lower         bool          // write an edition in a format that all read, where that loses nothing
-	MaxBehind     int           // members that may be left behind
-	ReturnTimeout time.Duration // a member that is away counts for so long
-	ReplyTimeout  time.Duration // a member that does not answer is not heard of after so long
-	Stored        rules.Edition // that this member went by before it was started; number 0: none
+	Lower         bool          // rewrite an edition in formats that all read, if that loses nothing
+	MaxBehind     int           // how many incompatible members may be left behind
+	ReturnTimeout time.Duration // for so long an absent member may return and has to be waited for
+	ReplyTimeout  time.Duration // after which a member without a reply counts as incompatible
+	Stored        rules.Edition // that was in force at this member before it was started; number 0: none
 
-	View       func() (view.View, bool)
-	HoldsLease func() bool              // the view, which is the newest then
-	Decided    func() (view.View, bool) // by the voters, where this member votes
-	Leader     func() string
-	Members    func() []Member // all that are known, this one among them, by name
-	// Decide is how this program decides a case; nil: as it does.
+	View       func() (view.View, bool) // the view in force at this member
+	HoldsLease func() bool              // this member holds the lease on it
+	Decided    func() (view.View, bool) // the last view that the voters decided; false if this member does not vote
+	Leader     func() string            // name of the voters' leader; empty: none is known
+	Members    func() []Member          // all known members, this one included, by name, but for those that left
+	// Decide replaces how this program decides a case, in tests; nil: it does not.
 	Decide func(c *rules.Compiled, q rules.Case) string
 	Mutate Mutation
 }
@@ -92,38 +93,38 @@
 	Name      string
 	Boot      uint64
 	Reads     string
-	AbsentFor time.Duration // for so long by now; -1: it is there; what has left for good is not among them
+	AbsentFor time.Duration // -1: it is present
 }
 
-// Mutation is a fault put in on purpose.
+// Mutation is a fault that a test injects.
 type Mutation uint8
 
 // The mutations.
 const (
 	NoMutation    Mutation = iota
-	TrustsClaims           // a member that says that it reads the format is not tried
-	SkipsSilent            // who has not answered counts as one that understands
+	TrustsClaims           // a member that says that it reads the format counts as compatible
+	SkipsSilent            // a member without a reply counts as compatible
 	NoWait                 // the next edition is agreed at once
-	HalfInForce            // an edition is gone by before its content was read
-	AnyBoot                // an answer of an earlier process of a name counts
-	OverwritesNew          // an edition of a lower number is gone back to
+	HalfInForce            // an edition comes into force before its content was read
+	AnyBoot                // a reply of an earlier process of a name counts
+	OverwritesNew          // an edition of a lower number comes back into force
 )
 
-// Times in paces.
+// The constants of the check: times are in paces.
 const (
-	draftInterval       = 4 // a draft is sent to the leader again
-	directOfferInterval = 2 // who has not answered is told directly, and again
-	maxDirectOffers     = 8 // of those, in a pace
-	contentInterval     = 2
-	proposalInterval    = 4
-	maxForwards         = 4  // offers passed on in a pace
-	maxRememberedTrials = 32 // rounds that are remembered
-	maxEditions         = 6  // editions whose content is kept
-	maxDrafts           = 4  // drafts that wait
-	maxReasons          = 16 // lines of why
+	draftInterval       = 4  // after which a draft is sent to the leader again
+	directOfferInterval = 2  // after which an offer is sent directly to a member without a reply, and again
+	maxDirectOffers     = 8  // sent at a time
+	contentInterval     = 2  // between two requests for the content of an edition
+	proposalInterval    = 4  // after which an edition is proposed again
+	maxForwards         = 4  // offers forwarded in a pace
+	maxRememberedTrials = 32 // trials remembered as forwarded
+	maxEditions         = 6  // editions cached, and rejections remembered
+	maxDrafts           = 4  // drafts queued
+	maxReasons          = 16 // reasons in a status
 )
 
-// Bounds are what the section promises, with figures.
+// Bounds returns the guarantees with figures, as lines for the operator.
 func Bounds(lease time.Duration, drift float64) []string {
 	b := view.Bound(lease, drift).Round(time.Millisecond)
 	return []string{
--- a/internal/skew/trial.go
+++ b/internal/skew/trial.go
@@ -4,37 +4,69 @@
 	"slices"
 	"time"
 
+	"fieldrelay/internal/member"
 	"fieldrelay/internal/rules"
 	"fieldrelay/internal/view"
 )
 
-// offer is a trial that the leader runs.
+// offer is an edition that the leader has on trial.
 type offer struct {
 	edition     rules.Edition
 	digest      string
-	trialID     uint64
+	trialID     uint64 // random, so that replies to another trial do not count
 	offeredAt   time.Duration
 	phase       Phase
-	sentAt      map[string]time.Duration
-	replies     map[string]reply
-	proposedAt  time.Duration
-	loweredFrom string // what it was written from
-	reasons     []string
+	sentAt      map[string]time.Duration // when it was last sent to a member directly
+	replies     map[string]reply         // by member
+	proposedAt  time.Duration            // when it was last proposed; -1: never
+	loweredFrom string                   // digest of the edition that this one was rewritten from; empty: of none
+	reasons     []string                 // what speaks against it
 }
 
+// reply is a member's reply to an offer.
 type reply struct {
-	boot      uint64
-	trial     []byte
-	readError string
+	boot      uint64 // of the process that replied
+	trial     []byte // how it decides the cases
+	readError string // why it cannot read the edition
 }
 
-// pass passes an offer on once.
+// maxReadErrorBytes bounds the text of why an edition cannot be read.
+const maxReadErrorBytes = 300
+
+// receiveOffer tries an edition, replies to the leader, and forwards the offer.
+func (m *Machine) receiveOffer(from string, msg Message) {
+	cached := m.load(*msg.Edition)
+	answer := Message{Kind: TrialReply, TrialID: msg.TrialID, Digest: editionDigest(*msg.Edition)}
+	if cached.err != nil {
+		text := cached.err.Error()
+		answer.ReadError = text[:min(len(text), maxReadErrorBytes)]
+	} else {
+		answer.Trial = cached.trial[:]
+	}
+	m.send(msg.Leader, answer)
+	if from != m.cfg.Name {
+		m.forward(msg)
+	}
+}
+
+// receiveReply takes in a reply to the offer of this member.
+func (m *Machine) receiveReply(from string, boot uint64, msg Message) {
+	o := m.offer
+	if o == nil || msg.TrialID != o.trialID || msg.Digest != o.digest || len(msg.ReadError) > maxReadErrorBytes || len(msg.Trial) > len(rules.Trial{}) {
+		return
+	}
+	if _, known := o.replies[from]; known || len(o.replies) < member.MaxMembers { // a bound on made-up names
+		o.replies[from] = reply{boot, msg.Trial, msg.ReadError}
+	}
+}
+
+// forward forwards the offer of each trial once.
 func (m *Machine) forward(msg Message) {
 	if m.now-m.paceStart >= m.cfg.Pace {
 		m.paceStart, m.forwards = m.now, 0
 	}
 	if slices.Contains(m.forwardedTrials, msg.TrialID) || m.forwards >= maxForwards {
-		return // who does not hear of it so is told by the leader
+		return // those that it does not reach so, the leader sends it to directly
 	}
 	m.forwards++
 	if m.forwardedTrials = append(m.forwardedTrials, msg.TrialID); len(m.forwardedTrials) > maxRememberedTrials {
@@ -43,7 +75,7 @@
 	m.out = append(m.out, Gossip{Message: msg})
 }
 
-// lead is what the leader does.
+// runLeader does what the leader does: one trial after the other.
 func (m *Machine) runLeader() {
 	if !m.isLeader {
 		return
@@ -72,26 +104,30 @@
 	}
 }
 
-// begin begins the trial of an edition under the next number.
-func (m *Machine) beginTrial(e rules.Edition, lowered string) {
+// beginTrial begins the trial of an edition under the next number. loweredFrom is the digest of the edition that it was rewritten
+// from, if it was.
+func (m *Machine) beginTrial(e rules.Edition, loweredFrom string) {
 	e.Number = m.lastAgreed.Number + 1
 	if m.enforced != nil {
 		e.Number = max(e.Number, m.enforced.Edition.Number+1)
 	}
-	if h := m.load(e); h.err != nil {
-		m.reject(e, "this member, which leads, cannot read it: "+h.err.Error())
+	if err := m.load(e).err; err != nil {
+		m.reject(e, "this member, which leads, cannot read it: "+err.Error())
 		return
 	}
-	m.offer = &offer{edition: e, digest: editionDigest(e), trialID: m.rng.Uint64() | 1, offeredAt: m.now, phase: Offered, sentAt: map[string]time.Duration{}, replies: map[string]reply{}, loweredFrom: lowered, proposedAt: -1}
+	m.offer = &offer{edition: e, digest: editionDigest(e), trialID: m.rng.Uint64() | 1, offeredAt: m.now, phase: Offered,
+		sentAt: make(map[string]time.Duration), replies: make(map[string]reply), loweredFrom: loweredFrom, proposedAt: -1}
 	m.log(false, "edition %d (%.12s) offered", e.Number, editionDigest(e))
 	m.forward(m.offerMessage())
 }
 
+// offerMessage is the offer as it is sent.
 func (m *Machine) offerMessage() Message {
 	return Message{Kind: Offer, Edition: &m.offer.edition, Leader: m.cfg.Name, TrialID: m.offer.trialID}
 }
 
-func (m *Machine) reject(e rules.Edition, why string) {
+// reject ends the trial of an edition, for a reason that whoever pushes it gets with its status.
+func (m *Machine) reject(e rules.Edition, reason string) {
 	d := editionDigest(e)
 	if m.offer != nil && m.offer.loweredFrom != "" {
 		d = m.offer.loweredFrom
@@ -99,23 +135,24 @@
 	if len(m.rejections) >= maxEditions {
 		clear(m.rejections)
 	}
-	m.rejections[d] = why
+	m.rejections[d] = reason
 	m.offer = nil
-	m.log(true, "edition %.12s rejected: %s", d, why)
+	m.log(true, "edition %.12s rejected: %s", d, reason)
 }
 
-// needed are those whose understanding is asked for: who is in the view, and who is away and may return.
+// participants returns the members whose replies are needed: those present, those of the view, and those that have been absent
+// for less than ReturnTimeout and so may return.
 func (m *Machine) participants(v view.View) (all []Member) {
-	for _, k := range m.cfg.Members() {
-		_, in := v.Find(k.Name)
-		if k.AbsentFor < 0 || in || k.AbsentFor < m.cfg.ReturnTimeout {
-			all = append(all, k)
+	for _, one := range m.cfg.Members() {
+		_, included := v.Find(one.Name)
+		if one.AbsentFor < 0 || included || one.AbsentFor < m.cfg.ReturnTimeout {
+			all = append(all, one)
 		}
 	}
 	return all
 }
 
-// tell tells the offer to those that have not answered, some at a time.
+// sendOffers sends the offer directly to members that have not replied, some at a time; first to this member itself.
 func (m *Machine) sendOffers(v view.View) {
 	o := m.offer
 	if m.now-o.offeredAt < directOfferInterval*m.cfg.Pace {
@@ -125,18 +162,18 @@
 		}
 		return
 	}
-	n := 0
-	for _, k := range m.participants(v) {
-		if r, ok := o.replies[k.Name]; k.AbsentFor >= 0 || ok && r.boot == k.Boot {
+	sent := 0
+	for _, one := range m.participants(v) {
+		if r, ok := o.replies[one.Name]; one.AbsentFor >= 0 || ok && r.boot == one.Boot {
 			continue
 		}
-		if at, told := o.sentAt[k.Name]; told && m.now-at < directOfferInterval*m.cfg.Pace {
+		if at, ok := o.sentAt[one.Name]; ok && m.now-at < directOfferInterval*m.cfg.Pace {
 			continue
 		}
-		if n++; n > maxDirectOffers {
+		if sent++; sent > maxDirectOffers {
 			return
 		}
-		o.sentAt[k.Name] = m.now
-		m.send(k.Name, m.offerMessage())
+		o.sentAt[one.Name] = m.now
+		m.send(one.Name, m.offerMessage())
 	}
 }
