--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -25,39 +25,39 @@
 )
 
 const (
-	mostQueued = 4096                   // frames that wait for the actor; one over it is dropped
-	farewell   = 100 * time.Millisecond // for the last datagrams and streams to leave
-	askWait    = 500 * time.Millisecond // a caller of the management address waits no longer
+	maxQueued    = 4096                   // frames that wait for the actor; one over it is dropped
+	leaveLinger  = 100 * time.Millisecond // for the last datagrams and streams to leave
+	actorTimeout = 500 * time.Millisecond // a caller of the management address waits no longer
 )
 
 // Fleet is the actor: a Core with clock and sockets.
 type Fleet struct {
-	log      zerolog.Logger
-	channel  *peer.Channel
-	box      *mailbox.Mailbox
-	done     chan struct{}
-	closing  sync.Once
-	overflow atomic.Int64 // frames dropped since the mailbox was full
-	limits   limits
-	seen     seenHere
-	refused  atomic.Int64 // frames of another fleet or version, or that are none
-	mode     atomic.Int32
-	number   atomic.Int64 // of the view that this member goes by
-	members  atomic.Int64 // of that view
-	avoided  atomic.Int64 // execute nodes, by verdict
+	log           zerolog.Logger
+	channel       *peer.Channel
+	box           *mailbox.Mailbox
+	done          chan struct{}
+	closing       sync.Once
+	droppedFrames atomic.Int64 // frames dropped since the mailbox was full
+	limits        limits
+	observations  observations
+	refusedFrames atomic.Int64 // frames of another fleet or version, or that are none
+	mode          atomic.Int32
+	viewNumber    atomic.Int64 // of the view that this member goes by
+	viewMembers   atomic.Int64 // of that view
+	avoidedNodes  atomic.Int64 // execute nodes, by verdict
 
 	// The following belong to the actor.
-	settings settings.Settings
-	core     *Core
-	keeper   *keeper
-	origin   time.Time
-	wake     *time.Timer
-	changed  func(all []verdict.Statement)
-	avoid    func(nodes []string)
-	drains   func(news []verdict.Statement)
-	allot    func(tenant string, rate float64)
-	ruled    ruled
-	strange  map[string]bool // senders refused, which are told in one line each
+	settings     settings.Settings
+	core         *Core
+	voterStore   *voterStore
+	origin       time.Time
+	wake         *time.Timer
+	changed      func(all []verdict.Statement)
+	avoid        func(nodes []string)
+	drains       func(news []verdict.Statement)
+	allot        func(tenant string, rate float64)
+	rules        rulesState
+	refusedPeers map[string]bool // senders refused, which are told in one line each
 }
 
 // Options are what a Fleet is started with.
@@ -71,10 +71,10 @@
 		return nil, fmt.Errorf("fleet.name: %w", err)
 	}
 	f := &Fleet{log: log, box: mailbox.New(), done: make(chan struct{}), settings: set, origin: time.Now(),
-		strange: map[string]bool{}, changed: opts.Changed, avoid: opts.Avoid, drains: opts.Drains, allot: opts.Allot}
-	f.seen.origin = f.origin
+		refusedPeers: map[string]bool{}, changed: opts.Changed, avoid: opts.Avoid, drains: opts.Drains, allot: opts.Allot}
+	f.observations.origin = f.origin
 	f.limits.origin = f.origin
-	f.limits.allowed = opts.Tenants
+	f.limits.tenants = opts.Tenants
 	limits := f.limits.set(opts.Quotas)
 	channel, err := peer.Listen(set.Listen, f.deliver)
 	if err != nil {
@@ -85,7 +85,7 @@
 	var kept *view.StoredState
 	if set.State != "" {
 		var why string
-		if f.keeper, kept, why, err = openKeeper(set.State, set.Fleet, set.Name); err != nil {
+		if f.voterStore, kept, why, err = openVoterStore(set.State, set.Fleet, set.Name); err != nil {
 			channel.Close()
 			return nil, fmt.Errorf("fleet.state: %w", err)
 		}
@@ -98,25 +98,25 @@
 			Pace: set.PaceTime(), Seed: seed},
 		View: view.Config{Name: set.Name, Boot: boot, Voters: set.Voters, Pace: set.PaceTime(), Lease: set.LeaseTime(),
 			Drift: set.DriftPart(), Seed: seed, Stored: kept, Refound: set.Refounds()},
-		Limits: limits, Demand: f.limits.demand, Words: opts.Words}
+		Limits: limits, Demand: f.limits.demand, Suspensions: opts.Words}
 	if set.Verdicts && f.avoid != nil {
-		f.seen.on = true
-		cfg.Seen, cfg.VerdictPct, cfg.Member.Zone = &f.seen, set.VerdictPc, opts.Zone[:min(len(opts.Zone), member.MaxZoneBytes)]
+		f.observations.enabled = true
+		cfg.Observations, cfg.VerdictPercent, cfg.Member.Zone = &f.observations, set.VerdictPc, opts.Zone[:min(len(opts.Zone), member.MaxZoneBytes)]
 	}
-	push, err := f.ruled.begin(&cfg, set, opts, log)
+	push, err := f.rules.load(&cfg, set, opts, log)
 	if err != nil {
 		channel.Close()
-		return nil, errors.Join(err, f.keeper.close())
+		return nil, errors.Join(err, f.voterStore.close())
 	}
 	f.core, err = NewCore(cfg, 0)
 	if err != nil {
 		channel.Close()
-		return nil, errors.Join(fmt.Errorf("fleet.state: %w", err), f.keeper.close())
+		return nil, errors.Join(fmt.Errorf("fleet.state: %w", err), f.voterStore.close())
 	}
 	f.wake = time.AfterFunc(time.Hour, func() { f.box.Put(func() { f.step(Tick{}) }) })
 	log.Info().Str("fleet", set.Fleet).Str("name", set.Name).Str("listen", channel.Addr()).Strs("join", set.Join).
 		Dur("pace", set.PaceTime()).Msg("fleet on")
-	f.limits.tell(f.core.Holder())
+	f.limits.updateShares(f.core.Holder())
 	f.box.Put(func() { f.step(Tick{}) })
 	if push != nil {
 		f.box.Put(func() { f.step(PushRules{*push}) })
@@ -142,24 +142,24 @@
 
 // deliver passes a frame to the actor. The mailbox has no bound of its own, so the bound is here.
 func (f *Fleet) deliver(b []byte) {
-	if f.box.Len() >= mostQueued {
-		f.overflow.Add(1)
+	if f.box.Len() >= maxQueued {
+		f.droppedFrames.Add(1)
 		return
 	}
-	f.box.Put(func() { f.got(b) })
+	f.box.Put(func() { f.receive(b) })
 }
 
-func (f *Fleet) got(b []byte) {
+func (f *Fleet) receive(b []byte) {
 	frame, err := peer.Decode(b, f.settings.Fleet)
 	if err == nil {
-		f.step(Got{frame})
+		f.step(Received{frame})
 		return
 	}
-	f.refused.Add(1)
+	f.refusedFrames.Add(1)
 	// Each stranger is told once; there is room for a few of them.
 	who := frame.Fleet + "/" + frame.From.Name
-	if (errors.Is(err, peer.ErrFleet) || errors.Is(err, peer.ErrVersion)) && len(f.strange) < 64 && !f.strange[who] {
-		f.strange[who] = true
+	if (errors.Is(err, peer.ErrFleet) || errors.Is(err, peer.ErrVersion)) && len(f.refusedPeers) < 64 && !f.refusedPeers[who] {
+		f.refusedPeers[who] = true
 		f.log.Warn().Err(err).Str("their fleet", frame.Fleet).Str("name", frame.From.Name).Str("addr", frame.From.Addr).Msg("peer refused")
 	}
 }
@@ -174,37 +174,37 @@
 			f.log.Info().Str("member", a.Record.Name).Str("addr", a.Record.Addr).Stringer("state", a.Record.State).Stringer("was", a.Was).
 				Uint64("incarnation", a.Record.Incarnation).Bool("new", a.New).Str("by", a.Record.SuspectedBy).Msg("member changed")
 		case Save:
-			if err := f.keeper.save(a.Change); err != nil {
+			if err := f.voterStore.save(a.Change); err != nil {
 				// What was not kept must not be answered for: without its state this process is no voter.
 				f.log.Error().Err(err).Msg("voter's state not kept: the fleet is left")
 				go f.Abandon()
 				return
 			}
 		case Adopted:
-			f.number.Store(int64(a.View.ID.Number))
-			f.members.Store(int64(len(a.View.Members)))
+			f.viewNumber.Store(int64(a.View.ID.Number))
+			f.viewMembers.Store(int64(len(a.View.Members)))
 			f.log.Info().Stringer("view", a.View.ID).Int("members", len(a.View.Members)).Str("sum", fmt.Sprintf("%x", a.View.Sum())).Msg("view adopted")
 		case Decided:
 			f.log.Info().Stringer("view", a.View.ID).Int("members", len(a.View.Members)).Str("sum", fmt.Sprintf("%x", a.View.Sum())).Msg("view decided")
-		case WordsChanged:
+		case SuspensionsChanged:
 			if f.changed != nil {
 				f.changed(a.All)
 			}
-		case DrainsChanged:
+		case DrainingChanged:
 			if f.drains != nil {
-				f.drains(a.News)
+				f.drains(a.Updates)
 			}
 		case Avoid:
-			f.avoided.Store(int64(len(a.Nodes)))
+			f.avoidedNodes.Store(int64(len(a.Nodes)))
 			f.avoid(a.Nodes)
-		case VerdictLine:
+		case VerdictLog:
 			f.log.Info().Str("node", a.Node).Str("verdict", a.Event).Strs("observers", a.Observers).Dur("for", a.Term).Msg("verdict")
-		case PartsChanged:
-			f.limits.tell(f.core.Holder())
-		case RulesForced:
-			f.goBy(a)
-		case RulesLine:
-			f.ruled.line(f.log, a)
+		case QuotaSharesChanged:
+			f.limits.updateShares(f.core.Holder())
+		case RulesEnforced:
+			f.enforceRules(a)
+		case RulesLog:
+			f.rules.log(f.log, a)
 		case Notice:
 			level := zerolog.InfoLevel
 			if a.Alert {
@@ -220,12 +220,12 @@
 					f.avoid(nil)
 				}
 			}
-			f.log.WithLevel(level).Stringer("mode", a.Mode).Stringer("was", a.Was).Str("why", a.Why).Msg("fleet mode")
+			f.log.WithLevel(level).Stringer("mode", a.Mode).Stringer("was", a.Was).Str("why", a.Reason).Msg("fleet mode")
 		}
 	}
-	f.ruled.look(f.core)
+	f.rules.updateFigures(f.core)
 	if f.allot != nil {
-		f.limits.allotted(f.allot) // also once a lease has run out: nobody says so
+		f.limits.reportAllotments(f.allot) // also once a lease has run out: nobody says so
 	}
 	f.wake.Reset(max(0, f.core.Next()-time.Since(f.origin)))
 }
@@ -246,8 +246,8 @@
 	}
 }
 
-// ask runs a question on the actor and waits for its end, askWait at the most.
-func (f *Fleet) ask(do func()) bool {
+// ask runs a question on the actor and waits for its end, actorTimeout at the most.
+func (f *Fleet) runOnActor(do func()) bool {
 	answered := make(chan struct{})
 	if !f.box.Put(func() { do(); close(answered) }) {
 		return false
@@ -255,7 +255,7 @@
 	select {
 	case <-answered:
 		return true
-	case <-time.After(askWait):
+	case <-time.After(actorTimeout):
 		return false
 	}
 }
@@ -264,7 +264,7 @@
 // in which it belongs to those that this process goes by, boot, and whether it votes or leads.
 func (f *Fleet) Peers() ([]string, error) {
 	var lines []string
-	ok := f.ask(func() {
+	ok := f.runOnActor(func() {
 		now, self := time.Since(f.origin), f.core.Members().Self()
 		v, has := f.core.Views().View()
 		in := func(name string, boot uint64) string {
@@ -314,18 +314,18 @@
 		return strings.Join([]string{prefix, ".fleet.", name, ":", fmt.Sprint(v), "|", kind}, "")
 	}
 	return []string{
-		figure("mode", "g", int64(f.Mode())), figure("view", "g", f.number.Load()), figure("members", "g", f.members.Load()),
+		figure("mode", "g", int64(f.Mode())), figure("view", "g", f.viewNumber.Load()), figure("members", "g", f.viewMembers.Load()),
 		figure("datagrams_sent", "c", c.SentDatagrams), figure("frames_streamed", "c", c.SentStreamed), figure("bytes_sent", "c", c.SentBytes),
 		figure("frames_got", "c", c.GotFrames), figure("bytes_got", "c", c.GotBytes),
-		figure("rules", "g", f.ruled.number.Load()), figure("rules_behind", "g", f.ruled.behind.Load()),
-		figure("nodes_avoided", "g", f.avoided.Load()), figure("let", "c", let), figure("turned_back", "c", refused),
-		figure("frames_dropped", "c", c.Dropped+f.overflow.Load()), figure("frames_refused", "c", f.refused.Load()+c.Refused),
+		figure("rules", "g", f.rules.editionNumber.Load()), figure("rules_behind", "g", f.rules.behind.Load()),
+		figure("nodes_avoided", "g", f.avoidedNodes.Load()), figure("let", "c", let), figure("turned_back", "c", refused),
+		figure("frames_dropped", "c", c.Dropped+f.droppedFrames.Load()), figure("frames_refused", "c", f.refusedFrames.Load()+c.Refused),
 	}
 }
 
 // Recover founds a new group of voters with this process alone, by the operator's word.
 func (f *Fleet) Recover() error {
-	if !f.ask(func() { f.step(Recover{}) }) {
+	if !f.runOnActor(func() { f.step(Recover{}) }) {
 		return errors.New("fleet busy or closed")
 	}
 	return nil
@@ -342,10 +342,10 @@
 
 // Verdicts has a line for each execute node that is spoken of.
 func (f *Fleet) Verdicts() (lines []string, err error) {
-	if !f.seen.on {
+	if !f.observations.enabled {
 		return nil, errors.New("fleet.verdicts off")
 	}
-	if !f.ask(func() { lines = f.core.Judge().Lines(time.Since(f.origin)) }) {
+	if !f.runOnActor(func() { lines = f.core.Evaluator().Lines(time.Since(f.origin)) }) {
 		return nil, errors.New("fleet busy or closed")
 	}
 	return lines, nil
@@ -353,21 +353,21 @@
 
 // Outcome takes in what came of a claim at an execute node, from any goroutine.
 func (f *Fleet) Outcome(node string, failed bool, took time.Duration) {
-	f.seen.outcome(node, failed, took)
+	f.observations.count(node, failed, took)
 }
 
-// Drains takes in that this sidecar's list has an execute node, by its start, as draining or gone; or no longer so.
+// SetDraining takes in that this sidecar's list has an execute node, by its start, as draining or gone; or no longer so.
 func (f *Fleet) Drains(node string, since time.Duration, drains bool) {
-	if f.seen.on {
-		f.box.Put(func() { f.step(Drains{Node: node, Since: since, Drains: drains}) })
+	if f.observations.enabled {
+		f.box.Put(func() { f.step(SetDraining{Node: node, Since: since, Draining: drains}) })
 	}
 }
 
 // Listed takes in which execute nodes take claims, likewise.
 func (f *Fleet) Listed(nodes []verdict.Node) {
-	f.seen.list(nodes)
-	if list, changed := f.limits.list(nodes); changed {
-		f.box.Put(func() { f.step(Limits{list}) })
+	f.observations.setNodes(nodes)
+	if list, changed := f.limits.setNodes(nodes); changed {
+		f.box.Put(func() { f.step(SetLimits{list}) })
 	}
 }
 
@@ -377,9 +377,9 @@
 	return f.limits.claim(node, class, tenant, again, warm, ends)
 }
 
-// Say tells the whole fleet that an execute node is suspended, or restored.
+// SetSuspended tells the whole fleet that an execute node is suspended, or restored.
 func (f *Fleet) Say(node string, suspended bool) error {
-	if !f.ask(func() { f.step(Say{Node: node, Suspended: suspended}) }) {
+	if !f.runOnActor(func() { f.step(SetSuspended{Node: node, Suspended: suspended}) }) {
 		return errors.New("fleet busy or closed")
 	}
 	return nil
@@ -388,23 +388,23 @@
 // SetQuotas replaces the limits of the fleet.
 func (f *Fleet) SetQuotas(all quota.All) {
 	f.box.Put(func() {
-		f.ruled.tables = all
-		if !f.ruled.limits { // those of the edition in force come before the file's own
-			f.step(Limits{f.limits.set(all)})
+		f.rules.fileLimits = all
+		if !f.rules.hasEditionLimits { // those of the edition in force come before the file's own
+			f.step(SetLimits{f.limits.set(all)})
 		}
 	})
 }
 
 // SetTenants takes over the tenants of new settings.
 func (f *Fleet) SetTenants(tenants []logic.Tenant) {
-	f.box.Put(func() { f.step(Limits{f.limits.allow(tenants)}) })
+	f.box.Put(func() { f.step(SetLimits{f.limits.setTenants(tenants)}) })
 }
 
 // Set takes over settings of which only join and dial differ.
 func (f *Fleet) Set(next settings.Settings) {
 	f.box.Put(func() {
 		f.settings.Join, f.settings.Dial = next.Join, next.Dial
-		f.step(Change{Join: next.Join})
+		f.step(SetSeeds{Join: next.Join})
 	})
 }
 
@@ -417,15 +417,15 @@
 func (f *Fleet) close(tell bool) {
 	f.closing.Do(func() {
 		if tell {
-			f.ask(func() { f.step(Leave{}) })
-			<-time.After(farewell)
+			f.runOnActor(func() { f.step(Leave{}) })
+			<-time.After(leaveLinger)
 		}
 		f.box.Put(func() { f.wake.Stop() })
 		f.channel.Close()
 		f.box.Close()
 		<-f.done
 		f.wake.Stop()
-		if err := f.keeper.close(); err != nil {
+		if err := f.voterStore.close(); err != nil {
 			f.log.Error().Err(err).Msg("voter's state not closed")
 		}
 	})
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -80,7 +80,7 @@
 	defer f.Abandon()
 	a := start(t, "a", f.Addr())
 	refusals := 0
-	until(t, "several refusals", func() bool { return f.refused.Load() >= 3 })
+	until(t, "several refusals", func() bool { return f.refusedFrames.Load() >= 3 })
 	f.Abandon()
 	close(lines)
 	for l := range lines {
--- a/internal/fleet/keep.go
+++ b/internal/fleet/keep.go
@@ -16,31 +16,31 @@
 )
 
 // keeper keeps a voter's state in a folder: one bbolt file, synced at each change. A nil keeper keeps nothing.
-type keeper struct {
+type voterStore struct {
 	store store.Store
 }
 
 const (
-	keptFile  = "voter.db"
-	mostKept  = 64 << 20        // bytes: the engine's log is cut long before
-	openWait  = 5 * time.Second // for the file, which a process that ends may still hold
-	entryKeys = "entry/"        // and the number, in hexadecimal digits that sort as it does
-	entryEnd  = "entry0"        // behind the last of those keys
+	voterFile        = "voter.db"
+	maxVoterBytes    = 64 << 20        // bytes: the engine's log is cut long before
+	storeOpenTimeout = 5 * time.Second // for the file, which a process that ends may still hold
+	entryPrefix      = "entry/"        // and the number, in hexadecimal digits that sort as it does
+	entryRangeEnd    = "entry0"        // behind the last of those keys
 )
 
-// openKeeper opens the state of a member of a fleet and reads it. That of another member is not touched. why is a line on
+// openVoterStore opens the state of a member of a fleet and reads it. That of another member is not touched. why is a line on
 // state that is there and cannot be used.
-func openKeeper(folder, fleet, name string) (k *keeper, kept *view.StoredState, why string, err error) {
-	s, found, err := bolt.Open(store.Options{Path: filepath.Join(folder, keptFile), Owner: fleet + "/" + name, Most: mostKept, Wait: openWait}, upgradeKept)
+func openVoterStore(folder, fleet, name string) (k *voterStore, kept *view.StoredState, why string, err error) {
+	s, found, err := bolt.Open(store.Options{Path: filepath.Join(folder, voterFile), Owner: fleet + "/" + name, Most: maxVoterBytes, Wait: storeOpenTimeout}, upgradeVoterStore)
 	if err != nil {
 		return nil, nil, "", err
 	}
-	k, kept = &keeper{s}, &view.StoredState{}
-	kept.Voter, kept.Era = k.number("voter"), k.number("era")
+	k, kept = &voterStore{s}, &view.StoredState{}
+	kept.Voter, kept.Era = k.readNumber("voter"), k.readNumber("era")
 	kept.HardState, _ = s.Get("hard")
 	kept.Snapshot, _ = s.Get("snapshot")
-	err = s.Each(entryKeys, func(key string, data []byte) error {
-		index, err := strconv.ParseUint(key[len(entryKeys):], 16, 64)
+	err = s.Each(entryPrefix, func(key string, data []byte) error {
+		index, err := strconv.ParseUint(key[len(entryPrefix):], 16, 64)
 		kept.Entries = append(kept.Entries, view.Entry{Index: index, Data: data})
 		return err
 	})
@@ -50,8 +50,8 @@
 	return k, kept, found.Why, nil
 }
 
-// upgradeKept takes over what programs before the store kept in two buckets of their own.
-func upgradeKept(tx *bbolt.Tx, b *store.Batch) error {
+// upgradeVoterStore takes over what programs before the store kept in two buckets of their own.
+func upgradeVoterStore(tx *bbolt.Tx, b *store.Batch) error {
 	meta, entries := tx.Bucket([]byte("meta")), tx.Bucket([]byte("entries"))
 	for _, key := range []string{"voter", "era", "hard", "snapshot"} {
 		if v := meta.Get([]byte(key)); v != nil {
@@ -70,9 +70,9 @@
 	})
 }
 
-func entryKey(index uint64) string { return fmt.Sprintf("%s%016x", entryKeys, index) }
+func entryKey(index uint64) string { return fmt.Sprintf("%s%016x", entryPrefix, index) }
 
-func (k *keeper) number(key string) uint64 {
+func (k *voterStore) readNumber(key string) uint64 {
 	if v, ok := k.store.Get(key); ok && len(v) == 8 {
 		return binary.BigEndian.Uint64(v)
 	}
@@ -80,7 +80,7 @@
 }
 
 // save keeps a change, on disk when it returns.
-func (k *keeper) save(c view.Change) error {
+func (k *voterStore) save(c view.Change) error {
 	if k == nil {
 		return nil
 	}
@@ -89,7 +89,7 @@
 		for _, key := range []string{"voter", "era", "hard", "snapshot"} {
 			b.Delete(key)
 		}
-		b.DeleteRange(entryKeys, entryEnd)
+		b.DeleteRange(entryPrefix, entryRangeEnd)
 	}
 	if c.Voter != 0 {
 		b.Put("voter", binary.BigEndian.AppendUint64(nil, c.Voter))
@@ -99,7 +99,7 @@
 		b.Put("hard", c.HardState)
 	}
 	if len(c.Entries) > 0 {
-		b.DeleteRange(entryKey(c.Entries[0].Index), entryEnd)
+		b.DeleteRange(entryKey(c.Entries[0].Index), entryRangeEnd)
 		for _, e := range c.Entries {
 			b.Put(entryKey(e.Index), e.Data)
 		}
@@ -110,12 +110,12 @@
 		if err != nil {
 			return err
 		}
-		b.DeleteRange(entryKeys, entryKey(last+1))
+		b.DeleteRange(entryPrefix, entryKey(last+1))
 	}
 	return k.store.Commit(&b)
 }
 
-func (k *keeper) close() error {
+func (k *voterStore) close() error {
 	if k == nil {
 		return nil
 	}
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -15,33 +15,33 @@
 type limits struct {
 	origin time.Time
 
-	mu       sync.Mutex
-	gates    []*limited
-	byName   map[string]*limited
-	general  []*limited            // those of requests that are for all tenants,
-	tenants  map[string][]*limited // and for one
-	shares   []*limited            // of tenants' allowances
-	allowed  []logic.Tenant
-	undo     []string   // tenants whose allowance is no longer divided
-	claims   []*limited // those of attempts that are for all nodes,
-	atNode   map[string][]*limited
-	settings quota.All
-	nodes    []string
+	mu             sync.Mutex
+	gates          []*limitGate
+	byName         map[string]*limitGate
+	generalGates   []*limitGate            // those of requests that are for all tenants,
+	tenantGates    map[string][]*limitGate // and for one
+	allowanceGates []*limitGate            // of tenants' allowances
+	tenants        []logic.Tenant
+	withdrawn      []string     // tenants whose allowance is no longer divided
+	attemptGates   []*limitGate // those of attempts that are for all nodes,
+	nodeGates      map[string][]*limitGate
+	settings       quota.All
+	nodes          []string
 }
 
 // limited is one limit. It belongs to who holds limits.mu.
-type limited struct {
+type limitGate struct {
 	quota.Settings
-	gate *quota.Gate
-	told part
+	gate  *quota.Gate
+	share quotaShare
 	// allotted is what was last told of a part of an allowance.
-	allotted quota.Unit
+	reportedAllotment quota.Unit
 }
 
 // part is what was last told of this member's part.
-type part struct {
-	now, past quota.Unit
-	until     time.Duration
+type quotaShare struct {
+	amount, fallback quota.Unit
+	expiry           time.Duration
 }
 
 // set replaces the limits; one that stays as it was goes on. It gives them as the machines take them.
@@ -49,11 +49,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settings = all
-	return l.make()
+	return l.rebuild()
 }
 
 // list takes over which execute nodes there are. changed tells whether that changes the limits.
-func (l *limits) list(nodes []verdict.Node) (list []quota.Limit, changed bool) {
+func (l *limits) setNodes(nodes []verdict.Node) (list []quota.Limit, changed bool) {
 	names := make([]string, len(nodes))
 	for i, n := range nodes {
 		names[i] = n.Name
@@ -68,18 +68,18 @@
 	if !slices.ContainsFunc(l.settings, func(s quota.Settings) bool { return s.Node > 0 }) {
 		return nil, false
 	}
-	return l.make(), true
+	return l.rebuild(), true
 }
 
 // make makes the gates anew of the settings and the nodes.
-func (l *limits) make() (list []quota.Limit) {
-	was, shared := l.byName, l.shares
-	l.gates, l.claims, l.general, l.shares = nil, nil, nil, nil
-	l.byName, l.atNode, l.tenants = map[string]*limited{}, map[string][]*limited{}, map[string][]*limited{}
-	add := func(s quota.Settings) *limited {
+func (l *limits) rebuild() (list []quota.Limit) {
+	was, shared := l.byName, l.allowanceGates
+	l.gates, l.attemptGates, l.generalGates, l.allowanceGates = nil, nil, nil, nil
+	l.byName, l.nodeGates, l.tenantGates = map[string]*limitGate{}, map[string][]*limitGate{}, map[string][]*limitGate{}
+	add := func(s quota.Settings) *limitGate {
 		g := was[s.Name]
 		if g == nil || g.Limit().Kind != s.Limit().Kind || g.Burst != s.Burst {
-			g = &limited{gate: quota.NewGate(s.Limit().Kind, s.BurstTime(), time.Since(l.origin))}
+			g = &limitGate{gate: quota.NewGate(s.Limit().Kind, s.BurstTime(), time.Since(l.origin))}
 		}
 		g.Settings = s
 		l.gates = append(l.gates, g)
@@ -94,64 +94,64 @@
 		case s.Node > 0:
 			for _, node := range l.nodes {
 				if len(list) < quota.MostLimits {
-					l.atNode[node] = append(l.atNode[node], add(s.At(node)))
+					l.nodeGates[node] = append(l.nodeGates[node], add(s.At(node)))
 				}
 			}
 		case s.Retry > 0:
-			l.claims = append(l.claims, add(s))
+			l.attemptGates = append(l.attemptGates, add(s))
 		case s.Shares:
-			for _, t := range l.allowed {
+			for _, t := range l.tenants {
 				if t.Allowance > 0 && len(list) < quota.MostLimits {
 					g := add(s.Of(t.Name, t.Allowance))
-					l.shares = append(l.shares, g)
-					l.tenants[t.Name] = append(l.tenants[t.Name], g)
+					l.allowanceGates = append(l.allowanceGates, g)
+					l.tenantGates[t.Name] = append(l.tenantGates[t.Name], g)
 				}
 			}
 		case s.Tenant != "":
-			l.tenants[s.Tenant] = append(l.tenants[s.Tenant], add(s))
+			l.tenantGates[s.Tenant] = append(l.tenantGates[s.Tenant], add(s))
 		default:
-			l.general = append(l.general, add(s))
+			l.generalGates = append(l.generalGates, add(s))
 		}
 	}
 	for _, g := range shared {
-		if !slices.ContainsFunc(l.tenants[g.Tenant], func(o *limited) bool { return o.Shares }) {
-			l.undo = append(l.undo, g.Tenant)
+		if !slices.ContainsFunc(l.tenantGates[g.Tenant], func(o *limitGate) bool { return o.Shares }) {
+			l.withdrawn = append(l.withdrawn, g.Tenant)
 		}
 	}
 	return list
 }
 
 // allow takes over the tenants of the settings.
-func (l *limits) allow(tenants []logic.Tenant) (list []quota.Limit) {
+func (l *limits) setTenants(tenants []logic.Tenant) (list []quota.Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.allowed = tenants
-	return l.make()
+	l.tenants = tenants
+	return l.rebuild()
 }
 
 // allotted calls tell for each tenant of whose allowance another part is this member's than at the last call.
-func (l *limits) allotted(tell func(tenant string, rate float64)) {
+func (l *limits) reportAllotments(tell func(tenant string, rate float64)) {
 	now := time.Since(l.origin)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, tenant := range l.undo {
+	for _, tenant := range l.withdrawn {
 		tell(tenant, -1) // an equal part again
 	}
-	l.undo = nil
-	for _, g := range l.shares {
-		part := g.told.past
-		if now < g.told.until {
-			part = g.told.now
+	l.withdrawn = nil
+	for _, g := range l.allowanceGates {
+		part := g.share.fallback
+		if now < g.share.expiry {
+			part = g.share.amount
 		}
-		if part != g.allotted {
-			g.allotted = part
+		if part != g.reportedAllotment {
+			g.reportedAllotment = part
 			tell(g.Tenant, float64(part)/float64(quota.PerSecond))
 		}
 	}
 }
 
 // tell tells the gates this member's parts.
-func (l *limits) tell(h *quota.Holder) {
+func (l *limits) updateShares(h *quota.Holder) {
 	now := time.Since(l.origin)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,8 +159,8 @@
 		if !g.Leased() {
 			continue
 		}
-		g.told.now, g.told.past, g.told.until = h.Part(g.Name, now)
-		g.gate.Part(now, g.told.now, g.told.past, g.told.until)
+		g.share.amount, g.share.fallback, g.share.expiry = h.Part(g.Name, now)
+		g.gate.Part(now, g.share.amount, g.share.fallback, g.share.expiry)
 	}
 }
 
@@ -178,11 +178,11 @@
 func (l *limits) admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	gates := l.general
-	if own := l.tenants[tenant]; len(own) > 0 {
+	gates := l.generalGates
+	if own := l.tenantGates[tenant]; len(own) > 0 {
 		gates = append(gates[:len(gates):len(gates)], own...)
 	}
-	return l.pass(gates, func(g *limited) bool { return g.Applies(class, tenant) }, again, 1, ends)
+	return l.passGates(gates, func(g *limitGate) bool { return g.Applies(class, tenant) }, again, 1, ends)
 }
 
 // claim lets an attempt at an execute node through all limits that it counts under, or none. warm is the part of its full
@@ -191,19 +191,19 @@
 func (l *limits) claim(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.claims)+len(l.atNode) == 0 {
+	if len(l.attemptGates)+len(l.nodeGates) == 0 {
 		return nil, true
 	}
-	applies := func(g *limited) bool { return g.Applies(class, tenant) }
-	done, _, ok = l.pass(append(l.claims[:len(l.claims):len(l.claims)], l.atNode[node]...), applies, again, warm, ends)
+	applies := func(g *limitGate) bool { return g.Applies(class, tenant) }
+	done, _, ok = l.passGates(append(l.attemptGates[:len(l.attemptGates):len(l.attemptGates)], l.nodeGates[node]...), applies, again, warm, ends)
 	return done, ok
 }
 
 // pass passes through those of some gates that apply. l.mu is held.
-func (l *limits) pass(gates []*limited, applies func(*limited) bool, again bool, warm float64, ends time.Time) (done func(), after time.Duration, ok bool) {
+func (l *limits) passGates(gates []*limitGate, applies func(*limitGate) bool, again bool, warm float64, ends time.Time) (done func(), after time.Duration, ok bool) {
 	now := time.Since(l.origin)
 	type taken struct {
-		g    *limited
+		g    *limitGate
 		slot quota.Slot
 	}
 	var all []taken
@@ -271,12 +271,12 @@
 		if limit.Kind == quota.Rate {
 			kind, show = "per_second", func(u quota.Unit) string { return fmt.Sprintf("%g", float64(u)/float64(quota.PerSecond)) }
 		}
-		lease, here := "none", g.told.past
-		if now < g.told.until && g.told.until < time.Duration(1<<62) {
-			lease, here = fmt.Sprintf("%dms", (g.told.until-now).Milliseconds()), g.told.now
+		lease, here := "none", g.share.fallback
+		if now < g.share.expiry && g.share.expiry < time.Duration(1<<62) {
+			lease, here = fmt.Sprintf("%dms", (g.share.expiry-now).Milliseconds()), g.share.amount
 		}
 		all = append(all, fmt.Sprintf("%s %s limit=%s here=%s lease=%s past=%s demand=%s in_use=%d let=%d refused=%d", g.Name, kind, show(limit.Most), show(here),
-			lease, show(g.told.past), show(g.gate.Demand(now)), g.gate.InUse(), g.gate.Let, g.gate.Refused))
+			lease, show(g.share.fallback), show(g.gate.Demand(now)), g.gate.InUse(), g.gate.Let, g.gate.Refused))
 	}
 	return all
 }
--- a/internal/fleet/limits_test.go
+++ b/internal/fleet/limits_test.go
@@ -77,11 +77,11 @@
 		return m.HeapAlloc
 	}
 	before := heap()
-	l := &limits{origin: time.Now(), allowed: tenants}
+	l := &limits{origin: time.Now(), tenants: tenants}
 	list := l.set(quota.All{{Name: "shares", Shares: true, Members: 8}})
 	h := quota.NewHolder(quota.Times{Report: time.Second, Lease: time.Minute}, 1, 0, quota.NoMutation)
 	h.Set(list)
-	l.tell(h)
+	l.updateShares(h)
 	took := heap() - before
 	t.Logf("%d limits, %.1f MB, %d bytes each", len(list), float64(took)/1e6, int(took)/len(list))
 	if len(list) != 10_000 || took > 10<<20 {
@@ -105,19 +105,19 @@
 	t.Logf("a report of %d claims has %d bytes", len(r.Claims), len(b))
 	told := map[string]float64{}
 	tell := func(tenant string, rate float64) { told[tenant] = rate }
-	l.allotted(tell)
+	l.reportAllotments(tell)
 	if len(told) != 10_000 || told["tenant-7"] != 1.25 { // no lease: an equal part
 		t.Errorf("%d told, tenant-7 %g", len(told), told["tenant-7"])
 	}
 	clear(told)
 	h.Granted(time.Since(l.origin), quota.Grant{Seq: r.Seq, Parts: []quota.Part{{Limit: "shares/tenant-7", Amount: 9 * quota.PerSecond}}})
-	l.tell(h)
-	if l.allotted(tell); len(told) != 1 || told["tenant-7"] != 9 {
+	l.updateShares(h)
+	if l.reportAllotments(tell); len(told) != 1 || told["tenant-7"] != 9 {
 		t.Errorf("%v told by a grant", told)
 	}
 	clear(told)
 	l.set(nil) // the table is gone from the file: equal parts again
-	if l.allotted(tell); len(told) != 10_000 || told["tenant-7"] != -1 {
+	if l.reportAllotments(tell); len(told) != 10_000 || told["tenant-7"] != -1 {
 		t.Errorf("%d told, tenant-7 %g", len(told), told["tenant-7"])
 	}
 }
@@ -126,7 +126,7 @@
 func TestClaimsAtNodes(t *testing.T) {
 	l := &limits{origin: time.Now()}
 	l.set(quota.All{{Name: "each", Node: 2, Members: 1}, {Name: "retries", Retry: 10}})
-	list, changed := l.list([]verdict.Node{{Name: "a"}, {Name: "b"}})
+	list, changed := l.setNodes([]verdict.Node{{Name: "a"}, {Name: "b"}})
 	if !changed || len(list) != 2 || list[0].Name != "each/a" {
 		t.Fatalf("%v", list)
 	}
@@ -151,7 +151,7 @@
 		claim("c", true, true)
 	}
 	claim("c", true, false)
-	if list, changed := l.list([]verdict.Node{{Name: "b"}}); !changed || len(list) != 1 {
+	if list, changed := l.setNodes([]verdict.Node{{Name: "b"}}); !changed || len(list) != 1 {
 		t.Errorf("%v", list)
 	}
 	claim("a", false, true)
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -28,12 +28,12 @@
 	cfg.View, cfg.Decided = c.views.View, c.views.Decided
 	cfg.HoldsLease = func() bool { return c.views.HoldsLease(c.now) }
 	cfg.Leader = func() string { _, leader := c.views.VoterGroup(); return leader }
-	cfg.Members = c.readers
+	cfg.Members = c.rulesMembers
 	c.skew = skew.New(cfg, now)
 }
 
 // readers are those whose understanding of rules may matter.
-func (c *Core) readers() []skew.Member {
+func (c *Core) rulesMembers() []skew.Member {
 	self := c.member.Self()
 	all := []skew.Member{{Name: self.Name, Boot: self.Boot, Reads: self.Reads, AbsentFor: -1}}
 	for _, k := range c.member.Others() {
@@ -51,7 +51,7 @@
 func (c *Core) Skew() *skew.Machine { return c.skew }
 
 // rule runs the checker of rules and does what it wants.
-func (c *Core) rule(e skew.Event) {
+func (c *Core) stepSkew(e skew.Event) {
 	if c.skew == nil {
 		return
 	}
@@ -62,40 +62,40 @@
 				c.transmit(to, peer.Frame{Rules: &a.Message}, false)
 			}
 		case skew.Gossip:
-			c.spread(peer.Frame{Rules: &a.Message})
+			c.gossip(peer.Frame{Rules: &a.Message})
 		case skew.Propose:
-			c.agree(view.ProposeRules{Rules: a.Rules})
+			c.stepViews(view.ProposeRules{Rules: a.Rules})
 		case skew.Enforce:
-			c.out = append(c.out, RulesForced{a.Compiled})
+			c.out = append(c.out, RulesEnforced{a.Compiled})
 		case skew.LogEntry:
-			c.out = append(c.out, RulesLine{a})
+			c.out = append(c.out, RulesLog{a})
 		}
 	}
 }
 
 // ruled is the actor's part in rules.
-type ruled struct {
-	on     bool          // set before anybody asks
-	kept   store.Options // of the edition gone by; no path: it is not kept
-	pushed rules.Digest  // of what was read from the file last
-	tables quota.All     // of the operator's file
-	limits bool          // an edition in force has limits
-
-	number atomic.Int64 // of the edition gone by
-	behind atomic.Int64 // 1: this member does not go by its view's
+type rulesState struct {
+	enabled          bool          // set before anybody asks
+	storeOptions     store.Options // of the edition gone by; no path: it is not kept
+	pushedDigest     rules.Digest  // of what was read from the file last
+	fileLimits       quota.All     // of the operator's file
+	hasEditionLimits bool          // an edition in force has limits
+
+	editionNumber atomic.Int64 // of the edition gone by
+	behind        atomic.Int64 // 1: this member does not go by its view's
 }
 
 const (
-	editionFile = "rules.kept"
-	editionKey  = "edition"
-	mostEdition = 2 * rules.MostBytes
-	editionWait = 2 * time.Second
+	editionFile        = "rules.kept"
+	editionKey         = "edition"
+	maxEditionBytes    = 2 * rules.MostBytes
+	editionOpenTimeout = 2 * time.Second
 )
 
 // begin reads what is pushed from here and what was kept. A file with faults keeps the sidecar from being started; an
 // edition that was kept and cannot be used is one line.
-func (r *ruled) begin(cfg *CoreConfig, set settings.Settings, opts Options, log zerolog.Logger) (push *rules.Edition, err error) {
-	r.on, r.tables = opts.Rules.On, opts.Quotas
+func (r *rulesState) load(cfg *CoreConfig, set settings.Settings, opts Options, log zerolog.Logger) (push *rules.Edition, err error) {
+	r.enabled, r.fileLimits = opts.Rules.On, opts.Quotas
 	if cfg.Rules, err = skew.Configure(opts.Rules); err != nil || cfg.Rules == nil {
 		return nil, err
 	}
@@ -105,13 +105,13 @@
 		if err != nil {
 			return nil, err
 		}
-		push, r.pushed = &e, e.Digest()
+		push, r.pushedDigest = &e, e.Digest()
 	}
 	if set.State == "" {
 		return push, nil
 	}
-	r.kept = store.Options{Path: filepath.Join(set.State, editionFile), Owner: set.Fleet + "/" + set.Name, Most: mostEdition, Wait: editionWait}
-	found, err := store.Edit(store.Disk{}, r.kept, func(s store.Store) error {
+	r.storeOptions = store.Options{Path: filepath.Join(set.State, editionFile), Owner: set.Fleet + "/" + set.Name, Most: maxEditionBytes, Wait: editionOpenTimeout}
+	found, err := store.Edit(store.Disk{}, r.storeOptions, func(s store.Store) error {
 		if text, ok := s.Get(editionKey); ok {
 			return cbor.Unmarshal(text, &cfg.Rules.Stored)
 		}
@@ -125,15 +125,15 @@
 }
 
 // keep keeps the edition that is gone by.
-func (r *ruled) keep(e rules.Edition) error {
-	if r.kept.Path == "" {
+func (r *rulesState) store(e rules.Edition) error {
+	if r.storeOptions.Path == "" {
 		return nil
 	}
 	text, err := cbor.Marshal(e)
 	if err != nil {
 		return err
 	}
-	_, err = store.Edit(store.Disk{}, r.kept, func(s store.Store) error {
+	_, err = store.Edit(store.Disk{}, r.storeOptions, func(s store.Store) error {
 		if was, ok := s.Get(editionKey); ok && bytes.Equal(was, text) {
 			return nil
 		}
@@ -144,7 +144,7 @@
 	return err
 }
 
-func (r *ruled) line(log zerolog.Logger, l RulesLine) {
+func (r *rulesState) log(log zerolog.Logger, l RulesLog) {
 	level := zerolog.InfoLevel
 	if l.Alert {
 		level = zerolog.ErrorLevel
@@ -153,12 +153,12 @@
 }
 
 // look keeps what the figures tell.
-func (r *ruled) look(c *Core) {
+func (r *rulesState) updateFigures(c *Core) {
 	if c.skew == nil {
 		return
 	}
 	if e := c.skew.Edition(); e != nil {
-		r.number.Store(int64(e.Edition.Number))
+		r.editionNumber.Store(int64(e.Edition.Number))
 	}
 	behind := int64(0)
 	if c.skew.Behind() != "" {
@@ -167,18 +167,18 @@
 	r.behind.Store(behind)
 }
 
-// goBy puts an edition in force here, whole.
-func (f *Fleet) goBy(a RulesForced) {
-	if err := f.ruled.keep(a.Compiled.Edition); err != nil {
+// enforceRules puts an edition in force here, whole.
+func (f *Fleet) enforceRules(a RulesEnforced) {
+	if err := f.rules.store(a.Compiled.Edition); err != nil {
 		f.log.Error().Err(err).Msg("edition not kept for the next process")
 	}
 	f.log.Info().Uint64("edition", a.Compiled.Edition.Number).Str("digest", a.Compiled.Edition.Digest().String()).Msg("rules in force")
-	all := f.ruled.tables
-	if f.ruled.limits = a.Compiled.Limits != nil; f.ruled.limits {
+	all := f.rules.fileLimits
+	if f.rules.hasEditionLimits = a.Compiled.Limits != nil; f.rules.hasEditionLimits {
 		all = a.Compiled.Limits.Settings()
 	}
 	list := f.limits.set(all)
-	f.box.Put(func() { f.step(Limits{list}) })
+	f.box.Put(func() { f.step(SetLimits{list}) })
 }
 
 // CheckRules reads the file of rules of new settings, without any effect.
@@ -201,8 +201,8 @@
 		}
 	}
 	f.box.Put(func() {
-		if next.File != "" && e.Digest() != f.ruled.pushed {
-			f.ruled.pushed = e.Digest()
+		if next.File != "" && e.Digest() != f.rules.pushedDigest {
+			f.rules.pushedDigest = e.Digest()
 			f.step(PushRules{e})
 		}
 	})
@@ -210,10 +210,10 @@
 
 // Rules has what there is to tell of rules.
 func (f *Fleet) Rules() (lines []string, err error) {
-	if !f.ruled.on {
+	if !f.rules.enabled {
 		return nil, errors.New("rules off")
 	}
-	if !f.ask(func() { lines = f.core.Skew().Lines() }) {
+	if !f.runOnActor(func() { lines = f.core.Skew().Lines() }) {
 		return nil, errors.New("fleet busy or closed")
 	}
 	return lines, nil
--- a/internal/fleet/seen.go
+++ b/internal/fleet/seen.go
@@ -7,18 +7,18 @@
 	"fieldrelay/internal/verdict"
 )
 
-// seenHere is what this sidecar knows of execute nodes. Who reports it never waits for the actor.
-type seenHere struct {
-	origin time.Time
-	on     bool // set before anybody calls
+// observations is what this sidecar knows of execute nodes. Who reports it never waits for the actor.
+type observations struct {
+	origin  time.Time
+	enabled bool // set before anybody calls
 
 	mu     sync.Mutex
 	tally  verdict.Tally
 	listed []verdict.Node
 }
 
-func (s *seenHere) outcome(node string, failed bool, took time.Duration) {
-	if !s.on {
+func (s *observations) count(node string, failed bool, took time.Duration) {
+	if !s.enabled {
 		return
 	}
 	s.mu.Lock()
@@ -26,28 +26,28 @@
 	s.tally.Count(time.Since(s.origin), node, failed, took)
 }
 
-func (s *seenHere) list(nodes []verdict.Node) {
+func (s *observations) setNodes(nodes []verdict.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listed = nodes
 }
 
 // Evidence is what counts at a time.
-func (s *seenHere) Evidence(now time.Duration) []verdict.Evidence {
+func (s *observations) Evidence(now time.Duration) []verdict.Evidence {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tally.Evidence(now)
 }
 
 // Listed are the execute nodes that take claims.
-func (s *seenHere) Listed() []verdict.Node {
+func (s *observations) Listed() []verdict.Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listed
 }
 
 // Forget drops what was counted of a node.
-func (s *seenHere) Forget(node string) {
+func (s *observations) Forget(node string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tally.Forget(node)
--- a/internal/fleetsim/digest_test.go
+++ b/internal/fleetsim/digest_test.go
@@ -55,13 +55,13 @@
 		w := recordedWorld(t, recorder, recordedOptions(5+2*int(seed%2), seed))
 		for i, event := range []fleet.Event{
 			fleet.PushRules{Edition: edition(t, 1)},
-			fleet.Say{Node: "n2", Suspended: true},
-			fleet.Drains{Node: "n3", Since: time.Hour, Drains: true},
+			fleet.SetSuspended{Node: "n2", Suspended: true},
+			fleet.SetDraining{Node: "n3", Since: time.Hour, Draining: true},
 			fleet.PushRules{Edition: edition(t, 2)},
-			fleet.Say{Node: "n2"},
-			fleet.Limits{Limits: limits(false)},
-			fleet.Drains{Node: "n3", Since: time.Hour},
-			fleet.Change{Join: []string{w.Node(1).Addr}},
+			fleet.SetSuspended{Node: "n2"},
+			fleet.SetLimits{Limits: limits(false)},
+			fleet.SetDraining{Node: "n3", Since: time.Hour},
+			fleet.SetSeeds{Join: []string{w.Node(1).Addr}},
 		} {
 			w.At(time.Duration(20+4*i)*time.Second, func() { w.Node(i % len(w.Nodes())).Do(event) })
 		}
@@ -169,19 +169,19 @@
 		begin("adopted").Bytes(encoded(t, action.View))
 	case fleet.Notice:
 		begin("notice").Flag(action.Alert)
-	case fleet.WordsChanged:
+	case fleet.SuspensionsChanged:
 		begin("words").Bytes(encoded(t, action.All))
-	case fleet.DrainsChanged:
-		begin("drains").Bytes(encoded(t, action.News))
+	case fleet.DrainingChanged:
+		begin("drains").Bytes(encoded(t, action.Updates))
 	case fleet.Avoid:
 		begin("avoid").Bytes(encoded(t, action.Nodes))
-	case fleet.VerdictLine:
+	case fleet.VerdictLog:
 		begin("verdict").Text(action.Node).Bytes(encoded(t, action.Observers)).Time(action.Term)
-	case fleet.PartsChanged:
+	case fleet.QuotaSharesChanged:
 		begin("parts")
-	case fleet.RulesForced:
+	case fleet.RulesEnforced:
 		begin("rules").Bytes(encoded(t, action.Compiled.Edition))
-	case fleet.RulesLine:
+	case fleet.RulesLog:
 		begin("rules-line").Flag(action.Alert)
 	case fleet.ModeChanged:
 		begin("mode").Number(uint64(action.Mode)).Number(uint64(action.Was))
@@ -214,6 +214,6 @@
 		}
 		amount, past, until := n.Core.Holder().Part("x", n.clock(w.Now()))
 		entry.Number(uint64(amount)).Number(uint64(past)).Time(until)
-		entry.Bytes(encoded(t, n.Core.Words().All())).Bytes(encoded(t, slices.Clone(n.seen.avoid)))
+		entry.Bytes(encoded(t, n.Core.Suspensions().All())).Bytes(encoded(t, slices.Clone(n.seen.avoid)))
 	}
 }
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -232,7 +232,7 @@
 		demand = func(limit string, _ time.Duration) (quota.Unit, quota.Unit) { return w.opts.Demand(n.Index, w.now), 0 }
 	}
 	cfg := fleet.CoreConfig{Fleet: "sim",
-		Limits: w.opts.Limits, Mutate: w.opts.MutateQuota, Demand: demand,
+		Limits: w.opts.Limits, MutateQuota: w.opts.MutateQuota, Demand: demand,
 		Member: member.Config{Name: n.Name, Addr: n.Addr, Boot: boot, Join: join, Pace: w.opts.Pace, Seed: seed, Mutate: w.opts.Mutate},
 		View: view.Config{Name: n.Name, Boot: boot, Voters: voters, Pace: w.opts.Pace, Lease: w.opts.Lease, Drift: 2.1 * w.opts.Drift, Seed: seed,
 			Stored: n.kept.Clone(), Refound: w.opts.Refound, Mutate: w.opts.MutateView}}
@@ -316,7 +316,7 @@
 			switch a := a.(type) {
 			case fleet.Avoid:
 				n.avoids(a.Nodes)
-			case fleet.RulesForced:
+			case fleet.RulesEnforced:
 				n.Edition = a.Compiled.Edition
 			}
 			if w.Heard != nil {
@@ -379,6 +379,6 @@
 		}
 		to.Got.Messages++
 		to.Got.Bytes += int64(len(b))
-		to.step(fleet.Got{Frame: t.Frame})
+		to.step(fleet.Received{Frame: t.Frame})
 	})
 }
--- a/internal/fleetsim/quota_test.go
+++ b/internal/fleetsim/quota_test.go
@@ -226,7 +226,7 @@
 		lower := limits(false)
 		lower[0].Most /= 2
 		for _, i := range who {
-			w.Node(i).step(fleet.Limits{Limits: lower})
+			w.Node(i).step(fleet.SetLimits{Limits: lower})
 		}
 		w.Run(w.Now()+20*time.Second, nil)
 		sum := 0.0
--- a/internal/fleetsim/rules_test.go
+++ b/internal/fleetsim/rules_test.go
@@ -39,7 +39,7 @@
 	x := &watched{w: w, bound: view.Bound(w.opts.Lease, 2.1*w.opts.Drift), at: map[string]map[int]time.Duration{}, agreed: map[uint64]time.Duration{}, sums: map[uint64]string{}, force: map[int]uint64{}}
 	w.Heard = func(n *Node, at time.Duration, a fleet.Action) {
 		switch a := a.(type) {
-		case fleet.RulesForced:
+		case fleet.RulesEnforced:
 			d := a.Compiled.Edition.Digest().String()
 			if x.at[d] == nil {
 				x.at[d] = map[int]time.Duration{}
@@ -58,7 +58,7 @@
 					x.agreed[r.Number] = at
 				}
 			}
-		case fleet.RulesLine:
+		case fleet.RulesLog:
 			x.lines = append(x.lines, fmt.Sprintf("%v %s: %s", at, n.Name, a.Text))
 		}
 	}
--- a/internal/fleetsim/station.go
+++ b/internal/fleetsim/station.go
@@ -74,9 +74,9 @@
 func (s *Station) join(n *Node, cfg *fleet.CoreConfig) {
 	n.seen = &seen{station: s}
 	if !s.Off {
-		cfg.Seen, cfg.VerdictPct, cfg.MutateVerdict = n.seen, s.Pct, s.Mutate
-		if cfg.VerdictPct == 0 {
-			cfg.VerdictPct = 25
+		cfg.Observations, cfg.VerdictPercent, cfg.MutateVerdict = n.seen, s.Pct, s.Mutate
+		if cfg.VerdictPercent == 0 {
+			cfg.VerdictPercent = 25
 		}
 		cfg.Member.Zone = s.Zone(n.Index)
 	}
--- a/internal/fleetsim/verdict_test.go
+++ b/internal/fleetsim/verdict_test.go
@@ -196,7 +196,7 @@
 		t.Errorf("%.4f of the requests failed", part)
 	}
 	rounds := 0
-	for _, line := range w.Node(0).Core.Judge().Lines(w.Node(0).clock(w.Now())) {
+	for _, line := range w.Node(0).Core.Evaluator().Lines(w.Node(0).clock(w.Now())) {
 		_, _ = fmt.Sscanf(line[slices.Index([]byte(line), 'r'):], "round=%d", &rounds) // a line need not have one
 	}
 	if rounds > 9 { // 4, 8, 16, 32, 60, 60 s with the trials between
