--- /dev/null
+++ b/internal/fleet/figures.go
@@ -0,0 +1,24 @@
+package fleet
+
+import (
+	"fmt"
+	"strings"
+)
+
+// Figures are the StatsD lines of the fleet, without line ends. Nothing is waited for: what the actor alone knows is as
+// old as its last step.
+func (f *Fleet) Figures(prefix string) []string {
+	c := f.channel.Counts()
+	let, refused := f.limits.counts()
+	figure := func(name, kind string, v int64) string {
+		return strings.Join([]string{prefix, ".fleet.", name, ":", fmt.Sprint(v), "|", kind}, "")
+	}
+	return []string{
+		figure("mode", "g", int64(f.Mode())), figure("view", "g", f.viewNumber.Load()), figure("members", "g", f.viewMembers.Load()),
+		figure("datagrams_sent", "c", c.SentDatagrams), figure("frames_streamed", "c", c.SentStreamed), figure("bytes_sent", "c", c.SentBytes),
+		figure("frames_got", "c", c.GotFrames), figure("bytes_got", "c", c.GotBytes),
+		figure("rules", "g", f.rules.editionNumber.Load()), figure("rules_behind", "g", f.rules.behind.Load()),
+		figure("nodes_avoided", "g", f.avoidedNodes.Load()), figure("let", "c", let), figure("turned_back", "c", refused),
+		figure("frames_dropped", "c", c.Dropped+f.droppedFrames.Load()), figure("frames_refused", "c", f.refusedFrames.Load()+c.Refused),
+	}
+}
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"errors"
 	"path/filepath"
 	"sync/atomic"
 	"time"
@@ -11,68 +10,12 @@
 	"github.com/rs/zerolog"
 
 	"fieldrelay/internal/fleet/settings"
-	"fieldrelay/internal/member"
-	"fieldrelay/internal/peer"
 	"fieldrelay/internal/quota"
 	"fieldrelay/internal/rules"
 	"fieldrelay/internal/skew"
-	rulesettings "fieldrelay/internal/skew/settings"
 	"fieldrelay/internal/store"
-	"fieldrelay/internal/view"
 )
 
-// newSkew makes the checker of rules, which looks at members and views as they are when it is called.
-func (c *Core) newSkew(cfg skew.Config, now time.Duration) {
-	cfg.Name, cfg.Boot, cfg.Pace, cfg.Seed = c.cfg.Member.Name, c.cfg.Member.Boot, c.cfg.Member.Pace, c.cfg.Member.Seed
-	cfg.Bound = view.Bound(c.cfg.View.Lease, c.cfg.View.Drift)
-	cfg.View, cfg.Decided = c.views.View, c.views.Decided
-	cfg.HoldsLease = func() bool { return c.views.HoldsLease(c.now) }
-	cfg.Leader = func() string { _, leader := c.views.VoterGroup(); return leader }
-	cfg.Members = c.rulesMembers
-	c.skew = skew.New(cfg, now)
-}
-
-// readers are those whose understanding of rules may matter.
-func (c *Core) rulesMembers() []skew.Member {
-	self := c.member.Self()
-	all := []skew.Member{{Name: self.Name, Boot: self.Boot, Reads: self.Reads, AbsentFor: -1}}
-	for _, k := range c.member.Others() {
-		switch {
-		case k.Present():
-			all = append(all, skew.Member{Name: k.Name, Boot: k.Boot, Reads: k.Reads, AbsentFor: -1})
-		case k.State == member.Failed:
-			all = append(all, skew.Member{Name: k.Name, Boot: k.Boot, Reads: k.Reads, AbsentFor: c.now - k.StateSince})
-		}
-	}
-	return all
-}
-
-// Skew is the checker of rules; nil: no rules.
-func (c *Core) Skew() *skew.Machine { return c.skew }
-
-// rule runs the checker of rules and does what it wants.
-func (c *Core) stepSkew(e skew.Event) {
-	if c.skew == nil {
-		return
-	}
-	for _, a := range c.skew.Step(c.now, e) {
-		switch a := a.(type) {
-		case skew.Send:
-			if to, ok := c.member.Peer(a.To); ok && to.Addr != "" {
-				c.transmit(to, peer.Frame{Rules: &a.Message}, false)
-			}
-		case skew.Gossip:
-			c.gossip(peer.Frame{Rules: &a.Message})
-		case skew.Propose:
-			c.stepViews(view.ProposeRules{Rules: a.Rules})
-		case skew.Enforce:
-			c.out = append(c.out, RulesEnforced{a.Compiled})
-		case skew.LogEntry:
-			c.out = append(c.out, RulesLog{a})
-		}
-	}
-}
-
 // ruled is the actor's part in rules.
 type rulesState struct {
 	enabled          bool          // set before anybody asks
@@ -180,41 +123,3 @@
 	list := f.limits.set(all)
 	f.box.Put(func() { f.step(SetLimits{list}) })
 }
-
-// CheckRules reads the file of rules of new settings, without any effect.
-func (f *Fleet) CheckRules(next rulesettings.Settings) error {
-	if next.File == "" {
-		return nil
-	}
-	_, err := skew.ReadFile(next.File)
-	return err
-}
-
-// SetRules pushes what the file says now, if that is not what it said last.
-func (f *Fleet) SetRules(next rulesettings.Settings) {
-	var e rules.Edition
-	if next.File != "" {
-		var err error
-		if e, err = skew.ReadFile(next.File); err != nil { // it has changed since it was checked
-			f.log.Error().Err(err).Msg("rules not pushed")
-			return
-		}
-	}
-	f.box.Put(func() {
-		if next.File != "" && e.Digest() != f.rules.pushedDigest {
-			f.rules.pushedDigest = e.Digest()
-			f.step(PushRules{e})
-		}
-	})
-}
-
-// Rules has what there is to tell of rules.
-func (f *Fleet) Rules() (lines []string, err error) {
-	if !f.rules.enabled {
-		return nil, errors.New("rules off")
-	}
-	if !f.runOnActor(func() { lines = f.core.Skew().Lines() }) {
-		return nil, errors.New("fleet busy or closed")
-	}
-	return lines, nil
-}
--- /dev/null
+++ b/internal/fleet/settings.go
@@ -0,0 +1,60 @@
+package fleet
+
+import (
+	"fieldrelay/internal/fleet/settings"
+	"fieldrelay/internal/quota"
+	"fieldrelay/internal/rules"
+	"fieldrelay/internal/skew"
+	rulesettings "fieldrelay/internal/skew/settings"
+	"fieldrelay/logic"
+)
+
+// SetQuotas replaces the limits of the fleet.
+func (f *Fleet) SetQuotas(all quota.All) {
+	f.box.Put(func() {
+		f.rules.fileLimits = all
+		if !f.rules.hasEditionLimits { // those of the edition in force come before the file's own
+			f.step(SetLimits{f.limits.set(all)})
+		}
+	})
+}
+
+// SetTenants takes over the tenants of new settings.
+func (f *Fleet) SetTenants(tenants []logic.Tenant) {
+	f.box.Put(func() { f.step(SetLimits{f.limits.setTenants(tenants)}) })
+}
+
+// Set takes over settings of which only join and dial differ.
+func (f *Fleet) Set(next settings.Settings) {
+	f.box.Put(func() {
+		f.settings.Join, f.settings.Dial = next.Join, next.Dial
+		f.step(SetSeeds{Join: next.Join})
+	})
+}
+
+// CheckRules reads the file of rules of new settings, without any effect.
+func (f *Fleet) CheckRules(next rulesettings.Settings) error {
+	if next.File == "" {
+		return nil
+	}
+	_, err := skew.ReadFile(next.File)
+	return err
+}
+
+// SetRules pushes what the file says now, if that is not what it said last.
+func (f *Fleet) SetRules(next rulesettings.Settings) {
+	var e rules.Edition
+	if next.File != "" {
+		var err error
+		if e, err = skew.ReadFile(next.File); err != nil { // it has changed since it was checked
+			f.log.Error().Err(err).Msg("rules not pushed")
+			return
+		}
+	}
+	f.box.Put(func() {
+		if next.File != "" && e.Digest() != f.rules.pushedDigest {
+			f.rules.pushedDigest = e.Digest()
+			f.step(PushRules{e})
+		}
+	})
+}
