--- a/internal/fleet/actions.go
+++ b/internal/fleet/actions.go
@@ -8,74 +8,98 @@
 	"github.com/rs/zerolog"
 
 	"fieldrelay/internal/peer"
+	"fieldrelay/internal/view"
 )
 
-// step runs the Core and does what it wants.
-func (f *Fleet) step(e Event) {
-	for _, a := range f.core.Step(time.Since(f.origin), e) {
-		switch a := a.(type) {
-		case Transmit:
-			f.transmit(a)
-		case MemberChanged:
-			f.log.Info().Str("member", a.Record.Name).Str("addr", a.Record.Addr).Stringer("state", a.Record.State).Stringer("was", a.Was).
-				Uint64("incarnation", a.Record.Incarnation).Bool("new", a.New).Str("by", a.Record.SuspectedBy).Msg("member changed")
-		case Save:
-			if err := f.voterStore.save(a.Change); err != nil {
-				// What was not kept must not be answered for: without its state this process is no voter.
-				f.log.Error().Err(err).Msg("voter's state not kept: the fleet is left")
+// step steps the Core and carries out its actions. It runs on the actor.
+func (f *Fleet) step(event Event) {
+	for _, action := range f.core.Step(time.Since(f.origin), event) {
+		if save, ok := action.(Save); ok {
+			if err := f.voterStore.save(save.Change); err != nil {
+				// What was not stored must not be answered for: without its state this process is no voter.
+				f.log.Error().Err(err).Msg("voter's state not stored: leaving the fleet")
 				go f.Abandon()
 				return
 			}
-		case Adopted:
-			f.viewNumber.Store(int64(a.View.ID.Number))
-			f.viewMembers.Store(int64(len(a.View.Members)))
-			f.log.Info().Stringer("view", a.View.ID).Int("members", len(a.View.Members)).Str("sum", fmt.Sprintf("%x", a.View.Sum())).Msg("view adopted")
-		case Decided:
-			f.log.Info().Stringer("view", a.View.ID).Int("members", len(a.View.Members)).Str("sum", fmt.Sprintf("%x", a.View.Sum())).Msg("view decided")
-		case SuspensionsChanged:
-			if f.changed != nil {
-				f.changed(a.All)
-			}
-		case DrainingChanged:
-			if f.drains != nil {
-				f.drains(a.Updates)
-			}
-		case Avoid:
-			f.avoidedNodes.Store(int64(len(a.Nodes)))
-			f.avoid(a.Nodes)
-		case VerdictLog:
-			f.log.Info().Str("node", a.Node).Str("verdict", a.Event).Strs("observers", a.Observers).Dur("for", a.Term).Msg("verdict")
-		case QuotaSharesChanged:
-			f.limits.updateShares(f.core.Holder())
-		case RulesEnforced:
-			f.enforceRules(a)
-		case RulesLog:
-			f.rules.log(f.log, a)
-		case Notice:
-			level := zerolog.InfoLevel
-			if a.Alert {
-				level = zerolog.ErrorLevel
-			}
-			f.log.WithLevel(level).Msg(a.Text)
-		case ModeChanged:
-			f.mode.Store(int32(a.Mode))
-			level := zerolog.InfoLevel
-			if a.Mode == Yielded {
-				level = zerolog.ErrorLevel
-				if f.avoid != nil { // nothing more is decided here
-					f.avoid(nil)
-				}
-			}
-			f.log.WithLevel(level).Stringer("mode", a.Mode).Stringer("was", a.Was).Str("why", a.Reason).Msg("fleet mode")
+			continue
 		}
+		f.carryOut(action)
 	}
 	f.rules.updateFigures(f.core)
 	if f.allot != nil {
-		f.limits.reportAllotments(f.allot) // also once a lease has run out: nobody says so
+		f.limits.reportAllotments(f.allot) // on each step: the end of a lease is no action
 	}
 	f.wake.Reset(max(0, f.core.Next()-time.Since(f.origin)))
 }
 
+// carryOut carries out an action other than Save.
+func (f *Fleet) carryOut(action Action) {
+	switch a := action.(type) {
+	case Transmit:
+		f.transmit(a)
+	case SuspensionsChanged:
+		if f.changed != nil {
+			f.changed(a.All)
+		}
+	case DrainingChanged:
+		if f.drains != nil {
+			f.drains(a.Updates)
+		}
+	case Avoid:
+		f.avoidedNodes.Store(int64(len(a.Nodes)))
+		f.avoid(a.Nodes)
+	case QuotaSharesChanged:
+		f.limits.updateShares(f.core.Holder())
+	case RulesEnforced:
+		f.enforceRules(a)
+	case Adopted:
+		f.viewNumber.Store(int64(a.View.ID.Number))
+		f.viewMembers.Store(int64(len(a.View.Members)))
+		f.logView(a.View, "view adopted")
+	case ModeChanged:
+		f.mode.Store(int32(a.Mode))
+		if a.Mode == Yielded && f.avoid != nil { // this process counts no votes any more
+			f.avoid(nil)
+		}
+		f.logAction(action)
+	default:
+		f.logAction(action)
+	}
+}
+
+// logAction logs an action.
+func (f *Fleet) logAction(action Action) {
+	switch a := action.(type) {
+	case MemberChanged:
+		f.log.Info().Str("member", a.Record.Name).Str("addr", a.Record.Addr).Stringer("state", a.Record.State).Stringer("was", a.Was).
+			Uint64("incarnation", a.Record.Incarnation).Bool("new", a.New).Str("suspected_by", a.Record.SuspectedBy).Msg("member changed")
+	case Decided:
+		f.logView(a.View, "view decided")
+	case VerdictLog:
+		f.log.Info().Str("node", a.Node).Str("verdict", a.Event).Strs("observers", a.Observers).Dur("duration", a.Term).Msg("verdict")
+	case RulesLog:
+		f.log.WithLevel(levelOf(a.Alert)).Str("rules", a.Text).Msg("rules")
+	case Notice:
+		f.log.WithLevel(levelOf(a.Alert)).Msg(a.Text)
+	case ModeChanged:
+		f.log.WithLevel(levelOf(a.Mode == Yielded)).Stringer("mode", a.Mode).Stringer("was", a.Was).Str("reason", a.Reason).Msg("fleet mode")
+	}
+}
+
+// logView logs a view.
+func (f *Fleet) logView(v view.View, message string) {
+	f.log.Info().Stringer("view", v.ID).Int("members", len(v.Members)).Str("sum", fmt.Sprintf("%x", v.Sum())).Msg(message)
+}
+
+// levelOf is the level of a line about which something has to be done, or not.
+func levelOf(alert bool) zerolog.Level {
+	if alert {
+		return zerolog.ErrorLevel
+	}
+	return zerolog.InfoLevel
+}
+
+// transmit sends a frame. One that does not fit a datagram goes over a stream.
 func (f *Fleet) transmit(t Transmit) {
 	b, err := peer.Encode(t.Frame)
 	if err != nil {
--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -1,7 +1,9 @@
-// Package fleet wires what lets the sidecars know each other: the machines
-// that decide (member, view), the channel (peer) and the management address.
-// Core is the machines as one, without I/O or clock; Fleet is the actor with
-// clock and sockets round it.
+// Package fleet is a sidecar's membership in a fleet: it joins the state machines of failure detection (member), agreement
+// (view), quotas (quota), verdicts (verdict) and rules (skew) with the channel between sidecars (peer) and the management
+// address. Core is these machines as one, without I/O or clock; Fleet is the actor around it, with clock, sockets and disk.
+//
+// Nothing that serves requests waits for the fleet: without it, or cut off from it, a sidecar goes on alone.
+// docs/design-fleet.md describes the design, docs/peers.md is the page for operators.
 package fleet
 
 import (
@@ -21,53 +23,58 @@
 type CoreConfig struct {
 	Fleet  string
 	Member member.Config
-	View   view.Config // Members and Member are filled in
+	View   view.Config // but for Members and Member
 	Limits []quota.Limit
-	// Demand tells what this member could use of a limit, and what it has in use. It is called in Step.
+	// Demand returns how much of a limit this member could use, and how much it has in use. It is called in Step.
 	Demand      func(limit string, now time.Duration) (demand, used quota.Unit)
-	MutateQuota quota.Mutation      // of tests alone
-	Suspensions []verdict.Statement // kept from before
-	// Observations is what this member knows of execute nodes; nil: no verdicts are made. Its methods are called in Step.
+	MutateQuota quota.Mutation      // set by tests only
+	Suspensions []verdict.Statement // stored by an earlier process
+	// Observations is what this member observes of execute nodes; nil: there are no verdicts. Its methods are called in Step.
 	Observations   Observations
 	VerdictPercent int              // of the listed nodes, and of each zone's, that may be under verdict
-	MutateVerdict  verdict.Mutation // of tests alone
-	Rules          *skew.Config     // of what follows from the others the rest is filled in; nil: no rules
+	MutateVerdict  verdict.Mutation // set by tests only
+	Rules          *skew.Config     // but for what follows from the other fields; nil: there are no rules
 }
 
-// gossipFanout is to how many others a new word goes at once.
+// gossipFanout is how many other members a frame is gossiped to.
 const gossipFanout = 3
 
-// Core is the deciding part of a fleet's member. It is not safe for use by several goroutines.
+// Core is the state machines of a fleet's member as one. It is a state machine itself, without I/O, clock or goroutine, and
+// the same seed and events give the same actions. It is not safe for concurrent use.
 type Core struct {
-	cfg          CoreConfig
-	member       *member.Machine
-	now          time.Duration
-	rng          *rand.Rand
-	views        *view.Machine
-	pingTimes    map[uint64]time.Duration // when each was asked
+	cfg CoreConfig
+	now time.Duration
+	rng *rand.Rand
+	out []Action
+
+	member    *member.Machine
+	views     *view.Machine
+	holder    *quota.Holder
+	granter   *quota.Granter
+	evaluator *verdict.Evaluator // nil: there are no verdicts
+	skew      *skew.Machine      // nil: there are no rules
+
+	pingTimes    map[uint64]time.Duration // when each unanswered ping was sent, by its number
 	suspensions  verdict.Table
 	draining     verdict.Table
-	tableSyncDue time.Duration // of the next exchange of all words
-	holder       *quota.Holder
-	granter      *quota.Granter
-	evaluator    *verdict.Evaluator // nil: no verdicts are made
-	skew         *skew.Machine      // nil: no rules
+	tableSyncDue time.Duration // both tables are not sent whole before
 	mode         Mode
-	rejoinAt     time.Duration // when the lease that is held again is shown; 0: none is waited for
-	out          []Action
+	rejoinAt     time.Duration // when a lease that is held again ends the mode Partitioned; 0: none is
 }
 
-// NewCore makes a Core. now is the present on the clock that Step is called with.
+// NewCore makes a Core. now is the present time on the monotonic clock that Step is called with. The error is of the stored
+// state of the voter.
 func NewCore(cfg CoreConfig, now time.Duration) (*Core, error) {
-	c := &Core{cfg: cfg, member: member.New(cfg.Member, now), pingTimes: map[uint64]time.Duration{},
+	pace := cfg.Member.Pace
+	c := &Core{cfg: cfg, member: member.New(cfg.Member, now), pingTimes: make(map[uint64]time.Duration),
 		rng: rand.New(rand.NewPCG(cfg.Member.Seed, cfg.Member.Boot+1))}
-	times := quota.Times{Report: reportInterval * cfg.Member.Pace, Lease: max(cfg.View.Lease, minLease*cfg.Member.Pace), Act: actTimeout * cfg.Member.Pace, Drift: cfg.View.Drift}
+	times := quota.Times{Report: reportInterval * pace, Lease: max(cfg.View.Lease, minLease*pace), Act: actTimeout * pace, Drift: cfg.View.Drift}
 	c.holder = quota.NewHolder(times, uint64(c.rng.Uint32()), now+c.jitter(), cfg.MutateQuota)
 	c.granter = quota.NewGranter(times, cfg.MutateQuota)
 	c.suspensions.Merge(cfg.Suspensions)
 	c.draining.EvictsOldest = true
 	if cfg.Observations != nil {
-		c.evaluator = verdict.NewEvaluator(verdict.Config{Name: cfg.Member.Name, Zone: cfg.Member.Zone, Boot: cfg.Member.Boot, Pace: cfg.Member.Pace,
+		c.evaluator = verdict.NewEvaluator(verdict.Config{Name: cfg.Member.Name, Zone: cfg.Member.Zone, Boot: cfg.Member.Boot, Pace: pace,
 			MaxPercent: cfg.VerdictPercent, Mutate: cfg.MutateVerdict}, now+c.jitter())
 	}
 	c.holder.Set(cfg.Limits)
@@ -81,7 +88,7 @@
 	return c, err
 }
 
-// Next is when Step is to be called with Tick at the latest.
+// Next is the time by which Step has to be called with Tick, if no event comes before.
 func (c *Core) Next() time.Duration {
 	if c.mode == Yielded {
 		return math.MaxInt64
@@ -102,60 +109,65 @@
 	return next
 }
 
-// Views is what is agreed.
+// Views returns the machine of the agreement on views.
 func (c *Core) Views() *view.Machine { return c.views }
 
-// Mode is the present mode.
+// Mode returns the present mode.
 func (c *Core) Mode() Mode { return c.mode }
 
-// Members is what is believed.
+// Members returns the failure detector.
 func (c *Core) Members() *member.Machine { return c.member }
 
-// Step takes an event at a time that is never before that of the last call.
-func (c *Core) Step(now time.Duration, e Event) []Action {
+// Step takes an event at a time, on the clock of NewCore, that is not before that of the last call.
+func (c *Core) Step(now time.Duration, event Event) []Action {
 	c.out, c.now = nil, max(now, c.now)
 	if c.mode == Yielded {
 		return nil
 	}
-	switch e := e.(type) {
+	c.handle(now, event)
+	if c.mode != Yielded {
+		c.stepSkew(skew.Tick{})
+		c.stepQuotas()
+		if c.evaluator != nil && c.evaluator.Next() <= c.now {
+			c.stepEvaluator(verdict.Evaluate{Evidence: c.cfg.Observations.Evidence(c.now), Peers: c.observers(), Nodes: c.cfg.Observations.Listed()})
+		}
+	}
+	c.updateMode()
+	return c.out
+}
+
+// handle takes in an event.
+func (c *Core) handle(now time.Duration, event Event) {
+	switch event := event.(type) {
 	case Tick:
 		c.handleMember(c.member.Step(now, member.Tick{}))
 		c.stepViews(view.Tick{})
 	case Received:
-		c.receive(e.Frame)
+		c.receive(event.Frame)
 	case Recover:
 		c.stepViews(view.Recover{})
 	case SetSuspended:
-		if w, err := c.suspensions.Declare(e.Node, c.cfg.Member.Name, e.Suspended); err == nil {
-			c.publishSuspensions([]verdict.Statement{w})
+		if s, err := c.suspensions.Declare(event.Node, c.cfg.Member.Name, event.Suspended); err == nil {
+			c.publishSuspensions([]verdict.Statement{s})
 		}
 	case SetDraining:
-		if w, isNew := c.draining.DeclareDraining(e.Node, c.cfg.Member.Name, e.Since, e.Draining); isNew && c.evaluator != nil {
-			c.publishDraining([]verdict.Statement{w})
+		if s, isNew := c.draining.DeclareDraining(event.Node, c.cfg.Member.Name, event.Since, event.Draining); isNew && c.evaluator != nil {
+			c.publishDraining([]verdict.Statement{s})
 		}
 	case SetLimits:
-		c.holder.Set(e.Limits)
-		c.granter.Set(e.Limits)
+		c.holder.Set(event.Limits)
+		c.granter.Set(event.Limits)
 		c.out = append(c.out, QuotaSharesChanged{})
 	case Leave:
 		c.handleMember(c.member.Step(now, member.Leave{}))
 	case PushRules:
-		c.stepSkew(skew.Push{Edition: e.Edition})
+		c.stepSkew(skew.Push{Edition: event.Edition})
 	case SetSeeds:
-		c.handleMember(c.member.Step(now, member.Seeds{Join: e.Join}))
+		c.handleMember(c.member.Step(now, member.Seeds{Join: event.Join}))
 	}
-	if c.mode != Yielded {
-		c.stepSkew(skew.Tick{})
-		c.stepQuotas()
-		if c.evaluator != nil && c.evaluator.Next() <= c.now {
-			c.stepEvaluator(verdict.Evaluate{Evidence: c.cfg.Observations.Evidence(c.now), Peers: c.observers(), Nodes: c.cfg.Observations.Listed()})
-		}
-	}
-	c.updateMode()
-	return c.out
 }
 
-// spread sends a frame to some others, drawn anew each time.
+// gossip sends a frame to a few other members, drawn anew each time.
 func (c *Core) gossip(f peer.Frame) {
 	others := c.member.PresentRecords()
 	c.rng.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
@@ -171,12 +183,13 @@
 	}
 }
 
+// transmit sends a frame to a process.
 func (c *Core) transmit(to member.Record, f peer.Frame, stream bool) {
 	f.Fleet, f.From = c.cfg.Fleet, c.member.Self()
 	c.out = append(c.out, Transmit{To: to, Frame: f, Stream: stream})
 }
 
-// jitter is a part of a pace.
+// jitter draws a duration of up to a pace, and never 0.
 func (c *Core) jitter() time.Duration {
 	return time.Duration(c.rng.Int64N(int64(c.cfg.Member.Pace))) + 1
 }
--- a/internal/fleet/coremember.go
+++ b/internal/fleet/coremember.go
@@ -9,34 +9,22 @@
 	"fieldrelay/internal/view"
 )
 
-// maxPings bounds the questions whose answers are waited for.
+// maxPings bounds the unanswered pings whose times are kept.
 const maxPings = 256
 
-// got takes a frame in. The stamp of an answer counts from when its question was asked, whoever answered.
+// receive takes in a frame, by the machine that each of its parts is for.
 func (c *Core) receive(f peer.Frame) {
-	if msg := f.Member; msg != nil {
-		c.handleMember(c.member.Step(c.now, member.Received{From: f.From, Message: *msg}))
-		if asked, ok := c.pingTimes[msg.Seq]; ok && msg.Kind == member.Ack {
-			delete(c.pingTimes, msg.Seq)
-			if f.Stamp != nil {
-				c.stepViews(view.Stamped{From: f.From, Stamp: *f.Stamp, RequestedAt: asked})
-			}
-		}
-	}
-	if msg := f.Member; msg != nil && (msg.Kind == member.Ping || msg.Kind == member.Ack) && f.Sum != c.tablesDigest() && c.tableSyncDue <= c.now {
-		if all, drains := c.suspensions.All(), c.draining.All(); len(all)+len(drains) > 0 {
-			c.tableSyncDue = c.now + c.cfg.Member.Pace
-			c.transmit(member.Record{Name: f.From.Name, Addr: f.From.Addr}, peer.Frame{Words: all, Drains: drains}, false)
-		}
+	if f.Member != nil {
+		c.receiveMember(f, *f.Member)
 	}
 	if len(f.Words) > 0 {
-		if news := c.suspensions.Merge(f.Words); len(news) > 0 {
-			c.publishSuspensions(news)
+		if updates := c.suspensions.Merge(f.Words); len(updates) > 0 {
+			c.publishSuspensions(updates)
 		}
 	}
 	if len(f.Drains) > 0 && c.evaluator != nil {
-		if news := c.draining.Merge(f.Drains); len(news) > 0 {
-			c.publishDraining(news)
+		if updates := c.draining.Merge(f.Drains); len(updates) > 0 {
+			c.publishDraining(updates)
 		}
 	}
 	if len(f.Opinions) > 0 && c.evaluator != nil {
@@ -58,9 +46,27 @@
 	}
 }
 
-// agree runs the agreement's machine.
-func (c *Core) stepViews(e view.Event) {
-	for _, a := range c.views.Step(c.now, e) {
+// receiveMember takes in a message of the failure detector, with the stamp of its sender's view and the digest of its tables. A
+// stamp counts from when the ping was sent that it answers, whoever answered.
+func (c *Core) receiveMember(f peer.Frame, msg member.Message) {
+	c.handleMember(c.member.Step(c.now, member.Received{From: f.From, Message: msg}))
+	if sentAt, ok := c.pingTimes[msg.Seq]; ok && msg.Kind == member.Ack {
+		delete(c.pingTimes, msg.Seq)
+		if f.Stamp != nil {
+			c.stepViews(view.Stamped{From: f.From, Stamp: *f.Stamp, RequestedAt: sentAt})
+		}
+	}
+	if (msg.Kind == member.Ping || msg.Kind == member.Ack) && f.Sum != c.tablesDigest() && c.tableSyncDue <= c.now {
+		if suspensions, draining := c.suspensions.All(), c.draining.All(); len(suspensions)+len(draining) > 0 {
+			c.tableSyncDue = c.now + c.cfg.Member.Pace
+			c.transmit(member.Record{Name: f.From.Name, Addr: f.From.Addr}, peer.Frame{Words: suspensions, Drains: draining}, false)
+		}
+	}
+}
+
+// stepViews steps the agreement on views and does what it wants.
+func (c *Core) stepViews(event view.Event) {
+	for _, a := range c.views.Step(c.now, event) {
 		switch a := a.(type) {
 		case view.Send:
 			if to, ok := c.member.Peer(a.To); ok && to.Addr != "" {
@@ -78,7 +84,7 @@
 	}
 }
 
-// asked remembers when a question left.
+// recordPing remembers when a ping was sent.
 func (c *Core) recordPing(seq uint64) {
 	if len(c.pingTimes) >= maxPings {
 		for s, at := range c.pingTimes {
@@ -92,6 +98,7 @@
 	}
 }
 
+// handleMember does what the failure detector wants. Pings and Acks carry the digest of the tables, Acks also the stamp.
 func (c *Core) handleMember(actions []member.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/internal/fleet/corequota.go
+++ b/internal/fleet/corequota.go
@@ -7,24 +7,24 @@
 	"fieldrelay/internal/quota"
 )
 
-// What the parts of limits are leased by, in paces.
+// The constants of the leases on shares of limits: times are in paces.
 const (
-	reportInterval     = 2
-	minReportsPerLease = 4  // reports in a lease at the least
-	fullRateMembers    = 50 // members up to which each reports so often; beyond, less in proportion
-	actTimeout         = 4  // for so long after it was confirmed a granter acts
-	// minLease is the shortest lease: longer than the voters take to find another leader (16 paces at the most, if no
-	// two stand at once), what that one waits, and a report, so that parts outlive who gave them.
+	reportInterval     = 2  // of a holder's reports
+	minReportsPerLease = 4  // a holder reports at least so often in a lease
+	fullRateMembers    = 50 // members up to which the interval holds; beyond, it grows in proportion
+	actTimeout         = 4  // for so long after a majority confirmed that it leads a granter acts
+	// minLease is the shortest lease: longer than the election of another leader (at most 16 paces, unless two campaign at
+	// once), what that one waits, and a report, so that shares outlive their granter.
 	minLease = 32
 )
 
-// Holder knows this member's parts of the limits.
+// Holder returns the holder of this member's shares of the limits.
 func (c *Core) Holder() *quota.Holder { return c.holder }
 
-// Granter gives the parts, where this member leads.
+// Granter returns the granter of all shares, which acts while this member leads.
 func (c *Core) Granter() *quota.Granter { return c.granter }
 
-// limit does what is due for the limits.
+// stepQuotas reports this member's demand when that is due, to the leader or to itself.
 func (c *Core) stepQuotas() {
 	if era, term, confirmed, ok := c.views.Leadership(); ok {
 		c.granter.Lead(c.now, quota.Term{Era: era, Term: term}, confirmed)
@@ -43,8 +43,8 @@
 	}
 	v, _ := c.views.View()
 	report := c.holder.Report(c.now)
-	gap := min(reportInterval*c.cfg.Member.Pace*time.Duration(max(1, len(v.Members)/fullRateMembers)), c.cfg.View.Lease/minReportsPerLease)
-	c.holder.Wait(c.now + gap*3/4 + time.Duration(c.rng.Int64N(int64(gap/2)+1)))
+	interval := min(reportInterval*c.cfg.Member.Pace*time.Duration(max(1, len(v.Members)/fullRateMembers)), c.cfg.View.Lease/minReportsPerLease)
+	c.holder.Wait(c.now + interval*3/4 + time.Duration(c.rng.Int64N(int64(interval/2)+1)))
 	_, leader := c.views.VoterGroup()
 	if leader == c.cfg.Member.Name {
 		if g, ok := c.granter.Reported(c.now, quota.Who{Name: leader, Boot: c.cfg.Member.Boot}, report); ok {
@@ -57,6 +57,7 @@
 	}
 }
 
+// applyGrant takes in a grant for this member.
 func (c *Core) applyGrant(g quota.Grant) {
 	if c.holder.Granted(c.now, g) {
 		c.out = append(c.out, QuotaSharesChanged{})
--- a/internal/fleet/corerules.go
+++ b/internal/fleet/corerules.go
@@ -9,7 +9,7 @@
 	"fieldrelay/internal/view"
 )
 
-// newSkew makes the checker of rules, which looks at members and views as they are when it is called.
+// newSkew makes the check of rules. It reads members and views as they are when it is stepped.
 func (c *Core) newSkew(cfg skew.Config, now time.Duration) {
 	cfg.Name, cfg.Boot, cfg.Pace, cfg.Seed = c.cfg.Member.Name, c.cfg.Member.Boot, c.cfg.Member.Pace, c.cfg.Member.Seed
 	cfg.Bound = view.Bound(c.cfg.View.Lease, c.cfg.View.Drift)
@@ -20,30 +20,30 @@
 	c.skew = skew.New(cfg, now)
 }
 
-// readers are those whose understanding of rules may matter.
+// rulesMembers returns the members that rules may have to be compatible with: all known ones but those that left.
 func (c *Core) rulesMembers() []skew.Member {
 	self := c.member.Self()
 	all := []skew.Member{{Name: self.Name, Boot: self.Boot, Reads: self.Reads, AbsentFor: -1}}
-	for _, k := range c.member.Others() {
+	for _, other := range c.member.Others() {
 		switch {
-		case k.Present():
-			all = append(all, skew.Member{Name: k.Name, Boot: k.Boot, Reads: k.Reads, AbsentFor: -1})
-		case k.State == member.Failed:
-			all = append(all, skew.Member{Name: k.Name, Boot: k.Boot, Reads: k.Reads, AbsentFor: c.now - k.StateSince})
+		case other.Present():
+			all = append(all, skew.Member{Name: other.Name, Boot: other.Boot, Reads: other.Reads, AbsentFor: -1})
+		case other.State == member.Failed:
+			all = append(all, skew.Member{Name: other.Name, Boot: other.Boot, Reads: other.Reads, AbsentFor: c.now - other.StateSince})
 		}
 	}
 	return all
 }
 
-// Skew is the checker of rules; nil: no rules.
+// Skew returns the check of rules; nil: there are no rules.
 func (c *Core) Skew() *skew.Machine { return c.skew }
 
-// rule runs the checker of rules and does what it wants.
-func (c *Core) stepSkew(e skew.Event) {
+// stepSkew steps the check of rules, if there is one, and does what it wants.
+func (c *Core) stepSkew(event skew.Event) {
 	if c.skew == nil {
 		return
 	}
-	for _, a := range c.skew.Step(c.now, e) {
+	for _, a := range c.skew.Step(c.now, event) {
 		switch a := a.(type) {
 		case skew.Send:
 			if to, ok := c.member.Peer(a.To); ok && to.Addr != "" {
--- a/internal/fleet/coreverdict.go
+++ b/internal/fleet/coreverdict.go
@@ -8,22 +8,22 @@
 	"fieldrelay/internal/verdict"
 )
 
-// observers are this member, those that are there, and those of the view that this member went by last: who is cut off with
-// few takes those for no majority.
+// observers returns this member, those present, and the other members of its last view: a few members that are partitioned
+// together do not take themselves for a majority.
 func (c *Core) observers() []verdict.Peer {
 	v, has := c.views.View()
 	all := []verdict.Peer{{Name: c.cfg.Member.Name, Zone: c.cfg.Member.Zone}}
-	for _, k := range c.member.Others() {
-		if _, in := v.Find(k.Name); k.Present() || has && in {
-			all = append(all, verdict.Peer{Name: k.Name, Zone: k.Zone})
+	for _, other := range c.member.Others() {
+		if _, included := v.Find(other.Name); other.Present() || has && included {
+			all = append(all, verdict.Peer{Name: other.Name, Zone: other.Zone})
 		}
 	}
 	return all
 }
 
-// judged runs the judge and does what it wants.
-func (c *Core) stepEvaluator(e verdict.Event) {
-	for _, a := range c.evaluator.Step(c.now, e) {
+// stepEvaluator steps the evaluation of execute nodes and does what it wants.
+func (c *Core) stepEvaluator(event verdict.Event) {
+	for _, a := range c.evaluator.Step(c.now, event) {
 		switch a := a.(type) {
 		case verdict.Send:
 			c.gossip(peer.Frame{Opinions: a.Opinions})
@@ -37,33 +37,34 @@
 	}
 }
 
-// Evaluator knows the verdicts on execute nodes; nil: none are made.
+// Evaluator returns the evaluator of execute nodes; nil: there are no verdicts.
 func (c *Core) Evaluator() *verdict.Evaluator { return c.evaluator }
 
-// Suspensions is what is known of execute nodes.
+// Suspensions returns the table of suspended execute nodes.
 func (c *Core) Suspensions() *verdict.Table { return &c.suspensions }
 
-// pass tells what is new to some others at once; each passes it on once, so all know within a few steps.
-func (c *Core) publishSuspensions(news []verdict.Statement) {
+// publishSuspensions gossips new statements. Each member does so once, so that all have them within a few steps.
+func (c *Core) publishSuspensions(updates []verdict.Statement) {
 	c.out = append(c.out, SuspensionsChanged{c.suspensions.All()})
-	c.gossip(peer.Frame{Words: news})
+	c.gossip(peer.Frame{Words: updates})
 }
 
-func (c *Core) publishDraining(news []verdict.Statement) {
-	c.out = append(c.out, DrainingChanged{news})
-	c.gossip(peer.Frame{Drains: news})
+// publishDraining does so for draining nodes.
+func (c *Core) publishDraining(updates []verdict.Statement) {
+	c.out = append(c.out, DrainingChanged{updates})
+	c.gossip(peer.Frame{Drains: updates})
 }
 
-// sum is the digest of all words.
+// tablesDigest is the digest of both tables. Members compare it over the wire.
 func (c *Core) tablesDigest() uint64 {
 	return c.suspensions.Digest() ^ bits.RotateLeft64(c.draining.Digest(), 1)
 }
 
-// Observations is what a member knows of execute nodes by itself.
+// Observations is what a member observes of execute nodes itself.
 type Observations interface {
-	// Evidence is what requests to each node have shown by now.
+	// Evidence returns what recent attempts at each node came to, at a time.
 	Evidence(now time.Duration) []verdict.Evidence
-	// Listed are the nodes on the member's list.
+	// Listed returns the nodes on the member's list.
 	Listed() []verdict.Node
 	// Forget drops the evidence of a node.
 	Forget(node string)
--- a/internal/fleet/events.go
+++ b/internal/fleet/events.go
@@ -12,35 +12,36 @@
 	"fieldrelay/internal/view"
 )
 
-// Event is what happens to a Core.
+// Event is an input of a Core.
 type Event interface{ event() }
 
 // The events.
 type (
-	// Tick is that time has passed.
+	// Tick reports that time has passed.
 	Tick struct{}
 	// Received is a frame of this fleet.
 	Received struct{ Frame peer.Frame }
-	// Leave is that the process is about to end.
+	// Leave reports that the process is about to shut down.
 	Leave struct{}
-	// SetSeeds is new settings of the kind that may change while the fleet runs.
+	// SetSeeds replaces the addresses to join by.
 	SetSeeds struct{ Join []string }
 	// SetLimits replaces the limits of the fleet.
 	SetLimits struct{ Limits []quota.Limit }
-	// SetSuspended is a word of this member's on an execute node, for the whole fleet.
+	// SetSuspended suspends an execute node for the whole fleet, or restores it.
 	SetSuspended struct {
 		Node      string
 		Suspended bool
 	}
-	// SetDraining is that this member's list has an execute node, by its start, as draining or gone; or no longer so.
+	// SetDraining reports that this member's list has a process of an execute node, by its start, as draining or gone, or no
+	// longer so.
 	SetDraining struct {
 		Node     string
 		Since    time.Duration
 		Draining bool
 	}
-	// PushRules is the edition of this member's file, which it wants to hold.
+	// PushRules is the edition of this member's file, to be put in force.
 	PushRules struct{ Edition rules.Edition }
-	// Recover is the operator's word that the majority of the voters is lost for good.
+	// Recover is the operator's decision that the majority of the voters is lost for good.
 	Recover struct{}
 )
 
@@ -62,42 +63,42 @@
 
 func (SetDraining) event() {}
 
-// Action is what a Core wants done.
+// Action is an output of a Core, for its caller to carry out in order.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Transmit is a frame for a process. To.Name is empty for an address to join by.
+	// Transmit sends a frame to a process. To.Name is empty for an address to join by.
 	Transmit struct {
 		To     member.Record
 		Frame  peer.Frame
 		Stream bool
 	}
-	// MemberChanged is a new belief about another process.
+	// MemberChanged reports a new belief about another process.
 	MemberChanged struct{ member.Changed }
-	// Save is state to be kept and synced before any action after it is done.
+	// Save stores a change of the voter's state. It must be on disk, synced, before a later action is carried out.
 	Save struct{ Change view.Change }
-	// Decided is a view that this voter learns of from the engine.
+	// Decided reports a new view that the voters have decided, at a voter.
 	Decided struct{ View view.View }
-	// Adopted is that this member goes by a view from now on.
+	// Adopted reports the view that is in force at this member from now on.
 	Adopted struct{ View view.View }
 	// Notice is a line for the operator.
 	Notice struct{ view.Notice }
-	// SuspensionsChanged is all that is now known of execute nodes.
+	// SuspensionsChanged reports all statements on suspended execute nodes.
 	SuspensionsChanged struct{ All []verdict.Statement }
-	// Avoid is the execute nodes that this member sends nothing new to from now on, by the fleet's verdict.
+	// Avoid names all execute nodes to which this member sends nothing new from now on, by the fleet's verdict.
 	Avoid struct{ verdict.Avoid }
-	// VerdictLog is a line on a verdict.
+	// VerdictLog is a line on a verdict, for the log.
 	VerdictLog struct{ verdict.LogEntry }
-	// DrainingChanged is what is new of execute nodes that drain.
+	// DrainingChanged reports new statements on draining execute nodes.
 	DrainingChanged struct{ Updates []verdict.Statement }
-	// QuotaSharesChanged is that this member's parts of the limits may have changed.
+	// QuotaSharesChanged reports that this member's shares of the limits may have changed.
 	QuotaSharesChanged struct{}
-	// RulesEnforced is that this member goes by an edition from now on, whole.
+	// RulesEnforced puts an edition of rules in force at this member, all of it at once.
 	RulesEnforced struct{ Compiled *rules.Compiled }
-	// RulesLog is a line on rules for the operator.
+	// RulesLog is a line on rules, for the operator.
 	RulesLog struct{ skew.LogEntry }
-	// ModeChanged is a new mode.
+	// ModeChanged reports a new mode.
 	ModeChanged struct {
 		Mode, Was Mode
 		Reason    string
--- a/internal/fleet/figures.go
+++ b/internal/fleet/figures.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Figures are the StatsD lines of the fleet, without line ends. Nothing is waited for: what the actor alone knows is as
-// old as its last step.
+// Figures returns the StatsD lines of the fleet, without line ends. It does not wait for the actor: figures of the Core are as
+// of its last step.
 func (f *Fleet) Figures(prefix string) []string {
 	c := f.channel.Counts()
 	let, refused := f.limits.counts()
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -17,50 +17,57 @@
 	"fieldrelay/internal/mailbox"
 	"fieldrelay/internal/member"
 	"fieldrelay/internal/peer"
+	"fieldrelay/internal/quota"
+	"fieldrelay/internal/rules"
 	"fieldrelay/internal/verdict"
 	"fieldrelay/internal/view"
 )
 
 const (
-	maxQueued    = 4096                   // frames that wait for the actor; one over it is dropped
-	leaveLinger  = 100 * time.Millisecond // for the last datagrams and streams to leave
-	actorTimeout = 500 * time.Millisecond // a caller of the management address waits no longer
+	maxQueued       = 4096                   // frames queued for the actor; further ones are dropped
+	maxRefusedPeers = 64                     // refused senders that are logged
+	leaveLinger     = 100 * time.Millisecond // for the last datagrams and streams to leave
+	actorTimeout    = 500 * time.Millisecond // for a caller of the management address
 )
 
-// Fleet is the actor: a Core with clock and sockets.
+// Fleet is the actor around a Core: clock, sockets and disk. Its exported methods are safe for concurrent use; those that serve
+// requests do not wait for the actor.
 type Fleet struct {
-	log           zerolog.Logger
-	channel       *peer.Channel
-	box           *mailbox.Mailbox
-	done          chan struct{}
-	closing       sync.Once
-	droppedFrames atomic.Int64 // frames dropped since the mailbox was full
+	log     zerolog.Logger
+	channel *peer.Channel
+	box     *mailbox.Mailbox
+	done    chan struct{} // closed when the actor has ended
+	closing sync.Once
+
 	limits        limits
 	observations  observations
-	refusedFrames atomic.Int64 // frames of another fleet or version, or that are none
+	droppedFrames atomic.Int64 // since the mailbox was full
+	refusedFrames atomic.Int64 // of another fleet or version, or malformed
 	mode          atomic.Int32
-	viewNumber    atomic.Int64 // of the view that this member goes by
+	viewNumber    atomic.Int64 // of the view in force here
 	viewMembers   atomic.Int64 // of that view
 	avoidedNodes  atomic.Int64 // execute nodes, by verdict
 
 	// The following belong to the actor.
 	settings     settings.Settings
 	core         *Core
-	voterStore   *voterStore
-	origin       time.Time
-	wake         *time.Timer
-	changed      func(all []verdict.Statement)
-	avoid        func(nodes []string)
-	drains       func(news []verdict.Statement)
-	allot        func(tenant string, rate float64)
+	voterStore   *voterStore // nil: nothing is stored
+	origin       time.Time   // of the clock that the Core is stepped by
+	wake         *time.Timer // of the next Tick
 	rules        rulesState
-	refusedPeers map[string]bool // senders refused, which are told in one line each
+	refusedPeers map[string]bool // senders that were refused, each of which is logged once
+
+	// The callbacks of Options, called on the actor. They may be nil.
+	changed func(all []verdict.Statement)
+	avoid   func(nodes []string)
+	drains  func(updates []verdict.Statement)
+	allot   func(tenant string, rate float64)
 }
 
 // Options are what a Fleet is started with.
 type Options = options.Options
 
-// Start opens the sockets and joins.
+// Start opens the sockets and the voter's state, and joins the fleet. Its errors name the setting that they are about.
 func Start(opts Options, log zerolog.Logger) (*Fleet, error) {
 	set := opts.Settings
 	set.Name = cmp.Or(set.Name, opts.Name)
@@ -68,7 +75,7 @@
 		return nil, fmt.Errorf("fleet.name: %w", err)
 	}
 	f := &Fleet{log: log, box: mailbox.New(), done: make(chan struct{}), settings: set, origin: time.Now(),
-		refusedPeers: map[string]bool{}, changed: opts.Changed, avoid: opts.Avoid, drains: opts.Drains, allot: opts.Allot}
+		refusedPeers: make(map[string]bool), changed: opts.Changed, avoid: opts.Avoid, drains: opts.Drains, allot: opts.Allot}
 	f.observations.origin = f.origin
 	f.limits.origin = f.origin
 	f.limits.tenants = opts.Tenants
@@ -78,38 +85,11 @@
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
 	f.channel = channel
-	boot, seed := member.NewBoot(time.Now().UnixMilli(), random()), random()
-	var kept *view.StoredState
-	if set.State != "" {
-		var why string
-		if f.voterStore, kept, why, err = openVoterStore(set.State, set.Fleet, set.Name); err != nil {
-			channel.Close()
-			return nil, fmt.Errorf("fleet.state: %w", err)
-		}
-		if why != "" { // without its state this process is a new voter, if it is one
-			log.Error().Msg(why)
-		}
-	}
-	cfg := CoreConfig{Fleet: set.Fleet,
-		Member: member.Config{Name: set.Name, Addr: cmp.Or(set.Advertise, channel.Addr()), Boot: boot, Join: set.Join,
-			Pace: set.PaceTime(), Seed: seed},
-		View: view.Config{Name: set.Name, Boot: boot, Voters: set.Voters, Pace: set.PaceTime(), Lease: set.LeaseTime(),
-			Drift: set.DriftPart(), Seed: seed, Stored: kept, Refound: set.Refounds()},
-		Limits: limits, Demand: f.limits.demand, Suspensions: opts.Words}
-	if set.Verdicts && f.avoid != nil {
-		f.observations.enabled = true
-		cfg.Observations, cfg.VerdictPercent, cfg.Member.Zone = &f.observations, set.VerdictPc, opts.Zone[:min(len(opts.Zone), member.MaxZoneBytes)]
-	}
-	push, err := f.rules.load(&cfg, set, opts, log)
+	push, err := f.newCore(opts, limits)
 	if err != nil {
 		channel.Close()
 		return nil, errors.Join(err, f.voterStore.close())
 	}
-	f.core, err = NewCore(cfg, 0)
-	if err != nil {
-		channel.Close()
-		return nil, errors.Join(fmt.Errorf("fleet.state: %w", err), f.voterStore.close())
-	}
 	f.wake = time.AfterFunc(time.Hour, func() { f.box.Put(func() { f.step(Tick{}) }) })
 	log.Info().Str("fleet", set.Fleet).Str("name", set.Name).Str("listen", channel.Addr()).Strs("join", set.Join).
 		Dur("pace", set.PaceTime()).Msg("fleet on")
@@ -125,19 +105,54 @@
 	return f, nil
 }
 
+// newCore makes the Core from the settings and from what an earlier process stored. push is the edition of rules to push; nil:
+// none.
+func (f *Fleet) newCore(opts Options, limits []quota.Limit) (push *rules.Edition, err error) {
+	set := f.settings
+	boot, seed := member.NewBoot(time.Now().UnixMilli(), random()), random()
+	var stored *view.StoredState
+	if set.State != "" {
+		var unusable string
+		if f.voterStore, stored, unusable, err = openVoterStore(set.State, set.Fleet, set.Name); err != nil {
+			return nil, fmt.Errorf("fleet.state: %w", err)
+		}
+		if unusable != "" { // without its state this process is a new voter, if it is one
+			f.log.Error().Msg(unusable)
+		}
+	}
+	cfg := CoreConfig{Fleet: set.Fleet,
+		Member: member.Config{Name: set.Name, Addr: cmp.Or(set.Advertise, f.channel.Addr()), Boot: boot, Join: set.Join,
+			Pace: set.PaceTime(), Seed: seed},
+		View: view.Config{Name: set.Name, Boot: boot, Voters: set.Voters, Pace: set.PaceTime(), Lease: set.LeaseTime(),
+			Drift: set.DriftPart(), Seed: seed, Stored: stored, Refound: set.Refounds()},
+		Limits: limits, Demand: f.limits.demand, Suspensions: opts.Words}
+	if set.Verdicts && f.avoid != nil {
+		f.observations.enabled = true
+		cfg.Observations, cfg.VerdictPercent, cfg.Member.Zone = &f.observations, set.VerdictPc, opts.Zone[:min(len(opts.Zone), member.MaxZoneBytes)]
+	}
+	if push, err = f.rules.load(&cfg, set, opts, f.log); err != nil {
+		return nil, err
+	}
+	if f.core, err = NewCore(cfg, 0); err != nil {
+		return nil, fmt.Errorf("fleet.state: %w", err)
+	}
+	return push, nil
+}
+
+// random draws a number that other processes do not draw.
 func random() uint64 {
 	var b [8]byte
-	rand.Read(b[:])
+	_, _ = rand.Read(b[:]) // never fails
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// Addr is where it listens.
+// Addr is the address on which it listens.
 func (f *Fleet) Addr() string { return f.channel.Addr() }
 
-// Mode is the present mode. It may be asked from any goroutine.
+// Mode returns the present mode.
 func (f *Fleet) Mode() Mode { return Mode(f.mode.Load()) }
 
-// deliver passes a frame to the actor. The mailbox has no bound of its own, so the bound is here.
+// deliver passes a frame to the actor, unless too many are queued: the mailbox itself has no bound.
 func (f *Fleet) deliver(b []byte) {
 	if f.box.Len() >= maxQueued {
 		f.droppedFrames.Add(1)
@@ -146,6 +161,7 @@
 	f.box.Put(func() { f.receive(b) })
 }
 
+// receive takes in a frame, or counts it as refused.
 func (f *Fleet) receive(b []byte) {
 	frame, err := peer.Decode(b, f.settings.Fleet)
 	if err == nil {
@@ -153,37 +169,37 @@
 		return
 	}
 	f.refusedFrames.Add(1)
-	// Each stranger is told once; there is room for a few of them.
-	who := frame.Fleet + "/" + frame.From.Name
-	if (errors.Is(err, peer.ErrFleet) || errors.Is(err, peer.ErrVersion)) && len(f.refusedPeers) < 64 && !f.refusedPeers[who] {
-		f.refusedPeers[who] = true
-		f.log.Warn().Err(err).Str("their fleet", frame.Fleet).Str("name", frame.From.Name).Str("addr", frame.From.Addr).Msg("peer refused")
+	sender := frame.Fleet + "/" + frame.From.Name
+	if (errors.Is(err, peer.ErrFleet) || errors.Is(err, peer.ErrVersion)) && len(f.refusedPeers) < maxRefusedPeers && !f.refusedPeers[sender] {
+		f.refusedPeers[sender] = true
+		f.log.Warn().Err(err).Str("peer_fleet", frame.Fleet).Str("name", frame.From.Name).Str("addr", frame.From.Addr).Msg("peer refused")
 	}
 }
 
-// ask runs a question on the actor and waits for its end, actorTimeout at the most.
+// runOnActor runs a function on the actor and waits for its end, up to actorTimeout. It reports whether the function has ended.
 func (f *Fleet) runOnActor(do func()) bool {
-	answered := make(chan struct{})
-	if !f.box.Put(func() { do(); close(answered) }) {
+	ended := make(chan struct{})
+	if !f.box.Put(func() { do(); close(ended) }) {
 		return false
 	}
 	select {
-	case <-answered:
+	case <-ended:
 		return true
 	case <-time.After(actorTimeout):
 		return false
 	}
 }
 
-// Close leaves the fleet: the others are told, so that nobody has to detect anything.
+// Close leaves the fleet and waits for the actor's end. It announces that to the others, so that they need not detect it.
 func (f *Fleet) Close() { f.close(true) }
 
-// Abandon ends without a word, for a process that goes on under this name.
+// Abandon ends without an announcement, for another process that goes on under this name.
 func (f *Fleet) Abandon() { f.close(false) }
 
-func (f *Fleet) close(tell bool) {
+// close ends the actor, once.
+func (f *Fleet) close(announce bool) {
 	f.closing.Do(func() {
-		if tell {
+		if announce {
 			f.runOnActor(func() { f.step(Leave{}) })
 			<-time.After(leaveLinger)
 		}
--- a/internal/fleet/limitgates.go
+++ b/internal/fleet/limitgates.go
@@ -7,7 +7,7 @@
 	"fieldrelay/internal/quota"
 )
 
-// admit lets a request through all limits that it counts under, or none.
+// admit admits a request under all limits that it counts for, or under none. See Fleet.Admit.
 func (l *limits) admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -18,9 +18,8 @@
 	return l.passGates(gates, func(g *limitGate) bool { return g.Applies(class, tenant) }, again, 1, ends)
 }
 
-// claim lets an attempt at an execute node through all limits that it counts under, or none. warm is the part of its full
-// capacity that the node has now: so much of its limit may be used. Nodes that are not listed have
-// no limits.
+// claim admits an attempt at an execute node under all limits that it counts for, or under none. Of the limit of a node that is
+// warming up, the fraction warm may be used. Nodes that are not listed have no limits of their own. See Fleet.Claim.
 func (l *limits) claim(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -32,21 +31,21 @@
 	return done, ok
 }
 
-// pass passes through those of some gates that apply. l.mu is held.
+// passGates passes those of some gates that apply, or none of them. l.mu is held.
 func (l *limits) passGates(gates []*limitGate, applies func(*limitGate) bool, again bool, warm float64, ends time.Time) (done func(), after time.Duration, ok bool) {
 	now := time.Since(l.origin)
-	type taken struct {
+	type passedGate struct {
 		g    *limitGate
 		slot quota.Slot
 	}
-	var all []taken
+	var passed []passedGate
 	for _, g := range gates {
 		if !applies(g) {
 			continue
 		}
 		slot, after, ok := quota.NoSlot, time.Duration(0), false
 		switch {
-		case g.Shares: // what is beyond it is worth less, that is all
+		case g.Shares: // beyond its allowance a tenant's request has a lower value, and is not rejected
 			g.gate.Take(now, now)
 			continue
 		case g.Leased():
@@ -55,27 +54,27 @@
 			after, ok = g.gate.Count(again, g.Limit().Most)
 		}
 		if !ok {
-			for _, t := range all {
-				t.g.gate.Undo(t.slot)
+			for _, p := range passed {
+				p.g.gate.Undo(p.slot)
 			}
 			return nil, after, false
 		}
-		all = append(all, taken{g, slot})
+		passed = append(passed, passedGate{g, slot})
 	}
-	if len(all) == 0 {
+	if len(passed) == 0 {
 		return func() {}, 0, true
 	}
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for _, t := range all {
-			t.g.gate.Done(t.slot)
+		for _, p := range passed {
+			p.g.gate.Done(p.slot)
 		}
 	}, 0, true
 }
 
-// counts are how many requests and attempts all limits have let through, and turned back. One under several limits counts
-// under each.
+// counts returns how many requests and attempts the limits have admitted and rejected. One that counts for several limits is
+// counted by each.
 func (l *limits) counts() (let, refused int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,31 +84,38 @@
 	return let, refused
 }
 
-// lines has a line for each limit: its name, what is let through here, for how long, what past that, and the counts.
-func (l *limits) lines() (all []string) {
+// unlimitedLease is an expiry from which on a share is no lease.
+const unlimitedLease = time.Duration(1 << 62)
+
+// lines returns a line for each limit: its name, this member's share, until when, the fallback after that, and the counts.
+func (l *limits) lines() (lines []string) {
 	now := time.Since(l.origin)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, g := range l.gates {
-		limit := g.Limit()
-		if !g.Leased() {
-			kind := "again_pct"
-			if g.Retry > 0 {
-				kind = "retry_pct"
-			}
-			all = append(all, fmt.Sprintf("%s %s limit=%g here=%g lease=none let=%d refused=%d", g.Name, kind, g.Again+g.Retry, g.Again+g.Retry, g.gate.Let, g.gate.Refused))
-			continue
-		}
-		kind, show := "in_flight", func(u quota.Unit) string { return fmt.Sprint(u) }
-		if limit.Kind == quota.Rate {
-			kind, show = "per_second", func(u quota.Unit) string { return fmt.Sprintf("%g", float64(u)/float64(quota.PerSecond)) }
-		}
-		lease, here := "none", g.share.fallback
-		if now < g.share.expiry && g.share.expiry < time.Duration(1<<62) {
-			lease, here = fmt.Sprintf("%dms", (g.share.expiry-now).Milliseconds()), g.share.amount
+		lines = append(lines, g.line(now))
+	}
+	return lines
+}
+
+// line is the line of a limit.
+func (g *limitGate) line(now time.Duration) string {
+	limit := g.Limit()
+	if !g.Leased() {
+		kind := "again_pct"
+		if g.Retry > 0 {
+			kind = "retry_pct"
 		}
-		all = append(all, fmt.Sprintf("%s %s limit=%s here=%s lease=%s past=%s demand=%s in_use=%d let=%d refused=%d", g.Name, kind, show(limit.Most), show(here),
-			lease, show(g.share.fallback), show(g.gate.Demand(now)), g.gate.InUse(), g.gate.Let, g.gate.Refused))
+		return fmt.Sprintf("%s %s limit=%g here=%g lease=none let=%d refused=%d", g.Name, kind, g.Again+g.Retry, g.Again+g.Retry, g.gate.Let, g.gate.Refused)
+	}
+	kind, format := "in_flight", func(u quota.Unit) string { return fmt.Sprint(u) }
+	if limit.Kind == quota.Rate {
+		kind, format = "per_second", func(u quota.Unit) string { return fmt.Sprintf("%g", float64(u)/float64(quota.PerSecond)) }
+	}
+	lease, here := "none", g.share.fallback
+	if now < g.share.expiry && g.share.expiry < unlimitedLease {
+		lease, here = fmt.Sprintf("%dms", (g.share.expiry-now).Milliseconds()), g.share.amount
 	}
-	return all
+	return fmt.Sprintf("%s %s limit=%s here=%s lease=%s past=%s demand=%s in_use=%d let=%d refused=%d", g.Name, kind, format(limit.Most), format(here),
+		lease, format(g.share.fallback), format(g.gate.Demand(now)), g.gate.InUse(), g.gate.Let, g.gate.Refused)
 }
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -10,40 +10,41 @@
 	"fieldrelay/logic"
 )
 
-// limits are the gates of the fleet's limits. Fronts pass through them from any goroutine, and never wait for the actor.
+// limits is the gates of the fleet's limits. It is safe for concurrent use; requests that pass the gates do not wait for the
+// actor.
 type limits struct {
 	origin time.Time
 
 	mu             sync.Mutex
 	gates          []*limitGate
 	byName         map[string]*limitGate
-	generalGates   []*limitGate            // those of requests that are for all tenants,
-	tenantGates    map[string][]*limitGate // and for one
-	allowanceGates []*limitGate            // of tenants' allowances
+	generalGates   []*limitGate            // of requests, for all tenants
+	tenantGates    map[string][]*limitGate // of requests, by tenant
+	allowanceGates []*limitGate            // of tenants' allowances; also among tenantGates
 	tenants        []logic.Tenant
-	withdrawn      []string     // tenants whose allowance is no longer divided
-	attemptGates   []*limitGate // those of attempts that are for all nodes,
+	withdrawn      []string     // tenants whose allowance is no longer divided by demand
+	attemptGates   []*limitGate // of attempts, for all nodes
 	nodeGates      map[string][]*limitGate
 	settings       quota.All
 	nodes          []string
 }
 
-// limited is one limit. It belongs to who holds limits.mu.
+// limitGate is the gate of one limit. It is guarded by limits.mu.
 type limitGate struct {
 	quota.Settings
 	gate  *quota.Gate
 	share quotaShare
-	// allotted is what was last told of a part of an allowance.
+	// reportedAllotment is the share of an allowance that was last reported.
 	reportedAllotment quota.Unit
 }
 
-// part is what was last told of this member's part.
+// quotaShare is this member's share of a limit: an amount until its lease expires, then a fallback.
 type quotaShare struct {
 	amount, fallback quota.Unit
 	expiry           time.Duration
 }
 
-// set replaces the limits; one that stays as it was goes on. It gives them as the machines take them.
+// set replaces the limits. Gates of limits that stay keep their counts. It returns the limits that the fleet divides.
 func (l *limits) set(all quota.All) (list []quota.Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,7 +52,7 @@
 	return l.rebuild()
 }
 
-// list takes over which execute nodes there are. changed tells whether that changes the limits.
+// setNodes takes in the listed execute nodes. It returns the limits that the fleet divides, and whether they have changed.
 func (l *limits) setNodes(nodes []verdict.Node) (list []quota.Limit, changed bool) {
 	names := make([]string, len(nodes))
 	for i, n := range nodes {
@@ -70,23 +71,16 @@
 	return l.rebuild(), true
 }
 
-// make makes the gates anew of the settings and the nodes.
+// rebuild makes the gates anew from the settings, the nodes and the tenants.
 func (l *limits) rebuild() (list []quota.Limit) {
-	was, shared := l.byName, l.allowanceGates
+	before, allowancesBefore := l.byName, l.allowanceGates
 	l.gates, l.attemptGates, l.generalGates, l.allowanceGates = nil, nil, nil, nil
-	l.byName, l.nodeGates, l.tenantGates = map[string]*limitGate{}, map[string][]*limitGate{}, map[string][]*limitGate{}
+	l.byName, l.nodeGates, l.tenantGates = make(map[string]*limitGate), make(map[string][]*limitGate), make(map[string][]*limitGate)
 	add := func(s quota.Settings) *limitGate {
-		g := was[s.Name]
-		if g == nil || g.Limit().Kind != s.Limit().Kind || g.Burst != s.Burst {
-			g = &limitGate{gate: quota.NewGate(s.Limit().Kind, s.BurstTime(), time.Since(l.origin))}
-		}
-		g.Settings = s
-		l.gates = append(l.gates, g)
-		l.byName[s.Name] = g
 		if s.Leased() {
 			list = append(list, s.Limit())
 		}
-		return g
+		return l.addGate(s, before[s.Name])
 	}
 	for _, s := range l.settings {
 		switch {
@@ -99,11 +93,11 @@
 		case s.Retry > 0:
 			l.attemptGates = append(l.attemptGates, add(s))
 		case s.Shares:
-			for _, t := range l.tenants {
-				if t.Allowance > 0 && len(list) < quota.MostLimits {
-					g := add(s.Of(t.Name, t.Allowance))
+			for _, tenant := range l.tenants {
+				if tenant.Allowance > 0 && len(list) < quota.MostLimits {
+					g := add(s.Of(tenant.Name, tenant.Allowance))
 					l.allowanceGates = append(l.allowanceGates, g)
-					l.tenantGates[t.Name] = append(l.tenantGates[t.Name], g)
+					l.tenantGates[tenant.Name] = append(l.tenantGates[tenant.Name], g)
 				}
 			}
 		case s.Tenant != "":
@@ -112,15 +106,26 @@
 			l.generalGates = append(l.generalGates, add(s))
 		}
 	}
-	for _, g := range shared {
-		if !slices.ContainsFunc(l.tenantGates[g.Tenant], func(o *limitGate) bool { return o.Shares }) {
+	for _, g := range allowancesBefore {
+		if !slices.ContainsFunc(l.tenantGates[g.Tenant], func(gate *limitGate) bool { return gate.Shares }) {
 			l.withdrawn = append(l.withdrawn, g.Tenant)
 		}
 	}
 	return list
 }
 
-// allow takes over the tenants of the settings.
+// addGate adds the gate of a limit: the one before, if the change of the limit allows that.
+func (l *limits) addGate(s quota.Settings, g *limitGate) *limitGate {
+	if g == nil || g.Limit().Kind != s.Limit().Kind || g.Burst != s.Burst {
+		g = &limitGate{gate: quota.NewGate(s.Limit().Kind, s.BurstTime(), time.Since(l.origin))}
+	}
+	g.Settings = s
+	l.gates = append(l.gates, g)
+	l.byName[s.Name] = g
+	return g
+}
+
+// setTenants takes in the tenants of the settings. It returns the limits that the fleet divides.
 func (l *limits) setTenants(tenants []logic.Tenant) (list []quota.Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,28 +133,29 @@
 	return l.rebuild()
 }
 
-// allotted calls tell for each tenant of whose allowance another part is this member's than at the last call.
-func (l *limits) reportAllotments(tell func(tenant string, rate float64)) {
+// reportAllotments reports this member's share of each tenant's allowance that has changed since the last call, in requests a
+// second; -1: an equal share again.
+func (l *limits) reportAllotments(report func(tenant string, rate float64)) {
 	now := time.Since(l.origin)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, tenant := range l.withdrawn {
-		tell(tenant, -1) // an equal part again
+		report(tenant, -1)
 	}
 	l.withdrawn = nil
 	for _, g := range l.allowanceGates {
-		part := g.share.fallback
+		share := g.share.fallback
 		if now < g.share.expiry {
-			part = g.share.amount
+			share = g.share.amount
 		}
-		if part != g.reportedAllotment {
-			g.reportedAllotment = part
-			tell(g.Tenant, float64(part)/float64(quota.PerSecond))
+		if share != g.reportedAllotment {
+			g.reportedAllotment = share
+			report(g.Tenant, float64(share)/float64(quota.PerSecond))
 		}
 	}
 }
 
-// tell tells the gates this member's parts.
+// updateShares takes this member's shares into the gates.
 func (l *limits) updateShares(h *quota.Holder) {
 	now := time.Since(l.origin)
 	l.mu.Lock()
@@ -163,7 +169,7 @@
 	}
 }
 
-// demand is what this member could use of a limit, and what is in use.
+// demand returns how much of a limit this member could use, and how much it has in use.
 func (l *limits) demand(limit string, now time.Duration) (demand, used quota.Unit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/limits_test.go
+++ b/internal/fleet/limits_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/logic"
 )
 
-// holds gives a set of limits the whole of each, for an hour.
+// holds gives all of each limit to the gates, for an hour.
 func holds(l *limits) {
 	for _, g := range l.gates {
 		g.gate.Part(time.Since(l.origin), g.Limit().Most, 0, time.Hour)
@@ -63,8 +63,7 @@
 	}
 }
 
-// Ten thousand tenants take fixed memory, a request passes by its own tenant's gates alone, and a report names only those
-// that are in use.
+// Ten thousand tenants take fixed memory, a request passes its own tenant's gates alone, and a report has only those in use.
 func TestTenThousandTenants(t *testing.T) {
 	var tenants []logic.Tenant
 	for i := range 10_000 {
@@ -122,7 +121,7 @@
 	}
 }
 
-// Limits of attempts: each node has its own, and what leaves the list leaves them.
+// Limits of attempts: each node has its own, and a node that leaves the list loses them.
 func TestClaimsAtNodes(t *testing.T) {
 	l := &limits{origin: time.Now()}
 	l.set(quota.All{{Name: "each", Node: 2, Members: 1}, {Name: "retries", Retry: 10}})
--- a/internal/fleet/manage.go
+++ b/internal/fleet/manage.go
@@ -7,88 +7,97 @@
 	"time"
 )
 
-// Peers has a line for each member that is known, this one first: name, state, incarnation, last heard, address, the view
-// in which it belongs to those that this process goes by, boot, and whether it votes or leads.
-func (f *Fleet) Peers() ([]string, error) {
-	var lines []string
-	ok := f.runOnActor(func() {
-		now, self := time.Since(f.origin), f.core.Members().Self()
-		v, has := f.core.Views().View()
-		in := func(name string, boot uint64) string {
-			if m, ok := v.Find(name); has && ok && m.Boot == boot {
-				return v.ID.String()
-			}
-			return "none"
-		}
-		group, leader := f.core.Views().VoterGroup()
-		role := func(name string) string {
-			if name == self.Name && !f.core.Views().VoteCounts() {
-				return "" // one of its name did, before it was started anew, and may still be counted in its place
-			}
-			for _, voter := range group.Voters {
-				if voter.Name == name && name == leader {
-					return " leads"
-				} else if voter.Name == name {
-					return " votes"
-				}
-			}
-			return ""
+// errBusy is the error of a call that the actor did not carry out in time.
+var errBusy = errors.New("fleet busy or closed")
+
+// Peers returns a line for each known member, this one first: name, state, incarnation, time since the last contact, address,
+// the number of the view in force here if the member belongs to it, boot, and whether it votes or leads.
+func (f *Fleet) Peers() (lines []string, err error) {
+	if !f.runOnActor(func() { lines = f.core.peerLines(time.Since(f.origin)) }) {
+		return nil, errBusy
+	}
+	return lines, nil
+}
+
+// peerLines returns the lines of Peers.
+func (c *Core) peerLines(now time.Duration) (lines []string) {
+	self := c.member.Self()
+	lease := max(0, c.views.LeaseEnd()-now)
+	lines = append(lines, fmt.Sprintf("%s self inc=%d heard=0ms addr=%s view=%s mode=%s held=%dms boot=%x%s", self.Name, self.Incarnation, self.Addr,
+		c.viewOf(self.Name, self.Boot), strings.ReplaceAll(c.mode.String(), " ", "-"), lease.Milliseconds(), self.Boot, c.voterRole(self.Name)))
+	for _, other := range c.member.Others() {
+		contact := "never"
+		if other.LastContact >= 0 {
+			contact = fmt.Sprintf("%dms", (now - other.LastContact).Milliseconds())
 		}
-		held := max(0, f.core.Views().LeaseEnd()-now)
-		lines = append(lines, fmt.Sprintf("%s self inc=%d heard=0ms addr=%s view=%s mode=%s held=%dms boot=%x%s", self.Name, self.Incarnation, self.Addr,
-			in(self.Name, self.Boot), strings.ReplaceAll(f.core.Mode().String(), " ", "-"), held.Milliseconds(), self.Boot, role(self.Name)))
-		for _, k := range f.core.Members().Others() {
-			heard := "never"
-			if k.LastContact >= 0 {
-				heard = fmt.Sprintf("%dms", (now - k.LastContact).Milliseconds())
-			}
-			lines = append(lines, fmt.Sprintf("%s %s inc=%d heard=%s addr=%s view=%s boot=%x%s", k.Name, k.State, k.Incarnation, heard, k.Addr,
-				in(k.Name, k.Boot), k.Boot, role(k.Name)))
+		lines = append(lines, fmt.Sprintf("%s %s inc=%d heard=%s addr=%s view=%s boot=%x%s", other.Name, other.State, other.Incarnation, contact, other.Addr,
+			c.viewOf(other.Name, other.Boot), other.Boot, c.voterRole(other.Name)))
+	}
+	return lines
+}
+
+// viewOf returns the number of the view in force here if a process belongs to it, or "none".
+func (c *Core) viewOf(name string, boot uint64) string {
+	v, has := c.views.View()
+	if m, ok := v.Find(name); has && ok && m.Boot == boot {
+		return v.ID.String()
+	}
+	return "none"
+}
+
+// voterRole returns how a line says that a member votes or leads.
+func (c *Core) voterRole(name string) string {
+	if name == c.cfg.Member.Name && !c.views.VoteCounts() {
+		return "" // an earlier process of this name voted, and may still count in its place
+	}
+	group, leader := c.views.VoterGroup()
+	for _, voter := range group.Voters {
+		if voter.Name == name && name == leader {
+			return " leads"
+		} else if voter.Name == name {
+			return " votes"
 		}
-	})
-	if !ok {
-		return nil, errors.New("fleet busy or closed")
 	}
-	return lines, nil
+	return ""
 }
 
-// Recover founds a new group of voters with this process alone, by the operator's word.
+// Recover founds a new group of voters with this process alone, by the operator's decision.
 func (f *Fleet) Recover() error {
 	if !f.runOnActor(func() { f.step(Recover{}) }) {
-		return errors.New("fleet busy or closed")
+		return errBusy
 	}
 	return nil
 }
 
-// Quotas has a line for each limit of the fleet.
+// Quotas returns a line for each limit of the fleet.
 func (f *Fleet) Quotas() []string { return f.limits.lines() }
 
-// Verdicts has a line for each execute node that is spoken of.
+// Verdicts returns a line for each execute node that some member rates bad, or that is or was under verdict.
 func (f *Fleet) Verdicts() (lines []string, err error) {
 	if !f.observations.enabled {
 		return nil, errors.New("fleet.verdicts off")
 	}
 	if !f.runOnActor(func() { lines = f.core.Evaluator().Lines(time.Since(f.origin)) }) {
-		return nil, errors.New("fleet busy or closed")
+		return nil, errBusy
 	}
 	return lines, nil
 }
 
-// SetSuspended tells the whole fleet that an execute node is suspended, or restored.
+// Say suspends an execute node for the whole fleet, or restores it.
 func (f *Fleet) Say(node string, suspended bool) error {
 	if !f.runOnActor(func() { f.step(SetSuspended{Node: node, Suspended: suspended}) }) {
-		return errors.New("fleet busy or closed")
+		return errBusy
 	}
 	return nil
 }
 
-// Rules has what there is to tell of rules.
+// Rules returns the state of rules at this member.
 func (f *Fleet) Rules() (lines []string, err error) {
 	if !f.rules.enabled {
 		return nil, errors.New("rules off")
 	}
 	if !f.runOnActor(func() { lines = f.core.Skew().Lines() }) {
-		return nil, errors.New("fleet busy or closed")
+		return nil, errBusy
 	}
 	return lines, nil
 }
--- a/internal/fleet/observations.go
+++ b/internal/fleet/observations.go
@@ -7,48 +7,50 @@
 	"fieldrelay/internal/verdict"
 )
 
-// observations is what this sidecar knows of execute nodes. Who reports it never waits for the actor.
+// observations is what this sidecar observes of execute nodes. It is safe for concurrent use, and does not wait for the actor.
 type observations struct {
 	origin  time.Time
-	enabled bool // set before anybody calls
+	enabled bool // set before the first call
 
 	mu     sync.Mutex
 	tally  verdict.Tally
 	listed []verdict.Node
 }
 
-func (s *observations) count(node string, failed bool, took time.Duration) {
-	if !s.enabled {
+// count takes in the outcome of an attempt.
+func (o *observations) count(node string, failed bool, took time.Duration) {
+	if !o.enabled {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.tally.Count(time.Since(s.origin), node, failed, took)
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.tally.Count(time.Since(o.origin), node, failed, took)
 }
 
-func (s *observations) setNodes(nodes []verdict.Node) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.listed = nodes
+// setNodes takes in the nodes on the list.
+func (o *observations) setNodes(nodes []verdict.Node) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.listed = nodes
 }
 
-// Evidence is what counts at a time.
-func (s *observations) Evidence(now time.Duration) []verdict.Evidence {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.tally.Evidence(now)
+// Evidence returns what counts at a time.
+func (o *observations) Evidence(now time.Duration) []verdict.Evidence {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.tally.Evidence(now)
 }
 
-// Listed are the execute nodes that take claims.
-func (s *observations) Listed() []verdict.Node {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.listed
+// Listed returns the execute nodes that take requests.
+func (o *observations) Listed() []verdict.Node {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.listed
 }
 
-// Forget drops what was counted of a node.
-func (s *observations) Forget(node string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.tally.Forget(node)
+// Forget drops the outcomes of a node.
+func (o *observations) Forget(node string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.tally.Forget(node)
 }
--- a/internal/fleet/options/options.go
+++ b/internal/fleet/options/options.go
@@ -1,5 +1,5 @@
-// Package options is what the sidecar tells a fleet at its start. It stands by itself so that a sidecar without
-// a fleet links none of what a fleet needs.
+// Package options is what a sidecar starts its fleet with. It is a package of its own so that a sidecar without a fleet does not
+// link what a fleet needs.
 package options
 
 import (
@@ -15,16 +15,17 @@
 	Settings settings.Settings
 	Quotas   quota.All
 	Rules    rules.Settings
-	Name     string              // the sidecar's, for settings that give none
-	Words    []verdict.Statement // on execute nodes, kept from before
-	// Changed is told all words on execute nodes when they change, on the actor's goroutine. It must not block.
+	Name     string              // the sidecar's, if the settings have none
+	Words    []verdict.Statement // on suspended execute nodes, stored by an earlier process
+	// Changed is called with all statements on suspended execute nodes when they change, on the actor's goroutine. It must not
+	// block; nor must the other functions, which are called likewise.
 	Changed func(all []verdict.Statement)
-	Zone    string // where this sidecar stands
-	// Avoid is told the execute nodes that get nothing new from here by verdict of the fleet, likewise.
+	Zone    string // failure domain of this sidecar
+	// Avoid is called with all execute nodes to which this sidecar is to send nothing new, by verdict of the fleet.
 	Avoid   func(nodes []string)
 	Tenants []logic.Tenant // of the settings
-	// Allot is told what of a tenant's allowance is this member's, in requests a second, likewise.
+	// Allot is called with this member's share of a tenant's allowance, in requests a second; -1: an equal share.
 	Allot func(tenant string, rate float64)
-	// Drains is told what is new of execute nodes that drain by the word of a member, likewise.
-	Drains func(news []verdict.Statement)
+	// Drains is called with new statements of members on draining execute nodes.
+	Drains func(updates []verdict.Statement)
 }
--- a/internal/fleet/settings.go
+++ b/internal/fleet/reload.go
@@ -13,18 +13,18 @@
 func (f *Fleet) SetQuotas(all quota.All) {
 	f.box.Put(func() {
 		f.rules.fileLimits = all
-		if !f.rules.hasEditionLimits { // those of the edition in force come before the file's own
+		if !f.rules.hasEditionLimits { // limits of the edition in force take precedence over the file's
 			f.step(SetLimits{f.limits.set(all)})
 		}
 	})
 }
 
-// SetTenants takes over the tenants of new settings.
+// SetTenants replaces the tenants.
 func (f *Fleet) SetTenants(tenants []logic.Tenant) {
 	f.box.Put(func() { f.step(SetLimits{f.limits.setTenants(tenants)}) })
 }
 
-// Set takes over settings of which only join and dial differ.
+// Set takes over new settings, of which only join and dial may differ.
 func (f *Fleet) Set(next settings.Settings) {
 	f.box.Put(func() {
 		f.settings.Join, f.settings.Dial = next.Join, next.Dial
@@ -32,7 +32,7 @@
 	})
 }
 
-// CheckRules reads the file of rules of new settings, without any effect.
+// CheckRules returns the faults of the file of rules that new settings name. It changes nothing.
 func (f *Fleet) CheckRules(next rulesettings.Settings) error {
 	if next.File == "" {
 		return nil
@@ -41,12 +41,12 @@
 	return err
 }
 
-// SetRules pushes what the file says now, if that is not what it said last.
+// SetRules pushes the content of the file of rules, if that has changed.
 func (f *Fleet) SetRules(next rulesettings.Settings) {
 	var e rules.Edition
 	if next.File != "" {
 		var err error
-		if e, err = skew.ReadFile(next.File); err != nil { // it has changed since it was checked
+		if e, err = skew.ReadFile(next.File); err != nil { // the file has changed since CheckRules
 			f.log.Error().Err(err).Msg("rules not pushed")
 			return
 		}
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -16,16 +16,17 @@
 	"fieldrelay/internal/store"
 )
 
-// ruled is the actor's part in rules.
+// rulesState is the actor's state of rules.
 type rulesState struct {
-	enabled          bool          // set before anybody asks
-	storeOptions     store.Options // of the edition gone by; no path: it is not kept
-	pushedDigest     rules.Digest  // of what was read from the file last
-	fileLimits       quota.All     // of the operator's file
-	hasEditionLimits bool          // an edition in force has limits
+	enabled          bool          // set before the actor starts
+	storeOptions     store.Options // of the stored edition in force; without a path none is stored
+	pushedDigest     rules.Digest  // of what was last read from the file of rules
+	fileLimits       quota.All     // those of the operator's file
+	hasEditionLimits bool          // the edition in force has limits, which take precedence
 
-	editionNumber atomic.Int64 // of the edition gone by
-	behind        atomic.Int64 // 1: this member does not go by its view's
+	// Figures, read from any goroutine.
+	editionNumber atomic.Int64 // of the edition in force
+	behind        atomic.Int64 // 1: the edition of the view is not in force here
 }
 
 const (
@@ -35,8 +36,8 @@
 	editionOpenTimeout = 2 * time.Second
 )
 
-// begin reads what is pushed from here and what was kept. A file with faults keeps the sidecar from being started; an
-// edition that was kept and cannot be used is one line.
+// load reads the edition to push and the stored one. A file with faults is an error, which keeps the sidecar from starting; a
+// stored edition that cannot be used is logged.
 func (r *rulesState) load(cfg *CoreConfig, set settings.Settings, opts Options, log zerolog.Logger) (push *rules.Edition, err error) {
 	r.enabled, r.fileLimits = opts.Rules.On, opts.Quotas
 	if cfg.Rules, err = skew.Configure(opts.Rules); err != nil || cfg.Rules == nil {
@@ -62,12 +63,12 @@
 	})
 	if err != nil || found.Why != "" {
 		cfg.Rules.Stored = rules.Edition{}
-		log.Warn().Err(err).Str("why", found.Why).Msg("edition kept before not taken")
+		log.Warn().Err(err).Str("reason", found.Why).Msg("stored edition of rules not used")
 	}
 	return push, nil
 }
 
-// keep keeps the edition that is gone by.
+// store stores the edition in force.
 func (r *rulesState) store(e rules.Edition) error {
 	if r.storeOptions.Path == "" {
 		return nil
@@ -87,15 +88,7 @@
 	return err
 }
 
-func (r *rulesState) log(log zerolog.Logger, l RulesLog) {
-	level := zerolog.InfoLevel
-	if l.Alert {
-		level = zerolog.ErrorLevel
-	}
-	log.WithLevel(level).Str("rules", l.Text).Msg("rules")
-}
-
-// look keeps what the figures tell.
+// updateFigures takes the figures from the Core.
 func (r *rulesState) updateFigures(c *Core) {
 	if c.skew == nil {
 		return
@@ -110,10 +103,10 @@
 	r.behind.Store(behind)
 }
 
-// enforceRules puts an edition in force here, whole.
+// enforceRules stores an edition and puts its limits in force.
 func (f *Fleet) enforceRules(a RulesEnforced) {
 	if err := f.rules.store(a.Compiled.Edition); err != nil {
-		f.log.Error().Err(err).Msg("edition not kept for the next process")
+		f.log.Error().Err(err).Msg("edition of rules not stored")
 	}
 	f.log.Info().Uint64("edition", a.Compiled.Edition.Number).Str("digest", a.Compiled.Edition.Digest().String()).Msg("rules in force")
 	all := f.rules.fileLimits
--- a/internal/fleet/traffic.go
+++ b/internal/fleet/traffic.go
@@ -6,31 +6,31 @@
 	"fieldrelay/internal/verdict"
 )
 
-// Outcome takes in what came of a claim at an execute node, from any goroutine.
+// Outcome takes in the outcome of an attempt at an execute node.
 func (f *Fleet) Outcome(node string, failed bool, took time.Duration) {
 	f.observations.count(node, failed, took)
 }
 
-// Admit lets a request through the limits of the fleet, or tells after what time to come again. done is called once
-// when the request has ended; ends is when that is at the latest. Nothing is waited for.
+// Admit admits a request under the limits of the fleet, or returns after what time to retry. again is set for a retry of the
+// client's. done must be called once when the request has ended; ends is when that is at the latest.
 func (f *Fleet) Admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool) {
 	return f.limits.admit(class, tenant, again, ends)
 }
 
-// Claim lets an attempt at an execute node through the limits of the fleet, or not; done, if there is one, is called once
-// it has ended. Nothing is waited for.
+// Claim admits an attempt at an execute node under the limits of the fleet, or not. warm is the fraction of its capacity that
+// the node has while it warms up. done, if it is not nil, must be called once when the attempt has ended.
 func (f *Fleet) Claim(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
 	return f.limits.claim(node, class, tenant, again, warm, ends)
 }
 
-// SetDraining takes in that this sidecar's list has an execute node, by its start, as draining or gone; or no longer so.
+// Drains takes in that this sidecar's list has a process of an execute node, by its start, as draining or gone, or no longer so.
 func (f *Fleet) Drains(node string, since time.Duration, drains bool) {
 	if f.observations.enabled {
 		f.box.Put(func() { f.step(SetDraining{Node: node, Since: since, Draining: drains}) })
 	}
 }
 
-// Listed takes in which execute nodes take claims, likewise.
+// Listed takes in which execute nodes take requests.
 func (f *Fleet) Listed(nodes []verdict.Node) {
 	f.observations.setNodes(nodes)
 	if list, changed := f.limits.setNodes(nodes); changed {
--- a/internal/fleet/voterstore.go
+++ b/internal/fleet/voterstore.go
@@ -15,42 +15,42 @@
 	"fieldrelay/internal/view"
 )
 
-// keeper keeps a voter's state in a folder: one bbolt file, synced at each change. A nil keeper keeps nothing.
+// voterStore stores a voter's state in a folder: one bbolt file, synced at each change. A nil voterStore stores nothing.
 type voterStore struct {
 	store store.Store
 }
 
 const (
 	voterFile        = "voter.db"
-	maxVoterBytes    = 64 << 20        // bytes: the engine's log is cut long before
-	storeOpenTimeout = 5 * time.Second // for the file, which a process that ends may still hold
-	entryPrefix      = "entry/"        // and the number, in hexadecimal digits that sort as it does
-	entryRangeEnd    = "entry0"        // behind the last of those keys
+	maxVoterBytes    = 64 << 20        // the engine's log is compacted long before
+	storeOpenTimeout = 5 * time.Second // for the file, which a process that is shutting down may still have open
+	entryPrefix      = "entry/"        // followed by the index in hexadecimal digits, which sort like it
+	entryRangeEnd    = "entry0"        // follows the last of those keys
 )
 
-// openVoterStore opens the state of a member of a fleet and reads it. That of another member is not touched. why is a line on
-// state that is there and cannot be used.
-func openVoterStore(folder, fleet, name string) (k *voterStore, kept *view.StoredState, why string, err error) {
+// openVoterStore opens the state of a member of a fleet and reads it. A store of another member stays as it is. unusable says,
+// as a line for the log, why there is a state that cannot be used; empty: there is none.
+func openVoterStore(folder, fleet, name string) (opened *voterStore, stored *view.StoredState, unusable string, err error) {
 	s, found, err := bolt.Open(store.Options{Path: filepath.Join(folder, voterFile), Owner: fleet + "/" + name, Most: maxVoterBytes, Wait: storeOpenTimeout}, upgradeVoterStore)
 	if err != nil {
 		return nil, nil, "", err
 	}
-	k, kept = &voterStore{s}, &view.StoredState{}
-	kept.Voter, kept.Era = k.readNumber("voter"), k.readNumber("era")
-	kept.HardState, _ = s.Get("hard")
-	kept.Snapshot, _ = s.Get("snapshot")
+	opened, stored = &voterStore{s}, &view.StoredState{}
+	stored.Voter, stored.Era = opened.readNumber("voter"), opened.readNumber("era")
+	stored.HardState, _ = s.Get("hard")
+	stored.Snapshot, _ = s.Get("snapshot")
 	err = s.Each(entryPrefix, func(key string, data []byte) error {
 		index, err := strconv.ParseUint(key[len(entryPrefix):], 16, 64)
-		kept.Entries = append(kept.Entries, view.Entry{Index: index, Data: data})
+		stored.Entries = append(stored.Entries, view.Entry{Index: index, Data: data})
 		return err
 	})
 	if err != nil {
 		return nil, nil, "", errors.Join(err, s.Close())
 	}
-	return k, kept, found.Why, nil
+	return opened, stored, found.Why, nil
 }
 
-// upgradeVoterStore takes over what programs before the store kept in two buckets of their own.
+// upgradeVoterStore takes over the two buckets in which earlier versions of this program stored the state.
 func upgradeVoterStore(tx *bbolt.Tx, b *store.Batch) error {
 	meta, entries := tx.Bucket([]byte("meta")), tx.Bucket([]byte("entries"))
 	for _, key := range []string{"voter", "era", "hard", "snapshot"} {
@@ -70,18 +70,20 @@
 	})
 }
 
+// entryKey is the key of a log entry.
 func entryKey(index uint64) string { return fmt.Sprintf("%s%016x", entryPrefix, index) }
 
-func (k *voterStore) readNumber(key string) uint64 {
-	if v, ok := k.store.Get(key); ok && len(v) == 8 {
-		return binary.BigEndian.Uint64(v)
+// readNumber returns a stored number; 0: there is none.
+func (v *voterStore) readNumber(key string) uint64 {
+	if data, ok := v.store.Get(key); ok && len(data) == 8 {
+		return binary.BigEndian.Uint64(data)
 	}
 	return 0
 }
 
-// save keeps a change, on disk when it returns.
-func (k *voterStore) save(c view.Change) error {
-	if k == nil {
+// save stores a change. It is on disk when save returns.
+func (v *voterStore) save(c view.Change) error {
+	if v == nil {
 		return nil
 	}
 	var b store.Batch
@@ -112,12 +114,13 @@
 		}
 		b.DeleteRange(entryPrefix, entryKey(last+1))
 	}
-	return k.store.Commit(&b)
+	return v.store.Commit(&b)
 }
 
-func (k *voterStore) close() error {
-	if k == nil {
+// close closes the file.
+func (v *voterStore) close() error {
+	if v == nil {
 		return nil
 	}
-	return k.store.Close()
+	return v.store.Close()
 }
--- a/internal/fleetsim/rules_test.go
+++ b/internal/fleetsim/rules_test.go
@@ -251,7 +251,9 @@
 // storm has editions pushed while members are killed, stopped and cut off, and frames lost.
 func storm(t testing.TB, seed uint64, mutate skew.Mutation) (*watched, int) {
 	w := New(Options{Members: 7, Seed: seed, Delay: 5 * time.Millisecond, Jitter: 20 * time.Millisecond, Loss: 0.03, Drift: 0.002, Keep: true,
-		Rules: readers(nil, func(_ int, c *skew.Config) { c.Mutate, c.ReturnTimeout, c.ReplyTimeout = mutate, 2*time.Second, 2*time.Second })})
+		Rules: readers(nil, func(_ int, c *skew.Config) {
+			c.Mutate, c.ReturnTimeout, c.ReplyTimeout = mutate, 2*time.Second, 2*time.Second
+		})})
 	x := watchRules(w)
 	w.StartAll(time.Second)
 	rng := w.rng
