--- a/internal/fleet/core.go
+++ b/internal/fleet/core.go
@@ -68,7 +68,7 @@
 	pace := cfg.Member.Pace
 	c := &Core{cfg: cfg, member: member.New(cfg.Member, now), pingTimes: make(map[uint64]time.Duration),
 		rng: rand.New(rand.NewPCG(cfg.Member.Seed, cfg.Member.Boot+1))}
-	times := quota.Times{Report: reportInterval * pace, Lease: max(cfg.View.Lease, minLease*pace), Act: actTimeout * pace, Drift: cfg.View.Drift}
+	times := quota.Times{ReportInterval: reportInterval * pace, Lease: max(cfg.View.Lease, minLease*pace), ActTimeout: actTimeout * pace, Drift: cfg.View.Drift}
 	c.holder = quota.NewHolder(times, uint64(c.rng.Uint32()), now+c.jitter(), cfg.MutateQuota)
 	c.granter = quota.NewGranter(times, cfg.MutateQuota)
 	c.suspensions.Merge(cfg.Suspensions)
@@ -77,8 +77,8 @@
 		c.evaluator = verdict.NewEvaluator(verdict.Config{Name: cfg.Member.Name, Zone: cfg.Member.Zone, Boot: cfg.Member.Boot, Pace: pace,
 			MaxPercent: cfg.VerdictPercent, Mutate: cfg.MutateVerdict}, now+c.jitter())
 	}
-	c.holder.Set(cfg.Limits)
-	c.granter.Set(cfg.Limits)
+	c.holder.SetLimits(cfg.Limits)
+	c.granter.SetLimits(cfg.Limits)
 	cfg.View.Members, cfg.View.Member = c.member.PresentRecords, c.member.Peer
 	views, err := view.New(cfg.View, now)
 	c.views = views
@@ -155,8 +155,8 @@
 			c.publishDraining([]verdict.Statement{s})
 		}
 	case SetLimits:
-		c.holder.Set(event.Limits)
-		c.granter.Set(event.Limits)
+		c.holder.SetLimits(event.Limits)
+		c.granter.SetLimits(event.Limits)
 		c.out = append(c.out, QuotaSharesChanged{})
 	case Leave:
 		c.handleMember(c.member.Step(now, member.Leave{}))
--- a/internal/fleet/coremember.go
+++ b/internal/fleet/coremember.go
@@ -31,7 +31,7 @@
 		c.stepEvaluator(verdict.Received{Opinions: f.Opinions})
 	}
 	if f.Report != nil {
-		if g, ok := c.granter.Reported(c.now, quota.Who{Name: f.From.Name, Boot: f.From.Boot}, *f.Report); ok {
+		if g, ok := c.granter.ReceiveReport(c.now, quota.Process{Name: f.From.Name, Boot: f.From.Boot}, *f.Report); ok {
 			c.transmit(member.Record{Name: f.From.Name, Addr: f.From.Addr}, peer.Frame{Grant: &g}, false)
 		}
 	}
--- a/internal/fleet/corequota.go
+++ b/internal/fleet/corequota.go
@@ -37,17 +37,17 @@
 	if c.cfg.Demand != nil {
 		for _, name := range c.holder.Names() {
 			demand, used := c.cfg.Demand(name, c.now)
-			c.holder.Demand(name, demand)
-			c.holder.Used(name, used)
+			c.holder.SetDemand(name, demand)
+			c.holder.SetInUse(name, used)
 		}
 	}
 	v, _ := c.views.View()
 	report := c.holder.Report(c.now)
 	interval := min(reportInterval*c.cfg.Member.Pace*time.Duration(max(1, len(v.Members)/fullRateMembers)), c.cfg.View.Lease/minReportsPerLease)
-	c.holder.Wait(c.now + interval*3/4 + time.Duration(c.rng.Int64N(int64(interval/2)+1)))
+	c.holder.Postpone(c.now + interval*3/4 + time.Duration(c.rng.Int64N(int64(interval/2)+1)))
 	_, leader := c.views.VoterGroup()
 	if leader == c.cfg.Member.Name {
-		if g, ok := c.granter.Reported(c.now, quota.Who{Name: leader, Boot: c.cfg.Member.Boot}, report); ok {
+		if g, ok := c.granter.ReceiveReport(c.now, quota.Process{Name: leader, Boot: c.cfg.Member.Boot}, report); ok {
 			c.applyGrant(g)
 		}
 		return
@@ -59,7 +59,7 @@
 
 // applyGrant takes in a grant for this member.
 func (c *Core) applyGrant(g quota.Grant) {
-	if c.holder.Granted(c.now, g) {
+	if c.holder.ReceiveGrant(c.now, g) {
 		c.out = append(c.out, QuotaSharesChanged{})
 	}
 }
--- a/internal/fleet/limitgates.go
+++ b/internal/fleet/limitgates.go
@@ -49,9 +49,9 @@
 			g.gate.Take(now, now)
 			continue
 		case g.Leased():
-			slot, after, ok = g.gate.TakeOf(now, ends.Sub(l.origin), g.Cold(warm))
+			slot, after, ok = g.gate.TakeReduced(now, ends.Sub(l.origin), g.Reduced(warm))
 		default:
-			after, ok = g.gate.Count(again, g.Limit().Most)
+			after, ok = g.gate.CountRetry(again, g.Limit().Total)
 		}
 		if !ok {
 			for _, p := range passed {
@@ -79,7 +79,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, g := range l.gates {
-		let, refused = let+g.gate.Let, refused+g.gate.Refused
+		let, refused = let+g.gate.Admitted, refused+g.gate.Rejected
 	}
 	return let, refused
 }
@@ -106,7 +106,7 @@
 		if g.Retry > 0 {
 			kind = "retry_pct"
 		}
-		return fmt.Sprintf("%s %s limit=%g here=%g lease=none let=%d refused=%d", g.Name, kind, g.Again+g.Retry, g.Again+g.Retry, g.gate.Let, g.gate.Refused)
+		return fmt.Sprintf("%s %s limit=%g here=%g lease=none let=%d refused=%d", g.Name, kind, g.Again+g.Retry, g.Again+g.Retry, g.gate.Admitted, g.gate.Rejected)
 	}
 	kind, format := "in_flight", func(u quota.Unit) string { return fmt.Sprint(u) }
 	if limit.Kind == quota.Rate {
@@ -116,6 +116,6 @@
 	if now < g.share.expiry && g.share.expiry < unlimitedLease {
 		lease, here = fmt.Sprintf("%dms", (g.share.expiry-now).Milliseconds()), g.share.amount
 	}
-	return fmt.Sprintf("%s %s limit=%s here=%s lease=%s past=%s demand=%s in_use=%d let=%d refused=%d", g.Name, kind, format(limit.Most), format(here),
-		lease, format(g.share.fallback), format(g.gate.Demand(now)), g.gate.InUse(), g.gate.Let, g.gate.Refused)
+	return fmt.Sprintf("%s %s limit=%s here=%s lease=%s past=%s demand=%s in_use=%d let=%d refused=%d", g.Name, kind, format(limit.Total), format(here),
+		lease, format(g.share.fallback), format(g.gate.Demand(now)), g.gate.InUse(), g.gate.Admitted, g.gate.Rejected)
 }
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -86,16 +86,16 @@
 		switch {
 		case s.Node > 0:
 			for _, node := range l.nodes {
-				if len(list) < quota.MostLimits {
-					l.nodeGates[node] = append(l.nodeGates[node], add(s.At(node)))
+				if len(list) < quota.MaxLimits {
+					l.nodeGates[node] = append(l.nodeGates[node], add(s.ForNode(node)))
 				}
 			}
 		case s.Retry > 0:
 			l.attemptGates = append(l.attemptGates, add(s))
 		case s.Shares:
 			for _, tenant := range l.tenants {
-				if tenant.Allowance > 0 && len(list) < quota.MostLimits {
-					g := add(s.Of(tenant.Name, tenant.Allowance))
+				if tenant.Allowance > 0 && len(list) < quota.MaxLimits {
+					g := add(s.ForTenant(tenant.Name, tenant.Allowance))
 					l.allowanceGates = append(l.allowanceGates, g)
 					l.tenantGates[tenant.Name] = append(l.tenantGates[tenant.Name], g)
 				}
@@ -164,8 +164,8 @@
 		if !g.Leased() {
 			continue
 		}
-		g.share.amount, g.share.fallback, g.share.expiry = h.Part(g.Name, now)
-		g.gate.Part(now, g.share.amount, g.share.fallback, g.share.expiry)
+		g.share.amount, g.share.fallback, g.share.expiry = h.Share(g.Name, now)
+		g.gate.SetShare(now, g.share.amount, g.share.fallback, g.share.expiry)
 	}
 }
 
--- a/internal/fleet/limits_test.go
+++ b/internal/fleet/limits_test.go
@@ -15,7 +15,7 @@
 // holds gives all of each limit to the gates, for an hour.
 func holds(l *limits) {
 	for _, g := range l.gates {
-		g.gate.Part(time.Since(l.origin), g.Limit().Most, 0, time.Hour)
+		g.gate.SetShare(time.Since(l.origin), g.Limit().Total, 0, time.Hour)
 	}
 }
 
@@ -78,8 +78,8 @@
 	before := heap()
 	l := &limits{origin: time.Now(), tenants: tenants}
 	list := l.set(quota.All{{Name: "shares", Shares: true, Members: 8}})
-	h := quota.NewHolder(quota.Times{Report: time.Second, Lease: time.Minute}, 1, 0, quota.NoMutation)
-	h.Set(list)
+	h := quota.NewHolder(quota.Times{ReportInterval: time.Second, Lease: time.Minute}, 1, 0, quota.NoMutation)
+	h.SetLimits(list)
 	l.updateShares(h)
 	took := heap() - before
 	t.Logf("%d limits, %.1f MB, %d bytes each", len(list), float64(took)/1e6, int(took)/len(list))
@@ -93,15 +93,15 @@
 	}
 	for _, name := range h.Names() {
 		demand, used := l.demand(name, time.Since(l.origin))
-		h.Demand(name, demand)
-		h.Used(name, used)
+		h.SetDemand(name, demand)
+		h.SetInUse(name, used)
 	}
 	r := h.Report(time.Since(l.origin))
 	b, err := peer.Encode(peer.Frame{Report: &r})
-	if err != nil || len(r.Claims) == 0 || len(r.Claims) > 1024 {
-		t.Errorf("%d claims, %d bytes, %v", len(r.Claims), len(b), err)
+	if err != nil || len(r.Limits) == 0 || len(r.Limits) > 1024 {
+		t.Errorf("%d claims, %d bytes, %v", len(r.Limits), len(b), err)
 	}
-	t.Logf("a report of %d claims has %d bytes", len(r.Claims), len(b))
+	t.Logf("a report of %d claims has %d bytes", len(r.Limits), len(b))
 	told := map[string]float64{}
 	tell := func(tenant string, rate float64) { told[tenant] = rate }
 	l.reportAllotments(tell)
@@ -109,7 +109,7 @@
 		t.Errorf("%d told, tenant-7 %g", len(told), told["tenant-7"])
 	}
 	clear(told)
-	h.Granted(time.Since(l.origin), quota.Grant{Seq: r.Seq, Parts: []quota.Part{{Limit: "shares/tenant-7", Amount: 9 * quota.PerSecond}}})
+	h.ReceiveGrant(time.Since(l.origin), quota.Grant{Seq: r.Seq, Shares: []quota.Share{{Limit: "shares/tenant-7", Amount: 9 * quota.PerSecond}}})
 	l.updateShares(h)
 	if l.reportAllotments(tell); len(told) != 1 || told["tenant-7"] != 9 {
 		t.Errorf("%v told by a grant", told)
--- a/internal/fleetsim/digest_test.go
+++ b/internal/fleetsim/digest_test.go
@@ -44,7 +44,7 @@
 	station := town(20)
 	station.Outcome = failing(25*time.Second, 35*time.Second, seed%2 == 0)
 	limits := limits(seed%2 == 0)
-	limits[0].Members = quota.Unit(members)
+	limits[0].MaxMembers = quota.Unit(members)
 	return Options{Members: members, Seed: seed, Delay: time.Millisecond, Jitter: 30 * time.Millisecond, Loss: 0.02, Drift: 0.005,
 		Keep: seed%2 == 0, Limits: limits, Demand: turning(members), Station: station, Rules: readers(nil, nil)}
 }
@@ -212,7 +212,7 @@
 		for _, other := range n.Core.Members().Others() {
 			entry.Bytes(encoded(t, other.Record)).Time(other.StateSince).Time(other.LastContact)
 		}
-		amount, past, until := n.Core.Holder().Part("x", n.clock(w.Now()))
+		amount, past, until := n.Core.Holder().Share("x", n.clock(w.Now()))
 		entry.Number(uint64(amount)).Number(uint64(past)).Time(until)
 		entry.Bytes(encoded(t, n.Core.Suspensions().All())).Bytes(encoded(t, slices.Clone(n.seen.avoid)))
 	}
--- a/internal/fleetsim/quota.go
+++ b/internal/fleetsim/quota.go
@@ -49,7 +49,7 @@
 			continue
 		}
 		now := n.clock(at)
-		part, _, until := n.Core.Holder().Part(l.Name, now)
+		part, _, until := n.Core.Holder().Share(l.Name, now)
 		all += part
 		if until > now+1000*time.Hour {
 			cut++
@@ -57,7 +57,7 @@
 		if w.opts.Demand != nil {
 			d := w.opts.Demand(n.Index, at)
 			used += min(d, part)
-			even += min(d, l.Most/quota.Unit(up))
+			even += min(d, l.Total/quota.Unit(up))
 			wanted += d
 		}
 	}
@@ -66,12 +66,12 @@
 	if cut > 0 {
 		s.CutOff++
 	}
-	if most := l.Most + over(cut); all > most && len(s.Broken) < mostBroken {
+	if most := l.Total + over(cut); all > most && len(s.Broken) < mostBroken {
 		s.Broken = append(s.Broken, fmt.Sprintf("%v: parts sum to %d of %d, %d without a lease", at, all, most, cut))
 	}
 	d := float64(at - s.at)
 	s.at = at
-	could := float64(min(wanted, l.Most))
+	could := float64(min(wanted, l.Total))
 	s.usedSum, s.evenSum, s.wanted = s.usedSum+d*float64(used), s.evenSum+d*float64(even), s.wanted+d*could
 	if s.wanted > 0 {
 		s.Used, s.Static = s.usedSum/s.wanted, s.evenSum/s.wanted
--- a/internal/fleetsim/quota_test.go
+++ b/internal/fleetsim/quota_test.go
@@ -13,7 +13,7 @@
 func none(int) quota.Unit { return 0 }
 
 func limits(policy bool) []quota.Limit {
-	return []quota.Limit{{Name: "x", Kind: quota.Rate, Most: 100 * quota.PerSecond, Floor: 20, Members: 7, Available: policy}}
+	return []quota.Limit{{Name: "x", Kind: quota.Rate, Total: 100 * quota.PerSecond, FloorPercent: 20, MaxMembers: 7, Available: policy}}
 }
 
 // turning is a demand of 10 to 1 that moves to another member every 20 s; in all it is 90% of the limit.
@@ -89,7 +89,7 @@
 func TestPartsFollowDemand(t *testing.T) {
 	for _, members := range []int{3, 5, 7} {
 		all := limits(false)
-		all[0].Members = quota.Unit(members)
+		all[0].MaxMembers = quota.Unit(members)
 		w := New(Options{Members: members, Delay: time.Millisecond, Seed: 1, Limits: all, Demand: turning(members)})
 		w.StartAll(time.Second)
 		w.Run(time.Second, nil)
@@ -126,7 +126,7 @@
 		least := 100 * quota.PerSecond
 		w.Stepped = func(n *Node, at time.Duration) {
 			if n.Core != nil {
-				part, _, _ := n.Core.Holder().Part("x", n.clock(at))
+				part, _, _ := n.Core.Holder().Share("x", n.clock(at))
 				least = min(least, part)
 			}
 		}
@@ -155,14 +155,14 @@
 // part is what a member may use of the limit now, in requests a second.
 func part(w *World, i int) float64 {
 	n := w.Node(i)
-	p, _, _ := n.Core.Holder().Part("x", n.clock(w.Now()))
+	p, _, _ := n.Core.Holder().Share("x", n.clock(w.Now()))
 	return float64(p) / float64(quota.PerSecond)
 }
 
 // Members are doubled in two seconds: the sum holds at every instant, and all have their part soon.
 func TestMembersAreDoubled(t *testing.T) {
 	all := limits(false)
-	all[0].Members = 10
+	all[0].MaxMembers = 10
 	w := formed(t, Options{Members: 10, Limits: all, Demand: func(int, time.Duration) quota.Unit { return 20 * quota.PerSecond }})
 	s := w.Sums(0, none)
 	for i, n := range w.Nodes()[5:] {
@@ -186,7 +186,7 @@
 func TestSplitWithDemandOnTheSmallSide(t *testing.T) {
 	for _, available := range []bool{false, true} {
 		all := limits(available)
-		all[0].Members = 5
+		all[0].MaxMembers = 5
 		over := func(cut int) quota.Unit {
 			if !available {
 				return 0
@@ -224,7 +224,7 @@
 	for _, who := range [][]int{{0, 1, 2}, {3}} {
 		w := formed(t, Options{Members: 5, Limits: limits(false), Demand: func(int, time.Duration) quota.Unit { return 30 * quota.PerSecond }})
 		lower := limits(false)
-		lower[0].Most /= 2
+		lower[0].Total /= 2
 		for _, i := range who {
 			w.Node(i).step(fleet.SetLimits{Limits: lower})
 		}
--- a/internal/quota/check_test.go
+++ b/internal/quota/check_test.go
@@ -13,7 +13,7 @@
 	"fieldrelay/internal/explore"
 )
 
-var times = Times{Report: time.Second, Lease: 10 * time.Second, Act: 2 * time.Second, Drift: 0.01}
+var times = Times{ReportInterval: time.Second, Lease: 10 * time.Second, ActTimeout: 2 * time.Second, Drift: 0.01}
 
 // three is three members and one limit, with every message held until it is delivered or dropped. Who leads is decided
 // by a majority outside: the one before may go on until what it confirmed is too old.
@@ -32,19 +32,19 @@
 }
 
 type told struct {
-	who Who
+	who Process
 	to  int
 	Report
 }
 
 func newThree(mutate Mutation, kind Kind) *three {
-	w := &three{limit: Limit{Name: "x", Kind: kind, Most: 30, Floor: 30, Members: 3}, mutate: mutate, demand: [3]Unit{20, 5, 5}}
+	w := &three{limit: Limit{Name: "x", Kind: kind, Total: 30, FloorPercent: 30, MaxMembers: 3}, mutate: mutate, demand: [3]Unit{20, 5, 5}}
 	for i := range 3 {
 		w.boots[i] = uint64(i + 1)
 		w.holders[i] = NewHolder(times, uint64(100*i), 0, mutate)
-		w.holders[i].Set([]Limit{w.limit})
+		w.holders[i].SetLimits([]Limit{w.limit})
 		w.granters[i] = NewGranter(times, mutate)
-		w.granters[i].Set([]Limit{w.limit})
+		w.granters[i].SetLimits([]Limit{w.limit})
 	}
 	w.elect(0)
 	w.now += 20 * time.Second // past what a new granter waits
@@ -72,11 +72,11 @@
 func (w *three) confirm() { w.granters[w.leader].Lead(w.now, Term{Term: w.term}, w.now) }
 
 func (w *three) report(i int) {
-	w.holders[i].Demand("x", w.demand[i])
+	w.holders[i].SetDemand("x", w.demand[i])
 	r := w.holders[i].Report(w.now)
 	for to := range 3 { // it may not know who leads: a stale one is asked as well
 		if len(w.reports[i]) < 4 && (to == w.leader || w.granters[to].acting) {
-			w.reports[i] = append(w.reports[i], told{Who{fmt.Sprint(i), w.boots[i]}, to, r})
+			w.reports[i] = append(w.reports[i], told{Process{fmt.Sprint(i), w.boots[i]}, to, r})
 		}
 	}
 }
@@ -84,7 +84,7 @@
 func (w *three) deliverReport(i, at int) {
 	r := w.reports[i][at]
 	w.reports[i] = append(w.reports[i][:at:at], w.reports[i][at+1:]...)
-	if g, ok := w.granters[r.to].Reported(w.now, r.who, r.Report); ok && len(w.grants[i]) < 4 {
+	if g, ok := w.granters[r.to].ReceiveReport(w.now, r.who, r.Report); ok && len(w.grants[i]) < 4 {
 		w.grants[i] = append(w.grants[i], g)
 	}
 }
@@ -92,7 +92,7 @@
 func (w *three) deliverGrant(i, at int) {
 	g := w.grants[i][at]
 	w.grants[i] = append(w.grants[i][:at:at], w.grants[i][at+1:]...)
-	w.holders[i].Granted(w.now, g)
+	w.holders[i].ReceiveGrant(w.now, g)
 }
 
 type choice struct {
@@ -119,7 +119,7 @@
 	add("member 0 is started anew", func() { // the one before is stopped, and its lease runs on
 		w.boots[0] += 10
 		w.holders[0] = NewHolder(times, 1000*w.boots[0], w.now, w.mutate)
-		w.holders[0].Set([]Limit{w.limit})
+		w.holders[0].SetLimits([]Limit{w.limit})
 	})
 	return all
 }
@@ -138,11 +138,11 @@
 	var all Unit
 	var parts [3]Unit
 	for i, h := range w.holders {
-		parts[i], _, _ = h.Part("x", w.now)
+		parts[i], _, _ = h.Share("x", w.now)
 		all += parts[i]
 	}
-	if all > w.limit.Most {
-		return fmt.Errorf("%v sum to %d of %d", parts, all, w.limit.Most)
+	if all > w.limit.Total {
+		return fmt.Errorf("%v sum to %d of %d", parts, all, w.limit.Total)
 	}
 	return nil
 }
@@ -151,13 +151,13 @@
 	var b strings.Builder
 	for i := range 3 {
 		h, k := w.holders[i], w.holders[i].limits["x"]
-		fmt.Fprintln(&b, h.seq, h.sent-w.now, h.open, h.term, k.amount, k.until-w.now, k.demand, w.reports[i], w.grants[i], w.boots[i])
+		fmt.Fprintln(&b, h.seq, h.sentAt-w.now, h.awaitsGrant, h.term, k.amount, k.expiry-w.now, k.demand, w.reports[i], w.grants[i], w.boots[i])
 		g := w.granters[i]
-		fmt.Fprintln(&b, g.acting, g.term, max(0, g.from-w.now), max(0, g.free-w.now), max(0, g.valid-w.now))
+		fmt.Fprintln(&b, g.acting, g.term, max(0, g.actFrom-w.now), max(0, g.growFrom-w.now), max(0, g.actUntil-w.now))
 		for j := range 3 {
 			for boot := uint64(0); boot <= w.boots[j]; boot++ {
-				if e := g.ledger["x"][Who{fmt.Sprint(j), boot}]; e != nil {
-					fmt.Fprintln(&b, j, boot, e.amount, e.until-w.now, e.seq, e.demand)
+				if e := g.outstanding["x"][Process{fmt.Sprint(j), boot}]; e != nil {
+					fmt.Fprintln(&b, j, boot, e.amount, e.expiry-w.now, e.seq, e.demand)
 				}
 			}
 		}
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -10,18 +10,18 @@
 	kind  Kind
 	burst time.Duration // of a rate: how much of the past may be made up for
 
-	part, past Unit
-	until      time.Duration // of the leased part
-
-	tokens int64 // units times microseconds, of a rate: request makes one
-	filled time.Duration
-	leased int64 // in flight on leased slots,
-	own    int64 // and on those that are for good
-
-	asked   float64 // requests asked for, aged, of a rate; the most in flight lately, of a limit in flight
-	counted time.Duration
-	Let     int64 // requests let through since the start,
-	Refused int64 // and turned back
+	share, fallback Unit
+	expiry          time.Duration // of the leased part
+
+	tokens         int64 // units times microseconds, of a rate: request makes one
+	filledAt       time.Duration
+	leasedInFlight int64 // in flight on leased slots,
+	ownInFlight    int64 // and on those that are for good
+
+	demand   float64 // requests asked for, aged, of a rate; the most in flight lately, of a limit in flight
+	demandAt time.Duration
+	Admitted int64 // requests let through since the start,
+	Rejected int64 // and turned back
 }
 
 const (
@@ -29,41 +29,41 @@
 	demandAge = 2 * time.Second
 	// headroom is by how much more than was asked for is wanted, so that a growing demand is not cut first.
 	headroom = 1.25
-	// mostAfter bounds what is advised to who is turned back.
-	mostAfter = 10 * time.Second
+	// maxRetryAfter bounds what is advised to who is turned back.
+	maxRetryAfter = 10 * time.Second
 )
 
 // request is what one request costs: a second of PerSecond.
-const request = PerSecond * int64(time.Second/time.Microsecond)
+const requestCost = PerSecond * int64(time.Second/time.Microsecond)
 
 // NewGate makes a gate that lets one request through before it is told a part, or some repeats.
 func NewGate(kind Kind, burst time.Duration, now time.Duration) *Gate {
-	if kind == Again {
-		return &Gate{kind: kind, tokens: againSaved * PerSecond}
+	if kind == Retries {
+		return &Gate{kind: kind, tokens: maxSavedRetries * PerSecond}
 	}
-	return &Gate{kind: kind, burst: burst, filled: now, counted: now, tokens: request}
+	return &Gate{kind: kind, burst: burst, filledAt: now, demandAt: now, tokens: requestCost}
 }
 
-// Part tells what may be used until a time, and what past it.
-func (g *Gate) Part(now time.Duration, part, past Unit, until time.Duration) {
+// Share tells what may be used until a time, and what past it.
+func (g *Gate) SetShare(now time.Duration, share, fallback Unit, expiry time.Duration) {
 	if g.kind == Rate {
 		g.fill(now)
 	}
-	g.part, g.past, g.until = part, past, until
-	g.cut()
+	g.share, g.fallback, g.expiry = share, fallback, expiry
+	g.capTokens()
 }
 
 // present is what may be used at a time: the leased part ends with its lease, whoever is late to say so.
-func (g *Gate) present(now time.Duration) Unit {
-	if now >= g.until {
-		return g.past
+func (g *Gate) currentShare(now time.Duration) Unit {
+	if now >= g.expiry {
+		return g.fallback
 	}
-	return g.part
+	return g.share
 }
 
 // fill adds the tokens of the time that has passed, each stretch at the part that held in it.
 func (g *Gate) fill(now time.Duration) {
-	if now <= g.filled {
+	if now <= g.filledAt {
 		return
 	}
 	earn := func(part Unit, d time.Duration) {
@@ -72,38 +72,38 @@
 		}
 	}
 	// Whole microseconds, so that nothing is lost where calls come fast.
-	now = g.filled + (now - g.filled).Truncate(time.Microsecond)
-	split := min(max(g.until, g.filled), now)
-	earn(g.part, split-g.filled)
-	earn(g.past, now-split)
-	g.filled = now
-	g.cut()
+	now = g.filledAt + (now - g.filledAt).Truncate(time.Microsecond)
+	split := min(max(g.expiry, g.filledAt), now)
+	earn(g.share, split-g.filledAt)
+	earn(g.fallback, now-split)
+	g.filledAt = now
+	g.capTokens()
 }
 
 // cut bounds what has been saved up: a part that shrinks shrinks it. One request is always worth waiting for.
-func (g *Gate) cut() {
-	most := max(request, g.present(g.filled)*int64(g.burst/time.Microsecond))
+func (g *Gate) capTokens() {
+	most := max(requestCost, g.currentShare(g.filledAt)*int64(g.burst/time.Microsecond))
 	g.tokens = min(g.tokens, most)
 }
 
-// againSaved is how many repeats may be saved up for.
-const againSaved = 10
+// maxSavedRetries is how many repeats may be saved up for.
+const maxSavedRetries = 10
 
-// Count lets a first request through a gate of repeats, which earns them, or takes a repeat's part. after is a guess: it
+// CountRetry lets a first request through a gate of repeats, which earns them, or takes a repeat's part. after is a guess: it
 // depends on what others ask.
-func (g *Gate) Count(again bool, share Unit) (after time.Duration, ok bool) {
-	const one = request / int64(time.Second/time.Microsecond) // in units
+func (g *Gate) CountRetry(again bool, share Unit) (after time.Duration, ok bool) {
+	const one = requestCost / int64(time.Second/time.Microsecond) // in units
 	if !again {
-		g.tokens = min(g.tokens+share, againSaved*one)
-		g.Let++
+		g.tokens = min(g.tokens+share, maxSavedRetries*one)
+		g.Admitted++
 		return 0, true
 	}
 	if g.tokens < one {
-		g.Refused++
+		g.Rejected++
 		return time.Second, false
 	}
 	g.tokens -= one
-	g.Let++
+	g.Admitted++
 	return 0, true
 }
 
@@ -121,51 +121,51 @@
 // Take lets one request through, or tells after what time another try is likely to be. ends is when the request is over
 // at the latest.
 func (g *Gate) Take(now, ends time.Duration) (slot Slot, after time.Duration, ok bool) {
-	return g.TakeOf(now, ends, Whole)
+	return g.TakeReduced(now, ends, Unreduced)
 }
 
-// Cut is what of a limit in flight may be used for the time being: a part, rounded down, and so many at the least, as far
+// Reduction is what of a limit in flight may be used for the time being: a part, rounded down, and so many at the least, as far
 // as the member has them.
-type Cut struct {
-	Part  float64
-	Least Unit
+type Reduction struct {
+	Fraction float64
+	Min      Unit
 }
 
-// Whole cuts nothing.
-var Whole = Cut{Part: 1}
+// Unreduced cuts nothing.
+var Unreduced = Reduction{Fraction: 1}
 
-func (c Cut) of(u Unit) Unit { return min(u, max(c.Least, Unit(c.Part*float64(u)))) }
+func (c Reduction) of(u Unit) Unit { return min(u, max(c.Min, Unit(c.Fraction*float64(u)))) }
 
-// TakeOf is Take of a part of what this member may use.
-func (g *Gate) TakeOf(now, ends time.Duration, cut Cut) (slot Slot, after time.Duration, ok bool) {
-	g.note(now)
+// TakeReduced is Take of a part of what this member may use.
+func (g *Gate) TakeReduced(now, ends time.Duration, cut Reduction) (slot Slot, after time.Duration, ok bool) {
+	g.recordDemand(now)
 	if g.kind == Rate {
 		g.fill(now)
-		if g.tokens >= request {
-			g.tokens -= request
-			g.Let++
+		if g.tokens >= requestCost {
+			g.tokens -= requestCost
+			g.Admitted++
 			return Token, 0, true
 		}
-		g.Refused++
-		after = mostAfter
-		if part := g.present(now); part > 0 {
-			after = min(mostAfter, time.Duration((request-g.tokens)/part+1)*time.Microsecond)
+		g.Rejected++
+		after = maxRetryAfter
+		if part := g.currentShare(now); part > 0 {
+			after = min(maxRetryAfter, time.Duration((requestCost-g.tokens)/part+1)*time.Microsecond)
 		}
 		return NoSlot, after, false
 	}
-	room := g.InUse() < cut.of(g.present(now))
+	room := g.InUse() < cut.of(g.currentShare(now))
 	switch {
-	case room && ends <= g.until: // over before the lease is: it outlives no part
-		g.leased++
+	case room && ends <= g.expiry: // over before the lease is: it outlives no part
+		g.leasedInFlight++
 		slot = Leased
-	case room && g.own < cut.of(g.past):
-		g.own++
+	case room && g.ownInFlight < cut.of(g.fallback):
+		g.ownInFlight++
 		slot = Own
 	default:
-		g.Refused++
-		return NoSlot, min(mostAfter, max(50*time.Millisecond, (ends-now)/4)), false
+		g.Rejected++
+		return NoSlot, min(maxRetryAfter, max(50*time.Millisecond, (ends-now)/4)), false
 	}
-	g.Let++
+	g.Admitted++
 	return slot, 0, true
 }
 
@@ -173,53 +173,53 @@
 func (g *Gate) Done(s Slot) {
 	switch s {
 	case Leased:
-		g.leased--
+		g.leasedInFlight--
 	case Own:
-		g.own--
+		g.ownInFlight--
 	}
 }
 
 // Undo takes a request back that was let through and is turned back by another limit.
 func (g *Gate) Undo(s Slot) {
-	g.Let--
+	g.Admitted--
 	if s == Token {
-		g.tokens += request
+		g.tokens += requestCost
 		return
 	}
 	g.Done(s)
 }
 
 // InUse is how many requests are in flight.
-func (g *Gate) InUse() Unit { return g.leased + g.own }
+func (g *Gate) InUse() Unit { return g.leasedInFlight + g.ownInFlight }
 
 // note counts what is asked for.
-func (g *Gate) note(now time.Duration) {
-	g.age(now)
+func (g *Gate) recordDemand(now time.Duration) {
+	g.ageDemand(now)
 	if g.kind == Rate {
-		g.asked++
+		g.demand++
 		return
 	}
-	g.asked = max(g.asked, float64(g.InUse()+1))
+	g.demand = max(g.demand, float64(g.InUse()+1))
 }
 
 // age forgets: of a rate, a part of the sum each moment; of what is in flight, the peak falls toward the present.
-func (g *Gate) age(now time.Duration) {
-	if d := now - g.counted; d > 0 {
+func (g *Gate) ageDemand(now time.Duration) {
+	if d := now - g.demandAt; d > 0 {
 		keep := 1 - min(1, float64(d)/float64(demandAge))
-		g.asked *= keep
+		g.demand *= keep
 		if g.kind == InFlight {
-			g.asked = max(g.asked, float64(g.InUse()))
+			g.demand = max(g.demand, float64(g.InUse()))
 		}
-		g.counted = now
+		g.demandAt = now
 	}
 }
 
-// Demand is what this member could use, in units.
+// SetDemand is what this member could use, in units.
 func (g *Gate) Demand(now time.Duration) Unit {
-	g.age(now)
+	g.ageDemand(now)
 	if g.kind == Rate {
 		// The sum of what has been asked for, each weighed by its age, is the rate times the age.
-		return Unit(g.asked / demandAge.Seconds() * headroom * float64(PerSecond))
+		return Unit(g.demand / demandAge.Seconds() * headroom * float64(PerSecond))
 	}
-	return Unit(g.asked*headroom + 0.999)
+	return Unit(g.demand*headroom + 0.999)
 }
--- a/internal/quota/gate_test.go
+++ b/internal/quota/gate_test.go
@@ -21,7 +21,7 @@
 func TestRateGate(t *testing.T) {
 	const s = time.Second
 	g := NewGate(Rate, 100*time.Millisecond, 0)
-	g.Part(0, 50*PerSecond, 5*PerSecond, 10*s)
+	g.SetShare(0, 50*PerSecond, 5*PerSecond, 10*s)
 	if n := asks(g, 0, 5*s, 200); n < 249 || n > 256 { // 250, and what may be saved up
 		t.Errorf("%d of 250 in 5 s", n)
 	}
@@ -32,9 +32,9 @@
 	if n := asks(g, 5*s, 15*s, 200); n < 270 || n > 282 {
 		t.Errorf("%d of 275 over the end of the lease", n)
 	}
-	g.Part(15*s, 50*PerSecond, 5*PerSecond, 100*s)
+	g.SetShare(15*s, 50*PerSecond, 5*PerSecond, 100*s)
 	asks(g, 15*s, 16*s, 1)
-	g.Part(16*s, 5*PerSecond, 5*PerSecond, 100*s) // what was saved up at 50 goes with the part
+	g.SetShare(16*s, 5*PerSecond, 5*PerSecond, 100*s) // what was saved up at 50 goes with the part
 	if n := asks(g, 16*s, 17*s, 1000); n > 6 {
 		t.Errorf("%d of 5 after the part was taken back", n)
 	}
@@ -47,7 +47,7 @@
 func TestInFlightGate(t *testing.T) {
 	const s = time.Second
 	g := NewGate(InFlight, 0, 0)
-	g.Part(0, 5, 2, 10*s)
+	g.SetShare(0, 5, 2, 10*s)
 	var slots []Slot
 	for range 5 {
 		slot, _, ok := g.Take(0, s)
@@ -75,20 +75,20 @@
 
 // Repeats are a part of the other requests, and what may be saved up.
 func TestRepeatsAreAPartOfRequests(t *testing.T) {
-	share := Settings{Again: 20}.Limit().Most
-	g := NewGate(Again, 0, 0)
+	share := Settings{Again: 20}.Limit().Total
+	g := NewGate(Retries, 0, 0)
 	let := 0
 	for i := range 1000 {
-		if after, ok := g.Count(true, share); ok {
+		if after, ok := g.CountRetry(true, share); ok {
 			let++
 		} else if after <= 0 {
 			t.Fatal("turned back without a word when to come again")
 		}
 		if i%2 == 0 { // 500 first requests among 1,000 repeats
-			g.Count(false, share)
+			g.CountRetry(false, share)
 		}
 	}
-	if let != 100+againSaved {
+	if let != 100+maxSavedRetries {
 		t.Errorf("%d repeats were let through beside 500 requests", let)
 	}
 }
@@ -120,15 +120,15 @@
 
 // Whoever makes up names fills the ledger up to its bound, and no further.
 func TestLedgerIsBounded(t *testing.T) {
-	g := NewGranter(Times{Report: time.Second, Lease: 10 * time.Second, Act: 100 * time.Second}, NoMutation)
-	g.Set([]Limit{{Name: "x", Most: 1000, Members: 4}})
+	g := NewGranter(Times{ReportInterval: time.Second, Lease: 10 * time.Second, ActTimeout: 100 * time.Second}, NoMutation)
+	g.SetLimits([]Limit{{Name: "x", Total: 1000, MaxMembers: 4}})
 	g.Lead(0, Term{Term: 1}, 0)
 	g.Lead(110*time.Second, Term{Term: 1}, 110*time.Second)
-	for i := range mostHolders + 50 {
-		g.Reported(120*time.Second, Who{Name: "n", Boot: uint64(i + 1)}, Report{Seq: 1, Claims: []Claim{{Limit: "x", Most: 1000}}})
+	for i := range maxHolders + 50 {
+		g.ReceiveReport(120*time.Second, Process{Name: "n", Boot: uint64(i + 1)}, Report{Seq: 1, Limits: []LimitReport{{Limit: "x", Total: 1000}}})
 	}
-	if n := len(g.ledger["x"]); n != mostHolders {
-		t.Errorf("%d in the ledger, %d at the most", n, mostHolders)
+	if n := len(g.outstanding["x"]); n != maxHolders {
+		t.Errorf("%d in the ledger, %d at the most", n, maxHolders)
 	}
 }
 
@@ -140,10 +140,10 @@
 		want int
 	}{{1, 10}, {0.5, 5}, {0.31, 3}, {0.1, 1}, {0.05, 0}} {
 		g := NewGate(InFlight, 0, 0)
-		g.Part(0, 10, 0, time.Hour)
+		g.SetShare(0, 10, 0, time.Hour)
 		got := 0
 		for range 20 {
-			if _, _, ok := g.TakeOf(0, time.Second, s.Cold(c.warm)); ok {
+			if _, _, ok := g.TakeReduced(0, time.Second, s.Reduced(c.warm)); ok {
 				got++
 			}
 		}
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -26,13 +26,13 @@
 	strict    = "strict"
 	available = "available"
 
-	mostName    = 64
-	mostRate    = 1e6
-	mostSlots   = 1 << 20
-	mostMembers = 2048
-	mostAgain   = 1000
-	mostBurst   = 10_000
-	usualBurst  = 100
+	maxNameBytes    = 64
+	maxRate         = 1e6
+	maxSlots        = 1 << 20
+	maxMembers      = 2048
+	maxRetryPercent = 1000
+	maxBurst        = 10_000
+	defaultBurst    = 100
 )
 
 // All are the tables of the section.
@@ -40,14 +40,14 @@
 
 // Check calls fault for each key whose value cannot be used. fleet tells whether the file names a fleet.
 func (all All) Check(fleet bool, fault func(key string, read any, allowed string)) {
-	if len(all) > MostLimits {
-		fault("", len(all), fmt.Sprintf("%d tables at most", MostLimits))
+	if len(all) > MaxLimits {
+		fault("", len(all), fmt.Sprintf("%d tables at most", MaxLimits))
 	}
 	seen := map[string]bool{}
 	for i, s := range all {
 		key := func(name string) string { return fmt.Sprintf("[%d].%s", i, name) }
-		if s.Name == "" || len(s.Name) > mostName || seen[s.Name] {
-			fault(key("name"), s.Name, fmt.Sprintf("a name of 1 to %d bytes, once", mostName))
+		if s.Name == "" || len(s.Name) > maxNameBytes || seen[s.Name] {
+			fault(key("name"), s.Name, fmt.Sprintf("a name of 1 to %d bytes, once", maxNameBytes))
 		}
 		seen[s.Name] = true
 		named := 0
@@ -56,22 +56,22 @@
 				named++
 			}
 		}
-		if named != 1 || s.PerSecond < 0 || s.PerSecond > mostRate || s.InFlight < 0 || s.InFlight > mostSlots || s.Again < 0 || s.Again > mostAgain ||
-			s.Retry < 0 || s.Retry > mostAgain || s.Node < 0 || s.Node > mostSlots {
+		if named != 1 || s.PerSecond < 0 || s.PerSecond > maxRate || s.InFlight < 0 || s.InFlight > maxSlots || s.Again < 0 || s.Again > maxRetryPercent ||
+			s.Retry < 0 || s.Retry > maxRetryPercent || s.Node < 0 || s.Node > maxSlots {
 			fault(key("per_second"), s.PerSecond, fmt.Sprintf("one of per_second (over 0, up to %g), in_flight and node_in_flight (1 to %d), again_pct and retry_pct (over 0, up to %d), allowances = true",
-				mostRate, mostSlots, mostAgain))
+				maxRate, maxSlots, maxRetryPercent))
 		}
 		if s.Floor < 0 || s.Floor > 100 {
 			fault(key("floor_pct"), s.Floor, "0 to 100")
 		}
-		if s.Leased() && s.Members < 1 || s.Members < 0 || s.Members > mostMembers {
-			fault(key("members"), s.Members, fmt.Sprintf("1 to %d", mostMembers))
+		if s.Leased() && s.Members < 1 || s.Members < 0 || s.Members > maxMembers {
+			fault(key("members"), s.Members, fmt.Sprintf("1 to %d", maxMembers))
 		}
 		if s.Policy != "" && s.Policy != strict && s.Policy != available {
 			fault(key("policy"), s.Policy, "strict or available")
 		}
-		if s.Burst < 0 || s.Burst > mostBurst {
-			fault(key("burst_ms"), s.Burst, fmt.Sprintf("0 (%d) to %d", usualBurst, mostBurst))
+		if s.Burst < 0 || s.Burst > maxBurst {
+			fault(key("burst_ms"), s.Burst, fmt.Sprintf("0 (%d) to %d", defaultBurst, maxBurst))
 		}
 		if !fleet {
 			fault(key("name"), s.Name, "only where the section fleet names a fleet")
@@ -81,16 +81,16 @@
 
 // Limit is the limit of the settings.
 func (s Settings) Limit() Limit {
-	l := Limit{Name: s.Name, Kind: Rate, Most: Unit(s.PerSecond * float64(PerSecond)), Floor: Unit(s.Floor), Members: Unit(s.Members), Available: s.Policy == available}
+	l := Limit{Name: s.Name, Kind: Rate, Total: Unit(s.PerSecond * float64(PerSecond)), FloorPercent: Unit(s.Floor), MaxMembers: Unit(s.Members), Available: s.Policy == available}
 	switch {
 	case s.InFlight > 0:
-		l.Kind, l.Most = InFlight, Unit(s.InFlight)
+		l.Kind, l.Total = InFlight, Unit(s.InFlight)
 	case s.Again > 0:
-		l.Kind, l.Most = Again, Unit(s.Again*float64(PerSecond)/100)
+		l.Kind, l.Total = Retries, Unit(s.Again*float64(PerSecond)/100)
 	case s.Retry > 0:
-		l.Kind, l.Most = Again, Unit(s.Retry*float64(PerSecond)/100)
+		l.Kind, l.Total = Retries, Unit(s.Retry*float64(PerSecond)/100)
 	case s.Node > 0:
-		l.Kind, l.Most = InFlight, Unit(s.Node)
+		l.Kind, l.Total = InFlight, Unit(s.Node)
 	}
 	return l
 }
@@ -98,7 +98,7 @@
 // BurstTime is how much of the past may be made up for.
 func (s Settings) BurstTime() time.Duration {
 	if s.Burst == 0 {
-		return usualBurst * time.Millisecond
+		return defaultBurst * time.Millisecond
 	}
 	return time.Duration(s.Burst) * time.Millisecond
 }
@@ -106,27 +106,27 @@
 // Leased tells whether the limit is one of parts that are leased.
 func (s Settings) Leased() bool { return s.Again == 0 && s.Retry == 0 }
 
-// OfClaims tells whether the limit counts attempts at execute nodes, not requests.
-func (s Settings) OfClaims() bool { return s.Retry > 0 || s.Node > 0 }
+// CountsAttempts tells whether the limit counts attempts at execute nodes, not requests.
+func (s Settings) CountsAttempts() bool { return s.Retry > 0 || s.Node > 0 }
 
-// Cold is what of the limit may be used at a node that can do only a part of what it will: where that gives each member one
+// Reduced is what of the limit may be used at a node that can do only a part of what it will: where that gives each member one
 // of what is in flight, each has one at the least.
-func (s Settings) Cold(part float64) Cut {
-	c := Cut{Part: part}
-	if l := s.Limit(); part*float64(l.Most) >= float64(l.Members) {
-		c.Least = 1
+func (s Settings) Reduced(part float64) Reduction {
+	c := Reduction{Fraction: part}
+	if l := s.Limit(); part*float64(l.Total) >= float64(l.MaxMembers) {
+		c.Min = 1
 	}
 	return c
 }
 
-// Of is the limit of one tenant's allowance, in requests a second. Without a lease an equal part holds, as without a fleet.
-func (s Settings) Of(tenant string, allowance float64) Settings {
+// ForTenant is the limit of one tenant's allowance, in requests a second. Without a lease an equal part holds, as without a fleet.
+func (s Settings) ForTenant(tenant string, allowance float64) Settings {
 	s.Name, s.Tenant, s.PerSecond, s.Policy = s.Name+"/"+tenant, tenant, allowance, available
 	return s
 }
 
-// At is the limit for one execute node, of one that is for each.
-func (s Settings) At(node string) Settings {
+// ForNode is the limit for one execute node, of one that is for each.
+func (s Settings) ForNode(node string) Settings {
 	s.Name += "/" + node
 	return s
 }
@@ -140,13 +140,13 @@
 func (s Settings) Bound() string {
 	l := s.Limit()
 	if s.Retry > 0 {
-		return fmt.Sprintf("quota %s: attempts after the first are %g%% of those at the most, and %d for each member, whatever fails", s.Name, s.Retry, againSaved)
+		return fmt.Sprintf("quota %s: attempts after the first are %g%% of those at the most, and %d for each member, whatever fails", s.Name, s.Retry, maxSavedRetries)
 	}
 	if s.Shares {
 		return fmt.Sprintf("quota %s: the parts of each tenant's allowance sum to it, and with cut members without a lease to cut/%d of its pool more", s.Name, s.Members)
 	}
-	if l.Kind == Again {
-		return fmt.Sprintf("quota %s: repeats are let through as %g%% of the other requests, and %d for each member, whatever fails", s.Name, s.Again, againSaved)
+	if l.Kind == Retries {
+		return fmt.Sprintf("quota %s: repeats are let through as %g%% of the other requests, and %d for each member, whatever fails", s.Name, s.Again, maxSavedRetries)
 	}
 	show := func(u Unit) string {
 		if l.Kind == Rate {
@@ -158,9 +158,9 @@
 	if s.Node > 0 {
 		each = " at each execute node"
 	}
-	line := fmt.Sprintf("quota %s: %s%s for the fleet, %s of it for each of %d members whatever fails; ", s.Name, show(l.Most), each, show(l.floor()), l.Members)
+	line := fmt.Sprintf("quota %s: %s%s for the fleet, %s of it for each of %d members whatever fails; ", s.Name, show(l.Total), each, show(l.floor()), l.MaxMembers)
 	if l.Available {
-		line += fmt.Sprintf("over by cut * pool / members at the most, with cut members without a lease: by %s each", show(l.pool()/max(1, l.Members)))
+		line += fmt.Sprintf("over by cut * pool / members at the most, with cut members without a lease: by %s each", show(l.pool()/max(1, l.MaxMembers)))
 	} else {
 		line += "never over"
 	}
--- a/internal/rules/trial.go
+++ b/internal/rules/trial.go
@@ -74,8 +74,8 @@
 				continue
 			}
 			limit := x.Limit()
-			text += fmt.Sprintf("; limit %s kind %d most %d floor %d members %d available %t burst %v leased %t claims %t shares %t", x.Name, limit.Kind, limit.Most, limit.Floor,
-				limit.Members, limit.Available, x.BurstTime(), x.Leased(), x.OfClaims(), x.Shares)
+			text += fmt.Sprintf("; limit %s kind %d most %d floor %d members %d available %t burst %v leased %t claims %t shares %t", x.Name, limit.Kind, limit.Total, limit.FloorPercent,
+				limit.MaxMembers, limit.Available, x.BurstTime(), x.Leased(), x.CountsAttempts(), x.Shares)
 		}
 	}
 	return text
