--- a/internal/quota/check_test.go
+++ b/internal/quota/check_test.go
@@ -15,8 +15,8 @@
 
 var times = Times{ReportInterval: time.Second, Lease: 10 * time.Second, ActTimeout: 2 * time.Second, Drift: 0.01}
 
-// three is three members and one limit, with every message held until it is delivered or dropped. Who leads is decided
-// by a majority outside: the one before may go on until what it confirmed is too old.
+// three is three members and one limit, whose messages stay on their links until they are delivered or dropped. The leader is
+// elected by a majority outside: the one before may go on until its confirmation is too old.
 type three struct {
 	limit    Limit
 	mutate   Mutation
@@ -26,12 +26,12 @@
 	boots    [3]uint64
 	leader   int
 	term     uint64
-	reports  [3][]told // on their way, by sender
+	reports  [3][]sentReport // on their way, by sender
 	grants   [3][]Grant
 	demand   [3]Unit
 }
 
-type told struct {
+type sentReport struct {
 	who Process
 	to  int
 	Report
@@ -47,9 +47,9 @@
 		w.granters[i].SetLimits([]Limit{w.limit})
 	}
 	w.elect(0)
-	w.now += 20 * time.Second // past what a new granter waits
+	w.now += 20 * time.Second // longer than a new granter waits
 	w.confirm()
-	for range 3 { // all have parts
+	for range 3 { // until all have shares
 		for i := range 3 {
 			w.report(i)
 			w.deliverReport(i, 0)
@@ -61,22 +61,22 @@
 	return w
 }
 
-// elect has another one lead, which the one before learns only as its word grows old.
+// elect has another member lead. The one before notices only that its confirmation grows old.
 func (w *three) elect(i int) {
 	w.leader = i
 	w.term++
 	w.granters[i].Lead(w.now, Term{Term: w.term}, w.now)
 }
 
-// confirm has the one who leads hear the majority.
+// confirm has the majority confirm the leader.
 func (w *three) confirm() { w.granters[w.leader].Lead(w.now, Term{Term: w.term}, w.now) }
 
 func (w *three) report(i int) {
 	w.holders[i].SetDemand("x", w.demand[i])
 	r := w.holders[i].Report(w.now)
-	for to := range 3 { // it may not know who leads: a stale one is asked as well
+	for to := range 3 { // it may not know who leads: an earlier leader gets its report as well
 		if len(w.reports[i]) < 4 && (to == w.leader || w.granters[to].acting) {
-			w.reports[i] = append(w.reports[i], told{Process{fmt.Sprint(i), w.boots[i]}, to, r})
+			w.reports[i] = append(w.reports[i], sentReport{Process{fmt.Sprint(i), w.boots[i]}, to, r})
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	add("half a lease passes, the leader is confirmed", func() { w.now += 5 * time.Second; w.confirm() })
 	add("a little over a lease passes, the leader is confirmed", func() { w.now += 10200 * time.Millisecond; w.confirm() })
 	add("another one leads", func() { w.elect((w.leader + 1) % 3) })
-	add("member 0 is started anew", func() { // the one before is stopped, and its lease runs on
+	add("member 0 is started anew", func() { // the process before is stopped, and its lease goes on
 		w.boots[0] += 10
 		w.holders[0] = NewHolder(times, 1000*w.boots[0], w.now, w.mutate)
 		w.holders[0].SetLimits([]Limit{w.limit})
@@ -179,7 +179,7 @@
 	t.Logf("every order of up to %d events: %d states, %d paths", depth, res.States, res.Paths)
 }
 
-// Each fault put in on purpose breaks the sum within a few events of a state that is near.
+// Each injected fault breaks the sum within a few events of a state that is near.
 func TestMutationsBreakTheSum(t *testing.T) {
 	for name, c := range map[string]struct {
 		mutate Mutation
--- a/internal/quota/gate.go
+++ b/internal/quota/gate.go
@@ -4,39 +4,39 @@
 	"time"
 )
 
-// Gate lets requests through by the part that this member has of one limit. It decides on the spot: no request waits.
-// It belongs to one goroutine at a time; its caller keeps others out.
+// Gate admits requests by this member's share of one limit. It decides at once: no request waits. It is not safe for concurrent
+// use.
 type Gate struct {
 	kind  Kind
-	burst time.Duration // of a rate: how much of the past may be made up for
+	burst time.Duration // of a rate: for how long unused tokens are saved
 
 	share, fallback Unit
-	expiry          time.Duration // of the leased part
+	expiry          time.Duration // of the lease on share; then fallback holds
 
-	tokens         int64 // units times microseconds, of a rate: request makes one
+	tokens         int64 // of a rate, in units times microseconds: a request costs requestCost; of retries, in units
 	filledAt       time.Duration
-	leasedInFlight int64 // in flight on leased slots,
-	ownInFlight    int64 // and on those that are for good
+	leasedInFlight int64 // in flight on slots that end with the lease
+	ownInFlight    int64 // in flight on slots of the fallback
 
-	demand   float64 // requests asked for, aged, of a rate; the most in flight lately, of a limit in flight
+	demand   float64 // of a rate: requests, weighted by age; of requests in flight: their recent maximum
 	demandAt time.Duration
-	Admitted int64 // requests let through since the start,
-	Rejected int64 // and turned back
+	Admitted int64 // requests admitted since the start
+	Rejected int64 // requests rejected since the start
 }
 
 const (
-	// demandAge is how fast the past is forgotten in what is asked for.
+	// demandAge is the time constant by which past demand is forgotten.
 	demandAge = 2 * time.Second
-	// headroom is by how much more than was asked for is wanted, so that a growing demand is not cut first.
+	// headroom is the factor by which more is demanded than was used, so that growing traffic is not rejected first.
 	headroom = 1.25
-	// maxRetryAfter bounds what is advised to who is turned back.
+	// maxRetryAfter bounds the time after which a rejected request is advised to retry.
 	maxRetryAfter = 10 * time.Second
 )
 
-// request is what one request costs: a second of PerSecond.
+// requestCost is the tokens that one request costs: a second of PerSecond.
 const requestCost = PerSecond * int64(time.Second/time.Microsecond)
 
-// NewGate makes a gate that lets one request through before it is told a part, or some repeats.
+// NewGate makes a gate that admits one request, or some retries, before it has a share.
 func NewGate(kind Kind, burst time.Duration, now time.Duration) *Gate {
 	if kind == Retries {
 		return &Gate{kind: kind, tokens: maxSavedRetries * PerSecond}
@@ -44,7 +44,7 @@
 	return &Gate{kind: kind, burst: burst, filledAt: now, demandAt: now, tokens: requestCost}
 }
 
-// Share tells what may be used until a time, and what past it.
+// SetShare sets the share, until when it is leased, and the fallback after that.
 func (g *Gate) SetShare(now time.Duration, share, fallback Unit, expiry time.Duration) {
 	if g.kind == Rate {
 		g.fill(now)
@@ -53,7 +53,7 @@
 	g.capTokens()
 }
 
-// present is what may be used at a time: the leased part ends with its lease, whoever is late to say so.
+// currentShare is what may be used at a time. A share ends with its lease even if nobody has set another one.
 func (g *Gate) currentShare(now time.Duration) Unit {
 	if now >= g.expiry {
 		return g.fallback
@@ -61,17 +61,17 @@
 	return g.share
 }
 
-// fill adds the tokens of the time that has passed, each stretch at the part that held in it.
+// fill adds the tokens of the time that has passed, by the share and, from its end on, by the fallback.
 func (g *Gate) fill(now time.Duration) {
 	if now <= g.filledAt {
 		return
 	}
-	earn := func(part Unit, d time.Duration) {
+	earn := func(share Unit, d time.Duration) {
 		if d > 0 {
-			g.tokens += part * int64(d/time.Microsecond)
+			g.tokens += share * int64(d/time.Microsecond)
 		}
 	}
-	// Whole microseconds, so that nothing is lost where calls come fast.
+	// Whole microseconds, so that frequent calls lose nothing.
 	now = g.filledAt + (now - g.filledAt).Truncate(time.Microsecond)
 	split := min(max(g.expiry, g.filledAt), now)
 	earn(g.share, split-g.filledAt)
@@ -80,17 +80,17 @@
 	g.capTokens()
 }
 
-// cut bounds what has been saved up: a part that shrinks shrinks it. One request is always worth waiting for.
+// capTokens bounds the saved tokens by the present share and the burst. One request can always be saved for.
 func (g *Gate) capTokens() {
 	most := max(requestCost, g.currentShare(g.filledAt)*int64(g.burst/time.Microsecond))
 	g.tokens = min(g.tokens, most)
 }
 
-// maxSavedRetries is how many repeats may be saved up for.
+// maxSavedRetries is for how many retries tokens are saved.
 const maxSavedRetries = 10
 
-// CountRetry lets a first request through a gate of repeats, which earns them, or takes a repeat's part. after is a guess: it
-// depends on what others ask.
+// CountRetry admits a first request, which earns retries a share of a token, or, if again is set, a retry if there is a token
+// for it. after is a guess: it depends on the requests of others.
 func (g *Gate) CountRetry(again bool, share Unit) (after time.Duration, ok bool) {
 	const one = requestCost / int64(time.Second/time.Microsecond) // in units
 	if !again {
@@ -107,7 +107,7 @@
 	return 0, true
 }
 
-// Slot is what a request that was let through holds until it ends.
+// Slot is what an admitted request holds until it ends.
 type Slot uint8
 
 // The slots.
@@ -118,26 +118,27 @@
 	Token // of a rate
 )
 
-// Take lets one request through, or tells after what time another try is likely to be. ends is when the request is over
-// at the latest.
+// Take admits one request, or returns after what time a retry is likely to be admitted. ends is when the request has ended at
+// the latest.
 func (g *Gate) Take(now, ends time.Duration) (slot Slot, after time.Duration, ok bool) {
 	return g.TakeReduced(now, ends, Unreduced)
 }
 
-// Reduction is what of a limit in flight may be used for the time being: a part, rounded down, and so many at the least, as far
-// as the member has them.
+// Reduction is how much of a limit on requests in flight may be used for the time being: a fraction, rounded down, and at least
+// Min, as far as the share allows.
 type Reduction struct {
 	Fraction float64
 	Min      Unit
 }
 
-// Unreduced cuts nothing.
+// Unreduced allows the whole share.
 var Unreduced = Reduction{Fraction: 1}
 
-func (c Reduction) of(u Unit) Unit { return min(u, max(c.Min, Unit(c.Fraction*float64(u)))) }
+// of is the reduced amount.
+func (r Reduction) of(u Unit) Unit { return min(u, max(r.Min, Unit(r.Fraction*float64(u)))) }
 
-// TakeReduced is Take of a part of what this member may use.
-func (g *Gate) TakeReduced(now, ends time.Duration, cut Reduction) (slot Slot, after time.Duration, ok bool) {
+// TakeReduced is Take with a reduced share.
+func (g *Gate) TakeReduced(now, ends time.Duration, reduction Reduction) (slot Slot, after time.Duration, ok bool) {
 	g.recordDemand(now)
 	if g.kind == Rate {
 		g.fill(now)
@@ -148,17 +149,17 @@
 		}
 		g.Rejected++
 		after = maxRetryAfter
-		if part := g.currentShare(now); part > 0 {
-			after = min(maxRetryAfter, time.Duration((requestCost-g.tokens)/part+1)*time.Microsecond)
+		if share := g.currentShare(now); share > 0 {
+			after = min(maxRetryAfter, time.Duration((requestCost-g.tokens)/share+1)*time.Microsecond)
 		}
 		return NoSlot, after, false
 	}
-	room := g.InUse() < cut.of(g.currentShare(now))
+	free := g.InUse() < reduction.of(g.currentShare(now))
 	switch {
-	case room && ends <= g.expiry: // over before the lease is: it outlives no part
+	case free && ends <= g.expiry: // ends before the lease, so that the request does not outlive the share
 		g.leasedInFlight++
 		slot = Leased
-	case room && g.ownInFlight < cut.of(g.fallback):
+	case free && g.ownInFlight < reduction.of(g.fallback):
 		g.ownInFlight++
 		slot = Own
 	default:
@@ -169,7 +170,7 @@
 	return slot, 0, true
 }
 
-// Done gives back what a request held.
+// Done releases the slot of a request that has ended.
 func (g *Gate) Done(s Slot) {
 	switch s {
 	case Leased:
@@ -179,7 +180,7 @@
 	}
 }
 
-// Undo takes a request back that was let through and is turned back by another limit.
+// Undo takes back the admission of a request that another limit rejects.
 func (g *Gate) Undo(s Slot) {
 	g.Admitted--
 	if s == Token {
@@ -189,10 +190,10 @@
 	g.Done(s)
 }
 
-// InUse is how many requests are in flight.
+// InUse returns how many requests are in flight.
 func (g *Gate) InUse() Unit { return g.leasedInFlight + g.ownInFlight }
 
-// note counts what is asked for.
+// recordDemand counts a request.
 func (g *Gate) recordDemand(now time.Duration) {
 	g.ageDemand(now)
 	if g.kind == Rate {
@@ -202,7 +203,7 @@
 	g.demand = max(g.demand, float64(g.InUse()+1))
 }
 
-// age forgets: of a rate, a part of the sum each moment; of what is in flight, the peak falls toward the present.
+// ageDemand forgets past demand: of a rate the sum decays, of requests in flight the maximum falls toward the present number.
 func (g *Gate) ageDemand(now time.Duration) {
 	if d := now - g.demandAt; d > 0 {
 		keep := 1 - min(1, float64(d)/float64(demandAge))
@@ -214,11 +215,11 @@
 	}
 }
 
-// SetDemand is what this member could use, in units.
+// Demand returns how much this member could use.
 func (g *Gate) Demand(now time.Duration) Unit {
 	g.ageDemand(now)
 	if g.kind == Rate {
-		// The sum of what has been asked for, each weighed by its age, is the rate times the age.
+		// The sum of requests weighted by age is the rate times demandAge.
 		return Unit(g.demand / demandAge.Seconds() * headroom * float64(PerSecond))
 	}
 	return Unit(g.demand*headroom + 0.999)
--- a/internal/quota/gate_test.go
+++ b/internal/quota/gate_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// Whoever makes up names fills the ledger up to its bound, and no further.
+// Whoever makes up names fills the outstanding grants up to their bound, and no further.
 func TestLedgerIsBounded(t *testing.T) {
 	g := NewGranter(Times{ReportInterval: time.Second, Lease: 10 * time.Second, ActTimeout: 100 * time.Second}, NoMutation)
 	g.SetLimits([]Limit{{Name: "x", Total: 1000, MaxMembers: 4}})
@@ -128,7 +128,7 @@
 		g.ReceiveReport(120*time.Second, Process{Name: "n", Boot: uint64(i + 1)}, Report{Seq: 1, Limits: []LimitReport{{Limit: "x", Total: 1000}}})
 	}
 	if n := len(g.outstanding["x"]); n != maxHolders {
-		t.Errorf("%d in the ledger, %d at the most", n, maxHolders)
+		t.Errorf("%d outstanding, %d at most", n, maxHolders)
 	}
 }
 
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Settings are one table of the section quota of the operator's file: a limit for the whole fleet.
+// Settings are one table of the section quota of the operator's file: a limit of the whole fleet.
 type Settings struct {
-	Name      string  `toml:"name"`           // told apart by it; the same for all members
+	Name      string  `toml:"name"`           // identifies the limit; the same at all members
 	Class     string  `toml:"class"`          // which requests: of a class,
 	Tenant    string  `toml:"tenant"`         // of a tenant, or of both; neither: all
 	PerSecond float64 `toml:"per_second"`     // a rate, or
 	InFlight  int     `toml:"in_flight"`      // requests at a time
-	Again     float64 `toml:"again_pct"`      // repeats by submitters, as a percentage of the other requests
-	Retry     float64 `toml:"retry_pct"`      // attempts after the first, as a percentage of those
+	Again     float64 `toml:"again_pct"`      // retries by clients, in percent of the other requests
+	Retry     float64 `toml:"retry_pct"`      // attempts after the first, in percent of those
 	Node      int     `toml:"node_in_flight"` // attempts at a time at each execute node
-	Shares    bool    `toml:"allowances"`     // what each tenant of the settings is allowed: what of it is whose; nothing is turned back
-	Floor     int     `toml:"floor_pct"`      // percent that are reserved in equal parts for members names
-	Members   int     `toml:"members"`        // sidecars that there can be at the most
+	Shares    bool    `toml:"allowances"`     // divides the allowance of each tenant of the settings; nothing is rejected
+	Floor     int     `toml:"floor_pct"`      // percent that is reserved, in equal shares, for members names
+	Members   int     `toml:"members"`        // bound on the number of sidecars
 	Policy    string  `toml:"policy"`         // strict or available
-	Burst     int     `toml:"burst_ms"`       // of a rate: how much of the past may be made up for
+	Burst     int     `toml:"burst_ms"`       // of a rate: for how long unused requests are saved
 }
 
 const (
@@ -38,7 +38,7 @@
 // All are the tables of the section.
 type All []Settings
 
-// Check calls fault for each key whose value cannot be used. fleet tells whether the file names a fleet.
+// Check calls fault for each key whose value cannot be used. fleet says whether the file names a fleet.
 func (all All) Check(fleet bool, fault func(key string, read any, allowed string)) {
 	if len(all) > MaxLimits {
 		fault("", len(all), fmt.Sprintf("%d tables at most", MaxLimits))
@@ -79,7 +79,7 @@
 	}
 }
 
-// Limit is the limit of the settings.
+// Limit returns the limit of the settings.
 func (s Settings) Limit() Limit {
 	l := Limit{Name: s.Name, Kind: Rate, Total: Unit(s.PerSecond * float64(PerSecond)), FloorPercent: Unit(s.Floor), MaxMembers: Unit(s.Members), Available: s.Policy == available}
 	switch {
@@ -95,7 +95,7 @@
 	return l
 }
 
-// BurstTime is how much of the past may be made up for.
+// BurstTime returns for how long unused requests of a rate are saved.
 func (s Settings) BurstTime() time.Duration {
 	if s.Burst == 0 {
 		return defaultBurst * time.Millisecond
@@ -103,40 +103,41 @@
 	return time.Duration(s.Burst) * time.Millisecond
 }
 
-// Leased tells whether the limit is one of parts that are leased.
+// Leased reports whether shares of the limit are leased.
 func (s Settings) Leased() bool { return s.Again == 0 && s.Retry == 0 }
 
-// CountsAttempts tells whether the limit counts attempts at execute nodes, not requests.
+// CountsAttempts reports whether the limit counts attempts at execute nodes, not requests.
 func (s Settings) CountsAttempts() bool { return s.Retry > 0 || s.Node > 0 }
 
-// Reduced is what of the limit may be used at a node that can do only a part of what it will: where that gives each member one
-// of what is in flight, each has one at the least.
-func (s Settings) Reduced(part float64) Reduction {
-	c := Reduction{Fraction: part}
-	if l := s.Limit(); part*float64(l.Total) >= float64(l.MaxMembers) {
-		c.Min = 1
+// Reduced returns how much of the limit may be used at a node that is warming up and has a fraction of its capacity. If that is
+// enough for one request in flight of each member, each may have one.
+func (s Settings) Reduced(fraction float64) Reduction {
+	r := Reduction{Fraction: fraction}
+	if l := s.Limit(); fraction*float64(l.Total) >= float64(l.MaxMembers) {
+		r.Min = 1
 	}
-	return c
+	return r
 }
 
-// ForTenant is the limit of one tenant's allowance, in requests a second. Without a lease an equal part holds, as without a fleet.
+// ForTenant returns the limit of one tenant's allowance, in requests a second. Without a lease an equal share holds, as without a
+// fleet.
 func (s Settings) ForTenant(tenant string, allowance float64) Settings {
 	s.Name, s.Tenant, s.PerSecond, s.Policy = s.Name+"/"+tenant, tenant, allowance, available
 	return s
 }
 
-// ForNode is the limit for one execute node, of one that is for each.
+// ForNode returns the limit of one execute node, of a limit that each has.
 func (s Settings) ForNode(node string) Settings {
 	s.Name += "/" + node
 	return s
 }
 
-// Applies tells whether a request counts under the limit.
+// Applies reports whether a request counts for the limit.
 func (s Settings) Applies(class, tenant string) bool {
 	return (s.Class == "" || s.Class == class) && (s.Tenant == "" || s.Tenant == tenant)
 }
 
-// Bound is a line on what is promised, with the figures of the settings.
+// Bound returns the guarantee with the figures of the settings, as a line for the operator.
 func (s Settings) Bound() string {
 	l := s.Limit()
 	if s.Retry > 0 {
