--- a/internal/fleet/actions.go
+++ b/internal/fleet/actions.go
@@ -107,7 +107,7 @@
 		return
 	}
 	to := cmp.Or(f.settings.Dial[t.To.Name], t.To.Addr)
-	if t.Stream || len(b) > peer.MostDatagram {
+	if t.Stream || len(b) > peer.MaxDatagram {
 		f.channel.Stream(to, b)
 		return
 	}
--- a/internal/fleet/coremember.go
+++ b/internal/fleet/coremember.go
@@ -17,13 +17,13 @@
 	if f.Member != nil {
 		c.receiveMember(f, *f.Member)
 	}
-	if len(f.Words) > 0 {
-		if updates := c.suspensions.Merge(f.Words); len(updates) > 0 {
+	if len(f.Suspensions) > 0 {
+		if updates := c.suspensions.Merge(f.Suspensions); len(updates) > 0 {
 			c.publishSuspensions(updates)
 		}
 	}
-	if len(f.Drains) > 0 && c.evaluator != nil {
-		if updates := c.draining.Merge(f.Drains); len(updates) > 0 {
+	if len(f.Draining) > 0 && c.evaluator != nil {
+		if updates := c.draining.Merge(f.Draining); len(updates) > 0 {
 			c.publishDraining(updates)
 		}
 	}
@@ -56,10 +56,10 @@
 			c.stepViews(view.Stamped{From: f.From, Stamp: *f.Stamp, RequestedAt: sentAt})
 		}
 	}
-	if (msg.Kind == member.Ping || msg.Kind == member.Ack) && f.Sum != c.tablesDigest() && c.tableSyncDue <= c.now {
+	if (msg.Kind == member.Ping || msg.Kind == member.Ack) && f.TablesDigest != c.tablesDigest() && c.tableSyncDue <= c.now {
 		if suspensions, draining := c.suspensions.All(), c.draining.All(); len(suspensions)+len(draining) > 0 {
 			c.tableSyncDue = c.now + c.cfg.Member.Pace
-			c.transmit(member.Record{Name: f.From.Name, Addr: f.From.Addr}, peer.Frame{Words: suspensions, Drains: draining}, false)
+			c.transmit(member.Record{Name: f.From.Name, Addr: f.From.Addr}, peer.Frame{Suspensions: suspensions, Draining: draining}, false)
 		}
 	}
 }
@@ -106,10 +106,10 @@
 			f := peer.Frame{Member: &a.Message}
 			switch a.Message.Kind {
 			case member.Ping:
-				f.Sum = c.tablesDigest()
+				f.TablesDigest = c.tablesDigest()
 				c.recordPing(a.Message.Seq)
 			case member.Ack:
-				f.Sum = c.tablesDigest()
+				f.TablesDigest = c.tablesDigest()
 				if s := c.views.Stamp(c.now); s.ID != (view.ID{}) {
 					f.Stamp = &s
 				}
--- a/internal/fleet/coreverdict.go
+++ b/internal/fleet/coreverdict.go
@@ -46,13 +46,13 @@
 // publishSuspensions gossips new statements. Each member does so once, so that all have them within a few steps.
 func (c *Core) publishSuspensions(updates []verdict.Statement) {
 	c.out = append(c.out, SuspensionsChanged{c.suspensions.All()})
-	c.gossip(peer.Frame{Words: updates})
+	c.gossip(peer.Frame{Suspensions: updates})
 }
 
 // publishDraining does so for draining nodes.
 func (c *Core) publishDraining(updates []verdict.Statement) {
 	c.out = append(c.out, DrainingChanged{updates})
-	c.gossip(peer.Frame{Drains: updates})
+	c.gossip(peer.Frame{Draining: updates})
 }
 
 // tablesDigest is the digest of both tables. Members compare it over the wire.
--- a/internal/fleet/figures.go
+++ b/internal/fleet/figures.go
@@ -16,7 +16,7 @@
 	return []string{
 		figure("mode", "g", int64(f.Mode())), figure("view", "g", f.viewNumber.Load()), figure("members", "g", f.viewMembers.Load()),
 		figure("datagrams_sent", "c", c.SentDatagrams), figure("frames_streamed", "c", c.SentStreamed), figure("bytes_sent", "c", c.SentBytes),
-		figure("frames_got", "c", c.GotFrames), figure("bytes_got", "c", c.GotBytes),
+		figure("frames_got", "c", c.ReceivedFrames), figure("bytes_got", "c", c.ReceivedBytes),
 		figure("rules", "g", f.rules.editionNumber.Load()), figure("rules_behind", "g", f.rules.behind.Load()),
 		figure("nodes_avoided", "g", f.avoidedNodes.Load()), figure("let", "c", let), figure("turned_back", "c", refused),
 		figure("frames_dropped", "c", c.Dropped+f.droppedFrames.Load()), figure("frames_refused", "c", f.refusedFrames.Load()+c.Refused),
--- a/internal/fleet/rules.go
+++ b/internal/fleet/rules.go
@@ -32,7 +32,7 @@
 const (
 	editionFile        = "rules.kept"
 	editionKey         = "edition"
-	maxEditionBytes    = 2 * rules.MostBytes
+	maxEditionBytes    = 2 * rules.MaxBytes
 	editionOpenTimeout = 2 * time.Second
 )
 
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -361,7 +361,7 @@
 	n.Sent.Messages++
 	n.Sent.Bytes += int64(len(b))
 	to := w.byAddr[t.To.Addr]
-	datagram := !t.Stream && len(b) <= peer.MostDatagram
+	datagram := !t.Stream && len(b) <= peer.MaxDatagram
 	lost := datagram && w.rng.Float64() < w.opts.Loss
 	delay := w.opts.Delay
 	if w.opts.Jitter > 0 {
--- a/internal/fleetsim/rules_test.go
+++ b/internal/fleetsim/rules_test.go
@@ -102,7 +102,7 @@
 
 func readers(reads func(member int) rules.Reads, change func(member int, c *skew.Config)) func(int) *skew.Config {
 	return func(member int) *skew.Config {
-		c := &skew.Config{Reads: rules.Here(), ReturnTimeout: 5 * time.Second, ReplyTimeout: 10 * time.Second}
+		c := &skew.Config{Reads: rules.Supported(), ReturnTimeout: 5 * time.Second, ReplyTimeout: 10 * time.Second}
 		if reads != nil {
 			c.Reads = reads(member)
 		}
@@ -182,9 +182,9 @@
 		if member == 4 {
 			return one
 		}
-		return rules.Here()
+		return rules.Supported()
 	}
-	otherwise := func(c *rules.Compiled, q rules.Case) string { q.Took++; q.Failed = false; return c.Decide(q) }
+	otherwise := func(c *rules.Compiled, q rules.Case) string { q.Latency++; q.Failed = false; return c.Decide(q) }
 	for name, c := range map[string]struct {
 		rules func(int) *skew.Config
 		plain bool // nothing that format 1 cannot say
--- a/internal/peer/channel.go
+++ b/internal/peer/channel.go
@@ -17,24 +17,24 @@
 
 // Bounds of the channel.
 const (
-	mostInbound  = 256              // streams from others; one over it is closed unread
-	mostLinks    = 128              // streams to others; what goes to one over it is dropped
-	mostWaiting  = 64               // frames that wait for one stream; the oldest goes first
+	maxInbound   = 256              // streams from others; one over it is closed unread
+	maxLinks     = 128              // streams to others; what goes to one over it is dropped
+	maxQueued    = 64               // frames that wait for one stream; the oldest goes first
 	dialTimeout  = time.Second      // a peer that cannot be reached
 	writeTimeout = 2 * time.Second  // a peer that does not read
 	readTimeout  = 2 * time.Second  // a frame that has begun
 	idleTimeout  = 20 * time.Second // a stream that carries nothing
-	leastRest    = 100 * time.Millisecond
-	mostRest     = 3 * time.Second // between two tries to reach a peer, doubled and jittered
+	minBackoff   = 100 * time.Millisecond
+	maxBackoff   = 3 * time.Second // between two tries to reach a peer, doubled and jittered
 	lengthBytes  = 4
 )
 
 // Counts are what has passed. Bytes are those of frames, without the system's headers.
 type Counts struct {
 	SentDatagrams, SentStreamed, SentBytes int64
-	GotFrames, GotBytes                    int64
+	ReceivedFrames, ReceivedBytes          int64
 	Dropped                                int64 // frames to a peer that was slow or out of reach
-	Refused                                int64 // streams over mostInbound
+	Refused                                int64 // streams over maxInbound
 }
 
 // Channel is one sidecar's end: a datagram socket and a listener at one address, and streams to the others.
@@ -45,12 +45,12 @@
 	wg      sync.WaitGroup
 	done    chan struct{}
 
-	mu     sync.Mutex
-	links  map[string]*link
-	in     map[net.Conn]bool
-	closed bool
+	mu      sync.Mutex
+	links   map[string]*link
+	inbound map[net.Conn]bool
+	closed  bool
 
-	sentDatagrams, sentStreamed, sentBytes, gotFrames, gotBytes, dropped, refused atomic.Int64
+	sentDatagrams, sentStreamed, sentBytes, receivedFrames, receivedBytes, dropped, refused atomic.Int64
 }
 
 // link is the stream to one address. Its goroutine lives while frames wait, and idleTimeout longer.
@@ -65,9 +65,9 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Channel{deliver: deliver, udp: udp, tcp: tcp, done: make(chan struct{}), links: map[string]*link{}, in: map[net.Conn]bool{}}
+	c := &Channel{deliver: deliver, udp: udp, tcp: tcp, done: make(chan struct{}), links: map[string]*link{}, inbound: map[net.Conn]bool{}}
 	c.wg.Add(2)
-	go c.datagrams()
+	go c.readDatagrams()
 	go c.accept()
 	return c, nil
 }
@@ -78,7 +78,7 @@
 // Counts are the figures so far.
 func (c *Channel) Counts() Counts {
 	return Counts{SentDatagrams: c.sentDatagrams.Load(), SentStreamed: c.sentStreamed.Load(), SentBytes: c.sentBytes.Load(),
-		GotFrames: c.gotFrames.Load(), GotBytes: c.gotBytes.Load(), Dropped: c.dropped.Load(), Refused: c.refused.Load()}
+		ReceivedFrames: c.receivedFrames.Load(), ReceivedBytes: c.receivedBytes.Load(), Dropped: c.dropped.Load(), Refused: c.refused.Load()}
 }
 
 // Close ends all sockets and goroutines.
@@ -92,7 +92,7 @@
 	close(c.done)
 	c.udp.Close()
 	c.tcp.Close()
-	for nc := range c.in {
+	for nc := range c.inbound {
 		nc.Close()
 	}
 	c.mu.Unlock()
@@ -101,8 +101,8 @@
 
 // Datagram sends a frame that may be lost. It does not block.
 func (c *Channel) Datagram(address string, frame []byte) error {
-	if len(frame) > MostDatagram {
-		return fmt.Errorf("%w: a datagram of %d bytes", ErrLong, len(frame))
+	if len(frame) > MaxDatagram {
+		return fmt.Errorf("%w: a datagram of %d bytes", ErrTooLong, len(frame))
 	}
 	to, err := netip.ParseAddrPort(address) // no name: a look-up would block
 	if err != nil {
@@ -124,11 +124,11 @@
 	}
 	l := c.links[address]
 	if l == nil {
-		if len(c.links) >= mostLinks {
+		if len(c.links) >= maxLinks {
 			c.dropped.Add(1)
 			return
 		}
-		l = &link{frames: make(chan []byte, mostWaiting)}
+		l = &link{frames: make(chan []byte, maxQueued)}
 		c.links[address] = l
 		c.wg.Add(1)
 		go c.serveLink(address, l)
@@ -156,7 +156,7 @@
 			nc.Close()
 		}
 	}()
-	rest := leastRest
+	rest := minBackoff
 	for {
 		var frame []byte
 		idle := time.NewTimer(idleTimeout)
@@ -176,7 +176,7 @@
 			c.mu.Unlock()
 			return
 		}
-		if nc != nil && gone(nc) {
+		if nc != nil && closedByPeer(nc) {
 			nc.Close()
 			nc = nil
 		}
@@ -190,7 +190,7 @@
 			_, err = nc.Write(append(out, frame...))
 		}
 		if err == nil {
-			rest = leastRest
+			rest = minBackoff
 			c.sentStreamed.Add(1)
 			c.sentBytes.Add(int64(lengthBytes + len(frame)))
 			continue
@@ -204,14 +204,14 @@
 		case <-time.After(rest/2 + rand.N(rest)):
 		case <-c.done:
 		}
-		rest = min(2*rest, mostRest)
+		rest = min(2*rest, maxBackoff)
 	}
 }
 
 // gone tells whether the other side has closed a stream on which it never writes. The system is asked: a read has to have a
 // deadline, and where that is over before the read begins (there was no processor for a millisecond) it tells nothing. It is
 // left for what the system does not tell.
-func gone(nc net.Conn) bool {
+func closedByPeer(nc net.Conn) bool {
 	if socket.Departed(nc) {
 		return true
 	}
@@ -221,24 +221,24 @@
 	return !(errors.As(err, &timeout) && timeout.Timeout())
 }
 
-func (c *Channel) datagrams() {
+func (c *Channel) readDatagrams() {
 	defer c.wg.Done()
-	b := make([]byte, MostDatagram+1)
+	b := make([]byte, MaxDatagram+1)
 	for {
 		n, _, err := c.udp.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || n > MostDatagram { // an earlier datagram's port unreachable, or too long
+		if err != nil || n > MaxDatagram { // an earlier datagram's port unreachable, or too long
 			continue
 		}
-		c.got(append([]byte(nil), b[:n]...))
+		c.receive(append([]byte(nil), b[:n]...))
 	}
 }
 
-func (c *Channel) got(frame []byte) {
-	c.gotFrames.Add(1)
-	c.gotBytes.Add(int64(len(frame)))
+func (c *Channel) receive(frame []byte) {
+	c.receivedFrames.Add(1)
+	c.receivedBytes.Add(int64(len(frame)))
 	c.deliver(frame)
 }
 
@@ -251,16 +251,16 @@
 				return
 			}
 			select { // short of descriptors, perhaps
-			case <-time.After(leastRest):
+			case <-time.After(minBackoff):
 			case <-c.done:
 				return
 			}
 			continue
 		}
 		c.mu.Lock()
-		full := c.closed || len(c.in) >= mostInbound
+		full := c.closed || len(c.inbound) >= maxInbound
 		if !full {
-			c.in[nc] = true
+			c.inbound[nc] = true
 			c.wg.Add(1)
 		}
 		c.mu.Unlock()
@@ -269,17 +269,17 @@
 			nc.Close()
 			continue
 		}
-		go c.read(nc)
+		go c.readStream(nc)
 	}
 }
 
 // read takes frames from one stream. A frame that has begun must come whole in time; a bad length ends the stream.
-func (c *Channel) read(nc net.Conn) {
+func (c *Channel) readStream(nc net.Conn) {
 	defer c.wg.Done()
 	defer func() {
 		nc.Close()
 		c.mu.Lock()
-		delete(c.in, nc)
+		delete(c.inbound, nc)
 		c.mu.Unlock()
 	}()
 	var head [lengthBytes]byte
@@ -289,7 +289,7 @@
 			return
 		}
 		n := binary.BigEndian.Uint32(head[:])
-		if n == 0 || n > MostFrame {
+		if n == 0 || n > MaxFrame {
 			return
 		}
 		nc.SetReadDeadline(time.Now().Add(readTimeout))
@@ -297,7 +297,7 @@
 		if err != nil {
 			return
 		}
-		c.got(frame)
+		c.receive(frame)
 	}
 }
 
--- a/internal/peer/contract_test.go
+++ b/internal/peer/contract_test.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/faultline"
 )
 
-var channels = contract.ChannelMaker{MostDatagram: MostDatagram, MostFrame: MostFrame, Sockets: true, Silence: readTimeout,
+var channels = contract.ChannelMaker{MostDatagram: MaxDatagram, MostFrame: MaxFrame, Sockets: true, Silence: readTimeout,
 	Listen: func(_ contract.T, deliver func([]byte)) (contract.Channel, error) {
 		return Listen("127.0.0.1:0", deliver)
 	}}
@@ -53,7 +53,7 @@
 func (x *exchange) listen(_ contract.T, deliver func([]byte)) (contract.Channel, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	e := &end{x: x, addr: fmt.Sprintf("m%d", len(x.ends)), deliver: deliver, queue: make(chan []byte, mostWaiting), done: make(chan struct{})}
+	e := &end{x: x, addr: fmt.Sprintf("m%d", len(x.ends)), deliver: deliver, queue: make(chan []byte, maxQueued), done: make(chan struct{})}
 	x.ends[e.addr] = e
 	e.wg.Go(func() {
 		for {
@@ -71,8 +71,8 @@
 func (e *end) Addr() string { return e.addr }
 
 func (e *end) Datagram(address string, frame []byte) error {
-	if len(frame) > MostDatagram && e.x.wrong != "long" {
-		return ErrLong
+	if len(frame) > MaxDatagram && e.x.wrong != "long" {
+		return ErrTooLong
 	}
 	e.Stream(address, frame)
 	return nil
@@ -82,7 +82,7 @@
 	e.x.mu.Lock()
 	to := e.x.ends[address]
 	e.x.mu.Unlock()
-	if to == nil || len(frame) > MostFrame && e.x.wrong != "long" {
+	if to == nil || len(frame) > MaxFrame && e.x.wrong != "long" {
 		return
 	}
 	frame = append([]byte(nil), frame...)
@@ -129,7 +129,7 @@
 
 func inMemory(wrong string) contract.ChannelMaker {
 	x := &exchange{ends: map[string]*end{}, wrong: wrong}
-	return contract.ChannelMaker{Listen: x.listen, MostDatagram: MostDatagram, MostFrame: MostFrame}
+	return contract.ChannelMaker{Listen: x.listen, MostDatagram: MaxDatagram, MostFrame: MaxFrame}
 }
 
 func TestChannelContractInMemory(t *testing.T) {
@@ -148,7 +148,7 @@
 	}
 	deaf := channels // nobody reads, so nothing that strangers write breaks anything
 	deaf.Silence = 60 * readTimeout
-	if err := contract.ChannelClauses[6].Check(t, deaf); err == nil || errors.Is(err, ErrLong) {
+	if err := contract.ChannelClauses[6].Check(t, deaf); err == nil || errors.Is(err, ErrTooLong) {
 		t.Errorf("a silence of another length is taken: %v", err)
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -38,7 +38,7 @@
 		"without a sender":              {nameless, "x", nil, false},
 		"cut short":                     {good[:len(good)-2], "x", nil, false},
 		"nothing":                       {nil, "x", nil, false},
-		"longer than what is ever read": {make([]byte, MostFrame+1), "x", ErrLong, false},
+		"longer than what is ever read": {make([]byte, MaxFrame+1), "x", ErrTooLong, false},
 	} {
 		f, err := Decode(c.frame, c.fleet)
 		if (err == nil) != c.taken || c.want != nil && !errors.Is(err, c.want) {
@@ -101,7 +101,7 @@
 	defer deaf.Close()
 	a, _ := open(t)
 	b, got := open(t)
-	big := make([]byte, MostFrame)
+	big := make([]byte, MaxFrame)
 	for range 200 {
 		a.Stream(deaf.Addr().String(), big) // does not block
 	}
@@ -109,10 +109,10 @@
 	if string(wait(t, got)) != "soon" {
 		t.Error("another frame came")
 	}
-	if c := a.Counts(); c.Dropped < 200-mostWaiting-40 {
+	if c := a.Counts(); c.Dropped < 200-maxQueued-40 {
 		t.Errorf("%d dropped of 200", c.Dropped)
 	}
-	if err := a.Datagram(b.Addr(), make([]byte, MostDatagram+1)); !errors.Is(err, ErrLong) {
+	if err := a.Datagram(b.Addr(), make([]byte, MaxDatagram+1)); !errors.Is(err, ErrTooLong) {
 		t.Errorf("a long datagram: %v", err)
 	}
 	if err := a.Datagram(b.Addr(), []byte("loose")); err != nil || string(wait(t, got)) != "loose" {
@@ -123,7 +123,7 @@
 // What is no frame ends its own stream and nothing else.
 func TestBadStreams(t *testing.T) {
 	c, got := open(t)
-	for name, head := range map[string]uint32{"empty": 0, "oversized": MostFrame + 1} {
+	for name, head := range map[string]uint32{"empty": 0, "oversized": MaxFrame + 1} {
 		nc, err := net.Dial("tcp", c.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	silent.Write(binary.BigEndian.AppendUint32(nil, MostFrame))
+	silent.Write(binary.BigEndian.AppendUint32(nil, MaxFrame))
 	a, _ := open(t)
 	a.Stream(c.Addr(), []byte("whole"))
 	if !bytes.Equal(wait(t, got), []byte("whole")) {
@@ -198,7 +198,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if gone(nc) {
+	if closedByPeer(nc) {
 		t.Error("an open one was taken for closed")
 	}
 	other.Close()
@@ -207,11 +207,11 @@
 		t.Fatal(err)
 	}
 	for i := range 2000 {
-		if !gone(nc) {
+		if !closedByPeer(nc) {
 			t.Fatalf("look %d did not see it", i)
 		}
 	}
-	if !gone(&starved{nc.(*net.TCPConn)}) {
+	if !closedByPeer(&starved{nc.(*net.TCPConn)}) {
 		t.Error("a look that got no processor for a while did not see it")
 	}
 }
--- a/internal/rules/file.go
+++ b/internal/rules/file.go
@@ -16,11 +16,11 @@
 // FileVersion is the version of the rules' file that this program reads.
 const FileVersion = 1
 
-// MostFile bounds a rules' file, in bytes.
-const MostFile = 256 << 10
+// MaxFileBytes bounds a rules' file, in bytes.
+const MaxFileBytes = 256 << 10
 
-// lastLine ends a file: one that is still being written does not pass for a whole one.
-const lastLine = "# end"
+// endMarker ends a file: one that is still being written does not pass for a whole one.
+const endMarker = "# end"
 
 // Fault is one thing that is wrong with a file. Line and Column are 0 where no place can be told.
 type Fault struct {
@@ -73,13 +73,13 @@
 
 // Parse reads the text of a rules' file into an edition without a number, or names all that is wrong with it.
 func Parse(text []byte) (Edition, []Fault) {
-	if len(text) > MostFile {
-		return Edition{}, []Fault{{Text: fmt.Sprintf("%d bytes, %d at most", len(text), MostFile)}}
+	if len(text) > MaxFileBytes {
+		return Edition{}, []Fault{{Text: fmt.Sprintf("%d bytes, %d at most", len(text), MaxFileBytes)}}
 	}
 	var faults []Fault
 	trimmed := bytes.TrimRight(text, "\r\n\t ")
-	if last := trimmed[bytes.LastIndexByte(trimmed, '\n')+1:]; string(last) != lastLine {
-		faults = append(faults, Fault{Line: 1 + bytes.Count(trimmed, []byte("\n")), Column: 1, Text: fmt.Sprintf("the file may not be whole: its last line must be %q", lastLine)})
+	if last := trimmed[bytes.LastIndexByte(trimmed, '\n')+1:]; string(last) != endMarker {
+		faults = append(faults, Fault{Line: 1 + bytes.Count(trimmed, []byte("\n")), Column: 1, Text: fmt.Sprintf("the file may not be whole: its last line must be %q", endMarker)})
 	}
 	var f file
 	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -99,7 +99,7 @@
 			return Edition{}, append(faults, Fault{Text: strings.TrimPrefix(err.Error(), "toml: ")})
 		}
 	}
-	at := func(key string) (line, column int) { return place(text, key) }
+	at := func(key string) (line, column int) { return findKey(text, key) }
 	bad := func(key, format string, args ...any) {
 		line, column := at(key)
 		faults = append(faults, Fault{line, column, key, fmt.Sprintf(format, args...)})
@@ -120,23 +120,23 @@
 			}
 			return Rate(part)
 		}
-		named := func(key string, from []namedFile) (to []Named) {
+		named := func(key string, from []namedFile) (to []NamedRate) {
 			seen := map[string]bool{}
 			for i, n := range from {
 				k := fmt.Sprintf("%s[%d]", key, i)
-				if n.Name == "" || len(n.Name) > mostName || seen[n.Name] {
-					bad(k+".name", "%q; a name of 1 to %d bytes, once", n.Name, mostName)
+				if n.Name == "" || len(n.Name) > maxNameBytes || seen[n.Name] {
+					bad(k+".name", "%q; a name of 1 to %d bytes, once", n.Name, maxNameBytes)
 				}
 				seen[n.Name] = true
-				to = append(to, Named{n.Name, rate(k+".rate", n.Rate)})
+				to = append(to, NamedRate{n.Name, rate(k+".rate", n.Rate)})
 			}
 			return to
 		}
-		r := SamplingRules{Salt: uint64(s.Salt), Rate: rate("sampling.rate", s.Rate), Records: cmp.Or(s.Records, 100), Bytes: cmp.Or(s.Bytes, 64<<10), PerNode: cmp.Or(s.PerNode, 50),
-			Least: s.Least, Failed: s.Failed, Slow: s.Slow, Classes: named("sampling.class", s.Classes), Tenants: named("sampling.tenant", s.Tenants)}
+		r := SamplingRules{Salt: uint64(s.Salt), Rate: rate("sampling.rate", s.Rate), MaxRecords: cmp.Or(s.Records, 100), MaxBytes: cmp.Or(s.Bytes, 64<<10), MaxRecordsPerNode: cmp.Or(s.PerNode, 50),
+			MinPerMinute: s.Least, KeepFailed: s.Failed, KeepSlow: s.Slow, Classes: named("sampling.class", s.Classes), Tenants: named("sampling.tenant", s.Tenants)}
 		if len(faults) == 0 {
 			rule, err := SamplingRule(r, format)
-			if err == nil && !Here().Has(Sampling, format) {
+			if err == nil && !Supported().Has(Sampling, format) {
 				err = fmt.Errorf("format %s is not read by this program", format)
 			}
 			if err != nil {
@@ -147,8 +147,8 @@
 	}
 	if l := f.Limits; l != nil {
 		format, err := ParseFormat(cmp.Or(l.Format, "1"))
-		if err != nil || !Here().Has(Limits, format) {
-			bad("limits.format", "%q is not read by this program: %s is", l.Format, Reads{Limits: Here()[Limits]})
+		if err != nil || !Supported().Has(Limits, format) {
+			bad("limits.format", "%q is not read by this program: %s is", l.Format, Reads{Limits: Supported()[Limits]})
 		}
 		l.Quota.Check(true, func(key string, read any, allowed string) { bad("limits.quota"+key, "%v; allowed: %s", read, allowed) })
 		rule, err := LimitsRule(l.Quota)
@@ -157,8 +157,8 @@
 		}
 	}
 	slices.SortFunc(e.Rules, func(a, b Rule) int { return cmp.Compare(a.Kind, b.Kind) })
-	if size := len(encode(e.Rules)); size > MostBytes {
-		faults = append(faults, Fault{Text: fmt.Sprintf("%d bytes of rules, %d at most", size, MostBytes)})
+	if size := len(encode(e.Rules)); size > MaxBytes {
+		faults = append(faults, Fault{Text: fmt.Sprintf("%d bytes of rules, %d at most", size, MaxBytes)})
 	}
 	if len(faults) > 0 {
 		return Edition{}, faults
@@ -168,7 +168,7 @@
 
 // place is where the last part of a key stands in a text, as far as a look at its lines tells: the n-th of its name for a
 // table of several. 0, 0: it does not stand there.
-func place(text []byte, key string) (line, column int) {
+func findKey(text []byte, key string) (line, column int) {
 	parts := strings.Split(key, ".")
 	last, table := parts[len(parts)-1], ""
 	nth := 0
--- a/internal/rules/limits.go
+++ b/internal/rules/limits.go
@@ -62,7 +62,7 @@
 
 func readLimits(r Rule) (*LimitRules, error) {
 	l := &LimitRules{}
-	if err := body(r, l); err != nil {
+	if err := decodeBody(r, l); err != nil {
 		return nil, err
 	}
 	return l, l.check()
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -17,9 +17,9 @@
 
 // Bounds.
 const (
-	MostBytes = 64 << 10 // of an edition's canonical form
-	MostReads = 128      // bytes of what a member says that it reads
-	mostKinds = 8
+	MaxBytes      = 64 << 10 // of an edition's canonical form
+	MaxReadsBytes = 128      // bytes of what a member says that it reads
+	maxKinds      = 8
 )
 
 // Kind is what a rule is about.
@@ -59,8 +59,8 @@
 // Reads is what a program reads: for each kind the formats, the highest minor of each major.
 type Reads map[Kind][]Format
 
-// Here is what this program reads.
-func Here() Reads {
+// Supported is what this program reads.
+func Supported() Reads {
 	return Reads{Sampling: {{1, 0}, {2, 0}}, Limits: {{1, 0}}}
 }
 
@@ -81,15 +81,15 @@
 // ParseReads reads that form. A program from before rules says nothing and reads none.
 func ParseReads(text string) (Reads, error) {
 	r := Reads{}
-	if len(text) > MostReads {
-		return nil, fmt.Errorf("rules: what is read takes %d bytes, %d at most", len(text), MostReads)
+	if len(text) > MaxReadsBytes {
+		return nil, fmt.Errorf("rules: what is read takes %d bytes, %d at most", len(text), MaxReadsBytes)
 	}
 	for part := range strings.SplitSeq(text, ";") {
 		if part == "" {
 			continue
 		}
 		kind, formats, ok := strings.Cut(part, " ")
-		if !ok || kind == "" || len(r) >= mostKinds {
+		if !ok || kind == "" || len(r) >= maxKinds {
 			return nil, fmt.Errorf("rules: %q is not what somebody reads", part)
 		}
 		for f := range strings.SplitSeq(formats, ",") {
@@ -164,14 +164,14 @@
 	return b
 }
 
-// MisreadError is what keeps an edition from being read, and by which of its rules.
-type MisreadError struct {
+// ReadError is what keeps an edition from being read, and by which of its rules.
+type ReadError struct {
 	Kind   Kind
 	Format Format
-	Why    string // "kind not known", "format not read", "feature ...", ...
+	Reason string // "kind not known", "format not read", "feature ...", ...
 }
 
-func (m *MisreadError) Error() string { return fmt.Sprintf("rules %s %s: %s", m.Kind, m.Format, m.Why) }
+func (m *ReadError) Error() string { return fmt.Sprintf("rules %s %s: %s", m.Kind, m.Format, m.Reason) }
 
 // Compiled is an edition as it is gone by.
 type Compiled struct {
@@ -180,19 +180,19 @@
 	Limits   *LimitRules
 }
 
-// Read reads an edition whole, as a program that reads what reads says. Its error is a *MisreadError, or says that the
+// Read reads an edition whole, as a program that reads what reads says. Its error is a *ReadError, or says that the
 // edition is too long or has no form.
 func Read(e Edition, reads Reads) (*Compiled, error) {
 	c := &Compiled{Edition: e}
-	if size := len(encode(e.Rules)); size > MostBytes {
-		return nil, fmt.Errorf("rules: %d bytes, %d at most", size, MostBytes)
+	if size := len(encode(e.Rules)); size > MaxBytes {
+		return nil, fmt.Errorf("rules: %d bytes, %d at most", size, MaxBytes)
 	}
-	if len(e.Rules) > mostKinds || !slices.IsSortedFunc(e.Rules, func(a, b Rule) int { return cmp.Compare(a.Kind, b.Kind) }) {
+	if len(e.Rules) > maxKinds || !slices.IsSortedFunc(e.Rules, func(a, b Rule) int { return cmp.Compare(a.Kind, b.Kind) }) {
 		return nil, errors.New("rules: not in the order of their kinds")
 	}
 	for i, r := range e.Rules {
 		bad := func(format string, args ...any) error {
-			return &MisreadError{r.Kind, r.Format, fmt.Sprintf(format, args...)}
+			return &ReadError{r.Kind, r.Format, fmt.Sprintf(format, args...)}
 		}
 		if i > 0 && e.Rules[i-1].Kind == r.Kind {
 			return nil, bad("twice")
@@ -220,7 +220,7 @@
 }
 
 // body reads a body into v and checks that it is in its canonical form: written otherwise it would have another digest.
-func body(r Rule, v any) error {
+func decodeBody(r Rule, v any) error {
 	if err := strict.Unmarshal(r.Body, v); err != nil {
 		return fmt.Errorf("not read: %w", err)
 	}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -53,7 +53,7 @@
 
 func read(t *testing.T, e Edition) *Compiled {
 	t.Helper()
-	c, err := Read(e, Here())
+	c, err := Read(e, Supported())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,10 +63,10 @@
 func TestFile(t *testing.T) {
 	e := parse(t, good)
 	c := read(t, e)
-	if r := c.Sampling.RateOf("order", ""); r != PerWhole/2 {
+	if r := c.Sampling.RateOf("order", ""); r != RateUnit/2 {
 		t.Errorf("order is captured at %d", r)
 	}
-	if r := c.Sampling.RateOf("order", "novak"); r != PerWhole {
+	if r := c.Sampling.RateOf("order", "novak"); r != RateUnit {
 		t.Errorf("the tenant comes before the class: %d", r)
 	}
 	if q := c.Limits.Settings(); len(q) != 2 || q[0].PerSecond != 12.5 || q[1].InFlight != 9 {
@@ -134,12 +134,12 @@
 	}
 	// One that was made elsewhere is measured too: all of it, and one byte more.
 	e := Edition{Rules: []Rule{{Kind: "x", Format: Format{1, 0}}}}
-	e.Rules[0].Body = make([]byte, MostBytes-len(encode(e.Rules))-2)
-	if _, err := Read(e, Here()); len(encode(e.Rules)) != MostBytes || !strings.Contains(err.Error(), "kind not known") {
+	e.Rules[0].Body = make([]byte, MaxBytes-len(encode(e.Rules))-2)
+	if _, err := Read(e, Supported()); len(encode(e.Rules)) != MaxBytes || !strings.Contains(err.Error(), "kind not known") {
 		t.Error(len(encode(e.Rules)), err)
 	}
 	e.Rules[0].Body = append(e.Rules[0].Body, 0)
-	if _, err := Read(e, Here()); !strings.Contains(err.Error(), "65537 bytes, 65536 at most") {
+	if _, err := Read(e, Supported()); !strings.Contains(err.Error(), "65537 bytes, 65536 at most") {
 		t.Error(err)
 	}
 }
@@ -165,19 +165,19 @@
 		want  string
 	}{
 		"a later major":            {e, one, "rules sampling 2.0: format not read, only sampling 1.0"},
-		"a later minor":            {later, Here(), "rules sampling 2.1: format not read, only sampling 1.0,2.0"},
-		"a kind that is not known": {unknown, Here(), "rules affinity 1.0: kind not known"},
-		"an unknown key":           {key, Here(), "rules sampling 2.0: not read: cbor: found unknown field"},
-		"another order of keys":    {Edition{Rules: []Rule{{Sampling, Format{2, 0}, loose}}}, Here(), "not in its canonical form"},
-		"a kind twice":             {Edition{Rules: []Rule{e.Rules[0], e.Rules[0]}}, Here(), "twice"},
-		"cut in the middle":        {Edition{Rules: []Rule{{Sampling, Format{2, 0}, e.Rules[1].Body[:9]}}}, Here(), "not read"},
+		"a later minor":            {later, Supported(), "rules sampling 2.1: format not read, only sampling 1.0,2.0"},
+		"a kind that is not known": {unknown, Supported(), "rules affinity 1.0: kind not known"},
+		"an unknown key":           {key, Supported(), "rules sampling 2.0: not read: cbor: found unknown field"},
+		"another order of keys":    {Edition{Rules: []Rule{{Sampling, Format{2, 0}, loose}}}, Supported(), "not in its canonical form"},
+		"a kind twice":             {Edition{Rules: []Rule{e.Rules[0], e.Rules[0]}}, Supported(), "twice"},
+		"cut in the middle":        {Edition{Rules: []Rule{{Sampling, Format{2, 0}, e.Rules[1].Body[:9]}}}, Supported(), "not read"},
 		"a program before rules":   {e, Reads{}, "kind not known"},
 	} {
 		_, err := Read(c.e, c.reads)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, err, c.want)
 		}
-		var m *MisreadError
+		var m *ReadError
 		if err != nil && !errors.As(err, &m) {
 			t.Errorf("%s: not said which rule: %v", name, err)
 		}
@@ -200,13 +200,13 @@
 		t.Error(lost)
 	}
 	c, err := Read(lower, one)
-	if err != nil || c.Sampling.RateOf("order", "") != PerWhole/2 {
+	if err != nil || c.Sampling.RateOf("order", "") != RateUnit/2 {
 		t.Error(c, err)
 	}
 }
 
 func TestReads(t *testing.T) {
-	text := Here().String()
+	text := Supported().String()
 	if text != "limits 1.0;sampling 1.0,2.0" {
 		t.Error(text)
 	}
@@ -214,7 +214,7 @@
 	if err != nil || r.String() != text || !r.Has(Sampling, Format{1, 0}) || r.Has(Sampling, Format{2, 1}) || r.Has("x", Format{1, 0}) {
 		t.Error(r, err)
 	}
-	for _, bad := range []string{"limits", "limits 0", "limits 1.x", " 1", strings.Repeat("x", MostReads+1)} {
+	for _, bad := range []string{"limits", "limits 0", "limits 1.x", " 1", strings.Repeat("x", MaxReadsBytes+1)} {
 		if _, err := ParseReads(bad); err == nil {
 			t.Errorf("%q is taken", bad)
 		}
@@ -231,13 +231,13 @@
 	},
 	"rates of a class not known":      func(c *Compiled, q Case) string { q.Class = ""; return c.Decide(q) },
 	"tenants not known":               func(c *Compiled, q Case) string { q.Tenant = ""; return c.Decide(q) },
-	"slow from the bound on":          func(c *Compiled, q Case) string { q.Took++; return c.Decide(q) },
-	"slow in another unit":            func(c *Compiled, q Case) string { q.Took /= 1000; return c.Decide(q) },
+	"slow from the bound on":          func(c *Compiled, q Case) string { q.Latency++; return c.Decide(q) },
+	"slow in another unit":            func(c *Compiled, q Case) string { q.Latency /= 1000; return c.Decide(q) },
 	"failed not kept":                 func(c *Compiled, q Case) string { q.Failed = false; return c.Decide(q) },
 	"ids in capitals":                 func(c *Compiled, q Case) string { q.ID = strings.ToUpper(q.ID); return c.Decide(q) },
 	"ids cut":                         func(c *Compiled, q Case) string { q.ID = q.ID[:15]; return c.Decide(q) },
 	"another salt":                    with(func(c *Compiled) { c.Sampling.Salt++ }),
-	"rates rounded to percents":       with(func(c *Compiled) { c.Sampling.Rate = c.Sampling.Rate * 100 / PerWhole * PerWhole / 100 }),
+	"rates rounded to percents":       with(func(c *Compiled) { c.Sampling.Rate = c.Sampling.Rate * 100 / RateUnit * RateUnit / 100 }),
 	"limits rounded to whole numbers": with(func(c *Compiled) { c.Limits.Quotas[0].PerSecond = 12000 }),
 	"a policy that is the other":      with(func(c *Compiled) { c.Limits.Quotas[1].Policy = "strict" }),
 	"a limit left out":                with(func(c *Compiled) { c.Limits.Quotas = c.Limits.Quotas[:1] }),
@@ -260,13 +260,13 @@
 	caught, played := 0, 0
 	for salt := range 50 {
 		c := read(t, parse(t, strings.Replace(good, "salt = 7", fmt.Sprintf("salt = %d", salt+1), 1)))
-		own := Try(c)
-		if Differs(own, Try(read(t, c.Edition))) >= 0 {
+		own := RunTrial(c)
+		if FirstDifference(own, RunTrial(read(t, c.Edition))) >= 0 {
 			t.Fatal("the same program decides otherwise the second time")
 		}
 		for name, decide := range misreadings {
 			played++
-			if at := Differs(own, TryWith(c, func(q Case) string { return decide(c, q) })); at > 0 {
+			if at := FirstDifference(own, RunTrialWith(c, func(q Case) string { return decide(c, q) })); at > 0 {
 				caught++
 			} else {
 				t.Errorf("salt %d: %s: not caught", salt, name)
@@ -284,8 +284,8 @@
 			e.Rules = append(e.Rules, Rule{Kind: rapid.SampledFrom([]Kind{Sampling, Limits, "x"}).Draw(t, "kind"),
 				Format: Format{rapid.Uint8Range(0, 3).Draw(t, "major"), rapid.Uint8Range(0, 2).Draw(t, "minor")}, Body: rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "body")})
 		}
-		if c, err := Read(e, Here()); err == nil {
-			Try(c)
+		if c, err := Read(e, Supported()); err == nil {
+			RunTrial(c)
 		}
 	})
 }
--- a/internal/rules/sampling.go
+++ b/internal/rules/sampling.go
@@ -7,54 +7,54 @@
 	"slices"
 )
 
-// SamplingRules say how much of which traces is captured. Rates are parts in PerWhole.
+// SamplingRules say how much of which traces is captured. Rates are parts in RateUnit.
 type SamplingRules struct {
-	Salt    uint64  `cbor:"1,keyasint"`
-	Rate    uint32  `cbor:"2,keyasint"`           // of all traces that nothing else is said of
-	Classes []Named `cbor:"3,keyasint,omitempty"` // by name
-	Records uint32  `cbor:"4,keyasint"`           // a second and sidecar, at the most
-	Bytes   uint32  `cbor:"5,keyasint"`           // likewise
-	PerNode uint32  `cbor:"6,keyasint"`           // records a second and execute node, of a sidecar
-	Least   uint32  `cbor:"7,keyasint,omitempty"` // traces a minute of each class that are captured where there are so many
+	Salt              uint64      `cbor:"1,keyasint"`
+	Rate              uint32      `cbor:"2,keyasint"`           // of all traces that nothing else is said of
+	Classes           []NamedRate `cbor:"3,keyasint,omitempty"` // by name
+	MaxRecords        uint32      `cbor:"4,keyasint"`           // a second and sidecar, at the most
+	MaxBytes          uint32      `cbor:"5,keyasint"`           // likewise
+	MaxRecordsPerNode uint32      `cbor:"6,keyasint"`           // records a second and execute node, of a sidecar
+	MinPerMinute      uint32      `cbor:"7,keyasint,omitempty"` // traces a minute of each class that are captured where there are so many
 	// Of format 2.
-	Tenants []Named `cbor:"8,keyasint,omitempty"`  // by name; before the class's
-	Failed  bool    `cbor:"9,keyasint,omitempty"`  // failed traces are kept after the fact
-	Slow    uint32  `cbor:"10,keyasint,omitempty"` // milliseconds: slower ones are kept likewise; 0: none
+	Tenants    []NamedRate `cbor:"8,keyasint,omitempty"`  // by name; before the class's
+	KeepFailed bool        `cbor:"9,keyasint,omitempty"`  // failed traces are kept after the fact
+	KeepSlow   uint32      `cbor:"10,keyasint,omitempty"` // milliseconds: slower ones are kept likewise; 0: none
 }
 
-// Named is a rate of a class or a tenant.
-type Named struct {
+// NamedRate is a rate of a class or a tenant.
+type NamedRate struct {
 	Name string `cbor:"1,keyasint"`
 	Rate uint32 `cbor:"2,keyasint"`
 }
 
-// PerWhole is a rate of all.
-const PerWhole = 1 << 20
+// RateUnit is a rate of all.
+const RateUnit = 1 << 20
 
 const (
-	mostNamed = 512
-	mostName  = 64
-	mostCap   = 1 << 20
+	maxNamedRates = 512
+	maxNameBytes  = 64
+	maxCap        = 1 << 20
 )
 
 func (s *SamplingRules) check(f Format) error {
-	if f.Major == 1 && (len(s.Tenants) > 0 || s.Failed || s.Slow > 0) {
+	if f.Major == 1 && (len(s.Tenants) > 0 || s.KeepFailed || s.KeepSlow > 0) {
 		return errors.New("tenants, failed and slow are of format 2")
 	}
-	if s.Rate > PerWhole {
-		return fmt.Errorf("rate %d of %d", s.Rate, PerWhole)
+	if s.Rate > RateUnit {
+		return fmt.Errorf("rate %d of %d", s.Rate, RateUnit)
 	}
-	for what, v := range map[string]uint32{"records": s.Records, "bytes": s.Bytes, "per_node": s.PerNode} {
-		if v == 0 || v > mostCap && what != "bytes" {
-			return fmt.Errorf("%s %d, 1 to %d are taken", what, v, mostCap)
+	for what, v := range map[string]uint32{"records": s.MaxRecords, "bytes": s.MaxBytes, "per_node": s.MaxRecordsPerNode} {
+		if v == 0 || v > maxCap && what != "bytes" {
+			return fmt.Errorf("%s %d, 1 to %d are taken", what, v, maxCap)
 		}
 	}
-	for _, all := range [][]Named{s.Classes, s.Tenants} {
-		if len(all) > mostNamed {
-			return fmt.Errorf("%d rates, %d at most", len(all), mostNamed)
+	for _, all := range [][]NamedRate{s.Classes, s.Tenants} {
+		if len(all) > maxNamedRates {
+			return fmt.Errorf("%d rates, %d at most", len(all), maxNamedRates)
 		}
 		for i, n := range all {
-			if n.Name == "" || len(n.Name) > mostName || n.Rate > PerWhole {
+			if n.Name == "" || len(n.Name) > maxNameBytes || n.Rate > RateUnit {
 				return fmt.Errorf("rate %d of %q", n.Rate, n.Name)
 			}
 			if i > 0 && all[i-1].Name >= n.Name {
@@ -65,13 +65,13 @@
 	return nil
 }
 
-// RateOf is the part of the traces of a class and a tenant that is captured, in PerWhole.
+// RateOf is the part of the traces of a class and a tenant that is captured, in RateUnit.
 func (s *SamplingRules) RateOf(class, tenant string) uint32 {
 	for _, look := range []struct {
-		in   []Named
+		in   []NamedRate
 		name string
 	}{{s.Tenants, tenant}, {s.Classes, class}} {
-		i, ok := slices.BinarySearchFunc(look.in, look.name, func(n Named, name string) int { return compare(n.Name, name) })
+		i, ok := slices.BinarySearchFunc(look.in, look.name, func(n NamedRate, name string) int { return compare(n.Name, name) })
 		if ok && look.name != "" {
 			return look.in[i].Rate
 		}
@@ -95,11 +95,11 @@
 }
 
 // Rate is a part of one as a rate.
-func Rate(part float64) uint32 { return uint32(math.Round(part * PerWhole)) }
+func Rate(part float64) uint32 { return uint32(math.Round(part * RateUnit)) }
 
 func readSampling(r Rule) (*SamplingRules, error) {
 	s := &SamplingRules{}
-	if err := body(r, s); err != nil {
+	if err := decodeBody(r, s); err != nil {
 		return nil, err
 	}
 	return s, s.check(r.Format)
@@ -107,8 +107,8 @@
 
 // SamplingRule is the rule of a format. The rules are brought into their order.
 func SamplingRule(s SamplingRules, f Format) (Rule, error) {
-	for _, all := range [][]Named{s.Classes, s.Tenants} {
-		slices.SortFunc(all, func(a, b Named) int { return compare(a.Name, b.Name) })
+	for _, all := range [][]NamedRate{s.Classes, s.Tenants} {
+		slices.SortFunc(all, func(a, b NamedRate) int { return compare(a.Name, b.Name) })
 	}
 	return Rule{Kind: Sampling, Format: f, Body: encode(&s)}, s.check(f)
 }
@@ -123,11 +123,11 @@
 	for _, t := range s.Tenants {
 		lost = append(lost, fmt.Sprintf("the rate of tenant %q", t.Name))
 	}
-	if s.Failed {
+	if s.KeepFailed {
 		lost = append(lost, "failed traces kept after the fact")
 	}
-	if s.Slow > 0 {
-		lost = append(lost, fmt.Sprintf("traces slower than %d ms kept after the fact", s.Slow))
+	if s.KeepSlow > 0 {
+		lost = append(lost, fmt.Sprintf("traces slower than %d ms kept after the fact", s.KeepSlow))
 	}
 	return Rule{Kind: Sampling, Format: Format{1, 0}, Body: r.Body}, lost
 }
--- a/internal/rules/trial.go
+++ b/internal/rules/trial.go
@@ -9,23 +9,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Cases is how many drawn cases a trial decides.
-const Cases = 128
+// TrialCases is how many drawn cases a trial decides.
+const TrialCases = 128
 
 // Trial is what a program makes of an edition: four bytes for the decision on each case, and first what it says of each
 // rule's canonical form.
-type Trial [4 * (Cases + 1)]byte
+type Trial [4 * (TrialCases + 1)]byte
 
 // Case is what a decision is made on. What is drawn depends on the content alone, so all draw the same.
 type Case struct {
 	Class, Tenant, Node string
 	ID                  string
-	Again, Failed       bool
-	Took                uint32 // milliseconds
+	Retry, Failed       bool
+	Latency             uint32 // milliseconds
 }
 
 func (c Case) String() string {
-	return fmt.Sprintf("class %q, tenant %q, node %q, id %s, again %t, failed %t, %d ms", c.Class, c.Tenant, c.Node, c.ID, c.Again, c.Failed, c.Took)
+	return fmt.Sprintf("class %q, tenant %q, node %q, id %s, again %t, failed %t, %d ms", c.Class, c.Tenant, c.Node, c.ID, c.Retry, c.Failed, c.Latency)
 }
 
 // DrawCases draws the cases of an edition. Names come from the rules themselves and from outside of them, so that each rule
@@ -42,8 +42,8 @@
 		for _, n := range s.Tenants {
 			tenants = append(tenants, n.Name)
 		}
-		if s.Slow > 0 {
-			slow = s.Slow
+		if s.KeepSlow > 0 {
+			slow = s.KeepSlow
 		}
 	}
 	if l := c.Limits; l != nil {
@@ -52,10 +52,10 @@
 		}
 	}
 	pick := func(from []string) string { return from[rng.IntN(len(from))] }
-	all := make([]Case, Cases)
+	all := make([]Case, TrialCases)
 	for i := range all {
 		all[i] = Case{Class: pick(classes), Tenant: pick(tenants), Node: fmt.Sprintf("n%d", rng.IntN(8)), ID: fmt.Sprintf("%016x", rng.Uint64()),
-			Again: rng.IntN(3) == 0, Failed: rng.IntN(4) == 0, Took: slow - 2 + uint32(rng.IntN(5))}
+			Retry: rng.IntN(3) == 0, Failed: rng.IntN(4) == 0, Latency: slow - 2 + uint32(rng.IntN(5))}
 	}
 	return all
 }
@@ -66,7 +66,7 @@
 	if s := c.Sampling; s != nil {
 		rate := s.RateOf(q.Class, q.Tenant)
 		hash := TraceHash(s.Salt, q.ID)
-		text += fmt.Sprintf("rate %d hash %x captured %t kept %t caps %d %d %d least %d", rate, hash, Captures(hash, rate), s.Keeps(q.Failed, q.Took), s.Records, s.Bytes, s.PerNode, s.Least)
+		text += fmt.Sprintf("rate %d hash %x captured %t kept %t caps %d %d %d least %d", rate, hash, Captures(hash, rate), s.Keeps(q.Failed, q.Latency), s.MaxRecords, s.MaxBytes, s.MaxRecordsPerNode, s.MinPerMinute)
 	}
 	if l := c.Limits; l != nil {
 		for _, x := range l.Settings() {
@@ -83,7 +83,7 @@
 
 // Keeps tells whether a trace that has ended so is kept after the fact.
 func (s *SamplingRules) Keeps(failed bool, took uint32) bool {
-	return s.Failed && failed || s.Slow > 0 && took > s.Slow
+	return s.KeepFailed && failed || s.KeepSlow > 0 && took > s.KeepSlow
 }
 
 // TraceHash is the hash of a trace's id. Its salt is the edition's, so that nobody can choose ids that are captured.
@@ -93,11 +93,11 @@
 	return h ^ h>>31
 }
 
-// Try decides the cases.
-func Try(c *Compiled) Trial { return TryWith(c, c.Decide) }
+// RunTrial decides the cases.
+func RunTrial(c *Compiled) Trial { return RunTrialWith(c, c.Decide) }
 
-// TryWith decides the cases in another way: that of a program which understands the rules otherwise.
-func TryWith(c *Compiled, decide func(Case) string) (t Trial) {
+// RunTrialWith decides the cases in another way: that of a program which understands the rules otherwise.
+func RunTrialWith(c *Compiled, decide func(Case) string) (t Trial) {
 	put := func(i int, text string) { binary.BigEndian.PutUint32(t[4*i:], uint32(xxhash.Sum64String(text))) }
 	put(0, string(encode(c.Edition.Rules)))
 	for i, q := range DrawCases(c) {
@@ -106,9 +106,9 @@
 	return t
 }
 
-// Differs tells where two trials first differ: -1, nowhere; 0, in the canonical form; else in the case of that number, from 1.
-func Differs(a, b Trial) int {
-	for i := range Cases + 1 {
+// FirstDifference tells where two trials first differ: -1, nowhere; 0, in the canonical form; else in the case of that number, from 1.
+func FirstDifference(a, b Trial) int {
+	for i := range TrialCases + 1 {
 		if !slices.Equal(a[4*i:4*i+4], b[4*i:4*i+4]) {
 			return i
 		}
--- a/internal/sampling/path.go
+++ b/internal/sampling/path.go
@@ -55,7 +55,7 @@
 	if d.Rate == 0 {
 		return 0
 	}
-	return rules.PerWhole / float64(d.Rate)
+	return rules.RateUnit / float64(d.Rate)
 }
 
 // Set puts rules and a brake in force for all decisions that begin from now on, as one. nil: nothing is captured.
@@ -168,7 +168,7 @@
 
 // NewCaps makes caps of rules.
 func NewCaps(s *rules.SamplingRules) *Caps {
-	return &Caps{records: s.Records, bytes: s.Bytes, perNode: s.PerNode, nodes: map[string]*window{}}
+	return &Caps{records: s.MaxRecords, bytes: s.MaxBytes, perNode: s.MaxRecordsPerNode, nodes: map[string]*window{}}
 }
 
 // Let tells whether a record of so many bytes that concerns a node may be written; "": it concerns none.
--- a/internal/sampling/path_test.go
+++ b/internal/sampling/path_test.go
@@ -13,8 +13,8 @@
 )
 
 func some() *rules.SamplingRules {
-	return &rules.SamplingRules{Salt: 5, Rate: rules.Rate(0.1), Classes: []rules.Named{{Name: "order", Rate: rules.Rate(0.5)}, {Name: "quiet", Rate: 0}},
-		Tenants: []rules.Named{{Name: "novak", Rate: rules.PerWhole}}, Records: 100, Bytes: 10_000, PerNode: 40}
+	return &rules.SamplingRules{Salt: 5, Rate: rules.Rate(0.1), Classes: []rules.NamedRate{{Name: "order", Rate: rules.Rate(0.5)}, {Name: "quiet", Rate: 0}},
+		Tenants: []rules.NamedRate{{Name: "novak", Rate: rules.RateUnit}}, MaxRecords: 100, MaxBytes: 10_000, MaxRecordsPerNode: 40}
 }
 
 // Sidecars that go by one edition and brake capture all hops of a trace or none; what is captured under a brake is under each
@@ -172,7 +172,7 @@
 func TestDecisionsAreWhole(t *testing.T) {
 	var p Path
 	all, none := some(), some()
-	all.Rate, all.Classes, all.Tenants = rules.PerWhole, nil, nil
+	all.Rate, all.Classes, all.Tenants = rules.RateUnit, nil, nil
 	none.Rate, none.Classes, none.Tenants = 0, nil, nil
 	p.Set(1, none, 0)
 	var wg sync.WaitGroup
--- a/internal/skew/check_test.go
+++ b/internal/skew/check_test.go
@@ -46,12 +46,12 @@
 
 func (w *three) start(i int, odd bool) {
 	w.boots[i] += 10
-	cfg := Config{Name: name(i), Boot: w.boots[i], Pace: pace, Bound: 20 * pace, Seed: uint64(i), Reads: rules.Here(), ReplyTimeout: 1000 * pace, Mutate: w.mutate,
+	cfg := Config{Name: name(i), Boot: w.boots[i], Pace: pace, Bound: 20 * pace, Seed: uint64(i), Reads: rules.Supported(), ReplyTimeout: 1000 * pace, Mutate: w.mutate,
 		View: func() (view.View, bool) { return w.adopted[i], true }, HoldsLease: func() bool { return w.adopted[i].ID == w.decided.ID },
 		Decided: func() (view.View, bool) { return w.decided, true }, Leader: func() string { return name(w.leader) },
 		Members: func() (all []Member) {
 			for j := range 3 {
-				all = append(all, Member{Name: name(j), Boot: w.boots[j], Reads: rules.Here().String(), AbsentFor: -1})
+				all = append(all, Member{Name: name(j), Boot: w.boots[j], Reads: rules.Supported().String(), AbsentFor: -1})
 			}
 			return all
 		}}
--- a/internal/skew/configure.go
+++ b/internal/skew/configure.go
@@ -16,7 +16,7 @@
 	if !s.On {
 		return nil, nil
 	}
-	c := &Config{Reads: rules.Here(), Lower: s.Policy == "lower", MaxBehind: s.Behind, ReturnTimeout: s.ReturnTime(), ReplyTimeout: s.HearTime()}
+	c := &Config{Reads: rules.Supported(), Lower: s.Policy == "lower", MaxBehind: s.Behind, ReturnTimeout: s.ReturnTime(), ReplyTimeout: s.HearTime()}
 	if len(s.Reads) == 0 {
 		return c, nil
 	}
@@ -24,8 +24,8 @@
 	for _, text := range s.Reads {
 		kind, format, _ := strings.Cut(text, " ")
 		f, err := rules.ParseFormat(strings.TrimSpace(format))
-		if err != nil || !rules.Here().Has(rules.Kind(kind), f) {
-			return nil, fmt.Errorf("rules.reads: %q; this program reads %s", text, rules.Here())
+		if err != nil || !rules.Supported().Has(rules.Kind(kind), f) {
+			return nil, fmt.Errorf("rules.reads: %q; this program reads %s", text, rules.Supported())
 		}
 		reads[rules.Kind(kind)] = append(reads[rules.Kind(kind)], f)
 	}
@@ -36,8 +36,8 @@
 // ReadFile reads the file of rules that is pushed. The error has a line for each fault.
 func ReadFile(path string) (rules.Edition, error) {
 	info, err := os.Stat(path)
-	if err == nil && info.Size() > rules.MostFile {
-		err = fmt.Errorf("%d bytes, %d at most", info.Size(), rules.MostFile)
+	if err == nil && info.Size() > rules.MaxFileBytes {
+		err = fmt.Errorf("%d bytes, %d at most", info.Size(), rules.MaxFileBytes)
 	}
 	var text []byte
 	if err == nil {
--- a/internal/skew/edition.go
+++ b/internal/skew/edition.go
@@ -34,7 +34,7 @@
 		if m.cfg.Decide != nil {
 			decide = func(q rules.Case) string { return m.cfg.Decide(loaded.compiled, q) }
 		}
-		loaded.trial = rules.TryWith(loaded.compiled, decide)
+		loaded.trial = rules.RunTrialWith(loaded.compiled, decide)
 	}
 	if len(m.editions) >= maxEditions {
 		m.evictEdition()
--- a/internal/skew/evaluate.go
+++ b/internal/skew/evaluate.go
@@ -51,7 +51,7 @@
 	case len(got.trial) != len(own.trial):
 		return Divergent, "its answer has no form"
 	}
-	switch at := rules.Differs(own.trial, rules.Trial(got.trial)); {
+	switch at := rules.FirstDifference(own.trial, rules.Trial(got.trial)); {
 	case at == 0:
 		return Divergent, "in another canonical form"
 	case at > 0:
