--- a/internal/rules/file.go
+++ b/internal/rules/file.go
@@ -13,22 +13,23 @@
 	"fieldrelay/internal/quota"
 )
 
-// FileVersion is the version of the rules' file that this program reads.
+// FileVersion is the version of the file of rules that this program reads.
 const FileVersion = 1
 
-// MaxFileBytes bounds a rules' file, in bytes.
+// MaxFileBytes is the size limit of a file of rules.
 const MaxFileBytes = 256 << 10
 
-// endMarker ends a file: one that is still being written does not pass for a whole one.
+// endMarker is the last line of a file: without it, a file that is still being written could pass for a complete one.
 const endMarker = "# end"
 
-// Fault is one thing that is wrong with a file. Line and Column are 0 where no place can be told.
+// Fault is one fault of a file. Line and Column are 0 if its position is not known.
 type Fault struct {
 	Line, Column int
 	Key          string
 	Text         string
 }
 
+// String is the fault as operators see it.
 func (f Fault) String() string {
 	var b strings.Builder
 	if f.Line > 0 {
@@ -40,7 +41,7 @@
 	return b.String() + f.Text
 }
 
-// file is the form of the file. Rates are parts of one.
+// file is the form of the file. Rates are fractions.
 type file struct {
 	Version  int           `toml:"version"`
 	Sampling *samplingFile `toml:"sampling"`
@@ -71,103 +72,145 @@
 	Quota  quota.All `toml:"quota"`
 }
 
-// Parse reads the text of a rules' file into an edition without a number, or names all that is wrong with it.
+// parser parses a file of rules and collects its faults.
+type parser struct {
+	text   []byte
+	faults []Fault
+}
+
+// Parse parses the text of a file of rules into an edition without a number, or returns all faults of it.
 func Parse(text []byte) (Edition, []Fault) {
 	if len(text) > MaxFileBytes {
 		return Edition{}, []Fault{{Text: fmt.Sprintf("%d bytes, %d at most", len(text), MaxFileBytes)}}
 	}
-	var faults []Fault
-	trimmed := bytes.TrimRight(text, "\r\n\t ")
-	if last := trimmed[bytes.LastIndexByte(trimmed, '\n')+1:]; string(last) != endMarker {
-		faults = append(faults, Fault{Line: 1 + bytes.Count(trimmed, []byte("\n")), Column: 1, Text: fmt.Sprintf("the file may not be whole: its last line must be %q", endMarker)})
-	}
+	p := &parser{text: text}
+	p.checkEnd()
 	var f file
-	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	if err := d.Decode(&f); err != nil {
-		var unknown *toml.StrictMissingError
-		var syntax *toml.DecodeError
-		switch {
-		case errors.As(err, &unknown):
-			for _, e := range unknown.Errors {
-				line, column := e.Position()
-				faults = append(faults, Fault{line, column, strings.Join(e.Key(), "."), "no such key"})
-			}
-		case errors.As(err, &syntax):
-			line, column := syntax.Position()
-			return Edition{}, append(faults, Fault{line, column, strings.Join(syntax.Key(), "."), strings.TrimPrefix(syntax.Error(), "toml: ")})
-		default:
-			return Edition{}, append(faults, Fault{Text: strings.TrimPrefix(err.Error(), "toml: ")})
-		}
-	}
-	at := func(key string) (line, column int) { return findKey(text, key) }
-	bad := func(key, format string, args ...any) {
-		line, column := at(key)
-		faults = append(faults, Fault{line, column, key, fmt.Sprintf(format, args...)})
+	if !p.decode(&f) {
+		return Edition{}, p.faults
 	}
 	if f.Version != FileVersion {
-		bad("version", "%d; this program reads %d", f.Version, FileVersion)
+		p.fault("version", "%d; this program reads %d", f.Version, FileVersion)
 	}
 	var e Edition
-	if s := f.Sampling; s != nil {
-		format, err := ParseFormat(cmp.Or(s.Format, "1"))
-		if err != nil {
-			bad("sampling.format", "%v", err)
-		}
-		rate := func(key string, part float64) uint32 {
-			if !(part >= 0 && part <= 1) {
-				bad(key, "%g; 0 to 1 is taken", part)
-				return 0
-			}
-			return Rate(part)
-		}
-		named := func(key string, from []namedFile) (to []NamedRate) {
-			seen := map[string]bool{}
-			for i, n := range from {
-				k := fmt.Sprintf("%s[%d]", key, i)
-				if n.Name == "" || len(n.Name) > maxNameBytes || seen[n.Name] {
-					bad(k+".name", "%q; a name of 1 to %d bytes, once", n.Name, maxNameBytes)
-				}
-				seen[n.Name] = true
-				to = append(to, NamedRate{n.Name, rate(k+".rate", n.Rate)})
-			}
-			return to
-		}
-		r := SamplingRules{Salt: uint64(s.Salt), Rate: rate("sampling.rate", s.Rate), MaxRecords: cmp.Or(s.Records, 100), MaxBytes: cmp.Or(s.Bytes, 64<<10), MaxRecordsPerNode: cmp.Or(s.PerNode, 50),
-			MinPerMinute: s.Least, KeepFailed: s.Failed, KeepSlow: s.Slow, Classes: named("sampling.class", s.Classes), Tenants: named("sampling.tenant", s.Tenants)}
-		if len(faults) == 0 {
-			rule, err := SamplingRule(r, format)
-			if err == nil && !Supported().Has(Sampling, format) {
-				err = fmt.Errorf("format %s is not read by this program", format)
-			}
-			if err != nil {
-				bad("sampling", "%v", err)
-			}
-			e.Rules = append(e.Rules, rule)
-		}
+	if f.Sampling != nil {
+		e.Rules = append(e.Rules, p.sampling(f.Sampling)...)
 	}
-	if l := f.Limits; l != nil {
-		format, err := ParseFormat(cmp.Or(l.Format, "1"))
-		if err != nil || !Supported().Has(Limits, format) {
-			bad("limits.format", "%q is not read by this program: %s is", l.Format, Reads{Limits: Supported()[Limits]})
-		}
-		l.Quota.Check(true, func(key string, read any, allowed string) { bad("limits.quota"+key, "%v; allowed: %s", read, allowed) })
-		rule, err := LimitsRule(l.Quota)
-		if err == nil {
-			e.Rules = append(e.Rules, rule)
-		}
+	if f.Limits != nil {
+		e.Rules = append(e.Rules, p.limits(f.Limits)...)
 	}
 	slices.SortFunc(e.Rules, func(a, b Rule) int { return cmp.Compare(a.Kind, b.Kind) })
 	if size := len(encode(e.Rules)); size > MaxBytes {
-		faults = append(faults, Fault{Text: fmt.Sprintf("%d bytes of rules, %d at most", size, MaxBytes)})
+		p.faults = append(p.faults, Fault{Text: fmt.Sprintf("%d bytes of rules, %d at most", size, MaxBytes)})
 	}
-	if len(faults) > 0 {
-		return Edition{}, faults
+	if len(p.faults) > 0 {
+		return Edition{}, p.faults
 	}
 	return e, nil
 }
 
-// place is where the last part of a key stands in a text, as far as a look at its lines tells: the n-th of its name for a
-// table of several. 0, 0: it does not stand there.
+// fault adds a fault of the value of a key.
+func (p *parser) fault(key, format string, args ...any) {
+	line, column := findKey(p.text, key)
+	p.faults = append(p.faults, Fault{line, column, key, fmt.Sprintf(format, args...)})
+}
+
+// checkEnd checks that the file ends with its marker.
+func (p *parser) checkEnd() {
+	trimmed := bytes.TrimRight(p.text, "\r\n\t ")
+	if last := trimmed[bytes.LastIndexByte(trimmed, '\n')+1:]; string(last) != endMarker {
+		p.faults = append(p.faults, Fault{Line: 1 + bytes.Count(trimmed, []byte("\n")), Column: 1,
+			Text: fmt.Sprintf("the file may not be whole: its last line must be %q", endMarker)})
+	}
+}
+
+// decode decodes the text. It reports whether the result can be looked at: only its keys may be at fault then.
+func (p *parser) decode(f *file) bool {
+	err := toml.NewDecoder(bytes.NewReader(p.text)).DisallowUnknownFields().Decode(f)
+	var unknown *toml.StrictMissingError
+	var syntax *toml.DecodeError
+	switch {
+	case err == nil:
+		return true
+	case errors.As(err, &unknown):
+		for _, e := range unknown.Errors {
+			line, column := e.Position()
+			p.faults = append(p.faults, Fault{line, column, strings.Join(e.Key(), "."), "no such key"})
+		}
+		return true
+	case errors.As(err, &syntax):
+		line, column := syntax.Position()
+		p.faults = append(p.faults, Fault{line, column, strings.Join(syntax.Key(), "."), strings.TrimPrefix(syntax.Error(), "toml: ")})
+	default:
+		p.faults = append(p.faults, Fault{Text: strings.TrimPrefix(err.Error(), "toml: ")})
+	}
+	return false
+}
+
+// sampling makes the rule of sampling, if there are no faults so far.
+func (p *parser) sampling(s *samplingFile) []Rule {
+	format, err := ParseFormat(cmp.Or(s.Format, "1"))
+	if err != nil {
+		p.fault("sampling.format", "%v", err)
+	}
+	r := SamplingRules{Salt: uint64(s.Salt), Rate: p.rate("sampling.rate", s.Rate),
+		MaxRecords: cmp.Or(s.Records, 100), MaxBytes: cmp.Or(s.Bytes, 64<<10), MaxRecordsPerNode: cmp.Or(s.PerNode, 50),
+		MinPerMinute: s.Least, KeepFailed: s.Failed, KeepSlow: s.Slow,
+		Classes: p.named("sampling.class", s.Classes), Tenants: p.named("sampling.tenant", s.Tenants)}
+	if len(p.faults) > 0 {
+		return nil
+	}
+	rule, err := SamplingRule(r, format)
+	if err == nil && !Supported().Has(Sampling, format) {
+		err = fmt.Errorf("format %s is not read by this program", format)
+	}
+	if err != nil {
+		p.fault("sampling", "%v", err)
+	}
+	return []Rule{rule}
+}
+
+// rate checks a rate.
+func (p *parser) rate(key string, fraction float64) uint32 {
+	if !(fraction >= 0 && fraction <= 1) { // which NaN is not either
+		p.fault(key, "%g; 0 to 1 is taken", fraction)
+		return 0
+	}
+	return Rate(fraction)
+}
+
+// named checks the rates of classes or tenants.
+func (p *parser) named(key string, from []namedFile) (rates []NamedRate) {
+	seen := make(map[string]bool)
+	for i, n := range from {
+		k := fmt.Sprintf("%s[%d]", key, i)
+		if n.Name == "" || len(n.Name) > maxNameBytes || seen[n.Name] {
+			p.fault(k+".name", "%q; a name of 1 to %d bytes, once", n.Name, maxNameBytes)
+		}
+		seen[n.Name] = true
+		rates = append(rates, NamedRate{n.Name, p.rate(k+".rate", n.Rate)})
+	}
+	return rates
+}
+
+// limits makes the rule of limits, if they are valid.
+func (p *parser) limits(l *limitsFile) []Rule {
+	format, err := ParseFormat(cmp.Or(l.Format, "1"))
+	if err != nil || !Supported().Has(Limits, format) {
+		p.fault("limits.format", "%q is not read by this program: %s is", l.Format, Reads{Limits: Supported()[Limits]})
+	}
+	l.Quota.Check(true, func(key string, read any, allowed string) {
+		p.fault("limits.quota"+key, "%v; allowed: %s", read, allowed)
+	})
+	rule, err := LimitsRule(l.Quota)
+	if err != nil { // a fault already
+		return nil
+	}
+	return []Rule{rule}
+}
+
+// findKey returns the position of the last part of a key in a text, as far as its lines show that; in an array of tables, of the
+// n-th table. 0, 0: the key is not there.
 func findKey(text []byte, key string) (line, column int) {
 	parts := strings.Split(key, ".")
 	last, table := parts[len(parts)-1], ""
--- a/internal/rules/limits.go
+++ b/internal/rules/limits.go
@@ -7,12 +7,12 @@
 	"fieldrelay/internal/quota"
 )
 
-// LimitRules are the limits of the whole fleet, as the tables [[quota]] say them.
+// LimitRules are limits of the whole fleet, like the tables [[quota]] of the settings.
 type LimitRules struct {
 	Quotas []Quota `cbor:"1,keyasint,omitempty"`
 }
 
-// Quota is one limit. Numbers that are no whole ones are in thousandths.
+// Quota is one limit, see quota.Settings. Numbers that need not be integers are in thousandths, so that the form is canonical.
 type Quota struct {
 	Name      string `cbor:"1,keyasint"`
 	Class     string `cbor:"2,keyasint,omitempty"`
@@ -29,9 +29,10 @@
 	Burst     int    `cbor:"13,keyasint,omitempty"`
 }
 
+// thousand is the number of thousandths in one.
 const thousand = 1000
 
-// Settings are the limits in the form of the operator's file.
+// Settings returns the limits in the form of the operator's file.
 func (l *LimitRules) Settings() (all quota.All) {
 	for _, q := range l.Quotas {
 		all = append(all, quota.Settings{Name: q.Name, Class: q.Class, Tenant: q.Tenant, PerSecond: float64(q.PerSecond) / thousand, InFlight: q.InFlight,
@@ -41,7 +42,7 @@
 	return all
 }
 
-// LimitsRule is the rule of limits.
+// LimitsRule returns the rule of limits, and an error if a limit has an invalid value.
 func LimitsRule(all quota.All) (Rule, error) {
 	l := LimitRules{}
 	for _, s := range all {
@@ -52,6 +53,7 @@
 	return Rule{Kind: Limits, Format: Format{1, 0}, Body: encode(&l)}, l.check()
 }
 
+// check returns the invalid values.
 func (l *LimitRules) check() error {
 	var errs []error
 	l.Settings().Check(true, func(key string, read any, allowed string) {
@@ -60,6 +62,7 @@
 	return errors.Join(errs...)
 }
 
+// readLimits decodes the rule of limits.
 func readLimits(r Rule) (*LimitRules, error) {
 	l := &LimitRules{}
 	if err := decodeBody(r, l); err != nil {
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -1,6 +1,6 @@
-// Package rules is what leads a fleet: editions of rules, each in a kind and a
-// format, their canonical form and what they decide. It is plain functions
-// without I/O. docs/design-rules.md says why it is so.
+// Package rules is the rules that hold in a whole fleet: editions of rules of several kinds, each in a versioned format, their
+// canonical form, and what they decide. It is plain functions without I/O. How an edition comes into force is in package skew.
+// docs/design-rules.md describes the design, docs/rules.md is the page for operators.
 package rules
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds.
+// Bounds of editions.
 const (
-	MaxBytes      = 64 << 10 // of an edition's canonical form
-	MaxReadsBytes = 128      // bytes of what a member says that it reads
+	MaxBytes      = 64 << 10 // size of an edition's canonical form
+	MaxReadsBytes = 128      // of the formats that a member says it reads
 	maxKinds      = 8
 )
 
@@ -31,12 +31,13 @@
 	Limits   Kind = "limits"
 )
 
-// Format numbers the form of a kind's rules. A reader of a minor reads all lower minors of its major.
+// Format is the version of the form of a kind's rules. A reader of a minor version reads all lower ones of its major.
 type Format struct {
 	Major uint8 `cbor:"1,keyasint"`
 	Minor uint8 `cbor:"2,keyasint,omitempty"`
 }
 
+// String is the form that ParseFormat reads.
 func (f Format) String() string { return fmt.Sprintf("%d.%d", f.Major, f.Minor) }
 
 // Compare orders formats.
@@ -44,7 +45,7 @@
 	return cmp.Or(cmp.Compare(f.Major, g.Major), cmp.Compare(f.Minor, g.Minor))
 }
 
-// ParseFormat reads "2" or "2.1".
+// ParseFormat parses "2" or "2.1".
 func ParseFormat(text string) (f Format, err error) {
 	major, minor, has := strings.Cut(text, ".")
 	if _, err := fmt.Sscanf(major, "%d", &f.Major); err != nil || f.Major == 0 || fmt.Sprint(f.Major) != major {
@@ -56,10 +57,10 @@
 	return f, nil
 }
 
-// Reads is what a program reads: for each kind the formats, the highest minor of each major.
+// Reads is the formats that a program reads, by kind: of each major version the highest minor one.
 type Reads map[Kind][]Format
 
-// Supported is what this program reads.
+// Supported returns what this program reads.
 func Supported() Reads {
 	return Reads{Sampling: {{1, 0}, {2, 0}}, Limits: {{1, 0}}}
 }
@@ -78,7 +79,7 @@
 	return strings.Join(kinds, ";")
 }
 
-// ParseReads reads that form. A program from before rules says nothing and reads none.
+// ParseReads parses that form. The empty text is of a program from before there were rules, which reads none.
 func ParseReads(text string) (Reads, error) {
 	r := Reads{}
 	if len(text) > MaxReadsBytes {
@@ -103,7 +104,7 @@
 	return r, nil
 }
 
-// Has tells whether a format of a kind is read.
+// Has reports whether a format of a kind is read.
 func (r Reads) Has(k Kind, f Format) bool {
 	return slices.ContainsFunc(r[k], func(g Format) bool { return g.Major == f.Major && g.Minor >= f.Minor })
 }
@@ -115,21 +116,22 @@
 	Body   []byte `cbor:"3,keyasint"`
 }
 
-// Digest names content.
+// Digest is a hash of an edition's rules.
 type Digest [sha256.Size]byte
 
+// String is the beginning of the digest, for logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:6]) }
 
-// Edition is rules under a number. The zero Edition has no rules.
+// Edition is a numbered set of rules. The zero Edition has none.
 type Edition struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Rules  []Rule `cbor:"2,keyasint"` // by kind
 }
 
-// Digest is that of the rules; the number does not count.
+// Digest returns the digest of the rules, whatever the number.
 func (e Edition) Digest() Digest { return sha256.Sum256(encode(e.Rules)) }
 
-// Find gives the rules of a kind.
+// Find returns the rules of a kind, and whether there are any.
 func (e Edition) Find(k Kind) (Rule, bool) {
 	i := slices.IndexFunc(e.Rules, func(r Rule) bool { return r.Kind == k })
 	if i < 0 {
@@ -138,15 +140,16 @@
 	return e.Rules[i], true
 }
 
+// canonical encodes the canonical form.
 var canonical = func() cbor.EncMode {
 	m, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // never: the options are constants
 	}
 	return m
 }()
 
-// strict reads a body: a key that is not known, or twice, is an error.
+// strict decodes a body: an unknown or repeated key is an error.
 var strict = func() cbor.DecMode {
 	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxNestedLevels: 8,
 		MaxArrayElements: 1 << 14, MaxMapPairs: 1 << 10, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
@@ -156,32 +159,34 @@
 	return m
 }()
 
+// encode is the canonical form of a value.
 func encode(v any) []byte {
 	b, err := canonical.Marshal(v)
 	if err != nil {
-		panic(err) // numbers, text and lists of them
+		panic(err) // never: it has numbers, text and lists of them
 	}
 	return b
 }
 
-// ReadError is what keeps an edition from being read, and by which of its rules.
+// ReadError says why an edition cannot be read, and at which of its rules.
 type ReadError struct {
 	Kind   Kind
 	Format Format
 	Reason string // "kind not known", "format not read", "feature ...", ...
 }
 
-func (m *ReadError) Error() string { return fmt.Sprintf("rules %s %s: %s", m.Kind, m.Format, m.Reason) }
+// Error is the error as operators see it.
+func (r *ReadError) Error() string { return fmt.Sprintf("rules %s %s: %s", r.Kind, r.Format, r.Reason) }
 
-// Compiled is an edition as it is gone by.
+// Compiled is an edition with its rules decoded.
 type Compiled struct {
 	Edition  Edition
 	Sampling *SamplingRules // nil: none
-	Limits   *LimitRules
+	Limits   *LimitRules    // nil: none
 }
 
-// Read reads an edition whole, as a program that reads what reads says. Its error is a *ReadError, or says that the
-// edition is too long or has no form.
+// Read decodes an edition, as a program with the given formats does. The error is a *ReadError, or says that the edition is too
+// long or malformed.
 func Read(e Edition, reads Reads) (*Compiled, error) {
 	c := &Compiled{Edition: e}
 	if size := len(encode(e.Rules)); size > MaxBytes {
@@ -219,7 +224,7 @@
 	return c, nil
 }
 
-// body reads a body into v and checks that it is in its canonical form: written otherwise it would have another digest.
+// decodeBody decodes a body into v and checks that it is in its canonical form: another form would have another digest.
 func decodeBody(r Rule, v any) error {
 	if err := strict.Unmarshal(r.Body, v); err != nil {
 		return fmt.Errorf("not read: %w", err)
@@ -230,8 +235,8 @@
 	return nil
 }
 
-// Lower writes an edition in formats that somebody reads, where that loses nothing. lost names what would be lost; then the
-// edition is not to be used.
+// Lower rewrites an edition in formats that a program reads. lost names what would be lost by that; if there is anything, the
+// result must not be used.
 func Lower(e Edition, reads Reads) (lower Edition, lost []string) {
 	lower.Number = e.Number
 	for _, r := range e.Rules {
--- a/internal/rules/sampling.go
+++ b/internal/rules/sampling.go
@@ -1,34 +1,35 @@
 package rules
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"math"
 	"slices"
 )
 
-// SamplingRules say how much of which traces is captured. Rates are parts in RateUnit.
+// SamplingRules say which traces are captured. Rates are fractions, in units of 1/RateUnit.
 type SamplingRules struct {
 	Salt              uint64      `cbor:"1,keyasint"`
-	Rate              uint32      `cbor:"2,keyasint"`           // of all traces that nothing else is said of
+	Rate              uint32      `cbor:"2,keyasint"`           // of traces without a rate of their own
 	Classes           []NamedRate `cbor:"3,keyasint,omitempty"` // by name
-	MaxRecords        uint32      `cbor:"4,keyasint"`           // a second and sidecar, at the most
-	MaxBytes          uint32      `cbor:"5,keyasint"`           // likewise
-	MaxRecordsPerNode uint32      `cbor:"6,keyasint"`           // records a second and execute node, of a sidecar
-	MinPerMinute      uint32      `cbor:"7,keyasint,omitempty"` // traces a minute of each class that are captured where there are so many
+	MaxRecords        uint32      `cbor:"4,keyasint"`           // a second, of a sidecar
+	MaxBytes          uint32      `cbor:"5,keyasint"`           // a second, of a sidecar
+	MaxRecordsPerNode uint32      `cbor:"6,keyasint"`           // a second and execute node, of a sidecar
+	MinPerMinute      uint32      `cbor:"7,keyasint,omitempty"` // traces a minute of each class that are captured if there are so many
 	// Of format 2.
-	Tenants    []NamedRate `cbor:"8,keyasint,omitempty"`  // by name; before the class's
-	KeepFailed bool        `cbor:"9,keyasint,omitempty"`  // failed traces are kept after the fact
-	KeepSlow   uint32      `cbor:"10,keyasint,omitempty"` // milliseconds: slower ones are kept likewise; 0: none
+	Tenants    []NamedRate `cbor:"8,keyasint,omitempty"`  // by name; takes precedence over the class's
+	KeepFailed bool        `cbor:"9,keyasint,omitempty"`  // failed traces are kept when they have ended
+	KeepSlow   uint32      `cbor:"10,keyasint,omitempty"` // milliseconds: slower traces are kept likewise; 0: none
 }
 
-// NamedRate is a rate of a class or a tenant.
+// NamedRate is the rate of a class or a tenant.
 type NamedRate struct {
 	Name string `cbor:"1,keyasint"`
 	Rate uint32 `cbor:"2,keyasint"`
 }
 
-// RateUnit is a rate of all.
+// RateUnit is the rate at which all traces are captured.
 const RateUnit = 1 << 20
 
 const (
@@ -37,6 +38,7 @@
 	maxCap        = 1 << 20
 )
 
+// check returns what is invalid in a format.
 func (s *SamplingRules) check(f Format) error {
 	if f.Major == 1 && (len(s.Tenants) > 0 || s.KeepFailed || s.KeepSlow > 0) {
 		return errors.New("tenants, failed and slow are of format 2")
@@ -65,13 +67,13 @@
 	return nil
 }
 
-// RateOf is the part of the traces of a class and a tenant that is captured, in RateUnit.
+// RateOf returns the rate of traces of a class and a tenant.
 func (s *SamplingRules) RateOf(class, tenant string) uint32 {
 	for _, look := range []struct {
 		in   []NamedRate
 		name string
 	}{{s.Tenants, tenant}, {s.Classes, class}} {
-		i, ok := slices.BinarySearchFunc(look.in, look.name, func(n NamedRate, name string) int { return compare(n.Name, name) })
+		i, ok := slices.BinarySearchFunc(look.in, look.name, func(n NamedRate, name string) int { return cmp.Compare(n.Name, name) })
 		if ok && look.name != "" {
 			return look.in[i].Rate
 		}
@@ -79,24 +81,15 @@
 	return s.Rate
 }
 
-func compare(a, b string) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
-	}
-	return 0
-}
-
-// Captures tells whether a trace of a hash is captured at a rate: one that is captured at a rate is at each higher one.
+// Captures reports whether a trace with a hash is captured at a rate. A trace that is captured at a rate is so at each higher one.
 func Captures(hash uint64, rate uint32) bool {
 	return hash>>44 < uint64(rate) // 20 bits of it
 }
 
-// Rate is a part of one as a rate.
-func Rate(part float64) uint32 { return uint32(math.Round(part * RateUnit)) }
+// Rate returns a fraction as a rate.
+func Rate(fraction float64) uint32 { return uint32(math.Round(fraction * RateUnit)) }
 
+// readSampling decodes a rule of sampling.
 func readSampling(r Rule) (*SamplingRules, error) {
 	s := &SamplingRules{}
 	if err := decodeBody(r, s); err != nil {
@@ -105,15 +98,15 @@
 	return s, s.check(r.Format)
 }
 
-// SamplingRule is the rule of a format. The rules are brought into their order.
+// SamplingRule returns the rule in a format, and an error if it is invalid. It sorts the rates by name.
 func SamplingRule(s SamplingRules, f Format) (Rule, error) {
 	for _, all := range [][]NamedRate{s.Classes, s.Tenants} {
-		slices.SortFunc(all, func(a, b NamedRate) int { return compare(a.Name, b.Name) })
+		slices.SortFunc(all, func(a, b NamedRate) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	return Rule{Kind: Sampling, Format: f, Body: encode(&s)}, s.check(f)
 }
 
-// lowerSampling writes a rule of format 2 in format 1.
+// lowerSampling rewrites a rule of format 2 in format 1, and names what that loses.
 func lowerSampling(r Rule) (Rule, []string) {
 	s, err := readSampling(r)
 	if err != nil {
--- a/internal/rules/trial.go
+++ b/internal/rules/trial.go
@@ -9,14 +9,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TrialCases is how many drawn cases a trial decides.
+// TrialCases is how many cases a trial decides.
 const TrialCases = 128
 
-// Trial is what a program makes of an edition: four bytes for the decision on each case, and first what it says of each
-// rule's canonical form.
+// Trial is how a program understands an edition: four bytes of a hash of the canonical form, then of the decision on each case.
 type Trial [4 * (TrialCases + 1)]byte
 
-// Case is what a decision is made on. What is drawn depends on the content alone, so all draw the same.
+// Case is what the rules decide on.
 type Case struct {
 	Class, Tenant, Node string
 	ID                  string
@@ -24,12 +23,13 @@
 	Latency             uint32 // milliseconds
 }
 
+// String is the case as operators see it.
 func (c Case) String() string {
 	return fmt.Sprintf("class %q, tenant %q, node %q, id %s, again %t, failed %t, %d ms", c.Class, c.Tenant, c.Node, c.ID, c.Retry, c.Failed, c.Latency)
 }
 
-// DrawCases draws the cases of an edition. Names come from the rules themselves and from outside of them, so that each rule
-// is met and so is what none speaks of; times lie about those that the rules name.
+// DrawCases draws the cases of an edition, by its digest alone, so that all members draw the same. Names are of the rules and of
+// none of them, so that each rule is covered and also what none is about; latencies are around those that the rules name.
 func DrawCases(c *Compiled) []Case {
 	d := c.Edition.Digest()
 	rng := rand.New(rand.NewPCG(binary.BigEndian.Uint64(d[:8]), binary.BigEndian.Uint64(d[8:16])))
@@ -60,7 +60,7 @@
 	return all
 }
 
-// Decide is what the rules decide on a case, in words.
+// Decide returns what the rules decide on a case, as a text. Members compare its hash over the wire.
 func (c *Compiled) Decide(q Case) string {
 	text := ""
 	if s := c.Sampling; s != nil {
@@ -81,22 +81,22 @@
 	return text
 }
 
-// Keeps tells whether a trace that has ended so is kept after the fact.
+// Keeps reports whether a trace is kept after it has ended, by its result and latency in milliseconds.
 func (s *SamplingRules) Keeps(failed bool, took uint32) bool {
 	return s.KeepFailed && failed || s.KeepSlow > 0 && took > s.KeepSlow
 }
 
-// TraceHash is the hash of a trace's id. Its salt is the edition's, so that nobody can choose ids that are captured.
+// TraceHash returns the hash of a trace's id. The salt is the edition's, so that a client cannot choose ids that are captured.
 func TraceHash(salt uint64, id string) uint64 {
 	h := (xxhash.Sum64String(id) ^ salt*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9 // the mixing of SplitMix64
 	h = (h ^ h>>27) * 0x94d049bb133111eb
 	return h ^ h>>31
 }
 
-// RunTrial decides the cases.
+// RunTrial decides the cases of an edition.
 func RunTrial(c *Compiled) Trial { return RunTrialWith(c, c.Decide) }
 
-// RunTrialWith decides the cases in another way: that of a program which understands the rules otherwise.
+// RunTrialWith decides the cases by another function, for tests with a program that understands the rules otherwise.
 func RunTrialWith(c *Compiled, decide func(Case) string) (t Trial) {
 	put := func(i int, text string) { binary.BigEndian.PutUint32(t[4*i:], uint32(xxhash.Sum64String(text))) }
 	put(0, string(encode(c.Edition.Rules)))
@@ -106,7 +106,7 @@
 	return t
 }
 
-// FirstDifference tells where two trials first differ: -1, nowhere; 0, in the canonical form; else in the case of that number, from 1.
+// FirstDifference returns where two trials first differ: -1: nowhere; 0: in the canonical form; else the number of a case, from 1.
 func FirstDifference(a, b Trial) int {
 	for i := range TrialCases + 1 {
 		if !slices.Equal(a[4*i:4*i+4], b[4*i:4*i+4]) {
