--- a/internal/peer/channel.go
+++ b/internal/peer/channel.go
@@ -15,29 +15,30 @@
 	"fieldrelay/internal/socket"
 )
 
-// Bounds of the channel.
+// Bounds and timeouts of the channel.
 const (
-	maxInbound   = 256              // streams from others; one over it is closed unread
-	maxLinks     = 128              // streams to others; what goes to one over it is dropped
-	maxQueued    = 64               // frames that wait for one stream; the oldest goes first
-	dialTimeout  = time.Second      // a peer that cannot be reached
-	writeTimeout = 2 * time.Second  // a peer that does not read
-	readTimeout  = 2 * time.Second  // a frame that has begun
-	idleTimeout  = 20 * time.Second // a stream that carries nothing
+	maxInbound   = 256              // streams from others; a further one is closed unread
+	maxLinks     = 128              // streams to others; a frame for a further one is dropped
+	maxQueued    = 64               // frames queued for a stream; the oldest is dropped for a further one
+	dialTimeout  = time.Second      // of a connection attempt
+	writeTimeout = 2 * time.Second  // of a write to a peer that does not read
+	readTimeout  = 2 * time.Second  // of a frame that has begun to arrive
+	idleTimeout  = 20 * time.Second // of a stream without frames
 	minBackoff   = 100 * time.Millisecond
-	maxBackoff   = 3 * time.Second // between two tries to reach a peer, doubled and jittered
-	lengthBytes  = 4
+	maxBackoff   = 3 * time.Second // between two attempts to reach a peer: doubled, with jitter
+	lengthBytes  = 4               // before each frame of a stream: its length, big-endian
 )
 
-// Counts are what has passed. Bytes are those of frames, without the system's headers.
+// Counts are the frames that were sent and received. Bytes are without headers of the transport.
 type Counts struct {
 	SentDatagrams, SentStreamed, SentBytes int64
 	ReceivedFrames, ReceivedBytes          int64
-	Dropped                                int64 // frames to a peer that was slow or out of reach
+	Dropped                                int64 // frames to a slow or unreachable peer
 	Refused                                int64 // streams over maxInbound
 }
 
-// Channel is one sidecar's end: a datagram socket and a listener at one address, and streams to the others.
+// Channel is a sidecar's end of the channel: a datagram socket and a listener at one address, and streams to the others. It is
+// safe for concurrent use. Close waits for all of its goroutines.
 type Channel struct {
 	deliver func(frame []byte)
 	udp     *net.UDPConn
@@ -53,35 +54,35 @@
 	sentDatagrams, sentStreamed, sentBytes, receivedFrames, receivedBytes, dropped, refused atomic.Int64
 }
 
-// link is the stream to one address. Its goroutine lives while frames wait, and idleTimeout longer.
+// link is the stream to an address. Its goroutine runs while frames are queued, and idleTimeout longer.
 type link struct {
 	frames chan []byte
 }
 
-// Listen opens both sockets at address (host:port; port 0: one that is free for both). deliver is called from several
-// goroutines; the frame is its own.
+// Listen opens both sockets at an address (host:port; port 0: one that is free for both). deliver is called from several
+// goroutines and owns the frame.
 func Listen(address string, deliver func(frame []byte)) (*Channel, error) {
 	tcp, udp, err := socket.Pair(address)
 	if err != nil {
 		return nil, err
 	}
-	c := &Channel{deliver: deliver, udp: udp, tcp: tcp, done: make(chan struct{}), links: map[string]*link{}, inbound: map[net.Conn]bool{}}
+	c := &Channel{deliver: deliver, udp: udp, tcp: tcp, done: make(chan struct{}), links: make(map[string]*link), inbound: make(map[net.Conn]bool)}
 	c.wg.Add(2)
 	go c.readDatagrams()
 	go c.accept()
 	return c, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which it listens.
 func (c *Channel) Addr() string { return c.tcp.Addr().String() }
 
-// Counts are the figures so far.
+// Counts returns the counts since Listen.
 func (c *Channel) Counts() Counts {
 	return Counts{SentDatagrams: c.sentDatagrams.Load(), SentStreamed: c.sentStreamed.Load(), SentBytes: c.sentBytes.Load(),
 		ReceivedFrames: c.receivedFrames.Load(), ReceivedBytes: c.receivedBytes.Load(), Dropped: c.dropped.Load(), Refused: c.refused.Load()}
 }
 
-// Close ends all sockets and goroutines.
+// Close closes all sockets and waits for all goroutines.
 func (c *Channel) Close() {
 	c.mu.Lock()
 	if c.closed {
@@ -90,10 +91,10 @@
 	}
 	c.closed = true
 	close(c.done)
-	c.udp.Close()
-	c.tcp.Close()
+	_ = c.udp.Close() // nothing is left to do if a socket cannot be closed
+	_ = c.tcp.Close()
 	for nc := range c.inbound {
-		nc.Close()
+		_ = nc.Close()
 	}
 	c.mu.Unlock()
 	c.wg.Wait()
@@ -104,7 +105,7 @@
 	if len(frame) > MaxDatagram {
 		return fmt.Errorf("%w: a datagram of %d bytes", ErrTooLong, len(frame))
 	}
-	to, err := netip.ParseAddrPort(address) // no name: a look-up would block
+	to, err := netip.ParseAddrPort(address) // a name would have to be looked up, which blocks
 	if err != nil {
 		return err
 	}
@@ -115,7 +116,7 @@
 	return err
 }
 
-// Stream queues a frame for an address. It does not block: what a slow peer does not take is dropped, the oldest first.
+// Stream queues a frame for an address. It does not block: if a slow peer's queue is full, its oldest frame is dropped.
 func (c *Channel) Stream(address string, frame []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +140,7 @@
 			return
 		default:
 		}
-		select { // full: room for the newer one
+		select { // full
 		case <-l.frames:
 			c.dropped.Add(1)
 		default:
@@ -147,37 +148,26 @@
 	}
 }
 
-// serveLink writes what waits for an address.
+// serveLink writes the frames that are queued for an address.
 func (c *Channel) serveLink(address string, l *link) {
 	defer c.wg.Done()
 	var nc net.Conn
 	defer func() {
 		if nc != nil {
-			nc.Close()
+			_ = nc.Close() // what was not written is lost in any case
 		}
 	}()
-	rest := minBackoff
+	backoff := minBackoff
 	for {
-		var frame []byte
-		idle := time.NewTimer(idleTimeout)
-		select {
-		case frame = <-l.frames:
-		case <-c.done:
-		case <-idle.C:
-		}
-		idle.Stop()
+		frame := c.nextFrame(l)
 		if frame == nil {
-			c.mu.Lock()
-			if len(l.frames) > 0 && !c.closed {
-				c.mu.Unlock()
-				continue
+			if c.removeLink(address, l) {
+				return
 			}
-			delete(c.links, address)
-			c.mu.Unlock()
-			return
+			continue
 		}
 		if nc != nil && closedByPeer(nc) {
-			nc.Close()
+			_ = nc.Close() // the other side has closed it
 			nc = nil
 		}
 		var err error
@@ -185,42 +175,77 @@
 			nc, err = net.DialTimeout("tcp", address, dialTimeout)
 		}
 		if err == nil {
-			out := binary.BigEndian.AppendUint32(make([]byte, 0, lengthBytes+len(frame)), uint32(len(frame)))
-			nc.SetWriteDeadline(time.Now().Add(writeTimeout))
-			_, err = nc.Write(append(out, frame...))
+			err = writeFrame(nc, frame)
 		}
 		if err == nil {
-			rest = minBackoff
+			backoff = minBackoff
 			c.sentStreamed.Add(1)
 			c.sentBytes.Add(int64(lengthBytes + len(frame)))
 			continue
 		}
 		c.dropped.Add(1)
 		if nc != nil {
-			nc.Close()
+			_ = nc.Close() // it has failed already
 			nc = nil
 		}
-		select { // jittered: those who lost one peer do not come back to it together
-		case <-time.After(rest/2 + rand.N(rest)):
+		select { // with jitter, so that those that lost a peer do not return to it together
+		case <-time.After(backoff/2 + rand.N(backoff)):
 		case <-c.done:
 		}
-		rest = min(2*rest, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// gone tells whether the other side has closed a stream on which it never writes. The system is asked: a read has to have a
-// deadline, and where that is over before the read begins (there was no processor for a millisecond) it tells nothing. It is
-// left for what the system does not tell.
+// nextFrame waits for a frame of a link; nil: none came within idleTimeout, or the channel was closed.
+func (c *Channel) nextFrame(l *link) []byte {
+	idle := time.NewTimer(idleTimeout)
+	defer idle.Stop()
+	select {
+	case frame := <-l.frames:
+		return frame
+	case <-c.done:
+	case <-idle.C:
+	}
+	return nil
+}
+
+// removeLink removes a link without frames, and reports whether it did: a frame may just have been queued.
+func (c *Channel) removeLink(address string, l *link) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(l.frames) > 0 && !c.closed {
+		return false
+	}
+	delete(c.links, address)
+	return true
+}
+
+// writeFrame writes a frame with its length to a stream.
+func writeFrame(nc net.Conn, frame []byte) error {
+	out := binary.BigEndian.AppendUint32(make([]byte, 0, lengthBytes+len(frame)), uint32(len(frame)))
+	if err := nc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+		return err
+	}
+	_, err := nc.Write(append(out, frame...))
+	return err
+}
+
+// closedByPeer reports whether the other side has closed a stream on which it never writes. The system is asked: a read needs a
+// deadline, and if that passes before the read begins (the process did not run for a millisecond) its result says nothing. The
+// read is for what the system does not know.
 func closedByPeer(nc net.Conn) bool {
 	if socket.Departed(nc) {
 		return true
 	}
-	nc.SetReadDeadline(time.Now().Add(time.Millisecond))
+	if nc.SetReadDeadline(time.Now().Add(time.Millisecond)) != nil {
+		return true
+	}
 	_, err := nc.Read(make([]byte, 1))
 	var timeout net.Error
-	return !(errors.As(err, &timeout) && timeout.Timeout())
+	return !errors.As(err, &timeout) || !timeout.Timeout()
 }
 
+// readDatagrams receives datagrams until the socket is closed.
 func (c *Channel) readDatagrams() {
 	defer c.wg.Done()
 	b := make([]byte, MaxDatagram+1)
@@ -236,12 +261,14 @@
 	}
 }
 
+// receive counts and delivers a frame.
 func (c *Channel) receive(frame []byte) {
 	c.receivedFrames.Add(1)
 	c.receivedBytes.Add(int64(len(frame)))
 	c.deliver(frame)
 }
 
+// accept accepts streams until the listener is closed.
 func (c *Channel) accept() {
 	defer c.wg.Done()
 	for {
@@ -250,7 +277,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			select { // short of descriptors, perhaps
+			select { // perhaps file descriptors are exhausted
 			case <-time.After(minBackoff):
 			case <-c.done:
 				return
@@ -266,25 +293,28 @@
 		c.mu.Unlock()
 		if full {
 			c.refused.Add(1)
-			nc.Close()
+			_ = nc.Close() // nothing was read or written
 			continue
 		}
 		go c.readStream(nc)
 	}
 }
 
-// read takes frames from one stream. A frame that has begun must come whole in time; a bad length ends the stream.
+// readStream receives frames from a stream. A frame that has begun must arrive within readTimeout; an invalid length ends the
+// stream.
 func (c *Channel) readStream(nc net.Conn) {
 	defer c.wg.Done()
 	defer func() {
-		nc.Close()
+		_ = nc.Close() // only read from
 		c.mu.Lock()
 		delete(c.inbound, nc)
 		c.mu.Unlock()
 	}()
 	var head [lengthBytes]byte
 	for {
-		nc.SetReadDeadline(time.Now().Add(idleTimeout + readTimeout))
+		if nc.SetReadDeadline(time.Now().Add(idleTimeout+readTimeout)) != nil {
+			return
+		}
 		if _, err := io.ReadFull(nc, head[:]); err != nil {
 			return
 		}
@@ -292,7 +322,9 @@
 		if n == 0 || n > MaxFrame {
 			return
 		}
-		nc.SetReadDeadline(time.Now().Add(readTimeout))
+		if nc.SetReadDeadline(time.Now().Add(readTimeout)) != nil {
+			return
+		}
 		frame, err := readFrame(nc, int(n))
 		if err != nil {
 			return
@@ -301,13 +333,13 @@
 	}
 }
 
-// readFrame grows with what has come, not with what was announced.
+// readFrame reads a frame of a length. It allocates as bytes arrive, not as many as were announced.
 func readFrame(r io.Reader, n int) ([]byte, error) {
 	var frame []byte
 	for len(frame) < n {
-		piece := min(n-len(frame), max(4<<10, len(frame)))
-		frame = append(frame, make([]byte, piece)...)
-		if _, err := io.ReadFull(r, frame[len(frame)-piece:]); err != nil {
+		chunk := min(n-len(frame), max(4<<10, len(frame)))
+		frame = append(frame, make([]byte, chunk)...)
+		if _, err := io.ReadFull(r, frame[len(frame)-chunk:]); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -1,7 +1,8 @@
-// Package peer is the channel between sidecars: frames in CBOR, datagrams for
-// what may be lost and streams for what is too long for one. It decides
-// nothing. It is an internal channel on a network that the operator trusts:
-// nothing in it is encrypted or signed.
+// Package peer is the channel between the sidecars of a fleet: frames in CBOR, in datagrams, or over streams if they are too
+// long for one. A frame may be lost either way. The package decides nothing.
+//
+// It is an internal channel on a network that the operator trusts: nothing in it is encrypted or signed. docs/design-fleet.md
+// describes the design.
 package peer
 
 import (
@@ -18,49 +19,50 @@
 	"fieldrelay/internal/view"
 )
 
-// The versions of the channel that this program speaks. Both sides speak the lower one of their highest.
+// The versions of the channel that this program speaks. Two sides speak the lower one of their highest versions.
 const (
 	Version    = 1
 	MinVersion = 1
 )
 
-// Bounds, in bytes.
+// Length limits, in bytes.
 const (
 	MaxDatagram = 1400
 	MaxFrame    = 256 << 10
 )
 
-// Frame is what passes between two sidecars. Fields that a reader does not know are passed over.
+// Frame is what sidecars send to each other. A reader ignores fields that it does not know.
 type Frame struct {
 	Version      uint8               `cbor:"1,keyasint"`            // the highest that the sender speaks
 	MinVersion   uint8               `cbor:"2,keyasint"`            // the lowest that it reads
-	Fleet        string              `cbor:"3,keyasint"`            // of another fleet nothing is taken
-	From         member.Record       `cbor:"4,keyasint"`            // the sender, by its own word
-	Member       *member.Message     `cbor:"5,keyasint,omitempty"`  // of the failure detector
-	View         *view.Message       `cbor:"6,keyasint,omitempty"`  // of the agreement
+	Fleet        string              `cbor:"3,keyasint"`            // frames of another fleet are refused
+	From         member.Record       `cbor:"4,keyasint"`            // the sender's record of itself
+	Member       *member.Message     `cbor:"5,keyasint,omitempty"`  // of package member
+	View         *view.Message       `cbor:"6,keyasint,omitempty"`  // of package view
 	Stamp        *view.Stamp         `cbor:"7,keyasint,omitempty"`  // with an Ack: the sender's view
-	Report       *quota.Report       `cbor:"8,keyasint,omitempty"`  // of a holder of parts of limits
-	Grant        *quota.Grant        `cbor:"9,keyasint,omitempty"`  // to it
-	Suspensions  []verdict.Statement `cbor:"10,keyasint,omitempty"` // on execute nodes
-	TablesDigest uint64              `cbor:"11,keyasint,omitempty"` // with a Ping and an Ack: the digest of the sender's words
-	// Opinions are what members think of execute nodes.
+	Report       *quota.Report       `cbor:"8,keyasint,omitempty"`  // of a holder of quota shares
+	Grant        *quota.Grant        `cbor:"9,keyasint,omitempty"`  // to a holder
+	Suspensions  []verdict.Statement `cbor:"10,keyasint,omitempty"` // statements on suspended execute nodes
+	TablesDigest uint64              `cbor:"11,keyasint,omitempty"` // with a Ping and an Ack: the digest of the sender's statements
+	// Opinions are ratings of execute nodes by members.
 	Opinions []verdict.Opinion `cbor:"12,keyasint,omitempty"`
-	// Draining are words on execute nodes that drain.
+	// Draining are statements on draining execute nodes.
 	Draining []verdict.Statement `cbor:"13,keyasint,omitempty"`
-	Rules    *skew.Message       `cbor:"14,keyasint,omitempty"` // of the checker of rules
+	Rules    *skew.Message       `cbor:"14,keyasint,omitempty"` // of package skew
 }
 
-// What keeps a frame from being taken.
+// The errors of Encode, Decode and Datagram.
 var (
 	ErrFleet   = errors.New("peer: of another fleet")
 	ErrVersion = errors.New("peer: no version in common")
 	ErrTooLong = errors.New("peer: frame too long")
 )
 
+// modes are how frames are encoded and decoded.
 var modes = sync.OnceValues(func() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.EncOptions{}.EncMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // never: the options are constants
 	}
 	dec, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1 << 14, MaxMapPairs: 64,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
@@ -70,7 +72,7 @@
 	return enc, dec
 })
 
-// Encode is a frame's bytes, without a length. The version fields are filled in.
+// Encode returns the bytes of a frame, without a length. It sets the versions.
 func Encode(f Frame) ([]byte, error) {
 	f.Version, f.MinVersion = Version, MinVersion
 	enc, _ := modes()
@@ -81,7 +83,7 @@
 	return b, err
 }
 
-// Decode reads a frame for a member of fleet. A frame of another fleet or version gives its sender with the error.
+// Decode decodes a frame for a member of a fleet. With ErrFleet and ErrVersion it returns the frame's sender too.
 func Decode(b []byte, fleet string) (Frame, error) {
 	var f Frame
 	if len(b) > MaxFrame {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -92,13 +92,34 @@
 	}
 }
 
-// One peer that accepts and reads nothing fills its own queue; the others get what is sent meanwhile.
+// closeAtEnd closes a socket at the end of a test.
+func closeAtEnd(t *testing.T, socket io.Closer) {
+	t.Helper()
+	t.Cleanup(func() {
+		if err := socket.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+// announce writes the length of a frame to a stream, and bounds the wait for an answer.
+func announce(t *testing.T, nc net.Conn, length uint32) {
+	t.Helper()
+	if _, err := nc.Write(binary.BigEndian.AppendUint32(nil, length)); err != nil {
+		t.Fatal(err)
+	}
+	if err := nc.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A peer that accepts and reads nothing fills its own queue; the others get what is sent meanwhile.
 func TestSlowPeerSuffersAlone(t *testing.T) {
 	deaf, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer deaf.Close()
+	closeAtEnd(t, deaf)
 	a, _ := open(t)
 	b, got := open(t)
 	big := make([]byte, MaxFrame)
@@ -120,7 +141,7 @@
 	}
 }
 
-// What is no frame ends its own stream and nothing else.
+// A malformed frame ends its own stream and no other.
 func TestBadStreams(t *testing.T) {
 	c, got := open(t)
 	for name, head := range map[string]uint32{"empty": 0, "oversized": MaxFrame + 1} {
@@ -128,31 +149,32 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nc.Close()
-		nc.Write(binary.BigEndian.AppendUint32(nil, head))
-		nc.SetReadDeadline(time.Now().Add(10 * time.Second))
+		closeAtEnd(t, nc)
+		announce(t, nc, head)
 		if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("%s: %v, not closed", name, err)
 		}
 	}
-	silent, err := net.Dial("tcp", c.Addr()) // announces much and sends nothing: it is closed in time
+	silent, err := net.Dial("tcp", c.Addr()) // announces a frame and sends none: it is closed in time
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	silent.Write(binary.BigEndian.AppendUint32(nil, MaxFrame))
+	closeAtEnd(t, silent)
+	announce(t, silent, MaxFrame)
 	a, _ := open(t)
 	a.Stream(c.Addr(), []byte("whole"))
 	if !bytes.Equal(wait(t, got), []byte("whole")) {
 		t.Error("another frame came")
 	}
-	silent.SetReadDeadline(time.Now().Add(10 * time.Second))
+	if err := silent.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := silent.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("a silent stream: %v, not closed", err)
 	}
 }
 
-// A peer that restarts under its address is found again on the same link.
+// A peer that restarts at its address is reached again over the same link.
 func TestPeerComesBack(t *testing.T) {
 	a, _ := open(t)
 	b, got := open(t)
@@ -165,7 +187,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	// The end of the old stream may not have been seen when the first frame is written to it: that one is lost.
+	// The first frame is lost if it is written to the old stream before that is seen to be closed.
 	for end := time.Now().Add(10 * time.Second); ; {
 		a.Stream(c.Addr(), []byte("2"))
 		select {
@@ -182,18 +204,18 @@
 	}
 }
 
-// A stream that the other side has closed is never taken for one that is open, however late the look comes.
+// A stream that the other side has closed is never taken for an open one, however late the check runs.
 func TestClosedStreamIsSeen(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	closeAtEnd(t, ln)
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nc.Close()
+	closeAtEnd(t, nc)
 	other, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -201,22 +223,23 @@
 	if closedByPeer(nc) {
 		t.Error("an open one was taken for closed")
 	}
-	other.Close()
-	nc.SetReadDeadline(time.Now().Add(10 * time.Second))
+	if err := errors.Join(other.Close(), nc.SetReadDeadline(time.Now().Add(10*time.Second))); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
 	for i := range 2000 {
 		if !closedByPeer(nc) {
-			t.Fatalf("look %d did not see it", i)
+			t.Fatalf("check %d did not see it", i)
 		}
 	}
 	if !closedByPeer(&starved{nc.(*net.TCPConn)}) {
-		t.Error("a look that got no processor for a while did not see it")
+		t.Error("a check that did not run for a while did not see it")
 	}
 }
 
-// starved is a stream whose user gets no processor after it has set a deadline, until that is over.
+// starved is a stream whose user does not run after it has set a deadline, until that has passed.
 type starved struct{ *net.TCPConn }
 
 func (s *starved) SetReadDeadline(end time.Time) error {
