--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -33,7 +33,7 @@
 	return f
 }
 
-// shows tells whether a member lists another one in a state.
+// shows reports whether a member lists another one in a state.
 func shows(f *Fleet, name, state string) bool {
 	lines, err := f.Peers()
 	if err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// A member of another fleet is refused in one line, and none of the two learns of the other.
+// A member of another fleet is refused and logged once, and neither learns of the other.
 func TestAnotherFleetIsRefused(t *testing.T) {
 	lines := make(chan string, 256)
 	s := settings.Defaults()
@@ -100,7 +100,7 @@
 	return len(line), nil
 }
 
-// A zone's name that is longer than a record may hold is cut: the member is one of the fleet all the same.
+// The name of a zone that is too long for a record is truncated; the member joins all the same.
 func TestLongZone(t *testing.T) {
 	a := start(t, "a")
 	s := settings.Defaults()
--- a/internal/fleet/limits_test.go
+++ b/internal/fleet/limits_test.go
@@ -40,18 +40,18 @@
 		return done
 	}
 	first := take("order", "a", false, true)
-	take("order", "a", false, false) // over its tenant's limit: and it holds nothing of the other one
+	take("order", "a", false, false) // over its tenant's limit: it takes nothing of the other one
 	take("order", "b", false, true)
 	last := take("look", "a", false, true)
 	take("look", "b", false, false) // three are in flight
 	first()
 	last()
 	take("order", "a", false, true)
-	for range 9 + 1 { // what is saved up, and no more
+	for range 9 + 1 { // what was saved, and no more
 		take("look", "b", true, true)()
 	}
 	take("look", "b", true, false)
-	// What stays of a change keeps its count; what is new holds nothing before it is told a part.
+	// A limit that stays keeps its count; a new one has no share at first.
 	l.set(quota.All{{Name: "all", InFlight: 3, Members: 1}, {Name: "new", Class: "pay", PerSecond: 5, Members: 1}})
 	if in, _ := l.demand("all", time.Since(l.origin)); in < 2 {
 		t.Errorf("%d in flight after the change", in)
@@ -105,7 +105,7 @@
 	told := map[string]float64{}
 	tell := func(tenant string, rate float64) { told[tenant] = rate }
 	l.reportAllotments(tell)
-	if len(told) != 10_000 || told["tenant-7"] != 1.25 { // no lease: an equal part
+	if len(told) != 10_000 || told["tenant-7"] != 1.25 { // no lease: an equal share
 		t.Errorf("%d told, tenant-7 %g", len(told), told["tenant-7"])
 	}
 	clear(told)
@@ -115,7 +115,7 @@
 		t.Errorf("%v told by a grant", told)
 	}
 	clear(told)
-	l.set(nil) // the table is gone from the file: equal parts again
+	l.set(nil) // the table is gone from the settings: equal shares again
 	if l.reportAllotments(tell); len(told) != 10_000 || told["tenant-7"] != -1 {
 		t.Errorf("%d told, tenant-7 %g", len(told), told["tenant-7"])
 	}
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings is the section fleet of the operator's file. It stands by
-// itself so that a sidecar without a fleet links none of what a fleet needs.
+// Package settings is the section fleet of the operator's file. It is a package of its own so that a sidecar without a fleet
+// does not link what a fleet needs.
 package settings
 
 import (
@@ -16,53 +16,53 @@
 
 // Settings are the section fleet of the operator's file. Off unless it names a fleet.
 type Settings struct {
-	Fleet     string            `toml:"fleet"`       // its name: members of another one are refused
+	Fleet     string            `toml:"fleet"`       // its name: members of another fleet are refused
 	Name      string            `toml:"name"`        // of this member; empty: the sidecar's
 	Listen    string            `toml:"listen"`      // host:port, of datagrams and of streams
-	Advertise string            `toml:"advertise"`   // where the others reach it; empty: listen
-	Join      []string          `toml:"join"`        // addresses of any that may be there
-	Dial      map[string]string `toml:"dial"`        // a member's name to where it is reached from here, if not where it says
-	Voters    []string          `toml:"voters"`      // the names of those who agree on views: 1, 3 or 5
-	Pace      int               `toml:"pace_ms"`     // between two probes
-	Lease     int               `toml:"lease_ms"`    // for how long a view is held after it was surely the newest
+	Advertise string            `toml:"advertise"`   // address at which the others reach it; empty: listen
+	Join      []string          `toml:"join"`        // addresses of members that may be present
+	Dial      map[string]string `toml:"dial"`        // by member's name, the address at which it is reached from here, if that is not the one that it says
+	Voters    []string          `toml:"voters"`      // names of the members that agree on views: 1, 3 or 5
+	Pace      int               `toml:"pace_ms"`     // interval between two probes
+	Lease     int               `toml:"lease_ms"`    // duration of the lease on a view, from when it was surely the newest
 	Drift     int               `toml:"drift_ppm"`   // millionths by which clocks may run faster or slower than one another
-	Verdicts  bool              `toml:"verdicts"`    // whether execute nodes are avoided that most members see failing
+	Verdicts  bool              `toml:"verdicts"`    // whether execute nodes that fail for most members are avoided
 	VerdictPc int               `toml:"verdict_pct"` // percent of them, and of each zone's, that may be avoided so
-	State     string            `toml:"state"`       // folder where a voter keeps its state; empty: it keeps none
-	Recover   string            `toml:"recover"`     // of a majority of voters that lost its state: by hand, or safe: by themselves where it is sure
+	State     string            `toml:"state"`       // folder in which a voter stores its state; empty: it stores none
+	Recover   string            `toml:"recover"`     // how a majority of voters that lost its state is replaced: hand, by RECOVER, or safe, by the voters where that is provably safe
 }
 
-// Defaults are the settings where the operator says nothing.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{Pace: 250, Lease: 5000, Drift: 1000, VerdictPc: 25, Recover: byHand}
 }
 
 const (
-	leastPace, mostPace = 20, 10_000
-	mostJoin            = 64
-	mostFleet           = 64 // bytes of a fleet's name
-	leastLease          = 12 // paces: a view's age goes from member to member, a pace or two each time
-	mostLease           = 600_000
-	mostDrift           = 100_000
-	mostVerdictPc       = 50
+	minPace, maxPace  = 20, 10_000
+	maxJoin           = 64
+	maxFleetBytes     = 64 // bytes of a fleet's name
+	minLease          = 12 // paces: the age of a view passes from member to member, each time a pace or two later
+	maxLease          = 600_000
+	maxDrift          = 100_000
+	maxVerdictPercent = 50
 
 	byHand = "hand"
 	safe   = "safe"
 )
 
-// Enabled tells whether the operator wants a fleet.
+// Enabled reports whether the settings name a fleet.
 func (s *Settings) Enabled() bool { return s.Fleet != "" || s.Listen != "" }
 
 // Check calls fault for each key whose value cannot be used.
 func (s *Settings) Check(fault func(key string, read any, allowed string)) {
-	if s.Pace < leastPace || s.Pace > mostPace {
-		fault("pace_ms", s.Pace, fmt.Sprintf("%d to %d", leastPace, mostPace))
+	if s.Pace < minPace || s.Pace > maxPace {
+		fault("pace_ms", s.Pace, fmt.Sprintf("%d to %d", minPace, maxPace))
 	}
 	if len(s.Name) > member.MaxNameBytes {
 		fault("name", s.Name, fmt.Sprintf("up to %d bytes", member.MaxNameBytes))
 	}
-	if len(s.Join) > mostJoin {
-		fault("join", len(s.Join), fmt.Sprintf("%d addresses at most", mostJoin))
+	if len(s.Join) > maxJoin {
+		fault("join", len(s.Join), fmt.Sprintf("%d addresses at most", maxJoin))
 	}
 	for i, a := range s.Join {
 		checkAddress(fmt.Sprintf("join[%d]", i), a, fault)
@@ -73,14 +73,14 @@
 	if s.Advertise != "" {
 		checkAddress("advertise", s.Advertise, fault)
 	}
-	if s.Lease <= 0 || s.Lease < leastLease*s.Pace || s.Lease > mostLease {
-		fault("lease_ms", s.Lease, fmt.Sprintf("%d paces (%d) to %d", leastLease, leastLease*s.Pace, mostLease))
+	if s.Lease <= 0 || s.Lease < minLease*s.Pace || s.Lease > maxLease {
+		fault("lease_ms", s.Lease, fmt.Sprintf("%d paces (%d) to %d", minLease, minLease*s.Pace, maxLease))
 	}
-	if s.Drift < 0 || s.Drift > mostDrift {
-		fault("drift_ppm", s.Drift, fmt.Sprintf("0 to %d", mostDrift))
+	if s.Drift < 0 || s.Drift > maxDrift {
+		fault("drift_ppm", s.Drift, fmt.Sprintf("0 to %d", maxDrift))
 	}
-	if s.VerdictPc < 1 || s.VerdictPc > mostVerdictPc {
-		fault("verdict_pct", s.VerdictPc, fmt.Sprintf("1 to %d", mostVerdictPc))
+	if s.VerdictPc < 1 || s.VerdictPc > maxVerdictPercent {
+		fault("verdict_pct", s.VerdictPc, fmt.Sprintf("1 to %d", maxVerdictPercent))
 	}
 	if s.Recover != byHand && s.Recover != safe {
 		fault("recover", s.Recover, "hand or safe")
@@ -92,45 +92,46 @@
 	if n := len(s.Voters); n != 1 && n != 3 && n != 5 || len(voters) != n {
 		fault("voters", strings.Join(s.Voters, " "), "1, 3 or 5 different names of members, the same for all")
 	}
-	if s.Fleet == "" || len(s.Fleet) > mostFleet {
-		fault("fleet", s.Fleet, fmt.Sprintf("a name of 1 to %d bytes", mostFleet))
+	if s.Fleet == "" || len(s.Fleet) > maxFleetBytes {
+		fault("fleet", s.Fleet, fmt.Sprintf("a name of 1 to %d bytes", maxFleetBytes))
 	}
 	checkAddress("listen", s.Listen, fault)
 }
 
+// checkAddress checks an address of a member.
 func checkAddress(key, address string, fault func(key string, read any, allowed string)) {
-	// No names: a look-up could keep the actor waiting.
+	// Host names are not allowed: looking them up could block the actor.
 	if _, err := netip.ParseAddrPort(address); err != nil || len(address) > member.MaxAddrBytes {
 		fault(key, address, fmt.Sprintf("an IP address and port, up to %d bytes", member.MaxAddrBytes))
 	}
 }
 
-// LeaseTime is how long a view is held.
+// LeaseTime is the duration of the lease on a view.
 func (s *Settings) LeaseTime() time.Duration { return time.Duration(s.Lease) * time.Millisecond }
 
-// DriftPart is the allowed drift as a part of one.
+// DriftPart is the allowed drift as a fraction.
 func (s *Settings) DriftPart() float64 { return float64(s.Drift) / 1e6 }
 
-// Refounds tells whether the voters found anew by themselves where that is sure to be safe.
+// Refounds reports whether the voters found a new group by themselves where that is provably safe.
 func (s *Settings) Refounds() bool { return s.Recover == safe }
 
-// PaceTime is the time between two probes.
+// PaceTime is the interval between two probes.
 func (s *Settings) PaceTime() time.Duration { return time.Duration(s.Pace) * time.Millisecond }
 
-// Live tells whether only what can change while the fleet runs differs.
+// Live reports whether the settings differ only in what can change while the fleet runs.
 func (s *Settings) Live(next Settings) bool {
 	next.Join, next.Dial = s.Join, s.Dial
 	return s.Equal(next)
 }
 
-// Equal tells whether nothing differs.
+// Equal reports whether nothing differs.
 func (s *Settings) Equal(next Settings) bool {
 	return s.Fleet == next.Fleet && s.Name == next.Name && s.Listen == next.Listen && s.Advertise == next.Advertise &&
 		s.Pace == next.Pace && s.Lease == next.Lease && s.Drift == next.Drift &&
 		s.Verdicts == next.Verdicts && s.VerdictPc == next.VerdictPc && s.State == next.State && s.Recover == next.Recover && slices.Equal(s.Voters, next.Voters) && slices.Equal(s.Join, next.Join) && maps.Equal(s.Dial, next.Dial)
 }
 
-// Bounds are what the section promises, a line each, with the figures of this file.
+// Bounds returns the guarantees with the figures of the settings, as lines for the operator.
 func (s *Settings) Bounds() []string {
 	held := time.Duration(float64(s.LeaseTime()) * (1 + s.DriftPart())).Round(time.Microsecond)
 	lines := []string{fmt.Sprintf("fleet: nobody holds a view for longer than lease_ms * (1 + drift) = %v after the next one was decided", held)}
--- a/internal/quota/gate_test.go
+++ b/internal/quota/gate_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// asks lets a gate be asked evenly for a time and tells how many came through.
+// asks sends requests to a gate at an even rate for a time and returns how many were admitted.
 func asks(g *Gate, from, to time.Duration, rate float64) (let int) {
 	for at := from; at < to; at += time.Duration(float64(time.Second) / rate) {
 		if _, after, ok := g.Take(at, at+time.Second); ok {
@@ -22,7 +22,7 @@
 	const s = time.Second
 	g := NewGate(Rate, 100*time.Millisecond, 0)
 	g.SetShare(0, 50*PerSecond, 5*PerSecond, 10*s)
-	if n := asks(g, 0, 5*s, 200); n < 249 || n > 256 { // 250, and what may be saved up
+	if n := asks(g, 0, 5*s, 200); n < 249 || n > 256 { // 250, and what may be saved
 		t.Errorf("%d of 250 in 5 s", n)
 	}
 	if d := g.Demand(5 * s); d < 200*PerSecond || d > 300*PerSecond {
@@ -34,7 +34,7 @@
 	}
 	g.SetShare(15*s, 50*PerSecond, 5*PerSecond, 100*s)
 	asks(g, 15*s, 16*s, 1)
-	g.SetShare(16*s, 5*PerSecond, 5*PerSecond, 100*s) // what was saved up at 50 goes with the part
+	g.SetShare(16*s, 5*PerSecond, 5*PerSecond, 100*s) // what was saved at 50 goes with the share
 	if n := asks(g, 16*s, 17*s, 1000); n > 6 {
 		t.Errorf("%d of 5 after the part was taken back", n)
 	}
@@ -62,7 +62,7 @@
 	for _, slot := range slots {
 		g.Done(slot)
 	}
-	// Near the end of the lease only the floor takes what would outlive it.
+	// Near the end of the lease, requests that would outlive it are admitted by the floor alone.
 	for i := range 3 {
 		if _, _, ok := g.Take(9500*time.Millisecond, 11*s); ok != (i < 2) {
 			t.Errorf("request %d: %v", i, ok)
@@ -73,7 +73,7 @@
 	}
 }
 
-// Repeats are a part of the other requests, and what may be saved up.
+// Retries are a fraction of the other requests, and what may be saved.
 func TestRepeatsAreAPartOfRequests(t *testing.T) {
 	share := Settings{Again: 20}.Limit().Total
 	g := NewGate(Retries, 0, 0)
@@ -84,7 +84,7 @@
 		} else if after <= 0 {
 			t.Fatal("turned back without a word when to come again")
 		}
-		if i%2 == 0 { // 500 first requests among 1,000 repeats
+		if i%2 == 0 { // 500 first requests among 1,000 retries
 			g.CountRetry(false, share)
 		}
 	}
@@ -118,7 +118,7 @@
 	}
 }
 
-// Whoever makes up names fills the outstanding grants up to their bound, and no further.
+// Made-up names fill the outstanding grants up to their bound, and no further.
 func TestLedgerIsBounded(t *testing.T) {
 	g := NewGranter(Times{ReportInterval: time.Second, Lease: 10 * time.Second, ActTimeout: 100 * time.Second}, NoMutation)
 	g.SetLimits([]Limit{{Name: "x", Total: 1000, MaxMembers: 4}})
@@ -132,7 +132,7 @@
 	}
 }
 
-// At a node that is cold so much less may be in flight at a time, but one each where that is within the limit.
+// At a node that is warming up fewer requests may be in flight, but one of each member if that is within the limit.
 func TestCutOfAColdNode(t *testing.T) {
 	s := Settings{Name: "n", Node: 40, Members: 4}
 	for _, c := range []struct {
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -72,7 +72,7 @@
 	if q := c.Limits.Settings(); len(q) != 2 || q[0].PerSecond != 12.5 || q[1].InFlight != 9 {
 		t.Errorf("%+v", q)
 	}
-	// The order in the file does not count, the content does.
+	// The digest depends on the content, not on its order in the file.
 	swapped := strings.Replace(strings.Replace(good, `"order"`, `"X"`, 1), `"look"`, `"order"`, 1)
 	swapped = strings.Replace(strings.Replace(swapped, `"X"`, `"look"`, 1), "0.5\n", "Y\n", 1)
 	swapped = strings.Replace(strings.Replace(swapped, "0.25", "0.5", 1), "Y", "0.25", 1)
@@ -84,7 +84,7 @@
 	}
 }
 
-// Every fault is named, with its line and column.
+// Every fault is reported, with its line and column.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
 		"no end":             {"# end\n", "", `29:1: the file may not be whole: its last line must be "# end"`},
@@ -132,7 +132,7 @@
 	if faults := file(1200); !strings.Contains(fmt.Sprint(faults), "bytes of rules, 65536 at most") {
 		t.Error(faults)
 	}
-	// One that was made elsewhere is measured too: all of it, and one byte more.
+	// An edition that was made elsewhere is bounded too: the largest one, and one byte more.
 	e := Edition{Rules: []Rule{{Kind: "x", Format: Format{1, 0}}}}
 	e.Rules[0].Body = make([]byte, MaxBytes-len(encode(e.Rules))-2)
 	if _, err := Read(e, Supported()); len(encode(e.Rules)) != MaxBytes || !strings.Contains(err.Error(), "kind not known") {
@@ -144,7 +144,7 @@
 	}
 }
 
-// What a program does not read it says, by kind, format and feature.
+// A program reports what it does not read, by kind, format and feature.
 func TestMisread(t *testing.T) {
 	e := parse(t, good)
 	one := Reads{Sampling: {{1, 0}}, Limits: {{1, 0}}}
@@ -243,7 +243,7 @@
 	"a limit left out":                with(func(c *Compiled) { c.Limits.Quotas = c.Limits.Quotas[:1] }),
 }
 
-// with has a program go by other rules than it says.
+// with has a program decide by other rules than it says.
 func with(change func(*Compiled)) func(*Compiled, Case) string {
 	return func(c *Compiled, q Case) string {
 		other := &Compiled{Edition: c.Edition}
@@ -276,7 +276,7 @@
 	t.Logf("%d of %d misreadings caught", caught, played)
 }
 
-// Whatever bytes come as an edition, reading them ends with rules or an error.
+// Whatever the bytes of an edition are, reading them returns rules or an error.
 func TestReadTakesAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := Edition{Number: 1}
