--- a/internal/daemon/suspensions.go
+++ b/internal/daemon/suspensions.go
@@ -27,8 +27,8 @@
 }
 
 // restore applies and returns the statements that an earlier process has stored.
-func (s *fleetSuspensions) restore() []verdict.Word {
-	var statements []verdict.Word
+func (s *fleetSuspensions) restore() []verdict.Statement {
+	var statements []verdict.Statement
 	if err := s.stored.load(keyFleetStatements, &statements); err != nil {
 		s.log.Warn().Err(err).Msg("suspensions by the fleet not restored")
 		return nil
@@ -40,7 +40,7 @@
 }
 
 // onChanged applies and stores the present statements.
-func (s *fleetSuspensions) onChanged(all []verdict.Word) {
+func (s *fleetSuspensions) onChanged(all []verdict.Statement) {
 	s.apply(all)
 	if err := s.stored.save(keyFleetStatements, all); err != nil {
 		s.log.Error().Err(err).Msg("suspensions by the fleet not stored")
@@ -48,7 +48,7 @@
 }
 
 // apply suspends what the statements suspend, and restores what they no longer do.
-func (s *fleetSuspensions) apply(all []verdict.Word) {
+func (s *fleetSuspensions) apply(all []verdict.Statement) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var next []string
@@ -76,7 +76,7 @@
 }
 
 // reportDrains passes new statements on draining servers to the relay.
-func (s *fleetSuspensions) reportDrains(updates []verdict.Word) {
+func (s *fleetSuspensions) reportDrains(updates []verdict.Statement) {
 	for _, w := range updates {
 		s.relay.ReportDrain(w.Node, w.Since, w.Suspended)
 	}
--- /dev/null
+++ b/internal/fleet/events.go
@@ -0,0 +1,134 @@
+package fleet
+
+import (
+	"time"
+
+	"fieldrelay/internal/member"
+	"fieldrelay/internal/peer"
+	"fieldrelay/internal/quota"
+	"fieldrelay/internal/rules"
+	"fieldrelay/internal/skew"
+	"fieldrelay/internal/verdict"
+	"fieldrelay/internal/view"
+)
+
+// Event is an input of a Core.
+type Event interface{ event() }
+
+// The events.
+type (
+	// Tick reports that time has passed.
+	Tick struct{}
+	// Received is a frame of this fleet.
+	Received struct{ Frame peer.Frame }
+	// Leave reports that the process is about to shut down.
+	Leave struct{}
+	// SetSeeds replaces the addresses to join by.
+	SetSeeds struct{ Join []string }
+	// SetLimits replaces the limits of the fleet.
+	SetLimits struct{ Limits []quota.Limit }
+	// SetSuspended suspends an execute node for the whole fleet, or restores it.
+	SetSuspended struct {
+		Node      string
+		Suspended bool
+	}
+	// SetDraining reports that this member's list has a process of an execute node, by its start, as draining or gone, or no
+	// longer so.
+	SetDraining struct {
+		Node     string
+		Since    time.Duration
+		Draining bool
+	}
+	// PushRules is the edition of this member's file, to be put in force.
+	PushRules struct{ Edition rules.Edition }
+	// Recover is the operator's decision that the majority of the voters is lost for good.
+	Recover struct{}
+)
+
+func (Tick) event() {}
+
+func (PushRules) event() {}
+
+func (Received) event() {}
+
+func (Leave) event() {}
+
+func (SetSeeds) event() {}
+
+func (Recover) event() {}
+
+func (SetLimits) event() {}
+
+func (SetSuspended) event() {}
+
+func (SetDraining) event() {}
+
+// Action is an output of a Core, for its caller to carry out in order.
+type Action interface{ action() }
+
+// The actions.
+type (
+	// Transmit sends a frame to a process. To.Name is empty for an address to join by.
+	Transmit struct {
+		To     member.Record
+		Frame  peer.Frame
+		Stream bool
+	}
+	// MemberChanged reports a new belief about another process.
+	MemberChanged struct{ member.Changed }
+	// Save stores a change of the voter's state. It must be on disk, synced, before a later action is carried out.
+	Save struct{ Change view.Change }
+	// Decided reports a new view that the voters have decided, at a voter.
+	Decided struct{ View view.View }
+	// Adopted reports the view that is in force at this member from now on.
+	Adopted struct{ View view.View }
+	// Notice is a line for the operator.
+	Notice struct{ view.Notice }
+	// SuspensionsChanged reports all statements on suspended execute nodes.
+	SuspensionsChanged struct{ All []verdict.Statement }
+	// Avoid names all execute nodes to which this member sends nothing new from now on, by the fleet's verdict.
+	Avoid struct{ verdict.Avoid }
+	// VerdictLog is a line on a verdict, for the log.
+	VerdictLog struct{ verdict.LogEntry }
+	// DrainingChanged reports new statements on draining execute nodes.
+	DrainingChanged struct{ Updates []verdict.Statement }
+	// QuotaSharesChanged reports that this member's shares of the limits may have changed.
+	QuotaSharesChanged struct{}
+	// RulesEnforced puts an edition of rules in force at this member, all of it at once.
+	RulesEnforced struct{ Compiled *rules.Compiled }
+	// RulesLog is a line on rules, for the operator.
+	RulesLog struct{ skew.LogEntry }
+	// ModeChanged reports a new mode.
+	ModeChanged struct {
+		Mode, Was Mode
+		Reason    string
+	}
+)
+
+func (Transmit) action() {}
+
+func (RulesEnforced) action() {}
+
+func (RulesLog) action() {}
+
+func (MemberChanged) action() {}
+
+func (ModeChanged) action() {}
+
+func (Save) action() {}
+
+func (Decided) action() {}
+
+func (Adopted) action() {}
+
+func (Notice) action() {}
+
+func (QuotaSharesChanged) action() {}
+
+func (SuspensionsChanged) action() {}
+
+func (Avoid) action() {}
+
+func (VerdictLog) action() {}
+
+func (DrainingChanged) action() {}
--- /dev/null
+++ b/internal/fleet/limitgates.go
@@ -0,0 +1,121 @@
+package fleet
+
+import (
+	"fmt"
+	"time"
+
+	"fieldrelay/internal/quota"
+)
+
+// admit admits a request under all limits that it counts for, or under none. See Fleet.Admit.
+func (l *limits) admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	gates := l.generalGates
+	if own := l.tenantGates[tenant]; len(own) > 0 {
+		gates = append(gates[:len(gates):len(gates)], own...)
+	}
+	return l.passGates(gates, func(g *limitGate) bool { return g.Applies(class, tenant) }, again, 1, ends)
+}
+
+// claim admits an attempt at an execute node under all limits that it counts for, or under none. Of the limit of a node that is
+// warming up, the fraction warm may be used. Nodes that are not listed have no limits of their own. See Fleet.Claim.
+func (l *limits) claim(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.attemptGates)+len(l.nodeGates) == 0 {
+		return nil, true
+	}
+	applies := func(g *limitGate) bool { return g.Applies(class, tenant) }
+	done, _, ok = l.passGates(append(l.attemptGates[:len(l.attemptGates):len(l.attemptGates)], l.nodeGates[node]...), applies, again, warm, ends)
+	return done, ok
+}
+
+// passGates passes those of some gates that apply, or none of them. l.mu is held.
+func (l *limits) passGates(gates []*limitGate, applies func(*limitGate) bool, again bool, warm float64, ends time.Time) (done func(), after time.Duration, ok bool) {
+	now := time.Since(l.origin)
+	type passedGate struct {
+		g    *limitGate
+		slot quota.Slot
+	}
+	var passed []passedGate
+	for _, g := range gates {
+		if !applies(g) {
+			continue
+		}
+		slot, after, ok := quota.NoSlot, time.Duration(0), false
+		switch {
+		case g.Shares: // beyond its allowance a tenant's request has a lower value, and is not rejected
+			g.gate.Take(now, now)
+			continue
+		case g.Leased():
+			slot, after, ok = g.gate.TakeReduced(now, ends.Sub(l.origin), g.Reduced(warm))
+		default:
+			after, ok = g.gate.CountRetry(again, g.Limit().Total)
+		}
+		if !ok {
+			for _, p := range passed {
+				p.g.gate.Undo(p.slot)
+			}
+			return nil, after, false
+		}
+		passed = append(passed, passedGate{g, slot})
+	}
+	if len(passed) == 0 {
+		return func() {}, 0, true
+	}
+	return func() {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		for _, p := range passed {
+			p.g.gate.Done(p.slot)
+		}
+	}, 0, true
+}
+
+// counts returns how many requests and attempts the limits have admitted and rejected. One that counts for several limits is
+// counted by each.
+func (l *limits) counts() (let, refused int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, g := range l.gates {
+		let, refused = let+g.gate.Admitted, refused+g.gate.Rejected
+	}
+	return let, refused
+}
+
+// unlimitedLease is an expiry from which on a share is no lease.
+const unlimitedLease = time.Duration(1 << 62)
+
+// lines returns a line for each limit: its name, this member's share, until when, the fallback after that, and the counts.
+func (l *limits) lines() (lines []string) {
+	now := time.Since(l.origin)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, g := range l.gates {
+		lines = append(lines, g.line(now))
+	}
+	return lines
+}
+
+// line is the line of a limit.
+func (g *limitGate) line(now time.Duration) string {
+	limit := g.Limit()
+	if !g.Leased() {
+		kind := "again_pct"
+		if g.Retry > 0 {
+			kind = "retry_pct"
+		}
+		return fmt.Sprintf("%s %s limit=%g here=%g lease=none let=%d refused=%d", g.Name, kind, g.Again+g.Retry, g.Again+g.Retry, g.gate.Admitted, g.gate.Rejected)
+	}
+	kind, format := "in_flight", func(u quota.Unit) string { return fmt.Sprint(u) }
+	if limit.Kind == quota.Rate {
+		kind, format = "per_second", func(u quota.Unit) string { return fmt.Sprintf("%g", float64(u)/float64(quota.PerSecond)) }
+	}
+	lease, here := "none", g.share.fallback
+	if now < g.share.expiry && g.share.expiry < unlimitedLease {
+		lease, here = fmt.Sprintf("%dms", (g.share.expiry-now).Milliseconds()), g.share.amount
+	}
+	return fmt.Sprintf("%s %s limit=%s here=%s lease=%s past=%s demand=%s in_use=%d let=%d refused=%d", g.Name, kind, format(limit.Total), format(here),
+		lease, format(g.share.fallback), format(g.gate.Demand(now)), g.gate.InUse(), g.gate.Admitted, g.gate.Rejected)
+}
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"fmt"
 	"slices"
 	"sync"
 	"time"
@@ -11,49 +10,50 @@
 	"fieldrelay/logic"
 )
 
-// limits are the gates of the fleet's limits. Fronts pass through them from any goroutine, and never wait for the actor.
+// limits is the gates of the fleet's limits. It is safe for concurrent use; requests that pass the gates do not wait for the
+// actor.
 type limits struct {
 	origin time.Time
 
-	mu       sync.Mutex
-	gates    []*limited
-	byName   map[string]*limited
-	general  []*limited            // those of requests that are for all tenants,
-	tenants  map[string][]*limited // and for one
-	shares   []*limited            // of tenants' allowances
-	allowed  []logic.Tenant
-	undo     []string   // tenants whose allowance is no longer divided
-	claims   []*limited // those of attempts that are for all nodes,
-	atNode   map[string][]*limited
-	settings quota.All
-	nodes    []string
+	mu             sync.Mutex
+	gates          []*limitGate
+	byName         map[string]*limitGate
+	generalGates   []*limitGate            // of requests, for all tenants
+	tenantGates    map[string][]*limitGate // of requests, by tenant
+	allowanceGates []*limitGate            // of tenants' allowances; also among tenantGates
+	tenants        []logic.Tenant
+	withdrawn      []string     // tenants whose allowance is no longer divided by demand
+	attemptGates   []*limitGate // of attempts, for all nodes
+	nodeGates      map[string][]*limitGate
+	settings       quota.All
+	nodes          []string
 }
 
-// limited is one limit. It belongs to who holds limits.mu.
-type limited struct {
+// limitGate is the gate of one limit. It is guarded by limits.mu.
+type limitGate struct {
 	quota.Settings
-	gate *quota.Gate
-	told part
-	// allotted is what was last told of a part of an allowance.
-	allotted quota.Unit
+	gate  *quota.Gate
+	share quotaShare
+	// reportedAllotment is the share of an allowance that was last reported.
+	reportedAllotment quota.Unit
 }
 
-// part is what was last told of this member's part.
-type part struct {
-	now, past quota.Unit
-	until     time.Duration
+// quotaShare is this member's share of a limit: an amount until its lease expires, then a fallback.
+type quotaShare struct {
+	amount, fallback quota.Unit
+	expiry           time.Duration
 }
 
-// set replaces the limits; one that stays as it was goes on. It gives them as the machines take them.
+// set replaces the limits. Gates of limits that stay keep their counts. It returns the limits that the fleet divides.
 func (l *limits) set(all quota.All) (list []quota.Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settings = all
-	return l.make()
+	return l.rebuild()
 }
 
-// list takes over which execute nodes there are. changed tells whether that changes the limits.
-func (l *limits) list(nodes []verdict.Node) (list []quota.Limit, changed bool) {
+// setNodes takes in the listed execute nodes. It returns the limits that the fleet divides, and whether they have changed.
+func (l *limits) setNodes(nodes []verdict.Node) (list []quota.Limit, changed bool) {
 	names := make([]string, len(nodes))
 	for i, n := range nodes {
 		names[i] = n.Name
@@ -68,90 +68,95 @@
 	if !slices.ContainsFunc(l.settings, func(s quota.Settings) bool { return s.Node > 0 }) {
 		return nil, false
 	}
-	return l.make(), true
+	return l.rebuild(), true
 }
 
-// make makes the gates anew of the settings and the nodes.
-func (l *limits) make() (list []quota.Limit) {
-	was, shared := l.byName, l.shares
-	l.gates, l.claims, l.general, l.shares = nil, nil, nil, nil
-	l.byName, l.atNode, l.tenants = map[string]*limited{}, map[string][]*limited{}, map[string][]*limited{}
-	add := func(s quota.Settings) *limited {
-		g := was[s.Name]
-		if g == nil || g.Limit().Kind != s.Limit().Kind || g.Burst != s.Burst {
-			g = &limited{gate: quota.NewGate(s.Limit().Kind, s.BurstTime(), time.Since(l.origin))}
-		}
-		g.Settings = s
-		l.gates = append(l.gates, g)
-		l.byName[s.Name] = g
+// rebuild makes the gates anew from the settings, the nodes and the tenants.
+func (l *limits) rebuild() (list []quota.Limit) {
+	before, allowancesBefore := l.byName, l.allowanceGates
+	l.gates, l.attemptGates, l.generalGates, l.allowanceGates = nil, nil, nil, nil
+	l.byName, l.nodeGates, l.tenantGates = make(map[string]*limitGate), make(map[string][]*limitGate), make(map[string][]*limitGate)
+	add := func(s quota.Settings) *limitGate {
 		if s.Leased() {
 			list = append(list, s.Limit())
 		}
-		return g
+		return l.addGate(s, before[s.Name])
 	}
 	for _, s := range l.settings {
 		switch {
 		case s.Node > 0:
 			for _, node := range l.nodes {
-				if len(list) < quota.MostLimits {
-					l.atNode[node] = append(l.atNode[node], add(s.At(node)))
+				if len(list) < quota.MaxLimits {
+					l.nodeGates[node] = append(l.nodeGates[node], add(s.ForNode(node)))
 				}
 			}
 		case s.Retry > 0:
-			l.claims = append(l.claims, add(s))
+			l.attemptGates = append(l.attemptGates, add(s))
 		case s.Shares:
-			for _, t := range l.allowed {
-				if t.Allowance > 0 && len(list) < quota.MostLimits {
-					g := add(s.Of(t.Name, t.Allowance))
-					l.shares = append(l.shares, g)
-					l.tenants[t.Name] = append(l.tenants[t.Name], g)
+			for _, tenant := range l.tenants {
+				if tenant.Allowance > 0 && len(list) < quota.MaxLimits {
+					g := add(s.ForTenant(tenant.Name, tenant.Allowance))
+					l.allowanceGates = append(l.allowanceGates, g)
+					l.tenantGates[tenant.Name] = append(l.tenantGates[tenant.Name], g)
 				}
 			}
 		case s.Tenant != "":
-			l.tenants[s.Tenant] = append(l.tenants[s.Tenant], add(s))
+			l.tenantGates[s.Tenant] = append(l.tenantGates[s.Tenant], add(s))
 		default:
-			l.general = append(l.general, add(s))
+			l.generalGates = append(l.generalGates, add(s))
 		}
 	}
-	for _, g := range shared {
-		if !slices.ContainsFunc(l.tenants[g.Tenant], func(o *limited) bool { return o.Shares }) {
-			l.undo = append(l.undo, g.Tenant)
+	for _, g := range allowancesBefore {
+		if !slices.ContainsFunc(l.tenantGates[g.Tenant], func(gate *limitGate) bool { return gate.Shares }) {
+			l.withdrawn = append(l.withdrawn, g.Tenant)
 		}
 	}
 	return list
 }
 
-// allow takes over the tenants of the settings.
-func (l *limits) allow(tenants []logic.Tenant) (list []quota.Limit) {
+// addGate adds the gate of a limit: the one before, if the change of the limit allows that.
+func (l *limits) addGate(s quota.Settings, g *limitGate) *limitGate {
+	if g == nil || g.Limit().Kind != s.Limit().Kind || g.Burst != s.Burst {
+		g = &limitGate{gate: quota.NewGate(s.Limit().Kind, s.BurstTime(), time.Since(l.origin))}
+	}
+	g.Settings = s
+	l.gates = append(l.gates, g)
+	l.byName[s.Name] = g
+	return g
+}
+
+// setTenants takes in the tenants of the settings. It returns the limits that the fleet divides.
+func (l *limits) setTenants(tenants []logic.Tenant) (list []quota.Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.allowed = tenants
-	return l.make()
+	l.tenants = tenants
+	return l.rebuild()
 }
 
-// allotted calls tell for each tenant of whose allowance another part is this member's than at the last call.
-func (l *limits) allotted(tell func(tenant string, rate float64)) {
+// reportAllotments reports this member's share of each tenant's allowance that has changed since the last call, in requests a
+// second; -1: an equal share again.
+func (l *limits) reportAllotments(report func(tenant string, rate float64)) {
 	now := time.Since(l.origin)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, tenant := range l.undo {
-		tell(tenant, -1) // an equal part again
-	}
-	l.undo = nil
-	for _, g := range l.shares {
-		part := g.told.past
-		if now < g.told.until {
-			part = g.told.now
+	for _, tenant := range l.withdrawn {
+		report(tenant, -1)
+	}
+	l.withdrawn = nil
+	for _, g := range l.allowanceGates {
+		share := g.share.fallback
+		if now < g.share.expiry {
+			share = g.share.amount
 		}
-		if part != g.allotted {
-			g.allotted = part
-			tell(g.Tenant, float64(part)/float64(quota.PerSecond))
+		if share != g.reportedAllotment {
+			g.reportedAllotment = share
+			report(g.Tenant, float64(share)/float64(quota.PerSecond))
 		}
 	}
 }
 
-// tell tells the gates this member's parts.
-func (l *limits) tell(h *quota.Holder) {
+// updateShares takes this member's shares into the gates.
+func (l *limits) updateShares(h *quota.Holder) {
 	now := time.Since(l.origin)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,12 +164,12 @@
 		if !g.Leased() {
 			continue
 		}
-		g.told.now, g.told.past, g.told.until = h.Part(g.Name, now)
-		g.gate.Part(now, g.told.now, g.told.past, g.told.until)
+		g.share.amount, g.share.fallback, g.share.expiry = h.Share(g.Name, now)
+		g.gate.SetShare(now, g.share.amount, g.share.fallback, g.share.expiry)
 	}
 }
 
-// demand is what this member could use of a limit, and what is in use.
+// demand returns how much of a limit this member could use, and how much it has in use.
 func (l *limits) demand(limit string, now time.Duration) (demand, used quota.Unit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,110 +178,3 @@
 	}
 	return 0, 0
 }
-
-// admit lets a request through all limits that it counts under, or none.
-func (l *limits) admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	gates := l.general
-	if own := l.tenants[tenant]; len(own) > 0 {
-		gates = append(gates[:len(gates):len(gates)], own...)
-	}
-	return l.pass(gates, func(g *limited) bool { return g.Applies(class, tenant) }, again, 1, ends)
-}
-
-// claim lets an attempt at an execute node through all limits that it counts under, or none. warm is the part of its full
-// capacity that the node has now: so much of its limit may be used. Nodes that are not listed have
-// no limits.
-func (l *limits) claim(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.claims)+len(l.atNode) == 0 {
-		return nil, true
-	}
-	applies := func(g *limited) bool { return g.Applies(class, tenant) }
-	done, _, ok = l.pass(append(l.claims[:len(l.claims):len(l.claims)], l.atNode[node]...), applies, again, warm, ends)
-	return done, ok
-}
-
-// pass passes through those of some gates that apply. l.mu is held.
-func (l *limits) pass(gates []*limited, applies func(*limited) bool, again bool, warm float64, ends time.Time) (done func(), after time.Duration, ok bool) {
-	now := time.Since(l.origin)
-	type taken struct {
-		g    *limited
-		slot quota.Slot
-	}
-	var all []taken
-	for _, g := range gates {
-		if !applies(g) {
-			continue
-		}
-		slot, after, ok := quota.NoSlot, time.Duration(0), false
-		switch {
-		case g.Shares: // what is beyond it is worth less, that is all
-			g.gate.Take(now, now)
-			continue
-		case g.Leased():
-			slot, after, ok = g.gate.TakeOf(now, ends.Sub(l.origin), g.Cold(warm))
-		default:
-			after, ok = g.gate.Count(again, g.Limit().Most)
-		}
-		if !ok {
-			for _, t := range all {
-				t.g.gate.Undo(t.slot)
-			}
-			return nil, after, false
-		}
-		all = append(all, taken{g, slot})
-	}
-	if len(all) == 0 {
-		return func() {}, 0, true
-	}
-	return func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		for _, t := range all {
-			t.g.gate.Done(t.slot)
-		}
-	}, 0, true
-}
-
-// counts are how many requests and attempts all limits have let through, and turned back. One under several limits counts
-// under each.
-func (l *limits) counts() (let, refused int64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, g := range l.gates {
-		let, refused = let+g.gate.Let, refused+g.gate.Refused
-	}
-	return let, refused
-}
-
-// lines has a line for each limit: its name, what is let through here, for how long, what past that, and the counts.
-func (l *limits) lines() (all []string) {
-	now := time.Since(l.origin)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, g := range l.gates {
-		limit := g.Limit()
-		if !g.Leased() {
-			kind := "again_pct"
-			if g.Retry > 0 {
-				kind = "retry_pct"
-			}
-			all = append(all, fmt.Sprintf("%s %s limit=%g here=%g lease=none let=%d refused=%d", g.Name, kind, g.Again+g.Retry, g.Again+g.Retry, g.gate.Let, g.gate.Refused))
-			continue
-		}
-		kind, show := "in_flight", func(u quota.Unit) string { return fmt.Sprint(u) }
-		if limit.Kind == quota.Rate {
-			kind, show = "per_second", func(u quota.Unit) string { return fmt.Sprintf("%g", float64(u)/float64(quota.PerSecond)) }
-		}
-		lease, here := "none", g.told.past
-		if now < g.told.until && g.told.until < time.Duration(1<<62) {
-			lease, here = fmt.Sprintf("%dms", (g.told.until-now).Milliseconds()), g.told.now
-		}
-		all = append(all, fmt.Sprintf("%s %s limit=%s here=%s lease=%s past=%s demand=%s in_use=%d let=%d refused=%d", g.Name, kind, show(limit.Most), show(here),
-			lease, show(g.told.past), show(g.gate.Demand(now)), g.gate.InUse(), g.gate.Let, g.gate.Refused))
-	}
-	return all
-}
--- a/internal/fleet/limits_test.go
+++ b/internal/fleet/limits_test.go
@@ -12,10 +12,10 @@
 	"fieldrelay/logic"
 )
 
-// holds gives a set of limits the whole of each, for an hour.
+// holds gives all of each limit to the gates, for an hour.
 func holds(l *limits) {
 	for _, g := range l.gates {
-		g.gate.Part(time.Since(l.origin), g.Limit().Most, 0, time.Hour)
+		g.gate.SetShare(time.Since(l.origin), g.Limit().Total, 0, time.Hour)
 	}
 }
 
@@ -40,18 +40,18 @@
 		return done
 	}
 	first := take("order", "a", false, true)
-	take("order", "a", false, false) // over its tenant's limit: and it holds nothing of the other one
+	take("order", "a", false, false) // over its tenant's limit: it takes nothing of the other one
 	take("order", "b", false, true)
 	last := take("look", "a", false, true)
 	take("look", "b", false, false) // three are in flight
 	first()
 	last()
 	take("order", "a", false, true)
-	for range 9 + 1 { // what is saved up, and no more
+	for range 9 + 1 { // what was saved, and no more
 		take("look", "b", true, true)()
 	}
 	take("look", "b", true, false)
-	// What stays of a change keeps its count; what is new holds nothing before it is told a part.
+	// A limit that stays keeps its count; a new one has no share at first.
 	l.set(quota.All{{Name: "all", InFlight: 3, Members: 1}, {Name: "new", Class: "pay", PerSecond: 5, Members: 1}})
 	if in, _ := l.demand("all", time.Since(l.origin)); in < 2 {
 		t.Errorf("%d in flight after the change", in)
@@ -63,8 +63,7 @@
 	}
 }
 
-// Ten thousand tenants take fixed memory, a request passes by its own tenant's gates alone, and a report names only those
-// that are in use.
+// Ten thousand tenants take fixed memory, a request passes its own tenant's gates alone, and a report has only those in use.
 func TestTenThousandTenants(t *testing.T) {
 	var tenants []logic.Tenant
 	for i := range 10_000 {
@@ -77,11 +76,11 @@
 		return m.HeapAlloc
 	}
 	before := heap()
-	l := &limits{origin: time.Now(), allowed: tenants}
+	l := &limits{origin: time.Now(), tenants: tenants}
 	list := l.set(quota.All{{Name: "shares", Shares: true, Members: 8}})
-	h := quota.NewHolder(quota.Times{Report: time.Second, Lease: time.Minute}, 1, 0, quota.NoMutation)
-	h.Set(list)
-	l.tell(h)
+	h := quota.NewHolder(quota.Times{ReportInterval: time.Second, Lease: time.Minute}, 1, 0, quota.NoMutation)
+	h.SetLimits(list)
+	l.updateShares(h)
 	took := heap() - before
 	t.Logf("%d limits, %.1f MB, %d bytes each", len(list), float64(took)/1e6, int(took)/len(list))
 	if len(list) != 10_000 || took > 10<<20 {
@@ -94,39 +93,39 @@
 	}
 	for _, name := range h.Names() {
 		demand, used := l.demand(name, time.Since(l.origin))
-		h.Demand(name, demand)
-		h.Used(name, used)
+		h.SetDemand(name, demand)
+		h.SetInUse(name, used)
 	}
 	r := h.Report(time.Since(l.origin))
 	b, err := peer.Encode(peer.Frame{Report: &r})
-	if err != nil || len(r.Claims) == 0 || len(r.Claims) > 1024 {
-		t.Errorf("%d claims, %d bytes, %v", len(r.Claims), len(b), err)
+	if err != nil || len(r.Limits) == 0 || len(r.Limits) > 1024 {
+		t.Errorf("%d claims, %d bytes, %v", len(r.Limits), len(b), err)
 	}
-	t.Logf("a report of %d claims has %d bytes", len(r.Claims), len(b))
+	t.Logf("a report of %d claims has %d bytes", len(r.Limits), len(b))
 	told := map[string]float64{}
 	tell := func(tenant string, rate float64) { told[tenant] = rate }
-	l.allotted(tell)
-	if len(told) != 10_000 || told["tenant-7"] != 1.25 { // no lease: an equal part
+	l.reportAllotments(tell)
+	if len(told) != 10_000 || told["tenant-7"] != 1.25 { // no lease: an equal share
 		t.Errorf("%d told, tenant-7 %g", len(told), told["tenant-7"])
 	}
 	clear(told)
-	h.Granted(time.Since(l.origin), quota.Grant{Seq: r.Seq, Parts: []quota.Part{{Limit: "shares/tenant-7", Amount: 9 * quota.PerSecond}}})
-	l.tell(h)
-	if l.allotted(tell); len(told) != 1 || told["tenant-7"] != 9 {
+	h.ReceiveGrant(time.Since(l.origin), quota.Grant{Seq: r.Seq, Shares: []quota.Share{{Limit: "shares/tenant-7", Amount: 9 * quota.PerSecond}}})
+	l.updateShares(h)
+	if l.reportAllotments(tell); len(told) != 1 || told["tenant-7"] != 9 {
 		t.Errorf("%v told by a grant", told)
 	}
 	clear(told)
-	l.set(nil) // the table is gone from the file: equal parts again
-	if l.allotted(tell); len(told) != 10_000 || told["tenant-7"] != -1 {
+	l.set(nil) // the table is gone from the settings: equal shares again
+	if l.reportAllotments(tell); len(told) != 10_000 || told["tenant-7"] != -1 {
 		t.Errorf("%d told, tenant-7 %g", len(told), told["tenant-7"])
 	}
 }
 
-// Limits of attempts: each node has its own, and what leaves the list leaves them.
+// Limits of attempts: each node has its own, and a node that leaves the list loses them.
 func TestClaimsAtNodes(t *testing.T) {
 	l := &limits{origin: time.Now()}
 	l.set(quota.All{{Name: "each", Node: 2, Members: 1}, {Name: "retries", Retry: 10}})
-	list, changed := l.list([]verdict.Node{{Name: "a"}, {Name: "b"}})
+	list, changed := l.setNodes([]verdict.Node{{Name: "a"}, {Name: "b"}})
 	if !changed || len(list) != 2 || list[0].Name != "each/a" {
 		t.Fatalf("%v", list)
 	}
@@ -151,7 +150,7 @@
 		claim("c", true, true)
 	}
 	claim("c", true, false)
-	if list, changed := l.list([]verdict.Node{{Name: "b"}}); !changed || len(list) != 1 {
+	if list, changed := l.setNodes([]verdict.Node{{Name: "b"}}); !changed || len(list) != 1 {
 		t.Errorf("%v", list)
 	}
 	claim("a", false, true)
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -54,6 +54,8 @@
 	nodes  []*Node
 	byAddr map[string]*Node
 	cut    map[[2]int]bool
+	// Acted is called for each action of a member, before anything is done with it. It may be nil.
+	Acted func(n *Node, at time.Duration, a fleet.Action)
 	// Heard is called for each action of a member that others may judge. It may be nil.
 	Heard func(n *Node, at time.Duration, a fleet.Action)
 	// Passed is called for each frame that a member is about to get. It may be nil.
@@ -71,7 +73,7 @@
 	world      *World
 	since      time.Duration // of this start, on the world's clock
 	rate       float64
-	kept       *view.Kept
+	kept       *view.StoredState
 	Edition    rules.Edition // that its last process went by
 	setBack    time.Duration
 	start      uint64 // number of this start
@@ -219,7 +221,7 @@
 	}
 	boot, seed := member.NewBoot(w.now.Milliseconds()+1, n.boots), w.opts.Seed*7919+uint64(n.Index)
 	if w.opts.LoseLog && n.kept != nil {
-		n.kept = &view.Kept{Voter: n.kept.Voter, Era: n.kept.Era}
+		n.kept = &view.StoredState{Voter: n.kept.Voter, Era: n.kept.Era}
 	}
 	var voters []string
 	for i := range min(w.opts.Voters, len(w.nodes)) {
@@ -230,16 +232,16 @@
 		demand = func(limit string, _ time.Duration) (quota.Unit, quota.Unit) { return w.opts.Demand(n.Index, w.now), 0 }
 	}
 	cfg := fleet.CoreConfig{Fleet: "sim",
-		Limits: w.opts.Limits, Mutate: w.opts.MutateQuota, Demand: demand,
+		Limits: w.opts.Limits, MutateQuota: w.opts.MutateQuota, Demand: demand,
 		Member: member.Config{Name: n.Name, Addr: n.Addr, Boot: boot, Join: join, Pace: w.opts.Pace, Seed: seed, Mutate: w.opts.Mutate},
 		View: view.Config{Name: n.Name, Boot: boot, Voters: voters, Pace: w.opts.Pace, Lease: w.opts.Lease, Drift: 2.1 * w.opts.Drift, Seed: seed,
-			Kept: n.kept.Clone(), Refound: w.opts.Refound, Mutate: w.opts.MutateView}}
+			Stored: n.kept.Clone(), Refound: w.opts.Refound, Mutate: w.opts.MutateView}}
 	if w.opts.Station != nil {
 		w.opts.Station.join(n, &cfg)
 	}
 	if w.opts.Rules != nil {
 		if cfg.Rules = w.opts.Rules(n.Index); cfg.Rules != nil {
-			cfg.Rules.Kept = n.Edition
+			cfg.Rules.Stored = n.Edition
 			cfg.Member.Reads = cfg.Rules.Reads.String()
 		}
 	}
@@ -295,15 +297,18 @@
 	}
 	w := n.world
 	for _, a := range n.Core.Step(n.clock(w.now), e) {
+		if w.Acted != nil {
+			w.Acted(n, w.now, a)
+		}
 		switch a := a.(type) {
 		case fleet.Transmit:
 			n.transmit(a)
 		case fleet.Save:
 			if w.opts.Keep {
 				if n.kept == nil {
-					n.kept = &view.Kept{}
+					n.kept = &view.StoredState{}
 				}
-				if err := n.kept.Merge(a.Change); err != nil {
+				if err := n.kept.Apply(a.Change); err != nil {
 					panic(err)
 				}
 			}
@@ -311,7 +316,7 @@
 			switch a := a.(type) {
 			case fleet.Avoid:
 				n.avoids(a.Nodes)
-			case fleet.RulesForced:
+			case fleet.RulesEnforced:
 				n.Edition = a.Compiled.Edition
 			}
 			if w.Heard != nil {
@@ -356,7 +361,7 @@
 	n.Sent.Messages++
 	n.Sent.Bytes += int64(len(b))
 	to := w.byAddr[t.To.Addr]
-	datagram := !t.Stream && len(b) <= peer.MostDatagram
+	datagram := !t.Stream && len(b) <= peer.MaxDatagram
 	lost := datagram && w.rng.Float64() < w.opts.Loss
 	delay := w.opts.Delay
 	if w.opts.Jitter > 0 {
@@ -374,6 +379,6 @@
 		}
 		to.Got.Messages++
 		to.Got.Bytes += int64(len(b))
-		to.step(fleet.Got{Frame: t.Frame})
+		to.step(fleet.Received{Frame: t.Frame})
 	})
 }
--- a/internal/member/check_test.go
+++ b/internal/member/check_test.go
@@ -13,12 +13,12 @@
 	"fieldrelay/internal/explore"
 )
 
-// three is a fleet of three machines, with every message held until it is delivered or dropped.
+// three is a fleet of three machines, whose messages stay on their links until they are delivered or dropped.
 type three struct {
 	machines [3]*Machine
 	now      time.Duration
 	links    map[[2]int][]Send // by sender and receiver
-	crashed  bool              // the third has been
+	crashed  bool              // the third machine has crashed
 	highest  [3]map[string]Record
 	broken   error
 }
@@ -32,10 +32,10 @@
 		w.highest[i] = map[string]Record{}
 		for j, other := range threeNames {
 			if j != i {
-				w.step(i, Received{From: Record{Name: other, Addr: other, Boot: uint64(j + 1), Inc: 1}, Message: Message{Kind: News}})
+				w.step(i, Received{From: Record{Name: other, Addr: other, Boot: uint64(j + 1), Incarnation: 1}, Message: Message{Kind: Gossip}})
 			}
 		}
-		w.machines[i].news.clear() // all is told
+		w.machines[i].broadcasts.clear() // all have every record
 	}
 	clear(w.links)
 	return w
@@ -50,14 +50,14 @@
 		}
 		for j, name := range threeNames {
 			if s.To.Name == name && len(w.links[[2]int{i, j}]) < 3 {
-				s.Message.News = append([]Record(nil), s.Message.News...)
+				s.Message.Updates = append([]Record(nil), s.Message.Updates...)
 				w.links[[2]int{i, j}] = append(w.links[[2]int{i, j}], s)
 			}
 		}
 	}
 	// Per observer, what is believed of a process never goes back.
 	for name, p := range m.peers {
-		if was, ok := w.highest[i][name]; ok && was.newer(p.Record) {
+		if was, ok := w.highest[i][name]; ok && was.supersedes(p.Record) {
 			w.broken = fmt.Errorf("%s believed %+v and now %+v", m.self.Name, was, p.Record)
 		}
 		w.highest[i][name] = p.Record
@@ -103,15 +103,15 @@
 		return
 	}
 	accused := uint64(0)
-	for _, r := range s.Message.News {
-		if r.Name == to.self.Name && r.Boot == to.self.Boot && r.State != Alive && r.Inc >= to.self.Inc {
-			accused = max(accused, r.Inc)
+	for _, r := range s.Message.Updates {
+		if r.Name == to.self.Name && r.Boot == to.self.Boot && r.State != Alive && r.Incarnation >= to.self.Incarnation {
+			accused = max(accused, r.Incarnation)
 		}
 	}
-	from := w.machines[id[0]].self // by its word now: an envelope is made when it is sent, and this only grows
+	from := w.machines[id[0]].self // as it is now: the record sent with the message may be older, and incarnations only grow
 	w.step(id[1], Received{From: from, Message: s.Message})
-	if accused > 0 && to.self.Inc <= accused {
-		w.broken = fmt.Errorf("%s heard that it is suspect at %d and did not refute", to.self.Name, accused)
+	if accused > 0 && to.self.Incarnation <= accused {
+		w.broken = fmt.Errorf("%s received that it is suspect at %d and did not refute", to.self.Name, accused)
 	}
 }
 
@@ -131,8 +131,8 @@
 	for i, m := range w.machines {
 		for name, p := range m.peers {
 			of := w.machines[strings.Index("abc", name)]
-			if p.Boot == of.self.Boot && p.Inc > of.self.Inc {
-				return fmt.Errorf("%s believes that %s has come to %d; it is at %d", threeNames[i], name, p.Inc, of.self.Inc)
+			if p.Boot == of.self.Boot && p.Incarnation > of.self.Incarnation {
+				return fmt.Errorf("%s believes that %s has come to %d; it is at %d", threeNames[i], name, p.Incarnation, of.self.Incarnation)
 			}
 			if p.State == Left {
 				return fmt.Errorf("%s believes that %s left", threeNames[i], name)
@@ -145,15 +145,15 @@
 func (w *three) Hash() uint64 {
 	var b strings.Builder
 	for i, m := range w.machines {
-		fmt.Fprintln(&b, m.self, m.score, m.periodDue-w.now, m.gossipDue-w.now, m.agreeing, m.news.fresh, m.news.told, m.order, m.helping)
+		fmt.Fprintln(&b, m.self, m.healthScore, m.probeDue-w.now, m.gossipDue-w.now, m.equalDigests, m.broadcasts.fresh, m.broadcasts.transmitted, m.probeOrder, m.relays)
 		if m.probe != nil {
 			fmt.Fprintln(&b, *m.probe)
 		}
 		for _, name := range m.names {
 			p := m.peers[name]
-			fmt.Fprintln(&b, p.Record, p.shown)
+			fmt.Fprintln(&b, p.Record, p.reported)
 			if p.suspicion != nil {
-				fmt.Fprintln(&b, p.suspicion.until-w.now, p.suspicion.by)
+				fmt.Fprintln(&b, p.suspicion.deadline-w.now, p.suspicion.accusers)
 			}
 		}
 		for j := range 3 {
@@ -164,13 +164,13 @@
 	return xxhash.Sum64String(b.String())
 }
 
-// prepared is the fleet with one of it suspect by another, who has news of that: what can go wrong is near.
+// prepared is the fleet with one member suspected by another, whose update is queued: faults are few steps away.
 func prepared(mutate Mutation) *three {
 	w := newThree(mutate)
 	a := w.machines[0]
 	r := a.peers["c"].Record
-	r.State, r.By = Suspect, "a"
-	a.learn(r)
+	r.State, r.SuspectedBy = Suspect, "a"
+	a.merge(r)
 	a.out = nil
 	return w
 }
@@ -196,11 +196,11 @@
 		for depth := 1; depth <= 6 && found == nil; depth++ {
 			_, found = explore.All(func() explore.System {
 				w := prepared(mutate)
-				if mutate == Resurrection { // c has failed by a's word, and b does not know
+				if mutate == Resurrection { // a believes that c has failed, and b does not know
 					a := w.machines[0]
 					r := a.peers["c"].Record
-					r.State, r.By = Failed, ""
-					a.learn(r)
+					r.State, r.SuspectedBy = Failed, ""
+					a.merge(r)
 					a.out = nil
 					w.highest[0]["c"] = r
 				}
--- /dev/null
+++ b/internal/skew/evaluate.go
@@ -0,0 +1,148 @@
+package skew
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"fieldrelay/internal/rules"
+	"fieldrelay/internal/view"
+)
+
+// Results returns what became of the trial that this member runs, with its phase and the number of its edition; without one, the
+// number of the agreed edition.
+func (m *Machine) Results() (phase Phase, number uint64, all []Result) {
+	v, _ := m.cfg.Decided()
+	if m.offer == nil {
+		return Nothing, m.agreed().Number, nil
+	}
+	return m.offer.phase, m.offer.edition.Number, m.results(v)
+}
+
+// results returns what became of the trial at each participant.
+func (m *Machine) results(v view.View) (all []Result) {
+	own := m.load(m.offer.edition)
+	for _, one := range m.participants(v) {
+		outcome, reason := m.result(own, one)
+		all = append(all, Result{Name: one.Name, Outcome: outcome, Reason: reason})
+	}
+	return all
+}
+
+// result returns what became of the trial at a member, by its reply and by what it says that it reads.
+func (m *Machine) result(own *cachedEdition, one Member) (outcome Outcome, reason string) {
+	o := m.offer
+	got, replied := o.replies[one.Name]
+	if replied && got.boot != one.Boot && m.cfg.Mutate != AnyBoot {
+		replied = false // an earlier process of its name has replied
+	}
+	unread := unreadRule(o.edition, one.Reads)
+	switch {
+	case unread != nil:
+		return Unreadable, fmt.Sprintf("it reads %q, not %s %s, which this program does", one.Reads, unread.Kind, unread.Format)
+	case m.cfg.Mutate == TrustsClaims, !replied && m.cfg.Mutate == SkipsSilent:
+		return Compatible, ""
+	case !replied && one.AbsentFor >= 0:
+		return NoReply, fmt.Sprintf("away for %v, and may return within %v", one.AbsentFor.Round(time.Millisecond), m.cfg.ReturnTimeout)
+	case !replied:
+		return NoReply, fmt.Sprintf("for %v", (m.now - o.offeredAt).Round(time.Millisecond))
+	case got.readError != "":
+		return Unreadable, got.readError
+	case len(got.trial) != len(own.trial):
+		return Divergent, "its answer has no form"
+	}
+	switch at := rules.FirstDifference(own.trial, rules.Trial(got.trial)); {
+	case at == 0:
+		return Divergent, "in another canonical form"
+	case at > 0:
+		q := rules.DrawCases(own.compiled)[at-1]
+		return Divergent, fmt.Sprintf("case %d (%s), where this one decides: %s", at, q, own.compiled.Decide(q))
+	}
+	return Compatible, ""
+}
+
+// unreadRule returns the first rule of an edition whose format a member does not say that it reads; nil: there is none, or what
+// the member says cannot be parsed.
+func unreadRule(e rules.Edition, memberReads string) *rules.Rule {
+	reads, err := rules.ParseReads(memberReads)
+	if err != nil {
+		return nil
+	}
+	for i, rule := range e.Rules {
+		if !reads.Has(rule.Kind, rule.Format) {
+			return &e.Rules[i]
+		}
+	}
+	return nil
+}
+
+// evaluate proposes the edition once enough members have tried it with the same outcome, by the policy.
+func (m *Machine) evaluate(v view.View) {
+	o := m.offer
+	incompatible, pending := 0, 0
+	o.reasons = nil
+	for _, r := range m.results(v) {
+		switch {
+		case r.Outcome == Compatible:
+			continue
+		case r.Outcome == NoReply && m.now-o.offeredAt < m.cfg.ReplyTimeout:
+			pending++
+		default:
+			incompatible++
+		}
+		if len(o.reasons) < maxReasons {
+			o.reasons = append(o.reasons, fmt.Sprintf("%s %s: %s", r.Name, r.Outcome, r.Reason))
+		}
+	}
+	if pending > 0 {
+		return
+	}
+	if o.phase == Offered {
+		o.phase = Read
+		m.log(incompatible > 0, "edition %d read%s", o.edition.Number, reasonSuffix(o.reasons))
+	}
+	if incompatible > m.cfg.MaxBehind {
+		if m.cfg.Lower && o.loweredFrom == "" {
+			m.offerLowered(v)
+		}
+		return
+	}
+	// Leases on views with the edition before may last.
+	if m.lastAgreed.Number > 0 && m.now-m.agreedAt < m.cfg.Bound && m.cfg.Mutate != NoWait {
+		return
+	}
+	if o.proposedAt >= 0 && m.now-o.proposedAt < proposalInterval*m.cfg.Pace {
+		return
+	}
+	o.phase, o.proposedAt = Agreed, m.now
+	m.out = append(m.out, Propose{Rules: view.Rules{Number: o.edition.Number, Digest: o.digest}})
+}
+
+// offerLowered puts on trial the edition rewritten in formats that all participants read, if it loses nothing by that.
+func (m *Machine) offerLowered(v view.View) {
+	common := m.cfg.Reads
+	for _, one := range m.participants(v) {
+		reads, err := rules.ParseReads(one.Reads)
+		if err != nil {
+			return
+		}
+		both := rules.Reads{}
+		for kind, formats := range common {
+			for _, f := range formats {
+				if reads.Has(kind, f) {
+					both[kind] = append(both[kind], f)
+				}
+			}
+		}
+		common = both
+	}
+	e, lost := rules.Lower(m.offer.edition, common)
+	from := m.offer.digest
+	switch {
+	case len(lost) > 0:
+		m.reject(m.offer.edition, "in a format that all read it would lose "+strings.Join(lost, ", "))
+	case editionDigest(e) == from: // the format is not why members are incompatible
+	default:
+		m.beginTrial(e, from)
+	}
+}
--- a/internal/skew/skew.go
+++ b/internal/skew/skew.go
@@ -1,8 +1,9 @@
-// Package skew checks, before an edition of rules holds, that every sidecar
-// understands it: each one reads it and decides drawn cases, and the member that
-// leads the voters compares. It is a state machine: Step(now, event) ->
-// actions, without I/O, clock or goroutine, and the same seed and events give
-// the same actions. docs/design-rules.md says why it is so.
+// Package skew guards a fleet against version skew: before an edition of rules comes into force, every sidecar reads it and
+// decides cases drawn from it, and the leader of the voters compares the decisions. It is a state machine, Step(now, event) ->
+// actions, without I/O, clock or goroutine, and the same seed and events give the same actions.
+//
+// It shows that the members decide the drawn cases alike, not that they would decide all alike. Rules themselves are in package
+// rules; docs/design-rules.md describes the design, docs/rules.md is the page for operators.
 package skew
 
 import (
@@ -14,184 +15,116 @@
 	"fieldrelay/internal/view"
 )
 
-// Phase is how far an edition has come, as the leader has it.
-type Phase uint8
-
-// The phases.
-const (
-	Nothing  Phase = iota
-	Offered        // told to the members, some of which have not answered
-	Read           // every member has answered
-	Agreed         // proposed with a view
-	InForce        // the decided view has it
-	Rejected       // it cannot be read, or nothing may be lost and something would
-)
-
-func (p Phase) String() string {
-	return [...]string{"nothing", "offered", "read", "agreed", "in force", "rejected"}[min(p, Rejected)]
-}
-
-// Understanding is what became of a member's trial.
-type Understanding uint8
-
-// What a trial can come to.
-const (
-	Silent Understanding = iota
-	Understands
-	CannotRead
-	Otherwise // it reads it and decides otherwise
-)
-
-func (u Understanding) String() string {
-	return [...]string{"not heard of", "understands", "cannot read", "reads otherwise"}[min(u, Otherwise)]
-}
-
-// Kind is what a message is.
-type Kind uint8
-
-// The kinds.
-const (
-	Draft   Kind = iota + 1 // from who pushes, to the leader: the edition, without a number
-	Status                  // back: how far it has come
-	Offer                   // try this edition; passed on once by each
-	Reading                 // what came of the trial, to the leader
-	Want                    // who has the content of this digest?
-	Have                    // this is it
-)
-
-// Message passes between members.
-type Message struct {
-	Kind    Kind           `cbor:"1,keyasint"`
-	Edition *rules.Edition `cbor:"2,keyasint,omitempty"` // Draft, Offer, Have
-	Leader  string         `cbor:"3,keyasint,omitempty"` // Offer: who is to be answered
-	Round   uint64         `cbor:"4,keyasint,omitempty"` // Offer: of the leader's trial; Reading: the same
-	Digest  string         `cbor:"5,keyasint,omitempty"` // Status, Want
-	Trial   []byte         `cbor:"6,keyasint,omitempty"` // Reading: of who reads it
-	Misread string         `cbor:"7,keyasint,omitempty"` // Reading: why it cannot be read
-	Phase   Phase          `cbor:"8,keyasint,omitempty"` // Status
-	Number  uint64         `cbor:"9,keyasint,omitempty"` // Status
-	Why     []string       `cbor:"10,keyasint,omitempty"`
-}
-
-// Event is what happens to the machine.
+// Event is an input of the machine.
 type Event interface{ event() }
 
 // The events.
 type (
-	// Tick is that time has passed, or that the view may have changed.
+	// Tick reports that time has passed, or that the view may have changed.
 	Tick struct{}
-	// Heard is a message of another member.
-	Heard struct {
+	// Received is a message of another member.
+	Received struct {
 		From    member.Record
 		Message Message
 	}
-	// Push is the edition of this member's file, which it wants to hold. Its number does not count.
+	// Push is the edition of this member's file, to be put in force. Its number does not count.
 	Push struct{ Edition rules.Edition }
 )
 
-func (Tick) event()  {}
-func (Heard) event() {}
-func (Push) event()  {}
+func (Tick) event()     {}
+func (Received) event() {}
+func (Push) event()     {}
 
-// Action is what the machine wants done.
+// Action is an output of the machine, for its caller to carry out in order.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Send is a message for a member, by name.
+	// Send sends a message to a member, by name.
 	Send struct {
 		To      string
 		Message Message
 	}
-	// Spread is a message for some others, drawn anew each time.
-	Spread struct{ Message Message }
-	// Propose is what the leader has agreed with the next view.
+	// Gossip sends a message to a few other members, drawn anew each time.
+	Gossip struct{ Message Message }
+	// Propose has the leader propose an edition with the next view.
 	Propose struct{ Rules view.Rules }
-	// Force is that this member goes by an edition from now on, whole.
-	Force struct{ Compiled *rules.Compiled }
-	// Line is a line for the operator.
-	Line struct {
-		Text string
-		Loud bool
+	// Enforce puts an edition in force at this member, all of it at once.
+	Enforce struct{ Compiled *rules.Compiled }
+	// LogEntry is a line for the operator. Alert is set if something has to be done about it.
+	LogEntry struct {
+		Text  string
+		Alert bool
 	}
 )
 
-func (Send) action()    {}
-func (Spread) action()  {}
-func (Propose) action() {}
-func (Force) action()   {}
-func (Line) action()    {}
+func (Send) action()     {}
+func (Gossip) action()   {}
+func (Propose) action()  {}
+func (Enforce) action()  {}
+func (LogEntry) action() {}
 
 // Config is what a machine is made with. The functions are called in Step.
 type Config struct {
-	Name   string
-	Boot   uint64
-	Pace   time.Duration
-	Bound  time.Duration // for which a view is held at the most after the next was decided: view.Bound
-	Seed   uint64
-	Reads  rules.Reads
-	Lower  bool          // write an edition in a format that all read, where that loses nothing
-	Behind int           // members that may be left behind
-	Return time.Duration // a member that is away counts for so long
-	Hear   time.Duration // a member that does not answer is not heard of after so long
-	Kept   rules.Edition // that this member went by before it was started; number 0: none
-
-	View    func() (view.View, bool)
-	Holds   func() bool              // the view, which is the newest then
-	Decided func() (view.View, bool) // by the voters, where this member votes
-	Leader  func() string
-	Members func() []Member // all that are known, this one among them, by name
-	// Decide is how this program decides a case; nil: as it does.
+	Name          string
+	Boot          uint64
+	Pace          time.Duration
+	Bound         time.Duration // longest time that a view's lease lasts after the next view was decided: view.Bound
+	Seed          uint64
+	Reads         rules.Reads
+	Lower         bool          // rewrite an edition in formats that all read, if that loses nothing
+	MaxBehind     int           // how many incompatible members may be left behind
+	ReturnTimeout time.Duration // for so long an absent member may return and has to be waited for
+	ReplyTimeout  time.Duration // after which a member without a reply counts as incompatible
+	Stored        rules.Edition // that was in force at this member before it was started; number 0: none
+
+	View       func() (view.View, bool) // the view in force at this member
+	HoldsLease func() bool              // this member holds the lease on it
+	Decided    func() (view.View, bool) // the last view that the voters decided; false if this member does not vote
+	Leader     func() string            // name of the voters' leader; empty: none is known
+	Members    func() []Member          // all known members, this one included, by name, but for those that left
+	// Decide replaces how this program decides a case, in tests; nil: it does not.
 	Decide func(c *rules.Compiled, q rules.Case) string
 	Mutate Mutation
 }
 
 // Member is another sidecar, by this one's opinion.
 type Member struct {
-	Name  string
-	Boot  uint64
-	Reads string
-	Away  time.Duration // for so long by now; -1: it is there; what has left for good is not among them
+	Name      string
+	Boot      uint64
+	Reads     string
+	AbsentFor time.Duration // -1: it is present
 }
 
-// Mutation is a fault put in on purpose.
+// Mutation is a fault that a test injects.
 type Mutation uint8
 
 // The mutations.
 const (
 	NoMutation    Mutation = iota
-	TrustsClaims           // a member that says that it reads the format is not tried
-	SkipsSilent            // who has not answered counts as one that understands
+	TrustsClaims           // a member that says that it reads the format counts as compatible
+	SkipsSilent            // a member without a reply counts as compatible
 	NoWait                 // the next edition is agreed at once
-	HalfInForce            // an edition is gone by before its content was read
-	AnyBoot                // an answer of an earlier process of a name counts
-	OverwritesNew          // an edition of a lower number is gone back to
+	HalfInForce            // an edition comes into force before its content was read
+	AnyBoot                // a reply of an earlier process of a name counts
+	OverwritesNew          // an edition of a lower number comes back into force
 )
 
-// Times in paces.
+// The constants of the check: times are in paces.
 const (
-	draftEvery   = 4 // a draft is sent to the leader again
-	tellAfter    = 2 // who has not answered is told directly, and again
-	tellAtOnce   = 8 // of those, in a pace
-	wantEvery    = 2
-	proposeEvery = 4
-	mostPasses   = 4  // offers passed on in a pace
-	mostPassed   = 32 // rounds that are remembered
-	mostHeld     = 6  // editions whose content is kept
-	mostQueue    = 4  // drafts that wait
-	mostWhy      = 16 // lines of why
+	draftInterval       = 4  // after which a draft is sent to the leader again
+	directOfferInterval = 2  // after which an offer is sent directly to a member without a reply, and again
+	maxDirectOffers     = 8  // sent at a time
+	contentInterval     = 2  // between two requests for the content of an edition
+	proposalInterval    = 4  // after which an edition is proposed again
+	maxForwards         = 4  // offers forwarded in a pace
+	maxRememberedTrials = 32 // trials remembered as forwarded
+	maxEditions         = 6  // editions cached, and rejections remembered
+	maxDrafts           = 4  // drafts queued
+	maxReasons          = 16 // reasons in a status
 )
 
-// held is an edition whose content is here.
-type held struct {
-	edition  rules.Edition
-	compiled *rules.Compiled // nil: it cannot be read
-	err      error
-	trial    rules.Trial
-	used     time.Duration
-}
-
-// Bounds are what the section promises, with figures.
+// Bounds returns the guarantees with figures, as lines for the operator.
 func Bounds(lease time.Duration, drift float64) []string {
 	b := view.Bound(lease, drift).Round(time.Millisecond)
 	return []string{
--- /dev/null
+++ b/internal/skew/trial.go
@@ -0,0 +1,179 @@
+package skew
+
+import (
+	"slices"
+	"time"
+
+	"fieldrelay/internal/member"
+	"fieldrelay/internal/rules"
+	"fieldrelay/internal/view"
+)
+
+// offer is an edition that the leader has on trial.
+type offer struct {
+	edition     rules.Edition
+	digest      string
+	trialID     uint64 // random, so that replies to another trial do not count
+	offeredAt   time.Duration
+	phase       Phase
+	sentAt      map[string]time.Duration // when it was last sent to a member directly
+	replies     map[string]reply         // by member
+	proposedAt  time.Duration            // when it was last proposed; -1: never
+	loweredFrom string                   // digest of the edition that this one was rewritten from; empty: of none
+	reasons     []string                 // what speaks against it
+}
+
+// reply is a member's reply to an offer.
+type reply struct {
+	boot      uint64 // of the process that replied
+	trial     []byte // how it decides the cases
+	readError string // why it cannot read the edition
+}
+
+// maxReadErrorBytes bounds the text of why an edition cannot be read.
+const maxReadErrorBytes = 300
+
+// receiveOffer tries an edition, replies to the leader, and forwards the offer.
+func (m *Machine) receiveOffer(from string, msg Message) {
+	cached := m.load(*msg.Edition)
+	answer := Message{Kind: TrialReply, TrialID: msg.TrialID, Digest: editionDigest(*msg.Edition)}
+	if cached.err != nil {
+		text := cached.err.Error()
+		answer.ReadError = text[:min(len(text), maxReadErrorBytes)]
+	} else {
+		answer.Trial = cached.trial[:]
+	}
+	m.send(msg.Leader, answer)
+	if from != m.cfg.Name {
+		m.forward(msg)
+	}
+}
+
+// receiveReply takes in a reply to the offer of this member.
+func (m *Machine) receiveReply(from string, boot uint64, msg Message) {
+	o := m.offer
+	if o == nil || msg.TrialID != o.trialID || msg.Digest != o.digest || len(msg.ReadError) > maxReadErrorBytes || len(msg.Trial) > len(rules.Trial{}) {
+		return
+	}
+	if _, known := o.replies[from]; known || len(o.replies) < member.MaxMembers { // a bound on made-up names
+		o.replies[from] = reply{boot, msg.Trial, msg.ReadError}
+	}
+}
+
+// forward forwards the offer of each trial once.
+func (m *Machine) forward(msg Message) {
+	if m.now-m.paceStart >= m.cfg.Pace {
+		m.paceStart, m.forwards = m.now, 0
+	}
+	if slices.Contains(m.forwardedTrials, msg.TrialID) || m.forwards >= maxForwards {
+		return // those that it does not reach so, the leader sends it to directly
+	}
+	m.forwards++
+	if m.forwardedTrials = append(m.forwardedTrials, msg.TrialID); len(m.forwardedTrials) > maxRememberedTrials {
+		m.forwardedTrials = m.forwardedTrials[1:]
+	}
+	m.out = append(m.out, Gossip{Message: msg})
+}
+
+// runLeader does what the leader does: one trial after the other.
+func (m *Machine) runLeader() {
+	if !m.isLeader {
+		return
+	}
+	v, ok := m.cfg.Decided()
+	if !ok {
+		return
+	}
+	if v.Rules != m.lastAgreed {
+		m.lastAgreed, m.agreedAt = v.Rules, m.now
+		if o := m.offer; o != nil {
+			if o.digest == v.Rules.Digest {
+				m.log(false, "edition %d is agreed and in force%s", v.Rules.Number, reasonSuffix(o.reasons))
+			}
+			m.offer = nil
+		}
+	}
+	if m.offer == nil && len(m.drafts) > 0 {
+		e := m.drafts[0]
+		m.drafts = m.drafts[1:]
+		m.beginTrial(e, "")
+	}
+	if m.offer != nil {
+		m.sendOffers(v)
+		m.evaluate(v)
+	}
+}
+
+// beginTrial begins the trial of an edition under the next number. loweredFrom is the digest of the edition that it was rewritten
+// from, if it was.
+func (m *Machine) beginTrial(e rules.Edition, loweredFrom string) {
+	e.Number = m.lastAgreed.Number + 1
+	if m.enforced != nil {
+		e.Number = max(e.Number, m.enforced.Edition.Number+1)
+	}
+	if err := m.load(e).err; err != nil {
+		m.reject(e, "this member, which leads, cannot read it: "+err.Error())
+		return
+	}
+	m.offer = &offer{edition: e, digest: editionDigest(e), trialID: m.rng.Uint64() | 1, offeredAt: m.now, phase: Offered,
+		sentAt: make(map[string]time.Duration), replies: make(map[string]reply), loweredFrom: loweredFrom, proposedAt: -1}
+	m.log(false, "edition %d (%.12s) offered", e.Number, editionDigest(e))
+	m.forward(m.offerMessage())
+}
+
+// offerMessage is the offer as it is sent.
+func (m *Machine) offerMessage() Message {
+	return Message{Kind: Offer, Edition: &m.offer.edition, Leader: m.cfg.Name, TrialID: m.offer.trialID}
+}
+
+// reject ends the trial of an edition, for a reason that whoever pushes it gets with its status.
+func (m *Machine) reject(e rules.Edition, reason string) {
+	d := editionDigest(e)
+	if m.offer != nil && m.offer.loweredFrom != "" {
+		d = m.offer.loweredFrom
+	}
+	if len(m.rejections) >= maxEditions {
+		clear(m.rejections)
+	}
+	m.rejections[d] = reason
+	m.offer = nil
+	m.log(true, "edition %.12s rejected: %s", d, reason)
+}
+
+// participants returns the members whose replies are needed: those present, those of the view, and those that have been absent
+// for less than ReturnTimeout and so may return.
+func (m *Machine) participants(v view.View) (all []Member) {
+	for _, one := range m.cfg.Members() {
+		_, included := v.Find(one.Name)
+		if one.AbsentFor < 0 || included || one.AbsentFor < m.cfg.ReturnTimeout {
+			all = append(all, one)
+		}
+	}
+	return all
+}
+
+// sendOffers sends the offer directly to members that have not replied, some at a time; first to this member itself.
+func (m *Machine) sendOffers(v view.View) {
+	o := m.offer
+	if m.now-o.offeredAt < directOfferInterval*m.cfg.Pace {
+		if _, done := o.sentAt[m.cfg.Name]; !done { // this member's own trial
+			o.sentAt[m.cfg.Name] = m.now
+			m.receive(m.cfg.Name, m.cfg.Boot, m.offerMessage())
+		}
+		return
+	}
+	sent := 0
+	for _, one := range m.participants(v) {
+		if r, ok := o.replies[one.Name]; one.AbsentFor >= 0 || ok && r.boot == one.Boot {
+			continue
+		}
+		if at, ok := o.sentAt[one.Name]; ok && m.now-at < directOfferInterval*m.cfg.Pace {
+			continue
+		}
+		if sent++; sent > maxDirectOffers {
+			return
+		}
+		o.sentAt[one.Name] = m.now
+		m.send(one.Name, m.offerMessage())
+	}
+}
--- /dev/null
+++ b/internal/verdict/evaluator.go
@@ -0,0 +1,196 @@
+package verdict
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"strings"
+	"time"
+)
+
+// The constants of the evaluation: times are in paces.
+const (
+	evaluationInterval = 0.25 // between two evaluations of the evidence
+	forwardInterval    = 0.25 // before a received opinion is forwarded
+	forwardTimes       = 3    // rounds in which an opinion is sent, each to other members, so that hardly any misses it
+	repeatInterval     = 12   // after which an unchanged opinion is sent again
+	opinionLifetime    = 48   // after which an opinion no longer counts
+	minTerm            = 16   // of a first verdict
+	maxTerm            = 240  // of repeated ones
+	trialStage         = 8    // duration of each stage of a trial
+	trialGrace         = 4    // opinions of so shortly after the start of a trial are about the time before
+	memoryTerms        = 8    // terms for which an ended verdict is remembered; the next one after that counts as a first one
+)
+
+// Mutation is a fault that a test injects.
+type Mutation uint8
+
+// The mutations.
+const (
+	NoMutation    Mutation = iota
+	SingleVote             // one observer condemns
+	OwnFaults              // failures that occur at all nodes count against each
+	NoCap                  // any number of nodes may be under verdict
+	NoExpiry               // a verdict does not end
+	OneZone                // the vote of one zone counts in all
+	AllAtOnce              // all members try a node at once after a verdict
+	StaleOpinions          // an older opinion replaces a newer one
+)
+
+// Bounds returns the guarantees at a pace and a cap in percent, as lines for the operator.
+func Bounds(pace time.Duration, pct int) []string {
+	paces := func(n float64) time.Duration { return time.Duration(n * float64(pace)) }
+	return []string{
+		fmt.Sprintf("verdicts: at most %d%% of the listed execute nodes, and of each zone's, are avoided at once (one where that is less than one)", pct),
+		fmt.Sprintf("verdicts: what was seen counts for %v after it was said last, a verdict lasts %v to %v, a trial %v more, whatever fails",
+			paces(opinionLifetime), paces(minTerm), paces(maxTerm), paces(2*trialStage)),
+	}
+}
+
+// Peer is a member of the fleet.
+type Peer struct{ Name, Zone string }
+
+// Node is an execute node on the member's list that takes requests.
+type Node struct {
+	Name, Zone string
+	Since      time.Duration // when it was started: what was known of an earlier process of its name does not count
+}
+
+// Config is what an Evaluator is made with.
+type Config struct {
+	Name, Zone string
+	Boot       uint64
+	Pace       time.Duration
+	MaxPercent int // percent of the listed nodes, and of each zone's, that may be under verdict
+	Mutate     Mutation
+}
+
+// Event is an input of an Evaluator.
+type Event interface{ event() }
+
+// The events.
+type (
+	// Evaluate has it evaluate what this member knows. It is due at Next.
+	Evaluate struct {
+		Evidence []Evidence
+		Peers    []Peer // this member, those present, and the other members of its view
+		Nodes    []Node
+	}
+	// Received is opinions that another member sent.
+	Received struct{ Opinions []Opinion }
+)
+
+func (Evaluate) event() {}
+func (Received) event() {}
+
+// Action is an output of an Evaluator, for its caller to carry out in order.
+type Action interface{ action() }
+
+// The actions.
+type (
+	// Send sends opinions to a few other members.
+	Send struct{ Opinions []Opinion }
+	// Avoid names all nodes to which this member sends nothing new from now on.
+	Avoid struct{ Nodes []string }
+	// Forget has the evidence of a node dropped.
+	Forget struct{ Node string }
+	// LogEntry is for the log: what happened to the verdict on a node. Observers are who voted against it, Term is how long
+	// it is avoided; both are set if it is avoided.
+	LogEntry struct {
+		Node, Event string
+		Observers   []string
+		Term        time.Duration
+	}
+)
+
+func (Send) action()     {}
+func (Avoid) action()    {}
+func (Forget) action()   {}
+func (LogEntry) action() {}
+
+// Evaluator is one member's part in the verdicts of the fleet: it rates the nodes by the member's own evidence, exchanges the
+// ratings with the others, and counts votes. It is a state machine without I/O, clock or goroutine, and not safe for
+// concurrent use.
+type Evaluator struct {
+	cfg           Config
+	out           []Action
+	evaluationDue time.Duration
+
+	// Membership, as of the last evaluation.
+	peers  []Peer
+	panels map[string][]string // by zone, the observers whose opinions count
+	zoneOf map[string]string   // zone of each observer of a panel
+	nodes  map[string]Node
+	zones  map[string]int // number of nodes by zone
+
+	// Opinions.
+	opinions    map[string]*receivedOpinion // by author, this member included
+	ratedBad    map[string]bool             // nodes that this member's own evidence speaks against
+	seq         uint64                      // of this member's last opinion
+	publishedAt time.Duration               // when it was last sent
+	toForward   map[string]int              // authors whose opinions are still to be sent, and how often
+	forwardDue  time.Duration
+
+	verdicts map[string]*verdict // by node
+	avoided  []string            // as last reported by Avoid
+}
+
+// NewEvaluator makes an evaluator that knows of no node. now is the present time on the clock that Step is called with.
+func NewEvaluator(cfg Config, now time.Duration) *Evaluator {
+	return &Evaluator{cfg: cfg, evaluationDue: now, forwardDue: math.MaxInt64,
+		panels: make(map[string][]string), zoneOf: make(map[string]string), nodes: make(map[string]Node), zones: make(map[string]int),
+		opinions: make(map[string]*receivedOpinion), ratedBad: make(map[string]bool), toForward: make(map[string]int),
+		verdicts: make(map[string]*verdict)}
+}
+
+// paces is a number of paces.
+func (e *Evaluator) paces(n float64) time.Duration { return time.Duration(n * float64(e.cfg.Pace)) }
+
+// Next is when Evaluate is due.
+func (e *Evaluator) Next() time.Duration { return min(e.evaluationDue, e.forwardDue) }
+
+// Step takes an event at a time that is not before that of the last call.
+func (e *Evaluator) Step(now time.Duration, event Event) []Action {
+	e.out = nil
+	switch event := event.(type) {
+	case Received:
+		for _, o := range event.Opinions {
+			e.receive(now, o)
+		}
+	case Evaluate:
+		if now >= e.evaluationDue {
+			e.evaluationDue = now + e.paces(evaluationInterval)
+			e.updateMembership(event)
+			e.publish(now, event.Evidence)
+			e.decide(now)
+		}
+		if now >= e.forwardDue {
+			e.forward(now)
+		}
+	}
+	return e.out
+}
+
+// Lines returns a line for the operator on each node that somebody rates bad, or that is or was under verdict.
+func (e *Evaluator) Lines(now time.Duration) (lines []string) {
+	names := e.accused()
+	for n := range e.verdicts {
+		names[n] = true
+	}
+	for _, n := range slices.Sorted(maps.Keys(names)) {
+		bad, good := e.votes(n, math.MinInt64)
+		here := "used"
+		if slices.Contains(e.avoided, n) {
+			here = "avoided"
+		}
+		votes := fmt.Sprintf("here=%s said_bad=%d said_good=%d", here, len(bad), len(good))
+		if s := e.verdicts[n]; s != nil {
+			lines = append(lines, fmt.Sprintf("%s %s age=%dms left=%dms round=%d %s observers=%s", n, s.stage, (now-s.condemnedAt).Milliseconds(),
+				max(0, s.stageEnd-now).Milliseconds(), s.round, votes, strings.Join(s.observers, ",")))
+		} else {
+			lines = append(lines, n+" none "+votes)
+		}
+	}
+	return lines
+}
--- /dev/null
+++ b/internal/verdict/evaluator_test.go
@@ -0,0 +1,247 @@
+package verdict
+
+import (
+	"fmt"
+	"os"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"fieldrelay/internal/explore"
+)
+
+const pace = time.Second
+
+// bench is three evaluators of one zone and four nodes, of which only n1 may be bad. It is checked by what was sent and
+// received alone.
+type bench struct {
+	mutate     Mutation
+	now        time.Duration
+	evaluators []*Evaluator
+	bad        [3]bool // whose evidence speaks against n1
+	flight     []letter
+	said       [3][]bool    // how each rated n1, by number of its opinion: 1 is the first
+	known      [3][3]uint64 // the newest opinion of each that each has received
+	broken     error
+}
+
+type letter struct {
+	to int
+	o  Opinion
+}
+
+func newBench(mutate Mutation) *bench {
+	b := &bench{mutate: mutate}
+	for i := range 3 {
+		b.evaluators = append(b.evaluators, NewEvaluator(Config{Name: fmt.Sprint(i), Zone: "z", Boot: 1, Pace: pace, MaxPercent: 25, Mutate: mutate}, 0))
+		b.said[i] = []bool{false}
+	}
+	for i := range 3 {
+		b.look(i)
+	}
+	return b
+}
+
+func (b *bench) look(i int) {
+	b.now += pace
+	var evidence []Evidence
+	for n := range 4 {
+		e := Evidence{Node: fmt.Sprintf("n%d", n+1), Succeeded: 8, LatencySamples: 8, Latency: time.Millisecond}
+		if n == 0 && b.bad[i] {
+			e.Succeeded, e.Failed = 0, 8
+		}
+		for range maxSamples {
+			e.Recent = append(e.Recent, Outcome{b.now, e.Failed > 0})
+		}
+		evidence = append(evidence, e)
+	}
+	var peers []Peer
+	var nodes []Node
+	for n := range 4 {
+		nodes = append(nodes, Node{Name: fmt.Sprintf("n%d", n+1), Zone: "z"})
+		if n < 3 {
+			peers = append(peers, Peer{fmt.Sprint(n), "z"})
+		}
+	}
+	b.take(i, b.evaluators[i].Step(b.now, Evaluate{evidence, peers, nodes}))
+}
+
+func (b *bench) take(i int, actions []Action) {
+	// An opinion that is sent was formed before the node was condemned.
+	slices.SortStableFunc(actions, func(a, _ Action) int {
+		if _, tell := a.(Send); tell {
+			return -1
+		}
+		return 0
+	})
+	for _, a := range actions {
+		switch a := a.(type) {
+		case Send:
+			for _, o := range a.Opinions {
+				by, _ := strconv.Atoi(o.Author)
+				if by == i && o.Seq == uint64(len(b.said[i])) {
+					b.said[i] = append(b.said[i], slices.Contains(o.Ratings, Rating{"n1", true}))
+					b.known[i][i] = o.Seq
+				}
+				for to := range 3 {
+					if to != i && to != by && !slices.ContainsFunc(b.flight, func(l letter) bool { return l.to == to && l.o.Author == o.Author && l.o.Seq == o.Seq }) {
+						b.flight = append(b.flight, letter{to, o})
+					}
+				}
+			}
+		case LogEntry:
+			if a.Event != "avoided" {
+				continue
+			}
+			// By two of three at least, each by its newest opinion that has come here.
+			votes := 0
+			for by := range 3 {
+				if b.said[by][b.known[i][by]] {
+					votes++
+				}
+			}
+			if votes < 2 && b.broken == nil {
+				b.broken = fmt.Errorf("member %d condemns by %v, %d votes", i, a.Observers, votes)
+			}
+		}
+	}
+}
+
+func (b *bench) Events() (names []string) {
+	for i := range 3 {
+		names = append(names, fmt.Sprint("look ", i), fmt.Sprint("turn ", i))
+	}
+	for _, l := range b.flight { // it may come once, again, or never
+		names = append(names, fmt.Sprint("to ", l.to, " from ", l.o.Author, " number ", l.o.Seq))
+	}
+	return names
+}
+
+func (b *bench) Do(e int) {
+	switch {
+	case e < 6 && e%2 == 0:
+		b.look(e / 2)
+	case e < 6:
+		b.bad[e/2] = !b.bad[e/2]
+	default:
+		l := b.flight[e-6]
+		b.now++
+		by, _ := strconv.Atoi(l.o.Author)
+		b.known[l.to][by] = max(b.known[l.to][by], l.o.Seq)
+		b.take(l.to, b.evaluators[l.to].Step(b.now, Received{[]Opinion{l.o}}))
+	}
+}
+
+func (b *bench) Hash() uint64 {
+	text := fmt.Sprint(b.bad, b.said, b.known)
+	for _, l := range b.flight {
+		text += fmt.Sprint(l.to, l.o.Author, l.o.Seq)
+	}
+	for _, j := range b.evaluators {
+		text += strings.Join(j.Lines(b.now), ";") + fmt.Sprint(j.ratedBad, j.seq)
+	}
+	var h uint64 = 14695981039346656037
+	for _, c := range []byte(text) {
+		h = (h ^ uint64(c)) * 1099511628211
+	}
+	return h
+}
+
+func (b *bench) Check() error { return b.broken }
+
+// Every order of evaluations, changed evidence and late, lost and repeated opinions among three: no node is condemned by fewer
+// than two, by the newest opinion of each that has come.
+func TestEveryOrder(t *testing.T) {
+	depth := 7
+	if d, err := strconv.Atoi(os.Getenv("EXPLORE_DEPTH")); err == nil {
+		depth = d
+	}
+	r, err := explore.All(func() explore.System { return newBench(NoMutation) }, depth, 1<<22)
+	if err != nil || !r.Full {
+		t.Errorf("%+v %v", r, err)
+	}
+	t.Logf("%+v", r)
+	for _, m := range []Mutation{SingleVote, StaleOpinions} {
+		if _, err := explore.All(func() explore.System { return newBench(m) }, 10, 1<<20); err == nil {
+			t.Errorf("mutation %d not noticed", m)
+		} else {
+			t.Log(m, ": ", err)
+		}
+	}
+}
+
+func TestTally(t *testing.T) {
+	var ta Tally
+	for i := range 20 {
+		ta.Count(time.Duration(i)*time.Second, "a", i < 15, time.Duration(i)*time.Millisecond)
+	}
+	got := ta.Evidence(19 * time.Second) // the last eight: three failed, five done in 15 to 19 ms
+	want := Evidence{Node: "a", Failed: 3, Succeeded: 5, LatencySamples: 5, Latency: 17 * time.Millisecond}
+	if len(got) == 1 && len(got[0].Recent) == 8 {
+		got[0].Recent = nil
+	}
+	if len(got) != 1 || !reflect.DeepEqual(got[0], want) {
+		t.Errorf("%+v", got)
+	}
+	if got := ta.Evidence(40 * time.Second); len(got) != 0 || len(ta.nodes) != 0 {
+		t.Errorf("%+v after 20 s of nothing", got)
+	}
+	for i := range MaxNodes + 10 {
+		ta.Count(0, fmt.Sprint(i), false, 0)
+	}
+	if len(ta.nodes) != MaxNodes {
+		t.Errorf("%d nodes counted", len(ta.nodes))
+	}
+}
+
+// Opinions that no honest member would send are rejected.
+func TestHearIsBounded(t *testing.T) {
+	b := newBench(NoMutation)
+	j := b.evaluators[0]
+	ok := Rating{"n1", true}
+	for name, o := range map[string]Opinion{
+		"of a stranger": {Author: "9", Boot: 1, Seq: 1, Ratings: []Rating{ok}},
+		"of this one":   {Author: "0", Boot: 1, Seq: 9, Ratings: []Rating{ok}},
+		"too many":      {Author: "1", Boot: 1, Seq: 9, Ratings: make([]Rating, MaxRatings+1)},
+		"a long name":   {Author: "1", Boot: 1, Seq: 9, Ratings: []Rating{{Node: strings.Repeat("n", MaxNodeBytes+1)}}},
+		"too old":       {Author: "1", Boot: 1, Seq: 9, Age: time.Hour, Ratings: []Rating{ok}},
+		"from to come":  {Author: "1", Boot: 1, Seq: 9, Age: -1, Ratings: []Rating{ok}},
+	} {
+		j.Step(b.now, Received{[]Opinion{o}})
+		if len(j.opinions) != 0 {
+			t.Errorf("%s: taken", name)
+		}
+	}
+	j.Step(b.now, Received{[]Opinion{{Author: "1", Boot: 1, Seq: 9, Ratings: []Rating{ok}}}})
+	j.Step(b.now, Received{[]Opinion{{Author: "1", Boot: 2, Seq: 1}}}) // a new process of the name starts its numbers anew
+	if o := j.opinions["1"]; o == nil || o.Boot != 2 {
+		t.Errorf("%+v", o)
+	}
+}
+
+// When the list becomes short while nodes are under verdict, the one condemned last goes back into use.
+func TestFewAreListed(t *testing.T) {
+	j := NewEvaluator(Config{Name: "0", Zone: "z", Pace: pace, MaxPercent: 25}, 0)
+	for i, n := range []string{"n1", "n2"} {
+		j.verdicts[n] = &verdict{node: Node{Name: n, Zone: "z"}, condemnedAt: time.Duration(i), stageEnd: time.Hour}
+	}
+	var nodes []Node
+	for i := range 8 {
+		nodes = append(nodes, Node{Name: fmt.Sprintf("n%d", i+1), Zone: "z"})
+	}
+	j.Step(0, Evaluate{Nodes: nodes})
+	if !slices.Equal(j.avoided, []string{"n1", "n2"}) {
+		t.Errorf("%v of eight", j.avoided)
+	}
+	j.Step(time.Minute, Evaluate{Nodes: nodes[:7]})
+	if !slices.Equal(j.avoided, []string{"n1"}) {
+		t.Errorf("%v of seven", j.avoided)
+	}
+	j.Step(2*time.Minute, Evaluate{Nodes: nodes[:2]})
+	if len(j.avoided) != 0 {
+		t.Errorf("%v of two", j.avoided)
+	}
+}
--- /dev/null
+++ b/internal/verdict/rating.go
@@ -0,0 +1,108 @@
+package verdict
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// The thresholds by which a member rates a node. Those for a node that was rated bad before are lower, so that ratings do not
+// alternate.
+const (
+	minSamples             = 3    // outcomes of a node without which it is not rated
+	minCompared            = 3    // nodes with that many, without which none is rated
+	minConcurrent          = 8    // outcomes at other nodes since a node began to fail, without which it is not rated bad
+	badFailureRate         = 0.75 // more than at the other nodes: the node is bad
+	goodFailureRate        = 0.25 // the same for a node that was bad; with more at the other nodes none is bad
+	badConsecutiveFailures = 4    // the node is bad however many answers came before: the module soon stops sending to it
+	slowFactor             = 4    // times the median latency: the node is bad
+	recoveredFactor        = 2    // the same for a node that was bad
+)
+
+// rate rates each node with enough evidence in comparison with the others. wasBad has those that were bad before.
+func rate(all []Evidence, wasBad map[string]bool, mutate Mutation) (bad, good []string) {
+	all = slices.DeleteFunc(slices.Clone(all), func(e Evidence) bool { return e.Succeeded+e.Failed < minSamples })
+	if len(all) < minCompared && mutate != OwnFaults {
+		return nil, nil
+	}
+	var shares, times []float64
+	for _, e := range all {
+		shares = append(shares, failureRate(e))
+		if e.LatencySamples >= minSamples {
+			times = append(times, e.Latency.Seconds())
+		}
+	}
+	everywhere := median(shares)
+	usual := median(times)
+	for i, e := range all {
+		own := max(everywhere, concurrentFailureRate(all, i)) // failures that occur at all nodes are not the node's own
+		if mutate == OwnFaults {
+			own = 0
+		}
+		failing, slow := badFailureRate+own, usual*slowFactor
+		if wasBad[e.Node] {
+			failing, slow = goodFailureRate, usual*recoveredFactor
+		}
+		worse := failureRate(e) >= failing || e.ConsecutiveFailures >= badConsecutiveFailures || len(times) >= minCompared && e.LatencySamples >= minSamples && e.Latency.Seconds() >= slow && usual > 0
+		if worse && own <= goodFailureRate {
+			bad = append(bad, e.Node)
+		} else {
+			good = append(good, e.Node)
+		}
+	}
+	return bad, good
+}
+
+// concurrentFailureRate is the failure rate of the better two thirds of the other nodes since the first failure that counts
+// against one: a fault that has just begun at all nodes does not show in their older outcomes.
+func concurrentFailureRate(all []Evidence, at int) float64 {
+	e := all[at]
+	if e.Failed == 0 {
+		return 0
+	}
+	var since time.Duration
+	for i, r := range e.Recent {
+		if r.Failed && (i < e.ConsecutiveFailures || e.ConsecutiveFailures < badConsecutiveFailures) {
+			since = r.At
+		}
+	}
+	type count struct{ failed, of float64 }
+	var counts []count
+	seen := 0.0
+	for i, other := range all {
+		failed, of := 0.0, 0.0
+		for _, r := range other.Recent {
+			if i != at && r.At >= since {
+				of++
+				if r.Failed {
+					failed++
+				}
+			}
+		}
+		if of > 0 {
+			counts = append(counts, count{failed, of})
+			seen += of
+		}
+	}
+	if len(counts) < minCompared-1 || seen < minConcurrent {
+		return 1 // not known yet: the node is not rated bad
+	}
+	slices.SortFunc(counts, func(a, b count) int { return cmp.Compare(a.failed/a.of, b.failed/b.of) })
+	var better count
+	for _, c := range counts[:len(counts)-len(counts)/3] {
+		better.failed, better.of = better.failed+c.failed, better.of+c.of
+	}
+	return better.failed / better.of
+}
+
+// failureRate is the fraction of attempts that failed.
+func failureRate(e Evidence) float64 { return float64(e.Failed) / float64(e.Succeeded+e.Failed) }
+
+// median is the median, of an even number of values the lower one of the middle two.
+func median(all []float64) float64 {
+	if len(all) == 0 {
+		return 0
+	}
+	all = slices.Sorted(slices.Values(all))
+	return all[(len(all)-1)/2]
+}
--- /dev/null
+++ b/internal/verdict/statement_test.go
@@ -0,0 +1,71 @@
+package verdict
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// In whatever order statements come, and however often, all members end with the same table; and no suspension is undone by a
+// statement whose author did not know of it.
+func TestWordsMergeInAnyOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var members [4]Table
+		var said []Statement
+		for range rapid.IntRange(1, 30).Draw(t, "steps") {
+			at := rapid.IntRange(0, 3).Draw(t, "member")
+			if len(said) > 0 && rapid.Bool().Draw(t, "hears") { // a statement made before
+				members[at].Merge([]Statement{said[rapid.IntRange(0, len(said)-1).Draw(t, "what")]})
+				continue
+			}
+			node := fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, "node"))
+			w, err := members[at].Declare(node, fmt.Sprint("m", at), rapid.Bool().Draw(t, "suspends"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			said = append(said, w)
+		}
+		for i := range members {
+			order := rapid.Permutation(said).Draw(t, "order")
+			members[i].Merge(order)
+			members[i].Merge(order[:len(order)/2])
+			if !slices.Equal(members[i].All(), members[0].All()) || members[i].Digest() != members[0].Digest() {
+				t.Fatalf("%v\n%v", members[i].All(), members[0].All())
+			}
+		}
+		for _, w := range said { // the statement in the end was made with knowledge of all that it supersedes, or is a suspension
+			for _, holds := range members[0].All() {
+				if holds.Node == w.Node && w.Suspended && !holds.Suspended && holds.Version <= w.Version {
+					t.Fatalf("%v is undone by %v", w, holds)
+				}
+			}
+		}
+	})
+}
+
+func TestBounds(t *testing.T) {
+	var a Table
+	for i := range MaxStatements {
+		if _, err := a.Declare(fmt.Sprint("n", i), "m", true); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if _, err := a.Declare("one more", "m", true); err == nil {
+		t.Error("it was taken")
+	}
+	if _, err := a.Declare("n7", "m", false); err != nil { // restored, the node makes room
+		t.Fatal(err)
+	}
+	if _, err := a.Declare("one more", "m", true); err != nil || len(a.All()) != MaxStatements || slices.Contains(a.Suspended(), "n7") {
+		t.Error(err, len(a.All()))
+	}
+	if len(a.Merge([]Statement{{Node: "", Version: 1}, {Node: "x"}, {Node: string(make([]byte, MaxNodeBytes+1)), Version: 9}})) != 0 {
+		t.Error("statements without a form were merged")
+	}
+	var b Table
+	if b.Digest() != 0 || b.Digest() == a.Digest() {
+		t.Error("digests")
+	}
+}
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,151 +1,147 @@
-// Package verdict holds what a fleet of sidecars says of execute nodes: which
-// are suspended by hand for all of them, which one member's list has as
-// draining (Table: words that merge the same way in any order, twice or once),
-// and which most of them see failing (Judge). It has no I/O and no clock.
+// Package verdict holds what the sidecars of a fleet say about execute nodes, without I/O or clock:
+//
+//   - which nodes an operator suspended for the whole fleet, and which a member's list has as draining (Table, a map of
+//     last-writer-wins registers that merge in any order, once or repeatedly);
+//   - which nodes fail or are slow in the experience of most members (Tally, Evaluator), the verdicts.
+//
+// It needs no voters and no agreement: each member counts the votes that it has received. docs/design-shared.md describes the
+// design, docs/verdicts.md is the page for operators.
 package verdict
 
 import (
-	"cmp"
-	"errors"
 	"maps"
+	"math"
 	"slices"
 	"time"
-
-	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds.
+// stage is the stage of a verdict.
+type stage uint8
+
 const (
-	MostWords = 256 // nodes spoken of
-	MostNode  = 256 // bytes of a node's name
-	mostBy    = 64
+	stageAvoided stage = iota // no member sends to the node
+	stageFew                  // a trial by a few members,
+	stageHalf                 // and by half of them
+	stagePast                 // all members send to it; the verdict is remembered, so that the next one lasts longer
 )
 
-// Word is what is said of one node.
-type Word struct {
-	Node      string `cbor:"1,keyasint" json:"node"`
-	Count     uint64 `cbor:"2,keyasint" json:"count"`
-	By        string `cbor:"3,keyasint" json:"by"`
-	Suspended bool   `cbor:"4,keyasint,omitempty" json:"suspended,omitempty"` // or draining
-	// Since is the start of the node that a word on draining is of: one on a later start holds.
-	Since time.Duration `cbor:"5,keyasint,omitempty" json:"since,omitempty"`
+// String is the stage as operators see it.
+func (s stage) String() string { return [...]string{"avoid", "few", "half", "past"}[s] }
+
+// verdict is a verdict on a node.
+type verdict struct {
+	node        Node
+	stage       stage
+	condemnedAt time.Duration
+	stageEnd    time.Duration
+	trialStart  time.Duration
+	term        time.Duration // for how long the node is avoided
+	round       uint64        // how often it was condemned in a row
+	observers   []string      // who voted against it
 }
 
-// over tells whether a word holds against another one of the same node.
-func (w Word) over(v Word) bool {
-	switch {
-	case w.Since != v.Since:
-		return w.Since > v.Since
-	case w.Count != v.Count:
-		return w.Count > v.Count
-	case w.Suspended != v.Suspended: // said on two sides of a cut: the careful one holds
-		return w.Suspended
+// decide advances the verdicts, and reports which nodes to avoid if that has changed.
+func (e *Evaluator) decide(now time.Duration) {
+	names := e.accused()
+	for n := range e.verdicts {
+		names[n] = true
 	}
-	return w.By > v.By
-}
-
-func (w Word) valid() bool {
-	return w.Node != "" && len(w.Node) <= MostNode && len(w.By) <= mostBy && w.Count > 0
-}
-
-// ErrFull tells that no further node can be spoken of.
-var ErrFull = errors.New("verdict: as many execute nodes are spoken of as can be")
-
-// Table is what one member knows. The zero Table knows nothing.
-type Table struct {
-	// Rolls has the oldest word make room, whatever it says. Without it only a node that is not suspended does.
-	Rolls bool
-	words map[string]Word
-	high  uint64
-}
-
-// Say adds a word of this member's.
-func (t *Table) Say(node, by string, suspended bool) (Word, error) {
-	return t.say(Word{Node: node, By: by, Suspended: suspended})
-}
-
-// SayDrains adds a word of this member's on a node that started at a time, if it says something new.
-func (t *Table) SayDrains(node, by string, since time.Duration, drains bool) (Word, bool) {
-	was, known := t.words[node]
-	if known && (was.Since > since || was.Since == since && was.Suspended == drains) || !known && !drains {
-		return Word{}, false
+	for _, n := range slices.Sorted(maps.Keys(names)) {
+		e.advance(now, n)
 	}
-	w, err := t.say(Word{Node: node, By: by, Suspended: drains, Since: since})
-	return w, err == nil
-}
-
-func (t *Table) say(w Word) (Word, error) {
-	w.Count = t.high + 1
-	if !w.valid() {
-		return w, errors.New("verdict: no name of an execute node")
+	if e.cfg.Mutate != NoCap {
+		e.enforceCap()
+	}
+	var avoid []string
+	for n, s := range e.verdicts {
+		if s.stage == stageAvoided || s.stage < stagePast && !slices.Contains(e.trialMembers(n, s), e.cfg.Name) {
+			avoid = append(avoid, n)
+		}
 	}
-	if len(t.Merge([]Word{w})) == 0 {
-		return w, ErrFull
+	slices.Sort(avoid)
+	if !slices.Equal(avoid, e.avoided) {
+		e.avoided = avoid
+		e.out = append(e.out, Avoid{slices.Clone(avoid)})
 	}
-	return w, nil
 }
 
-// Merge takes in what others say and gives what was new. Restored nodes make room where it is short, the oldest word
-// first: whoever still has the suspension before it would bring that back, so that it is only done in need.
-func (t *Table) Merge(words []Word) (news []Word) {
-	if t.words == nil {
-		t.words = map[string]Word{}
+// advance advances the verdict on a node, or makes one.
+func (e *Evaluator) advance(now time.Duration, name string) {
+	v := e.verdicts[name]
+	node, listed := e.nodes[name]
+	if !listed || v != nil && v.node.Since != node.Since {
+		delete(e.verdicts, name)
+		return
 	}
-	for _, w := range words {
-		was, known := t.words[w.Node]
-		if !w.valid() || known && !w.over(was) {
-			continue
+	after := time.Duration(math.MinInt64)
+	if v != nil && v.stage > stageAvoided {
+		after = v.trialStart + e.paces(trialGrace)
+	}
+	bad, good := e.votes(name, after)
+	switch {
+	case v == nil:
+		if e.condemned(bad, good) && e.hasCapacity(node) && len(e.verdicts) < maxVerdicts {
+			v = &verdict{node: node, term: e.paces(minTerm)}
+			e.verdicts[name] = v
+			e.condemn(now, name, v, bad)
 		}
-		if !known && len(t.words) >= MostWords && !t.makeRoom(w) {
-			continue
+	case v.stage == stageAvoided:
+		if now >= v.stageEnd && e.cfg.Mutate != NoExpiry {
+			e.beginTrial(now, name, v)
 		}
-		t.words[w.Node] = w
-		t.high = max(t.high, w.Count)
-		news = append(news, w)
-	}
-	return news
-}
-
-func (t *Table) makeRoom(next Word) bool {
-	oldest, found := Word{}, false
-	for _, w := range t.words {
-		if (!w.Suspended || t.Rolls) && (!found || w.older(oldest)) {
-			oldest, found = w, true
+	case v.stage == stagePast:
+		if now >= v.stageEnd {
+			delete(e.verdicts, name)
+		} else if e.condemned(bad, good) && e.hasCapacity(node) {
+			e.condemnAgain(now, name, v, bad)
 		}
+	default:
+		e.advanceTrial(now, name, v, bad, good)
 	}
-	if !found || t.Rolls && !oldest.older(next) { // all who roll keep the same ones
-		return false
-	}
-	delete(t.words, oldest.Node)
-	return true
 }
 
-func (w Word) older(v Word) bool { return w.Count < v.Count || w.Count == v.Count && w.Node < v.Node }
-
-// All are the words, by node.
-func (t *Table) All() []Word {
-	return slices.SortedFunc(maps.Values(t.words), func(a, b Word) int { return cmp.Compare(a.Node, b.Node) })
+// beginTrial lets few members send to a node whose term is over. Evidence from before must not count against it.
+func (e *Evaluator) beginTrial(now time.Duration, name string, v *verdict) {
+	v.stage, v.trialStart, v.stageEnd = stageFew, now, now+e.paces(trialStage)
+	if e.cfg.Mutate == AllAtOnce {
+		v.stage, v.stageEnd = stagePast, now+memoryTerms*v.term
+	}
+	e.out = append(e.out, Forget{name}, LogEntry{Node: name, Event: "tried again"})
+	delete(e.ratedBad, name)
 }
 
-// Suspended are the nodes that are suspended now.
-func (t *Table) Suspended() (nodes []string) {
-	for _, w := range t.All() {
-		if w.Suspended {
-			nodes = append(nodes, w.Node)
+// advanceTrial condemns a node again if most of those that try it rate it bad, and else goes on to the next stage in time.
+func (e *Evaluator) advanceTrial(now time.Duration, name string, v *verdict, bad, good []string) {
+	members := e.trialMembers(name, v)
+	against := 0
+	for _, observer := range bad {
+		if slices.Contains(members, observer) {
+			against++
 		}
 	}
-	return nodes
+	if against >= minVotes && 2*against > len(members) || e.condemned(bad, good) {
+		e.condemnAgain(now, name, v, bad)
+		return
+	}
+	if now < v.stageEnd {
+		return
+	}
+	v.stage++
+	v.stageEnd = now + e.paces(trialStage)
+	if v.stage == stagePast {
+		v.stageEnd = now + memoryTerms*v.term
+		e.out = append(e.out, LogEntry{Node: name, Event: "back"})
+	}
 }
 
-// Digest is the same where the words are; 0: there are none.
-func (t *Table) Digest() (sum uint64) {
-	for _, w := range t.words {
-		s := (w.Count + uint64(w.Since)<<20) * 0x9e3779b97f4a7c15
-		if w.Suspended {
-			s++
-		}
-		h := (xxhash.Sum64String(w.Node) ^ s ^ xxhash.Sum64String(w.By)<<1) * 0xff51afd7ed558ccd
-		sum ^= h ^ h>>33
-	}
-	return sum
+// condemn has a node avoided for the verdict's term.
+func (e *Evaluator) condemn(now time.Duration, name string, v *verdict, observers []string) {
+	v.stage, v.condemnedAt, v.stageEnd, v.round, v.observers = stageAvoided, now, now+v.term, v.round+1, observers
+	e.out = append(e.out, LogEntry{Node: name, Event: "avoided", Observers: observers, Term: v.term})
+}
+
+// condemnAgain does so for twice as long as before.
+func (e *Evaluator) condemnAgain(now time.Duration, name string, v *verdict, observers []string) {
+	v.term = min(2*v.term, e.paces(maxTerm))
+	e.condemn(now, name, v, observers)
 }
--- /dev/null
+++ b/internal/view/replacement.go
@@ -0,0 +1,133 @@
+package view
+
+import (
+	"slices"
+	"time"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"fieldrelay/internal/member"
+)
+
+// candidate is a member that offers to vote and belongs to no group.
+type candidate struct {
+	id        uint64
+	offeredAt time.Duration
+}
+
+// maxCandidates bounds the candidates, and the senders, that a voter remembers.
+const maxCandidates = 64
+
+// addCandidate remembers a member that offers to vote under an identity; 0: it does not.
+func (m *Machine) addCandidate(name string, identity uint64) {
+	if identity == 0 || m.voter == nil {
+		return
+	}
+	if _, known := m.voter.candidates[name]; known || len(m.voter.candidates) < maxCandidates {
+		m.voter.candidates[name] = candidate{id: identity, offeredAt: m.now}
+	}
+}
+
+// proposeVoters replaces a voter that lost its state, or is absent for long, by a candidate.
+func (m *Machine) proposeVoters() {
+	v := m.voter
+	if v.changeProposedAt >= 0 && m.now-v.changeProposedAt < proposalTimeout*m.cfg.Pace || len(v.confState.GetVotersOutgoing()) > 0 {
+		return
+	}
+	for name, c := range v.candidates {
+		if r, ok := m.cfg.Member(name); m.now-c.offeredAt > absenceTimeout*m.cfg.Pace/2 || !ok || !r.Present() {
+			delete(v.candidates, name)
+		}
+	}
+	group := v.decided.Group
+	// A candidate replaces the voter of its own name at once: that one is gone with its state.
+	for _, old := range group.Voters {
+		if c, ok := v.candidates[old.Name]; ok && c.id != old.ID {
+			m.changeVoters(old, Voter{old.Name, c.id})
+			return
+		}
+	}
+	if len(group.Voters) < len(m.cfg.Voters) {
+		m.addVoter(Voter{})
+		return
+	}
+	if old, ok := m.longAbsent(); ok {
+		m.addVoter(old)
+	}
+}
+
+// addVoter takes the best candidate into the group, for an old voter if there is one; without a candidate it invites a member.
+func (m *Machine) addVoter(old Voter) {
+	if add := m.bestCandidate(); add.ID != 0 {
+		m.changeVoters(old, add)
+	} else {
+		m.invite()
+	}
+}
+
+// longAbsent returns a voter that has been absent for absenceTimeout.
+func (m *Machine) longAbsent() (Voter, bool) {
+	v := m.voter
+	group := v.decided.Group
+	for id := range v.absentSince {
+		if _, ok := group.voter(id); !ok {
+			delete(v.absentSince, id)
+		}
+	}
+	for _, old := range group.Voters {
+		r, ok := m.cfg.Member(old.Name)
+		if old.Name == m.cfg.Name || ok && r.Present() {
+			delete(v.absentSince, old.ID)
+			continue
+		}
+		if _, known := v.absentSince[old.ID]; !known {
+			v.absentSince[old.ID] = m.now
+		}
+		if m.now-v.absentSince[old.ID] > absenceTimeout*m.cfg.Pace {
+			return old, true
+		}
+	}
+	return Voter{}, false
+}
+
+// bestCandidate returns a candidate without a vote: first one that the settings name, then the first by name.
+func (m *Machine) bestCandidate() Voter {
+	var best Voter
+	for name, c := range m.voter.candidates {
+		if m.voter.decided.Group.hasVoter(name) {
+			continue
+		}
+		named, bestNamed := slices.Contains(m.cfg.Voters, name), slices.Contains(m.cfg.Voters, best.Name)
+		if best.ID == 0 || named && !bestNamed || named == bestNamed && name < best.Name {
+			best = Voter{name, c.id}
+		}
+	}
+	return best
+}
+
+// invite requests a member that is alive and does not vote to offer itself.
+func (m *Machine) invite() {
+	for _, r := range m.cfg.Members() {
+		if !m.voter.decided.Group.hasVoter(r.Name) && r.State == member.Alive && r.Name != m.cfg.Name {
+			m.send(r.Name, Message{Kind: Invite})
+			return
+		}
+	}
+}
+
+// changeVoters takes one voter in and leaves one out, by joint consensus: until the change is over, a majority of the old group
+// and one of the new group are needed.
+func (m *Machine) changeVoters(old, add Voter) {
+	change := &raftpb.ConfChangeV2{Context: encode(add)}
+	addSingle := func(kind raftpb.ConfChangeType, id uint64) {
+		change.Changes = append(change.Changes, &raftpb.ConfChangeSingle{Type: &kind, NodeId: &id})
+	}
+	addSingle(raftpb.ConfChangeAddNode, add.ID)
+	if old.ID != 0 {
+		addSingle(raftpb.ConfChangeRemoveNode, old.ID)
+	}
+	if m.voter.node.ProposeConfChange(change) == nil {
+		m.voter.changeProposedAt = m.now
+		m.notice(false, "voter %s (%x) in the place of %s (%x)", add.Name, add.ID, old.Name, old.ID)
+	}
+}
