--- a/internal/contract/transport.go
+++ b/internal/contract/transport.go
@@ -14,8 +14,8 @@
 	"fieldrelay/logic"
 )
 
-// NodesMaker makes transports to execute nodes, of which a Peer plays one.
-type NodesMaker struct {
+// TransportMaker makes transports to execute nodes, of which a Peer plays one.
+type TransportMaker struct {
 	New func(t T) relay.Transport
 	// Request is what a claim with a call id asks; Whole tells how many of the bytes that a peer has read are one, 0: not yet.
 	Request func(callID string) *relay.Payload
@@ -24,8 +24,8 @@
 	Answer func(body string) string
 }
 
-// NodesClauses are what every transport to execute nodes promises.
-var NodesClauses = []Clause[NodesMaker]{
+// TransportClauses are what every transport to execute nodes promises.
+var TransportClauses = []Clause[TransportMaker]{
 	{"each claim is reported once, as it ended", nodesOutcomes},
 	{"a claim is written once at the most", nodesOnce},
 	{"an answer serves the claim that it was made for alone", nodesOwn},
@@ -43,7 +43,7 @@
 	wg    sync.WaitGroup
 }
 
-func newPeer(m NodesMaker, behave func(nc net.Conn, n int)) (*peer, error) {
+func newPeer(m TransportMaker, behave func(nc net.Conn, n int)) (*peer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 	return p, nil
 }
 
-func (p *peer) serve(m NodesMaker, nc net.Conn, behave func(net.Conn, int)) {
+func (p *peer) serve(m TransportMaker, nc net.Conn, behave func(net.Conn, int)) {
 	var read []byte
 	b := make([]byte, 4096)
 	for {
@@ -123,7 +123,7 @@
 func claimID(n int) relay.AttemptID { return relay.AttemptID{Request: uint64(n)} }
 
 // claim makes a claim and waits for its report.
-func (m NodesMaker) claim(node relay.Server, r *reports, n int, patience time.Duration) (relay.Result, error) {
+func (m TransportMaker) claim(node relay.Server, r *reports, n int, patience time.Duration) (relay.Result, error) {
 	node.Start(relay.Attempt{ID: claimID(n), Payload: m.Request(fmt.Sprintf("c%d", n)), Deadline: time.Now().Add(patience)})
 	err := until(fmt.Sprintf("a report of claim %d", n), func() bool { return len(r.of(claimID(n))) > 0 })
 	if err != nil {
@@ -133,7 +133,7 @@
 }
 
 // open opens the node of a peer.
-func (m NodesMaker) open(t T, behave func(net.Conn, int)) (*peer, relay.Server, *reports, error) {
+func (m TransportMaker) open(t T, behave func(net.Conn, int)) (*peer, relay.Server, *reports, error) {
 	p, err := newPeer(m, behave)
 	if err != nil {
 		return nil, nil, nil, err
@@ -150,17 +150,17 @@
 	_ = nc.Close()
 }
 
-func nodesOutcomes(t T, m NodesMaker) error {
+func nodesOutcomes(t T, m TransportMaker) error {
 	for name, c := range map[string]struct {
-		behave func(m NodesMaker, nc net.Conn)
+		behave func(m TransportMaker, nc net.Conn)
 		want   []logic.Outcome
 	}{
-		"an answer":              {func(m NodesMaker, nc net.Conn) { send(nc, m.Answer("hi")) }, []logic.Outcome{logic.Done}},
-		"a close":                {func(_ NodesMaker, nc net.Conn) { _ = nc.Close() }, []logic.Outcome{logic.Reset}},
-		"noise":                  {func(_ NodesMaker, nc net.Conn) { sendAndClose(nc, "\x00\x01noise\r\n\r\n") }, []logic.Outcome{logic.Reset, logic.Errored}},
-		"silence":                {func(NodesMaker, net.Conn) {}, []logic.Outcome{logic.TimedOut}},
-		"half an answer":         {func(m NodesMaker, nc net.Conn) { a := m.Answer("hi"); sendAndClose(nc, a[:len(a)-1]) }, []logic.Outcome{logic.Reset, logic.Errored}},
-		"an answer and one more": {func(m NodesMaker, nc net.Conn) { send(nc, m.Answer("hi")+m.Answer("ho")) }, []logic.Outcome{logic.Done}},
+		"an answer":              {func(m TransportMaker, nc net.Conn) { send(nc, m.Answer("hi")) }, []logic.Outcome{logic.Done}},
+		"a close":                {func(_ TransportMaker, nc net.Conn) { _ = nc.Close() }, []logic.Outcome{logic.Reset}},
+		"noise":                  {func(_ TransportMaker, nc net.Conn) { sendAndClose(nc, "\x00\x01noise\r\n\r\n") }, []logic.Outcome{logic.Reset, logic.Errored}},
+		"silence":                {func(TransportMaker, net.Conn) {}, []logic.Outcome{logic.TimedOut}},
+		"half an answer":         {func(m TransportMaker, nc net.Conn) { a := m.Answer("hi"); sendAndClose(nc, a[:len(a)-1]) }, []logic.Outcome{logic.Reset, logic.Errored}},
+		"an answer and one more": {func(m TransportMaker, nc net.Conn) { send(nc, m.Answer("hi")+m.Answer("ho")) }, []logic.Outcome{logic.Done}},
 	} {
 		p, node, r, err := m.open(t, func(nc net.Conn, _ int) { c.behave(m, nc) })
 		if err != nil {
@@ -205,7 +205,7 @@
 	return nil
 }
 
-func nodesOnce(t T, m NodesMaker) error {
+func nodesOnce(t T, m TransportMaker) error {
 	// The node breaks each kept connection under the next request, which must not be written again.
 	p, node, r, err := m.open(t, func(nc net.Conn, n int) {
 		if n%2 == 1 {
@@ -230,7 +230,7 @@
 	return nil
 }
 
-func nodesOwn(t T, m NodesMaker) error {
+func nodesOwn(t T, m TransportMaker) error {
 	// Behind its first answer the node sends another one at once: it must not serve the next claim.
 	p, node, r, err := m.open(t, func(nc net.Conn, n int) {
 		send(nc, m.Answer(fmt.Sprint(n)))
@@ -255,7 +255,7 @@
 	return nil
 }
 
-func nodesSilent(t T, m NodesMaker) error {
+func nodesSilent(t T, m TransportMaker) error {
 	nodes := m.New(t)
 	silent, err := newPeer(m, func(net.Conn, int) {})
 	if err != nil {
@@ -290,7 +290,7 @@
 	return nil
 }
 
-func nodesGone(t T, m NodesMaker) error {
+func nodesGone(t T, m TransportMaker) error {
 	p, node, r, err := m.open(t, func(nc net.Conn, _ int) { send(nc, m.Answer("hi")) })
 	if err != nil {
 		return err
@@ -313,7 +313,7 @@
 	return nil
 }
 
-func nodesClose(t T, m NodesMaker) error {
+func nodesClose(t T, m TransportMaker) error {
 	before := goleak.IgnoreCurrent()
 	p, node, r, err := m.open(t, func(nc net.Conn, n int) {
 		if n == 1 {
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -64,7 +64,7 @@
 		if err == nil {
 			c.mu.Lock()
 			c.fleet = f
-			f.Listed(c.listed)
+			f.SetNodes(c.listed)
 			c.mu.Unlock()
 			return nil
 		}
@@ -79,9 +79,9 @@
 }
 
 func (c *fleetClient) options(s settings.Settings, q quota.All, r rules.Settings) FleetOptions {
-	return FleetOptions{Settings: s, Quotas: q, Rules: r, Name: c.name, Words: c.suspensions.restore(),
-		Changed: c.suspensions.onChanged, Zone: c.zone, Avoid: c.relay.SetEjected, Drains: c.suspensions.reportDrains,
-		Tenants: c.tenants, Allot: c.relay.SetTenantAllowance}
+	return FleetOptions{Settings: s, Quotas: q, Rules: r, Name: c.name, Suspensions: c.suspensions.restore(),
+		SuspensionsChanged: c.suspensions.onChanged, Zone: c.zone, Avoid: c.relay.SetEjected, DrainingChanged: c.suspensions.reportDrains,
+		Tenants: c.tenants, AllotmentChanged: c.relay.SetTenantAllowance}
 }
 
 // running returns the fleet, or nil.
@@ -160,7 +160,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.settings, c.quotas, c.rules = s, q, r
-	c.fleet.Set(s)
+	c.fleet.Reload(s)
 	c.fleet.SetQuotas(q)
 	c.fleet.SetRules(r)
 }
@@ -188,7 +188,7 @@
 func (c *fleetClient) BeforeAttempt(server, class, tenant string, retry bool, capacity float64, expires time.Time) (
 	release func(), ok bool) {
 	if f := c.running(); f != nil {
-		return f.Claim(server, class, tenant, retry, capacity, expires)
+		return f.AdmitAttempt(server, class, tenant, retry, capacity, expires)
 	}
 	return nil, true
 }
@@ -202,16 +202,16 @@
 	}
 	switch outcome {
 	case logic.Done:
-		f.Outcome(server, false, took)
+		f.RecordOutcome(server, false, took)
 	case logic.Errored, logic.TimedOut, logic.Refused, logic.Reset:
-		f.Outcome(server, true, took)
+		f.RecordOutcome(server, true, took)
 	}
 }
 
 // DrainChanged reports to the fleet that a server drains, or no longer does.
 func (c *fleetClient) DrainChanged(server string, startedAt time.Duration, draining bool) {
 	if f := c.running(); f != nil {
-		f.Drains(server, startedAt, draining)
+		f.SetDraining(server, startedAt, draining)
 	}
 }
 
@@ -225,6 +225,6 @@
 	defer c.mu.Unlock()
 	c.listed = all
 	if c.fleet != nil {
-		c.fleet.Listed(all)
+		c.fleet.SetNodes(all)
 	}
 }
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -55,22 +55,22 @@
 	Quotas() []string
 	// Verdicts returns a line for each server with a decision on its health.
 	Verdicts() ([]string, error)
-	// Outcome is how an attempt ended, and the time that it took.
-	Outcome(node string, failed bool, took time.Duration)
-	// Listed is all servers that take attempts.
-	Listed(nodes []verdict.Node)
-	// Drains is that the list has a server, by its start, as draining or gone, or no longer so.
-	Drains(node string, since time.Duration, drains bool)
-	// Say suspends a server for the whole fleet, or restores it.
-	Say(node string, suspended bool) error
+	// RecordOutcome is how an attempt ended, and the time that it took.
+	RecordOutcome(node string, failed bool, took time.Duration)
+	// SetNodes is all servers that take attempts.
+	SetNodes(nodes []verdict.Node)
+	// SetDraining is that the list has a server, by its start, as draining or gone, or no longer so.
+	SetDraining(node string, since time.Duration, drains bool)
+	// SetSuspended suspends a server for the whole fleet, or restores it.
+	SetSuspended(node string, suspended bool) error
 	// Admit lets a request through the limits of the fleet, or says after what time to retry. done is called once it has
 	// ended.
 	Admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool)
-	// Claim lets an attempt at a server through the limits of the fleet, or not. done, unless nil, is called once it has
+	// AdmitAttempt lets an attempt at a server through the limits of the fleet, or not. done, unless nil, is called once it has
 	// ended.
-	Claim(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool)
-	// Set takes over settings that differ only in what may change while it runs.
-	Set(next settings.Settings)
+	AdmitAttempt(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool)
+	// Reload takes over settings that differ only in what may change while it runs.
+	Reload(next settings.Settings)
 	// Close leaves the fleet and notifies the others.
 	Close()
 	// Abandon ends without notifying the others.
--- a/internal/daemon/management.go
+++ b/internal/daemon/management.go
@@ -66,7 +66,7 @@
 		return errFleetOff
 	}
 	if o.relay.IsListed(id) || !suspended {
-		return f.Say(id, suspended)
+		return f.SetSuspended(id, suspended)
 	}
 	return relay.ErrUnknownServer
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -75,7 +75,7 @@
 		return nil, fmt.Errorf("fleet.name: %w", err)
 	}
 	f := &Fleet{log: log, box: mailbox.New(), done: make(chan struct{}), settings: set, origin: time.Now(),
-		refusedPeers: make(map[string]bool), changed: opts.Changed, avoid: opts.Avoid, drains: opts.Drains, allot: opts.Allot}
+		refusedPeers: make(map[string]bool), changed: opts.SuspensionsChanged, avoid: opts.Avoid, drains: opts.DrainingChanged, allot: opts.AllotmentChanged}
 	f.observations.origin = f.origin
 	f.limits.origin = f.origin
 	f.limits.tenants = opts.Tenants
@@ -125,10 +125,10 @@
 			Pace: set.PaceTime(), Seed: seed},
 		View: view.Config{Name: set.Name, Boot: boot, Voters: set.Voters, Pace: set.PaceTime(), Lease: set.LeaseTime(),
 			Drift: set.DriftPart(), Seed: seed, Stored: stored, Refound: set.Refounds()},
-		Limits: limits, Demand: f.limits.demand, Suspensions: opts.Words}
+		Limits: limits, Demand: f.limits.demand, Suspensions: opts.Suspensions}
 	if set.Verdicts && f.avoid != nil {
 		f.observations.enabled = true
-		cfg.Observations, cfg.VerdictPercent, cfg.Member.Zone = &f.observations, set.VerdictPc, opts.Zone[:min(len(opts.Zone), member.MaxZoneBytes)]
+		cfg.Observations, cfg.VerdictPercent, cfg.Member.Zone = &f.observations, set.VerdictPercent, opts.Zone[:min(len(opts.Zone), member.MaxZoneBytes)]
 	}
 	if push, err = f.rules.load(&cfg, set, opts, f.log); err != nil {
 		return nil, err
--- a/internal/fleet/manage.go
+++ b/internal/fleet/manage.go
@@ -83,8 +83,8 @@
 	return lines, nil
 }
 
-// Say suspends an execute node for the whole fleet, or restores it.
-func (f *Fleet) Say(node string, suspended bool) error {
+// SetSuspended suspends an execute node for the whole fleet, or restores it.
+func (f *Fleet) SetSuspended(node string, suspended bool) error {
 	if !f.runOnActor(func() { f.step(SetSuspended{Node: node, Suspended: suspended}) }) {
 		return errBusy
 	}
--- a/internal/fleet/observations.go
+++ b/internal/fleet/observations.go
@@ -41,7 +41,7 @@
 	return o.tally.Evidence(now)
 }
 
-// Listed returns the execute nodes that take requests.
+// SetNodes returns the execute nodes that take requests.
 func (o *observations) Listed() []verdict.Node {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/fleet/reload.go
+++ b/internal/fleet/reload.go
@@ -24,8 +24,8 @@
 	f.box.Put(func() { f.step(SetLimits{f.limits.setTenants(tenants)}) })
 }
 
-// Set takes over new settings, of which only join and dial may differ.
-func (f *Fleet) Set(next settings.Settings) {
+// Reload takes over new settings, of which only join and dial may differ.
+func (f *Fleet) Reload(next settings.Settings) {
 	f.box.Put(func() {
 		f.settings.Join, f.settings.Dial = next.Join, next.Dial
 		f.step(SetSeeds{Join: next.Join})
--- a/internal/fleet/settings/settings.go
+++ b/internal/fleet/settings/settings.go
@@ -16,25 +16,25 @@
 
 // Settings are the section fleet of the operator's file. Off unless it names a fleet.
 type Settings struct {
-	Fleet     string            `toml:"fleet"`       // its name: members of another fleet are refused
-	Name      string            `toml:"name"`        // of this member; empty: the sidecar's
-	Listen    string            `toml:"listen"`      // host:port, of datagrams and of streams
-	Advertise string            `toml:"advertise"`   // address at which the others reach it; empty: listen
-	Join      []string          `toml:"join"`        // addresses of members that may be present
-	Dial      map[string]string `toml:"dial"`        // by member's name, the address at which it is reached from here, if that is not the one that it says
-	Voters    []string          `toml:"voters"`      // names of the members that agree on views: 1, 3 or 5
-	Pace      int               `toml:"pace_ms"`     // interval between two probes
-	Lease     int               `toml:"lease_ms"`    // duration of the lease on a view, from when it was surely the newest
-	Drift     int               `toml:"drift_ppm"`   // millionths by which clocks may run faster or slower than one another
-	Verdicts  bool              `toml:"verdicts"`    // whether execute nodes that fail for most members are avoided
-	VerdictPc int               `toml:"verdict_pct"` // percent of them, and of each zone's, that may be avoided so
-	State     string            `toml:"state"`       // folder in which a voter stores its state; empty: it stores none
-	Recover   string            `toml:"recover"`     // how a majority of voters that lost its state is replaced: hand, by RECOVER, or safe, by the voters where that is provably safe
+	Fleet          string            `toml:"fleet"`       // its name: members of another fleet are refused
+	Name           string            `toml:"name"`        // of this member; empty: the sidecar's
+	Listen         string            `toml:"listen"`      // host:port, of datagrams and of streams
+	Advertise      string            `toml:"advertise"`   // address at which the others reach it; empty: listen
+	Join           []string          `toml:"join"`        // addresses of members that may be present
+	Dial           map[string]string `toml:"dial"`        // by member's name, the address at which it is reached from here, if that is not the one that it says
+	Voters         []string          `toml:"voters"`      // names of the members that agree on views: 1, 3 or 5
+	Pace           int               `toml:"pace_ms"`     // interval between two probes
+	Lease          int               `toml:"lease_ms"`    // duration of the lease on a view, from when it was surely the newest
+	Drift          int               `toml:"drift_ppm"`   // millionths by which clocks may run faster or slower than one another
+	Verdicts       bool              `toml:"verdicts"`    // whether execute nodes that fail for most members are avoided
+	VerdictPercent int               `toml:"verdict_pct"` // percent of them, and of each zone's, that may be avoided so
+	State          string            `toml:"state"`       // folder in which a voter stores its state; empty: it stores none
+	Recover        string            `toml:"recover"`     // how a majority of voters that lost its state is replaced: hand, by RECOVER, or safe, by the voters where that is provably safe
 }
 
 // Defaults returns the default settings.
 func Defaults() Settings {
-	return Settings{Pace: 250, Lease: 5000, Drift: 1000, VerdictPc: 25, Recover: byHand}
+	return Settings{Pace: 250, Lease: 5000, Drift: 1000, VerdictPercent: 25, Recover: byHand}
 }
 
 const (
@@ -79,8 +79,8 @@
 	if s.Drift < 0 || s.Drift > maxDrift {
 		fault("drift_ppm", s.Drift, fmt.Sprintf("0 to %d", maxDrift))
 	}
-	if s.VerdictPc < 1 || s.VerdictPc > maxVerdictPercent {
-		fault("verdict_pct", s.VerdictPc, fmt.Sprintf("1 to %d", maxVerdictPercent))
+	if s.VerdictPercent < 1 || s.VerdictPercent > maxVerdictPercent {
+		fault("verdict_pct", s.VerdictPercent, fmt.Sprintf("1 to %d", maxVerdictPercent))
 	}
 	if s.Recover != byHand && s.Recover != safe {
 		fault("recover", s.Recover, "hand or safe")
@@ -128,7 +128,7 @@
 func (s *Settings) Equal(next Settings) bool {
 	return s.Fleet == next.Fleet && s.Name == next.Name && s.Listen == next.Listen && s.Advertise == next.Advertise &&
 		s.Pace == next.Pace && s.Lease == next.Lease && s.Drift == next.Drift &&
-		s.Verdicts == next.Verdicts && s.VerdictPc == next.VerdictPc && s.State == next.State && s.Recover == next.Recover && slices.Equal(s.Voters, next.Voters) && slices.Equal(s.Join, next.Join) && maps.Equal(s.Dial, next.Dial)
+		s.Verdicts == next.Verdicts && s.VerdictPercent == next.VerdictPercent && s.State == next.State && s.Recover == next.Recover && slices.Equal(s.Voters, next.Voters) && slices.Equal(s.Join, next.Join) && maps.Equal(s.Dial, next.Dial)
 }
 
 // Bounds returns the guarantees with the figures of the settings, as lines for the operator.
@@ -147,7 +147,7 @@
 		}
 	}
 	if s.Verdicts {
-		lines = append(lines, verdict.Bounds(s.PaceTime(), s.VerdictPc)...)
+		lines = append(lines, verdict.Bounds(s.PaceTime(), s.VerdictPercent)...)
 	}
 	return lines
 }
--- a/internal/fleet/traffic.go
+++ b/internal/fleet/traffic.go
@@ -6,8 +6,8 @@
 	"fieldrelay/internal/verdict"
 )
 
-// Outcome takes in the outcome of an attempt at an execute node.
-func (f *Fleet) Outcome(node string, failed bool, took time.Duration) {
+// RecordOutcome takes in the outcome of an attempt at an execute node.
+func (f *Fleet) RecordOutcome(node string, failed bool, took time.Duration) {
 	f.observations.count(node, failed, took)
 }
 
@@ -17,21 +17,21 @@
 	return f.limits.admit(class, tenant, again, ends)
 }
 
-// Claim admits an attempt at an execute node under the limits of the fleet, or not. warm is the fraction of its capacity that
+// AdmitAttempt admits an attempt at an execute node under the limits of the fleet, or not. warm is the fraction of its capacity that
 // the node has while it warms up. done, if it is not nil, must be called once when the attempt has ended.
-func (f *Fleet) Claim(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
+func (f *Fleet) AdmitAttempt(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
 	return f.limits.claim(node, class, tenant, again, warm, ends)
 }
 
-// Drains takes in that this sidecar's list has a process of an execute node, by its start, as draining or gone, or no longer so.
-func (f *Fleet) Drains(node string, since time.Duration, drains bool) {
+// SetDraining takes in that this sidecar's list has a process of an execute node, by its start, as draining or gone, or no longer so.
+func (f *Fleet) SetDraining(node string, since time.Duration, drains bool) {
 	if f.observations.enabled {
 		f.box.Put(func() { f.step(SetDraining{Node: node, Since: since, Draining: drains}) })
 	}
 }
 
-// Listed takes in which execute nodes take requests.
-func (f *Fleet) Listed(nodes []verdict.Node) {
+// SetNodes takes in which execute nodes take requests.
+func (f *Fleet) SetNodes(nodes []verdict.Node) {
 	f.observations.setNodes(nodes)
 	if list, changed := f.limits.setNodes(nodes); changed {
 		f.box.Put(func() { f.step(SetLimits{list}) })
--- a/internal/transport/http/contract_test.go
+++ b/internal/transport/http/contract_test.go
@@ -13,7 +13,7 @@
 	"fieldrelay/logic"
 )
 
-var transports = contract.NodesMaker{
+var transports = contract.TransportMaker{
 	New: func(contract.T) relay.Transport {
 		return NewTransport(Options{DialTimeout: time.Second, ConnIdle: time.Minute, DrainGrace: 500 * time.Millisecond, MaxConns: 16}, zerolog.Nop())
 	},
@@ -28,7 +28,7 @@
 	},
 }
 
-func TestTransportContract(t *testing.T) { contract.Run(t, contract.NodesClauses, transports) }
+func TestTransportContract(t *testing.T) { contract.Run(t, contract.TransportClauses, transports) }
 
 // bent is a transport that is wrong on purpose.
 type faultyTransport struct {
@@ -90,7 +90,7 @@
 	for i, wrong := range []string{"twice", "again", "stray", "waits", "gone", "open"} {
 		m := transports
 		m.New = func(inner contract.T) relay.Transport { return faultyTransport{transports.New(inner), wrong, t} }
-		if clause := contract.NodesClauses[i]; clause.Check(t, m) == nil {
+		if clause := contract.TransportClauses[i]; clause.Check(t, m) == nil {
 			t.Errorf("%s: not named for a transport that is wrong by %q", clause.Name, wrong)
 		}
 	}
