--- a/cmd/fieldrelay-region/main.go
+++ b/cmd/fieldrelay-region/main.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	return roleprocess.Run(func(ctx context.Context, initial *settings.Settings, logger *zap.Logger) error {
-		return proxy.RunWith(ctx, initial, logger, proxy.Options{Disabled: off})
+		return proxy.Run(ctx, initial, logger, proxy.Options{Disabled: off})
 	})
 }
 
--- a/internal/catalog/history.go
+++ b/internal/catalog/history.go
@@ -27,9 +27,6 @@
 // Reset discards all changes; the history then ends at the given sequence, as after a repair.
 func (h *History) Reset(sequence uint64) { *h = History{last: sequence} }
 
-// Last is the sequence at which the history ends.
-func (h *History) Last() uint64 { return h.last }
-
 // Add appends a change. If it does not follow the last one, everything before it is discarded.
 func (h *History) Add(change *pb.Change) {
 	if change.GetSequence() != h.last+1 {
--- a/internal/catalog/repair.go
+++ b/internal/catalog/repair.go
@@ -100,12 +100,3 @@
 	data, err := proto.Marshal(s.ReplicaRepairFor(nil))
 	return data, errors.Wrap(err, "marshal the control state")
 }
-
-// Unmarshal decodes the stored form of a state. The error is a *RepairError if it is malformed.
-func Unmarshal(data []byte) (*Snapshot, error) {
-	repair := &pb.Repair{}
-	if err := proto.Unmarshal(data, repair); err != nil {
-		return nil, &RepairError{Reason: err.Error()}
-	}
-	return Empty().Restore(repair)
-}
--- a/internal/lag/episode.go
+++ b/internal/lag/episode.go
@@ -38,8 +38,5 @@
 	return Unchanged
 }
 
-// Running reports whether the value exceeded the threshold at the last update.
-func (e *Episode) Running() bool { return e.running }
-
 // Longest returns the highest value in the running episode, or in the last one if none runs.
 func (e *Episode) Longest() time.Duration { return e.longest }
--- a/internal/lag/episode_test.go
+++ b/internal/lag/episode_test.go
@@ -24,7 +24,7 @@
 	}
 	for index, step := range steps {
 		require.Equal(t, step.transition, episode.Update(step.value, threshold), "step %d", index)
-		require.Equal(t, index >= 2 && index <= 4, episode.Running())
+		require.Equal(t, index >= 2 && index <= 4, episode.running)
 	}
 	require.Equal(t, 3*time.Second, episode.Longest())
 	require.Equal(t, Began, episode.Update(2*time.Second, threshold))
--- a/internal/limits/retry.go
+++ b/internal/limits/retry.go
@@ -89,15 +89,6 @@
 	}
 }
 
-// Left is the number of retries that Take would allow now.
-func (b *RetryBudget) Left(now time.Duration, service string) int {
-	c := b.windowCounts(now, service)
-	if c == nil {
-		return 0
-	}
-	return max(int(b.allowance(now, c, service))-c.retried(), 0)
-}
-
 // allowance is the number of retries that this proxy may send in a window.
 func (b *RetryBudget) allowance(now time.Duration, c *windowCounts, service string) float64 {
 	byRatio := b.config.Ratio * min(ratioFraction*float64(c.requested()), certainFraction*c.lowerBound())
--- a/internal/limits/retry_test.go
+++ b/internal/limits/retry_test.go
@@ -47,9 +47,9 @@
 		allowed++
 	}
 	require.InDelta(t, 13, allowed, 2) // 0.2 x 0.9 x 0.75 of 99
-	require.Zero(t, budget.Left(now, "s"))
+	require.Zero(t, budget.left(now))
 	budget.Refund(now, "s")
-	require.Equal(t, 1, budget.Left(now, "s"))
+	require.Equal(t, 1, budget.left(now))
 }
 
 func TestTheExtraIsSharedByTheProxies(t *testing.T) {
@@ -70,8 +70,8 @@
 func TestANewProcessHasLittleOfTheExtra(t *testing.T) {
 	budget := NewRetryBudget(pageConfig, hostName(0))
 	budget.SetQuotaMembers(sharesOf(2, upTo(2), oneRegion))
-	require.Equal(t, 5, budget.Left(time.Second, "s"))
-	require.Equal(t, 21, budget.Left(pageConfig.Window, "s"))
+	require.Equal(t, 5, budget.left(time.Second))
+	require.Equal(t, 21, budget.left(pageConfig.Window))
 }
 
 func TestTheBudgetFollowsTheWindow(t *testing.T) {
@@ -193,3 +193,12 @@
 		}
 	})
 }
+
+// left is the number of retries of service "s" that Take would allow now.
+func (b *RetryBudget) left(now time.Duration) int {
+	c := b.windowCounts(now, "s")
+	if c == nil {
+		return 0
+	}
+	return max(int(b.allowance(now, c, "s"))-c.retried(), 0)
+}
--- a/internal/placement/announcement.go
+++ b/internal/placement/announcement.go
@@ -4,8 +4,6 @@
 	"math"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"fieldrelay/internal/policy"
 )
 
@@ -34,7 +32,7 @@
 // Announcement tells the other proxies of the region about a prompt of a long prefill, so that they avoid that server
 // meanwhile and know where the shared chunks are cached. It travels as a datagram, and may be lost.
 type Announcement struct {
-	Server uint32 // ServerKey of the server's id
+	Server uint32 // low half of the xxhash64 of the server's id
 	Prompt uint32 // hash of the model and the shared chunks
 	Tokens int    // that the server has to prefill; 0: nothing is announced
 }
@@ -73,9 +71,6 @@
 	return regionAnnouncementRate / float64(proxies)
 }
 
-// ServerKey is a short hash of a server's id, for datagrams.
-func ServerKey(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
-
 // promptKey is a short hash of a prompt's shared chunks, for datagrams.
 func promptKey(h prefixHash) uint32 { return uint32(h) }
 
--- a/internal/placement/announcement_test.go
+++ b/internal/placement/announcement_test.go
@@ -24,7 +24,7 @@
 	second.p.AnnouncementReceived(second.now, announcement)
 	second.now += 10 * time.Second
 	later := second.pick(second.summary(1, 2))
-	require.Equal(t, announcement.Server, ServerKey(later.ServerID), "both choose the same affinity server")
+	require.Equal(t, announcement.Server, serverKey(later.ServerID), "both choose the same affinity server")
 	require.Equal(t, 2890, later.Announce.Tokens, "only its own chunk is to be prefilled")
 }
 
@@ -35,7 +35,7 @@
 	f.now += 20 * time.Second
 	require.Equal(t, affine, f.pick(f.summary(1, 2)).ServerID)
 	f.now += 20 * time.Second
-	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(affine), Prompt: 7, Tokens: 60_000})
+	f.p.AnnouncementReceived(f.now, Announcement{Server: serverKey(affine), Prompt: 7, Tokens: 60_000})
 	require.NotEqual(t, affine, f.pick(f.greeting(9999)).ServerID)
 	other := f.pick(f.summary(1, 3))
 	require.NotEqual(t, affine, other.ServerID)
@@ -47,27 +47,27 @@
 	f := newFixture(t, 0, westAndEast())
 	id := f.list[0].GetId()
 	for i := range 3 * maxAnnouncedPrefixes {
-		f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(id), Prompt: uint32(i), Tokens: 1 << 30})
+		f.p.AnnouncementReceived(f.now, Announcement{Server: serverKey(id), Prompt: uint32(i), Tokens: 1 << 30})
 		require.LessOrEqual(t, len(f.p.announcedPrefixes), maxAnnouncedPrefixes)
 	}
 	require.LessOrEqual(t, f.p.servers[id].busy(f.now), maxBusyTime)
-	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey("unknown"), Prompt: 1, Tokens: 5000})
-	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(id), Prompt: 1, Tokens: -5})
+	f.p.AnnouncementReceived(f.now, Announcement{Server: serverKey("unknown"), Prompt: 1, Tokens: 5000})
+	f.p.AnnouncementReceived(f.now, Announcement{Server: serverKey(id), Prompt: 1, Tokens: -5})
 	require.Equal(t, uint64(3*maxAnnouncedPrefixes), f.p.Stats().AnnouncementsReceived)
 }
 
 func TestAnnouncementsAreNeitherSentNorTakenInWhenSwitchedOff(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
-	f.p.config.Off = policy.Without(policy.Announcements)
+	f.p.config.Off = switchedOff(t, policy.Announcements)
 	require.Zero(t, f.pick(f.summary(1, 1)).Announce)
 	id := f.list[0].GetId()
-	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(id), Prompt: 1, Tokens: 50_000})
+	f.p.AnnouncementReceived(f.now, Announcement{Server: serverKey(id), Prompt: 1, Tokens: 50_000})
 	require.Zero(t, f.p.servers[id].busy(f.now))
 }
 
 func TestAServerThatIsGoneIsNotRemembered(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
-	f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(f.list[0].GetId()), Prompt: 1, Tokens: 5000})
+	f.p.AnnouncementReceived(f.now, Announcement{Server: serverKey(f.list[0].GetId()), Prompt: 1, Tokens: 5000})
 	f.list = f.list[1:]
 	f.relist()
 	require.Empty(t, f.p.announcedPrefixes)
@@ -77,7 +77,7 @@
 	f := newFixture(t, 0, westAndEast())
 	for _, entry := range f.list {
 		if regions[entry.GetZone()] == west && entry.GetId() != f.list[0].GetId() {
-			f.p.AnnouncementReceived(f.now, Announcement{Server: ServerKey(entry.GetId()), Prompt: 1, Tokens: 40_000})
+			f.p.AnnouncementReceived(f.now, Announcement{Server: serverKey(entry.GetId()), Prompt: 1, Tokens: 40_000})
 		}
 	}
 	for i := range 5 { // the idle one is seeded, and gets the others as well
--- a/internal/placement/failurereport_test.go
+++ b/internal/placement/failurereport_test.go
@@ -72,7 +72,7 @@
 
 func TestReportsAreIgnoredWhenSwitchedOff(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
-	f.p.config.Off = policy.Without(policy.FailureReports)
+	f.p.config.Off = switchedOff(t, policy.FailureReports)
 	id := f.list[0].GetId()
 	f.p.FailureReported(f.now, id, zoneA)
 	f.p.FailureReported(f.now, id, zoneB)
--- a/internal/placement/fixture_test.go
+++ b/internal/placement/fixture_test.go
@@ -5,11 +5,13 @@
 	"testing"
 	"time"
 
+	"github.com/cespare/xxhash/v2"
 	"github.com/stretchr/testify/require"
 
 	pb "fieldrelay/api/fieldrelay/v1"
 	"fieldrelay/internal/catalog"
 	"fieldrelay/internal/limits"
+	"fieldrelay/internal/policy"
 	"fieldrelay/internal/route"
 )
 
@@ -169,3 +171,14 @@
 		f.serve(f.greeting(i), asPredicted)
 	}
 }
+
+// serverKey is the key by which an announcement names the server of an id.
+func serverKey(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
+
+// switchedOff returns the switches with one mechanism off.
+func switchedOff(t *testing.T, mechanism policy.Mechanism) policy.Switches {
+	t.Helper()
+	switches, err := policy.Parse([]string{mechanism.String()})
+	require.NoError(t, err)
+	return switches
+}
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -53,7 +53,7 @@
 
 	services     map[string]*service // by name
 	servers      map[string]*server  // by id
-	byKey        map[uint32]*server  // by ServerKey
+	byKey        map[uint32]*server  // by the low half of their hash
 	attempts     map[AttemptID]*attempt
 	lastID       AttemptID
 	freeAttempts []*attempt // closed attempts, for reuse
--- a/internal/placement/prefill_test.go
+++ b/internal/placement/prefill_test.go
@@ -88,7 +88,7 @@
 
 func TestPrefillTimesStayInitialWhenLearningIsSwitchedOff(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
-	f.p.config.Off = policy.Without(policy.PrefillRate)
+	f.p.config.Off = switchedOff(t, policy.PrefillRate)
 	f.warm()
 	alternate(f, 60*time.Microsecond, 200)
 	require.Equal(t, initialPerToken, f.p.services[modelService].prefill.perToken)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -80,15 +80,6 @@
 	off uint64 // a bit for each mechanism
 }
 
-// Without returns the switches with the given mechanisms off.
-func Without(off ...Mechanism) Switches {
-	var switches Switches
-	for _, mechanism := range off {
-		switches.off |= 1 << mechanism
-	}
-	return switches
-}
-
 // Off reports whether a mechanism is off.
 func (s Switches) Off(m Mechanism) bool { return s.off&(1<<m) != 0 }
 
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -30,7 +30,9 @@
 	var switches policy.Switches
 	require.Empty(t, switches.String())
 	require.False(t, switches.Off(policy.Spill))
-	require.True(t, switches.Union(policy.Without(policy.Spill)).Off(policy.Spill))
+	withoutSpill, err := policy.Parse([]string{policy.Spill.String()})
+	require.NoError(t, err)
+	require.True(t, switches.Union(withoutSpill).Off(policy.Spill))
 }
 
 func TestUnknownNamesAreRejected(t *testing.T) {
--- a/internal/proxy/announcements_test.go
+++ b/internal/proxy/announcements_test.go
@@ -75,7 +75,7 @@
 		member("127.0.9.1:7001", "west"), member("127.0.9.2:7001", "west"), member("127.0.9.3:7001", "east"),
 		member("no address", "west"),
 	})
-	announcement := placement.Announcement{Server: placement.ServerKey("i-7f3a"), Prompt: 1 << 31, Tokens: 9190}
+	announcement := placement.Announcement{Server: 0x7f3a_93c1, Prompt: 1 << 31, Tokens: 9190}
 	sender.announce(announcement)
 	sender.announce(placement.Announcement{Server: 7}) // nothing to tell
 	require.Equal(t, announcement, nextReceived(t, near.announcements))
--- a/internal/proxy/process_test.go
+++ b/internal/proxy/process_test.go
@@ -340,14 +340,14 @@
 	} {
 		configured := testSettings(1)
 		spoil(configured)
-		require.Error(t, Run(context.Background(), configured, zap.NewNop()))
+		require.Error(t, Run(context.Background(), configured, zap.NewNop(), Options{}))
 	}
 }
 
 func TestRunEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	require.NoError(t, Run(ctx, testSettings(0.2), zap.NewNop()))
+	require.NoError(t, Run(ctx, testSettings(0.2), zap.NewNop(), Options{}))
 }
 
 const settingsFile = `hostname = "edge-1"
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -37,12 +37,7 @@
 
 // Run serves until the context is canceled or SIGTERM or SIGINT comes, then shuts down gracefully within
 // bounds.grace-s. SIGHUP reloads the settings. It returns an error only if the proxy can't start.
-func Run(ctx context.Context, configured *settings.Settings, logger *zap.Logger) error {
-	return RunWith(ctx, configured, logger, Options{})
-}
-
-// RunWith is Run with options.
-func RunWith(ctx context.Context, configured *settings.Settings, logger *zap.Logger, options Options) error {
+func Run(ctx context.Context, configured *settings.Settings, logger *zap.Logger, options Options) error {
 	terminate, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	reload := make(chan os.Signal, 1)
--- a/internal/proxy/upstream/conn.go
+++ b/internal/proxy/upstream/conn.go
@@ -48,9 +48,6 @@
 	return &Conn{server: server, socket: socket, raw: raw, headBudget: -1, idleTimeout: defaultIdleTimeout}, nil
 }
 
-// Server returns the server at the other end.
-func (c *Conn) Server() Server { return c.server }
-
 // Reused reports whether an earlier request was served on this connection.
 func (c *Conn) Reused() bool { return c.reused }
 
--- a/internal/quorum/paxos_test.go
+++ b/internal/quorum/paxos_test.go
@@ -147,11 +147,11 @@
 func TestProposerCountsEachVoterOnceAndNoStrangers(t *testing.T) {
 	base := viewOf(2, "a", "b", "c")
 	proposer := NewProposer(base, NextProposalNumber(nil, "p"))
-	promise := &pb.Promise{ViewNumber: 3, Ballot: proposer.ProposalNumber(), Promised: proposer.ProposalNumber(), Granted: true}
+	promise := &pb.Promise{ViewNumber: 3, Ballot: proposer.number, Promised: proposer.number, Granted: true}
 	require.False(t, proposer.Promised(replica("a"), promise))
 	require.False(t, proposer.Promised(replica("a"), promise))
 	require.False(t, proposer.Promised(replica("stranger"), promise))
-	other := &pb.Promise{ViewNumber: 4, Ballot: proposer.ProposalNumber(), Granted: true}
+	other := &pb.Promise{ViewNumber: 4, Ballot: proposer.number, Granted: true}
 	require.False(t, proposer.Promised(replica("c"), other), "of another view")
 	require.True(t, proposer.Promised(replica("b"), promise))
 }
@@ -159,14 +159,14 @@
 func TestRefusalUnderAHigherBallotEndsTheAttempt(t *testing.T) {
 	proposer := NewProposer(viewOf(2, "a", "b", "c"), NextProposalNumber(nil, "p"))
 	higher := &pb.Ballot{Round: 9, Proposer: "q"}
-	proposer.Promised(replica("a"), &pb.Promise{ViewNumber: 3, Ballot: proposer.ProposalNumber(), Promised: higher})
+	proposer.Promised(replica("a"), &pb.Promise{ViewNumber: 3, Ballot: proposer.number, Promised: higher})
 	require.Equal(t, Superseded, proposer.Phase())
 	require.Positive(t, CompareProposalNumbers(NextProposalNumber(proposer.HighestObserved(), "p"), higher))
 }
 
 func TestRefusalWithoutAHigherBallotCountsForNothing(t *testing.T) {
 	proposer := NewProposer(viewOf(2, "a"), NextProposalNumber(nil, "p"))
-	require.False(t, proposer.Promised(replica("a"), &pb.Promise{ViewNumber: 3, Ballot: proposer.ProposalNumber()}))
+	require.False(t, proposer.Promised(replica("a"), &pb.Promise{ViewNumber: 3, Ballot: proposer.number}))
 	require.Equal(t, Preparing, proposer.Phase())
 }
 
--- a/internal/quorum/proposer.go
+++ b/internal/quorum/proposer.go
@@ -44,9 +44,6 @@
 // Phase is the proposal's phase.
 func (p *Proposer) Phase() Phase { return p.phase }
 
-// ProposalNumber is the proposal's own number.
-func (p *Proposer) ProposalNumber() *pb.Ballot { return p.number }
-
 // HighestObserved is the highest proposal number in any answer so far. The next proposal must have a higher one.
 func (p *Proposer) HighestObserved() *pb.Ballot { return p.highestObserved }
 
--- a/internal/registry/invariants.go
+++ b/internal/registry/invariants_test.go
@@ -11,7 +11,7 @@
 // Error says which invariant is broken.
 func (e *InvariantError) Error() string { return "broken invariant: " + e.Reason }
 
-// Check returns an *InvariantError if an invariant of the inventory is broken. Tests call it after every step.
+// Check returns an *InvariantError if an invariant of the inventory is broken.
 func (i *ServerInventory) Check() error {
 	if i.current == nil {
 		return nil
--- a/internal/ring/export_test.go
+++ b/internal/ring/export_test.go
@@ -20,3 +20,24 @@
 
 // SyncBy replaces the function by which a folder syncs.
 func (f *Folder) SyncBy(sync func(path string) (found bool, err error)) { f.sync = sync }
+
+// Stats describes the current file of a ring.
+type Stats struct {
+	Epoch         uint64 // number of files begun so far
+	Records       int    // after the snapshot
+	SnapshotBytes int64
+	RecordBytes   int64
+}
+
+// Stats returns the figures of the current file.
+func (r *Ring) Stats() Stats {
+	stats := Stats{
+		Epoch:         r.current.epoch,
+		SnapshotBytes: r.current.snapshotBytes,
+		RecordBytes:   r.current.end - r.current.snapshotBytes,
+	}
+	if r.current.sequence > 0 {
+		stats.Records = int(r.current.sequence) - 1
+	}
+	return stats
+}
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -135,27 +135,6 @@
 	return appended >= max(r.options.FileBytes/2, r.current.snapshotBytes)
 }
 
-// Stats describes the current file of a ring.
-type Stats struct {
-	Epoch         uint64 // number of files begun so far
-	Records       int    // after the snapshot
-	SnapshotBytes int64
-	RecordBytes   int64
-}
-
-// Stats returns the figures of the current file, for logs and status pages.
-func (r *Ring) Stats() Stats {
-	stats := Stats{
-		Epoch:         r.current.epoch,
-		SnapshotBytes: r.current.snapshotBytes,
-		RecordBytes:   r.current.end - r.current.snapshotBytes,
-	}
-	if r.current.sequence > 0 {
-		stats.Records = int(r.current.sequence) - 1
-	}
-	return stats
-}
-
 // Close closes the current file. Every later Append and Snapshot returns ErrClosed.
 func (r *Ring) Close() error {
 	r.closed = true
--- a/internal/settings/bounds.go
+++ b/internal/settings/bounds.go
@@ -88,12 +88,6 @@
 	TTLMaxS float64 `toml:"ttl_max_s"`
 }
 
-// SeedStale returns how stale the list of control machines may be by which callers choose one.
-func (b Bounds) SeedStale() time.Duration { return seconds(b.SeedStaleS) }
-
-// AddressReuse returns the time after a server's end before its address may belong to a server of another service.
-func (b Bounds) AddressReuse() time.Duration { return seconds(b.AddressReuseS) }
-
 // ContactFor returns how long a machine must have been without a fault to count as in contact.
 func (b Bounds) ContactFor() time.Duration { return milliseconds(b.ContactMS) }
 
@@ -109,9 +103,6 @@
 // Grace returns the time from SIGTERM to SIGKILL.
 func (b Bounds) Grace() time.Duration { return seconds(b.GraceS) }
 
-// LossSlack returns the time within which a request that was not forwarded may still be lost.
-func (b Bounds) LossSlack() time.Duration { return milliseconds(b.LossSlackMS) }
-
 // ApplyWithin returns the time from the acknowledgement of a configuration until every proxy in contact must use it.
 func (b Bounds) ApplyWithin() time.Duration { return milliseconds(b.ApplyMS) }
 
@@ -130,12 +121,6 @@
 // HealWithin returns the time from the return of the machines after the last fault until requests must be served again.
 func (b Bounds) HealWithin() time.Duration { return seconds(b.HealS) }
 
-// PassWithin returns the time within which an event of a stream must be forwarded.
-func (b Bounds) PassWithin() time.Duration { return milliseconds(b.PassMS) }
-
-// AgainAfter returns the bound named again_s as a duration.
-func (b Bounds) AgainAfter() time.Duration { return seconds(b.AgainS) }
-
 // TTLMax returns the longest time for which clients may use an answer of the directory.
 func (b Bounds) TTLMax() time.Duration { return seconds(b.TTLMaxS) }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,9 +13,7 @@
 import (
 	"net"
 	"os"
-	"slices"
 	"strconv"
-	"time"
 
 	"github.com/cockroachdb/errors"
 )
@@ -40,7 +38,7 @@
 	// otherwise.
 	MachineClass string `toml:"machine-class"`
 
-	// Roles are what the process serves, such as "edge", "ctl" and "dir"; see Serves. They are not used: the command
+	// Roles are what the process serves, such as "edge", "ctl" and "dir". They are not used: the command
 	// line names the role, and Binds the listeners.
 	Roles []string `toml:"roles"`
 
@@ -81,11 +79,11 @@
 	// Ingress names the way in which clients find a proxy. It is not used.
 	Ingress string `toml:"ingress"`
 
-	// HeartbeatMS is the usual interval of heartbeats in milliseconds; see Heartbeat. It is not used: control machines
+	// HeartbeatMS is the usual interval of heartbeats in milliseconds. It is not used: control machines
 	// have an interval of their own. Default: 1200.
 	HeartbeatMS float64 `toml:"heartbeat-ms"`
 
-	// Clauses are the names of the parts of the rules in force; see HasClause. They are not used: all parts are kept.
+	// Clauses are the names of the parts of the rules in force. They are not used: all parts are kept.
 	Clauses []string `toml:"clauses"`
 
 	// Zones has the region of each zone of the deployment, by name. An evacuation of another zone is rejected.
@@ -128,9 +126,6 @@
 	return Parse(data)
 }
 
-// Heartbeat returns HeartbeatMS as a duration.
-func (s *Settings) Heartbeat() time.Duration { return milliseconds(s.HeartbeatMS) }
-
 // Port returns the address, ip:port, of the machine's n-th port for messages of the system, counted from 0.
 func (s *Settings) Port(n int) string { return s.address(s.Address, n) }
 
@@ -157,13 +152,3 @@
 	_, known := s.Zones[zone]
 	return known || zone == s.Zone
 }
-
-// Serves reports whether Roles has a role, such as "edge" or "ctl".
-func (s *Settings) Serves(role string) bool {
-	return slices.Contains(s.Roles, role)
-}
-
-// HasClause reports whether a part of the rules is in force.
-func (s *Settings) HasClause(name string) bool {
-	return slices.Contains(s.Clauses, name)
-}
--- a/internal/soak/main_test.go
+++ b/internal/soak/main_test.go
@@ -54,7 +54,7 @@
 		case roleControl:
 			return controlserver.RunWith(ctx, initial, logger, controlserver.Options{Dial: dialer.DialContext})
 		case roleProxy:
-			return proxy.RunWith(ctx, initial, logger, proxy.Options{ConfigStreamAddress: feed})
+			return proxy.Run(ctx, initial, logger, proxy.Options{ConfigStreamAddress: feed})
 		case roleAgent:
 			options := agent.Options{Proxy: feed, Dial: dialer.DialContext, SettingsPath: os.Getenv(settings.PathVariable)}
 			return agent.RunWith(ctx, initial, logger, options)
