--- a/internal/agent/narrowlinks_test.go
+++ b/internal/agent/narrowlinks_test.go
@@ -66,6 +66,17 @@
 	}
 }
 
+// newStartWithoutState returns a deployment whose agents have no state yet: all of it was committed before they start,
+// and control machines are gone.
+func newStartWithoutState(seed uint64) *model {
+	m := newModel(seed, coreMachines, edgeMachines)
+	m.limitBandwidth()
+	m.loseControlMachines()
+	m.commitRoutes(routesAtFirst)
+	m.commitRoutes(routesInChange)
+	return m
+}
+
 // A change of many routes is in force at all proxies in time though two of five control machines are gone.
 func TestALargeChangeIsInForceInTimeOverNarrowLinks(t *testing.T) {
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
@@ -91,11 +102,7 @@
 // All agents that start at once without state, as after a loss of power, have the complete state in time.
 func TestAllAgentsStartInTimeOverNarrowLinks(t *testing.T) {
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
-		m := newModel(seed, coreMachines, edgeMachines)
-		m.limitBandwidth()
-		m.loseControlMachines()
-		m.commitRoutes(routesAtFirst)
-		m.commitRoutes(routesInChange)
+		m := newStartWithoutState(seed)
 		inForce := m.runUntil(time.Minute, m.converged)
 		t.Logf("seed %d: in force after %v, %.1f MB carried", seed, m.now, m.links.carried/1e6)
 		require.True(t, inForce)
--- a/internal/agent/state_fetch_load_test.go
+++ b/internal/agent/state_fetch_load_test.go
@@ -15,11 +15,7 @@
 func TestStartingAgentsDoNotRequestTheStateFromEveryMachine(t *testing.T) {
 	const slack = 2
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
-		m := newModel(seed, coreMachines, edgeMachines)
-		m.limitBandwidth()
-		m.loseControlMachines()
-		m.commitRoutes(routesAtFirst)
-		m.commitRoutes(routesInChange)
+		m := newStartWithoutState(seed)
 		require.True(t, m.runUntil(time.Minute, m.converged))
 		key := packing.Key{Sequence: m.last(), Complete: true}
 		whole := m.controls[coreMachines-1].packer.Compressed(key, func() *pb.StateNews {
--- a/internal/digesttest/digest.go
+++ b/internal/digesttest/digest.go
@@ -1,6 +1,6 @@
-// Package digesttest makes digests of seeded runs for tests, so that a change of the code that should change no
-// behaviour is found where it did. What goes in is explicit: labels that are written in the test, numbers, texts and
-// encoded bytes; never a Go name. It is for tests only.
+// Package digesttest makes digests of seeded runs for tests, so that a change of behaviour is found, and roughly when in
+// the run it begins. The test says what enters a digest: labels that are written in it, numbers, texts and encoded bytes;
+// never a Go name. It is for tests only.
 package digesttest
 
 import (
@@ -10,7 +10,6 @@
 	"fmt"
 	"hash"
 	"math"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -18,15 +17,17 @@
 
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/proto"
+
+	"fieldrelay/internal/recordedtest"
 )
 
 // shortDigest is how many hexadecimal digits of a part's digest are kept.
 const shortDigest = 16
 
-// Recorder takes in what a run does, in order, and keeps a digest for each part of its time and one of all.
+// Recorder makes a digest of what a run does, in order, for each part of its time and for the whole.
 type Recorder struct {
 	part    time.Duration
-	now     int64 // the part that is under way
+	now     int64 // the current part
 	begun   bool
 	counts  map[string]int // entries of the part by label
 	labels  []string       // of the part, in the order of their first entry
@@ -36,12 +37,12 @@
 	lines   []string
 }
 
-// New makes a recorder that keeps a digest for each part of so much time.
+// New returns a recorder that makes a digest for each part of the given duration.
 func New(part time.Duration) *Recorder {
 	return &Recorder{part: part, counts: make(map[string]int), one: sha256.New(), all: sha256.New()}
 }
 
-// Entry begins an entry: something of the labelled kind was done at a time.
+// Entry begins an entry: something of the labeled kind happened at a time.
 func (r *Recorder) Entry(at time.Duration, label string) *Recorder {
 	if now := int64(at / r.part); !r.begun || now != r.now {
 		r.endPart()
@@ -119,18 +120,11 @@
 	return fmt.Sprintf("%s\nall %s of %d\n", strings.Join(r.lines, "\n"), hex.EncodeToString(r.all.Sum(nil)), r.entries)
 }
 
-// Compare plays a run twice and wants both times the digests that are recorded under its name in testdata; update
-// records them.
+// Compare plays a run twice. It fails if the digests of the two differ, or differ from those that are recorded under the
+// run's name in testdata: the behavior has changed. With update it records them.
 func Compare(t *testing.T, name string, update bool, play func() *Recorder) {
 	t.Helper()
 	first := play().String()
 	require.Equal(t, first, play().String(), "the same run gives other digests the second time")
-	path := filepath.Join("testdata", "digests", name+".txt")
-	if update {
-		require.NoError(t, os.MkdirAll(filepath.Dir(path), 0o755))
-		require.NoError(t, os.WriteFile(path, []byte(first), 0o644))
-	}
-	recorded, err := os.ReadFile(path)
-	require.NoError(t, err)
-	require.Equal(t, string(recorded), first, "the run differs from the recorded one: the behaviour has changed")
+	recordedtest.Compare(t, update, filepath.Join("testdata", "digests", name+".txt"), first)
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -15,8 +15,9 @@
 	return servers
 }
 
-func benchmarkPick(b *testing.B, request func(f *fixture, i int) *Request) {
-	f := newFixture(b, 0, manyServers())
+// benchmarkPick picks among servers for requests in turn, each of which is served at once.
+func benchmarkPick(b *testing.B, servers []*pb.Server, request func(f *fixture, i int) *Request) {
+	f := newFixture(b, 0, servers)
 	requests := make([]*Request, 256)
 	for i := range requests {
 		requests[i] = request(f, i)
@@ -35,11 +36,11 @@
 }
 
 func BenchmarkPickLongPrompt(b *testing.B) {
-	benchmarkPick(b, func(f *fixture, i int) *Request { return f.summary(i%37, i) })
+	benchmarkPick(b, manyServers(), func(f *fixture, i int) *Request { return f.summary(i%37, i) })
 }
 
 func BenchmarkPickShortPrompt(b *testing.B) {
-	benchmarkPick(b, func(f *fixture, i int) *Request { return f.greeting(i) })
+	benchmarkPick(b, manyServers(), func(f *fixture, i int) *Request { return f.greeting(i) })
 }
 
 func BenchmarkAdmitInOverload(b *testing.B) {
--- a/internal/placement/capacity_bench_test.go
+++ b/internal/placement/capacity_bench_test.go
@@ -11,26 +11,9 @@
 // region.
 func BenchmarkCapacityPick(b *testing.B) {
 	for _, count := range []int{100, 200, 400, 800} {
-		b.Run(strconv.Itoa(count), func(b *testing.B) { benchmarkPickAmong(b, count) })
-	}
-}
-
-func benchmarkPickAmong(b *testing.B, count int) {
-	f := newFixture(b, 0, serversOf(count))
-	requests := make([]*Request, 256)
-	for i := range requests {
-		requests[i] = f.greeting(i)
-	}
-	f.warm()
-	b.ReportAllocs()
-	for i := 0; b.Loop(); i++ {
-		decision, err := f.p.Pick(f.now, requests[i%len(requests)])
-		if err != nil {
-			b.Fatal(err)
-		}
-		f.now += 100_000
-		f.p.Started(f.now, decision.Attempt)
-		f.p.Finished(f.now, decision.Attempt, Done)
+		b.Run(strconv.Itoa(count), func(b *testing.B) {
+			benchmarkPick(b, serversOf(count), func(f *fixture, i int) *Request { return f.greeting(i) })
+		})
 	}
 }
 
--- a/internal/proxy/upstream/send.go
+++ b/internal/proxy/upstream/send.go
@@ -109,13 +109,19 @@
 	if !c.separateBody {
 		return true
 	}
-	unacknowledged, known := 0, false
-	err := c.raw.Control(func(descriptor uintptr) {
+	count, known, err := c.unacknowledged()
+	return err == nil && (!known || count == 0)
+}
+
+// unacknowledged returns the number of sent bytes that the other machine's kernel has not acknowledged. It is not known
+// where the kernel doesn't support the query; the error is that of a closed connection.
+func (c *Conn) unacknowledged() (count int, known bool, err error) {
+	err = c.raw.Control(func(descriptor uintptr) {
 		var failure error
-		unacknowledged, failure = unix.IoctlGetInt(int(descriptor), unix.SIOCOUTQ)
+		count, failure = unix.IoctlGetInt(int(descriptor), unix.SIOCOUTQ)
 		known = failure == nil
 	})
-	return err == nil && (!known || unacknowledged == 0)
+	return count, known, err
 }
 
 // nothingSent reports whether no byte of a request whose sending was stopped has left.
--- a/internal/proxy/upstream/unreachable_test.go
+++ b/internal/proxy/upstream/unreachable_test.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"github.com/stretchr/testify/require"
-	"golang.org/x/sys/unix"
 )
 
 func TestDialFailures(t *testing.T) {
@@ -83,12 +82,9 @@
 // unacknowledged returns the number of sent bytes that the other end has not acknowledged.
 func unacknowledged(t *testing.T, conn *Conn) int {
 	t.Helper()
-	count := 0
-	require.NoError(t, conn.raw.Control(func(descriptor uintptr) {
-		var err error
-		count, err = unix.IoctlGetInt(int(descriptor), unix.SIOCOUTQ)
-		require.NoError(t, err)
-	}))
+	count, known, err := conn.unacknowledged()
+	require.NoError(t, err)
+	require.True(t, known)
 	return count
 }
 
