--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"cmp"
 	"context"
 	"net/http"
 	"sync"
@@ -12,6 +11,7 @@
 	"fieldrelay/internal/catalog"
 	"fieldrelay/internal/proxy/upstream"
 	"fieldrelay/internal/route"
+	"fieldrelay/internal/serverlist"
 )
 
 // snapshot is the state that the proxy serves by: configuration and server list. It is immutable; an update
@@ -134,7 +134,7 @@
 
 // applyList sets a newer server list in a snapshot.
 func applyList(next *snapshot, list *pb.ServerList, applied *update) {
-	if list == nil || (next.list != nil && compareListVersions(list.GetVersion(), next.list) <= 0) {
+	if list == nil || (next.list != nil && serverlist.CompareVersions(list.GetVersion(), next.list) <= 0) {
 		return
 	}
 	servers := make(map[upstream.Server]struct{}, len(list.GetServers()))
@@ -156,15 +156,6 @@
 	return s.gap || s.current.Load().sequence == 0
 }
 
-// compareListVersions orders the versions of server lists: by epoch, then holder, then revision.
-func compareListVersions(a, b *pb.ListVersion) int {
-	return cmp.Or(
-		cmp.Compare(a.GetEpoch(), b.GetEpoch()),
-		cmp.Compare(a.GetHolder(), b.GetHolder()),
-		cmp.Compare(a.GetRevision(), b.GetRevision()),
-	)
-}
-
 // usable reports whether requests can be forwarded by this snapshot.
 func (s *snapshot) usable() bool { return s.configured() && s.list != nil }
 
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -1,6 +1,6 @@
 // Package serverlist compares the platform's server lists: their versions, and whether two of them describe the same
-// servers. Control machines (package registry) and agents (package gossip) must agree on the order of versions, since
-// each side ignores lists that are older than its own.
+// servers. Control machines (package registry), agents (package gossip) and proxies must agree on the order of versions,
+// since each of them ignores lists that are older than its own.
 //
 // It holds no list and reads no clock.
 package serverlist
