--- a/internal/agent/caller.go
+++ b/internal/agent/caller.go
@@ -67,7 +67,7 @@
 	dialer := net.Dialer{
 		Timeout:         connectTimeout,
 		KeepAliveConfig: keepAlive,
-		Control:         controlSocket,
+		Control:         setUserTimeout,
 	}
 	return &http.Transport{
 		DialContext:         dialer.DialContext,
--- a/internal/agent/peer_server.go
+++ b/internal/agent/peer_server.go
@@ -96,7 +96,7 @@
 
 // listen opens the address of the service to other agents.
 func listen(ctx context.Context, address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAliveConfig: keepAlive, Control: controlSocket}
+	config := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	listener, err := config.Listen(ctx, "tcp4", address)
 	return listener, errors.Wrapf(err, "listen on %s for other agents", address)
 }
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -32,7 +32,7 @@
 	caller   *caller
 	server   *http.Server
 	listener net.Listener
-	reloader *reloader
+	seeds    *seedsWatcher
 	events   chan event
 	started  time.Time
 	cancel   context.CancelFunc // ends all calls
@@ -68,7 +68,7 @@
 		caller:   calling,
 		server:   newServer(events, logger),
 		listener: options.Listener,
-		reloader: newReloader(options.SettingsPath, seeds, options.LinkAddress, logger),
+		seeds:    newSeedsWatcher(options.SettingsPath, seeds, options.LinkAddress, logger),
 		events:   events,
 		started:  time.Now(),
 		cancel:   cancel,
@@ -113,7 +113,7 @@
 		case received = <-p.events:
 		case <-timer.C:
 		case <-hangups:
-			p.applySeeds(p.reloader.reload())
+			p.applySeeds(p.seeds.reload())
 		case <-shutdown:
 			shutdown = nil // requested once
 			received = shutdownRequested{}
@@ -125,7 +125,7 @@
 		if p.core.finished(now) {
 			return nil
 		}
-		p.applySeeds(p.reloader.poll(now))
+		p.applySeeds(p.seeds.poll(now))
 		timer.Reset(max(p.core.nextTick(now)-now, minTickInterval))
 	}
 }
--- a/internal/agent/seeds.go
+++ b/internal/agent/seeds.go
@@ -13,11 +13,11 @@
 	"fieldrelay/internal/settings"
 )
 
-// reloadInterval is the time between two looks at the settings file.
-const reloadInterval = time.Second
+// settingsCheckInterval is the time between two looks at the settings file.
+const settingsCheckInterval = time.Second
 
 // reloader follows the seeds in the settings file. It is not safe for concurrent use.
-type reloader struct {
+type seedsWatcher struct {
 	path     string // empty: there is no file
 	logger   *zap.Logger
 	resolve  func(seed string) (string, error)
@@ -27,47 +27,47 @@
 	polledAt time.Duration
 }
 
-// newReloader follows the file at path, of which seeds were read.
-func newReloader(path string, seeds []string, resolve func(string) (string, error), logger *zap.Logger) *reloader {
-	r := &reloader{path: path, logger: logger, resolve: resolve, seeds: seeds}
+// newSeedsWatcher follows the file at path, of which seeds were read.
+func newSeedsWatcher(path string, seeds []string, resolve func(string) (string, error), logger *zap.Logger) *seedsWatcher {
+	w := &seedsWatcher{path: path, logger: logger, resolve: resolve, seeds: seeds}
 	if information, err := os.Stat(path); err == nil {
-		r.modified = information.ModTime()
-		r.size = information.Size()
+		w.modified = information.ModTime()
+		w.size = information.Size()
 	}
-	return r
+	return w
 }
 
-// poll reads the file if it has changed, at most once in reloadInterval. It returns the link addresses of the seeds and
+// poll reads the file if it has changed, at most once in settingsCheckInterval. It returns the link addresses of the seeds and
 // whether they have changed.
-func (r *reloader) poll(now time.Duration) ([]string, bool) {
-	if r.path == "" || now-r.polledAt < reloadInterval {
+func (w *seedsWatcher) poll(now time.Duration) ([]string, bool) {
+	if w.path == "" || now-w.polledAt < settingsCheckInterval {
 		return nil, false
 	}
-	r.polledAt = now
-	information, err := os.Stat(r.path)
-	if err != nil || information.ModTime().Equal(r.modified) && information.Size() == r.size {
+	w.polledAt = now
+	information, err := os.Stat(w.path)
+	if err != nil || information.ModTime().Equal(w.modified) && information.Size() == w.size {
 		return nil, false
 	}
-	r.modified = information.ModTime()
-	r.size = information.Size()
-	return r.reload()
+	w.modified = information.ModTime()
+	w.size = information.Size()
+	return w.reload()
 }
 
 // reload is poll without regard to whether the file has changed.
-func (r *reloader) reload() ([]string, bool) {
-	if r.path == "" {
+func (w *seedsWatcher) reload() ([]string, bool) {
+	if w.path == "" {
 		return nil, false
 	}
-	read, err := settings.Load(r.path)
+	read, err := settings.Load(w.path)
 	if err != nil {
-		r.logger.Warn("settings reload failed", zap.Error(err))
+		w.logger.Warn("settings reload failed", zap.Error(err))
 		return nil, false
 	}
-	seeds := resolveSeeds(read.Seeds, r.resolve, r.logger)
-	if slices.Equal(seeds, r.seeds) {
+	seeds := resolveSeeds(read.Seeds, w.resolve, w.logger)
+	if slices.Equal(seeds, w.seeds) {
 		return nil, false
 	}
-	r.seeds = seeds
+	w.seeds = seeds
 	return seeds, true
 }
 
--- a/internal/agent/seeds_test.go
+++ b/internal/agent/seeds_test.go
@@ -28,20 +28,20 @@
 	start := time.Now()
 	write(settingsText+`seed-nodes = ["10.0.0.2:8146"]`, start)
 	resolve := linkAddress(7660)
-	r := newReloader(path, []string{"10.0.0.2:7660"}, resolve, zap.NewNop())
+	r := newSeedsWatcher(path, []string{"10.0.0.2:7660"}, resolve, zap.NewNop())
 
-	now := reloadInterval
+	now := settingsCheckInterval
 	_, changed := r.poll(now)
 	require.False(t, changed)
 	write(settingsText+`seed-nodes = ["10.0.0.3:8146"]`, start.Add(time.Second))
-	_, changed = r.poll(now + reloadInterval/2)
+	_, changed = r.poll(now + settingsCheckInterval/2)
 	require.False(t, changed, "too soon")
-	seeds, changed := r.poll(now + reloadInterval)
+	seeds, changed := r.poll(now + settingsCheckInterval)
 	require.True(t, changed)
 	require.Equal(t, []string{"10.0.0.3:7660"}, seeds)
 
 	write("half a fi", start.Add(2*time.Second))
-	_, changed = r.poll(now + 2*reloadInterval)
+	_, changed = r.poll(now + 2*settingsCheckInterval)
 	require.False(t, changed, "what can't be read changes nothing")
 	_, changed = r.reload()
 	require.False(t, changed)
@@ -53,7 +53,7 @@
 }
 
 func TestWithoutAFileNothingIsReloaded(t *testing.T) {
-	r := newReloader("", nil, linkAddress(1), zap.NewNop())
+	r := newSeedsWatcher("", nil, linkAddress(1), zap.NewNop())
 	_, changed := r.poll(time.Hour)
 	require.False(t, changed)
 	_, changed = r.reload()
--- a/internal/agent/socket_other.go
+++ b/internal/agent/socket_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// controlSocket does nothing on systems without TCP_USER_TIMEOUT.
-func controlSocket(_, _ string, _ syscall.RawConn) error { return nil }
+// setUserTimeout does nothing on systems without TCP_USER_TIMEOUT.
+func setUserTimeout(_, _ string, _ syscall.RawConn) error { return nil }
--- a/internal/controlserver/logging.go
+++ b/internal/controlserver/logging.go
@@ -23,29 +23,29 @@
 	}
 }
 
-// logLagEvent logs an event of the lag monitor; other actions are ignored.
-func (p *process) logLagEvent(action registry.Action) {
-	switch event := action.(type) {
+// logLagAction logs an action of the lag monitor; other actions are ignored.
+func (p *process) logLagAction(action registry.Action) {
+	switch action := action.(type) {
 	case registry.AgentLagging:
 		p.logger.Warn("agent lagging",
-			zap.String("host", event.Host),
-			zap.Uint64("reported_sequence", event.Reported),
-			zap.Uint64("committed_sequence", event.Committed),
-			zap.Duration("lag", event.Lag),
-			zap.Bool("ready", event.Ready))
+			zap.String("host", action.Host),
+			zap.Uint64("reported_sequence", action.Reported),
+			zap.Uint64("committed_sequence", action.Committed),
+			zap.Duration("lag", action.Lag),
+			zap.Bool("ready", action.Ready))
 	case registry.AgentCaughtUp:
 		p.logger.Info("agent lag ended",
-			zap.String("host", event.Host),
-			zap.Uint64("reported_sequence", event.Reported),
-			zap.Duration("max_lag", event.LongestLag),
-			zap.Bool("contact_lost", event.LostContact))
+			zap.String("host", action.Host),
+			zap.Uint64("reported_sequence", action.Reported),
+			zap.Duration("max_lag", action.LongestLag),
+			zap.Bool("contact_lost", action.LostContact))
 	case registry.ProxyBoundExceeded:
 		p.logger.Error("proxy exceeded the lag bound",
-			zap.String("host", event.Host),
-			zap.Uint64("reported_sequence", event.Reported),
-			zap.Uint64("committed_sequence", event.Committed),
-			zap.Duration("lag", event.Lag),
-			zap.Duration("bound", event.Bound))
+			zap.String("host", action.Host),
+			zap.Uint64("reported_sequence", action.Reported),
+			zap.Uint64("committed_sequence", action.Committed),
+			zap.Duration("lag", action.Lag),
+			zap.Duration("bound", action.Bound))
 	}
 }
 
--- a/internal/controlserver/process.go
+++ b/internal/controlserver/process.go
@@ -83,7 +83,7 @@
 	case registry.SendList:
 		p.node.BroadcastServerList(action.List)
 	default:
-		p.logLagEvent(action)
+		p.logLagAction(action)
 	}
 }
 
--- a/internal/proxy/placementoutcome.go
+++ b/internal/proxy/placementoutcome.go
@@ -15,11 +15,11 @@
 	if errors.As(err, &dialError) && dialError.TimedOut {
 		return placement.Unreachable
 	}
-	var answerError *upstream.ResponseError
-	if !errors.As(err, &answerError) {
+	var responseError *upstream.ResponseError
+	if !errors.As(err, &responseError) {
 		return placement.Reset
 	}
-	switch answerError.Fault {
+	switch responseError.Fault {
 	case upstream.FaultUnreachable:
 		return placement.Unreachable
 	case upstream.FaultDeadline:
--- a/internal/proxy/process.go
+++ b/internal/proxy/process.go
@@ -59,7 +59,7 @@
 	liveness         *agentLiveness
 	started          time.Time
 	listener         *clientListener
-	reloader         *reloader
+	settings         *settingsWatcher
 	gracePeriod      atomic.Int64    // nanoseconds
 	baseContext      context.Context // parent of the contexts of all requests
 	cancelRequests   context.CancelFunc
@@ -100,7 +100,7 @@
 	p.lifecycle = &lifecycle{snapshot: p.snapshots.load}
 	p.gracePeriod.Store(int64(bounds.Grace()))
 	path, _ := settings.Path() // empty without a file; nothing is reloaded then
-	p.reloader = newReloader(path, logger, p.applySettings)
+	p.settings = newSettingsWatcher(path, logger, p.applySettings)
 	return p
 }
 
@@ -237,9 +237,9 @@
 		case <-terminate:
 			return
 		case <-reload:
-			p.reloader.reload()
+			p.settings.reload()
 		case <-housekeeping.C:
-			p.reloader.reloadIfChanged()
+			p.settings.reloadIfChanged()
 			p.sweep(p.snapshots.load())
 			p.liveness.checkTimeout(p.now())
 		case <-report.C:
--- a/internal/proxy/process_test.go
+++ b/internal/proxy/process_test.go
@@ -315,7 +315,7 @@
 		Servers: []*pb.Server{{Id: "i-2", Service: "s2", Address: server.server.Address, Zone: "z2"}},
 	}})
 	r.process.applySettings(testSettings(2))
-	r.process.reloader.reload()
+	r.process.settings.reload()
 	r.process.sweep(r.process.snapshots.load())
 
 	close(next)
@@ -365,7 +365,7 @@
 	}
 	write(settingsFile + "3\n")
 	var applied []float64
-	r := newReloader(path, zap.NewNop(), func(s *settings.Settings) { applied = append(applied, s.Bounds.GraceS) })
+	r := newSettingsWatcher(path, zap.NewNop(), func(s *settings.Settings) { applied = append(applied, s.Bounds.GraceS) })
 	r.reloadIfChanged()
 	require.Empty(t, applied, "nothing changed")
 	write(settingsFile + "4.5\n")
@@ -382,5 +382,5 @@
 	r.reloadIfChanged()
 	r.reload()
 	require.Len(t, applied, 2)
-	newReloader("", zap.NewNop(), nil).reload()
+	newSettingsWatcher("", zap.NewNop(), nil).reload()
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/settingswatcher.go
@@ -11,7 +11,7 @@
 
 // reloader follows the settings file, and loads it again when it has changed, with or without a signal. A file that
 // can't be loaded is logged and ignored. It is not safe for concurrent use.
-type reloader struct {
+type settingsWatcher struct {
 	path     string // empty: there is no file to follow
 	modified time.Time
 	size     int64
@@ -19,44 +19,44 @@
 	apply    func(*settings.Settings)
 }
 
-func newReloader(path string, logger *zap.Logger, apply func(*settings.Settings)) *reloader {
-	r := &reloader{path: path, logger: logger, apply: apply}
-	r.hasChanged()
-	return r
+func newSettingsWatcher(path string, logger *zap.Logger, apply func(*settings.Settings)) *settingsWatcher {
+	w := &settingsWatcher{path: path, logger: logger, apply: apply}
+	w.hasChanged()
+	return w
 }
 
 // hasChanged reports whether the file's time or size has changed since the last call.
-func (r *reloader) hasChanged() bool {
-	if r.path == "" {
+func (w *settingsWatcher) hasChanged() bool {
+	if w.path == "" {
 		return false
 	}
-	info, err := os.Stat(r.path)
+	info, err := os.Stat(w.path)
 	if err != nil {
 		return false
 	}
-	same := info.ModTime().Equal(r.modified) && info.Size() == r.size
-	r.modified, r.size = info.ModTime(), info.Size()
+	same := info.ModTime().Equal(w.modified) && info.Size() == w.size
+	w.modified, w.size = info.ModTime(), info.Size()
 	return !same
 }
 
 // reloadIfChanged loads the file again if it has changed.
-func (r *reloader) reloadIfChanged() {
-	if r.hasChanged() {
-		r.reload()
+func (w *settingsWatcher) reloadIfChanged() {
+	if w.hasChanged() {
+		w.reload()
 	}
 }
 
 // reload loads the file again.
-func (r *reloader) reload() {
-	if r.path == "" {
+func (w *settingsWatcher) reload() {
+	if w.path == "" {
 		return
 	}
-	r.hasChanged()
-	loaded, err := settings.Load(r.path)
+	w.hasChanged()
+	loaded, err := settings.Load(w.path)
 	if err != nil {
-		r.logger.Warn("settings reload failed, previous settings stay in force", zap.Error(err))
+		w.logger.Warn("settings reload failed, previous settings stay in force", zap.Error(err))
 		return
 	}
-	r.apply(loaded)
-	r.logger.Info("settings reloaded")
+	w.apply(loaded)
+	w.logger.Info("settings reloaded")
 }
--- a/internal/proxy/upstream/receive_test.go
+++ b/internal/proxy/upstream/receive_test.go
@@ -27,9 +27,9 @@
 		t.Run(name, func(t *testing.T) {
 			pool := NewPool(Config{})
 			conn, _, err := exchange(t, pool, scriptedServer(t, respond(test.answer)))
-			var answerError *ResponseError
-			require.ErrorAs(t, err, &answerError)
-			require.Equal(t, test.fault, answerError.Fault, "%v", err)
+			var responseError *ResponseError
+			require.ErrorAs(t, err, &responseError)
+			require.Equal(t, test.fault, responseError.Fault, "%v", err)
 			pool.Release(conn)
 			require.Zero(t, pool.Stats().IdleNow)
 		})
@@ -70,9 +70,9 @@
 				require.NoError(t, err)
 				require.Equal(t, "body", string(body))
 			} else {
-				var answerError *ResponseError
-				require.ErrorAs(t, conn.BodyError(err), &answerError)
-				require.Equal(t, test.fault, answerError.Fault)
+				var responseError *ResponseError
+				require.ErrorAs(t, conn.BodyError(err), &responseError)
+				require.Equal(t, test.fault, responseError.Fault)
 			}
 			pool.Release(conn)
 			require.Zero(t, pool.Stats().IdleNow)
@@ -126,9 +126,9 @@
 			require.NoError(t, err)
 			_, err = io.ReadAll(response.Body)
 			require.Error(t, err)
-			var answerError *ResponseError
-			require.ErrorAs(t, conn.BodyError(err), &answerError)
-			require.Equal(t, FaultBroken, answerError.Fault)
+			var responseError *ResponseError
+			require.ErrorAs(t, conn.BodyError(err), &responseError)
+			require.Equal(t, FaultBroken, responseError.Fault)
 		})
 	}
 }
--- a/internal/proxy/upstream/send_test.go
+++ b/internal/proxy/upstream/send_test.go
@@ -143,9 +143,9 @@
 		conn, _, response, err := sendLong(t, pool, server)
 		require.NoError(t, err)
 		_, err = io.ReadAll(response.Body)
-		var answerError *ResponseError
-		require.ErrorAs(t, conn.BodyError(err), &answerError)
-		require.Equal(t, FaultBroken, answerError.Fault)
+		var responseError *ResponseError
+		require.ErrorAs(t, conn.BodyError(err), &responseError)
+		require.Equal(t, FaultBroken, responseError.Fault)
 		pool.Discard(conn)
 	}
 }
@@ -209,9 +209,9 @@
 	require.NoError(t, conn.Send(head, body))
 	conn.SetDeadline(time.Now().Add(20 * time.Millisecond))
 	_, err := conn.Receive(http.MethodPost, "id1")
-	var answerError *ResponseError
-	require.ErrorAs(t, err, &answerError)
-	require.Equal(t, FaultDeadline, answerError.Fault)
+	var responseError *ResponseError
+	require.ErrorAs(t, err, &responseError)
+	require.Equal(t, FaultDeadline, responseError.Fault)
 	require.False(t, errors.As(err, new(*SendError)), "some of it was sent")
 	pool.Discard(conn)
 }
--- a/internal/proxy/upstream/unreachable_test.go
+++ b/internal/proxy/upstream/unreachable_test.go
@@ -91,9 +91,9 @@
 func TestAMachineThatTakesNothingInIsSilent(t *testing.T) {
 	conn := unreachableConn(t, NewPool(Config{}))
 	_, err := conn.Receive(http.MethodGet, "id1")
-	var answerError *ResponseError
-	require.ErrorAs(t, err, &answerError)
-	require.Equal(t, FaultUnreachable, answerError.Fault)
+	var responseError *ResponseError
+	require.ErrorAs(t, err, &responseError)
+	require.Equal(t, FaultUnreachable, responseError.Fault)
 }
 
 func TestASweepTellsOfSilentMachines(t *testing.T) {
--- a/internal/proxy/upstream/upstream_test.go
+++ b/internal/proxy/upstream/upstream_test.go
@@ -188,9 +188,9 @@
 	require.NoError(t, err)
 	require.NoError(t, conn.Send([]byte(head), nil))
 	_, err = conn.Receive(http.MethodGet, "id1")
-	var answerError *ResponseError
-	require.ErrorAs(t, err, &answerError)
-	require.Equal(t, FaultDeadline, answerError.Fault)
+	var responseError *ResponseError
+	require.ErrorAs(t, err, &responseError)
+	require.Equal(t, FaultDeadline, responseError.Fault)
 }
 
 func TestAbortEndsTheExchange(t *testing.T) {
--- a/internal/registry/inventory.go
+++ b/internal/registry/inventory.go
@@ -36,9 +36,9 @@
 	lastSentAt     time.Duration
 
 	// The singleton role.
-	firstInOrder      bool          // this machine is the first in order, and another one is the owner
-	firstInOrderSince time.Duration // counts only if firstInOrder
-	jitter            time.Duration // part of the takeover delay, drawn anew for each list
+	awaitsPreemption      bool          // this machine is the first in order, and another one is the owner
+	awaitsPreemptionSince time.Duration // counts only if awaitsPreemption
+	jitter                time.Duration // part of the takeover delay, drawn anew for each list
 
 	// Polls.
 	polling             bool // a poll is in flight
--- a/internal/registry/lag_agent.go
+++ b/internal/registry/lag_agent.go
@@ -30,7 +30,7 @@
 // update takes a report. Another incarnation of the agent or the proxy, or a gap of FailureTimeout, begins a new contact.
 func (a *trackedAgent) update(receivedAt time.Duration, record *pb.AgentRecord) {
 	gap := receivedAt - a.receivedAt
-	hasProxy := record.GetEdgeAddress() != "" && !record.GetDraining()
+	evaluated := record.GetEdgeAddress() != "" && !record.GetDraining()
 	restarted := record.GetIncarnation() != a.incarnation || record.GetSequence() < a.sequence || !a.evaluated
 	if gap >= FailureTimeout || restarted {
 		a.contactSince = receivedAt
@@ -41,15 +41,15 @@
 	a.incarnation = record.GetIncarnation()
 	a.sequence = record.GetSequence()
 	a.ready = record.GetReady()
-	a.evaluated = hasProxy
+	a.evaluated = evaluated
 	a.receivedAt = receivedAt
 }
 
 // endEpisode appends the end of the running episode, if there is one, of an agent that is no longer evaluated.
-func (a *trackedAgent) endEpisode(events []Action, host string) []Action {
+func (a *trackedAgent) endEpisode(actions []Action, host string) []Action {
 	if a.episode.Update(0, LagThreshold) != lag.Ended {
-		return events
+		return actions
 	}
 	a.violated = false
-	return append(events, AgentCaughtUp{Host: host, Reported: a.sequence, LongestLag: a.episode.Longest(), LostContact: true})
+	return append(actions, AgentCaughtUp{Host: host, Reported: a.sequence, LongestLag: a.episode.Longest(), LostContact: true})
 }
--- a/internal/registry/lag_monitor.go
+++ b/internal/registry/lag_monitor.go
@@ -67,8 +67,8 @@
 	if agent == nil {
 		return nil
 	}
-	events := l.updateEpisode(now, record.GetHost(), agent)
-	return l.checkBound(events, now, record.GetHost(), agent)
+	actions := l.updateEpisode(now, record.GetHost(), agent)
+	return l.checkBound(actions, now, record.GetHost(), agent)
 }
 
 // Merge takes reports that another control machine received, with their ages.
@@ -80,16 +80,16 @@
 
 // Step evaluates all agents at the time now, and removes those whose last report is FailureTimeout old.
 func (l *LagMonitor) Step(now time.Duration) []Action {
-	var events []Action
+	var actions []Action
 	for host, agent := range l.agents {
 		if now-agent.receivedAt >= FailureTimeout {
-			events = agent.endEpisode(events, host)
+			actions = agent.endEpisode(actions, host)
 			delete(l.agents, host)
 			continue
 		}
-		events = append(events, l.updateEpisode(now, host, agent)...)
+		actions = append(actions, l.updateEpisode(now, host, agent)...)
 	}
-	return events
+	return actions
 }
 
 // Stats summarizes the lag at the time now.
@@ -163,16 +163,16 @@
 }
 
 // checkBound appends a ProxyBoundExceeded if a report that has just come from the agent itself shows one.
-func (l *LagMonitor) checkBound(events []Action, now time.Duration, host string, agent *trackedAgent) []Action {
+func (l *LagMonitor) checkBound(actions []Action, now time.Duration, host string, agent *trackedAgent) []Action {
 	lagging := l.lagOf(now, agent)
 	bound := l.boundFor(now, lagging, agent)
 	inContact := now-agent.contactSince >= l.bounds.MinContact
 	if l.bounds.ApplyDelay <= 0 || agent.violated || !agent.ready || !inContact || lagging <= bound {
-		return events
+		return actions
 	}
 	agent.violated = true
 	l.violations++
-	return append(events, ProxyBoundExceeded{
+	return append(actions, ProxyBoundExceeded{
 		Host: host, Reported: agent.sequence, Committed: l.committed.Newest(), Lag: lagging, Bound: bound,
 	})
 }
--- a/internal/registry/ownership.go
+++ b/internal/registry/ownership.go
@@ -65,19 +65,19 @@
 	if now < i.startedAt+startupGracePeriod {
 		return false
 	}
-	if i.firstInOrder && now >= i.firstInOrderSince+preemptionDelay {
+	if i.awaitsPreemption && now >= i.awaitsPreemptionSince+preemptionDelay {
 		return true
 	}
 	return now >= i.current.confirmedAt+i.takeoverDelay()
 }
 
-// trackFirstInOrder records since when this machine is the first in order while another one is the owner.
-func (i *ServerInventory) trackFirstInOrder(now time.Duration) {
+// trackPreemption records since when this machine is the first in order while another one is the owner.
+func (i *ServerInventory) trackPreemption(now time.Duration) {
 	first := len(i.liveHosts) > 0 && i.liveHosts[0] == i.self && !i.IsOwner()
-	if first && !i.firstInOrder {
-		i.firstInOrderSince = now
+	if first && !i.awaitsPreemption {
+		i.awaitsPreemptionSince = now
 	}
-	i.firstInOrder = first
+	i.awaitsPreemption = first
 }
 
 // initialPollDelay is how long after its start a machine without a list polls. Machines that start together poll in
--- a/internal/registry/poll.go
+++ b/internal/registry/poll.go
@@ -36,7 +36,7 @@
 
 // tick starts a poll if one is due.
 func (i *ServerInventory) tick(now time.Duration) []Action {
-	i.trackFirstInOrder(now)
+	i.trackPreemption(now)
 	if now < i.nextPollAt {
 		return nil
 	}
