--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -9,8 +9,8 @@
 	"fieldrelay/internal/shuffle"
 )
 
-// action is a call that the core wants made. Its end comes back as an event, except that a call to another agent is
-// dropped without one when too many are under way.
+// action is a call that the core requests. Its result comes back as an event, except that a call to another agent is
+// dropped without one when too many are in flight.
 type action interface{ isAction() }
 
 // watchKind is the purpose of a call to a control machine.
--- a/internal/agent/caller.go
+++ b/internal/agent/caller.go
@@ -34,8 +34,8 @@
 	idleTimeout = 90 * time.Second
 )
 
-// caller makes the calls that the core wants, each in a goroutine of its own, and posts their ends as events. Its method
-// start is for one goroutine only.
+// caller makes the calls that the core requests, each in its own goroutine, and posts their results as events. Its method
+// start must be called by one goroutine only.
 type caller struct {
 	self      shuffle.Neighbour
 	client    *http.Client
@@ -114,7 +114,7 @@
 	return true
 }
 
-// run makes a call in a goroutine of its own and posts the event that it returns. The call is canceled when its response
+// run makes a call in its own goroutine and posts the event that it returns. The call is canceled when its response
 // doesn't start within the timeout, or makes no progress after that. onStart, unless nil, is called when it starts.
 func (c *caller) run(timeout time.Duration, onStart func(), call func(ctx context.Context) event) {
 	c.running.Go(func() {
@@ -215,7 +215,7 @@
 }
 
 // addTransferTime adds the time that a response took to arrive to the age of the server list in it, which is nil if
-// there is none. Its writer named the age as of writing, and what is left of its servers' lifetimes counts from there.
+// there is none. The sender wrote the age as of sending, and the servers' remaining lifetimes count from then.
 func addTransferTime(list *pb.ServerList, transfer time.Duration) {
 	if list != nil {
 		list.AgeMs += uint32(transfer / time.Millisecond)
--- a/internal/agent/control_endpoints.go
+++ b/internal/agent/control_endpoints.go
@@ -64,8 +64,8 @@
 	return chosen
 }
 
-// chooseExcept returns one of the nearest control machines that have not failed lately and are not excluded, at random
-// among equals. If all have failed lately it returns the one whose failure is oldest; if all are excluded, nothing.
+// chooseExcept returns one of the nearest control machines that have not failed recently and are not excluded, at random
+// among equals. If all have failed recently it returns the one whose failure is oldest; if all are excluded, nothing.
 func (e *controlEndpoints) chooseExcept(now time.Duration, excluded []string) string {
 	chosen := e.pick(func(address string) bool {
 		return !slices.Contains(excluded, address) && e.usable(now, address, failureCooldown)
--- a/internal/agent/control_link.go
+++ b/internal/agent/control_link.go
@@ -13,14 +13,15 @@
 
 // Long polls and notices.
 const (
-	// watchWait is the longest time that a control machine is asked to wait for an update before it responds.
+	// watchWait is the longest time that a control machine is requested to wait for an update before it responds.
 	watchWait = time.Second
 	// overdueMargin is the time past its wait after which a long poll without a response is overdue and other control
 	// machines are probed: a partition closes no connection.
 	overdueMargin = 250 * time.Millisecond
 	// watchTimeout is the time in which the response to a long poll has to start.
 	watchTimeout = watchWait + time.Second
-	// noticeTimeout is the time in which the response to a notice, which is not waited with, has to start.
+	// noticeTimeout is the time in which the response to a notice, which is sent without waiting for an update, has to
+	// start.
 	noticeTimeout = time.Second
 	// maxNotices bounds the notices in flight.
 	maxNotices = 3
@@ -54,8 +55,8 @@
 	maxEmptyBackoff = 160 * time.Millisecond
 	// maxDoublings bounds the shift that a backoff is computed by.
 	maxDoublings = 10
-	// minDialTimeout and maxDialTimeout bound the time for a connection to come up. The first attempts are short, for a
-	// machine without power refuses nothing; each timeout makes the next one longer by a half, for links that are slow.
+	// minDialTimeout and maxDialTimeout bound the time for a connection to come up. The first attempts are short, since a
+	// machine without power does not refuse connections; each timeout makes the next one longer by a half, for slow links.
 	minDialTimeout = 150 * time.Millisecond
 	maxDialTimeout = time.Second
 )
@@ -169,14 +170,14 @@
 	return l.inFlight && call.id == l.longPoll.id
 }
 
-// handleResponseStarted takes the first bytes of a response.
+// handleResponseStarted records that the first bytes of a response have arrived.
 func (l *controlLink) handleResponseStarted(id uint64) {
 	if l.inFlight && id == l.longPoll.id {
 		l.responding = true
 	}
 }
 
-// finishNotice takes the end of a notice.
+// finishNotice records the end of a notice.
 func (l *controlLink) finishNotice(call watchCall) {
 	l.noticesInFlight--
 	if call.id == l.stateFetchID {
@@ -187,8 +188,8 @@
 	}
 }
 
-// handleFailure takes the failure of a call. After that of the long poll another control machine becomes the current
-// one, after a backoff.
+// handleFailure processes the failure of a call. If the long poll fails, another control machine becomes the current one
+// and is called after a backoff.
 func (l *controlLink) handleFailure(now time.Duration, call watchCall, err error) {
 	if call.kind == watchNotice {
 		l.finishNotice(call)
@@ -228,13 +229,13 @@
 	moreAvailable bool // its machine holds newer state than the replica still
 }
 
-// handleResponse takes the response to a call.
+// handleResponse processes the response to a call.
 func (l *controlLink) handleResponse(now time.Duration, call watchCall, response *pb.WatchResponse, outcome watchOutcome) {
 	if call.kind == watchProbe {
 		l.handleProbeResponse(now, call, response, outcome)
 		return
 	}
-	// A machine that has nothing newer says nothing about the digests that another machine has asked for.
+	// The response of a machine that has nothing newer does not cancel another machine's request for digests.
 	if outcome.moreAvailable || outcome.updated {
 		l.sendDigests = outcome.moreAvailable && (response.GetNeedDigests() || !outcome.updated)
 	}
@@ -264,7 +265,7 @@
 	l.consecutiveEmpty++
 }
 
-// adoptView takes the voters of a view if it is newer than the last one, and reports whether it was.
+// adoptView adopts the voters of a view if it is newer than the last one, and reports whether it was.
 func (l *controlLink) adoptView(view *pb.View) bool {
 	if view.GetNumber() <= l.viewNumber || len(view.GetVoters()) == 0 {
 		return false
--- a/internal/agent/control_probes.go
+++ b/internal/agent/control_probes.go
@@ -12,7 +12,7 @@
 const (
 	// maxProbes bounds the probes in flight. Only one of five control machines may have authority.
 	maxProbes = 4
-	// probeWait is the longest time that a control machine is asked to wait for authority before it responds. Then
+	// probeWait is the longest time that a control machine is requested to wait for authority before it responds. Then
 	// another one is probed.
 	probeWait = 300 * time.Millisecond
 	// slowResponseAllowance is how much later a long poll is overdue once its response has started.
@@ -31,7 +31,7 @@
 	nextStart        time.Duration // earliest time of the next probe
 }
 
-// finish takes the end of a probe.
+// finish records the end of a probe.
 func (p *probes) finish(address string, nextStart time.Duration) {
 	p.inFlight = slices.DeleteFunc(p.inFlight, func(other string) bool { return other == address })
 	p.nextStart = nextStart
@@ -57,8 +57,8 @@
 	return never
 }
 
-// overdueAt returns the time at which the long poll in flight is overdue. A response that has started gets longer:
-// requested from another machine it would load the links once more.
+// overdueAt returns the time at which the long poll in flight is overdue. A response that has started gets more
+// time: requesting it from another machine would load the links once more.
 func (l *controlLink) overdueAt() time.Duration {
 	wait := time.Duration(l.longPoll.request.GetHoldMs()) * time.Millisecond
 	overdue := l.longPoll.started + wait + overdueMargin
@@ -90,7 +90,7 @@
 }
 
 // chooseProbeTarget returns the control machine to probe next, empty if there is none. It prefers machines that have not
-// yet responded without authority, and begins anew when all of them have.
+// yet responded without authority, and starts over when all of them have.
 func (l *controlLink) chooseProbeTarget(now time.Duration) string {
 	excluded := append(slices.Clone(l.probes.inFlight), l.current)
 	if address := l.endpoints.chooseExcept(now, slices.Concat(excluded, l.probes.nonAuthoritative)); address != "" {
@@ -108,7 +108,7 @@
 	return max(l.probingSince(), l.probes.nextStart)
 }
 
-// handleProbeResponse takes the response to a probe. A machine with authority becomes the current one if a replacement
+// handleProbeResponse processes the response to a probe. A machine with authority becomes the current one if a replacement
 // is still wanted.
 func (l *controlLink) handleProbeResponse(now time.Duration, call watchCall, response *pb.WatchResponse, outcome watchOutcome) {
 	l.probes.finish(call.address, now)
--- a/internal/agent/core.go
+++ b/internal/agent/core.go
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// nextTick returns the latest time at which the core wants to be stepped again.
+// nextTick returns the latest time at which the core must be stepped again.
 func (c *core) nextTick(now time.Duration) time.Duration {
 	at := now + maxTickInterval
 	if !c.proxy.inFlight {
--- a/internal/agent/core_control.go
+++ b/internal/agent/core_control.go
@@ -13,7 +13,7 @@
 
 const (
 	// maxFirstWatchDelay is the latest time of the first long poll, whether the proxy's state is known by then or not.
-	// A restarted agent waits for it, so as not to report first that a proxy which is ready isn't.
+	// A restarted agent waits for it, so that its first report doesn't say that a ready proxy is not ready.
 	maxFirstWatchDelay = 300 * time.Millisecond
 	// maxConfirmationLatency is the longest duration of a call whose response confirms the state. A response was true
 	// when it was written; one that came slowly may be older than the wait of a long poll.
@@ -94,7 +94,7 @@
 	return c.proxy.awaitsConfirmation() && notified.started < c.proxy.foundAt
 }
 
-// handleWatchDone takes the end of a call to a control machine.
+// handleWatchDone processes the result of a call to a control machine.
 func (c *core) handleWatchDone(now time.Duration, done watchDone) []action {
 	if done.err != nil {
 		c.counters.watchFailures++
@@ -124,8 +124,9 @@
 
 // fetchState requests the state that a machine without authority has named in its response to a probe. There may be no
 // machine with authority, and this may be the only one in reach that has a change: a chain that is partitioned off as a
-// whole acknowledges changes for a while. One machine is asked at a time, so that several don't send the same state. A
-// machine with authority needs no fetch, for it becomes the current one, to which the long poll goes.
+// whole acknowledges changes for a while. Only one machine is requested to send it at a time, so that several don't
+// send the same state. A machine with authority needs no fetch, for it becomes the current one, to which the long poll
+// goes.
 func (c *core) fetchState(now time.Duration, address string) []action {
 	if c.control.stateFetchID != 0 || c.control.noticesInFlight >= maxNotices {
 		return nil // the response to a later probe names the state again
@@ -135,7 +136,7 @@
 	return []action{call}
 }
 
-// applyWatchResponse takes in the update in a response, whether its machine has authority or not: a control machine
+// applyWatchResponse applies the update in a response, whether its machine has authority or not: a control machine
 // sends committed changes only. It returns the calls that pass the update on.
 func (c *core) applyWatchResponse(now time.Duration, done watchDone) ([]action, watchOutcome) {
 	response := done.response
--- a/internal/agent/core_peers.go
+++ b/internal/agent/core_peers.go
@@ -42,7 +42,7 @@
 	return actions
 }
 
-// handlePeerCallDone takes the end of a call to another agent.
+// handlePeerCallDone processes the result of a call to another agent.
 func (c *core) handlePeerCallDone(now time.Duration, received event) []action {
 	switch done := received.(type) {
 	case shuffleDone:
--- a/internal/agent/core_proxy.go
+++ b/internal/agent/core_proxy.go
@@ -20,8 +20,8 @@
 	return []action{*call}
 }
 
-// handleProxyCallDone takes the end of an exchange with the proxy. The first one lets the first long poll go, which
-// then carries the state of the proxy.
+// handleProxyCallDone processes the result of an exchange with the proxy. The first long poll waits for the first
+// exchange, within maxFirstWatchDelay, so as to carry the state of the proxy.
 func (c *core) handleProxyCallDone(now time.Duration, done proxyCallDone) {
 	previous := c.proxy
 	discovered := c.proxy.handleDone(now, done)
--- a/internal/agent/events.go
+++ b/internal/agent/events.go
@@ -6,7 +6,7 @@
 type event interface{ isEvent() }
 
 type (
-	// tick lets time pass.
+	// tick says that time has passed.
 	tick struct{}
 	// watchResponseStarted reports that the first bytes of the response to a watchCall have arrived.
 	watchResponseStarted struct{ id uint64 }
@@ -57,7 +57,7 @@
 	}
 	// seedsReloaded carries the link addresses of the seeds in a settings file that has changed.
 	seedsReloaded struct{ addresses []string }
-	// shutdownRequested reports that the process has been asked to shut down.
+	// shutdownRequested reports that the process has been requested to shut down.
 	shutdownRequested struct{}
 )
 
--- a/internal/agent/lag.go
+++ b/internal/agent/lag.go
@@ -43,7 +43,7 @@
 	firstReportAt time.Duration // of that process; 0: no proxy is known
 }
 
-// observe takes the state after an event: the sequence of the replica and the last status of the proxy, if any.
+// observe records the state after an event: the sequence of the replica and the last status of the proxy, if any.
 func (m *lagMonitor) observe(now time.Duration, received event, sequence uint64, proxy *pb.ProxyStatus) {
 	m.advertised.Record(advertisedSequence(received), now)
 	if sequence > m.applied.Newest() {
@@ -85,7 +85,7 @@
 	return m.applied.Lag(now, m.reported.sequence, m.reported.firstReportAt)
 }
 
-// confirm takes that a control machine with authority had nothing newer than the replica.
+// confirm records that a control machine with authority had nothing newer than the replica.
 func (m *lagMonitor) confirm(now time.Duration) { m.confirmedAt = now }
 
 // log writes a line when a lag rises above its threshold, and one when it is back below.
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -18,7 +18,7 @@
 )
 
 // membership is what is known of the edge machines, and the quota shares that follow from it: the proxies that share a
-// bound are those of all members, of those lost lately and of this machine itself.
+// bound are those of all members, of those lost recently and of this machine itself.
 type membership struct {
 	self          *pb.Neighbour
 	source        string // control machine that numbered version
@@ -44,7 +44,7 @@
 	}
 }
 
-// update takes a list of members and reports whether it is another one than the last.
+// update adopts a list of members and reports whether it differs from the last one.
 func (m *membership) update(now time.Duration, source string, list *pb.Members) bool {
 	if list == nil || m.received && source == m.source && list.GetVersion() == m.version {
 		return false
@@ -64,7 +64,8 @@
 	return true
 }
 
-// liveMembers returns the members of a list that control has received a heartbeat from lately enough to be sending.
+// liveMembers returns the members of a list that control has received a report from recently enough that they may be
+// sending requests.
 func liveMembers(list *pb.Members) []*pb.Neighbour {
 	members := make([]*pb.Neighbour, 0, len(list.GetAgents()))
 	for _, record := range list.GetAgents() {
@@ -91,8 +92,8 @@
 	m.lost[member.GetHost()] = lostMember{member: member, expiresAt: now + lostMemberRetention}
 }
 
-// expireLost forgets lost members in time. It is called when a control machine has responded, so that none is forgotten
-// while none responds.
+// expireLost removes the lost members whose retention is over. It is called when a control machine has responded, so that
+// no member is removed while no control machine responds.
 func (m *membership) expireLost(now time.Duration) {
 	expired := false
 	for host, lost := range m.lost {
--- a/internal/agent/peer_server.go
+++ b/internal/agent/peer_server.go
@@ -20,7 +20,7 @@
 	// readTimeout is the time in which a request has to arrive completely.
 	readTimeout = 10 * time.Second
 	// serverIdleTimeout is the time after which a connection of another agent that carries no call is closed. The other
-	// side closes it earlier, so that no call meets the closing.
+	// side closes it earlier, so that no call is sent on a connection that is being closed.
 	serverIdleTimeout = idleTimeout + 30*time.Second
 )
 
@@ -48,7 +48,7 @@
 	return submit(ctx, s.events, shuffleRequested{request: request.Msg, response: response}, response)
 }
 
-// Push takes an update.
+// Push receives an update.
 func (s peerService) Push(ctx context.Context, request *connect.Request[pb.PushRequest]) (*connect.Response[pb.PushResponse], error) {
 	response := make(chan *pb.PushResponse, 1)
 	return submit(ctx, s.events, pushRequested{request: request.Msg, response: response}, response)
@@ -60,7 +60,7 @@
 	return submit(ctx, s.events, compareRequested{request: request.Msg, response: response}, response)
 }
 
-// submit hands a request to the core and waits for its response. The error has the code ResourceExhausted if the event
+// submit passes a request to the core and waits for its response. The error has the code ResourceExhausted if the event
 // queue is full, and DeadlineExceeded if the caller waits no longer.
 func submit[T any](ctx context.Context, events chan<- event, request event, response <-chan *T) (*connect.Response[T], error) {
 	select {
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -139,12 +139,12 @@
 	}
 }
 
-// applySeeds hands seeds that changed to the core.
+// applySeeds passes seeds that changed to the core.
 func (p *process) applySeeds(seeds []string, changed bool) {
 	if changed {
 		p.step(seedsReloaded{addresses: seeds})
 	}
 }
 
-// now returns the time of the core's monotonic clock. It begins above 0, which stands for "not yet" in the core.
+// now returns the time of the core's monotonic clock. It begins above 0, which means "not yet" in the core.
 func (p *process) now() time.Duration { return time.Since(p.started) + time.Nanosecond }
--- a/internal/agent/proxy_link.go
+++ b/internal/agent/proxy_link.go
@@ -43,8 +43,8 @@
 	lastAttempt           deliveryAttempt
 }
 
-// deliveryAttempt names what an Apply carries. What the proxy didn't take isn't sent again before the next exchange is
-// due, anything newer is.
+// deliveryAttempt names what an Apply carries. What the proxy didn't apply isn't sent again before the next exchange is
+// due; anything newer is sent at once.
 type deliveryAttempt struct {
 	sequence  uint64
 	list      *pb.ListVersion
@@ -136,7 +136,7 @@
 	return l.sharesDeliveredAt == 0 || now >= l.sharesDeliveredAt+minSharesInterval
 }
 
-// handleDone takes the end of an exchange and reports whether it has discovered another proxy process.
+// handleDone processes the result of an exchange and reports whether it has discovered another proxy process.
 func (l *proxyLink) handleDone(now time.Duration, done proxyCallDone) (discovered bool) {
 	l.inFlight = false
 	if done.err != nil {
@@ -189,9 +189,9 @@
 // ready reports whether the proxy accepts requests, as far as is known.
 func (l *proxyLink) ready() bool { return l.reachable && l.status.GetReady() }
 
-// confirm takes that nothing newer than the replica is agreed, by the response to a request sent at requestedAt. It
-// counts only for a proxy process that was observed before that: an earlier response may be older than what the
-// process has.
+// confirm records that nothing newer than the replica is agreed, according to the response to a request sent at
+// requestedAt. It counts only for a proxy process that was first observed before that: an earlier response may be older
+// than what the process has.
 func (l *proxyLink) confirm(requestedAt time.Duration) {
 	if l.status != nil && requestedAt >= l.foundAt {
 		l.confirmed = true
--- a/internal/agent/response_progress.go
+++ b/internal/agent/response_progress.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// stallTimeout is the time without a byte after which a response that has started is given up. One that comes slowly
-	// is read to its end: requested again it would come as slowly, and take bandwidth from others.
+	// stallTimeout is the time without a byte after which a response that has started is given up. A slow one
+	// is read to its end: requested again it would be as slow, and take bandwidth from others.
 	stallTimeout = 1500 * time.Millisecond
 	// maxCallDuration bounds a call in any case.
 	maxCallDuration = 20 * time.Second
@@ -82,7 +82,7 @@
 	p.cancel(&stalledError{responseStarted: started})
 }
 
-// received takes that some of the response has arrived. It does nothing on a nil receiver.
+// received records that a part of the response has arrived. It does nothing on a nil receiver.
 func (p *responseProgress) received() {
 	if p == nil {
 		return
@@ -135,7 +135,7 @@
 	return response, nil
 }
 
-// CloseIdleConnections lets [http.Client] close those of the base.
+// CloseIdleConnections closes the idle connections of the base. [http.Client] calls it.
 func (t progressTransport) CloseIdleConnections() {
 	if closer, closes := t.base.(interface{ CloseIdleConnections() }); closes {
 		closer.CloseIdleConnections()
--- a/internal/agent/seeds.go
+++ b/internal/agent/seeds.go
@@ -13,7 +13,7 @@
 	"fieldrelay/internal/settings"
 )
 
-// settingsCheckInterval is the time between two looks at the settings file.
+// settingsCheckInterval is the time between two checks of the settings file.
 const settingsCheckInterval = time.Second
 
 // reloader follows the seeds in the settings file. It is not safe for concurrent use.
@@ -37,8 +37,8 @@
 	return w
 }
 
-// poll reads the file if it has changed, at most once in settingsCheckInterval. It returns the link addresses of the seeds and
-// whether they have changed.
+// poll reads the file if it has changed, at most once in settingsCheckInterval. It returns the link addresses of the seeds
+// and whether they have changed.
 func (w *seedsWatcher) poll(now time.Duration) ([]string, bool) {
 	if w.path == "" || now-w.polledAt < settingsCheckInterval {
 		return nil, false
@@ -86,8 +86,8 @@
 	return addresses
 }
 
-// linkAddress returns what finds the link service of a seed: at the seed's host and the first port of the port range,
-// which is the same on all machines.
+// linkAddress returns a function that returns the address of the link service of a seed: at the seed's host and the
+// first port of the port range, which is the same on all machines.
 func linkAddress(firstPort int) func(seed string) (string, error) {
 	port := strconv.Itoa(firstPort)
 	return func(seed string) (string, error) {
--- a/internal/controlserver/directory.go
+++ b/internal/controlserver/directory.go
@@ -65,8 +65,8 @@
 	return cached.index.Of(host)
 }
 
-// knowsZone reports whether the deployment has a zone of this name. An evacuated zone is known wherever its order is
-// sent again, also to a machine whose settings do not name the zone, or not yet.
+// knowsZone reports whether the deployment has a zone of this name. An evacuated zone is known even if the
+// settings of this machine do not name it, or not yet: the order may be repeated at any control machine.
 func (p *process) knowsZone(zone string) bool {
 	if p.settings.Current().KnowsZone(zone) {
 		return true
--- a/internal/controlserver/linkservice.go
+++ b/internal/controlserver/linkservice.go
@@ -41,7 +41,7 @@
 
 // linkService implements the ControlLink service, by which agents get updates. Each call is a long poll (RFC 6202):
 // it is answered at once if there is an update for the agent, otherwise with the next one or after the wait that the
-// agent asked for. It is safe for concurrent use; each call runs in the goroutine of its HTTP request.
+// agent requested. It is safe for concurrent use; each call runs in the goroutine of its HTTP request.
 type linkService struct {
 	node         Node
 	soft         *softState
@@ -64,7 +64,7 @@
 }
 
 // Watch records the agent's report and answers when there is an update for it, at the latest after the wait that it
-// asks for, which is bounded by maxWatchWait.
+// requests, which is bounded by maxWatchWait.
 func (l *linkService) Watch(ctx context.Context, request *connect.Request[pb.WatchRequest]) (*connect.Response[pb.WatchResponse], error) {
 	select {
 	case l.watchSlots <- struct{}{}:
@@ -178,14 +178,14 @@
 	return response, hasUpdate
 }
 
-// isFirstRequest reports whether an agent knows nothing yet. It gets the view before anything large: until the first
-// answer it probes other control machines too, and cancels this call for the first of them that answers.
+// isFirstRequest reports whether an agent has neither view nor state yet. It gets the view before anything large: until
+// the first answer it probes other control machines too, and cancels this call for the first of them that answers.
 func isFirstRequest(watch *pb.WatchRequest) bool {
 	return watch.GetViewNumber() == 0 && watch.GetSequence() == 0
 }
 
 // addState adds what the agent's replica of the control state lacks: the changes since its sequence as long as they
-// are in the history, else a repair by the digests of its ranges, which it is asked for if it sent none.
+// are in the history, else a repair by the digests of its ranges, which are requested if it sent none.
 func (l *linkService) addState(response *pb.WatchResponse, watch *pb.WatchRequest, committed *catalog.Snapshot) bool {
 	if committed == nil {
 		return false
--- a/internal/controlserver/softstate.go
+++ b/internal/controlserver/softstate.go
@@ -19,10 +19,10 @@
 	startupTickInterval = 20 * time.Millisecond
 	startupDuration     = 3 * time.Second
 
-	// directoryConvergenceTime is the time after a start or a stall in which clients get no addresses unless most
-	// of the known proxies take requests, and, for a client that is bound to its region, one of that region does.
-	// The first few proxies would otherwise attract all clients, and proxies of other regions would attract clients
-	// whose own proxies have not been observed yet.
+	// directoryConvergenceTime is the time after a start or a stall in which clients get no addresses unless most of the
+	// known proxies take requests and, for requests that have home regions, one of the client's region does. The first
+	// few proxies would otherwise attract all clients, and proxies of other regions would attract clients whose own
+	// proxies have not been observed yet.
 	directoryConvergenceTime = 1500 * time.Millisecond
 
 	// membersConvergenceTime is the time after a start or a stall in which agents do not get the members: with an
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -27,10 +27,10 @@
 	Fanout = 3
 
 	// CompareInterval is the mean time between two comparisons that an agent begins. It bounds how long an agent that no
-	// push reaches stays behind.
+	// push reaches keeps lagging.
 	CompareInterval = 3 * time.Second
 
-	// pullDelay is how long an agent waits for an announced update to come by itself, from control, before it pulls it.
+	// pullDelay is how long an agent waits for an announced update to arrive from control before it pulls it.
 	pullDelay = 100 * time.Millisecond
 
 	// maxPushSize is the size in bytes up to which an update is pushed rather than announced.
--- a/internal/gossip/serverlist.go
+++ b/internal/gossip/serverlist.go
@@ -22,7 +22,7 @@
 const (
 	// ListStale is a list that is not newer than the present one, and was ignored.
 	ListStale ListOutcome = iota
-	// ListConfirmed is a list that says the same of the same servers at a later time, or a confirmation of the present list.
+	// ListConfirmed is a later list with the same content, or a confirmation of the present list.
 	ListConfirmed
 	// ListChanged is a newer list with other content, and was taken.
 	ListChanged
@@ -52,7 +52,7 @@
 	}
 }
 
-// sameContent reports whether a list read later says the same of the same servers, apart from the time that has passed.
+// sameContent reports whether a list read later differs from an earlier one only by the time that has passed.
 func sameContent(before, after storedList) bool {
 	if before.message == nil || after.message == nil {
 		return before.message == after.message
--- a/internal/packing/packing.go
+++ b/internal/packing/packing.go
@@ -34,6 +34,7 @@
 	Reason         string
 }
 
+// Error implements error.
 func (e *MalformedError) Error() string {
 	return fmt.Sprintf("decompress the update from %d to %d: %s", e.Base, e.Sequence, e.Reason)
 }
--- a/internal/placement/admission.go
+++ b/internal/placement/admission.go
@@ -24,9 +24,9 @@
 	urgencyWaitStep = 0.5
 	// trickleInterval is how often a request of each route is admitted whatever its expected wait.
 	trickleInterval = 500 * time.Millisecond
-	// maxTrickledRoutes bounds the routes that are remembered for that.
+	// maxTrickledRoutes bounds the routes whose last such admission is remembered.
 	maxTrickledRoutes = 4096
-	// minOverloadRetry and maxOverloadRetry bound the time after which a rejected client is told to retry.
+	// minOverloadRetry and maxOverloadRetry bound the time after which a rejected client is requested to retry.
 	minOverloadRetry = 200 * time.Millisecond
 	maxOverloadRetry = 2 * time.Second
 )
@@ -86,7 +86,7 @@
 }
 
 // overloaded reports whether answers are late and there is evidence that requests queue at servers. Lateness alone may
-// have other causes, and a rejection while servers have capacity helps nobody.
+// have other causes, and a rejection while servers have capacity gains nothing.
 func (p *Placer) overloaded(now time.Duration, owner *service) bool {
 	if owner.slack.Share >= admitAllSlack {
 		return false
--- a/internal/placement/announcement.go
+++ b/internal/placement/announcement.go
@@ -80,7 +80,7 @@
 	at     time.Duration
 }
 
-// AnnouncementReceived takes in what another proxy of the region has sent to a server.
+// AnnouncementReceived records what another proxy of the region has sent to a server.
 func (p *Placer) AnnouncementReceived(now time.Duration, announcement Announcement) {
 	known := p.byKey[announcement.Server]
 	if known == nil || announcement.Tokens <= 0 || p.off(policy.Announcements) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// prefixAnnouncedAt reports whether a prompt's shared chunks were prefilled at a server lately, as far as this proxy
+// prefixAnnouncedAt reports whether a prompt's shared chunks were prefilled at a server recently, as far as this proxy
 // knows from its own attempts and from announcements.
 func (p *Placer) prefixAnnouncedAt(now time.Duration, at *server, q *prompt) bool {
 	last, known := p.announcedPrefixes[promptKey(q.affinityKey)]
--- a/internal/placement/attempt.go
+++ b/internal/placement/attempt.go
@@ -135,7 +135,7 @@
 
 // StillAllowed reports whether an attempt may be sent. It is to be called just before the first byte, since server
 // list, evacuations and configuration may have changed since Pick. If it returns false, the attempt is to be finished as
-// NotSent and a server picked anew.
+// NotSent and a server picked again.
 func (p *Placer) StillAllowed(now time.Duration, id AttemptID) bool {
 	a := p.attempts[id]
 	if a == nil {
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// addCandidate adds a server to the candidates. What it is assumed to have cached is what this proxy sent there lately
+// addCandidate adds a server to the candidates. What it is assumed to have cached is what this proxy sent there recently
 // or, at the affinity server, all shared chunks, since the other proxies send them there.
 func (p *Placer) addCandidate(now time.Duration, s *server, q *prompt, affine bool) {
 	cached, known := 0, true
--- a/internal/placement/failurereport.go
+++ b/internal/placement/failurereport.go
@@ -10,9 +10,9 @@
 	// reportTTL is how long a report of a failure counts.
 	reportTTL = 2 * time.Second
 	// reportingZones is the number of zones whose proxies must have reported a server before this proxy ejects it without
-	// a failure of its own: a partition between two zones looks like a failure from one of them alone.
+	// having observed a failure itself: a partition between two zones looks like a failure from one of them alone.
 	reportingZones = 2
-	// successOverride is how long a success of this proxy's own outweighs the reports of others.
+	// successOverride is how long a success that this proxy observed itself outweighs the reports of others.
 	successOverride = time.Second
 )
 
@@ -44,9 +44,9 @@
 	return zones
 }
 
-// FailureReported takes in that another proxy, in a zone of the region, had a new connection to a server fail. The
-// report of one zone makes the next failure of this proxy's own enough to eject the server; those of two zones eject it
-// by themselves.
+// FailureReported records that a new connection of another proxy, in a zone of the region, to a server failed. After a
+// report from one zone, the next attempt of this proxy that gets no answer ejects the server; reports from two zones eject
+// it without one.
 func (p *Placer) FailureReported(now time.Duration, serverID, zone string) {
 	known := p.servers[serverID]
 	if known == nil || p.off(policy.FailureReports) {
--- a/internal/placement/noserver.go
+++ b/internal/placement/noserver.go
@@ -47,7 +47,7 @@
 	eligible:               ReasonNoServer,
 }
 
-// How long a client is told to wait before a retry when there is no server for its request.
+// How long a client is requested to wait before a retry when there is no server for its request.
 const (
 	minSlowStartRetry = 100 * time.Millisecond
 	retryFull         = 250 * time.Millisecond
--- a/internal/placement/pick.go
+++ b/internal/placement/pick.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// maxSeedPrefill is the most shared tokens that a request which seeds an estimate may have to prefill anew.
+	// maxSeedPrefill is the most shared tokens that a request which seeds an estimate may have to prefill again.
 	maxSeedPrefill = 600
 	// seedTimeout is how long an unanswered seeding attempt delays the next one.
 	seedTimeout = time.Second
-	// seedCostFactor: a request seeds an estimate only at a server whose cost is within so many times the least.
+	// seedCostFactor bounds the cost of a server at which a request seeds an estimate, as a multiple of the least cost.
 	seedCostFactor = 2
-	// walkCostFactor: the sorted walk takes only servers whose cost is within so many times the least.
+	// walkCostFactor bounds the cost of a server that the sorted walk takes, as a multiple of the least cost.
 	walkCostFactor = 2
 )
 
@@ -60,7 +60,7 @@
 }
 
 // seedCandidate returns the index of a candidate that needs a first answer or a trial, -1 without any. There is one such
-// attempt at a time, and only of a request that does not have much to prefill anew there.
+// attempt at a time, and only for a request that does not have much to prefill again there.
 func (p *Placer) seedCandidate(now time.Duration, owner *service) int {
 	if p.off(policy.Seeding) {
 		return -1
--- a/internal/placement/placer.go
+++ b/internal/placement/placer.go
@@ -21,8 +21,8 @@
 	connectionFraction = 0.9
 	// assumedProxies is the number of proxies that are assumed to share a limit while the number is unknown.
 	assumedProxies = 16
-	// cacheSharing: this proxy counts on so many equal shares of a server's prefix cache, because many prefixes are common
-	// to several proxies.
+	// cacheSharing is the number of equal shares of a server's prefix cache that this proxy counts as its own, because
+	// many prefixes are common to several proxies.
 	cacheSharing = 2
 	// defaultCacheTokens is the size of the prefix cache of a server whose service does not set one.
 	defaultCacheTokens = 100_000
@@ -38,8 +38,8 @@
 	Off       policy.Switches // mechanisms that are switched off
 }
 
-// Placer decides where attempts go, and keeps what it has learnt of the servers. It is not safe for concurrent use: its
-// owner makes all calls under one lock, with a time that never decreases.
+// Placer decides where attempts go, and keeps what it has learned about the servers. It is not safe for concurrent use:
+// its owner makes all calls under one lock, with a time that never decreases.
 type Placer struct {
 	config        Config
 	region        string
--- a/internal/placement/prediction.go
+++ b/internal/placement/prediction.go
@@ -11,9 +11,8 @@
 	// regionRoundTrip is the round trip to another region. It is not measured: the speeds of the other region's servers
 	// absorb the difference, and measuring it showed no gain.
 	regionRoundTrip = 40 * time.Millisecond
-	// prefillTokenPrice is the time that stands for the price of prefilling a shared token anew. The prefill itself is
-	// part of the predicted latency. Prices are not known to any process, so that it is fixed, at three times
-	// initialPerToken.
+	// prefillTokenPrice is the price of prefilling a shared token again, expressed as time. The prefill itself is part of
+	// the predicted latency. No process knows prices, so this one is fixed, at three times initialPerToken.
 	prefillTokenPrice = 78 * time.Microsecond
 	// otherZoneFactor scales the cost of a server in another zone of the region: bytes between zones are priced.
 	otherZoneFactor = 1.08
@@ -42,7 +41,7 @@
 	}
 }
 
-// prefillPrice is the time that stands for the price of the shared tokens that a server must prefill anew.
+// prefillPrice is the price of the shared tokens that a server must prefill again, expressed as time.
 func (p *Placer) prefillPrice(s *server, q *prompt, cached int) time.Duration {
 	if !s.service.servesModel() || p.off(policy.PrefillPrice) {
 		return 0
@@ -50,8 +49,8 @@
 	return time.Duration(q.sharedTokens-min(cached, q.sharedTokens)) * prefillTokenPrice
 }
 
-// nominalLatency is the time to the first event at speed 1, of a prompt with so many tokens to prefill after those of
-// this proxy's attempts that are queued there. What does not fit into the server's memory beside this proxy's attempts
+// nominalLatency is the time to the first event at speed 1 of a prompt with prefillTokens to prefill, after those of this
+// proxy's attempts that are queued there. What does not fit into the server's memory beside this proxy's attempts
 // waits for them, and is counted as if it were to be prefilled.
 func (p *Placer) nominalLatency(s *server, prefillTokens, memoryTokens int) time.Duration {
 	var latency time.Duration
--- a/internal/placement/prefill.go
+++ b/internal/placement/prefill.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Tuning of what is learnt of the engines of a service.
+// Tuning of what is learned about the engines of a service.
 const (
 	// baseLatency is the time to a first event besides the prefill: network, queue and the engine's first steps. If it
 	// differs, the servers' speeds show it.
@@ -52,7 +52,7 @@
 	return time.Duration(tokens) * e.perToken
 }
 
-// learn takes in the latency of the first event of a prompt with a number of tokens to prefill.
+// learn adds the latency of the first event of a prompt with a number of tokens to prefill.
 func (e *prefillEstimator) learn(now time.Duration, tokens int, latency time.Duration) {
 	switch {
 	case tokens <= shortPrompt:
@@ -70,7 +70,7 @@
 	e.perToken += time.Duration(step * float64(measured-e.perToken))
 }
 
-// add takes in one answer.
+// add adds one answer.
 func (m *agedMean) add(now time.Duration, tokens int, latency time.Duration) {
 	m.count++
 	weight := 1 / float64(min(m.count, maxMeanCount))
--- a/internal/placement/prefixcache.go
+++ b/internal/placement/prefixcache.go
@@ -3,9 +3,9 @@
 // maxCachedPrefixes is the most prefixes that are remembered for one server.
 const maxCachedPrefixes = 64
 
-// prefixCacheIndex records which prompt prefixes this proxy sent to which servers lately, and so which of them the
+// prefixCacheIndex records which prompt prefixes this proxy sent to which servers recently, and so which of them the
 // servers are expected to have in their KV caches. For each server it is an LRU list, bounded by tokens and by number.
-// The servers are never asked: the index is a prediction.
+// The servers are never queried: the index is a prediction.
 type prefixCacheIndex struct {
 	entries map[prefixHash][]*cachedPrefix // for each prefix, one entry for each server expected to have it
 }
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -22,7 +22,7 @@
 	maxSpeed = 2.0
 )
 
-// server is what this proxy knows of one server (one incarnation).
+// server is what this proxy knows about one server (one incarnation).
 type server struct {
 	id, address, zone, region string
 
@@ -36,7 +36,7 @@
 	gone                  bool          // it left the list, or another server answers at its address
 	expiresAt             time.Duration // 0: unknown
 	warmingUntil          time.Duration
-	warmupReportedAt      time.Duration // when an answer of its own last said that it is warming up
+	warmupReportedAt      time.Duration // when one of its answers last said that it is warming up
 	suspectedWarmingUntil time.Duration // it may have been restarted: treated as warming up until a newer list tells
 	cooldownUntil         time.Duration // it was full or seems to drain: used only if no other is left
 
--- a/internal/placement/serverlist.go
+++ b/internal/placement/serverlist.go
@@ -80,7 +80,7 @@
 	p.forgetAnnouncedPrefixes(known)
 }
 
-// updateServer takes in a server's entry of a list that was read age ago. The times in it count from then.
+// updateServer applies a server's entry in a list that was read age ago. The times in it count from then.
 func (p *Placer) updateServer(now time.Duration, known *server, entry *pb.Server, age time.Duration) {
 	known.address = entry.GetAddress()
 	known.capacity = int(entry.GetCapacity())
@@ -96,7 +96,7 @@
 	known.warmingUntil = warmingUntil
 }
 
-// ServerWarmingUp takes in from a server's answer (X-Fieldrelay-Warmup-Ms) for how much longer it is warming up.
+// ServerWarmingUp records for how much longer a server is warming up, by its answer (X-Fieldrelay-Warmup-Ms).
 func (p *Placer) ServerWarmingUp(now time.Duration, serverID string, left time.Duration) {
 	if known := p.servers[serverID]; known != nil {
 		known.warmingUntil = max(known.warmingUntil, now+left)
@@ -104,7 +104,7 @@
 	}
 }
 
-// ServerDraining takes in that a server seems about to end: its answers close the connection, or its health check
+// ServerDraining records that a server seems to be draining: its answers close the connection, or its health check
 // fails. It is avoided for a while, within which the list shows whether it drains.
 func (p *Placer) ServerDraining(now time.Duration, serverID string) {
 	if known := p.servers[serverID]; known != nil && !p.off(policy.DrainCooldown) {
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -35,7 +35,7 @@
 	TauFull:   0.1,
 }
 
-// service is what this proxy knows of one service.
+// service is what this proxy knows about one service.
 type service struct {
 	name         string
 	config       *route.Service // nil: the configuration does not name it
@@ -82,7 +82,7 @@
 	return &s.remoteSpeed
 }
 
-// typicalSpeed is the assumed speed of a server without an estimate of its own; 1 until answers have come.
+// typicalSpeed is the assumed speed of a server that has no estimate yet; 1 until answers have come.
 func (s *service) typicalSpeed(local bool) float64 {
 	typical := s.typicalOf(local)
 	if !typical.Seeded() {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -18,7 +18,7 @@
 const (
 	PromptAffinity    Mechanism = iota // requests with shared chunks go to one server of a region first, by rendezvous hashing
 	PrefixCache                        // the index of which prefixes were sent to which servers
-	PrefillPrice                       // prefilling shared chunks anew costs more than its time
+	PrefillPrice                       // prefilling shared chunks again costs more than its time
 	Softmax                            // servers are drawn by their predictions; off: always the best
 	SortedWalk                         // servers are taken from a sorted list while many answers are late
 	Subset                             // a proxy spreads its requests over some of a region's servers
--- a/internal/proxy/announcements.go
+++ b/internal/proxy/announcements.go
@@ -52,8 +52,8 @@
 	failureReported(server, zone string)
 }
 
-// newAnnouncer opens the socket at an address (ip:port). sendLoop and receiveLoop are to be run by the caller, each
-// in a goroutine of its own; they end with close. The handler is called by receiveLoop, one call at a time.
+// newAnnouncer opens the socket at an address (ip:port). The caller runs sendLoop and receiveLoop, each in its own
+// goroutine; they end with close. The handler is called by receiveLoop, one call at a time.
 func newAnnouncer(address, region, zone string, handler announcementHandler) (*announcer, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/proxy/configstream.go
+++ b/internal/proxy/configstream.go
@@ -80,7 +80,7 @@
 	return connect.NewResponse(s.status(s.snapshots.load())), nil
 }
 
-// status builds the answer to the agent. It asks for the full state by a digest without ranges.
+// status builds the response to the agent. A digest without ranges in it requests the full state.
 func (s *configStream) status(current *snapshot) *pb.ProxyStatus {
 	status := &pb.ProxyStatus{
 		Host:        s.host,
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -22,10 +22,10 @@
 // drainPollInterval is the time between two checks for open connections during a shutdown.
 const drainPollInterval = 10 * time.Millisecond
 
-// drainPlan is the schedule of a graceful shutdown, as times since its begin.
+// drainPlan is the schedule of a graceful shutdown, as times since its start.
 type drainPlan struct {
-	deadlineCheck time.Duration // then only requests are accepted that end before abort
-	reject        time.Duration // then new requests are rejected
+	deadlineCheck time.Duration // from then on only requests are accepted that end before abort
+	reject        time.Duration // from then on new requests are rejected
 	abort         time.Duration // then requests in flight are canceled
 }
 
@@ -43,7 +43,7 @@
 
 // drainTimes are the times of a shutdown that has begun.
 type drainTimes struct {
-	deadlineCheck time.Time // then only requests are accepted that end before abort
+	deadlineCheck time.Time // from then on only requests are accepted that end before abort
 	abort         time.Time // then requests in flight are canceled
 }
 
@@ -70,7 +70,7 @@
 	p.pollUntil(time.Now().Add(exitReserve/2), allClosed)
 }
 
-// pollUntil polls a condition until it is met or the given time has come, and reports whether it is met.
+// pollUntil polls a condition until it is met or the end is reached, and reports whether it is met.
 func (p *process) pollUntil(end time.Time, condition func() bool) bool {
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -82,7 +82,7 @@
 	suppressDefaults(to)
 }
 
-// suppressDefaults keeps net/http from adding headers of its own.
+// suppressDefaults keeps net/http from adding its default headers.
 func suppressDefaults(header http.Header) {
 	if _, present := header["Date"]; !present {
 		header["Date"] = nil
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -34,8 +34,8 @@
 	l.enter(phaseDraining)
 }
 
-// accepts reports whether a request with a deadline is accepted. Just after the begin of the shutdown all are:
-// clients can't know of it yet. Later ones must not be aborted, and so have to end before that.
+// accepts reports whether a request with a deadline is accepted. Just after the start of the shutdown all are: clients
+// can't know of it yet. Later ones must not be aborted, and so have to end before requests in flight are canceled.
 func (l *lifecycle) accepts(now, deadline time.Time) bool {
 	times := l.drainTimes.Load()
 	return times == nil || now.Before(times.deadlineCheck) || deadline.Before(times.abort)
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -22,13 +22,13 @@
 	generation uint64                       // the operator's number of the configuration; 0: none
 	list       *pb.ListVersion              // version of the server list; nil: none
 	servers    map[upstream.Server]struct{} // of the server list
-	confirmed  bool                         // a quorum confirmed the state after this process started
+	confirmed  bool                         // a control machine with authority confirmed the state after this process started
 }
 
 // configured reports whether there is a configuration of the operator.
 func (s *snapshot) configured() bool { return s.generation > 0 }
 
-// complete reports whether everything is there that the proxy needs to be ready.
+// complete reports whether the snapshot has all that the proxy needs to be ready.
 func (s *snapshot) complete() bool { return s.configured() && s.confirmed && s.list != nil }
 
 // update is the result of applying one message of the agent.
@@ -195,7 +195,7 @@
 	return s.changed
 }
 
-// notifyWaiters wakes those who wait for the next snapshot. It is called once the dispatcher has the snapshot too,
+// notifyWaiters wakes the requests that wait for the next snapshot. It is called once the dispatcher has the snapshot too,
 // so that a request that was waiting finds its servers.
 func (s *snapshotStore) notifyWaiters() {
 	s.mu.Lock()
--- a/internal/proxy/startupwait.go
+++ b/internal/proxy/startupwait.go
@@ -15,8 +15,8 @@
 	maxStartupWait = 4 * time.Second
 )
 
-// waitUntilUsable lets a request wait that came before the proxy has a configuration and servers. After a power
-// failure or a kill clients connect as soon as the port is open, and most have no further attempt left. The body is
+// waitUntilUsable delays a request that arrived before the proxy has a configuration and servers. After a power failure
+// or a kill clients connect as soon as the port is open, and most have no further attempt left. The body is
 // read first, so that the client sees it accepted. The wait is for the configuration, then, with the deadline by
 // the route, for the server list. The snapshot that it returns may still be unusable.
 func (h *handler) waitUntilUsable(control *http.ResponseController, request *http.Request, target string, arrived time.Time) (*snapshot, *chargedBuffer, error) {
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -165,7 +165,7 @@
 }
 
 // forwardTail forwards what follows the last complete event at the end of a stream. If the stream is
-// close-delimited, an end within an event can't be told from a server that broke off, and counts as that.
+// close-delimited, an end within an event can't be distinguished from a server that broke off, and counts as such.
 func (a *attempt) forwardTail(stream *clientStream, rest []byte) error {
 	if len(rest) == 0 {
 		return nil
--- a/internal/proxy/upstream/keepalive.go
+++ b/internal/proxy/upstream/keepalive.go
@@ -19,7 +19,7 @@
 	idleMargin = 500 * time.Millisecond
 )
 
-// recordKeepAlive takes over the timeout that a server advertises in its Keep-Alive header.
+// recordKeepAlive records the timeout that a server advertises in its Keep-Alive header.
 func (c *Conn) recordKeepAlive(header http.Header) {
 	values := header["Keep-Alive"]
 	if len(values) == 0 {
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -29,7 +29,7 @@
 	// idleUserTimeout is the user timeout of idle connections, see Conn.setUserTimeout.
 	idleUserTimeout = 500 * time.Millisecond
 	// keepAliveIdle is the time without traffic after which the kernel sends a keep-alive probe. It gives the
-	// connection up keepAliveInterval later, or when the user timeout has passed, whichever the kernel goes by.
+	// connection up keepAliveInterval later, or when the user timeout has passed, depending on the kernel.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 1
@@ -48,7 +48,7 @@
 	Unacknowledged time.Duration // for sent data and keep-alive probes to be acknowledged; see RFC 5482
 }
 
-// serverConns is what the pool knows of one server.
+// serverConns is what the pool knows about one server.
 type serverConns struct {
 	idle []*Conn // in the order of their last use
 	// idleTimeout bounds how long connections to this server are kept idle. It starts at maxIdleTimeout and falls when
--- a/internal/proxy/upstream/receive.go
+++ b/internal/proxy/upstream/receive.go
@@ -23,7 +23,7 @@
 )
 
 // Response is the response of a server to the request on a connection. Its Body reads from the connection and isn't
-// closed by itself: Pool.Release and Pool.Discard end the connection's use. An error of the body goes through
+// closed separately: Pool.Release and Pool.Discard end the connection's use. An error of the body goes through
 // Conn.BodyError.
 type Response struct{ *http.Response }
 
--- a/internal/proxy/upstream/send.go
+++ b/internal/proxy/upstream/send.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// pendingWrite is the part of a long request that the kernel didn't accept at once. A goroutine of its own writes it,
-// so that a response is seen that comes before the server has read the whole request. The goroutine ends with the
+// pendingWrite is the part of a long request that the kernel didn't accept at once. A separate goroutine writes it, so
+// that a response which comes before the server has read the whole request is received. The goroutine ends with the
 // request or with the connection; stopSending waits for it.
 type pendingWrite struct {
 	done    chan struct{} // closed when the goroutine has ended
--- a/internal/registry/agents.go
+++ b/internal/registry/agents.go
@@ -42,7 +42,7 @@
 }
 
 // NewAgents returns a registry without agents. The versions of its members begin above base, which must differ between
-// incarnations of the process, so that nobody takes a version of one for a version of another.
+// incarnations of the process, so that a version of one is never mistaken for a version of another.
 func NewAgents(base uint64) *Agents {
 	return &Agents{
 		known:   make(map[string]*knownAgent),
@@ -124,7 +124,7 @@
 	return copied
 }
 
-// sameContent reports whether two records of a host say the same to clients and other agents. The sequence and the age
+// sameContent reports whether two records of a host mean the same to clients and other agents. The sequence and the age
 // change all the time and do not matter to them.
 func sameContent(first, second *pb.AgentRecord) bool {
 	return first.Incarnation == second.Incarnation &&
@@ -183,7 +183,7 @@
 	return a.members
 }
 
-// sameMembers reports whether two sorted lists of members say the same to agents. Agents need to know which machines may
+// sameMembers reports whether two sorted lists of members mean the same to agents. Agents need to know which machines may
 // be sending requests, and where these are, but not which are ready. A lost machine may still be sending.
 func sameMembers(first, second []Member) bool {
 	return slices.EqualFunc(first, second, func(one, other Member) bool {
--- a/internal/registry/endpoints.go
+++ b/internal/registry/endpoints.go
@@ -15,16 +15,16 @@
 	// sufficientEndpoints is the number of proxies in a client's zone or region with which the search ends there.
 	sufficientEndpoints = 2
 
-	// mostlyServingDivisor is the part of the live proxies (one in so many) that suffices to send clients to them while the
-	// others are still starting.
+	// While others are still starting, clients are sent to proxies once one in mostlyServingDivisor of those that are live
+	// takes requests.
 	mostlyServingDivisor = 2
 
-	// sufficientDivisor is the part of all proxies (one in so many) that suffices though it is a single proxy.
+	// One in sufficientDivisor of all proxies suffices even if it is a single proxy.
 	sufficientDivisor = 3
 
-	// recentLossWindow is the time since a proxy's last report in which its region counts as having lost it, if its reports
-	// ended without one that says that it drains. In it, proxies of other regions may take over: the rules do not count
-	// such requests for 15 s, and clients may use an answer of the directory for the last three of these.
+	// recentLossWindow is how long after a proxy's last report its region counts as having just lost it, if that report
+	// did not say that the proxy drains. During this time proxies of other regions may take over: the rules do not
+	// count such requests for 15 s, and clients may use an answer of the directory for the last three of these.
 	recentLossWindow = 12 * time.Second
 )
 
@@ -53,9 +53,10 @@
 //  4. Those of all regions, if its region has just lost a proxy without notice.
 //  5. Those that are near, though they do not suffice.
 //  6. Those of its region that have only begun to drain and still take requests.
-//  7. Those in the regions that are homes of the most of its routes.
+//  7. Those in the regions that are home regions of the most routes.
 //
-// From the fourth on, any proxy suffices. But for the sixth, only proxies that are live, ready and not draining count.
+// From the fourth set on, a single proxy suffices. Except in the sixth, only proxies that are live, ready and not draining
+// count.
 // The order is rotated, so that clients that take the first address spread. The result is empty if no proxy takes
 // requests. There are at most MaxEndpoints addresses.
 func (m *Members) Endpoints(now time.Duration, client Client, rotation uint64) []string {
@@ -83,7 +84,7 @@
 	return rotated(inHomeRegions(all, client.HomeRegions), rotation)
 }
 
-// recentlyDraining returns the records of the client's region that began to drain less than Client.Leaving ago.
+// recentlyDraining returns the records of the client's region that began to drain less than Client.DrainGracePeriod ago.
 func (m *Members) recentlyDraining(now time.Duration, client Client) []*pb.AgentRecord {
 	var result []*pb.AgentRecord
 	for _, member := range m.list {
@@ -96,7 +97,7 @@
 	return result
 }
 
-// inHomeRegions returns the records in the regions that are homes of the most routes, all records if none is in one.
+// inHomeRegions returns the records in the regions that are home regions of the most routes, all records if there is none.
 func inHomeRegions(all []*pb.AgentRecord, homes route.HomeRegions) []*pb.AgentRecord {
 	most := 0
 	for _, record := range all {
@@ -118,7 +119,7 @@
 	return slices.ContainsFunc(serving, func(record *pb.AgentRecord) bool { return record.Region == region })
 }
 
-// recentLossIn reports whether the reports of a proxy of the region have just ended without one that says that it drains.
+// recentLossIn reports whether a proxy of the region that was not draining has just ceased to report.
 func (m *Members) recentLossIn(now time.Duration, region string) bool {
 	for _, member := range m.list {
 		if member.record.Region != region || member.record.Draining {
@@ -150,7 +151,7 @@
 	return len(part) >= sufficientEndpoints || len(part)*sufficientDivisor >= len(all)
 }
 
-// rotated returns the edge addresses of the records, at most MaxEndpoints, beginning with another one for each rotation.
+// rotated returns the edge addresses of the records, at most MaxEndpoints, starting at another one for each rotation.
 func rotated(records []*pb.AgentRecord, rotation uint64) []string {
 	count := min(len(records), MaxEndpoints)
 	addresses := make([]string, 0, count)
--- a/internal/registry/inventory.go
+++ b/internal/registry/inventory.go
@@ -30,7 +30,7 @@
 	// The list, and what is known of others.
 	current        *ServerList // nil before the first
 	highestEpoch   uint64      // highest observed, own ones included
-	epochAnnounced bool        // a peer has named a list, and none has come yet
+	epochAnnounced bool        // a peer advertises a list, and none has been received yet
 	fencedByPeer   bool        // a peer has a newer list than the one that this machine owns
 	mustRaiseEpoch bool        // a version above this machine's outlived its owner; the next poll begins an epoch
 	lastSentAt     time.Duration
@@ -38,7 +38,7 @@
 	// The singleton role.
 	awaitsPreemption      bool          // this machine is the first in order, and another one is the owner
 	awaitsPreemptionSince time.Duration // counts only if awaitsPreemption
-	jitter                time.Duration // part of the takeover delay, drawn anew for each list
+	jitter                time.Duration // part of the takeover delay, drawn again for each list
 
 	// Polls.
 	polling             bool // a poll is in flight
--- a/internal/registry/lag_agent.go
+++ b/internal/registry/lag_agent.go
@@ -7,13 +7,13 @@
 	"fieldrelay/internal/lag"
 )
 
-// trackedAgent is what a LagMonitor knows of one agent and its proxy, from the agent's reports.
+// trackedAgent is what a LagMonitor knows about one agent and its proxy, from the agent's reports.
 type trackedAgent struct {
 	incarnation  uint64 // of the agent
 	sequence     uint64 // that its proxy has, by the last report
 	ready        bool
 	direct       bool          // the last report came from the agent itself
-	evaluated    bool          // there is a proxy, and it does not drain
+	evaluated    bool          // its lag counts: there is a proxy, and it does not drain
 	receivedAt   time.Duration // of the last report
 	contactSince time.Duration // since then reports came without a gap of FailureTimeout, from one incarnation of agent and proxy
 	overdueTime  time.Duration // by which reports were late (expectedReportInterval), summed up since the proxy last did not lag
@@ -27,7 +27,8 @@
 	return receivedAt <= a.receivedAt+recordTolerance && record.GetSequence() < a.sequence
 }
 
-// update takes a report. Another incarnation of the agent or the proxy, or a gap of FailureTimeout, begins a new contact.
+// update records a report. Another incarnation of the agent or the proxy, or a gap of FailureTimeout, begins a new
+// contact.
 func (a *trackedAgent) update(receivedAt time.Duration, record *pb.AgentRecord) {
 	gap := receivedAt - a.receivedAt
 	evaluated := record.GetEdgeAddress() != "" && !record.GetDraining()
--- a/internal/registry/lag_monitor.go
+++ b/internal/registry/lag_monitor.go
@@ -61,7 +61,7 @@
 	l.unsynchronizedAt = now
 }
 
-// Observe takes a report that came from the agent itself. Only such a report can show that a bound was exceeded.
+// Observe records a report that came from the agent itself. Only such a report can show that a bound was exceeded.
 func (l *LagMonitor) Observe(now time.Duration, record *pb.AgentRecord) []Action {
 	agent := l.accept(now, record, true)
 	if agent == nil {
@@ -71,7 +71,7 @@
 	return l.checkBound(actions, now, record.GetHost(), agent)
 }
 
-// Merge takes reports that another control machine received, with their ages.
+// Merge records reports that another control machine received, with their ages.
 func (l *LagMonitor) Merge(now time.Duration, records []*pb.AgentRecord) {
 	for _, record := range records {
 		l.accept(now-time.Duration(record.GetAgeMs())*time.Millisecond, record, false)
@@ -108,8 +108,8 @@
 	return stats
 }
 
-// accept takes a report and returns its agent. It returns nil for a report that is ignored: a later one is known, or there
-// are MaxAgents already.
+// accept records a report and returns its agent. It returns nil for a report that is ignored: a later one is known, or
+// there are MaxAgents already.
 func (l *LagMonitor) accept(receivedAt time.Duration, record *pb.AgentRecord, direct bool) *trackedAgent {
 	if record.GetHost() == "" {
 		return nil
--- a/internal/registry/poll.go
+++ b/internal/registry/poll.go
@@ -23,11 +23,11 @@
 	// maxTakeoverBackoff bounds the backoff of a machine that polls in order to take the role over, and fails.
 	maxTakeoverBackoff = 2 * time.Second
 
-	// rateDivisor is the part of the platform's rate (one call in so many) that the owner uses.
+	// The owner uses at most one rateDivisor-th of the platform's rate.
 	rateDivisor = 3
 
-	// partitionedRateDivisor is how much less of the rate a machine uses that has no contact with a majority: each side
-	// of a partition polls for itself.
+	// A machine without contact with a majority divides its rate by partitionedRateDivisor as well: each side of a
+	// partition polls on its own.
 	partitionedRateDivisor = 4
 
 	// initialEpochRange is the number of epochs out of which the first one is drawn.
@@ -79,7 +79,7 @@
 	return interval
 }
 
-// finishPoll takes the result of a poll. It is published if it is complete and in time, and if this machine still may
+// finishPoll processes the result of a poll. It is published if it is complete and in time, and if this machine still may
 // poll: a list of another machine that came meanwhile ends a takeover.
 func (i *ServerInventory) finishPoll(now time.Duration, done PollDone) []Action {
 	if !i.polling {
--- a/internal/registry/serverlist.go
+++ b/internal/registry/serverlist.go
@@ -11,7 +11,7 @@
 
 // pollTolerances is how far the remaining times of two polls may drift before the list counts as changed. Receivers
 // count down by themselves and must not take a server for warm too early, so the warm-up may end only a little later
-// than expected. One that ends earlier costs nothing but a little of the server's use.
+// than expected. One that ends earlier only leaves the server unused for a moment.
 var pollTolerances = serverlist.Tolerances{
 	WarmUpLater:   100 * time.Millisecond,
 	WarmUpEarlier: time.Second,
--- a/internal/registry/versions.go
+++ b/internal/registry/versions.go
@@ -26,7 +26,7 @@
 	return i.current.Version()
 }
 
-// receiveList takes a list of another control machine, unless it is older than the current one or of a lower epoch
+// receiveList adopts a list of another control machine, unless it is older than the current one or of a lower epoch
 // than one observed. A list of the current version confirms it, whether it carries the servers or not.
 func (i *ServerInventory) receiveList(now time.Duration, list *pb.ServerList) []Action {
 	version := list.GetVersion()
