--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// release returns the retry-budget reservation and the in-flight slot, and reports the latency to placement. It is
+// release returns a reserved retry that was not sent, and reports the request's result and latency to placement. It is
 // called once for each admitted request.
 func (x *exchange) release() {
 	if x.retryReserved {
