--- a/internal/placement/announcement.go
+++ b/internal/placement/announcement.go
@@ -4,8 +4,6 @@
 	"math"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"fieldrelay/internal/policy"
 )
 
@@ -34,7 +32,7 @@
 // Announcement tells the other proxies of the region about a prompt of a long prefill, so that they avoid that server
 // meanwhile and know where the shared chunks are cached. It travels as a datagram, and may be lost.
 type Announcement struct {
-	Server uint32 // ServerKey of the server's id
+	Server uint32 // low half of the xxhash64 of the server's id
 	Prompt uint32 // hash of the model and the shared chunks
 	Tokens int    // that the server has to prefill; 0: nothing is announced
 }
@@ -73,9 +71,6 @@
 	return regionAnnouncementRate / float64(proxies)
 }
 
-// ServerKey is a short hash of a server's id, for datagrams.
-func ServerKey(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
-
 // promptKey is a short hash of a prompt's shared chunks, for datagrams.
 func promptKey(h prefixHash) uint32 { return uint32(h) }
 
@@ -85,7 +80,7 @@
 	at     time.Duration
 }
 
-// AnnouncementReceived takes in what another proxy of the region has sent to a server.
+// AnnouncementReceived records what another proxy of the region has sent to a server.
 func (p *Placer) AnnouncementReceived(now time.Duration, announcement Announcement) {
 	known := p.byKey[announcement.Server]
 	if known == nil || announcement.Tokens <= 0 || p.off(policy.Announcements) {
@@ -114,7 +109,7 @@
 	}
 }
 
-// prefixAnnouncedAt reports whether a prompt's shared chunks were prefilled at a server lately, as far as this proxy
+// prefixAnnouncedAt reports whether a prompt's shared chunks were prefilled at a server recently, as far as this proxy
 // knows from its own attempts and from announcements.
 func (p *Placer) prefixAnnouncedAt(now time.Duration, at *server, q *prompt) bool {
 	last, known := p.announcedPrefixes[promptKey(q.affinityKey)]
--- a/internal/proxy/process_test.go
+++ b/internal/proxy/process_test.go
@@ -315,7 +315,7 @@
 		Servers: []*pb.Server{{Id: "i-2", Service: "s2", Address: server.server.Address, Zone: "z2"}},
 	}})
 	r.process.applySettings(testSettings(2))
-	r.process.reloader.reload()
+	r.process.settings.reload()
 	r.process.sweep(r.process.snapshots.load())
 
 	close(next)
@@ -340,14 +340,14 @@
 	} {
 		configured := testSettings(1)
 		spoil(configured)
-		require.Error(t, Run(context.Background(), configured, zap.NewNop()))
+		require.Error(t, Run(context.Background(), configured, zap.NewNop(), Options{}))
 	}
 }
 
 func TestRunEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	require.NoError(t, Run(ctx, testSettings(0.2), zap.NewNop()))
+	require.NoError(t, Run(ctx, testSettings(0.2), zap.NewNop(), Options{}))
 }
 
 const settingsFile = `hostname = "edge-1"
@@ -365,7 +365,7 @@
 	}
 	write(settingsFile + "3\n")
 	var applied []float64
-	r := newReloader(path, zap.NewNop(), func(s *settings.Settings) { applied = append(applied, s.Bounds.GraceS) })
+	r := newSettingsWatcher(path, zap.NewNop(), func(s *settings.Settings) { applied = append(applied, s.Bounds.GraceS) })
 	r.reloadIfChanged()
 	require.Empty(t, applied, "nothing changed")
 	write(settingsFile + "4.5\n")
@@ -382,5 +382,5 @@
 	r.reloadIfChanged()
 	r.reload()
 	require.Len(t, applied, 2)
-	newReloader("", zap.NewNop(), nil).reload()
+	newSettingsWatcher("", zap.NewNop(), nil).reload()
 }
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"cmp"
 	"context"
 	"net/http"
 	"sync"
@@ -12,6 +11,7 @@
 	"fieldrelay/internal/catalog"
 	"fieldrelay/internal/proxy/upstream"
 	"fieldrelay/internal/route"
+	"fieldrelay/internal/serverlist"
 )
 
 // snapshot is the state that the proxy serves by: configuration and server list. It is immutable; an update
@@ -22,13 +22,13 @@
 	generation uint64                       // the operator's number of the configuration; 0: none
 	list       *pb.ListVersion              // version of the server list; nil: none
 	servers    map[upstream.Server]struct{} // of the server list
-	confirmed  bool                         // a quorum confirmed the state after this process started
+	confirmed  bool                         // a control machine with authority confirmed the state after this process started
 }
 
 // configured reports whether there is a configuration of the operator.
 func (s *snapshot) configured() bool { return s.generation > 0 }
 
-// complete reports whether everything is there that the proxy needs to be ready.
+// complete reports whether the snapshot has all that the proxy needs to be ready.
 func (s *snapshot) complete() bool { return s.configured() && s.confirmed && s.list != nil }
 
 // update is the result of applying one message of the agent.
@@ -134,7 +134,7 @@
 
 // applyList sets a newer server list in a snapshot.
 func applyList(next *snapshot, list *pb.ServerList, applied *update) {
-	if list == nil || (next.list != nil && compareListVersions(list.GetVersion(), next.list) <= 0) {
+	if list == nil || (next.list != nil && serverlist.CompareVersions(list.GetVersion(), next.list) <= 0) {
 		return
 	}
 	servers := make(map[upstream.Server]struct{}, len(list.GetServers()))
@@ -156,15 +156,6 @@
 	return s.gap || s.current.Load().sequence == 0
 }
 
-// compareListVersions orders the versions of server lists: by epoch, then holder, then revision.
-func compareListVersions(a, b *pb.ListVersion) int {
-	return cmp.Or(
-		cmp.Compare(a.GetEpoch(), b.GetEpoch()),
-		cmp.Compare(a.GetHolder(), b.GetHolder()),
-		cmp.Compare(a.GetRevision(), b.GetRevision()),
-	)
-}
-
 // usable reports whether requests can be forwarded by this snapshot.
 func (s *snapshot) usable() bool { return s.configured() && s.list != nil }
 
@@ -204,7 +195,7 @@
 	return s.changed
 }
 
-// notifyWaiters wakes those who wait for the next snapshot. It is called once the dispatcher has the snapshot too,
+// notifyWaiters wakes the requests that wait for the next snapshot. It is called once the dispatcher has the snapshot too,
 // so that a request that was waiting finds its servers.
 func (s *snapshotStore) notifyWaiters() {
 	s.mu.Lock()
