--- a/cmd/fieldrelayctl/main.go
+++ b/cmd/fieldrelayctl/main.go
@@ -78,7 +78,7 @@
 		return exitUsage
 	}
 	if err := ctx.Run(&world{getenv: getenv, operator: c.Operator, out: out, errs: errs}); err != nil {
-		if faults := (config.Faults)(nil); errors.As(err, &faults) {
+		if faults := (config.FaultsError)(nil); errors.As(err, &faults) {
 			for _, f := range faults {
 				complain(f)
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -97,9 +97,9 @@
 	src := &source{file: path}
 	cfg := &Config{}
 	if text, err := os.ReadFile(path); path == "" {
-		src.faults = Faults{{File: "LB_CONFIG", Read: "not set", Allowed: "it names the configuration file"}}
+		src.faults = FaultsError{{File: "LB_CONFIG", Read: "not set", Allowed: "it names the configuration file"}}
 	} else if err != nil {
-		src.faults = Faults{{File: "LB_CONFIG", Read: "cannot be read", Allowed: err.Error()}}
+		src.faults = FaultsError{{File: "LB_CONFIG", Read: "cannot be read", Allowed: err.Error()}}
 	} else {
 		cfg = parse(src, text, getenv, discovery)
 	}
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -30,11 +30,11 @@
 	return fmt.Sprintf("%s: %s: %s; allowed: %s", place, f.Key, read, f.Allowed)
 }
 
-// Faults are all faults of a configuration, in the order of the files.
-type Faults []Fault
+// FaultsError are all faults of a configuration, in the order of the files.
+type FaultsError []Fault
 
 // Error has a line for each fault.
-func (f Faults) Error() string {
+func (f FaultsError) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
 		lines[i] = f[i].String()
@@ -43,7 +43,7 @@
 }
 
 // err is an error only if there is a fault.
-func (f Faults) err() error {
+func (f FaultsError) err() error {
 	if len(f) == 0 {
 		return nil
 	}
@@ -54,7 +54,7 @@
 type source struct {
 	file   string
 	leaves map[string]leaf
-	faults Faults
+	faults FaultsError
 }
 
 // fault adds a fault of a key.
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -120,7 +120,7 @@
 
 // printError writes a line for an error, or for each fault of a configuration. Errors of the writer have no remedy.
 func printError(w io.Writer, err error) {
-	if faults := (config.Faults)(nil); errors.As(err, &faults) {
+	if faults := (config.FaultsError)(nil); errors.As(err, &faults) {
 		for _, f := range faults {
 			_, _ = fmt.Fprintln(w, "fieldrelay:", f)
 		}
--- a/internal/migration/planfile/validate.go
+++ b/internal/migration/planfile/validate.go
@@ -15,7 +15,7 @@
 const maxFailures = 3
 
 // validator collects the faults of a file; their lines are added later.
-type validator struct{ faults []*tomlfile.Fault }
+type validator struct{ faults []*tomlfile.FaultError }
 
 func (v *validator) check(key string, value any, rules []validation.Rule) {
 	if err := validation.Validate(value, rules...); err != nil {
@@ -24,11 +24,11 @@
 }
 
 func (v *validator) add(key, reason string) {
-	v.faults = append(v.faults, &tomlfile.Fault{Key: key, Reason: reason})
+	v.faults = append(v.faults, &tomlfile.FaultError{Key: key, Reason: reason})
 }
 
 // validate returns the faults of a file, without their lines.
-func (f *File) validate() []*tomlfile.Fault {
+func (f *File) validate() []*tomlfile.FaultError {
 	v := &validator{}
 	v.check("name", f.Name, required)
 	v.check("begin", f.Begin, timeOfDay)
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -2,8 +2,8 @@
 
 import "fieldrelay/internal/tomlfile"
 
-// Fault is one thing that is wrong with a settings file.
-type Fault = tomlfile.Fault //nolint:errname // an entry of a FaultsError; the name is that of package tomlfile
+// FaultError is one thing that is wrong with a settings file.
+type FaultError = tomlfile.FaultError
 
 // FaultsError lists everything that is wrong with a settings file, in the order of its lines.
 type FaultsError = tomlfile.FaultsError
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -34,12 +34,12 @@
 )
 
 // validate returns every fault, without line numbers: package tomlfile adds them.
-func (s *Settings) validate() []*Fault {
-	var faults []*Fault
+func (s *Settings) validate() []*FaultError {
+	var faults []*FaultError
 	for _, group := range [][]check{s.identityChecks(), s.limitChecks(), s.Bounds.checks()} {
 		for _, one := range group {
 			if err := validation.Validate(one.value, one.rules...); err != nil {
-				faults = append(faults, &Fault{Key: one.key, Reason: err.Error()})
+				faults = append(faults, &FaultError{Key: one.key, Reason: err.Error()})
 			}
 		}
 	}
@@ -122,10 +122,10 @@
 		"cloud-api.address": s.CloudAPI.Address != "",
 		"seed-nodes":        len(s.Seeds) > 0,
 	}
-	var faults []*Fault
+	var faults []*FaultError
 	for _, key := range keys {
 		if !present[key] {
-			faults = append(faults, &Fault{Key: key, Reason: "is needed for this role"})
+			faults = append(faults, &FaultError{Key: key, Reason: "is needed for this role"})
 		}
 	}
 	return tomlfile.Join(formatName, faults)
--- a/internal/tomlfile/faults.go
+++ b/internal/tomlfile/faults.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a file.
-type Fault struct {
+// FaultError is one thing that is wrong with a file.
+type FaultError struct {
 	Key    string // with its table, for example "bounds.contact-ms" or "replace[1].old"; empty if the file is not TOML
 	Line   int    // counted from 1; 0 if neither the key nor what it lies in is in the file
 	Reason string
 }
 
-func (f *Fault) Error() string {
+func (f *FaultError) Error() string {
 	text := f.Reason
 	if f.Key != "" {
 		text = f.Key + ": " + text
@@ -28,7 +28,7 @@
 // FaultsError lists everything that is wrong with a file, in the order of its lines.
 type FaultsError struct {
 	Format string // the name of the file's format, which begins the text
-	Faults []*Fault
+	Faults []*FaultError
 }
 
 func (e *FaultsError) Error() string {
@@ -49,11 +49,11 @@
 }
 
 // Join sorts faults by line and key and makes them one *FaultsError. It returns nil for no faults.
-func Join(format string, faults []*Fault) error {
+func Join(format string, faults []*FaultError) error {
 	if len(faults) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(faults, func(a, b *Fault) int {
+	slices.SortStableFunc(faults, func(a, b *FaultError) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Key, b.Key))
 	})
 	return &FaultsError{Format: format, Faults: faults}
--- a/internal/tomlfile/format.go
+++ b/internal/tomlfile/format.go
@@ -10,18 +10,18 @@
 
 // Format is a kind of file that decodes into a T.
 type Format[T any] struct {
-	Name           string            // begins the text of every *FaultsError
-	New            func() *T         // returns a value with the defaults, which is decoded into
-	Validate       func(*T) []*Fault // returns every fault of a decoded value, by key and without lines
-	DenyUnknown    bool              // keys that T doesn't have are faults; else they are ignored
-	NumberElements bool              // keys in arrays of tables tell the element, "replace[1].old"; else "replace.old"
+	Name           string                 // begins the text of every *FaultsError
+	New            func() *T              // returns a value with the defaults, which is decoded into
+	Validate       func(*T) []*FaultError // returns every fault of a decoded value, by key and without lines
+	DenyUnknown    bool                   // keys that T doesn't have are faults; else they are ignored
+	NumberElements bool                   // keys in arrays of tables tell the element, "replace[1].old"; else "replace.old"
 }
 
 // Parse reads the content of a file. If it is at fault, the error is a *FaultsError that lists all faults.
 func (f *Format[T]) Parse(data []byte) (*T, error) {
 	index, fault := newKeyIndex(data, f.NumberElements)
 	if fault != nil {
-		return nil, Join(f.Name, []*Fault{fault})
+		return nil, Join(f.Name, []*FaultError{fault})
 	}
 	value, faults := f.decode(data, index)
 	if value == nil {
@@ -41,9 +41,9 @@
 
 // decode fills in a value. The decoder stops at a value of the wrong type: it is noted as a fault and blanked
 // out, and decoding begins anew, so that all of them are found. Without a value, the faults tell why.
-func (f *Format[T]) decode(data []byte, index *keyIndex) (*T, []*Fault) {
+func (f *Format[T]) decode(data []byte, index *keyIndex) (*T, []*FaultError) {
 	remaining := bytes.Clone(data)
-	var faults []*Fault
+	var faults []*FaultError
 	for range len(index.places) + 1 {
 		value := f.New()
 		err := f.decodeOnce(remaining, value)
@@ -56,13 +56,13 @@
 		}
 		var wrongType *toml.DecodeError
 		if !errors.As(err, &wrongType) {
-			return nil, []*Fault{{Reason: err.Error()}}
+			return nil, []*FaultError{{Reason: err.Error()}}
 		}
 		line, _ := wrongType.Position()
 		broken := index.placeAt(line)
 		broken.blank = true
 		reason := strings.TrimPrefix(wrongType.Error(), "toml: ")
-		faults = append(faults, &Fault{Key: broken.key, Line: line, Reason: reason})
+		faults = append(faults, &FaultError{Key: broken.key, Line: line, Reason: reason})
 		blankOut(remaining[broken.start:broken.end])
 	}
 	return nil, faults
@@ -76,11 +76,11 @@
 	return decoder.Decode(value)
 }
 
-func unknownFaults(index *keyIndex, unknown *toml.StrictMissingError) []*Fault {
-	var faults []*Fault
+func unknownFaults(index *keyIndex, unknown *toml.StrictMissingError) []*FaultError {
+	var faults []*FaultError
 	for position := range unknown.Errors {
 		line, _ := unknown.Errors[position].Position()
-		faults = append(faults, &Fault{Key: index.placeAt(line).key, Line: line, Reason: "is not known"})
+		faults = append(faults, &FaultError{Key: index.placeAt(line).key, Line: line, Reason: "is not known"})
 	}
 	return faults
 }
--- a/internal/tomlfile/index.go
+++ b/internal/tomlfile/index.go
@@ -25,7 +25,7 @@
 }
 
 // newKeyIndex finds the place of every key. The fault is that of a file that is not TOML.
-func newKeyIndex(data []byte, numberElements bool) (*keyIndex, *Fault) {
+func newKeyIndex(data []byte, numberElements bool) (*keyIndex, *FaultError) {
 	index := &keyIndex{numberElements: numberElements, counts: make(map[string]int)}
 	var parser unstable.Parser
 	parser.Reset(data)
@@ -86,8 +86,8 @@
 	x.places = append(x.places, place{key: key, line: line, start: start, end: len(data)})
 }
 
-func syntaxFault(data []byte, err error) *Fault {
-	fault := &Fault{Reason: err.Error()}
+func syntaxFault(data []byte, err error) *FaultError {
+	fault := &FaultError{Reason: err.Error()}
 	var parserError *unstable.ParserError
 	if errors.As(err, &parserError) {
 		fault.Reason = parserError.Message
