--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -10,6 +10,6 @@
 // connections, and it does not check servers' health: it learns from the attempts that it placed and from what the
 // caller passes on. docs/architecture.md describes its place in the system.
 //
-// Its constants are tuned. docs/herbarium.md lists under "The constants of the policy" what decides the right value of
-// each, and what was measured without it.
+// Its constants are tuned. The table "The constants of the policy" in docs lists what decides the right value of each,
+// and what was measured without it.
 package placement
