--- a/internal/region/quorum/acceptor.go
+++ b/internal/region/quorum/acceptor.go
@@ -4,8 +4,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Acceptor is the acceptor of one voter for one view number, the one after the view that it knows. Its promised
-// number only rises, and it accepts nothing below it.
+// Acceptor is the Paxos acceptor of one voter for one view number: that of the view after the one that the voter
+// knows. The promised number never decreases, and the acceptor accepts no proposal with a lower number.
 type Acceptor struct {
 	viewNumber     uint64 // of the view to be decided
 	promised       *pb.Ballot
@@ -13,10 +13,10 @@
 	acceptedValue  *pb.View
 }
 
-// NewAcceptor returns the acceptor for a view number, without any promise.
+// NewAcceptor returns an acceptor for a view number that has promised and accepted nothing.
 func NewAcceptor(viewNumber uint64) *Acceptor { return &Acceptor{viewNumber: viewNumber} }
 
-// RestoreAcceptor returns the acceptor that Record described.
+// RestoreAcceptor recreates an acceptor from the durable form that Record returned.
 func RestoreAcceptor(record *pb.Promise) *Acceptor {
 	return &Acceptor{
 		viewNumber:     record.GetViewNumber(),
@@ -36,20 +36,20 @@
 	}
 }
 
-// ViewNumber is the number of the view to be decided.
+// ViewNumber returns the number of the view to be decided.
 func (a *Acceptor) ViewNumber() uint64 { return a.viewNumber }
 
-// Promised is the highest proposal number that was promised, nil if none was.
+// Promised returns the highest proposal number that was promised, or nil if none was.
 func (a *Acceptor) Promised() *pb.Ballot { return a.promised }
 
-// HasAccepted reports whether a value was accepted, so that the view may have been decided already.
+// HasAccepted reports whether a value was accepted. If so, the view may have been decided already.
 func (a *Acceptor) HasAccepted() bool { return a.acceptedValue != nil }
 
-// IsEmpty reports whether nothing was promised or accepted.
+// IsEmpty reports whether the acceptor has neither promised nor accepted anything.
 func (a *Acceptor) IsEmpty() bool { return a.promised == nil && a.acceptedValue == nil }
 
 // Prepare answers the first phase of a proposal. A granted answer may only be sent once Record is durable: a voter
-// that restarted without its promise could accept a lower proposal, and two values could be decided.
+// that restarted without its promise could accept a proposal with a lower number, and two values could be decided.
 func (a *Acceptor) Prepare(prepare *pb.Prepare) *pb.Promise {
 	granted := CompareProposalNumbers(prepare.GetBallot(), a.promised) >= 0
 	if granted {
--- a/internal/region/quorum/admission.go
+++ b/internal/region/quorum/admission.go
@@ -8,7 +8,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// eligibleJoiners are the machines that may get a vote, sorted by identity, so that all voters prefer the same one.
+// eligibleJoiners returns the machines that may become voters, sorted by identity, so that all voters choose the same
+// one.
 func eligibleJoiners(voters []*pb.Replica, peers map[string]Peer) []*pb.Replica {
 	var joiners []*pb.Replica
 	for identity, peer := range peers {
@@ -23,16 +24,17 @@
 	return joiners
 }
 
-// hasLaterIdentity reports whether a voter on the host of a peer was received from after it: the peer is what that machine
-// was before it lost its disk.
+// hasLaterIdentity reports whether a voter on the same host was in contact at least as recently as a peer. The peer is
+// then an earlier identity of that host, from before it lost its disk.
 func hasLaterIdentity(peer Peer, voters []*pb.Replica, peers map[string]Peer) bool {
 	return slices.ContainsFunc(voters, func(voter *pb.Replica) bool {
 		return voter.GetHost() == peer.Replica.GetHost() && peers[voter.GetIdentity()].SinceContact <= peer.SinceContact
 	})
 }
 
-// admitJoiner gives one of the joiners a vote: that of an earlier identity of its host; that of a voter that has left
-// or is suspected; a vote of its own, if that is of use; or that of a voter whose zone has too many.
+// admitJoiner makes one of the joiners a voter. In order of preference the joiner replaces an earlier identity of its
+// host, replaces a voter that has left or is suspected, is added if mayGrow allows it, or replaces a voter of an
+// overrepresented zone.
 func admitJoiner(view *pb.View, peers map[string]Peer, joiners []*pb.Replica) ([]*pb.Replica, bool) {
 	voters := slices.Clone(view.GetVoters())
 	if replaceEarlierIdentity(voters, joiners, peers) {
@@ -44,7 +46,7 @@
 		return voters, true
 	}
 	if !allInContact(voters, peers) {
-		return voters, false // the joiners wait to replace the voter that may have failed
+		return voters, false // the joiners wait: one may have to replace the voter that is out of contact
 	}
 	joiner := joinerOfSmallestZone(joiners, voters)
 	if mayGrow(voters, peers, joiners) {
@@ -57,8 +59,8 @@
 	return voters, false
 }
 
-// replaceEarlierIdentity replaces a voter, in place, by a joiner on the same host: a machine that lost its disk has a
-// new identity. That is the one of the two that was received from last.
+// replaceEarlierIdentity replaces a voter, in place, by a joiner on the same host: a machine that lost its disk gets a
+// new identity. Of two identities on one host, the one that was in contact last is the new one.
 func replaceEarlierIdentity(voters, joiners []*pb.Replica, peers map[string]Peer) bool {
 	for _, joiner := range joiners {
 		sinceContact := peers[joiner.GetIdentity()].SinceContact
@@ -84,7 +86,7 @@
 	return NotFound
 }
 
-// allInContact reports whether no voter has been out of contact for so long that joiners wait to replace it.
+// allInContact reports whether every voter is live and was in contact within SuspicionTimeout.
 func allInContact(voters []*pb.Replica, peers map[string]Peer) bool {
 	return !slices.ContainsFunc(voters, func(voter *pb.Replica) bool {
 		peer := peers[voter.GetIdentity()]
@@ -92,9 +94,10 @@
 	})
 }
 
-// mayGrow reports whether one more voter is of use. To an odd number it is not, since the others would need one vote
-// more: the joiner stays a standby until a voter leaves, fails or is replaced. The exceptions: two joiners wait, there
-// are few voters, or a voter is leaving and a machine may be needed to take over its state.
+// mayGrow reports whether a voter may be added. An odd number of voters does not grow by one, since a majority would
+// then need one vote more: the joiner stays a standby until a voter leaves, fails or is replaced. There are three
+// exceptions: two joiners wait, there are fewer than MinLiveVoters voters, or a voter is leaving and a machine may be
+// needed to take over its state.
 func mayGrow(voters []*pb.Replica, peers map[string]Peer, joiners []*pb.Replica) bool {
 	if len(voters) >= MaxVoters {
 		return false
@@ -112,16 +115,16 @@
 	return established > 1 || (established == 1 && len(voters)%2 == 0)
 }
 
-// joinerOfSmallestZone returns the joiner whose zone has the fewest of the voters; of several, the first.
+// joinerOfSmallestZone returns the joiner whose zone has the fewest voters; among equals, the first.
 func joinerOfSmallestZone(joiners, voters []*pb.Replica) *pb.Replica {
 	return slices.MinFunc(joiners, func(a, b *pb.Replica) int {
 		return cmp.Compare(countInZone(a, voters), countInZone(b, voters))
 	})
 }
 
-// overrepresentedVoter returns the index of a voter whose zone has at least two votes more than the joiner's, so that
-// the votes are spread better with the joiner in its place, or NotFound. Voters outside of the chain are preferred,
-// then the later ones of the chain: replacing the head costs most.
+// overrepresentedVoter returns the index of a voter whose zone has at least two voters more than the joiner's, or
+// NotFound. Replacing that voter by the joiner spreads the voters more evenly over the zones. Voters outside of the
+// chain are preferred, then those late in the chain: replacing the head costs most.
 func overrepresentedVoter(view *pb.View, joiner *pb.Replica) int {
 	voters := view.GetVoters()
 	limit := countInZone(joiner, voters) + 1
@@ -137,7 +140,7 @@
 	return found
 }
 
-// countInZone is the number of voters in the zone of a replica.
+// countInZone returns the number of voters in the zone of a replica.
 func countInZone(replica *pb.Replica, voters []*pb.Replica) int {
 	count := 0
 	for _, voter := range voters {
@@ -148,7 +151,8 @@
 	return count
 }
 
-// chainPosition is a voter's position in the chain, or one behind the tail if it is not a member.
+// chainPosition returns a voter's position in the chain. For a voter outside of the chain that is the length of the
+// chain, so it sorts after the tail.
 func chainPosition(view *pb.View, voter *pb.Replica) int {
 	if position := IndexOf(view.GetChain(), voter.GetIdentity()); position != NotFound {
 		return position
--- a/internal/region/quorum/membership.go
+++ b/internal/region/quorum/membership.go
@@ -7,43 +7,46 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Timeouts and bounds of the changes of voters.
+// Timeouts and limits for changes of the set of voters.
 const (
-	// ReplacementTimeout is the time without contact after which a joiner replaces a voter. It is short: until then
-	// the failure of another voter could leave no majority. A voter that was only partitioned joins again. It is also
-	// the time after which a machine is removed from the chain, so that one view does both.
+	// ReplacementTimeout is the time without contact after which a joiner replaces a voter. It is short, because until
+	// the replacement the failure of another voter could leave no majority. A voter that was only partitioned can join
+	// again. A machine is removed from the chain after the same time, so that one view change does both.
 	ReplacementTimeout = 1200 * time.Millisecond
-	// GrowthDelay is how long joiners must have been in contact before one of them gets a vote of its own. Had a voter
-	// failed when they came, one of them would have replaced it by then.
+	// GrowthDelay is how long joiners must have been in contact before one of them becomes an additional voter. It is
+	// longer than ReplacementTimeout: a voter that had failed when the joiners arrived has been replaced by then.
 	GrowthDelay = 2 * time.Second
-	// EvenRemovalTimeout is the time without contact after which a voter is removed from an even number: the others
-	// then need one vote less for a majority.
+	// EvenRemovalTimeout is the time without contact after which a voter is removed from an even number of
+	// voters: a majority of the others needs one vote less.
 	EvenRemovalTimeout = ReplacementTimeout
-	// SuspicionTimeout is the time without contact with a voter after which joiners wait, in order to replace it.
+	// SuspicionTimeout is the time without contact with a voter after which no voter is added: the joiners wait, since
+	// one of them may have to replace that voter.
 	SuspicionTimeout = 700 * time.Millisecond
-	// OddRemovalTimeout is the time without contact with two voters after which one is removed from an odd number.
+	// OddRemovalTimeout is the time without contact with two voters after which one of them is removed from an odd
+	// number of voters.
 	OddRemovalTimeout = 30 * time.Second
-	// MinLiveVoters is the number of live voters below which none is removed, and the number of voters up to which
-	// every machine gets a vote.
+	// MinLiveVoters is the number of live voters below which no suspected voter is removed, and the number of voters
+	// below which any joiner is added.
 	MinLiveVoters = 3
 )
 
-// Peer is what a voter knows of another control machine, or of itself.
+// Peer is what a voter knows about another control machine, or about itself.
 type Peer struct {
 	Replica         *pb.Replica
 	SinceContact    time.Duration // time since the last message
 	ContactDuration time.Duration // time for which messages have been received without a gap
 	Live            bool          // not suspected to have failed
-	// KnowsView: it advertises the view in force or the one before it, so it also receives from this machine.
+	// KnowsView is set if the machine advertises the view in force or the one before it, which shows that it also
+	// receives messages from this machine.
 	KnowsView bool
-	// Leaving: it has announced its graceful shutdown.
+	// Leaving is set once the machine has announced its graceful shutdown.
 	Leaving bool
-	// Left: it has announced its graceful shutdown, and the chain goes on without it.
+	// Left is set once the machine has announced its graceful shutdown and is outside of the chain in force.
 	Left bool
 }
 
 // NextVoters returns the voters that the view after this one should have, and whether they differ from the present
-// ones: at most one is added, replaced or removed. Peers are by identity. The view is not modified.
+// ones. At most one voter is added, replaced or removed. The keys of peers are identities. The view is not modified.
 func NextVoters(view *pb.View, peers map[string]Peer) ([]*pb.Replica, bool) {
 	voters := slices.Clone(view.GetVoters())
 	if joiners := eligibleJoiners(voters, peers); len(joiners) > 0 {
--- a/internal/region/quorum/membership_test.go
+++ b/internal/region/quorum/membership_test.go
@@ -19,37 +19,37 @@
 	return strings.Join(list, " ")
 }
 
-// live is a peer that has been in contact for long.
+// live returns a live peer that has been in contact for longer than GrowthDelay.
 func live(name string) Peer {
 	return Peer{Replica: replica(name), Live: true, KnowsView: true, ContactDuration: time.Minute}
 }
 
-// fresh is a live peer that has been in contact for less than GrowthDelay.
+// fresh returns a live peer that has been in contact for less than GrowthDelay.
 func fresh(name string) Peer {
 	return Peer{Replica: replica(name), Live: true, KnowsView: true, ContactDuration: GrowthDelay - 1}
 }
 
-// suspected is a peer that is not live.
+// suspected returns a peer that is not live.
 func suspected(name string, sinceContact time.Duration) Peer {
 	return Peer{Replica: replica(name), SinceContact: sinceContact}
 }
 
-// left has announced its graceful shutdown, and the chain goes on without it.
+// left returns a peer that has announced its graceful shutdown and is outside of the chain.
 func left(name string) Peer {
 	return Peer{Replica: replica(name), Live: true, KnowsView: true, Leaving: true, Left: true}
 }
 
-// leaving has announced its graceful shutdown.
+// leaving returns a peer that has announced its graceful shutdown.
 func leaving(name string) Peer {
 	return Peer{Replica: replica(name), Live: true, KnowsView: true, Leaving: true}
 }
 
-// contactedBefore is a live peer whose last message is some time old.
+// contactedBefore returns a live peer that was last in contact the given time ago.
 func contactedBefore(name string, sinceContact time.Duration) Peer {
 	return Peer{Replica: replica(name), Live: true, KnowsView: true, SinceContact: sinceContact}
 }
 
-// established is a peer that has been in contact for long.
+// established returns the peer with a contact duration longer than GrowthDelay.
 func established(peer Peer) Peer {
 	peer.ContactDuration = time.Minute
 	return peer
@@ -84,67 +84,67 @@
 			want:   "a b c d e",
 		},
 		{
-			name:   "not at once: a voter that has just been lost may not be missed yet",
+			name:   "a joiner waits for GrowthDelay: the failure of a voter may not have been detected yet",
 			voters: "a b c d",
 			peers:  []Peer{live("a"), live("b"), live("c"), live("d"), fresh("e")},
 		},
 		{
-			name:   "two joiners wait as well",
+			name:   "two joiners wait too while one of them has been in contact for less than GrowthDelay",
 			voters: "a b c",
 			peers:  []Peer{live("a"), live("b"), live("c"), live("d"), fresh("e")},
 		},
 		{
-			name:   "a single joiner stands by where it would make an odd number even",
+			name:   "a single joiner that would make an odd number even stays a standby",
 			voters: "a b c",
 			peers:  []Peer{live("a"), live("b"), live("c"), live("d")},
 		},
 		{
-			name:   "not where few vote",
+			name:   "a joiner is added to fewer than MinLiveVoters voters",
 			voters: "a",
 			peers:  []Peer{live("a"), live("b")},
 			want:   "a b",
 		},
 		{
-			name:   "not where one is on its way out: its state may have to be taken",
+			name:   "a joiner is added if a voter is leaving: a machine may have to take over its state",
 			voters: "a b c",
 			peers:  []Peer{live("a"), leaving("b"), live("c"), live("d")},
 			want:   "a b c d",
 		},
 		{
-			name:   "one joiner at a time, by identity",
+			name:   "joiners are added one at a time, in order of identity",
 			voters: "a b c",
 			peers:  []Peer{live("a"), live("b"), live("c"), live("e"), live("d")},
 			want:   "a b c d",
 		},
 		{
-			name:   "a machine that does not know the view is no joiner yet",
+			name:   "a machine that does not know the view is not eligible",
 			voters: "a b c",
 			peers:  []Peer{live("a"), live("b"), live("c"), {Replica: replica("d"), Live: true}},
 		},
 		{
-			name:   "a joiner on a voter's host takes its place",
+			name:   "a joiner replaces the voter that is an earlier identity of its host",
 			voters: "a b c",
 			peers:  []Peer{live("a"), suspected("b", time.Second), live("c"), onHost(live("d"), "host-b")},
 			want:   "a d c",
 		},
 		{
-			name:   "what a voter on the host was before does not take its place",
+			name:   "an earlier identity of a voter's host does not replace that voter",
 			voters: "a b c",
 			peers:  []Peer{live("a"), live("b"), live("c"), onHost(contactedBefore("d", time.Second), "host-b")},
 		},
 		{
-			name:   "nor does it get a vote of its own",
+			name:   "an earlier identity of a voter's host is not added",
 			voters: "a b c d",
 			peers:  []Peer{live("a"), live("b"), live("c"), live("d"), onHost(established(contactedBefore("e", time.Second)), "host-c")},
 		},
 		{
-			name:   "a silent voter goes whose machine votes by a later identity",
+			name:   "a suspected voter is removed if its machine votes under a later identity",
 			voters: "a b c d e",
 			peers:  []Peer{live("a"), suspected("b", 2*time.Second), live("c"), onHost(live("d"), "host-b"), live("e")},
 			want:   "a c d e",
 		},
 		{
-			name:   "a joiner takes the place of the longest silent voter",
+			name:   "a joiner replaces the voter that has been out of contact longest",
 			voters: "a b c d e",
 			peers: []Peer{
 				live("a"), suspected("b", 2*time.Second), suspected("c", 4*time.Second), live("d"), live("e"), live("f"),
@@ -152,23 +152,23 @@
 			want: "a b f d e",
 		},
 		{
-			name:   "a joiner does not take the place of a voter that was heard lately",
+			name:   "a joiner does not replace a voter that was in contact within ReplacementTimeout",
 			voters: "a b c",
 			peers:  []Peer{live("a"), suspected("b", ReplacementTimeout-1), live("c"), live("d")},
 		},
 		{
-			name:   "it waits for that place, where it could have a vote of its own",
+			name:   "a joiner is not added while a voter is out of contact for SuspicionTimeout",
 			voters: "a b c d",
 			peers:  []Peer{live("a"), contactedBefore("b", SuspicionTimeout), live("c"), live("d"), live("e")},
 		},
 		{
-			name:   "a voter that was heard within moments is not waited for",
+			name:   "a joiner is added if every voter was in contact within SuspicionTimeout",
 			voters: "a b c d",
 			peers:  []Peer{live("a"), contactedBefore("b", SuspicionTimeout-1), live("c"), live("d"), live("e")},
 			want:   "a b c d e",
 		},
 		{
-			name:   "of several, the joiner from the zone with the fewest votes",
+			name:   "of several joiners, one of the zone with the fewest voters is chosen",
 			voters: "a b c",
 			peers: []Peer{
 				inZone(live("a"), "x"), inZone(suspected("b", time.Hour), "y"), inZone(live("c"), "z"),
@@ -177,7 +177,7 @@
 			want: "a e c",
 		},
 		{
-			name:   "a joiner takes the place of a voter whose zone has two votes more",
+			name:   "a joiner replaces a voter whose zone has two voters more",
 			voters: "a b c",
 			peers: []Peer{
 				inZone(live("a"), "x"), inZone(live("b"), "x"), inZone(live("c"), "z"), inZone(live("d"), "y"),
@@ -185,14 +185,14 @@
 			want: "d b c",
 		},
 		{
-			name:   "not of one whose zone has one vote more",
+			name:   "a joiner does not replace a voter whose zone has one voter more",
 			voters: "a b c",
 			peers: []Peer{
 				inZone(live("a"), "x"), inZone(live("b"), "x"), inZone(live("c"), "z"), inZone(live("d"), "z"),
 			},
 		},
 		{
-			name:   "no more than nine",
+			name:   "the number of voters does not exceed MaxVoters",
 			voters: "a b c d e f g h i",
 			peers: []Peer{
 				live("a"), live("b"), live("c"), live("d"), live("e"), live("f"), live("g"), live("h"), live("i"),
@@ -200,28 +200,28 @@
 			},
 		},
 		{
-			name:   "a silent one of an even number is dropped",
+			name:   "a voter out of contact for EvenRemovalTimeout is removed from an even number",
 			voters: "a b c d",
 			peers:  []Peer{live("a"), live("b"), live("c"), suspected("d", EvenRemovalTimeout)},
 			want:   "a b c",
 		},
 		{
-			name:   "not at once",
+			name:   "a voter out of contact for less than EvenRemovalTimeout is kept",
 			voters: "a b c d",
 			peers:  []Peer{live("a"), live("b"), live("c"), suspected("d", EvenRemovalTimeout-1)},
 		},
 		{
-			name:   "not when too few live",
+			name:   "no voter is removed while fewer than MinLiveVoters are live",
 			voters: "a b c d",
 			peers:  []Peer{live("a"), live("b"), suspected("c", time.Hour), suspected("d", time.Hour)},
 		},
 		{
-			name:   "a silent one of an odd number is kept: without it the others need as many votes",
+			name:   "one suspected voter of an odd number is kept: without it a majority is as large",
 			voters: "a b c d e",
 			peers:  []Peer{live("a"), live("b"), live("c"), live("d"), suspected("e", time.Hour)},
 		},
 		{
-			name:   "two long silent ones of an odd number go, one after the other",
+			name:   "of two voters of an odd number out of contact for OddRemovalTimeout, one is removed",
 			voters: "a b c d e",
 			peers: []Peer{
 				live("a"), live("b"), live("c"), suspected("d", OddRemovalTimeout), suspected("e", OddRemovalTimeout+1),
@@ -229,41 +229,41 @@
 			want: "a b c d",
 		},
 		{
-			name:   "one that has left an even number is dropped at once",
+			name:   "a voter that has left is removed from an even number at once",
 			voters: "a b c d",
 			peers:  []Peer{live("a"), left("b"), live("c"), live("d")},
 			want:   "a c d",
 		},
 		{
-			name:   "also when another one is leaving or silent, as long as the rest is a majority then",
+			name:   "a voter that has left is removed despite a suspected one if the rest is a majority",
 			voters: "a b c d",
 			peers:  []Peer{live("a"), left("b"), live("c"), suspected("d", time.Second)},
 			want:   "a c d",
 		},
 		{
-			name:   "not when the rest would be no majority",
+			name:   "a voter that has left is kept if the rest would not be a majority",
 			voters: "a b c d",
 			peers:  []Peer{live("a"), left("b"), suspected("c", time.Second), suspected("d", time.Second)},
 		},
 		{
-			name:   "one that has left an odd number keeps its vote",
+			name:   "a voter that has left is kept in an odd number",
 			voters: "a b c",
 			peers:  []Peer{live("a"), left("b"), live("c")},
 		},
 		{
-			name:   "one of two hands over to the other",
+			name:   "a voter that has left is removed from two voters",
 			voters: "a b",
 			peers:  []Peer{live("a"), left("b")},
 			want:   "a",
 		},
 		{
-			name:   "a joiner takes the place of one that has left",
+			name:   "a joiner replaces a voter that has left",
 			voters: "a b c",
 			peers:  []Peer{live("a"), left("b"), live("c"), live("d")},
 			want:   "a d c",
 		},
 		{
-			name:   "one that has left does not join",
+			name:   "a machine that has left is not eligible",
 			voters: "a b c",
 			peers:  []Peer{live("a"), live("b"), live("c"), left("d")},
 		},
@@ -292,7 +292,7 @@
 			if changed {
 				require.Equal(t, test.want, names(voters))
 			}
-			require.Equal(t, before, names(view.GetVoters()), "the view itself stays as it is")
+			require.Equal(t, before, names(view.GetVoters()), "the view is not modified")
 		})
 	}
 }
--- a/internal/region/quorum/paxos_test.go
+++ b/internal/region/quorum/paxos_test.go
@@ -24,14 +24,14 @@
 	return view
 }
 
-// paxos is a set of voters and proposers whose messages may be reordered, lost or repeated.
+// paxos is a set of voters and proposers whose messages may be reordered, lost or duplicated.
 type paxos struct {
 	base      *pb.View
 	acceptors []*Acceptor
 	records   []*pb.Promise // what each acceptor has on disk
 	proposers []*Proposer
-	inFlight  []func()
-	decided   map[string]bool
+	inFlight  []func()        // deliveries of messages
+	decided   map[string]bool // by serialized value
 	restarts  int
 }
 
@@ -53,7 +53,7 @@
 		}
 	}
 	if len(p.proposers)%2 == 1 {
-		highest = nil // a proposer that has observed no number
+		highest = nil // this proposer has observed no number
 	}
 	number := len(p.proposers)
 	proposer := NewProposer(p.base, NextProposalNumber(highest, fmt.Sprintf("proposer-%d", number)))
@@ -90,9 +90,9 @@
 	})
 }
 
-// step begins a proposal, restarts an acceptor or delivers a message, at random.
+// step starts a proposal, restarts an acceptor or delivers a message, at random.
 func (p *paxos) step(t *rapid.T) {
-	draw := rapid.IntRange(0, 19).Draw(t, "what")
+	draw := rapid.IntRange(0, 19).Draw(t, "action")
 	if draw == 0 && len(p.proposers) < 6 {
 		p.propose()
 		return
@@ -108,10 +108,10 @@
 	}
 	index := rapid.IntRange(0, len(p.inFlight)-1).Draw(t, "message")
 	deliver := p.inFlight[index]
-	if draw != 2 { // otherwise it will come again
+	if draw != 2 { // otherwise the message is duplicated
 		p.inFlight = append(p.inFlight[:index], p.inFlight[index+1:]...)
 	}
-	if draw != 3 { // otherwise it is lost
+	if draw != 3 { // otherwise the message is lost
 		deliver()
 	}
 }
@@ -152,7 +152,7 @@
 	require.False(t, proposer.Promised(replica("a"), promise))
 	require.False(t, proposer.Promised(replica("stranger"), promise))
 	other := &pb.Promise{ViewNumber: 4, Ballot: proposer.number, Granted: true}
-	require.False(t, proposer.Promised(replica("c"), other), "of another view")
+	require.False(t, proposer.Promised(replica("c"), other), "promise for another view")
 	require.True(t, proposer.Promised(replica("b"), promise))
 }
 
@@ -177,5 +177,5 @@
 	require.Equal(t, 2, Majority(view))
 	founded := viewOf(1, "a", "b")
 	wiped := &pb.Replica{Identity: "other", ControlAddress: "b:8146"}
-	require.Equal(t, NotFound, VoterIndex(founded, wiped), "a machine that lost its disk is another voter")
+	require.Equal(t, NotFound, VoterIndex(founded, wiped), "a machine that lost its disk has another identity and is no voter")
 }
--- a/internal/region/quorum/proposal_number.go
+++ b/internal/region/quorum/proposal_number.go
@@ -7,8 +7,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// CompareProposalNumbers orders proposal numbers by round, then by proposer. It returns -1, 0 or 1; nil is below
-// every other.
+// CompareProposalNumbers orders proposal numbers by round, then by proposer. It returns -1, 0 or 1; nil sorts
+// before every other number.
 func CompareProposalNumbers(a, b *pb.Ballot) int {
 	if order := cmp.Compare(a.GetRound(), b.GetRound()); order != 0 {
 		return order
@@ -16,9 +16,9 @@
 	return strings.Compare(a.GetProposer(), b.GetProposer())
 }
 
-// NextProposalNumber returns a proposal number of the proposer above the highest one that it knows of, which may be
-// nil. The proposer's name must differ from run to run of a machine: a restarted machine does not remember the
-// numbers that it has used, and two values under one number would break the safety of Paxos.
+// NextProposalNumber returns a proposal number of the proposer above the highest number that it has seen, which may be
+// nil. The proposer's name must differ between runs of a machine: a restarted machine does not remember the numbers
+// that it has used, and proposing two values under one number would break the safety of Paxos.
 func NextProposalNumber(highest *pb.Ballot, proposer string) *pb.Ballot {
 	return &pb.Ballot{Round: highest.GetRound() + 1, Proposer: proposer}
 }
--- a/internal/region/quorum/proposer.go
+++ b/internal/region/quorum/proposer.go
@@ -7,7 +7,7 @@
 // Phase is the phase of a proposal.
 type Phase int
 
-// The phases of a proposal. It ends as Decided or Superseded.
+// The phases of a proposal. Decided and Superseded are final.
 const (
 	Preparing  Phase = iota // waits for the promises of a majority
 	Accepting               // waits for a majority to accept the value
@@ -15,7 +15,7 @@
 	Superseded              // a voter has promised a higher number to another proposer
 )
 
-// Proposer is one proposal for the view after base. It counts each voter of base once.
+// Proposer runs one proposal for the view after base. The answers of each voter of base are counted once.
 type Proposer struct {
 	base     *pb.View
 	number   *pb.Ballot
@@ -23,14 +23,14 @@
 	promises map[int]bool // by index among the voters of base
 	accepts  map[int]bool // by index among the voters of base
 	value    *pb.View     // nil while Preparing
-	// Of the values that the promises name as accepted, the one with the highest number. It may have been decided,
-	// so no other value may be proposed.
+	// earlierValue is the accepted value with the highest proposal number among those that the promises reported, and
+	// earlierNumber is that number. The value may have been decided already, so no other value may be proposed.
 	earlierNumber   *pb.Ballot
 	earlierValue    *pb.View
-	highestObserved *pb.Ballot // in any answer
+	highestObserved *pb.Ballot // the highest number in any answer
 }
 
-// NewProposer begins a proposal under a number of its own, see NextProposalNumber.
+// NewProposer starts a proposal. The number must not have been used before, see NextProposalNumber.
 func NewProposer(base *pb.View, number *pb.Ballot) *Proposer {
 	return &Proposer{
 		base:            base,
@@ -41,13 +41,13 @@
 	}
 }
 
-// Phase is the proposal's phase.
+// Phase returns the current phase of the proposal.
 func (p *Proposer) Phase() Phase { return p.phase }
 
-// HighestObserved is the highest proposal number in any answer so far. The next proposal must have a higher one.
+// HighestObserved returns the highest proposal number in any answer so far. The next proposal needs a higher number.
 func (p *Proposer) HighestObserved() *pb.Ballot { return p.highestObserved }
 
-// Value is the proposed value; nil while Preparing.
+// Value returns the proposed value, or nil while Preparing.
 func (p *Proposer) Value() *pb.View { return p.value }
 
 // Prepare returns the message of the first phase, for all voters of the base view.
@@ -60,7 +60,7 @@
 	return &pb.Accept{ViewNumber: p.viewNumber(), Ballot: p.number, Value: p.value}
 }
 
-// AwaitsVoter reports whether a voter, by its index among those of the base view, has not granted the present phase.
+// AwaitsVoter reports whether the voter with an index in the base view has not granted the current phase yet.
 func (p *Proposer) AwaitsVoter(voter int) bool {
 	switch p.phase {
 	case Preparing:
@@ -72,7 +72,8 @@
 	}
 }
 
-// Promised counts a voter's promise. It returns true once, when a majority has promised: Choose must follow.
+// Promised counts a voter's promise. It returns true once, when a majority has promised; the caller must then call
+// Choose.
 func (p *Proposer) Promised(from *pb.Replica, promise *pb.Promise) bool {
 	voter := p.grantingVoter(Preparing, from, promise)
 	if voter == NotFound {
@@ -86,11 +87,11 @@
 	return len(p.promises) == Majority(p.base)
 }
 
-// AcceptedEarlier is the value that a voter has accepted in an earlier proposal and that must therefore be proposed;
-// nil if the proposer is free to choose.
+// AcceptedEarlier returns the value that a voter has accepted in an earlier proposal and that must therefore be
+// proposed again, or nil if any value may be proposed.
 func (p *Proposer) AcceptedEarlier() *pb.View { return p.earlierValue }
 
-// Choose fixes the value, AcceptedEarlier if there is one and the wanted one otherwise, and begins the second phase.
+// Choose starts the second phase with the value of AcceptedEarlier if there is one, and with the wanted value otherwise.
 func (p *Proposer) Choose(wanted *pb.View) {
 	p.value = wanted
 	if p.earlierValue != nil {
@@ -113,10 +114,10 @@
 	return true
 }
 
-// viewNumber is the number of the view that is proposed.
+// viewNumber returns the number of the proposed view.
 func (p *Proposer) viewNumber() uint64 { return p.base.GetNumber() + 1 }
 
-// answer is what a voter's answers in both phases have in common: pb.Promise and pb.Accepted.
+// answer has the methods that a voter's answers in both phases, pb.Promise and pb.Accepted, have in common.
 type answer interface {
 	GetViewNumber() uint64
 	GetBallot() *pb.Ballot   // number of the proposal that is answered
@@ -124,8 +125,8 @@
 	GetPromised() *pb.Ballot // highest number that the voter has promised
 }
 
-// grantingVoter returns the index of a voter of base that grants the given phase of this proposal; NotFound for a
-// rejection, an answer to another proposal or phase, and a sender that has no vote.
+// grantingVoter returns the index in base of a voter that grants the given phase of this proposal. It returns NotFound
+// for a rejection, for an answer to another proposal or phase, and for a sender that is not a voter.
 func (p *Proposer) grantingVoter(phase Phase, from *pb.Replica, received answer) int {
 	if !p.isAwaited(phase, received) {
 		return NotFound
@@ -143,8 +144,9 @@
 		CompareProposalNumbers(received.GetBallot(), p.number) == 0
 }
 
-// observe ends the proposal if the answer rejects it in favour of a higher number. A rejection without one means that
-// the voter sees no need for another view; the proposal stays as it is.
+// observe records the promised number of an answer and ends the proposal if the answer rejects it in favour of a higher
+// number. A rejection without a higher number means that the voter sees no need for another view; the proposal then
+// continues.
 func (p *Proposer) observe(received answer) {
 	if CompareProposalNumbers(received.GetPromised(), p.highestObserved) > 0 {
 		p.highestObserved = received.GetPromised()
--- a/internal/region/quorum/removal.go
+++ b/internal/region/quorum/removal.go
@@ -6,7 +6,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// removableVoter returns the index of a voter without which the others are better off, or NotFound.
+// removableVoter returns the index of a voter that should be removed without a replacement, or NotFound.
 func removableVoter(voters []*pb.Replica, peers map[string]Peer) int {
 	if index := firstLeftVoter(voters, peers); index != NotFound && mayRemoveLeft(voters, peers) {
 		return index
@@ -38,8 +38,8 @@
 	return NotFound
 }
 
-// earlierIdentity returns the index of a silent voter on whose host another voter is live, or NotFound: the machine has lost
-// its disk, and the silent voter will not come back.
+// earlierIdentity returns the index of a suspected voter on whose host another voter is live, or NotFound. The machine
+// has lost its disk, so the suspected identity will not return.
 func earlierIdentity(voters []*pb.Replica, peers map[string]Peer) int {
 	return slices.IndexFunc(voters, func(silent *pb.Replica) bool {
 		return !peers[silent.GetIdentity()].Live && slices.ContainsFunc(voters, func(voter *pb.Replica) bool {
@@ -48,8 +48,9 @@
 	})
 }
 
-// mayRemoveLeft reports whether a voter that has left is removed. From an even number it is, if a majority of the
-// others stays: they then need one vote less. From an odd number nothing is gained, and it may come back.
+// mayRemoveLeft reports whether a voter that has left may be removed. From an even number of voters it may, if a
+// majority of the others stays: that majority then needs one vote less. Removing it from an odd number does not lower
+// the majority, and the voter may return.
 func mayRemoveLeft(voters []*pb.Replica, peers map[string]Peer) bool {
 	others := len(voters) - 1
 	if len(voters)%2 != 0 {
--- a/internal/region/quorum/view.go
+++ b/internal/region/quorum/view.go
@@ -12,7 +12,7 @@
 // NotFound is the index of a replica that is not in a list.
 const NotFound = -1
 
-// BootstrapView returns view 0: its voters are the seeds, named by the ip:port of their operator API.
+// BootstrapView returns view 0. Its voters are the seeds, identified by the ip:port of their operator API.
 func BootstrapView(seeds []string) *pb.View {
 	view := &pb.View{}
 	for _, seed := range seeds {
@@ -21,9 +21,9 @@
 	return view
 }
 
-// VoterIndex returns the index of a replica among the voters of a view, or NotFound. In view 0 a voter is known by
-// the address of its operator API. Later it is known by its identity, so that a machine that lost its disk, and with
-// it its promises, is not taken for the voter that it was.
+// VoterIndex returns the index of a replica among the voters of a view, or NotFound. In view 0 a voter is identified by
+// the address of its operator API. In later views it is identified by its identity: a machine that lost its disk has
+// lost its promises too, and must not count as the voter that it was before.
 func VoterIndex(view *pb.View, replica *pb.Replica) int {
 	if view.GetNumber() > 0 {
 		return IndexOf(view.GetVoters(), replica.GetIdentity())
@@ -40,5 +40,5 @@
 	})
 }
 
-// Majority is the smallest number of a view's voters that is more than half of them. Any two majorities share a voter.
+// Majority returns the smallest number of voters that is more than half of a view's. Any two majorities share a voter.
 func Majority(view *pb.View) int { return len(view.GetVoters())/2 + 1 }
