--- a/internal/region/quorum/membership_test.go
+++ b/internal/region/quorum/membership_test.go
@@ -297,7 +297,7 @@
 	}
 }
 
-func TestVoterOutsideOfTheChainGivesItsPlaceFirst(t *testing.T) {
+func TestVoterOutsideOfTheChainIsReplacedFirst(t *testing.T) {
 	view := viewOf(3, "a", "b", "c")
 	peers := make(map[string]Peer)
 	for index, zone := range []string{"x", "x", "z"} {
--- a/internal/region/quorum/paxos_test.go
+++ b/internal/region/quorum/paxos_test.go
@@ -144,7 +144,7 @@
 	require.Equal(t, "0", p.proposers[0].Value().GetVoters()[0].GetIdentity())
 }
 
-func TestProposerCountsEachVoterOnceAndNoStrangers(t *testing.T) {
+func TestProposerCountsEachVoterOnceAndIgnoresNonVoters(t *testing.T) {
 	base := viewOf(2, "a", "b", "c")
 	proposer := NewProposer(base, NextProposalNumber(nil, "p"))
 	promise := &pb.Promise{ViewNumber: 3, Ballot: proposer.number, Promised: proposer.number, Granted: true}
@@ -170,7 +170,7 @@
 	require.Equal(t, Preparing, proposer.Phase())
 }
 
-func TestVotersBeforeFoundingAreKnownByAddress(t *testing.T) {
+func TestVotersOfBootstrapViewAreIdentifiedByAddress(t *testing.T) {
 	view := BootstrapView([]string{"a:8146", "b:8146", "c:8146"})
 	require.Equal(t, 1, VoterIndex(view, replica("b")))
 	require.Equal(t, NotFound, VoterIndex(view, replica("d")))
