--- a/internal/region/chain/append.go
+++ b/internal/region/chain/append.go
@@ -30,8 +30,8 @@
 	return output
 }
 
-// answerDuplicate answers an Append without a new change: the acknowledgement was lost, or a restarted replica asks
-// what is committed.
+// answerDuplicate answers an Append without a new change. The predecessor sends one if the acknowledgement was lost, or
+// if it has restarted and does not know what is committed.
 func (r *Replica) answerDuplicate(output *Output) {
 	switch {
 	case r.isLearner():
@@ -41,8 +41,8 @@
 	}
 }
 
-// awaitsAcknowledge reports whether the successor has to acknowledge something: a change, or what was committed before
-// this replica entered the view.
+// awaitsAcknowledge reports whether an acknowledgement of the successor is missing: that of a change, or the first one
+// of the view, which tells this replica what is committed.
 func (r *Replica) awaitsAcknowledge() bool {
 	if r.successor() == nil || !r.synchronized {
 		return false
@@ -50,8 +50,8 @@
 	return !r.commitKnown || r.acknowledged < r.state.Newest.Sequence()
 }
 
-// sendAppend sends the successor what it has not acknowledged, if the history reaches back that far. Otherwise it sends
-// no more than the last change: the successor acknowledges what is committed, or requests a repair.
+// sendAppend sends the successor the changes that it has not acknowledged, if the history reaches back that far.
+// Otherwise it sends only the last change: the successor then acknowledges what is committed, or requests a repair.
 func (r *Replica) sendAppend(output *Output) {
 	changes, found := r.state.History.Since(r.acknowledged)
 	if !found {
@@ -68,8 +68,8 @@
 	r.send(output, r.successor(), &pb.Message{Body: &pb.Message_Append{Append: message}})
 }
 
-// Undelivered reports that a message of this replica may not have reached its receiver, so that it is sent again
-// without waiting for an answer.
+// Undelivered handles a notification that a message of this replica may not have reached its receiver. The message is
+// then sent again without waiting for an answer.
 func (r *Replica) Undelivered(message *pb.Message) {
 	receiver := message.GetToIdentity()
 	switch body := message.GetBody().(type) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// isAppendInFlight reports whether the changes after a sequence may still be on their way to the successor. Heartbeats
-// use another connection and overtake large changes, so a successor that is behind need not have missed them.
+// isAppendInFlight reports whether the changes after a sequence may still be in flight to the successor. Heartbeats use
+// another connection and can overtake large changes, so a successor that is behind has not necessarily missed them.
 func (r *Replica) isAppendInFlight(sequence uint64) bool {
 	return sequence >= r.appendBase && r.awaitsAcknowledge() && r.appendPacer.isInFlight()
 }
--- a/internal/region/chain/append_in_flight_test.go
+++ b/internal/region/chain/append_in_flight_test.go
@@ -9,8 +9,9 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Heartbeats use a connection of their own and overtake a large change in flight. It is not sent a second time, as a
-// repair, before it may be lost.
+// Guards against sending a large change twice. Heartbeats use a connection of their own and overtake a large change in
+// flight, so the receiver appears to be behind. The change must not be sent again, as an append or in a repair, while it
+// may still arrive.
 func TestLargeChangeThatHeartbeatsOvertakeIsNotSentTwice(t *testing.T) {
 	const size = 16 * slowLinkTickBytes
 	c := newRunningCluster(t)
--- a/internal/region/chain/builder.go
+++ b/internal/region/chain/builder.go
@@ -13,8 +13,8 @@
 	candidates map[string]Candidate
 	required   Requirement
 	chain      []*pb.Replica
-	// diskFaulty are members whose disks reject writes. They stay behind the others until these are redundant enough:
-	// they may have the only durable replicas that survive the next failure.
+	// diskFaulty are members whose disks reject writes. They stay at the end of the chain until the other members meet
+	// the requirement: the copies on their disks may be the only ones that survive the next failure.
 	diskFaulty []*pb.Replica
 }
 
@@ -22,8 +22,8 @@
 	return b.candidates[replica.GetIdentity()]
 }
 
-// keepMembers begins the chain with the healthy members of the one before. It reports whether one of them is
-// synchronized and can be the head.
+// keepMembers starts the chain with the healthy members of the previous chain. It reports whether one of them is
+// synchronized and can therefore be the head.
 func (b *builder) keepMembers(members []*pb.Replica) bool {
 	survivors := b.votingMembers(members, func(candidate Candidate) bool { return candidate.Healthy })
 	if staying := b.withoutLeaving(survivors); b.required.MetBy(b.synchronizedOnly(staying), b.voters) {
@@ -41,7 +41,7 @@
 	return true
 }
 
-// votingMembers are the members that have a vote and satisfy a condition.
+// votingMembers returns the members that are voters and satisfy a condition.
 func (b *builder) votingMembers(members []*pb.Replica, condition func(Candidate) bool) []*pb.Replica {
 	return slices.DeleteFunc(slices.Clone(members), func(member *pb.Replica) bool {
 		votes := quorum.IndexOf(b.voters, member.GetIdentity()) != quorum.NotFound
@@ -61,12 +61,13 @@
 	})
 }
 
-// lacksRedundancy reports whether the chain does not meet the requirement without the members that are leaving.
+// lacksRedundancy reports whether the chain, without the members that are leaving, fails to meet the requirement.
 func (b *builder) lacksRedundancy() bool {
 	return !b.required.MetBy(b.withoutLeaving(b.chain), b.voters)
 }
 
-// addMembers adds voters up to MaxLength. While the chain lacks redundancy, any healthy voter will do.
+// addMembers adds voters up to MaxLength. While the chain lacks redundancy, any healthy voter that is not leaving is
+// eligible.
 func (b *builder) addMembers() {
 	for len(b.chain)+len(b.diskFaulty) < MaxLength {
 		added := b.bestAddition(b.lacksRedundancy())
@@ -77,8 +78,8 @@
 	}
 }
 
-// evictForDomain removes a member of a full chain that lacks redundancy, if a voter in a new failure domain can be
-// added and the chain is in as many domains without the member. The head stays.
+// evictForDomain removes a member of a full chain that lacks redundancy if a voter in a new failure domain can be added
+// and the chain spans as many domains without the member. The head is never removed.
 func (b *builder) evictForDomain() {
 	if len(b.chain) < MaxLength || !b.lacksRedundancy() {
 		return
@@ -118,7 +119,7 @@
 	return best
 }
 
-// isEligible reports whether a voter may be added. If it is urgent, it need not be stable or synchronized.
+// isEligible reports whether a voter may be added. If urgent is set, the voter need not be stable or synchronized.
 func (b *builder) isEligible(voter *pb.Replica, urgent bool) bool {
 	candidate := b.candidate(voter)
 	if !candidate.Healthy || candidate.Leaving || quorum.IndexOf(b.chain, voter.GetIdentity()) != quorum.NotFound {
@@ -127,8 +128,9 @@
 	return urgent || (candidate.Stable && candidate.Synchronized)
 }
 
-// spreadsBetter reports whether a is in a failure domain with fewer members than that of other. Regions come first if
-// the chain must survive the loss of one; otherwise links between regions are avoided where possible.
+// spreadsBetter reports whether a is in a failure domain with fewer members than that of other. Regions are compared
+// first if the chain must survive the loss of one. Otherwise only zones are compared, so that links between regions are
+// avoided where possible.
 func (b *builder) spreadsBetter(a, other *pb.Replica) bool {
 	if b.required.Regions > 1 {
 		inRegion := countInDomain(b.chain, a, (*pb.Replica).GetRegion)
--- a/internal/region/chain/capacity_bench_test.go
+++ b/internal/region/chain/capacity_bench_test.go
@@ -31,7 +31,7 @@
 	for _, member := range view.GetChain() {
 		chain.perform(member, chain.replicas[member.GetIdentity()].Adopt(view))
 	}
-	for range 4 { // until all are synchronized
+	for range 4 { // ticks until all replicas are synchronized
 		for _, member := range view.GetChain() {
 			chain.perform(member, chain.replicas[member.GetIdentity()].Tick())
 		}
@@ -39,7 +39,7 @@
 	return chain
 }
 
-// perform completes writes and delivers messages at once.
+// perform completes writes and delivers messages immediately.
 func (c *benchmarkChain) perform(self *pb.Replica, output Output) {
 	if len(output.Writes) > 0 {
 		c.writes++
@@ -53,8 +53,8 @@
 	}
 }
 
-// BenchmarkCapacityChainWrite takes one change from the head to the tail and the acknowledgement back, with a
-// state of 1,500 routes. Disks and the network are not in it.
+// BenchmarkCapacityChainWrite replicates one change from the head to the tail and returns the acknowledgement, with a
+// state of 1,500 routes. It excludes disks and the network.
 func BenchmarkCapacityChainWrite(b *testing.B) {
 	for _, length := range []int{1, 3, 5} {
 		b.Run(fmt.Sprint(length), func(b *testing.B) {
--- a/internal/region/chain/cluster_test.go
+++ b/internal/region/chain/cluster_test.go
@@ -26,7 +26,8 @@
 	return &pb.View{Number: number, Voters: replicasNamed(voters...), Chain: replicasNamed(chain...)}
 }
 
-// cluster is a set of replicas whose messages wait until they are delivered, and writes until they are persisted.
+// cluster is a set of replicas. Their messages are queued until a test delivers them, their writes until it persists
+// them.
 type cluster struct {
 	t           *testing.T
 	replicas    map[string]*Replica
@@ -34,7 +35,7 @@
 	unpersisted map[string][][]Write
 	messages    []OutgoingMessage
 	partitioned map[string]bool // machines that can neither send nor receive
-	heldBack    []*pb.Message   // messages that holdBack has selected
+	heldBack    []*pb.Message   // messages that holdBack has withheld
 	holdBack    func(*pb.Message) bool
 }
 
@@ -54,7 +55,7 @@
 	return c
 }
 
-// collect keeps the output of a replica.
+// collect queues the messages and writes in the output of a replica.
 func (c *cluster) collect(name string, output Output) {
 	for _, outgoing := range output.Messages {
 		outgoing.Message.From = replicaNamed(name)
@@ -82,7 +83,7 @@
 	c.collect(to, handle(c.replicas[to], message))
 }
 
-// handle passes a message to the event that is for it.
+// handle passes a message to the method of the replica for its type.
 func handle(to *Replica, message *pb.Message) Output {
 	from := message.GetFrom()
 	switch body := message.GetBody().(type) {
@@ -114,7 +115,7 @@
 			c.deliver(to, next.Message)
 		}
 	}
-	require.Fail(c.t, "the messages do not end")
+	require.Fail(c.t, "the replicas still send messages after 1000 steps")
 }
 
 func (c *cluster) adopt(view *pb.View, names ...string) {
@@ -132,13 +133,13 @@
 	}
 }
 
-// restart begins a new run of a replica with what is on its disk.
+// restart starts a new run of a replica from the state on its disk. Unpersisted writes are lost.
 func (c *cluster) restart(name string, incarnation uint64) {
 	c.unpersisted[name] = nil
 	c.replicas[name] = NewReplica(name, c.disk(name), incarnation)
 }
 
-// disk is the state that results from the writes on a disk.
+// disk returns the state that results from the writes on a replica's disk.
 func (c *cluster) disk(name string) State {
 	state := EmptyState()
 	for _, write := range c.disks[name] {
@@ -147,7 +148,7 @@
 	return state
 }
 
-// change returns the next change, which writes one item.
+// change returns the next change after a replica's newest state. It writes one item.
 func (c *cluster) change(name, content string) *pb.Change {
 	newest := c.replicas[name].Newest()
 	sequence := newest.Sequence() + 1
@@ -163,7 +164,7 @@
 	c.collect(name, output)
 }
 
-// describe lists the sequence and the items of a state.
+// describe returns the sequence and the names of the items of a state.
 func describe(snapshot *catalog.Snapshot) string {
 	if snapshot == nil {
 		return "nothing"
--- a/internal/region/chain/commit.go
+++ b/internal/region/chain/commit.go
@@ -6,8 +6,8 @@
 	"fieldrelay/internal/region/quorum"
 )
 
-// Acknowledged handles the successor's acknowledgement: everything up to a sequence is on disk from there to the tail,
-// and therefore committed.
+// Acknowledged handles an acknowledgement of the successor: all changes up to a sequence are on disk from the successor
+// to the tail, and therefore committed.
 func (r *Replica) Acknowledged(from *pb.Replica, message *pb.Acknowledge) Output {
 	var output Output
 	if !r.isCurrent(message.GetViewNumber()) || !r.isSuccessor(from) || !r.synchronized {
@@ -27,7 +27,7 @@
 	return output
 }
 
-// snapshotAt returns the state at a sequence, or nil if it is neither the newest nor the one before.
+// snapshotAt returns the newest snapshot or the one before it, whichever is at a sequence, or nil if neither is.
 func (r *Replica) snapshotAt(sequence uint64) *catalog.Snapshot {
 	if r.state.Newest.Sequence() == sequence {
 		return r.state.Newest
@@ -48,7 +48,7 @@
 	}
 }
 
-// markCommitted records that a state is committed, unless a newer one is known to be.
+// markCommitted records that a state is committed, unless a newer state is already known to be committed.
 func (r *Replica) markCommitted(output *Output, snapshot *catalog.Snapshot) {
 	r.commitKnown = true
 	if r.committed != nil && snapshot.Sequence() <= r.committed.Sequence() {
@@ -69,8 +69,8 @@
 	}}})
 }
 
-// appendToLearners sends the changes committed after a state to the learners. It is not retried: a learner that misses
-// one notices by the tail's heartbeats and requests a repair.
+// appendToLearners sends the learners the changes that were committed after a state. The message is not retried: a
+// learner that misses one detects that by the tail's heartbeats and requests a repair.
 func (r *Replica) appendToLearners(output *Output, before *catalog.Snapshot) {
 	changes, found := r.state.History.Since(before.Sequence())
 	if !found {
@@ -85,7 +85,7 @@
 	}
 }
 
-// learners are the machines that follow the tail: the voters outside of the chain, then the standbys.
+// learners returns the machines that follow the tail: the voters outside of the chain, then the standbys.
 func (r *Replica) learners() []*pb.Replica {
 	var learners []*pb.Replica
 	for _, voter := range r.state.View.GetVoters() {
--- a/internal/region/chain/executed_orders_test.go
+++ b/internal/region/chain/executed_orders_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// recordRepairs records the executed orders in the repairs that the replicas send each other.
+// recordRepairs records the executed orders of the repairs that the replicas send from then on.
 func (c *cluster) recordRepairs() *[]*pb.ExecutedOrders {
 	var seen []*pb.ExecutedOrders
 	c.holdBack = func(message *pb.Message) bool {
@@ -47,7 +47,8 @@
 	}
 }
 
-// A member that was partitioned receives the chunks of orders that it lacks, and not the others.
+// Guards against repairs that send more of the record of executed orders than needed: a member that was partitioned
+// receives only the chunks that it lacks.
 func TestRepairsBringTheOrdersThatAreLacking(t *testing.T) {
 	c := newRunningCluster(t)
 	c.executeOrders("a", 1000, three...)
@@ -68,7 +69,7 @@
 	}
 }
 
-// A learner receives each order with its change, and a new one all of them.
+// A learner receives each executed order with its change. A new learner receives the whole record.
 func TestLearnersHoldTheOrders(t *testing.T) {
 	c := newRunningCluster(t)
 	c.executeOrders("a", 10, three...)
@@ -86,7 +87,8 @@
 	c.requireSameState(three...)
 }
 
-// A new head knows the orders of the one before. A change that only that one had is discarded with its order.
+// A new head holds the executed orders of its predecessor as the head. A change that only the old head had is discarded
+// together with its order.
 func TestTheNextHeadKnowsTheOrders(t *testing.T) {
 	c := newRunningCluster(t)
 	c.executeOrders("a", 100, three...)
@@ -113,7 +115,7 @@
 	require.ErrorAs(t, err, &conflict)
 }
 
-// A member whose record of orders differs receives it, though its items and its sequence are the same.
+// A member whose record of executed orders differs is repaired even if its items and its sequence are the same.
 func TestAMemberThatLacksOnlyTheOrdersGetsThem(t *testing.T) {
 	c := newRunningCluster(t)
 	c.executeOrders("a", 10, three...)
--- a/internal/region/chain/next_chain.go
+++ b/internal/region/chain/next_chain.go
@@ -6,26 +6,26 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// MaxLength is the highest number of replicas in a chain.
+// MaxLength is the maximum number of replicas in a chain.
 const MaxLength = 5
 
 // Candidate is what is known of a voter that may be a member of the next chain.
 type Candidate struct {
 	Healthy      bool // reachable, and its disk works
 	Reachable    bool // not suspected to have failed, whether its disk works or not
-	Synchronized bool // as it advertises, in the view in force
-	Stable       bool // for so long without a failure that it may be added although the chain is redundant enough
-	Leaving      bool // has announced its graceful shutdown: a member only until the others are redundant enough
+	Synchronized bool // advertises that it is synchronized in the view in force
+	Stable       bool // has run without a failure for long enough to be added to a chain that is already redundant
+	Leaving      bool // has announced its graceful shutdown: stays a member only until the others are redundant enough
 }
 
-// Change is how a chain differs from the one before.
+// Change describes how a chain differs from the previous one.
 type Change struct {
 	Removal  bool // a member was removed
 	Addition bool // a member was added
 }
 
-// NextChain returns the chain that should follow that of the view, among the next voters, and how it differs. It
-// returns nil if no healthy member is synchronized: no other replica can be the head without losing commits.
+// NextChain returns the chain that should follow that of the view, chosen among the next voters, and how it differs. It
+// returns nil if no healthy member is synchronized: with any other head, committed changes could be lost.
 func NextChain(
 	view *pb.View, voters []*pb.Replica, candidates map[string]Candidate, required Requirement,
 ) ([]*pb.Replica, Change) {
@@ -41,7 +41,7 @@
 	return append(next.chain, next.diskFaulty...), change
 }
 
-// InitialChain returns the chain of the first view: spread over failure domains, ordered by region and zone.
+// InitialChain returns the chain of the first view, spread over failure domains and ordered by region, zone and host.
 func InitialChain(voters []*pb.Replica, required Requirement) []*pb.Replica {
 	ordered := slices.Clone(voters)
 	slices.SortFunc(ordered, byDomain)
--- a/internal/region/chain/next_chain_test.go
+++ b/internal/region/chain/next_chain_test.go
@@ -37,95 +37,95 @@
 		change     Change
 	}{
 		{
-			name: "all is well", chain: "a b c", voters: "a b c",
+			name: "all members are healthy: no change", chain: "a b c", voters: "a b c",
 			candidates: map[string]Candidate{"a": good, "b": good, "c": good},
 			want:       "a b c",
 		},
 		{
-			name: "a silent head", chain: "a b c", voters: "a b c",
+			name: "an unreachable head is removed", chain: "a b c", voters: "a b c",
 			candidates: map[string]Candidate{"b": good, "c": good},
 			want:       "b c", change: Change{Removal: true},
 		},
 		{
-			name: "a full disk in the middle", chain: "a b c", voters: "a b c",
+			name: "an unhealthy member in the middle is removed", chain: "a b c", voters: "a b c",
 			candidates: map[string]Candidate{"a": good, "b": unhealthy, "c": good},
 			want:       "a c", change: Change{Removal: true},
 		},
 		{
-			name: "the head must hold the state", chain: "a b c", voters: "a b c",
+			name: "the head must be synchronized", chain: "a b c", voters: "a b c",
 			candidates: map[string]Candidate{"b": lagging, "c": good},
 			want:       "c b", change: Change{Removal: true},
 		},
 		{
-			name: "no source is left", chain: "a b c", voters: "a b c d",
+			name: "there is no chain if no member is synchronized", chain: "a b c", voters: "a b c d",
 			candidates: map[string]Candidate{"b": lagging, "d": good},
 		},
 		{
-			name: "a learner is added when it is steady and holds the state", chain: "a b", voters: "a b c d e",
+			name: "a learner is added if it is stable and synchronized", chain: "a b", voters: "a b c d e",
 			candidates: map[string]Candidate{"a": good, "b": good, "c": good, "d": unstable, "e": lagging},
 			want:       "a b c", change: Change{Addition: true},
 		},
 		{
-			name: "a chain that is too short takes any fit voter", chain: "a b", voters: "a b c",
+			name: "any healthy voter is added to a chain that lacks redundancy", chain: "a b", voters: "a b c",
 			candidates: map[string]Candidate{"a": good, "c": lagging},
 			want:       "a c", change: Change{Removal: true, Addition: true},
 		},
 		{
-			name: "five at most", chain: "a b c d e", voters: "a b c d e f",
+			name: "the chain does not exceed MaxLength", chain: "a b c d e", voters: "a b c d e f",
 			candidates: map[string]Candidate{"a": good, "b": good, "c": good, "d": good, "e": good, "f": good},
 			want:       "a b c d e",
 		},
 		{
-			name: "a member whose disk refuses goes", chain: "a b c", voters: "a b c",
+			name: "a member whose disk rejects writes is removed", chain: "a b c", voters: "a b c",
 			candidates: map[string]Candidate{"a": diskFull, "b": good, "c": good},
 			want:       "b c", change: Change{Removal: true},
 		},
 		{
-			name: "not before the others hold enough copies", chain: "a b c", voters: "a b c",
+			name: "a member whose disk rejects writes stays until the others are redundant", chain: "a b c", voters: "a b c",
 			candidates: map[string]Candidate{"a": diskFull, "b": good, "c": lagging},
 			want:       "b c a",
 		},
 		{
-			name: "while it stays, whoever can take the state is added before it", chain: "a b", voters: "a b c",
+			name: "a lagging voter is added before a member whose disk rejects writes", chain: "a b", voters: "a b c",
 			candidates: map[string]Candidate{"a": diskFull, "b": good, "c": lagging},
 			want:       "b c a", change: Change{Addition: true},
 		},
 		{
-			name: "one that is not heard goes all the same", chain: "a b c", voters: "a b c",
+			name: "an unreachable member is removed even if the others are not redundant", chain: "a b c", voters: "a b c",
 			candidates: map[string]Candidate{"a": {}, "b": good, "c": lagging},
 			want:       "b c", change: Change{Removal: true},
 		},
 		{
-			name: "without any that holds the state and is fit there is no chain", chain: "a b", voters: "a b c",
+			name: "there is no chain if no healthy member is synchronized", chain: "a b", voters: "a b c",
 			candidates: map[string]Candidate{"a": diskFull, "b": lagging, "c": lagging},
 		},
 		{
-			name: "a member that was told to end goes", chain: "a b c", voters: "a b c",
+			name: "a leaving member is removed", chain: "a b c", voters: "a b c",
 			candidates: map[string]Candidate{"a": leaving, "b": good, "c": good},
 			want:       "b c", change: Change{Removal: true},
 		},
 		{
-			name: "not before the others hold enough copies", chain: "a b c", voters: "a b c",
+			name: "a leaving member stays until the others are redundant", chain: "a b c", voters: "a b c",
 			candidates: map[string]Candidate{"a": leaving, "b": good, "c": lagging},
 			want:       "a b c",
 		},
 		{
-			name: "while it stays, whoever can take the state is added", chain: "a b", voters: "a b c",
+			name: "a lagging voter is added while a leaving member stays", chain: "a b", voters: "a b c",
 			candidates: map[string]Candidate{"a": leaving, "b": good, "c": lagging},
 			want:       "a b c", change: Change{Addition: true},
 		},
 		{
-			name: "the only copy stays", chain: "a", voters: "a b c",
+			name: "a leaving member with the only copy stays", chain: "a", voters: "a b c",
 			candidates: map[string]Candidate{"a": leaving, "b": lagging},
 			want:       "a b", change: Change{Addition: true},
 		},
 		{
-			name: "one that was told to end is not added", chain: "a b", voters: "a b c",
+			name: "a leaving voter is not added", chain: "a b", voters: "a b c",
 			candidates: map[string]Candidate{"a": good, "b": good, "c": leaving},
 			want:       "a b",
 		},
 		{
-			name: "a member that does not vote any more goes", chain: "a b c", voters: "a b d",
+			name: "a member that is no longer a voter is removed", chain: "a b c", voters: "a b d",
 			candidates: map[string]Candidate{"a": good, "b": good, "c": good, "d": lagging},
 			want:       "a b", change: Change{Removal: true},
 		},
@@ -176,12 +176,13 @@
 	far := &pb.Replica{Zone: "z", Region: "two"}
 	required := Requirement{Replicas: 2, Zones: 2, Regions: 2}
 	voters := []*pb.Replica{near, alsoNear, far}
-	require.False(t, required.MetBy([]*pb.Replica{near, alsoNear}, voters), "the loss of a region would take all")
+	require.False(t, required.MetBy([]*pb.Replica{near, alsoNear}, voters), "the loss of one region would lose all replicas")
 	require.True(t, required.MetBy([]*pb.Replica{near, far}, voters))
 	require.True(t, required.MetBy([]*pb.Replica{near, alsoNear}, []*pb.Replica{near, alsoNear}), "there is only one region")
 }
 
-// inZones returns replicas with candidates that are all good; the names begin with region and zone.
+// inZones returns replicas and healthy candidates for them. The first letter of a name is the region, the first two
+// letters are the zone.
 func inZones(names ...string) ([]*pb.Replica, map[string]Candidate) {
 	candidates := make(map[string]Candidate, len(names))
 	var replicas []*pb.Replica
@@ -197,7 +198,7 @@
 	view := &pb.View{Chain: voters[:1]}
 	candidates["ca1"] = Candidate{}
 	near, _ := NextChain(view, voters, candidates, Requirement{Replicas: 2, Zones: 2, Regions: 1})
-	require.Equal(t, "aa1 ab1 ac1 ba1", identities(near), "by zone, in the order of the voters")
+	require.Equal(t, "aa1 ab1 ac1 ba1", identities(near), "spread by zone, in the order of the voters")
 	far, _ := NextChain(view, voters, candidates, Requirement{Replicas: 2, Zones: 2, Regions: 2})
 	require.Equal(t, "aa1 ba1 ab1 ac1", identities(far))
 	require.Equal(t, "aa1 ab1 ac1 ba1 ca1", identities(InitialChain(voters, Requirement{Replicas: 2, Zones: 2, Regions: 2})))
@@ -218,6 +219,6 @@
 	require.Equal(t, Change{Removal: true, Addition: true}, change)
 	candidates["ba1"] = Candidate{}
 	wanted, change = NextChain(view, voters, candidates, required)
-	require.Equal(t, "aa1 aa2 aa3 ab1 ab2", identities(wanted), "nobody in another place is fit")
+	require.Equal(t, "aa1 aa2 aa3 ab1 ab2", identities(wanted), "no voter in another failure domain is healthy")
 	require.Equal(t, Change{}, change)
 }
--- a/internal/region/chain/pacer.go
+++ b/internal/region/chain/pacer.go
@@ -1,20 +1,20 @@
 package chain
 
 const (
-	// minRetryTicks is the shortest time, in ticks, before something is sent again.
+	// minRetryTicks is the minimum time, in ticks, before a message is sent again.
 	minRetryTicks = 2
-	// slowLinkTickBytes is what the slowest link that is provided for carries in a tick.
+	// slowLinkTickBytes is the number of bytes that the slowest supported link carries in a tick.
 	slowLinkTickBytes = 32 << 10
-	// minCompressionRatio is the ratio, at least, by which large messages are compressed on the wire.
+	// minCompressionRatio is the assumed minimum ratio by which large messages are compressed on the wire.
 	minCompressionRatio = 8
 )
 
-// pacer delays the retry of a large message while it may still be in flight: sending it twice would only slow down a
-// slow link further. All times are in ticks. The zero value is due.
+// pacer delays the retry of a large message while the message may still be in flight: sending it twice would only
+// congest a slow link further. All times are in ticks. With the zero value, a retry is due.
 type pacer struct {
 	retryTicks    int  // until a retry is due
 	ageTicks      int  // since the last send
-	transitTicks  int  // that the message takes to the next machine over a slow link
+	transitTicks  int  // time that the message takes to the next machine over a slow link
 	isUndelivered bool // the last message is known not to have arrived
 }
 
@@ -25,7 +25,8 @@
 
 func (p *pacer) isDue() bool { return p.retryTicks == 0 }
 
-// recordSend starts the delays for a message of a size in bytes that crosses some links until it can be answered.
+// recordSend starts the delays for a message of the given size that must cross the given number of links before it can
+// be answered.
 func (p *pacer) recordSend(bytes, links int) {
 	p.retryTicks = minRetryTicks + links*bytes/slowLinkTickBytes
 	p.ageTicks = 0
@@ -33,14 +34,14 @@
 	p.isUndelivered = false
 }
 
-// isInFlight reports whether a large message may not have reached the next machine yet. A small one always has within
-// minRetryTicks, and is sent again after them.
+// isInFlight reports whether a large message may not have reached the next machine yet. It is always false for a small
+// message, which arrives within minRetryTicks and is sent again after that time.
 func (p *pacer) isInFlight() bool {
 	return p.transitTicks > minRetryTicks && p.retryTicks > 0 && p.ageTicks <= p.transitTicks && !p.isUndelivered
 }
 
-// recordUndelivered makes a retry due at the next tick. A message that fails at once waits for minRetryTicks, so that
-// one that fails every time is sent no more often than a small one.
+// recordUndelivered makes a retry due at the next tick, but no earlier than minRetryTicks after the send: a message that
+// fails immediately every time must not be sent more often than a small one.
 func (p *pacer) recordUndelivered() {
 	p.retryTicks = min(p.retryTicks, max(0, minRetryTicks-p.ageTicks))
 	p.isUndelivered = true
--- a/internal/region/chain/position.go
+++ b/internal/region/chain/position.go
@@ -5,7 +5,7 @@
 	"fieldrelay/internal/region/quorum"
 )
 
-// Head is the first replica of the chain in force; nil without a view.
+// Head returns the first replica of the chain in force, or nil without a view.
 func (r *Replica) Head() *pb.Replica {
 	chain := r.state.View.GetChain()
 	if len(chain) == 0 {
@@ -14,7 +14,7 @@
 	return chain[0]
 }
 
-// Tail is the last replica of the chain in force; nil without a view.
+// Tail returns the last replica of the chain in force, or nil without a view.
 func (r *Replica) Tail() *pb.Replica {
 	chain := r.state.View.GetChain()
 	if len(chain) == 0 {
@@ -23,7 +23,7 @@
 	return chain[len(chain)-1]
 }
 
-// position is this replica's index in the chain in force, or quorum.NotFound.
+// position returns this replica's index in the chain in force, or quorum.NotFound.
 func (r *Replica) position() int { return r.state.position(r.self) }
 
 // IsMember reports whether the replica is in the chain in force.
@@ -42,7 +42,7 @@
 	return position != quorum.NotFound && position == len(r.state.View.GetChain())-1
 }
 
-// predecessor is the replica with which this one synchronizes. For a learner it is the tail, for the head nil.
+// predecessor returns the replica with which this one synchronizes: the tail for a learner, nil for the head.
 func (r *Replica) predecessor() *pb.Replica {
 	switch position := r.position(); position {
 	case 0:
@@ -54,7 +54,7 @@
 	}
 }
 
-// successor is the next replica of the chain; nil for the tail and for learners.
+// successor returns the next replica of the chain, or nil for the tail and for learners.
 func (r *Replica) successor() *pb.Replica {
 	position := r.position()
 	if position == quorum.NotFound || r.isTail() {
@@ -73,7 +73,7 @@
 	return successor != nil && successor.GetIdentity() == from.GetIdentity()
 }
 
-// suppliesState reports whether another machine synchronizes with this one.
+// suppliesState reports whether another machine synchronizes with this one, as its successor or as a learner.
 func (r *Replica) suppliesState(to *pb.Replica) bool {
 	if r.isSuccessor(to) {
 		return true
--- a/internal/region/chain/redundancy.go
+++ b/internal/region/chain/redundancy.go
@@ -6,15 +6,16 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Requirement is the redundancy that a chain needs before orders may be acknowledged.
+// Requirement is the redundancy that a chain needs before orders may be acknowledged: the minimum numbers of replicas,
+// zones and regions.
 type Requirement struct {
 	Replicas int
 	Zones    int
 	Regions  int
 }
 
-// MetBy reports whether a chain is redundant enough. If the voters are in fewer zones or regions than required, a chain
-// that is in all of those is.
+// MetBy reports whether a chain is redundant enough. If the voters span fewer zones or regions than required, the chain
+// has to span all of those.
 func (q Requirement) MetBy(chain, voters []*pb.Replica) bool {
 	if len(chain) < q.Replicas {
 		return false
@@ -23,15 +24,15 @@
 		spans(chain, voters, q.Regions, (*pb.Replica).GetRegion)
 }
 
-// domainOf returns a failure domain of a replica: its zone or its region.
+// domainOf returns one of the failure domains of a replica: its zone or its region.
 type domainOf func(*pb.Replica) string
 
-// spans reports whether a chain is in the required number of failure domains, or in all that the voters are in.
+// spans reports whether a chain spans the required number of failure domains, or as many as the voters span.
 func spans(chain, voters []*pb.Replica, required int, domain domainOf) bool {
 	return countDomains(chain, domain) >= min(required, countDomains(voters, domain))
 }
 
-// countDomains is the number of failure domains that replicas are in.
+// countDomains returns the number of distinct failure domains of replicas.
 func countDomains(replicas []*pb.Replica, domain domainOf) int {
 	domains := make(map[string]bool, len(replicas))
 	for _, replica := range replicas {
@@ -40,7 +41,7 @@
 	return len(domains)
 }
 
-// countInDomain is the number of members in the failure domain of a replica.
+// countInDomain returns the number of members in the failure domain of a replica.
 func countInDomain(members []*pb.Replica, replica *pb.Replica, domain domainOf) int {
 	count := 0
 	for _, member := range members {
--- a/internal/region/chain/replica.go
+++ b/internal/region/chain/replica.go
@@ -14,53 +14,54 @@
 
 // Output is the reaction to an event.
 type Output struct {
-	// Writes must be persisted together and in the order of the outputs; then WritesPersisted must be called, once for
-	// each output that has any. No message in any output depends on a write that is not on disk.
+	// Writes must be persisted together and in the order of the outputs. WritesPersisted must then be called, once for
+	// each output that has writes. No message in any output depends on a write that is not on disk.
 	Writes   []Write
 	Messages []OutgoingMessage
-	// Committed: Replica.Committed has advanced.
+	// Committed is set if Replica.Committed has advanced.
 	Committed bool
 }
 
-// Advertised is what a replica advertises to other machines: what it has on disk.
+// Advertised is what a replica advertises to other machines. It describes only state that is on disk.
 type Advertised struct {
 	ViewNumber uint64
 	Sequence   uint64
-	// Synchronized: as a member of the chain, the replica can be the head of the next chain; as a learner, it follows
-	// the tail.
+	// Synchronized is set for a member of the chain that can be the head of the next chain, and for a learner that
+	// follows the tail.
 	Synchronized bool
 }
 
-// Replica is one machine's part in the chain, or a learner outside of it. Its methods are events, which return what
-// must be done, and queries.
+// Replica is the state machine of one member of the chain, or of a learner outside of it. Its methods are events, which
+// return the resulting actions as an Output, and queries.
 type Replica struct {
 	self        string // identity
 	state       State  // after all writes of the outputs so far, on disk or not
 	unpersisted int    // number of outputs with writes that are not on disk yet
 	advertised  Advertised
 
-	// These are reset with each view.
+	// The fields below are reset with each view.
 	synchronized     bool   // holds the state of the view: its predecessor's, or its own if it is the head
-	commitKnown      bool   // something is known to be committed in the view
+	commitKnown      bool   // the replica knows what is committed in the view
 	acknowledged     uint64 // sequence that the successor has acknowledged
 	appendPacer      pacer  // of appends to the successor
-	appendBase       uint64 // sequence on which the changes of the last append build
-	heartbeatsBehind int    // consecutive heartbeats of a predecessor that is ahead
+	appendBase       uint64 // sequence that the changes of the last append follow
+	heartbeatsBehind int    // number of consecutive heartbeats of a predecessor that is ahead
 	request          *syncRequest
 	responsePacers   map[string]*pacer // of sync responses, by identity of the receiver
 	standbys         []*pb.Replica     // learners without a vote that have synchronized with this replica
 
 	earlyRequests map[string]*pb.Message // sync requests that cannot be answered yet, by identity of the sender
-	previous      *catalog.Snapshot      // before the last change; nil after a repair
-	committed     *catalog.Snapshot      // newest known; nil before the first
-	syncToken     uint64                 // of the last sync request
+	previous      *catalog.Snapshot      // state before the last change; nil after a repair
+	committed     *catalog.Snapshot      // newest state known to be committed; nil before the first
+	syncToken     uint64                 // token of the last sync request
 }
 
-// maxEarlyRequests bounds the early requests, and the receivers of sync responses, that a replica remembers.
+// maxEarlyRequests limits the number of early requests, and of pacers of sync responses, that a replica stores.
 const maxEarlyRequests = 2 * quorum.MaxVoters
 
-// NewReplica resumes from the durable state. The incarnation must differ from run to run, by more than the number of
-// requests of a run: it is the first of the tokens that tell this run's sync requests from those of earlier ones.
+// NewReplica resumes a replica from its durable state. The tokens of sync requests count up from the incarnation and
+// distinguish the requests of this run from those of earlier runs. So the incarnations of two runs must differ by more
+// than the number of sync requests of a run.
 func NewReplica(identity string, state State, incarnation uint64) *Replica {
 	replica := &Replica{
 		self:      identity,
@@ -72,20 +73,20 @@
 	return replica
 }
 
-// State is the state after all writes of the outputs so far, on disk or not.
+// State returns the state after all writes of the outputs so far, on disk or not.
 func (r *Replica) State() State { return r.state }
 
-// Newest is the state on which the next change builds.
+// Newest returns the state to which the next change applies.
 func (r *Replica) Newest() *catalog.Snapshot { return r.state.Newest }
 
-// Advertised is what may be advertised to other machines.
+// Advertised returns what may be advertised to other machines.
 func (r *Replica) Advertised() Advertised { return r.advertised }
 
-// Committed is the newest state that is known to be committed; nil before the first.
+// Committed returns the newest state that is known to be committed, or nil if none is known yet.
 func (r *Replica) Committed() *catalog.Snapshot { return r.committed }
 
-// ChangesSince returns the changes after a sequence up to the committed state, oldest first; false when the history
-// does not reach back that far.
+// ChangesSince returns the changes after a sequence up to the committed state, oldest first, or false if the
+// history does not reach back that far.
 func (r *Replica) ChangesSince(sequence uint64) ([]*pb.Change, bool) {
 	changes, found := r.state.History.Since(sequence)
 	if !found {
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// AcceptsProposals reports whether the replica is the head and the change before is committed, so that it takes
-// another.
+// AcceptsProposals reports whether a change may be proposed: the replica is the head, and the previous change is
+// committed.
 func (r *Replica) AcceptsProposals() bool {
 	return r.isHead() && r.FullyCommitted()
 }
@@ -138,8 +139,8 @@
 	return output, nil
 }
 
-// WritesPersisted must be called when the writes of the oldest output that had some, and has not been confirmed yet,
-// are on disk.
+// WritesPersisted handles the completion of writes. It must be called when the writes of the oldest unconfirmed output
+// with writes are on disk.
 func (r *Replica) WritesPersisted() Output {
 	var output Output
 	r.unpersisted--
@@ -150,7 +151,7 @@
 	return output
 }
 
-// Tick retries what was not answered. It is meant to be called every 100 to 200 ms.
+// Tick retries messages that were not answered. It is meant to be called every 100 to 200 ms.
 func (r *Replica) Tick() Output {
 	var output Output
 	r.appendPacer.tick()
@@ -180,7 +181,7 @@
 	}
 }
 
-// resume does what had to wait until the writes were on disk.
+// resume performs the actions that had to wait until the writes were on disk.
 func (r *Replica) resume(output *Output) {
 	if r.state.View == nil {
 		return
--- a/internal/region/chain/replica_test.go
+++ b/internal/region/chain/replica_test.go
@@ -11,7 +11,7 @@
 
 var three = []string{"a", "b", "c"}
 
-// founded returns three replicas in view 1, with a as the head and c as the tail.
+// newRunningCluster returns three replicas in view 1, with a as the head and c as the tail.
 func newRunningCluster(t *testing.T) *cluster {
 	t.Helper()
 	c := newCluster(t, three...)
@@ -77,7 +77,7 @@
 	c.requireCommitted("2 x y", "d")
 }
 
-// A standby without a vote receives changes at the same time as the voters outside of the chain.
+// A standby, which is not a voter, receives changes at the same time as the voters outside of the chain.
 func TestAMachineThatStandsByFollowsTheTail(t *testing.T) {
 	four := []string{"a", "b", "c", "d"}
 	c := newCluster(t, four...)
@@ -95,7 +95,7 @@
 	c.adopt(viewNamed(2, four, three...), four...)
 	c.runUntilQuiet(four...)
 	c.propose("a", "y")
-	require.Len(t, c.replicas["c"].learners(), 1, "it votes now and receives each change once")
+	require.Len(t, c.replicas["c"].learners(), 1, "the new voter receives each change once")
 }
 
 func TestNewChainTakesTheStateOfItsHead(t *testing.T) {
@@ -103,7 +103,7 @@
 	c.propose("a", "x")
 	c.runUntilQuiet(three...)
 	c.partitioned["c"] = true
-	c.propose("a", "y") // reaches b, is not committed
+	c.propose("a", "y") // reaches b but is not committed
 	c.runUntilQuiet(three...)
 	c.partitioned["a"] = true
 	c.partitioned["c"] = false
@@ -142,7 +142,8 @@
 	c.requireNewest("0", "b", "c")
 }
 
-// An append of an earlier view arrives late, from a machine that is the predecessor again.
+// Guards against accepting an append of an earlier view that arrives late, from a machine that has become the
+// predecessor again.
 func TestAppendOfAnEarlierViewIsRefused(t *testing.T) {
 	c := newRunningCluster(t)
 	c.holdBack = func(message *pb.Message) bool { return message.GetAppend() != nil }
@@ -161,7 +162,8 @@
 	c.requireNewest("0", three...)
 }
 
-// An acknowledgement of an earlier view arrives late: it was for a change that was discarded since.
+// Guards against committing a change by a late acknowledgement of an earlier view, which was for a change with the same
+// sequence that has been discarded.
 func TestAcknowledgementOfAnEarlierViewIsRefused(t *testing.T) {
 	c := newCluster(t, "a", "b")
 	two := []string{"a", "b"}
@@ -189,13 +191,13 @@
 	c.restart("b", 77_000)
 	c.holdBack = func(message *pb.Message) bool { return message.GetSyncRequest() != nil }
 	c.collect("b", c.replicas["b"].Tick())
-	require.NotNil(t, c.replicas["b"].request, "this run has sent a request too")
+	require.NotNil(t, c.replicas["b"].request, "this run has a pending request too")
 	c.holdBack = nil
 	for _, message := range old {
 		c.deliver("b", message)
 	}
 	require.False(t, c.replicas["b"].FullyCommitted())
-	require.Empty(t, c.unpersisted["b"], "the answer was for a request of an earlier run")
+	require.Empty(t, c.unpersisted["b"], "the response was to a request of an earlier run")
 	c.tick(8, three...)
 	require.True(t, c.replicas["b"].FullyCommitted())
 	c.deliver("b", old[0])
@@ -246,12 +248,12 @@
 		want map[string]bool // Advertised.Synchronized
 	}{
 		{
-			name: "all of a chain that has synchronized",
+			name: "all members of a chain that has synchronized are",
 			run:  func(*cluster) {},
 			want: map[string]bool{"a": true, "b": true, "c": true},
 		},
 		{
-			name: "members that have not synchronized, if nothing can have been committed without them",
+			name: "members that have not restored the state are if nothing can have been committed without them",
 			run: func(c *cluster) {
 				c.partitioned["a"] = true
 				c.adopt(viewNamed(2, three, "a", "b", "c"), "b", "c")
@@ -260,7 +262,7 @@
 			want: map[string]bool{"b": true, "c": true},
 		},
 		{
-			name: "the same over two changes of view",
+			name: "members that have not restored the state are after two changes of view",
 			run: func(c *cluster) {
 				c.partitioned["a"] = true
 				c.adopt(viewNamed(2, three, "a", "b", "c"), "b", "c")
@@ -271,7 +273,7 @@
 			want: map[string]bool{"b": true, "c": true},
 		},
 		{
-			name: "not one that was outside for a view",
+			name: "a member that was outside of the chain for a view is not",
 			run: func(c *cluster) {
 				c.partitioned["c"] = true
 				c.adopt(viewNamed(2, three, "a", "b"), three...)
@@ -282,7 +284,7 @@
 			want: map[string]bool{"a": true, "b": true, "c": false},
 		},
 		{
-			name: "nor when it leaves a chain whose state it never had",
+			name: "a member that leaves a view whose state it never had is not",
 			run: func(c *cluster) {
 				c.partitioned["c"] = true
 				c.adopt(viewNamed(2, three, "a", "b"), three...)
@@ -295,7 +297,7 @@
 			want: map[string]bool{"a": true, "b": true, "c": false},
 		},
 		{
-			name: "not one that has not heard of a view",
+			name: "a member that has missed a view is not",
 			run: func(c *cluster) {
 				c.adopt(viewNamed(2, three, "a", "b", "c"), "a", "b")
 				c.runUntilQuiet("a", "b")
--- a/internal/region/chain/state.go
+++ b/internal/region/chain/state.go
@@ -17,7 +17,7 @@
 	History *catalog.History
 }
 
-// EmptyState returns the state of an empty disk.
+// EmptyState returns the state of a replica without stored data.
 func EmptyState() State {
 	return State{Newest: catalog.Empty(), History: catalog.NewHistory(0)}
 }
@@ -30,8 +30,8 @@
 	Repair           *pb.Repair
 }
 
-// Apply advances the state by a write, in the order in which the writes were made. The error wraps one of package
-// catalog: the write does not follow the state, which then stays as it was.
+// Apply advances the state by a write. Writes must be applied in the order in which they were made. If a write does not
+// follow the state, the state is unchanged, and the error wraps an error of package catalog.
 func (s *State) Apply(write Write) error {
 	next := s.Newest
 	var err error
@@ -44,7 +44,7 @@
 		next, err = s.Newest.Restore(write.Repair)
 	}
 	if err != nil {
-		return errors.Wrap(err, "apply a write")
+		return errors.Wrap(err, "apply write to replica state")
 	}
 	s.SynchronizedView = write.SynchronizedView
 	s.Newest = next
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// recordHistory adds a change to the history. A repair ends it: the changes that led there are unknown.
+// recordHistory adds a change to the history. A repair resets the history, since the changes that led to the repaired
+// state are unknown.
 func (s *State) recordHistory(write Write) {
 	if write.Change != nil {
 		s.History.Add(write.Change)
@@ -62,13 +63,13 @@
 	}
 }
 
-// position is the index of an identity in the chain in force, or quorum.NotFound.
+// position returns the index of an identity in the chain in force, or quorum.NotFound.
 func (s *State) position(identity string) int {
 	return quorum.IndexOf(s.View.GetChain(), identity)
 }
 
-// isSynchronized reports whether the replica is a member of the chain in force and holds all that was committed: it is
-// synchronized with the view before it, and in this one nothing can have been committed without it.
+// isSynchronized reports whether the replica is a member of the chain in force and holds all committed changes. It does
+// if it is synchronized with the previous view: nothing can have been committed in the view in force without it.
 func (s *State) isSynchronized(identity string) bool {
 	return s.position(identity) != quorum.NotFound && s.SynchronizedView+1 >= s.View.GetNumber()
 }
--- a/internal/region/chain/sync_request.go
+++ b/internal/region/chain/sync_request.go
@@ -5,32 +5,33 @@
 	"fieldrelay/internal/region/catalog"
 )
 
-// Ticks before a sync request is sent again: first, and at most.
+// Delays, in ticks, before a sync request is retried. The delay doubles with each retry, from the first to the maximum.
 const (
 	firstSyncRetryTicks = 2
 	maxSyncRetryTicks   = 4
 )
 
-// syncRequest is a request for the predecessor's state that is not answered yet. A retry that sends the digests of the
-// same snapshot continues the request, under a token of its own.
+// syncRequest is a pending request for the predecessor's state. A retry with the digests of the same snapshot belongs to
+// the same request but has a token of its own.
 type syncRequest struct {
-	firstToken uint64            // of the first attempt
-	lastToken  uint64            // of the last attempt: an answer to any of them will do
-	base       *catalog.Snapshot // whose digests were sent
-	ageTicks   int               // since the last attempt
-	retryTicks int               // from the last attempt to the next
+	firstToken uint64            // token of the first attempt
+	lastToken  uint64            // token of the last attempt; a response to any attempt is accepted
+	base       *catalog.Snapshot // snapshot whose digests were sent
+	ageTicks   int               // time since the last attempt
+	retryTicks int               // delay from the last attempt to the next
 }
 
 func (s *syncRequest) isAnsweredBy(token uint64) bool {
 	return token >= s.firstToken && token <= s.lastToken
 }
 
-// A repair lists what differs from the very digests that were sent, so each response must be matched with its request.
-// The request's token is sent as one more digest after those of the ranges. It comes back as one more range, with a
-// single item whose sequence is the token.
+// tokenRange is the index of the additional digest of a request and range of a repair that carry the request's token. A
+// repair lists the differences from exactly the digests that were sent, so each response must be matched with its
+// request. The token is sent as one more digest after those of the ranges, and returned as one more range with a single
+// item whose sequence is the token.
 const tokenRange = catalog.RangeCount
 
-// splitToken returns a repair without its token, and the token; 0 if there is none.
+// splitToken returns a repair without its token, and the token, or 0 if the repair has none.
 func splitToken(repair *pb.Repair) (*pb.Repair, uint64) {
 	last := len(repair.GetRanges()) - 1
 	if last < 0 || repair.GetRanges()[last].GetIndex() != tokenRange {
@@ -50,8 +51,8 @@
 }
 
 // ObserveHeartbeat compares the sequence that the predecessor advertises with this replica's. If two consecutive
-// heartbeats are ahead, an append was lost, and the replica requests the predecessor's state. One may only have
-// overtaken an append.
+// heartbeats are ahead, an append was probably lost, and the replica requests the predecessor's state. A single
+// heartbeat that is ahead may only have overtaken an append.
 func (r *Replica) ObserveHeartbeat(from *pb.Replica, heartbeat *pb.Heartbeat) Output {
 	var output Output
 	if !r.isPredecessor(from) || heartbeat.GetViewNumber() != r.state.View.GetNumber() {
@@ -75,7 +76,8 @@
 	}
 }
 
-// requestSync sends a request for the predecessor's state: a retry if the pending one was for the same snapshot.
+// requestSync sends a request for the predecessor's state. It is a retry if the pending request is for the same
+// snapshot.
 func (r *Replica) requestSync(output *Output) {
 	r.syncToken++
 	if r.request == nil || r.request.base != r.state.Newest {
@@ -98,7 +100,8 @@
 	}}})
 }
 
-// retrySync counts a tick of the pending request and retries it when it is due; without one it sends the first.
+// retrySync counts a tick of the pending request and retries the request when that is due. Without a pending request it
+// sends one.
 func (r *Replica) retrySync(output *Output) {
 	if r.request == nil {
 		r.requestSync(output)
@@ -128,8 +131,8 @@
 	return output
 }
 
-// restoreState replaces the state by the predecessor's, which may discard changes that only this replica has. A
-// malformed repair changes nothing; the request is then retried.
+// restoreState replaces the state by that of the predecessor. This discards changes that the predecessor does not hold.
+// A malformed repair changes nothing; the request is then retried.
 func (r *Replica) restoreState(output *Output, repair *pb.Repair) {
 	next, err := r.state.Newest.Restore(repair)
 	if err != nil {
--- a/internal/region/chain/sync_response.go
+++ b/internal/region/chain/sync_response.go
@@ -8,8 +8,9 @@
 	"fieldrelay/internal/region/quorum"
 )
 
-// SyncRequest handles a request for this replica's state. It is answered at once, or when the replica holds the state
-// of the request's view, which it may not even have adopted yet.
+// SyncRequest handles a request for this replica's state. The request is answered immediately if the replica holds the
+// state of the request's view. Otherwise it is stored until the replica does; the replica may not have adopted that view
+// yet.
 func (r *Replica) SyncRequest(message *pb.Message) Output {
 	var output Output
 	number := message.GetSyncRequest().GetViewNumber()
@@ -24,7 +25,7 @@
 	return output
 }
 
-// storeEarlyRequest stores a request for later, the newest of each machine.
+// storeEarlyRequest stores a request that cannot be answered yet. Only the newest request of each machine is stored.
 func (r *Replica) storeEarlyRequest(message *pb.Message) {
 	if r.earlyRequests == nil {
 		r.earlyRequests = make(map[string]*pb.Message)
@@ -55,8 +56,8 @@
 	}
 }
 
-// answerSync sends what the digests of a request lack, unless the sender is no successor or learner of this replica, or
-// the same may still be on its way to it.
+// answerSync sends the ranges in which the sender's digests differ from this replica. It sends nothing if the sender is
+// neither the successor nor a learner of this replica, or if the missing changes may still be in flight to it.
 func (r *Replica) answerSync(output *Output, message *pb.Message) {
 	request := message.GetSyncRequest()
 	digests := request.GetDigests()
@@ -78,7 +79,7 @@
 	r.send(output, message.GetFrom(), &pb.Message{Body: &pb.Message_SyncResponse{SyncResponse: response}})
 }
 
-// repairWithToken returns the repair for the digests of a request, with the token that stands after them.
+// repairWithToken returns the repair for the digests of a request, with the token that follows the digests.
 func (r *Replica) repairWithToken(digests *pb.RangeDigests) *pb.Repair {
 	token := digests.GetDigests()[tokenRange]
 	repair := r.state.Newest.ReplicaRepairFor(&pb.RangeDigests{
@@ -94,8 +95,8 @@
 	return repair
 }
 
-// addStandby remembers a machine that neither votes nor is in the chain, so that it receives what is committed from now
-// on in this view.
+// addStandby registers a machine that is neither a voter nor in the chain, so that it receives the changes that are
+// committed from now on in this view.
 func (r *Replica) addStandby(from *pb.Replica) {
 	identity := from.GetIdentity()
 	view := r.state.View
@@ -108,8 +109,8 @@
 	r.standbys = append(r.standbys, from)
 }
 
-// responsePacer returns the pacer of responses to a machine. Beyond the first machines of a view it is not remembered,
-// so that their requests are always answered.
+// responsePacer returns the pacer of responses to a machine. At most maxEarlyRequests pacers are stored for a view; the
+// requests of further machines are always answered.
 func (r *Replica) responsePacer(identity string) *pacer {
 	responsePacer, known := r.responsePacers[identity]
 	if !known {
--- a/internal/region/chain/undelivered_test.go
+++ b/internal/region/chain/undelivered_test.go
@@ -9,7 +9,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// proposeUndelivered loses a large change of the head on its way to the successor, and returns the message.
+// proposeUndelivered proposes a large change, drops the head's append to the successor and returns that message.
 func proposeUndelivered(t *testing.T) (*cluster, *pb.Message) {
 	t.Helper()
 	c := newRunningCluster(t)
@@ -72,7 +72,7 @@
 	}
 }
 
-// A sync response is sent again as soon as it is known to be lost and requested again.
+// A sync response is sent again if it is requested again after it was reported as undelivered.
 func TestAnAnswerThatWasLostIsGivenAgain(t *testing.T) {
 	c, _ := proposeUndelivered(t)
 	c.holdBack = func(message *pb.Message) bool { return message.GetSyncResponse() != nil }
--- a/internal/region/chain/view.go
+++ b/internal/region/chain/view.go
@@ -5,8 +5,8 @@
 	"fieldrelay/internal/region/quorum"
 )
 
-// Adopt enters a later view that was decided. From now on messages of earlier views are rejected, so that a head of an
-// earlier view cannot commit any more. An earlier view, or the one in force, changes nothing.
+// Adopt enters a later view that was decided. From then on the replica rejects messages of earlier views, so that the
+// head of an earlier view can no longer commit. An earlier view, or the one in force, is ignored.
 func (r *Replica) Adopt(view *pb.View) Output {
 	var output Output
 	if view.GetNumber() <= r.state.View.GetNumber() {
@@ -19,15 +19,16 @@
 	return output
 }
 
-// leaveView raises the synchronized view to the one in force if nothing can have been committed in it without this
-// replica: from now on it acknowledges nothing there.
+// leaveView raises the synchronized view to the view in force if nothing can have been committed in that view without
+// this replica. From then on the replica acknowledges nothing in it.
 func (r *Replica) leaveView() {
 	if r.state.isSynchronized(r.self) {
 		r.state.SynchronizedView = max(r.state.SynchronizedView, r.state.View.GetNumber())
 	}
 }
 
-// enterView resets what belongs to a view. The state of a synchronized head is that of the view by definition.
+// enterView resets the fields that belong to a view. The state of a synchronized head is the state of the view by
+// definition.
 func (r *Replica) enterView() {
 	number := r.state.View.GetNumber()
 	position := r.state.position(r.self)
--- a/internal/region/quorum/paxos_test.go
+++ b/internal/region/quorum/paxos_test.go
@@ -177,5 +177,5 @@
 	require.Equal(t, 2, Majority(view))
 	founded := viewOf(1, "a", "b")
 	wiped := &pb.Replica{Identity: "other", ControlAddress: "b:8146"}
-	require.Equal(t, NotFound, VoterIndex(founded, wiped), "a machine that lost its disk has another identity and is no voter")
+	require.Equal(t, NotFound, VoterIndex(founded, wiped), "a machine that lost its disk has another identity")
 }
