--- a/internal/region/chain/append_in_flight_test.go
+++ b/internal/region/chain/append_in_flight_test.go
@@ -15,9 +15,9 @@
 func TestLargeChangeThatHeartbeatsOvertakeIsNotSentTwice(t *testing.T) {
 	const size = 16 * slowLinkTickBytes
 	c := newRunningCluster(t)
-	made := c.change("a", "x")
-	made.Upserts[0].Body = append(append([]byte{'"'}, bytes.Repeat([]byte{'y'}, size)...), '"')
-	output, err := c.replicas["a"].Propose(made)
+	proposed := c.change("a", "x")
+	proposed.Upserts[0].Body = append(append([]byte{'"'}, bytes.Repeat([]byte{'y'}, size)...), '"')
+	output, err := c.replicas["a"].Propose(proposed)
 	require.NoError(t, err)
 	c.collect("a", output)
 	c.persist("a")
--- a/internal/region/chain/next_chain_test.go
+++ b/internal/region/chain/next_chain_test.go
@@ -27,7 +27,7 @@
 	diskFull  = Candidate{Reachable: true, Synchronized: true, Stable: true}
 )
 
-func TestNext(t *testing.T) {
+func TestNextChain(t *testing.T) {
 	tests := []struct {
 		name       string
 		chain      string
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestFirstChainIsSpreadAndOrderedByPlace(t *testing.T) {
+func TestInitialChainIsSpreadAndOrderedByFailureDomain(t *testing.T) {
 	var voters []*pb.Replica
 	for index, zone := range []string{"z2", "z1", "z1", "z1", "z3", "z1", "z2"} {
 		voters = append(voters, &pb.Replica{
@@ -193,7 +193,7 @@
 	return replicas, candidates
 }
 
-func TestChainIsSpreadOverRegionsWhereTheLossOfOneMustBeBorne(t *testing.T) {
+func TestChainIsSpreadOverRegionsIfItMustSurviveTheLossOfOne(t *testing.T) {
 	voters, candidates := inZones("aa1", "ab1", "ac1", "ba1", "ca1")
 	view := &pb.View{Chain: voters[:1]}
 	candidates["ca1"] = Candidate{}
@@ -204,21 +204,21 @@
 	require.Equal(t, "aa1 ab1 ac1 ba1 ca1", identities(InitialChain(voters, Requirement{Replicas: 2, Zones: 2, Regions: 2})))
 }
 
-func TestFirstChainPrefersRegionsOnlyWhereTheLossOfOneMustBeBorne(t *testing.T) {
+func TestInitialChainPrefersRegionsOnlyIfItMustSurviveTheLossOfOne(t *testing.T) {
 	voters, _ := inZones("aa1", "ab1", "ac1", "ad1", "ae1", "ba1")
 	require.Equal(t, "aa1 ab1 ac1 ad1 ae1", identities(InitialChain(voters, Requirement{Replicas: 2, Zones: 2, Regions: 1})))
 	require.Equal(t, "aa1 ab1 ac1 ad1 ba1", identities(InitialChain(voters, Requirement{Replicas: 2, Zones: 2, Regions: 2})))
 }
 
-func TestFullChainInTooFewPlacesMakesRoom(t *testing.T) {
+func TestMemberOfFullChainIsEvictedForNewFailureDomain(t *testing.T) {
 	voters, candidates := inZones("aa1", "aa2", "aa3", "ab1", "ab2", "ba1")
 	required := Requirement{Replicas: 2, Zones: 3, Regions: 2}
 	view := &pb.View{Chain: voters[:5]}
-	wanted, change := NextChain(view, voters, candidates, required)
-	require.Equal(t, "aa1 aa2 aa3 ab1 ba1", identities(wanted))
+	next, change := NextChain(view, voters, candidates, required)
+	require.Equal(t, "aa1 aa2 aa3 ab1 ba1", identities(next))
 	require.Equal(t, Change{Removal: true, Addition: true}, change)
 	candidates["ba1"] = Candidate{}
-	wanted, change = NextChain(view, voters, candidates, required)
-	require.Equal(t, "aa1 aa2 aa3 ab1 ab2", identities(wanted), "no voter in another failure domain is healthy")
+	next, change = NextChain(view, voters, candidates, required)
+	require.Equal(t, "aa1 aa2 aa3 ab1 ab2", identities(next), "no voter in another failure domain is healthy")
 	require.Equal(t, Change{}, change)
 }
--- a/internal/region/chain/replica_test.go
+++ b/internal/region/chain/replica_test.go
@@ -78,7 +78,7 @@
 }
 
 // A standby, which is not a voter, receives changes at the same time as the voters outside of the chain.
-func TestAMachineThatStandsByFollowsTheTail(t *testing.T) {
+func TestStandbyFollowsTheTail(t *testing.T) {
 	four := []string{"a", "b", "c", "d"}
 	c := newCluster(t, four...)
 	c.adopt(viewNamed(1, three, three...), four...)
@@ -133,7 +133,7 @@
 	require.Equal(t, "2 x y", describe(c.disk("a").Newest))
 }
 
-func TestOldHeadIsFencedByOneThatMovedOn(t *testing.T) {
+func TestOldHeadIsFencedBySuccessorInLaterView(t *testing.T) {
 	c := newRunningCluster(t)
 	c.adopt(viewNamed(2, three, "b", "c"), "b")
 	c.propose("a", "x")
@@ -227,7 +227,7 @@
 	require.True(t, c.replicas["a"].AcceptsProposals())
 }
 
-func TestRestartedHeadBringsAnUncommittedChangeThrough(t *testing.T) {
+func TestRestartedHeadCommitsAnUncommittedChange(t *testing.T) {
 	c := newRunningCluster(t)
 	c.partitioned["b"] = true
 	c.propose("a", "x")
@@ -241,7 +241,7 @@
 	c.requireCommitted("1 x", three...)
 }
 
-func TestSourcesAndTheirBasis(t *testing.T) {
+func TestAdvertisedSynchronized(t *testing.T) {
 	tests := []struct {
 		name string
 		run  func(c *cluster)
--- a/internal/region/chain/undelivered_test.go
+++ b/internal/region/chain/undelivered_test.go
@@ -73,7 +73,7 @@
 }
 
 // A sync response is sent again if it is requested again after it was reported as undelivered.
-func TestAnAnswerThatWasLostIsGivenAgain(t *testing.T) {
+func TestUndeliveredSyncResponseIsSentAgain(t *testing.T) {
 	c, _ := proposeUndelivered(t)
 	c.holdBack = func(message *pb.Message) bool { return message.GetSyncResponse() != nil }
 	syncRequest := c.syncRequestOf("b")
