--- a/internal/region/catalog/document.go
+++ b/internal/region/catalog/document.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/region/jsonwalk"
 )
 
-// Names of the members of an order that are not members of the configuration.
+// Names of the members that have a special meaning in an order.
 const (
 	memberGeneration = "gen"
 	memberUpsert     = "upsert"
--- a/internal/region/catalog/errors.go
+++ b/internal/region/catalog/errors.go
@@ -101,7 +101,7 @@
 
 // Error names the generation that the order put in force.
 func (e *AlreadyExecutedError) Error() string {
-	return fmt.Sprintf("the order was taken before, as generation %d", e.Generation)
+	return fmt.Sprintf("the order was already executed as generation %d", e.Generation)
 }
 
 // Status returns 200.
--- a/internal/region/catalog/executed_orders_test.go
+++ b/internal/region/catalog/executed_orders_test.go
@@ -15,7 +15,7 @@
 // changesOfADay is the number of changes that the largest site makes in a day.
 const changesOfADay = 11_000
 
-// executedOrder is an order of these tests. Every third one is a replacement, the others are amendments.
+// executedOrder is an order of these tests. Every third order is a replacement, the others are amendments.
 type executedOrder struct {
 	base uint64
 	body []byte
--- a/internal/region/catalog/legacy_orders_test.go
+++ b/internal/region/catalog/legacy_orders_test.go
@@ -100,7 +100,7 @@
 	check(migrated)
 }
 
-// Items that do not end at the generation in force, or are malformed, are not migrated.
+// Items that do not end at the generation in force, or are malformed, are removed without recording their orders.
 func TestItemsThatDoNotFitAreNotTrusted(t *testing.T) {
 	state, orders := executeAsItems(t, catalog.Empty(), 10)
 	newest := state.Items("taken")[9]
--- a/internal/region/catalog/repair.go
+++ b/internal/region/catalog/repair.go
@@ -27,7 +27,7 @@
 }
 
 // ReplicaRepairFor returns the result of RepairFor for a control machine, including the executed orders that the machine
-// lacks. The digests are the machine's ReplicaDigests; nil stands for an empty state.
+// lacks. The digests are the machine's ReplicaDigests; for nil digests it returns the whole state.
 func (s *Snapshot) ReplicaRepairFor(digests *pb.RangeDigests) *pb.Repair {
 	repair := s.RepairFor(digests)
 	repair.ExecutedOrders = s.executed.repairFor(digests.GetExecutedOrders())
