--- a/internal/region/catalog/amend.go
+++ b/internal/region/catalog/amend.go
@@ -15,14 +15,14 @@
 		return
 	}
 	removals := parseRemovals(jsonwalk.Member(object, memberRemove), faults)
-	var wanted document
+	var target document
 	if upserts != nil {
-		wanted = parseDocument(upserts, faults)
+		target = parseDocument(upserts, faults)
 	}
 	if len(faults.Faults) > 0 {
 		return
 	}
-	for _, section := range wanted.sections {
+	for _, section := range target.sections {
 		w.amendSection(section, removals[section.name])
 	}
 	for _, kind := range slices.Sorted(maps.Keys(removals)) {
@@ -45,17 +45,17 @@
 	}
 	w.upsertCollection(upserts.name)
 	last := w.lastOrder(upserts.name)
-	for _, wanted := range upserts.entries {
-		if removedNames[wanted.name] {
+	for _, requested := range upserts.entries {
+		if removedNames[requested.name] {
 			continue
 		}
 		order := last + orderGap
-		if old, found := w.snapshot.Get(upserts.name, wanted.name); found {
+		if old, found := w.snapshot.Get(upserts.name, requested.name); found {
 			order = old.GetOrder()
 		} else {
 			last = order
 		}
-		w.upsert(upserts.name, wanted.name, order, wanted.body)
+		w.upsert(upserts.name, requested.name, order, requested.body)
 	}
 }
 
--- a/internal/region/catalog/change_writer.go
+++ b/internal/region/catalog/change_writer.go
@@ -57,11 +57,11 @@
 }
 
 // replace writes the change from the snapshot to a whole configuration.
-func (w *changeWriter) replace(wanted document) {
+func (w *changeWriter) replace(target document) {
 	w.submitted.all = true
 	keep := make(map[string]map[string]bool)
-	settings := make([]entry, 0, len(wanted.sections))
-	for _, section := range wanted.sections {
+	settings := make([]entry, 0, len(target.sections))
+	for _, section := range target.sections {
 		if !section.collection {
 			settings = append(settings, entry{name: section.name, body: section.body})
 			continue
@@ -81,9 +81,9 @@
 func (w *changeWriter) replaceCollection(kind string, entries []entry) map[string]bool {
 	names := make(map[string]bool, len(entries))
 	orders := w.assignOrders(kind, entries)
-	for index, wanted := range entries {
-		names[wanted.name] = true
-		w.upsert(kind, wanted.name, orders[index], wanted.body)
+	for index, requested := range entries {
+		names[requested.name] = true
+		w.upsert(kind, requested.name, orders[index], requested.body)
 	}
 	return names
 }
@@ -106,8 +106,8 @@
 func (w *changeWriter) assignOrders(kind string, entries []entry) []uint64 {
 	orders := make([]uint64, len(entries))
 	lastKnown := -1
-	for index, wanted := range entries {
-		if old, found := w.snapshot.Get(kind, wanted.name); found {
+	for index, requested := range entries {
+		if old, found := w.snapshot.Get(kind, requested.name); found {
 			orders[index] = old.GetOrder()
 			lastKnown = index
 		}
--- a/internal/region/catalog/executed_orders_test.go
+++ b/internal/region/catalog/executed_orders_test.go
@@ -77,7 +77,7 @@
 func TestAnOrderThatIsNoLongerRecordedIsNotRejected(t *testing.T) {
 	count := catalog.ExecutedOrdersCapacity + 1000
 	snapshot, orders := executeOrders(t, catalog.Empty(), count, "a")
-	forgotten := 0
+	uncovered := 0
 	for index, order := range orders {
 		status := answerTo(t, snapshot, order)
 		if status == http.StatusOK {
@@ -85,15 +85,15 @@
 		}
 		require.Equal(t, http.StatusServiceUnavailable, status, "order %d", index)
 		require.Equal(t, http.StatusServiceUnavailable, answerTo(t, snapshot, orderOn(order.base, "b")))
-		require.Equal(t, forgotten, index, "only the oldest orders are not covered")
-		forgotten++
+		require.Equal(t, uncovered, index, "only the oldest orders are not covered")
+		uncovered++
 	}
-	require.Positive(t, forgotten)
-	require.GreaterOrEqual(t, count-forgotten, catalog.ExecutedOrdersCapacity)
-	require.Less(t, count-forgotten, catalog.ExecutedOrdersCapacity+64, "the record is bounded")
+	require.Positive(t, uncovered)
+	require.GreaterOrEqual(t, count-uncovered, catalog.ExecutedOrdersCapacity)
+	require.Less(t, count-uncovered, catalog.ExecutedOrdersCapacity+64, "the record is bounded")
 	recorded, since := snapshot.ExecutedOrders()
-	require.Equal(t, count-forgotten, recorded)
-	require.EqualValues(t, forgotten, since)
+	require.Equal(t, count-uncovered, recorded)
+	require.EqualValues(t, uncovered, since)
 }
 
 func TestAnOrderOnAGenerationThatNeverWasIsRefused(t *testing.T) {
--- a/internal/region/quorum/paxos_test.go
+++ b/internal/region/quorum/paxos_test.go
@@ -156,7 +156,7 @@
 	require.True(t, proposer.Promised(replica("b"), promise))
 }
 
-func TestRefusalUnderAHigherBallotEndsTheAttempt(t *testing.T) {
+func TestRejectionWithHigherNumberSupersedesTheProposal(t *testing.T) {
 	proposer := NewProposer(viewOf(2, "a", "b", "c"), NextProposalNumber(nil, "p"))
 	higher := &pb.Ballot{Round: 9, Proposer: "q"}
 	proposer.Promised(replica("a"), &pb.Promise{ViewNumber: 3, Ballot: proposer.number, Promised: higher})
@@ -164,7 +164,7 @@
 	require.Positive(t, CompareProposalNumbers(NextProposalNumber(proposer.HighestObserved(), "p"), higher))
 }
 
-func TestRefusalWithoutAHigherBallotCountsForNothing(t *testing.T) {
+func TestRejectionWithoutHigherNumberIsIgnored(t *testing.T) {
 	proposer := NewProposer(viewOf(2, "a"), NextProposalNumber(nil, "p"))
 	require.False(t, proposer.Promised(replica("a"), &pb.Promise{ViewNumber: 3, Ballot: proposer.number}))
 	require.Equal(t, Preparing, proposer.Phase())
@@ -175,7 +175,7 @@
 	require.Equal(t, 1, VoterIndex(view, replica("b")))
 	require.Equal(t, NotFound, VoterIndex(view, replica("d")))
 	require.Equal(t, 2, Majority(view))
-	founded := viewOf(1, "a", "b")
+	decided := viewOf(1, "a", "b")
 	wiped := &pb.Replica{Identity: "other", ControlAddress: "b:8146"}
-	require.Equal(t, NotFound, VoterIndex(founded, wiped), "a machine that lost its disk has another identity")
+	require.Equal(t, NotFound, VoterIndex(decided, wiped), "a machine that lost its disk has another identity")
 }
--- a/internal/region/quorum/removal.go
+++ b/internal/region/quorum/removal.go
@@ -41,9 +41,9 @@
 // earlierIdentity returns the index of a suspected voter on whose host another voter is live, or NotFound. The machine
 // has lost its disk, so the suspected identity will not return.
 func earlierIdentity(voters []*pb.Replica, peers map[string]Peer) int {
-	return slices.IndexFunc(voters, func(silent *pb.Replica) bool {
-		return !peers[silent.GetIdentity()].Live && slices.ContainsFunc(voters, func(voter *pb.Replica) bool {
-			return voter.GetHost() == silent.GetHost() && peers[voter.GetIdentity()].Live
+	return slices.IndexFunc(voters, func(suspected *pb.Replica) bool {
+		return !peers[suspected.GetIdentity()].Live && slices.ContainsFunc(voters, func(voter *pb.Replica) bool {
+			return voter.GetHost() == suspected.GetHost() && peers[voter.GetIdentity()].Live
 		})
 	})
 }
