--- a/internal/region/catalog/model_test.go
+++ b/internal/region/catalog/model_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/region/catalog"
 )
 
-// named is an element of a list of the model.
+// named is an element of one of the model's lists.
 type named struct {
 	name, body string
 }
@@ -26,7 +26,7 @@
 	zones      map[string]bool
 }
 
-// bodies joins the bodies of a list.
+// bodies returns the bodies of a list, separated by commas.
 func bodies(list []named) string {
 	all := make([]string, len(list))
 	for index, one := range list {
@@ -35,13 +35,13 @@
 	return strings.Join(all, ",")
 }
 
-// text is the configuration as the operator API returns it.
+// text returns the configuration in the form of the operator API.
 func (m model) text() string {
 	return fmt.Sprintf(`{"gen":%d,"routes":[%s],"backends":[%s],"req-limits":%s}`,
 		m.generation, bodies(m.routes), bodies(m.services), m.limits)
 }
 
-// system is a snapshot beside its model, and all changes and snapshots before it.
+// system is a snapshot with its model, and with all changes and snapshots that led to it.
 type system struct {
 	t         *rapid.T
 	snapshot  *catalog.Snapshot
@@ -82,8 +82,8 @@
 	}
 }
 
-// someNamed draws a list of elements with distinct names.
-func (s *system) someNamed(label string, prefix string, body func(name string) string) []named {
+// drawNamed draws a list of elements with distinct names.
+func (s *system) drawNamed(label string, prefix string, body func(name string) string) []named {
 	numbers := rapid.SliceOfNDistinct(rapid.IntRange(0, 25), 0, 12, rapid.ID[int]).Draw(s.t, label)
 	list := make([]named, len(numbers))
 	for index, number := range numbers {
@@ -106,8 +106,8 @@
 func (s *system) replace() {
 	base := s.model.generation
 	s.nextGeneration()
-	s.model.routes = s.someNamed("routes", "r", s.routeBody)
-	services := s.someNamed("services", "t", serviceBody)
+	s.model.routes = s.drawNamed("routes", "r", s.routeBody)
+	services := s.drawNamed("services", "t", serviceBody)
 	s.model.services = append([]named{{"s1", `{"name":"s1"}`}}, services...)
 	s.model.limits = fmt.Sprintf(`{"n":%d}`, rapid.IntRange(0, 3).Draw(s.t, "limit"))
 	s.apply(catalog.PrepareReplace(s.snapshot, base, []byte(s.model.text())))
@@ -119,9 +119,9 @@
 	}
 	base := s.model.generation
 	s.nextGeneration()
-	upserts := s.someNamed("upserts", "r", s.routeBody)
+	upserts := s.drawNamed("upserts", "r", s.routeBody)
 	var removals []string
-	for _, one := range s.someNamed("removals", "r", s.routeBody) {
+	for _, one := range s.drawNamed("removals", "r", s.routeBody) {
 		removals = append(removals, one.name)
 	}
 	for _, one := range upserts {
@@ -165,7 +165,7 @@
 	s.apply(change, err)
 }
 
-// step executes an order at random.
+// step executes a random order.
 func (s *system) step() {
 	switch rapid.IntRange(0, 5).Draw(s.t, "order") {
 	case 0:
--- a/internal/region/catalog/snapshot_test.go
+++ b/internal/region/catalog/snapshot_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/region/catalog"
 )
 
-func TestOrdersKeepTheModel(t *testing.T) {
+func TestSnapshotMatchesTheModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSystem(t)
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
@@ -21,7 +21,7 @@
 	})
 }
 
-func TestCopiesCatchUp(t *testing.T) {
+func TestReplicasAreRepaired(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSystem(t)
 		for range rapid.IntRange(1, 15).Draw(t, "steps") {
@@ -83,7 +83,7 @@
 	return bare
 }
 
-// Two histories may have given one sequence to different changes, so the digests must cover every field of an item.
+// Two replicas may have assigned the same sequence to different changes, so digests must cover every field of an item.
 func TestDigestsCoverEveryField(t *testing.T) {
 	item := &pb.Item{Kind: "k", Name: "n", Order: 1, Sequence: 1, Body: []byte("1")}
 	apply := func(item *pb.Item) []uint64 {
@@ -161,7 +161,7 @@
 	require.ErrorAs(t, err, &malformed)
 }
 
-func TestRepairOfAnOddCopyIsWhole(t *testing.T) {
+func TestRepairForUnusableDigestsIsComplete(t *testing.T) {
 	snapshot := replaced(t, catalog.Empty(), configuration(1))
 	require.Len(t, snapshot.RepairFor(nil).GetRanges(), catalog.RangeCount)
 	require.Len(t, snapshot.RepairFor(&pb.RangeDigests{Digests: []uint64{1}}).GetRanges(), catalog.RangeCount)
@@ -198,7 +198,7 @@
 
 	history.Add(&pb.Change{Sequence: 1000})
 	_, known = history.Since(history.Last() - 2)
-	require.False(t, known, "after a gap, only what follows it is known")
+	require.False(t, known, "after a gap, only the changes that follow it are known")
 	changes, known = history.Since(999)
 	require.True(t, known)
 	require.Len(t, changes, 1)
