--- a/internal/region/lag/episode.go
+++ b/internal/region/lag/episode.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Transition is what an update did to an Episode.
+// Transition is the effect of an update on an Episode.
 type Transition int
 
 const (
-	// Unchanged means that the episode runs as before, or that none runs as before.
+	// Unchanged means that the update neither began nor ended an episode.
 	Unchanged Transition = iota
 	// Began means that the value has risen above the threshold.
 	Began
-	// Ended means that the value has fallen to the threshold or below.
+	// Ended means that the value has fallen to or below the threshold.
 	Ended
 )
 
-// Episode is a period in which a value, such as a lag, exceeds a threshold. In the zero value no episode runs. An Episode is
-// not safe for concurrent use.
+// Episode tracks the periods in which a value, such as a lag, exceeds a threshold. In the zero value no episode is
+// running. An Episode is not safe for concurrent use.
 type Episode struct {
 	running bool
 	longest time.Duration
 }
 
-// Update compares the present value with the threshold, and reports whether the episode began or ended thereby. A value
-// equal to the threshold does not exceed it.
+// Update compares the current value with the threshold, and reports whether an episode began or ended. A value equal to
+// the threshold does not exceed it.
 func (e *Episode) Update(value, threshold time.Duration) Transition {
 	switch above := value > threshold; {
 	case above && !e.running:
@@ -38,5 +38,5 @@
 	return Unchanged
 }
 
-// Longest returns the highest value in the running episode, or in the last one if none runs.
+// Longest returns the highest value in the running episode, or in the previous one if none is running.
 func (e *Episode) Longest() time.Duration { return e.longest }
--- a/internal/region/lag/episode_test.go
+++ b/internal/region/lag/episode_test.go
@@ -28,5 +28,5 @@
 	}
 	require.Equal(t, 3*time.Second, episode.Longest())
 	require.Equal(t, Began, episode.Update(2*time.Second, threshold))
-	require.Equal(t, 2*time.Second, episode.Longest(), "of this episode")
+	require.Equal(t, 2*time.Second, episode.Longest(), "the highest value of the second episode alone")
 }
--- a/internal/region/lag/timeline_test.go
+++ b/internal/region/lag/timeline_test.go
@@ -19,7 +19,7 @@
 	for sequence, expected := range []time.Duration{9, 8, 7, 7, 7, 0, 0} {
 		require.Equal(t, expected*time.Second, timeline.Lag(now, uint64(sequence), 0), "reader at %d", sequence)
 	}
-	require.Equal(t, 4*time.Second, timeline.Lag(now, 0, 6*time.Second), "a reader that came later")
+	require.Equal(t, 4*time.Second, timeline.Lag(now, 0, 6*time.Second), "a reader that appeared after the changes")
 	require.Zero(t, timeline.Lag(now, 0, now+1))
 }
 
@@ -39,7 +39,7 @@
 	}
 	now := time.Duration(3*timelineCapacity) * time.Second
 	require.Equal(t, 5*time.Second, timeline.Lag(now, 3*timelineCapacity-6, 0))
-	require.Equal(t, (timelineCapacity-1)*time.Second, timeline.Lag(now, 0, 0), "the oldest entry kept")
+	require.Equal(t, (timelineCapacity-1)*time.Second, timeline.Lag(now, 0, 0), "the lag behind the oldest stored entry")
 }
 
 func TestRecordAndLagAllocateNothing(t *testing.T) {
