--- a/internal/region/policy/policy.go
+++ b/internal/region/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy names the mechanisms by which a proxy decides, so that each can be switched off: by an operator who
-// suspects it of a fault, and by measurements of what it contributes (ablations). None of them is needed to keep a rule
-// of docs/region/rules.md; what keeps a rule has no switch. The mechanisms themselves are in the packages that use
+// Package policy names the mechanisms that determine a proxy's decisions, so that each can be switched off: by an
+// operator who suspects that it is faulty, or to measure its contribution (ablation). No rule of docs/region/rules.md
+// depends on any of them; what enforces a rule has no switch. The mechanisms are implemented in the packages that use
 // them, mostly placement and proxy. The package is stateless.
 package policy
 
@@ -11,34 +11,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mechanism is one mechanism that can be switched off. Its number is not stable between versions; its name is.
+// Mechanism is a mechanism that can be switched off. Its name is stable between versions, its number is not.
 type Mechanism uint8
 
 // The mechanisms.
 const (
-	PromptAffinity    Mechanism = iota // requests with shared chunks go to one server of a region first, by rendezvous hashing
-	PrefixCache                        // the index of which prefixes were sent to which servers
-	PrefillPrice                       // prefilling shared chunks again costs more than its time
-	Softmax                            // servers are drawn by their predictions; off: always the best
+	PromptAffinity    Mechanism = iota // requests with shared chunks prefer one server of a region, chosen by rendezvous hashing
+	PrefixCache                        // an index of the prefixes that were sent to each server predicts what is cached there
+	PrefillPrice                       // prefilling shared chunks again has a cost in addition to its time
+	Softmax                            // servers are drawn at random by their predictions; off: the best one is always chosen
 	SortedWalk                         // servers are taken from a sorted list while many answers are late
-	Subset                             // a proxy spreads its requests over some of a region's servers
-	Spill                              // requests go to other regions while those answer sooner
-	ZonePreference                     // servers of other zones cost more than their latency
-	PrefillRate                        // the prefill time of a token is learnt from answers
-	Announcements                      // long prefills are announced to the other proxies of the region
-	FailureReports                     // servers that break connections are reported to the other proxies of the region
-	Admission                          // requests are rejected while answers are late and servers are full
-	Trickle                            // now and then one request of each route is admitted in spite of overload
-	Ejection                           // servers are ejected after failures in a row
-	RejectionCooldown                  // a server that rejected a request as full is avoided for a moment
-	DrainCooldown                      // a server that seems to drain is avoided for a while
+	Subset                             // a proxy distributes its requests over a subset of a region's servers
+	Spill                              // requests are sent to other regions while those are expected to answer sooner
+	ZonePreference                     // servers of other zones have a cost in addition to their latency
+	PrefillRate                        // the prefill time of a token is estimated from answers
+	Announcements                      // prompts with a long prefill are announced to the other proxies of the region
+	FailureReports                     // servers whose new connections fail are reported to the other proxies of the region
+	Admission                          // requests are rejected while answers are late and requests queue at servers
+	Trickle                            // one request of each route is admitted at a fixed interval despite overload
+	Ejection                           // servers are ejected after consecutive failures
+	RejectionCooldown                  // a server that rejected a request as full is avoided for a short time
+	DrainCooldown                      // a server that seems to be draining is avoided for a few seconds
 	Seeding                            // a request is sent to each server without a speed estimate
-	SpeedAging                         // old estimates approach the typical speed
-	OverdueBound                       // an attempt that waits too long bounds its server's speed before it ends
-	Priorities                         // requests to servers carry their priority
+	SpeedAging                         // aging speed estimates approach the typical speed of the service
+	OverdueBound                       // an overdue attempt lowers the estimate of its server's speed before it ends
+	Priorities                         // requests to servers include their priority
 	CapacityWait                       // a request waits for capacity before it is rejected
-	ConnectionReuse                    // connections to servers are reused
-	ReachabilityWatch                  // attempts at unreachable machines end before their deadline
+	ConnectionReuse                    // connections to servers are reused for further requests
+	ReachabilityWatch                  // attempts at unreachable machines are ended before their deadline
 	mechanisms                         // number of mechanisms
 )
 
@@ -69,21 +69,21 @@
 	ReachabilityWatch: "contact-watch",
 }
 
-// String is the mechanism's name.
+// String returns the mechanism's name in settings and on the command line.
 func (m Mechanism) String() string { return names[m] }
 
-// Names are the names of all mechanisms, in a fixed order.
+// Names returns the names of all mechanisms, in the order of their numbers.
 func Names() []string { return slices.Clone(names[:]) }
 
-// Switches is a set of mechanisms that are off. In the zero value all of them are on.
+// Switches is the set of mechanisms that are switched off. The zero value is empty: all mechanisms are on.
 type Switches struct {
-	off uint64 // a bit for each mechanism
+	off uint64 // bit set, indexed by mechanism
 }
 
-// Off reports whether a mechanism is off.
+// Off reports whether a mechanism is switched off.
 func (s Switches) Off(m Mechanism) bool { return s.off&(1<<m) != 0 }
 
-// Union returns the switches in which a mechanism is off if it is off in either.
+// Union returns the switches in which a mechanism is off if it is off in s or in other.
 func (s Switches) Union(other Switches) Switches { return Switches{off: s.off | other.off} }
 
 // String returns the names of the mechanisms that are off, separated by commas.
@@ -97,17 +97,17 @@
 	return strings.Join(off, ",")
 }
 
-// UnknownError reports a name that no mechanism has.
+// UnknownError reports a name that is not the name of a mechanism.
 type UnknownError struct {
 	Name string // as given
 }
 
 // Error implements error.
 func (e *UnknownError) Error() string {
-	return "policy: no mechanism is called " + e.Name + "; known are " + strings.Join(names[:], ", ")
+	return "policy: unknown mechanism " + e.Name + "; known mechanisms: " + strings.Join(names[:], ", ")
 }
 
-// Parse returns the switches with the named mechanisms off. The error is an *UnknownError for the first unknown name.
+// Parse returns the switches with the named mechanisms off. Its error is an *UnknownError for the first unknown name.
 func Parse(off []string) (Switches, error) {
 	var switches Switches
 	for _, name := range off {
