--- a/internal/region/route/accepted_test.go
+++ b/internal/region/route/accepted_test.go
@@ -11,13 +11,13 @@
 	"fieldrelay/internal/region/route"
 )
 
-// orderOf is a complete configuration of generation 1 with some routes and one service, "s1" beside "s2".
+// orderOf returns a complete configuration of generation 1 with the given routes and service, and a second service "s2".
 func orderOf(service string, routes ...string) []byte {
 	return fmt.Appendf(nil, `{"gen":1,"routes":[%s],"backends":[%s,{"name":"s2"}],"req-limits":{"max-body-bytes":4096}}`,
 		strings.Join(routes, ","), service)
 }
 
-// routeText is a route to "s1" with further members behind the ones that it needs, so that they come last.
+// routeText returns a route to "s1" whose further members come after the required ones, and so override them.
 func routeText(name string, members ...string) string {
 	all := append([]string{
 		fmt.Sprintf(`"name":%q`, name),
@@ -28,7 +28,7 @@
 	return "{" + strings.Join(all, ",") + "}"
 }
 
-// accept returns the state that a configuration leads to, or false if validation rejects it.
+// accept returns the state after the replacement by a configuration, or false if validation rejects the configuration.
 func accept(t require.TestingT, body []byte) (*catalog.Snapshot, bool) {
 	empty := catalog.Empty()
 	change, err := catalog.PrepareReplace(empty, empty.Generation(), body)
@@ -40,8 +40,8 @@
 	return state, true
 }
 
-// TestTableServesEveryRouteThatValidationAccepts takes each unusual member of a route through validation. What is
-// accepted has to be served, by the service that it names: a route that the table leaves out is answered 404.
+// TestTableServesEveryRouteThatValidationAccepts validates routes with unusual members. A route that validation accepts
+// must be in the table and lead to its service. Otherwise its requests would be answered 404.
 func TestTableServesEveryRouteThatValidationAccepts(t *testing.T) {
 	cases := map[string]string{
 		"unknown kind":                    `"route-kind":"odd"`,
@@ -89,7 +89,7 @@
 		t.Run(name, func(t *testing.T) {
 			state, valid := accept(t, orderOf(`{"name":"s1"}`, routeText("r", members)))
 			if !valid {
-				return // 400 is an answer that says what is wrong
+				return // the operator gets an answer 400 that names the fault
 			}
 			table, faults := route.FromItems(itemsOf(state))
 			require.Empty(t, faults)
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestTableKeepsEveryServiceAndLimitThatValidationAccepts does the same for the other items that requests depend on.
+// TestTableKeepsEveryServiceAndLimitThatValidationAccepts does the same for services and request limits.
 func TestTableKeepsEveryServiceAndLimitThatValidationAccepts(t *testing.T) {
 	services := map[string]string{
 		"negative connections":  `{"name":"s1","max-conns":-1}`,
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestNoTwoRoutesThatValidationAcceptsShareAMatch uses hosts that differ only in port or case: the table ignores
-// both, so that validation has to.
+// TestNoTwoRoutesThatValidationAcceptsShareAMatch validates routes whose hosts differ only in port or case. The table
+// ignores both, so that validation has to treat the hosts as equal.
 func TestNoTwoRoutesThatValidationAcceptsShareAMatch(t *testing.T) {
 	pairs := map[string][2]string{
 		"a port":          {"h.example", "h.example:80"},
--- a/internal/region/route/capacity_bench_test.go
+++ b/internal/region/route/capacity_bench_test.go
@@ -8,7 +8,7 @@
 	"fieldrelay/internal/region/catalog"
 )
 
-// capacityRoutes is the size of a large operator's configuration.
+// capacityRoutes is the number of routes in the configuration of a large operator.
 const capacityRoutes = 1500
 
 func capacityRoute(number, revision int) *pb.Item {
--- a/internal/region/route/changes_test.go
+++ b/internal/region/route/changes_test.go
@@ -22,16 +22,16 @@
 	return items
 }
 
-// TestTableOfChangesIsTheTableOfTheState makes replacements and amendments as operators send them (routes that
-// swap matches, that are renamed, that are added and removed by one order) and compares the table
-// that was changed step by step with one that is made of the whole state.
+// TestTableOfChangesIsTheTableOfTheState applies replacements and amendments as operators send them (routes
+// that swap hosts and prefixes, that are renamed, or that are added and removed by one amendment), and compares the table
+// built by successive changes with one built from the whole state.
 func TestTableOfChangesIsTheTableOfTheState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, table := catalog.Empty(), route.Empty()
 		for step := range rapid.IntRange(1, 25).Draw(t, "orders") {
 			change, err := drawOrder(t, state, step)
 			if err != nil {
-				continue // refused
+				continue // rejected by validation
 			}
 			next, err := state.Apply(change)
 			require.NoError(t, err)
@@ -52,7 +52,7 @@
 	drawnPrefixes = []string{"/", "/x/", "/x/y/", "/z/"}
 )
 
-// drawOrder makes a replacement or an amendment of a few routes.
+// drawOrder prepares a random replacement or amendment of a few routes.
 func drawOrder(t *rapid.T, state *catalog.Snapshot, step int) (*pb.Change, error) {
 	var routes []string
 	var removed []string
@@ -81,7 +81,7 @@
 	return catalog.PrepareAmend(state, state.Generation(), []byte(body))
 }
 
-// requireSameTable compares what two tables answer.
+// requireSameTable compares the results of all lookups in two tables.
 func requireSameTable(t require.TestingT, want, got *route.Table) {
 	require.Equal(t, want.Routes(), got.Routes())
 	require.Equal(t, want.Services(), got.Services())
--- a/internal/region/route/errors.go
+++ b/internal/region/route/errors.go
@@ -7,11 +7,12 @@
 	"fieldrelay/internal/region/configitem"
 )
 
-// ItemError reports what is wrong with an item of the configuration. It wraps the faults.
+// ItemError reports the faults of an item of the configuration. It wraps them.
 type ItemError struct {
 	Kind string // of the item
 	Name string
-	// LeftOut: nothing of the item can be used. If false, the item is in the table without the members at fault.
+	// LeftOut: the item cannot be used, so that the table does not contain it. If false, the table contains the item
+	// without the invalid members.
 	LeftOut bool
 	Faults  []configitem.FieldError // at least one
 }
@@ -22,9 +23,9 @@
 	for index, fault := range e.Faults {
 		reasons[index] = fault.Error()
 	}
-	outcome := "served in part"
+	outcome := "partially applied"
 	if e.LeftOut {
-		outcome = "left out"
+		outcome = "not applied"
 	}
 	return fmt.Sprintf("route: %s %q %s: %s", e.Kind, e.Name, outcome, strings.Join(reasons, "; "))
 }
--- a/internal/region/route/homes.go
+++ b/internal/region/route/homes.go
@@ -10,32 +10,32 @@
 	"fieldrelay/internal/region/jsonwalk"
 )
 
-// HomeRegions says where requests to a host may be served.
+// HomeRegions summarizes in which regions requests to a host may be served.
 type HomeRegions struct {
-	// Routes is the number of its routes that have home regions.
+	// Routes is the number of the host's routes that have home regions.
 	Routes int
-	// ByRegion counts those of them that may be served in a region.
+	// ByRegion is the number of those routes that may be served in a region, by region.
 	ByRegion map[string]int
-	// Unreadable: it may have home regions that cannot be read.
+	// Unreadable: the host may be restricted to home regions that cannot be parsed.
 	Unreadable bool
 }
 
-// IsRestricted reports whether some requests may be served in some regions only.
+// IsRestricted reports whether some requests to the host may be served only in certain regions.
 func (h HomeRegions) IsRestricted() bool { return h.Unreadable || h.Routes > 0 }
 
-// AllAllowedIn reports whether every request that is restricted may be served in a region.
+// AllAllowedIn reports whether all restricted requests may be served in a region.
 func (h HomeRegions) AllAllowedIn(region string) bool {
 	return !h.Unreadable && h.ByRegion[region] == h.Routes
 }
 
-// HomeIndex holds the HomeRegions of all hosts in one state of the configuration. It is immutable.
+// HomeIndex holds the HomeRegions of all hosts for one state of the configuration. It is immutable.
 type HomeIndex struct {
 	hosts map[string]HomeRegions // by canonical name
-	// unreadable: an item that is not a route has home regions; which hosts that concerns is unknown.
+	// unreadable: an item that is not a route has home regions, and the hosts to which they apply are unknown.
 	unreadable bool
 }
 
-// NewHomeIndex indexes a configuration, in time linear in its size.
+// NewHomeIndex indexes the home regions of a configuration, in time linear in its size.
 func NewHomeIndex(configuration *catalog.Snapshot) *HomeIndex {
 	index := &HomeIndex{hosts: make(map[string]HomeRegions)}
 	for _, kind := range configuration.Kinds() {
@@ -48,14 +48,14 @@
 	return index
 }
 
-// Of returns the home regions of a host.
+// Of returns the home regions of a host, whose name may have a port and any case.
 func (i *HomeIndex) Of(host string) HomeRegions {
 	regions := i.hosts[configitem.CanonicalHost(host)]
 	regions.Unreadable = i.unreadable
 	return regions
 }
 
-// add adds an item that has home regions. A route that cannot be used is left out, as it is from a table.
+// add adds an item that has home regions. An unusable route is ignored, as it is in a Table.
 func (i *HomeIndex) add(item *pb.Item) {
 	if item.GetKind() != catalog.KindRoutes {
 		i.unreadable = true
@@ -76,17 +76,19 @@
 	i.hosts[route.Host] = regions
 }
 
-// homeRegionsName is the member of an item that lists its home regions.
+// homeRegionsName is the name of an item's member that lists its home regions.
 const homeRegionsName = "home-regions"
 
 var (
 	homeRegionsKey = []byte(`"` + homeRegionsName + `"`)
-	// unicodeEscape begins a character that is written by its code point. A key with one is not found as plain text.
+	// unicodeEscape is the start of a JSON escape sequence. A key that contains one is not found by a search for its plain
+	// text.
 	unicodeEscape = []byte(`\u`)
 )
 
-// mentionsHomeRegions reports whether a body has home regions that are not an empty list. It does not parse the body, since
-// most routes have none. Within a JSON string the quotes of the key would be escaped, so that only a key is found.
+// mentionsHomeRegions reports whether a body has home regions that are not an empty list. Most routes have none, so it
+// searches the text and parses the body only if that contains escape sequences. The search cannot match inside a JSON
+// string, where the quotes of the key would be escaped.
 func mentionsHomeRegions(body []byte) bool {
 	if bytes.Contains(body, unicodeEscape) && json.Valid(body) {
 		return hasHomeRegions(jsonwalk.Trim(body))
@@ -103,7 +105,7 @@
 	}
 }
 
-// hasHomeRegions reports whether a JSON value has such home regions anywhere.
+// hasHomeRegions reports whether a JSON value has, at any depth, home regions that are not an empty list.
 func hasHomeRegions(value []byte) bool {
 	if jsonwalk.IsArray(value) {
 		for element := range jsonwalk.Elements(value) {
--- a/internal/region/route/homes_test.go
+++ b/internal/region/route/homes_test.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/region/catalog"
 )
 
-// stateOf is a state that holds items.
+// stateOf returns a state of the configuration that holds items.
 func stateOf(t *testing.T, items ...*pb.Item) *catalog.Snapshot {
 	t.Helper()
 	state, err := catalog.Empty().Apply(&pb.Change{Sequence: 1, Generation: 1, Upserts: items})
@@ -39,7 +39,7 @@
 	require.False(t, index.Of("two.example").IsRestricted())
 }
 
-// A route whose home regions cannot be read is restricted to unknown regions: the proxies of no region serve it.
+// A route whose home regions cannot be parsed is restricted to unknown regions, so that no region's proxies may serve it.
 func TestHomeRegionsThatCannotBeRead(t *testing.T) {
 	index := NewHomeIndex(stateOf(t,
 		item(catalog.KindRoutes, "a", `{"vhost":"h","path-prefix":"/a/","backend":"s","home-regions":"west"}`),
--- a/internal/region/route/host.go
+++ b/internal/region/route/host.go
@@ -8,25 +8,25 @@
 	"fieldrelay/internal/region/configitem"
 )
 
-// maxHostLength is the length of the longest host name that is looked up without an allocation (RFC 1035 allows 255).
+// maxHostLength is the maximum length of a host name that is looked up without an allocation. RFC 1035 allows 255.
 const maxHostLength = 256
 
-// host holds the routes of one host. A path is looked up by each length that some prefix has, longest first: a few
-// binary searches, however many routes there are.
+// host holds the routes of one host. A lookup does one binary search for each distinct prefix length, longest first: few
+// searches, regardless of the number of routes.
 type host struct {
 	routes  []*Route       // sorted by path prefix
 	lengths []prefixLength // longest first
-	// shadowed are routes whose prefix another route of this host has. Validation accepts none, but an earlier version
-	// accepted those whose hosts differ by their port.
+	// shadowed holds routes that are not served because another route of this host has the same prefix. Validation rejects
+	// such routes, but an earlier version accepted them if their hosts differed by the port.
 	shadowed []*Route
 }
 
-// prefixLength is the number of prefixes of a length.
+// prefixLength is a prefix length and the number of prefixes that have it.
 type prefixLength struct {
 	length, count int
 }
 
-// clone returns a copy that may be modified; of nil, an empty one.
+// clone returns a copy that may be modified. The clone of nil is an empty host.
 func (h *host) clone() *host {
 	if h == nil {
 		return &host{}
@@ -41,8 +41,8 @@
 	})
 }
 
-// add adds a route. Of two with the same prefix, the one of the lesser name is served, whichever came first: a table
-// that was changed step by step equals one made of the whole state.
+// add adds a route. Of two routes with the same prefix, the one with the lower name is served, regardless of their order,
+// so that a table built by successive changes equals one built from the whole state.
 func (h *host) add(route *Route) {
 	i, taken := h.search(route.PathPrefix)
 	if !taken {
@@ -57,7 +57,7 @@
 	h.shadowed = append(h.shadowed, route)
 }
 
-// remove removes a route, and serves the one that it shadowed, if any.
+// remove removes a route. If the route shadowed others, the one with the lowest name takes its place.
 func (h *host) remove(route *Route) {
 	i, found := h.search(route.PathPrefix)
 	if !found || h.routes[i] != route {
@@ -72,7 +72,7 @@
 	h.addLength(len(route.PathPrefix), -1)
 }
 
-// unshadow removes and returns the shadowed route that is to be served for a prefix; nil if there is none.
+// unshadow removes the shadowed route with the lowest name from those of a prefix, and returns it; nil if there is none.
 func (h *host) unshadow(prefix string) *Route {
 	lowest := -1
 	for i, route := range h.shadowed {
@@ -118,8 +118,8 @@
 	return nil, false
 }
 
-// findHost finds a host by a name with a port or in another case, canonical as by configitem.CanonicalHost. It does not
-// allocate for names as clients send them.
+// findHost looks up a host by a name that may have a port and any case, with the same result as a lookup of
+// configitem.CanonicalHost. It does not allocate for ASCII names of up to maxHostLength bytes.
 func (t *Table) findHost(name string) *host {
 	name = configitem.WithoutPort(name)
 	var lower [maxHostLength]byte
--- a/internal/region/route/largechange_bench_test.go
+++ b/internal/region/route/largechange_bench_test.go
@@ -6,7 +6,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Sizes of the largest configuration that was seen, and of the largest change to it.
+// Sizes of a very large configuration and of a very large change to it.
 const (
 	largeTable  = 2900
 	largeChange = 1400
@@ -20,7 +20,7 @@
 	return items
 }
 
-// BenchmarkLargeTableWithOneChange takes in a change of one of 2,900 routes.
+// BenchmarkLargeTableWithOneChange changes one of 2,900 routes.
 func BenchmarkLargeTableWithOneChange(b *testing.B) {
 	table, _ := FromItems(numberedRoutes(0, largeTable))
 	b.ReportAllocs()
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkLargeTableOfOneHostWithManyNewRoutes adds 1,400 routes where all are of one host.
+// BenchmarkLargeTableOfOneHostWithManyNewRoutes adds 1,400 routes to 1,500 of the same host by one change.
 func BenchmarkLargeTableOfOneHostWithManyNewRoutes(b *testing.B) {
 	table := manyRoutes(largeTable - largeChange)
 	whole := manyRoutes(largeTable)
@@ -65,7 +65,7 @@
 	}
 }
 
-// BenchmarkLargeTableOfAll compiles 2,900 routes anew, as for a repair.
+// BenchmarkLargeTableOfAll compiles 2,900 routes from scratch, as after a repair of the configuration.
 func BenchmarkLargeTableOfAll(b *testing.B) {
 	items := numberedRoutes(0, largeTable)
 	b.ReportAllocs()
--- a/internal/region/route/parse.go
+++ b/internal/region/route/parse.go
@@ -9,12 +9,12 @@
 	"fieldrelay/internal/region/jsonwalk"
 )
 
-// maxTime is the longest time that is taken from a configuration: larger values mean "unlimited" and must not overflow.
+// maxTime is the upper bound of durations in a configuration. Larger values stand for "unlimited", and would overflow.
 const maxTime = 24 * time.Hour
 
-// parseRoute returns the route of an item, and its faults. The route is nil if no request can match it; any other
-// member that cannot be used counts as missing. A route without services is kept, since its requests are to be
-// rejected (503) and not answered as unknown (404).
+// parseRoute parses the route of an item, and returns the faults of the item. The route is nil if its host or path prefix
+// is invalid, since no request can match it. Any other invalid member is treated as missing. A route without services is
+// kept, since its requests must be rejected (503) and not answered as unknown (404).
 func parseRoute(item *pb.Item) (*Route, []configitem.FieldError) {
 	object, faults := configitem.Object(item.GetBody())
 	if faults != nil {
@@ -48,7 +48,7 @@
 	return route, faults
 }
 
-// splitOf returns a route's services and the sum of their weights.
+// splitOf returns a route's weighted services and the sum of their weights.
 func splitOf(destination configitem.Destination) ([]WeightedService, float64) {
 	if len(destination.Split) == 0 {
 		if len(destination.Service) == 0 {
@@ -65,7 +65,7 @@
 	return split, total
 }
 
-// kindOf returns the kind of a route by its name in the configuration.
+// kindOf converts a route's kind in the configuration. Missing and unknown kinds are converted to KindMutating.
 func kindOf(kind configitem.Kind) Kind {
 	switch kind {
 	case configitem.KindStreaming:
@@ -77,7 +77,7 @@
 	}
 }
 
-// parseService returns the service of an item, and its faults. A member that cannot be used counts as missing.
+// parseService parses the service of an item, and returns the faults of the item. An invalid member is treated as missing.
 func parseService(item *pb.Item) (*Service, []configitem.FieldError) {
 	body, faults := configitem.ParseService(item.GetBody())
 	service := &Service{
@@ -98,7 +98,8 @@
 	return service, faults
 }
 
-// parseLimits returns the request limits of an item, and its faults. A member that cannot be used counts as missing.
+// parseLimits parses the request limits of an item, and returns the faults of the item. An invalid member is treated as
+// missing.
 func parseLimits(item *pb.Item) (RequestLimits, []configitem.FieldError) {
 	body, faults := configitem.ParseLimits(item.GetBody())
 	limits := RequestLimits{
@@ -110,12 +111,12 @@
 	return limits, faults
 }
 
-// milliseconds converts a number of milliseconds, limited to the range from 0 to maxTime.
+// milliseconds converts a number of milliseconds, clamped to the range from 0 to maxTime.
 func milliseconds(ms float64) time.Duration {
 	return time.Duration(min(max(ms, 0), float64(maxTime/time.Millisecond)) * float64(time.Millisecond))
 }
 
-// deadlineOf converts a route's deadline in milliseconds. One that is set stays above 0, which stands for none.
+// deadlineOf converts a route's deadline in milliseconds. A positive one is never rounded to 0, which means no deadline.
 func deadlineOf(ms float64) time.Duration {
 	if ms <= 0 {
 		return 0
@@ -123,7 +124,7 @@
 	return max(milliseconds(ms), 1)
 }
 
-// integer converts a number that may be a fraction or out of range.
+// integer truncates a number to an integer, clamped to the range from 0 to math.MaxInt32.
 func integer(figure float64) int {
 	return int(min(max(figure, 0), math.MaxInt32))
 }
--- a/internal/region/route/reader_test.go
+++ b/internal/region/route/reader_test.go
@@ -14,13 +14,13 @@
 	"fieldrelay/internal/region/route"
 )
 
-// drawnMembers are names of members of a route, and some that resemble them, besides the name.
+// drawnMembers are names of members of a route except "name", and names that resemble them.
 var drawnMembers = []string{
 	"vhost", "path-prefix", "backend", "split", "deadline-ms", "route-kind", "target-ms", "prio", "tries", "pinned",
 	"resumable", "gap_aim_ms", "home-regions", "Vhost", "Path-Prefix", "Backend", "SPLIT", "Tries", "later", `ba\u0063kend`,
 }
 
-// drawnValues are values that are valid for some of them.
+// drawnValues are JSON values, each of which is valid for some of the members or for none.
 var drawnValues = []string{
 	`null`, `true`, `false`, `0`, `-1`, `7`, `0.5`, `1e300`, `1e999`, `""`, `"s1"`, `"s2"`, `"s9"`, `"h.example"`, `"H.example:80"`,
 	`"/x/"`, `"\/y\/"`, `"x"`, `"streaming"`, `"Idempotent"`, `[]`, `[null]`, `["cz"]`, `["cz",1]`, `{}`, `{"a":[1]}`,
@@ -29,7 +29,7 @@
 	`[{"backend":"s9","backend":"s1","share":"x","share":2}]`,
 }
 
-// drawRoute makes a valid route, followed by a few random members, some of them repeated.
+// drawRoute returns a valid route with a few random members appended, which may repeat earlier ones.
 func drawRoute(t *rapid.T, name string) string {
 	members := []string{
 		fmt.Sprintf(`"name":%q`, name), `"vhost":"h.example"`, fmt.Sprintf(`"path-prefix":"/%s/"`, name), `"backend":"s1"`,
@@ -41,7 +41,8 @@
 	return "{" + strings.Join(members, ",") + "}"
 }
 
-// plainRoute is a route as encoding/json reads it: exact names, the last of a repeated member.
+// plainRoute is a route as parsed by encoding/json into a map: names are case-sensitive, and the last of repeated members
+// wins.
 type plainRoute map[string]json.RawMessage
 
 func (p plainRoute) text(t require.TestingT, name string) string {
@@ -52,7 +53,7 @@
 	return value
 }
 
-// weights are the services that the route's requests go to.
+// weights returns the services of the route's requests with their weights, up to a common factor.
 func (p plainRoute) weights(t require.TestingT) map[string]float64 {
 	var split []plainRoute
 	require.NoError(t, json.Unmarshal(append([]byte{}, orNull(p["split"])...), &split))
@@ -64,7 +65,7 @@
 		var weight float64
 		require.NoError(t, json.Unmarshal(orNull(share["share"]), &weight))
 		if weight > 0 {
-			weights[share.text(t, "backend")] += weight / 4 // so that the sum of large ones is finite
+			weights[share.text(t, "backend")] += weight / 4 // so that the sum of large weights is finite
 		}
 	}
 	return weights
@@ -77,9 +78,9 @@
 	return raw
 }
 
-// TestWhatValidationAcceptsIsServedAsItWasJudged draws routes with unusual members. Each that is accepted is in the
-// table, with the match and the services that the standard library reads from its text. Where the table treats a member
-// as missing it reports that, and never for one that validation checks.
+// TestWhatValidationAcceptsIsServedAsItWasJudged validates routes with random unusual members. The table must contain
+// each accepted route, with the host, prefix and services that encoding/json reads from its text. It must not report a
+// fault of a member that validation checks.
 func TestWhatValidationAcceptsIsServedAsItWasJudged(t *testing.T) {
 	accepted, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -112,7 +113,7 @@
 	require.Positive(t, refused)
 }
 
-// requireServices checks that a route's requests go to these services, by these weights.
+// requireServices checks that a route's requests are distributed over the expected services by their weights.
 func requireServices(t require.TestingT, want map[string]float64, found *route.Route) {
 	for _, service := range []string{"s1", "s2", "s9", ""} {
 		require.Equal(t, want[service] > 0, found.LeadsTo(service), service)
@@ -131,7 +132,8 @@
 	}
 }
 
-// TestStatesOfEarlierVersionsAreServed: a stored state may hold two routes of the same match; the others are not affected.
+// TestStatesOfEarlierVersionsAreServed builds a table from a state with two routes of the same host and prefix, as earlier
+// versions may have stored it. It must not report a fault.
 func TestStatesOfEarlierVersionsAreServed(t *testing.T) {
 	state, valid := accept(t, orderOf(`{"name":"s1"}`, routeText("a"), routeText("b")))
 	require.True(t, valid)
--- a/internal/region/route/table.go
+++ b/internal/region/route/table.go
@@ -13,8 +13,8 @@
 // settingLimits is the name of the setting that holds the request limits.
 const settingLimits = "req-limits"
 
-// Table is a configuration compiled for lookups. It is immutable and safe for concurrent use: a change makes a new one,
-// which shares with the old one what did not change.
+// Table is a configuration compiled for lookups. It is immutable and safe for concurrent use. A change creates a new
+// table, which shares unchanged parts with the old one.
 type Table struct {
 	routes    []*Route         // sorted by name
 	hosts     map[string]*host // by canonical host
@@ -25,37 +25,36 @@
 
 var emptyTable = &Table{}
 
-// Empty returns the table without any item.
+// Empty returns a table without any item.
 func Empty() *Table { return emptyTable }
 
-// Built is a new table, with the errors of the items that were added.
+// Built is the result of Rebuild: the new table and the errors of the items that were added.
 type Built struct {
 	Table *Table
-	// LeftOut are the items of which nothing can be used. Neither they nor the earlier items of their names are in the
-	// table.
+	// LeftOut holds the errors of items that cannot be used. The table contains neither these items nor the earlier items
+	// with their names.
 	LeftOut []*ItemError
-	// PartiallyApplied are the items that are in the table without some of their members.
+	// PartiallyApplied holds the errors of items that the table contains without some of their members.
 	PartiallyApplied []*ItemError
 }
 
-// FromItems makes a table of a complete configuration, and returns the errors of items that are left out.
+// FromItems compiles a complete configuration, and returns the table and the errors of items that it does not contain.
 func FromItems(items []*pb.Item) (*Table, []*ItemError) {
 	return Empty().With(items, nil, false)
 }
 
-// With returns the table after a change, as Rebuild does, and the errors of items that are left out.
+// With returns the table after a change, as Rebuild does, and the errors of added items that it does not contain.
 func (t *Table) With(upserts []*pb.Item, removals []*pb.ItemKey, replacesAll bool) (*Table, []*ItemError) {
 	built := t.Rebuild(upserts, removals, replacesAll)
 	return built.Table, built.LeftOut
 }
 
-// Rebuild returns the table after a change: items are removed by removals, then others added or replaced by kind and
-// name; with replacesAll the operator's items that are not among the upserts are removed as well (evacuations stay).
+// Rebuild returns the table after a change. It removes the items of removals, and then adds or replaces those of upserts
+// by kind and name. With replacesAll it also removes the operator's items that are not in upserts, but no evacuations.
 // Items of unknown kinds are ignored.
 //
-// The table depends only on the items in force. So a body that cannot be used does not leave the earlier item in its
-// place: that would be an older configuration, which the order has ended and which a proxy that starts now would not
-// have.
+// The table depends only on the items in force. An item with an unusable body therefore does not keep the earlier item of
+// its name in place: the change has superseded that item, and a proxy that starts now would not have it.
 func (t *Table) Rebuild(upserts []*pb.Item, removals []*pb.ItemKey, replacesAll bool) Built {
 	change := newChange(t, replacesAll)
 	for _, item := range upserts {
@@ -70,8 +69,8 @@
 	return change.built
 }
 
-// Lookup returns the route of a request: of the routes for its host, without port and in any case, the one with the
-// longest prefix of its path. A query in path is ignored. It allocates nothing.
+// Lookup returns the route of a request: of the routes for its host, the one with the longest prefix of its path. The port
+// and the case of hostname, and a query in path, are ignored. Lookup does not allocate for usual host names.
 func (t *Table) Lookup(hostname, path string) (*Route, bool) {
 	found, ok := t.hosts[hostname]
 	if !ok {
@@ -99,7 +98,7 @@
 	})
 }
 
-// Service returns what the configuration says of a service.
+// Service returns the configuration of a service.
 func (t *Table) Service(name string) (*Service, bool) {
 	service, ok := t.services[name]
 	return service, ok
@@ -108,19 +107,19 @@
 // Services returns the names of the services, sorted.
 func (t *Table) Services() []string { return slices.Sorted(maps.Keys(t.services)) }
 
-// RequestLimits returns the bounds on what clients may send.
+// RequestLimits returns the limits on clients' requests.
 func (t *Table) RequestLimits() RequestLimits { return t.limits }
 
 // Evacuated returns the zones whose evacuation is in force, sorted. The slice is shared and must not be modified.
 func (t *Table) Evacuated() []string { return t.evacuated }
 
-// Routes is the number of routes.
+// Routes returns the number of routes.
 func (t *Table) Routes() int { return len(t.routes) }
 
 // change builds the successor of a table. The old table is never modified.
 type change struct {
-	table *Table          // the new one
-	owned map[string]bool // hosts of the new table that are not shared with the old one
+	table *Table          // the new table
+	owned map[string]bool // hosts that were cloned for the new table, and so may be modified
 	built Built
 }
 
@@ -135,7 +134,7 @@
 	return &change{table: next, owned: map[string]bool{}, built: Built{Table: next}}
 }
 
-// remove removes an item, if it is there.
+// remove removes an item, if the table contains it.
 func (c *change) remove(kind, name string) {
 	switch kind {
 	case catalog.KindRoutes:
@@ -154,9 +153,9 @@
 	}
 }
 
-// add adds an item, in place of an earlier one of its kind and name.
+// add adds an item, or replaces the earlier one of its kind and name.
 func (c *change) add(item *pb.Item) {
-	c.remove(item.GetKind(), item.GetName()) // it may be named twice in one change
+	c.remove(item.GetKind(), item.GetName()) // the item may occur twice in one change
 	switch item.GetKind() {
 	case catalog.KindRoutes:
 		c.addRoute(item)
@@ -176,7 +175,7 @@
 	if route == nil {
 		return
 	}
-	i, _ := c.table.searchRoute(route.Name) // add has removed the one of this name
+	i, _ := c.table.searchRoute(route.Name) // add has removed the earlier route of this name
 	c.table.routes = slices.Insert(c.table.routes, i, route)
 	c.own(route.Host).add(route)
 }
@@ -209,7 +208,7 @@
 	}
 }
 
-// unlink removes a route from its host.
+// unlink removes a route from its host, and the host if it has no routes left.
 func (c *change) unlink(route *Route) {
 	host := c.own(route.Host)
 	host.remove(route)
@@ -219,7 +218,7 @@
 	}
 }
 
-// own returns a host that this change may modify.
+// own returns a host that this change may modify. It clones the host of the old table on the first call.
 func (c *change) own(name string) *host {
 	if !c.owned[name] {
 		c.table.hosts[name] = c.table.hosts[name].clone()
--- a/internal/region/route/table_test.go
+++ b/internal/region/route/table_test.go
@@ -86,8 +86,7 @@
 	return `{"vhost":"h","path-prefix":"/a/","backend":"s","tries":2,"target-ms":700,"route-kind":"streaming",` + members + `}`
 }
 
-// TestItemsWithInvalidMembersArePartiallyAppliedAndReported: the members that can be used count, and each other one is
-// reported.
+// TestItemsWithInvalidMembersArePartiallyAppliedAndReported: valid members are applied, and each invalid one is reported.
 func TestItemsWithInvalidMembersArePartiallyAppliedAndReported(t *testing.T) {
 	whole := Route{
 		Name: "odd", Host: "h", PathPrefix: "/a/", Kind: KindStreaming, Target: 700 * time.Millisecond, MaxAttempts: 2,
@@ -130,7 +129,7 @@
 			}, nil, false)
 			require.Empty(t, built.LeftOut)
 			require.Len(t, built.PartiallyApplied, 1)
-			requireProblem(t, built.PartiallyApplied[0], "odd", c.fields, "served in part")
+			requireProblem(t, built.PartiallyApplied[0], "odd", c.fields, "partially applied")
 			require.Equal(t, 2, built.Table.Routes())
 			found, ok := built.Table.Lookup("h", "/a/x")
 			require.True(t, ok)
@@ -138,13 +137,13 @@
 			c.want(&want)
 			require.Equal(t, &want, found)
 			if want.total == 0 {
-				require.Empty(t, found.PickService(0.5), "rejected, because no server belongs to the service without a name")
+				require.Empty(t, found.PickService(0.5), "an empty service name has no servers, so requests are rejected")
 			}
 		})
 	}
 }
 
-// requireProblem checks which item and which of its members are reported.
+// requireProblem checks which item and which of its members an error reports, and the outcome that it states.
 func requireProblem(t *testing.T, problem *ItemError, name string, fields []string, outcome string) {
 	t.Helper()
 	require.Equal(t, name, problem.Name)
@@ -158,8 +157,8 @@
 	require.Contains(t, problem.Error(), outcome)
 }
 
-// TestItemsThatCannotBeUsedAreLeftOutAndReported: no request can be matched with them. Earlier items of their names
-// are removed, and other items stay.
+// TestItemsThatCannotBeUsedAreLeftOutAndReported adds routes that no request can match. Earlier routes of their names are
+// removed, and other routes remain.
 func TestItemsThatCannotBeUsedAreLeftOutAndReported(t *testing.T) {
 	cases := map[string]struct {
 		body string
@@ -183,7 +182,7 @@
 			for _, built := range []Built{changed, whole} {
 				require.Empty(t, built.PartiallyApplied)
 				require.Len(t, built.LeftOut, 1)
-				requireProblem(t, built.LeftOut[0], "bad", []string{c.want.Field}, "left out")
+				requireProblem(t, built.LeftOut[0], "bad", []string{c.want.Field}, "not applied")
 				require.ErrorIs(t, built.LeftOut[0], c.want)
 				require.Equal(t, 1, built.Table.Routes())
 				requireRoute(t, built.Table, "/good/x", "good")
@@ -203,10 +202,10 @@
 	}, nil, false)
 	require.Empty(t, built.LeftOut)
 	require.Len(t, built.PartiallyApplied, 4)
-	requireProblem(t, built.PartiallyApplied[0], "a", []string{"max-conns", "warmup-s"}, "served in part")
-	requireProblem(t, built.PartiallyApplied[1], "b", []string{"stride", "models", "models"}, "served in part")
-	requireProblem(t, built.PartiallyApplied[2], "c", []string{""}, "served in part")
-	requireProblem(t, built.PartiallyApplied[3], "req-limits", []string{"keepalive-ms"}, "served in part")
+	requireProblem(t, built.PartiallyApplied[0], "a", []string{"max-conns", "warmup-s"}, "partially applied")
+	requireProblem(t, built.PartiallyApplied[1], "b", []string{"stride", "models", "models"}, "partially applied")
+	requireProblem(t, built.PartiallyApplied[2], "c", []string{""}, "partially applied")
+	requireProblem(t, built.PartiallyApplied[3], "req-limits", []string{"keepalive-ms"}, "partially applied")
 	require.Equal(t, []string{"a", "b", "c"}, built.Table.Services())
 	for name, want := range map[string]*Service{
 		"a": {Name: "a", HealthPath: "/h"},
@@ -222,8 +221,8 @@
 	require.Zero(t, none.Table.RequestLimits())
 }
 
-// TestRoutesOfTheSameMatch: an earlier version accepted routes whose hosts differ only by their port. One of the two is
-// served, the same one at each proxy, and the other one once that one is removed.
+// TestRoutesOfTheSameMatch adds and removes routes whose hosts differ only by their port, as an earlier version accepted
+// them. Every proxy must serve the one with the lowest name, and the next one after its removal.
 func TestRoutesOfTheSameMatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SampledFrom([]string{"a", "b", "c", "d"})
@@ -253,7 +252,7 @@
 	})
 }
 
-// lowestName is the lowest name of the routes of a host; empty if there are none.
+// lowestName returns the lowest name of the routes of a host, or an empty string if there are none.
 func lowestName(state map[string]*pb.Item, host string) string {
 	for _, name := range slices.Sorted(maps.Keys(state)) {
 		if parsed, _ := parseRoute(state[name]); parsed.Host == configitem.CanonicalHost(host) {
@@ -263,7 +262,7 @@
 	return ""
 }
 
-// A deadline of 0 stands for a missing one.
+// A deadline of 0 means that there is none, so that a tiny deadline must not be rounded to 0.
 func TestTheShortestDeadlineIsOne(t *testing.T) {
 	table, faults := FromItems([]*pb.Item{item(catalog.KindRoutes, "r", routeWithMembers(`"deadline-ms":1e-9`))})
 	require.Empty(t, faults)
@@ -329,7 +328,7 @@
 
 	evacuated, _ := old.With([]*pb.Item{item(catalog.KindEvacuation, "z", "")}, nil, false)
 	replaced, _ := evacuated.With([]*pb.Item{routeItem("n", "h2", "/n/")}, nil, true)
-	require.Equal(t, []string{"z"}, replaced.Evacuated(), "an evacuation outlives a configuration")
+	require.Equal(t, []string{"z"}, replaced.Evacuated(), "an evacuation remains after the replacement of the configuration")
 	require.Equal(t, 1, replaced.Routes())
 	_, ok := replaced.Lookup("h", "/a/")
 	require.False(t, ok)
@@ -338,7 +337,7 @@
 	require.Equal(t, []string{"z"}, replaced.Evacuated())
 }
 
-// requireRoute checks which route of host "h" a path has.
+// requireRoute checks which route of host "h" is found for a path.
 func requireRoute(t *testing.T, table *Table, path, want string) {
 	t.Helper()
 	found, ok := table.Lookup("h", path)
@@ -346,8 +345,8 @@
 	require.Equal(t, want, found.Name)
 }
 
-// TestChangesAgreeWithAPlainReading compares tables that were built change by change with a search through
-// the items.
+// TestChangesAgreeWithAPlainReading compares lookups in tables that were built by successive changes with a
+// linear search through the items.
 func TestChangesAgreeWithAPlainReading(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.SampledFrom([]string{"a", "b"})
@@ -432,7 +431,7 @@
 	}
 }
 
-// manyRoutes is a table of n routes of one host.
+// manyRoutes returns a table of n routes of one host.
 func manyRoutes(n int) *Table {
 	items := make([]*pb.Item, 0, n)
 	for i := range n {
