--- a/internal/region/route/accepted_test.go
+++ b/internal/region/route/accepted_test.go
@@ -49,38 +49,38 @@
 		"kind that is null":               `"route-kind":null`,
 		"kind that is a number":           `"route-kind":7`,
 		"negative target":                 `"target-ms":-1`,
-		"target of another form":          `"target-ms":"800"`,
+		"target that is a string":         `"target-ms":"800"`,
 		"target that is null":             `"target-ms":null`,
 		"target beyond a float":           `"target-ms":1e999`,
 		"negative priority":               `"prio":-1`,
 		"priority that is a list":         `"prio":[1]`,
 		"negative tries":                  `"tries":-1`,
 		"no tries":                        `"tries":0`,
-		"tries of another form":           `"tries":"2"`,
+		"tries as a string":               `"tries":"2"`,
 		"negative gap":                    `"gap_aim_ms":-0.5`,
 		"gap that is an object":           `"gap_aim_ms":{}`,
 		"pinned as a number":              `"pinned":1`,
-		"resumable as a word":             `"resumable":"true"`,
-		"homes as a word":                 `"home-regions":"cz"`,
-		"homes with null":                 `"home-regions":[null]`,
-		"homes as numbers":                `"home-regions":[1]`,
-		"homes that are null":             `"home-regions":null`,
+		"resumable as a string":           `"resumable":"true"`,
+		"home regions as a string":        `"home-regions":"cz"`,
+		"home regions with null":          `"home-regions":[null]`,
+		"home regions as numbers":         `"home-regions":[1]`,
+		"home regions that are null":      `"home-regions":null`,
 		"huge deadline":                   `"deadline-ms":1e300`,
-		"deadline twice, first odd":       `"deadline-ms":"x","deadline-ms":5`,
+		"deadline twice, first invalid":   `"deadline-ms":"x","deadline-ms":5`,
 		"deadline twice, first 0":         `"deadline-ms":0,"deadline-ms":5`,
 		"split of an unknown member":      `"split":[{"backend":"s1","share":1,"later":"x"}]`,
 		"split with a share of 0":         `"split":[{"backend":"s1","share":1},{"backend":"s2","share":0}]`,
 		"split without a share":           `"split":[{"backend":"s1","share":1},{"backend":"s2"}]`,
 		"split of shares beyond a float":  `"split":[{"backend":"s1","share":1.5e308},{"backend":"s2","share":1.5e308}]`,
-		"split twice, first odd":          `"split":"x","split":[{"backend":"s1","share":1}]`,
+		"split twice, first invalid":      `"split":"x","split":[{"backend":"s1","share":1}]`,
 		"split, then null":                `"split":[{"backend":"s2","share":1}],"split":null`,
 		"empty split":                     `"split":[]`,
-		"member of another case, odd":     `"Tries":"x"`,
+		"member of another case, invalid": `"Tries":"x"`,
 		"service of another case":         `"Backend":"s2"`,
 		"prefix of another case":          `"Path-Prefix":"/elsewhere/"`,
 		"member that is unknown":          `"later":{"x":[1]}`,
 		"escaped name of a member":        `"tri\u0065s":2`,
-		"host twice, first odd":           `"vhost":7,"vhost":"h.example"`,
+		"host twice, first invalid":       `"vhost":7,"vhost":"h.example"`,
 		"host with a port":                `"vhost":"h.example:80"`,
 		"host of another case and a port": `"vhost":"H.Example:80"`,
 		"host that is not ASCII":          `"vhost":"H\u00c9.example"`,
@@ -99,7 +99,7 @@
 					host = strings.Replace(host, "H.", "H\u00c9.", 1)
 				}
 				found, ok := table.Lookup(host, "/r/x")
-				require.True(t, ok, "%s is answered 404", host)
+				require.True(t, ok, "the table has no route for host %s", host)
 				require.Equal(t, "s1", found.PickService(0))
 			}
 		})
@@ -109,12 +109,12 @@
 // TestTableKeepsEveryServiceAndLimitThatValidationAccepts does the same for services and request limits.
 func TestTableKeepsEveryServiceAndLimitThatValidationAccepts(t *testing.T) {
 	services := map[string]string{
-		"negative connections":  `{"name":"s1","max-conns":-1}`,
-		"connections as a word": `{"name":"s1","max-conns":"370"}`,
-		"path as a number":      `{"name":"s1","health-path":7}`,
-		"runtime as a word":     `{"name":"s1","runtime":"m"}`,
-		"models as words":       `{"name":"s1","runtime":{"capacity":4,"models":["m"]}}`,
-		"negative warm-up":      `{"name":"s1","warmup-s":-1}`,
+		"negative connections":    `{"name":"s1","max-conns":-1}`,
+		"connections as a string": `{"name":"s1","max-conns":"370"}`,
+		"path as a number":        `{"name":"s1","health-path":7}`,
+		"runtime as a string":     `{"name":"s1","runtime":"m"}`,
+		"models as strings":       `{"name":"s1","runtime":{"capacity":4,"models":["m"]}}`,
+		"negative warm-up":        `{"name":"s1","warmup-s":-1}`,
 	}
 	for name, service := range services {
 		t.Run(name, func(t *testing.T) {
@@ -125,18 +125,18 @@
 			table, faults := route.FromItems(itemsOf(state))
 			require.Empty(t, faults)
 			_, ok := table.Service("s1")
-			require.True(t, ok, "the service is left out")
+			require.True(t, ok, "the table must contain the service")
 		})
 	}
 	limits := map[string]string{
-		"negative":           `{"max-body-bytes":4096,"keepalive-ms":-1}`,
-		"header as a word":   `{"max-body-bytes":4096,"max-header-bytes":"16384"}`,
-		"time as a list":     `{"max-body-bytes":4096,"header-read-ms":[]}`,
-		"of another case":    `{"max-body-bytes":4096,"Max-Body-Bytes":1}`,
-		"with null":          `{"max-body-bytes":4096,"keepalive-ms":null}`,
-		"with one it lacks":  `{"max-body-bytes":4096,"later":{}}`,
-		"of another form":    `{"max-body-bytes":4096.0}`,
-		"twice, the last on": `{"max-body-bytes":"x","max-body-bytes":4096}`,
+		"negative":               `{"max-body-bytes":4096,"keepalive-ms":-1}`,
+		"header as a string":     `{"max-body-bytes":4096,"max-header-bytes":"16384"}`,
+		"time as a list":         `{"max-body-bytes":4096,"header-read-ms":[]}`,
+		"of another case":        `{"max-body-bytes":4096,"Max-Body-Bytes":1}`,
+		"with null":              `{"max-body-bytes":4096,"keepalive-ms":null}`,
+		"with an unknown member": `{"max-body-bytes":4096,"later":{}}`,
+		"as a decimal number":    `{"max-body-bytes":4096.0}`,
+		"twice, the last valid":  `{"max-body-bytes":"x","max-body-bytes":4096}`,
 	}
 	for name, text := range limits {
 		t.Run("limits/"+name, func(t *testing.T) {
@@ -174,7 +174,7 @@
 			require.Empty(t, faults)
 			first, _ := table.Lookup(hosts[0], "/x/y")
 			second, _ := table.Lookup(hosts[1], "/x/y")
-			require.Equal(t, []string{"a", "b"}, []string{first.Name, second.Name}, "one route hides the other")
+			require.Equal(t, []string{"a", "b"}, []string{first.Name, second.Name}, "both routes must be found")
 		})
 	}
 }
--- a/internal/region/route/route.go
+++ b/internal/region/route/route.go
@@ -83,7 +83,7 @@
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int           // maximum number of connections of all clients together to one server; 0: not set
+	MaxConnections int           // maximum number that one server accepts from all callers together; 0: not set
 	Warmup         time.Duration // how long a server warms up after a start; 0: no slow start
 	WarmRate       float64       // requests per second that a server may get while warming up; 0: no slow start
 	Runtime        *Runtime      // nil: not a model server
