--- a/internal/region/placement/admission_test.go
+++ b/internal/region/placement/admission_test.go
@@ -39,7 +39,7 @@
 	return f
 }
 
-func TestLessUrgentRequestsGiveWayFirst(t *testing.T) {
+func TestLessUrgentRequestsAreRejectedFirst(t *testing.T) {
 	f := overloaded(t, 12)
 	admitted := func(request *Request) int {
 		count := 0
@@ -66,9 +66,9 @@
 	require.NoError(t, f.p.Admit(f.now, f.greeting(0)), "no kind is starved")
 }
 
-func TestNoKindIsStarvedHoweverBadItLooks(t *testing.T) {
+func TestNoRouteIsStarvedInOverload(t *testing.T) {
 	f := overloaded(t, 60)
-	let := map[string]int{}
+	admitted := map[string]int{}
 	for range 100 {
 		f.now += 100 * time.Millisecond
 		for name, request := range map[string]*Request{
@@ -77,12 +77,12 @@
 			routeSummary:  f.summary(1, 1),
 		} {
 			if f.p.Admit(f.now, request) == nil {
-				let[name]++
+				admitted[name]++
 			}
 		}
 	}
 	for _, name := range []string{routeGreeting, routeHelp, routeSummary} {
-		require.GreaterOrEqual(t, let[name], 19, name)
+		require.GreaterOrEqual(t, admitted[name], 19, name)
 	}
 }
 
--- a/internal/region/placement/announcement_test.go
+++ b/internal/region/placement/announcement_test.go
@@ -31,16 +31,16 @@
 func TestAServerBusyWithAnAnnouncedPrefillIsAvoided(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
-	affine := f.serve(f.summary(1, 1), asPredicted)
+	affinityServer := f.serve(f.summary(1, 1), asPredicted)
 	f.now += 20 * time.Second
-	require.Equal(t, affine, f.pick(f.summary(1, 2)).ServerID)
+	require.Equal(t, affinityServer, f.pick(f.summary(1, 2)).ServerID)
 	f.now += 20 * time.Second
-	f.p.AnnouncementReceived(f.now, Announcement{Server: serverKey(affine), Prompt: 7, Tokens: 60_000})
-	require.NotEqual(t, affine, f.pick(f.greeting(9999)).ServerID)
+	f.p.AnnouncementReceived(f.now, Announcement{Server: serverKey(affinityServer), Prompt: 7, Tokens: 60_000})
+	require.NotEqual(t, affinityServer, f.pick(f.greeting(9999)).ServerID)
 	other := f.pick(f.summary(1, 3))
-	require.NotEqual(t, affine, other.ServerID)
+	require.NotEqual(t, affinityServer, other.ServerID)
 	f.now += maxBusyTime
-	require.Zero(t, f.p.servers[affine].busy(f.now), "it is not avoided for longer, whatever was announced")
+	require.Zero(t, f.p.servers[affinityServer].busy(f.now), "it is not avoided for longer, whatever was announced")
 }
 
 func TestAnnouncementsAreBounded(t *testing.T) {
@@ -65,7 +65,7 @@
 	require.Zero(t, f.p.servers[id].busy(f.now))
 }
 
-func TestAServerThatIsGoneIsNotRemembered(t *testing.T) {
+func TestAnnouncedPrefixesOfARemovedServerAreForgotten(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.p.AnnouncementReceived(f.now, Announcement{Server: serverKey(f.list[0].GetId()), Prompt: 1, Tokens: 5000})
 	f.list = f.list[1:]
@@ -87,12 +87,12 @@
 
 func TestAnnouncementsKeepToTheirRate(t *testing.T) {
 	for _, rate := range []float64{0.5, 2.5, 25} {
-		pace := newAnnouncementLimiter()
+		limiter := newAnnouncementLimiter()
 		announced := 0
 		const seconds, each = 60, 20 // prefills of 20 ms to 400 ms
 		for i := range seconds * each {
 			now := time.Duration(i) * time.Second / each
-			if pace.allows(now, time.Duration(20+20*(i%20))*time.Millisecond, rate) {
+			if limiter.allows(now, time.Duration(20+20*(i%20))*time.Millisecond, rate) {
 				announced++
 			}
 		}
@@ -102,17 +102,17 @@
 }
 
 func TestTheLongerPrefillsAreAnnouncedWhenThereAreTooMany(t *testing.T) {
-	pace := newAnnouncementLimiter()
+	limiter := newAnnouncementLimiter()
 	announced := map[bool]int{} // by whether the prefill takes longer than 200 ms
 	for i := range 2000 {
 		prefill := time.Duration(20+20*(i%20)) * time.Millisecond
-		if pace.allows(time.Duration(i)*50*time.Millisecond, prefill, 4) {
+		if limiter.allows(time.Duration(i)*50*time.Millisecond, prefill, 4) {
 			announced[prefill > 200*time.Millisecond]++
 		}
 	}
 	require.Greater(t, announced[true], 3*announced[false])
 	for i := range 400 { // the load has ended
-		pace.allows(100*time.Second+time.Duration(i)*time.Second, time.Millisecond, 4)
+		limiter.allows(100*time.Second+time.Duration(i)*time.Second, time.Millisecond, 4)
 	}
-	require.Equal(t, minAnnouncedPrefill, pace.threshold)
+	require.Equal(t, minAnnouncedPrefill, limiter.threshold)
 }
--- a/internal/region/placement/candidates.go
+++ b/internal/region/placement/candidates.go
@@ -63,16 +63,16 @@
 // addCandidates makes candidates of some of the servers: the affinity server of the prompt, those that have a prefix of
 // it cached, and this proxy's own subset.
 func (p *Placer) addCandidates(now time.Duration, servers []*server, q *prompt) {
-	affine := p.affinityServer(q, servers)
-	if affine != nil {
-		p.addCandidate(now, affine, q, true)
+	byAffinity := p.affinityServer(q, servers)
+	if byAffinity != nil {
+		p.addCandidate(now, byAffinity, q, true)
 	}
 	inSubset, limit := 0, subsetSize
 	if p.off(policy.Subset) {
 		limit = len(servers)
 	}
 	for _, s := range servers {
-		if s == affine {
+		if s == byAffinity {
 			continue
 		}
 		cached := s.matchedPick == p.pickNumber && s.matchedTokens > 0
@@ -88,12 +88,12 @@
 
 // addCandidate adds a server to the candidates. What it is assumed to have cached is what this proxy sent there recently
 // or, at the affinity server, all shared chunks, since the other proxies send them there.
-func (p *Placer) addCandidate(now time.Duration, s *server, q *prompt, affine bool) {
+func (p *Placer) addCandidate(now time.Duration, s *server, q *prompt, hasAffinity bool) {
 	cached, known := 0, true
 	if s.matchedPick == p.pickNumber {
 		cached = s.matchedTokens
 	}
-	if affine && cached < q.sharedTokens {
+	if hasAffinity && cached < q.sharedTokens {
 		cached, known = q.sharedTokens, false
 	}
 	c := p.predict(now, s, q, cached)
@@ -111,14 +111,14 @@
 	if p.off(policy.PromptAffinity) || len(q.prefixes) == 0 {
 		return nil
 	}
-	var affine *server
+	var highestServer *server
 	var highest uint64
 	for _, s := range servers {
-		if weight := splitmix.Mix(uint64(q.affinityKey) ^ s.hash); affine == nil || weight > highest {
-			affine, highest = s, weight
+		if weight := splitmix.Mix(uint64(q.affinityKey) ^ s.hash); highestServer == nil || weight > highest {
+			highestServer, highest = s, weight
 		}
 	}
-	return affine
+	return highestServer
 }
 
 // spillOver adds servers of other regions while they are expected to answer sooner by more than the margin. Two margins
--- a/internal/region/placement/chunks_test.go
+++ b/internal/region/placement/chunks_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestChunksAreParsedAsThePageDescribes(t *testing.T) {
+func TestChunksAreParsedAsDocumented(t *testing.T) {
 	chunks, err := ParseChunks("5c1e07a2:800, 91bd3f06:410,e4402b7d:250", nil)
 	require.NoError(t, err)
 	require.Len(t, chunks, 3)
@@ -32,22 +32,22 @@
 }
 
 func TestAPromptsAffinityKeyIsThatOfItsSharedChunks(t *testing.T) {
-	read := func(model string, parts ...PromptChunk) prompt {
+	parse := func(model string, parts ...PromptChunk) prompt {
 		var p prompt
 		p.reset(&Request{Model: model, Chunks: parts, PromptTokens: 10})
 		return p
 	}
 	shared := []PromptChunk{{1, 800}, {2, 410}}
-	one, other := read("m", append(shared, PromptChunk{3, 250})...), read("m", append(shared, PromptChunk{4, 100})...)
+	one, other := parse("m", append(shared, PromptChunk{3, 250})...), parse("m", append(shared, PromptChunk{4, 100})...)
 	require.Equal(t, one.affinityKey, other.affinityKey)
 	require.Equal(t, 1210, one.sharedTokens)
 	require.Equal(t, 1460, one.totalTokens)
-	require.NotEqual(t, one.affinityKey, read("n", append(shared, PromptChunk{3, 250})...).affinityKey)
-	require.NotEqual(t, one.affinityKey, read("m", PromptChunk{1, 800}, PromptChunk{5, 410}, PromptChunk{3, 250}).affinityKey)
-	alone := read("m", PromptChunk{9, 250})
+	require.NotEqual(t, one.affinityKey, parse("n", append(shared, PromptChunk{3, 250})...).affinityKey)
+	require.NotEqual(t, one.affinityKey, parse("m", PromptChunk{1, 800}, PromptChunk{5, 410}, PromptChunk{3, 250}).affinityKey)
+	alone := parse("m", PromptChunk{9, 250})
 	require.Zero(t, alone.sharedTokens)
-	require.NotEqual(t, alone.affinityKey, read("m", PromptChunk{8, 250}).affinityKey)
-	require.Equal(t, 10, read("m").totalTokens)
+	require.NotEqual(t, alone.affinityKey, parse("m", PromptChunk{8, 250}).affinityKey)
+	require.Equal(t, 10, parse("m").totalTokens)
 }
 
 // TestCachedPrefixesAreThoseSentLast compares the index with a plain list of what was sent to each server.
--- a/internal/region/placement/digest_test.go
+++ b/internal/region/placement/digest_test.go
@@ -14,7 +14,7 @@
 var update = flag.Bool("update", false, "record the digests of the runs anew")
 
 // A change that should change no behaviour changes no pick, no rejection and none of their figures.
-func TestSimulatedDaysHaveTheRecordedDigests(t *testing.T) {
+func TestSimulatedLoadsHaveTheRecordedDigests(t *testing.T) {
 	days := map[string]struct {
 		proxies, servers int
 		times            float64
@@ -98,14 +98,14 @@
 	digesttest.Compare(t, "events", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(10 * time.Second)
 		for seed := range uint64(4) {
-			playEvents(t, recorder, rand.New(rand.NewPCG(seed, 5)))
+			runSeededEvents(t, recorder, rand.New(rand.NewPCG(seed, 5)))
 		}
 		return recorder
 	})
 }
 
-func playEvents(t *testing.T, recorder *digesttest.Recorder, random *rand.Rand) {
-	w := newWorld(t)
+func runSeededEvents(t *testing.T, recorder *digesttest.Recorder, random *rand.Rand) {
+	w := newModelFixture(t)
 	var open []AttemptID
 	zones := []string{zoneA, zoneB, zoneE}
 	outcomes := []Outcome{Rejected, Rejected, Failed, Reset, TimedOut, Unreachable, Canceled, NotSent}
@@ -145,7 +145,7 @@
 	recorder.Entry(w.now, "slack").Float(w.p.Slack())
 }
 
-func (w *world) pickSeeded(t *testing.T, recorder *digesttest.Recorder, random *rand.Rand) (AttemptID, bool) {
+func (w *modelFixture) pickSeeded(t *testing.T, recorder *digesttest.Recorder, random *rand.Rand) (AttemptID, bool) {
 	routes := []string{routeSummary, routeHelp, routeGreeting, routeEast, routeBalance}
 	request := w.request(routes[random.IntN(len(routes))], PromptChunk{1, 800}, PromptChunk{uint64(random.IntN(10)), 5000}, PromptChunk{7, 1000})
 	if len(w.list) > 0 && random.IntN(3) == 0 {
@@ -161,7 +161,7 @@
 }
 
 // changeSeeded adds or removes a server, or changes whether one drains.
-func (w *world) changeSeeded(random *rand.Rand) {
+func (w *modelFixture) changeSeeded(random *rand.Rand) {
 	w.list = slices.Clone(w.list)
 	draw := random.IntN(5)
 	switch {
--- a/internal/region/placement/ejection.go
+++ b/internal/region/placement/ejection.go
@@ -8,14 +8,14 @@
 
 // Ejection of servers that fail (outlier detection).
 const (
-	// ejectAfter is the total weight of failures in a row that ejects a server.
-	ejectAfter = 3
+	// ejectionThreshold is the total weight of failures in a row that ejects a server.
+	ejectionThreshold = 3
 	// failedWeight is the weight of an answer that reports a failure.
 	failedWeight = 1
 	// noAnswerWeight is the weight of an attempt without any answer.
 	noAnswerWeight = 2
 	// unreachableWeight is the weight of an unreachable machine. It ejects at once: every further request would be lost.
-	unreachableWeight = ejectAfter
+	unreachableWeight = ejectionThreshold
 	// firstEjection is the length of a first ejection. Each one that follows without a success between is twice as
 	// long, up to maxEjection.
 	firstEjection = time.Second
@@ -23,8 +23,8 @@
 	// ejectionJitter is the greatest fraction by which an ejection is prolonged at random, so that the trials of many
 	// proxies do not coincide.
 	ejectionJitter = 0.25
-	// suspectEjection is the ejection period from which on a server may have been restarted meanwhile and be warming up.
-	suspectEjection = 2 * time.Second
+	// restartSuspectedAfter is the ejection period from which on a server may have been restarted meanwhile and be warming up.
+	restartSuspectedAfter = 2 * time.Second
 	// rejectionCooldown is how long a server that rejected a request is avoided if there are others.
 	rejectionCooldown = 250 * time.Millisecond
 	// cautiousTrialPeriod is how long after an ejection a trial must be a request that another server may still get: the
@@ -48,14 +48,14 @@
 	if p.off(policy.Ejection) {
 		return
 	}
-	s.failures = min(s.failures+weight, 2*ejectAfter)
-	if s.failures < ejectAfter || now < s.ejectedUntil {
+	s.failures = min(s.failures+weight, 2*ejectionThreshold)
+	if s.failures < ejectionThreshold || now < s.ejectedUntil {
 		return
 	}
 	s.ejectionPeriod = min(max(2*s.ejectionPeriod, firstEjection), maxEjection)
 	jitter := 1 + ejectionJitter*p.random.Float64()
 	s.ejectedUntil = now + time.Duration(float64(s.ejectionPeriod)*jitter)
-	if s.ejectionPeriod >= suspectEjection {
+	if s.ejectionPeriod >= restartSuspectedAfter {
 		s.suspectedWarmingUntil = s.ejectedUntil + suspectedWarmingPeriod
 	}
 	p.stats.Ejections++
@@ -64,7 +64,7 @@
 // ejected reports whether the server is ejected for a request: until the ejection period is over and its one trial has
 // ended.
 func (s *server) ejected(now time.Duration, request *Request) bool {
-	if s.failures < ejectAfter {
+	if s.failures < ejectionThreshold {
 		return false
 	}
 	if now < s.ejectedUntil || s.trialInFlight {
@@ -76,5 +76,5 @@
 
 // trialDue reports whether an ejection period is over and the one trial may be sent.
 func (s *server) trialDue(now time.Duration) bool {
-	return s.failures >= ejectAfter && now >= s.ejectedUntil && !s.trialInFlight
+	return s.failures >= ejectionThreshold && now >= s.ejectedUntil && !s.trialInFlight
 }
--- a/internal/region/placement/failurereport.go
+++ b/internal/region/placement/failurereport.go
@@ -9,15 +9,15 @@
 const (
 	// reportTTL is how long a report of a failure counts.
 	reportTTL = 2 * time.Second
-	// reportingZones is the number of zones whose proxies must have reported a server before this proxy ejects it without
+	// minReportingZones is the number of zones whose proxies must have reported a server before this proxy ejects it without
 	// having observed a failure itself: a partition between two zones looks like a failure from one of them alone.
-	reportingZones = 2
+	minReportingZones = 2
 	// successOverride is how long a success that this proxy observed itself outweighs the reports of others.
 	successOverride = time.Second
 )
 
 // failureReports holds when the proxies of some zones last reported a server.
-type failureReports [reportingZones]struct {
+type failureReports [minReportingZones]struct {
 	zone string
 	at   time.Duration
 }
@@ -56,9 +56,9 @@
 	if known.succeededAt > 0 && now-known.succeededAt < successOverride {
 		return
 	}
-	if known.failureReports.add(now, zone) >= reportingZones {
-		p.eject(now, known, ejectAfter)
+	if known.failureReports.add(now, zone) >= minReportingZones {
+		p.eject(now, known, ejectionThreshold)
 		return
 	}
-	known.failures = max(known.failures, ejectAfter-noAnswerWeight)
+	known.failures = max(known.failures, ejectionThreshold-noAnswerWeight)
 }
--- a/internal/region/placement/failurereport_test.go
+++ b/internal/region/placement/failurereport_test.go
@@ -8,19 +8,19 @@
 	"fieldrelay/internal/region/policy"
 )
 
-// ready reports whether a server may get a request now.
-func (f *fixture) ready(id string) bool {
+// isEligible reports whether a server may get a request now.
+func (f *fixture) isEligible(id string) bool {
 	return f.p.eligibility(f.now, f.p.servers[id], f.request(routeHelp)) == eligible
 }
 
-func TestTheWordOfTwoZonesIsEnoughToLeaveAServer(t *testing.T) {
+func TestReportsFromTwoZonesEjectAServer(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	id := f.list[0].GetId()
 	f.p.FailureReported(f.now, id, zoneA)
 	f.p.FailureReported(f.now, id, zoneA)
-	require.True(t, f.ready(id), "one zone may be cut off from the server")
+	require.True(t, f.isEligible(id), "one zone may be cut off from the server")
 	f.p.FailureReported(f.now, id, zoneB)
-	require.False(t, f.ready(id))
+	require.False(t, f.isEligible(id))
 	require.Equal(t, uint64(3), f.p.Stats().FailureReports)
 	f.now += 2 * firstEjection
 	require.True(t, f.p.servers[id].trialDue(f.now), "it is tried again as after failures of its own")
@@ -32,7 +32,7 @@
 	f.p.FailureReported(f.now, id, zoneA)
 	f.now += reportTTL
 	f.p.FailureReported(f.now, id, zoneB)
-	require.True(t, f.ready(id))
+	require.True(t, f.isEligible(id))
 }
 
 func TestAReportMakesOneOwnFailureEnough(t *testing.T) {
@@ -43,7 +43,7 @@
 			f.p.FailureReported(f.now, decision.ServerID, zoneB)
 		}
 		f.p.Finished(f.now, decision.Attempt, Reset)
-		require.Equal(t, !reported, f.ready(decision.ServerID))
+		require.Equal(t, !reported, f.isEligible(decision.ServerID))
 	}
 }
 
@@ -52,11 +52,11 @@
 	id := f.serve(f.request(routeHelp, PromptChunk{ID: 3, Tokens: 100}), asPredicted)
 	f.p.FailureReported(f.now, id, zoneA)
 	f.p.FailureReported(f.now, id, zoneB)
-	require.True(t, f.ready(id))
+	require.True(t, f.isEligible(id))
 	f.now += successOverride
 	f.p.FailureReported(f.now, id, zoneA)
 	f.p.FailureReported(f.now, id, zoneB)
-	require.False(t, f.ready(id))
+	require.False(t, f.isEligible(id))
 }
 
 func TestRequestsAreServedHoweverManyServersAreReported(t *testing.T) {
@@ -76,5 +76,5 @@
 	id := f.list[0].GetId()
 	f.p.FailureReported(f.now, id, zoneA)
 	f.p.FailureReported(f.now, id, zoneB)
-	require.True(t, f.ready(id))
+	require.True(t, f.isEligible(id))
 }
--- a/internal/region/placement/locality_test.go
+++ b/internal/region/placement/locality_test.go
@@ -15,18 +15,18 @@
 	first, second := newFixture(t, 0, westAndEast()), newFixture(t, 1, westAndEast())
 	first.warm()
 	second.warm()
-	same, affine := 0, map[string]int{}
+	same, byServer := 0, map[string]int{}
 	for i := range 10 * subjects {
 		at := first.serve(first.summary(i%subjects, i), asPredicted)
 		if at == second.serve(second.summary(i%subjects, -i), asPredicted) {
 			same++
 		}
-		affine[at]++
+		byServer[at]++
 	}
 	require.Greater(t, same, 360, "of 370")
-	require.Len(t, affine, 6)
-	for home, count := range affine {
-		require.Greater(t, count, 10, home)
+	require.Len(t, byServer, 6)
+	for server, count := range byServer {
+		require.Greater(t, count, 10, server)
 	}
 }
 
@@ -53,7 +53,7 @@
 	require.Zero(t, f.p.Stats().OtherRegion)
 }
 
-func TestAnotherRegionHelpsWhenTheOwnIsFarBehindAndNotForLittle(t *testing.T) {
+func TestRequestsSpillOverOnlyWhileTheOwnRegionIsFarSlower(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
 	slow := func(server string) float64 {
@@ -101,7 +101,7 @@
 	require.Greater(t, counts[zoneB], 100)
 }
 
-func TestAnAttemptIsLookedAtOnceMoreBeforeItIsSent(t *testing.T) {
+func TestAnAttemptIsCheckedAgainBeforeItIsSent(t *testing.T) {
 	cases := map[string]func(f *fixture, decision Decision){
 		"draining": func(f *fixture, decision Decision) {
 			i := slices.IndexFunc(f.list, func(s *pb.Server) bool { return s.GetId() == decision.ServerID })
@@ -176,7 +176,7 @@
 
 func TestServersAllWarmingUpAreUsedWithinTheLimit(t *testing.T) {
 	perServer := map[string]int{}
-	refused := 0
+	rejected := 0
 	for host := range members {
 		f := newFixture(t, host, warmingUpServers(6, time.Minute))
 		f.now += 10 * time.Second // the members have been the same for long enough
@@ -189,7 +189,7 @@
 				require.ErrorAs(t, err, &none)
 				require.Equal(t, ReasonWarmingUp, none.Reason)
 				require.Positive(t, none.RetryAfter)
-				refused++
+				rejected++
 			} else {
 				require.True(t, f.p.StillAllowed(f.now, decision.Attempt))
 				perServer[decision.ServerID]++
@@ -198,15 +198,15 @@
 			f.now += 20 * time.Millisecond
 		}
 	}
-	require.Positive(t, refused)
+	require.Positive(t, rejected)
 	require.Len(t, perServer, 6)
 	for server, count := range perServer {
 		require.LessOrEqual(t, count, 18, server)
 	}
 }
 
-func TestServersOfAZoneThatIsTakenBackMayBeCold(t *testing.T) {
-	sends := func(host int) int {
+func TestServersOfAZoneWhoseEvacuationEndsMayBeWarmingUp(t *testing.T) {
+	requestsFrom := func(host int) int {
 		f := newFixture(t, host, westAndEast())
 		f.warm()
 		f.p.SetEvacuated(f.now, []string{zoneB})
@@ -224,13 +224,13 @@
 	}
 	total := 0
 	for host := range members {
-		total += sends(host)
+		total += requestsFrom(host)
 	}
-	require.LessOrEqual(t, total, 3*mostFirstSends)
+	require.LessOrEqual(t, total, 3*maxFirstRequests)
 }
 
-// mostFirstSends is the most first requests, one from each proxy with a share, that a server that is warming up may get.
-const mostFirstSends = 3
+// maxFirstRequests is the most first requests, one from each proxy with a share, that a server that is warming up may get.
+const maxFirstRequests = 3
 
 func TestAServersOwnWarmupReportCounts(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
@@ -252,10 +252,10 @@
 func TestAServerThatSeemsToDrainIsAvoided(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
-	leaving := f.list[0].GetId()
-	f.p.ServerDraining(f.now, leaving)
+	draining := f.list[0].GetId()
+	f.p.ServerDraining(f.now, draining)
 	for i := range 100 {
-		require.NotEqual(t, leaving, f.pick(f.greeting(i)).ServerID)
+		require.NotEqual(t, draining, f.pick(f.greeting(i)).ServerID)
 	}
 }
 
--- a/internal/region/placement/noserver.go
+++ b/internal/region/placement/noserver.go
@@ -52,7 +52,7 @@
 	minSlowStartRetry = 100 * time.Millisecond
 	retryFull         = 250 * time.Millisecond
 	retryExcluded     = 500 * time.Millisecond
-	retryNone         = time.Second
+	retryNoServer     = time.Second
 )
 
 // noServer counts a pick without a server and makes its error.
@@ -71,12 +71,12 @@
 	case ReasonExcluded:
 		return retryExcluded
 	}
-	return retryNone
+	return retryNoServer
 }
 
 // slowStartWait is the time until the slow start limiter allows a request to one of the servers that are warming up.
 func (p *Placer) slowStartWait(now time.Duration) time.Duration {
-	least := retryNone
+	least := retryNoServer
 	for _, s := range p.buffers.warmingUp {
 		if wait, ok := p.slowStart.Wait(now, s.warmingServer()); ok {
 			least = min(least, max(wait, minSlowStartRetry))
--- a/internal/region/placement/perfectchooser_test.go
+++ b/internal/region/placement/perfectchooser_test.go
@@ -10,23 +10,23 @@
 
 // uncachedTokens is how many tokens of a prompt a server would have to prefill now.
 func (e *simEngine) uncachedTokens(chunks []simChunk) int {
-	uncached, broken := 0, false
+	uncached, missed := 0, false
 	for _, chunk := range chunks {
-		broken = broken || !e.keeps(chunk)
-		if broken {
+		missed = missed || !e.hasCached(chunk)
+		if missed {
 			uncached += chunk.tokens
 		}
 	}
 	return uncached
 }
 
-func (e *simEngine) keeps(chunk simChunk) bool {
+func (e *simEngine) hasCached(chunk simChunk) bool {
 	return slices.ContainsFunc(e.cached, func(have simChunk) bool { return have.id == chunk.id })
 }
 
-// choosePerfectly knows what waits and what is cached at every server. Of the servers at which the first event is in time
+// chooseByOracle knows what waits and what is cached at every server. Of the servers at which the first event is in time
 // it takes the one with the least to prefill, the earlier of two; if there is none, the earliest.
-func (s *sim) choosePerfectly(now time.Duration, zone string, request *Request, chunks []simChunk) *simEngine {
+func (s *sim) chooseByOracle(now time.Duration, zone string, request *Request, chunks []simChunk) *simEngine {
 	var best *simEngine
 	var bestFirst time.Duration
 	bestTokens, bestInTime := 0, false
@@ -62,8 +62,8 @@
 // proven bound.
 func TestPlacementIsNearAPerfectChooser(t *testing.T) {
 	const (
-		inTimeMargin = 0.03 // of the requests
-		rereadFactor = 3    // of the shared tokens that servers prefill
+		inTimeMargin     = 0.03 // of the requests
+		maxUncachedRatio = 3    // of the shared tokens that servers prefill
 	)
 	cases := map[string]struct {
 		servers int
@@ -80,26 +80,26 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			play := func(perfect bool) (inTime, reread float64) {
+			simulate := func(useOracle bool) (inTime, uncached float64) {
 				s := newSim(t, 1, 7, c.servers)
 				if c.change != nil {
 					c.change(s)
 				}
-				if perfect {
-					s.choose = s.choosePerfectly
+				if useOracle {
+					s.oracle = s.chooseByOracle
 				}
 				for _, kind := range simKinds {
 					s.load(kind, 1, 40*time.Second)
 				}
 				s.run()
 				total := s.totals()
-				return float64(total.inTime) / float64(total.sent), s.prefilledAnewShare()
+				return float64(total.inTime) / float64(total.sent), s.uncachedShare()
 			}
-			inTime, reread := play(false)
-			bestInTime, leastReread := play(true)
-			t.Logf("late: %.3f, perfect %.3f; shared tokens read: %.3f, perfect %.3f", 1-inTime, 1-bestInTime, reread, leastReread)
+			inTime, uncached := simulate(false)
+			bestInTime, leastUncached := simulate(true)
+			t.Logf("late: %.3f, perfect %.3f; shared tokens read: %.3f, perfect %.3f", 1-inTime, 1-bestInTime, uncached, leastUncached)
 			require.GreaterOrEqual(t, inTime, bestInTime-inTimeMargin)
-			require.LessOrEqual(t, reread, rereadFactor*leastReread)
+			require.LessOrEqual(t, uncached, maxUncachedRatio*leastUncached)
 		})
 	}
 }
--- a/internal/region/placement/prefill.go
+++ b/internal/region/placement/prefill.go
@@ -33,12 +33,12 @@
 // left to the estimates of their speeds. Where all prompts are short, or all are long, the initial value stays.
 type prefillEstimator struct {
 	perToken    time.Duration
-	short, long agedMean
+	short, long movingMean
 	comparisons int
 }
 
-// agedMean holds aged means of answers of one kind.
-type agedMean struct {
+// movingMean holds aged means of answers of one kind.
+type movingMean struct {
 	count   int
 	tokens  float64
 	latency float64 // nanoseconds
@@ -71,7 +71,7 @@
 }
 
 // add adds one answer.
-func (m *agedMean) add(now time.Duration, tokens int, latency time.Duration) {
+func (m *movingMean) add(now time.Duration, tokens int, latency time.Duration) {
 	m.count++
 	weight := 1 / float64(min(m.count, maxMeanCount))
 	m.tokens += weight * (float64(tokens) - m.tokens)
@@ -80,6 +80,6 @@
 }
 
 // recent reports whether there are enough answers, and the last of them is not old.
-func (m *agedMean) recent(now time.Duration) bool {
+func (m *movingMean) recent(now time.Duration) bool {
 	return m.count >= minComparedAnswers && now-m.lastAt <= maxComparisonGap
 }
--- a/internal/region/placement/prefill_test.go
+++ b/internal/region/placement/prefill_test.go
@@ -10,8 +10,8 @@
 	"fieldrelay/internal/region/policy"
 )
 
-// answersOf lets an estimator learn from answers to prompts of random lengths, each queued for a random time.
-func answersOf(e *prefillEstimator, perToken time.Duration, wait func(*rand.Rand) time.Duration, count int) {
+// learnFromAnswers lets an estimator learn from answers to prompts of random lengths, each queued for a random time.
+func learnFromAnswers(e *prefillEstimator, perToken time.Duration, wait func(*rand.Rand) time.Duration, count int) {
 	random := rand.New(rand.NewPCG(5, 6))
 	for i := range count {
 		tokens := random.IntN(6000)
@@ -28,7 +28,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newPrefillEstimator()
-			answersOf(&e, perToken, func(random *rand.Rand) time.Duration {
+			learnFromAnswers(&e, perToken, func(random *rand.Rand) time.Duration {
 				return time.Duration(random.ExpFloat64() * float64(20*time.Millisecond))
 			}, 200)
 			require.InEpsilon(t, float64(perToken), float64(e.perToken), 0.25)
@@ -38,7 +38,7 @@
 
 func TestQueueingMovesThePrefillTimeLittle(t *testing.T) {
 	e := newPrefillEstimator()
-	answersOf(&e, initialPerToken, func(random *rand.Rand) time.Duration {
+	learnFromAnswers(&e, initialPerToken, func(random *rand.Rand) time.Duration {
 		return 400*time.Millisecond + time.Duration(random.IntN(100))*time.Millisecond
 	}, 200)
 	require.InEpsilon(t, float64(initialPerToken), float64(e.perToken), 0.35)
@@ -63,8 +63,8 @@
 	require.Equal(t, initialPerToken, e.perToken)
 }
 
-// alternate serves long and short prompts that a server prefills at a rate of its own.
-func alternate(f *fixture, perToken time.Duration, count int) {
+// serveAlternating serves long and short prompts that a server prefills at a rate of its own.
+func serveAlternating(f *fixture, perToken time.Duration, count int) {
 	for i := range count {
 		request := f.greeting(i)
 		if i%2 == 0 {
@@ -82,7 +82,7 @@
 func TestAPlacerLearnsThePrefillTimeOfItsServers(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
-	alternate(f, 60*time.Microsecond, 200)
+	serveAlternating(f, 60*time.Microsecond, 200)
 	require.Greater(t, f.p.services[modelService].prefill.perToken, 40*time.Microsecond)
 }
 
@@ -90,6 +90,6 @@
 	f := newFixture(t, 0, westAndEast())
 	f.p.config.Off = switchedOff(t, policy.PrefillRate)
 	f.warm()
-	alternate(f, 60*time.Microsecond, 200)
+	serveAlternating(f, 60*time.Microsecond, 200)
 	require.Equal(t, initialPerToken, f.p.services[modelService].prefill.perToken)
 }
--- a/internal/region/placement/random_test.go
+++ b/internal/region/placement/random_test.go
@@ -13,14 +13,14 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// world is a Placer under random events, together with what the rules are checked against: the list and the zones
+// modelFixture is a Placer under random events, together with what the rules are checked against: the list and the zones
 // as they were last set.
-type world struct {
+type modelFixture struct {
 	*fixture
-	evacuated map[string]bool
-	banned    map[string]bool // answered 421
-	open      map[AttemptID]openAttempt
-	number    int // of the next server
+	evacuated   map[string]bool
+	misdirected map[string]bool // answered 421
+	open        map[AttemptID]openAttempt
+	number      int // of the next server
 }
 
 type openAttempt struct {
@@ -28,19 +28,19 @@
 	route    string
 }
 
-func newWorld(t *testing.T) *world {
+func newModelFixture(t *testing.T) *modelFixture {
 	t.Helper()
-	return &world{
-		fixture:   newFixture(t, 0, append(westAndEast(), listed(plainService, 1, zoneA), listed(plainService, 2, zoneE))),
-		evacuated: map[string]bool{},
-		banned:    map[string]bool{},
-		open:      map[AttemptID]openAttempt{},
-		number:    100,
+	return &modelFixture{
+		fixture:     newFixture(t, 0, append(westAndEast(), listed(plainService, 1, zoneA), listed(plainService, 2, zoneE))),
+		evacuated:   map[string]bool{},
+		misdirected: map[string]bool{},
+		open:        map[AttemptID]openAttempt{},
+		number:      100,
 	}
 }
 
 // listedNow returns the list's entry of a server, nil if there is none.
-func (w *world) listedNow(id string) *pb.Server {
+func (w *modelFixture) listedNow(id string) *pb.Server {
 	i := slices.IndexFunc(w.list, func(s *pb.Server) bool { return s.GetId() == id })
 	if i < 0 {
 		return nil
@@ -49,15 +49,15 @@
 }
 
 // mayGetNew reports, by the list and the zones alone, whether a server may get a request of a route.
-func (w *world) mayGetNew(id, zone, routeName string) bool {
+func (w *modelFixture) mayGetNew(id, zone, routeName string) bool {
 	entry := w.listedNow(id)
-	if entry == nil || entry.GetDraining() || w.evacuated[zone] || w.banned[id] {
+	if entry == nil || entry.GetDraining() || w.evacuated[zone] || w.misdirected[id] {
 		return false
 	}
 	return routeName != routeEast || regions[zone] == east
 }
 
-func (w *world) pickRandom(t *rapid.T) {
+func (w *modelFixture) pickRandom(t *rapid.T) {
 	routeName := rapid.SampledFrom([]string{routeSummary, routeHelp, routeGreeting, routeEast, routeBalance}).Draw(t, "route")
 	request := w.request(routeName, PromptChunk{1, 800}, PromptChunk{uint64(rapid.IntRange(0, 9).Draw(t, "subject")), 5000}, PromptChunk{7, 1000})
 	if len(w.list) > 0 && rapid.Bool().Draw(t, "again") {
@@ -80,7 +80,7 @@
 }
 
 // requireNone checks that no request was rejected while a warm server with capacity could take it.
-func (w *world) requireNone(t *rapid.T, request *Request, none *NoServerError) {
+func (w *modelFixture) requireNone(t *rapid.T, request *Request, none *NoServerError) {
 	for _, entry := range w.list {
 		known := w.p.servers[entry.GetId()]
 		if entry.GetService() != request.Service || known.warmingUp(w.now) || known.openAttempts >= w.p.maxConnections(known.service) {
@@ -93,14 +93,14 @@
 }
 
 // anyOpen draws one of the open attempts.
-func (w *world) anyOpen(t *rapid.T) (AttemptID, bool) {
+func (w *modelFixture) anyOpen(t *rapid.T) (AttemptID, bool) {
 	if len(w.open) == 0 {
 		return 0, false
 	}
 	return rapid.SampledFrom(slices.Sorted(maps.Keys(w.open))).Draw(t, "attempt"), true
 }
 
-func (w *world) lookAgain(t *rapid.T) {
+func (w *modelFixture) recheck(t *rapid.T) {
 	id, ok := w.anyOpen(t)
 	if !ok {
 		return
@@ -111,13 +111,13 @@
 	}
 }
 
-func (w *world) start(t *rapid.T) {
+func (w *modelFixture) start(t *rapid.T) {
 	if id, ok := w.anyOpen(t); ok {
 		w.p.Started(w.now, id)
 	}
 }
 
-func (w *world) finish(t *rapid.T) {
+func (w *modelFixture) finish(t *rapid.T) {
 	id, ok := w.anyOpen(t)
 	if !ok {
 		return
@@ -125,14 +125,14 @@
 	outcome := Outcome(rapid.IntRange(int(Done), int(NotSent)).Draw(t, "outcome"))
 	server := w.open[id].decision.ServerID
 	if outcome == Misdirected {
-		w.banned[server] = true
+		w.misdirected[server] = true
 	}
 	w.p.Finished(w.now, id, outcome)
 	delete(w.open, id)
 	w.p.RequestDone(w.now, w.greeting(1), outcome == Done, time.Duration(rapid.IntRange(0, 1000).Draw(t, "ms"))*time.Millisecond)
 }
 
-func (w *world) changeList(t *rapid.T) {
+func (w *modelFixture) changeList(t *rapid.T) {
 	w.list = slices.Clone(w.list)
 	switch rapid.IntRange(0, 3).Draw(t, "change") {
 	case 0:
@@ -157,7 +157,7 @@
 	w.p.SetServers(w.now, w.list, time.Duration(rapid.IntRange(0, 2000).Draw(t, "age"))*time.Millisecond)
 }
 
-func (w *world) evacuate(t *rapid.T) {
+func (w *modelFixture) evacuate(t *rapid.T) {
 	zone := rapid.SampledFrom([]string{zoneA, zoneB, zoneE}).Draw(t, "zone")
 	if w.evacuated[zone] {
 		delete(w.evacuated, zone)
@@ -168,22 +168,22 @@
 }
 
 // check compares the counts of the servers with the open attempts.
-func (w *world) check(t *rapid.T) {
+func (w *modelFixture) check(t *rapid.T) {
 	require.Len(t, w.p.attempts, len(w.open))
-	open, ahead, held, unanswered := map[*server]int{}, map[*server]int{}, map[*server]int{}, map[*server]int{}
+	open, queued, reserved, unanswered := map[*server]int{}, map[*server]int{}, map[*server]int{}, map[*server]int{}
 	for id, a := range w.p.attempts {
 		require.Equal(t, id, a.id)
 		open[a.server]++
-		held[a.server] += a.memoryTokens
+		reserved[a.server] += a.memoryTokens
 		if !a.started {
 			unanswered[a.server]++
-			ahead[a.server] += a.prefillTokens
+			queued[a.server] += a.prefillTokens
 		}
 	}
 	for _, s := range w.p.servers {
 		require.Equal(t, open[s], s.openAttempts, s.id)
-		require.Equal(t, ahead[s], s.queuedPrefillTokens, s.id)
-		require.Equal(t, held[s], s.reservedTokens, s.id)
+		require.Equal(t, queued[s], s.queuedPrefillTokens, s.id)
+		require.Equal(t, reserved[s], s.reservedTokens, s.id)
 		require.Len(t, s.unanswered, unanswered[s], s.id)
 		require.Contains(t, s.service.servers, s)
 		require.LessOrEqual(t, s.cachedPrefixes.length, maxCachedPrefixes)
@@ -193,11 +193,11 @@
 
 func TestRulesAndAccountsHoldUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		w := newWorld(t)
+		w := newModelFixture(t)
 		events := map[string]func(*rapid.T){
 			"pick":     w.pickRandom,
 			"again":    w.pickRandom,
-			"look":     w.lookAgain,
+			"look":     w.recheck,
 			"start":    w.start,
 			"finish":   w.finish,
 			"list":     w.changeList,
--- a/internal/region/placement/selection_test.go
+++ b/internal/region/placement/selection_test.go
@@ -101,8 +101,8 @@
 	require.Greater(t, counts[dead], 50)
 }
 
-func TestAServerOutOfReachRestsAtOnce(t *testing.T) {
-	for name, tell := range map[string]func(f *fixture, dead string){
+func TestAnUnreachableServerIsEjectedAtOnce(t *testing.T) {
+	for name, report := range map[string]func(f *fixture, dead string){
 		"by an attempt": func(f *fixture, dead string) {
 			for {
 				decision := f.pick(f.request(routeBalance))
@@ -121,7 +121,7 @@
 			for range 6 {
 				f.serve(f.request(routeBalance), asPredicted)
 			}
-			tell(f, dead)
+			report(f, dead)
 			require.EqualValues(t, 1, f.p.Stats().Ejections)
 			for began := f.now; f.now < began+firstEjection; {
 				require.NotEqual(t, dead, f.serve(f.request(routeBalance), asPredicted))
@@ -137,7 +137,7 @@
 func TestATrialIsForRequestsThatMayGoToAnotherServer(t *testing.T) {
 	f := newFixture(t, 0, []*pb.Server{listed(plainService, 0, zoneA), listed(plainService, 1, zoneA)})
 	dead := f.list[0].GetId()
-	lastTry := func() *Request {
+	lastAttempt := func() *Request {
 		request := f.request(routeBalance)
 		once := *request.Route
 		once.MaxAttempts = 1
@@ -147,14 +147,14 @@
 	f.p.ServerUnreachable(f.now, dead)
 	f.now += 2 * firstEjection
 	for range 20 {
-		require.NotEqual(t, dead, f.serve(lastTry(), func(string) float64 { return 0.1 }))
+		require.NotEqual(t, dead, f.serve(lastAttempt(), func(string) float64 { return 0.1 }))
 	}
 	trial := f.pick(f.request(routeBalance))
 	require.Equal(t, dead, trial.ServerID)
 	f.p.Finished(f.now, trial.Attempt, NotSent)
 
 	f.now += cautiousTrialPeriod
-	require.Equal(t, dead, f.pick(lastTry()).ServerID, "no other request came")
+	require.Equal(t, dead, f.pick(lastAttempt()).ServerID, "no other request came")
 }
 
 func TestAServerWhoseAddressAnotherOneTookIsGone(t *testing.T) {
@@ -204,14 +204,14 @@
 func TestAnAnswerThatIsOverdueCountsBeforeItsEnd(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
-	dark := f.pick(f.greeting(0))
+	overdue := f.pick(f.greeting(0))
 	f.now += time.Second
 	for i := range 100 {
 		server := f.serve(f.greeting(i), asPredicted)
-		require.NotEqual(t, dark.ServerID, server)
+		require.NotEqual(t, overdue.ServerID, server)
 	}
-	f.p.Finished(f.now, dark.Attempt, Canceled)
-	require.Less(t, f.p.servers[dark.ServerID].estimate.Speed(), 0.6)
+	f.p.Finished(f.now, overdue.Attempt, Canceled)
+	require.Less(t, f.p.servers[overdue.ServerID].estimate.Speed(), 0.6)
 }
 
 func TestAMisdirectedServerGetsNothingMore(t *testing.T) {
--- a/internal/region/placement/sim_test.go
+++ b/internal/region/placement/sim_test.go
@@ -42,16 +42,16 @@
 
 // simEngine is a server of the simulation.
 type simEngine struct {
-	entry         *pb.Server
-	region        string
-	freeAt        time.Duration // when its queue will be empty
-	slow          float64       // factor of the usual time
-	tokensPerMS   float64       // prefilled
-	memory        int           // tokens that are kept
-	cached        []simChunk    // most recently used first
-	tokens        int
-	served        int
-	prefilledAnew int // shared tokens that were prefilled again
+	entry                *pb.Server
+	region               string
+	freeAt               time.Duration // when its queue will be empty
+	slow                 float64       // factor of the usual time
+	tokensPerMS          float64       // prefilled
+	memory               int           // tokens that are kept
+	cached               []simChunk    // most recently used first
+	tokens               int
+	served               int
+	uncachedSharedTokens int // shared tokens that were prefilled again
 }
 
 type simChunk struct {
@@ -61,17 +61,17 @@
 
 // prefill returns how many tokens of a prompt were not cached, and caches them.
 func (e *simEngine) prefill(chunks []simChunk) (uncached, sharedUncached int) {
-	broken := false
+	missed := false
 	for i, chunk := range chunks {
 		at := slices.IndexFunc(e.cached, func(have simChunk) bool { return have.id == chunk.id })
 		if at < 0 {
-			broken = true
+			missed = true
 			e.tokens += chunk.tokens
 		} else {
 			e.cached = slices.Delete(e.cached, at, at+1)
 		}
 		e.cached = slices.Insert(e.cached, 0, chunk)
-		if broken {
+		if missed {
 			uncached += chunk.tokens
 			if i < len(chunks)-1 {
 				sharedUncached += chunk.tokens
@@ -112,11 +112,11 @@
 	engines       map[string]*simEngine
 	queue         simQueue
 	results       map[string]*simResult // by route
-	offered       int                   // shared tokens
+	offeredTokens int                   // shared tokens
 	announcements bool                  // proxies of a region receive each other's announcements at once
 	watch         simWatch
-	// choose stands in for the placers: it names the server of a request. nil: the placers place.
-	choose func(now time.Duration, zone string, request *Request, chunks []simChunk) *simEngine
+	// oracle stands in for the placers: it names the server of a request. nil: the placers place.
+	oracle func(now time.Duration, zone string, request *Request, chunks []simChunk) *simEngine
 	// regionRoundTrip is the round trip time between regions.
 	regionRoundTrip time.Duration
 }
@@ -235,13 +235,13 @@
 		header := fmt.Sprintf("%x:%d", chunk.id, chunk.tokens)
 		request.Chunks, _ = ParseChunks(header, request.Chunks)
 		if i < len(chunks)-1 {
-			s.offered += chunk.tokens
+			s.offeredTokens += chunk.tokens
 		}
 	}
 	result := s.results[kind.route]
 	result.sent++
-	if s.choose != nil {
-		s.serveAt(now, s.zones[proxy], request, kind, s.choose(now, s.zones[proxy], request, chunks), chunks)
+	if s.oracle != nil {
+		s.serveAt(now, s.zones[proxy], request, kind, s.oracle(now, s.zones[proxy], request, chunks), chunks)
 		return
 	}
 	if err := p.Admit(now, request); err != nil {
@@ -304,7 +304,7 @@
 func (e *simEngine) serve(now, roundTrip time.Duration, chunks []simChunk) (first time.Duration) {
 	e.served++
 	uncached, sharedUncached := e.prefill(chunks)
-	e.prefilledAnew += sharedUncached
+	e.uncachedSharedTokens += sharedUncached
 	e.freeAt = max(e.freeAt, now+roundTrip/2) + e.prefillTime(uncached) + simStep
 	return e.freeAt + simStep + roundTrip/2
 }
@@ -334,13 +334,13 @@
 	return total
 }
 
-// prefilledAnewShare is the fraction of the offered shared tokens that servers had to prefill.
-func (s *sim) prefilledAnewShare() float64 {
-	read := 0
+// uncachedShare is the fraction of the offered shared tokens that servers had to prefill.
+func (s *sim) uncachedShare() float64 {
+	uncached := 0
 	for _, engine := range s.engines {
-		read += engine.prefilledAnew
+		uncached += engine.uncachedSharedTokens
 	}
-	return float64(read) / float64(s.offered)
+	return float64(uncached) / float64(s.offeredTokens)
 }
 
 func (s *sim) otherRegionShare() float64 {
@@ -359,32 +359,32 @@
 	}
 	t.Logf("%s: %d sent, %.4f in time, %.4f refused, %.4f failed, %.3f of shared tokens read, %.3f to another region",
 		name, total.sent, float64(total.inTime)/float64(total.sent), float64(total.rejected)/float64(total.sent),
-		float64(total.failed)/float64(total.sent), s.prefilledAnewShare(), s.otherRegionShare())
+		float64(total.failed)/float64(total.sent), s.uncachedShare(), s.otherRegionShare())
 }
 
-func TestSimulatedDays(t *testing.T) {
+func TestSimulatedLoads(t *testing.T) {
 	cases := map[string]struct {
 		proxies, servers int
 		times            float64 // of the load
 		disturb          func(s *sim)
 		inTime           float64 // share, at least
-		reread           float64 // shared tokens that servers prefill, as a share, at most
-		refused          float64 // share, at most
+		uncached         float64 // shared tokens that servers prefill, as a share, at most
+		rejected         float64 // share, at most
 	}{
 		// Two regions prefill each of 187 shared chunks once: 0.2 of the tokens of a quiet day.
-		"quiet": {proxies: 7, servers: 10, times: 1, inTime: 0.995, reread: 0.27},
-		"busy":  {proxies: 7, servers: 10, times: 2, inTime: 0.99, reread: 0.19},
-		"full":  {proxies: 7, servers: 10, times: 4, inTime: 0.93, reread: 0.18, refused: 0.01},
-		"grown": {proxies: 67, servers: 90, times: 12, inTime: 0.995, reread: 0.08},
+		"quiet": {proxies: 7, servers: 10, times: 1, inTime: 0.995, uncached: 0.27},
+		"busy":  {proxies: 7, servers: 10, times: 2, inTime: 0.99, uncached: 0.19},
+		"full":  {proxies: 7, servers: 10, times: 4, inTime: 0.93, uncached: 0.18, rejected: 0.01},
+		"grown": {proxies: 67, servers: 90, times: 12, inTime: 0.995, uncached: 0.08},
 		"one slow": {
-			proxies: 7, servers: 10, times: 2, inTime: 0.99, reread: 0.2,
+			proxies: 7, servers: 10, times: 2, inTime: 0.99, uncached: 0.2,
 			disturb: func(s *sim) { s.disturb(10*time.Second, 1, 4) },
 		},
 		"two down": {
-			proxies: 7, servers: 10, times: 1, inTime: 0.97, reread: 0.28,
+			proxies: 7, servers: 10, times: 1, inTime: 0.97, uncached: 0.28,
 			disturb: func(s *sim) { s.disturb(10*time.Second, 2, 0) },
 		},
-		"too much": {proxies: 7, servers: 10, times: 6, inTime: 0.4, reread: 0.18, refused: 0.3},
+		"too much": {proxies: 7, servers: 10, times: 6, inTime: 0.4, uncached: 0.18, rejected: 0.3},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -400,8 +400,8 @@
 			total := s.totals()
 			sent := float64(total.sent)
 			require.GreaterOrEqual(t, float64(total.inTime)/sent, c.inTime, "in time")
-			require.LessOrEqual(t, s.prefilledAnewShare(), c.reread, "read")
-			require.LessOrEqual(t, float64(total.rejected)/sent, c.refused, "refused")
+			require.LessOrEqual(t, s.uncachedShare(), c.uncached, "read")
+			require.LessOrEqual(t, float64(total.rejected)/sent, c.rejected, "refused")
 		})
 	}
 }
