--- a/internal/region/placement/admission_test.go
+++ b/internal/region/placement/admission_test.go
@@ -19,7 +19,7 @@
 func TestLatenessAloneRejectsNoRequest(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
-	for range 50 { // answers come late, but not because requests wait at servers
+	for range 50 { // answers are late, but not because requests queue at servers
 		f.now += 100 * time.Millisecond
 		f.p.RequestDone(f.now, f.greeting(0), false, 0)
 	}
@@ -28,7 +28,7 @@
 	}
 }
 
-// overloaded makes a fixture whose servers have taken a multiple of the predicted time for a while.
+// overloaded returns a fixture whose servers have answered 200 requests after a multiple of the predicted time.
 func overloaded(t *testing.T, times float64) *fixture {
 	t.Helper()
 	f := newFixture(t, 0, westAndEast()[:6:6])
@@ -51,7 +51,7 @@
 		return count
 	}
 	greetings, help := admitted(f.greeting(0)), admitted(f.request(routeHelp, PromptChunk{3, 568}, PromptChunk{4, 600}))
-	require.Equal(t, 1, greetings, "the trickle")
+	require.Equal(t, 1, greetings, "only the trickle is admitted")
 	require.Equal(t, 50, help)
 
 	err := f.p.Admit(f.now, f.greeting(0))
@@ -61,9 +61,9 @@
 	require.LessOrEqual(t, overload.RetryAfter, maxOverloadRetry)
 	again := f.greeting(0)
 	again.IsRetry = true
-	require.NoError(t, f.p.Admit(f.now, again), "refused a second time it would be lost")
+	require.NoError(t, f.p.Admit(f.now, again), "a second rejection would lose the request")
 	f.now += trickleInterval
-	require.NoError(t, f.p.Admit(f.now, f.greeting(0)), "no kind is starved")
+	require.NoError(t, f.p.Admit(f.now, f.greeting(0)), "the trickle admits one request per interval")
 }
 
 func TestNoRouteIsStarvedInOverload(t *testing.T) {
--- a/internal/region/placement/announcement.go
+++ b/internal/region/placement/announcement.go
@@ -7,39 +7,38 @@
 	"fieldrelay/internal/region/policy"
 )
 
-// Tuning of the announcements between the proxies of a region.
+// Constants of the announcements between the proxies of a region.
 const (
-	// minAnnouncedPrefill is the least prefill time from which on a prompt is announced: far below every latency target
-	// (500 ms and more), and worth a datagram to each proxy of the region.
+	// minAnnouncedPrefill is the shortest prefill time for which a prompt is announced. It is far below every latency
+	// target (500 ms or more), and long enough to justify a datagram to each proxy of the region.
 	minAnnouncedPrefill = 35 * time.Millisecond
-	// maxAnnounceThreshold bounds that time when it is raised.
+	// maxAnnounceThreshold is the upper bound of the announcement threshold, which starts at minAnnouncedPrefill.
 	maxAnnounceThreshold = time.Second
-	// regionAnnouncementRate is about how many announcements a proxy is to receive each second: 160 of some 43 bytes are
-	// 7 KB/s, of the 9 that a sidecar may cost besides its requests.
+	// regionAnnouncementRate is the approximate number of announcements that a proxy should receive per second: 160 of
+	// about 43 bytes each are 7 KB/s, out of a budget of 9 KB/s for a sidecar's traffic other than requests.
 	regionAnnouncementRate = 160.0
-	// announceThresholdStep is the fraction by which each announcement raises the prefill time from which on prompts are
-	// announced.
+	// announceThresholdStep is the fraction by which each announcement raises the announcement threshold.
 	announceThresholdStep = 0.05
-	// announcedPrefixTTL is how long a prompt's shared chunks are taken to be cached after their last announcement.
+	// announcedPrefixTTL is how long after their last announcement a prompt's shared chunks are assumed to be cached.
 	announcedPrefixTTL = 60 * time.Second
-	// maxAnnouncedPrefixes bounds the prompts that are remembered.
+	// maxAnnouncedPrefixes bounds the number of announced prefixes that are stored.
 	maxAnnouncedPrefixes = 8192
-	// maxBusyTime bounds how long a server is taken to be busy with the prompts that others sent it, so that the effect of
-	// a wrong announcement ends.
+	// maxBusyTime bounds how long a server is assumed to be busy with prompts that other proxies sent it, and so how
+	// long a wrong announcement has an effect.
 	maxBusyTime = 2 * time.Second
 )
 
-// Announcement tells the other proxies of the region about a prompt of a long prefill, so that they avoid that server
-// meanwhile and know where the shared chunks are cached. It travels as a datagram, and may be lost.
+// Announcement informs the other proxies of the region about a prompt with a long prefill, so that they avoid its server
+// during the prefill and know where the shared chunks are cached. It is sent as a datagram and may be lost.
 type Announcement struct {
 	Server uint32 // low half of the xxhash64 of the server's id
 	Prompt uint32 // hash of the model and the shared chunks
-	Tokens int    // that the server has to prefill; 0: nothing is announced
+	Tokens int    // prompt tokens that the server has to prefill; 0: nothing is announced
 }
 
-// announcementLimiter keeps a proxy's announcements near its share of the rate at which each proxy receives them. Each
-// announcement raises the threshold, the prefill time from which on prompts are announced; between two announcements at
-// the intended rate it falls by as much. So if there are too many, those of the longer prefills are sent.
+// announcementLimiter limits the announcements that a proxy sends to about its share of regionAnnouncementRate. A prompt
+// is announced if its prefill time reaches the threshold. Each announcement raises the threshold, which decays at such a
+// rate that announcements at the intended rate keep it constant. Under a higher load only longer prefills are announced.
 type announcementLimiter struct {
 	threshold time.Duration
 	updatedAt time.Duration
@@ -49,8 +48,8 @@
 	return announcementLimiter{threshold: minAnnouncedPrefill}
 }
 
-// allows reports whether a prompt of a prefill time is to be announced, and counts it if so. rate is the number of
-// announcements a second that this proxy should send.
+// allows reports whether a prompt with a prefill time is to be announced, and if so raises the threshold. rate is the
+// intended number of announcements per second of this proxy.
 func (l *announcementLimiter) allows(now, prefill time.Duration, rate float64) bool {
 	decay := math.Exp(-announceThresholdStep * rate * (now - l.updatedAt).Seconds())
 	l.threshold = max(time.Duration(float64(l.threshold)*decay), minAnnouncedPrefill)
@@ -62,7 +61,8 @@
 	return true
 }
 
-// announcementRate is this proxy's share, a second, of what the proxies of its region are to receive.
+// announcementRate returns the intended number of announcements per second of this proxy: its share of
+// regionAnnouncementRate.
 func (p *Placer) announcementRate() float64 {
 	proxies := p.regionProxies
 	if proxies == 0 {
@@ -71,16 +71,17 @@
 	return regionAnnouncementRate / float64(proxies)
 }
 
-// promptKey is a short hash of a prompt's shared chunks, for datagrams.
+// promptKey returns the short hash that identifies a prompt's shared chunks in an Announcement.
 func promptKey(h prefixHash) uint32 { return uint32(h) }
 
-// announcedPrefix is where the shared chunks of a prompt were last prefilled.
+// announcedPrefix records where and when the shared chunks of a prompt were last prefilled.
 type announcedPrefix struct {
 	server *server
 	at     time.Duration
 }
 
-// AnnouncementReceived records what another proxy of the region has sent to a server.
+// AnnouncementReceived records an announcement of another proxy of the region: the server is busy for the prefill time,
+// and then has the prompt's shared chunks cached.
 func (p *Placer) AnnouncementReceived(now time.Duration, announcement Announcement) {
 	known := p.byKey[announcement.Server]
 	if known == nil || announcement.Tokens <= 0 || p.off(policy.Announcements) {
@@ -92,7 +93,7 @@
 	known.busyUntil = min(max(known.busyUntil, now)+prefill, now+maxBusyTime)
 }
 
-// recordPrefix records where the shared chunks of a prompt are cached.
+// recordPrefix records that the shared chunks of a prompt are cached at a server. A full table is cleared first.
 func (p *Placer) recordPrefix(now time.Duration, at *server, key uint32) {
 	if len(p.announcedPrefixes) >= maxAnnouncedPrefixes {
 		clear(p.announcedPrefixes)
@@ -100,7 +101,7 @@
 	p.announcedPrefixes[key] = announcedPrefix{server: at, at: now}
 }
 
-// forgetAnnouncedPrefixes removes the records of a server that is gone.
+// forgetAnnouncedPrefixes deletes the records that refer to a removed server.
 func (p *Placer) forgetAnnouncedPrefixes(gone *server) {
 	for key, last := range p.announcedPrefixes {
 		if last.server == gone {
@@ -109,14 +110,14 @@
 	}
 }
 
-// prefixAnnouncedAt reports whether a prompt's shared chunks were prefilled at a server recently, as far as this proxy
-// knows from its own attempts and from announcements.
+// prefixAnnouncedAt reports whether this proxy's own announced attempts or the announcements of other proxies say that
+// a prompt's shared chunks were last prefilled at a server, within announcedPrefixTTL.
 func (p *Placer) prefixAnnouncedAt(now time.Duration, at *server, q *prompt) bool {
 	last, known := p.announcedPrefixes[promptKey(q.affinityKey)]
 	return known && last.server == at && now-last.at < announcedPrefixTTL
 }
 
-// announce returns what is to be announced of an attempt at a candidate; the zero value if nothing is.
+// announce returns the announcement of an attempt at a candidate, or the zero value if none is to be sent.
 func (p *Placer) announce(now time.Duration, c *candidate) Announcement {
 	owner := c.server.service
 	if !owner.servesModel() || p.off(policy.Announcements) {
@@ -130,5 +131,5 @@
 	return Announcement{Server: uint32(c.server.hash), Prompt: key, Tokens: c.likelyPrefillTokens}
 }
 
-// busy is how long a server will still prefill the prompts that others sent it, as far as they were announced.
+// busy returns the remaining time that a server needs to prefill the prompts announced by other proxies.
 func (s *server) busy(now time.Duration) time.Duration { return max(s.busyUntil-now, 0) }
--- a/internal/region/placement/announcement_test.go
+++ b/internal/region/placement/announcement_test.go
@@ -12,7 +12,7 @@
 func TestALongPrefillIsAnnouncedAndAShortOneIsNot(t *testing.T) {
 	f := newFixture(t, 0, append(westAndEast(), listed(plainService, 90, zoneA)))
 	long := f.pick(f.summary(1, 1)).Announce
-	require.Equal(t, 9190, long.Tokens, "nobody announced that the shared chunks are cached")
+	require.Equal(t, 9190, long.Tokens, "no announcement says that the shared chunks are cached")
 	require.NotZero(t, long.Prompt)
 	require.Zero(t, f.pick(f.greeting(1)).Announce)
 	require.Zero(t, f.pick(f.request(routeBalance)).Announce)
@@ -24,8 +24,8 @@
 	second.p.AnnouncementReceived(second.now, announcement)
 	second.now += 10 * time.Second
 	later := second.pick(second.summary(1, 2))
-	require.Equal(t, announcement.Server, serverKey(later.ServerID), "both choose the same affinity server")
-	require.Equal(t, 2890, later.Announce.Tokens, "only its own chunk is to be prefilled")
+	require.Equal(t, announcement.Server, serverKey(later.ServerID), "both proxies choose the same affinity server")
+	require.Equal(t, 2890, later.Announce.Tokens, "only the last chunk is to be prefilled")
 }
 
 func TestAServerBusyWithAnAnnouncedPrefillIsAvoided(t *testing.T) {
@@ -40,7 +40,7 @@
 	other := f.pick(f.summary(1, 3))
 	require.NotEqual(t, affinityServer, other.ServerID)
 	f.now += maxBusyTime
-	require.Zero(t, f.p.servers[affinityServer].busy(f.now), "it is not avoided for longer, whatever was announced")
+	require.Zero(t, f.p.servers[affinityServer].busy(f.now), "the server is avoided for at most maxBusyTime")
 }
 
 func TestAnnouncementsAreBounded(t *testing.T) {
@@ -80,7 +80,7 @@
 			f.p.AnnouncementReceived(f.now, Announcement{Server: serverKey(entry.GetId()), Prompt: 1, Tokens: 40_000})
 		}
 	}
-	for i := range 5 { // the idle one is seeded, and gets the others as well
+	for i := range 5 { // the idle server gets the seeding request and all others
 		require.Equal(t, f.list[0].GetId(), f.serve(f.greeting(i), func(string) float64 { return 0.1 }))
 	}
 }
@@ -96,14 +96,14 @@
 				announced++
 			}
 		}
-		require.LessOrEqual(t, float64(announced), 1.1*rate*seconds+70, "as many as raise the time from its least to its most")
+		require.LessOrEqual(t, float64(announced), 1.1*rate*seconds+70, "70 announcements raise the threshold from its minimum to its maximum")
 		require.GreaterOrEqual(t, float64(announced), min(0.8*rate*seconds, 0.8*seconds*each))
 	}
 }
 
 func TestTheLongerPrefillsAreAnnouncedWhenThereAreTooMany(t *testing.T) {
 	limiter := newAnnouncementLimiter()
-	announced := map[bool]int{} // by whether the prefill takes longer than 200 ms
+	announced := map[bool]int{} // by whether the prefill time is above 200 ms
 	for i := range 2000 {
 		prefill := time.Duration(20+20*(i%20)) * time.Millisecond
 		if limiter.allows(time.Duration(i)*50*time.Millisecond, prefill, 4) {
@@ -111,7 +111,7 @@
 		}
 	}
 	require.Greater(t, announced[true], 3*announced[false])
-	for i := range 400 { // the load has ended
+	for i := range 400 { // the threshold decays after the end of the load
 		limiter.allows(100*time.Second+time.Duration(i)*time.Second, time.Millisecond, 4)
 	}
 	require.Equal(t, minAnnouncedPrefill, limiter.threshold)
--- a/internal/region/placement/attempt.go
+++ b/internal/region/placement/attempt.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// maxAttempts is the most attempts that may be open.
+	// maxAttempts is the maximum number of open attempts.
 	maxAttempts = 1 << 14
-	// maxFreeAttempts is the most closed attempts that are kept for reuse.
+	// maxFreeAttempts is the maximum number of closed attempts that are kept for reuse.
 	maxFreeAttempts = 256
 )
 
-// AttemptID identifies an attempt that Pick opened, until it is Finished.
+// AttemptID identifies an attempt from Pick, which opens it, to Finished, which closes it.
 type AttemptID uint64
 
-// Decision is where an attempt is to be sent.
+// Decision says to which server an attempt is to be sent.
 type Decision struct {
 	Attempt        AttemptID
 	ServerID       string
@@ -25,9 +25,9 @@
 	Zone           string
 	Region         string
 	Expected       time.Duration // predicted time to the first event or byte
-	PrefillTokens  int           // prompt tokens that the server is expected to have to prefill
-	Announce       Announcement  // to be announced to the other proxies of the region once the attempt is sent
-	MaxConnections int           // most connections that this proxy may have open to the server
+	PrefillTokens  int           // prompt tokens that the server is expected to prefill
+	Announce       Announcement  // to be sent to the other proxies of the region once the attempt is sent
+	MaxConnections int           // maximum number of connections of this proxy to the server
 }
 
 // attempt is one open attempt.
@@ -37,27 +37,27 @@
 	request        Request // without its slices, which belong to the caller
 	sentAt         time.Duration
 	nominalLatency time.Duration // predicted time to the first event at speed 1
-	// uncachedLatency is the same, had the server cached nothing. It exceeds nominalLatency only if the cached prefix was
-	// an assumption.
+	// uncachedLatency is nominalLatency for a server that has no part of the prompt cached. It differs from
+	// nominalLatency only if the cached prefix is an assumption.
 	uncachedLatency    time.Duration
 	prefillTokens      int
-	memoryTokens       int  // most tokens that it occupies in the server's memory
-	unqueued           bool // no other prefill was known to be queued there, and prefillTokens was known
-	trial              bool // the one trial after an ejection
+	memoryTokens       int  // maximum number of tokens that it occupies in the server's memory
+	unqueued           bool // no other prefill was known to be queued at the server, and prefillTokens was known
+	trial              bool // the only trial request after an ejection
 	countedBySlowStart bool // counted by the slow start limiter
 	startedAt          time.Duration
 	started            bool
 	beforeStart        serverSnapshot
 }
 
-// serverSnapshot is what was known of a server before an attempt's first event. It is restored if the answer turns out
-// to be a failure, which then does not count as a quick answer.
+// serverSnapshot holds the state of a server before an attempt's first event. It is restored if the answer turns out to
+// be a failure, so that the failure does not count as a fast answer.
 type serverSnapshot struct {
 	estimate selection.Estimate
 	failures int
 }
 
-// openAttempt opens an attempt and charges it to its server.
+// openAttempt opens an attempt and adds it to the counters of its server.
 func (p *Placer) openAttempt(now time.Duration, request *Request, c *candidate) Decision {
 	s := c.server
 	a := p.newAttempt(now, request, c)
@@ -76,7 +76,7 @@
 	s.openAttempts++
 	s.reservedTokens += a.memoryTokens
 	a.unqueued = c.prefillKnown && s.queuedPrefillTokens == 0 && s.region == p.region
-	s.queuedPrefillTokens += a.prefillTokens // the likely number
+	s.queuedPrefillTokens += a.prefillTokens // the likely number of tokens, not the optimistic one
 	s.unanswered = append(s.unanswered, a)
 	if s.service.servesModel() && len(request.Chunks) > 0 && !p.off(policy.PrefixCache) {
 		p.prefixCache.insert(s, &p.buffers.prompt, p.prefixCacheTokens(s.service))
@@ -98,7 +98,7 @@
 	}
 }
 
-// newAttempt makes an attempt, from a closed one if there is any: a pick does not allocate.
+// newAttempt creates an attempt. It reuses a closed one if possible, so that a pick usually does not allocate.
 func (p *Placer) newAttempt(now time.Duration, request *Request, c *candidate) *attempt {
 	var a *attempt
 	if last := len(p.freeAttempts) - 1; last >= 0 {
@@ -125,7 +125,7 @@
 	return a
 }
 
-// releaseAttempt keeps a closed attempt for reuse.
+// releaseAttempt returns a closed attempt to the free list, if that is not full.
 func (p *Placer) releaseAttempt(a *attempt) {
 	if len(p.freeAttempts) < maxFreeAttempts {
 		*a = attempt{}
@@ -133,9 +133,9 @@
 	}
 }
 
-// StillAllowed reports whether an attempt may be sent. It is to be called just before the first byte, since server
-// list, evacuations and configuration may have changed since Pick. If it returns false, the attempt is to be finished as
-// NotSent and a server picked again.
+// StillAllowed reports whether an attempt may be sent. The caller calls it just before it sends the first byte, since
+// the server list, the evacuations and the configuration may have changed since Pick. If it returns false, the caller
+// finishes the attempt as NotSent and picks a server again.
 func (p *Placer) StillAllowed(now time.Duration, id AttemptID) bool {
 	a := p.attempts[id]
 	if a == nil {
@@ -155,8 +155,8 @@
 	return true
 }
 
-// stillInHomeRegions reports whether the route's home regions in the present configuration allow the attempt's server
-// too. A route that has been removed since forbids nothing.
+// stillInHomeRegions reports whether the route's home regions in the current configuration allow the attempt's server.
+// A route that has been removed since Pick has no restriction.
 func (p *Placer) stillInHomeRegions(a *attempt) bool {
 	if a.request.Route == nil {
 		return true
--- a/internal/region/placement/bench_test.go
+++ b/internal/region/placement/bench_test.go
@@ -6,7 +6,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// manyServers lists a hundred model servers over the regions.
+// manyServers returns a list of 100 model servers in three zones.
 func manyServers() []*pb.Server {
 	var servers []*pb.Server
 	for i := range 100 {
@@ -15,7 +15,7 @@
 	return servers
 }
 
-// benchmarkPick picks among servers for requests in turn, each of which is served at once.
+// benchmarkPick measures picks for requests that are served one after the other.
 func benchmarkPick(b *testing.B, servers []*pb.Server, request func(f *fixture, i int) *Request) {
 	f := newFixture(b, 0, servers)
 	requests := make([]*Request, 256)
--- a/internal/region/placement/candidates.go
+++ b/internal/region/placement/candidates.go
@@ -8,44 +8,47 @@
 )
 
 const (
-	// subsetSize is the number of servers of a region that a proxy usually spreads a service's requests over: its
-	// estimates stay fresh, its connections few, and a pick does not cost more in a larger region. Servers that have a
-	// prefix of the prompt cached come in addition.
+	// subsetSize is the number of servers of a region over which a proxy usually distributes a service's requests. The
+	// bound keeps the speed estimates recent and the connections few, and the cost of a pick independent of the region's
+	// size. Servers that have a prefix of the prompt cached are candidates in addition.
 	subsetSize = 12
-	// Requests go to another region once its servers are expected to answer sooner than those of the own region by more
-	// than spillStartMargin, the round trip included, and come back when they do so by less than spillStopMargin.
+	// Requests spill over to another region once its servers are expected to answer sooner than the local ones by more
+	// than spillStartMargin, the round trip included, and stop doing so when the difference falls below
+	// spillStopMargin.
 	spillStartMargin = 150 * time.Millisecond
 	spillStopMargin  = 50 * time.Millisecond
 )
 
-// candidate is a server that may get the request, with the predictions for it.
+// candidate is a server to which the request may be sent, with the predictions for it.
 type candidate struct {
 	server         *server
-	prefillTokens  int           // prompt tokens that it has to prefill
+	prefillTokens  int           // prompt tokens that the server has to prefill
 	nominalLatency time.Duration // time to the first event at speed 1
-	// likelyPrefillTokens is the most likely number of prompt tokens to prefill: prefillTokens, or all tokens if nothing
-	// confirms an assumed cached prefix.
+	// likelyPrefillTokens is the most likely number of prompt tokens to prefill: prefillTokens, or all tokens if the
+	// prefix is only assumed to be cached and no announcement confirms that.
 	likelyPrefillTokens int
-	// prefillKnown: prefillTokens follows from this proxy's own attempts, not from where others are expected to send.
+	// prefillKnown: prefillTokens follows from this proxy's own attempts, not from the assumption that other proxies
+	// send the prompt's shared chunks to the affinity server.
 	prefillKnown    bool
 	expectedLatency time.Duration // predicted time to the first event
-	cost            time.Duration // expectedLatency plus what the choice costs besides, expressed as time
+	cost            time.Duration // expectedLatency plus the other costs of the choice, expressed as time
 }
 
-// pickBuffers holds slices that picks reuse, so that a pick does not allocate. Their content is valid for one pick.
+// pickBuffers holds slices that are reused between picks, so that a pick does not allocate. Their content is valid for
+// one pick.
 type pickBuffers struct {
 	prompt      prompt
-	local       []*server // eligible in the own region
-	remote      []*server // eligible in other regions
-	warmingUp   []*server // held back by the slow start limiter
+	local       []*server // eligible, in this proxy's region
+	remote      []*server // eligible, in other regions
+	warmingUp   []*server // excluded by the slow start limiter
 	coolingDown []*server
 	candidates  []candidate
 	walkServers []*server
 	speeds      []float64
 }
 
-// findCandidates fills the buffers with the servers that may get a request and the predictions for them. It returns the
-// best eligibility of any server, which explains an empty result.
+// findCandidates fills the buffers with the candidates for a request and the predictions for them. It returns the best
+// eligibility of any server, which explains an empty result.
 func (p *Placer) findCandidates(now time.Duration, owner *service, request *Request) eligibility {
 	p.pickNumber++
 	buffers := &p.buffers
@@ -60,8 +63,8 @@
 	return best
 }
 
-// addCandidates makes candidates of some of the servers: the affinity server of the prompt, those that have a prefix of
-// it cached, and this proxy's own subset.
+// addCandidates adds some of the servers to the candidates: the affinity server of the prompt, the servers that have a
+// prefix of the prompt cached, and this proxy's subset.
 func (p *Placer) addCandidates(now time.Duration, servers []*server, q *prompt) {
 	byAffinity := p.affinityServer(q, servers)
 	if byAffinity != nil {
@@ -86,8 +89,9 @@
 	}
 }
 
-// addCandidate adds a server to the candidates. What it is assumed to have cached is what this proxy sent there recently
-// or, at the affinity server, all shared chunks, since the other proxies send them there.
+// addCandidate adds a server to the candidates. The server is assumed to have cached the prefixes that this proxy sent
+// it recently. The affinity server is assumed to have cached all shared chunks, since the other proxies send them
+// there.
 func (p *Placer) addCandidate(now time.Duration, s *server, q *prompt, hasAffinity bool) {
 	cached, known := 0, true
 	if s.matchedPick == p.pickNumber {
@@ -104,9 +108,9 @@
 	p.buffers.candidates = append(p.buffers.candidates, c)
 }
 
-// affinityServer is the server among servers that requests with the prompt's shared chunks are sent to first: the
-// highest by rendezvous hashing of those chunks. Every proxy of the region chooses the same one, so that their prefix is
-// cached there. It is nil for a prompt without chunks.
+// affinityServer returns the preferred server for the prompt's shared chunks: the one with the highest weight by
+// rendezvous hashing of those chunks. Every proxy of the region chooses the same server, so that the prefix is cached
+// there. The result is nil for a prompt without chunks.
 func (p *Placer) affinityServer(q *prompt, servers []*server) *server {
 	if p.off(policy.PromptAffinity) || len(q.prefixes) == 0 {
 		return nil
@@ -121,8 +125,8 @@
 	return highestServer
 }
 
-// spillOver adds servers of other regions while they are expected to answer sooner by more than the margin. Two margins
-// make a hysteresis, so that requests do not alternate between regions.
+// spillOver adds servers of other regions to the candidates while they are expected to answer sooner by more than a
+// margin. The two margins provide hysteresis, so that requests do not alternate between regions.
 func (p *Placer) spillOver(now time.Duration, owner *service) {
 	buffers := &p.buffers
 	local := minExpectedLatency(buffers.candidates)
@@ -143,7 +147,7 @@
 	}
 }
 
-// minExpectedLatency is the least expected latency of candidates, of which there must be at least one.
+// minExpectedLatency returns the lowest expected latency of the candidates, of which there must be at least one.
 func minExpectedLatency(candidates []candidate) time.Duration {
 	least := candidates[0].expectedLatency
 	for i := range candidates {
@@ -152,7 +156,7 @@
 	return least
 }
 
-// cheapest is the index of the candidate of the least cost.
+// cheapest returns the index of the candidate with the lowest cost.
 func cheapest(candidates []candidate) int {
 	least := 0
 	for i := range candidates {
--- a/internal/region/placement/capacity_bench_test.go
+++ b/internal/region/placement/capacity_bench_test.go
@@ -7,8 +7,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// BenchmarkCapacityPick picks among more and more servers of one service, of which two thirds are in the own
-// region.
+// BenchmarkCapacityPick measures picks among up to 800 servers of one service, two thirds of them in the proxy's region.
 func BenchmarkCapacityPick(b *testing.B) {
 	for _, count := range []int{100, 200, 400, 800} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
@@ -25,7 +24,7 @@
 	return servers
 }
 
-// BenchmarkCapacitySetServers applies a complete list that changes nothing.
+// BenchmarkCapacitySetServers measures the application of a complete server list without changes.
 func BenchmarkCapacitySetServers(b *testing.B) {
 	for _, count := range []int{100, 800, 3100} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
--- a/internal/region/placement/chunks.go
+++ b/internal/region/placement/chunks.go
@@ -9,28 +9,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxChunks is the most chunks of a prompt that are read; later ones are ignored.
+// maxChunks is the maximum number of chunks of a prompt that are parsed; later ones are ignored.
 const maxChunks = 32
 
-// PromptChunk is a run of tokens of a prompt. Chunks are shared between requests, except for the last one of a request,
-// which belongs to the request itself or to its session.
+// PromptChunk is a contiguous run of tokens of a prompt. Chunks may be shared between requests, except for the last
+// chunk of a request, which is specific to the request or its session.
 type PromptChunk struct {
 	ID     uint64 // hash of the chunk's name
 	Tokens int
 }
 
-// ChunksError reports that a list of prompt chunks cannot be parsed. The request may be placed without it.
+// ChunksError reports that a list of prompt chunks cannot be parsed. The request can be placed without the list.
 type ChunksError struct {
 	Header string // value of X-Fieldrelay-Prompt-Prefix
 }
 
 // Error implements error.
 func (e *ChunksError) Error() string {
-	return fmt.Sprintf("placement: %q is no list of prompt parts", e.Header)
+	return fmt.Sprintf("placement: prompt chunks %q do not have the form ID:TOKENS,...", e.Header)
 }
 
-// ParseChunks parses X-Fieldrelay-Prompt-Prefix (ID:TOKENS, separated by commas) and appends its chunks; those after
-// the 32nd are ignored. The error is a *ChunksError; the chunks before the invalid entry are returned with it.
+// ParseChunks parses a value of the header X-Fieldrelay-Prompt-Prefix (ID:TOKENS, separated by commas) and appends its
+// chunks to chunks. Chunks after the 32nd are ignored. Its error is a *ChunksError, with which the chunks before the
+// invalid entry are returned.
 func ParseChunks(header string, chunks []PromptChunk) ([]PromptChunk, error) {
 	rest := header
 	for number := 0; rest != "" && number < maxChunks; number++ {
--- a/internal/region/placement/chunks_test.go
+++ b/internal/region/placement/chunks_test.go
@@ -50,7 +50,7 @@
 	require.Equal(t, 10, parse("m").totalTokens)
 }
 
-// TestCachedPrefixesAreThoseSentLast compares the index with a plain list of what was sent to each server.
+// TestCachedPrefixesAreThoseSentLast compares the index with a plain list of the prefixes sent to each server.
 func TestCachedPrefixesAreThoseSentLast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 3000
@@ -94,7 +94,7 @@
 	})
 }
 
-// drawPrompt draws a prompt of chunks that are often shared.
+// drawPrompt draws a request whose chunks often occur in other requests too.
 func drawPrompt(t *rapid.T) *Request {
 	request := &Request{}
 	for i := range rapid.IntRange(0, 4).Draw(t, "parts") {
--- a/internal/region/placement/digest_test.go
+++ b/internal/region/placement/digest_test.go
@@ -11,9 +11,10 @@
 	"fieldrelay/internal/testkit/digesttest"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs anew")
+var update = flag.Bool("update", false, "record the digests of the runs")
 
-// A change that should change no behaviour changes no pick, no rejection and none of their figures.
+// A change that does not intend to change the behaviour must not change any pick, any rejection, or the values that they
+// return.
 func TestSimulatedLoadsHaveTheRecordedDigests(t *testing.T) {
 	days := map[string]struct {
 		proxies, servers int
@@ -70,7 +71,7 @@
 	case errors.As(err, &none):
 		recorder.Entry(now, "none:"+reasonLabel(none.Reason)).Number(uint64(proxy)).Text(none.Service).Time(none.RetryAfter)
 	default:
-		t.Errorf("a rejection that the digests do not know: %v", err)
+		t.Errorf("recordRejection got an error of an unknown type: %v", err)
 	}
 }
 
@@ -92,8 +93,8 @@
 	return "unknown"
 }
 
-// The events are those of the test with random events, drawn from a seed: all outcomes, servers that are added,
-// removed and drain, zones that are evacuated.
+// The events are those of TestRulesAndAccountsHoldUnderRandomEvents, drawn from a seed: all outcomes, servers that are
+// added, removed or draining, and zones that are evacuated.
 func TestPicksUnderSeededEventsHaveTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "events", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(10 * time.Second)
@@ -160,7 +161,7 @@
 	return decision.Attempt, true
 }
 
-// changeSeeded adds or removes a server, or changes whether one drains.
+// changeSeeded adds or removes a server, or changes whether one is draining.
 func (w *modelFixture) changeSeeded(random *rand.Rand) {
 	w.list = slices.Clone(w.list)
 	draw := random.IntN(5)
--- a/internal/region/placement/ejection.go
+++ b/internal/region/placement/ejection.go
@@ -6,34 +6,36 @@
 	"fieldrelay/internal/region/policy"
 )
 
-// Ejection of servers that fail (outlier detection).
+// Constants of the ejection of failing servers (outlier detection).
 const (
-	// ejectionThreshold is the total weight of failures in a row that ejects a server.
+	// ejectionThreshold is the total weight of consecutive failures at which a server is ejected.
 	ejectionThreshold = 3
 	// failedWeight is the weight of an answer that reports a failure.
 	failedWeight = 1
-	// noAnswerWeight is the weight of an attempt without any answer.
+	// noAnswerWeight is the weight of an attempt that got no answer.
 	noAnswerWeight = 2
-	// unreachableWeight is the weight of an unreachable machine. It ejects at once: every further request would be lost.
+	// unreachableWeight is the weight of an unreachable machine. It ejects the server immediately, since every further
+	// request would be lost.
 	unreachableWeight = ejectionThreshold
-	// firstEjection is the length of a first ejection. Each one that follows without a success between is twice as
-	// long, up to maxEjection.
+	// firstEjection is the length of a first ejection. Each further ejection without a success in between is twice as
+	// long as the previous one, up to maxEjection.
 	firstEjection = time.Second
 	maxEjection   = 8 * time.Second
-	// ejectionJitter is the greatest fraction by which an ejection is prolonged at random, so that the trials of many
-	// proxies do not coincide.
+	// ejectionJitter is the maximum fraction by which an ejection is extended at random, so that the trial requests of
+	// many proxies do not coincide.
 	ejectionJitter = 0.25
-	// restartSuspectedAfter is the ejection period from which on a server may have been restarted meanwhile and be warming up.
+	// restartSuspectedAfter is the length of an ejection at and above which the server may have been restarted in the
+	// meantime, and so may be warming up.
 	restartSuspectedAfter = 2 * time.Second
-	// rejectionCooldown is how long a server that rejected a request is avoided if there are others.
+	// rejectionCooldown is how long a server that rejected a request is avoided while other servers are eligible.
 	rejectionCooldown = 250 * time.Millisecond
-	// cautiousTrialPeriod is how long after an ejection a trial must be a request that another server may still get: the
-	// server may have been replaced by another one, which rejects all of its requests, and the server list shows that
+	// cautiousTrialPeriod is how long after an ejection only a request that has attempts left may serve as the trial: a
+	// new server may have taken over the address and reject all requests for the old one, which the server list shows
 	// only some seconds later.
 	cautiousTrialPeriod = 10 * time.Second
 )
 
-// ServerUnreachable reports that a server's machine does not respond, as seen on an idle connection.
+// ServerUnreachable records that a server's machine does not respond on an idle connection, and ejects the server.
 func (p *Placer) ServerUnreachable(now time.Duration, serverID string) {
 	if known := p.servers[serverID]; known != nil {
 		known.estimate.Observe(now, 0)
@@ -41,8 +43,8 @@
 	}
 }
 
-// eject counts a failure, and ejects the server if the failures in a row weigh enough. A server that returns after a
-// long ejection may be warming up without saying so: it is treated so until the server list can tell.
+// eject counts a failure, and ejects the server if its consecutive failures reach ejectionThreshold. After a long
+// ejection the server may have been restarted: it is treated as warming up until the server list shows whether it is.
 func (p *Placer) eject(now time.Duration, s *server, weight int) {
 	s.service.walk.Leave(s)
 	if p.off(policy.Ejection) {
@@ -61,8 +63,8 @@
 	p.stats.Ejections++
 }
 
-// ejected reports whether the server is ejected for a request: until the ejection period is over and its one trial has
-// ended.
+// ejected reports whether the server is ejected as far as a request is concerned: during the ejection, while its only
+// trial is in flight, and for the last attempt of a request also in the cautiousTrialPeriod after the ejection.
 func (s *server) ejected(now time.Duration, request *Request) bool {
 	if s.failures < ejectionThreshold {
 		return false
@@ -74,7 +76,7 @@
 	return lastAttempt && now < s.ejectedUntil+cautiousTrialPeriod
 }
 
-// trialDue reports whether an ejection period is over and the one trial may be sent.
+// trialDue reports whether an ejection is over and its only trial request may be sent.
 func (s *server) trialDue(now time.Duration) bool {
 	return s.failures >= ejectionThreshold && now >= s.ejectedUntil && !s.trialInFlight
 }
--- a/internal/region/placement/eligibility.go
+++ b/internal/region/placement/eligibility.go
@@ -7,22 +7,23 @@
 	"fieldrelay/internal/region/limits"
 )
 
-// eligibility is how far a server passes the rules for a request, in the order in which the rules are applied. Only an
-// eligible server, or without any one that is cooling down, gets the request.
+// eligibility is the first rule that a server fails for a request, in the order in which the rules are applied. A
+// request is sent to an eligible server or, if there is none, to one that is warming up within the limit or cooling
+// down.
 type eligibility uint8
 
 const (
 	eligibilityGone eligibility = iota
 	eligibilityEvacuated
-	eligibilityOutsideHome // outside the route's home regions
-	eligibilityExcluded    // it already had the request
-	eligibilityWarmingUp   // this proxy's quota share of the server is used up
-	eligibilityFull
-	eligibilityCoolingDown // ejected or avoided: it may get the request if no other server is left
+	eligibilityOutsideHome // not in one of the route's home regions
+	eligibilityExcluded    // the request was already sent to it
+	eligibilityWarmingUp   // it is warming up, and this proxy's share of its slow start limit is used up
+	eligibilityFull        // all connections that this proxy may open are in use
+	eligibilityCoolingDown // ejected or avoided: used only if no other server is left
 	eligible
 )
 
-// mandatoryEligibility applies the rules that must still hold when an attempt is sent.
+// mandatoryEligibility applies only the rules that must also hold at the moment when an attempt is sent.
 func (p *Placer) mandatoryEligibility(now time.Duration, s *server, request *Request) eligibility {
 	switch {
 	case s.unavailable(now):
@@ -58,7 +59,7 @@
 	return limits.WarmingServer{ID: s.id, Region: s.region, WarmRate: s.service.config.WarmRate}
 }
 
-// classifyServers fills the buffers with the servers of a service by their eligibility, and returns the best
+// classifyServers distributes the servers of a service over the buffers by their eligibility, and returns the best
 // eligibility among them.
 func (p *Placer) classifyServers(now time.Duration, owner *service, request *Request) eligibility {
 	buffers := &p.buffers
@@ -82,9 +83,9 @@
 	return best
 }
 
-// preferredServers returns the servers among which a request's server is picked: those of the own region; without any,
-// those of other regions; then those warming up, as far as the slow start limiter allows requests that have no other
-// server; then those that are ejected or avoided.
+// preferredServers returns the first non-empty one of these groups of servers: the eligible servers of this proxy's
+// region; the eligible servers of other regions; the servers that are warming up and that the slow start limiter allows
+// for requests without another server; the servers that are ejected or avoided.
 func (p *Placer) preferredServers(now time.Duration) []*server {
 	buffers := &p.buffers
 	if len(buffers.local) > 0 {
@@ -99,8 +100,8 @@
 	return buffers.coolingDown
 }
 
-// lastResortServers returns the servers warming up that the slow start limiter allows because no other server is left,
-// of the own region if there are any.
+// lastResortServers returns the servers that are warming up and that the slow start limiter allows for requests without
+// another server. It returns those of other regions only if there is none in this proxy's region.
 func (p *Placer) lastResortServers(now time.Duration) []*server {
 	buffers := &p.buffers
 	allowed := buffers.local[:0]
--- a/internal/region/placement/failurereport.go
+++ b/internal/region/placement/failurereport.go
@@ -7,22 +7,24 @@
 )
 
 const (
-	// reportTTL is how long a report of a failure counts.
+	// reportTTL is how long a failure report is taken into account.
 	reportTTL = 2 * time.Second
-	// minReportingZones is the number of zones whose proxies must have reported a server before this proxy ejects it without
-	// having observed a failure itself: a partition between two zones looks like a failure from one of them alone.
+	// minReportingZones is the number of zones whose proxies must report a server before this proxy ejects it without
+	// having observed a failure itself. A single zone does not suffice, since a network partition between it and the
+	// server's zone looks like a failure of the server.
 	minReportingZones = 2
-	// successOverride is how long a success that this proxy observed itself outweighs the reports of others.
+	// successOverride is how long after a success that this proxy observed itself the reports of others are ignored.
 	successOverride = time.Second
 )
 
-// failureReports holds when the proxies of some zones last reported a server.
+// failureReports holds the times at which the proxies of each of the last reporting zones reported a server.
 type failureReports [minReportingZones]struct {
 	zone string
 	at   time.Duration
 }
 
-// add records a report in place of the oldest, and returns the number of zones whose reports count.
+// add records a report in place of the zone's previous one or of the oldest, and returns the number of zones whose
+// reports have not expired.
 func (r *failureReports) add(now time.Duration, zone string) int {
 	oldest := 0
 	for i := range r {
@@ -44,9 +46,9 @@
 	return zones
 }
 
-// FailureReported records that a new connection of another proxy, in a zone of the region, to a server failed. After a
-// report from one zone, the next attempt of this proxy that gets no answer ejects the server; reports from two zones eject
-// it without one.
+// FailureReported records that a new connection from another proxy, in a zone of the region, to a server failed. After
+// a report from one zone, the next attempt of this proxy that gets no answer ejects the server. Reports from two zones
+// eject the server immediately.
 func (p *Placer) FailureReported(now time.Duration, serverID, zone string) {
 	known := p.servers[serverID]
 	if known == nil || p.off(policy.FailureReports) {
--- a/internal/region/placement/failurereport_test.go
+++ b/internal/region/placement/failurereport_test.go
@@ -8,7 +8,7 @@
 	"fieldrelay/internal/region/policy"
 )
 
-// isEligible reports whether a server may get a request now.
+// isEligible reports whether a server is eligible for a request.
 func (f *fixture) isEligible(id string) bool {
 	return f.p.eligibility(f.now, f.p.servers[id], f.request(routeHelp)) == eligible
 }
@@ -18,12 +18,12 @@
 	id := f.list[0].GetId()
 	f.p.FailureReported(f.now, id, zoneA)
 	f.p.FailureReported(f.now, id, zoneA)
-	require.True(t, f.isEligible(id), "one zone may be cut off from the server")
+	require.True(t, f.isEligible(id), "one zone may be partitioned from the server")
 	f.p.FailureReported(f.now, id, zoneB)
 	require.False(t, f.isEligible(id))
 	require.Equal(t, uint64(3), f.p.Stats().FailureReports)
 	f.now += 2 * firstEjection
-	require.True(t, f.p.servers[id].trialDue(f.now), "it is tried again as after failures of its own")
+	require.True(t, f.p.servers[id].trialDue(f.now), "the server gets a trial as after failures that this proxy observed")
 }
 
 func TestOldReportsDoNotCount(t *testing.T) {
--- a/internal/region/placement/fixture_test.go
+++ b/internal/region/placement/fixture_test.go
@@ -15,7 +15,7 @@
 	"fieldrelay/internal/region/route"
 )
 
-// The failure domains of the tests: two zones in the west, one in the east.
+// The zones and regions of the tests: two zones in the west, one in the east.
 const (
 	zoneA = "zone-a"
 	zoneB = "zone-b"
@@ -36,7 +36,7 @@
 	routeSummary  = "summary"  // less urgent
 	routeHelp     = "help"     // urgent
 	routeGreeting = "greeting" // least urgent
-	routeEast     = "east"     // its home region is the east
+	routeEast     = "east"     // restricted to the east
 	routeBalance  = "balance"  // to the plain service
 )
 
@@ -61,7 +61,7 @@
 	return table
 }
 
-// fixture is a Placer in zone a, with a server list and a clock that the test advances.
+// fixture is a Placer in zoneA with a server list, and a clock that the test advances.
 type fixture struct {
 	t     testing.TB
 	p     *Placer
@@ -109,7 +109,7 @@
 	}
 }
 
-// westAndEast lists six model servers in the west and four in the east.
+// westAndEast returns a list of six model servers in the west and four in the east.
 func westAndEast() []*pb.Server {
 	var servers []*pb.Server
 	for i := range 3 {
@@ -134,7 +134,7 @@
 	}
 }
 
-// summary is a request with a long shared chunk for a subject.
+// summary returns a request with a long shared chunk that depends on a subject.
 func (f *fixture) summary(subject, own int) *Request {
 	return f.request(routeSummary, PromptChunk{ID: 1, Tokens: 800}, PromptChunk{ID: 100 + uint64(subject), Tokens: 5500},
 		PromptChunk{ID: 10_000 + uint64(own), Tokens: 2890})
@@ -151,7 +151,7 @@
 	return decision
 }
 
-// serve picks a server for a request, has it answer after a multiple of the predicted time, and closes the attempt.
+// serve picks a server for a request, reports its answer after a multiple of the predicted time, and returns its id.
 func (f *fixture) serve(request *Request, times func(server string) float64) string {
 	f.t.Helper()
 	decision := f.pick(request)
@@ -165,14 +165,14 @@
 
 func asPredicted(string) float64 { return 1 }
 
-// warm seeds the estimates of all servers that this proxy uses.
+// warm seeds the speed estimates of all servers that this proxy uses.
 func (f *fixture) warm() {
 	for i := range 60 {
 		f.serve(f.greeting(i), asPredicted)
 	}
 }
 
-// serverKey is the key by which an announcement names the server of an id.
+// serverKey returns the key that identifies a server in announcements.
 func serverKey(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 // switchedOff returns the switches with one mechanism off.
--- a/internal/region/placement/locality_test.go
+++ b/internal/region/placement/locality_test.go
@@ -34,7 +34,7 @@
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
 	seen := map[string]int{}
-	for i := range 24 { // all at once
+	for i := range 24 { // concurrently
 		seen[f.pick(f.summary(1, i)).ServerID]++
 	}
 	require.Greater(t, len(seen), 1)
@@ -67,7 +67,7 @@
 	}
 	spilled := f.p.Stats().OtherRegion
 	require.Greater(t, spilled, uint64(100))
-	for i := range 200 { // the west recovers
+	for i := range 200 { // the servers in the west recover
 		f.serve(f.greeting(i), asPredicted)
 	}
 	spilled = f.p.Stats().OtherRegion
@@ -136,12 +136,12 @@
 			change(f, decision)
 			require.False(t, f.p.StillAllowed(f.now, decision.Attempt))
 			f.p.Finished(f.now, decision.Attempt, NotSent)
-			require.False(t, f.p.StillAllowed(f.now, decision.Attempt), "closed")
+			require.False(t, f.p.StillAllowed(f.now, decision.Attempt), "the attempt is closed")
 		})
 	}
 }
 
-// warmingUpServers lists model servers of zone a, each warming up for some time.
+// warmingUpServers returns a list of model servers in zoneA, each of which is warming up for a remaining time.
 func warmingUpServers(count int, left time.Duration) []*pb.Server {
 	var servers []*pb.Server
 	for i := range count {
@@ -168,7 +168,7 @@
 		for i := range 100 {
 			seen[f.serve(f.greeting(i), asPredicted)] = true
 		}
-		require.Contains(t, seen, servers[0].GetId(), "warm by now")
+		require.Contains(t, seen, servers[0].GetId(), "the server is warmed up now")
 	}
 	require.LessOrEqual(t, total, 19)
 	require.Positive(t, total)
@@ -179,7 +179,7 @@
 	rejected := 0
 	for host := range members {
 		f := newFixture(t, host, warmingUpServers(6, time.Minute))
-		f.now += 10 * time.Second // the members have been the same for long enough
+		f.now += 10 * time.Second // the quota members have been unchanged for long enough
 		first := f.now
 		for i := 0; f.now < first+time.Second; i++ {
 			request := f.greeting(i)
@@ -229,7 +229,8 @@
 	require.LessOrEqual(t, total, 3*maxFirstRequests)
 }
 
-// maxFirstRequests is the most first requests, one from each proxy with a share, that a server that is warming up may get.
+// maxFirstRequests is the maximum number of first requests, one from each proxy with a share, to a server that is
+// warming up.
 const maxFirstRequests = 3
 
 func TestAServersOwnWarmupReportCounts(t *testing.T) {
@@ -241,12 +242,12 @@
 	require.True(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now+time.Second-1))
 	require.False(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now+time.Second))
 	f.now += 500 * time.Millisecond
-	f.relist() // a list that may be older than the server's report
+	f.relist() // the list may be older than the server's report
 	require.True(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now))
 	f.p.ServerWarmingUp(f.now, f.list[0].GetId(), time.Minute)
 	f.now += 2 * suspectedWarmingPeriod
 	f.relist()
-	require.False(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now), "a newer list knows better")
+	require.False(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now), "a list newer than the report takes precedence")
 }
 
 func TestAServerThatSeemsToDrainIsAvoided(t *testing.T) {
--- a/internal/region/placement/noserver.go
+++ b/internal/region/placement/noserver.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Reason is why no server can get a request.
+// Reason says why a request cannot be sent to any server.
 type Reason uint8
 
-// The reasons, in the order in which the rules narrow the candidates: the last rule that left none is the reason.
+// The reasons, in the order in which the rules are applied. The reason is the rule that excluded the last servers.
 const (
 	ReasonNoServer    Reason = iota // no server of the service is known, or all are draining or gone
-	ReasonEvacuated                 // those left are in evacuated zones
-	ReasonHomeRegions               // those left are outside the route's home regions
-	ReasonExcluded                  // those left already had the request
-	ReasonWarmingUp                 // those left are warming up, and this proxy's quota share of them is used up
-	ReasonFull                      // those left have all connections in use that this proxy may open
+	ReasonEvacuated                 // the remaining servers are in evacuated zones
+	ReasonHomeRegions               // the remaining servers are outside the route's home regions
+	ReasonExcluded                  // the request was already sent to each of the remaining servers
+	ReasonWarmingUp                 // the remaining servers are warming up, and this proxy's slow start share is used up
+	ReasonFull                      // all connections that this proxy may open to the remaining servers are in use
 )
 
 // String describes the reason.
 func (r Reason) String() string {
-	return [...]string{"no ready server", "zone evacuated", "outside home regions", "all were tried", "all cold", "all full"}[r]
+	return [...]string{"no ready server", "zone evacuated", "outside home regions", "all tried", "all warming up", "all full"}[r]
 }
 
-// NoServerError reports that no server can get a request now.
+// NoServerError reports that a request currently cannot be sent to any server.
 type NoServerError struct {
 	Service    string
 	Reason     Reason
-	RetryAfter time.Duration // after which a retry is worthwhile
+	RetryAfter time.Duration // time after which a retry may succeed
 }
 
 // Error implements error.
 func (e *NoServerError) Error() string {
-	return fmt.Sprintf("placement: no server of %s: %v", e.Service, e.Reason)
+	return fmt.Sprintf("placement: no server of service %s can take the request: %v", e.Service, e.Reason)
 }
 
-// noServerReasons gives the reason why a request gets no server, by the server that passed the most rules.
+// noServerReasons maps the best eligibility among the servers to the reason why none of them can take the request.
 var noServerReasons = [...]Reason{
 	eligibilityGone:        ReasonNoServer,
 	eligibilityEvacuated:   ReasonEvacuated,
@@ -47,7 +47,7 @@
 	eligible:               ReasonNoServer,
 }
 
-// How long a client is requested to wait before a retry when there is no server for its request.
+// Times after which a client should retry a request that no server can take.
 const (
 	minSlowStartRetry = 100 * time.Millisecond
 	retryFull         = 250 * time.Millisecond
@@ -55,13 +55,13 @@
 	retryNoServer     = time.Second
 )
 
-// noServer counts a pick without a server and makes its error.
+// noServer counts a pick that found no server, and returns its error.
 func (p *Placer) noServer(now time.Duration, request *Request, reason Reason) error {
 	p.stats.NoServer[reason]++
 	return &NoServerError{Service: request.Service, Reason: reason, RetryAfter: p.retryAfter(now, reason)}
 }
 
-// retryAfter is the time after which a retry is worthwhile.
+// retryAfter returns the time after which a retry may succeed.
 func (p *Placer) retryAfter(now time.Duration, reason Reason) time.Duration {
 	switch reason {
 	case ReasonWarmingUp:
@@ -74,7 +74,8 @@
 	return retryNoServer
 }
 
-// slowStartWait is the time until the slow start limiter allows a request to one of the servers that are warming up.
+// slowStartWait returns the time until the slow start limiter allows a request to one of the servers that are warming
+// up, between minSlowStartRetry and retryNoServer.
 func (p *Placer) slowStartWait(now time.Duration) time.Duration {
 	least := retryNoServer
 	for _, s := range p.buffers.warmingUp {
--- a/internal/region/placement/outcome.go
+++ b/internal/region/placement/outcome.go
@@ -6,7 +6,8 @@
 	"fieldrelay/internal/region/policy"
 )
 
-// overdueFactor: a client that gives up after this many times the predicted time shows that the server is slow.
+// overdueFactor is the multiple of the predicted latency after which a request that its client cancels counts as
+// evidence that the server is slow.
 const overdueFactor = 2
 
 // Outcome is how an attempt ended.
@@ -15,18 +16,18 @@
 // The outcomes of an attempt.
 const (
 	Done        Outcome = iota // a complete answer, of any status that is not a failure of the server
-	Rejected                   // the server rejected it without execution: it is full, or the deadline is too near
+	Rejected                   // the server rejected it without executing it: it is full, or the deadline is too close
 	Misdirected                // status 421: the address belongs to another server now
-	Failed                     // status 5xx of the server, or bytes that are not a valid answer
+	Failed                     // the server answered with status 5xx or with bytes that are not a valid answer
 	Reset                      // the connection could not be opened, was reset or was closed early
 	TimedOut                   // no answer within the attempt's timeout
 	Unreachable                // the server's machine does not respond: it is down or partitioned
-	Canceled                   // canceled because the client left: no evidence about the server
-	NotSent                    // nothing was sent: as if the attempt had not been placed
+	Canceled                   // canceled because the client disconnected: usually no evidence about the server
+	NotSent                    // nothing was sent to the server: no effect on its estimates
 )
 
-// Started reports the first event of an attempt's stream, or the first byte of any other answer. It need not be
-// called for failures.
+// Started records the first event of an attempt's stream, or the first byte of any other answer. The call is optional
+// for failures.
 func (p *Placer) Started(now time.Duration, id AttemptID) {
 	a := p.attempts[id]
 	if a == nil || a.started {
@@ -45,9 +46,9 @@
 	}
 }
 
-// learnPrefillRate passes the latency of a first event to the estimate of the prefill rate, if the number of tokens
-// that the server had to prefill is known. It learns nothing while answers are late: their latency shows how long
-// requests queue at the servers.
+// learnPrefillRate adds the latency of a first event to the estimate of the prefill rate, if the number of tokens that
+// the server had to prefill is known. It does nothing while answers are late, since their latency is dominated by the
+// time that requests queue at the servers.
 func (p *Placer) learnPrefillRate(a *attempt, latency time.Duration) {
 	owner := a.server.service
 	if !a.unqueued || !owner.servesModel() || owner.slack.Share < admitAllSlack || p.off(policy.PrefillRate) {
@@ -56,9 +57,9 @@
 	owner.prefill.learn(a.sentAt+latency, a.prefillTokens, latency)
 }
 
-// speedSample is the speed that an answer after latency shows: predicted latency over measured latency. If it was only
-// assumed that the server had the prompt's prefix cached, the answer proves a range of speeds, and the sample is the
-// speed within it that is nearest to the present estimate.
+// speedSample returns the speed sample of an answer: predicted latency divided by measured latency. If the server was
+// only assumed to have the prompt's prefix cached, the answer is consistent with a range of speeds, and the sample is
+// the speed in that range closest to the current estimate.
 func (a *attempt) speedSample(latency time.Duration) float64 {
 	latency = max(latency, time.Microsecond)
 	low := min(float64(a.nominalLatency)/float64(latency), maxSpeed)
@@ -90,7 +91,7 @@
 	p.releaseAttempt(a)
 }
 
-// observeOutcome updates what is known of the server by an attempt's outcome.
+// observeOutcome updates the state of the server according to an attempt's outcome.
 func (p *Placer) observeOutcome(now time.Duration, a *attempt, outcome Outcome) {
 	switch outcome {
 	case Done:
@@ -112,7 +113,7 @@
 	}
 }
 
-// releaseSeed allows the next attempt that seeds an estimate, if a was the one in flight.
+// releaseSeed allows the next attempt that seeds a speed estimate, if a was the seeding attempt in flight.
 func (p *Placer) releaseSeed(a *attempt) {
 	if a.server.service.seedAttempt == a {
 		a.server.service.seedAttempt = nil
@@ -135,7 +136,7 @@
 	s.failures, s.ejectionPeriod, s.succeededAt = 0, 0, now
 }
 
-// rejected records that a server was full: a speed of zero, but no failure.
+// rejected records that a server rejected an attempt: a speed sample of zero and a cooldown, but no failure.
 func (p *Placer) rejected(now time.Duration, a *attempt) {
 	a.observeFailure(now)
 	if !p.off(policy.RejectionCooldown) {
@@ -145,13 +146,14 @@
 	a.server.service.walk.Leave(a.server)
 }
 
-// failed records a failure: a speed of zero, and ejection after several in a row.
+// failed records a failure: a speed sample of zero, and an ejection after several consecutive failures.
 func (p *Placer) failed(now time.Duration, a *attempt, weight int) {
 	a.observeFailure(now)
 	p.eject(now, a.server, weight)
 }
 
-// observeFailure adds a speed sample of zero. It replaces the sample that the attempt's first byte seemed to give.
+// observeFailure adds a speed sample of zero. It first reverts the sample of the attempt's first byte, if no other
+// sample came later.
 func (a *attempt) observeFailure(now time.Duration) {
 	s := a.server
 	if a.started && s.estimate.SampledAt() == a.startedAt {
@@ -160,7 +162,7 @@
 	s.estimate.Observe(now, 0)
 }
 
-// canceled records that the client left. If the answer was long overdue by then, the server is slow.
+// canceled records that the client disconnected. If the answer was long overdue by then, it adds a low speed sample.
 func (p *Placer) canceled(now time.Duration, a *attempt) {
 	waited := now - a.sentAt
 	if a.started || waited <= overdueFactor*a.uncachedLatency {
@@ -170,8 +172,8 @@
 	a.server.service.walk.Leave(a.server)
 }
 
-// RequestDone reports the end of a client's request that was admitted: whether it was answered, and the latency of its
-// first event or byte. The aged share of the requests answered in time is the slack.
+// RequestDone records the end of a client's request that was admitted: whether it was answered, and the latency of its
+// first event or byte. It updates the slack, the exponentially weighted share of requests that were answered in time.
 func (p *Placer) RequestDone(now time.Duration, request *Request, answered bool, latency time.Duration) {
 	owner := p.services[request.Service]
 	if owner == nil {
--- a/internal/region/placement/perfectchooser_test.go
+++ b/internal/region/placement/perfectchooser_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// uncachedTokens is how many tokens of a prompt a server would have to prefill now.
+// uncachedTokens returns the number of tokens of a prompt that a server would have to prefill now.
 func (e *simEngine) uncachedTokens(chunks []simChunk) int {
 	uncached, missed := 0, false
 	for _, chunk := range chunks {
@@ -24,8 +24,9 @@
 	return slices.ContainsFunc(e.cached, func(have simChunk) bool { return have.id == chunk.id })
 }
 
-// chooseByOracle knows what waits and what is cached at every server. Of the servers at which the first event is in time
-// it takes the one with the least to prefill, the earlier of two; if there is none, the earliest.
+// chooseByOracle chooses with knowledge of the queue and the cache of every server. Of the servers at which the first
+// event would be in time, it chooses the one with the fewest tokens to prefill, and of those the one with the earliest
+// event. If no event would be in time, it chooses the server with the earliest one.
 func (s *sim) chooseByOracle(now time.Duration, zone string, request *Request, chunks []simChunk) *simEngine {
 	var best *simEngine
 	var bestFirst time.Duration
@@ -49,7 +50,7 @@
 	return best
 }
 
-// serveAt runs a request at a server without a placer.
+// serveAt serves a request at an engine without a Placer.
 func (s *sim) serveAt(now time.Duration, zone string, request *Request, kind simKind, engine *simEngine, chunks []simChunk) {
 	first := engine.serve(now, s.roundTrip(zone, engine), chunks)
 	if first-request.Arrived <= request.Route.Target {
@@ -57,26 +58,26 @@
 	}
 }
 
-// TestPlacementIsNearAPerfectChooser plays deployments that differ in one thing with the placement, which knows what its
-// proxy has sent and seen, and with a chooser that knows everything now. It chooses greedily, so that it is a measure and no
-// proven bound.
+// TestPlacementIsNearAPerfectChooser simulates variants of a deployment, each with Placers, which know only what their
+// proxies sent and observed, and with an oracle that knows the current state of all servers. The oracle chooses
+// greedily, so that its result is a reference and not a proven bound.
 func TestPlacementIsNearAPerfectChooser(t *testing.T) {
 	const (
-		inTimeMargin     = 0.03 // of the requests
-		maxUncachedRatio = 3    // of the shared tokens that servers prefill
+		inTimeMargin     = 0.03 // difference of the shares of requests in time
+		maxUncachedRatio = 3    // ratio of the shares of shared tokens that were not cached
 	)
 	cases := map[string]struct {
 		servers int
 		change  func(s *sim)
 	}{
-		"usual":                  {servers: 10},
-		"engines half as fast":   {servers: 10, change: func(s *sim) { s.eachEngine(func(e *simEngine) { e.tokensPerMS /= 2 }) }},
-		"engines three times":    {servers: 10, change: func(s *sim) { s.eachEngine(func(e *simEngine) { e.tokensPerMS *= 3 }) }},
-		"half the memory":        {servers: 10, change: func(s *sim) { s.eachEngine(func(e *simEngine) { e.memory /= 2 }) }},
-		"half the servers":       {servers: 5},
-		"four times the servers": {servers: 40},
-		"regions 120 ms apart":   {servers: 10, change: func(s *sim) { s.regionRoundTrip = 120 * time.Millisecond }},
-		"regions 2.5 ms apart":   {servers: 10, change: func(s *sim) { s.regionRoundTrip = 2500 * time.Microsecond }},
+		"default":                     {servers: 10},
+		"engines half as fast":        {servers: 10, change: func(s *sim) { s.eachEngine(func(e *simEngine) { e.tokensPerMS /= 2 }) }},
+		"engines three times as fast": {servers: 10, change: func(s *sim) { s.eachEngine(func(e *simEngine) { e.tokensPerMS *= 3 }) }},
+		"half the memory":             {servers: 10, change: func(s *sim) { s.eachEngine(func(e *simEngine) { e.memory /= 2 }) }},
+		"half the servers":            {servers: 5},
+		"four times the servers":      {servers: 40},
+		"regions 120 ms apart":        {servers: 10, change: func(s *sim) { s.regionRoundTrip = 120 * time.Millisecond }},
+		"regions 2.5 ms apart":        {servers: 10, change: func(s *sim) { s.regionRoundTrip = 2500 * time.Microsecond }},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -97,7 +98,7 @@
 			}
 			inTime, uncached := simulate(false)
 			bestInTime, leastUncached := simulate(true)
-			t.Logf("late: %.3f, perfect %.3f; shared tokens read: %.3f, perfect %.3f", 1-inTime, 1-bestInTime, uncached, leastUncached)
+			t.Logf("late: %.3f, oracle %.3f; uncached shared tokens: %.3f, oracle %.3f", 1-inTime, 1-bestInTime, uncached, leastUncached)
 			require.GreaterOrEqual(t, inTime, bestInTime-inTimeMargin)
 			require.LessOrEqual(t, uncached, maxUncachedRatio*leastUncached)
 		})
--- a/internal/region/placement/pick.go
+++ b/internal/region/placement/pick.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// maxSeedPrefill is the most shared tokens that a request which seeds an estimate may have to prefill again.
+	// maxSeedPrefill is the maximum number of shared tokens that the server may have to prefill again for a request that
+	// seeds its speed estimate.
 	maxSeedPrefill = 600
-	// seedTimeout is how long an unanswered seeding attempt delays the next one.
+	// seedTimeout is how long an unanswered seeding attempt prevents the next one.
 	seedTimeout = time.Second
-	// seedCostFactor bounds the cost of a server at which a request seeds an estimate, as a multiple of the least cost.
+	// seedCostFactor bounds the cost of a server whose estimate a request seeds, as a multiple of the lowest cost.
 	seedCostFactor = 2
-	// walkCostFactor bounds the cost of a server that the sorted walk takes, as a multiple of the least cost.
+	// walkCostFactor bounds the cost of a server that the sorted walk may take, as a multiple of the lowest cost.
 	walkCostFactor = 2
 )
 
-// Pick opens an attempt at the server that it picks among those that the rules allow. The error is a *NoServerError.
+// Pick selects a server among those that the rules allow, and opens an attempt at it. Its error is a *NoServerError.
 func (p *Placer) Pick(now time.Duration, request *Request) (Decision, error) {
 	owner := p.services[request.Service]
 	if owner == nil {
@@ -35,8 +36,8 @@
 	return p.openAttempt(now, request, &p.buffers.candidates[picked]), nil
 }
 
-// chooseCandidate returns the index of the candidate that gets the request: one whose estimate is to be seeded or whose
-// trial is due, otherwise one by sorted walk or softmax as the slack says.
+// chooseCandidate returns the index of the candidate to which the request is sent: one whose speed estimate is to be
+// seeded or whose trial is due, otherwise one chosen by the sorted walk or by softmax, depending on the slack.
 func (p *Placer) chooseCandidate(now time.Duration, owner *service) int {
 	if i := p.seedCandidate(now, owner); i >= 0 {
 		p.stats.Seeded++
@@ -59,8 +60,9 @@
 	return selection.Softmax(speeds, tau, p.random.Float64())
 }
 
-// seedCandidate returns the index of a candidate that needs a first answer or a trial, -1 without any. There is one such
-// attempt at a time, and only for a request that does not have much to prefill again there.
+// seedCandidate returns the index of a candidate that needs a first speed sample or whose trial is due, or -1 if there
+// is none. A service has at most one such attempt in flight, and only a request with few shared tokens to prefill again
+// is used for it.
 func (p *Placer) seedCandidate(now time.Duration, owner *service) int {
 	if p.off(policy.Seeding) {
 		return -1
@@ -87,7 +89,8 @@
 	return -1
 }
 
-// walkCandidate returns the index of the candidate that the sorted walk takes among those of a cost near the least.
+// walkCandidate returns the index of the candidate that the sorted walk takes among those whose cost is close to the
+// lowest.
 func (p *Placer) walkCandidate(now time.Duration, owner *service) int {
 	candidates := p.buffers.candidates
 	least := candidates[cheapest(candidates)].cost
--- a/internal/region/placement/placer.go
+++ b/internal/region/placement/placer.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// minConnections is the least number of connections to a server that a proxy may have.
+	// minConnections is the number of connections to a server that a proxy may open however small its share is.
 	minConnections = 4
 	// connectionFraction is the fraction of a server's connection limit that the proxies share among themselves.
 	connectionFraction = 0.9
 	// assumedProxies is the number of proxies that are assumed to share a limit while the number is unknown.
 	assumedProxies = 16
-	// cacheSharing is the number of equal shares of a server's prefix cache that this proxy counts as its own, because
-	// many prefixes are common to several proxies.
+	// cacheSharing is the number of per-proxy shares of a server's prefix cache that this proxy counts as its own,
+	// because many prefixes are common to several proxies.
 	cacheSharing = 2
 	// defaultCacheTokens is the size of the prefix cache of a server whose service does not set one.
 	defaultCacheTokens = 100_000
@@ -33,13 +33,13 @@
 	Host      string            // of this machine
 	Zone      string            // of this machine
 	Regions   map[string]string // region of each zone
-	Seed      uint64            // of the random draws
+	Seed      uint64            // of the random number generator
 	SlowStart limits.SlowStartConfig
 	Off       policy.Switches // mechanisms that are switched off
 }
 
-// Placer decides where attempts go, and keeps what it has learned about the servers. It is not safe for concurrent use:
-// its owner makes all calls under one lock, with a time that never decreases.
+// Placer selects the servers of attempts and holds the state that it learned about the servers. It is not safe for
+// concurrent use: its owner makes all calls under one lock, with a time that never decreases.
 type Placer struct {
 	config        Config
 	region        string
@@ -48,7 +48,7 @@
 	slowStart     *limits.SlowStartLimiter
 	table         *route.Table
 	evacuated     map[string]bool // zones
-	proxies       int             // that share the servers; 0: unknown
+	proxies       int             // number of proxies that share the servers; 0: unknown
 	regionProxies int             // proxies of the own region, this one included; 0: unknown
 
 	services     map[string]*service // by name
@@ -62,13 +62,13 @@
 	announcements     announcementLimiter
 	prefixCache       prefixCacheIndex
 	slack             selection.Slack // over all services
-	pickNumber        uint64          // says which pick a server's matched prefix belongs to
+	pickNumber        uint64          // identifies the pick to which a server's matched prefix belongs
 	listNumber        uint64          // of the newest server list
 	buffers           pickBuffers
 	stats             Stats
 }
 
-// New makes a Placer that knows no server.
+// New returns a Placer without any server.
 func New(config Config) *Placer {
 	return &Placer{
 		config:    config,
@@ -93,7 +93,7 @@
 // off reports whether a mechanism is switched off.
 func (p *Placer) off(m policy.Mechanism) bool { return p.config.Off.Off(m) }
 
-// SetTable replaces the configuration.
+// SetTable replaces the configuration table.
 func (p *Placer) SetTable(now time.Duration, table *route.Table) {
 	p.table = table
 	for _, name := range table.Services() {
@@ -105,8 +105,8 @@
 	}
 }
 
-// SetEvacuated replaces the zones whose servers must not get new requests. Servers of a zone whose evacuation ends may
-// have been restarted meanwhile: they are treated as warming up until a newer list can tell.
+// SetEvacuated replaces the set of zones to whose servers no new request may be sent. Servers of a zone whose evacuation
+// ends may have been restarted in the meantime: they are treated as warming up until a newer list shows their state.
 func (p *Placer) SetEvacuated(now time.Duration, zones []string) {
 	for _, known := range p.servers {
 		if p.evacuated[known.zone] && !slices.Contains(zones, known.zone) {
@@ -134,11 +134,12 @@
 	p.slowStart.SetQuotaMembers(now, shares)
 }
 
-// Slack is the aged share, from 0 to 1, of this proxy's requests that were answered in time, over all services.
+// Slack returns the exponentially weighted share, from 0 to 1, of this proxy's requests that were answered in time, over
+// all services.
 func (p *Placer) Slack() float64 { return p.slack.Share }
 
-// ServiceSlack is the aged share, from 0 to 1, of the requests for one service that were answered in time. It decides
-// how the service's servers are picked. For an unknown service it is Slack.
+// ServiceSlack returns the exponentially weighted share, from 0 to 1, of the requests for one service that were answered
+// in time. It determines how the service's servers are selected. For an unknown service it returns Slack.
 func (p *Placer) ServiceSlack(name string) float64 {
 	if known := p.services[name]; known != nil {
 		return known.slack.Share
@@ -146,7 +147,7 @@
 	return p.slack.Share
 }
 
-// service returns what is known of a service, and adds it if it is new.
+// service returns the state of a service, and creates it if the service is new.
 func (p *Placer) service(name string) *service {
 	known := p.services[name]
 	if known == nil {
@@ -157,14 +158,14 @@
 	return known
 }
 
-// dropUnused removes a service that neither the configuration nor the server list names.
+// dropUnused deletes the state of a service that neither the configuration nor the server list contains.
 func (p *Placer) dropUnused(known *service) {
 	if known.config == nil && len(known.servers) == 0 {
 		delete(p.services, known.name)
 	}
 }
 
-// maxConnections is this proxy's share of the connections that a server of a service accepts.
+// maxConnections returns this proxy's share of the connections that a server of a service accepts.
 func (p *Placer) maxConnections(owner *service) int {
 	if owner.config == nil || owner.config.MaxConnections == 0 {
 		return maxAttempts
@@ -177,7 +178,7 @@
 	return max(int(share), minConnections)
 }
 
-// prefixCacheTokens is how many tokens a server of a service is expected to cache for this proxy.
+// prefixCacheTokens returns the number of tokens that a server of a service is expected to cache for this proxy.
 func (p *Placer) prefixCacheTokens(owner *service) int {
 	all := defaultCacheTokens
 	if owner.servesModel() && owner.config.Runtime.CacheTokens > 0 {
--- a/internal/region/placement/prediction.go
+++ b/internal/region/placement/prediction.go
@@ -6,21 +6,23 @@
 	"fieldrelay/internal/region/policy"
 )
 
-// Tuning of predictions and of what a choice costs besides its latency.
+// Constants of the predictions, and of the costs of a choice in addition to its latency.
 const (
-	// regionRoundTrip is the round trip to another region. It is not measured: the speeds of the other region's servers
-	// absorb the difference, and measuring it showed no gain.
+	// regionRoundTrip is the assumed round-trip time to another region. It is a constant, since the speed estimates of
+	// the other region's servers absorb the difference, and a measured round-trip time does not improve the result.
 	regionRoundTrip = 40 * time.Millisecond
-	// prefillTokenPrice is the price of prefilling a shared token again, expressed as time. The prefill itself is part of
-	// the predicted latency. No process knows prices, so this one is fixed, at three times initialPerToken.
+	// prefillTokenPrice is the price of prefilling a shared token again, expressed as time, in addition to the prefill
+	// itself, which is part of the predicted latency. No process knows the actual prices, so the value is fixed at three
+	// times initialPerToken.
 	prefillTokenPrice = 78 * time.Microsecond
-	// otherZoneFactor scales the cost of a server in another zone of the region: bytes between zones are priced.
+	// otherZoneFactor scales the cost of a server in another zone, since traffic between zones is charged for.
 	otherZoneFactor = 1.08
-	// otherRegionPenalty is added to the cost of a server in another region: bytes between regions are expensive.
+	// otherRegionPenalty is added to the cost of a server in another region, since traffic between regions is expensive.
 	otherRegionPenalty = 110 * time.Millisecond
 )
 
-// predict gives the latency and the cost of a prompt at a server that has a number of its tokens cached.
+// predict returns a candidate with the predicted latency and cost of a prompt at a server that has a number of the
+// prompt's tokens cached.
 func (p *Placer) predict(now time.Duration, s *server, q *prompt, cached int) candidate {
 	prefillTokens := max(q.totalTokens-cached, 0)
 	nominal := p.nominalLatency(s, prefillTokens, q.memoryTokens)
@@ -41,7 +43,7 @@
 	}
 }
 
-// prefillPrice is the price of the shared tokens that a server must prefill again, expressed as time.
+// prefillPrice returns the price of the shared tokens that a server must prefill again, expressed as time.
 func (p *Placer) prefillPrice(s *server, q *prompt, cached int) time.Duration {
 	if !s.service.servesModel() || p.off(policy.PrefillPrice) {
 		return 0
@@ -49,9 +51,9 @@
 	return time.Duration(q.sharedTokens-min(cached, q.sharedTokens)) * prefillTokenPrice
 }
 
-// nominalLatency is the time to the first event at speed 1 of a prompt with prefillTokens to prefill, after those of this
-// proxy's attempts that are queued there. What does not fit into the server's memory beside this proxy's attempts
-// waits for them, and is counted as if it were to be prefilled.
+// nominalLatency returns the time to the first event, at speed 1, of a prompt with prefillTokens to prefill behind this
+// proxy's queued attempts at the server. Tokens that do not fit into the server's memory beside this proxy's attempts
+// have to wait for those attempts, and are counted as if they had to be prefilled.
 func (p *Placer) nominalLatency(s *server, prefillTokens, memoryTokens int) time.Duration {
 	var latency time.Duration
 	if s.service.servesModel() {
@@ -73,7 +75,7 @@
 	return latency
 }
 
-// idleLatency is the time to the first event of a prompt at an idle server that has its shared chunks cached.
+// idleLatency returns the time to the first event of a prompt at an idle server that has its shared chunks cached.
 func idleLatency(owner *service, q *prompt) time.Duration {
 	if !owner.servesModel() {
 		return owner.median
--- a/internal/region/placement/prefill_test.go
+++ b/internal/region/placement/prefill_test.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/region/policy"
 )
 
-// learnFromAnswers lets an estimator learn from answers to prompts of random lengths, each queued for a random time.
+// learnFromAnswers updates an estimator with answers to prompts of random lengths, each queued for a random time.
 func learnFromAnswers(e *prefillEstimator, perToken time.Duration, wait func(*rand.Rand) time.Duration, count int) {
 	random := rand.New(rand.NewPCG(5, 6))
 	for i := range count {
@@ -23,7 +23,7 @@
 func TestPrefillTimesAreLearnt(t *testing.T) {
 	for name, perToken := range map[string]time.Duration{
 		"three times faster": 9 * time.Microsecond,
-		"as guessed":         26 * time.Microsecond,
+		"initial value":      26 * time.Microsecond,
 		"three times slower": 78 * time.Microsecond,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -63,7 +63,7 @@
 	require.Equal(t, initialPerToken, e.perToken)
 }
 
-// serveAlternating serves long and short prompts that a server prefills at a rate of its own.
+// serveAlternating serves long and short prompts in turn, with a given prefill time per token.
 func serveAlternating(f *fixture, perToken time.Duration, count int) {
 	for i := range count {
 		request := f.greeting(i)
--- a/internal/region/placement/prefixcache.go
+++ b/internal/region/placement/prefixcache.go
@@ -1,38 +1,38 @@
 package placement
 
-// maxCachedPrefixes is the most prefixes that are remembered for one server.
+// maxCachedPrefixes is the maximum number of prefixes in the LRU list of one server.
 const maxCachedPrefixes = 64
 
-// prefixCacheIndex records which prompt prefixes this proxy sent to which servers recently, and so which of them the
-// servers are expected to have in their KV caches. For each server it is an LRU list, bounded by tokens and by number.
+// prefixCacheIndex records which prompt prefixes this proxy recently sent to which servers, and thus which prefixes the
+// servers are expected to have in their KV caches. Each server has an LRU list that is bounded by tokens and by length.
 // The servers are never queried: the index is a prediction.
 type prefixCacheIndex struct {
-	entries map[prefixHash][]*cachedPrefix // for each prefix, one entry for each server expected to have it
+	entries map[prefixHash][]*cachedPrefix // by prefix: one entry for each server that is expected to have it
 }
 
 // cachedPrefix is a prefix at a server, an element of the server's LRU list.
 type cachedPrefix struct {
 	prefix       prefixHash
 	server       *server
-	tokens       int // of its last chunk alone
+	tokens       int // of the prefix's last chunk only
 	newer, older *cachedPrefix
 }
 
-// lruList is the list of the prefixes at one server, in the order of their last use.
+// lruList is a doubly linked list of the prefixes at one server, ordered by their last use.
 type lruList struct {
 	newest, oldest *cachedPrefix
 	length         int
-	tokens         int // sum over the list
+	tokens         int // sum over all entries
 }
 
 func newPrefixCacheIndex() prefixCacheIndex {
 	return prefixCacheIndex{entries: map[prefixHash][]*cachedPrefix{}}
 }
 
-// insert records that a prompt was sent to a server that caches up to capacity tokens for this proxy. The oldest
-// prefixes are evicted, but none of this prompt for the sake of capacity.
+// insert records that a prompt was sent to a server that caches up to capacity tokens for this proxy. It evicts the
+// least recently used prefixes, but no prefix of this prompt if only capacity is exceeded.
 func (x *prefixCacheIndex) insert(to *server, p *prompt, capacity int) {
-	for i := len(p.prefixes) - 1; i >= 0; i-- { // the first chunk last: it is useful for longest
+	for i := len(p.prefixes) - 1; i >= 0; i-- { // the shortest prefix last, since it is the most reusable one
 		prefix := p.prefixes[i]
 		entry := x.find(to, prefix)
 		if entry == nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// find returns the entry of a prefix at a server, nil if there is none.
+// find returns the entry of a prefix at a server, or nil if there is none.
 func (x *prefixCacheIndex) find(at *server, prefix prefixHash) *cachedPrefix {
 	for _, entry := range x.entries[prefix] {
 		if entry.server == at {
@@ -59,14 +59,14 @@
 	return nil
 }
 
-// removeServer removes all entries of a server that is gone.
+// removeServer removes all entries of a server.
 func (x *prefixCacheIndex) removeServer(gone *server) {
 	for gone.cachedPrefixes.oldest != nil {
 		x.remove(gone.cachedPrefixes.oldest)
 	}
 }
 
-// remove removes one entry.
+// remove removes an entry from the index and from its server's list.
 func (x *prefixCacheIndex) remove(entry *cachedPrefix) {
 	entry.server.cachedPrefixes.remove(entry)
 	entries := x.entries[entry.prefix]
@@ -84,8 +84,8 @@
 	x.entries[entry.prefix] = entries
 }
 
-// match sets, at each server that has some of a prompt cached, the length of the longest cached prefix. The fields are
-// valid for the pick of that number only, so that they need no reset.
+// match sets the length of the longest cached prefix of a prompt at each server that has one. The fields are valid only
+// for the pick with that number, so that they need no reset.
 func (x *prefixCacheIndex) match(p *prompt, pickNumber uint64) {
 	for i, prefix := range p.prefixes {
 		for _, entry := range x.entries[prefix] {
@@ -93,14 +93,14 @@
 			if s.matchedPick != pickNumber {
 				s.matchedPick, s.matchedChunks, s.matchedTokens = pickNumber, 0, 0
 			}
-			if s.matchedChunks == i { // every chunk before is cached as well
+			if s.matchedChunks == i { // all earlier chunks are cached as well
 				s.matchedChunks, s.matchedTokens = i+1, p.cumulativeTokens[i]
 			}
 		}
 	}
 }
 
-// pushFront makes an entry the newest.
+// pushFront inserts an entry as the most recently used one.
 func (l *lruList) pushFront(entry *cachedPrefix) {
 	entry.older, entry.newer = l.newest, nil
 	if l.newest != nil {
@@ -113,7 +113,7 @@
 	l.tokens += entry.tokens
 }
 
-// remove unlinks an entry.
+// remove unlinks an entry from the list.
 func (l *lruList) remove(entry *cachedPrefix) {
 	if entry.newer != nil {
 		entry.newer.older = entry.older
--- a/internal/region/placement/prompt.go
+++ b/internal/region/placement/prompt.go
@@ -6,29 +6,29 @@
 	"fieldrelay/internal/region/splitmix"
 )
 
-// prefixHash is the hash of a model and of the chunks from the start of a prompt up to one of them. A server can use a
-// cached chunk only together with every chunk before it.
+// prefixHash is the hash of a model and of a prompt's chunks from the first up to one of them. A server can use a cached
+// chunk only if all chunks before it are cached too.
 type prefixHash uint64
 
-// newPrefixHash is the hash of a model and no chunk.
+// newPrefixHash returns the hash of a model without any chunk.
 func newPrefixHash(model string) prefixHash { return prefixHash(xxhash.Sum64String(model)) }
 
-// extend returns the hash of the prefix that is longer by a chunk.
+// extend returns the hash of the prefix extended by a chunk.
 func (h prefixHash) extend(chunk PromptChunk) prefixHash {
 	return prefixHash(splitmix.Mix(uint64(h)*0x9e3779b97f4a7c15 + chunk.ID))
 }
 
-// prompt is what one pick needs to know of a request's prompt.
+// prompt holds the properties of a request's prompt that a pick uses.
 type prompt struct {
-	prefixes         []prefixHash // by chunk: of the prefix that ends with it
+	prefixes         []prefixHash // by chunk: hash of the prefix that ends with it
 	cumulativeTokens []int        // by chunk: tokens of that prefix
 	totalTokens      int          // of the whole prompt
 	sharedTokens     int          // of all chunks but the last
-	memoryTokens     int          // of the whole prompt and of the answer
-	affinityKey      prefixHash   // of the shared chunks; by it the affinity server is chosen
+	memoryTokens     int          // of the whole prompt and of the longest possible answer
+	affinityKey      prefixHash   // hash of the shared chunks, which determines the affinity server
 }
 
-// reset makes p the prompt of a request and reuses its slices.
+// reset sets p to the prompt of a request, and reuses the slices of p.
 func (p *prompt) reset(request *Request) {
 	p.prefixes, p.cumulativeTokens, p.sharedTokens = p.prefixes[:0], p.cumulativeTokens[:0], 0
 	p.affinityKey = newPrefixHash(request.Model)
@@ -50,7 +50,7 @@
 	p.memoryTokens = p.totalTokens + max(request.MaxOutputTokens, 0)
 }
 
-// chunkTokens is the number of tokens of one chunk.
+// chunkTokens returns the number of tokens of one chunk.
 func (p *prompt) chunkTokens(i int) int {
 	if i == 0 {
 		return p.cumulativeTokens[0]
--- a/internal/region/placement/random_test.go
+++ b/internal/region/placement/random_test.go
@@ -13,14 +13,14 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// modelFixture is a Placer under random events, together with what the rules are checked against: the list and the zones
-// as they were last set.
+// modelFixture is a fixture for random events, with the state against which the rules are checked: the server list and
+// the evacuated zones as last set.
 type modelFixture struct {
 	*fixture
 	evacuated   map[string]bool
-	misdirected map[string]bool // answered 421
+	misdirected map[string]bool // servers that answered 421
 	open        map[AttemptID]openAttempt
-	number      int // of the next server
+	number      int // of the last server that was added
 }
 
 type openAttempt struct {
@@ -39,7 +39,7 @@
 	}
 }
 
-// listedNow returns the list's entry of a server, nil if there is none.
+// listedNow returns the entry of a server in the current list, or nil if there is none.
 func (w *modelFixture) listedNow(id string) *pb.Server {
 	i := slices.IndexFunc(w.list, func(s *pb.Server) bool { return s.GetId() == id })
 	if i < 0 {
@@ -48,7 +48,7 @@
 	return w.list[i]
 }
 
-// mayGetNew reports, by the list and the zones alone, whether a server may get a request of a route.
+// mayGetNew reports whether the list and the evacuated zones allow a request of a route to be sent to a server.
 func (w *modelFixture) mayGetNew(id, zone, routeName string) bool {
 	entry := w.listedNow(id)
 	if entry == nil || entry.GetDraining() || w.evacuated[zone] || w.misdirected[id] {
@@ -88,11 +88,11 @@
 		}
 		allowed := w.mayGetNew(entry.GetId(), entry.GetZone(), request.Route.Name) &&
 			!slices.Contains(request.Excluded, entry.GetId())
-		require.False(t, allowed, "%s could have it: %v", entry.GetId(), none)
+		require.False(t, allowed, "server %s could take the request: %v", entry.GetId(), none)
 	}
 }
 
-// anyOpen draws one of the open attempts.
+// anyOpen draws one of the open attempts, if there are any.
 func (w *modelFixture) anyOpen(t *rapid.T) (AttemptID, bool) {
 	if len(w.open) == 0 {
 		return 0, false
@@ -167,7 +167,7 @@
 	w.p.SetEvacuated(w.now, slices.Sorted(maps.Keys(w.evacuated)))
 }
 
-// check compares the counts of the servers with the open attempts.
+// check compares the counters of the servers with the open attempts.
 func (w *modelFixture) check(t *rapid.T) {
 	require.Len(t, w.p.attempts, len(w.open))
 	open, queued, reserved, unanswered := map[*server]int{}, map[*server]int{}, map[*server]int{}, map[*server]int{}
@@ -224,7 +224,7 @@
 }
 
 func TestErrorsTellWhatTheyAreAbout(t *testing.T) {
-	require.Contains(t, (&NoServerError{Service: "s", Reason: ReasonWarmingUp}).Error(), "all cold")
+	require.Contains(t, (&NoServerError{Service: "s", Reason: ReasonWarmingUp}).Error(), "all warming up")
 	require.Contains(t, (&OverloadError{Service: "s", Expected: time.Second}).Error(), "1s")
 	_, err := ParseChunks("x", nil)
 	var unreadable *ChunksError
--- a/internal/region/placement/request.go
+++ b/internal/region/placement/request.go
@@ -6,16 +6,16 @@
 	"fieldrelay/internal/region/route"
 )
 
-// Request is what placement needs to know of a client's request.
+// Request holds the properties of a client's request that placement uses.
 type Request struct {
 	Route           *route.Route
-	Service         string        // drawn from the route's split
+	Service         string        // picked by the weights of the route's split
 	Model           string        // X-Fieldrelay-Model
 	Chunks          []PromptChunk // X-Fieldrelay-Prompt-Prefix, in order
-	PromptTokens    int           // tokens of the whole prompt (X-Fieldrelay-Token-Count, first figure); 0: unknown
-	MaxOutputTokens int           // most tokens to be generated (second figure); 0: unknown
+	PromptTokens    int           // tokens of the whole prompt (X-Fieldrelay-Token-Count, first number); 0: unknown
+	MaxOutputTokens int           // maximum number of tokens to generate (second number of the same header); 0: unknown
 	Arrived         time.Duration // when the client's request was read
-	Remaining       time.Duration // until the deadline of the client or the route; ignored if not above 0
-	IsRetry         bool          // the client seems to retry a request that was rejected or failed before
-	Excluded        []string      // ids of servers that already had the request and must not get it again
+	Remaining       time.Duration // time to the deadline of the client or the route; ignored if not positive
+	IsRetry         bool          // the request appears to be a client's retry of one that was rejected or failed
+	Excluded        []string      // ids of servers to which the request was already sent and must not be sent again
 }
--- a/internal/region/placement/route_test.go
+++ b/internal/region/placement/route_test.go
@@ -9,8 +9,8 @@
 	"fieldrelay/internal/region/catalog"
 )
 
-// TestARouteWithoutAServiceIsRejected: the table keeps a route whose services cannot be read; its requests find no
-// server, which is a rejection (503) and not a missing route (404).
+// TestARouteWithoutAServiceIsRejected picks for a route whose services cannot be parsed. The table contains the route,
+// and its requests must fail for lack of a server (503) and not for lack of a route (404).
 func TestARouteWithoutAServiceIsRejected(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	odd := &pb.Item{Kind: catalog.KindRoutes, Name: "odd", Body: []byte(`{"vhost":"h","path-prefix":"/odd/","split":7}`)}
@@ -20,7 +20,7 @@
 	found, ok := table.Lookup("h", "/odd/x")
 	require.True(t, ok)
 	request := &Request{Route: found, Service: found.PickService(0.5)}
-	require.NoError(t, f.p.Admit(f.now, request), "it is not refused for the load of others")
+	require.NoError(t, f.p.Admit(f.now, request), "admission does not reject a request without a known service")
 	_, err := f.p.Pick(f.now, request)
 	var none *NoServerError
 	require.ErrorAs(t, err, &none)
--- a/internal/region/placement/selection_test.go
+++ b/internal/region/placement/selection_test.go
@@ -15,14 +15,14 @@
 	for i := range 6 {
 		seen[f.serve(f.greeting(i), asPredicted)] = true
 	}
-	require.Len(t, seen, 6, "each server of the own region")
+	require.Len(t, seen, 6, "each server of the proxy's region")
 	require.EqualValues(t, 6, f.p.Stats().Seeded)
 
 	f.list = append(f.list, listed(modelService, 9, zoneA))
 	f.relist()
 	require.Equal(t, f.list[len(f.list)-1].GetId(), f.pick(f.greeting(7)).ServerID)
 	f.pick(f.greeting(8))
-	require.EqualValues(t, 7, f.p.Stats().Seeded, "the first answer is awaited")
+	require.EqualValues(t, 7, f.p.Stats().Seeded, "no second seeding request before the first answer")
 }
 
 func TestSlowServersGetLess(t *testing.T) {
@@ -80,7 +80,7 @@
 		return Done
 	}
 	attempts := 0
-	for range 600 { // a minute
+	for range 600 { // over one minute
 		decision := f.pick(f.request(routeBalance))
 		f.now += 20 * time.Millisecond
 		if decision.ServerID == dead {
@@ -92,7 +92,7 @@
 	require.Less(t, attempts, 16, "ejections of 1, 2, 4 and then 8 s")
 	require.Greater(t, attempts, 5)
 
-	// It recovers; after its next trial it is in use again.
+	// The server recovers, and is used again after its next trial.
 	counts := map[string]int{}
 	for range 300 {
 		counts[f.serve(f.request(routeBalance), asPredicted)]++
@@ -127,7 +127,7 @@
 				require.NotEqual(t, dead, f.serve(f.request(routeBalance), asPredicted))
 			}
 			f.now += 2 * firstEjection
-			require.Equal(t, dead, f.pick(f.request(routeBalance)).ServerID, "one trial after its ejection")
+			require.Equal(t, dead, f.pick(f.request(routeBalance)).ServerID, "the trial after the ejection")
 		})
 	}
 	f := newFixture(t, 0, nil)
@@ -154,7 +154,7 @@
 	f.p.Finished(f.now, trial.Attempt, NotSent)
 
 	f.now += cautiousTrialPeriod
-	require.Equal(t, dead, f.pick(lastAttempt()).ServerID, "no other request came")
+	require.Equal(t, dead, f.pick(lastAttempt()).ServerID, "without another request, the last attempt is the trial")
 }
 
 func TestAServerWhoseAddressAnotherOneTookIsGone(t *testing.T) {
@@ -162,7 +162,7 @@
 	next.Address = old.GetAddress()
 	f := newFixture(t, 0, []*pb.Server{old, other})
 	f.list = []*pb.Server{next, old, other}
-	for range 2 { // the list still names it for some seconds
+	for range 2 { // the list contains the replaced server for some seconds more
 		f.relist()
 		seen := map[string]bool{}
 		for range 40 {
@@ -191,7 +191,7 @@
 	full := f.pick(f.request(routeBalance))
 	before := f.p.servers[full.ServerID].estimate.Speed()
 	f.now += 20 * time.Millisecond
-	f.p.Started(f.now, full.Attempt) // its first byte arrived
+	f.p.Started(f.now, full.Attempt) // the first byte of the rejection arrived
 	f.p.Finished(f.now, full.Attempt, Rejected)
 	after := f.p.servers[full.ServerID]
 	require.Less(t, after.estimate.Speed(), before)
@@ -219,7 +219,7 @@
 	gone := f.pick(f.summary(1, 1))
 	f.p.Finished(f.now, gone.Attempt, Misdirected)
 	for i := range 200 {
-		f.relist() // an old list still names it
+		f.relist() // an old list still contains the server
 		require.NotEqual(t, gone.ServerID, f.serve(f.summary(i%5, i), asPredicted))
 	}
 }
--- a/internal/region/placement/server.go
+++ b/internal/region/placement/server.go
@@ -12,51 +12,52 @@
 	"fieldrelay/internal/region/splitmix"
 )
 
-// Tuning of speeds. The speed of a server is 1 when answers come as predicted, and less when they come later.
+// Constants of the speed estimates. The speed of a server is 1 if its answers take the predicted time, and lower if they
+// take longer.
 const (
-	// speedHalfLife is the time after its last sample at which half of the difference between an estimate and the
-	// service's typical speed is disregarded: a server that failed once is tried again.
+	// speedHalfLife is the age of an estimate's last sample at which half of its difference from the service's typical
+	// speed is ignored. The aging causes a server that failed once to be tried again.
 	speedHalfLife = 6 * time.Second
-	// minSpeed and maxSpeed bound the speed that is assumed of a server.
+	// minSpeed and maxSpeed bound the assumed speed of a server.
 	minSpeed = 0.02
 	maxSpeed = 2.0
 )
 
-// server is what this proxy knows about one server (one incarnation).
+// server is the state that this proxy holds about one incarnation of a server.
 type server struct {
 	id, address, zone, region string
 
 	service  *service
 	capacity int
 	hash     uint64 // of the id
-	affinity uint64 // position in this proxy's own order of servers: higher first
+	affinity uint64 // sort key of this proxy's own order of servers, descending
 
-	listedFrom            uint64 // number of the first server list that named it
+	listedFrom            uint64 // number of the first server list that contained it
 	draining              bool
-	gone                  bool          // it left the list, or another server answers at its address
+	gone                  bool          // it is no longer in the list, or another server has its address
 	expiresAt             time.Duration // 0: unknown
 	warmingUntil          time.Duration
-	warmupReportedAt      time.Duration // when one of its answers last said that it is warming up
-	suspectedWarmingUntil time.Duration // it may have been restarted: treated as warming up until a newer list tells
-	cooldownUntil         time.Duration // it was full or seems to drain: used only if no other is left
+	warmupReportedAt      time.Duration // when one of its answers last reported that it is warming up
+	suspectedWarmingUntil time.Duration // it may have been restarted: treated as warming up until a newer list arrives
+	cooldownUntil         time.Duration // it was full or seems to be draining: used only if no other server is left
 
 	estimate            selection.Estimate
 	unanswered          []*attempt    // oldest first
 	queuedPrefillTokens int           // of the unanswered attempts
-	busyUntil           time.Duration // until then it prefills prompts that other proxies announced
-	openAttempts        int           // attempts that have not ended
-	reservedTokens      int           // most tokens that they occupy in the server's memory
-	failures            int           // weight of the failures in a row
+	busyUntil           time.Duration // expected end of the prefills that other proxies announced
+	openAttempts        int           // attempts that have not finished
+	reservedTokens      int           // maximum number of tokens that they occupy in the server's memory
+	failures            int           // total weight of the consecutive failures
 	failureReports      failureReports
-	succeededAt         time.Duration // when it last answered this proxy completely; 0: never
+	succeededAt         time.Duration // when this proxy last got a complete answer from it; 0: never
 	ejectionPeriod      time.Duration // length of the last ejection; 0 after a success
 	ejectedUntil        time.Duration
-	trialInFlight       bool // the one trial after an ejection
+	trialInFlight       bool // the only trial request after an ejection
 
 	cachedPrefixes lruList
-	matchedPick    uint64 // number of the pick that the following two belong to
-	matchedChunks  int    // chunks of the longest cached prefix of the pick's prompt
-	matchedTokens  int    // tokens of it
+	matchedPick    uint64 // number of the pick for which the following two fields are valid
+	matchedChunks  int    // number of chunks of the longest cached prefix of the pick's prompt
+	matchedTokens  int    // number of tokens of that prefix
 }
 
 func newServer(listed *pb.Server, owner *service, region string, hostHash uint64) *server {
@@ -71,8 +72,8 @@
 	}
 }
 
-// speedAt is the estimate of a server's speed at an instant. As it ages, it approaches the typical speed of the service.
-// An attempt that has waited for longer than predicted bounds it from above before the outcome is known.
+// speedAt returns the estimated speed of a server at a point in time. An aging estimate approaches the typical speed of
+// the service. An attempt that has waited longer than predicted is an upper bound before its outcome is known.
 func (p *Placer) speedAt(now time.Duration, s *server) float64 {
 	speed := s.service.typicalSpeed(s.region == p.region)
 	if s.estimate.Seeded() {
@@ -92,7 +93,7 @@
 	return min(max(speed, minSpeed), maxSpeed)
 }
 
-// warmingUp reports whether requests to the server count against the slow start limit.
+// warmingUp reports whether requests to the server count towards its slow start limit.
 func (s *server) warmingUp(now time.Duration) bool {
 	if s.service.config == nil || !s.service.config.HasSlowStart() {
 		return false
@@ -100,12 +101,12 @@
 	return now < s.warmingUntil || now < s.suspectedWarmingUntil
 }
 
-// unavailable reports whether the server is never to get a new request again.
+// unavailable reports whether no new request may be sent to the server, now or later.
 func (s *server) unavailable(now time.Duration) bool {
 	return s.gone || s.draining || (s.expiresAt > 0 && now >= s.expiresAt)
 }
 
-// removeUnanswered removes an attempt from those that wait for their first event, if it is among them.
+// removeUnanswered removes an attempt from the list of those that wait for their first event, if it is in the list.
 func (s *server) removeUnanswered(a *attempt) {
 	i := slices.Index(s.unanswered, a)
 	if i < 0 {
--- a/internal/region/placement/serverlist.go
+++ b/internal/region/placement/serverlist.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// suspectedWarmingPeriod is how long a server that may have been restarted unnoticed is treated as warming up: the lag of
-	// the platform, one poll, and the delivery of the list to this proxy.
+	// suspectedWarmingPeriod is how long a server that may have been restarted unnoticed is treated as warming up. It
+	// covers the lag of the platform, one poll interval, and the delivery of the list to this proxy.
 	suspectedWarmingPeriod = 2500 * time.Millisecond
-	// drainCooldown is how long a server that seems to drain is avoided; within it the list shows whether it does.
+	// drainCooldown is how long a server that seems to be draining is avoided. A list that arrives within this time
+	// shows whether the server is draining.
 	drainCooldown = 3 * time.Second
 )
 
-// SetServers replaces the server list by one that was read from the platform age ago. Servers that it does not name are
-// gone.
+// SetServers replaces the server list by one that was read from the platform age ago. Servers that it does not contain
+// are removed.
 func (p *Placer) SetServers(now time.Duration, servers []*pb.Server, age time.Duration) {
 	p.listNumber++
 	listed := make(map[string]bool, len(servers))
@@ -46,8 +47,8 @@
 	}
 }
 
-// retireReplaced marks servers as gone whose address an added server has: they crashed, and the list does not show that
-// yet. A server that was added by the same list as its successor is not older, and stays.
+// retireReplaced marks a server as gone if an added server has its address: it crashed, and the list does not show that
+// yet. It does not mark a server that was added by the same list as the other one, since neither is older.
 func (p *Placer) retireReplaced(added map[string]*server) {
 	if len(added) == 0 {
 		return
@@ -80,7 +81,8 @@
 	p.forgetAnnouncedPrefixes(known)
 }
 
-// updateServer applies a server's entry in a list that was read age ago. The times in it count from then.
+// updateServer applies a server's entry in a list that was read age ago. Durations in the entry are relative to that
+// time.
 func (p *Placer) updateServer(now time.Duration, known *server, entry *pb.Server, age time.Duration) {
 	known.address = entry.GetAddress()
 	known.capacity = int(entry.GetCapacity())
@@ -90,13 +92,13 @@
 		known.expiresAt = max(now-age+time.Duration(left)*time.Millisecond, 1)
 	}
 	warmingUntil := now - age + time.Duration(entry.GetWarmLeftMs())*time.Millisecond
-	if known.warmupReportedAt > now-age-suspectedWarmingPeriod { // the list may be older than the server's own report
+	if known.warmupReportedAt > now-age-suspectedWarmingPeriod { // the list may predate the server's own report
 		warmingUntil = max(warmingUntil, known.warmingUntil)
 	}
 	known.warmingUntil = warmingUntil
 }
 
-// ServerWarmingUp records for how much longer a server is warming up, by its answer (X-Fieldrelay-Warmup-Ms).
+// ServerWarmingUp records the remaining warm-up time that a server reported in an answer (X-Fieldrelay-Warmup-Ms).
 func (p *Placer) ServerWarmingUp(now time.Duration, serverID string, left time.Duration) {
 	if known := p.servers[serverID]; known != nil {
 		known.warmingUntil = max(known.warmingUntil, now+left)
@@ -105,7 +107,7 @@
 }
 
 // ServerDraining records that a server seems to be draining: its answers close the connection, or its health check
-// fails. It is avoided for a while, within which the list shows whether it drains.
+// fails. The server is avoided for drainCooldown.
 func (p *Placer) ServerDraining(now time.Duration, serverID string) {
 	if known := p.servers[serverID]; known != nil && !p.off(policy.DrainCooldown) {
 		known.cooldownUntil = max(known.cooldownUntil, now+drainCooldown)
--- a/internal/region/placement/service.go
+++ b/internal/region/placement/service.go
@@ -9,25 +9,25 @@
 	"fieldrelay/internal/region/route"
 )
 
-// Tuning of what is expected of a service.
+// Constants of the predictions for a service.
 const (
-	// initialMedian is the assumed latency of a service that serves no model.
+	// initialMedian is the assumed median latency of a service that does not serve a model, before any measurement.
 	initialMedian = 20 * time.Millisecond
 	// minMedian and maxMedian bound the measured median.
 	minMedian = time.Millisecond
 	maxMedian = 2 * time.Second
-	// medianStep is the fraction by which a sample moves the recent median.
+	// medianStep is the fraction by which each sample moves the median.
 	medianStep = 0.05
-	// defaultTargetFactor times the median is the latency target of a route that sets none.
+	// defaultTargetFactor is the latency target of a route without one, as a multiple of the median.
 	defaultTargetFactor = 4
-	// minTypicalSpeed bounds the typical speed from below: servers are not all to look alike in an outage.
+	// minTypicalSpeed is the lower bound of the typical speed. It keeps servers distinguishable during an outage.
 	minTypicalSpeed = 0.1
-	// defaultCapacity is the number of requests that a server of unknown capacity runs at once.
+	// defaultCapacity is the assumed number of concurrent requests of a server of unknown capacity.
 	defaultCapacity = 8
 )
 
-// bands of the slack: the edges of the paper (see package selection) with lower temperatures, because a cached prefix is
-// worth staying with. Half and a quarter of these temperatures were tried and showed no gain.
+// bands are the bands of the slack. They have the edges of the paper (see package selection) and lower temperatures, so
+// that requests stay at servers with a cached prefix. Temperatures of half or a quarter of these values gain nothing.
 var bands = selection.Bands{
 	Low:       selection.PaperBands.Low,
 	High:      selection.PaperBands.High,
@@ -35,22 +35,22 @@
 	TauFull:   0.1,
 }
 
-// service is what this proxy knows about one service.
+// service is the state that this proxy holds about one service.
 type service struct {
 	name         string
-	config       *route.Service // nil: the configuration does not name it
+	config       *route.Service // nil: not in the configuration
 	servers      []*server      // by descending affinity
 	slack        selection.Slack
 	walk         selection.Walk[*server]
-	localSpeed   selection.Estimate // typical speed of its servers in the own region
-	remoteSpeed  selection.Estimate // and of those in other regions
+	localSpeed   selection.Estimate // typical speed of its servers in this proxy's region
+	remoteSpeed  selection.Estimate // typical speed of its servers in other regions
 	prefill      prefillEstimator
-	median       time.Duration            // recent median of the time to the first event or byte
-	spillingOver bool                     // requests go to other regions too
-	seedSentAt   time.Duration            // when the last attempt that seeds an estimate was sent
+	median       time.Duration            // running median of the time to the first event or byte
+	spillingOver bool                     // requests are also sent to other regions
+	seedSentAt   time.Duration            // when the last attempt that seeds a speed estimate was sent
 	seedAttempt  *attempt                 // that attempt, while it is unanswered
 	rejectedAt   time.Duration            // when a server last rejected a request for being full; 0: never
-	trickledAt   map[string]time.Duration // by route: when a request was last admitted in spite of overload
+	trickledAt   map[string]time.Duration // by route: when a request was last admitted despite overload
 }
 
 func newService(name string) *service {
@@ -63,7 +63,7 @@
 	}
 }
 
-// sort restores this proxy's own order of the servers after a change, and restarts the sorted walk.
+// sort sorts the servers in this proxy's own order after a change of the list, and restarts the sorted walk.
 func (s *service) sort() {
 	slices.SortFunc(s.servers, func(x, y *server) int {
 		return cmp.Or(cmp.Compare(y.affinity, x.affinity), cmp.Compare(x.id, y.id))
@@ -71,10 +71,10 @@
 	s.walk.Reset()
 }
 
-// servesModel reports whether the service runs a model, whose servers prefill prompts.
+// servesModel reports whether the service's servers run a model, and thus prefill prompts.
 func (s *service) servesModel() bool { return s.config != nil && s.config.Runtime != nil }
 
-// typicalOf is the estimate of the typical speed in the own region or in others.
+// typicalOf returns the estimate of the typical speed of the servers in this proxy's region or in the others.
 func (s *service) typicalOf(local bool) *selection.Estimate {
 	if local {
 		return &s.localSpeed
@@ -82,7 +82,7 @@
 	return &s.remoteSpeed
 }
 
-// typicalSpeed is the assumed speed of a server that has no estimate yet; 1 until answers have come.
+// typicalSpeed returns the assumed speed of a server without an estimate. It is 1 until the first answer.
 func (s *service) typicalSpeed(local bool) float64 {
 	typical := s.typicalOf(local)
 	if !typical.Seeded() {
@@ -91,7 +91,7 @@
 	return min(max(typical.Speed(), minTypicalSpeed), maxSpeed)
 }
 
-// inTime reports whether a latency is within the target of a route.
+// inTime reports whether a latency is within the target of a route, or within the default target if it has none.
 func (s *service) inTime(r *route.Route, latency time.Duration) bool {
 	if r != nil && r.Target > 0 {
 		return latency <= r.Target
@@ -99,7 +99,7 @@
 	return latency <= defaultTargetFactor*s.median
 }
 
-// observeLatency moves the recent median by a step towards a sample.
+// observeLatency moves the running median one step towards a sample.
 func (s *service) observeLatency(latency time.Duration) {
 	step := 1 + medianStep
 	if latency < s.median {
--- a/internal/region/placement/sim_test.go
+++ b/internal/region/placement/sim_test.go
@@ -15,17 +15,17 @@
 	"fieldrelay/internal/region/route"
 )
 
-// A simulation of several proxies, each with its own Placer, in front of servers that prefill prompts one after
-// the other at a fixed rate and cache the chunks used last. It checks placement as a whole: answers in time, shared
-// chunks seldom prefilled anew, no server overloaded.
+// This file simulates several proxies, each with its own Placer, and servers that prefill prompts sequentially at a
+// fixed rate and cache the most recently used chunks. The tests check placement as a whole: answers come in time,
+// shared chunks are seldom prefilled again, and no server is overloaded.
 
-// simKind is one kind of request of the simulation.
+// simKind is a kind of request in the simulation.
 type simKind struct {
 	route       string
-	rate        float64 // a second, over all proxies
+	rate        float64 // requests per second, over all proxies
 	shared, own int     // tokens
 	subjects    int
-	streaming   time.Duration // from the first event to the last
+	streaming   time.Duration // time from the first event to the last
 }
 
 var simKinds = []simKind{
@@ -40,18 +40,18 @@
 	simMemory      = 230_000
 )
 
-// simEngine is a server of the simulation.
+// simEngine is a server in the simulation.
 type simEngine struct {
 	entry                *pb.Server
 	region               string
-	freeAt               time.Duration // when its queue will be empty
-	slow                 float64       // factor of the usual time
-	tokensPerMS          float64       // prefilled
-	memory               int           // tokens that are kept
+	freeAt               time.Duration // time at which its queue becomes empty
+	slow                 float64       // factor of the prefill time; 0: the server is down
+	tokensPerMS          float64       // prefill rate
+	memory               int           // maximum number of cached tokens
 	cached               []simChunk    // most recently used first
 	tokens               int
 	served               int
-	uncachedSharedTokens int // shared tokens that were prefilled again
+	uncachedSharedTokens int // shared tokens that were not cached and had to be prefilled
 }
 
 type simChunk struct {
@@ -59,7 +59,7 @@
 	tokens int
 }
 
-// prefill returns how many tokens of a prompt were not cached, and caches them.
+// prefill returns the numbers of all and of the shared tokens of a prompt that were not cached, and caches the prompt.
 func (e *simEngine) prefill(chunks []simChunk) (uncached, sharedUncached int) {
 	missed := false
 	for i, chunk := range chunks {
@@ -108,20 +108,20 @@
 	random        *rand.Rand
 	table         *route.Table
 	placers       []*Placer
-	zones         []string // of the proxies
+	zones         []string // zone of each proxy
 	engines       map[string]*simEngine
 	queue         simQueue
 	results       map[string]*simResult // by route
-	offeredTokens int                   // shared tokens
-	announcements bool                  // proxies of a region receive each other's announcements at once
+	offeredTokens int                   // shared tokens of all requests
+	announcements bool                  // proxies of a region immediately receive each other's announcements
 	watch         simWatch
-	// oracle stands in for the placers: it names the server of a request. nil: the placers place.
+	// oracle replaces the Placers: it chooses the server of a request. nil: the Placers choose.
 	oracle func(now time.Duration, zone string, request *Request, chunks []simChunk) *simEngine
-	// regionRoundTrip is the round trip time between regions.
+	// regionRoundTrip is the round-trip time between regions.
 	regionRoundTrip time.Duration
 }
 
-// simWatch observes what the placers decide and how attempts end; functions that are nil are not called.
+// simWatch holds callbacks for the decisions of the Placers and for the ends of attempts. Each may be nil.
 type simWatch struct {
 	rejected func(now time.Duration, proxy int, err error)
 	picked   func(now time.Duration, proxy int, decision Decision)
@@ -150,7 +150,7 @@
 	sent, inTime, rejected, failed int
 }
 
-// newSim makes proxies and servers, each spread over the zones.
+// newSim creates proxies and servers, both distributed over the zones.
 func newSim(t *testing.T, seed uint64, proxies, servers int) *sim {
 	t.Helper()
 	s := &sim{
@@ -194,7 +194,7 @@
 	heap.Push(&s.queue, simEvent{at: now + wait, run: run})
 }
 
-// load starts the arrivals of a kind at a multiple of its rate.
+// load schedules random arrivals of a kind of request at a multiple of its rate, up to a point in time.
 func (s *sim) load(kind simKind, times float64, until time.Duration) {
 	var arrive func(now time.Duration)
 	next := func(now time.Duration) {
@@ -217,7 +217,7 @@
 	}
 }
 
-// arrive hands a client's request to one of the proxies.
+// arrive sends a client's request to a random proxy.
 func (s *sim) arrive(now time.Duration, kind simKind) {
 	proxy := s.random.IntN(len(s.placers))
 	p := s.placers[proxy]
@@ -271,7 +271,7 @@
 	}
 }
 
-// serve runs an attempt at its engine.
+// serve simulates an attempt at its engine.
 func (s *sim) serve(now time.Duration, p *Placer, zone string, request *Request, kind simKind, to Decision, chunks []simChunk) {
 	engine := s.engines[to.ServerID]
 	result := s.results[kind.route]
@@ -300,7 +300,7 @@
 	})
 }
 
-// serve prefills a prompt behind those that wait, and returns when its first event is with the proxy.
+// serve prefills a prompt after those that are queued, and returns the time at which its first event reaches the proxy.
 func (e *simEngine) serve(now, roundTrip time.Duration, chunks []simChunk) (first time.Duration) {
 	e.served++
 	uncached, sharedUncached := e.prefill(chunks)
@@ -313,7 +313,7 @@
 	return time.Duration(float64(tokens) / e.tokensPerMS * e.slow * float64(time.Millisecond))
 }
 
-// roundTrip is the round trip time between a zone and a server.
+// roundTrip returns the round-trip time between a zone and a server.
 func (s *sim) roundTrip(zone string, engine *simEngine) time.Duration {
 	switch {
 	case engine.region != regions[zone]:
@@ -334,7 +334,7 @@
 	return total
 }
 
-// uncachedShare is the fraction of the offered shared tokens that servers had to prefill.
+// uncachedShare returns the fraction of the shared tokens of all requests that servers had to prefill.
 func (s *sim) uncachedShare() float64 {
 	uncached := 0
 	for _, engine := range s.engines {
@@ -357,7 +357,7 @@
 	for _, kind := range simKinds {
 		t.Logf("%s: %s %+v", name, kind.route, *s.results[kind.route])
 	}
-	t.Logf("%s: %d sent, %.4f in time, %.4f refused, %.4f failed, %.3f of shared tokens read, %.3f to another region",
+	t.Logf("%s: %d sent, %.4f in time, %.4f rejected, %.4f failed, %.3f of shared tokens uncached, %.3f to another region",
 		name, total.sent, float64(total.inTime)/float64(total.sent), float64(total.rejected)/float64(total.sent),
 		float64(total.failed)/float64(total.sent), s.uncachedShare(), s.otherRegionShare())
 }
@@ -365,13 +365,13 @@
 func TestSimulatedLoads(t *testing.T) {
 	cases := map[string]struct {
 		proxies, servers int
-		times            float64 // of the load
+		times            float64 // factor of the arrival rates
 		disturb          func(s *sim)
-		inTime           float64 // share, at least
-		uncached         float64 // shared tokens that servers prefill, as a share, at most
-		rejected         float64 // share, at most
+		inTime           float64 // minimum share of requests
+		uncached         float64 // maximum share of shared tokens that were not cached
+		rejected         float64 // maximum share of requests
 	}{
-		// Two regions prefill each of 187 shared chunks once: 0.2 of the tokens of a quiet day.
+		// Each of two regions prefills 187 shared chunks once, which is 0.2 of the shared tokens of "quiet".
 		"quiet": {proxies: 7, servers: 10, times: 1, inTime: 0.995, uncached: 0.27},
 		"busy":  {proxies: 7, servers: 10, times: 2, inTime: 0.99, uncached: 0.19},
 		"full":  {proxies: 7, servers: 10, times: 4, inTime: 0.93, uncached: 0.18, rejected: 0.01},
@@ -400,13 +400,13 @@
 			total := s.totals()
 			sent := float64(total.sent)
 			require.GreaterOrEqual(t, float64(total.inTime)/sent, c.inTime, "in time")
-			require.LessOrEqual(t, s.uncachedShare(), c.uncached, "read")
-			require.LessOrEqual(t, float64(total.rejected)/sent, c.rejected, "refused")
+			require.LessOrEqual(t, s.uncachedShare(), c.uncached, "uncached")
+			require.LessOrEqual(t, float64(total.rejected)/sent, c.rejected, "rejected")
 		})
 	}
 }
 
-// TestAnnouncementsKeepRequestsFromServersInPrefill plays the same days with and without announcements.
+// TestAnnouncementsKeepRequestsFromServersInPrefill simulates the same loads with and without announcements.
 func TestAnnouncementsKeepRequestsFromServersInPrefill(t *testing.T) {
 	late := func(seed uint64, announcements bool) float64 {
 		s := newSim(t, seed, 67, 90)
@@ -427,7 +427,7 @@
 	require.Less(t, with, without*3/4)
 }
 
-// disturb makes some servers slow, or down when slow is 0, for ten seconds.
+// disturb slows down some servers by a factor, or stops them if slow is 0, for ten seconds.
 func (s *sim) disturb(at time.Duration, servers int, slow float64) {
 	names := make([]string, 0, len(s.engines))
 	for name := range s.engines {
--- a/internal/region/placement/stats.go
+++ b/internal/region/placement/stats.go
@@ -1,16 +1,16 @@
 package placement
 
-// Stats counts what a Placer did since its start.
+// Stats holds the counters of a Placer since its creation.
 type Stats struct {
-	Attempts              uint64 // opened
-	Seeded                uint64 // picked to seed an estimate, or as a trial after an ejection
-	Drawn                 uint64 // picked by softmax
-	Walked                uint64 // picked by the sorted walk
-	WarmingUp             uint64 // sent to a server that was warming up
-	OtherRegion           uint64 // sent to another region
+	Attempts              uint64 // attempts opened
+	Seeded                uint64 // picks that seed a speed estimate or are a trial after an ejection
+	Drawn                 uint64 // picks by softmax
+	Walked                uint64 // picks by the sorted walk
+	WarmingUp             uint64 // attempts at servers that were warming up
+	OtherRegion           uint64 // attempts in another region
 	Ejections             uint64
 	AnnouncementsReceived uint64                 // announcements received from other proxies
-	FailureReports        uint64                 // failures of servers reported by other proxies
+	FailureReports        uint64                 // failure reports received from other proxies
 	Overloaded            uint64                 // requests that Admit rejected
 	InTime                uint64                 // requests answered in time
 	Late                  uint64                 // requests answered late or not at all
@@ -18,5 +18,5 @@
 	Outcomes              [NotSent + 1]uint64    // attempts by outcome
 }
 
-// Stats returns the counts so far.
+// Stats returns a copy of the current counters.
 func (p *Placer) Stats() Stats { return p.stats }
--- a/internal/region/placement/table_bench_test.go
+++ b/internal/region/placement/table_bench_test.go
@@ -16,8 +16,8 @@
 	benchRoutes   = 2900
 )
 
-// BenchmarkSetTable applies a configuration of 2,900 routes and 60 services beside 3,100 servers. Requests wait
-// meanwhile, since there is one lock.
+// BenchmarkSetTable measures the application of a configuration of 2,900 routes and 60 services with 3,100 servers. The
+// time matters because requests wait for the Placer's lock.
 func BenchmarkSetTable(b *testing.B) {
 	f, table := largeFixture(b)
 	b.ReportAllocs()
@@ -26,7 +26,7 @@
 	}
 }
 
-// BenchmarkSetEvacuated applies the evacuation of one zone.
+// BenchmarkSetEvacuated measures the evacuation of one zone.
 func BenchmarkSetEvacuated(b *testing.B) {
 	f, _ := largeFixture(b)
 	zones := []string{zoneB}
