--- a/internal/region/placement/random_test.go
+++ b/internal/region/placement/random_test.go
@@ -223,7 +223,7 @@
 	require.Equal(t, run(), run())
 }
 
-func TestErrorsTellWhatTheyAreAbout(t *testing.T) {
+func TestErrorsNameTheirSubjects(t *testing.T) {
 	require.Contains(t, (&NoServerError{Service: "s", Reason: ReasonWarmingUp}).Error(), "all warming up")
 	require.Contains(t, (&OverloadError{Service: "s", Expected: time.Second}).Error(), "1s")
 	_, err := ParseChunks("x", nil)
