--- a/internal/region/proxy/snapshot.go
+++ b/internal/region/proxy/snapshot.go
@@ -44,7 +44,7 @@
 }
 
 // setTable sets a new routing table in a snapshot.
-func (u *update) setTable(next *snapshot, built route.Built) {
+func (u *update) setTable(next *snapshot, built route.RebuildResult) {
 	next.table = built.Table
 	u.tableChanged = true
 	u.rejected = append(u.rejected, built.LeftOut...)
--- a/internal/region/route/table.go
+++ b/internal/region/route/table.go
@@ -28,8 +28,8 @@
 // Empty returns a table without any item.
 func Empty() *Table { return emptyTable }
 
-// Built is the result of Rebuild: the new table and the errors of the items that were added.
-type Built struct {
+// RebuildResult is the result of Rebuild: the new table and the errors of the items that were added.
+type RebuildResult struct {
 	Table *Table
 	// LeftOut holds the errors of items that cannot be used. The table contains neither these items nor the earlier items
 	// with their names.
@@ -55,7 +55,7 @@
 //
 // The table depends only on the items in force. An item with an unusable body therefore does not keep the earlier item of
 // its name in place: the change has superseded that item, and a proxy that starts now would not have it.
-func (t *Table) Rebuild(upserts []*pb.Item, removals []*pb.ItemKey, replacesAll bool) Built {
+func (t *Table) Rebuild(upserts []*pb.Item, removals []*pb.ItemKey, replacesAll bool) RebuildResult {
 	change := newChange(t, replacesAll)
 	for _, item := range upserts {
 		change.remove(item.GetKind(), item.GetName())
@@ -120,7 +120,7 @@
 type change struct {
 	table        *Table          // the new table
 	mutableHosts map[string]bool // hosts that were cloned for the new table, and so may be modified
-	built        Built
+	built        RebuildResult
 }
 
 func newChange(old *Table, replacesAll bool) *change {
@@ -131,7 +131,7 @@
 		maps.Copy(next.hosts, old.hosts)
 		maps.Copy(next.services, old.services)
 	}
-	return &change{table: next, mutableHosts: map[string]bool{}, built: Built{Table: next}}
+	return &change{table: next, mutableHosts: map[string]bool{}, built: RebuildResult{Table: next}}
 }
 
 // remove removes an item, if the table contains it.
--- a/internal/region/route/table_test.go
+++ b/internal/region/route/table_test.go
@@ -179,7 +179,7 @@
 			bad := item(catalog.KindRoutes, "bad", c.body)
 			changed := before.Rebuild([]*pb.Item{bad}, nil, false)
 			whole := Empty().Rebuild([]*pb.Item{bad, routeItem("good", "h", "/good/")}, nil, false)
-			for _, built := range []Built{changed, whole} {
+			for _, built := range []RebuildResult{changed, whole} {
 				require.Empty(t, built.PartiallyApplied)
 				require.Len(t, built.LeftOut, 1)
 				requireProblem(t, built.LeftOut[0], "bad", []string{c.want.Field}, "not applied")
