--- a/internal/region/lag/episode.go
+++ b/internal/region/lag/episode.go
@@ -18,7 +18,7 @@
 // running. An Episode is not safe for concurrent use.
 type Episode struct {
 	running bool
-	longest time.Duration
+	peak    time.Duration
 }
 
 // Update compares the current value with the threshold, and reports whether an episode began or ended. A value equal to
@@ -27,16 +27,16 @@
 	switch above := value > threshold; {
 	case above && !e.running:
 		e.running = true
-		e.longest = value
+		e.peak = value
 		return Began
 	case !above && e.running:
 		e.running = false
 		return Ended
 	case above:
-		e.longest = max(e.longest, value)
+		e.peak = max(e.peak, value)
 	}
 	return Unchanged
 }
 
 // Longest returns the highest value in the running episode, or in the previous one if none is running.
-func (e *Episode) Longest() time.Duration { return e.longest }
+func (e *Episode) Longest() time.Duration { return e.peak }
