--- a/internal/region/agent/lag.go
+++ b/internal/region/agent/lag.go
@@ -106,7 +106,7 @@
 	case lag.Ended:
 		logger.Info("replica caught up",
 			zap.Uint64("sequence", m.applied.Newest()),
-			zap.Duration("max_lag", m.replicaEpisode.Longest()),
+			zap.Duration("max_lag", m.replicaEpisode.Peak()),
 			zap.Stringer("source", m.lastSource))
 	}
 }
@@ -122,7 +122,7 @@
 	case lag.Ended:
 		logger.Info("proxy caught up",
 			zap.Uint64("proxy_sequence", m.reported.sequence),
-			zap.Duration("max_lag", m.proxyEpisode.Longest()))
+			zap.Duration("max_lag", m.proxyEpisode.Peak()))
 	}
 }
 
@@ -136,7 +136,7 @@
 	case lag.Ended:
 		logger.Info("state confirmed",
 			zap.Uint64("sequence", m.applied.Newest()),
-			zap.Duration("max_unconfirmed", m.unconfirmedEpisode.Longest()))
+			zap.Duration("max_unconfirmed", m.unconfirmedEpisode.Peak()))
 	}
 }
 
--- a/internal/region/lag/episode.go
+++ b/internal/region/lag/episode.go
@@ -38,5 +38,5 @@
 	return Unchanged
 }
 
-// Longest returns the highest value in the running episode, or in the previous one if none is running.
-func (e *Episode) Longest() time.Duration { return e.peak }
+// Peak returns the highest value in the running episode, or in the previous one if none is running.
+func (e *Episode) Peak() time.Duration { return e.peak }
--- a/internal/region/lag/episode_test.go
+++ b/internal/region/lag/episode_test.go
@@ -26,7 +26,7 @@
 		require.Equal(t, step.transition, episode.Update(step.value, threshold), "step %d", index)
 		require.Equal(t, index >= 2 && index <= 4, episode.running)
 	}
-	require.Equal(t, 3*time.Second, episode.Longest())
+	require.Equal(t, 3*time.Second, episode.Peak())
 	require.Equal(t, Began, episode.Update(2*time.Second, threshold))
-	require.Equal(t, 2*time.Second, episode.Longest(), "the highest value of the second episode alone")
+	require.Equal(t, 2*time.Second, episode.Peak(), "the highest value of the second episode alone")
 }
--- a/internal/region/registry/lag_agent.go
+++ b/internal/region/registry/lag_agent.go
@@ -52,5 +52,5 @@
 		return actions
 	}
 	a.violated = false
-	return append(actions, AgentCaughtUp{Host: host, Reported: a.sequence, LongestLag: a.episode.Longest(), LostContact: true})
+	return append(actions, AgentCaughtUp{Host: host, Reported: a.sequence, LongestLag: a.episode.Peak(), LostContact: true})
 }
--- a/internal/region/registry/lag_monitor.go
+++ b/internal/region/registry/lag_monitor.go
@@ -157,7 +157,7 @@
 		}}
 	case lag.Ended:
 		agent.violated = false
-		return []Action{AgentCaughtUp{Host: host, Reported: agent.sequence, LongestLag: agent.episode.Longest()}}
+		return []Action{AgentCaughtUp{Host: host, Reported: agent.sequence, LongestLag: agent.episode.Peak()}}
 	}
 	return nil
 }
