--- a/internal/region/placement/digest_test.go
+++ b/internal/region/placement/digest_test.go
@@ -11,10 +11,11 @@
 	"fieldrelay/internal/testkit/digesttest"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs anew")
+var update = flag.Bool("update", false, "record the digests of the runs")
 
-// A change that should change no behaviour changes no pick, no rejection and none of their figures.
-func TestSimulatedDaysHaveTheRecordedDigests(t *testing.T) {
+// A change that does not intend to change the behaviour must not change any pick, any rejection, or the values that they
+// return.
+func TestSimulatedLoadsHaveTheRecordedDigests(t *testing.T) {
 	days := map[string]struct {
 		proxies, servers int
 		times            float64
@@ -70,7 +71,7 @@
 	case errors.As(err, &none):
 		recorder.Entry(now, "none:"+reasonLabel(none.Reason)).Number(uint64(proxy)).Text(none.Service).Time(none.RetryAfter)
 	default:
-		t.Errorf("a rejection that the digests do not know: %v", err)
+		t.Errorf("recordRejection got an error of an unknown type: %v", err)
 	}
 }
 
@@ -92,20 +93,20 @@
 	return "unknown"
 }
 
-// The events are those of the test with random events, drawn from a seed: all outcomes, servers that are added,
-// removed and drain, zones that are evacuated.
+// The events are those of TestRulesAndAccountsHoldUnderRandomEvents, drawn from a seed: all outcomes, servers that are
+// added, removed or draining, and zones that are evacuated.
 func TestPicksUnderSeededEventsHaveTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "events", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(10 * time.Second)
 		for seed := range uint64(4) {
-			playEvents(t, recorder, rand.New(rand.NewPCG(seed, 5)))
+			runSeededEvents(t, recorder, rand.New(rand.NewPCG(seed, 5)))
 		}
 		return recorder
 	})
 }
 
-func playEvents(t *testing.T, recorder *digesttest.Recorder, random *rand.Rand) {
-	w := newWorld(t)
+func runSeededEvents(t *testing.T, recorder *digesttest.Recorder, random *rand.Rand) {
+	w := newModelFixture(t)
 	var open []AttemptID
 	zones := []string{zoneA, zoneB, zoneE}
 	outcomes := []Outcome{Rejected, Rejected, Failed, Reset, TimedOut, Unreachable, Canceled, NotSent}
@@ -145,7 +146,7 @@
 	recorder.Entry(w.now, "slack").Float(w.p.Slack())
 }
 
-func (w *world) pickSeeded(t *testing.T, recorder *digesttest.Recorder, random *rand.Rand) (AttemptID, bool) {
+func (w *modelFixture) pickSeeded(t *testing.T, recorder *digesttest.Recorder, random *rand.Rand) (AttemptID, bool) {
 	routes := []string{routeSummary, routeHelp, routeGreeting, routeEast, routeBalance}
 	request := w.request(routes[random.IntN(len(routes))], PromptChunk{1, 800}, PromptChunk{uint64(random.IntN(10)), 5000}, PromptChunk{7, 1000})
 	if len(w.list) > 0 && random.IntN(3) == 0 {
@@ -160,8 +161,8 @@
 	return decision.Attempt, true
 }
 
-// changeSeeded adds or removes a server, or changes whether one drains.
-func (w *world) changeSeeded(random *rand.Rand) {
+// changeSeeded adds or removes a server, or changes whether one is draining.
+func (w *modelFixture) changeSeeded(random *rand.Rand) {
 	w.list = slices.Clone(w.list)
 	draw := random.IntN(5)
 	switch {
--- a/internal/region/placement/locality_test.go
+++ b/internal/region/placement/locality_test.go
@@ -15,18 +15,18 @@
 	first, second := newFixture(t, 0, westAndEast()), newFixture(t, 1, westAndEast())
 	first.warm()
 	second.warm()
-	same, affine := 0, map[string]int{}
+	same, byServer := 0, map[string]int{}
 	for i := range 10 * subjects {
 		at := first.serve(first.summary(i%subjects, i), asPredicted)
 		if at == second.serve(second.summary(i%subjects, -i), asPredicted) {
 			same++
 		}
-		affine[at]++
+		byServer[at]++
 	}
 	require.Greater(t, same, 360, "of 370")
-	require.Len(t, affine, 6)
-	for home, count := range affine {
-		require.Greater(t, count, 10, home)
+	require.Len(t, byServer, 6)
+	for server, count := range byServer {
+		require.Greater(t, count, 10, server)
 	}
 }
 
@@ -34,7 +34,7 @@
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
 	seen := map[string]int{}
-	for i := range 24 { // all at once
+	for i := range 24 { // concurrently
 		seen[f.pick(f.summary(1, i)).ServerID]++
 	}
 	require.Greater(t, len(seen), 1)
@@ -53,7 +53,7 @@
 	require.Zero(t, f.p.Stats().OtherRegion)
 }
 
-func TestAnotherRegionHelpsWhenTheOwnIsFarBehindAndNotForLittle(t *testing.T) {
+func TestRequestsSpillOverOnlyWhileTheOwnRegionIsFarSlower(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
 	slow := func(server string) float64 {
@@ -67,7 +67,7 @@
 	}
 	spilled := f.p.Stats().OtherRegion
 	require.Greater(t, spilled, uint64(100))
-	for i := range 200 { // the west recovers
+	for i := range 200 { // the servers in the west recover
 		f.serve(f.greeting(i), asPredicted)
 	}
 	spilled = f.p.Stats().OtherRegion
@@ -101,7 +101,7 @@
 	require.Greater(t, counts[zoneB], 100)
 }
 
-func TestAnAttemptIsLookedAtOnceMoreBeforeItIsSent(t *testing.T) {
+func TestAnAttemptIsCheckedAgainBeforeItIsSent(t *testing.T) {
 	cases := map[string]func(f *fixture, decision Decision){
 		"draining": func(f *fixture, decision Decision) {
 			i := slices.IndexFunc(f.list, func(s *pb.Server) bool { return s.GetId() == decision.ServerID })
@@ -136,12 +136,12 @@
 			change(f, decision)
 			require.False(t, f.p.StillAllowed(f.now, decision.Attempt))
 			f.p.Finished(f.now, decision.Attempt, NotSent)
-			require.False(t, f.p.StillAllowed(f.now, decision.Attempt), "closed")
+			require.False(t, f.p.StillAllowed(f.now, decision.Attempt), "the attempt is closed")
 		})
 	}
 }
 
-// warmingUpServers lists model servers of zone a, each warming up for some time.
+// warmingUpServers returns a list of model servers in zoneA, each of which is warming up for a remaining time.
 func warmingUpServers(count int, left time.Duration) []*pb.Server {
 	var servers []*pb.Server
 	for i := range count {
@@ -168,7 +168,7 @@
 		for i := range 100 {
 			seen[f.serve(f.greeting(i), asPredicted)] = true
 		}
-		require.Contains(t, seen, servers[0].GetId(), "warm by now")
+		require.Contains(t, seen, servers[0].GetId(), "the server is warmed up now")
 	}
 	require.LessOrEqual(t, total, 19)
 	require.Positive(t, total)
@@ -176,10 +176,10 @@
 
 func TestServersAllWarmingUpAreUsedWithinTheLimit(t *testing.T) {
 	perServer := map[string]int{}
-	refused := 0
+	rejected := 0
 	for host := range members {
 		f := newFixture(t, host, warmingUpServers(6, time.Minute))
-		f.now += 10 * time.Second // the members have been the same for long enough
+		f.now += 10 * time.Second // the quota members have been unchanged for long enough
 		first := f.now
 		for i := 0; f.now < first+time.Second; i++ {
 			request := f.greeting(i)
@@ -189,7 +189,7 @@
 				require.ErrorAs(t, err, &none)
 				require.Equal(t, ReasonWarmingUp, none.Reason)
 				require.Positive(t, none.RetryAfter)
-				refused++
+				rejected++
 			} else {
 				require.True(t, f.p.StillAllowed(f.now, decision.Attempt))
 				perServer[decision.ServerID]++
@@ -198,15 +198,15 @@
 			f.now += 20 * time.Millisecond
 		}
 	}
-	require.Positive(t, refused)
+	require.Positive(t, rejected)
 	require.Len(t, perServer, 6)
 	for server, count := range perServer {
 		require.LessOrEqual(t, count, 18, server)
 	}
 }
 
-func TestServersOfAZoneThatIsTakenBackMayBeCold(t *testing.T) {
-	sends := func(host int) int {
+func TestServersOfAZoneWhoseEvacuationEndsMayBeWarmingUp(t *testing.T) {
+	requestsFrom := func(host int) int {
 		f := newFixture(t, host, westAndEast())
 		f.warm()
 		f.p.SetEvacuated(f.now, []string{zoneB})
@@ -224,13 +224,14 @@
 	}
 	total := 0
 	for host := range members {
-		total += sends(host)
+		total += requestsFrom(host)
 	}
-	require.LessOrEqual(t, total, 3*mostFirstSends)
+	require.LessOrEqual(t, total, 3*maxFirstRequests)
 }
 
-// mostFirstSends is the most first requests, one from each proxy with a share, that a server that is warming up may get.
-const mostFirstSends = 3
+// maxFirstRequests is the maximum number of first requests, one from each proxy with a share, to a server that is
+// warming up.
+const maxFirstRequests = 3
 
 func TestAServersOwnWarmupReportCounts(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
@@ -241,21 +242,21 @@
 	require.True(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now+time.Second-1))
 	require.False(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now+time.Second))
 	f.now += 500 * time.Millisecond
-	f.relist() // a list that may be older than the server's report
+	f.relist() // the list may be older than the server's report
 	require.True(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now))
 	f.p.ServerWarmingUp(f.now, f.list[0].GetId(), time.Minute)
 	f.now += 2 * suspectedWarmingPeriod
 	f.relist()
-	require.False(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now), "a newer list knows better")
+	require.False(t, f.p.servers[f.list[0].GetId()].warmingUp(f.now), "a list newer than the report takes precedence")
 }
 
 func TestAServerThatSeemsToDrainIsAvoided(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
-	leaving := f.list[0].GetId()
-	f.p.ServerDraining(f.now, leaving)
+	draining := f.list[0].GetId()
+	f.p.ServerDraining(f.now, draining)
 	for i := range 100 {
-		require.NotEqual(t, leaving, f.pick(f.greeting(i)).ServerID)
+		require.NotEqual(t, draining, f.pick(f.greeting(i)).ServerID)
 	}
 }
 
--- a/internal/region/placement/selection_test.go
+++ b/internal/region/placement/selection_test.go
@@ -15,14 +15,14 @@
 	for i := range 6 {
 		seen[f.serve(f.greeting(i), asPredicted)] = true
 	}
-	require.Len(t, seen, 6, "each server of the own region")
+	require.Len(t, seen, 6, "each server of the proxy's region")
 	require.EqualValues(t, 6, f.p.Stats().Seeded)
 
 	f.list = append(f.list, listed(modelService, 9, zoneA))
 	f.relist()
 	require.Equal(t, f.list[len(f.list)-1].GetId(), f.pick(f.greeting(7)).ServerID)
 	f.pick(f.greeting(8))
-	require.EqualValues(t, 7, f.p.Stats().Seeded, "the first answer is awaited")
+	require.EqualValues(t, 7, f.p.Stats().Seeded, "no second seeding request before the first answer")
 }
 
 func TestSlowServersGetLess(t *testing.T) {
@@ -80,7 +80,7 @@
 		return Done
 	}
 	attempts := 0
-	for range 600 { // a minute
+	for range 600 { // over one minute
 		decision := f.pick(f.request(routeBalance))
 		f.now += 20 * time.Millisecond
 		if decision.ServerID == dead {
@@ -92,7 +92,7 @@
 	require.Less(t, attempts, 16, "ejections of 1, 2, 4 and then 8 s")
 	require.Greater(t, attempts, 5)
 
-	// It recovers; after its next trial it is in use again.
+	// The server recovers, and is used again after its next trial.
 	counts := map[string]int{}
 	for range 300 {
 		counts[f.serve(f.request(routeBalance), asPredicted)]++
@@ -101,8 +101,8 @@
 	require.Greater(t, counts[dead], 50)
 }
 
-func TestAServerOutOfReachRestsAtOnce(t *testing.T) {
-	for name, tell := range map[string]func(f *fixture, dead string){
+func TestAnUnreachableServerIsEjectedAtOnce(t *testing.T) {
+	for name, report := range map[string]func(f *fixture, dead string){
 		"by an attempt": func(f *fixture, dead string) {
 			for {
 				decision := f.pick(f.request(routeBalance))
@@ -121,13 +121,13 @@
 			for range 6 {
 				f.serve(f.request(routeBalance), asPredicted)
 			}
-			tell(f, dead)
+			report(f, dead)
 			require.EqualValues(t, 1, f.p.Stats().Ejections)
 			for began := f.now; f.now < began+firstEjection; {
 				require.NotEqual(t, dead, f.serve(f.request(routeBalance), asPredicted))
 			}
 			f.now += 2 * firstEjection
-			require.Equal(t, dead, f.pick(f.request(routeBalance)).ServerID, "one trial after its ejection")
+			require.Equal(t, dead, f.pick(f.request(routeBalance)).ServerID, "the trial after the ejection")
 		})
 	}
 	f := newFixture(t, 0, nil)
@@ -137,7 +137,7 @@
 func TestATrialIsForRequestsThatMayGoToAnotherServer(t *testing.T) {
 	f := newFixture(t, 0, []*pb.Server{listed(plainService, 0, zoneA), listed(plainService, 1, zoneA)})
 	dead := f.list[0].GetId()
-	lastTry := func() *Request {
+	lastAttempt := func() *Request {
 		request := f.request(routeBalance)
 		once := *request.Route
 		once.MaxAttempts = 1
@@ -147,14 +147,14 @@
 	f.p.ServerUnreachable(f.now, dead)
 	f.now += 2 * firstEjection
 	for range 20 {
-		require.NotEqual(t, dead, f.serve(lastTry(), func(string) float64 { return 0.1 }))
+		require.NotEqual(t, dead, f.serve(lastAttempt(), func(string) float64 { return 0.1 }))
 	}
 	trial := f.pick(f.request(routeBalance))
 	require.Equal(t, dead, trial.ServerID)
 	f.p.Finished(f.now, trial.Attempt, NotSent)
 
 	f.now += cautiousTrialPeriod
-	require.Equal(t, dead, f.pick(lastTry()).ServerID, "no other request came")
+	require.Equal(t, dead, f.pick(lastAttempt()).ServerID, "without another request, the last attempt is the trial")
 }
 
 func TestAServerWhoseAddressAnotherOneTookIsGone(t *testing.T) {
@@ -162,7 +162,7 @@
 	next.Address = old.GetAddress()
 	f := newFixture(t, 0, []*pb.Server{old, other})
 	f.list = []*pb.Server{next, old, other}
-	for range 2 { // the list still names it for some seconds
+	for range 2 { // the list contains the replaced server for some seconds more
 		f.relist()
 		seen := map[string]bool{}
 		for range 40 {
@@ -191,7 +191,7 @@
 	full := f.pick(f.request(routeBalance))
 	before := f.p.servers[full.ServerID].estimate.Speed()
 	f.now += 20 * time.Millisecond
-	f.p.Started(f.now, full.Attempt) // its first byte arrived
+	f.p.Started(f.now, full.Attempt) // the first byte of the rejection arrived
 	f.p.Finished(f.now, full.Attempt, Rejected)
 	after := f.p.servers[full.ServerID]
 	require.Less(t, after.estimate.Speed(), before)
@@ -204,14 +204,14 @@
 func TestAnAnswerThatIsOverdueCountsBeforeItsEnd(t *testing.T) {
 	f := newFixture(t, 0, westAndEast())
 	f.warm()
-	dark := f.pick(f.greeting(0))
+	overdue := f.pick(f.greeting(0))
 	f.now += time.Second
 	for i := range 100 {
 		server := f.serve(f.greeting(i), asPredicted)
-		require.NotEqual(t, dark.ServerID, server)
+		require.NotEqual(t, overdue.ServerID, server)
 	}
-	f.p.Finished(f.now, dark.Attempt, Canceled)
-	require.Less(t, f.p.servers[dark.ServerID].estimate.Speed(), 0.6)
+	f.p.Finished(f.now, overdue.Attempt, Canceled)
+	require.Less(t, f.p.servers[overdue.ServerID].estimate.Speed(), 0.6)
 }
 
 func TestAMisdirectedServerGetsNothingMore(t *testing.T) {
@@ -219,7 +219,7 @@
 	gone := f.pick(f.summary(1, 1))
 	f.p.Finished(f.now, gone.Attempt, Misdirected)
 	for i := range 200 {
-		f.relist() // an old list still names it
+		f.relist() // an old list still contains the server
 		require.NotEqual(t, gone.ServerID, f.serve(f.summary(i%5, i), asPredicted))
 	}
 }
--- a/internal/region/route/accepted_test.go
+++ b/internal/region/route/accepted_test.go
@@ -11,13 +11,14 @@
 	"fieldrelay/internal/region/route"
 )
 
-// orderOf is a complete configuration of generation 1 with some routes and one service, "s1" beside "s2".
-func orderOf(service string, routes ...string) []byte {
+// configurationOf returns a complete configuration of generation 1 with the given routes and service, and a second
+// service "s2".
+func configurationOf(service string, routes ...string) []byte {
 	return fmt.Appendf(nil, `{"gen":1,"routes":[%s],"backends":[%s,{"name":"s2"}],"req-limits":{"max-body-bytes":4096}}`,
 		strings.Join(routes, ","), service)
 }
 
-// routeText is a route to "s1" with further members behind the ones that it needs, so that they come last.
+// routeText returns a route to "s1" whose further members come after the required ones, and so override them.
 func routeText(name string, members ...string) string {
 	all := append([]string{
 		fmt.Sprintf(`"name":%q`, name),
@@ -28,7 +29,7 @@
 	return "{" + strings.Join(all, ",") + "}"
 }
 
-// accept returns the state that a configuration leads to, or false if validation rejects it.
+// accept returns the state after the replacement by a configuration, or false if validation rejects the configuration.
 func accept(t require.TestingT, body []byte) (*catalog.Snapshot, bool) {
 	empty := catalog.Empty()
 	change, err := catalog.PrepareReplace(empty, empty.Generation(), body)
@@ -40,8 +41,8 @@
 	return state, true
 }
 
-// TestTableServesEveryRouteThatValidationAccepts takes each unusual member of a route through validation. What is
-// accepted has to be served, by the service that it names: a route that the table leaves out is answered 404.
+// TestTableServesEveryRouteThatValidationAccepts validates routes with unusual members. A route that validation accepts
+// must be in the table and lead to its service. Otherwise its requests would be answered 404.
 func TestTableServesEveryRouteThatValidationAccepts(t *testing.T) {
 	cases := map[string]string{
 		"unknown kind":                    `"route-kind":"odd"`,
@@ -49,47 +50,47 @@
 		"kind that is null":               `"route-kind":null`,
 		"kind that is a number":           `"route-kind":7`,
 		"negative target":                 `"target-ms":-1`,
-		"target of another form":          `"target-ms":"800"`,
+		"target that is a string":         `"target-ms":"800"`,
 		"target that is null":             `"target-ms":null`,
 		"target beyond a float":           `"target-ms":1e999`,
 		"negative priority":               `"prio":-1`,
 		"priority that is a list":         `"prio":[1]`,
 		"negative tries":                  `"tries":-1`,
 		"no tries":                        `"tries":0`,
-		"tries of another form":           `"tries":"2"`,
+		"tries as a string":               `"tries":"2"`,
 		"negative gap":                    `"gap_aim_ms":-0.5`,
 		"gap that is an object":           `"gap_aim_ms":{}`,
 		"pinned as a number":              `"pinned":1`,
-		"resumable as a word":             `"resumable":"true"`,
-		"homes as a word":                 `"home-regions":"cz"`,
-		"homes with null":                 `"home-regions":[null]`,
-		"homes as numbers":                `"home-regions":[1]`,
-		"homes that are null":             `"home-regions":null`,
+		"resumable as a string":           `"resumable":"true"`,
+		"home regions as a string":        `"home-regions":"cz"`,
+		"home regions with null":          `"home-regions":[null]`,
+		"home regions as numbers":         `"home-regions":[1]`,
+		"home regions that are null":      `"home-regions":null`,
 		"huge deadline":                   `"deadline-ms":1e300`,
-		"deadline twice, first odd":       `"deadline-ms":"x","deadline-ms":5`,
+		"deadline twice, first invalid":   `"deadline-ms":"x","deadline-ms":5`,
 		"deadline twice, first 0":         `"deadline-ms":0,"deadline-ms":5`,
 		"split of an unknown member":      `"split":[{"backend":"s1","share":1,"later":"x"}]`,
 		"split with a share of 0":         `"split":[{"backend":"s1","share":1},{"backend":"s2","share":0}]`,
 		"split without a share":           `"split":[{"backend":"s1","share":1},{"backend":"s2"}]`,
 		"split of shares beyond a float":  `"split":[{"backend":"s1","share":1.5e308},{"backend":"s2","share":1.5e308}]`,
-		"split twice, first odd":          `"split":"x","split":[{"backend":"s1","share":1}]`,
+		"split twice, first invalid":      `"split":"x","split":[{"backend":"s1","share":1}]`,
 		"split, then null":                `"split":[{"backend":"s2","share":1}],"split":null`,
 		"empty split":                     `"split":[]`,
-		"member of another case, odd":     `"Tries":"x"`,
+		"member of another case, invalid": `"Tries":"x"`,
 		"service of another case":         `"Backend":"s2"`,
 		"prefix of another case":          `"Path-Prefix":"/elsewhere/"`,
 		"member that is unknown":          `"later":{"x":[1]}`,
 		"escaped name of a member":        `"tri\u0065s":2`,
-		"host twice, first odd":           `"vhost":7,"vhost":"h.example"`,
+		"host twice, first invalid":       `"vhost":7,"vhost":"h.example"`,
 		"host with a port":                `"vhost":"h.example:80"`,
 		"host of another case and a port": `"vhost":"H.Example:80"`,
 		"host that is not ASCII":          `"vhost":"H\u00c9.example"`,
 	}
 	for name, members := range cases {
 		t.Run(name, func(t *testing.T) {
-			state, valid := accept(t, orderOf(`{"name":"s1"}`, routeText("r", members)))
+			state, valid := accept(t, configurationOf(`{"name":"s1"}`, routeText("r", members)))
 			if !valid {
-				return // 400 is an answer that says what is wrong
+				return // the operator gets an answer 400 that names the fault
 			}
 			table, faults := route.FromItems(itemsOf(state))
 			require.Empty(t, faults)
@@ -99,44 +100,44 @@
 					host = strings.Replace(host, "H.", "H\u00c9.", 1)
 				}
 				found, ok := table.Lookup(host, "/r/x")
-				require.True(t, ok, "%s is answered 404", host)
+				require.True(t, ok, "the table has no route for host %s", host)
 				require.Equal(t, "s1", found.PickService(0))
 			}
 		})
 	}
 }
 
-// TestTableKeepsEveryServiceAndLimitThatValidationAccepts does the same for the other items that requests depend on.
+// TestTableKeepsEveryServiceAndLimitThatValidationAccepts does the same for services and request limits.
 func TestTableKeepsEveryServiceAndLimitThatValidationAccepts(t *testing.T) {
 	services := map[string]string{
-		"negative connections":  `{"name":"s1","max-conns":-1}`,
-		"connections as a word": `{"name":"s1","max-conns":"370"}`,
-		"path as a number":      `{"name":"s1","health-path":7}`,
-		"runtime as a word":     `{"name":"s1","runtime":"m"}`,
-		"models as words":       `{"name":"s1","runtime":{"capacity":4,"models":["m"]}}`,
-		"negative warm-up":      `{"name":"s1","warmup-s":-1}`,
+		"negative connections":    `{"name":"s1","max-conns":-1}`,
+		"connections as a string": `{"name":"s1","max-conns":"370"}`,
+		"path as a number":        `{"name":"s1","health-path":7}`,
+		"runtime as a string":     `{"name":"s1","runtime":"m"}`,
+		"models as strings":       `{"name":"s1","runtime":{"capacity":4,"models":["m"]}}`,
+		"negative warm-up":        `{"name":"s1","warmup-s":-1}`,
 	}
 	for name, service := range services {
 		t.Run(name, func(t *testing.T) {
-			state, valid := accept(t, orderOf(service, routeText("r")))
+			state, valid := accept(t, configurationOf(service, routeText("r")))
 			if !valid {
 				return
 			}
 			table, faults := route.FromItems(itemsOf(state))
 			require.Empty(t, faults)
 			_, ok := table.Service("s1")
-			require.True(t, ok, "the service is left out")
+			require.True(t, ok, "the table must contain the service")
 		})
 	}
 	limits := map[string]string{
-		"negative":           `{"max-body-bytes":4096,"keepalive-ms":-1}`,
-		"header as a word":   `{"max-body-bytes":4096,"max-header-bytes":"16384"}`,
-		"time as a list":     `{"max-body-bytes":4096,"header-read-ms":[]}`,
-		"of another case":    `{"max-body-bytes":4096,"Max-Body-Bytes":1}`,
-		"with null":          `{"max-body-bytes":4096,"keepalive-ms":null}`,
-		"with one it lacks":  `{"max-body-bytes":4096,"later":{}}`,
-		"of another form":    `{"max-body-bytes":4096.0}`,
-		"twice, the last on": `{"max-body-bytes":"x","max-body-bytes":4096}`,
+		"negative":               `{"max-body-bytes":4096,"keepalive-ms":-1}`,
+		"header as a string":     `{"max-body-bytes":4096,"max-header-bytes":"16384"}`,
+		"time as a list":         `{"max-body-bytes":4096,"header-read-ms":[]}`,
+		"of another case":        `{"max-body-bytes":4096,"Max-Body-Bytes":1}`,
+		"with null":              `{"max-body-bytes":4096,"keepalive-ms":null}`,
+		"with an unknown member": `{"max-body-bytes":4096,"later":{}}`,
+		"as a decimal number":    `{"max-body-bytes":4096.0}`,
+		"twice, the last valid":  `{"max-body-bytes":"x","max-body-bytes":4096}`,
 	}
 	for name, text := range limits {
 		t.Run("limits/"+name, func(t *testing.T) {
@@ -152,8 +153,8 @@
 	}
 }
 
-// TestNoTwoRoutesThatValidationAcceptsShareAMatch uses hosts that differ only in port or case: the table ignores
-// both, so that validation has to.
+// TestNoTwoRoutesThatValidationAcceptsShareAMatch validates routes whose hosts differ only in port or case. The table
+// ignores both, so that validation has to treat the hosts as equal.
 func TestNoTwoRoutesThatValidationAcceptsShareAMatch(t *testing.T) {
 	pairs := map[string][2]string{
 		"a port":          {"h.example", "h.example:80"},
@@ -164,7 +165,7 @@
 	}
 	for name, hosts := range pairs {
 		t.Run(name, func(t *testing.T) {
-			state, valid := accept(t, orderOf(`{"name":"s1"}`,
+			state, valid := accept(t, configurationOf(`{"name":"s1"}`,
 				fmt.Sprintf(`{"name":"a","vhost":%q,"path-prefix":"/x/","backend":"s1"}`, hosts[0]),
 				fmt.Sprintf(`{"name":"b","vhost":%q,"path-prefix":"/x/","backend":"s2"}`, hosts[1])))
 			if !valid {
@@ -174,7 +175,7 @@
 			require.Empty(t, faults)
 			first, _ := table.Lookup(hosts[0], "/x/y")
 			second, _ := table.Lookup(hosts[1], "/x/y")
-			require.Equal(t, []string{"a", "b"}, []string{first.Name, second.Name}, "one route hides the other")
+			require.Equal(t, []string{"a", "b"}, []string{first.Name, second.Name}, "both routes must be found")
 		})
 	}
 }
