--- a/internal/region/control/assemble.go
+++ b/internal/region/control/assemble.go
@@ -23,7 +23,7 @@
 		local:   local,
 		replica: chain.NewReplica(local.identity(), state.chain, local.incarnation),
 	}
-	machine.joinParts()
+	machine.wireParts()
 	machine.voter.acceptor = state.restoreAcceptor()
 	machine.disk.schedule = snapshotSchedule{
 		// behind a snapshot, no record is of an earlier version of this program
@@ -56,15 +56,15 @@
 	return local, isNew
 }
 
-// joinParts makes the parts and gives each the others that it uses.
-func (m *Machine) joinParts() {
-	m.joinPeers()
-	m.joinAgreement()
-	m.joinOrders()
-	m.joinCoordination()
+// wireParts makes the parts and gives each the others that it uses.
+func (m *Machine) wireParts() {
+	m.wirePeers()
+	m.wireAgreement()
+	m.wireOrders()
+	m.wireCoordination()
 }
 
-func (m *Machine) joinPeers() {
+func (m *Machine) wirePeers() {
 	m.peers = &peerTable{clock: m.clock, local: m.local, known: make(map[string]*peer)}
 	m.output = &stepOutput{local: m.local, peers: m.peers, replica: m.replica, deliverLocally: m.handle}
 	m.disk = &diskQueue{clock: m.clock, output: m.output, snapshot: m.snapshot}
@@ -78,7 +78,7 @@
 	}
 }
 
-func (m *Machine) joinAgreement() {
+func (m *Machine) wireAgreement() {
 	m.electorate = &electorate{
 		local: m.local, replica: m.replica, output: m.output, seeds: m.config.Seeds, peerAddress: m.config.PeerAddress,
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-func (m *Machine) joinCoordination() {
+func (m *Machine) wireCoordination() {
 	m.coordination = &coordinationHost{
 		clock: m.clock, peers: m.peers, planner: m.planner, replica: m.replica, disk: m.disk, output: m.output,
 	}
@@ -111,7 +111,7 @@
 	m.planner.coordination = m.coordination
 }
 
-func (m *Machine) joinOrders() {
+func (m *Machine) wireOrders() {
 	m.ids = &idSequence{}
 	m.checks = &quorumChecks{
 		clock: m.clock, replica: m.replica, electorate: m.electorate, output: m.output, ids: m.ids,
--- a/internal/region/control/chainreads.go
+++ b/internal/region/control/chainreads.go
@@ -21,17 +21,17 @@
 	if r.checks.contains(from, order.GetId()) {
 		return
 	}
-	least, found := r.leastSequence()
+	minSequence, found := r.minSequence()
 	if !found {
 		r.output.sendResult(from, unavailable(order.GetId()))
 		return
 	}
-	r.checks.beginRead(from, order, least)
+	r.checks.beginRead(from, order, minSequence)
 }
 
-// leastSequence is the sequence of a state that has whatever was acknowledged until now; false if none is known here. At
+// minSequence is the sequence of a state that has whatever was acknowledged until now; false if none is known here. At
 // the tail it is committed. Another member holds changes besides that may not be committed yet.
-func (r *chainReads) leastSequence() (uint64, bool) {
+func (r *chainReads) minSequence() (uint64, bool) {
 	if viewInForce(r.replica) == nil || !r.replica.IsMember() || !r.replica.Synchronized() {
 		return 0, false
 	}
--- a/internal/region/control/confirmation.go
+++ b/internal/region/control/confirmation.go
@@ -51,7 +51,7 @@
 	if !needsConfirmation(order) {
 		return true
 	}
-	c.discardUseless()
+	c.discardInvalid()
 	index := slices.IndexFunc(c.issued, func(issued confirmation) bool {
 		return issued.origin == from.GetIdentity() && issued.id == order.GetId()
 	})
@@ -88,8 +88,8 @@
 	c.output.sendResult(to, &pb.OrderResult{Id: order.GetId(), Status: statusConfirm, Body: token})
 }
 
-// discardUseless forgets the tokens that are expired or superseded.
-func (c *confirmations) discardUseless() {
+// discardInvalid forgets the tokens that are expired or superseded.
+func (c *confirmations) discardInvalid() {
 	c.issued = slices.DeleteFunc(c.issued, func(issued confirmation) bool {
 		return c.clock.now >= issued.expires || c.isTokenSuperseded(issued.zone, issued.token)
 	})
--- a/internal/region/control/electorate.go
+++ b/internal/region/control/electorate.go
@@ -15,8 +15,8 @@
 	peerAddress func(controlAddress string) string
 }
 
-// base is the view whose voters decide on the next one.
-func (e *electorate) base() *pb.View {
+// decidingView is the view whose voters decide on the next one.
+func (e *electorate) decidingView() *pb.View {
 	if view := viewInForce(e.replica); view != nil {
 		return view
 	}
@@ -29,12 +29,12 @@
 	if viewInForce(e.replica) == nil && !e.local.bootstrap {
 		return false
 	}
-	return quorum.VoterIndex(e.base(), e.local.replica) != quorum.NotFound
+	return quorum.VoterIndex(e.decidingView(), e.local.replica) != quorum.NotFound
 }
 
 // sendToAll sends to all voters on the next view, this machine included.
 func (e *electorate) sendToAll(message *pb.Message) {
-	for _, voter := range e.base().GetVoters() {
+	for _, voter := range e.decidingView().GetVoters() {
 		e.sendTo(voter, message)
 	}
 }
--- a/internal/region/control/founding.go
+++ b/internal/region/control/founding.go
@@ -79,7 +79,7 @@
 	if present == len(f.seeds) {
 		return f.clock.uptime() >= founderGatherWindow
 	}
-	return present >= quorum.Majority(f.electorate.base()) && f.clock.uptime() >= partialFoundingDelay
+	return present >= quorum.Majority(f.electorate.decidingView()) && f.clock.uptime() >= partialFoundingDelay
 }
 
 // firstView is the view to propose: all founders vote, seeds first if there are too many. Each call draws another name
--- a/internal/region/control/headorders.go
+++ b/internal/region/control/headorders.go
@@ -39,7 +39,7 @@
 		return
 	}
 	if !h.isHead() && viewInForce(h.replica) != nil {
-		h.keepEarly(from, order)
+		h.bufferEarly(from, order)
 		return
 	}
 	if !h.acceptsOrders() || len(h.queue.orders) >= maxPendingOrders {
@@ -54,9 +54,9 @@
 	})
 }
 
-// keepEarly keeps an order that came before the view by which this machine is the head, and sends the origin the view in
+// bufferEarly keeps an order that came before the view by which this machine is the head, and sends the origin the view in
 // force, in case it is the origin that is behind.
-func (h *headOrders) keepEarly(from *pb.Replica, order *pb.Order) {
+func (h *headOrders) bufferEarly(from *pb.Replica, order *pb.Order) {
 	if len(h.early) < maxPendingOrders {
 		h.early = append(h.early, &headOrder{from: from, order: order, expires: h.clock.now + earlyOrderTimeout})
 	}
--- a/internal/region/control/heartbeat.go
+++ b/internal/region/control/heartbeat.go
@@ -46,7 +46,7 @@
 			h.output.sendTo(address, identity, message)
 		}
 	}
-	if h.isSettled() {
+	if h.isConnectedVoter() {
 		return
 	}
 	for _, seed := range h.contacts {
@@ -72,8 +72,8 @@
 	}}}
 }
 
-// isSettled reports whether this machine votes and is in contact with a majority: it need not ask the seeds.
-func (h *heartbeats) isSettled() bool {
+// isConnectedVoter reports whether this machine votes and is in contact with a majority: it need not ask the seeds.
+func (h *heartbeats) isConnectedVoter() bool {
 	view := viewInForce(h.replica)
 	return quorum.VoterIndex(view, h.local.replica) != quorum.NotFound && h.peers.hasMajority(view)
 }
--- a/internal/region/control/machine.go
+++ b/internal/region/control/machine.go
@@ -9,7 +9,7 @@
 )
 
 // Machine is a control machine's part in agreement and replication, as a state machine without I/O. It consists of parts
-// with one concern each, which joinParts joins; a part names the other parts that it uses as its first fields. A
+// with one concern each, which wireParts joins; a part names the other parts that it uses as its first fields. A
 // Machine is not safe for concurrent use.
 type Machine struct {
 	config Config
@@ -135,7 +135,7 @@
 // order, on which recorded runs of the simulation rest.
 func (m *Machine) tick() {
 	if gap, stalled := m.clock.tick(); stalled {
-		m.peers.excuseStall(gap)
+		m.peers.compensateStall(gap)
 		m.proposer.observeStall()
 	}
 	m.peers.expire(m.View())
@@ -158,7 +158,7 @@
 		return
 	}
 	if to := message.GetToIdentity(); to != "" && to != m.local.identity() {
-		m.observeStranger(from)
+		m.observeMisaddressed(from)
 		return
 	}
 	cluster := m.View().GetCluster()
@@ -174,9 +174,9 @@
 	m.handle(message)
 }
 
-// observeStranger records a machine that looks for an earlier identity of this one: a machine that has lost its disk,
+// observeMisaddressed records a machine that looks for an earlier identity of this one: a machine that has lost its disk,
 // and whose seeds are gone, finds the others by that.
-func (m *Machine) observeStranger(from *pb.Replica) {
+func (m *Machine) observeMisaddressed(from *pb.Replica) {
 	if m.View() == nil {
 		m.peers.observe(from)
 	}
--- a/internal/region/control/originorders.go
+++ b/internal/region/control/originorders.go
@@ -41,7 +41,7 @@
 // submit accepts an order of the operator and forwards it. An order that may have waited for a stalled process is
 // refused: its caller may have given up, and may have ordered something else since.
 func (o *originOrders) submit(event OrderSubmitted) {
-	if cause := o.obstacle(); cause != "" {
+	if cause := o.rejectionCause(); cause != "" {
 		o.output.add(Reply{Request: event.Request, Result: unavailable(0), Cause: cause})
 		return
 	}
@@ -62,8 +62,8 @@
 	o.forward(pending)
 }
 
-// obstacle is why no order is accepted now; empty: none is in the way.
-func (o *originOrders) obstacle() UnavailableCause {
+// rejectionCause is why no order is accepted now; empty: none is in the way.
+func (o *originOrders) rejectionCause() UnavailableCause {
 	switch {
 	case !o.peers.hasMajority(viewInForce(o.replica)):
 		return CauseNoMajority
@@ -89,7 +89,7 @@
 	target := o.replica.Head()
 	if pending.order.GetKind() == pb.Order_KIND_READ {
 		target = o.readTarget(len(pending.earlierTargets))
-		o.nameHeldState(pending)
+		o.attachHeldState(pending)
 	}
 	pending.target = target.GetIdentity()
 	if target != nil {
@@ -121,9 +121,9 @@
 	return 1
 }
 
-// nameHeldState names to a member what this machine holds itself: if that is the newest state, the configuration, which
+// attachHeldState names to a member what this machine holds itself: if that is the newest state, the configuration, which
 // may be large, need not come from there.
-func (o *originOrders) nameHeldState(pending *pendingOrder) {
+func (o *originOrders) attachHeldState(pending *pendingOrder) {
 	pending.heldState = o.replica.Committed()
 	pending.order = &pb.Order{
 		Id:   pending.order.GetId(),
@@ -180,7 +180,7 @@
 		o.answer(pending, readResult(result.GetId(), pending.heldState))
 	case isUnansweredRead(pending, result) && pending.target != from.GetIdentity():
 		// the member that was asked last may still answer
-	case isUnansweredRead(pending, result) && o.hasFurtherMember(pending):
+	case isUnansweredRead(pending, result) && o.hasUntriedMember(pending):
 		o.forwardAgain(pending)
 	default:
 		o.answer(pending, result)
@@ -192,8 +192,8 @@
 	return pending.order.GetKind() == pb.Order_KIND_READ && result.GetStatus() == http.StatusServiceUnavailable
 }
 
-// hasFurtherMember reports whether the chain has a member that a read was not forwarded to yet.
-func (o *originOrders) hasFurtherMember(pending *pendingOrder) bool {
+// hasUntriedMember reports whether the chain has a member that a read was not forwarded to yet.
+func (o *originOrders) hasUntriedMember(pending *pendingOrder) bool {
 	return len(pending.earlierTargets)+1 < len(viewInForce(o.replica).GetChain())
 }
 
--- a/internal/region/control/peers.go
+++ b/internal/region/control/peers.go
@@ -85,9 +85,9 @@
 	return found
 }
 
-// excuseStall moves each last contact forward by the time that this process was stalled: the silence of that time is
+// compensateStall moves each last contact forward by the time that this process was stalled: the silence of that time is
 // not the peers' own.
-func (t *peerTable) excuseStall(gap time.Duration) {
+func (t *peerTable) compensateStall(gap time.Duration) {
 	for _, found := range t.known {
 		found.lastContact = min(found.lastContact+gap, t.clock.now)
 	}
--- a/internal/region/control/proposer.go
+++ b/internal/region/control/proposer.go
@@ -103,7 +103,7 @@
 	if p.voter.hasUndecided() {
 		return true
 	}
-	if p.planner.isComplete() {
+	if p.planner.isOptimal() {
 		return false
 	}
 	wanted, change := p.planner.wantedView()
@@ -131,7 +131,7 @@
 // order lists the voters in the order in which they propose: first the members of the chain that are leaving, which know
 // best why another view is wanted, then the other members, then the rest.
 func (p *proposer) order() []*pb.Replica {
-	base := p.electorate.base()
+	base := p.electorate.decidingView()
 	var leaving, members, others []*pb.Replica
 	for _, member := range base.GetChain() {
 		if p.planner.isLeaving(member.GetIdentity()) {
@@ -166,7 +166,7 @@
 		highest = p.voter.acceptor.Promised()
 	}
 	name := p.local.replica.GetHost() + "/" + p.local.identity() + "/" + strconv.FormatUint(p.local.incarnation, 36)
-	proposal := quorum.NewProposer(p.electorate.base(), quorum.NextProposalNumber(highest, name))
+	proposal := quorum.NewProposer(p.electorate.decidingView(), quorum.NextProposalNumber(highest, name))
 	p.proposal = proposal
 	p.begunAt = p.clock.now
 	p.electorate.sendToAll(&pb.Message{Body: &pb.Message_Prepare{Prepare: proposal.Prepare()}})
@@ -182,7 +182,7 @@
 	if p.proposal.Phase() == quorum.Accepting {
 		message = &pb.Message{Body: &pb.Message_Accept{Accept: p.proposal.Accept()}}
 	}
-	for index, voter := range p.electorate.base().GetVoters() {
+	for index, voter := range p.electorate.decidingView().GetVoters() {
 		if p.proposal.AwaitsVoter(index) && !p.local.is(voter) && p.isLive(voter) {
 			p.electorate.sendTo(voter, message)
 		}
--- a/internal/region/control/quorumcheck.go
+++ b/internal/region/control/quorumcheck.go
@@ -45,8 +45,8 @@
 
 // checkedRead is a read whose result waits: it tells the committed state.
 type checkedRead struct {
-	least uint64 // sequence that the state must have reached
-	held  uint64 // sequence of the state that the origin holds
+	minSequence    uint64 // sequence that the state must have reached
+	originSequence uint64 // sequence of the state that the origin holds
 }
 
 // begin asks the voters; the result leaves when a majority has agreed.
@@ -55,9 +55,9 @@
 }
 
 // beginRead asks the voters; the result leaves when a majority has agreed and the state has reached a sequence.
-func (c *quorumChecks) beginRead(to *pb.Replica, order *pb.Order, least uint64) {
+func (c *quorumChecks) beginRead(to *pb.Replica, order *pb.Order, minSequence uint64) {
 	result := &pb.OrderResult{Id: order.GetId(), Status: http.StatusOK}
-	c.add(to, result, &checkedRead{least: least, held: order.GetHeld()})
+	c.add(to, result, &checkedRead{minSequence: minSequence, originSequence: order.GetHeld()})
 }
 
 func (c *quorumChecks) add(to *pb.Replica, result *pb.OrderResult, read *checkedRead) {
@@ -129,7 +129,7 @@
 	if !check.agreed || check.read == nil {
 		return check.agreed
 	}
-	return c.replica.KnowsCommitted() && c.replica.Committed().Sequence() >= check.read.least
+	return c.replica.KnowsCommitted() && c.replica.Committed().Sequence() >= check.read.minSequence
 }
 
 // outcome is the result, with the configuration if it is that of a read whose origin lacks it.
@@ -138,7 +138,7 @@
 		return check.result
 	}
 	committed := c.replica.Committed()
-	if check.read.held == committed.Sequence() {
+	if check.read.originSequence == committed.Sequence() {
 		check.result.HeldIsNewest = true
 		return check.result
 	}
--- a/internal/region/control/viewplan.go
+++ b/internal/region/control/viewplan.go
@@ -86,9 +86,9 @@
 	return 0
 }
 
-// isComplete reports, at little cost, whether the view in force cannot be bettered: the chain is as long as it may be,
+// isOptimal reports, at little cost, whether the view in force cannot be bettered: the chain is as long as it may be,
 // all voters are live, stay and have a disk that works, and no machine waits to vote.
-func (p *viewPlanner) isComplete() bool {
+func (p *viewPlanner) isOptimal() bool {
 	view := viewInForce(p.replica)
 	if len(view.GetChain()) != min(len(view.GetVoters()), chain.MaxLength) {
 		return false
@@ -103,11 +103,11 @@
 			return false
 		}
 	}
-	return !p.hasJoiner()
+	return !p.hasNonVoter()
 }
 
-// hasJoiner reports whether a live machine does not vote.
-func (p *viewPlanner) hasJoiner() bool {
+// hasNonVoter reports whether a live machine does not vote.
+func (p *viewPlanner) hasNonVoter() bool {
 	for identity := range p.peers.known {
 		if p.peers.isLive(identity) && quorum.IndexOf(viewInForce(p.replica).GetVoters(), identity) == quorum.NotFound {
 			return true
