--- a/internal/region/control/actions.go
+++ b/internal/region/control/actions.go
@@ -6,31 +6,31 @@
 	"fieldrelay/internal/region/ring"
 )
 
-// Action is something that a Machine asks its shell to do.
+// Action is an instruction of a Machine to its shell.
 type Action interface{ isAction() }
 
-// Send asks for a message to be sent; it may be lost.
+// Send asks the shell to send a message; the message may be lost.
 type Send struct {
 	Address string // ip:port of the receiver's peer service
 	Message *pb.Message
 }
 
-// Persist asks for records to be put on disk, after those of all earlier Persist actions. If Snapshot is set, it stands
-// for everything so far, Records included.
+// Persist asks the shell to write records to disk, after those of all earlier Persist actions. If Snapshot is set, it
+// replaces everything so far, including Records.
 type Persist struct {
 	Token    uint64
 	Records  []ring.Record
 	Snapshot []byte
 }
 
-// Reply answers an OrderSubmitted. Each is answered exactly once unless there was an OrderCanceled.
+// Reply answers an OrderSubmitted. Each OrderSubmitted is answered exactly once unless an OrderCanceled follows it.
 type Reply struct {
 	Request uint64
 	Result  *pb.OrderResult
-	Cause   UnavailableCause // of a 503
+	Cause   UnavailableCause // of a 503; empty otherwise
 }
 
-// CallReply answers a CallSubmitted. Each is answered exactly once unless there was a CallCanceled.
+// CallReply answers a CallSubmitted. Each CallSubmitted is answered exactly once unless a CallCanceled follows it.
 type CallReply struct {
 	Request uint64
 	Result  *pb.CoordinationResult
@@ -39,15 +39,15 @@
 // Committed reports a newer committed state.
 type Committed struct {
 	Snapshot *catalog.Snapshot
-	// Changes lead from the state of the Committed before to this one; nil when they are not kept. The first time, they
-	// are those that are kept.
+	// Changes lead from the state of the previous Committed to this one; nil if they are not retained any more. In the
+	// first Committed, they are all the retained changes.
 	Changes []*pb.Change
 }
 
-// ViewChanged reports the view that is in force from now on.
+// ViewChanged reports that a view has come into force.
 type ViewChanged struct{ View *pb.View }
 
-// HeartbeatReceived passes on the soft state of another machine.
+// HeartbeatReceived passes on the soft state in the heartbeat of another machine.
 type HeartbeatReceived struct {
 	From      *pb.Replica
 	Heartbeat *pb.Heartbeat
@@ -56,7 +56,7 @@
 // ServerListReceived passes on a server list from another machine.
 type ServerListReceived struct{ List *pb.ServerList }
 
-// Left reports, once after Leave, that the machine need not run any longer.
+// Left reports, once after Leave, that the process may end.
 type Left struct {
 	Agreed bool // a view without it is in force, and the replicas required are elsewhere
 }
--- a/internal/region/control/assemble.go
+++ b/internal/region/control/assemble.go
@@ -10,7 +10,8 @@
 	"fieldrelay/internal/region/ring"
 )
 
-// NewMachine resumes from what the ring held. The error is a *RecordError if that cannot be read.
+// NewMachine creates a Machine from the recovered content of the ring. The error is a *RecordError if a record cannot
+// be decoded.
 func NewMachine(config Config, recovered *ring.Recovered) (*Machine, error) {
 	state, err := recoverState(recovered)
 	if err != nil {
@@ -26,17 +27,17 @@
 	machine.wireParts()
 	machine.voter.acceptor = state.restoreAcceptor()
 	machine.disk.schedule = snapshotSchedule{
-		// behind a snapshot, no record is of an earlier version of this program
+		// a snapshot at the start replaces records that an earlier version of this program wrote
 		due:        isNew || state.migrated,
 		maxRecords: cmp.Or(config.SnapshotRecords, snapshotRecords),
 	}
 	machine.coordination.restore(state.registers)
 	machine.origin.lastID = config.Random.Uint64()
-	machine.ids.last = config.Random.Uint64() >> 1 // it must not wrap
+	machine.ids.last = config.Random.Uint64() >> 1 // halved so that it cannot overflow
 	return machine, nil
 }
 
-// newLocalMachine takes the identity from the disk, or draws one if that is empty; isNew reports the latter.
+// newLocalMachine uses the identity on disk, or draws a new one if the disk is empty; isNew reports the latter.
 func newLocalMachine(config Config, state durableState) (local *localMachine, isNew bool) {
 	local = &localMachine{bootstrap: state.bootstrap, incarnation: config.Random.Uint64()}
 	identity := state.identity
@@ -56,7 +57,7 @@
 	return local, isNew
 }
 
-// wireParts makes the parts and gives each the others that it uses.
+// wireParts creates the parts and gives each the other parts that it uses.
 func (m *Machine) wireParts() {
 	m.wirePeers()
 	m.wireAgreement()
--- a/internal/region/control/authoritygap.go
+++ b/internal/region/control/authoritygap.go
@@ -3,15 +3,15 @@
 // AuthorityGap names what a machine lacks to be authoritative; empty: nothing.
 type AuthorityGap string
 
-// What a machine may lack, in the order in which it is looked for.
+// Reasons why a machine is not authoritative, in the order in which they are checked.
 const (
 	// GapNone: the machine is authoritative.
 	GapNone AuthorityGap = ""
-	// GapView: no view is known here.
+	// GapView: the machine knows no view.
 	GapView AuthorityGap = "view"
-	// GapState: the state of the view in force has not come from the predecessor yet.
+	// GapState: the state of the view in force has not arrived from the predecessor in the chain yet.
 	GapState AuthorityGap = "state"
-	// GapCommit: the state is here, but not what of it is committed.
+	// GapCommit: the machine holds the state, but does not know how much of it is committed.
 	GapCommit AuthorityGap = "commit"
 	// GapMajority: heartbeats of a majority of the voters are missing.
 	GapMajority AuthorityGap = "majority heartbeats"
@@ -21,6 +21,6 @@
 	GapLaterView AuthorityGap = "later view"
 	// GapChanges: committed changes that heartbeats advertise are missing.
 	GapChanges AuthorityGap = "changes"
-	// GapTick: the loop of the node does not run.
+	// GapTick: the loop of the node is stalled.
 	GapTick AuthorityGap = "tick"
 )
--- a/internal/region/control/chainreads.go
+++ b/internal/region/control/chainreads.go
@@ -5,9 +5,9 @@
 	"fieldrelay/internal/region/chain"
 )
 
-// chainReads are the reads that arrive at this machine as a member of the chain: whatever an operator's order was
-// acknowledged for is on the disks of all members. A quorum check before the answer makes sure that there is no later
-// chain.
+// chainReads handles the reads that arrive at this machine as a member of the chain. Every member has each acknowledged
+// change on disk, so any of them can answer; a quorum check before the answer ensures that no later view, with another
+// chain, exists.
 type chainReads struct {
 	local   *localMachine
 	replica *chain.Replica
@@ -15,8 +15,8 @@
 	checks  *quorumChecks
 }
 
-// receive takes a read that was forwarded to this machine. An origin that holds the newest state itself gets only
-// this information.
+// receive begins a read that was forwarded to this machine. An origin that holds the newest committed state itself is
+// told only that, and does not get the configuration.
 func (r *chainReads) receive(from *pb.Replica, order *pb.Order) {
 	if r.checks.contains(from, order.GetId()) {
 		return
@@ -29,8 +29,9 @@
 	r.checks.beginRead(from, order, minSequence)
 }
 
-// minSequence is the sequence of a state that has whatever was acknowledged until now; false if none is known here. At
-// the tail it is committed. Another member holds changes besides that may not be committed yet.
+// minSequence returns the sequence from which on a state contains everything that was acknowledged until now; false if
+// this machine cannot tell. At the tail it is the committed sequence. Another member also holds changes that may not be
+// committed yet, so it uses the sequence of its newest change, which must be committed before the read is answered.
 func (r *chainReads) minSequence() (uint64, bool) {
 	if viewInForce(r.replica) == nil || !r.replica.IsMember() || !r.replica.Synchronized() {
 		return 0, false
--- a/internal/region/control/clock.go
+++ b/internal/region/control/clock.go
@@ -5,21 +5,21 @@
 const (
 	// TickInterval is the time between two Tick events.
 	TickInterval = 150 * time.Millisecond
-	// stallThreshold is the gap between two ticks from which this machine takes itself for stalled: it, and not the
-	// peers that it received nothing from, did not run.
+	// stallThreshold is the gap between two ticks from which on this process counts as stalled: the silence of its
+	// peers then says nothing about them.
 	stallThreshold = 4 * TickInterval
-	// stallGracePeriod is how long after a stall no orders are accepted: they may have waited for the machine while
-	// their senders gave up.
+	// stallGracePeriod is the time after a stall in which no orders are accepted: they may have waited for the process
+	// while their senders gave up.
 	stallGracePeriod = 500 * time.Millisecond
 )
 
-// clock is the time of the event that is being handled, and what the ticks show of stalls of this process (the local
-// health of SWIM's Lifeguard). Machine sets it; the parts of the Machine only read it.
+// clock holds the time of the event that is being handled, and detects stalls of this process by the gaps between ticks
+// (like the local health of SWIM's Lifeguard). Only Machine changes it; the parts read it.
 type clock struct {
 	now       time.Duration
 	startedAt time.Duration
 	lastTick  time.Duration
-	lastStall time.Duration // when the last tick after a stall came; 0: there was no stall
+	lastStall time.Duration // time of the first tick after the last stall; 0: there was none
 	ticks     uint64
 }
 
@@ -28,7 +28,7 @@
 	c.lastTick = c.now
 }
 
-// tick records a tick. It returns the time since the one before, and whether this process was stalled meanwhile.
+// tick records a tick. It returns the time since the previous one, and whether this process was stalled in between.
 func (c *clock) tick() (gap time.Duration, stalled bool) {
 	gap = c.now - c.lastTick
 	c.lastTick = c.now
@@ -43,8 +43,9 @@
 // uptime is the time since the Started event.
 func (c *clock) uptime() time.Duration { return c.now - c.startedAt }
 
-// isStalled reports whether what arrives now may have waited for this process while it did not run. That is so shortly
-// after a stall, and also before the first tick after it: the messages that queued up may be handled before that tick.
+// isStalled reports whether an event that arrives now may have waited while this process was stalled. That holds for
+// stallGracePeriod after the first tick after a stall, and also before that tick, because queued messages may be
+// handled first.
 func (c *clock) isStalled() bool {
 	afterStall := c.lastStall > 0 && c.now-c.lastStall < stallGracePeriod
 	return afterStall || c.now-c.lastTick >= stallThreshold
--- a/internal/region/control/compression.go
+++ b/internal/region/control/compression.go
@@ -11,23 +11,23 @@
 
 const (
 	gzipName = "gzip"
-	// minCompressedBytes is the size from which on a delivery is compressed: configurations shrink to a tenth.
+	// minCompressedBytes is the size from which on a delivery is compressed. Configurations shrink to about a tenth.
 	minCompressedBytes = 16 << 10
 )
 
-// newCompressor returns one that is quick and keeps little memory.
+// newCompressor returns a compressor at the fastest level, which also uses little memory.
 func newCompressor() connect.Compressor {
 	compressor, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
-		panic(errors.Wrap(err, "control: compression level")) // it is a constant of the library
+		panic(errors.Wrap(err, "control: compression level")) // cannot fail: the level is a constant of the library
 	}
 	return compressor
 }
 
 func newDecompressor() connect.Decompressor { return &gzip.Reader{} }
 
-// CompressedDeliveries lets a handler of control machines' messages read compressed ones. Its own answers are empty, and
-// not compressed.
+// CompressedDeliveries lets the handler of control machines' messages read compressed requests. Its responses are empty
+// and not compressed.
 func CompressedDeliveries() connect.HandlerOption {
 	return connect.WithHandlerOptions(
 		connect.WithCompression(gzipName, newDecompressor, newCompressor),
@@ -35,7 +35,7 @@
 	)
 }
 
-// compressedClient are the options of a client whose large deliveries are compressed.
+// compressedClient returns the options of a client that compresses large deliveries.
 func compressedClient() connect.ClientOption {
 	return connect.WithClientOptions(
 		connect.WithAcceptCompression(gzipName, newDecompressor, newCompressor),
@@ -44,5 +44,5 @@
 	)
 }
 
-// plainClient are the options of a client for machines that read no compressed deliveries.
+// plainClient returns the options of a client for machines that cannot read compressed deliveries.
 func plainClient() connect.ClientOption { return connect.WithAcceptCompression(gzipName, nil, nil) }
--- a/internal/region/control/config.go
+++ b/internal/region/control/config.go
@@ -8,21 +8,21 @@
 	"fieldrelay/internal/region/chain"
 )
 
-// Config is what a Machine must know at its start.
+// Config holds the parameters of a Machine.
 type Config struct {
-	Self        *pb.Replica // without an identity
-	Seeds       []string    // ip:port of operator's APIs
-	Bootstrap   bool        // the whole system starts for the first time
+	Self        *pb.Replica // the Identity is not set
+	Seeds       []string    // ip:port of operator APIs
+	Bootstrap   bool        // the cluster starts for the first time
 	Requirement chain.Requirement
-	// PeerAddress gives the ip:port of the peer service of a machine known by its operator's API.
+	// PeerAddress returns the ip:port of the peer service of the machine with an operator API address.
 	PeerAddress func(controlAddress string) string
-	// WatchRetention is for how long watches of keys may resume from a revision.
+	// WatchRetention is how long watches of keys may resume from a revision.
 	WatchRetention time.Duration
-	// Random must differ from start to start.
+	// Random must be seeded differently at each start.
 	Random *rand.Rand
 	// SnapshotRecords is the number of records after which the ring gets a new snapshot; 0: the default.
 	SnapshotRecords int
-	// SpuriousProposals says at each tick whether to propose another view without need and out of turn; nil: never.
-	// It is for simulations: proposals that compete must do no harm.
+	// SpuriousProposals reports at each tick whether to propose a view without need and out of turn; nil: never.
+	// Simulations use it to show that competing proposals are harmless.
 	SpuriousProposals func() bool
 }
--- a/internal/region/control/confirmation.go
+++ b/internal/region/control/confirmation.go
@@ -9,23 +9,23 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// confirmationTimeout is how long a confirmation token may be used.
+// confirmationTimeout is how long a confirmation token is valid.
 const confirmationTimeout = 600 * time.Millisecond
 
-// confirmations guard evacuations, which unlike other orders leave no record of having been executed. A copy of an order
-// that was answered long ago, late on its way, would undo what was ordered since. So the head issues a token for each
-// evacuation that may be used once, in a result of status 100, and accepts the order only when it comes back with that
-// token: an origin sends it again only while its caller waits for the answer. A token is of no use any more once another
-// order on the same zone was executed after it was issued: the caller of that one may have waited for this one in vain
-// before.
+// confirmations protects evacuations against late duplicates. Unlike other orders, an evacuation leaves no record of
+// its execution in the state, so a copy of it that arrives long after it was answered would undo later orders. The head
+// therefore issues a single-use token for each evacuation, in a result of status 100, and executes the order only when
+// it returns with that token; an origin resends it only while its caller waits for the answer. A token becomes invalid
+// when another order on the same zone is executed after it was issued: the caller of that order may have waited for
+// this one in vain before.
 type confirmations struct {
 	clock  *clock
 	output *stepOutput
 	ids    *idSequence
 
 	issued []confirmation
-	// executedAt holds, by zone, the newest number of ids when an order on the zone was executed last: tokens up to it
-	// are superseded.
+	// executedAt holds, by zone, the newest number of ids at the last execution of an order on the zone. Tokens up to
+	// that number are superseded.
 	executedAt map[string]uint64
 }
 
@@ -44,9 +44,9 @@
 	return kind == pb.Order_KIND_EVACUATE_BEGIN || kind == pb.Order_KIND_EVACUATE_FINISH
 }
 
-// redeem reports whether an order needs no confirmation, or came with the token issued for it, which is used up by that.
-// If it did not, its origin is requested to confirm. A copy that came without the token does not take it back: two copies on their way
-// at once would invalidate each other's tokens for as long as the order lives.
+// redeem reports whether an order needs no confirmation or carries the token issued for it, which it uses up. Otherwise
+// it sends the origin a token. A copy of the order without a token gets the same token again instead of invalidating
+// it: two copies in flight would otherwise invalidate each other's tokens until the order expires.
 func (c *confirmations) redeem(from *pb.Replica, order *pb.Order) bool {
 	if !needsConfirmation(order) {
 		return true
@@ -88,14 +88,14 @@
 	c.output.sendResult(to, &pb.OrderResult{Id: order.GetId(), Status: statusConfirm, Body: token})
 }
 
-// discardInvalid forgets the tokens that are expired or superseded.
+// discardInvalid removes the tokens that are expired or superseded.
 func (c *confirmations) discardInvalid() {
 	c.issued = slices.DeleteFunc(c.issued, func(issued confirmation) bool {
 		return c.clock.now >= issued.expires || c.isTokenSuperseded(issued.zone, issued.token)
 	})
 }
 
-// isSuperseded reports whether another order on the zone was executed after the token of this one was issued.
+// isSuperseded reports whether another order on the zone was executed after the token of this order was issued.
 func (c *confirmations) isSuperseded(order *pb.Order) bool {
 	return needsConfirmation(order) && c.isTokenSuperseded(order.GetZone(), order.GetBody())
 }
@@ -115,7 +115,7 @@
 	c.executedAt[order.GetZone()] = c.ids.last
 }
 
-// reset forgets the tokens at a view change: another machine may have been the head in between.
+// reset removes all tokens at a view change: another machine may have been the head in between.
 func (c *confirmations) reset() {
 	c.issued = nil
 	c.executedAt = nil
--- a/internal/region/control/coordination.go
+++ b/internal/region/control/coordination.go
@@ -8,8 +8,8 @@
 	"fieldrelay/internal/region/coordination"
 )
 
-// coordinationHost is this machine as the host of its coordination engine: the engine shares its connections, its disk, its
-// identity and its view.
+// coordinationHost is the host of this machine's coordination engine: it gives the engine the connections, the disk,
+// the identity and the view of this machine.
 type coordinationHost struct {
 	clock   *clock
 	peers   *peerTable
@@ -19,21 +19,21 @@
 	output  *stepOutput
 
 	engine *coordination.Engine
-	// durableEpoch is the newest epoch whose registers are on this machine's disk; 0: none. The heartbeats carry it.
+	// durableEpoch is the newest epoch whose registers are on this machine's disk; 0: none. Heartbeats advertise it.
 	durableEpoch uint64
 }
 
-// coordinationConfig is the configuration of an engine; it draws from the random numbers of the Machine.
+// coordinationConfig returns the configuration of the engine.
 func coordinationConfig(config Config, local *localMachine) coordination.Config {
 	return coordination.Config{
 		Self:        local.replica,
 		Incarnation: strconv.FormatUint(local.incarnation, 36),
 		Retention:   config.WatchRetention,
-		FirstID:     local.incarnation >> 1, // it must not wrap
+		FirstID:     local.incarnation >> 1, // halved so that it cannot overflow
 	}
 }
 
-// restore takes what was on disk.
+// restore loads the registers that were on disk.
 func (h *coordinationHost) restore(records []*pb.RegisterRecord) {
 	for _, record := range records {
 		h.engine.Restore(record)
@@ -65,7 +65,7 @@
 	h.disk.persistSnapshot(pendingWrite{forRegisters: true, activeEpoch: h.engine.ActiveEpoch()})
 }
 
-// persisted takes that a write of registers is on disk; it reports whether the durable epoch has changed.
+// persisted records that a write of registers is on disk; it reports whether the durable epoch has changed.
 func (h *coordinationHost) persisted(done pendingWrite) bool {
 	if done.activeEpoch <= h.durableEpoch {
 		return false
--- a/internal/region/control/counters.go
+++ b/internal/region/control/counters.go
@@ -10,18 +10,18 @@
 // reportInterval is the time between two log lines of counters.
 const reportInterval = 30 * time.Second
 
-// counters count since the start of the process. They are written to the log, and safe for concurrent use.
+// counters count events since the start of the process, for the log. They are safe for concurrent use.
 type counters struct {
 	sent        atomic.Uint64 // messages that were delivered
-	received    atomic.Uint64 // messages
-	dropped     atomic.Uint64 // messages that were not sent: too many waited, or one waited for too long
-	failedCalls atomic.Uint64 // deliveries, each of several messages
+	received    atomic.Uint64 // messages that arrived
+	dropped     atomic.Uint64 // messages that were not sent because the queue was full or they had waited for too long
+	failedCalls atomic.Uint64 // failed deliveries, each of one or more messages
 
-	writes       atomic.Uint64 // to the ring, each of several records
+	writes       atomic.Uint64 // writes to the ring, each of one or more records
 	failedWrites atomic.Uint64
 
-	calls     atomic.Uint64 // of applications, submitted here
-	orders    atomic.Uint64 // submitted here
+	calls     atomic.Uint64 // calls of applications that were submitted here
+	orders    atomic.Uint64 // orders that were submitted here
 	committed atomic.Uint64 // newer committed states
 	views     atomic.Uint64 // later views
 }
--- a/internal/region/control/diskqueue.go
+++ b/internal/region/control/diskqueue.go
@@ -10,25 +10,25 @@
 
 // Limits on writes.
 const (
-	// slowWriteThreshold is how long a write may take before the disk counts as unhealthy.
+	// slowWriteThreshold is the time after which a pending write makes the disk count as unhealthy.
 	slowWriteThreshold = time.Second
-	// maxUnpersistedWrites is the number of pending writes, but for those of registers, from which no promise about views is
-	// given any more.
+	// maxUnpersistedWrites is the number of pending writes, not counting those of registers, from which on no promise
+	// about views is given.
 	maxUnpersistedWrites = 16
-	// maxUnpersistedRegisterWrites is the same for registers and their writes.
+	// maxUnpersistedRegisterWrites is the corresponding limit on the pending writes of registers.
 	maxUnpersistedRegisterWrites = 256
-	// snapshotBytes and snapshotRecords are what may follow a snapshot before the next one is due.
+	// snapshotBytes and snapshotRecords bound what is written after a snapshot before the next one is due.
 	snapshotBytes   = 256 << 10
 	snapshotRecords = 4096
 )
 
-// diskQueue holds the writes that are not on disk yet, the oldest first. It keeps the rule "disk before send": what a
-// machine answers as an acceptor, and what it acknowledges as a replica, leaves only once the record behind it is on
-// disk, since a machine that restarts must not have forgotten what the others rely on.
+// diskQueue holds the writes that are not on disk yet, oldest first. It enforces write-ahead: the answer of an acceptor
+// and the acknowledgement of a replica are sent only once the record behind them is on disk, since a machine must not
+// forget over a restart what others rely on.
 type diskQueue struct {
 	clock  *clock
 	output *stepOutput
-	// snapshot encodes everything that must be on disk once all writes so far are.
+	// snapshot encodes everything that must be on disk once all writes so far are there.
 	snapshot func() []byte
 
 	pending   []pendingWrite
@@ -40,20 +40,20 @@
 type pendingWrite struct {
 	token    uint64
 	started  time.Duration
-	forChain bool                    // the replica waits for it
+	forChain bool                    // the replica of the chain waits for the write
 	replies  []chain.OutgoingMessage // may leave once the write is on disk
-	// forRegisters: the write is of the registers; activeEpoch is then the epoch that is on disk with it, 0 if that does not
-	// change.
+	// forRegisters: the write contains registers. activeEpoch is then the epoch that becomes durable with it; 0 if the
+	// write does not change it.
 	forRegisters bool
 	activeEpoch  uint64
 }
 
-// persist requests that records are written, as a snapshot of everything if one is due.
+// persist requests a write of records, or of a snapshot if one is due.
 func (d *diskQueue) persist(records []ring.Record, forChain bool, replies []chain.OutgoingMessage) {
 	d.enqueue(records, pendingWrite{forChain: forChain, replies: replies})
 }
 
-// enqueue requests that records are written, and holds what is to follow.
+// enqueue requests a write of records, and keeps what depends on the write.
 func (d *diskQueue) enqueue(records []ring.Record, write pendingWrite) {
 	d.lastToken++
 	write.token = d.lastToken
@@ -73,14 +73,14 @@
 	d.persist([]ring.Record{record}, false, []chain.OutgoingMessage{{To: to, Message: message}})
 }
 
-// persistStart writes the snapshot that is due at the start, if any.
+// persistStart writes a snapshot at the start if one is due.
 func (d *diskQueue) persistStart() {
 	if d.schedule.due {
 		d.persist(nil, false, nil)
 	}
 }
 
-// next removes the oldest write if it is covered by a token that has come back.
+// next removes and returns the oldest write if a token covers it.
 func (d *diskQueue) next(token uint64) (pendingWrite, bool) {
 	if len(d.pending) == 0 || d.pending[0].token > token {
 		return pendingWrite{}, false
@@ -90,7 +90,7 @@
 	return done, true
 }
 
-// isHealthy reports whether writes succeed within slowWriteThreshold.
+// isHealthy reports whether writes succeed, and within slowWriteThreshold.
 func (d *diskQueue) isHealthy() bool {
 	if d.failed {
 		return false
@@ -119,13 +119,13 @@
 	return count
 }
 
-// persistSnapshot writes everything anew.
+// persistSnapshot writes a snapshot now.
 func (d *diskQueue) persistSnapshot(write pendingWrite) {
 	d.schedule.due = true
 	d.enqueue(nil, write)
 }
 
-// snapshotSchedule decides when a snapshot is due, by what was written since the last one.
+// snapshotSchedule decides when a snapshot is due, by the amount written since the last one.
 type snapshotSchedule struct {
 	due        bool
 	records    int
--- a/internal/region/control/electorate.go
+++ b/internal/region/control/electorate.go
@@ -6,7 +6,8 @@
 	"fieldrelay/internal/region/quorum"
 )
 
-// electorate is who decides on the next view: the voters of the view in force, and before founding the seeds.
+// electorate is the set of machines that decide on the next view: the voters of the view in force, or the seeds before
+// the first view exists.
 type electorate struct {
 	local       *localMachine
 	replica     *chain.Replica
@@ -23,8 +24,8 @@
 	return quorum.BootstrapView(e.seeds)
 }
 
-// includesSelf reports whether this machine votes on the next view. Before founding, a seed does only if it was started to
-// bootstrap on an empty disk: one that has lost its disk may have voted before.
+// includesSelf reports whether this machine votes on the next view. Before the first view exists, a seed votes only if
+// it was started with an empty disk and the bootstrap setting: one that has lost its disk may have voted before.
 func (e *electorate) includesSelf() bool {
 	if viewInForce(e.replica) == nil && !e.local.bootstrap {
 		return false
@@ -32,14 +33,14 @@
 	return quorum.VoterIndex(e.decidingView(), e.local.replica) != quorum.NotFound
 }
 
-// sendToAll sends to all voters on the next view, this machine included.
+// sendToAll sends a message to all voters on the next view, this machine included.
 func (e *electorate) sendToAll(message *pb.Message) {
 	for _, voter := range e.decidingView().GetVoters() {
 		e.sendTo(voter, message)
 	}
 }
 
-// sendTo sends to one voter, which before founding is known by its operator's address only.
+// sendTo sends a message to one voter. Before the first view exists, a voter is known by its operator API address only.
 func (e *electorate) sendTo(voter *pb.Replica, message *pb.Message) {
 	switch {
 	case e.local.is(voter):
--- a/internal/region/control/events.go
+++ b/internal/region/control/events.go
@@ -2,56 +2,56 @@
 
 import pb "fieldrelay/api/fieldrelay/v1"
 
-// Event is something that has happened; Machine.Step takes it.
+// Event is an input of Machine.Step.
 type Event interface{ isEvent() }
 
 // Started must be the first event.
 type Started struct{}
 
-// Tick is the passing of time; it is meant to come every TickInterval.
+// Tick reports that time has passed; the shell sends one every TickInterval.
 type Tick struct{}
 
-// Received is a message of another control machine. The Machine keeps it.
+// Received is a message of another control machine. The Machine may retain the message.
 type Received struct{ Message *pb.Message }
 
-// Undelivered reports that the message of a Send may not have reached its receiver. It makes up time only: each message
-// that matters is sent again in any case, so that reports may be missing.
+// Undelivered reports that the message of a Send may not have reached its receiver. It only speeds up the next attempt:
+// each message that matters is resent in any case, so reports may be missing.
 type Undelivered struct{ Message *pb.Message }
 
-// Persisted reports that a Persist action, and all earlier ones, are durable on disk. Tokens come back in their order.
+// Persisted reports that a Persist action and all earlier ones are durable. Tokens are reported in ascending order.
 type Persisted struct{ Token uint64 }
 
-// WriteFailed reports that the oldest Persist failed; the shell tries it again until it succeeds.
+// WriteFailed reports that the oldest pending Persist failed; the shell retries it until it succeeds.
 type WriteFailed struct{}
 
 // OrderSubmitted is an order of the operator that arrived at this machine. The order's id is set by the Machine.
 type OrderSubmitted struct {
-	Request uint64 // comes back in the Reply
+	Request uint64 // repeated in the Reply
 	Order   *pb.Order
 }
 
-// OrderCanceled reports that nobody waits for the Reply to an OrderSubmitted any more. The order may be executed all the
-// same if it is on its way; this machine does no more for it.
+// OrderCanceled reports that the caller of an OrderSubmitted has gone. The order may still be executed if it has been
+// forwarded; this machine does not resend it.
 type OrderCanceled struct{ Request uint64 }
 
 // CallSubmitted is a call of an application that arrived at this machine. Its id and origin are set by the Machine.
 type CallSubmitted struct {
-	Request uint64 // comes back in the CallReply
+	Request uint64 // repeated in the CallReply
 	Call    *pb.CoordinationCall
 }
 
-// CallCanceled reports that nobody waits for the CallReply to a CallSubmitted any more. The call may be executed all the
-// same.
+// CallCanceled reports that the caller of a CallSubmitted has gone. The call may still be executed.
 type CallCanceled struct{ Request uint64 }
 
-// BroadcastServerList requests that a server list is sent to the other control machines.
+// BroadcastServerList requests that a server list be sent to the other control machines.
 type BroadcastServerList struct{ List *pb.ServerList }
 
-// SeedsChanged names other machines to contact when the known ones cannot be reached. It does not change who founds the
-// system.
+// SeedsChanged names other machines to contact when the known ones cannot be reached. It does not change which machines
+// bootstrap the cluster.
 type SeedsChanged struct{ Seeds []string }
 
-// Leave begins a graceful shutdown: the machine goes on, for LeaveTimeout at most, until the others go on without it.
+// Leave begins a graceful shutdown: the machine works on, for LeaveTimeout at most, until the others can continue
+// without it.
 type Leave struct{}
 
 func (Started) isEvent()             {}
--- a/internal/region/control/founding.go
+++ b/internal/region/control/founding.go
@@ -12,18 +12,18 @@
 	"fieldrelay/internal/region/quorum"
 )
 
-// Times of founding, after a machine's start.
+// Timing of the bootstrap, from the start of a machine.
 const (
-	// founderGatherWindow is the time for machines other than the seeds to be received from, so that they vote from the
-	// start.
+	// founderGatherWindow is how long the seeds wait for heartbeats of machines that are not seeds, so that these are
+	// voters of the first view.
 	founderGatherWindow = 450 * time.Millisecond
-	// partialFoundingDelay is when a majority of the seeds founds without the others.
+	// partialFoundingDelay is the time after which a majority of the seeds proposes the first view without the others.
 	partialFoundingDelay = 1500 * time.Millisecond
 )
 
-// founding is the bootstrap of the whole system: the seeds decide on view 1 as the voters of view 0, by the same
-// protocol as on every later view. Only machines that were started to bootstrap on an empty disk take part; machines that
-// lose their disks later must be started without that setting, or they could found the system a second time.
+// founding is the bootstrap of the cluster: the seeds decide on view 1 as the voters of view 0, by the same protocol as
+// for every later view. Only machines that were started with an empty disk and the bootstrap setting take part. A
+// machine that loses its disk later must be started without that setting, or it could bootstrap a second cluster.
 type founding struct {
 	clock       *clock
 	local       *localMachine
@@ -34,8 +34,8 @@
 	random      *rand.Rand
 }
 
-// founders are the machines that start for the first time, with this one, in the order of their hosts. Of two
-// identities on one host, the one received from last counts.
+// founders returns the live machines that start for the first time, this one included, in the order of their hosts. If
+// a host has two identities, the one with the latest message counts.
 func (f *founding) founders() []*pb.Replica {
 	latest := make(map[string]*peer)
 	for _, identity := range f.peers.identities() {
@@ -58,7 +58,7 @@
 	return founders
 }
 
-// founderAt returns the founder that serves an operator's address; nil if there is none.
+// founderAt returns the founder with an operator API address; nil if there is none.
 func (f *founding) founderAt(controlAddress string) *pb.Replica {
 	for _, founder := range f.founders() {
 		if founder.GetControlAddress() == controlAddress {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// isReady reports whether enough seeds are there to found the system.
+// isReady reports whether enough seeds are live to decide on the first view.
 func (f *founding) isReady() bool {
 	present := 0
 	for _, seed := range f.seeds {
@@ -82,8 +82,9 @@
 	return present >= quorum.Majority(f.electorate.decidingView()) && f.clock.uptime() >= partialFoundingDelay
 }
 
-// firstView is the view to propose: all founders vote, seeds first if there are too many. Each call draws another name
-// for the cluster, so that systems founded apart from each other do not mix.
+// firstView returns the first view to propose. Its voters are all founders, the seeds first if there are more than
+// quorum.MaxVoters. Each call draws a new cluster name, so that machines of clusters that were bootstrapped separately
+// ignore each other's messages.
 func (f *founding) firstView() *pb.View {
 	voters := f.founders()
 	slices.SortStableFunc(voters, func(a, b *pb.Replica) int {
@@ -99,7 +100,7 @@
 	}
 }
 
-// seedPosition is the position of a machine among the seeds; all others come after them.
+// seedPosition is the index of a machine in the list of seeds; machines that are no seeds come after all seeds.
 func (f *founding) seedPosition(replica *pb.Replica) int {
 	position := slices.Index(f.seeds, replica.GetControlAddress())
 	if position < 0 {
--- a/internal/region/control/headorders.go
+++ b/internal/region/control/headorders.go
@@ -11,12 +11,12 @@
 	"fieldrelay/internal/region/operatorapi/rejection"
 )
 
-// earlyOrderTimeout is how long an order is kept for the view that makes its receiver the head.
+// earlyOrderTimeout is how long an order is kept that arrived before the view in which this machine is the head.
 const earlyOrderTimeout = orderResendInterval
 
-// headOrders are the orders that arrived at this machine as the head of the chain. One at a time goes through the chain:
-// it is validated on the newest state, which is committed by then, proposed as a change, and answered once that is
-// committed. Whatever is here is of the view in force; a view change drops it all, and the origins send it to the new
+// headOrders handles the orders that arrive at this machine as the head of the chain. One order at a time passes
+// through the chain: it is validated against the newest state, all of which is committed by then, proposed as a change,
+// and answered once the change is committed. A view change drops all orders here; their origins send them to the new
 // head.
 type headOrders struct {
 	clock         *clock
@@ -29,11 +29,11 @@
 	requirement   chain.Requirement
 
 	queue  headQueue
-	active *headOrder   // its change is on its way through the chain; nil if there is none
-	early  []*headOrder // came while another machine was the head; this one may become it
+	active *headOrder   // the order whose change is in flight in the chain; nil if there is none
+	early  []*headOrder // orders that arrived while another machine was the head
 }
 
-// receive takes an order that was forwarded to this machine.
+// receive handles an order that was forwarded to this machine.
 func (h *headOrders) receive(from *pb.Replica, order *pb.Order) {
 	if h.contains(from, order.GetId()) {
 		return
@@ -54,8 +54,8 @@
 	})
 }
 
-// bufferEarly keeps an order that came before the view by which this machine is the head, and sends the origin the view in
-// force, in case it is the origin that is behind.
+// bufferEarly keeps an order that arrived before the view in which this machine is the head. It also sends the view in
+// force to the origin, which may be the one that is behind.
 func (h *headOrders) bufferEarly(from *pb.Replica, order *pb.Order) {
 	if len(h.early) < maxPendingOrders {
 		h.early = append(h.early, &headOrder{from: from, order: order, expires: h.clock.now + earlyOrderTimeout})
@@ -63,7 +63,7 @@
 	h.output.sendView(from)
 }
 
-// enterView drops the orders of a view that was replaced, and takes the early ones if this machine is the head now.
+// enterView drops the orders of the previous view, and handles the early ones if this machine is the head now.
 func (h *headOrders) enterView() {
 	early := h.early
 	h.queue = headQueue{}
@@ -80,13 +80,14 @@
 
 func (h *headOrders) isHead() bool { return h.replica.Head().GetIdentity() == h.local.identity() }
 
-// acceptsOrders reports whether this machine is the head of a chain that is long and wide enough.
+// acceptsOrders reports whether this machine is the head of a chain with the required numbers of replicas, zones and
+// regions.
 func (h *headOrders) acceptsOrders() bool {
 	view := viewInForce(h.replica)
 	return view != nil && h.isHead() && h.requirement.MetBy(view.GetChain(), view.GetVoters())
 }
 
-// contains reports whether an order is here already: origins send again what is not answered.
+// contains reports whether an order is already here: origins send an unanswered order repeatedly.
 func (h *headOrders) contains(from *pb.Replica, id uint64) bool {
 	return h.active.is(from, id) || h.checks.contains(from, id) || h.queue.contains(from, id)
 }
@@ -96,7 +97,7 @@
 	h.early = withoutExpired(h.early, h.clock.now)
 }
 
-// proposeNext gives the chain its next changes while it takes one.
+// proposeNext executes queued orders until one of them has a change in flight or the replica accepts no proposal.
 func (h *headOrders) proposeNext() {
 	for h.active == nil && len(h.queue.orders) > 0 && h.replica.AcceptsProposals() {
 		next := h.queue.next()
@@ -106,8 +107,8 @@
 	}
 }
 
-// execute validates an order on the newest state, which is committed, and proposes its change. An order that changes
-// nothing is answered after a quorum check: another head may have changed the state since.
+// execute validates an order against the newest state, which is committed, and proposes its change. An order that
+// changes nothing is answered after a quorum check, because another head may have changed the state since.
 func (h *headOrders) execute(next *headOrder) {
 	if h.confirmations.isSuperseded(next.order) {
 		h.confirmations.request(next.from, next.order)
@@ -133,7 +134,7 @@
 	h.replication.perform(output)
 }
 
-// prepareChange returns the change that an order makes; nil if it makes none.
+// prepareChange returns the change that an order makes; nil if it changes nothing.
 func prepareChange(snapshot *catalog.Snapshot, order *pb.Order) (*pb.Change, error) {
 	switch order.GetKind() {
 	case pb.Order_KIND_REPLACE:
@@ -149,9 +150,9 @@
 	}
 }
 
-// refuse answers an order that leads to no change, once it is certain that this machine is still the head. An order on a
-// later generation than the current one is not refused for good: a copy of it that is still on its way could be executed
-// when that generation comes.
+// refuse answers an order that makes no change, after a quorum check that this machine is still the head. An order on a
+// generation later than the current one is answered 503 instead of being refused: a late copy of it could be executed
+// once that generation exists.
 func (h *headOrders) refuse(next *headOrder, cause error) {
 	var refusal catalog.OrderError
 	isEarly := next.order.GetBase() > h.replica.Newest().Generation()
--- a/internal/region/control/headqueue.go
+++ b/internal/region/control/headqueue.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxSmallOrderBytes is the length of a body up to which an order may overtake larger ones.
+	// maxSmallOrderBytes is the body length up to which an order may overtake larger ones.
 	maxSmallOrderBytes = 16 << 10
-	// maxOvertakes is the number of orders in a row that may overtake an older one.
+	// maxOvertakes is the number of consecutive orders that may overtake an older one.
 	maxOvertakes = 4
 )
 
@@ -26,18 +26,18 @@
 	return o != nil && o.from.GetIdentity() == from.GetIdentity() && o.order.GetId() == id
 }
 
-// headQueue holds the orders that wait at the head, the oldest first.
+// headQueue holds the orders that wait at the head, oldest first.
 type headQueue struct {
 	orders    []*headOrder
-	overtakes int // orders in a row that were taken before an older one
+	overtakes int // consecutive orders that were taken before an older one
 }
 
 func (q *headQueue) contains(from *pb.Replica, id uint64) bool {
 	return slices.ContainsFunc(q.orders, func(queued *headOrder) bool { return queued.is(from, id) })
 }
 
-// next removes the order whose turn it is: the oldest small one, and after a few of these the oldest of all, so that
-// neither large orders nor small ones keep the others waiting.
+// next removes and returns the next order to execute: the oldest small one, or after maxOvertakes consecutive overtakes
+// the oldest of all. So neither large nor small orders are starved.
 func (q *headQueue) next() *headOrder {
 	position := slices.IndexFunc(q.orders, func(queued *headOrder) bool {
 		return len(queued.order.GetBody()) <= maxSmallOrderBytes
--- a/internal/region/control/health.go
+++ b/internal/region/control/health.go
@@ -4,7 +4,7 @@
 	"fieldrelay/internal/region/chain"
 )
 
-// localHealth judges whether this machine itself can do its work. The others see canServe in its heartbeats.
+// localHealth judges whether this machine itself works. Its heartbeats advertise canServe.
 type localHealth struct {
 	clock   *clock
 	disk    *diskQueue
@@ -13,15 +13,17 @@
 	replica *chain.Replica
 }
 
-// isHealthy reports whether the disk works and this machine is not partitioned from the majority. One that has just
-// started, or knows no view, has had no time to receive from the others.
+// isHealthy reports whether the disk works and this machine is not partitioned from the majority of the voters. A
+// machine that has just started, or knows no view, does not count as partitioned: it has had no time to receive
+// heartbeats.
 func (h *localHealth) isHealthy() bool {
 	view := viewInForce(h.replica)
 	hasContact := view == nil || h.clock.uptime() < FailureTimeout || h.peers.hasMajority(view)
 	return h.disk.isHealthy() && hasContact
 }
 
-// canServe reports whether this machine can be a member of the chain. One that is leaving can for a while.
+// canServe reports whether this machine can be a member of the chain. A machine that is leaving can until
+// leaveUnhealthyAfter.
 func (h *localHealth) canServe() bool {
 	return h.isHealthy() && !h.leaving.isOverdue()
 }
--- a/internal/region/control/heartbeat.go
+++ b/internal/region/control/heartbeat.go
@@ -9,7 +9,7 @@
 // HeartbeatInterval is the time between two heartbeats to each other machine.
 const HeartbeatInterval = 2 * TickInterval
 
-// heartbeats sends the heartbeats of this machine: they show that it is up, how far it is, and what view it follows.
+// heartbeats sends the heartbeats of this machine, which advertise that it is up, its view and its sequence.
 type heartbeats struct {
 	clock   *clock
 	local   *localMachine
@@ -18,18 +18,18 @@
 	health  *localHealth
 	leaving *leaving
 	output  *stepOutput
-	// coordination is what the registers of this machine are part of.
+	// coordination holds the epoch of the registers that this machine has on disk.
 	coordination *coordinationHost
-	contacts     []string // operator's addresses that are tried until this machine votes and is in contact
+	contacts     []string // operator API addresses of the seeds, contacted until isConnectedVoter
 	peerAddress  func(controlAddress string) string
 }
 
-// isDue reports whether heartbeats are sent at this tick. Before it knows a view, a machine sends at each.
+// isDue reports whether heartbeats are sent at this tick. A machine that knows no view sends them at every tick.
 func (h *heartbeats) isDue() bool {
 	return viewInForce(h.replica) == nil || h.clock.ticks%uint64(HeartbeatInterval/TickInterval) == 0
 }
 
-// sendAll sends a heartbeat to the voters, then to the other live peers, then to the seeds if they are still needed;
+// sendAll sends a heartbeat to the voters, then to the other live peers, then to the seeds while they are still needed;
 // one to each address.
 func (h *heartbeats) sendAll() {
 	message := h.message()
@@ -72,7 +72,8 @@
 	}}}
 }
 
-// isConnectedVoter reports whether this machine votes and is in contact with a majority: it need not ask the seeds.
+// isConnectedVoter reports whether this machine is a voter in contact with a majority, so that it need not contact the
+// seeds.
 func (h *heartbeats) isConnectedVoter() bool {
 	view := viewInForce(h.replica)
 	return quorum.VoterIndex(view, h.local.replica) != quorum.NotFound && h.peers.hasMajority(view)
--- a/internal/region/control/inspect.go
+++ b/internal/region/control/inspect.go
@@ -12,31 +12,30 @@
 	"fieldrelay/internal/region/ring"
 )
 
-// Inspection is what a control machine that started on a state folder would hold. Nothing is written to the folder, so
-// that a machine may be using it; what that machine writes meanwhile may then look torn.
+// Inspection describes the state that a control machine would have if it started on a state folder. Inspecting writes
+// nothing, so a machine may be using the folder; a record that this machine is writing at that time may look torn.
 type Inspection struct {
 	Ring *ring.Report
-	// Failure is why a machine could not start: a *ring.CorruptError or a *RecordError. What follows then goes only as
-	// far as the records could be read.
+	// Failure is why a machine could not start: a *ring.CorruptError or a *RecordError. The fields below then contain
+	// only what could be read before the fault.
 	Failure          error
-	Identity         string      // empty on a fresh disk
-	Bootstrap        bool        // the disk was empty when the whole system started for the first time
-	View             *pb.View    // nil before founding or joining
-	SynchronizedView uint64      // all that was committed in views up to this one is in State
-	Promise          *pb.Promise // what was promised for the next view; nil if nothing
+	Identity         string      // empty on an empty disk
+	Bootstrap        bool        // the disk was empty when the cluster started for the first time
+	View             *pb.View    // nil while none is known
+	SynchronizedView uint64      // State contains everything committed in views up to this one
+	Promise          *pb.Promise // promise for the next view; nil: none
 	State            *catalog.Snapshot
 }
 
-// NoStateError is returned by Inspect for a folder that holds nothing of a control machine.
+// NoStateError is returned by Inspect for a folder without state of a control machine.
 type NoStateError struct{ Folder string }
 
 // Error names the folder.
 func (e *NoStateError) Error() string {
-	return e.Folder + " holds no state of a control machine: one that started on it would take it for a fresh disk"
+	return e.Folder + " holds no state of a control machine: a machine started on it would treat it as an empty disk"
 }
 
-// Inspect reads a control machine's state folder. The error is a *NoStateError, or says that the folder cannot be read at
-// all.
+// Inspect reads a control machine's state folder. The error is a *NoStateError, or says that the folder cannot be read.
 func Inspect(stateDir string) (*Inspection, error) {
 	folder := ringPath(stateDir, currentRing(stateDir))
 	if _, err := os.Stat(folder); errors.Is(err, fs.ErrNotExist) {
--- a/internal/region/control/leaving.go
+++ b/internal/region/control/leaving.go
@@ -8,25 +8,25 @@
 	"fieldrelay/internal/region/quorum"
 )
 
-// Times of a graceful shutdown, after Leave.
+// Timing of a graceful shutdown, from Leave.
 const (
-	// LeaveTimeout is how long a machine goes on at most.
+	// LeaveTimeout is the maximum duration of a graceful shutdown.
 	LeaveTimeout = 2 * time.Second
-	// leaveUnhealthyAfter is when a machine counts as unhealthy for the chain, even if the replicas required are not
-	// elsewhere.
+	// leaveUnhealthyAfter is the time after which a leaving machine counts as unhealthy for the chain, even if the
+	// required replicas are not elsewhere yet.
 	leaveUnhealthyAfter = 1500 * time.Millisecond
 )
 
-// leaving is the graceful shutdown of this machine: its heartbeats announce it, it works on, and it ends when the others
-// go on without it, when none is there who could, or at LeaveTimeout.
+// leaving is the graceful shutdown of this machine. Its heartbeats announce the shutdown, and it works on. It ends when
+// the others can continue without it, when no machine is there to do so, or at LeaveTimeout.
 type leaving struct {
 	clock    *clock
 	begun    bool
 	since    time.Duration
-	reported bool // by the Left action
+	reported bool // the Left action was emitted
 }
 
-// begin returns false if the shutdown has begun before.
+// begin starts the shutdown; it returns false if that has been started before.
 func (l *leaving) begin() bool {
 	if l.begun {
 		return false
@@ -39,7 +39,7 @@
 // isOverdue reports whether this machine has been leaving for so long that it no longer serves in the chain.
 func (l *leaving) isOverdue() bool { return l.begun && l.clock.now-l.since >= leaveUnhealthyAfter }
 
-// report adds the Left action once this machine may end.
+// report adds the Left action once this process may end.
 func (l *leaving) report(planner *viewPlanner, output *stepOutput) {
 	if !l.begun || l.reported {
 		return
@@ -51,8 +51,8 @@
 	}
 }
 
-// hasLeft reports whether the others go on without this machine: it is not in the chain, so many members of the chain
-// have the view on disk and hold its state that it outlives a further loss, and no other voters are wanted in its place.
+// hasLeft reports whether the others can continue without this machine: it is no member of the chain, enough members
+// have the view on disk and hold its state to survive a further failure, and no voter is to be elected in its place.
 func (p *viewPlanner) hasLeft() bool {
 	view := viewInForce(p.replica)
 	if view == nil {
@@ -63,7 +63,7 @@
 		return false
 	}
 	if !p.majorityHoldsRegisters() {
-		return false // the voters in force may still collect them from this machine
+		return false // the current voters may still have to collect the registers from this machine
 	}
 	voters, changed := quorum.NextVoters(view, p.votingPeers())
 	votes := quorum.IndexOf(view.GetVoters(), identity) != quorum.NotFound
@@ -71,8 +71,8 @@
 	return !votes || !losesVote
 }
 
-// isReplicatedElsewhere reports whether the members of the chain that hold the view and its state, and are to stay, are
-// enough by themselves.
+// isReplicatedElsewhere reports whether the chain members that are healthy, hold the state of the view and are not
+// leaving meet the replica requirement by themselves.
 func (p *viewPlanner) isReplicatedElsewhere() bool {
 	view := viewInForce(p.replica)
 	candidates := p.chainCandidates(view.GetChain())
@@ -83,8 +83,8 @@
 	return p.requirement.MetBy(synchronized, view.GetVoters())
 }
 
-// hasSuccessors reports whether a majority of the voters is live and another machine, perhaps one that waits to join, is
-// to stay.
+// hasSuccessors reports whether a majority of the voters is live and another live machine, which may still be waiting
+// to join, is not leaving.
 func (p *viewPlanner) hasSuccessors() bool {
 	if !p.peers.hasMajority(viewInForce(p.replica)) {
 		return false
--- a/internal/region/control/local.go
+++ b/internal/region/control/local.go
@@ -5,19 +5,19 @@
 	"fieldrelay/internal/region/chain"
 )
 
-// localMachine is this machine as the others know it. It does not change while the process runs.
+// localMachine describes this machine to the others. It does not change while the process runs.
 type localMachine struct {
 	replica     *pb.Replica
-	incarnation uint64 // random, another one in each run of the process
-	// bootstrap: the disk was empty at a start whose settings said that the whole system starts for the first time, so
-	// that this machine may take part in founding it. It is kept on disk.
+	incarnation uint64 // random, differs between runs of the process
+	// bootstrap: this machine was started with an empty disk and the bootstrap setting, so it may take part in the
+	// bootstrap of the cluster. The flag is kept on disk.
 	bootstrap bool
 }
 
 func (l *localMachine) identity() string { return l.replica.GetIdentity() }
 
-// is reports whether a voter is this machine. Before founding, the voters are the seeds, which have no identity and are
-// compared by their operator's address.
+// is reports whether a voter is this machine. Before the first view exists, the voters are the seeds, which have no
+// identity and are compared by their operator API address.
 func (l *localMachine) is(voter *pb.Replica) bool {
 	if voter.GetIdentity() == "" {
 		return voter.GetControlAddress() == l.replica.GetControlAddress()
@@ -25,5 +25,5 @@
 	return voter.GetIdentity() == l.identity()
 }
 
-// viewInForce is the newest view that a replica has adopted; nil before founding or joining.
+// viewInForce is the newest view that a replica has adopted; nil while none is known.
 func viewInForce(replica *chain.Replica) *pb.View { return replica.State().View }
--- a/internal/region/control/machine.go
+++ b/internal/region/control/machine.go
@@ -8,19 +8,19 @@
 	"fieldrelay/internal/region/chain"
 )
 
-// Machine is a control machine's part in agreement and replication, as a state machine without I/O. It consists of parts
-// with one concern each, which wireParts joins; a part names the other parts that it uses as its first fields. A
+// Machine is a control machine's part in agreement and replication, as a state machine without I/O. It consists of
+// parts with one concern each, which wireParts connects; the first fields of a part are the other parts that it uses. A
 // Machine is not safe for concurrent use.
 type Machine struct {
 	config Config
 
-	// What the parts share.
+	// Shared by all parts.
 	clock  *clock
 	local  *localMachine
 	output *stepOutput
 	ids    *idSequence
 
-	// What is known of the machines.
+	// Knowledge about the machines.
 	peers     *peerTable
 	heartbeat *heartbeats
 	staleness *staleness
@@ -51,17 +51,17 @@
 	coordination *coordinationHost
 }
 
-// Self is this machine, with its identity.
+// Self describes this machine, with its identity.
 func (m *Machine) Self() *pb.Replica { return m.local.replica }
 
-// View is the view in force, nil before founding or joining.
+// View is the view in force; nil before the machine knows a view.
 func (m *Machine) View() *pb.View { return viewInForce(m.replica) }
 
 // Committed is the newest state known to be committed; nil before the first is known.
 func (m *Machine) Committed() *catalog.Snapshot { return m.replica.Committed() }
 
-// Authoritative reports whether the machine holds the state of the view in force, has had heartbeats of a majority of the
-// voters within FailureTimeout, and knows neither of a later view nor of changes that it does not get.
+// Authoritative reports whether the machine holds the state of the view in force, has received heartbeats of a majority
+// of the voters within FailureTimeout, and knows neither of a later view nor of committed changes that do not arrive.
 func (m *Machine) Authoritative() bool { return m.AuthorityGap() == GapNone }
 
 // AuthorityGap names what the machine lacks to be authoritative.
@@ -81,8 +81,8 @@
 	return CoordinationStatus{Stats: m.coordination.engine.Stats(), Epoch: m.coordination.durableEpoch}
 }
 
-// Step handles one event and returns what the shell must do, in this order. The time is of a steady clock that does not
-// go backwards; its zero is of no importance.
+// Step handles one event and returns the actions that the shell must carry out, in this order. The time is that of a
+// monotonic clock; its zero is arbitrary.
 func (m *Machine) Step(now time.Duration, event Event) []Action {
 	m.clock.now = now
 	switch event := event.(type) {
@@ -131,8 +131,8 @@
 	m.replication.perform(m.replica.Tick())
 }
 
-// tick lets each part act on the time that has passed. The parts draw from one source of random numbers and send in this
-// order, on which recorded runs of the simulation rest.
+// tick lets each part act on the time that has passed. The order of the calls is part of the recorded runs of the
+// simulation: the parts draw from one source of random numbers and send messages in this order.
 func (m *Machine) tick() {
 	if gap, stalled := m.clock.tick(); stalled {
 		m.peers.compensateStall(gap)
@@ -151,7 +151,8 @@
 	m.coordination.engine.Tick(m.clock.now)
 }
 
-// receive checks that a message is meant for this machine, and records the contact with its sender.
+// receive checks that a message is addressed to this machine, records the contact with its sender, and handles the
+// message.
 func (m *Machine) receive(message *pb.Message) {
 	from := message.GetFrom()
 	if from.GetIdentity() == "" || from.GetIdentity() == m.local.identity() {
@@ -165,7 +166,7 @@
 	if cluster != "" && message.GetCluster() != "" && message.GetCluster() != cluster {
 		return
 	}
-	m.staleness.update() // before this message restores contact that was lost since the last tick
+	m.staleness.update() // must run before this message restores contact that was lost since the last tick
 	found := m.peers.observe(from)
 	if heartbeat := message.GetHeartbeat(); heartbeat != nil &&
 		!found.acceptHeartbeat(heartbeat, m.clock.now, m.clock.isStalled()) {
@@ -174,15 +175,15 @@
 	m.handle(message)
 }
 
-// observeMisaddressed records a machine that looks for an earlier identity of this one: a machine that has lost its disk,
-// and whose seeds are gone, finds the others by that.
+// observeMisaddressed records the sender of a message to an earlier identity of this machine. A machine that has lost
+// its disk, and whose seeds are gone, finds the other machines by these messages.
 func (m *Machine) observeMisaddressed(from *pb.Replica) {
 	if m.View() == nil {
 		m.peers.observe(from)
 	}
 }
 
-// handle dispatches a message, of another machine or of this one to itself.
+// handle dispatches a message of another machine, or of this machine to itself.
 func (m *Machine) handle(message *pb.Message) {
 	from := message.GetFrom()
 	switch body := message.GetBody().(type) {
@@ -217,7 +218,7 @@
 	}
 }
 
-// receiveHeartbeat takes what a peer advertises, and sends it a later view.
+// receiveHeartbeat handles what a peer advertises, and sends the view in force to a peer that is behind.
 func (m *Machine) receiveHeartbeat(from *pb.Replica, heartbeat *pb.Heartbeat) {
 	m.output.add(HeartbeatReceived{From: from, Heartbeat: heartbeat})
 	if view := m.View(); view != nil && heartbeat.GetViewNumber() < view.GetNumber() {
@@ -227,7 +228,7 @@
 	m.replication.perform(m.replica.ObserveHeartbeat(from, heartbeat))
 }
 
-// receiveReplication takes a message of the chain, which may commit the change of the head's active order.
+// receiveReplication handles a message of chain replication, which may commit the change of the head's active order.
 func (m *Machine) receiveReplication(message *pb.Message) {
 	number := m.replication.receive(message)
 	m.head.answerCommitted()
@@ -242,7 +243,7 @@
 	m.head.receive(from, order)
 }
 
-// persisted goes on with what waited for writes that are on disk now.
+// persisted sends the messages, and continues the operations, that waited for writes that are on disk now.
 func (m *Machine) persisted(token uint64) {
 	m.disk.failed = false
 	for done, ok := m.disk.next(token); ok; done, ok = m.disk.next(token) {
@@ -258,8 +259,8 @@
 	}
 }
 
-// replicaPersisted goes on with what the replica has on disk now. The others receive at once of a view or a state that is
-// there: machines that wait to end, to join or to be caught up go on by that.
+// replicaPersisted tells the replica that its writes are on disk. If a view or a synchronized state has become durable,
+// heartbeats advertise it at once, because machines that shut down, join or synchronize wait for that.
 func (m *Machine) replicaPersisted() {
 	before := m.replica.Advertised()
 	m.replication.perform(m.replica.WritesPersisted())
@@ -270,7 +271,7 @@
 	}
 }
 
-// leave announces that this machine is to end, and has a view without it decided.
+// leave announces the graceful shutdown of this machine, and proposes a view without it when that is wanted.
 func (m *Machine) leave() {
 	if !m.leaving.begin() {
 		return
--- a/internal/region/control/node.go
+++ b/internal/region/control/node.go
@@ -14,12 +14,12 @@
 	"fieldrelay/internal/region/catalog"
 )
 
-// Bounds of a Node.
+// Limits of a Node.
 const (
 	eventQueueLength = 256
-	// leaveSlack is added to LeaveTimeout, to end the wait for a Machine that does not answer at all.
+	// leaveSlack is added to LeaveTimeout, to end the wait for a Machine that does not respond.
 	leaveSlack = 200 * time.Millisecond
-	// enqueueTimeout is how long a delivery waits for room in the queue of events.
+	// enqueueTimeout is how long a delivery waits for room in the event queue.
 	enqueueTimeout = 300 * time.Millisecond
 )
 
@@ -27,12 +27,12 @@
 //
 // Its goroutines end with the context of Start; Wait waits for the first two:
 //
-//   - the loop (nodeloop.go) alone uses machine; it takes events from the queue, and never waits for the network;
+//   - the loop (nodeloop.go) alone uses machine; it takes events from the queue and never waits for the network;
 //   - the writer (ringwriter.go) alone uses the ring; the loop passes it Persist actions and takes its
 //     results (writequeue.go), and neither ever waits for the other;
-//   - one sender for each peer and traffic class (peersender.go), which makes the calls.
+//   - one sender for each peer and traffic class (peersender.go) makes the calls to that peer.
 //
-// Callers' goroutines put events into the queue and wait for channels; they share the fields under mu with the loop.
+// Goroutines of callers put events into the queue and wait on channels; they share the fields under mu with the loop.
 type Node struct {
 	options  Options
 	logger   *zap.Logger
@@ -42,27 +42,27 @@
 	counters counters
 	reads    readMonitor
 
-	machine   *Machine // of the loop
+	machine   *Machine // used by the loop only
 	startedAt time.Time
 	running   sync.WaitGroup // the loop and the writer
 
 	status       atomic.Pointer[Status]
 	coordination atomic.Pointer[CoordinationStatus] // nil before the first tick
-	lastTickAt   atomic.Int64                       // when the loop handled a tick last, since startedAt, in nanoseconds
-	left         chan bool                          // receives once, when the Machine has left, whether the others agreed
+	lastTickAt   atomic.Int64                       // when the loop last handled a tick, in nanoseconds since startedAt
+	left         chan bool                          // receives once, when the Machine has left: whether the others agreed
 
 	mu          sync.Mutex // guards what follows
 	changed     chan struct{}
 	history     *catalog.History
-	replies     map[uint64]chan Reply // by request
+	replies     map[uint64]chan Reply // by request number
 	callReplies map[uint64]chan *pb.CoordinationResult
 	lastRequest uint64
 }
 
-// Start opens the ring, again and again while the disk fails, and starts the goroutines of the node; they end with ctx.
-// On a disk that holds no state that can be read, it comes back as another replica. The error says that ctx ended, that
-// there is no state folder, that what is on disk is of another version of this program, or, as a *RingsCorruptError,
-// that too many rings on it were corrupt.
+// Start opens the ring, retrying while the disk fails, and starts the goroutines of the node; they end with ctx. On a
+// disk without readable state, the machine starts as a new replica. The error says that ctx ended, that no state folder
+// is set, that the state on disk is of another version of this program, or, as a *RingsCorruptError, that too many
+// rings on the disk are corrupt.
 func Start(ctx context.Context, options Options) (*Node, error) {
 	opened, recovered, replaced, err := openRing(ctx, options)
 	if err != nil {
@@ -100,8 +100,8 @@
 	return node, nil
 }
 
-// Wait returns when the loop has ended and the ring is closed; the context of Start ends them. Until then the state folder
-// may still be written to.
+// Wait returns when the loop has ended and the ring is closed, after the end of Start's context. Until then the state
+// folder may still be written.
 func (n *Node) Wait() { n.running.Wait() }
 
 // Deliver implements fieldrelayv1connect.ControlPeerHandler: it queues the messages of another control machine.
@@ -114,20 +114,20 @@
 		select {
 		case n.events <- Received{Message: message}:
 		case <-ctx.Done():
-			return nil, connect.NewError(connect.CodeUnavailable, errors.New("the machine is behind"))
+			return nil, connect.NewError(connect.CodeUnavailable, errors.New("deliver messages: event queue is still full after the enqueue timeout"))
 		}
 	}
 	return connect.NewResponse(&pb.DeliverResponse{}), nil
 }
 
-// SetSeeds names other machines to contact, by their operator's addresses, when the known ones cannot be reached. It
-// waits for room in the queue of events, until ctx ends.
+// SetSeeds names other machines to contact, by their operator API addresses, when the known ones cannot be reached. It
+// waits for room in the event queue until ctx ends.
 func (n *Node) SetSeeds(ctx context.Context, seeds []string) {
 	n.post(ctx, SeedsChanged{Seeds: seeds})
 }
 
-// BroadcastServerList sends a server list to the other control machines, as far as they can be reached. It does not
-// block: with a full queue the list is dropped, as the next one follows soon.
+// BroadcastServerList sends a server list to the other control machines that can be reached. It does not block: if the
+// event queue is full, the list is dropped, since the next one follows soon.
 func (n *Node) BroadcastServerList(list *pb.ServerList) {
 	select {
 	case n.events <- BroadcastServerList{List: list}:
@@ -135,9 +135,9 @@
 	}
 }
 
-// Leave begins a graceful shutdown, and returns when this machine may end: the others go on without it, or cannot, or
-// LeaveTimeout is over. It reports whether they agreed on that. It is called once; the node works on until its context
-// ends.
+// Leave begins a graceful shutdown, and returns when this process may end: the other machines continue without it, or
+// cannot, or LeaveTimeout has passed. It reports whether they agreed on a view without it. It may be called once; the
+// node works on until its context ends.
 func (n *Node) Leave(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, LeaveTimeout+leaveSlack)
 	defer cancel()
--- a/internal/region/control/nodeloop.go
+++ b/internal/region/control/nodeloop.go
@@ -10,7 +10,7 @@
 )
 
 // loop steps the Machine with events and carries out its actions. It is the only goroutine that uses the Machine, and
-// waits for no other goroutine: results of writes have a way of their own beside the queue of events, which may be full.
+// it waits for no other goroutine: results of writes do not pass through the event queue, which may be full.
 func (n *Node) loop(ctx context.Context) {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
@@ -75,7 +75,7 @@
 	}
 }
 
-// post puts an event into the queue, and waits for room in it.
+// post puts an event into the queue, waiting for room until ctx ends.
 func (n *Node) post(ctx context.Context, event Event) {
 	select {
 	case n.events <- event:
@@ -83,8 +83,8 @@
 	}
 }
 
-// postUndelivered reports a message that may be lost. With a full queue it does not: the message is sent again in any
-// case, only later.
+// postUndelivered reports a message that may be lost. If the queue is full, the report is dropped: the message is
+// resent in any case, only later.
 func (n *Node) postUndelivered(message *pb.Message) {
 	select {
 	case n.events <- Undelivered{Message: message}:
@@ -92,7 +92,8 @@
 	}
 }
 
-// addSoftState completes a heartbeat. All messages of one round share the heartbeat, so that once a step is enough.
+// addSoftState adds the soft state to a heartbeat. All messages of one step share the heartbeat, so once per step is
+// enough.
 func (n *Node) addSoftState(heartbeat *pb.Heartbeat) {
 	if n.options.SoftState == nil {
 		return
@@ -102,7 +103,7 @@
 
 func (n *Node) viewChanged(view *pb.View) {
 	n.counters.views.Add(1)
-	n.logger.Info("view",
+	n.logger.Info("view changed",
 		zap.Uint64("number", view.GetNumber()),
 		zap.Strings("voters", hostsOf(view.GetVoters())),
 		zap.Strings("chain", hostsOf(view.GetChain())),
--- a/internal/region/control/nodeoptions.go
+++ b/internal/region/control/nodeoptions.go
@@ -16,27 +16,27 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// Dial opens a connection, as net.Dialer.DialContext does. It bounds its time by itself.
+// Dial opens a connection, like net.Dialer.DialContext. It must limit its own duration.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options configures a Node. Its functions are called by the loop of the Node, and must not block.
+// Options configures a Node. Its functions are called by the loop of the Node and must not block.
 type Options struct {
 	Settings *settings.Settings
 	Logger   *zap.Logger
-	// ControlAddress is the ip:port of this machine's operator's API.
+	// ControlAddress is the ip:port of this machine's operator API.
 	ControlAddress string
-	// SoftState returns what each heartbeat carries besides the agreed state; nil: nothing.
+	// SoftState returns what each heartbeat carries in addition to the agreed state; nil: nothing.
 	SoftState func() ([]*pb.AgentRecord, *pb.ListVersion)
-	// OnHeartbeat is called with each heartbeat of another control machine; nil: nothing is.
+	// OnHeartbeat is called with each heartbeat of another control machine; it may be nil.
 	OnHeartbeat func(from *pb.Replica, heartbeat *pb.Heartbeat)
-	// OnServerList is called with each server list from another control machine; nil: nothing is.
+	// OnServerList is called with each server list of another control machine; it may be nil.
 	OnServerList func(list *pb.ServerList)
-	// PeerAddress gives the peer service, ip:port, of a seed; nil: the seed's ip and the first port of the settings' port
-	// range.
+	// PeerAddress returns the ip:port of a seed's peer service; nil: the seed's ip and the first port of the port range
+	// in the settings.
 	PeerAddress func(seed string) string
-	// Dial opens connections to other control machines; nil: by TCP.
+	// Dial opens connections to other control machines; nil: plain TCP.
 	Dial Dial
-	// Storage holds the ring; nil: a folder under the settings' state folder.
+	// Storage holds the ring; nil: a folder under the state folder of the settings.
 	Storage ring.Storage
 }
 
@@ -68,14 +68,15 @@
 	}
 }
 
-// newRandom returns a source that differs from start to start.
+// newRandom returns a random source that is seeded differently at each start.
 func newRandom() *rand.Rand {
 	var seed [16]byte
 	_, _ = crand.Read(seed[:]) // it never fails
 	return rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:]), binary.LittleEndian.Uint64(seed[8:])))
 }
 
-// peerAddressOf returns the rule by which a seed's peer service is found: all machines use the same ports.
+// peerAddressOf returns the function that derives the address of a seed's peer service: all machines use the same
+// ports.
 func peerAddressOf(own *settings.Settings) func(string) string {
 	port := strconv.Itoa(own.PortRange[0])
 	return func(seed string) string {
--- a/internal/region/control/openring.go
+++ b/internal/region/control/openring.go
@@ -15,25 +15,25 @@
 )
 
 const (
-	// ringFolder is the folder of the ring under the state folder. Those that take its place when it is corrupt have a
-	// number appended to their names.
+	// ringFolder is the folder of the ring under the state folder. Rings that replace a corrupt one have a number
+	// appended.
 	ringFolder = "control"
-	// maxRingFolders bounds the rings under a state folder, the corrupt ones included.
+	// maxRingFolders bounds the rings under a state folder, including the corrupt ones.
 	maxRingFolders = 4
 	ringFiles      = 2
 	ringBytes      = 512 << 10
-	// openBackoff is the wait before a ring that could not be opened is tried again.
+	// openBackoff is the delay before another attempt to open a ring.
 	openBackoff = 200 * time.Millisecond
 )
 
-// RingsCorruptError is returned by Start when as many rings as are kept are corrupt: somebody must look at the disk before
-// another one is begun.
+// RingsCorruptError is returned by Start when maxRingFolders rings are corrupt: the disk must be examined before
+// another ring is created.
 type RingsCorruptError struct {
 	Folder string // of the last ring
 	Err    error  // why that one cannot be read
 }
 
-// Error names the last ring, the number of those before it, and the cause.
+// Error names the last ring, the number of rings before it, and the cause.
 func (e *RingsCorruptError) Error() string {
 	return fmt.Sprintf("%s and %d rings before it are corrupt: %v", e.Folder, maxRingFolders-1, e.Err)
 }
@@ -41,17 +41,17 @@
 // Unwrap returns the cause.
 func (e *RingsCorruptError) Unwrap() error { return e.Err }
 
-// openRing opens the ring in use, again and again while the disk fails. A ring that is corrupt is left as it is, and
-// another one is begun beside it: the machine then comes back as one that has lost its disk, with a new identity, which
-// promises nothing in the name of the old one. The result replaced says that the ring is not the first on its disk: such
-// a machine founds nothing.
+// openRing opens the ring in use, retrying while the disk fails. A corrupt ring is left as it is, and a new one is
+// created beside it: the machine then starts like one that has lost its disk, with a new identity, which is not bound
+// by promises of the old one. The result replaced says that the ring is not the first on its disk; such a machine must
+// not bootstrap a cluster.
 func openRing(ctx context.Context, options Options) (opened *ring.Ring, recovered *ring.Recovered, replaced bool, err error) {
 	if options.Storage != nil {
 		opened, recovered, err = openWithRetry(ctx, "", options)
 		return opened, recovered, false, err
 	}
 	if options.Settings.StateDir == "" {
-		return nil, nil, false, errors.New("a control machine needs a state-dir")
+		return nil, nil, false, errors.New("open the ring: setting state-dir is empty, but the control role requires it")
 	}
 	number := currentRing(options.Settings.StateDir)
 	for {
@@ -71,14 +71,14 @@
 	}
 }
 
-// isCorrupt reports whether a ring holds no state that can be read. One of another version is in order.
+// isCorrupt reports whether a ring has no readable state. A ring of another version does not count as corrupt.
 func isCorrupt(err error) bool {
 	var corrupt *ring.CorruptError
 	return errors.As(err, &corrupt) && corrupt.Version == 0
 }
 
-// openWithRetry opens a ring, again and again until the disk allows it. The error is a *ring.CorruptError, or the one of
-// the last attempt before ctx ended.
+// openWithRetry opens a ring, retrying while the disk fails. The error is a *ring.CorruptError, or that of the last
+// attempt before ctx ended.
 func openWithRetry(ctx context.Context, folder string, options Options) (*ring.Ring, *ring.Recovered, error) {
 	ringOptions := ring.Options{Files: ringFiles, FileBytes: ringBytes, Storage: options.Storage}
 	for {
@@ -96,7 +96,7 @@
 	}
 }
 
-// currentRing is the number of the last ring under a state folder, from 1; also 1 if there is none.
+// currentRing returns the number of the newest ring under a state folder, counted from 1; 1 also if there is none.
 func currentRing(stateDir string) int {
 	for number := maxRingFolders; number > 1; number-- {
 		if _, err := os.Stat(ringPath(stateDir, number)); !errors.Is(err, fs.ErrNotExist) {
--- a/internal/region/control/orders.go
+++ b/internal/region/control/orders.go
@@ -8,27 +8,27 @@
 	"fieldrelay/internal/region/catalog"
 )
 
-// Times and bounds of orders.
+// Timeouts and limits of orders.
 const (
-	// orderTimeout is how long an order may take before it is answered 503; a large body adds its transferTime.
+	// orderTimeout is the time after which an order is answered 503; a large body adds its transferTime.
 	orderTimeout = 900 * time.Millisecond
-	// orderResendInterval is the wait before an unanswered order is sent again; a large body adds its transferTime.
+	// orderResendInterval is the time after which an unanswered order is resent; a large body adds its transferTime.
 	orderResendInterval = 300 * time.Millisecond
-	// minLinkRate, in bytes a second, is what one message is sure to get of a link.
+	// minLinkRate is the rate, in bytes per second, that a message is assumed to get on a link at least.
 	minLinkRate = 250_000
-	// maxPendingOrders bounds the orders in flight at one machine, as their origin and as the head each.
+	// maxPendingOrders bounds the pending orders of one machine, separately as their origin and as the head.
 	maxPendingOrders = 64
 )
 
-// statusConfirm is the status of a result that asks an origin to confirm its order (see confirmations).
+// statusConfirm is the status of a result by which the head requests a confirmation (see confirmations).
 const statusConfirm = http.StatusContinue
 
-// transferTime is how long a body of this length may need on one link.
+// transferTime is the time that a body of this length takes on a link at minLinkRate.
 func transferTime(bytes int) time.Duration {
 	return time.Duration(bytes) * time.Second / minLinkRate
 }
 
-// orderTimeoutOf is how long an order may take.
+// orderTimeoutOf is the timeout of an order, including the transfer of its body.
 func orderTimeoutOf(order *pb.Order) time.Duration {
 	return orderTimeout + transferTime(len(order.GetBody()))
 }
@@ -37,7 +37,7 @@
 	return &pb.OrderResult{Id: id, Status: http.StatusServiceUnavailable}
 }
 
-// readResult is the result of a read of a state.
+// readResult returns the result of a read: the configuration in a state.
 func readResult(id uint64, state *catalog.Snapshot) *pb.OrderResult {
 	body, err := state.Configuration()
 	if err != nil {
@@ -46,8 +46,9 @@
 	return &pb.OrderResult{Id: id, Status: http.StatusOK, Body: body}
 }
 
-// idSequence gives numbers that differ within a run of this process; it begins at random, so that they hardly ever occur
-// in another run. Quorum checks and confirmation tokens share one, which orders them among each other.
+// idSequence generates numbers that are unique within a run of the process. It starts at a random value, so that
+// numbers of different runs rarely coincide. Quorum checks and confirmation tokens share one sequence, so that their
+// numbers are ordered among each other.
 type idSequence struct{ last uint64 }
 
 func (s *idSequence) next() uint64 {
--- a/internal/region/control/originorders.go
+++ b/internal/region/control/originorders.go
@@ -11,9 +11,9 @@
 	"fieldrelay/internal/region/chain"
 )
 
-// originOrders are the orders that were submitted at this machine, the oldest first. It forwards each to the head of the
-// chain, or to one member after the other if it is a read, again and again until it has an answer or time is up, and
-// answers it once.
+// originOrders handles the orders that were submitted at this machine, oldest first. It forwards each to the head of
+// the chain, or to one chain member after another if it is a read, repeatedly until a result arrives or the deadline
+// passes, and answers it exactly once.
 type originOrders struct {
 	clock   *clock
 	local   *localMachine
@@ -22,7 +22,8 @@
 	output  *stepOutput
 
 	pending []*pendingOrder
-	// lastID begins at random in each run of this process, so that results of orders of an earlier run match none.
+	// lastID starts at a random value in each run of the process, so that no result for an order of an earlier run
+	// matches an order of this one.
 	lastID uint64
 }
 
@@ -31,15 +32,15 @@
 	order    *pb.Order
 	deadline time.Duration
 	sentAt   time.Duration
-	target   string // identity of the machine that it was forwarded to last; empty: there was none
-	// earlierTargets are the machines that a read was forwarded to before in the view in force.
+	target   string // identity of the machine that the order was last forwarded to; empty: none
+	// earlierTargets are the members that a read was forwarded to before target, in the view in force.
 	earlierTargets []string
-	// heldState is what this machine knew to be committed when it forwarded a read last; nil: nothing.
+	// heldState is the committed state that this machine held when it last forwarded a read; nil: none.
 	heldState *catalog.Snapshot
 }
 
-// submit accepts an order of the operator and forwards it. An order that may have waited for a stalled process is
-// refused: its caller may have given up, and may have ordered something else since.
+// submit accepts an order of the operator and forwards it. While orders may have waited for a stalled process they are
+// rejected: their callers may have given up and submitted other orders since.
 func (o *originOrders) submit(event OrderSubmitted) {
 	if cause := o.rejectionCause(); cause != "" {
 		o.output.add(Reply{Request: event.Request, Result: unavailable(0), Cause: cause})
@@ -62,7 +63,7 @@
 	o.forward(pending)
 }
 
-// rejectionCause is why no order is accepted now; empty: none is in the way.
+// rejectionCause returns why no order is accepted now; empty: orders are accepted.
 func (o *originOrders) rejectionCause() UnavailableCause {
 	switch {
 	case !o.peers.hasMajority(viewInForce(o.replica)):
@@ -76,7 +77,7 @@
 	}
 }
 
-// cancel forgets an order whose caller has gone: it is neither sent again nor confirmed.
+// cancel drops an order whose caller has gone: it is neither resent nor confirmed any more.
 func (o *originOrders) cancel(request uint64) {
 	o.pending = slices.DeleteFunc(o.pending, func(pending *pendingOrder) bool {
 		return pending.request == request
@@ -97,9 +98,9 @@
 	}
 }
 
-// readTarget is the member of the chain that a read goes to at an attempt, counted from 0: the tail, where what is
-// committed is known first, then this machine if it is a member, then the others. The link of any of them may be so full
-// that it answers too late.
+// readTarget returns the chain member to send a read to at an attempt, counted from 0: first the tail, which knows
+// first what is committed, then this machine if it is a member, then the other members. Attempts differ in their
+// targets because the link of a member may be so congested that its answer is too late.
 func (o *originOrders) readTarget(attempt int) *pb.Replica {
 	members := slices.Clone(viewInForce(o.replica).GetChain())
 	if len(members) == 0 {
@@ -113,7 +114,7 @@
 	return append([]*pb.Replica{tail}, others...)[attempt%len(members)]
 }
 
-// readRank puts this machine before the others.
+// readRank sorts this machine before the other members.
 func (o *originOrders) readRank(member *pb.Replica) int {
 	if o.local.is(member) {
 		return 0
@@ -121,8 +122,8 @@
 	return 1
 }
 
-// attachHeldState names to a member what this machine holds itself: if that is the newest state, the configuration, which
-// may be large, need not come from there.
+// attachHeldState sets in a read the sequence of the committed state that this machine holds. If that state is the
+// newest, the member does not send the configuration, which may be large.
 func (o *originOrders) attachHeldState(pending *pendingOrder) {
 	pending.heldState = o.replica.Committed()
 	pending.order = &pb.Order{
@@ -132,8 +133,8 @@
 	}
 }
 
-// forwardAll sends all pending orders to the chain of a new view. Forwarding to this machine itself may answer an order,
-// hence the copy of the list.
+// forwardAll sends all pending orders to the chain of a new view. An order forwarded to this machine itself may be
+// answered at once, so the loop iterates over a copy of the list.
 func (o *originOrders) forwardAll() {
 	for _, pending := range slices.Clone(o.pending) {
 		pending.earlierTargets = nil
@@ -152,7 +153,7 @@
 	}
 }
 
-// forwardAgain sends an order that is not answered yet to the head once more, or to another member if it is a read.
+// forwardAgain resends an unanswered order to the head, or to the next member if it is a read.
 func (o *originOrders) forwardAgain(pending *pendingOrder) {
 	if pending.order.GetKind() == pb.Order_KIND_READ {
 		pending.earlierTargets = append(pending.earlierTargets, pending.target)
@@ -165,9 +166,9 @@
 	return p.target == from.GetIdentity() || slices.Contains(p.earlierTargets, from.GetIdentity())
 }
 
-// receiveResult answers the operator, or confirms the order if the head asks for that. A result that comes twice or too
-// late is dropped, as is one of a machine that the order was not forwarded to in the view in force: a machine that was
-// the head or a member of the chain of an earlier view no longer speaks for the chain.
+// receiveResult answers the operator, or confirms the order if the head requests that. Duplicate and late results are
+// dropped, as are results of machines that the order was not forwarded to in the view in force: the head or a chain
+// member of an earlier view does not speak for the chain any more.
 func (o *originOrders) receiveResult(from *pb.Replica, result *pb.OrderResult) {
 	pending := o.find(result.GetId())
 	switch {
@@ -175,11 +176,11 @@
 	case result.GetStatus() == statusConfirm:
 		o.confirm(pending, result.GetBody())
 	case result.GetHeldIsNewest() && pending.heldState == nil:
-		// it answers another order: this one named no state
+		// the result belongs to another order, since this one named no state
 	case result.GetHeldIsNewest():
 		o.answer(pending, readResult(result.GetId(), pending.heldState))
 	case isUnansweredRead(pending, result) && pending.target != from.GetIdentity():
-		// the member that was asked last may still answer
+		// the member that the read was last forwarded to may still answer
 	case isUnansweredRead(pending, result) && o.hasUntriedMember(pending):
 		o.forwardAgain(pending)
 	default:
@@ -187,7 +188,7 @@
 	}
 }
 
-// isUnansweredRead reports whether a result is that of a member of the chain that cannot answer a read now.
+// isUnansweredRead reports whether a result says that a chain member cannot answer a read now.
 func isUnansweredRead(pending *pendingOrder, result *pb.OrderResult) bool {
 	return pending.order.GetKind() == pb.Order_KIND_READ && result.GetStatus() == http.StatusServiceUnavailable
 }
@@ -197,8 +198,8 @@
 	return len(pending.earlierTargets)+1 < len(viewInForce(o.replica).GetChain())
 }
 
-// confirm sends an order again with the token that the head has issued for it. It does not once the order's time is up:
-// a token must only come back while the caller waits.
+// confirm resends an order with the token that the head issued for it. After the order's deadline it does not: a token
+// may only be returned while the caller waits.
 func (o *originOrders) confirm(pending *pendingOrder, token []byte) {
 	if o.clock.now >= pending.deadline {
 		return
@@ -208,7 +209,7 @@
 	o.forward(pending)
 }
 
-// find returns the order with the given id, nil if there is none.
+// find returns the pending order with an id; nil if there is none.
 func (o *originOrders) find(id uint64) *pendingOrder {
 	for _, pending := range o.pending {
 		if pending.order.GetId() == id {
@@ -218,7 +219,7 @@
 	return nil
 }
 
-// answer gives the operator the result of an order, which is no longer pending from then on: it is answered once.
+// answer passes the result of an order to its caller and removes the order, so that it is answered once.
 func (o *originOrders) answer(pending *pendingOrder, result *pb.OrderResult) {
 	cause := UnavailableCause("")
 	if result.GetStatus() == http.StatusServiceUnavailable {
--- a/internal/region/control/peerclient.go
+++ b/internal/region/control/peerclient.go
@@ -10,16 +10,16 @@
 	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
 )
 
-// maxPlainDeliveries is how many large deliveries go uncompressed to a machine that rejected a compressed one, before
-// another is tried: it may be of a later version by then.
+// maxPlainDeliveries is the number of large deliveries that are sent uncompressed to a machine that rejected a
+// compressed one, before compression is tried again: the machine may have been upgraded by then.
 const maxPlainDeliveries = 8
 
-// peerClient delivers messages to one machine, large ones compressed unless that machine is of a version that cannot read
+// peerClient delivers messages to one machine. It compresses large deliveries unless that machine's version cannot read
 // them. It is not safe for concurrent use.
 type peerClient struct {
 	compressed      fieldrelayv1connect.ControlPeerClient
 	plain           fieldrelayv1connect.ControlPeerClient
-	plainRemaining  int  // large deliveries that still go uncompressed
+	plainRemaining  int  // number of large deliveries still to be sent uncompressed
 	readsCompressed bool // the machine has read a compressed delivery
 }
 
@@ -33,9 +33,9 @@
 
 // deliver sends a request of size bytes.
 //
-// A failed compressed delivery is sent a second time, uncompressed, unless the machine is known to read compressed ones:
-// an earlier version rejects what is compressed before it has come completely, which may look like a broken connection.
-// A later version may so get messages twice, which the protocol bears.
+// A failed compressed delivery is repeated uncompressed unless the machine is known to read compressed ones. An earlier
+// version rejects a compressed request before it has arrived completely, which may look like a broken connection. A
+// later version may thus receive messages twice, which the protocol tolerates.
 func (c *peerClient) deliver(ctx context.Context, request *pb.DeliverRequest, size int) error {
 	if size < minCompressedBytes {
 		return call(ctx, c.plain, request)
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// deliverOnce delivers a request at most once, uncompressed.
+// deliverOnce delivers a request uncompressed and at most once.
 func (c *peerClient) deliverOnce(ctx context.Context, request *pb.DeliverRequest) error {
 	return call(ctx, c.plain, request)
 }
--- a/internal/region/control/peers.go
+++ b/internal/region/control/peers.go
@@ -12,31 +12,32 @@
 const (
 	// FailureTimeout is the time without a message from a peer after which it is suspected to have failed.
 	FailureTimeout = 1200 * time.Millisecond
-	// peerRetention is how long a peer that does not vote is remembered after its last message.
+	// peerRetention is how long a peer that is not a voter stays in the table after its last message.
 	peerRetention = 30 * time.Second
 	// maxPeers bounds the table of peers.
 	maxPeers = 64
-	// stableAfter is how long a peer must have been live before it is added to the chain without need.
+	// stableAfter is how long a peer must have been live before it is added to a chain that has enough members without
+	// it.
 	stableAfter = time.Second
 )
 
-// peer is what is known of another control machine.
+// peer is what this machine knows about another control machine.
 type peer struct {
-	replica     *pb.Replica // as the peer described itself last
+	replica     *pb.Replica // the newest description that the peer sent of itself
 	lastContact time.Duration
 	liveSince   time.Duration
 	heartbeat   *pb.Heartbeat // the last one; nil before the first
-	// lastPromptHeartbeat is when the last heartbeat came that had not waited for this process to run.
+	// lastPromptHeartbeat is when the last heartbeat arrived that had not waited while this process was stalled.
 	lastPromptHeartbeat time.Duration
-	// leavingIncarnation is the incarnation that announced its graceful shutdown last; 0: none has.
+	// leavingIncarnation is the last incarnation that announced its graceful shutdown; 0: none has.
 	leavingIncarnation uint64
 }
 
-// acceptHeartbeat keeps a heartbeat. It returns false for one that was sent before a heartbeat already kept: an
-// incarnation that has announced its shutdown never takes that back, and does not follow its own successor.
+// acceptHeartbeat stores a heartbeat. It returns false for one that was sent before a heartbeat already stored: an
+// incarnation that has announced its shutdown never withdraws that, and never succeeds its own successor.
 //
-// A machine that returns after a graceful shutdown counts as stable at once, so that it serves in the chain as soon as
-// it holds the state.
+// A machine that restarts after a graceful shutdown counts as stable at once, so that it can serve in the chain as soon
+// as it is synchronized.
 func (p *peer) acceptHeartbeat(heartbeat *pb.Heartbeat, now time.Duration, delayed bool) bool {
 	incarnation := heartbeat.GetIncarnation()
 	if p.leavingIncarnation != 0 && incarnation == p.leavingIncarnation {
@@ -58,16 +59,16 @@
 	return true
 }
 
-// peerTable is the failure detector: it knows the other machines by their messages, and suspects those that it has not
-// received from within FailureTimeout. Suspicion only leads to proposals of views and refusals of orders; what is
-// promised for orders does not rest on it.
+// peerTable is the failure detector: it records the messages of the other machines, and suspects those that sent none
+// within FailureTimeout. A suspicion only causes proposals of views and rejections of orders; the guarantees for orders
+// do not depend on it.
 type peerTable struct {
 	clock *clock
 	local *localMachine
 	known map[string]*peer // by identity; never this machine
 }
 
-// observe records a message of a machine. When the table is full, the returned peer is of this call only.
+// observe records a message of a machine. If the table is full, it returns a peer that is not stored.
 func (t *peerTable) observe(replica *pb.Replica) *peer {
 	now := t.clock.now
 	found, known := t.known[replica.GetIdentity()]
@@ -85,15 +86,15 @@
 	return found
 }
 
-// compensateStall moves each last contact forward by the time that this process was stalled: the silence of that time is
-// not the peers' own.
+// compensateStall moves each last contact forward by the duration of a stall of this process, since the peers' messages
+// could not be handled in that time.
 func (t *peerTable) compensateStall(gap time.Duration) {
 	for _, found := range t.known {
 		found.lastContact = min(found.lastContact+gap, t.clock.now)
 	}
 }
 
-// expire forgets machines that do not vote and have been silent for peerRetention.
+// expire removes machines that are not voters and have sent nothing for peerRetention.
 func (t *peerTable) expire(view *pb.View) {
 	for identity, found := range t.known {
 		votes := quorum.IndexOf(view.GetVoters(), identity) != quorum.NotFound
@@ -103,10 +104,10 @@
 	}
 }
 
-// identities lists the known peers in an order that does not differ from run to run.
+// identities lists the known peers in sorted order, which is the same in each run.
 func (t *peerTable) identities() []string { return sortedKeys(t.known) }
 
-// isLive reports whether a machine is not suspected to have failed; this machine never is.
+// isLive reports whether a machine is not suspected to have failed. This machine always counts as live.
 func (t *peerTable) isLive(identity string) bool {
 	if identity == t.local.identity() {
 		return true
@@ -115,7 +116,7 @@
 	return known && t.clock.now-found.lastContact <= FailureTimeout
 }
 
-// sinceContact is the time since the last message of a machine; for one that is not known, since the start.
+// sinceContact is the time since the last message of a machine; for an unknown machine, since the start of this one.
 func (t *peerTable) sinceContact(identity string) time.Duration {
 	if identity == t.local.identity() {
 		return 0
@@ -127,7 +128,7 @@
 	return t.clock.now - found.lastContact
 }
 
-// liveVoters lists the live voters of a view in its order.
+// liveVoters lists the live voters of a view, in the order of the view.
 func (t *peerTable) liveVoters(view *pb.View) []*pb.Replica {
 	return slices.DeleteFunc(slices.Clone(view.GetVoters()), func(voter *pb.Replica) bool {
 		return !t.isLive(voter.GetIdentity())
@@ -139,8 +140,8 @@
 	return view != nil && len(t.liveVoters(view)) >= quorum.Majority(view)
 }
 
-// heartbeatsWithin counts the replicas from which a heartbeat came within FailureTimeout and did not wait for this
-// process; this machine counts as one of them. Unlike isLive, a stall of this process is no excuse here.
+// heartbeatsWithin counts the replicas of which a heartbeat arrived within FailureTimeout without waiting for a stalled
+// process; this machine counts as one of them. Unlike isLive, it makes no allowance for a stall of this process.
 func (t *peerTable) heartbeatsWithin(replicas []*pb.Replica) int {
 	count := 0
 	for _, replica := range replicas {
@@ -153,8 +154,8 @@
 	return count
 }
 
-// addressOf is the peer service of a replica; the address that the replica itself sent last comes before the one in the
-// view.
+// addressOf returns the address of a replica's peer service. An address that the replica itself sent takes precedence
+// over the one in the view.
 func (t *peerTable) addressOf(replica *pb.Replica) string {
 	if found, known := t.known[replica.GetIdentity()]; known {
 		return found.replica.GetAddress()
--- a/internal/region/control/peersender.go
+++ b/internal/region/control/peersender.go
@@ -14,31 +14,32 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Bounds of the connections to other machines.
+// Limits of the connections to other machines.
 const (
 	maxPeerSenders    = 64 * int(trafficClasses)
 	maxQueuedMessages = 128
-	// senderIdleTimeout is how long a sender without messages keeps its goroutine.
+	// senderIdleTimeout is how long the goroutine of a sender without messages is kept.
 	senderIdleTimeout = 30 * time.Second
-	// maxQueueDelay is how long a message may wait for the one before it; after that it is dropped.
+	// maxQueueDelay is how long a message may wait in the queue before it is dropped.
 	maxQueueDelay = time.Second
 	dialTimeout   = 700 * time.Millisecond
-	// deliverTimeout is how long one call may take; a large delivery adds its transferTime.
+	// deliverTimeout limits one call; a large delivery adds its transferTime.
 	deliverTimeout = time.Second
-	// unacknowledgedTimeout ends a connection whose peer acknowledges nothing (TCP_USER_TIMEOUT, RFC 5482).
+	// unacknowledgedTimeout closes a connection whose peer acknowledges nothing (TCP_USER_TIMEOUT, RFC 5482).
 	unacknowledgedTimeout = 1500 * time.Millisecond
 	idleConnTimeout       = 30 * time.Second
 	connBufferBytes       = 4 << 10
 )
 
-// peerSenders sends messages to other machines, each traffic class of each by a goroutine of its own, so that one that
-// hangs holds up none of the others. The goroutines end with ctx, and each also after senderIdleTimeout.
+// peerSenders sends messages to other machines. Each traffic class of each machine has its own goroutine, so that a
+// machine that hangs does not delay messages to the others. The goroutines end with ctx; each also ends after
+// senderIdleTimeout without messages.
 type peerSenders struct {
 	ctx      context.Context // bounds the goroutines that send starts
 	client   *http.Client
 	counters *counters
-	// undelivered is called with each message of classBulk that may not have reached its receiver; nil: nothing is. It
-	// must not block.
+	// undelivered is called with each message of classBulk that may not have reached its receiver; nil: reports are
+	// dropped. It must not block.
 	undelivered func(*pb.Message)
 
 	mu      sync.Mutex // guards what follows and the queues of the senders
@@ -50,11 +51,11 @@
 	class   trafficClass
 }
 
-// peerSender sends one traffic class to one machine.
+// peerSender sends the messages of one traffic class to one machine.
 type peerSender struct {
 	owner  *peerSenders
 	key    senderKey
-	client *peerClient   // of the goroutine
+	client *peerClient   // used by the sender's goroutine only
 	ready  chan struct{} // holds an item when the queue may have messages
 
 	queue []queuedMessage // guarded by the owner's mu
@@ -82,12 +83,13 @@
 	}
 }
 
-// dialWith replaces how connections are opened.
+// dialWith replaces the function that opens connections.
 func (s *peerSenders) dialWith(dial Dial) {
 	s.client.Transport.(*http.Transport).DialContext = dial
 }
 
-// setUserTimeout ends a connection whose peer does not acknowledge: across a partition it would hang.
+// setUserTimeout makes the kernel close a connection whose peer does not acknowledge; across a partition the connection
+// would otherwise hang.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failure error
 	err := raw.Control(func(descriptor uintptr) {
@@ -99,7 +101,7 @@
 	return failure
 }
 
-// send queues a message; if too many wait, the oldest is dropped. It does not wait for the network.
+// send queues a message; if the queue is full, the oldest message is dropped. It does not wait for the network.
 func (s *peerSenders) send(address string, message *pb.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +128,7 @@
 	return sender
 }
 
-// push replaces a heartbeat that still waits by the newer one. The caller holds the owner's mu.
+// push queues a message. A newer heartbeat replaces one that is still queued. The caller holds the owner's mu.
 func (s *peerSender) push(next queuedMessage) {
 	if next.message.GetHeartbeat() != nil {
 		for index := range s.queue {
@@ -161,7 +163,7 @@
 	}
 }
 
-// closeIfEmpty takes the sender out of use unless a message has arrived.
+// closeIfEmpty removes the sender unless a message has been queued.
 func (s *peerSender) closeIfEmpty() bool {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
@@ -172,7 +174,8 @@
 	return true
 }
 
-// takeQueued empties the queue, and returns the messages that have not waited for too long.
+// takeQueued empties the queue and returns the messages that have waited for no longer than maxQueueDelay. The others
+// are reported as undelivered.
 func (s *peerSender) takeQueued() []*pb.Message {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
@@ -192,7 +195,8 @@
 	return messages
 }
 
-// deliver sends messages in one call. What fails is reported and dropped: whoever waits for an answer sends again.
+// deliver sends messages in one call. If the call fails, they are reported as undelivered and dropped: whoever needs an
+// answer resends.
 func (s *peerSender) deliver(messages []*pb.Message) {
 	if len(messages) == 0 {
 		return
@@ -209,8 +213,8 @@
 	s.owner.counters.sent.Add(uint64(len(messages)))
 }
 
-// deliverRequest delivers a request. A call of an application must not come once more after it was answered that nothing
-// was done.
+// deliverRequest delivers a request. A call of an application is delivered at most once, since a duplicate must not
+// arrive after the application was told that the call was not executed.
 func (s *peerSender) deliverRequest(ctx context.Context, request *pb.DeliverRequest, size int) error {
 	if s.key.class == classCalls {
 		return s.client.deliverOnce(ctx, request)
--- a/internal/region/control/proposer.go
+++ b/internal/region/control/proposer.go
@@ -11,25 +11,27 @@
 	"fieldrelay/internal/region/quorum"
 )
 
-// Times of proposals.
+// Timing of proposals.
 const (
-	// startupListenWindow is how long after its start a machine proposes nothing: it may not have received from the
-	// others yet.
+	// startupListenWindow is the time after its start in which a machine proposes nothing, because it may not have
+	// received heartbeats of the others yet.
 	startupListenWindow = 600 * time.Millisecond
-	// proposerRankDelay is how much longer each voter waits than the one before it, once it wants a view change.
+	// proposerRankDelay is the additional delay of each voter, in the proposing order, before it proposes a view change
+	// that it wants.
 	proposerRankDelay = 400 * time.Millisecond
-	// proposalTimeout is how long one proposal may take.
+	// proposalTimeout is the time after which an undecided proposal is abandoned.
 	proposalTimeout = 750 * time.Millisecond
-	// proposalBackoff is the shortest wait between two proposals; up to as much again is added at random.
+	// proposalBackoff is the minimum delay between two proposals of a machine; a random delay of up to the same length
+	// is added.
 	proposalBackoff = 200 * time.Millisecond
-	// undecidedTimeout is how long an accepted proposal may stay undecided before another voter completes it.
+	// undecidedTimeout is the time after which another voter completes an accepted proposal that is still undecided.
 	undecidedTimeout = 800 * time.Millisecond
 )
 
-// proposer is this machine as a proposer of Paxos for the view that follows the one in force.
+// proposer is the Paxos proposer of this machine, for the view that follows the view in force.
 //
-// Any voter may propose at any time without harm. So that proposals seldom compete, the voters take turns: each waits
-// by its rank among the live ones, and after a proposal that failed for a random backoff.
+// Safety does not depend on who proposes when. To avoid competing proposals, each voter delays its proposal by its rank
+// among the live voters, and by a random backoff after a proposal that failed.
 type proposer struct {
 	clock      *clock
 	local      *localMachine
@@ -42,27 +44,28 @@
 	voter      *voter
 	disk       *diskQueue
 	random     *rand.Rand
-	// spurious reports whether to propose now without need; nil: never. See Config.SpuriousProposals.
+	// spurious reports whether to propose now although no change is needed; nil: never. See Config.SpuriousProposals.
 	spurious func() bool
 
 	proposal    *quorum.Proposer // nil when none is in flight
-	begunAt     time.Duration    // of the proposal
+	begunAt     time.Duration    // when the proposal in flight began
 	retryAt     time.Duration
-	wantedSince time.Duration // since when a view change is wanted; 0: none is
-	highest     *pb.Ballot    // highest proposal number observed, of this view
+	wantedSince time.Duration // since when a view change has been wanted; 0: none is
+	highest     *pb.Ballot    // highest proposal number observed for the next view
 }
 
-// enterView drops what was of the proposals for a view that is decided now.
+// enterView discards the state of proposals for the view that has been decided now.
 func (p *proposer) enterView() {
 	p.proposal = nil
 	p.wantedSince = 0
 	p.highest = nil
 }
 
-// observeStall starts the wait by rank anew: what seemed wanted rested on the silence of a stall.
+// observeStall restarts the delay by rank after a stall of this process: the peers whose silence made a change wanted
+// may have been live.
 func (p *proposer) observeStall() { p.wantedSince = 0 }
 
-// tick begins a proposal when it is this machine's turn, or goes on with the one in flight.
+// tick begins a proposal when it is this machine's turn, or resends the messages of the proposal in flight.
 func (p *proposer) tick() {
 	if p.proposal != nil {
 		p.resend()
@@ -90,8 +93,8 @@
 	return p.spurious != nil && viewInForce(p.replica) != nil && p.electorate.includesSelf() && p.spurious()
 }
 
-// wantsChange reports whether this machine should have another view decided. Only members of the chain better a chain
-// that works; the others act when a member must be removed.
+// wantsChange reports whether this machine should propose a view. Any voter proposes the removal of a member of the
+// chain; other improvements of a chain that works are proposed by its members only.
 func (p *proposer) wantsChange() bool {
 	view := viewInForce(p.replica)
 	if view == nil {
@@ -114,7 +117,7 @@
 	return change.Removal || (inChain && change.any())
 }
 
-// rank is this machine's position among the live voters in the order in which they propose.
+// rank is the number of live voters that come before this machine in the proposing order.
 func (p *proposer) rank() int {
 	rank := 0
 	for _, voter := range p.order() {
@@ -128,8 +131,8 @@
 	return rank
 }
 
-// order lists the voters in the order in which they propose: first the members of the chain that are leaving, which know
-// best why another view is wanted, then the other members, then the rest.
+// order lists the voters in the proposing order: first the members of the chain that are leaving, which know best why a
+// change is wanted, then the other members, then the other voters.
 func (p *proposer) order() []*pb.Replica {
 	base := p.electorate.decidingView()
 	var leaving, members, others []*pb.Replica
@@ -155,8 +158,9 @@
 	return p.peers.isLive(voter.GetIdentity())
 }
 
-// begin sends the first step. The name in the proposal number differs between machines and between runs of a process, so
-// that no number is used twice, although numbers are not kept on disk.
+// begin sends Prepare with a new proposal number. The name in that number contains the host, the identity and the
+// incarnation, so it differs between machines and between runs of a process; so no number is used twice, although
+// proposers keep no numbers on disk.
 func (p *proposer) begin() {
 	if !p.disk.accepts() {
 		return
@@ -172,7 +176,8 @@
 	p.electorate.sendToAll(&pb.Message{Body: &pb.Message_Prepare{Prepare: proposal.Prepare()}})
 }
 
-// resend asks the live voters that have not answered again, until the proposal times out.
+// resend sends the current step again to the live voters that have not answered it, and abandons the proposal after
+// proposalTimeout.
 func (p *proposer) resend() {
 	if p.clock.now-p.begunAt > proposalTimeout {
 		p.abandon()
@@ -189,8 +194,8 @@
 	}
 }
 
-// receivePromise takes a voter's answer to Prepare. With a majority of promises, the second step begins: with the
-// proposal that some voter has accepted earlier, which may be decided, else with the view that this machine wants.
+// receivePromise handles a voter's answer to Prepare. Once a majority has promised, it sends Accept: for the proposal
+// that one of them accepted earlier, since that one may have been decided, else for the view that this machine wants.
 func (p *proposer) receivePromise(from *pb.Replica, promise *pb.Promise) {
 	proposal := p.proposal
 	if proposal == nil {
@@ -213,7 +218,8 @@
 	p.electorate.sendToAll(&pb.Message{Body: &pb.Message_Accept{Accept: proposal.Accept()}})
 }
 
-// chooseView is the view to propose if the voters leave the choice to this machine; nil if no change is wanted any more.
+// chooseView returns the view to propose when no voter has accepted a proposal earlier; nil if no change is wanted any
+// more.
 func (p *proposer) chooseView() *pb.View {
 	if viewInForce(p.replica) == nil {
 		return p.founding.firstView()
@@ -225,7 +231,7 @@
 	return wanted
 }
 
-// receiveAccepted takes a voter's answer to Accept. It returns the view once this answer has decided it, else nil.
+// receiveAccepted handles a voter's answer to Accept. It returns the view if this answer has decided it, else nil.
 func (p *proposer) receiveAccepted(from *pb.Replica, accepted *pb.Accepted) *pb.View {
 	proposal := p.proposal
 	if proposal == nil {
@@ -242,7 +248,7 @@
 	return proposal.Value()
 }
 
-// abandon gives the proposal up, and draws how long this machine waits before its next one.
+// abandon gives the proposal in flight up, and sets a random backoff before the next one.
 func (p *proposer) abandon() {
 	if p.proposal != nil {
 		p.highest = p.proposal.HighestObserved()
--- a/internal/region/control/quorumcheck.go
+++ b/internal/region/control/quorumcheck.go
@@ -13,14 +13,14 @@
 const (
 	// maxQuorumChecks bounds the results that wait for a quorum check.
 	maxQuorumChecks = 2 * maxPendingOrders
-	// quorumCheckResendInterval is the wait before the voters are queried again.
+	// quorumCheckResendInterval is the time after which the voters are queried again.
 	quorumCheckResendInterval = 300 * time.Millisecond
 )
 
-// quorumChecks holds results back until a majority of the voters knows of no later view, as Raft's ReadIndex does for
-// reads. A view that was decided before the check began has been accepted by a majority, which shares a voter with the
-// majority that answers; that voter would not agree. So the view was the newest one when the check began, and with it the
-// state that the result rests on.
+// quorumChecks holds results back until a majority of the voters has confirmed that it knows of no later view, like
+// Raft's ReadIndex for reads. A later view that was decided before the check began was accepted by a majority, which
+// shares a voter with the confirming majority; that voter would not have confirmed. So the view was the newest one when
+// the check began, and so was the state that the result depends on.
 type quorumChecks struct {
 	clock      *clock
 	replica    *chain.Replica
@@ -31,30 +31,32 @@
 	pending []*quorumCheck
 }
 
-// quorumCheck is one result that waits.
+// quorumCheck is one result that waits for the confirmation of a majority.
 type quorumCheck struct {
 	id      uint64
 	to      *pb.Replica
 	result  *pb.OrderResult
-	read    *checkedRead // nil: the result is complete
-	votes   map[int]bool // by index among the voters
-	agreed  bool         // by a majority
+	read    *checkedRead // nil: not a read, the result is complete
+	votes   map[int]bool // by the index of the voter in the view
+	agreed  bool         // a majority has confirmed
 	expires time.Duration
 	sentAt  time.Duration
 }
 
-// checkedRead is a read whose result waits: it tells the committed state.
+// checkedRead describes a read that waits for its quorum check; its result is the committed state at the time when the
+// check completes.
 type checkedRead struct {
-	minSequence    uint64 // sequence that the state must have reached
-	originSequence uint64 // sequence of the state that the origin holds
+	minSequence    uint64 // sequence that the committed state must have reached
+	originSequence uint64 // sequence of the committed state that the origin holds
 }
 
-// begin asks the voters; the result leaves when a majority has agreed.
+// begin queries the voters; the result is sent when a majority has confirmed.
 func (c *quorumChecks) begin(to *pb.Replica, result *pb.OrderResult) {
 	c.add(to, result, nil)
 }
 
-// beginRead asks the voters; the result leaves when a majority has agreed and the state has reached a sequence.
+// beginRead queries the voters; the result is sent when a majority has confirmed and the committed state has reached
+// minSequence.
 func (c *quorumChecks) beginRead(to *pb.Replica, order *pb.Order, minSequence uint64) {
 	result := &pb.OrderResult{Id: order.GetId(), Status: http.StatusOK}
 	c.add(to, result, &checkedRead{minSequence: minSequence, originSequence: order.GetHeld()})
@@ -85,17 +87,17 @@
 	}}})
 }
 
-// contains reports whether the result of an order waits for its check.
+// contains reports whether the result of an order of an origin waits for its check.
 func (c *quorumChecks) contains(from *pb.Replica, id uint64) bool {
 	return slices.ContainsFunc(c.pending, func(check *quorumCheck) bool {
 		return check.to.GetIdentity() == from.GetIdentity() && check.result.GetId() == id
 	})
 }
 
-// reset drops all checks: they were of a view that was replaced.
+// reset drops all checks at a view change: they were made in the previous view.
 func (c *quorumChecks) reset() { c.pending = nil }
 
-// receive takes a voter's answer.
+// receive handles a voter's answer to a quorum check.
 func (c *quorumChecks) receive(from *pb.Replica, answer *pb.ViewCheckResult) {
 	view := viewInForce(c.replica)
 	voter := quorum.VoterIndex(view, from)
@@ -112,7 +114,7 @@
 	c.sendComplete()
 }
 
-// sendComplete sends the results that wait for nothing any more.
+// sendComplete sends the results whose checks are complete.
 func (c *quorumChecks) sendComplete() {
 	for {
 		index := slices.IndexFunc(c.pending, c.isComplete)
@@ -132,7 +134,8 @@
 	return c.replica.KnowsCommitted() && c.replica.Committed().Sequence() >= check.read.minSequence
 }
 
-// outcome is the result, with the configuration if it is that of a read whose origin lacks it.
+// outcome returns the result to send. For a read it contains the configuration, unless the origin holds the newest
+// state itself.
 func (c *quorumChecks) outcome(check *quorumCheck) *pb.OrderResult {
 	if check.read == nil {
 		return check.result
@@ -145,8 +148,8 @@
 	return readResult(check.result.GetId(), committed)
 }
 
-// tick drops the checks whose time is up and asks again for the others. Asking this machine itself may complete a check,
-// hence the copy of the list.
+// tick drops the expired checks and queries the voters again for the others. This machine's own answer is handled at
+// once and may complete a check, so the loop iterates over a copy of the list.
 func (c *quorumChecks) tick() {
 	c.pending = slices.DeleteFunc(c.pending, func(check *quorumCheck) bool { return c.clock.now >= check.expires })
 	for _, check := range slices.Clone(c.pending) {
--- a/internal/region/control/record.go
+++ b/internal/region/control/record.go
@@ -24,7 +24,7 @@
 	recordRegister         uint8 = 7 // pb.RegisterRecord
 )
 
-// RecordError is returned for a record of the ring that cannot be read.
+// RecordError is returned for a record of the ring that cannot be decoded.
 type RecordError struct {
 	Kind  uint8 // see RecordName
 	Cause error
@@ -39,17 +39,17 @@
 // durableState is everything that a machine has on disk.
 type durableState struct {
 	identity  string
-	bootstrap bool // the disk was empty when the whole system started for the first time
+	bootstrap bool // the disk was empty when the cluster started for the first time
 	acceptor  *pb.Promise
 	chain     chain.State
-	migrated  bool // the state was of an earlier version
+	migrated  bool // the state was written by an earlier version and has been converted
 	registers []*pb.RegisterRecord
 }
 
 func newDurableState() durableState { return durableState{chain: chain.EmptyState()} }
 
-// recoverState reads what a ring held: the records of its snapshot, then those behind it. On an error, the state is that
-// of the records before the one at fault.
+// recoverState decodes the content of a ring: the records of its snapshot, then those after it. On an error, the state
+// is that of the records before the faulty one.
 func recoverState(recovered *ring.Recovered) (durableState, error) {
 	state := newDurableState()
 	records, err := splitSnapshot(recovered.Snapshot)
@@ -65,7 +65,7 @@
 	return state, nil
 }
 
-// apply takes one record; later ones supersede earlier ones of their kind.
+// apply adds one record; later records supersede earlier ones of their kind.
 func (d *durableState) apply(record ring.Record) error {
 	switch record.Kind {
 	case recordIdentity:
@@ -92,8 +92,8 @@
 	}
 }
 
-// restoreAcceptor returns the acceptor for the view after the one in force. What was promised for an earlier view is of no
-// use any more.
+// restoreAcceptor returns the acceptor for the view after the one in force. Promises for earlier views have no effect
+// any more.
 func (d *durableState) restoreAcceptor() *quorum.Acceptor {
 	next := d.chain.View.GetNumber() + 1
 	if d.acceptor.GetViewNumber() != next {
@@ -138,7 +138,7 @@
 func decodeWrite(record ring.Record) (chain.Write, error) {
 	synchronizedView, size := binary.Uvarint(record.Payload)
 	if size <= 0 {
-		return chain.Write{}, errors.New("no basis")
+		return chain.Write{}, errors.New("no synchronized view number at the start of the record")
 	}
 	write := chain.Write{SynchronizedView: synchronizedView}
 	var message proto.Message
@@ -155,13 +155,13 @@
 	case recordSynchronizedView:
 		return write, nil
 	default:
-		return write, errors.New("unknown kind")
+		return write, errors.New("unknown kind of record")
 	}
 	return write, proto.Unmarshal(record.Payload[size:], message)
 }
 
-// encode panics only if a message holds text that is not UTF-8, which no message that was received or parsed from JSON
-// does.
+// encode encodes a message as a record. It panics only if the message holds text that is not UTF-8; no message that was
+// received or parsed from JSON does.
 func encode(kind uint8, prefix []byte, message proto.Message) ring.Record {
 	payload, err := proto.MarshalOptions{}.MarshalAppend(prefix, message)
 	if err != nil {
--- a/internal/region/control/rejoin.go
+++ b/internal/region/control/rejoin.go
@@ -7,29 +7,29 @@
 	"fieldrelay/internal/region/quorum"
 )
 
-// Times of machines that leave the chain and rejoin it.
+// Backoff of machines that were removed from the chain.
 const (
-	// minRejoinBackoff is how long a machine that was removed from the chain stays outside; it doubles with each removal
-	// up to maxRejoinBackoff, and starts anew after rejoinBackoffReset without one.
+	// minRejoinBackoff is how long a machine that was removed from the chain stays outside. The backoff doubles with
+	// each removal up to maxRejoinBackoff, and is reset after rejoinBackoffReset without a removal.
 	minRejoinBackoff   = time.Second
 	maxRejoinBackoff   = 16 * time.Second
 	rejoinBackoffReset = time.Minute
 )
 
-// rejoinBackoff keeps a machine that comes and goes from changing the view each time: each change of the chain holds up
-// orders.
+// rejoinBackoff keeps a machine that fails repeatedly from changing the chain each time, since each change of the chain
+// delays orders.
 type rejoinBackoff struct {
 	clock    *clock
 	removals map[string]removal // by identity
 }
 
-// removal is how often and when a machine was removed from the chain last.
+// removal records how often a machine was removed from the chain, and when last.
 type removal struct {
 	count int
 	at    time.Duration
 }
 
-// mayRejoin reports whether a machine that was removed from the chain has been outside for long enough.
+// mayRejoin reports whether the backoff of a machine that was removed from the chain has passed.
 func (r *rejoinBackoff) mayRejoin(identity string) bool {
 	last, known := r.removals[identity]
 	if !known {
@@ -39,7 +39,7 @@
 	return r.clock.now-last.at >= backoff
 }
 
-// observeChange records which machines a new view has left out of the chain, but for those that are leaving.
+// observeChange records the machines that a new view removed from the chain, except those that are leaving.
 func (r *rejoinBackoff) observeChange(before, after *pb.View, isLeaving func(identity string) bool) {
 	for identity, last := range r.removals {
 		if r.clock.now-last.at > rejoinBackoffReset {
--- a/internal/region/control/replication.go
+++ b/internal/region/control/replication.go
@@ -7,18 +7,18 @@
 	"fieldrelay/internal/region/ring"
 )
 
-// replication turns what this machine's replica of the chain puts out into actions, and hands it the messages of its
-// neighbours.
+// replication translates the output of this machine's replica of the chain into actions, and passes the messages of its
+// neighbours to the replica.
 type replication struct {
 	replica   *chain.Replica
 	output    *stepOutput
 	disk      *diskQueue
 	staleness *staleness
 
-	reported *catalog.Snapshot // committed state of the last Committed action
+	reported *catalog.Snapshot // state of the last Committed action
 }
 
-// perform carries out what the replica asks for.
+// perform carries out the output of the replica: messages, writes and commits.
 func (r *replication) perform(output chain.Output) {
 	for _, outgoing := range output.Messages {
 		r.output.send(outgoing.To, outgoing.Message)
@@ -51,8 +51,8 @@
 	r.output.add(action)
 }
 
-// receive hands the replica a message of the chain; it returns the number of the view by which its sender acts. The
-// replica itself drops what is not of the view in force.
+// receive passes a message of chain replication to the replica, and returns the view number in the message. The replica
+// drops messages that are not of the view in force.
 func (r *replication) receive(message *pb.Message) uint64 {
 	from := message.GetFrom()
 	switch body := message.GetBody().(type) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// fence sends the view in force to a machine whose message of the chain was of an earlier one.
+// fence sends the view in force to the sender of a chain message of an earlier view.
 func (r *replication) fence(to *pb.Replica, number uint64) {
 	if view := viewInForce(r.replica); view != nil && number < view.GetNumber() {
 		r.output.send(to, &pb.Message{Body: &pb.Message_Fenced{Fenced: &pb.Fenced{View: view}}})
--- a/internal/region/control/ringwriter.go
+++ b/internal/region/control/ringwriter.go
@@ -9,11 +9,11 @@
 	"fieldrelay/internal/region/ring"
 )
 
-// writeBackoff is the wait before a write that failed is tried again.
+// writeBackoff is the delay before a failed write is retried.
 const writeBackoff = 200 * time.Millisecond
 
-// ringWriter puts Persist actions on disk, in order, and tries each again until it succeeds. One goroutine, run, owns the
-// ring; the loop of the Node fills the queue and takes the results. Neither waits for the other.
+// ringWriter writes Persist actions to disk, in order, and retries each until it succeeds. The goroutine run alone uses
+// the ring; the loop of the Node fills the queue and takes the results. Neither waits for the other.
 type ringWriter struct {
 	ring     *ring.Ring
 	queue    *writeQueue
@@ -26,7 +26,7 @@
 	return &ringWriter{ring: opened, queue: newWriteQueue(), results: newWriteResults(), counters: counts, logger: logger}
 }
 
-// run writes until ctx ends, and closes the ring.
+// run writes until ctx ends, then closes the ring.
 func (w *ringWriter) run(ctx context.Context) {
 	defer w.close()
 	for {
@@ -46,14 +46,14 @@
 	}
 }
 
-// close loses nothing that was reported as persisted, whatever the disk says: each write is synchronous.
+// close closes the ring. An error loses nothing that was reported as persisted, since each write is synchronous.
 func (w *ringWriter) close() {
 	if err := w.ring.Close(); err != nil {
 		w.logger.Warn("closing the ring failed", zap.Error(err))
 	}
 }
 
-// write tries until the batch is on disk; it returns false when ctx has ended before.
+// write retries until the batch is on disk; it returns false if ctx ends before.
 func (w *ringWriter) write(ctx context.Context, batch Persist) bool {
 	for {
 		err := w.writeOnce(&batch)
@@ -71,7 +71,7 @@
 	}
 }
 
-// writeOnce clears the snapshot of the batch once that is written, so that another attempt goes on behind it.
+// writeOnce writes the batch. It clears the batch's snapshot once that is written, so that a retry continues after it.
 func (w *ringWriter) writeOnce(batch *Persist) error {
 	if batch.Snapshot != nil {
 		if err := w.ring.Snapshot(batch.Snapshot); err != nil {
--- a/internal/region/control/snapshot.go
+++ b/internal/region/control/snapshot.go
@@ -9,7 +9,7 @@
 	"fieldrelay/internal/region/ring"
 )
 
-// snapshot encodes everything that must be on disk once all writes so far are.
+// snapshot encodes everything that must be on disk once all writes so far are there.
 func (m *Machine) snapshot() []byte {
 	state := m.replica.State()
 	records := []ring.Record{identityRecord(m.local.identity(), m.local.bootstrap)}
@@ -27,7 +27,7 @@
 	return joinSnapshot(records)
 }
 
-// joinSnapshot makes one payload of records: for each its kind, its length and its payload.
+// joinSnapshot encodes records as one payload: for each record its kind, its length and its payload.
 func joinSnapshot(records []ring.Record) []byte {
 	size := 0
 	for _, record := range records {
@@ -50,7 +50,7 @@
 		length, size := binary.Uvarint(payload[1:])
 		payload = payload[1:]
 		if size <= 0 || uint64(len(payload)-size) < length {
-			return nil, &RecordError{Kind: kind, Cause: errors.New("cut short")}
+			return nil, &RecordError{Kind: kind, Cause: errors.New("snapshot truncated within this record")}
 		}
 		payload = payload[size:]
 		records = append(records, ring.Record{Kind: kind, Payload: payload[:length]})
--- a/internal/region/control/staleness.go
+++ b/internal/region/control/staleness.go
@@ -8,14 +8,14 @@
 	"fieldrelay/internal/region/quorum"
 )
 
-// lagTimeout is how long a machine may lack a committed change that peers advertise before it ceases to be
-// authoritative: changes follow the heartbeats that advertise them within a moment, unless a link is partitioned. It
-// ceases earlier if FailureTimeout ends before (see isOverdue).
+// lagTimeout is how long a machine may lack a committed change that peers advertise before it stops being
+// authoritative. Changes normally arrive shortly after the heartbeats that advertise them, unless a link is
+// partitioned. The limit is shorter if FailureTimeout ends first (see isOverdue).
 const lagTimeout = 2 * HeartbeatInterval
 
-// staleness compares what this machine holds with the newest view and commit that heartbeats of peers advertise. By it a
-// machine that is partitioned from the chain alone, or that receives but cannot send, finds that its state has grown
-// old.
+// staleness compares the state of this machine with the newest view and the newest committed sequence in the heartbeats
+// of peers. With it, a machine detects that its state is stale when it is partitioned from the chain alone, or when it
+// can receive but not send.
 type staleness struct {
 	clock   *clock
 	peers   *peerTable
@@ -23,19 +23,20 @@
 
 	advertisedView   uint64 // newest view number
 	advertisedCommit uint64 // newest committed sequence, in the view in force
-	// behindSince is since when this machine has committed less than advertisedCommit; 0: it has not.
+	// behindSince is when the committed sequence of this machine fell behind advertisedCommit; 0: it is not behind.
 	behindSince time.Duration
-	// currentAt is when the last heartbeat of a member of the chain came that advertised nothing which this machine
-	// lacked: whatever was acknowledged when it was sent is held here. 0: none came since the start.
+	// currentAt is when the last heartbeat of a chain member arrived that advertised no change which this machine
+	// lacked: everything that was acknowledged when it was sent is in the state here. 0: there was none since the
+	// start.
 	currentAt time.Duration
-	// partitioned: heartbeats of a majority were missing, and since they are back not all that they advertise has
-	// come.
+	// partitioned: heartbeats of a majority were missing, and not all changes that have been advertised since they
+	// returned are here yet.
 	partitioned bool
 }
 
-// gap returns what this machine lacks to be authoritative. It lacks nothing if it holds the state of the view in force,
-// has had heartbeats of a majority of the voters lately, and knows neither of a later view nor of changes that it does
-// not get.
+// gap returns what this machine lacks to be authoritative. It is authoritative if it holds the state of the view in
+// force, has received heartbeats of a majority of the voters within FailureTimeout, and knows neither of a later view
+// nor of committed changes that do not arrive.
 func (s *staleness) gap() AuthorityGap {
 	view := viewInForce(s.replica)
 	switch {
@@ -52,9 +53,10 @@
 	return s.stateGap()
 }
 
-// heartbeatGap looks for heartbeats of a majority of the voters, this one included, and of a member of the chain: a
-// chain that is out of reach as a whole may still acknowledge what was on its way. Other messages do not count, for they
-// do not advertise how far their sender is, and a stall of this process is no excuse.
+// heartbeatGap checks for heartbeats of a majority of the voters, this machine included, and of a member of the chain:
+// a chain that is unreachable as a whole may still acknowledge orders that it had already received. Other messages do
+// not count, since they do not advertise the sequence of their sender. A stall of this process does not extend the
+// limit.
 func (s *staleness) heartbeatGap() AuthorityGap {
 	view := viewInForce(s.replica)
 	switch {
@@ -71,7 +73,7 @@
 
 func (s *staleness) hasHeartbeats() bool { return s.heartbeatGap() == GapNone }
 
-// stateGap looks for a later view and for changes that this machine does not get.
+// stateGap checks for a later view and for committed changes that do not arrive.
 func (s *staleness) stateGap() AuthorityGap {
 	switch {
 	case s.advertisedView > viewInForce(s.replica).GetNumber():
@@ -83,8 +85,8 @@
 	}
 }
 
-// isOverdue reports whether an advertised change has been missing for too long. It may have been acknowledged at any
-// time since the last heartbeat that did not advertise it, so that FailureTimeout runs from there.
+// isOverdue reports whether an advertised change has been missing for too long. The change may have been acknowledged
+// at any time since the last heartbeat that did not advertise it, so FailureTimeout counts from that heartbeat.
 func (s *staleness) isOverdue() bool {
 	if s.clock.now-s.behindSince >= lagTimeout {
 		return true
@@ -92,8 +94,8 @@
 	return s.currentAt == 0 || s.clock.now-s.currentAt > FailureTimeout
 }
 
-// observe records what a peer's heartbeat advertises. A machine that has just started does not know how much of what it
-// has on disk is committed: all of it may be.
+// observe records what a peer's heartbeat advertises. A peer that has just started does not know how much of the state
+// on its disk is committed; all of it may be, so its sequence counts as committed.
 func (s *staleness) observe(from *pb.Replica, heartbeat *pb.Heartbeat) {
 	s.advertisedView = max(s.advertisedView, heartbeat.GetViewNumber())
 	committed := heartbeat.GetCommitted()
@@ -107,16 +109,17 @@
 	s.update()
 }
 
-// provesCurrent reports whether a member of the chain advertises nothing that this machine lacks. Each member knows a
-// change to be committed before the head acknowledges it, so that at the time of the heartbeat nothing was acknowledged
-// that is not here. A heartbeat that has waited for this process proves nothing of the present.
+// provesCurrent reports whether the sender is a member of the chain and advertises no change that this machine lacks.
+// Each member knows that a change is committed before the head acknowledges it, so every change that was acknowledged
+// when the heartbeat was sent is here. A heartbeat that waited while this process was stalled proves nothing about the
+// present.
 func (s *staleness) provesCurrent(from *pb.Replica, committed uint64) bool {
 	inChain := quorum.IndexOf(viewInForce(s.replica).GetChain(), from.GetIdentity()) != quorum.NotFound
 	return inChain && !s.clock.isStalled() && committed <= s.replica.Committed().Sequence()
 }
 
-// update compares the committed state with the advertised one. It must run before anything that restores lost contact:
-// a loss between two ticks would go unnoticed otherwise.
+// update compares the committed state with the advertised one. It must run before a message restores lost contact, or a
+// loss between two ticks would go unnoticed.
 func (s *staleness) update() {
 	if !s.hasHeartbeats() {
 		s.partitioned = true
@@ -133,9 +136,10 @@
 	}
 }
 
-// enterView forgets the commit advertised in an earlier view: whoever follows the new one holds all of it. This machine
-// holds what was acknowledged in the new view until now as well, for it is the head of that or requests its state from
-// now on.
+// enterView resets the committed sequence that was advertised in the previous view: any machine that has synchronized
+// in the new view holds all of it. This machine also counts as current from now on: it either is the head of the new
+// view or requests the state of that view from now on, so it holds everything acknowledged until now once it is
+// synchronized.
 func (s *staleness) enterView() {
 	s.advertisedCommit = 0
 	s.behindSince = 0
--- a/internal/region/control/status.go
+++ b/internal/region/control/status.go
@@ -9,15 +9,15 @@
 	"fieldrelay/internal/region/coordination"
 )
 
-// Status is an immutable description of what a Node holds.
+// Status is an immutable description of the state of a Node.
 type Status struct {
-	View      *pb.View          // agreed view; nil before founding or joining
+	View      *pb.View          // agreed view; nil while none is known
 	Self      *pb.Replica       // this machine
 	Committed *catalog.Snapshot // newest committed state known here; nil before the first is known
 	// Authoritative: this machine holds the state of the agreed view and has received heartbeats from a majority of the
 	// voters within FailureTimeout.
 	Authoritative bool
-	AuthorityGap  AuthorityGap // what it lacks to be authoritative
+	AuthorityGap  AuthorityGap // what the machine lacks to be authoritative
 	Live          []string     // hosts of the live voters, this one included, in the order of the view
 	Founded       bool         // a view is known
 }
@@ -29,14 +29,14 @@
 		slices.Equal(s.Live, other.Live)
 }
 
-// CoordinationStatus is what a Node tells of the calls of applications and of the registers behind them.
+// CoordinationStatus describes the calls of applications and the registers behind them.
 type CoordinationStatus struct {
 	coordination.Stats
 	// Epoch is the newest epoch of voters whose registers are on this machine's disk; 0: none.
 	Epoch uint64
 }
 
-// CoordinationStatus returns the figures of the newest tick. It is safe for concurrent use.
+// CoordinationStatus returns the figures of the last tick. It is safe for concurrent use.
 func (n *Node) CoordinationStatus() CoordinationStatus {
 	if status := n.coordination.Load(); status != nil {
 		return *status
@@ -44,14 +44,14 @@
 	return CoordinationStatus{}
 }
 
-// publishCoordination replaces the CoordinationStatus. The loop calls it.
+// publishCoordination replaces the CoordinationStatus. It is called by the loop.
 func (n *Node) publishCoordination() {
 	status := n.machine.CoordinationStatus()
 	n.coordination.Store(&status)
 }
 
-// Status returns what the node holds now. It is safe for concurrent use. While the loop is stalled, nothing would show
-// that the state has grown old, so that the status is not authoritative then.
+// Status returns the current status. It is safe for concurrent use. While the loop is stalled the status is not
+// authoritative, because the loop could not notice that the state has become stale.
 func (n *Node) Status() Status {
 	status := *n.status.Load()
 	if time.Since(n.startedAt)-time.Duration(n.lastTickAt.Load()) >= stallThreshold {
@@ -62,14 +62,14 @@
 }
 
 // Changed returns a channel that is closed at the next change of the committed state, the view, Authoritative or Live.
-// It is safe for concurrent use. Get the channel before the Status that it is to supersede: no change is missed then.
+// It is safe for concurrent use. To miss no change, get the channel before the Status.
 func (n *Node) Changed() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changed
 }
 
-// Since returns the committed changes after sequence, oldest first; false when they are not kept any more. It is safe
+// Since returns the committed changes after sequence, oldest first; false if they are not retained any more. It is safe
 // for concurrent use.
 func (n *Node) Since(sequence uint64) ([]*pb.Change, bool) {
 	n.mu.Lock()
@@ -77,7 +77,8 @@
 	return n.history.Since(sequence)
 }
 
-// publish replaces the Status if anything in it differs, and wakes those who wait for a change. The loop calls it.
+// publish replaces the Status if anything in it differs, and wakes the goroutines that wait for a change. It is called
+// by the loop.
 func (n *Node) publish() {
 	machine := n.machine
 	gap := machine.AuthorityGap()
@@ -93,7 +94,7 @@
 	old := n.status.Load()
 	if old != nil && old.equal(status) {
 		if old.AuthorityGap != gap {
-			n.status.Store(status) // nobody waits for a change of the reason alone
+			n.status.Store(status) // Changed does not report a change of the reason alone
 		}
 		return
 	}
@@ -104,8 +105,8 @@
 	n.changed = make(chan struct{})
 }
 
-// addCommitted keeps the changes of a Committed action for Since. Changes that are not known leave a gap, after which the
-// history begins anew.
+// addCommitted adds the changes of a Committed action to the history for Since. If the changes are not known, the
+// history is reset and restarts from the state of the action.
 func (n *Node) addCommitted(action Committed) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/region/control/stepoutput.go
+++ b/internal/region/control/stepoutput.go
@@ -11,7 +11,7 @@
 	local   *localMachine
 	peers   *peerTable
 	replica *chain.Replica
-	// deliverLocally handles a message of this machine to itself, before send returns.
+	// deliverLocally handles a message of this machine to itself before send returns.
 	deliverLocally func(*pb.Message)
 
 	actions []Action
@@ -19,15 +19,15 @@
 
 func (o *stepOutput) add(action Action) { o.actions = append(o.actions, action) }
 
-// takeActions returns the actions so far and begins anew.
+// takeActions returns the collected actions and clears the list.
 func (o *stepOutput) takeActions() []Action {
 	actions := o.actions
 	o.actions = nil
 	return actions
 }
 
-// send addresses a message to a replica. A message to this machine itself is handled at once, so that a caller must not
-// rely on state that the handling of its message may change.
+// send sends a message to a replica. A message to this machine itself is handled at once, so a caller must not rely on
+// state that this handling may change.
 func (o *stepOutput) send(to *pb.Replica, message *pb.Message) {
 	if to.GetIdentity() == o.local.identity() {
 		o.sendToSelf(message)
@@ -41,8 +41,8 @@
 	o.deliverLocally(message)
 }
 
-// sendTo sends to an address. The receiver drops the message if it has another identity by now; an empty identity
-// leaves that open. Without an address, or with that of this machine, nothing is sent.
+// sendTo sends a message to an address. The receiver drops the message if its identity is another one; an empty
+// identity matches any. Nothing is sent to an empty address or to this machine's own.
 func (o *stepOutput) sendTo(address, identity string, message *pb.Message) {
 	if address == "" || address == o.local.replica.GetAddress() {
 		return
@@ -55,7 +55,7 @@
 	}})
 }
 
-// sendView sends the view in force to a machine that acted by an earlier one.
+// sendView sends the view in force to a machine that acted in an earlier one.
 func (o *stepOutput) sendView(to *pb.Replica) {
 	o.send(to, decidedMessage(viewInForce(o.replica)))
 }
--- a/internal/region/control/submit.go
+++ b/internal/region/control/submit.go
@@ -7,11 +7,11 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// submitSlack is added to an order's timeout, to end the wait for a Machine that does not answer at all.
+// submitSlack is added to an order's timeout, to end the wait for a Machine that does not respond.
 const submitSlack = time.Second
 
-// Submit passes an order of the operator to the Machine and waits for its result: status 503 when it is not known within
-// a second, or longer for a large body. It never returns nil. It is safe for concurrent use.
+// Submit passes an order of the operator to the Machine and waits for its result. The status is 503 if the result is
+// not known within about a second, or longer for a large body. Submit never returns nil. It is safe for concurrent use.
 func (n *Node) Submit(ctx context.Context, order *pb.Order) *pb.OrderResult {
 	n.counters.orders.Add(1)
 	reply := n.submit(ctx, order)
@@ -39,8 +39,8 @@
 	}
 }
 
-// cancelOrder reports to the Machine that nobody waits for an order any more. With a full queue it is left out: the order
-// ends at its deadline.
+// cancelOrder reports to the Machine that the caller of an order has gone. If the queue is full, the report is dropped:
+// the order ends at its deadline.
 func (n *Node) cancelOrder(request uint64) {
 	select {
 	case n.events <- OrderCanceled{Request: request}:
@@ -62,7 +62,7 @@
 	delete(n.replies, request)
 }
 
-// reply carries out a Reply action; the caller may have gone.
+// reply carries out a Reply action; the caller may have gone already.
 func (n *Node) reply(action Reply) {
 	n.mu.Lock()
 	answer := n.replies[action.Request]
--- a/internal/region/control/trafficclass.go
+++ b/internal/region/control/trafficclass.go
@@ -2,16 +2,17 @@
 
 import pb "fieldrelay/api/fieldrelay/v1"
 
-// trafficClass says by which connection to a peer a message goes, so that what the others judge this machine by does not wait
-// behind a configuration, nor a call behind the registers of another one.
+// trafficClass selects the connection to a peer that a message uses. Separate connections keep heartbeats, by which the
+// others judge this machine, from waiting behind a configuration, and calls from waiting behind registers of other
+// calls.
 type trafficClass int
 
 const (
 	// classUrgent carries heartbeats, votes, acknowledgements and other short messages.
 	classUrgent trafficClass = iota
-	// classBulk carries the state and its changes, in the order in which they were sent, and whatever else is long.
+	// classBulk carries the state and its changes, in the order in which they were sent, and all other long messages.
 	classBulk
-	// classRegisters carries what keeps the registers.
+	// classRegisters carries the messages that read and write registers.
 	classRegisters
 	// classCalls carries calls of applications and their results.
 	classCalls
@@ -19,10 +20,10 @@
 	trafficClasses
 )
 
-// maxUrgentBytes is the length of an order or its result up to which it is short.
+// maxUrgentBytes is the body length up to which an order or its result counts as short.
 const maxUrgentBytes = 4 << 10
 
-// classOf gives all messages of one kind whose order matters the same class.
+// classOf returns the class of a message. Messages of one kind whose order matters have the same class.
 func classOf(message *pb.Message) trafficClass {
 	switch body := message.GetBody().(type) {
 	case *pb.Message_RegisterPrepare, *pb.Message_RegisterPromise, *pb.Message_RegisterAccept, *pb.Message_RegisterAccepted:
--- a/internal/region/control/unavailability.go
+++ b/internal/region/control/unavailability.go
@@ -9,36 +9,36 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// UnavailableCause says why an order was answered 503; empty: it was not.
+// UnavailableCause is the reason why an order was answered 503; empty: it was not.
 type UnavailableCause string
 
-// Why an order was answered 503.
+// Reasons for a 503.
 const (
 	// CauseNoMajority: no majority of the voters is live, as far as this machine knows.
 	CauseNoMajority UnavailableCause = "no majority"
-	// CauseStalled: this process did not run for a while.
+	// CauseStalled: this process was stalled.
 	CauseStalled UnavailableCause = "stalled"
-	// CauseFull: too many orders are pending here.
+	// CauseFull: too many orders are pending on this machine.
 	CauseFull UnavailableCause = "full"
-	// CauseTimeout: the head, or the tail for a read, has not answered in time, or the caller has gone.
+	// CauseTimeout: the head, or a chain member for a read, has not answered in time, or the caller has gone.
 	CauseTimeout UnavailableCause = "timeout"
-	// CauseRejected: the head, or the tail for a read, cannot tell.
+	// CauseRejected: the head, or a chain member for a read, could not give a definite answer.
 	CauseRejected UnavailableCause = "rejected"
-	// CauseLoop: the Machine has not taken the order in time.
+	// CauseLoop: the event queue had no room before the order's timeout, or the caller has gone.
 	CauseLoop UnavailableCause = "loop"
 )
 
-// readMonitor logs when reads of the configuration cease to be answered here, and when they are again. It is safe for
-// concurrent use.
+// readMonitor logs when reads of the configuration start to fail on this machine, and when they succeed again. It is
+// safe for concurrent use.
 type readMonitor struct {
 	logger *zap.Logger
 
 	mu           sync.Mutex
-	failingSince time.Time // zero: the last read was answered
-	failures     int       // since then
+	failingSince time.Time // time of the first of these failures
+	failures     int       // consecutive failures; 0: the last read was answered
 }
 
-// observe records the outcome of an order if it is a read.
+// observe records the outcome of an order if the order is a read.
 func (m *readMonitor) observe(order *pb.Order, cause UnavailableCause) {
 	if order.GetKind() != pb.Order_KIND_READ {
 		return
@@ -55,7 +55,7 @@
 	m.failures = 0
 }
 
-// recordFailure logs the first failure of several in a row. The lock is held.
+// recordFailure logs the first of several consecutive failures. The caller holds mu.
 func (m *readMonitor) recordFailure(cause UnavailableCause) {
 	if m.failures == 0 {
 		m.failingSince = time.Now()
--- a/internal/region/control/viewchange.go
+++ b/internal/region/control/viewchange.go
@@ -5,7 +5,8 @@
 	"fieldrelay/internal/region/quorum"
 )
 
-// receiveAccepted moves to a view that was decided by a proposal of this machine, and announces it.
+// receiveAccepted handles a voter's answer to an Accept of this machine. If the answer decides the proposed view, the
+// machine enters that view and announces it.
 func (m *Machine) receiveAccepted(from *pb.Replica, accepted *pb.Accepted) {
 	decided := m.proposer.receiveAccepted(from, accepted)
 	if decided == nil {
@@ -16,7 +17,7 @@
 	m.announce(before, decided)
 }
 
-// announce sends a decided view to its voters and to those of the view before it.
+// announce sends a decided view to its voters and to the voters of the view before it.
 func (m *Machine) announce(before, view *pb.View) {
 	message := decidedMessage(view)
 	for _, voter := range view.GetVoters() {
@@ -31,8 +32,8 @@
 	}
 }
 
-// enterView moves to a decided view if it is later than the one in force. Views are decided one after another, so that a
-// later one of the same cluster supersedes whatever this machine did by earlier ones; a machine may skip some.
+// enterView enters a decided view if it is later than the view in force. Views of a cluster are decided one after
+// another, so a later view supersedes everything that this machine did in earlier ones; a machine may skip views.
 func (m *Machine) enterView(view *pb.View) {
 	before := m.View()
 	if view.GetNumber() <= before.GetNumber() {
--- a/internal/region/control/viewplan.go
+++ b/internal/region/control/viewplan.go
@@ -9,8 +9,8 @@
 	"fieldrelay/internal/region/register"
 )
 
-// viewPlanner derives the view that should follow the one in force from what this machine knows of the others. Machines
-// may differ in it; the voters then decide on one of the views that were proposed.
+// viewPlanner computes the next view from what this machine knows of the others. Machines may compute different views;
+// the voters decide on one of those that were proposed.
 type viewPlanner struct {
 	clock       *clock
 	local       *localMachine
@@ -20,21 +20,23 @@
 	leaving     *leaving
 	rejoin      *rejoinBackoff
 	requirement chain.Requirement
-	// votingSince is, by identity, when a later view brought a voter; those of the view at the start are not in it.
+	// votingSince records, by identity, when a view change made a machine a voter. It lacks the voters of the view that
+	// this machine started with.
 	votingSince map[string]time.Duration
-	// coordination is what the registers of this machine are part of.
+	// coordination holds the epoch of the registers that this machine has on disk.
 	coordination *coordinationHost
 }
 
-// viewChange is in what a wanted view differs from the one in force.
+// viewChange lists the differences between a wanted view and the view in force.
 type viewChange struct {
 	chain.Change
-	Voters bool // other voters
+	Voters bool // the voters differ
 }
 
 func (c viewChange) any() bool { return c.Removal || c.Addition || c.Voters }
 
-// wantedView is the view that should follow; nil when there can be none.
+// wantedView returns the view that should replace the view in force, and the differences; nil when no valid chain can
+// be formed.
 func (p *viewPlanner) wantedView() (*pb.View, viewChange) {
 	view := viewInForce(p.replica)
 	voters, changed := p.nextVoters()
@@ -52,8 +54,9 @@
 	return wanted, viewChange{Change: change, Voters: changed}
 }
 
-// nextVoters are the voters of the view that should follow, and whether they differ from the present ones. They stay until a
-// majority of them holds the registers: the voters after them collect the registers from these.
+// nextVoters returns the voters of the next view, and whether they differ from the present ones. The voters do not
+// change until a majority of them holds the registers of their epoch, because the next voters collect the registers
+// from these.
 func (p *viewPlanner) nextVoters() ([]*pb.Replica, bool) {
 	view := viewInForce(p.replica)
 	if !p.majorityHoldsRegisters() {
@@ -75,7 +78,8 @@
 	return holders >= quorum.Majority(view)
 }
 
-// registerEpoch is the newest epoch whose registers a machine has advertised to be on its disk; 0: none is known.
+// registerEpoch is the newest epoch whose registers a machine is known to have on disk: from its heartbeat, or for this
+// machine from its own disk; 0: none is known.
 func (p *viewPlanner) registerEpoch(identity string) uint64 {
 	if identity == p.local.identity() {
 		return p.coordination.durableEpoch
@@ -86,8 +90,9 @@
 	return 0
 }
 
-// isOptimal reports, at little cost, whether the view in force cannot be bettered: the chain is as long as it may be,
-// all voters are live, stay and have a disk that works, and no machine waits to vote.
+// isOptimal reports, without computing the next view, whether the view in force cannot be improved: the chain has its
+// maximum length, all voters are live, none is leaving or reports an unhealthy disk, and no live machine is without a
+// vote.
 func (p *viewPlanner) isOptimal() bool {
 	view := viewInForce(p.replica)
 	if len(view.GetChain()) != min(len(view.GetVoters()), chain.MaxLength) {
@@ -106,7 +111,7 @@
 	return !p.hasNonVoter()
 }
 
-// hasNonVoter reports whether a live machine does not vote.
+// hasNonVoter reports whether a live machine is not a voter.
 func (p *viewPlanner) hasNonVoter() bool {
 	for identity := range p.peers.known {
 		if p.peers.isLive(identity) && quorum.IndexOf(viewInForce(p.replica).GetVoters(), identity) == quorum.NotFound {
@@ -125,13 +130,13 @@
 	return known && found.heartbeat.GetLeaving()
 }
 
-// hasLeftChain reports whether a machine that is leaving is outside of the chain in force.
+// hasLeftChain reports whether a machine that is leaving is no member of the chain in force.
 func (p *viewPlanner) hasLeftChain(identity string) bool {
 	inChain := quorum.IndexOf(viewInForce(p.replica).GetChain(), identity) != quorum.NotFound
 	return !inChain && p.isLeaving(identity)
 }
 
-// votingPeers describes all known machines for the choice of voters.
+// votingPeers describes the voters and all known machines, for the choice of the next voters.
 func (p *viewPlanner) votingPeers() map[string]quorum.Peer {
 	peers := make(map[string]quorum.Peer, len(p.peers.known)+1)
 	for _, voter := range viewInForce(p.replica).GetVoters() {
@@ -157,8 +162,8 @@
 	}
 }
 
-// sinceContact is the time since the last message of a machine. One that nothing came from yet cannot have been silent for
-// longer than it votes.
+// sinceContact is the time since the last message of a machine. If no message of it has arrived yet, the time is at
+// most that since the machine became a voter.
 func (p *viewPlanner) sinceContact(identity string) time.Duration {
 	silence := p.peers.sinceContact(identity)
 	if _, known := p.peers.known[identity]; known {
@@ -167,10 +172,10 @@
 	return min(silence, p.clock.now-p.votingSince[identity])
 }
 
-// enterView records which voters a view has brought.
+// enterView records since when the voters of a new view have been voters.
 func (p *viewPlanner) enterView(before, view *pb.View) {
 	if before == nil {
-		return // the first view that this machine learns of brought none of its voters
+		return // the voters of the first view that this machine learns of were elected at an unknown time
 	}
 	votingSince := make(map[string]time.Duration, len(view.GetVoters()))
 	for _, voter := range view.GetVoters() {
@@ -183,13 +188,13 @@
 	p.votingSince = votingSince
 }
 
-// knowsView reports whether a machine has advertised the view in force or the one before.
+// knowsView reports whether a heartbeat advertises the view in force, or the one before it.
 func (p *viewPlanner) knowsView(heartbeat *pb.Heartbeat) bool {
 	number := heartbeat.GetViewNumber()
 	return number > 0 && number+1 >= viewInForce(p.replica).GetNumber()
 }
 
-// chainCandidates describes voters for the choice of a chain.
+// chainCandidates describes voters, for the choice of the chain members.
 func (p *viewPlanner) chainCandidates(voters []*pb.Replica) map[string]chain.Candidate {
 	candidates := make(map[string]chain.Candidate, len(voters))
 	for _, voter := range voters {
--- a/internal/region/control/voter.go
+++ b/internal/region/control/voter.go
@@ -8,8 +8,8 @@
 	"fieldrelay/internal/region/quorum"
 )
 
-// voter is this machine as an acceptor of Paxos: it answers the proposers of the view that follows the one in force.
-// Promises and accepted proposals are on disk before their answers leave.
+// voter is the Paxos acceptor of this machine: it answers the proposers of the view that follows the view in force. A
+// promise or an accepted proposal is on disk before the answer is sent.
 type voter struct {
 	clock      *clock
 	replica    *chain.Replica
@@ -17,23 +17,24 @@
 	planner    *viewPlanner
 	disk       *diskQueue
 	output     *stepOutput
-	// spuriousProposals: a simulation has proposals made that nobody needs; each is granted.
+	// spuriousProposals is set in simulations that propose views without need; no promise is withheld then.
 	spuriousProposals bool
 
 	acceptor   *quorum.Acceptor
-	acceptedAt time.Duration // when this voter accepted a proposal last
+	acceptedAt time.Duration // when this voter last accepted a proposal
 }
 
-// enterView begins anew for the view after one that was decided. What was promised for that one is of no use any more.
+// enterView replaces the acceptor by one for the view after a decided one. Promises for the decided view have no effect
+// any more.
 func (v *voter) enterView(view *pb.View) { v.acceptor = quorum.NewAcceptor(view.GetNumber() + 1) }
 
-// hasUndecided reports whether a proposal that was accepted here has stayed undecided for so long that another voter
-// should complete it: its proposer may have failed.
+// hasUndecided reports whether a proposal that was accepted here has stayed undecided for longer than undecidedTimeout.
+// Its proposer may have failed, so another voter should complete it.
 func (v *voter) hasUndecided() bool {
 	return v.acceptor.HasAccepted() && v.clock.now-v.acceptedAt > undecidedTimeout
 }
 
-// prepare answers a proposer's first step.
+// prepare answers a proposer's Prepare.
 func (v *voter) prepare(from *pb.Replica, prepare *pb.Prepare) {
 	if !v.answersFor(from, prepare.GetViewNumber()) {
 		return
@@ -50,7 +51,7 @@
 	v.answer(from, promise.GetGranted(), &pb.Message{Body: &pb.Message_Promise{Promise: promise}})
 }
 
-// accept answers a proposer's second step.
+// accept answers a proposer's Accept.
 func (v *voter) accept(from *pb.Replica, accept *pb.Accept) {
 	if !v.answersFor(from, accept.GetViewNumber()) {
 		return
@@ -62,8 +63,8 @@
 	v.answer(from, accepted.GetGranted(), &pb.Message{Body: &pb.Message_Accepted{Accepted: accepted}})
 }
 
-// answer sends what the acceptor has answered. What it has granted leaves only when its record is on disk; a rejection
-// binds it to nothing.
+// answer sends an answer of the acceptor. A grant is sent only when its record is on disk; a rejection does not bind
+// the acceptor and is sent at once.
 func (v *voter) answer(to *pb.Replica, granted bool, message *pb.Message) {
 	if !granted {
 		v.output.send(to, message)
@@ -72,7 +73,8 @@
 	v.disk.persistThenSend(promiseRecord(v.acceptor), to, message)
 }
 
-// answersFor reports whether this machine answers the proposer of a view. It sends the view in force to one that is behind.
+// answersFor reports whether this machine answers proposals for a view. It sends the view in force to a proposer that
+// is behind.
 func (v *voter) answersFor(from *pb.Replica, number uint64) bool {
 	if view := viewInForce(v.replica); view != nil && number <= view.GetNumber() {
 		v.output.sendView(from)
@@ -81,9 +83,9 @@
 	return number == v.acceptor.ViewNumber() && v.electorate.includesSelf() && v.disk.accepts()
 }
 
-// agreesToChange keeps a voter outside of the chain, which may be partitioned from one member only, from changing a
-// chain that works. It only withholds a promise, which never harms safety; once a proposal was accepted, whoever
-// completes it is welcome.
+// agreesToChange reports whether this voter promises to a proposer. It keeps a proposer outside the chain, which may
+// merely be partitioned from one member, from changing a chain whose members are all healthy. Withholding a promise
+// never harms safety. A proposal that was accepted here may be completed by any proposer.
 func (v *voter) agreesToChange(from *pb.Replica) bool {
 	view := viewInForce(v.replica)
 	if view == nil || v.acceptor.HasAccepted() || v.spuriousProposals {
@@ -101,8 +103,8 @@
 	return false
 }
 
-// checkQuorum answers whether this voter knows of a view later than that of a quorum check, decided or accepted. A
-// proposal that was promised but not accepted cannot have been decided with this voter's help.
+// checkQuorum answers whether this voter knows of no view, decided or accepted, later than the one that a quorum check
+// names. A proposal that was promised here but not accepted cannot have been decided with the vote of this machine.
 func (v *voter) checkQuorum(from *pb.Replica, check *pb.ViewCheck) {
 	number := check.GetViewNumber()
 	decidedLater := viewInForce(v.replica).GetNumber() > number
--- a/internal/region/control/writequeue.go
+++ b/internal/region/control/writequeue.go
@@ -2,16 +2,17 @@
 
 import "sync"
 
-// writeQueue holds the writes that the loop of the Node has passed to the writer and that it has not taken, joined into
-// one. Putting a write never blocks, however long the disk stalls, so that heartbeats go on.
+// writeQueue holds the writes that the loop of the Node has passed to the writer and that the writer has not taken yet,
+// merged into one. Adding a write never blocks, however long the disk stalls, so that heartbeats continue.
 //
-// What it holds is bounded by the Machine, not by a length: a replica accepts no append and a head proposes no change
-// while an earlier one is not on disk, an acceptor grants nothing beyond maxUnpersistedWrites, and each snapshot, which
-// comes at the latest after snapshotRecords records or snapshotBytes, replaces all that waits before it.
+// The size of the queue is bounded by the Machine, not by a fixed length: a replica accepts no append and a head
+// proposes no change while an earlier one is not on disk, an acceptor grants nothing beyond maxUnpersistedWrites, and
+// each snapshot, which is due at the latest after snapshotRecords records or snapshotBytes, replaces all queued writes
+// before it.
 //
 // It is safe for concurrent use.
 type writeQueue struct {
-	ready chan struct{} // has an element while a write may wait
+	ready chan struct{} // holds an element while writes may be queued
 
 	mu      sync.Mutex
 	waiting bool
@@ -20,7 +21,7 @@
 
 func newWriteQueue() *writeQueue { return &writeQueue{ready: make(chan struct{}, 1)} }
 
-// put adds a write behind those that wait.
+// put adds a write after the queued ones.
 func (q *writeQueue) put(write Persist) {
 	q.mu.Lock()
 	if q.waiting {
@@ -33,7 +34,7 @@
 	notify(q.ready)
 }
 
-// take removes all writes that wait, as one; false if none does.
+// take removes all queued writes, merged into one; false if there are none.
 func (q *writeQueue) take() (Persist, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -42,7 +43,7 @@
 	return batch, waiting
 }
 
-// dropCoveredRecords drops the records that a snapshot contains.
+// dropCoveredRecords removes the records of a write that its snapshot contains.
 func dropCoveredRecords(write Persist) Persist {
 	if write.Snapshot != nil {
 		write.Records = nil
@@ -50,7 +51,7 @@
 	return write
 }
 
-// mergeWrites appends a write to a batch: a snapshot replaces what came before it.
+// mergeWrites appends a write to a batch; a snapshot replaces what precedes it.
 func mergeWrites(batch, next Persist) Persist {
 	if next.Snapshot != nil {
 		return dropCoveredRecords(next)
@@ -60,13 +61,13 @@
 	return batch
 }
 
-// writeResults holds what became of writes until the loop of the Node takes it. Only the newest token counts, since it
-// covers all earlier ones, and whether a write has failed since. Nothing in it blocks. It is safe for concurrent use.
+// writeResults holds the results of writes until the loop of the Node takes them: the newest token, which covers all
+// earlier ones, and whether a write has failed since. Its methods do not block. It is safe for concurrent use.
 type writeResults struct {
-	ready chan struct{} // has an element while there may be results
+	ready chan struct{} // holds an element while there may be results
 
 	mu        sync.Mutex
-	token     uint64 // 0: none was persisted since the last take
+	token     uint64 // newest durable token since the last take; 0: none
 	hasFailed bool   // a write after token has failed
 }
 
@@ -80,7 +81,7 @@
 	notify(r.ready)
 }
 
-// failed records that the oldest write that is not on disk has failed.
+// failed records that the oldest pending write has failed.
 func (r *writeResults) failed() {
 	r.mu.Lock()
 	r.hasFailed = true
@@ -88,7 +89,7 @@
 	notify(r.ready)
 }
 
-// take removes the results and returns them as events, in the order in which they came.
+// take removes the results and returns them as events, in the order in which they occurred.
 func (r *writeResults) take() []Event {
 	r.mu.Lock()
 	token, hasFailed := r.token, r.hasFailed
@@ -104,7 +105,7 @@
 	return events
 }
 
-// notify puts an element into a channel of capacity 1 unless it has one.
+// notify puts an element into a channel of capacity 1 unless it holds one.
 func notify(ready chan struct{}) {
 	select {
 	case ready <- struct{}{}:
