--- a/internal/region/control/confirmation_test.go
+++ b/internal/region/control/confirmation_test.go
@@ -24,11 +24,11 @@
 }
 
 // forward passes an order of the origin and returns the head's answer, nil if there is none.
-func (c *confirmingHead) forward(id uint64, kind pb.Order_Kind, number []byte) *pb.OrderResult {
+func (c *confirmingHead) forward(id uint64, kind pb.Order_Kind, token []byte) *pb.OrderResult {
 	before := len(c.sent)
 	c.step(Received{Message: &pb.Message{
 		From: c.origin,
-		Body: &pb.Message_Order{Order: &pb.Order{Id: id, Kind: kind, Zone: "z", Body: number}},
+		Body: &pb.Message_Order{Order: &pb.Order{Id: id, Kind: kind, Zone: "z", Body: token}},
 	}})
 	for _, send := range c.sent[before:] {
 		if result := send.Message.GetOrderResult(); result.GetId() == id {
@@ -45,18 +45,18 @@
 	return request.GetBody()
 }
 
-func TestNumberOfAnEvacuationServesOnce(t *testing.T) {
+func TestConfirmationTokenIsAcceptedOnce(t *testing.T) {
 	c := newConfirmingHead(t)
-	number := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
-	require.EqualValues(t, http.StatusOK, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, number).GetStatus())
-	require.EqualValues(t, statusConfirm, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, number).GetStatus())
+	token := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
+	require.EqualValues(t, http.StatusOK, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, token).GetStatus())
+	require.EqualValues(t, statusConfirm, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, token).GetStatus())
 }
 
-func TestNumberOfAnEvacuationServesNotForLong(t *testing.T) {
+func TestConfirmationTokenExpires(t *testing.T) {
 	c := newConfirmingHead(t)
-	number := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
+	token := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
 	c.now += confirmationTimeout
-	require.EqualValues(t, statusConfirm, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, number).GetStatus())
+	require.EqualValues(t, statusConfirm, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, token).GetStatus())
 }
 
 // The caller of the first order has given it up: it has ordered the opposite since.
@@ -90,20 +90,20 @@
 // back each other's numbers.
 func TestCopiesOfAnEvacuationDoNotUndoEachOther(t *testing.T) {
 	c := newConfirmingHead(t)
-	numbers := [][]byte{nil}
+	tokens := [][]byte{nil}
 	for range 4 {
-		var given [][]byte
-		for _, number := range numbers {
+		var issued [][]byte
+		for _, token := range tokens {
 			for range 2 {
-				result := c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, number)
+				result := c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, token)
 				if result.GetStatus() == http.StatusOK {
 					return
 				}
 				require.EqualValues(t, statusConfirm, result.GetStatus())
-				given = append(given, result.GetBody())
+				issued = append(issued, result.GetBody())
 			}
 		}
-		numbers = given
+		tokens = issued
 	}
 	require.Fail(t, "it is never confirmed")
 }
--- a/internal/region/control/coordination_test.go
+++ b/internal/region/control/coordination_test.go
@@ -80,7 +80,7 @@
 	require.Equal(t, pb.CoordinationResult_OUTCOME_UNKNOWN, l.callReplies[0].GetOutcome())
 }
 
-func TestCallsAreRefusedRightAfterALateWake(t *testing.T) {
+func TestCallsAreRejectedRightAfterAStall(t *testing.T) {
 	l := newSingleMachine(t)
 	l.now += time.Second
 	l.submitCall(nextNumberCall())
@@ -135,13 +135,13 @@
 
 func TestOthersLearnAtOnceThatTheRegistersAreOnDisk(t *testing.T) {
 	machine, _ := newRestartedMachineIn(t, viewOfEpoch())
-	var told []uint64
+	var advertised []uint64
 	for _, action := range machine.Step(TickInterval, Persisted{Token: machine.disk.lastToken}) {
 		if send, isSend := action.(Send); isSend && send.Message.GetHeartbeat() != nil {
-			told = append(told, send.Message.GetHeartbeat().GetRegisterEpoch())
+			advertised = append(advertised, send.Message.GetHeartbeat().GetRegisterEpoch())
 		}
 	}
-	require.Equal(t, []uint64{1, 1, 1, 1}, told)
+	require.Equal(t, []uint64{1, 1, 1, 1}, advertised)
 }
 
 // With two more failures, nobody could be asked for what a voter has that is replaced before a majority holds it.
--- a/internal/region/control/executedorders_test.go
+++ b/internal/region/control/executedorders_test.go
@@ -35,7 +35,7 @@
 	return recovered
 }
 
-func TestTakenOrdersOfAnEarlierVersionAreKept(t *testing.T) {
+func TestExecutedOrdersOfAnEarlierVersionAreKept(t *testing.T) {
 	recovered := earlierDisk(t)
 	require.Len(t, recovered.Records, 4)
 	l := &singleMachine{t: t, snapshot: recovered.Snapshot, records: recovered.Records}
@@ -62,7 +62,7 @@
 }
 
 // Every order of a run is acknowledged again, after restarts from snapshots and from records too.
-func TestTakenOrdersSurviveRestarts(t *testing.T) {
+func TestExecutedOrdersSurviveRestarts(t *testing.T) {
 	l := newSingleMachine(t)
 	const count = 400
 	for base := range uint64(count) {
--- a/internal/region/control/machine_test.go
+++ b/internal/region/control/machine_test.go
@@ -144,7 +144,7 @@
 	l.requireStatus(http.StatusOK, replaceOrder(5, 8))
 }
 
-func TestOrdersAreRefusedRightAfterALateWake(t *testing.T) {
+func TestOrdersAreRejectedRightAfterAStall(t *testing.T) {
 	l := newSingleMachine(t)
 	l.now += time.Second
 	l.requireStatus(http.StatusServiceUnavailable, replaceOrder(0, 3))
--- a/internal/region/control/originorders_test.go
+++ b/internal/region/control/originorders_test.go
@@ -85,7 +85,7 @@
 }
 
 // Results of an earlier incarnation of this machine match no order of this one.
-func TestResultsOfAnEarlierLifeAreDropped(t *testing.T) {
+func TestResultsOfAnEarlierIncarnationAreDropped(t *testing.T) {
 	l := newSingleMachine(t)
 	earlier := submitPending(l, 0, 9).order.GetId()
 	l.holdWrites = false
--- a/internal/region/control/staleness_test.go
+++ b/internal/region/control/staleness_test.go
@@ -119,7 +119,7 @@
 }
 
 // Messages that have waited for a stalled process do not show that it is in contact.
-func TestAStandstillEndsTheAuthority(t *testing.T) {
+func TestAStallEndsTheAuthority(t *testing.T) {
 	a := newAuthoritativeMachine(t)
 	a.now += 20 * time.Second
 	receiveHeartbeatOf(a.machine, a.now, a.peers[0])
@@ -131,7 +131,7 @@
 	require.True(t, a.machine.Authoritative())
 }
 
-func TestThePictureThatAStandingLoopLeftGivesNoAuthority(t *testing.T) {
+func TestStatusOfAStalledLoopIsNotAuthoritative(t *testing.T) {
 	node := &Node{startedAt: time.Now().Add(-time.Hour)}
 	node.status.Store(&Status{Authoritative: true})
 	node.lastTickAt.Store(int64(time.Hour - stallThreshold))
@@ -155,16 +155,16 @@
 
 // The grace for a change that is on its way begins with the last heartbeat that did not advertise it, not with the
 // first one that does.
-func TestGraceForChangesOnTheirWayEndsWithTheSilenceLimit(t *testing.T) {
+func TestGraceForMissingChangesEndsWithTheFailureTimeout(t *testing.T) {
 	a := newAuthoritativeMachine(t)
-	heardAt := a.now
+	lastHeartbeatAt := a.now
 	a.pass(FailureTimeout - TickInterval)
-	for a.now < heardAt+FailureTimeout+TickInterval {
+	for a.now < lastHeartbeatAt+FailureTimeout+TickInterval {
 		a.receiveHeartbeat(0, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
 		a.receiveHeartbeat(1, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
 		a.pass(TickInterval)
 	}
-	require.False(t, a.machine.Authoritative(), "the change may have been acknowledged %v ago", a.now-heardAt)
+	require.False(t, a.machine.Authoritative(), "the change may have been acknowledged %v ago", a.now-lastHeartbeatAt)
 }
 
 // A voter outside of the chain may not know what is committed, so that its heartbeats do not prolong the grace.
--- a/internal/region/control/stalleddisk_test.go
+++ b/internal/region/control/stalleddisk_test.go
@@ -43,7 +43,7 @@
 	d.stalled = make(chan struct{})
 }
 
-func (d *stallingDisk) goOn() {
+func (d *stallingDisk) resume() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	close(d.stalled)
@@ -93,7 +93,7 @@
 	}
 	atView := func() bool { return node.Status().View.GetNumber() == views }
 	require.Eventually(t, atView, 5*time.Second, 5*time.Millisecond, "the loop handles them")
-	disk.goOn()
+	disk.resume()
 	isWritten := func() bool { return node.counters.writes.Load() > 0 && !node.writer.queue.isWaiting() }
 	require.Eventually(t, isWritten, 5*time.Second, 5*time.Millisecond, "the writer goes on")
 	stop()
--- a/internal/region/control/startup_test.go
+++ b/internal/region/control/startup_test.go
@@ -72,13 +72,13 @@
 	return 0, false
 }
 
-func TestAMachineThatJustStartedLeavesTheOthersTimeToSpeak(t *testing.T) {
+func TestAMachineThatJustStartedWaitsForHeartbeats(t *testing.T) {
 	machine, others := newRestartedMachine(t)
 	_, proposed := firstProposal(machine, others[:3], FailureTimeout)
 	require.False(t, proposed, "the last one may have started as long ago as this one")
 }
 
-func TestAMachineThatJustStartedGivesUpThoseThatStaySilent(t *testing.T) {
+func TestAMachineThatJustStartedRemovesSilentPeers(t *testing.T) {
 	machine, others := newRestartedMachine(t)
 	after, proposed := firstProposal(machine, others[:3], 2*FailureTimeout)
 	require.True(t, proposed)
--- a/internal/region/control/trafficclass_test.go
+++ b/internal/region/control/trafficclass_test.go
@@ -151,7 +151,7 @@
 }
 
 // A delivery whose connection is reset is reported, message by message; heartbeats are not, for others follow.
-func TestChangesThatWereNotDeliveredAreToldOf(t *testing.T) {
+func TestUndeliveredChangesAreReported(t *testing.T) {
 	server := resettest.New(t)
 	senders := newPeerSenders(t.Context(), &counters{})
 	undelivered := make(chan *pb.Message, 16)
@@ -187,7 +187,7 @@
 	require.Equal(t, 1, server.Arrivals())
 }
 
-func TestChangesThatHaveWaitedForTooLongAreToldOf(t *testing.T) {
+func TestExpiredChangesAreReported(t *testing.T) {
 	senders := newPeerSenders(t.Context(), &counters{})
 	var undelivered []*pb.Message
 	senders.undelivered = func(message *pb.Message) { undelivered = append(undelivered, message) }
