--- a/internal/region/control/catchup_test.go
+++ b/internal/region/control/catchup_test.go
@@ -9,11 +9,12 @@
 	"fieldrelay/internal/region/catalog"
 )
 
-// caughtUpWithin is the limit for a node to hold all that was committed before its start: sync-s of the sites.
+// caughtUpWithin limits the time in which a node must hold everything that was committed before its start; it is the
+// sites' setting sync-s.
 const caughtUpWithin = 4 * time.Second
 
-// A node that was away for more changes than history keeps is repaired, and tells none of them as changes: who asks
-// it for those gets none, and the whole state in their place.
+// A node that has missed more changes than the history retains is repaired with the whole state. It must not report the
+// missed changes one by one: Since returns none of them, so that callers fetch the whole state.
 func TestNodeFarBehindCatchesUp(t *testing.T) {
 	cluster := newTestCluster(t)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 1)).GetStatus())
--- a/internal/region/control/confirmation_test.go
+++ b/internal/region/control/confirmation_test.go
@@ -9,7 +9,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// confirmingHead is a machine that is the whole chain, and an origin elsewhere that it requests confirmations from.
+// confirmingHead is a machine that is the whole chain, with an origin on another machine that it requests confirmations
+// from.
 type confirmingHead struct {
 	*singleMachine
 	origin *pb.Replica
@@ -23,7 +24,7 @@
 	}
 }
 
-// forward passes an order of the origin and returns the head's answer, nil if there is none.
+// forward passes an order of the origin and returns the head's answer; nil if there is none.
 func (c *confirmingHead) forward(id uint64, kind pb.Order_Kind, token []byte) *pb.OrderResult {
 	before := len(c.sent)
 	c.step(Received{Message: &pb.Message{
@@ -59,7 +60,8 @@
 	require.EqualValues(t, statusConfirm, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, token).GetStatus())
 }
 
-// The caller of the first order has given it up: it has ordered the opposite since.
+// The caller of the first order has given up and has ordered the opposite since. The token of the first order must not
+// be accepted any more, or the first order would undo the second.
 func TestEvacuationThatWasOvertakenIsConfirmedAnew(t *testing.T) {
 	c := newConfirmingHead(t)
 	begin := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
@@ -86,8 +88,8 @@
 	require.EqualValues(t, 98, l.machine.origin.pending[0].request)
 }
 
-// Where every message comes twice, an evacuation is confirmed all the same: copies on their way at once do not take
-// back each other's numbers.
+// An evacuation must be confirmed even if the network duplicates every message: copies in flight at the same time must
+// not invalidate each other's tokens.
 func TestCopiesOfAnEvacuationDoNotUndoEachOther(t *testing.T) {
 	c := newConfirmingHead(t)
 	tokens := [][]byte{nil}
@@ -105,5 +107,5 @@
 		}
 		tokens = issued
 	}
-	require.Fail(t, "it is never confirmed")
+	require.Fail(t, "the evacuation was never confirmed")
 }
--- a/internal/region/control/coordination_test.go
+++ b/internal/region/control/coordination_test.go
@@ -19,7 +19,7 @@
 	l.step(CallSubmitted{Request: l.lastRequest, Call: call})
 }
 
-// number returns the next number of the name n, which must come at once.
+// number returns the next number of the name n. The call must be answered at once.
 func (l *singleMachine) number() uint64 {
 	l.t.Helper()
 	l.callReplies = nil
@@ -29,7 +29,7 @@
 	return l.callReplies[0].GetNumber()
 }
 
-// releaseOne puts the oldest write that is held on disk.
+// releaseOne persists the oldest held write.
 func (l *singleMachine) releaseOne() {
 	write := l.heldWrites[0]
 	l.heldWrites = l.heldWrites[1:]
@@ -47,7 +47,7 @@
 	l.holdWrites = true
 	l.submitCall(nextNumberCall())
 	for len(l.callReplies) == 0 {
-		require.NotEmpty(t, l.heldWrites, "the answer waits for the disk")
+		require.NotEmpty(t, l.heldWrites, "the call has neither an answer nor a pending write")
 		l.releaseOne()
 	}
 	require.EqualValues(t, 1, l.callReplies[0].GetNumber())
@@ -60,7 +60,7 @@
 func TestNumbersOfBeforeARestartAreNotGivenAgain(t *testing.T) {
 	l := newSingleMachine(t)
 	last := uint64(0)
-	for range 3 { // more records than fit before a snapshot
+	for range 3 { // more records than are written between two snapshots
 		for range 4 {
 			next := l.number()
 			require.Greater(t, next, last)
@@ -100,7 +100,7 @@
 	l.restart()
 	holdsEpoch := func() bool { return l.machine.coordination.engine.ActiveEpoch() > 0 }
 	for !holdsEpoch() {
-		require.NotEmpty(t, l.heldWrites, "founding waits for the disk")
+		require.NotEmpty(t, l.heldWrites, "no epoch is active, and no write is pending")
 		require.Zero(t, advertisedEpoch(l.machine))
 		l.releaseOne()
 		l.tick(1)
@@ -144,7 +144,8 @@
 	require.Equal(t, []uint64{1, 1, 1, 1}, advertised)
 }
 
-// With two more failures, nobody could be asked for what a voter has that is replaced before a majority holds it.
+// The voters must not change while fewer than a majority holds the registers: after two further failures, no machine
+// would be left that holds the registers of a replaced voter.
 func TestVotersStayUntilAMajorityHoldsTheRegisters(t *testing.T) {
 	view := viewOfEpoch()
 	machine, others := newRestartedMachineIn(t, view)
@@ -171,7 +172,7 @@
 	for holders = range 2 {
 		letTimePass()
 		voters, changed := machine.planner.nextVoters()
-		require.False(t, changed, "%d of the others and this machine hold them", holders)
+		require.False(t, changed, "%d other voters and this machine hold the registers", holders)
 		require.Equal(t, view.GetVoters(), voters)
 	}
 	holders = 2
@@ -189,12 +190,12 @@
 		require.True(t, disk.acceptsRegisters())
 		disk.enqueue(nil, pendingWrite{forRegisters: true})
 	}
-	require.False(t, disk.acceptsRegisters(), "the writes of registers are bounded")
+	require.False(t, disk.acceptsRegisters(), "pending writes of registers must be bounded")
 	for range maxUnpersistedWrites {
 		require.True(t, disk.accepts())
 		disk.enqueue(nil, pendingWrite{})
 	}
-	require.False(t, disk.accepts(), "the others are bounded, too")
+	require.False(t, disk.accepts(), "other pending writes must be bounded")
 	for range maxUnpersistedRegisterWrites {
 		disk.next(disk.lastToken)
 	}
--- a/internal/region/control/coordinationcluster_test.go
+++ b/internal/region/control/coordinationcluster_test.go
@@ -16,7 +16,7 @@
 	"fieldrelay/internal/region/coordinationapi"
 )
 
-// applicationTimeout is how long an application repeats a call that has no clear answer.
+// applicationTimeout is how long an application repeats a call that gets no definite answer.
 const applicationTimeout = 10 * time.Second
 
 // application calls the machines of a cluster over HTTP.
@@ -57,7 +57,7 @@
 	}
 }
 
-// call calls one machine until it gives a clear answer, as an application does.
+// call calls one machine repeatedly until it gives a definite answer, as an application does.
 func (a *application) call(machine int, method, path, body string) (int, callAnswer) {
 	a.t.Helper()
 	deadline := time.Now().Add(applicationTimeout)
@@ -70,7 +70,7 @@
 		}
 		if time.Now().After(deadline) {
 			a.logMachines()
-			require.FailNow(a.t, "no clear answer", "%s gets %d", path, status)
+			require.FailNow(a.t, "no definite answer", "%s: last status %d", path, status)
 		}
 		select {
 		case <-changed:
@@ -142,7 +142,7 @@
 	require.Equal(a.t, revision, answer.Revision)
 }
 
-// watch waits for puts after a revision, and returns the values in their order.
+// watch waits for puts after a revision, and returns their values in order.
 func (a *application) watch(machine int, group string, after uint64) []string {
 	a.t.Helper()
 	status, answer := a.call(machine, "GET", fmt.Sprintf("/api/watch/%s?after=%d&wait-ms=8000", group, after), "")
@@ -150,7 +150,7 @@
 	var values []string
 	for _, event := range answer.Events {
 		after++
-		require.Equal(a.t, after, event.Revision, "no put is left out")
+		require.Equal(a.t, after, event.Revision, "a put is missing before this revision")
 		values = append(values, event.Val)
 	}
 	require.Equal(a.t, after, answer.Revision)
@@ -174,7 +174,7 @@
 		require.Equal(t, 200, status)
 		require.Greater(t, second, first)
 		app.finish(one, lock, "a", first)
-		require.Equal(t, 200, app.renew(two, lock, "b", second), "a late release of an earlier fence ends nothing")
+		require.Equal(t, 200, app.renew(two, lock, "b", second), "a late release with an earlier fence must not end the hold")
 
 		before := float64(0)
 		for machine := range clusterSize {
@@ -187,7 +187,7 @@
 		require.Equal(t, 200, status)
 		status, repeated := app.put(two, group+"k", "v1", 0)
 		require.Equal(t, 200, status)
-		require.Equal(t, revision, repeated, "sent again")
+		require.Equal(t, revision, repeated, "a repeated put returns the same revision")
 		status, present := app.put(three, group+"k", "v2", 0)
 		require.Equal(t, 412, status)
 		require.Equal(t, revision, present)
@@ -201,7 +201,7 @@
 	}
 }
 
-// acknowledged is what an application was told, and must find again.
+// acknowledged records the results that an application has received, which must still hold later.
 type acknowledged struct {
 	fence    uint64
 	number   float64
@@ -218,7 +218,7 @@
 	return acknowledged{fence: fence, number: a.number(machine, "n"), revision: revision}
 }
 
-// requireFound checks at a machine that what was acknowledged is there.
+// requireFound checks at a machine that everything acknowledged is there.
 func (a *application) requireFound(machine int, before acknowledged) {
 	a.t.Helper()
 	status, _ := a.begin(machine, "l", "b")
@@ -241,7 +241,7 @@
 			cluster.machines[index].stop()
 			began := time.Now()
 			app.requireFound((index+1)%clusterSize, before)
-			t.Logf("found after %v", time.Since(began))
+			t.Logf("everything acknowledged was found after %v", time.Since(began))
 			app.requireFound((index+2)%clusterSize, before)
 		})
 	}
@@ -303,7 +303,7 @@
 			require.Eventually(t, func() bool {
 				return cluster.machines[watcher].node.CoordinationStatus().Watches == 1
 			}, applicationTimeout, 10*time.Millisecond)
-			cluster.machines[index].stop() // in one of the runs the proposer of the group
+			cluster.machines[index].stop() // in one of the subtests it is the proposer of the group
 			status, _ = app.put(writer, "g.k", "v2", revision)
 			require.Equal(t, 200, status)
 			require.Equal(t, []string{"v2"}, <-seen)
--- a/internal/region/control/duplicatedelivery_test.go
+++ b/internal/region/control/duplicatedelivery_test.go
@@ -12,8 +12,8 @@
 	"fieldrelay/internal/testkit/resettest"
 )
 
-// The transport must not send messages again by itself once a byte of them has left: an order that was answered
-// might come once more.
+// The transport must not resend a request by itself once a byte of it has been sent: an order that was already answered
+// could be delivered again.
 func TestTransportDeliversNoMessageTwice(t *testing.T) {
 	server := resettest.New(t)
 	peer := fieldrelayv1connect.NewControlPeerClient(newPeerSenders(t.Context(), &counters{}).client, server.URL)
@@ -24,12 +24,12 @@
 	}))
 }
 
-// replayable makes calls that a transport takes for safe to send again.
+// replayable marks requests as idempotent, so that the transport retries them.
 type replayable struct{ http.RoundTripper }
 
 func (r replayable) RoundTrip(request *http.Request) (*http.Response, error) {
 	changed := request.Clone(request.Context())
-	changed.Header["Idempotency-Key"] = nil // makes the transport take it for safe, and is not sent
+	changed.Header["Idempotency-Key"] = nil // the key without a value marks the request as idempotent and is not sent
 	return r.RoundTripper.RoundTrip(changed)
 }
 
--- a/internal/region/control/earlieridentity_test.go
+++ b/internal/region/control/earlieridentity_test.go
@@ -9,8 +9,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// A machine that lost its disk and was admitted as another replica does not give way to what it was before, which is silent
-// for less than the failure timeout.
+// A machine that lost its disk has become a voter under a new identity. Its earlier identity, silent for less than
+// FailureTimeout, must not replace it as a voter.
 func TestMachineThatLostItsDiskIsNotReplacedByItsEarlierIdentity(t *testing.T) {
 	view := viewOfEpoch()
 	machine, others := newRestartedMachineIn(t, view)
--- a/internal/region/control/executedorders_test.go
+++ b/internal/region/control/executedorders_test.go
@@ -13,7 +13,7 @@
 	"fieldrelay/internal/region/ring"
 )
 
-// noteOrder is the order on a generation that the disk of the earlier version was written with.
+// noteOrder is the order on a generation with which the recorded ring of the earlier version was written.
 func noteOrder(base uint64) *pb.Order {
 	return &pb.Order{Kind: pb.Order_KIND_REPLACE, Base: base, Body: fmt.Appendf(nil, `{"gen":%d,"note":"a"}`, base+1)}
 }
@@ -22,8 +22,8 @@
 	return &pb.Order{Kind: pb.Order_KIND_REPLACE, Base: base, Body: fmt.Appendf(nil, `{"gen":%d,"note":"b"}`, base+1)}
 }
 
-// earlierDisk is what commit d046182 left on the disk of a system of one machine after 70 orders: a snapshot of
-// 66 of them and four records. It kept the last 64 orders as items.
+// earlierDisk is the ring that an earlier version of this program left on a cluster of one machine after 70 orders: a
+// snapshot of 66 of them, and four records. That version kept the last 64 orders as items.
 func earlierDisk(t *testing.T) *ring.Recovered {
 	t.Helper()
 	content := goldenRead(t, "ring-with-taken-items.gz")
@@ -40,11 +40,11 @@
 	require.Len(t, recovered.Records, 4)
 	l := &singleMachine{t: t, snapshot: recovered.Snapshot, records: recovered.Records}
 	l.restart()
-	require.Empty(t, l.records, "all of it is written anew")
+	require.Empty(t, l.records, "the converted state is written as a new snapshot")
 	requireEarlierOrders := func() {
 		for base := range uint64(70) {
 			status, other := http.StatusOK, http.StatusPreconditionFailed
-			if base <= 6 { // the items began with the order on 6, and that is not known of them
+			if base <= 6 { // the items begin with the order on generation 6, but the state does not record where they begin
 				status, other = http.StatusServiceUnavailable, http.StatusServiceUnavailable
 			}
 			l.requireStatus(status, noteOrder(base))
@@ -61,7 +61,7 @@
 	l.requireStatus(http.StatusOK, noteOrder(89))
 }
 
-// Every order of a run is acknowledged again, after restarts from snapshots and from records too.
+// Every order of the run must be acknowledged again, also after restarts from snapshots and records.
 func TestExecutedOrdersSurviveRestarts(t *testing.T) {
 	l := newSingleMachine(t)
 	const count = 400
@@ -78,7 +78,7 @@
 	}
 }
 
-// What leaves a machine for agents does not name the orders.
+// Changes that are passed on to agents must not contain the digests of their orders.
 func TestCommittedChangesDoNotNameTheirOrders(t *testing.T) {
 	l := newSingleMachine(t)
 	for base := range uint64(5) {
--- a/internal/region/control/golden_test.go
+++ b/internal/region/control/golden_test.go
@@ -25,7 +25,7 @@
 	"fieldrelay/internal/region/settings"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func goldenReplica(number int) *pb.Replica {
 	return &pb.Replica{
@@ -46,8 +46,9 @@
 	return view
 }
 
-// goldenDisk is a snapshot and records that hold every kind of record, and what each of them can hold: changes of all
-// orders, a repair with ranges and taken orders, views, a basis and an acceptor that has promised and accepted.
+// goldenDisk returns a snapshot and records that contain every kind of record and everything that each of them can
+// hold: changes by all kinds of orders, a repair with ranges and executed orders, views, a synchronized view number,
+// and an acceptor that has promised and accepted.
 func goldenDisk(t *testing.T) (snapshot []byte, records []ring.Record) {
 	t.Helper()
 	state := catalog.Empty()
@@ -88,7 +89,7 @@
 	return snapshot, append(records, promiseRecord(acceptor))
 }
 
-// machineDisk is what a machine by itself writes from founding on, with known random numbers.
+// machineDisk returns what a cluster of one machine writes from its first start, with fixed random numbers.
 func machineDisk(t *testing.T) (snapshot []byte, records []ring.Record) {
 	t.Helper()
 	l := newSingleMachine(t)
@@ -98,7 +99,7 @@
 	return l.snapshot, l.records
 }
 
-// writeRing gives the ring file that a snapshot and records make.
+// writeRing returns the content of the ring file for a snapshot and records.
 func writeRing(t *testing.T, snapshot []byte, records []ring.Record) []byte {
 	t.Helper()
 	folder := t.TempDir()
@@ -112,7 +113,7 @@
 	return content
 }
 
-// goldenFile gives a golden file's content; with -update it is written anew before.
+// goldenFile returns the content of a golden file; with -update it writes the file first.
 func goldenFile(t *testing.T, name string, written []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -148,7 +149,7 @@
 	return folder
 }
 
-// Guards what is written to disk: the same state and the same steps of a machine give the very bytes of the ring.
+// Guards the format on disk: the same state and the same steps of a machine must produce the same bytes in the ring.
 func TestGoldenRingsAreWrittenByteForByte(t *testing.T) {
 	for name, disk := range map[string]func(*testing.T) ([]byte, []ring.Record){
 		"golden-ring.gz":         goldenDisk,
@@ -174,7 +175,7 @@
 		"voters": replicaTexts(view.GetVoters()), "chain": replicaTexts(view.GetChain())}
 }
 
-// recoveredValues is all that was recovered, under names of this test's own.
+// recoveredValues lists everything that was recovered, under the keys of the golden files.
 func recoveredValues(t *testing.T, found *Inspection) []byte {
 	t.Helper()
 	var kinds, items []string
@@ -200,8 +201,8 @@
 	return append(text, '\n')
 }
 
-// Guards an upgrade in place: the ring of an earlier program is recovered whole, as an operator inspects it and as a
-// machine starts on it.
+// Guards upgrades in place: the ring of an earlier version must be recovered completely, both by Inspect and by a
+// machine that starts on it.
 func TestGoldenRingsAreRecovered(t *testing.T) {
 	for _, name := range []string{"golden-ring", "golden-ring-machine", "golden-ring-without-registers"} {
 		content := goldenRead(t, name+".gz")
@@ -229,7 +230,7 @@
 		require.Equal(t, found.View.GetNumber(), machine.View().GetNumber())
 		require.Equal(t, found.Bootstrap, machine.local.bootstrap)
 
-		// orders that were taken are known again, others on the same generations are not
+		// executed orders are recognized; other orders on the same generations are conflicts
 		for base := range uint64(7) {
 			_, err = catalog.PrepareReplace(found.State, base, noteOrder(base).GetBody())
 			var again *catalog.AlreadyExecutedError
--- a/internal/region/control/headqueue_test.go
+++ b/internal/region/control/headqueue_test.go
@@ -8,7 +8,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// queueOf makes a queue of orders with bodies of these lengths; their ids count from 1.
+// queueOf returns a queue of orders with bodies of these lengths; their ids count from 1.
 func queueOf(lengths ...int) *headQueue {
 	queue := &headQueue{}
 	for index, length := range lengths {
@@ -32,6 +32,6 @@
 	require.Equal(t, []uint64{1, 2, 3}, queueOf(large, large, large).nextAll())
 	require.Equal(t, []uint64{3, 1, 2}, queueOf(large, large, 0).nextAll())
 	require.Equal(t, []uint64{3, 4, 5, 6, 1, 7, 8, 9, 10, 2, 11},
-		queueOf(large, large, 1, 2, 3, 4, 5, 6, 7, 8, 9).nextAll(), "the oldest is taken after four")
+		queueOf(large, large, 1, 2, 3, 4, 5, 6, 7, 8, 9).nextAll(), "the oldest order must be next after four overtakes")
 	require.Equal(t, []uint64{1, 2, 3, 4, 5, 6, 7}, queueOf(1, 2, 3, 4, 5, 6, large).nextAll())
 }
--- a/internal/region/control/inspect_test.go
+++ b/internal/region/control/inspect_test.go
@@ -56,7 +56,7 @@
 	var unreadable *RecordError
 	require.True(t, errors.As(inspection.Failure, &unreadable))
 	require.Equal(t, recordView, unreadable.Kind)
-	require.Equal(t, "own", inspection.Identity, "what came before the fault is reported")
+	require.Equal(t, "own", inspection.Identity, "records before the faulty one must be reported")
 }
 
 func TestInspectOfAnotherFolder(t *testing.T) {
--- a/internal/region/control/leaving_test.go
+++ b/internal/region/control/leaving_test.go
@@ -44,5 +44,5 @@
 	require.Equal(t, []Left{{}}, l.left)
 	l.step(Leave{})
 	l.tick(30)
-	require.Len(t, l.left, 1, "it is reported once")
+	require.Len(t, l.left, 1, "Left must be reported once")
 }
--- a/internal/region/control/machine_test.go
+++ b/internal/region/control/machine_test.go
@@ -13,7 +13,7 @@
 	"fieldrelay/internal/region/ring"
 )
 
-// singleMachine is a system of one machine, whose writes reach the disk at once unless holdWrites is set.
+// singleMachine is a cluster of one machine. Its writes are persisted at once unless holdWrites is set.
 type singleMachine struct {
 	t                *testing.T
 	machine          *Machine
@@ -25,7 +25,7 @@
 	replies          []*pb.OrderResult
 	callReplies      []*pb.CoordinationResult
 	sent             []Send
-	committedChanges []*pb.Change // of the Committed actions
+	committedChanges []*pb.Change // changes in the Committed actions
 	left             []Left
 	lastRequest      uint64
 }
@@ -53,7 +53,7 @@
 	l.tick(10)
 }
 
-// recovered is what is on disk.
+// recovered returns the content of the disk.
 func (l *singleMachine) recovered() *ring.Recovered {
 	return &ring.Recovered{Snapshot: l.snapshot, Records: l.records}
 }
@@ -99,7 +99,7 @@
 	}
 }
 
-// order returns the answer to an order, which must come at once.
+// submit submits an order and returns its result. The order must be answered at once.
 func (l *singleMachine) submit(order *pb.Order) *pb.OrderResult {
 	l.lastRequest++
 	count := len(l.replies)
@@ -135,7 +135,8 @@
 	l.requireStatus(http.StatusServiceUnavailable, &pb.Order{})
 }
 
-// An order on a generation that may yet come is not refused for good: a late copy could be taken then.
+// An order on a generation that may still come must be answered 503, not refused: a late copy of it could be executed
+// once that generation exists.
 func TestOrderOnALaterGenerationGetsNoClearAnswer(t *testing.T) {
 	l := newSingleMachine(t)
 	l.requireStatus(http.StatusOK, replaceOrder(0, 3))
@@ -175,7 +176,7 @@
 		l.requireStatus(http.StatusOK, replaceOrder(generation, next))
 		generation = next
 	}
-	require.NotEmpty(t, l.snapshot, "a snapshot was due")
+	require.NotEmpty(t, l.snapshot, "a snapshot must have been written")
 	identity := l.machine.Self().GetIdentity()
 	before := l.machine.Committed().Digests()
 	l.restart()
@@ -220,7 +221,7 @@
 	require.Len(t, l.replies, 2*maxPendingOrders)
 	require.LessOrEqual(t, len(l.machine.head.queue.orders), maxPendingOrders)
 	l.tick(7)
-	require.Len(t, l.replies, 3*maxPendingOrders, "each is answered once")
+	require.Len(t, l.replies, 3*maxPendingOrders, "each order must be answered once")
 }
 
 func TestMessagesForAnotherIdentityOrClusterAreDropped(t *testing.T) {
@@ -256,7 +257,8 @@
 	}
 }
 
-// A machine that has lost its disk, and whose seeds are gone, answers those that look for its old identity.
+// A machine that has lost its disk, and whose seeds are gone, must contact machines that send messages to its earlier
+// identity.
 func TestMachineWithoutAViewFindsThoseThatLookForIt(t *testing.T) {
 	machine, err := NewMachine(Config{
 		Self:        &pb.Replica{Host: "core", Address: "10.0.0.1:7660", ControlAddress: "10.0.0.1:8146"},
--- a/internal/region/control/node_test.go
+++ b/internal/region/control/node_test.go
@@ -35,11 +35,11 @@
 // clusterSize is the number of machines of a testCluster.
 const clusterSize = 3
 
-// testCluster is a set of control machines that all are seeds.
+// testCluster is a set of control machines, all of which are seeds.
 type testCluster struct {
 	t        *testing.T
 	machines []*testMachine
-	peers    map[string]string // peer address by operator's address
+	peers    map[string]string // peer address by operator API address
 }
 
 func newTestCluster(t *testing.T) *testCluster {
@@ -47,7 +47,7 @@
 	return newTestClusterOn(t, func(int) *ringtest.Disk { return nil })
 }
 
-// newTestClusterOn starts machines on the given disks.
+// newTestClusterOn starts a cluster on the given disks.
 func newTestClusterOn(t *testing.T, diskOf func(index int) *ringtest.Disk) *testCluster {
 	t.Helper()
 	cluster := &testCluster{t: t, peers: make(map[string]string)}
@@ -120,7 +120,7 @@
 	}
 }
 
-// await waits until a node's status is as wanted.
+// await waits until the status of a node satisfies a condition.
 func (c *testCluster) await(machine *testMachine, limit time.Duration, wanted func(Status) bool) {
 	deadline := time.After(limit)
 	for {
@@ -131,12 +131,12 @@
 		select {
 		case <-changed:
 		case <-deadline:
-			require.FailNow(c.t, "not reached in time", "%+v", machine.node.Status())
+			require.FailNow(c.t, "status not reached in time", "%+v", machine.node.Status())
 		}
 	}
 }
 
-// order submits until the answer is not 503.
+// order submits an order repeatedly until the answer is not 503, for up to five seconds.
 func (c *testCluster) order(machine *testMachine, order *pb.Order) *pb.OrderResult {
 	deadline := time.Now().Add(5 * time.Second)
 	for {
@@ -165,13 +165,13 @@
 	for _, machine := range cluster.machines {
 		cluster.await(machine, 5*time.Second, authoritative)
 	}
-	t.Logf("founded after %v", time.Since(began))
+	t.Logf("bootstrapped after %v", time.Since(began))
 	began = time.Now()
 	first := replaceOrder(0, 3)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[1], first).GetStatus())
 	t.Logf("acknowledged after %v", time.Since(began))
 	for _, machine := range cluster.machines {
-		require.EqualValues(t, 200, cluster.order(machine, first).GetStatus(), "sent again")
+		require.EqualValues(t, 200, cluster.order(machine, first).GetStatus(), "the same order must be acknowledged again")
 		read := cluster.order(machine, &pb.Order{Kind: pb.Order_KIND_READ})
 		require.EqualValues(t, 200, read.GetStatus())
 		require.JSONEq(t, string(first.GetBody()), string(read.GetBody()))
--- a/internal/region/control/openring_test.go
+++ b/internal/region/control/openring_test.go
@@ -15,7 +15,7 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// corruptRing changes bytes of the snapshots of a ring's files.
+// corruptRing overwrites bytes of the snapshots in all files of a ring.
 func corruptRing(t *testing.T, folder string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "ring-*"))
@@ -41,7 +41,7 @@
 	began := time.Now()
 	cluster.start(machine)
 	after := machine.node.Status().Self.GetIdentity()
-	require.NotEqual(t, before, after, "nothing is promised in the name of the old disk")
+	require.NotEqual(t, before, after, "the machine must not reuse the identity of the corrupt ring")
 	cluster.await(machine, 8*time.Second, func(status Status) bool {
 		inChain := quorum.IndexOf(status.View.GetChain(), after) != quorum.NotFound
 		return status.Authoritative && inChain && status.Committed.Generation() == 3
@@ -51,16 +51,16 @@
 
 	machine.stop()
 	cluster.start(machine)
-	require.Equal(t, after, machine.node.Status().Self.GetIdentity(), "the ring that was begun is used from then on")
+	require.Equal(t, after, machine.node.Status().Self.GetIdentity(), "the new ring must stay in use")
 	inspection, err := Inspect(machine.settings.StateDir)
 	require.NoError(t, err)
 	require.Equal(t, after, inspection.Identity)
 	_, _, err = ring.Open(ringPath(machine.settings.StateDir, 1), ring.Options{})
 	var corrupt *ring.CorruptError
-	require.ErrorAs(t, err, &corrupt, "the corrupt ring is left for a look")
+	require.ErrorAs(t, err, &corrupt, "the corrupt ring must be left unchanged")
 }
 
-// A machine whose ring was corrupt founds nothing, even if its settings still say bootstrap.
+// A machine whose ring was corrupt must not bootstrap a cluster, even if its settings still say bootstrap.
 func TestCorruptRingsFoundNothing(t *testing.T) {
 	cluster := newTestCluster(t)
 	require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 3)).GetStatus())
@@ -94,7 +94,7 @@
 	require.ErrorAs(t, err, &corrupt)
 }
 
-// A ring of another version is not damaged: a machine that was set back to an older program must not leave it.
+// A ring of another version is not corrupt: a machine that was downgraded must not replace it.
 func TestRingOfAnotherVersionIsLeftInUse(t *testing.T) {
 	require.False(t, isCorrupt(&ring.CorruptError{Version: 2}))
 	require.True(t, isCorrupt(&ring.CorruptError{Reason: "no snapshot"}))
--- a/internal/region/control/originorders_test.go
+++ b/internal/region/control/originorders_test.go
@@ -9,11 +9,12 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// A machine that hears no majority takes no order: its chain may be cut off from the others as a whole.
+// A machine without heartbeats of a majority must reject orders at once: its whole chain may be partitioned from the
+// other voters.
 func TestOrdersAreAnsweredAtOnceWithoutAMajority(t *testing.T) {
 	a := newAuthoritativeMachine(t)
 	for _, kind := range []pb.Order_Kind{pb.Order_KIND_READ, pb.Order_KIND_REPLACE, pb.Order_KIND_EVACUATE_BEGIN} {
-		require.Empty(t, repliesTo(a, kind), "it is on its way")
+		require.Empty(t, repliesTo(a, kind), "the order must be forwarded, not answered")
 	}
 	a.pass(FailureTimeout+2*TickInterval, 0)
 	for _, kind := range []pb.Order_Kind{pb.Order_KIND_READ, pb.Order_KIND_REPLACE, pb.Order_KIND_EVACUATE_BEGIN} {
@@ -23,7 +24,7 @@
 	}
 }
 
-// repliesTo returns what is answered at once to an order.
+// repliesTo returns the immediate replies to an order.
 func repliesTo(a *authoritativeMachine, kind pb.Order_Kind) []Reply {
 	var replies []Reply
 	for _, action := range a.machine.Step(a.now, OrderSubmitted{Order: &pb.Order{Kind: kind}}) {
@@ -34,7 +35,7 @@
 	return replies
 }
 
-// submitPending submits an order whose write hangs, so that it stays pending.
+// submitPending submits an order whose write is held, so that the order stays pending.
 func submitPending(l *singleMachine, base, generation uint64) *pendingOrder {
 	l.holdWrites = true
 	l.step(OrderSubmitted{Request: generation, Order: replaceOrder(base, generation)})
@@ -51,7 +52,7 @@
 	}})
 }
 
-// A result counts only from the machine that the order was forwarded to last.
+// A result counts only if it is from a machine that the order was forwarded to.
 func TestResultsOfOtherMachinesAreDropped(t *testing.T) {
 	l := newSingleMachine(t)
 	pending := submitPending(l, 0, 9)
@@ -61,17 +62,17 @@
 	for _, status := range []uint32{http.StatusOK, http.StatusPreconditionFailed, http.StatusServiceUnavailable, statusConfirm} {
 		l.receiveResult(other, &pb.OrderResult{Id: id, Status: status, Body: []byte("8")})
 		require.Empty(t, l.replies)
-		require.Equal(t, body, pending.order.GetBody(), "no number of another machine is taken over")
+		require.Equal(t, body, pending.order.GetBody(), "a token of another machine must not be used")
 	}
 	l.receiveResult(head, &pb.OrderResult{Id: id + 1, Status: http.StatusOK})
-	require.Empty(t, l.replies, "it answers another order")
+	require.Empty(t, l.replies, "the result is for another order")
 	l.receiveResult(head, &pb.OrderResult{Id: id, Status: http.StatusPreconditionFailed})
 	require.Len(t, l.replies, 1)
 	l.receiveResult(head, &pb.OrderResult{Id: id, Status: http.StatusOK})
-	require.Len(t, l.replies, 1, "an order is answered once")
+	require.Len(t, l.replies, 1, "an order must be answered once")
 }
 
-// An order that was forwarded to nobody is answered by nobody but its own deadline.
+// An order that could not be forwarded must not be answered by any machine; it ends at its deadline.
 func TestOrderWithoutAHeadIsAnsweredAtItsDeadline(t *testing.T) {
 	l := newSingleMachine(t)
 	pending := submitPending(l, 0, 9)
@@ -84,7 +85,7 @@
 	require.EqualValues(t, http.StatusServiceUnavailable, l.replies[0].GetStatus())
 }
 
-// Results of an earlier incarnation of this machine match no order of this one.
+// Results for orders of an earlier incarnation of this machine must not match orders of the present one.
 func TestResultsOfAnEarlierIncarnationAreDropped(t *testing.T) {
 	l := newSingleMachine(t)
 	earlier := submitPending(l, 0, 9).order.GetId()
--- a/internal/region/control/plaindelivery_test.go
+++ b/internal/region/control/plaindelivery_test.go
@@ -10,8 +10,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// A delivery that stays long when it is compressed reaches a machine that reads nothing compressed as well: it is refused
-// before it has come whole.
+// A large delivery that hardly compresses must also reach a machine that cannot read compressed requests, although that
+// machine rejects the request before it has arrived completely.
 func TestLongDeliveriesReachMachinesThatReadNothingCompressed(t *testing.T) {
 	const size = 4 << 20
 	other := newDeliveryReceiver(t, connect.WithCompression(gzipName, nil, nil))
--- a/internal/region/control/readorders_test.go
+++ b/internal/region/control/readorders_test.go
@@ -9,7 +9,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// readFor has a single machine, as the tail, answer a read of another machine that holds a state.
+// readFor passes the read of an origin that holds a state to a single machine, which is the tail, and returns the
+// result.
 func readFor(l *singleMachine, held uint64) *pb.OrderResult {
 	l.sent = nil
 	l.step(Received{Message: &pb.Message{
@@ -24,7 +25,7 @@
 
 func TestTheTailSendsTheConfigurationToWhomLacksIt(t *testing.T) {
 	l := newSingleMachine(t)
-	require.EqualValues(t, http.StatusServiceUnavailable, readFor(l, 0).GetStatus(), "there is none yet")
+	require.EqualValues(t, http.StatusServiceUnavailable, readFor(l, 0).GetStatus(), "there is no configuration yet")
 	l.requireStatus(http.StatusOK, replaceOrder(0, 3))
 	l.requireStatus(http.StatusOK, replaceOrder(3, 7))
 	newest := l.machine.Committed().Sequence()
@@ -40,7 +41,7 @@
 	require.Empty(t, result.GetBody())
 }
 
-// readPendingAt submits a read at the head of a chain, and returns what was sent to the tail.
+// readPendingAt submits a read at the head of a chain. It returns the order that was sent, and the tail.
 func readPendingAt(a *authoritativeMachine) (*pb.Order, *pb.Replica) {
 	for _, action := range a.machine.Step(a.now, OrderSubmitted{Request: 5, Order: &pb.Order{Kind: pb.Order_KIND_READ}}) {
 		if sent, isSend := action.(Send); isSend {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// A tail of an earlier version names no state and sends all of it.
+// A tail of an earlier version ignores the held sequence and sends the whole configuration.
 func TestAReadPassesOnWhatTheTailSends(t *testing.T) {
 	a := newAuthoritativeMachine(t)
 	order, tail := readPendingAt(a)
@@ -70,7 +71,8 @@
 	require.Equal(t, body, reply.GetBody())
 }
 
-// A read says what was committed when the tail received it, or something newer.
+// If the tail confirms the held sequence, the origin must answer from the state that it held when it forwarded the
+// read.
 func TestAReadAnswersFromTheStateThatItNamed(t *testing.T) {
 	a := newAuthoritativeMachine(t)
 	order, tail := readPendingAt(a)
@@ -90,5 +92,5 @@
 	pending := a.machine.origin.pending
 	require.Len(t, pending, 1)
 	require.NotEqual(t, tail.GetIdentity(), pending[0].target)
-	require.Nil(t, a.replyAfter(tail, unanswered), "the other may still answer")
+	require.Nil(t, a.replyAfter(tail, unanswered), "the member that the read was forwarded to next may still answer")
 }
--- a/internal/region/control/recompression_test.go
+++ b/internal/region/control/recompression_test.go
@@ -14,8 +14,8 @@
 	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
 )
 
-// A machine that read nothing compressed is started anew with a version that does: from then on its deliveries are
-// compressed, though the way to it was never idle.
+// A machine that could not read compressed deliveries is restarted with a version that can. Deliveries to it must then
+// be compressed, although its sender was never idle and so was not replaced.
 func TestDeliveriesAreCompressedAfterTheOtherMachineWasUpgraded(t *testing.T) {
 	const deliveries = 20
 	other := &deliveryReceiver{received: make(chan *pb.Message, 16), release: make(chan struct{})}
--- a/internal/region/control/staleness_test.go
+++ b/internal/region/control/staleness_test.go
@@ -9,7 +9,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// authoritativeMachine holds the agreed state as the head of a chain of five.
+// authoritativeMachine is a machine that holds the agreed state as the head of a chain of five.
 type authoritativeMachine struct {
 	t       *testing.T
 	machine *Machine
@@ -22,7 +22,7 @@
 	return newAuthoritativeMachineIn(t, viewOfFive())
 }
 
-// newAuthoritativeMachineIn has the first voter of a view hold the agreed state, which is the head of its chain.
+// newAuthoritativeMachineIn makes the first voter of a view, which is the head of its chain, authoritative.
 func newAuthoritativeMachineIn(t *testing.T, view *pb.View) *authoritativeMachine {
 	t.Helper()
 	machine, peers := newRestartedMachineIn(t, view)
@@ -33,7 +33,7 @@
 	return a
 }
 
-// pass lets time pass, in which some of the peers send heartbeats.
+// pass advances the time by a span in which some of the peers send heartbeats.
 func (a *authoritativeMachine) pass(span time.Duration, from ...int) {
 	for end := a.now + span; a.now < end; {
 		a.now += TickInterval
@@ -62,7 +62,8 @@
 	require.True(t, a.machine.Authoritative())
 }
 
-// A chain that is out of reach as a whole may still acknowledge what was on its way.
+// A majority may be reachable without any member of the chain. The chain may still acknowledge orders that it had
+// already received, so this machine must not be authoritative.
 func TestAuthorityNeedsAHeartbeatOfTheChain(t *testing.T) {
 	view := viewOfFive()
 	view.Chain = view.Chain[3:]
@@ -92,13 +93,13 @@
 	a.receiveHeartbeat(3, &pb.Heartbeat{ViewNumber: 2})
 	require.False(t, a.machine.Authoritative())
 	a.pass(time.Second, 0, 1, 2, 3)
-	require.False(t, a.machine.Authoritative(), "it has not learnt of that view")
+	require.False(t, a.machine.Authoritative(), "the machine has not received the later view")
 }
 
 func TestAMachineThatDoesNotGetWhatIsCommittedHasNoAuthority(t *testing.T) {
 	a := newAuthoritativeMachine(t)
 	a.receiveHeartbeat(2, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
-	require.True(t, a.machine.Authoritative(), "the change may be on its way")
+	require.True(t, a.machine.Authoritative(), "the change may still arrive in time")
 	a.pass(lagTimeout, 0, 1, 2)
 	require.False(t, a.machine.Authoritative())
 }
@@ -115,16 +116,16 @@
 	a.pass(20 * time.Second)
 	a.receiveHeartbeat(0, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
 	a.receiveHeartbeat(1, &pb.Heartbeat{ViewNumber: 1})
-	require.False(t, a.machine.Authoritative(), "the change is not on its way only now")
+	require.False(t, a.machine.Authoritative(), "the change may have been acknowledged long ago")
 }
 
-// Messages that have waited for a stalled process do not show that it is in contact.
+// Messages that waited while this process was stalled do not prove that it is in contact now.
 func TestAStallEndsTheAuthority(t *testing.T) {
 	a := newAuthoritativeMachine(t)
 	a.now += 20 * time.Second
 	receiveHeartbeatOf(a.machine, a.now, a.peers[0])
 	receiveHeartbeatOf(a.machine, a.now, a.peers[1])
-	require.False(t, a.machine.Authoritative(), "before the first tick")
+	require.False(t, a.machine.Authoritative(), "before the first tick after the stall")
 	a.pass(stallGracePeriod-TickInterval, 0, 1)
 	require.False(t, a.machine.Authoritative())
 	a.pass(2*TickInterval, 0, 1)
@@ -140,8 +141,8 @@
 	require.True(t, node.Status().Authoritative)
 }
 
-// Contact that was lost and came back between two ticks was lost all the same: a change that is advertised then may have
-// been acknowledged a failure timeout ago.
+// Contact that is lost and restored between two ticks must count as lost: a change that is advertised then may have
+// been acknowledged up to FailureTimeout ago.
 func TestContactLostBetweenTwoTicksEndsTheAuthority(t *testing.T) {
 	a := newAuthoritativeMachine(t)
 	a.pass(FailureTimeout / 2)
@@ -150,11 +151,11 @@
 	require.True(t, a.machine.Authoritative())
 	a.now += TickInterval / 2
 	a.receiveHeartbeat(0, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
-	require.False(t, a.machine.Authoritative(), "the change may have come at any time in the silence")
+	require.False(t, a.machine.Authoritative(), "the change may have been acknowledged at any time since the contact was lost")
 }
 
-// The grace for a change that is on its way begins with the last heartbeat that did not advertise it, not with the
-// first one that does.
+// The grace period for an advertised change that has not arrived starts with the last heartbeat that did not advertise
+// it, not with the first one that does.
 func TestGraceForMissingChangesEndsWithTheFailureTimeout(t *testing.T) {
 	a := newAuthoritativeMachine(t)
 	lastHeartbeatAt := a.now
@@ -167,19 +168,19 @@
 	require.False(t, a.machine.Authoritative(), "the change may have been acknowledged %v ago", a.now-lastHeartbeatAt)
 }
 
-// A voter outside of the chain may not know what is committed, so that its heartbeats do not prolong the grace.
+// A voter outside the chain may not know what is committed, so its heartbeats must not extend the grace period.
 func TestHeartbeatsFromOutsideOfTheChainDoNotProlongTheGrace(t *testing.T) {
 	view := viewOfFive()
 	view.Chain = view.Chain[:3]
 	a := newAuthoritativeMachineIn(t, view)
 	a.pass(FailureTimeout-TickInterval, 2, 3)
 	a.receiveHeartbeat(0, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
-	require.True(t, a.machine.Authoritative(), "the change may be on its way")
+	require.True(t, a.machine.Authoritative(), "the change may still arrive in time")
 	a.pass(2*TickInterval, 2, 3)
 	require.False(t, a.machine.Authoritative())
 }
 
-// Heartbeats that have waited for a stalled process show nothing of the present.
+// Heartbeats that waited while this process was stalled must not extend the grace period.
 func TestHeartbeatsThatCameLateDoNotProlongTheGrace(t *testing.T) {
 	a := newAuthoritativeMachine(t)
 	a.now += stallThreshold
@@ -190,12 +191,13 @@
 	a.now += TickInterval / 2
 	a.receiveHeartbeat(2, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
 	a.receiveHeartbeat(3, &pb.Heartbeat{ViewNumber: 1, Committed: 1})
-	require.True(t, a.machine.Authoritative(), "the change may be on its way")
+	require.True(t, a.machine.Authoritative(), "the change may still arrive in time")
 	a.pass(TickInterval)
 	require.False(t, a.machine.Authoritative())
 }
 
-// A machine that holds the state of a new view holds all that was acknowledged before it learnt of that view.
+// A machine that holds the state of a new view holds everything that was acknowledged before it learnt of that view, so
+// the grace period starts again.
 func TestANewViewBeginsWithTheWholeGrace(t *testing.T) {
 	a := newAuthoritativeMachine(t)
 	missing := &pb.Heartbeat{ViewNumber: 1, Committed: 1}
@@ -210,5 +212,5 @@
 	a.receive(0, &pb.Message{Body: &pb.Message_Decided{Decided: &pb.Decided{View: view}}})
 	a.receive(0, &pb.Message{Body: &pb.Message_Acknowledge{Acknowledge: &pb.Acknowledge{ViewNumber: 2}}})
 	a.receiveHeartbeat(0, &pb.Heartbeat{ViewNumber: 2, Committed: 1})
-	require.True(t, a.machine.Authoritative(), "the change may be on its way")
+	require.True(t, a.machine.Authoritative(), "the change may still arrive in time")
 }
--- a/internal/region/control/stalleddisk_test.go
+++ b/internal/region/control/stalleddisk_test.go
@@ -17,11 +17,11 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// stallingDisk is a disk whose accesses wait while it is stalled.
+// stallingDisk is a disk whose accesses block while it is stalled.
 type stallingDisk struct {
 	*ringtest.Disk
 	mu      sync.Mutex
-	stalled chan struct{} // closed when the disk goes on; nil: it works
+	stalled chan struct{} // closed when the disk resumes; nil: not stalled
 }
 
 func newStallingDisk() *stallingDisk {
@@ -50,7 +50,7 @@
 	d.stalled = nil
 }
 
-// startLoneNode starts a node that reaches no other machine.
+// startLoneNode starts a node that cannot reach any other machine.
 func startLoneNode(t *testing.T, disk *stallingDisk) (node *Node, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -71,7 +71,7 @@
 	}
 }
 
-// decidedView is the message of another machine that a view was decided, in which this machine has no part.
+// decidedView is a message of another machine about a decided view, of which this machine is no voter.
 func decidedView(number uint64) *pb.Message {
 	other := &pb.Replica{Identity: "other", Host: "core-1", ControlAddress: "10.0.0.2:8146", Address: "127.0.0.1:1"}
 	members := []*pb.Replica{other}
@@ -79,8 +79,9 @@
 	return &pb.Message{From: other, Cluster: "cluster", Body: &pb.Message_Decided{Decided: &pb.Decided{View: view}}}
 }
 
-// TestAStalledDiskStopsNeitherTheLoopNorTheWriter has far more writes wait for a stalled disk than once found room in the
-// queues between the loop and the writer, with as many messages behind them, and lets the disk go on.
+// While the disk is stalled, the loop must go on handling messages, and the writer must continue when the disk
+// recovers. The test queues more writes than bounded queues between the loop and the writer would hold; with such
+// queues, the loop and the writer would block each other.
 func TestAStalledDiskStopsNeitherTheLoopNorTheWriter(t *testing.T) {
 	const views = 3 * eventQueueLength
 	disk := newStallingDisk()
@@ -89,13 +90,13 @@
 	for number := uint64(1); number <= views; number++ {
 		request := connect.NewRequest(&pb.DeliverRequest{Messages: []*pb.Message{decidedView(number)}})
 		_, err := node.Deliver(context.Background(), request)
-		require.NoError(t, err, "the loop takes messages while the disk stalls: view %d", number)
+		require.NoError(t, err, "the loop must accept messages while the disk is stalled: view %d", number)
 	}
 	atView := func() bool { return node.Status().View.GetNumber() == views }
-	require.Eventually(t, atView, 5*time.Second, 5*time.Millisecond, "the loop handles them")
+	require.Eventually(t, atView, 5*time.Second, 5*time.Millisecond, "the loop must handle the messages")
 	disk.resume()
 	isWritten := func() bool { return node.counters.writes.Load() > 0 && !node.writer.queue.isWaiting() }
-	require.Eventually(t, isWritten, 5*time.Second, 5*time.Millisecond, "the writer goes on")
+	require.Eventually(t, isWritten, 5*time.Second, 5*time.Millisecond, "the writer must continue after the stall")
 	stop()
 
 	recovered, stopAgain := startLoneNode(t, disk)
--- a/internal/region/control/startup_test.go
+++ b/internal/region/control/startup_test.go
@@ -13,7 +13,7 @@
 	"fieldrelay/internal/region/ring"
 )
 
-// viewOfFive is a view whose voters all are in the chain.
+// viewOfFive is a view with five voters, all of them in the chain.
 func viewOfFive() *pb.View {
 	view := &pb.View{Number: 1, Cluster: "cluster"}
 	for index := range 5 {
@@ -25,14 +25,15 @@
 	return view
 }
 
-// newRestartedMachine returns the first machine of a view of five, as it starts on a disk that holds that view, and the
-// others of the view.
+// newRestartedMachine starts the first machine of a view of five on a disk that holds that view, and returns it and the
+// other voters.
 func newRestartedMachine(t *testing.T) (*Machine, []*pb.Replica) {
 	t.Helper()
 	return newRestartedMachineIn(t, viewOfFive())
 }
 
-// newRestartedMachineIn returns the first voter of a view, as it starts on a disk that holds that view, and the others.
+// newRestartedMachineIn starts the first voter of a view on a disk that holds that view, and returns it and the other
+// voters.
 func newRestartedMachineIn(t *testing.T, view *pb.View) (*Machine, []*pb.Replica) {
 	t.Helper()
 	machine, err := NewMachine(Config{
@@ -57,7 +58,7 @@
 	}})
 }
 
-// firstProposal lets time pass, with heartbeats of some machines, and returns when a later view was first proposed.
+// firstProposal advances the time, with heartbeats of some machines, and returns when a later view was first proposed.
 func firstProposal(machine *Machine, senders []*pb.Replica, limit time.Duration) (time.Duration, bool) {
 	for now := TickInterval; now <= limit; now += TickInterval {
 		for _, other := range senders {
@@ -75,7 +76,7 @@
 func TestAMachineThatJustStartedWaitsForHeartbeats(t *testing.T) {
 	machine, others := newRestartedMachine(t)
 	_, proposed := firstProposal(machine, others[:3], FailureTimeout)
-	require.False(t, proposed, "the last one may have started as long ago as this one")
+	require.False(t, proposed, "the silent machine may have started at the same time as this one")
 }
 
 func TestAMachineThatJustStartedRemovesSilentPeers(t *testing.T) {
--- a/internal/region/control/trafficclass_test.go
+++ b/internal/region/control/trafficclass_test.go
@@ -19,12 +19,12 @@
 	"fieldrelay/internal/testkit/resettest"
 )
 
-// deliveryReceiver takes deliveries; those with a change wait until it is released.
+// deliveryReceiver receives deliveries; those with a change block until release is closed.
 type deliveryReceiver struct {
 	address  string
 	received chan *pb.Message
 	release  chan struct{}
-	bytes    atomic.Int64 // of the bodies of all requests
+	bytes    atomic.Int64 // total size of the bodies of all requests
 }
 
 func newDeliveryReceiver(t *testing.T, options ...connect.HandlerOption) *deliveryReceiver {
@@ -63,7 +63,7 @@
 	return connect.NewResponse(&pb.DeliverResponse{}), nil
 }
 
-// next is the next message that came, nil if none does in time.
+// next returns the next message; nil if none arrives in time.
 func (r *deliveryReceiver) next() *pb.Message {
 	select {
 	case message := <-r.received:
@@ -73,7 +73,7 @@
 	}
 }
 
-// largeAppend is a change of many routes.
+// largeAppend is an Append of one change to many routes.
 func largeAppend() *pb.Message {
 	change := &pb.Change{Sequence: 1, Generation: 1}
 	for number := range 1400 {
@@ -90,7 +90,7 @@
 	return &pb.Message{Body: &pb.Message_Heartbeat{Heartbeat: &pb.Heartbeat{}}}
 }
 
-// The others don't take a machine for silent because it sends them a configuration.
+// Heartbeats must not wait behind a large configuration, or the other machines would suspect their sender.
 func TestHeartbeatsDoNotWaitBehindAConfiguration(t *testing.T) {
 	other := newDeliveryReceiver(t, CompressedDeliveries())
 	senders := newPeerSenders(t.Context(), &counters{})
@@ -109,7 +109,8 @@
 	require.Equal(t, classBulk, classOf(&pb.Message{Body: &pb.Message_Order{Order: large}}))
 }
 
-// A call waits neither behind a configuration nor behind the registers of others, and what a voter is asked comes in order.
+// Calls must not wait behind a configuration or behind registers of other calls, and the requests to a voter must
+// arrive in order.
 func TestCallsAndRegistersHaveConnectionsOfTheirOwn(t *testing.T) {
 	for class, messages := range map[trafficClass][]*pb.Message{
 		classRegisters: {
@@ -150,14 +151,15 @@
 	}
 }
 
-// A delivery whose connection is reset is reported, message by message; heartbeats are not, for others follow.
+// A change whose delivery fails with a connection reset must be reported. Heartbeats need no report, since later ones
+// replace them.
 func TestUndeliveredChangesAreReported(t *testing.T) {
 	server := resettest.New(t)
 	senders := newPeerSenders(t.Context(), &counters{})
 	undelivered := make(chan *pb.Message, 16)
 	senders.undelivered = func(message *pb.Message) { undelivered <- message }
 	address := strings.TrimPrefix(server.URL, "http://")
-	// A machine that has read a compressed delivery is not sent it plain after a failure.
+	// After a successful compressed delivery, a failed one is not repeated uncompressed.
 	senders.send(address, largeAppend())
 	require.Eventually(t, func() bool { return senders.counters.sent.Load() == 1 }, 5*time.Second, time.Millisecond)
 	lost := largeAppend()
@@ -171,7 +173,8 @@
 	require.Empty(t, undelivered)
 }
 
-// A copy of a call that comes after the answer that nothing was done would break that promise.
+// A call must not be delivered again after a failure: a duplicate could be executed after the application was told that
+// the call was not executed.
 func TestLargeCallsAreDeliveredOnce(t *testing.T) {
 	server := resettest.New(t)
 	senders := newPeerSenders(t.Context(), &counters{})
