--- a/internal/region/control/authoritygap.go
+++ b/internal/region/control/authoritygap.go
@@ -21,6 +21,6 @@
 	GapLaterView AuthorityGap = "later view"
 	// GapChanges: committed changes that heartbeats advertise are missing.
 	GapChanges AuthorityGap = "changes"
-	// GapTick: the loop of the node is stalled.
-	GapTick AuthorityGap = "tick"
+	// GapLoopStalled: the loop of the node is stalled.
+	GapLoopStalled AuthorityGap = "tick"
 )
--- a/internal/region/control/coordination_test.go
+++ b/internal/region/control/coordination_test.go
@@ -192,15 +192,15 @@
 	}
 	require.False(t, disk.acceptsRegisters(), "pending writes of registers must be bounded")
 	for range maxUnpersistedWrites {
-		require.True(t, disk.accepts())
+		require.True(t, disk.acceptsPromises())
 		disk.enqueue(nil, pendingWrite{})
 	}
-	require.False(t, disk.accepts(), "other pending writes must be bounded")
+	require.False(t, disk.acceptsPromises(), "other pending writes must be bounded")
 	for range maxUnpersistedRegisterWrites {
 		disk.next(disk.lastToken)
 	}
 	require.True(t, disk.acceptsRegisters())
-	require.False(t, disk.accepts())
+	require.False(t, disk.acceptsPromises())
 }
 
 func TestNothingIsPromisedWithoutRoomForItsRecord(t *testing.T) {
--- a/internal/region/control/diskqueue.go
+++ b/internal/region/control/diskqueue.go
@@ -98,8 +98,8 @@
 	return len(d.pending) == 0 || d.clock.now-d.pending[0].started < slowWriteThreshold
 }
 
-// accepts reports whether a promise about a view may still be queued.
-func (d *diskQueue) accepts() bool {
+// acceptsPromises reports whether a promise about a view may still be queued.
+func (d *diskQueue) acceptsPromises() bool {
 	return len(d.pending)-d.registerWrites() < maxUnpersistedWrites
 }
 
--- a/internal/region/control/originorders.go
+++ b/internal/region/control/originorders.go
@@ -71,7 +71,7 @@
 	case o.clock.isStalled():
 		return CauseStalled
 	case len(o.pending) >= maxPendingOrders:
-		return CauseFull
+		return CauseTooManyPending
 	default:
 		return ""
 	}
--- a/internal/region/control/proposer.go
+++ b/internal/region/control/proposer.go
@@ -120,7 +120,7 @@
 // rank is the number of live voters that come before this machine in the proposing order.
 func (p *proposer) rank() int {
 	rank := 0
-	for _, voter := range p.order() {
+	for _, voter := range p.proposingOrder() {
 		if p.local.is(voter) {
 			return rank
 		}
@@ -131,9 +131,9 @@
 	return rank
 }
 
-// order lists the voters in the proposing order: first the members of the chain that are leaving, which know best why a
-// change is wanted, then the other members, then the other voters.
-func (p *proposer) order() []*pb.Replica {
+// proposingOrder lists the voters in the order in which they propose: first the members of the chain that are leaving,
+// which know best why a change is wanted, then the other members, then the other voters.
+func (p *proposer) proposingOrder() []*pb.Replica {
 	base := p.electorate.decidingView()
 	var leaving, members, others []*pb.Replica
 	for _, member := range base.GetChain() {
@@ -162,7 +162,7 @@
 // incarnation, so it differs between machines and between runs of a process; so no number is used twice, although
 // proposers keep no numbers on disk.
 func (p *proposer) begin() {
-	if !p.disk.accepts() {
+	if !p.disk.acceptsPromises() {
 		return
 	}
 	highest := p.highest
--- a/internal/region/control/status.go
+++ b/internal/region/control/status.go
@@ -56,7 +56,7 @@
 	status := *n.status.Load()
 	if time.Since(n.startedAt)-time.Duration(n.lastTickAt.Load()) >= stallThreshold {
 		status.Authoritative = false
-		status.AuthorityGap = GapTick
+		status.AuthorityGap = GapLoopStalled
 	}
 	return status
 }
--- a/internal/region/control/submit.go
+++ b/internal/region/control/submit.go
@@ -28,7 +28,7 @@
 	select {
 	case n.events <- OrderSubmitted{Request: request, Order: order}:
 	case <-ctx.Done():
-		return Reply{Result: unavailable(0), Cause: CauseLoop}
+		return Reply{Result: unavailable(0), Cause: CauseEventQueueFull}
 	}
 	select {
 	case reply := <-answer:
--- a/internal/region/control/unavailability.go
+++ b/internal/region/control/unavailability.go
@@ -18,14 +18,14 @@
 	CauseNoMajority UnavailableCause = "no majority"
 	// CauseStalled: this process was stalled.
 	CauseStalled UnavailableCause = "stalled"
-	// CauseFull: too many orders are pending on this machine.
-	CauseFull UnavailableCause = "full"
+	// CauseTooManyPending: too many orders are pending on this machine.
+	CauseTooManyPending UnavailableCause = "full"
 	// CauseTimeout: the head, or a chain member for a read, has not answered in time, or the caller has gone.
 	CauseTimeout UnavailableCause = "timeout"
 	// CauseRejected: the head, or a chain member for a read, could not give a definite answer.
 	CauseRejected UnavailableCause = "rejected"
-	// CauseLoop: the event queue had no room before the order's timeout, or the caller has gone.
-	CauseLoop UnavailableCause = "loop"
+	// CauseEventQueueFull: the event queue had no room before the order's timeout, or the caller has gone.
+	CauseEventQueueFull UnavailableCause = "loop"
 )
 
 // readMonitor logs when reads of the configuration start to fail on this machine, and when they succeed again. It is
--- a/internal/region/control/voter.go
+++ b/internal/region/control/voter.go
@@ -80,7 +80,7 @@
 		v.output.sendView(from)
 		return false
 	}
-	return number == v.acceptor.ViewNumber() && v.electorate.includesSelf() && v.disk.accepts()
+	return number == v.acceptor.ViewNumber() && v.electorate.includesSelf() && v.disk.acceptsPromises()
 }
 
 // agreesToChange reports whether this voter promises to a proposer. It keeps a proposer outside the chain, which may
