--- a/internal/region/control/assemble.go
+++ b/internal/region/control/assemble.go
@@ -27,7 +27,7 @@
 	machine.wireParts()
 	machine.voter.acceptor = state.restoreAcceptor()
 	machine.disk.schedule = snapshotSchedule{
-		// a snapshot at the start replaces records that an earlier version of this program wrote
+		// a snapshot at the start replaces all records of an earlier version of this program
 		due:        isNew || state.migrated,
 		maxRecords: cmp.Or(config.SnapshotRecords, snapshotRecords),
 	}
--- a/internal/region/control/confirmation.go
+++ b/internal/region/control/confirmation.go
@@ -16,8 +16,8 @@
 // its execution in the state, so a copy of it that arrives long after it was answered would undo later orders. The head
 // therefore issues a single-use token for each evacuation, in a result of status 100, and executes the order only when
 // it returns with that token; an origin resends it only while its caller waits for the answer. A token becomes invalid
-// when another order on the same zone is executed after it was issued: the caller of that order may have waited for
-// this one in vain before.
+// when another order on the same zone is executed after it was issued: the caller of that order may have given up
+// waiting for this one.
 type confirmations struct {
 	clock  *clock
 	output *stepOutput
--- a/internal/region/control/node.go
+++ b/internal/region/control/node.go
@@ -51,7 +51,7 @@
 	lastTickAt   atomic.Int64                       // when the loop last handled a tick, in nanoseconds since startedAt
 	left         chan bool                          // receives once, when the Machine has left: whether the others agreed
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	changed     chan struct{}
 	history     *catalog.History
 	replies     map[uint64]chan Reply // by request number
--- a/internal/region/control/peersender.go
+++ b/internal/region/control/peersender.go
@@ -42,7 +42,7 @@
 	// dropped. It must not block.
 	undelivered func(*pb.Message)
 
-	mu      sync.Mutex // guards what follows and the queues of the senders
+	mu      sync.Mutex // guards the fields below and the queues of the senders
 	senders map[senderKey]*peerSender
 }
 
