--- a/internal/region/control/assemble.go
+++ b/internal/region/control/assemble.go
@@ -10,7 +10,8 @@
 	"fieldrelay/internal/region/ring"
 )
 
-// NewMachine resumes from what the ring held. The error is a *RecordError if that cannot be read.
+// NewMachine creates a Machine from the recovered content of the ring. The error is a *RecordError if a record cannot
+// be decoded.
 func NewMachine(config Config, recovered *ring.Recovered) (*Machine, error) {
 	state, err := recoverState(recovered)
 	if err != nil {
@@ -23,20 +24,20 @@
 		local:   local,
 		replica: chain.NewReplica(local.identity(), state.chain, local.incarnation),
 	}
-	machine.joinParts()
+	machine.wireParts()
 	machine.voter.acceptor = state.restoreAcceptor()
 	machine.disk.schedule = snapshotSchedule{
-		// behind a snapshot, no record is of an earlier version of this program
+		// a snapshot at the start replaces all records of an earlier version of this program
 		due:        isNew || state.migrated,
 		maxRecords: cmp.Or(config.SnapshotRecords, snapshotRecords),
 	}
 	machine.coordination.restore(state.registers)
 	machine.origin.lastID = config.Random.Uint64()
-	machine.ids.last = config.Random.Uint64() >> 1 // it must not wrap
+	machine.ids.last = config.Random.Uint64() >> 1 // halved so that it cannot overflow
 	return machine, nil
 }
 
-// newLocalMachine takes the identity from the disk, or draws one if that is empty; isNew reports the latter.
+// newLocalMachine uses the identity on disk, or draws a new one if the disk is empty; isNew reports the latter.
 func newLocalMachine(config Config, state durableState) (local *localMachine, isNew bool) {
 	local = &localMachine{bootstrap: state.bootstrap, incarnation: config.Random.Uint64()}
 	identity := state.identity
@@ -56,15 +57,15 @@
 	return local, isNew
 }
 
-// joinParts makes the parts and gives each the others that it uses.
-func (m *Machine) joinParts() {
-	m.joinPeers()
-	m.joinAgreement()
-	m.joinOrders()
-	m.joinCoordination()
+// wireParts creates the parts and gives each the other parts that it uses.
+func (m *Machine) wireParts() {
+	m.wirePeers()
+	m.wireAgreement()
+	m.wireOrders()
+	m.wireCoordination()
 }
 
-func (m *Machine) joinPeers() {
+func (m *Machine) wirePeers() {
 	m.peers = &peerTable{clock: m.clock, local: m.local, known: make(map[string]*peer)}
 	m.output = &stepOutput{local: m.local, peers: m.peers, replica: m.replica, deliverLocally: m.handle}
 	m.disk = &diskQueue{clock: m.clock, output: m.output, snapshot: m.snapshot}
@@ -78,7 +79,7 @@
 	}
 }
 
-func (m *Machine) joinAgreement() {
+func (m *Machine) wireAgreement() {
 	m.electorate = &electorate{
 		local: m.local, replica: m.replica, output: m.output, seeds: m.config.Seeds, peerAddress: m.config.PeerAddress,
 	}
@@ -102,7 +103,7 @@
 	}
 }
 
-func (m *Machine) joinCoordination() {
+func (m *Machine) wireCoordination() {
 	m.coordination = &coordinationHost{
 		clock: m.clock, peers: m.peers, planner: m.planner, replica: m.replica, disk: m.disk, output: m.output,
 	}
@@ -111,7 +112,7 @@
 	m.planner.coordination = m.coordination
 }
 
-func (m *Machine) joinOrders() {
+func (m *Machine) wireOrders() {
 	m.ids = &idSequence{}
 	m.checks = &quorumChecks{
 		clock: m.clock, replica: m.replica, electorate: m.electorate, output: m.output, ids: m.ids,
--- a/internal/region/control/confirmation_test.go
+++ b/internal/region/control/confirmation_test.go
@@ -9,7 +9,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// confirmingHead is a machine that is the whole chain, and an origin elsewhere that it requests confirmations from.
+// confirmingHead is a machine that is the whole chain, with an origin on another machine that it requests confirmations
+// from.
 type confirmingHead struct {
 	*singleMachine
 	origin *pb.Replica
@@ -23,12 +24,12 @@
 	}
 }
 
-// forward passes an order of the origin and returns the head's answer, nil if there is none.
-func (c *confirmingHead) forward(id uint64, kind pb.Order_Kind, number []byte) *pb.OrderResult {
+// forward passes an order of the origin and returns the head's answer; nil if there is none.
+func (c *confirmingHead) forward(id uint64, kind pb.Order_Kind, token []byte) *pb.OrderResult {
 	before := len(c.sent)
 	c.step(Received{Message: &pb.Message{
 		From: c.origin,
-		Body: &pb.Message_Order{Order: &pb.Order{Id: id, Kind: kind, Zone: "z", Body: number}},
+		Body: &pb.Message_Order{Order: &pb.Order{Id: id, Kind: kind, Zone: "z", Body: token}},
 	}})
 	for _, send := range c.sent[before:] {
 		if result := send.Message.GetOrderResult(); result.GetId() == id {
@@ -45,21 +46,22 @@
 	return request.GetBody()
 }
 
-func TestNumberOfAnEvacuationServesOnce(t *testing.T) {
+func TestConfirmationTokenIsAcceptedOnce(t *testing.T) {
 	c := newConfirmingHead(t)
-	number := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
-	require.EqualValues(t, http.StatusOK, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, number).GetStatus())
-	require.EqualValues(t, statusConfirm, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, number).GetStatus())
+	token := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
+	require.EqualValues(t, http.StatusOK, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, token).GetStatus())
+	require.EqualValues(t, statusConfirm, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, token).GetStatus())
 }
 
-func TestNumberOfAnEvacuationServesNotForLong(t *testing.T) {
+func TestConfirmationTokenExpires(t *testing.T) {
 	c := newConfirmingHead(t)
-	number := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
+	token := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
 	c.now += confirmationTimeout
-	require.EqualValues(t, statusConfirm, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, number).GetStatus())
+	require.EqualValues(t, statusConfirm, c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, token).GetStatus())
 }
 
-// The caller of the first order has given it up: it has ordered the opposite since.
+// The caller of the first order has given up and has ordered the opposite since. The token of the first order must not
+// be accepted any more, or the first order would undo the second.
 func TestEvacuationThatWasOvertakenIsConfirmedAnew(t *testing.T) {
 	c := newConfirmingHead(t)
 	begin := c.requestToken(t, 1, pb.Order_KIND_EVACUATE_BEGIN)
@@ -86,24 +88,24 @@
 	require.EqualValues(t, 98, l.machine.origin.pending[0].request)
 }
 
-// Where every message comes twice, an evacuation is confirmed all the same: copies on their way at once do not take
-// back each other's numbers.
+// An evacuation must be confirmed even if the network duplicates every message: copies in flight at the same time must
+// not invalidate each other's tokens.
 func TestCopiesOfAnEvacuationDoNotUndoEachOther(t *testing.T) {
 	c := newConfirmingHead(t)
-	numbers := [][]byte{nil}
+	tokens := [][]byte{nil}
 	for range 4 {
-		var given [][]byte
-		for _, number := range numbers {
+		var issued [][]byte
+		for _, token := range tokens {
 			for range 2 {
-				result := c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, number)
+				result := c.forward(1, pb.Order_KIND_EVACUATE_BEGIN, token)
 				if result.GetStatus() == http.StatusOK {
 					return
 				}
 				require.EqualValues(t, statusConfirm, result.GetStatus())
-				given = append(given, result.GetBody())
+				issued = append(issued, result.GetBody())
 			}
 		}
-		numbers = given
+		tokens = issued
 	}
-	require.Fail(t, "it is never confirmed")
+	require.Fail(t, "the evacuation was never confirmed")
 }
