--- a/internal/sidecar/logic/admission.go
+++ b/internal/sidecar/logic/admission.go
@@ -9,7 +9,7 @@
 // onRequest admits a request, and then sends or queues it, or gives it a final answer at once.
 func (b *Balancer) onRequest(ev *Event) {
 	c := b.classes[ev.Class]
-	if c == nil { // its effect is unknown, so a rejection could not be vouched for
+	if c == nil { // without a known effect, a retry after a rejection may not be safe
 		b.emit(Action{Kind: ActFail, Request: ev.Request})
 		return
 	}
@@ -22,11 +22,12 @@
 	b.wakeAt(r.expires-b.cfg.Tick, TimerExpire, r.id)
 	c.recordDemand(b.now, r.work)
 	b.accounts.Count(b.now, ev.Tenant)
-	// Servers that answer everything late spend their whole capacity on it, and so the overload sustains
-	// itself. Admitting less than is answered in time drains it.
+	// Servers that answer all requests late spend their whole capacity on late answers, which sustains the
+	// overload. Admitting less than is answered in time lets the queues drain.
 	rejected := b.expiresTooSoon(r) || b.isPersistentlyLate(c) ||
 		b.rng.Float64() > b.admitProbability(c, ev.Tenant)
-	// Many sidecars would together earn credit for requests that the servers in slow start cannot serve.
+	// In a large fleet, rejected requests earn no credit: under overload the sidecars together would give the
+	// servers in slow start credit for more than they can serve.
 	if !rejected || b.cfg.Balancers < boundMinBalancers {
 		b.grantSlowStartCredit()
 	}
@@ -51,16 +52,16 @@
 	}
 	r.fullTarget = b.now + target
 	r.target = min(r.fullTarget, r.expires)
-	if ev.Retry && c.missedTarget > 0 { // its target counts from its first request, one of those that failed
+	if ev.Retry && c.missedTarget > 0 { // the target of a retry counts from the request that was not served
 		r.target = min(r.target, c.missedTarget)
 	}
 	return r
 }
 
-// admitProbability is the share of the requests of class c from tenant that is admitted. The slack says how
-// much can be answered in time. Classes, and tenants beyond their quota share, are shed in inverse proportion
-// to their value: shed alike, the valuable would lose as much as the cheap; with only the cheap shed, none of
-// those would be served during an overload.
+// admitProbability is the share of the requests of class c from tenant that is admitted. The slack measures
+// how much can be answered in time. Classes, and tenants beyond their quota share, are shed in inverse
+// proportion to their value. Equal shedding would cost requests of high value as much as those of low value;
+// shedding only the latter would leave none of them served during an overload.
 func (b *Balancer) admitProbability(c *class, tenant string) float64 {
 	admitted := admitSlackFactor * b.slack.Share
 	if admitted >= 1 {
@@ -70,8 +71,8 @@
 	return max(1-level/(b.valuePerWork(c)*b.accounts.Value(tenant)), minAdmitProbability)
 }
 
-// sheddingLevel returns the level that sheds all but the square of admitted of the work: a class and tenant
-// lose the level over their value, at most everything. It is found by bisection.
+// sheddingLevel finds, by bisection, the level at which the square of admitted is the share of all work that
+// is not shed. Of a class and tenant, the level divided by their value is shed, at most everything.
 func (b *Balancer) sheddingLevel(admitted float64) float64 {
 	mix := b.accounts.Mix(b.now, b.requestRate*(1-selection.Alpha(b.now-b.rateUpdated)))
 	all, high := b.workRate(), 0.0
@@ -94,16 +95,16 @@
 	return high
 }
 
-// expiresTooSoon reports whether not even a quick answer to r would be of value: its client stops waiting
-// before, or retries what missed its target.
+// expiresTooSoon reports whether even a quick answer to r would have no value, because its client stops
+// waiting before or r is a retry whose original target has passed.
 func (b *Balancer) expiresTooSoon(r *request) bool {
 	end := r.usefulUntil()
 	return end < r.fullTarget && b.now+seconds(r.class.quickLatency) >= end
 }
 
-// observeSlack updates the slack, the aged share of requests that are answered well within their target. A
-// request that ended early for another reason, by an error or since its client has gone, says nothing about
-// overload and is left out.
+// observeSlack updates the slack, the aged share of requests that are answered early (within earlyFraction of
+// their target). A request that ended early for another reason, such as an error or a client that has gone,
+// says nothing about overload and is not counted.
 func (b *Balancer) observeSlack(r *request, served bool) {
 	early := b.now <= r.arrived+time.Duration(earlyFraction*float64(r.fullTarget-r.arrived))
 	if good := served && early; !good && (r.isAtFault() || (early && !r.lastBusy)) {
@@ -117,8 +118,8 @@
 	}
 }
 
-// retryAfter is the time after which a retry of r has a prospect: once the slack admits it or its class is
-// tried again, and no less than a mean answer time. For a request past its target it is the longest allowed.
+// retryAfter is the time after which a retry of r may succeed: when the slack is expected to admit it or its
+// class is probed again, but at least a mean answer time. For a request past its target it is the maximum.
 func (b *Balancer) retryAfter(r *request) time.Duration {
 	if b.now+b.cfg.Tick >= r.target {
 		return b.cfg.Limits.MaxRetryAfter
--- a/internal/sidecar/logic/api.go
+++ b/internal/sidecar/logic/api.go
@@ -1,16 +1,16 @@
 // Package logic decides, for one sidecar, where each request is sent, when it is retried or queued, and when
 // it is rejected. It is a deterministic state machine: Step takes the time and an event and appends actions.
 // It does no I/O, reads no clock, starts no goroutine and has no global state, so that the sidecar, the
-// simulator's host and the tests run the very same decisions. It is no proxy: connections, time-outs and the
-// meaning of answers are up to its host (package relay in the sidecar).
+// simulator's host and the tests run the same decisions. It is not a proxy: its host (package relay in the
+// sidecar) manages connections and time-outs and interprets answers.
 //
 // This file is the interface: settings, events and actions. The steps of a decision are
 //
 //   - admission (admission.go): load shedding by an aged share of requests answered well in time;
 //   - candidates (candidates.go): the subset of servers in use, less those at their limit, ejected or late;
-//   - the pick (pick.go): by speed, with the rule of package selection;
-//   - outcomes (outcome.go): what they change in estimates, limits, attribution of faults and ejections;
-//   - retries (retry.go): whether another attempt is safe and in time.
+//   - the pick (pick.go): a server of the candidates, chosen by speed as package selection defines;
+//   - outcomes (outcome.go): updates of estimates, limits, attribution of faults and ejections;
+//   - retries (retry.go): whether another attempt is safe and can be answered in time.
 //
 // The design is described in docs/architecture.md.
 package logic
@@ -22,13 +22,13 @@
 	"fieldrelay/internal/sidecar/allowance"
 )
 
-// Effect says what a repeated attempt of a request may do.
+// Effect says whether a request may run more than once.
 type Effect uint8
 
 // The three effects of a class.
 const (
-	Safe   Effect = iota // repeats do no harm
-	Keyed                // a group of servers drops repeats for a while
+	Safe   Effect = iota // idempotent
+	Keyed                // a group of servers drops repeats by key for Class.Window
 	Unsafe               // must never run twice
 )
 
@@ -38,8 +38,8 @@
 // The groups of a keyed class.
 const (
 	GroupAll  Group = iota // all servers
-	GroupZone              // those in the zone of the first
-	GroupCell              // those in its cell
+	GroupZone              // servers in the zone of the first attempt's server
+	GroupCell              // servers in the cell of the first attempt's server
 )
 
 // Class is one class of requests.
@@ -51,67 +51,68 @@
 	LatencyTarget time.Duration // an answer within it has its full value; 0: within Deadline
 	TargetPerWork float64       // the target grows by this multiple of the request's own work
 	Deadline      time.Duration
-	LateValue     float64 // of an answer after the target; 0: it has none
-	Value         float64 // of a request, or of a unit of its work if Config.ValuePerWork; 0: not told
+	LateValue     float64 // of an answer after the target; 0: none
+	Value         float64 // of a request, or of a unit of its work if Config.ValuePerWork; 0: not set
 	Stream        bool    // answers are streamed
 }
 
 // Prices are costs as fractions of a request's value.
 type Prices struct {
-	CrossZone  float64 // for a request that leaves the zone
-	Connection float64 // for a mean of 100 open connections a server
-	Handshake  float64 // for one new connection a request
+	CrossZone  float64 // of a request sent to another zone
+	Connection float64 // of a mean of 100 open connections per server
+	Handshake  float64 // of one new connection per request
 }
 
-// Contract states the figures that servers and the list's service keep to.
+// Contract holds the guarantees and requirements of the servers and of the server list's service.
 type Contract struct {
-	AnswerGrace          time.Duration // after a request's expiry its final answer is still in time
+	AnswerGrace          time.Duration // how long after a request's expiry its final answer is still in time
 	ListInterval         time.Duration // how often the server list must be requested
-	SlowStartMinCapacity float64       // least fraction (0 to 1) of its full capacity that a started server has
-	SlowStartWindow      time.Duration // until it has its full capacity
+	SlowStartMinCapacity float64       // least fraction (0 to 1) of its full capacity at a server's start
+	SlowStartWindow      time.Duration // from a server's start until it has its full capacity
 	BusyMayHaveRun       bool          // a busy answer does not prove that the attempt never ran
-	// GoneIsAdvisory: a server that the list has as gone or leaves out may still be sent to, unless it was
-	// listed as draining.
+	// GoneIsAdvisory: requests may still be sent to a server that is listed as gone or left out of the list,
+	// unless it was listed as draining.
 	GoneIsAdvisory bool
 }
 
-// Limits says what the site permits.
+// Limits says what a sidecar may do.
 type Limits struct {
 	MaxAttempts      int           // of a request
 	Cancel           bool          // attempts may be canceled
 	ParallelAttempts bool          // two attempts of a request may be in flight at once
 	RetryAfter       bool          // a rejection may say when to retry
-	MaxRetryAfter    time.Duration // longest time that it may say
+	MaxRetryAfter    time.Duration // longest such time
 }
 
-// Config is what New needs to know.
+// Config is the configuration of a Balancer.
 type Config struct {
 	Zone         string // of this sidecar
 	Balancers    int    // sidecars that use the same servers
 	Subscribe    bool   // the server list must be subscribed to
 	Classes      []Class
-	ValuePerWork bool          // Class.Value is for a unit of work: heavy requests have more value
-	KeyAffinity  bool          // a server that had a key lately needs less work for it
+	ValuePerWork bool          // Class.Value is per unit of work: heavy requests have more value
+	KeyAffinity  bool          // a server that recently served a key needs less work for it
 	Tick         time.Duration // resolution of the caller's timers
 	Prices       Prices
 	Contract     Contract
 	Limits       Limits
-	Tenants      []Tenant // none: the site does not tell tenants apart
+	Tenants      []Tenant // empty: requests are not accounted by tenant
 	// OverShareValue is the value of a request beyond its tenant's quota share, as a fraction (0 to 1) of its
 	// class's value.
 	OverShareValue float64
 }
 
-// Tenant is a caller with a quota share of the fleet's capacity. What it sends beyond that has little value.
+// Tenant is a caller with a quota share of the fleet's capacity. Its requests beyond the share have a reduced
+// value, Config.OverShareValue.
 type Tenant = allowance.Tenant
 
-// SettingsError is the error of settings that a balancer cannot work by.
+// SettingsError reports settings that a balancer cannot use.
 type SettingsError struct {
-	Class  string // that is at fault; "": the settings as a whole
+	Class  string // with the unusable settings; "": the error is not in a class
 	Reason string
 }
 
-// Error says what is at fault, and in which class.
+// Error names the class, if any, and the reason.
 func (e *SettingsError) Error() string {
 	if e.Class != "" {
 		return fmt.Sprintf("logic: class %q %s", e.Class, e.Reason)
@@ -119,7 +120,7 @@
 	return "logic: settings " + e.Reason
 }
 
-// State is what the list says about a server.
+// State is the state of a server in the server list.
 type State uint8
 
 // The states of a listed server.
@@ -135,18 +136,18 @@
 	Zone  string
 	Cell  int
 	State State
-	Since time.Duration // its most recent start; 0: long ago
+	Since time.Duration // time of its most recent start; 0: long ago
 }
 
 // Outcome is how an attempt ended.
 type Outcome uint8
 
-// The outcomes. Refused and Skipped prove that the attempt never ran, and so does Busy unless
-// Contract.BusyMayHaveRun.
+// The outcomes. Refused and Skipped prove that the attempt never ran. Busy proves it unless
+// Contract.BusyMayHaveRun is set.
 const (
 	Done     Outcome = iota // answered
-	Errored                 // an answer that reports an error
-	Busy                    // turned away by a server at capacity
+	Errored                 // answered with an error
+	Busy                    // rejected by a server at capacity
 	TimedOut                // no answer in time
 	Refused                 // no connection could be made
 	Reset                   // the connection broke
@@ -154,14 +155,14 @@
 	Skipped                 // not sent
 )
 
-// EventKind says what happened.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // The events, with the fields of Event that they use beside Kind.
 const (
-	// EvMembers is the list or a change to it: Servers, Complete, Stored.
+	// EvMembers: the server list, or a change to it, was received: Servers, Complete, Stored.
 	EvMembers EventKind = iota
-	// EvListLost: a request for the list failed, or the subscription broke off: Expires.
+	// EvListLost: a request for the list failed, or the subscription ended: Expires.
 	EvListLost
 	// EvRequest: a request arrived: Request, Class, Tenant, Retry, Key, HasKey, ExpectedWork, Expires.
 	EvRequest
@@ -175,31 +176,31 @@
 	EvWake
 )
 
-// Event is one event. Requests are numbered by the caller, attempts of a request from 0 in the order of their
-// ActSend.
+// Event is one event. The caller numbers requests. The attempts of a request are numbered from 0 in the order
+// of their ActSend.
 type Event struct {
 	Kind         EventKind
 	Servers      []Server
 	Complete     bool // Servers is the whole list
-	Stored       bool // it was stored before this start, and may be outdated
+	Stored       bool // Servers was stored before this sidecar's start, and may be outdated
 	Request      uint64
 	Class        string
 	Tenant       string // "": none
-	Retry        bool   // the client retries what was not served
+	Retry        bool   // the client retries a request that was not served
 	Key          uint64
 	HasKey       bool
-	ExpectedWork time.Duration // 0: not told
-	// Expires is when the client stops waiting. With EvListLost it is when a change that was missed counts as
-	// notified; 0: as Contract.ListInterval says.
+	ExpectedWork time.Duration // 0: not known
+	// Expires is when the client stops waiting. With EvListLost it is when a missed change of the list counts
+	// as received by this sidecar; 0: not known, so that only Contract.ListInterval applies.
 	Expires time.Duration
 	Attempt int
 	Latency time.Duration // since the attempt was sent
 	Outcome Outcome
 	Final   bool  // the request has its final answer
-	Timer   Timer // of the wake-up, as it was requested
+	Timer   Timer // of the wake-up, as given in ActWake
 }
 
-// TimerKind says what a wake-up is for.
+// TimerKind is the purpose of a wake-up.
 type TimerKind uint8
 
 // The kinds of wake-up.
@@ -207,29 +208,29 @@
 	TimerTarget TimerKind = iota // the request's latency target is about to pass
 	TimerQueued                  // a queued request is about to be too late
 	TimerExpire                  // the client is about to stop waiting
-	TimerList                    // request the server list
-	TimerIdle                    // the connections to a server have been idle for long
+	TimerList                    // the server list is to be requested
+	TimerIdle                    // the connections to a server may have been idle for too long
 )
 
-// Timer identifies a wake-up. It comes back in EvWake as it was given in ActWake.
+// Timer identifies a wake-up. EvWake returns it as ActWake gave it.
 type Timer struct {
 	Kind TimerKind
-	ID   uint64 // of the request or the server that it is about
+	ID   uint64 // of the request or the server; 0 with TimerList
 }
 
-// ActionKind says what to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The actions, with the fields of Action that they use beside Kind.
 const (
-	// ActSend starts an attempt of Request at Server with time-out After. It must not be written from At on;
-	// 0: at any time.
+	// ActSend starts an attempt of Request at Server with time-out After. The attempt must not be written to
+	// a connection at At or later; 0: no such bound.
 	ActSend ActionKind = iota
 	// ActCancel stops waiting for Attempt of Request.
 	ActCancel
-	// ActReject is the final answer of Request: a retry does no harm, no sooner than after After.
+	// ActReject gives Request its final answer, a rejection: the client may safely retry it after After.
 	ActReject
-	// ActFail is the final answer of Request: it failed, with unknown effect.
+	// ActFail gives Request its final answer, a failure: it is unknown whether the request has run.
 	ActFail
 	// ActWake requests EvWake with Timer at the time At.
 	ActWake
@@ -237,7 +238,7 @@
 	ActWatch
 	// ActCloseIdle closes the idle connections to Server.
 	ActCloseIdle
-	// ActLog is a line of text for the operators.
+	// ActLog writes Text to the log.
 	ActLog
 )
 
--- a/internal/sidecar/logic/balancer.go
+++ b/internal/sidecar/logic/balancer.go
@@ -14,26 +14,26 @@
 	cfg     Config
 	seed    uint64
 	rng     *rand.Rand
-	now     time.Duration // of the present event
-	actions []Action      // that it has led to so far
+	now     time.Duration // time of the present event
+	actions []Action      // actions of the present event so far
 
 	requests     map[uint64]*request
-	queue        []*request // admitted, in the order of arrival; no server could take them yet
-	inFlight     int        // attempts
-	requestRate  float64    // this sidecar's requests a second, aged as of rateUpdated
+	queue        []*request // admitted requests that no server could take yet, in order of arrival
+	inFlight     int        // number of attempts in flight
+	requestRate  float64    // this sidecar's requests per second, aged as of rateUpdated
 	rateUpdated  time.Duration
 	firstRequest time.Duration
 
 	classes    map[string]*class
-	classOrder []*class // the same, in the order of the settings
+	classOrder []*class // the classes in the order of the settings
 	accounts   *allowance.Accounts
 
 	slack    selection.Slack
-	shedding bool // as last logged
+	shedding bool // whether load shedding was last logged as active
 
-	servers        []*server // in this sidecar's own order
+	servers        []*server // in this sidecar's own order, see addServer
 	byID           map[uint64]*server
-	listDistrusted bool          // it has most servers as gone, which proves nothing
+	listDistrusted bool          // most servers are listed as gone, so the list is taken to be wrong
 	listRequestAt  time.Duration // when to request the list (again); 0: no need
 	listBackoff    time.Duration
 
@@ -41,14 +41,14 @@
 	candidates []*server // scratch of findCandidates
 	weights    []float64 // scratch of pickSoftmax
 
-	// Faults attributed to what servers and requests share.
+	// Aged shares of faults attributed to what servers or requests have in common.
 	overall faultShares
 	zones   map[string]*faultShares
 	cells   map[int]*faultShares
 	tenants map[string]*faultShares
 }
 
-// New returns a balancer whose random draws follow from seed. Unusable settings yield a *SettingsError.
+// New returns a balancer whose random source is seeded with seed. Unusable settings yield a *SettingsError.
 func New(cfg Config, seed uint64) (*Balancer, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 	return b, b.SetClasses(cfg.Classes, cfg.Limits.MaxAttempts)
 }
 
-// check returns a *SettingsError if a balancer cannot work by the settings, leaving the classes aside.
+// check returns a *SettingsError if the settings are unusable. SetClasses checks those of each class.
 func (cfg *Config) check() error {
 	c := &cfg.Contract
 	switch {
@@ -71,7 +71,7 @@
 		return &SettingsError{Reason: "name no class"}
 	case min(c.SlowStartMinCapacity, 1-c.SlowStartMinCapacity) < 0,
 		min(c.ListInterval, c.SlowStartWindow, cfg.Tick) < 0, cfg.Limits.MaxAttempts < 0:
-		return &SettingsError{Reason: "hold a negative time or count, or a share not within 0 to 1"}
+		return &SettingsError{Reason: "contain a negative time or count, or a share outside of 0 to 1"}
 	}
 	return nil
 }
@@ -96,21 +96,21 @@
 	return nil
 }
 
-// SetTenants replaces the tenants and the value of requests beyond a quota share, as in Config, from now on.
-// What was counted of a tenant that stays is kept.
+// SetTenants replaces the tenants and the value of requests beyond a quota share, as in Config. A tenant that
+// was known before keeps its request rate and its allowance at this sidecar.
 func (b *Balancer) SetTenants(tenants []Tenant, overShareValue float64) {
 	b.accounts.Set(tenants, overShareValue)
 }
 
-// SetTenantAllowance sets this sidecar's part of a tenant's allowance, in requests a second. Below 0 it is
-// an equal part, as at the start.
+// SetTenantAllowance sets this sidecar's part of a tenant's allowance, in requests per second. A negative
+// rate restores the initial equal part.
 func (b *Balancer) SetTenantAllowance(tenant string, rate float64) {
 	b.accounts.SetAllowance(tenant, rate)
 }
 
-// Step appends to actions those that follow from ev at the time now, and returns the result. Times count
-// from any fixed moment, the same for all events and the list; now must not go back. What ev refers to is
-// not retained.
+// Step processes the event ev at the time now, appends the resulting actions to actions and returns them.
+// All times, also those of the server list, count from the same arbitrary moment; now must not decrease.
+// Step does not retain what ev refers to.
 func (b *Balancer) Step(now time.Duration, ev *Event, actions []Action) []Action {
 	b.now, b.actions = now, actions
 	switch ev.Kind {
@@ -138,7 +138,7 @@
 	return actions
 }
 
-// onWake handles a wake-up. A timer is never canceled, so it may find its subject gone or changed.
+// onWake handles a wake-up. A timer is never canceled, so its request or server may be gone or have changed.
 func (b *Balancer) onWake(t Timer) {
 	switch s, r := b.byID[t.ID], b.requests[t.ID]; {
 	case t.Kind == TimerList:
@@ -166,8 +166,9 @@
 	b.emit(Action{Kind: ActWake, At: max(t, b.now), Timer: Timer{Kind: kind, ID: id}})
 }
 
-// isDue reports whether a wake-up for t has come. The host may round t down: woken a fraction early, a
-// sidecar went without a subscription and sent to servers that were gone.
+// isDue reports whether a wake-up for t is due, with a tolerance of one tick, since the host may round t
+// down. Without the tolerance a sidecar that was woken early did not subscribe and sent to servers that were
+// gone.
 func (b *Balancer) isDue(t time.Duration) bool { return b.now+b.cfg.Tick >= t }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/sidecar/logic/candidates.go
+++ b/internal/sidecar/logic/candidates.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// subsetSize is the number of servers that this sidecar uses: as many as its requests can keep freshly
-// sampled within an aging time.
+// subsetSize is the number of servers that this sidecar uses: as many as its requests sample freshSamples
+// times within an aging time.
 func (b *Balancer) subsetSize() int {
 	return max(int(b.requestRate*agingTime.Seconds()/freshSamples), minSubsetSize)
 }
@@ -21,8 +21,8 @@
 }
 
 // findSubset sets b.candidates to the subset of r: the first servers in this sidecar's own order that the
-// rules allow, neither ejected nor tried by r before. If there is none, it is the one of the others whose
-// ejection ends first, so that the rest recover.
+// rules allow and that are neither ejected nor tried by r before. If there is none, it is the server whose
+// ejection ends first, so that the others get no requests and recover.
 func (b *Balancer) findSubset(r *request) {
 	b.candidates = b.candidates[:0]
 	var fallback *server
@@ -53,9 +53,9 @@
 }
 
 // dropLateServers removes the candidates that are expected to answer too late for r, unless all are. A small
-// share of the requests probes the least recently sampled of them instead. Without the removal the price of
-// crossing zones keeps requests there; without the bound on probes, a thousand sidecars that each try again
-// after a time sustain the overload.
+// share of the requests probes the least recently sampled late server instead. Without the removal, the price
+// of crossing zones keeps requests at late servers of the same zone. Without the bound on probes, a thousand
+// sidecars that each try a late server again after some time sustain its overload.
 func (b *Balancer) dropLateServers(r *request) {
 	left := (r.usefulUntil() - b.now).Seconds() * usableTimeLeft
 	tooLate := func(s *server) bool {
--- a/internal/sidecar/logic/ejection.go
+++ b/internal/sidecar/logic/ejection.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// ejectThreshold is the number of failures in a row that ejects a server: as many as chance brings rarely.
-// Where some attempts fail everywhere, as with connections that break on the way, a busy sidecar soon sees a
-// few in a row anywhere: four of six servers were ejected for that, and the other two overloaded.
+// ejectThreshold is the number of consecutive failures that ejects a server: a run that is unlikely by
+// chance. Where some attempts fail at all servers, as with an unreliable network, a busy sidecar soon sees a
+// few consecutive failures at any server. A fixed threshold of three ejected four of six servers in this
+// case and overloaded the other two.
 func (b *Balancer) ejectThreshold() int {
-	shares := []float64{0} // the list may have lost all servers meanwhile
+	shares := []float64{0} // there may be no servers left
 	for _, s := range b.servers {
 		shares = append(shares, s.failureShare)
 	}
 	slices.Sort(shares)
-	median := min(max(shares[len(shares)/2], 1e-3), 0.5) // a few faulty servers do not move it
+	median := min(max(shares[len(shares)/2], 1e-3), 0.5) // hardly affected by a few faulty servers
 	return max(minEjectFailures, int(math.Ceil(math.Log(ejectChance)/math.Log(median))))
 }
 
-// eject stops sends to a hung or failing server for a time that doubles with each ejection; after it, one
-// attempt at a time probes the server. It is outlier ejection as known from Envoy.
+// eject stops sends to a hung or failing server for a time that doubles with each ejection. Afterwards one
+// attempt at a time probes the server. This is outlier ejection as in Envoy.
 func (b *Balancer) eject(s *server) {
 	if b.now < s.ejectedUntil {
 		return
--- a/internal/sidecar/logic/fault.go
+++ b/internal/sidecar/logic/fault.go
@@ -1,9 +1,10 @@
 package logic
 
-// A bad outcome may be the fault of the server, of what it shares with others (its cell, the path to its
-// zone), of the kind of request, or of everything, as in an overload. Attribution keeps them apart: without
-// it a tenant whose requests fail anywhere, or a zone out of reach, ejected server after server, and a class
-// that is late everywhere passed for an overload.
+// A bad outcome may be caused by the server, by what it shares with other servers (its cell, the path to its
+// zone), by the class or tenant of the request, or by a condition of the whole fleet such as an overload.
+// Attribution of faults distinguishes these causes. Without it, a tenant whose requests fail at all servers,
+// or an unreachable zone, leads to the ejection of many servers, and a class that is late at all servers is
+// mistaken for an overload.
 
 // faultKind is a kind of bad outcome.
 type faultKind int
@@ -11,17 +12,17 @@
 const (
 	failure faultKind = iota
 	lateness
-	faultKinds // their number
+	faultKinds // number of kinds
 )
 
-// faultShares are the aged shares of bad outcomes attributed to one suspect, by kind.
+// faultShares are the aged shares of outcomes that are bad and attributed to one suspect, by kind.
 type faultShares [faultKinds]float64
 
 // suspect is what a bad outcome may be attributed to.
 type suspect int
 
 const (
-	suspectAll suspect = iota // everything that this sidecar reaches
+	suspectAll suspect = iota // the whole fleet
 	suspectServer
 	suspectCell
 	suspectZone // the path to the server's zone
@@ -30,7 +31,7 @@
 	suspectCount
 )
 
-// sharesOf returns the shares of key k in m, new ones if there are none yet.
+// sharesOf returns the shares of key k in m, and adds them if there are none yet.
 func sharesOf[K comparable](m map[K]*faultShares, k K) *faultShares {
 	if m[k] == nil {
 		m[k] = &faultShares{}
@@ -38,10 +39,10 @@
 	return m[k]
 }
 
-// attribute updates the shares of all suspects of an attempt's outcome. A bad outcome is attributed in
-// proportion to what was attributed before, so that what is seen alike across servers accumulates at what
-// they have in common; a good one lowers all. It records the likeliest suspect of a bad outcome in the
-// request, and reports whether that is the server; of a good outcome it reports true.
+// attribute updates the shares of all suspects of an attempt's outcome. A bad outcome is attributed to them
+// in proportion to their shares so far, so that faults seen at several servers accumulate at the suspect
+// that these have in common. A good outcome lowers all shares. The request records the likeliest suspect of
+// a bad outcome; attribute reports whether that is the server, and true for a good outcome.
 func (b *Balancer) attribute(a *attempt, kind faultKind, bad bool) (toServer bool) {
 	s, r := a.server, a.request
 	shares := [suspectCount]*faultShares{&b.overall, &s.faultShares, s.cellShares, s.zoneShares,
@@ -55,7 +56,7 @@
 		if suspect(i) == suspectServer {
 			step, part = serverFaultStep, x[kind]+serverFaultPrior
 		}
-		// A class or tenant is held at fault for failures only once they are frequent.
+		// A class or tenant is taken to be the cause of failures only once they are frequent.
 		eligible := suspect(i) < suspectClass || kind == lateness || x[kind] > lateClassThreshold
 		if part /= total; !bad {
 			part = 0
@@ -69,5 +70,5 @@
 	return !bad || r.fault == suspectServer
 }
 
-// isAtFault reports whether r itself, by its class or tenant, is the likeliest cause of its last bad outcome.
+// isAtFault reports whether the class or tenant of r is the likeliest cause of its last bad outcome.
 func (r *request) isAtFault() bool { return r.fault == suspectClass || r.fault == suspectTenant }
--- a/internal/sidecar/logic/listrequest.go
+++ b/internal/sidecar/logic/listrequest.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// listEntryTime is the time that the list's service is assumed to need for one entry of an answer.
+// listEntryTime is the assumed time that the list's service needs for one entry of an answer.
 const listEntryTime = time.Millisecond
 
-// requestList subscribes to the server list. The subscription is kept up, because a sidecar without one is
-// held to a list that it has not received.
+// requestList subscribes to the server list, and schedules the next request in case that no answer comes. A
+// sidecar must act on a change of the list within a time limit, whether or not it has received the change.
 func (b *Balancer) requestList() {
 	b.emit(Action{Kind: ActWatch})
-	b.scheduleListRequest(2 * b.maxListWait()) // in case no answer comes at all
+	b.scheduleListRequest(2 * b.maxListWait()) // if no answer comes at all
 }
 
-// maxListWait is the longest wait before the list is requested again.
+// maxListWait is the longest wait before the list is requested again, except where the service needs longer.
 func (b *Balancer) maxListWait() time.Duration {
 	return max(time.Duration(listWaitShare*float64(b.cfg.Contract.ListInterval)), time.Second)
 }
 
-// listServiceTime is how long the list's service may need to answer a call from each sidecar. The service
-// does not scale with them, and processes call after call, also those that were given up. Work that takes no
-// longer than one wait is not spread.
+// listServiceTime is the time that the list's service may need to answer one call from each sidecar. The
+// service does not scale with the number of sidecars, and processes calls one after another, including
+// canceled ones. Calls that take no longer than maxListWait together are spread over a tick per sidecar
+// only.
 func (b *Balancer) listServiceTime() time.Duration {
 	n := time.Duration(b.cfg.Balancers)
 	if work := n * time.Duration(len(b.servers)) * listEntryTime; work > b.maxListWait() {
@@ -28,9 +29,10 @@
 	return n * b.cfg.Tick
 }
 
-// onListLost schedules another request with exponential backoff and jitter, over a time in which the calls
-// of all sidecars are answered, so that they do not keep an overloaded service overloaded. A change that was
-// missed counts as notified at the given time, if that is not 0: the wait leaves time for a second call.
+// onListLost schedules another request with exponential backoff and jitter. The backoff is at least the time
+// in which the service can answer all sidecars, so that retries do not sustain an overload of the service.
+// If notifiedAt is not 0, a missed change counts as received from then on, so the wait leaves time for two
+// calls before it.
 func (b *Balancer) onListLost(notifiedAt time.Duration) {
 	if !b.cfg.Subscribe {
 		return
--- a/internal/sidecar/logic/outcome.go
+++ b/internal/sidecar/logic/outcome.go
@@ -14,7 +14,7 @@
 	return nil
 }
 
-// onOutcome ends an attempt, decides what follows for its request, and sends what is queued.
+// onOutcome ends an attempt, retries or ends its request, and dispatches the queue.
 func (b *Balancer) onOutcome(ev *Event) {
 	a := b.attemptOf(ev)
 	if a == nil || !a.inFlight {
@@ -40,11 +40,11 @@
 	b.dispatchQueue()
 }
 
-// learn updates what is known about the server of a by its outcome.
+// learn updates the measurements of the server of a with the outcome of a.
 func (b *Balancer) learn(a *attempt, ev *Event) {
 	s := a.server
 	switch ev.Outcome {
-	case Skipped: // it never reached the server
+	case Skipped: // the attempt never reached the server
 	case Done:
 		if !a.request.started {
 			b.recordAnswer(a, ev.Latency)
@@ -53,14 +53,14 @@
 		if a.canceledLate || (ev.Outcome == TimedOut && b.now >= a.request.fullTarget-b.cfg.Tick) {
 			b.recordFailure(a, ev.Outcome)
 		} else if v := a.request.work / max(ev.Latency.Seconds(), 1e-3); v < s.Speed() {
-			s.Observe(b.now, v) // no answer by then: it is no faster than this
+			s.Observe(b.now, v) // upper bound of the speed: no answer came in this time
 		}
 	default:
 		b.recordFailure(a, ev.Outcome)
 	}
 }
 
-// recordAnswer updates the estimates of the server and the class by an answer after latency.
+// recordAnswer updates the estimates of the server and the class with an answer after latency.
 func (b *Balancer) recordAnswer(a *attempt, latency time.Duration) {
 	s, r, took := a.server, a.request, max(latency.Seconds(), 1e-3)
 	onTime := b.now <= r.fullTarget
@@ -69,7 +69,7 @@
 	s.Observe(b.now, r.work/took)
 	s.failuresInRow, s.lastResponse = 0, b.now
 	s.failureShare -= meanStep * s.failureShare
-	// An answer to what was sent before an ejection does not end it.
+	// The answer to an attempt sent before the end of an ejection does not reset the backoff.
 	if s.ejectBackoff > minEjectBackoff && a.sentAt >= s.ejectedUntil && onTime {
 		b.logf("server %d recovered", s.ID)
 		s.ejectBackoff = minEjectBackoff
@@ -81,7 +81,7 @@
 	}
 }
 
-// recordLatency updates the latency estimates of c by an answer after some seconds.
+// recordLatency updates the latency estimates of c with an answer after took seconds.
 func (c *class) recordLatency(took float64, onTime bool) {
 	if c.meanLatency == 0 {
 		c.meanLatency, c.latencyDeviation, c.quickLatency = took, took/2, took
@@ -94,15 +94,15 @@
 	c.quickLatency += quickStep * (quicker + slower/10)
 }
 
-// adjustLimit moves the limit of a's server by an answer after some seconds: a slow one shrinks it, and a
-// quick one to an attempt that used an upper part of it lets it grow.
+// adjustLimit adapts the limit of a's server to an answer after took seconds. A slow answer lowers it. A
+// quick answer raises it if at least crowdedFraction of the limit was in use when a was sent.
 func (b *Balancer) adjustLimit(a *attempt, took float64, serverAtFault bool) {
 	s, r := a.server, a.request
 	quick := r.class.quickLatency
-	slowest := max((r.fullTarget-r.arrived).Seconds()-quick, 0) // from a quick answer to the target
+	slowest := max((r.fullTarget-r.arrived).Seconds()-quick, 0) // range from quick latency to target
 	s.slowShare -= slowStep * s.slowShare
 	if took > quick+shrinkAbove*slowest {
-		// A crowded attempt that is slow but on time is answered by the limit alone.
+		// A slow answer in time to a crowded attempt shows a queue, which the lower limit alone corrects.
 		if serverAtFault && (!a.crowded || b.now > r.fullTarget) {
 			s.lateInRow++
 		}
@@ -113,7 +113,8 @@
 }
 
 // shrinkLimit lowers the limit of a slow server by half the share of its slow answers, as DCTCP does, and
-// once for all attempts then in flight: scattered slow answers cut little, a queue cuts deep.
+// only once for all attempts in flight at that time. Occasional slow answers lower the limit a little; a
+// queue, which makes most answers slow, lowers it a lot.
 func (b *Balancer) shrinkLimit(a *attempt) {
 	s := a.server
 	if s.slowShare += slowStep; a.sentAt >= s.limitShrunkAt && !a.request.isAtFault() {
@@ -121,8 +122,8 @@
 	}
 }
 
-// recordFailure counts a failure as a sample of speed zero, since a quick failure would otherwise look like
-// an idle server. A run of failures, or a high share of them, ejects the server.
+// recordFailure records a failure as a sample of speed zero, since a server that fails quickly would
+// otherwise look idle. Enough consecutive failures, or a high share of failures, eject the server.
 func (b *Balancer) recordFailure(a *attempt, outcome Outcome) {
 	s, kind := a.server, failure
 	if outcome == TimedOut || outcome == Canceled {
@@ -130,7 +131,8 @@
 	}
 	serverAtFault := b.attribute(a, kind, true)
 	s.failureShare += meanStep * (1 - s.failureShare)
-	// Late though it responded to others meanwhile: it has a queue, which is for the limit to cut.
+	// A late server that has responded to other attempts since is not hung but has a queue, which a lower
+	// limit corrects.
 	if serverAtFault && (kind == failure || s.lastResponse <= a.sentAt) {
 		s.failuresInRow++
 	}
@@ -145,7 +147,7 @@
 		s.lateInRow++
 	}
 	threshold := b.ejectThreshold()
-	// Listed as gone and without a response: the list was right, so the longest ejection follows at once.
+	// A server that is listed as gone and does not respond is gone indeed: eject it for the longest time.
 	if s.State == Gone && outcome != Errored && outcome != Busy {
 		s.failuresInRow, s.ejectBackoff = threshold, maxEjectBackoff
 	}
--- a/internal/sidecar/logic/pick.go
+++ b/internal/sidecar/logic/pick.go
@@ -9,7 +9,7 @@
 	"fieldrelay/internal/common/selection"
 )
 
-// send starts an attempt of r and reports true, if a server can take it.
+// send starts an attempt of r if a server can take it, and reports whether it did.
 func (b *Balancer) send(r *request) bool {
 	full := b.cfg.Balancers >= boundMinBalancers && float64(b.inFlight) >= b.maxInFlight()
 	if n := len(r.attempts); n >= b.cfg.Limits.MaxAttempts || (n == 0 && full) {
@@ -34,8 +34,8 @@
 	return true
 }
 
-// pick chooses one of the candidates: first one that has no sample yet, then by the rule of package
-// selection.
+// pick chooses one of the candidates: one without a sample if there is any, otherwise by softmax or walk as
+// package selection defines them.
 func (b *Balancer) pick(r *request, candidates []*server) *server {
 	unseeded := func(s *server) bool { return !s.Seeded() && len(s.inFlight) == 0 }
 	if i := slices.IndexFunc(candidates, unseeded); i >= 0 {
@@ -48,8 +48,8 @@
 	return b.pickSoftmax(r, candidates, tau)
 }
 
-// pickSoftmax draws a candidate by effective speed at temperature tau. The price of crossing zones lowers a
-// weight, and affinity to the request's key raises one.
+// pickSoftmax draws a candidate by effective speed at temperature tau. The price of crossing zones lowers the
+// weights of servers in other zones. The affinity server of the request's key gets a higher weight.
 func (b *Balancer) pickSoftmax(r *request, candidates []*server, tau float64) *server {
 	b.weights = b.weights[:0]
 	for _, s := range candidates {
@@ -70,7 +70,7 @@
 }
 
 // affinityServer returns the candidate that ranks first for the key of r by rendezvous hashing: all sidecars
-// rank alike, and a server that joins or leaves moves no other keys than its own.
+// use the same ranking, and when a server is added or removed, only its own keys move.
 func affinityServer(r *request, candidates []*server) *server {
 	return slices.MaxFunc(candidates, func(x, y *server) int {
 		return cmp.Compare(hash(r.key, x.ID), hash(r.key, y.ID))
@@ -84,17 +84,17 @@
 	return h ^ h>>32
 }
 
-// effectiveSpeed is the speed that s is expected to show to the next request: its estimate, bounded by how
-// long it has not responded, and scaled by its failures and by the attempts in flight there.
+// effectiveSpeed is the expected speed of s for the next request: its estimate, bounded by the time since its
+// last response, and scaled down by its failure shares and by the attempts in flight there.
 func (b *Balancer) effectiveSpeed(s *server) float64 {
 	v := s.Speed()
 	if len(s.inFlight) > 0 {
-		// A hung server yields no samples; the time without a response bounds its speed.
+		// A hung server gives no samples, but the time without a response bounds its speed.
 		if silent := b.now - max(s.lastResponse, s.inFlight[0].sentAt); silent > 0 {
 			v = min(v, s.inFlight[0].request.work/silent.Seconds())
 		}
 	}
 	v *= (1 - s.faultShares[failure]) * (1 - s.cellShares[failure]) * (1 - s.zoneShares[failure])
-	// Answers show a queue late; this sidecar's own attempts in flight show it at once.
+	// Answers reveal a queue only later; this sidecar's own attempts in flight reveal it at once.
 	return v / (1 + float64(len(s.inFlight)))
 }
--- a/internal/sidecar/logic/request.go
+++ b/internal/sidecar/logic/request.go
@@ -12,9 +12,9 @@
 	class        *class
 	key          uint64
 	hasKey       bool
-	work         float64       // expected work in seconds; 1 if not told
+	work         float64       // expected work in seconds; 1 if not known
 	target       time.Duration // when an answer loses its full value, at most expires
-	fullTarget   time.Duration // likewise, not bounded by expires: servers are judged by it
+	fullTarget   time.Duration // the target without the bound of expires, by which servers are measured
 	arrived      time.Duration
 	expires      time.Duration // when the client stops waiting
 	tenantShares *faultShares
@@ -22,7 +22,7 @@
 	closed       bool // it has its final answer, or its client has gone
 	started      bool // its streamed answer has begun
 	queued       bool
-	lastBusy     bool    // its last attempt was turned away as busy
+	lastBusy     bool    // the outcome of its last attempt was Busy
 	fault        suspect // likeliest cause of its last bad outcome
 }
 
@@ -34,13 +34,13 @@
 	sentAt       time.Duration
 	inFlight     bool // no outcome yet
 	mayHaveRun   bool // its outcome does not prove that it never ran
-	crowded      bool // it used an upper part of the server's limit
+	crowded      bool // at least crowdedFraction of the server's limit was in use when it was sent
 	canceledLate bool // canceled because no answer came in time
 }
 
 func (a *attempt) isInFlight() bool { return a.inFlight }
 
-// possiblyExecuted reports whether it is not proved that the attempt never ran, and never will.
+// possiblyExecuted reports whether the attempt may have run or may still run.
 func (a *attempt) possiblyExecuted() bool { return a.inFlight || a.mayHaveRun }
 
 func (r *request) tried(s *server) bool {
@@ -55,13 +55,13 @@
 	return slices.ContainsFunc(r.attempts, (*attempt).possiblyExecuted)
 }
 
-// mayReject reports whether r may be rejected: the client may take it that a retry does no harm.
+// mayReject reports whether r may be rejected, which tells the client that a retry is safe.
 func (r *request) mayReject() bool {
 	repeatsDropped := r.class.Effect == Keyed && r.class.Group == GroupAll
 	return r.class.Effect == Safe || repeatsDropped || !r.mayHaveRun()
 }
 
-// usefulUntil is the time after which an answer has no value.
+// usefulUntil is the time after which an answer to r has no value.
 func (r *request) usefulUntil() time.Duration {
 	if r.class.LateValue > 0 {
 		return r.expires
@@ -69,12 +69,12 @@
 	return r.target
 }
 
-// wouldBeLate reports whether an attempt sent now is expected to be answered too late.
+// wouldBeLate reports whether an attempt of r sent now is expected to be answered too late.
 func (b *Balancer) wouldBeLate(r *request) bool {
 	return b.now+seconds(r.class.meanLatency) >= r.usefulUntil()
 }
 
-// enqueue lets r wait until a server can take it, or until most answers would be too late.
+// enqueue queues r until a server can take it, or until its answer would most likely be too late.
 func (b *Balancer) enqueue(r *request) {
 	r.queued = true
 	b.queue = append(b.queue, r)
@@ -82,8 +82,8 @@
 	b.wakeAt(r.usefulUntil()-seconds(needed), TimerQueued, r.id)
 }
 
-// dispatchQueue sends what is queued, newest first, since that has the most time left. A request that will
-// not be sent in time ends by its timer.
+// dispatchQueue sends queued requests, newest first, since these have the most time left. The timer of a
+// request ends it if it is not sent in time.
 func (b *Balancer) dispatchQueue() {
 	for i := len(b.queue) - 1; i >= 0 && b.send(b.queue[i]); i-- {
 		b.queue[i].queued = false
@@ -91,7 +91,7 @@
 	}
 }
 
-// finish gives the final answer to r without one from a server: a rejection where that is true, or a failure.
+// finish gives r a final answer that is not a server's: a rejection if r may be retried safely, or a failure.
 func (b *Balancer) finish(r *request) {
 	answer := Action{Kind: ActFail, Request: r.id}
 	if r.mayReject() {
--- a/internal/sidecar/logic/retry.go
+++ b/internal/sidecar/logic/retry.go
@@ -15,7 +15,7 @@
 	})
 }
 
-// repeatDeadline is the end of the window in which repeats of r are dropped, or 0 if it has none. An attempt
+// repeatDeadline is the end of the window in which servers drop repeats of r, or 0 if it has none. An attempt
 // whose connection is established later must not be written.
 func (b *Balancer) repeatDeadline(r *request) time.Duration {
 	if i := slices.IndexFunc(r.attempts, (*attempt).possiblyExecuted); i >= 0 && r.class.Effect == Keyed {
@@ -29,8 +29,8 @@
 	return g == GroupAll || (g == GroupZone && x.Zone == y.Zone) || (g == GroupCell && x.Cell == y.Cell)
 }
 
-// retry decides what follows an attempt a of r that brought no answer: another attempt, a place in the queue,
-// or a final answer.
+// retry handles the end of an attempt a of r without a final answer: it sends another attempt, queues r, or
+// gives it a final answer.
 func (b *Balancer) retry(r *request, a *attempt) {
 	if r.hasAttemptInFlight() || r.queued {
 		return
@@ -40,7 +40,7 @@
 		return
 	}
 	if sent := b.send(r); !sent && r.mayHaveRun() {
-		b.finish(r) // it may go to few servers only, and would block those behind it in the queue
+		b.finish(r) // only a few servers may get r, so it would block requests behind it in the queue
 	} else if !sent {
 		b.enqueue(r)
 	}
@@ -48,11 +48,11 @@
 
 // isLastAttempt reports whether the outcome of a rules out another attempt of r.
 func (b *Balancer) isLastAttempt(r *request, a *attempt) bool {
-	// What may have run is sent once more at most, since that may double the work.
+	// A request that may have run is sent at most once more, since repeats may double the work.
 	if a.mayHaveRun && (r.class.Effect == Unsafe || len(r.attempts) > 1 || r.isAtFault()) {
 		return true
 	}
-	// Busy wherever it could go: another send would only feed the overload. Where requests of one kind alone
-	// are turned away, other servers take them, and nothing has run.
+	// If the whole fleet is busy, another send would only add to the overload. If servers reject requests of
+	// this class or tenant only, other servers may take r.
 	return r.lastBusy && r.fault == suspectAll
 }
--- a/internal/sidecar/logic/serverlist.go
+++ b/internal/sidecar/logic/serverlist.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// onMembers applies the server list or a change to it, and sends what the new servers can take.
+// onMembers applies the server list or a change to it, and dispatches the queue, since there may be new
+// servers.
 func (b *Balancer) onMembers(ev *Event) {
 	listed := make(map[uint64]bool, len(ev.Servers))
 	for i := range ev.Servers {
@@ -47,12 +48,12 @@
 		s = &server{Server: *e}
 		b.byID[e.ID] = s
 		b.addServer(s)
-	case e.Since > s.Since: // it restarted: what was measured is of another process
+	case e.Since > s.Since: // restarted: the measurements are of the previous process
 		b.removeFromOrder(s)
 		*s = server{Server: Server{ID: e.ID}, inFlight: s.inFlight}
 		b.addServer(s)
 	}
-	// An outdated list ends no slow start and, where gone is advisory, no drain.
+	// An outdated entry must not end a slow start or, if gone is advisory, a drain.
 	since := max(s.Since, e.Since)
 	staysDraining := b.cfg.Contract.GoneIsAdvisory && s.State == Draining
 	if s.Server, s.Since = *e, since; staysDraining {
@@ -61,8 +62,8 @@
 	s.zoneShares, s.cellShares = sharesOf(b.zones, e.Zone), sharesOf(b.cells, e.Cell)
 }
 
-// markGone records that the list has s as gone or leaves it out. Where that is advisory, s is kept and its
-// outcomes decide, unless it was draining: then it gets nothing until a later start.
+// markGone records that s is listed as gone or left out of a complete list. If gone is advisory, s stays in
+// use until it fails, unless it was draining: then it gets no requests until it has restarted.
 func (b *Balancer) markGone(s *server) {
 	switch {
 	case !b.cfg.Contract.GoneIsAdvisory:
--- a/internal/sidecar/logic/slowstart.go
+++ b/internal/sidecar/logic/slowstart.go
@@ -1,7 +1,7 @@
 package logic
 
-// capacityFraction is the least fraction (0 to 1) of its full capacity that s has now: during slow start it
-// grows linearly from the contract's minimum.
+// capacityFraction is the least fraction (0 to 1) of its full capacity that s has now. During slow start it
+// grows linearly from Contract.SlowStartMinCapacity.
 func (b *Balancer) capacityFraction(s *server) float64 {
 	c, age := &b.cfg.Contract, b.now-s.Since
 	if s.Since <= 0 || c.SlowStartWindow <= 0 || age >= c.SlowStartWindow {
@@ -11,10 +11,10 @@
 	return c.SlowStartMinCapacity + warmedUp
 }
 
-// grantSlowStartCredit gives the servers of the subset that are in slow start, and no others, their part of
-// one request. Each server is in as many subsets as any other, so the sum over all sidecars keeps the rule.
-// Credit is earned by requests and not by sends: with most of a fleet in slow start, sends would earn each
-// server less than one.
+// grantSlowStartCredit gives each server of the subset that is in slow start its part of one request as
+// credit. Each server is in about as many subsets as any other, so the sum over all sidecars is in
+// proportion to its capacity. Credit is granted per request and not per send: with most of a fleet in slow
+// start, each send costs a credit but would grant less than one, and credit would run out.
 func (b *Balancer) grantSlowStartCredit() {
 	size := min(b.subsetSize(), len(b.servers))
 	var found [2]int        // by zoneSide
--- a/internal/sidecar/logic/tuning.go
+++ b/internal/sidecar/logic/tuning.go
@@ -2,91 +2,91 @@
 
 import "fieldrelay/internal/common/selection"
 
-// The constants of the decisions. All are dimensionless but for agingTime; what the paper of package
-// selection sets is there. "Aged" is weighted by an exponential decay over agingTime.
+// The constants of the decisions. All but agingTime are dimensionless. Package selection has the constants of
+// the paper that it implements. "Aged" means weighted by an exponential decay with time constant agingTime.
 
-// agingTime is the paper's time constant, used for all that is aged here.
+// agingTime is the time constant of all aged values of this package, the one that the paper uses.
 const agingTime = selection.Delta
 
-// The subset of servers in use, and attempts in flight.
+// Size of the subset of servers in use, and the bound on attempts in flight.
 const (
-	freshSamples       = 4.0 // samples of a server within agingTime that its estimate needs
-	minSubsetSize      = 2   // one server may fail while another is probed
-	boundMinBalancers  = 16  // sidecars; fewer use limits alone: with the bound, an earlier day scored low
-	inFlightFactor     = 1.8 // attempts in flight per occupied server: a standard core is faster than most
-	inFlightRootFactor = 2.5 // and per square root of those: margin for chance beside the mean
+	freshSamples       = 4.0 // samples of a server within agingTime that keep its estimate current
+	minSubsetSize      = 2   // one server may fail while the other is being probed
+	boundMinBalancers  = 16  // sidecars; smaller fleets do better with per-server limits alone
+	inFlightFactor     = 1.8 // attempts in flight per occupied server: most cores are slower than the standard core
+	inFlightRootFactor = 2.5 // and per square root of occupied servers: a margin for random variation
 )
 
 // Choice of a server.
 const (
-	usableTimeLeft = 0.7  // a server expected to need more than this part of the time left is dropped
-	lateRunLimit   = 2    // and one with so many late outcomes in a row
-	lateProbeShare = 0.05 // share of this sidecar's requests that probes such servers
-	affinityWeight = 2.0  // weight of a key's affinity server, in fair shares of the others
-	crossZoneScale = 40.0 // how strongly the price of crossing zones lowers a weight
+	usableTimeLeft = 0.7  // share of the time left beyond which a server expected to take longer is dropped
+	lateRunLimit   = 2    // consecutive late outcomes after which a server is dropped
+	lateProbeShare = 0.05 // share of this sidecar's requests that probes servers dropped as late
+	affinityWeight = 2.0  // weight of a key's affinity server, relative to all candidates together
+	crossZoneScale = 40.0 // exponential decay of a weight per unit of the price of crossing zones
 )
 
 // Slow start.
 const (
-	slowStartShare     = 1.3  // of a server's present part of the subset's capacity: its queue absorbs chance
-	slowStartMinSubset = 0.65 // part of its full capacity that a subset is assumed to have at the least
-	slowStartMaxCredit = 1.5  // sends that a server can have saved up
+	slowStartShare     = 1.3  // credit per request, in units of a server's part of the capacity: queues absorb bursts
+	slowStartMinSubset = 0.65 // least share of its full capacity that a subset is assumed to have
+	slowStartMaxCredit = 1.5  // sends that a server can accumulate as credit
 )
 
 // Limits of attempts in flight at a server.
 const (
 	initialLimit    = 2.0   // attempts in flight at a server without samples
-	growBelow       = 0.1   // an answer within this part of the way from quick to the target grows a limit
-	shrinkAbove     = 0.3   // and one past this part shrinks it
-	minLimitGrowth  = 0.25  // least growth by a quick answer, so that it keeps up at any size
-	limitCut        = 0.5   // part of the share of slow answers that is cut from a limit, once an answer time
-	slowStep        = 0.125 // weight of an answer in the share of slow ones
-	crowdedFraction = 0.5   // a limit grows only when this part of it is in use
+	growBelow       = 0.1   // an answer within this part of the range from quick latency to target raises a limit
+	shrinkAbove     = 0.3   // an answer beyond this part of the range from quick latency to target lowers a limit
+	minLimitGrowth  = 0.25  // least increase per quick answer, so that large limits adapt as fast
+	limitCut        = 0.5   // multiple of the share of slow answers cut from a limit, once per answer time
+	slowStep        = 0.125 // EWMA weight of an answer in the share of slow answers
+	crowdedFraction = 0.5   // share of a limit that must be in use before the limit grows
 )
 
 // Latency and work of a class.
 const (
-	meanStep          = 0.02  // weight of an answer in a mean: fifty smooth the spread
-	quickStep         = 0.1   // weight of a quicker answer in the quick latency; of a slower one, a tenth
-	heavyFactor       = 100.0 // times the work of a recent class: with 20, busy days of like requests lost
+	meanStep          = 0.02  // EWMA weight of an answer in a mean: about fifty answers smooth the variation
+	quickStep         = 0.1   // EWMA weight of a quicker answer in the quick latency; a slower answer has a tenth
+	heavyFactor       = 100.0 // times the work of a recent class; with 20, busy loads of similar requests did worse
 	minRecentRequests = 0.3   // aged requests of a class in recent use: one within about agingTime
 )
 
-// Attribution of faults.
+// Attribution of faults: the aged fault share of each suspect.
 const (
-	serverFaultStep    = 0.15 // weight of an outcome in the share of its server
-	sharedFaultStep    = 0.4  // and of the others: these must be known before failures in a row eject
-	serverFaultPrior   = 0.05 // prior share of a server: servers are at fault most often
-	sharedFaultPrior   = 0.03 // and of each of the others
-	lateClassThreshold = 0.3  // share above which a class is taken to be at fault by itself
+	serverFaultStep    = 0.15 // EWMA weight of an outcome in the fault share of its server
+	sharedFaultStep    = 0.4  // higher for other suspects, which must be known before a run of failures ejects
+	serverFaultPrior   = 0.05 // prior fault share of a server, the most frequent cause
+	sharedFaultPrior   = 0.03 // prior fault share of each other suspect
+	lateClassThreshold = 0.3  // share above which a class itself is taken to be at fault
 )
 
 // Ejection.
 const (
-	minEjectFailures  = 3    // failures in a row that eject, or more if chance brings as many
-	ejectChance       = 1e-5 // with at least this probability
-	ejectFailureShare = 0.3  // share of failures that ejects
-	minEjectBackoff   = 1.0  // first ejection, in aging times; it doubles up to the maximum
+	minEjectFailures  = 3    // least number of consecutive failures that ejects a server
+	ejectChance       = 1e-5 // a run of failures that is at most this likely by chance ejects a server
+	ejectFailureShare = 0.3  // share of failures attributed to a server that ejects it
+	minEjectBackoff   = 1.0  // first ejection, in aging times; it doubles up to maxEjectBackoff
 	maxEjectBackoff   = 4.0
 )
 
 // Admission and queueing.
 const (
-	earlyFraction       = 0.4  // part of the target within which an answer is early: overload shows soon
-	admitSlackFactor    = 1.5  // times the slack, squared, is the share of requests that is admitted
+	earlyFraction       = 0.4  // part of the target within which an answer is early: reveals overload before lateness
+	admitSlackFactor    = 1.5  // the square of this multiple of the slack is the admitted share of the work
 	minAdmitProbability = 0.05 // however low the slack, so that a recovery is noticed
-	levelSteps          = 20   // bisection steps of the shedding level
-	minValue            = 1e-3 // of a class whose value is not told
-	queueDeviations     = 4.0  // margin beside the mean answer time at which a queued request is given up
-	windowSafety        = 0.95 // part of a repeat window that is used: its exact end is not known here
+	levelSteps          = 20   // bisection steps in the search for the shedding level
+	minValue            = 1e-3 // value of a class whose value is not set
+	queueDeviations     = 4.0  // deviations added to the mean answer time that a queued request must have left
+	windowSafety        = 0.95 // used part of a repeat window, whose exact end a sidecar does not know
 )
 
 // The server list.
 const (
 	goneRetention     = 20.0 // aging times without a response after which a gone server is forgotten
-	listDistrustShare = 0.5  // with more than this part of the servers gone, the list is taken to be wrong
-	listWaitShare     = 0.25 // of the contract's interval: longest wait before the list is requested again
+	listDistrustShare = 0.5  // the list is taken to be wrong if it marks more than this part of the servers gone
+	listWaitShare     = 0.25 // longest wait before the list is requested again, as a share of its interval
 )
 
-// pricedConnections is the number of connections a server that the price of connections is stated for.
+// pricedConnections is the number of connections per server to which Prices.Connection refers.
 const pricedConnections = 100.0
