--- a/internal/sidecar/logic/admission_test.go
+++ b/internal/sidecar/logic/admission_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// An overload holds itself up while all that comes is admitted.
+// While all requests are admitted, an overload sustains itself: all answers are late and have no value.
 func TestLateAnswersReduceAdmission(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(3)...)
 	admitted := 0
@@ -22,18 +22,18 @@
 			admitted++
 		}
 		r.now += 500 * ms
-		r.outcome(id, 0, 500*ms, Done) // past the target
+		r.outcome(id, 0, 500*ms, Done) // after the target
 		r.now += 20 * ms
 	}
 	if admitted == 0 || admitted > 40 {
-		t.Errorf("%d of 100 requests admitted though all answers are late", admitted)
+		t.Errorf("%d of 100 requests admitted while all answers are late, want 1 to 40", admitted)
 	}
 }
 
-// Servers choke while answers still come within the target; by the time they are late it is too late.
-// Near half of the target is the first sign of a crowd, which slows servers down for long.
+// Queues at servers build up while answers still arrive within the target. Shedding that waits for late
+// answers begins too late, so answers that take about half of the target already count against the slack.
 func TestAnswersInTheLastPartOfTheTargetReduceAdmission(t *testing.T) {
-	for took, least := range map[time.Duration]int{300 * ms: 150, 180 * ms: 75} { // of a target of 400 ms
+	for took, least := range map[time.Duration]int{300 * ms: 150, 180 * ms: 75} { // the target is 400 ms
 		r := newRig(t, settings(Safe), fleet(3)...)
 		refused := 0
 		for id := range uint64(300) {
@@ -46,13 +46,14 @@
 			r.outcome(id, 0, took, Done)
 		}
 		if refused < least {
-			t.Errorf("%d of 300 requests rejected though all answers take %s of 400ms", refused, took)
+			t.Errorf("%d of 300 requests rejected, too few for answers after %s of a target of 400ms",
+				refused, took)
 		}
 	}
 }
 
-// Clients that leave early made servers pass for late, and sidecars shed what was answered well
-// (i39bfd4, perth-licensing-later).
+// A client that stops waiting before its answer must not make the server count as late or lower the slack:
+// otherwise sidecars shed requests that are answered in time.
 func TestImpatientClientsDoNotChangeEstimates(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(2)...)
 	for id := range uint64(100) {
@@ -62,26 +63,27 @@
 	for id := uint64(1000); id < 1100; id++ {
 		r.step(Event{Kind: EvRequest, Request: id, Class: "c", Expires: r.now + 120*ms})
 		if _, sent := r.find(ActSend); !sent {
-			t.Fatalf("request %d not sent though there is time for an answer", id)
+			t.Fatalf("request %d was not sent though there is time for an answer", id)
 		}
 		r.now += 115 * ms
 		r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerExpire, ID: id}})
 		r.outcome(id, 0, 115*ms, Canceled)
 	}
 	if r.b.slack.Share < slack-0.01 || r.b.servers[0].lateInRow > 0 {
-		t.Errorf("slack %.2f -> %.2f, late %d times", slack, r.b.slack.Share, r.b.servers[0].lateInRow)
+		t.Errorf("canceled attempts changed the slack from %.2f to %.2f; consecutive late outcomes: %d, want 0",
+			slack, r.b.slack.Share, r.b.servers[0].lateInRow)
 	}
 	r.step(Event{Kind: EvRequest, Request: 2000, Class: "c", Expires: r.now + 20*ms})
 	if _, refused := r.find(ActReject); !refused {
-		t.Errorf("a client that leaves before any answer can come: %+v", r.acts)
+		t.Errorf("a request that expires before any answer can arrive was not rejected: %+v", r.acts)
 	}
-	r.step(Event{Kind: EvRequest, Request: 2001, Class: "c", Expires: r.now - 100*ms}) // came in a stall
+	r.step(Event{Kind: EvRequest, Request: 2001, Class: "c", Expires: r.now - 100*ms}) // expired on arrival
 	if _, refused := r.find(ActReject); !refused {
-		t.Errorf("an expired request is no final answer first: %+v", r.acts)
+		t.Errorf("a request that had expired on arrival was not rejected: %+v", r.acts)
 	}
 }
 
-// Staff see when a sidecar begins and ends to shed, once each.
+// The log tells operators once when a sidecar starts load shedding and once when it stops.
 func TestSheddingIsLoggedWhenItBeginsAndEnds(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(1)...)
 	var lines []string
@@ -101,12 +103,12 @@
 		}
 	}
 	if len(lines) != 2 || !strings.HasPrefix(lines[0], "shedding true") || !strings.HasPrefix(lines[1], "shedding false") {
-		t.Errorf("log: %q", lines)
+		t.Errorf("log lines %q, want one of shedding true and one of shedding false", lines)
 	}
 }
 
-// In an overload work is shed in inverse proportion to its worth: shed alike, the valuable classes lost as much as the cheap
-// one, although the servers could have done most of theirs.
+// During an overload, work is shed in inverse proportion to its value. With equal shedding, valuable classes
+// lost as much as the cheap one, although the servers had the capacity for most of the valuable work.
 func TestWorkOfLowValueIsShedFirst(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.ValuePerWork = true
@@ -120,36 +122,40 @@
 		r.b.slack.Share = slack
 		got = append(got, [2]float64{r.b.admitProbability(r.b.classOrder[0], ""), r.b.admitProbability(r.b.classOrder[1], "")})
 	}
-	// In all, the square of admitSlackFactor times the slack is admitted: of three equal parts 2.43, 0.75 and nothing.
+	// The admitted share of all work is the square of admitSlackFactor times the slack: for the last three
+	// slacks, 2.43, 0.75 and 0 of three equal parts.
 	want := [][2]float64{{1, 1}, {0.525, 0.9525}, {minAdmitProbability, 0.375}, {minAdmitProbability, minAdmitProbability}}
 	for i := range want {
 		for j := range want[i] {
 			if math.Abs(got[i][j]-want[i][j]) > 1e-4 {
-				t.Fatalf("admitted %v, want %v", got, want)
+				t.Fatalf("admission probabilities %v, want %v", got, want)
 			}
 		}
 	}
 }
 
-// A tenant that sends twice its allowance is shed more than one within it; in all as much is shed as without
-// tenants. Before, both were admitted alike (0.64), though what is beyond a share is worth a twentieth.
+// A tenant that sends twice its allowance is shed more than a tenant within its allowance, and the total
+// shed is the same as without tenants. Without tenants both are admitted with probability 0.64, although
+// requests beyond a share have a twentieth of the value.
 func TestTenantsBeyondTheirQuotaShareAreShedFirst(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Balancers, cfg.OverShareValue = 1, 0.05
 	cfg.Tenants = []Tenant{{Name: "over", Share: 0.5, Allowance: 50}, {Name: "within", Share: 0.5, Allowance: 200}}
 	r := newRig(t, cfg, fleet(3)...)
 	r.b.requestRate, r.b.rateUpdated = 200, r.now
-	for at := r.now - 20*time.Second; at < r.now; at += 10 * ms { // a hundred a second of each
+	for at := r.now - 20*time.Second; at < r.now; at += 10 * ms { // 100 requests per second from each
 		r.b.accounts.Count(at, "over")
 		r.b.accounts.Count(at, "within")
 	}
 	r.b.classOrder[0].recordDemand(r.now, 1)
 	r.b.slack.Share = 0.8 / admitSlackFactor // 0.36 of the work is shed
 	over, within := r.b.admitProbability(r.b.classOrder[0], "over"), r.b.admitProbability(r.b.classOrder[0], "within")
-	// Half of what "over" sends is worth a twentieth: one of its requests is worth 0.525 of one of "within".
-	// Shed in inverse proportion to that, at a level of 0.248: 0.528 and 0.752 admitted, 0.36 in all shed.
+	// Half of the requests of "over" have a twentieth of the value, so one of its requests has 0.525 of the
+	// value of one of "within" on average. Shedding in inverse proportion to value, at a level of 0.248,
+	// admits 0.528 and 0.752 of them and sheds 0.36 in total.
 	if math.Abs(over-0.528) > 0.01 || math.Abs(within-0.752) > 0.01 || math.Abs((2-over-within)/2-0.36) > 1e-3 {
-		t.Fatalf("admitted %.3f of the tenant beyond its share and %.3f of the one within, want 0.528 and 0.752", over, within)
+		t.Fatalf("admitted %.3f of the tenant beyond its share and %.3f of the one within, want 0.528 and 0.752",
+			over, within)
 	}
 }
 
@@ -158,19 +164,22 @@
 	cfg.Limits.RetryAfter, cfg.Limits.MaxRetryAfter = true, time.Second
 	r := newRig(t, cfg, fleet(2)...)
 	r.tally(10, 20)
-	r.b.slack.Share = 0.6 // a tenth of what is admitted at 1/admitSlackFactor is missing: 0.3 s of an aging time of 3 s
+	// The slack is a tenth below 1/admitSlackFactor, which admits all: the wait is a tenth of the aging
+	// time, 0.3 s.
+	r.b.slack.Share = 0.6
 	for id := uint64(100); !r.has(ActReject); id++ {
 		r.request(id)
 	}
 	if a, _ := r.find(ActReject); a.After < 250*ms || a.After > 350*ms {
-		t.Errorf("shedding a little, retries are asked to wait %v", a.After)
+		t.Errorf("with little load shed, a rejection says to retry after %v, want about 300ms", a.After)
 	}
 	r.b.slack.Share = 1
 	r.request(1000)
 	r.now += 396 * ms
 	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerTarget, ID: 1000}})
 	if a, _ := r.find(ActReject); a.After != time.Second {
-		t.Errorf("past its target, a retry is asked to wait %v", a.After)
+		t.Errorf("the rejection of a request at its target says to retry after %v, want the maximum, 1s",
+			a.After)
 	}
 }
 
@@ -182,10 +191,10 @@
 	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerTarget, ID: 1}})
 	r.now += 50 * ms
 	if r.requestAs(2, "c", "", true); !r.has(ActReject) {
-		t.Errorf("a retry past its target was not refused: %+v", r.acts)
+		t.Errorf("a retry after the target of its first request was not rejected: %+v", r.acts)
 	}
 	if r.requestAs(3, "c", "", false); !r.has(ActSend) {
-		t.Errorf("a first request was not sent: %+v", r.acts)
+		t.Errorf("a request that is no retry was not sent: %+v", r.acts)
 	}
 }
 
@@ -211,17 +220,19 @@
 		r.now += 390 * ms
 		r.outcome(id, 0, 420*ms, Done)
 	}
-	// 200 of them in 84 s: about one in δ once it is known.
+	// 200 such requests arrive in 84 s. Once the class is known to be late, about one per aging time is sent.
 	if sent > 60 || sent < 20 {
-		t.Errorf("%d of the class that waits were sent, %d refused", sent, refused)
+		t.Errorf("%d requests of the late class were sent and %d rejected, want 20 to 60 sent", sent, refused)
 	}
 }
 
-// Many sidecars, each with limits of one attempt and more, crowd all servers. Attempts in flight follow the requested work,
-// of which a start knows little, and which nothing tells without hints. Few sidecars keep to limits alone.
+// Many sidecars whose limits are each at least one attempt per server can overload all servers together. In
+// a large fleet, attempts in flight are therefore bounded by the requested work. Shortly after the start
+// little of it is known, and without hints a request counts as one second of work. In a small fleet only
+// limits apply.
 func TestAttemptsInFlightAreBoundedByTheRequestedWork(t *testing.T) {
 	for _, c := range []struct {
-		sidecars, silent, answered int // of the requests, 20 a second
+		sidecars, silent, answered int // sidecars, and requests without and with an answer, 20 per second
 		hint                       time.Duration
 		leastOut, mostOut          int
 	}{
@@ -237,7 +248,7 @@
 			}
 		}
 		if r.b.inFlight < c.leastOut || r.b.inFlight > c.mostOut {
-			t.Errorf("%+v: %d attempts are in flight", c, r.b.inFlight)
+			t.Errorf("%+v: %d attempts in flight", c, r.b.inFlight)
 		}
 	}
 }
--- a/internal/sidecar/logic/balancer_test.go
+++ b/internal/sidecar/logic/balancer_test.go
@@ -13,13 +13,13 @@
 	neg.Classes[0].LatencyTarget = -1
 	for _, cfg := range []Config{{}, bad, neg} {
 		if _, err := New(cfg, 1); err == nil || !strings.HasPrefix(err.Error(), "logic: ") {
-			t.Errorf("New(%+v): error %v", cfg, err)
+			t.Errorf("New(%+v): error %v, want a settings error", cfg, err)
 		}
 	}
 }
 
-// Classes added by new settings are served from then on, dropped ones are not, and what was learnt of a class
-// that did not change is kept.
+// After SetClasses, requests of added classes are served, those of removed classes fail, and an unchanged
+// class keeps its measurements.
 func TestSetClassesKeepsWhatWasMeasuredOfAnUnchangedClass(t *testing.T) {
 	a := Class{Name: "a", Deadline: time.Second}
 	b, err := New(Config{Tick: 5 * time.Millisecond, Classes: []Class{a}, Limits: Limits{MaxAttempts: 3}}, 1)
@@ -36,7 +36,7 @@
 		return false
 	}
 	if !fails(1, "b") {
-		t.Error("a class not yet named is served")
+		t.Error("a request of an unknown class was served")
 	}
 	learnt := b.classes["a"]
 	bClass := Class{Name: "b", Deadline: 2 * time.Second}
@@ -44,19 +44,19 @@
 		t.Fatal(err)
 	}
 	if fails(2, "b") {
-		t.Error("an added class is not served")
+		t.Error("a request of an added class failed")
 	}
 	if b.classes["a"] != learnt || b.cfg.Limits.MaxAttempts != 2 {
-		t.Error("an unchanged class lost what was learnt of it, or the bound on attempts did not change")
+		t.Error("an unchanged class lost its measurements, or MaxAttempts did not change")
 	}
 	if err := b.SetClasses([]Class{bClass}, 0); err != nil || b.cfg.Limits.MaxAttempts != 1 {
 		t.Fatal(err, b.cfg.Limits.MaxAttempts)
 	}
 	if !fails(3, "a") {
-		t.Error("a dropped class is served")
+		t.Error("a request of a removed class was served")
 	}
 	if b.SetClasses([]Class{{Name: "c", Deadline: -1}}, 1) == nil || b.classes["b"] == nil {
-		t.Error("classes with a negative time are taken")
+		t.Error("SetClasses accepted a class with a negative deadline")
 	}
 }
 
@@ -68,12 +68,13 @@
 		{Kind: EvWake, Timer: Timer{Kind: TimerExpire, ID: 1}}, {Kind: EvStarted, Request: 1},
 	} {
 		if acts := r.step(ev); len(acts) > 0 {
-			t.Errorf("%+v: %+v", ev, acts)
+			t.Errorf("event %+v of an unknown or ended request led to actions %+v", ev, acts)
 		}
 	}
 }
 
-// Absent settings and odd sizes: whatever comes is answered in time, and nothing panics.
+// With absent settings, and with no server, one, thousands or only draining ones, every request gets a final
+// answer in time, and nothing panics.
 func TestOddSizesAndAbsentSettings(t *testing.T) {
 	draining := fleet(3)
 	for i := range draining {
@@ -82,7 +83,7 @@
 	for name, servers := range map[string][]Server{
 		"none": nil, "one": fleet(1), "thousands": fleet(3000), "all draining": draining,
 	} {
-		bare := Config{Classes: []Class{{Name: "c", Effect: Keyed, Group: GroupZone}}} // nothing else is told
+		bare := Config{Classes: []Class{{Name: "c", Effect: Keyed, Group: GroupZone}}} // all other settings are absent
 		for _, cfg := range []Config{settings(Unsafe), bare} {
 			r := newRig(t, cfg, servers...)
 			r.b.requestRate = 0
@@ -106,7 +107,7 @@
 				}
 			}
 			if len(answered) < 40 {
-				t.Errorf("%s: %d of 40 requests answered", name, len(answered))
+				t.Errorf("servers %s: %d of 40 requests have a final answer", name, len(answered))
 			}
 		}
 	}
@@ -119,7 +120,7 @@
 			return
 		}
 	}
-	t.Error("no wake-up before the request expires")
+	t.Error("no wake-up was requested before the request expires")
 }
 
 func TestEveryRequestHasItsFinalAnswerBeforeItExpires(t *testing.T) {
@@ -131,7 +132,7 @@
 		_, refused := r.find(ActReject)
 		_, failed := r.find(ActFail)
 		if refused == failed {
-			t.Errorf("effect %d: refused %t, failed %t", effect, refused, failed)
+			t.Errorf("effect %d: rejected %t, failed %t, want exactly one", effect, refused, failed)
 		}
 	}
 }
--- a/internal/sidecar/logic/bench_test.go
+++ b/internal/sidecar/logic/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A decision with its outcome, for a sidecar that uses all servers and for a quiet one.
+// BenchmarkDecision measures a request with its outcome, at a busy sidecar that uses all servers and at one
+// with few requests.
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{10, 220} {
 		for _, gap := range []time.Duration{ms, 500 * ms} {
--- a/internal/sidecar/logic/candidates_test.go
+++ b/internal/sidecar/logic/candidates_test.go
@@ -14,12 +14,12 @@
 		seen[r.sent()] = true
 	}
 	if len(seen) != 5 {
-		t.Errorf("first five requests reached %d servers", len(seen))
+		t.Errorf("the first five requests reached %d servers, want 5", len(seen))
 	}
 }
 
-// Two requests a second keep few estimates fresh, and in dakar four attempts of
-// five got no connection when each sidecar kept one to every server.
+// Two requests per second keep only a few estimates current. When each sidecar of a large fleet kept a
+// connection to every server, four of five attempts got no connection.
 func TestQuietSidecarUsesFewServersAndABusyOneAll(t *testing.T) {
 	for _, c := range []struct {
 		gap         time.Duration
@@ -33,12 +33,12 @@
 			used[r.serve(id, func(uint64) time.Duration { return 5 * ms })] = true
 		}
 		if len(used) < c.least || len(used) > c.most {
-			t.Errorf("a request every %v: %d servers used", c.gap, len(used))
+			t.Errorf("one request every %v: %d servers used", c.gap, len(used))
 		}
 	}
 }
 
-// All sidecars started with the first server of the list.
+// Without an order of its own, each sidecar would send its first requests to the first server of the list.
 func TestSidecarsHaveOrdersOfTheirOwn(t *testing.T) {
 	first := map[uint64]int{}
 	for seed := range uint64(400) {
@@ -62,14 +62,14 @@
 	for id := range uint64(10) {
 		s := r.serve(id, func(uint64) time.Duration { return 5 * ms })
 		if slices.ContainsFunc(r.b.servers[:minSubsetSize], func(o *server) bool { return o.ID == s }) {
-			t.Fatalf("server %d used though it is ejected", s)
+			t.Fatalf("ejected server %d was used", s)
 		}
 		r.now += 50 * ms
 	}
 }
 
-// A limit of four holds nothing back that comes one at a time: a zone of listing-east-later
-// stayed jammed while the other idled.
+// A limit of four does not hold back requests that arrive one at a time. A zone stayed overloaded this way
+// while another one was idle.
 func TestSlowServerIsDroppedWhileOthersRemain(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(3)...)
 	slow := 0
@@ -86,16 +86,17 @@
 		}
 	}
 	if slow == 0 || slow > 30 {
-		t.Errorf("a slow server got %d of 300 requests", slow)
+		t.Errorf("the slow server got %d of 300 requests, want 1 to 30", slow)
 	}
-	// With all alike slow, nothing is left to leave them for.
+	// With all servers equally slow, there is no better one, so all requests are still sent.
 	for id := uint64(1000); id < 1040; id++ {
 		r.b.slack.Share = 1
 		r.serve(id, func(uint64) time.Duration { return 300 * ms })
 	}
 }
 
-// A burst of long requests leaves the last place at each server to light ones, as long as some of those come.
+// A burst of heavy requests does not use the last attempt of each server's limit while there are light
+// requests.
 func TestHeavyRequestsLeaveAPlaceToLightOnes(t *testing.T) {
 	cfg := settings(Safe)
 	light := cfg.Classes[0]
@@ -103,7 +104,7 @@
 	cfg.Classes = append(cfg.Classes, light)
 	for name, c := range map[string]struct {
 		lightOnes int
-		want      int // heavy requests sent to two servers of two places each, a third at one that has answered quickly
+		want      int // heavy requests sent to two servers with limits of two, or three after a quick answer
 	}{"beside light ones": {1, 3}, "alone": {0, 4}} {
 		r := newRig(t, cfg, fleet(2)...)
 		id := uint64(0)
@@ -124,10 +125,10 @@
 			}
 		}
 		if heavy != c.want {
-			t.Errorf("%s: %d heavy requests were sent, %d wanted", name, heavy, c.want)
+			t.Errorf("heavy requests %s: %d were sent, want %d", name, heavy, c.want)
 		}
 		if c.lightOnes > 0 && !ask("light", ms) {
-			t.Errorf("%s: a light one found no place", name)
+			t.Errorf("heavy requests %s: a light request was not sent", name)
 		}
 	}
 }
@@ -141,7 +142,7 @@
 	sends := 0
 	for id := uint64(100); id < 200; id++ {
 		r.request(id)
-		if r.sent() == 1 { // it takes work and answers none
+		if r.sent() == 1 { // this server accepts requests and answers none
 			sends++
 			r.now += 20 * ms
 			continue
@@ -150,6 +151,6 @@
 		r.outcome(id, 0, 20*ms, Done)
 	}
 	if sends > 8 {
-		t.Errorf("a silent server got %d of 100 requests", sends)
+		t.Errorf("an unresponsive server got %d of 100 requests, want at most 8", sends)
 	}
 }
--- a/internal/sidecar/logic/digest_test.go
+++ b/internal/sidecar/logic/digest_test.go
@@ -9,9 +9,10 @@
 	"fieldrelay/internal/testkit/digesttest"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs anew")
+var update = flag.Bool("update", false, "record new digests of the runs")
 
-// A change that should change no behaviour changes none of the decisions under the random events of a seed.
+// The decisions under the random events of a seed are recorded, so that a change that is not meant to change
+// behavior is seen to change no decision.
 func TestDecisionsHaveTheRecordedDigests(t *testing.T) {
 	for seed := range uint64(8) {
 		name := fmt.Sprintf("events-%d", seed)
@@ -36,7 +37,7 @@
 	label, known := kinds[a.Kind]
 	timer, knownTimer := timers[a.Timer.Kind]
 	if !known || !knownTimer {
-		t.Errorf("an action that the digests do not know: %+v", a)
+		t.Errorf("no digest label for the kind or timer of action %+v", a)
 	}
 	entry := recorder.Entry(now, label).Number(a.Request).Number(a.Server).Number(uint64(a.Attempt)).Time(a.After).Time(a.At)
 	if a.Kind == ActWake {
--- a/internal/sidecar/logic/ejection_test.go
+++ b/internal/sidecar/logic/ejection_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A jammed server gets well only when left alone; old answers must not end that.
+// An overloaded server recovers only without new requests, so answers to attempts from before an ejection
+// must not end the ejection.
 func TestAnswersFromBeforeAnEjectionDoNotEndIt(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(2)...)
 	for id := range uint64(4) {
@@ -19,11 +20,11 @@
 	r.now += 50 * ms
 	r.outcome(old.request.id, 0, 50*ms, Done)
 	if r.now >= s.ejectedUntil || s.ejectBackoff == minEjectBackoff {
-		t.Error("an old answer ended the ejection")
+		t.Error("an answer to an attempt from before the ejection ended it")
 	}
 }
 
-// When all servers are ejected one is still used, so that the others rest.
+// When all servers are ejected, only one is used, so that the others recover.
 func TestOneServerIsUsedWhenAllAreEjected(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(3)...)
 	r.b.now = r.now
@@ -37,18 +38,19 @@
 		used[r.serve(id, func(uint64) time.Duration { return 10 * ms })] = true
 	}
 	if len(used) != 1 {
-		t.Errorf("%d servers used", len(used))
+		t.Errorf("%d servers used while all are ejected, want 1", len(used))
 	}
 }
 
-// Where connections break on the way to all servers, three failures in a row come by chance every few seconds: the
-// servers ejected for that left too few for the rest. A server that answers nothing is ejected all the same.
+// Where a part of the attempts fails at all servers, three consecutive failures occur by chance every few
+// seconds. Ejecting servers for such runs leaves too few for the load. A server that fails all attempts must
+// be ejected all the same.
 func TestRunsOfFailuresThatChanceExplainsDoNotEject(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(6)...)
 	rng := rand.New(rand.NewPCG(1, 1))
 	play := func(first uint64, broken *server) {
 		for id := first; id < first+20000 && broken.ejectedUntil == 0; id++ {
-			r.b.slack.Share = 1 // nothing is shed
+			r.b.slack.Share = 1 // no load shedding
 			r.request(id)
 			for attempt := 0; ; attempt++ {
 				a, sent := r.find(ActSend)
@@ -67,18 +69,18 @@
 	play(1, &server{})
 	for _, s := range r.b.servers {
 		if s.ejectedUntil > 0 {
-			t.Errorf("server %d was ejected", s.ID)
+			t.Errorf("server %d was ejected though only one in ten attempts fails", s.ID)
 		}
 	}
 	if s := r.b.servers[2]; s.ejectedUntil == 0 {
 		if play(100000, s); s.ejectedUntil == 0 {
-			t.Error("a server that answers nothing was not ejected")
+			t.Error("a server that fails all attempts was not ejected")
 		}
 	}
 }
 
-// Where attempts fail now and then at all servers a row must be longer, but what the list calls gone and is silent
-// rests at once.
+// Where a part of the attempts fails at all servers, a longer run of failures is needed for an ejection, but
+// a server that is listed as gone and does not respond is ejected at once.
 func TestGoneAndUnresponsiveServerIsEjectedAtOnceWhereOthersFailToo(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Contract.GoneIsAdvisory = true
@@ -90,7 +92,7 @@
 	}
 	s.State = Gone
 	if r.outcome(1, 0, ms, Reset); s.ejectedUntil == 0 {
-		t.Error("not ejected")
+		t.Error("a server listed as gone was not ejected at its first failure")
 	}
 }
 
@@ -109,7 +111,7 @@
 		}
 		for _, a := range r.acts {
 			if a.Kind == ActLog {
-				t.Fatalf("request %d: %s", id, a.Text)
+				t.Fatalf("request %d: unexpected log line %q", id, a.Text)
 			}
 		}
 	}
@@ -129,6 +131,6 @@
 		r.outcome(id, 0, 10*ms, o)
 	}
 	if got > 10 {
-		t.Errorf("a server that fails got %d of 300", got)
+		t.Errorf("a server that fails all requests got %d of 300, want at most 10", got)
 	}
 }
--- a/internal/sidecar/logic/example_test.go
+++ b/internal/sidecar/logic/example_test.go
@@ -17,7 +17,7 @@
 		fmt.Println(err)
 		return
 	}
-	now := 10 * time.Second // any clock that only goes forward
+	now := 10 * time.Second // of any monotonic clock
 	b.Step(now, &logic.Event{Kind: logic.EvMembers, Complete: true,
 		Servers: []logic.Server{{ID: 7, Zone: "a"}}}, nil)
 	acts := b.Step(now, &logic.Event{Kind: logic.EvRequest, Request: 1, Class: "read",
--- a/internal/sidecar/logic/harness_test.go
+++ b/internal/sidecar/logic/harness_test.go
@@ -8,14 +8,15 @@
 
 const ms = time.Millisecond
 
-// rig drives one balancer and remembers what it did.
+// rig drives one balancer with events and keeps its latest actions.
 type rig struct {
 	t    *testing.T
 	b    *Balancer
 	now  time.Duration
-	acts []Action // of the last step
+	acts []Action // of the latest event
 }
 
+// settings returns a configuration with one class, "c", of the given effect.
 func settings(effect Effect) Config {
 	return Config{
 		Zone: "z1", Balancers: 3, Tick: 5 * ms,
@@ -26,7 +27,7 @@
 	}
 }
 
-// advisoryGone are settings under which a server that the list has as gone may still be sent to.
+// advisoryGone returns settings under which requests may still be sent to a server that is listed as gone.
 func advisoryGone() Config {
 	cfg := settings(Safe)
 	cfg.Contract.GoneIsAdvisory = true
@@ -40,7 +41,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, b: b, now: time.Minute}
-	b.requestRate, b.rateUpdated = 1e3, r.now // a busy sidecar: all servers are in use
+	b.requestRate, b.rateUpdated = 1e3, r.now // a high rate, so that the subset has all servers
 	r.step(Event{Kind: EvMembers, Servers: servers, Complete: true, Stored: true})
 	return r
 }
@@ -62,7 +63,7 @@
 	return r.step(Event{Kind: EvRequest, Request: id, Class: "c", Expires: r.now + 800*ms})
 }
 
-// requestAs sends a request of a class and a tenant.
+// requestAs passes a request of a class and a tenant to the balancer.
 func (r *rig) requestAs(id uint64, class, tenant string, retry bool) {
 	r.step(Event{Kind: EvRequest, Request: id, Class: class, Tenant: tenant, Retry: retry,
 		Expires: r.now + 900*ms})
@@ -73,12 +74,12 @@
 		Final: o == Done})
 }
 
-// list applies a list; with complete, servers that it leaves out are gone.
+// list applies a server list, or a change to it unless complete is set.
 func (r *rig) list(complete bool, servers ...Server) {
 	r.step(Event{Kind: EvMembers, Servers: servers, Complete: complete})
 }
 
-// find gives the first action of a kind.
+// find returns the first action of a kind.
 func (r *rig) find(kind ActionKind) (Action, bool) {
 	i := slices.IndexFunc(r.acts, func(a Action) bool { return a.Kind == kind })
 	if i < 0 {
@@ -92,16 +93,17 @@
 	return ok
 }
 
+// sent returns the server of the latest event's ActSend.
 func (r *rig) sent() uint64 {
 	r.t.Helper()
 	a, ok := r.find(ActSend)
 	if !ok {
-		r.t.Fatalf("nothing was sent: %+v", r.acts)
+		r.t.Fatalf("no attempt was sent, actions %+v", r.acts)
 	}
 	return a.Server
 }
 
-// serve sends one request and answers it.
+// serve passes one request to the balancer, answers it after latency and returns its server.
 func (r *rig) serve(id uint64, latency func(server uint64) time.Duration) uint64 {
 	r.t.Helper()
 	r.request(id)
@@ -112,7 +114,7 @@
 	return s
 }
 
-// tally serves n requests in 20 ms each, from request id on, and counts them by server.
+// tally serves n requests with ids from id on, with a latency of 20 ms each, and counts them by server.
 func (r *rig) tally(id, n uint64) map[uint64]int {
 	got := map[uint64]int{}
 	for i := range n {
@@ -121,7 +123,7 @@
 	return got
 }
 
-// wakeFor waits for a wake-up that the last step asked for.
+// wakeFor advances the time to a wake-up that the latest event requested, and delivers the wake-up.
 func (r *rig) wakeFor(kind TimerKind) {
 	r.t.Helper()
 	for _, a := range r.acts {
@@ -131,5 +133,5 @@
 			return
 		}
 	}
-	r.t.Fatalf("no wake-up of kind %d: %+v", kind, r.acts)
+	r.t.Fatalf("no wake-up of kind %d was requested, actions %+v", kind, r.acts)
 }
--- a/internal/sidecar/logic/listrequest_test.go
+++ b/internal/sidecar/logic/listrequest_test.go
@@ -11,22 +11,22 @@
 	r := newRig(t, cfg, fleet(1)...)
 	r.wakeFor(TimerList)
 	if _, ok := r.find(ActWatch); !ok {
-		t.Fatal("no subscription at the start")
+		t.Fatal("the server list was not requested after the start")
 	}
 	r.step(Event{Kind: EvListLost})
 	w, ok := r.find(ActWake)
 	if !ok {
-		t.Fatal("no wake-up after an error")
+		t.Fatal("no wake-up was requested after a lost subscription")
 	}
 	r.now = w.At
 	r.step(Event{Kind: EvWake, Timer: w.Timer})
 	if _, ok := r.find(ActWatch); !ok {
-		t.Error("not asked again")
+		t.Error("the server list was not requested again after a lost subscription")
 	}
 }
 
-// Eighty sidecars that all asked within 0.4 s, and at once again when turned away, were never served: the service may
-// need a millisecond for an entry.
+// The list's service may need a millisecond per entry. When eighty sidecars all requested the list within
+// 0.4 s, and again at once after an error, none of them was served.
 func TestCallsForTheListLeaveItsServiceTime(t *testing.T) {
 	const work = 80 * 60 * ms
 	cfg := settings(Safe)
@@ -41,16 +41,18 @@
 		}
 		r.step(Event{Kind: EvListLost})
 		if w, _ := r.find(ActWake); w.At-r.now < work/3 || w.At-r.now > cfg.Contract.ListInterval/2 {
-			t.Errorf("asked again after %s, a call of each needs %s", w.At-r.now, work)
+			t.Errorf("list requested again after %s, want at least a third of the %s that calls of all sidecars need",
+				w.At-r.now, work)
 		}
 	}
 	if early > 50 {
-		t.Errorf("%d of 80 first calls come within a fifth of what all need", early)
+		t.Errorf("%d of 80 first calls are within a fifth of the time that all need, want at most 50", early)
 	}
 }
 
-// What a silent watch missed counts as told 6 s after its last line, and a drain gives half a second more. Asked for after
-// the wait that spares the service, up to half of ListInterval, the list came later than that.
+// A change that a broken subscription missed counts as received 6 s after the last message, and a drain
+// allows another half second. With the usual backoff of up to half of ListInterval, the list was requested
+// later than that.
 func TestAMissedListIsAskedForBeforeItCountsAsTold(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Subscribe, cfg.Balancers = true, 300
@@ -67,39 +69,39 @@
 			r.now = w.At
 			r.step(Event{Kind: EvWake, Timer: w.Timer})
 			if _, ok := r.find(ActWatch); !ok {
-				t.Fatal("not asked again")
+				t.Fatal("the server list was not requested again after a lost subscription")
 			}
 			if call == 1 {
 				latest = max(latest, r.now-(told-left))
 			}
-			r.now += time.Second // the call waits in vain
+			r.now += time.Second // the call gets no answer
 		}
 		if late := r.now - time.Second - told; late > 0 {
-			t.Errorf("seed %d: the second call comes %s after what was missed counts as told", seed, late)
+			t.Errorf("seed %d: the second call is %s after a missed change counts as received", seed, late)
 		}
-		r.step(Event{Kind: EvListLost, Expires: told}) // it counts as told: the service is spared again
+		r.step(Event{Kind: EvListLost, Expires: told}) // received: the usual backoff applies
 		if w, _ := r.find(ActWake); r.now > told && w.At-r.now < cfg.Contract.ListInterval/32 {
-			t.Errorf("seed %d: asked again after %s though all is told", seed, w.At-r.now)
+			t.Errorf("seed %d: list requested again after %s, want the usual backoff", seed, w.At-r.now)
 		}
 	}
 	if latest > 1750*ms || latest < time.Second {
-		t.Errorf("300 sidecars ask within %s", latest)
+		t.Errorf("the latest first call of the sidecars is after %s, want 1s to 1.75s", latest)
 	}
 }
 
-// A wake-up rounded down by the host left a sidecar without a subscription; it went on
-// sending to servers that were gone (listing-east-later rules-3, fresh 332360823).
+// A host may round the time of a wake-up down. A sidecar that ignored a wake-up that was slightly early had
+// no subscription and went on sending to servers that were gone.
 func TestWakeUpAFractionEarlyStillRequestsTheList(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Subscribe = true
 	r := newRig(t, cfg, fleet(1)...)
 	w, ok := r.find(ActWake)
 	if !ok {
-		t.Fatal("no wake-up to ask at")
+		t.Fatal("no wake-up for a request of the list")
 	}
 	r.now = w.At - time.Nanosecond
 	r.step(Event{Kind: EvWake, Timer: w.Timer})
 	if _, ok := r.find(ActWatch); !ok {
-		t.Error("woken a nanosecond early, it does not ask")
+		t.Error("the list is not requested at a wake-up that is a nanosecond early")
 	}
 }
--- a/internal/sidecar/logic/outcome_test.go
+++ b/internal/sidecar/logic/outcome_test.go
@@ -16,20 +16,20 @@
 	r.now += time.Minute
 	r.serve(100, func(uint64) time.Duration { return 500 * ms })
 	if r.b.slack.Share < was-selection.MaxSlackAlpha-0.01 {
-		t.Errorf("slack fell from %.2f to %.2f on one late answer", was, r.b.slack.Share)
+		t.Errorf("slack fell from %.2f to %.2f after one late answer", was, r.b.slack.Share)
 	}
 	if s := r.b.servers[0]; s.Speed() < 1/0.05 {
-		t.Errorf("speed fell to %.1f on one late answer", s.Speed())
+		t.Errorf("speed fell to %.1f after one late answer, want at least 20", s.Speed())
 	}
 }
 
-// Spread in the work alone must not hold a limit down.
+// Variation of the requests' work alone must not keep a limit low.
 func TestRareSlowAnswersLeaveTheLimit(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(1)...)
 	s := r.b.servers[0]
 	for id := range uint64(400) {
 		base := id * 10
-		for k := range uint64(8) { // keep eight out, so that the limit is in use
+		for k := range uint64(8) { // keep eight in flight, so that the limit is in use
 			r.request(base + k)
 		}
 		r.now += 20 * ms
@@ -43,11 +43,11 @@
 		}
 	}
 	if s.limit < 8 {
-		t.Errorf("limit %.1f though nine answers of ten are quick", s.limit)
+		t.Errorf("limit %.1f though nine of ten answers are quick, want at least 8", s.limit)
 	}
 }
 
-// Servers that fail quickly look idle and quick; they must be left all the same.
+// A server that fails quickly looks idle and fast, but must not attract requests.
 func TestServerThatFailsQuicklyIsDropped(t *testing.T) {
 	r := newRig(t, settings(Unsafe), fleet(3)...)
 	failed := 0
@@ -63,7 +63,7 @@
 		}
 	}
 	if failed > 10 {
-		t.Errorf("%d of 200 requests went to a server that fails", failed)
+		t.Errorf("%d of 200 requests were sent to a server that fails all, want at most 10", failed)
 	}
 }
 
@@ -75,11 +75,11 @@
 	r.now += 30 * ms
 	r.step(Event{Kind: EvStarted, Request: 1, Latency: 30 * ms})
 	if s := r.b.servers[0]; !s.Seeded() {
-		t.Error("the start of a stream taught nothing")
+		t.Error("the start of a streamed answer gave no sample")
 	}
 	r.now += time.Minute
 	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerExpire, ID: 1}})
 	if len(r.acts) != 0 {
-		t.Errorf("a started stream was ended: %+v", r.acts)
+		t.Errorf("actions at the expiry of a request whose streamed answer has started: %+v", r.acts)
 	}
 }
--- a/internal/sidecar/logic/pick_test.go
+++ b/internal/sidecar/logic/pick_test.go
@@ -12,7 +12,7 @@
 		count[r.serve(id, func(s uint64) time.Duration { return time.Duration(s) * 50 * ms })]++
 	}
 	if count[2] == 0 || count[1] < 2*count[2] {
-		t.Errorf("fast and slow server got %v", count)
+		t.Errorf("requests by server %v, want server 1, twice as fast, to get at least twice as many", count)
 	}
 }
 
@@ -32,11 +32,12 @@
 		most = max(most, n)
 	}
 	if most < 150 || most == 300 {
-		t.Errorf("one key's requests were spread %v", count)
+		t.Errorf("requests of one key by server %v, want 150 to 299 at one server", count)
 	}
 }
 
-// Crossing zones is paid for, so an idle fleet should not cross; a crowded near zone should.
+// Requests to another zone have a price: they are sent there only while the servers of the own zone are at
+// their limits.
 func TestCrossZonePriceKeepsRequestsNear(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Prices.CrossZone = 0.1
@@ -52,13 +53,14 @@
 		}
 	}
 	if crossed > 20 {
-		t.Errorf("%d of 290 requests crossed zones though all servers are alike", crossed)
+		t.Errorf("%d of 290 requests crossed zones though all servers are equally fast, want at most 20",
+			crossed)
 	}
 	for id := uint64(1000); ; id++ {
 		if r.request(id); r.sent() > 3 {
 			return
 		} else if id > 1100 {
-			t.Fatal("nothing crosses though the near servers have all their limits out")
+			t.Fatal("no request crossed zones though the servers of the own zone are at their limits")
 		}
 	}
 }
--- a/internal/sidecar/logic/random_test.go
+++ b/internal/sidecar/logic/random_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// The randomised test feeds legal sequences of events, without any model of a
-// fleet (answers are drawn at random), and holds every action against the rules.
+// The randomized test feeds valid sequences of events to a balancer and checks every action against the
+// rules. Outcomes are random: there is no model of a fleet.
 
-// seenAttempt is what the test remembers of a send.
+// seenAttempt is the test's own record of an ActSend.
 type seenAttempt struct {
 	server  uint64
 	sent    time.Duration
 	out     bool
 	mayRun  bool
-	timeout time.Duration // clock time
+	timeout time.Duration // time at which it times out
 }
 
 type seenRequest struct {
@@ -39,11 +39,11 @@
 	order    []uint64
 	wakes    []Action
 	sends    int
-	cold     map[uint64]float64 // sends a server in slow start may have had
+	cold     map[uint64]float64 // sends that each server may have got during slow start
 	coldGot  map[uint64]int
 	history  []Action
 	nextID   uint64
-	watch    func(now time.Duration, a Action) // gets each action; nil: nobody
+	watch    func(now time.Duration, a Action) // called with each action, if not nil
 }
 
 func randomConfig(rng *rand.Rand) Config {
@@ -84,7 +84,7 @@
 	switch a.Kind {
 	case ActWake:
 		if a.At < c.now {
-			c.t.Fatalf("wake-up in the past")
+			c.t.Fatalf("a wake-up was requested for the past")
 		}
 		c.wakes = append(c.wakes, a)
 		return
@@ -93,22 +93,22 @@
 	}
 	r := c.requests[a.Request]
 	if r == nil {
-		c.t.Fatalf("%+v names an unknown request", a)
+		c.t.Fatalf("action %+v for an unknown request", a)
 	}
 	switch a.Kind {
 	case ActSend:
 		c.checkSend(r, a)
 	case ActCancel:
 		if !c.cfg.Limits.Cancel || a.Attempt >= len(r.attempts) {
-			c.t.Fatalf("illegal cancel %+v", a)
+			c.t.Fatalf("cancellation of an unknown attempt, or against the settings: %+v", a)
 		}
 	case ActReject, ActFail:
 		if r.over {
-			c.t.Fatalf("two final answers for request %d", a.Request)
+			c.t.Fatalf("request %d got two final answers", a.Request)
 		}
 		r.over = true
 		if c.now > r.expires+c.cfg.Contract.AnswerGrace {
-			c.t.Fatalf("request %d answered %v late", a.Request, c.now-r.expires)
+			c.t.Fatalf("request %d got its final answer %v after its expiry", a.Request, c.now-r.expires)
 		}
 		keyedAll := r.class.Effect == Keyed && r.class.Group == GroupAll
 		if a.Kind == ActReject && r.class.Effect != Safe && !keyedAll && r.ran() {
@@ -124,10 +124,10 @@
 func (c *checker) checkSend(r *seenRequest, a Action) {
 	s := c.list[a.Server]
 	if s == nil || c.banned[a.Server] {
-		c.t.Fatalf("sent to server %d, which is unknown, draining or gone", a.Server)
+		c.t.Fatalf("attempt sent to server %d, which is unknown, draining or gone", a.Server)
 	}
 	if r.over || len(r.attempts) >= c.cfg.Limits.MaxAttempts {
-		c.t.Fatalf("illegal attempt for request %d", a.Request)
+		c.t.Fatalf("attempt of request %d after its final answer or beyond MaxAttempts", a.Request)
 	}
 	for _, o := range r.attempts {
 		if !o.out && !o.mayRun {
@@ -138,7 +138,8 @@
 			(r.class.Group == GroupCell && from.Cell == s.Cell)
 		if r.class.Effect == Unsafe || (o.out && !c.cfg.Limits.ParallelAttempts) ||
 			(r.class.Effect == Keyed && (!same || c.now-o.sent > r.class.Window)) {
-			c.t.Fatalf("effect %d: request %d sent again against the rules", r.class.Effect, a.Request)
+			c.t.Fatalf("effect %d: request %d was sent again where a repeat is not allowed",
+				r.class.Effect, a.Request)
 		}
 	}
 	r.attempts = append(r.attempts, seenAttempt{server: a.Server, sent: c.now, out: true, timeout: c.now + a.After})
@@ -147,12 +148,13 @@
 		c.coldGot[a.Server]++
 	}
 	if got := float64(c.coldGot[a.Server]); got > c.cold[a.Server]+3 {
-		c.t.Fatalf("server %d in slow start got %v sends, share %.1f", a.Server, got, c.cold[a.Server])
+		c.t.Fatalf("server %d got %v sends during slow start, its part is %.1f",
+			a.Server, got, c.cold[a.Server])
 	}
 }
 
-// earn adds each server's present part of a request while it is in slow start: of the subset's capacity, which is half at the
-// least.
+// earn adds to each server in slow start its present part of one request. The subset is assumed to have at
+// least half of its full capacity.
 func (c *checker) earn() {
 	for id, s := range c.list {
 		if f := c.b.capacityFraction(&server{Server: *s}); f < 1 && !c.banned[id] {
@@ -185,7 +187,7 @@
 		entry.State = Gone
 	case 2:
 		entry.Since = c.now
-	case 3: // a start that the list has late: warm by now
+	case 3: // a start that was listed only after the end of the slow start
 		entry.Since = max(entry.Since+1, c.now-c.cfg.Contract.SlowStartWindow)
 	}
 	if s == nil && entry.State != Ready {
@@ -200,7 +202,8 @@
 	c.step(Event{Kind: EvMembers, Servers: []Server{entry}})
 }
 
-// ban keeps the rule on drains by itself: where gone is advice only a drain bars, until a later start.
+// ban tracks, independently of the balancer, which servers must get no requests. If gone is advisory, only a
+// drain excludes a server, until it restarts.
 func (c *checker) ban(id uint64, state State, later bool) {
 	advice := c.cfg.Contract.GoneIsAdvisory
 	switch {
@@ -211,8 +214,7 @@
 	}
 }
 
-// wholeList gives a complete list that may be wrong: some servers are left out, and those that
-// drain are listed as ready again.
+// wholeList sends a complete list that may be wrong: it omits some servers and lists draining ones as ready.
 func (c *checker) wholeList() {
 	var list []Server
 	for id := uint64(1); id <= 9; id++ {
@@ -233,7 +235,7 @@
 	c.step(Event{Kind: EvMembers, Servers: list, Complete: true})
 }
 
-// restart begins anew with nothing but the stored list: what was out is no longer this sidecar's to answer.
+// restart replaces the balancer by a new one that has only the stored list. Requests in flight are dropped.
 func (c *checker) restart() {
 	b, err := New(c.cfg, c.rng.Uint64())
 	if err != nil {
@@ -268,7 +270,7 @@
 	c.step(ev)
 }
 
-// outcomes ends some attempts, and all that have timed out.
+// outcomes ends a random part of the attempts in flight, and all that have timed out.
 func (c *checker) outcomes() {
 	for _, id := range c.order {
 		r := c.requests[id]
@@ -323,7 +325,7 @@
 		first = append(first, s)
 	}
 	c.step(Event{Kind: EvMembers, Servers: first, Complete: true, Stored: true})
-	steps, quiet := 1500, seed%2 == 1 // a quiet sidecar uses a subset
+	steps, quiet := 1500, seed%2 == 1 // a sidecar with few requests uses a subset
 	if quiet {
 		steps = 15000
 	}
@@ -356,12 +358,12 @@
 		}
 		for _, id := range c.order {
 			if r := c.requests[id]; !r.over && c.now > r.expires+3*cfg.Tick+cfg.Contract.AnswerGrace {
-				t.Fatalf("seed %d: request %d has no answer", seed, id)
+				t.Fatalf("seed %d: request %d has no final answer in time", seed, id)
 			}
 		}
 	}
 	if c.sends < 100 {
-		t.Errorf("seed %d: only %d sends", seed, c.sends)
+		t.Errorf("seed %d: %d sends, want at least 100", seed, c.sends)
 	}
 	return c.history
 }
@@ -370,7 +372,7 @@
 	for seed := range uint64(24) {
 		once := runRandom(t, seed)
 		if again := runRandom(t, seed); !reflect.DeepEqual(once, again) {
-			t.Fatalf("seed %d: the same events gave other actions", seed)
+			t.Fatalf("seed %d: two runs of the same events gave different actions", seed)
 		}
 	}
 }
--- a/internal/sidecar/logic/retry_test.go
+++ b/internal/sidecar/logic/retry_test.go
@@ -14,7 +14,7 @@
 		t.Error("an unsafe request that may have run was sent again")
 	}
 	if _, ok := r.find(ActFail); !ok {
-		t.Error("it was not failed")
+		t.Error("an unsafe request that may have run was not failed")
 	}
 	r.request(2)
 	r.now += 10 * ms
@@ -31,13 +31,14 @@
 	}
 	r := newRig(t, settings(Keyed), list...)
 	for id := range uint64(10) {
-		r.b.slack.Share = 1 // nothing is shed
+		r.b.slack.Share = 1 // no load shedding
 		r.request(id)
 		first := r.sent()
 		r.now += 10 * ms
 		r.outcome(id, 0, 10*ms, Errored)
 		if a, ok := r.find(ActSend); ok && (a.Server-1)/2 != (first-1)/2 {
-			t.Fatalf("keyed request went from server %d to %d, of another cell", first, a.Server)
+			t.Fatalf("keyed request was sent to server %d and then to server %d of another cell",
+				first, a.Server)
 		} else if ok {
 			r.outcome(id, 1, 10*ms, Done)
 		}
@@ -58,16 +59,16 @@
 		r.outcome(1, 0, at, Errored)
 		again, sent := r.find(ActSend)
 		if sent != (at < cfg.Classes[0].Window) {
-			t.Errorf("failed after %v, window %v: sent again %t", at, cfg.Classes[0].Window, sent)
+			t.Errorf("attempt failed after %v, window %v: sent again %t", at, cfg.Classes[0].Window, sent)
 		}
-		// Its connection may come up late: the window goes with it.
+		// The connection may be established late, so the action has the end of the window.
 		if ends := r.now - at + cfg.Classes[0].Window; sent && (again.At <= r.now || again.At > ends) {
-			t.Errorf("sent again until %v, window to %v, now %v", again.At, ends, r.now)
+			t.Errorf("repeat may be written until %v, the window ends at %v, now %v", again.At, ends, r.now)
 		}
 	}
 }
 
-// A queued request sent at its last moment is answered late, which would pass for an overload.
+// A queued request that is sent just before its target is answered late, which would count as an overload.
 func TestQueuedRequestIsGivenUpInTimeForASlowAnswer(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(1)...)
 	for id := range uint64(200) {
@@ -81,7 +82,8 @@
 	for _, a := range r.acts {
 		if a.Kind == ActWake && a.Timer.Kind == TimerQueued {
 			if room := r.now + 400*ms - a.At; room < 70*ms {
-				t.Errorf("queued until %v before the target; answers take 20 to 60 ms", room)
+				t.Errorf("request queued until %v before the target, want at least 70ms, since answers take 20 to 60 ms",
+					room)
 			}
 			return
 		}
@@ -89,7 +91,7 @@
 	t.Errorf("the request was not queued: %+v", r.acts)
 }
 
-// A queued request that may go to a few servers only would block those behind it.
+// A request that only a few servers may get would block the requests behind it in the queue.
 func TestRequestThatMayHaveRunIsNotQueued(t *testing.T) {
 	list := fleet(4)
 	for i := range list {
@@ -100,19 +102,19 @@
 	cell := int(r.sent()-1) / 2
 	r.outcome(1, 0, 10*ms, Errored)
 	r.sent()
-	for _, s := range r.b.servers { // nothing in the cell has room
+	for _, s := range r.b.servers { // all servers of the cell are at their limits
 		if s.Cell == cell {
 			s.limit = 0
 		}
 	}
 	r.outcome(1, 1, 10*ms, Busy)
 	if _, failed := r.find(ActFail); !failed {
-		t.Errorf("no final answer: %+v", r.acts)
+		t.Errorf("a request that may have run and cannot be sent was not failed: %+v", r.acts)
 	}
 }
 
-// Where full servers may have begun the work, busy proves nothing (a recorded dakar
-// day broke the rule 48 times).
+// Where a busy server may have begun the work (Contract.BusyMayHaveRun), a busy answer does not prove that
+// the attempt never ran, and a repeat breaks the rules of unsafe and keyed requests.
 func TestBusyIsNoProofWhereItMayHaveRun(t *testing.T) {
 	for _, shed := range []bool{false, true} {
 		cfg := settings(Unsafe)
@@ -121,21 +123,22 @@
 		r.request(1)
 		r.outcome(1, 0, ms, Busy)
 		if _, sent := r.find(ActSend); sent == shed {
-			t.Errorf("unsafe, shed after start %t: sent again %t", shed, sent)
+			t.Errorf("unsafe request, BusyMayHaveRun %t: sent again %t", shed, sent)
 		}
 		if _, failed := r.find(ActFail); failed != shed {
-			t.Errorf("unsafe, shed after start %t: failed %t", shed, failed)
+			t.Errorf("unsafe request, BusyMayHaveRun %t: failed %t", shed, failed)
 		}
 		cfg = settings(Keyed)
 		cfg.Contract.BusyMayHaveRun = shed
 		list := fleet(2)
-		list[1].Cell = 1 // no repeat of the other's keys is dropped here
+		list[1].Cell = 1 // in this cell, repeats of keys of the other cell are not dropped
 		r = newRig(t, cfg, list...)
 		r.request(1)
 		first := r.sent()
 		r.outcome(1, 0, ms, Busy)
 		if again := r.sent(); (again == first) != shed {
-			t.Errorf("keyed, shed after start %t: sent to %d, then to %d", shed, first, again)
+			t.Errorf("keyed request, BusyMayHaveRun %t: sent to server %d, then to server %d",
+				shed, first, again)
 		}
 		if r.outcome(1, 1, ms, Busy); shed {
 			r.now += 395 * ms
@@ -147,8 +150,8 @@
 	}
 }
 
-// Some servers turned a kind of request away while they took all others. Given up as in an overload, one in six of that
-// kind was rejected by a fleet with capacity.
+// Some servers reject one kind of request as busy and serve all others. Treating this as an overload
+// rejected one in six requests of that kind in a fleet with free capacity.
 func TestBusyAnswersToOneKindOfRequestAreRetriedElsewhere(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Classes = append(cfg.Classes, Class{Name: "odd", LatencyTarget: 400 * ms, Deadline: 1000 * ms})
@@ -162,7 +165,7 @@
 		r.step(Event{Kind: EvRequest, Request: odd, Class: "odd", Expires: r.now + 800*ms})
 		for attempt := range 2 {
 			if _, sent := r.find(ActSend); !sent {
-				t.Fatalf("request %d, attempt %d: not sent: %+v", odd, attempt, r.acts)
+				t.Fatalf("request %d: attempt %d was not sent: %+v", odd, attempt, r.acts)
 			}
 			o := Busy
 			if attempt > 0 {
@@ -179,7 +182,7 @@
 	r.tally(1, 60)
 	r.request(100)
 	if r.outcome(100, 0, 2*ms, Busy); !r.has(ActSend) {
-		t.Fatalf("one full server: the request should go to another: %+v", r.acts)
+		t.Fatalf("a request that one server rejected as busy was not sent to another: %+v", r.acts)
 	}
 	r.outcome(100, 1, 2*ms, Done)
 	again := 0
@@ -194,7 +197,7 @@
 		r.now += 20 * ms
 	}
 	if again > 10 {
-		t.Errorf("all servers full: %d further attempts for 30 requests", again)
+		t.Errorf("all servers are busy: %d repeated attempts of 30 requests, want at most 10", again)
 	}
 }
 
@@ -215,7 +218,8 @@
 		r.outcome(id+1, 0, 10*ms, Done)
 	}
 	if again > 10 {
-		t.Errorf("%d of 30 requests that fail anywhere were sent again", again)
+		t.Errorf("%d of 30 requests of a tenant that fails at all servers were sent again, want at most 10",
+			again)
 	}
 }
 
@@ -225,6 +229,6 @@
 	r.now += 396 * ms
 	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerTarget, ID: 1}})
 	if !r.has(ActReject) {
-		t.Errorf("no final answer at the target: %+v", r.acts)
+		t.Errorf("a safe request was not rejected at its target: %+v", r.acts)
 	}
 }
--- a/internal/sidecar/logic/serverlist_test.go
+++ b/internal/sidecar/logic/serverlist_test.go
@@ -10,7 +10,7 @@
 	r.step(Event{Kind: EvMembers, Servers: []Server{{ID: 1, Zone: "z1", State: Draining}}})
 	for id := range uint64(50) {
 		if s := r.serve(id, func(uint64) time.Duration { return 20 * ms }); s == 1 {
-			t.Fatal("sent to a draining server")
+			t.Fatal("a request was sent to a draining server")
 		}
 	}
 }
@@ -20,7 +20,7 @@
 	r.step(Event{Kind: EvMembers, Complete: true, Servers: fleet(1)})
 	for id := range uint64(20) {
 		if s := r.serve(id, func(uint64) time.Duration { return 20 * ms }); s != 1 {
-			t.Fatal("sent to a server that is gone")
+			t.Fatal("a request was sent to a server that the complete list omits")
 		}
 	}
 }
@@ -30,7 +30,7 @@
 	r.serve(1, func(uint64) time.Duration { return 20 * ms })
 	r.step(Event{Kind: EvMembers, Servers: []Server{{ID: 1, Zone: "z1", Since: r.now}}})
 	if s := r.b.servers[0]; s.Seeded() || s.Speed() != 0 {
-		t.Error("a restarted server kept its estimate")
+		t.Error("a restarted server kept its speed estimate")
 	}
 }
 
@@ -47,7 +47,8 @@
 			}
 			r.list(complete, gone...)
 			if got := r.tally(100, 100); (got[2] > 0) != advisory {
-				t.Errorf("complete %t, advice %t: server 2 got %d", complete, advisory, got[2])
+				t.Errorf("complete list %t, gone is advisory %t: server 2, which is gone, got %d requests",
+					complete, advisory, got[2])
 			}
 		}
 	}
@@ -57,7 +58,7 @@
 	r := newRig(t, advisoryGone(), fleet(4)...)
 	r.list(true)
 	if got := r.tally(1, 100); len(got) != 4 {
-		t.Errorf("requests went to %d servers of 4 that run", len(got))
+		t.Errorf("requests were sent to %d of 4 running servers", len(got))
 	}
 }
 
@@ -70,7 +71,7 @@
 		r.request(id)
 		if s := r.sent(); s == 2 {
 			if failed {
-				t.Fatal("called gone and refused, server 2 was tried again")
+				t.Fatal("server 2, listed as gone, got a request after it had refused one")
 			}
 			failed = true
 			r.outcome(id, 0, 5*ms, Refused)
@@ -80,7 +81,7 @@
 		r.now += 20 * ms
 	}
 	if !failed {
-		t.Error("server 2 was not tried at all")
+		t.Error("server 2, listed as gone, got no request")
 	}
 }
 
@@ -88,7 +89,7 @@
 	r := newRig(t, advisoryGone(), fleet(4)...)
 	r.list(false, Server{ID: 2, State: Gone})
 	if got := r.tally(1, 100); got[2] > 0 {
-		t.Errorf("server 2 got %d, though nothing speaks for it", got[2])
+		t.Errorf("server 2, listed as gone and without a sample, got %d requests", got[2])
 	}
 }
 
@@ -109,11 +110,11 @@
 		r.list(false, drain)
 		then(r)
 		if got := r.tally(100, 100); got[2] > 0 {
-			t.Errorf("%s: drained server 2 got %d", name, got[2])
+			t.Errorf("%s: drained server 2 got %d requests", name, got[2])
 		}
 		r.list(false, later)
 		if got := r.tally(300, 100); got[2] == 0 {
-			t.Errorf("%s: server 2 restarted and got nothing", name)
+			t.Errorf("%s: server 2 got no request after its restart", name)
 		}
 	}
 }
@@ -123,7 +124,7 @@
 	r.list(false, Server{ID: 2, Zone: "z1", Since: r.now})
 	r.list(false, Server{ID: 2, Zone: "z1"})
 	if s := r.b.byID[2]; r.b.capacityFraction(s) == 1 {
-		t.Error("an entry with an older start made a server in slow start warm")
+		t.Error("an entry with an older start ended the slow start of a server")
 	}
 }
 
@@ -134,11 +135,11 @@
 	r.now += 2 * goneRetention * agingTime
 	r.list(true, fleet(1)...)
 	if len(r.b.servers) != 1 {
-		t.Errorf("%d servers are still known, 1 is listed", len(r.b.servers))
+		t.Errorf("%d servers are still in use, want only the one that is listed", len(r.b.servers))
 	}
 }
 
-// A thousand sidecars cost a server its table of connections.
+// A thousand sidecars that each keep idle connections use up the connection limit of a server.
 func TestIdleConnectionsAreClosedWhenTheyCostAsMuchAsAHandshake(t *testing.T) {
 	for _, price := range []float64{0, 0.08} {
 		cfg := settings(Safe)
@@ -149,22 +150,22 @@
 		s := r.serve(1, func(uint64) time.Duration { return 10 * ms })
 		w, ok := r.find(ActWake)
 		if ok != (price > 0) {
-			t.Fatalf("price %v: wake-up %t", price, ok)
+			t.Fatalf("price of connections %v: wake-up requested %t", price, ok)
 		}
 		if !ok {
 			continue
 		}
-		r.request(2) // in use again: nothing is closed
+		r.request(2) // the connection is in use again and must not be closed
 		r.now = w.At
 		if acts := r.step(Event{Kind: EvWake, Timer: w.Timer}); len(acts) > 0 {
-			t.Errorf("connection in use: %+v", acts)
+			t.Errorf("actions at the wake-up for a connection in use: %+v", acts)
 		}
 		r.outcome(2, 0, 10*ms, Done)
 		w, _ = r.find(ActWake)
 		r.now = w.At
 		r.step(Event{Kind: EvWake, Timer: w.Timer})
 		if a, ok := r.find(ActCloseIdle); !ok || a.Server != s {
-			t.Errorf("idle connection not closed: %+v", r.acts)
+			t.Errorf("idle connections were not closed: %+v", r.acts)
 		}
 	}
 }
--- a/internal/sidecar/logic/slowstart_test.go
+++ b/internal/sidecar/logic/slowstart_test.go
@@ -16,18 +16,18 @@
 		if r.sent() == 1 {
 			cold++
 		}
-		r.outcome(id, 0, ms, Done) // the clock stands: the server stays as cold as it can be
+		r.outcome(id, 0, ms, Done) // the time stands still, so the server keeps its initial capacity
 	}
 	if most := 400*slowStartShare*0.2/3.2 + slowStartMaxCredit; float64(cold) > most {
-		t.Errorf("a server in slow start got %d of 400 sends, %v at most", cold, most)
+		t.Errorf("a server in slow start got %d of 400 sends, want at most %v", cold, most)
 	}
 	if cold == 0 {
-		t.Error("a server in slow start got nothing")
+		t.Error("a server in slow start got no request")
 	}
 }
 
-// In a large fleet a request that is rejected at once earns a server in slow start nothing: under overload the server would
-// be sent more than it can serve.
+// In a large fleet, a request that is rejected at once grants no slow start credit: under overload a server
+// in slow start would otherwise get more requests than it can serve.
 func TestRefusedRequestsEarnNothing(t *testing.T) {
 	list := fleet(4)
 	cfg := settings(Safe)
@@ -38,31 +38,33 @@
 	cold := r.b.byID[list[0].ID]
 	before := cold.slowStartCredit
 	for id := range uint64(50) {
-		r.step(Event{Kind: EvRequest, Request: id, Class: "c", Expires: r.now}) // its client waits no longer
+		r.step(Event{Kind: EvRequest, Request: id, Class: "c", Expires: r.now}) // expires on arrival
 		if _, refused := r.find(ActReject); !refused {
-			t.Fatal("not refused")
+			t.Fatal("an expired request was not rejected")
 		}
 	}
 	refused := cold.slowStartCredit
 	r.request(100)
 	if let := cold.slowStartCredit; refused != before || let == before {
-		t.Errorf("credit %.2f, after 50 refused %.2f, after one admitted %.2f", before, refused, let)
+		t.Errorf("credit %.2f, after 50 rejected requests %.2f, after one admitted request %.2f",
+			before, refused, let)
 	}
 }
 
-// Earned by sends, the parts of a fleet that was all cold shrank with each, and three requests in four were refused.
-// With six in ten replaced, the new servers must get about their part of what the subset can do.
+// Servers in slow start get about their part of the subset's capacity, even with most or all of a fleet in
+// slow start. If credit were granted per send, it would shrink with each send in a fleet that is all in slow
+// start, and three of four requests would be rejected.
 func TestColdServersTakeTheirPart(t *testing.T) {
 	for cold, part := range map[int]float64{10: 5 / 6.5 * 400, 6: 3. / 7 * 400} {
 		list := fleet(10)
 		for i := range cold {
-			list[i].Since = time.Minute // the clock stands: all stay as cold as they can be
+			list[i].Since = time.Minute // the time stands still, so all keep their initial capacity
 		}
 		r := newRig(t, settings(Safe), list...)
 		r.b.cfg.Contract.SlowStartMinCapacity = 0.5
 		got := 0
 		for id := range uint64(400) {
-			for todo := r.request(id); len(todo) > 0; todo = todo[1:] { // an answer lets a held request go
+			for todo := r.request(id); len(todo) > 0; todo = todo[1:] { // an outcome may send queued requests
 				if a := todo[0]; a.Kind == ActSend {
 					got += min(1, max(0, cold+1-int(a.Server)))
 					todo = append(todo, r.outcome(a.Request, 0, ms, Done)...)
@@ -70,7 +72,8 @@
 			}
 		}
 		if float64(got) < 0.9*part || float64(got) > 1.3*part+float64(cold)*slowStartMaxCredit {
-			t.Errorf("%d cold servers of 10 got %d of 400 sends, their part is %.0f", cold, got, part)
+			t.Errorf("%d servers in slow start of 10 got %d of 400 sends, their part is %.0f",
+				cold, got, part)
 		}
 	}
 }
