--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -157,7 +157,7 @@
 
 func (h *host) members(ev *logic.Event) error {
 	form, _ := h.line.Text("form")
-	ev.Kind = logic.EvMembers
+	ev.Kind = logic.EvServerList
 	switch form {
 	case "Error":
 		ev.Kind = logic.EvListLost
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -80,7 +80,7 @@
 		t.Errorf("error %v, reply %s", err, out)
 	}
 	h := &host{instances: map[uint64]*logic.Balancer{}}
-	h.step(9, &logic.Balancer{}, time.Second, &logic.Event{Kind: logic.EvMembers, Servers: []logic.Server{{ID: 1}}})
+	h.step(9, &logic.Balancer{}, time.Second, &logic.Event{Kind: logic.EvServerList, Servers: []logic.Server{{ID: 1}}})
 	if !strings.Contains(h.reply.String(), "BROKEN i=9 note_text=panic: ") {
 		t.Errorf("reply %s", h.reply.String())
 	}
--- a/internal/sidecar/logic/api.go
+++ b/internal/sidecar/logic/api.go
@@ -160,8 +160,8 @@
 
 // The events, with the fields of Event that they use beside Kind.
 const (
-	// EvMembers: the server list, or a change to it, was received: Servers, Complete, Stored.
-	EvMembers EventKind = iota
+	// EvServerList: the server list, or a change to it, was received: Servers, Complete, Stored.
+	EvServerList EventKind = iota
 	// EvListLost: a request for the list failed, or the subscription ended: Expires.
 	EvListLost
 	// EvRequest: a request arrived: Request, Class, Tenant, Retry, Key, HasKey, ExpectedWork, Expires.
--- a/internal/sidecar/logic/balancer.go
+++ b/internal/sidecar/logic/balancer.go
@@ -114,7 +114,7 @@
 func (b *Balancer) Step(now time.Duration, ev *Event, actions []Action) []Action {
 	b.now, b.actions = now, actions
 	switch ev.Kind {
-	case EvMembers:
+	case EvServerList:
 		b.onMembers(ev)
 	case EvListLost:
 		b.onListLost(ev.Expires)
--- a/internal/sidecar/logic/bench_test.go
+++ b/internal/sidecar/logic/bench_test.go
@@ -17,7 +17,7 @@
 					b.Fatal(err)
 				}
 				now := time.Minute
-				acts := lb.Step(now, &Event{Kind: EvMembers, Servers: fleet(servers), Complete: true, Stored: true}, nil)
+				acts := lb.Step(now, &Event{Kind: EvServerList, Servers: fleet(servers), Complete: true, Stored: true}, nil)
 				b.ReportAllocs()
 				id := uint64(0)
 				for b.Loop() {
--- a/internal/sidecar/logic/candidates_test.go
+++ b/internal/sidecar/logic/candidates_test.go
@@ -43,7 +43,7 @@
 	first := map[uint64]int{}
 	for seed := range uint64(400) {
 		b, _ := New(settings(Safe), seed)
-		b.Step(0, &Event{Kind: EvMembers, Servers: fleet(20), Complete: true, Stored: true}, nil)
+		b.Step(0, &Event{Kind: EvServerList, Servers: fleet(20), Complete: true, Stored: true}, nil)
 		first[b.servers[0].ID]++
 	}
 	for id, n := range first {
--- a/internal/sidecar/logic/example_test.go
+++ b/internal/sidecar/logic/example_test.go
@@ -18,7 +18,7 @@
 		return
 	}
 	now := 10 * time.Second // of any monotonic clock
-	b.Step(now, &logic.Event{Kind: logic.EvMembers, Complete: true,
+	b.Step(now, &logic.Event{Kind: logic.EvServerList, Complete: true,
 		Servers: []logic.Server{{ID: 7, Zone: "a"}}}, nil)
 	acts := b.Step(now, &logic.Event{Kind: logic.EvRequest, Request: 1, Class: "read",
 		Expires: now + time.Second}, nil)
--- a/internal/sidecar/logic/harness_test.go
+++ b/internal/sidecar/logic/harness_test.go
@@ -42,7 +42,7 @@
 	}
 	r := &rig{t: t, b: b, now: time.Minute}
 	b.requestRate, b.rateUpdated = 1e3, r.now // a high rate, so that the subset has all servers
-	r.step(Event{Kind: EvMembers, Servers: servers, Complete: true, Stored: true})
+	r.step(Event{Kind: EvServerList, Servers: servers, Complete: true, Stored: true})
 	return r
 }
 
@@ -76,7 +76,7 @@
 
 // list applies a server list, or a change to it unless complete is set.
 func (r *rig) list(complete bool, servers ...Server) {
-	r.step(Event{Kind: EvMembers, Servers: servers, Complete: complete})
+	r.step(Event{Kind: EvServerList, Servers: servers, Complete: complete})
 }
 
 // find returns the first action of a kind.
--- a/internal/sidecar/logic/listrequest_test.go
+++ b/internal/sidecar/logic/listrequest_test.go
@@ -35,7 +35,7 @@
 	for seed := range uint64(80) {
 		b, _ := New(cfg, seed)
 		r := &rig{t: t, b: b, now: time.Minute}
-		r.step(Event{Kind: EvMembers, Servers: fleet(60), Complete: true, Stored: true})
+		r.step(Event{Kind: EvServerList, Servers: fleet(60), Complete: true, Stored: true})
 		if w, _ := r.find(ActWake); w.At-r.now < work/5 {
 			early++
 		}
@@ -60,7 +60,7 @@
 	for seed := range uint64(200) {
 		b, _ := New(cfg, seed)
 		r := &rig{t: t, b: b, now: time.Minute}
-		r.step(Event{Kind: EvMembers, Servers: fleet(60), Complete: true})
+		r.step(Event{Kind: EvServerList, Servers: fleet(60), Complete: true})
 		const left = 3500 * ms
 		told := r.now + left
 		for call := 1; call <= 2; call++ {
--- a/internal/sidecar/logic/random_test.go
+++ b/internal/sidecar/logic/random_test.go
@@ -199,7 +199,7 @@
 		c.cold[id], c.coldGot[id] = 0, 0
 	}
 	c.list[id] = &entry
-	c.step(Event{Kind: EvMembers, Servers: []Server{entry}})
+	c.step(Event{Kind: EvServerList, Servers: []Server{entry}})
 }
 
 // ban tracks, independently of the balancer, which servers must get no requests. If gone is advisory, only a
@@ -232,7 +232,7 @@
 		c.ban(id, Ready, false)
 		list = append(list, entry)
 	}
-	c.step(Event{Kind: EvMembers, Servers: list, Complete: true})
+	c.step(Event{Kind: EvServerList, Servers: list, Complete: true})
 }
 
 // restart replaces the balancer by a new one that has only the stored list. Requests in flight are dropped.
@@ -256,7 +256,7 @@
 			list = append(list, entry)
 		}
 	}
-	c.step(Event{Kind: EvMembers, Servers: list, Complete: true, Stored: true})
+	c.step(Event{Kind: EvServerList, Servers: list, Complete: true, Stored: true})
 }
 
 func (c *checker) newRequest() {
@@ -324,7 +324,7 @@
 		c.list[id] = &s
 		first = append(first, s)
 	}
-	c.step(Event{Kind: EvMembers, Servers: first, Complete: true, Stored: true})
+	c.step(Event{Kind: EvServerList, Servers: first, Complete: true, Stored: true})
 	steps, quiet := 1500, seed%2 == 1 // a sidecar with few requests uses a subset
 	if quiet {
 		steps = 15000
--- a/internal/sidecar/logic/serverlist_test.go
+++ b/internal/sidecar/logic/serverlist_test.go
@@ -7,7 +7,7 @@
 
 func TestDrainingServerGetsNothing(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(2)...)
-	r.step(Event{Kind: EvMembers, Servers: []Server{{ID: 1, Zone: "z1", State: Draining}}})
+	r.step(Event{Kind: EvServerList, Servers: []Server{{ID: 1, Zone: "z1", State: Draining}}})
 	for id := range uint64(50) {
 		if s := r.serve(id, func(uint64) time.Duration { return 20 * ms }); s == 1 {
 			t.Fatal("a request was sent to a draining server")
@@ -17,7 +17,7 @@
 
 func TestServerOmittedFromCompleteListIsGone(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(2)...)
-	r.step(Event{Kind: EvMembers, Complete: true, Servers: fleet(1)})
+	r.step(Event{Kind: EvServerList, Complete: true, Servers: fleet(1)})
 	for id := range uint64(20) {
 		if s := r.serve(id, func(uint64) time.Duration { return 20 * ms }); s != 1 {
 			t.Fatal("a request was sent to a server that the complete list omits")
@@ -28,7 +28,7 @@
 func TestRestartedServerHasNoSamples(t *testing.T) {
 	r := newRig(t, settings(Safe), fleet(1)...)
 	r.serve(1, func(uint64) time.Duration { return 20 * ms })
-	r.step(Event{Kind: EvMembers, Servers: []Server{{ID: 1, Zone: "z1", Since: r.now}}})
+	r.step(Event{Kind: EvServerList, Servers: []Server{{ID: 1, Zone: "z1", Since: r.now}}})
 	if s := r.b.servers[0]; s.Seeded() || s.Speed() != 0 {
 		t.Error("a restarted server kept its speed estimate")
 	}
--- a/internal/sidecar/logic/slowstart_test.go
+++ b/internal/sidecar/logic/slowstart_test.go
@@ -9,7 +9,7 @@
 	list := fleet(4)
 	r := newRig(t, settings(Safe), list...)
 	list[0].Since = r.now
-	r.step(Event{Kind: EvMembers, Servers: list[:1]})
+	r.step(Event{Kind: EvServerList, Servers: list[:1]})
 	cold := 0
 	for id := range uint64(400) {
 		r.request(id)
@@ -34,7 +34,7 @@
 	cfg.Balancers = boundMinBalancers
 	r := newRig(t, cfg, list...)
 	list[0].Since = r.now
-	r.step(Event{Kind: EvMembers, Servers: list[:1]})
+	r.step(Event{Kind: EvServerList, Servers: list[:1]})
 	cold := r.b.byID[list[0].ID]
 	before := cold.slowStartCredit
 	for id := range uint64(50) {
--- a/internal/sidecar/relay/server.go
+++ b/internal/sidecar/relay/server.go
@@ -76,7 +76,7 @@
 }
 
 func (r *Relay) applyMembers(l Members) {
-	ev := logic.Event{Kind: logic.EvMembers, Complete: l.Complete, Stored: l.Stored}
+	ev := logic.Event{Kind: logic.EvServerList, Complete: l.Complete, Stored: l.Stored}
 	listed := map[uint64]bool{}
 	for _, m := range l.Members {
 		listed[m.ID] = true
@@ -173,7 +173,7 @@
 		s.Update(effective)
 	}
 	r.notifyListed()
-	r.step(&logic.Event{Kind: logic.EvMembers, Servers: []logic.Server{effective.Server}})
+	r.step(&logic.Event{Kind: logic.EvServerList, Servers: []logic.Server{effective.Server}})
 	r.updateReadiness()
 }
 
--- a/internal/testkit/emulate/policy.go
+++ b/internal/testkit/emulate/policy.go
@@ -139,7 +139,7 @@
 func (p *baseline) Step(now time.Duration, ev *logic.Event, acts []logic.Action) []logic.Action {
 	p.now = now
 	switch ev.Kind {
-	case logic.EvMembers:
+	case logic.EvServerList:
 		if ev.Complete {
 			for _, s := range p.nodes {
 				s.state = logic.Gone
--- a/internal/testkit/emulate/sidecar.go
+++ b/internal/testkit/emulate/sidecar.go
@@ -288,7 +288,7 @@
 
 // members tells a sidecar the list as it stands.
 func (c *sidecar) members(complete, stored bool) {
-	ev := logic.Event{Kind: logic.EvMembers, Complete: complete, Stored: stored}
+	ev := logic.Event{Kind: logic.EvServerList, Complete: complete, Stored: stored}
 	for _, n := range c.w.order {
 		if n.state != logic.Gone {
 			ev.Servers = append(ev.Servers, n.entry())
--- a/internal/testkit/emulate/simulation.go
+++ b/internal/testkit/emulate/simulation.go
@@ -169,7 +169,7 @@
 		}
 		w.at(w.now+wait, task(func() {
 			c.hear(n)
-			c.step(&logic.Event{Kind: logic.EvMembers, Servers: []logic.Server{n.entry()}})
+			c.step(&logic.Event{Kind: logic.EvServerList, Servers: []logic.Server{n.entry()}})
 		}), 0)
 	}
 }
--- a/internal/testkit/emulate/verdicts.go
+++ b/internal/testkit/emulate/verdicts.go
@@ -48,7 +48,7 @@
 }
 
 func (j *judged) Step(now time.Duration, ev *logic.Event, acts []logic.Action) []logic.Action {
-	if ev.Kind == logic.EvMembers {
+	if ev.Kind == logic.EvServerList {
 		for i := range ev.Servers {
 			if s := &ev.Servers[i]; s.State == logic.Ready && j.circle.avoid[j.no][s.ID] {
 				s.State = logic.Draining
@@ -115,7 +115,7 @@
 	}
 	was := c.avoid[no]
 	c.avoid[no] = next
-	ev := logic.Event{Kind: logic.EvMembers}
+	ev := logic.Event{Kind: logic.EvServerList}
 	for _, n := range c.w.order {
 		if len(c.w.sidecars) <= no {
 			break // before the run
