--- a/internal/sidecar/allowance/accounts.go
+++ b/internal/sidecar/allowance/accounts.go
@@ -1,7 +1,7 @@
-// Package allowance accounts for what each tenant sends against its quota share, so that the decision module can weigh a
-// request by its value under load shedding: beyond its tenant's share it has only a small part of its class's value. It
-// decides nothing, does no I/O, reads no clock and starts no goroutine: its caller, who owns it, passes the times. How
-// operators see it is described in docs/sidecar/tenant-allowances.md.
+// Package allowance accounts for the requests of each tenant against its quota share, so that package logic can weigh
+// requests by value under load shedding: a request beyond its tenant's share has only a small part of its class's value.
+// The package makes no decisions, does no I/O, reads no clock and starts no goroutine; its caller passes the times. See
+// docs/sidecar/tenant-allowances.md for its use by operators.
 package allowance
 
 import (
@@ -9,41 +9,42 @@
 	"time"
 )
 
-// Tenant is a caller with a quota share of the fleet's capacity. What it sends beyond that has little value.
+// Tenant is a caller with a quota share of the fleet's capacity. Its requests beyond the share have a reduced value.
 type Tenant struct {
 	Name      string
-	Share     float64 // of the service, 0 to 1
-	Allowance float64 // requests a second over all sidecars within the share; 0: not told
+	Share     float64 // of the fleet's capacity, 0 to 1
+	Allowance float64 // requests per second within the share, over all sidecars; 0: not set
 }
 
-// Part is what one tenant sends.
+// Part describes the requests of one tenant.
 type Part struct {
 	Fraction float64 // of this sidecar's requests, 0 to 1
-	Value    float64 // of one of its requests, as a fraction of its class's value
+	Value    float64 // of one of these requests, as a fraction of its class's value
 }
 
 // tenant is the account of one tenant.
 type tenant struct {
 	Tenant
-	rate        float64 // requests a second, aged as of rateUpdated
+	rate        float64 // requests per second, aged as of rateUpdated
 	rateUpdated time.Duration
-	allotted    float64 // this sidecar's part of the allowance, requests a second; below 0: an equal part
-	value       float64 // as Mix last weighed it
+	allotted    float64 // this sidecar's part of the allowance, requests per second; below 0: an equal part
+	value       float64 // value of a request, as of the last call of Mix
 }
 
-// Accounts are the accounts of the tenants at one sidecar. Their memory is bounded by the settings: callers that those do
-// not name share one account with requests that name none. They are not safe for concurrent use.
+// Accounts are the accounts of the tenants at one sidecar. Only tenants of the settings have an account, which bounds
+// the memory: all other requests, with another tenant or none, are treated alike. Accounts are not safe for concurrent
+// use.
 type Accounts struct {
 	named          []*tenant // in the order of the settings
 	byName         map[string]*tenant
 	sidecars       float64
 	overShareValue float64
 	agingTime      time.Duration
-	mix            []Part // scratch of Mix
+	mix            []Part // buffer of Mix
 }
 
-// New returns the accounts of tenants at one of so many sidecars. A request beyond its tenant's share has overShareValue
-// (0 to 1) of its class's value. Rates are aged with the time constant agingTime, over 0.
+// New returns the accounts of tenants at one of a number of sidecars. A request beyond its tenant's share has
+// overShareValue (0 to 1) of its class's value. Rates are aged with the time constant agingTime, which must be positive.
 func New(tenants []Tenant, sidecars int, overShareValue float64, agingTime time.Duration) *Accounts {
 	a := &Accounts{byName: make(map[string]*tenant, len(tenants)), sidecars: float64(max(sidecars, 1)),
 		overShareValue: min(max(overShareValue, 0), 1), agingTime: max(agingTime, time.Millisecond)}
@@ -56,7 +57,8 @@
 	return a
 }
 
-// Set replaces the tenants and the value beyond a share. What was counted of a tenant that stays is kept.
+// Set replaces the tenants and the value of requests beyond a share. A tenant that was known before keeps its rate and
+// its part of the allowance.
 func (a *Accounts) Set(tenants []Tenant, overShareValue float64) {
 	previous := a.byName
 	*a = *New(tenants, int(a.sidecars), overShareValue, a.agingTime)
@@ -67,14 +69,15 @@
 	}
 }
 
-// SetAllowance sets this sidecar's part of a tenant's allowance, in requests a second. Below 0 it is an equal part.
+// SetAllowance sets this sidecar's part of a tenant's allowance, in requests per second. A negative rate stands for an
+// equal part.
 func (a *Accounts) SetAllowance(name string, rate float64) {
 	if t := a.byName[name]; t != nil {
 		t.allotted = rate
 	}
 }
 
-// Count counts a request of a tenant. now is of a clock that never goes back.
+// Count counts a request of a tenant at the time now of a monotonic clock.
 func (a *Accounts) Count(now time.Duration, name string) {
 	if t := a.byName[name]; t != nil {
 		a.age(t, now)
@@ -87,9 +90,9 @@
 	t.rateUpdated = now
 }
 
-// Mix weighs the tenants at now, when this sidecar gets total requests a second, aged alike. It returns their parts in the
-// order of the settings and, last, that of all other requests, which have full value. The slice is valid until the next
-// call.
+// Mix returns the parts of the tenants at now in the order of the settings and, last, the part of all other requests,
+// which have full value. total is this sidecar's requests per second, aged like the rates of the tenants. The slice is
+// valid until the next call.
 func (a *Accounts) Mix(now time.Duration, total float64) []Part {
 	a.mix = a.mix[:0]
 	rest := 1.0
@@ -106,8 +109,8 @@
 	return append(a.mix, Part{max(rest, 0), 1})
 }
 
-// allowedRate is this sidecar's part of a tenant's allowance: what was allotted, or else an equal part over the sidecars;
-// or if the settings tell no allowance, the tenant's share of this sidecar's requests.
+// allowedRate is this sidecar's part of a tenant's allowance: the part given to SetAllowance, or else an equal part over
+// the sidecars. Without an allowance in the settings it is the tenant's share of this sidecar's requests.
 func (a *Accounts) allowedRate(t *tenant, total float64) float64 {
 	switch {
 	case t.Allowance > 0 && t.allotted >= 0:
@@ -118,8 +121,8 @@
 	return t.Share * total
 }
 
-// Value is the value of a request of a tenant as a fraction of its class's, as Mix last weighed it; 1 for a caller that the
-// settings do not name.
+// Value is the value of a request of a tenant as a fraction of its class's value, as of the last call of Mix; 1 for a
+// caller that the settings do not name.
 func (a *Accounts) Value(name string) float64 {
 	if t := a.byName[name]; t != nil {
 		return t.value
--- a/internal/sidecar/budget/gate.go
+++ b/internal/sidecar/budget/gate.go
@@ -1,8 +1,8 @@
-// Package budget decides on the bytes that parts of the sidecar may use. A Ledger is the decision alone: no I/O, clock or
-// goroutine, so that tests and models drive it with times of their own. A Gate shares one ledger among goroutines and makes
-// those wait whose reservation is queued.
+// Package budget limits the memory that parts of the sidecar use. A Ledger only decides on reservations: it has no I/O,
+// clock or goroutine, so that tests and models drive it with times of their own. A Gate shares one ledger among
+// goroutines and blocks callers whose reservation is queued.
 //
-// The bytes of a budget are live ones: garbage that is not yet collected is up to whoever sets its size.
+// A budget counts bytes in use. Whoever sets its size must allow for garbage that has not been collected yet.
 package budget
 
 import (
@@ -12,29 +12,30 @@
 	"time"
 )
 
-// Why a reservation was not granted.
+// Reasons why a reservation was not granted.
 var (
-	ErrNoBytes  = errors.New("budget: no bytes in time")
-	ErrCanceled = errors.New("budget: the asker has left")
+	ErrNoBytes  = errors.New("budget: bytes not available in time")
+	ErrCanceled = errors.New("budget: reservation canceled by the caller")
 )
 
-// Gate is a ledger that goroutines share. A nil gate grants everything and counts nothing. No call but Reserve blocks.
+// Gate is a ledger that is safe for concurrent use. A nil gate grants everything and counts nothing. Only Reserve
+// blocks.
 type Gate struct {
 	epoch   time.Time
-	changed chan struct{} // signaled when the pressure has changed
+	changed chan struct{} // receives a value when the pressure has changed
 
 	mu       sync.Mutex
 	ledger   *Ledger
-	notified Pressure // as of the last signal
+	notified Pressure // pressure when changed was last sent to
 }
 
-// NewGate returns a gate of so many bytes, at which at most maxQueue reservations for requests wait.
+// NewGate returns a gate with a budget of bytes and a queue of at most maxQueue reservations for requests.
 func NewGate(bytes int64, maxQueue int) *Gate {
 	return &Gate{epoch: time.Now(), changed: make(chan struct{}, 1), ledger: NewLedger(bytes, maxQueue)}
 }
 
-// Charge is reserved bytes with one or more holders. They are returned to the budget, once, when the last holder releases
-// them. A nil charge is of no bytes.
+// Charge is a number of reserved bytes with one or more holders. When the last holder releases it, the bytes return to
+// the budget. A nil charge has no bytes.
 type Charge struct {
 	gate    *Gate
 	kind    Kind
@@ -43,14 +44,14 @@
 	holders atomic.Int32
 }
 
-// Hold adds a holder. Only a holder may call it.
+// Hold adds a holder. Only a present holder may call it.
 func (c *Charge) Hold() {
 	if c != nil && c.holders.Add(1) < 2 {
-		panic("budget: a charge was held after it was given back")
+		panic("budget: Hold of a charge that was already released by all holders")
 	}
 }
 
-// Release ends the hold of one holder.
+// Release removes a holder.
 func (c *Charge) Release() {
 	if c == nil {
 		return
@@ -59,7 +60,7 @@
 	case left == 0:
 		c.gate.withLedger(func(now time.Duration, l *Ledger) { l.Release(now, c.kind, c.bytes, c.large) })
 	case left < 0:
-		panic("budget: a charge was given back twice")
+		panic("budget: Release of a charge that was already released by all holders")
 	}
 }
 
@@ -78,7 +79,7 @@
 	return c
 }
 
-// withLedger calls do with the ledger locked, and signals a change of its pressure.
+// withLedger calls do with the ledger locked, and then notifies PressureChanged if the pressure has changed.
 func (g *Gate) withLedger(do func(now time.Duration, l *Ledger)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,8 +93,8 @@
 	}
 }
 
-// Reserve reserves bytes and waits for them, until a time or until canceled is closed; then the error is ErrNoBytes or
-// ErrCanceled. The charge has one holder, the caller.
+// Reserve reserves the bytes of r and blocks until they are granted. It fails with ErrNoBytes if they are not granted by
+// until, and with ErrCanceled if canceled is closed before. The charge has one holder, the caller.
 func (g *Gate) Reserve(r Reservation, until time.Time, canceled <-chan struct{}) (*Charge, error) {
 	if g == nil {
 		return nil, nil
@@ -124,7 +125,7 @@
 	}
 	g.withLedger(func(now time.Duration, l *Ledger) {
 		if !l.Cancel(now, &r) && !r.Dropped() {
-			err = nil // granted, if only at this moment
+			err = nil // granted, possibly after the wait has ended
 		}
 	})
 	if err != nil {
@@ -133,7 +134,7 @@
 	return g.charge(&r), nil
 }
 
-// ForceReserve reserves bytes whether or not they are free, for what exists already. The charge has one holder.
+// ForceReserve reserves bytes for existing objects, whether or not the bytes are free. The charge has one holder.
 func (g *Gate) ForceReserve(k Kind, bytes int64) *Charge {
 	if g == nil {
 		return nil
@@ -142,7 +143,7 @@
 	return g.charge(&Reservation{Kind: k, Bytes: bytes})
 }
 
-// FitsConn reports whether there are so many bytes for a connection.
+// FitsConn reports whether bytes are free for another connection.
 func (g *Gate) FitsConn(bytes int64) bool {
 	fits := true
 	if g != nil {
@@ -151,7 +152,7 @@
 	return fits
 }
 
-// DropLarge ends the wait of up to n large requests, those of the least value for their bytes first.
+// DropLarge drops up to n large requests from the queue, those of the least value per byte first.
 func (g *Gate) DropLarge(n int) {
 	g.withLedger(func(_ time.Duration, l *Ledger) {
 		for range n {
@@ -162,27 +163,27 @@
 	})
 }
 
-// RetryAfter is the time after which a rejected request for so many bytes should be retried; 0: not known.
+// RetryAfter is the time after which a rejected request for bytes should be retried; 0: not known.
 func (g *Gate) RetryAfter(bytes int64) time.Duration {
 	var after time.Duration
 	g.withLedger(func(now time.Duration, l *Ledger) { after = l.RetryAfter(now, bytes) })
 	return after
 }
 
-// PressureChanged receives when the pressure has changed; State has the present one.
+// PressureChanged returns a channel that receives a value when the pressure has changed. State returns the pressure.
 func (g *Gate) PressureChanged() <-chan struct{} { return g.changed }
 
-// Resize sets the size in bytes, up to that with which the gate was made.
+// Resize sets the size of the budget in bytes, at most the size given to NewGate.
 func (g *Gate) Resize(bytes int64) {
 	g.withLedger(func(now time.Duration, l *Ledger) { l.Resize(now, bytes) })
 }
 
-// State is what a gate has reserved at a moment, in bytes.
+// State is a snapshot of a gate. Total and Reserved are in bytes.
 type State struct {
 	Pressure Pressure
 	Total    int64
 	Reserved [kinds]int64
-	Waiting  int // reservations
+	Waiting  int // queued reservations
 }
 
 // Sum is the number of bytes reserved for all kinds.
--- a/internal/sidecar/budget/gate_test.go
+++ b/internal/sidecar/budget/gate_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// fill reserves all that large reservations may have.
+// fill reserves all bytes that large reservations may use.
 func fill(t *testing.T, g *Gate) []*Charge {
 	t.Helper()
 	var held []*Charge
@@ -30,7 +30,7 @@
 
 		start := time.Now()
 		if _, err := g.Reserve(ask, start.Add(time.Second), nil); !errors.Is(err, ErrNoBytes) || time.Since(start) != time.Second {
-			t.Errorf("%v after %v", err, time.Since(start))
+			t.Errorf("error %v after %v, want ErrNoBytes after 1s", err, time.Since(start))
 		}
 		left := make(chan struct{})
 		time.AfterFunc(time.Second, func() { close(left) })
@@ -44,39 +44,41 @@
 		}
 		time.AfterFunc(time.Second, func() { g.DropLarge(3) })
 		if _, err := g.Reserve(ask, time.Now().Add(time.Hour), nil); !errors.Is(err, ErrNoBytes) {
-			t.Errorf("dropped: %v", err)
+			t.Errorf("reservation dropped from the queue: error %v, want ErrNoBytes", err)
 		}
 		for _, c := range append(held[1:], c) {
 			c.Release()
 		}
 		if s := g.State(); s.Sum() != 0 || s.Waiting != 0 {
-			t.Errorf("%+v is left", s)
+			t.Errorf("state %+v after all charges were released", s)
 		}
 	})
 }
 
-// A charge with several holders is returned with the last, and one release too many is a fault of the program.
+// The bytes of a charge are returned when its last holder releases it. A further release panics, since it is a bug of
+// the caller.
 func TestChargeIsReturnedOnce(t *testing.T) {
 	g := NewGate(mb, 1)
 	c := g.ForceReserve(Lists, 10)
 	c.Hold()
 	c.Release()
 	if s := g.State(); s.Reserved[Lists] != 10 {
-		t.Errorf("%+v with one holder left", s)
+		t.Errorf("state %+v with one holder left, want 10 bytes of lists", s)
 	}
 	c.Release()
 	if s := g.State(); s.Sum() != 0 {
-		t.Errorf("%+v is left", s)
+		t.Errorf("state %+v after all charges were released", s)
 	}
 	defer func() {
 		if recover() == nil {
-			t.Error("released twice without a panic")
+			t.Error("a release without a holder did not panic")
 		}
 	}()
 	c.Release()
 }
 
-// Many goroutines that reserve, wait, time out and release leave nothing reserved. It is of use with the race detector.
+// Many goroutines that reserve, wait, time out and release concurrently leave no bytes reserved. Run with the race
+// detector, the test also finds data races.
 func TestGateUnderManyGoroutines(t *testing.T) {
 	g := NewGate(2*mb, 16)
 	var all sync.WaitGroup
@@ -100,9 +102,9 @@
 		if g.State().Sum() == 0 {
 			break
 		}
-		time.Sleep(time.Millisecond) // the last of the goroutines that release
+		time.Sleep(time.Millisecond) // wait for the last goroutines that release
 	}
 	if s := g.State(); s.Sum() != 0 || s.Waiting != 0 {
-		t.Errorf("%+v is left", s)
+		t.Errorf("state %+v after all charges were released", s)
 	}
 }
--- a/internal/sidecar/budget/ledger.go
+++ b/internal/sidecar/budget/ledger.go
@@ -8,37 +8,38 @@
 
 // Fractions of the budget.
 const (
-	// reservedFraction is kept for answers and lists: what was admitted must be answered while no more is admitted.
+	// reservedFraction is reserved for answers and lists, so that admitted requests can be answered even while no
+	// further requests are admitted.
 	reservedFraction = 0.2
-	// maxLargeFraction is the most of the capacity that large reservations may have, and maxLargeShare the most of what
-	// the present connections leave of it: small ones, which are most of the traffic and cost little, and the connections
-	// that are yet to bring them find room beside any number of large ones.
+	// maxLargeFraction is the part of the capacity that large reservations may use, and maxLargeShare the part that they
+	// may use of the capacity without the bytes of connections and lists. The rest is for small reservations, which are
+	// most of the traffic and need little, and for new connections.
 	maxLargeFraction, maxLargeShare = 0.45, 0.75
-	maxConnFraction                 = 0.9 // of the capacity may be in use when a connection is accepted
+	maxConnFraction                 = 0.9 // of the capacity that may be in use after a connection is accepted
 )
 
 const (
-	minTotal         = 512 << 10       // bytes; a budget is never smaller
-	rateTimeConstant = 2 * time.Second // of the aged rate at which requests release bytes
+	minTotal         = 512 << 10       // least size of a budget in bytes
+	rateTimeConstant = 2 * time.Second // time constant of the aged rate at which requests release bytes
 )
 
-// Ledger counts the reserved bytes and decides on reservations. It is not safe for concurrent use. Times are on a clock of
-// the caller's that never goes back.
+// Ledger counts the reserved bytes and decides on reservations. It is not safe for concurrent use. The caller passes
+// times of a monotonic clock.
 type Ledger struct {
-	size     int64 // as set
-	total    int64 // at present; less while the size is found to be too large for the memory in use
+	size     int64 // configured size
+	total    int64 // present size, at most size; see Resize
 	reserved [kinds]int64
-	large    int64          // of the requests' bytes, those of large reservations
-	requests []*Reservation // that wait, in their order
-	maxQueue int            // bound on requests
-	answers  []*Reservation // answers and lists that wait, in the order of arrival
+	large    int64          // bytes of large reservations, which are part of the requests' bytes
+	requests []*Reservation // queued reservations for requests, in the order of function before
+	maxQueue int            // bound on the length of requests
+	answers  []*Reservation // queued reservations for answers and lists, in order of arrival
 	pressure Pressure
 
-	releaseRate float64 // bytes a second that requests release, aged as of rateUpdated
+	releaseRate float64 // bytes per second that requests release, aged as of rateUpdated
 	rateUpdated time.Duration
 }
 
-// NewLedger returns a ledger of so many bytes, at which at most maxQueue reservations for requests wait.
+// NewLedger returns a ledger of bytes with a queue of at most maxQueue reservations for requests.
 func NewLedger(bytes int64, maxQueue int) *Ledger {
 	bytes = max(bytes, minTotal)
 	return &Ledger{size: bytes, total: bytes, maxQueue: maxQueue}
@@ -53,7 +54,7 @@
 // Pressure is the present level of pressure.
 func (l *Ledger) Pressure() Pressure { return l.pressure }
 
-// Waiting is the number of reservations that wait.
+// Waiting is the number of queued reservations.
 func (l *Ledger) Waiting() int { return len(l.requests) + len(l.answers) }
 
 func (l *Ledger) sum() int64 {
@@ -64,13 +65,13 @@
 	return all
 }
 
-// capacity is what requests and connections may have together: the budget without the fraction for answers and lists.
+// capacity is the bytes that requests and connections may use together: the budget without reservedFraction.
 func (l *Ledger) capacity() int64 { return int64((1 - reservedFraction) * float64(l.total)) }
 
-// largeCapacity is the most that large reservations may have.
+// largeCapacity is the bytes that large reservations may use.
 func (l *Ledger) largeCapacity() int64 { return int64(maxLargeFraction * float64(l.capacity())) }
 
-// maxGrant is the most that a reservation like r can ever be granted.
+// maxGrant is the largest size at which a reservation of r's kind, large or not, can ever be granted.
 func (l *Ledger) maxGrant(r *Reservation) int64 {
 	switch {
 	case r.isLarge():
@@ -82,7 +83,7 @@
 	}
 }
 
-// fits reports whether there are bytes for r now.
+// fits reports whether the bytes for r are free now.
 func (l *Ledger) fits(r *Reservation) bool {
 	if r.Kind != Requests {
 		return l.sum()+r.Bytes <= l.total
@@ -95,13 +96,13 @@
 	return r.Bytes <= free
 }
 
-// FitsConn reports whether a connection can have so many bytes while small requests still find room.
+// FitsConn reports whether a connection can use bytes while enough of the capacity stays free for small requests.
 func (l *Ledger) FitsConn(bytes int64) bool {
 	return l.sum()+bytes <= int64(maxConnFraction*float64(l.capacity()))
 }
 
-// Reserve grants r, rejects it, or queues it until it is granted, dropped or canceled. granted is called when a queued one is
-// granted or dropped.
+// Reserve grants r, rejects it, or queues it until it is granted, dropped or canceled. granted is called when a queued
+// reservation is granted or dropped.
 func (l *Ledger) Reserve(now time.Duration, r *Reservation, granted func()) Decision {
 	defer l.updatePressure()
 	if l.fits(r) && (r.Kind != Requests || !l.isBehind(r)) {
@@ -119,8 +120,8 @@
 	return l.enqueue(r)
 }
 
-// ForceReserve reserves bytes whether or not they are free: what they are for exists already, and its number is bounded
-// elsewhere.
+// ForceReserve reserves bytes whether or not they are free. It is for objects that exist already and whose number is
+// bounded elsewhere.
 func (l *Ledger) ForceReserve(k Kind, bytes int64) {
 	l.reserved[k] += bytes
 	l.updatePressure()
@@ -134,7 +135,8 @@
 	}
 }
 
-// Release returns bytes, of a large reservation or not, and grants what fits now: answers before new requests.
+// Release returns the bytes of a reservation, and grants queued reservations that fit now, answers before requests.
+// large tells whether the reservation was large.
 func (l *Ledger) Release(now time.Duration, k Kind, bytes int64, large bool) {
 	l.reserved[k] -= bytes
 	if large {
@@ -154,8 +156,8 @@
 	l.rateUpdated = now
 }
 
-// RetryAfter is the time after which a rejected request for so many bytes should be retried: when the reserved bytes and
-// those of the queue before it have been released at the present rate, at most a minute. 0: the rate is not known.
+// RetryAfter is the time after which a rejected request for bytes should be retried: when enough reserved bytes for it
+// and for the queue will have been released at the present rate, at most a minute. 0: the rate is not known.
 func (l *Ledger) RetryAfter(now time.Duration, bytes int64) time.Duration {
 	rate := l.releaseRate * math.Exp(-float64(max(now-l.rateUpdated, 0))/float64(rateTimeConstant))
 	if rate < 1 {
@@ -171,16 +173,17 @@
 	return time.Duration(min(float64(max(need, 0))/rate, 60) * float64(time.Second))
 }
 
-// Resize sets the size, up to the one that the ledger was made with.
+// Resize sets the size of the budget, at most the size given to NewLedger. Callers reduce it while the size proves too
+// large for the memory in use.
 func (l *Ledger) Resize(now time.Duration, bytes int64) {
 	l.total = min(max(bytes, minTotal), l.size)
 	l.grantQueued(now)
 	l.updatePressure()
 }
 
-// isBehind reports whether a queued request comes before r and needs the same bytes. Large ones, which wait for their own
-// share, do not delay small ones.
+// isBehind reports whether r must wait for a queued reservation that is to be granted first. Large requests, which wait
+// for bytes of their own share, do not delay small ones.
 func (l *Ledger) isBehind(r *Reservation) bool {
 	behind := func(o *Reservation) bool { return o.isLarge() == r.isLarge() && !before(r, o) }
-	return slices.ContainsFunc(l.requests, behind) || len(l.answers) > 0 && r.isLarge() // answers get the next bytes
+	return slices.ContainsFunc(l.requests, behind) || len(l.answers) > 0 && r.isLarge() // answers come first
 }
--- a/internal/sidecar/budget/ledger_test.go
+++ b/internal/sidecar/budget/ledger_test.go
@@ -12,7 +12,7 @@
 
 const mb = 1 << 20
 
-// desk plays reservations against a ledger and records the order of the grants.
+// desk makes named reservations at a ledger and records the order of the grants.
 type desk struct {
 	l       *Ledger
 	now     time.Duration
@@ -20,7 +20,7 @@
 	granted []string
 }
 
-// newDesk has a ledger of a megabyte.
+// newDesk returns a desk with a ledger of a megabyte.
 func newDesk(maxQueue int) *desk {
 	return &desk{l: NewLedger(mb, maxQueue), asks: map[string]*Reservation{}}
 }
@@ -42,7 +42,7 @@
 	d.l.Release(d.now, a.Kind, a.Bytes, a.isLarge())
 }
 
-// fill reserves all that large reservations may have, in parts of 60 KiB.
+// fill reserves all bytes that large reservations may use, in parts of 60 KiB.
 func (d *desk) fill() {
 	for i := 0; d.ask(fmt.Sprint("large", i), Reservation{Kind: Requests, Bytes: 60 << 10, Value: 1, Until: -1}) == Granted; i++ {
 	}
@@ -52,12 +52,13 @@
 	return Reservation{Kind: Requests, Bytes: bytes, Value: worth}
 }
 
-// With all bytes for large bodies reserved, the queue is granted by value per byte, and small reservations pass all of it.
+// While large reservations use all their bytes, queued requests are granted by value per byte, extensions and answers
+// before all others.
 func TestQueuedRequestsAreGrantedByValuePerByte(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		asks  []Reservation
-		first string // the grants once one large ask has come back
+		first string // reservation granted first once a large one is released
 	}{
 		{"of equal value, the first to arrive", []Reservation{request(64<<10, 1), request(64<<10, 1)}, "w0"},
 		{"of equal size, the one of more value", []Reservation{request(64<<10, 1), request(64<<10, 2)}, "w1"},
@@ -68,12 +69,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			d := newDesk(9)
 			d.fill()
-			if c.asks[1].Kind == Answers { // all but what an answer will need
+			if c.asks[1].Kind == Answers { // leave less than the answer needs
 				d.l.ForceReserve(Conns, 300<<10)
 			}
 			for i, a := range c.asks {
 				if got := d.ask(fmt.Sprint("w", i), a); got != Queued {
-					t.Fatalf("ask %d: %v", i, got)
+					t.Fatalf("reservation %d: decision %v, want Queued", i, got)
 				}
 			}
 			d.give("large0")
@@ -81,7 +82,7 @@
 				d.give("large1")
 			}
 			if len(d.granted) == 0 || d.granted[0] != c.first {
-				t.Errorf("granted %v, %s first wanted", d.granted, c.first)
+				t.Errorf("granted %v, want %s first", d.granted, c.first)
 			}
 		})
 	}
@@ -95,17 +96,18 @@
 		small++
 	}
 	if small < 50 {
-		t.Errorf("%d small reservations were granted", small)
+		t.Errorf("%d small reservations were granted beside queued large ones, want at least 50", small)
 	}
 	if got := d.ask("answer", Reservation{Kind: Answers, Bytes: 64 << 10}); got != Granted {
-		t.Errorf("with nothing admitted the decision on an answer is %v", got)
+		t.Errorf("decision %v on an answer while no request is admitted, want Granted", got)
 	}
 	if d.l.FitsConn(4 << 10) {
-		t.Error("with nothing admitted there is room for a connection")
+		t.Error("a connection fits while no request is admitted")
 	}
 }
 
-// What waits too long, is more than could ever be granted or finds the queue full of better ones is refused.
+// A reservation is rejected if its wait has ended, if it is larger than can ever be granted, or if the queue is full of
+// requests of more value per byte.
 func TestRejections(t *testing.T) {
 	d := newDesk(2)
 	got := []Decision{d.ask("too large", request(mb, 1))}
@@ -118,33 +120,33 @@
 		t.Error(diff)
 	}
 	if !d.asks["cheap"].Dropped() || d.l.Waiting() != 2 {
-		t.Errorf("%d wait, and not the dearest", d.l.Waiting())
+		t.Errorf("%d reservations are queued, want the 2 of most value", d.l.Waiting())
 	}
 	if !d.l.DropLarge() || !d.asks["second"].Dropped() {
-		t.Error("the least worth is not the one that is dropped")
+		t.Error("DropLarge did not drop the request of least value per byte")
 	}
 }
 
 func TestRetryAfterFollowsTheRate(t *testing.T) {
 	d := newDesk(9)
 	if d.l.RetryAfter(0, 64<<10) != 0 {
-		t.Error("advice without any knowledge")
+		t.Error("a time to retry without a known release rate")
 	}
 	d.fill()
-	for i := range 40 { // 640 KiB a second
+	for i := range 40 { // 600 KiB per second
 		d.now = time.Duration(i) * 100 * time.Millisecond
 		d.give("large0")
 		d.ask("large0", request(60<<10, 1))
 	}
 	if got := d.l.RetryAfter(d.now, 64<<10); got < 100*time.Millisecond || got > 500*time.Millisecond {
-		t.Errorf("come again in %v", got)
+		t.Errorf("retry after %v, want 100ms to 500ms", got)
 	}
 	if a, b := d.l.RetryAfter(d.now, 64<<10), d.l.RetryAfter(d.now+3*time.Second, 64<<10); b <= a {
-		t.Errorf("%v, and %v once nothing comes back", a, b)
+		t.Errorf("retry after %v, and after %v once releases have stopped, want longer", a, b)
 	}
 }
 
-// Each degree begins and ends once while the room fills and empties.
+// Each level of pressure begins and ends once while the budget is filled and emptied.
 func TestPressure(t *testing.T) {
 	l := NewLedger(mb, 9)
 	var seen []string
@@ -168,8 +170,8 @@
 	}
 }
 
-// Whatever comes, in whatever order: nothing is granted beyond the budget, nothing waits that would fit, every grant
-// is told once, and all bytes come back.
+// For random sequences of calls: no grant exceeds the budget, no reservation at the head of a queue fits, granted is
+// called at most once for a reservation, and in the end all bytes are returned.
 func TestLedgerKeepsItsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger(int64(rapid.IntRange(1, 4).Draw(t, "MB"))*mb, rapid.IntRange(1, 8).Draw(t, "queue"))
@@ -181,7 +183,7 @@
 			for _, a := range waiting {
 				switch {
 				case told[a] > 1:
-					t.Fatal("told twice")
+					t.Fatal("granted was called twice for a reservation")
 				case told[a] == 0:
 					rest = append(rest, a)
 				case !a.Dropped():
@@ -193,30 +195,30 @@
 		forced := 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 50).Draw(t, "ms")) * time.Millisecond
-			switch what := rapid.IntRange(0, 5).Draw(t, "what"); {
+			switch what := rapid.IntRange(0, 5).Draw(t, "operation"); {
 			case what <= 2:
 				kinds := []Kind{Requests, Requests, Answers}
 				a := &Reservation{Kind: kinds[what], Bytes: int64(rapid.IntRange(0, 80<<10).Draw(t, "bytes")),
-					Value: rapid.Float64Range(0.1, 3).Draw(t, "worth"), Until: now + time.Hour}
+					Value: rapid.Float64Range(0.1, 3).Draw(t, "value"), Until: now + time.Hour}
 				switch l.Reserve(now, a, func() { told[a]++ }) {
 				case Granted:
 					out = append(out, a)
 					if l.sum() > l.total {
-						t.Fatalf("%d of %d are held", l.sum(), l.total)
+						t.Fatalf("%d bytes of %d are reserved after a grant", l.sum(), l.total)
 					}
 				case Queued:
 					waiting = append(waiting, a)
 				}
 			case what == 3 && len(out) > 0:
-				i := rapid.IntRange(0, len(out)-1).Draw(t, "back")
+				i := rapid.IntRange(0, len(out)-1).Draw(t, "released")
 				a := out[i]
 				out = append(out[:i], out[i+1:]...)
 				l.Release(now, a.Kind, a.Bytes, a.isLarge())
 			case what == 4 && len(waiting) > 0:
-				i := rapid.IntRange(0, len(waiting)-1).Draw(t, "leaves")
+				i := rapid.IntRange(0, len(waiting)-1).Draw(t, "canceled")
 				a := waiting[i]
 				if !l.Cancel(now, a) && told[a] == 0 {
-					t.Fatal("it neither waited nor was told")
+					t.Fatal("a reservation was neither queued nor was granted called for it")
 				}
 				if told[a] == 0 {
 					waiting = append(waiting[:i], waiting[i+1:]...)
@@ -227,10 +229,10 @@
 			}
 			settle()
 			if len(l.answers) > 0 && l.fits(l.answers[0]) {
-				t.Fatal("an answer waits that fits")
+				t.Fatal("the first queued answer fits but was not granted")
 			}
 			if len(l.answers) == 0 && len(l.requests) > 0 && l.fits(l.requests[0]) {
-				t.Fatal("the first at the door waits and fits")
+				t.Fatal("the first queued request fits but was not granted")
 			}
 		}
 		for range forced {
@@ -242,7 +244,8 @@
 			l.Release(now, a.Kind, a.Bytes, a.isLarge())
 		}
 		if l.sum() != 0 || l.large != 0 || len(waiting) != 0 || l.Pressure() != NoPressure {
-			t.Fatalf("in the end %d bytes held, %d large, %d waiting, %v", l.sum(), l.large, len(waiting), l.Pressure())
+			t.Fatalf("in the end %d bytes are reserved, %d of large reservations, %d are queued, pressure %v",
+				l.sum(), l.large, len(waiting), l.Pressure())
 		}
 	})
 }
--- a/internal/sidecar/budget/pressure.go
+++ b/internal/sidecar/budget/pressure.go
@@ -1,31 +1,31 @@
 package budget
 
-// Pressure is how short bytes are. Each level asks for all that those below it do.
+// Pressure is the level of memory pressure. Each level requires the measures of all lower levels too.
 type Pressure uint8
 
-// The levels of pressure, and what each asks for.
+// The levels of pressure, and the measure that each adds.
 const (
 	NoPressure  Pressure = iota
 	TrimBuffers          // free idle buffers and pools
 	CloseIdle            // close idle connections
-	QueueLarge           // new large bodies wait
-	QueueAll             // all new requests wait, those of most value for their bytes first
-	pressures            // their number
+	QueueLarge           // queue new requests with large bodies
+	QueueAll             // queue all new requests, ordered by value per byte
+	pressures            // number of levels
 )
 
-// String is the name that operators see.
+// String returns the name that operators see.
 func (p Pressure) String() string {
 	return [pressures]string{"calm", "trim", "idle", "large", "dear"}[p]
 }
 
-// Where each level begins, as a fraction of the capacity that is in use. A level ends hysteresis below that, or it would
-// come and go with every request.
+// Fractions of the capacity in use at which each level begins. A level ends when the fraction has fallen by hysteresis
+// below its begin, so that the level does not change with every request.
 const (
 	trimAt, idleAt, largeAt, allAt = 0.5, 0.65, 0.75, 0.95
 	hysteresis                     = 0.1
 )
 
-// updatePressure sets the level of pressure from what is reserved and queued.
+// updatePressure sets the level of pressure by the reserved bytes and the queue.
 func (l *Ledger) updatePressure() {
 	used := float64(l.sum()) / float64(max(l.capacity(), 1))
 	if len(l.requests) > 0 {
--- a/internal/sidecar/budget/queue.go
+++ b/internal/sidecar/budget/queue.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// enqueue inserts a request into the queue. If the queue is then over its bound, r is rejected if it is the last, or else
-// the last one is dropped.
+// enqueue inserts r into the queue of requests. If this exceeds the bound of the queue, the last request is dropped; if
+// that is r itself, it is rejected.
 func (l *Ledger) enqueue(r *Reservation) Decision {
 	at, _ := slices.BinarySearchFunc(l.requests, r, func(o, r *Reservation) int {
 		if before(r, o) {
 			return 1
 		}
-		return -1 // behind all of equal rank
+		return -1 // after all requests of equal rank
 	})
 	l.requests = slices.Insert(l.requests, at, r)
 	if len(l.requests) <= l.maxQueue {
@@ -26,8 +26,8 @@
 	return Rejected
 }
 
-// DropLarge ends the wait of the large request that has the least value for its bytes, or if the queue is over its bound, of
-// the last request. It reports whether there was one.
+// DropLarge drops the queued large request with the least value per byte, or, if the queue exceeds its bound, the last
+// request. It reports whether there was such a request.
 func (l *Ledger) DropLarge() bool {
 	for i := len(l.requests) - 1; i >= 0; i-- {
 		if last := l.requests[i]; last.isLarge() || len(l.requests) > l.maxQueue {
@@ -41,18 +41,18 @@
 	return false
 }
 
-// Cancel ends the wait of r. It reports whether r was still waiting: if not, it has been granted or dropped.
+// Cancel removes r from the queue. It reports whether r was still queued; otherwise r has been granted or dropped.
 func (l *Ledger) Cancel(now time.Duration, r *Reservation) bool {
 	if !r.waiting {
 		return false
 	}
 	l.dequeue(r)
-	l.grantQueued(now) // it may have been before others
+	l.grantQueued(now) // r may have delayed others
 	l.updatePressure()
 	return true
 }
 
-// grantQueued grants what fits now.
+// grantQueued grants the queued reservations that fit now, in their order.
 func (l *Ledger) grantQueued(now time.Duration) {
 	for len(l.answers) > 0 && l.fits(l.answers[0]) {
 		l.grant(l.answers[0])
@@ -60,12 +60,12 @@
 	for i := 0; i < len(l.requests); {
 		r := l.requests[i]
 		switch {
-		case r.Until <= now: // its wait is about to end
+		case r.Until <= now: // Reserve is about to give it up
 			i++
 		case l.fits(r) && (!r.isLarge() || len(l.answers) == 0):
 			l.grant(r)
 		case r.isLarge():
-			i++ // the small ones behind it do not need its share
+			i++ // small requests behind it do not need the share of large ones
 		default:
 			return
 		}
--- a/internal/sidecar/budget/reservation.go
+++ b/internal/sidecar/budget/reservation.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// Kind is what bytes are reserved for.
+// Kind is the use of reserved bytes.
 type Kind uint8
 
-// What bytes are reserved for.
+// The kinds of use.
 const (
 	Conns    Kind = iota
 	Requests      // bodies and state of admitted requests
 	Answers
 	Lists
-	kinds // their number
+	kinds // number of kinds
 )
 
-// String is the name that operators see.
+// String returns the name that operators see.
 func (k Kind) String() string { return [kinds]string{"conns", "jobs", "answers", "lists"}[k] }
 
-// LargeBytes is the size from which a reservation for a request is large.
+// LargeBytes is the least size in bytes of a large reservation for a request.
 const LargeBytes = 8 << 10
 
-// Reservation is a wish to reserve bytes. The unexported fields are the ledger's.
+// Reservation is a request to reserve bytes. The ledger owns the unexported fields.
 type Reservation struct {
 	Kind    Kind
 	Bytes   int64
-	Value   float64       // of being granted, weighed against Bytes; for Requests
-	Until   time.Duration // when it stops waiting, on the ledger's clock
-	Extends bool          // it is for a request that has bytes already, and goes before new ones
+	Value   float64       // value of granting it, relative to Bytes; used for Requests only
+	Until   time.Duration // end of the wait, on the ledger's clock
+	Extends bool          // for a request that has reserved bytes already: it precedes new requests
 
 	granted func() // called when it is granted or dropped, on the goroutine that caused it
 	waiting bool
 }
 
-// Decision is what a ledger answers to a reservation.
+// Decision is the decision of a ledger on a reservation.
 type Decision uint8
 
-// The decisions. Queued is followed either by the call of granted or, by Cancel, by the end of the wait.
+// The decisions. After Queued, either granted is called once or Cancel ends the wait.
 const (
 	Granted Decision = iota
 	Queued
 	Rejected
 )
 
-// Dropped reports whether a reservation whose granted was called has not been granted, but dropped for one of more value.
+// Dropped reports whether a reservation whose granted was called has been dropped instead of granted.
 func (r *Reservation) Dropped() bool { return r.Until == 0 }
 
-// before is the order of the queue: extensions first, then by value per byte.
+// before reports whether r precedes o in the queue: extensions come first, then requests of more value per byte.
 func before(r, o *Reservation) bool {
 	if r.Extends != o.Extends {
 		return r.Extends
