--- a/internal/sidecar/budget/gate.go
+++ b/internal/sidecar/budget/gate.go
@@ -182,7 +182,7 @@
 type State struct {
 	Pressure Pressure
 	Total    int64
-	Reserved [kinds]int64
+	Reserved [numKinds]int64
 	Waiting  int // queued reservations
 }
 
--- a/internal/sidecar/budget/ledger.go
+++ b/internal/sidecar/budget/ledger.go
@@ -28,7 +28,7 @@
 type Ledger struct {
 	size     int64 // configured size
 	total    int64 // present size, at most size; see Resize
-	reserved [kinds]int64
+	reserved [numKinds]int64
 	large    int64          // bytes of large reservations, which are part of the requests' bytes
 	requests []*Reservation // queued reservations for requests, in the order of function before
 	maxQueue int            // bound on the length of requests
--- a/internal/sidecar/budget/pressure.go
+++ b/internal/sidecar/budget/pressure.go
@@ -5,17 +5,17 @@
 
 // The levels of pressure, and the measure that each adds.
 const (
-	NoPressure  Pressure = iota
-	TrimBuffers          // free idle buffers and pools
-	CloseIdle            // close idle connections
-	QueueLarge           // queue new requests with large bodies
-	QueueAll             // queue all new requests, ordered by value per byte
-	pressures            // number of levels
+	NoPressure   Pressure = iota
+	TrimBuffers           // free idle buffers and pools
+	CloseIdle             // close idle connections
+	QueueLarge            // queue new requests with large bodies
+	QueueAll              // queue all new requests, ordered by value per byte
+	numPressures          // number of levels
 )
 
 // String returns the name that operators see.
 func (p Pressure) String() string {
-	return [pressures]string{"calm", "trim", "idle", "large", "dear"}[p]
+	return [numPressures]string{"calm", "trim", "idle", "large", "dear"}[p]
 }
 
 // Fractions of the capacity in use at which each level begins. A level ends when the fraction has fallen by hysteresis
@@ -34,7 +34,7 @@
 			used = max(used, allAt)
 		}
 	}
-	begin := [pressures]float64{0, trimAt, idleAt, largeAt, allAt}
+	begin := [numPressures]float64{0, trimAt, idleAt, largeAt, allAt}
 	for l.pressure < QueueAll && used >= begin[l.pressure+1] {
 		l.pressure++
 	}
--- a/internal/sidecar/budget/reservation.go
+++ b/internal/sidecar/budget/reservation.go
@@ -5,17 +5,17 @@
 // Kind is the use of reserved bytes.
 type Kind uint8
 
-// The kinds of use.
+// The numKinds of use.
 const (
 	Conns    Kind = iota
 	Requests      // bodies and state of admitted requests
 	Answers
 	Lists
-	kinds // number of kinds
+	numKinds // number of kinds
 )
 
 // String returns the name that operators see.
-func (k Kind) String() string { return [kinds]string{"conns", "jobs", "answers", "lists"}[k] }
+func (k Kind) String() string { return [numKinds]string{"conns", "jobs", "answers", "lists"}[k] }
 
 // LargeBytes is the least size in bytes of a large reservation for a request.
 const LargeBytes = 8 << 10
--- a/internal/sidecar/logic/admission.go
+++ b/internal/sidecar/logic/admission.go
@@ -79,7 +79,7 @@
 	for _, o := range b.classOrder {
 		high = max(high, b.valuePerWork(o))
 	}
-	for low, step := 0.0, 0; step < levelSteps; step++ {
+	for low, step := 0.0, 0; step < bisectionSteps; step++ {
 		level, shed := (low+high)/2, 0.0
 		for _, o := range b.classOrder {
 			for _, t := range mix {
--- a/internal/sidecar/logic/admission_test.go
+++ b/internal/sidecar/logic/admission_test.go
@@ -9,7 +9,7 @@
 
 // While all requests are admitted, an overload sustains itself: all answers are late and have no value.
 func TestLateAnswersReduceAdmission(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(3)...)
+	r := newHarness(t, settings(Safe), fleet(3)...)
 	admitted := 0
 	for id := range uint64(300) {
 		r.request(id)
@@ -34,20 +34,20 @@
 // answers begins too late, so answers that take about half of the target already count against the slack.
 func TestAnswersInTheLastPartOfTheTargetReduceAdmission(t *testing.T) {
 	for took, least := range map[time.Duration]int{300 * ms: 150, 180 * ms: 75} { // the target is 400 ms
-		r := newRig(t, settings(Safe), fleet(3)...)
-		refused := 0
+		r := newHarness(t, settings(Safe), fleet(3)...)
+		rejected := 0
 		for id := range uint64(300) {
 			r.request(id)
 			if _, sent := r.find(ActSend); !sent {
-				refused++
+				rejected++
 				continue
 			}
 			r.now += took
 			r.outcome(id, 0, took, Done)
 		}
-		if refused < least {
+		if rejected < least {
 			t.Errorf("%d of 300 requests rejected, too few for answers after %s of a target of 400ms",
-				refused, took)
+				rejected, took)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 // A client that stops waiting before its answer must not make the server count as late or lower the slack:
 // otherwise sidecars shed requests that are answered in time.
 func TestImpatientClientsDoNotChangeEstimates(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(2)...)
+	r := newHarness(t, settings(Safe), fleet(2)...)
 	for id := range uint64(100) {
 		r.serve(id, func(uint64) time.Duration { return 100 * ms })
 	}
@@ -69,23 +69,23 @@
 		r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerExpire, ID: id}})
 		r.outcome(id, 0, 115*ms, Canceled)
 	}
-	if r.b.slack.Share < slack-0.01 || r.b.servers[0].lateInRow > 0 {
+	if r.b.slack.Share < slack-0.01 || r.b.servers[0].consecutiveLate > 0 {
 		t.Errorf("canceled attempts changed the slack from %.2f to %.2f; consecutive late outcomes: %d, want 0",
-			slack, r.b.slack.Share, r.b.servers[0].lateInRow)
+			slack, r.b.slack.Share, r.b.servers[0].consecutiveLate)
 	}
 	r.step(Event{Kind: EvRequest, Request: 2000, Class: "c", Expires: r.now + 20*ms})
 	if _, refused := r.find(ActReject); !refused {
-		t.Errorf("a request that expires before any answer can arrive was not rejected: %+v", r.acts)
+		t.Errorf("a request that expires before any answer can arrive was not rejected: %+v", r.actions)
 	}
 	r.step(Event{Kind: EvRequest, Request: 2001, Class: "c", Expires: r.now - 100*ms}) // expired on arrival
 	if _, refused := r.find(ActReject); !refused {
-		t.Errorf("a request that had expired on arrival was not rejected: %+v", r.acts)
+		t.Errorf("a request that had expired on arrival was not rejected: %+v", r.actions)
 	}
 }
 
 // The log tells operators once when a sidecar starts load shedding and once when it stops.
 func TestSheddingIsLoggedWhenItBeginsAndEnds(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(1)...)
+	r := newHarness(t, settings(Safe), fleet(1)...)
 	var lines []string
 	for id := range uint64(400) {
 		latency := 20 * ms
@@ -113,7 +113,7 @@
 	cfg := settings(Safe)
 	cfg.ValuePerWork = true
 	cfg.Classes = []Class{{Name: "cheap", Value: 1}, {Name: "valuable", Value: 10}, {Name: "valuable too", Value: 10}}
-	r := newRig(t, cfg, fleet(3)...)
+	r := newHarness(t, cfg, fleet(3)...)
 	for _, c := range r.b.classOrder {
 		c.recordDemand(r.now, 1)
 	}
@@ -141,7 +141,7 @@
 	cfg := settings(Safe)
 	cfg.Balancers, cfg.OverShareValue = 1, 0.05
 	cfg.Tenants = []Tenant{{Name: "over", Share: 0.5, Allowance: 50}, {Name: "within", Share: 0.5, Allowance: 200}}
-	r := newRig(t, cfg, fleet(3)...)
+	r := newHarness(t, cfg, fleet(3)...)
 	r.b.requestRate, r.b.rateUpdated = 200, r.now
 	for at := r.now - 20*time.Second; at < r.now; at += 10 * ms { // 100 requests per second from each
 		r.b.accounts.Count(at, "over")
@@ -162,8 +162,8 @@
 func TestRejectionSaysWhenARetryHasAProspect(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Limits.RetryAfter, cfg.Limits.MaxRetryAfter = true, time.Second
-	r := newRig(t, cfg, fleet(2)...)
-	r.tally(10, 20)
+	r := newHarness(t, cfg, fleet(2)...)
+	r.serveAndCount(10, 20)
 	// The slack is a tenth below 1/admitSlackFactor, which admits all: the wait is a tenth of the aging
 	// time, 0.3 s.
 	r.b.slack.Share = 0.6
@@ -184,32 +184,32 @@
 }
 
 func TestRetryAfterTheTargetOfTheFirstRequestIsRejectedAtOnce(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(2)...)
-	r.tally(10, 20)
+	r := newHarness(t, settings(Safe), fleet(2)...)
+	r.serveAndCount(10, 20)
 	r.request(1)
 	r.now += 396 * ms
 	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerTarget, ID: 1}})
 	r.now += 50 * ms
 	if r.requestAs(2, "c", "", true); !r.has(ActReject) {
-		t.Errorf("a retry after the target of its first request was not rejected: %+v", r.acts)
+		t.Errorf("a retry after the target of its first request was not rejected: %+v", r.actions)
 	}
 	if r.requestAs(3, "c", "", false); !r.has(ActSend) {
-		t.Errorf("a request that is no retry was not sent: %+v", r.acts)
+		t.Errorf("a request that is no retry was not sent: %+v", r.actions)
 	}
 }
 
 func TestClassThatIsLateEverywhereIsRejectedAndProbed(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Classes = append(cfg.Classes, Class{Name: "slow", LatencyTarget: 400 * ms, Deadline: time.Second})
-	r := newRig(t, cfg, fleet(3)...)
-	r.tally(1, 60)
-	refused, sent := 0, 0
+	r := newHarness(t, cfg, fleet(3)...)
+	r.serveAndCount(1, 60)
+	rejected, sent := 0, 0
 	for id := uint64(100); id < 500; id += 2 {
 		r.requestAs(id, "slow", "", false)
 		if r.has(ActSend) {
 			sent++
 		} else {
-			refused++
+			rejected++
 		}
 		r.request(id + 1)
 		if !r.has(ActSend) {
@@ -222,7 +222,7 @@
 	}
 	// 200 such requests arrive in 84 s. Once the class is known to be late, about one per aging time is sent.
 	if sent > 60 || sent < 20 {
-		t.Errorf("%d requests of the late class were sent and %d rejected, want 20 to 60 sent", sent, refused)
+		t.Errorf("%d requests of the late class were sent and %d rejected, want 20 to 60 sent", sent, rejected)
 	}
 }
 
@@ -238,7 +238,7 @@
 	}{
 		{80, 60, 200, 100 * ms, 4, 9}, {80, 8, 0, 100 * ms, 7, 8}, {80, 60, 200, 0, 20, 60}, {6, 60, 200, 100 * ms, 20, 60},
 	} {
-		r := newRig(t, settings(Safe), fleet(20)...)
+		r := newHarness(t, settings(Safe), fleet(20)...)
 		r.b.cfg.Balancers = c.sidecars
 		for id := range uint64(c.answered + c.silent) {
 			r.now += 50 * ms
--- a/internal/sidecar/logic/balancer.go
+++ b/internal/sidecar/logic/balancer.go
@@ -115,7 +115,7 @@
 	b.now, b.actions = now, actions
 	switch ev.Kind {
 	case EvServerList:
-		b.onMembers(ev)
+		b.onServerList(ev)
 	case EvListLost:
 		b.onListLost(ev.Expires)
 	case EvRequest:
--- a/internal/sidecar/logic/balancer_test.go
+++ b/internal/sidecar/logic/balancer_test.go
@@ -61,7 +61,7 @@
 }
 
 func TestUnknownEventsAreIgnored(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(1)...)
+	r := newHarness(t, settings(Safe), fleet(1)...)
 	r.serve(1, func(uint64) time.Duration { return ms })
 	for _, ev := range []Event{
 		{Kind: EvOutcome, Request: 1}, {Kind: EvOutcome, Request: 9}, {Kind: EvClientGone, Request: 1},
@@ -85,7 +85,7 @@
 	} {
 		bare := Config{Classes: []Class{{Name: "c", Effect: Keyed, Group: GroupZone}}} // all other settings are absent
 		for _, cfg := range []Config{settings(Unsafe), bare} {
-			r := newRig(t, cfg, servers...)
+			r := newHarness(t, cfg, servers...)
 			r.b.requestRate = 0
 			var wakes []Action
 			for id := range uint64(40) {
@@ -114,7 +114,7 @@
 }
 
 func TestWakesBeforeEveryExpiry(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(1)...)
+	r := newHarness(t, settings(Safe), fleet(1)...)
 	for _, a := range r.request(1) {
 		if a.Kind == ActWake && a.Timer == (Timer{Kind: TimerExpire, ID: 1}) && a.At < r.now+800*ms {
 			return
@@ -125,7 +125,7 @@
 
 func TestEveryRequestHasItsFinalAnswerBeforeItExpires(t *testing.T) {
 	for _, effect := range []Effect{Safe, Keyed, Unsafe} {
-		r := newRig(t, settings(effect), fleet(1)...)
+		r := newHarness(t, settings(effect), fleet(1)...)
 		r.request(1)
 		r.now += 795 * ms
 		r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerExpire, ID: 1}})
--- a/internal/sidecar/logic/candidates.go
+++ b/internal/sidecar/logic/candidates.go
@@ -59,7 +59,7 @@
 func (b *Balancer) dropLateServers(r *request) {
 	left := (r.usefulUntil() - b.now).Seconds() * usableTimeLeft
 	tooLate := func(s *server) bool {
-		return s.lateInRow >= lateRunLimit || s.Seeded() && b.effectiveSpeed(s)*left < r.work
+		return s.consecutiveLate >= lateDropThreshold || s.Seeded() && b.effectiveSpeed(s)*left < r.work
 	}
 	if !slices.ContainsFunc(b.candidates, func(s *server) bool { return !tooLate(s) }) {
 		return
--- a/internal/sidecar/logic/candidates_test.go
+++ b/internal/sidecar/logic/candidates_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-func TestFirstPollReachesEveryServer(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(5)...)
+func TestFirstRequestsReachEveryServer(t *testing.T) {
+	r := newHarness(t, settings(Safe), fleet(5)...)
 	seen := map[uint64]bool{}
 	for id := range uint64(5) {
 		r.request(id)
@@ -25,7 +25,7 @@
 		gap         time.Duration
 		least, most int
 	}{{500 * ms, minSubsetSize, 8}, {10 * ms, 50, 50}} {
-		r := newRig(t, settings(Safe), fleet(50)...)
+		r := newHarness(t, settings(Safe), fleet(50)...)
 		r.b.requestRate = 0
 		used := map[uint64]bool{}
 		for id := range uint64(600) {
@@ -54,7 +54,7 @@
 }
 
 func TestSubsetWidensWhenItsServersFail(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(12)...)
+	r := newHarness(t, settings(Safe), fleet(12)...)
 	r.b.requestRate, r.b.now = 0, r.now
 	for _, s := range r.b.servers[:minSubsetSize] {
 		r.b.eject(s)
@@ -71,7 +71,7 @@
 // A limit of four does not hold back requests that arrive one at a time. A zone stayed overloaded this way
 // while another one was idle.
 func TestSlowServerIsDroppedWhileOthersRemain(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(3)...)
+	r := newHarness(t, settings(Safe), fleet(3)...)
 	slow := 0
 	for id := range uint64(400) {
 		r.b.slack.Share = 1 // nothing is shed
@@ -106,7 +106,7 @@
 		lightOnes int
 		want      int // heavy requests sent to two servers with limits of two, or three after a quick answer
 	}{"beside light ones": {1, 3}, "alone": {0, 4}} {
-		r := newRig(t, cfg, fleet(2)...)
+		r := newHarness(t, cfg, fleet(2)...)
 		id := uint64(0)
 		ask := func(class string, work time.Duration) bool {
 			id++
@@ -134,7 +134,7 @@
 }
 
 func TestUnresponsiveServerIsDropped(t *testing.T) {
-	r := newRig(t, settings(Unsafe), fleet(3)...)
+	r := newHarness(t, settings(Unsafe), fleet(3)...)
 	answer := func(uint64) time.Duration { return 20 * ms }
 	for id := range uint64(30) {
 		r.serve(id, answer)
--- a/internal/sidecar/logic/digest_test.go
+++ b/internal/sidecar/logic/digest_test.go
@@ -19,7 +19,7 @@
 		t.Run(name, func(t *testing.T) {
 			digesttest.Compare(t, name, *update, func() *digesttest.Recorder {
 				recorder := digesttest.New(time.Second)
-				watchRandom(t, seed, func(now time.Duration, a Action) { recordAction(t, recorder, now, a) })
+				runRandomObserved(t, seed, func(now time.Duration, a Action) { recordAction(t, recorder, now, a) })
 				return recorder
 			})
 		})
--- a/internal/sidecar/logic/ejection.go
+++ b/internal/sidecar/logic/ejection.go
@@ -28,6 +28,6 @@
 	}
 	s.ejectedUntil, s.limit = b.now+time.Duration(s.ejectBackoff*float64(agingTime)), 1
 	b.logf("server %d ejected for %.1fs: %d failures, errors %.2f", s.ID,
-		(s.ejectedUntil - b.now).Seconds(), s.failuresInRow, s.faultShares[failure])
+		(s.ejectedUntil - b.now).Seconds(), s.consecutiveFailures, s.faultShares[failure])
 	s.ejectBackoff = min(2*s.ejectBackoff, maxEjectBackoff)
 }
--- a/internal/sidecar/logic/ejection_test.go
+++ b/internal/sidecar/logic/ejection_test.go
@@ -9,7 +9,7 @@
 // An overloaded server recovers only without new requests, so answers to attempts from before an ejection
 // must not end the ejection.
 func TestAnswersFromBeforeAnEjectionDoNotEndIt(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(2)...)
+	r := newHarness(t, settings(Safe), fleet(2)...)
 	for id := range uint64(4) {
 		r.request(id)
 	}
@@ -26,7 +26,7 @@
 
 // When all servers are ejected, only one is used, so that the others recover.
 func TestOneServerIsUsedWhenAllAreEjected(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(3)...)
+	r := newHarness(t, settings(Safe), fleet(3)...)
 	r.b.now = r.now
 	for _, s := range r.b.servers {
 		r.b.eject(s)
@@ -46,7 +46,7 @@
 // seconds. Ejecting servers for such runs leaves too few for the load. A server that fails all attempts must
 // be ejected all the same.
 func TestRunsOfFailuresThatChanceExplainsDoNotEject(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(6)...)
+	r := newHarness(t, settings(Safe), fleet(6)...)
 	rng := rand.New(rand.NewPCG(1, 1))
 	play := func(first uint64, broken *server) {
 		for id := first; id < first+20000 && broken.ejectedUntil == 0; id++ {
@@ -84,7 +84,7 @@
 func TestGoneAndUnresponsiveServerIsEjectedAtOnceWhereOthersFailToo(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Contract.GoneIsAdvisory = true
-	r := newRig(t, cfg, fleet(3)...)
+	r := newHarness(t, cfg, fleet(3)...)
 	r.request(1)
 	s := r.b.byID[r.sent()]
 	for _, o := range r.b.servers {
@@ -97,8 +97,8 @@
 }
 
 func TestRequestsThatFailAnywhereEjectNoServer(t *testing.T) {
-	r := newRig(t, settings(Unsafe), fleet(3)...)
-	r.tally(1, 60)
+	r := newHarness(t, settings(Unsafe), fleet(3)...)
+	r.serveAndCount(1, 60)
 	for id := uint64(100); id < 400; id++ {
 		tenant, o := "good", Done
 		if id%5 < 2 {
@@ -109,7 +109,7 @@
 			r.now += 10 * ms
 			r.outcome(id, 0, 10*ms, o)
 		}
-		for _, a := range r.acts {
+		for _, a := range r.actions {
 			if a.Kind == ActLog {
 				t.Fatalf("request %d: unexpected log line %q", id, a.Text)
 			}
@@ -118,8 +118,8 @@
 }
 
 func TestServerThatFailsForAllIsStillEjected(t *testing.T) {
-	r := newRig(t, settings(Unsafe), fleet(3)...)
-	r.tally(1, 60)
+	r := newHarness(t, settings(Unsafe), fleet(3)...)
+	r.serveAndCount(1, 60)
 	got := 0
 	for id := uint64(100); id < 400; id++ {
 		r.requestAs(id, "c", []string{"a", "b"}[id%2], false)
--- a/internal/sidecar/logic/fault.go
+++ b/internal/sidecar/logic/fault.go
@@ -12,11 +12,11 @@
 const (
 	failure faultKind = iota
 	lateness
-	faultKinds // number of kinds
+	numFaultKinds // number of kinds
 )
 
 // faultShares are the aged shares of outcomes that are bad and attributed to one suspect, by kind.
-type faultShares [faultKinds]float64
+type faultShares [numFaultKinds]float64
 
 // suspect is what a bad outcome may be attributed to.
 type suspect int
@@ -28,7 +28,7 @@
 	suspectZone // the path to the server's zone
 	suspectClass
 	suspectTenant
-	suspectCount
+	numSuspects
 )
 
 // sharesOf returns the shares of key k in m, and adds them if there are none yet.
@@ -45,7 +45,7 @@
 // a bad outcome; attribute reports whether that is the server, and true for a good outcome.
 func (b *Balancer) attribute(a *attempt, kind faultKind, bad bool) (toServer bool) {
 	s, r := a.server, a.request
-	shares := [suspectCount]*faultShares{&b.overall, &s.faultShares, s.cellShares, s.zoneShares,
+	shares := [numSuspects]*faultShares{&b.overall, &s.faultShares, s.cellShares, s.zoneShares,
 		&r.class.faultShares, r.tenantShares}
 	total, highest := serverFaultPrior-sharedFaultPrior, 0.0
 	for _, x := range shares {
--- a/internal/sidecar/logic/harness_test.go
+++ b/internal/sidecar/logic/harness_test.go
@@ -8,12 +8,12 @@
 
 const ms = time.Millisecond
 
-// rig drives one balancer with events and keeps its latest actions.
-type rig struct {
-	t    *testing.T
-	b    *Balancer
-	now  time.Duration
-	acts []Action // of the latest event
+// harness drives one balancer with events and keeps its latest actions.
+type harness struct {
+	t       *testing.T
+	b       *Balancer
+	now     time.Duration
+	actions []Action // of the latest event
 }
 
 // settings returns a configuration with one class, "c", of the given effect.
@@ -34,13 +34,13 @@
 	return cfg
 }
 
-func newRig(t *testing.T, cfg Config, servers ...Server) *rig {
+func newHarness(t *testing.T, cfg Config, servers ...Server) *harness {
 	t.Helper()
 	b, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, now: time.Minute}
+	r := &harness{t: t, b: b, now: time.Minute}
 	b.requestRate, b.rateUpdated = 1e3, r.now // a high rate, so that the subset has all servers
 	r.step(Event{Kind: EvServerList, Servers: servers, Complete: true, Stored: true})
 	return r
@@ -54,57 +54,57 @@
 	return list
 }
 
-func (r *rig) step(ev Event) []Action {
-	r.acts = r.b.Step(r.now, &ev, nil)
-	return r.acts
+func (r *harness) step(ev Event) []Action {
+	r.actions = r.b.Step(r.now, &ev, nil)
+	return r.actions
 }
 
-func (r *rig) request(id uint64) []Action {
+func (r *harness) request(id uint64) []Action {
 	return r.step(Event{Kind: EvRequest, Request: id, Class: "c", Expires: r.now + 800*ms})
 }
 
 // requestAs passes a request of a class and a tenant to the balancer.
-func (r *rig) requestAs(id uint64, class, tenant string, retry bool) {
+func (r *harness) requestAs(id uint64, class, tenant string, retry bool) {
 	r.step(Event{Kind: EvRequest, Request: id, Class: class, Tenant: tenant, Retry: retry,
 		Expires: r.now + 900*ms})
 }
 
-func (r *rig) outcome(id uint64, attempt int, latency time.Duration, o Outcome) []Action {
+func (r *harness) outcome(id uint64, attempt int, latency time.Duration, o Outcome) []Action {
 	return r.step(Event{Kind: EvOutcome, Request: id, Attempt: attempt, Latency: latency, Outcome: o,
 		Final: o == Done})
 }
 
 // list applies a server list, or a change to it unless complete is set.
-func (r *rig) list(complete bool, servers ...Server) {
+func (r *harness) list(complete bool, servers ...Server) {
 	r.step(Event{Kind: EvServerList, Servers: servers, Complete: complete})
 }
 
 // find returns the first action of a kind.
-func (r *rig) find(kind ActionKind) (Action, bool) {
-	i := slices.IndexFunc(r.acts, func(a Action) bool { return a.Kind == kind })
+func (r *harness) find(kind ActionKind) (Action, bool) {
+	i := slices.IndexFunc(r.actions, func(a Action) bool { return a.Kind == kind })
 	if i < 0 {
 		return Action{}, false
 	}
-	return r.acts[i], true
+	return r.actions[i], true
 }
 
-func (r *rig) has(kind ActionKind) bool {
+func (r *harness) has(kind ActionKind) bool {
 	_, ok := r.find(kind)
 	return ok
 }
 
 // sent returns the server of the latest event's ActSend.
-func (r *rig) sent() uint64 {
+func (r *harness) sent() uint64 {
 	r.t.Helper()
 	a, ok := r.find(ActSend)
 	if !ok {
-		r.t.Fatalf("no attempt was sent, actions %+v", r.acts)
+		r.t.Fatalf("no attempt was sent, actions %+v", r.actions)
 	}
 	return a.Server
 }
 
 // serve passes one request to the balancer, answers it after latency and returns its server.
-func (r *rig) serve(id uint64, latency func(server uint64) time.Duration) uint64 {
+func (r *harness) serve(id uint64, latency func(server uint64) time.Duration) uint64 {
 	r.t.Helper()
 	r.request(id)
 	s := r.sent()
@@ -114,8 +114,8 @@
 	return s
 }
 
-// tally serves n requests with ids from id on, with a latency of 20 ms each, and counts them by server.
-func (r *rig) tally(id, n uint64) map[uint64]int {
+// serveAndCount serves n requests with ids from id on, with a latency of 20 ms each, and counts them by server.
+func (r *harness) serveAndCount(id, n uint64) map[uint64]int {
 	got := map[uint64]int{}
 	for i := range n {
 		got[r.serve(id+i, func(uint64) time.Duration { return 20 * ms })]++
@@ -123,15 +123,15 @@
 	return got
 }
 
-// wakeFor advances the time to a wake-up that the latest event requested, and delivers the wake-up.
-func (r *rig) wakeFor(kind TimerKind) {
+// deliverWakeUp advances the time to a wake-up that the latest event requested, and delivers the wake-up.
+func (r *harness) deliverWakeUp(kind TimerKind) {
 	r.t.Helper()
-	for _, a := range r.acts {
+	for _, a := range r.actions {
 		if a.Kind == ActWake && a.Timer.Kind == kind {
 			r.now = a.At
 			r.step(Event{Kind: EvWake, Timer: a.Timer})
 			return
 		}
 	}
-	r.t.Fatalf("no wake-up of kind %d was requested, actions %+v", kind, r.acts)
+	r.t.Fatalf("no wake-up of kind %d was requested, actions %+v", kind, r.actions)
 }
--- a/internal/sidecar/logic/listrequest_test.go
+++ b/internal/sidecar/logic/listrequest_test.go
@@ -8,8 +8,8 @@
 func TestListIsRequestedAgainAfterAnError(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Subscribe = true
-	r := newRig(t, cfg, fleet(1)...)
-	r.wakeFor(TimerList)
+	r := newHarness(t, cfg, fleet(1)...)
+	r.deliverWakeUp(TimerList)
 	if _, ok := r.find(ActWatch); !ok {
 		t.Fatal("the server list was not requested after the start")
 	}
@@ -34,7 +34,7 @@
 	early := 0
 	for seed := range uint64(80) {
 		b, _ := New(cfg, seed)
-		r := &rig{t: t, b: b, now: time.Minute}
+		r := &harness{t: t, b: b, now: time.Minute}
 		r.step(Event{Kind: EvServerList, Servers: fleet(60), Complete: true, Stored: true})
 		if w, _ := r.find(ActWake); w.At-r.now < work/5 {
 			early++
@@ -53,18 +53,18 @@
 // A change that a broken subscription missed counts as received 6 s after the last message, and a drain
 // allows another half second. With the usual backoff of up to half of ListInterval, the list was requested
 // later than that.
-func TestAMissedListIsAskedForBeforeItCountsAsTold(t *testing.T) {
+func TestMissedListIsRequestedBeforeItCountsAsReceived(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Subscribe, cfg.Balancers = true, 300
 	latest := time.Duration(0)
 	for seed := range uint64(200) {
 		b, _ := New(cfg, seed)
-		r := &rig{t: t, b: b, now: time.Minute}
+		r := &harness{t: t, b: b, now: time.Minute}
 		r.step(Event{Kind: EvServerList, Servers: fleet(60), Complete: true})
 		const left = 3500 * ms
-		told := r.now + left
+		receivedAt := r.now + left
 		for call := 1; call <= 2; call++ {
-			r.step(Event{Kind: EvListLost, Expires: told})
+			r.step(Event{Kind: EvListLost, Expires: receivedAt})
 			w, _ := r.find(ActWake)
 			r.now = w.At
 			r.step(Event{Kind: EvWake, Timer: w.Timer})
@@ -72,15 +72,15 @@
 				t.Fatal("the server list was not requested again after a lost subscription")
 			}
 			if call == 1 {
-				latest = max(latest, r.now-(told-left))
+				latest = max(latest, r.now-(receivedAt-left))
 			}
 			r.now += time.Second // the call gets no answer
 		}
-		if late := r.now - time.Second - told; late > 0 {
+		if late := r.now - time.Second - receivedAt; late > 0 {
 			t.Errorf("seed %d: the second call is %s after a missed change counts as received", seed, late)
 		}
-		r.step(Event{Kind: EvListLost, Expires: told}) // received: the usual backoff applies
-		if w, _ := r.find(ActWake); r.now > told && w.At-r.now < cfg.Contract.ListInterval/32 {
+		r.step(Event{Kind: EvListLost, Expires: receivedAt}) // received: the usual backoff applies
+		if w, _ := r.find(ActWake); r.now > receivedAt && w.At-r.now < cfg.Contract.ListInterval/32 {
 			t.Errorf("seed %d: list requested again after %s, want the usual backoff", seed, w.At-r.now)
 		}
 	}
@@ -94,7 +94,7 @@
 func TestWakeUpAFractionEarlyStillRequestsTheList(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Subscribe = true
-	r := newRig(t, cfg, fleet(1)...)
+	r := newHarness(t, cfg, fleet(1)...)
 	w, ok := r.find(ActWake)
 	if !ok {
 		t.Fatal("no wake-up for a request of the list")
--- a/internal/sidecar/logic/outcome.go
+++ b/internal/sidecar/logic/outcome.go
@@ -67,7 +67,7 @@
 	b.attribute(a, failure, false)
 	serverAtFault := b.attribute(a, lateness, !onTime)
 	s.Observe(b.now, r.work/took)
-	s.failuresInRow, s.lastResponse = 0, b.now
+	s.consecutiveFailures, s.lastResponse = 0, b.now
 	s.failureShare -= meanStep * s.failureShare
 	// The answer to an attempt sent before the end of an ejection does not reset the backoff.
 	if s.ejectBackoff > minEjectBackoff && a.sentAt >= s.ejectedUntil && onTime {
@@ -95,19 +95,19 @@
 }
 
 // adjustLimit adapts the limit of a's server to an answer after took seconds. A slow answer lowers it. A
-// quick answer raises it if at least crowdedFraction of the limit was in use when a was sent.
+// quick answer raises it if at least limitUsedFraction of the limit was in use when a was sent.
 func (b *Balancer) adjustLimit(a *attempt, took float64, serverAtFault bool) {
 	s, r := a.server, a.request
 	quick := r.class.quickLatency
-	slowest := max((r.fullTarget-r.arrived).Seconds()-quick, 0) // range from quick latency to target
+	targetRange := max((r.fullTarget-r.arrived).Seconds()-quick, 0) // range from quick latency to target
 	s.slowShare -= slowStep * s.slowShare
-	if took > quick+shrinkAbove*slowest {
+	if took > quick+shrinkAbove*targetRange {
 		// A slow answer in time to a crowded attempt shows a queue, which the lower limit alone corrects.
-		if serverAtFault && (!a.crowded || b.now > r.fullTarget) {
-			s.lateInRow++
+		if serverAtFault && (!a.limitUsed || b.now > r.fullTarget) {
+			s.consecutiveLate++
 		}
 		b.shrinkLimit(a)
-	} else if s.lateInRow = 0; a.crowded && took <= quick+growBelow*slowest {
+	} else if s.consecutiveLate = 0; a.limitUsed && took <= quick+growBelow*targetRange {
 		s.limit += max(1/s.limit, minLimitGrowth)
 	}
 }
@@ -134,7 +134,7 @@
 	// A late server that has responded to other attempts since is not hung but has a queue, which a lower
 	// limit corrects.
 	if serverAtFault && (kind == failure || s.lastResponse <= a.sentAt) {
-		s.failuresInRow++
+		s.consecutiveFailures++
 	}
 	if !a.request.isAtFault() {
 		s.Observe(b.now, 0)
@@ -144,14 +144,14 @@
 	if kind == failure {
 		s.lastResponse = b.now
 	} else if serverAtFault {
-		s.lateInRow++
+		s.consecutiveLate++
 	}
 	threshold := b.ejectThreshold()
 	// A server that is listed as gone and does not respond is gone indeed: eject it for the longest time.
 	if s.State == Gone && outcome != Errored && outcome != Busy {
-		s.failuresInRow, s.ejectBackoff = threshold, maxEjectBackoff
+		s.consecutiveFailures, s.ejectBackoff = threshold, maxEjectBackoff
 	}
-	if s.failuresInRow >= threshold || s.faultShares[failure] > ejectFailureShare {
+	if s.consecutiveFailures >= threshold || s.faultShares[failure] > ejectFailureShare {
 		b.eject(s)
 	}
 }
--- a/internal/sidecar/logic/outcome_test.go
+++ b/internal/sidecar/logic/outcome_test.go
@@ -7,8 +7,8 @@
 	"fieldrelay/internal/common/selection"
 )
 
-func TestOneFailureAfterAGapDoesNotSinkAnEstimate(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(1)...)
+func TestOneLateAnswerAfterAGapLowersEstimatesLittle(t *testing.T) {
+	r := newHarness(t, settings(Safe), fleet(1)...)
 	for id := range uint64(50) {
 		r.serve(id, func(uint64) time.Duration { return 20 * ms })
 	}
@@ -25,7 +25,7 @@
 
 // Variation of the requests' work alone must not keep a limit low.
 func TestRareSlowAnswersLeaveTheLimit(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(1)...)
+	r := newHarness(t, settings(Safe), fleet(1)...)
 	s := r.b.servers[0]
 	for id := range uint64(400) {
 		base := id * 10
@@ -49,7 +49,7 @@
 
 // A server that fails quickly looks idle and fast, but must not attract requests.
 func TestServerThatFailsQuicklyIsDropped(t *testing.T) {
-	r := newRig(t, settings(Unsafe), fleet(3)...)
+	r := newHarness(t, settings(Unsafe), fleet(3)...)
 	failed := 0
 	for id := range uint64(200) {
 		r.request(id)
@@ -70,7 +70,7 @@
 func TestStreamedAnswerIsLearnedAtItsStart(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Classes[0].Stream = true
-	r := newRig(t, cfg, fleet(1)...)
+	r := newHarness(t, cfg, fleet(1)...)
 	r.request(1)
 	r.now += 30 * ms
 	r.step(Event{Kind: EvStarted, Request: 1, Latency: 30 * ms})
@@ -79,7 +79,7 @@
 	}
 	r.now += time.Minute
 	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerExpire, ID: 1}})
-	if len(r.acts) != 0 {
-		t.Errorf("actions at the expiry of a request whose streamed answer has started: %+v", r.acts)
+	if len(r.actions) != 0 {
+		t.Errorf("actions at the expiry of a request whose streamed answer has started: %+v", r.actions)
 	}
 }
--- a/internal/sidecar/logic/pick.go
+++ b/internal/sidecar/logic/pick.go
@@ -20,7 +20,7 @@
 	}
 	s, sendBefore := b.pick(r, b.candidates), b.repeatDeadline(r)
 	a := &attempt{request: r, number: len(r.attempts), server: s, sentAt: b.now, inFlight: true}
-	a.crowded = float64(len(s.inFlight)+1) >= crowdedFraction*s.limit
+	a.limitUsed = float64(len(s.inFlight)+1) >= limitUsedFraction*s.limit
 	r.attempts = append(r.attempts, a)
 	s.inFlight = append(s.inFlight, a)
 	b.inFlight++
--- a/internal/sidecar/logic/pick_test.go
+++ b/internal/sidecar/logic/pick_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestSoftmaxPrefersTheFasterServer(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(2)...)
+	r := newHarness(t, settings(Safe), fleet(2)...)
 	count := map[uint64]int{}
 	for id := range uint64(400) {
 		count[r.serve(id, func(s uint64) time.Duration { return time.Duration(s) * 50 * ms })]++
@@ -19,7 +19,7 @@
 func TestKeysStayAtTheirAffinityServer(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.KeyAffinity = true
-	r := newRig(t, cfg, fleet(6)...)
+	r := newHarness(t, cfg, fleet(6)...)
 	count := map[uint64]int{}
 	for id := range uint64(300) {
 		r.step(Event{Kind: EvRequest, Request: id, Class: "c", Key: 77, HasKey: true, Expires: r.now + 800*ms})
@@ -45,7 +45,7 @@
 	for i := range list[3:] {
 		list[3+i].Zone = "z2"
 	}
-	r := newRig(t, cfg, list...)
+	r := newHarness(t, cfg, list...)
 	crossed := 0
 	for id := range uint64(300) {
 		if s := r.serve(id, func(uint64) time.Duration { return 20 * ms }); id >= 10 && s > 3 {
--- a/internal/sidecar/logic/random_test.go
+++ b/internal/sidecar/logic/random_test.go
@@ -11,39 +11,39 @@
 // The randomized test feeds valid sequences of events to a balancer and checks every action against the
 // rules. Outcomes are random: there is no model of a fleet.
 
-// seenAttempt is the test's own record of an ActSend.
-type seenAttempt struct {
-	server  uint64
-	sent    time.Duration
-	out     bool
-	mayRun  bool
-	timeout time.Duration // time at which it times out
+// attemptRecord is the test's own record of an ActSend.
+type attemptRecord struct {
+	server     uint64
+	sent       time.Duration
+	inFlight   bool
+	mayHaveRun bool
+	timeout    time.Duration // time at which it times out
 }
 
-type seenRequest struct {
+type requestRecord struct {
 	class    Class
 	expires  time.Duration
-	attempts []seenAttempt
-	over     bool
+	attempts []attemptRecord
+	closed   bool
 }
 
 type checker struct {
-	t        *testing.T
-	cfg      Config
-	rng      *rand.Rand
-	b        *Balancer
-	now      time.Duration
-	list     map[uint64]*Server
-	banned   map[uint64]bool // listed as draining or gone
-	requests map[uint64]*seenRequest
-	order    []uint64
-	wakes    []Action
-	sends    int
-	cold     map[uint64]float64 // sends that each server may have got during slow start
-	coldGot  map[uint64]int
-	history  []Action
-	nextID   uint64
-	watch    func(now time.Duration, a Action) // called with each action, if not nil
+	t              *testing.T
+	cfg            Config
+	rng            *rand.Rand
+	b              *Balancer
+	now            time.Duration
+	list           map[uint64]*Server
+	excluded       map[uint64]bool // listed as draining or gone
+	requests       map[uint64]*requestRecord
+	order          []uint64
+	wakes          []Action
+	sends          int
+	slowStartParts map[uint64]float64 // sends that each server may have got during slow start
+	slowStartSends map[uint64]int
+	history        []Action
+	nextID         uint64
+	onAction       func(now time.Duration, a Action) // called with each action, if not nil
 }
 
 func randomConfig(rng *rand.Rand) Config {
@@ -73,8 +73,8 @@
 	acts := c.b.Step(c.now, &ev, nil)
 	c.history = append(c.history, acts...)
 	for _, a := range acts {
-		if c.watch != nil {
-			c.watch(c.now, a)
+		if c.onAction != nil {
+			c.onAction(c.now, a)
 		}
 		c.check(a)
 	}
@@ -103,62 +103,62 @@
 			c.t.Fatalf("cancellation of an unknown attempt, or against the settings: %+v", a)
 		}
 	case ActReject, ActFail:
-		if r.over {
+		if r.closed {
 			c.t.Fatalf("request %d got two final answers", a.Request)
 		}
-		r.over = true
+		r.closed = true
 		if c.now > r.expires+c.cfg.Contract.AnswerGrace {
 			c.t.Fatalf("request %d got its final answer %v after its expiry", a.Request, c.now-r.expires)
 		}
 		keyedAll := r.class.Effect == Keyed && r.class.Group == GroupAll
-		if a.Kind == ActReject && r.class.Effect != Safe && !keyedAll && r.ran() {
+		if a.Kind == ActReject && r.class.Effect != Safe && !keyedAll && r.mayHaveRun() {
 			c.t.Fatalf("request %d rejected though it may have run", a.Request)
 		}
 	}
 }
 
-func (r *seenRequest) ran() bool {
-	return slices.ContainsFunc(r.attempts, func(a seenAttempt) bool { return a.out || a.mayRun })
+func (r *requestRecord) mayHaveRun() bool {
+	return slices.ContainsFunc(r.attempts, func(a attemptRecord) bool { return a.inFlight || a.mayHaveRun })
 }
 
-func (c *checker) checkSend(r *seenRequest, a Action) {
+func (c *checker) checkSend(r *requestRecord, a Action) {
 	s := c.list[a.Server]
-	if s == nil || c.banned[a.Server] {
+	if s == nil || c.excluded[a.Server] {
 		c.t.Fatalf("attempt sent to server %d, which is unknown, draining or gone", a.Server)
 	}
-	if r.over || len(r.attempts) >= c.cfg.Limits.MaxAttempts {
+	if r.closed || len(r.attempts) >= c.cfg.Limits.MaxAttempts {
 		c.t.Fatalf("attempt of request %d after its final answer or beyond MaxAttempts", a.Request)
 	}
 	for _, o := range r.attempts {
-		if !o.out && !o.mayRun {
+		if !o.inFlight && !o.mayHaveRun {
 			continue
 		}
 		from := c.list[o.server]
 		same := r.class.Group == GroupAll || (r.class.Group == GroupZone && from.Zone == s.Zone) ||
 			(r.class.Group == GroupCell && from.Cell == s.Cell)
-		if r.class.Effect == Unsafe || (o.out && !c.cfg.Limits.ParallelAttempts) ||
+		if r.class.Effect == Unsafe || (o.inFlight && !c.cfg.Limits.ParallelAttempts) ||
 			(r.class.Effect == Keyed && (!same || c.now-o.sent > r.class.Window)) {
 			c.t.Fatalf("effect %d: request %d was sent again where a repeat is not allowed",
 				r.class.Effect, a.Request)
 		}
 	}
-	r.attempts = append(r.attempts, seenAttempt{server: a.Server, sent: c.now, out: true, timeout: c.now + a.After})
+	r.attempts = append(r.attempts, attemptRecord{server: a.Server, sent: c.now, inFlight: true, timeout: c.now + a.After})
 	c.sends++
 	if c.b.capacityFraction(c.b.byID[a.Server]) < 1 {
-		c.coldGot[a.Server]++
+		c.slowStartSends[a.Server]++
 	}
-	if got := float64(c.coldGot[a.Server]); got > c.cold[a.Server]+3 {
+	if got := float64(c.slowStartSends[a.Server]); got > c.slowStartParts[a.Server]+3 {
 		c.t.Fatalf("server %d got %v sends during slow start, its part is %.1f",
-			a.Server, got, c.cold[a.Server])
+			a.Server, got, c.slowStartParts[a.Server])
 	}
 }
 
-// earn adds to each server in slow start its present part of one request. The subset is assumed to have at
+// addSlowStartParts adds to each server in slow start its present part of one request. The subset is assumed to have at
 // least half of its full capacity.
-func (c *checker) earn() {
+func (c *checker) addSlowStartParts() {
 	for id, s := range c.list {
-		if f := c.b.capacityFraction(&server{Server: *s}); f < 1 && !c.banned[id] {
-			c.cold[id] += 2 * f / float64(min(c.ready(), c.b.subsetSize()))
+		if f := c.b.capacityFraction(&server{Server: *s}); f < 1 && !c.excluded[id] {
+			c.slowStartParts[id] += 2 * f / float64(min(c.ready(), c.b.subsetSize()))
 		}
 	}
 }
@@ -166,7 +166,7 @@
 func (c *checker) ready() int {
 	n := 0
 	for id := range c.list {
-		if !c.banned[id] {
+		if !c.excluded[id] {
 			n++
 		}
 	}
@@ -194,28 +194,28 @@
 		return
 	}
 	later := s == nil || entry.Since > s.Since
-	c.ban(id, entry.State, later)
+	c.updateExcluded(id, entry.State, later)
 	if entry.Since == c.now {
-		c.cold[id], c.coldGot[id] = 0, 0
+		c.slowStartParts[id], c.slowStartSends[id] = 0, 0
 	}
 	c.list[id] = &entry
 	c.step(Event{Kind: EvServerList, Servers: []Server{entry}})
 }
 
-// ban tracks, independently of the balancer, which servers must get no requests. If gone is advisory, only a
+// updateExcluded tracks, independently of the balancer, which servers must get no requests. If gone is advisory, only a
 // drain excludes a server, until it restarts.
-func (c *checker) ban(id uint64, state State, later bool) {
+func (c *checker) updateExcluded(id uint64, state State, later bool) {
 	advice := c.cfg.Contract.GoneIsAdvisory
 	switch {
 	case state == Draining || (state == Gone && !advice):
-		c.banned[id] = true
+		c.excluded[id] = true
 	case state == Ready && (later || !advice):
-		delete(c.banned, id)
+		delete(c.excluded, id)
 	}
 }
 
-// wholeList sends a complete list that may be wrong: it omits some servers and lists draining ones as ready.
-func (c *checker) wholeList() {
+// sendCompleteList sends a complete list that may be wrong: it omits some servers and lists draining ones as ready.
+func (c *checker) sendCompleteList() {
 	var list []Server
 	for id := uint64(1); id <= 9; id++ {
 		s := c.list[id]
@@ -223,13 +223,13 @@
 			continue
 		}
 		if c.rng.IntN(4) == 0 {
-			c.ban(id, Gone, false)
-			c.cold[id], c.coldGot[id] = 0, 0
+			c.updateExcluded(id, Gone, false)
+			c.slowStartParts[id], c.slowStartSends[id] = 0, 0
 			continue
 		}
 		entry := *s
 		entry.State = Ready
-		c.ban(id, Ready, false)
+		c.updateExcluded(id, Ready, false)
 		list = append(list, entry)
 	}
 	c.step(Event{Kind: EvServerList, Servers: list, Complete: true})
@@ -243,14 +243,14 @@
 	}
 	c.b, c.order, c.wakes = b, nil, nil
 	clear(c.requests)
-	clear(c.cold)
-	clear(c.coldGot)
+	clear(c.slowStartParts)
+	clear(c.slowStartSends)
 	var list []Server
 	for id := uint64(1); id <= 9; id++ {
 		if s := c.list[id]; s != nil {
 			entry := *s
 			entry.State = Ready
-			if c.banned[id] {
+			if c.excluded[id] {
 				entry.State = Draining
 			}
 			list = append(list, entry)
@@ -264,9 +264,9 @@
 	cl := c.cfg.Classes[c.rng.IntN(len(c.cfg.Classes))]
 	ev := Event{Kind: EvRequest, Request: c.nextID, Class: cl.Name, HasKey: true, Key: uint64(c.rng.IntN(20)),
 		Expires: c.now + time.Duration(50+c.rng.IntN(1200))*ms}
-	c.requests[c.nextID] = &seenRequest{class: cl, expires: ev.Expires}
+	c.requests[c.nextID] = &requestRecord{class: cl, expires: ev.Expires}
 	c.order = append(c.order, c.nextID)
-	c.earn()
+	c.addSlowStartParts()
 	c.step(ev)
 }
 
@@ -277,7 +277,7 @@
 		for n := range r.attempts {
 			a := &r.attempts[n]
 			due := c.now >= a.timeout
-			if !a.out || (!due && c.rng.IntN(12) > 0) {
+			if !a.inFlight || (!due && c.rng.IntN(12) > 0) {
 				continue
 			}
 			o := Outcome(c.rng.IntN(8))
@@ -286,15 +286,15 @@
 			} else if c.rng.IntN(2) == 0 {
 				o = Done
 			}
-			a.out, a.mayRun = false, (o != Busy || c.cfg.Contract.BusyMayHaveRun) && o != Refused && o != Skipped
-			final := r.over || o == Done
+			a.inFlight, a.mayHaveRun = false, (o != Busy || c.cfg.Contract.BusyMayHaveRun) && o != Refused && o != Skipped
+			final := r.closed || o == Done
 			if o == Done {
-				r.over = true
+				r.closed = true
 			}
 			c.step(Event{Kind: EvOutcome, Request: id, Attempt: n, Outcome: o, Latency: c.now - a.sent, Final: final})
 		}
 	}
-	c.order = slices.DeleteFunc(c.order, func(id uint64) bool { return c.requests[id].over && !c.requests[id].ran() })
+	c.order = slices.DeleteFunc(c.order, func(id uint64) bool { return c.requests[id].closed && !c.requests[id].mayHaveRun() })
 }
 
 func (c *checker) wake() {
@@ -306,9 +306,9 @@
 	}
 }
 
-func runRandom(t *testing.T, seed uint64) []Action { return watchRandom(t, seed, nil) }
+func runRandom(t *testing.T, seed uint64) []Action { return runRandomObserved(t, seed, nil) }
 
-func watchRandom(t *testing.T, seed uint64, watch func(time.Duration, Action)) []Action {
+func runRandomObserved(t *testing.T, seed uint64, watch func(time.Duration, Action)) []Action {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	cfg := randomConfig(rng)
 	b, err := New(cfg, seed)
@@ -316,8 +316,8 @@
 		t.Fatal(err)
 	}
 	c := &checker{t: t, cfg: cfg, rng: rng, b: b, now: time.Minute, list: map[uint64]*Server{},
-		banned: map[uint64]bool{}, requests: map[uint64]*seenRequest{}, cold: map[uint64]float64{},
-		coldGot: map[uint64]int{}, watch: watch}
+		excluded: map[uint64]bool{}, requests: map[uint64]*requestRecord{}, slowStartParts: map[uint64]float64{},
+		slowStartSends: map[uint64]int{}, onAction: watch}
 	var first []Server
 	for id := uint64(1); id <= 5; id++ {
 		s := Server{ID: id, Zone: "z" + string(rune('0'+id%2)), Cell: int(id % 3)}
@@ -344,12 +344,12 @@
 		case 2:
 			if len(c.order) > 0 {
 				id := c.order[rng.IntN(len(c.order))]
-				c.requests[id].over = true
+				c.requests[id].closed = true
 				c.step(Event{Kind: EvClientGone, Request: id})
 			}
 		case 3:
 			if rng.IntN(10) == 0 {
-				c.wholeList()
+				c.sendCompleteList()
 			}
 		default:
 			if !quiet || rng.IntN(10) == 0 {
@@ -357,7 +357,7 @@
 			}
 		}
 		for _, id := range c.order {
-			if r := c.requests[id]; !r.over && c.now > r.expires+3*cfg.Tick+cfg.Contract.AnswerGrace {
+			if r := c.requests[id]; !r.closed && c.now > r.expires+3*cfg.Tick+cfg.Contract.AnswerGrace {
 				t.Fatalf("seed %d: request %d has no final answer in time", seed, id)
 			}
 		}
--- a/internal/sidecar/logic/request.go
+++ b/internal/sidecar/logic/request.go
@@ -34,7 +34,7 @@
 	sentAt       time.Duration
 	inFlight     bool // no outcome yet
 	mayHaveRun   bool // its outcome does not prove that it never ran
-	crowded      bool // at least crowdedFraction of the server's limit was in use when it was sent
+	limitUsed    bool // at least limitUsedFraction of the server's limit was in use when it was sent
 	canceledLate bool // canceled because no answer came in time
 }
 
--- a/internal/sidecar/logic/retry_test.go
+++ b/internal/sidecar/logic/retry_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestUnsafeIsNotResentUnlessItNeverRan(t *testing.T) {
-	r := newRig(t, settings(Unsafe), fleet(3)...)
+	r := newHarness(t, settings(Unsafe), fleet(3)...)
 	r.request(1)
 	r.now += 10 * ms
 	r.outcome(1, 0, 10*ms, Errored)
@@ -29,7 +29,7 @@
 	for i := range list {
 		list[i].Cell = i / 2
 	}
-	r := newRig(t, settings(Keyed), list...)
+	r := newHarness(t, settings(Keyed), list...)
 	for id := range uint64(10) {
 		r.b.slack.Share = 1 // no load shedding
 		r.request(id)
@@ -53,7 +53,7 @@
 	cfg := settings(Keyed)
 	cfg.Classes[0].LatencyTarget = 1000 * ms
 	for _, at := range []time.Duration{300 * ms, 600 * ms} {
-		r := newRig(t, cfg, fleet(3)...)
+		r := newHarness(t, cfg, fleet(3)...)
 		r.request(1)
 		r.now += at
 		r.outcome(1, 0, at, Errored)
@@ -70,7 +70,7 @@
 
 // A queued request that is sent just before its target is answered late, which would count as an overload.
 func TestQueuedRequestIsGivenUpInTimeForASlowAnswer(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(1)...)
+	r := newHarness(t, settings(Safe), fleet(1)...)
 	for id := range uint64(200) {
 		latency := time.Duration(20+40*(id%2)) * ms
 		r.serve(id, func(uint64) time.Duration { return latency })
@@ -79,7 +79,7 @@
 	for id := range uint64(limit + 1) {
 		r.request(1000 + id)
 	}
-	for _, a := range r.acts {
+	for _, a := range r.actions {
 		if a.Kind == ActWake && a.Timer.Kind == TimerQueued {
 			if room := r.now + 400*ms - a.At; room < 70*ms {
 				t.Errorf("request queued until %v before the target, want at least 70ms, since answers take 20 to 60 ms",
@@ -88,7 +88,7 @@
 			return
 		}
 	}
-	t.Errorf("the request was not queued: %+v", r.acts)
+	t.Errorf("the request was not queued: %+v", r.actions)
 }
 
 // A request that only a few servers may get would block the requests behind it in the queue.
@@ -97,7 +97,7 @@
 	for i := range list {
 		list[i].Cell = i / 2
 	}
-	r := newRig(t, settings(Keyed), list...)
+	r := newHarness(t, settings(Keyed), list...)
 	r.request(1)
 	cell := int(r.sent()-1) / 2
 	r.outcome(1, 0, 10*ms, Errored)
@@ -109,38 +109,38 @@
 	}
 	r.outcome(1, 1, 10*ms, Busy)
 	if _, failed := r.find(ActFail); !failed {
-		t.Errorf("a request that may have run and cannot be sent was not failed: %+v", r.acts)
+		t.Errorf("a request that may have run and cannot be sent was not failed: %+v", r.actions)
 	}
 }
 
 // Where a busy server may have begun the work (Contract.BusyMayHaveRun), a busy answer does not prove that
 // the attempt never ran, and a repeat breaks the rules of unsafe and keyed requests.
 func TestBusyIsNoProofWhereItMayHaveRun(t *testing.T) {
-	for _, shed := range []bool{false, true} {
+	for _, mayHaveRun := range []bool{false, true} {
 		cfg := settings(Unsafe)
-		cfg.Contract.BusyMayHaveRun = shed
-		r := newRig(t, cfg, fleet(3)...)
+		cfg.Contract.BusyMayHaveRun = mayHaveRun
+		r := newHarness(t, cfg, fleet(3)...)
 		r.request(1)
 		r.outcome(1, 0, ms, Busy)
-		if _, sent := r.find(ActSend); sent == shed {
-			t.Errorf("unsafe request, BusyMayHaveRun %t: sent again %t", shed, sent)
+		if _, sent := r.find(ActSend); sent == mayHaveRun {
+			t.Errorf("unsafe request, BusyMayHaveRun %t: sent again %t", mayHaveRun, sent)
 		}
-		if _, failed := r.find(ActFail); failed != shed {
-			t.Errorf("unsafe request, BusyMayHaveRun %t: failed %t", shed, failed)
+		if _, failed := r.find(ActFail); failed != mayHaveRun {
+			t.Errorf("unsafe request, BusyMayHaveRun %t: failed %t", mayHaveRun, failed)
 		}
 		cfg = settings(Keyed)
-		cfg.Contract.BusyMayHaveRun = shed
+		cfg.Contract.BusyMayHaveRun = mayHaveRun
 		list := fleet(2)
 		list[1].Cell = 1 // in this cell, repeats of keys of the other cell are not dropped
-		r = newRig(t, cfg, list...)
+		r = newHarness(t, cfg, list...)
 		r.request(1)
 		first := r.sent()
 		r.outcome(1, 0, ms, Busy)
-		if again := r.sent(); (again == first) != shed {
+		if again := r.sent(); (again == first) != mayHaveRun {
 			t.Errorf("keyed request, BusyMayHaveRun %t: sent to server %d, then to server %d",
-				shed, first, again)
+				mayHaveRun, first, again)
 		}
-		if r.outcome(1, 1, ms, Busy); shed {
+		if r.outcome(1, 1, ms, Busy); mayHaveRun {
 			r.now += 395 * ms
 			r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerTarget, ID: 1}})
 			if _, refused := r.find(ActReject); refused {
@@ -155,7 +155,7 @@
 func TestBusyAnswersToOneKindOfRequestAreRetriedElsewhere(t *testing.T) {
 	cfg := settings(Safe)
 	cfg.Classes = append(cfg.Classes, Class{Name: "odd", LatencyTarget: 400 * ms, Deadline: 1000 * ms})
-	r := newRig(t, cfg, fleet(6)...)
+	r := newHarness(t, cfg, fleet(6)...)
 	for id := range uint64(300) {
 		r.serve(id, func(uint64) time.Duration { return 20 * ms })
 		if id%10 != 0 {
@@ -165,7 +165,7 @@
 		r.step(Event{Kind: EvRequest, Request: odd, Class: "odd", Expires: r.now + 800*ms})
 		for attempt := range 2 {
 			if _, sent := r.find(ActSend); !sent {
-				t.Fatalf("request %d: attempt %d was not sent: %+v", odd, attempt, r.acts)
+				t.Fatalf("request %d: attempt %d was not sent: %+v", odd, attempt, r.actions)
 			}
 			o := Busy
 			if attempt > 0 {
@@ -178,11 +178,11 @@
 }
 
 func TestRequestIsNotRetriedWhereAllServersAreBusy(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(3)...)
-	r.tally(1, 60)
+	r := newHarness(t, settings(Safe), fleet(3)...)
+	r.serveAndCount(1, 60)
 	r.request(100)
 	if r.outcome(100, 0, 2*ms, Busy); !r.has(ActSend) {
-		t.Fatalf("a request that one server rejected as busy was not sent to another: %+v", r.acts)
+		t.Fatalf("a request that one server rejected as busy was not sent to another: %+v", r.actions)
 	}
 	r.outcome(100, 1, 2*ms, Done)
 	again := 0
@@ -202,8 +202,8 @@
 }
 
 func TestRequestAtFaultItselfIsNotRetried(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(3)...)
-	r.tally(1, 60)
+	r := newHarness(t, settings(Safe), fleet(3)...)
+	r.serveAndCount(1, 60)
 	again := 0
 	for id := uint64(100); id < 160; id += 2 {
 		r.requestAs(id, "c", "bad", false)
@@ -224,11 +224,11 @@
 }
 
 func TestSafeRequestIsRejectedAtItsTargetIfLateAnswersHaveNoValue(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(2)...)
+	r := newHarness(t, settings(Safe), fleet(2)...)
 	r.request(1)
 	r.now += 396 * ms
 	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerTarget, ID: 1}})
 	if !r.has(ActReject) {
-		t.Errorf("a safe request was not rejected at its target: %+v", r.acts)
+		t.Errorf("a safe request was not rejected at its target: %+v", r.actions)
 	}
 }
--- a/internal/sidecar/logic/server.go
+++ b/internal/sidecar/logic/server.go
@@ -11,13 +11,13 @@
 // server is what this sidecar knows about one server.
 type server struct {
 	Server
-	selection.Estimate        // of its speed: work divided by answer time
-	order              uint64 // position in this sidecar's own order
-	inFlight           []*attempt
-	goneAt             time.Duration // since when it has been listed as gone
-	lastResponse       time.Duration // time of its last answer or error
-	failuresInRow      int
-	failureShare       float64 // aged share of its attempts that failed
+	selection.Estimate         // of its speed: work divided by answer time
+	order               uint64 // position in this sidecar's own order
+	inFlight            []*attempt
+	goneAt              time.Duration // since when it has been listed as gone
+	lastResponse        time.Duration // time of its last answer or error
+	consecutiveFailures int
+	failureShare        float64 // aged share of its attempts that failed
 	faultShares
 	cellShares, zoneShares *faultShares // of its cell, and of the path to its zone
 	ejectedUntil           time.Duration
@@ -25,7 +25,7 @@
 	limit                  float64 // bound on this sidecar's attempts in flight there
 	limitShrunkAt          time.Duration
 	slowShare              float64       // aged share of slow answers
-	lateInRow              int           // consecutive late outcomes
+	consecutiveLate        int           // consecutive late outcomes
 	slowStartCredit        float64       // number of sends that it may get during slow start
 	closeIdleAt            time.Duration // when its idle connections are to be closed
 }
--- a/internal/sidecar/logic/serverlist.go
+++ b/internal/sidecar/logic/serverlist.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// onMembers applies the server list or a change to it, and dispatches the queue, since there may be new
+// onServerList applies the server list or a change to it, and dispatches the queue, since there may be new
 // servers.
-func (b *Balancer) onMembers(ev *Event) {
+func (b *Balancer) onServerList(ev *Event) {
 	listed := make(map[uint64]bool, len(ev.Servers))
 	for i := range ev.Servers {
 		listed[ev.Servers[i].ID] = true
-		b.applyMember(&ev.Servers[i])
+		b.applyEntry(&ev.Servers[i])
 	}
 	gone := 0
 	for _, s := range slices.Clone(b.servers) {
@@ -35,8 +35,8 @@
 	b.dispatchQueue()
 }
 
-// applyMember applies one entry of the list.
-func (b *Balancer) applyMember(e *Server) {
+// applyEntry applies one entry of the list.
+func (b *Balancer) applyEntry(e *Server) {
 	s := b.byID[e.ID]
 	switch {
 	case e.State == Gone:
--- a/internal/sidecar/logic/serverlist_test.go
+++ b/internal/sidecar/logic/serverlist_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestDrainingServerGetsNothing(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(2)...)
+	r := newHarness(t, settings(Safe), fleet(2)...)
 	r.step(Event{Kind: EvServerList, Servers: []Server{{ID: 1, Zone: "z1", State: Draining}}})
 	for id := range uint64(50) {
 		if s := r.serve(id, func(uint64) time.Duration { return 20 * ms }); s == 1 {
@@ -16,7 +16,7 @@
 }
 
 func TestServerOmittedFromCompleteListIsGone(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(2)...)
+	r := newHarness(t, settings(Safe), fleet(2)...)
 	r.step(Event{Kind: EvServerList, Complete: true, Servers: fleet(1)})
 	for id := range uint64(20) {
 		if s := r.serve(id, func(uint64) time.Duration { return 20 * ms }); s != 1 {
@@ -26,7 +26,7 @@
 }
 
 func TestRestartedServerHasNoSamples(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(1)...)
+	r := newHarness(t, settings(Safe), fleet(1)...)
 	r.serve(1, func(uint64) time.Duration { return 20 * ms })
 	r.step(Event{Kind: EvServerList, Servers: []Server{{ID: 1, Zone: "z1", Since: r.now}}})
 	if s := r.b.servers[0]; s.Seeded() || s.Speed() != 0 {
@@ -39,14 +39,14 @@
 		for _, advisory := range []bool{false, true} {
 			cfg := settings(Safe)
 			cfg.Contract.GoneIsAdvisory = advisory
-			r := newRig(t, cfg, fleet(3)...)
-			r.tally(1, 30)
+			r := newHarness(t, cfg, fleet(3)...)
+			r.serveAndCount(1, 30)
 			gone := []Server{{ID: 2, State: Gone}}
 			if complete {
 				gone = []Server{{ID: 1, Zone: "z1"}, {ID: 3, Zone: "z1"}}
 			}
 			r.list(complete, gone...)
-			if got := r.tally(100, 100); (got[2] > 0) != advisory {
+			if got := r.serveAndCount(100, 100); (got[2] > 0) != advisory {
 				t.Errorf("complete list %t, gone is advisory %t: server 2, which is gone, got %d requests",
 					complete, advisory, got[2])
 			}
@@ -55,16 +55,16 @@
 }
 
 func TestListWithAllServersGoneIsDistrusted(t *testing.T) {
-	r := newRig(t, advisoryGone(), fleet(4)...)
+	r := newHarness(t, advisoryGone(), fleet(4)...)
 	r.list(true)
-	if got := r.tally(1, 100); len(got) != 4 {
+	if got := r.serveAndCount(1, 100); len(got) != 4 {
 		t.Errorf("requests were sent to %d of 4 running servers", len(got))
 	}
 }
 
 func TestServerListedAsGoneIsDroppedAtItsFirstFailure(t *testing.T) {
-	r := newRig(t, advisoryGone(), fleet(3)...)
-	r.tally(1, 30)
+	r := newHarness(t, advisoryGone(), fleet(3)...)
+	r.serveAndCount(1, 30)
 	r.list(false, Server{ID: 2, State: Gone})
 	failed := false
 	for id := uint64(100); id < 200; id++ {
@@ -86,9 +86,9 @@
 }
 
 func TestServerListedAsGoneWithoutASampleIsExcluded(t *testing.T) {
-	r := newRig(t, advisoryGone(), fleet(4)...)
+	r := newHarness(t, advisoryGone(), fleet(4)...)
 	r.list(false, Server{ID: 2, State: Gone})
-	if got := r.tally(1, 100); got[2] > 0 {
+	if got := r.serveAndCount(1, 100); got[2] > 0 {
 		t.Errorf("server 2, listed as gone and without a sample, got %d requests", got[2])
 	}
 }
@@ -98,29 +98,29 @@
 	live := Server{ID: 2, Zone: "z1", Since: time.Second}
 	later := Server{ID: 2, Zone: "z1", Since: 2 * time.Second}
 	others := []Server{{ID: 1, Zone: "z1"}, {ID: 3, Zone: "z1"}}
-	for name, then := range map[string]func(*rig){
-		"gone":    func(r *rig) { r.list(false, Server{ID: 2, State: Gone}) },
-		"omitted": func(r *rig) { r.list(true, others...) },
-		"old":     func(r *rig) { r.list(false, live) },
-		"back":    func(r *rig) { r.list(false, Server{ID: 2, State: Gone}); r.list(true, append(others, live)...) },
-		"empty":   func(r *rig) { r.list(true) },
+	for name, then := range map[string]func(*harness){
+		"gone":    func(r *harness) { r.list(false, Server{ID: 2, State: Gone}) },
+		"omitted": func(r *harness) { r.list(true, others...) },
+		"old":     func(r *harness) { r.list(false, live) },
+		"back":    func(r *harness) { r.list(false, Server{ID: 2, State: Gone}); r.list(true, append(others, live)...) },
+		"empty":   func(r *harness) { r.list(true) },
 	} {
-		r := newRig(t, advisoryGone(), append(others, live)...)
-		r.tally(1, 30)
+		r := newHarness(t, advisoryGone(), append(others, live)...)
+		r.serveAndCount(1, 30)
 		r.list(false, drain)
 		then(r)
-		if got := r.tally(100, 100); got[2] > 0 {
+		if got := r.serveAndCount(100, 100); got[2] > 0 {
 			t.Errorf("%s: drained server 2 got %d requests", name, got[2])
 		}
 		r.list(false, later)
-		if got := r.tally(300, 100); got[2] == 0 {
+		if got := r.serveAndCount(300, 100); got[2] == 0 {
 			t.Errorf("%s: server 2 got no request after its restart", name)
 		}
 	}
 }
 
-func TestOldListMakesNoColdServerWarm(t *testing.T) {
-	r := newRig(t, settings(Safe), fleet(3)...)
+func TestOutdatedListEndsNoSlowStart(t *testing.T) {
+	r := newHarness(t, settings(Safe), fleet(3)...)
 	r.list(false, Server{ID: 2, Zone: "z1", Since: r.now})
 	r.list(false, Server{ID: 2, Zone: "z1"})
 	if s := r.b.byID[2]; r.b.capacityFraction(s) == 1 {
@@ -129,8 +129,8 @@
 }
 
 func TestServerListedAsGoneIsForgottenInTheEnd(t *testing.T) {
-	r := newRig(t, advisoryGone(), fleet(3)...)
-	r.tally(1, 30)
+	r := newHarness(t, advisoryGone(), fleet(3)...)
+	r.serveAndCount(1, 30)
 	r.list(true, fleet(1)...)
 	r.now += 2 * goneRetention * agingTime
 	r.list(true, fleet(1)...)
@@ -145,7 +145,7 @@
 		cfg := settings(Safe)
 		cfg.Balancers = 1000
 		cfg.Prices.Connection, cfg.Prices.Handshake = price, 0.08
-		r := newRig(t, cfg, fleet(1)...)
+		r := newHarness(t, cfg, fleet(1)...)
 		r.b.requestRate = 2
 		s := r.serve(1, func(uint64) time.Duration { return 10 * ms })
 		w, ok := r.find(ActWake)
@@ -165,7 +165,7 @@
 		r.now = w.At
 		r.step(Event{Kind: EvWake, Timer: w.Timer})
 		if a, ok := r.find(ActCloseIdle); !ok || a.Server != s {
-			t.Errorf("idle connections were not closed: %+v", r.acts)
+			t.Errorf("idle connections were not closed: %+v", r.actions)
 		}
 	}
 }
--- a/internal/sidecar/logic/slowstart_test.go
+++ b/internal/sidecar/logic/slowstart_test.go
@@ -5,75 +5,75 @@
 	"time"
 )
 
-func TestColdServerGetsItsShareOnly(t *testing.T) {
+func TestServerInSlowStartGetsItsShareOnly(t *testing.T) {
 	list := fleet(4)
-	r := newRig(t, settings(Safe), list...)
+	r := newHarness(t, settings(Safe), list...)
 	list[0].Since = r.now
 	r.step(Event{Kind: EvServerList, Servers: list[:1]})
-	cold := 0
+	sends := 0
 	for id := range uint64(400) {
 		r.request(id)
 		if r.sent() == 1 {
-			cold++
+			sends++
 		}
 		r.outcome(id, 0, ms, Done) // the time stands still, so the server keeps its initial capacity
 	}
-	if most := 400*slowStartShare*0.2/3.2 + slowStartMaxCredit; float64(cold) > most {
-		t.Errorf("a server in slow start got %d of 400 sends, want at most %v", cold, most)
+	if most := 400*slowStartShare*0.2/3.2 + slowStartMaxCredit; float64(sends) > most {
+		t.Errorf("a server in slow start got %d of 400 sends, want at most %v", sends, most)
 	}
-	if cold == 0 {
+	if sends == 0 {
 		t.Error("a server in slow start got no request")
 	}
 }
 
 // In a large fleet, a request that is rejected at once grants no slow start credit: under overload a server
 // in slow start would otherwise get more requests than it can serve.
-func TestRefusedRequestsEarnNothing(t *testing.T) {
+func TestRejectedRequestsGrantNoSlowStartCredit(t *testing.T) {
 	list := fleet(4)
 	cfg := settings(Safe)
 	cfg.Balancers = boundMinBalancers
-	r := newRig(t, cfg, list...)
+	r := newHarness(t, cfg, list...)
 	list[0].Since = r.now
 	r.step(Event{Kind: EvServerList, Servers: list[:1]})
-	cold := r.b.byID[list[0].ID]
-	before := cold.slowStartCredit
+	starting := r.b.byID[list[0].ID]
+	before := starting.slowStartCredit
 	for id := range uint64(50) {
 		r.step(Event{Kind: EvRequest, Request: id, Class: "c", Expires: r.now}) // expires on arrival
 		if _, refused := r.find(ActReject); !refused {
 			t.Fatal("an expired request was not rejected")
 		}
 	}
-	refused := cold.slowStartCredit
+	afterRejected := starting.slowStartCredit
 	r.request(100)
-	if let := cold.slowStartCredit; refused != before || let == before {
+	if afterAdmitted := starting.slowStartCredit; afterRejected != before || afterAdmitted == before {
 		t.Errorf("credit %.2f, after 50 rejected requests %.2f, after one admitted request %.2f",
-			before, refused, let)
+			before, afterRejected, afterAdmitted)
 	}
 }
 
 // Servers in slow start get about their part of the subset's capacity, even with most or all of a fleet in
 // slow start. If credit were granted per send, it would shrink with each send in a fleet that is all in slow
 // start, and three of four requests would be rejected.
-func TestColdServersTakeTheirPart(t *testing.T) {
-	for cold, part := range map[int]float64{10: 5 / 6.5 * 400, 6: 3. / 7 * 400} {
+func TestServersInSlowStartGetTheirPart(t *testing.T) {
+	for starting, part := range map[int]float64{10: 5 / 6.5 * 400, 6: 3. / 7 * 400} {
 		list := fleet(10)
-		for i := range cold {
+		for i := range starting {
 			list[i].Since = time.Minute // the time stands still, so all keep their initial capacity
 		}
-		r := newRig(t, settings(Safe), list...)
+		r := newHarness(t, settings(Safe), list...)
 		r.b.cfg.Contract.SlowStartMinCapacity = 0.5
 		got := 0
 		for id := range uint64(400) {
 			for todo := r.request(id); len(todo) > 0; todo = todo[1:] { // an outcome may send queued requests
 				if a := todo[0]; a.Kind == ActSend {
-					got += min(1, max(0, cold+1-int(a.Server)))
+					got += min(1, max(0, starting+1-int(a.Server)))
 					todo = append(todo, r.outcome(a.Request, 0, ms, Done)...)
 				}
 			}
 		}
-		if float64(got) < 0.9*part || float64(got) > 1.3*part+float64(cold)*slowStartMaxCredit {
+		if float64(got) < 0.9*part || float64(got) > 1.3*part+float64(starting)*slowStartMaxCredit {
 			t.Errorf("%d servers in slow start of 10 got %d of 400 sends, their part is %.0f",
-				cold, got, part)
+				starting, got, part)
 		}
 	}
 }
--- a/internal/sidecar/logic/tuning.go
+++ b/internal/sidecar/logic/tuning.go
@@ -6,7 +6,7 @@
 // the paper that it implements. "Aged" means weighted by an exponential decay with time constant agingTime.
 
 // agingTime is the time constant of all aged values of this package, the one that the paper uses.
-const agingTime = selection.Delta
+const agingTime = selection.TimeConstant
 
 // Size of the subset of servers in use, and the bound on attempts in flight.
 const (
@@ -19,11 +19,11 @@
 
 // Choice of a server.
 const (
-	usableTimeLeft = 0.7  // share of the time left beyond which a server expected to take longer is dropped
-	lateRunLimit   = 2    // consecutive late outcomes after which a server is dropped
-	lateProbeShare = 0.05 // share of this sidecar's requests that probes servers dropped as late
-	affinityWeight = 2.0  // weight of a key's affinity server, relative to all candidates together
-	crossZoneScale = 40.0 // exponential decay of a weight per unit of the price of crossing zones
+	usableTimeLeft    = 0.7  // share of the time left beyond which a server expected to take longer is dropped
+	lateDropThreshold = 2    // consecutive late outcomes after which a server is dropped
+	lateProbeShare    = 0.05 // share of this sidecar's requests that probes servers dropped as late
+	affinityWeight    = 2.0  // weight of a key's affinity server, relative to all candidates together
+	crossZoneScale    = 40.0 // exponential decay of a weight per unit of the price of crossing zones
 )
 
 // Slow start.
@@ -36,13 +36,13 @@
 // Limits of attempts in flight at a server. The way from quick to target is the range from a class's quick
 // latency to its latency target.
 const (
-	initialLimit    = 2.0   // attempts in flight at a server without samples
-	growBelow       = 0.1   // an answer within this part of the way from quick to target raises a limit
-	shrinkAbove     = 0.3   // an answer past this part of the way from quick to target lowers a limit
-	minLimitGrowth  = 0.25  // least increase per quick answer, so that large limits adapt as fast
-	limitCut        = 0.5   // multiple of the share of slow answers cut from a limit, once per answer time
-	slowStep        = 0.125 // EWMA weight of an answer in the share of slow answers
-	crowdedFraction = 0.5   // share of a limit that must be in use before the limit grows
+	initialLimit      = 2.0   // attempts in flight at a server without samples
+	growBelow         = 0.1   // an answer within this part of the way from quick to target raises a limit
+	shrinkAbove       = 0.3   // an answer past this part of the way from quick to target lowers a limit
+	minLimitGrowth    = 0.25  // least increase per quick answer, so that large limits adapt as fast
+	limitCut          = 0.5   // multiple of the share of slow answers cut from a limit, once per answer time
+	slowStep          = 0.125 // EWMA weight of an answer in the share of slow answers
+	limitUsedFraction = 0.5   // share of a limit that must be in use before the limit grows
 )
 
 // Latency and work of a class.
@@ -76,7 +76,7 @@
 	earlyFraction       = 0.4  // part of the target within which an answer is early: overload shows soon
 	admitSlackFactor    = 1.5  // the square of this multiple of the slack is the admitted share of the work
 	minAdmitProbability = 0.05 // however low the slack, so that a recovery is noticed
-	levelSteps          = 20   // bisection steps in the search for the shedding level
+	bisectionSteps      = 20   // bisection steps in the search for the shedding level
 	minValue            = 1e-3 // value of a class whose value is not set
 	queueDeviations     = 4.0  // mean answer time and this many deviations must be left for a queued request
 	windowSafety        = 0.95 // used part of a repeat window, whose exact end a sidecar does not know
