--- a/internal/common/selection/estimate.go
+++ b/internal/common/selection/estimate.go
@@ -4,9 +4,10 @@
 // answered in time, which sets the softmax's temperature or, when low, replaces it by a walk down a sorted
 // list.
 //
-// The package only provides these parts. What a speed is and which servers are candidates is up to its users:
-// the sidecar (package logic) and the regional proxy (package placement). It is pure: it has no I/O, clock or
-// random source of its own. Times are of any monotonic clock. Nothing here is safe for concurrent use.
+// The package provides only these parts. Its users, the sidecar (package logic) and the regional proxy
+// (package placement), define what a speed is and which servers are candidates. The package does no I/O and
+// has no clock or random source of its own. Times may be of any monotonic clock. Nothing here is safe for
+// concurrent use.
 package selection
 
 import (
@@ -17,8 +18,8 @@
 // TimeConstant is the time constant δ of the aging: a sample this long after the last one weighs 1 - 1/e.
 const TimeConstant = 3 * time.Second
 
-// maxAlphaDown bounds the weight of a sample below the estimate: one slow answer after a gap moves it half
-// way at most.
+// maxAlphaDown bounds the weight of a sample below the estimate: one slow answer after a gap moves the
+// estimate at most half way to the sample.
 const maxAlphaDown = 0.5
 
 // Alpha is the weight, from 0 to 1, of a sample that comes gap after the last one: 1 - exp(-gap/δ).
@@ -32,8 +33,9 @@
 	seeded    bool
 }
 
-// Observe adds a sample at now. The first one seeds the estimate. After a long gap a single slow answer would
-// discredit a good server, so the weight of samples below the estimate is bounded.
+// Observe adds a sample at now. The first sample seeds the estimate. The weight of samples below the
+// estimate is bounded, so that a single slow answer after a long gap does not ruin the estimate of a fast
+// server.
 func (e *Estimate) Observe(now time.Duration, sample float64) {
 	alpha := Alpha(now - e.sampledAt)
 	if sample < e.speed {
@@ -45,10 +47,10 @@
 	e.speed, e.sampledAt = e.speed+alpha*(sample-e.speed), now
 }
 
-// Speed is the estimate; 0 until seeded.
+// Speed is the estimated speed; 0 until seeded.
 func (e *Estimate) Speed() float64 { return e.speed }
 
-// Seeded reports whether there was a sample.
+// Seeded reports whether there has been a sample.
 func (e *Estimate) Seeded() bool { return e.seeded }
 
 // SampledAt is the time of the last sample; 0 until seeded.
--- a/internal/common/selection/selection_test.go
+++ b/internal/common/selection/selection_test.go
@@ -47,13 +47,13 @@
 		gap            time.Duration
 		sample, expect float64
 	}{
-		{0, 20, 10}, // at the same instant as the last: no weight
+		{0, 20, 10}, // at the time of the last sample: no weight
 		{300 * time.Millisecond, 20, 10 + 10*(1-math.Exp(-0.1))},
-		{3 * time.Second, 20, 10 + 10*(1-math.Exp(-1))}, // up without a bound
+		{3 * time.Second, 20, 10 + 10*(1-math.Exp(-1))}, // above the estimate: unbounded weight
 		{time.Minute, 20, 10 + 10*(1-math.Exp(-20))},
 		{300 * time.Millisecond, 0, 10 - 10*(1-math.Exp(-0.1))},
-		{2 * time.Second, 0, 10 - 10*(1-math.Exp(-2.0/3))}, // 0.487: just within the bound
-		{3 * time.Second, 0, 5},                            // down half way at most
+		{2 * time.Second, 0, 10 - 10*(1-math.Exp(-2.0/3))}, // weight 0.487, below the bound
+		{3 * time.Second, 0, 5},                            // weight bounded at one half
 		{time.Hour, 4, 7},
 	} {
 		var e Estimate
@@ -75,10 +75,11 @@
 			before, seeded := e.Speed(), e.Seeded()
 			e.Observe(now, sample)
 			if e.Speed() < low-1e-9 || e.Speed() > high+1e-9 {
-				t.Fatalf("speed %v outside of the samples, %v to %v", e.Speed(), low, high)
+				t.Fatalf("speed %v, want a value within the samples, %v to %v", e.Speed(), low, high)
 			}
 			if seeded && sample < before && e.Speed() < before-maxAlphaDown*(before-sample)-1e-9 {
-				t.Fatalf("one sample of %v took the speed from %v to %v", sample, before, e.Speed())
+				t.Fatalf("one sample of %v lowered the speed from %v to %v, more than half way",
+					sample, before, e.Speed())
 			}
 		}
 	})
@@ -145,10 +146,10 @@
 		draw := rapid.Float64Range(0, math.Nextafter(1, 0)).Draw(t, "draw")
 		count := len(speeds)
 		if picked := Softmax(speeds, 0.2, draw); picked < 0 || picked >= count {
-			t.Fatalf("picked %d of %d", picked, count)
+			t.Fatalf("picked index %d of %d speeds", picked, count)
 		}
 	})
-	require.Equal(t, 1, Draw([]float64{1, 1}, 1), "a draw at the end picks the last")
+	require.Equal(t, 1, Draw([]float64{1, 1}, 1), "a draw of 1 picks the last index")
 }
 
 func TestScaledWeightsShiftTheDraw(t *testing.T) {
@@ -203,7 +204,7 @@
 func TestSlackIsTheAgedShareInTime(t *testing.T) {
 	slack := NewSlack(PaperBands)
 	require.True(t, slack.Begin(time.Minute))
-	require.False(t, slack.Begin(2*time.Minute), "it has started")
+	require.False(t, slack.Begin(2*time.Minute), "the aging has started already")
 	alpha := 1 - math.Exp(-0.1)
 	slack.Observe(time.Minute+300*time.Millisecond, false)
 	require.InDelta(t, 0.8*(1-alpha), slack.Share, 1e-12)
@@ -226,13 +227,13 @@
 			now += time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "gap"))
 			slack.Observe(now, rapid.Bool().Draw(t, "in time"))
 			if slack.Share < 0 || slack.Share > 1 {
-				t.Fatalf("slack %v", slack.Share)
+				t.Fatalf("slack %v, want a value from 0 to 1", slack.Share)
 			}
 		}
 	})
 }
 
-// serverSpeeds are the speeds of servers, which a test may change.
+// serverSpeeds are the speeds of servers by name, which a test may change.
 type serverSpeeds map[string]float64
 
 func (s serverSpeeds) speed(name string) float64 { return s[name] }
@@ -243,11 +244,11 @@
 	for range 3 {
 		require.Equal(t, "b", walk.Pick(names, names, speeds.speed))
 	}
-	speeds["b"] = 0 // it stays: its answers still come in time
+	speeds["b"] = 0 // the walk stays at b until it is left, whatever its speed
 	require.Equal(t, "b", walk.Pick(names, names, speeds.speed))
 	walk.Leave("b")
 	require.Equal(t, "c", walk.Pick(names, names, speeds.speed))
-	walk.Leave("b") // passed already
+	walk.Leave("b") // the walk is already past b
 	require.Equal(t, "c", walk.Pick(names, names, speeds.speed))
 	walk.Leave("c")
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed))
@@ -268,9 +269,9 @@
 	speeds, names := serverSpeeds{"a": 3, "b": 2, "c": 1}, []string{"a", "b", "c"}
 	var walk Walk[string]
 	require.Equal(t, "b", walk.Pick(names, []string{"c", "b"}, speeds.speed))
-	require.Equal(t, "a", walk.Pick(names, names, speeds.speed), "passing over does not leave")
-	walk.Leave("c") // from further down: all before it is left too
-	require.Equal(t, "a", walk.Pick(names, names, speeds.speed), "a new list")
+	require.Equal(t, "a", walk.Pick(names, names, speeds.speed), "skipping a server does not leave it")
+	walk.Leave("c") // c is the last of the list, so the servers before it are left too
+	require.Equal(t, "a", walk.Pick(names, names, speeds.speed), "the list is sorted again at its end")
 }
 
 func TestAWalkWithoutAListedCandidateTakesTheFirst(t *testing.T) {
@@ -296,7 +297,7 @@
 	walk.Reset()
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed))
 	walk.Reset()
-	walk.Leave("a") // of no list
+	walk.Leave("a") // the list is empty after the reset
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed))
 }
 
--- a/internal/common/selection/slack.go
+++ b/internal/common/selection/slack.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// initialSlack is the share that the design assumes before the first request.
+// initialSlack is the share assumed before the first request.
 const initialSlack = 0.8
 
 // MaxSlackAlpha bounds the weight of one request in the slack, so that the slack of a caller with few
-// requests follows them without jumps.
+// requests does not change abruptly.
 const MaxSlackAlpha = 0.5
 
 // Bands are the edges of the slack's bands and the temperatures of the softmax in them.
 type Bands struct {
-	Low       float64 // below it the sorted walk is used (the paper's B_crit)
-	High      float64 // above it the wide temperature is used (B_high)
-	TauTarget float64 // temperature from Low to High (τ_target)
-	TauFull   float64 // temperature above High (τ_full)
+	Low       float64 // below this slack the sorted walk is used (the paper's B_crit)
+	High      float64 // above this slack the temperature is TauFull (the paper's B_high)
+	TauTarget float64 // temperature from Low to High (the paper's τ_target)
+	TauFull   float64 // temperature above High (the paper's τ_full)
 }
 
 // PaperBands are the paper's bands and temperatures.
@@ -27,10 +27,11 @@
 	sampledAt time.Duration
 }
 
-// NewSlack returns a slack of the initial share, 0.8.
+// NewSlack returns a slack with the given bands and the initial share, 0.8.
 func NewSlack(bands Bands) Slack { return Slack{Bands: bands, Share: initialSlack} }
 
-// Begin starts the aging at now if it has not started, as at a first request, and reports whether it did.
+// Begin starts the aging at now unless it has started, and reports whether it did. A caller may call it
+// with each request.
 func (s *Slack) Begin(now time.Duration) bool {
 	first := s.sampledAt == 0
 	if first {
@@ -39,7 +40,7 @@
 	return first
 }
 
-// Observe adds a request that ended at now, and whether it was answered in time.
+// Observe counts a request that ended at now, answered in time or not.
 func (s *Slack) Observe(now time.Duration, inTime bool) {
 	alpha := min(Alpha(now-s.sampledAt), MaxSlackAlpha)
 	if s.Share, s.sampledAt = (1-alpha)*s.Share, now; inTime {
@@ -47,7 +48,7 @@
 	}
 }
 
-// Temperature is the temperature of the softmax. If walk is true, the sorted walk is to be used instead.
+// Temperature returns the temperature of the softmax. If walk is true, the sorted walk replaces the softmax.
 func (s *Slack) Temperature() (tau float64, walk bool) {
 	if s.Share > s.High {
 		return s.TauFull, false
--- a/internal/common/selection/softmax.go
+++ b/internal/common/selection/softmax.go
@@ -11,8 +11,9 @@
 	return Draw(speeds, draw)
 }
 
-// Weigh replaces each speed by its weight, exp((speed/best)/tau). If no speed is above 0, it leaves them and
-// returns false: the pick is to be uniform. A caller may scale the weights before it passes them to Draw.
+// Weigh replaces each speed by its weight, exp((speed/best)/tau). If no speed is above 0, it leaves the
+// speeds unchanged and returns false: the caller must pick uniformly. A caller may scale the weights before
+// it passes them to Draw.
 func Weigh(speeds []float64, tau float64) bool {
 	best := 0.0
 	for _, speed := range speeds {
--- a/internal/sidecar/budget/gate.go
+++ b/internal/sidecar/budget/gate.go
@@ -93,8 +93,9 @@
 	}
 }
 
-// Reserve reserves the bytes of r and blocks until they are granted. It fails with ErrNoBytes if they are not granted by
-// until, and with ErrCanceled if canceled is closed before. The charge has one holder, the caller.
+// Reserve reserves the bytes of r and blocks until they are granted. It fails with ErrNoBytes if r is rejected or
+// dropped, or not granted by until, and with ErrCanceled if canceled is closed before. The charge has one holder, the
+// caller.
 func (g *Gate) Reserve(r Reservation, until time.Time, canceled <-chan struct{}) (*Charge, error) {
 	if g == nil {
 		return nil, nil
--- a/internal/sidecar/logic/balancer_test.go
+++ b/internal/sidecar/logic/balancer_test.go
@@ -83,7 +83,7 @@
 	for name, servers := range map[string][]Server{
 		"none": nil, "one": fleet(1), "thousands": fleet(3000), "all draining": draining,
 	} {
-		bare := Config{Classes: []Class{{Name: "c", Effect: Keyed, Group: GroupZone}}} // all other settings are absent
+		bare := Config{Classes: []Class{{Name: "c", Effect: Keyed, Group: GroupZone}}} // the rest is absent
 		for _, cfg := range []Config{settings(Unsafe), bare} {
 			r := newHarness(t, cfg, servers...)
 			r.b.requestRate = 0
--- a/internal/sidecar/logic/harness_test.go
+++ b/internal/sidecar/logic/harness_test.go
@@ -114,7 +114,8 @@
 	return s
 }
 
-// serveAndCount serves n requests with ids from id on, with a latency of 20 ms each, and counts them by server.
+// serveAndCount serves n requests with ids from id on, with a latency of 20 ms each, and counts them by
+// server.
 func (r *harness) serveAndCount(id, n uint64) map[uint64]int {
 	got := map[uint64]int{}
 	for i := range n {
--- a/internal/sidecar/logic/outcome.go
+++ b/internal/sidecar/logic/outcome.go
@@ -102,7 +102,7 @@
 	targetRange := max((r.fullTarget-r.arrived).Seconds()-quick, 0) // range from quick latency to target
 	s.slowShare -= slowStep * s.slowShare
 	if took > quick+shrinkAbove*targetRange {
-		// A slow answer in time to a crowded attempt shows a queue, which the lower limit alone corrects.
+		// A slow answer in time, with much of the limit in use, is a queue, which the lower limit corrects.
 		if serverAtFault && (!a.limitUsed || b.now > r.fullTarget) {
 			s.consecutiveLate++
 		}
--- a/internal/sidecar/logic/random_test.go
+++ b/internal/sidecar/logic/random_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// addSlowStartParts adds to each server in slow start its present part of one request. The subset is assumed to have at
-// least half of its full capacity.
+// addSlowStartParts adds to each server in slow start its present part of one request. The subset is assumed
+// to have at least half of its full capacity.
 func (c *checker) addSlowStartParts() {
 	for id, s := range c.list {
 		if f := c.b.capacityFraction(&server{Server: *s}); f < 1 && !c.excluded[id] {
@@ -202,8 +202,8 @@
 	c.step(Event{Kind: EvServerList, Servers: []Server{entry}})
 }
 
-// updateExcluded tracks, independently of the balancer, which servers must get no requests. If gone is advisory, only a
-// drain excludes a server, until it restarts.
+// updateExcluded tracks, independently of the balancer, which servers must get no requests. If gone is
+// advisory, only a drain excludes a server, until it restarts.
 func (c *checker) updateExcluded(id uint64, state State, later bool) {
 	advice := c.cfg.Contract.GoneIsAdvisory
 	switch {
@@ -214,7 +214,8 @@
 	}
 }
 
-// sendCompleteList sends a complete list that may be wrong: it omits some servers and lists draining ones as ready.
+// sendCompleteList sends a complete list that may be wrong: it omits some servers and lists draining ones as
+// ready.
 func (c *checker) sendCompleteList() {
 	var list []Server
 	for id := uint64(1); id <= 9; id++ {
--- a/internal/sidecar/logic/tuning.go
+++ b/internal/sidecar/logic/tuning.go
@@ -19,7 +19,7 @@
 
 // Choice of a server.
 const (
-	usableTimeLeft    = 0.7  // share of the time left beyond which a server expected to take longer is dropped
+	usableTimeLeft    = 0.7  // a server expected to need more than this part of the time left is dropped
 	lateDropThreshold = 2    // consecutive late outcomes after which a server is dropped
 	lateProbeShare    = 0.05 // share of this sidecar's requests that probes servers dropped as late
 	affinityWeight    = 2.0  // weight of a key's affinity server, relative to all candidates together
@@ -48,7 +48,7 @@
 // Latency and work of a class.
 const (
 	meanStep          = 0.02  // EWMA weight of an answer in a mean: about fifty answers smooth the variation
-	quickStep         = 0.1   // EWMA weight of a quicker answer in the quick latency; of a slower one, a tenth
+	quickStep         = 0.1   // EWMA weight of a quicker answer in the quick latency; a tenth of it if slower
 	heavyFactor       = 100.0 // times the work of a recent class; 20 did worse with busy, uniform loads
 	minRecentRequests = 0.3   // aged requests of a class in recent use: one within about agingTime
 )
