--- a/internal/sidecar/logic/admission_test.go
+++ b/internal/sidecar/logic/admission_test.go
@@ -74,11 +74,11 @@
 			slack, r.b.slack.Share, r.b.servers[0].consecutiveLate)
 	}
 	r.step(Event{Kind: EvRequest, Request: 2000, Class: "c", Expires: r.now + 20*ms})
-	if _, refused := r.find(ActReject); !refused {
+	if _, rejected := r.find(ActReject); !rejected {
 		t.Errorf("a request that expires before any answer can arrive was not rejected: %+v", r.actions)
 	}
 	r.step(Event{Kind: EvRequest, Request: 2001, Class: "c", Expires: r.now - 100*ms}) // expired on arrival
-	if _, refused := r.find(ActReject); !refused {
+	if _, rejected := r.find(ActReject); !rejected {
 		t.Errorf("a request that had expired on arrival was not rejected: %+v", r.actions)
 	}
 }
--- a/internal/sidecar/logic/balancer_test.go
+++ b/internal/sidecar/logic/balancer_test.go
@@ -38,7 +38,7 @@
 	if !fails(1, "b") {
 		t.Error("a request of an unknown class was served")
 	}
-	learnt := b.classes["a"]
+	measured := b.classes["a"]
 	bClass := Class{Name: "b", Deadline: 2 * time.Second}
 	if err := b.SetClasses([]Class{a, bClass}, 2); err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 	if fails(2, "b") {
 		t.Error("a request of an added class failed")
 	}
-	if b.classes["a"] != learnt || b.cfg.Limits.MaxAttempts != 2 {
+	if b.classes["a"] != measured || b.cfg.Limits.MaxAttempts != 2 {
 		t.Error("an unchanged class lost its measurements, or MaxAttempts did not change")
 	}
 	if err := b.SetClasses([]Class{bClass}, 0); err != nil || b.cfg.Limits.MaxAttempts != 1 {
@@ -129,10 +129,10 @@
 		r.request(1)
 		r.now += 795 * ms
 		r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerExpire, ID: 1}})
-		_, refused := r.find(ActReject)
+		_, rejected := r.find(ActReject)
 		_, failed := r.find(ActFail)
-		if refused == failed {
-			t.Errorf("effect %d: rejected %t, failed %t, want exactly one", effect, refused, failed)
+		if rejected == failed {
+			t.Errorf("effect %d: rejected %t, failed %t, want exactly one", effect, rejected, failed)
 		}
 	}
 }
--- a/internal/sidecar/logic/random_test.go
+++ b/internal/sidecar/logic/random_test.go
@@ -205,11 +205,11 @@
 // updateExcluded tracks, independently of the balancer, which servers must get no requests. If gone is
 // advisory, only a drain excludes a server, until it restarts.
 func (c *checker) updateExcluded(id uint64, state State, later bool) {
-	advice := c.cfg.Contract.GoneIsAdvisory
+	advisory := c.cfg.Contract.GoneIsAdvisory
 	switch {
-	case state == Draining || (state == Gone && !advice):
+	case state == Draining || (state == Gone && !advisory):
 		c.excluded[id] = true
-	case state == Ready && (later || !advice):
+	case state == Ready && (later || !advisory):
 		delete(c.excluded, id)
 	}
 }
--- a/internal/sidecar/logic/retry_test.go
+++ b/internal/sidecar/logic/retry_test.go
@@ -143,7 +143,7 @@
 		if r.outcome(1, 1, ms, Busy); mayHaveRun {
 			r.now += 395 * ms
 			r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerTarget, ID: 1}})
-			if _, refused := r.find(ActReject); refused {
+			if _, rejected := r.find(ActReject); rejected {
 				t.Error("a keyed request that may have run was rejected")
 			}
 		}
--- a/internal/sidecar/logic/slowstart_test.go
+++ b/internal/sidecar/logic/slowstart_test.go
@@ -39,7 +39,7 @@
 	before := starting.slowStartCredit
 	for id := range uint64(50) {
 		r.step(Event{Kind: EvRequest, Request: id, Class: "c", Expires: r.now}) // expires on arrival
-		if _, refused := r.find(ActReject); !refused {
+		if _, rejected := r.find(ActReject); !rejected {
 			t.Fatal("an expired request was not rejected")
 		}
 	}
