--- a/internal/sidecar/logic/admission.go
+++ b/internal/sidecar/logic/admission.go
@@ -72,7 +72,7 @@
 }
 
 // sheddingLevel finds, by bisection, the level at which the square of admitted is the share of all work that
-// is not shed. Of a class and tenant, the level divided by their value is shed, at most everything.
+// is not shed. Of the requests of a class and tenant, the level divided by their value is shed, at most all.
 func (b *Balancer) sheddingLevel(admitted float64) float64 {
 	mix := b.accounts.Mix(b.now, b.requestRate*(1-selection.Alpha(b.now-b.rateUpdated)))
 	all, high := b.workRate(), 0.0
--- a/internal/sidecar/logic/listrequest.go
+++ b/internal/sidecar/logic/listrequest.go
@@ -6,7 +6,7 @@
 const listEntryTime = time.Millisecond
 
 // requestList subscribes to the server list, and schedules the next request in case that no answer comes. A
-// sidecar must act on a change of the list within a time limit, whether or not it has received the change.
+// sidecar always keeps a subscription, because it must follow changes of the list that it has not received.
 func (b *Balancer) requestList() {
 	b.emit(Action{Kind: ActWatch})
 	b.scheduleListRequest(2 * b.maxListWait()) // if no answer comes at all
