--- a/internal/sidecar/logic/harness_test.go
+++ b/internal/sidecar/logic/harness_test.go
@@ -8,14 +8,15 @@
 
 const ms = time.Millisecond
 
-// rig drives one balancer and remembers what it did.
-type rig struct {
-	t    *testing.T
-	b    *Balancer
-	now  time.Duration
-	acts []Action // of the last step
+// harness drives one balancer with events and keeps its latest actions.
+type harness struct {
+	t       *testing.T
+	b       *Balancer
+	now     time.Duration
+	actions []Action // of the latest event
 }
 
+// settings returns a configuration with one class, "c", of the given effect.
 func settings(effect Effect) Config {
 	return Config{
 		Zone: "z1", Balancers: 3, Tick: 5 * ms,
@@ -26,22 +27,22 @@
 	}
 }
 
-// advisoryGone are settings under which a server that the list has as gone may still be sent to.
+// advisoryGone returns settings under which requests may still be sent to a server that is listed as gone.
 func advisoryGone() Config {
 	cfg := settings(Safe)
 	cfg.Contract.GoneIsAdvisory = true
 	return cfg
 }
 
-func newRig(t *testing.T, cfg Config, servers ...Server) *rig {
+func newHarness(t *testing.T, cfg Config, servers ...Server) *harness {
 	t.Helper()
 	b, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, now: time.Minute}
-	b.requestRate, b.rateUpdated = 1e3, r.now // a busy sidecar: all servers are in use
-	r.step(Event{Kind: EvMembers, Servers: servers, Complete: true, Stored: true})
+	r := &harness{t: t, b: b, now: time.Minute}
+	b.requestRate, b.rateUpdated = 1e3, r.now // a high rate, so that the subset has all servers
+	r.step(Event{Kind: EvServerList, Servers: servers, Complete: true, Stored: true})
 	return r
 }
 
@@ -53,56 +54,57 @@
 	return list
 }
 
-func (r *rig) step(ev Event) []Action {
-	r.acts = r.b.Step(r.now, &ev, nil)
-	return r.acts
+func (r *harness) step(ev Event) []Action {
+	r.actions = r.b.Step(r.now, &ev, nil)
+	return r.actions
 }
 
-func (r *rig) request(id uint64) []Action {
+func (r *harness) request(id uint64) []Action {
 	return r.step(Event{Kind: EvRequest, Request: id, Class: "c", Expires: r.now + 800*ms})
 }
 
-// requestAs sends a request of a class and a tenant.
-func (r *rig) requestAs(id uint64, class, tenant string, retry bool) {
+// requestAs passes a request of a class and a tenant to the balancer.
+func (r *harness) requestAs(id uint64, class, tenant string, retry bool) {
 	r.step(Event{Kind: EvRequest, Request: id, Class: class, Tenant: tenant, Retry: retry,
 		Expires: r.now + 900*ms})
 }
 
-func (r *rig) outcome(id uint64, attempt int, latency time.Duration, o Outcome) []Action {
+func (r *harness) outcome(id uint64, attempt int, latency time.Duration, o Outcome) []Action {
 	return r.step(Event{Kind: EvOutcome, Request: id, Attempt: attempt, Latency: latency, Outcome: o,
 		Final: o == Done})
 }
 
-// list applies a list; with complete, servers that it leaves out are gone.
-func (r *rig) list(complete bool, servers ...Server) {
-	r.step(Event{Kind: EvMembers, Servers: servers, Complete: complete})
+// list applies a server list, or a change to it unless complete is set.
+func (r *harness) list(complete bool, servers ...Server) {
+	r.step(Event{Kind: EvServerList, Servers: servers, Complete: complete})
 }
 
-// find gives the first action of a kind.
-func (r *rig) find(kind ActionKind) (Action, bool) {
-	i := slices.IndexFunc(r.acts, func(a Action) bool { return a.Kind == kind })
+// find returns the first action of a kind.
+func (r *harness) find(kind ActionKind) (Action, bool) {
+	i := slices.IndexFunc(r.actions, func(a Action) bool { return a.Kind == kind })
 	if i < 0 {
 		return Action{}, false
 	}
-	return r.acts[i], true
+	return r.actions[i], true
 }
 
-func (r *rig) has(kind ActionKind) bool {
+func (r *harness) has(kind ActionKind) bool {
 	_, ok := r.find(kind)
 	return ok
 }
 
-func (r *rig) sent() uint64 {
+// sent returns the server of the latest event's ActSend.
+func (r *harness) sent() uint64 {
 	r.t.Helper()
 	a, ok := r.find(ActSend)
 	if !ok {
-		r.t.Fatalf("nothing was sent: %+v", r.acts)
+		r.t.Fatalf("no attempt was sent, actions %+v", r.actions)
 	}
 	return a.Server
 }
 
-// serve sends one request and answers it.
-func (r *rig) serve(id uint64, latency func(server uint64) time.Duration) uint64 {
+// serve passes one request to the balancer, answers it after latency and returns its server.
+func (r *harness) serve(id uint64, latency func(server uint64) time.Duration) uint64 {
 	r.t.Helper()
 	r.request(id)
 	s := r.sent()
@@ -112,8 +114,9 @@
 	return s
 }
 
-// tally serves n requests in 20 ms each, from request id on, and counts them by server.
-func (r *rig) tally(id, n uint64) map[uint64]int {
+// serveAndCount serves n requests with ids from id on, with a latency of 20 ms each, and counts them by
+// server.
+func (r *harness) serveAndCount(id, n uint64) map[uint64]int {
 	got := map[uint64]int{}
 	for i := range n {
 		got[r.serve(id+i, func(uint64) time.Duration { return 20 * ms })]++
@@ -121,15 +124,15 @@
 	return got
 }
 
-// wakeFor waits for a wake-up that the last step asked for.
-func (r *rig) wakeFor(kind TimerKind) {
+// deliverWakeUp advances the time to a wake-up that the latest event requested, and delivers the wake-up.
+func (r *harness) deliverWakeUp(kind TimerKind) {
 	r.t.Helper()
-	for _, a := range r.acts {
+	for _, a := range r.actions {
 		if a.Kind == ActWake && a.Timer.Kind == kind {
 			r.now = a.At
 			r.step(Event{Kind: EvWake, Timer: a.Timer})
 			return
 		}
 	}
-	r.t.Fatalf("no wake-up of kind %d: %+v", kind, r.acts)
+	r.t.Fatalf("no wake-up of kind %d was requested, actions %+v", kind, r.actions)
 }
--- a/internal/sidecar/logic/random_test.go
+++ b/internal/sidecar/logic/random_test.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// The randomised test feeds legal sequences of events, without any model of a
-// fleet (answers are drawn at random), and holds every action against the rules.
+// The randomized test feeds valid sequences of events to a balancer and checks every action against the
+// rules. Outcomes are random: there is no model of a fleet.
 
-// seenAttempt is what the test remembers of a send.
-type seenAttempt struct {
-	server  uint64
-	sent    time.Duration
-	out     bool
-	mayRun  bool
-	timeout time.Duration // clock time
+// attemptRecord is the test's own record of an ActSend.
+type attemptRecord struct {
+	server     uint64
+	sent       time.Duration
+	inFlight   bool
+	mayHaveRun bool
+	timeout    time.Duration // time at which it times out
 }
 
-type seenRequest struct {
+type requestRecord struct {
 	class    Class
 	expires  time.Duration
-	attempts []seenAttempt
-	over     bool
+	attempts []attemptRecord
+	closed   bool
 }
 
 type checker struct {
-	t        *testing.T
-	cfg      Config
-	rng      *rand.Rand
-	b        *Balancer
-	now      time.Duration
-	list     map[uint64]*Server
-	banned   map[uint64]bool // listed as draining or gone
-	requests map[uint64]*seenRequest
-	order    []uint64
-	wakes    []Action
-	sends    int
-	cold     map[uint64]float64 // sends a server in slow start may have had
-	coldGot  map[uint64]int
-	history  []Action
-	nextID   uint64
-	watch    func(now time.Duration, a Action) // gets each action; nil: nobody
+	t              *testing.T
+	cfg            Config
+	rng            *rand.Rand
+	b              *Balancer
+	now            time.Duration
+	list           map[uint64]*Server
+	excluded       map[uint64]bool // listed as draining or gone
+	requests       map[uint64]*requestRecord
+	order          []uint64
+	wakes          []Action
+	sends          int
+	slowStartParts map[uint64]float64 // sends that each server may have got during slow start
+	slowStartSends map[uint64]int
+	history        []Action
+	nextID         uint64
+	onAction       func(now time.Duration, a Action) // called with each action, if not nil
 }
 
 func randomConfig(rng *rand.Rand) Config {
@@ -73,8 +73,8 @@
 	acts := c.b.Step(c.now, &ev, nil)
 	c.history = append(c.history, acts...)
 	for _, a := range acts {
-		if c.watch != nil {
-			c.watch(c.now, a)
+		if c.onAction != nil {
+			c.onAction(c.now, a)
 		}
 		c.check(a)
 	}
@@ -84,7 +84,7 @@
 	switch a.Kind {
 	case ActWake:
 		if a.At < c.now {
-			c.t.Fatalf("wake-up in the past")
+			c.t.Fatalf("a wake-up was requested for the past")
 		}
 		c.wakes = append(c.wakes, a)
 		return
@@ -93,70 +93,72 @@
 	}
 	r := c.requests[a.Request]
 	if r == nil {
-		c.t.Fatalf("%+v names an unknown request", a)
+		c.t.Fatalf("action %+v for an unknown request", a)
 	}
 	switch a.Kind {
 	case ActSend:
 		c.checkSend(r, a)
 	case ActCancel:
 		if !c.cfg.Limits.Cancel || a.Attempt >= len(r.attempts) {
-			c.t.Fatalf("illegal cancel %+v", a)
+			c.t.Fatalf("cancellation of an unknown attempt, or against the settings: %+v", a)
 		}
 	case ActReject, ActFail:
-		if r.over {
-			c.t.Fatalf("two final answers for request %d", a.Request)
+		if r.closed {
+			c.t.Fatalf("request %d got two final answers", a.Request)
 		}
-		r.over = true
+		r.closed = true
 		if c.now > r.expires+c.cfg.Contract.AnswerGrace {
-			c.t.Fatalf("request %d answered %v late", a.Request, c.now-r.expires)
+			c.t.Fatalf("request %d got its final answer %v after its expiry", a.Request, c.now-r.expires)
 		}
 		keyedAll := r.class.Effect == Keyed && r.class.Group == GroupAll
-		if a.Kind == ActReject && r.class.Effect != Safe && !keyedAll && r.ran() {
+		if a.Kind == ActReject && r.class.Effect != Safe && !keyedAll && r.mayHaveRun() {
 			c.t.Fatalf("request %d rejected though it may have run", a.Request)
 		}
 	}
 }
 
-func (r *seenRequest) ran() bool {
-	return slices.ContainsFunc(r.attempts, func(a seenAttempt) bool { return a.out || a.mayRun })
+func (r *requestRecord) mayHaveRun() bool {
+	return slices.ContainsFunc(r.attempts, func(a attemptRecord) bool { return a.inFlight || a.mayHaveRun })
 }
 
-func (c *checker) checkSend(r *seenRequest, a Action) {
+func (c *checker) checkSend(r *requestRecord, a Action) {
 	s := c.list[a.Server]
-	if s == nil || c.banned[a.Server] {
-		c.t.Fatalf("sent to server %d, which is unknown, draining or gone", a.Server)
+	if s == nil || c.excluded[a.Server] {
+		c.t.Fatalf("attempt sent to server %d, which is unknown, draining or gone", a.Server)
 	}
-	if r.over || len(r.attempts) >= c.cfg.Limits.MaxAttempts {
-		c.t.Fatalf("illegal attempt for request %d", a.Request)
+	if r.closed || len(r.attempts) >= c.cfg.Limits.MaxAttempts {
+		c.t.Fatalf("attempt of request %d after its final answer or beyond MaxAttempts", a.Request)
 	}
 	for _, o := range r.attempts {
-		if !o.out && !o.mayRun {
+		if !o.inFlight && !o.mayHaveRun {
 			continue
 		}
 		from := c.list[o.server]
 		same := r.class.Group == GroupAll || (r.class.Group == GroupZone && from.Zone == s.Zone) ||
 			(r.class.Group == GroupCell && from.Cell == s.Cell)
-		if r.class.Effect == Unsafe || (o.out && !c.cfg.Limits.ParallelAttempts) ||
+		if r.class.Effect == Unsafe || (o.inFlight && !c.cfg.Limits.ParallelAttempts) ||
 			(r.class.Effect == Keyed && (!same || c.now-o.sent > r.class.Window)) {
-			c.t.Fatalf("effect %d: request %d sent again against the rules", r.class.Effect, a.Request)
+			c.t.Fatalf("effect %d: request %d was sent again where a repeat is not allowed",
+				r.class.Effect, a.Request)
 		}
 	}
-	r.attempts = append(r.attempts, seenAttempt{server: a.Server, sent: c.now, out: true, timeout: c.now + a.After})
+	r.attempts = append(r.attempts, attemptRecord{server: a.Server, sent: c.now, inFlight: true, timeout: c.now + a.After})
 	c.sends++
 	if c.b.capacityFraction(c.b.byID[a.Server]) < 1 {
-		c.coldGot[a.Server]++
+		c.slowStartSends[a.Server]++
 	}
-	if got := float64(c.coldGot[a.Server]); got > c.cold[a.Server]+3 {
-		c.t.Fatalf("server %d in slow start got %v sends, share %.1f", a.Server, got, c.cold[a.Server])
+	if got := float64(c.slowStartSends[a.Server]); got > c.slowStartParts[a.Server]+3 {
+		c.t.Fatalf("server %d got %v sends during slow start, its part is %.1f",
+			a.Server, got, c.slowStartParts[a.Server])
 	}
 }
 
-// earn adds each server's present part of a request while it is in slow start: of the subset's capacity, which is half at the
-// least.
-func (c *checker) earn() {
+// addSlowStartParts adds to each server in slow start its present part of one request. The subset is assumed
+// to have at least half of its full capacity.
+func (c *checker) addSlowStartParts() {
 	for id, s := range c.list {
-		if f := c.b.capacityFraction(&server{Server: *s}); f < 1 && !c.banned[id] {
-			c.cold[id] += 2 * f / float64(min(c.ready(), c.b.subsetSize()))
+		if f := c.b.capacityFraction(&server{Server: *s}); f < 1 && !c.excluded[id] {
+			c.slowStartParts[id] += 2 * f / float64(min(c.ready(), c.b.subsetSize()))
 		}
 	}
 }
@@ -164,7 +166,7 @@
 func (c *checker) ready() int {
 	n := 0
 	for id := range c.list {
-		if !c.banned[id] {
+		if !c.excluded[id] {
 			n++
 		}
 	}
@@ -185,35 +187,36 @@
 		entry.State = Gone
 	case 2:
 		entry.Since = c.now
-	case 3: // a start that the list has late: warm by now
+	case 3: // a start that was listed only after the end of the slow start
 		entry.Since = max(entry.Since+1, c.now-c.cfg.Contract.SlowStartWindow)
 	}
 	if s == nil && entry.State != Ready {
 		return
 	}
 	later := s == nil || entry.Since > s.Since
-	c.ban(id, entry.State, later)
+	c.updateExcluded(id, entry.State, later)
 	if entry.Since == c.now {
-		c.cold[id], c.coldGot[id] = 0, 0
+		c.slowStartParts[id], c.slowStartSends[id] = 0, 0
 	}
 	c.list[id] = &entry
-	c.step(Event{Kind: EvMembers, Servers: []Server{entry}})
+	c.step(Event{Kind: EvServerList, Servers: []Server{entry}})
 }
 
-// ban keeps the rule on drains by itself: where gone is advice only a drain bars, until a later start.
-func (c *checker) ban(id uint64, state State, later bool) {
-	advice := c.cfg.Contract.GoneIsAdvisory
+// updateExcluded tracks, independently of the balancer, which servers must get no requests. If gone is
+// advisory, only a drain excludes a server, until it restarts.
+func (c *checker) updateExcluded(id uint64, state State, later bool) {
+	advisory := c.cfg.Contract.GoneIsAdvisory
 	switch {
-	case state == Draining || (state == Gone && !advice):
-		c.banned[id] = true
-	case state == Ready && (later || !advice):
-		delete(c.banned, id)
+	case state == Draining || (state == Gone && !advisory):
+		c.excluded[id] = true
+	case state == Ready && (later || !advisory):
+		delete(c.excluded, id)
 	}
 }
 
-// wholeList gives a complete list that may be wrong: some servers are left out, and those that
-// drain are listed as ready again.
-func (c *checker) wholeList() {
+// sendCompleteList sends a complete list that may be wrong: it omits some servers and lists draining ones as
+// ready.
+func (c *checker) sendCompleteList() {
 	var list []Server
 	for id := uint64(1); id <= 9; id++ {
 		s := c.list[id]
@@ -221,19 +224,19 @@
 			continue
 		}
 		if c.rng.IntN(4) == 0 {
-			c.ban(id, Gone, false)
-			c.cold[id], c.coldGot[id] = 0, 0
+			c.updateExcluded(id, Gone, false)
+			c.slowStartParts[id], c.slowStartSends[id] = 0, 0
 			continue
 		}
 		entry := *s
 		entry.State = Ready
-		c.ban(id, Ready, false)
+		c.updateExcluded(id, Ready, false)
 		list = append(list, entry)
 	}
-	c.step(Event{Kind: EvMembers, Servers: list, Complete: true})
+	c.step(Event{Kind: EvServerList, Servers: list, Complete: true})
 }
 
-// restart begins anew with nothing but the stored list: what was out is no longer this sidecar's to answer.
+// restart replaces the balancer by a new one that has only the stored list. Requests in flight are dropped.
 func (c *checker) restart() {
 	b, err := New(c.cfg, c.rng.Uint64())
 	if err != nil {
@@ -241,20 +244,20 @@
 	}
 	c.b, c.order, c.wakes = b, nil, nil
 	clear(c.requests)
-	clear(c.cold)
-	clear(c.coldGot)
+	clear(c.slowStartParts)
+	clear(c.slowStartSends)
 	var list []Server
 	for id := uint64(1); id <= 9; id++ {
 		if s := c.list[id]; s != nil {
 			entry := *s
 			entry.State = Ready
-			if c.banned[id] {
+			if c.excluded[id] {
 				entry.State = Draining
 			}
 			list = append(list, entry)
 		}
 	}
-	c.step(Event{Kind: EvMembers, Servers: list, Complete: true, Stored: true})
+	c.step(Event{Kind: EvServerList, Servers: list, Complete: true, Stored: true})
 }
 
 func (c *checker) newRequest() {
@@ -262,20 +265,20 @@
 	cl := c.cfg.Classes[c.rng.IntN(len(c.cfg.Classes))]
 	ev := Event{Kind: EvRequest, Request: c.nextID, Class: cl.Name, HasKey: true, Key: uint64(c.rng.IntN(20)),
 		Expires: c.now + time.Duration(50+c.rng.IntN(1200))*ms}
-	c.requests[c.nextID] = &seenRequest{class: cl, expires: ev.Expires}
+	c.requests[c.nextID] = &requestRecord{class: cl, expires: ev.Expires}
 	c.order = append(c.order, c.nextID)
-	c.earn()
+	c.addSlowStartParts()
 	c.step(ev)
 }
 
-// outcomes ends some attempts, and all that have timed out.
+// outcomes ends a random part of the attempts in flight, and all that have timed out.
 func (c *checker) outcomes() {
 	for _, id := range c.order {
 		r := c.requests[id]
 		for n := range r.attempts {
 			a := &r.attempts[n]
 			due := c.now >= a.timeout
-			if !a.out || (!due && c.rng.IntN(12) > 0) {
+			if !a.inFlight || (!due && c.rng.IntN(12) > 0) {
 				continue
 			}
 			o := Outcome(c.rng.IntN(8))
@@ -284,15 +287,15 @@
 			} else if c.rng.IntN(2) == 0 {
 				o = Done
 			}
-			a.out, a.mayRun = false, (o != Busy || c.cfg.Contract.BusyMayHaveRun) && o != Refused && o != Skipped
-			final := r.over || o == Done
+			a.inFlight, a.mayHaveRun = false, (o != Busy || c.cfg.Contract.BusyMayHaveRun) && o != Refused && o != Skipped
+			final := r.closed || o == Done
 			if o == Done {
-				r.over = true
+				r.closed = true
 			}
 			c.step(Event{Kind: EvOutcome, Request: id, Attempt: n, Outcome: o, Latency: c.now - a.sent, Final: final})
 		}
 	}
-	c.order = slices.DeleteFunc(c.order, func(id uint64) bool { return c.requests[id].over && !c.requests[id].ran() })
+	c.order = slices.DeleteFunc(c.order, func(id uint64) bool { return c.requests[id].closed && !c.requests[id].mayHaveRun() })
 }
 
 func (c *checker) wake() {
@@ -304,9 +307,9 @@
 	}
 }
 
-func runRandom(t *testing.T, seed uint64) []Action { return watchRandom(t, seed, nil) }
+func runRandom(t *testing.T, seed uint64) []Action { return runRandomObserved(t, seed, nil) }
 
-func watchRandom(t *testing.T, seed uint64, watch func(time.Duration, Action)) []Action {
+func runRandomObserved(t *testing.T, seed uint64, watch func(time.Duration, Action)) []Action {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	cfg := randomConfig(rng)
 	b, err := New(cfg, seed)
@@ -314,16 +317,16 @@
 		t.Fatal(err)
 	}
 	c := &checker{t: t, cfg: cfg, rng: rng, b: b, now: time.Minute, list: map[uint64]*Server{},
-		banned: map[uint64]bool{}, requests: map[uint64]*seenRequest{}, cold: map[uint64]float64{},
-		coldGot: map[uint64]int{}, watch: watch}
+		excluded: map[uint64]bool{}, requests: map[uint64]*requestRecord{}, slowStartParts: map[uint64]float64{},
+		slowStartSends: map[uint64]int{}, onAction: watch}
 	var first []Server
 	for id := uint64(1); id <= 5; id++ {
 		s := Server{ID: id, Zone: "z" + string(rune('0'+id%2)), Cell: int(id % 3)}
 		c.list[id] = &s
 		first = append(first, s)
 	}
-	c.step(Event{Kind: EvMembers, Servers: first, Complete: true, Stored: true})
-	steps, quiet := 1500, seed%2 == 1 // a quiet sidecar uses a subset
+	c.step(Event{Kind: EvServerList, Servers: first, Complete: true, Stored: true})
+	steps, quiet := 1500, seed%2 == 1 // a sidecar with few requests uses a subset
 	if quiet {
 		steps = 15000
 	}
@@ -342,12 +345,12 @@
 		case 2:
 			if len(c.order) > 0 {
 				id := c.order[rng.IntN(len(c.order))]
-				c.requests[id].over = true
+				c.requests[id].closed = true
 				c.step(Event{Kind: EvClientGone, Request: id})
 			}
 		case 3:
 			if rng.IntN(10) == 0 {
-				c.wholeList()
+				c.sendCompleteList()
 			}
 		default:
 			if !quiet || rng.IntN(10) == 0 {
@@ -355,13 +358,13 @@
 			}
 		}
 		for _, id := range c.order {
-			if r := c.requests[id]; !r.over && c.now > r.expires+3*cfg.Tick+cfg.Contract.AnswerGrace {
-				t.Fatalf("seed %d: request %d has no answer", seed, id)
+			if r := c.requests[id]; !r.closed && c.now > r.expires+3*cfg.Tick+cfg.Contract.AnswerGrace {
+				t.Fatalf("seed %d: request %d has no final answer in time", seed, id)
 			}
 		}
 	}
 	if c.sends < 100 {
-		t.Errorf("seed %d: only %d sends", seed, c.sends)
+		t.Errorf("seed %d: %d sends, want at least 100", seed, c.sends)
 	}
 	return c.history
 }
@@ -370,7 +373,7 @@
 	for seed := range uint64(24) {
 		once := runRandom(t, seed)
 		if again := runRandom(t, seed); !reflect.DeepEqual(once, again) {
-			t.Fatalf("seed %d: the same events gave other actions", seed)
+			t.Fatalf("seed %d: two runs of the same events gave different actions", seed)
 		}
 	}
 }
