--- a/internal/region/control/nodeloop.go
+++ b/internal/region/control/nodeloop.go
@@ -103,7 +103,7 @@
 
 func (n *Node) viewChanged(view *pb.View) {
 	n.counters.views.Add(1)
-	n.logger.Info("view changed",
+	n.logger.Info("view",
 		zap.Uint64("number", view.GetNumber()),
 		zap.Strings("voters", hostsOf(view.GetVoters())),
 		zap.Strings("chain", hostsOf(view.GetChain())),
