--- a/internal/region/limits/members.go
+++ b/internal/region/limits/members.go
@@ -18,9 +18,9 @@
 }
 
 // membersOf returns the members that shares name, sorted by host, each host once.
-func membersOf(shares *pb.QuotaMembers) []member {
-	members := make([]member, 0, len(shares.GetMembers()))
-	for _, neighbour := range shares.GetMembers() {
+func membersOf(quotaMembers *pb.QuotaMembers) []member {
+	members := make([]member, 0, len(quotaMembers.GetMembers()))
+	for _, neighbour := range quotaMembers.GetMembers() {
 		name := neighbour.GetHost()
 		members = append(members, member{host: name, region: neighbour.GetRegion(), hash: xxhash.Sum64String(name)})
 	}
@@ -28,10 +28,10 @@
 	return slices.CompactFunc(members, func(x, y member) bool { return x.host == y.host })
 }
 
-// enoughMembers reports whether shares name a majority of the proxies. With fewer, this proxy would believe itself to be
+// namesMajority reports whether shares name a majority of the proxies. With fewer, this proxy would believe itself to be
 // among the first too often.
-func enoughMembers(shares *pb.QuotaMembers, members []member) bool {
-	return shares.GetProxies() > 0 && 2*len(members) > int(shares.GetProxies())
+func namesMajority(quotaMembers *pb.QuotaMembers, members []member) bool {
+	return quotaMembers.GetProxies() > 0 && 2*len(members) > int(quotaMembers.GetProxies())
 }
 
 // position returns this host's position, from 0, among the members in the order of rendezvous hashing for a key
--- a/internal/region/limits/retry.go
+++ b/internal/region/limits/retry.go
@@ -45,11 +45,11 @@
 }
 
 // SetQuotaMembers replaces the proxies that share the limit.
-func (b *RetryBudget) SetQuotaMembers(shares *pb.QuotaMembers) {
-	b.members = membersOf(shares)
+func (b *RetryBudget) SetQuotaMembers(quotaMembers *pb.QuotaMembers) {
+	b.members = membersOf(quotaMembers)
 	b.proxies = 0
-	if enoughMembers(shares, b.members) {
-		b.proxies = max(int(shares.GetProxies()), len(b.members))
+	if namesMajority(quotaMembers, b.members) {
+		b.proxies = max(int(quotaMembers.GetProxies()), len(b.members))
 	}
 }
 
@@ -63,7 +63,7 @@
 // Take reports whether a retry may be sent to a service, and counts it if so.
 func (b *RetryBudget) Take(now time.Duration, service string) bool {
 	c := b.windowCounts(now, service)
-	if c == nil || b.spare(now, c, service) < 1 {
+	if c == nil || b.remainingRetries(now, c, service) < 1 {
 		return false
 	}
 	c.retries[c.slot(0)]++
@@ -77,7 +77,7 @@
 	if c == nil {
 		return
 	}
-	for age := c.oldest; age >= 0; age-- {
+	for age := c.oldestAge; age >= 0; age-- {
 		if slot := c.slot(age); c.retries[slot] > 0 {
 			c.retries[slot]--
 			return
@@ -85,16 +85,16 @@
 	}
 }
 
-// spare is the number of further retries that this proxy may send now.
-func (b *RetryBudget) spare(now time.Duration, c *windowCounts, service string) float64 {
-	return c.spare(ratioFraction*b.config.Ratio, float64(b.extra(now, service)))
+// remainingRetries is the number of further retries that this proxy may send now.
+func (b *RetryBudget) remainingRetries(now time.Duration, c *windowCounts, service string) float64 {
+	return c.remainingRetries(ratioFraction*b.config.Ratio, float64(b.extraShare(now, service)))
 }
 
-// extra is this proxy's whole number of the extra retries of a service: an equal share, rounded down. Of what rounding
+// extraShare is this proxy's whole number of the extraShare retries of a service: an equal share, rounded down. Of what rounding
 // leaves over, one each goes to the first proxies in an order that depends on the service's name. A process has none
 // until a window has passed since its start: earlier incarnations of it may have used the share, and others follow it
 // if it starts again and again.
-func (b *RetryBudget) extra(now time.Duration, service string) int {
+func (b *RetryBudget) extraShare(now time.Duration, service string) int {
 	if b.proxies == 0 || now < b.config.Window+bucketWidth {
 		return 0
 	}
--- a/internal/region/limits/retry_test.go
+++ b/internal/region/limits/retry_test.go
@@ -33,13 +33,13 @@
 	return all
 }
 
-var pageConfig = RetryConfig{Ratio: 0.2, Extra: 54, Window: 10 * time.Second}
+var testRetryConfig = RetryConfig{Ratio: 0.2, Extra: 54, Window: 10 * time.Second}
 
 // afterFirstWindow is when a process may use its share of the extra retries, counted from its start.
 const afterFirstWindow = 10*time.Second + bucketWidth
 
 func TestWithoutSharesOnlyTheRatioPartIsAllowed(t *testing.T) {
-	budget := NewRetryBudget(pageConfig, hostName(0))
+	budget := NewRetryBudget(testRetryConfig, hostName(0))
 	require.False(t, budget.Take(0, "s"))
 	for i := range 100 {
 		budget.Request(time.Duration(i)*100*time.Millisecond, "s")
@@ -50,16 +50,16 @@
 		allowed++
 	}
 	require.InDelta(t, 9, allowed, 1) // 0.2 x 0.9 of 50: no window is certain to be compared with more of the 99
-	require.Zero(t, budget.left(now))
+	require.Zero(t, budget.allowedRetries(now))
 	budget.Refund(now, "s")
-	require.Equal(t, 1, budget.left(now))
+	require.Equal(t, 1, budget.allowedRetries(now))
 }
 
 func TestTheExtraIsSharedByTheProxies(t *testing.T) {
 	for _, proxies := range []int{1, 7, 40, 67, 200} {
 		total := 0
 		for i := range proxies {
-			budget := NewRetryBudget(pageConfig, hostName(i))
+			budget := NewRetryBudget(testRetryConfig, hostName(i))
 			budget.SetQuotaMembers(sharesOf(proxies, upTo(proxies), oneRegion))
 			for budget.Take(afterFirstWindow, "s") {
 				total++
@@ -71,27 +71,27 @@
 }
 
 func TestANewProcessHasNothingOfTheExtra(t *testing.T) {
-	budget := NewRetryBudget(pageConfig, hostName(0))
+	budget := NewRetryBudget(testRetryConfig, hostName(0))
 	budget.SetQuotaMembers(sharesOf(2, upTo(2), oneRegion))
-	require.Zero(t, budget.left(time.Second))
-	require.Zero(t, budget.left(pageConfig.Window))
-	require.Equal(t, 21, budget.left(afterFirstWindow))
+	require.Zero(t, budget.allowedRetries(time.Second))
+	require.Zero(t, budget.allowedRetries(testRetryConfig.Window))
+	require.Equal(t, 21, budget.allowedRetries(afterFirstWindow))
 }
 
 func TestARefundLeavesTheRetriesThatWereSentCounted(t *testing.T) {
-	budget := NewRetryBudget(pageConfig, hostName(0))
+	budget := NewRetryBudget(testRetryConfig, hostName(0))
 	budget.SetQuotaMembers(sharesOf(1, upTo(1), oneRegion))
 	const first, second = 20 * time.Second, 25 * time.Second
 	require.True(t, budget.Take(first, "s"))
 	require.True(t, budget.Take(second, "s"))
 	budget.Refund(second, "s") // the first was not sent, the second was
 	afterFirst := first + afterFirstWindow
-	require.Equal(t, 42, budget.left(afterFirst))
-	require.Equal(t, 43, budget.left(second+afterFirstWindow))
+	require.Equal(t, 42, budget.allowedRetries(afterFirst))
+	require.Equal(t, 43, budget.allowedRetries(second+afterFirstWindow))
 }
 
 func TestTheBudgetFollowsTheWindow(t *testing.T) {
-	budget := NewRetryBudget(pageConfig, hostName(0))
+	budget := NewRetryBudget(testRetryConfig, hostName(0))
 	budget.SetQuotaMembers(sharesOf(7, upTo(7), oneRegion))
 	for budget.Take(11*time.Second, "s") {
 	}
@@ -101,7 +101,7 @@
 }
 
 func TestServicesAreBounded(t *testing.T) {
-	budget := NewRetryBudget(pageConfig, hostName(0))
+	budget := NewRetryBudget(testRetryConfig, hostName(0))
 	budget.SetQuotaMembers(sharesOf(1, upTo(1), oneRegion))
 	for i := range 3 * maxServices {
 		budget.Request(time.Second, fmt.Sprint("s", i))
@@ -118,12 +118,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 70).Draw(t, "proxies")
 		load := retryLoad{
-			proxies: proxies,
-			seed:    rapid.Uint64().Draw(t, "seed"),
-			extra:   rapid.IntRange(10, 200).Draw(t, "extra"),
-			clump:   rapid.IntRange(1, 100).Draw(t, "clump"),
-			rate:    rapid.Float64Range(0, 3).Draw(t, "rate"),
-			eager:   rapid.Float64Range(0.01, 1).Draw(t, "eager"),
+			proxies:          proxies,
+			seed:             rapid.Uint64().Draw(t, "seed"),
+			extra:            rapid.IntRange(10, 200).Draw(t, "extra"),
+			burst:            rapid.IntRange(1, 100).Draw(t, "clump"),
+			rate:             rapid.Float64Range(0, 3).Draw(t, "rate"),
+			retryProbability: rapid.Float64Range(0.01, 1).Draw(t, "eager"),
 
 			retryFrom: rapid.IntRange(0, loadTicks/2).Draw(t, "first tick of retries"),
 		}
@@ -141,7 +141,7 @@
 	if !rapid.Bool().Draw(t, "traffic that differs") {
 		return offsets
 	}
-	other := rapid.IntRange(0, 2*load.clump).Draw(t, "offset of every second proxy")
+	other := rapid.IntRange(0, 2*load.burst).Draw(t, "offset of every second proxy")
 	for i := range offsets {
 		offsets[i] = i % 2 * other
 	}
@@ -162,14 +162,14 @@
 func TestLoadsThatOnceBrokeTheBound(t *testing.T) {
 	for name, load := range map[string]retryLoad{
 		"all start anew between two bursts half a window apart": {
-			proxies: 61, seed: 0x1ddea9b826b5d61, extra: 110, clump: 100, rate: 1.8495261305451483,
-			eager: 0.2383399329451928, restarts: []processRestart{{tick: 773, end: 61}},
+			proxies: 61, seed: 0x1ddea9b826b5d61, extra: 110, burst: 100, rate: 1.8495261305451483,
+			retryProbability: 0.2383399329451928, restarts: []processRestart{{tick: 773, end: 61}},
 		},
 		"bursts of two halves of the proxies, a window apart": {
-			proxies: 60, seed: 1, extra: 10, clump: 100, rate: 3, eager: 1, offset: alternating(60, 200), period: 1000, retryFrom: 150,
+			proxies: 60, seed: 1, extra: 10, burst: 100, rate: 3, retryProbability: 1, offset: alternating(60, 200), period: 1000, retryFrom: 150,
 		},
 		"each starts anew four times in a window": {
-			proxies: 10, seed: 1, extra: 200, clump: 100, rate: 0, eager: 1,
+			proxies: 10, seed: 1, extra: 200, burst: 100, rate: 0, retryProbability: 1,
 			restarts: []processRestart{
 				{tick: 410, end: 10}, {tick: 440, end: 10}, {tick: 470, end: 10}, {tick: 500, end: 10},
 			},
@@ -195,14 +195,14 @@
 
 // retryLoad is traffic of proxies that retry as often as they may.
 type retryLoad struct {
-	proxies int
-	seed    uint64
-	extra   int
-	clump   int     // ticks of traffic at a time
-	period  int     // ticks from one clump to the next; 0 means twice the clump
-	offset  []int   // ticks by which each proxy's traffic is later; nil means none
-	rate    float64 // requests of a proxy in two ticks of traffic
-	eager   float64 // probability of trying another retry
+	proxies          int
+	seed             uint64
+	extra            int
+	burst            int     // ticks of traffic at a time
+	period           int     // ticks from one clump to the next; 0 means twice the clump
+	offset           []int   // ticks by which each proxy's traffic is later; nil means none
+	rate             float64 // requests of a proxy in two ticks of traffic
+	retryProbability float64 // probability of trying another retry
 	// retryFrom is the tick of the first retry: what was saved until then is used at once.
 	retryFrom int
 	restarts  []processRestart
@@ -238,7 +238,7 @@
 				proxy.budget.Request(now, "s")
 				requests[tick]++
 			}
-			for tick >= l.retryFrom && random.Float64() < l.eager && proxy.budget.Take(now, "s") {
+			for tick >= l.retryFrom && random.Float64() < l.retryProbability && proxy.budget.Take(now, "s") {
 				retries[tick]++
 			}
 		}
@@ -280,9 +280,9 @@
 	}
 	period := l.period
 	if period == 0 {
-		period = 2 * l.clump
+		period = 2 * l.burst
 	}
-	return tick >= 0 && tick%period < l.clump
+	return tick >= 0 && tick%period < l.burst
 }
 
 // requireBudget checks every window as the rule does: the requests of that window, of the one before it or of
@@ -332,27 +332,27 @@
 			found := sum(from, from+length) + sum(from-length, from) + sum(from-length/2, from+length/2)
 			age := last/perBucket - from/perBucket
 			require.LessOrEqual(t, c.meanRequests(age), found/3+1e-9, "window from %d", from)
-			require.GreaterOrEqual(t, c.meanRequests(age), (found-float64(rimOf(history, from, length, perBucket)))/3-1e-9)
+			require.GreaterOrEqual(t, c.meanRequests(age), (found-float64(boundaryRequests(history, from, length, perBucket)))/3-1e-9)
 		}
 	})
 }
 
-// rimOf is the requests near the ends of the three windows, which a count by buckets may miss.
-func rimOf(history []int, from, length, perBucket int) int {
-	rim := 0
+// boundaryRequests is the requests near the ends of the three windows, which a count by buckets may miss.
+func boundaryRequests(history []int, from, length, perBucket int) int {
+	total := 0
 	for _, end := range []int{from, from, from, from - length, from - length/2, from + length/2} {
 		for i := max(end-2*perBucket, 0); i < min(end+2*perBucket, len(history)); i++ {
-			rim += history[i]
+			total += history[i]
 		}
 	}
-	return rim
+	return total
 }
 
-// left is the number of retries of service "s" that Take would allow now.
-func (b *RetryBudget) left(now time.Duration) int {
+// allowedRetries is the number of retries of service "s" that Take would allow now.
+func (b *RetryBudget) allowedRetries(now time.Duration) int {
 	c := b.windowCounts(now, "s")
 	if c == nil {
 		return 0
 	}
-	return max(int(b.spare(now, c, "s")), 0)
+	return max(int(b.remainingRetries(now, c, "s")), 0)
 }
--- a/internal/region/limits/slowstart.go
+++ b/internal/region/limits/slowstart.go
@@ -57,13 +57,13 @@
 // position of either kind: 1/2 + 1/4 + 1/(2k) + 1/(4j) of the limit, no more than the whole for k and j of 3 or more;
 // with fewer positions there are no spare ones.
 type SlowStartLimiter struct {
-	config       SlowStartConfig
-	host         string
-	members      []member
-	quorate      bool          // the shares name enough members to divide the limit among them
-	quorateSince time.Duration // since when
-	changedAt    time.Duration // when the members last changed
-	buckets      map[string]*bucket
+	config             SlowStartConfig
+	host               string
+	members            []member
+	majorityKnown      bool          // the shares name enough members to divide the limit among them
+	majorityKnownSince time.Duration // since when
+	changedAt          time.Duration // when the members last changed
+	buckets            map[string]*bucket
 }
 
 // bucket is the token bucket of one server.
@@ -86,17 +86,17 @@
 }
 
 // SetQuotaMembers replaces the proxies that share the limit.
-func (l *SlowStartLimiter) SetQuotaMembers(now time.Duration, shares *pb.QuotaMembers) {
-	members := membersOf(shares)
+func (l *SlowStartLimiter) SetQuotaMembers(now time.Duration, quotaMembers *pb.QuotaMembers) {
+	members := membersOf(quotaMembers)
 	if !slices.Equal(members, l.members) {
 		l.changedAt = now
 	}
 	l.members = members
-	quorate := enoughMembers(shares, members)
-	if quorate && !l.quorate {
-		l.quorateSince = now
+	majorityKnown := namesMajority(quotaMembers, members)
+	if majorityKnown && !l.majorityKnown {
+		l.majorityKnownSince = now
 	}
-	l.quorate = quorate
+	l.majorityKnown = majorityKnown
 }
 
 // Allows reports whether a request may be sent to a server now. lastResort says that only servers that are warming up
@@ -133,7 +133,7 @@
 // is known.
 func (l *SlowStartLimiter) Wait(now time.Duration, server WarmingServer) (time.Duration, bool) {
 	if !l.ready(now) {
-		return l.quorateSince + startupWait - now, l.quorate
+		return l.majorityKnownSince + startupWait - now, l.majorityKnown
 	}
 	rate, ok := l.rate(now, server, true)
 	if !ok {
@@ -149,7 +149,7 @@
 
 // ready reports whether this proxy knows its share.
 func (l *SlowStartLimiter) ready(now time.Duration) bool {
-	return l.quorate && now-l.quorateSince >= startupWait
+	return l.majorityKnown && now-l.majorityKnownSince >= startupWait
 }
 
 // rate is this proxy's rate of requests to a server, in requests a second; false if it has no position.
--- a/internal/region/limits/slowstart_test.go
+++ b/internal/region/limits/slowstart_test.go
@@ -16,7 +16,7 @@
 
 func warmingServer(id string) WarmingServer { return WarmingServer{ID: id, Region: "r", WarmRate: 9.2} }
 
-func bound(config SlowStartConfig, server WarmingServer) float64 {
+func serverLimit(config SlowStartConfig, server WarmingServer) float64 {
 	return server.WarmRate*config.Excess + config.Extra
 }
 
@@ -134,12 +134,12 @@
 				}
 			}
 		}
-		holds := make([]int, proxies)
-		for i := range holds {
-			holds[i] = rapid.IntRange(0, 1).Draw(t, "view")
+		viewOf := make([]int, proxies)
+		for i := range viewOf {
+			viewOf[i] = rapid.IntRange(0, 1).Draw(t, "view")
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
-		requireSlowStart(t, config, server, proxies, seed, false, restartChance(t), func(i int, _ time.Duration) []int { return views[holds[i]] })
+		requireSlowStart(t, config, server, proxies, seed, false, restartChance(t), func(i int, _ time.Duration) []int { return views[viewOf[i]] })
 	})
 }
 
@@ -150,8 +150,8 @@
 		proxies := rapid.IntRange(1, 40).Draw(t, "proxies")
 		server := warmingServer("a")
 		server.WarmRate = rapid.Float64Range(0.5, 30).Draw(t, "warm rate")
-		gone := rapid.IntRange(0, proxies-1).Draw(t, "the member that leaves or joins")
-		fewer := slices.DeleteFunc(upTo(proxies), func(i int) bool { return i == gone })
+		changedMember := rapid.IntRange(0, proxies-1).Draw(t, "the member that leaves or joins")
+		fewer := slices.DeleteFunc(upTo(proxies), func(i int) bool { return i == changedMember })
 		joins := rapid.Bool().Draw(t, "joins")
 		received := make([]time.Duration, proxies)
 		for i := range received {
@@ -172,7 +172,7 @@
 	return rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "probability of a restart in a second")
 }
 
-func requireSlowStart(t *rapid.T, config SlowStartConfig, server WarmingServer, proxies int, seed uint64, last bool,
+func requireSlowStart(t *rapid.T, config SlowStartConfig, server WarmingServer, proxies int, seed uint64, lastResort bool,
 	restart float64, view func(proxy int, now time.Duration) []int,
 ) {
 	t.Helper()
@@ -193,7 +193,7 @@
 			if now%time.Second == 0 {
 				limiter.SetQuotaMembers(now, sharesOf(proxies, view(i, now), oneRegion))
 			}
-			for limiter.ready(now) && random.Float64() < 0.3 && limiter.Allows(now, server, last) {
+			for limiter.ready(now) && random.Float64() < 0.3 && limiter.Allows(now, server, lastResort) {
 				limiter.Take(now, server)
 				sent = append(sent, now)
 			}
@@ -207,6 +207,6 @@
 			}
 			count++
 		}
-		require.LessOrEqual(t, float64(count), bound(config, server), "in the second from %v", from)
+		require.LessOrEqual(t, float64(count), serverLimit(config, server), "in the second from %v", from)
 	}
 }
--- a/internal/region/limits/windowcounts.go
+++ b/internal/region/limits/windowcounts.go
@@ -19,9 +19,9 @@
 	retries  []uint32
 	newest   int64 // number of the newest bucket since time 0
 
-	full   int // whole buckets in a window
-	half   int // whole buckets in half a window
-	oldest int // age of the bucket in which a window that reaches to now may begin
+	windowBuckets     int // whole buckets in a window
+	halfWindowBuckets int // whole buckets in half a window
+	oldestAge         int // age of the bucket in which a window that reaches to now may begin
 	// cumulative[i] is the number of requests in the i newest buckets; scratch of spare.
 	cumulative []int
 }
@@ -32,12 +32,12 @@
 	oldest := int((window + bucketWidth - 1) / bucketWidth)
 	size := oldest + full
 	return &windowCounts{
-		requests:   make([]uint32, size),
-		retries:    make([]uint32, size),
-		full:       full,
-		half:       int(window / 2 / bucketWidth),
-		oldest:     oldest,
-		cumulative: make([]int, size+1),
+		requests:          make([]uint32, size),
+		retries:           make([]uint32, size),
+		windowBuckets:     full,
+		halfWindowBuckets: int(window / 2 / bucketWidth),
+		oldestAge:         oldest,
+		cumulative:        make([]int, size+1),
 	}
 }
 
@@ -63,14 +63,14 @@
 	return int(((c.newest-int64(age))%size + size) % size)
 }
 
-// spare is the number of further retries that keep every window that reaches to now within ratio times the mean of its
+// remainingRetries is the number of further retries that keep every window that reaches to now within ratio times the mean of its
 // three counts of requests, plus extra. A window begins somewhere in a bucket: all retries of that bucket are counted,
 // and of its requests only those that any such window finds.
-func (c *windowCounts) spare(ratio, extra float64) float64 {
+func (c *windowCounts) remainingRetries(ratio, extra float64) float64 {
 	c.accumulate()
 	retries := 0
 	least := math.Inf(1)
-	for age := range c.oldest + 1 {
+	for age := range c.oldestAge + 1 {
 		retries += int(c.retries[c.slot(age)])
 		least = min(least, ratio*c.meanRequests(age)+extra-float64(retries))
 	}
@@ -80,14 +80,14 @@
 // meanRequests is the mean of the three counts of requests for a window that begins in the bucket of an age. It is never
 // too many. The cumulative counts must be current.
 func (c *windowCounts) meanRequests(age int) float64 {
-	inside := c.between(0, age)
-	before := c.between(age+1, age+c.full)
-	around := c.between(age+1-c.half, age+c.half)
+	inside := c.requestsBetween(0, age)
+	before := c.requestsBetween(age+1, age+c.windowBuckets)
+	around := c.requestsBetween(age+1-c.halfWindowBuckets, age+c.halfWindowBuckets)
 	return float64(inside+before+around) / 3
 }
 
-// between is the number of requests in the buckets whose age is from youngest to below end.
-func (c *windowCounts) between(youngest, end int) int {
+// requestsBetween is the number of requests in the buckets whose age is from youngest to below end.
+func (c *windowCounts) requestsBetween(youngest, end int) int {
 	youngest, end = max(youngest, 0), min(max(end, 0), len(c.requests))
 	return max(c.cumulative[end]-c.cumulative[min(youngest, end)], 0)
 }
