--- a/internal/region/limits/members.go
+++ b/internal/region/limits/members.go
@@ -10,14 +10,14 @@
 	"fieldrelay/internal/region/splitmix"
 )
 
-// member is one proxy that shares the limits.
+// member is one of the proxies that share the limits.
 type member struct {
 	host   string
 	region string
 	hash   uint64 // of the host
 }
 
-// membersOf returns the members that shares name, sorted by host, each host once.
+// membersOf returns the members listed in quotaMembers, sorted by host and without duplicate hosts.
 func membersOf(quotaMembers *pb.QuotaMembers) []member {
 	members := make([]member, 0, len(quotaMembers.GetMembers()))
 	for _, neighbour := range quotaMembers.GetMembers() {
@@ -28,15 +28,15 @@
 	return slices.CompactFunc(members, func(x, y member) bool { return x.host == y.host })
 }
 
-// namesMajority reports whether shares name a majority of the proxies. With fewer, this proxy would believe itself to be
-// among the first too often.
+// namesMajority reports whether quotaMembers lists more than half of the proxies. From a smaller set this proxy would
+// rank itself too far ahead, and take a share that belongs to another proxy.
 func namesMajority(quotaMembers *pb.QuotaMembers, members []member) bool {
 	return quotaMembers.GetProxies() > 0 && 2*len(members) > int(quotaMembers.GetProxies())
 }
 
-// position returns this host's position, from 0, among the members in the order of rendezvous hashing for a key
-// (Thaler and Ravishankar, 1998): proxies that know the same members agree on the order without coordination. Members
-// for which eligible is false are passed over, as are repeated hosts. It is -1 if the host is not a member.
+// position returns the zero-based rank of host among the members, in rendezvous hashing order for a key (Thaler and
+// Ravishankar, 1998). Proxies that know the same members compute the same order without coordination. Members for
+// which eligible returns false and repeated hosts are skipped. The result is -1 if host is not an eligible member.
 func position(members []member, host, key string, eligible func(member) bool) int {
 	own := slices.IndexFunc(members, func(m member) bool { return m.host == host && eligible(m) })
 	if own < 0 {
@@ -57,5 +57,5 @@
 	return ahead
 }
 
-// weight is a member's weight for a key.
+// weight returns a member's rendezvous hashing weight for a key.
 func weight(m member, keyHash uint64) uint64 { return splitmix.Mix(m.hash ^ keyHash) }
--- a/internal/region/limits/quotamembersversion.go
+++ b/internal/region/limits/quotamembersversion.go
@@ -2,8 +2,9 @@
 
 import pb "fieldrelay/api/fieldrelay/v1"
 
-// IsOutdated reports whether received shares were superseded by the applied ones. Only shares of one incarnation of an
-// agent are ordered: the wall clock may jump between two incarnations, so those of another one are never outdated.
+// IsOutdated reports whether the received quota members are older than the applied ones. Only versions from the same
+// agent process are ordered. Versions from different processes are never outdated, because the wall clock may jump
+// between two processes.
 func IsOutdated(received, applied *pb.QuotaMembersVersion) bool {
 	if received == nil || applied == nil || received.GetAgent() != applied.GetAgent() {
 		return false
--- a/internal/region/limits/retry.go
+++ b/internal/region/limits/retry.go
@@ -7,44 +7,46 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Fractions of the retry limit that the proxies use; all dimensionless. The rest is a margin for requests that are
-// counted at another instant than here, and for proxies that know different sets of proxies.
+// Fractions of the retry limit that the proxies use; all are dimensionless. The remainder is a safety margin: the
+// limit may be checked against counts taken at a different instant, and proxies may know different sets of proxies.
 const (
-	// ratioFraction is used of the ratio.
+	// ratioFraction is the fraction of RetryConfig.Ratio that is used.
 	ratioFraction = 0.9
-	// extraFraction is used of the extra retries, over all proxies.
+	// extraFraction is the fraction of RetryConfig.Extra that all proxies together use.
 	extraFraction = 0.8
-	// remainderFraction of the extra retries that are left by rounding down is given to the first proxies in order.
+	// remainderFraction is the fraction of the extra retries left over by rounding down that is assigned, one each, to
+	// the first proxies in rendezvous order.
 	remainderFraction = 0.5
 )
 
-// maxServices is the most services whose requests are counted.
+// maxServices bounds the number of services whose requests are counted.
 const maxServices = 256
 
-// RetryConfig holds the common limit on retries: in each sliding window, the attempts at a service beyond the first of
-// each request are at most Ratio times the requests, plus Extra.
+// RetryConfig holds the limit on retries that all proxies share. In each sliding window, the number of retries to a
+// service (attempts after the first one of each request) is at most Ratio times the number of requests, plus Extra.
 type RetryConfig struct {
 	Ratio  float64       // retries per request
-	Extra  float64       // retries per window, over all proxies
+	Extra  float64       // additional retries per window, for all proxies together
 	Window time.Duration // length of the sliding window
 }
 
-// RetryBudget enforces this proxy's share of the limit on retries, for each service.
+// RetryBudget enforces this proxy's share of the retry limit, separately for each service.
 type RetryBudget struct {
 	config   RetryConfig
 	host     string
-	proxies  int // 0: unknown
+	proxies  int // number of proxies; 0 if unknown
 	members  []member
 	services map[string]*windowCounts
 }
 
-// NewRetryBudget makes the budget of the proxy on a host. Until SetQuotaMembers, it has no share of the extra retries.
+// NewRetryBudget returns the budget of the proxy on a host. The budget has no share of the extra retries until
+// SetQuotaMembers is called.
 func NewRetryBudget(config RetryConfig, host string) *RetryBudget {
 	config.Window = max(config.Window, 2*bucketWidth)
 	return &RetryBudget{config: config, host: host, services: map[string]*windowCounts{}}
 }
 
-// SetQuotaMembers replaces the proxies that share the limit.
+// SetQuotaMembers replaces the set of proxies that share the limit.
 func (b *RetryBudget) SetQuotaMembers(quotaMembers *pb.QuotaMembers) {
 	b.members = membersOf(quotaMembers)
 	b.proxies = 0
@@ -53,14 +55,14 @@
 	}
 }
 
-// Request counts a client's request for a service.
+// Request records a client's request to a service.
 func (b *RetryBudget) Request(now time.Duration, service string) {
 	if c := b.windowCounts(now, service); c != nil {
 		c.requests[c.slot(0)]++
 	}
 }
 
-// Take reports whether a retry may be sent to a service, and counts it if so.
+// Take reports whether a retry may be sent to a service, and records the retry if so.
 func (b *RetryBudget) Take(now time.Duration, service string) bool {
 	c := b.windowCounts(now, service)
 	if c == nil || b.remainingRetries(now, c, service) < 1 {
@@ -70,8 +72,9 @@
 	return true
 }
 
-// Refund returns a retry that Take allowed within the last window and that was not sent. Of the retries of that time the
-// oldest is struck off, whichever it was: no window then counts fewer retries than were sent in it.
+// Refund gives back a retry that Take allowed within the last window and that was not sent. It removes the oldest
+// retry recorded in that window, even if a later one was not sent, so that no window counts fewer retries than were
+// sent in it.
 func (b *RetryBudget) Refund(now time.Duration, service string) {
 	c := b.windowCounts(now, service)
 	if c == nil {
@@ -85,15 +88,15 @@
 	}
 }
 
-// remainingRetries is the number of further retries that this proxy may send now.
+// remainingRetries returns the number of further retries that this proxy may send now.
 func (b *RetryBudget) remainingRetries(now time.Duration, c *windowCounts, service string) float64 {
 	return c.remainingRetries(ratioFraction*b.config.Ratio, float64(b.extraShare(now, service)))
 }
 
-// extraShare is this proxy's whole number of the extraShare retries of a service: an equal share, rounded down. Of what rounding
-// leaves over, one each goes to the first proxies in an order that depends on the service's name. A process has none
-// until a window has passed since its start: earlier incarnations of it may have used the share, and others follow it
-// if it starts again and again.
+// extraShare returns the number of extra retries of a service that this proxy may use: an equal share, rounded down,
+// plus one if this proxy is among the first in the service's rendezvous order, which share the remainder. The share
+// is 0 until one window has passed since the start of the process, because earlier incarnations of the process may
+// have used the share, and a process that restarts repeatedly would use it several times in one window.
 func (b *RetryBudget) extraShare(now time.Duration, service string) int {
 	if b.proxies == 0 || now < b.config.Window+bucketWidth {
 		return 0
@@ -108,7 +111,8 @@
 	return int(each)
 }
 
-// windowCounts returns the counts of a service, up to date at now. It is nil if too many services are in use.
+// windowCounts returns the counts of a service, advanced to now. It returns nil if maxServices other services are in
+// use.
 func (b *RetryBudget) windowCounts(now time.Duration, service string) *windowCounts {
 	c, ok := b.services[service]
 	if !ok {
@@ -122,7 +126,8 @@
 	return c
 }
 
-// dropIdle removes the services without a request or retry in the last two windows, and reports whether there was one.
+// dropIdle removes the services without requests and retries in the last two windows, and reports whether it removed
+// any.
 func (b *RetryBudget) dropIdle(now time.Duration) bool {
 	dropped := false
 	for name, c := range b.services {
--- a/internal/region/limits/retry_test.go
+++ b/internal/region/limits/retry_test.go
@@ -14,7 +14,7 @@
 
 func hostName(i int) string { return fmt.Sprintf("edge-%d", i) }
 
-// sharesOf returns shares that name some of the proxies.
+// sharesOf returns quota members that list the given proxies out of a total.
 func sharesOf(proxies int, members []int, region func(int) string) *pb.QuotaMembers {
 	shares := &pb.QuotaMembers{Proxies: uint32(proxies)}
 	for _, i := range members {
@@ -35,7 +35,7 @@
 
 var testRetryConfig = RetryConfig{Ratio: 0.2, Extra: 54, Window: 10 * time.Second}
 
-// afterFirstWindow is when a process may use its share of the extra retries, counted from its start.
+// afterFirstWindow is the earliest time since its start at which a process may use its share of the extra retries.
 const afterFirstWindow = 10*time.Second + bucketWidth
 
 func TestWithoutSharesOnlyTheRatioPartIsAllowed(t *testing.T) {
@@ -49,7 +49,7 @@
 	for budget.Take(now, "s") {
 		allowed++
 	}
-	require.InDelta(t, 9, allowed, 1) // 0.2 x 0.9 of 50: no window is certain to be compared with more of the 99
+	require.InDelta(t, 9, allowed, 1) // 0.2 x 0.9 x 50: the mean of the three request counts is about 50
 	require.Zero(t, budget.allowedRetries(now))
 	budget.Refund(now, "s")
 	require.Equal(t, 1, budget.allowedRetries(now))
@@ -112,8 +112,8 @@
 	require.Less(t, len(budget.services), maxServices)
 }
 
-// TestTheSumOfRetriesStaysUnderTheBound lets many proxies, whose members differ, retry as often as they are
-// allowed, under bursty traffic, and counts as the rule does.
+// TestTheSumOfRetriesStaysUnderTheBound simulates proxies that know different members and retry as often as they are
+// allowed, under bursty traffic, and checks the retry limit in every window.
 func TestTheSumOfRetriesStaysUnderTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 70).Draw(t, "proxies")
@@ -121,9 +121,9 @@
 			proxies:          proxies,
 			seed:             rapid.Uint64().Draw(t, "seed"),
 			extra:            rapid.IntRange(10, 200).Draw(t, "extra"),
-			burst:            rapid.IntRange(1, 100).Draw(t, "clump"),
+			burst:            rapid.IntRange(1, 100).Draw(t, "burst"),
 			rate:             rapid.Float64Range(0, 3).Draw(t, "rate"),
-			retryProbability: rapid.Float64Range(0.01, 1).Draw(t, "eager"),
+			retryProbability: rapid.Float64Range(0.01, 1).Draw(t, "retry probability"),
 
 			retryFrom: rapid.IntRange(0, loadTicks/2).Draw(t, "first tick of retries"),
 		}
@@ -135,7 +135,7 @@
 	})
 }
 
-// drawOffsets shifts the traffic of each proxy, or of none.
+// drawOffsets draws a delay for the traffic of every second proxy, or no delays.
 func drawOffsets(t *rapid.T, load retryLoad) []int {
 	offsets := make([]int, load.proxies)
 	if !rapid.Bool().Draw(t, "traffic that differs") {
@@ -149,26 +149,27 @@
 }
 
 func drawRestart(t *rapid.T, proxies int) processRestart {
-	first := rapid.IntRange(0, proxies-1).Draw(t, "first to start anew")
+	first := rapid.IntRange(0, proxies-1).Draw(t, "first to restart")
 	return processRestart{
 		tick:  rapid.IntRange(0, loadTicks-1).Draw(t, "tick of the restart"),
 		first: first,
-		end:   rapid.IntRange(first+1, proxies).Draw(t, "end of those that start anew"),
+		end:   rapid.IntRange(first+1, proxies).Draw(t, "end of those that restart"),
 	}
 }
 
-// TestLoadsThatOnceBrokeTheBound plays loads whose retries were over the bound when each process counted what any window
-// certainly holds by itself, and had a fifth of the extra retries at once after its start.
+// TestLoadsThatOnceBrokeTheBound replays loads that exceeded the limit under an earlier rule, by which each process
+// on its own counted the requests that every window certainly contains, and had a fifth of its extra retries right
+// after its start.
 func TestLoadsThatOnceBrokeTheBound(t *testing.T) {
 	for name, load := range map[string]retryLoad{
-		"all start anew between two bursts half a window apart": {
+		"all restart between two bursts half a window apart": {
 			proxies: 61, seed: 0x1ddea9b826b5d61, extra: 110, burst: 100, rate: 1.8495261305451483,
 			retryProbability: 0.2383399329451928, restarts: []processRestart{{tick: 773, end: 61}},
 		},
 		"bursts of two halves of the proxies, a window apart": {
 			proxies: 60, seed: 1, extra: 10, burst: 100, rate: 3, retryProbability: 1, offset: alternating(60, 200), period: 1000, retryFrom: 150,
 		},
-		"each starts anew four times in a window": {
+		"each restarts four times in a window": {
 			proxies: 10, seed: 1, extra: 200, burst: 100, rate: 0, retryProbability: 1,
 			restarts: []processRestart{
 				{tick: 410, end: 10}, {tick: 440, end: 10}, {tick: 470, end: 10}, {tick: 500, end: 10},
@@ -179,7 +180,7 @@
 	}
 }
 
-// alternating gives every second proxy an offset.
+// alternating returns offsets in which every second proxy has the given one.
 func alternating(proxies, offset int) []int {
 	offsets := make([]int, proxies)
 	for i := range offsets {
@@ -193,25 +194,25 @@
 	loadTicks = 1000
 )
 
-// retryLoad is traffic of proxies that retry as often as they may.
+// retryLoad is simulated traffic of proxies that retry as often as they are allowed.
 type retryLoad struct {
 	proxies          int
 	seed             uint64
 	extra            int
-	burst            int     // ticks of traffic at a time
-	period           int     // ticks from one clump to the next; 0 means twice the clump
-	offset           []int   // ticks by which each proxy's traffic is later; nil means none
-	rate             float64 // requests of a proxy in two ticks of traffic
-	retryProbability float64 // probability of trying another retry
-	// retryFrom is the tick of the first retry: what was saved until then is used at once.
+	burst            int     // length of a burst of traffic in ticks
+	period           int     // ticks from the start of one burst to the next; 0 means twice the burst
+	offset           []int   // delay of each proxy's traffic in ticks; nil means none
+	rate             float64 // mean requests of a proxy in two ticks of a burst
+	retryProbability float64 // probability of attempting one more retry
+	// retryFrom is the tick of the first retry. The budget that is unused until then can be used at once.
 	retryFrom int
 	restarts  []processRestart
 }
 
-// processRestart replaces the processes of the proxies from first to below end.
+// processRestart restarts the processes of the proxies with first <= index < end.
 type processRestart struct{ tick, first, end int }
 
-// retryProxy is a proxy with the current incarnation of its process.
+// retryProxy is a proxy with the budget of its current process.
 type retryProxy struct {
 	budget  *RetryBudget
 	shares  *pb.QuotaMembers
@@ -224,7 +225,7 @@
 	p.started = tick
 }
 
-// run plays the load, and checks the bound in every window.
+// run simulates the load, and checks the limit in every window.
 func (l retryLoad) run(t require.TestingT) {
 	config := RetryConfig{Ratio: 0.2, Extra: float64(l.extra), Window: 10 * time.Second}
 	random := rand.New(rand.NewPCG(l.seed, 1))
@@ -246,7 +247,7 @@
 	requireBudget(t, config, requests, retries, int(config.Window/loadTick))
 }
 
-// start makes the proxies, each of which knows nine in ten of the others.
+// start creates the proxies. Each of them knows about nine in ten of the others.
 func (l retryLoad) start(config RetryConfig, random *rand.Rand) []*retryProxy {
 	proxies := make([]*retryProxy, l.proxies)
 	for i := range proxies {
@@ -285,8 +286,8 @@
 	return tick >= 0 && tick%period < l.burst
 }
 
-// requireBudget checks every window as the rule does: the requests of that window, of the one before it or of
-// the one half a window before, whichever holds most.
+// requireBudget checks the limit in every window: the retries are compared with the largest of the requests in that
+// window, in the window before it, and in the window half a window earlier.
 func requireBudget(t require.TestingT, config RetryConfig, requests, retries []int, window int) {
 	sum := func(counts []int, from, to int) int {
 		total := 0
@@ -303,11 +304,11 @@
 	}
 }
 
-// TestTheCountIsNoMoreThanWhatTheWindowsHold compares the count for each window that reaches to now with the mean of what
-// the rule finds in that window, the one before it and the one half a window earlier, wherever in its bucket it begins.
+// TestTheCountIsNoMoreThanWhatTheWindowsHold compares meanRequests for each window that ends now with the exact mean
+// over that window, the one before it and the one half a window earlier. Windows begin anywhere in a bucket.
 func TestTheCountIsNoMoreThanWhatTheWindowsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const perBucket = 4 // instants at which a request may come
+		const perBucket = 4 // instants in a bucket at which requests are counted
 		window := 100*bucketWidth + time.Duration(rapid.IntRange(0, 3).Draw(t, "quarters"))*bucketWidth/perBucket
 		instant := bucketWidth / perBucket
 		length := int(window / instant)
@@ -337,7 +338,8 @@
 	})
 }
 
-// boundaryRequests is the requests near the ends of the three windows, which a count by buckets may miss.
+// boundaryRequests returns the number of requests near the boundaries of the three windows, which a count by buckets
+// may miss.
 func boundaryRequests(history []int, from, length, perBucket int) int {
 	total := 0
 	for _, end := range []int{from, from, from, from - length, from - length/2, from + length/2} {
@@ -348,7 +350,7 @@
 	return total
 }
 
-// allowedRetries is the number of retries of service "s" that Take would allow now.
+// allowedRetries returns the number of retries to service "s" that Take would allow now.
 func (b *RetryBudget) allowedRetries(now time.Duration) int {
 	c := b.windowCounts(now, "s")
 	if c == nil {
--- a/internal/region/limits/slowstart.go
+++ b/internal/region/limits/slowstart.go
@@ -7,72 +7,75 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Tuning of slow start.
+// Parameters of slow start.
 const (
-	// primaryFraction of a server's limit is shared by the primary positions. Where proxies know two different sets of
-	// proxies, each set fills the primary positions once: together no more than the limit, whatever the sets.
+	// primaryFraction is the fraction of a server's limit that the primary positions share. If proxies know two
+	// different sets of proxies, each set may assign all primary positions to different proxies; together these use
+	// at most the whole limit.
 	primaryFraction = 0.5
-	// spareFraction of the limit is shared by the spare positions, which come after the primary ones and are used when
-	// only servers that are warming up are left.
+	// spareFraction is the fraction of the limit that the spare positions share. Spare positions follow the primary
+	// ones, and are used when only servers that are warming up are available.
 	spareFraction = 0.25
-	// maxPositions is the most primary, or spare, positions of a server: with more, each has little more than the one
-	// request that it may always send.
+	// maxPositions bounds the primary positions of a server, and also its spare positions. With more, each position
+	// would have little more than its burst of one request.
 	maxPositions = 3
-	// minRate is the least rate, in requests a second, that makes a position worth having.
+	// minRate is the lowest useful rate of a position, in requests a second.
 	minRate = 0.25
-	// startupWait is how long after its first usable shares a proxy regards its share as unknown: when many processes
-	// start at once, the first shares name few.
+	// startupWait is how long a proxy treats its share as unknown after it first learnt a majority of the members.
+	// When many processes start at once, the first member lists are incomplete.
 	startupWait = 2 * time.Second
-	// membershipSettleTime is how long the members must have been the same before spare positions are used.
+	// membershipSettleTime is how long the members must have been unchanged before spare positions are used.
 	membershipSettleTime = 5 * time.Second
-	// maxBuckets bounds the servers that are accounted for at a time.
+	// maxBuckets bounds the number of servers with a token bucket.
 	maxBuckets = 4096
-	// bucketIdleTimeout is how long a bucket is kept after its last use. It is longer than any pause between requests, so
-	// that a dropped bucket was full.
+	// bucketIdleTimeout is how long a bucket is kept after its last use. It is longer than a bucket takes to fill, so
+	// that a removed bucket was full.
 	bucketIdleTimeout = 10 * time.Second
 )
 
-// SlowStartConfig holds the common limit on requests to a server that is warming up: in each second, at most Excess
-// times the service's warm rate, plus Extra.
+// SlowStartConfig holds the limit on requests to a server that is warming up, which all proxies share: in each
+// second, at most Excess times the warm rate of the service, plus Extra.
 type SlowStartConfig struct {
 	Excess float64 // multiple of the warm rate
 	Extra  float64 // requests a second
 }
 
-// WarmingServer is a server that is warming up now.
+// WarmingServer is a server that is currently warming up.
 type WarmingServer struct {
 	ID       string
 	Region   string
-	WarmRate float64 // requests a second that it can take, from its service's configuration
+	WarmRate float64 // requests a second while warming up, from the configuration of the service
 }
 
-// SlowStartLimiter enforces this proxy's quota share of the limit on requests to servers that are warming up. Each such
-// server is assigned to a few proxies by rendezvous hashing, those of its own region first. Each of them has a token
-// bucket of one request that fills at an equal rate, so that in any second it sends at most 1 + rate.
+// SlowStartLimiter enforces this proxy's share of the limit on requests to servers that are warming up. Rendezvous
+// hashing assigns each such server to a few proxies, preferably of the server's own region. Each of these proxies has
+// a token bucket for the server with a burst of one request. Buckets of the same kind fill at equal rates, so that in
+// any second a proxy sends at most 1 + rate requests.
 //
-// With k primary positions of rate r, k(1+r) is half of the limit. When only servers that are warming up are left to a
-// request, the next j positions, the spare ones of rate q, may send as well: j(1+q) is a quarter of the limit. They may
-// do so only while the members have been the same for some seconds. Then the sets that two proxies know differ by one
-// member at most (a partition that has lasted longer keeps the far side from the server's region too), which adds one
-// position of either kind: 1/2 + 1/4 + 1/(2k) + 1/(4j) of the limit, no more than the whole for k and j of 3 or more;
-// with fewer positions there are no spare ones.
+// With k primary positions of rate r, k(1+r) is half of the limit. If only servers that are warming up are available
+// for a request, the proxies in the next j positions, the spare ones of rate q, may send as well: j(1+q) is a quarter
+// of the limit. Spare positions are used only after the members have been unchanged for membershipSettleTime. The
+// sets that two proxies know then differ by at most one member (a longer network partition also separates the far
+// side from the server's region), which adds one position of each kind. The sum is 1/2 + 1/4 + 1/(2k) + 1/(4j) of the
+// limit, which is at most the whole limit if k and j are 3 or more. With fewer positions of either kind there are no
+// spare ones.
 type SlowStartLimiter struct {
 	config             SlowStartConfig
 	host               string
 	members            []member
-	majorityKnown      bool          // the shares name enough members to divide the limit among them
-	majorityKnownSince time.Duration // since when
+	majorityKnown      bool          // the member list contains a majority of the proxies
+	majorityKnownSince time.Duration // when majorityKnown last became true
 	changedAt          time.Duration // when the members last changed
 	buckets            map[string]*bucket
 }
 
-// bucket is the token bucket of one server.
+// bucket is the token bucket for one server.
 type bucket struct {
-	tokens float64 // up to 1
+	tokens float64 // at most 1
 	usedAt time.Duration
 }
 
-// quotaPlan is how the limit of a server is divided into positions. Rates are in requests a second.
+// quotaPlan is the division of a server's limit into positions. Rates are in requests a second.
 type quotaPlan struct {
 	primaries   int
 	primaryRate float64
@@ -80,12 +83,13 @@
 	spareRate   float64
 }
 
-// NewSlowStartLimiter makes the limiter of the proxy on a host. Until SetQuotaMembers it allows nothing.
+// NewSlowStartLimiter returns the limiter of the proxy on a host. It allows no request until SetQuotaMembers is
+// called.
 func NewSlowStartLimiter(config SlowStartConfig, host string) *SlowStartLimiter {
 	return &SlowStartLimiter{config: config, host: host, buckets: map[string]*bucket{}}
 }
 
-// SetQuotaMembers replaces the proxies that share the limit.
+// SetQuotaMembers replaces the set of proxies that share the limit.
 func (l *SlowStartLimiter) SetQuotaMembers(now time.Duration, quotaMembers *pb.QuotaMembers) {
 	members := membersOf(quotaMembers)
 	if !slices.Equal(members, l.members) {
@@ -99,11 +103,11 @@
 	l.majorityKnown = majorityKnown
 }
 
-// Allows reports whether a request may be sent to a server now. lastResort says that only servers that are warming up
-// are left to it.
+// Allows reports whether a request may be sent to a server now. lastResort means that only servers that are warming
+// up are available for the request.
 func (l *SlowStartLimiter) Allows(now time.Duration, server WarmingServer, lastResort bool) bool {
 	if !l.ready(now) {
-		// Even one request of each would be too many: any number of proxies may have started at once.
+		// Any number of proxies may have started at once: even one request from each could exceed the limit.
 		return false
 	}
 	rate, ok := l.rate(now, server, lastResort)
@@ -118,7 +122,7 @@
 	return b.tokens >= 1
 }
 
-// Take counts a request to a server, which Allows must have allowed at the same instant.
+// Take records a request to a server. Allows must have returned true for the server at the same instant.
 func (l *SlowStartLimiter) Take(now time.Duration, server WarmingServer) {
 	b := l.buckets[server.ID]
 	if b == nil {
@@ -129,8 +133,8 @@
 	b.usedAt = now
 }
 
-// Wait returns the time until a last-resort request may be sent to a server that Allows did not allow; false if no time
-// is known.
+// Wait returns the time until a last-resort request may be sent to a server for which Allows returned false. It
+// returns false if that time is not known.
 func (l *SlowStartLimiter) Wait(now time.Duration, server WarmingServer) (time.Duration, bool) {
 	if !l.ready(now) {
 		return l.majorityKnownSince + startupWait - now, l.majorityKnown
@@ -152,7 +156,8 @@
 	return l.majorityKnown && now-l.majorityKnownSince >= startupWait
 }
 
-// rate is this proxy's rate of requests to a server, in requests a second; false if it has no position.
+// rate returns the rate of requests that this proxy may send to a server, in requests a second. It returns false if
+// this proxy has no usable position for the server.
 func (l *SlowStartLimiter) rate(now time.Duration, server WarmingServer, lastResort bool) (float64, bool) {
 	own := l.position(server)
 	plan := l.plan(server.WarmRate)
@@ -167,8 +172,8 @@
 	return 0, false
 }
 
-// position is this proxy's position in the order for a server, among the members of the server's region or, if it has
-// none, among all.
+// position returns this proxy's position for a server among the members in the server's region, or among all members
+// if that region has none.
 func (l *SlowStartLimiter) position(server WarmingServer) int {
 	inRegion := func(m member) bool { return m.region == server.Region }
 	if slices.ContainsFunc(l.members, inRegion) {
@@ -177,7 +182,7 @@
 	return position(l.members, l.host, server.ID, func(member) bool { return true })
 }
 
-// plan divides the limit of a server.
+// plan divides a server's limit into positions.
 func (l *SlowStartLimiter) plan(warmRate float64) quotaPlan {
 	limit := warmRate*l.config.Excess + l.config.Extra
 	primaries, primaryRate := divide(primaryFraction * limit)
@@ -188,7 +193,8 @@
 	return quotaPlan{primaries: primaries, primaryRate: primaryRate, spares: spares, spareRate: spareRate}
 }
 
-// divide returns how many buckets of one request share a limit, in requests a second, and the rate of each.
+// divide returns how many token buckets with a burst of one request can share a limit, in requests a second, and the
+// fill rate of each.
 func divide(limit float64) (positions int, rate float64) {
 	for positions := maxPositions; positions > 0; positions-- {
 		if rate := limit/float64(positions) - 1; rate >= minRate {
@@ -198,13 +204,14 @@
 	return 0, 0
 }
 
-// fill adds the tokens since the last use. A bucket whose position changed fills at its new rate.
+// fill adds the tokens accrued since the last use. If this proxy's position has changed since then, the whole
+// interval counts at the new rate.
 func (b *bucket) fill(now time.Duration, rate float64) {
 	b.tokens = min(b.tokens+rate*(now-b.usedAt).Seconds(), 1)
 	b.usedAt = now
 }
 
-// dropIdle removes the buckets that have been unused for long, and reports whether there was one.
+// dropIdle removes the buckets that have not been used for bucketIdleTimeout, and reports whether it removed any.
 func (l *SlowStartLimiter) dropIdle(now time.Duration) bool {
 	dropped := false
 	for id, b := range l.buckets {
--- a/internal/region/limits/slowstart_test.go
+++ b/internal/region/limits/slowstart_test.go
@@ -20,11 +20,12 @@
 	return server.WarmRate*config.Excess + config.Extra
 }
 
-// Sixteen proxies that started at once and each sent one request once exceeded the limit of a server.
+// Guards against a violation of the limit by sixteen proxies that started at the same time and each sent one request
+// to a server that was warming up.
 func TestAProxyThatDoesNotKnowItsShareSendsNothing(t *testing.T) {
 	tests := map[string]struct {
 		shares   *pb.QuotaMembers
-		learnsIn time.Duration // 0: no time is known
+		learnsIn time.Duration // 0: Wait returns false
 	}{
 		"none":                {nil, 0},
 		"number unknown":      {sharesOf(0, upTo(5), oneRegion), 0},
@@ -115,8 +116,8 @@
 	require.Empty(t, limiter.buckets)
 }
 
-// TestTheSumToAWarmingServerStaysUnderTheBound lets proxies that know one of two sets of proxies, however different, send
-// whenever their limiters allow, and counts every second that begins with a request.
+// TestTheSumToAWarmingServerStaysUnderTheBound simulates proxies that each know one of two arbitrary sets of proxies
+// and send whenever their limiters allow, and checks the limit in every second that begins with a request.
 func TestTheSumToAWarmingServerStaysUnderTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 40).Draw(t, "proxies")
@@ -143,8 +144,8 @@
 	})
 }
 
-// TestTheSumOfLastResortsStaysUnderTheBound does the same where only servers that are warming up are left, with views
-// that differ by one member, which each proxy learns at a time of its own.
+// TestTheSumOfLastResortsStaysUnderTheBound checks the limit while only servers that are warming up are available.
+// The sets that the proxies know differ by one member, and each proxy learns of the change at a different time.
 func TestTheSumOfLastResortsStaysUnderTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 40).Draw(t, "proxies")
@@ -167,7 +168,7 @@
 	})
 }
 
-// restartChance is the probability that a process starts anew in a second.
+// restartChance draws the probability that a process restarts within a second.
 func restartChance(t *rapid.T) float64 {
 	return rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "probability of a restart in a second")
 }
--- a/internal/region/limits/windowcounts.go
+++ b/internal/region/limits/windowcounts.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// bucketWidth is the resolution at which requests and retries are counted.
+// bucketWidth is the time resolution of the request and retry counts.
 const bucketWidth = 100 * time.Millisecond
 
-// windowCounts holds one service's requests and retries of the last two windows, in a ring of buckets.
+// windowCounts counts the requests to one service and their retries over the last two windows, in a ring of buckets.
 //
-// The rule counts the retries of a window that begins at any instant s, and compares them with the requests of that
-// window, of the one before it or of the one half a window earlier, whichever holds most. The mean of the three bounds
-// the greatest from below, and unlike the greatest it is a sum over requests: what several processes count, each its own
-// requests, adds up to what the rule finds, however their traffic differs and whenever one of them started anew.
+// The retry limit compares the retries in a window that begins at any instant with the largest of three request
+// counts: those of the same window, of the preceding window, and of the window that begins half a window earlier.
+// windowCounts uses the mean of the three instead, which is never more than the largest. Unlike the largest, the mean
+// is linear in the requests, so the counts of several proxies, each of its own requests, add up to the mean over all
+// of them. The sum therefore stays within the limit even if the proxies' traffic differs or one of the proxies
+// restarts.
 type windowCounts struct {
 	requests []uint32
 	retries  []uint32
-	newest   int64 // number of the newest bucket since time 0
+	newest   int64 // index of the newest bucket, counted from time 0
 
 	windowBuckets     int // whole buckets in a window
 	halfWindowBuckets int // whole buckets in half a window
-	oldestAge         int // age of the bucket in which a window that reaches to now may begin
-	// cumulative[i] is the number of requests in the i newest buckets; scratch of spare.
+	oldestAge         int // largest age, in buckets, of the bucket in which a window that ends now begins
+	// cumulative[i] is the number of requests in the i newest buckets. It is a scratch buffer of remainingRetries.
 	cumulative []int
 }
 
-// newWindowCounts makes a ring for the windows, and those before them, that reach to the current instant.
+// newWindowCounts returns counts that cover the windows ending now and the windows before them.
 func newWindowCounts(window time.Duration) *windowCounts {
 	full := int(window / bucketWidth)
 	oldest := int((window + bucketWidth - 1) / bucketWidth)
@@ -41,7 +43,7 @@
 	}
 }
 
-// advance makes the bucket of now the newest, and clears the buckets that are reused for it.
+// advance makes the bucket of now the newest one, and clears the buckets that it reuses.
 func (c *windowCounts) advance(now time.Duration) {
 	bucket := int64(now / bucketWidth)
 	if bucket-c.newest >= int64(len(c.requests)) {
@@ -57,15 +59,15 @@
 	}
 }
 
-// slot is the index of the bucket that is age buckets older than the newest.
+// slot returns the ring index of the bucket that is age buckets older than the newest one.
 func (c *windowCounts) slot(age int) int {
 	size := int64(len(c.requests))
 	return int(((c.newest-int64(age))%size + size) % size)
 }
 
-// remainingRetries is the number of further retries that keep every window that reaches to now within ratio times the mean of its
-// three counts of requests, plus extra. A window begins somewhere in a bucket: all retries of that bucket are counted,
-// and of its requests only those that any such window finds.
+// remainingRetries returns the number of further retries for which every window that ends now stays within ratio
+// times its mean request count, plus extra. A window may begin anywhere in a bucket. All retries of that bucket are
+// counted, but only the requests that every window beginning in the bucket contains.
 func (c *windowCounts) remainingRetries(ratio, extra float64) float64 {
 	c.accumulate()
 	retries := 0
@@ -77,8 +79,8 @@
 	return least
 }
 
-// meanRequests is the mean of the three counts of requests for a window that begins in the bucket of an age. It is never
-// too many. The cumulative counts must be current.
+// meanRequests returns the mean of the three request counts (see windowCounts) for a window that begins in the bucket
+// of the given age. The result is never too high. The caller must call accumulate first.
 func (c *windowCounts) meanRequests(age int) float64 {
 	inside := c.requestsBetween(0, age)
 	before := c.requestsBetween(age+1, age+c.windowBuckets)
@@ -86,7 +88,7 @@
 	return float64(inside+before+around) / 3
 }
 
-// requestsBetween is the number of requests in the buckets whose age is from youngest to below end.
+// requestsBetween returns the number of requests in the buckets with youngest <= age < end.
 func (c *windowCounts) requestsBetween(youngest, end int) int {
 	youngest, end = max(youngest, 0), min(max(end, 0), len(c.requests))
 	return max(c.cumulative[end]-c.cumulative[min(youngest, end)], 0)
@@ -98,7 +100,7 @@
 	}
 }
 
-// idle reports whether nothing was counted in the last two windows.
+// idle reports whether no request or retry was counted in the last two windows.
 func (c *windowCounts) idle() bool {
 	for slot := range c.requests {
 		if c.requests[slot] > 0 || c.retries[slot] > 0 {
