--- a/internal/region/proxy/upstream/explore_test.go
+++ b/internal/region/proxy/upstream/explore_test.go
@@ -47,7 +47,7 @@
 
 func TestExplorationFindsFaultsOfThePool(t *testing.T) {
 	faults := map[string]struct {
-		plant   func(*poolSteps)
+		inject  func(*poolSteps)
 		finding string
 	}{
 		"an idle connection is not looked at": {func(s *poolSteps) {
@@ -68,7 +68,7 @@
 			s.connect = func(pool *Pool, server Server) *Conn {
 				conn := unmodifiedSteps().connect(pool, server)
 				if conn != nil {
-					pool.keep(conn)
+					pool.putIdle(conn)
 				}
 				return conn
 			}
@@ -76,12 +76,12 @@
 		"a connection that was aborted is kept": {func(s *poolSteps) {
 			s.discard = func(pool *Pool, conn *Conn) {
 				conn.detachReader()
-				pool.keep(conn)
+				pool.putIdle(conn)
 			}
 		}, "that the server had closed or sent surplus bytes on"},
 		"a buffer is kept with its connection": {func(s *poolSteps) {
 			s.release = func(pool *Pool, conn *Conn) {
-				if !conn.broken && !conn.HasBuffered() && pool.keep(conn) {
+				if !conn.broken && !conn.HasBuffered() && pool.putIdle(conn) {
 					return
 				}
 				pool.Discard(conn)
@@ -100,7 +100,7 @@
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
 			steps := unmodifiedSteps()
-			fault.plant(&steps)
+			fault.inject(&steps)
 			_, err := explorePool(t, steps, poolDepth)
 			require.ErrorContains(t, err, fault.finding)
 		})
--- a/internal/region/proxy/upstream/pool.go
+++ b/internal/region/proxy/upstream/pool.go
@@ -140,14 +140,14 @@
 func (p *Pool) popIdle(server Server) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.servers[server]
-	if known == nil || len(known.idle) == 0 {
+	conns := p.servers[server]
+	if conns == nil || len(conns.idle) == 0 {
 		return nil
 	}
-	last := len(known.idle) - 1
-	conn := known.idle[last]
-	known.idle[last] = nil
-	known.idle = known.idle[:last]
+	last := len(conns.idle) - 1
+	conn := conns.idle[last]
+	conns.idle[last] = nil
+	conns.idle = conns.idle[:last]
 	p.idle--
 	return conn
 }
@@ -165,8 +165,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.Stale++
-	if known := p.servers[server]; known != nil {
-		known.idleTimeout = max(min(known.idleTimeout, age/2), minIdleTimeout)
+	if conns := p.servers[server]; conns != nil {
+		conns.idleTimeout = max(min(conns.idleTimeout, age/2), minIdleTimeout)
 	}
 }
 
@@ -217,7 +217,7 @@
 	conn.detachReader()
 	if reusable {
 		conn.setUserTimeout(idleUserTimeout)
-		if p.keep(conn) {
+		if p.putIdle(conn) {
 			return
 		}
 	}
@@ -229,26 +229,26 @@
 	}
 }
 
-// keep makes a connection idle and returns true, unless a bound is reached or the pool is closed.
-func (p *Pool) keep(conn *Conn) bool {
+// putIdle makes a connection idle and returns true, unless a bound is reached or the pool is closed.
+func (p *Pool) putIdle(conn *Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.config.DisableReuse || p.idle >= maxIdle {
 		return false
 	}
-	known := p.servers[conn.server]
-	if known == nil {
-		known = &serverConns{idleTimeout: maxIdleTimeout}
-		p.servers[conn.server] = known
+	conns := p.servers[conn.server]
+	if conns == nil {
+		conns = &serverConns{idleTimeout: maxIdleTimeout}
+		p.servers[conn.server] = conns
 	}
-	if len(known.idle) >= maxIdlePerServer {
+	if len(conns.idle) >= maxIdlePerServer {
 		return false
 	}
 	conn.reused = true
 	conn.pending = nil
-	conn.idleTimeout = min(conn.idleTimeout, known.idleTimeout)
+	conn.idleTimeout = min(conn.idleTimeout, conns.idleTimeout)
 	conn.idleSince = time.Now()
-	known.idle = append(known.idle, conn)
+	conns.idle = append(conns.idle, conn)
 	p.idle++
 	return true
 }
--- a/internal/region/proxy/upstream/pool_model_test.go
+++ b/internal/region/proxy/upstream/pool_model_test.go
@@ -151,9 +151,9 @@
 }
 
 // call performs one action of a caller.
-func (p *poolSystem) call(caller int, what string) {
+func (p *poolSystem) call(caller int, action string) {
 	used := p.connOf(caller)
-	switch what {
+	switch action {
 	case "connects":
 		p.connect(caller)
 	case "sends":
@@ -221,13 +221,13 @@
 }
 
 // serve performs one action of the server on a connection, and waits until it can be seen at the other end.
-func (p *poolSystem) serve(one *testConn, what string) {
+func (p *poolSystem) serve(one *testConn, action string) {
 	answer := func(id string) string {
 		body := "answer to " + id
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", AttemptIDHeader, id, len(body), body)
 	}
 	bytes := ""
-	switch what {
+	switch action {
 	case "answers on":
 		bytes = answer(one.requestID)
 	case "answers twice on":
@@ -243,8 +243,8 @@
 		_ = one.peer.Close()
 		one.unusable, one.closed = true, true
 	}
-	one.unread += what + ", "
-	one.responded = one.responded || what != "closes" && what != "repeats on" || what == "repeats on" && one.requestID != ""
+	one.unread += action + ", "
+	one.responded = one.responded || action != "closes" && action != "repeats on" || action == "repeats on" && one.requestID != ""
 	if bytes != "" {
 		_, _ = io.WriteString(one.peer, bytes)
 	}
--- a/internal/region/proxy/upstream/receive_test.go
+++ b/internal/region/proxy/upstream/receive_test.go
@@ -38,23 +38,23 @@
 
 // A close-delimited response is complete when the server closes in order, and not when the connection ends otherwise.
 func TestAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
-	const begun = "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\nbody"
+	const partialResponse = "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\nbody"
 	cases := map[string]struct {
 		script   func(*net.TCPConn)
 		complete bool
 		fault    Fault
 	}{
-		"closed": {script: respond(begun), complete: true},
+		"closed": {script: respond(partialResponse), complete: true},
 		"half closed": {script: func(conn *net.TCPConn) {
-			respond(begun)(conn)
+			respond(partialResponse)(conn)
 			_ = conn.CloseWrite()
 			_, _ = io.Copy(io.Discard, conn)
 		}, complete: true},
 		"reset": {script: func(conn *net.TCPConn) {
-			respond(begun)(conn)
+			respond(partialResponse)(conn)
 			_ = conn.SetLinger(0)
 		}, fault: FaultBroken},
-		"silent": {script: respondAndKeepOpen(begun), fault: FaultDeadline},
+		"silent": {script: respondAndKeepOpen(partialResponse), fault: FaultDeadline},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/region/proxy/upstream/send_test.go
+++ b/internal/region/proxy/upstream/send_test.go
@@ -152,7 +152,7 @@
 
 // The kernel buffers bytes of a request for a server that does not read. They must not reach it once the request was
 // aborted.
-func TestAbortTakesBackWhatIsOnItsWay(t *testing.T) {
+func TestAbortDropsUndeliveredRequestBytes(t *testing.T) {
 	begun, aborted := make(chan struct{}), make(chan struct{})
 	got := make(chan error, 1)
 	server := scriptedServer(t, func(conn *net.TCPConn) {
--- a/internal/region/proxy/upstream/sweep.go
+++ b/internal/region/proxy/upstream/sweep.go
@@ -9,9 +9,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var unreachable []Server
-	for server, known := range p.servers {
+	for server, conns := range p.servers {
 		listed := keep == nil || keep(server)
-		if p.sweepServer(known, now, listed) {
+		if p.sweepServer(conns, now, listed) {
 			unreachable = append(unreachable, server)
 		}
 		if !listed {
@@ -24,9 +24,9 @@
 // sweepServer closes what can't be used of one server's idle connections, all of them if it isn't listed any more. If
 // one shows that the machine is unreachable, the others lead there as well and are closed too. The caller holds the
 // lock.
-func (p *Pool) sweepServer(known *serverConns, now time.Time, listed bool) (unreachable bool) {
-	usable := known.idle[:0]
-	for _, conn := range known.idle {
+func (p *Pool) sweepServer(conns *serverConns, now time.Time, listed bool) (unreachable bool) {
+	usable := conns.idle[:0]
+	for _, conn := range conns.idle {
 		if listed && now.Sub(conn.idleSince) < conn.idleTimeout {
 			switch conn.checkIdle() {
 			case idleUsable:
@@ -39,10 +39,10 @@
 		conn.close()
 		p.idle--
 	}
-	clear(known.idle[len(usable):])
-	known.idle = usable
+	clear(conns.idle[len(usable):])
+	conns.idle = usable
 	if unreachable {
-		p.closeIdle(known)
+		p.closeIdle(conns)
 	}
 	return unreachable
 }
@@ -52,19 +52,19 @@
 func (p *Pool) Forget(server Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known := p.servers[server]; known != nil {
-		p.closeIdle(known)
+	if conns := p.servers[server]; conns != nil {
+		p.closeIdle(conns)
 	}
 }
 
 // closeIdle closes all idle connections to one server. The caller holds the lock.
-func (p *Pool) closeIdle(known *serverConns) {
-	for _, conn := range known.idle {
+func (p *Pool) closeIdle(conns *serverConns) {
+	for _, conn := range conns.idle {
 		conn.close()
 	}
-	p.idle -= len(known.idle)
-	clear(known.idle)
-	known.idle = known.idle[:0]
+	p.idle -= len(conns.idle)
+	clear(conns.idle)
+	conns.idle = conns.idle[:0]
 }
 
 // Close closes all idle connections. Those in use are closed when they are released. A closed pool still connects.
--- a/internal/region/proxy/upstream/unreachable_test.go
+++ b/internal/region/proxy/upstream/unreachable_test.go
@@ -15,16 +15,16 @@
 func TestDialFailures(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	dead := Server{ID: "i-1", Address: listener.Addr().String()}
+	refusing := Server{ID: "i-1", Address: listener.Addr().String()}
 	require.NoError(t, listener.Close())
-	_, err = NewPool(Config{}).Connect(context.Background(), dead, defaultTimeouts, time.Now().Add(testTimeout))
+	_, err = NewPool(Config{}).Connect(context.Background(), refusing, defaultTimeouts, time.Now().Add(testTimeout))
 	var dialError *DialError
 	require.ErrorAs(t, err, &dialError)
 	require.False(t, dialError.TimedOut, "it refused")
 
-	gone, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = NewPool(Config{}).Connect(gone, dead, defaultTimeouts, time.Now().Add(testTimeout))
+	_, err = NewPool(Config{}).Connect(canceled, refusing, defaultTimeouts, time.Now().Add(testTimeout))
 	require.ErrorAs(t, err, &dialError)
 }
 
@@ -48,15 +48,15 @@
 	}
 }
 
-func TestAMachineThatDoesNotAnswerADialIsSilent(t *testing.T) {
-	silent := fullListener(t)
-	patient := DialTimeouts{Dial: 60 * time.Millisecond}
-	_, err := NewPool(Config{}).Connect(context.Background(), silent, patient, time.Now().Add(testTimeout))
+func TestDialToUnresponsiveMachineTimesOut(t *testing.T) {
+	unresponsive := fullListener(t)
+	shortTimeouts := DialTimeouts{Dial: 60 * time.Millisecond}
+	_, err := NewPool(Config{}).Connect(context.Background(), unresponsive, shortTimeouts, time.Now().Add(testTimeout))
 	var dialError *DialError
 	require.ErrorAs(t, err, &dialError)
 	require.True(t, dialError.TimedOut)
 
-	_, err = NewPool(Config{}).Connect(context.Background(), silent, defaultTimeouts, time.Now().Add(minDialTimeout))
+	_, err = NewPool(Config{}).Connect(context.Background(), unresponsive, defaultTimeouts, time.Now().Add(minDialTimeout))
 	require.ErrorAs(t, err, &dialError)
 	require.False(t, dialError.TimedOut, "it was given too little time to tell")
 }
@@ -88,7 +88,7 @@
 	return count
 }
 
-func TestAMachineThatTakesNothingInIsSilent(t *testing.T) {
+func TestMachineThatAcknowledgesNothingIsUnreachable(t *testing.T) {
 	conn := unreachableConn(t, NewPool(Config{}))
 	_, err := conn.Receive(http.MethodGet, "id1")
 	var responseError *ResponseError
@@ -96,7 +96,7 @@
 	require.Equal(t, FaultUnreachable, responseError.Fault)
 }
 
-func TestASweepTellsOfSilentMachines(t *testing.T) {
+func TestSweepReportsUnreachableMachines(t *testing.T) {
 	pool := NewPool(Config{})
 	conn := unreachableConn(t, pool)
 	other := connect(t, pool, conn.server)
@@ -105,8 +105,8 @@
 	pool.Release(other)
 	require.Equal(t, 2, pool.Stats().IdleNow)
 	require.Eventually(t, func() bool {
-		silent := pool.Sweep(time.Now(), nil)
-		return len(silent) == 1 && silent[0] == conn.server
+		unreachable := pool.Sweep(time.Now(), nil)
+		return len(unreachable) == 1 && unreachable[0] == conn.server
 	}, testTimeout, pollInterval)
 	require.Zero(t, pool.Stats().IdleNow, "the other connection leads there as well")
 	require.Empty(t, pool.Sweep(time.Now(), nil))
--- a/internal/region/proxy/upstream/upstream_test.go
+++ b/internal/region/proxy/upstream/upstream_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestIdleConnectionThatSpokeOrClosedIsNotUsed(t *testing.T) {
+func TestIdleConnectionClosedByServerIsNotReused(t *testing.T) {
 	scripts := map[string]func(*net.TCPConn){
 		"closed": respond(goodAnswer),
 		"reset": func(conn *net.TCPConn) {
@@ -197,7 +197,7 @@
 	require.Positive(t, n)
 }
 
-func TestSilenceEndsAtTheDeadline(t *testing.T) {
+func TestReceiveFailsAtTheDeadline(t *testing.T) {
 	pool := NewPool(Config{})
 	server := scriptedServer(t, respondAndKeepOpen())
 	conn, err := pool.Connect(context.Background(), server, defaultTimeouts, time.Now().Add(30*time.Millisecond))
@@ -239,7 +239,7 @@
 	require.Equal(t, minDialTimeout, dialTimeout(time.Second, 0))
 }
 
-func TestContactIsSetForEachUse(t *testing.T) {
+func TestUserTimeoutIsSetForEachUse(t *testing.T) {
 	pool := NewPool(Config{})
 	server := scriptedServer(t, respondAndKeepOpen(goodAnswer))
 	timeout := func(conn *Conn) (milliseconds int) {
