--- a/internal/region/proxy/upstream/errors.go
+++ b/internal/region/proxy/upstream/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// DialError says that no connection to a server came up. No byte of a request was sent.
+// DialError reports that no connection to a server could be opened. No byte of a request was sent.
 type DialError struct {
 	Server   Server
-	TimedOut bool  // nothing came back from the machine for DialTimeouts.Dial; false if it refused
+	TimedOut bool  // the machine did not answer within DialTimeouts.Dial; false if it refused the connection
 	Err      error // cause
 }
 
@@ -17,7 +17,8 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// SendError says that a request was not written completely. The server has not run it if Written is 0.
+// SendError reports that a request was not written completely. If Written is 0, the server has not executed the
+// request.
 type SendError struct {
 	Server  Server
 	Written int64 // bytes that the kernel accepted before the failure
@@ -37,11 +38,11 @@
 
 // Faults of a response.
 const (
-	FaultBroken      Fault = iota // the connection was closed or reset early
+	FaultBroken      Fault = iota // the connection was closed or reset before the response was complete
 	FaultUnreachable              // the machine acknowledged nothing for DialTimeouts.Unacknowledged
-	FaultDeadline                 // the deadline of the connection passed
-	FaultMalformed                // the bytes are no HTTP/1 response
-	FaultMismatched               // the response carries the id of another request, or none
+	FaultDeadline                 // the connection's deadline passed
+	FaultMalformed                // the bytes received are not an HTTP/1 response
+	FaultMismatched               // the response carries the id of another request, or no id
 )
 
 // String returns the name of the fault.
@@ -62,7 +63,7 @@
 	}
 }
 
-// ResponseError says that no usable response to a request came. The server may have run the request.
+// ResponseError reports that no usable response to a request was received. The server may have executed the request.
 type ResponseError struct {
 	Server Server
 	Fault  Fault
--- a/internal/region/proxy/upstream/explore_test.go
+++ b/internal/region/proxy/upstream/explore_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/testkit/explore"
 )
 
-// poolDepth is the number of events in an order; PROXY_POOL_DEPTH replaces it.
+// poolDepth is the number of events in each explored order; PROXY_POOL_DEPTH overrides it.
 const poolDepth = 7
 
 func explorePool(t *testing.T, steps poolSteps, depth int) (explore.Result, error) {
@@ -50,21 +50,21 @@
 		inject  func(*poolSteps)
 		finding string
 	}{
-		"an idle connection is not looked at": {func(s *poolSteps) {
+		"an idle connection is not checked": {func(s *poolSteps) {
 			s.connect = func(pool *Pool, server Server) *Conn {
 				if conn := pool.popIdle(server); conn != nil {
 					return conn
 				}
 				return unmodifiedSteps().connect(pool, server)
 			}
-		}, "that the server had closed or sent surplus bytes on"},
-		"ids are not compared": {func(s *poolSteps) {
+		}, "reused after the server had closed it or sent surplus bytes"},
+		"request ids are not compared": {func(s *poolSteps) {
 			s.receive = func(conn *Conn, _ string) (Response, error) {
-				response, err := http.ReadResponse(conn.reader, nil) //nolint:bodyclose // ends with its connection
+				response, err := http.ReadResponse(conn.reader, nil) //nolint:bodyclose // the body ends with its connection
 				return Response{response}, err
 			}
-		}, `got "answer to other"`},
-		"a connection is given back and kept": {func(s *poolSteps) {
+		}, `received the body "answer to other"`},
+		"a connection in use is added to the idle ones": {func(s *poolSteps) {
 			s.connect = func(pool *Pool, server Server) *Conn {
 				conn := unmodifiedSteps().connect(pool, server)
 				if conn != nil {
@@ -72,30 +72,30 @@
 				}
 				return conn
 			}
-		}, "idle and in use"},
-		"a connection that was aborted is kept": {func(s *poolSteps) {
+		}, "both idle and in use"},
+		"an aborted connection is added to the idle ones": {func(s *poolSteps) {
 			s.discard = func(pool *Pool, conn *Conn) {
 				conn.detachReader()
 				pool.putIdle(conn)
 			}
-		}, "that the server had closed or sent surplus bytes on"},
-		"a buffer is kept with its connection": {func(s *poolSteps) {
+		}, "reused after the server had closed it or sent surplus bytes"},
+		"a released connection keeps its read buffer": {func(s *poolSteps) {
 			s.release = func(pool *Pool, conn *Conn) {
 				if !conn.broken && !conn.HasBuffered() && pool.putIdle(conn) {
 					return
 				}
 				pool.Discard(conn)
 			}
-		}, "has a buffer"},
+		}, "has a read buffer"},
 		"a closed pool keeps connections": {func(s *poolSteps) {
 			s.release = func(pool *Pool, conn *Conn) {
 				pool.closed = false
 				pool.Release(conn)
 			}
-		}, "a closed pool keeps"},
-		"a connection is not given back": {func(s *poolSteps) {
+		}, "a closed pool has"},
+		"a connection is not released": {func(s *poolSteps) {
 			s.release = func(_ *Pool, conn *Conn) { conn.detachReader() }
-		}, "has no user"},
+		}, "neither idle nor in use"},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
--- a/internal/region/proxy/upstream/idle.go
+++ b/internal/region/proxy/upstream/idle.go
@@ -5,16 +5,16 @@
 	"syscall"
 )
 
-// idleState is what a check of an idle connection finds.
+// idleState is the result of checking an idle connection.
 type idleState uint8
 
 const (
-	idleUsable      idleState = iota // open, and nothing is there to read
-	idleUnusable                     // closed by the server, or unexpected bytes came
-	idleUnreachable                  // the other machine has not acknowledged the kernel's keep-alive probes
+	idleUsable      idleState = iota // open, with no bytes to read
+	idleUnusable                     // closed by the server, or has unexpected bytes to read
+	idleUnreachable                  // the server's machine has not acknowledged the kernel's keep-alive probes
 )
 
-// checkIdle checks an idle connection with one read that doesn't block.
+// checkIdle checks an idle connection with one non-blocking read.
 func (c *Conn) checkIdle() idleState {
 	var readError error
 	var n int
--- a/internal/region/proxy/upstream/keepalive.go
+++ b/internal/region/proxy/upstream/keepalive.go
@@ -12,10 +12,10 @@
 	defaultIdleTimeout = 4 * time.Second
 	// maxIdleTimeout bounds the timeout that a server may advertise.
 	maxIdleTimeout = 30 * time.Second
-	// minIdleTimeout is the shortest timeout for which a connection is kept at all.
+	// minIdleTimeout is the shortest idle timeout for which a connection is kept for reuse.
 	minIdleTimeout = 100 * time.Millisecond
-	// idleMargin is how long before the server's own timeout a connection is given up: a request needs time to get
-	// there, and one that arrives at a closing connection is lost.
+	// idleMargin is how long before the server's advertised timeout an idle connection is closed. A request takes
+	// time to reach the server, and one that arrives while the server closes the connection is lost.
 	idleMargin = 500 * time.Millisecond
 )
 
@@ -30,7 +30,7 @@
 	}
 }
 
-// keepAliveTimeout reads the timeout parameter, in seconds, of a Keep-Alive header (RFC 2068, section 19.7.1.1).
+// keepAliveTimeout parses the timeout parameter, in seconds, of a Keep-Alive header (RFC 2068, section 19.7.1.1).
 func keepAliveTimeout(value string) (time.Duration, bool) {
 	for parameter := range strings.SplitSeq(value, ",") {
 		name, number, found := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -46,7 +46,7 @@
 	return 0, false
 }
 
-// usableIdleTimeout is the part of an advertised timeout during which a connection is reused.
+// usableIdleTimeout returns how long a connection may stay idle and still be reused, given the advertised timeout.
 func usableIdleTimeout(advertised time.Duration) time.Duration {
 	usable := min(advertised, maxIdleTimeout) - idleMargin
 	return max(usable, 0)
--- a/internal/region/proxy/upstream/pool.go
+++ b/internal/region/proxy/upstream/pool.go
@@ -1,13 +1,13 @@
-// Package upstream keeps connections to servers: HTTP/1.1 over TCP, one request at a time on each connection.
+// Package upstream manages connections to servers: HTTP/1.1 over TCP, with one request at a time on each connection.
 //
-// It promises that a response is taken only for the request it belongs to. A connection is reused only if nothing but
-// the response to the next request can come on it: the last response was read to its end, nothing followed it, the last
-// request was received completely, and the server has not closed. Errors say whether a request can have reached the
-// server (DialError, SendError, ResponseError).
+// It guarantees that a response is accepted only for the request that it belongs to. A connection is reused only if
+// the next bytes on it can only be the response to the next request: the last response was read to its end, no bytes
+// followed it, the last request was received completely, and the server has not closed the connection. The error
+// types tell whether a request can have reached the server (DialError, SendError, ResponseError).
 //
-// It is not a general HTTP client: it neither retries nor follows redirects, and it doesn't know TLS or HTTP/2. Which
-// server gets a request and whether it is retried is decided in package proxy. docs/region/rules.md lists the
-// rules that it keeps.
+// The package is not a general HTTP client: it neither retries nor follows redirects, and supports neither TLS nor
+// HTTP/2. Package proxy decides which server gets a request and whether it is retried. docs/region/rules.md lists the
+// rules that this package follows.
 package upstream
 
 import (
@@ -22,14 +22,15 @@
 	maxIdlePerServer = 16
 	// maxIdle bounds the idle connections to all servers together.
 	maxIdle = 512
-	// minDialTimeout is the shortest timeout of a dial that makes sense.
+	// minDialTimeout is the shortest useful timeout of a dial.
 	minDialTimeout = 50 * time.Millisecond
-	// dialFraction is the fraction of the remaining time (one in dialFraction) that one dial may take.
+	// dialFraction limits one dial to 1/dialFraction of the remaining time.
 	dialFraction = 3
-	// idleUserTimeout is the user timeout of idle connections, see Conn.setUserTimeout.
+	// idleUserTimeout is the TCP user timeout of idle connections; see Conn.setUserTimeout.
 	idleUserTimeout = 500 * time.Millisecond
-	// keepAliveIdle is the time without traffic after which the kernel sends a keep-alive probe. It gives the
-	// connection up keepAliveInterval later, or when the user timeout has passed, depending on the kernel.
+	// keepAliveIdle is the time without traffic after which the kernel sends a keep-alive probe. If the probe is not
+	// acknowledged, the kernel drops the connection either keepAliveInterval later or once the user timeout has
+	// passed, depending on the kernel.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 1
@@ -41,43 +42,43 @@
 	Address string // ip:port
 }
 
-// DialTimeouts bounds how long a server's machine may not answer at the level of TCP. A server that is busy with a
-// request while its machine acknowledges is not affected: it has until the deadline.
+// DialTimeouts bounds how long a server's machine may fail to respond at the TCP level. A server that is busy with a
+// request while its machine still acknowledges data is not affected; it may respond until the deadline.
 type DialTimeouts struct {
-	Dial           time.Duration // for a new connection to come up
-	Unacknowledged time.Duration // for sent data and keep-alive probes to be acknowledged; see RFC 5482
+	Dial           time.Duration // maximum time to open a new connection
+	Unacknowledged time.Duration // maximum time until sent data and keep-alive probes are acknowledged; see RFC 5482
 }
 
-// serverConns is what the pool knows about one server.
+// serverConns is the state that the pool keeps for one server.
 type serverConns struct {
-	idle []*Conn // in the order of their last use
-	// idleTimeout bounds how long connections to this server are kept idle. It starts at maxIdleTimeout and falls when
-	// the server closes earlier than that.
+	idle []*Conn // ordered by last use, most recent last
+	// idleTimeout bounds how long connections to this server are kept idle. It starts at maxIdleTimeout and is
+	// lowered when the server closes idle connections earlier than that.
 	idleTimeout time.Duration
 }
 
-// Stats counts what a pool has done since its start.
+// Stats counts the events in a pool since its start.
 type Stats struct {
-	Dialed      uint64 // connections that came up
-	DialsFailed uint64 // connections that did not
-	Reused      uint64 // requests on a connection that had served before
+	Dialed      uint64 // connections opened
+	DialsFailed uint64 // connections that could not be opened
+	Reused      uint64 // requests sent on a connection that had served an earlier request
 	Stale       uint64 // idle connections that the server had closed
-	Surplus     uint64 // connections closed since bytes followed a complete response
-	IdleNow     int    // idle connections at present
-	ServersNow  int    // servers known at present
+	Surplus     uint64 // connections closed because bytes followed a complete response
+	IdleNow     int    // current number of idle connections
+	ServersNow  int    // current number of servers with state in the pool
 }
 
 // Pool keeps idle connections to servers. It is safe for concurrent use.
 type Pool struct {
 	config  Config
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	servers map[Server]*serverConns
 	idle    int // idle connections to all servers
 	closed  bool
 	stats   Stats
 }
 
-// Config sets a pool up. The zero value is the default.
+// Config configures a pool. The zero value is the default configuration.
 type Config struct {
 	DisableReuse bool // close each connection after one request
 }
@@ -87,8 +88,8 @@
 	return &Pool{config: config, servers: make(map[Server]*serverConns)}
 }
 
-// Connect returns a connection to the server, an idle one or else a new one. Its reads and writes fail at the deadline.
-// The context bounds the dial only. A failure is a *DialError.
+// Connect returns an idle connection to the server, or opens a new one. Reads and writes on the connection fail at
+// the deadline. The context bounds only the dial. An error is a *DialError.
 func (p *Pool) Connect(ctx context.Context, server Server, timeouts DialTimeouts, deadline time.Time) (*Conn, error) {
 	conn := p.takeIdle(server, deadline)
 	if conn == nil {
@@ -101,7 +102,7 @@
 	return conn, nil
 }
 
-// dialCounted opens a connection, counts the result, and classifies a failure.
+// dialCounted opens a connection, counts the result, and wraps an error in a *DialError.
 func (p *Pool) dialCounted(ctx context.Context, server Server, timeouts DialTimeouts, deadline time.Time) (*Conn, error) {
 	start := time.Now()
 	conn, err := p.dial(ctx, server, timeouts, deadline)
@@ -113,8 +114,8 @@
 	return conn, nil
 }
 
-// takeIdle returns the idle connection that was used last and is still usable; nil if there is none. It closes those
-// that are not usable. The sockets are checked without the lock.
+// takeIdle returns the most recently used idle connection that is still usable, or nil if there is none. It closes
+// the unusable ones that it finds. The sockets are checked without holding the lock.
 func (p *Pool) takeIdle(server Server, deadline time.Time) *Conn {
 	for {
 		conn := p.popIdle(server)
@@ -136,7 +137,7 @@
 	}
 }
 
-// popIdle removes the idle connection that was used last; nil if there is none.
+// popIdle removes and returns the most recently used idle connection, or nil if there is none.
 func (p *Pool) popIdle(server Server) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,15 +153,15 @@
 	return conn
 }
 
-// recordReuse counts a request on a connection that had served before.
+// recordReuse counts a request on a connection that had served an earlier request.
 func (p *Pool) recordReuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.Reused++
 }
 
-// recordStale counts an idle connection that the server had closed, and lowers the idle timeout of the server, which
-// closes idle connections earlier than at that age.
+// recordStale counts an idle connection that the server had closed. It lowers the server's idle timeout, because the
+// server closes idle connections before they reach this age.
 func (p *Pool) recordStale(server Server, age time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -191,8 +192,8 @@
 	return conn, nil
 }
 
-// dialTimeout bounds one dial by its own limit and by a fraction of the remaining time, so that a further server can
-// be tried.
+// dialTimeout limits one dial to the configured limit and to a fraction of the remaining time, so that another server
+// can still be tried.
 func dialTimeout(limit, left time.Duration) time.Duration {
 	return max(min(limit, left/dialFraction), minDialTimeout)
 }
@@ -207,9 +208,9 @@
 	}
 }
 
-// Release returns a connection whose response was read to its end. It becomes idle if it can be reused, and is closed
-// otherwise. A connection whose server responded before it had received the whole request is closed: the rest of that
-// request would come before the next one.
+// Release returns a connection whose response was read to its end. The connection becomes idle if it can be reused,
+// and is closed otherwise. If the server responded before it had received the whole request, the connection is
+// closed, because the rest of that request would precede the next one.
 func (p *Pool) Release(conn *Conn) {
 	conn.stopSending()
 	surplus := conn.HasBuffered()
@@ -229,7 +230,8 @@
 	}
 }
 
-// putIdle makes a connection idle and returns true, unless a bound is reached or the pool is closed.
+// putIdle adds a connection to the idle ones and returns true. It returns false if reuse is disabled, a limit is
+// reached or the pool is closed.
 func (p *Pool) putIdle(conn *Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -253,14 +255,14 @@
 	return true
 }
 
-// Discard resets a connection that must not be reused, and returns when the body of its request is no longer in use.
+// Discard resets a connection that must not be reused, and returns when the request's body is no longer in use.
 func (p *Pool) Discard(conn *Conn) {
 	conn.Abort()
 	conn.stopSending()
 	conn.detachReader()
 }
 
-// Stats returns the counts since the start and the present numbers.
+// Stats returns the counts since the start of the pool and the current numbers of idle connections and servers.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/region/proxy/upstream/pool_model_test.go
+++ b/internal/region/proxy/upstream/pool_model_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// poolSteps are the steps of a pool, so that a test can plant a fault in one.
+// poolSteps are the operations of a pool that a test can replace to inject a fault.
 type poolSteps struct {
 	connect func(*Pool, Server) *Conn
 	receive func(*Conn, string) (Response, error)
@@ -40,7 +40,7 @@
 	}
 }
 
-// testServer is a server whose ends of the connections are driven by a test.
+// testServer is a listener whose ends of the connections are controlled by the test.
 type testServer struct {
 	listener *net.TCPListener
 	server   Server
@@ -54,22 +54,22 @@
 	return &testServer{listener.(*net.TCPListener), Server{ID: "i-1", Address: listener.Addr().String()}}
 }
 
-// testConn is a connection with both of its ends.
+// testConn is a connection with both of its ends and what the test knows about it.
 type testConn struct {
 	conn      *Conn
 	peer      *net.TCPConn
-	user      int // index of the caller that uses it; noUser: it is idle or closed
+	user      int // index of the caller that uses the connection; noUser if it is idle or closed
 	requestID string
-	responded bool // the server has written something since the request was sent
-	unusable  bool // unrequested bytes came, or the server closed
-	closed    bool // the server closed
+	responded bool // the server has written bytes since the request was sent
+	unusable  bool // the server sent unrequested bytes or closed the connection
+	closed    bool // the server closed the connection
 	requests  int
-	unread    string // what the server wrote that was not read yet
+	unread    string // actions of the server whose bytes have not been read yet
 }
 
 const noUser = -1
 
-// poolSystem is a pool with two callers and a server, whose events come in any order.
+// poolSystem is a pool with two callers and a server, whose events may occur in any order.
 type poolSystem struct {
 	steps    poolSteps
 	server   *testServer
@@ -177,7 +177,7 @@
 func (p *poolSystem) connect(caller int) {
 	conn := p.steps.connect(p.pool, p.server.server)
 	if conn == nil {
-		p.fail(errors.New("no connection came up"))
+		p.fail(errors.New("no connection could be opened"))
 		return
 	}
 	for _, one := range p.conns {
@@ -186,9 +186,9 @@
 		}
 		switch {
 		case one.user != noUser:
-			p.fail(errors.New("two callers have one connection"))
+			p.fail(errors.New("two callers use the same connection"))
 		case one.unusable:
-			p.fail(errors.New("a connection was used again that the server had closed or sent surplus bytes on"))
+			p.fail(errors.New("a connection was reused after the server had closed it or sent surplus bytes"))
 		}
 		one.user = caller
 		return
@@ -202,7 +202,8 @@
 	p.conns = append(p.conns, &testConn{conn: conn, peer: peer, user: caller})
 }
 
-// read receives the response. It may succeed only for the response to the caller's own request.
+// read receives the response to a caller's request. Receiving may succeed only if the response belongs to that
+// request.
 func (p *poolSystem) read(used *testConn) {
 	id := used.requestID
 	used.user, used.requestID = noUser, ""
@@ -215,12 +216,12 @@
 	}
 	body, err := io.ReadAll(response.Body)
 	if err == nil && string(body) != "answer to "+id {
-		p.fail(errors.Newf("%s got %q", id, body))
+		p.fail(errors.Newf("request %s received the body %q", id, body))
 	}
 	p.steps.release(p.pool, used.conn)
 }
 
-// serve performs one action of the server on a connection, and waits until it can be seen at the other end.
+// serve performs one action of the server on a connection, and waits until its effect is visible at the other end.
 func (p *poolSystem) serve(one *testConn, action string) {
 	answer := func(id string) string {
 		body := "answer to " + id
@@ -253,8 +254,8 @@
 	}
 }
 
-// awaitReadable waits until bytes or the end of the stream can be read from a connection. It consumes nothing and
-// returns how many bytes it saw: 0 at the end.
+// awaitReadable waits until bytes or the end of the stream can be read from a connection, without consuming them. It
+// returns the number of bytes that it peeked: 0 at the end of the stream.
 func awaitReadable(conn *Conn) (n int, err error) {
 	if err := conn.socket.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		return 0, err
@@ -268,7 +269,7 @@
 	return n, err
 }
 
-// forgetClosed removes the connections that this side has closed.
+// forgetClosed removes the connections that the pool or its callers have closed.
 func (p *poolSystem) forgetClosed() {
 	p.conns = slices.DeleteFunc(p.conns, func(one *testConn) bool {
 		closed := one.user == noUser && errors.Is(one.conn.raw.Control(func(uintptr) {}), net.ErrClosed)
@@ -285,7 +286,7 @@
 	}
 }
 
-// end closes everything that one explored order has opened.
+// end closes all connections that were opened while one order was explored.
 func (p *poolSystem) end() {
 	for _, one := range p.conns {
 		one.conn.Abort()
@@ -319,20 +320,20 @@
 		idle += len(known.idle)
 	}
 	if idle != p.pool.idle {
-		return errors.Newf("%d idle connections are counted as %d", idle, p.pool.idle)
+		return errors.Newf("%d connections are idle, but the pool counts %d", idle, p.pool.idle)
 	}
 	if p.closed && idle > 0 {
-		return errors.New("a closed pool keeps a connection")
+		return errors.New("a closed pool has an idle connection")
 	}
 	for _, one := range p.conns {
 		isIdle := p.isIdle(one.conn)
 		switch {
 		case one.user != noUser && isIdle:
-			return errors.New("a connection is idle and in use")
+			return errors.New("a connection is both idle and in use")
 		case isIdle && one.conn.reader != nil:
-			return errors.New("an idle connection has a buffer")
+			return errors.New("an idle connection has a read buffer")
 		case one.user == noUser && !isIdle:
-			return errors.New("an open connection has no user")
+			return errors.New("an open connection is neither idle nor in use")
 		}
 	}
 	return nil
--- a/internal/region/proxy/upstream/receive.go
+++ b/internal/region/proxy/upstream/receive.go
@@ -12,31 +12,31 @@
 const (
 	// maxHeadBytes bounds the head of a response in bytes, including interim responses before it.
 	maxHeadBytes = 64 << 10
-	// maxInterim bounds the interim (1xx) responses before the final one.
+	// maxInterim bounds the number of interim (1xx) responses before the final one.
 	maxInterim = 4
 )
 
 var (
-	errHeadTooLarge    = errors.New("head of the response is too large")
-	errProtocolSwitch  = errors.New("server switched protocols unasked")
-	errTooManyInterims = errors.New("too many interim responses")
+	errHeadTooLarge    = errors.New("response head exceeds the size limit")
+	errProtocolSwitch  = errors.New("unexpected response 101 (Switching Protocols)")
+	errTooManyInterims = errors.New("too many interim (1xx) responses")
 )
 
-// Response is the response of a server to the request on a connection. Its Body reads from the connection and isn't
-// closed separately: Pool.Release and Pool.Discard end the connection's use. An error of the body goes through
-// Conn.BodyError.
+// Response is a server's response to the request on a connection. Its Body reads from the connection and is not
+// closed separately: Pool.Release and Pool.Discard end the use of the connection. Errors from reading the Body must
+// be converted by Conn.BodyError.
 type Response struct{ *http.Response }
 
-// IsCloseDelimited reports whether the body lasts until the server closes the connection (RFC 9112, section 6.3).
-// Such a body is complete at an orderly close, and incomplete after a reset. A response to HEAD has no body, and is
-// not close-delimited.
+// IsCloseDelimited reports whether the body extends until the server closes the connection (RFC 9112, section 6.3).
+// Such a body is complete after an orderly close, and incomplete after a reset. A response to HEAD has no body, and
+// is not close-delimited.
 func (r Response) IsCloseDelimited() bool {
 	return r.ContentLength < 0 && len(r.TransferEncoding) == 0 && r.Body != http.NoBody
 }
 
 // Receive reads the head of the response to the request that was sent, skips interim responses, and checks that the
-// response carries the request's id. It returns a *SendError if no byte of the request left this machine, and
-// otherwise a *ResponseError; the connection must not be used again after either.
+// response carries the request's id. If no byte of the request was sent, the error is a *SendError, and otherwise a
+// *ResponseError. The connection must not be reused after an error.
 func (c *Conn) Receive(method, attemptID string) (Response, error) {
 	c.attachReader()
 	c.headBudget = maxHeadBytes
@@ -74,7 +74,7 @@
 	return Response{}, errTooManyInterims
 }
 
-// receiveFailure classifies a request that got no response.
+// receiveFailure classifies the error of a request that got no response.
 func (c *Conn) receiveFailure(err error) error {
 	c.broken = true
 	c.stopSending()
@@ -88,7 +88,7 @@
 	return &ResponseError{Server: c.server, Fault: faultOf(err), Err: err}
 }
 
-// BodyError turns an error of reading a response's body into a *ResponseError. The connection must not be used again.
+// BodyError converts an error from reading a response's body to a *ResponseError. The connection must not be reused.
 func (c *Conn) BodyError(err error) error {
 	c.broken = true
 	return c.responseError(err)
@@ -110,9 +110,9 @@
 	}
 }
 
-// Read implements io.Reader for the connection's buffer, and bounds the head of a response. An end of the stream
-// while the request is still being written is reported as unexpected: the writing goroutine may have consumed the
-// error of a reset already, which then looks like an orderly close here.
+// Read implements io.Reader for the connection's read buffer, and limits the size of a response's head. While the
+// request is still being written, io.EOF is reported as io.ErrUnexpectedEOF: the writing goroutine may already have
+// consumed the error of a reset, which then looks like an orderly close to the reader.
 func (c *Conn) Read(buffer []byte) (int, error) {
 	if c.headBudget == 0 {
 		return 0, errHeadTooLarge
--- a/internal/region/proxy/upstream/receive_test.go
+++ b/internal/region/proxy/upstream/receive_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// A close-delimited response is complete when the server closes in order, and not when the connection ends otherwise.
+// A close-delimited response is complete only if the server closes the connection in an orderly way.
 func TestAnswerWithoutALengthEndsWithItsConnection(t *testing.T) {
 	const partialResponse = "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\nbody"
 	cases := map[string]struct {
--- a/internal/region/proxy/upstream/responsematch.go
+++ b/internal/region/proxy/upstream/responsematch.go
@@ -2,13 +2,13 @@
 
 import "strings"
 
-// AttemptIDHeader names the header that carries the id of a request. Each response of a server repeats it.
+// AttemptIDHeader is the header that carries a request's id. The server repeats it in the response.
 const AttemptIDHeader = "X-Fieldrelay-Attempt-Id"
 
-// matchesRequest reports whether a head is that of the response to the request with the given id, and of no other.
-// The id alone doesn't show it: bytes of an earlier response may come first and break off within its head. What parses
-// as one head then has the status of the earlier response and the id of this one, and the true status line is part of
-// a value in it. A head that contains a status line is therefore rejected.
+// matchesRequest reports whether a response belongs to the request with the given id. Comparing the id is not
+// sufficient. If a truncated head of an earlier response precedes this one, both are parsed as a single head with the
+// status of the earlier response and the id of this one, and the true status line becomes part of a header value. A
+// head that contains a status line in a value is therefore rejected.
 func matchesRequest(response Response, attemptID string) bool {
 	if ids := response.Header[AttemptIDHeader]; len(ids) != 1 || ids[0] != attemptID {
 		return false
@@ -26,11 +26,11 @@
 	return true
 }
 
-// versionPrefix is the beginning of a status line (RFC 9112, section 4), which goes on with the minor version, a space
-// and three digits of the status.
+// versionPrefix is the start of a status line (RFC 9112, section 4). The minor version, a space and the three-digit
+// status follow.
 const versionPrefix = "HTTP/1."
 
-// containsStatusLine reports whether a status line begins anywhere in a text.
+// containsStatusLine reports whether text contains the start of a status line at any position.
 func containsStatusLine(text string) bool {
 	for {
 		_, rest, found := strings.Cut(text, versionPrefix)
@@ -44,7 +44,7 @@
 	}
 }
 
-// isVersionAndStatus reports whether a text begins with a minor version, a space and a status, such as "1 200".
+// isVersionAndStatus reports whether text starts with a minor version, a space and a status, such as "1 200".
 func isVersionAndStatus(text string) bool {
 	return len(text) >= len("1 200") && isDigit(text[0]) && text[1] == ' ' &&
 		isDigit(text[2]) && isDigit(text[3]) && isDigit(text[4])
--- a/internal/region/proxy/upstream/responsematch_test.go
+++ b/internal/region/proxy/upstream/responsematch_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Wherever the bytes of another response break off, the response behind them does not count as a success.
+// Wherever the bytes of an earlier response are truncated, the response that follows them must not be accepted with
+// the status of the earlier one.
 func TestAnswerBehindBytesOfAnotherIsNotTakenForThatOther(t *testing.T) {
 	const (
 		other = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Fieldrelay-Attempt-Id: other\r\nX-Fieldrelay-Server-Seal: s\r\nContent-Length: 2\r\n\r\n"
@@ -28,7 +29,7 @@
 }
 
 func parseResponse(text string) (Response, error) {
-	//nolint:bodyclose // there is no connection
+	//nolint:bodyclose // the body is not read from a connection
 	response, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
 	return Response{response}, err
 }
--- a/internal/region/proxy/upstream/send.go
+++ b/internal/region/proxy/upstream/send.go
@@ -9,19 +9,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// pendingWrite is the part of a long request that the kernel didn't accept at once. A separate goroutine writes it, so
-// that a response which comes before the server has read the whole request is received. The goroutine ends with the
+// pendingWrite is the part of a long request that the kernel did not accept at once. A separate goroutine writes it,
+// so that a response can be received before the server has read the whole request. The goroutine ends with the
 // request or with the connection; stopSending waits for it.
 type pendingWrite struct {
 	done    chan struct{} // closed when the goroutine has ended
-	written int64         // bytes of the request; valid once done is closed
-	err     error         // likewise
+	written int64         // bytes of the request written so far; valid once done is closed
+	err     error         // error of the write; valid once done is closed
 }
 
-// Send writes one request: its head, with the empty line that ends it, and its body. A failure is a *SendError.
+// Send writes one request: its head, including the empty line that ends it, and its body. An error is a *SendError.
 //
-// The head may be reused when Send returns. The body is used until the connection is released or discarded: part of it
-// may still be unsent when Send returns. Whether that part was sent shows in Receive.
+// The head may be reused once Send returns. The body is in use until the connection is released or discarded, because
+// part of it may still be unsent when Send returns. Receive reports an error of sending that part.
 func (c *Conn) Send(head, body []byte) error {
 	c.attachReader()
 	c.separateBody = false
@@ -46,7 +46,7 @@
 	return &SendError{Server: c.server, Written: written, Err: err}
 }
 
-// writeAvailable writes as much of a request as the kernel accepts without blocking, which may be nothing.
+// writeAvailable writes as much of a request as the kernel accepts without blocking, possibly nothing.
 func (c *Conn) writeAvailable(head, body []byte) (written int, err error) {
 	var writeError error
 	err = c.raw.Write(func(descriptor uintptr) bool {
@@ -60,7 +60,7 @@
 	return written, err
 }
 
-// writePending starts the goroutine that writes what is left of a request after its first written bytes.
+// writePending starts the goroutine that writes the rest of a request of which written bytes are already sent.
 func (c *Conn) writePending(head, body []byte, written int) {
 	pending := &pendingWrite{done: make(chan struct{}), written: int64(written)}
 	buffers := net.Buffers{body[max(written-len(head), 0):]}
@@ -89,8 +89,8 @@
 	}
 }
 
-// stopSending gives up what is unsent of a request and returns when its body is no longer in use. It closes the
-// connection unless the request was fully sent: the server still expects the rest of the body.
+// stopSending abandons the unsent part of a request, and returns when the request's body is no longer in use. It
+// resets the connection unless the request was fully sent, because the server still expects the rest of the body.
 func (c *Conn) stopSending() {
 	if c.pending == nil {
 		return
@@ -102,9 +102,9 @@
 	<-c.pending.done
 }
 
-// acknowledged reports whether the other machine's kernel has received all of a request, as it has when the server
-// responds after reading it. Only requests with a separate body are checked: the others are smaller than any send
-// buffer. Where the kernel doesn't support the query, the request counts as received.
+// acknowledged reports whether the server's kernel has received all of a request, as is the case when the server
+// responds after reading it. Only requests with a separate body are checked, because all others are smaller than any
+// send buffer. If the local kernel does not support the query, the request counts as received.
 func (c *Conn) acknowledged() bool {
 	if !c.separateBody {
 		return true
@@ -113,8 +113,8 @@
 	return err == nil && (!known || count == 0)
 }
 
-// unacknowledged returns the number of sent bytes that the other machine's kernel has not acknowledged. It is not known
-// where the kernel doesn't support the query; the error is that of a closed connection.
+// unacknowledged returns the number of sent bytes that the server's kernel has not acknowledged. known is false if
+// the local kernel does not support the query. err is set if the connection is closed.
 func (c *Conn) unacknowledged() (count int, known bool, err error) {
 	err = c.raw.Control(func(descriptor uintptr) {
 		var failure error
@@ -124,5 +124,5 @@
 	return count, known, err
 }
 
-// nothingSent reports whether no byte of a request whose sending was stopped has left.
+// nothingSent reports whether no byte of a request was sent. The caller must have called stopSending.
 func (c *Conn) nothingSent() bool { return c.pending != nil && c.pending.written == 0 }
--- a/internal/region/proxy/upstream/send_test.go
+++ b/internal/region/proxy/upstream/send_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// longBody is more than the kernels of both ends buffer while the server does not read.
+// longBody is larger than what the kernels of both ends buffer while the server does not read.
 const longBody = 32 << 20
 
 func longRequest() (head, body []byte) {
@@ -23,7 +23,8 @@
 	return head, body
 }
 
-// respondEarly reads the head of a request, responds, and calls then with the reader of the rest.
+// respondEarly returns a script that reads the head of a request, responds, and then calls then with a reader of the
+// remaining bytes.
 func respondEarly(answer string, then func(conn *net.TCPConn, rest *bufio.Reader)) func(*net.TCPConn) {
 	return func(conn *net.TCPConn) {
 		reader := bufio.NewReader(conn)
@@ -35,19 +36,19 @@
 	}
 }
 
-// sendLong sends a long request to a server and receives the head of its response.
+// sendLong sends a long request to a server and receives the head of the response.
 func sendLong(t *testing.T, pool *Pool, server Server) (*Conn, []byte, Response, error) {
 	t.Helper()
 	conn := connect(t, pool, server)
 	head, body := longRequest()
 	require.NoError(t, conn.Send(head, body))
-	clear(head) // it is used for other requests
+	clear(head) // callers of Send reuse the head's buffer
 	response, err := conn.Receive(http.MethodPost, "id1")
 	return conn, body, response, err
 }
 
-// A server that responds before it has read a long body gets the rest of that body or nothing, never the bytes of
-// another request.
+// If a server responds before it has read a long body, it may receive the rest of that body or nothing, but never
+// bytes of another request.
 func TestEarlyAnswerEndsAConnectionWhoseRequestWasNotSentWhole(t *testing.T) {
 	answered := make(chan struct{})
 	got := make(chan []byte, 1)
@@ -75,11 +76,11 @@
 	select {
 	case <-conn.pending.done:
 	default:
-		require.Fail(t, "the body is still being sent")
+		require.Fail(t, "the request body is still being sent")
 	}
 }
 
-// Once the whole request was sent, an early response does not keep the connection from being reused.
+// Once the whole request has been sent, an early response does not prevent reuse of the connection.
 func TestEarlyAnswerToARequestThatIsSentWholeInTheEnd(t *testing.T) {
 	read := make(chan []byte, 1)
 	server := scriptedServer(t, respondEarly(goodAnswer, func(conn *net.TCPConn, rest *bufio.Reader) {
@@ -103,7 +104,8 @@
 	require.EqualValues(t, 1, pool.Stats().Dialed)
 }
 
-// The kernel may have accepted a whole request that the server has not read: the next one would wait behind it.
+// The kernel may have accepted a whole request that the server has not read. The connection must not be reused,
+// because the next request would wait behind that one.
 func TestEarlyAnswerToARequestThatTheSystemStillHolds(t *testing.T) {
 	answered := make(chan struct{})
 	server := scriptedServer(t, func(conn *net.TCPConn) {
@@ -123,7 +125,8 @@
 	close(answered)
 }
 
-// A server that rejects a long request without reading it closes with bytes unread, which resets the connection.
+// A server that rejects a long request without reading it closes the connection with unread bytes, which resets it.
+// The response must still be received.
 func TestEarlyAnswerBeforeAResetIsSeen(t *testing.T) {
 	server := scriptedServer(t, respondEarly(goodAnswer, func(conn *net.TCPConn, _ *bufio.Reader) { _ = conn.Close() }))
 	pool := NewPool(Config{})
@@ -134,7 +137,8 @@
 	require.Zero(t, pool.Stats().IdleNow)
 }
 
-// Whether reading or writing observes a reset first, the response does not look complete.
+// A reset must not make a close-delimited response look complete, whether the reader or the writer observes the reset
+// first.
 func TestEarlyAnswerWithoutALengthThatIsReset(t *testing.T) {
 	unsized := "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\n\r\nbody"
 	server := scriptedServer(t, respondEarly(unsized, func(conn *net.TCPConn, _ *bufio.Reader) { _ = conn.SetLinger(0) }))
@@ -150,8 +154,8 @@
 	}
 }
 
-// The kernel buffers bytes of a request for a server that does not read. They must not reach it once the request was
-// aborted.
+// The kernel buffers request bytes for a server that does not read. These bytes must not reach the server after the
+// request was aborted.
 func TestAbortDropsUndeliveredRequestBytes(t *testing.T) {
 	begun, aborted := make(chan struct{}), make(chan struct{})
 	got := make(chan error, 1)
@@ -178,7 +182,7 @@
 	require.False(t, conn.fullySent())
 }
 
-// If the kernel accepted nothing of a request, the server cannot have run it.
+// If the kernel accepted no byte of a request, the error must show that the server cannot have executed it.
 func TestLongRequestOfWhichNothingWasSent(t *testing.T) {
 	pool := NewPool(Config{})
 	conn := connect(t, pool, scriptedServer(t, respondAndKeepOpen()))
@@ -212,11 +216,11 @@
 	var responseError *ResponseError
 	require.ErrorAs(t, err, &responseError)
 	require.Equal(t, FaultDeadline, responseError.Fault)
-	require.False(t, errors.As(err, new(*SendError)), "some of it was sent")
+	require.False(t, errors.As(err, new(*SendError)), "part of the request was sent")
 	pool.Discard(conn)
 }
 
-// A request is sent in order and once, wherever the kernel stops accepting it.
+// Every byte of a request is sent once and in order, wherever the kernel stops accepting bytes.
 func TestRequestIsWrittenOnceWhereverItIsSplit(t *testing.T) {
 	head, body := []byte("the head"), []byte("and the body")
 	request := string(head) + string(body)
--- a/internal/region/proxy/upstream/sweep.go
+++ b/internal/region/proxy/upstream/sweep.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Sweep closes the idle connections that have passed their timeout or were closed by the server, and forgets the
-// servers for which keep returns false; a nil keep keeps all. It returns the servers whose machines no longer
-// acknowledge keep-alive probes. keep is called with the pool locked and must not call it.
+// Sweep closes the idle connections that have passed their timeout or were closed by the server, and removes the
+// servers for which keep returns false. A nil keep keeps all servers. Sweep returns the servers whose machines no
+// longer acknowledge keep-alive probes. It calls keep while holding the pool's lock; keep must not call the pool.
 func (p *Pool) Sweep(now time.Time, keep func(Server) bool) []Server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -21,9 +21,9 @@
 	return unreachable
 }
 
-// sweepServer closes what can't be used of one server's idle connections, all of them if it isn't listed any more. If
-// one shows that the machine is unreachable, the others lead there as well and are closed too. The caller holds the
-// lock.
+// sweepServer closes the unusable idle connections to one server, or all of them if the server is no longer listed.
+// If one connection shows that the machine is unreachable, all idle connections to that machine are closed. The
+// caller must hold the lock.
 func (p *Pool) sweepServer(conns *serverConns, now time.Time, listed bool) (unreachable bool) {
 	usable := conns.idle[:0]
 	for _, conn := range conns.idle {
@@ -47,8 +47,8 @@
 	return unreachable
 }
 
-// Forget closes the idle connections to a server whose machine seems to be unreachable: a request that was sent on one
-// of them might never arrive, and it would count as possibly executed.
+// Forget closes the idle connections to a server whose machine appears to be unreachable. A request sent on one of
+// them might never arrive, and would count as possibly executed.
 func (p *Pool) Forget(server Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// closeIdle closes all idle connections to one server. The caller holds the lock.
+// closeIdle closes all idle connections to one server. The caller must hold the lock.
 func (p *Pool) closeIdle(conns *serverConns) {
 	for _, conn := range conns.idle {
 		conn.close()
@@ -67,7 +67,8 @@
 	conns.idle = conns.idle[:0]
 }
 
-// Close closes all idle connections. Those in use are closed when they are released. A closed pool still connects.
+// Close closes all idle connections. Connections in use are closed when they are released. A closed pool can still
+// open connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/region/proxy/upstream/unreachable_test.go
+++ b/internal/region/proxy/upstream/unreachable_test.go
@@ -20,7 +20,7 @@
 	_, err = NewPool(Config{}).Connect(context.Background(), refusing, defaultTimeouts, time.Now().Add(testTimeout))
 	var dialError *DialError
 	require.ErrorAs(t, err, &dialError)
-	require.False(t, dialError.TimedOut, "it refused")
+	require.False(t, dialError.TimedOut, "the machine refused the connection")
 
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -28,7 +28,7 @@
 	require.ErrorAs(t, err, &dialError)
 }
 
-// fullListener returns the address of a socket whose backlog is full, so that it accepts no more connections.
+// fullListener returns the address of a socket whose backlog is full, so that it accepts no further connections.
 func fullListener(t *testing.T) Server {
 	t.Helper()
 	descriptor, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -58,18 +58,19 @@
 
 	_, err = NewPool(Config{}).Connect(context.Background(), unresponsive, defaultTimeouts, time.Now().Add(minDialTimeout))
 	require.ErrorAs(t, err, &dialError)
-	require.False(t, dialError.TimedOut, "it was given too little time to tell")
+	require.False(t, dialError.TimedOut, "the dial ended before its own timeout")
 }
 
-// unreachableConn returns a connection whose other end does not acknowledge what was sent to it, so that its user
-// timeout passes.
+// unreachableConn returns a connection whose other end does not acknowledge the data sent to it, so that the user
+// timeout expires.
 func unreachableConn(t *testing.T, pool *Pool) *Conn {
 	t.Helper()
 	stays := make(chan struct{})
 	t.Cleanup(func() { close(stays) })
 	conn := connect(t, pool, scriptedServer(t, func(*net.TCPConn) { <-stays }))
 	conn.setUserTimeout(100 * time.Millisecond)
-	// On a machine that is short of processor time one slice may end before the other end's window is full.
+	// On a machine that is short of processor time, the deadline may pass before the receive window of the other end
+	// is full.
 	require.Eventually(t, func() bool {
 		conn.SetDeadline(time.Now().Add(50 * time.Millisecond))
 		_ = conn.Send(make([]byte, 32<<20), nil)
@@ -100,7 +101,7 @@
 	pool := NewPool(Config{})
 	conn := unreachableConn(t, pool)
 	other := connect(t, pool, conn.server)
-	conn.broken, conn.userTimeout = false, idleUserTimeout // as if its request had been answered
+	conn.broken, conn.userTimeout = false, idleUserTimeout // as if its request had been served
 	pool.Release(conn)
 	pool.Release(other)
 	require.Equal(t, 2, pool.Stats().IdleNow)
@@ -108,7 +109,7 @@
 		unreachable := pool.Sweep(time.Now(), nil)
 		return len(unreachable) == 1 && unreachable[0] == conn.server
 	}, testTimeout, pollInterval)
-	require.Zero(t, pool.Stats().IdleNow, "the other connection leads there as well")
+	require.Zero(t, pool.Stats().IdleNow, "idle connections to an unreachable machine must be closed")
 	require.Empty(t, pool.Sweep(time.Now(), nil))
 }
 
--- a/internal/region/proxy/upstream/upstream_test.go
+++ b/internal/region/proxy/upstream/upstream_test.go
@@ -20,7 +20,7 @@
 	pollInterval = 2 * time.Millisecond
 )
 
-// scriptedServer starts a server that runs a script on each connection that it accepts.
+// scriptedServer starts a server that runs script on each accepted connection.
 func scriptedServer(t *testing.T, script func(conn *net.TCPConn)) Server {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -41,7 +41,7 @@
 	return Server{ID: "i-1", Address: listener.Addr().String()}
 }
 
-// respond reads requests and responds to the n-th one with answers[n]; then it closes.
+// respond returns a script that responds to the n-th request with answers[n], and then closes the connection.
 func respond(answers ...string) func(*net.TCPConn) {
 	return func(conn *net.TCPConn) {
 		reader := bufio.NewReader(conn)
@@ -56,7 +56,7 @@
 	}
 }
 
-// respondAndKeepOpen responds like respond and then keeps the connection open until the client closes.
+// respondAndKeepOpen responds like respond, and then keeps the connection open until the client closes it.
 func respondAndKeepOpen(answers ...string) func(*net.TCPConn) {
 	return func(conn *net.TCPConn) {
 		respond(answers...)(conn)
@@ -128,8 +128,8 @@
 	cases := map[string]string{
 		"Connection: close": "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok",
 		"surplus bytes":     goodAnswer + goodAnswer,
-		"no idle time":      "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\nKeep-Alive: timeout=0\r\n\r\nok",
-		"answer of HTTP1.0": "HTTP/1.0 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\n\r\nok",
+		"idle timeout of 0": "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\nKeep-Alive: timeout=0\r\n\r\nok",
+		"HTTP/1.0 response": "HTTP/1.0 200 OK\r\nX-Fieldrelay-Attempt-Id: id1\r\nContent-Length: 2\r\n\r\nok",
 	}
 	for name, answer := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -229,7 +229,7 @@
 	select {
 	case <-gone:
 	case <-time.After(testTimeout):
-		t.Fatal("the server did not see the end")
+		t.Fatal("the server did not observe the end of the connection")
 	}
 }
 
