--- a/internal/region/packing/compressor_test.go
+++ b/internal/region/packing/compressor_test.go
@@ -84,7 +84,7 @@
 func TestMalformedUpdateIsRejected(t *testing.T) {
 	var packer Compressor
 	valid := packer.Compressed(Key{Sequence: 8}, func() *pb.StateUpdate { return manyRoutes(300) })
-	for name, spoil := range map[string]func(*pb.CompressedUpdate){
+	for name, corrupt := range map[string]func(*pb.CompressedUpdate){
 		"a size too small":   func(compressed *pb.CompressedUpdate) { compressed.Size-- },
 		"a size too large":   func(compressed *pb.CompressedUpdate) { compressed.Size++ },
 		"a size over bounds": func(compressed *pb.CompressedUpdate) { compressed.Size = MaxSize + 1 },
@@ -93,9 +93,9 @@
 		"another format":     func(compressed *pb.CompressedUpdate) { compressed.Deflated = []byte("not deflated at all") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			spoiled := proto.CloneOf(valid)
-			spoil(spoiled)
-			_, err := Decompress(spoiled)
+			corrupted := proto.CloneOf(valid)
+			corrupt(corrupted)
+			_, err := Decompress(corrupted)
 			var rejected *MalformedError
 			require.ErrorAs(t, err, &rejected)
 		})
--- a/internal/region/packing/declared_size_test.go
+++ b/internal/region/packing/declared_size_test.go
@@ -12,10 +12,10 @@
 
 // The size that an update declares is not trusted: memory is allocated for what there is.
 func TestFalseDeclaredSizeAllocatesNoMemory(t *testing.T) {
-	spoiled := &pb.CompressedUpdate{Size: MaxSize, Deflated: bytes.Repeat([]byte{0}, 20)}
+	compressed := &pb.CompressedUpdate{Size: MaxSize, Deflated: bytes.Repeat([]byte{0}, 20)}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	_, err := Decompress(spoiled)
+	_, err := Decompress(compressed)
 	runtime.ReadMemStats(&after)
 	require.Error(t, err)
 	require.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(1<<20))
