--- a/internal/region/packing/compressor.go
+++ b/internal/region/packing/compressor.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// maxEntries bounds the entries of the cache.
+	// maxEntries bounds the number of entries in the cache.
 	maxEntries = 8
-	// maxCachedBytes bounds their size in bytes, compressed. One entry is cached however large it is.
+	// maxCachedBytes bounds the total compressed size of the entries in bytes. A single entry is cached whatever its
+	// size.
 	maxCachedBytes = 1 << 20
 )
 
-// Key identifies an update by the replicas that it applies to. All updates of one key are equal.
+// Key identifies an update by the replicas that it applies to. All updates with the same key are equal.
 type Key struct {
-	Base     uint64 // sequence of the replica that lacks the update
-	Sequence uint64 // of that replica after the update
-	Digests  uint64 // DigestsKey of the replica's digests if the update is a repair that answers them
+	Base     uint64 // sequence of the replica before the update
+	Sequence uint64 // sequence of the replica after the update
+	Digests  uint64 // DigestsKey of the replica's digests, if the update is a repair in response to them
 	Complete bool   // the update is a repair of all ranges, which applies to any earlier replica
 }
 
-// DigestsKey returns a hash of the digests that a repair answers, 0 if there are none.
+// DigestsKey returns a hash of the digests that a repair responds to, or 0 if there are none.
 func DigestsKey(digests *pb.RangeDigests) uint64 {
 	if digests == nil {
 		return 0
@@ -37,23 +38,23 @@
 	return xxhash.Sum64(encoded)
 }
 
-// Compressor compresses each update once, however many callers request it at the same time, and caches the last ones. The
-// zero value is ready to use. It is safe for concurrent use.
+// Compressor compresses each update once, however many callers request it concurrently, and caches the most recently
+// used results. The zero value is ready to use. It is safe for concurrent use.
 type Compressor struct {
 	mutex        sync.Mutex
-	entries      []entry // the least recently used first
-	bytes        int     // of the entries, compressed
+	entries      []entry // ordered by last use, least recent first
+	bytes        int     // total compressed size of the entries
 	compressions uint64
 }
 
 // entry is the cached result for a key.
 type entry struct {
 	key        Key
-	compressed *pb.CompressedUpdate // nil: the update is too small
+	compressed *pb.CompressedUpdate // nil if the update is smaller than MinSize
 }
 
-// Compressed returns the compressed update of a key, nil if it is smaller than MinSize. The update is made, with the lock
-// held, only if no result is cached. The result is shared and must not be changed.
+// Compressed returns the compressed update for a key, or nil if the encoded update is smaller than MinSize. It calls
+// makeUpdate, while holding the lock, only if no result is cached. The result is shared and must not be modified.
 func (p *Compressor) Compressed(key Key, makeUpdate func() *pb.StateUpdate) *pb.CompressedUpdate {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -71,14 +72,14 @@
 	return created.compressed
 }
 
-// Compressions returns the number of updates that were compressed.
+// Compressions returns the number of updates compressed so far.
 func (p *Compressor) Compressions() uint64 {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.compressions
 }
 
-// add caches an entry, and evicts the least recently used ones beyond the bounds.
+// add caches an entry, and evicts the least recently used entries while a bound is exceeded.
 func (p *Compressor) add(created entry) {
 	p.entries = append(p.entries, created)
 	p.bytes += len(created.compressed.GetDeflated())
@@ -88,8 +89,8 @@
 	}
 }
 
-// CompressResponse replaces the changes or the repair in a control machine's response to an agent by their compressed form, if
-// they are large enough and the agent accepts that.
+// CompressResponse replaces the changes or the repair in a control machine's response to an agent by their compressed
+// form, if they are large enough and the agent accepts compressed updates.
 func (p *Compressor) CompressResponse(request *pb.WatchRequest, response *pb.WatchResponse) {
 	if !request.GetAcceptsCompressed() || len(response.GetChanges()) == 0 && response.GetRepair() == nil {
 		return
--- a/internal/region/packing/compressor_test.go
+++ b/internal/region/packing/compressor_test.go
@@ -12,7 +12,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// manyRoutes returns an update that adds some number of routes.
+// manyRoutes returns an update that adds count routes.
 func manyRoutes(count int) *pb.StateUpdate {
 	change := &pb.Change{Sequence: 8, Generation: 3}
 	for number := range count {
@@ -46,7 +46,7 @@
 			return manyRoutes(2)
 		}))
 	}
-	require.Equal(t, 1, made, "that it is small is cached")
+	require.Equal(t, 1, made, "the result for a small update must be cached")
 }
 
 func TestUpdateIsCompressedOnceForAll(t *testing.T) {
@@ -78,19 +78,19 @@
 	}
 	made := false
 	packer.Compressed(Key{Sequence: 99}, func() *pb.StateUpdate { made = true; return nil })
-	require.False(t, made, "the newest is cached")
+	require.False(t, made, "the newest result must be cached")
 }
 
 func TestMalformedUpdateIsRejected(t *testing.T) {
 	var packer Compressor
 	valid := packer.Compressed(Key{Sequence: 8}, func() *pb.StateUpdate { return manyRoutes(300) })
 	for name, corrupt := range map[string]func(*pb.CompressedUpdate){
-		"a size too small":   func(compressed *pb.CompressedUpdate) { compressed.Size-- },
-		"a size too large":   func(compressed *pb.CompressedUpdate) { compressed.Size++ },
-		"a size over bounds": func(compressed *pb.CompressedUpdate) { compressed.Size = MaxSize + 1 },
-		"truncated":          func(compressed *pb.CompressedUpdate) { compressed.Deflated = compressed.Deflated[:100] },
-		"nothing":            func(compressed *pb.CompressedUpdate) { compressed.Deflated = nil },
-		"another format":     func(compressed *pb.CompressedUpdate) { compressed.Deflated = []byte("not deflated at all") },
+		"a size too small":    func(compressed *pb.CompressedUpdate) { compressed.Size-- },
+		"a size too large":    func(compressed *pb.CompressedUpdate) { compressed.Size++ },
+		"a size over MaxSize": func(compressed *pb.CompressedUpdate) { compressed.Size = MaxSize + 1 },
+		"truncated":           func(compressed *pb.CompressedUpdate) { compressed.Deflated = compressed.Deflated[:100] },
+		"no data":             func(compressed *pb.CompressedUpdate) { compressed.Deflated = nil },
+		"another format":      func(compressed *pb.CompressedUpdate) { compressed.Deflated = []byte("not deflated at all") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			corrupted := proto.CloneOf(valid)
--- a/internal/region/packing/declared_size_test.go
+++ b/internal/region/packing/declared_size_test.go
@@ -10,7 +10,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// The size that an update declares is not trusted: memory is allocated for what there is.
+// Guards against allocating memory for a declared size that the compressed data cannot expand to.
 func TestFalseDeclaredSizeAllocatesNoMemory(t *testing.T) {
 	compressed := &pb.CompressedUpdate{Size: MaxSize, Deflated: bytes.Repeat([]byte{0}, 20)}
 	var before, after runtime.MemStats
--- a/internal/region/packing/key_test.go
+++ b/internal/region/packing/key_test.go
@@ -9,7 +9,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// A repair answers the digests of one replica: another replica at the same sequence gets its own.
+// A repair responds to the digests of one replica. Guards against sending a cached repair to another replica at the
+// same sequence with other digests.
 func TestReplicasWithOtherDigestsGetOtherRepairs(t *testing.T) {
 	var packer Compressor
 	items := manyRoutes(300).GetChanges()[0].GetUpserts()
@@ -24,6 +25,6 @@
 	first, second := &pb.Range{Index: 1, Items: items}, &pb.Range{Index: 2, Items: items}
 	require.Len(t, repairFor(10, first).GetRanges(), 1)
 	require.Len(t, repairFor(11, first, second).GetRanges(), 2)
-	require.True(t, proto.Equal(first, repairFor(10).GetRanges()[0]), "that of the first is cached")
+	require.True(t, proto.Equal(first, repairFor(10).GetRanges()[0]), "the repair for the first digests must be cached")
 	require.EqualValues(t, 2, packer.Compressions())
 }
