--- a/internal/region/packing/compressor.go
+++ b/internal/region/packing/compressor.go
@@ -55,43 +55,43 @@
 
 // Compressed returns the compressed update for a key, or nil if the encoded update is smaller than MinSize. It calls
 // makeUpdate, while holding the lock, only if no result is cached. The result is shared and must not be modified.
-func (p *Compressor) Compressed(key Key, makeUpdate func() *pb.StateUpdate) *pb.CompressedUpdate {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if index := slices.IndexFunc(p.entries, func(cached entry) bool { return cached.key == key }); index >= 0 {
-		found := p.entries[index]
-		p.entries = append(slices.Delete(p.entries, index, index+1), found)
+func (c *Compressor) Compressed(key Key, makeUpdate func() *pb.StateUpdate) *pb.CompressedUpdate {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if index := slices.IndexFunc(c.entries, func(cached entry) bool { return cached.key == key }); index >= 0 {
+		found := c.entries[index]
+		c.entries = append(slices.Delete(c.entries, index, index+1), found)
 		return found.compressed
 	}
 	created := entry{key: key}
 	if encoded, err := proto.Marshal(makeUpdate()); err == nil && len(encoded) >= MinSize {
 		created.compressed = compress(key, encoded)
-		p.compressions++
+		c.compressions++
 	}
-	p.add(created)
+	c.add(created)
 	return created.compressed
 }
 
 // Compressions returns the number of updates compressed so far.
-func (p *Compressor) Compressions() uint64 {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.compressions
+func (c *Compressor) Compressions() uint64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.compressions
 }
 
 // add caches an entry, and evicts the least recently used entries while a bound is exceeded.
-func (p *Compressor) add(created entry) {
-	p.entries = append(p.entries, created)
-	p.bytes += len(created.compressed.GetDeflated())
-	for len(p.entries) > 1 && (len(p.entries) > maxEntries || p.bytes > maxCachedBytes) {
-		p.bytes -= len(p.entries[0].compressed.GetDeflated())
-		p.entries = slices.Delete(p.entries, 0, 1)
+func (c *Compressor) add(created entry) {
+	c.entries = append(c.entries, created)
+	c.bytes += len(created.compressed.GetDeflated())
+	for len(c.entries) > 1 && (len(c.entries) > maxEntries || c.bytes > maxCachedBytes) {
+		c.bytes -= len(c.entries[0].compressed.GetDeflated())
+		c.entries = slices.Delete(c.entries, 0, 1)
 	}
 }
 
 // CompressResponse replaces the changes or the repair in a control machine's response to an agent by their compressed
 // form, if they are large enough and the agent accepts compressed updates.
-func (p *Compressor) CompressResponse(request *pb.WatchRequest, response *pb.WatchResponse) {
+func (c *Compressor) CompressResponse(request *pb.WatchRequest, response *pb.WatchResponse) {
 	if !request.GetAcceptsCompressed() || len(response.GetChanges()) == 0 && response.GetRepair() == nil {
 		return
 	}
@@ -100,7 +100,7 @@
 		key.Complete = request.GetDigests() == nil
 		key.Digests = DigestsKey(request.GetDigests())
 	}
-	compressed := p.Compressed(key, func() *pb.StateUpdate {
+	compressed := c.Compressed(key, func() *pb.StateUpdate {
 		return &pb.StateUpdate{Changes: response.GetChanges(), Repair: response.GetRepair()}
 	})
 	if compressed == nil {
--- a/internal/region/packing/compressor_test.go
+++ b/internal/region/packing/compressor_test.go
@@ -26,9 +26,9 @@
 }
 
 func TestCompressedUpdateDecompressesToItself(t *testing.T) {
-	var packer Compressor
+	var compressor Compressor
 	update := manyRoutes(1400)
-	compressed := packer.Compressed(Key{Base: 7, Sequence: 8}, func() *pb.StateUpdate { return update })
+	compressed := compressor.Compressed(Key{Base: 7, Sequence: 8}, func() *pb.StateUpdate { return update })
 	require.Less(t, proto.Size(compressed)*4, proto.Size(update))
 	require.EqualValues(t, 7, compressed.GetBase())
 	require.EqualValues(t, 8, compressed.GetSequence())
@@ -38,10 +38,10 @@
 }
 
 func TestSmallUpdateIsNotCompressed(t *testing.T) {
-	var packer Compressor
+	var compressor Compressor
 	made := 0
 	for range 3 {
-		require.Nil(t, packer.Compressed(Key{Base: 7, Sequence: 8}, func() *pb.StateUpdate {
+		require.Nil(t, compressor.Compressed(Key{Base: 7, Sequence: 8}, func() *pb.StateUpdate {
 			made++
 			return manyRoutes(2)
 		}))
@@ -50,12 +50,12 @@
 }
 
 func TestUpdateIsCompressedOnceForAll(t *testing.T) {
-	var packer Compressor
+	var compressor Compressor
 	var made atomic.Int64
 	var group sync.WaitGroup
 	for range 60 {
 		group.Go(func() {
-			compressed := packer.Compressed(Key{Base: 7, Sequence: 8}, func() *pb.StateUpdate {
+			compressed := compressor.Compressed(Key{Base: 7, Sequence: 8}, func() *pb.StateUpdate {
 				made.Add(1)
 				return manyRoutes(300)
 			})
@@ -66,24 +66,24 @@
 	}
 	group.Wait()
 	require.EqualValues(t, 1, made.Load())
-	require.EqualValues(t, 1, packer.Compressions())
+	require.EqualValues(t, 1, compressor.Compressions())
 }
 
 func TestCacheIsBounded(t *testing.T) {
-	var packer Compressor
+	var compressor Compressor
 	for sequence := range uint64(100) {
-		packer.Compressed(Key{Sequence: sequence}, func() *pb.StateUpdate { return manyRoutes(3000) })
-		require.LessOrEqual(t, len(packer.entries), maxEntries)
-		require.LessOrEqual(t, packer.bytes, maxCachedBytes)
+		compressor.Compressed(Key{Sequence: sequence}, func() *pb.StateUpdate { return manyRoutes(3000) })
+		require.LessOrEqual(t, len(compressor.entries), maxEntries)
+		require.LessOrEqual(t, compressor.bytes, maxCachedBytes)
 	}
 	made := false
-	packer.Compressed(Key{Sequence: 99}, func() *pb.StateUpdate { made = true; return nil })
+	compressor.Compressed(Key{Sequence: 99}, func() *pb.StateUpdate { made = true; return nil })
 	require.False(t, made, "the newest result must be cached")
 }
 
 func TestMalformedUpdateIsRejected(t *testing.T) {
-	var packer Compressor
-	valid := packer.Compressed(Key{Sequence: 8}, func() *pb.StateUpdate { return manyRoutes(300) })
+	var compressor Compressor
+	valid := compressor.Compressed(Key{Sequence: 8}, func() *pb.StateUpdate { return manyRoutes(300) })
 	for name, corrupt := range map[string]func(*pb.CompressedUpdate){
 		"a size too small":    func(compressed *pb.CompressedUpdate) { compressed.Size-- },
 		"a size too large":    func(compressed *pb.CompressedUpdate) { compressed.Size++ },
