--- a/internal/region/shuffle/reserve.go
+++ b/internal/region/shuffle/candidates.go
@@ -8,20 +8,20 @@
 	if len(v.neighbours) == 0 && v.pending.host == "" {
 		clear(v.failedUntil)
 	}
-	if len(v.neighbours) >= ViewSize || len(v.reserve) == 0 {
+	if len(v.neighbours) >= ViewSize || len(v.candidates) == 0 {
 		return
 	}
-	order := v.random.Perm(len(v.reserve))
+	order := v.random.Perm(len(v.candidates))
 	for _, i := range order {
 		if v.countOwnRegion() >= ownRegionSlots {
 			break
 		}
-		if v.reserve[i].Region == v.self.Region {
-			v.insertIfFree(now, v.reserve[i])
+		if v.candidates[i].Region == v.self.Region {
+			v.insertIfFree(now, v.candidates[i])
 		}
 	}
 	for _, i := range order {
-		v.insertIfFree(now, v.reserve[i])
+		v.insertIfFree(now, v.candidates[i])
 	}
 }
 
@@ -35,17 +35,17 @@
 
 // receiveMembers records the members that control knows, and refills free slots.
 func (v *View) receiveMembers(now time.Duration, members []Neighbour) {
-	reserve := make([]Neighbour, 0, min(len(members), maxReserve))
+	candidates := make([]Neighbour, 0, min(len(members), maxCandidates))
 	for _, member := range members {
-		if len(reserve) == maxReserve {
+		if len(candidates) == maxCandidates {
 			break
 		}
 		if member.Host == v.self.Host || member.Address == "" {
 			continue
 		}
-		reserve = append(reserve, member)
+		candidates = append(candidates, member)
 	}
-	v.reserve = reserve
+	v.candidates = candidates
 	v.refill(now)
 }
 
--- a/internal/region/shuffle/digest_test.go
+++ b/internal/region/shuffle/digest_test.go
@@ -16,7 +16,7 @@
 		recorder := digesttest.New(10 * time.Second)
 		s := newSwarm(t, 1)
 		s.loss = 0.1
-		s.watch = func(host string, action Action) {
+		s.onAction = func(host string, action Action) {
 			switch action := action.(type) {
 			case Exchange:
 				entry := recorder.Entry(s.now, "exchange").Text(host)
@@ -43,7 +43,7 @@
 
 func recordMembers(entry *digesttest.Recorder, members ...Neighbour) {
 	entry.Number(uint64(len(members)))
-	for _, one := range members {
-		entry.Text(one.Host).Text(one.Address).Text(one.Zone).Text(one.Region).Number(uint64(one.Age))
+	for _, neighbour := range members {
+		entry.Text(neighbour.Host).Text(neighbour.Address).Text(neighbour.Zone).Text(neighbour.Region).Number(uint64(neighbour.Age))
 	}
 }
--- a/internal/region/shuffle/shuffle.go
+++ b/internal/region/shuffle/shuffle.go
@@ -33,8 +33,8 @@
 	failureRetention = 3 * ExchangeInterval
 	// maxFailures bounds the failed members that are recorded.
 	maxFailures = 64
-	// maxReserve bounds the members from control that are recorded.
-	maxReserve = 1024
+	// maxCandidates bounds the members from control that are recorded.
+	maxCandidates = 1024
 )
 
 // Neighbour is one agent as another one knows it.
@@ -53,7 +53,7 @@
 	self           Neighbour
 	random         *rand.Rand
 	neighbours     []Neighbour
-	reserve        []Neighbour              // members from control, to refill free slots
+	candidates     []Neighbour              // members from control, to refill free slots
 	failedUntil    map[string]time.Duration // by host; until then others can't bring it back
 	nextExchangeAt time.Duration
 	started        bool
--- a/internal/region/shuffle/shuffle_test.go
+++ b/internal/region/shuffle/shuffle_test.go
@@ -17,14 +17,14 @@
 
 // swarm simulates many members without a network: an exchange is delivered at once or fails.
 type swarm struct {
-	t       *testing.T
-	random  *rand.Rand
-	members []*View
-	index   map[string]int
-	dead    map[string]bool
-	now     time.Duration
-	loss    float64
-	watch   func(host string, action Action) // called with each action, unless nil
+	t        *testing.T
+	random   *rand.Rand
+	members  []*View
+	index    map[string]int
+	dead     map[string]bool
+	now      time.Duration
+	loss     float64
+	onAction func(host string, action Action) // called with each action, unless nil
 }
 
 func member(i int) Neighbour {
@@ -52,14 +52,14 @@
 }
 
 // bootstrapFromPredecessors gives each member only its predecessors: exchanges alone have to mix the graph.
-func (s *swarm) bootstrapFromPredecessors(few int) {
+func (s *swarm) bootstrapFromPredecessors(predecessors int) {
 	for i, view := range s.members {
 		var known []Neighbour
-		for back := 1; back <= few; back++ {
+		for back := 1; back <= predecessors; back++ {
 			known = append(known, member((i+swarmSize-back)%swarmSize))
 		}
 		view.Step(s.now, MembersReceived{Members: known})
-		view.reserve = nil
+		view.candidates = nil
 	}
 }
 
@@ -77,8 +77,8 @@
 func (s *swarm) deliver(from *View, actions []Action) {
 	for _, action := range actions {
 		exchange := action.(Exchange)
-		if s.watch != nil {
-			s.watch(from.self.Host, exchange)
+		if s.onAction != nil {
+			s.onAction(from.self.Host, exchange)
 		}
 		require.LessOrEqual(s.t, len(exchange.Sample), ExchangeSize-1)
 		partner := s.members[s.index[exchange.To.Host]]
@@ -87,8 +87,8 @@
 			continue
 		}
 		answer := partner.Step(s.now, ExchangeRequested{From: exchange.From, Sample: exchange.Sample})[0].(ExchangeReply)
-		if s.watch != nil {
-			s.watch(exchange.To.Host, answer)
+		if s.onAction != nil {
+			s.onAction(exchange.To.Host, answer)
 		}
 		s.check(partner)
 		if s.random.Float64() < s.loss {
