--- a/internal/region/configitem/decoder.go
+++ b/internal/region/configitem/decoder.go
@@ -28,8 +28,8 @@
 	return number
 }
 
-// flag decodes true or false.
-func (d *decoder) flag(field string, value []byte) bool {
+// boolean decodes true or false.
+func (d *decoder) boolean(field string, value []byte) bool {
 	switch string(value) {
 	case "true":
 		return true
--- a/internal/region/configitem/destination.go
+++ b/internal/region/configitem/destination.go
@@ -42,13 +42,13 @@
 func (r *Route) Destination() (Destination, []FieldError) {
 	var destination Destination
 	var faults []FieldError
-	wrongForm := r.service != nil && !jsonwalk.IsString(r.service)
-	if wrongForm {
+	notString := r.service != nil && !jsonwalk.IsString(r.service)
+	if notString {
 		faults = append(faults, ErrServiceNotText)
 	} else {
 		destination.Service = jsonwalk.Unquoted(r.service)
 	}
-	named := wrongForm || len(destination.Service) > 0
+	named := notString || len(destination.Service) > 0
 	if r.split == nil {
 		if !named {
 			faults = append(faults, ErrNoService)
--- a/internal/region/configitem/options.go
+++ b/internal/region/configitem/options.go
@@ -38,8 +38,8 @@
 		EventGapTarget: d.nonNegative(fieldEventGapTarget, r.eventGapTarget),
 		Priority:       d.nonNegative(fieldPriority, r.priority),
 		MaxAttempts:    d.nonNegative(fieldMaxAttempts, r.maxAttempts),
-		PromptAffinity: d.flag(fieldPromptAffinity, r.promptAffinity),
-		Resumable:      d.flag(fieldResumable, r.resumable),
+		PromptAffinity: d.boolean(fieldPromptAffinity, r.promptAffinity),
+		Resumable:      d.boolean(fieldResumable, r.resumable),
 		HomeRegions:    d.homeRegions(r.homeRegions),
 	}
 	return options, d.faults
--- a/internal/region/jsonwalk/walk.go
+++ b/internal/region/jsonwalk/walk.go
@@ -88,13 +88,13 @@
 	if len(quoted) < 2 {
 		return nil
 	}
-	between := quoted[1 : len(quoted)-1]
-	if bytes.IndexByte(between, '\\') < 0 {
-		return between
+	content := quoted[1 : len(quoted)-1]
+	if bytes.IndexByte(content, '\\') < 0 {
+		return content
 	}
 	var decoded string
 	if err := json.Unmarshal(quoted, &decoded); err != nil {
-		return between
+		return content
 	}
 	return []byte(decoded)
 }
