--- a/internal/region/shuffle/candidates.go
+++ b/internal/region/shuffle/candidates.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// refill fills free slots at random from the members that control knows: first those of the own region, up to
-// ownRegionSlots. If no neighbour is left, the failures are cleared: the fault may be on this side.
+// refill fills free slots with random candidates: first with those of the own region, up to ownRegionSlots, then with
+// any. If the view is empty, the recorded failures are cleared, because the fault may be on this side.
 func (v *View) refill(now time.Duration) {
 	if len(v.neighbours) == 0 && v.pending.host == "" {
 		clear(v.failedUntil)
@@ -25,7 +25,8 @@
 	}
 }
 
-// insertIfFree inserts a member if there is a free slot and it is not in the view or the partner of the pending exchange.
+// insertIfFree inserts a member if there is a free slot and the member is neither in the view nor the partner of the
+// pending exchange.
 func (v *View) insertIfFree(now time.Duration, member Neighbour) {
 	if len(v.neighbours) >= ViewSize || member.Host == v.pending.host || v.find(member.Host) >= 0 {
 		return
@@ -33,7 +34,7 @@
 	v.insert(now, member)
 }
 
-// receiveMembers records the members that control knows, and refills free slots.
+// receiveMembers records the members that control knows as candidates, and refills free slots.
 func (v *View) receiveMembers(now time.Duration, members []Neighbour) {
 	candidates := make([]Neighbour, 0, min(len(members), maxCandidates))
 	for _, member := range members {
@@ -49,8 +50,8 @@
 	v.refill(now)
 }
 
-// removeFailed removes a member that did not answer. It is not inserted again for failureRetention, unless it begins an
-// exchange itself.
+// removeFailed removes a member that did not answer. The member is not inserted again for failureRetention, unless it
+// initiates an exchange itself.
 func (v *View) removeFailed(now time.Duration, host string) {
 	if v.pending.host == host {
 		v.pending = pendingExchange{}
@@ -64,7 +65,7 @@
 	v.refill(now)
 }
 
-// expireFailures removes the failures that are older than failureRetention.
+// expireFailures removes the recorded failures that are older than failureRetention.
 func (v *View) expireFailures(now time.Duration) {
 	for host, until := range v.failedUntil {
 		if until <= now {
--- a/internal/region/shuffle/digest_test.go
+++ b/internal/region/shuffle/digest_test.go
@@ -10,7 +10,7 @@
 
 var update = flag.Bool("update", false, "record the digests of the runs again")
 
-// A refactoring leaves the exchanges between members and their views as they are.
+// Guards against a refactoring that changes the exchanges between members or their views.
 func TestSwarmHasTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "swarm", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(10 * time.Second)
@@ -25,7 +25,7 @@
 			case ExchangeReply:
 				recordMembers(recorder.Entry(s.now, "answer").Text(host), action.Sample...)
 			default:
-				t.Errorf("an action that the digests do not know")
+				t.Errorf("action of unknown type is not recorded in the digests")
 			}
 		}
 		s.bootstrapFromPredecessors(3)
--- a/internal/region/shuffle/events.go
+++ b/internal/region/shuffle/events.go
@@ -1,15 +1,15 @@
 package shuffle
 
-// Event is an input of a View: one of the events below.
+// Event is an input of a View. The types below implement it.
 type Event interface{ isEvent() }
 
-// Tick says that time has passed. It is due several times in an ExchangeInterval.
+// Tick reports that time has passed. The caller must send it several times in each ExchangeInterval.
 type Tick struct{}
 
-// MembersReceived are the members that a control machine knows. They replace those of before.
+// MembersReceived holds the members that a control machine knows. They replace those received earlier.
 type MembersReceived struct{ Members []Neighbour }
 
-// ExchangeRequested is another member's exchange. The action that it causes holds the answer.
+// ExchangeRequested is an exchange initiated by another member. The resulting action holds the answer.
 type ExchangeRequested struct {
 	From   Neighbour
 	Sample []Neighbour
@@ -21,7 +21,7 @@
 	Sample []Neighbour
 }
 
-// ExchangeFailed says that a member did not answer.
+// ExchangeFailed reports that a member did not answer.
 type ExchangeFailed struct{ Host string }
 
 func (Tick) isEvent()              {}
@@ -30,10 +30,10 @@
 func (ExchangeAnswered) isEvent()  {}
 func (ExchangeFailed) isEvent()    {}
 
-// Action is an output of a View, which the caller of Step has to carry out.
+// Action is an output of a View that the caller of Step must carry out.
 type Action interface{ isAction() }
 
-// Exchange sends a sample of the view to a neighbour. Its answer or its failure comes back as an event.
+// Exchange sends a sample of the view to a neighbour. The caller reports the answer or the failure as an event.
 type Exchange struct {
 	To     Neighbour
 	From   Neighbour // this member
--- a/internal/region/shuffle/exchange.go
+++ b/internal/region/shuffle/exchange.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// pendingExchange is an exchange that this member began and whose answer has not come. The zero value is none.
+// pendingExchange is an exchange that this member initiated and that has not been answered. The zero value means that
+// there is none.
 type pendingExchange struct {
 	host string // the partner
 	sent []Neighbour
 }
 
-// tick begins an exchange if one is due.
+// tick initiates an exchange if one is due.
 func (v *View) tick(now time.Duration) []Action {
 	if !v.started {
 		v.started = true
@@ -23,14 +24,15 @@
 	return v.beginExchange()
 }
 
-// jittered returns a random time between 4/5 and 6/5 of an interval.
+// jittered returns a random time between 4/5 and 6/5 of interval.
 func (v *View) jittered(interval time.Duration) time.Duration {
 	fifth := int64(interval / 5)
 	return interval - time.Duration(fifth) + time.Duration(v.random.Int64N(2*fifth))
 }
 
-// beginExchange ages all neighbours by one, takes the oldest one out of the view and sends it a sample. Its slot is free
-// until it answers: a partner that has failed drops out by that alone.
+// beginExchange increments the age of all neighbours, removes the oldest one from the view and sends it a sample. The
+// slot of that partner stays free until the partner answers, so that a failed partner leaves the view without further
+// action.
 func (v *View) beginExchange() []Action {
 	if len(v.neighbours) == 0 {
 		return nil
@@ -49,7 +51,8 @@
 	return []Action{Exchange{To: partner, From: v.self, Sample: sample}}
 }
 
-// answerExchange answers another member's exchange with a sample, and merges the member and its sample.
+// answerExchange answers another member's exchange with a sample, and merges that member and its sample into the
+// view.
 func (v *View) answerExchange(now time.Duration, request ExchangeRequested) []Action {
 	delete(v.failedUntil, request.From.Host)
 	sample := v.sample(ExchangeSize, request.From.Host)
@@ -60,8 +63,8 @@
 	return []Action{ExchangeReply{Sample: sample}}
 }
 
-// finishExchange merges the sample of the pending exchange's partner. Unlike in Cyclon, the partner stays a neighbour if
-// there is a slot for it. Answers that are not awaited are ignored.
+// finishExchange merges the sample from the partner of the pending exchange. Unlike in Cyclon, the partner stays a
+// neighbour if there is a slot for it. Answers from other members are ignored.
 func (v *View) finishExchange(now time.Duration, answer ExchangeAnswered) {
 	if answer.From.Host == "" || answer.From.Host != v.pending.host {
 		return
@@ -78,7 +81,7 @@
 	v.refill(now)
 }
 
-// sample returns up to size neighbours at random, without the host except.
+// sample returns up to size random neighbours, excluding the host except.
 func (v *View) sample(size int, except string) []Neighbour {
 	sample := make([]Neighbour, 0, size)
 	for _, i := range v.random.Perm(len(v.neighbours)) {
@@ -92,7 +95,7 @@
 	return sample
 }
 
-// bounded cuts a received sample to the size that a member may send.
+// bounded truncates a received sample to the size that a member may send.
 func bounded(sample []Neighbour) []Neighbour {
 	return sample[:min(len(sample), ExchangeSize)]
 }
--- a/internal/region/shuffle/shuffle_test.go
+++ b/internal/region/shuffle/shuffle_test.go
@@ -24,7 +24,7 @@
 	dead     map[string]bool
 	now      time.Duration
 	loss     float64
-	onAction func(host string, action Action) // called with each action, unless nil
+	onAction func(host string, action Action) // called with each action; may be nil
 }
 
 func member(i int) Neighbour {
@@ -51,7 +51,8 @@
 	return s
 }
 
-// bootstrapFromPredecessors gives each member only its predecessors: exchanges alone have to mix the graph.
+// bootstrapFromPredecessors gives each member only its predecessors as neighbours, so that only exchanges can mix the
+// graph.
 func (s *swarm) bootstrapFromPredecessors(predecessors int) {
 	for i, view := range s.members {
 		var known []Neighbour
@@ -99,22 +100,22 @@
 	}
 }
 
-// check requires the invariants of one view.
+// check checks the invariants of one view.
 func (s *swarm) check(view *View) {
 	if len(view.neighbours) > ViewSize {
-		s.t.Fatalf("%d neighbours", len(view.neighbours))
+		s.t.Fatalf("view holds %d neighbours, more than ViewSize", len(view.neighbours))
 	}
 	seen := make(map[string]bool, ViewSize)
 	for _, neighbour := range view.neighbours {
 		if neighbour.Host == view.self.Host || seen[neighbour.Host] {
-			s.t.Fatalf("%s has itself or a neighbour twice: %v", view.self.Host, view.neighbours)
+			s.t.Fatalf("view of %s contains its own member or a duplicate: %v", view.self.Host, view.neighbours)
 		}
 		seen[neighbour.Host] = true
 	}
 }
 
-// reached counts the live members, and those of them that are reached from the first one along neighbours in either
-// direction.
+// reached returns the number of live members that can be reached from the first one by following neighbours in either
+// direction, and the number of all live members.
 func (s *swarm) reached() (reached, live int) {
 	links := make(map[string][]string)
 	var start string
@@ -147,7 +148,7 @@
 
 func (s *swarm) requireConnected() {
 	reached, live := s.reached()
-	require.Equal(s.t, live, reached, "members reached")
+	require.Equal(s.t, live, reached, "all live members must be reachable")
 }
 
 func (s *swarm) maxInDegree() int {
@@ -198,7 +199,7 @@
 				}
 			}
 		}
-		require.Less(t, toDead, swarmSize/2*ViewSize/20, "slots of survivors with dead neighbours")
+		require.Less(t, toDead, swarmSize/2*ViewSize/20, "dead neighbours in the views of survivors")
 	}
 }
 
@@ -227,9 +228,9 @@
 	require.Len(t, exchange.Sample, 2)
 	view.Step(ExchangeInterval, ExchangeFailed{Host: old.Host})
 	view.Step(ExchangeInterval, ExchangeRequested{From: member(2), Sample: []Neighbour{member(1)}})
-	require.Equal(t, -1, view.find(old.Host), "others can't bring it back")
+	require.Equal(t, -1, view.find(old.Host), "samples from others must not reinsert a failed member")
 	view.Step(ExchangeInterval, ExchangeRequested{From: member(1)})
-	require.GreaterOrEqual(t, view.find(old.Host), 0, "it calls itself")
+	require.GreaterOrEqual(t, view.find(old.Host), 0, "a failed member that initiates an exchange must be inserted")
 }
 
 func TestNeighbourComesBackAfterItsExchange(t *testing.T) {
@@ -239,7 +240,7 @@
 	exchange := view.Step(ExchangeInterval, Tick{})[0].(Exchange)
 	require.Empty(t, view.Neighbours())
 	view.Step(ExchangeInterval, ExchangeAnswered{From: member(2), Sample: []Neighbour{member(3)}})
-	require.Empty(t, view.Neighbours(), "an answer that is not awaited")
+	require.Empty(t, view.Neighbours(), "an answer from another member than the partner must be ignored")
 	view.Step(ExchangeInterval, ExchangeAnswered{From: exchange.To, Sample: []Neighbour{member(0)}})
 	require.Len(t, view.Neighbours(), 1)
 }
@@ -249,7 +250,7 @@
 	view.Step(0, MembersReceived{Members: []Neighbour{member(1), member(2)}})
 	view.Step(0, ExchangeFailed{Host: member(1).Host})
 	view.Step(0, ExchangeFailed{Host: member(2).Host})
-	require.Len(t, view.Neighbours(), 2, "the fault may be on this side")
+	require.Len(t, view.Neighbours(), 2, "failures must be cleared when the view is empty")
 }
 
 func TestSamplesOfStrangersAreBounded(t *testing.T) {
--- a/internal/region/shuffle/slots.go
+++ b/internal/region/shuffle/slots.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// merge inserts received members and then evicts surplus neighbours: first those that were sent to the other side, which
-// now has them, then the oldest ones, but none that would leave too few of the own region or of the others.
+// merge inserts received members and then evicts neighbours until the view fits: first those that were sent to the
+// other side, which now has them, then the oldest ones. The slots reserved by region are preserved.
 func (v *View) merge(now time.Duration, received, sent []Neighbour) {
 	for _, member := range received {
 		v.insert(now, member)
@@ -13,8 +13,8 @@
 	}
 }
 
-// insert adds a member, or refreshes its entry unless that is younger. The member of this view, members without an
-// address and those that failed lately are ignored.
+// insert adds a member, or updates its entry unless the existing entry is younger. The view's own member, members
+// without an address and members that failed within failureRetention are ignored.
 func (v *View) insert(now time.Duration, member Neighbour) {
 	if member.Host == "" || member.Host == v.self.Host || member.Address == "" {
 		return
@@ -31,7 +31,7 @@
 	v.neighbours = append(v.neighbours, member)
 }
 
-// evictionIndex returns the index of the neighbour to evict. There must be more neighbours than slots.
+// evictionIndex returns the index of the neighbour to evict. The view must hold more neighbours than it has slots.
 func (v *View) evictionIndex(sent []Neighbour) int {
 	for _, member := range sent {
 		if i := v.find(member.Host); i >= 0 && v.mayEvict(i) {
@@ -47,14 +47,14 @@
 			oldest = i
 		}
 	}
-	// The reserved slots are fewer than all slots, so that one side has a surplus.
+	// There are fewer reserved slots than slots, so either the own region or the others must have a surplus.
 	if oldest < 0 {
-		panic("shuffle: more slots are reserved than there are")
+		panic("shuffle: no neighbour may be evicted: more slots are reserved than ViewSize")
 	}
 	return oldest
 }
 
-// hasSlotFor reports whether there is a slot for a member: a free one, or one that is reserved for its region.
+// hasSlotFor reports whether there is a slot for a member, either a free one or one that is reserved for its region.
 func (v *View) hasSlotFor(member Neighbour) bool {
 	inOwnRegion := v.countOwnRegion()
 	if member.Region == v.self.Region {
@@ -63,7 +63,7 @@
 	return len(v.neighbours) < ViewSize || len(v.neighbours)-inOwnRegion < otherRegionSlots
 }
 
-// mayEvict reports whether the slots reserved by region allow that a neighbour is evicted.
+// mayEvict reports whether a neighbour may be evicted without leaving slots reserved by region unfilled.
 func (v *View) mayEvict(index int) bool {
 	inOwnRegion := v.countOwnRegion()
 	if v.neighbours[index].Region == v.self.Region {
@@ -72,7 +72,7 @@
 	return len(v.neighbours)-inOwnRegion > otherRegionSlots
 }
 
-// countOwnRegion returns the number of neighbours in the own region.
+// countOwnRegion returns the number of neighbours in the member's own region.
 func (v *View) countOwnRegion() int {
 	count := 0
 	for i := range v.neighbours {
@@ -83,7 +83,7 @@
 	return count
 }
 
-// find returns the index of a host's entry, -1 if there is none.
+// find returns the index of a host's entry, or -1 if there is none.
 func (v *View) find(host string) int {
 	for i := range v.neighbours {
 		if v.neighbours[i].Host == host {
@@ -93,7 +93,7 @@
 	return -1
 }
 
-// remove removes the entry at index. The order of the others is not kept.
+// remove removes the entry at index. It does not preserve the order of the other entries.
 func (v *View) remove(index int) {
 	last := len(v.neighbours) - 1
 	v.neighbours[index] = v.neighbours[last]
