--- a/internal/region/configitem/decoder.go
+++ b/internal/region/configitem/decoder.go
@@ -2,7 +2,8 @@
 
 import "fieldrelay/internal/region/jsonwalk"
 
-// decoder decodes members that validation does not check, and collects the faults of those that count as missing.
+// decoder decodes members that validation does not check, and collects the faults of those that cannot be used and
+// count as missing.
 type decoder struct {
 	faults []FieldError
 }
@@ -11,7 +12,7 @@
 	d.faults = append(d.faults, FieldError{Field: field, Reason: reason})
 }
 
-// nonNegative decodes a number of 0 or more.
+// nonNegative decodes a number that must not be negative.
 func (d *decoder) nonNegative(field string, value []byte) float64 {
 	if value == nil {
 		return 0
@@ -48,7 +49,7 @@
 	return optionalText(value)
 }
 
-// optionalText decodes a JSON string; any other value gives the empty string.
+// optionalText decodes a JSON string. It returns the empty string for any other value.
 func optionalText(value []byte) string {
 	if !jsonwalk.IsString(value) {
 		return ""
--- a/internal/region/configitem/destination.go
+++ b/internal/region/configitem/destination.go
@@ -7,26 +7,26 @@
 	"fieldrelay/internal/region/jsonwalk"
 )
 
-// WeightedService is one service of a route's split.
+// WeightedService is one element of a route's split.
 type WeightedService struct {
-	Service []byte  // its name, as by jsonwalk.Unquoted; empty if none is named
-	Weight  float64 // relative to the others; 0 or more
+	Service []byte  // service name, as returned by jsonwalk.Unquoted; empty if missing
+	Weight  float64 // weight relative to the other elements; 0 or more
 }
 
-// Destination is where the requests of a route go.
+// Destination is the service, or the weighted services, to which a route sends its requests.
 type Destination struct {
-	// Service is the name in "backend", as by jsonwalk.Unquoted; empty if there is none. It gets all requests if
-	// there is no split.
+	// Service is the service name in "backend", as returned by jsonwalk.Unquoted; empty if missing. Without a split, the
+	// service receives all requests.
 	Service []byte
-	// Split are the elements of "split". The sum of their weights is finite.
+	// Split holds the elements of "split". The sum of their weights is finite.
 	Split []WeightedService
 }
 
 // Faults of a route's destination.
 var (
-	// ErrServiceNotText is the fault of a "backend" that is not text.
+	// ErrServiceNotText is the fault of a "backend" that is not a string.
 	ErrServiceNotText = FieldError{Field: fieldService, Reason: "is not a name"}
-	// ErrNoService is the fault of a route that names no service at all.
+	// ErrNoService is the fault of a route that has no "split" and names no service in "backend".
 	ErrNoService = FieldError{Field: fieldService, Reason: "no service is named"}
 	// ErrSplitNotList is the fault of a "split" that is not a list.
 	ErrSplitNotList = FieldError{Field: fieldSplit, Reason: "is not a list"}
@@ -34,11 +34,11 @@
 	ErrNoWeight = FieldError{Field: fieldSplit, Reason: "the shares add up to 0"}
 	// ErrWeight is the fault of a weight that is not a number or is negative; it counts as 0.
 	ErrWeight = FieldError{Field: fieldSplit, Reason: "a share is not a number of 0 or more"}
-	// ErrSplitServiceNotText is the fault of an element of a split whose service is not text.
+	// ErrSplitServiceNotText is the fault of an element of a split whose service is not a string.
 	ErrSplitServiceNotText = FieldError{Field: fieldSplit, Reason: "is not a name"}
 )
 
-// Destination returns the services that the route names, and their faults.
+// Destination returns the services that the route names, and the faults of their members.
 func (r *Route) Destination() (Destination, []FieldError) {
 	var destination Destination
 	var faults []FieldError
@@ -67,8 +67,8 @@
 	return destination, faults
 }
 
-// parseSplit parses the list of a split, returns its elements and the sum of their weights, and appends its faults. An
-// element that cannot be parsed has weight 0 and no service.
+// parseSplit parses the list of a split. It returns the elements, the sum of their weights, and faults with those of
+// the list appended. An element that cannot be parsed has weight 0 and no service.
 func parseSplit(list []byte, faults []FieldError) ([]WeightedService, float64, []FieldError) {
 	var services []WeightedService
 	total := 0.0
@@ -84,7 +84,8 @@
 	return services, total, faults
 }
 
-// parseWeightedService parses one element of a split, and appends its faults.
+// parseWeightedService parses one element of a split. It returns the element, and faults with those of the element
+// appended.
 func parseWeightedService(element []byte, index int, faults []FieldError) (WeightedService, []FieldError) {
 	var weighted WeightedService
 	if !jsonwalk.IsObject(element) {
@@ -110,9 +111,9 @@
 	return FieldError{Field: fieldSplit, Reason: fmt.Sprintf(format, index)}
 }
 
-// scaleDown makes the sum of weights finite and keeps their proportions.
+// scaleDown makes the sum of the weights finite and preserves their proportions.
 func scaleDown(services []WeightedService) {
-	divisor := 2 * float64(len(services)) // twice the number: the sum may be rounded up
+	divisor := 2 * float64(len(services)) // twice the number of services, because the sum may be rounded up
 	for index := range services {
 		services[index].Weight /= divisor
 	}
--- a/internal/region/configitem/fielderror.go
+++ b/internal/region/configitem/fielderror.go
@@ -6,9 +6,10 @@
 	"fieldrelay/internal/region/jsonwalk"
 )
 
-// FieldError is one reason why a member of an item, or the item as a whole, cannot be used. It is comparable, and an error.
+// FieldError is a reason why a member of an item, or the whole item, cannot be used. It is comparable, and implements
+// error.
 type FieldError struct {
-	Field  string // the member at fault, for example "deadline-ms"; empty for the whole item
+	Field  string // name of the member, for example "deadline-ms"; empty for the whole item
 	Reason string
 }
 
@@ -20,7 +21,7 @@
 	return f.Field + ": " + f.Reason
 }
 
-// Faults of items as a whole.
+// Faults of whole items.
 var (
 	// ErrNotJSON is the fault of a body that is not JSON.
 	ErrNotJSON = FieldError{Reason: "is not JSON"}
@@ -28,7 +29,7 @@
 	ErrNotObject = FieldError{Reason: "is not an object"}
 )
 
-// Object checks that the body of an item is a JSON object, and returns it without the space around it.
+// Object checks that the body of an item is a JSON object, and returns it without surrounding white space.
 func Object(body []byte) ([]byte, []FieldError) {
 	if !json.Valid(body) {
 		return nil, []FieldError{ErrNotJSON}
--- a/internal/region/configitem/host_test.go
+++ b/internal/region/configitem/host_test.go
@@ -15,7 +15,7 @@
 		"h.example:":      "h.example",
 		"[2001:DB8::1]":   "[2001:db8::1]",
 		"[::1]:80":        "[::1]",
-		"2001:db8::1":     "2001:db8::1", // no port: no client sends it so
+		"2001:db8::1":     "2001:db8::1", // without brackets there is no port; clients do not send this form
 		"h.example:80:81": "h.example:80:81",
 		"H\u00c9.example": "h\u00e9.example",
 		":80":             "",
@@ -25,7 +25,8 @@
 	}
 }
 
-// TestCanonicalHostsStayAsTheyAre: a look-up may take a name for canonical that is so by chance.
+// TestCanonicalHostsStayAsTheyAre checks that CanonicalHost is idempotent, because a look-up may treat a name as
+// canonical that merely looks so.
 func TestCanonicalHostsStayAsTheyAre(t *testing.T) {
 	hosts := rapid.StringOfN(rapid.SampledFrom([]rune("aZ:.[]1\u00c9\u0130\u212a")), 0, 10, -1)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/region/configitem/limits.go
+++ b/internal/region/configitem/limits.go
@@ -2,7 +2,7 @@
 
 import "fieldrelay/internal/region/jsonwalk"
 
-// Members of the request limits.
+// Names of the members of the request limits.
 const (
 	fieldMaxHeader  = "max-header-bytes"
 	fieldMaxBody    = "max-body-bytes"
@@ -10,7 +10,7 @@
 	fieldKeepAlive  = "keepalive-ms"
 )
 
-// Limits bound what a client may send and how long it may take. 0 means that the member is missing.
+// Limits bounds what a client may send and how long it may take. 0 means that the member is missing.
 type Limits struct {
 	MaxHeader  float64 // bytes
 	MaxBody    float64 // bytes
@@ -18,8 +18,8 @@
 	KeepAlive  float64 // milliseconds that a connection may stay idle
 }
 
-// ParseLimits parses the body of the setting that holds the request limits, and returns the faults of members that cannot
-// be used. A body that is not a JSON object sets no limits.
+// ParseLimits parses the body of the setting that holds the request limits. It also returns the faults of members
+// that cannot be used. A body that is not a JSON object sets no limits.
 func ParseLimits(body []byte) (Limits, []FieldError) {
 	if jsonwalk.IsNull(jsonwalk.Trim(body)) {
 		return Limits{}, nil
--- a/internal/region/configitem/options.go
+++ b/internal/region/configitem/options.go
@@ -2,7 +2,7 @@
 
 import "fieldrelay/internal/region/jsonwalk"
 
-// Kind is what a retry of a route's requests may do and what their answers look like.
+// Kind classifies a route's requests by whether they may be retried and by the form of their responses.
 type Kind string
 
 // The kinds of route.
@@ -12,24 +12,24 @@
 	KindStreaming  Kind = "streaming"
 )
 
-// UnreadableRegion stands for home regions that are set and cannot be read. No region has this name, so that the
-// route's requests are served nowhere rather than in a region where they must not be.
+// UnreadableRegion replaces home regions that are set but cannot be parsed. No region has this name, so requests of
+// the route are not served at all rather than in a region where they must not be served.
 const UnreadableRegion = "(unreadable)"
 
-// RouteOptions are the members of a route that validation does not check. Times are in milliseconds; numbers are 0
-// where the member is missing.
+// RouteOptions holds the members of a route that validation does not check. Times are in milliseconds. A number is 0
+// if the member is missing.
 type RouteOptions struct {
-	Kind           Kind     // KindMutating, the most careful one, if missing
-	Target         float64  // latency target of an answer or of a stream's first event
-	EventGapTarget float64  // longest gap between events of a stream that is in time
+	Kind           Kind     // KindMutating, the most restrictive kind, if missing
+	Target         float64  // latency target of a response, or of the first event of a stream
+	EventGapTarget float64  // target for the longest gap between two events of a stream
 	Priority       float64  // 0 is the most urgent
-	MaxAttempts    float64  // most servers to which one request may be sent
-	PromptAffinity bool     // requests name the chunks of their prompts
-	Resumable      bool     // a stream may be resumed at another server
-	HomeRegions    []string // the only regions that may serve the route; empty: any
+	MaxAttempts    float64  // maximum number of servers to which one request may be sent
+	PromptAffinity bool     // requests identify the chunks of their prompts
+	Resumable      bool     // a stream may be resumed on another server
+	HomeRegions    []string // the only regions that may serve the route; empty means any region
 }
 
-// Options returns these members, and the faults of those that cannot be used.
+// Options returns the route's options, and the faults of members that cannot be used.
 func (r *Route) Options() (RouteOptions, []FieldError) {
 	var d decoder
 	options := RouteOptions{
@@ -45,7 +45,7 @@
 	return options, d.faults
 }
 
-// kind decodes the kind of a route.
+// kind decodes the kind of a route. A missing or unknown kind is KindMutating.
 func (d *decoder) kind(value []byte) Kind {
 	switch kind := Kind(d.text(fieldKind, value)); kind {
 	case KindMutating, KindIdempotent, KindStreaming:
@@ -57,8 +57,9 @@
 	return KindMutating
 }
 
-// homeRegions decodes a list of regions. A restriction on where requests may go must not be lost together with what
-// cannot be read: the readable names of a list count, and if there are none, no region may serve the route.
+// homeRegions decodes a list of regions. A restriction on where requests may be served must not be lost because part
+// of it cannot be parsed. Names that can be parsed are kept; if there are none, the result is UnreadableRegion, so
+// that no region serves the route.
 func (d *decoder) homeRegions(value []byte) []string {
 	if value == nil {
 		return nil
--- a/internal/region/configitem/route.go
+++ b/internal/region/configitem/route.go
@@ -6,7 +6,7 @@
 	"fieldrelay/internal/region/jsonwalk"
 )
 
-// Members of a route. Those up to fieldSplit are checked by validation.
+// Names of the members of a route. Validation checks the members up to fieldSplit.
 const (
 	fieldHost           = "vhost"
 	fieldPrefix         = "path-prefix"
@@ -21,17 +21,18 @@
 	fieldPromptAffinity = "pinned"
 	fieldResumable      = "resumable"
 	fieldHomeRegions    = "home-regions"
-	fieldWeight         = "share" // of an element of fieldSplit, besides fieldService
+	fieldWeight         = "share" // member of an element of fieldSplit, together with fieldService
 )
 
-// Route is the parsed body of a route: the JSON text of each known member, nil if it is missing or null. The texts are
-// parts of the body.
+// Route is the parsed body of a route. It holds the JSON text of each known member, or nil if the member is missing
+// or null. The texts are slices of the body.
 type Route struct {
 	host, prefix, deadline, service, split                                                      []byte
 	kind, target, eventGapTarget, priority, maxAttempts, promptAffinity, resumable, homeRegions []byte
 }
 
-// ParseRoute splits the body of a route into its members. One that is not a JSON object gives a route without members.
+// ParseRoute splits the body of a route into its members. A body that is not a JSON object results in a route without
+// members.
 func ParseRoute(body []byte) (route Route) {
 	if !jsonwalk.IsObject(body) {
 		return route
@@ -44,7 +45,7 @@
 	return route
 }
 
-// member returns where the text of a member is stored, nil for an unknown name.
+// member returns a pointer to the field that stores a member, or nil if the name is unknown.
 func (r *Route) member(key []byte) *[]byte {
 	switch string(key) {
 	case fieldHost:
@@ -77,21 +78,21 @@
 	return nil
 }
 
-// Match is what a request is compared with to find its route. No two routes may have the same.
+// Match holds the criteria by which a route is found for a request. No two routes may have the same Match.
 type Match struct {
-	Host   string // canonical
-	Prefix string // of the path; begins with a slash
+	Host   string // as returned by CanonicalHost
+	Prefix string // path prefix; begins with a slash
 }
 
 // Faults of a route's match.
 var (
 	// ErrHost is the fault of a route without a host.
 	ErrHost = FieldError{Field: fieldHost, Reason: "is not a host name"}
-	// ErrPathPrefix is the fault of a route with a prefix that no path begins with.
+	// ErrPathPrefix is the fault of a route whose path prefix does not begin with a slash, so that it matches no path.
 	ErrPathPrefix = FieldError{Field: fieldPrefix, Reason: "does not begin with a slash"}
 )
 
-// Match returns the route's match, or its fault.
+// Match returns the route's match criteria, or the fault that makes them invalid.
 func (r *Route) Match() (Match, []FieldError) {
 	host := optionalText(r.host)
 	if host == "" {
@@ -112,7 +113,8 @@
 	ErrDeadlineNotPositive = FieldError{Field: fieldDeadline, Reason: "is not above 0"}
 )
 
-// Deadline returns the longest time that a request may take, in milliseconds, or its fault; 0 if it is missing.
+// Deadline returns the longest time that a request may take, in milliseconds, or the fault of the member. It returns
+// 0 if the member is missing.
 func (r *Route) Deadline() (float64, []FieldError) {
 	if r.deadline == nil {
 		return 0, nil
--- a/internal/region/configitem/service.go
+++ b/internal/region/configitem/service.go
@@ -2,7 +2,7 @@
 
 import "fieldrelay/internal/region/jsonwalk"
 
-// Members of a service, of its runtime and of the models of that.
+// Names of the members of a service, of its runtime and of the models of the runtime.
 const (
 	fieldHealthPath     = "health-path"
 	fieldMaxConnections = "max-conns"
@@ -16,25 +16,25 @@
 	fieldName           = "name"
 )
 
-// Service is what the body of a service says of its servers. A member that is missing is 0 or empty.
+// Service is the configuration of a service. A member that is missing is 0 or empty.
 type Service struct {
 	HealthPath     string
-	MaxConnections float64  // that one server accepts from all callers together
-	Warmup         float64  // seconds that a server warms up after a start
-	WarmRate       float64  // requests a second that a server takes while warming up
-	Runtime        *Runtime // nil: not a model server
+	MaxConnections float64  // maximum number of connections that one server accepts from all callers together
+	Warmup         float64  // duration of a server's warm-up after its start, in seconds
+	WarmRate       float64  // requests a second that a server accepts while warming up
+	Runtime        *Runtime // nil if the servers are not model servers
 }
 
-// Runtime is what a service says of the engine of its model servers.
+// Runtime is the configuration of the engine of model servers.
 type Runtime struct {
-	Capacity    float64 // requests that run at once
-	CacheTokens float64 // tokens that fit into the KV cache
-	Stride      float64 // tokens that an event of a stream may hold
+	Capacity    float64 // number of requests that run concurrently
+	CacheTokens float64 // number of tokens that fit into the KV cache
+	Stride      float64 // maximum number of tokens in one event of a stream
 	Models      []string
 }
 
-// ParseService parses the body of a service, and returns the faults of members that cannot be used. A body that is not a
-// JSON object gives a service of which nothing is known.
+// ParseService parses the body of a service. It also returns the faults of members that cannot be used. A body that
+// is not a JSON object results in an empty Service.
 func ParseService(body []byte) (Service, []FieldError) {
 	object, faults := Object(body)
 	if faults != nil {
@@ -51,7 +51,7 @@
 	return service, d.faults
 }
 
-// runtime decodes the description of the engine; nil if it is missing.
+// runtime decodes the configuration of the engine. It returns nil if the member is missing or is not an object.
 func (d *decoder) runtime(value []byte) *Runtime {
 	if value == nil {
 		return nil
@@ -68,7 +68,7 @@
 	}
 }
 
-// models decodes the names of the models; an element that is not an object with a name is skipped.
+// models decodes the names of the models. It skips elements that are not objects with a name.
 func (d *decoder) models(value []byte) []string {
 	if value == nil {
 		return nil
--- a/internal/region/jsonwalk/walk.go
+++ b/internal/region/jsonwalk/walk.go
@@ -1,10 +1,10 @@
-// Package jsonwalk iterates over the members of JSON objects and the elements of JSON arrays without decoding them: each
-// value is a slice of the text. It reads each byte once and copies nothing, so that a configuration of thousands of
-// routes is read in a few milliseconds. It does not validate.
+// Package jsonwalk iterates over the members of JSON objects and the elements of JSON arrays without decoding them:
+// each value is a slice of the input. It reads each byte once and copies nothing, so that a configuration with
+// thousands of routes is read in a few milliseconds. It does not validate its input.
 //
-// Names of members are compared exactly and with regard to case, unlike in encoding/json. Where a member occurs more
-// than once the last one counts, and null counts as a missing member. A text must be valid (json.Valid) and without
-// space around it. For any other text the functions return some of its parts or none, and do not panic.
+// Member names are compared exactly and case-sensitively, unlike in encoding/json. If a member occurs more than once,
+// the last occurrence counts. A null value counts as a missing member. Input must be valid JSON (json.Valid) without
+// surrounding white space. For any other input the functions return some of its parts or nothing, and do not panic.
 package jsonwalk
 
 import (
@@ -30,8 +30,8 @@
 // IsNull reports whether a value is null.
 func IsNull(value []byte) bool { return string(value) == "null" }
 
-// Members yields the members of an object in the order of the text, each value as a slice of it. A key is as Unquoted
-// returns it: it may be compared, or copied by TextOf.
+// Members yields the members of an object in the order of the input, each value as a slice of it. Keys are in the
+// form that Unquoted returns; compare them directly, or copy them with TextOf.
 func Members(object []byte) iter.Seq2[[]byte, []byte] {
 	return func(yield func(key, value []byte) bool) {
 		position := skipSpace(object, 1)
@@ -49,7 +49,7 @@
 	}
 }
 
-// Elements yields the elements of an array, each as a slice of the text.
+// Elements yields the elements of an array, each as a slice of the input.
 func Elements(array []byte) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		position := skipSpace(array, 1)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Member returns the value of the last member of a name; nil if there is none or it is null.
+// Member returns the value of the last member with the given name, or nil if there is none or the value is null.
 func Member(object []byte, name string) []byte {
 	var found []byte
 	for key, value := range Members(object) {
@@ -82,8 +82,8 @@
 	return value
 }
 
-// Unquoted returns what is between the quotes of a JSON string. It is a slice of the text, or a decoded copy if the
-// string has escapes.
+// Unquoted returns the content of a JSON string. The result is a slice of the input, or a decoded copy if the string
+// contains escapes.
 func Unquoted(quoted []byte) []byte {
 	if len(quoted) < 2 {
 		return nil
@@ -99,7 +99,7 @@
 	return []byte(decoded)
 }
 
-// TextOf copies a string that Unquoted returned. Bytes that are not UTF-8 become U+FFFD.
+// TextOf copies a result of Unquoted to a string. Invalid UTF-8 is replaced by U+FFFD.
 func TextOf(decoded []byte) string {
 	if utf8.Valid(decoded) {
 		return string(decoded)
@@ -110,7 +110,7 @@
 // Text decodes a JSON string.
 func Text(quoted []byte) string { return TextOf(Unquoted(quoted)) }
 
-// Number decodes a JSON number. It returns false for any other value, and for a number out of the range of float64.
+// Number decodes a JSON number. It returns false for any other value, and for a number outside the range of float64.
 func Number(value []byte) (float64, bool) {
 	if len(value) == 0 || IsString(value) {
 		return 0, false
@@ -119,7 +119,7 @@
 	return number, err == nil
 }
 
-// nextElement returns the position of the next key or element, or of the closing bracket, after a value.
+// nextElement returns the position of the key, element or closing bracket that follows a value ending at position.
 func nextElement(data []byte, position int) int {
 	position = skipSpace(data, position)
 	if position < len(data) && data[position] == ',' {
@@ -128,7 +128,7 @@
 	return position
 }
 
-// skipSpace returns the position of the first byte, from position on, that is not white space.
+// skipSpace returns the position of the first byte at or after position that is not white space.
 func skipSpace(data []byte, position int) int {
 	for position < len(data) {
 		switch data[position] {
@@ -141,7 +141,7 @@
 	return len(data)
 }
 
-// valueEnd returns the position after the value that begins at position; position itself if none does.
+// valueEnd returns the position after the value that begins at position, or position itself if no value begins there.
 func valueEnd(data []byte, position int) int {
 	if position >= len(data) {
 		return position
@@ -177,8 +177,8 @@
 	return min(position+1, len(data))
 }
 
-// bracketEnd returns the position after the object or array that begins at position. Brackets of both kinds count alike:
-// a valid text closes each by its own kind.
+// bracketEnd returns the position after the object or array that begins at position. It does not distinguish the two
+// kinds of brackets, because in valid JSON each is closed by its own kind.
 func bracketEnd(data []byte, position int) int {
 	depth := 0
 	for position < len(data) {
--- a/internal/region/jsonwalk/walk_test.go
+++ b/internal/region/jsonwalk/walk_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// jsonValue draws a value of any kind.
+// jsonValue draws a JSON value of any type, nested up to depth levels.
 func jsonValue(depth int) *rapid.Generator[any] {
 	scalars := []*rapid.Generator[any]{
 		rapid.Just[any](nil),
@@ -74,7 +74,8 @@
 	require.Len(t, want, index)
 }
 
-// TestNoTextPanics: a text that is not JSON, such as that of a damaged item, yields some parts or none.
+// TestNoTextPanics checks that input that is not valid JSON, such as that of a damaged item, yields some parts or
+// none without a panic.
 func TestNoTextPanics(t *testing.T) {
 	pieces := []string{`{`, `}`, `[`, `]`, `"`, `\\`, `:`, `,`, ` `, `"a"`, `1`, `null`, "\xff", `\u00`}
 	rapid.Check(t, func(t *rapid.T) {
@@ -88,7 +89,7 @@
 			walked += len(Text(element))
 			require.NotEmpty(t, element)
 		}
-		require.LessOrEqual(t, walked, 8*len(text), "each byte is in few parts")
+		require.LessOrEqual(t, walked, 8*len(text), "each byte must be in few parts")
 		Member(text, "a")
 		Number(text)
 	})
