--- a/internal/region/limits/retry_test.go
+++ b/internal/region/limits/retry_test.go
@@ -14,13 +14,13 @@
 
 func hostName(i int) string { return fmt.Sprintf("edge-%d", i) }
 
-// sharesOf returns quota members that list the given proxies out of a total.
-func sharesOf(proxies int, members []int, region func(int) string) *pb.QuotaMembers {
-	shares := &pb.QuotaMembers{Proxies: uint32(proxies)}
+// quotaMembersOf returns quota members that list the given proxies out of a total.
+func quotaMembersOf(proxies int, members []int, region func(int) string) *pb.QuotaMembers {
+	quotaMembers := &pb.QuotaMembers{Proxies: uint32(proxies)}
 	for _, i := range members {
-		shares.Members = append(shares.Members, &pb.Neighbour{Host: hostName(i), Region: region(i)})
+		quotaMembers.Members = append(quotaMembers.Members, &pb.Neighbour{Host: hostName(i), Region: region(i)})
 	}
-	return shares
+	return quotaMembers
 }
 
 func oneRegion(int) string { return "r" }
@@ -60,7 +60,7 @@
 		total := 0
 		for i := range proxies {
 			budget := NewRetryBudget(testRetryConfig, hostName(i))
-			budget.SetQuotaMembers(sharesOf(proxies, upTo(proxies), oneRegion))
+			budget.SetQuotaMembers(quotaMembersOf(proxies, upTo(proxies), oneRegion))
 			for budget.Take(afterFirstWindow, "s") {
 				total++
 			}
@@ -72,7 +72,7 @@
 
 func TestANewProcessHasNothingOfTheExtra(t *testing.T) {
 	budget := NewRetryBudget(testRetryConfig, hostName(0))
-	budget.SetQuotaMembers(sharesOf(2, upTo(2), oneRegion))
+	budget.SetQuotaMembers(quotaMembersOf(2, upTo(2), oneRegion))
 	require.Zero(t, budget.allowedRetries(time.Second))
 	require.Zero(t, budget.allowedRetries(testRetryConfig.Window))
 	require.Equal(t, 21, budget.allowedRetries(afterFirstWindow))
@@ -80,7 +80,7 @@
 
 func TestARefundLeavesTheRetriesThatWereSentCounted(t *testing.T) {
 	budget := NewRetryBudget(testRetryConfig, hostName(0))
-	budget.SetQuotaMembers(sharesOf(1, upTo(1), oneRegion))
+	budget.SetQuotaMembers(quotaMembersOf(1, upTo(1), oneRegion))
 	const first, second = 20 * time.Second, 25 * time.Second
 	require.True(t, budget.Take(first, "s"))
 	require.True(t, budget.Take(second, "s"))
@@ -92,7 +92,7 @@
 
 func TestTheBudgetFollowsTheWindow(t *testing.T) {
 	budget := NewRetryBudget(testRetryConfig, hostName(0))
-	budget.SetQuotaMembers(sharesOf(7, upTo(7), oneRegion))
+	budget.SetQuotaMembers(quotaMembersOf(7, upTo(7), oneRegion))
 	for budget.Take(11*time.Second, "s") {
 	}
 	require.False(t, budget.Take(20900*time.Millisecond, "s"))
@@ -102,7 +102,7 @@
 
 func TestServicesAreBounded(t *testing.T) {
 	budget := NewRetryBudget(testRetryConfig, hostName(0))
-	budget.SetQuotaMembers(sharesOf(1, upTo(1), oneRegion))
+	budget.SetQuotaMembers(quotaMembersOf(1, upTo(1), oneRegion))
 	for i := range 3 * maxServices {
 		budget.Request(time.Second, fmt.Sprint("s", i))
 	}
@@ -214,14 +214,14 @@
 
 // retryProxy is a proxy with the budget of its current process.
 type retryProxy struct {
-	budget  *RetryBudget
-	shares  *pb.QuotaMembers
-	started int // tick
+	budget       *RetryBudget
+	quotaMembers *pb.QuotaMembers
+	started      int // tick
 }
 
 func (p *retryProxy) start(config RetryConfig, host string, tick int) {
 	p.budget = NewRetryBudget(config, host)
-	p.budget.SetQuotaMembers(p.shares)
+	p.budget.SetQuotaMembers(p.quotaMembers)
 	p.started = tick
 }
 
@@ -257,7 +257,7 @@
 				members = append(members, j)
 			}
 		}
-		proxies[i] = &retryProxy{shares: sharesOf(l.proxies, members, oneRegion)}
+		proxies[i] = &retryProxy{quotaMembers: quotaMembersOf(l.proxies, members, oneRegion)}
 		proxies[i].start(config, hostName(i), 0)
 	}
 	return proxies
--- a/internal/region/limits/slowstart_test.go
+++ b/internal/region/limits/slowstart_test.go
@@ -24,18 +24,18 @@
 // to a server that was warming up.
 func TestAProxyThatDoesNotKnowItsShareSendsNothing(t *testing.T) {
 	tests := map[string]struct {
-		shares   *pb.QuotaMembers
-		learnsIn time.Duration // 0: Wait returns false
+		quotaMembers *pb.QuotaMembers
+		learnsIn     time.Duration // 0: Wait returns false
 	}{
 		"none":                {nil, 0},
-		"number unknown":      {sharesOf(0, upTo(5), oneRegion), 0},
-		"few of many members": {sharesOf(20, upTo(5), oneRegion), 0},
-		"just learnt":         {sharesOf(5, upTo(5), oneRegion), 1},
+		"number unknown":      {quotaMembersOf(0, upTo(5), oneRegion), 0},
+		"few of many members": {quotaMembersOf(20, upTo(5), oneRegion), 0},
+		"just learnt":         {quotaMembersOf(5, upTo(5), oneRegion), 1},
 	}
 	for name, test := range tests {
 		limiter := NewSlowStartLimiter(slowStartConfig, hostName(0))
 		now := time.Minute
-		limiter.SetQuotaMembers(now, test.shares)
+		limiter.SetQuotaMembers(now, test.quotaMembers)
 		now += startupWait - 1
 		require.False(t, limiter.Allows(now, warmingServer("a"), false), name)
 		require.False(t, limiter.Allows(now, warmingServer("a"), true), name)
@@ -54,7 +54,7 @@
 		holders := 0
 		for i := range 20 {
 			limiter := NewSlowStartLimiter(slowStartConfig, hostName(i))
-			limiter.SetQuotaMembers(0, sharesOf(20, upTo(20), region))
+			limiter.SetQuotaMembers(0, quotaMembersOf(20, upTo(20), region))
 			if limiter.Allows(time.Minute, warmingServer("a"), spare) {
 				holders++
 				require.Equal(t, "r", region(i))
@@ -68,7 +68,7 @@
 	holders := 0
 	for i := range 9 {
 		limiter := NewSlowStartLimiter(slowStartConfig, hostName(i))
-		limiter.SetQuotaMembers(0, sharesOf(9, upTo(9), func(int) string { return "elsewhere" }))
+		limiter.SetQuotaMembers(0, quotaMembersOf(9, upTo(9), func(int) string { return "elsewhere" }))
 		if limiter.Allows(time.Minute, warmingServer("a"), false) {
 			holders++
 		}
@@ -78,7 +78,7 @@
 
 func TestABoundTooSmallToShareIsNotUsed(t *testing.T) {
 	limiter := NewSlowStartLimiter(SlowStartConfig{Excess: 1, Extra: 0}, hostName(0))
-	limiter.SetQuotaMembers(0, sharesOf(1, upTo(1), oneRegion))
+	limiter.SetQuotaMembers(0, quotaMembersOf(1, upTo(1), oneRegion))
 	server := WarmingServer{ID: "a", Region: "r", WarmRate: 2}
 	require.False(t, limiter.Allows(time.Minute, server, true))
 	_, ok := limiter.Wait(time.Minute, server)
@@ -89,7 +89,7 @@
 	var spare *SlowStartLimiter
 	for i := range 9 {
 		limiter := NewSlowStartLimiter(slowStartConfig, hostName(i))
-		limiter.SetQuotaMembers(time.Minute, sharesOf(9, upTo(9), oneRegion))
+		limiter.SetQuotaMembers(time.Minute, quotaMembersOf(9, upTo(9), oneRegion))
 		early := limiter.Allows(time.Minute+membershipSettleTime-1, warmingServer("a"), true)
 		if late := limiter.Allows(time.Minute+membershipSettleTime, warmingServer("a"), true); late && !early {
 			spare = limiter
@@ -97,15 +97,15 @@
 	}
 	require.NotNil(t, spare)
 	again := time.Minute + membershipSettleTime
-	spare.SetQuotaMembers(again, sharesOf(9, upTo(9), oneRegion))
+	spare.SetQuotaMembers(again, quotaMembersOf(9, upTo(9), oneRegion))
 	require.True(t, spare.Allows(again, warmingServer("a"), true), "the same members are no change")
-	spare.SetQuotaMembers(again, sharesOf(10, upTo(10), oneRegion))
+	spare.SetQuotaMembers(again, quotaMembersOf(10, upTo(10), oneRegion))
 	require.False(t, spare.Allows(again, warmingServer("a"), true))
 }
 
 func TestBucketsAreBounded(t *testing.T) {
 	limiter := NewSlowStartLimiter(slowStartConfig, hostName(0))
-	limiter.SetQuotaMembers(0, sharesOf(1, upTo(1), oneRegion))
+	limiter.SetQuotaMembers(0, quotaMembersOf(1, upTo(1), oneRegion))
 	for i := range maxBuckets {
 		server := warmingServer(hostName(i))
 		require.True(t, limiter.Allows(time.Minute, server, false))
@@ -188,11 +188,11 @@
 		for i, limiter := range limiters {
 			if restart > 0 && random.Float64() < restart*tick.Seconds() {
 				limiter = NewSlowStartLimiter(config, hostName(i))
-				limiter.SetQuotaMembers(now, sharesOf(proxies, view(i, now), oneRegion))
+				limiter.SetQuotaMembers(now, quotaMembersOf(proxies, view(i, now), oneRegion))
 				limiters[i] = limiter
 			}
 			if now%time.Second == 0 {
-				limiter.SetQuotaMembers(now, sharesOf(proxies, view(i, now), oneRegion))
+				limiter.SetQuotaMembers(now, quotaMembersOf(proxies, view(i, now), oneRegion))
 			}
 			for limiter.ready(now) && random.Float64() < 0.3 && limiter.Allows(now, server, lastResort) {
 				limiter.Take(now, server)
