--- a/internal/region/proxy/upstream/pool_model_test.go
+++ b/internal/region/proxy/upstream/pool_model_test.go
@@ -98,15 +98,15 @@
 			names = append(names, fmt.Sprintf("%d receives", caller))
 		}
 	}
-	for index, one := range p.conns {
-		if one.closed {
+	for index, tracked := range p.conns {
+		if tracked.closed {
 			continue
 		}
-		if one.user != noUser && one.requestID != "" && !one.responded {
+		if tracked.user != noUser && tracked.requestID != "" && !tracked.responded {
 			names = append(names, fmt.Sprintf("server answers on %d", index), fmt.Sprintf("server answers twice on %d", index),
 				fmt.Sprintf("server answers another on %d", index))
 		}
-		if one.requests > 0 && !one.unusable {
+		if tracked.requests > 0 && !tracked.unusable {
 			names = append(names, fmt.Sprintf("server repeats on %d", index))
 		}
 		names = append(names, fmt.Sprintf("server closes %d", index))
@@ -121,9 +121,9 @@
 }
 
 func (p *poolSystem) connOf(caller int) *testConn {
-	for _, one := range p.conns {
-		if one.user == caller {
-			return one
+	for _, tracked := range p.conns {
+		if tracked.user == caller {
+			return tracked
 		}
 	}
 	return nil
@@ -180,17 +180,17 @@
 		p.fail(errors.New("no connection could be opened"))
 		return
 	}
-	for _, one := range p.conns {
-		if one.conn != conn {
+	for _, tracked := range p.conns {
+		if tracked.conn != conn {
 			continue
 		}
 		switch {
-		case one.user != noUser:
+		case tracked.user != noUser:
 			p.fail(errors.New("two callers use the same connection"))
-		case one.unusable:
+		case tracked.unusable:
 			p.fail(errors.New("a connection was reused after the server had closed it or sent surplus bytes"))
 		}
-		one.user = caller
+		tracked.user = caller
 		return
 	}
 	_ = p.server.listener.SetDeadline(time.Now().Add(testTimeout))
@@ -222,7 +222,7 @@
 }
 
 // serve performs one action of the server on a connection, and waits until its effect is visible at the other end.
-func (p *poolSystem) serve(one *testConn, action string) {
+func (p *poolSystem) serve(tracked *testConn, action string) {
 	answer := func(id string) string {
 		body := "answer to " + id
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", AttemptIDHeader, id, len(body), body)
@@ -230,26 +230,26 @@
 	bytes := ""
 	switch action {
 	case "answers on":
-		bytes = answer(one.requestID)
+		bytes = answer(tracked.requestID)
 	case "answers twice on":
-		bytes = answer(one.requestID) + answer(one.requestID)
-		one.unusable = true
+		bytes = answer(tracked.requestID) + answer(tracked.requestID)
+		tracked.unusable = true
 	case "answers another on":
 		bytes = answer("other")
-		one.unusable = true
+		tracked.unusable = true
 	case "repeats on":
 		bytes = answer("other")
-		one.unusable = true
+		tracked.unusable = true
 	case "closes":
-		_ = one.peer.Close()
-		one.unusable, one.closed = true, true
+		_ = tracked.peer.Close()
+		tracked.unusable, tracked.closed = true, true
 	}
-	one.unread += action + ", "
-	one.responded = one.responded || action != "closes" && action != "repeats on" || action == "repeats on" && one.requestID != ""
+	tracked.unread += action + ", "
+	tracked.responded = tracked.responded || action != "closes" && action != "repeats on" || action == "repeats on" && tracked.requestID != ""
 	if bytes != "" {
-		_, _ = io.WriteString(one.peer, bytes)
+		_, _ = io.WriteString(tracked.peer, bytes)
 	}
-	if _, err := awaitReadable(one.conn); err != nil && !errors.Is(err, net.ErrClosed) {
+	if _, err := awaitReadable(tracked.conn); err != nil && !errors.Is(err, net.ErrClosed) {
 		p.fail(err)
 	}
 }
@@ -271,10 +271,10 @@
 
 // forgetClosed removes the connections that the pool or its callers have closed.
 func (p *poolSystem) forgetClosed() {
-	p.conns = slices.DeleteFunc(p.conns, func(one *testConn) bool {
-		closed := one.user == noUser && errors.Is(one.conn.raw.Control(func(uintptr) {}), net.ErrClosed)
+	p.conns = slices.DeleteFunc(p.conns, func(tracked *testConn) bool {
+		closed := tracked.user == noUser && errors.Is(tracked.conn.raw.Control(func(uintptr) {}), net.ErrClosed)
 		if closed {
-			_ = one.peer.Close()
+			_ = tracked.peer.Close()
 		}
 		return closed
 	})
@@ -288,10 +288,10 @@
 
 // end closes all connections that were opened while one order was explored.
 func (p *poolSystem) end() {
-	for _, one := range p.conns {
-		one.conn.Abort()
-		_ = one.peer.SetLinger(0)
-		_ = one.peer.Close()
+	for _, tracked := range p.conns {
+		tracked.conn.Abort()
+		_ = tracked.peer.SetLinger(0)
+		_ = tracked.peer.Close()
 	}
 }
 
@@ -299,8 +299,8 @@
 func (p *poolSystem) Hash() uint64 {
 	hash := fnv.New64a()
 	_, _ = fmt.Fprint(hash, p.closed, p.pool.idle)
-	for _, one := range p.conns {
-		_, _ = fmt.Fprint(hash, one.user, one.requestID != "", one.responded, one.unusable, one.closed, one.requests > 0, one.unread, one.conn.broken, p.isIdle(one.conn))
+	for _, tracked := range p.conns {
+		_, _ = fmt.Fprint(hash, tracked.user, tracked.requestID != "", tracked.responded, tracked.unusable, tracked.closed, tracked.requests > 0, tracked.unread, tracked.conn.broken, p.isIdle(tracked.conn))
 	}
 	return hash.Sum64()
 }
@@ -325,14 +325,14 @@
 	if p.closed && idle > 0 {
 		return errors.New("a closed pool has an idle connection")
 	}
-	for _, one := range p.conns {
-		isIdle := p.isIdle(one.conn)
+	for _, tracked := range p.conns {
+		isIdle := p.isIdle(tracked.conn)
 		switch {
-		case one.user != noUser && isIdle:
+		case tracked.user != noUser && isIdle:
 			return errors.New("a connection is both idle and in use")
-		case isIdle && one.conn.reader != nil:
+		case isIdle && tracked.conn.reader != nil:
 			return errors.New("an idle connection has a read buffer")
-		case one.user == noUser && !isIdle:
+		case tracked.user == noUser && !isIdle:
 			return errors.New("an open connection is neither idle nor in use")
 		}
 	}
--- a/internal/region/proxy/upstream/send_test.go
+++ b/internal/region/proxy/upstream/send_test.go
@@ -204,9 +204,9 @@
 }
 
 func TestLongRequestThatIsNotReadEndsAtTheDeadline(t *testing.T) {
-	stays := make(chan struct{})
-	t.Cleanup(func() { close(stays) })
-	server := scriptedServer(t, func(*net.TCPConn) { <-stays })
+	testDone := make(chan struct{})
+	t.Cleanup(func() { close(testDone) })
+	server := scriptedServer(t, func(*net.TCPConn) { <-testDone })
 	pool := NewPool(Config{})
 	conn := connect(t, pool, server)
 	head, body := longRequest()
--- a/internal/region/proxy/upstream/unreachable_test.go
+++ b/internal/region/proxy/upstream/unreachable_test.go
@@ -65,9 +65,9 @@
 // timeout expires.
 func unreachableConn(t *testing.T, pool *Pool) *Conn {
 	t.Helper()
-	stays := make(chan struct{})
-	t.Cleanup(func() { close(stays) })
-	conn := connect(t, pool, scriptedServer(t, func(*net.TCPConn) { <-stays }))
+	testDone := make(chan struct{})
+	t.Cleanup(func() { close(testDone) })
+	conn := connect(t, pool, scriptedServer(t, func(*net.TCPConn) { <-testDone }))
 	conn.setUserTimeout(100 * time.Millisecond)
 	// On a machine that is short of processor time, the deadline may pass before the receive window of the other end
 	// is full.
