--- a/internal/region/limits/retry_test.go
+++ b/internal/region/limits/retry_test.go
@@ -14,13 +14,13 @@
 
 func hostName(i int) string { return fmt.Sprintf("edge-%d", i) }
 
-// sharesOf returns shares that name some of the proxies.
-func sharesOf(proxies int, members []int, region func(int) string) *pb.QuotaMembers {
-	shares := &pb.QuotaMembers{Proxies: uint32(proxies)}
+// quotaMembersOf returns quota members that list the given proxies out of a total.
+func quotaMembersOf(proxies int, members []int, region func(int) string) *pb.QuotaMembers {
+	quotaMembers := &pb.QuotaMembers{Proxies: uint32(proxies)}
 	for _, i := range members {
-		shares.Members = append(shares.Members, &pb.Neighbour{Host: hostName(i), Region: region(i)})
+		quotaMembers.Members = append(quotaMembers.Members, &pb.Neighbour{Host: hostName(i), Region: region(i)})
 	}
-	return shares
+	return quotaMembers
 }
 
 func oneRegion(int) string { return "r" }
@@ -33,13 +33,13 @@
 	return all
 }
 
-var pageConfig = RetryConfig{Ratio: 0.2, Extra: 54, Window: 10 * time.Second}
+var testRetryConfig = RetryConfig{Ratio: 0.2, Extra: 54, Window: 10 * time.Second}
 
-// afterFirstWindow is when a process may use its share of the extra retries, counted from its start.
+// afterFirstWindow is the earliest time since its start at which a process may use its share of the extra retries.
 const afterFirstWindow = 10*time.Second + bucketWidth
 
 func TestWithoutSharesOnlyTheRatioPartIsAllowed(t *testing.T) {
-	budget := NewRetryBudget(pageConfig, hostName(0))
+	budget := NewRetryBudget(testRetryConfig, hostName(0))
 	require.False(t, budget.Take(0, "s"))
 	for i := range 100 {
 		budget.Request(time.Duration(i)*100*time.Millisecond, "s")
@@ -49,18 +49,18 @@
 	for budget.Take(now, "s") {
 		allowed++
 	}
-	require.InDelta(t, 9, allowed, 1) // 0.2 x 0.9 of 50: no window is certain to be compared with more of the 99
-	require.Zero(t, budget.left(now))
+	require.InDelta(t, 9, allowed, 1) // 0.2 x 0.9 x 50: the mean of the three request counts is about 50
+	require.Zero(t, budget.allowedRetries(now))
 	budget.Refund(now, "s")
-	require.Equal(t, 1, budget.left(now))
+	require.Equal(t, 1, budget.allowedRetries(now))
 }
 
 func TestTheExtraIsSharedByTheProxies(t *testing.T) {
 	for _, proxies := range []int{1, 7, 40, 67, 200} {
 		total := 0
 		for i := range proxies {
-			budget := NewRetryBudget(pageConfig, hostName(i))
-			budget.SetQuotaMembers(sharesOf(proxies, upTo(proxies), oneRegion))
+			budget := NewRetryBudget(testRetryConfig, hostName(i))
+			budget.SetQuotaMembers(quotaMembersOf(proxies, upTo(proxies), oneRegion))
 			for budget.Take(afterFirstWindow, "s") {
 				total++
 			}
@@ -71,28 +71,28 @@
 }
 
 func TestANewProcessHasNothingOfTheExtra(t *testing.T) {
-	budget := NewRetryBudget(pageConfig, hostName(0))
-	budget.SetQuotaMembers(sharesOf(2, upTo(2), oneRegion))
-	require.Zero(t, budget.left(time.Second))
-	require.Zero(t, budget.left(pageConfig.Window))
-	require.Equal(t, 21, budget.left(afterFirstWindow))
+	budget := NewRetryBudget(testRetryConfig, hostName(0))
+	budget.SetQuotaMembers(quotaMembersOf(2, upTo(2), oneRegion))
+	require.Zero(t, budget.allowedRetries(time.Second))
+	require.Zero(t, budget.allowedRetries(testRetryConfig.Window))
+	require.Equal(t, 21, budget.allowedRetries(afterFirstWindow))
 }
 
 func TestARefundLeavesTheRetriesThatWereSentCounted(t *testing.T) {
-	budget := NewRetryBudget(pageConfig, hostName(0))
-	budget.SetQuotaMembers(sharesOf(1, upTo(1), oneRegion))
+	budget := NewRetryBudget(testRetryConfig, hostName(0))
+	budget.SetQuotaMembers(quotaMembersOf(1, upTo(1), oneRegion))
 	const first, second = 20 * time.Second, 25 * time.Second
 	require.True(t, budget.Take(first, "s"))
 	require.True(t, budget.Take(second, "s"))
 	budget.Refund(second, "s") // the first was not sent, the second was
 	afterFirst := first + afterFirstWindow
-	require.Equal(t, 42, budget.left(afterFirst))
-	require.Equal(t, 43, budget.left(second+afterFirstWindow))
+	require.Equal(t, 42, budget.allowedRetries(afterFirst))
+	require.Equal(t, 43, budget.allowedRetries(second+afterFirstWindow))
 }
 
 func TestTheBudgetFollowsTheWindow(t *testing.T) {
-	budget := NewRetryBudget(pageConfig, hostName(0))
-	budget.SetQuotaMembers(sharesOf(7, upTo(7), oneRegion))
+	budget := NewRetryBudget(testRetryConfig, hostName(0))
+	budget.SetQuotaMembers(quotaMembersOf(7, upTo(7), oneRegion))
 	for budget.Take(11*time.Second, "s") {
 	}
 	require.False(t, budget.Take(20900*time.Millisecond, "s"))
@@ -101,8 +101,8 @@
 }
 
 func TestServicesAreBounded(t *testing.T) {
-	budget := NewRetryBudget(pageConfig, hostName(0))
-	budget.SetQuotaMembers(sharesOf(1, upTo(1), oneRegion))
+	budget := NewRetryBudget(testRetryConfig, hostName(0))
+	budget.SetQuotaMembers(quotaMembersOf(1, upTo(1), oneRegion))
 	for i := range 3 * maxServices {
 		budget.Request(time.Second, fmt.Sprint("s", i))
 	}
@@ -112,18 +112,18 @@
 	require.Less(t, len(budget.services), maxServices)
 }
 
-// TestTheSumOfRetriesStaysUnderTheBound lets many proxies, whose members differ, retry as often as they are
-// allowed, under bursty traffic, and counts as the rule does.
+// TestTheSumOfRetriesStaysUnderTheBound simulates proxies that know different members and retry as often as they are
+// allowed, under bursty traffic, and checks the retry limit in every window.
 func TestTheSumOfRetriesStaysUnderTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 70).Draw(t, "proxies")
 		load := retryLoad{
-			proxies: proxies,
-			seed:    rapid.Uint64().Draw(t, "seed"),
-			extra:   rapid.IntRange(10, 200).Draw(t, "extra"),
-			clump:   rapid.IntRange(1, 100).Draw(t, "clump"),
-			rate:    rapid.Float64Range(0, 3).Draw(t, "rate"),
-			eager:   rapid.Float64Range(0.01, 1).Draw(t, "eager"),
+			proxies:          proxies,
+			seed:             rapid.Uint64().Draw(t, "seed"),
+			extra:            rapid.IntRange(10, 200).Draw(t, "extra"),
+			burst:            rapid.IntRange(1, 100).Draw(t, "burst"),
+			rate:             rapid.Float64Range(0, 3).Draw(t, "rate"),
+			retryProbability: rapid.Float64Range(0.01, 1).Draw(t, "retry probability"),
 
 			retryFrom: rapid.IntRange(0, loadTicks/2).Draw(t, "first tick of retries"),
 		}
@@ -135,13 +135,13 @@
 	})
 }
 
-// drawOffsets shifts the traffic of each proxy, or of none.
+// drawOffsets draws a delay for the traffic of every second proxy, or no delays.
 func drawOffsets(t *rapid.T, load retryLoad) []int {
 	offsets := make([]int, load.proxies)
 	if !rapid.Bool().Draw(t, "traffic that differs") {
 		return offsets
 	}
-	other := rapid.IntRange(0, 2*load.clump).Draw(t, "offset of every second proxy")
+	other := rapid.IntRange(0, 2*load.burst).Draw(t, "offset of every second proxy")
 	for i := range offsets {
 		offsets[i] = i % 2 * other
 	}
@@ -149,27 +149,28 @@
 }
 
 func drawRestart(t *rapid.T, proxies int) processRestart {
-	first := rapid.IntRange(0, proxies-1).Draw(t, "first to start anew")
+	first := rapid.IntRange(0, proxies-1).Draw(t, "first to restart")
 	return processRestart{
 		tick:  rapid.IntRange(0, loadTicks-1).Draw(t, "tick of the restart"),
 		first: first,
-		end:   rapid.IntRange(first+1, proxies).Draw(t, "end of those that start anew"),
+		end:   rapid.IntRange(first+1, proxies).Draw(t, "end of those that restart"),
 	}
 }
 
-// TestLoadsThatOnceBrokeTheBound plays loads whose retries were over the bound when each process counted what any window
-// certainly holds by itself, and had a fifth of the extra retries at once after its start.
+// TestLoadsThatOnceBrokeTheBound replays loads that exceeded the limit under an earlier rule, by which each process
+// on its own counted the requests that every window certainly contains, and had a fifth of its extra retries right
+// after its start.
 func TestLoadsThatOnceBrokeTheBound(t *testing.T) {
 	for name, load := range map[string]retryLoad{
-		"all start anew between two bursts half a window apart": {
-			proxies: 61, seed: 0x1ddea9b826b5d61, extra: 110, clump: 100, rate: 1.8495261305451483,
-			eager: 0.2383399329451928, restarts: []processRestart{{tick: 773, end: 61}},
+		"all restart between two bursts half a window apart": {
+			proxies: 61, seed: 0x1ddea9b826b5d61, extra: 110, burst: 100, rate: 1.8495261305451483,
+			retryProbability: 0.2383399329451928, restarts: []processRestart{{tick: 773, end: 61}},
 		},
 		"bursts of two halves of the proxies, a window apart": {
-			proxies: 60, seed: 1, extra: 10, clump: 100, rate: 3, eager: 1, offset: alternating(60, 200), period: 1000, retryFrom: 150,
+			proxies: 60, seed: 1, extra: 10, burst: 100, rate: 3, retryProbability: 1, offset: alternating(60, 200), period: 1000, retryFrom: 150,
 		},
-		"each starts anew four times in a window": {
-			proxies: 10, seed: 1, extra: 200, clump: 100, rate: 0, eager: 1,
+		"each restarts four times in a window": {
+			proxies: 10, seed: 1, extra: 200, burst: 100, rate: 0, retryProbability: 1,
 			restarts: []processRestart{
 				{tick: 410, end: 10}, {tick: 440, end: 10}, {tick: 470, end: 10}, {tick: 500, end: 10},
 			},
@@ -179,7 +180,7 @@
 	}
 }
 
-// alternating gives every second proxy an offset.
+// alternating returns offsets in which every second proxy has the given one.
 func alternating(proxies, offset int) []int {
 	offsets := make([]int, proxies)
 	for i := range offsets {
@@ -193,38 +194,38 @@
 	loadTicks = 1000
 )
 
-// retryLoad is traffic of proxies that retry as often as they may.
+// retryLoad is simulated traffic of proxies that retry as often as they are allowed.
 type retryLoad struct {
-	proxies int
-	seed    uint64
-	extra   int
-	clump   int     // ticks of traffic at a time
-	period  int     // ticks from one clump to the next; 0 means twice the clump
-	offset  []int   // ticks by which each proxy's traffic is later; nil means none
-	rate    float64 // requests of a proxy in two ticks of traffic
-	eager   float64 // probability of trying another retry
-	// retryFrom is the tick of the first retry: what was saved until then is used at once.
+	proxies          int
+	seed             uint64
+	extra            int
+	burst            int     // length of a burst of traffic in ticks
+	period           int     // ticks from the start of one burst to the next; 0 means twice the burst
+	offset           []int   // delay of each proxy's traffic in ticks; nil means none
+	rate             float64 // mean requests of a proxy in two ticks of a burst
+	retryProbability float64 // probability of attempting one more retry
+	// retryFrom is the tick of the first retry. The budget that is unused until then can be used at once.
 	retryFrom int
 	restarts  []processRestart
 }
 
-// processRestart replaces the processes of the proxies from first to below end.
+// processRestart restarts the processes of the proxies with first <= index < end.
 type processRestart struct{ tick, first, end int }
 
-// retryProxy is a proxy with the current incarnation of its process.
+// retryProxy is a proxy with the budget of its current process.
 type retryProxy struct {
-	budget  *RetryBudget
-	shares  *pb.QuotaMembers
-	started int // tick
+	budget       *RetryBudget
+	quotaMembers *pb.QuotaMembers
+	started      int // tick
 }
 
 func (p *retryProxy) start(config RetryConfig, host string, tick int) {
 	p.budget = NewRetryBudget(config, host)
-	p.budget.SetQuotaMembers(p.shares)
+	p.budget.SetQuotaMembers(p.quotaMembers)
 	p.started = tick
 }
 
-// run plays the load, and checks the bound in every window.
+// run simulates the load, and checks the limit in every window.
 func (l retryLoad) run(t require.TestingT) {
 	config := RetryConfig{Ratio: 0.2, Extra: float64(l.extra), Window: 10 * time.Second}
 	random := rand.New(rand.NewPCG(l.seed, 1))
@@ -238,7 +239,7 @@
 				proxy.budget.Request(now, "s")
 				requests[tick]++
 			}
-			for tick >= l.retryFrom && random.Float64() < l.eager && proxy.budget.Take(now, "s") {
+			for tick >= l.retryFrom && random.Float64() < l.retryProbability && proxy.budget.Take(now, "s") {
 				retries[tick]++
 			}
 		}
@@ -246,7 +247,7 @@
 	requireBudget(t, config, requests, retries, int(config.Window/loadTick))
 }
 
-// start makes the proxies, each of which knows nine in ten of the others.
+// start creates the proxies. Each of them knows about nine in ten of the others.
 func (l retryLoad) start(config RetryConfig, random *rand.Rand) []*retryProxy {
 	proxies := make([]*retryProxy, l.proxies)
 	for i := range proxies {
@@ -256,7 +257,7 @@
 				members = append(members, j)
 			}
 		}
-		proxies[i] = &retryProxy{shares: sharesOf(l.proxies, members, oneRegion)}
+		proxies[i] = &retryProxy{quotaMembers: quotaMembersOf(l.proxies, members, oneRegion)}
 		proxies[i].start(config, hostName(i), 0)
 	}
 	return proxies
@@ -280,13 +281,13 @@
 	}
 	period := l.period
 	if period == 0 {
-		period = 2 * l.clump
+		period = 2 * l.burst
 	}
-	return tick >= 0 && tick%period < l.clump
+	return tick >= 0 && tick%period < l.burst
 }
 
-// requireBudget checks every window as the rule does: the requests of that window, of the one before it or of
-// the one half a window before, whichever holds most.
+// requireBudget checks the limit in every window: the retries are compared with the largest of the requests in that
+// window, in the window before it, and in the window half a window earlier.
 func requireBudget(t require.TestingT, config RetryConfig, requests, retries []int, window int) {
 	sum := func(counts []int, from, to int) int {
 		total := 0
@@ -303,11 +304,11 @@
 	}
 }
 
-// TestTheCountIsNoMoreThanWhatTheWindowsHold compares the count for each window that reaches to now with the mean of what
-// the rule finds in that window, the one before it and the one half a window earlier, wherever in its bucket it begins.
+// TestTheCountIsNoMoreThanWhatTheWindowsHold compares meanRequests for each window that ends now with the exact mean
+// over that window, the one before it and the one half a window earlier. Windows begin anywhere in a bucket.
 func TestTheCountIsNoMoreThanWhatTheWindowsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const perBucket = 4 // instants at which a request may come
+		const perBucket = 4 // instants in a bucket at which requests are counted
 		window := 100*bucketWidth + time.Duration(rapid.IntRange(0, 3).Draw(t, "quarters"))*bucketWidth/perBucket
 		instant := bucketWidth / perBucket
 		length := int(window / instant)
@@ -332,27 +333,28 @@
 			found := sum(from, from+length) + sum(from-length, from) + sum(from-length/2, from+length/2)
 			age := last/perBucket - from/perBucket
 			require.LessOrEqual(t, c.meanRequests(age), found/3+1e-9, "window from %d", from)
-			require.GreaterOrEqual(t, c.meanRequests(age), (found-float64(rimOf(history, from, length, perBucket)))/3-1e-9)
+			require.GreaterOrEqual(t, c.meanRequests(age), (found-float64(boundaryRequests(history, from, length, perBucket)))/3-1e-9)
 		}
 	})
 }
 
-// rimOf is the requests near the ends of the three windows, which a count by buckets may miss.
-func rimOf(history []int, from, length, perBucket int) int {
-	rim := 0
+// boundaryRequests returns the number of requests near the boundaries of the three windows, which a count by buckets
+// may miss.
+func boundaryRequests(history []int, from, length, perBucket int) int {
+	total := 0
 	for _, end := range []int{from, from, from, from - length, from - length/2, from + length/2} {
 		for i := max(end-2*perBucket, 0); i < min(end+2*perBucket, len(history)); i++ {
-			rim += history[i]
+			total += history[i]
 		}
 	}
-	return rim
+	return total
 }
 
-// left is the number of retries of service "s" that Take would allow now.
-func (b *RetryBudget) left(now time.Duration) int {
+// allowedRetries returns the number of retries to service "s" that Take would allow now.
+func (b *RetryBudget) allowedRetries(now time.Duration) int {
 	c := b.windowCounts(now, "s")
 	if c == nil {
 		return 0
 	}
-	return max(int(b.spare(now, c, "s")), 0)
+	return max(int(b.remainingRetries(now, c, "s")), 0)
 }
--- a/internal/region/limits/slowstart_test.go
+++ b/internal/region/limits/slowstart_test.go
@@ -16,25 +16,26 @@
 
 func warmingServer(id string) WarmingServer { return WarmingServer{ID: id, Region: "r", WarmRate: 9.2} }
 
-func bound(config SlowStartConfig, server WarmingServer) float64 {
+func serverLimit(config SlowStartConfig, server WarmingServer) float64 {
 	return server.WarmRate*config.Excess + config.Extra
 }
 
-// Sixteen proxies that started at once and each sent one request once exceeded the limit of a server.
+// Guards against a violation of the limit by sixteen proxies that started at the same time and each sent one request
+// to a server that was warming up.
 func TestAProxyThatDoesNotKnowItsShareSendsNothing(t *testing.T) {
 	tests := map[string]struct {
-		shares   *pb.QuotaMembers
-		learnsIn time.Duration // 0: no time is known
+		quotaMembers *pb.QuotaMembers
+		learnsIn     time.Duration // 0: Wait returns false
 	}{
 		"none":                {nil, 0},
-		"number unknown":      {sharesOf(0, upTo(5), oneRegion), 0},
-		"few of many members": {sharesOf(20, upTo(5), oneRegion), 0},
-		"just learnt":         {sharesOf(5, upTo(5), oneRegion), 1},
+		"number unknown":      {quotaMembersOf(0, upTo(5), oneRegion), 0},
+		"few of many members": {quotaMembersOf(20, upTo(5), oneRegion), 0},
+		"just learnt":         {quotaMembersOf(5, upTo(5), oneRegion), 1},
 	}
 	for name, test := range tests {
 		limiter := NewSlowStartLimiter(slowStartConfig, hostName(0))
 		now := time.Minute
-		limiter.SetQuotaMembers(now, test.shares)
+		limiter.SetQuotaMembers(now, test.quotaMembers)
 		now += startupWait - 1
 		require.False(t, limiter.Allows(now, warmingServer("a"), false), name)
 		require.False(t, limiter.Allows(now, warmingServer("a"), true), name)
@@ -53,7 +54,7 @@
 		holders := 0
 		for i := range 20 {
 			limiter := NewSlowStartLimiter(slowStartConfig, hostName(i))
-			limiter.SetQuotaMembers(0, sharesOf(20, upTo(20), region))
+			limiter.SetQuotaMembers(0, quotaMembersOf(20, upTo(20), region))
 			if limiter.Allows(time.Minute, warmingServer("a"), spare) {
 				holders++
 				require.Equal(t, "r", region(i))
@@ -67,7 +68,7 @@
 	holders := 0
 	for i := range 9 {
 		limiter := NewSlowStartLimiter(slowStartConfig, hostName(i))
-		limiter.SetQuotaMembers(0, sharesOf(9, upTo(9), func(int) string { return "elsewhere" }))
+		limiter.SetQuotaMembers(0, quotaMembersOf(9, upTo(9), func(int) string { return "elsewhere" }))
 		if limiter.Allows(time.Minute, warmingServer("a"), false) {
 			holders++
 		}
@@ -77,7 +78,7 @@
 
 func TestABoundTooSmallToShareIsNotUsed(t *testing.T) {
 	limiter := NewSlowStartLimiter(SlowStartConfig{Excess: 1, Extra: 0}, hostName(0))
-	limiter.SetQuotaMembers(0, sharesOf(1, upTo(1), oneRegion))
+	limiter.SetQuotaMembers(0, quotaMembersOf(1, upTo(1), oneRegion))
 	server := WarmingServer{ID: "a", Region: "r", WarmRate: 2}
 	require.False(t, limiter.Allows(time.Minute, server, true))
 	_, ok := limiter.Wait(time.Minute, server)
@@ -88,7 +89,7 @@
 	var spare *SlowStartLimiter
 	for i := range 9 {
 		limiter := NewSlowStartLimiter(slowStartConfig, hostName(i))
-		limiter.SetQuotaMembers(time.Minute, sharesOf(9, upTo(9), oneRegion))
+		limiter.SetQuotaMembers(time.Minute, quotaMembersOf(9, upTo(9), oneRegion))
 		early := limiter.Allows(time.Minute+membershipSettleTime-1, warmingServer("a"), true)
 		if late := limiter.Allows(time.Minute+membershipSettleTime, warmingServer("a"), true); late && !early {
 			spare = limiter
@@ -96,15 +97,15 @@
 	}
 	require.NotNil(t, spare)
 	again := time.Minute + membershipSettleTime
-	spare.SetQuotaMembers(again, sharesOf(9, upTo(9), oneRegion))
+	spare.SetQuotaMembers(again, quotaMembersOf(9, upTo(9), oneRegion))
 	require.True(t, spare.Allows(again, warmingServer("a"), true), "the same members are no change")
-	spare.SetQuotaMembers(again, sharesOf(10, upTo(10), oneRegion))
+	spare.SetQuotaMembers(again, quotaMembersOf(10, upTo(10), oneRegion))
 	require.False(t, spare.Allows(again, warmingServer("a"), true))
 }
 
 func TestBucketsAreBounded(t *testing.T) {
 	limiter := NewSlowStartLimiter(slowStartConfig, hostName(0))
-	limiter.SetQuotaMembers(0, sharesOf(1, upTo(1), oneRegion))
+	limiter.SetQuotaMembers(0, quotaMembersOf(1, upTo(1), oneRegion))
 	for i := range maxBuckets {
 		server := warmingServer(hostName(i))
 		require.True(t, limiter.Allows(time.Minute, server, false))
@@ -115,8 +116,8 @@
 	require.Empty(t, limiter.buckets)
 }
 
-// TestTheSumToAWarmingServerStaysUnderTheBound lets proxies that know one of two sets of proxies, however different, send
-// whenever their limiters allow, and counts every second that begins with a request.
+// TestTheSumToAWarmingServerStaysUnderTheBound simulates proxies that each know one of two arbitrary sets of proxies
+// and send whenever their limiters allow, and checks the limit in every second that begins with a request.
 func TestTheSumToAWarmingServerStaysUnderTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 40).Draw(t, "proxies")
@@ -134,24 +135,24 @@
 				}
 			}
 		}
-		holds := make([]int, proxies)
-		for i := range holds {
-			holds[i] = rapid.IntRange(0, 1).Draw(t, "view")
+		viewOf := make([]int, proxies)
+		for i := range viewOf {
+			viewOf[i] = rapid.IntRange(0, 1).Draw(t, "view")
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
-		requireSlowStart(t, config, server, proxies, seed, false, restartChance(t), func(i int, _ time.Duration) []int { return views[holds[i]] })
+		requireSlowStart(t, config, server, proxies, seed, false, restartChance(t), func(i int, _ time.Duration) []int { return views[viewOf[i]] })
 	})
 }
 
-// TestTheSumOfLastResortsStaysUnderTheBound does the same where only servers that are warming up are left, with views
-// that differ by one member, which each proxy learns at a time of its own.
+// TestTheSumOfLastResortsStaysUnderTheBound checks the limit while only servers that are warming up are available.
+// The sets that the proxies know differ by one member, and each proxy learns of the change at a different time.
 func TestTheSumOfLastResortsStaysUnderTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		proxies := rapid.IntRange(1, 40).Draw(t, "proxies")
 		server := warmingServer("a")
 		server.WarmRate = rapid.Float64Range(0.5, 30).Draw(t, "warm rate")
-		gone := rapid.IntRange(0, proxies-1).Draw(t, "the member that leaves or joins")
-		fewer := slices.DeleteFunc(upTo(proxies), func(i int) bool { return i == gone })
+		changedMember := rapid.IntRange(0, proxies-1).Draw(t, "the member that leaves or joins")
+		fewer := slices.DeleteFunc(upTo(proxies), func(i int) bool { return i == changedMember })
 		joins := rapid.Bool().Draw(t, "joins")
 		received := make([]time.Duration, proxies)
 		for i := range received {
@@ -167,12 +168,12 @@
 	})
 }
 
-// restartChance is the probability that a process starts anew in a second.
+// restartChance draws the probability that a process restarts within a second.
 func restartChance(t *rapid.T) float64 {
 	return rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "probability of a restart in a second")
 }
 
-func requireSlowStart(t *rapid.T, config SlowStartConfig, server WarmingServer, proxies int, seed uint64, last bool,
+func requireSlowStart(t *rapid.T, config SlowStartConfig, server WarmingServer, proxies int, seed uint64, lastResort bool,
 	restart float64, view func(proxy int, now time.Duration) []int,
 ) {
 	t.Helper()
@@ -187,13 +188,13 @@
 		for i, limiter := range limiters {
 			if restart > 0 && random.Float64() < restart*tick.Seconds() {
 				limiter = NewSlowStartLimiter(config, hostName(i))
-				limiter.SetQuotaMembers(now, sharesOf(proxies, view(i, now), oneRegion))
+				limiter.SetQuotaMembers(now, quotaMembersOf(proxies, view(i, now), oneRegion))
 				limiters[i] = limiter
 			}
 			if now%time.Second == 0 {
-				limiter.SetQuotaMembers(now, sharesOf(proxies, view(i, now), oneRegion))
+				limiter.SetQuotaMembers(now, quotaMembersOf(proxies, view(i, now), oneRegion))
 			}
-			for limiter.ready(now) && random.Float64() < 0.3 && limiter.Allows(now, server, last) {
+			for limiter.ready(now) && random.Float64() < 0.3 && limiter.Allows(now, server, lastResort) {
 				limiter.Take(now, server)
 				sent = append(sent, now)
 			}
@@ -207,6 +208,6 @@
 			}
 			count++
 		}
-		require.LessOrEqual(t, float64(count), bound(config, server), "in the second from %v", from)
+		require.LessOrEqual(t, float64(count), serverLimit(config, server), "in the second from %v", from)
 	}
 }
--- a/internal/region/packing/compressor.go
+++ b/internal/region/packing/compressor.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// maxEntries bounds the entries of the cache.
+	// maxEntries bounds the number of entries in the cache.
 	maxEntries = 8
-	// maxCachedBytes bounds their size in bytes, compressed. One entry is cached however large it is.
+	// maxCachedBytes bounds the total compressed size of the entries in bytes. A single entry is cached whatever its
+	// size.
 	maxCachedBytes = 1 << 20
 )
 
-// Key identifies an update by the replicas that it applies to. All updates of one key are equal.
+// Key identifies an update by the replicas that it applies to. All updates with the same key are equal.
 type Key struct {
-	Base     uint64 // sequence of the replica that lacks the update
-	Sequence uint64 // of that replica after the update
-	Digests  uint64 // DigestsKey of the replica's digests if the update is a repair that answers them
+	Base     uint64 // sequence of the replica before the update
+	Sequence uint64 // sequence of the replica after the update
+	Digests  uint64 // DigestsKey of the replica's digests, if the update is a repair in response to them
 	Complete bool   // the update is a repair of all ranges, which applies to any earlier replica
 }
 
-// DigestsKey returns a hash of the digests that a repair answers, 0 if there are none.
+// DigestsKey returns a hash of the digests that a repair responds to, or 0 if there are none.
 func DigestsKey(digests *pb.RangeDigests) uint64 {
 	if digests == nil {
 		return 0
@@ -37,60 +38,60 @@
 	return xxhash.Sum64(encoded)
 }
 
-// Compressor compresses each update once, however many callers request it at the same time, and caches the last ones. The
-// zero value is ready to use. It is safe for concurrent use.
+// Compressor compresses each update once, however many callers request it concurrently, and caches the most recently
+// used results. The zero value is ready to use. It is safe for concurrent use.
 type Compressor struct {
 	mutex        sync.Mutex
-	entries      []entry // the least recently used first
-	bytes        int     // of the entries, compressed
+	entries      []entry // ordered by last use, least recent first
+	bytes        int     // total compressed size of the entries
 	compressions uint64
 }
 
 // entry is the cached result for a key.
 type entry struct {
 	key        Key
-	compressed *pb.CompressedUpdate // nil: the update is too small
+	compressed *pb.CompressedUpdate // nil if the update is smaller than MinSize
 }
 
-// Compressed returns the compressed update of a key, nil if it is smaller than MinSize. The update is made, with the lock
-// held, only if no result is cached. The result is shared and must not be changed.
-func (p *Compressor) Compressed(key Key, makeUpdate func() *pb.StateUpdate) *pb.CompressedUpdate {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if index := slices.IndexFunc(p.entries, func(cached entry) bool { return cached.key == key }); index >= 0 {
-		found := p.entries[index]
-		p.entries = append(slices.Delete(p.entries, index, index+1), found)
+// Compressed returns the compressed update for a key, or nil if the encoded update is smaller than MinSize. It calls
+// makeUpdate, while holding the lock, only if no result is cached. The result is shared and must not be modified.
+func (c *Compressor) Compressed(key Key, makeUpdate func() *pb.StateUpdate) *pb.CompressedUpdate {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if index := slices.IndexFunc(c.entries, func(cached entry) bool { return cached.key == key }); index >= 0 {
+		found := c.entries[index]
+		c.entries = append(slices.Delete(c.entries, index, index+1), found)
 		return found.compressed
 	}
 	created := entry{key: key}
 	if encoded, err := proto.Marshal(makeUpdate()); err == nil && len(encoded) >= MinSize {
 		created.compressed = compress(key, encoded)
-		p.compressions++
+		c.compressions++
 	}
-	p.add(created)
+	c.add(created)
 	return created.compressed
 }
 
-// Compressions returns the number of updates that were compressed.
-func (p *Compressor) Compressions() uint64 {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.compressions
+// Compressions returns the number of updates compressed so far.
+func (c *Compressor) Compressions() uint64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.compressions
 }
 
-// add caches an entry, and evicts the least recently used ones beyond the bounds.
-func (p *Compressor) add(created entry) {
-	p.entries = append(p.entries, created)
-	p.bytes += len(created.compressed.GetDeflated())
-	for len(p.entries) > 1 && (len(p.entries) > maxEntries || p.bytes > maxCachedBytes) {
-		p.bytes -= len(p.entries[0].compressed.GetDeflated())
-		p.entries = slices.Delete(p.entries, 0, 1)
+// add caches an entry, and evicts the least recently used entries while a bound is exceeded.
+func (c *Compressor) add(created entry) {
+	c.entries = append(c.entries, created)
+	c.bytes += len(created.compressed.GetDeflated())
+	for len(c.entries) > 1 && (len(c.entries) > maxEntries || c.bytes > maxCachedBytes) {
+		c.bytes -= len(c.entries[0].compressed.GetDeflated())
+		c.entries = slices.Delete(c.entries, 0, 1)
 	}
 }
 
-// CompressResponse replaces the changes or the repair in a control machine's response to an agent by their compressed form, if
-// they are large enough and the agent accepts that.
-func (p *Compressor) CompressResponse(request *pb.WatchRequest, response *pb.WatchResponse) {
+// CompressResponse replaces the changes or the repair in a control machine's response to an agent by their compressed
+// form, if they are large enough and the agent accepts compressed updates.
+func (c *Compressor) CompressResponse(request *pb.WatchRequest, response *pb.WatchResponse) {
 	if !request.GetAcceptsCompressed() || len(response.GetChanges()) == 0 && response.GetRepair() == nil {
 		return
 	}
@@ -99,7 +100,7 @@
 		key.Complete = request.GetDigests() == nil
 		key.Digests = DigestsKey(request.GetDigests())
 	}
-	compressed := p.Compressed(key, func() *pb.StateUpdate {
+	compressed := c.Compressed(key, func() *pb.StateUpdate {
 		return &pb.StateUpdate{Changes: response.GetChanges(), Repair: response.GetRepair()}
 	})
 	if compressed == nil {
--- a/internal/region/proxy/upstream/sweep.go
+++ b/internal/region/proxy/upstream/sweep.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Sweep closes the idle connections that have passed their timeout or were closed by the server, and forgets the
-// servers for which keep returns false; a nil keep keeps all. It returns the servers whose machines no longer
-// acknowledge keep-alive probes. keep is called with the pool locked and must not call it.
+// Sweep closes the idle connections that have passed their timeout or were closed by the server, and removes the
+// servers for which keep returns false. A nil keep keeps all servers. Sweep returns the servers whose machines no
+// longer acknowledge keep-alive probes. It calls keep while holding the pool's lock; keep must not call the pool.
 func (p *Pool) Sweep(now time.Time, keep func(Server) bool) []Server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var unreachable []Server
-	for server, known := range p.servers {
+	for server, conns := range p.servers {
 		listed := keep == nil || keep(server)
-		if p.sweepServer(known, now, listed) {
+		if p.sweepServer(conns, now, listed) {
 			unreachable = append(unreachable, server)
 		}
 		if !listed {
@@ -21,12 +21,12 @@
 	return unreachable
 }
 
-// sweepServer closes what can't be used of one server's idle connections, all of them if it isn't listed any more. If
-// one shows that the machine is unreachable, the others lead there as well and are closed too. The caller holds the
-// lock.
-func (p *Pool) sweepServer(known *serverConns, now time.Time, listed bool) (unreachable bool) {
-	usable := known.idle[:0]
-	for _, conn := range known.idle {
+// sweepServer closes the unusable idle connections to one server, or all of them if the server is no longer listed.
+// If one connection shows that the machine is unreachable, all idle connections to that machine are closed. The
+// caller must hold the lock.
+func (p *Pool) sweepServer(conns *serverConns, now time.Time, listed bool) (unreachable bool) {
+	usable := conns.idle[:0]
+	for _, conn := range conns.idle {
 		if listed && now.Sub(conn.idleSince) < conn.idleTimeout {
 			switch conn.checkIdle() {
 			case idleUsable:
@@ -39,35 +39,36 @@
 		conn.close()
 		p.idle--
 	}
-	clear(known.idle[len(usable):])
-	known.idle = usable
+	clear(conns.idle[len(usable):])
+	conns.idle = usable
 	if unreachable {
-		p.closeIdle(known)
+		p.closeIdle(conns)
 	}
 	return unreachable
 }
 
-// Forget closes the idle connections to a server whose machine seems to be unreachable: a request that was sent on one
-// of them might never arrive, and it would count as possibly executed.
+// Forget closes the idle connections to a server whose machine appears to be unreachable. A request sent on one of
+// them might never arrive, and would count as possibly executed.
 func (p *Pool) Forget(server Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known := p.servers[server]; known != nil {
-		p.closeIdle(known)
+	if conns := p.servers[server]; conns != nil {
+		p.closeIdle(conns)
 	}
 }
 
-// closeIdle closes all idle connections to one server. The caller holds the lock.
-func (p *Pool) closeIdle(known *serverConns) {
-	for _, conn := range known.idle {
+// closeIdle closes all idle connections to one server. The caller must hold the lock.
+func (p *Pool) closeIdle(conns *serverConns) {
+	for _, conn := range conns.idle {
 		conn.close()
 	}
-	p.idle -= len(known.idle)
-	clear(known.idle)
-	known.idle = known.idle[:0]
+	p.idle -= len(conns.idle)
+	clear(conns.idle)
+	conns.idle = conns.idle[:0]
 }
 
-// Close closes all idle connections. Those in use are closed when they are released. A closed pool still connects.
+// Close closes all idle connections. Connections in use are closed when they are released. A closed pool can still
+// open connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/region/proxy/upstream/unreachable_test.go
+++ b/internal/region/proxy/upstream/unreachable_test.go
@@ -15,20 +15,20 @@
 func TestDialFailures(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	dead := Server{ID: "i-1", Address: listener.Addr().String()}
+	refusing := Server{ID: "i-1", Address: listener.Addr().String()}
 	require.NoError(t, listener.Close())
-	_, err = NewPool(Config{}).Connect(context.Background(), dead, defaultTimeouts, time.Now().Add(testTimeout))
+	_, err = NewPool(Config{}).Connect(context.Background(), refusing, defaultTimeouts, time.Now().Add(testTimeout))
 	var dialError *DialError
 	require.ErrorAs(t, err, &dialError)
-	require.False(t, dialError.TimedOut, "it refused")
+	require.False(t, dialError.TimedOut, "the machine refused the connection")
 
-	gone, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = NewPool(Config{}).Connect(gone, dead, defaultTimeouts, time.Now().Add(testTimeout))
+	_, err = NewPool(Config{}).Connect(canceled, refusing, defaultTimeouts, time.Now().Add(testTimeout))
 	require.ErrorAs(t, err, &dialError)
 }
 
-// fullListener returns the address of a socket whose backlog is full, so that it accepts no more connections.
+// fullListener returns the address of a socket whose backlog is full, so that it accepts no further connections.
 func fullListener(t *testing.T) Server {
 	t.Helper()
 	descriptor, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -48,28 +48,29 @@
 	}
 }
 
-func TestAMachineThatDoesNotAnswerADialIsSilent(t *testing.T) {
-	silent := fullListener(t)
-	patient := DialTimeouts{Dial: 60 * time.Millisecond}
-	_, err := NewPool(Config{}).Connect(context.Background(), silent, patient, time.Now().Add(testTimeout))
+func TestDialToUnresponsiveMachineTimesOut(t *testing.T) {
+	unresponsive := fullListener(t)
+	shortTimeouts := DialTimeouts{Dial: 60 * time.Millisecond}
+	_, err := NewPool(Config{}).Connect(context.Background(), unresponsive, shortTimeouts, time.Now().Add(testTimeout))
 	var dialError *DialError
 	require.ErrorAs(t, err, &dialError)
 	require.True(t, dialError.TimedOut)
 
-	_, err = NewPool(Config{}).Connect(context.Background(), silent, defaultTimeouts, time.Now().Add(minDialTimeout))
+	_, err = NewPool(Config{}).Connect(context.Background(), unresponsive, defaultTimeouts, time.Now().Add(minDialTimeout))
 	require.ErrorAs(t, err, &dialError)
-	require.False(t, dialError.TimedOut, "it was given too little time to tell")
+	require.False(t, dialError.TimedOut, "the dial ended before its own timeout")
 }
 
-// unreachableConn returns a connection whose other end does not acknowledge what was sent to it, so that its user
-// timeout passes.
+// unreachableConn returns a connection whose other end does not acknowledge the data sent to it, so that the user
+// timeout expires.
 func unreachableConn(t *testing.T, pool *Pool) *Conn {
 	t.Helper()
-	stays := make(chan struct{})
-	t.Cleanup(func() { close(stays) })
-	conn := connect(t, pool, scriptedServer(t, func(*net.TCPConn) { <-stays }))
+	testDone := make(chan struct{})
+	t.Cleanup(func() { close(testDone) })
+	conn := connect(t, pool, scriptedServer(t, func(*net.TCPConn) { <-testDone }))
 	conn.setUserTimeout(100 * time.Millisecond)
-	// On a machine that is short of processor time one slice may end before the other end's window is full.
+	// On a machine that is short of processor time, the deadline may pass before the receive window of the other end
+	// is full.
 	require.Eventually(t, func() bool {
 		conn.SetDeadline(time.Now().Add(50 * time.Millisecond))
 		_ = conn.Send(make([]byte, 32<<20), nil)
@@ -88,7 +89,7 @@
 	return count
 }
 
-func TestAMachineThatTakesNothingInIsSilent(t *testing.T) {
+func TestMachineThatAcknowledgesNothingIsUnreachable(t *testing.T) {
 	conn := unreachableConn(t, NewPool(Config{}))
 	_, err := conn.Receive(http.MethodGet, "id1")
 	var responseError *ResponseError
@@ -96,19 +97,19 @@
 	require.Equal(t, FaultUnreachable, responseError.Fault)
 }
 
-func TestASweepTellsOfSilentMachines(t *testing.T) {
+func TestSweepReportsUnreachableMachines(t *testing.T) {
 	pool := NewPool(Config{})
 	conn := unreachableConn(t, pool)
 	other := connect(t, pool, conn.server)
-	conn.broken, conn.userTimeout = false, idleUserTimeout // as if its request had been answered
+	conn.broken, conn.userTimeout = false, idleUserTimeout // as if its request had been served
 	pool.Release(conn)
 	pool.Release(other)
 	require.Equal(t, 2, pool.Stats().IdleNow)
 	require.Eventually(t, func() bool {
-		silent := pool.Sweep(time.Now(), nil)
-		return len(silent) == 1 && silent[0] == conn.server
+		unreachable := pool.Sweep(time.Now(), nil)
+		return len(unreachable) == 1 && unreachable[0] == conn.server
 	}, testTimeout, pollInterval)
-	require.Zero(t, pool.Stats().IdleNow, "the other connection leads there as well")
+	require.Zero(t, pool.Stats().IdleNow, "idle connections to an unreachable machine must be closed")
 	require.Empty(t, pool.Sweep(time.Now(), nil))
 }
 
--- a/internal/region/shuffle/digest_test.go
+++ b/internal/region/shuffle/digest_test.go
@@ -10,13 +10,13 @@
 
 var update = flag.Bool("update", false, "record the digests of the runs again")
 
-// A refactoring leaves the exchanges between members and their views as they are.
+// Guards against a refactoring that changes the exchanges between members or their views.
 func TestSwarmHasTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "swarm", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(10 * time.Second)
 		s := newSwarm(t, 1)
 		s.loss = 0.1
-		s.watch = func(host string, action Action) {
+		s.onAction = func(host string, action Action) {
 			switch action := action.(type) {
 			case Exchange:
 				entry := recorder.Entry(s.now, "exchange").Text(host)
@@ -25,7 +25,7 @@
 			case ExchangeReply:
 				recordMembers(recorder.Entry(s.now, "answer").Text(host), action.Sample...)
 			default:
-				t.Errorf("an action that the digests do not know")
+				t.Errorf("action of unknown type is not recorded in the digests")
 			}
 		}
 		s.bootstrapFromPredecessors(3)
@@ -43,7 +43,7 @@
 
 func recordMembers(entry *digesttest.Recorder, members ...Neighbour) {
 	entry.Number(uint64(len(members)))
-	for _, one := range members {
-		entry.Text(one.Host).Text(one.Address).Text(one.Zone).Text(one.Region).Number(uint64(one.Age))
+	for _, neighbour := range members {
+		entry.Text(neighbour.Host).Text(neighbour.Address).Text(neighbour.Zone).Text(neighbour.Region).Number(uint64(neighbour.Age))
 	}
 }
