--- a/internal/region/proxy/admission_test.go
+++ b/internal/region/proxy/admission_test.go
@@ -24,13 +24,13 @@
 		"a change after a gap":    {Changes: []*pb.Change{{Sequence: 2, Generation: 8}}, Confirmed: true},
 		"a repair of some ranges": {Repair: &pb.Repair{Sequence: 1, Generation: 7, Ranges: []*pb.Range{{Index: 1}}}, Confirmed: true},
 	}
-	const soon = headerDeadline + ": 40\r\n"
+	const shortDeadline = headerDeadline + ": 40\r\n"
 	requests := map[string]func(c *client){
-		"plain":      func(c *client) { c.send("GET", "/m/x", soon, "") },
-		"body":       func(c *client) { c.send("POST", "/m/x", soon, "body") },
-		"large head": func(c *client) { c.send("GET", "/m/x", soon+"X-Long: "+repeated("x", 30_000)+"\r\n", "") },
+		"plain":      func(c *client) { c.send("GET", "/m/x", shortDeadline, "") },
+		"body":       func(c *client) { c.send("POST", "/m/x", shortDeadline, "body") },
+		"large head": func(c *client) { c.send("GET", "/m/x", shortDeadline+"X-Long: "+repeated("x", 30_000)+"\r\n", "") },
 		"large body": func(c *client) {
-			c.send("POST", "/m/x", soon+fmt.Sprintf("Content-Length: %d\r\n", defaultMaxBody+1), "")
+			c.send("POST", "/m/x", shortDeadline+fmt.Sprintf("Content-Length: %d\r\n", defaultMaxBody+1), "")
 		},
 	}
 	for name, state := range states {
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestALateRequestOfADrainIsTakenOnlyIfItEndsInTime: a request that is aborted at the end counts as lost if it was
+// TestLateRequestOfADrainIsAcceptedOnlyIfItEndsInTime: a request that is aborted at the end counts as lost if it was
 // sent later than 3 s after SIGTERM.
-func TestALateRequestOfADrainIsTakenOnlyIfItEndsInTime(t *testing.T) {
+func TestLateRequestOfADrainIsAcceptedOnlyIfItEndsInTime(t *testing.T) {
 	const route = 4 * time.Second // the deadline of /m/
 	now := time.Now()
 	cases := map[string]struct {
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestRequestsThatMayBeBrokenOffAreSentEarly: whatever the grace period, requests that are accepted without regard
+// TestRequestsThatMayBeAbortedAreSentEarly: whatever the grace period, requests that are accepted without regard
 // to their deadline were sent within the 3 s in which the rules allow to abort them.
-func TestRequestsThatMayBeBrokenOffAreSentEarly(t *testing.T) {
+func TestRequestsThatMayBeAbortedAreSentEarly(t *testing.T) {
 	const forgiven = 3 * time.Second
 	for grace := 100 * time.Millisecond; grace < 2*time.Minute; grace += 100 * time.Millisecond {
 		plan := planDrain(grace)
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestConnectionsThatRestAreKept: clients reuse connections that have been idle for four fifths of keepalive-ms.
-func TestConnectionsThatRestAreKept(t *testing.T) {
+// TestIdleConnectionsAreKept: clients reuse connections that have been idle for four fifths of keepalive-ms.
+func TestIdleConnectionsAreKept(t *testing.T) {
 	for _, keepAlive := range []time.Duration{0, 100 * time.Millisecond, 15 * time.Second, time.Hour} {
 		limits := connLimitsOf(route.RequestLimits{KeepAlive: keepAlive})
 		server := (&clientListener{}).newServer(limits, nil)
@@ -144,8 +144,8 @@
 	require.False(t, asks(fresh).Close)
 }
 
-// TestWhatDescribesARequestReachesItsServer: no Connection header removes the protocol's own headers.
-func TestWhatDescribesARequestReachesItsServer(t *testing.T) {
+// TestProtocolHeadersAreForwarded: no Connection header removes the protocol's own headers.
+func TestProtocolHeadersAreForwarded(t *testing.T) {
 	server := newFakeServer(t, "i-1", text(200, seal+"Connection: "+headerServerSeal+"\r\nVersions: 4\r\n", "ok"))
 	r := newTestProxy(t, server)
 	described := http.Header{
@@ -170,8 +170,8 @@
 	}
 }
 
-// TestOwnAnswersBearNoSeal: where a server's response can't be forwarded, the proxy's own contains nothing of it.
-func TestOwnAnswersBearNoSeal(t *testing.T) {
+// TestOwnResponsesHaveNoSeal: where a server's response can't be forwarded, the proxy's own contains nothing of it.
+func TestOwnResponsesHaveNoSeal(t *testing.T) {
 	sealed := map[string]reply{
 		"a promise":    text(503, notExecutedHeader+seal+"X-Server: 1\r\n", "full"),
 		"misdirected":  text(421, seal+"X-Server: 1\r\n", ""),
--- a/internal/region/proxy/announcements_test.go
+++ b/internal/region/proxy/announcements_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestBytesThatAreNoAnnouncementAreLeft(t *testing.T) {
+func TestInvalidDatagramsAreIgnored(t *testing.T) {
 	port := freePort(t)
 	at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 9, 4}), port)
 	_, handler := announcerAt(t, at)
@@ -101,7 +101,7 @@
 	require.Equal(t, placement.Announcement{Server: 9, Tokens: 5}, nextReceived(t, handler.announcements))
 }
 
-func TestTellingNeverWaits(t *testing.T) {
+func TestAnnounceNeverBlocks(t *testing.T) {
 	announcer, err := newAnnouncer("127.0.9.5:0", "west", "zone-a", newRecordingHandler())
 	require.NoError(t, err)
 	defer announcer.close()
@@ -111,7 +111,7 @@
 	require.Len(t, announcer.queue, announceQueueSize)
 }
 
-func TestAProxyWithoutAnAnnouncerTellsNothing(t *testing.T) {
+func TestNilAnnouncerDoesNothing(t *testing.T) {
 	var none *announcer
 	none.reportFailure("x")
 	none.announce(placement.Announcement{Server: 9, Tokens: 1})
@@ -119,7 +119,7 @@
 	none.close()
 }
 
-func TestAnAddressInUseIsTold(t *testing.T) {
+func TestAnnouncerReportsUnusableAddresses(t *testing.T) {
 	announcer, err := newAnnouncer("127.0.9.6:0", "west", "zone-a", nil)
 	require.NoError(t, err)
 	defer announcer.close()
--- a/internal/region/proxy/attemptlog_explore_test.go
+++ b/internal/region/proxy/attemptlog_explore_test.go
@@ -30,7 +30,7 @@
 	log       attemptLog
 	remaining time.Duration
 	runs      int // that truly happened
-	unclear   int // attempts of which nobody can tell whether they ran
+	unknown   int // attempts of which nobody can tell whether they ran
 	sent      int
 	attempts  int
 	answer    int // given to the client; 0: none yet
@@ -97,7 +97,7 @@
 		r.runs++
 	}
 	if end.state == possiblyExecuted {
-		r.unclear++
+		r.unknown++
 	}
 	if end.success {
 		r.answer = http.StatusOK
@@ -107,13 +107,13 @@
 // Hash implements explore.System.
 func (r *exploredRequest) Hash() uint64 {
 	hash := fnv.New64a()
-	_, _ = fmt.Fprintf(hash, "%+v %v %d %d %d %d %d %v", r.log, r.remaining, r.runs, r.unclear, r.sent, r.attempts, r.answer, r.own)
+	_, _ = fmt.Fprintf(hash, "%+v %v %d %d %d %d %d %v", r.log, r.remaining, r.runs, r.unknown, r.sent, r.attempts, r.answer, r.own)
 	return hash.Sum64()
 }
 
 // Check implements explore.System.
 func (r *exploredRequest) Check() error {
-	mayHaveRun := r.runs > 0 || r.unclear > 0
+	mayHaveRun := r.runs > 0 || r.unknown > 0
 	switch {
 	case !r.log.idempotent && r.runs > 1:
 		return errors.Newf("ran %d times", r.runs)
@@ -138,7 +138,7 @@
 	}, maxAttempts+maxUnsentAttempts+3, 200_000)
 }
 
-func TestLedgerInAllOrders(t *testing.T) {
+func TestAttemptLogInAllOrders(t *testing.T) {
 	for _, repeatable := range []bool{false, true} {
 		for tries := 1; tries <= 3; tries++ {
 			result, err := exploreAttemptLog(unmodifiedSteps(), repeatable, tries)
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestExplorationFindsFaultsOfTheLedger(t *testing.T) {
+func TestExplorationFindsFaultsOfTheAttemptLog(t *testing.T) {
 	faults := map[string]struct {
 		plant   func(*attemptLogSteps)
 		finding string
--- a/internal/region/proxy/configstream_test.go
+++ b/internal/region/proxy/configstream_test.go
@@ -8,8 +8,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// TestWhatWasMeantForAnEarlierProcessIsLeft: its confirmation was requested before this process started.
-func TestWhatWasMeantForAnEarlierProcessIsLeft(t *testing.T) {
+// TestRequestForAnEarlierIncarnationIsIgnored: its confirmation was requested before this process started.
+func TestRequestForAnEarlierIncarnationIsIgnored(t *testing.T) {
 	r := startProcess(t, 1)
 	request := &pb.ApplyRequest{Changes: []*pb.Change{testChange()}, Confirmed: true, ProxyIncarnation: 2}
 	status := r.apply(request)
@@ -23,7 +23,7 @@
 }
 
 // Quota shares of a call that the agent has given up come after later ones, and name fewer members.
-func TestLateSharesAreLeft(t *testing.T) {
+func TestOutdatedQuotaSharesAreIgnored(t *testing.T) {
 	r := startProcess(t, 1)
 	tell := func(agent, revision uint64) *pb.QuotaMembersVersion {
 		version := &pb.QuotaMembersVersion{Agent: agent, Revision: revision}
--- a/internal/region/proxy/deadline_test.go
+++ b/internal/region/proxy/deadline_test.go
@@ -45,12 +45,12 @@
 // saturatedPlacer finds no server with capacity until it is released.
 type saturatedPlacer struct {
 	*fakePlacer
-	free   atomic.Bool
-	looked atomic.Int64
+	free  atomic.Bool
+	picks atomic.Int64
 }
 
 func (f *saturatedPlacer) Pick(now time.Duration, request *placement.Request) (placement.Decision, error) {
-	f.looked.Add(1)
+	f.picks.Add(1)
 	if !f.free.Load() {
 		return placement.Decision{}, &placement.NoServerError{Reason: placement.ReasonFull, RetryAfter: pollInterval}
 	}
@@ -142,8 +142,8 @@
 	}
 }
 
-// TestAClientThatReadsNothingIsLeftAtTheDeadline: neither its request nor the server's work lasts longer.
-func TestAClientThatReadsNothingIsLeftAtTheDeadline(t *testing.T) {
+// TestRequestOfAClientThatReadsNothingEndsAtTheDeadline: neither its request nor the server's work lasts longer.
+func TestRequestOfAClientThatReadsNothingEndsAtTheDeadline(t *testing.T) {
 	const deadline, allowed = 60 * time.Millisecond, 500 * time.Millisecond
 	flood := func(begin func(conn *net.TCPConn, request receivedByServer), piece string) reply {
 		return func(conn *net.TCPConn, request receivedByServer) bool {
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestARefusalGoesOutHoweverLateItComes: a proxy that was delayed responds all the same.
-func TestARefusalGoesOutHoweverLateItComes(t *testing.T) {
+// TestRejectionIsSentAfterTheDeadline: a proxy that was delayed responds all the same.
+func TestRejectionIsSentAfterTheDeadline(t *testing.T) {
 	r := newTestProxy(t)
 	late := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		require.NoError(t, http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(-time.Second)))
@@ -209,9 +209,9 @@
 	}
 }
 
-// TestTheTimeHandedOnOnlyShrinks: no server gets a longer deadline than the client's or the route's, and a retry
+// TestForwardedDeadlineNeverGrows: no server gets a longer deadline than the client's or the route's, and a retry
 // none that ends later than that of the first attempt.
-func TestTheTimeHandedOnOnlyShrinks(t *testing.T) {
+func TestForwardedDeadlineNeverGrows(t *testing.T) {
 	const rounding = 20 * time.Millisecond
 	cases := map[string]struct {
 		target string
@@ -261,18 +261,18 @@
 	}
 }
 
-// TestTheDeadlineIsThatOfTheFirstTry: all attempts of a request have one deadline, and each server gets what
+// TestAllAttemptsShareOneDeadline: all attempts of a request have one deadline, and each server gets what
 // remains of it.
-func TestTheDeadlineIsThatOfTheFirstTry(t *testing.T) {
+func TestAllAttemptsShareOneDeadline(t *testing.T) {
 	x := &exchange{deadline: time.Now().Add(time.Minute)}
 	before := x.remaining()
 	require.LessOrEqual(t, before, time.Minute)
 	require.LessOrEqual(t, x.remaining(), before)
 }
 
-// TestNoTryRunsOnMoreServersThanItsRouteAllows: whatever servers respond, a client's request reaches no more of
+// TestNoRequestReachesMoreServersThanItsRouteAllows: whatever servers respond, a client's request reaches no more of
 // them than its route allows attempts, and none twice.
-func TestNoTryRunsOnMoreServersThanItsRouteAllows(t *testing.T) {
+func TestNoRequestReachesMoreServersThanItsRouteAllows(t *testing.T) {
 	tries := map[string]int{"/m/x": 3, "/i/x": 2, "/o/x": 1, "/s/x": 3, "/r/x": 3}
 	answers := []reply{reset, text(503, notExecutedHeader, ""), text(421, "", ""), text(500, seal, "why"), text(429, "", "")}
 	for _, broken := range brokenReplies {
@@ -332,7 +332,7 @@
 		c := r.dial()
 		// A client that was refused before waits for long.
 		c.send("GET", "/m/x", headerDeadline+": 3000\r\n", "")
-		eventually(t, func() bool { return full.looked.Load() > 0 }, "it looks for a place")
+		eventually(t, func() bool { return full.picks.Load() > 0 }, "it looks for a place")
 		require.NoError(t, c.conn.Close())
 		eventually(t, func() bool { return r.handler.counters.active.Load() == 0 }, "the request ends")
 		full.free.Store(true)
--- a/internal/region/proxy/execution_test.go
+++ b/internal/region/proxy/execution_test.go
@@ -85,7 +85,7 @@
 
 // A request that is not idempotent is never sent again once it may have run, is never rejected as not run then, and is
 // never sent to more servers than allowed.
-func TestLedgerNeverBreaksAPromise(t *testing.T) {
+func TestAttemptLogNeverAllowsASecondExecution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := attemptLog{idempotent: rapid.Bool().Draw(t, "idempotent"), maxAttempts: rapid.IntRange(1, 4).Draw(t, "maxAttempts")}
 		mayHaveRun, sent, attempts := false, 0, 0
--- a/internal/region/proxy/faultyserver_test.go
+++ b/internal/region/proxy/faultyserver_test.go
@@ -21,7 +21,7 @@
 	server  upstream.Server
 	record  *trialRecord
 	current atomic.Pointer[trial]
-	arrived chan struct{} // gets a value when a trial with clientLeaves is at its place
+	arrived chan struct{} // gets a value when a trial with clientDisconnects is at its place
 	release atomic.Pointer[chan struct{}]
 	busy    atomic.Int64 // connections on which it has begun to read a request and not yet answered
 	length  atomic.Int64 // bytes of the last request that it read whole
@@ -134,16 +134,16 @@
 func (v *serverConn) injectFault(tr *trial, read []byte) bool {
 	v.record.requestArrived(tr.id, v.server.ID)
 	switch tr.fault {
-	case answersEarly, answersLater, answersCloses:
+	case respondsEarly, respondsEarlyReadsLater, respondsEarlyCloses:
 		return v.respondEarly(tr, read)
 	}
 	if int64(len(read)) >= v.length.Load() {
 		v.record.requestExecuted(tr.id, v.server.ID) // it may have begun to work
 	}
 	switch tr.fault {
-	case resetsThere:
+	case resetsConnection:
 		_ = v.conn.SetLinger(0)
-	case fallsSilent, clientLeaves:
+	case stopsResponding, clientDisconnects:
 		v.stayUntilClosed(tr)
 	}
 	return false
@@ -151,7 +151,7 @@
 
 // stayUntilClosed keeps the connection open without a byte until the other side closes it.
 func (v *serverConn) stayUntilClosed(tr *trial) {
-	if tr.fault == clientLeaves {
+	if tr.fault == clientDisconnects {
 		v.arrived <- struct{}{}
 	}
 	_, _ = io.Copy(io.Discard, v.conn)
@@ -163,13 +163,13 @@
 	if tr.reaction != reactsDeclined {
 		v.record.requestExecuted(tr.id, v.server.ID)
 	}
-	ends := tr.fault == answersCloses || tr.framing == framedByEnd
+	ends := tr.fault == respondsEarlyCloses || tr.framing == framedByEnd
 	v.record.responseSent(tr.id, v.server.ID, head+body, ends)
 	_, _ = io.WriteString(v.conn, head+body)
 	if ends {
 		return false
 	}
-	if tr.fault == answersLater {
+	if tr.fault == respondsEarlyReadsLater {
 		<-later
 	}
 	_, ok := v.readRequest(read)
@@ -188,16 +188,16 @@
 	other += otherBody
 	begun := wire[:min(tr.offset, len(wire))]
 	switch tr.fault {
-	case resetsThere, fallsSilent, clientLeaves:
+	case resetsConnection, stopsResponding, clientDisconnects:
 		v.record.responseSent(tr.id, v.server.ID, begun, false)
 		_, _ = io.WriteString(v.conn, begun)
-		if tr.fault == resetsThere {
+		if tr.fault == resetsConnection {
 			_ = v.conn.SetLinger(0)
 		} else {
 			v.stayUntilClosed(tr)
 		}
 		return false
-	case closesThere:
+	case closesConnection:
 		v.record.responseSent(tr.id, v.server.ID, begun, true)
 		_, _ = io.WriteString(v.conn, begun)
 		return false
@@ -209,14 +209,14 @@
 	}
 	v.record.responseSent(tr.id, v.server.ID, wire, tr.framing == framedByEnd)
 	switch tr.fault {
-	case answersTwice:
+	case respondsTwice:
 		_, _ = io.WriteString(v.conn, wire+wire[:min(tr.offset, len(wire))])
-	case repeatsLater:
+	case repeatsResponseLater:
 		v.surplus = wire[:min(tr.offset, len(wire))]
 		_, _ = io.WriteString(v.conn, wire)
-	case answersOther:
+	case respondsToOther:
 		_, _ = io.WriteString(v.conn, other+wire)
-	case splices:
+	case splicesResponses:
 		_, _ = io.WriteString(v.conn, other[:min(tr.offset, len(other)-1)]+wire)
 	}
 	return tr.framing != framedByEnd
--- a/internal/region/proxy/forward_test.go
+++ b/internal/region/proxy/forward_test.go
@@ -205,7 +205,7 @@
 	require.Equal(t, placement.Canceled, r.placer.seenOutcomes()[0])
 }
 
-func TestServerThatClosesTwiceInARowIsLeaving(t *testing.T) {
+func TestServerThatClosesTwiceInARowIsDraining(t *testing.T) {
 	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 		text(200, seal+"Connection: close\r\n", "ok")(conn, request)
 		return false
--- a/internal/region/proxy/invariants_test.go
+++ b/internal/region/proxy/invariants_test.go
@@ -9,7 +9,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-func TestSnapshotsThatFallBackAreFound(t *testing.T) {
+func TestSnapshotRegressionsAreDetected(t *testing.T) {
 	current := &snapshot{sequence: 5, generation: 9}
 	for expected, later := range map[bool][]*snapshot{
 		true: {
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestStateTellsAGenerationThatFalls(t *testing.T) {
+func TestStoreReportsAGenerationRegression(t *testing.T) {
 	s := newSnapshotStore()
 	_, applied := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
 	require.False(t, applied.regressed)
@@ -72,7 +72,7 @@
 	require.EqualValues(t, changes, h.snapshots.load().sequence)
 }
 
-func TestNotingAUseAllocatesNothing(t *testing.T) {
+func TestCheckSequenceAllocatesNothing(t *testing.T) {
 	h := &handler{snapshots: newSnapshotStore(), counters: &counters{}}
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
 		floor := h.snapshots.usedSequence.floor()
--- a/internal/region/proxy/liveness_test.go
+++ b/internal/region/proxy/liveness_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestItemsThatAreOddAreTold: each item is logged with its name and its fault, whether it is partially applied or
+// TestInvalidItemsAreLogged: each item is logged with its name and its fault, whether it is partially applied or
 // rejected.
-func TestItemsThatAreOddAreTold(t *testing.T) {
+func TestInvalidItemsAreLogged(t *testing.T) {
 	change := testChange()
 	change.Upserts[0].Body = []byte(`no object`)
 	change.Upserts = append(change.Upserts, &pb.Item{
--- a/internal/region/proxy/planted_test.go
+++ b/internal/region/proxy/planted_test.go
@@ -24,17 +24,17 @@
 }
 
 func plantedFaults() []plantedFault {
-	wellBehaved := []fault{repeatsLater}
+	wellBehaved := []fault{repeatsResponseLater}
 	return []plantedFault{
 		{"each request is passed on twice", sendTwice, wellBehaved, "ran 2 times"},
-		{"a request that may run once is taken for another", changeTargets("/long/m/", "/long/i/"), []fault{resetsThere}, "ran 2 times"},
-		{"a stream is taken up that may not be", changeTargets("/long/s/", "/long/r/"), []fault{resetsThere}, "ran 2 times"},
+		{"a request that may run once is taken for another", changeTargets("/long/m/", "/long/i/"), []fault{resetsConnection}, "ran 2 times"},
+		{"a stream is taken up that may not be", changeTargets("/long/s/", "/long/r/"), []fault{resetsConnection}, "ran 2 times"},
 		{"bodies are changed", changeBodies, wellBehaved, "that no client sent"},
-		{"an answer that was cut is ended well", hideAborts, []fault{resetsThere}, "looks whole after"},
-		{"what may have run is refused", reportFailuresAsUnavailable, []fault{resetsThere}, "answered 503 but ran"},
+		{"an answer that was cut is ended well", hideAborts, []fault{resetsConnection}, "looks whole after"},
+		{"what may have run is refused", reportFailuresAsUnavailable, []fault{resetsConnection}, "answered 503 but ran"},
 		{"answers go to the next caller", delayResponses(), wellBehaved, "got the answer to"},
 		{"answers lack a byte", shortenResponses, wellBehaved, "as a whole answer"},
-		{"a client's leaving is not seen", ignoreCancellation, []fault{clientLeaves}, "goes on"},
+		{"a client's leaving is not seen", ignoreCancellation, []fault{clientDisconnects}, "goes on"},
 	}
 }
 
@@ -47,7 +47,7 @@
 			all := slices.DeleteFunc(allTrials(trialStride, lengths), func(tr trial) bool {
 				return !slices.Contains(fault.faults, tr.fault)
 			})
-			found := strings.Join(runTrials(t, all, plantedPatience, fault.wrap).found, "\n")
+			found := strings.Join(runTrials(t, all, plantedTimeout, fault.wrap).found, "\n")
 			require.Contains(t, found, fault.finding)
 		})
 	}
@@ -100,14 +100,14 @@
 func ignoreCancellation(h *handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		// It ends in the end, or the test would not.
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(request.Context()), 2*plantedPatience)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(request.Context()), 2*plantedTimeout)
 		defer cancel()
 		h.ServeHTTP(writer, request.WithContext(ctx))
 	})
 }
 
-// plantedPatience is how long trials of planted faults wait for what must end.
-const plantedPatience = 300 * time.Millisecond
+// plantedTimeout is how long trials of planted faults wait for what must end.
+const plantedTimeout = 300 * time.Millisecond
 
 // recordResponse serves a request and returns the response; cut reports whether it was aborted.
 func recordResponse(h http.Handler, request *http.Request) (answer *httptest.ResponseRecorder, cut bool) {
--- a/internal/region/proxy/priority_test.go
+++ b/internal/region/proxy/priority_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestShortPromptsAreReadFirst(t *testing.T) {
+func TestShortPromptsAreMoreUrgent(t *testing.T) {
 	for _, c := range []struct{ route, prompt, toRead, expect int }{
 		{2, 0, 0, 2}, // no prompt: the route's
 		{7, 0, 0, 7},
--- a/internal/region/proxy/process_test.go
+++ b/internal/region/proxy/process_test.go
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestProcessServesWhatItIsFed(t *testing.T) {
+func TestProcessServesTheDeliveredConfiguration(t *testing.T) {
 	server := newFakeServer(t, "i-1", ok("ok"))
 	r := startProcess(t, 1)
 	status := r.status()
@@ -194,9 +194,9 @@
 	require.Less(t, time.Since(began), 3*time.Second)
 }
 
-// TestManyProxiesToldToEndAtOnceAreNotReadyAtOnce: each that still runs, with requests in flight, answers two
+// TestProxiesTerminatedTogetherAreSoonNotReady: each that still runs, with requests in flight, answers two
 // checks in a row without a 200 well before 4 s have passed since SIGTERM.
-func TestManyProxiesToldToEndAtOnceAreNotReadyAtOnce(t *testing.T) {
+func TestProxiesTerminatedTogetherAreSoonNotReady(t *testing.T) {
 	server := newFakeServer(t, "i-1", noResponse)
 	const proxies, soon = 6, time.Second
 	var all []*testProcess
@@ -226,7 +226,7 @@
 	}
 }
 
-func TestProcessBreaksOffWhatIsLeftAtTheEnd(t *testing.T) {
+func TestProcessAbortsRemainingRequestsAtTheEnd(t *testing.T) {
 	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 		if request.target == "/r/x" {
 			streamHead(conn, request, "seal")
@@ -273,9 +273,9 @@
 	require.Equal(t, 431, response.StatusCode)
 }
 
-// TestNothingUnderWayIsCutByAChange: neither a configuration nor a server list, nor reloaded settings, break off a
+// TestChangesDoNotInterruptRequestsInFlight: neither a configuration nor a server list, nor reloaded settings, break off a
 // request that was forwarded, though they remove its route, its server or its zone.
-func TestNothingUnderWayIsCutByAChange(t *testing.T) {
+func TestChangesDoNotInterruptRequestsInFlight(t *testing.T) {
 	next := make(chan struct{})
 	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 		if request.target == "/m/x" {
@@ -358,7 +358,7 @@
 [bounds]
 grace-s = `
 
-func TestSettingsAreReadAgain(t *testing.T) {
+func TestSettingsAreReloaded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.toml")
 	write := func(text string) {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
--- a/internal/region/proxy/pure_test.go
+++ b/internal/region/proxy/pure_test.go
@@ -111,7 +111,7 @@
 	require.Equal(t, "0.001", formatRetryAfter(0))
 }
 
-func TestHoldFor(t *testing.T) {
+func TestTimeoutFor(t *testing.T) {
 	limited := &route.Route{Deadline: 2 * time.Second}
 	cases := []struct {
 		value string
@@ -135,7 +135,7 @@
 	require.Equal(t, maxDeadline, timeoutFor(http.Header{}, &route.Route{}))
 }
 
-func TestRequestsThatReturnAreToldByWhatTheirClientsHaveLeft(t *testing.T) {
+func TestClientRetriesAreDetectedByTheirTimeout(t *testing.T) {
 	found := &route.Route{Deadline: 5 * time.Second, Split: []route.WeightedService{{Service: "s", Weight: 1}}}
 	for value, returned := range map[string]bool{"": false, "5000": false, "4978": false, "4800": true, "9000": false} {
 		header := http.Header{}
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestARequestThatReturnedWaitsLongerForAPlace(t *testing.T) {
+func TestClientRetryWaitsLongerForCapacity(t *testing.T) {
 	now := time.Now()
 	x := &exchange{route: &route.Route{Target: time.Second}, readyAt: now, deadline: now.Add(4 * time.Second)}
 	require.Equal(t, now.Add(time.Second/capacityWaitFraction), x.capacityWaitEnd())
@@ -165,7 +165,7 @@
 	require.Equal(t, []int{0, 7}, []int{prompt, generate})
 }
 
-func TestFollows(t *testing.T) {
+func TestIsLaterID(t *testing.T) {
 	require.True(t, isLaterID("9", "10"))
 	require.False(t, isLaterID("10", "9"))
 	require.False(t, isLaterID("10", "10"))
--- a/internal/region/proxy/distance_test.go
+++ b/internal/region/proxy/randomupdates_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// defaultFarRuns is the number of runs in which a proxy gets random updates; PROXY_FAR replaces it.
-	defaultFarRuns = 20
-	// farChanges is the number of changes of a run.
-	farChanges = 600
-	farRoutes  = 12
-	// farExchanges is the number of calls of the agent in a run.
-	farExchanges = 60
+	// defaultUpdateRuns is the number of runs in which a proxy gets random updates; PROXY_FAR replaces it.
+	defaultUpdateRuns = 20
+	// changesPerRun is the number of changes of a run.
+	changesPerRun = 600
+	routesPerRun  = 12
+	// callsPerRun is the number of calls of the agent in a run.
+	callsPerRun = 60
 )
 
 // testConfigStream is a proxy's snapshot store with the history of changes that it gets.
@@ -38,7 +38,7 @@
 
 func newTestConfigStream(t *testing.T, seed uint64) *testConfigStream {
 	f := &testConfigStream{t: t, random: rand.New(rand.NewPCG(seed, 8)), truth: []*catalog.Snapshot{catalog.Empty()}, snapshots: newSnapshotStore()}
-	for sequence := uint64(1); sequence <= farChanges; sequence++ {
+	for sequence := uint64(1); sequence <= changesPerRun; sequence++ {
 		made := f.makeChange(sequence)
 		next, err := f.truth[sequence-1].Apply(made)
 		require.NoError(t, err)
@@ -55,7 +55,7 @@
 		made.ReplacesAll = true
 		made.Upserts = append(made.Upserts, serviceItem(sequence))
 	}
-	for _, index := range f.random.Perm(farRoutes)[:1+f.random.IntN(4)] {
+	for _, index := range f.random.Perm(routesPerRun)[:1+f.random.IntN(4)] {
 		made.Upserts = append(made.Upserts, &pb.Item{
 			Kind:     catalog.KindRoutes,
 			Name:     fmt.Sprint("r", index),
@@ -76,9 +76,9 @@
 	return made
 }
 
-// feed applies what an agent could send that is new, old, of an earlier incarnation, or has lost its beginning. It
+// applyUpdate applies what an agent could send that is new, old, of an earlier incarnation, or has lost its beginning. It
 // returns what is wrong afterwards, or an empty string.
-func (f *testConfigStream) feed() string {
+func (f *testConfigStream) applyUpdate() string {
 	before := f.snapshots.load()
 	request := f.request()
 	if f.alter != nil {
@@ -99,11 +99,11 @@
 }
 
 func (f *testConfigStream) request() *pb.ApplyRequest {
-	at := uint64(f.random.IntN(farChanges)) + 1
+	at := uint64(f.random.IntN(changesPerRun)) + 1
 	if f.random.IntN(2) == 0 { // near the current sequence
-		at = min(f.snapshots.load().sequence+1, farChanges)
+		at = min(f.snapshots.load().sequence+1, changesPerRun)
 	}
-	to := min(at+uint64(f.random.IntN(300)), farChanges)
+	to := min(at+uint64(f.random.IntN(300)), changesPerRun)
 	request := &pb.ApplyRequest{Confirmed: f.random.IntN(5) == 0}
 	switch draw := f.random.IntN(10); {
 	case draw < 7:
@@ -132,7 +132,7 @@
 	case !slices.Equal(wanted.Evacuated(), current.table.Evacuated()):
 		return "other evacuations"
 	}
-	for index := range farRoutes {
+	for index := range routesPerRun {
 		name := fmt.Sprint("r", index)
 		other, found := wanted.Route(name)
 		if !found {
@@ -156,25 +156,25 @@
 
 // A proxy that missed hundreds of changes, and gets them in any order, never regresses and has what its sequence stands
 // for. It has caught up with the first call that brings changes that follow, or the full state.
-func TestProxyFedInAnyOrderNeverFallsBack(t *testing.T) {
-	for seed := range uint64(runsOf("PROXY_FAR", defaultFarRuns)) {
+func TestUpdatesInAnyOrderNeverRegress(t *testing.T) {
+	for seed := range uint64(runsOf("PROXY_FAR", defaultUpdateRuns)) {
 		f := newTestConfigStream(t, seed)
-		for range farExchanges {
-			require.Empty(t, f.feed(), "seed %d", seed)
+		for range callsPerRun {
+			require.Empty(t, f.applyUpdate(), "seed %d", seed)
 		}
 		current := f.snapshots.load().sequence
 		last := &pb.ApplyRequest{Changes: f.changes[current:]}
 		if f.snapshots.needsFullState() {
-			last = &pb.ApplyRequest{Repair: f.truth[farChanges].RepairFor(nil)}
+			last = &pb.ApplyRequest{Repair: f.truth[changesPerRun].RepairFor(nil)}
 		}
 		f.snapshots.apply(last)
-		require.EqualValues(t, farChanges, f.snapshots.load().sequence)
+		require.EqualValues(t, changesPerRun, f.snapshots.load().sequence)
 		require.False(t, f.snapshots.needsFullState())
 		require.Empty(t, f.difference(f.snapshots.load()))
 	}
 }
 
-func TestPlantedFaultsOfFeedingAreFound(t *testing.T) {
+func TestPlantedFaultsOfUpdatesAreFound(t *testing.T) {
 	faults := map[string]struct {
 		alter   func(*pb.ApplyRequest)
 		finding string
@@ -184,11 +184,11 @@
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			for seed := range uint64(defaultFarRuns) {
+			for seed := range uint64(defaultUpdateRuns) {
 				f := newTestConfigStream(t, seed)
 				f.alter = fault.alter
-				for range farExchanges {
-					if strings.Contains(f.feed(), fault.finding) {
+				for range callsPerRun {
+					if strings.Contains(f.applyUpdate(), fault.finding) {
 						return
 					}
 				}
@@ -210,6 +210,6 @@
 
 func renumberRepair(request *pb.ApplyRequest) {
 	if repair := request.GetRepair(); repair != nil {
-		request.Repair = &pb.Repair{Sequence: min(repair.GetSequence()+100, farChanges), Ranges: repair.GetRanges()}
+		request.Repair = &pb.Repair{Sequence: min(repair.GetSequence()+100, changesPerRun), Ranges: repair.GetRanges()}
 	}
 }
--- a/internal/region/proxy/retry_test.go
+++ b/internal/region/proxy/retry_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestPromisesGoToAnotherServer(t *testing.T) {
+func TestRejectedRequestsGoToAnotherServer(t *testing.T) {
 	promises := map[string]reply{
 		"full":        text(503, notExecutedHeader, ""),
 		"busy":        text(429, notExecutedHeader+"Retry-After: 2\r\n", "busy"),
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestPromisesOfAllServersAreARefusal(t *testing.T) {
+func TestRejectionsOfAllServersEndIn503(t *testing.T) {
 	servers := []*fakeServer{}
 	for i := range 5 {
 		servers = append(servers, newFakeServer(t, fmt.Sprintf("i-%d", i), text(503, notExecutedHeader, "full")))
@@ -98,7 +98,7 @@
 	require.Equal(t, 3, arrivals, "the route allows three servers")
 }
 
-func TestAPromiseAfterAFailureIsNoRefusal(t *testing.T) {
+func TestRejectionAfterAFailureEndsIn502(t *testing.T) {
 	first, second := newFakeServer(t, "i-1", reset), newFakeServer(t, "i-2", text(503, notExecutedHeader, ""))
 	r := newTestProxy(t, first, second)
 	response, _ := r.get("/i/x")
@@ -129,7 +129,7 @@
 	require.Equal(t, "ok", body)
 }
 
-func TestDeadServerCostsNothing(t *testing.T) {
+func TestUnreachableServerCostsNoRetry(t *testing.T) {
 	dead, live := newFakeServer(t, "i-1", ok("no")), newFakeServer(t, "i-2", ok("ok"))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -148,7 +148,7 @@
 	require.Equal(t, "0.070", response.Header.Get("Retry-After"))
 }
 
-func TestLastLookBeforeTheFirstByte(t *testing.T) {
+func TestLastCheckBeforeTheFirstByte(t *testing.T) {
 	server := newFakeServer(t, "i-1", ok("ok"))
 	r := newTestProxy(t, server)
 	r.placer.forbidden = 2
@@ -178,7 +178,7 @@
 	require.Equal(t, 504, response.StatusCode)
 }
 
-func TestNoBudgetNoRepeat(t *testing.T) {
+func TestNoRetryWithoutBudget(t *testing.T) {
 	first, second := newFakeServer(t, "i-1", reset), newFakeServer(t, "i-2", ok("ok"))
 	r := newTestProxy(t, first, second)
 	r.handler.dispatcher.budget.SetQuotaMembers(nil)
--- a/internal/region/proxy/snapshot_test.go
+++ b/internal/region/proxy/snapshot_test.go
@@ -54,7 +54,7 @@
 	require.Equal(t, 1, current.table.Routes())
 }
 
-func TestStateAsksForTheWholeAfterAGap(t *testing.T) {
+func TestStoreRequestsTheFullStateAfterAGap(t *testing.T) {
 	s := newSnapshotStore()
 	s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
 	current, applied := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: 3, Generation: 9}}, Confirmed: true})
@@ -75,7 +75,7 @@
 	require.False(t, s.needsFullState())
 }
 
-func TestStateNeverFallsBack(t *testing.T) {
+func TestStoreNeverRegresses(t *testing.T) {
 	s := newSnapshotStore()
 	s.apply(&pb.ApplyRequest{Repair: fullRepair(5, 9, routeItem(5), serviceItem(5))})
 	for _, request := range []*pb.ApplyRequest{
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestServerListsOnlyRise(t *testing.T) {
+func TestOlderServerListsAreIgnored(t *testing.T) {
 	s := newSnapshotStore()
 	list := func(epoch uint64, holder string, revision uint64, ids ...string) *pb.ServerList {
 		made := &pb.ServerList{Version: &pb.ListVersion{Epoch: epoch, Holder: holder, Revision: revision}}
--- a/internal/region/proxy/stream_test.go
+++ b/internal/region/proxy/stream_test.go
@@ -120,7 +120,7 @@
 	require.Equal(t, eventTexts(1, 3), body)
 }
 
-func TestCutStreamIsTakenUpByAnotherServer(t *testing.T) {
+func TestInterruptedStreamIsResumedByAnotherServer(t *testing.T) {
 	torn := map[string]string{
 		"in an event":      "id: 4\ndata: pie",
 		"after a line":     "id: 4\ndata: piece 4\n",
--- a/internal/region/proxy/trial_list_test.go
+++ b/internal/region/proxy/trial_list_test.go
@@ -21,14 +21,14 @@
 				first = 1
 			}
 			request := trial{kind: kind, reused: reused, stage: inRequest}
-			for _, request.fault = range []fault{resetsThere, closesThere, fallsSilent} {
+			for _, request.fault = range []fault{resetsConnection, closesConnection, stopsResponding} {
 				add(request, first, int(lengths[kind.name]))
 			}
-			add(withFault(request, clientLeaves), 1, int(lengths[kind.name])) // before that, nothing was sent
+			add(withFault(request, clientDisconnects), 1, int(lengths[kind.name])) // before that, nothing was sent
 			for framed := range framings {
 				for react := range reactions {
 					early := trial{kind: kind, reused: reused, stage: inRequest, framing: framed, reaction: react}
-					for _, early.fault = range []fault{answersEarly, answersLater, answersCloses} {
+					for _, early.fault = range []fault{respondsEarly, respondsEarlyReadsLater, respondsEarlyCloses} {
 						add(early, first, int(lengths[kind.name]))
 					}
 					addInAnswer(trial{kind: kind, reused: reused, stage: inAnswer, framing: framed, reaction: react}, add)
@@ -42,7 +42,7 @@
 func addInAnswer(tr trial, add func(tr trial, first, last int)) {
 	head, body := answerOf("one", "t-000000", tr.kind.stream, 0, tr.framing, tr.reaction)
 	length := len(head) + len(body)
-	for _, tr.fault = range []fault{resetsThere, closesThere, repeatsLater, splices} {
+	for _, tr.fault = range []fault{resetsConnection, closesConnection, repeatsResponseLater, splicesResponses} {
 		add(tr, 0, length)
 	}
 	if tr.kind.resume {
@@ -50,13 +50,13 @@
 	} else {
 		add(withFault(tr, writesGarbage), 0, length)
 	}
-	add(withFault(tr, answersOther), 0, 0)
+	add(withFault(tr, respondsToOther), 0, 0)
 	if tr.framing != framedByEnd {
-		add(withFault(tr, answersTwice), 1, length)
+		add(withFault(tr, respondsTwice), 1, length)
 	}
 	if tr.reaction == reactsWell {
-		add(withFault(tr, fallsSilent), 0, length-1)
-		add(withFault(tr, clientLeaves), 0, length-1)
+		add(withFault(tr, stopsResponding), 0, length-1)
+		add(withFault(tr, clientDisconnects), 0, length-1)
 	}
 }
 
@@ -74,11 +74,11 @@
 		head := int(lengths[kind.name]) - len("payload of t-000000")
 		for _, offset := range []int{1, head + 10, whole / 2, whole - 100} {
 			tr := trial{kind: kind, stage: inRequest, offset: offset, payload: payload, reused: offset > head}
-			for _, tr.fault = range []fault{resetsThere, closesThere, clientLeaves} {
+			for _, tr.fault = range []fault{resetsConnection, closesConnection, clientDisconnects} {
 				all = append(all, tr)
 			}
 			for _, tr.reaction = range []reaction{reactsWell, reactsDeclined} {
-				for _, tr.fault = range []fault{answersEarly, answersLater, answersCloses} {
+				for _, tr.fault = range []fault{respondsEarly, respondsEarlyReadsLater, respondsEarlyCloses} {
 					all = append(all, tr)
 				}
 			}
--- a/internal/region/proxy/trial_test.go
+++ b/internal/region/proxy/trial_test.go
@@ -7,18 +7,18 @@
 
 // requestKind is a kind of request, by the rules that hold for its runs.
 type requestKind struct {
-	name   string
-	target string
-	stream bool
-	most   int // runs that are allowed
-	resume bool
+	name    string
+	target  string
+	stream  bool
+	maxRuns int // runs that are allowed
+	resume  bool
 }
 
 var requestKinds = []requestKind{
-	{name: "mutating", target: "/long/m/x", most: 1},
-	{name: "idempotent", target: "/long/i/x", most: 2},
-	{name: "plain stream", target: "/long/s/x", stream: true, most: 1},
-	{name: "resumable stream", target: "/long/r/x", stream: true, most: 3, resume: true},
+	{name: "mutating", target: "/long/m/x", maxRuns: 1},
+	{name: "idempotent", target: "/long/i/x", maxRuns: 2},
+	{name: "plain stream", target: "/long/s/x", stream: true, maxRuns: 1},
+	{name: "resumable stream", target: "/long/r/x", stream: true, maxRuns: 3, resume: true},
 }
 
 func isStreamTarget(target string) bool {
@@ -39,10 +39,10 @@
 type reaction int
 
 const (
-	reactsWell      reaction = iota // 200
-	reactsFailed                    // 500
-	reactsDeclined                  // 503 that says that the request was not run
-	reactsUnclearly                 // 503 without
+	reactsWell        reaction = iota // 200
+	reactsFailed                      // 500
+	reactsDeclined                    // 503 that says that the request was not run
+	reactsAmbiguously                 // 503 without
 	reactions
 )
 
@@ -58,25 +58,25 @@
 type fault int
 
 const (
-	resetsThere   fault = iota
-	closesThere         // both ways
-	fallsSilent         // and keeps the connection
-	answersEarly        // then reads on
-	answersLater        // like answersEarly, but reads on when its client has its answer
-	answersCloses       // answers early, then closes
-	writesGarbage       // then closes
-	answersTwice        // at once
-	repeatsLater        // answers once more where the answer to the next request is due
-	answersOther        // with the id of another request, then with its own
-	splices             // bytes of another answer directly before its own
-	clientLeaves        // it falls silent, and the client leaves
+	resetsConnection        fault = iota
+	closesConnection              // both ways
+	stopsResponding               // and keeps the connection
+	respondsEarly                 // then reads on
+	respondsEarlyReadsLater       // like respondsEarly, but reads on when its client has its answer
+	respondsEarlyCloses           // answers early, then closes
+	writesGarbage                 // then closes
+	respondsTwice                 // at once
+	repeatsResponseLater          // answers once more where the answer to the next request is due
+	respondsToOther               // with the id of another request, then with its own
+	splicesResponses              // bytes of another answer directly before its own
+	clientDisconnects             // it falls silent, and the client leaves
 )
 
-var misdeedNames = map[fault]string{
-	resetsThere: "resets", closesThere: "closes", fallsSilent: "falls silent", answersEarly: "answers early",
-	answersLater: "answers early, reads on later", answersCloses: "answers early and closes", writesGarbage: "writes garbage",
-	answersTwice: "answers twice", repeatsLater: "repeats its answer later", answersOther: "answers another first",
-	splices: "splices answers", clientLeaves: "is left by the client",
+var faultNames = map[fault]string{
+	resetsConnection: "resets", closesConnection: "closes", stopsResponding: "falls silent", respondsEarly: "answers early",
+	respondsEarlyReadsLater: "answers early, reads on later", respondsEarlyCloses: "answers early and closes", writesGarbage: "writes garbage",
+	respondsTwice: "answers twice", repeatsResponseLater: "repeats its answer later", respondsToOther: "answers another first",
+	splicesResponses: "splices answers", clientDisconnects: "is left by the client",
 }
 
 // trial is one request to a server that injects one fault.
@@ -98,13 +98,13 @@
 		where = "of the answer"
 	}
 	return fmt.Sprintf("%s, framing %d, reaction %d, reused %v: server %s at byte %d %s",
-		tr.kind.name, tr.framing, tr.reaction, tr.reused, misdeedNames[tr.fault], tr.offset, where)
+		tr.kind.name, tr.framing, tr.reaction, tr.reused, faultNames[tr.fault], tr.offset, where)
 }
 
-// pieces is the number of events of a stream.
-const pieces = 4
+// eventsPerStream is the number of events of a stream.
+const eventsPerStream = 4
 
-func pieceOf(id, server string, number int) string {
+func eventOf(id, server string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s by %s\n\n", number, id, server)
 }
 
@@ -115,8 +115,8 @@
 	case react != reactsWell:
 		parts = []string{"why not"}
 	case stream:
-		for number := after + 1; number <= pieces; number++ {
-			parts = append(parts, pieceOf(id, server, number))
+		for number := after + 1; number <= eventsPerStream; number++ {
+			parts = append(parts, eventOf(id, server, number))
 		}
 	default:
 		parts = []string{id, " by ", server}
@@ -128,7 +128,7 @@
 		header = "Content-Type: text/event-stream\r\n"
 	}
 	header += headerAttemptID + ": " + id + "\r\n"
-	status := map[reaction]string{reactsWell: "200 OK", reactsFailed: "500 Failed", reactsDeclined: "503 Full", reactsUnclearly: "503 Full"}[react]
+	status := map[reaction]string{reactsWell: "200 OK", reactsFailed: "500 Failed", reactsDeclined: "503 Full", reactsAmbiguously: "503 Full"}[react]
 	if react == reactsDeclined {
 		header += headerNotExecuted + ": 1\r\n"
 	} else {
--- a/internal/region/proxy/trialrecord_test.go
+++ b/internal/region/proxy/trialrecord_test.go
@@ -133,7 +133,7 @@
 	b.violations = nil
 	fail := func(format string, values ...any) { found = append(found, fmt.Sprintf(format, values...)) }
 	ran, arrived := b.runs[tr.id], b.arrivals[tr.id]
-	if len(ran) > tr.kind.most {
+	if len(ran) > tr.kind.maxRuns {
 		fail("ran %d times: %v", len(ran), ran)
 	}
 	seen := make(map[string]bool)
@@ -211,7 +211,7 @@
 	if !got.complete || got.disconnected {
 		return
 	}
-	if (last < pieces || rest != "") && !b.wasSent(tr.id, got) {
+	if (last < eventsPerStream || rest != "") && !b.wasSent(tr.id, got) {
 		fail("looks whole after %d events and %q", last, rest)
 	}
 }
--- a/internal/region/proxy/trials_test.go
+++ b/internal/region/proxy/trials_test.go
@@ -82,7 +82,7 @@
 	defer func() { _ = conn.Close() }()
 	got := readResult(bufio.NewReader(conn))
 	w.probes[got.status]++
-	return w.record.check(&trial{id: id, kind: requestKind{most: 2, stream: isStreamTarget(target), resume: true}}, got)
+	return w.record.check(&trial{id: id, kind: requestKind{maxRuns: 2, stream: isStreamTarget(target), resume: true}}, got)
 }
 
 // run runs a trial and returns the rules that were violated.
@@ -95,7 +95,7 @@
 		_ = w.request(tr.kind.target, "w", longDeadline)
 	}
 	deadline := longDeadline
-	if tr.fault == fallsSilent {
+	if tr.fault == stopsResponding {
 		deadline = noResponseDeadline
 	}
 	w.first.length.Store(w.lengthOf(&tr))
@@ -103,7 +103,7 @@
 	w.first.current.Store(&tr)
 	got, failure := w.play(&tr, deadline)
 	faults := w.record.check(&tr, got)
-	if tr.fault == answersLater && w.lengthOf(&tr)-int64(tr.offset) > 4*smallWindow {
+	if tr.fault == respondsEarlyReadsLater && w.lengthOf(&tr)-int64(tr.offset) > 4*smallWindow {
 		faults = append(faults, w.requestBetween(&tr)...) // on another connection: this one waits for the rest of a body
 	}
 	close(release)
@@ -113,7 +113,7 @@
 	if !w.becomesIdle() {
 		faults = append(faults, "the proxy or a connection of its servers goes on")
 	}
-	if w.first.current.Swap(nil) != nil && tr.fault != fallsSilent {
+	if w.first.current.Swap(nil) != nil && tr.fault != stopsResponding {
 		w.missed++
 	}
 	faults = append(faults, w.record.check(&tr, got)...) // once more: what came late counts as well
@@ -129,7 +129,7 @@
 	before := w.probes[http.StatusOK]
 	faults := w.request("/long/o/x", "p", longDeadline)
 	switch tr.fault {
-	case fallsSilent, answersEarly, answersLater, answersOther, splices, clientLeaves:
+	case stopsResponding, respondsEarly, respondsEarlyReadsLater, respondsToOther, splicesResponses, clientDisconnects:
 		if w.probes[http.StatusOK] == before {
 			faults = append(faults, "the next request failed")
 		}
@@ -140,7 +140,7 @@
 // lengthOf is the length of a trial's request as the first server receives it.
 func (w *trialWorker) lengthOf(tr *trial) int64 {
 	length := w.lengths[tr.kind.name]
-	if tr.fault == fallsSilent {
+	if tr.fault == stopsResponding {
 		length += int64(digits(noResponseDeadline) - digits(longDeadline))
 	}
 	if tr.payload != "" {
@@ -159,7 +159,7 @@
 		return got, err.Error()
 	}
 	defer func() { _ = conn.Close() }()
-	if tr.fault != clientLeaves {
+	if tr.fault != clientDisconnects {
 		return readResult(bufio.NewReader(conn)), ""
 	}
 	select {
--- a/internal/region/proxy/unsized_test.go
+++ b/internal/region/proxy/unsized_test.go
@@ -116,7 +116,7 @@
 }
 
 // After an event without an id a stream can't be resumed: the server would send events again.
-func TestStreamIsNotTakenUpBehindAnEventWithoutAnID(t *testing.T) {
+func TestStreamIsNotResumedAfterAnEventWithoutAnID(t *testing.T) {
 	begun := eventText(1) + "data: unnumbered\n\n"
 	second := newFakeServer(t, "i-2", streamEvents("two", 6, ""))
 	r := newTestProxy(t, newFakeServer(t, "i-1", rawReset(unsizedStream+begun)), second)
