--- a/internal/region/proxy/admission_test.go
+++ b/internal/region/proxy/admission_test.go
@@ -14,13 +14,12 @@
 	"fieldrelay/internal/region/route"
 )
 
-// TestAProxyWithoutAConfigurationDeniesNothing: what the proxy can't judge without a configuration is answered with
-// 503, never with 4xx.
+// Without a configuration the proxy can't tell whether a request is valid. It must respond with 503, never with 4xx.
 func TestAProxyWithoutAConfigurationDeniesNothing(t *testing.T) {
 	states := map[string]*pb.ApplyRequest{
-		"nothing":                 {},
-		"a list alone":            {List: &pb.ServerList{Version: &pb.ListVersion{Epoch: 1}}, Confirmed: true},
-		"an evacuation alone":     {Changes: []*pb.Change{{Sequence: 1, Upserts: []*pb.Item{{Kind: catalog.KindEvacuation, Name: "z1"}}}}},
+		"empty":                   {},
+		"only a server list":      {List: &pb.ServerList{Version: &pb.ListVersion{Epoch: 1}}, Confirmed: true},
+		"only an evacuation":      {Changes: []*pb.Change{{Sequence: 1, Upserts: []*pb.Item{{Kind: catalog.KindEvacuation, Name: "z1"}}}}},
 		"a change after a gap":    {Changes: []*pb.Change{{Sequence: 2, Generation: 8}}, Confirmed: true},
 		"a repair of some ranges": {Repair: &pb.Repair{Sequence: 1, Generation: 7, Ranges: []*pb.Range{{Index: 1}}}, Confirmed: true},
 	}
@@ -50,8 +49,8 @@
 	}
 }
 
-// TestLateRequestOfADrainIsAcceptedOnlyIfItEndsInTime: a request that is aborted at the end counts as lost if it was
-// sent later than 3 s after SIGTERM.
+// A request that was sent more than 3 s after SIGTERM and is aborted at the end of the shutdown counts as lost. Late
+// requests are therefore accepted only if their deadline is before the abort.
 func TestLateRequestOfADrainIsAcceptedOnlyIfItEndsInTime(t *testing.T) {
 	const route = 4 * time.Second // the deadline of /m/
 	now := time.Now()
@@ -64,7 +63,7 @@
 		"late":                         {drainTimes{now, now.Add(route / 2)}, "", false},
 		"late, with a short deadline":  {drainTimes{now, now.Add(route / 2)}, headerDeadline + ": 1000\r\n", true},
 		"late, with a longer deadline": {drainTimes{now, now.Add(route / 2)}, headerDeadline + ": 9000\r\n", false},
-		"late, with much grace left":   {drainTimes{now, now.Add(time.Hour)}, "", true},
+		"late, long before the abort":  {drainTimes{now, now.Add(time.Hour)}, "", true},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -82,14 +81,14 @@
 			}
 			require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 			require.NotEmpty(t, response.Header.Get("Retry-After"))
-			require.Empty(t, server.requests(), "it has not run and will not")
-			eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "its body is freed")
+			require.Empty(t, server.requests(), "the request has not run and never will")
+			eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "the memory of the body is released")
 		})
 	}
 }
 
-// TestRequestsThatMayBeAbortedAreSentEarly: whatever the grace period, requests that are accepted without regard
-// to their deadline were sent within the 3 s in which the rules allow to abort them.
+// Requests that are accepted regardless of their deadline must have been sent within the first 3 s of the shutdown, since
+// docs/region/rules.md permits aborting only these. This must hold for any grace period.
 func TestRequestsThatMayBeAbortedAreSentEarly(t *testing.T) {
 	const forgiven = 3 * time.Second
 	for grace := 100 * time.Millisecond; grace < 2*time.Minute; grace += 100 * time.Millisecond {
@@ -101,7 +100,7 @@
 	}
 }
 
-// TestIdleConnectionsAreKept: clients reuse connections that have been idle for four fifths of keepalive-ms.
+// Clients reuse connections that have been idle for up to four fifths of keepalive-ms, so the proxy must keep them longer.
 func TestIdleConnectionsAreKept(t *testing.T) {
 	for _, keepAlive := range []time.Duration{0, 100 * time.Millisecond, 15 * time.Second, time.Hour} {
 		limits := connLimitsOf(route.RequestLimits{KeepAlive: keepAlive})
@@ -112,8 +111,8 @@
 	}
 }
 
-// TestConnectionsWithNarrowerLimitsEnd: a connection that was accepted before the limits were widened is closed
-// after a response, since the client may go by the new ones; one with wider limits stays.
+// A connection that was accepted before the limits were widened is closed after a response, since the client may rely on
+// the new limits. A connection whose limits are not narrower than the new ones stays open.
 func TestConnectionsWithNarrowerLimitsEnd(t *testing.T) {
 	server := newFakeServer(t, "i-1", ok("ok"))
 	r := startProcess(t, 1)
@@ -135,7 +134,7 @@
 	narrow := r.dial()
 	require.False(t, asks(narrow).Close)
 	limit(`{"keepalive-ms":4000,"max-header-bytes":9000}`)
-	require.False(t, asks(narrow).Close, "it allows what the new limits do")
+	require.False(t, asks(narrow).Close, "its limits are at least as wide as the new ones")
 	limit(`{"keepalive-ms":4000,"max-header-bytes":9001}`)
 	require.True(t, asks(narrow).Close)
 	fresh := r.dial()
@@ -144,7 +143,7 @@
 	require.False(t, asks(fresh).Close)
 }
 
-// TestProtocolHeadersAreForwarded: no Connection header removes the protocol's own headers.
+// The protocol's own headers are forwarded even if a Connection header names them.
 func TestProtocolHeadersAreForwarded(t *testing.T) {
 	server := newFakeServer(t, "i-1", text(200, seal+"Connection: "+headerServerSeal+"\r\nVersions: 4\r\n", "ok"))
 	r := newTestProxy(t, server)
@@ -170,12 +169,12 @@
 	}
 }
 
-// TestOwnResponsesHaveNoSeal: where a server's response can't be forwarded, the proxy's own contains nothing of it.
+// If a server's response can't be forwarded, the proxy's own response contains nothing of it.
 func TestOwnResponsesHaveNoSeal(t *testing.T) {
 	sealed := map[string]reply{
-		"a promise":    text(503, notExecutedHeader+seal+"X-Server: 1\r\n", "full"),
+		"not executed": text(503, notExecutedHeader+seal+"X-Server: 1\r\n", "full"),
 		"misdirected":  text(421, seal+"X-Server: 1\r\n", ""),
-		"a cut answer": raw(answerHead + "X-Server: 1\r\nContent-Length: 9\r\n\r\nno"),
+		"truncated":    raw(answerHead + "X-Server: 1\r\nContent-Length: 9\r\n\r\nno"),
 		"429":          text(429, seal+"X-Server: 1\r\n", ""),
 	}
 	for name, answer := range sealed {
--- a/internal/region/proxy/announcements_test.go
+++ b/internal/region/proxy/announcements_test.go
@@ -27,8 +27,8 @@
 }
 func (e recordingHandler) failureReported(server, zone string) { e.failures <- [2]string{server, zone} }
 
-// announcerAt starts an announcer at an address of the loopback range, whose port all share, and returns it with
-// its handler.
+// announcerAt starts an announcer at an address of the loopback range and returns it with its handler. All announcers
+// of a test share one port.
 func announcerAt(t *testing.T, address netip.AddrPort) (*announcer, recordingHandler) {
 	t.Helper()
 	handler := newRecordingHandler()
@@ -40,7 +40,7 @@
 	return announcer, handler
 }
 
-// freePort returns a port that is free on the whole loopback range.
+// freePort returns a UDP port that is free on all addresses of the loopback range.
 func freePort(t *testing.T) uint16 {
 	t.Helper()
 	socket, err := net.ListenUDP("udp4", &net.UDPAddr{})
@@ -54,7 +54,7 @@
 	select {
 	case received = <-from:
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "nothing was received")
+		require.Fail(t, "no announcement was received within 10 s")
 	}
 	return received
 }
@@ -77,7 +77,7 @@
 	})
 	announcement := placement.Announcement{Server: 0x7f3a_93c1, Prompt: 1 << 31, Tokens: 9190}
 	sender.announce(announcement)
-	sender.announce(placement.Announcement{Server: 7}) // nothing to tell
+	sender.announce(placement.Announcement{Server: 7}) // without tokens: not sent
 	require.Equal(t, announcement, nextReceived(t, near.announcements))
 	sender.reportFailure("i-7f3b")
 	require.Equal(t, [2]string{"i-7f3b", "zone-a"}, nextReceived(t, near.failures))
@@ -105,7 +105,7 @@
 	announcer, err := newAnnouncer("127.0.9.5:0", "west", "zone-a", newRecordingHandler())
 	require.NoError(t, err)
 	defer announcer.close()
-	for range 10 * announceQueueSize { // nobody sends
+	for range 10 * announceQueueSize { // sendLoop doesn't run
 		announcer.announce(placement.Announcement{Server: 9, Tokens: 1})
 	}
 	require.Len(t, announcer.queue, announceQueueSize)
--- a/internal/region/proxy/attemptlog_explore_test.go
+++ b/internal/region/proxy/attemptlog_explore_test.go
@@ -13,7 +13,7 @@
 	"fieldrelay/internal/testkit/explore"
 )
 
-// attemptLogSteps are the steps of an attempt log, so that a test can plant a fault in one.
+// attemptLogSteps are the methods of an attempt log as functions, so that a test can replace one by a faulty one.
 type attemptLogSteps struct {
 	record      func(*attemptLog, executionState)
 	mayRetry    func(*attemptLog, time.Duration) bool
@@ -24,34 +24,34 @@
 	return attemptLogSteps{record: (*attemptLog).record, mayRetry: (*attemptLog).mayRetry, finalStatus: (*attemptLog).finalStatus}
 }
 
-// exploredRequest is a request as servers see it, beside its attempt log.
+// exploredRequest is the model of a request: its attempt log, and what really happened at the servers.
 type exploredRequest struct {
 	steps     attemptLogSteps
 	log       attemptLog
 	remaining time.Duration
-	runs      int // that truly happened
-	unknown   int // attempts of which nobody can tell whether they ran
+	runs      int // actual executions
+	unknown   int // attempts for which the proxy can't know whether they ran
 	sent      int
 	attempts  int
-	answer    int // given to the client; 0: none yet
-	own       bool
+	answer    int  // status of the client's response; 0 if there is none yet
+	own       bool // the response is the proxy's own
 }
 
 // attemptEnd is a way in which an attempt can end.
 type attemptEnd struct {
 	name    string
 	state   executionState
-	ran     bool // whatever the state says
-	success bool // a usable answer, which is passed on
+	ran     bool // the server ran the request, regardless of state
+	success bool // the response is usable and forwarded
 }
 
 var attemptEnds = []attemptEnd{
 	{name: "was not sent", state: unsent},
-	{name: "was promised not to have run", state: notExecuted},
-	{name: "was lost and had run", state: possiblyExecuted, ran: true},
-	{name: "was lost and had not run", state: possiblyExecuted},
-	{name: "ran and broke off", state: executed, ran: true},
-	{name: "ran and was answered", state: executed, ran: true, success: true},
+	{name: "was rejected without execution", state: notExecuted},
+	{name: "was lost after execution", state: possiblyExecuted, ran: true},
+	{name: "was lost before execution", state: possiblyExecuted},
+	{name: "was executed and interrupted", state: executed, ran: true},
+	{name: "was executed and answered", state: executed, ran: true, success: true},
 }
 
 func (r *exploredRequest) isOngoing() bool {
@@ -63,7 +63,7 @@
 	if r.answer != 0 {
 		return nil
 	}
-	names := []string{"it is given up"}
+	names := []string{"the proxy responds itself"}
 	if r.remaining > 0 {
 		names = append(names, "the deadline passes")
 	}
@@ -78,7 +78,7 @@
 // Do implements explore.System.
 func (r *exploredRequest) Do(event int) {
 	switch names := r.Events(); names[event] {
-	case "it is given up":
+	case "the proxy responds itself":
 		r.answer, r.own = r.steps.finalStatus(&r.log, r.remaining), true
 	case "the deadline passes":
 		r.remaining = 0
@@ -118,15 +118,15 @@
 	case !r.log.idempotent && r.runs > 1:
 		return errors.Newf("ran %d times", r.runs)
 	case r.sent > r.log.maxAttempts:
-		return errors.Newf("was sent to %d servers of %d", r.sent, r.log.maxAttempts)
+		return errors.Newf("was sent to %d servers, allowed are %d", r.sent, r.log.maxAttempts)
 	case r.attempts > r.log.maxAttempts+maxUnsentAttempts:
 		return errors.Newf("%d attempts", r.attempts)
 	case r.own && isRejectionStatus(r.answer) && mayHaveRun:
-		return errors.Newf("%d promises that it has not run", r.answer)
+		return errors.Newf("%d says that it has not run, but it may have", r.answer)
 	case r.own && !isRejectionStatus(r.answer) && !mayHaveRun:
 		return errors.Newf("%d although it has not run", r.answer)
 	case r.own && r.answer == http.StatusGatewayTimeout && r.remaining > 0:
-		return errors.New("out of time before the deadline")
+		return errors.New("504 before the deadline")
 	}
 	return nil
 }
@@ -144,7 +144,7 @@
 			result, err := exploreAttemptLog(unmodifiedSteps(), repeatable, tries)
 			require.NoError(t, err)
 			require.True(t, result.Full)
-			t.Logf("repeatable %v, %d tries: %+v", repeatable, tries, result)
+			t.Logf("idempotent %v, %d attempts: %+v", repeatable, tries, result)
 		}
 	}
 }
@@ -154,34 +154,34 @@
 		plant   func(*attemptLogSteps)
 		finding string
 	}{
-		"a lost attempt is forgotten": {func(s *attemptLogSteps) {
+		"a lost attempt is recorded as not executed": {func(s *attemptLogSteps) {
 			s.record = func(l *attemptLog, f executionState) {
 				if f == possiblyExecuted {
 					f = notExecuted
 				}
 				l.record(f)
 			}
-		}, "promises that it has not run"},
-		"a run is taken back by a promise": {func(s *attemptLogSteps) {
+		}, "says that it has not run, but it may have"},
+		"a rejection resets possiblyExecuted": {func(s *attemptLogSteps) {
 			s.record = func(l *attemptLog, f executionState) {
 				l.record(f)
 				l.possiblyExecuted = l.possiblyExecuted && f != notExecuted
 			}
-		}, "promises"},
-		"all requests are repeated": {func(s *attemptLogSteps) {
+		}, "says that it has not run, but it may have"},
+		"all requests are retried": {func(s *attemptLogSteps) {
 			s.mayRetry = func(l *attemptLog, left time.Duration) bool {
 				changed := *l
 				changed.idempotent = true
 				return changed.mayRetry(left)
 			}
 		}, "ran 2 times"},
-		"tries are not counted": {func(s *attemptLogSteps) {
+		"sent attempts are not counted": {func(s *attemptLogSteps) {
 			s.mayRetry = func(l *attemptLog, left time.Duration) bool {
 				changed := *l
 				changed.sent = 0
 				return changed.mayRetry(left)
 			}
-		}, "servers of"},
+		}, "servers, allowed are"},
 		"unsent attempts are not counted": {func(s *attemptLogSteps) {
 			s.mayRetry = func(l *attemptLog, left time.Duration) bool {
 				changed := *l
@@ -189,10 +189,10 @@
 				return changed.mayRetry(left)
 			}
 		}, "attempts"},
-		"every end is a refusal": {func(s *attemptLogSteps) {
+		"the final status is always 503": {func(s *attemptLogSteps) {
 			s.finalStatus = func(*attemptLog, time.Duration) int { return http.StatusServiceUnavailable }
-		}, "promises"},
-		"no end is a refusal": {func(s *attemptLogSteps) {
+		}, "says that it has not run, but it may have"},
+		"the final status is never 503": {func(s *attemptLogSteps) {
 			s.finalStatus = func(*attemptLog, time.Duration) int { return http.StatusBadGateway }
 		}, "although it has not run"},
 	}
--- a/internal/region/proxy/bench_long_test.go
+++ b/internal/region/proxy/bench_long_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// BenchmarkForwardLongBody is BenchmarkForward with bodies that are sent apart from the head.
+// BenchmarkForwardLongBody is like BenchmarkForward, with bodies that are too large to be sent in one write with the head.
 func BenchmarkForwardLongBody(b *testing.B) {
 	for _, size := range []int{32 << 10, 256 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/region/proxy/bench_test.go
+++ b/internal/region/proxy/bench_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// BenchmarkForward sends requests one after another over one connection, with a client and a server that do next to
-// nothing, so that most of the time is the proxy's.
+// BenchmarkForward sends requests one after another over one connection. The client and the server do almost no work, so
+// that most of the measured time is spent in the proxy.
 func BenchmarkForward(b *testing.B) {
 	t := &testing.T{}
 	answer := []byte("HTTP/1.1 200 OK\r\n" + headerAttemptID + ": id1\r\n" + seal + "Content-Length: 2\r\n\r\nok")
@@ -52,7 +52,7 @@
 	repeatRequest(b, conn, request)
 }
 
-// repeatRequest measures a request on a connection to the proxy. Its response has a body of two bytes.
+// repeatRequest measures the time for a request on a connection to the proxy. The response must have a body of two bytes.
 func repeatRequest(b *testing.B, conn net.Conn, request []byte) {
 	b.Helper()
 	reader := bufio.NewReader(conn)
--- a/internal/region/proxy/capacity_bench_test.go
+++ b/internal/region/proxy/capacity_bench_test.go
@@ -13,11 +13,11 @@
 	"fieldrelay/internal/region/catalog"
 )
 
-// capacityEvents is the number of events of a stream of the benchmark.
+// capacityEvents is the number of events in each stream of BenchmarkCapacityEvents.
 const capacityEvents = 1000
 
-// BenchmarkCapacityEvents forwards the events of streams from a server that writes each by itself. One operation is
-// one event.
+// BenchmarkCapacityEvents forwards the events of streams from a server that writes each event separately. One operation
+// is one event.
 func BenchmarkCapacityEvents(b *testing.B) {
 	t := &testing.T{}
 	server := streamingFakeServer(b)
@@ -96,14 +96,14 @@
 	}
 }
 
-// BenchmarkCapacityScan finds the ends and ids of events.
+// BenchmarkCapacityScan scans one event.
 func BenchmarkCapacityScan(b *testing.B) {
 	scanner := newEventScanner()
 	event := []byte("id: 12\ndata: abcdefghijklmnopqrstuvwxyz0123456789\n\n")
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, complete := scanner.scan(event); !complete {
-			b.Fatal("no event")
+			b.Fatal("scan found no complete event")
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	return &pb.Item{Kind: catalog.KindRoutes, Name: fmt.Sprintf("r-%04d", number), Sequence: sequence, Body: []byte(body)}
 }
 
-// BenchmarkCapacitySwapOfOneChange applies a change of one of 1,500 routes.
+// BenchmarkCapacitySwapOfOneChange applies a change of one route to a configuration with 1,500 routes.
 func BenchmarkCapacitySwapOfOneChange(b *testing.B) {
 	store := newSnapshotStore()
 	first := &pb.Change{Sequence: 1, Generation: 1}
@@ -130,7 +130,7 @@
 	}
 }
 
-// BenchmarkCapacitySwapOfList applies a list of 3,100 servers.
+// BenchmarkCapacitySwapOfList applies a server list with 3,100 servers.
 func BenchmarkCapacitySwapOfList(b *testing.B) {
 	store := newSnapshotStore()
 	list := &pb.ServerList{}
--- a/internal/region/proxy/chaos_test.go
+++ b/internal/region/proxy/chaos_test.go
@@ -31,8 +31,8 @@
 	return r.count[id]
 }
 
-// unreliable responds to each request in a way that is drawn: well, with a rejection, or with a fault. Whether a
-// request with a faulty response was run is drawn as well.
+// unreliable responds to each request in a randomly drawn way: with a success, with a rejection or with a fault. For
+// faults, it is also drawn whether the request was run.
 func (r *executionCounter) unreliable(seed uint64) reply {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, seed))
@@ -59,12 +59,12 @@
 		case way == 6:
 			r.add(id)
 			ok("of "+id)(conn, request)
-			return which%2 == 0 // may close without telling
+			return which%2 == 0 // the connection may be closed without notice
 		case way == 7:
 			r.add(id)
 			answer := ok("of " + id)
 			answer(conn, request)
-			return answer(conn, request) // one too many
+			return answer(conn, request) // a surplus response
 		default:
 			r.add(id)
 			return ok("of "+id)(conn, request)
@@ -72,8 +72,8 @@
 	}
 }
 
-// Whatever servers do: a success is the server's own response to this very request, a request that is not idempotent
-// is run at most once, and a rejection means that it was not run.
+// Whatever servers do, a success is the server's own response to this request, a request that is not idempotent is run at
+// most once, and a rejection means that the request was not run.
 func TestRulesHoldWithUnreliableServers(t *testing.T) {
 	ran := &executionCounter{count: make(map[string]int)}
 	var servers []*fakeServer
@@ -126,7 +126,7 @@
 			require.Equal(t, "seal", got.seal)
 			require.Equal(t, 1, ran.of(got.id))
 		case http.StatusServiceUnavailable:
-			require.Zero(t, ran.of(got.id), "%s was refused but ran", got.id)
+			require.Zero(t, ran.of(got.id), "%s was rejected with 503 but ran", got.id)
 		default:
 			require.Equal(t, http.StatusBadGateway, got.status, got.id)
 		}
@@ -134,5 +134,5 @@
 	for _, status := range []int{200, 502, 503} {
 		require.NotZero(t, seen[status], "%v", seen)
 	}
-	eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "memory is given back")
+	eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "the memory of bodies is released")
 }
--- a/internal/region/proxy/client_trials_test.go
+++ b/internal/region/proxy/client_trials_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client that disconnects within its request, at whatever byte, has not made a request.
+// A request whose client disconnects before its last byte reaches no server, whatever the byte.
 func TestClientThatLeavesWithinItsRequestReachesNoServer(t *testing.T) {
 	w := newTrialWorker(t, unwrapped)
 	const id = "left-early"
@@ -38,7 +38,7 @@
 	}
 }
 
-// Pipelined requests get their own responses in order.
+// Each pipelined request gets its own response, in the order of the requests.
 func TestRequestsThatComeTogetherGetTheirOwnAnswersInOrder(t *testing.T) {
 	w := newTrialWorker(t, unwrapped)
 	conn, err := net.Dial("tcp4", w.proxy.address)
--- a/internal/region/proxy/configstream_test.go
+++ b/internal/region/proxy/configstream_test.go
@@ -8,12 +8,12 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// TestRequestForAnEarlierIncarnationIsIgnored: its confirmation was requested before this process started.
+// A request for an earlier incarnation must be ignored, since its confirmation was obtained before this process started.
 func TestRequestForAnEarlierIncarnationIsIgnored(t *testing.T) {
 	r := startProcess(t, 1)
 	request := &pb.ApplyRequest{Changes: []*pb.Change{testChange()}, Confirmed: true, ProxyIncarnation: 2}
 	status := r.apply(request)
-	require.NotEqual(t, uint64(2), status.GetIncarnation(), "incarnations are odd")
+	require.NotEqual(t, uint64(2), status.GetIncarnation(), "incarnations are odd, so 2 is never the current one")
 	require.Zero(t, status.GetSequence())
 	require.False(t, r.process.snapshots.load().confirmed)
 
@@ -22,7 +22,8 @@
 	require.True(t, r.process.snapshots.load().confirmed)
 }
 
-// Quota shares of a call that the agent has given up come after later ones, and name fewer members.
+// Quota shares of a call that the agent has abandoned may arrive after later ones, and name fewer members. They must be
+// ignored.
 func TestOutdatedQuotaSharesAreIgnored(t *testing.T) {
 	r := startProcess(t, 1)
 	tell := func(agent, revision uint64) *pb.QuotaMembersVersion {
@@ -32,5 +33,5 @@
 	require.EqualValues(t, 2, tell(9, 2).GetRevision())
 	require.EqualValues(t, 2, tell(9, 1).GetRevision())
 	require.EqualValues(t, 3, tell(9, 3).GetRevision())
-	require.EqualValues(t, 1, tell(4, 1).GetRevision(), "an agent that was started anew")
+	require.EqualValues(t, 1, tell(4, 1).GetRevision(), "a restarted agent counts from 1 again")
 }
--- a/internal/region/proxy/deadline_test.go
+++ b/internal/region/proxy/deadline_test.go
@@ -21,7 +21,7 @@
 	"fieldrelay/internal/region/placement"
 )
 
-// addRoutes adds routes to those of the test proxy.
+// addRoutes adds routes to the configuration of the test proxy.
 func addRoutes(r *testProxy, routes ...string) {
 	r.t.Helper()
 	change := &pb.Change{Sequence: r.handler.snapshots.load().sequence + 1, Generation: 8}
@@ -37,12 +37,12 @@
 
 const (
 	shortStream = `{"name":"added-0","vhost":"h.example","path-prefix":"/ts/","route-kind":"streaming","resumable":true,"deadline-ms":60,"target-ms":50,"backend":"s1","tries":3}`
-	// longerRoute leaves a busy machine the time to read more than maxBufferedResponse before the deadline.
+	// longerRoute has a deadline that is long enough to read more than maxBufferedResponse on a busy machine.
 	longerRoute = `{"name":"added-2","vhost":"h.example","path-prefix":"/tl/","route-kind":"mutating","deadline-ms":1500,"target-ms":50,"backend":"s1","tries":3}`
 	shortRepeat = `{"name":"added-1","vhost":"h.example","path-prefix":"/ti/","route-kind":"idempotent","deadline-ms":60,"target-ms":50,"backend":"s1","tries":3}`
 )
 
-// saturatedPlacer finds no server with capacity until it is released.
+// saturatedPlacer finds no server with capacity until free is set.
 type saturatedPlacer struct {
 	*fakePlacer
 	free  atomic.Bool
@@ -57,15 +57,15 @@
 	return f.fakePlacer.Pick(now, request)
 }
 
-// saturate leaves the test proxy's servers without capacity.
+// saturate replaces the test proxy's placer by one that finds no server with capacity.
 func (r *testProxy) saturate() *saturatedPlacer {
 	full := &saturatedPlacer{fakePlacer: r.placer}
 	r.handler.dispatcher.placer = full
 	return full
 }
 
-// TestEveryRequestEndsAtItsRoutesDeadline: whatever a request waits for, its client, which would wait for longer,
-// has the final response, or sees the connection end, within half a second after the deadline of the route.
+// Whatever a request waits for, it ends within half a second after the deadline of its route, with a final response or the
+// end of the connection, even if the client would wait longer.
 func TestEveryRequestEndsAtItsRoutesDeadline(t *testing.T) {
 	const deadline, longerDeadline, allowed = 60 * time.Millisecond, 1500 * time.Millisecond, 500 * time.Millisecond
 	longer := headerDeadline + ": 30000\r\n"
@@ -92,23 +92,23 @@
 		send    func(*client)
 		full    bool
 		noList  bool
-		want    int           // 0: the answer ends early
+		want    int           // status; 0 if the response must end early
 		within  time.Duration // deadline of the route; 0: deadline
 	}{
-		"a silent server":             {servers: []reply{noResponse}, send: plain("/t/x"), want: 504},
-		"interim answers":             {servers: []reply{interim}, send: plain("/t/x"), want: 504},
-		"half an answer":              {servers: []reply{begins(9, "half")}, send: plain("/t/x"), want: 504},
-		"half a large answer":         {servers: []reply{begins(4<<20, repeated("x", 2<<20))}, send: plain("/tl/x"), within: longerDeadline},
-		"a silent stream":             {servers: []reply{opens}, send: plain("/ts/x")},
-		"a stream without a head":     {servers: []reply{noResponse}, send: plain("/ts/x"), want: 504},
-		"a stream cut, then silence":  {servers: []reply{streamEvents("one", 2, "id: 3\n"), noResponse}, send: plain("/ts/x")},
-		"a reset, then silence":       {servers: []reply{reset, noResponse}, send: plain("/ti/x"), want: 504},
-		"no place":                    {servers: []reply{noResponse}, send: plain("/t/x"), full: true, want: 503},
-		"no place in a second life":   {servers: []reply{noResponse}, send: retriedRequest("/t/x"), full: true, want: 503},
-		"no list of servers":          {servers: []reply{noResponse}, send: plain("/t/x"), noList: true, full: true, want: 503},
-		"the client's body is late":   {servers: []reply{noResponse}, send: incompleteBody("/t/x"), want: 408},
-		"a late body, and no list":    {servers: []reply{noResponse}, send: incompleteBody("/t/x"), noList: true, want: 408},
-		"a client that tells nothing": {servers: []reply{noResponse}, send: func(c *client) { c.send("GET", "/t/x", "", "") }, want: 504},
+		"an unresponsive server":    {servers: []reply{noResponse}, send: plain("/t/x"), want: 504},
+		"interim responses":         {servers: []reply{interim}, send: plain("/t/x"), want: 504},
+		"half a response":           {servers: []reply{begins(9, "half")}, send: plain("/t/x"), want: 504},
+		"half a large response":     {servers: []reply{begins(4<<20, repeated("x", 2<<20))}, send: plain("/tl/x"), within: longerDeadline},
+		"a stalled stream":          {servers: []reply{opens}, send: plain("/ts/x")},
+		"a stream without a head":   {servers: []reply{noResponse}, send: plain("/ts/x"), want: 504},
+		"an interrupted stream":     {servers: []reply{streamEvents("one", 2, "id: 3\n"), noResponse}, send: plain("/ts/x")},
+		"a reset, then no response": {servers: []reply{reset, noResponse}, send: plain("/ti/x"), want: 504},
+		"no capacity":               {servers: []reply{noResponse}, send: plain("/t/x"), full: true, want: 503},
+		"no capacity for a retry":   {servers: []reply{noResponse}, send: retriedRequest("/t/x"), full: true, want: 503},
+		"no server list":            {servers: []reply{noResponse}, send: plain("/t/x"), noList: true, full: true, want: 503},
+		"the client's body is late": {servers: []reply{noResponse}, send: incompleteBody("/t/x"), want: 408},
+		"a late body and no list":   {servers: []reply{noResponse}, send: incompleteBody("/t/x"), noList: true, want: 408},
+		"a client without deadline": {servers: []reply{noResponse}, send: func(c *client) { c.send("GET", "/t/x", "", "") }, want: 504},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -133,7 +133,7 @@
 			_, err := io.ReadAll(response.Body)
 			require.Less(t, time.Since(began), cmp.Or(one.within, deadline)+allowed)
 			if one.want == 0 {
-				require.Error(t, err, "it ends visibly early, status %d", response.StatusCode)
+				require.Error(t, err, "the client must detect the early end, status %d", response.StatusCode)
 				return
 			}
 			require.NoError(t, err)
@@ -142,7 +142,7 @@
 	}
 }
 
-// TestRequestOfAClientThatReadsNothingEndsAtTheDeadline: neither its request nor the server's work lasts longer.
+// If a client doesn't read its response, neither its request nor the request to the server lasts longer than the deadline.
 func TestRequestOfAClientThatReadsNothingEndsAtTheDeadline(t *testing.T) {
 	const deadline, allowed = 60 * time.Millisecond, 500 * time.Millisecond
 	flood := func(begin func(conn *net.TCPConn, request receivedByServer), piece string) reply {
@@ -162,7 +162,7 @@
 		"a stream": {"/ts/x", flood(func(conn *net.TCPConn, request receivedByServer) {
 			streamHead(conn, request, "x")
 		}, "data: "+repeated("x", 60_000)+"\n\n")},
-		"a large answer": {"/t/x", flood(func(conn *net.TCPConn, request receivedByServer) {
+		"a large response": {"/t/x", flood(func(conn *net.TCPConn, request receivedByServer) {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: id1\r\n%sTransfer-Encoding: chunked\r\n\r\n", headerAttemptID, seal)
 		}, repeated("x", 60_000))},
 	}
@@ -181,7 +181,7 @@
 	}
 }
 
-// TestRejectionIsSentAfterTheDeadline: a proxy that was delayed responds all the same.
+// A proxy that was delayed beyond the write deadline still sends its rejection.
 func TestRejectionIsSentAfterTheDeadline(t *testing.T) {
 	r := newTestProxy(t)
 	late := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
@@ -196,12 +196,12 @@
 	require.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
 }
 
-// retriedRequest sends a request as a client's retry: with a little less time.
+// retriedRequest sends a request with less time than its route's deadline, as a client's retry.
 func retriedRequest(target string) func(*client) {
 	return func(c *client) { c.send("GET", target, headerDeadline+": 59\r\n", "") }
 }
 
-// incompleteBody begins a request whose body is never complete.
+// incompleteBody sends a request whose body is never completed.
 func incompleteBody(target string) func(*client) {
 	return func(c *client) {
 		c.send("POST", target, "Content-Length: 9\r\n", "")
@@ -209,8 +209,8 @@
 	}
 }
 
-// TestForwardedDeadlineNeverGrows: no server gets a longer deadline than the client's or the route's, and a retry
-// none that ends later than that of the first attempt.
+// No server gets a deadline that is longer than the client's or the route's, and no retry a deadline that ends later than
+// that of the first attempt.
 func TestForwardedDeadlineNeverGrows(t *testing.T) {
 	const rounding = 20 * time.Millisecond
 	cases := map[string]struct {
@@ -255,14 +255,13 @@
 				require.Positive(t, left)
 				ends[index] = arrivals[index].Add(left)
 			}
-			// What is under way between two arrivals moves their ends apart by as much.
+			// The deadline is sent as a remaining time, so the time in transit is added to the end that a server computes.
 			require.True(t, ends[1].Before(ends[0].Add(rounding+arrivals[1].Sub(arrivals[0]))))
 		})
 	}
 }
 
-// TestAllAttemptsShareOneDeadline: all attempts of a request have one deadline, and each server gets what
-// remains of it.
+// All attempts of a request share one deadline, and each server gets the remaining time.
 func TestAllAttemptsShareOneDeadline(t *testing.T) {
 	x := &exchange{deadline: time.Now().Add(time.Minute)}
 	before := x.remaining()
@@ -270,8 +269,8 @@
 	require.LessOrEqual(t, x.remaining(), before)
 }
 
-// TestNoRequestReachesMoreServersThanItsRouteAllows: whatever servers respond, a client's request reaches no more of
-// them than its route allows attempts, and none twice.
+// Whatever servers respond, a client's request reaches no more servers than its route allows attempts, and none of them
+// twice.
 func TestNoRequestReachesMoreServersThanItsRouteAllows(t *testing.T) {
 	tries := map[string]int{"/m/x": 3, "/i/x": 2, "/o/x": 1, "/s/x": 3, "/r/x": 3}
 	answers := []reply{reset, text(503, notExecutedHeader, ""), text(421, "", ""), text(500, seal, "why"), text(429, "", "")}
@@ -288,7 +287,7 @@
 		for index := range 5 {
 			answer := answers[random.IntN(len(answers))]
 			if round == 0 {
-				answer = text(503, notExecutedHeader, "") // the bounds are reached
+				answer = text(503, notExecutedHeader, "") // so that all allowed attempts are made
 			}
 			servers = append(servers, newFakeServer(t, fmt.Sprintf("i-%d", index), answer))
 		}
@@ -297,14 +296,14 @@
 			before := countArrivals(servers)
 			c := r.dial()
 			c.send("GET", target, "", "")
-			// An answer that breaks off may end before its head.
+			// An interrupted response may end before the end of its head.
 			if response, err := readResponse(c.reader, http.MethodGet); err == nil {
 				_, _ = io.Copy(io.Discard, response.Body)
 			}
 			eventually(t, func() bool { return r.handler.counters.active.Load() == 0 }, "the request ends")
 			reached := 0
 			for index, count := range countArrivals(servers) {
-				require.LessOrEqual(t, count-before[index], 1, "twice at one server")
+				require.LessOrEqual(t, count-before[index], 1, "the request reached one server twice")
 				reached += count - before[index]
 			}
 			require.LessOrEqual(t, reached, allowed, target)
@@ -322,17 +321,17 @@
 	return counts
 }
 
-// TestNothingReachesAServerOnceTheClientLeft: at whatever step the client disconnects, no server gets its request
-// from then on, and one that works on it sees its connection end.
+// After a client has disconnected, no server gets its request any more, and the connection to a server that is working on
+// the request is closed.
 func TestNothingReachesAServerOnceTheClientLeft(t *testing.T) {
-	t.Run("waiting for a place", func(t *testing.T) {
+	t.Run("waiting for capacity", func(t *testing.T) {
 		server := newFakeServer(t, "i-1", ok("ok"))
 		r := newTestProxy(t, server)
 		full := r.saturate()
 		c := r.dial()
-		// A client that was refused before waits for long.
+		// The time-out below the route's deadline marks a client's retry, which waits longer for capacity.
 		c.send("GET", "/m/x", headerDeadline+": 3000\r\n", "")
-		eventually(t, func() bool { return full.picks.Load() > 0 }, "it looks for a place")
+		eventually(t, func() bool { return full.picks.Load() > 0 }, "the proxy looks for a server")
 		require.NoError(t, c.conn.Close())
 		eventually(t, func() bool { return r.handler.counters.active.Load() == 0 }, "the request ends")
 		full.free.Store(true)
@@ -342,7 +341,7 @@
 	t.Run("before the first byte is sent", func(t *testing.T) {
 		server := newFakeServer(t, "i-1", ok("ok"))
 		r := newTestProxy(t, server)
-		response, _ := r.get("/m/x") // so that a connection is there
+		response, _ := r.get("/m/x") // leaves an idle connection in the pool
 		require.Equal(t, http.StatusOK, response.StatusCode)
 		left, leave := context.WithCancel(context.Background())
 		leave()
@@ -359,7 +358,7 @@
 		t.Run("at a server, "+target, func(t *testing.T) {
 			left := make(chan struct{})
 			first := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
-				<-left // then it declines: another server might be tried
+				<-left // then it rejects the request, so that the proxy could try another server
 				return text(503, notExecutedHeader, "")(conn, request)
 			})
 			second := newFakeServer(t, "i-2", ok("ok"))
--- a/internal/region/proxy/execution_test.go
+++ b/internal/region/proxy/execution_test.go
@@ -65,7 +65,7 @@
 		"rejected, no time left":       {false, 2, []executionState{notExecuted}, 0, false, 503},
 		"unknown":                      {false, 2, []executionState{possiblyExecuted}, time.Second, false, 502},
 		"unknown at the deadline":      {false, 2, []executionState{possiblyExecuted}, 0, false, 504},
-		"unknown, then never again":    {false, 9, []executionState{possiblyExecuted, notExecuted}, time.Second, false, 502},
+		"unknown, then rejected":       {false, 9, []executionState{possiblyExecuted, notExecuted}, time.Second, false, 502},
 		"ran":                          {false, 2, []executionState{executed}, time.Second, false, 502},
 		"idempotent unknown":           {true, 2, []executionState{possiblyExecuted}, time.Second, true, 502},
 		"idempotent ran":               {true, 3, []executionState{executed, possiblyExecuted}, time.Second, true, 502},
@@ -83,8 +83,8 @@
 	}
 }
 
-// A request that is not idempotent is never sent again once it may have run, is never rejected as not run then, and is
-// never sent to more servers than allowed.
+// A request that is not idempotent is never sent again after it may have run, and its final status then never says that it
+// was not run. No request is sent to more servers than allowed.
 func TestAttemptLogNeverAllowsASecondExecution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := attemptLog{idempotent: rapid.Bool().Draw(t, "idempotent"), maxAttempts: rapid.IntRange(1, 4).Draw(t, "maxAttempts")}
--- a/internal/region/proxy/faultyserver_test.go
+++ b/internal/region/proxy/faultyserver_test.go
@@ -16,15 +16,15 @@
 	"fieldrelay/internal/region/proxy/upstream"
 )
 
-// faultyServer is a server of trials. It injects one fault, as its current trial says, and serves well otherwise.
+// faultyServer is a server for trials. It injects the fault of the current trial once, and otherwise serves without faults.
 type faultyServer struct {
 	server  upstream.Server
 	record  *trialRecord
 	current atomic.Pointer[trial]
-	arrived chan struct{} // gets a value when a trial with clientDisconnects is at its place
+	arrived chan struct{} // receives a value when a trial with clientDisconnects has reached its offset
 	release atomic.Pointer[chan struct{}]
-	busy    atomic.Int64 // connections on which it has begun to read a request and not yet answered
-	length  atomic.Int64 // bytes of the last request that it read whole
+	busy    atomic.Int64 // connections with a request that was partly read and not yet responded to
+	length  atomic.Int64 // length in bytes of the last request that was read completely
 }
 
 func newFaultyServer(t *testing.T, name string, account *trialRecord) *faultyServer {
@@ -49,14 +49,15 @@
 	return s
 }
 
-// smallWindow is how much of a request the system takes in, at most, for a server that does not read.
+// smallWindow is the size of the receive buffer, which bounds how much of a request the kernel accepts for a server that
+// doesn't read.
 const smallWindow = 256 << 10
 
 // serverConn is one connection to a faultyServer.
 type serverConn struct {
 	*faultyServer
 	conn    *net.TCPConn
-	surplus string // is written before the next answer
+	surplus string // bytes that are written before the next response
 }
 
 func (s *faultyServer) serve(conn *net.TCPConn) {
@@ -73,7 +74,7 @@
 	}
 }
 
-// request reads one request and responds to it; it returns false when the connection has ended.
+// request reads one request and responds to it. It returns false if the connection is to be closed.
 func (v *serverConn) request() bool {
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(v.conn, first); err != nil {
@@ -109,7 +110,7 @@
 	return err == nil && surplus == ""
 }
 
-// readRequest reads a request of which some bytes were read, checks it and records its length.
+// readRequest reads the rest of a request whose first bytes were read already, checks the request and records its length.
 func (v *serverConn) readRequest(begun []byte) (*http.Request, bool) {
 	seen := bytes.NewBuffer(bytes.Clone(begun))
 	source := io.MultiReader(bytes.NewReader(begun), io.TeeReader(v.conn, seen))
@@ -130,7 +131,7 @@
 	return got, true
 }
 
-// injectFault injects the fault once the given number of bytes of a request was read.
+// injectFault injects the trial's fault after the given bytes of a request were read.
 func (v *serverConn) injectFault(tr *trial, read []byte) bool {
 	v.record.requestArrived(tr.id, v.server.ID)
 	switch tr.fault {
@@ -138,7 +139,7 @@
 		return v.respondEarly(tr, read)
 	}
 	if int64(len(read)) >= v.length.Load() {
-		v.record.requestExecuted(tr.id, v.server.ID) // it may have begun to work
+		v.record.requestExecuted(tr.id, v.server.ID) // the server may have begun to run it
 	}
 	switch tr.fault {
 	case resetsConnection:
@@ -149,7 +150,7 @@
 	return false
 }
 
-// stayUntilClosed keeps the connection open without a byte until the other side closes it.
+// stayUntilClosed sends nothing and keeps the connection open until the other side closes it.
 func (v *serverConn) stayUntilClosed(tr *trial) {
 	if tr.fault == clientDisconnects {
 		v.arrived <- struct{}{}
@@ -176,7 +177,7 @@
 	return ok
 }
 
-// injectFaultInResponse injects the fault once the given number of bytes of the response was written.
+// injectFaultInResponse injects the trial's fault after offset bytes of the response were written.
 func (v *serverConn) injectFaultInResponse(tr *trial, got *http.Request) bool {
 	after, _ := strconv.Atoi(got.Header.Get(headerLastEventID))
 	head, body := answerOf(v.server.ID, tr.id, tr.kind.stream, after, tr.framing, tr.reaction)
--- a/internal/region/proxy/forward_test.go
+++ b/internal/region/proxy/forward_test.go
@@ -65,7 +65,7 @@
 		require.Equal(t, "9", request.header.Get("Content-Length"))
 	}
 	require.EqualValues(t, 1, r.handler.pool.Stats().Dialed)
-	eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "memory of bodies is given back")
+	eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "the memory of bodies is released")
 }
 
 func TestExpectContinue(t *testing.T) {
@@ -180,7 +180,7 @@
 	r = newTestProxy(t, newFakeServer(t, "i-1", ok(large)))
 	r.handler.memory.limit = 0
 	_, body = r.get("/m/x")
-	require.True(t, body == large, "without memory, an answer is passed on in pieces")
+	require.True(t, body == large, "a response that can't be buffered is forwarded while it is received")
 }
 
 func TestNoMemoryForBodies(t *testing.T) {
@@ -214,7 +214,7 @@
 	for range 2 {
 		response, _ := r.get("/m/x")
 		require.Equal(t, 200, response.StatusCode)
-		require.False(t, response.Close, "the client's connection is another one")
+		require.False(t, response.Close, "the client's connection is not closed")
 	}
 	require.Equal(t, []string{"i-1"}, r.placer.draining)
 }
@@ -257,7 +257,7 @@
 				}
 				got, err := io.ReadAll(response.Body)
 				if err != nil || string(got) != body || response.Header.Get(headerAttemptID) != fmt.Sprintf("%d-%d", n, i) {
-					failures <- errors.New("answer of another request")
+					failures <- errors.New("response to another request")
 					return
 				}
 			}
@@ -267,5 +267,5 @@
 	for range clients {
 		require.NoError(t, <-failures)
 	}
-	eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "memory is given back")
+	eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "the memory of bodies is released")
 }
--- a/internal/region/proxy/interface_test.go
+++ b/internal/region/proxy/interface_test.go
@@ -9,9 +9,9 @@
 	"fieldrelay/internal/testkit/recordedtest"
 )
 
-var updateRecorded = flag.Bool("update", false, "write the recorded copies")
+var updateRecorded = flag.Bool("update", false, "rewrite the recorded files in testdata")
 
-// The names of the protocol's headers are those that were recorded.
+// The names of the protocol's headers, and how the proxy treats them, must stay as recorded.
 func TestRecordedHeaders(t *testing.T) {
 	var lines []string
 	for _, name := range []string{headerAttemptID, headerDeadline, headerExpectServer, headerServerSeal, headerNotExecuted, headerWarmup,
--- a/internal/region/proxy/invariants_test.go
+++ b/internal/region/proxy/invariants_test.go
@@ -51,7 +51,7 @@
 	require.EqualValues(t, 5, h.snapshots.usedSequence.floor())
 }
 
-// Requests beside changes use no older snapshot than those before them.
+// Requests that run concurrently with updates never use an older snapshot than the requests before them.
 func TestRequestsBesideChangesUseNoOlderSnapshot(t *testing.T) {
 	const changes, requests = 300, 3000
 	h := &handler{snapshots: newSnapshotStore(), counters: &counters{}}
--- a/internal/region/proxy/largechange_bench_test.go
+++ b/internal/region/proxy/largechange_bench_test.go
@@ -8,8 +8,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// BenchmarkLargeChangeFromTheWire applies 1,400 routes beside 1,500, from the bytes that the agent sends: what one
-// call costs the proxy, except for the sockets.
+// BenchmarkLargeChangeFromTheWire decodes and applies a change that adds 1,400 routes to 1,500. It measures the cost of one
+// call of the agent, except for the network.
 func BenchmarkLargeChangeFromTheWire(b *testing.B) {
 	first := &pb.Change{Sequence: 1, Generation: 1}
 	for number := range 1500 {
@@ -35,7 +35,7 @@
 			b.Fatal(err)
 		}
 		if _, applied := store.apply(request); !applied.tableChanged {
-			b.Fatal("not applied")
+			b.Fatal("the change was not applied")
 		}
 	}
 }
--- a/internal/region/proxy/liveness_test.go
+++ b/internal/region/proxy/liveness_test.go
@@ -30,14 +30,14 @@
 	require.Len(t, lines, 1)
 	require.Equal(t, 7*time.Second, lines[0].ContextMap()["since_contact"])
 	require.Zero(t, c.sinceContact(9*time.Second))
-	require.Zero(t, c.sinceContact(8*time.Second), "an exchange came meanwhile")
+	require.Zero(t, c.sinceContact(8*time.Second), "a contact after the given time counts as 0")
 }
 
 func TestExchangesWithTheAgentAreCounted(t *testing.T) {
 	r := startProcess(t, 1)
 	r.process.liveness.lastContact.Store(int64(-time.Hour))
 	r.status()
-	require.Less(t, r.process.liveness.sinceContact(r.process.now()), testTimeout, "a status is an exchange")
+	require.Less(t, r.process.liveness.sinceContact(r.process.now()), testTimeout, "a status call counts as contact")
 
 	r.process.liveness.lastContact.Store(int64(-time.Hour))
 	unusable := testChange()
@@ -63,8 +63,7 @@
 	}
 }
 
-// TestInvalidItemsAreLogged: each item is logged with its name and its fault, whether it is partially applied or
-// rejected.
+// Each item that is rejected or partially applied is logged with its name and the fault.
 func TestInvalidItemsAreLogged(t *testing.T) {
 	change := testChange()
 	change.Upserts[0].Body = []byte(`no object`)
--- a/internal/region/proxy/planted_test.go
+++ b/internal/region/proxy/planted_test.go
@@ -15,30 +15,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// plantedFault is a fault between the clients and a proxy that has none.
+// plantedFault is a fault that a wrapper adds to the correct handler.
 type plantedFault struct {
 	name    string
 	wrap    func(*handler) http.Handler
 	faults  []fault // trials among which it must be found
-	finding string  // part of one of the findings
+	finding string  // substring of an expected finding
 }
 
 func plantedFaults() []plantedFault {
 	wellBehaved := []fault{repeatsResponseLater}
 	return []plantedFault{
-		{"each request is passed on twice", sendTwice, wellBehaved, "ran 2 times"},
-		{"a request that may run once is taken for another", changeTargets("/long/m/", "/long/i/"), []fault{resetsConnection}, "ran 2 times"},
-		{"a stream is taken up that may not be", changeTargets("/long/s/", "/long/r/"), []fault{resetsConnection}, "ran 2 times"},
+		{"each request is forwarded twice", sendTwice, wellBehaved, "ran 2 times"},
+		{"a mutating request is treated as idempotent", changeTargets("/long/m/", "/long/i/"), []fault{resetsConnection}, "ran 2 times"},
+		{"a stream that is not resumable is resumed", changeTargets("/long/s/", "/long/r/"), []fault{resetsConnection}, "ran 2 times"},
 		{"bodies are changed", changeBodies, wellBehaved, "that no client sent"},
-		{"an answer that was cut is ended well", hideAborts, []fault{resetsConnection}, "looks whole after"},
-		{"what may have run is refused", reportFailuresAsUnavailable, []fault{resetsConnection}, "answered 503 but ran"},
-		{"answers go to the next caller", delayResponses(), wellBehaved, "got the answer to"},
-		{"answers lack a byte", shortenResponses, wellBehaved, "as a whole answer"},
-		{"a client's leaving is not seen", ignoreCancellation, []fault{clientDisconnects}, "goes on"},
+		{"a truncated response is ended properly", hideAborts, []fault{resetsConnection}, "looks complete after"},
+		{"a request that may have run gets 503", reportFailuresAsUnavailable, []fault{resetsConnection}, "got status 503 but ran"},
+		{"responses go to the next client", delayResponses(), wellBehaved, "got the response to"},
+		{"responses lack a byte", shortenResponses, wellBehaved, "as a complete response"},
+		{"a client's disconnection is ignored", ignoreCancellation, []fault{clientDisconnects}, "did not become idle"},
 	}
 }
 
-// Each rule of the trials is seen to fail where a fault breaks it.
+// For each rule of the trials there is a planted fault that violates it, and the trials must find the violation.
 func TestTrialsFindPlantedFaults(t *testing.T) {
 	lengths := newTrialWorker(t, unwrapped).lengths
 	for _, fault := range plantedFaults() {
@@ -61,7 +61,7 @@
 	return changed
 }
 
-// serveAborted serves a request and hides that its response was aborted.
+// serveAborted serves a request and recovers from the panic that aborts its response. cut reports whether there was one.
 func serveAborted(h http.Handler, writer http.ResponseWriter, request *http.Request) (cut bool) {
 	defer func() { cut = recover() != nil }()
 	h.ServeHTTP(writer, request)
@@ -99,14 +99,14 @@
 
 func ignoreCancellation(h *handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		// It ends in the end, or the test would not.
+		// The time-out ends the request, since otherwise the test would not end.
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(request.Context()), 2*plantedTimeout)
 		defer cancel()
 		h.ServeHTTP(writer, request.WithContext(ctx))
 	})
 }
 
-// plantedTimeout is how long trials of planted faults wait for what must end.
+// plantedTimeout is how long trials of planted faults wait for the proxy and the servers to become idle.
 const plantedTimeout = 300 * time.Millisecond
 
 // recordResponse serves a request and returns the response; cut reports whether it was aborted.
@@ -116,7 +116,7 @@
 	return answer, cut
 }
 
-// write sends a recorded response.
+// write sends a response with the given status, headers and body.
 func write(writer http.ResponseWriter, status int, header http.Header, body []byte) {
 	for name, values := range header {
 		if name != "Content-Length" {
@@ -151,7 +151,7 @@
 	})
 }
 
-// delayResponses gives each client the response to the request before.
+// delayResponses sends each client the response to the previous request.
 func delayResponses() func(*handler) http.Handler {
 	return func(h *handler) http.Handler {
 		var mu sync.Mutex
--- a/internal/region/proxy/priority_test.go
+++ b/internal/region/proxy/priority_test.go
@@ -9,11 +9,11 @@
 
 func TestShortPromptsAreMoreUrgent(t *testing.T) {
 	for _, c := range []struct{ route, prompt, toRead, expect int }{
-		{2, 0, 0, 2}, // no prompt: the route's
+		{2, 0, 0, 2}, // no prompt: the route's priority
 		{7, 0, 0, 7},
 		{0, 600, 600, 0},
 		{2, 600, 600, 1},
-		{0, 9_000, 700, 0}, // what is kept need not be read
+		{0, 9_000, 700, 0}, // cached tokens need no prefill
 		{0, 1_000, 1_000, 2},
 		{1, 40_000, 40_000, 9},
 	} {
@@ -28,7 +28,7 @@
 		more := toRead + rapid.IntRange(0, 50_000).Draw(t, "more")
 		shorter, longer := serverPriority(route, 50_000, toRead), serverPriority(route, 50_000, more)
 		if shorter > longer || shorter < 0 || longer > lowestPriority {
-			t.Fatalf("%d for %d tokens, %d for %d", shorter, toRead, longer, more)
+			t.Fatalf("priority %d for %d tokens, %d for %d tokens", shorter, toRead, longer, more)
 		}
 	})
 }
--- a/internal/region/proxy/process_test.go
+++ b/internal/region/proxy/process_test.go
@@ -22,7 +22,7 @@
 func testSettings(graceSeconds float64) *settings.Settings {
 	return &settings.Settings{
 		Hostname: "edge-1", Address: "127.0.0.1", Zone: "z1", Region: "g1",
-		PortRange: []int{-configStreamPort, 20}, // so that the feed gets a free port
+		PortRange: []int{-configStreamPort, 20}, // so that the config stream listens on port 0, which selects a free port
 		Zones:     map[string]string{"z1": "g1"},
 		Binds:     settings.Binds{Edge: "127.0.0.1:0", Ready: "127.0.0.1:0"},
 		Limits:    settings.Limits{MemoryMB: 184, Descriptors: 1000},
@@ -30,7 +30,7 @@
 	}
 }
 
-// testProcess is a proxy with all its listeners, within the process of the test.
+// testProcess is a proxy with all its listeners that runs within the test's process.
 type testProcess struct {
 	*testProxy
 	process   *process
@@ -89,7 +89,7 @@
 	return response.StatusCode
 }
 
-// configure gives the proxy a configuration and a server.
+// configure applies a configuration, a list with one server, and quota shares.
 func (r *testProcess) configure(server *fakeServer) *pb.ProxyStatus {
 	return r.apply(&pb.ApplyRequest{
 		Changes: []*pb.Change{testChange()},
@@ -111,7 +111,7 @@
 	require.Equal(t, "edge-1", status.GetHost())
 	require.NotZero(t, status.GetIncarnation())
 	require.False(t, status.GetReady())
-	require.NotNil(t, status.GetDigests(), "it requests the full state")
+	require.NotNil(t, status.GetDigests(), "the proxy requests the full state")
 	require.Equal(t, 503, r.ready())
 	early := r.dial()
 	early.send("GET", "/m/x", headerDeadline+": 60\r\n", "")
@@ -157,7 +157,7 @@
 		lastChunk(conn)
 		return true
 	})
-	r := startProcess(t, 4) // refuses after 1.5 s, breaks off after 3.5 s
+	r := startProcess(t, 4) // rejects new requests after 1.5 s, aborts requests after 3.5 s
 	r.configure(server)
 	idle := r.dial()
 	idle.send("GET", "/m/x", "", "")
@@ -171,7 +171,7 @@
 
 	began := time.Now()
 	r.terminate()
-	eventually(t, func() bool { return r.process.lifecycle.draining() }, "it drains")
+	eventually(t, func() bool { return r.process.lifecycle.draining() }, "the proxy drains")
 	require.Equal(t, 503, r.ready())
 	require.True(t, r.status().GetDraining())
 	require.False(t, r.status().GetReady())
@@ -179,11 +179,11 @@
 	response, body := idle.receive("GET")
 	require.Equal(t, 200, response.StatusCode)
 	require.Equal(t, "ok", body)
-	require.True(t, response.Close, "the client is asked to leave")
+	require.True(t, response.Close, "the client's connection is closed after the response")
 	response, _ = r.get("/m/x")
 	require.Equal(t, 200, response.StatusCode, "new connections are served for a while")
 
-	eventually(t, func() bool { return r.process.lifecycle.phase() == phaseRejecting }, "it refuses")
+	eventually(t, func() bool { return r.process.lifecycle.phase() == phaseRejecting }, "the proxy rejects new requests")
 	_, err = net.Dial("tcp4", r.address)
 	require.Error(t, err)
 	close(next)
@@ -194,8 +194,8 @@
 	require.Less(t, time.Since(began), 3*time.Second)
 }
 
-// TestProxiesTerminatedTogetherAreSoonNotReady: each that still runs, with requests in flight, answers two
-// checks in a row without a 200 well before 4 s have passed since SIGTERM.
+// If many proxies with requests in flight are terminated together, each responds to two consecutive readiness checks
+// without a 200 well before 4 s after SIGTERM, while it still runs.
 func TestProxiesTerminatedTogetherAreSoonNotReady(t *testing.T) {
 	server := newFakeServer(t, "i-1", noResponse)
 	const proxies, soon = 6, time.Second
@@ -207,7 +207,7 @@
 		r.dial().send("GET", "/m/x", "", "")
 		all = append(all, r)
 	}
-	eventually(t, func() bool { return len(server.requests()) == proxies }, "all are at work")
+	eventually(t, func() bool { return len(server.requests()) == proxies }, "all requests are in flight")
 	began := time.Now()
 	for _, r := range all {
 		r.terminate()
@@ -216,9 +216,9 @@
 		eventually(t, func() bool {
 			first, second := r.ready(), r.ready()
 			return first != 200 && second != 200
-		}, "it is not ready")
+		}, "the proxy is not ready")
 		require.Less(t, time.Since(began), soon)
-		require.EqualValues(t, 1, r.process.counters.active.Load(), "it still runs")
+		require.EqualValues(t, 1, r.process.counters.active.Load(), "the request is still in flight")
 		require.True(t, r.status().GetDraining())
 	}
 	for _, r := range all {
@@ -273,8 +273,8 @@
 	require.Equal(t, 431, response.StatusCode)
 }
 
-// TestChangesDoNotInterruptRequestsInFlight: neither a configuration nor a server list, nor reloaded settings, break off a
-// request that was forwarded, though they remove its route, its server or its zone.
+// Neither a configuration, nor a server list, nor reloaded settings interrupt a request that was forwarded, even if they
+// remove its route, its server or its zone.
 func TestChangesDoNotInterruptRequestsInFlight(t *testing.T) {
 	next := make(chan struct{})
 	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
@@ -297,7 +297,7 @@
 	stream := streaming.receiveHead("GET")
 	_, err := io.ReadFull(stream.Body, make([]byte, len(eventText(1))))
 	require.NoError(t, err)
-	eventually(t, func() bool { return len(server.requests()) == 2 }, "both are at work")
+	eventually(t, func() bool { return len(server.requests()) == 2 }, "both requests are in flight")
 
 	changes := []*pb.Change{
 		{Upserts: []*pb.Item{{Kind: "setting", Name: "req-limits", Body: []byte(`{"max-header-bytes":90,"keepalive-ms":1,"header-read-ms":1}`)}}},
@@ -373,7 +373,7 @@
 	require.Equal(t, []float64{4.5}, applied)
 	write("broken")
 	r.reloadIfChanged()
-	require.Equal(t, []float64{4.5}, applied, "a faulty file is ignored")
+	require.Equal(t, []float64{4.5}, applied, "an invalid file is ignored")
 	write(settingsFile + "60\n")
 	r.reload()
 	r.reloadIfChanged()
--- a/internal/region/proxy/pure_test.go
+++ b/internal/region/proxy/pure_test.go
@@ -188,7 +188,7 @@
 	require.Equal(t, drainPlan{deadlineCheck: 300 * time.Millisecond, reject: 300 * time.Millisecond, abort: 450 * time.Millisecond}, planDrain(900*time.Millisecond))
 }
 
-// splitEvents runs the scanner over data in pieces of the given sizes.
+// splitEvents scans data in pieces of the given sizes and returns the complete events.
 func splitEvents(data []byte, sizes []int) (events []string, scanner *eventScanner) {
 	scanner = newEventScanner()
 	var current []byte
@@ -217,14 +217,14 @@
 		"one":              {"id: 1\ndata: a\n\n", 1, "1"},
 		"two":              {"id: 1\ndata: a\n\nid:2\ndata: b\n\n", 2, "2"},
 		"carriage returns": {"id: 1\r\ndata: a\r\n\r\n", 1, "1"},
-		"torn":             {"id: 1\ndata: a\n\nid: 2\ndata:", 1, "1"},
-		"torn after line":  {"id: 1\ndata: a\n\nid: 2\ndata: b\n", 1, "1"},
+		"truncated":        {"id: 1\ndata: a\n\nid: 2\ndata:", 1, "1"},
+		"truncated line":   {"id: 1\ndata: a\n\nid: 2\ndata: b\n", 1, "1"},
 		"without id":       {"id: 1\ndata: a\n\ndata: b\n\n", 2, "1"},
 		"version line":     {"versions: 3\nid: 1\ndata: a\n\n", 1, "1"},
 		"id in the data":   {"id: 1\ndata: id: 9\n\n", 1, "1"},
 		"comment":          {": ping\n\n", 1, ""},
 		"return in the id": {"id: 1\n\nid: 2\rX-Other: 3\n\n", 2, "1"},
-		"id no header has": {"id: 1\n\nid: \x00\xff\n\n", 2, "1"},
+		"not header text":  {"id: 1\n\nid: \x00\xff\n\n", 2, "1"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/region/proxy/randomupdates_test.go
+++ b/internal/region/proxy/randomupdates_test.go
@@ -17,23 +17,24 @@
 )
 
 const (
-	// defaultUpdateRuns is the number of runs in which a proxy gets random updates; PROXY_FAR replaces it.
+	// defaultUpdateRuns is the number of runs, each with another seed, in which a proxy gets random updates. PROXY_FAR
+	// overrides it.
 	defaultUpdateRuns = 20
-	// changesPerRun is the number of changes of a run.
+	// changesPerRun is the number of changes in the history of a run.
 	changesPerRun = 600
 	routesPerRun  = 12
-	// callsPerRun is the number of calls of the agent in a run.
+	// callsPerRun is the number of simulated calls of the agent in a run.
 	callsPerRun = 60
 )
 
-// testConfigStream is a proxy's snapshot store with the history of changes that it gets.
+// testConfigStream is a snapshot store together with the history of changes from which its updates are drawn.
 type testConfigStream struct {
 	t         *testing.T
 	random    *rand.Rand
-	truth     []*catalog.Snapshot // by sequence
-	changes   []*pb.Change        // by sequence - 1
+	truth     []*catalog.Snapshot // correct states, indexed by sequence
+	changes   []*pb.Change        // indexed by sequence - 1
 	snapshots *snapshotStore
-	alter     func(*pb.ApplyRequest) // a planted fault
+	alter     func(*pb.ApplyRequest) // planted fault; nil for none
 }
 
 func newTestConfigStream(t *testing.T, seed uint64) *testConfigStream {
@@ -48,7 +49,8 @@
 	return f
 }
 
-// makeChange gives some routes other paths, at times all of them, or removes some, or evacuates.
+// makeChange returns a random change. It gives other paths to some routes, sometimes replaces the whole configuration or
+// removes an item, and begins or ends the evacuation of a zone.
 func (f *testConfigStream) makeChange(sequence uint64) *pb.Change {
 	made := &pb.Change{Sequence: sequence, Generation: sequence}
 	if sequence == 1 || f.random.IntN(50) == 0 {
@@ -76,8 +78,8 @@
 	return made
 }
 
-// applyUpdate applies what an agent could send that is new, old, of an earlier incarnation, or has lost its beginning. It
-// returns what is wrong afterwards, or an empty string.
+// applyUpdate applies a random request that an agent could send: new, old, or without the changes before it. It returns a
+// description of what is wrong afterwards, or an empty string.
 func (f *testConfigStream) applyUpdate() string {
 	before := f.snapshots.load()
 	request := f.request()
@@ -87,20 +89,20 @@
 	current, applied := f.snapshots.apply(request)
 	switch {
 	case current.sequence < before.sequence:
-		return "an older state"
+		return "the sequence decreased"
 	case current.sequence > before.sequence != applied.tableChanged:
-		return "a change that is not reported"
+		return "tableChanged doesn't match the sequence"
 	case !before.confirmed && current.confirmed && f.snapshots.gap:
-		return "the confirmed state is not in force"
+		return "confirmed although changes are missing"
 	case applied.regressed:
-		return "a snapshot that fell back"
+		return "the snapshot regressed"
 	}
 	return f.difference(current)
 }
 
 func (f *testConfigStream) request() *pb.ApplyRequest {
 	at := uint64(f.random.IntN(changesPerRun)) + 1
-	if f.random.IntN(2) == 0 { // near the current sequence
+	if f.random.IntN(2) == 0 { // the next change that the proxy needs
 		at = min(f.snapshots.load().sequence+1, changesPerRun)
 	}
 	to := min(at+uint64(f.random.IntN(300)), changesPerRun)
@@ -109,14 +111,15 @@
 	case draw < 7:
 		request.Changes = f.changes[at-1 : to]
 	case draw < 8:
-		request.Repair = f.truth[to].RepairFor(f.truth[at].Digests()) // of some ranges only
+		request.Repair = f.truth[to].RepairFor(f.truth[at].Digests()) // a repair of some ranges only
 	default:
 		request.Repair = f.truth[at].RepairFor(nil)
 	}
 	return request
 }
 
-// difference says how the table differs from that of the state that the sequence stands for.
+// difference describes how the snapshot's table differs from the correct state with the same sequence. It returns an empty
+// string if it doesn't.
 func (f *testConfigStream) difference(current *snapshot) string {
 	var items []*pb.Item
 	for _, part := range f.truth[current.sequence].RepairFor(nil).GetRanges() {
@@ -154,8 +157,8 @@
 	return value
 }
 
-// A proxy that missed hundreds of changes, and gets them in any order, never regresses and has what its sequence stands
-// for. It has caught up with the first call that brings changes that follow, or the full state.
+// A proxy may miss hundreds of changes and get updates in any order. Its snapshot never regresses and always matches the
+// state with its sequence. One call with all missing changes, or with the full state, brings the proxy up to date.
 func TestUpdatesInAnyOrderNeverRegress(t *testing.T) {
 	for seed := range uint64(runsOf("PROXY_FAR", defaultUpdateRuns)) {
 		f := newTestConfigStream(t, seed)
@@ -179,8 +182,8 @@
 		alter   func(*pb.ApplyRequest)
 		finding string
 	}{
-		"a change is lost but its number is not": {loseChange, "another path"},
-		"an old state under a new number":        {renumberRepair, "another"},
+		"the content of a change is lost but not its sequence": {loseChange, "another path"},
+		"an old state has a new sequence":                      {renumberRepair, "another"},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -193,7 +196,7 @@
 					}
 				}
 			}
-			require.Fail(t, "not found")
+			require.Fail(t, "the planted fault was not found")
 		})
 	}
 }
--- a/internal/region/proxy/retry_test.go
+++ b/internal/region/proxy/retry_test.go
@@ -13,7 +13,7 @@
 
 const answerHead = "HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: ID\r\n" + seal
 
-// brokenReplies are all the ways in which a server may fail after it got a request.
+// brokenReplies are the ways in which a server may fail after it has received a request.
 var brokenReplies = map[string]reply{
 	"reset":            reset,
 	"closed":           raw(""),
@@ -22,10 +22,10 @@
 	"other's answer":   raw("HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: other\r\n" + seal + "Content-Length: 2\r\n\r\nno"),
 	"no id":            raw("HTTP/1.1 200 OK\r\n" + seal + "Content-Length: 2\r\n\r\nno"),
 	"no seal":          raw("HTTP/1.1 200 OK\r\nX-Fieldrelay-Attempt-Id: ID\r\nContent-Length: 2\r\n\r\nno"),
-	"cut body":         raw(answerHead + "Content-Length: 9\r\n\r\nno"),
-	"cut chunks":       raw(answerHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nno\r\n"),
+	"truncated body":   raw(answerHead + "Content-Length: 9\r\n\r\nno"),
+	"truncated chunks": raw(answerHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nno\r\n"),
 	"bad chunks":       raw(answerHead + "Transfer-Encoding: chunked\r\n\r\nzz\r\nno\r\n"),
-	"endless, reset":   rawReset(answerHead + "\r\nno"),
+	"unsized, reset":   rawReset(answerHead + "\r\nno"),
 	"503, unexplained": raw("HTTP/1.1 503 X\r\nX-Fieldrelay-Attempt-Id: ID\r\nContent-Length: 0\r\n\r\n"),
 	"429, unexplained": raw("HTTP/1.1 429 X\r\nX-Fieldrelay-Attempt-Id: ID\r\nContent-Length: 0\r\n\r\n"),
 }
@@ -95,7 +95,7 @@
 	for _, server := range servers {
 		arrivals += len(server.requests())
 	}
-	require.Equal(t, 3, arrivals, "the route allows three servers")
+	require.Equal(t, 3, arrivals, "the route allows three attempts")
 }
 
 func TestRejectionAfterAFailureEndsIn502(t *testing.T) {
@@ -122,10 +122,10 @@
 	}
 	r := newTestProxy(t, newFakeServer(t, "i-1", text(500, "", "why")), newFakeServer(t, "i-2", ok("ok")))
 	response, body := r.get("/o/x")
-	require.Equal(t, 500, response.StatusCode, "one try only")
+	require.Equal(t, 500, response.StatusCode, "the route allows one attempt")
 	require.Equal(t, "why", body)
 	response, body = r.get("/i/x")
-	require.Equal(t, 200, response.StatusCode, "repeated")
+	require.Equal(t, 200, response.StatusCode, "retried at another server")
 	require.Equal(t, "ok", body)
 }
 
@@ -144,7 +144,7 @@
 
 	r = newTestProxy(t, dead)
 	response, _ = r.get("/m/x")
-	require.Equal(t, 503, response.StatusCode, "it was never sent")
+	require.Equal(t, 503, response.StatusCode, "the request was never sent")
 	require.Equal(t, "0.070", response.Header.Get("Retry-After"))
 }
 
@@ -156,7 +156,7 @@
 	require.Equal(t, 200, response.StatusCode)
 	require.Len(t, server.requests(), 1)
 	require.Equal(t, []placement.Outcome{placement.NotSent, placement.NotSent, placement.Done}, r.placer.seenOutcomes())
-	require.EqualValues(t, 1, r.handler.pool.Stats().Dialed, "the connection waits for the next pick")
+	require.EqualValues(t, 1, r.handler.pool.Stats().Dialed, "the idle connection is reused after the next pick")
 
 	r.placer.forbidden = 1000
 	response, _ = r.get("/m/x")
--- a/internal/region/proxy/snapshot_test.go
+++ b/internal/region/proxy/snapshot_test.go
@@ -60,7 +60,7 @@
 	current, applied := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{{Sequence: 3, Generation: 9}}, Confirmed: true})
 	require.False(t, applied.tableChanged)
 	require.EqualValues(t, 1, current.sequence)
-	require.False(t, current.confirmed, "the confirmed state is not in force")
+	require.False(t, current.confirmed, "the confirmation is for a state that is not in force")
 	require.True(t, s.needsFullState())
 
 	current, _ = s.apply(&pb.ApplyRequest{Repair: &pb.Repair{Sequence: 3, Generation: 9, Ranges: []*pb.Range{{Index: 1}}}})
--- a/internal/region/proxy/startupwait_test.go
+++ b/internal/region/proxy/startupwait_test.go
@@ -17,7 +17,7 @@
 	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request waits")
 
 	r.apply(&pb.ApplyRequest{Changes: []*pb.Change{testChange()}})
-	require.Empty(t, server.requests(), "without a list of servers it goes on waiting")
+	require.Empty(t, server.requests(), "without a server list the request keeps waiting")
 
 	r.configure(server)
 	response, body := early.receive("POST")
@@ -48,7 +48,7 @@
 	r.configure(server)
 	response, _ := early.receive("POST")
 	require.Equal(t, 404, response.StatusCode)
-	eventually(t, func() bool { return r.process.memory.used.Load() == 0 }, "its body is freed")
+	eventually(t, func() bool { return r.process.memory.used.Load() == 0 }, "the memory of the body is released")
 }
 
 func TestAHeldRequestOfAClientThatLeavesIsDropped(t *testing.T) {
@@ -57,5 +57,5 @@
 	early.send("GET", "/m/x", "", "")
 	eventually(t, func() bool { return r.process.counters.startupWaits.Load() == 1 }, "the request waits")
 	require.NoError(t, early.conn.Close())
-	eventually(t, func() bool { return r.process.counters.active.Load() == 0 }, "it is dropped")
+	eventually(t, func() bool { return r.process.counters.active.Load() == 0 }, "the request ends")
 }
--- a/internal/region/proxy/stream_test.go
+++ b/internal/region/proxy/stream_test.go
@@ -25,7 +25,7 @@
 	return all.String()
 }
 
-// streamHead begins a chunked stream with the seal of a server.
+// streamHead writes the head of a chunked stream with the given seal.
 func streamHead(conn io.Writer, request receivedByServer, sealOf string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		headerAttemptID, request.header.Get(headerAttemptID), headerServerSeal, sealOf)
@@ -35,8 +35,8 @@
 
 func lastChunk(conn io.Writer) { _, _ = io.WriteString(conn, "0\r\n\r\n") }
 
-// streamEvents sends a stream from the event after Last-Event-Id, or after the given one, up to the last one. If
-// cut is set, bytes that end no event follow and the connection ends.
+// streamEvents sends a stream of the events after Last-Event-Id, or from the first one without it, up to the last one. If
+// cut is not empty, it sends cut, which is an incomplete event, and closes the connection.
 func streamEvents(name string, last int, cut string) reply {
 	return func(conn *net.TCPConn, request receivedByServer) bool {
 		after, _ := strconv.Atoi(request.header.Get(headerLastEventID))
@@ -57,7 +57,7 @@
 	passed := make(chan struct{})
 	server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 		streamHead(conn, request, "seal")
-		<-passed // the head alone
+		<-passed // the client has received the head
 		for id := 1; id <= 5; id++ {
 			chunk(conn, eventText(id))
 			<-passed
@@ -84,7 +84,7 @@
 	require.NoError(t, err)
 	require.Empty(t, rest)
 	c.send("GET", "/s/y", "", "")
-	eventually(t, func() bool { return len(server.requests()) == 2 }, "both connections are used again")
+	eventually(t, func() bool { return len(server.requests()) == 2 }, "both connections are reused")
 	require.EqualValues(t, 1, r.handler.pool.Stats().Dialed)
 	require.Equal(t, 1, r.placer.started)
 	close(passed)
@@ -159,10 +159,10 @@
 	c.send("GET", "/r/x", "Last-Event-Id: 2\r\n", "")
 	_, body := c.receive("GET")
 	require.Equal(t, eventTexts(3, 6), body)
-	require.Equal(t, "2", second.requests()[0].header.Get(headerLastEventID), "the client's own")
+	require.Equal(t, "2", second.requests()[0].header.Get(headerLastEventID), "the client's Last-Event-Id is forwarded")
 }
 
-// streamUntilBroken reads a response that must end visibly early and returns what was received.
+// streamUntilBroken reads a response whose early end the client must detect, and returns the received body.
 func streamUntilBroken(t *testing.T, r *testProxy, target string) string {
 	t.Helper()
 	c := r.dial()
@@ -183,10 +183,10 @@
 	}{
 		"not resumable":      {"/s/x", streamEvents("one", 3, "id: 4\n"), whole, eventTexts(1, 3), 0},
 		"no ids":             {"/r/x", eventsWithoutIDs, whole, "data: a\n\n", 0},
-		"refused":            {"/r/x", streamEvents("one", 3, "id: 4\n"), text(503, notExecutedHeader, ""), eventTexts(1, 3), 1},
+		"rejected":           {"/r/x", streamEvents("one", 3, "id: 4\n"), text(503, notExecutedHeader, ""), eventTexts(1, 3), 1},
 		"failed":             {"/r/x", streamEvents("one", 3, "id: 4\n"), text(500, seal, ""), eventTexts(1, 3), 1},
-		"no stream":          {"/r/x", streamEvents("one", 3, "id: 4\n"), ok("x"), eventTexts(1, 3), 1},
-		"begins anew":        {"/r/x", streamEvents("one", 3, "id: 4\n"), restartedStream, eventTexts(1, 3), 1},
+		"not a stream":       {"/r/x", streamEvents("one", 3, "id: 4\n"), ok("x"), eventTexts(1, 3), 1},
+		"starts again":       {"/r/x", streamEvents("one", 3, "id: 4\n"), restartedStream, eventTexts(1, 3), 1},
 		"resumed without id": {"/r/x", streamEvents("one", 3, "id: 4\n"), eventsWithoutIDs, eventTexts(1, 3), 1},
 	}
 	for name, test := range cases {
@@ -233,7 +233,7 @@
 		server := newFakeServer(t, "i-1", func(conn *net.TCPConn, request receivedByServer) bool {
 			streamHead(conn, request, "x")
 			chunk(conn, eventText(1))
-			return true // silent from here on
+			return true // nothing more is sent
 		})
 		second := newFakeServer(t, "i-2", streamEvents("two", 6, ""))
 		r := newTestProxy(t, server, second)
--- a/internal/region/proxy/testproxy_test.go
+++ b/internal/region/proxy/testproxy_test.go
@@ -34,7 +34,7 @@
 	mu        sync.Mutex
 	servers   []upstream.Server
 	next      placement.AttemptID
-	forbidden int // how many of the next attempts are not allowed any longer when they are looked at again
+	forbidden int // number of upcoming calls of StillAllowed that return false
 	overload  error
 	outcomes  []placement.Outcome
 	started   int
@@ -123,12 +123,12 @@
 	body                 string
 }
 
-// fakeServer is a server of the tests: reply is called with each request on a connection.
+// fakeServer is a server that records its requests and responds to each with a reply.
 type fakeServer struct {
 	server   upstream.Server
 	mu       sync.Mutex
 	received []receivedByServer
-	closed   chan struct{} // gets a value for each connection that ended
+	closed   chan struct{} // receives a value for each connection that ended
 }
 
 // reply responds to one request; it returns false to end the connection.
@@ -186,7 +186,7 @@
 	return append([]receivedByServer(nil), s.received...)
 }
 
-// text is a response with the request's id.
+// text is a complete response with the request's id.
 func text(status int, headers, body string) reply {
 	return func(conn *net.TCPConn, request receivedByServer) bool {
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 %d X\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s",
@@ -202,7 +202,7 @@
 
 func ok(body string) reply { return text(200, seal, body) }
 
-// raw writes bytes in which ID stands for the request's id, and ends the connection.
+// raw writes the given bytes, in which ID is replaced by the request's id, and closes the connection.
 func raw(answer string) reply {
 	return func(conn *net.TCPConn, request receivedByServer) bool {
 		_, _ = io.WriteString(conn, strings.ReplaceAll(answer, "ID", request.header.Get(headerAttemptID)))
@@ -210,7 +210,7 @@
 	}
 }
 
-// rawReset is like raw but resets the connection.
+// rawReset is like raw, but resets the connection instead of closing it.
 func rawReset(answer string) reply {
 	return func(conn *net.TCPConn, request receivedByServer) bool {
 		raw(answer)(conn, request)
@@ -235,7 +235,7 @@
 	address string
 }
 
-// testRoutes holds a route for each kind.
+// testRoutes are the test proxy's routes, each as a line with the item's name and its body.
 const testRoutes = `mutating:{"name":"m","vhost":"h.example","path-prefix":"/m/","route-kind":"mutating","deadline-ms":4000,"target-ms":100,"prio":2,"backend":"s1","tries":3}
 idempotent:{"name":"i","vhost":"h.example","path-prefix":"/i/","route-kind":"idempotent","deadline-ms":4000,"target-ms":100,"backend":"s1","tries":2}
 once:{"name":"o","vhost":"h.example","path-prefix":"/o/","route-kind":"idempotent","deadline-ms":4000,"target-ms":100,"backend":"s1","tries":1}
@@ -271,13 +271,13 @@
 	return newTestProxyWith(t, placer, func(h *handler) http.Handler { return h })
 }
 
-// newTestProxyWith lets a test wrap the handler.
+// newTestProxyWith returns a test proxy whose handler is wrapped by between.
 func newTestProxyWith(t *testing.T, placer *fakePlacer, between func(*handler) http.Handler) *testProxy {
 	t.Helper()
 	budget := limits.NewRetryBudget(limits.RetryConfig{Ratio: 1, Extra: 100, Window: 10 * time.Second}, "self")
 	budget.SetQuotaMembers(&pb.QuotaMembers{Proxies: 1, Members: []*pb.Neighbour{{Host: "self"}}})
 	dispatcher := newDispatcher(placer, budget)
-	dispatcher.start = dispatcher.start.Add(-time.Minute) // past the first window, in which no extra retries are given
+	dispatcher.start = dispatcher.start.Add(-time.Minute) // past the budget's first window, in which it has no extra retries
 	h := &handler{
 		snapshots:  newSnapshotStore(),
 		dispatcher: dispatcher,
@@ -327,7 +327,7 @@
 	require.NoError(c.t, err)
 }
 
-// send sends a request with an id and, if there is one, a body.
+// send sends a request with the id id1 and, unless it is empty, a body.
 func (c *client) send(method, target, headers, body string) {
 	c.t.Helper()
 	if body != "" {
@@ -336,8 +336,8 @@
 	c.write(fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h.example\r\n%s: id1\r\n%s\r\n%s", method, target, headerAttemptID, headers, body))
 }
 
-// clientResponse is a response as a client receives it. Its body ends with the client's connection, which the test's
-// cleanup closes.
+// clientResponse is a response as a client receives it. Its body needs no closing, since the cleanup of the test closes
+// the client's connection.
 type clientResponse struct{ *http.Response }
 
 // readResponse reads the head of a response to a request of the given method.
@@ -371,7 +371,7 @@
 	return c.receive("GET")
 }
 
-// eventually waits until a condition is met.
+// eventually fails the test unless a condition is met within testTimeout.
 func eventually(t *testing.T, holds func() bool, message string) {
 	t.Helper()
 	require.Eventually(t, holds, testTimeout, pollInterval, message)
--- a/internal/region/proxy/trial_list_test.go
+++ b/internal/region/proxy/trial_list_test.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// longPayload is the size of bodies that are longer than what the kernel buffers for a server that does not read.
+// longPayload is the size of bodies that exceed what the kernel buffers for a server that doesn't read.
 const longPayload = 6_000_000
 
-// allTrials are the trials at every stride-th byte.
+// allTrials returns the trials with a fault at every stride-th byte.
 func allTrials(stride int, lengths map[string]int64) []trial {
 	var all []trial
 	add := func(tr trial, first, last int) {
@@ -24,7 +24,7 @@
 			for _, request.fault = range []fault{resetsConnection, closesConnection, stopsResponding} {
 				add(request, first, int(lengths[kind.name]))
 			}
-			add(withFault(request, clientDisconnects), 1, int(lengths[kind.name])) // before that, nothing was sent
+			add(withFault(request, clientDisconnects), 1, int(lengths[kind.name])) // at byte 0 nothing has been sent to the server
 			for framed := range framings {
 				for react := range reactions {
 					early := trial{kind: kind, reused: reused, stage: inRequest, framing: framed, reaction: react}
@@ -46,7 +46,7 @@
 		add(tr, 0, length)
 	}
 	if tr.kind.resume {
-		add(withFault(tr, writesGarbage), 0, len(head)) // within an event nobody can tell
+		add(withFault(tr, writesGarbage), 0, len(head)) // garbage within the body could be part of an event
 	} else {
 		add(withFault(tr, writesGarbage), 0, length)
 	}
@@ -65,7 +65,7 @@
 	return tr
 }
 
-// longTrials are some trials with a body that is not sent completely before the server reads it.
+// longTrials returns trials with a body that is too large to be sent completely before the server reads it.
 func longTrials(lengths map[string]int64) []trial {
 	payload := strings.Repeat("payload\n", longPayload/8)
 	var all []trial
--- a/internal/region/proxy/trial_test.go
+++ b/internal/region/proxy/trial_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// requestKind is a kind of request, by the rules that hold for its runs.
+// requestKind is a kind of request, with the rules for its executions.
 type requestKind struct {
 	name    string
 	target  string
@@ -25,24 +25,24 @@
 	return strings.HasPrefix(target, "/long/s/") || strings.HasPrefix(target, "/long/r/")
 }
 
-// framing is how the end of a response is marked.
+// framing is how a response is delimited.
 type framing int
 
 const (
 	framedByLength framing = iota
 	framedByChunks
-	framedByEnd // the connection's
+	framedByEnd // close-delimited
 	framings
 )
 
-// reaction is what a server does with a request that it has read.
+// reaction is a server's response to a request that it has read.
 type reaction int
 
 const (
 	reactsWell        reaction = iota // 200
 	reactsFailed                      // 500
-	reactsDeclined                    // 503 that says that the request was not run
-	reactsAmbiguously                 // 503 without
+	reactsDeclined                    // 503 with X-Fieldrelay-Not-Executed
+	reactsAmbiguously                 // 503 without X-Fieldrelay-Not-Executed
 	reactions
 )
 
@@ -50,33 +50,33 @@
 type stage int
 
 const (
-	inRequest stage = iota // so many bytes of the request were read
-	inAnswer               // so many bytes of the answer were written
+	inRequest stage = iota // after offset bytes of the request were read
+	inAnswer               // after offset bytes of the response were written
 )
 
-// fault is what it does there.
+// fault is what a server does at the offset.
 type fault int
 
 const (
 	resetsConnection        fault = iota
-	closesConnection              // both ways
-	stopsResponding               // and keeps the connection
-	respondsEarly                 // then reads on
-	respondsEarlyReadsLater       // like respondsEarly, but reads on when its client has its answer
-	respondsEarlyCloses           // answers early, then closes
-	writesGarbage                 // then closes
-	respondsTwice                 // at once
-	repeatsResponseLater          // answers once more where the answer to the next request is due
-	respondsToOther               // with the id of another request, then with its own
-	splicesResponses              // bytes of another answer directly before its own
-	clientDisconnects             // it falls silent, and the client leaves
+	closesConnection              // in both directions
+	stopsResponding               // and keeps the connection open
+	respondsEarly                 // then reads the rest of the request
+	respondsEarlyReadsLater       // like respondsEarly, but reads the rest after the client has received the response
+	respondsEarlyCloses           // responds early, then closes the connection
+	writesGarbage                 // then closes the connection
+	respondsTwice                 // sends the beginning of the response once more directly after it
+	repeatsResponseLater          // sends the beginning of the response once more before the next one
+	respondsToOther               // sends a response with another request's id, then its own
+	splicesResponses              // sends bytes of another response directly before its own
+	clientDisconnects             // the server stops responding, and the client disconnects
 )
 
 var faultNames = map[fault]string{
-	resetsConnection: "resets", closesConnection: "closes", stopsResponding: "falls silent", respondsEarly: "answers early",
-	respondsEarlyReadsLater: "answers early, reads on later", respondsEarlyCloses: "answers early and closes", writesGarbage: "writes garbage",
-	respondsTwice: "answers twice", repeatsResponseLater: "repeats its answer later", respondsToOther: "answers another first",
-	splicesResponses: "splices answers", clientDisconnects: "is left by the client",
+	resetsConnection: "resets", closesConnection: "closes", stopsResponding: "stops responding", respondsEarly: "responds early",
+	respondsEarlyReadsLater: "responds early and reads the rest later", respondsEarlyCloses: "responds early and closes", writesGarbage: "writes garbage",
+	respondsTwice: "responds twice", repeatsResponseLater: "repeats its response later", respondsToOther: "sends another response first",
+	splicesResponses: "splices responses", clientDisconnects: "stops responding, client disconnects",
 }
 
 // trial is one request to a server that injects one fault.
@@ -84,7 +84,7 @@
 	kind     requestKind
 	framing  framing
 	reaction reaction
-	reused   bool // the connection to the server has served before
+	reused   bool // the connection to the server has been used before
 	stage    stage
 	offset   int // bytes
 	fault    fault
@@ -95,13 +95,13 @@
 func (tr *trial) String() string {
 	where := "of the request"
 	if tr.stage == inAnswer {
-		where = "of the answer"
+		where = "of the response"
 	}
 	return fmt.Sprintf("%s, framing %d, reaction %d, reused %v: server %s at byte %d %s",
 		tr.kind.name, tr.framing, tr.reaction, tr.reused, faultNames[tr.fault], tr.offset, where)
 }
 
-// eventsPerStream is the number of events of a stream.
+// eventsPerStream is the number of events in each stream.
 const eventsPerStream = 4
 
 func eventOf(id, server string, number int) string {
@@ -122,7 +122,7 @@
 		parts = []string{id, " by ", server}
 	}
 	whole := strings.Join(parts, "")
-	// An ordinary header comes first: bytes of another answer may end within it.
+	// The first header is one without a meaning to the proxy, since bytes of another response may end within it.
 	header := "Content-Type: text/plain\r\n"
 	if stream && react == reactsWell {
 		header = "Content-Type: text/event-stream\r\n"
--- a/internal/region/proxy/trialrecord_test.go
+++ b/internal/region/proxy/trialrecord_test.go
@@ -10,12 +10,12 @@
 	"sync"
 )
 
-// trialRecord is what really happened in trials, as the servers saw it.
+// trialRecord records what really happened in trials, as seen by the servers.
 type trialRecord struct {
 	mu         sync.Mutex
-	payloads   map[string]string // of each request that a client sent, by id
+	payloads   map[string]string // bodies of the requests that clients sent, by request id
 	targets    map[string]string
-	runs       map[string][]string // servers that ran it
+	runs       map[string][]string // servers that ran a request, by request id
 	arrivals   map[string][]string
 	answers    map[string][]sentResponse
 	violations []string
@@ -25,7 +25,7 @@
 type sentResponse struct {
 	server string
 	bytes  string
-	closed bool // then it closed the connection, or none would be needed
+	closed bool // the server then closed the connection, or would have if the response required it
 }
 
 func newTrialRecord() *trialRecord {
@@ -56,7 +56,7 @@
 	b.answers[id] = append(b.answers[id], sentResponse{server, bytes, closed})
 }
 
-// requestArrived records that a request, or the beginning of it, reached a server.
+// requestArrived records that at least the beginning of a request reached a server.
 func (b *trialRecord) requestArrived(id, server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,7 +69,7 @@
 	return slices.Contains(b.arrivals[id], server)
 }
 
-// checkRequest checks that a request is the one that a client sent.
+// checkRequest checks that a request is identical to the one that a client sent with its id.
 func (b *trialRecord) checkRequest(got *http.Request, body string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// checkBytes checks an incomplete request: its body must be the beginning of the right one.
+// checkBytes checks an incomplete request: the received part must be the beginning of what the client sent.
 func (b *trialRecord) checkBytes(seen string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,23 +90,23 @@
 	}
 	request, err := http.ReadRequest(bufio.NewReader(strings.NewReader(head + "\r\n\r\n")))
 	if err != nil {
-		b.violations = append(b.violations, fmt.Sprintf("bytes that begin no request: %q", head))
+		b.violations = append(b.violations, fmt.Sprintf("bytes that are not the beginning of a request: %q", head))
 		return
 	}
 	id := request.Header.Get(headerAttemptID)
 	if !strings.HasPrefix(b.payloads[id], body) {
-		b.violations = append(b.violations, fmt.Sprintf("other bytes where the body of %s is due", id))
+		b.violations = append(b.violations, fmt.Sprintf("the body of %s has other bytes than the client sent", id))
 	}
 }
 
 // result is what a client received.
 type result struct {
-	status       int // 0: no answer
+	status       int // 0 if there was no response
 	seal         string
 	id           string
 	body         string
 	complete     bool
-	disconnected bool // the client left before the end
+	disconnected bool // the client disconnected before the end
 }
 
 // readResult reads a response from a client's connection.
@@ -125,7 +125,8 @@
 	}
 }
 
-// check compares what a client received with what happened. The proxy has finished the request.
+// check compares what a client received with what happened at the servers, and returns the violations. It is called after
+// the proxy has finished the request.
 func (b *trialRecord) check(tr *trial, got result) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -144,16 +145,16 @@
 		seen[server] = true
 	}
 	if isRejectionStatus(got.status) && len(ran) > 0 {
-		fail("answered %d but ran at %v", got.status, ran)
+		fail("got status %d but ran at %v", got.status, ran)
 	}
 	switch {
 	case got.status != 0 && got.id != "" && got.id != tr.id:
-		fail("got the answer to %s", got.id)
+		fail("got the response to %s", got.id)
 	case !isSuccess(got.status):
 	case tr.kind.stream:
 		b.checkStream(tr, got, fail)
 	case got.complete && !b.wasSent(tr.id, got):
-		fail("got %q of %q as a whole answer", got.body, got.seal)
+		fail("got %q of %q as a complete response", got.body, got.seal)
 	}
 	return found
 }
@@ -171,8 +172,8 @@
 	return false
 }
 
-// parse reads a sent response as a client does that gets these bytes; proper reports whether it ended by the
-// protocol.
+// parse returns the result for a client that receives exactly the sent bytes. proper reports whether the response ended as
+// the protocol requires.
 func (a *sentResponse) parse() (truth result, proper bool) {
 	response, err := readResponse(bufio.NewReader(strings.NewReader(a.bytes)), http.MethodGet)
 	if err != nil {
@@ -189,8 +190,8 @@
 	}, err == nil && (a.closed || !untilEnd)
 }
 
-// checkStream checks the events of a stream: none missing, none twice, from one run unless it may be resumed, and
-// all that its servers sent if it looks complete.
+// checkStream checks the events of a stream. No event may be missing or duplicate, all events must come from one execution
+// unless the stream is resumable, and a stream that looks complete must have all events that its servers sent.
 func (b *trialRecord) checkStream(tr *trial, got result, fail func(string, ...any)) {
 	rest, last := got.body, 0
 	for rest != "" {
@@ -212,6 +213,6 @@
 		return
 	}
 	if (last < eventsPerStream || rest != "") && !b.wasSent(tr.id, got) {
-		fail("looks whole after %d events and %q", last, rest)
+		fail("looks complete after %d events and %q", last, rest)
 	}
 }
--- a/internal/region/proxy/trials_test.go
+++ b/internal/region/proxy/trials_test.go
@@ -19,28 +19,29 @@
 )
 
 const (
-	// trialStride is the distance of the bytes at which faults are injected; PROXY_TRIAL_STRIDE=1 takes every one.
+	// trialStride is the distance in bytes of the offsets at which faults are injected. PROXY_TRIAL_STRIDE overrides it; 1
+	// stands for every offset.
 	trialStride = 61
-	// trialWorkers is the number of proxies in trials at a time.
+	// trialWorkers is the number of trials that run concurrently, each with its own proxy.
 	trialWorkers = 8
-	// noResponseDeadline, in milliseconds, ends the requests to which a server sends no response.
+	// noResponseDeadline is the deadline, in milliseconds, of requests to a server that stops responding.
 	noResponseDeadline = 50
 	longDeadline       = 50000
 	// maxViolations is the number of violations after which no more trials are run.
 	maxViolations = 10
 )
 
-// trialWorker runs trials of one proxy with two servers, of which the first injects faults.
+// trialWorker runs trials with one proxy and two servers, the first of which injects faults.
 type trialWorker struct {
 	t             *testing.T
 	proxy         *testProxy
 	record        *trialRecord
 	first, second *faultyServer
-	lengths       map[string]int64 // of requests as the first server gets them, by kind
+	lengths       map[string]int64 // lengths of requests as the first server receives them, by kind
 	count         int
-	probes        map[int]int // by status
+	probes        map[int]int // numbers of requests between trials, by status
 	timeout       time.Duration
-	missed        int // trials that the first server never got: no connection came up in time
+	missed        int // trials that the first server did not receive, since no connection was established in time
 }
 
 func newTrialWorker(t *testing.T, between func(*handler) http.Handler) *trialWorker {
@@ -56,7 +57,7 @@
 	return w
 }
 
-// send sends a request with an id of its own on a connection of its own.
+// send sends a request with a new id on a new connection.
 func (w *trialWorker) send(target, name string, deadline int, payload string) (id string, conn net.Conn, err error) {
 	w.count++
 	id = fmt.Sprintf("%s-%06d", name, w.count)
@@ -73,7 +74,7 @@
 	return id, conn, err
 }
 
-// request sends a request to servers that behave well and returns what is wrong with the response.
+// request sends a request without a fault at its server and returns the violations in its response.
 func (w *trialWorker) request(target, name string, deadline int) []string {
 	id, conn, err := w.send(target, name, deadline, "")
 	if err != nil {
@@ -85,7 +86,7 @@
 	return w.record.check(&trial{id: id, kind: requestKind{maxRuns: 2, stream: isStreamTarget(target), resume: true}}, got)
 }
 
-// run runs a trial and returns the rules that were violated.
+// run runs a trial and returns the violations.
 func (w *trialWorker) run(tr trial) []string {
 	w.proxy.handler.pool.Forget(w.first.server)
 	w.proxy.handler.pool.Forget(w.second.server)
@@ -104,27 +105,27 @@
 	got, failure := w.play(&tr, deadline)
 	faults := w.record.check(&tr, got)
 	if tr.fault == respondsEarlyReadsLater && w.lengthOf(&tr)-int64(tr.offset) > 4*smallWindow {
-		faults = append(faults, w.requestBetween(&tr)...) // on another connection: this one waits for the rest of a body
+		faults = append(faults, w.requestBetween(&tr)...) // uses another connection: the trial's waits for the rest of a body
 	}
 	close(release)
 	if failure != "" {
 		faults = append(faults, failure)
 	}
 	if !w.becomesIdle() {
-		faults = append(faults, "the proxy or a connection of its servers goes on")
+		faults = append(faults, "the proxy or a connection of its servers did not become idle")
 	}
 	if w.first.current.Swap(nil) != nil && tr.fault != stopsResponding {
 		w.missed++
 	}
-	faults = append(faults, w.record.check(&tr, got)...) // once more: what came late counts as well
+	faults = append(faults, w.record.check(&tr, got)...) // checked once more, since servers may have received something late
 	if got.disconnected && w.record.reachedServer(tr.id, w.second.server.ID) {
-		faults = append(faults, "went to another server after its client had left")
+		faults = append(faults, "went to another server after its client had disconnected")
 	}
 	return append(faults, w.requestBetween(&tr)...)
 }
 
-// requestBetween sends a request after a trial. It may fail only if its server can't be known to be gone, or sends
-// unrequested bytes.
+// requestBetween sends a request after a trial. The request may fail only after a fault that the proxy can't have detected
+// yet on the connection, such as a close or surplus bytes.
 func (w *trialWorker) requestBetween(tr *trial) []string {
 	before := w.probes[http.StatusOK]
 	faults := w.request("/long/o/x", "p", longDeadline)
@@ -137,7 +138,7 @@
 	return faults
 }
 
-// lengthOf is the length of a trial's request as the first server receives it.
+// lengthOf returns the length of a trial's request as the first server receives it.
 func (w *trialWorker) lengthOf(tr *trial) int64 {
 	length := w.lengths[tr.kind.name]
 	if tr.fault == stopsResponding {
@@ -170,14 +171,15 @@
 	return result{disconnected: true}, failure
 }
 
-// becomesIdle waits until the proxy has finished all requests, and the servers' connections with them.
+// becomesIdle waits until neither the proxy nor a server is working on a request, and reports whether that happened in
+// time.
 func (w *trialWorker) becomesIdle() bool {
 	return becomesTrue(w.timeout, func() bool {
 		return w.proxy.handler.counters.active.Load() == 0 && w.first.busy.Load() == 0 && w.second.busy.Load() == 0
 	})
 }
 
-// becomesTrue polls a condition until it is met, for a bounded time, and reports whether it was.
+// becomesTrue polls a condition until it is met or the given time has passed, and reports whether it was met.
 func becomesTrue(bound time.Duration, condition func() bool) bool {
 	limit := time.NewTimer(bound)
 	defer limit.Stop()
@@ -195,12 +197,12 @@
 
 // trialSummary is the result of many trials.
 type trialSummary struct {
-	found  []string    // broken rules, about maxViolations of them
-	probes map[int]int // answers to the requests between trials, by status
-	missed int         // trials without their fault
+	found  []string    // violations, limited to about maxViolations
+	probes map[int]int // numbers of requests between trials, by status
+	missed int         // trials whose fault was not injected, since the server was not reached
 }
 
-// runTrials runs trials with several proxies at a time.
+// runTrials runs trials with several workers concurrently. wait is how long a worker waits for its proxy to become idle.
 func runTrials(t *testing.T, all []trial, wait time.Duration, between func(*handler) http.Handler) *trialSummary {
 	t.Helper()
 	var mu sync.Mutex
@@ -229,7 +231,7 @@
 	return got
 }
 
-// addTrial adds the violations found in a trial and reports whether there are enough.
+// addTrial adds the violations found in a trial and reports whether there are at least maxViolations.
 func (o *trialSummary) addTrial(tr *trial, faults []string) bool {
 	for _, fault := range faults {
 		o.found = append(o.found, tr.String()+": "+fault)
@@ -244,8 +246,9 @@
 	}
 }
 
-// Whatever a server does, at whatever byte: each request is run as often as it may be, each client gets its own response
-// or sees that it is incomplete, a request that was rejected is not run, and nothing goes on after a client is gone.
+// A server may fail at any byte of a request or response. Even then, no request is run more often than allowed, each client
+// gets its own response or detects that it is incomplete, a rejected request is not run, and no work continues after a
+// client has disconnected.
 func TestAnswersAndRunsWithAServerThatMisbehavesAtAnyByte(t *testing.T) {
 	stride := trialStride
 	if configured, err := strconv.Atoi(os.Getenv("PROXY_TRIAL_STRIDE")); err == nil && configured > 0 {
@@ -255,9 +258,9 @@
 	all := append(allTrials(stride, lengths), longTrials(lengths)...)
 	began := time.Now()
 	got := runTrials(t, all, testTimeout, unwrapped)
-	t.Logf("%d trials (%d missed) in %v, answers to the requests between them: %v", len(all), got.missed, time.Since(began), got.probes)
+	t.Logf("%d trials (%d missed) in %v, statuses of the requests between them: %v", len(all), got.missed, time.Since(began), got.probes)
 	require.Empty(t, got.found, strings.Join(got.found, "\n"))
-	require.Less(t, got.missed*100, len(all), "most trials must meet their server")
+	require.Less(t, got.missed*100, len(all), "more than 99% of the trials must reach their server")
 	for status, count := range got.probes {
 		require.True(t, status == http.StatusOK || status == http.StatusBadGateway, "%d requests between trials got %d", count, status)
 	}
--- a/internal/region/proxy/unsized_test.go
+++ b/internal/region/proxy/unsized_test.go
@@ -16,7 +16,7 @@
 	unsizedStream = answerHead + "Content-Type: text/event-stream\r\n\r\n"
 )
 
-// A close-delimited response that its server ends in order is forwarded completely.
+// A close-delimited response whose server closes the connection properly is forwarded completely.
 func TestAnswerWithoutALengthIsPassedOn(t *testing.T) {
 	for _, size := range []int{0, 2, maxBufferedResponse, maxBufferedResponse + 1, 3 * maxBufferedResponse} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -25,19 +25,19 @@
 			response, body := r.get("/m/x")
 			require.Equal(t, 200, response.StatusCode)
 			require.Equal(t, "seal", response.Header.Get(headerServerSeal))
-			require.False(t, response.Close, "the client's connection stays")
+			require.False(t, response.Close, "the client's connection stays open")
 			require.True(t, whole == body)
 			require.Zero(t, r.handler.pool.Stats().IdleNow)
 			require.Equal(t, []placement.Outcome{placement.Done}, r.placer.seenOutcomes())
 			r.get("/m/x")
-			require.Empty(t, r.placer.draining, "its framing says nothing about the server's leaving")
-			eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "memory is given back")
+			require.Empty(t, r.placer.draining, "a close-delimited response doesn't show that the server is draining")
+			eventually(t, func() bool { return r.handler.memory.used.Load() == 0 }, "the memory of bodies is released")
 		})
 	}
 }
 
-// A response that is not read completely is forwarded in chunks, and the last one is missing when the server's
-// connection is reset.
+// A response without a length that is too large to be buffered is forwarded in chunks. If the server's connection is reset,
+// the last chunk is missing, so that the client detects the early end.
 func TestAnswerWithoutALengthThatIsResetIsNotWhole(t *testing.T) {
 	large := repeated("x", 2*maxBufferedResponse)
 	second := newFakeServer(t, "i-2", ok("ok"))
@@ -46,16 +46,17 @@
 	c.send("GET", "/m/x", "", "")
 	status, whole := c.receiveComplete("GET")
 	require.False(t, status == 200 && whole)
-	require.Empty(t, second.requests(), "it may run once")
+	require.Empty(t, second.requests(), "the request may run only once")
 
 	c = r.dial()
 	c.send("GET", "/i/x", "", "")
 	status, whole = c.receiveComplete("GET")
 	require.Equal(t, 200, status)
-	require.Equal(t, whole, len(second.requests()) == 1, "whole is only the answer of the other server")
+	require.Equal(t, whole, len(second.requests()) == 1, "only the other server's response is complete")
 }
 
-// A reset after the headers were sent must reach the client as a missing last chunk.
+// If the server's connection is reset after the headers were sent to the client, the client's response must lack its last
+// chunk.
 func TestAnswerWithoutALengthThatIsResetMidwayEndsVisibly(t *testing.T) {
 	for _, target := range []string{"/m/x", "/i/x"} {
 		begun := make(chan struct{})
@@ -73,8 +74,8 @@
 		close(begun)
 		_, err := io.Copy(io.Discard, response.Body)
 		require.ErrorIs(t, err, io.ErrUnexpectedEOF)
-		require.Empty(t, second.requests(), "an answer that has begun is not begun again")
-		eventually(t, func() bool { return r.handler.counters.brokenResponses.Load() == 1 }, "it counts as broken")
+		require.Empty(t, second.requests(), "a response that has begun is not requested from another server")
+		eventually(t, func() bool { return r.handler.counters.brokenResponses.Load() == 1 }, "the response counts as broken")
 		require.Zero(t, r.handler.counters.clientCancellations.Load())
 		require.Equal(t, []placement.Outcome{placement.Reset}, r.placer.seenOutcomes())
 	}
@@ -97,7 +98,8 @@
 	}
 }
 
-// A close-delimited stream that ends within an event is incomplete.
+// A close-delimited stream that ends within an event is incomplete: it is resumed if that is allowed, and otherwise the
+// client's response ends early.
 func TestStreamWithoutALengthThatEndsInAnEvent(t *testing.T) {
 	for _, torn := range []string{"i", "id: 4\n", "id: 4\ndata: piece 4\n"} {
 		for name, ends := range map[string]func(string) reply{"closed": raw, "reset": rawReset} {
@@ -115,7 +117,8 @@
 	}
 }
 
-// After an event without an id a stream can't be resumed: the server would send events again.
+// After an event without an id a stream can't be resumed, since the next server would repeat that event. A comment is not
+// an event and doesn't prevent resumption.
 func TestStreamIsNotResumedAfterAnEventWithoutAnID(t *testing.T) {
 	begun := eventText(1) + "data: unnumbered\n\n"
 	second := newFakeServer(t, "i-2", streamEvents("two", 6, ""))
@@ -129,7 +132,7 @@
 	require.Equal(t, comment+eventTexts(2, 6), body)
 }
 
-// A client of HTTP/1.0 gets no chunks: an incomplete close-delimited response must end with a reset.
+// An HTTP/1.0 client gets no chunks, so that an incomplete response must end with a reset of its connection.
 func TestCutAnswerIsResetForClientsWithoutChunks(t *testing.T) {
 	r := newTestProxy(t, newFakeServer(t, "i-1", rawReset(unsizedStream+eventTexts(1, 3))))
 	c := r.dial()
@@ -137,7 +140,7 @@
 	body, err := io.ReadAll(c.receiveHead("GET").Body)
 	require.Error(t, err)
 	require.Equal(t, eventTexts(1, 3), string(body))
-	eventually(t, func() bool { return r.handler.counters.connections.Load() == 0 }, "its place is free again")
+	eventually(t, func() bool { return r.handler.counters.connections.Load() == 0 }, "the connection is no longer counted")
 
 	r = newTestProxy(t, newFakeServer(t, "i-1", raw(unsizedStream+eventTexts(1, 3))))
 	c = r.dial()
