--- a/internal/region/proxy/admission_test.go
+++ b/internal/region/proxy/admission_test.go
@@ -55,9 +55,9 @@
 	const route = 4 * time.Second // the deadline of /m/
 	now := time.Now()
 	cases := map[string]struct {
-		times   drainTimes
-		headers string
-		taken   bool
+		times    drainTimes
+		headers  string
+		accepted bool
 	}{
 		"early":                        {drainTimes{now.Add(time.Hour), now}, "", true},
 		"late":                         {drainTimes{now, now.Add(route / 2)}, "", false},
@@ -74,7 +74,7 @@
 			c.send("POST", "/m/x", one.headers, "body")
 			response, body := c.receive("POST")
 			require.True(t, response.Close)
-			if one.taken {
+			if one.accepted {
 				require.Equal(t, http.StatusOK, response.StatusCode)
 				require.Equal(t, "ok", body)
 				return
--- a/internal/region/proxy/attemptlog_explore_test.go
+++ b/internal/region/proxy/attemptlog_explore_test.go
@@ -139,12 +139,12 @@
 }
 
 func TestAttemptLogInAllOrders(t *testing.T) {
-	for _, repeatable := range []bool{false, true} {
-		for tries := 1; tries <= 3; tries++ {
-			result, err := exploreAttemptLog(unmodifiedSteps(), repeatable, tries)
+	for _, idempotent := range []bool{false, true} {
+		for maxAttempts := 1; maxAttempts <= 3; maxAttempts++ {
+			result, err := exploreAttemptLog(unmodifiedSteps(), idempotent, maxAttempts)
 			require.NoError(t, err)
 			require.True(t, result.Full)
-			t.Logf("idempotent %v, %d attempts: %+v", repeatable, tries, result)
+			t.Logf("idempotent %v, %d attempts: %+v", idempotent, maxAttempts, result)
 		}
 	}
 }
@@ -201,8 +201,8 @@
 			steps := unmodifiedSteps()
 			fault.plant(&steps)
 			var found error
-			for _, repeatable := range []bool{false, true} {
-				_, err := exploreAttemptLog(steps, repeatable, 2)
+			for _, idempotent := range []bool{false, true} {
+				_, err := exploreAttemptLog(steps, idempotent, 2)
 				found = errors.CombineErrors(found, err)
 			}
 			require.ErrorContains(t, found, fault.finding)
--- a/internal/region/proxy/deadline_test.go
+++ b/internal/region/proxy/deadline_test.go
@@ -214,9 +214,9 @@
 func TestForwardedDeadlineNeverGrows(t *testing.T) {
 	const rounding = 20 * time.Millisecond
 	cases := map[string]struct {
-		target string
-		told   string
-		most   time.Duration
+		target        string
+		timeoutHeader string
+		most          time.Duration
 	}{
 		"the client's":               {"/i/x", "1500", 1500 * time.Millisecond},
 		"the route's":                {"/i/x", "", 4 * time.Second},
@@ -237,8 +237,8 @@
 			second := newFakeServer(t, "i-2", arriving(1, ok("ok")))
 			r := newTestProxy(t, first, second)
 			headers := ""
-			if one.told != "" {
-				headers = headerDeadline + ": " + one.told + "\r\n"
+			if one.timeoutHeader != "" {
+				headers = headerDeadline + ": " + one.timeoutHeader + "\r\n"
 			}
 			c := r.dial()
 			c.send("GET", one.target, headers, "")
@@ -272,7 +272,7 @@
 // Whatever servers respond, a client's request reaches no more servers than its route allows attempts, and none of them
 // twice.
 func TestNoRequestReachesMoreServersThanItsRouteAllows(t *testing.T) {
-	tries := map[string]int{"/m/x": 3, "/i/x": 2, "/o/x": 1, "/s/x": 3, "/r/x": 3}
+	maxAttempts := map[string]int{"/m/x": 3, "/i/x": 2, "/o/x": 1, "/s/x": 3, "/r/x": 3}
 	answers := []reply{reset, text(503, notExecutedHeader, ""), text(421, "", ""), text(500, seal, "why"), text(429, "", "")}
 	for _, broken := range brokenReplies {
 		answers = append(answers, broken)
@@ -292,7 +292,7 @@
 			servers = append(servers, newFakeServer(t, fmt.Sprintf("i-%d", index), answer))
 		}
 		r := newTestProxy(t, servers...)
-		for target, allowed := range tries {
+		for target, allowed := range maxAttempts {
 			before := countArrivals(servers)
 			c := r.dial()
 			c.send("GET", target, "", "")
@@ -310,7 +310,7 @@
 			most[target] = max(most[target], reached)
 		}
 	}
-	require.Equal(t, tries, most)
+	require.Equal(t, maxAttempts, most)
 }
 
 func countArrivals(servers []*fakeServer) []int {
--- a/internal/region/proxy/faultyserver_test.go
+++ b/internal/region/proxy/faultyserver_test.go
@@ -27,14 +27,14 @@
 	length  atomic.Int64 // length in bytes of the last request that was read completely
 }
 
-func newFaultyServer(t *testing.T, name string, account *trialRecord) *faultyServer {
+func newFaultyServer(t *testing.T, name string, record *trialRecord) *faultyServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	s := &faultyServer{
 		server:  upstream.Server{ID: name, Address: listener.Addr().String()},
-		record:  account,
+		record:  record,
 		arrived: make(chan struct{}, 1),
 	}
 	go func() {
--- a/internal/region/proxy/forward_test.go
+++ b/internal/region/proxy/forward_test.go
@@ -110,7 +110,7 @@
 	require.EqualValues(t, 1, r.handler.pool.Stats().Dialed)
 }
 
-func TestOwnRefusals(t *testing.T) {
+func TestOwnRejections(t *testing.T) {
 	server := newFakeServer(t, "i-1", ok("ok"))
 	r := newTestProxy(t, server)
 	ask := func(request string) (clientResponse, string) {
--- a/internal/region/proxy/invariants_test.go
+++ b/internal/region/proxy/invariants_test.go
@@ -52,7 +52,7 @@
 }
 
 // Requests that run concurrently with updates never use an older snapshot than the requests before them.
-func TestRequestsBesideChangesUseNoOlderSnapshot(t *testing.T) {
+func TestRequestsDuringChangesUseNoOlderSnapshot(t *testing.T) {
 	const changes, requests = 300, 3000
 	h := &handler{snapshots: newSnapshotStore(), counters: &counters{}}
 	var group sync.WaitGroup
--- a/internal/region/proxy/pure_test.go
+++ b/internal/region/proxy/pure_test.go
@@ -244,7 +244,7 @@
 	}
 }
 
-func TestEventWithAnEndlessIDIsUnnumbered(t *testing.T) {
+func TestEventWithATooLongIDCountsAsWithoutID(t *testing.T) {
 	for _, length := range []int{maxIDLine - len("id: ") - 1, maxIDLine, 2 * maxIDLine} {
 		scanner := newEventScanner()
 		data := []byte("id: 1\n\nid: " + strings.Repeat("9", length) + "\n\n")
@@ -257,7 +257,7 @@
 	}
 }
 
-func TestEventScannerTakesEventsWholeHoweverCut(t *testing.T) {
+func TestEventScannerFindsEventsInPiecesOfAnySize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		event := rapid.StringMatching(`(id: ?[0-9]{1,3}\r?\n)?(data: [a-z]{0,9}\r?\n){1,3}\r?\n`)
 		want := rapid.SliceOfN(event, 0, 6).Draw(t, "events")
--- a/internal/region/proxy/retry_test.go
+++ b/internal/region/proxy/retry_test.go
@@ -63,15 +63,15 @@
 }
 
 func TestRejectedRequestsGoToAnotherServer(t *testing.T) {
-	promises := map[string]reply{
+	rejections := map[string]reply{
 		"full":        text(503, notExecutedHeader, ""),
 		"busy":        text(429, notExecutedHeader+"Retry-After: 2\r\n", "busy"),
 		"misdirected": text(421, "", ""),
 		"bad":         text(400, notExecutedHeader, ""),
 	}
-	for name, promise := range promises {
+	for name, rejected := range rejections {
 		t.Run(name, func(t *testing.T) {
-			first, second := newFakeServer(t, "i-1", promise), newFakeServer(t, "i-2", ok("ok"))
+			first, second := newFakeServer(t, "i-1", rejected), newFakeServer(t, "i-2", ok("ok"))
 			r := newTestProxy(t, first, second)
 			response, body := r.get("/m/x")
 			require.Equal(t, 200, response.StatusCode)
--- a/internal/region/proxy/startupwait_test.go
+++ b/internal/region/proxy/startupwait_test.go
@@ -26,7 +26,7 @@
 	require.Equal(t, "body", server.requests()[0].body)
 }
 
-func TestAHeldRequestIsRefusedInTimeForAnotherTry(t *testing.T) {
+func TestAHeldRequestIsRejectedInTimeForARetry(t *testing.T) {
 	const clientTimeout = 100 * time.Millisecond
 	r := startProcess(t, 1)
 	early := r.dial()
@@ -39,7 +39,7 @@
 	require.Zero(t, r.process.memory.used.Load())
 }
 
-func TestAHeldRequestForARouteThatIsNotThereIsDenied(t *testing.T) {
+func TestAHeldRequestWithoutARouteIsRejected(t *testing.T) {
 	server := newFakeServer(t, "i-1", ok("ok"))
 	r := startProcess(t, 1)
 	early := r.dial()
--- a/internal/region/proxy/stream_test.go
+++ b/internal/region/proxy/stream_test.go
@@ -173,7 +173,7 @@
 	return string(body)
 }
 
-func TestStreamThatCanNotBeTakenUpEndsVisibly(t *testing.T) {
+func TestStreamThatCanNotBeResumedEndsVisibly(t *testing.T) {
 	whole := streamEvents("two", 6, "")
 	cases := map[string]struct {
 		target        string
