--- a/internal/region/proxy/faultyserver_test.go
+++ b/internal/region/proxy/faultyserver_test.go
@@ -16,25 +16,25 @@
 	"fieldrelay/internal/region/proxy/upstream"
 )
 
-// faultyServer is a server of trials. It injects one fault, as its current trial says, and serves well otherwise.
+// faultyServer is a server for trials. It injects the fault of the current trial once, and otherwise serves without faults.
 type faultyServer struct {
 	server  upstream.Server
 	record  *trialRecord
 	current atomic.Pointer[trial]
-	arrived chan struct{} // gets a value when a trial with clientLeaves is at its place
+	arrived chan struct{} // receives a value when a trial with clientDisconnects has reached its offset
 	release atomic.Pointer[chan struct{}]
-	busy    atomic.Int64 // connections on which it has begun to read a request and not yet answered
-	length  atomic.Int64 // bytes of the last request that it read whole
+	busy    atomic.Int64 // connections with a request that was partly read and not yet responded to
+	length  atomic.Int64 // length in bytes of the last request that was read completely
 }
 
-func newFaultyServer(t *testing.T, name string, account *trialRecord) *faultyServer {
+func newFaultyServer(t *testing.T, name string, record *trialRecord) *faultyServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	s := &faultyServer{
 		server:  upstream.Server{ID: name, Address: listener.Addr().String()},
-		record:  account,
+		record:  record,
 		arrived: make(chan struct{}, 1),
 	}
 	go func() {
@@ -49,14 +49,15 @@
 	return s
 }
 
-// smallWindow is how much of a request the system takes in, at most, for a server that does not read.
+// smallWindow is the size of the receive buffer, which bounds how much of a request the kernel accepts for a server that
+// doesn't read.
 const smallWindow = 256 << 10
 
 // serverConn is one connection to a faultyServer.
 type serverConn struct {
 	*faultyServer
 	conn    *net.TCPConn
-	surplus string // is written before the next answer
+	surplus string // bytes that are written before the next response
 }
 
 func (s *faultyServer) serve(conn *net.TCPConn) {
@@ -73,7 +74,7 @@
 	}
 }
 
-// request reads one request and responds to it; it returns false when the connection has ended.
+// request reads one request and responds to it. It returns false if the connection is to be closed.
 func (v *serverConn) request() bool {
 	first := make([]byte, 1)
 	if _, err := io.ReadFull(v.conn, first); err != nil {
@@ -109,7 +110,7 @@
 	return err == nil && surplus == ""
 }
 
-// readRequest reads a request of which some bytes were read, checks it and records its length.
+// readRequest reads the rest of a request whose first bytes were read already, checks the request and records its length.
 func (v *serverConn) readRequest(begun []byte) (*http.Request, bool) {
 	seen := bytes.NewBuffer(bytes.Clone(begun))
 	source := io.MultiReader(bytes.NewReader(begun), io.TeeReader(v.conn, seen))
@@ -130,28 +131,28 @@
 	return got, true
 }
 
-// injectFault injects the fault once the given number of bytes of a request was read.
+// injectFault injects the trial's fault after the given bytes of a request were read.
 func (v *serverConn) injectFault(tr *trial, read []byte) bool {
 	v.record.requestArrived(tr.id, v.server.ID)
 	switch tr.fault {
-	case answersEarly, answersLater, answersCloses:
+	case respondsEarly, respondsEarlyReadsLater, respondsEarlyCloses:
 		return v.respondEarly(tr, read)
 	}
 	if int64(len(read)) >= v.length.Load() {
-		v.record.requestExecuted(tr.id, v.server.ID) // it may have begun to work
+		v.record.requestExecuted(tr.id, v.server.ID) // the server may have begun to run it
 	}
 	switch tr.fault {
-	case resetsThere:
+	case resetsConnection:
 		_ = v.conn.SetLinger(0)
-	case fallsSilent, clientLeaves:
+	case stopsResponding, clientDisconnects:
 		v.stayUntilClosed(tr)
 	}
 	return false
 }
 
-// stayUntilClosed keeps the connection open without a byte until the other side closes it.
+// stayUntilClosed sends nothing and keeps the connection open until the other side closes it.
 func (v *serverConn) stayUntilClosed(tr *trial) {
-	if tr.fault == clientLeaves {
+	if tr.fault == clientDisconnects {
 		v.arrived <- struct{}{}
 	}
 	_, _ = io.Copy(io.Discard, v.conn)
@@ -163,20 +164,20 @@
 	if tr.reaction != reactsDeclined {
 		v.record.requestExecuted(tr.id, v.server.ID)
 	}
-	ends := tr.fault == answersCloses || tr.framing == framedByEnd
+	ends := tr.fault == respondsEarlyCloses || tr.framing == framedByEnd
 	v.record.responseSent(tr.id, v.server.ID, head+body, ends)
 	_, _ = io.WriteString(v.conn, head+body)
 	if ends {
 		return false
 	}
-	if tr.fault == answersLater {
+	if tr.fault == respondsEarlyReadsLater {
 		<-later
 	}
 	_, ok := v.readRequest(read)
 	return ok
 }
 
-// injectFaultInResponse injects the fault once the given number of bytes of the response was written.
+// injectFaultInResponse injects the trial's fault after offset bytes of the response were written.
 func (v *serverConn) injectFaultInResponse(tr *trial, got *http.Request) bool {
 	after, _ := strconv.Atoi(got.Header.Get(headerLastEventID))
 	head, body := answerOf(v.server.ID, tr.id, tr.kind.stream, after, tr.framing, tr.reaction)
@@ -188,16 +189,16 @@
 	other += otherBody
 	begun := wire[:min(tr.offset, len(wire))]
 	switch tr.fault {
-	case resetsThere, fallsSilent, clientLeaves:
+	case resetsConnection, stopsResponding, clientDisconnects:
 		v.record.responseSent(tr.id, v.server.ID, begun, false)
 		_, _ = io.WriteString(v.conn, begun)
-		if tr.fault == resetsThere {
+		if tr.fault == resetsConnection {
 			_ = v.conn.SetLinger(0)
 		} else {
 			v.stayUntilClosed(tr)
 		}
 		return false
-	case closesThere:
+	case closesConnection:
 		v.record.responseSent(tr.id, v.server.ID, begun, true)
 		_, _ = io.WriteString(v.conn, begun)
 		return false
@@ -209,14 +210,14 @@
 	}
 	v.record.responseSent(tr.id, v.server.ID, wire, tr.framing == framedByEnd)
 	switch tr.fault {
-	case answersTwice:
+	case respondsTwice:
 		_, _ = io.WriteString(v.conn, wire+wire[:min(tr.offset, len(wire))])
-	case repeatsLater:
+	case repeatsResponseLater:
 		v.surplus = wire[:min(tr.offset, len(wire))]
 		_, _ = io.WriteString(v.conn, wire)
-	case answersOther:
+	case respondsToOther:
 		_, _ = io.WriteString(v.conn, other+wire)
-	case splices:
+	case splicesResponses:
 		_, _ = io.WriteString(v.conn, other[:min(tr.offset, len(other)-1)]+wire)
 	}
 	return tr.framing != framedByEnd
--- a/internal/region/proxy/invariants_test.go
+++ b/internal/region/proxy/invariants_test.go
@@ -9,7 +9,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-func TestSnapshotsThatFallBackAreFound(t *testing.T) {
+func TestSnapshotRegressionsAreDetected(t *testing.T) {
 	current := &snapshot{sequence: 5, generation: 9}
 	for expected, later := range map[bool][]*snapshot{
 		true: {
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestStateTellsAGenerationThatFalls(t *testing.T) {
+func TestStoreReportsAGenerationRegression(t *testing.T) {
 	s := newSnapshotStore()
 	_, applied := s.apply(&pb.ApplyRequest{Changes: []*pb.Change{firstChange()}})
 	require.False(t, applied.regressed)
@@ -51,8 +51,8 @@
 	require.EqualValues(t, 5, h.snapshots.usedSequence.floor())
 }
 
-// Requests beside changes use no older snapshot than those before them.
-func TestRequestsBesideChangesUseNoOlderSnapshot(t *testing.T) {
+// Requests that run concurrently with updates never use an older snapshot than the requests before them.
+func TestRequestsDuringChangesUseNoOlderSnapshot(t *testing.T) {
 	const changes, requests = 300, 3000
 	h := &handler{snapshots: newSnapshotStore(), counters: &counters{}}
 	var group sync.WaitGroup
@@ -72,7 +72,7 @@
 	require.EqualValues(t, changes, h.snapshots.load().sequence)
 }
 
-func TestNotingAUseAllocatesNothing(t *testing.T) {
+func TestCheckSequenceAllocatesNothing(t *testing.T) {
 	h := &handler{snapshots: newSnapshotStore(), counters: &counters{}}
 	require.Zero(t, testing.AllocsPerRun(1000, func() {
 		floor := h.snapshots.usedSequence.floor()
--- a/internal/region/proxy/pure_test.go
+++ b/internal/region/proxy/pure_test.go
@@ -36,7 +36,7 @@
 
 func TestAttemptHead(t *testing.T) {
 	head := attemptHead{
-		method: "POST", target: "/p/x?y=%zz", host: "Host.example:80", attemptID: "id1", server: "i-7",
+		method: "POST", target: "/p/x?y=%zz", host: "Host.example:80", attemptID: "id1", serverID: "i-7",
 		remaining: 1500*time.Millisecond + 999*time.Microsecond, priority: 3, bodyLength: 4,
 		header: http.Header{
 			"X-Own":              {"1", "2"},
@@ -111,7 +111,7 @@
 	require.Equal(t, "0.001", formatRetryAfter(0))
 }
 
-func TestHoldFor(t *testing.T) {
+func TestTimeoutFor(t *testing.T) {
 	limited := &route.Route{Deadline: 2 * time.Second}
 	cases := []struct {
 		value string
@@ -132,10 +132,10 @@
 		}
 		require.Equal(t, test.want, timeoutFor(header, limited), test.value)
 	}
-	require.Equal(t, longestDeadline, timeoutFor(http.Header{}, &route.Route{}))
+	require.Equal(t, maxDeadline, timeoutFor(http.Header{}, &route.Route{}))
 }
 
-func TestRequestsThatReturnAreToldByWhatTheirClientsHaveLeft(t *testing.T) {
+func TestClientRetriesAreDetectedByTheirTimeout(t *testing.T) {
 	found := &route.Route{Deadline: 5 * time.Second, Split: []route.WeightedService{{Service: "s", Weight: 1}}}
 	for value, returned := range map[string]bool{"": false, "5000": false, "4978": false, "4800": true, "9000": false} {
 		header := http.Header{}
@@ -146,9 +146,9 @@
 	}
 }
 
-func TestARequestThatReturnedWaitsLongerForAPlace(t *testing.T) {
+func TestClientRetryWaitsLongerForCapacity(t *testing.T) {
 	now := time.Now()
-	x := &exchange{route: &route.Route{Target: time.Second}, arrived: now, deadline: now.Add(4 * time.Second)}
+	x := &exchange{route: &route.Route{Target: time.Second}, readyAt: now, deadline: now.Add(4 * time.Second)}
 	require.Equal(t, now.Add(time.Second/capacityWaitFraction), x.capacityWaitEnd())
 	x.placement.IsRetry = true
 	require.Equal(t, now.Add(2*time.Second), x.capacityWaitEnd())
@@ -165,7 +165,7 @@
 	require.Equal(t, []int{0, 7}, []int{prompt, generate})
 }
 
-func TestFollows(t *testing.T) {
+func TestIsLaterID(t *testing.T) {
 	require.True(t, isLaterID("9", "10"))
 	require.False(t, isLaterID("10", "9"))
 	require.False(t, isLaterID("10", "10"))
@@ -188,7 +188,7 @@
 	require.Equal(t, drainPlan{deadlineCheck: 300 * time.Millisecond, reject: 300 * time.Millisecond, abort: 450 * time.Millisecond}, planDrain(900*time.Millisecond))
 }
 
-// splitEvents runs the scanner over data in pieces of the given sizes.
+// splitEvents scans data in pieces of the given sizes and returns the complete events.
 func splitEvents(data []byte, sizes []int) (events []string, scanner *eventScanner) {
 	scanner = newEventScanner()
 	var current []byte
@@ -217,14 +217,14 @@
 		"one":              {"id: 1\ndata: a\n\n", 1, "1"},
 		"two":              {"id: 1\ndata: a\n\nid:2\ndata: b\n\n", 2, "2"},
 		"carriage returns": {"id: 1\r\ndata: a\r\n\r\n", 1, "1"},
-		"torn":             {"id: 1\ndata: a\n\nid: 2\ndata:", 1, "1"},
-		"torn after line":  {"id: 1\ndata: a\n\nid: 2\ndata: b\n", 1, "1"},
+		"truncated":        {"id: 1\ndata: a\n\nid: 2\ndata:", 1, "1"},
+		"truncated line":   {"id: 1\ndata: a\n\nid: 2\ndata: b\n", 1, "1"},
 		"without id":       {"id: 1\ndata: a\n\ndata: b\n\n", 2, "1"},
 		"version line":     {"versions: 3\nid: 1\ndata: a\n\n", 1, "1"},
 		"id in the data":   {"id: 1\ndata: id: 9\n\n", 1, "1"},
 		"comment":          {": ping\n\n", 1, ""},
 		"return in the id": {"id: 1\n\nid: 2\rX-Other: 3\n\n", 2, "1"},
-		"id no header has": {"id: 1\n\nid: \x00\xff\n\n", 2, "1"},
+		"not header text":  {"id: 1\n\nid: \x00\xff\n\n", 2, "1"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -244,7 +244,7 @@
 	}
 }
 
-func TestEventWithAnEndlessIDIsUnnumbered(t *testing.T) {
+func TestEventWithATooLongIDCountsAsWithoutID(t *testing.T) {
 	for _, length := range []int{maxIDLine - len("id: ") - 1, maxIDLine, 2 * maxIDLine} {
 		scanner := newEventScanner()
 		data := []byte("id: 1\n\nid: " + strings.Repeat("9", length) + "\n\n")
@@ -257,7 +257,7 @@
 	}
 }
 
-func TestEventScannerTakesEventsWholeHoweverCut(t *testing.T) {
+func TestEventScannerFindsEventsInPiecesOfAnySize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		event := rapid.StringMatching(`(id: ?[0-9]{1,3}\r?\n)?(data: [a-z]{0,9}\r?\n){1,3}\r?\n`)
 		want := rapid.SliceOfN(event, 0, 6).Draw(t, "events")
--- a/internal/region/proxy/distance_test.go
+++ b/internal/region/proxy/randomupdates_test.go
@@ -17,28 +17,29 @@
 )
 
 const (
-	// defaultFarRuns is the number of runs in which a proxy gets random updates; PROXY_FAR replaces it.
-	defaultFarRuns = 20
-	// farChanges is the number of changes of a run.
-	farChanges = 600
-	farRoutes  = 12
-	// farExchanges is the number of calls of the agent in a run.
-	farExchanges = 60
+	// defaultUpdateRuns is the number of runs, each with another seed, in which a proxy gets random updates. PROXY_FAR
+	// overrides it.
+	defaultUpdateRuns = 20
+	// changesPerRun is the number of changes in the history of a run.
+	changesPerRun = 600
+	routesPerRun  = 12
+	// callsPerRun is the number of simulated calls of the agent in a run.
+	callsPerRun = 60
 )
 
-// testConfigStream is a proxy's snapshot store with the history of changes that it gets.
+// testConfigStream is a snapshot store together with the history of changes from which its updates are drawn.
 type testConfigStream struct {
 	t         *testing.T
 	random    *rand.Rand
-	truth     []*catalog.Snapshot // by sequence
-	changes   []*pb.Change        // by sequence - 1
+	truth     []*catalog.Snapshot // correct states, indexed by sequence
+	changes   []*pb.Change        // indexed by sequence - 1
 	snapshots *snapshotStore
-	alter     func(*pb.ApplyRequest) // a planted fault
+	alter     func(*pb.ApplyRequest) // planted fault; nil for none
 }
 
 func newTestConfigStream(t *testing.T, seed uint64) *testConfigStream {
 	f := &testConfigStream{t: t, random: rand.New(rand.NewPCG(seed, 8)), truth: []*catalog.Snapshot{catalog.Empty()}, snapshots: newSnapshotStore()}
-	for sequence := uint64(1); sequence <= farChanges; sequence++ {
+	for sequence := uint64(1); sequence <= changesPerRun; sequence++ {
 		made := f.makeChange(sequence)
 		next, err := f.truth[sequence-1].Apply(made)
 		require.NoError(t, err)
@@ -48,14 +49,15 @@
 	return f
 }
 
-// makeChange gives some routes other paths, at times all of them, or removes some, or evacuates.
+// makeChange returns a random change. It gives other paths to some routes, sometimes replaces the whole configuration or
+// removes an item, and begins or ends the evacuation of a zone.
 func (f *testConfigStream) makeChange(sequence uint64) *pb.Change {
 	made := &pb.Change{Sequence: sequence, Generation: sequence}
 	if sequence == 1 || f.random.IntN(50) == 0 {
 		made.ReplacesAll = true
 		made.Upserts = append(made.Upserts, serviceItem(sequence))
 	}
-	for _, index := range f.random.Perm(farRoutes)[:1+f.random.IntN(4)] {
+	for _, index := range f.random.Perm(routesPerRun)[:1+f.random.IntN(4)] {
 		made.Upserts = append(made.Upserts, &pb.Item{
 			Kind:     catalog.KindRoutes,
 			Name:     fmt.Sprint("r", index),
@@ -76,9 +78,9 @@
 	return made
 }
 
-// feed applies what an agent could send that is new, old, of an earlier incarnation, or has lost its beginning. It
-// returns what is wrong afterwards, or an empty string.
-func (f *testConfigStream) feed() string {
+// applyUpdate applies a random request that an agent could send: new, old, or without the changes before it. It returns a
+// description of what is wrong afterwards, or an empty string.
+func (f *testConfigStream) applyUpdate() string {
 	before := f.snapshots.load()
 	request := f.request()
 	if f.alter != nil {
@@ -87,36 +89,37 @@
 	current, applied := f.snapshots.apply(request)
 	switch {
 	case current.sequence < before.sequence:
-		return "an older state"
+		return "the sequence decreased"
 	case current.sequence > before.sequence != applied.tableChanged:
-		return "a change that is not reported"
+		return "tableChanged doesn't match the sequence"
 	case !before.confirmed && current.confirmed && f.snapshots.gap:
-		return "the confirmed state is not in force"
+		return "confirmed although changes are missing"
 	case applied.regressed:
-		return "a snapshot that fell back"
+		return "the snapshot regressed"
 	}
 	return f.difference(current)
 }
 
 func (f *testConfigStream) request() *pb.ApplyRequest {
-	at := uint64(f.random.IntN(farChanges)) + 1
-	if f.random.IntN(2) == 0 { // near the current sequence
-		at = min(f.snapshots.load().sequence+1, farChanges)
+	at := uint64(f.random.IntN(changesPerRun)) + 1
+	if f.random.IntN(2) == 0 { // the next change that the proxy needs
+		at = min(f.snapshots.load().sequence+1, changesPerRun)
 	}
-	to := min(at+uint64(f.random.IntN(300)), farChanges)
+	to := min(at+uint64(f.random.IntN(300)), changesPerRun)
 	request := &pb.ApplyRequest{Confirmed: f.random.IntN(5) == 0}
 	switch draw := f.random.IntN(10); {
 	case draw < 7:
 		request.Changes = f.changes[at-1 : to]
 	case draw < 8:
-		request.Repair = f.truth[to].RepairFor(f.truth[at].Digests()) // of some ranges only
+		request.Repair = f.truth[to].RepairFor(f.truth[at].Digests()) // a repair of some ranges only
 	default:
 		request.Repair = f.truth[at].RepairFor(nil)
 	}
 	return request
 }
 
-// difference says how the table differs from that of the state that the sequence stands for.
+// difference describes how the snapshot's table differs from the correct state with the same sequence. It returns an empty
+// string if it doesn't.
 func (f *testConfigStream) difference(current *snapshot) string {
 	var items []*pb.Item
 	for _, part := range f.truth[current.sequence].RepairFor(nil).GetRanges() {
@@ -132,7 +135,7 @@
 	case !slices.Equal(wanted.Evacuated(), current.table.Evacuated()):
 		return "other evacuations"
 	}
-	for index := range farRoutes {
+	for index := range routesPerRun {
 		name := fmt.Sprint("r", index)
 		other, found := wanted.Route(name)
 		if !found {
@@ -154,46 +157,46 @@
 	return value
 }
 
-// A proxy that missed hundreds of changes, and gets them in any order, never regresses and has what its sequence stands
-// for. It has caught up with the first call that brings changes that follow, or the full state.
-func TestProxyFedInAnyOrderNeverFallsBack(t *testing.T) {
-	for seed := range uint64(runsOf("PROXY_FAR", defaultFarRuns)) {
+// A proxy may miss hundreds of changes and get updates in any order. Its snapshot never regresses and always matches the
+// state with its sequence. One call with all missing changes, or with the full state, brings the proxy up to date.
+func TestUpdatesInAnyOrderNeverRegress(t *testing.T) {
+	for seed := range uint64(runsOf("PROXY_FAR", defaultUpdateRuns)) {
 		f := newTestConfigStream(t, seed)
-		for range farExchanges {
-			require.Empty(t, f.feed(), "seed %d", seed)
+		for range callsPerRun {
+			require.Empty(t, f.applyUpdate(), "seed %d", seed)
 		}
 		current := f.snapshots.load().sequence
 		last := &pb.ApplyRequest{Changes: f.changes[current:]}
 		if f.snapshots.needsFullState() {
-			last = &pb.ApplyRequest{Repair: f.truth[farChanges].RepairFor(nil)}
+			last = &pb.ApplyRequest{Repair: f.truth[changesPerRun].RepairFor(nil)}
 		}
 		f.snapshots.apply(last)
-		require.EqualValues(t, farChanges, f.snapshots.load().sequence)
+		require.EqualValues(t, changesPerRun, f.snapshots.load().sequence)
 		require.False(t, f.snapshots.needsFullState())
 		require.Empty(t, f.difference(f.snapshots.load()))
 	}
 }
 
-func TestPlantedFaultsOfFeedingAreFound(t *testing.T) {
+func TestPlantedFaultsOfUpdatesAreFound(t *testing.T) {
 	faults := map[string]struct {
 		alter   func(*pb.ApplyRequest)
 		finding string
 	}{
-		"a change is lost but its number is not": {loseChange, "another path"},
-		"an old state under a new number":        {renumberRepair, "another"},
+		"the content of a change is lost but not its sequence": {loseChange, "another path"},
+		"an old state has a new sequence":                      {renumberRepair, "another"},
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			for seed := range uint64(defaultFarRuns) {
+			for seed := range uint64(defaultUpdateRuns) {
 				f := newTestConfigStream(t, seed)
 				f.alter = fault.alter
-				for range farExchanges {
-					if strings.Contains(f.feed(), fault.finding) {
+				for range callsPerRun {
+					if strings.Contains(f.applyUpdate(), fault.finding) {
 						return
 					}
 				}
 			}
-			require.Fail(t, "not found")
+			require.Fail(t, "the planted fault was not found")
 		})
 	}
 }
@@ -210,6 +213,6 @@
 
 func renumberRepair(request *pb.ApplyRequest) {
 	if repair := request.GetRepair(); repair != nil {
-		request.Repair = &pb.Repair{Sequence: min(repair.GetSequence()+100, farChanges), Ranges: repair.GetRanges()}
+		request.Repair = &pb.Repair{Sequence: min(repair.GetSequence()+100, changesPerRun), Ranges: repair.GetRanges()}
 	}
 }
--- a/internal/region/proxy/trial_test.go
+++ b/internal/region/proxy/trial_test.go
@@ -5,44 +5,44 @@
 	"strings"
 )
 
-// requestKind is a kind of request, by the rules that hold for its runs.
+// requestKind is a kind of request, with the rules for its executions.
 type requestKind struct {
-	name   string
-	target string
-	stream bool
-	most   int // runs that are allowed
-	resume bool
+	name    string
+	target  string
+	stream  bool
+	maxRuns int // runs that are allowed
+	resume  bool
 }
 
 var requestKinds = []requestKind{
-	{name: "mutating", target: "/long/m/x", most: 1},
-	{name: "idempotent", target: "/long/i/x", most: 2},
-	{name: "plain stream", target: "/long/s/x", stream: true, most: 1},
-	{name: "resumable stream", target: "/long/r/x", stream: true, most: 3, resume: true},
+	{name: "mutating", target: "/long/m/x", maxRuns: 1},
+	{name: "idempotent", target: "/long/i/x", maxRuns: 2},
+	{name: "plain stream", target: "/long/s/x", stream: true, maxRuns: 1},
+	{name: "resumable stream", target: "/long/r/x", stream: true, maxRuns: 3, resume: true},
 }
 
 func isStreamTarget(target string) bool {
 	return strings.HasPrefix(target, "/long/s/") || strings.HasPrefix(target, "/long/r/")
 }
 
-// framing is how the end of a response is marked.
+// framing is how a response is delimited.
 type framing int
 
 const (
 	framedByLength framing = iota
 	framedByChunks
-	framedByEnd // the connection's
+	framedByEnd // close-delimited
 	framings
 )
 
-// reaction is what a server does with a request that it has read.
+// reaction is a server's response to a request that it has read.
 type reaction int
 
 const (
-	reactsWell      reaction = iota // 200
-	reactsFailed                    // 500
-	reactsDeclined                  // 503 that says that the request was not run
-	reactsUnclearly                 // 503 without
+	reactsWell        reaction = iota // 200
+	reactsFailed                      // 500
+	reactsDeclined                    // 503 with X-Fieldrelay-Not-Executed
+	reactsAmbiguously                 // 503 without X-Fieldrelay-Not-Executed
 	reactions
 )
 
@@ -50,33 +50,33 @@
 type stage int
 
 const (
-	inRequest stage = iota // so many bytes of the request were read
-	inAnswer               // so many bytes of the answer were written
+	inRequest stage = iota // after offset bytes of the request were read
+	inAnswer               // after offset bytes of the response were written
 )
 
-// fault is what it does there.
+// fault is what a server does at the offset.
 type fault int
 
 const (
-	resetsThere   fault = iota
-	closesThere         // both ways
-	fallsSilent         // and keeps the connection
-	answersEarly        // then reads on
-	answersLater        // like answersEarly, but reads on when its client has its answer
-	answersCloses       // answers early, then closes
-	writesGarbage       // then closes
-	answersTwice        // at once
-	repeatsLater        // answers once more where the answer to the next request is due
-	answersOther        // with the id of another request, then with its own
-	splices             // bytes of another answer directly before its own
-	clientLeaves        // it falls silent, and the client leaves
+	resetsConnection        fault = iota
+	closesConnection              // in both directions
+	stopsResponding               // and keeps the connection open
+	respondsEarly                 // then reads the rest of the request
+	respondsEarlyReadsLater       // like respondsEarly, but reads the rest after the client has received the response
+	respondsEarlyCloses           // responds early, then closes the connection
+	writesGarbage                 // then closes the connection
+	respondsTwice                 // sends the beginning of the response once more directly after it
+	repeatsResponseLater          // sends the beginning of the response once more before the next one
+	respondsToOther               // sends a response with another request's id, then its own
+	splicesResponses              // sends bytes of another response directly before its own
+	clientDisconnects             // the server stops responding, and the client disconnects
 )
 
-var misdeedNames = map[fault]string{
-	resetsThere: "resets", closesThere: "closes", fallsSilent: "falls silent", answersEarly: "answers early",
-	answersLater: "answers early, reads on later", answersCloses: "answers early and closes", writesGarbage: "writes garbage",
-	answersTwice: "answers twice", repeatsLater: "repeats its answer later", answersOther: "answers another first",
-	splices: "splices answers", clientLeaves: "is left by the client",
+var faultNames = map[fault]string{
+	resetsConnection: "resets", closesConnection: "closes", stopsResponding: "stops responding", respondsEarly: "responds early",
+	respondsEarlyReadsLater: "responds early and reads the rest later", respondsEarlyCloses: "responds early and closes", writesGarbage: "writes garbage",
+	respondsTwice: "responds twice", repeatsResponseLater: "repeats its response later", respondsToOther: "sends another response first",
+	splicesResponses: "splices responses", clientDisconnects: "stops responding, client disconnects",
 }
 
 // trial is one request to a server that injects one fault.
@@ -84,7 +84,7 @@
 	kind     requestKind
 	framing  framing
 	reaction reaction
-	reused   bool // the connection to the server has served before
+	reused   bool // the connection to the server has been used before
 	stage    stage
 	offset   int // bytes
 	fault    fault
@@ -95,16 +95,16 @@
 func (tr *trial) String() string {
 	where := "of the request"
 	if tr.stage == inAnswer {
-		where = "of the answer"
+		where = "of the response"
 	}
 	return fmt.Sprintf("%s, framing %d, reaction %d, reused %v: server %s at byte %d %s",
-		tr.kind.name, tr.framing, tr.reaction, tr.reused, misdeedNames[tr.fault], tr.offset, where)
+		tr.kind.name, tr.framing, tr.reaction, tr.reused, faultNames[tr.fault], tr.offset, where)
 }
 
-// pieces is the number of events of a stream.
-const pieces = 4
+// eventsPerStream is the number of events in each stream.
+const eventsPerStream = 4
 
-func pieceOf(id, server string, number int) string {
+func eventOf(id, server string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s by %s\n\n", number, id, server)
 }
 
@@ -115,20 +115,20 @@
 	case react != reactsWell:
 		parts = []string{"why not"}
 	case stream:
-		for number := after + 1; number <= pieces; number++ {
-			parts = append(parts, pieceOf(id, server, number))
+		for number := after + 1; number <= eventsPerStream; number++ {
+			parts = append(parts, eventOf(id, server, number))
 		}
 	default:
 		parts = []string{id, " by ", server}
 	}
 	whole := strings.Join(parts, "")
-	// An ordinary header comes first: bytes of another answer may end within it.
+	// The first header is one without a meaning to the proxy, since bytes of another response may end within it.
 	header := "Content-Type: text/plain\r\n"
 	if stream && react == reactsWell {
 		header = "Content-Type: text/event-stream\r\n"
 	}
 	header += headerAttemptID + ": " + id + "\r\n"
-	status := map[reaction]string{reactsWell: "200 OK", reactsFailed: "500 Failed", reactsDeclined: "503 Full", reactsUnclearly: "503 Full"}[react]
+	status := map[reaction]string{reactsWell: "200 OK", reactsFailed: "500 Failed", reactsDeclined: "503 Full", reactsAmbiguously: "503 Full"}[react]
 	if react == reactsDeclined {
 		header += headerNotExecuted + ": 1\r\n"
 	} else {
