--- a/internal/region/control/viewplan.go
+++ b/internal/region/control/viewplan.go
@@ -48,7 +48,7 @@
 		Voters:  voters,
 		Chain:   members,
 	}
-	register.NameEpoch(wanted, view)
+	register.AssignEpoch(wanted, view)
 	return wanted, viewChange{Change: change, Voters: changed}
 }
 
--- a/internal/region/coordination/simulatedfaults_test.go
+++ b/internal/region/coordination/simulatedfaults_test.go
@@ -201,7 +201,7 @@
 		return
 	}
 	next := &pb.View{Number: s.view.GetNumber() + 1, Voters: voters}
-	register.NameEpoch(next, s.view)
+	register.AssignEpoch(next, s.view)
 	s.view = next
 	pick(s, informed).adopt(next)
 }
--- a/internal/region/register/membership.go
+++ b/internal/region/register/membership.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// NameEpoch sets the epoch of a view that is to follow another one: the same as long as the voters are.
-func NameEpoch(next, before *pb.View) {
+// AssignEpoch sets the epoch of a view that is to follow another one: the same as long as the voters are.
+func AssignEpoch(next, before *pb.View) {
 	current := MembershipOf(before)
 	if current.Epoch > 0 && sameReplicas(next.GetVoters(), current.Voters) {
 		next.VotersEpoch = current.Epoch
--- a/internal/region/register/transfer_test.go
+++ b/internal/region/register/transfer_test.go
@@ -110,18 +110,18 @@
 
 func TestEpochIsTheSameWhileTheVotersAre(t *testing.T) {
 	first := &pb.View{Number: 1, Voters: replicasOf("a", "b", "c")}
-	NameEpoch(first, nil)
+	AssignEpoch(first, nil)
 	assert.Equal(t, Membership{Epoch: 1, Voters: first.GetVoters()}, MembershipOf(first))
 	second := &pb.View{Number: 2, Voters: replicasOf("c", "b", "a")}
-	NameEpoch(second, first)
+	AssignEpoch(second, first)
 	assert.Equal(t, uint64(1), MembershipOf(second).Epoch)
 	third := &pb.View{Number: 3, Voters: replicasOf("a", "b", "d")}
-	NameEpoch(third, second)
+	AssignEpoch(third, second)
 	assert.Equal(t, uint64(3), MembershipOf(third).Epoch)
 	assert.Equal(t, uint64(1), MembershipOf(third).PreviousEpoch)
 	assert.Equal(t, second.GetVoters(), MembershipOf(third).PreviousVoters)
 	fourth := &pb.View{Number: 4, Voters: third.GetVoters()}
-	NameEpoch(fourth, third)
+	AssignEpoch(fourth, third)
 	assert.Equal(t, MembershipOf(third), MembershipOf(fourth))
 	assert.Equal(t, Membership{}, MembershipOf(&pb.View{Number: 9, Voters: first.GetVoters()}))
 }
