--- a/internal/region/register/anyorder_test.go
+++ b/internal/region/register/anyorder_test.go
@@ -8,16 +8,16 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// anyOrder is a cluster of three voters, of which two propose and one loses power, whose messages come in any order, several
+// unorderedCluster is a cluster of three voters, of which two propose and one loses power, whose messages come in any order, several
 // times or never.
-type anyOrder struct {
+type unorderedCluster struct {
 	*rapid.T
-	cluster *cluster
-	lastID  uint64
-	floors  map[uint64]uint64 // by call, the highest number that was given before it
-	given   map[uint64]uint64 // by number, the call that it was given to
-	highest uint64
-	checked map[*member]int // how many of its results were
+	cluster  *cluster
+	lastID   uint64
+	floors   map[uint64]uint64 // by call, the highest number that was given before it
+	assigned map[uint64]uint64 // by number, the call that it was given to
+	highest  uint64
+	checked  map[*member]int // how many of its results were
 }
 
 func TestNumbersRiseInAnyOrderOfMessages(t *testing.T) {
@@ -28,9 +28,9 @@
 }
 
 func checkAnyOrder(t *rapid.T) {
-	run := &anyOrder{
-		T: t, cluster: foundedCluster("a", "b", "c"),
-		floors: make(map[uint64]uint64), given: make(map[uint64]uint64), checked: make(map[*member]int),
+	run := &unorderedCluster{
+		T: t, cluster: newActiveCluster("a", "b", "c"),
+		floors: make(map[uint64]uint64), assigned: make(map[uint64]uint64), checked: make(map[*member]int),
 	}
 	run.cluster.members["c"].slowDisk = true
 	for range rapid.IntRange(10, 120).Draw(t, "steps") {
@@ -39,12 +39,12 @@
 	}
 }
 
-func (r *anyOrder) step() {
+func (r *unorderedCluster) step() {
 	switch rapid.IntRange(0, 15).Draw(r.T, "action") {
 	case 0, 1, 2:
 		r.submit(rapid.SampledFrom([]string{"a", "b"}).Draw(r.T, "proposer"))
 	case 3:
-		r.cluster.pass(resendInterval)
+		r.cluster.advanceClock(resendInterval)
 		r.cluster.tick("a", "b", "c")
 	case 4:
 		r.cluster.members["c"].restart(firstEpoch("a", "b", "c"))
@@ -53,20 +53,20 @@
 	case 7:
 		r.deliver(true)
 	case 8:
-		r.lose()
+		r.drop()
 	default:
 		r.deliver(false)
 	}
 }
 
-func (r *anyOrder) submit(proposer string) {
+func (r *unorderedCluster) submit(proposer string) {
 	r.lastID++
 	r.floors[r.lastID] = r.highest
 	r.cluster.members[proposer].submit(numberCall(r.lastID))
 }
 
 // take draws a message on the wire; false: there is none.
-func (r *anyOrder) take(stays bool) (sentMessage, bool) {
+func (r *unorderedCluster) take(stays bool) (sentMessage, bool) {
 	wire := r.cluster.wire
 	if len(wire) == 0 {
 		return sentMessage{}, false
@@ -79,16 +79,16 @@
 	return taken, true
 }
 
-func (r *anyOrder) deliver(again bool) {
+func (r *unorderedCluster) deliver(again bool) {
 	if taken, found := r.take(again); found {
 		r.cluster.members[taken.to].receive(&pb.Replica{Identity: taken.from}, taken.message)
 	}
 }
 
-func (r *anyOrder) lose() { r.take(false) }
+func (r *unorderedCluster) drop() { r.take(false) }
 
 // check requires that the numbers given since the last check are new, and above all that were given before their calls.
-func (r *anyOrder) check() {
+func (r *unorderedCluster) check() {
 	for _, proposer := range []string{"a", "b"} {
 		answered := r.cluster.members[proposer]
 		for _, result := range answered.results[r.checked[answered]:] {
@@ -98,17 +98,17 @@
 	}
 }
 
-func (r *anyOrder) checkResult(result *pb.CoordinationResult) {
+func (r *unorderedCluster) checkResult(result *pb.CoordinationResult) {
 	if result.GetOutcome() != ok {
 		return
 	}
 	number, id := result.GetNumber(), result.GetId()
-	if other, isGiven := r.given[number]; isGiven {
+	if other, isGiven := r.assigned[number]; isGiven {
 		r.Fatalf("number %d is given to calls %d and %d", number, other, id)
 	}
 	if number <= r.floors[id] {
 		r.Fatalf("call %d gets %d after %d was given", id, number, r.floors[id])
 	}
-	r.given[number] = id
+	r.assigned[number] = id
 	r.highest = max(r.highest, number)
 }
--- a/internal/region/register/cluster_test.go
+++ b/internal/region/register/cluster_test.go
@@ -42,7 +42,7 @@
 	for _, identity := range identities {
 		m := &member{cluster: c, self: &pb.Replica{Identity: identity}}
 		m.replica = NewReplica(identity, testRetention, m)
-		m.proposers = NewProposers(m.replica, identity+"/1", executeSimply, m)
+		m.proposers = NewProposers(m.replica, identity+"/1", executeCounter, m)
 		c.members[identity] = m
 	}
 	return c
@@ -82,8 +82,8 @@
 	}
 }
 
-// pass lets time pass, without messages.
-func (c *cluster) pass(by time.Duration) { c.now += by }
+// advanceClock lets time advanceClock, without messages.
+func (c *cluster) advanceClock(by time.Duration) { c.now += by }
 
 func (c *cluster) tick(identities ...string) {
 	for _, identity := range identities {
@@ -173,7 +173,7 @@
 func (m *member) restart(membership Membership) *member {
 	next := &member{cluster: m.cluster, self: m.self, records: m.records, slowDisk: m.slowDisk}
 	next.replica = NewReplica(m.self.GetIdentity(), testRetention, next)
-	next.proposers = NewProposers(next.replica, m.self.GetIdentity()+"/2", executeSimply, next)
+	next.proposers = NewProposers(next.replica, m.self.GetIdentity()+"/2", executeCounter, next)
 	for _, record := range m.records {
 		next.replica.Restore(record)
 	}
@@ -183,9 +183,9 @@
 	return next
 }
 
-// executeSimply executes calls on a counter: numbers, a put that succeeds if the counter has the expected value, and reads.
+// executeCounter executes calls on a counter: numbers, a put that succeeds if the counter has the expected value, and reads.
 // A put without an expected value appends an event to a group; a watch waits.
-func executeSimply(value *pb.RegisterValue, call *pb.CoordinationCall, _ Conditions) Outcome {
+func executeCounter(value *pb.RegisterValue, call *pb.CoordinationCall, _ Conditions) Outcome {
 	present := value.GetCounter().GetValue()
 	switch operation := call.GetOperation().(type) {
 	case *pb.CoordinationCall_NextNumber:
--- a/internal/region/register/proposer.go
+++ b/internal/region/register/proposer.go
@@ -42,19 +42,19 @@
 	proposers *Proposers
 	name      string
 
-	phase    phase
-	began    time.Duration // when the phase, or the round in flight, began
-	sentAt   time.Duration // when voters were asked last
-	usedAt   time.Duration // when a call came last
-	retried  time.Duration // when it last prepared again after another proposer had a higher number
-	highest  uint64        // round of the highest number known
-	position *pb.RegisterPosition
-	value    *pb.RegisterValue // at position
+	phase        phase
+	startedAt    time.Duration // when the phase, or the round in flight, began
+	sentAt       time.Duration // when voters were asked last
+	lastCallAt   time.Duration // when a call came last
+	lastRetry    time.Duration // when it last prepared again after another proposer had a higher number
+	highestRound uint64        // round of the highest number known
+	position     *pb.RegisterPosition
+	value        *pb.RegisterValue // at position
 	// heldUntil is the latest time at which the holder of a lock may take itself for the holder.
 	heldUntil time.Duration
 	promises  *promises         // while preparing
 	round     *round            // nil: none is in flight
-	delivered map[string]uint64 // by voter, the sequence that was sent to it last
+	lastSent  map[string]uint64 // by voter, the sequence that was sent to it last
 
 	queue    []*operation
 	watchers []*operation
@@ -88,7 +88,7 @@
 // submit takes a call.
 func (p *proposer) submit(now time.Duration, from *pb.Replica, call *pb.CoordinationCall) {
 	next := &operation{call: call, from: from, arrived: now}
-	p.usedAt = now
+	p.lastCallAt = now
 	if len(p.queue) >= maxQueuedCalls || call.GetWatch() != nil && len(p.watchers) >= maxWatchers {
 		p.reply(next, next.result(&pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_BUSY}))
 		return
@@ -131,12 +131,12 @@
 // prepare asks all voters for their promises.
 func (p *proposer) prepare(now time.Duration) {
 	held := p.proposers.replica.held(p.name)
-	p.highest = p.proposers.nextRound(max(p.highest, held.promised.GetRound()))
+	p.highestRound = p.proposers.nextRound(max(p.highestRound, held.promised.GetRound()))
 	p.phase = phasePreparing
-	p.began = now
+	p.startedAt = now
 	p.position = &pb.RegisterPosition{
 		Epoch:    p.proposers.replica.activeEpoch,
-		Round:    p.highest,
+		Round:    p.highestRound,
 		Proposer: p.proposers.name,
 	}
 	p.promises = &promises{
@@ -172,16 +172,16 @@
 		p.superseded(now, promise.GetPromised())
 		return
 	}
-	p.promises.add(now, promise)
+	p.promises.merge(now, promise)
 	p.promises.granted[from.GetIdentity()] = true
 	if len(p.promises.granted) < p.majority() {
 		return
 	}
-	p.lead(now)
+	p.startLeading(now)
 }
 
-// add takes over what a voter has accepted, if it is newer, and what it shows of the time of the newest grant.
-func (p *promises) add(now time.Duration, promise *pb.RegisterPromise) {
+// merge takes over what a voter has accepted, if it is newer, and what it shows of the time of the newest grant.
+func (p *promises) merge(now time.Duration, promise *pb.RegisterPromise) {
 	grantedAt := now - time.Duration(promise.GetAgeMs())*time.Millisecond
 	switch order := ComparePositions(promise.GetAccepted(), p.accepted); {
 	case order > 0:
@@ -198,14 +198,14 @@
 	}
 }
 
-// lead begins to propose: a majority has promised.
-func (p *proposer) lead(now time.Duration) {
+// startLeading begins to propose: a majority has promised.
+func (p *proposer) startLeading(now time.Duration) {
 	p.phase = phaseLeading
 	p.value = p.promises.value
 	hold := time.Duration(p.value.GetLock().GetHoldMs()) * time.Millisecond
 	p.heldUntil = p.promises.grantedAt + hold + holdMargin
 	p.promises = nil
-	p.delivered = make(map[string]uint64)
+	p.lastSent = make(map[string]uint64)
 	p.advance(now)
 }
 
@@ -243,7 +243,7 @@
 		}
 	}
 	p.round = next
-	p.began = now
+	p.startedAt = now
 	p.sendAccept(now)
 }
 
@@ -307,11 +307,11 @@
 			continue
 		}
 		change := current.change
-		sequence, wasSent := p.delivered[identity]
+		sequence, wasSent := p.lastSent[identity]
 		if change != nil && (!wasSent || sequence != current.base.GetSequence()) {
 			change = wholeChange(current.value)
 		}
-		p.delivered[identity] = current.position.GetSequence()
+		p.lastSent[identity] = current.position.GetSequence()
 		p.sendChange(voter, change)
 	}
 }
@@ -353,11 +353,11 @@
 func (p *proposer) repair(voter *pb.Replica, answer *pb.RegisterAccepted) {
 	identity := voter.GetIdentity()
 	if p.round == nil || answer.GetPoll() != p.round.poll || p.round.repaired[identity] {
-		delete(p.delivered, identity)
+		delete(p.lastSent, identity)
 		return
 	}
 	p.round.repaired[identity] = true
-	p.delivered[identity] = p.round.position.GetSequence()
+	p.lastSent[identity] = p.round.position.GetSequence()
 	p.sendChange(voter, wholeChange(p.round.value))
 }
 
@@ -393,7 +393,7 @@
 		case !outcome.Wait:
 			answers = append(answers, answer{to: watcher, result: outcome.Result})
 		case now-watcher.arrived >= time.Duration(watcher.call.GetWatch().GetWaitMs())*time.Millisecond:
-			answers = append(answers, answer{to: watcher, result: nothingNew(watcher)})
+			answers = append(answers, answer{to: watcher, result: emptyWatchResult(watcher)})
 		default:
 			p.watchers = append(p.watchers, watcher)
 		}
@@ -403,8 +403,8 @@
 	}
 }
 
-// nothingNew is the result of a watch whose time is up.
-func nothingNew(watcher *operation) *pb.CoordinationResult {
+// emptyWatchResult is the result of a watch whose time is up.
+func emptyWatchResult(watcher *operation) *pb.CoordinationResult {
 	return &pb.CoordinationResult{
 		Outcome:  pb.CoordinationResult_OUTCOME_OK,
 		Revision: watcher.call.GetWatch().GetAfter(),
@@ -414,12 +414,12 @@
 // superseded gives the number up: another proposer has a higher one. It prepares a higher one itself for the calls that wait,
 // unless it did so just before; then they go back to where they came from, and from there to whoever proposes by then.
 func (p *proposer) superseded(now time.Duration, by *pb.RegisterPosition) {
-	p.highest = max(p.highest, by.GetRound())
-	if now-p.retried < retryInterval {
+	p.highestRound = max(p.highestRound, by.GetRound())
+	if now-p.lastRetry < retryInterval {
 		p.stop()
 		return
 	}
-	p.retried = now
+	p.lastRetry = now
 	waiting := p.queue
 	if p.round != nil {
 		waiting = slices.Concat(p.round.operations, waiting)
@@ -451,24 +451,24 @@
 
 // tick lets time pass.
 func (p *proposer) tick(now time.Duration) {
-	p.answerWatchersInTime(now)
+	p.expireWatchers(now)
 	isWorking := p.phase == phasePreparing || p.round != nil
 	switch {
 	case !isWorking:
 		p.advance(now)
-	case now-p.began >= phaseTimeout:
+	case now-p.startedAt >= phaseTimeout:
 		p.stop()
 	case now-p.sentAt < resendInterval:
 	case p.phase == phasePreparing:
 		p.sendPrepare(now)
 	default:
-		p.delivered = make(map[string]uint64)
+		p.lastSent = make(map[string]uint64)
 		p.sendAccept(now)
 	}
 }
 
-// answerWatchersInTime ends the watches whose time is up. The value is not confirmed anew for that: the answer tells nothing.
-func (p *proposer) answerWatchersInTime(now time.Duration) {
+// expireWatchers ends the watches whose time is up. The value is not confirmed anew for that: the answer tells nothing.
+func (p *proposer) expireWatchers(now time.Duration) {
 	if p.phase == phaseLeading && len(p.watchers) > 0 {
 		p.answerWatchers(now)
 	}
@@ -477,5 +477,5 @@
 // isIdle reports whether the proposer may be forgotten.
 func (p *proposer) isIdle(now time.Duration) bool {
 	hasWork := p.round != nil || p.phase == phasePreparing || len(p.queue) > 0 || len(p.watchers) > 0
-	return !hasWork && now-p.usedAt > idleTimeout
+	return !hasWork && now-p.lastCallAt > idleTimeout
 }
--- a/internal/region/register/proposers.go
+++ b/internal/region/register/proposers.go
@@ -62,20 +62,20 @@
 
 // Promised takes a voter's answer to a prepare.
 func (s *Proposers) Promised(now time.Duration, from *pb.Replica, promise *pb.RegisterPromise) {
-	if found := s.answered(from, promise.GetName(), promise.GetNumber()); found != nil {
+	if found := s.proposerFor(from, promise.GetName(), promise.GetNumber()); found != nil {
 		found.promised(now, from, promise)
 	}
 }
 
 // Accepted takes a voter's answer to an accept.
 func (s *Proposers) Accepted(now time.Duration, from *pb.Replica, answer *pb.RegisterAccepted) {
-	if found := s.answered(from, answer.GetName(), answer.GetPosition()); found != nil {
+	if found := s.proposerFor(from, answer.GetName(), answer.GetPosition()); found != nil {
 		found.accepted(now, from, answer)
 	}
 }
 
-// answered is the proposer that a voter answers; nil if there is none in this epoch.
-func (s *Proposers) answered(from *pb.Replica, name string, position *pb.RegisterPosition) *proposer {
+// proposerFor is the proposer that a voter answers; nil if there is none in this epoch.
+func (s *Proposers) proposerFor(from *pb.Replica, name string, position *pb.RegisterPosition) *proposer {
 	s.followEpoch()
 	if position.GetEpoch() != s.epoch || !s.replica.membership.includes(from.GetIdentity()) {
 		return nil
--- a/internal/region/register/register_test.go
+++ b/internal/region/register/register_test.go
@@ -18,14 +18,14 @@
 	unknown     = pb.CoordinationResult_OUTCOME_UNKNOWN
 )
 
-func foundedCluster(identities ...string) *cluster {
+func newActiveCluster(identities ...string) *cluster {
 	c := newCluster(identities...)
 	c.enter(firstEpoch(identities...), identities...)
 	return c
 }
 
 func TestNumbersRiseAcrossProposers(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	for id, proposer := range []string{"a", "b", "c", "a", "a"} {
 		c.members[proposer].submit(numberCall(uint64(id)))
 		c.deliver("a", "b", "c")
@@ -34,7 +34,7 @@
 }
 
 func TestCallsInOneRoundSeeEachOther(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["a"].submit(numberCall(1), numberCall(2), readCall(3))
 	c.deliver("a", "b", "c")
 	assert.Equal(t, uint64(1), c.members["a"].result(t, 1).GetNumber())
@@ -43,17 +43,17 @@
 }
 
 func TestNothingIsAnsweredWithoutAMajority(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["a"].submit(numberCall(1))
 	c.deliver("a")
 	assert.Empty(t, c.members["a"].results)
-	c.pass(phaseTimeout)
+	c.advanceClock(phaseTimeout)
 	c.tick("a")
 	assert.Equal(t, unavailable, c.members["a"].result(t, 1).GetOutcome())
 }
 
 func TestValueThatMayBeChosenIsTakenOver(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["a"].submit(numberCall(1))
 	c.deliver("a", "b")
 	c.members["c"].submit(numberCall(2))
@@ -62,7 +62,7 @@
 }
 
 func TestSupersededProposerReadsTheNewerValue(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["a"].submit(numberCall(1))
 	c.deliver("a", "b", "c")
 	c.members["b"].submit(numberCall(2))
@@ -73,7 +73,7 @@
 }
 
 func TestProposerThatIsSupersededTwiceInAShortTimeGivesItsCallsBack(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["a"].submit(numberCall(1))
 	c.deliver("a", "b", "c")
 	for id := uint64(2); id <= 3; id++ {
@@ -87,7 +87,7 @@
 }
 
 func TestRejectionOnAnUnwrittenRegisterStandsAgainstEarlierProposals(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	first := c.members["a"]
 	first.submit(numberCall(1), conditionalCall(2, 1))
 	prepare := c.wire[0].message
@@ -108,7 +108,7 @@
 }
 
 func TestPromiseSurvivesARestart(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["a"].submit(numberCall(1))
 	c.deliver("a", "b", "c")
 	c.members["c"].submit(numberCall(2))
@@ -124,7 +124,7 @@
 }
 
 func TestRecordsRestoreAnEqualReplica(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	for id := range uint64(5) {
 		c.members["a"].submit(eventCall(id, string(rune('u'+id))))
 		c.deliver("a", "b", "c")
@@ -145,7 +145,7 @@
 }
 
 func TestAnswerLeavesOnlyWhenItIsDurable(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["b"].slowDisk = true
 	c.members["a"].submit(numberCall(1))
 	c.deliver("a", "b")
@@ -159,21 +159,21 @@
 }
 
 func TestFullDiskPromisesNothing(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["b"].fullDisk = true
 	c.members["c"].fullDisk = true
 	c.members["a"].submit(numberCall(1))
 	c.deliver("a", "b", "c")
 	require.Empty(t, c.members["a"].results)
 	c.members["c"].fullDisk = false
-	c.pass(resendInterval)
+	c.advanceClock(resendInterval)
 	c.tick("a")
 	c.deliver("a", "b", "c")
 	assert.Equal(t, ok, c.members["a"].result(t, 1).GetOutcome())
 }
 
 func TestVoterThatMissedAChangeIsSentTheWholeValue(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	for id := range uint64(4) {
 		c.members["a"].submit(eventCall(id, string(rune('u'+id))))
 		if id == 1 {
@@ -187,10 +187,10 @@
 }
 
 func TestOldEventsAreDroppedWithoutFurtherWrites(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["a"].submit(eventCall(1, "u"))
 	c.deliver("a", "b", "c")
-	c.pass(testRetention + time.Second)
+	c.advanceClock(testRetention + time.Second)
 	for id := uint64(2); id <= 3; id++ {
 		c.members["a"].submit(readCall(id))
 		c.deliver("a", "b", "c")
@@ -199,12 +199,12 @@
 }
 
 func TestEventThatReplacesAnUnchosenOneIsKeptAsLongAsAnyOther(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	for id, among := range [][]string{{"a", "b", "c"}, {"a"}} {
 		c.members["a"].submit(eventCall(uint64(id), []string{"chosen", "unchosen"}[id]))
 		c.deliver(among...)
 	}
-	c.pass(testRetention + time.Second)
+	c.advanceClock(testRetention + time.Second)
 	c.members["b"].submit(eventCall(5, "other"))
 	c.deliver("b", "c")
 	c.members["b"].submit(readCall(6))
@@ -217,7 +217,7 @@
 }
 
 func TestQueueIsBounded(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	for id := range uint64(maxQueuedCalls + 1) {
 		c.members["a"].submit(numberCall(id))
 	}
@@ -227,20 +227,20 @@
 }
 
 func TestWatchersAreBounded(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	for id := range uint64(maxWatchers + 1) {
 		c.members["a"].submit(watchCall(id))
 		c.deliver("a", "b", "c")
 	}
 	assert.Equal(t, busy, c.members["a"].result(t, maxWatchers).GetOutcome())
 	assert.Len(t, c.members["a"].results, 1)
-	c.pass(time.Second)
+	c.advanceClock(time.Second)
 	c.tick("a")
 	assert.Len(t, c.members["a"].results, maxWatchers+1)
 }
 
 func TestCallThatComesAgainIsExecutedOnceWhileItIsUnderWay(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["a"].submit(numberCall(1), numberCall(1))
 	c.deliver("a", "b", "c")
 	require.Len(t, c.members["a"].results, 1)
@@ -252,10 +252,10 @@
 }
 
 func TestCallWhoseCallerHasGivenUpIsNotExecuted(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["a"].submit(numberCall(1))
 	c.deliver("a")
-	c.pass(callLifetime + time.Millisecond)
+	c.advanceClock(callLifetime + time.Millisecond)
 	c.tick("a")
 	c.deliver("a", "b", "c")
 	assert.Equal(t, unavailable, c.members["a"].result(t, 1).GetOutcome())
@@ -263,7 +263,7 @@
 }
 
 func TestStoppedProposerAnswersAllCalls(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	a := c.members["a"]
 	a.submit(numberCall(0))
 	c.deliver("a", "b", "c")
@@ -279,13 +279,13 @@
 }
 
 func TestProposerWithoutCallsIsForgotten(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["a"].submit(numberCall(1))
 	c.deliver("a", "b", "c")
-	c.pass(idleTimeout)
+	c.advanceClock(idleTimeout)
 	c.tick("a")
 	assert.Equal(t, 1, c.members["a"].proposers.Len())
-	c.pass(time.Second)
+	c.advanceClock(time.Second)
 	c.tick("a")
 	assert.Zero(t, c.members["a"].proposers.Len())
 }
--- a/internal/region/register/replica.go
+++ b/internal/region/register/replica.go
@@ -101,20 +101,20 @@
 	return found
 }
 
-// answers reports whether this machine answers a proposer.
-func (r *Replica) answers(position *pb.RegisterPosition) bool {
+// shouldAnswer reports whether this machine shouldAnswer a proposer.
+func (r *Replica) shouldAnswer(position *pb.RegisterPosition) bool {
 	return r.IsActive() && position.GetEpoch() == r.activeEpoch
 }
 
-// hasRoom reports whether a register of that name is there, or may be added.
-func (r *Replica) hasRoom(name string) bool {
+// hasCapacity reports whether a register of that name is there, or may be added.
+func (r *Replica) hasCapacity(name string) bool {
 	return r.registers[name] != nil || len(r.registers) < MaxRegisters
 }
 
 // Prepare answers the first phase of a proposal.
 func (r *Replica) Prepare(now time.Duration, from *pb.Replica, prepare *pb.RegisterPrepare) {
 	number := prepare.GetNumber()
-	if !r.answers(number) || !r.output.CanPersist() || !r.hasRoom(prepare.GetName()) {
+	if !r.shouldAnswer(number) || !r.output.CanPersist() || !r.hasCapacity(prepare.GetName()) {
 		return
 	}
 	found := r.register(prepare.GetName())
@@ -141,7 +141,7 @@
 
 // Accept answers the second phase of a proposal, or a confirmation.
 func (r *Replica) Accept(now time.Duration, from *pb.Replica, accept *pb.RegisterAccept) {
-	if !r.answers(accept.GetPosition()) || !r.output.CanPersist() {
+	if !r.shouldAnswer(accept.GetPosition()) || !r.output.CanPersist() {
 		return
 	}
 	found := r.register(accept.GetName())
@@ -208,11 +208,11 @@
 	if a.value.GetLock().GetGrantedBy() != before.GetLock().GetGrantedBy() {
 		a.grantedAt = now
 	}
-	a.timeEvents(now, before.GetGroup())
+	a.recordEventTimes(now, before.GetGroup())
 }
 
-// timeEvents records when the events came that the group did not have before.
-func (a *acceptor) timeEvents(now time.Duration, before *pb.KeyGroupState) {
+// recordEventTimes records when the events came that the group did not have before.
+func (a *acceptor) recordEventTimes(now time.Duration, before *pb.KeyGroupState) {
 	events := a.value.GetGroup().GetEvents()
 	known := make(map[uint64]int, len(before.GetEvents()))
 	if len(events) == 0 {
@@ -249,7 +249,7 @@
 		return
 	}
 	group := found.value.GetGroup()
-	found.value = groupValue(withoutEventsBefore(group, group.GetEvents()[old-1].GetRevision()))
+	found.value = groupValue(withoutEventsThrough(group, group.GetEvents()[old-1].GetRevision()))
 	found.eventTimes = slices.Clone(found.eventTimes[old:])
 }
 
--- a/internal/region/register/transfer.go
+++ b/internal/region/register/transfer.go
@@ -16,8 +16,8 @@
 
 // transfer collects the registers of the epoch in force, which this machine does not hold yet.
 type transfer struct {
-	askedAt time.Duration
-	asked   bool
+	requestedAt time.Duration
+	requested   bool
 	// received are the answers of voters of the previous epoch, by identity.
 	received map[string]*pb.RegisterTransfer
 }
@@ -65,28 +65,28 @@
 		return
 	}
 	if len(r.membership.PreviousVoters) == 0 {
-		r.beginEmpty()
+		r.activateEmpty()
 		return
 	}
-	isTooEarly := r.transfer.asked && now-r.transfer.askedAt < transferInterval
+	isTooEarly := r.transfer.requested && now-r.transfer.requestedAt < transferInterval
 	if isTooEarly || !r.output.CanPersist() {
 		return
 	}
-	r.transfer.asked = true
-	r.transfer.askedAt = now
-	r.askForTransfer()
+	r.transfer.requested = true
+	r.transfer.requestedAt = now
+	r.requestTransfer()
 }
 
-// beginEmpty takes part in the first epoch, in which no register was written before. A machine that holds registers of
+// activateEmpty takes part in the first epoch, in which no register was written before. A machine that holds registers of
 // another epoch does not: it waits for a view that says where they are.
-func (r *Replica) beginEmpty() {
+func (r *Replica) activateEmpty() {
 	if len(r.registers) == 0 && r.output.CanPersist() {
 		r.activate()
 	}
 }
 
-// askForTransfer asks once what it says to hold is durable: an answer leaves that out.
-func (r *Replica) askForTransfer() {
+// requestTransfer asks once what it says to hold is durable: an answer leaves that out.
+func (r *Replica) requestTransfer() {
 	request := &pb.Message{Body: &pb.Message_RegisterTransferRequest{
 		RegisterTransferRequest: &pb.RegisterTransferRequest{Epoch: r.membership.Epoch, Held: r.heldPositions()},
 	}}
@@ -101,14 +101,14 @@
 	}
 }
 
-// tookPart reports whether this machine voted in the previous epoch and held its registers, so that what it holds counts.
-func (r *Replica) tookPart() bool {
-	return r.activeEpoch == r.membership.PreviousEpoch && r.membership.includedBefore(r.identity)
+// votedInPreviousEpoch reports whether this machine voted in the previous epoch and held its registers, so that what it holds counts.
+func (r *Replica) votedInPreviousEpoch() bool {
+	return r.activeEpoch == r.membership.PreviousEpoch && r.membership.includedPreviously(r.identity)
 }
 
 // heldPositions are the positions of what this machine holds, if that counts.
 func (r *Replica) heldPositions() []*pb.RegisterRecord {
-	if !r.tookPart() {
+	if !r.votedInPreviousEpoch() {
 		return nil
 	}
 	records := make([]*pb.RegisterRecord, 0, len(r.registers))
@@ -118,8 +118,8 @@
 	return records
 }
 
-// recordsBeyond are the registers that are newer here than in a list of positions.
-func (r *Replica) recordsBeyond(held []*pb.RegisterRecord) []*pb.RegisterRecord {
+// recordsNewerThan are the registers that are newer here than in a list of positions.
+func (r *Replica) recordsNewerThan(held []*pb.RegisterRecord) []*pb.RegisterRecord {
 	known := make(map[string]*pb.RegisterPosition, len(held))
 	for _, record := range held {
 		known[record.GetName()] = record.GetAccepted()
@@ -145,9 +145,9 @@
 	switch r.activeEpoch {
 	case epoch, r.membership.PreviousEpoch:
 		answer.ActiveEpoch = r.activeEpoch
-		answer.Registers = r.recordsBeyond(request.GetHeld())
+		answer.Registers = r.recordsNewerThan(request.GetHeld())
 	default:
-		if !r.membership.includedBefore(r.identity) {
+		if !r.membership.includedPreviously(r.identity) {
 			return
 		}
 	}
@@ -165,7 +165,7 @@
 		r.install(now, []*pb.RegisterTransfer{received})
 		return
 	}
-	if !r.membership.includedBefore(from.GetIdentity()) {
+	if !r.membership.includedPreviously(from.GetIdentity()) {
 		return
 	}
 	if r.transfer.received == nil {
@@ -173,12 +173,12 @@
 	}
 	r.transfer.received[from.GetIdentity()] = received
 	if len(r.transfer.received) >= r.membership.previousMajority() && r.hasPreviousRegisters() {
-		r.install(now, r.collected())
+		r.install(now, r.sortedTransfers())
 	}
 }
 
-// collected are the answers of the previous voters, in an order that does not depend on chance.
-func (r *Replica) collected() []*pb.RegisterTransfer {
+// sortedTransfers are the answers of the previous voters, in an order that does not depend on chance.
+func (r *Replica) sortedTransfers() []*pb.RegisterTransfer {
 	collected := make([]*pb.RegisterTransfer, 0, len(r.transfer.received))
 	for _, identity := range slices.Sorted(maps.Keys(r.transfer.received)) {
 		collected = append(collected, r.transfer.received[identity])
@@ -204,7 +204,7 @@
 		return
 	}
 	registers := make(map[string]*acceptor)
-	if r.tookPart() {
+	if r.votedInPreviousEpoch() {
 		registers = r.registers
 	}
 	for _, transfer := range collected {
--- a/internal/region/register/transfer_test.go
+++ b/internal/region/register/transfer_test.go
@@ -35,7 +35,7 @@
 	c.deliver("c", "d")
 	assert.False(t, c.members["d"].replica.IsActive())
 	c.enter(secondEpoch([]string{"a", "b", "c"}, "b", "c", "d"), "b")
-	c.pass(transferInterval)
+	c.advanceClock(transferInterval)
 	c.tick("d")
 	c.deliver("b", "c", "d")
 	assert.True(t, c.members["d"].replica.IsActive())
@@ -87,7 +87,7 @@
 }
 
 func TestMachineWithRegistersDoesNotBeginEmpty(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["a"].submit(numberCall(1))
 	c.deliver("a", "b", "c")
 	c.enter(Membership{Epoch: 7, Voters: replicasOf("a", "b", "c")}, "a")
--- a/internal/region/register/value.go
+++ b/internal/region/register/value.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// withoutEventsBefore returns a group without its events up to a revision.
-func withoutEventsBefore(group *pb.KeyGroupState, revision uint64) *pb.KeyGroupState {
+// withoutEventsThrough returns a group without its events up to a revision.
+func withoutEventsThrough(group *pb.KeyGroupState, revision uint64) *pb.KeyGroupState {
 	first, _ := slices.BinarySearchFunc(group.GetEvents(), revision+1, func(event *pb.KeyEvent, wanted uint64) int {
 		return compareRevisions(event.GetRevision(), wanted)
 	})
