--- a/internal/region/register/anyorder_test.go
+++ b/internal/region/register/anyorder_test.go
@@ -8,16 +8,16 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// unorderedCluster is a cluster of three voters, of which two propose and one loses power, whose messages come in any order, several
-// times or never.
+// unorderedCluster is a cluster of three voters, two of which propose and one of which loses power. Its messages may be
+// reordered, duplicated and lost.
 type unorderedCluster struct {
 	*rapid.T
 	cluster  *cluster
 	lastID   uint64
-	floors   map[uint64]uint64 // by call, the highest number that was given before it
-	assigned map[uint64]uint64 // by number, the call that it was given to
+	floors   map[uint64]uint64 // by call, the highest number assigned before the call was submitted
+	assigned map[uint64]uint64 // by number, the call that received it
 	highest  uint64
-	checked  map[*member]int // how many of its results were
+	checked  map[*member]int // number of results already checked
 }
 
 func TestNumbersRiseInAnyOrderOfMessages(t *testing.T) {
@@ -65,7 +65,7 @@
 	r.cluster.members[proposer].submit(numberCall(r.lastID))
 }
 
-// take draws a message on the wire; false: there is none.
+// take draws a message in flight, and removes it unless stays is set. It returns false if there is none.
 func (r *unorderedCluster) take(stays bool) (sentMessage, bool) {
 	wire := r.cluster.wire
 	if len(wire) == 0 {
@@ -87,7 +87,8 @@
 
 func (r *unorderedCluster) drop() { r.take(false) }
 
-// check requires that the numbers given since the last check are new, and above all that were given before their calls.
+// check requires that every number assigned since the last check is new, and higher than all numbers assigned before
+// its call was submitted.
 func (r *unorderedCluster) check() {
 	for _, proposer := range []string{"a", "b"} {
 		answered := r.cluster.members[proposer]
@@ -104,10 +105,10 @@
 	}
 	number, id := result.GetNumber(), result.GetId()
 	if other, isGiven := r.assigned[number]; isGiven {
-		r.Fatalf("number %d is given to calls %d and %d", number, other, id)
+		r.Fatalf("number %d was assigned to calls %d and %d", number, other, id)
 	}
 	if number <= r.floors[id] {
-		r.Fatalf("call %d gets %d after %d was given", id, number, r.floors[id])
+		r.Fatalf("call %d was assigned number %d although %d had been assigned before the call", id, number, r.floors[id])
 	}
 	r.assigned[number] = id
 	r.highest = max(r.highest, number)
--- a/internal/region/register/call.go
+++ b/internal/region/register/call.go
@@ -6,47 +6,48 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Conditions are what the execution of a call may depend on besides the value.
+// Conditions are the inputs of a call's execution other than the register's value.
 type Conditions struct {
-	// HoldRemaining is how much longer the holder of a lock may take itself for the holder, at most; negative when that
-	// time is over.
+	// HoldRemaining is an upper bound on how much longer the holder of a lock may consider itself the holder; it is
+	// negative after that time has passed.
 	HoldRemaining time.Duration
-	// Round names the round among those of all proposers. A call that is executed again is executed in another one.
+	// Round identifies the round uniquely among the rounds of all proposers. A call that is executed again is executed
+	// in a different round.
 	Round string
 }
 
-// Outcome is what a call does to a value.
+// Outcome is the result of executing a call on a value.
 type Outcome struct {
-	// Result leaves when a majority holds the value that the call led to, or that it found.
+	// Result is sent once a majority has accepted the value that the call produced or read.
 	Result *pb.CoordinationResult
-	// Change leads to the new value; nil: the call changes nothing.
+	// Change produces the new value; nil if the call changes nothing.
 	Change *pb.RegisterChange
-	// HoldFor is how long from now the new value gives a lock to its holder; meaningful with a Change of a lock.
+	// HoldFor is how long, from now, the new value grants a lock to its holder. It is set only with a Change of a lock.
 	HoldFor time.Duration
-	// Wait has the call wait for a later value, instead of Result: it is a watch to which nothing can be told yet.
+	// Wait means that the call, a watch, has nothing to report yet and waits for a later value; Result is then unset.
 	Wait bool
 }
 
-// Execute executes a call on a value; nil: the register was never written. It must not modify the value, and must bear that
-// a call is executed again, on a later value, although it had its effect before.
+// Execute executes a call on a value, which is nil if the register was never written. It must not modify the value, and
+// it must tolerate that a call is executed again on a later value although the first execution took effect.
 type Execute func(value *pb.RegisterValue, call *pb.CoordinationCall, conditions Conditions) Outcome
 
-// operation is a call at a proposer.
+// operation is a call that a proposer is processing.
 type operation struct {
 	call    *pb.CoordinationCall
-	from    *pb.Replica // where it arrived in the system
+	from    *pb.Replica // machine that received the call from its caller
 	arrived time.Duration
-	// proposed: a round that may have changed the value contained it.
+	// proposed is set once a round that contains the call has proposed a new value.
 	proposed bool
 }
 
-// result fills in which call a result belongs to.
+// result sets the id of the call on a result.
 func (o *operation) result(result *pb.CoordinationResult) *pb.CoordinationResult {
 	result.Id = o.call.GetId()
 	return result
 }
 
-// unfinished is the result of a call that this machine does not go on with.
+// unfinished returns the result of a call that this machine stops processing.
 func (o *operation) unfinished() *pb.CoordinationResult {
 	if o.proposed {
 		return o.result(&pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_UNKNOWN})
--- a/internal/region/register/cluster_test.go
+++ b/internal/region/register/cluster_test.go
@@ -11,7 +11,7 @@
 
 const testRetention = 10 * time.Second
 
-// cluster is a few machines whose messages a test delivers.
+// cluster is a set of machines whose messages are delivered by the test.
 type cluster struct {
 	now     time.Duration
 	members map[string]*member
@@ -23,7 +23,7 @@
 	message  *pb.Message
 }
 
-// member is one machine. It implements Output: what it writes is durable at once, unless its disk is slow.
+// member is one machine and implements Output. Its writes are durable immediately, unless its disk is slow.
 type member struct {
 	cluster   *cluster
 	self      *pb.Replica
@@ -34,7 +34,7 @@
 	results   []*pb.CoordinationResult
 	slowDisk  bool
 	fullDisk  bool
-	unsent    []sentMessage // until what was written before is durable
+	unsent    []sentMessage // messages that wait until the preceding writes are durable
 }
 
 func newCluster(identities ...string) *cluster {
@@ -48,7 +48,7 @@
 	return c
 }
 
-// enter has machines enter an epoch.
+// enter makes the given machines enter an epoch.
 func (c *cluster) enter(membership Membership, identities ...string) {
 	for _, identity := range identities {
 		c.members[identity].replica.Enter(c.now, membership)
@@ -67,7 +67,7 @@
 	return Membership{Epoch: 1, Voters: replicasOf(identities...)}
 }
 
-// deliver delivers messages among some machines until there are no more, and loses all others.
+// deliver delivers messages among the given machines until none is left, and drops all others.
 func (c *cluster) deliver(among ...string) {
 	reachable := make(map[string]bool)
 	for _, identity := range among {
@@ -82,7 +82,7 @@
 	}
 }
 
-// advanceClock lets time advanceClock, without messages.
+// advanceClock advances the clock without delivering messages.
 func (c *cluster) advanceClock(by time.Duration) { c.now += by }
 
 func (c *cluster) tick(identities ...string) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// result is the newest result of a call.
+// result returns the newest result of a call.
 func (m *member) result(t *testing.T, id uint64) *pb.CoordinationResult {
 	t.Helper()
 	for index := len(m.results) - 1; index >= 0; index-- {
@@ -158,7 +158,7 @@
 	m.results = append(m.results, result)
 }
 
-// sync makes all that was written durable.
+// sync makes all pending writes durable, then sends the messages that waited for them.
 func (m *member) sync() {
 	m.records = append(m.records, m.unsynced...)
 	m.unsynced = nil
@@ -169,7 +169,7 @@
 	}
 }
 
-// restart returns a machine that has read what is durable on this one's disk.
+// restart replaces this machine by one that has restored the durable records of its disk.
 func (m *member) restart(membership Membership) *member {
 	next := &member{cluster: m.cluster, self: m.self, records: m.records, slowDisk: m.slowDisk}
 	next.replica = NewReplica(m.self.GetIdentity(), testRetention, next)
@@ -183,8 +183,8 @@
 	return next
 }
 
-// executeCounter executes calls on a counter: numbers, a put that succeeds if the counter has the expected value, and reads.
-// A put without an expected value appends an event to a group; a watch waits.
+// executeCounter executes calls on a counter: it increments the counter, reads it, and puts if the counter has the
+// expected value. A put without an expected value appends an event to a group; a watch always waits.
 func executeCounter(value *pb.RegisterValue, call *pb.CoordinationCall, _ Conditions) Outcome {
 	present := value.GetCounter().GetValue()
 	switch operation := call.GetOperation().(type) {
--- a/internal/region/register/membership.go
+++ b/internal/region/register/membership.go
@@ -6,16 +6,16 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Membership is who holds the registers in one epoch.
+// Membership lists the voters of one epoch and of the epoch before it.
 type Membership struct {
-	Epoch          uint64 // 0: none is known
+	Epoch          uint64 // 0 if no epoch is known
 	Voters         []*pb.Replica
 	PreviousEpoch  uint64
 	PreviousVoters []*pb.Replica // empty in the first epoch
 }
 
-// MembershipOf returns the membership that a view brings; the zero Membership for nil, and for a view of an earlier version of
-// this program, which held no registers.
+// MembershipOf returns the membership that a view defines. It is the zero Membership for a nil view and for a view
+// written by an earlier version of this program that had no registers.
 func MembershipOf(view *pb.View) Membership {
 	if view.GetVotersEpoch() == 0 {
 		return Membership{}
@@ -28,7 +28,7 @@
 	}
 }
 
-// AssignEpoch sets the epoch of a view that is to follow another one: the same as long as the voters are.
+// AssignEpoch sets the epoch fields of the view that follows before. The epoch stays the same as long as the voters do.
 func AssignEpoch(next, before *pb.View) {
 	current := MembershipOf(before)
 	if current.Epoch > 0 && sameReplicas(next.GetVoters(), current.Voters) {
@@ -49,12 +49,12 @@
 	return !slices.ContainsFunc(a, func(replica *pb.Replica) bool { return !contains(b, replica.GetIdentity()) })
 }
 
-// Majority is the smallest number of the voters that is more than half of them.
+// Majority returns the smallest number of voters that is more than half of them.
 func (m Membership) Majority() int { return len(m.Voters)/2 + 1 }
 
 func (m Membership) previousMajority() int { return len(m.PreviousVoters)/2 + 1 }
 
-// includes reports whether a machine votes in the epoch.
+// includes reports whether a machine votes in this epoch.
 func (m Membership) includes(identity string) bool { return contains(m.Voters, identity) }
 
 func (m Membership) includedPreviously(identity string) bool {
--- a/internal/region/register/output.go
+++ b/internal/region/register/output.go
@@ -2,17 +2,17 @@
 
 import pb "fieldrelay/api/fieldrelay/v1"
 
-// Output carries out what a Replica or a Proposer asks for. Its methods may call the receiver of a message to this machine
-// itself before they return.
+// Output performs the actions that a Replica or a Proposer requests. If a message is addressed to this machine, a
+// method may deliver it before the method returns.
 type Output interface {
-	// Send sends a message; it may be lost. Messages of one kind to one machine arrive in order, as far as they do.
+	// Send sends a message, which may be lost. The messages of one kind to one machine that do arrive, arrive in order.
 	Send(to *pb.Replica, message *pb.Message)
-	// Persist writes records, if there are any, and sends message once they, and all earlier ones, are durable.
+	// Persist writes the records, if any, and sends the message once these and all earlier records are durable.
 	Persist(records []*pb.RegisterRecord, to *pb.Replica, message *pb.Message)
-	// PersistAll writes Replica.Records in one piece, in place of all records so far.
+	// PersistAll writes Replica.Records atomically, replacing all earlier records.
 	PersistAll()
-	// CanPersist reports whether a write may still be queued. While it reports false, a Replica promises nothing.
+	// CanPersist reports whether another write may be queued. While it returns false, a Replica makes no promises.
 	CanPersist() bool
-	// Reply sends the result of a call to the machine where it arrived.
+	// Reply sends the result of a call to the machine that received the call from its caller.
 	Reply(to *pb.Replica, result *pb.CoordinationResult)
 }
--- a/internal/region/register/position.go
+++ b/internal/region/register/position.go
@@ -7,8 +7,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// ComparePositions orders positions by epoch, round, proposer and sequence. It returns -1, 0 or 1; nil is below every
-// other.
+// ComparePositions orders positions by epoch, round, proposer and sequence, and returns -1, 0 or 1. A nil position
+// sorts before every other position.
 func ComparePositions(a, b *pb.RegisterPosition) int {
 	if order := compareNumbers(a, b); order != 0 {
 		return order
@@ -25,12 +25,12 @@
 	)
 }
 
-// numberOf is the proposal number of a position.
+// numberOf returns the proposal number of a position, without the sequence.
 func numberOf(position *pb.RegisterPosition) *pb.RegisterPosition {
 	return &pb.RegisterPosition{Epoch: position.GetEpoch(), Round: position.GetRound(), Proposer: position.GetProposer()}
 }
 
-// successor is the position of the next value under the same number.
+// successor returns the position of the next value under the same proposal number.
 func successor(position *pb.RegisterPosition) *pb.RegisterPosition {
 	next := numberOf(position)
 	next.Sequence = position.GetSequence() + 1
--- a/internal/region/register/proposer.go
+++ b/internal/region/register/proposer.go
@@ -8,84 +8,84 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Bounds of a proposer.
+// Limits and timeouts of a proposer.
 const (
-	// maxQueuedCalls is how many calls may wait at one register.
+	// maxQueuedCalls limits the calls that wait at one register.
 	maxQueuedCalls = 128
-	// maxWatchers is how many watches may wait at one register.
+	// maxWatchers limits the watches that wait at one register.
 	maxWatchers = 256
-	// callLifetime is how long a call may wait to be executed: its caller has given up by then.
+	// callLifetime is how long a call may wait for execution. By then its caller has given up.
 	callLifetime = 900 * time.Millisecond
-	// resendInterval is the wait before a voter is asked again.
+	// resendInterval is how long the proposer waits before it asks a voter again.
 	resendInterval = 250 * time.Millisecond
-	// phaseTimeout is how long a majority may take to answer before the proposer gives its number up.
+	// phaseTimeout is how long a majority may take to answer before the proposer gives up its proposal number.
 	phaseTimeout = 1500 * time.Millisecond
-	// retryInterval is the least time between two prepares after another proposer had a higher number.
+	// retryInterval is the minimum time between two prepares that follow a rejection by a higher proposal number.
 	retryInterval = 100 * time.Millisecond
-	// holdMargin is added to the time of a holder, for clocks that run at slightly different speeds.
+	// holdMargin is added to the hold time of a lock, to allow for clocks that run at slightly different rates.
 	holdMargin = 20 * time.Millisecond
 )
 
 type phase int
 
 const (
-	// phaseIdle: this machine is not the proposer.
+	// phaseIdle means that this machine is not the proposer of the register.
 	phaseIdle phase = iota
-	// phasePreparing: it asks for promises.
+	// phasePreparing means that the proposer has asked for promises.
 	phasePreparing
-	// phaseLeading: a majority has promised its number.
+	// phaseLeading means that a majority has promised the proposer's number.
 	phaseLeading
 )
 
-// proposer writes one register, at one machine.
+// proposer writes one register, on behalf of one machine.
 type proposer struct {
 	proposers *Proposers
 	name      string
 
 	phase        phase
-	startedAt    time.Duration // when the phase, or the round in flight, began
-	sentAt       time.Duration // when voters were asked last
-	lastCallAt   time.Duration // when a call came last
-	lastRetry    time.Duration // when it last prepared again after another proposer had a higher number
-	highestRound uint64        // round of the highest number known
+	startedAt    time.Duration // start of the phase, or of the round in flight
+	sentAt       time.Duration // when the voters were last sent a request
+	lastCallAt   time.Duration // when the last call arrived
+	lastRetry    time.Duration // when it last prepared again after another proposer's higher number
+	highestRound uint64        // round of the highest known proposal number
 	position     *pb.RegisterPosition
-	value        *pb.RegisterValue // at position
-	// heldUntil is the latest time at which the holder of a lock may take itself for the holder.
+	value        *pb.RegisterValue // value at position
+	// heldUntil is the latest time at which the holder of a lock may consider itself the holder.
 	heldUntil time.Duration
-	promises  *promises         // while preparing
-	round     *round            // nil: none is in flight
-	lastSent  map[string]uint64 // by voter, the sequence that was sent to it last
+	promises  *promises         // set while preparing
+	round     *round            // round in flight; nil if there is none
+	lastSent  map[string]uint64 // by voter, the sequence of the value last sent to it
 
 	queue    []*operation
 	watchers []*operation
 }
 
-// promises are the answers to a prepare.
+// promises collects the answers to a prepare.
 type promises struct {
 	granted   map[string]bool
 	accepted  *pb.RegisterPosition
 	value     *pb.RegisterValue
-	grantedAt time.Duration // latest time at which the newest grant of a lock can have been called for
+	grantedAt time.Duration // latest time at which the newest grant of a lock can have been requested
 }
 
-// round has a majority accept one value, or confirm the one before.
+// round asks a majority to accept one new value, or to confirm the previous one.
 type round struct {
 	poll       uint64
 	operations []*operation
-	results    []*pb.CoordinationResult // nil for a watch that waits
+	results    []*pb.CoordinationResult // nil for a watch that keeps waiting
 	change     *pb.RegisterChange
 	base       *pb.RegisterPosition
 	position   *pb.RegisterPosition
 	value      *pb.RegisterValue
 	accepted   map[string]bool
-	repaired   map[string]bool // voters that were sent the whole value
+	repaired   map[string]bool // voters that were sent the whole value after they lacked its base
 }
 
 func (p *proposer) voters() []*pb.Replica { return p.proposers.replica.membership.Voters }
 
 func (p *proposer) majority() int { return p.proposers.replica.membership.Majority() }
 
-// submit takes a call.
+// submit queues a call, or rejects it as BUSY if the queue is full.
 func (p *proposer) submit(now time.Duration, from *pb.Replica, call *pb.CoordinationCall) {
 	next := &operation{call: call, from: from, arrived: now}
 	p.lastCallAt = now
@@ -100,7 +100,7 @@
 	p.advance(now)
 }
 
-// contains reports whether a call that came again is still under way.
+// contains reports whether the call with this id from this machine is already being processed.
 func (p *proposer) contains(from *pb.Replica, id uint64) bool {
 	isSame := func(known *operation) bool {
 		return known.call.GetId() == id && known.from.GetIdentity() == from.GetIdentity()
@@ -115,7 +115,7 @@
 	p.proposers.output.Reply(done.from, result)
 }
 
-// advance begins what can be begun.
+// advance prepares or proposes if calls are queued and no phase or round is in progress.
 func (p *proposer) advance(now time.Duration) {
 	if len(p.queue) == 0 {
 		return
@@ -128,7 +128,7 @@
 	}
 }
 
-// prepare asks all voters for their promises.
+// prepare chooses a new proposal number and asks all voters to promise it.
 func (p *proposer) prepare(now time.Duration) {
 	held := p.proposers.replica.held(p.name)
 	p.highestRound = p.proposers.nextRound(max(p.highestRound, held.promised.GetRound()))
@@ -163,7 +163,7 @@
 	}
 }
 
-// promised takes a voter's answer to a prepare.
+// promised handles a voter's answer to a prepare.
 func (p *proposer) promised(now time.Duration, from *pb.Replica, promise *pb.RegisterPromise) {
 	if p.phase != phasePreparing || compareNumbers(promise.GetNumber(), p.position) != 0 {
 		return
@@ -180,7 +180,8 @@
 	p.startLeading(now)
 }
 
-// merge takes over what a voter has accepted, if it is newer, and what it shows of the time of the newest grant.
+// merge adopts the value that a voter has accepted, if it is newer, and the voter's bound on the time of the newest
+// grant.
 func (p *promises) merge(now time.Duration, promise *pb.RegisterPromise) {
 	grantedAt := now - time.Duration(promise.GetAgeMs())*time.Millisecond
 	switch order := ComparePositions(promise.GetAccepted(), p.accepted); {
@@ -198,7 +199,7 @@
 	}
 }
 
-// startLeading begins to propose: a majority has promised.
+// startLeading enters phaseLeading after a majority has promised the proposal number.
 func (p *proposer) startLeading(now time.Duration) {
 	p.phase = phaseLeading
 	p.value = p.promises.value
@@ -209,7 +210,7 @@
 	p.advance(now)
 }
 
-// propose executes the calls that wait, and has the outcome accepted.
+// propose executes the queued calls and asks the voters to accept the outcome.
 func (p *proposer) propose(now time.Duration) {
 	p.dropExpired(now)
 	if len(p.queue) == 0 {
@@ -232,8 +233,9 @@
 		next.value = &pb.RegisterValue{}
 	}
 	if next.change == nil && p.position.GetSequence() == 0 {
-		// What an earlier proposer may have had accepted must be held by a majority before a result rests on it, and if no
-		// majority can have accepted anything, a value of an earlier proposer must not come up later.
+		// The first round under a new number always proposes a value. If an earlier proposer may have had a value
+		// accepted, a majority must hold that value before a result depends on it. If no value can have been accepted
+		// by a majority, the value of an earlier proposer must not be adopted later.
 		next.change = wholeChange(next.value)
 	}
 	if next.change != nil {
@@ -247,7 +249,7 @@
 	p.sendAccept(now)
 }
 
-// dropExpired answers the calls whose callers have given up.
+// dropExpired answers and removes the queued calls whose callers have given up.
 func (p *proposer) dropExpired(now time.Duration) {
 	waiting := p.queue
 	p.queue = nil
@@ -264,7 +266,8 @@
 	}
 }
 
-// currentValue is the value at the position, without the events that this machine has dropped as a replica.
+// currentValue returns the value at the position. It prefers this machine's replica, which omits the events that the
+// replica has already compacted.
 func (p *proposer) currentValue() *pb.RegisterValue {
 	held := p.proposers.replica.held(p.name)
 	if p.value != nil && ComparePositions(held.accepted, p.position) == 0 {
@@ -293,14 +296,14 @@
 	p.heldUntil = now + outcome.HoldFor + holdMargin
 }
 
-// sendAccept sends the round in flight to the voters that have not accepted it. A voter that was sent the value before
-// gets the change alone.
+// sendAccept sends the round in flight to the voters that have not accepted it. A voter that was sent the base value
+// gets only the change, every other voter the whole value.
 func (p *proposer) sendAccept(now time.Duration) {
 	p.sentAt = now
 	current := p.round
 	for _, voter := range p.voters() {
 		if p.round != current {
-			return // accepted by a majority meanwhile, of which this machine is one
+			return // this machine's own acceptance has completed a majority meanwhile
 		}
 		identity := voter.GetIdentity()
 		if current.accepted[identity] {
@@ -326,7 +329,7 @@
 	}}})
 }
 
-// accepted takes a voter's answer to an accept.
+// accepted handles a voter's answer to an accept.
 func (p *proposer) accepted(now time.Duration, from *pb.Replica, answer *pb.RegisterAccepted) {
 	isOwn := p.phase == phaseLeading && compareNumbers(answer.GetPosition(), p.position) == 0
 	switch answer.GetOutcome() {
@@ -349,7 +352,8 @@
 	}
 }
 
-// repair sends the whole value to a voter that lacks the base of a change; the next one, if the round has ended.
+// repair sends the whole value to a voter that lacks the base of a change. If the round has ended, the voter gets the
+// whole value in the next round instead.
 func (p *proposer) repair(voter *pb.Replica, answer *pb.RegisterAccepted) {
 	identity := voter.GetIdentity()
 	if p.round == nil || answer.GetPoll() != p.round.poll || p.round.repaired[identity] {
@@ -361,7 +365,7 @@
 	p.sendChange(voter, wholeChange(p.round.value))
 }
 
-// commit answers the calls of a round that a majority has accepted, and begins the next one.
+// commit answers the calls of a round that a majority has accepted, and starts the next round.
 func (p *proposer) commit(now time.Duration) {
 	done := p.round
 	p.round = nil
@@ -378,7 +382,7 @@
 	p.advance(now)
 }
 
-// answerWatchers answers the watches that the value at the position has something for, and those whose time is up.
+// answerWatchers answers the watches for which the value at the position has news, and those whose wait time is over.
 func (p *proposer) answerWatchers(now time.Duration) {
 	waiting := p.watchers
 	p.watchers = nil
@@ -403,7 +407,7 @@
 	}
 }
 
-// emptyWatchResult is the result of a watch whose time is up.
+// emptyWatchResult returns the result of a watch whose wait time ended without news.
 func emptyWatchResult(watcher *operation) *pb.CoordinationResult {
 	return &pb.CoordinationResult{
 		Outcome:  pb.CoordinationResult_OUTCOME_OK,
@@ -411,8 +415,9 @@
 	}
 }
 
-// superseded gives the number up: another proposer has a higher one. It prepares a higher one itself for the calls that wait,
-// unless it did so just before; then they go back to where they came from, and from there to whoever proposes by then.
+// superseded gives up the proposal number because another proposer has a higher one. For the waiting calls, it prepares
+// again with a still higher number. If it has already done so within retryInterval, it returns the calls to the
+// machines that forwarded them, which then choose a proposer anew.
 func (p *proposer) superseded(now time.Duration, by *pb.RegisterPosition) {
 	p.highestRound = max(p.highestRound, by.GetRound())
 	if now-p.lastRetry < retryInterval {
@@ -431,7 +436,7 @@
 	p.advance(now)
 }
 
-// stop ends all work on the register.
+// stop abandons all work on the register and answers all of its calls.
 func (p *proposer) stop() {
 	var open []*operation
 	if p.round != nil {
@@ -449,7 +454,7 @@
 	}
 }
 
-// tick lets time pass.
+// tick handles timeouts and resends requests to voters that have not answered.
 func (p *proposer) tick(now time.Duration) {
 	p.expireWatchers(now)
 	isWorking := p.phase == phasePreparing || p.round != nil
@@ -467,14 +472,15 @@
 	}
 }
 
-// expireWatchers ends the watches whose time is up. The value is not confirmed anew for that: the answer tells nothing.
+// expireWatchers ends the watches whose wait time is over. It does not confirm the value first, because an empty answer
+// reports nothing about it.
 func (p *proposer) expireWatchers(now time.Duration) {
 	if p.phase == phaseLeading && len(p.watchers) > 0 {
 		p.answerWatchers(now)
 	}
 }
 
-// isIdle reports whether the proposer may be forgotten.
+// isIdle reports whether the proposer may be discarded.
 func (p *proposer) isIdle(now time.Duration) bool {
 	hasWork := p.round != nil || p.phase == phasePreparing || len(p.queue) > 0 || len(p.watchers) > 0
 	return !hasWork && now-p.lastCallAt > idleTimeout
--- a/internal/region/register/proposers.go
+++ b/internal/region/register/proposers.go
@@ -9,36 +9,38 @@
 )
 
 const (
-	// idleTimeout is how long a proposer without calls is kept: the next call need not prepare meanwhile.
+	// idleTimeout is how long a proposer without calls is kept. A call that arrives within this time needs no new
+	// prepare.
 	idleTimeout = time.Minute
-	// maxProposers bounds the registers that one machine proposes for at a time.
+	// maxProposers limits the registers that one machine proposes for at a time.
 	maxProposers = 16384
 )
 
-// Proposers are the registers that one machine proposes for. It must vote in the epoch.
+// Proposers manages the registers that one machine proposes for. The machine must be a voter of the epoch.
 type Proposers struct {
 	replica *Replica
 	output  Output
 	execute Execute
-	// name is the proposer's part of its numbers. It must differ from start to start: a machine does not remember which
-	// numbers it has used.
+	// name identifies the proposer in its proposal numbers. It must differ between process starts, because a machine
+	// does not persist the numbers that it has used.
 	name      string
-	lastRound uint64 // of all registers, so that none of them sees a number twice
+	lastRound uint64 // shared by all registers, so that no register sees a number twice
 	lastPoll  uint64
 	epoch     uint64
 	active    map[string]*proposer
 }
 
-// NewProposers returns the proposers of the machine whose replica is given.
+// NewProposers returns the proposers of the machine that owns the given replica.
 func NewProposers(replica *Replica, name string, execute Execute, output Output) *Proposers {
 	return &Proposers{replica: replica, output: output, execute: execute, name: name, active: make(map[string]*proposer)}
 }
 
-// Len is the number of registers that this machine proposes for, or has proposed for lately.
+// Len returns the number of registers that this machine proposes for or has recently proposed for.
 func (s *Proposers) Len() int { return len(s.active) }
 
-// Submit takes a call on a register, for a machine where it arrived, and answers it once if this machine goes on. An outcome
-// UNAVAILABLE says that the call was not executed here and never will be, UNKNOWN that it may be.
+// Submit processes a call on a register for the machine from, which received it from the caller. It answers the call
+// once, unless this process ends first. The outcome UNAVAILABLE means that the call was not executed here and never
+// will be; UNKNOWN means that it may have been or may still be executed.
 func (s *Proposers) Submit(now time.Duration, name string, from *pb.Replica, call *pb.CoordinationCall) {
 	s.followEpoch()
 	found := s.active[name]
@@ -54,27 +56,27 @@
 	found.submit(now, from, call)
 }
 
-// nextRound is a round above one that is known, and above all that this machine has used since its start.
+// nextRound returns a round above the known one and above all rounds that this machine has used since its start.
 func (s *Proposers) nextRound(known uint64) uint64 {
 	s.lastRound = max(s.lastRound, known) + 1
 	return s.lastRound
 }
 
-// Promised takes a voter's answer to a prepare.
+// Promised handles a voter's answer to a prepare.
 func (s *Proposers) Promised(now time.Duration, from *pb.Replica, promise *pb.RegisterPromise) {
 	if found := s.proposerFor(from, promise.GetName(), promise.GetNumber()); found != nil {
 		found.promised(now, from, promise)
 	}
 }
 
-// Accepted takes a voter's answer to an accept.
+// Accepted handles a voter's answer to an accept.
 func (s *Proposers) Accepted(now time.Duration, from *pb.Replica, answer *pb.RegisterAccepted) {
 	if found := s.proposerFor(from, answer.GetName(), answer.GetPosition()); found != nil {
 		found.accepted(now, from, answer)
 	}
 }
 
-// proposerFor is the proposer that a voter answers; nil if there is none in this epoch.
+// proposerFor returns the proposer to which a voter's answer belongs, or nil if there is none in this epoch.
 func (s *Proposers) proposerFor(from *pb.Replica, name string, position *pb.RegisterPosition) *proposer {
 	s.followEpoch()
 	if position.GetEpoch() != s.epoch || !s.replica.membership.includes(from.GetIdentity()) {
@@ -83,7 +85,7 @@
 	return s.active[name]
 }
 
-// followEpoch ends what was begun in an earlier epoch.
+// followEpoch stops all proposers when the epoch has changed.
 func (s *Proposers) followEpoch() {
 	if epoch := s.replica.membership.Epoch; epoch != s.epoch {
 		s.epoch = epoch
@@ -91,7 +93,7 @@
 	}
 }
 
-// Stop gives all registers up. The calls under way are answered.
+// Stop discards all proposers. The calls in progress are answered.
 func (s *Proposers) Stop() {
 	active := s.active
 	s.active = make(map[string]*proposer)
@@ -100,7 +102,7 @@
 	}
 }
 
-// Tick lets time pass.
+// Tick handles timeouts and resends, and discards idle proposers.
 func (s *Proposers) Tick(now time.Duration) {
 	s.followEpoch()
 	for _, name := range slices.Sorted(maps.Keys(s.active)) {
--- a/internal/region/register/replica.go
+++ b/internal/region/register/replica.go
@@ -8,41 +8,42 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// MaxRegisters bounds the registers of a system: a name beyond them cannot be written.
+// MaxRegisters limits the registers of a system. Once it is reached, no new name can be written.
 const MaxRegisters = 65536
 
-// Replica is what one machine has promised and accepted for each register.
+// Replica stores what one machine has promised and accepted for each register.
 type Replica struct {
 	identity string
 	output   Output
-	// retention is how long the events of a group are kept after they were accepted here.
+	// retention is how long the events of a group are kept after this machine has accepted them.
 	retention time.Duration
 
 	membership  Membership
 	activeEpoch uint64
 	registers   map[string]*acceptor
 	transfer    transfer
-	// earlyRequests are of epochs that this machine has not learnt of yet.
+	// earlyRequests are requests for epochs that this machine has not learnt of yet.
 	earlyRequests []earlyRequest
 }
 
-// acceptor is one register at one machine.
+// acceptor is the state of one register on one machine.
 type acceptor struct {
-	promised *pb.RegisterPosition // sequence 0
+	promised *pb.RegisterPosition // its sequence is always 0
 	accepted *pb.RegisterPosition
-	value    *pb.RegisterValue // at accepted; nil: never written
+	value    *pb.RegisterValue // value at accepted; nil if the register was never written
 	// grantedAt is when the newest grant of a lock was accepted here, or read from disk or from another machine.
 	grantedAt time.Duration
-	// eventTimes are, for each event of a group, when it was accepted here.
+	// eventTimes holds, for each event of a group, the time at which it was accepted here.
 	eventTimes []time.Duration
 }
 
-// NewReplica returns a replica without registers, of the machine with that identity.
+// NewReplica returns an empty replica for the machine with the given identity.
 func NewReplica(identity string, retention time.Duration, output Output) *Replica {
 	return &Replica{identity: identity, output: output, retention: retention, registers: make(map[string]*acceptor)}
 }
 
-// Restore takes a record that was on disk; records come in the order in which they were written, before any other call.
+// Restore applies a record that was read from disk. Records must be restored in the order in which they were written,
+// before any other method is called.
 func (r *Replica) Restore(record *pb.RegisterRecord) {
 	if record.GetName() == "" {
 		r.activeEpoch = record.GetActiveEpoch()
@@ -51,7 +52,8 @@
 	r.register(record.GetName()).apply(0, record)
 }
 
-// Started ends the restoring. What was read counts as accepted now, which is later than it was.
+// Started ends the restore. All grants and events that were read count as accepted now, which is later than they really
+// were.
 func (r *Replica) Started(now time.Duration) {
 	for _, found := range r.registers {
 		found.grantedAt = now
@@ -61,7 +63,7 @@
 	}
 }
 
-// Records are what must be on disk for Restore to make an equal replica.
+// Records returns the records from which Restore builds an equal replica.
 func (r *Replica) Records() []*pb.RegisterRecord {
 	records := r.registerRecords()
 	if r.activeEpoch == 0 {
@@ -78,18 +80,18 @@
 	return records
 }
 
-// ActiveEpoch is the newest epoch whose registers this machine holds; 0: none.
+// ActiveEpoch returns the newest epoch whose registers this machine holds; 0 if there is none.
 func (r *Replica) ActiveEpoch() uint64 { return r.activeEpoch }
 
-// IsActive reports whether this machine votes in the epoch in force.
+// IsActive reports whether this machine votes in the current epoch.
 func (r *Replica) IsActive() bool {
 	return r.membership.Epoch > 0 && r.activeEpoch == r.membership.Epoch && r.membership.includes(r.identity)
 }
 
-// Membership is the membership in force.
+// Membership returns the current membership.
 func (r *Replica) Membership() Membership { return r.membership }
 
-// Len is the number of registers.
+// Len returns the number of registers.
 func (r *Replica) Len() int { return len(r.registers) }
 
 func (r *Replica) register(name string) *acceptor {
@@ -101,17 +103,17 @@
 	return found
 }
 
-// shouldAnswer reports whether this machine shouldAnswer a proposer.
+// shouldAnswer reports whether this machine answers a proposer's request at the given position.
 func (r *Replica) shouldAnswer(position *pb.RegisterPosition) bool {
 	return r.IsActive() && position.GetEpoch() == r.activeEpoch
 }
 
-// hasCapacity reports whether a register of that name is there, or may be added.
+// hasCapacity reports whether the named register exists or may be added.
 func (r *Replica) hasCapacity(name string) bool {
 	return r.registers[name] != nil || len(r.registers) < MaxRegisters
 }
 
-// Prepare answers the first phase of a proposal.
+// Prepare handles the first phase of a proposal.
 func (r *Replica) Prepare(now time.Duration, from *pb.Replica, prepare *pb.RegisterPrepare) {
 	number := prepare.GetNumber()
 	if !r.shouldAnswer(number) || !r.output.CanPersist() || !r.hasCapacity(prepare.GetName()) {
@@ -139,7 +141,7 @@
 	r.output.Persist([]*pb.RegisterRecord{{Name: prepare.GetName(), Promised: found.promised}}, from, message)
 }
 
-// Accept answers the second phase of a proposal, or a confirmation.
+// Accept handles the second phase of a proposal, or a confirmation.
 func (r *Replica) Accept(now time.Duration, from *pb.Replica, accept *pb.RegisterAccept) {
 	if !r.shouldAnswer(accept.GetPosition()) || !r.output.CanPersist() {
 		return
@@ -161,13 +163,13 @@
 		return
 	}
 	if record == nil {
-		r.output.Persist(nil, from, message) // what is confirmed may not be on disk yet
+		r.output.Persist(nil, from, message) // the confirmed value may not be durable yet
 		return
 	}
 	r.output.Persist([]*pb.RegisterRecord{record}, from, message)
 }
 
-// accept returns the outcome, and the record of what has changed, if anything has.
+// accept returns the outcome, and a record of the change; the record is nil if nothing has changed.
 func (a *acceptor) accept(now time.Duration, accept *pb.RegisterAccept) (pb.RegisterAccepted_Outcome, *pb.RegisterRecord) {
 	position := accept.GetPosition()
 	if compareNumbers(position, a.promised) < 0 {
@@ -177,7 +179,7 @@
 	record := &pb.RegisterRecord{Name: accept.GetName(), Promised: numberOf(position)}
 	switch {
 	case !isNewer:
-		// It was accepted before, itself or within a later value of the same number.
+		// The value was accepted before, either itself or as part of a later value under the same number.
 		return pb.RegisterAccepted_OUTCOME_ACCEPTED, nil
 	case accept.GetChange() == nil || !a.holdsBase(accept):
 		return pb.RegisterAccepted_OUTCOME_BASE_MISSING, nil
@@ -189,12 +191,12 @@
 	return pb.RegisterAccepted_OUTCOME_ACCEPTED, record
 }
 
-// holdsBase reports whether the change of a message can be applied here.
+// holdsBase reports whether the change of an accept message can be applied to the local value.
 func (a *acceptor) holdsBase(accept *pb.RegisterAccept) bool {
 	return accept.GetChange().GetWhole() != nil || ComparePositions(accept.GetBase(), a.accepted) == 0
 }
 
-// apply takes what a record says.
+// apply updates the acceptor from a record.
 func (a *acceptor) apply(now time.Duration, record *pb.RegisterRecord) {
 	if compareNumbers(record.GetPromised(), a.promised) > 0 {
 		a.promised = record.GetPromised()
@@ -211,7 +213,7 @@
 	a.recordEventTimes(now, before.GetGroup())
 }
 
-// recordEventTimes records when the events came that the group did not have before.
+// recordEventTimes sets the acceptance time of the events that the group did not contain before.
 func (a *acceptor) recordEventTimes(now time.Duration, before *pb.KeyGroupState) {
 	events := a.value.GetGroup().GetEvents()
 	known := make(map[uint64]int, len(before.GetEvents()))
@@ -233,13 +235,13 @@
 	a.eventTimes = times
 }
 
-// isSameEvent reports whether two events of one revision are the same put. A proposal that was not chosen may have given the
-// revision to another one.
+// isSameEvent reports whether two events of one revision are the same put. They differ if a proposal that was not
+// chosen gave the revision to another put.
 func isSameEvent(a, b *pb.KeyEvent) bool {
 	return a.GetName() == b.GetName() && a.GetValue() == b.GetValue()
 }
 
-// compact drops the events that are older than the retention.
+// compact drops the events that are older than the retention time.
 func (r *Replica) compact(now time.Duration, found *acceptor) {
 	old := 0
 	for old < len(found.eventTimes) && now-found.eventTimes[old] > r.retention {
@@ -253,12 +255,12 @@
 	found.eventTimes = slices.Clone(found.eventTimes[old:])
 }
 
-// record is everything that must be on disk of a register.
+// record returns a record of the complete persistent state of a register.
 func (a *acceptor) record(name string) *pb.RegisterRecord {
 	return &pb.RegisterRecord{Name: name, Promised: a.promised, Accepted: a.accepted, Change: wholeChange(a.value)}
 }
 
-// held is a copy of what this machine holds of a register.
+// held returns a copy of this machine's state of a register.
 func (r *Replica) held(name string) acceptor {
 	if found := r.registers[name]; found != nil {
 		return *found
--- a/internal/region/register/transfer.go
+++ b/internal/region/register/transfer.go
@@ -8,22 +8,23 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// maxEarlyRequests bounds the requests that wait for this machine to learn of their epoch.
+// maxEarlyRequests limits the stored requests for epochs that this machine has not learnt of yet.
 const maxEarlyRequests = 16
 
-// transferInterval is the wait before a voter asks again for the registers of the epoch in force.
+// transferInterval is how long a voter waits before it requests the registers of the current epoch again.
 const transferInterval = 150 * time.Millisecond
 
-// transfer collects the registers of the epoch in force, which this machine does not hold yet.
+// transfer is the state of collecting the registers of the current epoch, which this machine does not hold yet.
 type transfer struct {
 	requestedAt time.Duration
 	requested   bool
-	// received are the answers of voters of the previous epoch, by identity.
+	// received holds the answers of the previous epoch's voters, by identity.
 	received map[string]*pb.RegisterTransfer
 }
 
-// Enter moves to a later epoch. From then on nothing is accepted in earlier ones. The caller has put the view that brought
-// the epoch on disk, or has queued it as an earlier write, so that a restart does not undo this.
+// Enter moves to a later epoch. From then on, this machine accepts nothing in earlier epochs. The caller must have
+// persisted the view that introduced the epoch, or have queued it as an earlier write, so that a restart does not undo
+// this step.
 func (r *Replica) Enter(now time.Duration, membership Membership) {
 	if membership.Epoch <= r.membership.Epoch {
 		return
@@ -40,7 +41,8 @@
 	request *pb.RegisterTransferRequest
 }
 
-// keepEarlyRequest keeps a request until this machine learns of its epoch; the newest of each sender counts.
+// keepEarlyRequest stores a request until this machine learns of its epoch. Only the newest request of each sender is
+// kept.
 func (r *Replica) keepEarlyRequest(from *pb.Replica, request *pb.RegisterTransferRequest) {
 	r.earlyRequests = slices.DeleteFunc(r.earlyRequests, func(earlier earlyRequest) bool {
 		return earlier.from.GetIdentity() == from.GetIdentity()
@@ -50,7 +52,7 @@
 	}
 }
 
-// answerEarlyRequests answers the requests for the epoch in force, and drops those for earlier ones.
+// answerEarlyRequests answers the stored requests for the current epoch and drops those for earlier ones.
 func (r *Replica) answerEarlyRequests() {
 	waiting := r.earlyRequests
 	r.earlyRequests = nil
@@ -59,7 +61,7 @@
 	}
 }
 
-// Tick lets time pass: a voter that does not hold the registers of the epoch asks for them.
+// Tick requests the registers of the current epoch if this machine is a voter that does not hold them yet.
 func (r *Replica) Tick(now time.Duration) {
 	if r.membership.Epoch == 0 || r.IsActive() || !r.membership.includes(r.identity) {
 		return
@@ -77,15 +79,16 @@
 	r.requestTransfer()
 }
 
-// activateEmpty takes part in the first epoch, in which no register was written before. A machine that holds registers of
-// another epoch does not: it waits for a view that says where they are.
+// activateEmpty activates the first epoch, before which no register was written. A machine that holds registers of
+// another epoch does not activate; it waits for a view that names the previous voters.
 func (r *Replica) activateEmpty() {
 	if len(r.registers) == 0 && r.output.CanPersist() {
 		r.activate()
 	}
 }
 
-// requestTransfer asks once what it says to hold is durable: an answer leaves that out.
+// requestTransfer requests the registers from all current and previous voters. The request is sent only once the
+// positions that it lists as held are durable, because the answers omit those registers.
 func (r *Replica) requestTransfer() {
 	request := &pb.Message{Body: &pb.Message_RegisterTransferRequest{
 		RegisterTransferRequest: &pb.RegisterTransferRequest{Epoch: r.membership.Epoch, Held: r.heldPositions()},
@@ -101,12 +104,13 @@
 	}
 }
 
-// votedInPreviousEpoch reports whether this machine voted in the previous epoch and held its registers, so that what it holds counts.
+// votedInPreviousEpoch reports whether this machine voted in the previous epoch and held its registers. Only then are
+// its own registers valid for the current epoch.
 func (r *Replica) votedInPreviousEpoch() bool {
 	return r.activeEpoch == r.membership.PreviousEpoch && r.membership.includedPreviously(r.identity)
 }
 
-// heldPositions are the positions of what this machine holds, if that counts.
+// heldPositions returns the positions of this machine's registers, or nil if they are not valid for the current epoch.
 func (r *Replica) heldPositions() []*pb.RegisterRecord {
 	if !r.votedInPreviousEpoch() {
 		return nil
@@ -118,7 +122,7 @@
 	return records
 }
 
-// recordsNewerThan are the registers that are newer here than in a list of positions.
+// recordsNewerThan returns the registers that are newer here than in a list of positions.
 func (r *Replica) recordsNewerThan(held []*pb.RegisterRecord) []*pb.RegisterRecord {
 	known := make(map[string]*pb.RegisterPosition, len(held))
 	for _, record := range held {
@@ -129,9 +133,9 @@
 	})
 }
 
-// TransferRequested answers a voter that collects the registers of an epoch, if this machine has learnt of that epoch, and
-// so accepts nothing in earlier ones. A previous voter that never took part answers with nothing: it has accepted nothing
-// either.
+// TransferRequested answers a voter that collects the registers of an epoch. It answers only if this machine has learnt
+// of that epoch and therefore accepts nothing in earlier ones. A previous voter that never participated sends an empty
+// answer, since it has accepted nothing.
 func (r *Replica) TransferRequested(from *pb.Replica, request *pb.RegisterTransferRequest) {
 	epoch := request.GetEpoch()
 	if epoch > r.membership.Epoch {
@@ -152,11 +156,11 @@
 		}
 	}
 	message := &pb.Message{Body: &pb.Message_RegisterTransfer{RegisterTransfer: answer}}
-	// What is sent must be on disk, and so must the view.
+	// Both the registers that are sent and the view must be durable first.
 	r.output.Persist(nil, from, message)
 }
 
-// TransferReceived takes the registers of another machine.
+// TransferReceived handles the registers sent by another machine.
 func (r *Replica) TransferReceived(now time.Duration, from *pb.Replica, received *pb.RegisterTransfer) {
 	if received.GetEpoch() != r.membership.Epoch || r.IsActive() || !r.membership.includes(r.identity) {
 		return
@@ -177,7 +181,7 @@
 	}
 }
 
-// sortedTransfers are the answers of the previous voters, in an order that does not depend on chance.
+// sortedTransfers returns the answers of the previous voters in a deterministic order.
 func (r *Replica) sortedTransfers() []*pb.RegisterTransfer {
 	collected := make([]*pb.RegisterTransfer, 0, len(r.transfer.received))
 	for _, identity := range slices.Sorted(maps.Keys(r.transfer.received)) {
@@ -186,8 +190,8 @@
 	return collected
 }
 
-// hasPreviousRegisters reports whether one of the answers is of a machine that took part in the previous epoch, and so
-// holds what was chosen before it.
+// hasPreviousRegisters reports whether at least one answer is from a machine that participated in the previous epoch
+// and therefore holds what was chosen before that epoch.
 func (r *Replica) hasPreviousRegisters() bool {
 	for _, received := range r.transfer.received {
 		if received.GetActiveEpoch() == r.membership.PreviousEpoch {
@@ -197,8 +201,8 @@
 	return false
 }
 
-// install takes over the newest values of those that were collected, beside what this machine holds if that counts, and
-// takes part in the epoch.
+// install adopts the newest of the collected values, combined with this machine's own registers if they are valid, and
+// activates the epoch.
 func (r *Replica) install(now time.Duration, collected []*pb.RegisterTransfer) {
 	if !r.output.CanPersist() {
 		return
@@ -225,8 +229,8 @@
 	r.activate()
 }
 
-// activate has everything written, and votes from then on: an answer leaves after that. One write replaces what was on
-// disk, so that no part of it is mixed with what stood there.
+// activate persists all registers and makes this machine a voter; its answers are sent only after that write. The write
+// is atomic and replaces the previous contents of the disk, so that registers of two epochs are never mixed.
 func (r *Replica) activate() {
 	r.activeEpoch = r.membership.Epoch
 	r.transfer = transfer{}
--- a/internal/region/register/transfer_test.go
+++ b/internal/region/register/transfer_test.go
@@ -73,7 +73,7 @@
 	c := newCluster("a", "b", "c", "d")
 	c.enter(firstEpoch("a", "b", "c", "d"), "a", "b", "c", "d")
 	c.members["d"].submit(numberCall(1))
-	c.deliver("d") // accepted nowhere
+	c.deliver("d") // only d is reachable, so no voter accepts
 	c.members["d"].replica.register("x").accepted = &pb.RegisterPosition{Epoch: 1, Round: 99, Proposer: "d/1", Sequence: 1}
 	c.members["a"].submit(numberCall(2))
 	c.deliver("a", "b", "c")
@@ -95,7 +95,8 @@
 	assert.NotNil(t, c.members["a"].replica.held("x").value)
 }
 
-// An answer leaves out what the request lists, so the request must not list what a restart may forget.
+// The answer to a transfer request omits the registers that the request lists. The request must therefore not list a
+// register that a restart may lose.
 func TestTransferIsRequestedOnceWhatItListsIsDurable(t *testing.T) {
 	c := newCluster("a", "b", "c", "d")
 	c.enter(firstEpoch("a", "b", "c"), "a", "b", "c")
--- a/internal/region/register/value.go
+++ b/internal/region/register/value.go
@@ -6,7 +6,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// ApplyChange returns the value that a change leads to. It does not modify value, which may share memory with the result.
+// ApplyChange returns the value that results from applying a change. It does not modify value, which may share memory
+// with the result.
 func ApplyChange(value *pb.RegisterValue, change *pb.RegisterChange) *pb.RegisterValue {
 	switch kind := change.GetKind().(type) {
 	case *pb.RegisterChange_Whole:
@@ -18,7 +19,8 @@
 	}
 }
 
-// AppendEvents returns a group after further events, whose revisions follow those that it has. It does not modify group.
+// AppendEvents returns the group with further events appended, whose revisions must follow those in the group. It does
+// not modify group.
 func AppendEvents(group *pb.KeyGroupState, events []*pb.KeyEvent) *pb.KeyGroupState {
 	if len(events) == 0 {
 		return group
@@ -35,7 +37,7 @@
 	}
 }
 
-// withoutEventsThrough returns a group without its events up to a revision.
+// withoutEventsThrough returns the group without its events up to and including a revision.
 func withoutEventsThrough(group *pb.KeyGroupState, revision uint64) *pb.KeyGroupState {
 	first, _ := slices.BinarySearchFunc(group.GetEvents(), revision+1, func(event *pb.KeyEvent, wanted uint64) int {
 		return compareRevisions(event.GetRevision(), wanted)
@@ -62,7 +64,8 @@
 	return &pb.RegisterValue{Kind: &pb.RegisterValue_Group{Group: group}}
 }
 
-// wholeChange is the change that leads to a value from whatever stood before; nil for the value that was never written.
+// wholeChange returns the change that sets a register to value regardless of its previous value; nil for a nil value,
+// which stands for a register that was never written.
 func wholeChange(value *pb.RegisterValue) *pb.RegisterChange {
 	if value == nil {
 		return nil
@@ -70,7 +73,7 @@
 	return &pb.RegisterChange{Kind: &pb.RegisterChange_Whole{Whole: value}}
 }
 
-// mergeChanges returns the change that leads to value, which is where change leads after earlier.
+// mergeChanges combines two consecutive changes into one, where value is the value that results from both.
 func mergeChanges(earlier, change *pb.RegisterChange, value *pb.RegisterValue) *pb.RegisterChange {
 	if earlier == nil {
 		return change
@@ -85,7 +88,7 @@
 	return EventsChange(events...)
 }
 
-// EventsChange is the change that appends events to a group.
+// EventsChange returns the change that appends events to a group.
 func EventsChange(events ...*pb.KeyEvent) *pb.RegisterChange {
 	return &pb.RegisterChange{Kind: &pb.RegisterChange_Events{Events: &pb.KeyEvents{Events: events}}}
 }
