--- a/internal/region/coordination/conditions_test.go
+++ b/internal/region/coordination/conditions_test.go
@@ -7,6 +7,6 @@
 	"fieldrelay/internal/region/register"
 )
 
-func (o *object) conditions(left time.Duration) register.Conditions {
+func (o *testRegister) conditions(left time.Duration) register.Conditions {
 	return register.Conditions{HoldRemaining: left, Round: strconv.Itoa(o.executions)}
 }
--- a/internal/region/coordination/engine.go
+++ b/internal/region/coordination/engine.go
@@ -91,14 +91,14 @@
 // Started ends the restoring.
 func (e *Engine) Started(now time.Duration) {
 	e.now = now
-	e.replica.Started(now)
+	e.replica.FinishRestore(now)
 }
 
 // Enter takes the view in force. It must be on disk, or queued as an earlier write than what follows.
 func (e *Engine) Enter(now time.Duration, view *pb.View) {
 	e.now = now
 	e.replica.Enter(now, register.MembershipOf(view))
-	e.routing.forget(view.GetVoters())
+	e.routing.retainVoters(view.GetVoters())
 }
 
 // Tick lets time pass.
--- a/internal/region/coordination/engine_test.go
+++ b/internal/region/coordination/engine_test.go
@@ -11,9 +11,9 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// quietHost is a Host whose disk and network a test looks at.
-type quietHost struct {
-	knownPeers
+// recordingHost is a Host whose disk and network a test looks at.
+type recordingHost struct {
+	fakePeers
 	engine     *Engine
 	self       *pb.Replica
 	sent       []*pb.Message
@@ -22,7 +22,7 @@
 	stalled    bool
 }
 
-func (h *quietHost) Send(to *pb.Replica, message *pb.Message) {
+func (h *recordingHost) Send(to *pb.Replica, message *pb.Message) {
 	if to.GetIdentity() == h.self.GetIdentity() {
 		h.engine.Receive(h.engine.now, h.self, message)
 		return
@@ -30,21 +30,21 @@
 	h.sent = append(h.sent, message)
 }
 
-func (h *quietHost) Persist(_ []*pb.RegisterRecord, to *pb.Replica, message *pb.Message) {
+func (h *recordingHost) Persist(_ []*pb.RegisterRecord, to *pb.Replica, message *pb.Message) {
 	h.Send(to, message)
 }
-func (h *quietHost) PersistAll()       {}
-func (h *quietHost) CanPersist() bool  { return true }
-func (h *quietHost) HasMajority() bool { return !h.noMajority }
-func (h *quietHost) IsStalled() bool   { return h.stalled }
+func (h *recordingHost) PersistAll()       {}
+func (h *recordingHost) CanPersist() bool  { return true }
+func (h *recordingHost) HasMajority() bool { return !h.noMajority }
+func (h *recordingHost) IsStalled() bool   { return h.stalled }
 
-func (h *quietHost) ReplyToCaller(request uint64, result *pb.CoordinationResult) {
+func (h *recordingHost) ReplyToCaller(request uint64, result *pb.CoordinationResult) {
 	h.results[request] = result
 }
 
 // newEngineAmong returns the engine of v0 in view 1, whose voters are given.
-func newEngineAmong(voters ...*pb.Replica) (*Engine, *quietHost) {
-	host := &quietHost{self: voters[0], results: make(map[uint64]*pb.CoordinationResult)}
+func newEngineAmong(voters ...*pb.Replica) (*Engine, *recordingHost) {
+	host := &recordingHost{self: voters[0], results: make(map[uint64]*pb.CoordinationResult)}
 	host.engine = NewEngine(Config{Self: voters[0], Incarnation: "1", Retention: retention}, host)
 	host.engine.Started(time.Minute)
 	host.engine.Enter(time.Minute, &pb.View{Number: 1, VotersEpoch: 1, Voters: voters})
@@ -64,9 +64,9 @@
 }
 
 func TestCallsAreRefusedWhereTheyHaveNoChance(t *testing.T) {
-	for name, change := range map[string]func(*quietHost){
-		"no majority": func(host *quietHost) { host.noMajority = true },
-		"stalled":     func(host *quietHost) { host.stalled = true },
+	for name, change := range map[string]func(*recordingHost){
+		"no majority": func(host *recordingHost) { host.noMajority = true },
+		"stalled":     func(host *recordingHost) { host.stalled = true },
 	} {
 		engine, host := newEngineAmong(fiveVoters()...)
 		change(host)
--- a/internal/region/coordination/execute.go
+++ b/internal/region/coordination/execute.go
@@ -37,8 +37,8 @@
 	return unchanged(&pb.CoordinationResult{Outcome: outcome})
 }
 
-// whole is the change to a value, whatever stood before.
-func whole(value *pb.RegisterValue) *pb.RegisterChange {
+// wholeChange is the change to a value, whatever stood before.
+func wholeChange(value *pb.RegisterValue) *pb.RegisterChange {
 	return &pb.RegisterChange{Kind: &pb.RegisterChange_Whole{Whole: value}}
 }
 
@@ -47,6 +47,6 @@
 	value := &pb.RegisterValue{Kind: &pb.RegisterValue_Counter{Counter: &pb.CounterState{Value: next}}}
 	return register.Outcome{
 		Result: &pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK, Number: next},
-		Change: whole(value),
+		Change: wholeChange(value),
 	}
 }
--- a/internal/region/coordination/group.go
+++ b/internal/region/coordination/group.go
@@ -19,7 +19,7 @@
 // and sends it again, and values are unique.
 func put(group *pb.KeyGroupState, wanted *pb.PutKey) register.Outcome {
 	if earlier := findPut(group, wanted); earlier != nil {
-		return written(earlier.GetRevision())
+		return okWithRevision(earlier.GetRevision())
 	}
 	present := findKey(group, wanted.GetName())
 	if wanted.ExpectedRevision != nil && wanted.GetExpectedRevision() != present.GetRevision() {
@@ -33,12 +33,12 @@
 		return outcomeOnly(pb.CoordinationResult_OUTCOME_BUSY)
 	}
 	event := &pb.KeyEvent{Name: wanted.GetName(), Value: wanted.GetValue(), Revision: group.GetRevision() + 1}
-	outcome := written(event.GetRevision())
+	outcome := okWithRevision(event.GetRevision())
 	outcome.Change = register.EventsChange(event)
 	return outcome
 }
 
-func written(revision uint64) register.Outcome {
+func okWithRevision(revision uint64) register.Outcome {
 	return unchanged(&pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK, Revision: revision})
 }
 
@@ -81,7 +81,7 @@
 	after, revision := wanted.GetAfter(), group.GetRevision()
 	switch {
 	case after == 0:
-		return written(revision)
+		return okWithRevision(revision)
 	case after >= revision:
 		return register.Outcome{Wait: true}
 	}
--- a/internal/region/coordination/group_test.go
+++ b/internal/region/coordination/group_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestPutsShareTheRevisionsOfTheirGroup(t *testing.T) {
-	group := &object{}
+	group := &testRegister{}
 	for index, key := range []string{"g.a", "g.b", "g.a"} {
 		outcome := group.execute(0, putCall(key, strconv.Itoa(index)))
 		requireOutcome(t, outcomeOK, outcome)
@@ -57,7 +57,7 @@
 }
 
 func TestPutThatIsSentAgainHasItsFirstRevision(t *testing.T) {
-	group := &object{}
+	group := &testRegister{}
 	group.execute(0, putCall("g.a", "x", 0))
 	group.execute(0, putCall("g.a", "y", 1))
 	for value, revision := range map[string]uint64{"x": 1, "y": 2} {
@@ -69,13 +69,13 @@
 }
 
 func TestSameValueAtAnotherKeyIsAnotherPut(t *testing.T) {
-	group := &object{}
+	group := &testRegister{}
 	group.execute(0, putCall("g.a", "x"))
 	assert.Equal(t, uint64(2), group.execute(0, putCall("g.b", "x")).Result.GetRevision())
 }
 
 func TestConditionThatFailsNamesTheRevisionOfTheKey(t *testing.T) {
-	group := &object{}
+	group := &testRegister{}
 	group.execute(0, putCall("g.a", "x"))
 	group.execute(0, putCall("g.b", "y"))
 	for key, wrong := range map[string]uint64{"g.a": 0, "g.b": 1, "g.c": 2} {
@@ -86,7 +86,7 @@
 }
 
 func TestWatchTellsOfAllPutsAfterARevision(t *testing.T) {
-	group := &object{}
+	group := &testRegister{}
 	assert.Zero(t, group.execute(0, watchCall(0)).Result.GetRevision())
 	for index := range 3 {
 		group.execute(0, putCall("g.a", strconv.Itoa(index)))
@@ -103,7 +103,7 @@
 }
 
 func TestWatchOfARevisionThatIsNotKeptIsCompacted(t *testing.T) {
-	group := &object{}
+	group := &testRegister{}
 	for index := range 3 {
 		group.execute(0, putCall("g.a", strconv.Itoa(index)))
 	}
@@ -121,7 +121,7 @@
 	for index := range uint64(maxKeys) {
 		group.Keys = append(group.Keys, &pb.KeyEvent{Name: "g." + strconv.FormatUint(index, 10), Value: "x", Revision: index + 1})
 	}
-	full := &object{value: &pb.RegisterValue{Kind: &pb.RegisterValue_Group{Group: group}}}
+	full := &testRegister{value: &pb.RegisterValue{Kind: &pb.RegisterValue_Group{Group: group}}}
 	requireOutcome(t, outcomeBusy, full.execute(0, putCall("g.other", "y")))
 	requireOutcome(t, outcomeOK, full.execute(0, putCall("g.1", "y")))
 }
@@ -132,13 +132,13 @@
 		group.Events = append(group.Events, &pb.KeyEvent{Name: "g.a", Value: strconv.FormatUint(index, 10), Revision: index + 1})
 	}
 	group.Keys = group.GetEvents()[maxEvents-1:]
-	full := &object{value: &pb.RegisterValue{Kind: &pb.RegisterValue_Group{Group: group}}}
+	full := &testRegister{value: &pb.RegisterValue{Kind: &pb.RegisterValue_Group{Group: group}}}
 	requireOutcome(t, outcomeBusy, full.execute(0, putCall("g.a", "y")))
 	requireOutcome(t, outcomeOK, full.execute(0, putCall("g.a", "5")))
 }
 
 func TestCallWithoutAnOperationIsNotExecuted(t *testing.T) {
-	outcome := Execute(nil, &pb.CoordinationCall{}, (&object{}).conditions(0))
+	outcome := Execute(nil, &pb.CoordinationCall{}, (&testRegister{}).conditions(0))
 	requireOutcome(t, pb.CoordinationResult_OUTCOME_UNAVAILABLE, outcome)
 	assert.Nil(t, outcome.Change)
 }
--- a/internal/region/coordination/lock.go
+++ b/internal/region/coordination/lock.go
@@ -21,7 +21,7 @@
 	isHolder := lock.GetHolder() == wanted.GetHolder()
 	switch {
 	case lock.GetAcquiredBy() == call:
-		return granted(lock.GetFence()) // executed before, and perhaps released since
+		return okWithFence(lock.GetFence()) // executed before, and perhaps released since
 	case isHeld && !isHolder:
 		return outcomeOnly(pb.CoordinationResult_OUTCOME_HELD_BY_OTHER)
 	}
@@ -61,7 +61,7 @@
 func release(lock *pb.LockState, wanted *pb.ReleaseLock) register.Outcome {
 	outcome := outcomeOnly(pb.CoordinationResult_OUTCOME_OK)
 	if lock.GetHolder() != "" && lock.GetHolder() == wanted.GetHolder() && lock.GetFence() == wanted.GetFence() {
-		outcome.Change = whole(lockValue(&pb.LockState{Fence: lock.GetFence(), AcquiredBy: lock.GetAcquiredBy()}))
+		outcome.Change = wholeChange(lockValue(&pb.LockState{Fence: lock.GetFence(), AcquiredBy: lock.GetAcquiredBy()}))
 	}
 	return outcome
 }
@@ -73,13 +73,13 @@
 	hold := max(time.Duration(holdMs)*time.Millisecond, remaining)
 	next.HoldMs = uint32(hold.Milliseconds()) + 1 // rounded up
 	next.GrantedBy = round
-	outcome := granted(next.GetFence())
-	outcome.Change = whole(lockValue(next))
+	outcome := okWithFence(next.GetFence())
+	outcome.Change = wholeChange(lockValue(next))
 	outcome.HoldFor = hold
 	return outcome
 }
 
-func granted(fence uint64) register.Outcome {
+func okWithFence(fence uint64) register.Outcome {
 	return unchanged(&pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK, Fence: fence})
 }
 
--- a/internal/region/coordination/lock_test.go
+++ b/internal/region/coordination/lock_test.go
@@ -21,15 +21,15 @@
 	outcomeBusy      = pb.CoordinationResult_OUTCOME_BUSY
 )
 
-// object executes calls on one value.
-type object struct {
+// testRegister executes calls on one value.
+type testRegister struct {
 	value      *pb.RegisterValue
 	lastID     uint64
 	executions int
 }
 
 // execute executes a call that is new, while a holder has a time left.
-func (o *object) execute(left time.Duration, call *pb.CoordinationCall) register.Outcome {
+func (o *testRegister) execute(left time.Duration, call *pb.CoordinationCall) register.Outcome {
 	o.lastID++
 	call.Id = o.lastID
 	call.Origin = "m/1"
@@ -37,7 +37,7 @@
 }
 
 // executeAgain executes a call that may have been executed before.
-func (o *object) executeAgain(left time.Duration, call *pb.CoordinationCall) register.Outcome {
+func (o *testRegister) executeAgain(left time.Duration, call *pb.CoordinationCall) register.Outcome {
 	o.executions++
 	outcome := Execute(o.value, call, o.conditions(left))
 	o.value = register.ApplyChange(o.value, outcome.Change)
@@ -66,7 +66,7 @@
 const hold = 3 * time.Second
 
 func TestLockIsGivenToOneHolderAtATime(t *testing.T) {
-	lock := &object{}
+	lock := &testRegister{}
 	first := lock.execute(0, acquireCall("a", hold))
 	requireOutcome(t, outcomeOK, first)
 	assert.Equal(t, uint64(1), first.Result.GetFence())
@@ -78,7 +78,7 @@
 }
 
 func TestAcquisitionThatIsExecutedAgainHasTheSameFence(t *testing.T) {
-	lock := &object{}
+	lock := &testRegister{}
 	call := acquireCall("a", hold)
 	lock.execute(0, call)
 	again := lock.executeAgain(time.Second, call)
@@ -87,7 +87,7 @@
 }
 
 func TestHolderThatAcquiresAgainGetsAHigherFence(t *testing.T) {
-	lock := &object{}
+	lock := &testRegister{}
 	lock.execute(0, acquireCall("a", hold))
 	again := lock.execute(time.Second, acquireCall("a", hold))
 	requireOutcome(t, outcomeOK, again)
@@ -101,7 +101,7 @@
 		"acquire": acquireCall("a", time.Second),
 		"renew":   renewCall("a", 1, time.Second),
 	} {
-		lock := &object{}
+		lock := &testRegister{}
 		lock.execute(0, acquireCall("a", hold))
 		outcome := lock.execute(2*time.Second, shorter)
 		assert.Equal(t, 2*time.Second, outcome.HoldFor, name)
@@ -112,7 +112,7 @@
 // A replica that knows the first execution counts the time of the holder from it, and the time that is left at the second one is
 // counted from there.
 func TestRenewalThatIsExecutedAgainIsAnotherGrant(t *testing.T) {
-	lock := &object{}
+	lock := &testRegister{}
 	lock.execute(0, acquireCall("a", hold))
 	call := renewCall("a", 1, time.Second)
 	lock.execute(2*time.Second, call)
@@ -122,7 +122,7 @@
 }
 
 func TestRenewalNeedsAFenceOfTheHolder(t *testing.T) {
-	lock := &object{}
+	lock := &testRegister{}
 	lock.execute(0, acquireCall("a", hold))
 	lock.execute(0, acquireCall("b", hold))           // 2
 	lock.execute(time.Second, acquireCall("b", hold)) // 3
@@ -135,13 +135,13 @@
 }
 
 func TestRenewalOfALockThatNobodyHoldsFails(t *testing.T) {
-	lock := &object{}
+	lock := &testRegister{}
 	requireOutcome(t, outcomeHeld, lock.execute(hold, renewCall("a", 0, hold)))
 	requireOutcome(t, outcomeHeld, lock.execute(hold, renewCall("", 0, hold)))
 }
 
 func TestReleaseEndsTheHoldOfItsFenceAlone(t *testing.T) {
-	lock := &object{}
+	lock := &testRegister{}
 	lock.execute(0, acquireCall("a", hold))
 	for _, call := range []*pb.CoordinationCall{releaseCall("b", 1), releaseCall("a", 0), releaseCall("a", 2)} {
 		outcome := lock.execute(time.Second, call)
@@ -155,7 +155,7 @@
 }
 
 func TestHolderAfterItsTimeBeginsAnew(t *testing.T) {
-	lock := &object{}
+	lock := &testRegister{}
 	lock.execute(0, acquireCall("a", hold))
 	lock.execute(0, acquireCall("a", hold))
 	requireOutcome(t, outcomeHeld, lock.execute(time.Second, renewCall("a", 1, hold)))
@@ -164,7 +164,7 @@
 
 // The caller of an acquisition that is executed once more has released the lock, and nobody else would.
 func TestAcquisitionExecutedAgainAfterItsReleaseHoldsNothing(t *testing.T) {
-	lock := &object{}
+	lock := &testRegister{}
 	call := acquireCall("a", hold)
 	lock.execute(0, call)
 	requireOutcome(t, outcomeOK, lock.execute(hold, releaseCall("a", 1)))
--- a/internal/region/coordination/origin.go
+++ b/internal/region/coordination/origin.go
@@ -96,7 +96,7 @@
 		return
 	}
 	pending := o.pending[index]
-	o.engine.routing.trust(from.GetIdentity())
+	o.engine.routing.clearSuspicion(from.GetIdentity())
 	isLast := pending.target == from.GetIdentity()
 	switch result.GetOutcome() {
 	case pb.CoordinationResult_OUTCOME_UNKNOWN:
@@ -155,7 +155,7 @@
 	for _, pending := range slices.Clone(o.pending) {
 		switch {
 		case now >= pending.deadline:
-			o.finish(pending, pending.unfinished())
+			o.finish(pending, pending.timeoutResult())
 		case pending.target == "":
 			o.forward(now, pending)
 		case now-pending.sentAt >= o.timeoutOf(pending):
@@ -174,8 +174,8 @@
 	return min(max(pending.watchEnd-pending.sentAt, 0), maxWatchSegment) + attemptTimeout
 }
 
-// unfinished is the result of a call whose time is up.
-func (p *pendingCall) unfinished() *pb.CoordinationResult {
+// timeoutResult is the result of a call whose time is up.
+func (p *pendingCall) timeoutResult() *pb.CoordinationResult {
 	outcome := pb.CoordinationResult_OUTCOME_UNAVAILABLE
 	if p.maybeExecuted || p.target != "" {
 		outcome = pb.CoordinationResult_OUTCOME_UNKNOWN
--- a/internal/region/coordination/routing.go
+++ b/internal/region/coordination/routing.go
@@ -37,11 +37,11 @@
 	r.suspectedUntil[identity] = now + suspicionTimeout
 }
 
-// trust records that a machine has answered.
-func (r *routing) trust(identity string) { delete(r.suspectedUntil, identity) }
+// clearSuspicion records that a machine has answered.
+func (r *routing) clearSuspicion(identity string) { delete(r.suspectedUntil, identity) }
 
-// forget drops the machines that do not vote any more.
-func (r *routing) forget(voters []*pb.Replica) {
+// retainVoters drops the machines that do not vote any more.
+func (r *routing) retainVoters(voters []*pb.Replica) {
 	for identity := range r.suspectedUntil {
 		votes := slices.ContainsFunc(voters, func(voter *pb.Replica) bool { return voter.GetIdentity() == identity })
 		if !votes {
--- a/internal/region/coordination/routing_test.go
+++ b/internal/region/coordination/routing_test.go
@@ -11,13 +11,13 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// knownPeers implements Peers.
-type knownPeers struct {
+// fakePeers implements Peers.
+type fakePeers struct {
 	failed, leaving map[string]bool
 }
 
-func (p knownPeers) IsLive(identity string) bool    { return !p.failed[identity] }
-func (p knownPeers) IsLeaving(identity string) bool { return p.leaving[identity] }
+func (p fakePeers) IsLive(identity string) bool    { return !p.failed[identity] }
+func (p fakePeers) IsLeaving(identity string) bool { return p.leaving[identity] }
 
 // fiveVoters are v0 to v4: three in region r, two in region s.
 func fiveVoters() []*pb.Replica {
@@ -28,7 +28,7 @@
 	return voters
 }
 
-func proposers(now time.Duration, chosenBy *routing) map[string]int {
+func countProposers(now time.Duration, chosenBy *routing) map[string]int {
 	counts := make(map[string]int)
 	for index := range 300 {
 		counts[chosenBy.proposerFor(now, fmt.Sprintf("lock/l%d", index), fiveVoters()).GetIdentity()]++
@@ -37,7 +37,7 @@
 }
 
 func TestProposersAreSpreadOverTheLargestRegion(t *testing.T) {
-	counts := proposers(0, newRouting(knownPeers{}))
+	counts := countProposers(0, newRouting(fakePeers{}))
 	require.Len(t, counts, 3)
 	for _, identity := range []string{"v0", "v1", "v2"} {
 		assert.Greater(t, counts[identity], 60)
@@ -45,8 +45,8 @@
 }
 
 func TestProposerOfARegisterStaysWhenAnotherOneFails(t *testing.T) {
-	before := newRouting(knownPeers{})
-	after := newRouting(knownPeers{failed: map[string]bool{"v1": true, "v4": true}})
+	before := newRouting(fakePeers{})
+	after := newRouting(fakePeers{failed: map[string]bool{"v1": true, "v4": true}})
 	for index := range 100 {
 		register := fmt.Sprintf("lock/l%d", index)
 		chosen := before.proposerFor(0, register, fiveVoters()).GetIdentity()
@@ -57,31 +57,31 @@
 }
 
 func TestMachinesThatFailedOrLeaveDoNotPropose(t *testing.T) {
-	chosenBy := newRouting(knownPeers{failed: map[string]bool{"v0": true}, leaving: map[string]bool{"v1": true}})
-	counts := proposers(0, chosenBy)
+	chosenBy := newRouting(fakePeers{failed: map[string]bool{"v0": true}, leaving: map[string]bool{"v1": true}})
+	counts := countProposers(0, chosenBy)
 	assert.Len(t, counts, 2)
 	assert.Zero(t, counts["v0"]+counts["v1"])
 }
 
 func TestProposerIsChosenEvenIfNoneIsAvailable(t *testing.T) {
 	all := map[string]bool{"v0": true, "v1": true, "v2": true, "v3": true, "v4": true}
-	assert.NotEmpty(t, proposers(0, newRouting(knownPeers{failed: all})))
-	assert.Nil(t, newRouting(knownPeers{}).proposerFor(0, "lock/l", nil))
+	assert.NotEmpty(t, countProposers(0, newRouting(fakePeers{failed: all})))
+	assert.Nil(t, newRouting(fakePeers{}).proposerFor(0, "lock/l", nil))
 }
 
 func TestMachineThatDidNotAnswerIsAvoidedForAWhile(t *testing.T) {
-	chosenBy := newRouting(knownPeers{})
+	chosenBy := newRouting(fakePeers{})
 	chosenBy.suspect(time.Minute, "v0")
-	assert.Zero(t, proposers(time.Minute, chosenBy)["v0"])
-	assert.Positive(t, proposers(time.Minute+suspicionTimeout, chosenBy)["v0"])
-	chosenBy.trust("v0")
-	assert.Positive(t, proposers(time.Minute, chosenBy)["v0"])
+	assert.Zero(t, countProposers(time.Minute, chosenBy)["v0"])
+	assert.Positive(t, countProposers(time.Minute+suspicionTimeout, chosenBy)["v0"])
+	chosenBy.clearSuspicion("v0")
+	assert.Positive(t, countProposers(time.Minute, chosenBy)["v0"])
 }
 
 func TestSuspicionOfAMachineThatNoLongerVotesIsForgotten(t *testing.T) {
-	chosenBy := newRouting(knownPeers{})
+	chosenBy := newRouting(fakePeers{})
 	chosenBy.suspect(0, "v0")
 	chosenBy.suspect(0, "old")
-	chosenBy.forget(fiveVoters())
+	chosenBy.retainVoters(fiveVoters())
 	assert.Len(t, chosenBy.suspectedUntil, 1)
 }
--- a/internal/region/coordination/simulateddisk_test.go
+++ b/internal/region/coordination/simulateddisk_test.go
@@ -62,8 +62,8 @@
 	d.syncing = true
 	count := len(d.pending)
 	s := d.machine.simulation
-	delay := max(d.stalledUntil-s.now, 0) + s.between(0.5, s.slowSync)
-	s.after(delay, d.machine.ofThisRun(func() { d.synced(count) }))
+	delay := max(d.stalledUntil-s.now, 0) + s.between(0.5, s.maxSyncMillis)
+	s.after(delay, d.machine.duringThisRun(func() { d.synced(count) }))
 }
 
 func (d *disk) synced(count int) {
@@ -75,7 +75,7 @@
 	for range count {
 		done := d.pending[0]
 		done.takeEffect(d)
-		d.machine.do(func() { d.confirm(done) })
+		d.machine.handle(func() { d.confirm(done) })
 		d.pending = d.pending[1:]
 	}
 	d.syncing = false
--- a/internal/region/coordination/simulatedfaults_test.go
+++ b/internal/region/coordination/simulatedfaults_test.go
@@ -11,7 +11,7 @@
 // startFaults begins a run of faults of some kinds, of which each run has its own mixture.
 func (s *simulation) startFaults() {
 	kinds := []func(){
-		s.crashOne, s.crashMany, s.freezeSome, s.cutHalves, s.cutOneWay, s.stallDisk, s.loseDisk, s.replaceMember, s.changeChain,
+		s.crashOne, s.crashMany, s.freezeSome, s.cutHalves, s.cutOneWay, s.stallDisk, s.loseDisk, s.replaceMember, s.renewView,
 	}
 	var mixture []func()
 	for _, kind := range kinds {
@@ -111,7 +111,7 @@
 func (s *simulation) loseDisk() {
 	victim := pick(s, s.machines)
 	if s.planted.lostDiskKeepsIdentity {
-		s.forgetDisk(victim)
+		s.eraseDisk(victim)
 		return
 	}
 	holders := s.epochHolders()
@@ -129,8 +129,8 @@
 	s.addMachine()
 }
 
-// forgetDisk empties a disk, and lets the machine go on under its identity, which it must not.
-func (s *simulation) forgetDisk(victim *machine) {
+// eraseDisk empties a disk, and lets the machine go on under its identity, which it must not.
+func (s *simulation) eraseDisk(victim *machine) {
 	if !victim.running {
 		return
 	}
@@ -159,9 +159,9 @@
 
 // changeView has machines vote in place of those whose disks are lost.
 func (s *simulation) changeView() {
-	isThere := func(identity string) bool { return !s.byIdentity[identity].removed }
-	if slices.ContainsFunc(s.view.GetVoters(), func(voter *pb.Replica) bool { return !isThere(voter.GetIdentity()) }) {
-		s.proposeVoters(isThere)
+	hasDisk := func(identity string) bool { return !s.byIdentity[identity].removed }
+	if slices.ContainsFunc(s.view.GetVoters(), func(voter *pb.Replica) bool { return !hasDisk(voter.GetIdentity()) }) {
+		s.proposeVoters(hasDisk)
 	}
 }
 
@@ -183,14 +183,14 @@
 			next = append(next, candidate.replica)
 		}
 	}
-	s.decide(next)
+	s.decideView(next)
 }
 
-// changeChain decides on a view with the same voters.
-func (s *simulation) changeChain() { s.decide(s.view.GetVoters()) }
+// renewView decides on a view with the same voters.
+func (s *simulation) renewView() { s.decideView(s.view.GetVoters()) }
 
-// decide has a view follow, which one of the voters before learns of first.
-func (s *simulation) decide(voters []*pb.Replica) {
+// decideView has a view follow, which one of the voters before learns of first.
+func (s *simulation) decideView(voters []*pb.Replica) {
 	var informed []*machine
 	for _, voter := range s.view.GetVoters() {
 		if member := s.byIdentity[voter.GetIdentity()]; member.running && !member.frozen {
@@ -209,12 +209,12 @@
 // heal ends all faults.
 func (s *simulation) heal() {
 	s.faulty = false
-	s.slowSync = quickSync
-	s.network.calm()
+	s.maxSyncMillis = fastSyncMillis
+	s.network.clearFaults()
 	s.network.cuts = make(map[link]int)
 	for _, member := range slices.Clone(s.machines) {
 		member.disk.stalledUntil = 0
-		member.wake()
+		member.resume()
 		s.restart(member)
 	}
 }
--- a/internal/region/coordination/simulatedmachine_test.go
+++ b/internal/region/coordination/simulatedmachine_test.go
@@ -33,8 +33,8 @@
 	lastTick    time.Duration
 	lastStall   time.Duration
 	frozen      bool
-	tickWaits   bool
-	held        []func() // events that wait while it is frozen
+	tickPending bool
+	deferred    []func() // events that wait while it is frozen
 	requests    map[uint64]func(*pb.CoordinationResult)
 	lastRequest uint64
 	live        map[string]bool // as of the last tick
@@ -53,8 +53,8 @@
 	m.running = true
 	m.incarnation++
 	m.frozen = false
-	m.held = nil
-	m.tickWaits = false
+	m.deferred = nil
+	m.tickPending = false
 	m.lastStall = 0
 	m.clockOffset = s.between(1_000, 1_000_000)
 	m.clockRate = 1 + (s.random.Float64()-0.5)/1000
@@ -67,7 +67,7 @@
 		Retention:   retention,
 		FirstID:     s.random.Uint64() >> 1,
 	}, m)
-	m.plantExecute()
+	m.replaceExecute()
 	for _, record := range m.disk.recover() {
 		m.engine.Restore(record)
 	}
@@ -80,20 +80,20 @@
 	m.scheduleGossip()
 }
 
-// plantExecute replaces what calls do, if that is the fault to be found.
-func (m *machine) plantExecute() {
+// replaceExecute replaces what calls do, if that is the fault to be found.
+func (m *machine) replaceExecute() {
 	if change := m.simulation.planted.execute; change != nil {
 		output := engineOutput{engine: m.engine, Host: m}
 		m.engine.proposers = register.NewProposers(m.engine.replica, m.engine.name, change, output)
 	}
 }
 
-// do has the process handle an event: at once, or when it goes on. It is lost if this run of the process ends before.
-func (m *machine) do(action func()) {
+// handle has the process handle an event: at once, or when it goes on. It is lost if this run of the process ends before.
+func (m *machine) handle(action func()) {
 	switch {
 	case !m.running:
 	case m.frozen:
-		m.held = append(m.held, action)
+		m.deferred = append(m.deferred, action)
 	default:
 		action()
 	}
@@ -104,23 +104,23 @@
 	incarnation := m.incarnation
 	return func() {
 		if m.incarnation == incarnation {
-			m.do(action)
+			m.handle(action)
 		}
 	}
 }
 
 func (m *machine) scheduleTick() {
-	m.simulation.after(tickInterval, m.ofThisRun(func() {
-		if !m.tickWaits {
-			m.tickWaits = true
-			m.do(m.tick)
+	m.simulation.after(tickInterval, m.duringThisRun(func() {
+		if !m.tickPending {
+			m.tickPending = true
+			m.handle(m.tick)
 		}
 		m.scheduleTick()
 	}))
 }
 
-// ofThisRun returns an action of the surroundings of a process, which goes on while the process is frozen.
-func (m *machine) ofThisRun(action func()) func() {
+// duringThisRun returns an action of the surroundings of a process, which goes on while the process is frozen.
+func (m *machine) duringThisRun(action func()) func() {
 	incarnation := m.incarnation
 	return func() {
 		if m.incarnation == incarnation && m.running {
@@ -130,7 +130,7 @@
 }
 
 func (m *machine) tick() {
-	m.tickWaits = false
+	m.tickPending = false
 	now := m.clock()
 	if now-m.lastTick >= stallThreshold {
 		m.lastStall = now
@@ -145,14 +145,14 @@
 func (m *machine) scheduleGossip() {
 	m.simulation.after(gossipInterval, m.whileRunning(func() {
 		for range 2 {
-			m.tellView(pick(m.simulation, m.simulation.machines))
+			m.sendView(pick(m.simulation, m.simulation.machines))
 		}
 		m.scheduleGossip()
 	}))
 }
 
-// tellView sends the view in force.
-func (m *machine) tellView(to *machine) {
+// sendView sends the view in force.
+func (m *machine) sendView(to *machine) {
 	if view := m.view; view != nil {
 		m.simulation.network.transmit(m, to, 1, func() { to.adopt(view) })
 	}
@@ -172,7 +172,7 @@
 func (m *machine) crash() {
 	m.running = false
 	m.incarnation++
-	m.held = nil
+	m.deferred = nil
 	m.disk.crash()
 }
 
@@ -182,18 +182,18 @@
 		return
 	}
 	m.frozen = true
-	m.simulation.after(pause, m.ofThisRun(m.wake))
+	m.simulation.after(pause, m.duringThisRun(m.resume))
 }
 
-func (m *machine) wake() {
+func (m *machine) resume() {
 	if !m.frozen {
 		return
 	}
 	m.frozen = false
-	held := m.held
-	m.held = nil
+	held := m.deferred
+	m.deferred = nil
 	for _, action := range held {
-		m.do(action)
+		m.handle(action)
 	}
 }
 
--- a/internal/region/coordination/simulatednetwork_test.go
+++ b/internal/region/coordination/simulatednetwork_test.go
@@ -8,22 +8,22 @@
 
 // network carries messages between machines: it loses, doubles, delays and reorders them, and may be cut.
 type network struct {
-	simulation *simulation
-	loss       float64
-	doubling   float64
-	lateness   float64 // share of messages that take very long
-	cuts       map[link]int
+	simulation  *simulation
+	loss        float64
+	duplication float64
+	slowShare   float64 // share of messages that take very long
+	cuts        map[link]int
 }
 
 type link struct{ from, to string }
 
 func newNetwork(s *simulation) *network {
 	return &network{
-		simulation: s,
-		loss:       0.03 * s.random.Float64(),
-		doubling:   0.05 * s.random.Float64(),
-		lateness:   0.02 * s.random.Float64(),
-		cuts:       make(map[link]int),
+		simulation:  s,
+		loss:        0.03 * s.random.Float64(),
+		duplication: 0.05 * s.random.Float64(),
+		slowShare:   0.02 * s.random.Float64(),
+		cuts:        make(map[link]int),
 	}
 }
 
@@ -38,7 +38,7 @@
 func (n *network) send(from, to *machine, message *pb.Message) {
 	copies := 1
 	isRepeatable := message.GetCoordinationCall() == nil && message.GetCoordinationResult() == nil
-	if isRepeatable && n.simulation.chance(n.doubling) {
+	if isRepeatable && n.simulation.chance(n.duplication) {
 		copies = 2
 	}
 	n.transmit(from, to, copies, func() { to.receive(from.replica, message) })
@@ -52,14 +52,14 @@
 	}
 	for range copies {
 		if !s.chance(n.loss) {
-			s.after(n.delay(from, to), func() { to.do(arrive) })
+			s.after(n.delay(from, to), func() { to.handle(arrive) })
 		}
 	}
 }
 
 func (n *network) delay(from, to *machine) time.Duration {
 	s := n.simulation
-	if s.chance(n.lateness) {
+	if s.chance(n.slowShare) {
 		return s.between(50, 3000)
 	}
 	if from.replica.GetRegion() == to.replica.GetRegion() {
@@ -80,7 +80,7 @@
 	})
 }
 
-// calm ends the faults that belong to no cut.
-func (n *network) calm() {
-	n.loss, n.doubling, n.lateness = 0, 0, 0
+// clearFaults ends the faults that belong to no cut.
+func (n *network) clearFaults() {
+	n.loss, n.duplication, n.slowShare = 0, 0, 0
 }
--- a/internal/region/coordination/simulatedtransport_test.go
+++ b/internal/region/coordination/simulatedtransport_test.go
@@ -22,7 +22,7 @@
 			answer(nil)
 			return
 		}
-		target.do(func() {
+		target.handle(func() {
 			if !isCanceled {
 				cancel = target.submit(call, func(result *pb.CoordinationResult) { s.sendAnswer(result, answer) })
 			}
@@ -37,7 +37,7 @@
 // sendAnswer carries a result back, late now and then.
 func (s *simulation) sendAnswer(result *pb.CoordinationResult, answer func(*pb.CoordinationResult)) {
 	delay := s.between(1, 5)
-	if s.chance(s.network.lateness) {
+	if s.chance(s.network.slowShare) {
 		delay = s.between(5, 1500)
 	}
 	s.after(delay, func() { answer(result) })
--- a/internal/region/coordination/simulation_test.go
+++ b/internal/region/coordination/simulation_test.go
@@ -13,13 +13,13 @@
 
 // Lengths of a simulated run.
 const (
-	faultsFor  = 12 * time.Second // faults come and go
-	settleFor  = 8 * time.Second  // everything works again, callers go on
-	finalFor   = 6 * time.Second  // final calls
-	retention  = 4 * time.Second
-	zoneCount  = 3
-	spareCount = 2
-	quickSync  = 3 // milliseconds
+	faultPeriod    = 12 * time.Second // faults come and go
+	settlePeriod   = 8 * time.Second  // everything works again, callers go on
+	finalPeriod    = 6 * time.Second  // final calls
+	retention      = 4 * time.Second
+	zoneCount      = 3
+	spareCount     = 2
+	fastSyncMillis = 3 // milliseconds
 )
 
 // simulation is a few machines, each with an engine, a clock and a disk, the network between them, and callers. Everything that
@@ -30,34 +30,34 @@
 	now     time.Duration // of no machine's clock
 	events  eventQueue
 	lastID  uint64
-	planted planted
-
-	machines   []*machine // that have a disk, whether they run or not
-	byIdentity map[string]*machine
-	network    *network
-	view       *pb.View // that was decided last
-	faulty     bool
-	slowSync   float64 // milliseconds that a sync of a disk may take
+	planted plantedFault
+
+	machines      []*machine // that have a disk, whether they run or not
+	byIdentity    map[string]*machine
+	network       *network
+	view          *pb.View // that was decided last
+	faulty        bool
+	maxSyncMillis float64 // milliseconds that a sync of a disk may take
 }
 
 // runSimulation returns the history of the calls of a run.
-func runSimulation(seed uint64, fault planted) []history.Call {
+func runSimulation(seed uint64, fault plantedFault) []history.Call {
 	s := newSimulation(seed, fault)
-	s.found()
+	s.bootstrap()
 	s.faulty = true
 	s.startFaults()
 	applications := callers.Start(s, s.random)
-	s.runUntil(faultsFor)
+	s.runUntil(faultPeriod)
 	s.heal()
-	s.runUntil(faultsFor + settleFor)
+	s.runUntil(faultPeriod + settlePeriod)
 	applications.Stop()
-	s.runUntil(faultsFor + settleFor + callers.FinalPause)
+	s.runUntil(faultPeriod + settlePeriod + callers.FinalPause)
 	applications.StartFinalCalls()
-	s.runUntil(faultsFor + settleFor + callers.FinalPause + finalFor)
+	s.runUntil(faultPeriod + settlePeriod + callers.FinalPause + finalPeriod)
 	return applications.History()
 }
 
-func newSimulation(seed uint64, fault planted) *simulation {
+func newSimulation(seed uint64, fault plantedFault) *simulation {
 	s := &simulation{
 		seed:       seed,
 		random:     rand.New(rand.NewPCG(seed, 0)),
@@ -65,12 +65,12 @@
 		byIdentity: make(map[string]*machine),
 	}
 	s.network = newNetwork(s)
-	s.slowSync = pick(s, []float64{quickSync, quickSync, 30, 150})
+	s.maxSyncMillis = pick(s, []float64{fastSyncMillis, fastSyncMillis, 30, 150})
 	return s
 }
 
-// found starts the machines, and decides on view 1.
-func (s *simulation) found() {
+// bootstrap starts the machines, and decides on view 1.
+func (s *simulation) bootstrap() {
 	voters := 3 + 2*s.random.IntN(2)
 	for range voters + spareCount {
 		s.addMachine()
--- a/internal/region/coordination/simulationplanted_test.go
+++ b/internal/region/coordination/simulationplanted_test.go
@@ -12,8 +12,8 @@
 	"fieldrelay/internal/testkit/history"
 )
 
-// planted is a fault that a simulation must find.
-type planted struct {
+// plantedFault is a fault that a simulation must find.
+type plantedFault struct {
 	// execute replaces Execute.
 	execute register.Execute
 	// receive replaces a message that a machine receives; nil: it is dropped.
@@ -29,7 +29,7 @@
 const plantedSeeds = 400
 
 func TestPlantedFaultsAreFound(t *testing.T) {
-	for name, fault := range map[string]planted{
+	for name, fault := range map[string]plantedFault{
 		"a vote of a replica that forgot":        {lostDiskKeepsIdentity: true},
 		"an answer that is not durable":          {sendBeforeSync: true},
 		"a promise that is not on disk":          {forgetPromises: true},
@@ -38,8 +38,8 @@
 		"a release that ignores the fence":       {execute: releaseAnyFence},
 		"a renewal that ignores the fence":       {execute: renewAnyFence},
 		"a fence that is used again":             {execute: reuseFence},
-		"a lock that is given away too early":    {execute: giveAwayEarly},
-		"a put that is written twice":            {execute: putAgain},
+		"a lock that is given away too early":    {execute: grantEarly},
+		"a put that is written twice":            {execute: duplicatePut},
 		"a condition that is ignored":            {execute: ignoreCondition},
 		"a watch that skips a put":               {execute: skipEvent},
 		"a revision that is forgotten too early": {execute: forgetEvents},
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var found *history.Violation
-			judgeEach(1, plantedSeeds, 2, fault, func(seed uint64, verdict history.Verdict) bool {
+			checkSeeds(1, plantedSeeds, 2, fault, func(seed uint64, verdict history.Verdict) bool {
 				if found == nil && !verdict.Passed() {
 					found = verdict.Smallest()
 					t.Logf("seed %d: %v", seed, found)
@@ -113,12 +113,12 @@
 	return Execute(value, call, conditions)
 }
 
-func giveAwayEarly(value *pb.RegisterValue, call *pb.CoordinationCall, conditions register.Conditions) register.Outcome {
+func grantEarly(value *pb.RegisterValue, call *pb.CoordinationCall, conditions register.Conditions) register.Outcome {
 	conditions.HoldRemaining -= 150 * time.Millisecond
 	return Execute(value, call, conditions)
 }
 
-func putAgain(value *pb.RegisterValue, call *pb.CoordinationCall, conditions register.Conditions) register.Outcome {
+func duplicatePut(value *pb.RegisterValue, call *pb.CoordinationCall, conditions register.Conditions) register.Outcome {
 	group := value.GetGroup()
 	if put := call.GetPut(); put != nil && group != nil {
 		event := &pb.KeyEvent{Name: put.GetName(), Value: put.GetValue(), Revision: group.GetRevision() + 1}
--- a/internal/region/coordination/simulationrun_test.go
+++ b/internal/region/coordination/simulationrun_test.go
@@ -20,24 +20,24 @@
 
 const defaultSeeds = 200
 
-func numberFrom(t *testing.T, variable string, otherwise int) int {
+func intFromEnv(t *testing.T, variable string, fallback int) int {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	number, err := strconv.Atoi(text)
 	require.NoError(t, err)
 	return number
 }
 
-// judge returns the verdict of a run.
-func judge(seed uint64, fault planted) history.Verdict {
+// checkRun returns the verdict of a run.
+func checkRun(seed uint64, fault plantedFault) history.Verdict {
 	return history.Check(runSimulation(seed, fault), history.Options{Retention: retention})
 }
 
-// judgeEach judges the runs of some seeds, several at a time, until one of them returns false.
-func judgeEach(first, count, workers int, fault planted, take func(seed uint64, verdict history.Verdict) bool) {
+// checkSeeds judges the runs of some seeds, several at a time, until one of them returns false.
+func checkSeeds(first, count, workers int, fault plantedFault, take func(seed uint64, verdict history.Verdict) bool) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	next := first
@@ -60,7 +60,7 @@
 	for range workers {
 		group.Go(func() {
 			for seed, more := draw(); more; seed, more = draw() {
-				give(seed, judge(seed, fault))
+				give(seed, checkRun(seed, fault))
 			}
 		})
 	}
@@ -70,10 +70,10 @@
 const simulationWorkers = 4
 
 func TestCallsKeepTheirRulesUnderFaults(t *testing.T) {
-	first := numberFrom(t, firstVariable, 1)
-	count := numberFrom(t, seedsVariable, defaultSeeds)
+	first := intFromEnv(t, firstVariable, 1)
+	count := intFromEnv(t, seedsVariable, defaultSeeds)
 	failures := 0
-	judgeEach(first, count, simulationWorkers, planted{}, func(seed uint64, verdict history.Verdict) bool {
+	checkSeeds(first, count, simulationWorkers, plantedFault{}, func(seed uint64, verdict history.Verdict) bool {
 		if !assert.True(t, verdict.Passed(), "%s=%d %s=1: %v", firstVariable, seed, seedsVariable, verdict) {
 			failures++
 		}
@@ -83,14 +83,14 @@
 
 func TestSimulationRepeatsBySeed(t *testing.T) {
 	for seed := range uint64(5) {
-		require.Equal(t, runSimulation(seed, planted{}), runSimulation(seed, planted{}))
+		require.Equal(t, runSimulation(seed, plantedFault{}), runSimulation(seed, plantedFault{}))
 	}
 }
 
 func TestSimulatedCallsSucceedOften(t *testing.T) {
 	outcomes := make(map[history.Kind]map[history.Outcome]int)
 	for seed := range uint64(10) {
-		for _, call := range runSimulation(seed, planted{}) {
+		for _, call := range runSimulation(seed, plantedFault{}) {
 			if outcomes[call.Kind] == nil {
 				outcomes[call.Kind] = make(map[history.Outcome]int)
 			}
--- a/internal/region/register/cluster_test.go
+++ b/internal/region/register/cluster_test.go
@@ -177,7 +177,7 @@
 	for _, record := range m.records {
 		next.replica.Restore(record)
 	}
-	next.replica.Started(m.cluster.now)
+	next.replica.FinishRestore(m.cluster.now)
 	next.replica.Enter(m.cluster.now, membership)
 	m.cluster.members[m.self.GetIdentity()] = next
 	return next
--- a/internal/region/register/membership.go
+++ b/internal/region/register/membership.go
@@ -29,8 +29,8 @@
 }
 
 // AssignEpoch sets the epoch fields of the view that follows before. The epoch stays the same as long as the voters do.
-func AssignEpoch(next, before *pb.View) {
-	current := MembershipOf(before)
+func AssignEpoch(next, previous *pb.View) {
+	current := MembershipOf(previous)
 	if current.Epoch > 0 && sameReplicas(next.GetVoters(), current.Voters) {
 		next.VotersEpoch = current.Epoch
 		next.PreviousEpoch = current.PreviousEpoch
--- a/internal/region/register/register_test.go
+++ b/internal/region/register/register_test.go
@@ -135,7 +135,7 @@
 		for _, record := range records {
 			restored.Restore(record)
 		}
-		restored.Started(c.now)
+		restored.FinishRestore(c.now)
 		assert.Equal(t, before.ActiveEpoch(), restored.ActiveEpoch(), name)
 		require.Len(t, restored.Records(), len(before.Records()), name)
 		for index, record := range restored.Records() {
--- a/internal/region/register/replica.go
+++ b/internal/region/register/replica.go
@@ -52,9 +52,9 @@
 	r.register(record.GetName()).apply(0, record)
 }
 
-// Started ends the restore. All grants and events that were read count as accepted now, which is later than they really
+// FinishRestore ends the restore. All grants and events that were read count as accepted now, which is later than they really
 // were.
-func (r *Replica) Started(now time.Duration) {
+func (r *Replica) FinishRestore(now time.Duration) {
 	for _, found := range r.registers {
 		found.grantedAt = now
 		for index := range found.eventTimes {
