--- a/internal/region/control/machine.go
+++ b/internal/region/control/machine.go
@@ -122,7 +122,7 @@
 func (m *Machine) start() {
 	m.clock.start()
 	m.disk.persistStart()
-	m.coordination.engine.Started(m.clock.now)
+	m.coordination.engine.FinishRestore(m.clock.now)
 	if m.View() != nil {
 		m.output.add(ViewChanged{View: m.View()})
 		m.coordination.engine.Enter(m.clock.now, m.View())
--- a/internal/region/coordination/engine.go
+++ b/internal/region/coordination/engine.go
@@ -88,8 +88,8 @@
 // ActiveEpoch is the newest epoch of voters whose registers this machine holds; 0: none.
 func (e *Engine) ActiveEpoch() uint64 { return e.replica.ActiveEpoch() }
 
-// Started ends the restoring.
-func (e *Engine) Started(now time.Duration) {
+// FinishRestore ends the restoring.
+func (e *Engine) FinishRestore(now time.Duration) {
 	e.now = now
 	e.replica.FinishRestore(now)
 }
--- a/internal/region/coordination/engine_test.go
+++ b/internal/region/coordination/engine_test.go
@@ -46,7 +46,7 @@
 func newEngineAmong(voters ...*pb.Replica) (*Engine, *recordingHost) {
 	host := &recordingHost{self: voters[0], results: make(map[uint64]*pb.CoordinationResult)}
 	host.engine = NewEngine(Config{Self: voters[0], Incarnation: "1", Retention: retention}, host)
-	host.engine.Started(time.Minute)
+	host.engine.FinishRestore(time.Minute)
 	host.engine.Enter(time.Minute, &pb.View{Number: 1, VotersEpoch: 1, Voters: voters})
 	return host.engine, host
 }
--- a/internal/region/coordination/simulatedmachine_test.go
+++ b/internal/region/coordination/simulatedmachine_test.go
@@ -71,7 +71,7 @@
 	for _, record := range m.disk.recover() {
 		m.engine.Restore(record)
 	}
-	m.engine.Started(m.clock())
+	m.engine.FinishRestore(m.clock())
 	m.view = m.disk.view
 	if m.view != nil {
 		m.engine.Enter(m.clock(), m.view)
