--- a/internal/region/coordination/doc.go
+++ b/internal/region/coordination/doc.go
@@ -1,27 +1,28 @@
-// Package coordination serves locks with fencing tokens, rising numbers, and small keys in groups with revisions and watches.
-// Each lock, each counter and each group of keys is a register of its own (package register), held at a majority of the
-// voters of the agreed view.
+// Package coordination provides locks with fencing tokens, increasing numbers, and small keys in groups with revisions
+// and watches. Each lock, each counter and each group of keys is a separate register (package register), replicated
+// across the voters of the current view.
 //
-// # A call
+// # Calls
 //
-// A call arrives at any control machine, its origin. The origin forwards it to the machine that is to propose for the
-// register, and to another one if there is no answer in time, until its caller gives up (origin.go). All origins prefer the
-// same proposer (routing.go), so that a proposer keeps its number and a call costs one round of messages between the
-// proposer and a majority. Nothing but speed depends on that preference.
+// A call arrives at any control machine, which becomes its origin. The origin forwards the call to the machine that
+// should propose for the register, and to another machine if no answer arrives in time, until the caller gives up
+// (origin.go). All origins prefer the same proposer (routing.go), so that the proposer keeps its proposal number and a
+// call costs one round of messages between the proposer and a majority. The preference affects only performance.
 //
-// A call may therefore be executed more than once, by two proposers. Each operation bears that: a number is given twice as
-// two numbers, a put of the same value to the same key returns the first revision, and an acquisition is known by its call.
+// A call may therefore be executed more than once, by two proposers. Every operation tolerates this: a repeated request
+// for a number returns a second number, a repeated put of the same value to the same key returns the first revision,
+// and a repeated acquisition is recognized by the name of its call.
 //
 // # Locks and time
 //
-// A caller takes itself for the holder from the answer to its call until hold_ms after it sent that call. A proposer knows a
-// time before which the newest grant was called for: when it executed the call itself, or the earliest time at which one of
-// the replicas that promised it its number had accepted the grant. It gives the lock to another holder only when hold_ms have
-// passed since then. All of these are spans of steady clocks; no time of day, and no point in time of another machine, is
-// used.
+// A caller considers itself the holder from the answer to its call until hold_ms after it sent that call. A proposer
+// knows a time by which the newest grant had been requested: either the time at which it executed the call itself, or
+// the earliest time at which one of the replicas that promised its number had accepted the grant. It grants the lock to
+// another holder only when hold_ms have passed since then. All of these are intervals of monotonic clocks; neither the
+// time of day nor the clock reading of another machine is used.
 //
 // # Boundaries
 //
-// An Engine does no I/O, reads no clock and starts no goroutine; it is not safe for concurrent use. The rules that it keeps are
-// listed in docs/region/rules.md, the design in docs/design/coordination.md.
+// An Engine does no I/O, reads no clock and starts no goroutine; it is not safe for concurrent use.
+// docs/region/rules.md lists the rules that it keeps, and docs/design/coordination.md describes the design.
 package coordination
--- a/internal/region/coordination/engine.go
+++ b/internal/region/coordination/engine.go
@@ -7,53 +7,54 @@
 	"fieldrelay/internal/region/register"
 )
 
-// retentionFactor is how many times longer than watches may ask for them the puts of a group are kept: a put that is sent
-// again is known by them.
+// retentionFactor is how many times longer the puts of a group are kept than watches may ask for them. The puts that
+// are kept also identify a put that is sent again.
 const retentionFactor = 2
 
-// Host is the control machine that an Engine is part of.
+// Host is the control machine that runs an Engine.
 type Host interface {
 	Peers
-	// Send sends a message; one to this machine itself is received before Send returns.
+	// Send sends a message. A message to this machine itself is received before Send returns.
 	Send(to *pb.Replica, message *pb.Message)
-	// Persist writes records, if there are any, and sends message once they, and all earlier ones, are durable.
+	// Persist writes the records, if any, and sends the message once these and all earlier records are durable.
 	Persist(records []*pb.RegisterRecord, to *pb.Replica, message *pb.Message)
-	// PersistAll writes Engine.Records in one piece, in place of all records so far.
+	// PersistAll writes Engine.Records atomically, replacing all earlier records.
 	PersistAll()
-	// CanPersist reports whether a write may still be queued.
+	// CanPersist reports whether another write may be queued.
 	CanPersist() bool
-	// ReplyToCaller gives the result of a call that arrived here.
+	// ReplyToCaller returns the result of a call that arrived at this machine.
 	ReplyToCaller(request uint64, result *pb.CoordinationResult)
 	// HasMajority reports whether a majority of the voters is live.
 	HasMajority() bool
-	// IsStalled reports whether what arrives now may have waited for this process while it did not run.
+	// IsStalled reports whether a message that arrives now may have been delayed by a pause of this process.
 	IsStalled() bool
 }
 
-// Config is what an Engine must know at its start.
+// Config is the configuration of an Engine.
 type Config struct {
 	Self        *pb.Replica
-	Incarnation string // differs from start to start
-	// Retention is for how long watches may resume from a revision.
+	Incarnation string // differs between process starts
+	// Retention is how long a watch may resume from an earlier revision.
 	Retention time.Duration
-	// FirstID is the first id of a call, less one; it is drawn at random.
+	// FirstID is one less than the id of the first call. It is chosen at random.
 	FirstID uint64
 }
 
-// Engine is the part of one control machine in coordination.
+// Engine is one control machine's part of the coordination service.
 type Engine struct {
 	self      *pb.Replica
-	name      string // of this run of this machine
+	name      string // identity and incarnation of this machine
 	host      Host
 	replica   *register.Replica
 	proposers *register.Proposers
 	routing   *routing
 	origin    *origin
 	leaving   bool
-	now       time.Duration // of the event that is being handled
+	now       time.Duration // time of the event that is being handled
 }
 
-// NewEngine returns an engine without registers. Restore takes what was on disk, then Started must be called.
+// NewEngine returns an engine without registers. The caller must restore the records from disk with Restore and then
+// call FinishRestore.
 func NewEngine(config Config, host Host) *Engine {
 	engine := &Engine{
 		self:    config.Self,
@@ -68,7 +69,7 @@
 	return engine
 }
 
-// engineOutput adds to the host what an engine does itself.
+// engineOutput implements register.Output with the host's methods and the engine's own Reply.
 type engineOutput struct {
 	Host
 	engine *Engine
@@ -79,29 +80,29 @@
 	o.Send(to, &pb.Message{Body: &pb.Message_CoordinationResult{CoordinationResult: result}})
 }
 
-// Restore takes a record that was on disk, in the order of writing.
+// Restore applies a record that was read from disk. Records must be restored in the order in which they were written.
 func (e *Engine) Restore(record *pb.RegisterRecord) { e.replica.Restore(record) }
 
-// Records are what must be on disk.
+// Records returns the records that must be on disk.
 func (e *Engine) Records() []*pb.RegisterRecord { return e.replica.Records() }
 
-// ActiveEpoch is the newest epoch of voters whose registers this machine holds; 0: none.
+// ActiveEpoch returns the newest epoch of voters whose registers this machine holds; 0 if there is none.
 func (e *Engine) ActiveEpoch() uint64 { return e.replica.ActiveEpoch() }
 
-// FinishRestore ends the restoring.
+// FinishRestore ends the restore.
 func (e *Engine) FinishRestore(now time.Duration) {
 	e.now = now
 	e.replica.FinishRestore(now)
 }
 
-// Enter takes the view in force. It must be on disk, or queued as an earlier write than what follows.
+// Enter applies the current view. The view must be durable, or queued before any write that this call causes.
 func (e *Engine) Enter(now time.Duration, view *pb.View) {
 	e.now = now
 	e.replica.Enter(now, register.MembershipOf(view))
 	e.routing.retainVoters(view.GetVoters())
 }
 
-// Tick lets time pass.
+// Tick handles timeouts and resends.
 func (e *Engine) Tick(now time.Duration) {
 	e.now = now
 	e.replica.Tick(now)
@@ -109,22 +110,23 @@
 	e.origin.tick(now)
 }
 
-// Leave has others propose from now on: this machine is about to end.
+// Leave stops this machine from proposing, so that other machines propose before it shuts down.
 func (e *Engine) Leave() {
 	e.leaving = true
 	e.proposers.Stop()
 }
 
-// Submit takes a call that arrived here. ReplyToCaller answers it once, unless it is canceled. The engine sets its id.
+// Submit processes a call that arrived at this machine, and sets the call's id. The result is returned once through
+// ReplyToCaller, unless the call is canceled.
 func (e *Engine) Submit(now time.Duration, request uint64, call *pb.CoordinationCall) {
 	e.now = now
 	e.origin.submit(now, request, call)
 }
 
-// Cancel reports that nobody waits for the result of a call any more; it may be executed all the same.
+// Cancel drops a call whose result is no longer awaited. The call may still be executed.
 func (e *Engine) Cancel(request uint64) { e.origin.cancel(request) }
 
-// canSubmit reports whether a call has a chance.
+// canSubmit reports whether a new call may succeed.
 func (e *Engine) canSubmit() bool {
 	return e.replica.Membership().Epoch > 0 && e.host.HasMajority() && !e.host.IsStalled()
 }
@@ -137,7 +139,8 @@
 	e.host.Send(target, &pb.Message{Body: &pb.Message_CoordinationCall{CoordinationCall: call}})
 }
 
-// Receive takes a message of another control machine, or of this one; false: it is none of coordination.
+// Receive handles a message of another control machine or of this one. It returns false for a message that does not
+// belong to the coordination service.
 func (e *Engine) Receive(now time.Duration, from *pb.Replica, message *pb.Message) bool {
 	e.now = now
 	switch body := message.GetBody().(type) {
@@ -163,8 +166,9 @@
 	return true
 }
 
-// receiveCall takes a call that was forwarded here. One that may have waited for a stalled process is dropped: its origin
-// has asked another machine meanwhile. One of a kind that this version does not know is refused.
+// receiveCall handles a call that another machine has forwarded. A call that may have been delayed by a pause of this
+// process is dropped, since its origin has asked another machine meanwhile. A call of an unknown kind is refused as
+// UNAVAILABLE.
 func (e *Engine) receiveCall(now time.Duration, from *pb.Replica, call *pb.CoordinationCall) {
 	if e.host.IsStalled() {
 		return
--- a/internal/region/coordination/engine_test.go
+++ b/internal/region/coordination/engine_test.go
@@ -11,7 +11,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// recordingHost is a Host whose disk and network a test looks at.
+// recordingHost is a Host that records the messages and results of its engine. Its writes are durable immediately.
 type recordingHost struct {
 	fakePeers
 	engine     *Engine
@@ -42,7 +42,7 @@
 	h.results[request] = result
 }
 
-// newEngineAmong returns the engine of v0 in view 1, whose voters are given.
+// newEngineAmong returns the engine of the first voter, in view 1 with the given voters.
 func newEngineAmong(voters ...*pb.Replica) (*Engine, *recordingHost) {
 	host := &recordingHost{self: voters[0], results: make(map[uint64]*pb.CoordinationResult)}
 	host.engine = NewEngine(Config{Self: voters[0], Incarnation: "1", Retention: retention}, host)
@@ -112,7 +112,7 @@
 	assert.Equal(t, pb.CoordinationResult_OUTCOME_UNAVAILABLE, host.sent[0].GetCoordinationResult().GetOutcome())
 }
 
-// A record without a name is that of the active epoch.
+// A call without an operation has an empty register name, and a record without a name is that of the active epoch.
 func TestCallWithoutAnOperationWritesNoRegister(t *testing.T) {
 	engine, host := newEngineAmong(fiveVoters()...)
 	engine.Receive(time.Minute, fiveVoters()[1], &pb.Message{Body: &pb.Message_CoordinationCall{CoordinationCall: &pb.CoordinationCall{Id: 7}}})
@@ -121,7 +121,7 @@
 	assert.Len(t, engine.Records(), 1)
 }
 
-// A condition that names a later revision than the present one may still become true where the call was sent first.
+// A put that expects a later revision than the current one may still succeed at the machine that was asked first.
 func TestMismatchIsNotFinalWhileAnotherMachineMayExecuteThePut(t *testing.T) {
 	for expected, outcome := range map[uint64]pb.CoordinationResult_Outcome{
 		1: pb.CoordinationResult_OUTCOME_REVISION_MISMATCH,
--- a/internal/region/coordination/execute.go
+++ b/internal/region/coordination/execute.go
@@ -27,17 +27,17 @@
 	}
 }
 
-// unchanged is the outcome of a call that changes nothing.
+// unchanged returns the outcome of a call that changes nothing.
 func unchanged(result *pb.CoordinationResult) register.Outcome {
 	return register.Outcome{Result: result}
 }
 
-// outcomeOnly is the outcome of a call that changes nothing and returns nothing else.
+// outcomeOnly returns the outcome of a call that changes nothing and whose result has no further fields.
 func outcomeOnly(outcome pb.CoordinationResult_Outcome) register.Outcome {
 	return unchanged(&pb.CoordinationResult{Outcome: outcome})
 }
 
-// wholeChange is the change to a value, whatever stood before.
+// wholeChange returns the change that sets a register to value regardless of its previous value.
 func wholeChange(value *pb.RegisterValue) *pb.RegisterChange {
 	return &pb.RegisterChange{Kind: &pb.RegisterChange_Whole{Whole: value}}
 }
--- a/internal/region/coordination/group.go
+++ b/internal/region/coordination/group.go
@@ -7,16 +7,17 @@
 	"fieldrelay/internal/region/register"
 )
 
-// Bounds of one group.
+// Limits of one group.
 const (
-	// maxKeys is how many keys it may have.
+	// maxKeys limits the keys of a group.
 	maxKeys = 4096
-	// maxEvents is how many puts may be kept for watches. Beyond it puts are refused until older ones have expired.
+	// maxEvents limits the puts that are kept for watches. At the limit, puts are refused until older ones have
+	// expired.
 	maxEvents = 16384
 )
 
-// put writes a key. A value that the key was given before returns the revision that it got then: the caller had no answer
-// and sends it again, and values are unique.
+// put writes a key. If the key was given the same value before, put returns the revision of that earlier put: values
+// are unique, so the caller received no answer and sent the put again.
 func put(group *pb.KeyGroupState, wanted *pb.PutKey) register.Outcome {
 	if earlier := findPut(group, wanted); earlier != nil {
 		return okWithRevision(earlier.GetRevision())
@@ -42,7 +43,7 @@
 	return unchanged(&pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK, Revision: revision})
 }
 
-// findPut returns the earlier put of the same value to the same key, as far as it is kept; nil if there is none.
+// findPut returns the earlier put of the same value to the same key; nil if there is none or it is no longer kept.
 func findPut(group *pb.KeyGroupState, wanted *pb.PutKey) *pb.KeyEvent {
 	for _, events := range [][]*pb.KeyEvent{group.GetKeys(), group.GetEvents()} {
 		for _, event := range events {
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// findKey returns the newest put of a key; nil if there is none.
+// findKey returns the newest put to a key; nil if there is none.
 func findKey(group *pb.KeyGroupState, name string) *pb.KeyEvent {
 	for _, key := range group.GetKeys() {
 		if key.GetName() == name {
@@ -76,7 +77,7 @@
 	})
 }
 
-// watch returns the puts after a revision; after 0, only the present revision.
+// watch returns the puts after a revision. For revision 0, it returns only the current revision.
 func watch(group *pb.KeyGroupState, wanted *pb.WatchGroup) register.Outcome {
 	after, revision := wanted.GetAfter(), group.GetRevision()
 	switch {
--- a/internal/region/coordination/lock.go
+++ b/internal/region/coordination/lock.go
@@ -8,20 +8,20 @@
 	"fieldrelay/internal/region/register"
 )
 
-// callName names a call among all calls of all machines.
+// callName returns a name for the call that is unique among the calls of all machines.
 func callName(call *pb.CoordinationCall) string {
 	return call.GetOrigin() + "/" + strconv.FormatUint(call.GetId(), 36)
 }
 
-// acquire gives a lock that nobody holds, or that the caller holds. Every acquisition has a fence of its own, also one by
-// the present holder: a release of the earlier fence that arrives late then ends nothing.
+// acquire grants a lock that is free or that the caller already holds. Every acquisition gets a new fence, even one by
+// the current holder, so that a delayed release with an earlier fence has no effect.
 func acquire(lock *pb.LockState, call string, wanted *pb.AcquireLock, conditions register.Conditions) register.Outcome {
 	remaining := conditions.HoldRemaining
 	isHeld := lock.GetHolder() != "" && remaining > 0
 	isHolder := lock.GetHolder() == wanted.GetHolder()
 	switch {
 	case lock.GetAcquiredBy() == call:
-		return okWithFence(lock.GetFence()) // executed before, and perhaps released since
+		return okWithFence(lock.GetFence()) // executed before, and possibly released since
 	case isHeld && !isHolder:
 		return outcomeOnly(pb.CoordinationResult_OUTCOME_HELD_BY_OTHER)
 	}
@@ -39,8 +39,8 @@
 	return grant(next, conditions.Round, wanted.GetHoldMs(), remaining)
 }
 
-// renew gives the holder more time. It counts as the holder also by the fence of an earlier acquisition of its own, as long as
-// no other caller has held the lock since: of two acquisitions that it sent, it may have the answer to the first.
+// renew extends the hold time. The holder may present the fence of any acquisition within its current uninterrupted
+// hold: if it sent two acquisitions, it may have received only the answer to the first.
 func renew(lock *pb.LockState, wanted *pb.RenewLock, conditions register.Conditions) register.Outcome {
 	remaining := conditions.HoldRemaining
 	isHolder := lock.GetHolder() != "" && lock.GetHolder() == wanted.GetHolder()
@@ -57,7 +57,7 @@
 	return grant(next, conditions.Round, wanted.GetHoldMs(), remaining)
 }
 
-// release ends the hold of a fence; what is not held by it stays as it is.
+// release frees the lock if it is held with the given fence; otherwise it changes nothing.
 func release(lock *pb.LockState, wanted *pb.ReleaseLock) register.Outcome {
 	outcome := outcomeOnly(pb.CoordinationResult_OUTCOME_OK)
 	if lock.GetHolder() != "" && lock.GetHolder() == wanted.GetHolder() && lock.GetFence() == wanted.GetFence() {
@@ -66,9 +66,10 @@
 	return outcome
 }
 
-// grant completes a state that gives a lock to its holder, for as long as the call asks for and not shorter than it was
-// given before: the caller may have had no answer to this call yet, and goes by the one before. A grant is known by its round,
-// not by its call: executed again, a call gives the time that is left by then, from then on.
+// grant completes a state that grants a lock to its holder, for the requested time but not for less than the remaining
+// time of the previous grant: the caller may not have received the answer to this call yet and still rely on the
+// previous grant. A grant is identified by its round, not by its call, because a call that is executed again grants the
+// time that remains then, counted from then.
 func grant(next *pb.LockState, round string, holdMs uint32, remaining time.Duration) register.Outcome {
 	hold := max(time.Duration(holdMs)*time.Millisecond, remaining)
 	next.HoldMs = uint32(hold.Milliseconds()) + 1 // rounded up
--- a/internal/region/coordination/lock_test.go
+++ b/internal/region/coordination/lock_test.go
@@ -11,7 +11,7 @@
 	"fieldrelay/internal/region/register"
 )
 
-// The outcomes that tests expect.
+// Short names for the outcomes in this package's tests.
 const (
 	outcomeOK        = pb.CoordinationResult_OUTCOME_OK
 	outcomeHeld      = pb.CoordinationResult_OUTCOME_HELD_BY_OTHER
@@ -21,14 +21,14 @@
 	outcomeBusy      = pb.CoordinationResult_OUTCOME_BUSY
 )
 
-// testRegister executes calls on one value.
+// testRegister executes calls on the value of one register.
 type testRegister struct {
 	value      *pb.RegisterValue
 	lastID     uint64
 	executions int
 }
 
-// execute executes a call that is new, while a holder has a time left.
+// execute executes a new call while the holder has the given hold time left.
 func (o *testRegister) execute(left time.Duration, call *pb.CoordinationCall) register.Outcome {
 	o.lastID++
 	call.Id = o.lastID
@@ -109,8 +109,8 @@
 	}
 }
 
-// A replica that knows the first execution counts the time of the holder from it, and the time that is left at the second one is
-// counted from there.
+// A renewal that is executed again must be a separate grant. A replica that accepted the first execution counts the
+// hold time from there, but the time granted by the second execution counts from the second.
 func TestRenewalThatIsExecutedAgainIsAnotherGrant(t *testing.T) {
 	lock := &testRegister{}
 	lock.execute(0, acquireCall("a", hold))
@@ -124,8 +124,8 @@
 func TestRenewalNeedsAFenceOfTheHolder(t *testing.T) {
 	lock := &testRegister{}
 	lock.execute(0, acquireCall("a", hold))
-	lock.execute(0, acquireCall("b", hold))           // 2
-	lock.execute(time.Second, acquireCall("b", hold)) // 3
+	lock.execute(0, acquireCall("b", hold))           // fence 2
+	lock.execute(time.Second, acquireCall("b", hold)) // fence 3
 	requireOutcome(t, outcomeOK, lock.execute(1, renewCall("b", 3, hold)))
 	requireOutcome(t, outcomeOK, lock.execute(1, renewCall("b", 2, hold)))
 	requireOutcome(t, outcomeHeld, lock.execute(1, renewCall("b", 1, hold)))
@@ -162,7 +162,8 @@
 	requireOutcome(t, outcomeOK, lock.execute(time.Second, renewCall("a", 2, hold)))
 }
 
-// The caller of an acquisition that is executed once more has released the lock, and nobody else would.
+// The caller of an acquisition that is executed again has released the lock already. A second grant would have no one
+// to release it.
 func TestAcquisitionExecutedAgainAfterItsReleaseHoldsNothing(t *testing.T) {
 	lock := &testRegister{}
 	call := acquireCall("a", hold)
--- a/internal/region/coordination/names.go
+++ b/internal/region/coordination/names.go
@@ -6,17 +6,18 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Prefixes of the names of registers.
+// Prefixes of register names, one for each kind of object.
 const (
 	lockPrefix    = "lock/"
 	counterPrefix = "counter/"
 	groupPrefix   = "group/"
 )
 
-// groupSeparator ends the name of a group within the name of a key.
+// groupSeparator terminates the group's name within the name of a key.
 const groupSeparator = "."
 
-// GroupOf is the group of a key: its name up to the first dot, dot included; the whole name if it has none.
+// GroupOf returns the group of a key: the key's name up to and including the first dot, or the whole name if it has no
+// dot.
 func GroupOf(key string) string {
 	group, _, found := strings.Cut(key, groupSeparator)
 	if !found {
@@ -25,7 +26,7 @@
 	return group + groupSeparator
 }
 
-// registerOf is the name of the register that a call is about; empty for a call without an operation.
+// registerOf returns the name of the register that a call concerns; empty for a call without an operation.
 func registerOf(call *pb.CoordinationCall) string {
 	switch operation := call.GetOperation().(type) {
 	case *pb.CoordinationCall_Acquire:
--- a/internal/region/coordination/origin.go
+++ b/internal/region/coordination/origin.go
@@ -7,22 +7,23 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Times and bounds of calls at their origin.
+// Timeouts and limits of calls at their origin.
 const (
-	// CallTimeout is how long a call may take. Callers turn to another machine after a second.
+	// CallTimeout is how long a call may take. Callers retry at another machine after one second.
 	CallTimeout = 900 * time.Millisecond
-	// attemptTimeout is how long the proposer may take before another one is asked.
+	// attemptTimeout is how long a proposer may take to answer before another machine is asked.
 	attemptTimeout = 300 * time.Millisecond
-	// maxWatchSegment is how long a watch stays at one proposer before it is sent again, to whoever proposes then.
+	// maxWatchSegment is how long a watch stays at one proposer before it is sent again to the machine that proposes
+	// then.
 	maxWatchSegment = time.Second
-	// maxPendingCalls bounds the calls that have arrived here and have no result.
+	// maxPendingCalls limits the calls that arrived at this machine and have no result yet.
 	maxPendingCalls = 1024
 )
 
-// origin holds the calls that arrived at this machine.
+// origin manages the calls that arrived at this machine.
 type origin struct {
 	engine *Engine
-	// lastID begins at random in each run of this process, so that results for an earlier run match none.
+	// lastID starts at a random value in each run of the process, so that a result for an earlier run matches no call.
 	lastID  uint64
 	pending []*pendingCall
 }
@@ -31,14 +32,15 @@
 	request  uint64
 	call     *pb.CoordinationCall
 	deadline time.Duration
-	watchEnd time.Duration // of a watch
+	watchEnd time.Duration // for a watch, the end of its wait time
 	sentAt   time.Duration
-	target   string // identity of the machine that was asked last; empty: it has answered, or none was asked
-	// maybeExecuted: a machine that was asked has not answered that it did not execute the call.
+	target   string // identity of the machine asked last; empty if it has answered or none was asked
+	// maybeExecuted is set if a machine that was asked has not confirmed that it did not execute the call.
 	maybeExecuted bool
 }
 
-// submit takes a call. A call that may have waited for a stalled process is refused, as its caller may have gone.
+// submit processes a call. It refuses the call if a pause of this process may have delayed it, since the caller may
+// have given up.
 func (o *origin) submit(now time.Duration, request uint64, call *pb.CoordinationCall) {
 	if !o.engine.canSubmit() || len(o.pending) >= maxPendingCalls {
 		o.engine.host.ReplyToCaller(request, &pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_UNAVAILABLE})
@@ -53,12 +55,12 @@
 	o.forward(now, pending)
 }
 
-// cancel forgets a call whose caller has gone.
+// cancel drops a call whose result is no longer awaited.
 func (o *origin) cancel(request uint64) {
 	o.pending = slices.DeleteFunc(o.pending, func(pending *pendingCall) bool { return pending.request == request })
 }
 
-// forward sends a call to the machine that proposes for its register.
+// forward sends a call to the machine that should propose for its register.
 func (o *origin) forward(now time.Duration, pending *pendingCall) {
 	register := registerOf(pending.call)
 	target := o.engine.routing.proposerFor(now, register, o.engine.replica.Membership().Voters)
@@ -74,7 +76,7 @@
 	o.engine.sendCall(now, register, target, call)
 }
 
-// watchSegment is the part of a watch that stays at one proposer.
+// watchSegment returns the part of a watch that is sent to one proposer.
 func (o *origin) watchSegment(now time.Duration, pending *pendingCall) *pb.CoordinationCall {
 	watch := pending.call.GetWatch()
 	wait := min(max(pending.watchEnd-now, 0), maxWatchSegment)
@@ -89,7 +91,8 @@
 	}
 }
 
-// receive takes a result. Calls that are not finished are sent again at the next tick.
+// receive handles a result. A call that the machine asked last has not finished is sent again, at the latest at the
+// next tick.
 func (o *origin) receive(now time.Duration, from *pb.Replica, result *pb.CoordinationResult) {
 	index := slices.IndexFunc(o.pending, func(pending *pendingCall) bool { return pending.call.GetId() == result.GetId() })
 	if index < 0 {
@@ -125,32 +128,33 @@
 	}
 }
 
-// maySucceedLater reports whether a put that found another revision than it expected may succeed all the same: another machine
-// that was asked executes it when the key has come to that revision.
+// maySucceedLater reports whether a put that was rejected for its expected revision may still succeed: another machine
+// that was asked may execute it once the key has reached that revision.
 func (p *pendingCall) maySucceedLater(mismatch *pb.CoordinationResult) bool {
 	return p.maybeExecuted && mismatch.GetRevision() < p.call.GetPut().GetExpectedRevision()
 }
 
-// answered records that the machine that was asked last need not be waited for.
+// answered clears the target if the answer came from the machine asked last.
 func (p *pendingCall) answered(isLast bool) {
 	if isLast {
 		p.target = ""
 	}
 }
 
-// isUnfinishedWatch reports whether a watch has nothing to tell yet and time is left.
+// isUnfinishedWatch reports whether a watch has nothing to report yet and has wait time left.
 func (o *origin) isUnfinishedWatch(now time.Duration, pending *pendingCall, result *pb.CoordinationResult) bool {
 	hasNothing := result.GetOutcome() == pb.CoordinationResult_OUTCOME_OK && len(result.GetEvents()) == 0
 	return hasNothing && pending.call.GetWatch().GetAfter() > 0 && now < pending.watchEnd
 }
 
-// finish answers the caller.
+// finish returns the result to the caller.
 func (o *origin) finish(pending *pendingCall, result *pb.CoordinationResult) {
 	o.pending = slices.DeleteFunc(o.pending, func(other *pendingCall) bool { return other == pending })
 	o.engine.host.ReplyToCaller(pending.request, result)
 }
 
-// tick answers the calls whose time is up, and sends those again that were not executed or have no answer.
+// tick answers the calls whose deadline has passed, and sends the calls again that were not executed or not answered in
+// time.
 func (o *origin) tick(now time.Duration) {
 	for _, pending := range slices.Clone(o.pending) {
 		switch {
@@ -166,7 +170,7 @@
 	}
 }
 
-// timeoutOf is how long the machine that was asked last may take.
+// timeoutOf returns how long the machine asked last may take to answer.
 func (o *origin) timeoutOf(pending *pendingCall) time.Duration {
 	if pending.call.GetWatch() == nil {
 		return attemptTimeout
@@ -174,7 +178,7 @@
 	return min(max(pending.watchEnd-pending.sentAt, 0), maxWatchSegment) + attemptTimeout
 }
 
-// timeoutResult is the result of a call whose time is up.
+// timeoutResult returns the result of a call whose deadline has passed.
 func (p *pendingCall) timeoutResult() *pb.CoordinationResult {
 	outcome := pb.CoordinationResult_OUTCOME_UNAVAILABLE
 	if p.maybeExecuted || p.target != "" {
--- a/internal/region/coordination/routing.go
+++ b/internal/region/coordination/routing.go
@@ -10,19 +10,19 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// suspicionTimeout is how long a machine that did not answer a call in time is asked last.
+// suspicionTimeout is how long a machine that did not answer a call in time is avoided as a proposer.
 const suspicionTimeout = 2 * time.Second
 
-// Peers is what is known of the other control machines.
+// Peers reports the state of the other control machines.
 type Peers interface {
 	// IsLive reports whether a machine is not suspected to have failed.
 	IsLive(identity string) bool
-	// IsLeaving reports whether a machine is about to end.
+	// IsLeaving reports whether a machine is about to shut down.
 	IsLeaving(identity string) bool
 }
 
-// routing chooses who proposes for a register. All origins choose the same machine as long as they know the same of the
-// others; if they do not, two machines supersede each other, which costs time alone.
+// routing chooses the proposer of a register. All origins choose the same machine as long as they have the same
+// information about the others. Otherwise, two machines supersede each other, which costs only time.
 type routing struct {
 	peers          Peers
 	suspectedUntil map[string]time.Duration // by identity
@@ -32,7 +32,7 @@
 	return &routing{peers: peers, suspectedUntil: make(map[string]time.Duration)}
 }
 
-// suspect records that a machine did not answer in time.
+// suspect records that a machine did not answer a call in time.
 func (r *routing) suspect(now time.Duration, identity string) {
 	r.suspectedUntil[identity] = now + suspicionTimeout
 }
@@ -40,7 +40,7 @@
 // clearSuspicion records that a machine has answered.
 func (r *routing) clearSuspicion(identity string) { delete(r.suspectedUntil, identity) }
 
-// retainVoters drops the machines that do not vote any more.
+// retainVoters drops the suspicions of machines that no longer vote.
 func (r *routing) retainVoters(voters []*pb.Replica) {
 	for identity := range r.suspectedUntil {
 		votes := slices.ContainsFunc(voters, func(voter *pb.Replica) bool { return voter.GetIdentity() == identity })
@@ -50,8 +50,8 @@
 	}
 }
 
-// proposerFor returns the voter that is to propose for a register: by rendezvous hashing among those of the region in which
-// most of the available voters are, since a majority is nearest there. nil: there are no voters.
+// proposerFor returns the voter that should propose for a register; nil if there are no voters. It uses rendezvous
+// hashing among the available voters of the region that has the most of them, since a majority is closest there.
 func (r *routing) proposerFor(now time.Duration, register string, voters []*pb.Replica) *pb.Replica {
 	candidates := slices.DeleteFunc(slices.Clone(voters), func(voter *pb.Replica) bool {
 		return !r.isAvailable(now, voter.GetIdentity())
@@ -76,7 +76,7 @@
 	return r.peers.IsLive(identity) && !r.peers.IsLeaving(identity) && !isSuspected
 }
 
-// largestRegion is the region of most of the voters; of several, the first by name.
+// largestRegion returns the region with the most voters; of several such regions, the first by name.
 func largestRegion(voters []*pb.Replica) string {
 	counts := make(map[string]int)
 	for _, voter := range voters {
--- a/internal/region/coordination/routing_test.go
+++ b/internal/region/coordination/routing_test.go
@@ -11,7 +11,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// fakePeers implements Peers.
+// fakePeers implements Peers with fixed sets of failed and leaving machines.
 type fakePeers struct {
 	failed, leaving map[string]bool
 }
@@ -19,7 +19,7 @@
 func (p fakePeers) IsLive(identity string) bool    { return !p.failed[identity] }
 func (p fakePeers) IsLeaving(identity string) bool { return p.leaving[identity] }
 
-// fiveVoters are v0 to v4: three in region r, two in region s.
+// fiveVoters returns the voters v0 to v4: three in region r, two in region s.
 func fiveVoters() []*pb.Replica {
 	var voters []*pb.Replica
 	for index, region := range []string{"r", "r", "r", "s", "s"} {
--- a/internal/region/coordination/simulateddisk_test.go
+++ b/internal/region/coordination/simulateddisk_test.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// maxPendingWrites is from how many writes on a machine promises nothing any more.
+	// maxPendingWrites is the number of pending writes at which a machine stops making promises.
 	maxPendingWrites = 24
-	// maxRecordsBetweenSnapshots is how many records a disk takes before everything is written anew.
+	// maxRecordsBetweenSnapshots is how many records a disk takes before all records are rewritten.
 	maxRecordsBetweenSnapshots = 60
 )
 
-// disk is what a machine does not forget. What is written is durable later, in order.
+// disk is the persistent storage of a machine. Writes become durable later, in order.
 type disk struct {
 	machine *machine
 	// Durable:
@@ -30,7 +30,7 @@
 type write struct {
 	view    *pb.View
 	records []*pb.RegisterRecord
-	all     bool // the records replace all earlier ones
+	all     bool // the records replace all earlier records
 	then    func()
 }
 
@@ -43,7 +43,7 @@
 	d.enqueue(write{records: records, then: then})
 }
 
-// enqueueAll writes everything anew.
+// enqueueAll rewrites all records.
 func (d *disk) enqueueAll(then func()) {
 	d.recordsSince = 0
 	d.enqueue(write{records: d.machine.engine.Records(), all: true, then: then})
@@ -54,7 +54,7 @@
 	d.sync()
 }
 
-// sync makes all that waits durable together.
+// sync makes all pending writes durable together.
 func (d *disk) sync() {
 	if d.syncing || len(d.pending) == 0 {
 		return
@@ -98,7 +98,7 @@
 	d.records = append(d.records[:len(d.records):len(d.records)], w.records...)
 }
 
-// crash forgets what is not durable, but for some of the writes that were under way.
+// crash drops the pending writes, except for a random number of the oldest ones if a sync is in progress.
 func (d *disk) crash() {
 	if d.syncing {
 		for _, done := range d.pending[:d.machine.simulation.random.IntN(len(d.pending)+1)] {
@@ -110,7 +110,7 @@
 	d.recordsSince = 0
 }
 
-// recover returns the records for Engine.Restore.
+// recover returns the durable records, for Engine.Restore.
 func (d *disk) recover() []*pb.RegisterRecord {
 	if !d.machine.simulation.planted.forgetPromises {
 		return d.records
@@ -126,7 +126,7 @@
 	return kept
 }
 
-// activeEpoch is the epoch whose registers are durable.
+// activeEpoch returns the epoch whose registers are durable.
 func (d *disk) activeEpoch() uint64 {
 	epoch := uint64(0)
 	for _, record := range d.records {
--- a/internal/region/coordination/simulatedfaults_test.go
+++ b/internal/region/coordination/simulatedfaults_test.go
@@ -8,7 +8,7 @@
 	"fieldrelay/internal/region/register"
 )
 
-// startFaults begins a run of faults of some kinds, of which each run has its own mixture.
+// startFaults schedules faults of a random mixture of kinds, drawn anew for each run.
 func (s *simulation) startFaults() {
 	kinds := []func(){
 		s.crashOne, s.crashMany, s.freezeSome, s.cutHalves, s.cutOneWay, s.stallDisk, s.loseDisk, s.replaceMember, s.renewView,
@@ -35,7 +35,7 @@
 	})
 }
 
-// crashFor ends a process, and starts it again later.
+// crashFor stops a process and restarts it after a pause.
 func (s *simulation) crashFor(victim *machine, pause time.Duration) {
 	if !victim.running {
 		return
@@ -52,7 +52,7 @@
 
 func (s *simulation) crashOne() { s.crashFor(pick(s, s.machines), s.between(10, 3000)) }
 
-// crashMany is a loss of power, or many processes that are killed together.
+// crashMany simulates a power failure, or many processes that are killed together.
 func (s *simulation) crashMany() {
 	share := pick(s, []float64{0.3, 0.6, 1})
 	for _, victim := range slices.Clone(s.machines) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// cutHalves divides the machines.
+// cutHalves partitions the machines into two groups.
 func (s *simulation) cutHalves() {
 	inFirst := make(map[string]bool)
 	for _, member := range s.machines {
@@ -88,7 +88,7 @@
 	s.network.cut(links, s.between(100, 4000))
 }
 
-// cutOneWay has the messages of some machines not arrive at some others.
+// cutOneWay drops the messages on a random set of links, each in one direction.
 func (s *simulation) cutOneWay() {
 	var links []link
 	for _, from := range s.machines {
@@ -101,13 +101,13 @@
 	s.network.cut(links, s.between(100, 4000))
 }
 
-// stallDisk has a disk write nothing for a while, as one that is full does.
+// stallDisk stops the writes of a disk for a while, as a full disk does.
 func (s *simulation) stallDisk() {
 	pick(s, s.machines).disk.stalledUntil = s.now + s.between(100, 4000)
 }
 
-// loseDisk replaces a machine by one with an empty disk, if that is to be borne: the registers of the epoch stay on a
-// majority of disks.
+// loseDisk replaces a machine by one with an empty disk, provided that the registers of the epoch stay on the disks of
+// a majority.
 func (s *simulation) loseDisk() {
 	victim := pick(s, s.machines)
 	if s.planted.lostDiskKeepsIdentity {
@@ -129,7 +129,7 @@
 	s.addMachine()
 }
 
-// eraseDisk empties a disk, and lets the machine go on under its identity, which it must not.
+// eraseDisk empties a disk and restarts the machine under its old identity, which the protocol forbids.
 func (s *simulation) eraseDisk(victim *machine) {
 	if !victim.running {
 		return
@@ -139,7 +139,7 @@
 	victim.start()
 }
 
-// epochHolders are the voters that have the registers of the epoch on disk.
+// epochHolders returns the voters that have the registers of the epoch on disk.
 func (s *simulation) epochHolders() []*machine {
 	var holders []*machine
 	for _, voter := range s.view.GetVoters() {
@@ -151,13 +151,13 @@
 	return holders
 }
 
-// replaceMember has another machine vote in place of one that works.
+// replaceMember replaces a working voter by another machine.
 func (s *simulation) replaceMember() {
 	leaving := pick(s, s.view.GetVoters()).GetIdentity()
 	s.proposeVoters(func(identity string) bool { return identity != leaving })
 }
 
-// changeView has machines vote in place of those whose disks are lost.
+// changeView replaces the voters whose disks are lost.
 func (s *simulation) changeView() {
 	hasDisk := func(identity string) bool { return !s.byIdentity[identity].removed }
 	if slices.ContainsFunc(s.view.GetVoters(), func(voter *pb.Replica) bool { return !hasDisk(voter.GetIdentity()) }) {
@@ -165,7 +165,7 @@
 	}
 }
 
-// proposeVoters decides on a view of some of the present voters and of others in place of the rest.
+// proposeVoters decides a view that keeps some of the current voters and replaces the rest.
 func (s *simulation) proposeVoters(stays func(identity string) bool) {
 	if len(s.epochHolders()) <= len(s.view.GetVoters())/2 {
 		return
@@ -186,10 +186,10 @@
 	s.decideView(next)
 }
 
-// renewView decides on a view with the same voters.
+// renewView decides a view with the same voters.
 func (s *simulation) renewView() { s.decideView(s.view.GetVoters()) }
 
-// decideView has a view follow, which one of the voters before learns of first.
+// decideView decides the next view, of which one of the previous voters learns first.
 func (s *simulation) decideView(voters []*pb.Replica) {
 	var informed []*machine
 	for _, voter := range s.view.GetVoters() {
--- a/internal/region/coordination/simulatedmachine_test.go
+++ b/internal/region/coordination/simulatedmachine_test.go
@@ -8,7 +8,7 @@
 	"fieldrelay/internal/region/register"
 )
 
-// What the control machine gives its engine.
+// Intervals of a control machine's ticks, stall detection and gossip.
 const (
 	tickInterval     = 150 * time.Millisecond
 	stallThreshold   = 4 * tickInterval
@@ -21,9 +21,9 @@
 	simulation *simulation
 	replica    *pb.Replica
 	disk       *disk
-	removed    bool // it has lost its disk
+	removed    bool // its disk is lost
 
-	// Of the present run of its process:
+	// State of the current run of its process:
 	running     bool
 	incarnation int
 	engine      *Engine
@@ -34,20 +34,20 @@
 	lastStall   time.Duration
 	frozen      bool
 	tickPending bool
-	deferred    []func() // events that wait while it is frozen
+	deferred    []func() // events that wait until the process is no longer frozen
 	requests    map[uint64]func(*pb.CoordinationResult)
 	lastRequest uint64
-	live        map[string]bool // as of the last tick
+	live        map[string]bool // machines reachable at the last tick
 }
 
 func (m *machine) identity() string { return m.replica.GetIdentity() }
 
-// clock is the steady clock of this run of the machine.
+// clock returns the monotonic clock of this run of the machine.
 func (m *machine) clock() time.Duration {
 	return m.clockOffset + time.Duration(float64(m.simulation.now)*m.clockRate)
 }
 
-// start begins a run of the process, with what is on disk.
+// start begins a run of the process with the durable state of its disk.
 func (m *machine) start() {
 	s := m.simulation
 	m.running = true
@@ -80,7 +80,7 @@
 	m.scheduleGossip()
 }
 
-// replaceExecute replaces what calls do, if that is the fault to be found.
+// replaceExecute replaces the execution of calls if the planted fault is one of execution.
 func (m *machine) replaceExecute() {
 	if change := m.simulation.planted.execute; change != nil {
 		output := engineOutput{engine: m.engine, Host: m}
@@ -88,7 +88,8 @@
 	}
 }
 
-// handle has the process handle an event: at once, or when it goes on. It is lost if this run of the process ends before.
+// handle runs an action in the process: at once, or when the process is no longer frozen. The action is dropped if this
+// run of the process ends first.
 func (m *machine) handle(action func()) {
 	switch {
 	case !m.running:
@@ -99,7 +100,7 @@
 	}
 }
 
-// whileRunning returns an action that is void once this run of the process has ended.
+// whileRunning returns an action of the process that does nothing once this run of the process has ended.
 func (m *machine) whileRunning(action func()) func() {
 	incarnation := m.incarnation
 	return func() {
@@ -119,7 +120,8 @@
 	}))
 }
 
-// duringThisRun returns an action of the surroundings of a process, which goes on while the process is frozen.
+// duringThisRun returns an action outside the process. It runs while the process is frozen, but does nothing once this
+// run of the process has ended.
 func (m *machine) duringThisRun(action func()) func() {
 	incarnation := m.incarnation
 	return func() {
@@ -151,14 +153,14 @@
 	}))
 }
 
-// sendView sends the view in force.
+// sendView sends the machine's current view.
 func (m *machine) sendView(to *machine) {
 	if view := m.view; view != nil {
 		m.simulation.network.transmit(m, to, 1, func() { to.adopt(view) })
 	}
 }
 
-// adopt takes a view, if it is later.
+// adopt applies a view if it is newer than the current one.
 func (m *machine) adopt(view *pb.View) {
 	if view.GetNumber() <= m.view.GetNumber() {
 		return
@@ -176,7 +178,7 @@
 	m.disk.crash()
 }
 
-// freeze stops the process for a while.
+// freeze pauses the process for a while.
 func (m *machine) freeze(pause time.Duration) {
 	if m.frozen || !m.running {
 		return
@@ -197,7 +199,7 @@
 	}
 }
 
-// submit takes a call of an application.
+// submit submits a call of an application.
 func (m *machine) submit(call *pb.CoordinationCall, answer func(*pb.CoordinationResult)) (cancel func()) {
 	m.lastRequest++
 	request := m.lastRequest
--- a/internal/region/coordination/simulatednetwork_test.go
+++ b/internal/region/coordination/simulatednetwork_test.go
@@ -6,12 +6,12 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// network carries messages between machines: it loses, doubles, delays and reorders them, and may be cut.
+// network carries messages between machines. It loses, duplicates, delays and reorders them, and its links may be cut.
 type network struct {
 	simulation  *simulation
 	loss        float64
 	duplication float64
-	slowShare   float64 // share of messages that take very long
+	slowShare   float64 // share of messages with a long delay
 	cuts        map[link]int
 }
 
@@ -27,14 +27,14 @@
 	}
 }
 
-// isOpen reports whether two machines reach each other.
+// isOpen reports whether b runs and no link between a and b is cut.
 func (n *network) isOpen(a, b *machine) bool {
 	isCut := n.cuts[link{a.identity(), b.identity()}] > 0 || n.cuts[link{b.identity(), a.identity()}] > 0
 	return b.running && !isCut
 }
 
-// send carries a message of the protocol. Calls and their results come once at most, as the transport of the control
-// machines sends nothing again.
+// send transmits a message of the protocol. Calls and their results are never duplicated, since the control machines'
+// transport sends nothing again.
 func (n *network) send(from, to *machine, message *pb.Message) {
 	copies := 1
 	isRepeatable := message.GetCoordinationCall() == nil && message.GetCoordinationResult() == nil
@@ -44,7 +44,7 @@
 	n.transmit(from, to, copies, func() { to.receive(from.replica, message) })
 }
 
-// transmit has the receiver do something, if the message arrives.
+// transmit runs an action at the receiver for each copy of a message that arrives.
 func (n *network) transmit(from, to *machine, copies int, arrive func()) {
 	s := n.simulation
 	if n.cuts[link{from.identity(), to.identity()}] > 0 {
@@ -80,7 +80,7 @@
 	})
 }
 
-// clearFaults ends the faults that belong to no cut.
+// clearFaults ends the random loss, duplication and long delays; cuts remain.
 func (n *network) clearFaults() {
 	n.loss, n.duplication, n.slowShare = 0, 0, 0
 }
--- a/internal/region/coordination/simulatedtransport_test.go
+++ b/internal/region/coordination/simulatedtransport_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// sendAnswer carries a result back, late now and then.
+// sendAnswer returns a result to the caller, occasionally with a long delay.
 func (s *simulation) sendAnswer(result *pb.CoordinationResult, answer func(*pb.CoordinationResult)) {
 	delay := s.between(1, 5)
 	if s.chance(s.network.slowShare) {
--- a/internal/region/coordination/simulation_test.go
+++ b/internal/region/coordination/simulation_test.go
@@ -11,36 +11,36 @@
 	"fieldrelay/internal/testkit/history"
 )
 
-// Lengths of a simulated run.
+// Durations and sizes of a simulated run.
 const (
-	faultPeriod    = 12 * time.Second // faults come and go
-	settlePeriod   = 8 * time.Second  // everything works again, callers go on
-	finalPeriod    = 6 * time.Second  // final calls
+	faultPeriod    = 12 * time.Second // period with faults
+	settlePeriod   = 8 * time.Second  // period without faults in which the callers continue
+	finalPeriod    = 6 * time.Second  // period of the final calls
 	retention      = 4 * time.Second
 	zoneCount      = 3
 	spareCount     = 2
-	fastSyncMillis = 3 // milliseconds
+	fastSyncMillis = 3
 )
 
-// simulation is a few machines, each with an engine, a clock and a disk, the network between them, and callers. Everything that
-// happens in it is drawn from a seed.
+// simulation is a set of machines, each with an engine, a clock and a disk, together with the network between them and
+// their callers. All random choices are drawn from the seed.
 type simulation struct {
 	seed    uint64
 	random  *rand.Rand
-	now     time.Duration // of no machine's clock
+	now     time.Duration // simulated time, independent of the machines' clocks
 	events  eventQueue
 	lastID  uint64
 	planted plantedFault
 
-	machines      []*machine // that have a disk, whether they run or not
+	machines      []*machine // machines with a disk, running or stopped
 	byIdentity    map[string]*machine
 	network       *network
-	view          *pb.View // that was decided last
+	view          *pb.View // view decided last
 	faulty        bool
-	maxSyncMillis float64 // milliseconds that a sync of a disk may take
+	maxSyncMillis float64 // maximum duration of a disk sync in milliseconds
 }
 
-// runSimulation returns the history of the calls of a run.
+// runSimulation runs a simulation and returns the history of its calls.
 func runSimulation(seed uint64, fault plantedFault) []history.Call {
 	s := newSimulation(seed, fault)
 	s.bootstrap()
@@ -69,7 +69,7 @@
 	return s
 }
 
-// bootstrap starts the machines, and decides on view 1.
+// bootstrap starts the machines and decides view 1.
 func (s *simulation) bootstrap() {
 	voters := 3 + 2*s.random.IntN(2)
 	for range voters + spareCount {
@@ -102,13 +102,13 @@
 	added.start()
 }
 
-// after has something happen later.
+// after schedules an action.
 func (s *simulation) after(delay time.Duration, action func()) {
 	s.lastID++
 	heap.Push(&s.events, &event{at: s.now + delay, id: s.lastID, action: action})
 }
 
-// repeat has something happen again and again.
+// repeat runs an action periodically.
 func (s *simulation) repeat(interval time.Duration, action func()) {
 	s.after(interval, func() {
 		action()
@@ -125,15 +125,15 @@
 	s.now = end
 }
 
-// chance is true with a probability.
+// chance returns true with the given probability.
 func (s *simulation) chance(probability float64) bool { return s.random.Float64() < probability }
 
-// between draws a time; the bounds are milliseconds.
+// between draws a duration; the bounds are in milliseconds.
 func (s *simulation) between(least, most float64) time.Duration {
 	return time.Duration((least + s.random.Float64()*(most-least)) * float64(time.Millisecond))
 }
 
-// pick draws one of several.
+// pick draws one element of a slice.
 func pick[T any](s *simulation, from []T) T { return from[s.random.IntN(len(from))] }
 
 type event struct {
--- a/internal/region/coordination/simulationplanted_test.go
+++ b/internal/region/coordination/simulationplanted_test.go
@@ -12,17 +12,17 @@
 	"fieldrelay/internal/testkit/history"
 )
 
-// plantedFault is a fault that a simulation must find.
+// plantedFault is a deliberate fault that the simulation must detect.
 type plantedFault struct {
 	// execute replaces Execute.
 	execute register.Execute
-	// receive replaces a message that a machine receives; nil: it is dropped.
+	// receive replaces a message that a machine receives; a nil result drops the message.
 	receive func(m *machine, from *pb.Replica, message *pb.Message) *pb.Message
-	// sendBeforeSync: answers leave before their records are durable.
+	// sendBeforeSync sends answers before their records are durable.
 	sendBeforeSync bool
-	// forgetPromises: promises are not on disk.
+	// forgetPromises loses promises in a restart.
 	forgetPromises bool
-	// lostDiskKeepsIdentity: a machine votes on after it has lost its disk.
+	// lostDiskKeepsIdentity lets a machine keep its identity, and so keep voting, after it has lost its disk.
 	lostDiskKeepsIdentity bool
 }
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// acceptBelowPromise has a proposer take a refusal for an acceptance.
+// acceptBelowPromise makes a proposer treat a rejection as an acceptance.
 func acceptBelowPromise(_ *machine, _ *pb.Replica, message *pb.Message) *pb.Message {
 	answer := message.GetRegisterAccepted()
 	if answer.GetOutcome() != pb.RegisterAccepted_OUTCOME_SUPERSEDED {
@@ -71,7 +71,7 @@
 	return &pb.Message{Body: &pb.Message_RegisterAccepted{RegisterAccepted: changed}}
 }
 
-// readWithoutConfirmation has a proposer take its own confirmation for that of a majority.
+// readWithoutConfirmation makes a proposer treat its own confirmation as that of a majority.
 func readWithoutConfirmation(m *machine, from *pb.Replica, message *pb.Message) *pb.Message {
 	accept := message.GetRegisterAccept()
 	isOwnConfirmation := accept != nil && accept.GetChange() == nil && from.GetIdentity() == m.identity()
@@ -157,8 +157,8 @@
 	return Execute(&pb.RegisterValue{Kind: &pb.RegisterValue_Group{Group: short}}, call, conditions)
 }
 
-// transferWithoutEntering has a voter give its registers to an epoch that it has not entered, so that it goes on to vote in the
-// one before.
+// transferWithoutEntering makes a voter send its registers for an epoch that it has not entered, so that it keeps
+// voting in the previous epoch.
 func transferWithoutEntering(m *machine, from *pb.Replica, message *pb.Message) *pb.Message {
 	request := message.GetRegisterTransferRequest()
 	isLater := request != nil && request.GetEpoch() > m.engine.replica.Membership().Epoch
--- a/internal/region/coordination/simulationrun_test.go
+++ b/internal/region/coordination/simulationrun_test.go
@@ -12,9 +12,9 @@
 	"fieldrelay/internal/testkit/history"
 )
 
-// Environment variables of the simulation.
+// Environment variables that select the seeds of the simulation.
 const (
-	seedsVariable = "COORDINATION_SEEDS" // how many seeds are run
+	seedsVariable = "COORDINATION_SEEDS" // number of seeds to run
 	firstVariable = "COORDINATION_FIRST_SEED"
 )
 
@@ -31,12 +31,12 @@
 	return number
 }
 
-// checkRun returns the verdict of a run.
+// checkRun runs one simulation and checks its history.
 func checkRun(seed uint64, fault plantedFault) history.Verdict {
 	return history.Check(runSimulation(seed, fault), history.Options{Retention: retention})
 }
 
-// checkSeeds judges the runs of some seeds, several at a time, until one of them returns false.
+// checkSeeds checks the runs of a range of seeds, several at a time, until take returns false.
 func checkSeeds(first, count, workers int, fault plantedFault, take func(seed uint64, verdict history.Verdict) bool) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
--- a/internal/region/coordination/stats.go
+++ b/internal/region/coordination/stats.go
@@ -1,14 +1,14 @@
 package coordination
 
-// Stats are figures about an Engine, for people.
+// Stats are statistics of an Engine, for display to operators.
 type Stats struct {
-	Registers int // held by this machine
-	Proposing int // registers that it proposes for, or has proposed for lately
-	Pending   int // calls that arrived here and have no result yet, watches left out
-	Watches   int // watches that arrived here and wait
+	Registers int // registers that this machine holds
+	Proposing int // registers that this machine proposes for, or has recently proposed for
+	Pending   int // calls other than watches that arrived at this machine and have no result yet
+	Watches   int // watches that arrived at this machine and have no result yet
 }
 
-// Stats returns the present figures.
+// Stats returns the current statistics.
 func (e *Engine) Stats() Stats {
 	watches := 0
 	for _, pending := range e.origin.pending {
--- a/internal/region/register/membership.go
+++ b/internal/region/register/membership.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// AssignEpoch sets the epoch fields of the view that follows before. The epoch stays the same as long as the voters do.
+// AssignEpoch sets the epoch fields of next, the view that follows previous. The epoch stays the same as long as the
+// voters do.
 func AssignEpoch(next, previous *pb.View) {
 	current := MembershipOf(previous)
 	if current.Epoch > 0 && sameReplicas(next.GetVoters(), current.Voters) {
--- a/internal/region/register/replica.go
+++ b/internal/region/register/replica.go
@@ -52,8 +52,8 @@
 	r.register(record.GetName()).apply(0, record)
 }
 
-// FinishRestore ends the restore. All grants and events that were read count as accepted now, which is later than they really
-// were.
+// FinishRestore ends the restore. All grants and events that were read count as accepted now, which is later than they
+// really were.
 func (r *Replica) FinishRestore(now time.Duration) {
 	for _, found := range r.registers {
 		found.grantedAt = now
