--- a/internal/region/register/membership.go
+++ b/internal/region/register/membership.go
@@ -58,9 +58,7 @@
 // includes reports whether a machine votes in this epoch.
 func (m Membership) includes(identity string) bool { return contains(m.Voters, identity) }
 
-func (m Membership) includedPreviously(identity string) bool {
-	return contains(m.PreviousVoters, identity)
-}
+func (m Membership) votedBefore(identity string) bool { return contains(m.PreviousVoters, identity) }
 
 func contains(replicas []*pb.Replica, identity string) bool {
 	return slices.ContainsFunc(replicas, func(replica *pb.Replica) bool { return replica.GetIdentity() == identity })
--- a/internal/region/register/transfer.go
+++ b/internal/region/register/transfer.go
@@ -107,7 +107,7 @@
 // votedInPreviousEpoch reports whether this machine voted in the previous epoch and held its registers. Only then are
 // its own registers valid for the current epoch.
 func (r *Replica) votedInPreviousEpoch() bool {
-	return r.activeEpoch == r.membership.PreviousEpoch && r.membership.includedPreviously(r.identity)
+	return r.activeEpoch == r.membership.PreviousEpoch && r.membership.votedBefore(r.identity)
 }
 
 // heldPositions returns the positions of this machine's registers, or nil if they are not valid for the current epoch.
@@ -151,7 +151,7 @@
 		answer.ActiveEpoch = r.activeEpoch
 		answer.Registers = r.recordsNewerThan(request.GetHeld())
 	default:
-		if !r.membership.includedPreviously(r.identity) {
+		if !r.membership.votedBefore(r.identity) {
 			return
 		}
 	}
@@ -169,7 +169,7 @@
 		r.install(now, []*pb.RegisterTransfer{received})
 		return
 	}
-	if !r.membership.includedPreviously(from.GetIdentity()) {
+	if !r.membership.votedBefore(from.GetIdentity()) {
 		return
 	}
 	if r.transfer.received == nil {
