--- a/internal/region/coordination/execute.go
+++ b/internal/region/coordination/execute.go
@@ -27,18 +27,18 @@
 	}
 }
 
-// unchanged is the outcome of a call that changes nothing.
+// unchanged returns the outcome of a call that changes nothing.
 func unchanged(result *pb.CoordinationResult) register.Outcome {
 	return register.Outcome{Result: result}
 }
 
-// outcomeOnly is the outcome of a call that changes nothing and returns nothing else.
+// outcomeOnly returns the outcome of a call that changes nothing and whose result has no further fields.
 func outcomeOnly(outcome pb.CoordinationResult_Outcome) register.Outcome {
 	return unchanged(&pb.CoordinationResult{Outcome: outcome})
 }
 
-// whole is the change to a value, whatever stood before.
-func whole(value *pb.RegisterValue) *pb.RegisterChange {
+// wholeChange returns the change that sets a register to value regardless of its previous value.
+func wholeChange(value *pb.RegisterValue) *pb.RegisterChange {
 	return &pb.RegisterChange{Kind: &pb.RegisterChange_Whole{Whole: value}}
 }
 
@@ -47,6 +47,6 @@
 	value := &pb.RegisterValue{Kind: &pb.RegisterValue_Counter{Counter: &pb.CounterState{Value: next}}}
 	return register.Outcome{
 		Result: &pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK, Number: next},
-		Change: whole(value),
+		Change: wholeChange(value),
 	}
 }
--- a/internal/region/coordination/simulatedmachine_test.go
+++ b/internal/region/coordination/simulatedmachine_test.go
@@ -8,7 +8,7 @@
 	"fieldrelay/internal/region/register"
 )
 
-// What the control machine gives its engine.
+// Intervals of a control machine's ticks, stall detection and gossip.
 const (
 	tickInterval     = 150 * time.Millisecond
 	stallThreshold   = 4 * tickInterval
@@ -21,9 +21,9 @@
 	simulation *simulation
 	replica    *pb.Replica
 	disk       *disk
-	removed    bool // it has lost its disk
+	removed    bool // its disk is lost
 
-	// Of the present run of its process:
+	// State of the current run of its process:
 	running     bool
 	incarnation int
 	engine      *Engine
@@ -33,28 +33,28 @@
 	lastTick    time.Duration
 	lastStall   time.Duration
 	frozen      bool
-	tickWaits   bool
-	held        []func() // events that wait while it is frozen
+	tickPending bool
+	deferred    []func() // events that wait until the process is no longer frozen
 	requests    map[uint64]func(*pb.CoordinationResult)
 	lastRequest uint64
-	live        map[string]bool // as of the last tick
+	live        map[string]bool // machines reachable at the last tick
 }
 
 func (m *machine) identity() string { return m.replica.GetIdentity() }
 
-// clock is the steady clock of this run of the machine.
+// clock returns the monotonic clock of this run of the machine.
 func (m *machine) clock() time.Duration {
 	return m.clockOffset + time.Duration(float64(m.simulation.now)*m.clockRate)
 }
 
-// start begins a run of the process, with what is on disk.
+// start begins a run of the process with the durable state of its disk.
 func (m *machine) start() {
 	s := m.simulation
 	m.running = true
 	m.incarnation++
 	m.frozen = false
-	m.held = nil
-	m.tickWaits = false
+	m.deferred = nil
+	m.tickPending = false
 	m.lastStall = 0
 	m.clockOffset = s.between(1_000, 1_000_000)
 	m.clockRate = 1 + (s.random.Float64()-0.5)/1000
@@ -67,11 +67,11 @@
 		Retention:   retention,
 		FirstID:     s.random.Uint64() >> 1,
 	}, m)
-	m.plantExecute()
+	m.replaceExecute()
 	for _, record := range m.disk.recover() {
 		m.engine.Restore(record)
 	}
-	m.engine.Started(m.clock())
+	m.engine.FinishRestore(m.clock())
 	m.view = m.disk.view
 	if m.view != nil {
 		m.engine.Enter(m.clock(), m.view)
@@ -80,47 +80,49 @@
 	m.scheduleGossip()
 }
 
-// plantExecute replaces what calls do, if that is the fault to be found.
-func (m *machine) plantExecute() {
+// replaceExecute replaces the execution of calls if the planted fault is one of execution.
+func (m *machine) replaceExecute() {
 	if change := m.simulation.planted.execute; change != nil {
 		output := engineOutput{engine: m.engine, Host: m}
 		m.engine.proposers = register.NewProposers(m.engine.replica, m.engine.name, change, output)
 	}
 }
 
-// do has the process handle an event: at once, or when it goes on. It is lost if this run of the process ends before.
-func (m *machine) do(action func()) {
+// handle runs an action in the process: at once, or when the process is no longer frozen. The action is dropped if this
+// run of the process ends first.
+func (m *machine) handle(action func()) {
 	switch {
 	case !m.running:
 	case m.frozen:
-		m.held = append(m.held, action)
+		m.deferred = append(m.deferred, action)
 	default:
 		action()
 	}
 }
 
-// whileRunning returns an action that is void once this run of the process has ended.
+// whileRunning returns an action of the process that does nothing once this run of the process has ended.
 func (m *machine) whileRunning(action func()) func() {
 	incarnation := m.incarnation
 	return func() {
 		if m.incarnation == incarnation {
-			m.do(action)
+			m.handle(action)
 		}
 	}
 }
 
 func (m *machine) scheduleTick() {
-	m.simulation.after(tickInterval, m.ofThisRun(func() {
-		if !m.tickWaits {
-			m.tickWaits = true
-			m.do(m.tick)
+	m.simulation.after(tickInterval, m.duringThisRun(func() {
+		if !m.tickPending {
+			m.tickPending = true
+			m.handle(m.tick)
 		}
 		m.scheduleTick()
 	}))
 }
 
-// ofThisRun returns an action of the surroundings of a process, which goes on while the process is frozen.
-func (m *machine) ofThisRun(action func()) func() {
+// duringThisRun returns an action outside the process. It runs while the process is frozen, but does nothing once this
+// run of the process has ended.
+func (m *machine) duringThisRun(action func()) func() {
 	incarnation := m.incarnation
 	return func() {
 		if m.incarnation == incarnation && m.running {
@@ -130,7 +132,7 @@
 }
 
 func (m *machine) tick() {
-	m.tickWaits = false
+	m.tickPending = false
 	now := m.clock()
 	if now-m.lastTick >= stallThreshold {
 		m.lastStall = now
@@ -145,20 +147,20 @@
 func (m *machine) scheduleGossip() {
 	m.simulation.after(gossipInterval, m.whileRunning(func() {
 		for range 2 {
-			m.tellView(pick(m.simulation, m.simulation.machines))
+			m.sendView(pick(m.simulation, m.simulation.machines))
 		}
 		m.scheduleGossip()
 	}))
 }
 
-// tellView sends the view in force.
-func (m *machine) tellView(to *machine) {
+// sendView sends the machine's current view.
+func (m *machine) sendView(to *machine) {
 	if view := m.view; view != nil {
 		m.simulation.network.transmit(m, to, 1, func() { to.adopt(view) })
 	}
 }
 
-// adopt takes a view, if it is later.
+// adopt applies a view if it is newer than the current one.
 func (m *machine) adopt(view *pb.View) {
 	if view.GetNumber() <= m.view.GetNumber() {
 		return
@@ -172,32 +174,32 @@
 func (m *machine) crash() {
 	m.running = false
 	m.incarnation++
-	m.held = nil
+	m.deferred = nil
 	m.disk.crash()
 }
 
-// freeze stops the process for a while.
+// freeze pauses the process for a while.
 func (m *machine) freeze(pause time.Duration) {
 	if m.frozen || !m.running {
 		return
 	}
 	m.frozen = true
-	m.simulation.after(pause, m.ofThisRun(m.wake))
+	m.simulation.after(pause, m.duringThisRun(m.resume))
 }
 
-func (m *machine) wake() {
+func (m *machine) resume() {
 	if !m.frozen {
 		return
 	}
 	m.frozen = false
-	held := m.held
-	m.held = nil
+	held := m.deferred
+	m.deferred = nil
 	for _, action := range held {
-		m.do(action)
+		m.handle(action)
 	}
 }
 
-// submit takes a call of an application.
+// submit submits a call of an application.
 func (m *machine) submit(call *pb.CoordinationCall, answer func(*pb.CoordinationResult)) (cancel func()) {
 	m.lastRequest++
 	request := m.lastRequest
--- a/internal/region/coordination/simulationplanted_test.go
+++ b/internal/region/coordination/simulationplanted_test.go
@@ -12,24 +12,24 @@
 	"fieldrelay/internal/testkit/history"
 )
 
-// planted is a fault that a simulation must find.
-type planted struct {
+// plantedFault is a deliberate fault that the simulation must detect.
+type plantedFault struct {
 	// execute replaces Execute.
 	execute register.Execute
-	// receive replaces a message that a machine receives; nil: it is dropped.
+	// receive replaces a message that a machine receives; a nil result drops the message.
 	receive func(m *machine, from *pb.Replica, message *pb.Message) *pb.Message
-	// sendBeforeSync: answers leave before their records are durable.
+	// sendBeforeSync sends answers before their records are durable.
 	sendBeforeSync bool
-	// forgetPromises: promises are not on disk.
+	// forgetPromises loses promises in a restart.
 	forgetPromises bool
-	// lostDiskKeepsIdentity: a machine votes on after it has lost its disk.
+	// lostDiskKeepsIdentity lets a machine keep its identity, and so keep voting, after it has lost its disk.
 	lostDiskKeepsIdentity bool
 }
 
 const plantedSeeds = 400
 
 func TestPlantedFaultsAreFound(t *testing.T) {
-	for name, fault := range map[string]planted{
+	for name, fault := range map[string]plantedFault{
 		"a vote of a replica that forgot":        {lostDiskKeepsIdentity: true},
 		"an answer that is not durable":          {sendBeforeSync: true},
 		"a promise that is not on disk":          {forgetPromises: true},
@@ -38,8 +38,8 @@
 		"a release that ignores the fence":       {execute: releaseAnyFence},
 		"a renewal that ignores the fence":       {execute: renewAnyFence},
 		"a fence that is used again":             {execute: reuseFence},
-		"a lock that is given away too early":    {execute: giveAwayEarly},
-		"a put that is written twice":            {execute: putAgain},
+		"a lock that is given away too early":    {execute: grantEarly},
+		"a put that is written twice":            {execute: duplicatePut},
 		"a condition that is ignored":            {execute: ignoreCondition},
 		"a watch that skips a put":               {execute: skipEvent},
 		"a revision that is forgotten too early": {execute: forgetEvents},
@@ -48,7 +48,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var found *history.Violation
-			judgeEach(1, plantedSeeds, 2, fault, func(seed uint64, verdict history.Verdict) bool {
+			checkSeeds(1, plantedSeeds, 2, fault, func(seed uint64, verdict history.Verdict) bool {
 				if found == nil && !verdict.Passed() {
 					found = verdict.Smallest()
 					t.Logf("seed %d: %v", seed, found)
@@ -60,7 +60,7 @@
 	}
 }
 
-// acceptBelowPromise has a proposer take a refusal for an acceptance.
+// acceptBelowPromise makes a proposer treat a rejection as an acceptance.
 func acceptBelowPromise(_ *machine, _ *pb.Replica, message *pb.Message) *pb.Message {
 	answer := message.GetRegisterAccepted()
 	if answer.GetOutcome() != pb.RegisterAccepted_OUTCOME_SUPERSEDED {
@@ -71,7 +71,7 @@
 	return &pb.Message{Body: &pb.Message_RegisterAccepted{RegisterAccepted: changed}}
 }
 
-// readWithoutConfirmation has a proposer take its own confirmation for that of a majority.
+// readWithoutConfirmation makes a proposer treat its own confirmation as that of a majority.
 func readWithoutConfirmation(m *machine, from *pb.Replica, message *pb.Message) *pb.Message {
 	accept := message.GetRegisterAccept()
 	isOwnConfirmation := accept != nil && accept.GetChange() == nil && from.GetIdentity() == m.identity()
@@ -113,12 +113,12 @@
 	return Execute(value, call, conditions)
 }
 
-func giveAwayEarly(value *pb.RegisterValue, call *pb.CoordinationCall, conditions register.Conditions) register.Outcome {
+func grantEarly(value *pb.RegisterValue, call *pb.CoordinationCall, conditions register.Conditions) register.Outcome {
 	conditions.HoldRemaining -= 150 * time.Millisecond
 	return Execute(value, call, conditions)
 }
 
-func putAgain(value *pb.RegisterValue, call *pb.CoordinationCall, conditions register.Conditions) register.Outcome {
+func duplicatePut(value *pb.RegisterValue, call *pb.CoordinationCall, conditions register.Conditions) register.Outcome {
 	group := value.GetGroup()
 	if put := call.GetPut(); put != nil && group != nil {
 		event := &pb.KeyEvent{Name: put.GetName(), Value: put.GetValue(), Revision: group.GetRevision() + 1}
@@ -157,8 +157,8 @@
 	return Execute(&pb.RegisterValue{Kind: &pb.RegisterValue_Group{Group: short}}, call, conditions)
 }
 
-// transferWithoutEntering has a voter give its registers to an epoch that it has not entered, so that it goes on to vote in the
-// one before.
+// transferWithoutEntering makes a voter send its registers for an epoch that it has not entered, so that it keeps
+// voting in the previous epoch.
 func transferWithoutEntering(m *machine, from *pb.Replica, message *pb.Message) *pb.Message {
 	request := message.GetRegisterTransferRequest()
 	isLater := request != nil && request.GetEpoch() > m.engine.replica.Membership().Epoch
--- a/internal/region/register/transfer_test.go
+++ b/internal/region/register/transfer_test.go
@@ -35,7 +35,7 @@
 	c.deliver("c", "d")
 	assert.False(t, c.members["d"].replica.IsActive())
 	c.enter(secondEpoch([]string{"a", "b", "c"}, "b", "c", "d"), "b")
-	c.pass(transferInterval)
+	c.advanceClock(transferInterval)
 	c.tick("d")
 	c.deliver("b", "c", "d")
 	assert.True(t, c.members["d"].replica.IsActive())
@@ -73,7 +73,7 @@
 	c := newCluster("a", "b", "c", "d")
 	c.enter(firstEpoch("a", "b", "c", "d"), "a", "b", "c", "d")
 	c.members["d"].submit(numberCall(1))
-	c.deliver("d") // accepted nowhere
+	c.deliver("d") // only d is reachable, so no voter accepts
 	c.members["d"].replica.register("x").accepted = &pb.RegisterPosition{Epoch: 1, Round: 99, Proposer: "d/1", Sequence: 1}
 	c.members["a"].submit(numberCall(2))
 	c.deliver("a", "b", "c")
@@ -87,7 +87,7 @@
 }
 
 func TestMachineWithRegistersDoesNotBeginEmpty(t *testing.T) {
-	c := foundedCluster("a", "b", "c")
+	c := newActiveCluster("a", "b", "c")
 	c.members["a"].submit(numberCall(1))
 	c.deliver("a", "b", "c")
 	c.enter(Membership{Epoch: 7, Voters: replicasOf("a", "b", "c")}, "a")
@@ -95,7 +95,8 @@
 	assert.NotNil(t, c.members["a"].replica.held("x").value)
 }
 
-// An answer leaves out what the request lists, so the request must not list what a restart may forget.
+// The answer to a transfer request omits the registers that the request lists. The request must therefore not list a
+// register that a restart may lose.
 func TestTransferIsRequestedOnceWhatItListsIsDurable(t *testing.T) {
 	c := newCluster("a", "b", "c", "d")
 	c.enter(firstEpoch("a", "b", "c"), "a", "b", "c")
@@ -110,18 +111,18 @@
 
 func TestEpochIsTheSameWhileTheVotersAre(t *testing.T) {
 	first := &pb.View{Number: 1, Voters: replicasOf("a", "b", "c")}
-	NameEpoch(first, nil)
+	AssignEpoch(first, nil)
 	assert.Equal(t, Membership{Epoch: 1, Voters: first.GetVoters()}, MembershipOf(first))
 	second := &pb.View{Number: 2, Voters: replicasOf("c", "b", "a")}
-	NameEpoch(second, first)
+	AssignEpoch(second, first)
 	assert.Equal(t, uint64(1), MembershipOf(second).Epoch)
 	third := &pb.View{Number: 3, Voters: replicasOf("a", "b", "d")}
-	NameEpoch(third, second)
+	AssignEpoch(third, second)
 	assert.Equal(t, uint64(3), MembershipOf(third).Epoch)
 	assert.Equal(t, uint64(1), MembershipOf(third).PreviousEpoch)
 	assert.Equal(t, second.GetVoters(), MembershipOf(third).PreviousVoters)
 	fourth := &pb.View{Number: 4, Voters: third.GetVoters()}
-	NameEpoch(fourth, third)
+	AssignEpoch(fourth, third)
 	assert.Equal(t, MembershipOf(third), MembershipOf(fourth))
 	assert.Equal(t, Membership{}, MembershipOf(&pb.View{Number: 9, Voters: first.GetVoters()}))
 }
