--- a/internal/sidecar/verdict/bench_test.go
+++ b/internal/sidecar/verdict/bench_test.go
@@ -7,18 +7,18 @@
 )
 
 // A look of one among a thousand members at a hundred healthy nodes.
-func BenchmarkLook(b *testing.B) {
+func BenchmarkEvaluate(b *testing.B) {
 	j := NewEvaluator(Config{Name: "m0", Zone: "z0", Pace: 250 * time.Millisecond, MaxPercent: 25}, 0)
-	var look Evaluate
+	var event Evaluate
 	for i := range 1000 {
-		look.Peers = append(look.Peers, Peer{fmt.Sprint("m", i), fmt.Sprint("z", i%3)})
+		event.Peers = append(event.Peers, Peer{fmt.Sprint("m", i), fmt.Sprint("z", i%3)})
 	}
 	for i := range 100 {
-		look.Nodes = append(look.Nodes, Node{Name: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i%3)})
-		look.Evidence = append(look.Evidence, Evidence{Node: fmt.Sprint("n", i), Succeeded: 8, LatencySamples: 8, Latency: time.Millisecond})
+		event.Nodes = append(event.Nodes, Node{Name: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i%3)})
+		event.Evidence = append(event.Evidence, Evidence{Node: fmt.Sprint("n", i), Succeeded: 8, LatencySamples: 8, Latency: time.Millisecond})
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		j.Step(time.Duration(i)*time.Second, look)
+		j.Step(time.Duration(i)*time.Second, event)
 	}
 }
--- a/internal/sidecar/verdict/evaluator.go
+++ b/internal/sidecar/verdict/evaluator.go
@@ -174,7 +174,7 @@
 
 // Lines returns a line for the operator on each node that somebody rates bad, or that is or was under verdict.
 func (e *Evaluator) Lines(now time.Duration) (lines []string) {
-	names := e.accused()
+	names := e.nodesRatedBad()
 	for n := range e.verdicts {
 		names[n] = true
 	}
@@ -186,8 +186,8 @@
 		}
 		votes := fmt.Sprintf("here=%s said_bad=%d said_good=%d", here, len(bad), len(good))
 		if s := e.verdicts[n]; s != nil {
-			lines = append(lines, fmt.Sprintf("%s %s age=%dms left=%dms round=%d %s observers=%s", n, s.stage, (now-s.condemnedAt).Milliseconds(),
-				max(0, s.stageEnd-now).Milliseconds(), s.round, votes, strings.Join(s.observers, ",")))
+			lines = append(lines, fmt.Sprintf("%s %s age=%dms left=%dms round=%d %s observers=%s", n, s.stage, (now-s.avoidedAt).Milliseconds(),
+				max(0, s.stageEnd-now).Milliseconds(), s.count, votes, strings.Join(s.observers, ",")))
 		} else {
 			lines = append(lines, n+" none "+votes)
 		}
--- a/internal/sidecar/verdict/evaluator_test.go
+++ b/internal/sidecar/verdict/evaluator_test.go
@@ -15,37 +15,37 @@
 
 const pace = time.Second
 
-// bench is three evaluators of one zone and four nodes, of which only n1 may be bad. It is checked by what was sent and
+// cluster is three evaluators of one zone and four nodes, of which only n1 may be bad. It is checked by what was sent and
 // received alone.
-type bench struct {
+type cluster struct {
 	mutate     Mutation
 	now        time.Duration
 	evaluators []*Evaluator
 	bad        [3]bool // whose evidence speaks against n1
-	flight     []letter
-	said       [3][]bool    // how each rated n1, by number of its opinion: 1 is the first
-	known      [3][3]uint64 // the newest opinion of each that each has received
-	broken     error
+	inFlight   []message
+	ratedBad   [3][]bool    // how each rated n1, by number of its opinion: 1 is the first
+	newest     [3][3]uint64 // the newest opinion of each that each has received
+	violation  error
 }
 
-type letter struct {
+type message struct {
 	to int
 	o  Opinion
 }
 
-func newBench(mutate Mutation) *bench {
-	b := &bench{mutate: mutate}
+func newCluster(mutate Mutation) *cluster {
+	b := &cluster{mutate: mutate}
 	for i := range 3 {
 		b.evaluators = append(b.evaluators, NewEvaluator(Config{Name: fmt.Sprint(i), Zone: "z", Boot: 1, Pace: pace, MaxPercent: 25, Mutate: mutate}, 0))
-		b.said[i] = []bool{false}
+		b.ratedBad[i] = []bool{false}
 	}
 	for i := range 3 {
-		b.look(i)
+		b.evaluate(i)
 	}
 	return b
 }
 
-func (b *bench) look(i int) {
+func (b *cluster) evaluate(i int) {
 	b.now += pace
 	var evidence []Evidence
 	for n := range 4 {
@@ -66,10 +66,10 @@
 			peers = append(peers, Peer{fmt.Sprint(n), "z"})
 		}
 	}
-	b.take(i, b.evaluators[i].Step(b.now, Evaluate{evidence, peers, nodes}))
+	b.apply(i, b.evaluators[i].Step(b.now, Evaluate{evidence, peers, nodes}))
 }
 
-func (b *bench) take(i int, actions []Action) {
+func (b *cluster) apply(i int, actions []Action) {
 	// An opinion that is sent was formed before the node was condemned.
 	slices.SortStableFunc(actions, func(a, _ Action) int {
 		if _, tell := a.(Send); tell {
@@ -82,13 +82,13 @@
 		case Send:
 			for _, o := range a.Opinions {
 				by, _ := strconv.Atoi(o.Author)
-				if by == i && o.Seq == uint64(len(b.said[i])) {
-					b.said[i] = append(b.said[i], slices.Contains(o.Ratings, Rating{"n1", true}))
-					b.known[i][i] = o.Seq
+				if by == i && o.Seq == uint64(len(b.ratedBad[i])) {
+					b.ratedBad[i] = append(b.ratedBad[i], slices.Contains(o.Ratings, Rating{"n1", true}))
+					b.newest[i][i] = o.Seq
 				}
 				for to := range 3 {
-					if to != i && to != by && !slices.ContainsFunc(b.flight, func(l letter) bool { return l.to == to && l.o.Author == o.Author && l.o.Seq == o.Seq }) {
-						b.flight = append(b.flight, letter{to, o})
+					if to != i && to != by && !slices.ContainsFunc(b.inFlight, func(l message) bool { return l.to == to && l.o.Author == o.Author && l.o.Seq == o.Seq }) {
+						b.inFlight = append(b.inFlight, message{to, o})
 					}
 				}
 			}
@@ -99,45 +99,45 @@
 			// By two of three at least, each by its newest opinion that has come here.
 			votes := 0
 			for by := range 3 {
-				if b.said[by][b.known[i][by]] {
+				if b.ratedBad[by][b.newest[i][by]] {
 					votes++
 				}
 			}
-			if votes < 2 && b.broken == nil {
-				b.broken = fmt.Errorf("member %d condemns by %v, %d votes", i, a.Observers, votes)
+			if votes < 2 && b.violation == nil {
+				b.violation = fmt.Errorf("member %d condemns by %v, %d votes", i, a.Observers, votes)
 			}
 		}
 	}
 }
 
-func (b *bench) Events() (names []string) {
+func (b *cluster) Events() (names []string) {
 	for i := range 3 {
 		names = append(names, fmt.Sprint("look ", i), fmt.Sprint("turn ", i))
 	}
-	for _, l := range b.flight { // it may come once, again, or never
+	for _, l := range b.inFlight { // it may come once, again, or never
 		names = append(names, fmt.Sprint("to ", l.to, " from ", l.o.Author, " number ", l.o.Seq))
 	}
 	return names
 }
 
-func (b *bench) Do(e int) {
+func (b *cluster) Do(e int) {
 	switch {
 	case e < 6 && e%2 == 0:
-		b.look(e / 2)
+		b.evaluate(e / 2)
 	case e < 6:
 		b.bad[e/2] = !b.bad[e/2]
 	default:
-		l := b.flight[e-6]
+		l := b.inFlight[e-6]
 		b.now++
 		by, _ := strconv.Atoi(l.o.Author)
-		b.known[l.to][by] = max(b.known[l.to][by], l.o.Seq)
-		b.take(l.to, b.evaluators[l.to].Step(b.now, Received{[]Opinion{l.o}}))
+		b.newest[l.to][by] = max(b.newest[l.to][by], l.o.Seq)
+		b.apply(l.to, b.evaluators[l.to].Step(b.now, Received{[]Opinion{l.o}}))
 	}
 }
 
-func (b *bench) Hash() uint64 {
-	text := fmt.Sprint(b.bad, b.said, b.known)
-	for _, l := range b.flight {
+func (b *cluster) Hash() uint64 {
+	text := fmt.Sprint(b.bad, b.ratedBad, b.newest)
+	for _, l := range b.inFlight {
 		text += fmt.Sprint(l.to, l.o.Author, l.o.Seq)
 	}
 	for _, j := range b.evaluators {
@@ -150,7 +150,7 @@
 	return h
 }
 
-func (b *bench) Check() error { return b.broken }
+func (b *cluster) Check() error { return b.violation }
 
 // Every order of evaluations, changed evidence and late, lost and repeated opinions among three: no node is condemned by fewer
 // than two, by the newest opinion of each that has come.
@@ -159,13 +159,13 @@
 	if d, err := strconv.Atoi(os.Getenv("EXPLORE_DEPTH")); err == nil {
 		depth = d
 	}
-	r, err := explore.All(func() explore.System { return newBench(NoMutation) }, depth, 1<<22)
+	r, err := explore.All(func() explore.System { return newCluster(NoMutation) }, depth, 1<<22)
 	if err != nil || !r.Full {
 		t.Errorf("%+v %v", r, err)
 	}
 	t.Logf("%+v", r)
 	for _, m := range []Mutation{SingleVote, StaleOpinions} {
-		if _, err := explore.All(func() explore.System { return newBench(m) }, 10, 1<<20); err == nil {
+		if _, err := explore.All(func() explore.System { return newCluster(m) }, 10, 1<<20); err == nil {
 			t.Errorf("mutation %d not noticed", m)
 		} else {
 			t.Log(m, ": ", err)
@@ -198,8 +198,8 @@
 }
 
 // Opinions that no honest member would send are rejected.
-func TestHearIsBounded(t *testing.T) {
-	b := newBench(NoMutation)
+func TestInvalidOpinionsAreRejected(t *testing.T) {
+	b := newCluster(NoMutation)
 	j := b.evaluators[0]
 	ok := Rating{"n1", true}
 	for name, o := range map[string]Opinion{
@@ -223,10 +223,10 @@
 }
 
 // When the list becomes short while nodes are under verdict, the one condemned last goes back into use.
-func TestFewAreListed(t *testing.T) {
+func TestShortListEndsLatestVerdict(t *testing.T) {
 	j := NewEvaluator(Config{Name: "0", Zone: "z", Pace: pace, MaxPercent: 25}, 0)
 	for i, n := range []string{"n1", "n2"} {
-		j.verdicts[n] = &verdict{node: Node{Name: n, Zone: "z"}, condemnedAt: time.Duration(i), stageEnd: time.Hour}
+		j.verdicts[n] = &verdict{node: Node{Name: n, Zone: "z"}, avoidedAt: time.Duration(i), stageEnd: time.Hour}
 	}
 	var nodes []Node
 	for i := range 8 {
--- a/internal/sidecar/verdict/limit.go
+++ b/internal/sidecar/verdict/limit.go
@@ -38,7 +38,7 @@
 				continue
 			}
 			all++
-			if latest == nil || s.condemnedAt > latest.condemnedAt || s.condemnedAt == latest.condemnedAt && n > name {
+			if latest == nil || s.avoidedAt > latest.avoidedAt || s.avoidedAt == latest.avoidedAt && n > name {
 				latest, name = s, n
 			}
 		}
--- a/internal/sidecar/verdict/opinion.go
+++ b/internal/sidecar/verdict/opinion.go
@@ -130,7 +130,7 @@
 			ratings = append(ratings, Rating{node, true})
 		}
 	}
-	accused := e.accused()
+	accused := e.nodesRatedBad()
 	for _, node := range good {
 		if accused[node] && len(ratings) < MaxRatings {
 			ratings = append(ratings, Rating{node, false})
@@ -139,8 +139,8 @@
 	return ratings
 }
 
-// accused returns the listed nodes that somebody rates bad.
-func (e *Evaluator) accused() map[string]bool {
+// nodesRatedBad returns the listed nodes that somebody rates bad.
+func (e *Evaluator) nodesRatedBad() map[string]bool {
 	nodes := make(map[string]bool)
 	for _, o := range e.opinions {
 		for _, rating := range o.Ratings {
--- a/internal/sidecar/verdict/panel.go
+++ b/internal/sidecar/verdict/panel.go
@@ -53,7 +53,7 @@
 	for _, p := range e.peers {
 		names = append(names, p.Name)
 	}
-	orderByHash(names, fmt.Sprint(node, s.round))
+	orderByHash(names, fmt.Sprint(node, s.count))
 	n := max(3, (len(names)+7)/8)
 	if s.stage == stageHalf {
 		n = max(n, (len(names)+1)/2)
--- a/internal/sidecar/verdict/statement_test.go
+++ b/internal/sidecar/verdict/statement_test.go
@@ -10,32 +10,32 @@
 
 // In whatever order statements come, and however often, all members end with the same table; and no suspension is undone by a
 // statement whose author did not know of it.
-func TestWordsMergeInAnyOrder(t *testing.T) {
+func TestStatementsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var members [4]Table
-		var said []Statement
+		var declared []Statement
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			at := rapid.IntRange(0, 3).Draw(t, "member")
-			if len(said) > 0 && rapid.Bool().Draw(t, "hears") { // a statement made before
-				members[at].Merge([]Statement{said[rapid.IntRange(0, len(said)-1).Draw(t, "what")]})
+			if len(declared) > 0 && rapid.Bool().Draw(t, "hears") { // a statement made before
+				members[at].Merge([]Statement{declared[rapid.IntRange(0, len(declared)-1).Draw(t, "what")]})
 				continue
 			}
 			node := fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, "node"))
-			w, err := members[at].Declare(node, fmt.Sprint("m", at), rapid.Bool().Draw(t, "suspends"))
+			statement, err := members[at].Declare(node, fmt.Sprint("m", at), rapid.Bool().Draw(t, "suspends"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			said = append(said, w)
+			declared = append(declared, statement)
 		}
 		for i := range members {
-			order := rapid.Permutation(said).Draw(t, "order")
+			order := rapid.Permutation(declared).Draw(t, "order")
 			members[i].Merge(order)
 			members[i].Merge(order[:len(order)/2])
 			if !slices.Equal(members[i].All(), members[0].All()) || members[i].Digest() != members[0].Digest() {
 				t.Fatalf("%v\n%v", members[i].All(), members[0].All())
 			}
 		}
-		for _, w := range said { // the statement in the end was made with knowledge of all that it supersedes, or is a suspension
+		for _, w := range declared { // the statement in the end was made with knowledge of all that it supersedes, or is a suspension
 			for _, holds := range members[0].All() {
 				if holds.Node == w.Node && w.Suspended && !holds.Suspended && holds.Version <= w.Version {
 					t.Fatalf("%v is undone by %v", w, holds)
--- a/internal/sidecar/verdict/verdict.go
+++ b/internal/sidecar/verdict/verdict.go
@@ -30,19 +30,19 @@
 
 // verdict is a verdict on a node.
 type verdict struct {
-	node        Node
-	stage       stage
-	condemnedAt time.Duration
-	stageEnd    time.Duration
-	trialStart  time.Duration
-	term        time.Duration // for how long the node is avoided
-	round       uint64        // how often it was condemned in a row
-	observers   []string      // who voted against it
+	node       Node
+	stage      stage
+	avoidedAt  time.Duration
+	stageEnd   time.Duration
+	trialStart time.Duration
+	term       time.Duration // for how long the node is avoided
+	count      uint64        // how often it was condemned in a row
+	observers  []string      // who voted against it
 }
 
 // decide advances the verdicts, and reports which nodes to avoid if that has changed.
 func (e *Evaluator) decide(now time.Duration) {
-	names := e.accused()
+	names := e.nodesRatedBad()
 	for n := range e.verdicts {
 		names[n] = true
 	}
@@ -80,10 +80,10 @@
 	bad, good := e.votes(name, after)
 	switch {
 	case v == nil:
-		if e.condemned(bad, good) && e.hasCapacity(node) && len(e.verdicts) < maxVerdicts {
+		if e.votesSuffice(bad, good) && e.hasCapacity(node) && len(e.verdicts) < maxVerdicts {
 			v = &verdict{node: node, term: e.paces(minTerm)}
 			e.verdicts[name] = v
-			e.condemn(now, name, v, bad)
+			e.avoid(now, name, v, bad)
 		}
 	case v.stage == stageAvoided:
 		if now >= v.stageEnd && e.cfg.Mutate != NoExpiry {
@@ -92,8 +92,8 @@
 	case v.stage == stagePast:
 		if now >= v.stageEnd {
 			delete(e.verdicts, name)
-		} else if e.condemned(bad, good) && e.hasCapacity(node) {
-			e.condemnAgain(now, name, v, bad)
+		} else if e.votesSuffice(bad, good) && e.hasCapacity(node) {
+			e.avoidAgain(now, name, v, bad)
 		}
 	default:
 		e.advanceTrial(now, name, v, bad, good)
@@ -119,8 +119,8 @@
 			against++
 		}
 	}
-	if against >= minVotes && 2*against > len(members) || e.condemned(bad, good) {
-		e.condemnAgain(now, name, v, bad)
+	if against >= minVotes && 2*against > len(members) || e.votesSuffice(bad, good) {
+		e.avoidAgain(now, name, v, bad)
 		return
 	}
 	if now < v.stageEnd {
@@ -134,14 +134,14 @@
 	}
 }
 
-// condemn has a node avoided for the verdict's term.
-func (e *Evaluator) condemn(now time.Duration, name string, v *verdict, observers []string) {
-	v.stage, v.condemnedAt, v.stageEnd, v.round, v.observers = stageAvoided, now, now+v.term, v.round+1, observers
+// avoid has a node avoided for the verdict's term.
+func (e *Evaluator) avoid(now time.Duration, name string, v *verdict, observers []string) {
+	v.stage, v.avoidedAt, v.stageEnd, v.count, v.observers = stageAvoided, now, now+v.term, v.count+1, observers
 	e.out = append(e.out, LogEntry{Node: name, Event: "avoided", Observers: observers, Term: v.term})
 }
 
-// condemnAgain does so for twice as long as before.
-func (e *Evaluator) condemnAgain(now time.Duration, name string, v *verdict, observers []string) {
+// avoidAgain does so for twice as long as before.
+func (e *Evaluator) avoidAgain(now time.Duration, name string, v *verdict, observers []string) {
 	v.term = min(2*v.term, e.paces(maxTerm))
-	e.condemn(now, name, v, observers)
+	e.avoid(now, name, v, observers)
 }
--- a/internal/sidecar/verdict/vote.go
+++ b/internal/sidecar/verdict/vote.go
@@ -25,9 +25,9 @@
 // minVotes is how many observers must rate a node bad, however few there are.
 const minVotes = 2
 
-// condemned reports whether the votes on a node suffice to avoid it in this member's zone: those of the zone's majority, or of
+// votesSuffice reports whether the votes on a node suffice to avoid it in this member's zone: those of the zone's majority, or of
 // the majorities of two other zones, unless most of this zone's observers rate it good.
-func (e *Evaluator) condemned(bad, good []string) bool {
+func (e *Evaluator) votesSuffice(bad, good []string) bool {
 	zones, here := 0, false
 	countByZone := func(names []string) map[string]int {
 		count := make(map[string]int)
