--- a/internal/sidecar/verdict/bench_test.go
+++ b/internal/sidecar/verdict/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A look of one among a thousand members at a hundred healthy nodes.
+// BenchmarkEvaluate measures an evaluation by one of a thousand members with a hundred healthy nodes.
 func BenchmarkEvaluate(b *testing.B) {
 	j := NewEvaluator(Config{Name: "m0", Zone: "z0", Pace: 250 * time.Millisecond, MaxPercent: 25}, 0)
 	var event Evaluate
--- a/internal/sidecar/verdict/evaluator.go
+++ b/internal/sidecar/verdict/evaluator.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// The constants of the evaluation: times are in paces.
+// Intervals and durations of the evaluation, in multiples of Config.Pace.
 const (
-	evaluationInterval = 0.25 // between two evaluations of the evidence
+	evaluationInterval = 0.25 // between evaluations of the evidence
 	forwardInterval    = 0.25 // before a received opinion is forwarded
-	forwardTimes       = 3    // rounds in which an opinion is sent, each to other members, so that hardly any misses it
+	forwardTimes       = 3    // rounds in which an opinion is sent, each to other members, so that it reaches almost all of them
 	repeatInterval     = 12   // after which an unchanged opinion is sent again
 	opinionLifetime    = 48   // after which an opinion no longer counts
-	minTerm            = 16   // of a first verdict
-	maxTerm            = 240  // of repeated ones
+	minTerm            = 16   // duration of a first verdict
+	maxTerm            = 240  // maximum duration of repeated verdicts
 	trialStage         = 8    // duration of each stage of a trial
-	trialGrace         = 4    // opinions of so shortly after the start of a trial are about the time before
-	memoryTerms        = 8    // terms for which an ended verdict is remembered; the next one after that counts as a first one
+	trialGrace         = 4    // after the start of a trial; opinions formed earlier than that rest on attempts before the trial
+	memoryTerms        = 8    // multiple of the term for which an ended verdict is remembered; a verdict after that counts as a first one
 )
 
-// Mutation is a fault that a test injects.
+// Mutation is a fault that a test injects to check that the invariants detect it.
 type Mutation uint8
 
 // The mutations.
 const (
 	NoMutation    Mutation = iota
-	SingleVote             // one observer condemns
-	OwnFaults              // failures that occur at all nodes count against each
+	SingleVote             // a single vote suffices to avoid a node
+	OwnFaults              // failures that occur at all nodes count against each of them
 	NoCap                  // any number of nodes may be under verdict
 	NoExpiry               // a verdict does not end
-	OneZone                // the vote of one zone counts in all
-	AllAtOnce              // all members try a node at once after a verdict
+	OneZone                // the vote of one zone decides for all zones
+	AllAtOnce              // all members send to a node as soon as its term is over
 	StaleOpinions          // an older opinion replaces a newer one
 )
 
-// Bounds returns the guarantees at a pace and a cap in percent, as lines for the operator.
+// Bounds describes the guarantees that hold for a pace and a cap in percent, one line each, for the operator.
 func Bounds(pace time.Duration, pct int) []string {
 	paces := func(n float64) time.Duration { return time.Duration(n * float64(pace)) }
 	return []string{
@@ -51,13 +51,13 @@
 // Peer is a member of the fleet.
 type Peer struct{ Name, Zone string }
 
-// Node is an execute node on the member's list that takes requests.
+// Node is an execute node on the member's list that accepts requests.
 type Node struct {
 	Name, Zone string
-	Since      time.Duration // when it was started: what was known of an earlier process of its name does not count
+	Since      time.Duration // start time of its process; evidence about an earlier process of the same name does not count
 }
 
-// Config is what an Evaluator is made with.
+// Config configures an Evaluator.
 type Config struct {
 	Name, Zone string
 	Boot       uint64
@@ -71,13 +71,13 @@
 
 // The events.
 type (
-	// Evaluate has it evaluate what this member knows. It is due at Next.
+	// Evaluate triggers an evaluation of what this member knows. It is due at the time that Next returns.
 	Evaluate struct {
 		Evidence []Evidence
-		Peers    []Peer // this member, those present, and the other members of its view
+		Peers    []Peer // this member, the members that are present, and the other members of its view
 		Nodes    []Node
 	}
-	// Received is opinions that another member sent.
+	// Received carries opinions that another member sent.
 	Received struct{ Opinions []Opinion }
 )
 
@@ -91,12 +91,12 @@
 type (
 	// Send sends opinions to a few other members.
 	Send struct{ Opinions []Opinion }
-	// Avoid names all nodes to which this member sends nothing new from now on.
+	// Avoid lists all nodes to which this member sends no new requests from now on. It replaces the previous list.
 	Avoid struct{ Nodes []string }
-	// Forget has the evidence of a node dropped.
+	// Forget discards the evidence about a node.
 	Forget struct{ Node string }
-	// LogEntry is for the log: what happened to the verdict on a node. Observers are who voted against it, Term is how long
-	// it is avoided; both are set if it is avoided.
+	// LogEntry is a log record of a change to the verdict on a node. Observers are the members that voted against the node,
+	// Term is how long it is avoided; both are set only when the node is avoided.
 	LogEntry struct {
 		Node, Event string
 		Observers   []string
@@ -109,15 +109,15 @@
 func (Forget) action()   {}
 func (LogEntry) action() {}
 
-// Evaluator is one member's part in the verdicts of the fleet: it rates the nodes by the member's own evidence, exchanges the
-// ratings with the others, and counts votes. It is a state machine without I/O, clock or goroutine, and not safe for
+// Evaluator is one member's participant in the fleet's verdicts: it rates the nodes by the member's own evidence, exchanges
+// ratings with the other members, and counts votes. It is a state machine without I/O, clock or goroutine, and not safe for
 // concurrent use.
 type Evaluator struct {
 	cfg           Config
 	out           []Action
 	evaluationDue time.Duration
 
-	// Membership, as of the last evaluation.
+	// Membership as of the last evaluation.
 	peers  []Peer
 	panels map[string][]string // by zone, the observers whose opinions count
 	zoneOf map[string]string   // zone of each observer of a panel
@@ -126,17 +126,17 @@
 
 	// Opinions.
 	opinions    map[string]*receivedOpinion // by author, this member included
-	ratedBad    map[string]bool             // nodes that this member's own evidence speaks against
+	ratedBad    map[string]bool             // nodes that this member's own evidence rates bad
 	seq         uint64                      // of this member's last opinion
-	publishedAt time.Duration               // when it was last sent
-	toForward   map[string]int              // authors whose opinions are still to be sent, and how often
+	publishedAt time.Duration               // when this member's opinion was last published
+	toForward   map[string]int              // remaining rounds by author of the opinions still to be sent
 	forwardDue  time.Duration
 
 	verdicts map[string]*verdict // by node
 	avoided  []string            // as last reported by Avoid
 }
 
-// NewEvaluator makes an evaluator that knows of no node. now is the present time on the clock that Step is called with.
+// NewEvaluator returns an evaluator without nodes. now is the current time on the clock whose times are passed to Step.
 func NewEvaluator(cfg Config, now time.Duration) *Evaluator {
 	return &Evaluator{cfg: cfg, evaluationDue: now, forwardDue: math.MaxInt64,
 		panels: make(map[string][]string), zoneOf: make(map[string]string), nodes: make(map[string]Node), zones: make(map[string]int),
@@ -144,13 +144,13 @@
 		verdicts: make(map[string]*verdict)}
 }
 
-// paces is a number of paces.
+// paces converts a number of paces to a duration.
 func (e *Evaluator) paces(n float64) time.Duration { return time.Duration(n * float64(e.cfg.Pace)) }
 
-// Next is when Evaluate is due.
+// Next returns when the next Evaluate event is due.
 func (e *Evaluator) Next() time.Duration { return min(e.evaluationDue, e.forwardDue) }
 
-// Step takes an event at a time that is not before that of the last call.
+// Step processes an event and returns the resulting actions. now must not be earlier than in the previous call.
 func (e *Evaluator) Step(now time.Duration, event Event) []Action {
 	e.out = nil
 	switch event := event.(type) {
@@ -172,7 +172,8 @@
 	return e.out
 }
 
-// Lines returns a line for the operator on each node that somebody rates bad, or that is or was under verdict.
+// Lines returns a line for the operator about each node that an observer rates bad, or that is under a current or remembered
+// verdict.
 func (e *Evaluator) Lines(now time.Duration) (lines []string) {
 	names := e.nodesRatedBad()
 	for n := range e.verdicts {
--- a/internal/sidecar/verdict/evaluator_test.go
+++ b/internal/sidecar/verdict/evaluator_test.go
@@ -15,16 +15,16 @@
 
 const pace = time.Second
 
-// cluster is three evaluators of one zone and four nodes, of which only n1 may be bad. It is checked by what was sent and
-// received alone.
+// cluster simulates three evaluators of one zone and four nodes, of which only n1 may be bad. Its invariant is checked by
+// the messages that were sent and received alone.
 type cluster struct {
 	mutate     Mutation
 	now        time.Duration
 	evaluators []*Evaluator
-	bad        [3]bool // whose evidence speaks against n1
+	bad        [3]bool // members whose evidence is against n1
 	inFlight   []message
-	ratedBad   [3][]bool    // how each rated n1, by number of its opinion: 1 is the first
-	newest     [3][3]uint64 // the newest opinion of each that each has received
+	ratedBad   [3][]bool    // by member and sequence number of its opinion, from 1: whether it rated n1 bad
+	newest     [3][3]uint64 // by receiver and author, the sequence number of the newest opinion received
 	violation  error
 }
 
@@ -70,7 +70,7 @@
 }
 
 func (b *cluster) apply(i int, actions []Action) {
-	// An opinion that is sent was formed before the node was condemned.
+	// An opinion that is sent was formed before the decision to avoid the node.
 	slices.SortStableFunc(actions, func(a, _ Action) int {
 		if _, tell := a.(Send); tell {
 			return -1
@@ -96,7 +96,7 @@
 			if a.Event != "avoided" {
 				continue
 			}
-			// By two of three at least, each by its newest opinion that has come here.
+			// At least two of three votes are needed, each counted by the author's newest opinion received here.
 			votes := 0
 			for by := range 3 {
 				if b.ratedBad[by][b.newest[i][by]] {
@@ -104,7 +104,7 @@
 				}
 			}
 			if votes < 2 && b.violation == nil {
-				b.violation = fmt.Errorf("member %d condemns by %v, %d votes", i, a.Observers, votes)
+				b.violation = fmt.Errorf("member %d avoids the node by the votes of %v: %d votes counted, want at least 2", i, a.Observers, votes)
 			}
 		}
 	}
@@ -112,10 +112,10 @@
 
 func (b *cluster) Events() (names []string) {
 	for i := range 3 {
-		names = append(names, fmt.Sprint("look ", i), fmt.Sprint("turn ", i))
+		names = append(names, fmt.Sprint("evaluate at ", i), fmt.Sprint("flip evidence of ", i))
 	}
-	for _, l := range b.inFlight { // it may come once, again, or never
-		names = append(names, fmt.Sprint("to ", l.to, " from ", l.o.Author, " number ", l.o.Seq))
+	for _, l := range b.inFlight { // a message may be delivered once, repeatedly, or never
+		names = append(names, fmt.Sprint("deliver to ", l.to, " opinion of ", l.o.Author, " number ", l.o.Seq))
 	}
 	return names
 }
@@ -152,8 +152,8 @@
 
 func (b *cluster) Check() error { return b.violation }
 
-// Every order of evaluations, changed evidence and late, lost and repeated opinions among three: no node is condemned by fewer
-// than two, by the newest opinion of each that has come.
+// TestEveryOrder explores every order of evaluations, changes of evidence, and late, lost and repeated opinions among three
+// members. No node may be avoided by the votes of fewer than two, counting each member's newest opinion received.
 func TestEveryOrder(t *testing.T) {
 	depth := 7
 	if d, err := strconv.Atoi(os.Getenv("EXPLORE_DEPTH")); err == nil {
@@ -178,7 +178,7 @@
 	for i := range 20 {
 		ta.Count(time.Duration(i)*time.Second, "a", i < 15, time.Duration(i)*time.Millisecond)
 	}
-	got := ta.Evidence(19 * time.Second) // the last eight: three failed, five done in 15 to 19 ms
+	got := ta.Evidence(19 * time.Second) // the latest eight: three failed, five succeeded in 15 to 19 ms
 	want := Evidence{Node: "a", Failed: 3, Succeeded: 5, LatencySamples: 5, Latency: 17 * time.Millisecond}
 	if len(got) == 1 && len(got[0].Recent) == 8 {
 		got[0].Recent = nil
@@ -187,42 +187,43 @@
 		t.Errorf("%+v", got)
 	}
 	if got := ta.Evidence(40 * time.Second); len(got) != 0 || len(ta.nodes) != 0 {
-		t.Errorf("%+v after 20 s of nothing", got)
+		t.Errorf("%+v after 21 s without outcomes, want none", got)
 	}
 	for i := range MaxNodes + 10 {
 		ta.Count(0, fmt.Sprint(i), false, 0)
 	}
 	if len(ta.nodes) != MaxNodes {
-		t.Errorf("%d nodes counted", len(ta.nodes))
+		t.Errorf("%d nodes counted, want MaxNodes", len(ta.nodes))
 	}
 }
 
-// Opinions that no honest member would send are rejected.
+// TestInvalidOpinionsAreRejected checks that opinions that a correct member never sends are rejected.
 func TestInvalidOpinionsAreRejected(t *testing.T) {
 	b := newCluster(NoMutation)
 	j := b.evaluators[0]
 	ok := Rating{"n1", true}
 	for name, o := range map[string]Opinion{
-		"of a stranger": {Author: "9", Boot: 1, Seq: 1, Ratings: []Rating{ok}},
-		"of this one":   {Author: "0", Boot: 1, Seq: 9, Ratings: []Rating{ok}},
-		"too many":      {Author: "1", Boot: 1, Seq: 9, Ratings: make([]Rating, MaxRatings+1)},
-		"a long name":   {Author: "1", Boot: 1, Seq: 9, Ratings: []Rating{{Node: strings.Repeat("n", MaxNodeBytes+1)}}},
-		"too old":       {Author: "1", Boot: 1, Seq: 9, Age: time.Hour, Ratings: []Rating{ok}},
-		"from to come":  {Author: "1", Boot: 1, Seq: 9, Age: -1, Ratings: []Rating{ok}},
+		"of a non-member": {Author: "9", Boot: 1, Seq: 1, Ratings: []Rating{ok}},
+		"of this one":     {Author: "0", Boot: 1, Seq: 9, Ratings: []Rating{ok}},
+		"too many":        {Author: "1", Boot: 1, Seq: 9, Ratings: make([]Rating, MaxRatings+1)},
+		"a long name":     {Author: "1", Boot: 1, Seq: 9, Ratings: []Rating{{Node: strings.Repeat("n", MaxNodeBytes+1)}}},
+		"too old":         {Author: "1", Boot: 1, Seq: 9, Age: time.Hour, Ratings: []Rating{ok}},
+		"from the future": {Author: "1", Boot: 1, Seq: 9, Age: -1, Ratings: []Rating{ok}},
 	} {
 		j.Step(b.now, Received{[]Opinion{o}})
 		if len(j.opinions) != 0 {
-			t.Errorf("%s: taken", name)
+			t.Errorf("opinion %s: accepted", name)
 		}
 	}
 	j.Step(b.now, Received{[]Opinion{{Author: "1", Boot: 1, Seq: 9, Ratings: []Rating{ok}}}})
-	j.Step(b.now, Received{[]Opinion{{Author: "1", Boot: 2, Seq: 1}}}) // a new process of the name starts its numbers anew
+	j.Step(b.now, Received{[]Opinion{{Author: "1", Boot: 2, Seq: 1}}}) // a restarted process begins a new sequence
 	if o := j.opinions["1"]; o == nil || o.Boot != 2 {
 		t.Errorf("%+v", o)
 	}
 }
 
-// When the list becomes short while nodes are under verdict, the one condemned last goes back into use.
+// TestShortListEndsLatestVerdict checks that the node avoided last returns to use when the list becomes too short for the nodes
+// under verdict.
 func TestShortListEndsLatestVerdict(t *testing.T) {
 	j := NewEvaluator(Config{Name: "0", Zone: "z", Pace: pace, MaxPercent: 25}, 0)
 	for i, n := range []string{"n1", "n2"} {
@@ -234,14 +235,14 @@
 	}
 	j.Step(0, Evaluate{Nodes: nodes})
 	if !slices.Equal(j.avoided, []string{"n1", "n2"}) {
-		t.Errorf("%v of eight", j.avoided)
+		t.Errorf("%v avoided of eight, want n1 and n2", j.avoided)
 	}
 	j.Step(time.Minute, Evaluate{Nodes: nodes[:7]})
 	if !slices.Equal(j.avoided, []string{"n1"}) {
-		t.Errorf("%v of seven", j.avoided)
+		t.Errorf("%v avoided of seven, want n1", j.avoided)
 	}
 	j.Step(2*time.Minute, Evaluate{Nodes: nodes[:2]})
 	if len(j.avoided) != 0 {
-		t.Errorf("%v of two", j.avoided)
+		t.Errorf("%v avoided of two, want none", j.avoided)
 	}
 }
--- a/internal/sidecar/verdict/evidence.go
+++ b/internal/sidecar/verdict/evidence.go
@@ -8,32 +8,33 @@
 
 // Bounds of the evidence that one member keeps.
 const (
-	MaxNodes       = 4096             // execute nodes with evidence
-	maxSamples     = 8                // last outcomes of a node that count
-	sampleLifetime = 10 * time.Second // after which an outcome no longer counts
+	MaxNodes       = 4096             // maximum number of execute nodes with evidence
+	maxSamples     = 8                // number of the latest outcomes of a node that count
+	sampleLifetime = 10 * time.Second // age beyond which an outcome no longer counts
 )
 
 // sample is the outcome of one attempt.
 type sample struct {
 	at      time.Duration
-	latency time.Duration // of an answer
+	latency time.Duration // of a successful attempt
 	failed  bool
-	present bool // the sample was taken
+	present bool // false in a slot of the ring that was never written
 }
 
-// samples is a ring of the last outcomes of a node.
+// samples is a ring buffer of the latest outcomes at a node.
 type samples struct {
 	ring [maxSamples]sample
 	next int
 }
 
-// Tally keeps the last outcomes of attempts at each execute node, so that it reacts as fast as there is traffic. It is not safe
-// for concurrent use. The zero Tally is empty.
+// Tally keeps the latest outcomes of attempts at each execute node. It counts outcomes rather than time, so that it reacts
+// faster when there is more traffic. It is not safe for concurrent use. The zero Tally is empty.
 type Tally struct {
 	nodes map[string]*samples
 }
 
-// Count takes in the outcome of an attempt: failed, or answered after a time.
+// Count records the outcome of an attempt, and how long a successful one took. A further node beyond MaxNodes is ignored, as
+// is a node whose name is empty or too long.
 func (t *Tally) Count(now time.Duration, node string, failed bool, took time.Duration) {
 	r := t.nodes[node]
 	if r == nil {
@@ -50,27 +51,27 @@
 	r.next = (r.next + 1) % maxSamples
 }
 
-// Forget drops the outcomes of a node.
+// Forget discards the outcomes of a node.
 func (t *Tally) Forget(node string) { delete(t.nodes, node) }
 
-// Evidence is what the recent attempts of one member at a node came to.
+// Evidence summarizes the recent attempts of one member at a node.
 type Evidence struct {
 	Node                string
 	Succeeded           int
 	Failed              int
-	ConsecutiveFailures int           // since the last answer
-	Recent              []Outcome     // the last one first
-	Latency             time.Duration // mean of the answers
-	LatencySamples      int           // number of those
+	ConsecutiveFailures int           // since the last success
+	Recent              []Outcome     // latest first
+	Latency             time.Duration // mean of the successful attempts
+	LatencySamples      int           // number of attempts in that mean
 }
 
-// Outcome is when an attempt ended, and how.
+// Outcome is the time at which an attempt ended and whether it failed.
 type Outcome struct {
 	At     time.Duration
 	Failed bool
 }
 
-// Evidence returns what counts at a time, by node. It forgets the nodes without any.
+// Evidence returns the evidence that counts at a time, sorted by node. It deletes the nodes that have none left.
 func (t *Tally) Evidence(now time.Duration) (all []Evidence) {
 	for node, r := range t.nodes {
 		e := Evidence{Node: node}
--- a/internal/sidecar/verdict/limit.go
+++ b/internal/sidecar/verdict/limit.go
@@ -1,6 +1,6 @@
 package verdict
 
-// hasCapacity reports whether one more node may be under verdict, in all and in its zone.
+// hasCapacity reports whether the caps for the whole list and for the node's zone allow one more node under verdict.
 func (e *Evaluator) hasCapacity(node Node) bool {
 	if e.cfg.Mutate == NoCap {
 		return true
@@ -17,10 +17,10 @@
 	return all < e.maxAvoided(len(e.nodes), minNodes) && zone < e.maxAvoided(e.zones[node.Zone], minNodesInZone)
 }
 
-// With fewer listed nodes than these none is condemned.
+// With fewer listed nodes than these, in total and in a zone, no node is avoided.
 const minNodes, minNodesInZone = 3, 2
 
-// maxAvoided is how many of a number of nodes may be under verdict; none of fewer than least.
+// maxAvoided returns how many of a number of nodes may be under verdict: none if there are fewer than least, else at least one.
 func (e *Evaluator) maxAvoided(nodes, least int) int {
 	if nodes < least {
 		return 0
@@ -28,7 +28,7 @@
 	return max(1, nodes*e.cfg.MaxPercent/100)
 }
 
-// enforceCap ends the latest verdicts if the list has become too short for so many.
+// enforceCap ends the latest verdicts if the list has become too short for the number of nodes under verdict.
 func (e *Evaluator) enforceCap() {
 	for {
 		var latest *verdict
--- a/internal/sidecar/verdict/opinion.go
+++ b/internal/sidecar/verdict/opinion.go
@@ -14,31 +14,31 @@
 	Bad  bool   `cbor:"2,keyasint,omitempty"`
 }
 
-// Opinion is all ratings of one observer. A later opinion of the same author replaces it whole.
+// Opinion holds all ratings of one observer. A later opinion of the same author replaces it entirely.
 type Opinion struct {
 	Author  string        `cbor:"1,keyasint"`
 	Boot    uint64        `cbor:"2,keyasint"`
 	Seq     uint64        `cbor:"3,keyasint"`
-	Age     time.Duration `cbor:"4,keyasint,omitempty"` // since it was formed, without the time on links
+	Age     time.Duration `cbor:"4,keyasint,omitempty"` // since it was formed, excluding time in transit
 	Ratings []Rating      `cbor:"5,keyasint,omitempty"`
 }
 
 // Bounds of opinions.
 const (
-	MaxRatings   = 16  // nodes in an opinion
+	MaxRatings   = 16  // ratings in an opinion
 	MaxPanel     = 16  // observers of a zone whose opinions count
-	MaxZones     = 16  // zones of observers; the observers of further ones have no vote
-	MaxForwarded = 32  // opinions in a frame
-	maxVerdicts  = 256 // nodes under verdict, or with one that is remembered
+	MaxZones     = 16  // zones of observers; the observers of further zones have no vote
+	MaxForwarded = 32  // opinions in one Send action, and so in one frame
+	maxVerdicts  = 256 // nodes with a current or remembered verdict
 )
 
-// receivedOpinion is an opinion with the time at which it was formed, on this member's clock.
+// receivedOpinion is an opinion and the time on this member's clock at which it was formed.
 type receivedOpinion struct {
 	Opinion
 	madeAt time.Duration
 }
 
-// receive takes in an opinion if it is new, well-formed and its author has a vote.
+// receive stores an opinion and queues it for forwarding, if the opinion is new and well-formed and its author has a vote.
 func (e *Evaluator) receive(now time.Duration, o Opinion) {
 	_, hasVote := e.zoneOf[o.Author]
 	was := e.opinions[o.Author]
@@ -57,13 +57,13 @@
 	e.enqueue(o.Author, now+e.paces(forwardInterval))
 }
 
-// enqueue has the opinion of an author sent, from a time on.
+// enqueue schedules the opinion of an author to be sent from a time on.
 func (e *Evaluator) enqueue(author string, at time.Duration) {
 	e.toForward[author] = forwardTimes
 	e.forwardDue = min(e.forwardDue, at)
 }
 
-// forward sends new opinions, at most MaxForwarded at a time: first those that were sent the fewest times.
+// forward sends queued opinions, at most MaxForwarded at a time, starting with those that were sent the fewest times.
 func (e *Evaluator) forward(now time.Duration) {
 	var opinions []Opinion
 	fewestSent := func(a, b string) int { return cmp.Or(e.toForward[b]-e.toForward[a], cmp.Compare(a, b)) }
@@ -90,7 +90,8 @@
 	}
 }
 
-// publish forms this member's own opinion, and has it sent if it has changed or was sent long ago.
+// publish forms this member's own opinion and queues it if it has changed or if repeatInterval has passed. It also discards
+// opinions that have expired or whose author no longer has a vote.
 func (e *Evaluator) publish(now time.Duration, evidence []Evidence) {
 	for author, o := range e.opinions {
 		if _, hasVote := e.zoneOf[author]; author != e.cfg.Name && (!hasVote || now-o.madeAt > e.paces(opinionLifetime)) {
@@ -107,7 +108,7 @@
 		return
 	}
 	if own != nil && slices.Equal(own.Ratings, ratings) {
-		own.madeAt = now // it is still this member's opinion
+		own.madeAt = now // the unchanged opinion is still current
 		if len(ratings) == 0 || now-e.publishedAt < e.paces(repeatInterval) {
 			return
 		}
@@ -118,7 +119,7 @@
 	e.enqueue(e.cfg.Name, now)
 }
 
-// rateNodes rates the listed nodes by the evidence: those that are bad, and those that are good though somebody rates them bad.
+// rateNodes rates the listed nodes by the evidence. It returns the bad nodes, and the good ones that an observer rates bad.
 func (e *Evaluator) rateNodes(evidence []Evidence) (ratings []Rating) {
 	bad, good := rate(evidence, e.ratedBad, e.cfg.Mutate)
 	clear(e.ratedBad)
@@ -139,7 +140,7 @@
 	return ratings
 }
 
-// nodesRatedBad returns the listed nodes that somebody rates bad.
+// nodesRatedBad returns the listed nodes that at least one observer rates bad.
 func (e *Evaluator) nodesRatedBad() map[string]bool {
 	nodes := make(map[string]bool)
 	for _, o := range e.opinions {
--- a/internal/sidecar/verdict/panel.go
+++ b/internal/sidecar/verdict/panel.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// updateMembership takes in the nodes and the observers, and chooses the panel of each zone.
+// updateMembership replaces the nodes and the observers by those of the event, and selects the panel of each zone.
 func (e *Evaluator) updateMembership(event Evaluate) {
 	clear(e.nodes)
 	clear(e.zones)
@@ -18,7 +18,7 @@
 		e.zones[n.Zone]++
 	}
 	if slices.Equal(event.Peers, e.peers) {
-		return // the panels stay as they are
+		return // same observers, so the panels are unchanged
 	}
 	e.peers = event.Peers
 	clear(e.panels)
@@ -41,13 +41,14 @@
 	}
 }
 
-// orderByHash orders names by a hash with a salt: all members get the same order, and each salt gives another one.
+// orderByHash sorts names by a salted hash: all members compute the same order, and each salt yields a different one.
 func orderByHash(names []string, salt string) {
 	rank := func(name string) uint64 { return xxhash.Sum64String(salt + "\x00" + name) }
 	slices.SortFunc(names, func(a, b string) int { return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a, b)) })
 }
 
-// trialMembers returns the names of those that send to a node at its stage of a trial. Each verdict on it chooses others.
+// trialMembers returns the names of the members that send to a node at its current stage of a trial. Each verdict on the node
+// selects different members, since its count is part of the salt.
 func (e *Evaluator) trialMembers(node string, s *verdict) []string {
 	names := make([]string, 0, len(e.peers))
 	for _, p := range e.peers {
--- a/internal/sidecar/verdict/rating.go
+++ b/internal/sidecar/verdict/rating.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// The thresholds by which a member rates a node. Those for a node that was rated bad before are lower, so that ratings do not
-// alternate.
+// Thresholds by which a member rates a node. A node that was rated bad before has lower thresholds (hysteresis), so that its
+// rating does not flap.
 const (
-	minSamples             = 3    // outcomes of a node without which it is not rated
-	minCompared            = 3    // nodes with that many, without which none is rated
-	minConcurrent          = 8    // outcomes at other nodes since a node began to fail, without which it is not rated bad
-	badFailureRate         = 0.75 // more than at the other nodes: the node is bad
-	goodFailureRate        = 0.25 // the same for a node that was bad; with more at the other nodes none is bad
-	badConsecutiveFailures = 4    // the node is bad however many answers came before: the module soon stops sending to it
-	slowFactor             = 4    // times the median latency: the node is bad
-	recoveredFactor        = 2    // the same for a node that was bad
+	minSamples             = 3    // outcomes that a node needs to be rated
+	minCompared            = 3    // nodes with minSamples outcomes that are needed to rate any node
+	minConcurrent          = 8    // outcomes at other nodes since a node began to fail that are needed to rate it bad
+	badFailureRate         = 0.75 // a node is bad if its rate exceeds that of the other nodes by this much
+	goodFailureRate        = 0.25 // absolute threshold for a node that was bad; if the other nodes exceed it, no node is rated bad
+	badConsecutiveFailures = 4    // a node is bad after these however many successes came before, since the module soon stops sending to it
+	slowFactor             = 4    // a node is bad at this multiple of the median latency
+	recoveredFactor        = 2    // the same for a node that was bad before
 )
 
-// rate rates each node with enough evidence in comparison with the others. wasBad has those that were bad before.
+// rate compares each node that has enough evidence with the other nodes. wasBad holds the nodes that were rated bad before.
 func rate(all []Evidence, wasBad map[string]bool, mutate Mutation) (bad, good []string) {
 	all = slices.DeleteFunc(slices.Clone(all), func(e Evidence) bool { return e.Succeeded+e.Failed < minSamples })
 	if len(all) < minCompared && mutate != OwnFaults {
@@ -53,8 +53,8 @@
 	return bad, good
 }
 
-// concurrentFailureRate is the failure rate of the better two thirds of the other nodes since the first failure that counts
-// against one: a fault that has just begun at all nodes does not show in their older outcomes.
+// concurrentFailureRate returns the failure rate of the better two thirds of the other nodes since the first failure that
+// counts against a node. Older outcomes are excluded because they would hide a fault that has just begun at all nodes.
 func concurrentFailureRate(all []Evidence, at int) float64 {
 	e := all[at]
 	if e.Failed == 0 {
@@ -85,7 +85,7 @@
 		}
 	}
 	if len(counts) < minCompared-1 || seen < minConcurrent {
-		return 1 // not known yet: the node is not rated bad
+		return 1 // too little evidence: the node is not rated bad
 	}
 	slices.SortFunc(counts, func(a, b count) int { return cmp.Compare(a.failed/a.of, b.failed/b.of) })
 	var better count
@@ -95,10 +95,10 @@
 	return better.failed / better.of
 }
 
-// failureRate is the fraction of attempts that failed.
+// failureRate returns the fraction of attempts that failed.
 func failureRate(e Evidence) float64 { return float64(e.Failed) / float64(e.Succeeded+e.Failed) }
 
-// median is the median, of an even number of values the lower one of the middle two.
+// median returns the median; of an even number of values, the lower of the middle two.
 func median(all []float64) float64 {
 	if len(all) == 0 {
 		return 0
--- a/internal/sidecar/verdict/statement.go
+++ b/internal/sidecar/verdict/statement.go
@@ -10,65 +10,66 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of a table.
+// Limits of a Table.
 const (
-	MaxStatements  = 256 // nodes with a statement
-	MaxNodeBytes   = 256 // bytes of a node's name
-	maxAuthorBytes = 64  // bytes of an author's name
+	MaxStatements  = 256 // maximum number of nodes with a statement
+	MaxNodeBytes   = 256 // maximum length of a node's name
+	maxAuthorBytes = 64  // maximum length of an author's name
 )
 
-// Statement is what a member says about a node: that it is suspended or draining, or no longer so.
+// Statement is a member's declaration that a node is suspended or draining, or no longer is.
 type Statement struct {
 	Node      string `cbor:"1,keyasint" json:"node"`
 	Version   uint64 `cbor:"2,keyasint" json:"count"` // a Lamport clock
 	Author    string `cbor:"3,keyasint" json:"by"`
 	Suspended bool   `cbor:"4,keyasint,omitempty" json:"suspended,omitempty"` // or draining
-	// Since is when the draining node was started: a statement about a later process of it supersedes this one.
+	// Since is the start time of the draining node. A statement about a later process of the node supersedes this one.
 	Since time.Duration `cbor:"5,keyasint,omitempty" json:"since,omitempty"`
 }
 
-// supersedes reports whether a statement replaces another one about the same node.
+// supersedes reports whether s replaces another statement about the same node.
 func (s Statement) supersedes(other Statement) bool {
 	switch {
 	case s.Since != other.Since:
 		return s.Since > other.Since
 	case s.Version != other.Version:
 		return s.Version > other.Version
-	case s.Suspended != other.Suspended: // made on two sides of a partition: the cautious one wins
+	case s.Suspended != other.Suspended: // made on two sides of a network partition: the suspension wins, as the safe choice
 		return s.Suspended
 	}
 	return s.Author > other.Author
 }
 
-// valid reports whether the statement has a form.
+// valid reports whether the statement is well-formed.
 func (s Statement) valid() bool {
 	return s.Node != "" && len(s.Node) <= MaxNodeBytes && len(s.Author) <= maxAuthorBytes && s.Version > 0
 }
 
-// older orders statements by their versions, then by node.
+// older reports whether s sorts before another statement, by version, then by node.
 func (s Statement) older(other Statement) bool {
 	return s.Version < other.Version || s.Version == other.Version && s.Node < other.Node
 }
 
-// ErrFull reports that a table has no room for a statement about another node.
-var ErrFull = errors.New("verdict: as many execute nodes are spoken of as can be")
+// ErrFull reports that a table cannot hold a statement about another node.
+var ErrFull = errors.New("verdict: statement table full: no room for another execute node")
 
-// Table is the statements that a member knows, one a node: a map of last-writer-wins registers. The zero Table is empty. It is
-// not safe for concurrent use.
+// Table holds the statements that a member knows, one per node: a map of last-writer-wins registers. The zero Table is empty.
+// It is not safe for concurrent use.
 type Table struct {
-	// EvictsOldest has the oldest statement make room, whatever it says. Without it, only one that a node is not suspended does.
+	// EvictsOldest lets a full table evict its oldest statement, whatever it declares. If it is false, only a statement that a
+	// node is not suspended is evicted.
 	EvictsOldest bool
 	statements   map[string]Statement
-	highest      uint64 // version
+	highest      uint64 // highest version seen
 }
 
-// Declare adds a statement of this member's, under its name, that a node is suspended, or no longer so.
+// Declare adds a statement by the author, which is this member, that a node is suspended, or no longer is.
 func (t *Table) Declare(node, author string, suspended bool) (Statement, error) {
 	return t.declare(Statement{Node: node, Author: author, Suspended: suspended})
 }
 
-// DeclareDraining adds a statement of this member's, under its name, that a node that was started at a time is draining, or no
-// longer so. It reports whether that is new.
+// DeclareDraining adds a statement by the author, which is this member, that the node process started at since is draining, or
+// no longer is. It reports whether the statement is new and was added.
 func (t *Table) DeclareDraining(node, author string, since time.Duration, drains bool) (Statement, bool) {
 	was, known := t.statements[node]
 	if known && (was.Since > since || was.Since == since && was.Suspended == drains) || !known && !drains {
@@ -78,11 +79,11 @@
 	return s, err == nil
 }
 
-// declare adds a statement as the latest one.
+// declare adds a statement with a version higher than that of any known statement.
 func (t *Table) declare(s Statement) (Statement, error) {
 	s.Version = t.highest + 1
 	if !s.valid() {
-		return s, errors.New("verdict: no name of an execute node")
+		return s, errors.New("verdict: execute node's name is empty or too long, or author's name is too long")
 	}
 	if len(t.Merge([]Statement{s})) == 0 {
 		return s, ErrFull
@@ -90,8 +91,9 @@
 	return s, nil
 }
 
-// Merge takes in statements of other members and returns those that were new. In a full table, the oldest statement that a
-// node is not suspended makes room. Only then: a member that still has the suspension before it would bring that back.
+// Merge adds statements of other members and returns those that were new. A full table evicts its oldest statement that a
+// node is not suspended. No such statement is dropped earlier, because a member that still has the suspension that it
+// supersedes would reintroduce that suspension.
 func (t *Table) Merge(statements []Statement) (updates []Statement) {
 	if t.statements == nil {
 		t.statements = make(map[string]Statement)
@@ -111,7 +113,7 @@
 	return updates
 }
 
-// evict makes room for a statement, and reports whether it could.
+// evict removes a statement to make room for next, and reports whether it could.
 func (t *Table) evict(next Statement) bool {
 	oldest, found := Statement{}, false
 	for _, s := range t.statements {
@@ -119,19 +121,19 @@
 			oldest, found = s, true
 		}
 	}
-	if !found || t.EvictsOldest && !oldest.older(next) { // so that all members keep the same statements
+	if !found || t.EvictsOldest && !oldest.older(next) { // a next that is older itself is not added, so that all members keep the same statements
 		return false
 	}
 	delete(t.statements, oldest.Node)
 	return true
 }
 
-// All returns the statements, by node.
+// All returns the statements, sorted by node.
 func (t *Table) All() []Statement {
 	return slices.SortedFunc(maps.Values(t.statements), func(a, b Statement) int { return cmp.Compare(a.Node, b.Node) })
 }
 
-// Suspended returns the nodes that are suspended, or draining.
+// Suspended returns the nodes that are suspended or draining, sorted.
 func (t *Table) Suspended() (nodes []string) {
 	for _, s := range t.All() {
 		if s.Suspended {
@@ -141,7 +143,8 @@
 	return nodes
 }
 
-// Digest is a hash of the statements that does not depend on their order; 0: there are none. Members compare it over the wire.
+// Digest returns a hash of the statements that does not depend on their order, 0 if there are none. Members exchange and
+// compare it over the wire.
 func (t *Table) Digest() (sum uint64) {
 	for _, s := range t.statements {
 		state := (s.Version + uint64(s.Since)<<20) * 0x9e3779b97f4a7c15
--- a/internal/sidecar/verdict/statement_test.go
+++ b/internal/sidecar/verdict/statement_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// In whatever order statements come, and however often, all members end with the same table; and no suspension is undone by a
-// statement whose author did not know of it.
+// TestStatementsMergeInAnyOrder checks that all members converge to the same table in whatever order and however often
+// statements arrive, and that no suspension is undone by a statement whose author did not know of it.
 func TestStatementsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var members [4]Table
 		var declared []Statement
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			at := rapid.IntRange(0, 3).Draw(t, "member")
-			if len(declared) > 0 && rapid.Bool().Draw(t, "hears") { // a statement made before
+			if len(declared) > 0 && rapid.Bool().Draw(t, "hears") { // receive a statement made before
 				members[at].Merge([]Statement{declared[rapid.IntRange(0, len(declared)-1).Draw(t, "what")]})
 				continue
 			}
@@ -35,7 +35,7 @@
 				t.Fatalf("%v\n%v", members[i].All(), members[0].All())
 			}
 		}
-		for _, w := range declared { // the statement in the end was made with knowledge of all that it supersedes, or is a suspension
+		for _, w := range declared { // a final statement was made with knowledge of all that it supersedes, or is a suspension
 			for _, holds := range members[0].All() {
 				if holds.Node == w.Node && w.Suspended && !holds.Suspended && holds.Version <= w.Version {
 					t.Fatalf("%v is undone by %v", w, holds)
@@ -53,19 +53,19 @@
 		}
 	}
 	if _, err := a.Declare("one more", "m", true); err == nil {
-		t.Error("it was taken")
+		t.Error("statement about a further node accepted by a full table")
 	}
-	if _, err := a.Declare("n7", "m", false); err != nil { // restored, the node makes room
+	if _, err := a.Declare("n7", "m", false); err != nil { // a node no longer suspended may be evicted
 		t.Fatal(err)
 	}
 	if _, err := a.Declare("one more", "m", true); err != nil || len(a.All()) != MaxStatements || slices.Contains(a.Suspended(), "n7") {
 		t.Error(err, len(a.All()))
 	}
 	if len(a.Merge([]Statement{{Node: "", Version: 1}, {Node: "x"}, {Node: string(make([]byte, MaxNodeBytes+1)), Version: 9}})) != 0 {
-		t.Error("statements without a form were merged")
+		t.Error("malformed statements were merged")
 	}
 	var b Table
 	if b.Digest() != 0 || b.Digest() == a.Digest() {
-		t.Error("digests")
+		t.Error("digest of an empty table is not 0, or equals that of a full one")
 	}
 }
--- a/internal/sidecar/verdict/verdict.go
+++ b/internal/sidecar/verdict/verdict.go
@@ -1,11 +1,11 @@
-// Package verdict holds what the sidecars of a fleet say about execute nodes, without I/O or clock:
+// Package verdict holds the state that the sidecars of a fleet share about execute nodes, without I/O or clock:
 //
-//   - which nodes an operator suspended for the whole fleet, and which a member's list has as draining (Table, a map of
+//   - which nodes an operator suspended for the whole fleet, and which nodes a member's list has as draining (Table, a map of
 //     last-writer-wins registers that merge in any order, once or repeatedly);
-//   - which nodes fail or are slow in the experience of most members (Tally, Evaluator), the verdicts.
+//   - the verdicts: which nodes fail or are slow as observed by most members (Tally, Evaluator).
 //
-// It needs no voters and no agreement: each member counts the votes that it has received. docs/design/shared.md describes the
-// design, docs/sidecar/verdicts.md is the page for operators.
+// It needs no elected voters and no consensus: each member counts the votes that it has received. docs/design/shared.md
+// describes the design, docs/sidecar/verdicts.md is the page for operators.
 package verdict
 
 import (
@@ -20,27 +20,27 @@
 
 const (
 	stageAvoided stage = iota // no member sends to the node
-	stageFew                  // a trial by a few members,
-	stageHalf                 // and by half of them
-	stagePast                 // all members send to it; the verdict is remembered, so that the next one lasts longer
+	stageFew                  // a few members send to the node, as a trial
+	stageHalf                 // half of the members send to it
+	stagePast                 // all members send to it; the verdict is remembered so that a repeated one lasts longer
 )
 
-// String is the stage as operators see it.
+// String returns the stage's name in the operator's output.
 func (s stage) String() string { return [...]string{"avoid", "few", "half", "past"}[s] }
 
-// verdict is a verdict on a node.
+// verdict is the decision to avoid a node, with the trial and the time of remembrance after it.
 type verdict struct {
 	node       Node
 	stage      stage
 	avoidedAt  time.Duration
 	stageEnd   time.Duration
 	trialStart time.Duration
-	term       time.Duration // for how long the node is avoided
-	count      uint64        // how often it was condemned in a row
-	observers  []string      // who voted against it
+	term       time.Duration // how long the node is avoided
+	count      uint64        // how many times in a row the node was avoided
+	observers  []string      // members that voted against it
 }
 
-// decide advances the verdicts, and reports which nodes to avoid if that has changed.
+// decide advances all verdicts, and emits Avoid if the nodes to avoid have changed.
 func (e *Evaluator) decide(now time.Duration) {
 	names := e.nodesRatedBad()
 	for n := range e.verdicts {
@@ -65,7 +65,7 @@
 	}
 }
 
-// advance advances the verdict on a node, or makes one.
+// advance advances the verdict on a node, or creates one if the votes suffice.
 func (e *Evaluator) advance(now time.Duration, name string) {
 	v := e.verdicts[name]
 	node, listed := e.nodes[name]
@@ -100,7 +100,8 @@
 	}
 }
 
-// beginTrial lets few members send to a node whose term is over. Evidence from before must not count against it.
+// beginTrial lets a few members send to a node whose term is over. It discards the evidence from before the trial, which must
+// not count against the node.
 func (e *Evaluator) beginTrial(now time.Duration, name string, v *verdict) {
 	v.stage, v.trialStart, v.stageEnd = stageFew, now, now+e.paces(trialStage)
 	if e.cfg.Mutate == AllAtOnce {
@@ -110,7 +111,8 @@
 	delete(e.ratedBad, name)
 }
 
-// advanceTrial condemns a node again if most of those that try it rate it bad, and else goes on to the next stage in time.
+// advanceTrial avoids a node again if most of the members in the trial rate it bad, and otherwise enters the next stage when
+// the current one is over.
 func (e *Evaluator) advanceTrial(now time.Duration, name string, v *verdict, bad, good []string) {
 	members := e.trialMembers(name, v)
 	against := 0
@@ -134,13 +136,13 @@
 	}
 }
 
-// avoid has a node avoided for the verdict's term.
+// avoid starts the avoidance of a node for the verdict's term.
 func (e *Evaluator) avoid(now time.Duration, name string, v *verdict, observers []string) {
 	v.stage, v.avoidedAt, v.stageEnd, v.count, v.observers = stageAvoided, now, now+v.term, v.count+1, observers
 	e.out = append(e.out, LogEntry{Node: name, Event: "avoided", Observers: observers, Term: v.term})
 }
 
-// avoidAgain does so for twice as long as before.
+// avoidAgain starts the avoidance of a node for twice the previous term, up to maxTerm.
 func (e *Evaluator) avoidAgain(now time.Duration, name string, v *verdict, observers []string) {
 	v.term = min(2*v.term, e.paces(maxTerm))
 	e.avoid(now, name, v, observers)
--- a/internal/sidecar/verdict/vote.go
+++ b/internal/sidecar/verdict/vote.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// votes returns who rates a node bad, in order, and who good, by the opinions that were formed after a time.
+// votes returns the observers that rate a node bad, sorted, and those that rate it good, in no order, by the opinions that
+// were formed after a time.
 func (e *Evaluator) votes(node string, after time.Duration) (bad, good []string) {
 	for author, o := range e.opinions {
 		for _, rating := range o.Ratings {
@@ -22,11 +23,11 @@
 	return bad, good
 }
 
-// minVotes is how many observers must rate a node bad, however few there are.
+// minVotes is the minimum number of observers that must rate a node bad, however few observers there are.
 const minVotes = 2
 
-// votesSuffice reports whether the votes on a node suffice to avoid it in this member's zone: those of the zone's majority, or of
-// the majorities of two other zones, unless most of this zone's observers rate it good.
+// votesSuffice reports whether the votes on a node suffice to avoid it in this member's zone. That takes the majority of the
+// zone's panel, or the majorities of two other zones unless most of this zone's panel rates the node good.
 func (e *Evaluator) votesSuffice(bad, good []string) bool {
 	zones, here := 0, false
 	countByZone := func(names []string) map[string]int {
