--- a/internal/sidecar/config/operator.go
+++ b/internal/sidecar/config/operator.go
@@ -32,13 +32,13 @@
 // Operator is the operator's own file: what the platform does not tell. A section that it does not name is off or at
 // its defaults. Each section's type is that of the package that it sets.
 type Operator struct {
-	Version  int               `toml:"version"`
-	Log      logging.Settings  `toml:"log"`
-	Frontend frontend.Settings `toml:"front"`
-	Replace  handover.Settings `toml:"replace"`
-	Fleet    settings.Settings `toml:"fleet"`
-	Quota    quota.All         `toml:"quota"`
-	Rules    rules.Settings    `toml:"rules"`
+	Version  int                `toml:"version"`
+	Log      logging.Settings   `toml:"log"`
+	Frontend frontend.Settings  `toml:"front"`
+	Replace  handover.Settings  `toml:"replace"`
+	Fleet    settings.Settings  `toml:"fleet"`
+	Quota    quota.SettingsList `toml:"quota"`
+	Rules    rules.Settings     `toml:"rules"`
 }
 
 // OperatorDefaults are the settings where there is no operator's file.
--- a/internal/sidecar/daemon/fleet.go
+++ b/internal/sidecar/daemon/fleet.go
@@ -40,7 +40,7 @@
 
 	mu       sync.Mutex
 	settings settings.Settings // in force, as the next two
-	quotas   quota.All
+	quotas   quota.SettingsList
 	rules    rules.Settings
 	fleet    Fleet          // nil: off
 	listed   []verdict.Node // servers that take attempts
@@ -49,7 +49,7 @@
 
 // start joins the fleet that the settings name. A process that replaces another tries until that one has left the address,
 // and serves alone if it does not in time.
-func (c *fleetClient) start(s settings.Settings, q quota.All, r rules.Settings, replaces bool) error {
+func (c *fleetClient) start(s settings.Settings, q quota.SettingsList, r rules.Settings, replaces bool) error {
 	c.mu.Lock()
 	c.settings, c.quotas, c.rules = s, q, r
 	c.mu.Unlock()
@@ -78,7 +78,7 @@
 	}
 }
 
-func (c *fleetClient) options(s settings.Settings, q quota.All, r rules.Settings) FleetOptions {
+func (c *fleetClient) options(s settings.Settings, q quota.SettingsList, r rules.Settings) FleetOptions {
 	return FleetOptions{Settings: s, Quotas: q, Rules: r, Name: c.name, Suspensions: c.suspensions.restore(),
 		SuspensionsChanged: c.suspensions.onChanged, Zone: c.zone, Avoid: c.relay.SetEjected, DrainingChanged: c.suspensions.reportDraining,
 		Tenants: c.tenants, AllotmentChanged: c.relay.SetTenantAllowance}
@@ -156,7 +156,7 @@
 }
 
 // update takes over settings that may change while the fleet runs.
-func (c *fleetClient) update(s settings.Settings, q quota.All, r rules.Settings) {
+func (c *fleetClient) update(s settings.Settings, q quota.SettingsList, r rules.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.settings, c.quotas, c.rules = s, q, r
@@ -166,7 +166,7 @@
 }
 
 // restart leaves the fleet and joins the one that the settings name.
-func (c *fleetClient) restart(s settings.Settings, q quota.All, r rules.Settings) {
+func (c *fleetClient) restart(s settings.Settings, q quota.SettingsList, r rules.Settings) {
 	c.stop(false)
 	c.mu.Lock()
 	c.fleet = nil
--- a/internal/sidecar/daemon/main.go
+++ b/internal/sidecar/daemon/main.go
@@ -42,7 +42,7 @@
 	// Recover has the voters begin anew with this process.
 	Recover() error
 	// SetQuotas replaces the limits of the fleet.
-	SetQuotas(all quota.All)
+	SetQuotas(all quota.SettingsList)
 	// CheckRules reads the rules' file of new settings.
 	CheckRules(next rules.Settings) error
 	// SetRules takes over what CheckRules has read, and pushes it.
--- a/internal/sidecar/fleet/limitgates.go
+++ b/internal/sidecar/fleet/limitgates.go
@@ -45,13 +45,13 @@
 		}
 		slot, after, ok := quota.NoSlot, time.Duration(0), false
 		switch {
-		case g.Shares: // beyond its allowance a tenant's request has a lower value, and is not rejected
+		case g.DividesAllowances: // beyond its allowance a tenant's request has a lower value, and is not rejected
 			g.gate.Take(now, now)
 			continue
 		case g.Leased():
 			slot, after, ok = g.gate.TakeReduced(now, ends.Sub(l.origin), g.Reduced(warm))
 		default:
-			after, ok = g.gate.CountRetry(again, g.Limit().Total)
+			after, ok = g.gate.AdmitByRetryBudget(again, g.Limit().Total)
 		}
 		if !ok {
 			for _, p := range passed {
@@ -103,10 +103,10 @@
 	limit := g.Limit()
 	if !g.Leased() {
 		kind := "again_pct"
-		if g.Retry > 0 {
+		if g.AttemptRetryPercent > 0 {
 			kind = "retry_pct"
 		}
-		return fmt.Sprintf("%s %s limit=%g here=%g lease=none let=%d refused=%d", g.Name, kind, g.Again+g.Retry, g.Again+g.Retry, g.gate.Admitted, g.gate.Rejected)
+		return fmt.Sprintf("%s %s limit=%g here=%g lease=none let=%d refused=%d", g.Name, kind, g.ClientRetryPercent+g.AttemptRetryPercent, g.ClientRetryPercent+g.AttemptRetryPercent, g.gate.Admitted, g.gate.Rejected)
 	}
 	kind, format := "in_flight", func(u quota.Unit) string { return fmt.Sprint(u) }
 	if limit.Kind == quota.Rate {
--- a/internal/sidecar/fleet/limits.go
+++ b/internal/sidecar/fleet/limits.go
@@ -25,7 +25,7 @@
 	withdrawn      []string     // tenants whose allowance is no longer divided by demand
 	attemptGates   []*limitGate // of attempts, for all nodes
 	nodeGates      map[string][]*limitGate
-	settings       quota.All
+	settings       quota.SettingsList
 	nodes          []string
 }
 
@@ -45,7 +45,7 @@
 }
 
 // set replaces the limits. Gates of limits that stay keep their counts. It returns the limits that the fleet divides.
-func (l *limits) set(all quota.All) (list []quota.Limit) {
+func (l *limits) set(all quota.SettingsList) (list []quota.Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settings = all
@@ -65,7 +65,7 @@
 		return nil, false
 	}
 	l.nodes = names
-	if !slices.ContainsFunc(l.settings, func(s quota.Settings) bool { return s.Node > 0 }) {
+	if !slices.ContainsFunc(l.settings, func(s quota.Settings) bool { return s.NodeInFlight > 0 }) {
 		return nil, false
 	}
 	return l.rebuild(), true
@@ -84,15 +84,15 @@
 	}
 	for _, s := range l.settings {
 		switch {
-		case s.Node > 0:
+		case s.NodeInFlight > 0:
 			for _, node := range l.nodes {
 				if len(list) < quota.MaxLimits {
 					l.nodeGates[node] = append(l.nodeGates[node], add(s.ForNode(node)))
 				}
 			}
-		case s.Retry > 0:
+		case s.AttemptRetryPercent > 0:
 			l.attemptGates = append(l.attemptGates, add(s))
-		case s.Shares:
+		case s.DividesAllowances:
 			for _, tenant := range l.tenants {
 				if tenant.Allowance > 0 && len(list) < quota.MaxLimits {
 					g := add(s.ForTenant(tenant.Name, tenant.Allowance))
@@ -107,7 +107,7 @@
 		}
 	}
 	for _, g := range allowancesBefore {
-		if !slices.ContainsFunc(l.tenantGates[g.Tenant], func(gate *limitGate) bool { return gate.Shares }) {
+		if !slices.ContainsFunc(l.tenantGates[g.Tenant], func(gate *limitGate) bool { return gate.DividesAllowances }) {
 			l.withdrawn = append(l.withdrawn, g.Tenant)
 		}
 	}
--- a/internal/sidecar/fleet/limits_test.go
+++ b/internal/sidecar/fleet/limits_test.go
@@ -21,10 +21,10 @@
 
 func TestAdmit(t *testing.T) {
 	l := &limits{origin: time.Now()}
-	leased := l.set(quota.All{
+	leased := l.set(quota.SettingsList{
 		{Name: "all", InFlight: 3, Members: 1},
 		{Name: "orders of a", Class: "order", Tenant: "a", InFlight: 1, Members: 1},
-		{Name: "repeats", Again: 10},
+		{Name: "repeats", ClientRetryPercent: 10},
 	})
 	if len(leased) != 2 {
 		t.Fatalf("%v are leased", leased)
@@ -52,7 +52,7 @@
 	}
 	take("look", "b", true, false)
 	// A limit that stays keeps its count; a new one has no share at first.
-	l.set(quota.All{{Name: "all", InFlight: 3, Members: 1}, {Name: "new", Class: "pay", PerSecond: 5, Members: 1}})
+	l.set(quota.SettingsList{{Name: "all", InFlight: 3, Members: 1}, {Name: "new", Class: "pay", PerSecond: 5, Members: 1}})
 	if in, _ := l.demand("all", time.Since(l.origin)); in < 2 {
 		t.Errorf("%d in flight after the change", in)
 	}
@@ -77,7 +77,7 @@
 	}
 	before := heap()
 	l := &limits{origin: time.Now(), tenants: tenants}
-	list := l.set(quota.All{{Name: "shares", Shares: true, Members: 8}})
+	list := l.set(quota.SettingsList{{Name: "shares", DividesAllowances: true, Members: 8}})
 	h := quota.NewHolder(quota.Times{ReportInterval: time.Second, Lease: time.Minute}, 1, 0, quota.NoMutation)
 	h.SetLimits(list)
 	l.updateShares(h)
@@ -124,7 +124,7 @@
 // Limits of attempts: each node has its own, and a node that leaves the list loses them.
 func TestClaimsAtNodes(t *testing.T) {
 	l := &limits{origin: time.Now()}
-	l.set(quota.All{{Name: "each", Node: 2, Members: 1}, {Name: "retries", Retry: 10}})
+	l.set(quota.SettingsList{{Name: "each", NodeInFlight: 2, Members: 1}, {Name: "retries", AttemptRetryPercent: 10}})
 	list, changed := l.setNodes([]verdict.Node{{Name: "a"}, {Name: "b"}})
 	if !changed || len(list) != 2 || list[0].Name != "each/a" {
 		t.Fatalf("%v", list)
--- a/internal/sidecar/fleet/options/options.go
+++ b/internal/sidecar/fleet/options/options.go
@@ -13,7 +13,7 @@
 // Options are what a fleet is started with.
 type Options struct {
 	Settings    settings.Settings
-	Quotas      quota.All
+	Quotas      quota.SettingsList
 	Rules       rules.Settings
 	Name        string              // the sidecar's, if the settings have none
 	Suspensions []verdict.Statement // on suspended execute nodes, stored by an earlier process
--- a/internal/sidecar/fleet/reload.go
+++ b/internal/sidecar/fleet/reload.go
@@ -10,7 +10,7 @@
 )
 
 // SetQuotas replaces the limits of the fleet.
-func (f *Fleet) SetQuotas(all quota.All) {
+func (f *Fleet) SetQuotas(all quota.SettingsList) {
 	f.box.Put(func() {
 		f.rules.fileLimits = all
 		if !f.rules.hasEditionLimits { // limits of the edition in force take precedence over the file's
--- a/internal/sidecar/fleet/rules.go
+++ b/internal/sidecar/fleet/rules.go
@@ -18,11 +18,11 @@
 
 // rulesState is the actor's state of rules.
 type rulesState struct {
-	enabled          bool          // set before the actor starts
-	storeOptions     store.Options // of the stored edition in force; without a path none is stored
-	pushedDigest     rules.Digest  // of what was last read from the file of rules
-	fileLimits       quota.All     // those of the operator's file
-	hasEditionLimits bool          // the edition in force has limits, which take precedence
+	enabled          bool               // set before the actor starts
+	storeOptions     store.Options      // of the stored edition in force; without a path none is stored
+	pushedDigest     rules.Digest       // of what was last read from the file of rules
+	fileLimits       quota.SettingsList // those of the operator's file
+	hasEditionLimits bool               // the edition in force has limits, which take precedence
 
 	// Figures, read from any goroutine.
 	editionNumber atomic.Int64 // of the edition in force
--- a/internal/sidecar/quota/gate.go
+++ b/internal/sidecar/quota/gate.go
@@ -89,9 +89,9 @@
 // maxSavedRetries is for how many retries tokens are saved.
 const maxSavedRetries = 10
 
-// CountRetry admits a first request, which earns retries a share of a token, or, if again is set, a retry if there is a token
+// AdmitByRetryBudget admits a first request, which earns retries a share of a token, or, if again is set, a retry if there is a token
 // for it. after is a guess: it depends on the requests of others.
-func (g *Gate) CountRetry(again bool, share Unit) (after time.Duration, ok bool) {
+func (g *Gate) AdmitByRetryBudget(again bool, share Unit) (after time.Duration, ok bool) {
 	const one = requestCost / int64(time.Second/time.Microsecond) // in units
 	if !again {
 		g.tokens = min(g.tokens+share, maxSavedRetries*one)
--- a/internal/sidecar/quota/gate_test.go
+++ b/internal/sidecar/quota/gate_test.go
@@ -75,17 +75,17 @@
 
 // Retries are a fraction of the other requests, and what may be saved.
 func TestRepeatsAreAPartOfRequests(t *testing.T) {
-	share := Settings{Again: 20}.Limit().Total
+	share := Settings{ClientRetryPercent: 20}.Limit().Total
 	g := NewGate(Retries, 0, 0)
 	let := 0
 	for i := range 1000 {
-		if after, ok := g.CountRetry(true, share); ok {
+		if after, ok := g.AdmitByRetryBudget(true, share); ok {
 			let++
 		} else if after <= 0 {
 			t.Fatal("turned back without a word when to come again")
 		}
 		if i%2 == 0 { // 500 first requests among 1,000 retries
-			g.CountRetry(false, share)
+			g.AdmitByRetryBudget(false, share)
 		}
 	}
 	if let != 100+maxSavedRetries {
@@ -96,16 +96,16 @@
 func TestSettings(t *testing.T) {
 	good := Settings{Name: "a", PerSecond: 100, Floor: 20, Members: 8}
 	for name, c := range map[string]struct {
-		all   All
+		all   SettingsList
 		fleet bool
 		keys  string
 	}{
-		"a rate, a limit in flight, repeats": {All{good, {Name: "b", InFlight: 4, Members: 2, Policy: "available"}, {Name: "c", Again: 10}}, true, ""},
-		"without a fleet":                    {All{good}, false, "[0].name "},
-		"a name twice":                       {All{good, good}, true, "[1].name "},
-		"two kinds in one":                   {All{{Name: "a", PerSecond: 1, InFlight: 1, Members: 1}}, true, "[0].per_second "},
-		"nothing but a name":                 {All{{Name: "a"}}, true, "[0].per_second [0].members "},
-		"out of range":                       {All{{Name: "a", Again: -1, Floor: 101, Members: -1, Policy: "lax", Burst: -1}}, true, "[0].per_second [0].floor_pct [0].members [0].policy [0].burst_ms "},
+		"a rate, a limit in flight, repeats": {SettingsList{good, {Name: "b", InFlight: 4, Members: 2, Policy: "available"}, {Name: "c", ClientRetryPercent: 10}}, true, ""},
+		"without a fleet":                    {SettingsList{good}, false, "[0].name "},
+		"a name twice":                       {SettingsList{good, good}, true, "[1].name "},
+		"two kinds in one":                   {SettingsList{{Name: "a", PerSecond: 1, InFlight: 1, Members: 1}}, true, "[0].per_second "},
+		"nothing but a name":                 {SettingsList{{Name: "a"}}, true, "[0].per_second [0].members "},
+		"out of range":                       {SettingsList{{Name: "a", ClientRetryPercent: -1, Floor: 101, Members: -1, Policy: "lax", Burst: -1}}, true, "[0].per_second [0].floor_pct [0].members [0].policy [0].burst_ms "},
 	} {
 		keys := ""
 		c.all.Check(c.fleet, func(key string, read any, allowed string) { keys += key + " " })
@@ -134,7 +134,7 @@
 
 // At a node that is warming up fewer requests may be in flight, but one of each member if that is within the limit.
 func TestCutOfAColdNode(t *testing.T) {
-	s := Settings{Name: "n", Node: 40, Members: 4}
+	s := Settings{Name: "n", NodeInFlight: 40, Members: 4}
 	for _, c := range []struct {
 		warm float64
 		want int
--- a/internal/sidecar/quota/settings.go
+++ b/internal/sidecar/quota/settings.go
@@ -7,19 +7,19 @@
 
 // Settings are one table of the section quota of the operator's file: a limit of the whole fleet.
 type Settings struct {
-	Name      string  `toml:"name"`           // identifies the limit; the same at all members
-	Class     string  `toml:"class"`          // which requests: of a class,
-	Tenant    string  `toml:"tenant"`         // of a tenant, or of both; neither: all
-	PerSecond float64 `toml:"per_second"`     // a rate, or
-	InFlight  int     `toml:"in_flight"`      // requests at a time
-	Again     float64 `toml:"again_pct"`      // retries by clients, in percent of the other requests
-	Retry     float64 `toml:"retry_pct"`      // attempts after the first, in percent of those
-	Node      int     `toml:"node_in_flight"` // attempts at a time at each execute node
-	Shares    bool    `toml:"allowances"`     // divides the allowance of each tenant of the settings; nothing is rejected
-	Floor     int     `toml:"floor_pct"`      // percent that is reserved, in equal shares, for members names
-	Members   int     `toml:"members"`        // bound on the number of sidecars
-	Policy    string  `toml:"policy"`         // strict or available
-	Burst     int     `toml:"burst_ms"`       // of a rate: for how long unused requests are saved
+	Name                string  `toml:"name"`           // identifies the limit; the same at all members
+	Class               string  `toml:"class"`          // which requests: of a class,
+	Tenant              string  `toml:"tenant"`         // of a tenant, or of both; neither: all
+	PerSecond           float64 `toml:"per_second"`     // a rate, or
+	InFlight            int     `toml:"in_flight"`      // requests at a time
+	ClientRetryPercent  float64 `toml:"again_pct"`      // retries by clients, in percent of the other requests
+	AttemptRetryPercent float64 `toml:"retry_pct"`      // attempts after the first, in percent of those
+	NodeInFlight        int     `toml:"node_in_flight"` // attempts at a time at each execute node
+	DividesAllowances   bool    `toml:"allowances"`     // divides the allowance of each tenant of the settings; nothing is rejected
+	Floor               int     `toml:"floor_pct"`      // percent that is reserved, in equal shares, for members names
+	Members             int     `toml:"members"`        // bound on the number of sidecars
+	Policy              string  `toml:"policy"`         // strict or available
+	Burst               int     `toml:"burst_ms"`       // of a rate: for how long unused requests are saved
 }
 
 const (
@@ -35,11 +35,11 @@
 	defaultBurst    = 100
 )
 
-// All are the tables of the section.
-type All []Settings
+// SettingsList are the tables of the section.
+type SettingsList []Settings
 
 // Check calls fault for each key whose value cannot be used. fleet says whether the file names a fleet.
-func (all All) Check(fleet bool, fault func(key string, read any, allowed string)) {
+func (all SettingsList) Check(fleet bool, fault func(key string, read any, allowed string)) {
 	if len(all) > MaxLimits {
 		fault("", len(all), fmt.Sprintf("%d tables at most", MaxLimits))
 	}
@@ -51,13 +51,13 @@
 		}
 		seen[s.Name] = true
 		named := 0
-		for _, is := range []bool{s.PerSecond != 0, s.InFlight != 0, s.Again != 0, s.Retry != 0, s.Node != 0, s.Shares} {
+		for _, is := range []bool{s.PerSecond != 0, s.InFlight != 0, s.ClientRetryPercent != 0, s.AttemptRetryPercent != 0, s.NodeInFlight != 0, s.DividesAllowances} {
 			if is {
 				named++
 			}
 		}
-		if named != 1 || s.PerSecond < 0 || s.PerSecond > maxRate || s.InFlight < 0 || s.InFlight > maxSlots || s.Again < 0 || s.Again > maxRetryPercent ||
-			s.Retry < 0 || s.Retry > maxRetryPercent || s.Node < 0 || s.Node > maxSlots {
+		if named != 1 || s.PerSecond < 0 || s.PerSecond > maxRate || s.InFlight < 0 || s.InFlight > maxSlots || s.ClientRetryPercent < 0 || s.ClientRetryPercent > maxRetryPercent ||
+			s.AttemptRetryPercent < 0 || s.AttemptRetryPercent > maxRetryPercent || s.NodeInFlight < 0 || s.NodeInFlight > maxSlots {
 			fault(key("per_second"), s.PerSecond, fmt.Sprintf("one of per_second (over 0, up to %g), in_flight and node_in_flight (1 to %d), again_pct and retry_pct (over 0, up to %d), allowances = true",
 				maxRate, maxSlots, maxRetryPercent))
 		}
@@ -85,12 +85,12 @@
 	switch {
 	case s.InFlight > 0:
 		l.Kind, l.Total = InFlight, Unit(s.InFlight)
-	case s.Again > 0:
-		l.Kind, l.Total = Retries, Unit(s.Again*float64(PerSecond)/100)
-	case s.Retry > 0:
-		l.Kind, l.Total = Retries, Unit(s.Retry*float64(PerSecond)/100)
-	case s.Node > 0:
-		l.Kind, l.Total = InFlight, Unit(s.Node)
+	case s.ClientRetryPercent > 0:
+		l.Kind, l.Total = Retries, Unit(s.ClientRetryPercent*float64(PerSecond)/100)
+	case s.AttemptRetryPercent > 0:
+		l.Kind, l.Total = Retries, Unit(s.AttemptRetryPercent*float64(PerSecond)/100)
+	case s.NodeInFlight > 0:
+		l.Kind, l.Total = InFlight, Unit(s.NodeInFlight)
 	}
 	return l
 }
@@ -104,10 +104,10 @@
 }
 
 // Leased reports whether shares of the limit are leased.
-func (s Settings) Leased() bool { return s.Again == 0 && s.Retry == 0 }
+func (s Settings) Leased() bool { return s.ClientRetryPercent == 0 && s.AttemptRetryPercent == 0 }
 
 // CountsAttempts reports whether the limit counts attempts at execute nodes, not requests.
-func (s Settings) CountsAttempts() bool { return s.Retry > 0 || s.Node > 0 }
+func (s Settings) CountsAttempts() bool { return s.AttemptRetryPercent > 0 || s.NodeInFlight > 0 }
 
 // Reduced returns how much of the limit may be used at a node that is warming up and has a fraction of its capacity. If that is
 // enough for one request in flight of each member, each may have one.
@@ -140,14 +140,14 @@
 // Bound returns the guarantee with the figures of the settings, as a line for the operator.
 func (s Settings) Bound() string {
 	l := s.Limit()
-	if s.Retry > 0 {
-		return fmt.Sprintf("quota %s: attempts after the first are %g%% of those at the most, and %d for each member, whatever fails", s.Name, s.Retry, maxSavedRetries)
+	if s.AttemptRetryPercent > 0 {
+		return fmt.Sprintf("quota %s: attempts after the first are %g%% of those at the most, and %d for each member, whatever fails", s.Name, s.AttemptRetryPercent, maxSavedRetries)
 	}
-	if s.Shares {
+	if s.DividesAllowances {
 		return fmt.Sprintf("quota %s: the parts of each tenant's allowance sum to it, and with cut members without a lease to cut/%d of its pool more", s.Name, s.Members)
 	}
 	if l.Kind == Retries {
-		return fmt.Sprintf("quota %s: repeats are let through as %g%% of the other requests, and %d for each member, whatever fails", s.Name, s.Again, maxSavedRetries)
+		return fmt.Sprintf("quota %s: repeats are let through as %g%% of the other requests, and %d for each member, whatever fails", s.Name, s.ClientRetryPercent, maxSavedRetries)
 	}
 	show := func(u Unit) string {
 		if l.Kind == Rate {
@@ -156,7 +156,7 @@
 		return fmt.Sprintf("%d in flight", u)
 	}
 	each := ""
-	if s.Node > 0 {
+	if s.NodeInFlight > 0 {
 		each = " at each execute node"
 	}
 	line := fmt.Sprintf("quota %s: %s%s for the fleet, %s of it for each of %d members whatever fails; ", s.Name, show(l.Total), each, show(l.floor()), l.MaxMembers)
--- a/internal/sidecar/rules/file.go
+++ b/internal/sidecar/rules/file.go
@@ -68,8 +68,8 @@
 }
 
 type limitsFile struct {
-	Format string    `toml:"format"`
-	Quota  quota.All `toml:"quota"`
+	Format string             `toml:"format"`
+	Quota  quota.SettingsList `toml:"quota"`
 }
 
 // parser parses a file of rules and collects its faults.
@@ -197,7 +197,7 @@
 func (p *parser) limits(l *limitsFile) []Rule {
 	format, err := ParseFormat(cmp.Or(l.Format, "1"))
 	if err != nil || !Supported().Has(Limits, format) {
-		p.fault("limits.format", "%q is not read by this program: %s is", l.Format, Reads{Limits: Supported()[Limits]})
+		p.fault("limits.format", "%q is not read by this program: %s is", l.Format, FormatSet{Limits: Supported()[Limits]})
 	}
 	l.Quota.Check(true, func(key string, read any, allowed string) {
 		p.fault("limits.quota"+key, "%v; allowed: %s", read, allowed)
--- a/internal/sidecar/rules/limits.go
+++ b/internal/sidecar/rules/limits.go
@@ -33,21 +33,21 @@
 const thousand = 1000
 
 // Settings returns the limits in the form of the operator's file.
-func (l *LimitRules) Settings() (all quota.All) {
+func (l *LimitRules) Settings() (all quota.SettingsList) {
 	for _, q := range l.Quotas {
 		all = append(all, quota.Settings{Name: q.Name, Class: q.Class, Tenant: q.Tenant, PerSecond: float64(q.PerSecond) / thousand, InFlight: q.InFlight,
-			Again: float64(q.Again) / thousand, Retry: float64(q.Retry) / thousand, Node: q.Node, Shares: q.Shares, Floor: q.Floor, Members: q.Members,
+			ClientRetryPercent: float64(q.Again) / thousand, AttemptRetryPercent: float64(q.Retry) / thousand, NodeInFlight: q.Node, DividesAllowances: q.Shares, Floor: q.Floor, Members: q.Members,
 			Policy: q.Policy, Burst: q.Burst})
 	}
 	return all
 }
 
 // LimitsRule returns the rule of limits, and an error if a limit has an invalid value.
-func LimitsRule(all quota.All) (Rule, error) {
+func LimitsRule(all quota.SettingsList) (Rule, error) {
 	l := LimitRules{}
 	for _, s := range all {
 		l.Quotas = append(l.Quotas, Quota{Name: s.Name, Class: s.Class, Tenant: s.Tenant, PerSecond: int64(s.PerSecond*thousand + 0.5), InFlight: s.InFlight,
-			Again: int64(s.Again*thousand + 0.5), Retry: int64(s.Retry*thousand + 0.5), Node: s.Node, Shares: s.Shares, Floor: s.Floor, Members: s.Members,
+			Again: int64(s.ClientRetryPercent*thousand + 0.5), Retry: int64(s.AttemptRetryPercent*thousand + 0.5), Node: s.NodeInFlight, Shares: s.DividesAllowances, Floor: s.Floor, Members: s.Members,
 			Policy: s.Policy, Burst: s.Burst})
 	}
 	return Rule{Kind: Limits, Format: Format{1, 0}, Body: encode(&l)}, l.check()
--- a/internal/sidecar/rules/rules.go
+++ b/internal/sidecar/rules/rules.go
@@ -17,9 +17,9 @@
 
 // Bounds of editions.
 const (
-	MaxBytes      = 64 << 10 // size of an edition's canonical form
-	MaxReadsBytes = 128      // of the formats that a member says it reads
-	maxKinds      = 8
+	MaxBytes          = 64 << 10 // size of an edition's canonical form
+	MaxFormatSetBytes = 128      // of the formats that a member says it reads
+	maxKinds          = 8
 )
 
 // Kind is what a rule is about.
@@ -57,16 +57,16 @@
 	return f, nil
 }
 
-// Reads is the formats that a program reads, by kind: of each major version the highest minor one.
-type Reads map[Kind][]Format
+// FormatSet is the formats that a program reads, by kind: of each major version the highest minor one.
+type FormatSet map[Kind][]Format
 
 // Supported returns what this program reads.
-func Supported() Reads {
-	return Reads{Sampling: {{1, 0}, {2, 0}}, Limits: {{1, 0}}}
+func Supported() FormatSet {
+	return FormatSet{Sampling: {{1, 0}, {2, 0}}, Limits: {{1, 0}}}
 }
 
 // String is the form in a member's record: "limits 1.0;sampling 1.0,2.0".
-func (r Reads) String() string {
+func (r FormatSet) String() string {
 	var kinds []string
 	for k, formats := range r {
 		var all []string
@@ -79,11 +79,11 @@
 	return strings.Join(kinds, ";")
 }
 
-// ParseReads parses that form. The empty text is of a program from before there were rules, which reads none.
-func ParseReads(text string) (Reads, error) {
-	r := Reads{}
-	if len(text) > MaxReadsBytes {
-		return nil, fmt.Errorf("rules: what is read takes %d bytes, %d at most", len(text), MaxReadsBytes)
+// ParseFormatSet parses that form. The empty text is of a program from before there were rules, which reads none.
+func ParseFormatSet(text string) (FormatSet, error) {
+	r := FormatSet{}
+	if len(text) > MaxFormatSetBytes {
+		return nil, fmt.Errorf("rules: what is read takes %d bytes, %d at most", len(text), MaxFormatSetBytes)
 	}
 	for part := range strings.SplitSeq(text, ";") {
 		if part == "" {
@@ -105,7 +105,7 @@
 }
 
 // Has reports whether a format of a kind is read.
-func (r Reads) Has(k Kind, f Format) bool {
+func (r FormatSet) Has(k Kind, f Format) bool {
 	return slices.ContainsFunc(r[k], func(g Format) bool { return g.Major == f.Major && g.Minor >= f.Minor })
 }
 
@@ -187,7 +187,7 @@
 
 // Read decodes an edition, as a program with the given formats does. The error is a *ReadError, or says that the edition is too
 // long or malformed.
-func Read(e Edition, reads Reads) (*Compiled, error) {
+func Read(e Edition, reads FormatSet) (*Compiled, error) {
 	c := &Compiled{Edition: e}
 	if size := len(encode(e.Rules)); size > MaxBytes {
 		return nil, fmt.Errorf("rules: %d bytes, %d at most", size, MaxBytes)
@@ -206,7 +206,7 @@
 			return nil, bad("kind not known")
 		}
 		if !reads.Has(r.Kind, r.Format) {
-			return nil, bad("format not read, only %s", Reads{r.Kind: reads[r.Kind]})
+			return nil, bad("format not read, only %s", FormatSet{r.Kind: reads[r.Kind]})
 		}
 		var err error
 		switch r.Kind {
@@ -235,9 +235,9 @@
 	return nil
 }
 
-// Lower rewrites an edition in formats that a program reads. lost names what would be lost by that; if there is anything, the
+// Downgrade rewrites an edition in formats that a program reads. lost names what would be lost by that; if there is anything, the
 // result must not be used.
-func Lower(e Edition, reads Reads) (lower Edition, lost []string) {
+func Downgrade(e Edition, reads FormatSet) (lower Edition, lost []string) {
 	lower.Number = e.Number
 	for _, r := range e.Rules {
 		if reads.Has(r.Kind, r.Format) {
--- a/internal/sidecar/rules/rules_test.go
+++ b/internal/sidecar/rules/rules_test.go
@@ -147,7 +147,7 @@
 // A program reports what it does not read, by kind, format and feature.
 func TestMisread(t *testing.T) {
 	e := parse(t, good)
-	one := Reads{Sampling: {{1, 0}}, Limits: {{1, 0}}}
+	one := FormatSet{Sampling: {{1, 0}}, Limits: {{1, 0}}}
 	later := e
 	later.Rules = append([]Rule(nil), e.Rules...)
 	later.Rules[1].Format = Format{2, 1}
@@ -161,7 +161,7 @@
 	loose, _ := cbor.Marshal(map[int]any{7: 1, 1: 1, 4: 1, 5: 1, 6: 1, 2: 1}) // not in order
 	for name, c := range map[string]struct {
 		e     Edition
-		reads Reads
+		reads FormatSet
 		want  string
 	}{
 		"a later major":            {e, one, "rules sampling 2.0: format not read, only sampling 1.0"},
@@ -171,7 +171,7 @@
 		"another order of keys":    {Edition{Rules: []Rule{{Sampling, Format{2, 0}, loose}}}, Supported(), "not in its canonical form"},
 		"a kind twice":             {Edition{Rules: []Rule{e.Rules[0], e.Rules[0]}}, Supported(), "twice"},
 		"cut in the middle":        {Edition{Rules: []Rule{{Sampling, Format{2, 0}, e.Rules[1].Body[:9]}}}, Supported(), "not read"},
-		"a program before rules":   {e, Reads{}, "kind not known"},
+		"a program before rules":   {e, FormatSet{}, "kind not known"},
 	} {
 		_, err := Read(c.e, c.reads)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -186,8 +186,8 @@
 
 func TestLower(t *testing.T) {
 	e := parse(t, good)
-	one := Reads{Sampling: {{1, 0}}, Limits: {{1, 0}}}
-	_, lost := Lower(e, one)
+	one := FormatSet{Sampling: {{1, 0}}, Limits: {{1, 0}}}
+	_, lost := Downgrade(e, one)
 	if got := strings.Join(lost, "; "); got != `the rate of tenant "novak"; failed traces kept after the fact; traces slower than 800 ms kept after the fact` {
 		t.Error(got)
 	}
@@ -195,7 +195,7 @@
 	for _, cut := range []string{"keep_failed = true\n", "keep_slow_ms = 800\n", "[[sampling.tenant]]\nname = \"novak\"\nrate = 1.0\n"} {
 		plain = strings.Replace(plain, cut, "", 1)
 	}
-	lower, lost := Lower(parse(t, plain), one)
+	lower, lost := Downgrade(parse(t, plain), one)
 	if len(lost) > 0 {
 		t.Error(lost)
 	}
@@ -210,12 +210,12 @@
 	if text != "limits 1.0;sampling 1.0,2.0" {
 		t.Error(text)
 	}
-	r, err := ParseReads(text)
+	r, err := ParseFormatSet(text)
 	if err != nil || r.String() != text || !r.Has(Sampling, Format{1, 0}) || r.Has(Sampling, Format{2, 1}) || r.Has("x", Format{1, 0}) {
 		t.Error(r, err)
 	}
-	for _, bad := range []string{"limits", "limits 0", "limits 1.x", " 1", strings.Repeat("x", MaxReadsBytes+1)} {
-		if _, err := ParseReads(bad); err == nil {
+	for _, bad := range []string{"limits", "limits 0", "limits 1.x", " 1", strings.Repeat("x", MaxFormatSetBytes+1)} {
+		if _, err := ParseFormatSet(bad); err == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
--- a/internal/sidecar/rules/trial.go
+++ b/internal/sidecar/rules/trial.go
@@ -75,7 +75,7 @@
 			}
 			limit := x.Limit()
 			text += fmt.Sprintf("; limit %s kind %d most %d floor %d members %d available %t burst %v leased %t claims %t shares %t", x.Name, limit.Kind, limit.Total, limit.FloorPercent,
-				limit.MaxMembers, limit.Available, x.BurstTime(), x.Leased(), x.CountsAttempts(), x.Shares)
+				limit.MaxMembers, limit.Available, x.BurstTime(), x.Leased(), x.CountsAttempts(), x.DividesAllowances)
 		}
 	}
 	return text
--- a/internal/sidecar/versionskew/configure.go
+++ b/internal/sidecar/versionskew/configure.go
@@ -20,7 +20,7 @@
 	if len(s.Reads) == 0 {
 		return c, nil
 	}
-	reads := rules.Reads{}
+	reads := rules.FormatSet{}
 	for _, text := range s.Reads {
 		kind, format, _ := strings.Cut(text, " ")
 		f, err := rules.ParseFormat(strings.TrimSpace(format))
--- a/internal/sidecar/versionskew/evaluate.go
+++ b/internal/sidecar/versionskew/evaluate.go
@@ -64,7 +64,7 @@
 // unreadRule returns the first rule of an edition whose format a member does not say that it reads; nil: there is none, or what
 // the member says cannot be parsed.
 func unreadRule(e rules.Edition, memberReads string) *rules.Rule {
-	reads, err := rules.ParseReads(memberReads)
+	reads, err := rules.ParseFormatSet(memberReads)
 	if err != nil {
 		return nil
 	}
@@ -122,11 +122,11 @@
 func (m *Machine) offerLowered(v view.View) {
 	common := m.cfg.Reads
 	for _, one := range m.participants(v) {
-		reads, err := rules.ParseReads(one.Reads)
+		reads, err := rules.ParseFormatSet(one.Reads)
 		if err != nil {
 			return
 		}
-		both := rules.Reads{}
+		both := rules.FormatSet{}
 		for kind, formats := range common {
 			for _, f := range formats {
 				if reads.Has(kind, f) {
@@ -136,7 +136,7 @@
 		}
 		common = both
 	}
-	e, lost := rules.Lower(m.offer.edition, common)
+	e, lost := rules.Downgrade(m.offer.edition, common)
 	from := m.offer.digest
 	switch {
 	case len(lost) > 0:
--- a/internal/sidecar/versionskew/skew.go
+++ b/internal/sidecar/versionskew/skew.go
@@ -71,7 +71,7 @@
 	Pace          time.Duration
 	Bound         time.Duration // longest time that a view's lease lasts after the next view was decided: view.Bound
 	Seed          uint64
-	Reads         rules.Reads
+	Reads         rules.FormatSet
 	Lower         bool          // rewrite an edition in formats that all read, if that loses nothing
 	MaxBehind     int           // how many incompatible members may be left behind
 	ReturnTimeout time.Duration // for so long an absent member may return and has to be waited for
--- a/internal/testkit/fleetsim/rules_test.go
+++ b/internal/testkit/fleetsim/rules_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-func readers(reads func(member int) rules.Reads, change func(member int, c *versionskew.Config)) func(int) *versionskew.Config {
+func readers(reads func(member int) rules.FormatSet, change func(member int, c *versionskew.Config)) func(int) *versionskew.Config {
 	return func(member int) *versionskew.Config {
 		c := &versionskew.Config{Reads: rules.Supported(), ReturnTimeout: 5 * time.Second, ReplyTimeout: 10 * time.Second}
 		if reads != nil {
@@ -144,7 +144,7 @@
 
 func (noView) View() (view.View, bool) { return view.View{}, false }
 
-var one = rules.Reads{rules.Sampling: {{Major: 1}}, rules.Limits: {{Major: 1}}}
+var one = rules.FormatSet{rules.Sampling: {{Major: 1}}, rules.Limits: {{Major: 1}}}
 
 // An edition is in force everywhere soon after it is pushed, at any size, by few messages a member.
 func TestRulesComeIntoForce(t *testing.T) {
@@ -178,7 +178,7 @@
 // A member that reads an earlier format, one that reads the format otherwise and one that is from before rules each keep
 // the edition from being agreed; lowering and leaving behind let it through where they may.
 func TestRulesWaitForTheOld(t *testing.T) {
-	old := func(member int) rules.Reads {
+	old := func(member int) rules.FormatSet {
 		if member == 4 {
 			return one
 		}
