--- a/internal/sidecar/rules/file.go
+++ b/internal/sidecar/rules/file.go
@@ -156,7 +156,7 @@
 	r := SamplingRules{Salt: uint64(s.Salt), Rate: p.rate("sampling.rate", s.Rate),
 		MaxRecords: cmp.Or(s.Records, 100), MaxBytes: cmp.Or(s.Bytes, 64<<10), MaxRecordsPerNode: cmp.Or(s.PerNode, 50),
 		MinPerMinute: s.Least, KeepFailed: s.Failed, KeepSlow: s.Slow,
-		Classes: p.named("sampling.class", s.Classes), Tenants: p.named("sampling.tenant", s.Tenants)}
+		Classes: p.namedRates("sampling.class", s.Classes), Tenants: p.namedRates("sampling.tenant", s.Tenants)}
 	if len(p.faults) > 0 {
 		return nil
 	}
@@ -179,8 +179,8 @@
 	return Rate(fraction)
 }
 
-// named checks the rates of classes or tenants.
-func (p *parser) named(key string, from []namedFile) (rates []NamedRate) {
+// namedRates checks the rates of classes or tenants.
+func (p *parser) namedRates(key string, from []namedFile) (rates []NamedRate) {
 	seen := make(map[string]bool)
 	for i, n := range from {
 		k := fmt.Sprintf("%s[%d]", key, i)
--- a/internal/sidecar/rules/limits.go
+++ b/internal/sidecar/rules/limits.go
@@ -14,29 +14,29 @@
 
 // Quota is one limit, see quota.Settings. Numbers that need not be integers are in thousandths, so that the form is canonical.
 type Quota struct {
-	Name      string `cbor:"1,keyasint"`
-	Class     string `cbor:"2,keyasint,omitempty"`
-	Tenant    string `cbor:"3,keyasint,omitempty"`
-	PerSecond int64  `cbor:"4,keyasint,omitempty"` // thousandths
-	InFlight  int    `cbor:"5,keyasint,omitempty"`
-	Again     int64  `cbor:"6,keyasint,omitempty"` // thousandths of a percent
-	Retry     int64  `cbor:"7,keyasint,omitempty"` // likewise
-	Node      int    `cbor:"8,keyasint,omitempty"`
-	Shares    bool   `cbor:"9,keyasint,omitempty"`
-	Floor     int    `cbor:"10,keyasint,omitempty"`
-	Members   int    `cbor:"11,keyasint,omitempty"`
-	Policy    string `cbor:"12,keyasint,omitempty"`
-	Burst     int    `cbor:"13,keyasint,omitempty"`
+	Name                string `cbor:"1,keyasint"`
+	Class               string `cbor:"2,keyasint,omitempty"`
+	Tenant              string `cbor:"3,keyasint,omitempty"`
+	PerSecond           int64  `cbor:"4,keyasint,omitempty"` // thousandths
+	InFlight            int    `cbor:"5,keyasint,omitempty"`
+	ClientRetryPercent  int64  `cbor:"6,keyasint,omitempty"` // thousandths of a percent
+	AttemptRetryPercent int64  `cbor:"7,keyasint,omitempty"` // likewise
+	NodeInFlight        int    `cbor:"8,keyasint,omitempty"`
+	DividesAllowances   bool   `cbor:"9,keyasint,omitempty"`
+	Floor               int    `cbor:"10,keyasint,omitempty"`
+	Members             int    `cbor:"11,keyasint,omitempty"`
+	Policy              string `cbor:"12,keyasint,omitempty"`
+	Burst               int    `cbor:"13,keyasint,omitempty"`
 }
 
-// thousand is the number of thousandths in one.
-const thousand = 1000
+// milli is the number of thousandths in one.
+const milli = 1000
 
 // Settings returns the limits in the form of the operator's file.
 func (l *LimitRules) Settings() (all quota.SettingsList) {
 	for _, q := range l.Quotas {
-		all = append(all, quota.Settings{Name: q.Name, Class: q.Class, Tenant: q.Tenant, PerSecond: float64(q.PerSecond) / thousand, InFlight: q.InFlight,
-			ClientRetryPercent: float64(q.Again) / thousand, AttemptRetryPercent: float64(q.Retry) / thousand, NodeInFlight: q.Node, DividesAllowances: q.Shares, Floor: q.Floor, Members: q.Members,
+		all = append(all, quota.Settings{Name: q.Name, Class: q.Class, Tenant: q.Tenant, PerSecond: float64(q.PerSecond) / milli, InFlight: q.InFlight,
+			ClientRetryPercent: float64(q.ClientRetryPercent) / milli, AttemptRetryPercent: float64(q.AttemptRetryPercent) / milli, NodeInFlight: q.NodeInFlight, DividesAllowances: q.DividesAllowances, Floor: q.Floor, Members: q.Members,
 			Policy: q.Policy, Burst: q.Burst})
 	}
 	return all
@@ -46,8 +46,8 @@
 func LimitsRule(all quota.SettingsList) (Rule, error) {
 	l := LimitRules{}
 	for _, s := range all {
-		l.Quotas = append(l.Quotas, Quota{Name: s.Name, Class: s.Class, Tenant: s.Tenant, PerSecond: int64(s.PerSecond*thousand + 0.5), InFlight: s.InFlight,
-			Again: int64(s.ClientRetryPercent*thousand + 0.5), Retry: int64(s.AttemptRetryPercent*thousand + 0.5), Node: s.NodeInFlight, Shares: s.DividesAllowances, Floor: s.Floor, Members: s.Members,
+		l.Quotas = append(l.Quotas, Quota{Name: s.Name, Class: s.Class, Tenant: s.Tenant, PerSecond: int64(s.PerSecond*milli + 0.5), InFlight: s.InFlight,
+			ClientRetryPercent: int64(s.ClientRetryPercent*milli + 0.5), AttemptRetryPercent: int64(s.AttemptRetryPercent*milli + 0.5), NodeInFlight: s.NodeInFlight, DividesAllowances: s.DividesAllowances, Floor: s.Floor, Members: s.Members,
 			Policy: s.Policy, Burst: s.Burst})
 	}
 	return Rule{Kind: Limits, Format: Format{1, 0}, Body: encode(&l)}, l.check()
--- a/internal/sidecar/rules/rules.go
+++ b/internal/sidecar/rules/rules.go
@@ -237,20 +237,20 @@
 
 // Downgrade rewrites an edition in formats that a program reads. lost names what would be lost by that; if there is anything, the
 // result must not be used.
-func Downgrade(e Edition, reads FormatSet) (lower Edition, lost []string) {
-	lower.Number = e.Number
+func Downgrade(e Edition, reads FormatSet) (downgraded Edition, lost []string) {
+	downgraded.Number = e.Number
 	for _, r := range e.Rules {
 		if reads.Has(r.Kind, r.Format) {
-			lower.Rules = append(lower.Rules, r)
+			downgraded.Rules = append(downgraded.Rules, r)
 			continue
 		}
 		if r.Kind == Sampling && r.Format.Major == 2 && reads.Has(Sampling, Format{1, 0}) {
-			one, missing := lowerSampling(r)
+			one, missing := downgradeSampling(r)
 			lost = append(lost, missing...)
-			lower.Rules = append(lower.Rules, one)
+			downgraded.Rules = append(downgraded.Rules, one)
 			continue
 		}
 		lost = append(lost, fmt.Sprintf("all of %s %s", r.Kind, r.Format))
 	}
-	return lower, lost
+	return downgraded, lost
 }
--- a/internal/sidecar/rules/rules_test.go
+++ b/internal/sidecar/rules/rules_test.go
@@ -145,7 +145,7 @@
 }
 
 // A program reports what it does not read, by kind, format and feature.
-func TestMisread(t *testing.T) {
+func TestReadErrors(t *testing.T) {
 	e := parse(t, good)
 	one := FormatSet{Sampling: {{1, 0}}, Limits: {{1, 0}}}
 	later := e
@@ -257,7 +257,7 @@
 
 // Each misreading shows in the trial, whatever the numbers of the edition.
 func TestTrialsCatchMisreadings(t *testing.T) {
-	caught, played := 0, 0
+	caught, runs := 0, 0
 	for salt := range 50 {
 		c := read(t, parse(t, strings.Replace(good, "salt = 7", fmt.Sprintf("salt = %d", salt+1), 1)))
 		own := RunTrial(c)
@@ -265,7 +265,7 @@
 			t.Fatal("the same program decides otherwise the second time")
 		}
 		for name, decide := range misreadings {
-			played++
+			runs++
 			if at := FirstDifference(own, RunTrialWith(c, func(q Case) string { return decide(c, q) })); at > 0 {
 				caught++
 			} else {
@@ -273,11 +273,11 @@
 			}
 		}
 	}
-	t.Logf("%d of %d misreadings caught", caught, played)
+	t.Logf("%d of %d misreadings caught", caught, runs)
 }
 
 // Whatever the bytes of an edition are, reading them returns rules or an error.
-func TestReadTakesAnything(t *testing.T) {
+func TestReadAcceptsArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := Edition{Number: 1}
 		for range rapid.IntRange(0, 3).Draw(t, "rules") {
--- a/internal/sidecar/rules/sampling.go
+++ b/internal/sidecar/rules/sampling.go
@@ -106,8 +106,8 @@
 	return Rule{Kind: Sampling, Format: f, Body: encode(&s)}, s.check(f)
 }
 
-// lowerSampling rewrites a rule of format 2 in format 1, and names what that loses.
-func lowerSampling(r Rule) (Rule, []string) {
+// downgradeSampling rewrites a rule of format 2 in format 1, and names what that loses.
+func downgradeSampling(r Rule) (Rule, []string) {
 	s, err := readSampling(r)
 	if err != nil {
 		return r, []string{err.Error()}
