--- a/internal/sidecar/rules/file.go
+++ b/internal/sidecar/rules/file.go
@@ -13,23 +13,23 @@
 	"fieldrelay/internal/sidecar/quota"
 )
 
-// FileVersion is the version of the file of rules that this program reads.
+// FileVersion is the version of the rules file that this program reads.
 const FileVersion = 1
 
-// MaxFileBytes is the size limit of a file of rules.
+// MaxFileBytes is the size limit of a rules file.
 const MaxFileBytes = 256 << 10
 
-// endMarker is the last line of a file: without it, a file that is still being written could pass for a complete one.
+// endMarker is the required last line of a rules file. It tells a complete file from one that is still being written.
 const endMarker = "# end"
 
-// Fault is one fault of a file. Line and Column are 0 if its position is not known.
+// Fault is an error in a rules file. Line and Column are 0 if its position is not known.
 type Fault struct {
 	Line, Column int
 	Key          string
 	Text         string
 }
 
-// String is the fault as operators see it.
+// String formats the fault for operators.
 func (f Fault) String() string {
 	var b strings.Builder
 	if f.Line > 0 {
@@ -41,7 +41,7 @@
 	return b.String() + f.Text
 }
 
-// file is the form of the file. Rates are fractions.
+// file is the TOML schema of a rules file. Rates are fractions from 0 to 1.
 type file struct {
 	Version  int           `toml:"version"`
 	Sampling *samplingFile `toml:"sampling"`
@@ -72,16 +72,16 @@
 	Quota  quota.SettingsList `toml:"quota"`
 }
 
-// parser parses a file of rules and collects its faults.
+// parser parses a rules file and collects its faults.
 type parser struct {
 	text   []byte
 	faults []Fault
 }
 
-// Parse parses the text of a file of rules into an edition without a number, or returns all faults of it.
+// Parse parses the text of a rules file into an edition without a number, or returns all faults found in it.
 func Parse(text []byte) (Edition, []Fault) {
 	if len(text) > MaxFileBytes {
-		return Edition{}, []Fault{{Text: fmt.Sprintf("%d bytes, %d at most", len(text), MaxFileBytes)}}
+		return Edition{}, []Fault{{Text: fmt.Sprintf("rules file has %d bytes, %d at most", len(text), MaxFileBytes)}}
 	}
 	p := &parser{text: text}
 	p.checkEnd()
@@ -109,22 +109,22 @@
 	return e, nil
 }
 
-// fault adds a fault of the value of a key.
+// fault records a fault in the value of a key.
 func (p *parser) fault(key, format string, args ...any) {
 	line, column := findKey(p.text, key)
 	p.faults = append(p.faults, Fault{line, column, key, fmt.Sprintf(format, args...)})
 }
 
-// checkEnd checks that the file ends with its marker.
+// checkEnd checks that the file ends with endMarker.
 func (p *parser) checkEnd() {
 	trimmed := bytes.TrimRight(p.text, "\r\n\t ")
 	if last := trimmed[bytes.LastIndexByte(trimmed, '\n')+1:]; string(last) != endMarker {
 		p.faults = append(p.faults, Fault{Line: 1 + bytes.Count(trimmed, []byte("\n")), Column: 1,
-			Text: fmt.Sprintf("the file may not be whole: its last line must be %q", endMarker)})
+			Text: fmt.Sprintf("the file may be incomplete: its last line must be %q", endMarker)})
 	}
 }
 
-// decode decodes the text. It reports whether the result can be looked at: only its keys may be at fault then.
+// decode decodes the text. It reports whether f may be used, which is so if unknown keys are the only faults.
 func (p *parser) decode(f *file) bool {
 	err := toml.NewDecoder(bytes.NewReader(p.text)).DisallowUnknownFields().Decode(f)
 	var unknown *toml.StrictMissingError
@@ -147,7 +147,7 @@
 	return false
 }
 
-// sampling makes the rule of sampling, if there are no faults so far.
+// sampling returns the sampling rule, or nil if any fault was found so far.
 func (p *parser) sampling(s *samplingFile) []Rule {
 	format, err := ParseFormat(cmp.Or(s.Format, "1"))
 	if err != nil {
@@ -162,7 +162,7 @@
 	}
 	rule, err := SamplingRule(r, format)
 	if err == nil && !Supported().Has(Sampling, format) {
-		err = fmt.Errorf("format %s is not read by this program", format)
+		err = fmt.Errorf("format %s is not supported by this program", format)
 	}
 	if err != nil {
 		p.fault("sampling", "%v", err)
@@ -170,16 +170,16 @@
 	return []Rule{rule}
 }
 
-// rate checks a rate.
+// rate converts a fraction to a rate and records a fault if it is not from 0 to 1.
 func (p *parser) rate(key string, fraction float64) uint32 {
-	if !(fraction >= 0 && fraction <= 1) { // which NaN is not either
-		p.fault(key, "%g; 0 to 1 is taken", fraction)
+	if !(fraction >= 0 && fraction <= 1) { // negated, so that NaN is rejected too
+		p.fault(key, "%g; allowed: 0 to 1", fraction)
 		return 0
 	}
 	return Rate(fraction)
 }
 
-// namedRates checks the rates of classes or tenants.
+// namedRates converts and checks the rates of classes or tenants.
 func (p *parser) namedRates(key string, from []namedFile) (rates []NamedRate) {
 	seen := make(map[string]bool)
 	for i, n := range from {
@@ -193,24 +193,24 @@
 	return rates
 }
 
-// limits makes the rule of limits, if they are valid.
+// limits returns the limits rule, or nil if a limit is invalid.
 func (p *parser) limits(l *limitsFile) []Rule {
 	format, err := ParseFormat(cmp.Or(l.Format, "1"))
 	if err != nil || !Supported().Has(Limits, format) {
-		p.fault("limits.format", "%q is not read by this program: %s is", l.Format, FormatSet{Limits: Supported()[Limits]})
+		p.fault("limits.format", "format %q is not supported by this program, which reads %s", l.Format, FormatSet{Limits: Supported()[Limits]})
 	}
 	l.Quota.Check(true, func(key string, read any, allowed string) {
 		p.fault("limits.quota"+key, "%v; allowed: %s", read, allowed)
 	})
 	rule, err := LimitsRule(l.Quota)
-	if err != nil { // a fault already
+	if err != nil { // l.Quota.Check has recorded the fault
 		return nil
 	}
 	return []Rule{rule}
 }
 
-// findKey returns the position of the last part of a key in a text, as far as its lines show that; in an array of tables, of the
-// n-th table. 0, 0: the key is not there.
+// findKey returns the line and column of the last part of a key in a TOML text, or 0, 0 if the key is not found. It matches
+// lines rather than parsing the text. In an array of tables it finds the key in the table with the given index.
 func findKey(text []byte, key string) (line, column int) {
 	parts := strings.Split(key, ".")
 	last, table := parts[len(parts)-1], ""
@@ -218,7 +218,7 @@
 	for _, p := range parts[:len(parts)-1] {
 		name, index, has := strings.Cut(p, "[")
 		if table += name; has {
-			_, _ = fmt.Sscanf(index, "%d]", &nth) // unreadable: the first one
+			_, _ = fmt.Sscanf(index, "%d]", &nth) // on a malformed index, the first table is searched
 		}
 		table += "."
 	}
--- a/internal/sidecar/rules/limits.go
+++ b/internal/sidecar/rules/limits.go
@@ -7,12 +7,12 @@
 	"fieldrelay/internal/sidecar/quota"
 )
 
-// LimitRules are limits of the whole fleet, like the tables [[quota]] of the settings.
+// LimitRules are limits of the whole fleet, as in the [[quota]] tables of the settings.
 type LimitRules struct {
 	Quotas []Quota `cbor:"1,keyasint,omitempty"`
 }
 
-// Quota is one limit, see quota.Settings. Numbers that need not be integers are in thousandths, so that the form is canonical.
+// Quota is one limit; see quota.Settings. Fractional numbers are stored in thousandths, so that the encoding is canonical.
 type Quota struct {
 	Name                string `cbor:"1,keyasint"`
 	Class               string `cbor:"2,keyasint,omitempty"`
@@ -20,7 +20,7 @@
 	PerSecond           int64  `cbor:"4,keyasint,omitempty"` // thousandths
 	InFlight            int    `cbor:"5,keyasint,omitempty"`
 	ClientRetryPercent  int64  `cbor:"6,keyasint,omitempty"` // thousandths of a percent
-	AttemptRetryPercent int64  `cbor:"7,keyasint,omitempty"` // likewise
+	AttemptRetryPercent int64  `cbor:"7,keyasint,omitempty"` // thousandths of a percent
 	NodeInFlight        int    `cbor:"8,keyasint,omitempty"`
 	DividesAllowances   bool   `cbor:"9,keyasint,omitempty"`
 	Floor               int    `cbor:"10,keyasint,omitempty"`
@@ -42,7 +42,7 @@
 	return all
 }
 
-// LimitsRule returns the rule of limits, and an error if a limit has an invalid value.
+// LimitsRule encodes limits as a rule, and returns an error if a limit has an invalid value.
 func LimitsRule(all quota.SettingsList) (Rule, error) {
 	l := LimitRules{}
 	for _, s := range all {
@@ -53,7 +53,7 @@
 	return Rule{Kind: Limits, Format: Format{1, 0}, Body: encode(&l)}, l.check()
 }
 
-// check returns the invalid values.
+// check returns an error that lists the invalid values, or nil.
 func (l *LimitRules) check() error {
 	var errs []error
 	l.Settings().Check(true, func(key string, read any, allowed string) {
@@ -62,7 +62,7 @@
 	return errors.Join(errs...)
 }
 
-// readLimits decodes the rule of limits.
+// readLimits decodes and checks a limits rule.
 func readLimits(r Rule) (*LimitRules, error) {
 	l := &LimitRules{}
 	if err := decodeBody(r, l); err != nil {
--- a/internal/sidecar/rules/rules.go
+++ b/internal/sidecar/rules/rules.go
@@ -1,6 +1,6 @@
-// Package rules is the rules that hold in a whole fleet: editions of rules of several kinds, each in a versioned format, their
-// canonical form, and what they decide. It is plain functions without I/O. How an edition comes into force is in package versionskew.
-// docs/design/rules.md describes the design, docs/sidecar/rules.md is the page for operators.
+// Package rules defines the rules that apply to a whole fleet: numbered editions of rules of several kinds, each in a versioned
+// format, their canonical encoding, and the decisions that they make. It consists of functions without I/O. Package versionskew
+// brings editions into force. docs/design/rules.md describes the design, docs/sidecar/rules.md is the page for operators.
 package rules
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of editions.
+// Size limits of editions.
 const (
-	MaxBytes          = 64 << 10 // size of an edition's canonical form
-	MaxFormatSetBytes = 128      // of the formats that a member says it reads
+	MaxBytes          = 64 << 10 // size of an edition's canonical encoding
+	MaxFormatSetBytes = 128      // size of the text that lists the formats that a member reads
 	maxKinds          = 8
 )
 
-// Kind is what a rule is about.
+// Kind is the subject of a rule.
 type Kind string
 
 // The kinds.
@@ -31,16 +31,17 @@
 	Limits   Kind = "limits"
 )
 
-// Format is the version of the form of a kind's rules. A reader of a minor version reads all lower ones of its major.
+// Format is the version of the encoding of a kind's rules. A reader of a minor version reads all lower minor versions of the
+// same major version.
 type Format struct {
 	Major uint8 `cbor:"1,keyasint"`
 	Minor uint8 `cbor:"2,keyasint,omitempty"`
 }
 
-// String is the form that ParseFormat reads.
+// String formats f as ParseFormat reads it.
 func (f Format) String() string { return fmt.Sprintf("%d.%d", f.Major, f.Minor) }
 
-// Compare orders formats.
+// Compare orders formats by major, then by minor version.
 func (f Format) Compare(g Format) int {
 	return cmp.Or(cmp.Compare(f.Major, g.Major), cmp.Compare(f.Minor, g.Minor))
 }
@@ -49,23 +50,23 @@
 func ParseFormat(text string) (f Format, err error) {
 	major, minor, has := strings.Cut(text, ".")
 	if _, err := fmt.Sscanf(major, "%d", &f.Major); err != nil || f.Major == 0 || fmt.Sprint(f.Major) != major {
-		return Format{}, fmt.Errorf("format %q: a number over 0, and a second one behind a point, is taken", text)
+		return Format{}, fmt.Errorf("format %q: want a major version over 0, optionally followed by a point and a minor version", text)
 	}
 	if _, err := fmt.Sscanf(minor, "%d", &f.Minor); has && (err != nil || fmt.Sprint(f.Minor) != minor) {
-		return Format{}, fmt.Errorf("format %q: what is behind the point is no number", text)
+		return Format{}, fmt.Errorf("format %q: the minor version after the point is not a number", text)
 	}
 	return f, nil
 }
 
-// FormatSet is the formats that a program reads, by kind: of each major version the highest minor one.
+// FormatSet holds the formats that a program reads, by kind: for each major version, the highest minor version.
 type FormatSet map[Kind][]Format
 
-// Supported returns what this program reads.
+// Supported returns the formats that this program reads.
 func Supported() FormatSet {
 	return FormatSet{Sampling: {{1, 0}, {2, 0}}, Limits: {{1, 0}}}
 }
 
-// String is the form in a member's record: "limits 1.0;sampling 1.0,2.0".
+// String returns the text in a member's record, such as "limits 1.0;sampling 1.0,2.0".
 func (r FormatSet) String() string {
 	var kinds []string
 	for k, formats := range r {
@@ -79,11 +80,12 @@
 	return strings.Join(kinds, ";")
 }
 
-// ParseFormatSet parses that form. The empty text is of a program from before there were rules, which reads none.
+// ParseFormatSet parses the text that FormatSet.String returns. The empty text is sent by a program that predates rules and
+// reads no format.
 func ParseFormatSet(text string) (FormatSet, error) {
 	r := FormatSet{}
 	if len(text) > MaxFormatSetBytes {
-		return nil, fmt.Errorf("rules: what is read takes %d bytes, %d at most", len(text), MaxFormatSetBytes)
+		return nil, fmt.Errorf("rules: list of supported formats has %d bytes, %d at most", len(text), MaxFormatSetBytes)
 	}
 	for part := range strings.SplitSeq(text, ";") {
 		if part == "" {
@@ -91,7 +93,7 @@
 		}
 		kind, formats, ok := strings.Cut(part, " ")
 		if !ok || kind == "" || len(r) >= maxKinds {
-			return nil, fmt.Errorf("rules: %q is not what somebody reads", part)
+			return nil, fmt.Errorf("rules: malformed or surplus entry %q in the list of supported formats", part)
 		}
 		for f := range strings.SplitSeq(formats, ",") {
 			format, err := ParseFormat(f)
@@ -104,12 +106,12 @@
 	return r, nil
 }
 
-// Has reports whether a format of a kind is read.
+// Has reports whether the set includes a format of a kind.
 func (r FormatSet) Has(k Kind, f Format) bool {
 	return slices.ContainsFunc(r[k], func(g Format) bool { return g.Major == f.Major && g.Minor >= f.Minor })
 }
 
-// Rule is the rules of one kind, in the canonical form of their format.
+// Rule holds the rules of one kind, in the canonical encoding of their format.
 type Rule struct {
 	Kind   Kind   `cbor:"1,keyasint"`
 	Format Format `cbor:"2,keyasint"`
@@ -119,19 +121,19 @@
 // Digest is a hash of an edition's rules.
 type Digest [sha256.Size]byte
 
-// String is the beginning of the digest, for logs.
+// String returns the first six bytes of the digest in hexadecimal, for logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:6]) }
 
-// Edition is a numbered set of rules. The zero Edition has none.
+// Edition is a numbered set of rules. The zero Edition has no rules.
 type Edition struct {
 	Number uint64 `cbor:"1,keyasint"`
-	Rules  []Rule `cbor:"2,keyasint"` // by kind
+	Rules  []Rule `cbor:"2,keyasint"` // sorted by kind
 }
 
-// Digest returns the digest of the rules, whatever the number.
+// Digest returns the digest of the rules. It does not depend on the edition's number.
 func (e Edition) Digest() Digest { return sha256.Sum256(encode(e.Rules)) }
 
-// Find returns the rules of a kind, and whether there are any.
+// Find returns the rule of a kind, and whether the edition has one.
 func (e Edition) Find(k Kind) (Rule, bool) {
 	i := slices.IndexFunc(e.Rules, func(r Rule) bool { return r.Kind == k })
 	if i < 0 {
@@ -140,7 +142,7 @@
 	return e.Rules[i], true
 }
 
-// canonical encodes the canonical form.
+// canonical is the encoding mode of the canonical form.
 var canonical = func() cbor.EncMode {
 	m, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
@@ -149,7 +151,7 @@
 	return m
 }()
 
-// strict decodes a body: an unknown or repeated key is an error.
+// strict is the decoding mode of rule bodies: an unknown or repeated key is an error.
 var strict = func() cbor.DecMode {
 	m, err := cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxNestedLevels: 8,
 		MaxArrayElements: 1 << 14, MaxMapPairs: 1 << 10, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
@@ -159,23 +161,23 @@
 	return m
 }()
 
-// encode is the canonical form of a value.
+// encode returns the canonical encoding of a value.
 func encode(v any) []byte {
 	b, err := canonical.Marshal(v)
 	if err != nil {
-		panic(err) // never: it has numbers, text and lists of them
+		panic(err) // never: the values consist of numbers, text and lists of them
 	}
 	return b
 }
 
-// ReadError says why an edition cannot be read, and at which of its rules.
+// ReadError reports which rule of an edition cannot be read, and why.
 type ReadError struct {
 	Kind   Kind
 	Format Format
 	Reason string // "kind not known", "format not read", "feature ...", ...
 }
 
-// Error is the error as operators see it.
+// Error formats the error for operators.
 func (r *ReadError) Error() string { return fmt.Sprintf("rules %s %s: %s", r.Kind, r.Format, r.Reason) }
 
 // Compiled is an edition with its rules decoded.
@@ -185,15 +187,15 @@
 	Limits   *LimitRules    // nil: none
 }
 
-// Read decodes an edition, as a program with the given formats does. The error is a *ReadError, or says that the edition is too
-// long or malformed.
+// Read decodes an edition as a program that reads the given formats does. The error is a *ReadError, or a plain error if the
+// edition as a whole is too long or malformed.
 func Read(e Edition, reads FormatSet) (*Compiled, error) {
 	c := &Compiled{Edition: e}
 	if size := len(encode(e.Rules)); size > MaxBytes {
 		return nil, fmt.Errorf("rules: %d bytes, %d at most", size, MaxBytes)
 	}
 	if len(e.Rules) > maxKinds || !slices.IsSortedFunc(e.Rules, func(a, b Rule) int { return cmp.Compare(a.Kind, b.Kind) }) {
-		return nil, errors.New("rules: not in the order of their kinds")
+		return nil, errors.New("rules: edition has too many rules, or they are not sorted by kind")
 	}
 	for i, r := range e.Rules {
 		bad := func(format string, args ...any) error {
@@ -224,7 +226,7 @@
 	return c, nil
 }
 
-// decodeBody decodes a body into v and checks that it is in its canonical form: another form would have another digest.
+// decodeBody decodes a body into v. It rejects a body that is not in canonical form, since that would have another digest.
 func decodeBody(r Rule, v any) error {
 	if err := strict.Unmarshal(r.Body, v); err != nil {
 		return fmt.Errorf("not read: %w", err)
@@ -235,8 +237,8 @@
 	return nil
 }
 
-// Downgrade rewrites an edition in formats that a program reads. lost names what would be lost by that; if there is anything, the
-// result must not be used.
+// Downgrade rewrites an edition in formats that a program reads. lost names each feature that this drops. If lost is not empty,
+// the edition must not be used.
 func Downgrade(e Edition, reads FormatSet) (downgraded Edition, lost []string) {
 	downgraded.Number = e.Number
 	for _, r := range e.Rules {
--- a/internal/sidecar/rules/rules_test.go
+++ b/internal/sidecar/rules/rules_test.go
@@ -64,38 +64,38 @@
 	e := parse(t, good)
 	c := read(t, e)
 	if r := c.Sampling.RateOf("order", ""); r != RateUnit/2 {
-		t.Errorf("order is captured at %d", r)
+		t.Errorf("order has rate %d, want a half", r)
 	}
 	if r := c.Sampling.RateOf("order", "novak"); r != RateUnit {
-		t.Errorf("the tenant comes before the class: %d", r)
+		t.Errorf("rate %d: the tenant's rate must take precedence over the class's", r)
 	}
 	if q := c.Limits.Settings(); len(q) != 2 || q[0].PerSecond != 12.5 || q[1].InFlight != 9 {
 		t.Errorf("%+v", q)
 	}
-	// The digest depends on the content, not on its order in the file.
+	// The digest depends on the content, but not on its order in the file.
 	swapped := strings.Replace(strings.Replace(good, `"order"`, `"X"`, 1), `"look"`, `"order"`, 1)
 	swapped = strings.Replace(strings.Replace(swapped, `"X"`, `"look"`, 1), "0.5\n", "Y\n", 1)
 	swapped = strings.Replace(strings.Replace(swapped, "0.25", "0.5", 1), "Y", "0.25", 1)
 	if parse(t, swapped).Digest() != e.Digest() {
-		t.Error("another order of the same rules has another digest")
+		t.Error("the digest depends on the order of the rules in the file")
 	}
 	if parse(t, strings.Replace(good, "0.25", "0.26", 1)).Digest() == e.Digest() {
-		t.Error("other rules have the same digest")
+		t.Error("different rules have the same digest")
 	}
 }
 
-// Every fault is reported, with its line and column.
+// TestFaults checks that every fault is reported with its line and column.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
-		"no end":             {"# end\n", "", `29:1: the file may not be whole: its last line must be "# end"`},
+		"no end":             {"# end\n", "", `29:1: the file may be incomplete: its last line must be "# end"`},
 		"an unknown key":     {"salt = 7", "sallt = 7", "4:1: sampling.sallt: no such key"},
 		"a wrong type":       {"salt = 7", `salt = "x"`, "4:"},
 		"no TOML":            {"salt = 7", "salt = ", "4:"},
-		"a rate over one":    {"rate = 0.25", "rate = 1.25", "13:1: sampling.class[1].rate: 1.25; 0 to 1 is taken"},
+		"a rate over one":    {"rate = 0.25", "rate = 1.25", "13:1: sampling.class[1].rate: 1.25; allowed: 0 to 1"},
 		"a name twice":       {`name = "look"`, `name = "order"`, `12:1: sampling.class[1].name: "order"`},
-		"a later format":     {`format = "2"`, `format = "3"`, "2:1: sampling: format 3.0 is not read by this program"},
+		"a later format":     {`format = "2"`, `format = "3"`, "2:1: sampling: format 3.0 is not supported by this program"},
 		"no number":          {`format = "2"`, `format = "two"`, `3:1: sampling.format: format "two"`},
-		"of a later format":  {`format = "2"`, `format = "1"`, "2:1: sampling: tenants, failed and slow are of format 2"},
+		"of a later format":  {`format = "2"`, `format = "1"`, "2:1: sampling: tenants, keep_failed and keep_slow_ms need format 2"},
 		"a limit's fault":    {"floor_pct = 20", "floor_pct = 120", "23:1: limits.quota[0].floor_pct: 120"},
 		"the second limit's": {`policy = "available"`, `policy = "lax"`, "29:1: limits.quota[1].policy: lax"},
 		"another version":    {"version = 1", "version = 2", "1:1: version: 2; this program reads 1"},
@@ -112,7 +112,7 @@
 	}
 	two := strings.Replace(strings.Replace(good, "rate = 0.01", "rate = 2.0", 1), "floor_pct = 20", "floor_pct = -1", 1)
 	if _, faults := Parse([]byte(two)); len(faults) != 2 {
-		t.Errorf("two faults: %v", faults)
+		t.Errorf("faults %v, want two", faults)
 	}
 }
 
@@ -132,7 +132,7 @@
 	if faults := file(1200); !strings.Contains(fmt.Sprint(faults), "bytes of rules, 65536 at most") {
 		t.Error(faults)
 	}
-	// An edition that was made elsewhere is bounded too: the largest one, and one byte more.
+	// An edition from another member is bounded too: one of the maximum size passes the size check, one more byte fails it.
 	e := Edition{Rules: []Rule{{Kind: "x", Format: Format{1, 0}}}}
 	e.Rules[0].Body = make([]byte, MaxBytes-len(encode(e.Rules))-2)
 	if _, err := Read(e, Supported()); len(encode(e.Rules)) != MaxBytes || !strings.Contains(err.Error(), "kind not known") {
@@ -144,7 +144,7 @@
 	}
 }
 
-// A program reports what it does not read, by kind, format and feature.
+// TestReadErrors checks that a program names the kind, format and feature that it cannot read.
 func TestReadErrors(t *testing.T) {
 	e := parse(t, good)
 	one := FormatSet{Sampling: {{1, 0}}, Limits: {{1, 0}}}
@@ -179,7 +179,7 @@
 		}
 		var m *ReadError
 		if err != nil && !errors.As(err, &m) {
-			t.Errorf("%s: not said which rule: %v", name, err)
+			t.Errorf("%s: the error does not name the rule: %v", name, err)
 		}
 	}
 }
@@ -216,12 +216,12 @@
 	}
 	for _, bad := range []string{"limits", "limits 0", "limits 1.x", " 1", strings.Repeat("x", MaxFormatSetBytes+1)} {
 		if _, err := ParseFormatSet(bad); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
 
-// misreadings are programs that accept an edition and understand it otherwise.
+// misreadings are decision functions of faulty programs, which accept an edition and interpret it differently.
 var misreadings = map[string]func(c *Compiled, q Case) string{
 	"the class before the tenant": func(c *Compiled, q Case) string {
 		if r := c.Sampling.RateOf(q.Class, ""); r != c.Sampling.Rate {
@@ -243,7 +243,7 @@
 	"a limit left out":                with(func(c *Compiled) { c.Limits.Quotas = c.Limits.Quotas[:1] }),
 }
 
-// with has a program decide by other rules than it says.
+// with returns a decision function that uses changed rules instead of those of the edition.
 func with(change func(*Compiled)) func(*Compiled, Case) string {
 	return func(c *Compiled, q Case) string {
 		other := &Compiled{Edition: c.Edition}
@@ -255,28 +255,29 @@
 	}
 }
 
-// Each misreading shows in the trial, whatever the numbers of the edition.
+// TestTrialsCatchMisreadings checks that each misreading changes the trial, whatever the numbers of the edition are.
 func TestTrialsCatchMisreadings(t *testing.T) {
 	caught, runs := 0, 0
 	for salt := range 50 {
 		c := read(t, parse(t, strings.Replace(good, "salt = 7", fmt.Sprintf("salt = %d", salt+1), 1)))
 		own := RunTrial(c)
 		if FirstDifference(own, RunTrial(read(t, c.Edition))) >= 0 {
-			t.Fatal("the same program decides otherwise the second time")
+			t.Fatal("the same program decides differently the second time")
 		}
 		for name, decide := range misreadings {
 			runs++
 			if at := FirstDifference(own, RunTrialWith(c, func(q Case) string { return decide(c, q) })); at > 0 {
 				caught++
 			} else {
-				t.Errorf("salt %d: %s: not caught", salt, name)
+				t.Errorf("salt %d: misreading %q does not change the trial", salt, name)
 			}
 		}
 	}
 	t.Logf("%d of %d misreadings caught", caught, runs)
 }
 
-// Whatever the bytes of an edition are, reading them returns rules or an error.
+// TestReadAcceptsArbitraryBytes checks that Read returns rules or an error, and does not panic, whatever the bytes of an
+// edition are.
 func TestReadAcceptsArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := Edition{Number: 1}
@@ -296,16 +297,16 @@
 		h := TraceHash(3, fmt.Sprint(i))
 		low, high := Captures(h, Rate(0.05)), Captures(h, Rate(0.2))
 		if low && !high {
-			t.Fatal("captured at a low rate and not at a high one")
+			t.Fatal("captured at a low rate, but not at a higher one")
 		}
 		if low {
 			n++
 		}
 	}
 	if n < 4700 || n > 5300 {
-		t.Errorf("%d of 100,000 captured at 0.05", n)
+		t.Errorf("%d of 100,000 captured at rate 0.05, want 4,700 to 5,300", n)
 	}
 	if Captures(^uint64(0), Rate(1)) == false || Captures(0, 0) {
-		t.Error("all and none")
+		t.Error("rate 1 must capture everything, rate 0 nothing")
 	}
 }
--- a/internal/sidecar/rules/sampling.go
+++ b/internal/sidecar/rules/sampling.go
@@ -8,19 +8,19 @@
 	"slices"
 )
 
-// SamplingRules say which traces are captured. Rates are fractions, in units of 1/RateUnit.
+// SamplingRules determine which traces are captured. Rates are fractions in units of 1/RateUnit.
 type SamplingRules struct {
 	Salt              uint64      `cbor:"1,keyasint"`
-	Rate              uint32      `cbor:"2,keyasint"`           // of traces without a rate of their own
-	Classes           []NamedRate `cbor:"3,keyasint,omitempty"` // by name
-	MaxRecords        uint32      `cbor:"4,keyasint"`           // a second, of a sidecar
-	MaxBytes          uint32      `cbor:"5,keyasint"`           // a second, of a sidecar
-	MaxRecordsPerNode uint32      `cbor:"6,keyasint"`           // a second and execute node, of a sidecar
-	MinPerMinute      uint32      `cbor:"7,keyasint,omitempty"` // traces a minute of each class that are captured if there are so many
-	// Of format 2.
-	Tenants    []NamedRate `cbor:"8,keyasint,omitempty"`  // by name; takes precedence over the class's
-	KeepFailed bool        `cbor:"9,keyasint,omitempty"`  // failed traces are kept when they have ended
-	KeepSlow   uint32      `cbor:"10,keyasint,omitempty"` // milliseconds: slower traces are kept likewise; 0: none
+	Rate              uint32      `cbor:"2,keyasint"`           // of traces whose class and tenant have no rate of their own
+	Classes           []NamedRate `cbor:"3,keyasint,omitempty"` // sorted by name
+	MaxRecords        uint32      `cbor:"4,keyasint"`           // per second and sidecar
+	MaxBytes          uint32      `cbor:"5,keyasint"`           // per second and sidecar
+	MaxRecordsPerNode uint32      `cbor:"6,keyasint"`           // per second, execute node and sidecar
+	MinPerMinute      uint32      `cbor:"7,keyasint,omitempty"` // traces per minute of each class that are captured, if there are that many
+	// Fields of format 2.
+	Tenants    []NamedRate `cbor:"8,keyasint,omitempty"`  // sorted by name; a tenant's rate takes precedence over its class's
+	KeepFailed bool        `cbor:"9,keyasint,omitempty"`  // failed traces are kept once they have ended
+	KeepSlow   uint32      `cbor:"10,keyasint,omitempty"` // in milliseconds: slower traces are kept once they have ended; 0: none
 }
 
 // NamedRate is the rate of a class or a tenant.
@@ -29,7 +29,7 @@
 	Rate uint32 `cbor:"2,keyasint"`
 }
 
-// RateUnit is the rate at which all traces are captured.
+// RateUnit is the rate of 1, at which all traces are captured.
 const RateUnit = 1 << 20
 
 const (
@@ -38,17 +38,17 @@
 	maxCap        = 1 << 20
 )
 
-// check returns what is invalid in a format.
+// check returns an error if the rules are invalid in a format.
 func (s *SamplingRules) check(f Format) error {
 	if f.Major == 1 && (len(s.Tenants) > 0 || s.KeepFailed || s.KeepSlow > 0) {
-		return errors.New("tenants, failed and slow are of format 2")
+		return errors.New("tenants, keep_failed and keep_slow_ms need format 2")
 	}
 	if s.Rate > RateUnit {
-		return fmt.Errorf("rate %d of %d", s.Rate, RateUnit)
+		return fmt.Errorf("rate %d, %d at most", s.Rate, RateUnit)
 	}
 	for what, v := range map[string]uint32{"records": s.MaxRecords, "bytes": s.MaxBytes, "per_node": s.MaxRecordsPerNode} {
 		if v == 0 || v > maxCap && what != "bytes" {
-			return fmt.Errorf("%s %d, 1 to %d are taken", what, v, maxCap)
+			return fmt.Errorf("%s %d; allowed: 1 to %d", what, v, maxCap)
 		}
 	}
 	for _, all := range [][]NamedRate{s.Classes, s.Tenants} {
@@ -57,10 +57,10 @@
 		}
 		for i, n := range all {
 			if n.Name == "" || len(n.Name) > maxNameBytes || n.Rate > RateUnit {
-				return fmt.Errorf("rate %d of %q", n.Rate, n.Name)
+				return fmt.Errorf("invalid rate %d or name %q: the name is empty or too long, or the rate is over 1", n.Rate, n.Name)
 			}
 			if i > 0 && all[i-1].Name >= n.Name {
-				return fmt.Errorf("%q is not in its place, or twice", n.Name)
+				return fmt.Errorf("rates are not sorted by name, or have a duplicate, at %q", n.Name)
 			}
 		}
 	}
@@ -81,15 +81,16 @@
 	return s.Rate
 }
 
-// Captures reports whether a trace with a hash is captured at a rate. A trace that is captured at a rate is so at each higher one.
+// Captures reports whether a trace with a hash is captured at a rate. A trace that is captured at one rate is captured at every
+// higher rate.
 func Captures(hash uint64, rate uint32) bool {
-	return hash>>44 < uint64(rate) // 20 bits of it
+	return hash>>44 < uint64(rate) // the upper 20 bits, since RateUnit is 1<<20
 }
 
-// Rate returns a fraction as a rate.
+// Rate converts a fraction to a rate in units of 1/RateUnit.
 func Rate(fraction float64) uint32 { return uint32(math.Round(fraction * RateUnit)) }
 
-// readSampling decodes a rule of sampling.
+// readSampling decodes and checks a sampling rule.
 func readSampling(r Rule) (*SamplingRules, error) {
 	s := &SamplingRules{}
 	if err := decodeBody(r, s); err != nil {
@@ -98,7 +99,7 @@
 	return s, s.check(r.Format)
 }
 
-// SamplingRule returns the rule in a format, and an error if it is invalid. It sorts the rates by name.
+// SamplingRule encodes sampling rules in a format, and returns an error if they are invalid. It sorts the rates by name.
 func SamplingRule(s SamplingRules, f Format) (Rule, error) {
 	for _, all := range [][]NamedRate{s.Classes, s.Tenants} {
 		slices.SortFunc(all, func(a, b NamedRate) int { return cmp.Compare(a.Name, b.Name) })
@@ -106,7 +107,7 @@
 	return Rule{Kind: Sampling, Format: f, Body: encode(&s)}, s.check(f)
 }
 
-// downgradeSampling rewrites a rule of format 2 in format 1, and names what that loses.
+// downgradeSampling rewrites a sampling rule of format 2 in format 1, and names each feature that this drops.
 func downgradeSampling(r Rule) (Rule, []string) {
 	s, err := readSampling(r)
 	if err != nil {
--- a/internal/sidecar/rules/trial.go
+++ b/internal/sidecar/rules/trial.go
@@ -9,13 +9,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TrialCases is how many cases a trial decides.
+// TrialCases is the number of cases that a trial decides.
 const TrialCases = 128
 
-// Trial is how a program understands an edition: four bytes of a hash of the canonical form, then of the decision on each case.
+// Trial is a fingerprint of how a program interprets an edition: four bytes of a hash of the canonical form, then four bytes of
+// a hash of the decision on each case.
 type Trial [4 * (TrialCases + 1)]byte
 
-// Case is what the rules decide on.
+// Case is an input of the rules: a request with its result.
 type Case struct {
 	Class, Tenant, Node string
 	ID                  string
@@ -23,13 +24,14 @@
 	Latency             uint32 // milliseconds
 }
 
-// String is the case as operators see it.
+// String formats the case for operators.
 func (c Case) String() string {
-	return fmt.Sprintf("class %q, tenant %q, node %q, id %s, again %t, failed %t, %d ms", c.Class, c.Tenant, c.Node, c.ID, c.Retry, c.Failed, c.Latency)
+	return fmt.Sprintf("class %q, tenant %q, node %q, id %s, retry %t, failed %t, %d ms", c.Class, c.Tenant, c.Node, c.ID, c.Retry, c.Failed, c.Latency)
 }
 
-// DrawCases draws the cases of an edition, by its digest alone, so that all members draw the same. Names are of the rules and of
-// none of them, so that each rule is covered and also what none is about; latencies are around those that the rules name.
+// DrawCases generates the cases of an edition, seeded by its digest alone, so that all members generate the same. Names are
+// drawn from the rules and from outside them, so that both each rule and the default are covered. Latencies are close to the
+// threshold in the rules.
 func DrawCases(c *Compiled) []Case {
 	d := c.Edition.Digest()
 	rng := rand.New(rand.NewPCG(binary.BigEndian.Uint64(d[:8]), binary.BigEndian.Uint64(d[8:16])))
@@ -60,7 +62,8 @@
 	return all
 }
 
-// Decide returns what the rules decide on a case, as a text. Members compare its hash over the wire.
+// Decide returns the decision of the rules on a case as text. Members exchange and compare a hash of the text, so it must not
+// change.
 func (c *Compiled) Decide(q Case) string {
 	text := ""
 	if s := c.Sampling; s != nil {
@@ -81,22 +84,22 @@
 	return text
 }
 
-// Keeps reports whether a trace is kept after it has ended, by its result and latency in milliseconds.
+// Keeps reports whether a trace is kept once it has ended, by its result and its latency in milliseconds.
 func (s *SamplingRules) Keeps(failed bool, took uint32) bool {
 	return s.KeepFailed && failed || s.KeepSlow > 0 && took > s.KeepSlow
 }
 
-// TraceHash returns the hash of a trace's id. The salt is the edition's, so that a client cannot choose ids that are captured.
+// TraceHash returns the hash of a trace's id. It uses the edition's salt so that a client cannot choose ids that are captured.
 func TraceHash(salt uint64, id string) uint64 {
-	h := (xxhash.Sum64String(id) ^ salt*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9 // the mixing of SplitMix64
+	h := (xxhash.Sum64String(id) ^ salt*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9 // the mixing function of SplitMix64
 	h = (h ^ h>>27) * 0x94d049bb133111eb
 	return h ^ h>>31
 }
 
-// RunTrial decides the cases of an edition.
+// RunTrial returns the trial of an edition under this program's own decisions.
 func RunTrial(c *Compiled) Trial { return RunTrialWith(c, c.Decide) }
 
-// RunTrialWith decides the cases by another function, for tests with a program that understands the rules otherwise.
+// RunTrialWith is RunTrial with another decision function, for tests with a program that interprets the rules differently.
 func RunTrialWith(c *Compiled, decide func(Case) string) (t Trial) {
 	put := func(i int, text string) { binary.BigEndian.PutUint32(t[4*i:], uint32(xxhash.Sum64String(text))) }
 	put(0, string(encode(c.Edition.Rules)))
@@ -106,7 +109,8 @@
 	return t
 }
 
-// FirstDifference returns where two trials first differ: -1: nowhere; 0: in the canonical form; else the number of a case, from 1.
+// FirstDifference returns where two trials first differ: -1 if they are equal, 0 for the canonical form, else the number of the
+// case, from 1.
 func FirstDifference(a, b Trial) int {
 	for i := range TrialCases + 1 {
 		if !slices.Equal(a[4*i:4*i+4], b[4*i:4*i+4]) {
