--- a/internal/sidecar/quota/check_test.go
+++ b/internal/sidecar/quota/check_test.go
@@ -15,9 +15,9 @@
 
 var times = Times{ReportInterval: time.Second, Lease: 10 * time.Second, ActTimeout: 2 * time.Second, Drift: 0.01}
 
-// three is three members and one limit, whose messages stay on their links until they are delivered or dropped. The leader is
+// cluster is cluster members and one limit, whose messages stay on their links until they are delivered or dropped. The leader is
 // elected by a majority outside: the one before may go on until its confirmation is too old.
-type three struct {
+type cluster struct {
 	limit    Limit
 	mutate   Mutation
 	now      time.Duration
@@ -37,8 +37,8 @@
 	Report
 }
 
-func newThree(mutate Mutation, kind Kind) *three {
-	w := &three{limit: Limit{Name: "x", Kind: kind, Total: 30, FloorPercent: 30, MaxMembers: 3}, mutate: mutate, demand: [3]Unit{20, 5, 5}}
+func newCluster(mutate Mutation, kind Kind) *cluster {
+	w := &cluster{limit: Limit{Name: "x", Kind: kind, Total: 30, FloorPercent: 30, MaxMembers: 3}, mutate: mutate, demand: [3]Unit{20, 5, 5}}
 	for i := range 3 {
 		w.boots[i] = uint64(i + 1)
 		w.holders[i] = NewHolder(times, uint64(100*i), 0, mutate)
@@ -62,16 +62,16 @@
 }
 
 // elect has another member lead. The one before notices only that its confirmation grows old.
-func (w *three) elect(i int) {
+func (w *cluster) elect(i int) {
 	w.leader = i
 	w.term++
 	w.granters[i].Lead(w.now, Term{Term: w.term}, w.now)
 }
 
 // confirm has the majority confirm the leader.
-func (w *three) confirm() { w.granters[w.leader].Lead(w.now, Term{Term: w.term}, w.now) }
+func (w *cluster) confirm() { w.granters[w.leader].Lead(w.now, Term{Term: w.term}, w.now) }
 
-func (w *three) report(i int) {
+func (w *cluster) report(i int) {
 	w.holders[i].SetDemand("x", w.demand[i])
 	r := w.holders[i].Report(w.now)
 	for to := range 3 { // it may not know who leads: an earlier leader gets its report as well
@@ -81,7 +81,7 @@
 	}
 }
 
-func (w *three) deliverReport(i, at int) {
+func (w *cluster) deliverReport(i, at int) {
 	r := w.reports[i][at]
 	w.reports[i] = append(w.reports[i][:at:at], w.reports[i][at+1:]...)
 	if g, ok := w.granters[r.to].ReceiveReport(w.now, r.who, r.Report); ok && len(w.grants[i]) < 4 {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (w *three) deliverGrant(i, at int) {
+func (w *cluster) deliverGrant(i, at int) {
 	g := w.grants[i][at]
 	w.grants[i] = append(w.grants[i][:at:at], w.grants[i][at+1:]...)
 	w.holders[i].ReceiveGrant(w.now, g)
@@ -100,7 +100,7 @@
 	do   func()
 }
 
-func (w *three) choices() (all []choice) {
+func (w *cluster) choices() (all []choice) {
 	add := func(name string, do func()) { all = append(all, choice{name, do}) }
 	for i := range 3 {
 		add(fmt.Sprint("report ", i), func() { w.report(i) })
@@ -124,17 +124,17 @@
 	return all
 }
 
-func (w *three) Events() (names []string) {
+func (w *cluster) Events() (names []string) {
 	for _, c := range w.choices() {
 		names = append(names, c.name)
 	}
 	return names
 }
 
-func (w *three) Do(i int) { w.choices()[i].do() }
+func (w *cluster) Do(i int) { w.choices()[i].do() }
 
 // Check sums what all may use.
-func (w *three) Check() error {
+func (w *cluster) Check() error {
 	var all Unit
 	var parts [3]Unit
 	for i, h := range w.holders {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func (w *three) Hash() uint64 {
+func (w *cluster) Hash() uint64 {
 	var b strings.Builder
 	for i := range 3 {
 		h, k := w.holders[i], w.holders[i].limits["x"]
@@ -172,7 +172,7 @@
 	if n, err := strconv.Atoi(os.Getenv("EXPLORE_DEPTH")); err == nil {
 		depth = n
 	}
-	res, err := explore.All(func() explore.System { return newThree(NoMutation, Rate) }, depth, 20_000_000)
+	res, err := explore.All(func() explore.System { return newCluster(NoMutation, Rate) }, depth, 20_000_000)
 	if err != nil || !res.Full {
 		t.Errorf("%+v %v", res, err)
 	}
@@ -183,15 +183,15 @@
 func TestMutationsBreakTheSum(t *testing.T) {
 	for name, c := range map[string]struct {
 		mutate Mutation
-		near   func(w *three)
+		near   func(w *cluster)
 		depth  int
 	}{
-		"a lease counts from when the grant came": {LeaseFromReply, func(w *three) {
+		"a lease counts from when the grant came": {LeaseFromReply, func(w *cluster) {
 			w.report(0)
 			w.deliverReport(0, 0)
 			w.report(1)
 		}, 4},
-		"a grant for an older report counts": {AnyGrant, func(w *three) { // one is out while its receiver lets its part go
+		"a grant for an older report counts": {AnyGrant, func(w *cluster) { // one is out while its receiver lets its part go
 			w.report(0)
 			w.deliverReport(0, 0)
 			w.demand = [3]Unit{5, 20, 5}
@@ -201,15 +201,15 @@
 				w.deliverGrant(0, 1)
 			}
 		}, 4},
-		"a new granter gives at once": {NoWait, func(*three) {}, 4},
-		"what is taken back is given on at once": {TakeAtOnce, func(w *three) {
+		"a new granter gives at once": {NoWait, func(*cluster) {}, 4},
+		"what is taken back is given on at once": {TakeAtOnce, func(w *cluster) {
 			w.report(1)
 			w.demand = [3]Unit{5, 20, 5}
 		}, 4},
 	} {
 		begin := func(mutate Mutation) func() explore.System {
 			return func() explore.System {
-				w := newThree(mutate, Rate)
+				w := newCluster(mutate, Rate)
 				c.near(w)
 				return w
 			}
--- a/internal/sidecar/quota/gate.go
+++ b/internal/sidecar/quota/gate.go
@@ -13,10 +13,10 @@
 	share, fallback Unit
 	expiry          time.Duration // of the lease on share; then fallback holds
 
-	tokens         int64 // of a rate, in units times microseconds: a request costs requestCost; of retries, in units
-	filledAt       time.Duration
-	leasedInFlight int64 // in flight on slots that end with the lease
-	ownInFlight    int64 // in flight on slots of the fallback
+	tokens           int64 // of a rate, in units times microseconds: a request costs requestCost; of retries, in units
+	filledAt         time.Duration
+	leasedInFlight   int64 // in flight on slots that end with the lease
+	fallbackInFlight int64 // in flight on slots of the fallback
 
 	demand   float64 // of a rate: requests, weighted by age; of requests in flight: their recent maximum
 	demandAt time.Duration
@@ -113,9 +113,9 @@
 // The slots.
 const (
 	NoSlot Slot = iota
-	Leased
-	Own
-	Token // of a rate
+	LeasedSlot
+	FallbackSlot
+	TokenSlot // of a rate
 )
 
 // Take admits one request, or returns after what time a retry is likely to be admitted. ends is when the request has ended at
@@ -145,7 +145,7 @@
 		if g.tokens >= requestCost {
 			g.tokens -= requestCost
 			g.Admitted++
-			return Token, 0, true
+			return TokenSlot, 0, true
 		}
 		g.Rejected++
 		after = maxRetryAfter
@@ -158,10 +158,10 @@
 	switch {
 	case free && ends <= g.expiry: // ends before the lease, so that the request does not outlive the share
 		g.leasedInFlight++
-		slot = Leased
-	case free && g.ownInFlight < reduction.of(g.fallback):
-		g.ownInFlight++
-		slot = Own
+		slot = LeasedSlot
+	case free && g.fallbackInFlight < reduction.of(g.fallback):
+		g.fallbackInFlight++
+		slot = FallbackSlot
 	default:
 		g.Rejected++
 		return NoSlot, min(maxRetryAfter, max(50*time.Millisecond, (ends-now)/4)), false
@@ -173,17 +173,17 @@
 // Done releases the slot of a request that has ended.
 func (g *Gate) Done(s Slot) {
 	switch s {
-	case Leased:
+	case LeasedSlot:
 		g.leasedInFlight--
-	case Own:
-		g.ownInFlight--
+	case FallbackSlot:
+		g.fallbackInFlight--
 	}
 }
 
 // Undo takes back the admission of a request that another limit rejects.
 func (g *Gate) Undo(s Slot) {
 	g.Admitted--
-	if s == Token {
+	if s == TokenSlot {
 		g.tokens += requestCost
 		return
 	}
@@ -191,7 +191,7 @@
 }
 
 // InUse returns how many requests are in flight.
-func (g *Gate) InUse() Unit { return g.leasedInFlight + g.ownInFlight }
+func (g *Gate) InUse() Unit { return g.leasedInFlight + g.fallbackInFlight }
 
 // recordDemand counts a request.
 func (g *Gate) recordDemand(now time.Duration) {
--- a/internal/sidecar/quota/gate_test.go
+++ b/internal/sidecar/quota/gate_test.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// asks sends requests to a gate at an even rate for a time and returns how many were admitted.
-func asks(g *Gate, from, to time.Duration, rate float64) (let int) {
+// offerLoad sends requests to a gate at an even rate for a time and returns how many were admitted.
+func offerLoad(g *Gate, from, to time.Duration, rate float64) (admitted int) {
 	for at := from; at < to; at += time.Duration(float64(time.Second) / rate) {
 		if _, after, ok := g.Take(at, at+time.Second); ok {
-			let++
+			admitted++
 		} else if after <= 0 {
 			panic("turned back without a word when to come again")
 		}
 	}
-	return let
+	return admitted
 }
 
 func TestRateGate(t *testing.T) {
 	const s = time.Second
 	g := NewGate(Rate, 100*time.Millisecond, 0)
 	g.SetShare(0, 50*PerSecond, 5*PerSecond, 10*s)
-	if n := asks(g, 0, 5*s, 200); n < 249 || n > 256 { // 250, and what may be saved
+	if n := offerLoad(g, 0, 5*s, 200); n < 249 || n > 256 { // 250, and what may be saved
 		t.Errorf("%d of 250 in 5 s", n)
 	}
 	if d := g.Demand(5 * s); d < 200*PerSecond || d > 300*PerSecond {
 		t.Errorf("%d is asked for, 200 a second are", d)
 	}
 	// The lease ends in the middle of the next 10 s: 5 s at 50, then 5 s at the floor's 5.
-	if n := asks(g, 5*s, 15*s, 200); n < 270 || n > 282 {
+	if n := offerLoad(g, 5*s, 15*s, 200); n < 270 || n > 282 {
 		t.Errorf("%d of 275 over the end of the lease", n)
 	}
 	g.SetShare(15*s, 50*PerSecond, 5*PerSecond, 100*s)
-	asks(g, 15*s, 16*s, 1)
+	offerLoad(g, 15*s, 16*s, 1)
 	g.SetShare(16*s, 5*PerSecond, 5*PerSecond, 100*s) // what was saved at 50 goes with the share
-	if n := asks(g, 16*s, 17*s, 1000); n > 6 {
+	if n := offerLoad(g, 16*s, 17*s, 1000); n > 6 {
 		t.Errorf("%d of 5 after the part was taken back", n)
 	}
 	g.Take(17*s, 18*s)
@@ -74,13 +74,13 @@
 }
 
 // Retries are a fraction of the other requests, and what may be saved.
-func TestRepeatsAreAPartOfRequests(t *testing.T) {
+func TestRetriesAreAFractionOfRequests(t *testing.T) {
 	share := Settings{ClientRetryPercent: 20}.Limit().Total
 	g := NewGate(Retries, 0, 0)
-	let := 0
+	admitted := 0
 	for i := range 1000 {
 		if after, ok := g.AdmitByRetryBudget(true, share); ok {
-			let++
+			admitted++
 		} else if after <= 0 {
 			t.Fatal("turned back without a word when to come again")
 		}
@@ -88,8 +88,8 @@
 			g.AdmitByRetryBudget(false, share)
 		}
 	}
-	if let != 100+maxSavedRetries {
-		t.Errorf("%d repeats were let through beside 500 requests", let)
+	if admitted != 100+maxSavedRetries {
+		t.Errorf("%d repeats were let through beside 500 requests", admitted)
 	}
 }
 
@@ -119,7 +119,7 @@
 }
 
 // Made-up names fill the outstanding grants up to their bound, and no further.
-func TestLedgerIsBounded(t *testing.T) {
+func TestOutstandingGrantsAreBounded(t *testing.T) {
 	g := NewGranter(Times{ReportInterval: time.Second, Lease: 10 * time.Second, ActTimeout: 100 * time.Second}, NoMutation)
 	g.SetLimits([]Limit{{Name: "x", Total: 1000, MaxMembers: 4}})
 	g.Lead(0, Term{Term: 1}, 0)
@@ -133,7 +133,7 @@
 }
 
 // At a node that is warming up fewer requests may be in flight, but one of each member if that is within the limit.
-func TestCutOfAColdNode(t *testing.T) {
+func TestReducedShareOfWarmingNode(t *testing.T) {
 	s := Settings{Name: "n", NodeInFlight: 40, Members: 4}
 	for _, c := range []struct {
 		warm float64
