--- a/internal/sidecar/quota/check_test.go
+++ b/internal/sidecar/quota/check_test.go
@@ -15,8 +15,8 @@
 
 var times = Times{ReportInterval: time.Second, Lease: 10 * time.Second, ActTimeout: 2 * time.Second, Drift: 0.01}
 
-// cluster is cluster members and one limit, whose messages stay on their links until they are delivered or dropped. The leader is
-// elected by a majority outside: the one before may go on until its confirmation is too old.
+// cluster simulates three members and one limit. Messages stay in transit until they are delivered or dropped. The leader is
+// elected by a majority outside the simulation, and the previous leader may act until its confirmation expires.
 type cluster struct {
 	limit    Limit
 	mutate   Mutation
@@ -26,7 +26,7 @@
 	boots    [3]uint64
 	leader   int
 	term     uint64
-	reports  [3][]sentReport // on their way, by sender
+	reports  [3][]sentReport // in transit, by sender
 	grants   [3][]Grant
 	demand   [3]Unit
 }
@@ -47,9 +47,9 @@
 		w.granters[i].SetLimits([]Limit{w.limit})
 	}
 	w.elect(0)
-	w.now += 20 * time.Second // longer than a new granter waits
+	w.now += 20 * time.Second // longer than a new granter waits before it grants
 	w.confirm()
-	for range 3 { // until all have shares
+	for range 3 { // until all members have shares
 		for i := range 3 {
 			w.report(i)
 			w.deliverReport(i, 0)
@@ -61,20 +61,20 @@
 	return w
 }
 
-// elect has another member lead. The one before notices only that its confirmation grows old.
+// elect makes another member the leader. The previous leader only notices that its confirmation expires.
 func (w *cluster) elect(i int) {
 	w.leader = i
 	w.term++
 	w.granters[i].Lead(w.now, Term{Term: w.term}, w.now)
 }
 
-// confirm has the majority confirm the leader.
+// confirm renews the majority's confirmation of the leader.
 func (w *cluster) confirm() { w.granters[w.leader].Lead(w.now, Term{Term: w.term}, w.now) }
 
 func (w *cluster) report(i int) {
 	w.holders[i].SetDemand("x", w.demand[i])
 	r := w.holders[i].Report(w.now)
-	for to := range 3 { // it may not know who leads: an earlier leader gets its report as well
+	for to := range 3 { // the member may not know the leader, so earlier leaders get its report as well
 		if len(w.reports[i]) < 4 && (to == w.leader || w.granters[to].acting) {
 			w.reports[i] = append(w.reports[i], sentReport{Process{fmt.Sprint(i), w.boots[i]}, to, r})
 		}
@@ -104,19 +104,19 @@
 	add := func(name string, do func()) { all = append(all, choice{name, do}) }
 	for i := range 3 {
 		add(fmt.Sprint("report ", i), func() { w.report(i) })
-		for at := range w.reports[i] { // any of them: they overtake each other
+		for at := range w.reports[i] { // any of them, since messages may be reordered
 			add(fmt.Sprint("deliver report ", at, " of ", i), func() { w.deliverReport(i, at) })
 		}
 		for at := range w.grants[i] {
 			add(fmt.Sprint("deliver grant ", at, " to ", i), func() { w.deliverGrant(i, at) })
 		}
 	}
-	add("the demand turns", func() { w.demand = [3]Unit{w.demand[2], w.demand[0], w.demand[1]} })
+	add("the demands rotate among the members", func() { w.demand = [3]Unit{w.demand[2], w.demand[0], w.demand[1]} })
 	add("a short time passes, the leader is confirmed", func() { w.now += time.Second; w.confirm() })
 	add("half a lease passes, the leader is confirmed", func() { w.now += 5 * time.Second; w.confirm() })
 	add("a little over a lease passes, the leader is confirmed", func() { w.now += 10200 * time.Millisecond; w.confirm() })
-	add("another one leads", func() { w.elect((w.leader + 1) % 3) })
-	add("member 0 is started anew", func() { // the process before is stopped, and its lease goes on
+	add("another member becomes the leader", func() { w.elect((w.leader + 1) % 3) })
+	add("member 0 restarts", func() { // the previous process ends, but its lease runs on
 		w.boots[0] += 10
 		w.holders[0] = NewHolder(times, 1000*w.boots[0], w.now, w.mutate)
 		w.holders[0].SetLimits([]Limit{w.limit})
@@ -133,7 +133,7 @@
 
 func (w *cluster) Do(i int) { w.choices()[i].do() }
 
-// Check sums what all may use.
+// Check verifies that what all members may use does not sum to more than the limit.
 func (w *cluster) Check() error {
 	var all Unit
 	var parts [3]Unit
@@ -142,7 +142,7 @@
 		all += parts[i]
 	}
 	if all > w.limit.Total {
-		return fmt.Errorf("%v sum to %d of %d", parts, all, w.limit.Total)
+		return fmt.Errorf("shares %v sum to %d, more than the limit %d", parts, all, w.limit.Total)
 	}
 	return nil
 }
@@ -166,7 +166,8 @@
 	return xxhash.Sum64String(b.String())
 }
 
-// Every order of events, with lost, late and overtaken messages: the sum is kept.
+// TestEveryOrderKeepsTheSum explores every order of events, with lost, late and reordered messages: the shares never sum to more
+// than the limit.
 func TestEveryOrderKeepsTheSum(t *testing.T) {
 	depth := 4
 	if n, err := strconv.Atoi(os.Getenv("EXPLORE_DEPTH")); err == nil {
@@ -179,19 +180,19 @@
 	t.Logf("every order of up to %d events: %d states, %d paths", depth, res.States, res.Paths)
 }
 
-// Each injected fault breaks the sum within a few events of a state that is near.
+// TestMutationsBreakTheSum checks that each injected fault violates the limit within a few events of a prepared state.
 func TestMutationsBreakTheSum(t *testing.T) {
 	for name, c := range map[string]struct {
 		mutate Mutation
 		near   func(w *cluster)
 		depth  int
 	}{
-		"a lease counts from when the grant came": {LeaseFromReply, func(w *cluster) {
+		"a lease runs from the receipt of the grant": {LeaseFromReply, func(w *cluster) {
 			w.report(0)
 			w.deliverReport(0, 0)
 			w.report(1)
 		}, 4},
-		"a grant for an older report counts": {AnyGrant, func(w *cluster) { // one is out while its receiver lets its part go
+		"a grant for an earlier report is accepted": {AnyGrant, func(w *cluster) { // such a grant is in transit while its receiver gives up its share
 			w.report(0)
 			w.deliverReport(0, 0)
 			w.demand = [3]Unit{5, 20, 5}
@@ -201,8 +202,8 @@
 				w.deliverGrant(0, 1)
 			}
 		}, 4},
-		"a new granter gives at once": {NoWait, func(*cluster) {}, 4},
-		"what is taken back is given on at once": {TakeAtOnce, func(w *cluster) {
+		"a new granter grants without waiting": {NoWait, func(*cluster) {}, 4},
+		"a reduced share is granted to another holder at once": {TakeAtOnce, func(w *cluster) {
 			w.report(1)
 			w.demand = [3]Unit{5, 20, 5}
 		}, 4},
@@ -219,11 +220,11 @@
 			_, found = explore.All(begin(c.mutate), depth, 100_000)
 		}
 		if found == nil {
-			t.Errorf("%s: nothing was broken", name)
+			t.Errorf("%s: no violation found", name)
 		}
 		t.Log(name, ": ", found)
 		if _, err := explore.All(begin(NoMutation), 3, 100_000); err != nil {
-			t.Errorf("without the mutation: %v", err)
+			t.Errorf("violation without the mutation: %v", err)
 		}
 	}
 }
--- a/internal/sidecar/quota/gate.go
+++ b/internal/sidecar/quota/gate.go
@@ -4,39 +4,39 @@
 	"time"
 )
 
-// Gate admits requests by this member's share of one limit. It decides at once: no request waits. It is not safe for concurrent
-// use.
+// Gate admits requests within this member's share of one limit. It decides immediately, without queueing requests. It is not
+// safe for concurrent use.
 type Gate struct {
 	kind  Kind
-	burst time.Duration // of a rate: for how long unused tokens are saved
+	burst time.Duration // of a rate: the time over which unused tokens accumulate
 
 	share, fallback Unit
-	expiry          time.Duration // of the lease on share; then fallback holds
+	expiry          time.Duration // of the lease on share; from then on fallback applies
 
-	tokens           int64 // of a rate, in units times microseconds: a request costs requestCost; of retries, in units
+	tokens           int64 // of a rate, in units times microseconds, where a request costs requestCost; of retries, in units
 	filledAt         time.Duration
-	leasedInFlight   int64 // in flight on slots that end with the lease
-	fallbackInFlight int64 // in flight on slots of the fallback
+	leasedInFlight   int64 // requests in flight on slots of the lease
+	fallbackInFlight int64 // requests in flight on slots of the fallback
 
-	demand   float64 // of a rate: requests, weighted by age; of requests in flight: their recent maximum
-	demandAt time.Duration
-	Admitted int64 // requests admitted since the start
-	Rejected int64 // requests rejected since the start
+	demand   float64       // of a rate: number of requests, weighted by age; of requests in flight: their recent maximum
+	demandAt time.Duration // when demand was last aged
+	Admitted int64         // requests admitted since the start
+	Rejected int64         // requests rejected since the start
 }
 
 const (
-	// demandAge is the time constant by which past demand is forgotten.
+	// demandAge is the time constant with which past demand decays.
 	demandAge = 2 * time.Second
-	// headroom is the factor by which more is demanded than was used, so that growing traffic is not rejected first.
+	// headroom is the ratio of demand to past use. It is over 1 so that growing traffic is not rejected before the share grows.
 	headroom = 1.25
-	// maxRetryAfter bounds the time after which a rejected request is advised to retry.
+	// maxRetryAfter bounds the retry delay that is advised for a rejected request.
 	maxRetryAfter = 10 * time.Second
 )
 
-// requestCost is the tokens that one request costs: a second of PerSecond.
+// requestCost is the number of tokens that one request costs: what a rate of PerSecond earns in a second.
 const requestCost = PerSecond * int64(time.Second/time.Microsecond)
 
-// NewGate makes a gate that admits one request, or some retries, before it has a share.
+// NewGate returns a gate that admits one request, or maxSavedRetries retries, before it has a share.
 func NewGate(kind Kind, burst time.Duration, now time.Duration) *Gate {
 	if kind == Retries {
 		return &Gate{kind: kind, tokens: maxSavedRetries * PerSecond}
@@ -44,7 +44,7 @@
 	return &Gate{kind: kind, burst: burst, filledAt: now, demandAt: now, tokens: requestCost}
 }
 
-// SetShare sets the share, until when it is leased, and the fallback after that.
+// SetShare sets the share, the end of its lease, and the fallback that applies after that.
 func (g *Gate) SetShare(now time.Duration, share, fallback Unit, expiry time.Duration) {
 	if g.kind == Rate {
 		g.fill(now)
@@ -53,7 +53,7 @@
 	g.capTokens()
 }
 
-// currentShare is what may be used at a time. A share ends with its lease even if nobody has set another one.
+// currentShare returns the share that applies at a time. A share ends with its lease even if SetShare is not called again.
 func (g *Gate) currentShare(now time.Duration) Unit {
 	if now >= g.expiry {
 		return g.fallback
@@ -61,7 +61,7 @@
 	return g.share
 }
 
-// fill adds the tokens of the time that has passed, by the share and, from its end on, by the fallback.
+// fill adds the tokens earned since the last call: at the share until its lease ends, then at the fallback.
 func (g *Gate) fill(now time.Duration) {
 	if now <= g.filledAt {
 		return
@@ -71,7 +71,7 @@
 			g.tokens += share * int64(d/time.Microsecond)
 		}
 	}
-	// Whole microseconds, so that frequent calls lose nothing.
+	// Only whole microseconds are credited, and the rest is left for the next call, so that frequent calls lose nothing.
 	now = g.filledAt + (now - g.filledAt).Truncate(time.Microsecond)
 	split := min(max(g.expiry, g.filledAt), now)
 	earn(g.share, split-g.filledAt)
@@ -80,19 +80,20 @@
 	g.capTokens()
 }
 
-// capTokens bounds the saved tokens by the present share and the burst. One request can always be saved for.
+// capTokens limits the accumulated tokens to the current share times the burst, but never to less than one request's cost.
 func (g *Gate) capTokens() {
 	most := max(requestCost, g.currentShare(g.filledAt)*int64(g.burst/time.Microsecond))
 	g.tokens = min(g.tokens, most)
 }
 
-// maxSavedRetries is for how many retries tokens are saved.
+// maxSavedRetries is the number of retries for which tokens accumulate.
 const maxSavedRetries = 10
 
-// AdmitByRetryBudget admits a first request, which earns retries a share of a token, or, if again is set, a retry if there is a token
-// for it. after is a guess: it depends on the requests of others.
+// AdmitByRetryBudget admits a first request, which adds share to the retry tokens, or, if again is set, a retry, which needs and
+// consumes one token. after is the retry delay to advise for a rejected retry. It is an estimate, since tokens depend on other
+// requests.
 func (g *Gate) AdmitByRetryBudget(again bool, share Unit) (after time.Duration, ok bool) {
-	const one = requestCost / int64(time.Second/time.Microsecond) // in units
+	const one = requestCost / int64(time.Second/time.Microsecond) // token, in units
 	if !again {
 		g.tokens = min(g.tokens+share, maxSavedRetries*one)
 		g.Admitted++
@@ -107,10 +108,10 @@
 	return 0, true
 }
 
-// Slot is what an admitted request holds until it ends.
+// Slot is the kind of slot that an admitted request occupies until it ends.
 type Slot uint8
 
-// The slots.
+// The kinds of slots.
 const (
 	NoSlot Slot = iota
 	LeasedSlot
@@ -118,26 +119,26 @@
 	TokenSlot // of a rate
 )
 
-// Take admits one request, or returns after what time a retry is likely to be admitted. ends is when the request has ended at
-// the latest.
+// Take admits one request, or returns the time after which a retry is likely to be admitted. ends is the latest time at which
+// the request ends.
 func (g *Gate) Take(now, ends time.Duration) (slot Slot, after time.Duration, ok bool) {
 	return g.TakeReduced(now, ends, Unreduced)
 }
 
-// Reduction is how much of a limit on requests in flight may be used for the time being: a fraction, rounded down, and at least
-// Min, as far as the share allows.
+// Reduction temporarily reduces a limit on requests in flight to a fraction, rounded down. Min is the minimum that remains, as
+// far as the share allows.
 type Reduction struct {
 	Fraction float64
 	Min      Unit
 }
 
-// Unreduced allows the whole share.
+// Unreduced permits the whole share.
 var Unreduced = Reduction{Fraction: 1}
 
-// of is the reduced amount.
+// of returns the reduced amount.
 func (r Reduction) of(u Unit) Unit { return min(u, max(r.Min, Unit(r.Fraction*float64(u)))) }
 
-// TakeReduced is Take with a reduced share.
+// TakeReduced is Take with a reduced share. The reduction applies to limits on requests in flight only.
 func (g *Gate) TakeReduced(now, ends time.Duration, reduction Reduction) (slot Slot, after time.Duration, ok bool) {
 	g.recordDemand(now)
 	if g.kind == Rate {
@@ -156,7 +157,7 @@
 	}
 	free := g.InUse() < reduction.of(g.currentShare(now))
 	switch {
-	case free && ends <= g.expiry: // ends before the lease, so that the request does not outlive the share
+	case free && ends <= g.expiry: // the request ends before the lease, so it does not outlive the share
 		g.leasedInFlight++
 		slot = LeasedSlot
 	case free && g.fallbackInFlight < reduction.of(g.fallback):
@@ -170,7 +171,7 @@
 	return slot, 0, true
 }
 
-// Done releases the slot of a request that has ended.
+// Done releases the slot of a request that has ended. The tokens of a rate are not returned.
 func (g *Gate) Done(s Slot) {
 	switch s {
 	case LeasedSlot:
@@ -180,7 +181,7 @@
 	}
 }
 
-// Undo takes back the admission of a request that another limit rejects.
+// Undo reverts the admission of a request that another limit rejects.
 func (g *Gate) Undo(s Slot) {
 	g.Admitted--
 	if s == TokenSlot {
@@ -190,10 +191,10 @@
 	g.Done(s)
 }
 
-// InUse returns how many requests are in flight.
+// InUse returns the number of requests in flight.
 func (g *Gate) InUse() Unit { return g.leasedInFlight + g.fallbackInFlight }
 
-// recordDemand counts a request.
+// recordDemand adds a request to the demand, whether or not it is admitted.
 func (g *Gate) recordDemand(now time.Duration) {
 	g.ageDemand(now)
 	if g.kind == Rate {
@@ -203,7 +204,8 @@
 	g.demand = max(g.demand, float64(g.InUse()+1))
 }
 
-// ageDemand forgets past demand: of a rate the sum decays, of requests in flight the maximum falls toward the present number.
+// ageDemand decays past demand: the sum of a rate, and the maximum of requests in flight, which falls to the current number at
+// the least.
 func (g *Gate) ageDemand(now time.Duration) {
 	if d := now - g.demandAt; d > 0 {
 		keep := 1 - min(1, float64(d)/float64(demandAge))
@@ -215,11 +217,11 @@
 	}
 }
 
-// Demand returns how much this member could use.
+// Demand returns how much of the limit this member could use, including headroom.
 func (g *Gate) Demand(now time.Duration) Unit {
 	g.ageDemand(now)
 	if g.kind == Rate {
-		// The sum of requests weighted by age is the rate times demandAge.
+		// The sum of requests weighted by age converges to the rate times demandAge.
 		return Unit(g.demand / demandAge.Seconds() * headroom * float64(PerSecond))
 	}
 	return Unit(g.demand*headroom + 0.999)
--- a/internal/sidecar/quota/gate_test.go
+++ b/internal/sidecar/quota/gate_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// offerLoad sends requests to a gate at an even rate for a time and returns how many were admitted.
+// offerLoad sends requests to a gate at a constant rate and returns how many were admitted.
 func offerLoad(g *Gate, from, to time.Duration, rate float64) (admitted int) {
 	for at := from; at < to; at += time.Duration(float64(time.Second) / rate) {
 		if _, after, ok := g.Take(at, at+time.Second); ok {
 			admitted++
 		} else if after <= 0 {
-			panic("turned back without a word when to come again")
+			panic("request rejected without a retry delay")
 		}
 	}
 	return admitted
@@ -22,25 +22,25 @@
 	const s = time.Second
 	g := NewGate(Rate, 100*time.Millisecond, 0)
 	g.SetShare(0, 50*PerSecond, 5*PerSecond, 10*s)
-	if n := offerLoad(g, 0, 5*s, 200); n < 249 || n > 256 { // 250, and what may be saved
-		t.Errorf("%d of 250 in 5 s", n)
+	if n := offerLoad(g, 0, 5*s, 200); n < 249 || n > 256 { // 250, and the burst
+		t.Errorf("%d admitted in 5 s, want about 250", n)
 	}
 	if d := g.Demand(5 * s); d < 200*PerSecond || d > 300*PerSecond {
-		t.Errorf("%d is asked for, 200 a second are", d)
+		t.Errorf("demand %d, want 200 to 300 times PerSecond", d)
 	}
-	// The lease ends in the middle of the next 10 s: 5 s at 50, then 5 s at the floor's 5.
+	// The lease ends in the middle of the next 10 s: 5 s at 50 per second, then 5 s at the fallback's 5.
 	if n := offerLoad(g, 5*s, 15*s, 200); n < 270 || n > 282 {
-		t.Errorf("%d of 275 over the end of the lease", n)
+		t.Errorf("%d admitted across the end of the lease, want about 275", n)
 	}
 	g.SetShare(15*s, 50*PerSecond, 5*PerSecond, 100*s)
 	offerLoad(g, 15*s, 16*s, 1)
-	g.SetShare(16*s, 5*PerSecond, 5*PerSecond, 100*s) // what was saved at 50 goes with the share
+	g.SetShare(16*s, 5*PerSecond, 5*PerSecond, 100*s) // tokens accumulated at 50 are dropped with the share
 	if n := offerLoad(g, 16*s, 17*s, 1000); n > 6 {
-		t.Errorf("%d of 5 after the part was taken back", n)
+		t.Errorf("%d admitted after the share was reduced, want about 5", n)
 	}
 	g.Take(17*s, 18*s)
 	if _, after, ok := g.Take(17*s, 18*s); ok || after > 210*time.Millisecond {
-		t.Errorf("the next one is 0.2 s away: %v, %v", after, ok)
+		t.Errorf("admitted %v, retry delay %v; want a rejection with about 0.2 s", after, ok)
 	}
 }
 
@@ -52,28 +52,29 @@
 	for range 5 {
 		slot, _, ok := g.Take(0, s)
 		if !ok {
-			t.Fatal("a slot is free")
+			t.Fatal("request rejected while a slot is free")
 		}
 		slots = append(slots, slot)
 	}
 	if _, after, ok := g.Take(0, s); ok || after <= 0 || g.InUse() != 5 {
-		t.Error("a sixth of five")
+		t.Error("sixth request admitted with a share of five, or no retry delay, or a wrong count in flight")
 	}
 	for _, slot := range slots {
 		g.Done(slot)
 	}
-	// Near the end of the lease, requests that would outlive it are admitted by the floor alone.
+	// Near the end of the lease, requests that would outlive it are admitted by the fallback alone.
 	for i := range 3 {
 		if _, _, ok := g.Take(9500*time.Millisecond, 11*s); ok != (i < 2) {
-			t.Errorf("request %d: %v", i, ok)
+			t.Errorf("request %d: admitted %t", i, ok)
 		}
 	}
 	if d := g.Demand(9500 * time.Millisecond); d < 3 || d > 7 {
-		t.Errorf("%d is asked for", d)
+		t.Errorf("demand %d, want 3 to 7", d)
 	}
 }
 
-// Retries are a fraction of the other requests, and what may be saved.
+// TestRetriesAreAFractionOfRequests checks that retries are limited to a fraction of the other requests, and the accumulated
+// tokens.
 func TestRetriesAreAFractionOfRequests(t *testing.T) {
 	share := Settings{ClientRetryPercent: 20}.Limit().Total
 	g := NewGate(Retries, 0, 0)
@@ -82,14 +83,14 @@
 		if after, ok := g.AdmitByRetryBudget(true, share); ok {
 			admitted++
 		} else if after <= 0 {
-			t.Fatal("turned back without a word when to come again")
+			t.Fatal("retry rejected without a retry delay")
 		}
 		if i%2 == 0 { // 500 first requests among 1,000 retries
 			g.AdmitByRetryBudget(false, share)
 		}
 	}
 	if admitted != 100+maxSavedRetries {
-		t.Errorf("%d repeats were let through beside 500 requests", admitted)
+		t.Errorf("%d retries admitted beside 500 first requests", admitted)
 	}
 }
 
@@ -100,7 +101,7 @@
 		fleet bool
 		keys  string
 	}{
-		"a rate, a limit in flight, repeats": {SettingsList{good, {Name: "b", InFlight: 4, Members: 2, Policy: "available"}, {Name: "c", ClientRetryPercent: 10}}, true, ""},
+		"a rate, a limit in flight, retries": {SettingsList{good, {Name: "b", InFlight: 4, Members: 2, Policy: "available"}, {Name: "c", ClientRetryPercent: 10}}, true, ""},
 		"without a fleet":                    {SettingsList{good}, false, "[0].name "},
 		"a name twice":                       {SettingsList{good, good}, true, "[1].name "},
 		"two kinds in one":                   {SettingsList{{Name: "a", PerSecond: 1, InFlight: 1, Members: 1}}, true, "[0].per_second "},
@@ -110,7 +111,7 @@
 		keys := ""
 		c.all.Check(c.fleet, func(key string, read any, allowed string) { keys += key + " " })
 		if keys != c.keys {
-			t.Errorf("%s: faults of %q", name, keys)
+			t.Errorf("%s: faults for the keys %q", name, keys)
 		}
 	}
 	if b := good.Bound(); !strings.Contains(b, "2.5 a second of it for each of 8 members") || !strings.Contains(b, "never over") {
@@ -118,7 +119,7 @@
 	}
 }
 
-// Made-up names fill the outstanding grants up to their bound, and no further.
+// TestOutstandingGrantsAreBounded checks that reports of forged processes add outstanding grants up to maxHolders and no more.
 func TestOutstandingGrantsAreBounded(t *testing.T) {
 	g := NewGranter(Times{ReportInterval: time.Second, Lease: 10 * time.Second, ActTimeout: 100 * time.Second}, NoMutation)
 	g.SetLimits([]Limit{{Name: "x", Total: 1000, MaxMembers: 4}})
@@ -128,11 +129,12 @@
 		g.ReceiveReport(120*time.Second, Process{Name: "n", Boot: uint64(i + 1)}, Report{Seq: 1, Limits: []LimitReport{{Limit: "x", Total: 1000}}})
 	}
 	if n := len(g.outstanding["x"]); n != maxHolders {
-		t.Errorf("%d outstanding, %d at most", n, maxHolders)
+		t.Errorf("%d outstanding grants, %d at most", n, maxHolders)
 	}
 }
 
-// At a node that is warming up fewer requests may be in flight, but one of each member if that is within the limit.
+// TestReducedShareOfWarmingNode checks that fewer requests may be in flight at a node that is warming up, but one of each member
+// if the reduced limit allows that.
 func TestReducedShareOfWarmingNode(t *testing.T) {
 	s := Settings{Name: "n", NodeInFlight: 40, Members: 4}
 	for _, c := range []struct {
@@ -148,7 +150,7 @@
 			}
 		}
 		if got != c.want {
-			t.Errorf("%d of 10 at %g of the capacity, not %d", got, c.warm, c.want)
+			t.Errorf("%d of 10 admitted at %g of the capacity, want %d", got, c.warm, c.want)
 		}
 	}
 }
--- a/internal/sidecar/quota/granter.go
+++ b/internal/sidecar/quota/granter.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Granter grants the shares of all members while its member leads. It knows the outstanding grants, at least as large as what
-// their holders may use, and never lets them sum to more than the pool. It is not safe for concurrent use.
+// Granter grants the shares of all members while its member is the leader. It tracks an upper bound of what each holder may
+// use, and never lets the bounds sum to more than the pool. It is not safe for concurrent use.
 type Granter struct {
 	times       Times
 	mutate      Mutation
@@ -16,35 +16,35 @@
 	outstanding map[string]map[Process]*outstandingGrant
 	term        Term
 	acting      bool
-	actFrom     time.Duration // no grants before: an earlier granter may still act
-	growFrom    time.Duration // no larger shares than are reported before: leases by earlier granters may last
-	actUntil    time.Duration // no grants after: another granter may act
+	actFrom     time.Duration // no grants before this time, since an earlier granter may still act
+	growFrom    time.Duration // no shares above the reported leases before this time, since leases from earlier granters may still run
+	actUntil    time.Duration // no grants from this time on, since another granter may act
 }
 
-// Process is a process of a holder. A new process of a name is another holder; the leases of the one before expire.
+// Process identifies a holder's process. A restarted member is a new holder; the leases of its previous process expire.
 type Process struct {
 	Name string
 	Boot uint64
 }
 
-// maxHolders bounds the processes with a grant of one limit: twice the members that there can be, for those that are restarted.
+// maxHolders bounds the processes with a grant of one limit. It is twice the maximum number of members, to allow for restarts.
 const maxHolders = 2 * maxMembers
 
-// outstandingGrant is a bound on what a holder may use of a limit.
+// outstandingGrant is an upper bound of what a holder may use of a limit.
 type outstandingGrant struct {
 	amount Unit
 	expiry time.Duration
-	seq    uint64 // of the last report
+	seq    uint64 // sequence number of the last report
 	demand Unit
-	total  Unit // the limit by its file
+	total  Unit // the limit in the holder's settings
 }
 
-// NewGranter makes a granter that does not act until Lead.
+// NewGranter returns a granter that does not act until Lead is called.
 func NewGranter(times Times, mutate Mutation) *Granter {
 	return &Granter{times: times, limits: make(map[string]Limit), outstanding: make(map[string]map[Process]*outstandingGrant), mutate: mutate}
 }
 
-// SetLimits replaces the limits by those of this member's settings.
+// SetLimits replaces the limits by those of this member's settings, and drops the grants of limits that are gone.
 func (g *Granter) SetLimits(limits []Limit) {
 	clear(g.limits)
 	for _, l := range limits {
@@ -55,7 +55,8 @@
 	maps.DeleteFunc(g.outstanding, func(name string, _ map[Process]*outstandingGrant) bool { _, ok := g.limits[name]; return !ok })
 }
 
-// Lead has it act: this member leads in a term, and a majority confirmed that at a time.
+// Lead records that this member is the leader in a term, as a majority confirmed at a time. At the start of a term the granter
+// waits before it grants, and longer before it enlarges shares.
 func (g *Granter) Lead(now time.Duration, term Term, confirmed time.Duration) {
 	if !g.acting || term != g.term {
 		g.term, g.acting = term, true
@@ -69,18 +70,18 @@
 	g.actUntil = confirmed + g.times.ActTimeout
 }
 
-// Follow ends that: this member does not lead.
+// Follow records that this member is not the leader, and stops granting.
 func (g *Granter) Follow() {
 	g.acting = false
 	clear(g.outstanding)
 }
 
-// Acts reports whether it answers reports at a time.
+// Acts reports whether the granter answers reports at a time.
 func (g *Granter) Acts(now time.Duration) bool {
 	return g.acting && now >= g.actFrom && now < g.actUntil
 }
 
-// ReceiveReport answers the report of a process, and reports whether this granter acts.
+// ReceiveReport answers the report of a process. It returns false if this granter does not act.
 func (g *Granter) ReceiveReport(now time.Duration, holder Process, r Report) (Grant, bool) {
 	if !g.Acts(now) {
 		return Grant{}, false
@@ -98,7 +99,7 @@
 	return grant, true
 }
 
-// grantLimit grants a share of one limit. It reports whether the report counts.
+// grantLimit grants a share of one limit. It returns false if the report is outdated or there are too many holders.
 func (g *Granter) grantLimit(now time.Duration, l Limit, holder Process, seq uint64, c LimitReport) (Unit, bool) {
 	grants := g.outstanding[l.Name]
 	if grants == nil {
@@ -107,29 +108,29 @@
 	}
 	maps.DeleteFunc(grants, func(_ Process, e *outstandingGrant) bool { return e.expiry <= now })
 	e := grants[holder]
-	if e != nil && seq <= e.seq { // an earlier report: its grant would not count
+	if e != nil && seq <= e.seq { // an outdated report: the holder would ignore the grant
 		return 0, false
 	}
 	if e == nil {
-		if len(grants) >= maxHolders { // more processes than there can be: further ones get nothing
+		if len(grants) >= maxHolders { // more processes than a fleet can have: further ones get no grant
 			return 0, false
 		}
 		e = &outstandingGrant{}
-		if now < g.growFrom { // leased by an earlier granter, which leased it to no other holder
+		if now < g.growFrom { // leased by an earlier granter, which did not lease it to another holder too
 			e.amount = min(c.Leased, max(0, g.pool(l, grants)-sumGrants(grants)))
 		}
 		grants[holder] = e
 	} else {
-		// No earlier grant can count at the holder any more: it has at most what it reports.
+		// The holder no longer accepts an earlier grant, so it has at most the amount that it reports.
 		e.amount = min(e.amount, c.Leased)
 	}
 	e.seq, e.demand, e.total = seq, max(0, c.Demand), c.Total
 	want := g.fairShare(l, grants, holder)
 	give := e.amount
-	minChange := g.pool(l, grants) / Unit(len(grants)) * hysteresis / 100 // smaller changes are not made
+	minChange := g.pool(l, grants) / Unit(len(grants)) * hysteresis / 100 // smaller changes are not worth making
 	switch {
 	case want < give && (give-want > minChange || want == 0 || give > g.pool(l, grants)):
-		give = want // the rest stays outstanding until the next report says that the holder let it go
+		give = want // the difference stays outstanding until the holder's next report confirms that it was given up
 		if g.mutate == TakeAtOnce {
 			e.amount = give
 		}
@@ -143,7 +144,7 @@
 	return give, true
 }
 
-// pool is what may be leased: by this member's settings or, if that is less, by those of a holder.
+// pool returns the amount that may be leased, by the lowest total among the settings of this member and of the holders.
 func (g *Granter) pool(l Limit, grants map[Process]*outstandingGrant) Unit {
 	for _, e := range grants {
 		if e.seq != 0 && e.total > 0 {
@@ -153,7 +154,7 @@
 	return l.pool()
 }
 
-// sumGrants is what all holders may use.
+// sumGrants returns the sum of what the holders may use.
 func sumGrants(grants map[Process]*outstandingGrant) (all Unit) {
 	for _, e := range grants {
 		all += e.amount
@@ -161,8 +162,8 @@
 	return all
 }
 
-// fairShare is the max-min fair share of a holder: those with the least demand get what they demand, the others an equal share of
-// the rest; what nobody demands is divided equally.
+// fairShare returns the max-min fair share of a holder: holders with low demand get their demand, the others an equal share of
+// the rest. An amount that is left over when all demands are met is divided equally.
 func (g *Granter) fairShare(l Limit, grants map[Process]*outstandingGrant, holder Process) Unit {
 	demands := make([]Unit, 0, len(grants))
 	for _, e := range grants {
@@ -170,7 +171,7 @@
 	}
 	slices.Sort(demands)
 	left := g.pool(l, grants)
-	level := Unit(math.MaxInt64) // bound of each share
+	level := Unit(math.MaxInt64) // upper bound of each share
 	for i, d := range demands {
 		if part := left / Unit(len(demands)-i); d > part {
 			level = part
@@ -183,5 +184,5 @@
 	return min(own, level) + left/Unit(len(grants))
 }
 
-// Outstanding returns a bound on what all holders may use of a limit besides their floors.
+// Outstanding returns an upper bound of what all holders together may use of a limit in addition to their floors.
 func (g *Granter) Outstanding(limit string) Unit { return sumGrants(g.outstanding[limit]) }
--- a/internal/sidecar/quota/holder.go
+++ b/internal/sidecar/quota/holder.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Holder is one member's shares of the limits. It is not safe for concurrent use.
+// Holder holds one member's shares of the limits. It is not safe for concurrent use.
 type Holder struct {
 	times       Times
 	mutate      Mutation
 	limits      map[string]*heldLimit
-	names       []string      // of the limits, sorted
-	seq         uint64        // of the last report
-	sentAt      time.Duration // of the last report
-	awaitsGrant bool          // it was not answered so far
-	term        Term          // of the last grant
+	names       []string      // names of the limits, sorted
+	seq         uint64        // sequence number of the last report
+	sentAt      time.Duration // when the last report was sent
+	awaitsGrant bool          // the last report has not been answered yet
+	term        Term          // term of the last grant
 	reportDue   time.Duration
 }
 
-// heldLimit is the member's share of a limit.
+// heldLimit is a limit with the member's share of it.
 type heldLimit struct {
 	Limit
 	amount Unit // leased until expiry
@@ -29,13 +29,13 @@
 	inUse  Unit // in flight
 }
 
-// NewHolder makes a holder without leases. seq is a random number, so that grants to an earlier process of the member do not
-// count.
+// NewHolder returns a holder without leases. seq is a random number from which reports are numbered, so that grants to an
+// earlier process of the member are ignored.
 func NewHolder(times Times, seq uint64, now time.Duration, mutate Mutation) *Holder {
 	return &Holder{times: times, limits: make(map[string]*heldLimit), seq: seq, reportDue: now, mutate: mutate}
 }
 
-// SetLimits replaces the limits. A lease on one that stays goes on, reduced to the new pool.
+// SetLimits replaces the limits. A lease on a limit that remains stays in force, capped by the new pool.
 func (h *Holder) SetLimits(limits []Limit) {
 	was := h.limits
 	h.limits, h.names = make(map[string]*heldLimit), nil
@@ -53,14 +53,14 @@
 	slices.Sort(h.names)
 }
 
-// SetDemand sets how much of a limit this member could use now.
+// SetDemand sets how much of a limit this member could currently use.
 func (h *Holder) SetDemand(limit string, amount Unit) {
 	if k := h.limits[limit]; k != nil {
 		k.demand = amount
 	}
 }
 
-// SetInUse sets how much of a limit is in flight: that is never reported as free.
+// SetInUse sets how much of a limit is in flight. Reports never give that amount up.
 func (h *Holder) SetInUse(limit string, amount Unit) {
 	if k := h.limits[limit]; k != nil {
 		k.inUse = amount
@@ -73,8 +73,8 @@
 // Postpone sets when the next report is due.
 func (h *Holder) Postpone(until time.Duration) { h.reportDue = until }
 
-// Share returns this member's share of a limit, until when it is leased, and the fallback after that. Without a lease the share
-// is the fallback, and there is no end.
+// Share returns this member's share of a limit, the fallback that applies after its lease, and the end of the lease. Without a
+// lease the share is the fallback, and there is no end (math.MaxInt64).
 func (h *Holder) Share(limit string, now time.Duration) (share, fallback Unit, expiry time.Duration) {
 	k := h.limits[limit]
 	if k == nil {
@@ -89,7 +89,7 @@
 	return fallback, fallback, math.MaxInt64
 }
 
-// Next is when the next report is due.
+// Next returns when the next report is due.
 func (h *Holder) Next() time.Duration {
 	if len(h.limits) == 0 {
 		return math.MaxInt64
@@ -97,7 +97,7 @@
 	return h.reportDue
 }
 
-// Report makes the report to send to the granter now. A grant for an earlier one no longer counts.
+// Report returns the report to send to the granter now. From then on, a grant that answers an earlier report is ignored.
 func (h *Holder) Report(now time.Duration) Report {
 	h.seq++
 	h.sentAt, h.awaitsGrant, h.reportDue = now, true, now+h.times.ReportInterval
@@ -120,8 +120,8 @@
 	return r
 }
 
-// ReceiveGrant takes in a grant, and reports whether it counts. The lease counts from when the report was sent that the grant
-// answers, so that it ends here before it does at the granter.
+// ReceiveGrant applies a grant, and reports whether it was accepted. The lease runs from when the report that the grant answers
+// was sent, so that it ends here before it ends at the granter.
 func (h *Holder) ReceiveGrant(now time.Duration, g Grant) bool {
 	if g.Term.before(h.term) || (g.Seq != h.seq || !h.awaitsGrant) && h.mutate != AnyGrant {
 		return false
--- a/internal/sidecar/quota/settings.go
+++ b/internal/sidecar/quota/settings.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Settings are one table of the section quota of the operator's file: a limit of the whole fleet.
+// Settings is one table of the section quota of the operator's file: a limit that applies to the whole fleet.
 type Settings struct {
-	Name                string  `toml:"name"`           // identifies the limit; the same at all members
-	Class               string  `toml:"class"`          // which requests: of a class,
-	Tenant              string  `toml:"tenant"`         // of a tenant, or of both; neither: all
-	PerSecond           float64 `toml:"per_second"`     // a rate, or
-	InFlight            int     `toml:"in_flight"`      // requests at a time
-	ClientRetryPercent  float64 `toml:"again_pct"`      // retries by clients, in percent of the other requests
-	AttemptRetryPercent float64 `toml:"retry_pct"`      // attempts after the first, in percent of those
-	NodeInFlight        int     `toml:"node_in_flight"` // attempts at a time at each execute node
-	DividesAllowances   bool    `toml:"allowances"`     // divides the allowance of each tenant of the settings; nothing is rejected
-	Floor               int     `toml:"floor_pct"`      // percent that is reserved, in equal shares, for members names
-	Members             int     `toml:"members"`        // bound on the number of sidecars
-	Policy              string  `toml:"policy"`         // strict or available
-	Burst               int     `toml:"burst_ms"`       // of a rate: for how long unused requests are saved
+	Name                string  `toml:"name"`           // identifies the limit and must be the same at all members
+	Class               string  `toml:"class"`          // if set, only requests of this class count
+	Tenant              string  `toml:"tenant"`         // if set, only requests of this tenant count
+	PerSecond           float64 `toml:"per_second"`     // a rate limit
+	InFlight            int     `toml:"in_flight"`      // limit on requests in flight
+	ClientRetryPercent  float64 `toml:"again_pct"`      // limit on retries by clients, in percent of the other requests
+	AttemptRetryPercent float64 `toml:"retry_pct"`      // limit on attempts after the first, in percent of first attempts
+	NodeInFlight        int     `toml:"node_in_flight"` // limit on attempts in flight at each execute node
+	DividesAllowances   bool    `toml:"allowances"`     // divides the allowance of each tenant in the settings; no request is rejected
+	Floor               int     `toml:"floor_pct"`      // percent that is reserved in equal shares for the members
+	Members             int     `toml:"members"`        // maximum number of sidecars
+	Policy              string  `toml:"policy"`         // strict or available (see Limit.Available)
+	Burst               int     `toml:"burst_ms"`       // of a rate: the time over which unused requests accumulate
 }
 
 const (
@@ -35,10 +35,10 @@
 	defaultBurst    = 100
 )
 
-// SettingsList are the tables of the section.
+// SettingsList holds the tables of the section.
 type SettingsList []Settings
 
-// Check calls fault for each key whose value cannot be used. fleet says whether the file names a fleet.
+// Check calls fault for each key with an invalid value. fleet reports whether the file names a fleet.
 func (all SettingsList) Check(fleet bool, fault func(key string, read any, allowed string)) {
 	if len(all) > MaxLimits {
 		fault("", len(all), fmt.Sprintf("%d tables at most", MaxLimits))
@@ -79,7 +79,7 @@
 	}
 }
 
-// Limit returns the limit of the settings.
+// Limit returns the limit that the settings define.
 func (s Settings) Limit() Limit {
 	l := Limit{Name: s.Name, Kind: Rate, Total: Unit(s.PerSecond * float64(PerSecond)), FloorPercent: Unit(s.Floor), MaxMembers: Unit(s.Members), Available: s.Policy == available}
 	switch {
@@ -95,7 +95,7 @@
 	return l
 }
 
-// BurstTime returns for how long unused requests of a rate are saved.
+// BurstTime returns the time over which unused requests of a rate accumulate.
 func (s Settings) BurstTime() time.Duration {
 	if s.Burst == 0 {
 		return defaultBurst * time.Millisecond
@@ -106,11 +106,11 @@
 // Leased reports whether shares of the limit are leased.
 func (s Settings) Leased() bool { return s.ClientRetryPercent == 0 && s.AttemptRetryPercent == 0 }
 
-// CountsAttempts reports whether the limit counts attempts at execute nodes, not requests.
+// CountsAttempts reports whether the limit counts attempts at execute nodes rather than requests.
 func (s Settings) CountsAttempts() bool { return s.AttemptRetryPercent > 0 || s.NodeInFlight > 0 }
 
-// Reduced returns how much of the limit may be used at a node that is warming up and has a fraction of its capacity. If that is
-// enough for one request in flight of each member, each may have one.
+// Reduced returns the reduction of the limit for a node that is warming up and has a fraction of its capacity. If the reduced
+// limit allows one request in flight for each member, every member may have at least one.
 func (s Settings) Reduced(fraction float64) Reduction {
 	r := Reduction{Fraction: fraction}
 	if l := s.Limit(); fraction*float64(l.Total) >= float64(l.MaxMembers) {
@@ -119,25 +119,25 @@
 	return r
 }
 
-// ForTenant returns the limit of one tenant's allowance, in requests a second. Without a lease an equal share holds, as without a
-// fleet.
+// ForTenant returns the limit of one tenant's allowance, in requests per second. Without a lease a member has an equal share, as
+// it has without a fleet.
 func (s Settings) ForTenant(tenant string, allowance float64) Settings {
 	s.Name, s.Tenant, s.PerSecond, s.Policy = s.Name+"/"+tenant, tenant, allowance, available
 	return s
 }
 
-// ForNode returns the limit of one execute node, of a limit that each has.
+// ForNode returns the limit of one execute node, from settings that apply to each node.
 func (s Settings) ForNode(node string) Settings {
 	s.Name += "/" + node
 	return s
 }
 
-// Applies reports whether a request counts for the limit.
+// Applies reports whether a request of a class and tenant counts toward the limit.
 func (s Settings) Applies(class, tenant string) bool {
 	return (s.Class == "" || s.Class == class) && (s.Tenant == "" || s.Tenant == tenant)
 }
 
-// Bound returns the guarantee with the figures of the settings, as a line for the operator.
+// Bound describes the guarantee of the limit with its configured values, as a line for the operator.
 func (s Settings) Bound() string {
 	l := s.Limit()
 	if s.AttemptRetryPercent > 0 {
