--- a/internal/sidecar/sampling/path_test.go
+++ b/internal/sidecar/sampling/sampler_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/sidecar/rules"
 )
 
-func some() *rules.SamplingRules {
+func testRules() *rules.SamplingRules {
 	return &rules.SamplingRules{Salt: 5, Rate: rules.Rate(0.1), Classes: []rules.NamedRate{{Name: "order", Rate: rules.Rate(0.5)}, {Name: "quiet", Rate: 0}},
 		Tenants: []rules.NamedRate{{Name: "novak", Rate: rules.RateUnit}}, MaxRecords: 100, MaxBytes: 10_000, MaxRecordsPerNode: 40}
 }
@@ -20,12 +20,12 @@
 // Sidecars that go by one edition and brake capture all hops of a trace or none; what is captured under a brake is under each
 // lesser one.
 func TestHopsAreCapturedAlike(t *testing.T) {
-	var paths [3]Path
+	var paths [3]Sampler
 	for i := range paths {
-		paths[i].Set(7, some(), 2)
+		paths[i].Set(7, testRules(), 2)
 	}
-	var less Path
-	less.Set(7, some(), 1)
+	var lower Sampler
+	lower.Set(7, testRules(), 1)
 	n := 0
 	for i := range 50_000 {
 		id := strconv.Itoa(i)
@@ -36,7 +36,7 @@
 				t.Fatalf("%s: %+v at one sidecar, %+v at another", id, first, d)
 			}
 		}
-		if first.Captured && !less.Decide(id, class, "").Captured {
+		if first.Captured && !lower.Decide(id, class, "").Captured {
 			t.Fatalf("%s: captured under brake 2 and not under 1", id)
 		}
 		if first.Captured {
@@ -51,35 +51,35 @@
 // The truth lies within the interval of the estimate 95 times in a hundred, over 1,000 seeds: no rate biases it.
 func TestEstimatesHaveNoBias(t *testing.T) {
 	const seeds, traces = 1000, 4000
-	held, sum := 0, 0.0
+	covered, sum := 0, 0.0
 	for seed := range seeds {
-		s := some()
+		s := testRules()
 		s.Salt = uint64(seed)*2654435761 + 1
-		var p Path
-		p.Set(1, s, Brake(seed%3))
+		var p Sampler
+		p.Set(1, s, ThrottleLevel(seed%3))
 		rng := rand.New(rand.NewPCG(uint64(seed), 1))
-		truth, estimate, variance := 0.0, 0.0, 0.0
+		total, estimate, variance := 0.0, 0.0, 0.0
 		for i := range traces {
 			class := [...]string{"order", "look", "order"}[i%3]
 			took := rng.ExpFloat64()
-			truth += took
+			total += took
 			if d := p.Decide(strconv.Itoa(seed*traces+i), class, ""); d.Captured {
 				w := d.Weight()
 				estimate += w * took
 				variance += w * (w - 1) * took * took // Horvitz and Thompson, for draws that do not depend on each other
 			}
 		}
-		if math.Abs(estimate-truth) <= 1.96*math.Sqrt(variance) {
-			held++
+		if math.Abs(estimate-total) <= 1.96*math.Sqrt(variance) {
+			covered++
 		}
-		sum += estimate / truth
+		sum += estimate / total
 	}
-	t.Logf("the interval held the truth in %d of %d; estimate over truth %.3f in the mean", held, seeds, sum/seeds)
+	t.Logf("the interval held the truth in %d of %d; estimate over truth %.3f in the mean", covered, seeds, sum/seeds)
 	if mean := sum / seeds; mean < 0.98 || mean > 1.02 {
 		t.Errorf("estimates are %.3f of the truth in the mean", mean)
 	}
-	if held < seeds*93/100 {
-		t.Errorf("%d of %d", held, seeds)
+	if covered < seeds*93/100 {
+		t.Errorf("%d of %d", covered, seeds)
 	}
 }
 
@@ -87,13 +87,13 @@
 func TestCapsHoldInEverySecond(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		c := NewCaps(some())
+		c := NewLimiter(testRules())
 		type record struct {
 			at    time.Duration
 			node  string
 			bytes uint32
 		}
-		var let []record
+		var admitted []record
 		now := time.Duration(0)
 		for range 20_000 {
 			gap := time.Duration(rng.ExpFloat64() * float64(20*time.Millisecond))
@@ -104,50 +104,50 @@
 			}
 			now += gap
 			r := record{now, fmt.Sprintf("n%d", rng.IntN(3)), uint32(20 + rng.IntN(300))}
-			if c.Let(r.at, r.node, r.bytes) {
-				let = append(let, r)
+			if c.Allow(r.at, r.node, r.bytes) {
+				admitted = append(admitted, r)
 			}
 		}
 		first, bytes, nodes := 0, uint32(0), map[string]int{}
-		for last, r := range let {
+		for last, r := range admitted {
 			bytes += r.bytes
 			nodes[r.node]++
-			for ; r.at-let[first].at >= time.Second; first++ {
-				bytes -= let[first].bytes
-				nodes[let[first].node]--
+			for ; r.at-admitted[first].at >= time.Second; first++ {
+				bytes -= admitted[first].bytes
+				nodes[admitted[first].node]--
 			}
 			if last-first+1 > 100 || bytes > 10_000 || nodes[r.node] > 40 {
 				t.Fatalf("seed %d: in the second up to %v %d records, %d bytes, %d of %s", seed, r.at, last-first+1, bytes, nodes[r.node], r.node)
 			}
 		}
-		if len(let) < 1000 {
-			t.Errorf("seed %d: only %d let through", seed, len(let))
+		if len(admitted) < 1000 {
+			t.Errorf("seed %d: only %d let through", seed, len(admitted))
 		}
 	}
 }
 
 // The brake comes on while something is left out and back without swinging once traffic falls.
-func TestBrakeComesBackWithoutSwinging(t *testing.T) {
-	c := NewCaps(some())
+func TestThrottleRecoversWithoutOscillation(t *testing.T) {
+	c := NewLimiter(testRules())
 	rng := rand.New(rand.NewPCG(3, 3))
-	now, brake, changes := time.Duration(0), Brake(0), 0
+	now, level, changes := time.Duration(0), ThrottleLevel(0), 0
 	epoch := func(rate float64) {
 		for end := now + time.Second; now < end; now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) {
-			if rng.IntN(1<<brake) == 0 {
-				c.Let(now, "", 50)
+			if rng.IntN(1<<level) == 0 {
+				c.Allow(now, "", 50)
 			}
 		}
-		next := c.Wants(brake)
-		if next != brake {
+		next := c.NextLevel(level)
+		if next != level {
 			changes++
 		}
-		brake = next
+		level = next
 	}
 	for range 20 {
 		epoch(1500) // 15 times the cap
 	}
-	if brake < 4 || brake > 5 || changes > 6 {
-		t.Errorf("brake %d after %d changes", brake, changes)
+	if level < 4 || level > 5 || changes > 6 {
+		t.Errorf("brake %d after %d changes", level, changes)
 	}
 	changes = 0
 	for range 20 {
@@ -159,19 +159,19 @@
 	for range 20 {
 		epoch(20)
 	}
-	if brake != 0 {
-		t.Errorf("brake %d once traffic is a fifth of the cap", brake)
+	if level != 0 {
+		t.Errorf("brake %d once traffic is a fifth of the cap", level)
 	}
-	c.over = 1
-	if got := c.Wants(MostBrake); got != MostBrake {
+	c.dropped = 1
+	if got := c.NextLevel(MaxThrottleLevel); got != MaxThrottleLevel {
 		t.Errorf("brake %d: there is a floor", got)
 	}
 }
 
 // Rules change while many threads decide: each decision is by one edition, whole.
 func TestDecisionsAreWhole(t *testing.T) {
-	var p Path
-	all, none := some(), some()
+	var p Sampler
+	all, none := testRules(), testRules()
 	all.Rate, all.Classes, all.Tenants = rules.RateUnit, nil, nil
 	none.Rate, none.Classes, none.Tenants = 0, nil, nil
 	p.Set(1, none, 0)
@@ -206,17 +206,17 @@
 	}
 }
 
-// locked is the same behind a mutex, to compare.
-type locked struct {
+// mutexSampler is the same behind a mutex, to compare.
+type mutexSampler struct {
 	mu             sync.Mutex
 	s              *snapshot
 	seen, captured uint64
 }
 
-func (l *locked) decide(id, class, tenant string) Decision {
+func (l *mutexSampler) decide(id, class, tenant string) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := Decision{Edition: l.s.edition, Rate: l.s.of(class, tenant)}
+	d := Decision{Edition: l.s.edition, Rate: l.s.rateOf(class, tenant)}
 	d.Captured = rules.Captures(rules.TraceHash(l.s.salt, id), d.Rate)
 	if l.seen++; d.Captured {
 		l.captured++
@@ -226,9 +226,9 @@
 
 // go test -bench Decide -cpu 1,2,4,6 -benchmem ./internal/sidecar/sampling
 func BenchmarkDecide(b *testing.B) {
-	var p Path
-	p.Set(1, some(), 0)
-	l := &locked{s: p.now.Load()}
+	var p Sampler
+	p.Set(1, testRules(), 0)
+	l := &mutexSampler{s: p.current.Load()}
 	var ids [1024]string
 	for i := range ids {
 		ids[i] = fmt.Sprintf("%016x", rand.Uint64())
