--- a/internal/sidecar/quota/gate.go
+++ b/internal/sidecar/quota/gate.go
@@ -89,12 +89,12 @@
 // maxSavedRetries is the number of retries for which tokens accumulate.
 const maxSavedRetries = 10
 
-// AdmitByRetryBudget admits a first request, which adds share to the retry tokens, or, if again is set, a retry, which needs and
+// AdmitByRetryBudget admits a first request, which adds share to the retry tokens, or, if retry is set, a retry, which needs and
 // consumes one token. after is the retry delay to advise for a rejected retry. It is an estimate, since tokens depend on other
 // requests.
-func (g *Gate) AdmitByRetryBudget(again bool, share Unit) (after time.Duration, ok bool) {
+func (g *Gate) AdmitByRetryBudget(retry bool, share Unit) (after time.Duration, ok bool) {
 	const one = requestCost / int64(time.Second/time.Microsecond) // token, in units
-	if !again {
+	if !retry {
 		g.tokens = min(g.tokens+share, maxSavedRetries*one)
 		g.Admitted++
 		return 0, true
--- a/internal/sidecar/rules/limits.go
+++ b/internal/sidecar/rules/limits.go
@@ -29,14 +29,14 @@
 	Burst               int    `cbor:"13,keyasint,omitempty"`
 }
 
-// milli is the number of thousandths in one.
-const milli = 1000
+// milliPerUnit is the number of thousandths in one.
+const milliPerUnit = 1000
 
 // Settings returns the limits in the form of the operator's file.
 func (l *LimitRules) Settings() (all quota.SettingsList) {
 	for _, q := range l.Quotas {
-		all = append(all, quota.Settings{Name: q.Name, Class: q.Class, Tenant: q.Tenant, PerSecond: float64(q.PerSecond) / milli, InFlight: q.InFlight,
-			ClientRetryPercent: float64(q.ClientRetryPercent) / milli, AttemptRetryPercent: float64(q.AttemptRetryPercent) / milli, NodeInFlight: q.NodeInFlight, DividesAllowances: q.DividesAllowances, Floor: q.Floor, Members: q.Members,
+		all = append(all, quota.Settings{Name: q.Name, Class: q.Class, Tenant: q.Tenant, PerSecond: float64(q.PerSecond) / milliPerUnit, InFlight: q.InFlight,
+			ClientRetryPercent: float64(q.ClientRetryPercent) / milliPerUnit, AttemptRetryPercent: float64(q.AttemptRetryPercent) / milliPerUnit, NodeInFlight: q.NodeInFlight, DividesAllowances: q.DividesAllowances, Floor: q.Floor, Members: q.Members,
 			Policy: q.Policy, Burst: q.Burst})
 	}
 	return all
@@ -46,8 +46,8 @@
 func LimitsRule(all quota.SettingsList) (Rule, error) {
 	l := LimitRules{}
 	for _, s := range all {
-		l.Quotas = append(l.Quotas, Quota{Name: s.Name, Class: s.Class, Tenant: s.Tenant, PerSecond: int64(s.PerSecond*milli + 0.5), InFlight: s.InFlight,
-			ClientRetryPercent: int64(s.ClientRetryPercent*milli + 0.5), AttemptRetryPercent: int64(s.AttemptRetryPercent*milli + 0.5), NodeInFlight: s.NodeInFlight, DividesAllowances: s.DividesAllowances, Floor: s.Floor, Members: s.Members,
+		l.Quotas = append(l.Quotas, Quota{Name: s.Name, Class: s.Class, Tenant: s.Tenant, PerSecond: int64(s.PerSecond*milliPerUnit + 0.5), InFlight: s.InFlight,
+			ClientRetryPercent: int64(s.ClientRetryPercent*milliPerUnit + 0.5), AttemptRetryPercent: int64(s.AttemptRetryPercent*milliPerUnit + 0.5), NodeInFlight: s.NodeInFlight, DividesAllowances: s.DividesAllowances, Floor: s.Floor, Members: s.Members,
 			Policy: s.Policy, Burst: s.Burst})
 	}
 	return Rule{Kind: Limits, Format: Format{1, 0}, Body: encode(&l)}, l.check()
--- a/internal/sidecar/verdict/opinion.go
+++ b/internal/sidecar/verdict/opinion.go
@@ -131,9 +131,9 @@
 			ratings = append(ratings, Rating{node, true})
 		}
 	}
-	accused := e.nodesRatedBad()
+	ratedBad := e.nodesRatedBad()
 	for _, node := range good {
-		if accused[node] && len(ratings) < MaxRatings {
+		if ratedBad[node] && len(ratings) < MaxRatings {
 			ratings = append(ratings, Rating{node, false})
 		}
 	}
