--- a/internal/sidecar/sampling/sampler.go
+++ b/internal/sidecar/sampling/sampler.go
@@ -1,7 +1,7 @@
-// Package sampling decides which traces are captured, alike at every sidecar.
-// Path is what requests pass: many threads use it at once, apart from the
-// relay's loop, through one atomic load of a snapshot that never changes.
-// docs/design/sampling.md says why it is so.
+// Package sampling decides which traces are captured, consistently at every sidecar.
+// Sampler is used on the request path by many goroutines at once, outside the
+// relay's event loop. A decision takes one atomic load of an immutable snapshot.
+// docs/design/sampling.md explains the design.
 package sampling
 
 import (
@@ -11,18 +11,19 @@
 	"fieldrelay/internal/sidecar/rules"
 )
 
-// ThrottleLevel takes whole traces away for all members alike: at n, rates count for 1/2^n of themselves. It never goes over MostBrake.
+// ThrottleLevel reduces sampling by whole traces, equally at all members: at level n, rates are divided by 2^n. It never
+// exceeds MaxThrottleLevel.
 type ThrottleLevel uint8
 
-// MaxThrottleLevel is the floor of what can be taken away: a member that asks for more, by error or lie, takes no more.
+// MaxThrottleLevel bounds the throttling, so that a faulty or malicious member that asks for more cannot suppress more traces.
 const MaxThrottleLevel = 10
 
-// Sampler decides for requests. The zero Sampler captures nothing. It is safe for use by any number of goroutines.
+// Sampler decides which traces are captured. The zero Sampler captures nothing. It is safe for concurrent use.
 type Sampler struct {
 	current atomic.Pointer[snapshot]
 }
 
-// snapshot is what a decision is made by. It is never changed, only replaced.
+// snapshot holds the inputs of decisions. It is immutable and replaced as a whole.
 type snapshot struct {
 	edition  uint64
 	salt     uint64
@@ -32,15 +33,15 @@
 	tenants  map[string]uint32
 }
 
-// Decision is what is to be done about a trace.
+// Decision is the sampling decision on a trace.
 type Decision struct {
 	Captured bool
 	Edition  uint64
-	// Rate is the probability with which a trace like this is captured, in rules.PerWhole; 0: never.
+	// Rate is the probability with which a trace of this class and tenant is captured, in units of 1/rules.RateUnit; 0: never.
 	Rate uint32
 }
 
-// Weight is how many traces one that was captured stands for.
+// Weight returns the number of traces that a captured trace represents, for estimates.
 func (d Decision) Weight() float64 {
 	if d.Rate == 0 {
 		return 0
@@ -48,7 +49,8 @@
 	return rules.RateUnit / float64(d.Rate)
 }
 
-// Set puts rules and a brake in force for all decisions that begin from now on, as one. nil: nothing is captured.
+// Set atomically replaces the rules and the throttle level for all decisions that begin from now on. If s is nil, nothing is
+// captured.
 func (p *Sampler) Set(edition uint64, s *rules.SamplingRules, throttle ThrottleLevel) {
 	if s == nil {
 		p.current.Store(nil)
@@ -64,7 +66,7 @@
 	p.current.Store(next)
 }
 
-// Decide tells whether the trace of an id is captured: by one load, without a lock or an allocation.
+// Decide returns the decision on the trace with an id. It takes one atomic load, no lock and no allocation.
 func (p *Sampler) Decide(id, class, tenant string) Decision {
 	s := p.current.Load()
 	if s == nil {
@@ -76,7 +78,7 @@
 	return d
 }
 
-// rateOf is the rate rateOf a class and tenant under the brake. A rate that is not 0 does not become 0.
+// rateOf returns the rate of a class and tenant at the throttle level. Throttling does not reduce a rate over 0 to 0.
 func (s *snapshot) rateOf(class, tenant string) uint32 {
 	rate, ok := uint32(0), false
 	if tenant != "" {
@@ -94,31 +96,32 @@
 	return max(1, rate>>s.throttle)
 }
 
-// Limiter keep what is written of captured traces under what the rules say in any second, and tell what brake would have. It is
-// a state machine without clock; it belongs to one goroutine.
+// Limiter enforces the rules' caps on written trace records in any second, and determines the throttle level that would meet
+// the caps. It is a state machine without a clock and must be used by one goroutine only.
 type Limiter struct {
 	records, bytes, perNode uint32
 	all                     window
 	nodes                   map[string]*window
-	dropped                 uint64  // left out since the last look
-	peakUse                 float64 // the most of a cap that was asked for since then, as a part of it
+	dropped                 uint64  // records rejected since the last call of NextLevel
+	peakUse                 float64 // highest requested use of any cap since then, as a fraction of the cap
 }
 
-// maxNodes bounds the nodes that are counted apart; others share one count.
+// maxNodes is the number of nodes that are counted separately; further nodes share one count.
 const maxNodes = 4096
 
-// slotsPerWindow is how many parts of a second are counted apart: what has fallen out of the last second counts no more.
+// slotsPerWindow is the number of slots of a sliding window. Records that have left the last second no longer count, to the
+// precision of a slot.
 const slotsPerWindow = 20
 
-// window counts what was let through in the last second.
+// window counts the records and bytes that were admitted in the last second.
 type window struct {
 	slot    int64
 	records [slotsPerWindow]uint32
 	bytes   [slotsPerWindow]uint32
 }
 
-// advance forgets what is older than a second. The slice that is now begun is counted whole with the nineteen before it and the
-// one that is just over, so nothing that lies within one second of now is ever left out.
+// advance drops the slots that are older than a second. A slot lasts a nineteenth of a second and the window has twenty slots:
+// the current one and the nineteen complete ones before it. So everything within one second of now is always counted.
 func (w *window) advance(now time.Duration) {
 	slot := int64(now / (time.Second / (slotsPerWindow - 1)))
 	if slot-w.slot >= slotsPerWindow {
@@ -143,12 +146,13 @@
 	w.bytes[w.slot%slotsPerWindow] += bytes
 }
 
-// NewLimiter makes caps of rules.
+// NewLimiter returns a limiter with the caps of the rules.
 func NewLimiter(s *rules.SamplingRules) *Limiter {
 	return &Limiter{records: s.MaxRecords, bytes: s.MaxBytes, perNode: s.MaxRecordsPerNode, nodes: map[string]*window{}}
 }
 
-// Allow tells whether a record of so many bytes that concerns a node may be written; "": it concerns none.
+// Allow reports whether a record of a number of bytes about a node may be written, and counts it if so. node is empty if the
+// record is not about a node.
 func (c *Limiter) Allow(now time.Duration, node string, bytes uint32) bool {
 	c.all.advance(now)
 	records, size := c.all.sum()
@@ -158,7 +162,7 @@
 	if node != "" {
 		if at = c.nodes[node]; at == nil {
 			if len(c.nodes) >= maxNodes {
-				node = "" // one count for all that are too many
+				node = "" // the shared count of the nodes beyond maxNodes
 			}
 			if at = c.nodes[node]; at == nil {
 				at = &window{}
@@ -182,8 +186,9 @@
 	return true
 }
 
-// NextLevel is the brake that this member asks for after an epoch under one: a step more where something was left out, a step
-// less where under a third of every cap was used, so that a step less cannot bring the step back.
+// NextLevel returns the throttle level that this member requests after an epoch at a level, and starts a new epoch. The level
+// rises by one if a record was rejected. It falls by one if less than a third of every cap was used: a lower level doubles the
+// rates, which then still fits the caps, so the levels do not oscillate.
 func (c *Limiter) NextLevel(level ThrottleLevel) ThrottleLevel {
 	dropped, peakUse := c.dropped, c.peakUse
 	c.dropped, c.peakUse = 0, 0
--- a/internal/sidecar/sampling/sampler_test.go
+++ b/internal/sidecar/sampling/sampler_test.go
@@ -17,8 +17,8 @@
 		Tenants: []rules.NamedRate{{Name: "novak", Rate: rules.RateUnit}}, MaxRecords: 100, MaxBytes: 10_000, MaxRecordsPerNode: 40}
 }
 
-// Sidecars that go by one edition and brake capture all hops of a trace or none; what is captured under a brake is under each
-// lesser one.
+// TestHopsAreCapturedAlike checks that sidecars with the same edition and throttle level capture all hops of a trace or none,
+// and that a trace captured at one level is captured at a lower level too.
 func TestHopsAreCapturedAlike(t *testing.T) {
 	var paths [3]Sampler
 	for i := range paths {
@@ -37,18 +37,19 @@
 			}
 		}
 		if first.Captured && !lower.Decide(id, class, "").Captured {
-			t.Fatalf("%s: captured under brake 2 and not under 1", id)
+			t.Fatalf("%s: captured at throttle level 2, but not at 1", id)
 		}
 		if first.Captured {
 			n++
 		}
 	}
 	if n < 2100 || n > 2900 { // (0.125 + 0.025 + 0) / 3 of 50,000
-		t.Errorf("%d captured", n)
+		t.Errorf("%d captured, want 2,100 to 2,900", n)
 	}
 }
 
-// The truth lies within the interval of the estimate 95 times in a hundred, over 1,000 seeds: no rate biases it.
+// TestEstimatesHaveNoBias checks over 1,000 seeds that the 95% confidence interval of an estimate from captured traces covers the
+// true value in about 95% of the runs (at least 93%), and that the rates do not bias the estimate.
 func TestEstimatesHaveNoBias(t *testing.T) {
 	const seeds, traces = 1000, 4000
 	covered, sum := 0, 0.0
@@ -66,7 +67,7 @@
 			if d := p.Decide(strconv.Itoa(seed*traces+i), class, ""); d.Captured {
 				w := d.Weight()
 				estimate += w * took
-				variance += w * (w - 1) * took * took // Horvitz and Thompson, for draws that do not depend on each other
+				variance += w * (w - 1) * took * took // Horvitz-Thompson variance estimator for independent draws
 			}
 		}
 		if math.Abs(estimate-total) <= 1.96*math.Sqrt(variance) {
@@ -74,16 +75,17 @@
 		}
 		sum += estimate / total
 	}
-	t.Logf("the interval held the truth in %d of %d; estimate over truth %.3f in the mean", covered, seeds, sum/seeds)
+	t.Logf("the interval covered the true value in %d of %d runs; mean ratio of estimate to true value %.3f", covered, seeds, sum/seeds)
 	if mean := sum / seeds; mean < 0.98 || mean > 1.02 {
-		t.Errorf("estimates are %.3f of the truth in the mean", mean)
+		t.Errorf("mean ratio of estimate to true value %.3f, want 0.98 to 1.02", mean)
 	}
 	if covered < seeds*93/100 {
-		t.Errorf("%d of %d", covered, seeds)
+		t.Errorf("the interval covered the true value in %d of %d runs, want at least 93%%", covered, seeds)
 	}
 }
 
-// Whatever comes, no window of one second has more than the caps, and a node none more than its own.
+// TestCapsHoldInEverySecond checks that, whatever the traffic, no window of one second exceeds the caps, and no node exceeds its
+// own cap.
 func TestCapsHoldInEverySecond(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -97,7 +99,7 @@
 		now := time.Duration(0)
 		for range 20_000 {
 			gap := time.Duration(rng.ExpFloat64() * float64(20*time.Millisecond))
-			if rng.IntN(500) == 0 { // traffic times a hundred, or a rest
+			if rng.IntN(500) == 0 { // a pause now and then, and a hundredfold rate in every other 3 s
 				gap *= 50
 			} else if now/(3*time.Second)%2 == 1 {
 				gap /= 100
@@ -121,12 +123,13 @@
 			}
 		}
 		if len(admitted) < 1000 {
-			t.Errorf("seed %d: only %d let through", seed, len(admitted))
+			t.Errorf("seed %d: only %d records admitted, want at least 1,000", seed, len(admitted))
 		}
 	}
 }
 
-// The brake comes on while something is left out and back without swinging once traffic falls.
+// TestThrottleRecoversWithoutOscillation checks that the throttle level rises while records are rejected, stays steady under
+// steady traffic, and returns to 0 once traffic falls.
 func TestThrottleRecoversWithoutOscillation(t *testing.T) {
 	c := NewLimiter(testRules())
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -147,28 +150,28 @@
 		epoch(1500) // 15 times the cap
 	}
 	if level < 4 || level > 5 || changes > 6 {
-		t.Errorf("brake %d after %d changes", level, changes)
+		t.Errorf("throttle level %d after %d changes, want level 4 or 5 after at most 6", level, changes)
 	}
 	changes = 0
 	for range 20 {
 		epoch(1500)
 	}
 	if changes > 2 {
-		t.Errorf("%d changes under steady traffic", changes)
+		t.Errorf("%d changes of the throttle level under steady traffic, want at most 2", changes)
 	}
 	for range 20 {
 		epoch(20)
 	}
 	if level != 0 {
-		t.Errorf("brake %d once traffic is a fifth of the cap", level)
+		t.Errorf("throttle level %d after traffic fell to a fifth of the cap, want 0", level)
 	}
 	c.dropped = 1
 	if got := c.NextLevel(MaxThrottleLevel); got != MaxThrottleLevel {
-		t.Errorf("brake %d: there is a floor", got)
+		t.Errorf("throttle level %d, want MaxThrottleLevel", got)
 	}
 }
 
-// Rules change while many threads decide: each decision is by one edition, whole.
+// TestDecisionsAreWhole changes the rules while several goroutines decide, and checks that each decision uses a single edition.
 func TestDecisionsAreWhole(t *testing.T) {
 	var p Sampler
 	all, none := testRules(), testRules()
@@ -186,7 +189,7 @@
 				default:
 				}
 				if d := p.Decide(strconv.Itoa(i), "order", "novak"); d.Captured != (d.Edition%2 == 0) {
-					t.Errorf("half of two editions: %+v", d)
+					t.Errorf("decision mixes two editions: %+v", d)
 					return
 				}
 			}
@@ -202,11 +205,11 @@
 	close(stop)
 	wg.Wait()
 	if n := testing.AllocsPerRun(1000, func() { p.Decide("9b1f03aa5c7e2d41", "order", "") }); n != 0 {
-		t.Errorf("%v allocations a decision", n)
+		t.Errorf("%v allocations per decision, want 0", n)
 	}
 }
 
-// mutexSampler is the same behind a mutex, to compare.
+// mutexSampler makes the same decisions behind a mutex, as the baseline of BenchmarkDecide.
 type mutexSampler struct {
 	mu             sync.Mutex
 	s              *snapshot
@@ -224,7 +227,9 @@
 	return d
 }
 
-// go test -bench Decide -cpu 1,2,4,6 -benchmem ./internal/sidecar/sampling
+// BenchmarkDecide compares Sampler with mutexSampler. To run it:
+//
+//	go test -bench Decide -cpu 1,2,4,6 -benchmem ./internal/sidecar/sampling
 func BenchmarkDecide(b *testing.B) {
 	var p Sampler
 	p.Set(1, testRules(), 0)
