--- a/internal/sidecar/quota/check_test.go
+++ b/internal/sidecar/quota/check_test.go
@@ -32,8 +32,8 @@
 }
 
 type sentReport struct {
-	who Process
-	to  int
+	process Process
+	to      int
 	Report
 }
 
@@ -84,7 +84,7 @@
 func (w *cluster) deliverReport(i, at int) {
 	r := w.reports[i][at]
 	w.reports[i] = append(w.reports[i][:at:at], w.reports[i][at+1:]...)
-	if g, ok := w.granters[r.to].ReceiveReport(w.now, r.who, r.Report); ok && len(w.grants[i]) < 4 {
+	if g, ok := w.granters[r.to].ReceiveReport(w.now, r.process, r.Report); ok && len(w.grants[i]) < 4 {
 		w.grants[i] = append(w.grants[i], g)
 	}
 }
@@ -183,9 +183,9 @@
 // TestMutationsBreakTheSum checks that each injected fault violates the limit within a few events of a prepared state.
 func TestMutationsBreakTheSum(t *testing.T) {
 	for name, c := range map[string]struct {
-		mutate Mutation
-		near   func(w *cluster)
-		depth  int
+		mutate  Mutation
+		prepare func(w *cluster)
+		depth   int
 	}{
 		"a lease runs from the receipt of the grant": {LeaseFromReply, func(w *cluster) {
 			w.report(0)
@@ -211,7 +211,7 @@
 		begin := func(mutate Mutation) func() explore.System {
 			return func() explore.System {
 				w := newCluster(mutate, Rate)
-				c.near(w)
+				c.prepare(w)
 				return w
 			}
 		}
--- a/internal/sidecar/rules/file.go
+++ b/internal/sidecar/rules/file.go
@@ -49,20 +49,20 @@
 }
 
 type samplingFile struct {
-	Format  string      `toml:"format"`
-	Salt    uint32      `toml:"salt"`
-	Rate    float64     `toml:"rate"`
-	Records uint32      `toml:"records_per_second"`
-	Bytes   uint32      `toml:"bytes_per_second"`
-	PerNode uint32      `toml:"node_records_per_second"`
-	Least   uint32      `toml:"least_per_minute"`
-	Failed  bool        `toml:"keep_failed"`
-	Slow    uint32      `toml:"keep_slow_ms"`
-	Classes []namedFile `toml:"class"`
-	Tenants []namedFile `toml:"tenant"`
-}
-
-type namedFile struct {
+	Format            string          `toml:"format"`
+	Salt              uint32          `toml:"salt"`
+	Rate              float64         `toml:"rate"`
+	MaxRecords        uint32          `toml:"records_per_second"`
+	MaxBytes          uint32          `toml:"bytes_per_second"`
+	MaxRecordsPerNode uint32          `toml:"node_records_per_second"`
+	MinPerMinute      uint32          `toml:"least_per_minute"`
+	KeepFailed        bool            `toml:"keep_failed"`
+	KeepSlowMillis    uint32          `toml:"keep_slow_ms"`
+	Classes           []namedRateFile `toml:"class"`
+	Tenants           []namedRateFile `toml:"tenant"`
+}
+
+type namedRateFile struct {
 	Name string  `toml:"name"`
 	Rate float64 `toml:"rate"`
 }
@@ -154,8 +154,8 @@
 		p.fault("sampling.format", "%v", err)
 	}
 	r := SamplingRules{Salt: uint64(s.Salt), Rate: p.rate("sampling.rate", s.Rate),
-		MaxRecords: cmp.Or(s.Records, 100), MaxBytes: cmp.Or(s.Bytes, 64<<10), MaxRecordsPerNode: cmp.Or(s.PerNode, 50),
-		MinPerMinute: s.Least, KeepFailed: s.Failed, KeepSlow: s.Slow,
+		MaxRecords: cmp.Or(s.MaxRecords, 100), MaxBytes: cmp.Or(s.MaxBytes, 64<<10), MaxRecordsPerNode: cmp.Or(s.MaxRecordsPerNode, 50),
+		MinPerMinute: s.MinPerMinute, KeepFailed: s.KeepFailed, KeepSlow: s.KeepSlowMillis,
 		Classes: p.namedRates("sampling.class", s.Classes), Tenants: p.namedRates("sampling.tenant", s.Tenants)}
 	if len(p.faults) > 0 {
 		return nil
@@ -180,7 +180,7 @@
 }
 
 // namedRates converts and checks the rates of classes or tenants.
-func (p *parser) namedRates(key string, from []namedFile) (rates []NamedRate) {
+func (p *parser) namedRates(key string, from []namedRateFile) (rates []NamedRate) {
 	seen := make(map[string]bool)
 	for i, n := range from {
 		k := fmt.Sprintf("%s[%d]", key, i)
--- a/internal/sidecar/rules/rules_test.go
+++ b/internal/sidecar/rules/rules_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-const good = `version = 1
+const validFile = `version = 1
 [sampling]
 format = "2"
 salt = 7
@@ -61,7 +61,7 @@
 }
 
 func TestFile(t *testing.T) {
-	e := parse(t, good)
+	e := parse(t, validFile)
 	c := read(t, e)
 	if r := c.Sampling.RateOf("order", ""); r != RateUnit/2 {
 		t.Errorf("order has rate %d, want a half", r)
@@ -73,13 +73,13 @@
 		t.Errorf("%+v", q)
 	}
 	// The digest depends on the content, but not on its order in the file.
-	swapped := strings.Replace(strings.Replace(good, `"order"`, `"X"`, 1), `"look"`, `"order"`, 1)
+	swapped := strings.Replace(strings.Replace(validFile, `"order"`, `"X"`, 1), `"look"`, `"order"`, 1)
 	swapped = strings.Replace(strings.Replace(swapped, `"X"`, `"look"`, 1), "0.5\n", "Y\n", 1)
 	swapped = strings.Replace(strings.Replace(swapped, "0.25", "0.5", 1), "Y", "0.25", 1)
 	if parse(t, swapped).Digest() != e.Digest() {
 		t.Error("the digest depends on the order of the rules in the file")
 	}
-	if parse(t, strings.Replace(good, "0.25", "0.26", 1)).Digest() == e.Digest() {
+	if parse(t, strings.Replace(validFile, "0.25", "0.26", 1)).Digest() == e.Digest() {
 		t.Error("different rules have the same digest")
 	}
 }
@@ -100,7 +100,7 @@
 		"the second limit's": {`policy = "available"`, `policy = "lax"`, "29:1: limits.quota[1].policy: lax"},
 		"another version":    {"version = 1", "version = 2", "1:1: version: 2; this program reads 1"},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
+		text := strings.Replace(validFile, c.from, c.to, 1)
 		_, faults := Parse([]byte(text))
 		all := ""
 		for _, f := range faults {
@@ -110,7 +110,7 @@
 			t.Errorf("%s: %q, want %q", name, all, c.want)
 		}
 	}
-	two := strings.Replace(strings.Replace(good, "rate = 0.01", "rate = 2.0", 1), "floor_pct = 20", "floor_pct = -1", 1)
+	two := strings.Replace(strings.Replace(validFile, "rate = 0.01", "rate = 2.0", 1), "floor_pct = 20", "floor_pct = -1", 1)
 	if _, faults := Parse([]byte(two)); len(faults) != 2 {
 		t.Errorf("faults %v, want two", faults)
 	}
@@ -146,7 +146,7 @@
 
 // TestReadErrors checks that a program names the kind, format and feature that it cannot read.
 func TestReadErrors(t *testing.T) {
-	e := parse(t, good)
+	e := parse(t, validFile)
 	one := FormatSet{Sampling: {{1, 0}}, Limits: {{1, 0}}}
 	later := e
 	later.Rules = append([]Rule(nil), e.Rules...)
@@ -185,13 +185,13 @@
 }
 
 func TestLower(t *testing.T) {
-	e := parse(t, good)
+	e := parse(t, validFile)
 	one := FormatSet{Sampling: {{1, 0}}, Limits: {{1, 0}}}
 	_, lost := Downgrade(e, one)
 	if got := strings.Join(lost, "; "); got != `the rate of tenant "novak"; failed traces kept after the fact; traces slower than 800 ms kept after the fact` {
 		t.Error(got)
 	}
-	plain := good
+	plain := validFile
 	for _, cut := range []string{"keep_failed = true\n", "keep_slow_ms = 800\n", "[[sampling.tenant]]\nname = \"novak\"\nrate = 1.0\n"} {
 		plain = strings.Replace(plain, cut, "", 1)
 	}
@@ -236,15 +236,15 @@
 	"failed not kept":                 func(c *Compiled, q Case) string { q.Failed = false; return c.Decide(q) },
 	"ids in capitals":                 func(c *Compiled, q Case) string { q.ID = strings.ToUpper(q.ID); return c.Decide(q) },
 	"ids cut":                         func(c *Compiled, q Case) string { q.ID = q.ID[:15]; return c.Decide(q) },
-	"another salt":                    with(func(c *Compiled) { c.Sampling.Salt++ }),
-	"rates rounded to percents":       with(func(c *Compiled) { c.Sampling.Rate = c.Sampling.Rate * 100 / RateUnit * RateUnit / 100 }),
-	"limits rounded to whole numbers": with(func(c *Compiled) { c.Limits.Quotas[0].PerSecond = 12000 }),
-	"a policy that is the other":      with(func(c *Compiled) { c.Limits.Quotas[1].Policy = "strict" }),
-	"a limit left out":                with(func(c *Compiled) { c.Limits.Quotas = c.Limits.Quotas[:1] }),
+	"another salt":                    withChangedRules(func(c *Compiled) { c.Sampling.Salt++ }),
+	"rates rounded to percents":       withChangedRules(func(c *Compiled) { c.Sampling.Rate = c.Sampling.Rate * 100 / RateUnit * RateUnit / 100 }),
+	"limits rounded to whole numbers": withChangedRules(func(c *Compiled) { c.Limits.Quotas[0].PerSecond = 12000 }),
+	"a policy that is the other":      withChangedRules(func(c *Compiled) { c.Limits.Quotas[1].Policy = "strict" }),
+	"a limit left out":                withChangedRules(func(c *Compiled) { c.Limits.Quotas = c.Limits.Quotas[:1] }),
 }
 
-// with returns a decision function that uses changed rules instead of those of the edition.
-func with(change func(*Compiled)) func(*Compiled, Case) string {
+// withChangedRules returns a decision function that uses changed rules instead of those of the edition.
+func withChangedRules(change func(*Compiled)) func(*Compiled, Case) string {
 	return func(c *Compiled, q Case) string {
 		other := &Compiled{Edition: c.Edition}
 		s, l := *c.Sampling, *c.Limits
@@ -259,7 +259,7 @@
 func TestTrialsCatchMisreadings(t *testing.T) {
 	caught, runs := 0, 0
 	for salt := range 50 {
-		c := read(t, parse(t, strings.Replace(good, "salt = 7", fmt.Sprintf("salt = %d", salt+1), 1)))
+		c := read(t, parse(t, strings.Replace(validFile, "salt = 7", fmt.Sprintf("salt = %d", salt+1), 1)))
 		own := RunTrial(c)
 		if FirstDifference(own, RunTrial(read(t, c.Edition))) >= 0 {
 			t.Fatal("the same program decides differently the second time")
