--- a/internal/sidecar/quota/check_test.go
+++ b/internal/sidecar/quota/check_test.go
@@ -175,7 +175,7 @@
 	}
 	res, err := explore.All(func() explore.System { return newCluster(NoMutation, Rate) }, depth, 20_000_000)
 	if err != nil || !res.Full {
-		t.Errorf("%+v %v", res, err)
+		t.Errorf("explored %+v; error %v, want a full exploration without one", res, err)
 	}
 	t.Logf("every order of up to %d events: %d states, %d paths", depth, res.States, res.Paths)
 }
--- a/internal/sidecar/quota/gate_test.go
+++ b/internal/sidecar/quota/gate_test.go
@@ -40,7 +40,7 @@
 	}
 	g.Take(17*s, 18*s)
 	if _, after, ok := g.Take(17*s, 18*s); ok || after > 210*time.Millisecond {
-		t.Errorf("admitted %v, retry delay %v; want a rejection with about 0.2 s", after, ok)
+		t.Errorf("retry delay %v, admitted %v; want a rejection with a delay of at most 0.21 s", after, ok)
 	}
 }
 
@@ -65,7 +65,7 @@
 	// Near the end of the lease, requests that would outlive it are admitted by the fallback alone.
 	for i := range 3 {
 		if _, _, ok := g.Take(9500*time.Millisecond, 11*s); ok != (i < 2) {
-			t.Errorf("request %d: admitted %t", i, ok)
+			t.Errorf("request %d: admitted %t, want only the first two admitted", i, ok)
 		}
 	}
 	if d := g.Demand(9500 * time.Millisecond); d < 3 || d > 7 {
@@ -90,7 +90,7 @@
 		}
 	}
 	if admitted != 100+maxSavedRetries {
-		t.Errorf("%d retries admitted beside 500 first requests", admitted)
+		t.Errorf("%d retries admitted beside 500 first requests, want 100 and the accumulated tokens", admitted)
 	}
 }
 
--- a/internal/sidecar/rules/rules_test.go
+++ b/internal/sidecar/rules/rules_test.go
@@ -70,7 +70,7 @@
 		t.Errorf("rate %d: the tenant's rate must take precedence over the class's", r)
 	}
 	if q := c.Limits.Settings(); len(q) != 2 || q[0].PerSecond != 12.5 || q[1].InFlight != 9 {
-		t.Errorf("%+v", q)
+		t.Errorf("limits %+v, want a rate of 12.5 and 9 in flight", q)
 	}
 	// The digest depends on the content, but not on its order in the file.
 	swapped := strings.Replace(strings.Replace(validFile, `"order"`, `"X"`, 1), `"look"`, `"order"`, 1)
--- a/internal/sidecar/verdict/evaluator_test.go
+++ b/internal/sidecar/verdict/evaluator_test.go
@@ -161,12 +161,12 @@
 	}
 	r, err := explore.All(func() explore.System { return newCluster(NoMutation) }, depth, 1<<22)
 	if err != nil || !r.Full {
-		t.Errorf("%+v %v", r, err)
+		t.Errorf("explored %+v; error %v, want a full exploration without one", r, err)
 	}
 	t.Logf("%+v", r)
 	for _, m := range []Mutation{SingleVote, StaleOpinions} {
 		if _, err := explore.All(func() explore.System { return newCluster(m) }, 10, 1<<20); err == nil {
-			t.Errorf("mutation %d not noticed", m)
+			t.Errorf("mutation %d: no violation found", m)
 		} else {
 			t.Log(m, ": ", err)
 		}
@@ -184,7 +184,7 @@
 		got[0].Recent = nil
 	}
 	if len(got) != 1 || !reflect.DeepEqual(got[0], want) {
-		t.Errorf("%+v", got)
+		t.Errorf("evidence %+v, want three failures and five successes", got)
 	}
 	if got := ta.Evidence(40 * time.Second); len(got) != 0 || len(ta.nodes) != 0 {
 		t.Errorf("%+v after 21 s without outcomes, want none", got)
@@ -218,7 +218,7 @@
 	j.Step(b.now, Received{[]Opinion{{Author: "1", Boot: 1, Seq: 9, Ratings: []Rating{ok}}}})
 	j.Step(b.now, Received{[]Opinion{{Author: "1", Boot: 2, Seq: 1}}}) // a restarted process begins a new sequence
 	if o := j.opinions["1"]; o == nil || o.Boot != 2 {
-		t.Errorf("%+v", o)
+		t.Errorf("opinion %+v, want that of boot 2", o)
 	}
 }
 
--- a/internal/sidecar/verdict/statement_test.go
+++ b/internal/sidecar/verdict/statement_test.go
@@ -16,8 +16,8 @@
 		var declared []Statement
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			at := rapid.IntRange(0, 3).Draw(t, "member")
-			if len(declared) > 0 && rapid.Bool().Draw(t, "hears") { // receive a statement made before
-				members[at].Merge([]Statement{declared[rapid.IntRange(0, len(declared)-1).Draw(t, "what")]})
+			if len(declared) > 0 && rapid.Bool().Draw(t, "receives") { // receive a statement made before
+				members[at].Merge([]Statement{declared[rapid.IntRange(0, len(declared)-1).Draw(t, "statement")]})
 				continue
 			}
 			node := fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, "node"))
@@ -32,13 +32,13 @@
 			members[i].Merge(order)
 			members[i].Merge(order[:len(order)/2])
 			if !slices.Equal(members[i].All(), members[0].All()) || members[i].Digest() != members[0].Digest() {
-				t.Fatalf("%v\n%v", members[i].All(), members[0].All())
+				t.Fatalf("tables differ:\n%v\n%v", members[i].All(), members[0].All())
 			}
 		}
 		for _, w := range declared { // a final statement was made with knowledge of all that it supersedes, or is a suspension
 			for _, holds := range members[0].All() {
 				if holds.Node == w.Node && w.Suspended && !holds.Suspended && holds.Version <= w.Version {
-					t.Fatalf("%v is undone by %v", w, holds)
+					t.Fatalf("suspension %v is undone by %v", w, holds)
 				}
 			}
 		}
--- a/internal/sidecar/verdict/verdict.go
+++ b/internal/sidecar/verdict/verdict.go
@@ -4,7 +4,7 @@
 //     last-writer-wins registers that merge in any order, once or repeatedly);
 //   - the verdicts: which nodes fail or are slow as observed by most members (Tally, Evaluator).
 //
-// It needs no elected voters and no consensus: each member counts the votes that it has received. docs/design/shared.md
+// It needs no voters and no consensus protocol: each member counts the votes that it has received. docs/design/shared.md
 // describes the design, docs/sidecar/verdicts.md is the page for operators.
 package verdict
 
