--- a/internal/sidecar/verdict/opinion.go
+++ b/internal/sidecar/verdict/opinion.go
@@ -131,9 +131,9 @@
 			ratings = append(ratings, Rating{node, true})
 		}
 	}
-	ratedBad := e.nodesRatedBad()
+	badByAny := e.nodesRatedBad()
 	for _, node := range good {
-		if ratedBad[node] && len(ratings) < MaxRatings {
+		if badByAny[node] && len(ratings) < MaxRatings {
 			ratings = append(ratings, Rating{node, false})
 		}
 	}
