--- a/internal/sidecar/verdict/rating.go
+++ b/internal/sidecar/verdict/rating.go
@@ -14,7 +14,7 @@
 	minConcurrent          = 8    // outcomes at other nodes since a node began to fail that are needed to rate it bad
 	badFailureRate         = 0.75 // a node is bad if its rate exceeds that of the other nodes by this much
 	goodFailureRate        = 0.25 // absolute threshold for a node that was bad; if the other nodes exceed it, no node is rated bad
-	badConsecutiveFailures = 4    // a node is bad after these however many successes came before, since the module soon stops sending to it
+	badConsecutiveFailures = 4    // a node is bad whatever came before, since the module soon stops sending to it
 	slowFactor             = 4    // a node is bad at this multiple of the median latency
 	recoveredFactor        = 2    // the same for a node that was bad before
 )
--- a/internal/sidecar/verdict/statement.go
+++ b/internal/sidecar/verdict/statement.go
@@ -13,8 +13,8 @@
 // Limits of a Table.
 const (
 	MaxStatements  = 256 // maximum number of nodes with a statement
-	MaxNodeBytes   = 256 // maximum length of a node's name
-	maxAuthorBytes = 64  // maximum length of an author's name
+	MaxNodeBytes   = 256 // maximum length of a node's name, in bytes
+	maxAuthorBytes = 64  // maximum length of an author's name, in bytes
 )
 
 // Statement is a member's declaration that a node is suspended or draining, or no longer is.
@@ -121,7 +121,7 @@
 			oldest, found = s, true
 		}
 	}
-	if !found || t.EvictsOldest && !oldest.older(next) { // a next that is older itself is not added, so that all members keep the same statements
+	if !found || t.EvictsOldest && !oldest.older(next) { // next is the oldest: dropping it keeps all members' tables the same
 		return false
 	}
 	delete(t.statements, oldest.Node)
