--- a/internal/sidecar/quota/check_test.go
+++ b/internal/sidecar/quota/check_test.go
@@ -15,9 +15,9 @@
 
 var times = Times{ReportInterval: time.Second, Lease: 10 * time.Second, ActTimeout: 2 * time.Second, Drift: 0.01}
 
-// three is three members and one limit, whose messages stay on their links until they are delivered or dropped. The leader is
-// elected by a majority outside: the one before may go on until its confirmation is too old.
-type three struct {
+// cluster simulates three members and one limit. Messages stay in transit until they are delivered or dropped. The leader is
+// elected by a majority outside the simulation, and the previous leader may act until its confirmation expires.
+type cluster struct {
 	limit    Limit
 	mutate   Mutation
 	now      time.Duration
@@ -26,19 +26,19 @@
 	boots    [3]uint64
 	leader   int
 	term     uint64
-	reports  [3][]sentReport // on their way, by sender
+	reports  [3][]sentReport // in transit, by sender
 	grants   [3][]Grant
 	demand   [3]Unit
 }
 
 type sentReport struct {
-	who Process
-	to  int
+	process Process
+	to      int
 	Report
 }
 
-func newThree(mutate Mutation, kind Kind) *three {
-	w := &three{limit: Limit{Name: "x", Kind: kind, Total: 30, FloorPercent: 30, MaxMembers: 3}, mutate: mutate, demand: [3]Unit{20, 5, 5}}
+func newCluster(mutate Mutation, kind Kind) *cluster {
+	w := &cluster{limit: Limit{Name: "x", Kind: kind, Total: 30, FloorPercent: 30, MaxMembers: 3}, mutate: mutate, demand: [3]Unit{20, 5, 5}}
 	for i := range 3 {
 		w.boots[i] = uint64(i + 1)
 		w.holders[i] = NewHolder(times, uint64(100*i), 0, mutate)
@@ -47,9 +47,9 @@
 		w.granters[i].SetLimits([]Limit{w.limit})
 	}
 	w.elect(0)
-	w.now += 20 * time.Second // longer than a new granter waits
+	w.now += 20 * time.Second // longer than a new granter waits before it grants
 	w.confirm()
-	for range 3 { // until all have shares
+	for range 3 { // until all members have shares
 		for i := range 3 {
 			w.report(i)
 			w.deliverReport(i, 0)
@@ -61,35 +61,35 @@
 	return w
 }
 
-// elect has another member lead. The one before notices only that its confirmation grows old.
-func (w *three) elect(i int) {
+// elect makes another member the leader. The previous leader only notices that its confirmation expires.
+func (w *cluster) elect(i int) {
 	w.leader = i
 	w.term++
 	w.granters[i].Lead(w.now, Term{Term: w.term}, w.now)
 }
 
-// confirm has the majority confirm the leader.
-func (w *three) confirm() { w.granters[w.leader].Lead(w.now, Term{Term: w.term}, w.now) }
+// confirm renews the majority's confirmation of the leader.
+func (w *cluster) confirm() { w.granters[w.leader].Lead(w.now, Term{Term: w.term}, w.now) }
 
-func (w *three) report(i int) {
+func (w *cluster) report(i int) {
 	w.holders[i].SetDemand("x", w.demand[i])
 	r := w.holders[i].Report(w.now)
-	for to := range 3 { // it may not know who leads: an earlier leader gets its report as well
+	for to := range 3 { // the member may not know the leader, so earlier leaders get its report as well
 		if len(w.reports[i]) < 4 && (to == w.leader || w.granters[to].acting) {
 			w.reports[i] = append(w.reports[i], sentReport{Process{fmt.Sprint(i), w.boots[i]}, to, r})
 		}
 	}
 }
 
-func (w *three) deliverReport(i, at int) {
+func (w *cluster) deliverReport(i, at int) {
 	r := w.reports[i][at]
 	w.reports[i] = append(w.reports[i][:at:at], w.reports[i][at+1:]...)
-	if g, ok := w.granters[r.to].ReceiveReport(w.now, r.who, r.Report); ok && len(w.grants[i]) < 4 {
+	if g, ok := w.granters[r.to].ReceiveReport(w.now, r.process, r.Report); ok && len(w.grants[i]) < 4 {
 		w.grants[i] = append(w.grants[i], g)
 	}
 }
 
-func (w *three) deliverGrant(i, at int) {
+func (w *cluster) deliverGrant(i, at int) {
 	g := w.grants[i][at]
 	w.grants[i] = append(w.grants[i][:at:at], w.grants[i][at+1:]...)
 	w.holders[i].ReceiveGrant(w.now, g)
@@ -100,23 +100,23 @@
 	do   func()
 }
 
-func (w *three) choices() (all []choice) {
+func (w *cluster) choices() (all []choice) {
 	add := func(name string, do func()) { all = append(all, choice{name, do}) }
 	for i := range 3 {
 		add(fmt.Sprint("report ", i), func() { w.report(i) })
-		for at := range w.reports[i] { // any of them: they overtake each other
+		for at := range w.reports[i] { // any of them, since messages may be reordered
 			add(fmt.Sprint("deliver report ", at, " of ", i), func() { w.deliverReport(i, at) })
 		}
 		for at := range w.grants[i] {
 			add(fmt.Sprint("deliver grant ", at, " to ", i), func() { w.deliverGrant(i, at) })
 		}
 	}
-	add("the demand turns", func() { w.demand = [3]Unit{w.demand[2], w.demand[0], w.demand[1]} })
+	add("the demands rotate among the members", func() { w.demand = [3]Unit{w.demand[2], w.demand[0], w.demand[1]} })
 	add("a short time passes, the leader is confirmed", func() { w.now += time.Second; w.confirm() })
 	add("half a lease passes, the leader is confirmed", func() { w.now += 5 * time.Second; w.confirm() })
 	add("a little over a lease passes, the leader is confirmed", func() { w.now += 10200 * time.Millisecond; w.confirm() })
-	add("another one leads", func() { w.elect((w.leader + 1) % 3) })
-	add("member 0 is started anew", func() { // the process before is stopped, and its lease goes on
+	add("another member becomes the leader", func() { w.elect((w.leader + 1) % 3) })
+	add("member 0 restarts", func() { // the previous process ends, but its lease runs on
 		w.boots[0] += 10
 		w.holders[0] = NewHolder(times, 1000*w.boots[0], w.now, w.mutate)
 		w.holders[0].SetLimits([]Limit{w.limit})
@@ -124,17 +124,17 @@
 	return all
 }
 
-func (w *three) Events() (names []string) {
+func (w *cluster) Events() (names []string) {
 	for _, c := range w.choices() {
 		names = append(names, c.name)
 	}
 	return names
 }
 
-func (w *three) Do(i int) { w.choices()[i].do() }
+func (w *cluster) Do(i int) { w.choices()[i].do() }
 
-// Check sums what all may use.
-func (w *three) Check() error {
+// Check verifies that what all members may use does not sum to more than the limit.
+func (w *cluster) Check() error {
 	var all Unit
 	var parts [3]Unit
 	for i, h := range w.holders {
@@ -142,12 +142,12 @@
 		all += parts[i]
 	}
 	if all > w.limit.Total {
-		return fmt.Errorf("%v sum to %d of %d", parts, all, w.limit.Total)
+		return fmt.Errorf("shares %v sum to %d, more than the limit %d", parts, all, w.limit.Total)
 	}
 	return nil
 }
 
-func (w *three) Hash() uint64 {
+func (w *cluster) Hash() uint64 {
 	var b strings.Builder
 	for i := range 3 {
 		h, k := w.holders[i], w.holders[i].limits["x"]
@@ -166,32 +166,33 @@
 	return xxhash.Sum64String(b.String())
 }
 
-// Every order of events, with lost, late and overtaken messages: the sum is kept.
+// TestEveryOrderKeepsTheSum explores every order of events, with lost, late and reordered messages: the shares never sum to more
+// than the limit.
 func TestEveryOrderKeepsTheSum(t *testing.T) {
 	depth := 4
 	if n, err := strconv.Atoi(os.Getenv("EXPLORE_DEPTH")); err == nil {
 		depth = n
 	}
-	res, err := explore.All(func() explore.System { return newThree(NoMutation, Rate) }, depth, 20_000_000)
+	res, err := explore.All(func() explore.System { return newCluster(NoMutation, Rate) }, depth, 20_000_000)
 	if err != nil || !res.Full {
-		t.Errorf("%+v %v", res, err)
+		t.Errorf("explored %+v; error %v, want a full exploration without one", res, err)
 	}
 	t.Logf("every order of up to %d events: %d states, %d paths", depth, res.States, res.Paths)
 }
 
-// Each injected fault breaks the sum within a few events of a state that is near.
+// TestMutationsBreakTheSum checks that each injected fault violates the limit within a few events of a prepared state.
 func TestMutationsBreakTheSum(t *testing.T) {
 	for name, c := range map[string]struct {
-		mutate Mutation
-		near   func(w *three)
-		depth  int
+		mutate  Mutation
+		prepare func(w *cluster)
+		depth   int
 	}{
-		"a lease counts from when the grant came": {LeaseFromReply, func(w *three) {
+		"a lease runs from the receipt of the grant": {LeaseFromReply, func(w *cluster) {
 			w.report(0)
 			w.deliverReport(0, 0)
 			w.report(1)
 		}, 4},
-		"a grant for an older report counts": {AnyGrant, func(w *three) { // one is out while its receiver lets its part go
+		"a grant for an earlier report is accepted": {AnyGrant, func(w *cluster) { // such a grant is in transit while its receiver gives up its share
 			w.report(0)
 			w.deliverReport(0, 0)
 			w.demand = [3]Unit{5, 20, 5}
@@ -201,16 +202,16 @@
 				w.deliverGrant(0, 1)
 			}
 		}, 4},
-		"a new granter gives at once": {NoWait, func(*three) {}, 4},
-		"what is taken back is given on at once": {TakeAtOnce, func(w *three) {
+		"a new granter grants without waiting": {NoWait, func(*cluster) {}, 4},
+		"a reduced share is granted to another holder at once": {TakeAtOnce, func(w *cluster) {
 			w.report(1)
 			w.demand = [3]Unit{5, 20, 5}
 		}, 4},
 	} {
 		begin := func(mutate Mutation) func() explore.System {
 			return func() explore.System {
-				w := newThree(mutate, Rate)
-				c.near(w)
+				w := newCluster(mutate, Rate)
+				c.prepare(w)
 				return w
 			}
 		}
@@ -219,11 +220,11 @@
 			_, found = explore.All(begin(c.mutate), depth, 100_000)
 		}
 		if found == nil {
-			t.Errorf("%s: nothing was broken", name)
+			t.Errorf("%s: no violation found", name)
 		}
 		t.Log(name, ": ", found)
 		if _, err := explore.All(begin(NoMutation), 3, 100_000); err != nil {
-			t.Errorf("without the mutation: %v", err)
+			t.Errorf("violation without the mutation: %v", err)
 		}
 	}
 }
--- a/internal/sidecar/verdict/verdict.go
+++ b/internal/sidecar/verdict/verdict.go
@@ -1,11 +1,11 @@
-// Package verdict holds what the sidecars of a fleet say about execute nodes, without I/O or clock:
+// Package verdict holds the state that the sidecars of a fleet share about execute nodes, without I/O or clock:
 //
-//   - which nodes an operator suspended for the whole fleet, and which a member's list has as draining (Table, a map of
+//   - which nodes an operator suspended for the whole fleet, and which nodes a member's list has as draining (Table, a map of
 //     last-writer-wins registers that merge in any order, once or repeatedly);
-//   - which nodes fail or are slow in the experience of most members (Tally, Evaluator), the verdicts.
+//   - the verdicts: which nodes fail or are slow as observed by most members (Tally, Evaluator).
 //
-// It needs no voters and no agreement: each member counts the votes that it has received. docs/design/shared.md describes the
-// design, docs/sidecar/verdicts.md is the page for operators.
+// It needs no voters and no consensus protocol: each member counts the votes that it has received. docs/design/shared.md
+// describes the design, docs/sidecar/verdicts.md is the page for operators.
 package verdict
 
 import (
@@ -20,29 +20,29 @@
 
 const (
 	stageAvoided stage = iota // no member sends to the node
-	stageFew                  // a trial by a few members,
-	stageHalf                 // and by half of them
-	stagePast                 // all members send to it; the verdict is remembered, so that the next one lasts longer
+	stageFew                  // a few members send to the node, as a trial
+	stageHalf                 // half of the members send to it
+	stagePast                 // all members send to it; the verdict is remembered so that a repeated one lasts longer
 )
 
-// String is the stage as operators see it.
+// String returns the stage's name in the operator's output.
 func (s stage) String() string { return [...]string{"avoid", "few", "half", "past"}[s] }
 
-// verdict is a verdict on a node.
+// verdict is the decision to avoid a node, with the trial and the time of remembrance after it.
 type verdict struct {
-	node        Node
-	stage       stage
-	condemnedAt time.Duration
-	stageEnd    time.Duration
-	trialStart  time.Duration
-	term        time.Duration // for how long the node is avoided
-	round       uint64        // how often it was condemned in a row
-	observers   []string      // who voted against it
+	node       Node
+	stage      stage
+	avoidedAt  time.Duration
+	stageEnd   time.Duration
+	trialStart time.Duration
+	term       time.Duration // how long the node is avoided
+	count      uint64        // how many times in a row the node was avoided
+	observers  []string      // members that voted against it
 }
 
-// decide advances the verdicts, and reports which nodes to avoid if that has changed.
+// decide advances all verdicts, and emits Avoid if the nodes to avoid have changed.
 func (e *Evaluator) decide(now time.Duration) {
-	names := e.accused()
+	names := e.nodesRatedBad()
 	for n := range e.verdicts {
 		names[n] = true
 	}
@@ -65,7 +65,7 @@
 	}
 }
 
-// advance advances the verdict on a node, or makes one.
+// advance advances the verdict on a node, or creates one if the votes suffice.
 func (e *Evaluator) advance(now time.Duration, name string) {
 	v := e.verdicts[name]
 	node, listed := e.nodes[name]
@@ -80,10 +80,10 @@
 	bad, good := e.votes(name, after)
 	switch {
 	case v == nil:
-		if e.condemned(bad, good) && e.hasCapacity(node) && len(e.verdicts) < maxVerdicts {
+		if e.votesSuffice(bad, good) && e.hasCapacity(node) && len(e.verdicts) < maxVerdicts {
 			v = &verdict{node: node, term: e.paces(minTerm)}
 			e.verdicts[name] = v
-			e.condemn(now, name, v, bad)
+			e.avoid(now, name, v, bad)
 		}
 	case v.stage == stageAvoided:
 		if now >= v.stageEnd && e.cfg.Mutate != NoExpiry {
@@ -92,15 +92,16 @@
 	case v.stage == stagePast:
 		if now >= v.stageEnd {
 			delete(e.verdicts, name)
-		} else if e.condemned(bad, good) && e.hasCapacity(node) {
-			e.condemnAgain(now, name, v, bad)
+		} else if e.votesSuffice(bad, good) && e.hasCapacity(node) {
+			e.avoidAgain(now, name, v, bad)
 		}
 	default:
 		e.advanceTrial(now, name, v, bad, good)
 	}
 }
 
-// beginTrial lets few members send to a node whose term is over. Evidence from before must not count against it.
+// beginTrial lets a few members send to a node whose term is over. It discards the evidence from before the trial, which must
+// not count against the node.
 func (e *Evaluator) beginTrial(now time.Duration, name string, v *verdict) {
 	v.stage, v.trialStart, v.stageEnd = stageFew, now, now+e.paces(trialStage)
 	if e.cfg.Mutate == AllAtOnce {
@@ -110,7 +111,8 @@
 	delete(e.ratedBad, name)
 }
 
-// advanceTrial condemns a node again if most of those that try it rate it bad, and else goes on to the next stage in time.
+// advanceTrial avoids a node again if most of the members in the trial rate it bad, and otherwise enters the next stage when
+// the current one is over.
 func (e *Evaluator) advanceTrial(now time.Duration, name string, v *verdict, bad, good []string) {
 	members := e.trialMembers(name, v)
 	against := 0
@@ -119,8 +121,8 @@
 			against++
 		}
 	}
-	if against >= minVotes && 2*against > len(members) || e.condemned(bad, good) {
-		e.condemnAgain(now, name, v, bad)
+	if against >= minVotes && 2*against > len(members) || e.votesSuffice(bad, good) {
+		e.avoidAgain(now, name, v, bad)
 		return
 	}
 	if now < v.stageEnd {
@@ -134,14 +136,14 @@
 	}
 }
 
-// condemn has a node avoided for the verdict's term.
-func (e *Evaluator) condemn(now time.Duration, name string, v *verdict, observers []string) {
-	v.stage, v.condemnedAt, v.stageEnd, v.round, v.observers = stageAvoided, now, now+v.term, v.round+1, observers
+// avoid starts the avoidance of a node for the verdict's term.
+func (e *Evaluator) avoid(now time.Duration, name string, v *verdict, observers []string) {
+	v.stage, v.avoidedAt, v.stageEnd, v.count, v.observers = stageAvoided, now, now+v.term, v.count+1, observers
 	e.out = append(e.out, LogEntry{Node: name, Event: "avoided", Observers: observers, Term: v.term})
 }
 
-// condemnAgain does so for twice as long as before.
-func (e *Evaluator) condemnAgain(now time.Duration, name string, v *verdict, observers []string) {
+// avoidAgain starts the avoidance of a node for twice the previous term, up to maxTerm.
+func (e *Evaluator) avoidAgain(now time.Duration, name string, v *verdict, observers []string) {
 	v.term = min(2*v.term, e.paces(maxTerm))
-	e.condemn(now, name, v, observers)
+	e.avoid(now, name, v, observers)
 }
