--- a/internal/region/agent/agent.go
+++ b/internal/region/agent/agent.go
@@ -49,33 +49,33 @@
 // Run runs an agent until it has shut down. Shutdown begins when ctx is done: control is notified at once, and the
 // proxy is served until it has ended or the grace period of the settings is nearly over. The error is nil after a
 // shutdown; otherwise it says why the agent couldn't start or why its service to other agents failed.
-func Run(ctx context.Context, from *settings.Settings, logger *zap.Logger) error {
+func Run(ctx context.Context, config *settings.Settings, logger *zap.Logger) error {
 	path, err := settings.Path()
 	if err != nil {
 		path = "" // the settings come from elsewhere, and no file is followed
 	}
-	return RunWith(ctx, from, logger, Options{SettingsPath: path})
+	return RunWith(ctx, config, logger, Options{SettingsPath: path})
 }
 
 // RunWith is [Run] with options.
-func RunWith(ctx context.Context, from *settings.Settings, logger *zap.Logger, options Options) error {
-	options, err := options.complete(ctx, from)
+func RunWith(ctx context.Context, config *settings.Settings, logger *zap.Logger, options Options) error {
+	options, err := options.withDefaults(ctx, config)
 	if err != nil {
 		return err
 	}
-	return newProcess(from, logger, options).run(ctx)
+	return newProcess(config, logger, options).run(ctx)
 }
 
-// complete fills in what the options leave to the settings.
-func (o Options) complete(ctx context.Context, from *settings.Settings) (Options, error) {
+// withDefaults fills in what the options leave to the settings.
+func (o Options) withDefaults(ctx context.Context, config *settings.Settings) (Options, error) {
 	if o.Proxy == "" {
-		o.Proxy = from.LoopbackPort(proxyLinkPort)
+		o.Proxy = config.LoopbackPort(proxyLinkPort)
 	}
 	if o.LinkAddress == nil {
-		o.LinkAddress = linkAddress(from.PortRange[0])
+		o.LinkAddress = linkAddress(config.PortRange[0])
 	}
 	if o.Listener == nil {
-		listener, err := listen(ctx, from.Port(peerPort))
+		listener, err := listen(ctx, config.Port(peerPort))
 		if err != nil {
 			return o, err
 		}
--- a/internal/region/agent/call_failures_test.go
+++ b/internal/region/agent/call_failures_test.go
@@ -15,13 +15,13 @@
 	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
 )
 
-// refusing refuses every call.
-type refusing struct {
+// unimplementedControl refuses every call.
+type unimplementedControl struct {
 	fieldrelayv1connect.UnimplementedControlLinkHandler
 }
 
-// failingWatch makes a call that fails.
-func failingWatch(t *testing.T, address string) error {
+// requireFailedWatch makes a call that fails.
+func requireFailedWatch(t *testing.T, address string) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
@@ -56,12 +56,12 @@
 	require.NoError(t, err)
 	require.NoError(t, gone.Close())
 	refused := serve(t, func(mux *http.ServeMux) {
-		mux.Handle(fieldrelayv1connect.NewControlLinkHandler(refusing{}))
+		mux.Handle(fieldrelayv1connect.NewControlLinkHandler(unimplementedControl{}))
 	})
-	require.Equal(t, failureReset, failureKindOf(failingWatch(t, closed)))
-	require.Equal(t, failureReset, failureKindOf(failingWatch(t, gone.Addr().String())))
-	require.Equal(t, failureTimeout, failureKindOf(failingWatch(t, silent)))
-	require.Equal(t, failureErrorResponse, failureKindOf(failingWatch(t, refused)))
+	require.Equal(t, failureReset, failureKindOf(requireFailedWatch(t, closed)))
+	require.Equal(t, failureReset, failureKindOf(requireFailedWatch(t, gone.Addr().String())))
+	require.Equal(t, failureTimeout, failureKindOf(requireFailedWatch(t, silent)))
+	require.Equal(t, failureErrorResponse, failureKindOf(requireFailedWatch(t, refused)))
 	require.Equal(t, failureDialTimeout, failureKindOf(errDialTimeout))
 	require.Equal(t, failureOther, failureKindOf(errors.New("something else")))
 }
--- a/internal/region/agent/distance_test.go
+++ b/internal/region/agent/catch_up_test.go
@@ -29,106 +29,106 @@
 type absence int
 
 const (
-	absentCut       absence = iota // the machine is partitioned from all others
-	absentControl                  // the agent is partitioned from control, not from its neighbours
-	absentRestarted                // it is partitioned from all, and restarted as it returns
-	absentDown                     // the process is dead
-	absentProxy                    // the proxy beside it is dead, and restarted
-	absentProxyCut                 // it is partitioned from all, and its proxy alone is restarted as it returns
-	absentCore                     // all agents are partitioned from control
-	absences
+	absencePartitioned               absence = iota // the machine is partitioned from all others
+	absencePartitionedFromControl                   // the agent is partitioned from control, not from its neighbours
+	absencePartitionedRestarted                     // it is partitioned from all, and restarted as it returns
+	absenceProcessDown                              // the process is dead
+	absenceProxyDown                                // the proxy beside it is dead, and restarted
+	absencePartitionedProxyRestarted                // it is partitioned from all, and its proxy alone is restarted as it returns
+	absenceAllPartitionedFromControl                // all agents are partitioned from control
+	absenceCount
 )
 
 func (a absence) String() string {
 	return [...]string{"partitioned", "partitioned from control", "partitioned, restarted", "down", "proxy down", "partitioned, proxy restarted", "all partitioned from control"}[a]
 }
 
-// misleader is what sends a returning agent an old state first.
-type misleader int
+// staleSource is what sends a returning agent an old state first.
+type staleSource int
 
 const (
-	misledByNobody      misleader = iota
-	misledByControl               // a control machine that receives nothing new and has no authority
-	misledByAuthority             // one that claims authority
-	misledByNeighbour             // a neighbour that was partitioned as well
-	misledByEarlierLife           // pushes of neighbours' earlier incarnations
-	misleaders
+	staleSourceNone                 staleSource = iota
+	staleSourceControl                          // a control machine that receives nothing new and has no authority
+	staleSourceAuthoritativeControl             // one that claims authority
+	staleSourceNeighbour                        // a neighbour that was partitioned as well
+	staleSourceEarlierIncarnation               // pushes of neighbours' earlier incarnations
+	staleSourceCount
 )
 
-func (m misleader) String() string {
+func (m staleSource) String() string {
 	return [...]string{"nobody", "old control", "old control with authority", "old neighbour", "earlier incarnation"}[m]
 }
 
 // absenceRun is a run in which an agent or its proxy misses many changes.
 type absenceRun struct {
-	seed      uint64
-	distance  uint64
-	absence   absence
-	misleader misleader
-	busy      bool
+	seed          uint64
+	missedChanges uint64
+	absence       absence
+	staleSource   staleSource
+	busy          bool
 }
 
 func newAbsenceRun(seed uint64) absenceRun {
 	random := rand.New(rand.NewPCG(seed, 5))
 	run := absenceRun{
-		seed:      seed,
-		distance:  300,
-		absence:   absence(seed % uint64(absences)),
-		misleader: misleader(seed / uint64(absences) % uint64(misleaders)),
-		busy:      random.IntN(2) == 0,
+		seed:          seed,
+		missedChanges: 300,
+		absence:       absence(seed % uint64(absenceCount)),
+		staleSource:   staleSource(seed / uint64(absenceCount) % uint64(staleSourceCount)),
+		busy:          random.IntN(2) == 0,
 	}
 	switch draw := random.IntN(20); {
 	case draw == 0:
-		run.distance = 3000
+		run.missedChanges = 3000
 	case draw < 4:
-		run.distance = 1000
+		run.missedChanges = 1000
 	}
 	return run
 }
 
 // runAbsence runs a model and returns how long the agent's proxy needed for what was committed as it returned.
-func runAbsence(run absenceRun, plant injectedFault) (*model, time.Duration) {
+func runAbsence(run absenceRun, fault injectedFault) (*model, time.Duration) {
 	m := newModel(run.seed, 3, 5)
-	m.injected = plant
+	m.injected = fault
 	if !m.commitAndWait(changesBeforeAbsence) {
 		return m, 0
 	}
 	agent, neighbour := m.agents[0], m.agents[1]
 	m.beginAbsence(run.absence, agent)
 	old := m.controls[m.random.IntN(len(m.controls))]
-	switch run.misleader {
-	case misledByControl, misledByAuthority:
+	switch run.staleSource {
+	case staleSourceControl, staleSourceAuthoritativeControl:
 		old.stalled = true
-		old.authoritative = run.misleader == misledByAuthority
-	case misledByNeighbour:
+		old.authoritative = run.staleSource == staleSourceAuthoritativeControl
+	case staleSourceNeighbour:
 		m.partitioned[neighbour.self.Address] = true
 	}
-	if !m.commitAndWait(run.distance) {
+	if !m.commitAndWait(run.missedChanges) {
 		return m, 0
 	}
-	if run.misleader == misledByControl || run.misleader == misledByAuthority {
+	if run.staleSource == staleSourceControl || run.staleSource == staleSourceAuthoritativeControl {
 		m.onlyReaches(agent, old)
 	}
 	delete(m.partitioned, neighbour.self.Address)
-	target := m.last()
+	target := m.newestSequence()
 	if run.busy {
 		m.commitMany(100, func() {})
 	}
 	m.endAbsence(run.absence, agent)
-	if run.misleader == misledByEarlierLife {
-		m.after(m.upTo(50*time.Millisecond), agent.repeatPushes)
+	if run.staleSource == staleSourceEarlierIncarnation {
+		m.after(m.jitter(50*time.Millisecond), agent.repeatPushes)
 	}
 	began := m.now
 	m.after(500*time.Millisecond, func() { m.heal(agent, old) })
 	m.runUntil(time.Minute, func() bool { return !agent.proxy.dead && agent.proxy.replica.Sequence() >= target })
-	caught := m.now - began
-	if caught > catchUpTimeout {
-		m.fail("the proxy has caught up after %v", caught)
+	catchUpTime := m.now - began
+	if catchUpTime > catchUpTimeout {
+		m.fail("the proxy has caught up after %v", catchUpTime)
 	}
 	if !m.runUntil(20*time.Second, m.converged) {
 		m.fail("not all proxies have the newest state")
 	}
-	return m, caught
+	return m, catchUpTime
 }
 
 // commitAndWait commits changes, one after the other, and waits until all are.
@@ -142,20 +142,20 @@
 }
 
 func (m *model) converged() bool {
-	return !slices.ContainsFunc(m.agents, func(one *modelAgent) bool { return one.proxy.replica.Sequence() < m.last() })
+	return !slices.ContainsFunc(m.agents, func(agent *modelAgent) bool { return agent.proxy.replica.Sequence() < m.newestSequence() })
 }
 
 func (m *model) beginAbsence(absence absence, agent *modelAgent) {
 	switch absence {
-	case absentCut, absentRestarted, absentProxyCut:
+	case absencePartitioned, absencePartitionedRestarted, absencePartitionedProxyRestarted:
 		m.partitioned[agent.self.Address] = true
-	case absentControl:
+	case absencePartitionedFromControl:
 		m.setReach(agent, nil)
-	case absentDown:
+	case absenceProcessDown:
 		agent.kill()
-	case absentProxy:
+	case absenceProxyDown:
 		agent.proxy.dead = true
-	case absentCore:
+	case absenceAllPartitionedFromControl:
 		for _, one := range m.agents {
 			m.setReach(one, nil)
 		}
@@ -176,14 +176,14 @@
 func (m *model) endAbsence(absence absence, agent *modelAgent) {
 	delete(m.partitioned, agent.self.Address)
 	switch absence {
-	case absentRestarted:
+	case absencePartitionedRestarted:
 		agent.kill()
-		m.after(m.upTo(200*time.Millisecond), agent.start)
-	case absentDown:
+		m.after(m.jitter(200*time.Millisecond), agent.start)
+	case absenceProcessDown:
 		agent.start()
-	case absentProxy, absentProxyCut:
+	case absenceProxyDown, absencePartitionedProxyRestarted:
 		agent.proxy.restart()
-	case absentCore:
+	case absenceAllPartitionedFromControl:
 		for _, one := range m.agents[1:] {
 			m.setReach(one, m.controls)
 		}
@@ -195,7 +195,7 @@
 	m.setReach(agent, m.controls)
 	old.stalled = false
 	old.authoritative = true
-	old.follow()
+	old.applyCommitted()
 }
 
 func environment(name string, otherwise int) int {
@@ -213,7 +213,7 @@
 		run := newAbsenceRun(uint64(seed))
 		m, after := runAbsence(run, injectedFault{})
 		require.Empty(t, m.failures, "%+v", run)
-		for _, kind := range []string{fmt.Sprint(run.distance, " changes"), run.absence.String(), run.misleader.String()} {
+		for _, kind := range []string{fmt.Sprint(run.missedChanges, " changes"), run.absence.String(), run.staleSource.String()} {
 			caught[kind] = append(caught[kind], after)
 		}
 	}
@@ -227,10 +227,10 @@
 }
 
 // Each check of the model finds an injected fault.
-func TestModelFindsPlantedFaults(t *testing.T) {
+func TestModelFindsInjectedFaults(t *testing.T) {
 	faults := []struct {
 		name    string
-		plant   injectedFault
+		fault   injectedFault
 		finding string
 	}{
 		{"a proxy is sent a state of another sequence", injectedFault{proxyCall: renumber}, "has another state"},
@@ -242,10 +242,10 @@
 	for _, fault := range faults {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(absences) * uint64(misleaders) {
+			for seed := range uint64(absenceCount) * uint64(staleSourceCount) {
 				run := newAbsenceRun(seed)
-				run.distance = 300
-				if m, _ := runAbsence(run, fault.plant); strings.Contains(strings.Join(m.failures, "; "), fault.finding) {
+				run.missedChanges = 300
+				if m, _ := runAbsence(run, fault.fault); strings.Contains(strings.Join(m.failures, "; "), fault.finding) {
 					return
 				}
 			}
--- a/internal/region/agent/compressed_push_test.go
+++ b/internal/region/agent/compressed_push_test.go
@@ -14,20 +14,20 @@
 // An update that a control machine sent compressed is passed on to neighbours in that form, and an agent requests it so.
 func TestLargeUpdateIsPassedOnAsItCame(t *testing.T) {
 	m := newModel(1, 1, 1)
-	m.commitRoutes(routesAtFirst)
-	var packer packing.Compressor
-	response := &pb.WatchResponse{Authoritative: true, Sequence: 1, Repair: m.truth[1].RepairFor(nil)}
-	packer.CompressResponse(&pb.WatchRequest{AcceptsCompressed: true}, response)
-	packed := response.GetCompressed()
-	require.NotNil(t, packed)
+	m.commitRoutes(initialRoutes)
+	var compressor packing.Compressor
+	response := &pb.WatchResponse{Authoritative: true, Sequence: 1, Repair: m.committedStates[1].RepairFor(nil)}
+	compressor.CompressResponse(&pb.WatchRequest{AcceptsCompressed: true}, response)
+	compressed := response.GetCompressed()
+	require.NotNil(t, compressed)
 	require.NoError(t, decompressWatch(response))
 	s, call := newLinkedCore(t)
 	require.True(t, call.request.GetAcceptsCompressed())
 	s.step(watchDone{call: call, response: response})
 
 	other := shuffle.Neighbour{Host: "edge-2", Address: "10.0.0.2:7661"}
-	asks := compareCall{gossip.Compare{To: s.core.identity.neighbour, Digests: &pb.RangeDigests{}}}
+	request := compareCall{gossip.Compare{To: s.core.identity.neighbour, Digests: &pb.RangeDigests{}}}
 	replies := make(chan *pb.CompareResponse, 1)
-	s.step(compareRequested{request: newCompareRequest(other, asks), response: replies})
-	require.Same(t, packed, (<-replies).GetCompressed())
+	s.step(compareRequested{request: newCompareRequest(other, request), response: replies})
+	require.Same(t, compressed, (<-replies).GetCompressed())
 }
--- a/internal/region/agent/control_endpoints_test.go
+++ b/internal/region/agent/control_endpoints_test.go
@@ -18,7 +18,7 @@
 	return &pb.Replica{Address: address, Zone: zone, Region: region}
 }
 
-func TestChooseTakesTheNearestThatWorks(t *testing.T) {
+func TestChooseReturnsTheNearestUsable(t *testing.T) {
 	known := newTestEndpoints("seed:1", "near:1")
 	known.voters = []*pb.Replica{
 		voter("far:1", "zone-c", "region-b"),
@@ -55,10 +55,10 @@
 	require.Equal(t, "a:1", known.choose(0, "a:1"), "there is no other")
 	known.recordFailure(0, "a:1")
 	require.Equal(t, "a:1", known.choose(0, "a:1"))
-	require.Empty(t, testTargetsChoice("gone:1"), "one that is no longer known")
+	require.Empty(t, chooseWithoutEndpoints("gone:1"), "one that is no longer known")
 }
 
-func testTargetsChoice(except string) string {
+func chooseWithoutEndpoints(except string) string {
 	known := newTestEndpoints()
 	return known.choose(0, except)
 }
--- a/internal/region/agent/control_link_test.go
+++ b/internal/region/agent/control_link_test.go
@@ -13,8 +13,8 @@
 )
 
 func newTestControlLink(seeds ...string) *controlLink {
-	made := newControlLink(newTestEndpoints(seeds...), rand.New(rand.NewPCG(1, 1)))
-	return &made
+	link := newControlLink(newTestEndpoints(seeds...), rand.New(rand.NewPCG(1, 1)))
+	return &link
 }
 
 func (l *controlLink) nextLongPollAt(now time.Duration) *watchCall {
@@ -153,12 +153,12 @@
 	l := newTestControlLink("a:1", "b:1", "c:1", "d:1", "e:1", "f:1", "g:1")
 	require.Nil(t, l.nextProbeAt(0), "the long poll comes first")
 	long := l.nextLongPollAt(0)
-	asked := map[string]bool{long.address: true}
+	probed := map[string]bool{long.address: true}
 	var probes []*watchCall
 	for call := l.nextProbeAt(0); call != nil; call = l.nextProbeAt(0) {
 		require.True(t, call.request.GetProbe())
-		require.False(t, asked[call.address])
-		asked[call.address] = true
+		require.False(t, probed[call.address])
+		probed[call.address] = true
 		probes = append(probes, call)
 	}
 	require.Len(t, probes, maxProbes)
@@ -269,17 +269,17 @@
 		voter("far:1", "zone-c", "region-b"),
 	}})
 	l.nextLongPollAt(0)
-	now, asked := time.Duration(0), make(map[string]int)
-	for asked["far:1"] < 2 {
+	now, probeCounts := time.Duration(0), make(map[string]int)
+	for probeCounts["far:1"] < 2 {
 		require.Less(t, now, 2*time.Second)
 		for call := l.nextProbeAt(now); call != nil; call = l.nextProbeAt(now) {
-			asked[call.address]++
+			probeCounts[call.address]++
 		}
 		now += probeWait
 		for len(l.probes.inFlight) > 0 {
 			l.handleResponse(now, watchCall{kind: watchProbe, address: l.probes.inFlight[0]}, &pb.WatchResponse{}, watchOutcome{})
 		}
 	}
-	require.Len(t, asked, 5)
+	require.Len(t, probeCounts, 5)
 	require.LessOrEqual(t, len(l.probes.nonAuthoritative), 5)
 }
--- a/internal/region/agent/core_control.go
+++ b/internal/region/agent/core_control.go
@@ -91,7 +91,7 @@
 	if record.GetReady() != notifiedRecord.GetReady() || record.GetDraining() != notifiedRecord.GetDraining() {
 		return true
 	}
-	return c.proxy.awaitsConfirmation() && notified.started < c.proxy.foundAt
+	return c.proxy.awaitsConfirmation() && notified.started < c.proxy.discoveredAt
 }
 
 // handleWatchDone processes the result of a call to a control machine.
@@ -164,7 +164,7 @@
 			serverlist.CompareVersions(c.replica.ListVersion(), listVersion) > 0,
 		moreAvailable: response.GetSequence() > c.replica.Sequence(),
 	}
-	return c.gossipActions(produced), outcome
+	return c.peerCalls(produced), outcome
 }
 
 // logControlChange logs that another control machine has become the current one, and the error that led to it, if any.
--- a/internal/region/agent/core_peers.go
+++ b/internal/region/agent/core_peers.go
@@ -16,9 +16,9 @@
 		return nil
 	}
 	c.gossipDue = now + gossipInterval
-	actions := c.gossipActions(c.gossip.Step(now, gossip.Tick{}))
-	for _, one := range c.partialView.Step(now, shuffle.Tick{}) {
-		if exchange, ok := one.(shuffle.Exchange); ok {
+	actions := c.peerCalls(c.gossip.Step(now, gossip.Tick{}))
+	for _, viewAction := range c.partialView.Step(now, shuffle.Tick{}) {
+		if exchange, ok := viewAction.(shuffle.Exchange); ok {
 			c.counters.shuffles++
 			actions = append(actions, shuffleCall{exchange})
 		}
@@ -26,17 +26,17 @@
 	return actions
 }
 
-// gossipActions returns the calls among the actions of the gossip. Its replies are sent where they were requested.
-func (c *core) gossipActions(produced []gossip.Action) []action {
+// peerCalls returns the calls among the actions of the gossip. Its replies are sent where they were requested.
+func (c *core) peerCalls(produced []gossip.Action) []action {
 	var actions []action
-	for _, one := range produced {
-		switch one := one.(type) {
+	for _, gossipAction := range produced {
+		switch call := gossipAction.(type) {
 		case gossip.Push:
 			c.counters.pushes++
-			actions = append(actions, pushCall{one})
+			actions = append(actions, pushCall{call})
 		case gossip.Compare:
 			c.counters.compares++
-			actions = append(actions, compareCall{one})
+			actions = append(actions, compareCall{call})
 		}
 	}
 	return actions
@@ -55,7 +55,7 @@
 		if c.recordPeerFailure(now, done.err, done.call.To.Host) {
 			return nil
 		}
-		return c.gossipActions(c.gossip.Step(now, gossip.PushAnswered{
+		return c.peerCalls(c.gossip.Step(now, gossip.PushAnswered{
 			To:       done.call.To,
 			Sequence: done.response.GetSequence(),
 			List:     done.response.GetList(),
@@ -64,7 +64,7 @@
 		if c.recordPeerFailure(now, done.err, done.call.To.Host) {
 			return nil
 		}
-		return c.gossipActions(c.gossip.Step(now, gossip.CompareAnswered{Request: done.call.Compare, Response: done.response}))
+		return c.peerCalls(c.gossip.Step(now, gossip.CompareAnswered{Request: done.call.Compare, Response: done.response}))
 	}
 	return nil
 }
@@ -106,9 +106,9 @@
 		From:   neighbourFromMessage(received.request.GetFrom()),
 		Sample: neighboursFromMessages(received.request.GetSample()),
 	})
-	for _, one := range produced {
-		if answer, ok := one.(shuffle.ExchangeReply); ok {
-			received.response <- &pb.ShuffleResponse{Sample: neighbourMessages(answer.Sample)}
+	for _, viewAction := range produced {
+		if reply, ok := viewAction.(shuffle.ExchangeReply); ok {
+			received.response <- &pb.ShuffleResponse{Sample: neighbourMessages(reply.Sample)}
 		}
 	}
 }
@@ -119,12 +119,12 @@
 		Changes: received.request.GetChanges(),
 		List:    received.request.GetList(),
 	})
-	for _, one := range produced {
-		if reply, ok := one.(gossip.PushReply); ok {
+	for _, gossipAction := range produced {
+		if reply, ok := gossipAction.(gossip.PushReply); ok {
 			received.response <- &pb.PushResponse{Sequence: reply.Sequence, List: reply.List}
 		}
 	}
-	return c.gossipActions(produced)
+	return c.peerCalls(produced)
 }
 
 func (c *core) answerCompare(now time.Duration, received compareRequested) []action {
@@ -134,10 +134,10 @@
 		List:              received.request.GetList(),
 		AcceptsCompressed: received.request.GetAcceptsCompressed(),
 	})
-	for _, one := range produced {
-		if reply, ok := one.(gossip.CompareReply); ok {
+	for _, gossipAction := range produced {
+		if reply, ok := gossipAction.(gossip.CompareReply); ok {
 			received.response <- reply.Response
 		}
 	}
-	return c.gossipActions(produced)
+	return c.peerCalls(produced)
 }
--- a/internal/region/agent/core_test.go
+++ b/internal/region/agent/core_test.go
@@ -151,7 +151,7 @@
 	require.EqualValues(t, 5, apply.GetRepair().GetSequence(), "the confirmed state comes with the confirmation")
 }
 
-func TestEndIsToldToTwoControlMachines(t *testing.T) {
+func TestShutdownIsReportedToTwoControlMachines(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1", "core-2:1", "core-3:1")
 	s.step(tick{})
 	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7, Ready: true})
@@ -178,8 +178,8 @@
 	require.Nil(t, requireWatch(s, watchLongPoll).request.GetDigests(), "its state comes with the long poll")
 }
 
-// TestAHungNoticeDoesNotSilenceTheNext: its machine is gone, and another one is the current one.
-func TestAHungNoticeDoesNotSilenceTheNext(t *testing.T) {
+// TestHungNoticeDoesNotSuppressTheNext: its machine is gone, and another one is the current one.
+func TestHungNoticeDoesNotSuppressTheNext(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.step(tick{})
 	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
--- a/internal/region/agent/digest_test.go
+++ b/internal/region/agent/digest_test.go
@@ -24,20 +24,20 @@
 				m := newModel(seed, 3, 6)
 				m.observe = func(agent *modelAgent, received event, actions []action) {
 					recordResponses(recorder, agent, received)
-					for _, one := range actions {
-						recordCall(recorder, agent, one)
+					for _, call := range actions {
+						recordCall(recorder, agent, call)
 					}
 				}
 				require.True(t, m.commitAndWait(changesBeforeAbsence))
-				m.storm(m.now + 8*time.Second)
+				m.injectFaults(m.now + 8*time.Second)
 				require.True(t, m.commitAndWait(300))
-				for _, one := range m.agents[:2] {
-					one.deliver(shutdownRequested{})
+				for _, agent := range m.agents[:2] {
+					agent.deliver(shutdownRequested{})
 				}
 				m.runUntil(5*time.Second, func() bool { return false })
 				require.Empty(t, m.failures)
-				for _, one := range m.agents {
-					recorder.Entry(m.now, "end").Number(one.proxy.replica.Sequence()).Message(one.proxy.replica.Snapshot().Digests())
+				for _, agent := range m.agents {
+					recorder.Entry(m.now, "end").Number(agent.proxy.replica.Sequence()).Message(agent.proxy.replica.Snapshot().Digests())
 				}
 				return recorder
 			})
@@ -47,8 +47,8 @@
 
 func recordNeighbours(entry *digesttest.Recorder, neighbours ...shuffle.Neighbour) {
 	entry.Number(uint64(len(neighbours)))
-	for _, one := range neighbours {
-		entry.Text(one.Host).Text(one.Address).Text(one.Zone).Text(one.Region).Number(uint64(one.Age))
+	for _, neighbour := range neighbours {
+		entry.Text(neighbour.Host).Text(neighbour.Address).Text(neighbour.Zone).Text(neighbour.Region).Number(uint64(neighbour.Age))
 	}
 }
 
--- a/internal/region/agent/fakes_test.go
+++ b/internal/region/agent/fakes_test.go
@@ -308,7 +308,7 @@
 // startWithGrace runs an agent with a grace period.
 func startWithGrace(t *testing.T, grace time.Duration, host, proxy string, controls ...string) *runningAgent {
 	t.Helper()
-	from := &settings.Settings{
+	config := &settings.Settings{
 		Hostname:  host,
 		Address:   "127.0.0.1",
 		Zone:      "zone-a",
@@ -329,7 +329,7 @@
 	logged, logs := observer.New(zap.InfoLevel)
 	logger := zaptest.NewLogger(t, zaptest.Level(zap.InfoLevel)).Named(host).WithOptions(
 		zap.WrapCore(func(printed zapcore.Core) zapcore.Core { return zapcore.NewTee(printed, logged) }))
-	go func() { running.ended <- RunWith(ctx, from, logger, options) }()
+	go func() { running.ended <- RunWith(ctx, config, logger, options) }()
 	t.Cleanup(func() {
 		end()
 		running.requireEnded(t)
--- a/internal/region/agent/model_agent_test.go
+++ b/internal/region/agent/model_agent_test.go
@@ -34,8 +34,8 @@
 
 func (a *modelAgent) kill() { a.core = nil }
 
-// forThisRun returns a function that delivers an event to this incarnation of the process only.
-func (a *modelAgent) forThisRun() func(event) {
+// deliverToThisIncarnation returns a function that delivers an event to this incarnation of the process only.
+func (a *modelAgent) deliverToThisIncarnation() func(event) {
 	incarnation := a.incarnation
 	return func(received event) {
 		if a.incarnation == incarnation {
@@ -65,7 +65,7 @@
 	nextTick := max(a.core.nextTick(a.model.now), a.model.now+minTickInterval)
 	if a.nextTickAt <= a.model.now || nextTick < a.nextTickAt {
 		a.nextTickAt = nextTick
-		deliver := a.forThisRun()
+		deliver := a.deliverToThisIncarnation()
 		a.model.after(nextTick-a.model.now, func() {
 			if a.nextTickAt == nextTick {
 				deliver(tick{})
@@ -105,7 +105,7 @@
 }
 
 func (a *modelAgent) watch(call watchCall) {
-	m, deliver := a.model, a.forThisRun()
+	m, deliver := a.model, a.deliverToThisIncarnation()
 	failed := func(after time.Duration, err error) {
 		m.after(after, func() { deliver(watchDone{call: call, err: err}) })
 	}
@@ -160,9 +160,9 @@
 }
 
 func (m *model) agent(address string) *modelAgent {
-	for _, one := range m.agents {
-		if one.self.Address == address {
-			return one
+	for _, agent := range m.agents {
+		if agent.self.Address == address {
+			return agent
 		}
 	}
 	return nil
@@ -170,7 +170,7 @@
 
 // callPeer carries a call to another agent and its response back.
 func (a *modelAgent) callPeer(address string, request event, response func() event, failed event) {
-	m, deliver := a.model, a.forThisRun()
+	m, deliver := a.model, a.deliverToThisIncarnation()
 	m.after(m.latency(), func() {
 		other := m.agent(address)
 		if other == nil || other.core == nil || a.isPartitioned(address) {
@@ -230,16 +230,16 @@
 }
 
 func (a *modelAgent) exchange(call proxyCall) {
-	m, deliver := a.model, a.forThisRun()
+	m, deliver := a.model, a.deliverToThisIncarnation()
 	if m.injected.proxyCall != nil {
 		m.injected.proxyCall(&call)
 	}
-	m.after(m.upTo(2*time.Millisecond), func() {
+	m.after(m.jitter(2*time.Millisecond), func() {
 		if a.proxy.dead {
 			deliver(proxyCallDone{call: call, err: errModelTimeout})
 			return
 		}
 		status := a.proxy.apply(call.apply)
-		m.after(m.upTo(2*time.Millisecond), func() { deliver(proxyCallDone{call: call, status: status}) })
+		m.after(m.jitter(2*time.Millisecond), func() { deliver(proxyCallDone{call: call, status: status}) })
 	})
 }
--- a/internal/region/agent/model_control_test.go
+++ b/internal/region/agent/model_control_test.go
@@ -17,7 +17,7 @@
 	stalled       bool // it receives nothing new
 	dead          bool // it responds to nothing
 	waiting       []*modelWatch
-	packer        packing.Compressor
+	compressor    packing.Compressor
 }
 
 // modelWatch is a long poll that waits for an update.
@@ -26,13 +26,13 @@
 	done    func(*pb.WatchResponse)
 }
 
-// follow applies all changes up to now, now and then as a complete state, after which it has no earlier changes.
-func (c *modelControl) follow() {
+// applyCommitted applies all changes up to now, now and then as a complete state, after which it has no earlier changes.
+func (c *modelControl) applyCommitted() {
 	if c.stalled {
 		return
 	}
 	if c.model.random.IntN(200) == 0 {
-		newest := c.model.truth[c.model.last()]
+		newest := c.model.committedStates[c.model.newestSequence()]
 		if _, err := c.replica.Restore(c.replica.Snapshot(), newest.RepairFor(c.replica.Snapshot().Digests())); err != nil {
 			c.model.fail("the model is wrong: %v", err)
 		}
@@ -86,7 +86,7 @@
 		return response, c.authoritative
 	}
 	updated := c.addState(response, request)
-	c.packer.CompressResponse(request, response)
+	c.compressor.CompressResponse(request, response)
 	if request.GetMembersSource() != c.address {
 		response.Members = c.model.members()
 		updated = true
@@ -119,12 +119,12 @@
 
 func (m *model) members() *pb.Members {
 	members := &pb.Members{Version: 1}
-	for _, one := range m.agents {
+	for _, agent := range m.agents {
 		members.Agents = append(members.Agents, &pb.AgentRecord{
-			Host:         one.self.Host,
-			AgentAddress: one.self.Address,
-			Zone:         one.self.Zone,
-			Region:       one.self.Region,
+			Host:         agent.self.Host,
+			AgentAddress: agent.self.Address,
+			Zone:         agent.self.Zone,
+			Region:       agent.self.Region,
 		})
 	}
 	return members
--- a/internal/region/agent/model_test.go
+++ b/internal/region/agent/model_test.go
@@ -16,19 +16,19 @@
 
 // model is a set of agents with their proxies and control machines, without I/O, in simulated time.
 type model struct {
-	random      *rand.Rand
-	now         time.Duration
-	events      modelEvents
-	number      uint64
-	truth       []*catalog.Snapshot // by sequence
-	changes     []*pb.Change        // by sequence - 1
-	controls    []*modelControl
-	agents      []*modelAgent
-	partitioned map[string]bool // addresses, or HOST>ADDRESS pairs, that no message reaches or leaves
-	failures    []string
-	injected    injectedFault
-	links       *modelLinks                                               // nil: of unlimited bandwidth
-	observe     func(agent *modelAgent, received event, actions []action) // called after each step; nil: nothing is called
+	random          *rand.Rand
+	now             time.Duration
+	events          modelEvents
+	eventCount      uint64
+	committedStates []*catalog.Snapshot // by sequence
+	changes         []*pb.Change        // by sequence - 1
+	controls        []*modelControl
+	agents          []*modelAgent
+	partitioned     map[string]bool // addresses, or HOST>ADDRESS pairs, that no message reaches or leaves
+	failures        []string
+	injected        injectedFault
+	links           *modelLinks                                               // nil: of unlimited bandwidth
+	observe         func(agent *modelAgent, received event, actions []action) // called after each step; nil: nothing is called
 }
 
 // injectedFault shows that the model's checks find a fault. The zero value injects none.
@@ -62,10 +62,10 @@
 
 func newModel(seed uint64, controls, agents int) *model {
 	m := &model{
-		random:      rand.New(rand.NewPCG(seed, 3)),
-		now:         time.Nanosecond,
-		truth:       []*catalog.Snapshot{catalog.Empty()},
-		partitioned: make(map[string]bool),
+		random:          rand.New(rand.NewPCG(seed, 3)),
+		now:             time.Nanosecond,
+		committedStates: []*catalog.Snapshot{catalog.Empty()},
+		partitioned:     make(map[string]bool),
 	}
 	var seeds []string
 	for index := range controls {
@@ -74,7 +74,7 @@
 		m.controls = append(m.controls, &modelControl{model: m, address: address, replica: gossip.NewReplica(), authoritative: true})
 	}
 	for index := range agents {
-		made := &modelAgent{
+		agent := &modelAgent{
 			model: m,
 			seeds: seeds,
 			self: shuffle.Neighbour{
@@ -85,23 +85,23 @@
 			},
 			proxy: &modelProxy{model: m, replica: gossip.NewReplica(), incarnation: 1},
 		}
-		m.agents = append(m.agents, made)
-		m.after(m.upTo(100*time.Millisecond), made.start)
+		m.agents = append(m.agents, agent)
+		m.after(m.jitter(100*time.Millisecond), agent.start)
 	}
 	return m
 }
 
 func (m *model) after(wait time.Duration, do func()) {
-	m.number++
-	heap.Push(&m.events, modelEvent{at: m.now + wait, number: m.number, do: do})
+	m.eventCount++
+	heap.Push(&m.events, modelEvent{at: m.now + wait, number: m.eventCount, do: do})
 }
 
-func (m *model) upTo(limit time.Duration) time.Duration {
+func (m *model) jitter(limit time.Duration) time.Duration {
 	return time.Duration(m.random.Int64N(int64(limit)))
 }
 
 // latency of one way between two machines.
-func (m *model) latency() time.Duration { return time.Millisecond/2 + m.upTo(20*time.Millisecond) }
+func (m *model) latency() time.Duration { return time.Millisecond/2 + m.jitter(20*time.Millisecond) }
 
 // runUntil lets time pass until something is reached, and reports whether it was.
 func (m *model) runUntil(limit time.Duration, reached func() bool) bool {
@@ -124,21 +124,21 @@
 
 // check fails the run unless a state is the one of its sequence.
 func (m *model) check(subject string, state *catalog.Snapshot) {
-	if !proto.Equal(m.truth[state.Sequence()].Digests(), state.Digests()) {
+	if !proto.Equal(m.committedStates[state.Sequence()].Digests(), state.Digests()) {
 		m.fail("%s has another state %d", subject, state.Sequence())
 	}
 }
 
-// last is the sequence of the newest change.
-func (m *model) last() uint64 { return uint64(len(m.changes)) }
+// newestSequence is the sequence of the newest change.
+func (m *model) newestSequence() uint64 { return uint64(len(m.changes)) }
 
 // commit makes a change, which the control machines receive within some milliseconds.
 func (m *model) commit() {
-	sequence := m.last() + 1
-	made := &pb.Change{Sequence: sequence, Generation: sequence}
+	sequence := m.newestSequence() + 1
+	change := &pb.Change{Sequence: sequence, Generation: sequence}
 	for range 1 + m.random.IntN(2) {
 		name := fmt.Sprintf("route-%d", m.random.IntN(60))
-		made.Upserts = append(made.Upserts, &pb.Item{
+		change.Upserts = append(change.Upserts, &pb.Item{
 			Kind:     catalog.KindRoutes,
 			Name:     name,
 			Order:    1,
@@ -148,25 +148,25 @@
 	}
 	switch draw := m.random.IntN(100); {
 	case draw == 0:
-		made.ReplacesAll = true
+		change.ReplacesAll = true
 	case draw < 20:
-		made.Removals = append(made.Removals, &pb.ItemKey{Kind: catalog.KindRoutes, Name: fmt.Sprintf("route-%d", m.random.IntN(60))})
+		change.Removals = append(change.Removals, &pb.ItemKey{Kind: catalog.KindRoutes, Name: fmt.Sprintf("route-%d", m.random.IntN(60))})
 	}
-	m.add(made)
+	m.appendChange(change)
 }
 
-// add commits a change that follows the newest one.
-func (m *model) add(made *pb.Change) {
-	next, err := m.truth[made.GetSequence()-1].Apply(made)
+// appendChange commits a change that follows the newest one.
+func (m *model) appendChange(change *pb.Change) {
+	next, err := m.committedStates[change.GetSequence()-1].Apply(change)
 	if err != nil {
 		m.fail("the model is wrong: %v", err)
 		return
 	}
-	m.truth = append(m.truth, next)
-	m.changes = append(m.changes, made)
+	m.committedStates = append(m.committedStates, next)
+	m.changes = append(m.changes, change)
 	for _, control := range m.controls {
 		if !control.stalled {
-			m.after(m.latency(), control.follow)
+			m.after(m.latency(), control.applyCommitted)
 		}
 	}
 }
@@ -178,5 +178,5 @@
 		return
 	}
 	m.commit()
-	m.after(time.Millisecond+m.upTo(30*time.Millisecond), func() { m.commitMany(count-1, done) })
+	m.after(time.Millisecond+m.jitter(30*time.Millisecond), func() { m.commitMany(count-1, done) })
 }
--- a/internal/region/agent/narrowlinks_storm_test.go
+++ b/internal/region/agent/narrowlinks_storm_test.go
@@ -28,7 +28,7 @@
 		m.commitRoutes(narrowRoutes)
 		require.True(t, m.runUntil(time.Minute, m.converged), "seed %d: the first state", seed)
 		end := m.now + narrowStormDuration
-		m.storm(end)
+		m.injectFaults(end)
 		for m.now < end {
 			m.commitRoutes(1 + m.random.IntN(narrowRoutes))
 			m.runUntil(narrowCommitInterval, func() bool { return false })
--- a/internal/region/agent/narrowlinks_test.go
+++ b/internal/region/agent/narrowlinks_test.go
@@ -21,7 +21,7 @@
 	edgeMachines     = 61
 	coreMachines     = 5
 	lostMachines     = 2
-	routesAtFirst    = 1500
+	initialRoutes    = 1500
 	routesInChange   = 1400
 	// maxApplyDelay is the longest time from a commit to the last proxy that such a deployment accepts.
 	maxApplyDelay = 3 * time.Second
@@ -33,18 +33,18 @@
 	for _, control := range m.controls {
 		m.links.capacity[control.address] = controlBandwidth
 	}
-	for _, one := range m.agents {
-		m.links.capacity[one.self.Address] = edgeBandwidth
+	for _, agent := range m.agents {
+		m.links.capacity[agent.self.Address] = edgeBandwidth
 	}
 }
 
 // commitRoutes makes one change that adds routes of the size that operators send, with names that repeat nothing.
 func (m *model) commitRoutes(count int) {
-	sequence := m.last() + 1
-	made := &pb.Change{Sequence: sequence, Generation: sequence}
+	sequence := m.newestSequence() + 1
+	change := &pb.Change{Sequence: sequence, Generation: sequence}
 	for range count {
 		name := fmt.Sprintf("r-%07x", m.random.Uint64()&0xfffffff)
-		made.Upserts = append(made.Upserts, &pb.Item{
+		change.Upserts = append(change.Upserts, &pb.Item{
 			Kind:     catalog.KindRoutes,
 			Name:     name,
 			Order:    1,
@@ -55,7 +55,7 @@
 				name, m.random.Uint64()&0xffffff, m.random.Uint64()&0xffffff),
 		})
 	}
-	m.add(made)
+	m.appendChange(change)
 }
 
 // loseControlMachines makes control machines fail silently.
@@ -72,7 +72,7 @@
 	m := newModel(seed, coreMachines, edgeMachines)
 	m.limitBandwidth()
 	m.loseControlMachines()
-	m.commitRoutes(routesAtFirst)
+	m.commitRoutes(initialRoutes)
 	m.commitRoutes(routesInChange)
 	return m
 }
@@ -82,7 +82,7 @@
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
 		m := newModel(seed, coreMachines, edgeMachines)
 		m.limitBandwidth()
-		m.commitRoutes(routesAtFirst)
+		m.commitRoutes(initialRoutes)
 		require.True(t, m.runUntil(time.Minute, m.converged), "seed %d: the first state", seed)
 		m.loseControlMachines()
 		m.runUntil(5*time.Second, func() bool { return false })
@@ -115,7 +115,7 @@
 // a response on its way is not abandoned and requested again.
 func TestSlowResponsesMakeProgress(t *testing.T) {
 	const (
-		narrower = 20
+		slowdown = 20
 		// slack allows for responses that are requested twice, and those of neighbours.
 		slack = 3
 	)
@@ -125,7 +125,7 @@
 		m.commitRoutes(10)
 		require.True(t, m.runUntil(time.Minute, m.converged), "seed %d: the first state", seed)
 		for machine := range m.links.capacity {
-			m.links.capacity[machine] /= narrower
+			m.links.capacity[machine] /= slowdown
 		}
 		m.loseControlMachines()
 		m.runUntil(5*time.Second, func() bool { return false })
@@ -133,12 +133,12 @@
 		m.commitRoutes(routesInChange)
 		inForce := m.runUntil(2*time.Minute, m.converged)
 		took := m.now - began
-		packed := proto.Size(m.controls[coreMachines-1].packer.Compressed(
-			packing.Key{Base: m.last() - 1, Sequence: m.last()}, func() *pb.StateUpdate { return nil }))
-		once := float64(packed*edgeMachines) / (controlBandwidth / narrower * (coreMachines - lostMachines))
-		t.Logf("seed %d: in force after %v, %.1f s if each came once over even links", seed, took, once)
+		compressedSize := proto.Size(m.controls[coreMachines-1].compressor.Compressed(
+			packing.Key{Base: m.newestSequence() - 1, Sequence: m.newestSequence()}, func() *pb.StateUpdate { return nil }))
+		idealSeconds := float64(compressedSize*edgeMachines) / (controlBandwidth / slowdown * (coreMachines - lostMachines))
+		t.Logf("seed %d: in force after %v, %.1f s if each came once over even links", seed, took, idealSeconds)
 		require.True(t, inForce)
-		require.Less(t, took.Seconds(), once*slack, "seed %d", seed)
+		require.Less(t, took.Seconds(), idealSeconds*slack, "seed %d", seed)
 		require.Empty(t, m.failures, "seed %d", seed)
 	}
 }
--- a/internal/region/agent/partition_halves_test.go
+++ b/internal/region/agent/partition_halves_test.go
@@ -21,17 +21,17 @@
 	contactDelay = 4 * time.Second
 )
 
-// halves is a run with two control machines that are the chain and three that receive nothing new.
-type halves struct {
+// partitionedCore is a run with two control machines that are the chain and three that receive nothing new.
+type partitionedCore struct {
 	*model
 	chain, majority []*modelControl
 	partitionedAt   time.Duration
 }
 
-// newHalves lets the agents converge, on any control machine or on those of the majority only.
-func newHalves(t *testing.T, seed uint64, majorityOnly bool) *halves {
+// newPartitionedCore lets the agents converge, on any control machine or on those of the majority only.
+func newPartitionedCore(t *testing.T, seed uint64, majorityOnly bool) *partitionedCore {
 	t.Helper()
-	h := &halves{model: newModel(seed, 5, halfAgents)}
+	h := &partitionedCore{model: newModel(seed, 5, halfAgents)}
 	h.chain, h.majority = h.controls[:2], h.controls[2:]
 	if majorityOnly {
 		for _, agent := range h.agents {
@@ -50,16 +50,16 @@
 }
 
 // loseAuthority ends the authority of every control machine.
-func (h *halves) loseAuthority() {
+func (h *partitionedCore) loseAuthority() {
 	for _, control := range h.controls {
 		control.authoritative = false
 		control.respondToWaiting(true)
 	}
 }
 
-// learn lets the chain acknowledge a last change at a time after the partition, and returns the time until all proxies
+// measureDelivery lets the chain acknowledge a last change at a time after the partition, and returns the time until all proxies
 // have it.
-func (h *halves) learn(t *testing.T, ackAfter time.Duration) time.Duration {
+func (h *partitionedCore) measureDelivery(t *testing.T, ackAfter time.Duration) time.Duration {
 	h.runUntil(ackAfter, func() bool { return false })
 	h.commit()
 	ackedAt := h.now
@@ -75,12 +75,12 @@
 	return took
 }
 
-// learnAll plays runs of one kind and returns the time of the slowest proxy in each, sorted.
-func learnAll(t *testing.T, majorityOnly bool, ackAfter time.Duration) []time.Duration {
+// measureDeliveries plays runs of one kind and returns the time of the slowest proxy in each, sorted.
+func measureDeliveries(t *testing.T, majorityOnly bool, ackAfter time.Duration) []time.Duration {
 	t.Helper()
 	var took []time.Duration
 	for seed := range uint64(environment("AGENT_HALVES", halfSeeds)) {
-		took = append(took, newHalves(t, seed, majorityOnly).learn(t, ackAfter))
+		took = append(took, newPartitionedCore(t, seed, majorityOnly).measureDelivery(t, ackAfter))
 	}
 	slices.Sort(took)
 	t.Logf("all proxies have it after %v (p50), %v at most", took[len(took)/2], took[len(took)-1])
@@ -89,12 +89,12 @@
 
 // A change that only the smaller half has must reach the agents of the other machines before they count as in touch again.
 func TestAgentsLearnWhatOnlyTheSmallerHalfHolds(t *testing.T) {
-	took := learnAll(t, false, authorityTimeout)
+	took := measureDeliveries(t, false, authorityTimeout)
 	require.LessOrEqual(t, took[len(took)-1], contactDelay-authorityTimeout)
 }
 
 // Where no agent has its long poll at a machine of the smaller half, probes have to find out that it has more.
 func TestAgentsOfTheMajorityLearnWhatOnlyTheSmallerHalfHolds(t *testing.T) {
-	took := learnAll(t, true, authorityTimeout)
+	took := measureDeliveries(t, true, authorityTimeout)
 	require.LessOrEqual(t, took[len(took)-1], contactDelay-authorityTimeout)
 }
--- a/internal/region/agent/partition_start_test.go
+++ b/internal/region/agent/partition_start_test.go
@@ -61,7 +61,7 @@
 		s.reachableAt = s.healedAt
 	}
 	self := shuffle.Neighbour{Host: "edge-1", Address: "10.0.0.1:7661", Zone: "zone-a", Region: "region-a"}
-	s.core = newCore(identity{neighbour: self, incarnation: 1}, seedsOf(random), 8*time.Second, random, zap.NewNop())
+	s.core = newCore(identity{neighbour: self, incarnation: 1}, shuffledSeeds(random), 8*time.Second, random, zap.NewNop())
 	s.core.control.nextLongPoll += s.now // the core's clock begins with the start
 	return s
 }
@@ -69,7 +69,7 @@
 // partitionedSeed is the machine that is partitioned from the others.
 const partitionedSeed = "core-0:1"
 
-func seedsOf(random *rand.Rand) []string {
+func shuffledSeeds(random *rand.Rand) []string {
 	seeds := []string{partitionedSeed, "core-1:1", "core-2:1"}
 	random.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
 	return seeds
@@ -83,12 +83,12 @@
 	for end := s.reachableAt + confirmedWithin; s.now < end && s.confirmedAt == 0; s.now += partitionStep {
 		due := s.pending
 		s.pending = nil
-		for _, one := range due {
-			if one.at > s.now {
-				s.pending = append(s.pending, one)
+		for _, pending := range due {
+			if pending.at > s.now {
+				s.pending = append(s.pending, pending)
 				continue
 			}
-			s.step(one.event)
+			s.step(pending.event)
 		}
 		s.step(tick{})
 	}
@@ -116,9 +116,9 @@
 		s.later(call.dialTimeout, watchDone{call: call, err: errors.Mark(errors.New("partitioned"), errDialTimeout)})
 		return
 	}
-	isCut := call.address == partitionedSeed && s.now < s.healedAt
-	response := &pb.WatchResponse{Authoritative: !isCut || s.claimsAuthority, Sequence: agreed(s.now)}
-	if isCut {
+	isPartitioned := call.address == partitionedSeed && s.now < s.healedAt
+	response := &pb.WatchResponse{Authoritative: !isPartitioned || s.claimsAuthority, Sequence: agreed(s.now)}
+	if isPartitioned {
 		response.Sequence = agreed(s.partitionedAt)
 	}
 	if response.Sequence > call.request.GetSequence() && !call.request.GetProbe() {
@@ -160,7 +160,7 @@
 	s.later(time.Millisecond, proxyCallDone{call: call, status: status})
 }
 
-func TestAgentThatStartsDuringACutIsConfirmedByTheOthersAlone(t *testing.T) {
+func TestAgentThatStartsDuringAPartitionIsConfirmedByTheOthersAlone(t *testing.T) {
 	var waits, stales []time.Duration
 	for seed := range uint64(400) {
 		s := newPartitionedStart(t, seed)
@@ -176,7 +176,7 @@
 		waits[len(waits)/2], waits[len(waits)*99/100], waits[len(waits)-1], slices.Max(stales))
 }
 
-func TestACutMachineThatCallsItsStateAgreedIsFound(t *testing.T) {
+func TestPartitionedMachineThatClaimsAuthorityIsFound(t *testing.T) {
 	found := 0
 	for seed := range uint64(40) {
 		s := newPartitionedStart(t, seed)
--- a/internal/region/agent/process.go
+++ b/internal/region/agent/process.go
@@ -40,32 +40,32 @@
 }
 
 // newProcess makes the process of an agent. Its options are complete.
-func newProcess(from *settings.Settings, logger *zap.Logger, options Options) *process {
+func newProcess(config *settings.Settings, logger *zap.Logger, options Options) *process {
 	neighbour := shuffle.Neighbour{
-		Host:    from.Hostname,
+		Host:    config.Hostname,
 		Address: options.Listener.Addr().String(),
-		Zone:    from.Zone,
-		Region:  from.Region,
+		Zone:    config.Zone,
+		Region:  config.Region,
 	}
-	seeds := resolveSeeds(from.Seeds, options.LinkAddress, logger)
+	seeds := resolveSeeds(config.Seeds, options.LinkAddress, logger)
 	events := make(chan event, eventQueueSize)
 	// Calls outlive the context of Run: they end with the process, once the core has finished its shutdown.
-	calls, cancel := context.WithCancel(context.Background())
+	callCtx, cancel := context.WithCancel(context.Background())
 	post := func(received event) {
 		select {
 		case events <- received:
-		case <-calls.Done():
+		case <-callCtx.Done():
 		}
 	}
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	calling := newCaller(calls, neighbour, options.Proxy, post)
+	client := newCaller(callCtx, neighbour, options.Proxy, post)
 	if options.Dial != nil {
-		calling.dialWith(options.Dial)
+		client.dialWith(options.Dial)
 	}
 	self := identity{neighbour: neighbour, incarnation: newIncarnation(time.Now())}
 	return &process{
-		core:     newCore(self, seeds, from.Bounds.Grace(), random, logger),
-		caller:   calling,
+		core:     newCore(self, seeds, config.Bounds.Grace(), random, logger),
+		caller:   client,
 		server:   newServer(events, logger),
 		listener: options.Listener,
 		seeds:    newSeedsWatcher(options.SettingsPath, seeds, options.LinkAddress, logger),
--- a/internal/region/agent/proxy_link.go
+++ b/internal/region/agent/proxy_link.go
@@ -36,7 +36,7 @@
 	unreachableSince      time.Duration   // time of the first failure in a row
 	connectionRefused     bool            // nothing listened at the proxy's address in the last exchange
 	shuttingDown          bool            // this agent is
-	foundAt               time.Duration   // when the proxy process of status was first observed
+	discoveredAt          time.Duration   // when the proxy process of status was first observed
 	confirmed             bool            // a request to control sent after foundAt has confirmed the state
 	confirmationDelivered bool
 	sharesDeliveredAt     time.Duration // when this proxy process was last sent shares; 0: never
@@ -149,7 +149,7 @@
 	l.connectionRefused = false
 	l.nextExchange = now + l.interval()
 	if discovered {
-		l.foundAt = now
+		l.discoveredAt = now
 		l.confirmed = false
 		l.confirmationDelivered = false
 		l.sharesDeliveredAt = 0
@@ -193,7 +193,7 @@
 // requestedAt. It counts only for a proxy process that was first observed before that: an earlier response may be older
 // than what the process has.
 func (l *proxyLink) confirm(requestedAt time.Duration) {
-	if l.status != nil && requestedAt >= l.foundAt {
+	if l.status != nil && requestedAt >= l.discoveredAt {
 		l.confirmed = true
 	}
 }
--- a/internal/region/agent/response_progress.go
+++ b/internal/region/agent/response_progress.go
@@ -82,8 +82,8 @@
 	p.cancel(&stalledError{responseStarted: started})
 }
 
-// received records that a part of the response has arrived. It does nothing on a nil receiver.
-func (p *responseProgress) received() {
+// recordProgress records that a part of the response has arrived. It does nothing on a nil receiver.
+func (p *responseProgress) recordProgress() {
 	if p == nil {
 		return
 	}
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	progress := responseProgressOf(request.Context())
-	progress.received()
+	progress.recordProgress()
 	response.Body = &progressBody{ReadCloser: response.Body, progress: progress}
 	return response, nil
 }
@@ -151,7 +151,7 @@
 func (b *progressBody) Read(buffer []byte) (int, error) {
 	count, err := b.ReadCloser.Read(buffer)
 	if count > 0 {
-		b.progress.received()
+		b.progress.recordProgress()
 	}
 	return count, err
 }
--- a/internal/region/agent/response_progress_test.go
+++ b/internal/region/agent/response_progress_test.go
@@ -18,23 +18,23 @@
 
 // slowBody is a response's body that returns a byte at a time, each after an interval. After the last it ends or stalls.
 type slowBody struct {
-	ctx      context.Context
-	left     int
-	interval time.Duration
-	ends     bool
+	ctx       context.Context
+	remaining int
+	interval  time.Duration
+	ends      bool
 }
 
 func (b *slowBody) Read(into []byte) (int, error) {
-	if b.left == 0 && b.ends {
+	if b.remaining == 0 && b.ends {
 		return 0, io.EOF
 	}
-	if b.left == 0 {
+	if b.remaining == 0 {
 		<-b.ctx.Done()
 		return 0, context.Cause(b.ctx)
 	}
 	select {
 	case <-time.After(b.interval):
-		b.left--
+		b.remaining--
 		into[0] = 'a'
 		return 1, nil
 	case <-b.ctx.Done():
@@ -57,7 +57,7 @@
 		return starts, stalledCause(ctx, ctx.Err())
 	}
 	progress := responseProgressOf(ctx)
-	progress.received()
+	progress.recordProgress()
 	_, err = io.ReadAll(&progressBody{ReadCloser: body(ctx), progress: progress})
 	return starts, stalledCause(ctx, err)
 }
@@ -66,7 +66,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		starts, err := readResponse(time.Second/2, func(ctx context.Context) io.ReadCloser {
-			return &slowBody{ctx: ctx, left: 10, interval: time.Second, ends: true}
+			return &slowBody{ctx: ctx, remaining: 10, interval: time.Second, ends: true}
 		})
 		require.NoError(t, err)
 		require.Equal(t, 1, starts, "the start is reported once")
@@ -81,8 +81,8 @@
 		defer cancel()
 		progress := responseProgressOf(ctx)
 		require.Zero(t, progress.sinceStart())
-		progress.received()
-		_, err := io.ReadAll(&progressBody{ReadCloser: &slowBody{ctx: ctx, left: 3, interval: time.Second, ends: true}, progress: progress})
+		progress.recordProgress()
+		_, err := io.ReadAll(&progressBody{ReadCloser: &slowBody{ctx: ctx, remaining: 3, interval: time.Second, ends: true}, progress: progress})
 		require.NoError(t, err)
 		list := &pb.ServerList{AgeMs: 200}
 		addTransferTime(list, progress.sinceStart())
@@ -141,7 +141,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		_, err := readResponse(0, func(ctx context.Context) io.ReadCloser {
-			return &slowBody{ctx: ctx, left: 3, interval: time.Second}
+			return &slowBody{ctx: ctx, remaining: 3, interval: time.Second}
 		})
 		var stalled *stalledError
 		require.ErrorAs(t, err, &stalled)
@@ -154,7 +154,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		_, err := readResponse(0, func(ctx context.Context) io.ReadCloser {
-			return &slowBody{ctx: ctx, left: 1000, interval: time.Second}
+			return &slowBody{ctx: ctx, remaining: 1000, interval: time.Second}
 		})
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		require.Equal(t, maxCallDuration, time.Since(began))
--- a/internal/region/agent/seeds_test.go
+++ b/internal/region/agent/seeds_test.go
@@ -28,22 +28,22 @@
 	start := time.Now()
 	write(settingsText+`seed-nodes = ["10.0.0.2:8146"]`, start)
 	resolve := linkAddress(7660)
-	r := newSeedsWatcher(path, []string{"10.0.0.2:7660"}, resolve, zap.NewNop())
+	watcher := newSeedsWatcher(path, []string{"10.0.0.2:7660"}, resolve, zap.NewNop())
 
 	now := settingsCheckInterval
-	_, changed := r.poll(now)
+	_, changed := watcher.poll(now)
 	require.False(t, changed)
 	write(settingsText+`seed-nodes = ["10.0.0.3:8146"]`, start.Add(time.Second))
-	_, changed = r.poll(now + settingsCheckInterval/2)
+	_, changed = watcher.poll(now + settingsCheckInterval/2)
 	require.False(t, changed, "too soon")
-	seeds, changed := r.poll(now + settingsCheckInterval)
+	seeds, changed := watcher.poll(now + settingsCheckInterval)
 	require.True(t, changed)
 	require.Equal(t, []string{"10.0.0.3:7660"}, seeds)
 
 	write("half a fi", start.Add(2*time.Second))
-	_, changed = r.poll(now + 2*settingsCheckInterval)
+	_, changed = watcher.poll(now + 2*settingsCheckInterval)
 	require.False(t, changed, "what can't be read changes nothing")
-	_, changed = r.reload()
+	_, changed = watcher.reload()
 	require.False(t, changed)
 }
 
@@ -53,10 +53,10 @@
 }
 
 func TestWithoutAFileNothingIsReloaded(t *testing.T) {
-	r := newSeedsWatcher("", nil, linkAddress(1), zap.NewNop())
-	_, changed := r.poll(time.Hour)
+	watcher := newSeedsWatcher("", nil, linkAddress(1), zap.NewNop())
+	_, changed := watcher.poll(time.Hour)
 	require.False(t, changed)
-	_, changed = r.reload()
+	_, changed = watcher.reload()
 	require.False(t, changed)
 }
 
--- a/internal/region/agent/single_send_test.go
+++ b/internal/region/agent/single_send_test.go
@@ -123,8 +123,8 @@
 
 func hostsOf(neighbours []shuffle.Neighbour) []string {
 	hosts := make([]string, 0, len(neighbours))
-	for _, one := range neighbours {
-		hosts = append(hosts, one.Host)
+	for _, neighbour := range neighbours {
+		hosts = append(hosts, neighbour.Host)
 	}
 	return hosts
 }
--- a/internal/region/agent/slow_response_test.go
+++ b/internal/region/agent/slow_response_test.go
@@ -34,20 +34,20 @@
 
 // While a response arrives the same is not requested elsewhere, for a bounded time.
 func TestOtherMachinesAreProbedLaterOnceAResponseHasStarted(t *testing.T) {
-	probed := func(coming bool, after time.Duration) bool {
+	probed := func(responseStarted bool, after time.Duration) bool {
 		s, call := newLinkedCore(t)
 		s.step(watchDone{call: call, response: &pb.WatchResponse{Authoritative: true}})
 		s.step(watchDone{call: requireWatch(s, watchProbe), response: &pb.WatchResponse{Authoritative: true}})
 		s.now += maxEmptyBackoff
 		s.step(tick{})
 		call = requireWatch(s, watchLongPoll)
-		if coming {
+		if responseStarted {
 			s.step(watchResponseStarted{id: call.id})
 		}
 		s.now = call.started + watchWait + after
 		s.step(tick{})
-		for _, open := range s.pending {
-			if probe, isWatch := open.(watchCall); isWatch && probe.kind == watchProbe {
+		for _, pending := range s.pending {
+			if probe, isWatch := pending.(watchCall); isWatch && probe.kind == watchProbe {
 				return true
 			}
 		}
--- a/internal/region/agent/state_fetch_load_test.go
+++ b/internal/region/agent/state_fetch_load_test.go
@@ -17,12 +17,12 @@
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
 		m := newStartWithoutState(seed)
 		require.True(t, m.runUntil(time.Minute, m.converged))
-		key := packing.Key{Sequence: m.last(), Complete: true}
-		whole := m.controls[coreMachines-1].packer.Compressed(key, func() *pb.StateUpdate {
-			return &pb.StateUpdate{Repair: m.truth[m.last()].RepairFor(nil)}
+		key := packing.Key{Sequence: m.newestSequence(), Complete: true}
+		completeState := m.controls[coreMachines-1].compressor.Compressed(key, func() *pb.StateUpdate {
+			return &pb.StateUpdate{Repair: m.committedStates[m.newestSequence()].RepairFor(nil)}
 		})
-		once := float64(edgeMachines * proto.Size(whole))
-		t.Logf("seed %d: %.1f MB carried, %.1f MB if each got the state once", seed, m.links.carried/1e6, once/1e6)
-		require.Less(t, m.links.carried, slack*once, "seed %d", seed)
+		idealBytes := float64(edgeMachines * proto.Size(completeState))
+		t.Logf("seed %d: %.1f MB carried, %.1f MB if each got the state once", seed, m.links.carried/1e6, idealBytes/1e6)
+		require.Less(t, m.links.carried, slack*idealBytes, "seed %d", seed)
 	}
 }
--- a/internal/region/agent/state_fetch_test.go
+++ b/internal/region/agent/state_fetch_test.go
@@ -24,13 +24,13 @@
 
 // stateRequests returns the pending calls whose responses carry state.
 func stateRequests(s *coreDriver) []watchCall {
-	var asking []watchCall
-	for _, open := range s.pending {
-		if call, isWatch := open.(watchCall); isWatch && call.kind != watchProbe {
-			asking = append(asking, call)
+	var requests []watchCall
+	for _, pending := range s.pending {
+		if call, isWatch := pending.(watchCall); isWatch && call.kind != watchProbe {
+			requests = append(requests, call)
 		}
 	}
-	return asking
+	return requests
 }
 
 // A machine with authority becomes the current one: the long poll that goes there at once fetches the state.
@@ -59,7 +59,7 @@
 	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
 	first := &pb.Change{Sequence: 1, Generation: 1}
 	s.step(watchDone{call: requireWatch(s, watchLongPoll), response: &pb.WatchResponse{Sequence: 1, Changes: []*pb.Change{first}}})
-	answerCurrent := func() {
+	respondFromCurrent := func() {
 		s.now += maxEmptyBackoff
 		s.step(tick{})
 		for range 2 {
@@ -68,13 +68,13 @@
 			s.step(tick{})
 		}
 	}
-	answerCurrent()
+	respondFromCurrent()
 	s.now += nonAuthoritativeProbeDelay
 	s.step(tick{})
 
 	s.step(watchDone{call: requireWatch(s, watchProbe), response: &pb.WatchResponse{Sequence: 300}})
 	s.step(watchDone{call: requireWatch(s, watchNotice), response: &pb.WatchResponse{Sequence: 300, NeedDigests: true}})
-	answerCurrent()
+	respondFromCurrent()
 	s.step(watchDone{call: requireWatch(s, watchProbe), response: &pb.WatchResponse{Sequence: 300}})
 	require.NotNil(t, requireWatch(s, watchNotice).request.GetDigests(), "without them the response would be the same again")
 }
--- a/internal/region/agent/storm_test.go
+++ b/internal/region/agent/storm_test.go
@@ -13,20 +13,20 @@
 	changesInStorm = 900
 )
 
-// storm injects one fault after the other until a time.
-func (m *model) storm(end time.Duration) {
+// injectFaults injects one fault after the other until a time.
+func (m *model) injectFaults(end time.Duration) {
 	if m.now >= end {
 		return
 	}
 	m.injectFault()
-	m.after(20*time.Millisecond+m.upTo(400*time.Millisecond), func() { m.storm(end) })
+	m.after(20*time.Millisecond+m.jitter(400*time.Millisecond), func() { m.injectFaults(end) })
 }
 
 // injectFault makes one agent, its proxy or a control machine fail for up to two seconds.
 func (m *model) injectFault() {
 	agent := m.agents[m.random.IntN(len(m.agents))]
 	control := m.controls[m.random.IntN(len(m.controls))]
-	span := 20*time.Millisecond + m.upTo(2*time.Second)
+	span := 20*time.Millisecond + m.jitter(2*time.Second)
 	switch m.random.IntN(7) {
 	case 0:
 		m.partitioned[agent.self.Address] = true
@@ -50,7 +50,7 @@
 		control.authoritative = m.random.IntN(2) == 0
 		m.after(span, func() {
 			control.stalled, control.authoritative = false, true
-			control.follow()
+			control.applyCommitted()
 		})
 	case 6:
 		agent.repeatPushes()
@@ -64,7 +64,7 @@
 	for seed := first; seed < first+count; seed++ {
 		m := newModel(uint64(seed), 3, 6)
 		require.True(t, m.commitAndWait(changesBeforeAbsence))
-		m.storm(m.now + 15*time.Second)
+		m.injectFaults(m.now + 15*time.Second)
 		require.True(t, m.commitAndWait(changesInStorm))
 		m.runUntil(20*time.Second, func() bool { return false })
 		m.commit()
