--- a/internal/region/agent/actions.go
+++ b/internal/region/agent/actions.go
@@ -9,21 +9,21 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// action is a call that the core requests. Its result comes back as an event, except that a call to another agent is
-// dropped without one when too many are in flight.
+// action is a call that the core requests. The result of the call is posted to the core as an event. A call to another
+// agent is dropped, and no event posted, while maxPeerCalls of them are in flight.
 type action interface{ isAction() }
 
-// watchKind is the purpose of a call to a control machine.
+// watchKind is the purpose of a Watch call to a control machine.
 type watchKind int
 
 const (
-	watchLongPoll watchKind = iota // waits for an update
-	watchNotice                    // is answered at once, beside the long poll
-	watchProbe                     // finds out whether the machine has authority, and carries no state
+	watchLongPoll watchKind = iota // waits at the control machine for an update
+	watchNotice                    // returns at once, concurrently with the long poll
+	watchProbe                     // checks whether the machine has authority; the response carries no state
 )
 
 type (
-	// watchCall is a Watch of a control machine. It reports this machine's record and requests updates.
+	// watchCall calls Watch on a control machine. The request reports this machine's record and requests updates.
 	watchCall struct {
 		id          uint64
 		kind        watchKind
@@ -31,19 +31,19 @@
 		request     *pb.WatchRequest
 		base        *catalog.Snapshot // the state that the request's digests describe; nil if it has none
 		started     time.Duration
-		dialTimeout time.Duration // for a connection to come up
+		dialTimeout time.Duration // for a connection to be established
 		timeout     time.Duration // for the response to start
 	}
-	// proxyCall is an Apply to the proxy, or a Status when there is nothing to apply.
+	// proxyCall calls Apply on the proxy, or Status when there is nothing to apply.
 	proxyCall struct {
 		apply   *pb.ApplyRequest // nil: Status
 		attempt deliveryAttempt
 	}
-	// shuffleCall exchanges neighbours with another agent.
+	// shuffleCall exchanges samples of the partial views with another agent.
 	shuffleCall struct{ shuffle.Exchange }
-	// pushCall passes an update on to another agent.
+	// pushCall forwards an update to another agent.
 	pushCall struct{ gossip.Push }
-	// compareCall compares versions with another agent.
+	// compareCall compares the versions of the replicas with another agent.
 	compareCall struct{ gossip.Compare }
 )
 
--- a/internal/region/agent/agent.go
+++ b/internal/region/agent/agent.go
@@ -1,20 +1,21 @@
-// Package agent is the process that runs beside each proxy of the regional system. It keeps a replica of the control
-// state and of the server list, learns the edge machines among which quotas are shared, and brings the proxy up to date
-// over the loopback interface. Updates reach it by a long poll to one control machine at a time and by gossip with
-// other agents, so that a proxy is brought up to date as long as its agent reaches any of them.
+// Package agent implements the process that runs next to each proxy of the regional system. The agent keeps a replica
+// of the control state and of the server list, tracks the edge machines that share the quotas, and updates the proxy
+// over the loopback interface. The agent receives updates through a long poll to one control machine at a time and by
+// gossip with other agents, so that the proxy is kept up to date as long as its agent reaches any of them.
 //
-// The package promises that the sequence of the replica never falls, that a proxy is never sent state older than it has
-// reported, and that a state is confirmed to a proxy only after a control machine with authority has said, to a
-// request sent since that proxy process was first observed, that it has nothing newer.
+// The package guarantees that the sequence of the replica never decreases, that a proxy is never sent state older than
+// the proxy has reported, and that a state is confirmed to a proxy only after a control machine with authority has
+// responded that it has nothing newer, to a request sent after that proxy process was first observed.
 //
-// It is not the service discovery, takes no decisions on requests, has no disk, and agrees on nothing: a restarted
-// agent begins with the addresses of the control machines alone.
+// The agent does not discover services, takes no part in handling requests, stores nothing on disk and takes no part in
+// consensus: a restarted agent begins with nothing but the addresses of the control machines.
 //
-// One goroutine owns the state ([core]), a state machine without I/O apart from the log. Calls and the service to other
-// agents run beside it and exchange events and actions with it over one bounded queue ([process]).
+// The state is owned by one goroutine, which runs [core], a state machine without I/O apart from the log. The calls and
+// the server for other agents run in goroutines of their own and post events to the core through one bounded queue
+// ([process]); the core returns the calls to make as actions.
 //
-// The design is described in docs/design/regional.md, the time that a change takes in docs/region/config-delivery.md, and
-// the log and the counters in docs/region/agent.md.
+// The design is described in docs/design/regional.md, the time that a change takes in docs/region/config-delivery.md,
+// and the log and the counters in docs/region/agent.md.
 package agent
 
 import (
@@ -26,38 +27,39 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// Ports of a machine, counted from the first of its port range.
+// Ports of a machine, as offsets from the first port of its port range.
 const (
-	peerPort      = 1 // the agents' service
-	proxyLinkPort = 2 // the proxy's service to its agent, on the loopback interface
+	peerPort      = 1 // the service of an agent to other agents
+	proxyLinkPort = 2 // the service of the proxy to its agent, on the loopback interface
 )
 
-// Options replace what an agent takes from its settings. The zero value replaces nothing.
+// Options override what an agent derives from its settings. The zero value overrides nothing.
 type Options struct {
 	// Proxy is the host and port of the proxy's service to its agent.
 	Proxy string
-	// Listener accepts calls of other agents. Its address is advertised to them.
+	// Listener accepts the calls of other agents. The address of the listener is advertised to them.
 	Listener net.Listener
 	// LinkAddress returns the address of the link service of the control machine that a seed names.
 	LinkAddress func(seed string) (string, error)
 	// Dial opens connections to control machines, other agents and the proxy, as [net.Dialer.DialContext] does.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// SettingsPath is the settings file whose changes are followed; empty if there is none.
+	// SettingsPath is the settings file that is watched for changes; empty if there is none.
 	SettingsPath string
 }
 
-// Run runs an agent until it has shut down. Shutdown begins when ctx is done: control is notified at once, and the
-// proxy is served until it has ended or the grace period of the settings is nearly over. The error is nil after a
-// shutdown; otherwise it says why the agent couldn't start or why its service to other agents failed.
+// Run runs an agent until it has shut down. The shutdown begins when ctx is done: the agent notifies the control
+// machines at once, and keeps updating the proxy until the proxy has exited or the grace period of the settings is
+// nearly over. Run returns nil after a shutdown, and an error if the agent could not start or its server for other
+// agents failed.
 func Run(ctx context.Context, config *settings.Settings, logger *zap.Logger) error {
 	path, err := settings.Path()
 	if err != nil {
-		path = "" // the settings come from elsewhere, and no file is followed
+		path = "" // the settings were not read from a file, so that there is none to watch
 	}
 	return RunWith(ctx, config, logger, Options{SettingsPath: path})
 }
 
-// RunWith is [Run] with options.
+// RunWith is like [Run], with options.
 func RunWith(ctx context.Context, config *settings.Settings, logger *zap.Logger, options Options) error {
 	options, err := options.withDefaults(ctx, config)
 	if err != nil {
@@ -66,7 +68,7 @@
 	return newProcess(config, logger, options).run(ctx)
 }
 
-// withDefaults fills in what the options leave to the settings.
+// withDefaults returns the options with the unset fields derived from the settings.
 func (o Options) withDefaults(ctx context.Context, config *settings.Settings) (Options, error) {
 	if o.Proxy == "" {
 		o.Proxy = config.LoopbackPort(proxyLinkPort)
--- a/internal/region/agent/agent_test.go
+++ b/internal/region/agent/agent_test.go
@@ -49,11 +49,11 @@
 	lagging.commit(change(1))
 	lagging.update(func() { lagging.replica.OfferList(time.Second, serverList(1, "i-1")) })
 	startAgent(t, "edge-1", proxy.address, lagging.address)
-	lagging.waitForRequest(t, "by an agent with its state", func(request *pb.WatchRequest) bool {
+	lagging.waitForRequest(t, "by an agent with the state of this machine", func(request *pb.WatchRequest) bool {
 		return request.GetSequence() == 1 && request.GetAgent().GetSequence() == 2
 	})
 	lagging.commit(change(2), change(3))
-	proxy.waitFor("what is newer", func() bool { return proxy.replica.Sequence() == 3 })
+	proxy.waitFor("the newer state", func() bool { return proxy.replica.Sequence() == 3 })
 	require.EqualValues(t, 2, proxy.replica.ListVersion().GetRevision())
 }
 
@@ -75,9 +75,9 @@
 	control.authoritative = false
 	control.commit(change(1))
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.waitFor("committed state is committed state", func() bool { return proxy.replica.Sequence() == 1 })
+	proxy.waitFor("the committed state, which does not depend on authority", func() bool { return proxy.replica.Sequence() == 1 })
 	for range 4 {
-		control.waitForRequest(t, "again", func(*pb.WatchRequest) bool { return true })
+		control.waitForRequest(t, "another one", func(*pb.WatchRequest) bool { return true })
 	}
 	require.False(t, proxy.confirmed)
 	control.update(func() { control.authoritative = true })
@@ -162,11 +162,11 @@
 	proxy.waitFor("confirmation", func() bool { return proxy.confirmed })
 	running.shutDown()
 	for _, machine := range []*fakeControl{control, other} {
-		machine.waitForRequest(t, "that the agent ends", func(request *pb.WatchRequest) bool {
+		machine.waitForRequest(t, "that reports the shutdown of the agent", func(request *pb.WatchRequest) bool {
 			return request.GetAgent().GetDraining() && request.GetHoldMs() == 0
 		})
 		machine.commit(change(1))
 	}
-	proxy.waitFor("a change while it ends", func() bool { return proxy.replica.Sequence() == 1 })
+	proxy.waitFor("a change during the shutdown", func() bool { return proxy.replica.Sequence() == 1 })
 	running.requireEnded(t)
 }
--- a/internal/region/agent/call_failures.go
+++ b/internal/region/agent/call_failures.go
@@ -10,14 +10,14 @@
 	"go.uber.org/zap"
 )
 
-// failureKind is how a call failed.
+// failureKind classifies failed calls.
 type failureKind int
 
 const (
-	failureDialTimeout   failureKind = iota // no connection came up in time
-	failureTimeout                          // the response didn't start, or wasn't read completely, in time
-	failureReset                            // the connection was refused, or broken off by the other side
-	failureErrorResponse                    // the other process responded with an error
+	failureDialTimeout   failureKind = iota // no connection was established in time
+	failureTimeout                          // the response did not start, or was not read completely, in time
+	failureReset                            // the connection was refused, or closed by the peer
+	failureErrorResponse                    // the peer responded with an error
 	failureOther
 	failureKindCount
 )
@@ -37,20 +37,20 @@
 	return failureOther
 }
 
-// isStalled reports whether a call was canceled because its response did not start, or made no progress.
+// isStalled reports whether a call was canceled because its response did not start or made no progress.
 func isStalled(err error) bool {
 	var stalled *stalledError
 	return errors.As(err, &stalled)
 }
 
-// isReset reports whether nothing listens at the other side, or it has closed the connection.
+// isReset reports whether the peer refused the connection, since no process listens there, or closed it.
 func isReset(err error) bool {
 	for _, cause := range []error{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EPIPE, io.EOF, io.ErrUnexpectedEOF} {
 		if errors.Is(err, cause) {
 			return true
 		}
 	}
-	// net/http has no error value for a connection that the other side closed while it carried no call.
+	// net/http has no error value for an idle connection that the peer closed.
 	return strings.Contains(err.Error(), "server closed idle connection")
 }
 
@@ -59,7 +59,7 @@
 
 func (c *failureCounts) count(err error) { c[failureKindOf(err)]++ }
 
-// fields are the counts in the line of counters. Their names begin with that of the called side.
+// fields returns the counts for the counters log line. Each key begins with called, which names the callee.
 func (c *failureCounts) fields(called string) []zap.Field {
 	return []zap.Field{
 		zap.Uint64(called+"_dial_timeouts", c[failureDialTimeout]),
--- a/internal/region/agent/call_failures_test.go
+++ b/internal/region/agent/call_failures_test.go
@@ -15,12 +15,12 @@
 	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
 )
 
-// unimplementedControl refuses every call.
+// unimplementedControl responds to every call with the error code Unimplemented.
 type unimplementedControl struct {
 	fieldrelayv1connect.UnimplementedControlLinkHandler
 }
 
-// requireFailedWatch makes a call that fails.
+// requireFailedWatch makes a Watch call that must fail, and returns its error.
 func requireFailedWatch(t *testing.T, address string) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
@@ -31,7 +31,7 @@
 	return err
 }
 
-// listenWith passes the connections that it accepts until the test ends to a function.
+// listenWith listens until the test ends, passes each accepted connection to take, and returns the address.
 func listenWith(t *testing.T, take func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/region/agent/caller.go
+++ b/internal/region/agent/caller.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	// peerTimeout is the time in which the response to a call to another agent has to start.
+	// peerTimeout is the time within which the response to a call to another agent has to start.
 	peerTimeout = 1500 * time.Millisecond
-	// maxPeerCalls bounds the calls to other agents in flight.
+	// maxPeerCalls is the maximum number of calls to other agents in flight.
 	maxPeerCalls = 16
-	// connectTimeout is the time in which a connection has to come up.
+	// connectTimeout is the time within which a connection has to be established.
 	connectTimeout = time.Second
-	// maxMessageBytes is the size of the largest message that is read.
+	// maxMessageBytes is the maximum size of a message that is read.
 	maxMessageBytes = 16 << 20
-	// connectionBufferBytes is the size of a connection's buffer in each direction.
+	// connectionBufferBytes is the size of the read buffer and of the write buffer of a connection.
 	connectionBufferBytes = 2 << 10
-	// maxIdleConnections bounds the connections that carry no call, and maxIdlePerHost those to one host.
+	// maxIdleConnections is the maximum number of idle connections, and maxIdlePerHost that to one host.
 	maxIdleConnections = 24
 	maxIdlePerHost     = 2
-	// idleTimeout is the time after which a connection that carries no call is closed.
+	// idleTimeout is the time after which an idle connection is closed.
 	idleTimeout = 90 * time.Second
 )
 
-// caller makes the calls that the core requests, each in its own goroutine, and posts their results as events. Its method
+// caller makes the calls that the core requests, each in its own goroutine, and posts the results as events. The method
 // start must be called by one goroutine only.
 type caller struct {
 	self      shuffle.Neighbour
@@ -42,14 +42,14 @@
 	proxy     fieldrelayv1connect.ProxyFeedClient
 	peerSlots chan struct{} // holds an element for each call to another agent in flight
 	post      func(event)
-	ctx       context.Context // of all calls
+	ctx       context.Context // parent of the contexts of all calls
 	running   sync.WaitGroup
 
-	controlAddress string // that control goes to
+	controlAddress string // address of the control client; empty: there is none yet
 	control        fieldrelayv1connect.ControlLinkClient
 }
 
-// newCaller makes a caller to the proxy at an address. Its calls are canceled with ctx; wait waits for them.
+// newCaller returns a caller for the proxy at an address. Canceling ctx cancels the calls; wait waits for their end.
 func newCaller(ctx context.Context, self shuffle.Neighbour, proxy string, post func(event)) *caller {
 	client := &http.Client{Transport: progressTransport{newTransport()}}
 	return &caller{
@@ -62,7 +62,7 @@
 	}
 }
 
-// newTransport returns a transport that keeps few connections open for long, with small buffers.
+// newTransport returns a transport with small buffers that keeps few connections open for a long time.
 func newTransport() *http.Transport {
 	dialer := net.Dialer{
 		Timeout:         connectTimeout,
@@ -80,14 +80,14 @@
 	}
 }
 
-// dialWith replaces how connections are opened.
+// dialWith replaces the function that opens connections.
 func (c *caller) dialWith(dial func(ctx context.Context, network, address string) (net.Conn, error)) {
 	transport := newTransport()
 	transport.DialContext = dial
 	c.client.Transport = progressTransport{transport}
 }
 
-// clientOptions are those of calls whose responses aren't worth compressing.
+// clientOptions returns the options for calls whose responses are not worth compressing.
 func clientOptions() []connect.ClientOption {
 	return []connect.ClientOption{
 		connect.WithAcceptCompression("gzip", nil, nil),
@@ -97,7 +97,7 @@
 
 func baseURL(address string) string { return "http://" + address }
 
-// start starts a call and reports whether there was a slot for it.
+// start starts a call, and reports false if there was no slot for it.
 func (c *caller) start(call action) bool {
 	switch call := call.(type) {
 	case watchCall:
@@ -114,8 +114,9 @@
 	return true
 }
 
-// run makes a call in its own goroutine and posts the event that it returns. The call is canceled when its response
-// doesn't start within the timeout, or makes no progress after that. onStart, unless nil, is called when it starts.
+// run makes a call in its own goroutine and posts the event that the call returns. The call is canceled when its
+// response does not start within the timeout, or makes no progress after that. onStart, unless nil, is called when the
+// response starts.
 func (c *caller) run(timeout time.Duration, onStart func(), call func(ctx context.Context) event) {
 	c.running.Go(func() {
 		ctx, cancel := withResponseProgress(c.ctx, timeout, onStart)
@@ -158,8 +159,8 @@
 	})
 }
 
-// withDialTimeout returns a context that is canceled with errDialTimeout unless its call has a connection in time. The
-// function that it returns releases it.
+// withDialTimeout returns a context that is canceled with the cause errDialTimeout unless the call made with it gets a
+// connection within the timeout. The returned function releases the context.
 func withDialTimeout(ctx context.Context, timeout time.Duration) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(timeout, func() { cancel(errDialTimeout) })
@@ -172,7 +173,7 @@
 	}
 }
 
-// controlClient returns the client of a control machine. That of the last machine is cached.
+// controlClient returns the client for a control machine. The client for the last machine is cached.
 func (c *caller) controlClient(address string) fieldrelayv1connect.ControlLinkClient {
 	if address != c.controlAddress {
 		c.controlAddress = address
@@ -214,8 +215,9 @@
 	return compareDone{call: call, response: message, err: stalledCause(ctx, err)}
 }
 
-// addTransferTime adds the time that a response took to arrive to the age of the server list in it, which is nil if
-// there is none. The sender wrote the age as of sending, and the servers' remaining lifetimes count from then.
+// addTransferTime adds the transfer time of a response to the age of the server list in it; list is nil if the response
+// has none. The sender recorded the age at the time of sending, and the remaining lifetimes of the servers count from
+// that time.
 func addTransferTime(list *pb.ServerList, transfer time.Duration) {
 	if list != nil {
 		list.AgeMs += uint32(transfer / time.Millisecond)
@@ -230,13 +232,13 @@
 	return fieldrelayv1connect.NewAgentPeerClient(c.client, baseURL(neighbour.Address), clientOptions()...)
 }
 
-// wait returns when all calls have ended. Their context has to be canceled before.
+// wait waits until all calls have ended. The context of the calls must have been canceled before.
 func (c *caller) wait() {
 	c.running.Wait()
 	c.client.CloseIdleConnections()
 }
 
-// messageOf returns the message of a response, nil if there is none.
+// messageOf returns the message of a response, nil if response is nil.
 func messageOf[T any](response *connect.Response[T]) *T {
 	if response == nil {
 		return nil
--- a/internal/region/agent/caller_test.go
+++ b/internal/region/agent/caller_test.go
@@ -14,7 +14,8 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// TestSilentMachineIsAbandonedAfterTheDialTimeout: it has no power, or is behind a partition.
+// A machine without power or behind a network partition does not refuse connections. A call to it must end at the dial
+// timeout rather than wait for the timeout of the response.
 func TestSilentMachineIsAbandonedAfterTheDialTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ends := make(chan event, 1)
@@ -34,7 +35,7 @@
 	})
 }
 
-// TestDialTimeoutDoesNotBoundTheWaitForAResponse: it is for the connection alone.
+// The dial timeout covers the connection only: a long poll whose response comes later than that must succeed.
 func TestDialTimeoutDoesNotBoundTheWaitForAResponse(t *testing.T) {
 	control := newFakeControl(t)
 	ends := make(chan event, 2)
--- a/internal/region/agent/catch_up_test.go
+++ b/internal/region/agent/catch_up_test.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	// defaultFarRuns is the number of runs of an agent far behind; AGENT_FAR sets another one, AGENT_FIRST the first
-	// seed.
+	// defaultFarRuns is the default number of seeded runs; AGENT_FAR overrides it, and AGENT_FIRST sets the first seed.
 	defaultFarRuns = 35
-	// catchUpTimeout is the time in which an agent and its proxy have to have all that was committed when they returned.
+	// catchUpTimeout is the time within which an agent that returns, and its proxy, must have all changes committed
+	// before the return.
 	catchUpTimeout = 3 * time.Second
-	// before is the number of changes before an absence.
+	// changesBeforeAbsence is the number of changes committed before an absence.
 	changesBeforeAbsence = 20
 )
 
-// absence is how an agent or its proxy misses changes.
+// absence is the fault through which an agent or its proxy misses changes.
 type absence int
 
 const (
-	absencePartitioned               absence = iota // the machine is partitioned from all others
-	absencePartitionedFromControl                   // the agent is partitioned from control, not from its neighbours
-	absencePartitionedRestarted                     // it is partitioned from all, and restarted as it returns
-	absenceProcessDown                              // the process is dead
-	absenceProxyDown                                // the proxy beside it is dead, and restarted
-	absencePartitionedProxyRestarted                // it is partitioned from all, and its proxy alone is restarted as it returns
-	absenceAllPartitionedFromControl                // all agents are partitioned from control
+	absencePartitioned               absence = iota // the machine is partitioned from all other machines
+	absencePartitionedFromControl                   // the agent is partitioned from the control machines only
+	absencePartitionedRestarted                     // partitioned; the agent is restarted when the partition heals
+	absenceProcessDown                              // the agent process is down
+	absenceProxyDown                                // the proxy of the agent is down, and then restarted
+	absencePartitionedProxyRestarted                // partitioned; only the proxy is restarted when the partition heals
+	absenceAllPartitionedFromControl                // all agents are partitioned from the control machines
 	absenceCount
 )
 
@@ -48,10 +48,10 @@
 
 const (
 	staleSourceNone                 staleSource = iota
-	staleSourceControl                          // a control machine that receives nothing new and has no authority
-	staleSourceAuthoritativeControl             // one that claims authority
-	staleSourceNeighbour                        // a neighbour that was partitioned as well
-	staleSourceEarlierIncarnation               // pushes of neighbours' earlier incarnations
+	staleSourceControl                          // a control machine that receives no changes and has no authority
+	staleSourceAuthoritativeControl             // a control machine that receives no changes and claims authority
+	staleSourceNeighbour                        // another agent that was partitioned as well
+	staleSourceEarlierIncarnation               // repeated pushes that earlier incarnations of other agents sent
 	staleSourceCount
 )
 
@@ -59,7 +59,7 @@
 	return [...]string{"nobody", "old control", "old control with authority", "old neighbour", "earlier incarnation"}[m]
 }
 
-// absenceRun is a run in which an agent or its proxy misses many changes.
+// absenceRun describes a seeded run in which an agent or its proxy misses many changes.
 type absenceRun struct {
 	seed          uint64
 	missedChanges uint64
@@ -86,7 +86,8 @@
 	return run
 }
 
-// runAbsence runs a model and returns how long the agent's proxy needed for what was committed as it returned.
+// runAbsence runs a model, and returns the time after the end of the absence in which the agent's proxy received all
+// changes committed during it.
 func runAbsence(run absenceRun, fault injectedFault) (*model, time.Duration) {
 	m := newModel(run.seed, 3, 5)
 	m.injected = fault
@@ -131,12 +132,12 @@
 	return m, catchUpTime
 }
 
-// commitAndWait commits changes, one after the other, and waits until all are.
+// commitAndWait commits changes one after the other, and waits until all of them are committed.
 func (m *model) commitAndWait(count uint64) bool {
 	done := false
 	m.commitMany(count, func() { done = true })
 	if !m.runUntil(time.Duration(count)*100*time.Millisecond+time.Second, func() bool { return done }) {
-		m.fail("the model makes no progress")
+		m.fail("the changes were not committed in time")
 	}
 	return done
 }
@@ -162,7 +163,7 @@
 	}
 }
 
-// setReach lets an agent reach some control machines only.
+// setReach partitions an agent from all control machines except some.
 func (m *model) setReach(agent *modelAgent, reached []*modelControl) {
 	for _, control := range m.controls {
 		m.partitioned[agent.self.Host+">"+control.address] = !slices.Contains(reached, control)
@@ -190,7 +191,7 @@
 	}
 }
 
-// heal lets the agent reach all control machines again, and the old one receive changes.
+// heal lets the agent reach all control machines again, and the stale control machine receive changes.
 func (m *model) heal(agent *modelAgent, old *modelControl) {
 	m.setReach(agent, m.controls)
 	old.stalled = false
@@ -226,7 +227,7 @@
 	}
 }
 
-// Each check of the model finds an injected fault.
+// Each check of the model must detect the fault that violates it, in at least one of the seeded runs.
 func TestModelFindsInjectedFaults(t *testing.T) {
 	faults := []struct {
 		name    string
@@ -249,12 +250,12 @@
 					return
 				}
 			}
-			require.Fail(t, "not found")
+			require.Fail(t, "no run detected the injected fault")
 		})
 	}
 }
 
-// renumber replaces the last of some changes by an empty one of the same sequence.
+// renumber replaces the last of several changes by an empty change with the same sequence.
 func renumber(call *proxyCall) {
 	changes := call.apply.GetChanges()
 	if len(changes) < 2 {
@@ -265,7 +266,7 @@
 	call.apply.Changes = append(slices.Clone(changes[:len(changes)-1]), lacking)
 }
 
-// olderChanges sends the first changes again in place of later ones.
+// olderChanges returns a fault that sends the first changes again instead of later ones.
 func olderChanges() func(*proxyCall) {
 	var first []*pb.Change
 	return func(call *proxyCall) {
@@ -279,7 +280,7 @@
 	}
 }
 
-// olderRepair sends the first complete state again in place of later changes.
+// olderRepair returns a fault that sends the first repair again together with later changes.
 func olderRepair() func(*proxyCall) {
 	var first *pb.Repair
 	return func(call *proxyCall) {
--- a/internal/region/agent/compressed_push_test.go
+++ b/internal/region/agent/compressed_push_test.go
@@ -11,7 +11,8 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// An update that a control machine sent compressed is passed on to neighbours in that form, and an agent requests it so.
+// An agent requests compressed updates, and forwards a compressed update of a control machine to other agents in its
+// compressed form.
 func TestLargeUpdateIsPassedOnAsItCame(t *testing.T) {
 	m := newModel(1, 1, 1)
 	m.commitRoutes(initialRoutes)
--- a/internal/region/agent/control_endpoints.go
+++ b/internal/region/agent/control_endpoints.go
@@ -8,33 +8,33 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Proximities of control machines, nearest first. Nearer ones are preferred, since bytes between zones and between
-// regions are paid for.
+// Proximities of control machines, nearest first. Nearer machines are preferred, since traffic between zones and
+// between regions is billed.
 const (
 	sameZone = iota
 	sameRegion
 	otherRegion
-	unknownProximity // a seed that isn't among the voters received
+	unknownProximity // a seed that is not among the voters of the newest view
 )
 
 const (
-	// failureCooldown is how long a control machine that failed is not chosen while there are others.
+	// failureCooldown is how long a control machine that failed is not chosen while others can be.
 	failureCooldown = 2 * time.Second
-	// failbackCooldown is how long after its last failure a control machine may replace one that is farther away.
+	// failbackCooldown is the time after its last failure from which a control machine may replace a farther one.
 	failbackCooldown = 10 * time.Second
-	// maxRecordedFailures bounds the failures remembered.
+	// maxRecordedFailures is the maximum number of control machines whose last failure is recorded.
 	maxRecordedFailures = 64
 )
 
-// controlEndpoints are the known control machines, by the address of their link service: the seeds and the voters of the
-// newest view.
+// controlEndpoints holds the known control machines, identified by the address of their link service. The known
+// machines are the seeds and the voters of the newest view.
 type controlEndpoints struct {
 	zone     string // of this machine
-	region   string
+	region   string // of this machine
 	random   *rand.Rand
 	seeds    []string
 	voters   []*pb.Replica
-	failures map[string]time.Duration // time of the last failure
+	failures map[string]time.Duration // time of the last failure, by address
 }
 
 func newControlEndpoints(zone, region string, seeds []string, random *rand.Rand) controlEndpoints {
@@ -47,7 +47,7 @@
 	}
 }
 
-// recordFailure notes that a control machine failed, or lacked authority for too long.
+// recordFailure records that a control machine failed, or lacked authority for too long.
 func (e *controlEndpoints) recordFailure(now time.Duration, address string) {
 	if len(e.failures) >= maxRecordedFailures {
 		clear(e.failures)
@@ -55,7 +55,7 @@
 	e.failures[address] = now
 }
 
-// choose is chooseExcept for one excluded machine, which is returned if no other is known.
+// choose is like chooseExcept with one excluded machine, but returns that machine if no other one is known.
 func (e *controlEndpoints) choose(now time.Duration, except string) string {
 	chosen := e.chooseExcept(now, []string{except})
 	if chosen == "" && e.known(except) {
@@ -64,8 +64,9 @@
 	return chosen
 }
 
-// chooseExcept returns one of the nearest control machines that have not failed recently and are not excluded, at random
-// among equals. If all have failed recently it returns the one whose failure is oldest; if all are excluded, nothing.
+// chooseExcept returns one of the nearest control machines that have not failed recently and are not excluded, at
+// random among equally near ones. If all of them have failed recently, chooseExcept returns the machine whose last
+// failure is oldest; if all machines are excluded, it returns the empty string.
 func (e *controlEndpoints) chooseExcept(now time.Duration, excluded []string) string {
 	chosen := e.pick(func(address string) bool {
 		return !slices.Contains(excluded, address) && e.usable(now, address, failureCooldown)
@@ -76,8 +77,8 @@
 	return e.oldestFailure(excluded)
 }
 
-// nearer returns a control machine that is nearer than the current one and has not failed for a while, empty if there
-// is none.
+// nearer returns a control machine that is nearer than the current one and has not failed within failbackCooldown, or
+// the empty string if there is none.
 func (e *controlEndpoints) nearer(now time.Duration, current string) string {
 	proximity := e.proximity(current)
 	return e.pick(func(address string) bool {
@@ -85,11 +86,11 @@
 	})
 }
 
-// known reports whether an address is that of a seed or of a voter.
+// known reports whether a seed or a voter has an address.
 func (e *controlEndpoints) known(address string) bool { return slices.Contains(e.addresses(), address) }
 
-// pick returns one of the nearest candidates that are acceptable, at random, empty if none is acceptable. It draws by
-// reservoir sampling: the n-th equal replaces the choice with a probability of 1/n.
+// pick returns one of the nearest acceptable control machines at random, or the empty string if none is acceptable. It
+// uses reservoir sampling: the n-th of equally near machines replaces the choice with a probability of 1/n.
 func (e *controlEndpoints) pick(acceptable func(address string) bool) string {
 	chosen, nearest, ties := "", unknownProximity+1, 0
 	for _, address := range e.addresses() {
@@ -111,7 +112,7 @@
 	return chosen
 }
 
-// oldestFailure returns the candidate whose last failure is oldest among those that are not excluded.
+// oldestFailure returns the control machine whose last failure is oldest among those that are not excluded.
 func (e *controlEndpoints) oldestFailure(excluded []string) string {
 	chosen := ""
 	for _, address := range e.addresses() {
@@ -125,13 +126,13 @@
 	return chosen
 }
 
-// usable reports whether a candidate has not failed within a cooldown.
+// usable reports whether a control machine has not failed within a cooldown.
 func (e *controlEndpoints) usable(now time.Duration, address string, cooldown time.Duration) bool {
 	failedAt, failed := e.failures[address]
 	return !failed || now-failedAt >= cooldown
 }
 
-// addresses returns those of the voters, then those of the seeds that are no voters.
+// addresses returns the addresses of the voters, followed by those of the seeds that are not voters.
 func (e *controlEndpoints) addresses() []string {
 	addresses := make([]string, 0, len(e.voters)+len(e.seeds))
 	for _, voter := range e.voters {
--- a/internal/region/agent/control_endpoints_test.go
+++ b/internal/region/agent/control_endpoints_test.go
@@ -31,7 +31,7 @@
 		known.recordFailure(now, want)
 		now += time.Millisecond
 	}
-	require.Equal(t, "near:1", known.choose(now, ""), "its failure is longest ago")
+	require.Equal(t, "near:1", known.choose(now, ""), "its last failure is the oldest")
 	require.Equal(t, "region:1", known.choose(now, "near:1"))
 	require.Equal(t, "near:1", known.choose(now+failureCooldown, ""))
 }
@@ -52,10 +52,10 @@
 	known := newTestEndpoints()
 	require.Empty(t, known.choose(0, ""))
 	known.seeds = []string{"a:1"}
-	require.Equal(t, "a:1", known.choose(0, "a:1"), "there is no other")
+	require.Equal(t, "a:1", known.choose(0, "a:1"), "no other machine is known")
 	known.recordFailure(0, "a:1")
 	require.Equal(t, "a:1", known.choose(0, "a:1"))
-	require.Empty(t, chooseWithoutEndpoints("gone:1"), "one that is no longer known")
+	require.Empty(t, chooseWithoutEndpoints("gone:1"), "the excluded machine is no longer known")
 }
 
 func chooseWithoutEndpoints(except string) string {
--- a/internal/region/agent/control_link.go
+++ b/internal/region/agent/control_link.go
@@ -11,57 +11,61 @@
 	"fieldrelay/internal/region/catalog"
 )
 
-// Long polls and notices.
+// Timing and limits of long polls and notices.
 const (
-	// watchWait is the longest time that a control machine is requested to wait for an update before it responds.
+	// watchWait is the maximum time that a long poll asks a control machine to wait for an update before responding.
 	watchWait = time.Second
-	// overdueMargin is the time past its wait after which a long poll without a response is overdue and other control
-	// machines are probed: a partition closes no connection.
+	// overdueMargin is the time after the wait of a long poll from which a missing response is overdue and other
+	// control machines are probed. A network partition closes no connection, so that no error reports it earlier.
 	overdueMargin = 250 * time.Millisecond
-	// watchTimeout is the time in which the response to a long poll has to start.
+	// watchTimeout is the time within which the response to a long poll has to start.
 	watchTimeout = watchWait + time.Second
-	// noticeTimeout is the time in which the response to a notice, which is sent without waiting for an update, has to
-	// start.
+	// noticeTimeout is the time within which the response to a notice has to start. Control machines respond to notices
+	// without waiting for an update.
 	noticeTimeout = time.Second
-	// maxNotices bounds the notices in flight.
+	// maxNotices is the maximum number of notices in flight.
 	maxNotices = 3
-	// proxyReportWait is how long the next long poll is delayed for the proxy to apply an update, so as to report it.
+	// proxyReportWait is the maximum delay of the next long poll for the proxy to apply an update, so that the long
+	// poll can report the update as applied.
 	proxyReportWait = 100 * time.Millisecond
 )
 
-// Selection of the current control machine. A machine has authority, in the words of the wire it is authoritative, while
-// it holds the agreed state and knows that no newer one is agreed.
+// Selection of the current control machine. A control machine has authority (the field authoritative of its responses)
+// while it holds the agreed state and knows that no newer state is agreed.
 const (
-	// nonAuthoritativeWait replaces watchWait at a control machine without authority.
+	// nonAuthoritativeWait replaces watchWait for a control machine without authority.
 	nonAuthoritativeWait = 400 * time.Millisecond
-	// nonAuthoritativeProbeDelay is how long the current control machine may lack authority before others are probed:
-	// none has it while the view changes.
+	// nonAuthoritativeProbeDelay is how long the current control machine may lack authority before others are probed.
+	// No control machine has authority during a view change.
 	nonAuthoritativeProbeDelay = 300 * time.Millisecond
 	// nonAuthoritativeTimeout is how long a control machine without authority stays the current one.
 	nonAuthoritativeTimeout = 1500 * time.Millisecond
-	// minTenure is how long a control machine stays the current one before a nearer one is preferred: the proxy's
-	// readiness comes first.
+	// minTenure is the minimum time that a control machine stays the current one before a nearer one replaces it. The
+	// proxy becoming ready has priority over proximity.
 	minTenure = time.Second
 )
 
-// Backoff and timeouts of connections.
+// Backoff between calls, and timeouts of connections.
 const (
-	// minBackoff and maxBackoff bound the backoff after a failure, before jitter. It doubles with each one in a row.
+	// minBackoff and maxBackoff bound the backoff after a failure, before jitter. The backoff doubles with each
+	// consecutive failure.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
-	// minEmptyBackoff and maxEmptyBackoff bound the backoff after a response that came soon and carried no update. It
-	// doubles with each one in a row, and begins short: the control machine may be just about to gain authority.
+	// minEmptyBackoff and maxEmptyBackoff bound the backoff after a response that arrived early without an update. The
+	// backoff doubles with each consecutive response of this kind, and begins short because the control machine may be
+	// about to gain authority.
 	minEmptyBackoff = 10 * time.Millisecond
 	maxEmptyBackoff = 160 * time.Millisecond
-	// maxDoublings bounds the shift that a backoff is computed by.
+	// maxDoublings bounds the shift in the computation of a backoff, which would otherwise overflow.
 	maxDoublings = 10
-	// minDialTimeout and maxDialTimeout bound the time for a connection to come up. The first attempts are short, since a
-	// machine without power does not refuse connections; each timeout makes the next one longer by a half, for slow links.
+	// minDialTimeout and maxDialTimeout bound the time for a connection to be established. The first attempts are
+	// short, since a machine without power does not refuse connections. Each timeout makes the next one longer by half,
+	// for slow links.
 	minDialTimeout = 150 * time.Millisecond
 	maxDialTimeout = time.Second
 )
 
-// dialTimeoutError is the failure of a connection to come up in time.
+// dialTimeoutError reports that no connection was established in time.
 type dialTimeoutError struct{}
 
 func (*dialTimeoutError) Error() string {
@@ -70,35 +74,35 @@
 
 var errDialTimeout = &dialTimeoutError{}
 
-// controlLink keeps one long poll open to one control machine at a time, the current one. While that one doesn't respond
-// or has no authority, others are probed, and the first that has it becomes the current one. Notices are requests beside
-// the long poll that are answered at once.
+// controlLink keeps one long poll open to one control machine at a time, the current one. While the current machine
+// does not respond or has no authority, others are probed, and the first that has authority becomes the current one.
+// Notices are requests in addition to the long poll to which control machines respond at once.
 type controlLink struct {
 	endpoints controlEndpoints
 	random    *rand.Rand
 
 	current               string        // address of the current control machine, empty at first
-	currentSince          time.Duration // when it became that
-	established           bool          // it has responded with authority, and hasn't failed since
-	nonAuthoritative      bool          // its last response was without authority
+	currentSince          time.Duration // when the current machine became the current one
+	established           bool          // the current machine has responded with authority, and has not failed since
+	nonAuthoritative      bool          // the last response of the current machine was without authority
 	nonAuthoritativeSince time.Duration
 
 	inFlight            bool      // a long poll is in flight
-	longPoll            watchCall // the last one sent
-	responding          bool      // its response has started
+	longPoll            watchCall // the last long poll sent
+	responding          bool      // the response to the last long poll has started
 	nextLongPoll        time.Duration
-	proxyReportDeadline time.Duration // the next long poll waits for the proxy no longer than this
+	proxyReportDeadline time.Duration // time until which the next long poll may wait for the proxy
 	consecutiveFailures int
-	consecutiveEmpty    int           // responses in a row that came soon and carried no update
+	consecutiveEmpty    int           // consecutive responses that arrived early without an update
 	dialTimeout         time.Duration // of the next connection
 
 	noticesInFlight    int
 	lastNotice         watchCall
 	lastNoticeInFlight bool
-	stateFetchID       uint64 // the notice in flight that fetches a state which a probe has named; 0: none
+	stateFetchID       uint64 // the notice in flight that fetches a state advertised in a probe response; 0: none
 	probes             probes
 
-	callCount   uint64 // calls made, of all kinds
+	callCount   uint64 // calls of all kinds made so far; gives the calls their ids
 	sendDigests bool   // the next request carries the replica's digests, for a repair
 	viewNumber  uint64 // of the newest view received
 }
@@ -107,8 +111,8 @@
 	return controlLink{endpoints: endpoints, random: random, dialTimeout: minDialTimeout}
 }
 
-// nextWatch returns the long poll that is due, nil if none is. An update that the proxy lacks delays it a little, so
-// that it reports the update as applied.
+// nextWatch returns the long poll that is due, nil if none is. While the proxy lacks an update, the long poll is
+// delayed by up to proxyReportWait, so that it can report the update as applied.
 func (l *controlLink) nextWatch(now time.Duration, record *pb.AgentRecord, state *catalog.Snapshot, proxyLagging bool) *watchCall {
 	if l.inFlight || now < l.nextLongPoll {
 		return nil
@@ -136,7 +140,7 @@
 	return &call
 }
 
-// newNotice returns a request that is answered at once, and counts it as in flight.
+// newNotice returns a notice and counts it as in flight.
 func (l *controlLink) newNotice(now time.Duration, address string, record *pb.AgentRecord, state *catalog.Snapshot) watchCall {
 	call := l.newCall(now, address, record, state)
 	call.kind = watchNotice
@@ -147,7 +151,7 @@
 	return call
 }
 
-// newCall returns a call with what requests of all kinds carry.
+// newCall returns a call with the fields that requests of all kinds have in common.
 func (l *controlLink) newCall(now time.Duration, address string, record *pb.AgentRecord, state *catalog.Snapshot) watchCall {
 	request := &pb.WatchRequest{
 		Agent:      record,
@@ -164,13 +168,13 @@
 	return call
 }
 
-// isCurrentLongPoll reports whether a call is the long poll in flight. An overdue one may have been abandoned, and its
-// response still arrives.
+// isCurrentLongPoll reports whether a call is the long poll in flight. The response to an overdue long poll may still
+// arrive after the long poll has been abandoned.
 func (l *controlLink) isCurrentLongPoll(call watchCall) bool {
 	return l.inFlight && call.id == l.longPoll.id
 }
 
-// handleResponseStarted records that the first bytes of a response have arrived.
+// handleResponseStarted records that the first bytes of the response to a call have arrived.
 func (l *controlLink) handleResponseStarted(id uint64) {
 	if l.inFlight && id == l.longPoll.id {
 		l.responding = true
@@ -188,8 +192,8 @@
 	}
 }
 
-// handleFailure processes the failure of a call. If the long poll fails, another control machine becomes the current one
-// and is called after a backoff.
+// handleFailure processes the failure of a call. If the long poll failed, another control machine becomes the current
+// one and is called after a backoff.
 func (l *controlLink) handleFailure(now time.Duration, call watchCall, err error) {
 	if call.kind == watchNotice {
 		l.finishNotice(call)
@@ -213,8 +217,8 @@
 	l.nextLongPoll = now + l.backoff()
 }
 
-// backoff returns the time to wait after a failure: exponential in the failures in a row, with jitter of a half to
-// either side.
+// backoff returns the time to wait after a failure. The backoff is exponential in the number of consecutive failures,
+// with a jitter of plus or minus one half.
 func (l *controlLink) backoff() time.Duration {
 	backoff := maxBackoff
 	if doublings := max(l.consecutiveFailures-1, 0); doublings < maxDoublings {
@@ -223,10 +227,10 @@
 	return backoff/2 + time.Duration(l.random.Int64N(int64(backoff)))
 }
 
-// watchOutcome is what a response meant for the replica.
+// watchOutcome is the effect of a response on the state of the agent.
 type watchOutcome struct {
-	updated       bool // it carried something newer than the replica, the membership or the view
-	moreAvailable bool // its machine holds newer state than the replica still
+	updated       bool // the response had something newer than the replica, the membership or the view
+	moreAvailable bool // the control machine still holds newer state than the replica
 }
 
 // handleResponse processes the response to a call.
@@ -235,7 +239,7 @@
 		l.handleProbeResponse(now, call, response, outcome)
 		return
 	}
-	// The response of a machine that has nothing newer does not cancel another machine's request for digests.
+	// A response of a machine that has nothing newer does not cancel the request of another machine for digests.
 	if outcome.moreAvailable || outcome.updated {
 		l.sendDigests = outcome.moreAvailable && (response.GetNeedDigests() || !outcome.updated)
 	}
@@ -255,7 +259,7 @@
 	l.evaluate(now, call.address, response.GetAuthoritative())
 }
 
-// paceEmptyResponses delays the next long poll after a response that came soon and carried no update.
+// paceEmptyResponses delays the next long poll after a response that arrived early without an update.
 func (l *controlLink) paceEmptyResponses(now time.Duration, call watchCall, useful bool) {
 	if useful || now-call.started >= maxEmptyBackoff {
 		l.consecutiveEmpty = 0
@@ -265,7 +269,7 @@
 	l.consecutiveEmpty++
 }
 
-// adoptView adopts the voters of a view if it is newer than the last one, and reports whether it was.
+// adoptView adopts the voters of a view if the view is newer than the last one, and reports whether it was.
 func (l *controlLink) adoptView(view *pb.View) bool {
 	if view.GetNumber() <= l.viewNumber || len(view.GetVoters()) == 0 {
 		return false
@@ -275,8 +279,8 @@
 	return true
 }
 
-// evaluate decides after a response to the long poll whether its machine stays the current one. A nearer machine
-// replaces it, and any other one when it has lacked authority for too long.
+// evaluate decides, after a response to the long poll, whether the responding machine stays the current one. A machine
+// with authority is replaced by a nearer one, and a machine that has lacked authority for too long by any other one.
 func (l *controlLink) evaluate(now time.Duration, address string, authoritative bool) {
 	if authoritative {
 		l.established = true
@@ -307,7 +311,7 @@
 	}
 }
 
-// nextDue returns the time at which the link has something to do. There always is one.
+// nextDue returns the time of the next long poll or probe. There always is one.
 func (l *controlLink) nextDue(proxyLagging bool) time.Duration {
 	at := l.nextLongPoll
 	if proxyLagging {
@@ -319,7 +323,7 @@
 	return min(at, l.nextProbeDue())
 }
 
-// fields describe the link in the log.
+// fields returns the fields that describe the link in log lines.
 func (l *controlLink) fields() []zap.Field {
 	return []zap.Field{
 		zap.String("control", l.current),
--- a/internal/region/agent/control_link_test.go
+++ b/internal/region/agent/control_link_test.go
@@ -139,7 +139,7 @@
 	return l.nextProbe(now, &pb.AgentRecord{}, catalog.Empty())
 }
 
-// newEstablishedLink returns a link whose current machine has responded with authority.
+// newEstablishedLink returns a link whose current control machine has responded with authority.
 func newEstablishedLink(t *testing.T, now time.Duration, seeds ...string) *controlLink {
 	t.Helper()
 	l := newTestControlLink(seeds...)
@@ -148,7 +148,8 @@
 	return l
 }
 
-// TestAgentWithoutALinkProbesSeveralMachinesAtOnce: some of them may have no power yet.
+// When all machines start at once, some control machines may have no power yet: an agent without an established link
+// must not try them one after the other.
 func TestAgentWithoutALinkProbesSeveralMachinesAtOnce(t *testing.T) {
 	l := newTestControlLink("a:1", "b:1", "c:1", "d:1", "e:1", "f:1", "g:1")
 	require.Nil(t, l.nextProbeAt(0), "the long poll comes first")
@@ -165,7 +166,7 @@
 
 	now := 100 * time.Millisecond
 	l.handleResponse(now, *probes[0], &pb.WatchResponse{}, watchOutcome{})
-	require.Equal(t, long.address, l.current, "it has no authority")
+	require.Equal(t, long.address, l.current, "the probed machine has no authority")
 	l.handleResponse(now, *probes[1], &pb.WatchResponse{Authoritative: true}, watchOutcome{})
 	next := l.nextLongPollAt(now)
 	require.Equal(t, probes[1].address, next.address)
@@ -178,7 +179,8 @@
 	require.Equal(t, next.address, l.nextLongPollAt(now).address)
 }
 
-// TestSilentMachineIsReplacedBeforeItsCallEnds: a partition closes no connection.
+// A network partition closes no connection: a machine that stops responding must be replaced before its long poll times
+// out.
 func TestSilentMachineIsReplacedBeforeItsCallEnds(t *testing.T) {
 	l := newEstablishedLink(t, 0, "a:1", "b:1")
 	silent := l.nextLongPollAt(0)
@@ -193,7 +195,7 @@
 	require.Equal(t, probe.address, next.address)
 	require.Less(t, now, silent.started+silent.timeout)
 	l.handleResponse(now, *next, &pb.WatchResponse{Authoritative: true}, watchOutcome{updated: true})
-	require.Equal(t, probe.address, l.current, "the silent one is not returned to soon")
+	require.Equal(t, probe.address, l.current, "the link does not return to the silent machine soon")
 }
 
 func TestMachinesAreProbedWhileTheCurrentOneLacksTheAgreedState(t *testing.T) {
@@ -216,7 +218,8 @@
 	require.Equal(t, long.address, l.nextLongPollAt(0).address)
 }
 
-// TestDialsAreShortAtFirst: a machine without power is tried again soon, a far one gets the time that it needs.
+// Dial timeouts are short at first, so that a machine without power does not delay the link, and grow for machines that
+// are far away.
 func TestDialsAreShortAtFirst(t *testing.T) {
 	l := newTestControlLink("a:1")
 	now := time.Duration(0)
@@ -235,10 +238,10 @@
 
 	l = newTestControlLink("a:1")
 	l.handleFailure(0, *l.nextLongPollAt(0), errors.New("refused"))
-	require.Equal(t, minDialTimeout, l.nextLongPollAt(l.nextLongPoll).dialTimeout, "a machine that refuses is near enough")
+	require.Equal(t, minDialTimeout, l.nextLongPollAt(l.nextLongPoll).dialTimeout, "a refused connection does not time out")
 }
 
-// TestProbesAreNoTightLoop: whatever the machines respond, there are few calls.
+// Probes must not form a tight loop, whatever the machines respond.
 func TestProbesAreNoTightLoop(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	l := newTestControlLink("a:1", "b:1", "c:1", "d:1")
@@ -258,7 +261,8 @@
 	require.LessOrEqual(t, len(l.probes.inFlight), maxProbes)
 }
 
-// TestEveryMachineIsProbedInItsTurn: the only one with authority may be far away, behind others that respond.
+// The only machine with authority may be farther away than others that respond without it: every machine must be probed
+// in turn.
 func TestEveryMachineIsProbedInItsTurn(t *testing.T) {
 	l := newTestControlLink("seed:1")
 	l.adoptView(&pb.View{Number: 1, Voters: []*pb.Replica{
--- a/internal/region/agent/control_probes.go
+++ b/internal/region/agent/control_probes.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// maxProbes bounds the probes in flight. Only one of five control machines may have authority.
+	// maxProbes is the maximum number of probes in flight. Of five control machines only one may have authority, so
+	// that the four others are probed at once.
 	maxProbes = 4
-	// probeWait is the longest time that a control machine is requested to wait for authority before it responds. Then
-	// another one is probed.
+	// probeWait is the maximum time that a probe asks a control machine to wait for authority before responding. After
+	// a response without authority, another machine is probed.
 	probeWait = 300 * time.Millisecond
-	// slowResponseAllowance is how much later a long poll is overdue once its response has started.
+	// slowResponseAllowance is the additional time before a long poll is overdue once its response has started.
 	slowResponseAllowance = time.Second
-	// probeTimeout is the time in which the response to a probe has to start.
+	// probeTimeout is the time within which the response to a probe has to start.
 	probeTimeout = probeWait + 700*time.Millisecond
-	// never is a time that is never reached.
+	// never is later than any time of the core's clock.
 	never = time.Duration(math.MaxInt64)
 )
 
-// probes are the requests to control machines that could replace the current one. Their responses carry no state, so
-// that many agents may probe several machines at once.
+// probes tracks the requests to control machines that could replace the current one. Responses to probes carry no
+// state, so that many agents may probe several machines at once.
 type probes struct {
 	inFlight         []string      // addresses being probed
-	nonAuthoritative []string      // addresses that responded without authority since the current machine last had it
+	nonAuthoritative []string      // addresses that responded without authority since the current one last had it
 	nextStart        time.Duration // earliest time of the next probe
 }
 
@@ -37,16 +38,17 @@
 	p.nextStart = nextStart
 }
 
-// isProbing reports whether a replacement of the current control machine is wanted.
+// isProbing reports whether the agent is looking for a replacement of the current control machine.
 func (l *controlLink) isProbing(now time.Duration) bool { return now >= l.probingSince() }
 
-// probingSince returns the time, past or future, from which a replacement of the current control machine is wanted.
+// probingSince returns the time, past or future, from which the agent looks for a replacement of the current control
+// machine.
 func (l *controlLink) probingSince() time.Duration {
 	switch {
 	case l.longPoll.id == 0:
 		return never // the first long poll has not been sent yet
 	case !l.established && l.inFlight && l.responding:
-		return l.overdueAt() // the state of its machine is on its way
+		return l.overdueAt() // the current machine is already sending its state
 	case !l.established:
 		return 0
 	case l.nonAuthoritative:
@@ -57,8 +59,8 @@
 	return never
 }
 
-// overdueAt returns the time at which the long poll in flight is overdue. A response that has started gets more
-// time: requesting it from another machine would load the links once more.
+// overdueAt returns the time at which the long poll in flight is overdue. A response that has started gets more time,
+// since requesting the same update from another machine would load the links a second time.
 func (l *controlLink) overdueAt() time.Duration {
 	wait := time.Duration(l.longPoll.request.GetHoldMs()) * time.Millisecond
 	overdue := l.longPoll.started + wait + overdueMargin
@@ -89,8 +91,8 @@
 	return &call
 }
 
-// chooseProbeTarget returns the control machine to probe next, empty if there is none. It prefers machines that have not
-// yet responded without authority, and starts over when all of them have.
+// chooseProbeTarget returns the control machine to probe next, or the empty string if there is none. It prefers
+// machines that have not yet responded without authority, and starts over when all of them have.
 func (l *controlLink) chooseProbeTarget(now time.Duration) string {
 	excluded := append(slices.Clone(l.probes.inFlight), l.current)
 	if address := l.endpoints.chooseExcept(now, slices.Concat(excluded, l.probes.nonAuthoritative)); address != "" {
@@ -108,12 +110,13 @@
 	return max(l.probingSince(), l.probes.nextStart)
 }
 
-// handleProbeResponse processes the response to a probe. A machine with authority becomes the current one if a replacement
-// is still wanted.
+// handleProbeResponse processes the response to a probe. A machine with authority becomes the current one if the agent
+// is still looking for a replacement.
 func (l *controlLink) handleProbeResponse(now time.Duration, call watchCall, response *pb.WatchResponse, outcome watchOutcome) {
 	l.probes.finish(call.address, now)
 	if !response.GetAuthoritative() {
-		// A response that carried an update came before the machine had its time to gain authority.
+		// A response with an update is sent before the wait of the probe is over, in which the machine might still
+		// gain authority.
 		if !outcome.updated {
 			l.probes.nonAuthoritative = append(l.probes.nonAuthoritative, call.address)
 		}
@@ -128,7 +131,7 @@
 	l.switchTo(now, call.address)
 	l.probes.nonAuthoritative = nil
 	l.established = true
-	l.inFlight = false // a long poll to the previous machine is abandoned
+	l.inFlight = false // abandons a long poll to the previous machine
 	l.consecutiveFailures = 0
 	l.dialTimeout = minDialTimeout
 	l.nextLongPoll = now
--- a/internal/region/agent/core.go
+++ b/internal/region/agent/core.go
@@ -10,47 +10,47 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// identity names one run of an agent.
+// identity identifies one run of an agent process.
 type identity struct {
 	neighbour   shuffle.Neighbour
-	incarnation uint64 // rises from run to run
+	incarnation uint64 // increases from run to run
 }
 
-// core is the agent's state machine. It does no I/O apart from the log: step takes an event and returns the calls to
-// make. Times are those of a monotonic clock that begins above 0. It is not safe for concurrent use.
+// core is the state machine of the agent. It does no I/O apart from the log: step takes an event and returns the calls
+// to make. Times are those of a monotonic clock that begins above 0. A core is not safe for concurrent use.
 //
-// Each concern has a type of its own. Handlers of events that concern several of them are methods of core, in
+// Each concern has a type of its own. Event handlers that involve several of these types are methods of core, in
 // core_control.go, core_proxy.go and core_peers.go.
 type core struct {
 	identity identity
 	logger   *zap.Logger
-	grace    time.Duration // that the platform leaves the process to shut down
+	grace    time.Duration // time between the platform's request to shut down and its killing of the process
 
 	replica     *gossip.Replica // of the control state and the server list
-	partialView *shuffle.View   // of the other agents
-	gossip      *gossip.Machine // exchanges updates with them
-	members     membership      // edge machines, and the quota shares that follow from them
-	control     controlLink     // to the control machines
-	proxy       proxyLink       // to the proxy
+	partialView *shuffle.View   // of the overlay of agents
+	gossip      *gossip.Machine // exchanges updates with other agents
+	members     membership      // edge machines, and the quota shares derived from them
+	control     controlLink     // link to the control machines
+	proxy       proxyLink       // link to the proxy
 	shutdown    shutdown
 
 	counters   counters
 	lag        lagMonitor
 	violations violations
 
-	gossipDue     time.Duration // of the next tick of gossip and partialView
-	proxyQueried  bool          // a first exchange with the proxy has ended, successfully or not
+	gossipDue     time.Duration // time of the next tick of gossip and partialView
+	proxyQueried  bool          // the first exchange with the proxy has ended, successfully or not
 	loggedControl string        // address of the current control machine as last logged
 }
 
 const (
 	// gossipInterval is the time between two ticks of the gossip and the partial view.
 	gossipInterval = 200 * time.Millisecond
-	// maxTickInterval is the longest time between two steps.
+	// maxTickInterval is the maximum time between two steps.
 	maxTickInterval = time.Second
 )
 
-// newCore makes the state of an agent that knows only the link addresses of some control machines, the seeds.
+// newCore returns the state of an agent that knows nothing but the link addresses of some control machines, the seeds.
 func newCore(self identity, seeds []string, grace time.Duration, random *rand.Rand, logger *zap.Logger) *core {
 	replica := gossip.NewReplica()
 	view := shuffle.New(self.neighbour, random)
@@ -69,7 +69,7 @@
 	}
 }
 
-// step handles one event at a time that never falls, and returns the calls that have become due.
+// step handles one event and returns the calls that have become due. now must not decrease from call to call.
 func (c *core) step(now time.Duration, received event) []action {
 	sequence := c.replica.Sequence()
 	actions := c.handle(now, received)
@@ -87,7 +87,7 @@
 	return actions
 }
 
-// handle dispatches an event to the concern that it belongs to.
+// handle dispatches an event to its handler, and returns the calls that the handler requests.
 func (c *core) handle(now time.Duration, received event) []action {
 	switch received := received.(type) {
 	case watchResponseStarted:
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// nextTick returns the latest time at which the core must be stepped again.
+// nextTick returns the time by which step must be called again.
 func (c *core) nextTick(now time.Duration) time.Duration {
 	at := now + maxTickInterval
 	if !c.proxy.inFlight {
@@ -122,12 +122,13 @@
 	return at
 }
 
-// finished reports whether the process may end.
+// finished reports whether the process may exit.
 func (c *core) finished(now time.Duration) bool {
 	return c.shutdown.finished(now, &c.proxy, c.control.noticesInFlight)
 }
 
-// handleShutdownRequested begins the shutdown, and notifies the current control machine and another one of it.
+// handleShutdownRequested begins the shutdown, and notifies the current control machine and another one of the
+// shutdown.
 func (c *core) handleShutdownRequested(now time.Duration) []action {
 	c.shutdown.begin(now, c.grace, &c.proxy)
 	c.logger.Info("shutdown requested", zap.Duration("grace", c.grace))
@@ -142,7 +143,7 @@
 	return actions
 }
 
-// logCounters writes the line of counters.
+// logCounters writes the counters log line.
 func (c *core) logCounters(now time.Duration) {
 	fields := append(c.counters.fields(),
 		zap.Uint64("sequence", c.replica.Sequence()),
--- a/internal/region/agent/core_control.go
+++ b/internal/region/agent/core_control.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// maxFirstWatchDelay is the latest time of the first long poll, whether the proxy's state is known by then or not.
-	// A restarted agent waits for it, so that its first report doesn't say that a ready proxy is not ready.
+	// maxFirstWatchDelay is the latest time of the first long poll, whether the state of the proxy is known by then or
+	// not. A restarted agent waits for that state, so that its first report does not declare a ready proxy not ready.
 	maxFirstWatchDelay = 300 * time.Millisecond
-	// maxConfirmationLatency is the longest duration of a call whose response confirms the state. A response was true
-	// when it was written; one that came slowly may be older than the wait of a long poll.
+	// maxConfirmationLatency is the maximum duration of a call whose response confirms the state. A response was valid
+	// when it was written; a response that was transferred slowly may be older than the wait of a long poll.
 	maxConfirmationLatency = watchTimeout
 )
 
-// startControlCalls returns the calls to control machines that are due: the long poll, probes and a notice.
+// startControlCalls returns the calls to control machines that are due: a long poll, probes and a notice.
 func (c *core) startControlCalls(now time.Duration) []action {
 	var actions []action
 	lagging := c.proxy.lagging(c.replica)
@@ -41,7 +41,7 @@
 	return actions
 }
 
-// record describes this machine to control.
+// record returns the record of this machine that is reported to the control machines.
 func (c *core) record() *pb.AgentRecord {
 	return &pb.AgentRecord{
 		Host:         c.identity.neighbour.Host,
@@ -56,7 +56,7 @@
 	}
 }
 
-// completeWatch adds what the control link doesn't know to a call of it.
+// completeWatch fills in the fields of a request for which the control link has no data.
 func (c *core) completeWatch(call watchCall) watchCall {
 	c.counters.watches++
 	call.request.List = c.replica.ListVersion()
@@ -72,8 +72,9 @@
 	return c.completeWatch(c.control.newNotice(now, address, c.record(), c.replica.Snapshot()))
 }
 
-// noticeIsDue reports whether control has to be notified before the next long poll: the proxy became ready or ceased
-// to be, or a proxy process was discovered after the last request that could confirm the state to it.
+// noticeIsDue reports whether a control machine has to be notified before the next long poll: the readiness or the
+// draining of this machine has changed since the last report, or a proxy process was discovered after the last request
+// whose response could confirm the state to that process.
 func (c *core) noticeIsDue() bool {
 	link := &c.control
 	if !link.inFlight || link.noticesInFlight >= maxNotices {
@@ -117,27 +118,27 @@
 	return actions
 }
 
-// confirmsState reports whether a response says that no newer state than the replica's is agreed.
+// confirmsState reports whether a response confirms that no state newer than that of the replica is agreed.
 func confirmsState(now time.Duration, done watchDone, outcome watchOutcome) bool {
 	return done.response.GetAuthoritative() && !outcome.moreAvailable && now-done.call.started <= maxConfirmationLatency
 }
 
-// fetchState requests the state that a machine without authority has named in its response to a probe. There may be no
-// machine with authority, and this may be the only one in reach that has a change: a chain that is partitioned off as a
-// whole acknowledges changes for a while. Only one machine is requested to send it at a time, so that several don't
-// send the same state. A machine with authority needs no fetch, for it becomes the current one, to which the long poll
-// goes.
+// fetchState requests the state that a machine without authority has advertised in its response to a probe. There may
+// be no machine with authority, and the probed machine may be the only one in reach that has a change: a replication
+// chain that is partitioned off as a whole still acknowledges changes for a while. The state is requested from one
+// machine at a time, so that several machines do not send the same state. No fetch is needed from a machine with
+// authority, since it becomes the current machine and receives the long poll.
 func (c *core) fetchState(now time.Duration, address string) []action {
 	if c.control.stateFetchID != 0 || c.control.noticesInFlight >= maxNotices {
-		return nil // the response to a later probe names the state again
+		return nil // the response to a later probe advertises the state again
 	}
 	call := c.newNotice(now, address)
 	c.control.stateFetchID = call.id
 	return []action{call}
 }
 
-// applyWatchResponse applies the update in a response, whether its machine has authority or not: a control machine
-// sends committed changes only. It returns the calls that pass the update on.
+// applyWatchResponse applies the update in a response, whether the responding machine has authority or not, since a
+// control machine sends committed changes only. It returns the calls that forward the update to other agents.
 func (c *core) applyWatchResponse(now time.Duration, done watchDone) ([]action, watchOutcome) {
 	response := done.response
 	sequence, listVersion := c.replica.Sequence(), c.replica.ListVersion()
@@ -167,7 +168,7 @@
 	return c.peerCalls(produced), outcome
 }
 
-// logControlChange logs that another control machine has become the current one, and the error that led to it, if any.
+// logControlChange logs a change of the current control machine, with the error that caused the change, if any.
 func (c *core) logControlChange(err error) {
 	if c.control.current == c.loggedControl {
 		return
--- a/internal/region/agent/core_peers.go
+++ b/internal/region/agent/core_peers.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// stepGossip ticks the gossip and the partial view when they are due, and returns the calls to other agents.
+// stepGossip ticks the gossip and the partial view when their tick is due, and returns the calls to other agents.
 func (c *core) stepGossip(now time.Duration) []action {
 	if now < c.gossipDue {
 		return nil
@@ -26,7 +26,8 @@
 	return actions
 }
 
-// peerCalls returns the calls among the actions of the gossip. Its replies are sent where they were requested.
+// peerCalls returns the calls to other agents among the actions of the gossip. Replies are not calls: the handlers of
+// the requests send them.
 func (c *core) peerCalls(produced []gossip.Action) []action {
 	var actions []action
 	for _, gossipAction := range produced {
@@ -42,7 +43,7 @@
 	return actions
 }
 
-// handlePeerCallDone processes the result of a call to another agent.
+// handlePeerCallDone processes the result of a call to another agent, and returns the calls that follow from it.
 func (c *core) handlePeerCallDone(now time.Duration, received event) []action {
 	switch done := received.(type) {
 	case shuffleDone:
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// recordPeerFailure reports whether a call to another agent failed, and then removes it from the partial view, unless
-// it answered that it is overloaded.
+// recordPeerFailure reports whether a call to another agent failed. If so, it counts the failure and removes that agent
+// from the partial view, unless the agent responded that it is overloaded.
 func (c *core) recordPeerFailure(now time.Duration, err error, host string) bool {
 	if err == nil {
 		return false
@@ -84,8 +85,8 @@
 	return true
 }
 
-// handlePeerRequest answers a call of another agent. The channel of a request has room for its one response, so that
-// the core never waits for a caller.
+// handlePeerRequest responds to a call of another agent. The response channel of a request has capacity for the single
+// response, so that the core never blocks on a caller.
 func (c *core) handlePeerRequest(now time.Duration, received event) []action {
 	switch received := received.(type) {
 	case shuffleRequested:
--- a/internal/region/agent/core_proxy.go
+++ b/internal/region/agent/core_proxy.go
@@ -6,7 +6,7 @@
 	"go.uber.org/zap"
 )
 
-// startProxyCall returns the call to the proxy that is due, if any.
+// startProxyCall returns the call to the proxy if one is due.
 func (c *core) startProxyCall(now time.Duration) []action {
 	call := c.proxy.nextCall(now, c.replica, &c.members)
 	if call == nil {
@@ -20,8 +20,8 @@
 	return []action{*call}
 }
 
-// handleProxyCallDone processes the result of an exchange with the proxy. The first long poll waits for the first
-// exchange, within maxFirstWatchDelay, so as to carry the state of the proxy.
+// handleProxyCallDone processes the result of an exchange with the proxy. The first long poll is delayed until the
+// first exchange has ended, by up to maxFirstWatchDelay, so that the long poll reports the state of the proxy.
 func (c *core) handleProxyCallDone(now time.Duration, done proxyCallDone) {
 	previous := c.proxy
 	discovered := c.proxy.handleDone(now, done)
@@ -37,7 +37,7 @@
 	c.logProxyChange(&previous, discovered, done.err)
 }
 
-// logProxyChange logs what an exchange has changed in what is known of the proxy.
+// logProxyChange logs changes of the proxy process, its reachability and its readiness after an exchange.
 func (c *core) logProxyChange(previous *proxyLink, discovered bool, err error) {
 	switch {
 	case discovered:
--- a/internal/region/agent/core_test.go
+++ b/internal/region/agent/core_test.go
@@ -16,7 +16,8 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// coreDriver steps a core and collects the calls that it returns, until a test takes and ends them.
+// coreDriver steps a core and collects the calls that the core returns. Tests take the pending calls and post their
+// results.
 type coreDriver struct {
 	t       *testing.T
 	now     time.Duration
@@ -35,7 +36,7 @@
 	s.pending = append(s.pending, s.core.step(s.now, received)...)
 }
 
-// takeMatching takes the first pending call of a type that matches.
+// takeMatching removes and returns the first pending call of type T for which matches returns true.
 func takeMatching[T action](s *coreDriver, matches func(call T) bool) (T, bool) {
 	for i, pending := range s.pending {
 		if call, ok := pending.(T); ok && matches(call) {
@@ -47,28 +48,28 @@
 	return none, false
 }
 
-// takeCall takes the first pending call of a type.
+// takeCall removes and returns the first pending call of type T.
 func takeCall[T action](s *coreDriver) (T, bool) {
 	return takeMatching(s, func(T) bool { return true })
 }
 
-// requireCall is takeCall for a call that has to be there.
+// requireCall is like takeCall, but fails the test if there is no such call.
 func requireCall[T action](s *coreDriver) T {
 	s.t.Helper()
 	call, ok := takeCall[T](s)
-	require.True(s.t, ok, "no such call: %T", call)
+	require.True(s.t, ok, "no pending call of type %T", call)
 	return call
 }
 
-// requireWatch takes the first pending call of a kind to a control machine, which has to be there.
+// requireWatch removes and returns the first pending watchCall of a kind, and fails the test if there is none.
 func requireWatch(s *coreDriver, kind watchKind) watchCall {
 	s.t.Helper()
 	call, ok := takeMatching(s, func(call watchCall) bool { return call.kind == kind })
-	require.True(s.t, ok, "no such call to control")
+	require.True(s.t, ok, "no pending watch call of the requested kind")
 	return call
 }
 
-// proxyResponds ends the pending call to the proxy with a status.
+// proxyResponds completes the pending call to the proxy with a status.
 func (s *coreDriver) proxyResponds(status *pb.ProxyStatus) {
 	s.t.Helper()
 	s.step(proxyCallDone{call: requireCall[proxyCall](s), status: status})
@@ -148,7 +149,7 @@
 	}})
 	apply := requireCall[proxyCall](s).apply
 	require.True(t, apply.GetConfirmed())
-	require.EqualValues(t, 5, apply.GetRepair().GetSequence(), "the confirmed state comes with the confirmation")
+	require.EqualValues(t, 5, apply.GetRepair().GetSequence(), "the confirmed state is sent with the confirmation")
 }
 
 func TestShutdownIsReportedToTwoControlMachines(t *testing.T) {
@@ -167,18 +168,20 @@
 	require.False(t, s.core.finished(s.now))
 }
 
-// TestAProbeConfirmsWhatItsMachineHolds, as any other request does.
+// An authoritative response to a probe does not confirm the state if its machine has a newer one. The newer state is
+// requested by the long poll, without digests.
 func TestAProbeConfirmsWhatItsMachineHolds(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.step(tick{})
 	s.proxyResponds(&pb.ProxyStatus{Incarnation: 7})
 	probe := requireWatch(s, watchProbe)
 	s.step(watchDone{call: probe, response: &pb.WatchResponse{Authoritative: true, Sequence: 1}})
-	require.False(t, s.core.proxy.confirmed, "its machine has more")
-	require.Nil(t, requireWatch(s, watchLongPoll).request.GetDigests(), "its state comes with the long poll")
+	require.False(t, s.core.proxy.confirmed, "the probed machine has newer state")
+	require.Nil(t, requireWatch(s, watchLongPoll).request.GetDigests(), "the long poll requests the state without digests")
 }
 
-// TestHungNoticeDoesNotSuppressTheNext: its machine is gone, and another one is the current one.
+// A notice to a machine that no longer responds stays in flight. It must not suppress a notice to the machine that has
+// become the current one.
 func TestHungNoticeDoesNotSuppressTheNext(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.step(tick{})
--- a/internal/region/agent/counters.go
+++ b/internal/region/agent/counters.go
@@ -9,18 +9,18 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// countersInterval is the time between two lines of counters.
+// countersInterval is the time between two counters log lines.
 const countersInterval = 60 * time.Second
 
-// counters count what the agent did since it started.
+// counters holds the activity counters of the agent since its start.
 type counters struct {
 	watches          uint64 // calls to control machines, of all kinds
 	watchFailures    uint64
-	staleResponses   uint64 // of control machines behind this agent's replica
+	staleResponses   uint64 // responses of control machines whose state is older than the replica
 	notices          uint64
 	probes           uint64
-	exchanges        uint64 // with the proxy
-	applies          uint64 // exchanges that carried something
+	exchanges        uint64 // calls to the proxy
+	applies          uint64 // exchanges that sent the proxy an update
 	proxyFailures    uint64
 	shuffles         uint64
 	pushes           uint64
@@ -34,17 +34,17 @@
 	watchFailureKinds failureCounts
 	proxyFailureKinds failureCounts
 	peerFailureKinds  failureCounts
-	longestWatch      time.Duration // of the calls to control machines that succeeded, their waits included
-	largestResponse   int           // in bytes, of the responses of control machines with changes or a repair
+	longestWatch      time.Duration // longest successful call to a control machine, including its wait
+	largestResponse   int           // in bytes, of the responses to watches with changes or a repair
 
 	lastLoggedAt time.Duration
 }
 
-// countResponse counts a response of a control machine and the duration of its call.
+// countResponse records the size of a response of a control machine and the duration of the call.
 func (c *counters) countResponse(duration time.Duration, response *pb.WatchResponse) {
 	c.longestWatch = max(c.longestWatch, duration)
 	if compressed := response.GetCompressed(); compressed != nil {
-		c.largestResponse = max(c.largestResponse, proto.Size(compressed)) // the changes were decompressed from it
+		c.largestResponse = max(c.largestResponse, proto.Size(compressed)) // the decompressed update was not transferred
 		return
 	}
 	if len(response.GetChanges()) > 0 || response.GetRepair() != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-// due reports whether a line is due, and begins the next interval if so.
+// due reports whether the counters log line is due. If it is, due begins the next interval.
 func (c *counters) due(now time.Duration) bool {
 	if now-c.lastLoggedAt < countersInterval {
 		return false
--- a/internal/region/agent/decompress.go
+++ b/internal/region/agent/decompress.go
@@ -5,21 +5,21 @@
 	"fieldrelay/internal/region/packing"
 )
 
-// decompressWatch expands the compressed update in a response, if there is one. The compressed form stays, to be passed
-// on to other agents. The error is a *packing.MalformedError.
+// decompressWatch expands the compressed update in a response, if there is one. The response keeps the compressed form,
+// which is forwarded to other agents. The error is a *packing.MalformedError.
 func decompressWatch(response *pb.WatchResponse) (err error) {
 	response.Changes, response.Repair, err = decompress(response.GetCompressed(), response.GetChanges(), response.GetRepair())
 	return err
 }
 
-// decompressCompare is decompressWatch for the response of another agent.
+// decompressCompare is like decompressWatch, for the response of another agent to a Compare call.
 func decompressCompare(response *pb.CompareResponse) (err error) {
 	response.Changes, response.Repair, err = decompress(response.GetCompressed(), response.GetChanges(), response.GetRepair())
 	return err
 }
 
-// decompress returns the changes and the repair of a response. Changes beside a compressed update follow those in it.
-// Without one, or if it is malformed, they are returned as they are.
+// decompress returns the changes and the repair of a response. Uncompressed changes follow those in the compressed
+// update. Without a compressed update, or if it is malformed, changes and repair are returned unmodified.
 func decompress(compressed *pb.CompressedUpdate, changes []*pb.Change, repair *pb.Repair) ([]*pb.Change, *pb.Repair, error) {
 	if compressed == nil {
 		return changes, repair, nil
--- a/internal/region/agent/digest_test.go
+++ b/internal/region/agent/digest_test.go
@@ -12,9 +12,10 @@
 	"fieldrelay/internal/testkit/digesttest"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs again")
+var update = flag.Bool("update", false, "update the recorded digests of the seeded runs")
 
-// A change that should change no behaviour changes no call of any agent, to its proxy, to control or to another agent.
+// A change of the code that keeps the behaviour must leave all calls of all agents in seeded runs, to proxies, control
+// machines and other agents, exactly as recorded.
 func TestStormsHaveTheRecordedDigests(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		name := fmt.Sprintf("storm-%d", seed)
@@ -76,11 +77,12 @@
 	case compareCall:
 		recordNeighbours(begin("compare").Message(call.Digests).Message(call.List), call.To)
 	default:
-		agent.model.fail("an action that the digests do not know")
+		agent.model.fail("an action of a type that the digests do not cover")
 	}
 }
 
-// recordResponses records the requests and responses of other agents. A response stays in its channel for the caller.
+// recordResponses records requests received from other agents and the results of calls to them. It does not read the
+// response to a received request, which stays in its channel for the caller.
 func recordResponses(recorder *digesttest.Recorder, agent *modelAgent, received event) {
 	begin := func(label string) *digesttest.Recorder {
 		return recorder.Entry(agent.model.now, label).Text(agent.self.Host).Number(agent.incarnation)
--- a/internal/region/agent/events.go
+++ b/internal/region/agent/events.go
@@ -2,50 +2,50 @@
 
 import pb "fieldrelay/api/fieldrelay/v1"
 
-// event is an input of the core. Requests of other agents carry a channel with room for their one response.
+// event is an input of the core. A request of another agent has a channel with capacity for its single response.
 type event interface{ isEvent() }
 
 type (
-	// tick says that time has passed.
+	// tick reports that time has passed.
 	tick struct{}
 	// watchResponseStarted reports that the first bytes of the response to a watchCall have arrived.
 	watchResponseStarted struct{ id uint64 }
-	// watchDone ends a watchCall.
+	// watchDone is the result of a watchCall.
 	watchDone struct {
 		call     watchCall
 		response *pb.WatchResponse
 		err      error
 	}
-	// proxyCallDone ends a proxyCall.
+	// proxyCallDone is the result of a proxyCall.
 	proxyCallDone struct {
 		call   proxyCall
 		status *pb.ProxyStatus
 		err    error
 	}
-	// shuffleDone ends a shuffleCall.
+	// shuffleDone is the result of a shuffleCall.
 	shuffleDone struct {
 		call     shuffleCall
 		response *pb.ShuffleResponse
 		err      error
 	}
-	// pushDone ends a pushCall.
+	// pushDone is the result of a pushCall.
 	pushDone struct {
 		call     pushCall
 		response *pb.PushResponse
 		err      error
 	}
-	// compareDone ends a compareCall.
+	// compareDone is the result of a compareCall.
 	compareDone struct {
 		call     compareCall
 		response *pb.CompareResponse
 		err      error
 	}
-	// shuffleRequested is a request of another agent to exchange neighbours.
+	// shuffleRequested is a request of another agent to exchange samples of the partial views.
 	shuffleRequested struct {
 		request  *pb.ShuffleRequest
 		response chan<- *pb.ShuffleResponse
 	}
-	// pushRequested is an update that another agent sends.
+	// pushRequested is a request of another agent that carries an update.
 	pushRequested struct {
 		request  *pb.PushRequest
 		response chan<- *pb.PushResponse
@@ -55,9 +55,9 @@
 		request  *pb.CompareRequest
 		response chan<- *pb.CompareResponse
 	}
-	// seedsReloaded carries the link addresses of the seeds in a settings file that has changed.
+	// seedsReloaded carries the link addresses of the seeds after the settings file has changed them.
 	seedsReloaded struct{ addresses []string }
-	// shutdownRequested reports that the process has been requested to shut down.
+	// shutdownRequested reports a request to shut the process down.
 	shutdownRequested struct{}
 )
 
--- a/internal/region/agent/fakes_test.go
+++ b/internal/region/agent/fakes_test.go
@@ -25,7 +25,7 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// waitTimeout fails a test that still waits after it.
+// waitTimeout is the time after which a test that waits for a condition fails.
 const waitTimeout = 8 * time.Second
 
 func change(sequence uint64) *pb.Change {
@@ -41,7 +41,7 @@
 	return list
 }
 
-// fakeControl is a control machine whose state is what a test commits.
+// fakeControl is a control machine whose state is set by the test.
 type fakeControl struct {
 	fieldrelayv1connect.UnimplementedControlLinkHandler
 	address string
@@ -51,7 +51,7 @@
 	members       *pb.Members
 	view          *pb.View
 	authoritative bool
-	changed       chan struct{} // closed when something changes
+	changed       chan struct{} // closed and replaced at each change
 	requests      chan *pb.WatchRequest
 }
 
@@ -69,7 +69,7 @@
 	return control
 }
 
-// serve serves on loopback until the test ends and returns the address.
+// serve starts an HTTP server on the loopback interface until the test ends, and returns its address.
 func serve(t *testing.T, handle func(mux *http.ServeMux)) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -118,7 +118,8 @@
 	}
 }
 
-// respond returns the response as of now, whether it is due at once, and a channel that is closed at the next change.
+// respond returns the response for the present state, whether it is due at once, and a channel that is closed at the
+// next change.
 func (f *fakeControl) respond(request *pb.WatchRequest) (response *pb.WatchResponse, updated bool, changed <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,7 +146,7 @@
 	return response, updated, f.changed
 }
 
-// addState adds what the agent lacks of the state, and reports whether it lacks any.
+// addState adds the changes or the repair that the agent lacks, and reports whether the agent lacks any.
 func (f *fakeControl) addState(response *pb.WatchResponse, request *pb.WatchRequest) bool {
 	if request.GetSequence() >= f.replica.Sequence() {
 		return false
@@ -162,7 +163,7 @@
 	return true
 }
 
-// fakeProxy applies what it is sent, and checks that this is never older than what it has.
+// fakeProxy applies the updates it receives, and fails the test if an update is older than its own state.
 type fakeProxy struct {
 	fieldrelayv1connect.UnimplementedProxyFeedHandler
 	t       *testing.T
@@ -172,11 +173,11 @@
 	replica      *gossip.Replica
 	incarnation  uint64
 	ready        bool
-	needsDigests bool // it can't use changes, and reports its digests
+	needsDigests bool // the proxy cannot use changes, and reports its digests
 	shares       *pb.QuotaMembers
 	confirmed    bool
 	repairs      int
-	exchanges    chan struct{} // one for each exchange, as far as there is room
+	exchanges    chan struct{} // signaled after an exchange
 }
 
 func newFakeProxy(t *testing.T) *fakeProxy {
@@ -188,7 +189,7 @@
 	return proxy
 }
 
-// restart replaces it by a new process without state.
+// restart simulates a new process without state.
 func (f *fakeProxy) restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -211,7 +212,7 @@
 	base := f.replica.Snapshot()
 	for _, change := range request.Msg.GetChanges() {
 		if change.GetSequence() <= base.Sequence() {
-			f.t.Errorf("change %d for a proxy at %d", change.GetSequence(), base.Sequence())
+			f.t.Errorf("received change %d, but the proxy is already at sequence %d", change.GetSequence(), base.Sequence())
 		}
 	}
 	if !f.needsDigests {
@@ -219,13 +220,13 @@
 	}
 	if repair := request.Msg.GetRepair(); repair != nil {
 		if moved, err := f.replica.Restore(base, repair); err != nil || !moved {
-			f.t.Errorf("repair to %d for a proxy at %d: %v", repair.GetSequence(), base.Sequence(), err)
+			f.t.Errorf("repair to sequence %d not applied by the proxy at sequence %d: %v", repair.GetSequence(), base.Sequence(), err)
 		}
 		f.repairs++
 		f.needsDigests = false
 	}
 	if list := request.Msg.GetList(); list != nil && f.replica.OfferList(time.Minute, list) == gossip.ListStale {
-		f.t.Errorf("an old list: %v", list.GetVersion())
+		f.t.Errorf("received a stale server list: version %v", list.GetVersion())
 	}
 	if shares := request.Msg.GetQuotaMembers(); shares != nil {
 		f.shares = shares
@@ -270,7 +271,7 @@
 		select {
 		case <-f.exchanges:
 		case <-end.C:
-			require.Fail(f.t, "the proxy does not get there in time", what)
+			require.Fail(f.t, "the proxy did not meet the condition in time", what)
 		}
 	}
 }
@@ -287,25 +288,25 @@
 				return
 			}
 		case <-end.C:
-			require.Fail(t, "control receives no such request", what)
+			require.Fail(t, "the control machine did not receive the expected request in time", what)
 		}
 	}
 }
 
-// runningAgent is an agent on loopback.
+// runningAgent is an agent that runs in the test process and listens on the loopback interface.
 type runningAgent struct {
 	address  string
 	shutDown context.CancelFunc
 	ended    chan error
 }
 
-// startAgent runs an agent until the test ends, without a grace period.
+// startAgent starts an agent without a grace period, which runs until the test ends.
 func startAgent(t *testing.T, host, proxy string, controls ...string) *runningAgent {
 	t.Helper()
 	return startWithGrace(t, 0, host, proxy, controls...)
 }
 
-// startWithGrace runs an agent with a grace period.
+// startWithGrace starts an agent with a grace period, which runs until the test ends.
 func startWithGrace(t *testing.T, grace time.Duration, host, proxy string, controls ...string) *runningAgent {
 	t.Helper()
 	config := &settings.Settings{
@@ -338,7 +339,7 @@
 	return running
 }
 
-// requireNoViolations checks the counters that an agent logged at its end.
+// requireNoViolations requires that the counters that the agent logged last report no violations.
 func requireNoViolations(t *testing.T, logs *observer.ObservedLogs) {
 	t.Helper()
 	counted := logs.FilterMessage("counters").All()
@@ -354,6 +355,6 @@
 		require.NoError(t, err)
 		r.ended <- nil // for the next call
 	case <-time.After(waitTimeout):
-		require.Fail(t, "the agent does not end")
+		require.Fail(t, "the agent did not exit in time")
 	}
 }
--- a/internal/region/agent/lag.go
+++ b/internal/region/agent/lag.go
@@ -9,26 +9,27 @@
 	"fieldrelay/internal/region/lag"
 )
 
-// Lags above which a line is logged, and another one when they are back below.
+// Thresholds of lags. A line is logged when a lag rises above its threshold, and another one when it is back below.
 const (
-	// replicaLagThreshold is for a change that was advertised to this agent and that its replica lacks.
+	// replicaLagThreshold applies to the time that the replica has lacked a change advertised to this agent.
 	replicaLagThreshold = 500 * time.Millisecond
-	// proxyLagThreshold is for a change in the replica that the proxy has not reported.
+	// proxyLagThreshold applies to the time that the proxy has not reported a change that the replica has.
 	proxyLagThreshold = 500 * time.Millisecond
-	// unconfirmedThreshold is for the time since a control machine with authority last had nothing newer than the replica.
+	// unconfirmedThreshold applies to the time since a control machine with authority last had nothing newer than the
+	// replica.
 	unconfirmedThreshold = 2 * time.Second
 )
 
-// lagMonitor measures by this machine's monotonic clock how far a change of the control state lags: on its way to this
-// agent, and from here to the proxy. It only observes; no decision depends on it.
+// lagMonitor measures the propagation delay of changes of the control state, by the monotonic clock of this machine:
+// from the advertisement to the replica of this agent, and from the replica to the proxy. No decision depends on it.
 type lagMonitor struct {
-	advertised   lag.Timeline // sequences that control machines and other agents have named
+	advertised   lag.Timeline // sequences advertised by control machines and other agents
 	applied      lag.Timeline // sequences of the replica
 	reported     proxyReport
-	lastProxyLag time.Duration // from the replica having a sequence to the proxy's report of it
+	lastProxyLag time.Duration // time from the replica having a sequence to the proxy reporting it
 	maxProxyLag  time.Duration
 
-	lastSource  updateSource // of the replica's sequence
+	lastSource  updateSource // of the last increase of the replica's sequence
 	confirmedAt time.Duration
 
 	replicaEpisode     lag.Episode
@@ -36,14 +37,15 @@
 	unconfirmedEpisode lag.Episode
 }
 
-// proxyReport is the sequence that a proxy process has reported.
+// proxyReport is the sequence that a proxy process has last reported.
 type proxyReport struct {
 	incarnation   uint64
 	sequence      uint64
-	firstReportAt time.Duration // of that process; 0: no proxy is known
+	firstReportAt time.Duration // time of the first report of that process; 0: no proxy is known
 }
 
-// observe records the state after an event: the sequence of the replica and the last status of the proxy, if any.
+// observe records the state after an event: the sequence of the replica and the last status of the proxy, nil if there
+// is none.
 func (m *lagMonitor) observe(now time.Duration, received event, sequence uint64, proxy *pb.ProxyStatus) {
 	m.advertised.Record(advertisedSequence(received), now)
 	if sequence > m.applied.Newest() {
@@ -56,7 +58,7 @@
 	}
 }
 
-// observeProxy measures the lag of what the proxy reports for the first time.
+// observeProxy measures the proxy lag when the proxy reports a higher sequence.
 func (m *lagMonitor) observeProxy(now time.Duration, status *pb.ProxyStatus) {
 	if status.GetIncarnation() != m.reported.incarnation || m.reported.firstReportAt == 0 {
 		m.reported = proxyReport{incarnation: status.GetIncarnation(), sequence: status.GetSequence(), firstReportAt: now}
@@ -72,12 +74,13 @@
 	m.reported.sequence = status.GetSequence()
 }
 
-// replicaLag returns how long the replica has lacked a change that was advertised.
+// replicaLag returns how long the replica has lacked an advertised change, 0 if it lacks none.
 func (m *lagMonitor) replicaLag(now time.Duration) time.Duration {
 	return m.advertised.Lag(now, m.applied.Newest(), 0)
 }
 
-// proxyLag returns how long the proxy has lacked a change that the replica has, as far as is known.
+// proxyLag returns how long the proxy has not reported a change that the replica has, 0 if it has reported all of them
+// or no proxy is known.
 func (m *lagMonitor) proxyLag(now time.Duration) time.Duration {
 	if m.reported.firstReportAt == 0 {
 		return 0
@@ -88,7 +91,7 @@
 // confirm records that a control machine with authority had nothing newer than the replica.
 func (m *lagMonitor) confirm(now time.Duration) { m.confirmedAt = now }
 
-// log writes a line when a lag rises above its threshold, and one when it is back below.
+// log writes a log line when a lag rises above its threshold, and one when it is back below.
 func (m *lagMonitor) log(now time.Duration, logger *zap.Logger) {
 	m.logReplicaLag(now, logger)
 	m.logProxyLag(now, logger)
@@ -140,7 +143,7 @@
 	}
 }
 
-// fields are the lags in the line of counters.
+// fields returns the lags for the counters log line.
 func (m *lagMonitor) fields(now time.Duration) []zap.Field {
 	return []zap.Field{
 		zap.Uint64("advertised_sequence", m.advertised.Newest()),
--- a/internal/region/agent/lag_test.go
+++ b/internal/region/agent/lag_test.go
@@ -13,14 +13,14 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// observeLogs replaces the log of a core by one that a test reads.
+// observeLogs replaces the logger of a core by one whose lines the test can read.
 func observeLogs(s *coreDriver) *observer.ObservedLogs {
 	logged, logs := observer.New(zap.DebugLevel)
 	s.core.logger = zap.New(logged)
 	return logs
 }
 
-// requireLine requires exactly one line with a message and returns its fields.
+// requireLine requires exactly one log line with a message, and returns its fields.
 func requireLine(t *testing.T, logs *observer.ObservedLogs, message string) map[string]any {
 	t.Helper()
 	lines := logs.FilterMessage(message).All()
@@ -28,7 +28,7 @@
 	return lines[0].ContextMap()
 }
 
-// tickFor lets time pass in short steps.
+// tickFor advances the time by a duration, with a tick every 50 ms.
 func (s *coreDriver) tickFor(duration time.Duration) {
 	const step = 50 * time.Millisecond
 	for end := s.now + duration; s.now < end; {
@@ -71,7 +71,7 @@
 		l.confirm(now)
 		l.log(now, zap.New(logged))
 	}
-	require.Zero(t, logs.Len(), "always one behind, and never the same one for long")
+	require.Zero(t, logs.Len(), "the replica always lacks the newest change, but none for long")
 }
 
 func TestEveryUpdateAdvertisesItsSequence(t *testing.T) {
@@ -150,7 +150,7 @@
 	requireLine(t, logs, "state unconfirmed")
 	long := requireWatch(s, watchLongPoll)
 	s.step(watchDone{call: long, response: &pb.WatchResponse{Authoritative: false}})
-	require.Empty(t, logs.FilterMessage("state confirmed").All(), "by a machine without authority")
+	require.Empty(t, logs.FilterMessage("state confirmed").All(), "the response is from a machine without authority")
 	s.tickFor(time.Second)
 	s.step(watchDone{call: requireWatch(s, watchLongPoll), response: &pb.WatchResponse{Authoritative: true}})
 	line := requireLine(t, logs, "state confirmed")
--- a/internal/region/agent/membership.go
+++ b/internal/region/agent/membership.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// lostMemberRetention is how long a lost proxy may still be sending requests. Its quota share isn't given to others
-	// before.
+	// lostMemberRetention is how long a lost proxy may still be sending requests. Its quota share is not given to other
+	// proxies earlier.
 	lostMemberRetention = 60 * time.Second
-	// maxMembers bounds the members remembered, and the lost ones among them.
+	// maxMembers is the maximum number of members of a list that are kept, and that of lost members.
 	maxMembers = 4096
 )
 
-// membership is what is known of the edge machines, and the quota shares that follow from it: the proxies that share a
-// bound are those of all members, of those lost recently and of this machine itself.
+// membership holds the known edge machines, and the quota shares derived from them. A quota is shared by the proxies of
+// all members, of the members lost recently and of this machine itself.
 type membership struct {
 	self          *pb.Neighbour
-	source        string // control machine that numbered version
+	source        string // control machine that assigned version
 	version       uint64
 	received      bool                  // a list has been received
-	members       []*pb.Neighbour       // of the last list
-	lost          map[string]lostMember // by host
+	members       []*pb.Neighbour       // members of the last list
+	lost          map[string]lostMember // members lost recently, by host
 	shares        *pb.QuotaMembers
 	sharesVersion *pb.QuotaMembersVersion
 }
 
-// lostMember is a member of an earlier list that the last one doesn't name.
+// lostMember is a member of an earlier list that is not in the last list.
 type lostMember struct {
 	member    *pb.Neighbour
 	expiresAt time.Duration
@@ -44,7 +44,7 @@
 	}
 }
 
-// update adopts a list of members and reports whether it differs from the last one.
+// update adopts a list of members, and reports false if it adopted none: list is nil or has been adopted before.
 func (m *membership) update(now time.Duration, source string, list *pb.Members) bool {
 	if list == nil || m.received && source == m.source && list.GetVersion() == m.version {
 		return false
@@ -64,8 +64,8 @@
 	return true
 }
 
-// liveMembers returns the members of a list that control has received a report from recently enough that they may be
-// sending requests.
+// liveMembers returns the members of a list whose last report to the control machines is recent enough that their
+// proxies may be sending requests.
 func liveMembers(list *pb.Members) []*pb.Neighbour {
 	members := make([]*pb.Neighbour, 0, len(list.GetAgents()))
 	for _, record := range list.GetAgents() {
@@ -83,7 +83,7 @@
 	return members
 }
 
-// retain keeps a member that the last list doesn't name as lost.
+// retain records a member of the previous list as lost if the last list does not contain it.
 func (m *membership) retain(now time.Duration, member *pb.Neighbour) {
 	_, retained := m.lost[member.GetHost()]
 	if containsHost(m.members, member.GetHost()) || retained || len(m.lost) >= maxMembers {
@@ -92,8 +92,8 @@
 	m.lost[member.GetHost()] = lostMember{member: member, expiresAt: now + lostMemberRetention}
 }
 
-// expireLost removes the lost members whose retention is over. It is called when a control machine has responded, so that
-// no member is removed while no control machine responds.
+// expireLost removes the lost members whose retention is over. It is called only after a response of a control machine,
+// so that no member is removed while no control machine responds.
 func (m *membership) expireLost(now time.Duration) {
 	expired := false
 	for host, lost := range m.lost {
@@ -107,7 +107,7 @@
 	}
 }
 
-// updateShares recomputes the quota shares, under a new revision if they have changed.
+// updateShares recomputes the quota shares, and gives them a new revision if they have changed.
 func (m *membership) updateShares() {
 	members := slices.Clone(m.members)
 	for _, lost := range m.lost {
--- a/internal/region/agent/membership_test.go
+++ b/internal/region/agent/membership_test.go
@@ -29,10 +29,10 @@
 func TestLostMembersCountForAWhile(t *testing.T) {
 	m := newMembership(shuffle.Neighbour{Host: "self"}, 5)
 	require.True(t, m.update(0, "core-1", members(1, "a", "b", "self")))
-	require.True(t, m.update(time.Second, "core-2", members(1, "a")), "another machine counts for itself")
+	require.True(t, m.update(time.Second, "core-2", members(1, "a")), "each control machine numbers its lists independently")
 	require.Equal(t, []string{"a", "b", "self"}, sharingHosts(&m))
 	require.EqualValues(t, 3, m.shares.GetProxies())
-	require.EqualValues(t, 1, m.shares.GetVersion().GetRevision(), "the same proxies")
+	require.EqualValues(t, 1, m.shares.GetVersion().GetRevision(), "the set of proxies has not changed")
 
 	m.expireLost(time.Second + lostMemberRetention - 1)
 	require.Len(t, sharingHosts(&m), 3)
--- a/internal/region/agent/model_agent_test.go
+++ b/internal/region/agent/model_agent_test.go
@@ -12,16 +12,16 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// modelAgent is an agent process on its machine.
+// modelAgent is a simulated agent process and its machine.
 type modelAgent struct {
 	model       *model
 	self        shuffle.Neighbour
 	seeds       []string
 	proxy       *modelProxy
-	core        *core // nil while the process is dead
+	core        *core // nil while the process is down
 	incarnation uint64
 	nextTickAt  time.Duration
-	pushes      []*pb.PushRequest // received, to be repeated in a later incarnation
+	pushes      []*pb.PushRequest // received pushes, which repeatPushes delivers again
 }
 
 func (a *modelAgent) start() {
@@ -34,7 +34,7 @@
 
 func (a *modelAgent) kill() { a.core = nil }
 
-// deliverToThisIncarnation returns a function that delivers an event to this incarnation of the process only.
+// deliverToThisIncarnation returns a function that delivers an event, unless the process has been restarted since.
 func (a *modelAgent) deliverToThisIncarnation() func(event) {
 	incarnation := a.incarnation
 	return func(received event) {
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// callPeer carries a call to another agent and its response back.
+// callPeer simulates a call to another agent: it delivers the request there and the response to the caller.
 func (a *modelAgent) callPeer(address string, request event, response func() event, failed event) {
 	m, deliver := a.model, a.deliverToThisIncarnation()
 	m.after(m.latency(), func() {
@@ -200,7 +200,7 @@
 	})
 }
 
-// decompressedResponse returns another agent's response as the caller posts it.
+// decompressedResponse returns the result of a call to another agent as caller posts it, decompressed.
 func decompressedResponse(done event) event {
 	if compared, isCompare := done.(compareDone); isCompare {
 		compared.err = decompressCompare(compared.response)
@@ -209,7 +209,7 @@
 	return done
 }
 
-// responseSize returns the size in bytes of another agent's response.
+// responseSize returns the size in bytes of the response of another agent.
 func responseSize(done event) int {
 	switch done := done.(type) {
 	case pushDone:
@@ -222,7 +222,7 @@
 	return 0
 }
 
-// repeatPushes delivers again the pushes that this machine has received, also those of neighbours' earlier incarnations.
+// repeatPushes delivers the pushes received so far again, including those sent by earlier incarnations of other agents.
 func (a *modelAgent) repeatPushes() {
 	for _, request := range a.pushes {
 		a.deliver(pushRequested{request: request, response: make(chan *pb.PushResponse, 1)})
--- a/internal/region/agent/model_control_test.go
+++ b/internal/region/agent/model_control_test.go
@@ -8,14 +8,14 @@
 	"fieldrelay/internal/region/packing"
 )
 
-// modelControl responds to watches as package controlserver does.
+// modelControl is a simulated control machine. It responds to Watch calls as package controlserver does.
 type modelControl struct {
 	model         *model
 	address       string
 	replica       *gossip.Replica
 	authoritative bool
-	stalled       bool // it receives nothing new
-	dead          bool // it responds to nothing
+	stalled       bool // receives no changes
+	dead          bool // does not respond to calls
 	waiting       []*modelWatch
 	compressor    packing.Compressor
 }
@@ -26,7 +26,8 @@
 	done    func(*pb.WatchResponse)
 }
 
-// applyCommitted applies all changes up to now, now and then as a complete state, after which it has no earlier changes.
+// applyCommitted applies all changes committed so far. In one of 200 calls it applies them as a complete state, after
+// which the machine no longer has the earlier changes.
 func (c *modelControl) applyCommitted() {
 	if c.stalled {
 		return
@@ -34,7 +35,7 @@
 	if c.model.random.IntN(200) == 0 {
 		newest := c.model.committedStates[c.model.newestSequence()]
 		if _, err := c.replica.Restore(c.replica.Snapshot(), newest.RepairFor(c.replica.Snapshot().Digests())); err != nil {
-			c.model.fail("the model is wrong: %v", err)
+			c.model.fail("the model cannot restore its own state: %v", err)
 		}
 	}
 	c.replica.ApplyChanges(c.model.changes[c.replica.Sequence():])
@@ -74,7 +75,7 @@
 	})
 }
 
-// respond returns the response as of now, and whether it is due at once.
+// respond returns the response for the present state, and whether it is due at once.
 func (c *modelControl) respond(request *pb.WatchRequest) (*pb.WatchResponse, bool) {
 	response := &pb.WatchResponse{
 		Authoritative: c.authoritative,
--- a/internal/region/agent/model_link_test.go
+++ b/internal/region/agent/model_link_test.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// modelLinks carries messages over links of bounded bandwidth, which the transfers under way share evenly, as
-// connections of TCP do.
+// modelLinks simulates links of limited bandwidth. Concurrent transfers share the bandwidth of a link evenly, as TCP
+// connections do.
 type modelLinks struct {
 	model      *model
-	capacity   map[string]float64 // of a machine's link in each direction, in bytes a second
+	capacity   map[string]float64 // bandwidth of a machine's link in each direction, in bytes per second
 	transfers  []*modelTransfer
-	advancedAt time.Duration // time up to which the transfers' progress is computed
-	schedules  uint64        // number of the last call of schedule
-	carried    float64       // bytes
+	advancedAt time.Duration // time up to which the progress of the transfers is computed
+	schedules  uint64        // number of calls of schedule so far
+	carried    float64       // total bytes transferred
 }
 
-// modelTransfer is one message on its way.
+// modelTransfer is a message in transfer.
 type modelTransfer struct {
 	from, to  string
 	remaining float64 // bytes
-	rate      float64 // bytes a second
+	rate      float64 // bytes per second
 	done      func()
 }
 
-// minTransferBytes is a message's headers, in bytes.
+// minTransferBytes is the size of the headers of a message, in bytes.
 const minTransferBytes = 200
 
-// completionTolerance absorbs the rounding of progress, in bytes.
+// completionTolerance is the tolerance for rounding errors of the computed progress, in bytes.
 const completionTolerance = 0.5
 
 func newModelLinks(m *model) *modelLinks {
 	return &modelLinks{model: m, capacity: make(map[string]float64)}
 }
 
-// send begins a transfer; done is called when it has been received completely.
+// send begins the transfer of a message; done is called when the message has been received completely.
 func (l *modelLinks) send(from, to string, size int, done func()) {
 	if l == nil {
 		done()
@@ -62,7 +62,7 @@
 	l.transfers = slices.DeleteFunc(l.transfers, func(other *modelTransfer) bool { return other == transfer })
 }
 
-// schedule divides the links among the transfers and waits for the first one to end.
+// schedule divides the bandwidth among the transfers, and schedules finish for the end of the first one.
 func (l *modelLinks) schedule() {
 	sending, receiving := make(map[string]int), make(map[string]int)
 	for _, transfer := range l.transfers {
--- a/internal/region/agent/model_proxy_test.go
+++ b/internal/region/agent/model_proxy_test.go
@@ -6,7 +6,8 @@
 	"fieldrelay/internal/region/gossip"
 )
 
-// modelProxy applies what it is sent as package proxy does: changes that follow its state, or a complete state.
+// modelProxy is a simulated proxy. As package proxy does, it applies changes that follow its state, or a complete
+// state.
 type modelProxy struct {
 	model       *model
 	replica     *gossip.Replica
@@ -33,7 +34,7 @@
 	return status
 }
 
-// applyUpdate also checks that nothing in a call is older than what the proxy last reported.
+// applyUpdate applies an update, and checks that no part of it is older than what the proxy last reported.
 func (p *modelProxy) applyUpdate(request *pb.ApplyRequest) {
 	before := p.replica.Sequence()
 	if repair := request.GetRepair(); repair != nil {
--- a/internal/region/agent/model_test.go
+++ b/internal/region/agent/model_test.go
@@ -14,27 +14,27 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// model is a set of agents with their proxies and control machines, without I/O, in simulated time.
+// model simulates agents, their proxies and control machines in simulated time, without I/O.
 type model struct {
 	random          *rand.Rand
 	now             time.Duration
 	events          modelEvents
 	eventCount      uint64
-	committedStates []*catalog.Snapshot // by sequence
-	changes         []*pb.Change        // by sequence - 1
+	committedStates []*catalog.Snapshot // committed states, by sequence
+	changes         []*pb.Change        // committed changes, by sequence - 1
 	controls        []*modelControl
 	agents          []*modelAgent
 	partitioned     map[string]bool // addresses, or HOST>ADDRESS pairs, that no message reaches or leaves
 	failures        []string
 	injected        injectedFault
-	links           *modelLinks                                               // nil: of unlimited bandwidth
-	observe         func(agent *modelAgent, received event, actions []action) // called after each step; nil: nothing is called
+	links           *modelLinks                                               // nil: bandwidth is unlimited
+	observe         func(agent *modelAgent, received event, actions []action) // called after each step; may be nil
 }
 
-// injectedFault shows that the model's checks find a fault. The zero value injects none.
+// injectedFault is a fault that the checks of the model must detect. The zero value injects none.
 type injectedFault struct {
-	proxyCall func(call *proxyCall)            // changes what a proxy is sent
-	watch     func(response *pb.WatchResponse) // changes what a control machine responds
+	proxyCall func(call *proxyCall)            // modifies the calls to proxies
+	watch     func(response *pb.WatchResponse) // modifies the responses of control machines
 }
 
 type modelEvent struct {
@@ -100,10 +100,10 @@
 	return time.Duration(m.random.Int64N(int64(limit)))
 }
 
-// latency of one way between two machines.
+// latency returns a random one-way latency between two machines.
 func (m *model) latency() time.Duration { return time.Millisecond/2 + m.jitter(20*time.Millisecond) }
 
-// runUntil lets time pass until something is reached, and reports whether it was.
+// runUntil processes events until reached returns true or the time limit is over, and reports whether it returned true.
 func (m *model) runUntil(limit time.Duration, reached func() bool) bool {
 	end := m.now + limit
 	for len(m.events) > 0 && m.events[0].at <= end {
@@ -122,17 +122,17 @@
 	m.failures = append(m.failures, fmt.Sprintf("%.3f ", m.now.Seconds())+fmt.Sprintf(format, arguments...))
 }
 
-// check fails the run unless a state is the one of its sequence.
+// check records a failure unless a state equals the committed state with the same sequence.
 func (m *model) check(subject string, state *catalog.Snapshot) {
 	if !proto.Equal(m.committedStates[state.Sequence()].Digests(), state.Digests()) {
 		m.fail("%s has another state %d", subject, state.Sequence())
 	}
 }
 
-// newestSequence is the sequence of the newest change.
+// newestSequence returns the sequence of the newest change, 0 if there is none.
 func (m *model) newestSequence() uint64 { return uint64(len(m.changes)) }
 
-// commit makes a change, which the control machines receive within some milliseconds.
+// commit commits a random change, which the control machines receive after their latency.
 func (m *model) commit() {
 	sequence := m.newestSequence() + 1
 	change := &pb.Change{Sequence: sequence, Generation: sequence}
@@ -159,7 +159,7 @@
 func (m *model) appendChange(change *pb.Change) {
 	next, err := m.committedStates[change.GetSequence()-1].Apply(change)
 	if err != nil {
-		m.fail("the model is wrong: %v", err)
+		m.fail("the model cannot apply its own change: %v", err)
 		return
 	}
 	m.committedStates = append(m.committedStates, next)
@@ -171,7 +171,7 @@
 	}
 }
 
-// commitMany makes changes one after the other; done is called after the last.
+// commitMany commits random changes one after the other, and calls done after the last one.
 func (m *model) commitMany(count uint64, done func()) {
 	if count == 0 {
 		done()
--- a/internal/region/agent/narrowlinks_storm_test.go
+++ b/internal/region/agent/narrowlinks_storm_test.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// defaultNarrowStorms is the number of storms over narrow links; AGENT_NARROW_STORMS sets another one.
+	// defaultNarrowStorms is the default number of seeded runs; AGENT_NARROW_STORMS overrides it.
 	defaultNarrowStorms  = 2
 	narrowRoutes         = 200
 	narrowCommitInterval = time.Second
 	narrowStormDuration  = 12 * time.Second
 )
 
-// Large changes over narrow links, beside faults of agents, proxies and control machines, reach all proxies in the end.
+// Large changes over links of low bandwidth, during faults of agents, proxies and control machines, must reach all
+// proxies once the faults are over.
 func TestAgentsThroughStormsOverNarrowLinks(t *testing.T) {
 	first, count := environment("AGENT_FIRST", 1), environment("AGENT_NARROW_STORMS", defaultNarrowStorms)
 	worst := time.Duration(0)
@@ -26,7 +27,7 @@
 			m.links.capacity[machine] /= 20
 		}
 		m.commitRoutes(narrowRoutes)
-		require.True(t, m.runUntil(time.Minute, m.converged), "seed %d: the first state", seed)
+		require.True(t, m.runUntil(time.Minute, m.converged), "seed %d: the initial state did not reach all proxies", seed)
 		end := m.now + narrowStormDuration
 		m.injectFaults(end)
 		for m.now < end {
@@ -40,5 +41,5 @@
 		worst = max(worst, m.now-began)
 		require.Empty(t, m.failures, "seed %d", seed)
 	}
-	t.Logf("worst after the storm: %v", worst)
+	t.Logf("longest propagation after the faults: %v", worst)
 }
--- a/internal/region/agent/narrowlinks_test.go
+++ b/internal/region/agent/narrowlinks_test.go
@@ -13,21 +13,22 @@
 	"fieldrelay/internal/region/packing"
 )
 
-// Links and sizes of a deployment in which changes were late (docs/incidents/config-late.md): 61 edge machines on
-// 10 Mbit/s and five control machines on 30 Mbit/s, of which two may be lost; 1,500 routes, and 1,400 more in one change.
+// Bandwidths and sizes of a deployment on which large changes have exceeded maxApplyDelay: 61 edge machines on
+// 10 Mbit/s and five control machines on 30 Mbit/s, of which two may be lost; 1,500 routes, and 1,400 more in one
+// change.
 const (
-	edgeBandwidth    = 10e6 / 8 // bytes a second
-	controlBandwidth = 30e6 / 8 // bytes a second
+	edgeBandwidth    = 10e6 / 8 // bytes per second
+	controlBandwidth = 30e6 / 8 // bytes per second
 	edgeMachines     = 61
 	coreMachines     = 5
 	lostMachines     = 2
 	initialRoutes    = 1500
 	routesInChange   = 1400
-	// maxApplyDelay is the longest time from a commit to the last proxy that such a deployment accepts.
+	// maxApplyDelay is the maximum acceptable time from a commit until the last proxy has applied the change.
 	maxApplyDelay = 3 * time.Second
 )
 
-// limitBandwidth gives the machines links of bounded bandwidth.
+// limitBandwidth gives the machines links of limited bandwidth.
 func (m *model) limitBandwidth() {
 	m.links = newModelLinks(m)
 	for _, control := range m.controls {
@@ -38,7 +39,8 @@
 	}
 }
 
-// commitRoutes makes one change that adds routes of the size that operators send, with names that repeat nothing.
+// commitRoutes commits one change that adds routes of the size that operators send. The names are random and have
+// nothing in common that compression could use.
 func (m *model) commitRoutes(count int) {
 	sequence := m.newestSequence() + 1
 	change := &pb.Change{Sequence: sequence, Generation: sequence}
@@ -58,7 +60,7 @@
 	m.appendChange(change)
 }
 
-// loseControlMachines makes control machines fail silently.
+// loseControlMachines makes the first lostMachines control machines stop responding without closing connections.
 func (m *model) loseControlMachines() {
 	for _, control := range m.controls[:lostMachines] {
 		control.dead = true
@@ -66,8 +68,8 @@
 	}
 }
 
-// newStartWithoutState returns a deployment whose agents have no state yet: all of it was committed before they start,
-// and control machines are gone.
+// newStartWithoutState returns a model in which agents without state start after all changes have been committed and
+// control machines have been lost.
 func newStartWithoutState(seed uint64) *model {
 	m := newModel(seed, coreMachines, edgeMachines)
 	m.limitBandwidth()
@@ -77,7 +79,8 @@
 	return m
 }
 
-// A change of many routes is in force at all proxies in time though two of five control machines are gone.
+// A change of many routes must reach all proxies within maxApplyDelay even though two of five control machines are
+// lost.
 func TestALargeChangeIsInForceInTimeOverNarrowLinks(t *testing.T) {
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
 		m := newModel(seed, coreMachines, edgeMachines)
@@ -91,7 +94,7 @@
 			began := m.now
 			m.commitRoutes(routesInChange)
 			inForce := m.runUntil(time.Minute, m.converged)
-			t.Logf("seed %d, change %d: in force after %v, %.1f MB carried", seed, round, m.now-began, (m.links.carried-before)/1e6)
+			t.Logf("seed %d, change %d: applied by all proxies after %v, %.1f MB transferred", seed, round, m.now-began, (m.links.carried-before)/1e6)
 			require.True(t, inForce)
 			require.Less(t, m.now-began, maxApplyDelay, "seed %d, change %d", seed, round)
 		}
@@ -99,24 +102,25 @@
 	}
 }
 
-// All agents that start at once without state, as after a loss of power, have the complete state in time.
+// When all agents start at once without state, as after a power failure, all proxies must have the complete state
+// within maxApplyDelay.
 func TestAllAgentsStartInTimeOverNarrowLinks(t *testing.T) {
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
 		m := newStartWithoutState(seed)
 		inForce := m.runUntil(time.Minute, m.converged)
-		t.Logf("seed %d: in force after %v, %.1f MB carried", seed, m.now, m.links.carried/1e6)
+		t.Logf("seed %d: applied by all proxies after %v, %.1f MB transferred", seed, m.now, m.links.carried/1e6)
 		require.True(t, inForce)
 		require.Less(t, m.now, maxApplyDelay, "seed %d", seed)
 		require.Empty(t, m.failures, "seed %d", seed)
 	}
 }
 
-// Over links so narrow that every response takes longer than the timeout for its start, the agents still get all of it:
-// a response on its way is not abandoned and requested again.
+// Guards against responses that are abandoned during their transfer and requested again: over links so narrow that
+// every response takes longer than the timeout for its start, all proxies must still receive the change.
 func TestSlowResponsesMakeProgress(t *testing.T) {
 	const (
 		slowdown = 20
-		// slack allows for responses that are requested twice, and those of neighbours.
+		// slack allows for responses that are requested twice, and for the responses of other agents.
 		slack = 3
 	)
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
@@ -136,7 +140,7 @@
 		compressedSize := proto.Size(m.controls[coreMachines-1].compressor.Compressed(
 			packing.Key{Base: m.newestSequence() - 1, Sequence: m.newestSequence()}, func() *pb.StateUpdate { return nil }))
 		idealSeconds := float64(compressedSize*edgeMachines) / (controlBandwidth / slowdown * (coreMachines - lostMachines))
-		t.Logf("seed %d: in force after %v, %.1f s if each came once over even links", seed, took, idealSeconds)
+		t.Logf("seed %d: applied by all proxies after %v; one transfer to each agent over evenly loaded links takes %.1f s", seed, took, idealSeconds)
 		require.True(t, inForce)
 		require.Less(t, took.Seconds(), idealSeconds*slack, "seed %d", seed)
 		require.Empty(t, m.failures, "seed %d", seed)
--- a/internal/region/agent/neighbours.go
+++ b/internal/region/agent/neighbours.go
@@ -5,7 +5,7 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// neighbourMessage returns the wire form of a neighbour.
+// neighbourMessage converts a neighbour to its protobuf message.
 func neighbourMessage(neighbour shuffle.Neighbour) *pb.Neighbour {
 	return &pb.Neighbour{
 		Host:    neighbour.Host,
--- a/internal/region/agent/partition_halves_test.go
+++ b/internal/region/agent/partition_halves_test.go
@@ -8,27 +8,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Times of a core that is partitioned into halves, the whole chain in the smaller one.
+// Parameters of runs in which the control machines are partitioned into two groups, with the whole replication chain in
+// the smaller group.
 const (
-	// halfAgents is the number of edge machines of the largest deployment with a core of five.
+	// halfAgents is the number of edge machines of the largest deployment with five control machines.
 	halfAgents = 61
-	// halfSeeds is the number of runs of each kind; AGENT_HALVES sets another one.
+	// halfSeeds is the default number of seeded runs of each kind; AGENT_HALVES overrides it.
 	halfSeeds = 30
-	// authorityTimeout is how long after the partition machines keep their authority; the chain acknowledges as long.
+	// authorityTimeout is how long machines keep their authority after the partition. The chain acknowledges changes
+	// for the same time.
 	authorityTimeout = 1200 * time.Millisecond
-	// contactDelay is how long after the partition machines count as in touch again (the operators' contact-ms): more than
-	// half of the core runs and is connected.
+	// contactDelay is the time after the partition from which machines count as in contact again (setting contact-ms),
+	// since more than half of the control machines run and are connected.
 	contactDelay = 4 * time.Second
 )
 
-// partitionedCore is a run with two control machines that are the chain and three that receive nothing new.
+// partitionedCore is a model with five control machines: two form the replication chain, and three receive no changes
+// after the partition.
 type partitionedCore struct {
 	*model
 	chain, majority []*modelControl
 	partitionedAt   time.Duration
 }
 
-// newPartitionedCore lets the agents converge, on any control machine or on those of the majority only.
+// newPartitionedCore returns a model whose agents have converged before the partition, with long polls to any control
+// machine or only to those of the majority.
 func newPartitionedCore(t *testing.T, seed uint64, majorityOnly bool) *partitionedCore {
 	t.Helper()
 	h := &partitionedCore{model: newModel(seed, 5, halfAgents)}
@@ -49,7 +53,7 @@
 	return h
 }
 
-// loseAuthority ends the authority of every control machine.
+// loseAuthority revokes the authority of all control machines.
 func (h *partitionedCore) loseAuthority() {
 	for _, control := range h.controls {
 		control.authoritative = false
@@ -57,8 +61,8 @@
 	}
 }
 
-// measureDelivery lets the chain acknowledge a last change at a time after the partition, and returns the time until all proxies
-// have it.
+// measureDelivery lets the chain acknowledge a last change at a time after the partition, and returns the time from the
+// acknowledgement until all proxies have the change.
 func (h *partitionedCore) measureDelivery(t *testing.T, ackAfter time.Duration) time.Duration {
 	h.runUntil(ackAfter, func() bool { return false })
 	h.commit()
@@ -75,7 +79,8 @@
 	return took
 }
 
-// measureDeliveries plays runs of one kind and returns the time of the slowest proxy in each, sorted.
+// measureDeliveries simulates the seeded runs of one kind, and returns the time of the slowest proxy in each run,
+// sorted.
 func measureDeliveries(t *testing.T, majorityOnly bool, ackAfter time.Duration) []time.Duration {
 	t.Helper()
 	var took []time.Duration
@@ -83,17 +88,18 @@
 		took = append(took, newPartitionedCore(t, seed, majorityOnly).measureDelivery(t, ackAfter))
 	}
 	slices.Sort(took)
-	t.Logf("all proxies have it after %v (p50), %v at most", took[len(took)/2], took[len(took)-1])
+	t.Logf("all proxies have the change after %v (p50), %v at most", took[len(took)/2], took[len(took)-1])
 	return took
 }
 
-// A change that only the smaller half has must reach the agents of the other machines before they count as in touch again.
+// A change that only the control machines of the smaller group have must reach all agents before the other machines
+// count as in contact again.
 func TestAgentsLearnWhatOnlyTheSmallerHalfHolds(t *testing.T) {
 	took := measureDeliveries(t, false, authorityTimeout)
 	require.LessOrEqual(t, took[len(took)-1], contactDelay-authorityTimeout)
 }
 
-// Where no agent has its long poll at a machine of the smaller half, probes have to find out that it has more.
+// If no agent has its long poll at a control machine of the smaller group, probes must discover the change there.
 func TestAgentsOfTheMajorityLearnWhatOnlyTheSmallerHalfHolds(t *testing.T) {
 	took := measureDeliveries(t, true, authorityTimeout)
 	require.LessOrEqual(t, took[len(took)-1], contactDelay-authorityTimeout)
--- a/internal/region/agent/partition_start_test.go
+++ b/internal/region/agent/partition_start_test.go
@@ -17,18 +17,19 @@
 
 const (
 	partitionStep = 10 * time.Millisecond
-	// maxPartition is the longest partition of a control machine from the others.
+	// maxPartition is the maximum duration of the partition of a control machine from the others.
 	maxPartition = 22 * time.Second
 	// commitInterval is the time between two changes of the agreed state.
 	commitInterval = 300 * time.Millisecond
-	// confirmedWithin is the time in which the proxy's state has to be confirmed once the agent reaches the others.
+	// confirmedWithin is the time within which the state of the proxy has to be confirmed once the agent reaches the
+	// other control machines.
 	confirmedWithin = 3 * time.Second
-	// maxStaleness bounds the age of the confirmed state: a call ends after watchTimeout.
+	// maxStaleness is the maximum age of the confirmed state, since a call ends after watchTimeout.
 	maxStaleness = watchTimeout + 100*time.Millisecond
 )
 
-// partitionedStart is a simulated agent that starts while one of its seeds is partitioned from the other control
-// machines; the agent itself may be on either side.
+// partitionedStart simulates an agent that starts while one of its seeds is partitioned from the other control
+// machines. The agent may be on either side of the partition.
 type partitionedStart struct {
 	t               *testing.T
 	random          *rand.Rand
@@ -37,8 +38,8 @@
 	pending         []pendingEvent
 	partitionedAt   time.Duration
 	healedAt        time.Duration
-	reachableAt     time.Duration // when the agent reaches the others
-	claimsAuthority bool          // the injected fault: the partitioned machine claims authority
+	reachableAt     time.Duration // time from which the agent reaches the other control machines
+	claimsAuthority bool          // injects a fault: the partitioned machine claims authority
 
 	proxy       *gossip.Replica
 	confirmedAt time.Duration // 0: not yet
@@ -75,10 +76,10 @@
 	return seeds
 }
 
-// agreed is the newest committed sequence at a time.
+// agreed returns the newest committed sequence at a time.
 func agreed(at time.Duration) uint64 { return uint64(at / commitInterval) }
 
-// run plays until the proxy's state is confirmed, or until it should have been.
+// run simulates until the state of the proxy is confirmed, or the time limit for the confirmation is over.
 func (s *partitionedStart) run() {
 	for end := s.reachableAt + confirmedWithin; s.now < end && s.confirmedAt == 0; s.now += partitionStep {
 		due := s.pending
@@ -110,7 +111,8 @@
 	s.pending = append(s.pending, pendingEvent{at: s.now + wait, event: received})
 }
 
-// watch lets a control machine respond: at once if it has an update or authority, otherwise at the end of the wait.
+// watch simulates a control machine, which responds at once if it has an update or authority, and otherwise at the end
+// of the wait.
 func (s *partitionedStart) watch(call watchCall) {
 	if call.address != partitionedSeed && s.now < s.reachableAt {
 		s.later(call.dialTimeout, watchDone{call: call, err: errors.Mark(errors.New("partitioned"), errDialTimeout)})
@@ -131,7 +133,7 @@
 	s.later(wait, watchDone{call: call, response: response})
 }
 
-// states are replicas by their sequence.
+// states caches replicas by sequence.
 var states = make(map[uint64]*gossip.Replica)
 
 func stateUpTo(sequence uint64) *gossip.Replica {
@@ -145,7 +147,7 @@
 	return states[sequence]
 }
 
-// applyToProxy lets the proxy apply what it is sent.
+// applyToProxy simulates the proxy, which applies the update and responds with its status.
 func (s *partitionedStart) applyToProxy(call proxyCall) {
 	if repair := call.apply.GetRepair(); repair != nil {
 		_, err := s.proxy.Restore(nil, repair)
@@ -167,7 +169,7 @@
 		s.run()
 		require.NotZero(t, s.confirmedAt, "seed %d: not confirmed", seed)
 		require.LessOrEqual(t, s.staleness, maxStaleness, "seed %d", seed)
-		require.GreaterOrEqual(t, s.confirmedAt, s.reachableAt, "seed %d: by the partitioned machine", seed)
+		require.GreaterOrEqual(t, s.confirmedAt, s.reachableAt, "seed %d: confirmed by the partitioned machine", seed)
 		waits = append(waits, s.confirmedAt-s.reachableAt)
 		stales = append(stales, s.staleness)
 	}
--- a/internal/region/agent/peer_server.go
+++ b/internal/region/agent/peer_server.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// maxHeaderBytes is the size of the largest header of a request.
+	// maxHeaderBytes is the maximum size of the headers of a request.
 	maxHeaderBytes = 8 << 10
-	// readTimeout is the time in which a request has to arrive completely.
+	// readTimeout is the time within which a request has to be received completely.
 	readTimeout = 10 * time.Second
-	// serverIdleTimeout is the time after which a connection of another agent that carries no call is closed. The other
-	// side closes it earlier, so that no call is sent on a connection that is being closed.
+	// serverIdleTimeout is the time after which the server closes an idle connection. The client closes it earlier, so
+	// that no call is sent on a connection that is being closed.
 	serverIdleTimeout = idleTimeout + 30*time.Second
 )
 
-// keepAlive makes idle connections notice that the other side is gone.
+// keepAlive detects on idle connections that the peer no longer responds.
 var keepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     10 * time.Second,
@@ -32,36 +32,36 @@
 	Count:    2,
 }
 
-// errBusy rejects a call for which the event queue has no room.
+// errBusy is the error of a call that is rejected because the event queue is full.
 var errBusy = errors.New("the agent is busy")
 
-// peerService serves the other agents. It is safe for concurrent use.
+// peerService implements the service to other agents. It is safe for concurrent use.
 type peerService struct {
 	events chan<- event
 }
 
 var _ fieldrelayv1connect.AgentPeerHandler = peerService{}
 
-// Shuffle exchanges neighbours.
+// Shuffle exchanges samples of the partial views.
 func (s peerService) Shuffle(ctx context.Context, request *connect.Request[pb.ShuffleRequest]) (*connect.Response[pb.ShuffleResponse], error) {
 	response := make(chan *pb.ShuffleResponse, 1)
 	return submit(ctx, s.events, shuffleRequested{request: request.Msg, response: response}, response)
 }
 
-// Push receives an update.
+// Push receives an update from another agent.
 func (s peerService) Push(ctx context.Context, request *connect.Request[pb.PushRequest]) (*connect.Response[pb.PushResponse], error) {
 	response := make(chan *pb.PushResponse, 1)
 	return submit(ctx, s.events, pushRequested{request: request.Msg, response: response}, response)
 }
 
-// Compare responds with what is newer here than at the caller.
+// Compare responds with the state and the server list that this agent has and the caller lacks.
 func (s peerService) Compare(ctx context.Context, request *connect.Request[pb.CompareRequest]) (*connect.Response[pb.CompareResponse], error) {
 	response := make(chan *pb.CompareResponse, 1)
 	return submit(ctx, s.events, compareRequested{request: request.Msg, response: response}, response)
 }
 
-// submit passes a request to the core and waits for its response. The error has the code ResourceExhausted if the event
-// queue is full, and DeadlineExceeded if the caller waits no longer.
+// submit posts a request to the core and waits for the response. The error has the code ResourceExhausted if the event
+// queue is full, and DeadlineExceeded if ctx is done before the core responds.
 func submit[T any](ctx context.Context, events chan<- event, request event, response <-chan *T) (*connect.Response[T], error) {
 	select {
 	case events <- request:
@@ -76,7 +76,7 @@
 	}
 }
 
-// newServer returns the server for the other agents.
+// newServer returns the HTTP server for other agents.
 func newServer(events chan<- event, logger *zap.Logger) *http.Server {
 	mux := http.NewServeMux()
 	mux.Handle(fieldrelayv1connect.NewAgentPeerHandler(
@@ -94,7 +94,7 @@
 	}
 }
 
-// listen opens the address of the service to other agents.
+// listen opens the listener of the service to other agents.
 func listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	listener, err := config.Listen(ctx, "tcp4", address)
--- a/internal/region/agent/process.go
+++ b/internal/region/agent/process.go
@@ -18,15 +18,16 @@
 )
 
 const (
-	// eventQueueSize is the number of events that may wait for the core.
+	// eventQueueSize is the capacity of the event queue of the core.
 	eventQueueSize = 64
-	// minTickInterval is the shortest time between two ticks of the core while no event arrives.
+	// minTickInterval is the minimum time between two ticks of the core while no event is posted.
 	minTickInterval = 5 * time.Millisecond
-	// incarnationRandomBits is the number of random bits in an incarnation: two starts within one millisecond differ.
+	// incarnationRandomBits is the number of random bits in an incarnation, which distinguish two starts within the
+	// same millisecond.
 	incarnationRandomBits = 20
 )
 
-// process runs the core and the I/O around it: the calls, the service to other agents and the settings file.
+// process runs the core and its I/O: the calls, the server for other agents and the watch on the settings file.
 type process struct {
 	core     *core
 	caller   *caller
@@ -35,11 +36,11 @@
 	seeds    *seedsWatcher
 	events   chan event
 	started  time.Time
-	cancel   context.CancelFunc // ends all calls
+	cancel   context.CancelFunc // cancels all calls
 	logger   *zap.Logger
 }
 
-// newProcess makes the process of an agent. Its options are complete.
+// newProcess returns the process of an agent. The options must have their defaults filled in.
 func newProcess(config *settings.Settings, logger *zap.Logger, options Options) *process {
 	neighbour := shuffle.Neighbour{
 		Host:    config.Hostname,
@@ -49,7 +50,7 @@
 	}
 	seeds := resolveSeeds(config.Seeds, options.LinkAddress, logger)
 	events := make(chan event, eventQueueSize)
-	// Calls outlive the context of Run: they end with the process, once the core has finished its shutdown.
+	// Calls outlive the context of Run: they are canceled once the core has finished its shutdown.
 	callCtx, cancel := context.WithCancel(context.Background())
 	post := func(received event) {
 		select {
@@ -76,12 +77,12 @@
 	}
 }
 
-// newIncarnation returns a number that rises from start to start as long as the time of day does.
+// newIncarnation returns a number that increases from start to start, as long as the wall clock does not go back.
 func newIncarnation(now time.Time) uint64 {
 	return uint64(now.UnixMilli())<<incarnationRandomBits | rand.Uint64N(1<<incarnationRandomBits)
 }
 
-// run serves until the core has finished, and then waits for the calls under way.
+// run serves until the core has finished, then cancels the calls in flight and waits for their end.
 func (p *process) run(ctx context.Context) error {
 	served := make(chan error, 1)
 	go func() { served <- p.server.Serve(p.listener) }()
@@ -98,8 +99,8 @@
 	return errors.CombineErrors(err, errors.Wrap(closeErr, "close the service to other agents"))
 }
 
-// loop is the goroutine that owns the core. It returns when the core has finished, or with an error when the service
-// to other agents has ended.
+// loop runs in the goroutine that owns the core. It returns when the core has finished, or with an error when the
+// server for other agents has stopped.
 func (p *process) loop(ctx context.Context, served <-chan error) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -115,7 +116,7 @@
 		case <-hangups:
 			p.applySeeds(p.seeds.reload())
 		case <-shutdown:
-			shutdown = nil // requested once
+			shutdown = nil // the event is posted once
 			received = shutdownRequested{}
 		case err := <-served:
 			return errors.Wrap(err, "serve the other agents")
@@ -130,7 +131,7 @@
 	}
 }
 
-// step hands an event to the core and starts the calls that it returns.
+// step passes an event to the core and starts the calls that the core returns.
 func (p *process) step(received event) {
 	for _, call := range p.core.step(p.now(), received) {
 		if !p.caller.start(call) {
@@ -139,12 +140,13 @@
 	}
 }
 
-// applySeeds passes seeds that changed to the core.
+// applySeeds passes the seeds to the core if they have changed.
 func (p *process) applySeeds(seeds []string, changed bool) {
 	if changed {
 		p.step(seedsReloaded{addresses: seeds})
 	}
 }
 
-// now returns the time of the core's monotonic clock. It begins above 0, which means "not yet" in the core.
+// now returns the time of the core's monotonic clock. The clock begins above 0, since the time 0 means "not yet" in the
+// core.
 func (p *process) now() time.Duration { return time.Since(p.started) + time.Nanosecond }
--- a/internal/region/agent/proxy_link.go
+++ b/internal/region/agent/proxy_link.go
@@ -14,37 +14,37 @@
 
 // Intervals and timeouts of the proxy link.
 const (
-	// exchangeInterval is the time between two exchanges with the proxy while there is no update for it.
+	// exchangeInterval is the time between two exchanges with the proxy while there is no update for the proxy.
 	exchangeInterval = 250 * time.Millisecond
-	// shutdownExchangeInterval replaces exchangeInterval during the shutdown, which ends when the proxy has ended.
+	// shutdownExchangeInterval replaces exchangeInterval during the shutdown, which ends when the proxy has exited.
 	shutdownExchangeInterval = 50 * time.Millisecond
-	// proxyRetryInterval is the time between two attempts while the proxy is unreachable.
+	// proxyRetryInterval is the time between two exchanges while the proxy is unreachable.
 	proxyRetryInterval = 50 * time.Millisecond
-	// exchangeTimeout is the time in which the response to an exchange has to start.
+	// exchangeTimeout is the time within which the response of the proxy has to start.
 	exchangeTimeout = 2 * time.Second
-	// minSharesInterval is the shortest time between two deliveries of quota shares.
+	// minSharesInterval is the minimum time between two deliveries of quota shares.
 	minSharesInterval = time.Second
 )
 
-// proxyLink keeps the proxy beside this agent up to date. One exchange at a time brings the proxy what its last status
-// lacks, or requests its status when it lacks nothing.
+// proxyLink keeps the proxy of this agent up to date. One exchange at a time sends the proxy what its last status
+// lacks, or requests the status when the proxy lacks nothing.
 type proxyLink struct {
 	inFlight              bool
-	nextExchange          time.Duration   // when there is no update
-	status                *pb.ProxyStatus // the last one received; nil at first
+	nextExchange          time.Duration   // time of the next exchange when there is no update
+	status                *pb.ProxyStatus // the last status received; nil: none yet
 	reachable             bool            // the last exchange succeeded
-	unreachableSince      time.Duration   // time of the first failure in a row
-	connectionRefused     bool            // nothing listened at the proxy's address in the last exchange
-	shuttingDown          bool            // this agent is
-	discoveredAt          time.Duration   // when the proxy process of status was first observed
-	confirmed             bool            // a request to control sent after foundAt has confirmed the state
+	unreachableSince      time.Duration   // time of the first of the consecutive failures
+	connectionRefused     bool            // the last exchange failed because no process listened at the proxy's address
+	shuttingDown          bool            // this agent is shutting down
+	discoveredAt          time.Duration   // time at which the proxy process of status was first observed
+	confirmed             bool            // a request to a control machine sent since discoveredAt has confirmed the state
 	confirmationDelivered bool
-	sharesDeliveredAt     time.Duration // when this proxy process was last sent shares; 0: never
+	sharesDeliveredAt     time.Duration // time at which this proxy process was last sent quota shares; 0: never
 	lastAttempt           deliveryAttempt
 }
 
-// deliveryAttempt names what an Apply carries. What the proxy didn't apply isn't sent again before the next exchange is
-// due; anything newer is sent at once.
+// deliveryAttempt identifies the contents of an Apply. Contents that the proxy did not apply are not sent again before
+// the next exchange is due; anything newer is sent at once.
 type deliveryAttempt struct {
 	sequence  uint64
 	list      *pb.ListVersion
@@ -82,8 +82,8 @@
 	return &proxyCall{}
 }
 
-// pendingUpdate returns what the proxy lacks, nil if it lacks nothing. It holds nothing that is older than what the
-// proxy has reported.
+// pendingUpdate returns what the proxy lacks, nil if the proxy lacks nothing. The update contains nothing older than
+// what the proxy has reported.
 func (l *proxyLink) pendingUpdate(now time.Duration, replica *gossip.Replica, members *membership) (*pb.ApplyRequest, deliveryAttempt) {
 	apply := &pb.ApplyRequest{}
 	var attempt deliveryAttempt
@@ -113,8 +113,8 @@
 	return apply, attempt
 }
 
-// addStateUpdate adds the changes that the proxy lacks, or a repair if it can't use changes, and reports whether it
-// lacked any.
+// addStateUpdate adds the changes that the proxy lacks, or a repair if the changes are no longer available or the proxy
+// cannot use changes, and reports whether the proxy lacks any.
 func (l *proxyLink) addStateUpdate(apply *pb.ApplyRequest, replica *gossip.Replica) bool {
 	if replica.Sequence() <= l.status.GetSequence() {
 		return false
@@ -128,7 +128,7 @@
 	return true
 }
 
-// sharesDue reports whether the proxy lacks the present quota shares and may be sent them.
+// sharesDue reports whether the proxy lacks the current quota shares and minSharesInterval allows sending them.
 func (l *proxyLink) sharesDue(now time.Duration, members *membership) bool {
 	if !members.received || proto.Equal(l.status.GetShares(), members.shares.GetVersion()) {
 		return false
@@ -136,7 +136,7 @@
 	return l.sharesDeliveredAt == 0 || now >= l.sharesDeliveredAt+minSharesInterval
 }
 
-// handleDone processes the result of an exchange and reports whether it has discovered another proxy process.
+// handleDone processes the result of an exchange, and reports whether the exchange discovered another proxy process.
 func (l *proxyLink) handleDone(now time.Duration, done proxyCallDone) (discovered bool) {
 	l.inFlight = false
 	if done.err != nil {
@@ -181,22 +181,22 @@
 	l.nextExchange = now + proxyRetryInterval
 }
 
-// lagging reports whether changes are on their way to the proxy.
+// lagging reports whether the proxy is reachable and has not reported all changes of the replica.
 func (l *proxyLink) lagging(replica *gossip.Replica) bool {
 	return l.reachable && replica.Sequence() > l.status.GetSequence()
 }
 
-// ready reports whether the proxy accepts requests, as far as is known.
+// ready reports whether the proxy was reachable in the last exchange and reported that it accepts requests.
 func (l *proxyLink) ready() bool { return l.reachable && l.status.GetReady() }
 
 // confirm records that nothing newer than the replica is agreed, according to the response to a request sent at
-// requestedAt. It counts only for a proxy process that was first observed before that: an earlier response may be older
-// than what the process has.
+// requestedAt. The confirmation is valid only for a proxy process first observed by requestedAt, since the response to
+// an earlier request may be older than the state of that process.
 func (l *proxyLink) confirm(requestedAt time.Duration) {
 	if l.status != nil && requestedAt >= l.discoveredAt {
 		l.confirmed = true
 	}
 }
 
-// awaitsConfirmation reports whether no request since the proxy was discovered has confirmed the state.
+// awaitsConfirmation reports whether the proxy is reachable and no request since its discovery has confirmed the state.
 func (l *proxyLink) awaitsConfirmation() bool { return l.reachable && !l.confirmed }
--- a/internal/region/agent/proxy_link_test.go
+++ b/internal/region/agent/proxy_link_test.go
@@ -15,7 +15,7 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// proxyLinkFixture is a proxy link with what it reads.
+// proxyLinkFixture is a proxy link with the replica and the membership that it reads.
 type proxyLinkFixture struct {
 	t       *testing.T
 	now     time.Duration
@@ -38,7 +38,7 @@
 	return f.link.nextCall(f.now, f.replica, &f.members)
 }
 
-// exchange ends the call that is due with a status.
+// exchange completes the call that is due with a status, and returns the request, nil if the call was a Status.
 func (f *proxyLinkFixture) exchange(status *pb.ProxyStatus) *pb.ApplyRequest {
 	f.t.Helper()
 	call := f.nextCall()
@@ -95,7 +95,7 @@
 	f.now += exchangeInterval
 	require.NotNil(t, f.exchange(stuck))
 	f.replica.ApplyChanges([]*pb.Change{change(2)})
-	require.Len(t, f.exchange(stuck).GetChanges(), 2, "anything newer is sent at once")
+	require.Len(t, f.exchange(stuck).GetChanges(), 2, "a newer update is sent at once")
 }
 
 func TestUnreachableProxyIsQueriedForItsStatusFirst(t *testing.T) {
@@ -140,7 +140,8 @@
 	require.EqualValues(t, 3, f.exchange(status).GetQuotaMembers().GetProxies())
 }
 
-// A call that was abandoned may reach the proxy after its successor. What counts is what the proxy reports.
+// An abandoned call may reach the proxy after a later one and overwrite newer shares. The agent must therefore resend
+// the shares until the proxy reports them, rather than rely on the delivery.
 func TestSharesAreResentUntilTheProxyReportsThem(t *testing.T) {
 	f := newProxyLinkFixture(t)
 	holds := func(revision uint64) *pb.ProxyStatus {
@@ -151,7 +152,7 @@
 	require.NotNil(t, f.exchange(holds(1)).GetQuotaMembers())
 	f.now += minSharesInterval
 	f.members.update(f.now, "core-1", members(2, "a", "b"))
-	require.NotNil(t, f.exchange(holds(1)).GetQuotaMembers(), "taken, and replaced by the one before")
+	require.NotNil(t, f.exchange(holds(1)).GetQuotaMembers(), "applied, and then overwritten by the previous shares")
 	require.Nil(t, f.nextCall(), "not at once")
 	f.now += minSharesInterval
 	require.EqualValues(t, 2, f.exchange(holds(2)).GetQuotaMembers().GetVersion().GetRevision())
@@ -167,12 +168,12 @@
 	require.False(t, e.finished(f.now, &f.link, 0))
 	e.begin(f.now, grace, &f.link)
 	require.False(t, e.finished(f.now, &f.link, 0))
-	require.True(t, e.finished(f.now+grace-graceMargin, &f.link, 1), "the grace ends")
+	require.True(t, e.finished(f.now+grace-graceMargin, &f.link, 1), "the grace period is nearly over")
 
 	f.now += exchangeInterval
 	f.fail()
-	require.False(t, e.finished(f.now, &f.link, 0), "it may be back")
-	require.False(t, e.finished(f.now+proxyGoneTimeout, &f.link, 1), "control is not notified yet")
+	require.False(t, e.finished(f.now, &f.link, 0), "the proxy may become reachable again")
+	require.False(t, e.finished(f.now+proxyGoneTimeout, &f.link, 1), "a notice to a control machine is in flight")
 	require.True(t, e.finished(f.now+proxyGoneTimeout, &f.link, 0))
 
 	f.now += proxyRetryInterval
@@ -180,8 +181,8 @@
 	require.True(t, e.finished(f.now, &f.link, 0), "another incarnation of the proxy")
 }
 
-// TestShutdownFollowsAProxyThatHasEnded: both are restarted after the same delay, and a proxy whose agent comes later
-// serves nobody meanwhile.
+// Once the proxy has exited, the agent must exit at once: both are restarted after the same delay, and a proxy that
+// starts before its agent serves no requests until the agent has started.
 func TestShutdownFollowsAProxyThatHasEnded(t *testing.T) {
 	f := newProxyLinkFixture(t)
 	f.exchange(&pb.ProxyStatus{Incarnation: 7})
@@ -196,8 +197,8 @@
 	require.True(t, e.finished(f.now, &f.link, 0))
 }
 
-// TestApplyIsMeantForOneProcess: a proxy that was restarted since its last status must not take the confirmation of a
-// state that was requested before.
+// A proxy that was restarted after its last status must not accept a confirmation that was requested before the
+// restart: each Apply names the incarnation of the proxy for which it is meant.
 func TestApplyIsMeantForOneProcess(t *testing.T) {
 	f := newProxyLinkFixture(t)
 	f.replica.ApplyChanges([]*pb.Change{change(1)})
--- a/internal/region/agent/response_progress.go
+++ b/internal/region/agent/response_progress.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// stallTimeout is the time without a byte after which a response that has started is given up. A slow one
-	// is read to its end: requested again it would be as slow, and take bandwidth from others.
+	// stallTimeout is the time without any received byte after which a response that has started is abandoned. A slow
+	// response is read to its end: a second request would be as slow, and take bandwidth from other transfers.
 	stallTimeout = 1500 * time.Millisecond
-	// maxCallDuration bounds a call in any case.
+	// maxCallDuration is the maximum duration of a call, whatever its progress.
 	maxCallDuration = 20 * time.Second
 )
 
-// stalledError is the cause of a call's cancelation when its response did not start in time, or made no progress.
+// stalledError is the cause of the cancelation of a call whose response did not start in time, or made no progress.
 type stalledError struct{ responseStarted bool }
 
 func (e *stalledError) Error() string {
@@ -34,10 +34,10 @@
 // responseProgress cancels a call whose response makes no progress. It is safe for concurrent use.
 type responseProgress struct {
 	cancel  context.CancelCauseFunc
-	onStart func() // called once, when the response starts; nil: nothing is called
+	onStart func() // called once, when the response starts; may be nil
 
 	mutex     sync.Mutex
-	timer     *time.Timer // until the response has to start, or to make progress
+	timer     *time.Timer // fires when the response has not started, or made no progress, in time
 	started   bool
 	ended     bool
 	startedAt time.Time
@@ -45,8 +45,8 @@
 
 type responseProgressKey struct{}
 
-// withResponseProgress returns the context of a call that is canceled when its response doesn't start within a timeout,
-// or makes no progress after that. The function that it returns ends the call.
+// withResponseProgress returns the context for a call. The context is canceled when the response to the call does not
+// start within a timeout, or makes no progress after that. The returned function ends the call.
 func withResponseProgress(parent context.Context, timeout time.Duration, onStart func()) (context.Context, context.CancelFunc) {
 	bounded, release := context.WithTimeout(parent, maxCallDuration)
 	ctx, cancel := context.WithCancelCause(bounded)
@@ -59,13 +59,13 @@
 	}
 }
 
-// responseProgressOf returns the progress of a call by its context, nil if that has none.
+// responseProgressOf returns the progress of the call with a context, nil if the context has none.
 func responseProgressOf(ctx context.Context) *responseProgress {
 	progress, _ := ctx.Value(responseProgressKey{}).(*responseProgress)
 	return progress
 }
 
-// stalledCause returns the *stalledError that canceled a call's context, or else the call's own error.
+// stalledCause returns the *stalledError that canceled the context of a failed call, or err if there is none.
 func stalledCause(ctx context.Context, err error) error {
 	var stalled *stalledError
 	if err != nil && errors.As(context.Cause(ctx), &stalled) {
@@ -74,7 +74,7 @@
 	return err
 }
 
-// handleTimeout cancels the call.
+// handleTimeout cancels the call with a *stalledError.
 func (p *responseProgress) handleTimeout() {
 	p.mutex.Lock()
 	started := p.started
@@ -102,7 +102,7 @@
 	}
 }
 
-// sinceStart returns the time since the response started, 0 before that.
+// sinceStart returns the time since the response started, 0 if it has not started.
 func (p *responseProgress) sinceStart() time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -112,7 +112,7 @@
 	return time.Since(p.startedAt)
 }
 
-// end stops the timer. What arrives later doesn't start it again.
+// end stops the timer. Progress recorded later does not restart it.
 func (p *responseProgress) end() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -120,7 +120,7 @@
 	p.timer.Stop()
 }
 
-// progressTransport records the progress of the responses to its requests.
+// progressTransport is a [http.RoundTripper] that records the progress of the responses to its requests.
 type progressTransport struct{ base http.RoundTripper }
 
 // RoundTrip implements [http.RoundTripper].
@@ -135,14 +135,14 @@
 	return response, nil
 }
 
-// CloseIdleConnections closes the idle connections of the base. [http.Client] calls it.
+// CloseIdleConnections closes the idle connections of the base transport. [http.Client] calls it.
 func (t progressTransport) CloseIdleConnections() {
 	if closer, closes := t.base.(interface{ CloseIdleConnections() }); closes {
 		closer.CloseIdleConnections()
 	}
 }
 
-// progressBody records the progress of reading a response's body.
+// progressBody records the progress of reading a response body.
 type progressBody struct {
 	io.ReadCloser
 	progress *responseProgress
--- a/internal/region/agent/response_progress_test.go
+++ b/internal/region/agent/response_progress_test.go
@@ -16,7 +16,7 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// slowBody is a response's body that returns a byte at a time, each after an interval. After the last it ends or stalls.
+// slowBody is a response body that returns one byte per interval. After the last byte the body ends or stalls.
 type slowBody struct {
 	ctx       context.Context
 	remaining int
@@ -44,10 +44,11 @@
 
 func (b *slowBody) Close() error { return nil }
 
-// startTimeout is the time in which a response to readResponse has to start.
+// startTimeout is the time within which the response in readResponse has to start.
 const startTimeout = time.Second
 
-// readResponse reads a response that starts after a delay. It returns how often its start was reported, and what ended it.
+// readResponse reads a response that starts after a delay. It returns how often the start of the response was reported,
+// and the error that ended the call.
 func readResponse(delay time.Duration, body func(ctx context.Context) io.ReadCloser) (starts int, err error) {
 	ctx, cancel := withResponseProgress(context.Background(), startTimeout, func() { starts++ })
 	defer cancel()
@@ -74,7 +75,7 @@
 	})
 }
 
-// A list that took long to arrive is older than its writer reported.
+// The transfer time of a server list must be added to its age: the sender reports the age at the time of sending.
 func TestListsAgeWhileTheyAreOnTheirWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := withResponseProgress(context.Background(), time.Second, nil)
@@ -91,7 +92,8 @@
 	})
 }
 
-// A list of servers is as old as when it was written, however long its way took.
+// As TestListsAgeWhileTheyAreOnTheirWay, through a call: a slowly transferred server list must not appear younger than
+// it is.
 func TestListThatCameSlowlyIsNotTakenForYounger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const silence, pause = 300 * time.Millisecond, time.Second
@@ -117,7 +119,7 @@
 	})
 }
 
-// slowReader is empty, and ends after a delay.
+// slowReader returns no bytes, and EOF after a delay.
 type slowReader struct{ delay time.Duration }
 
 func (r *slowReader) Read([]byte) (int, error) {
@@ -161,7 +163,7 @@
 	})
 }
 
-// Bytes that a transport reads are progress of its call.
+// The transport must record the bytes that it reads as progress of the call.
 func TestTransportRecordsProgress(t *testing.T) {
 	base := &http.Transport{}
 	defer base.CloseIdleConnections()
--- a/internal/region/agent/response_started_test.go
+++ b/internal/region/agent/response_started_test.go
@@ -8,7 +8,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// The start of the response to one call extends no other call.
+// The start of the response to an earlier call must not extend the long poll in flight.
 func TestOnlyTheCallWhoseResponseStartedGetsLonger(t *testing.T) {
 	s, earlier := newLinkedCore(t)
 	s.step(watchResponseStarted{id: earlier.id})
@@ -22,7 +22,7 @@
 	require.Equal(t, overdueAt, s.core.control.overdueAt())
 }
 
-// The start of a response extends the long poll in flight.
+// The start of its response extends the time until the long poll in flight is overdue.
 func TestTheCallWhoseResponseStartedGetsLonger(t *testing.T) {
 	s, call := newLinkedCore(t)
 	s.step(watchResponseStarted{id: call.id})
--- a/internal/region/agent/seeds.go
+++ b/internal/region/agent/seeds.go
@@ -16,18 +16,18 @@
 // settingsCheckInterval is the time between two checks of the settings file.
 const settingsCheckInterval = time.Second
 
-// reloader follows the seeds in the settings file. It is not safe for concurrent use.
+// seedsWatcher watches the seeds in the settings file. It is not safe for concurrent use.
 type seedsWatcher struct {
-	path     string // empty: there is no file
+	path     string // of the settings file; empty: there is no file
 	logger   *zap.Logger
 	resolve  func(seed string) (string, error)
-	seeds    []string // link addresses, as last read
+	seeds    []string // link addresses of the seeds as last read
 	modified time.Time
 	size     int64
 	polledAt time.Duration
 }
 
-// newSeedsWatcher follows the file at path, of which seeds were read.
+// newSeedsWatcher returns a watcher of the file at path, from which the link addresses in seeds were read.
 func newSeedsWatcher(path string, seeds []string, resolve func(string) (string, error), logger *zap.Logger) *seedsWatcher {
 	w := &seedsWatcher{path: path, logger: logger, resolve: resolve, seeds: seeds}
 	if information, err := os.Stat(path); err == nil {
@@ -37,8 +37,8 @@
 	return w
 }
 
-// poll reads the file if it has changed, at most once in settingsCheckInterval. It returns the link addresses of the seeds
-// and whether they have changed.
+// poll checks the file at most once in settingsCheckInterval, and reads it if it has changed. It returns the link
+// addresses of the seeds and true if they have changed.
 func (w *seedsWatcher) poll(now time.Duration) ([]string, bool) {
 	if w.path == "" || now-w.polledAt < settingsCheckInterval {
 		return nil, false
@@ -53,7 +53,7 @@
 	return w.reload()
 }
 
-// reload is poll without regard to whether the file has changed.
+// reload is like poll, but reads the file at once, whether it has changed or not.
 func (w *seedsWatcher) reload() ([]string, bool) {
 	if w.path == "" {
 		return nil, false
@@ -71,8 +71,8 @@
 	return seeds, true
 }
 
-// resolveSeeds turns addresses of the operator's API into those of the link service. Seeds that are no addresses are
-// logged and left out.
+// resolveSeeds converts addresses of the operator API to addresses of the link service. Seeds that cannot be resolved
+// are logged and left out.
 func resolveSeeds(seeds []string, resolve func(string) (string, error), logger *zap.Logger) []string {
 	addresses := make([]string, 0, len(seeds))
 	for _, seed := range seeds {
@@ -86,8 +86,8 @@
 	return addresses
 }
 
-// linkAddress returns a function that returns the address of the link service of a seed: at the seed's host and the
-// first port of the port range, which is the same on all machines.
+// linkAddress returns a function that maps a seed to the address of its link service. The address has the host of the
+// seed and the first port of the port range, which is the same on all machines.
 func linkAddress(firstPort int) func(seed string) (string, error) {
 	port := strconv.Itoa(firstPort)
 	return func(seed string) (string, error) {
--- a/internal/region/agent/seeds_test.go
+++ b/internal/region/agent/seeds_test.go
@@ -35,14 +35,14 @@
 	require.False(t, changed)
 	write(settingsText+`seed-nodes = ["10.0.0.3:8146"]`, start.Add(time.Second))
 	_, changed = watcher.poll(now + settingsCheckInterval/2)
-	require.False(t, changed, "too soon")
+	require.False(t, changed, "the check interval is not over")
 	seeds, changed := watcher.poll(now + settingsCheckInterval)
 	require.True(t, changed)
 	require.Equal(t, []string{"10.0.0.3:7660"}, seeds)
 
 	write("half a fi", start.Add(2*time.Second))
 	_, changed = watcher.poll(now + 2*settingsCheckInterval)
-	require.False(t, changed, "what can't be read changes nothing")
+	require.False(t, changed, "an invalid file changes nothing")
 	_, changed = watcher.reload()
 	require.False(t, changed)
 }
--- a/internal/region/agent/shutdown.go
+++ b/internal/region/agent/shutdown.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	// graceMargin is the part of the platform's grace period that is left unused.
+	// graceMargin is the part of the platform's grace period that is kept as a reserve.
 	graceMargin = time.Second
-	// proxyGoneTimeout is how long the proxy must have been unreachable before it counts as ended. A refused connection
-	// counts at once: the proxy has ended, and both are restarted together.
+	// proxyGoneTimeout is how long the proxy must have been unreachable before it counts as exited. A refused
+	// connection counts at once: the proxy has exited, and proxy and agent are restarted together.
 	proxyGoneTimeout = 300 * time.Millisecond
 )
 
-// shutdown is the state of a graceful shutdown: control is notified at once, and the proxy is served until it has ended.
+// shutdown is the state of a graceful shutdown: the agent notifies control machines at once, and keeps updating the
+// proxy until the proxy has exited.
 type shutdown struct {
 	requested        bool
-	deadline         time.Duration // by which the process ends in any case
-	proxyIncarnation uint64        // of the proxy process that is served to its end; 0 if none was known
+	deadline         time.Duration // time at which the process exits in any case
+	proxyIncarnation uint64        // of the proxy process to wait for; 0: none was known
 }
 
-// begin starts the shutdown, with the grace period that the platform leaves. Further calls do nothing.
+// begin starts the shutdown with the grace period of the platform. Further calls do nothing.
 func (s *shutdown) begin(now, grace time.Duration, link *proxyLink) {
 	if s.requested {
 		return
@@ -29,8 +30,8 @@
 	link.nextExchange = min(link.nextExchange, now+shutdownExchangeInterval)
 }
 
-// finished reports whether the process may end: at the deadline, or once the proxy has ended and no notice to control is
-// in flight.
+// finished reports whether the process may exit: from the deadline on, or once the proxy has exited and no notice to a
+// control machine is in flight.
 func (s *shutdown) finished(now time.Duration, link *proxyLink, noticesInFlight int) bool {
 	if !s.requested {
 		return false
@@ -41,7 +42,7 @@
 	return noticesInFlight == 0 && s.proxyEnded(now, link)
 }
 
-// proxyEnded reports whether the proxy process that was served has ended, or has been replaced by another one.
+// proxyEnded reports whether the proxy process to wait for has exited, or has been replaced by another one.
 func (s *shutdown) proxyEnded(now time.Duration, link *proxyLink) bool {
 	if link.reachable {
 		return link.status.GetIncarnation() != s.proxyIncarnation
--- a/internal/region/agent/single_send_test.go
+++ b/internal/region/agent/single_send_test.go
@@ -15,7 +15,7 @@
 	"fieldrelay/internal/testkit/resettest"
 )
 
-// callsOf are the calls that an agent makes, over one client.
+// callsOf returns all calls that an agent makes, by method name, over one client.
 func callsOf(client connect.HTTPClient, url string) map[string]func(context.Context) error {
 	link := fieldrelayv1connect.NewControlLinkClient(client, url)
 	peer := fieldrelayv1connect.NewAgentPeerClient(client, url, clientOptions()...)
@@ -49,8 +49,8 @@
 	}
 }
 
-// The transport must not send a call again by itself once a byte of it has left, whatever byte its connection is
-// reset at: a call that is abandoned might arrive after its successor.
+// The transport must not retry a call once a byte of the request has been sent, at whichever byte the connection is
+// reset: the repeated request of an abandoned call might arrive after that of a later call.
 func TestTransportSendsNoCallTwice(t *testing.T) {
 	for name := range callsOf(http.DefaultClient, "") {
 		t.Run(name, func(t *testing.T) {
@@ -61,12 +61,12 @@
 	}
 }
 
-// replayable makes calls that a transport takes for safe to send again.
+// replayable marks its requests as safe for the transport to retry.
 type replayable struct{ http.RoundTripper }
 
 func (r replayable) RoundTrip(request *http.Request) (*http.Response, error) {
 	changed := request.Clone(request.Context())
-	changed.Header["Idempotency-Key"] = nil // makes the transport take it for safe, and is not sent
+	changed.Header["Idempotency-Key"] = nil // marks the request as idempotent; a nil value is not sent
 	return r.RoundTripper.RoundTrip(changed)
 }
 
@@ -76,14 +76,14 @@
 	require.NotEmpty(t, resettest.Repeated(t, server, 1, func() error { return call(t.Context()) }))
 }
 
-// exchangeWithCore hands a request of another agent to the core and returns the response.
+// exchangeWithCore passes a request of another agent to the core, and returns the response.
 func exchangeWithCore[T any](s *coreDriver, newRequest func(response chan<- *T) event) *T {
 	response := make(chan *T, 1)
 	s.step(newRequest(response))
 	return <-response
 }
 
-// Calls of other agents are idempotent.
+// Calls of other agents must be idempotent, since a request may be received twice.
 func TestCallsOfOthersMayComeTwice(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1")
 	s.now = exchangeInterval
@@ -100,7 +100,7 @@
 	require.Equal(t, first, push())
 	require.Equal(t, digests, s.core.replica.Snapshot().Digests())
 	_, passedOn := takeCall[pushCall](s)
-	require.False(t, passedOn, "an update received before is not passed on again")
+	require.False(t, passedOn, "a repeated update is not forwarded again")
 
 	compare := func() *pb.CompareResponse {
 		return exchangeWithCore(s, func(response chan<- *pb.CompareResponse) event {
--- a/internal/region/agent/slow_response_test.go
+++ b/internal/region/agent/slow_response_test.go
@@ -19,7 +19,7 @@
 	return s, requireWatch(s, watchLongPoll)
 }
 
-// A slow response was true when it was written, which may be long ago.
+// A slowly transferred response was valid when it was written, which may be long ago: it must not confirm the state.
 func TestSlowResponseConfirmsNothing(t *testing.T) {
 	s, call := newLinkedCore(t)
 	s.now = call.started + maxConfirmationLatency + time.Millisecond
@@ -32,7 +32,7 @@
 	require.True(t, s.core.proxy.confirmed)
 }
 
-// While a response arrives the same is not requested elsewhere, for a bounded time.
+// While a response is being received, other machines are not probed for the same update, for a limited time.
 func TestOtherMachinesAreProbedLaterOnceAResponseHasStarted(t *testing.T) {
 	probed := func(responseStarted bool, after time.Duration) bool {
 		s, call := newLinkedCore(t)
@@ -58,7 +58,7 @@
 	require.True(t, probed(true, overdueMargin+slowResponseAllowance))
 }
 
-// A state that the response to a probe names is requested from the same machine, once.
+// A state advertised in the response to a probe is requested from the probed machine.
 func TestStateNamedByAProbeIsFetched(t *testing.T) {
 	s, call := newLinkedCore(t)
 	s.now += nonAuthoritativeProbeDelay
@@ -73,7 +73,7 @@
 	require.Zero(t, fetch.request.GetSequence())
 }
 
-// An agent without state is sent the view first by a machine with authority. That confirms nothing.
+// A machine with authority may send an agent without state the view first: that response must not confirm the state.
 func TestTheViewAloneConfirmsNothing(t *testing.T) {
 	s, call := newLinkedCore(t)
 	view := &pb.View{Number: 2, Voters: []*pb.Replica{{Address: "core-1:1"}, {Address: "core-2:1"}}}
--- a/internal/region/agent/state_fetch_load_test.go
+++ b/internal/region/agent/state_fetch_load_test.go
@@ -11,7 +11,8 @@
 	"fieldrelay/internal/region/packing"
 )
 
-// Agents that start at once without state request it once or twice each, not from every machine that has it.
+// Guards against agents that request the state from every machine that has it: agents that start at once without state
+// must load the links no more than if each of them received the state twice.
 func TestStartingAgentsDoNotRequestTheStateFromEveryMachine(t *testing.T) {
 	const slack = 2
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
@@ -22,7 +23,7 @@
 			return &pb.StateUpdate{Repair: m.committedStates[m.newestSequence()].RepairFor(nil)}
 		})
 		idealBytes := float64(edgeMachines * proto.Size(completeState))
-		t.Logf("seed %d: %.1f MB carried, %.1f MB if each got the state once", seed, m.links.carried/1e6, idealBytes/1e6)
+		t.Logf("seed %d: %.1f MB transferred, %.1f MB if each agent received the state once", seed, m.links.carried/1e6, idealBytes/1e6)
 		require.Less(t, m.links.carried, slack*idealBytes, "seed %d", seed)
 	}
 }
--- a/internal/region/agent/state_fetch_test.go
+++ b/internal/region/agent/state_fetch_test.go
@@ -9,7 +9,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// newProbingCore returns a core whose control machine has failed, with probes to the others in flight.
+// newProbingCore returns a core whose current control machine has failed, with probes to the others in flight.
 func newProbingCore(t *testing.T) *coreDriver {
 	t.Helper()
 	s := newCoreDriver(t, "core-1:1", "core-2:1", "core-3:1", "core-4:1", "core-5:1")
@@ -33,7 +33,8 @@
 	return requests
 }
 
-// A machine with authority becomes the current one: the long poll that goes there at once fetches the state.
+// A probed machine with authority becomes the current one, and the long poll to it requests the state: there must be no
+// second request for the same state.
 func TestStateNamedByTheNewMachineIsRequestedOnce(t *testing.T) {
 	s := newProbingCore(t)
 	probe := requireWatch(s, watchProbe)
@@ -42,7 +43,7 @@
 	require.Len(t, stateRequests(s), 1)
 }
 
-// A state that several machines name is requested from one at a time.
+// A state that several machines advertise is requested from one machine at a time.
 func TestStateNamedBySeveralProbesIsRequestedOnce(t *testing.T) {
 	s := newProbingCore(t)
 	for range 3 {
@@ -51,7 +52,8 @@
 	require.Len(t, stateRequests(s), 1)
 }
 
-// A machine without the changes requests digests, and a response of the current machine, which has less, keeps them due.
+// A machine that no longer has the changes requests digests. A response of the current machine, which has an older
+// state, must not cancel that request.
 func TestFetchCarriesTheDigestsThatItsMachineRequested(t *testing.T) {
 	s := newCoreDriver(t, "core-1:1", "core-2:1")
 	s.now = time.Millisecond
@@ -76,5 +78,5 @@
 	s.step(watchDone{call: requireWatch(s, watchNotice), response: &pb.WatchResponse{Sequence: 300, NeedDigests: true}})
 	respondFromCurrent()
 	s.step(watchDone{call: requireWatch(s, watchProbe), response: &pb.WatchResponse{Sequence: 300}})
-	require.NotNil(t, requireWatch(s, watchNotice).request.GetDigests(), "without them the response would be the same again")
+	require.NotNil(t, requireWatch(s, watchNotice).request.GetDigests(), "without digests the machine would request them again")
 }
--- a/internal/region/agent/storm_test.go
+++ b/internal/region/agent/storm_test.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// defaultStorms is the number of storms over hundreds of changes; AGENT_STORMS sets another one.
+	// defaultStorms is the default number of seeded runs; AGENT_STORMS overrides it.
 	defaultStorms  = 12
 	changesInStorm = 900
 )
 
-// injectFaults injects one fault after the other until a time.
+// injectFaults injects random faults at random intervals until a time.
 func (m *model) injectFaults(end time.Duration) {
 	if m.now >= end {
 		return
@@ -22,7 +22,7 @@
 	m.after(20*time.Millisecond+m.jitter(400*time.Millisecond), func() { m.injectFaults(end) })
 }
 
-// injectFault makes one agent, its proxy or a control machine fail for up to two seconds.
+// injectFault injects a random fault of an agent, its proxy or a control machine, which lasts up to two seconds.
 func (m *model) injectFault() {
 	agent := m.agents[m.random.IntN(len(m.agents))]
 	control := m.controls[m.random.IntN(len(m.controls))]
@@ -57,8 +57,8 @@
 	}
 }
 
-// Through storms over hundreds of changes no replica and no proxy regresses or has another state than that of its
-// sequence, and after them all proxies have the newest state in time.
+// During random faults and hundreds of changes, no replica and no proxy may regress or have a state other than the
+// committed state of its sequence. After the faults, all proxies must have the newest state within catchUpTimeout.
 func TestAgentsThroughStorms(t *testing.T) {
 	first, count := environment("AGENT_FIRST", 1), environment("AGENT_STORMS", defaultStorms)
 	for seed := first; seed < first+count; seed++ {
--- a/internal/region/agent/update_source.go
+++ b/internal/region/agent/update_source.go
@@ -2,7 +2,7 @@
 
 import pb "fieldrelay/api/fieldrelay/v1"
 
-// updateSource is how a change of the control state reached this agent.
+// updateSource is the way by which a change of the control state reached this agent.
 type updateSource int
 
 const (
@@ -13,7 +13,7 @@
 	sourceCompare              // another agent's response to a comparison
 )
 
-// String returns the name in the log.
+// String returns the name of the source in the log.
 func (s updateSource) String() string {
 	switch s {
 	case sourceChanges:
@@ -45,7 +45,7 @@
 	return sourceUnknown
 }
 
-// advertisedSequence returns the highest sequence that an event names, 0 if it names none.
+// advertisedSequence returns the highest sequence that an event advertises, 0 if it advertises none.
 func advertisedSequence(received event) uint64 {
 	switch received := received.(type) {
 	case watchDone:
@@ -62,7 +62,7 @@
 	return 0
 }
 
-// lastSequence returns the sequence of the last of some consecutive changes, 0 if there are none.
+// lastSequence returns the sequence of the last one of consecutive changes, 0 if there are none.
 func lastSequence(changes []*pb.Change) uint64 {
 	if len(changes) == 0 {
 		return 0
--- a/internal/region/agent/violations.go
+++ b/internal/region/agent/violations.go
@@ -7,17 +7,17 @@
 	"fieldrelay/internal/region/serverlist"
 )
 
-// violations count broken invariants between this agent and its proxy. That the sequence of the replica never falls is
-// checked by core.step, which panics.
+// violations counts violated invariants between this agent and its proxy. The invariant that the sequence of the
+// replica never decreases is checked by core.step, which panics.
 type violations struct {
 	proxyRegressed uint64 // a proxy process reported a lower sequence than before
-	staleSent      uint64 // an exchange carried something that the proxy had reported already
+	staleSent      uint64 // an exchange sent something no newer than what the proxy had reported
 }
 
 // total returns the number of violations of all kinds.
 func (v *violations) total() uint64 { return v.proxyRegressed + v.staleSent }
 
-// checkReport compares two consecutive reports of the proxy, the previous of which may be nil.
+// checkReport compares two consecutive reports of the proxy; previous may be nil.
 func (v *violations) checkReport(logger *zap.Logger, previous, current *pb.ProxyStatus) {
 	if previous == nil || previous.GetIncarnation() != current.GetIncarnation() || current.GetSequence() >= previous.GetSequence() {
 		return
@@ -28,7 +28,7 @@
 		zap.Uint64("proxy_sequence", current.GetSequence()))
 }
 
-// checkSent compares what is sent to the proxy with what it reported.
+// checkSent compares an update for the proxy with what the proxy last reported.
 func (v *violations) checkSent(logger *zap.Logger, apply *pb.ApplyRequest, reported *pb.ProxyStatus) {
 	if !carriesStale(apply, reported) {
 		return
@@ -37,7 +37,7 @@
 	logger.Error("stale update sent to proxy", zap.Uint64("proxy_sequence", reported.GetSequence()))
 }
 
-// carriesStale reports whether something in an exchange is no newer than what the proxy reported.
+// carriesStale reports whether some part of an update is no newer than what the proxy reported.
 func carriesStale(apply *pb.ApplyRequest, reported *pb.ProxyStatus) bool {
 	if repair := apply.GetRepair(); repair != nil && repair.GetSequence() <= reported.GetSequence() {
 		return true
--- a/internal/region/agent/violations_test.go
+++ b/internal/region/agent/violations_test.go
@@ -21,7 +21,7 @@
 	report(7, 5)
 	report(7, 6)
 	report(8, 1)
-	require.Zero(t, s.core.violations.total(), "another process may have less")
+	require.Zero(t, s.core.violations.total(), "another process may have an older state")
 	report(8, 0)
 	require.EqualValues(t, 1, s.core.violations.proxyRegressed)
 	requireLine(t, logs, "proxy sequence decreased")
