--- a/internal/region/agent/distance_test.go
+++ b/internal/region/agent/catch_up_test.go
@@ -16,153 +16,154 @@
 )
 
 const (
-	// defaultFarRuns is the number of runs of an agent far behind; AGENT_FAR sets another one, AGENT_FIRST the first
-	// seed.
+	// defaultFarRuns is the default number of seeded runs; AGENT_FAR overrides it, and AGENT_FIRST sets the first seed.
 	defaultFarRuns = 35
-	// catchUpTimeout is the time in which an agent and its proxy have to have all that was committed when they returned.
+	// catchUpTimeout is the time within which an agent that returns, and its proxy, must have all changes committed
+	// before the return.
 	catchUpTimeout = 3 * time.Second
-	// before is the number of changes before an absence.
+	// changesBeforeAbsence is the number of changes committed before an absence.
 	changesBeforeAbsence = 20
 )
 
-// absence is how an agent or its proxy misses changes.
+// absence is the fault through which an agent or its proxy misses changes.
 type absence int
 
 const (
-	absentCut       absence = iota // the machine is partitioned from all others
-	absentControl                  // the agent is partitioned from control, not from its neighbours
-	absentRestarted                // it is partitioned from all, and restarted as it returns
-	absentDown                     // the process is dead
-	absentProxy                    // the proxy beside it is dead, and restarted
-	absentProxyCut                 // it is partitioned from all, and its proxy alone is restarted as it returns
-	absentCore                     // all agents are partitioned from control
-	absences
+	absencePartitioned               absence = iota // the machine is partitioned from all other machines
+	absencePartitionedFromControl                   // the agent is partitioned from the control machines only
+	absencePartitionedRestarted                     // partitioned; the agent is restarted when the partition heals
+	absenceProcessDown                              // the agent process is down
+	absenceProxyDown                                // the proxy of the agent is down, and then restarted
+	absencePartitionedProxyRestarted                // partitioned; only the proxy is restarted when the partition heals
+	absenceAllPartitionedFromControl                // all agents are partitioned from the control machines
+	absenceCount
 )
 
 func (a absence) String() string {
 	return [...]string{"partitioned", "partitioned from control", "partitioned, restarted", "down", "proxy down", "partitioned, proxy restarted", "all partitioned from control"}[a]
 }
 
-// misleader is what sends a returning agent an old state first.
-type misleader int
+// staleSource is what sends a returning agent an old state first.
+type staleSource int
 
 const (
-	misledByNobody      misleader = iota
-	misledByControl               // a control machine that receives nothing new and has no authority
-	misledByAuthority             // one that claims authority
-	misledByNeighbour             // a neighbour that was partitioned as well
-	misledByEarlierLife           // pushes of neighbours' earlier incarnations
-	misleaders
+	staleSourceNone                 staleSource = iota
+	staleSourceControl                          // a control machine that receives no changes and has no authority
+	staleSourceAuthoritativeControl             // a control machine that receives no changes and claims authority
+	staleSourceNeighbour                        // another agent that was partitioned as well
+	staleSourceEarlierIncarnation               // repeated pushes that earlier incarnations of other agents sent
+	staleSourceCount
 )
 
-func (m misleader) String() string {
+func (m staleSource) String() string {
 	return [...]string{"nobody", "old control", "old control with authority", "old neighbour", "earlier incarnation"}[m]
 }
 
-// absenceRun is a run in which an agent or its proxy misses many changes.
+// absenceRun describes a seeded run in which an agent or its proxy misses many changes.
 type absenceRun struct {
-	seed      uint64
-	distance  uint64
-	absence   absence
-	misleader misleader
-	busy      bool
+	seed          uint64
+	missedChanges uint64
+	absence       absence
+	staleSource   staleSource
+	busy          bool
 }
 
 func newAbsenceRun(seed uint64) absenceRun {
 	random := rand.New(rand.NewPCG(seed, 5))
 	run := absenceRun{
-		seed:      seed,
-		distance:  300,
-		absence:   absence(seed % uint64(absences)),
-		misleader: misleader(seed / uint64(absences) % uint64(misleaders)),
-		busy:      random.IntN(2) == 0,
+		seed:          seed,
+		missedChanges: 300,
+		absence:       absence(seed % uint64(absenceCount)),
+		staleSource:   staleSource(seed / uint64(absenceCount) % uint64(staleSourceCount)),
+		busy:          random.IntN(2) == 0,
 	}
 	switch draw := random.IntN(20); {
 	case draw == 0:
-		run.distance = 3000
+		run.missedChanges = 3000
 	case draw < 4:
-		run.distance = 1000
+		run.missedChanges = 1000
 	}
 	return run
 }
 
-// runAbsence runs a model and returns how long the agent's proxy needed for what was committed as it returned.
-func runAbsence(run absenceRun, plant injectedFault) (*model, time.Duration) {
+// runAbsence runs a model, and returns the time after the end of the absence in which the agent's proxy received all
+// changes committed during it.
+func runAbsence(run absenceRun, fault injectedFault) (*model, time.Duration) {
 	m := newModel(run.seed, 3, 5)
-	m.injected = plant
+	m.injected = fault
 	if !m.commitAndWait(changesBeforeAbsence) {
 		return m, 0
 	}
 	agent, neighbour := m.agents[0], m.agents[1]
 	m.beginAbsence(run.absence, agent)
 	old := m.controls[m.random.IntN(len(m.controls))]
-	switch run.misleader {
-	case misledByControl, misledByAuthority:
+	switch run.staleSource {
+	case staleSourceControl, staleSourceAuthoritativeControl:
 		old.stalled = true
-		old.authoritative = run.misleader == misledByAuthority
-	case misledByNeighbour:
+		old.authoritative = run.staleSource == staleSourceAuthoritativeControl
+	case staleSourceNeighbour:
 		m.partitioned[neighbour.self.Address] = true
 	}
-	if !m.commitAndWait(run.distance) {
+	if !m.commitAndWait(run.missedChanges) {
 		return m, 0
 	}
-	if run.misleader == misledByControl || run.misleader == misledByAuthority {
+	if run.staleSource == staleSourceControl || run.staleSource == staleSourceAuthoritativeControl {
 		m.onlyReaches(agent, old)
 	}
 	delete(m.partitioned, neighbour.self.Address)
-	target := m.last()
+	target := m.newestSequence()
 	if run.busy {
 		m.commitMany(100, func() {})
 	}
 	m.endAbsence(run.absence, agent)
-	if run.misleader == misledByEarlierLife {
-		m.after(m.upTo(50*time.Millisecond), agent.repeatPushes)
+	if run.staleSource == staleSourceEarlierIncarnation {
+		m.after(m.jitter(50*time.Millisecond), agent.repeatPushes)
 	}
 	began := m.now
 	m.after(500*time.Millisecond, func() { m.heal(agent, old) })
 	m.runUntil(time.Minute, func() bool { return !agent.proxy.dead && agent.proxy.replica.Sequence() >= target })
-	caught := m.now - began
-	if caught > catchUpTimeout {
-		m.fail("the proxy has caught up after %v", caught)
+	catchUpTime := m.now - began
+	if catchUpTime > catchUpTimeout {
+		m.fail("the proxy has caught up after %v", catchUpTime)
 	}
 	if !m.runUntil(20*time.Second, m.converged) {
 		m.fail("not all proxies have the newest state")
 	}
-	return m, caught
+	return m, catchUpTime
 }
 
-// commitAndWait commits changes, one after the other, and waits until all are.
+// commitAndWait commits changes one after the other, and waits until all of them are committed.
 func (m *model) commitAndWait(count uint64) bool {
 	done := false
 	m.commitMany(count, func() { done = true })
 	if !m.runUntil(time.Duration(count)*100*time.Millisecond+time.Second, func() bool { return done }) {
-		m.fail("the model makes no progress")
+		m.fail("the changes were not committed in time")
 	}
 	return done
 }
 
 func (m *model) converged() bool {
-	return !slices.ContainsFunc(m.agents, func(one *modelAgent) bool { return one.proxy.replica.Sequence() < m.last() })
+	return !slices.ContainsFunc(m.agents, func(agent *modelAgent) bool { return agent.proxy.replica.Sequence() < m.newestSequence() })
 }
 
 func (m *model) beginAbsence(absence absence, agent *modelAgent) {
 	switch absence {
-	case absentCut, absentRestarted, absentProxyCut:
+	case absencePartitioned, absencePartitionedRestarted, absencePartitionedProxyRestarted:
 		m.partitioned[agent.self.Address] = true
-	case absentControl:
+	case absencePartitionedFromControl:
 		m.setReach(agent, nil)
-	case absentDown:
+	case absenceProcessDown:
 		agent.kill()
-	case absentProxy:
+	case absenceProxyDown:
 		agent.proxy.dead = true
-	case absentCore:
+	case absenceAllPartitionedFromControl:
 		for _, one := range m.agents {
 			m.setReach(one, nil)
 		}
 	}
 }
 
-// setReach lets an agent reach some control machines only.
+// setReach partitions an agent from all control machines except some.
 func (m *model) setReach(agent *modelAgent, reached []*modelControl) {
 	for _, control := range m.controls {
 		m.partitioned[agent.self.Host+">"+control.address] = !slices.Contains(reached, control)
@@ -176,26 +177,26 @@
 func (m *model) endAbsence(absence absence, agent *modelAgent) {
 	delete(m.partitioned, agent.self.Address)
 	switch absence {
-	case absentRestarted:
+	case absencePartitionedRestarted:
 		agent.kill()
-		m.after(m.upTo(200*time.Millisecond), agent.start)
-	case absentDown:
+		m.after(m.jitter(200*time.Millisecond), agent.start)
+	case absenceProcessDown:
 		agent.start()
-	case absentProxy, absentProxyCut:
+	case absenceProxyDown, absencePartitionedProxyRestarted:
 		agent.proxy.restart()
-	case absentCore:
+	case absenceAllPartitionedFromControl:
 		for _, one := range m.agents[1:] {
 			m.setReach(one, m.controls)
 		}
 	}
 }
 
-// heal lets the agent reach all control machines again, and the old one receive changes.
+// heal lets the agent reach all control machines again, and the stale control machine receive changes.
 func (m *model) heal(agent *modelAgent, old *modelControl) {
 	m.setReach(agent, m.controls)
 	old.stalled = false
 	old.authoritative = true
-	old.follow()
+	old.applyCommitted()
 }
 
 func environment(name string, otherwise int) int {
@@ -213,7 +214,7 @@
 		run := newAbsenceRun(uint64(seed))
 		m, after := runAbsence(run, injectedFault{})
 		require.Empty(t, m.failures, "%+v", run)
-		for _, kind := range []string{fmt.Sprint(run.distance, " changes"), run.absence.String(), run.misleader.String()} {
+		for _, kind := range []string{fmt.Sprint(run.missedChanges, " changes"), run.absence.String(), run.staleSource.String()} {
 			caught[kind] = append(caught[kind], after)
 		}
 	}
@@ -226,11 +227,11 @@
 	}
 }
 
-// Each check of the model finds an injected fault.
-func TestModelFindsPlantedFaults(t *testing.T) {
+// Each check of the model must detect the fault that violates it, in at least one of the seeded runs.
+func TestModelFindsInjectedFaults(t *testing.T) {
 	faults := []struct {
 		name    string
-		plant   injectedFault
+		fault   injectedFault
 		finding string
 	}{
 		{"a proxy is sent a state of another sequence", injectedFault{proxyCall: renumber}, "has another state"},
@@ -242,19 +243,19 @@
 	for _, fault := range faults {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(absences) * uint64(misleaders) {
+			for seed := range uint64(absenceCount) * uint64(staleSourceCount) {
 				run := newAbsenceRun(seed)
-				run.distance = 300
-				if m, _ := runAbsence(run, fault.plant); strings.Contains(strings.Join(m.failures, "; "), fault.finding) {
+				run.missedChanges = 300
+				if m, _ := runAbsence(run, fault.fault); strings.Contains(strings.Join(m.failures, "; "), fault.finding) {
 					return
 				}
 			}
-			require.Fail(t, "not found")
+			require.Fail(t, "no run detected the injected fault")
 		})
 	}
 }
 
-// renumber replaces the last of some changes by an empty one of the same sequence.
+// renumber replaces the last of several changes by an empty change with the same sequence.
 func renumber(call *proxyCall) {
 	changes := call.apply.GetChanges()
 	if len(changes) < 2 {
@@ -265,7 +266,7 @@
 	call.apply.Changes = append(slices.Clone(changes[:len(changes)-1]), lacking)
 }
 
-// olderChanges sends the first changes again in place of later ones.
+// olderChanges returns a fault that sends the first changes again instead of later ones.
 func olderChanges() func(*proxyCall) {
 	var first []*pb.Change
 	return func(call *proxyCall) {
@@ -279,7 +280,7 @@
 	}
 }
 
-// olderRepair sends the first complete state again in place of later changes.
+// olderRepair returns a fault that sends the first repair again together with later changes.
 func olderRepair() func(*proxyCall) {
 	var first *pb.Repair
 	return func(call *proxyCall) {
--- a/internal/region/agent/control_endpoints_test.go
+++ b/internal/region/agent/control_endpoints_test.go
@@ -18,7 +18,7 @@
 	return &pb.Replica{Address: address, Zone: zone, Region: region}
 }
 
-func TestChooseTakesTheNearestThatWorks(t *testing.T) {
+func TestChooseReturnsTheNearestUsable(t *testing.T) {
 	known := newTestEndpoints("seed:1", "near:1")
 	known.voters = []*pb.Replica{
 		voter("far:1", "zone-c", "region-b"),
@@ -31,7 +31,7 @@
 		known.recordFailure(now, want)
 		now += time.Millisecond
 	}
-	require.Equal(t, "near:1", known.choose(now, ""), "its failure is longest ago")
+	require.Equal(t, "near:1", known.choose(now, ""), "its last failure is the oldest")
 	require.Equal(t, "region:1", known.choose(now, "near:1"))
 	require.Equal(t, "near:1", known.choose(now+failureCooldown, ""))
 }
@@ -52,13 +52,13 @@
 	known := newTestEndpoints()
 	require.Empty(t, known.choose(0, ""))
 	known.seeds = []string{"a:1"}
-	require.Equal(t, "a:1", known.choose(0, "a:1"), "there is no other")
+	require.Equal(t, "a:1", known.choose(0, "a:1"), "no other machine is known")
 	known.recordFailure(0, "a:1")
 	require.Equal(t, "a:1", known.choose(0, "a:1"))
-	require.Empty(t, testTargetsChoice("gone:1"), "one that is no longer known")
+	require.Empty(t, chooseWithoutEndpoints("gone:1"), "the excluded machine is no longer known")
 }
 
-func testTargetsChoice(except string) string {
+func chooseWithoutEndpoints(except string) string {
 	known := newTestEndpoints()
 	return known.choose(0, except)
 }
--- a/internal/region/agent/core_peers.go
+++ b/internal/region/agent/core_peers.go
@@ -10,15 +10,15 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// stepGossip ticks the gossip and the partial view when they are due, and returns the calls to other agents.
+// stepGossip ticks the gossip and the partial view when their tick is due, and returns the calls to other agents.
 func (c *core) stepGossip(now time.Duration) []action {
 	if now < c.gossipDue {
 		return nil
 	}
 	c.gossipDue = now + gossipInterval
-	actions := c.gossipActions(c.gossip.Step(now, gossip.Tick{}))
-	for _, one := range c.partialView.Step(now, shuffle.Tick{}) {
-		if exchange, ok := one.(shuffle.Exchange); ok {
+	actions := c.peerCalls(c.gossip.Step(now, gossip.Tick{}))
+	for _, viewAction := range c.partialView.Step(now, shuffle.Tick{}) {
+		if exchange, ok := viewAction.(shuffle.Exchange); ok {
 			c.counters.shuffles++
 			actions = append(actions, shuffleCall{exchange})
 		}
@@ -26,23 +26,24 @@
 	return actions
 }
 
-// gossipActions returns the calls among the actions of the gossip. Its replies are sent where they were requested.
-func (c *core) gossipActions(produced []gossip.Action) []action {
+// peerCalls returns the calls to other agents among the actions of the gossip. Replies are not calls: the handlers of
+// the requests send them.
+func (c *core) peerCalls(produced []gossip.Action) []action {
 	var actions []action
-	for _, one := range produced {
-		switch one := one.(type) {
+	for _, gossipAction := range produced {
+		switch call := gossipAction.(type) {
 		case gossip.Push:
 			c.counters.pushes++
-			actions = append(actions, pushCall{one})
+			actions = append(actions, pushCall{call})
 		case gossip.Compare:
 			c.counters.compares++
-			actions = append(actions, compareCall{one})
+			actions = append(actions, compareCall{call})
 		}
 	}
 	return actions
 }
 
-// handlePeerCallDone processes the result of a call to another agent.
+// handlePeerCallDone processes the result of a call to another agent, and returns the calls that follow from it.
 func (c *core) handlePeerCallDone(now time.Duration, received event) []action {
 	switch done := received.(type) {
 	case shuffleDone:
@@ -55,7 +56,7 @@
 		if c.recordPeerFailure(now, done.err, done.call.To.Host) {
 			return nil
 		}
-		return c.gossipActions(c.gossip.Step(now, gossip.PushAnswered{
+		return c.peerCalls(c.gossip.Step(now, gossip.PushAnswered{
 			To:       done.call.To,
 			Sequence: done.response.GetSequence(),
 			List:     done.response.GetList(),
@@ -64,13 +65,13 @@
 		if c.recordPeerFailure(now, done.err, done.call.To.Host) {
 			return nil
 		}
-		return c.gossipActions(c.gossip.Step(now, gossip.CompareAnswered{Request: done.call.Compare, Response: done.response}))
+		return c.peerCalls(c.gossip.Step(now, gossip.CompareAnswered{Request: done.call.Compare, Response: done.response}))
 	}
 	return nil
 }
 
-// recordPeerFailure reports whether a call to another agent failed, and then removes it from the partial view, unless
-// it answered that it is overloaded.
+// recordPeerFailure reports whether a call to another agent failed. If so, it counts the failure and removes that agent
+// from the partial view, unless the agent responded that it is overloaded.
 func (c *core) recordPeerFailure(now time.Duration, err error, host string) bool {
 	if err == nil {
 		return false
@@ -84,8 +85,8 @@
 	return true
 }
 
-// handlePeerRequest answers a call of another agent. The channel of a request has room for its one response, so that
-// the core never waits for a caller.
+// handlePeerRequest responds to a call of another agent. The response channel of a request has capacity for the single
+// response, so that the core never blocks on a caller.
 func (c *core) handlePeerRequest(now time.Duration, received event) []action {
 	switch received := received.(type) {
 	case shuffleRequested:
@@ -106,9 +107,9 @@
 		From:   neighbourFromMessage(received.request.GetFrom()),
 		Sample: neighboursFromMessages(received.request.GetSample()),
 	})
-	for _, one := range produced {
-		if answer, ok := one.(shuffle.ExchangeReply); ok {
-			received.response <- &pb.ShuffleResponse{Sample: neighbourMessages(answer.Sample)}
+	for _, viewAction := range produced {
+		if reply, ok := viewAction.(shuffle.ExchangeReply); ok {
+			received.response <- &pb.ShuffleResponse{Sample: neighbourMessages(reply.Sample)}
 		}
 	}
 }
@@ -119,12 +120,12 @@
 		Changes: received.request.GetChanges(),
 		List:    received.request.GetList(),
 	})
-	for _, one := range produced {
-		if reply, ok := one.(gossip.PushReply); ok {
+	for _, gossipAction := range produced {
+		if reply, ok := gossipAction.(gossip.PushReply); ok {
 			received.response <- &pb.PushResponse{Sequence: reply.Sequence, List: reply.List}
 		}
 	}
-	return c.gossipActions(produced)
+	return c.peerCalls(produced)
 }
 
 func (c *core) answerCompare(now time.Duration, received compareRequested) []action {
@@ -134,10 +135,10 @@
 		List:              received.request.GetList(),
 		AcceptsCompressed: received.request.GetAcceptsCompressed(),
 	})
-	for _, one := range produced {
-		if reply, ok := one.(gossip.CompareReply); ok {
+	for _, gossipAction := range produced {
+		if reply, ok := gossipAction.(gossip.CompareReply); ok {
 			received.response <- reply.Response
 		}
 	}
-	return c.gossipActions(produced)
+	return c.peerCalls(produced)
 }
--- a/internal/region/agent/digest_test.go
+++ b/internal/region/agent/digest_test.go
@@ -12,9 +12,10 @@
 	"fieldrelay/internal/testkit/digesttest"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs again")
+var update = flag.Bool("update", false, "update the recorded digests of the seeded runs")
 
-// A change that should change no behaviour changes no call of any agent, to its proxy, to control or to another agent.
+// A change of the code that keeps the behaviour must leave all calls of all agents in seeded runs, to proxies, control
+// machines and other agents, exactly as recorded.
 func TestStormsHaveTheRecordedDigests(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		name := fmt.Sprintf("storm-%d", seed)
@@ -24,20 +25,20 @@
 				m := newModel(seed, 3, 6)
 				m.observe = func(agent *modelAgent, received event, actions []action) {
 					recordResponses(recorder, agent, received)
-					for _, one := range actions {
-						recordCall(recorder, agent, one)
+					for _, call := range actions {
+						recordCall(recorder, agent, call)
 					}
 				}
 				require.True(t, m.commitAndWait(changesBeforeAbsence))
-				m.storm(m.now + 8*time.Second)
+				m.injectFaults(m.now + 8*time.Second)
 				require.True(t, m.commitAndWait(300))
-				for _, one := range m.agents[:2] {
-					one.deliver(shutdownRequested{})
+				for _, agent := range m.agents[:2] {
+					agent.deliver(shutdownRequested{})
 				}
 				m.runUntil(5*time.Second, func() bool { return false })
 				require.Empty(t, m.failures)
-				for _, one := range m.agents {
-					recorder.Entry(m.now, "end").Number(one.proxy.replica.Sequence()).Message(one.proxy.replica.Snapshot().Digests())
+				for _, agent := range m.agents {
+					recorder.Entry(m.now, "end").Number(agent.proxy.replica.Sequence()).Message(agent.proxy.replica.Snapshot().Digests())
 				}
 				return recorder
 			})
@@ -47,8 +48,8 @@
 
 func recordNeighbours(entry *digesttest.Recorder, neighbours ...shuffle.Neighbour) {
 	entry.Number(uint64(len(neighbours)))
-	for _, one := range neighbours {
-		entry.Text(one.Host).Text(one.Address).Text(one.Zone).Text(one.Region).Number(uint64(one.Age))
+	for _, neighbour := range neighbours {
+		entry.Text(neighbour.Host).Text(neighbour.Address).Text(neighbour.Zone).Text(neighbour.Region).Number(uint64(neighbour.Age))
 	}
 }
 
@@ -76,11 +77,12 @@
 	case compareCall:
 		recordNeighbours(begin("compare").Message(call.Digests).Message(call.List), call.To)
 	default:
-		agent.model.fail("an action that the digests do not know")
+		agent.model.fail("an action of a type that the digests do not cover")
 	}
 }
 
-// recordResponses records the requests and responses of other agents. A response stays in its channel for the caller.
+// recordResponses records requests received from other agents and the results of calls to them. It does not read the
+// response to a received request, which stays in its channel for the caller.
 func recordResponses(recorder *digesttest.Recorder, agent *modelAgent, received event) {
 	begin := func(label string) *digesttest.Recorder {
 		return recorder.Entry(agent.model.now, label).Text(agent.self.Host).Number(agent.incarnation)
--- a/internal/region/agent/model_agent_test.go
+++ b/internal/region/agent/model_agent_test.go
@@ -12,16 +12,16 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// modelAgent is an agent process on its machine.
+// modelAgent is a simulated agent process and its machine.
 type modelAgent struct {
 	model       *model
 	self        shuffle.Neighbour
 	seeds       []string
 	proxy       *modelProxy
-	core        *core // nil while the process is dead
+	core        *core // nil while the process is down
 	incarnation uint64
 	nextTickAt  time.Duration
-	pushes      []*pb.PushRequest // received, to be repeated in a later incarnation
+	pushes      []*pb.PushRequest // received pushes, which repeatPushes delivers again
 }
 
 func (a *modelAgent) start() {
@@ -34,8 +34,8 @@
 
 func (a *modelAgent) kill() { a.core = nil }
 
-// forThisRun returns a function that delivers an event to this incarnation of the process only.
-func (a *modelAgent) forThisRun() func(event) {
+// deliverToThisIncarnation returns a function that delivers an event, unless the process has been restarted since.
+func (a *modelAgent) deliverToThisIncarnation() func(event) {
 	incarnation := a.incarnation
 	return func(received event) {
 		if a.incarnation == incarnation {
@@ -65,7 +65,7 @@
 	nextTick := max(a.core.nextTick(a.model.now), a.model.now+minTickInterval)
 	if a.nextTickAt <= a.model.now || nextTick < a.nextTickAt {
 		a.nextTickAt = nextTick
-		deliver := a.forThisRun()
+		deliver := a.deliverToThisIncarnation()
 		a.model.after(nextTick-a.model.now, func() {
 			if a.nextTickAt == nextTick {
 				deliver(tick{})
@@ -105,7 +105,7 @@
 }
 
 func (a *modelAgent) watch(call watchCall) {
-	m, deliver := a.model, a.forThisRun()
+	m, deliver := a.model, a.deliverToThisIncarnation()
 	failed := func(after time.Duration, err error) {
 		m.after(after, func() { deliver(watchDone{call: call, err: err}) })
 	}
@@ -160,17 +160,17 @@
 }
 
 func (m *model) agent(address string) *modelAgent {
-	for _, one := range m.agents {
-		if one.self.Address == address {
-			return one
+	for _, agent := range m.agents {
+		if agent.self.Address == address {
+			return agent
 		}
 	}
 	return nil
 }
 
-// callPeer carries a call to another agent and its response back.
+// callPeer simulates a call to another agent: it delivers the request there and the response to the caller.
 func (a *modelAgent) callPeer(address string, request event, response func() event, failed event) {
-	m, deliver := a.model, a.forThisRun()
+	m, deliver := a.model, a.deliverToThisIncarnation()
 	m.after(m.latency(), func() {
 		other := m.agent(address)
 		if other == nil || other.core == nil || a.isPartitioned(address) {
@@ -200,7 +200,7 @@
 	})
 }
 
-// decompressedResponse returns another agent's response as the caller posts it.
+// decompressedResponse returns the result of a call to another agent as caller posts it, decompressed.
 func decompressedResponse(done event) event {
 	if compared, isCompare := done.(compareDone); isCompare {
 		compared.err = decompressCompare(compared.response)
@@ -209,7 +209,7 @@
 	return done
 }
 
-// responseSize returns the size in bytes of another agent's response.
+// responseSize returns the size in bytes of the response of another agent.
 func responseSize(done event) int {
 	switch done := done.(type) {
 	case pushDone:
@@ -222,7 +222,7 @@
 	return 0
 }
 
-// repeatPushes delivers again the pushes that this machine has received, also those of neighbours' earlier incarnations.
+// repeatPushes delivers the pushes received so far again, including those sent by earlier incarnations of other agents.
 func (a *modelAgent) repeatPushes() {
 	for _, request := range a.pushes {
 		a.deliver(pushRequested{request: request, response: make(chan *pb.PushResponse, 1)})
@@ -230,16 +230,16 @@
 }
 
 func (a *modelAgent) exchange(call proxyCall) {
-	m, deliver := a.model, a.forThisRun()
+	m, deliver := a.model, a.deliverToThisIncarnation()
 	if m.injected.proxyCall != nil {
 		m.injected.proxyCall(&call)
 	}
-	m.after(m.upTo(2*time.Millisecond), func() {
+	m.after(m.jitter(2*time.Millisecond), func() {
 		if a.proxy.dead {
 			deliver(proxyCallDone{call: call, err: errModelTimeout})
 			return
 		}
 		status := a.proxy.apply(call.apply)
-		m.after(m.upTo(2*time.Millisecond), func() { deliver(proxyCallDone{call: call, status: status}) })
+		m.after(m.jitter(2*time.Millisecond), func() { deliver(proxyCallDone{call: call, status: status}) })
 	})
 }
--- a/internal/region/agent/narrowlinks_test.go
+++ b/internal/region/agent/narrowlinks_test.go
@@ -13,38 +13,40 @@
 	"fieldrelay/internal/region/packing"
 )
 
-// Links and sizes of a deployment in which changes were late (docs/incidents/config-late.md): 61 edge machines on
-// 10 Mbit/s and five control machines on 30 Mbit/s, of which two may be lost; 1,500 routes, and 1,400 more in one change.
+// Bandwidths and sizes of a deployment on which large changes have exceeded maxApplyDelay: 61 edge machines on
+// 10 Mbit/s and five control machines on 30 Mbit/s, of which two may be lost; 1,500 routes, and 1,400 more in one
+// change.
 const (
-	edgeBandwidth    = 10e6 / 8 // bytes a second
-	controlBandwidth = 30e6 / 8 // bytes a second
+	edgeBandwidth    = 10e6 / 8 // bytes per second
+	controlBandwidth = 30e6 / 8 // bytes per second
 	edgeMachines     = 61
 	coreMachines     = 5
 	lostMachines     = 2
-	routesAtFirst    = 1500
+	initialRoutes    = 1500
 	routesInChange   = 1400
-	// maxApplyDelay is the longest time from a commit to the last proxy that such a deployment accepts.
+	// maxApplyDelay is the maximum acceptable time from a commit until the last proxy has applied the change.
 	maxApplyDelay = 3 * time.Second
 )
 
-// limitBandwidth gives the machines links of bounded bandwidth.
+// limitBandwidth gives the machines links of limited bandwidth.
 func (m *model) limitBandwidth() {
 	m.links = newModelLinks(m)
 	for _, control := range m.controls {
 		m.links.capacity[control.address] = controlBandwidth
 	}
-	for _, one := range m.agents {
-		m.links.capacity[one.self.Address] = edgeBandwidth
+	for _, agent := range m.agents {
+		m.links.capacity[agent.self.Address] = edgeBandwidth
 	}
 }
 
-// commitRoutes makes one change that adds routes of the size that operators send, with names that repeat nothing.
+// commitRoutes commits one change that adds routes of the size that operators send. The names are random and have
+// nothing in common that compression could use.
 func (m *model) commitRoutes(count int) {
-	sequence := m.last() + 1
-	made := &pb.Change{Sequence: sequence, Generation: sequence}
+	sequence := m.newestSequence() + 1
+	change := &pb.Change{Sequence: sequence, Generation: sequence}
 	for range count {
 		name := fmt.Sprintf("r-%07x", m.random.Uint64()&0xfffffff)
-		made.Upserts = append(made.Upserts, &pb.Item{
+		change.Upserts = append(change.Upserts, &pb.Item{
 			Kind:     catalog.KindRoutes,
 			Name:     name,
 			Order:    1,
@@ -55,10 +57,10 @@
 				name, m.random.Uint64()&0xffffff, m.random.Uint64()&0xffffff),
 		})
 	}
-	m.add(made)
+	m.appendChange(change)
 }
 
-// loseControlMachines makes control machines fail silently.
+// loseControlMachines makes the first lostMachines control machines stop responding without closing connections.
 func (m *model) loseControlMachines() {
 	for _, control := range m.controls[:lostMachines] {
 		control.dead = true
@@ -66,23 +68,24 @@
 	}
 }
 
-// newStartWithoutState returns a deployment whose agents have no state yet: all of it was committed before they start,
-// and control machines are gone.
+// newStartWithoutState returns a model in which agents without state start after all changes have been committed and
+// control machines have been lost.
 func newStartWithoutState(seed uint64) *model {
 	m := newModel(seed, coreMachines, edgeMachines)
 	m.limitBandwidth()
 	m.loseControlMachines()
-	m.commitRoutes(routesAtFirst)
+	m.commitRoutes(initialRoutes)
 	m.commitRoutes(routesInChange)
 	return m
 }
 
-// A change of many routes is in force at all proxies in time though two of five control machines are gone.
+// A change of many routes must reach all proxies within maxApplyDelay even though two of five control machines are
+// lost.
 func TestALargeChangeIsInForceInTimeOverNarrowLinks(t *testing.T) {
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
 		m := newModel(seed, coreMachines, edgeMachines)
 		m.limitBandwidth()
-		m.commitRoutes(routesAtFirst)
+		m.commitRoutes(initialRoutes)
 		require.True(t, m.runUntil(time.Minute, m.converged), "seed %d: the first state", seed)
 		m.loseControlMachines()
 		m.runUntil(5*time.Second, func() bool { return false })
@@ -91,7 +94,7 @@
 			began := m.now
 			m.commitRoutes(routesInChange)
 			inForce := m.runUntil(time.Minute, m.converged)
-			t.Logf("seed %d, change %d: in force after %v, %.1f MB carried", seed, round, m.now-began, (m.links.carried-before)/1e6)
+			t.Logf("seed %d, change %d: applied by all proxies after %v, %.1f MB transferred", seed, round, m.now-began, (m.links.carried-before)/1e6)
 			require.True(t, inForce)
 			require.Less(t, m.now-began, maxApplyDelay, "seed %d, change %d", seed, round)
 		}
@@ -99,24 +102,25 @@
 	}
 }
 
-// All agents that start at once without state, as after a loss of power, have the complete state in time.
+// When all agents start at once without state, as after a power failure, all proxies must have the complete state
+// within maxApplyDelay.
 func TestAllAgentsStartInTimeOverNarrowLinks(t *testing.T) {
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
 		m := newStartWithoutState(seed)
 		inForce := m.runUntil(time.Minute, m.converged)
-		t.Logf("seed %d: in force after %v, %.1f MB carried", seed, m.now, m.links.carried/1e6)
+		t.Logf("seed %d: applied by all proxies after %v, %.1f MB transferred", seed, m.now, m.links.carried/1e6)
 		require.True(t, inForce)
 		require.Less(t, m.now, maxApplyDelay, "seed %d", seed)
 		require.Empty(t, m.failures, "seed %d", seed)
 	}
 }
 
-// Over links so narrow that every response takes longer than the timeout for its start, the agents still get all of it:
-// a response on its way is not abandoned and requested again.
+// Guards against responses that are abandoned during their transfer and requested again: over links so narrow that
+// every response takes longer than the timeout for its start, all proxies must still receive the change.
 func TestSlowResponsesMakeProgress(t *testing.T) {
 	const (
-		narrower = 20
-		// slack allows for responses that are requested twice, and those of neighbours.
+		slowdown = 20
+		// slack allows for responses that are requested twice, and for the responses of other agents.
 		slack = 3
 	)
 	for seed := range uint64(environment("AGENT_NARROW", 3)) {
@@ -125,7 +129,7 @@
 		m.commitRoutes(10)
 		require.True(t, m.runUntil(time.Minute, m.converged), "seed %d: the first state", seed)
 		for machine := range m.links.capacity {
-			m.links.capacity[machine] /= narrower
+			m.links.capacity[machine] /= slowdown
 		}
 		m.loseControlMachines()
 		m.runUntil(5*time.Second, func() bool { return false })
@@ -133,12 +137,12 @@
 		m.commitRoutes(routesInChange)
 		inForce := m.runUntil(2*time.Minute, m.converged)
 		took := m.now - began
-		packed := proto.Size(m.controls[coreMachines-1].packer.Compressed(
-			packing.Key{Base: m.last() - 1, Sequence: m.last()}, func() *pb.StateUpdate { return nil }))
-		once := float64(packed*edgeMachines) / (controlBandwidth / narrower * (coreMachines - lostMachines))
-		t.Logf("seed %d: in force after %v, %.1f s if each came once over even links", seed, took, once)
+		compressedSize := proto.Size(m.controls[coreMachines-1].compressor.Compressed(
+			packing.Key{Base: m.newestSequence() - 1, Sequence: m.newestSequence()}, func() *pb.StateUpdate { return nil }))
+		idealSeconds := float64(compressedSize*edgeMachines) / (controlBandwidth / slowdown * (coreMachines - lostMachines))
+		t.Logf("seed %d: applied by all proxies after %v; one transfer to each agent over evenly loaded links takes %.1f s", seed, took, idealSeconds)
 		require.True(t, inForce)
-		require.Less(t, took.Seconds(), once*slack, "seed %d", seed)
+		require.Less(t, took.Seconds(), idealSeconds*slack, "seed %d", seed)
 		require.Empty(t, m.failures, "seed %d", seed)
 	}
 }
--- a/internal/region/agent/partition_halves_test.go
+++ b/internal/region/agent/partition_halves_test.go
@@ -8,30 +8,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Times of a core that is partitioned into halves, the whole chain in the smaller one.
+// Parameters of runs in which the control machines are partitioned into two groups, with the whole replication chain in
+// the smaller group.
 const (
-	// halfAgents is the number of edge machines of the largest deployment with a core of five.
+	// halfAgents is the number of edge machines of the largest deployment with five control machines.
 	halfAgents = 61
-	// halfSeeds is the number of runs of each kind; AGENT_HALVES sets another one.
+	// halfSeeds is the default number of seeded runs of each kind; AGENT_HALVES overrides it.
 	halfSeeds = 30
-	// authorityTimeout is how long after the partition machines keep their authority; the chain acknowledges as long.
+	// authorityTimeout is how long machines keep their authority after the partition. The chain acknowledges changes
+	// for the same time.
 	authorityTimeout = 1200 * time.Millisecond
-	// contactDelay is how long after the partition machines count as in touch again (the operators' contact-ms): more than
-	// half of the core runs and is connected.
+	// contactDelay is the time after the partition from which machines count as in contact again (setting contact-ms),
+	// since more than half of the control machines run and are connected.
 	contactDelay = 4 * time.Second
 )
 
-// halves is a run with two control machines that are the chain and three that receive nothing new.
-type halves struct {
+// partitionedCore is a model with five control machines: two form the replication chain, and three receive no changes
+// after the partition.
+type partitionedCore struct {
 	*model
 	chain, majority []*modelControl
 	partitionedAt   time.Duration
 }
 
-// newHalves lets the agents converge, on any control machine or on those of the majority only.
-func newHalves(t *testing.T, seed uint64, majorityOnly bool) *halves {
+// newPartitionedCore returns a model whose agents have converged before the partition, with long polls to any control
+// machine or only to those of the majority.
+func newPartitionedCore(t *testing.T, seed uint64, majorityOnly bool) *partitionedCore {
 	t.Helper()
-	h := &halves{model: newModel(seed, 5, halfAgents)}
+	h := &partitionedCore{model: newModel(seed, 5, halfAgents)}
 	h.chain, h.majority = h.controls[:2], h.controls[2:]
 	if majorityOnly {
 		for _, agent := range h.agents {
@@ -49,17 +53,17 @@
 	return h
 }
 
-// loseAuthority ends the authority of every control machine.
-func (h *halves) loseAuthority() {
+// loseAuthority revokes the authority of all control machines.
+func (h *partitionedCore) loseAuthority() {
 	for _, control := range h.controls {
 		control.authoritative = false
 		control.respondToWaiting(true)
 	}
 }
 
-// learn lets the chain acknowledge a last change at a time after the partition, and returns the time until all proxies
-// have it.
-func (h *halves) learn(t *testing.T, ackAfter time.Duration) time.Duration {
+// measureDelivery lets the chain acknowledge a last change at a time after the partition, and returns the time from the
+// acknowledgement until all proxies have the change.
+func (h *partitionedCore) measureDelivery(t *testing.T, ackAfter time.Duration) time.Duration {
 	h.runUntil(ackAfter, func() bool { return false })
 	h.commit()
 	ackedAt := h.now
@@ -75,26 +79,28 @@
 	return took
 }
 
-// learnAll plays runs of one kind and returns the time of the slowest proxy in each, sorted.
-func learnAll(t *testing.T, majorityOnly bool, ackAfter time.Duration) []time.Duration {
+// measureDeliveries simulates the seeded runs of one kind, and returns the time of the slowest proxy in each run,
+// sorted.
+func measureDeliveries(t *testing.T, majorityOnly bool, ackAfter time.Duration) []time.Duration {
 	t.Helper()
 	var took []time.Duration
 	for seed := range uint64(environment("AGENT_HALVES", halfSeeds)) {
-		took = append(took, newHalves(t, seed, majorityOnly).learn(t, ackAfter))
+		took = append(took, newPartitionedCore(t, seed, majorityOnly).measureDelivery(t, ackAfter))
 	}
 	slices.Sort(took)
-	t.Logf("all proxies have it after %v (p50), %v at most", took[len(took)/2], took[len(took)-1])
+	t.Logf("all proxies have the change after %v (p50), %v at most", took[len(took)/2], took[len(took)-1])
 	return took
 }
 
-// A change that only the smaller half has must reach the agents of the other machines before they count as in touch again.
+// A change that only the control machines of the smaller group have must reach all agents before the other machines
+// count as in contact again.
 func TestAgentsLearnWhatOnlyTheSmallerHalfHolds(t *testing.T) {
-	took := learnAll(t, false, authorityTimeout)
+	took := measureDeliveries(t, false, authorityTimeout)
 	require.LessOrEqual(t, took[len(took)-1], contactDelay-authorityTimeout)
 }
 
-// Where no agent has its long poll at a machine of the smaller half, probes have to find out that it has more.
+// If no agent has its long poll at a control machine of the smaller group, probes must discover the change there.
 func TestAgentsOfTheMajorityLearnWhatOnlyTheSmallerHalfHolds(t *testing.T) {
-	took := learnAll(t, true, authorityTimeout)
+	took := measureDeliveries(t, true, authorityTimeout)
 	require.LessOrEqual(t, took[len(took)-1], contactDelay-authorityTimeout)
 }
--- a/internal/region/agent/partition_start_test.go
+++ b/internal/region/agent/partition_start_test.go
@@ -17,18 +17,19 @@
 
 const (
 	partitionStep = 10 * time.Millisecond
-	// maxPartition is the longest partition of a control machine from the others.
+	// maxPartition is the maximum duration of the partition of a control machine from the others.
 	maxPartition = 22 * time.Second
 	// commitInterval is the time between two changes of the agreed state.
 	commitInterval = 300 * time.Millisecond
-	// confirmedWithin is the time in which the proxy's state has to be confirmed once the agent reaches the others.
+	// confirmedWithin is the time within which the state of the proxy has to be confirmed once the agent reaches the
+	// other control machines.
 	confirmedWithin = 3 * time.Second
-	// maxStaleness bounds the age of the confirmed state: a call ends after watchTimeout.
+	// maxStaleness is the maximum age of the confirmed state, since a call ends after watchTimeout.
 	maxStaleness = watchTimeout + 100*time.Millisecond
 )
 
-// partitionedStart is a simulated agent that starts while one of its seeds is partitioned from the other control
-// machines; the agent itself may be on either side.
+// partitionedStart simulates an agent that starts while one of its seeds is partitioned from the other control
+// machines. The agent may be on either side of the partition.
 type partitionedStart struct {
 	t               *testing.T
 	random          *rand.Rand
@@ -37,8 +38,8 @@
 	pending         []pendingEvent
 	partitionedAt   time.Duration
 	healedAt        time.Duration
-	reachableAt     time.Duration // when the agent reaches the others
-	claimsAuthority bool          // the injected fault: the partitioned machine claims authority
+	reachableAt     time.Duration // time from which the agent reaches the other control machines
+	claimsAuthority bool          // injects a fault: the partitioned machine claims authority
 
 	proxy       *gossip.Replica
 	confirmedAt time.Duration // 0: not yet
@@ -61,7 +62,7 @@
 		s.reachableAt = s.healedAt
 	}
 	self := shuffle.Neighbour{Host: "edge-1", Address: "10.0.0.1:7661", Zone: "zone-a", Region: "region-a"}
-	s.core = newCore(identity{neighbour: self, incarnation: 1}, seedsOf(random), 8*time.Second, random, zap.NewNop())
+	s.core = newCore(identity{neighbour: self, incarnation: 1}, shuffledSeeds(random), 8*time.Second, random, zap.NewNop())
 	s.core.control.nextLongPoll += s.now // the core's clock begins with the start
 	return s
 }
@@ -69,26 +70,26 @@
 // partitionedSeed is the machine that is partitioned from the others.
 const partitionedSeed = "core-0:1"
 
-func seedsOf(random *rand.Rand) []string {
+func shuffledSeeds(random *rand.Rand) []string {
 	seeds := []string{partitionedSeed, "core-1:1", "core-2:1"}
 	random.Shuffle(len(seeds), func(i, j int) { seeds[i], seeds[j] = seeds[j], seeds[i] })
 	return seeds
 }
 
-// agreed is the newest committed sequence at a time.
+// agreed returns the newest committed sequence at a time.
 func agreed(at time.Duration) uint64 { return uint64(at / commitInterval) }
 
-// run plays until the proxy's state is confirmed, or until it should have been.
+// run simulates until the state of the proxy is confirmed, or the time limit for the confirmation is over.
 func (s *partitionedStart) run() {
 	for end := s.reachableAt + confirmedWithin; s.now < end && s.confirmedAt == 0; s.now += partitionStep {
 		due := s.pending
 		s.pending = nil
-		for _, one := range due {
-			if one.at > s.now {
-				s.pending = append(s.pending, one)
+		for _, pending := range due {
+			if pending.at > s.now {
+				s.pending = append(s.pending, pending)
 				continue
 			}
-			s.step(one.event)
+			s.step(pending.event)
 		}
 		s.step(tick{})
 	}
@@ -110,15 +111,16 @@
 	s.pending = append(s.pending, pendingEvent{at: s.now + wait, event: received})
 }
 
-// watch lets a control machine respond: at once if it has an update or authority, otherwise at the end of the wait.
+// watch simulates a control machine, which responds at once if it has an update or authority, and otherwise at the end
+// of the wait.
 func (s *partitionedStart) watch(call watchCall) {
 	if call.address != partitionedSeed && s.now < s.reachableAt {
 		s.later(call.dialTimeout, watchDone{call: call, err: errors.Mark(errors.New("partitioned"), errDialTimeout)})
 		return
 	}
-	isCut := call.address == partitionedSeed && s.now < s.healedAt
-	response := &pb.WatchResponse{Authoritative: !isCut || s.claimsAuthority, Sequence: agreed(s.now)}
-	if isCut {
+	isPartitioned := call.address == partitionedSeed && s.now < s.healedAt
+	response := &pb.WatchResponse{Authoritative: !isPartitioned || s.claimsAuthority, Sequence: agreed(s.now)}
+	if isPartitioned {
 		response.Sequence = agreed(s.partitionedAt)
 	}
 	if response.Sequence > call.request.GetSequence() && !call.request.GetProbe() {
@@ -131,7 +133,7 @@
 	s.later(wait, watchDone{call: call, response: response})
 }
 
-// states are replicas by their sequence.
+// states caches replicas by sequence.
 var states = make(map[uint64]*gossip.Replica)
 
 func stateUpTo(sequence uint64) *gossip.Replica {
@@ -145,7 +147,7 @@
 	return states[sequence]
 }
 
-// applyToProxy lets the proxy apply what it is sent.
+// applyToProxy simulates the proxy, which applies the update and responds with its status.
 func (s *partitionedStart) applyToProxy(call proxyCall) {
 	if repair := call.apply.GetRepair(); repair != nil {
 		_, err := s.proxy.Restore(nil, repair)
@@ -160,14 +162,14 @@
 	s.later(time.Millisecond, proxyCallDone{call: call, status: status})
 }
 
-func TestAgentThatStartsDuringACutIsConfirmedByTheOthersAlone(t *testing.T) {
+func TestAgentThatStartsDuringAPartitionIsConfirmedByTheOthersAlone(t *testing.T) {
 	var waits, stales []time.Duration
 	for seed := range uint64(400) {
 		s := newPartitionedStart(t, seed)
 		s.run()
 		require.NotZero(t, s.confirmedAt, "seed %d: not confirmed", seed)
 		require.LessOrEqual(t, s.staleness, maxStaleness, "seed %d", seed)
-		require.GreaterOrEqual(t, s.confirmedAt, s.reachableAt, "seed %d: by the partitioned machine", seed)
+		require.GreaterOrEqual(t, s.confirmedAt, s.reachableAt, "seed %d: confirmed by the partitioned machine", seed)
 		waits = append(waits, s.confirmedAt-s.reachableAt)
 		stales = append(stales, s.staleness)
 	}
@@ -176,7 +178,7 @@
 		waits[len(waits)/2], waits[len(waits)*99/100], waits[len(waits)-1], slices.Max(stales))
 }
 
-func TestACutMachineThatCallsItsStateAgreedIsFound(t *testing.T) {
+func TestPartitionedMachineThatClaimsAuthorityIsFound(t *testing.T) {
 	found := 0
 	for seed := range uint64(40) {
 		s := newPartitionedStart(t, seed)
--- a/internal/region/agent/response_progress_test.go
+++ b/internal/region/agent/response_progress_test.go
@@ -16,25 +16,25 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// slowBody is a response's body that returns a byte at a time, each after an interval. After the last it ends or stalls.
+// slowBody is a response body that returns one byte per interval. After the last byte the body ends or stalls.
 type slowBody struct {
-	ctx      context.Context
-	left     int
-	interval time.Duration
-	ends     bool
+	ctx       context.Context
+	remaining int
+	interval  time.Duration
+	ends      bool
 }
 
 func (b *slowBody) Read(into []byte) (int, error) {
-	if b.left == 0 && b.ends {
+	if b.remaining == 0 && b.ends {
 		return 0, io.EOF
 	}
-	if b.left == 0 {
+	if b.remaining == 0 {
 		<-b.ctx.Done()
 		return 0, context.Cause(b.ctx)
 	}
 	select {
 	case <-time.After(b.interval):
-		b.left--
+		b.remaining--
 		into[0] = 'a'
 		return 1, nil
 	case <-b.ctx.Done():
@@ -44,10 +44,11 @@
 
 func (b *slowBody) Close() error { return nil }
 
-// startTimeout is the time in which a response to readResponse has to start.
+// startTimeout is the time within which the response in readResponse has to start.
 const startTimeout = time.Second
 
-// readResponse reads a response that starts after a delay. It returns how often its start was reported, and what ended it.
+// readResponse reads a response that starts after a delay. It returns how often the start of the response was reported,
+// and the error that ended the call.
 func readResponse(delay time.Duration, body func(ctx context.Context) io.ReadCloser) (starts int, err error) {
 	ctx, cancel := withResponseProgress(context.Background(), startTimeout, func() { starts++ })
 	defer cancel()
@@ -57,7 +58,7 @@
 		return starts, stalledCause(ctx, ctx.Err())
 	}
 	progress := responseProgressOf(ctx)
-	progress.received()
+	progress.recordProgress()
 	_, err = io.ReadAll(&progressBody{ReadCloser: body(ctx), progress: progress})
 	return starts, stalledCause(ctx, err)
 }
@@ -66,7 +67,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		starts, err := readResponse(time.Second/2, func(ctx context.Context) io.ReadCloser {
-			return &slowBody{ctx: ctx, left: 10, interval: time.Second, ends: true}
+			return &slowBody{ctx: ctx, remaining: 10, interval: time.Second, ends: true}
 		})
 		require.NoError(t, err)
 		require.Equal(t, 1, starts, "the start is reported once")
@@ -74,15 +75,15 @@
 	})
 }
 
-// A list that took long to arrive is older than its writer reported.
+// The transfer time of a server list must be added to its age: the sender reports the age at the time of sending.
 func TestListsAgeWhileTheyAreOnTheirWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := withResponseProgress(context.Background(), time.Second, nil)
 		defer cancel()
 		progress := responseProgressOf(ctx)
 		require.Zero(t, progress.sinceStart())
-		progress.received()
-		_, err := io.ReadAll(&progressBody{ReadCloser: &slowBody{ctx: ctx, left: 3, interval: time.Second, ends: true}, progress: progress})
+		progress.recordProgress()
+		_, err := io.ReadAll(&progressBody{ReadCloser: &slowBody{ctx: ctx, remaining: 3, interval: time.Second, ends: true}, progress: progress})
 		require.NoError(t, err)
 		list := &pb.ServerList{AgeMs: 200}
 		addTransferTime(list, progress.sinceStart())
@@ -91,7 +92,8 @@
 	})
 }
 
-// A list of servers is as old as when it was written, however long its way took.
+// As TestListsAgeWhileTheyAreOnTheirWay, through a call: a slowly transferred server list must not appear younger than
+// it is.
 func TestListThatCameSlowlyIsNotTakenForYounger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const silence, pause = 300 * time.Millisecond, time.Second
@@ -117,7 +119,7 @@
 	})
 }
 
-// slowReader is empty, and ends after a delay.
+// slowReader returns no bytes, and EOF after a delay.
 type slowReader struct{ delay time.Duration }
 
 func (r *slowReader) Read([]byte) (int, error) {
@@ -141,7 +143,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		_, err := readResponse(0, func(ctx context.Context) io.ReadCloser {
-			return &slowBody{ctx: ctx, left: 3, interval: time.Second}
+			return &slowBody{ctx: ctx, remaining: 3, interval: time.Second}
 		})
 		var stalled *stalledError
 		require.ErrorAs(t, err, &stalled)
@@ -154,14 +156,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		_, err := readResponse(0, func(ctx context.Context) io.ReadCloser {
-			return &slowBody{ctx: ctx, left: 1000, interval: time.Second}
+			return &slowBody{ctx: ctx, remaining: 1000, interval: time.Second}
 		})
 		require.ErrorIs(t, err, context.DeadlineExceeded)
 		require.Equal(t, maxCallDuration, time.Since(began))
 	})
 }
 
-// Bytes that a transport reads are progress of its call.
+// The transport must record the bytes that it reads as progress of the call.
 func TestTransportRecordsProgress(t *testing.T) {
 	base := &http.Transport{}
 	defer base.CloseIdleConnections()
--- a/internal/region/agent/storm_test.go
+++ b/internal/region/agent/storm_test.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// defaultStorms is the number of storms over hundreds of changes; AGENT_STORMS sets another one.
+	// defaultStorms is the default number of seeded runs; AGENT_STORMS overrides it.
 	defaultStorms  = 12
 	changesInStorm = 900
 )
 
-// storm injects one fault after the other until a time.
-func (m *model) storm(end time.Duration) {
+// injectFaults injects random faults at random intervals until a time.
+func (m *model) injectFaults(end time.Duration) {
 	if m.now >= end {
 		return
 	}
 	m.injectFault()
-	m.after(20*time.Millisecond+m.upTo(400*time.Millisecond), func() { m.storm(end) })
+	m.after(20*time.Millisecond+m.jitter(400*time.Millisecond), func() { m.injectFaults(end) })
 }
 
-// injectFault makes one agent, its proxy or a control machine fail for up to two seconds.
+// injectFault injects a random fault of an agent, its proxy or a control machine, which lasts up to two seconds.
 func (m *model) injectFault() {
 	agent := m.agents[m.random.IntN(len(m.agents))]
 	control := m.controls[m.random.IntN(len(m.controls))]
-	span := 20*time.Millisecond + m.upTo(2*time.Second)
+	span := 20*time.Millisecond + m.jitter(2*time.Second)
 	switch m.random.IntN(7) {
 	case 0:
 		m.partitioned[agent.self.Address] = true
@@ -50,21 +50,21 @@
 		control.authoritative = m.random.IntN(2) == 0
 		m.after(span, func() {
 			control.stalled, control.authoritative = false, true
-			control.follow()
+			control.applyCommitted()
 		})
 	case 6:
 		agent.repeatPushes()
 	}
 }
 
-// Through storms over hundreds of changes no replica and no proxy regresses or has another state than that of its
-// sequence, and after them all proxies have the newest state in time.
+// During random faults and hundreds of changes, no replica and no proxy may regress or have a state other than the
+// committed state of its sequence. After the faults, all proxies must have the newest state within catchUpTimeout.
 func TestAgentsThroughStorms(t *testing.T) {
 	first, count := environment("AGENT_FIRST", 1), environment("AGENT_STORMS", defaultStorms)
 	for seed := first; seed < first+count; seed++ {
 		m := newModel(uint64(seed), 3, 6)
 		require.True(t, m.commitAndWait(changesBeforeAbsence))
-		m.storm(m.now + 15*time.Second)
+		m.injectFaults(m.now + 15*time.Second)
 		require.True(t, m.commitAndWait(changesInStorm))
 		m.runUntil(20*time.Second, func() bool { return false })
 		m.commit()
