--- a/internal/sidecar/fleet/corerules.go
+++ b/internal/sidecar/fleet/corerules.go
@@ -12,7 +12,7 @@
 // newSkew makes the check of rules. It reads members and views as they are when it is stepped.
 func (c *Core) newSkew(cfg versionskew.Config, now time.Duration) {
 	cfg.Name, cfg.Boot, cfg.Pace, cfg.Seed = c.cfg.Member.Name, c.cfg.Member.Boot, c.cfg.Member.Pace, c.cfg.Member.Seed
-	cfg.Bound = view.Bound(c.cfg.View.Lease, c.cfg.View.Drift)
+	cfg.Bound = view.StalenessBound(c.cfg.View.Lease, c.cfg.View.Drift)
 	cfg.View, cfg.Decided = c.views.View, c.views.Decided
 	cfg.HoldsLease = func() bool { return c.views.HoldsLease(c.now) }
 	cfg.Leader = func() string { _, leader := c.views.VoterGroup(); return leader }
--- a/internal/sidecar/fleet/manage.go
+++ b/internal/sidecar/fleet/manage.go
@@ -47,7 +47,7 @@
 
 // voterRole returns how a line says that a member votes or leads.
 func (c *Core) voterRole(name string) string {
-	if name == c.cfg.Member.Name && !c.views.VoteCounts() {
+	if name == c.cfg.Member.Name && !c.views.IsEffectiveVoter() {
 		return "" // an earlier process of this name voted, and may still count in its place
 	}
 	group, leader := c.views.VoterGroup()
--- a/internal/sidecar/versionskew/skew.go
+++ b/internal/sidecar/versionskew/skew.go
@@ -69,7 +69,7 @@
 	Name          string
 	Boot          uint64
 	Pace          time.Duration
-	Bound         time.Duration // longest time that a view's lease lasts after the next view was decided: view.Bound
+	Bound         time.Duration // longest time that a view's lease lasts after the next view was decided: view.StalenessBound
 	Seed          uint64
 	Reads         rules.Reads
 	Lower         bool          // rewrite an edition in formats that all read, if that loses nothing
@@ -126,7 +126,7 @@
 
 // Bounds returns the guarantees with figures, as lines for the operator.
 func Bounds(lease time.Duration, drift float64) []string {
-	b := view.Bound(lease, drift).Round(time.Millisecond)
+	b := view.StalenessBound(lease, drift).Round(time.Millisecond)
 	return []string{
 		fmt.Sprintf("rules: no member that holds a view goes by the edition before for longer than lease_ms * (1 + drift) = %v after the next was agreed", b),
 		fmt.Sprintf("rules: two editions are agreed at least %v apart, so at most two are in force at once among those that hold a view", b),
--- a/internal/sidecar/view/check_test.go
+++ b/internal/sidecar/view/check_test.go
@@ -207,7 +207,7 @@
 	for i, m := range w.machines {
 		v, _ := m.View()
 		next, ok := w.decided[ID{v.ID.Era, v.ID.Number + 1}]
-		if m.HoldsLease(w.now) && ok && w.now-next > Bound(20*pace, 0) {
+		if m.HoldsLease(w.now) && ok && w.now-next > StalenessBound(20*pace, 0) {
 			return fmt.Errorf("%s holds %v, %v after the next one was decided", names[i], v.ID, w.now-next)
 		}
 	}
--- a/internal/sidecar/view/founding.go
+++ b/internal/sidecar/view/founding.go
@@ -138,7 +138,7 @@
 	m.voter, m.identity, m.cfg.Stored = nil, 0, nil
 	m.drawIdentity()
 	m.notice(true, "recovered by the operator's word: a new group of voters, era %x. Leases of the old one run out within %v", era,
-		Bound(m.cfg.Lease, m.cfg.Drift))
+		StalenessBound(m.cfg.Lease, m.cfg.Drift))
 	m.startGroup(Group{Era: era, Voters: []Voter{{m.cfg.Name, m.identity}}}, v)
 }
 
--- a/internal/sidecar/view/lease.go
+++ b/internal/sidecar/view/lease.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Bound is the longest time for which a member can hold the lease on a view after the next view was decided. drift is by how
-// much clocks may run faster or slower than one another.
-func Bound(lease time.Duration, drift float64) time.Duration {
+// StalenessBound returns the longest time for which a member can hold the lease on a view after the next view was decided.
+// drift is the largest relative difference between the rates of two members' clocks.
+func StalenessBound(lease time.Duration, drift float64) time.Duration {
 	return time.Duration(float64(lease) * (1 + drift))
 }
 
@@ -58,7 +58,7 @@
 	if s.ID == (ID{}) {
 		return
 	}
-	if m.cfg.Mutate == PushedAge {
+	if m.cfg.Mutate == AgeFromReceipt {
 		requestedAt = m.now
 	}
 	at, known := s.confirmedAt(requestedAt, m.cfg.Drift)
@@ -127,7 +127,7 @@
 
 // mayBeCurrent reports whether some member may still hold the lease on the view in force here.
 func (m *Machine) mayBeCurrent() bool {
-	return m.isConfirmed && m.now < m.confirmedAt+m.cfg.Lease+Bound(m.cfg.Lease, m.cfg.Drift)
+	return m.isConfirmed && m.now < m.confirmedAt+m.cfg.Lease+StalenessBound(m.cfg.Lease, m.cfg.Drift)
 }
 
 // adopt takes over a view. While the lease on the one before lasts and the new one is not confirmed, the one before stays in
--- a/internal/sidecar/view/machine.go
+++ b/internal/sidecar/view/machine.go
@@ -102,9 +102,10 @@
 // IsVoter reports whether this process votes.
 func (m *Machine) IsVoter() bool { return m.voter != nil }
 
-// VoteCounts reports whether this process votes under its own identity and no joint consensus with an earlier group is under
-// way: until then an earlier voter of its name may still count for the majority, and the loss of another voter could lose that.
-func (m *Machine) VoteCounts() bool {
+// IsEffectiveVoter reports whether this process votes under its own identity and no joint consensus with an earlier group is
+// in progress. Until then an earlier voter of the same name may still count toward the majority, and the loss of another voter
+// could lose the majority.
+func (m *Machine) IsEffectiveVoter() bool {
 	return m.voter != nil && slices.Contains(m.voter.confState.GetVoters(), m.voter.id) && len(m.voter.confState.GetVotersOutgoing()) == 0
 }
 
--- a/internal/sidecar/view/quiet_test.go
+++ b/internal/sidecar/view/quiet_test.go
@@ -22,7 +22,7 @@
 			now = max(now+1, m.Next())
 			m.Step(now, Tick{})
 		}
-		if bound := Bound(20*pace, 0.01); now < bound || now > bound+20*pace {
+		if bound := StalenessBound(20*pace, 0.01); now < bound || now > bound+20*pace {
 			t.Errorf("%s: holds its first view after %v, leases may run for %v", name, now, bound)
 		}
 	}
--- a/internal/sidecar/view/survey.go
+++ b/internal/sidecar/view/survey.go
@@ -162,7 +162,7 @@
 	if last.Members, missing = m.lastMembers(last); missing != "" {
 		return era, last, missing
 	}
-	if m.cfg.Mutate == RefoundBlind {
+	if m.cfg.Mutate == RefoundUnchecked {
 		return era, last, ""
 	}
 	var absent []string
@@ -207,7 +207,7 @@
 	}
 	for _, name := range s.requested {
 		reply := s.replies[name]
-		if age := time.Duration(reply.Stamp.Age) * time.Microsecond; reply.Stamp.Age > 0 && age < Bound(m.cfg.Lease, m.cfg.Drift) {
+		if age := time.Duration(reply.Stamp.Age) * time.Microsecond; reply.Stamp.Age > 0 && age < StalenessBound(m.cfg.Lease, m.cfg.Drift) {
 			return era, last, nil, fmt.Sprintf("%s has a view that was the newest %v ago", name, age.Round(time.Millisecond))
 		}
 		if reply.View != nil && (reply.View.ID.Compare(last.ID) > 0 || last.ID == ID{}) {
--- a/internal/sidecar/view/view.go
+++ b/internal/sidecar/view/view.go
@@ -165,10 +165,10 @@
 
 // The mutations.
 const (
-	NoMutation      Mutation = iota
-	WithoutMajority          // a voter without a leader decides alone
-	PushedAge                // an age counts from when it was received, not from when it was requested
-	RefoundBlind             // a new group is founded whatever may be left of the old one
+	NoMutation       Mutation = iota
+	WithoutMajority           // a voter without a leader decides alone
+	AgeFromReceipt            // an age counts from when it was received, not from when it was requested
+	RefoundUnchecked          // a new group is founded whatever may be left of the old one
 )
 
 // The constants of the agreement: times are in paces unless said otherwise.
--- a/internal/sidecar/view/votecounts_test.go
+++ b/internal/sidecar/view/votecounts_test.go
@@ -21,12 +21,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := &Machine{voter: &voter{id: own, confState: c.conf}}
-			if counts := m.VoteCounts(); counts != c.counts {
+			if counts := m.IsEffectiveVoter(); counts != c.counts {
 				t.Errorf("counts: %v", counts)
 			}
 		})
 	}
-	if (&Machine{}).VoteCounts() {
+	if (&Machine{}).IsEffectiveVoter() {
 		t.Error("one that does not vote counts")
 	}
 }
--- a/internal/sidecar/view/voter.go
+++ b/internal/sidecar/view/voter.go
@@ -56,7 +56,7 @@
 		senders: make(map[uint64]string)}
 	v.decided.Group.Era = era
 	if m.cfg.Stored == nil { // leases of an earlier group may last, and this process would not know
-		v.quietUntil = m.now + Bound(m.cfg.Lease, m.cfg.Drift)
+		v.quietUntil = m.now + StalenessBound(m.cfg.Lease, m.cfg.Drift)
 	}
 	quiet := quietLogger{&raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}
 	v.node, err = raft.NewRawNode(&raft.Config{ID: v.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: store, Applied: v.appliedIndex,
--- a/internal/testkit/fleetsim/comeback_test.go
+++ b/internal/testkit/fleetsim/comeback_test.go
@@ -52,7 +52,7 @@
 
 // refoundBound is what docs/design/comeback.md promises while nothing is lost on links.
 func refoundBound(members int, pace, lease time.Duration, drift float64) time.Duration {
-	return max(view.Bound(lease, drift), 20*pace) + 8*pace + 2*pace + time.Duration(members)*pace/32 + view.Bound(lease, drift) + 4*pace
+	return max(view.StalenessBound(lease, drift), 20*pace) + 8*pace + 2*pace + time.Duration(members)*pace/32 + view.StalenessBound(lease, drift) + 4*pace
 }
 
 // The voters lose their state and others live on: without an operator's word the fleet is one again, within its bound, in a
@@ -193,7 +193,7 @@
 // The voters were replaced by members that the file does not name, which are then cut off and decide on: the named ones, back
 // without their state, must not found a group beside them. One that does is noticed.
 func TestNothingIsFoundedBesideReplacedVoters(t *testing.T) {
-	for name, mutate := range map[string]view.Mutation{"as it is": view.NoMutation, "whoever may be left": view.RefoundBlind} {
+	for name, mutate := range map[string]view.Mutation{"as it is": view.NoMutation, "whoever may be left": view.RefoundUnchecked} {
 		w := New(Options{Members: 6, Lease: 5 * time.Second, Delay: 2 * time.Millisecond, Keep: true, Refound: true, MutateView: mutate, Seed: 2})
 		founded := false
 		w.Heard = func(_ *Node, _ time.Duration, a fleet.Action) {
@@ -216,14 +216,14 @@
 		w.nodes[0].Start()
 		w.nodes[1].Start()
 		w.Run(w.now+40*time.Second, nil)
-		if founded != (mutate == view.RefoundBlind) {
+		if founded != (mutate == view.RefoundUnchecked) {
 			t.Errorf("%s: founded %t", name, founded)
 		}
 		w.Heal()
 		if again := w.Run(w.now+60*time.Second, w.Agreed); !again && mutate == view.NoMutation {
 			t.Error("not one again after the cut")
 		}
-		if noticed := len(k.Broken) > 0; noticed != (mutate == view.RefoundBlind) {
+		if noticed := len(k.Broken) > 0; noticed != (mutate == view.RefoundUnchecked) {
 			t.Errorf("%s: broken %q", name, k.Broken)
 		}
 	}
--- a/internal/testkit/fleetsim/rules_test.go
+++ b/internal/testkit/fleetsim/rules_test.go
@@ -36,7 +36,7 @@
 }
 
 func watchRules(w *World) *watched {
-	x := &watched{w: w, bound: view.Bound(w.opts.Lease, 2.1*w.opts.Drift), at: map[string]map[int]time.Duration{}, agreed: map[uint64]time.Duration{}, sums: map[uint64]string{}, force: map[int]uint64{}}
+	x := &watched{w: w, bound: view.StalenessBound(w.opts.Lease, 2.1*w.opts.Drift), at: map[string]map[int]time.Duration{}, agreed: map[uint64]time.Duration{}, sums: map[uint64]string{}, force: map[int]uint64{}}
 	w.Heard = func(n *Node, at time.Duration, a fleet.Action) {
 		switch a := a.(type) {
 		case fleet.RulesEnforced:
--- a/internal/testkit/fleetsim/staleoffer_test.go
+++ b/internal/testkit/fleetsim/staleoffer_test.go
@@ -20,7 +20,7 @@
 			other.Kill()
 			agree(t, w, 30*time.Second)
 			other.Start()
-			if !w.Run(w.Now()+30*time.Second, func() bool { return other.Core.Views().VoteCounts() }) {
+			if !w.Run(w.Now()+30*time.Second, func() bool { return other.Core.Views().IsEffectiveVoter() }) {
 				t.Fatalf("seed %d: the vote of %s does not count", seed, other.Name)
 			}
 			agree(t, w, 30*time.Second)
--- a/internal/testkit/fleetsim/view_test.go
+++ b/internal/testkit/fleetsim/view_test.go
@@ -137,7 +137,7 @@
 	}{
 		"a view without a majority": {change: func(o *Options) { o.MutateView = view.WithoutMajority }},
 		"an age counts from when it was heard": {change: func(o *Options) {
-			o.MutateView, o.Delay, o.Jitter = view.PushedAge, 0, 4*time.Second
+			o.MutateView, o.Delay, o.Jitter = view.AgeFromReceipt, 0, 4*time.Second
 		}},
 		"a lease by a wall clock": {before: func(w *World) {
 			for i := range 20 { // set back an hour, now and then
--- a/internal/testkit/fleetsim/watch.go
+++ b/internal/testkit/fleetsim/watch.go
@@ -29,7 +29,7 @@
 func (w *World) Watch() *Watch {
 	k := &Watch{w: w, sums: map[view.ID]uint64{}, decided: map[view.ID]time.Duration{}}
 	// In the world's time: the slowest clock takes this long for a lease and its allowance.
-	k.bound = time.Duration(float64(view.Bound(w.opts.Lease, 2.1*w.opts.Drift)) * (1 + 1.1*w.opts.Drift))
+	k.bound = time.Duration(float64(view.StalenessBound(w.opts.Lease, 2.1*w.opts.Drift)) * (1 + 1.1*w.opts.Drift))
 	heard, stepped := w.Heard, w.Stepped
 	w.Heard = func(n *Node, at time.Duration, a fleet.Action) {
 		switch a := a.(type) {
