--- a/internal/sidecar/view/apply.go
+++ b/internal/sidecar/view/apply.go
@@ -98,7 +98,7 @@
 		panic(fmt.Errorf("a snapshot that cannot be read: %w", err))
 	}
 	v.appliedIndex, v.snapshotIndex, v.confState = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
-	m.decide(d, -1)
+	m.applyDecision(d, -1)
 }
 
 // apply takes in one committed entry.
@@ -131,7 +131,7 @@
 		proposedAt = v.proposedAt
 	}
 	v.proposedAt = -1
-	m.decide(decidedState{Group: v.decided.Group, View: *c.View}, proposedAt)
+	m.applyDecision(decidedState{Group: v.decided.Group, View: *c.View}, proposedAt)
 }
 
 // applyVoterChange takes in a committed change of voters.
@@ -149,8 +149,8 @@
 		d.Group.Voters = append(slices.Clone(d.Group.Voters), add)
 	}
 	// Voters of the old group stay in it until the joint consensus is over: a majority of them is still needed.
-	d.Group.Voters = slices.DeleteFunc(slices.Clone(d.Group.Voters), func(one Voter) bool { return !v.inConfState(one.ID) })
-	m.decide(d, -1)
+	d.Group.Voters = slices.DeleteFunc(slices.Clone(d.Group.Voters), func(voter Voter) bool { return !v.inConfState(voter.ID) })
+	m.applyDecision(d, -1)
 	m.compact(true) // a new voter must find itself in the snapshot that it is sent
 	if !v.inConfState(v.id) {
 		v.replaced = true
@@ -162,8 +162,8 @@
 	return slices.Contains(v.confState.GetVoters(), id) || slices.Contains(v.confState.GetVotersOutgoing(), id)
 }
 
-// decide takes in what the voters have decided. proposedAt is when this process proposed it; -1: it did not.
-func (m *Machine) decide(d decidedState, proposedAt time.Duration) {
+// applyDecision takes in what the voters have decided. proposedAt is when this process proposed it; -1: it did not.
+func (m *Machine) applyDecision(d decidedState, proposedAt time.Duration) {
 	v := m.voter
 	newer := d.View.ID.Number > 0 && d.View.ID != v.decided.View.ID
 	v.dropAdmittedCandidates(d.Group)
@@ -176,7 +176,7 @@
 	if !m.hasView || d.View.ID.Compare(m.latest()) > 0 || d.View.ID.Era != m.view.ID.Era && !m.mayBeCurrent() {
 		m.adopt(d.View)
 		// The view was decided after it was proposed, so it was the newest at some moment since.
-		if proposedAt >= 0 && v.quietUntil <= m.now && m.latest() == d.View.ID {
+		if proposedAt >= 0 && v.confirmNotBefore <= m.now && m.latest() == d.View.ID {
 			m.confirmLatest(proposedAt)
 		}
 	}
--- a/internal/sidecar/view/check_test.go
+++ b/internal/sidecar/view/check_test.go
@@ -18,51 +18,51 @@
 
 var names = [3]string{"a", "b", "c"}
 
-// three is a group of three voters, whose messages stay on their links until they are delivered or dropped. Their opinion on
+// threeVoters is a group of three voters, whose messages stay on their links until they are delivered or dropped. Their opinion on
 // who is present is given: all, or all but the third.
-type three struct {
-	machines [3]*Machine
-	kept     [3]*StoredState
-	boots    [3]uint64
-	loseLog  bool // a restarted voter keeps its identity and nothing else: an injected fault
-	mutate   Mutation
-	now      time.Duration
-	without  bool // the third is believed to have failed
-	links    map[[2]int][]Message
-	sums     map[ID]uint64
-	decided  map[ID]time.Duration
-	restarts int
-	broken   error
+type threeVoters struct {
+	machines      [3]*Machine
+	stored        [3]*StoredState
+	boots         [3]uint64
+	loseStoredLog bool // a restarted voter keeps its identity and nothing else: an injected fault
+	mutate        Mutation
+	now           time.Duration
+	thirdFailed   bool // the third is believed to have failed
+	links         map[[2]int][]Message
+	sums          map[ID]uint64
+	decided       map[ID]time.Duration
+	restarts      int
+	violation     error
 }
 
-func (w *three) start(i int, kept *StoredState) {
+func (w *threeVoters) start(i int, stored *StoredState) {
 	w.boots[i] += 10
-	here := func(name string) (member.Record, bool) {
+	lookup := func(name string) (member.Record, bool) {
 		at := strings.Index("abc", name)
-		return member.Record{Name: name, Addr: name, Boot: w.boots[at], Incarnation: 1}, !w.without || at < 2
+		return member.Record{Name: name, Addr: name, Boot: w.boots[at], Incarnation: 1}, !w.thirdFailed || at < 2
 	}
-	m, err := New(Config{Name: names[i], Boot: w.boots[i], Voters: names[:], Pace: pace, Lease: 20 * pace, Drift: 0.01, Seed: uint64(i), Stored: kept.Clone(), Mutate: w.mutate,
-		Member: here, Members: func() (all []member.Record) {
+	m, err := New(Config{Name: names[i], Boot: w.boots[i], Voters: names[:], Pace: pace, Lease: 20 * pace, Drift: 0.01, Seed: uint64(i), Stored: stored.Clone(), Mutate: w.mutate,
+		Member: lookup, Members: func() (all []member.Record) {
 			for _, name := range names {
-				if r, ok := here(name); ok {
+				if r, ok := lookup(name); ok {
 					all = append(all, r)
 				}
 			}
 			return all
 		}}, w.now)
 	if err != nil {
-		w.broken = err
+		w.violation = err
 		return
 	}
 	w.machines[i] = m
 }
 
-// newThree is a group that was founded and holds the lease on its first view.
-func newThree(mutate Mutation) *three {
-	w := &three{mutate: mutate, links: map[[2]int][]Message{}, sums: map[ID]uint64{}, decided: map[ID]time.Duration{}}
+// newThreeVoters is a group that was founded and holds the lease on its first view.
+func newThreeVoters(mutate Mutation) *threeVoters {
+	w := &threeVoters{mutate: mutate, links: map[[2]int][]Message{}, sums: map[ID]uint64{}, decided: map[ID]time.Duration{}}
 	for i := range names {
 		w.boots[i] = uint64(i + 1)
-		w.kept[i] = &StoredState{}
+		w.stored[i] = &StoredState{}
 		w.start(i, nil)
 	}
 	for range 2000 {
@@ -91,7 +91,7 @@
 	panic("no first view")
 }
 
-func (w *three) all(is func(*Machine) bool) bool {
+func (w *threeVoters) all(is func(*Machine) bool) bool {
 	for _, m := range w.machines {
 		if !is(m) {
 			return false
@@ -100,18 +100,18 @@
 	return true
 }
 
-func (w *three) tick(i int) {
+func (w *threeVoters) tick(i int) {
 	w.now = max(w.now, w.machines[i].Next())
 	w.step(i, Tick{})
 }
 
-func (w *three) deliver(id [2]int) {
+func (w *threeVoters) deliver(id [2]int) {
 	msg := w.links[id][0]
 	w.links[id] = w.links[id][1:]
 	w.step(id[1], Received{From: member.Record{Name: names[id[0]], Addr: names[id[0]], Boot: w.boots[id[0]], Incarnation: 1}, Message: msg})
 }
 
-func (w *three) step(i int, e Event) {
+func (w *threeVoters) step(i int, e Event) {
 	for _, a := range w.machines[i].Step(w.now, e) {
 		switch a := a.(type) {
 		case Send:
@@ -121,30 +121,30 @@
 				}
 			}
 		case Save:
-			if err := w.kept[i].Apply(a.Change); err != nil {
-				w.broken = err
+			if err := w.stored[i].Apply(a.Change); err != nil {
+				w.violation = err
 			}
 		case Decided:
 			if _, ok := w.decided[a.View.ID]; !ok {
 				w.decided[a.View.ID] = w.now
 			}
-			w.see(i, a.View)
+			w.checkView(i, a.View)
 		case Adopted:
-			w.see(i, a.View)
+			w.checkView(i, a.View)
 		case Notice:
-			if strings.Contains(a.Text, "contradicts") && !w.loseLog {
-				w.broken = fmt.Errorf("%s: %s", names[i], a.Text)
+			if strings.Contains(a.Text, "contradicts") && !w.loseStoredLog {
+				w.violation = fmt.Errorf("%s: %s", names[i], a.Text)
 			}
 		}
 	}
 }
 
-func (w *three) see(i int, v View) {
+func (w *threeVoters) checkView(i int, v View) {
 	if v.ID.Number == 0 {
 		return
 	}
 	if was, ok := w.sums[v.ID]; ok && was != v.Sum() {
-		w.broken = fmt.Errorf("%s has another view under %v", names[i], v.ID)
+		w.violation = fmt.Errorf("%s has another view under %v", names[i], v.ID)
 	}
 	w.sums[v.ID] = v.Sum()
 }
@@ -154,7 +154,7 @@
 	do   func()
 }
 
-func (w *three) choices() (all []choice) {
+func (w *threeVoters) choices() (all []choice) {
 	for i := range names {
 		all = append(all, choice{"tick " + names[i], func() { w.tick(i) }})
 	}
@@ -167,7 +167,7 @@
 			}
 		}
 	}
-	all = append(all, choice{"c is believed to have failed, or not", func() { w.without = !w.without }},
+	all = append(all, choice{"c is believed to have failed, or not", func() { w.thirdFailed = !w.thirdFailed }},
 		choice{"a long time passes", func() { w.now += 15 * pace }})
 	if w.restarts < 1 { // without state, one at a time
 		for i := range names {
@@ -177,44 +177,44 @@
 	return all
 }
 
-func (w *three) restart(i int, keep bool) {
+func (w *threeVoters) restart(i int, keepState bool) {
 	w.restarts++
-	if keep && w.kept[i].Voter != 0 {
-		w.start(i, w.kept[i])
+	if keepState && w.stored[i].Voter != 0 {
+		w.start(i, w.stored[i])
 		return
 	}
 	lost := &StoredState{}
-	if w.loseLog {
-		lost = &StoredState{Voter: w.kept[i].Voter, Era: w.kept[i].Era}
+	if w.loseStoredLog {
+		lost = &StoredState{Voter: w.stored[i].Voter, Era: w.stored[i].Era}
 	}
-	w.kept[i] = lost
+	w.stored[i] = lost
 	w.start(i, lost)
 }
 
-func (w *three) Events() (all []string) {
+func (w *threeVoters) Events() (all []string) {
 	for _, c := range w.choices() {
 		all = append(all, c.name)
 	}
 	return all
 }
 
-func (w *three) Do(i int) { w.choices()[i].do() }
+func (w *threeVoters) Do(i int) { w.choices()[i].do() }
 
-func (w *three) Check() error {
-	if w.broken != nil {
-		return w.broken
+func (w *threeVoters) Check() error {
+	if w.violation != nil {
+		return w.violation
 	}
 	for i, m := range w.machines {
 		v, _ := m.View()
-		next, ok := w.decided[ID{v.ID.Era, v.ID.Number + 1}]
-		if m.HoldsLease(w.now) && ok && w.now-next > StalenessBound(20*pace, 0) {
-			return fmt.Errorf("%s holds %v, %v after the next one was decided", names[i], v.ID, w.now-next)
+		nextDecidedAt, ok := w.decided[ID{v.ID.Era, v.ID.Number + 1}]
+		if m.HoldsLease(w.now) && ok && w.now-nextDecidedAt > StalenessBound(20*pace, 0) {
+			return fmt.Errorf("%s holds %v, %v after the next one was decided", names[i], v.ID, w.now-nextDecidedAt)
 		}
 	}
 	return nil
 }
 
-func (w *three) Hash() uint64 {
+func (w *threeVoters) Hash() uint64 {
 	var b strings.Builder
 	for i, m := range w.machines {
 		fmt.Fprintln(&b, m.view.ID, m.view.Sum(), m.pending != nil, m.isConfirmed, m.confirmedAt-w.now, m.leader, m.seq, len(m.queries), m.queryDue-w.now, m.identity, m.founding.due-w.now)
@@ -231,7 +231,7 @@
 			}
 		}
 	}
-	fmt.Fprintln(&b, w.without, w.restarts, w.boots)
+	fmt.Fprintln(&b, w.thirdFailed, w.restarts, w.boots)
 	return xxhash.Sum64String(b.String())
 }
 
@@ -241,7 +241,7 @@
 	if n, err := strconv.Atoi(os.Getenv("EXPLORE_DEPTH")); err == nil {
 		depth = n
 	}
-	res, err := explore.All(func() explore.System { return newThree(NoMutation) }, depth, 3_000_000)
+	res, err := explore.All(func() explore.System { return newThreeVoters(NoMutation) }, depth, 3_000_000)
 	if err != nil || !res.Full {
 		t.Errorf("%+v %v", res, err)
 	}
@@ -252,12 +252,12 @@
 	found := error(nil)
 	for depth := 1; depth <= 4 && found == nil; depth++ {
 		_, found = explore.All(func() explore.System {
-			w := newThree(NoMutation)
+			w := newThreeVoters(NoMutation)
 			w.mutate = WithoutMajority
 			for i := range w.machines { // all were started anew, and none leads so far
-				w.start(i, w.kept[i])
+				w.start(i, w.stored[i])
 			}
-			w.without = true
+			w.thirdFailed = true
 			clear(w.links)
 			return w
 		}, depth, 20_000)
@@ -269,20 +269,20 @@
 }
 
 // A voter does not start with a stored state that is incomplete.
-func TestKeptStateThatIsNotWhole(t *testing.T) {
-	w := newThree(NoMutation)
-	for name, spoil := range map[string]func(k *StoredState){
+func TestIncompleteStoredStateIsRejected(t *testing.T) {
+	w := newThreeVoters(NoMutation)
+	for name, corrupt := range map[string]func(k *StoredState){
 		"entries that were decided are missing": func(k *StoredState) { k.Entries, k.Snapshot = nil, nil },
 		"an entry out of its place":             func(k *StoredState) { k.Entries = append(k.Entries, Entry{Index: 99, Data: k.Entries[0].Data}) },
 		"no snapshot to be read":                func(k *StoredState) { k.Snapshot = []byte{1, 2, 3} },
 	} {
-		k := w.kept[0].Clone()
-		spoil(k)
+		k := w.stored[0].Clone()
+		corrupt(k)
 		if _, err := New(Config{Name: "a", Boot: 1, Voters: names[:], Pace: pace, Lease: 20 * pace, Stored: k}, 0); err == nil {
 			t.Error(name, ": taken")
 		}
 	}
-	if _, err := New(Config{Name: "a", Boot: 1, Voters: names[:], Pace: pace, Lease: 20 * pace, Stored: w.kept[0].Clone()}, 0); err != nil {
+	if _, err := New(Config{Name: "a", Boot: 1, Voters: names[:], Pace: pace, Lease: 20 * pace, Stored: w.stored[0].Clone()}, 0); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/sidecar/view/founding.go
+++ b/internal/sidecar/view/founding.go
@@ -39,24 +39,24 @@
 	m.founding.promisedEra = m.founding.era
 	m.founding.promises = map[string]uint64{m.cfg.Name: m.identity}
 	for _, name := range m.cfg.Voters {
-		m.send(name, Message{Kind: FoundRequest, Seq: m.founding.era})
+		m.send(name, Message{Kind: FoundingRequest, Seq: m.founding.era})
 	}
 	m.foundIfPromised()
 }
 
-// answerFoundRequest promises to join the group of an era, unless this process belongs to a group.
-func (m *Machine) answerFoundRequest(to string, msg Message) {
+// answerFoundingRequest promises to join the group of an era, unless this process belongs to a group.
+func (m *Machine) answerFoundingRequest(to string, msg Message) {
 	if !m.awaitsGroup() || m.group.Era != 0 || !slices.Contains(m.cfg.Voters, to) {
 		group, leader := m.VoterGroup()
-		m.send(to, Message{Kind: FoundPromise, Seq: msg.Seq, Group: group, Leader: leader}) // refused
+		m.send(to, Message{Kind: FoundingReply, Seq: msg.Seq, Group: group, Leader: leader}) // refused
 		return
 	}
 	m.founding.promisedEra = msg.Seq
-	m.send(to, Message{Kind: FoundPromise, Seq: msg.Seq, Voter: m.identity, Have: m.view.ID})
+	m.send(to, Message{Kind: FoundingReply, Seq: msg.Seq, Voter: m.identity, Have: m.view.ID})
 }
 
-// receivePromise takes in the answer to a FoundRequest.
-func (m *Machine) receivePromise(from string, msg Message) {
+// receiveFoundingReply takes in the answer to a FoundingRequest.
+func (m *Machine) receiveFoundingReply(from string, msg Message) {
 	founds := m.isFounder() || m.founding.afterSurvey && m.awaitsGroup()
 	if m.founding.era == 0 || msg.Seq != m.founding.era || msg.AfterSurvey != m.founding.afterSurvey ||
 		!founds || !slices.Contains(m.cfg.Voters, from) {
@@ -89,7 +89,7 @@
 	}
 	m.startGroup(g, View{ID: ID{Era: g.Era}, Rules: m.founding.lastView.Rules})
 	for _, v := range g.Voters {
-		m.send(v.Name, Message{Kind: FoundCommit, Group: g})
+		m.send(v.Name, Message{Kind: FoundingCommit, Group: g})
 	}
 	m.notice(false, "group of voters founded, era %x", g.Era)
 }
@@ -136,7 +136,7 @@
 	}
 	v.ID = ID{Era: era}
 	m.voter, m.identity, m.cfg.Stored = nil, 0, nil
-	m.drawIdentity()
+	m.ensureIdentity()
 	m.notice(true, "recovered by the operator's word: a new group of voters, era %x. Leases of the old one run out within %v", era,
 		StalenessBound(m.cfg.Lease, m.cfg.Drift))
 	m.startGroup(Group{Era: era, Voters: []Voter{{m.cfg.Name, m.identity}}}, v)
@@ -160,7 +160,7 @@
 // awaitsGroup reports whether this process could vote and belongs to no group.
 func (m *Machine) awaitsGroup() bool { return m.voter == nil && m.identity != 0 }
 
-// mayVote reports whether a member votes as far as is known, or is named by the settings.
-func (m *Machine) mayVote(name string) bool {
+// isKnownVoter reports whether a member votes as far as is known, or is named by the settings.
+func (m *Machine) isKnownVoter(name string) bool {
 	return m.group.hasVoter(name) || slices.Contains(m.cfg.Voters, name)
 }
--- a/internal/sidecar/view/quiet_test.go
+++ b/internal/sidecar/view/founding_test.go
@@ -10,9 +10,9 @@
 // A new group confirms nothing before the leases of an earlier one are over, also if there is a store and it is empty: its
 // content may have been lost.
 func TestFoundedGroupWaitsForLeases(t *testing.T) {
-	for name, kept := range map[string]*StoredState{"no store": nil, "a store that is blank": {}} {
+	for name, stored := range map[string]*StoredState{"no store": nil, "a store that is blank": {}} {
 		self := member.Record{Name: "a", Addr: "a", Boot: 9, Incarnation: 1}
-		m, err := New(Config{Name: "a", Boot: 9, Voters: []string{"a"}, Pace: pace, Lease: 20 * pace, Drift: 0.01, Seed: 1, Stored: kept,
+		m, err := New(Config{Name: "a", Boot: 9, Voters: []string{"a"}, Pace: pace, Lease: 20 * pace, Drift: 0.01, Seed: 1, Stored: stored,
 			Members: func() []member.Record { return []member.Record{self} }, Member: func(string) (member.Record, bool) { return self, true }}, 0)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/sidecar/view/lease.go
+++ b/internal/sidecar/view/lease.go
@@ -121,7 +121,7 @@
 	}
 	if !m.isConfirmed || at > m.confirmedAt {
 		m.confirmedAt, m.isConfirmed = at, true
-		m.everHeld = m.everHeld || m.HoldsLease(m.now)
+		m.everHeldLease = m.everHeldLease || m.HoldsLease(m.now)
 	}
 }
 
--- a/internal/sidecar/view/machine.go
+++ b/internal/sidecar/view/machine.go
@@ -17,21 +17,21 @@
 	out []Action
 
 	// The view in force here, and the lease on it.
-	view        View
-	hasView     bool
-	pending     *View         // a newer view, not confirmed yet, while the lease on this one lasts; nil: none
-	confirmedAt time.Duration // the view was the newest at some moment from this time on; valid if isConfirmed
-	isConfirmed bool
-	everHeld    bool // this member has held a lease on some view
+	view          View
+	hasView       bool
+	pending       *View         // a newer view, not confirmed yet, while the lease on this one lasts; nil: none
+	confirmedAt   time.Duration // the view was the newest at some moment from this time on; valid if isConfirmed
+	isConfirmed   bool
+	everHeldLease bool // this member has held a lease on some view
 
 	// The voters, as far as is known.
-	group        Group
-	leader       string
-	seq          uint64                   // of the last request
-	queries      map[uint64]time.Duration // when each unanswered query was sent, by its number
-	queryDue     time.Duration
-	lastLed      time.Duration // when a leader was last known, or there was nothing to lead
-	lossReported bool          // the loss of the majority was reported
+	group                Group
+	leader               string
+	seq                  uint64                   // of the last request
+	queries              map[uint64]time.Duration // when each unanswered query was sent, by its number
+	queryDue             time.Duration
+	lastLed              time.Duration // when a leader was last known, or there was nothing to lead
+	majorityLossReported bool          // the loss of the majority was reported
 
 	voter         *voter // nil: this process does not vote
 	identity      uint64 // identity under which this process would vote; 0: none was drawn
@@ -61,7 +61,7 @@
 			return nil, err
 		}
 	} else if slices.Contains(cfg.Voters, cfg.Name) {
-		m.drawIdentity()
+		m.ensureIdentity()
 	}
 	return m, nil
 }
@@ -139,7 +139,7 @@
 	case Recover:
 		m.recoverGroup()
 	case ProposeRules:
-		m.wantRules(event.Rules)
+		m.requestRules(event.Rules)
 	}
 	m.guard(m.runTimers)
 	return m.out
@@ -188,21 +188,21 @@
 		if s := &m.survey; s.seq != 0 && msg.Seq == s.seq && slices.Contains(s.requested, from.Name) {
 			s.replies[from.Name] = msg
 		}
-	case FoundRequest:
+	case FoundingRequest:
 		if msg.AfterSurvey {
-			m.promiseAfterSurvey(from.Name, msg)
+			m.answerRefoundingRequest(from.Name, msg)
 		} else {
-			m.answerFoundRequest(from.Name, msg)
+			m.answerFoundingRequest(from.Name, msg)
 		}
-	case FoundPromise:
-		m.receivePromise(from.Name, msg)
-	case FoundCommit: // of an earlier attempt than the one promised last it must not count: that one may have succeeded
+	case FoundingReply:
+		m.receiveFoundingReply(from.Name, msg)
+	case FoundingCommit: // of an earlier attempt than the one promised last it must not count: that one may have succeeded
 		if msg.Group.Era == m.founding.promisedEra {
 			m.joinGroup(msg.Group)
 		}
 	case Invite:
-		if m.voter == nil && m.mayVote(from.Name) {
-			m.drawIdentity()
+		if m.voter == nil && m.isKnownVoter(from.Name) {
+			m.ensureIdentity()
 			m.query(from.Name)
 		}
 	case Raft:
@@ -212,16 +212,16 @@
 
 // watchLeader reports when the voters have had no leader for long: their majority may be lost for good.
 func (m *Machine) watchLeader() {
-	led := m.voter != nil && m.leaderName() != "" || m.voter == nil && (m.isConfirmed && m.now < m.confirmedAt+m.cfg.Lease || !m.everHeld && m.group.Era == 0)
+	led := m.voter != nil && m.leaderName() != "" || m.voter == nil && (m.isConfirmed && m.now < m.confirmedAt+m.cfg.Lease || !m.everHeldLease && m.group.Era == 0)
 	switch {
 	case led:
 		m.lastLed = m.now
-		if m.lossReported {
-			m.lossReported = false
+		if m.majorityLossReported {
+			m.majorityLossReported = false
 			m.notice(false, "the voters have a majority again")
 		}
-	case !m.lossReported && m.now-m.lastLed > leaderlessAlert*m.cfg.Pace:
-		m.lossReported = true
+	case !m.majorityLossReported && m.now-m.lastLed > leaderlessAlert*m.cfg.Pace:
+		m.majorityLossReported = true
 		m.notice(true, "no majority of the voters is heard: views stand still, placement goes on. If those voters are lost for good, "+
 			"say RECOVER at the management address of one that is left; docs/sidecar/peers.md tells what that may cost")
 	}
--- a/internal/sidecar/view/query.go
+++ b/internal/sidecar/view/query.go
@@ -5,7 +5,7 @@
 	m.queryDue = m.now + queryInterval*m.cfg.Pace/2 + m.jitter(queryInterval*m.cfg.Pace)
 	leaderless := m.voter != nil && m.leaderName() == "" // it may have been replaced without notice
 	if m.awaitsGroup() || leaderless || m.pending != nil || !m.HoldsLease(m.now+m.cfg.Lease/4) {
-		m.query(m.drawVoter())
+		m.query(m.randomVoter())
 	}
 	for seq, at := range m.queries {
 		if m.now-at > m.cfg.Lease {
@@ -14,8 +14,8 @@
 	}
 }
 
-// drawVoter draws a voter to query: of the group, as far as that is known, or of those that the settings name.
-func (m *Machine) drawVoter() string {
+// randomVoter draws a voter to query: of the group, as far as that is known, or of those that the settings name.
+func (m *Machine) randomVoter() string {
 	if m.awaitsGroup() && m.leader != "" && m.leader != m.cfg.Name && m.rng.IntN(2) == 0 {
 		return m.leader
 	}
@@ -89,7 +89,7 @@
 		return
 	}
 	if m.voter != nil {
-		m.compareGroup(msg)
+		m.leaveReplacedGroup(msg)
 		return
 	}
 	if msg.Group.Era >= m.group.Era || !m.mayBeCurrent() {
@@ -98,8 +98,8 @@
 	m.joinGroup(msg.Group)
 }
 
-// compareGroup has this voter leave its group if another member knows of one that replaces it.
-func (m *Machine) compareGroup(msg Message) {
+// leaveReplacedGroup has this voter leave its group if another member knows of one that replaces it.
+func (m *Machine) leaveReplacedGroup(msg Message) {
 	own := m.voter.decided
 	_, included := msg.Group.voter(m.voter.id)
 	if msg.Group.Era == own.Group.Era && !included && len(msg.Group.Voters) > 0 && m.leaderName() == "" &&
@@ -110,7 +110,7 @@
 	// A group of a later era took over: founded by RECOVER, or after all others had lost their state.
 	if msg.Group.Era > own.Group.Era && msg.Stamp.Age > 0 {
 		m.notice(true, "another group of voters decides, of era %x: this one's vote is given up", msg.Group.Era)
-		m.giveUpVote()
+		m.discardVoter()
 		m.group, m.leader = msg.Group, msg.Leader
 	}
 }
--- a/internal/sidecar/view/survey.go
+++ b/internal/sidecar/view/survey.go
@@ -136,16 +136,16 @@
 	m.survey.reported = ""
 	m.notice(true, "no group of era %x can decide again: the named voters found a new one", era)
 	if m.voter != nil {
-		m.giveUpVote()
+		m.discardVoter()
 	}
-	m.drawIdentity()
+	m.ensureIdentity()
 	m.founding.attempts++
 	m.founding.afterSurvey, m.founding.lastView = true, last
 	m.founding.era = max(m.cfg.Boot+m.founding.attempts, era+1, last.ID.Era+1)
 	m.founding.promisedEra = m.founding.era
 	m.founding.promises = map[string]uint64{m.cfg.Name: m.identity}
 	for _, name := range m.cfg.Voters {
-		m.send(name, Message{Kind: FoundRequest, Seq: m.founding.era, AfterSurvey: true})
+		m.send(name, Message{Kind: FoundingRequest, Seq: m.founding.era, AfterSurvey: true})
 	}
 	m.foundIfPromised()
 }
@@ -172,8 +172,8 @@
 		}
 	}
 	for _, group := range groups {
-		if left := m.possibleVoters(group, era, absent); len(left) > len(group.Voters)/2 {
-			return era, last, fmt.Sprintf("%s may still be the majority of the voters", strings.Join(left, ", "))
+		if possible := m.possibleVoters(group, era, absent); len(possible) > len(group.Voters)/2 {
+			return era, last, fmt.Sprintf("%s may still be the majority of the voters", strings.Join(possible, ", "))
 		}
 	}
 	return era, last, ""
@@ -250,28 +250,28 @@
 // possibleVoters returns the names of those that may still vote in a group: the absent members of the last view, any of which
 // may have become a voter since, and the voters that have kept their identity or did not reply.
 func (m *Machine) possibleVoters(group Group, era uint64, absent []string) []string {
-	left := slices.Clone(absent)
+	possible := slices.Clone(absent)
 	for _, voter := range group.Voters {
 		reply, replied := m.survey.replies[voter.Name]
 		keptIdentity := replied && reply.Voter == voter.ID && reply.Group.Era == era
-		if (keptIdentity || !replied) && !slices.Contains(left, voter.Name) {
-			left = append(left, voter.Name)
+		if (keptIdentity || !replied) && !slices.Contains(possible, voter.Name) {
+			possible = append(possible, voter.Name)
 		}
 	}
-	return left
+	return possible
 }
 
-// promiseAfterSurvey gives up what this process was as a voter, and promises to join the group that is founded.
-func (m *Machine) promiseAfterSurvey(to string, msg Message) {
+// answerRefoundingRequest gives up what this process was as a voter, and promises to join the group that is founded.
+func (m *Machine) answerRefoundingRequest(to string, msg Message) {
 	if !m.cfg.Refound || !slices.Contains(m.cfg.Voters, to) || m.leaderName() != "" || m.HoldsLease(m.now) || msg.Seq <= m.knownGroup().Era {
 		return
 	}
 	if m.voter != nil {
 		m.notice(true, "this voter's identity is given up for a new group of era %x", msg.Seq)
-		m.giveUpVote()
+		m.discardVoter()
 	}
-	m.drawIdentity()
+	m.ensureIdentity()
 	m.group, m.leader = Group{}, ""
 	m.founding.promisedEra = msg.Seq
-	m.send(to, Message{Kind: FoundPromise, Seq: msg.Seq, Voter: m.identity, Have: m.view.ID, AfterSurvey: true})
+	m.send(to, Message{Kind: FoundingReply, Seq: msg.Seq, Voter: m.identity, Have: m.view.ID, AfterSurvey: true})
 }
--- a/internal/sidecar/view/view.go
+++ b/internal/sidecar/view/view.go
@@ -40,7 +40,7 @@
 	Addr        string `cbor:"2,keyasint"`
 	Boot        uint64 `cbor:"3,keyasint"`
 	Incarnation uint64 `cbor:"4,keyasint"` // the incarnation when the view was proposed
-	Share       uint32 `cbor:"5,keyasint"` // of what is divided among the members, in millionths; the shares sum to at most a million
+	FractionPPM uint32 `cbor:"5,keyasint"` // of what is divided among the members, in millionths; the shares sum to at most a million
 }
 
 // View is a view of the membership that was agreed on.
@@ -59,8 +59,8 @@
 // maxDigestBytes is the length limit of a digest.
 const maxDigestBytes = 64
 
-// wholeShare is what the shares of a view sum to at most.
-const wholeShare = 1_000_000
+// totalPPM is what the shares of a view sum to at most.
+const totalPPM = 1_000_000
 
 // Find returns the member of a name, and whether there is one.
 func (v *View) Find(name string) (Member, bool) {
--- a/internal/sidecar/view/voter.go
+++ b/internal/sidecar/view/voter.go
@@ -28,11 +28,11 @@
 	pendingReads     map[uint64]time.Duration
 	readStates       []raft.ReadState // confirmed by the majority; the log may not be applied so far
 	leadConfirmedAt  time.Duration    // the last time at which this voter surely led; -1: never
-	quietUntil       time.Duration    // nothing is confirmed before: leases of an earlier group may last
+	confirmNotBefore time.Duration    // nothing is confirmed before: leases of an earlier group may last
 	differsSince     time.Duration    // since when the leader's opinion differs from the view; -1: it does not
 	proposedAt       time.Duration    // when the pending view was proposed; -1: none is pending
 	proposalNonce    uint64           // of the pending view
-	wantedRules      Rules            // to propose with the next view, if they are newer than those in force
+	requestedRules   Rules            // to propose with the next view, if they are newer than those in force
 	changeProposedAt time.Duration    // when the pending change of voters was proposed; -1: none is pending
 	candidates       map[string]candidate
 	absentSince      map[uint64]time.Duration // since when absent voters have been so, by identity
@@ -40,8 +40,8 @@
 	replaced         bool                     // the group has left this voter behind
 }
 
-// quietLogger keeps the engine from logging to where the program's own log goes. What matters is reported as a Notice.
-type quietLogger struct{ *raft.DefaultLogger }
+// discardLogger keeps the engine from logging to where the program's own log goes. What matters is reported as a Notice.
+type discardLogger struct{ *raft.DefaultLogger }
 
 // startEngine starts the engine on a store, as a voter of the group of an era.
 func (m *Machine) startEngine(store *raft.MemoryStorage, d decidedState, era uint64) error {
@@ -56,11 +56,11 @@
 		senders: make(map[uint64]string)}
 	v.decided.Group.Era = era
 	if m.cfg.Stored == nil { // leases of an earlier group may last, and this process would not know
-		v.quietUntil = m.now + StalenessBound(m.cfg.Lease, m.cfg.Drift)
+		v.confirmNotBefore = m.now + StalenessBound(m.cfg.Lease, m.cfg.Drift)
 	}
-	quiet := quietLogger{&raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}
+	logger := discardLogger{&raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}
 	v.node, err = raft.NewRawNode(&raft.Config{ID: v.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: store, Applied: v.appliedIndex,
-		MaxSizePerMsg: maxRaftMessage, MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: maxUncommitted, CheckQuorum: true, PreVote: true, Logger: quiet})
+		MaxSizePerMsg: maxRaftMessage, MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: maxUncommitted, CheckQuorum: true, PreVote: true, Logger: logger})
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 	if m.voter.leads() {
 		m.runLeader()
 	} else {
-		v.wantedRules = Rules{} // the next leader is requested anew
+		v.requestedRules = Rules{} // the next leader is requested anew
 	}
 	m.processReady()
 	if v = m.voter; v == nil {
@@ -128,7 +128,7 @@
 // runLeader does what the leader does at each tick: it confirms with a majority that it leads, and proposes.
 func (m *Machine) runLeader() {
 	v := m.voter
-	if v.readDue <= m.now && v.quietUntil <= m.now {
+	if v.readDue <= m.now && v.confirmNotBefore <= m.now {
 		v.readDue = m.now + readInterval*m.cfg.Pace
 		m.seq++
 		for seq, at := range v.pendingReads {
@@ -146,10 +146,10 @@
 	m.proposeVoters()
 }
 
-// wantRules has this process, if it leads, propose an edition of rules with the next view.
-func (m *Machine) wantRules(rules Rules) {
+// requestRules has this process, if it leads, propose an edition of rules with the next view.
+func (m *Machine) requestRules(rules Rules) {
 	if v := m.voter; v != nil && v.leads() && len(rules.Digest) <= maxDigestBytes && rules.Number > v.decided.View.Rules.Number {
-		v.wantedRules = rules
+		v.requestedRules = rules
 	}
 }
 
@@ -157,11 +157,11 @@
 func (m *Machine) nextView() View {
 	present := m.cfg.Members()
 	next := View{ID: ID{Era: m.voter.decided.Group.Era, Number: m.voter.decided.View.ID.Number + 1}, Rules: m.voter.decided.View.Rules}
-	if m.voter.wantedRules.Number > next.Rules.Number {
-		next.Rules = m.voter.wantedRules
+	if m.voter.requestedRules.Number > next.Rules.Number {
+		next.Rules = m.voter.requestedRules
 	}
 	for _, r := range present {
-		next.Members = append(next.Members, Member{Name: r.Name, Addr: r.Addr, Boot: r.Boot, Incarnation: r.Incarnation, Share: uint32(wholeShare / len(present))})
+		next.Members = append(next.Members, Member{Name: r.Name, Addr: r.Addr, Boot: r.Boot, Incarnation: r.Incarnation, FractionPPM: uint32(totalPPM / len(present))})
 	}
 	return next
 }
@@ -242,12 +242,12 @@
 	})
 }
 
-// giveUpVote gives up the vote and the identity. A named voter draws a new one.
-func (m *Machine) giveUpVote() {
+// discardVoter gives up the vote and the identity. A named voter draws a new one.
+func (m *Machine) discardVoter() {
 	m.voter, m.identity, m.cfg.Stored = nil, 0, nil
 	m.out = append(m.out, Save{Change{Forget: true}})
 	if slices.Contains(m.cfg.Voters, m.cfg.Name) {
-		m.drawIdentity()
+		m.ensureIdentity()
 	}
 }
 
@@ -255,7 +255,7 @@
 func (m *Machine) leaveGroup() {
 	group := m.voter.decided.Group
 	m.notice(false, "another voter has taken this one's place")
-	m.giveUpVote()
+	m.discardVoter()
 	m.group = group
 }
 
@@ -265,14 +265,14 @@
 	defer func() {
 		if fault := recover(); fault != nil {
 			m.notice(true, "the voter's state contradicts what the others say and is given up: %v", fault)
-			m.giveUpVote()
+			m.discardVoter()
 		}
 	}()
 	do()
 }
 
-// drawIdentity draws an identity to vote under, if there is none.
-func (m *Machine) drawIdentity() {
+// ensureIdentity draws an identity to vote under, if there is none.
+func (m *Machine) ensureIdentity() {
 	for m.identity == 0 {
 		m.identity = m.rng.Uint64()
 	}
