--- a/internal/sidecar/view/check_test.go
+++ b/internal/sidecar/view/check_test.go
@@ -18,8 +18,8 @@
 
 var names = [3]string{"a", "b", "c"}
 
-// threeVoters is a group of three voters, whose messages stay on their links until they are delivered or dropped. Their opinion on
-// who is present is given: all, or all but the third.
+// threeVoters is a group of three voters, whose messages stay on their links until they are delivered or dropped. The members that
+// they believe to be present are given by the test: all, or all but the third.
 type threeVoters struct {
 	machines      [3]*Machine
 	stored        [3]*StoredState
@@ -57,7 +57,7 @@
 	w.machines[i] = m
 }
 
-// newThreeVoters is a group that was founded and holds the lease on its first view.
+// newThreeVoters returns a group that was founded and whose members hold the lease on its first view.
 func newThreeVoters(mutate Mutation) *threeVoters {
 	w := &threeVoters{mutate: mutate, links: map[[2]int][]Message{}, sums: map[ID]uint64{}, decided: map[ID]time.Duration{}}
 	for i := range names {
@@ -88,7 +88,7 @@
 			return w
 		}
 	}
-	panic("no first view")
+	panic("no lease on a first view within 2000 ticks")
 }
 
 func (w *threeVoters) all(is func(*Machine) bool) bool {
@@ -144,7 +144,7 @@
 		return
 	}
 	if was, ok := w.sums[v.ID]; ok && was != v.Sum() {
-		w.violation = fmt.Errorf("%s has another view under %v", names[i], v.ID)
+		w.violation = fmt.Errorf("%s has a view that differs from another one with ID %v", names[i], v.ID)
 	}
 	w.sums[v.ID] = v.Sum()
 }
@@ -167,9 +167,9 @@
 			}
 		}
 	}
-	all = append(all, choice{"c is believed to have failed, or not", func() { w.thirdFailed = !w.thirdFailed }},
-		choice{"a long time passes", func() { w.now += 15 * pace }})
-	if w.restarts < 1 { // without state, one at a time
+	all = append(all, choice{"toggle whether c is believed to have failed", func() { w.thirdFailed = !w.thirdFailed }},
+		choice{"let 15 paces pass", func() { w.now += 15 * pace }})
+	if w.restarts < 1 { // at most one restart: the group tolerates the loss of one voter's state
 		for i := range names {
 			all = append(all, choice{"restart " + names[i], func() { w.restart(i, true) }}, choice{"restart without state " + names[i], func() { w.restart(i, false) }})
 		}
@@ -208,7 +208,7 @@
 		v, _ := m.View()
 		nextDecidedAt, ok := w.decided[ID{v.ID.Era, v.ID.Number + 1}]
 		if m.HoldsLease(w.now) && ok && w.now-nextDecidedAt > StalenessBound(20*pace, 0) {
-			return fmt.Errorf("%s holds %v, %v after the next one was decided", names[i], v.ID, w.now-nextDecidedAt)
+			return fmt.Errorf("%s holds the lease on view %v, %v after the next view was decided", names[i], v.ID, w.now-nextDecidedAt)
 		}
 	}
 	return nil
@@ -235,7 +235,7 @@
 	return xxhash.Sum64String(b.String())
 }
 
-// Every order of events from a group that holds its first view.
+// Explores every order of events, starting from a group that holds the lease on its first view.
 func TestEveryOrder(t *testing.T) {
 	depth := 3
 	if n, err := strconv.Atoi(os.Getenv("EXPLORE_DEPTH")); err == nil {
@@ -245,7 +245,7 @@
 	if err != nil || !res.Full {
 		t.Errorf("%+v %v", res, err)
 	}
-	t.Logf("every order of up to %d events: %d states, %d paths", depth, res.States, res.Paths)
+	t.Logf("all orders of up to %d events: %d states, %d paths", depth, res.States, res.Paths)
 }
 
 func TestEveryOrderNoticesAViewWithoutAMajority(t *testing.T) {
@@ -254,7 +254,7 @@
 		_, found = explore.All(func() explore.System {
 			w := newThreeVoters(NoMutation)
 			w.mutate = WithoutMajority
-			for i := range w.machines { // all were started anew, and none leads so far
+			for i := range w.machines { // all voters are restarted, so that none leads
 				w.start(i, w.stored[i])
 			}
 			w.thirdFailed = true
@@ -263,23 +263,23 @@
 		}, depth, 20_000)
 	}
 	if found == nil {
-		t.Error("nothing was broken")
+		t.Error("no violation found although a voter decides without a majority")
 	}
 	t.Log(found)
 }
 
-// A voter does not start with a stored state that is incomplete.
+// A voter must not start from a stored state that is incomplete or inconsistent.
 func TestIncompleteStoredStateIsRejected(t *testing.T) {
 	w := newThreeVoters(NoMutation)
 	for name, corrupt := range map[string]func(k *StoredState){
-		"entries that were decided are missing": func(k *StoredState) { k.Entries, k.Snapshot = nil, nil },
-		"an entry out of its place":             func(k *StoredState) { k.Entries = append(k.Entries, Entry{Index: 99, Data: k.Entries[0].Data}) },
-		"no snapshot to be read":                func(k *StoredState) { k.Snapshot = []byte{1, 2, 3} },
+		"committed entries are missing": func(k *StoredState) { k.Entries, k.Snapshot = nil, nil },
+		"entry out of sequence":         func(k *StoredState) { k.Entries = append(k.Entries, Entry{Index: 99, Data: k.Entries[0].Data}) },
+		"snapshot cannot be decoded":    func(k *StoredState) { k.Snapshot = []byte{1, 2, 3} },
 	} {
 		k := w.stored[0].Clone()
 		corrupt(k)
 		if _, err := New(Config{Name: "a", Boot: 1, Voters: names[:], Pace: pace, Lease: 20 * pace, Stored: k}, 0); err == nil {
-			t.Error(name, ": taken")
+			t.Error(name, ": accepted")
 		}
 	}
 	if _, err := New(Config{Name: "a", Boot: 1, Voters: names[:], Pace: pace, Lease: 20 * pace, Stored: w.stored[0].Clone()}, 0); err != nil {
--- a/internal/sidecar/view/fence.go
+++ b/internal/sidecar/view/fence.go
@@ -1,11 +1,12 @@
 package view
 
-// Fence rejects acts of an older view than one that it has passed (a fencing token, after Kleppmann). A process can be stopped
-// between the check of its lease and the act: so an act carries the number of the view under which it is done, and who
-// carries it out asks a Fence first. The zero Fence has passed nothing. It is not safe for concurrent use.
+// Fence rejects operations under a view that is older than one it has already passed. The view's ID serves as the fencing token
+// (Kleppmann). A process can be paused between the check of its lease and the operation, so each operation carries the ID of
+// the view under which it is requested, and the process that executes it checks a Fence first. The zero Fence has passed no
+// view yet. A Fence is not safe for concurrent use.
 type Fence struct{ highest ID }
 
-// Pass reports whether an act under a view may be done. Views of another era pass if that era is later.
+// Pass reports whether an operation under the view by may be executed. A view of another era passes if that era is later.
 func (f *Fence) Pass(by ID) bool {
 	if by.Compare(f.highest) < 0 {
 		return false
--- a/internal/sidecar/view/lease.go
+++ b/internal/sidecar/view/lease.go
@@ -11,8 +11,8 @@
 	return time.Duration(float64(lease) * (1 + drift))
 }
 
-// LeaseEnd is when this member's lease on its view ends: the member belongs to the view, and the view was the newest at some
-// moment within the lease before that time. If the time has passed, it holds no lease.
+// LeaseEnd returns when this member's lease on its view ends: the duration of a lease after the last time at which the view was
+// known to be the newest. If that time has passed, or this process is not a member of the view, the member holds no lease.
 func (m *Machine) LeaseEnd() time.Duration {
 	if !m.isConfirmed {
 		return math.MinInt64
@@ -23,12 +23,12 @@
 	return m.confirmedAt + m.cfg.Lease
 }
 
-// HoldsLease reports whether this member holds the lease on its view at a time. To act safely under the lease, read the clock
-// after the act, or have who carries it out ask a Fence.
+// HoldsLease reports whether this member holds the lease on its view at the time now. To operate safely under the lease, read
+// the clock after the operation, or let the process that executes the operation check a Fence.
 func (m *Machine) HoldsLease(now time.Duration) bool { return now < m.LeaseEnd() }
 
-// Stamp returns the stamp for an answer. now must not be before the request was sent: the requester counts the age from there,
-// and it must not be too small.
+// Stamp returns the stamp to send with an answer. now must not be before the request was sent: the requester counts the age from
+// the sending of the request, and the age must not be too small.
 func (m *Machine) Stamp(now time.Duration) Stamp {
 	if !m.hasView {
 		return Stamp{}
@@ -40,20 +40,20 @@
 	return s
 }
 
-// maxStampQueries is how many queries may be unanswered for a stamp to cause another one.
+// maxStampQueries is the number of unanswered queries from which on a stamp causes no further query.
 const maxStampQueries = 4
 
-// confirmedAt returns from when on the stamped view was the newest at some moment, on this member's clock, and whether the
-// stamp says so. requestedAt is when the request that the stamp answers was sent: the age counts from there, so that time on
-// links only makes the lease shorter.
+// confirmedAt returns a time, on this member's clock, at or after which the stamped view was the newest, and whether the stamp
+// has an age. requestedAt is when the request that the stamp answers was sent: the age counts from then, so that network delay
+// can only shorten the lease.
 func (s Stamp) confirmedAt(requestedAt time.Duration, drift float64) (at time.Duration, known bool) {
 	age := time.Duration(s.Age-1) * time.Microsecond
 	at = requestedAt - time.Duration(float64(age)*(1+drift))
 	return at, s.Age > 0 && s.Age < uint64(math.MaxInt64/int64(time.Microsecond))/2
 }
 
-// receiveStamp takes in which view another member had when it answered a request sent at requestedAt, and the view itself
-// if the answer has it.
+// receiveStamp processes the stamp of a member that answered a request sent at requestedAt, and that member's view v, if the
+// answer includes it.
 func (m *Machine) receiveStamp(from string, s Stamp, requestedAt time.Duration, v *View) {
 	if s.ID == (ID{}) {
 		return
@@ -68,7 +68,7 @@
 		}
 		return
 	}
-	if m.hasView && s.ID == m.view.ID { // the one before the pending one
+	if m.hasView && s.ID == m.view.ID { // the view in force, which precedes the pending one
 		if known && at > m.confirmedAt {
 			m.confirmedAt = at
 		}
@@ -77,11 +77,11 @@
 	if !m.maySwitchTo(s.ID, at, known) {
 		return
 	}
-	// Nobody vouches for a view of another group whose stamp has no age.
+	// A view of another group is not adopted if its stamp has no age: no voter is known to have confirmed it.
 	unconfirmed := !known && m.hasView && s.ID.Era != m.view.ID.Era
 	switch {
 	case unconfirmed:
-	case v == nil || v.ID != s.ID: // a view is too long for a stamp
+	case v == nil || v.ID != s.ID: // a stamp has no room for the view itself
 		if len(m.queries) < maxStampQueries {
 			m.query(from)
 		}
@@ -93,20 +93,20 @@
 	}
 }
 
-// maySwitchTo reports whether a view that another member has may replace the one in force. Views of one era follow one
-// another. A view of another era does if that era is later, or if the present era is surely over; at is from when on the
-// view was the newest at some moment, if that is known.
+// maySwitchTo reports whether another member's view may replace the one in force. Within an era, a later view replaces an
+// earlier one. A view of another era may replace the one in force if that era is later, or if the current era is certainly
+// over. at is a time at or after which the other view was the newest; it is valid if known is set.
 func (m *Machine) maySwitchTo(id ID, at time.Duration, known bool) bool {
 	switch {
 	case !m.hasView || id.Compare(m.latest()) > 0:
 		return true
-	case m.voter != nil && id.Era < m.voter.decided.Group.Era: // a new group waits for the leases of the one before it
+	case m.voter != nil && id.Era < m.voter.decided.Group.Era: // a new group waits for leases of the previous one to expire
 		return false
 	}
 	return id.Era < m.view.ID.Era && known && m.now-at < m.cfg.Lease && !m.mayBeCurrent()
 }
 
-// latest is the number of the newest view that this member knows of.
+// latest returns the ID of the newest view that this member has: the pending one, or else the one in force.
 func (m *Machine) latest() ID {
 	if m.pending != nil {
 		return m.pending.ID
@@ -114,7 +114,7 @@
 	return m.view.ID
 }
 
-// confirmLatest extends the lease: the latest view was the newest one at some moment from a time on.
+// confirmLatest extends the lease: the latest view was the newest at or after the time at. A pending view comes into force.
 func (m *Machine) confirmLatest(at time.Duration) {
 	if m.pending != nil {
 		m.switchTo(*m.pending)
@@ -125,13 +125,13 @@
 	}
 }
 
-// mayBeCurrent reports whether some member may still hold the lease on the view in force here.
+// mayBeCurrent reports whether some member may still hold the lease on the view in force on this member.
 func (m *Machine) mayBeCurrent() bool {
 	return m.isConfirmed && m.now < m.confirmedAt+m.cfg.Lease+StalenessBound(m.cfg.Lease, m.cfg.Drift)
 }
 
-// adopt takes over a view. While the lease on the one before lasts and the new one is not confirmed, the one before stays in
-// force: otherwise a member without contact to the voters would give up a lease for nothing.
+// adopt adopts a newer view. While the lease on the previous view lasts and the new view is not confirmed, the previous one
+// stays in force: otherwise a member without contact to the voters would lose a lease without getting another.
 func (m *Machine) adopt(v View) {
 	if m.hasView && m.HoldsLease(m.now) && v.ID.Era == m.view.ID.Era {
 		m.pending = &v
@@ -141,7 +141,7 @@
 	m.switchTo(v)
 }
 
-// switchTo puts a view in force, without a lease so far.
+// switchTo puts a view in force. The member holds no lease on it until the view is confirmed.
 func (m *Machine) switchTo(v View) {
 	m.view, m.hasView, m.isConfirmed, m.pending = v, true, false, nil
 	m.out = append(m.out, Adopted{View: v})
--- a/internal/sidecar/view/machine.go
+++ b/internal/sidecar/view/machine.go
@@ -9,46 +9,46 @@
 	"fieldrelay/internal/sidecar/member"
 )
 
-// Machine is one member's part in the agreement on views. It is not safe for concurrent use.
+// Machine is one member's state machine for the agreement on views. It is not safe for concurrent use.
 type Machine struct {
 	cfg Config
 	rng *rand.Rand
 	now time.Duration
 	out []Action
 
-	// The view in force here, and the lease on it.
+	// The view in force on this member, and the lease on it.
 	view          View
 	hasView       bool
-	pending       *View         // a newer view, not confirmed yet, while the lease on this one lasts; nil: none
-	confirmedAt   time.Duration // the view was the newest at some moment from this time on; valid if isConfirmed
+	pending       *View         // a newer view, not confirmed yet, while the lease on the view in force lasts; nil: none
+	confirmedAt   time.Duration // the view in force was the newest at or after this time; valid if isConfirmed
 	isConfirmed   bool
 	everHeldLease bool // this member has held a lease on some view
 
-	// The voters, as far as is known.
+	// The voters, as far as this member knows.
 	group                Group
 	leader               string
-	seq                  uint64                   // of the last request
-	queries              map[uint64]time.Duration // when each unanswered query was sent, by its number
+	seq                  uint64                   // number of the last request
+	queries              map[uint64]time.Duration // time at which each unanswered query was sent, by its number
 	queryDue             time.Duration
-	lastLed              time.Duration // when a leader was last known, or there was nothing to lead
-	majorityLossReported bool          // the loss of the majority was reported
+	lastLed              time.Duration // when a leader was last known, or no group was known
+	majorityLossReported bool          // the loss of the majority was reported to the operator
 
-	voter         *voter // nil: this process does not vote
-	identity      uint64 // identity under which this process would vote; 0: none was drawn
+	voter         *voter // nil: this process is not a voter
+	identity      uint64 // identity under which this process votes or would vote; 0: none was generated
 	founding      founding
 	survey        survey
-	surveyLastLed time.Duration // when the surveyor last knew the voters to be led
+	surveyLastLed time.Duration // when this process, as surveyor, last knew a leader or held a lease, or knew no group
 }
 
-// New makes a machine. now is the present time on the monotonic clock that Step is called with. The error says in what the
-// stored state is inconsistent.
+// New creates a machine. now is the current time on the monotonic clock of the calls to Step. An error reports that the stored
+// state is inconsistent.
 func New(cfg Config, now time.Duration) (*Machine, error) {
 	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Boot)), now: now, queries: make(map[uint64]time.Duration)}
-	m.seq = uint64(m.rng.Uint32()) // so that an answer to an earlier process of this name does not pass for one to this process
+	m.seq = uint64(m.rng.Uint32()) // so that an answer to an earlier process of this name is not taken for an answer to this one
 	m.queryDue, m.lastLed = now+m.jitter(cfg.Pace), now
 	m.founding.due = now + m.jitter(cfg.Pace)
 	m.surveyLastLed = now
-	if cfg.Stored != nil && cfg.Stored.Voter == 0 { // an empty store may be a lost one: leases of an earlier group may last
+	if cfg.Stored != nil && cfg.Stored.Voter == 0 { // its content may have been lost: earlier leases may still be valid
 		m.cfg.Stored, cfg.Stored = nil, nil
 	}
 	if cfg.Stored != nil {
@@ -66,15 +66,16 @@
 	return m, nil
 }
 
-// jitter draws a duration from 0 to d.
+// jitter returns a random duration from 0 to d.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return time.Duration(m.rng.Int64N(int64(d) + 1))
 }
 
-// View returns the view in force here, and whether there is one. It may be outdated: see HoldsLease.
+// View returns the view in force on this member, and whether there is one. The view may be outdated: see HoldsLease.
 func (m *Machine) View() (View, bool) { return m.view, m.hasView }
 
-// Decided returns the view that the voters decided last, as far as this voter knows; false if this process does not vote.
+// Decided returns the view that the voters decided last, as far as this voter knows. It returns false if this process is not a
+// voter.
 func (m *Machine) Decided() (View, bool) {
 	if m.voter == nil {
 		return View{}, false
@@ -82,7 +83,8 @@
 	return m.voter.decided.View, true
 }
 
-// VoterGroup returns the voters as far as is known, and the name of their leader, empty if there is none.
+// VoterGroup returns the group of voters and the name of their leader, as far as this process knows. The name is empty if no
+// leader is known.
 func (m *Machine) VoterGroup() (Group, string) {
 	if m.voter != nil {
 		return m.voter.decided.Group, m.leaderName()
@@ -90,8 +92,9 @@
 	return m.group, m.leader
 }
 
-// Leadership returns whether this process leads the voters as far as it knows, in which era and Raft term, and when a majority
-// last confirmed that: no other process had led in a later term before that time.
+// Leadership returns the era and Raft term in which this process leads the voters, and when a majority last confirmed that: no
+// other process had led in a later term before that time. ok is false if this process does not believe that it leads, or no
+// majority has confirmed it yet.
 func (m *Machine) Leadership() (era, term uint64, confirmed time.Duration, ok bool) {
 	if m.voter == nil || !m.voter.leads() || m.voter.leadConfirmedAt < 0 {
 		return 0, 0, 0, false
@@ -99,7 +102,7 @@
 	return m.voter.decided.Group.Era, m.voter.node.BasicStatus().GetTerm(), m.voter.leadConfirmedAt, true
 }
 
-// IsVoter reports whether this process votes.
+// IsVoter reports whether this process is a voter.
 func (m *Machine) IsVoter() bool { return m.voter != nil }
 
 // IsEffectiveVoter reports whether this process votes under its own identity and no joint consensus with an earlier group is
@@ -109,7 +112,7 @@
 	return m.voter != nil && slices.Contains(m.voter.confState.GetVoters(), m.voter.id) && len(m.voter.confState.GetVotersOutgoing()) == 0
 }
 
-// Next is the time by which Step has to be called with Tick, if no event comes before.
+// Next returns the time by which Step has to be called with Tick, if no other event occurs before.
 func (m *Machine) Next() time.Duration {
 	next := m.queryDue
 	if m.voter != nil {
@@ -124,7 +127,8 @@
 	return next
 }
 
-// Step takes an event at a time, on the clock of New, that is not before that of the last call.
+// Step processes an event and returns the resulting actions. now is on the same clock as in New, and not before the time of the
+// previous call.
 func (m *Machine) Step(now time.Duration, event Event) []Action {
 	m.out = nil
 	m.now = max(now, m.now)
@@ -145,7 +149,7 @@
 	return m.out
 }
 
-// notice reports something to the operator; alert says that something has to be done about it.
+// notice reports an event to the operator. alert is set if the operator has to act on it.
 func (m *Machine) notice(alert bool, format string, args ...any) {
 	m.out = append(m.out, Notice{Text: fmt.Sprintf(format, args...), Alert: alert})
 }
@@ -157,7 +161,7 @@
 	}
 }
 
-// runTimers does what is due.
+// runTimers runs all timers that are due.
 func (m *Machine) runTimers() {
 	if m.voter != nil {
 		m.runVoterTimers()
@@ -174,7 +178,7 @@
 	}
 }
 
-// receive takes in a message of another member.
+// receive processes a message from another member.
 func (m *Machine) receive(from member.Record, msg Message) {
 	switch msg.Kind {
 	case Query:
@@ -196,7 +200,7 @@
 		}
 	case FoundingReply:
 		m.receiveFoundingReply(from.Name, msg)
-	case FoundingCommit: // of an earlier attempt than the one promised last it must not count: that one may have succeeded
+	case FoundingCommit: // a commit of an attempt before the last promised one is ignored: the later attempt may have succeeded
 		if msg.Group.Era == m.founding.promisedEra {
 			m.joinGroup(msg.Group)
 		}
@@ -210,7 +214,8 @@
 	}
 }
 
-// watchLeader reports when the voters have had no leader for long: their majority may be lost for good.
+// watchLeader alerts the operator when the voters have had no leader for leaderlessAlert: their majority may be permanently
+// lost. It also reports the end of such a time.
 func (m *Machine) watchLeader() {
 	led := m.voter != nil && m.leaderName() != "" || m.voter == nil && (m.isConfirmed && m.now < m.confirmedAt+m.cfg.Lease || !m.everHeldLease && m.group.Era == 0)
 	switch {
@@ -222,7 +227,7 @@
 		}
 	case !m.majorityLossReported && m.now-m.lastLed > leaderlessAlert*m.cfg.Pace:
 		m.majorityLossReported = true
-		m.notice(true, "no majority of the voters is heard: views stand still, placement goes on. If those voters are lost for good, "+
-			"say RECOVER at the management address of one that is left; docs/sidecar/peers.md tells what that may cost")
+		m.notice(true, "no majority of the voters is heard: no new views are decided, placement continues. If those voters are permanently lost, "+
+			"send RECOVER to the management address of a remaining one; docs/sidecar/peers.md describes the risks")
 	}
 }
--- a/internal/sidecar/view/message.go
+++ b/internal/sidecar/view/message.go
@@ -1,39 +1,39 @@
 package view
 
-// Kind is what a message requests or answers.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	Query           Kind = iota + 1 // requests what the receiver knows of views and voters
+	Query           Kind = iota + 1 // requests the receiver's view, lease age and voter group
 	QueryReply                      // answers a Query
 	FoundingRequest                 // requests a promise to join the group of an era
-	FoundingReply                   // promises to join it under an identity, or refuses with the group that the sender belongs to
-	FoundingCommit                  // the group is founded
-	Invite                          // requests the receiver to draw an identity and to offer itself in the place of an absent voter
+	FoundingReply                   // promises to join under an identity, or refuses and names the group that the sender knows
+	FoundingCommit                  // announces that the group is founded
+	Invite                          // requests that the receiver generate an identity and offer itself as a voter
 	Raft                            // carries a message of the Raft engine
-	Survey                          // requests what the receiver knows of the voters, before a lost group is replaced
+	Survey                          // requests the receiver's state as a voter and member, before a lost group is replaced
 	SurveyReply                     // answers a Survey
 )
 
-// Stamp says which view its sender has, and how long ago that was surely the newest. It goes with answers: only the
-// requester knows from when on the age counts, which is when it sent its request.
+// Stamp states which view its sender has, and how long ago that view was certainly the newest. Stamps are sent with answers
+// only: the age counts from the time at which the request was sent, which only the requester knows.
 type Stamp struct {
 	ID  ID     `cbor:"1,keyasint"`
-	Age uint64 `cbor:"2,keyasint,omitempty"` // microseconds, and 1; 0: not known
+	Age uint64 `cbor:"2,keyasint,omitempty"` // age in microseconds, plus 1; 0: not known
 }
 
-// Message passes between members.
+// Message is a message between members.
 type Message struct {
 	Kind        Kind   `cbor:"1,keyasint"`
-	Seq         uint64 `cbor:"2,keyasint,omitempty"` // number that the requester gave; of a founding: the era
-	Have        ID     `cbor:"3,keyasint,omitzero"`  // Query, FoundingReply: the view that the sender has
-	Voter       uint64 `cbor:"4,keyasint,omitempty"` // identity of a voter that belongs to no group; Raft, SurveyReply: of the sender
+	Seq         uint64 `cbor:"2,keyasint,omitempty"` // number of the request, chosen by the requester; of a founding message: the era
+	Have        ID     `cbor:"3,keyasint,omitzero"`  // Query, FoundingReply: ID of the view that the sender has
+	Voter       uint64 `cbor:"4,keyasint,omitempty"` // identity of a voter without a group; Raft, SurveyReply: identity of the sender
 	To          uint64 `cbor:"5,keyasint,omitempty"` // Raft: identity of the receiver
 	Group       Group  `cbor:"6,keyasint,omitzero"`
-	View        *View  `cbor:"7,keyasint,omitempty"` // QueryReply: if it is not what the requester has
+	View        *View  `cbor:"7,keyasint,omitempty"` // QueryReply: if the requester has another one; SurveyReply: without members
 	Stamp       Stamp  `cbor:"8,keyasint,omitzero"`  // QueryReply, SurveyReply
-	Leader      string `cbor:"9,keyasint,omitempty"` // QueryReply: name of the voters' leader, as far as is known
+	Leader      string `cbor:"9,keyasint,omitempty"` // answers: name of the voters' leader; empty: not known
 	Raft        []byte `cbor:"10,keyasint,omitempty"`
-	AfterSurvey bool   `cbor:"11,keyasint,omitempty"` // FoundingRequest, FoundingReply: a survey has come before
+	AfterSurvey bool   `cbor:"11,keyasint,omitempty"` // FoundingRequest, FoundingReply: the founding follows a survey
 }
--- a/internal/sidecar/view/query.go
+++ b/internal/sidecar/view/query.go
@@ -1,9 +1,10 @@
 package view
 
-// runQueryTimer queries a voter if what comes with the answers to probes is not enough.
+// runQueryTimer queries a random voter if the stamps in answers to probes are not sufficient: while this process awaits a group,
+// knows no leader, has a pending view, or less than a quarter of its lease is left.
 func (m *Machine) runQueryTimer() {
 	m.queryDue = m.now + queryInterval*m.cfg.Pace/2 + m.jitter(queryInterval*m.cfg.Pace)
-	leaderless := m.voter != nil && m.leaderName() == "" // it may have been replaced without notice
+	leaderless := m.voter != nil && m.leaderName() == "" // this voter may have been replaced without having received the change
 	if m.awaitsGroup() || leaderless || m.pending != nil || !m.HoldsLease(m.now+m.cfg.Lease/4) {
 		m.query(m.randomVoter())
 	}
@@ -14,7 +15,8 @@
 	}
 }
 
-// randomVoter draws a voter to query: of the group, as far as that is known, or of those that the settings name.
+// randomVoter returns the name of a random voter to query, of the group as far as it is known, or of the configured voters;
+// empty: none is present.
 func (m *Machine) randomVoter() string {
 	if m.awaitsGroup() && m.leader != "" && m.leader != m.cfg.Name && m.rng.IntN(2) == 0 {
 		return m.leader
@@ -39,7 +41,7 @@
 	return present[m.rng.IntN(len(present))]
 }
 
-// query requests what another member knows of views and voters.
+// query requests the view and the group of voters that another member knows.
 func (m *Machine) query(name string) {
 	if name == "" || name == m.cfg.Name {
 		return
@@ -56,7 +58,7 @@
 	m.send(name, msg)
 }
 
-// answerQuery answers a query with what this member knows.
+// answerQuery answers a query with this member's view and group of voters.
 func (m *Machine) answerQuery(to string, query Message) {
 	group, leader := m.VoterGroup()
 	msg := Message{Kind: QueryReply, Seq: query.Seq, Group: group, Leader: leader, Stamp: m.Stamp(m.now)}
@@ -69,21 +71,21 @@
 	m.send(to, msg)
 }
 
-// receiveReply takes in the answer to a query.
+// receiveReply processes the answer to a query.
 func (m *Machine) receiveReply(from string, reply Message) {
 	requestedAt, ours := m.queries[reply.Seq]
 	delete(m.queries, reply.Seq)
-	if !ours { // without the time of the query its stamp has no meaning
+	if !ours { // without the time of the query the stamp cannot be evaluated
 		return
 	}
 	m.learnGroup(reply)
 	m.receiveStamp(from, reply.Stamp, requestedAt, reply.View)
 }
 
-// learnGroup takes in the voters that another member knows.
+// learnGroup processes the group of voters that another member knows.
 func (m *Machine) learnGroup(msg Message) {
 	if msg.Group.Era == 0 {
-		if msg.Voter != 0 && m.founding.era != 0 { // another voter without a group
+		if msg.Voter != 0 && m.founding.era != 0 { // the other member is a voter without a group, too
 			m.founding.due = min(m.founding.due, m.now+m.cfg.Pace)
 		}
 		return
@@ -98,7 +100,8 @@
 	m.joinGroup(msg.Group)
 }
 
-// leaveReplacedGroup has this voter leave its group if another member knows of one that replaces it.
+// leaveReplacedGroup makes this voter leave its group if another member knows a group that has replaced it, or that has
+// replaced this voter.
 func (m *Machine) leaveReplacedGroup(msg Message) {
 	own := m.voter.decided
 	_, included := msg.Group.voter(m.voter.id)
@@ -107,9 +110,9 @@
 		m.leaveGroup()
 		return
 	}
-	// A group of a later era took over: founded by RECOVER, or after all others had lost their state.
+	// A group of a later era has replaced this one: it was founded by RECOVER, or after the other voters had lost their state.
 	if msg.Group.Era > own.Group.Era && msg.Stamp.Age > 0 {
-		m.notice(true, "another group of voters decides, of era %x: this one's vote is given up", msg.Group.Era)
+		m.notice(true, "a group of voters of the later era %x has replaced this voter's group: its vote is discarded", msg.Group.Era)
 		m.discardVoter()
 		m.group, m.leader = msg.Group, msg.Leader
 	}
--- a/internal/sidecar/view/replacement.go
+++ b/internal/sidecar/view/replacement.go
@@ -9,16 +9,16 @@
 	"fieldrelay/internal/sidecar/member"
 )
 
-// candidate is a process that offers to vote and belongs to no group.
+// candidate is a process that offers to become a voter and belongs to no group.
 type candidate struct {
 	id        uint64
 	offeredAt time.Duration
 }
 
-// maxCandidates bounds the candidates, and the senders, that a voter remembers.
+// maxCandidates limits the number of candidates, and of senders of Raft messages, that a voter stores.
 const maxCandidates = 64
 
-// addCandidate remembers a member that offers to vote under an identity; 0: it does not.
+// addCandidate records a member that offers to vote under an identity. An identity of 0 is no offer.
 func (m *Machine) addCandidate(name string, identity uint64) {
 	if identity == 0 || m.voter == nil {
 		return
@@ -28,7 +28,7 @@
 	}
 }
 
-// dropOutdatedCandidates forgets candidates whose offer is old, or that are gone.
+// dropOutdatedCandidates removes candidates whose offer is outdated, or that are no longer present.
 func (m *Machine) dropOutdatedCandidates() {
 	v := m.voter
 	for name, c := range v.candidates {
@@ -39,9 +39,9 @@
 	}
 }
 
-// dropAdmittedCandidates forgets the offers of names that a group newly has as voters. Each was made before that voter was
-// taken in, so that an offer under another identity may be that of an earlier process: to put it in the voter's place would
-// replace one that lives by one that is gone. A process that still offers itself does so again.
+// dropAdmittedCandidates removes the offers under the names of voters that the next group newly includes. Such an offer was made
+// before the voter was added, so an offer under another identity may come from an earlier process of that name: to accept it
+// would replace a live voter by one that no longer exists. A process that still wants to vote repeats its offer.
 func (v *voter) dropAdmittedCandidates(next Group) {
 	for _, admitted := range next.Voters {
 		if _, known := v.decided.Group.voter(admitted.ID); !known {
@@ -50,7 +50,8 @@
 	}
 }
 
-// proposeVoters replaces a voter that lost its state, or is absent for long, by a candidate.
+// proposeVoters proposes to replace a voter that lost its state, or has been absent for absenceTimeout, by a candidate, and to
+// fill vacant places.
 func (m *Machine) proposeVoters() {
 	v := m.voter
 	if v.changeProposedAt >= 0 && m.now-v.changeProposedAt < proposalTimeout*m.cfg.Pace || len(v.confState.GetVotersOutgoing()) > 0 {
@@ -58,7 +59,7 @@
 	}
 	m.dropOutdatedCandidates()
 	group := v.decided.Group
-	// A candidate replaces the voter of its own name at once: that one is gone with its state.
+	// A candidate replaces the voter of its own name at once: that voter lost its identity with its state.
 	for _, old := range group.Voters {
 		if c, ok := v.candidates[old.Name]; ok && c.id != old.ID {
 			m.changeVoters(old, Voter{old.Name, c.id})
@@ -74,7 +75,7 @@
 	}
 }
 
-// addVoter takes the best candidate into the group, for an old voter if there is one; without a candidate it invites a member.
+// addVoter adds the best candidate to the group, in place of old if that is a voter. Without a candidate it invites a member.
 func (m *Machine) addVoter(old Voter) {
 	if add := m.bestCandidate(); add.ID != 0 {
 		m.changeVoters(old, add)
@@ -83,7 +84,8 @@
 	}
 }
 
-// longAbsent returns a voter that has been absent for absenceTimeout.
+// longAbsent returns a voter that has been absent for longer than absenceTimeout, and whether there is one. It also updates the
+// times since when voters have been absent.
 func (m *Machine) longAbsent() (Voter, bool) {
 	v := m.voter
 	group := v.decided.Group
@@ -108,7 +110,8 @@
 	return Voter{}, false
 }
 
-// bestCandidate returns a candidate without a vote: first one that the settings name, then the first by name.
+// bestCandidate returns the candidate to add next, among those whose name has no vote: configured voters come first, then the
+// order is by name.
 func (m *Machine) bestCandidate() Voter {
 	var best Voter
 	for name, c := range m.voter.candidates {
@@ -123,7 +126,7 @@
 	return best
 }
 
-// invite requests a member that is alive and does not vote to offer itself.
+// invite asks the first member that is alive and does not vote to offer itself as a voter.
 func (m *Machine) invite() {
 	for _, r := range m.cfg.Members() {
 		if !m.voter.decided.Group.hasVoter(r.Name) && r.State == member.Alive && r.Name != m.cfg.Name {
@@ -133,8 +136,8 @@
 	}
 }
 
-// changeVoters takes one voter in and leaves one out, by joint consensus: until the change is over, a majority of the old group
-// and one of the new group are needed.
+// changeVoters proposes to add a voter, and to remove old if that is a voter, by joint consensus: until the change is complete,
+// a majority of the old group and a majority of the new group are needed.
 func (m *Machine) changeVoters(old, add Voter) {
 	change := &raftpb.ConfChangeV2{Context: encode(add)}
 	addSingle := func(kind raftpb.ConfChangeType, id uint64) {
@@ -146,6 +149,6 @@
 	}
 	if m.voter.node.ProposeConfChange(change) == nil {
 		m.voter.changeProposedAt = m.now
-		m.notice(false, "voter %s (%x) in the place of %s (%x)", add.Name, add.ID, old.Name, old.ID)
+		m.notice(false, "proposed voter %s (%x) to replace %s (%x)", add.Name, add.ID, old.Name, old.ID)
 	}
 }
--- a/internal/sidecar/view/stored.go
+++ b/internal/sidecar/view/stored.go
@@ -10,17 +10,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Change is a change of the stored state. Empty fields change nothing.
+// Change is a change of a voter's stored state. Empty fields change nothing.
 type Change struct {
-	Forget    bool   // drop all that was stored, first
+	Forget    bool   // discard the stored state before the other fields are applied
 	Voter     uint64 // identity under which this process votes
-	Era       uint64
+	Era       uint64 // era of the voter's group
 	HardState []byte // Raft's term, vote and commit index
-	Snapshot  []byte // replaces the entries up to its index
+	Snapshot  []byte // snapshot that replaces the entries up to its index
 	Entries   []Entry
 }
 
-// Entry is an entry of the engine's log. It replaces the stored ones of the same and of higher indexes.
+// Entry is an entry of the engine's log. It replaces the stored entries with the same and higher indexes.
 type Entry struct {
 	Index uint64 `cbor:"1,keyasint"`
 	Data  []byte `cbor:"2,keyasint"`
@@ -32,10 +32,10 @@
 	Era       uint64  `cbor:"2,keyasint"`
 	HardState []byte  `cbor:"3,keyasint"`
 	Snapshot  []byte  `cbor:"4,keyasint"`
-	Entries   []Entry `cbor:"5,keyasint"` // by index, without a gap
+	Entries   []Entry `cbor:"5,keyasint"` // log entries in the order of their indexes, without gaps
 }
 
-// Apply makes a change. Its error is that of a snapshot that cannot be read.
+// Apply applies a change. It returns an error if the snapshot cannot be decoded.
 func (st *StoredState) Apply(c Change) error {
 	if c.Forget {
 		*st = StoredState{}
@@ -72,7 +72,7 @@
 	return s.GetMetadata().GetIndex(), err
 }
 
-// Clone returns a copy that is independent of later changes.
+// Clone returns a copy that is independent of later changes of the original.
 func (st *StoredState) Clone() *StoredState {
 	if st == nil {
 		return nil
@@ -82,29 +82,29 @@
 	return &c
 }
 
-// engineStorage returns the engine's store and what the voters have decided, from the stored state. The error says in what
-// that is inconsistent: a voter must not vote without all that it has promised.
+// engineStorage builds the engine's storage and the decided state from the stored state. It returns an error if the stored state
+// is inconsistent: a voter that has lost a part of its state must not vote, since it could break an earlier promise.
 func (st *StoredState) engineStorage() (*raft.MemoryStorage, decidedState, error) {
 	var d decidedState
 	var s raftpb.Snapshot
 	var hard raftpb.HardState
 	store := raft.NewMemoryStorage()
 	if err := errors.Join(proto.Unmarshal(st.Snapshot, &s), proto.Unmarshal(st.HardState, &hard)); err != nil {
-		return nil, d, fmt.Errorf("view: kept state: %w", err)
+		return nil, d, fmt.Errorf("view: decode stored state: %w", err)
 	}
 	if s.GetMetadata().GetIndex() > 0 {
 		if err := errors.Join(store.ApplySnapshot(&s), cbor.Unmarshal(s.Data, &d)); err != nil {
-			return nil, d, fmt.Errorf("view: kept snapshot: %w", err)
+			return nil, d, fmt.Errorf("view: decode stored snapshot: %w", err)
 		}
 	}
 	var entries []*raftpb.Entry
 	for i, e := range st.Entries {
 		entry := new(raftpb.Entry)
 		if err := proto.Unmarshal(e.Data, entry); err != nil {
-			return nil, d, fmt.Errorf("view: kept entry %d: %w", e.Index, err)
+			return nil, d, fmt.Errorf("view: decode stored entry %d: %w", e.Index, err)
 		}
 		if entry.GetIndex() != e.Index || i > 0 && e.Index != st.Entries[i-1].Index+1 || e.Index <= s.GetMetadata().GetIndex() {
-			return nil, d, fmt.Errorf("view: kept entry %d is out of its place", e.Index)
+			return nil, d, fmt.Errorf("view: stored entry %d is out of sequence", e.Index)
 		}
 		entries = append(entries, entry)
 	}
@@ -113,16 +113,16 @@
 		last = entries[len(entries)-1].GetIndex()
 	}
 	if hard.GetCommit() > last {
-		return nil, d, fmt.Errorf("view: %d entries are kept, %d were decided: the state is not whole", last, hard.GetCommit())
+		return nil, d, fmt.Errorf("view: stored state is incomplete: it ends at entry %d, entries up to %d were committed", last, hard.GetCommit())
 	}
 	return store, d, errors.Join(store.SetHardState(&hard), store.Append(entries))
 }
 
-// marshal is the encoded form of a message of the engine; never nil, which would mean that there is none.
+// marshal encodes a message of the engine. The result is never nil, since nil in a Change means that there is no message.
 func marshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // never: the engine's own messages can be encoded
+		panic(err) // unreachable: the engine's own messages can always be encoded
 	}
 	if b == nil {
 		b = []byte{}
--- a/internal/sidecar/view/survey.go
+++ b/internal/sidecar/view/survey.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-// survey is the first named voter's survey of all members, before it founds a group in the place of one that can never decide
-// again. docs/design/comeback.md says when that is safe.
+// survey is the state of a survey of all members. The first configured voter makes one before it founds a group to replace one
+// that can never decide again. docs/design/comeback.md describes when that is safe.
 type survey struct {
-	seq         uint64        // of the survey under way; 0: none is
-	requestedAt time.Duration // when the last request was sent
-	requested   []string      // names of those that were sent a request
-	remaining   []string      // names of those that were not so far
-	replies     map[string]Message
-	due         time.Duration // of the next survey
-	reported    string        // what is missing, as it was reported last
+	seq         uint64             // number of the current survey; 0: there is none
+	requestedAt time.Duration      // when the last request was sent
+	requested   []string           // names of the members that a request was sent to, and of this process
+	remaining   []string           // names of the members that no request was sent to yet
+	replies     map[string]Message // replies received, by name
+	due         time.Duration      // time of the next survey
+	reported    string             // the last reported reason why no new group is founded
 }
 
-// The constants of a survey, in paces but for batchesPerPace and surveyBatch.
+// Constants of a survey, in units of Config.Pace except batchesPerPace and surveyBatch.
 const (
-	surveyDelay    = 20 // without a leader before a survey: elections are over by then, and of the shortest lease 12 paces are left
-	surveyInterval = 4  // between two surveys; up to twice as many
-	surveyTimeout  = 1  // for the replies to the last request
-	batchesPerPace = 4  // batches of requests in a pace
-	surveyBatch    = 8  // requests in a batch: all members at once would also reply at once
+	surveyDelay    = 20 // time without a leader before a survey: elections are over by then, and 12 paces remain of the shortest lease
+	surveyInterval = 4  // interval between two surveys; up to twice as long with jitter
+	surveyTimeout  = 1  // time to wait for the replies to the last request
+	batchesPerPace = 4  // batches of requests per pace
+	surveyBatch    = 8  // requests per batch: if all members were asked at once, all would reply at once
 )
 
-// isSurveyor reports whether this process is to survey the others: it is the first, by name, of the named voters.
+// isSurveyor reports whether this process is responsible for surveys: it is the first, by name, of the configured voters, and
+// refounding is enabled.
 func (m *Machine) isSurveyor() bool {
 	return m.cfg.Refound && slices.Contains(m.cfg.Voters, m.cfg.Name) && slices.Min(m.cfg.Voters) == m.cfg.Name
 }
 
-// runSurvey surveys the members while the voters have no leader, and founds a new group if that is safe.
+// runSurvey surveys the members while no leader of the voters is known, and founds a new group if that is safe.
 func (m *Machine) runSurvey() {
 	s := &m.survey
 	if m.leaderName() != "" || m.HoldsLease(m.now) || m.knownGroup().Era == 0 {
@@ -50,7 +51,8 @@
 	}
 }
 
-// beginSurvey surveys the named voters that are present. Without all of their replies the other members need not be asked.
+// beginSurvey sends requests to the configured voters that are present. The other members are asked only after all configured
+// voters have replied.
 func (m *Machine) beginSurvey() {
 	s := &m.survey
 	m.seq++
@@ -69,7 +71,8 @@
 	m.sendSurvey(voters)
 }
 
-// continueSurvey surveys the next batch of members once the named voters have replied, and evaluates the replies in the end.
+// continueSurvey sends requests to the next batch of members once all configured voters have replied. After the timeout of the
+// last request it evaluates the replies.
 func (m *Machine) continueSurvey() {
 	s := &m.survey
 	switch {
@@ -84,7 +87,7 @@
 	}
 }
 
-// sendSurvey surveys some members.
+// sendSurvey sends survey requests to the named members.
 func (m *Machine) sendSurvey(names []string) {
 	m.survey.requestedAt = m.now
 	m.survey.requested = append(m.survey.requested, names...)
@@ -93,19 +96,19 @@
 	}
 }
 
-// votersReplied reports whether all named voters have replied.
+// votersReplied reports whether all configured voters have replied.
 func (m *Machine) votersReplied() bool {
 	return !slices.ContainsFunc(m.cfg.Voters, func(name string) bool { _, ok := m.survey.replies[name]; return !ok })
 }
 
-// knownGroup is the group of voters as far as this process knows.
+// knownGroup returns the group of voters, as far as this process knows.
 func (m *Machine) knownGroup() Group {
 	g, _ := m.VoterGroup()
 	return g
 }
 
-// surveyReply is this process's reply to a survey: the group it knows, the identity under which it votes, 0 for none, and its
-// last view with its age.
+// surveyReply returns this process's reply to a survey: the group that it knows, the identity under which it votes (0: it does
+// not vote), the stamp of its view, and its last view without members.
 func (m *Machine) surveyReply(seq uint64) Message {
 	group, leader := m.VoterGroup()
 	msg := Message{Kind: SurveyReply, Seq: seq, Group: group, Leader: leader, Stamp: m.Stamp(m.now)}
@@ -117,24 +120,24 @@
 		if m.voter != nil && m.voter.decided.View.ID.Compare(v.ID) > 0 {
 			v = m.voter.decided.View
 		}
-		v.Members = nil // the surveyor has them, or queries them
+		v.Members = nil // the surveyor has the members already, or queries for them
 		msg.View = &v
 	}
 	return msg
 }
 
-// finishSurvey founds a new group if the replies prove that no group of the latest era can decide again.
+// finishSurvey starts to found a new group if the replies prove that no group of the latest era can decide again.
 func (m *Machine) finishSurvey() {
 	era, last, missing := m.evaluateSurvey()
 	if missing != "" {
 		if missing != m.survey.reported {
 			m.survey.reported = missing
-			m.notice(true, "the voters have no majority, and a new group is not founded without RECOVER: %s", missing)
+			m.notice(true, "no majority of the voters, and no new group can be founded without RECOVER: %s", missing)
 		}
 		return
 	}
 	m.survey.reported = ""
-	m.notice(true, "no group of era %x can decide again: the named voters found a new one", era)
+	m.notice(true, "no group of era %x can decide again: the configured voters are founding a new one", era)
 	if m.voter != nil {
 		m.discardVoter()
 	}
@@ -150,7 +153,8 @@
 	m.foundIfPromised()
 }
 
-// evaluateSurvey returns the latest era, the last known view, and what keeps a new group from being founded; empty: nothing.
+// evaluateSurvey returns the latest era, the last known view, and the reason why a new group must not be founded; empty: it may be
+// founded.
 func (m *Machine) evaluateSurvey() (era uint64, last View, missing string) {
 	if missing = m.missingReplies(); missing != "" {
 		return 0, View{}, missing
@@ -179,7 +183,7 @@
 	return era, last, ""
 }
 
-// missingReplies says whose reply is missing; empty: nobody's.
+// missingReplies describes which reply or request is missing; empty: none.
 func (m *Machine) missingReplies() string {
 	s := &m.survey
 	for _, name := range m.cfg.Voters {
@@ -188,18 +192,18 @@
 		}
 	}
 	if len(s.remaining) > 0 {
-		return "not all have been asked"
+		return "not all members have been asked yet"
 	}
 	for _, name := range s.requested {
 		if _, ok := s.replies[name]; !ok {
-			return name + " is there and has not answered"
+			return name + " is present and has not answered"
 		}
 	}
 	return ""
 }
 
-// collectReplies returns the latest era of the replies, the last view, without its members, and the groups of that era that
-// any reply names; or what in the replies keeps a new group from being founded.
+// collectReplies returns the latest era of the replies, the last view (without its members), and the distinct groups of the
+// latest era in the replies; or the reason in the replies why a new group must not be founded.
 func (m *Machine) collectReplies() (era uint64, last View, groups []Group, missing string) {
 	s := &m.survey
 	for _, reply := range s.replies {
@@ -208,7 +212,7 @@
 	for _, name := range s.requested {
 		reply := s.replies[name]
 		if age := time.Duration(reply.Stamp.Age) * time.Microsecond; reply.Stamp.Age > 0 && age < StalenessBound(m.cfg.Lease, m.cfg.Drift) {
-			return era, last, nil, fmt.Sprintf("%s has a view that was the newest %v ago", name, age.Round(time.Millisecond))
+			return era, last, nil, fmt.Sprintf("%s has a view that was still the newest %v ago", name, age.Round(time.Millisecond))
 		}
 		if reply.View != nil && (reply.View.ID.Compare(last.ID) > 0 || last.ID == ID{}) {
 			last = *reply.View
@@ -220,13 +224,14 @@
 			groups = append(groups, reply.Group)
 		}
 		if _, known := reply.Group.voter(reply.Voter); reply.Voter != 0 && !known {
-			return era, last, nil, name + " votes in a group that nobody knows"
+			return era, last, nil, name + " votes under an identity that its group does not include"
 		}
 	}
 	return era, last, groups, ""
 }
 
-// lastMembers returns the members of the last view. If this process does not know them, it queries them.
+// lastMembers returns the members of the last view. If this process does not have them, it queries a member that replied with
+// that view.
 func (m *Machine) lastMembers(last View) (members []Member, missing string) {
 	switch {
 	case last.ID == ID{}:
@@ -244,11 +249,11 @@
 			break
 		}
 	}
-	return nil, "who belongs to view " + last.ID.String() + " is asked for"
+	return nil, "the members of view " + last.ID.String() + " are not known yet"
 }
 
-// possibleVoters returns the names of those that may still vote in a group: the absent members of the last view, any of which
-// may have become a voter since, and the voters that have kept their identity or did not reply.
+// possibleVoters returns the names of the members that may still be voters of a group: the absent members of the last view, any
+// of which may have become a voter since, and the voters of the group that have kept their identity or did not reply.
 func (m *Machine) possibleVoters(group Group, era uint64, absent []string) []string {
 	possible := slices.Clone(absent)
 	for _, voter := range group.Voters {
@@ -261,13 +266,15 @@
 	return possible
 }
 
-// answerRefoundingRequest gives up what this process was as a voter, and promises to join the group that is founded.
+// answerRefoundingRequest answers a FoundingRequest that follows a survey: this process discards its state as a voter and
+// promises to join the new group. It does not answer if it knows a leader, holds a lease, or knows a group of this or a later
+// era.
 func (m *Machine) answerRefoundingRequest(to string, msg Message) {
 	if !m.cfg.Refound || !slices.Contains(m.cfg.Voters, to) || m.leaderName() != "" || m.HoldsLease(m.now) || msg.Seq <= m.knownGroup().Era {
 		return
 	}
 	if m.voter != nil {
-		m.notice(true, "this voter's identity is given up for a new group of era %x", msg.Seq)
+		m.notice(true, "this voter's identity and state are discarded to join a new group of era %x", msg.Seq)
 		m.discardVoter()
 	}
 	m.ensureIdentity()
--- a/internal/sidecar/view/voter.go
+++ b/internal/sidecar/view/voter.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// voter is the part of a machine that votes: the Raft engine, and what the voters have decided.
+// voter is the voting part of a machine: the Raft engine and the decided state.
 type voter struct {
 	id            uint64
 	node          *raft.RawNode
@@ -23,27 +23,28 @@
 	snapshotIndex uint64 // index of the last snapshot
 
 	tickDue          time.Duration
-	campaignDue      time.Duration // without a message of a leader until then, this voter campaigns
-	readDue          time.Duration // of the next read index request
-	pendingReads     map[uint64]time.Duration
-	readStates       []raft.ReadState // confirmed by the majority; the log may not be applied so far
-	leadConfirmedAt  time.Duration    // the last time at which this voter surely led; -1: never
-	confirmNotBefore time.Duration    // nothing is confirmed before: leases of an earlier group may last
-	differsSince     time.Duration    // since when the leader's opinion differs from the view; -1: it does not
-	proposedAt       time.Duration    // when the pending view was proposed; -1: none is pending
-	proposalNonce    uint64           // of the pending view
-	requestedRules   Rules            // to propose with the next view, if they are newer than those in force
-	changeProposedAt time.Duration    // when the pending change of voters was proposed; -1: none is pending
+	campaignDue      time.Duration            // this voter campaigns at this time, unless a message from a leader arrives before
+	readDue          time.Duration            // time of the next read index request
+	pendingReads     map[uint64]time.Duration // time of each unconfirmed read index request, by its number
+	readStates       []raft.ReadState         // requests confirmed by a majority; the log may not be applied up to their index yet
+	leadConfirmedAt  time.Duration            // the last time at which this voter certainly led; -1: never
+	confirmNotBefore time.Duration            // no view is confirmed before this time: leases of an earlier group may still be valid
+	differsSince     time.Duration            // since when the leader's opinion differs from the view; -1: it does not differ
+	proposedAt       time.Duration            // when the pending proposal of a view was made; -1: none is pending
+	proposalNonce    uint64                   // nonce of the pending proposal of a view
+	requestedRules   Rules                    // rules to propose with the next view, if they are newer than those in force
+	changeProposedAt time.Duration            // when the pending change of voters was proposed; -1: none is pending
 	candidates       map[string]candidate
-	absentSince      map[uint64]time.Duration // since when absent voters have been so, by identity
-	senders          map[uint64]string        // names of those that sent Raft messages: a new voter knows no group so far
-	replaced         bool                     // the group has left this voter behind
+	absentSince      map[uint64]time.Duration // start of the absence of each absent voter, by its ID
+	senders          map[uint64]string        // names of the senders of Raft messages, by ID: a new voter does not know the group yet
+	replaced         bool                     // another voter has replaced this one in the group
 }
 
-// discardLogger keeps the engine from logging to where the program's own log goes. What matters is reported as a Notice.
+// discardLogger discards the engine's log lines, which would otherwise go into the program's own log. Relevant events are
+// reported as a Notice.
 type discardLogger struct{ *raft.DefaultLogger }
 
-// startEngine starts the engine on a store, as a voter of the group of an era.
+// startEngine starts the engine on a store, as a voter of the group of the given era.
 func (m *Machine) startEngine(store *raft.MemoryStorage, d decidedState, era uint64) error {
 	snapshot, err := store.Snapshot()
 	if err != nil {
@@ -55,7 +56,7 @@
 		pendingReads: make(map[uint64]time.Duration), candidates: make(map[string]candidate), absentSince: make(map[uint64]time.Duration),
 		senders: make(map[uint64]string)}
 	v.decided.Group.Era = era
-	if m.cfg.Stored == nil { // leases of an earlier group may last, and this process would not know
+	if m.cfg.Stored == nil { // leases of an earlier group, unknown to this process, may still be valid
 		v.confirmNotBefore = m.now + StalenessBound(m.cfg.Lease, m.cfg.Drift)
 	}
 	logger := discardLogger{&raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}}
@@ -70,12 +71,14 @@
 	return nil
 }
 
-// resetElectionTimer postpones the next campaign. The engine would draw its time itself, but from a source that is not seeded.
+// resetElectionTimer restarts the randomized election timeout. The engine's own timeout is not used: its random source cannot
+// be seeded.
 func (m *Machine) resetElectionTimer() {
 	m.voter.campaignDue = m.now + electionTicks*tickInterval*m.cfg.Pace + m.jitter(electionTicks*tickInterval*m.cfg.Pace)
 }
 
-// leaderName is the name of the voters' leader, as far as this voter knows; empty if it knows none or does not vote.
+// leaderName returns the name of the voters' leader, as far as this voter knows. It is empty if no leader is known or this
+// process is not a voter.
 func (m *Machine) leaderName() string {
 	if m.voter == nil {
 		return ""
@@ -88,14 +91,14 @@
 
 func (v *voter) leads() bool { return v.node.BasicStatus().RaftState == raft.StateLeader }
 
-// runVoterTimers ticks the engine, and does what a leader does.
+// runVoterTimers ticks the engine, campaigns if the election timeout has passed, and runs the leader's tasks if this voter leads.
 func (m *Machine) runVoterTimers() {
 	v := m.voter
 	if v.tickDue > m.now {
 		return
 	}
 	if m.now-v.tickDue > electionTicks*m.cfg.Pace {
-		m.resetElectionTimer() // this process was stalled: messages of the leader may be unread
+		m.resetElectionTimer() // this process was stalled: messages from the leader may be unread
 	}
 	v.tickDue = m.now + tickInterval*m.cfg.Pace
 	if v.leads() {
@@ -105,13 +108,13 @@
 		_, included := v.decided.Group.voter(v.id)
 		if v.campaignDue <= m.now && (included || v.appliedIndex > 0) {
 			m.resetElectionTimer()
-			_ = v.node.Campaign() // a voter that may not campaign now does so later
+			_ = v.node.Campaign() // a voter that may not campaign now tries again after the next timeout
 		}
 	}
 	if m.voter.leads() {
 		m.runLeader()
 	} else {
-		v.requestedRules = Rules{} // the next leader is requested anew
+		v.requestedRules = Rules{} // the caller repeats the request, to the next leader
 	}
 	m.processReady()
 	if v = m.voter; v == nil {
@@ -125,7 +128,8 @@
 	}
 }
 
-// runLeader does what the leader does at each tick: it confirms with a majority that it leads, and proposes.
+// runLeader runs the leader's tasks at a tick: it confirms its leadership with a majority (read index), and proposes views and
+// changes of the voters.
 func (m *Machine) runLeader() {
 	v := m.voter
 	if v.readDue <= m.now && v.confirmNotBefore <= m.now {
@@ -140,20 +144,20 @@
 		v.node.ReadIndex(binary.BigEndian.AppendUint64(nil, m.seq))
 	}
 	if v.appliedIndex < v.node.BasicStatus().GetCommit() {
-		return // it may not know the latest view yet
+		return // entries up to the commit index are not applied yet: the latest view may not be known
 	}
 	m.proposeView()
 	m.proposeVoters()
 }
 
-// requestRules has this process, if it leads, propose an edition of rules with the next view.
+// requestRules makes this process, if it is the leader, propose an edition of rules with the next view.
 func (m *Machine) requestRules(rules Rules) {
 	if v := m.voter; v != nil && v.leads() && len(rules.Digest) <= maxDigestBytes && rules.Number > v.decided.View.Rules.Number {
 		v.requestedRules = rules
 	}
 }
 
-// nextView is the view that this process would have next, by its opinion on who is present.
+// nextView returns the view that this process would propose next, with the members that it believes to be present.
 func (m *Machine) nextView() View {
 	present := m.cfg.Members()
 	next := View{ID: ID{Era: m.voter.decided.Group.Era, Number: m.voter.decided.View.ID.Number + 1}, Rules: m.voter.decided.View.Rules}
@@ -166,7 +170,7 @@
 	return next
 }
 
-// proposeView proposes the next view once this process's opinion has differed from the present one for a while.
+// proposeView proposes the next view once this process's opinion has differed from the decided view for proposalDelay.
 func (m *Machine) proposeView() {
 	v := m.voter
 	next := m.nextView()
@@ -189,7 +193,8 @@
 	}
 }
 
-// receiveRaft passes a Raft message to the engine, if it is of this voter's group.
+// receiveRaft passes a Raft message to the engine, if it belongs to this voter's group. A process that awaits a group joins the
+// group of a message that is addressed to its identity.
 func (m *Machine) receiveRaft(from string, msg Message) {
 	var em raftpb.Message
 	if proto.Unmarshal(msg.Raft, &em) != nil {
@@ -222,7 +227,8 @@
 	m.processReady()
 }
 
-// confirmReads extends the lease by the read requests that a majority has confirmed, once the log is applied that far.
+// confirmReads extends the lease by the read index requests that a majority has confirmed, once the log is applied up to their
+// index.
 func (m *Machine) confirmReads() {
 	v := m.voter
 	v.readStates = slices.DeleteFunc(v.readStates, func(r raft.ReadState) bool {
@@ -242,7 +248,7 @@
 	})
 }
 
-// discardVoter gives up the vote and the identity. A named voter draws a new one.
+// discardVoter discards the voter, its identity and its stored state. A configured voter generates a new identity.
 func (m *Machine) discardVoter() {
 	m.voter, m.identity, m.cfg.Stored = nil, 0, nil
 	m.out = append(m.out, Save{Change{Forget: true}})
@@ -251,34 +257,35 @@
 	}
 }
 
-// leaveGroup ends a vote that another voter has taken over.
+// leaveGroup makes this process stop voting after another voter has replaced it in the group.
 func (m *Machine) leaveGroup() {
 	group := m.voter.decided.Group
-	m.notice(false, "another voter has taken this one's place")
+	m.notice(false, "this process no longer votes: another voter has replaced it in the group")
 	m.discardVoter()
 	m.group = group
 }
 
-// guard runs what calls the engine, which panics if its state contradicts a message. The sidecar then goes on without a vote;
-// the identity is given up with the state, so that nothing that was promised under it is broken.
+// guard runs a function that calls the engine, and recovers from a panic: the engine panics if its state contradicts a message.
+// The sidecar then continues without a vote. The identity is discarded together with the state, so that no promise that was
+// made under that identity can be broken.
 func (m *Machine) guard(do func()) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			m.notice(true, "the voter's state contradicts what the others say and is given up: %v", fault)
+			m.notice(true, "the voter's state contradicts messages of the other voters and is discarded: %v", fault)
 			m.discardVoter()
 		}
 	}()
 	do()
 }
 
-// ensureIdentity draws an identity to vote under, if there is none.
+// ensureIdentity generates an identity to vote under, if there is none.
 func (m *Machine) ensureIdentity() {
 	for m.identity == 0 {
 		m.identity = m.rng.Uint64()
 	}
 }
 
-// decodeSeq reads the number that a read request of the engine carries; 0 is none.
+// decodeSeq decodes the number in the context of a read index request; 0: the context has no valid number.
 func decodeSeq(b []byte) uint64 {
 	if len(b) != 8 {
 		return 0
