--- a/internal/sidecar/member/broadcast.go
+++ b/internal/sidecar/member/broadcast.go
@@ -77,14 +77,14 @@
 	return to
 }
 
-// dropSettled drops the updates that equal digests prove others to have. Suspicions are not part of the digest, and stay.
-func (q *broadcastQueue) dropSettled() {
-	settled := func(n broadcast) bool {
+// dropConverged drops the updates that equal digests prove others to have. Suspicions are not part of the digest, and stay.
+func (q *broadcastQueue) dropConverged() {
+	converged := func(n broadcast) bool {
 		if n.State == Suspect {
 			return false
 		}
 		q.uncount(n.Name)
 		return true
 	}
-	q.fresh, q.transmitted = slices.DeleteFunc(q.fresh, settled), slices.DeleteFunc(q.transmitted, settled)
+	q.fresh, q.transmitted = slices.DeleteFunc(q.fresh, converged), slices.DeleteFunc(q.transmitted, converged)
 }
--- a/internal/sidecar/member/check_test.go
+++ b/internal/sidecar/member/check_test.go
@@ -13,20 +13,20 @@
 	"fieldrelay/internal/testkit/explore"
 )
 
-// three is a fleet of three machines, whose messages stay on their links until they are delivered or dropped.
-type three struct {
-	machines [3]*Machine
-	now      time.Duration
-	links    map[[2]int][]Send // by sender and receiver
-	crashed  bool              // the third machine has crashed
-	highest  [3]map[string]Record
-	broken   error
+// threeMembers is a fleet of three machines, whose messages stay on their links until they are delivered or dropped.
+type threeMembers struct {
+	machines  [3]*Machine
+	now       time.Duration
+	links     map[[2]int][]Send // by sender and receiver
+	crashed   bool              // the third machine has crashed
+	highest   [3]map[string]Record
+	violation error
 }
 
 var threeNames = [3]string{"a", "b", "c"}
 
-func newThree(mutate Mutation) *three {
-	w := &three{links: map[[2]int][]Send{}}
+func newThreeMembers(mutate Mutation) *threeMembers {
+	w := &threeMembers{links: map[[2]int][]Send{}}
 	for i, name := range threeNames {
 		w.machines[i] = New(Config{Name: name, Addr: name, Boot: uint64(i + 1), Pace: time.Second, Seed: uint64(i), Mutate: mutate}, 0)
 		w.highest[i] = map[string]Record{}
@@ -41,7 +41,7 @@
 	return w
 }
 
-func (w *three) step(i int, e Event) {
+func (w *threeMembers) step(i int, e Event) {
 	m := w.machines[i]
 	for _, a := range m.Step(w.now, e) {
 		s, ok := a.(Send)
@@ -58,7 +58,7 @@
 	// Per observer, what is believed of a process never goes back.
 	for name, p := range m.peers {
 		if was, ok := w.highest[i][name]; ok && was.supersedes(p.Record) {
-			w.broken = fmt.Errorf("%s believed %+v and now %+v", m.self.Name, was, p.Record)
+			w.violation = fmt.Errorf("%s believed %+v and now %+v", m.self.Name, was, p.Record)
 		}
 		w.highest[i][name] = p.Record
 	}
@@ -69,7 +69,7 @@
 	do   func()
 }
 
-func (w *three) choices() (all []choice) {
+func (w *threeMembers) choices() (all []choice) {
 	for i, m := range w.machines {
 		if i == 2 && w.crashed {
 			continue
@@ -95,44 +95,44 @@
 	return all
 }
 
-func (w *three) deliver(id [2]int) {
+func (w *threeMembers) deliver(id [2]int) {
 	s := w.links[id][0]
 	w.links[id] = w.links[id][1:]
 	to := w.machines[id[1]]
 	if id[1] == 2 && w.crashed {
 		return
 	}
-	accused := uint64(0)
+	suspectIncarnation := uint64(0)
 	for _, r := range s.Message.Updates {
 		if r.Name == to.self.Name && r.Boot == to.self.Boot && r.State != Alive && r.Incarnation >= to.self.Incarnation {
-			accused = max(accused, r.Incarnation)
+			suspectIncarnation = max(suspectIncarnation, r.Incarnation)
 		}
 	}
 	from := w.machines[id[0]].self // as it is now: the record sent with the message may be older, and incarnations only grow
 	w.step(id[1], Received{From: from, Message: s.Message})
-	if accused > 0 && to.self.Incarnation <= accused {
-		w.broken = fmt.Errorf("%s received that it is suspect at %d and did not refute", to.self.Name, accused)
+	if suspectIncarnation > 0 && to.self.Incarnation <= suspectIncarnation {
+		w.violation = fmt.Errorf("%s received that it is suspect at %d and did not refute", to.self.Name, suspectIncarnation)
 	}
 }
 
-func (w *three) Events() (names []string) {
+func (w *threeMembers) Events() (names []string) {
 	for _, c := range w.choices() {
 		names = append(names, c.name)
 	}
 	return names
 }
 
-func (w *three) Do(i int) { w.choices()[i].do() }
+func (w *threeMembers) Do(i int) { w.choices()[i].do() }
 
-func (w *three) Check() error {
-	if w.broken != nil {
-		return w.broken
+func (w *threeMembers) Check() error {
+	if w.violation != nil {
+		return w.violation
 	}
 	for i, m := range w.machines {
 		for name, p := range m.peers {
-			of := w.machines[strings.Index("abc", name)]
-			if p.Boot == of.self.Boot && p.Incarnation > of.self.Incarnation {
-				return fmt.Errorf("%s believes that %s has come to %d; it is at %d", threeNames[i], name, p.Incarnation, of.self.Incarnation)
+			subject := w.machines[strings.Index("abc", name)]
+			if p.Boot == subject.self.Boot && p.Incarnation > subject.self.Incarnation {
+				return fmt.Errorf("%s believes that %s has come to %d; it is at %d", threeNames[i], name, p.Incarnation, subject.self.Incarnation)
 			}
 			if p.State == Left {
 				return fmt.Errorf("%s believes that %s left", threeNames[i], name)
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func (w *three) Hash() uint64 {
+func (w *threeMembers) Hash() uint64 {
 	var b strings.Builder
 	for i, m := range w.machines {
 		fmt.Fprintln(&b, m.self, m.healthScore, m.probeDue-w.now, m.gossipDue-w.now, m.equalDigests, m.broadcasts.fresh, m.broadcasts.transmitted, m.probeOrder, m.relays)
@@ -153,7 +153,7 @@
 			p := m.peers[name]
 			fmt.Fprintln(&b, p.Record, p.reported)
 			if p.suspicion != nil {
-				fmt.Fprintln(&b, p.suspicion.deadline-w.now, p.suspicion.accusers)
+				fmt.Fprintln(&b, p.suspicion.deadline-w.now, p.suspicion.suspectedBy)
 			}
 		}
 		for j := range 3 {
@@ -164,9 +164,9 @@
 	return xxhash.Sum64String(b.String())
 }
 
-// prepared is the fleet with one member suspected by another, whose update is queued: faults are few steps away.
-func prepared(mutate Mutation) *three {
-	w := newThree(mutate)
+// newWithSuspicion is the fleet with one member suspected by another, whose update is queued: faults are few steps away.
+func newWithSuspicion(mutate Mutation) *threeMembers {
+	w := newThreeMembers(mutate)
 	a := w.machines[0]
 	r := a.peers["c"].Record
 	r.State, r.SuspectedBy = Suspect, "a"
@@ -181,8 +181,8 @@
 	if n, err := strconv.Atoi(os.Getenv("EXPLORE_DEPTH")); err == nil {
 		depth = n
 	}
-	for name, begin := range map[string]func(Mutation) *three{"from rest": newThree, "from a suspicion": prepared} {
-		res, err := explore.All(func() explore.System { return begin(NoMutation) }, depth, 2_000_000)
+	for name, newSystem := range map[string]func(Mutation) *threeMembers{"from rest": newThreeMembers, "from a suspicion": newWithSuspicion} {
+		res, err := explore.All(func() explore.System { return newSystem(NoMutation) }, depth, 2_000_000)
 		if err != nil || !res.Full {
 			t.Errorf("%s: %+v %v", name, res, err)
 		}
@@ -191,12 +191,12 @@
 }
 
 func TestEveryOrderNoticesMutations(t *testing.T) {
-	for _, mutate := range []Mutation{NoRefutation, Resurrection} {
+	for _, mutate := range []Mutation{NoRefutation, AcceptStaleAlive} {
 		found := error(nil)
 		for depth := 1; depth <= 6 && found == nil; depth++ {
 			_, found = explore.All(func() explore.System {
-				w := prepared(mutate)
-				if mutate == Resurrection { // a believes that c has failed, and b does not know
+				w := newWithSuspicion(mutate)
+				if mutate == AcceptStaleAlive { // a believes that c has failed, and b does not know
 					a := w.machines[0]
 					r := a.peers["c"].Record
 					r.State, r.SuspectedBy = Failed, ""
--- a/internal/sidecar/member/disseminate.go
+++ b/internal/sidecar/member/disseminate.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// leaveReceivers is how many members a shutdown is announced to.
-const leaveReceivers = 8
+// leaveFanout is how many members a shutdown is announced to.
+const leaveFanout = 8
 
 // send sends a message with the updates that its datagram has room for. First comes what the receiver is to refute or to
 // correct of itself.
@@ -41,7 +41,7 @@
 func (m *Machine) announceLeave() {
 	m.self.State = Left
 	m.broadcast(m.self)
-	for _, p := range m.sample(leaveReceivers, (*peer).present) {
+	for _, p := range m.sample(leaveFanout, (*peer).present) {
 		m.send(p.Record, Message{Kind: Gossip})
 		m.send(p.Record, Message{Kind: Gossip}) // a datagram may be lost
 	}
--- a/internal/sidecar/member/machine.go
+++ b/internal/sidecar/member/machine.go
@@ -221,14 +221,14 @@
 }
 
 // sample draws up to n different processes that fit.
-func (m *Machine) sample(n int, fits func(*peer) bool) []*peer {
+func (m *Machine) sample(n int, matches func(*peer) bool) []*peer {
 	if len(m.names) == 0 {
 		return nil
 	}
-	var drawn []*peer
+	var selected []*peer
 	add := func(name string) {
-		if p := m.peers[name]; len(drawn) < n && fits(p) && !slices.Contains(drawn, p) {
-			drawn = append(drawn, p)
+		if p := m.peers[name]; len(selected) < n && matches(p) && !slices.Contains(selected, p) {
+			selected = append(selected, p)
 		}
 	}
 	for range 4 * n {
@@ -236,10 +236,10 @@
 	}
 	// Few may fit: then all are looked at, from a position that is drawn.
 	start := m.rng.IntN(len(m.names))
-	for i := 0; len(drawn) < n && i < len(m.names); i++ {
+	for i := 0; len(selected) < n && i < len(m.names); i++ {
 		add(m.names[(start+i)%len(m.names)])
 	}
-	return drawn
+	return selected
 }
 
 // nextSeq numbers a request.
--- a/internal/sidecar/member/member.go
+++ b/internal/sidecar/member/member.go
@@ -79,9 +79,9 @@
 
 // The mutations.
 const (
-	NoMutation   Mutation = iota
-	NoRefutation          // a suspect does not refute
-	Resurrection          // a record of an old incarnation revives a failed process
+	NoMutation       Mutation = iota
+	NoRefutation              // a suspect does not refute
+	AcceptStaleAlive          // a record of an old incarnation revives a failed process
 )
 
 // The constants of the detector: times are in paces unless said otherwise.
@@ -101,7 +101,7 @@
 	seedSyncInterval     = 64          // between two exchanges with an address to join by while others are present
 	joinBackoffMin       = 1           // between two such exchanges while nobody is present: at first,
 	joinBackoffMax       = 16          // and doubled up to this
-	equalDigestsToSettle = 3           // equal digests in a row after which the tables count as equal
+	convergenceThreshold = 3           // equal digests in a row after which the tables count as equal
 	syncAfter            = 4           // for so long digests may differ before the tables are exchanged
 	maxFullSyncs         = 4           // whole tables sent in a pace; further requesters are referred to other members
 	referrals            = 6           // members that such a requester is referred to
--- a/internal/sidecar/member/merge.go
+++ b/internal/sidecar/member/merge.go
@@ -22,14 +22,14 @@
 		if r.Present() { // it is probed within this round, at a position that is drawn
 			m.probeOrder = slices.Insert(m.probeOrder, m.rng.IntN(len(m.probeOrder)+1), r.Name)
 		}
-		m.introduce(p, r)
+		m.applyFirstRecord(p, r)
 		return
 	}
 	if r.State == Suspect && p.State == Suspect && r.Incarnation == p.Incarnation && r.Boot == p.Boot {
 		m.confirmSuspicion(p, r)
 		return
 	}
-	if r.supersedes(p.Record) || m.cfg.Mutate == Resurrection && r.State == Alive && !p.Present() {
+	if r.supersedes(p.Record) || m.cfg.Mutate == AcceptStaleAlive && r.State == Alive && !p.Present() {
 		if r.Addr == "" {
 			r.Addr = p.Addr
 		}
@@ -37,8 +37,8 @@
 	}
 }
 
-// introduce takes in the first record of a process.
-func (m *Machine) introduce(p *peer, r Record) {
+// applyFirstRecord takes in the first record of a process.
+func (m *Machine) applyFirstRecord(p *peer, r Record) {
 	p.Record, p.stateSince = r, m.now
 	m.digestValid = false
 	m.updateSuspicion(p, r)
--- a/internal/sidecar/member/suspicion.go
+++ b/internal/sidecar/member/suspicion.go
@@ -10,7 +10,7 @@
 // (Lifeguard's dynamic suspicion timeout).
 type suspicion struct {
 	begunAt, deadline time.Duration
-	accusers          []string // names, the first accuser first
+	suspectedBy       []string // names, the first accuser first
 }
 
 // updateSuspicion begins or ends the suspicion that goes with a record.
@@ -19,7 +19,7 @@
 	if r.State != Suspect {
 		return
 	}
-	p.suspicion = &suspicion{begunAt: m.now, accusers: []string{r.SuspectedBy}}
+	p.suspicion = &suspicion{begunAt: m.now, suspectedBy: []string{r.SuspectedBy}}
 	m.setDeadline(p.suspicion)
 	m.watchTimers(p)
 	// A few members probe the suspect themselves at once, however many members there are.
@@ -31,10 +31,10 @@
 // confirmSuspicion counts another accuser of a suspect.
 func (m *Machine) confirmSuspicion(p *peer, r Record) {
 	s := p.suspicion
-	if s == nil || len(s.accusers) > indirectProbers || slices.Contains(s.accusers, r.SuspectedBy) {
+	if s == nil || len(s.suspectedBy) > indirectProbers || slices.Contains(s.suspectedBy, r.SuspectedBy) {
 		return
 	}
-	s.accusers = append(s.accusers, r.SuspectedBy)
+	s.suspectedBy = append(s.suspectedBy, r.SuspectedBy)
 	m.setDeadline(s)
 	m.broadcast(r)
 }
@@ -51,7 +51,7 @@
 	shortest, longest := suspicionBounds(n, m.scaledPace())
 	k := min(indirectProbers, n-2) // further accusers that count
 	timeout := shortest
-	if c := len(s.accusers) - 1; c < k {
+	if c := len(s.suspectedBy) - 1; c < k {
 		timeout = longest - time.Duration(float64(longest-shortest)*math.Log(float64(c+1))/math.Log(float64(k+1)))
 	}
 	s.deadline = s.begunAt + timeout
--- a/internal/sidecar/member/sync.go
+++ b/internal/sidecar/member/sync.go
@@ -42,8 +42,8 @@
 func (m *Machine) compareDigest(with Record, digest uint64) {
 	if digest == m.presentDigest() {
 		m.divergedSince = -1
-		if m.equalDigests++; m.equalDigests >= equalDigestsToSettle {
-			m.broadcasts.dropSettled() // after many joins, transmitting them all would take minutes
+		if m.equalDigests++; m.equalDigests >= convergenceThreshold {
+			m.broadcasts.dropConverged() // after many joins, transmitting them all would take minutes
 		}
 		return
 	}
--- a/internal/sidecar/member/table_test.go
+++ b/internal/sidecar/member/table_test.go
@@ -8,7 +8,7 @@
 
 // When most of a fleet is started at once, all of it asks the few addresses to join by: after many requests in a pace, further
 // requesters are referred to some members in place of all.
-func TestWholeTablesAreToldToFewInAPace(t *testing.T) {
+func TestFullSyncsAreLimitedPerPace(t *testing.T) {
 	const pace = time.Second
 	m := New(Config{Name: "a", Addr: "a:1", Boot: 1, Pace: pace, Seed: 1}, 0)
 	var all []Record
@@ -16,14 +16,14 @@
 		all = append(all, Record{Name: fmt.Sprintf("m%d", i), Addr: fmt.Sprintf("m%d:1", i), Boot: 1, Incarnation: 1})
 	}
 	m.Step(0, Received{From: all[0], Message: Message{Kind: SyncReply, Updates: all}})
-	ask := func(now time.Duration) (whole, part int) {
+	sendSyncs := func(now time.Duration) (whole, partial int) {
 		for i := range 20 {
 			for _, a := range m.Step(now, Received{From: all[i], Message: Message{Kind: Sync, Seq: uint64(i + 1)}}) {
 				s, ok := a.(Send)
 				switch {
 				case !ok || s.Message.Kind != SyncReply:
 				case s.Message.Partial:
-					if part++; len(s.Message.Updates) > referrals+1 || len(s.Message.Updates) < 2 {
+					if partial++; len(s.Message.Updates) > referrals+1 || len(s.Message.Updates) < 2 {
 						t.Errorf("%d named", len(s.Message.Updates))
 					}
 				default:
@@ -31,11 +31,11 @@
 				}
 			}
 		}
-		return whole, part
+		return whole, partial
 	}
 	for i := range 2 {
-		if whole, part := ask(time.Duration(1+2*i) * pace); whole != maxFullSyncs || part != 20-maxFullSyncs {
-			t.Errorf("pace %d: %d whole tables, %d parts for 20 that ask", i+1, whole, part)
+		if whole, partial := sendSyncs(time.Duration(1+2*i) * pace); whole != maxFullSyncs || partial != 20-maxFullSyncs {
+			t.Errorf("pace %d: %d whole tables, %d parts for 20 that ask", i+1, whole, partial)
 		}
 	}
 }
