--- a/internal/sidecar/member/broadcast.go
+++ b/internal/sidecar/member/broadcast.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// broadcastQueue is the queue of updates that are piggybacked on messages: first those that were never transmitted, then the
-// others in turn. Taking from it costs as much as is taken, whatever its length.
+// broadcastQueue is the queue of updates to piggyback on messages: first the updates that were never transmitted, then the others
+// in turn. The cost of taking updates is proportional to their number, independent of the length of the queue.
 type broadcastQueue struct {
-	fresh, transmitted []broadcast
-	counts             map[string]int // updates queued by process: most have none, and the queue is not searched for them
+	fresh, transmitted []broadcast    // updates never transmitted, and those transmitted at least once
+	counts             map[string]int // queued updates by process: most have none, which saves a search of the queue
 }
 
 // broadcast is an update that is transmitted a limited number of times.
@@ -19,8 +19,8 @@
 
 func (q *broadcastQueue) clear() { q.fresh, q.transmitted, q.counts = nil, nil, nil }
 
-// add queues an update. It replaces those of the same process that it supersedes; the accusations of a suspect by different
-// members stand beside each other.
+// add queues an update. It replaces the queued updates of the same process that it supersedes. Suspicions of the same process by
+// different members remain in the queue together.
 func (q *broadcastQueue) add(r Record) {
 	if q.counts == nil {
 		q.counts = map[string]int{}
@@ -36,7 +36,7 @@
 		q.fresh, q.transmitted = slices.DeleteFunc(q.fresh, superseded), slices.DeleteFunc(q.transmitted, superseded)
 	}
 	for len(q.fresh)+len(q.transmitted) >= maxQueued {
-		from := &q.transmitted // these were transmitted at least once, so they are dropped first
+		from := &q.transmitted // dropped first: these updates were transmitted at least once
 		if len(q.transmitted) == 0 {
 			from = &q.fresh
 		}
@@ -47,15 +47,15 @@
 	q.counts[r.Name]++
 }
 
-// uncount takes an update of a process out of the counts.
+// uncount decrements the count of a process after one of its updates was removed.
 func (q *broadcastQueue) uncount(name string) {
 	if q.counts[name]--; q.counts[name] <= 0 {
 		delete(q.counts, name)
 	}
 }
 
-// appendTo appends updates for a receiver to those of its message, up to maxUpdates in all. An update leaves the queue after
-// it was transmitted limit times.
+// appendTo appends queued updates to the updates of a message to a receiver, up to maxUpdates in total. An update is removed from
+// the queue after it was transmitted limit times.
 func (q *broadcastQueue) appendTo(to []Record, receiver string, limit int) []Record {
 	for left := len(q.fresh) + len(q.transmitted); left > 0 && len(to) < maxUpdates; left-- {
 		from := &q.fresh
@@ -64,7 +64,7 @@
 		}
 		n := (*from)[0]
 		*from = (*from)[1:]
-		if n.Name != receiver || n.State != Alive { // the receiver knows that it is alive
+		if n.Name != receiver || n.State != Alive { // the receiver knows that it is itself alive
 			to = append(to, n.Record)
 			n.transmits++
 		}
@@ -77,7 +77,8 @@
 	return to
 }
 
-// dropConverged drops the updates that equal digests prove others to have. Suspicions are not part of the digest, and stay.
+// dropConverged drops the updates that all others have, as equal digests show. Suspicions are not part of the digest and remain in
+// the queue.
 func (q *broadcastQueue) dropConverged() {
 	converged := func(n broadcast) bool {
 		if n.State == Suspect {
--- a/internal/sidecar/member/check_test.go
+++ b/internal/sidecar/member/check_test.go
@@ -17,7 +17,7 @@
 type threeMembers struct {
 	machines  [3]*Machine
 	now       time.Duration
-	links     map[[2]int][]Send // by sender and receiver
+	links     map[[2]int][]Send // messages on each link, by sender and receiver
 	crashed   bool              // the third machine has crashed
 	highest   [3]map[string]Record
 	violation error
@@ -35,7 +35,7 @@
 				w.step(i, Received{From: Record{Name: other, Addr: other, Boot: uint64(j + 1), Incarnation: 1}, Message: Message{Kind: Gossip}})
 			}
 		}
-		w.machines[i].broadcasts.clear() // all have every record
+		w.machines[i].broadcasts.clear() // every machine has every record already
 	}
 	clear(w.links)
 	return w
@@ -55,10 +55,10 @@
 			}
 		}
 	}
-	// Per observer, what is believed of a process never goes back.
+	// A machine's record of a process must never be replaced by one that it supersedes.
 	for name, p := range m.peers {
 		if was, ok := w.highest[i][name]; ok && was.supersedes(p.Record) {
-			w.violation = fmt.Errorf("%s believed %+v and now %+v", m.self.Name, was, p.Record)
+			w.violation = fmt.Errorf("%s replaced the record %+v by the older %+v", m.self.Name, was, p.Record)
 		}
 		w.highest[i][name] = p.Record
 	}
@@ -108,10 +108,10 @@
 			suspectIncarnation = max(suspectIncarnation, r.Incarnation)
 		}
 	}
-	from := w.machines[id[0]].self // as it is now: the record sent with the message may be older, and incarnations only grow
+	from := w.machines[id[0]].self // the record sent with the message may be older, but incarnations only grow
 	w.step(id[1], Received{From: from, Message: s.Message})
 	if suspectIncarnation > 0 && to.self.Incarnation <= suspectIncarnation {
-		w.violation = fmt.Errorf("%s received that it is suspect at %d and did not refute", to.self.Name, suspectIncarnation)
+		w.violation = fmt.Errorf("%s received a suspicion of itself in incarnation %d and did not refute it", to.self.Name, suspectIncarnation)
 	}
 }
 
@@ -132,10 +132,10 @@
 		for name, p := range m.peers {
 			subject := w.machines[strings.Index("abc", name)]
 			if p.Boot == subject.self.Boot && p.Incarnation > subject.self.Incarnation {
-				return fmt.Errorf("%s believes that %s has come to %d; it is at %d", threeNames[i], name, p.Incarnation, subject.self.Incarnation)
+				return fmt.Errorf("%s has a record of %s in incarnation %d, which is ahead of its actual incarnation %d", threeNames[i], name, p.Incarnation, subject.self.Incarnation)
 			}
 			if p.State == Left {
-				return fmt.Errorf("%s believes that %s left", threeNames[i], name)
+				return fmt.Errorf("%s has a record of %s in state left, but no process left", threeNames[i], name)
 			}
 		}
 	}
@@ -164,7 +164,8 @@
 	return xxhash.Sum64String(b.String())
 }
 
-// newWithSuspicion is the fleet with one member suspected by another, whose update is queued: faults are few steps away.
+// newWithSuspicion returns a fleet in which one member suspects another and has queued that update, so that faults can occur within
+// few steps.
 func newWithSuspicion(mutate Mutation) *threeMembers {
 	w := newThreeMembers(mutate)
 	a := w.machines[0]
@@ -175,18 +176,18 @@
 	return w
 }
 
-// Every order of events, from rest and from a suspicion.
+// Explores every order of events, starting from an idle fleet and from a fleet with a suspicion.
 func TestEveryOrder(t *testing.T) {
 	depth := 5
 	if n, err := strconv.Atoi(os.Getenv("EXPLORE_DEPTH")); err == nil {
 		depth = n
 	}
-	for name, newSystem := range map[string]func(Mutation) *threeMembers{"from rest": newThreeMembers, "from a suspicion": newWithSuspicion} {
+	for name, newSystem := range map[string]func(Mutation) *threeMembers{"idle fleet": newThreeMembers, "fleet with a suspicion": newWithSuspicion} {
 		res, err := explore.All(func() explore.System { return newSystem(NoMutation) }, depth, 2_000_000)
 		if err != nil || !res.Full {
 			t.Errorf("%s: %+v %v", name, res, err)
 		}
-		t.Logf("%s, every order of up to %d events: %d states, %d paths", name, depth, res.States, res.Paths)
+		t.Logf("%s, all orders of up to %d events: %d states, %d paths", name, depth, res.States, res.Paths)
 	}
 }
 
@@ -208,7 +209,7 @@
 			}, depth, 200_000)
 		}
 		if found == nil {
-			t.Errorf("mutation %d: nothing was broken", mutate)
+			t.Errorf("mutation %d: no violation found", mutate)
 		}
 		t.Log(found)
 	}
--- a/internal/sidecar/member/damping.go
+++ b/internal/sidecar/member/damping.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// dampReturn counts the return of a failed process and reports whether to damp it: a process that fails and returns over and
-// over is not reported as present until it has stayed for a while (like the flap damping of BGP, RFC 2439).
+// dampReturn counts the return of a failed process and reports whether to damp the return: a process that repeatedly fails and
+// returns is not reported as present until the damping has ended (similar to BGP route flap damping, RFC 2439).
 func (m *Machine) dampReturn(p *peer) bool {
 	if p.dampedUntil > 0 {
 		return true
@@ -24,7 +24,7 @@
 	return true
 }
 
-// report reports the state of a process to the caller, if it differs from what was reported last.
+// report reports the state of a process to the caller, if it differs from the state reported last.
 func (m *Machine) report(p *peer) {
 	if was := p.reported; was != p.State {
 		p.reported = p.State
--- a/internal/sidecar/member/disseminate.go
+++ b/internal/sidecar/member/disseminate.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// leaveFanout is how many members a shutdown is announced to.
+// leaveFanout is the number of members that a shutdown is announced to.
 const leaveFanout = 8
 
-// send sends a message with the updates that its datagram has room for. First comes what the receiver is to refute or to
-// correct of itself.
+// send sends a message with as many updates as its datagram has room for. The first update is a record of the receiver that the
+// receiver has to refute or to correct, if there is one.
 func (m *Machine) send(to Record, msg Message) {
 	if msg.Kind == Ping || msg.Kind == Ack {
 		msg.Digest = m.presentDigest()
@@ -23,10 +23,10 @@
 	m.out = append(m.out, Send{To: to, Message: msg})
 }
 
-// broadcast queues an update for dissemination.
+// broadcast queues an update to be sent with later messages.
 func (m *Machine) broadcast(r Record) { m.broadcasts.add(r) }
 
-// gossip sends a round of queued updates.
+// gossip sends queued updates to a few random members.
 func (m *Machine) gossip() {
 	m.gossipDue = m.now + time.Duration(gossipFraction*float64(m.cfg.Pace))
 	for _, p := range m.sample(gossipNodes, (*peer).present) {
@@ -37,13 +37,13 @@
 	}
 }
 
-// announceLeave announces the shutdown of this process to some members, and ends the machine.
+// announceLeave announces the shutdown of this process to leaveFanout random members, and ends the machine.
 func (m *Machine) announceLeave() {
 	m.self.State = Left
 	m.broadcast(m.self)
 	for _, p := range m.sample(leaveFanout, (*peer).present) {
 		m.send(p.Record, Message{Kind: Gossip})
-		m.send(p.Record, Message{Kind: Gossip}) // a datagram may be lost
+		m.send(p.Record, Message{Kind: Gossip}) // sent twice, since a datagram may be lost
 	}
 	m.ended = true
 }
--- a/internal/sidecar/member/machine.go
+++ b/internal/sidecar/member/machine.go
@@ -14,65 +14,66 @@
 	self  Record
 	now   time.Duration
 	out   []Action
-	ended bool   // left, or yielded its name
-	seq   uint64 // of the last request
+	ended bool   // this process has left, or yielded its name
+	seq   uint64 // number of the last request
 
 	peers        map[string]*peer
-	names        []string // of peers, sorted: nothing may follow from the order of a map
-	timed        []*peer  // those with a suspicion or a damped return
-	digest       uint64   // see presentDigest
-	presentCount int      // processes present, including this one
+	names        []string // names of peers, sorted: iteration must not depend on the order of a map
+	timed        []*peer  // peers with a suspicion or a damped return
+	digest       uint64   // digest of the processes present, see presentDigest
+	presentCount int      // number of processes present, including this one
 	digestValid  bool     // digest and presentCount are up to date
 
 	// Probes.
-	probe         *probe   // under way; nil: none
-	probeOrder    []string // whom to probe in the rest of this round
+	probe         *probe   // probe of the current protocol period; nil: none
+	probeOrder    []string // names of the processes to probe in the rest of this round
 	probeDue      time.Duration
 	failedPingDue time.Duration
 	relays        []relayedProbe
-	healthScore   int // Lifeguard's: 0 healthy to maxHealthScore
+	healthScore   int // Lifeguard's local health score, from 0 (healthy) to maxHealthScore
 
 	// Dissemination.
 	broadcasts broadcastQueue
 	gossipDue  time.Duration
-	// correction is what is known of the sender of the message being answered, if that is not what it says of itself.
+	// correction is the known record of the sender of the message being processed, if that record takes precedence over the
+	// sender's own one. Its name is empty if there is none.
 	correction Record
 
-	// State exchange with the addresses to join by.
-	seedNames   map[string]string // address to the name of the process that answered there: it may say that it is reached elsewhere
+	// State exchange with the seed addresses.
+	seedNames   map[string]string // name of the process that answered at each seed address; its record may have another address
 	seedSyncDue time.Duration
 	joinBackoff time.Duration
-	joinAddr    string // address of the last request
-	joinSeq     uint64 // its number
+	joinAddr    string // seed address of the last request; empty: it was answered
+	joinSeq     uint64 // number of the last request to a seed address
 
 	// State exchange with members whose digests differ.
-	divergedSince   time.Duration // since when digests differ; -1: they do not
-	equalDigests    int           // equal digests received in a row
-	syncDue         time.Duration // no exchange is requested before
-	syncWindowStart time.Duration // begin of the pace in which syncsInWindow counts
-	syncsInWindow   int           // whole tables requested of this process in that pace
+	divergedSince   time.Duration // since when digests have differed; -1: they do not differ
+	equalDigests    int           // number of consecutive equal digests received
+	syncDue         time.Duration // earliest time of the next request for an exchange
+	syncWindowStart time.Duration // start of the current window of one pace
+	syncsInWindow   int           // number of table requests received in that window
 }
 
-// peer is what is known of another process.
+// peer is the state of another process, as known to this one.
 type peer struct {
 	Record
-	reported    State // last reported to the caller; differs from the record's state only while a return is damped
-	stateSince  time.Duration
-	lastContact time.Duration // of the last message received from it; -1: none
-	suspicion   *suspicion    // nil: not suspect
-	returns     []time.Duration
-	dampedUntil time.Duration // until when a return is not reported; 0: none is damped
-	damping     time.Duration // duration of the last damping
+	reported    State           // state last reported to the caller; it differs from the record's state only while a return is damped
+	stateSince  time.Duration   // time of the last change of the state
+	lastContact time.Duration   // time of the last message received from the process; -1: none was received
+	suspicion   *suspicion      // nil: the process is not suspect
+	returns     []time.Duration // times of its recent returns
+	dampedUntil time.Duration   // time until which a return is not reported; 0: no return is damped
+	damping     time.Duration   // duration of the last damping
 }
 
 func (p *peer) present() bool { return p.Present() }
 
-// New makes a machine. now is the present time on the monotonic clock that Step is called with.
+// New creates a machine. now is the current time on the monotonic clock of the calls to Step.
 func New(cfg Config, now time.Duration) *Machine {
 	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Boot)), now: now,
 		peers: make(map[string]*peer), seedNames: make(map[string]string), divergedSince: -1}
 	m.self = Record{Name: cfg.Name, Addr: cfg.Addr, Boot: cfg.Boot, Incarnation: max(1, cfg.Incarnation), Zone: cfg.Zone, Reads: cfg.Reads}
-	m.seq = uint64(m.rng.Uint32()) // so that an answer to an earlier process of this name does not pass for one to this process
+	m.seq = uint64(m.rng.Uint32()) // so that an answer to an earlier process of this name is not taken for an answer to this one
 	m.probeDue = now + m.jitter(cfg.Pace)
 	m.seedSyncDue = now
 	m.joinBackoff = joinBackoffMin * cfg.Pace
@@ -82,7 +83,7 @@
 	return m
 }
 
-// Next is the time by which Step has to be called with Tick, if no event comes before.
+// Next returns the time by which Step has to be called with Tick, if no other event occurs before.
 func (m *Machine) Next() time.Duration {
 	if m.ended {
 		return math.MaxInt64
@@ -110,8 +111,8 @@
 	return next
 }
 
-// Step takes an event at a time, on the clock of New, that is not before that of the last call. The actions are valid until
-// the next call.
+// Step processes an event and returns the resulting actions, which are valid until the next call. now is on the same clock as in
+// New, and not before the time of the previous call.
 func (m *Machine) Step(now time.Duration, event Event) []Action {
 	m.out = m.out[:0]
 	if m.ended {
@@ -136,8 +137,8 @@
 	return m.out
 }
 
-// allowForStall extends the pending timeouts after this process was stalled: answers may be unread in its sockets, and others
-// must not be suspected for that. It also raises the health score.
+// allowForStall extends the pending timeouts if this step is late, since this process was then stalled: its sockets may contain
+// unread answers, and the processes that sent them must not be suspected. It also raises the health score.
 func (m *Machine) allowForStall(late time.Duration) {
 	if late <= time.Duration(stallThreshold*float64(m.cfg.Pace)) {
 		return
@@ -161,15 +162,15 @@
 	}
 }
 
-// jitter draws a duration from 0 to d.
+// jitter returns a random duration from 0 to d.
 func (m *Machine) jitter(d time.Duration) time.Duration {
 	return time.Duration(m.rng.Int64N(int64(d) + 1))
 }
 
-// scaledPace is a pace, longer the higher the health score.
+// scaledPace returns the pace scaled by the health score: the higher the score, the longer the pace.
 func (m *Machine) scaledPace() time.Duration { return time.Duration(m.healthScore+1) * m.cfg.Pace }
 
-// runTimers does what is due.
+// runTimers runs all timers that are due.
 func (m *Machine) runTimers() {
 	m.runPeerTimers()
 	m.runRelayTimers()
@@ -197,7 +198,7 @@
 	}
 }
 
-// runPeerTimers ends the suspicions and dampings that are over.
+// runPeerTimers declares suspects failed whose deadline has passed, and reports damped returns whose damping has ended.
 func (m *Machine) runPeerTimers() {
 	for _, p := range slices.Clone(m.timed) {
 		if s := p.suspicion; s != nil && s.deadline <= m.now {
@@ -213,14 +214,14 @@
 	m.timed = slices.DeleteFunc(m.timed, func(p *peer) bool { return p.suspicion == nil && p.dampedUntil == 0 })
 }
 
-// watchTimers has runPeerTimers look at a process.
+// watchTimers adds a process to those whose timers runPeerTimers checks.
 func (m *Machine) watchTimers(p *peer) {
 	if !slices.Contains(m.timed, p) {
 		m.timed = append(m.timed, p)
 	}
 }
 
-// sample draws up to n different processes that fit.
+// sample returns up to n different random processes that match.
 func (m *Machine) sample(n int, matches func(*peer) bool) []*peer {
 	if len(m.names) == 0 {
 		return nil
@@ -234,7 +235,7 @@
 	for range 4 * n {
 		add(m.names[m.rng.IntN(len(m.names))])
 	}
-	// Few may fit: then all are looked at, from a position that is drawn.
+	// If too few were found, few may match: all processes are checked, starting at a random position.
 	start := m.rng.IntN(len(m.names))
 	for i := 0; len(selected) < n && i < len(m.names); i++ {
 		add(m.names[(start+i)%len(m.names)])
@@ -242,13 +243,13 @@
 	return selected
 }
 
-// nextSeq numbers a request.
+// nextSeq returns the number of a new request.
 func (m *Machine) nextSeq() uint64 {
 	m.seq++
 	return m.seq
 }
 
-// reap forgets the processes that failed or left long ago.
+// reap removes the processes that failed or left more than reapAfter ago.
 func (m *Machine) reap() {
 	for _, name := range slices.Clone(m.names) {
 		if p := m.peers[name]; !p.Present() && m.now-p.stateSince > reapAfter*m.cfg.Pace {
--- a/internal/sidecar/member/member.go
+++ b/internal/sidecar/member/member.go
@@ -1,10 +1,10 @@
-// Package member is the failure detector of a fleet: what one sidecar believes of the others, which of them are present
-// and which have failed. It is a state machine, Step(now, event) -> actions, without I/O, clock or goroutine, and the same
-// seed and events give the same actions.
+// Package member implements the failure detector of a fleet: one sidecar's opinion on which of the other sidecars are present
+// and which have failed. It is a deterministic state machine, Step(now, event) -> actions, without I/O, clock or goroutines:
+// the same seed and events give the same actions.
 //
 // The protocol is SWIM (Das, Gupta, Motivala, 2002: probe, indirect probe, suspicion, incarnations) with the health score
-// of Lifeguard (Dadgar, Phillips, Currey, 2017). It gives each member an opinion, not an agreement: what the members agree
-// on is decided in package view. docs/design/fleet.md says what was changed of the protocol, and why.
+// of Lifeguard (Dadgar, Phillips, Currey, 2017). It gives each member its own opinion; package view turns opinions into an
+// agreement. docs/design/fleet.md describes how the protocol differs from SWIM, and why.
 package member
 
 import "time"
@@ -12,18 +12,18 @@
 // Event is an input of the machine.
 type Event interface{ event() }
 
-// The events. A machine without events still has to be stepped with Tick when Next says so.
+// The events. If no other event occurs, the machine must be stepped with Tick at the time that Next returns.
 type (
 	// Tick reports that time has passed.
 	Tick struct{}
-	// Received is a message, with the record that its sender gave of itself.
+	// Received is a message from another process, with the sender's record of itself.
 	Received struct {
 		From    Record
 		Message Message
 	}
 	// Leave reports that this process is about to shut down.
 	Leave struct{}
-	// Seeds replaces the addresses to join by.
+	// Seeds replaces the seed addresses, see Config.Join.
 	Seeds struct{ Join []string }
 )
 
@@ -32,26 +32,26 @@
 func (Leave) event()    {}
 func (Seeds) event()    {}
 
-// Action is an output of the machine, for its caller to carry out in order.
+// Action is an output of the machine. The caller executes the actions of a step in order.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Send sends a message to a process. To.Name is empty for an address to join by. Stream is set if the message may be
+	// Send sends a message to a process. To.Name is empty if To.Addr is a seed address. Stream is set if the message may be
 	// too long for a datagram.
 	Send struct {
 		To      Record
 		Message Message
 		Stream  bool
 	}
-	// Changed reports a new belief about a process. Was is the state reported last; New is set for a process that was not
-	// known before, or was started anew.
+	// Changed reports a changed record of another process. Was is the state that was reported last. New is set for a process
+	// that was not known before, or that has restarted.
 	Changed struct {
 		Record Record
 		Was    State
 		New    bool
 	}
-	// Yield reports that another living process holds this one's name and takes precedence: this machine has ended.
+	// Yield reports a name conflict: another live process has this process's name and takes precedence. The machine has ended.
 	Yield struct{ To Record }
 )
 
@@ -59,18 +59,18 @@
 func (Changed) action() {}
 func (Yield) action()   {}
 
-// Config is what a machine is made with.
+// Config configures a machine.
 type Config struct {
 	Name        string
-	Addr        string        // host:port at which the others reach this process
-	Boot        uint64        // of this start, see NewBoot
-	Incarnation uint64        // the first incarnation; 0 is 1
+	Addr        string        // host:port at which other processes reach this one
+	Boot        uint64        // number of this start of the process, see NewBoot
+	Incarnation uint64        // initial incarnation; 0 stands for 1
 	Zone        string        // failure domain of this process; empty: not known
 	Reads       string        // formats of rules that this process reads; empty: none
-	Join        []string      // addresses to join by
+	Join        []string      // seed addresses, through which this process joins the fleet
 	Pace        time.Duration // SWIM's protocol period: the interval between two probes
-	Seed        uint64        // of the random draws, together with Boot
-	// Mutate injects a fault, so that tests can show that they would notice it. Nothing else sets it.
+	Seed        uint64        // seed of the random numbers, together with Boot
+	// Mutate injects a fault, to verify that tests detect it. It is set by tests only.
 	Mutate Mutation
 }
 
@@ -80,39 +80,40 @@
 // The mutations.
 const (
 	NoMutation       Mutation = iota
-	NoRefutation              // a suspect does not refute
+	NoRefutation              // this process does not refute a suspicion of itself
 	AcceptStaleAlive          // a record of an old incarnation revives a failed process
 )
 
-// The constants of the detector: times are in paces unless said otherwise.
+// Constants of the failure detector. Durations are in units of Config.Pace unless stated otherwise.
 const (
-	ackTimeoutFraction   = 0.4  // of a pace: timeout of a direct probe, after which indirect ones are requested
-	indirectProbers      = 3    // processes that are requested to probe; as many more accusers shorten a suspicion
-	suspicionMult        = 3    // shortest suspicion: this * max(1, log10 n)
-	suspicionMaxMult     = 4    // longest suspicion: this * the shortest
-	suspectProbers       = 6    // expected number of members that probe a suspect themselves when they learn of it
-	maxHealthScore       = 8    // at which this process trusts its own observations the least
-	gossipFraction       = 0.25 // of a pace: interval between two rounds of gossip
-	gossipNodes          = 3    // receivers of a round of gossip
-	retransmitMult       = 3    // each update is transmitted this * ceil(log2(n+1)) times
-	maxUpdates           = 6    // updates in a datagram, so that it stays within 1,400 bytes
-	maxQueued            = 4 * MaxMembers
-	failedPingInterval   = 8           // between two pings of a process that failed: it may be back
-	seedSyncInterval     = 64          // between two exchanges with an address to join by while others are present
-	joinBackoffMin       = 1           // between two such exchanges while nobody is present: at first,
-	joinBackoffMax       = 16          // and doubled up to this
-	convergenceThreshold = 3           // equal digests in a row after which the tables count as equal
-	syncAfter            = 4           // for so long digests may differ before the tables are exchanged
-	maxFullSyncs         = 4           // whole tables sent in a pace; further requesters are referred to other members
-	referrals            = 6           // members that such a requester is referred to
-	reapAfter            = 2400        // after which a process that failed or left is forgotten
-	stallThreshold       = 0.5         // a step later than this: the process itself was stalled
-	undampedReturns      = 5           // returns within returnWindow that are reported at once
-	returnWindow         = time.Minute // in which the returns of a process are counted
-	dampingMin           = 2           // for so long the next return is not reported,
-	dampingMax           = 64          // doubled with each further one up to this
+	ackTimeoutFraction   = 0.4            // timeout of a direct probe, after which indirect probes are requested
+	indirectProbers      = 3              // members asked for an indirect probe, and further suspecting members that shorten a suspicion
+	suspicionMult        = 3              // shortest suspicion: this * max(1, log10 n)
+	suspicionMaxMult     = 4              // longest suspicion: this * the shortest one
+	suspectProbers       = 6              // expected number of members that themselves probe a suspect that they learn of
+	maxHealthScore       = 8              // health score at which this process trusts its own observations the least
+	gossipFraction       = 0.25           // interval between two rounds of gossip
+	gossipNodes          = 3              // number of receivers of a round of gossip
+	retransmitMult       = 3              // each update is transmitted this * ceil(log2(n+1)) times
+	maxUpdates           = 6              // updates per datagram, so that a datagram stays within 1,400 bytes
+	maxQueued            = 4 * MaxMembers // maximum number of queued updates
+	failedPingInterval   = 8              // interval of the pings of failed processes, which may have returned
+	seedSyncInterval     = 64             // interval of state exchanges with a seed address while other processes are present
+	joinBackoffMin       = 1              // initial interval of state exchanges with a seed address while no other process is present
+	joinBackoffMax       = 16             // upper limit of the interval of state exchanges while no other process is present, which doubles each time
+	convergenceThreshold = 3              // consecutive equal digests after which the tables count as converged
+	syncAfter            = 4              // how long digests may differ before the tables are exchanged
+	maxFullSyncs         = 4              // full tables sent per pace; further requesters are referred to other members
+	referrals            = 6              // number of members that a requester is referred to once maxFullSyncs is exceeded
+	reapAfter            = 2400           // time after which a process that failed or left is removed from the table
+	stallThreshold       = 0.5            // delay of a step beyond which this process counts as having been stalled
+	undampedReturns      = 5              // number of returns within returnWindow that are reported at once
+	returnWindow         = time.Minute    // window in which the returns of a process are counted; not scaled by the pace
+	dampingMin           = 2              // how long the first damped return of a process is not reported
+	dampingMax           = 64             // upper limit of the damping, which doubles with each further return
 )
 
-// NewBoot numbers a start of a process by its time, in milliseconds since 1970, and a random number. The time only decides
-// which of two living processes of one name was started first; if a clock was set back the other one yields, nothing worse.
+// NewBoot returns the number of a start of a process, made from the time in milliseconds since 1970 and a random number. The time
+// only decides which of two live processes of the same name was started first. If a clock was set back, the other process
+// yields; there is no further effect.
 func NewBoot(unixMilli int64, random uint64) uint64 { return uint64(unixMilli)<<20 | random&(1<<20-1) }
--- a/internal/sidecar/member/merge.go
+++ b/internal/sidecar/member/merge.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// merge takes in a record if it supersedes what is known.
+// merge applies a record if it supersedes the known one. A further suspicion of a suspect is counted.
 func (m *Machine) merge(r Record) {
 	if r.Name == m.self.Name {
 		m.receiveSelf(r)
@@ -19,7 +19,7 @@
 		m.peers[r.Name] = p
 		at, _ := slices.BinarySearch(m.names, r.Name)
 		m.names = slices.Insert(m.names, at, r.Name)
-		if r.Present() { // it is probed within this round, at a position that is drawn
+		if r.Present() { // the process is probed within this round, at a random position
 			m.probeOrder = slices.Insert(m.probeOrder, m.rng.IntN(len(m.probeOrder)+1), r.Name)
 		}
 		m.applyFirstRecord(p, r)
@@ -37,7 +37,7 @@
 	}
 }
 
-// applyFirstRecord takes in the first record of a process.
+// applyFirstRecord applies the first record of a process, broadcasts it and reports the process if it is present.
 func (m *Machine) applyFirstRecord(p *peer, r Record) {
 	p.Record, p.stateSince = r, m.now
 	m.digestValid = false
@@ -49,7 +49,7 @@
 	}
 }
 
-// apply replaces the record of a process, broadcasts it and reports the change, unless it is a return that is damped.
+// apply replaces the record of a process, broadcasts it and reports the change, unless the change is a damped return.
 func (m *Machine) apply(p *peer, r Record) {
 	was, restarted := p.State, p.Boot != r.Boot
 	p.Record = r
@@ -60,7 +60,7 @@
 	m.updateSuspicion(p, r)
 	m.broadcast(r)
 	if p.reported > Suspect && p.Present() && m.dampReturn(p) {
-		return // reported when the damping is over
+		return // the return is reported when the damping has ended
 	}
 	if !p.Present() {
 		p.dampedUntil = 0
@@ -73,8 +73,8 @@
 	}
 }
 
-// receiveSelf takes in what others say of this process, or of another one of its name, and refutes it with a higher
-// incarnation.
+// receiveSelf processes a record that another process sent about this process, or about another process of the same name, and
+// refutes it with a higher incarnation.
 func (m *Machine) receiveSelf(r Record) {
 	if m.ended {
 		return
@@ -89,8 +89,8 @@
 		m.broadcast(m.self)
 		return
 	}
-	// Another process has, or had, this name. Only a living one can have received a record of this process, and so set
-	// Supersedes; of two living ones the one started later yields, and both come to the same result.
+	// Another process has, or had, this name. Only a live process can have received a record of this process and so have set
+	// Supersedes. Of two live processes, the one started later yields; both processes reach the same result.
 	if r.Supersedes == m.self.Boot && r.Boot < m.self.Boot {
 		m.ended = true
 		m.out = append(m.out, Yield{To: r})
--- a/internal/sidecar/member/probe.go
+++ b/internal/sidecar/member/probe.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// probe is the probe of this protocol period.
+// probe is the probe of the current protocol period.
 type probe struct {
 	name          string
 	seq           uint64
-	ackDeadline   time.Duration // of the direct probe; 0: indirect ones have been requested, or it was answered
-	nacksExpected int           // processes that were requested to probe
+	ackDeadline   time.Duration // deadline of the direct probe; 0: indirect probes have been requested, or the probe was answered
+	nacksExpected int           // number of processes that were asked for an indirect probe
 	nacksReceived int
 	acked         bool
 }
 
 // relayedProbe is a probe on behalf of another process.
 type relayedProbe struct {
-	seq          uint64 // of our ping
+	seq          uint64 // number of the ping to the target
 	requester    Record
 	requesterSeq uint64
-	nackDue      time.Duration // 0: the Nack was sent
-	endDue       time.Duration // when the probe is forgotten
+	nackDue      time.Duration // time at which a Nack is sent to the requester; 0: it was sent
+	endDue       time.Duration // time at which the relayed probe is removed
 }
 
-// startProbe pings the next process of this round. Each round visits all that are present, in an order of its own.
+// startProbe pings the next process of this round. Each round visits all present processes in a new random order.
 func (m *Machine) startProbe() {
-	for range 2 { // the rest of this round, then a new one
+	for range 2 { // first the rest of this round, then a new round
 		for len(m.probeOrder) > 0 {
 			p := m.peers[m.probeOrder[0]]
 			m.probeOrder = m.probeOrder[1:]
@@ -41,12 +41,12 @@
 	}
 }
 
-// ping requests an Ack of a process.
+// ping requests an Ack from a process.
 func (m *Machine) ping(p *peer, seq uint64) {
 	m.send(p.Record, Message{Kind: Ping, Seq: seq, To: p.Name})
 }
 
-// requestIndirectProbes has other members probe a process that did not answer in time.
+// requestIndirectProbes asks other members to probe a process that did not answer in time.
 func (m *Machine) requestIndirectProbes(pr *probe) {
 	target := m.peers[pr.name]
 	if target == nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// finishProbe evaluates the probe of the protocol period that is over.
+// finishProbe evaluates the probe of the protocol period that has ended.
 func (m *Machine) finishProbe() {
 	pr := m.probe
 	m.probe = nil
@@ -69,7 +69,7 @@
 		m.healthScore = max(0, m.healthScore-1)
 		return
 	}
-	// Relays that send not even a Nack are evidence against this process, not against the probed one (Lifeguard).
+	// Missing Nacks indicate a problem of this process, not of the probed one (Lifeguard).
 	if missing := pr.nacksExpected - pr.nacksReceived; missing > 0 {
 		m.healthScore = min(maxHealthScore, m.healthScore+missing)
 	} else if pr.nacksExpected == 0 {
@@ -82,7 +82,7 @@
 	}
 }
 
-// relayProbe pings a process on behalf of another.
+// relayProbe pings the target of a PingReq on behalf of the requester.
 func (m *Machine) relayProbe(requester Record, request Message) {
 	target := request.Target
 	if target.Valid() != nil || len(m.relays) >= MaxMembers {
@@ -94,7 +94,7 @@
 	m.send(Record{Name: target.Name, Addr: target.Addr}, Message{Kind: Ping, Seq: relay.seq, To: target.Name})
 }
 
-// runRelayTimers forgets relayed probes that are over, and sends the Nacks that are due.
+// runRelayTimers removes relayed probes that have ended, and sends the Nacks that are due.
 func (m *Machine) runRelayTimers() {
 	m.relays = slices.DeleteFunc(m.relays, func(r relayedProbe) bool { return r.endDue <= m.now })
 	for i := range m.relays {
@@ -105,7 +105,7 @@
 	}
 }
 
-// receiveAck takes in the answer to a ping, and passes it on if the ping was relayed.
+// receiveAck processes the answer to a ping, and forwards it if the ping was sent on behalf of another process.
 func (m *Machine) receiveAck(seq uint64) {
 	if p := m.probe; p != nil && p.seq == seq {
 		p.acked, p.ackDeadline = true, 0
--- a/internal/sidecar/member/query.go
+++ b/internal/sidecar/member/query.go
@@ -4,21 +4,21 @@
 	"time"
 )
 
-// Known is a process other than this one, in the state reported last: one whose return is damped still counts as failed.
+// Known is a known process other than this one, in the state reported last: a process whose return is damped counts as failed.
 type Known struct {
 	Record
-	StateSince  time.Duration // when the state last changed
-	LastContact time.Duration // when its last message was received; -1: none was
+	StateSince  time.Duration // time of the last change of the state
+	LastContact time.Duration // time of the last message received from the process; -1: none was received
 }
 
 // Self returns the record of this process.
 func (m *Machine) Self() Record { return m.self }
 
-// HealthScore is Lifeguard's local health score, 0 (healthy) to maxHealthScore: the higher, the less this process trusts its
-// own observations.
+// HealthScore returns Lifeguard's local health score, from 0 (healthy) to maxHealthScore. The higher the score, the less this
+// process trusts its own observations.
 func (m *Machine) HealthScore() int { return m.healthScore }
 
-// Others returns all known processes but this one, by name, including those that failed or left.
+// Others returns all known processes except this one, sorted by name, including those that failed or left.
 func (m *Machine) Others() []Known {
 	all := make([]Known, 0, len(m.names))
 	for _, name := range m.names {
@@ -30,7 +30,7 @@
 	return all
 }
 
-// PresentRecords returns the records of those present, including this process, by name.
+// PresentRecords returns the records of the processes present, including this one, sorted by name.
 func (m *Machine) PresentRecords() []Record {
 	all := make([]Record, 0, m.Present())
 	selfAdded := false
@@ -59,7 +59,7 @@
 	return r, true
 }
 
-// Present returns how many processes are present, including this one.
+// Present returns the number of processes present, including this one.
 func (m *Machine) Present() int {
 	m.presentDigest()
 	return m.presentCount
--- a/internal/sidecar/member/receive.go
+++ b/internal/sidecar/member/receive.go
@@ -1,6 +1,6 @@
 package member
 
-// receive takes in a message: first what its sender says of itself and of others, then what it requests.
+// receive processes a message: first the sender's record of itself and the records in the message, then its request or answer.
 func (m *Machine) receive(from Record, msg Message) {
 	if from.Name == m.self.Name {
 		if from.Boot != m.self.Boot {
@@ -28,15 +28,15 @@
 		return
 	}
 	known := m.peers[from.Name]
-	if known == nil { // there was no room for it
+	if known == nil { // the table is full
 		return
 	}
-	// A process that was started anew does not know which incarnation its name has reached.
+	// A restarted process does not know which incarnation its name has reached.
 	if known.Boot != from.Boot || known.Incarnation > from.Incarnation {
 		m.correction = known.Record
 		defer func() { m.correction = Record{} }()
 	}
-	// The answer goes to where the sender says it is, also while another record of its name still counts.
+	// The answer is sent to the address in the sender's own record, also while another record of its name takes precedence.
 	sender := Record{Name: from.Name, Addr: from.Addr}
 	m.answer(sender, msg)
 	if msg.Digest != 0 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// answer does what a message requests, or takes in the answer that it is.
+// answer handles the request in a message, or processes the message as an answer.
 func (m *Machine) answer(sender Record, msg Message) {
 	switch msg.Kind {
 	case Ping:
--- a/internal/sidecar/member/record.go
+++ b/internal/sidecar/member/record.go
@@ -8,10 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what is believed of a process. Of two records with the same incarnation the one with the higher state counts.
+// State is the believed state of a process. Of two records with the same incarnation and boot, the one with the higher state
+// takes precedence.
 type State uint8
 
-// The states, in their order of precedence.
+// The states, in ascending order of precedence.
 const (
 	Alive   State = iota
 	Suspect       // did not answer a probe; may still refute the suspicion
@@ -21,7 +22,7 @@
 
 var stateNames = [...]string{"alive", "suspect", "failed", "left"}
 
-// String is the state's name, as operators see it.
+// String returns the state's name, as it is shown to operators.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -29,40 +30,40 @@
 	return "unknown"
 }
 
-// Bounds on what is accepted from other processes.
+// Limits on data from other processes.
 const (
-	MaxMembers    = 2048 // processes known at once, including those that failed or left
-	MaxNameBytes  = 40   // of a name
-	MaxAddrBytes  = 64   // of an address
-	MaxZoneBytes  = 40   // of a zone's name
-	MaxReadsBytes = 128  // of the formats that a process reads
+	MaxMembers    = 2048 // maximum number of known processes, including those that failed or left
+	MaxNameBytes  = 40   // maximum length of a process's name
+	MaxAddrBytes  = 64   // maximum length of an address
+	MaxZoneBytes  = 40   // maximum length of a zone's name
+	MaxReadsBytes = 128  // maximum length of Record.Reads
 )
 
-// Record is what is known of a process. It goes over the wire.
+// Record describes a process. It is part of the wire format.
 type Record struct {
 	Name string `cbor:"1,keyasint"`
-	Addr string `cbor:"2,keyasint,omitempty"` // host:port, of datagrams and of streams
-	// Boot numbers the start of the process, see NewBoot.
+	Addr string `cbor:"2,keyasint,omitempty"` // host:port, for datagrams and streams
+	// Boot identifies the start of the process, see NewBoot.
 	Boot uint64 `cbor:"3,keyasint,omitempty"`
-	// Incarnation is raised by the process itself alone, to refute what others say of it.
+	// Incarnation is increased only by the process itself, to refute what other processes report about it.
 	Incarnation uint64 `cbor:"4,keyasint,omitempty"`
-	// State is what is believed of the process at that incarnation.
+	// State is the believed state of the process in that incarnation.
 	State State `cbor:"5,keyasint,omitempty"`
 	// SuspectedBy is the name of the process that suspects this one; empty unless the state is Suspect.
 	SuspectedBy string `cbor:"6,keyasint,omitempty"`
-	// Supersedes is the boot of another process of the same name, above whose incarnation this process went. Only a
-	// process that has received a record of that one can set it.
+	// Supersedes is the boot of another process of the same name, whose incarnation this process has exceeded. Only a process
+	// that has received a record of the other process can set it.
 	Supersedes uint64 `cbor:"7,keyasint,omitempty"`
-	// Zone is the failure domain that the process says it is in.
+	// Zone is the failure domain of the process, as reported by the process itself.
 	Zone string `cbor:"8,keyasint,omitempty"`
-	// Reads is which formats of rules the process says it reads; empty: none.
+	// Reads lists the formats of rules that the process reads, as reported by the process itself; empty: none.
 	Reads string `cbor:"9,keyasint,omitempty"`
 }
 
-// Present reports whether the process counts as a member: alive, or suspect and not yet failed.
+// Present reports whether the process counts as a member: its state is Alive or Suspect.
 func (r Record) Present() bool { return r.State <= Suspect }
 
-// supersedes reports whether r overrules other, a record of the same name.
+// supersedes reports whether r takes precedence over other, a record of the same name.
 func (r Record) supersedes(other Record) bool {
 	switch {
 	case r.Incarnation != other.Incarnation:
@@ -73,21 +74,21 @@
 	return r.State > other.State
 }
 
-// Valid returns an error if the record exceeds the bounds on what is accepted.
+// Valid returns an error if the record exceeds the limits on data from other processes.
 func (r Record) Valid() error {
 	switch {
 	case r.Name == "" || len(r.Name) > MaxNameBytes || len(r.SuspectedBy) > MaxNameBytes:
-		return fmt.Errorf("member: a name of %d bytes, 1 to %d are taken", len(r.Name), MaxNameBytes)
+		return fmt.Errorf("member: invalid record: Name or SuspectedBy has an invalid length: Name has %d bytes, 1 to %d are allowed", len(r.Name), MaxNameBytes)
 	case len(r.Addr) > MaxAddrBytes || len(r.Zone) > MaxZoneBytes || len(r.Reads) > MaxReadsBytes:
-		return errors.New("member: address, zone or formats too long")
+		return errors.New("member: invalid record: address, zone or rule formats too long")
 	case r.State > Left:
-		return errors.New("member: unknown state")
+		return errors.New("member: invalid record: unknown state")
 	}
 	return nil
 }
 
-// recordHash is a hash of who the record names and in which incarnation. The digests of two tables are equal where the
-// hashes of their records are; the function is therefore part of the wire format.
+// recordHash returns a hash of a record's name, boot and incarnation. Digests of tables on different processes are compared, and
+// are made of these hashes; the function is therefore part of the wire format.
 func recordHash(r Record) uint64 {
 	h := xxhash.Sum64String(r.Name) ^ bits.RotateLeft64(r.Boot, 17)
 	h = (h ^ r.Incarnation) * 0x9e3779b97f4a7c15
--- a/internal/sidecar/member/sync.go
+++ b/internal/sidecar/member/sync.go
@@ -4,9 +4,9 @@
 	"slices"
 )
 
-// syncWithSeed requests the table from an address to join by: soon, and with a growing backoff, while no other process is
-// present; seldom afterwards, and then only from an address at which no known process is: two sides of a partition that
-// have forgotten each other find each other by that.
+// syncWithSeed exchanges records with a random seed address at which no known process is present. While no other process is
+// present, it repeats the exchange with a growing backoff. Afterwards it does so rarely: that reconnects two sides of a
+// partition whose members have removed each other from their tables.
 func (m *Machine) syncWithSeed() {
 	if m.Present() > 1 {
 		m.joinBackoff = joinBackoffMin * m.cfg.Pace
@@ -23,7 +23,7 @@
 	m.sendSync(Record{Addr: m.joinAddr}, Sync, m.joinSeq)
 }
 
-// unknownSeeds returns the addresses to join by at which no process is known to be present.
+// unknownSeeds returns the seed addresses at which no process is known to be present.
 func (m *Machine) unknownSeeds() (addrs []string) {
 	for _, addr := range m.cfg.Join {
 		if p := m.peers[m.seedNames[addr]]; p != nil && p.Present() {
@@ -37,13 +37,13 @@
 	return addrs
 }
 
-// compareDigest takes in the digest of another member, and exchanges tables with it once digests have differed for a while:
-// gossip alone usually brings them together before.
+// compareDigest processes the digest of another member, and exchanges tables with it once digests have differed for longer than
+// syncAfter. Gossip alone usually makes the tables converge earlier.
 func (m *Machine) compareDigest(with Record, digest uint64) {
 	if digest == m.presentDigest() {
 		m.divergedSince = -1
 		if m.equalDigests++; m.equalDigests >= convergenceThreshold {
-			m.broadcasts.dropConverged() // after many joins, transmitting them all would take minutes
+			m.broadcasts.dropConverged() // after many joins, transmitting all updates would take minutes
 		}
 		return
 	}
@@ -57,8 +57,8 @@
 	}
 }
 
-// presentDigest is the digest of those present, this process included: two members have the same one if they believe the
-// same processes to be present, in the same incarnations.
+// presentDigest returns the digest of the processes present, including this one. Two members have the same digest if they believe
+// the same processes to be present, in the same incarnations.
 func (m *Machine) presentDigest() uint64 {
 	if m.digestValid {
 		return m.digest
@@ -73,7 +73,7 @@
 	return m.digest
 }
 
-// sendSync sends all records; in a request to an address to join by, only that of this process.
+// sendSync sends all records, except in a request to a seed address, which carries only the record of this process.
 func (m *Machine) sendSync(to Record, kind Kind, seq uint64) {
 	records := make([]Record, 0, len(m.names)+1)
 	records = append(records, m.self)
@@ -85,8 +85,8 @@
 	m.out = append(m.out, Send{To: to, Message: Message{Kind: kind, Seq: seq, Updates: records}, Stream: true})
 }
 
-// answerSync sends all records. After maxFullSyncs requests in a pace it refers requesters to other members: when most of a
-// fleet is started at once, all of it asks the few addresses to join by.
+// answerSync answers with all records. After maxFullSyncs requests within a pace it refers requesters to other members: when most
+// of a fleet is started at once, all of these processes ask the few seed addresses.
 func (m *Machine) answerSync(to Record, seq uint64) {
 	if m.now-m.syncWindowStart >= m.cfg.Pace {
 		m.syncWindowStart, m.syncsInWindow = m.now, 0
@@ -102,9 +102,10 @@
 	m.out = append(m.out, Send{To: to, Message: Message{Kind: SyncReply, Seq: seq, Updates: records, Partial: true}, Stream: true})
 }
 
-// receiveSyncReply takes in where an answer came from; its records were merged already.
+// receiveSyncReply records which process answered at a seed address, and schedules another exchange after a partial answer. The
+// records in the answer have been merged already.
 func (m *Machine) receiveSyncReply(sender string, reply Message) {
-	if reply.Partial { // the next member whose digest differs is asked for its whole table
+	if reply.Partial { // request the full table from the next member whose digest differs
 		m.divergedSince = m.now - (syncAfter+1)*m.cfg.Pace
 		m.syncDue = m.now + m.jitter(m.cfg.Pace)
 	}
--- a/internal/sidecar/member/table_test.go
+++ b/internal/sidecar/member/table_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// When most of a fleet is started at once, all of it asks the few addresses to join by: after many requests in a pace, further
-// requesters are referred to some members in place of all.
+// When most of a fleet is started at once, all of these processes ask the few seed addresses for the full table. Only maxFullSyncs
+// full tables are sent per pace; further requesters get the records of a few members to ask instead.
 func TestFullSyncsAreLimitedPerPace(t *testing.T) {
 	const pace = time.Second
 	m := New(Config{Name: "a", Addr: "a:1", Boot: 1, Pace: pace, Seed: 1}, 0)
@@ -24,7 +24,7 @@
 				case !ok || s.Message.Kind != SyncReply:
 				case s.Message.Partial:
 					if partial++; len(s.Message.Updates) > referrals+1 || len(s.Message.Updates) < 2 {
-						t.Errorf("%d named", len(s.Message.Updates))
+						t.Errorf("partial reply with %d records", len(s.Message.Updates))
 					}
 				default:
 					whole++
@@ -35,7 +35,7 @@
 	}
 	for i := range 2 {
 		if whole, partial := sendSyncs(time.Duration(1+2*i) * pace); whole != maxFullSyncs || partial != 20-maxFullSyncs {
-			t.Errorf("pace %d: %d whole tables, %d parts for 20 that ask", i+1, whole, partial)
+			t.Errorf("pace %d: %d full and %d partial tables for 20 requests", i+1, whole, partial)
 		}
 	}
 }
