--- a/internal/sidecar/view/lease.go
+++ b/internal/sidecar/view/lease.go
@@ -43,9 +43,9 @@
 // maxStampQueries is the number of unanswered queries from which on a stamp causes no further query.
 const maxStampQueries = 4
 
-// confirmedAt returns a time, on this member's clock, at or after which the stamped view was the newest, and whether the stamp
-// has an age. requestedAt is when the request that the stamp answers was sent: the age counts from then, so that network delay
-// can only shorten the lease.
+// confirmedAt returns a time, on this member's clock, such that the stamped view was the newest at that time or at some time
+// since, and whether the stamp has an age. requestedAt is when the request that the stamp answers was sent: the age counts from
+// then, so that network delay can only shorten the lease.
 func (s Stamp) confirmedAt(requestedAt time.Duration, drift float64) (at time.Duration, known bool) {
 	age := time.Duration(s.Age-1) * time.Microsecond
 	at = requestedAt - time.Duration(float64(age)*(1+drift))
@@ -95,7 +95,7 @@
 
 // maySwitchTo reports whether another member's view may replace the one in force. Within an era, a later view replaces an
 // earlier one. A view of another era may replace the one in force if that era is later, or if the current era is certainly
-// over. at is a time at or after which the other view was the newest; it is valid if known is set.
+// over. The other view was the newest at some time not before at; at is valid if known is set.
 func (m *Machine) maySwitchTo(id ID, at time.Duration, known bool) bool {
 	switch {
 	case !m.hasView || id.Compare(m.latest()) > 0:
@@ -114,7 +114,7 @@
 	return m.view.ID
 }
 
-// confirmLatest extends the lease: the latest view was the newest at or after the time at. A pending view comes into force.
+// confirmLatest extends the lease: the latest view was the newest at some time not before at. A pending view comes into force.
 func (m *Machine) confirmLatest(at time.Duration) {
 	if m.pending != nil {
 		m.switchTo(*m.pending)
--- a/internal/sidecar/view/machine.go
+++ b/internal/sidecar/view/machine.go
@@ -20,7 +20,7 @@
 	view          View
 	hasView       bool
 	pending       *View         // a newer view, not confirmed yet, while the lease on the view in force lasts; nil: none
-	confirmedAt   time.Duration // the view in force was the newest at or after this time; valid if isConfirmed
+	confirmedAt   time.Duration // the view in force was the newest at some time not before this; valid if isConfirmed
 	isConfirmed   bool
 	everHeldLease bool // this member has held a lease on some view
 
@@ -30,7 +30,7 @@
 	seq                  uint64                   // number of the last request
 	queries              map[uint64]time.Duration // time at which each unanswered query was sent, by its number
 	queryDue             time.Duration
-	lastLed              time.Duration // when a leader was last known, or no group was known
+	lastLed              time.Duration // when the voters last counted as having a leader, see watchLeader
 	majorityLossReported bool          // the loss of the majority was reported to the operator
 
 	voter         *voter // nil: this process is not a voter
--- a/internal/sidecar/view/message.go
+++ b/internal/sidecar/view/message.go
@@ -8,7 +8,7 @@
 	Query           Kind = iota + 1 // requests the receiver's view, lease age and voter group
 	QueryReply                      // answers a Query
 	FoundingRequest                 // requests a promise to join the group of an era
-	FoundingReply                   // promises to join under an identity, or refuses and names the group that the sender knows
+	FoundingReply                   // promises to join the group under an identity, or refuses and names the group that the sender knows
 	FoundingCommit                  // announces that the group is founded
 	Invite                          // requests that the receiver generate an identity and offer itself as a voter
 	Raft                            // carries a message of the Raft engine
@@ -27,13 +27,13 @@
 type Message struct {
 	Kind        Kind   `cbor:"1,keyasint"`
 	Seq         uint64 `cbor:"2,keyasint,omitempty"` // number of the request, chosen by the requester; of a founding message: the era
-	Have        ID     `cbor:"3,keyasint,omitzero"`  // Query, FoundingReply: ID of the view that the sender has
+	Have        ID     `cbor:"3,keyasint,omitzero"`  // Query, FoundingReply: ID of the sender's view
 	Voter       uint64 `cbor:"4,keyasint,omitempty"` // identity of a voter without a group; Raft, SurveyReply: identity of the sender
 	To          uint64 `cbor:"5,keyasint,omitempty"` // Raft: identity of the receiver
 	Group       Group  `cbor:"6,keyasint,omitzero"`
-	View        *View  `cbor:"7,keyasint,omitempty"` // QueryReply: if the requester has another one; SurveyReply: without members
-	Stamp       Stamp  `cbor:"8,keyasint,omitzero"`  // QueryReply, SurveyReply
-	Leader      string `cbor:"9,keyasint,omitempty"` // answers: name of the voters' leader; empty: not known
+	View        *View  `cbor:"7,keyasint,omitempty"` // QueryReply: the sender's view, if the requester has another; SurveyReply: without members
+	Stamp       Stamp  `cbor:"8,keyasint,omitzero"`  // QueryReply, SurveyReply: stamp of the sender's view
+	Leader      string `cbor:"9,keyasint,omitempty"` // in answers: name of the voters' leader; empty: not known
 	Raft        []byte `cbor:"10,keyasint,omitempty"`
 	AfterSurvey bool   `cbor:"11,keyasint,omitempty"` // FoundingRequest, FoundingReply: the founding follows a survey
 }
--- a/internal/sidecar/view/view.go
+++ b/internal/sidecar/view/view.go
@@ -158,7 +158,7 @@
 	// Refound lets the configured voters found a new group without the operator, once a survey has proved that no earlier group
 	// can decide again.
 	Refound bool
-	Mutate  Mutation // set by tests only
+	Mutate  Mutation // injected fault; set by tests only
 }
 
 // Mutation is a fault that a test injects.
@@ -179,12 +179,12 @@
 	electionTicks    = 8         // ticks without a leader until a voter campaigns; up to twice as many with jitter
 	readInterval     = 2         // interval at which the leader confirms its leadership with a majority
 	queryInterval    = 2         // interval of the queries of a voter without a group, and of a member whose lease is about to expire
-	proposalDelay    = 1         // how long the leader's opinion has to differ from the view before it proposes a new one
+	proposalDelay    = 1         // how long the leader's opinion has to differ from the view before the leader proposes a new view
 	proposalTimeout  = 8         // time after which a proposal that was not decided is repeated
 	absenceTimeout   = 60        // time after which an absent voter is replaced
 	leaderlessAlert  = 40        // time without a leader after which the operator is alerted
 	foundingInterval = 8         // interval between two attempts to found a group
-	maxLogEntries    = 64        // log entries applied since the last snapshot that trigger a new one
+	maxLogEntries    = 64        // number of log entries applied since the last snapshot after which a new one is taken
 	maxRaftMessage   = 128 << 10 // maximum size of an append message, in bytes
 	maxInflight      = 64        // maximum number of unanswered appends to a voter
 	maxUncommitted   = 1 << 20   // maximum size of pending proposals, in bytes
