--- a/internal/sidecar/peer/contract_test.go
+++ b/internal/sidecar/peer/contract_test.go
@@ -10,18 +10,18 @@
 	"fieldrelay/internal/testkit/faultline"
 )
 
-var channels = contract.ChannelMaker{MostDatagram: MaxDatagram, MostFrame: MaxFrame, Sockets: true, Silence: readTimeout,
+var channelMaker = contract.ChannelMaker{MostDatagram: MaxDatagram, MostFrame: MaxFrame, Sockets: true, Silence: readTimeout,
 	Listen: func(_ contract.T, deliver func([]byte)) (contract.Channel, error) {
 		return Listen("127.0.0.1:0", deliver)
 	}}
 
 func TestChannelContract(t *testing.T) {
-	contract.Run(t, contract.ChannelClauses, channels)
+	contract.Run(t, contract.ChannelClauses, channelMaker)
 }
 
 // The same through an injector that loses, doubles and reorders datagrams, and delays streams.
 func TestChannelContractThroughFaults(t *testing.T) {
-	m := channels
+	m := channelMaker
 	m.Reach = func(t contract.T, to contract.Channel) (string, func(), error) {
 		l, err := faultline.NewLink("a>b", "127.0.0.1", to.Addr(), 7)
 		if err != nil {
@@ -33,15 +33,15 @@
 	contract.Run(t, contract.ChannelClauses, m)
 }
 
-// exchange is a channel in memory, wrong on purpose where a test says so.
-type exchange struct {
-	mu    sync.Mutex
-	ends  map[string]*end
-	wrong string
+// memoryNetwork is a channel in memory, wrong on purpose where a test says so.
+type memoryNetwork struct {
+	mu        sync.Mutex
+	byAddress map[string]*memoryChannel
+	fault     string
 }
 
-type end struct {
-	x       *exchange
+type memoryChannel struct {
+	network *memoryNetwork
 	addr    string
 	deliver func([]byte)
 	queue   chan []byte
@@ -50,11 +50,11 @@
 	wg      sync.WaitGroup
 }
 
-func (x *exchange) listen(_ contract.T, deliver func([]byte)) (contract.Channel, error) {
+func (x *memoryNetwork) listen(_ contract.T, deliver func([]byte)) (contract.Channel, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	e := &end{x: x, addr: fmt.Sprintf("m%d", len(x.ends)), deliver: deliver, queue: make(chan []byte, maxQueued), done: make(chan struct{})}
-	x.ends[e.addr] = e
+	e := &memoryChannel{network: x, addr: fmt.Sprintf("m%d", len(x.byAddress)), deliver: deliver, queue: make(chan []byte, maxQueued), done: make(chan struct{})}
+	x.byAddress[e.addr] = e
 	e.wg.Go(func() {
 		for {
 			select {
@@ -68,29 +68,29 @@
 	return e, nil
 }
 
-func (e *end) Addr() string { return e.addr }
+func (e *memoryChannel) Addr() string { return e.addr }
 
-func (e *end) Datagram(address string, frame []byte) error {
-	if len(frame) > MaxDatagram && e.x.wrong != "long" {
+func (e *memoryChannel) Datagram(address string, frame []byte) error {
+	if len(frame) > MaxDatagram && e.network.fault != "long" {
 		return ErrTooLong
 	}
 	e.Stream(address, frame)
 	return nil
 }
 
-func (e *end) Stream(address string, frame []byte) {
-	e.x.mu.Lock()
-	to := e.x.ends[address]
-	e.x.mu.Unlock()
-	if to == nil || len(frame) > MaxFrame && e.x.wrong != "long" {
+func (e *memoryChannel) Stream(address string, frame []byte) {
+	e.network.mu.Lock()
+	to := e.network.byAddress[address]
+	e.network.mu.Unlock()
+	if to == nil || len(frame) > MaxFrame && e.network.fault != "long" {
 		return
 	}
 	frame = append([]byte(nil), frame...)
-	switch e.x.wrong {
+	switch e.network.fault {
 	case "cut":
 		frame = frame[:(len(frame)+1)/2]
 	case "twice":
-		to.put(frame)
+		to.enqueue(frame)
 	case "slow":
 		select {
 		case to.queue <- frame:
@@ -99,11 +99,11 @@
 		}
 		return
 	}
-	to.put(frame)
+	to.enqueue(frame)
 }
 
-// put queues a frame; the oldest goes where there is no room.
-func (e *end) put(frame []byte) {
+// enqueue queues a frame; the oldest goes where there is no room.
+func (e *memoryChannel) enqueue(frame []byte) {
 	for {
 		select {
 		case e.queue <- frame:
@@ -117,38 +117,38 @@
 	}
 }
 
-func (e *end) Close() {
-	if e.x.wrong == "leak" {
+func (e *memoryChannel) Close() {
+	if e.network.fault == "leak" {
 		return
 	}
 	e.once.Do(func() { close(e.done) })
-	if e.x.wrong != "slow" { // whose reader may never come back
+	if e.network.fault != "slow" { // whose reader may never come back
 		e.wg.Wait()
 	}
 }
 
-func inMemory(wrong string) contract.ChannelMaker {
-	x := &exchange{ends: map[string]*end{}, wrong: wrong}
+func newMemoryMaker(fault string) contract.ChannelMaker {
+	x := &memoryNetwork{byAddress: map[string]*memoryChannel{}, fault: fault}
 	return contract.ChannelMaker{Listen: x.listen, MostDatagram: MaxDatagram, MostFrame: MaxFrame}
 }
 
 func TestChannelContractInMemory(t *testing.T) {
-	m := inMemory("")
+	m := newMemoryMaker("")
 	contract.Run(t, contract.ChannelClauses[:3], m)
 	contract.Run(t, contract.ChannelClauses[7:], m)
 }
 
 // Each clause has a channel that breaks it, and is named.
 func TestBrokenChannelsAreNamed(t *testing.T) {
-	for wrong, clause := range map[string]int{"twice": 0, "cut": 1, "long": 2, "leak": 7} {
+	for fault, clause := range map[string]int{"twice": 0, "cut": 1, "long": 2, "leak": 7} {
 		want := contract.ChannelClauses[clause]
-		if err := want.Check(t, inMemory(wrong)); err == nil {
-			t.Errorf("%s: not named for a channel that is wrong by %q", want.Name, wrong)
+		if err := want.Check(t, newMemoryMaker(fault)); err == nil {
+			t.Errorf("%s: not named for a channel that is wrong by %q", want.Name, fault)
 		}
 	}
-	deaf := channels // nobody reads, so nothing that strangers write breaks anything
-	deaf.Silence = 60 * readTimeout
-	if err := contract.ChannelClauses[6].Check(t, deaf); err == nil || errors.Is(err, ErrTooLong) {
+	longTimeout := channelMaker // nobody reads, so nothing that strangers write breaks anything
+	longTimeout.Silence = 60 * readTimeout
+	if err := contract.ChannelClauses[6].Check(t, longTimeout); err == nil || errors.Is(err, ErrTooLong) {
 		t.Errorf("a silence of another length is taken: %v", err)
 	}
 }
--- a/internal/sidecar/peer/peer_test.go
+++ b/internal/sidecar/peer/peer_test.go
@@ -18,41 +18,41 @@
 
 func TestFrames(t *testing.T) {
 	ping := &member.Message{Kind: member.Ping, Seq: 3, To: "b", Updates: []member.Record{sender}}
-	good, err := Encode(Frame{Fleet: "x", From: sender, Member: ping})
+	valid, err := Encode(Frame{Fleet: "x", From: sender, Member: ping})
 	if err != nil {
 		t.Fatal(err)
 	}
-	later, _ := cbor.Marshal(map[int]any{1: 9, 2: 1, 3: "x", 4: sender, 5: ping, 99: "what a later version says"})
-	tooNew, _ := cbor.Marshal(map[int]any{1: 9, 2: 8, 3: "x", 4: sender})
-	nameless, _ := cbor.Marshal(map[int]any{1: 1, 2: 1, 3: "x"})
+	newer, _ := cbor.Marshal(map[int]any{1: 9, 2: 1, 3: "x", 4: sender, 5: ping, 99: "what a later version says"})
+	incompatible, _ := cbor.Marshal(map[int]any{1: 9, 2: 8, 3: "x", 4: sender})
+	noSender, _ := cbor.Marshal(map[int]any{1: 1, 2: 1, 3: "x"})
 	for name, c := range map[string]struct {
-		frame []byte
-		fleet string
-		want  error
-		taken bool
+		frame    []byte
+		fleet    string
+		want     error
+		accepted bool
 	}{
-		"a frame":                       {good, "x", nil, true},
-		"of a later version":            {later, "x", nil, true},
-		"of another fleet":              {good, "y", ErrFleet, false},
-		"no version in common":          {tooNew, "x", ErrVersion, false},
-		"without a sender":              {nameless, "x", nil, false},
-		"cut short":                     {good[:len(good)-2], "x", nil, false},
+		"a frame":                       {valid, "x", nil, true},
+		"of a later version":            {newer, "x", nil, true},
+		"of another fleet":              {valid, "y", ErrFleet, false},
+		"no version in common":          {incompatible, "x", ErrVersion, false},
+		"without a sender":              {noSender, "x", nil, false},
+		"cut short":                     {valid[:len(valid)-2], "x", nil, false},
 		"nothing":                       {nil, "x", nil, false},
 		"longer than what is ever read": {make([]byte, MaxFrame+1), "x", ErrTooLong, false},
 	} {
 		f, err := Decode(c.frame, c.fleet)
-		if (err == nil) != c.taken || c.want != nil && !errors.Is(err, c.want) {
+		if (err == nil) != c.accepted || c.want != nil && !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", name, err)
-		} else if c.taken && (f.Member == nil || f.Member.Seq != 3 || f.Member.Updates[0] != sender) {
+		} else if c.accepted && (f.Member == nil || f.Member.Seq != 3 || f.Member.Updates[0] != sender) {
 			t.Errorf("%s: read %+v", name, f)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	good, _ := Encode(Frame{Fleet: "x", From: sender, Member: &member.Message{Kind: member.Sync, Updates: []member.Record{sender, sender}}})
-	f.Add(good)
-	f.Add(good[:9])
+	valid, _ := Encode(Frame{Fleet: "x", From: sender, Member: &member.Message{Kind: member.Sync, Updates: []member.Record{sender, sender}}})
+	f.Add(valid)
+	f.Add(valid[:9])
 	f.Add([]byte{0xbf, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		frame, err := Decode(b, "x")
@@ -69,8 +69,8 @@
 	})
 }
 
-// open is a channel whose frames come on a Go channel.
-func open(t *testing.T) (*Channel, chan []byte) {
+// openChannel is a channel whose frames come on a Go channel.
+func openChannel(t *testing.T) (*Channel, chan []byte) {
 	t.Helper()
 	got := make(chan []byte, 1024)
 	c, err := Listen("127.0.0.1:0", func(b []byte) { got <- b })
@@ -81,7 +81,7 @@
 	return c, got
 }
 
-func wait(t *testing.T, got chan []byte) []byte {
+func receiveFrame(t *testing.T, got chan []byte) []byte {
 	t.Helper()
 	select {
 	case b := <-got:
@@ -92,8 +92,8 @@
 	}
 }
 
-// closeAtEnd closes a socket at the end of a test.
-func closeAtEnd(t *testing.T, socket io.Closer) {
+// closeOnCleanup closes a socket at the end of a test.
+func closeOnCleanup(t *testing.T, socket io.Closer) {
 	t.Helper()
 	t.Cleanup(func() {
 		if err := socket.Close(); err != nil {
@@ -102,8 +102,8 @@
 	})
 }
 
-// announce writes the length of a frame to a stream, and bounds the wait for an answer.
-func announce(t *testing.T, nc net.Conn, length uint32) {
+// writeLength writes the length of a frame to a stream, and bounds the wait for an answer.
+func writeLength(t *testing.T, nc net.Conn, length uint32) {
 	t.Helper()
 	if _, err := nc.Write(binary.BigEndian.AppendUint32(nil, length)); err != nil {
 		t.Fatal(err)
@@ -114,20 +114,20 @@
 }
 
 // A peer that accepts and reads nothing fills its own queue; the others get what is sent meanwhile.
-func TestSlowPeerSuffersAlone(t *testing.T) {
-	deaf, err := net.Listen("tcp", "127.0.0.1:0")
+func TestSlowPeerDoesNotDelayOthers(t *testing.T) {
+	unreadListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, deaf)
-	a, _ := open(t)
-	b, got := open(t)
+	closeOnCleanup(t, unreadListener)
+	a, _ := openChannel(t)
+	b, got := openChannel(t)
 	big := make([]byte, MaxFrame)
 	for range 200 {
-		a.Stream(deaf.Addr().String(), big) // does not block
+		a.Stream(unreadListener.Addr().String(), big) // does not block
 	}
 	a.Stream(b.Addr(), []byte("soon"))
-	if string(wait(t, got)) != "soon" {
+	if string(receiveFrame(t, got)) != "soon" {
 		t.Error("another frame came")
 	}
 	if c := a.Counts(); c.Dropped < 200-maxQueued-40 {
@@ -136,53 +136,53 @@
 	if err := a.Datagram(b.Addr(), make([]byte, MaxDatagram+1)); !errors.Is(err, ErrTooLong) {
 		t.Errorf("a long datagram: %v", err)
 	}
-	if err := a.Datagram(b.Addr(), []byte("loose")); err != nil || string(wait(t, got)) != "loose" {
+	if err := a.Datagram(b.Addr(), []byte("loose")); err != nil || string(receiveFrame(t, got)) != "loose" {
 		t.Errorf("a datagram: %v", err)
 	}
 }
 
 // A malformed frame ends its own stream and no other.
 func TestBadStreams(t *testing.T) {
-	c, got := open(t)
+	c, got := openChannel(t)
 	for name, head := range map[string]uint32{"empty": 0, "oversized": MaxFrame + 1} {
 		nc, err := net.Dial("tcp", c.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
-		closeAtEnd(t, nc)
-		announce(t, nc, head)
+		closeOnCleanup(t, nc)
+		writeLength(t, nc, head)
 		if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("%s: %v, not closed", name, err)
 		}
 	}
-	silent, err := net.Dial("tcp", c.Addr()) // announces a frame and sends none: it is closed in time
+	stalled, err := net.Dial("tcp", c.Addr()) // announces a frame and sends none: it is closed in time
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, silent)
-	announce(t, silent, MaxFrame)
-	a, _ := open(t)
+	closeOnCleanup(t, stalled)
+	writeLength(t, stalled, MaxFrame)
+	a, _ := openChannel(t)
 	a.Stream(c.Addr(), []byte("whole"))
-	if !bytes.Equal(wait(t, got), []byte("whole")) {
+	if !bytes.Equal(receiveFrame(t, got), []byte("whole")) {
 		t.Error("another frame came")
 	}
-	if err := silent.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
+	if err := stalled.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := silent.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+	if _, err := stalled.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("a silent stream: %v, not closed", err)
 	}
 }
 
 // A peer that restarts at its address is reached again over the same link.
 func TestPeerComesBack(t *testing.T) {
-	a, _ := open(t)
-	b, got := open(t)
+	a, _ := openChannel(t)
+	b, got := openChannel(t)
 	a.Stream(b.Addr(), []byte("1"))
-	wait(t, got)
+	receiveFrame(t, got)
 	b.Close()
-	again := make(chan []byte, 16)
-	c, err := Listen(b.Addr(), func(f []byte) { again <- f })
+	afterRestart := make(chan []byte, 16)
+	c, err := Listen(b.Addr(), func(f []byte) { afterRestart <- f })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -191,7 +191,7 @@
 	for end := time.Now().Add(10 * time.Second); ; {
 		a.Stream(c.Addr(), []byte("2"))
 		select {
-		case f := <-again:
+		case f := <-afterRestart:
 			if string(f) != "2" {
 				t.Error("another frame came")
 			}
@@ -210,12 +210,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, ln)
+	closeOnCleanup(t, ln)
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, nc)
+	closeOnCleanup(t, nc)
 	other, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -234,15 +234,15 @@
 			t.Fatalf("check %d did not see it", i)
 		}
 	}
-	if !closedByPeer(&starved{nc.(*net.TCPConn)}) {
+	if !closedByPeer(&delayedConn{nc.(*net.TCPConn)}) {
 		t.Error("a check that did not run for a while did not see it")
 	}
 }
 
-// starved is a stream whose user does not run after it has set a deadline, until that has passed.
-type starved struct{ *net.TCPConn }
+// delayedConn is a stream whose user does not run after it has set a deadline, until that has passed.
+type delayedConn struct{ *net.TCPConn }
 
-func (s *starved) SetReadDeadline(end time.Time) error {
+func (s *delayedConn) SetReadDeadline(end time.Time) error {
 	err := s.TCPConn.SetReadDeadline(end)
 	<-time.After(time.Until(end))
 	return err
