--- a/internal/sidecar/peer/channel.go
+++ b/internal/sidecar/peer/channel.go
@@ -15,30 +15,30 @@
 	"fieldrelay/internal/sidecar/socket"
 )
 
-// Bounds and timeouts of the channel.
+// Limits and timeouts of the channel.
 const (
-	maxInbound   = 256              // streams from others; a further one is closed unread
-	maxLinks     = 128              // streams to others; a frame for a further one is dropped
-	maxQueued    = 64               // frames queued for a stream; the oldest is dropped for a further one
-	dialTimeout  = time.Second      // of a connection attempt
-	writeTimeout = 2 * time.Second  // of a write to a peer that does not read
-	readTimeout  = 2 * time.Second  // of a frame that has begun to arrive
-	idleTimeout  = 20 * time.Second // of a stream without frames
-	minBackoff   = 100 * time.Millisecond
-	maxBackoff   = 3 * time.Second // between two attempts to reach a peer: doubled, with jitter
-	lengthBytes  = 4               // before each frame of a stream: its length, big-endian
+	maxInbound   = 256                    // maximum number of inbound streams; a further one is closed unread
+	maxLinks     = 128                    // maximum number of outbound streams; a frame for a further one is dropped
+	maxQueued    = 64                     // maximum number of frames queued for a stream; the oldest one is dropped for a further one
+	dialTimeout  = time.Second            // timeout of a connection attempt
+	writeTimeout = 2 * time.Second        // timeout of a write, for peers that do not read
+	readTimeout  = 2 * time.Second        // time for a frame to arrive completely after its length
+	idleTimeout  = 20 * time.Second       // time without frames after which a stream is closed
+	minBackoff   = 100 * time.Millisecond // initial wait after a failed attempt to reach a peer
+	maxBackoff   = 3 * time.Second        // longest wait after a failed attempt; the wait doubles each time and is jittered
+	lengthBytes  = 4                      // size of the length prefix of each frame in a stream, big-endian
 )
 
-// Counts are the frames that were sent and received. Bytes are without headers of the transport.
+// Counts holds the numbers of frames sent and received. Byte counts do not include the headers of the transport.
 type Counts struct {
 	SentDatagrams, SentStreamed, SentBytes int64
 	ReceivedFrames, ReceivedBytes          int64
-	Dropped                                int64 // frames to a slow or unreachable peer
-	Refused                                int64 // streams over maxInbound
+	Dropped                                int64 // frames dropped because the peer was slow or unreachable, or maxLinks was reached
+	Refused                                int64 // inbound streams closed because maxInbound was reached
 }
 
-// Channel is a sidecar's end of the channel: a datagram socket and a listener at one address, and streams to the others. It is
-// safe for concurrent use. Close waits for all of its goroutines.
+// Channel is a sidecar's endpoint of the channel: a datagram socket and a listener at one address, and streams to other sidecars.
+// It is safe for concurrent use. Close waits for all of its goroutines.
 type Channel struct {
 	deliver func(frame []byte)
 	udp     *net.UDPConn
@@ -54,13 +54,13 @@
 	sentDatagrams, sentStreamed, sentBytes, receivedFrames, receivedBytes, dropped, refused atomic.Int64
 }
 
-// link is the stream to an address. Its goroutine runs while frames are queued, and idleTimeout longer.
+// link is the outbound stream to an address. Its goroutine ends after idleTimeout without a queued frame.
 type link struct {
 	frames chan []byte
 }
 
-// Listen opens both sockets at an address (host:port; port 0: one that is free for both). deliver is called from several
-// goroutines and owns the frame.
+// Listen opens a datagram socket and a listener at an address (host:port; port 0: a port that is free for both). deliver is called
+// from several goroutines concurrently and owns the frame that it receives.
 func Listen(address string, deliver func(frame []byte)) (*Channel, error) {
 	tcp, udp, err := socket.Pair(address)
 	if err != nil {
@@ -73,10 +73,10 @@
 	return c, nil
 }
 
-// Addr returns the address on which it listens.
+// Addr returns the address on which the channel listens.
 func (c *Channel) Addr() string { return c.tcp.Addr().String() }
 
-// Counts returns the counts since Listen.
+// Counts returns the counts since the channel was opened.
 func (c *Channel) Counts() Counts {
 	return Counts{SentDatagrams: c.sentDatagrams.Load(), SentStreamed: c.sentStreamed.Load(), SentBytes: c.sentBytes.Load(),
 		ReceivedFrames: c.receivedFrames.Load(), ReceivedBytes: c.receivedBytes.Load(), Dropped: c.dropped.Load(), Refused: c.refused.Load()}
@@ -91,7 +91,7 @@
 	}
 	c.closed = true
 	close(c.done)
-	_ = c.udp.Close() // nothing is left to do if a socket cannot be closed
+	_ = c.udp.Close() // there is no way to handle an error of Close
 	_ = c.tcp.Close()
 	for nc := range c.inbound {
 		_ = nc.Close()
@@ -100,12 +100,12 @@
 	c.wg.Wait()
 }
 
-// Datagram sends a frame that may be lost. It does not block.
+// Datagram sends a frame as a datagram, which may be lost. It does not block.
 func (c *Channel) Datagram(address string, frame []byte) error {
 	if len(frame) > MaxDatagram {
-		return fmt.Errorf("%w: a datagram of %d bytes", ErrTooLong, len(frame))
+		return fmt.Errorf("%w for a datagram: %d bytes", ErrTooLong, len(frame))
 	}
-	to, err := netip.ParseAddrPort(address) // a name would have to be looked up, which blocks
+	to, err := netip.ParseAddrPort(address) // no host names: a lookup would block
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	return err
 }
 
-// Stream queues a frame for an address. It does not block: if a slow peer's queue is full, its oldest frame is dropped.
+// Stream queues a frame for the stream to an address. It does not block: if the queue is full, its oldest frame is dropped.
 func (c *Channel) Stream(address string, frame []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +140,7 @@
 			return
 		default:
 		}
-		select { // full
+		select { // the queue is full: drop its oldest frame
 		case <-l.frames:
 			c.dropped.Add(1)
 		default:
@@ -148,13 +148,13 @@
 	}
 }
 
-// serveLink writes the frames that are queued for an address.
+// serveLink writes the frames that are queued for an address, and connects to the address as needed.
 func (c *Channel) serveLink(address string, l *link) {
 	defer c.wg.Done()
 	var nc net.Conn
 	defer func() {
 		if nc != nil {
-			_ = nc.Close() // what was not written is lost in any case
+			_ = nc.Close() // unwritten data is lost, whether or not Close fails
 		}
 	}()
 	backoff := minBackoff
@@ -167,7 +167,7 @@
 			continue
 		}
 		if nc != nil && closedByPeer(nc) {
-			_ = nc.Close() // the other side has closed it
+			_ = nc.Close() // the peer has closed the stream already
 			nc = nil
 		}
 		var err error
@@ -185,10 +185,10 @@
 		}
 		c.dropped.Add(1)
 		if nc != nil {
-			_ = nc.Close() // it has failed already
+			_ = nc.Close() // the stream has failed already
 			nc = nil
 		}
-		select { // with jitter, so that those that lost a peer do not return to it together
+		select { // with jitter, so that peers that lost the same peer do not reconnect at the same time
 		case <-time.After(backoff/2 + rand.N(backoff)):
 		case <-c.done:
 		}
@@ -196,7 +196,7 @@
 	}
 }
 
-// nextFrame waits for a frame of a link; nil: none came within idleTimeout, or the channel was closed.
+// nextFrame waits for a queued frame of a link. It returns nil if there was none within idleTimeout, or the channel was closed.
 func (c *Channel) nextFrame(l *link) []byte {
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
@@ -209,7 +209,8 @@
 	return nil
 }
 
-// removeLink removes a link without frames, and reports whether it did: a frame may just have been queued.
+// removeLink removes a link and reports whether it did. It keeps a link for which a frame was queued meanwhile, unless the channel
+// is closed.
 func (c *Channel) removeLink(address string, l *link) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -220,7 +221,7 @@
 	return true
 }
 
-// writeFrame writes a frame with its length to a stream.
+// writeFrame writes a frame with its length prefix to a stream.
 func writeFrame(nc net.Conn, frame []byte) error {
 	out := binary.BigEndian.AppendUint32(make([]byte, 0, lengthBytes+len(frame)), uint32(len(frame)))
 	if err := nc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
@@ -230,9 +231,9 @@
 	return err
 }
 
-// closedByPeer reports whether the other side has closed a stream on which it never writes. The system is asked: a read needs a
-// deadline, and if that passes before the read begins (the process did not run for a millisecond) its result says nothing. The
-// read is for what the system does not know.
+// closedByPeer reports whether the peer has closed a stream on which it never writes. It queries the operating system first,
+// because a read needs a deadline: if the deadline passes before the read begins (the process did not run for a millisecond), the
+// result of the read says nothing. The read covers cases in which the operating system does not report the close.
 func closedByPeer(nc net.Conn) bool {
 	if socket.Departed(nc) {
 		return true
@@ -254,7 +255,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || n > MaxDatagram { // an earlier datagram's port unreachable, or too long
+		if err != nil || n > MaxDatagram { // for example "port unreachable" after an earlier datagram; or the datagram is too long
 			continue
 		}
 		c.receive(append([]byte(nil), b[:n]...))
@@ -277,7 +278,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			select { // perhaps file descriptors are exhausted
+			select { // file descriptors may be exhausted: retry later
 			case <-time.After(minBackoff):
 			case <-c.done:
 				return
@@ -293,19 +294,19 @@
 		c.mu.Unlock()
 		if full {
 			c.refused.Add(1)
-			_ = nc.Close() // nothing was read or written
+			_ = nc.Close() // nothing was read or written, so an error has no effect
 			continue
 		}
 		go c.readStream(nc)
 	}
 }
 
-// readStream receives frames from a stream. A frame that has begun must arrive within readTimeout; an invalid length ends the
-// stream.
+// readStream receives frames from an inbound stream. After its length, a frame must arrive completely within readTimeout. An
+// invalid length ends the stream.
 func (c *Channel) readStream(nc net.Conn) {
 	defer c.wg.Done()
 	defer func() {
-		_ = nc.Close() // only read from
+		_ = nc.Close() // the stream is only read, so an error has no effect
 		c.mu.Lock()
 		delete(c.inbound, nc)
 		c.mu.Unlock()
@@ -333,7 +334,8 @@
 	}
 }
 
-// readFrame reads a frame of a length. It allocates as bytes arrive, not as many as were announced.
+// readFrame reads a frame of n bytes. It allocates memory as bytes arrive, not n bytes in advance, since a sender may announce more
+// than it sends.
 func readFrame(r io.Reader, n int) ([]byte, error) {
 	var frame []byte
 	for len(frame) < n {
--- a/internal/sidecar/peer/contract_test.go
+++ b/internal/sidecar/peer/contract_test.go
@@ -19,7 +19,7 @@
 	contract.Run(t, contract.ChannelClauses, channelMaker)
 }
 
-// The same through an injector that loses, doubles and reorders datagrams, and delays streams.
+// Runs the contract through a fault injector that loses, duplicates and reorders datagrams, and delays streams.
 func TestChannelContractThroughFaults(t *testing.T) {
 	m := channelMaker
 	m.Reach = func(t contract.T, to contract.Channel) (string, func(), error) {
@@ -33,13 +33,14 @@
 	contract.Run(t, contract.ChannelClauses, m)
 }
 
-// memoryNetwork is a channel in memory, wrong on purpose where a test says so.
+// memoryNetwork connects channels in memory, optionally with an injected fault.
 type memoryNetwork struct {
 	mu        sync.Mutex
 	byAddress map[string]*memoryChannel
 	fault     string
 }
 
+// memoryChannel is one endpoint in a memoryNetwork.
 type memoryChannel struct {
 	network *memoryNetwork
 	addr    string
@@ -102,7 +103,7 @@
 	to.enqueue(frame)
 }
 
-// enqueue queues a frame; the oldest goes where there is no room.
+// enqueue queues a frame for delivery. If the queue is full, its oldest frame is dropped.
 func (e *memoryChannel) enqueue(frame []byte) {
 	for {
 		select {
@@ -122,7 +123,7 @@
 		return
 	}
 	e.once.Do(func() { close(e.done) })
-	if e.network.fault != "slow" { // whose reader may never come back
+	if e.network.fault != "slow" { // with this fault the reader may never return
 		e.wg.Wait()
 	}
 }
@@ -138,17 +139,17 @@
 	contract.Run(t, contract.ChannelClauses[7:], m)
 }
 
-// Each clause has a channel that breaks it, and is named.
+// The contract must detect a channel that violates one of its clauses.
 func TestBrokenChannelsAreNamed(t *testing.T) {
 	for fault, clause := range map[string]int{"twice": 0, "cut": 1, "long": 2, "leak": 7} {
 		want := contract.ChannelClauses[clause]
 		if err := want.Check(t, newMemoryMaker(fault)); err == nil {
-			t.Errorf("%s: not named for a channel that is wrong by %q", want.Name, fault)
+			t.Errorf("%s: no violation detected for a channel with fault %q", want.Name, fault)
 		}
 	}
-	longTimeout := channelMaker // nobody reads, so nothing that strangers write breaks anything
+	longTimeout := channelMaker // expects a much later end of a stalled stream than the channel enforces
 	longTimeout.Silence = 60 * readTimeout
 	if err := contract.ChannelClauses[6].Check(t, longTimeout); err == nil || errors.Is(err, ErrTooLong) {
-		t.Errorf("a silence of another length is taken: %v", err)
+		t.Errorf("no violation detected although streams time out much earlier than expected: %v", err)
 	}
 }
--- a/internal/sidecar/peer/frame.go
+++ b/internal/sidecar/peer/frame.go
@@ -1,8 +1,9 @@
-// Package peer is the channel between the sidecars of a fleet: frames in CBOR, in datagrams, or over streams if they are too
-// long for one. A frame may be lost either way. The package decides nothing.
+// Package peer implements the channel between the sidecars of a fleet: frames in CBOR, sent in datagrams, or over streams if they
+// are too long for a datagram. A frame may be lost either way. The package only transports frames and makes no decisions about
+// their content.
 //
-// It is an internal channel on a network that the operator trusts: nothing in it is encrypted or signed. docs/design/fleet.md
-// describes the design.
+// The channel is internal to a network that the operator trusts: it is neither encrypted nor authenticated.
+// docs/design/fleet.md describes the design.
 package peer
 
 import (
@@ -19,7 +20,7 @@
 	"fieldrelay/internal/sidecar/view"
 )
 
-// The versions of the channel that this program speaks. Two sides speak the lower one of their highest versions.
+// The versions of the channel's protocol that this program supports. Two peers use the lower one of their highest versions.
 const (
 	Version    = 1
 	MinVersion = 1
@@ -27,42 +28,42 @@
 
 // Length limits, in bytes.
 const (
-	MaxDatagram = 1400
-	MaxFrame    = 256 << 10
+	MaxDatagram = 1400      // longest frame in a datagram
+	MaxFrame    = 256 << 10 // longest frame in a stream
 )
 
-// Frame is what sidecars send to each other. A reader ignores fields that it does not know.
+// Frame is the unit that sidecars send to each other. A receiver ignores unknown fields.
 type Frame struct {
-	Version      uint8               `cbor:"1,keyasint"`            // the highest that the sender speaks
-	MinVersion   uint8               `cbor:"2,keyasint"`            // the lowest that it reads
-	Fleet        string              `cbor:"3,keyasint"`            // frames of another fleet are refused
+	Version      uint8               `cbor:"1,keyasint"`            // highest version that the sender supports
+	MinVersion   uint8               `cbor:"2,keyasint"`            // lowest version that the sender supports
+	Fleet        string              `cbor:"3,keyasint"`            // name of the sender's fleet; frames of other fleets are rejected
 	From         member.Record       `cbor:"4,keyasint"`            // the sender's record of itself
-	Member       *member.Message     `cbor:"5,keyasint,omitempty"`  // of package member
-	View         *view.Message       `cbor:"6,keyasint,omitempty"`  // of package view
-	Stamp        *view.Stamp         `cbor:"7,keyasint,omitempty"`  // with an Ack: the sender's view
-	Report       *quota.Report       `cbor:"8,keyasint,omitempty"`  // of a holder of quota shares
-	Grant        *quota.Grant        `cbor:"9,keyasint,omitempty"`  // to a holder
+	Member       *member.Message     `cbor:"5,keyasint,omitempty"`  // message of package member
+	View         *view.Message       `cbor:"6,keyasint,omitempty"`  // message of package view
+	Stamp        *view.Stamp         `cbor:"7,keyasint,omitempty"`  // with an Ack: stamp of the sender's view
+	Report       *quota.Report       `cbor:"8,keyasint,omitempty"`  // report from a holder of quota shares
+	Grant        *quota.Grant        `cbor:"9,keyasint,omitempty"`  // grant to a holder of quota shares
 	Suspensions  []verdict.Statement `cbor:"10,keyasint,omitempty"` // statements on suspended execute nodes
-	TablesDigest uint64              `cbor:"11,keyasint,omitempty"` // with a Ping and an Ack: the digest of the sender's statements
-	// Opinions are ratings of execute nodes by members.
+	TablesDigest uint64              `cbor:"11,keyasint,omitempty"` // with a Ping and an Ack: digest of the sender's statements
+	// Opinions are members' ratings of execute nodes.
 	Opinions []verdict.Opinion `cbor:"12,keyasint,omitempty"`
-	// Draining are statements on draining execute nodes.
+	// Draining holds statements on draining execute nodes.
 	Draining []verdict.Statement  `cbor:"13,keyasint,omitempty"`
-	Rules    *versionskew.Message `cbor:"14,keyasint,omitempty"` // of package versionskew
+	Rules    *versionskew.Message `cbor:"14,keyasint,omitempty"` // message of package versionskew
 }
 
 // The errors of Encode, Decode and Datagram.
 var (
-	ErrFleet   = errors.New("peer: of another fleet")
-	ErrVersion = errors.New("peer: no version in common")
+	ErrFleet   = errors.New("peer: frame from another fleet")
+	ErrVersion = errors.New("peer: no common protocol version")
 	ErrTooLong = errors.New("peer: frame too long")
 )
 
-// modes are how frames are encoded and decoded.
+// modes returns the CBOR modes for encoding and decoding frames.
 var modes = sync.OnceValues(func() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.EncOptions{}.EncMode()
 	if err != nil {
-		panic(err) // never: the options are constants
+		panic(err) // unreachable: the options are constant and valid
 	}
 	dec, err := cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1 << 14, MaxMapPairs: 64,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
@@ -72,7 +73,7 @@
 	return enc, dec
 })
 
-// Encode returns the bytes of a frame, without a length. It sets the versions.
+// Encode encodes a frame, without a length prefix. It sets the frame's versions.
 func Encode(f Frame) ([]byte, error) {
 	f.Version, f.MinVersion = Version, MinVersion
 	enc, _ := modes()
@@ -83,7 +84,8 @@
 	return b, err
 }
 
-// Decode decodes a frame for a member of a fleet. With ErrFleet and ErrVersion it returns the frame's sender too.
+// Decode decodes a frame that was received by a member of the given fleet. With the errors ErrFleet and ErrVersion it also
+// returns the decoded frame, so that the caller knows the sender.
 func Decode(b []byte, fleet string) (Frame, error) {
 	var f Frame
 	if len(b) > MaxFrame {
@@ -91,11 +93,11 @@
 	}
 	_, dec := modes()
 	if err := dec.Unmarshal(b, &f); err != nil {
-		return Frame{}, fmt.Errorf("peer: not a frame: %w", err)
+		return Frame{}, fmt.Errorf("peer: decode frame: %w", err)
 	}
 	switch {
 	case f.Version < MinVersion || f.MinVersion > Version:
-		return f, fmt.Errorf("%w: %d to %d, here %d to %d", ErrVersion, f.MinVersion, f.Version, MinVersion, Version)
+		return f, fmt.Errorf("%w: sender supports %d to %d, this program %d to %d", ErrVersion, f.MinVersion, f.Version, MinVersion, Version)
 	case f.Fleet != fleet:
 		return f, ErrFleet
 	}
--- a/internal/sidecar/peer/peer_test.go
+++ b/internal/sidecar/peer/peer_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	newer, _ := cbor.Marshal(map[int]any{1: 9, 2: 1, 3: "x", 4: sender, 5: ping, 99: "what a later version says"})
+	newer, _ := cbor.Marshal(map[int]any{1: 9, 2: 1, 3: "x", 4: sender, 5: ping, 99: "field of a later version"})
 	incompatible, _ := cbor.Marshal(map[int]any{1: 9, 2: 8, 3: "x", 4: sender})
 	noSender, _ := cbor.Marshal(map[int]any{1: 1, 2: 1, 3: "x"})
 	for name, c := range map[string]struct {
@@ -31,14 +31,14 @@
 		want     error
 		accepted bool
 	}{
-		"a frame":                       {valid, "x", nil, true},
-		"of a later version":            {newer, "x", nil, true},
-		"of another fleet":              {valid, "y", ErrFleet, false},
-		"no version in common":          {incompatible, "x", ErrVersion, false},
-		"without a sender":              {noSender, "x", nil, false},
-		"cut short":                     {valid[:len(valid)-2], "x", nil, false},
-		"nothing":                       {nil, "x", nil, false},
-		"longer than what is ever read": {make([]byte, MaxFrame+1), "x", ErrTooLong, false},
+		"valid frame":          {valid, "x", nil, true},
+		"from a later version": {newer, "x", nil, true},
+		"from another fleet":   {valid, "y", ErrFleet, false},
+		"no common version":    {incompatible, "x", ErrVersion, false},
+		"no sender":            {noSender, "x", nil, false},
+		"truncated":            {valid[:len(valid)-2], "x", nil, false},
+		"empty":                {nil, "x", nil, false},
+		"longer than MaxFrame": {make([]byte, MaxFrame+1), "x", ErrTooLong, false},
 	} {
 		f, err := Decode(c.frame, c.fleet)
 		if (err == nil) != c.accepted || c.want != nil && !errors.Is(err, c.want) {
@@ -60,16 +60,16 @@
 			return
 		}
 		m := member.New(member.Config{Name: "m", Boot: 1, Pace: time.Second, Seed: 1}, 0)
-		if frame.Member != nil { // what can be read must not upset the detector
+		if frame.Member != nil { // the failure detector must accept any frame that can be decoded
 			m.Step(1, member.Received{From: frame.From, Message: *frame.Member})
 		}
 		if again, err := Encode(frame); err != nil || len(again) == 0 {
-			t.Errorf("read but not written: %v", err)
+			t.Errorf("decoded frame cannot be encoded: %v", err)
 		}
 	})
 }
 
-// openChannel is a channel whose frames come on a Go channel.
+// openChannel opens a channel and returns it with a Go channel on which its frames are delivered.
 func openChannel(t *testing.T) (*Channel, chan []byte) {
 	t.Helper()
 	got := make(chan []byte, 1024)
@@ -87,7 +87,7 @@
 	case b := <-got:
 		return b
 	case <-time.After(10 * time.Second):
-		t.Fatal("no frame came")
+		t.Fatal("no frame received within 10 s")
 		return nil
 	}
 }
@@ -102,7 +102,7 @@
 	})
 }
 
-// writeLength writes the length of a frame to a stream, and bounds the wait for an answer.
+// writeLength writes the length prefix of a frame to a stream, and sets a deadline for reads.
 func writeLength(t *testing.T, nc net.Conn, length uint32) {
 	t.Helper()
 	if _, err := nc.Write(binary.BigEndian.AppendUint32(nil, length)); err != nil {
@@ -113,7 +113,7 @@
 	}
 }
 
-// A peer that accepts and reads nothing fills its own queue; the others get what is sent meanwhile.
+// A peer that accepts a stream and never reads fills only its own queue: frames to other peers must still arrive.
 func TestSlowPeerDoesNotDelayOthers(t *testing.T) {
 	unreadListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -128,20 +128,20 @@
 	}
 	a.Stream(b.Addr(), []byte("soon"))
 	if string(receiveFrame(t, got)) != "soon" {
-		t.Error("another frame came")
+		t.Error("received another frame than the one sent")
 	}
 	if c := a.Counts(); c.Dropped < 200-maxQueued-40 {
-		t.Errorf("%d dropped of 200", c.Dropped)
+		t.Errorf("%d of 200 frames dropped", c.Dropped)
 	}
 	if err := a.Datagram(b.Addr(), make([]byte, MaxDatagram+1)); !errors.Is(err, ErrTooLong) {
-		t.Errorf("a long datagram: %v", err)
+		t.Errorf("datagram longer than MaxDatagram: got error %v", err)
 	}
 	if err := a.Datagram(b.Addr(), []byte("loose")); err != nil || string(receiveFrame(t, got)) != "loose" {
-		t.Errorf("a datagram: %v", err)
+		t.Errorf("datagram not received as sent: error %v", err)
 	}
 }
 
-// A malformed frame ends its own stream and no other.
+// A malformed or incomplete frame must end its own stream and no other.
 func TestBadStreams(t *testing.T) {
 	c, got := openChannel(t)
 	for name, head := range map[string]uint32{"empty": 0, "oversized": MaxFrame + 1} {
@@ -152,10 +152,10 @@
 		closeOnCleanup(t, nc)
 		writeLength(t, nc, head)
 		if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Errorf("%s: %v, not closed", name, err)
+			t.Errorf("%s frame: stream not closed, read error %v", name, err)
 		}
 	}
-	stalled, err := net.Dial("tcp", c.Addr()) // announces a frame and sends none: it is closed in time
+	stalled, err := net.Dial("tcp", c.Addr()) // sends a length without a frame: the stream must be closed after readTimeout
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,17 +164,17 @@
 	a, _ := openChannel(t)
 	a.Stream(c.Addr(), []byte("whole"))
 	if !bytes.Equal(receiveFrame(t, got), []byte("whole")) {
-		t.Error("another frame came")
+		t.Error("received another frame than the one sent")
 	}
 	if err := stalled.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := stalled.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("a silent stream: %v, not closed", err)
+		t.Errorf("stalled frame: stream not closed, read error %v", err)
 	}
 }
 
-// A peer that restarts at its address is reached again over the same link.
+// A peer that restarts at the same address must be reached again over the same link.
 func TestPeerComesBack(t *testing.T) {
 	a, _ := openChannel(t)
 	b, got := openChannel(t)
@@ -187,24 +187,24 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	// The first frame is lost if it is written to the old stream before that is seen to be closed.
+	// The first frame is lost if it is written to the old stream before the close of that stream is detected.
 	for end := time.Now().Add(10 * time.Second); ; {
 		a.Stream(c.Addr(), []byte("2"))
 		select {
 		case f := <-afterRestart:
 			if string(f) != "2" {
-				t.Error("another frame came")
+				t.Error("received another frame than the one sent")
 			}
 			return
 		case <-time.After(20 * time.Millisecond):
 			if time.Now().After(end) {
-				t.Fatal("no frame came")
+				t.Fatal("no frame received within 10 s")
 			}
 		}
 	}
 }
 
-// A stream that the other side has closed is never taken for an open one, however late the check runs.
+// A stream that the peer has closed must never be considered open, even if the process does not run for a while during the check.
 func TestClosedStreamIsSeen(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -221,7 +221,7 @@
 		t.Fatal(err)
 	}
 	if closedByPeer(nc) {
-		t.Error("an open one was taken for closed")
+		t.Error("open stream reported as closed")
 	}
 	if err := errors.Join(other.Close(), nc.SetReadDeadline(time.Now().Add(10*time.Second))); err != nil {
 		t.Fatal(err)
@@ -231,15 +231,16 @@
 	}
 	for i := range 2000 {
 		if !closedByPeer(nc) {
-			t.Fatalf("check %d did not see it", i)
+			t.Fatalf("check %d: closed stream reported as open", i)
 		}
 	}
 	if !closedByPeer(&delayedConn{nc.(*net.TCPConn)}) {
-		t.Error("a check that did not run for a while did not see it")
+		t.Error("delayed check: closed stream reported as open")
 	}
 }
 
-// delayedConn is a stream whose user does not run after it has set a deadline, until that has passed.
+// delayedConn is a stream on which SetReadDeadline returns only after the deadline has passed, as if the process had not run
+// meanwhile.
 type delayedConn struct{ *net.TCPConn }
 
 func (s *delayedConn) SetReadDeadline(end time.Time) error {
