--- a/internal/region/operatorapi/freshness.go
+++ b/internal/region/operatorapi/freshness.go
@@ -72,9 +72,9 @@
 	return conn != nil && conn.isFresh()
 }
 
-// callerRemains waits for CallerCheckDelay and reports whether the caller is still connected then. The body, which has no
+// callerStillConnected waits for CallerCheckDelay and reports whether the caller is still connected then. The body, which has no
 // content, is read first, since net/http detects the end of a connection only behind it.
-func callerRemains(r *http.Request) bool {
+func callerStillConnected(r *http.Request) bool {
 	_, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxIgnoredBytes))
 	if err != nil {
 		return false
--- a/internal/region/operatorapi/freshness_test.go
+++ b/internal/region/operatorapi/freshness_test.go
@@ -29,7 +29,7 @@
 func newDelayedServer(t *testing.T, delay time.Duration) *delayedServer {
 	t.Helper()
 	s := &delayedServer{orders: answeringWith(http.StatusOK, "{}"), done: make(chan struct{}, 8)}
-	calls := New(optionsWith(s.orders)).Handler(everything)
+	calls := New(optionsWith(s.orders)).Handler(allServices)
 	s.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		connectionOf(r).readyAt.Add(-int64(delay))
 		calls.ServeHTTP(w, r)
@@ -41,8 +41,8 @@
 	return s
 }
 
-// sendAndGiveUp sends a request and closes the connection.
-func (s *delayedServer) sendAndGiveUp(t *testing.T, request string) {
+// sendAndDisconnect sends a request and closes the connection.
+func (s *delayedServer) sendAndDisconnect(t *testing.T, request string) {
 	t.Helper()
 	connection, err := net.Dial("tcp", s.Listener.Addr().String())
 	require.NoError(t, err)
@@ -52,7 +52,7 @@
 	<-s.done
 }
 
-func TestHeldEvacuationWhoseCallerHasGoneIsNotHandedOver(t *testing.T) {
+func TestDelayedEvacuationOfDisconnectedCallerIsNotSubmitted(t *testing.T) {
 	for name, request := range map[string]string{
 		"without a body":    beginEvacuation + "\r\n",
 		"with a length":     beginEvacuation + "Content-Length: 2\r\n\r\n{}",
@@ -61,20 +61,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newDelayedServer(t, networkDelay)
-			server.sendAndGiveUp(t, request)
+			server.sendAndDisconnect(t, request)
 			require.Empty(t, server.orders.orders)
 		})
 	}
 }
 
 // With the planted fault that a request of any age counts as fresh, the delayed order is submitted.
-func TestAgeIsWhatKeepsHeldEvacuationsBack(t *testing.T) {
+func TestFreshEvacuationOfDisconnectedCallerIsSubmitted(t *testing.T) {
 	server := newDelayedServer(t, 0)
-	server.sendAndGiveUp(t, beginEvacuation+"\r\n")
+	server.sendAndDisconnect(t, beginEvacuation+"\r\n")
 	require.Len(t, server.orders.orders, 1)
 }
 
-func TestHeldEvacuationWhoseCallerWaitsIsTaken(t *testing.T) {
+func TestDelayedEvacuationOfConnectedCallerIsSubmitted(t *testing.T) {
 	server := newDelayedServer(t, networkDelay)
 	for range 2 { // on one connection
 		answer, err := server.Client().Post(server.URL+"/api/drain/brno-hala/begin", "", nil)
@@ -97,7 +97,7 @@
 	require.Less(t, time.Since(began), CallerCheckDelay)
 }
 
-func TestOrderOfACallerThatLeavesIsWithdrawn(t *testing.T) {
+func TestOrderOfDisconnectedCallerIsCanceled(t *testing.T) {
 	server := newDelayedServer(t, 0)
 	ended := make(chan error, 1)
 	server.orders.answer = func(ctx context.Context, _ *pb.Order) *pb.OrderResult {
@@ -105,11 +105,11 @@
 		ended <- context.Cause(ctx)
 		return &pb.OrderResult{Status: http.StatusServiceUnavailable}
 	}
-	server.sendAndGiveUp(t, beginEvacuation+"\r\n")
+	server.sendAndDisconnect(t, beginEvacuation+"\r\n")
 	require.ErrorIs(t, <-ended, context.Canceled)
 }
 
-func TestOutOfTouchUnknownZoneIsNotRefused(t *testing.T) {
+func TestUnknownZoneIsNotRejectedWith404WhenNotAuthoritative(t *testing.T) {
 	options := optionsWith(answeringWith(http.StatusOK, ""))
 	options.Authoritative = func() bool { return false }
 	recorder := call(options, "POST", "/api/drain/nowhere/begin", "", nil)
--- a/internal/region/operatorapi/orders.go
+++ b/internal/region/operatorapi/orders.go
@@ -55,7 +55,7 @@
 		s.reject(w, s.unknownZone(order.Zone))
 		return
 	}
-	if !isFresh(r) && !callerRemains(r) {
+	if !isFresh(r) && !callerStillConnected(r) {
 		s.reject(w, &CallerGoneError{})
 		return
 	}
--- a/internal/region/operatorapi/server_test.go
+++ b/internal/region/operatorapi/server_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-var everything = Services{Operator: true, Directory: true}
+var allServices = Services{Operator: true, Directory: true}
 
 // call sends one request to a server with these options.
 func call(options Options, method, path, base string, body io.Reader) *httptest.ResponseRecorder {
@@ -66,7 +66,7 @@
 		request.Header.Set("X-Fieldrelay-Base-Rev", base)
 	}
 	recorder := httptest.NewRecorder()
-	New(options).Handler(everything).ServeHTTP(recorder, request)
+	New(options).Handler(allServices).ServeHTTP(recorder, request)
 	return recorder
 }
 
@@ -89,14 +89,14 @@
 		"begin":   {"POST", "/api/drain/brno-hala/begin", "", "", &pb.Order{Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: "brno-hala"}},
 		"finish":  {"POST", "/api/drain/brno-hala/finish", "", "", &pb.Order{Kind: pb.Order_KIND_EVACUATE_FINISH, Zone: "brno-hala"}},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			orders := answeringWith(200, `{"gen":7}`)
-			recorder := call(optionsWith(orders), one.method, one.path, one.base, strings.NewReader(one.body))
+			recorder := call(optionsWith(orders), test.method, test.path, test.base, strings.NewReader(test.body))
 			require.Equal(t, 200, recorder.Code)
 			require.Equal(t, `{"gen":7}`, recorder.Body.String())
 			require.Len(t, orders.orders, 1)
-			require.Equal(t, one.want.String(), orders.orders[0].String())
+			require.Equal(t, test.want.String(), orders.orders[0].String())
 		})
 	}
 }
@@ -141,7 +141,7 @@
 	require.Equal(t, int64(5), *body.Error.Gen)
 }
 
-func TestRefusalsBeforeAnOrderIsHandedOver(t *testing.T) {
+func TestRejectionsBeforeAnOrderIsSubmitted(t *testing.T) {
 	notReady := func(options *Options) { options.Ready = func() bool { return false } }
 	small := func(options *Options) { options.MaxBodyBytes = 10 }
 	unchanged := func(*Options) {}
@@ -163,15 +163,15 @@
 		"not ready, read":  {notReady, "GET", "/api/conf/read", "", nil, 503, "not_ready"},
 		"not ready, drain": {notReady, "POST", "/api/drain/brno-hala/begin", "", nil, 503, "not_ready"},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			orders := answeringWith(200, "")
 			options := optionsWith(orders)
-			one.change(&options)
-			recorder := call(options, one.method, one.path, one.base, one.body)
-			require.Equal(t, one.status, recorder.Code, recorder.Body.String())
+			test.change(&options)
+			recorder := call(options, test.method, test.path, test.base, test.body)
+			require.Equal(t, test.status, recorder.Code, recorder.Body.String())
 			refusal := rejectionIn(t, recorder)
-			require.Equal(t, one.code, refusal.Code)
+			require.Equal(t, test.code, refusal.Code)
 			require.NotEmpty(t, refusal.Message)
 			require.Empty(t, orders.orders)
 		})
@@ -203,9 +203,9 @@
 	require.Equal(t, 404, served(operatorOnly, "/api/lookup"))
 	require.Equal(t, 200, served(directoryOnly, "/api/lookup"))
 	require.Equal(t, 404, served(directoryOnly, "/api/conf/read"))
-	require.Equal(t, 404, served(everything, "/"))
-	require.Equal(t, 404, served(everything, "/api/conf/else"))
-	require.Equal(t, 405, served(everything, "/api/conf/replace"))
+	require.Equal(t, 404, served(allServices, "/"))
+	require.Equal(t, 404, served(allServices, "/api/conf/else"))
+	require.Equal(t, 405, served(allServices, "/api/conf/replace"))
 }
 
 func TestTheWaitForAResultIsBounded(t *testing.T) {
@@ -235,7 +235,7 @@
 			<-finish
 			return &pb.OrderResult{Status: 200}
 		}}
-		handler := New(optionsWith(blocked)).Handler(everything)
+		handler := New(optionsWith(blocked)).Handler(allServices)
 		statuses := make(chan int, maxConcurrentOrders+5)
 		for range maxConcurrentOrders + 5 {
 			go func() {
@@ -273,7 +273,7 @@
 			request := httptest.NewRequest("POST", "/api/conf/replace", body)
 			request.Header.Set("X-Fieldrelay-Base-Rev", "1")
 			recorder := httptest.NewRecorder()
-			server.Handler(everything).ServeHTTP(recorder, request)
+			server.Handler(allServices).ServeHTTP(recorder, request)
 			return recorder.Code
 		}
 		for index := range maxConcurrentLargeBodies {
