--- a/internal/region/operatorapi/body.go
+++ b/internal/region/operatorapi/body.go
@@ -12,12 +12,13 @@
 	// smallBodyBytes is the size up to which a body counts as small.
 	smallBodyBytes = 64 << 10
 
-	// maxConcurrentLargeBodies bounds the bodies in memory that are not small: they are the bulk of the memory that
-	// orders take.
+	// maxConcurrentLargeBodies bounds the number of large bodies in memory: they account for most of the memory that
+	// orders use.
 	maxConcurrentLargeBodies = 3
 )
 
-// largeBodySlot is the slot of one body among the large bodies in memory, acquired once the body is known to be large.
+// largeBodySlot is the slot of one request body among the large bodies in memory. It is acquired only once the body is
+// known to be large.
 type largeBodySlot struct {
 	slots    httpapi.Slots
 	acquired bool
@@ -39,7 +40,7 @@
 	}
 }
 
-// readBody reads the complete body within the bounds of size and time. The error is a RejectionError.
+// readBody reads the complete body within the limits on size and time. The error is a RejectionError.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, large *largeBodySlot) ([]byte, error) {
 	limited := httpapi.LimitBody(w, r, s.options.MaxBodyBytes)
 	body, err := readAll(limited, r.ContentLength, large)
@@ -52,8 +53,8 @@
 	return nil, httpapi.BodyError(err)
 }
 
-// readAll reads to the end, into a buffer of the right size if the length is known (not negative), and acquires the
-// slot of a large body before it allocates.
+// readAll reads to the end of reader, into a buffer of exactly that size if the length is known (not negative). It
+// acquires the slot of a large body before it allocates memory for one.
 func readAll(reader io.Reader, length int64, large *largeBodySlot) ([]byte, error) {
 	if length < 0 {
 		return readUnsized(reader, large)
@@ -71,7 +72,7 @@
 	return body, nil
 }
 
-// readUnsized reads a body of unknown length (RFC 9112, chunked).
+// readUnsized reads a body of unknown length, which is sent in chunks (RFC 9112).
 func readUnsized(reader io.Reader, large *largeBodySlot) ([]byte, error) {
 	head, err := io.ReadAll(io.LimitReader(reader, smallBodyBytes+1))
 	if err != nil || len(head) <= smallBodyBytes {
--- a/internal/region/operatorapi/directory.go
+++ b/internal/region/operatorapi/directory.go
@@ -8,7 +8,7 @@
 	"fieldrelay/api/operator"
 )
 
-// LookupEndpoints answers a client with the edge addresses to use.
+// LookupEndpoints responds with the edge addresses that a client should use.
 func (s *Server) LookupEndpoints(w http.ResponseWriter, _ *http.Request, params operator.LookupEndpointsParams) {
 	endpoints := s.options.Endpoints(valueOf(params.Name), valueOf(params.Geo), valueOf(params.Az))
 	if len(endpoints) == 0 {
--- a/internal/region/operatorapi/errors.go
+++ b/internal/region/operatorapi/errors.go
@@ -19,7 +19,7 @@
 // Code returns out_of_touch.
 func (*NotAuthoritativeError) Code() string { return "out_of_touch" }
 
-// BusyError rejects an order because as many as allowed are open.
+// BusyError rejects an order because the limit of open orders or of large bodies in memory is reached.
 type BusyError struct{}
 
 // Error returns the message of the response.
@@ -55,7 +55,7 @@
 // Code returns no_endpoints.
 func (*NoEndpointsError) Code() string { return "no_endpoints" }
 
-// BadParameterError rejects a call whose header, path or query is missing something or malformed.
+// BadParameterError rejects a call with a missing or malformed parameter in a header, the path or the query.
 type BadParameterError struct{ Cause error }
 
 // Error returns the message of the response.
@@ -94,7 +94,7 @@
 // Code returns unknown_zone.
 func (*UnknownZoneError) Code() string { return "unknown_zone" }
 
-// ResultError is the result of an order that came without a body.
+// ResultError rejects an order whose result has an error status but no body, or for which no result is known.
 type ResultError struct{ HTTPStatus int }
 
 // Error returns the message of the response.
--- a/internal/region/operatorapi/freshness_test.go
+++ b/internal/region/operatorapi/freshness_test.go
@@ -19,11 +19,12 @@
 
 const beginEvacuation = "POST /api/drain/brno-hala/begin HTTP/1.1\r\nHost: core\r\n"
 
-// delayedServer serves over TCP as if every request had reached it a delay after its connection was ready.
+// delayedServer is an HTTP server over TCP to which each request seems to arrive a given delay after its connection was
+// ready.
 type delayedServer struct {
 	*httptest.Server
 	orders *recordedOrders
-	done   chan struct{} // gets one element for each call that has ended
+	done   chan struct{} // receives one element for each completed call
 }
 
 func newDelayedServer(t *testing.T, delay time.Duration) *delayedServer {
@@ -67,7 +68,8 @@
 	}
 }
 
-// With the planted fault that a request of any age counts as fresh, the delayed order is submitted.
+// If a request counts as fresh, its order is submitted although the caller has disconnected: it is the age of a request
+// that TestDelayedEvacuationOfDisconnectedCallerIsNotSubmitted depends on.
 func TestFreshEvacuationOfDisconnectedCallerIsSubmitted(t *testing.T) {
 	server := newDelayedServer(t, 0)
 	server.sendAndDisconnect(t, beginEvacuation+"\r\n")
@@ -76,7 +78,7 @@
 
 func TestDelayedEvacuationOfConnectedCallerIsSubmitted(t *testing.T) {
 	server := newDelayedServer(t, networkDelay)
-	for range 2 { // on one connection
+	for range 2 { // both requests use one connection
 		answer, err := server.Client().Post(server.URL+"/api/drain/brno-hala/begin", "", nil)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, answer.StatusCode)
--- a/internal/region/operatorapi/options.go
+++ b/internal/region/operatorapi/options.go
@@ -22,29 +22,29 @@
 	// Orders executes the operator's orders. Required.
 	Orders Orders
 
-	// Ready reports whether this machine can submit orders, that is, knows a view. While it reports false, calls of
-	// the operator are rejected at once with 503 and the code not_ready.
+	// Ready reports whether this machine knows a view and can therefore submit orders. While it reports false, the
+	// operator's calls are rejected at once with 503 and the code not_ready.
 	Ready func() bool
 
 	// Authoritative reports whether this machine's knowledge is confirmed by a majority. While it reports false, an
 	// order for an unknown zone is rejected with 503 (out_of_touch) instead of 404: the zone may be new.
 	Authoritative func() bool
 
-	// ZoneKnown reports whether the deployment has a zone of this name. An evacuation of another one is rejected.
+	// ZoneKnown reports whether the deployment has a zone of this name. The evacuation of an unknown zone is rejected.
 	ZoneKnown func(zone string) bool
 
 	// Endpoints returns the edge addresses for clients of a host in a region and zone; each argument may be empty.
-	// With none the lookup is rejected with 503 (no_endpoints).
+	// If it returns no address, the lookup is rejected with 503 (no_endpoints).
 	Endpoints func(host, region, zone string) []string
 
-	// EndpointsLifetime returns how long clients may use an answer of the directory. It is sent in whole seconds,
-	// rounded down, and never less than one.
+	// EndpointsLifetime returns how long clients may use the answer to a lookup. It is sent in whole seconds, rounded
+	// down, but as at least one.
 	EndpointsLifetime func() time.Duration
 
 	// MaxBodyBytes bounds the body of an order, in bytes; a larger one is rejected with 413. Default (0):
 	// DefaultMaxBodyBytes.
 	MaxBodyBytes int64
 
-	// Counters counts calls. Default (nil): they are counted nowhere visible.
+	// Counters counts calls. Default (nil): counters that only the server itself can access.
 	Counters *Counters
 }
--- a/internal/region/operatorapi/orders.go
+++ b/internal/region/operatorapi/orders.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// submitTimeout bounds the wait for the result of an order with a small body: operators wait for a second.
+	// submitTimeout bounds the wait for the result of an order with a small body: operators time out after a second.
 	submitTimeout = 900 * time.Millisecond
 
-	// submitTimeoutPerKiB extends the wait for each KiB beyond a small body: operators wait longer for large ones.
+	// submitTimeoutPerKiB extends the wait for each KiB of the body beyond smallBodyBytes: operators wait longer for the
+	// results of large orders.
 	submitTimeoutPerKiB = time.Millisecond
 
-	// maxSubmitTimeout bounds the wait for any size.
+	// maxSubmitTimeout bounds the wait for the result of an order of any size.
 	maxSubmitTimeout = 5 * time.Second
 
-	// maxConcurrentOrders bounds the open orders at this machine.
+	// maxConcurrentOrders bounds the number of open orders at this machine.
 	maxConcurrentOrders = 64
 )
 
-// ReplaceConfiguration replaces the configuration in force as a whole.
+// ReplaceConfiguration replaces the whole configuration in force.
 func (s *Server) ReplaceConfiguration(w http.ResponseWriter, r *http.Request, params operator.ReplaceConfigurationParams) {
 	s.configure(w, r, pb.Order_KIND_REPLACE, params.XFieldrelayBaseRev)
 }
@@ -49,7 +50,8 @@
 	s.evacuate(w, r, &pb.Order{Kind: pb.Order_KIND_EVACUATE_FINISH, Zone: zone})
 }
 
-// evacuate submits an order about a zone, unless it may have been delayed in the network and its caller is gone.
+// evacuate submits an order to evacuate a zone, unless the order may have been delayed in the network and its caller has
+// disconnected.
 func (s *Server) evacuate(w http.ResponseWriter, r *http.Request, order *pb.Order) {
 	if !s.options.ZoneKnown(order.Zone) {
 		s.reject(w, s.unknownZone(order.Zone))
@@ -63,7 +65,7 @@
 }
 
 // unknownZone returns the rejection of an order for a zone that is not known here. A machine that is not authoritative
-// may just not know it yet.
+// may not have learned of a new zone yet.
 func (s *Server) unknownZone(zone string) httpapi.RejectionError {
 	if !s.options.Authoritative() {
 		return &NotAuthoritativeError{}
--- a/internal/region/operatorapi/rejection/rejection.go
+++ b/internal/region/operatorapi/rejection/rejection.go
@@ -1,5 +1,5 @@
-// Package rejection makes the bodies of rejected orders, which api/operator.yaml describes. The control machine that judges
-// an order makes the body, the operator's API passes it on.
+// Package rejection encodes the bodies of responses to rejected orders, as specified by api/operator.yaml. The control
+// machine that validates an order encodes the body, and package operatorapi forwards it.
 package rejection
 
 import (
@@ -28,7 +28,7 @@
 	return Marshal(detail)
 }
 
-// faultsOf converts the faults of a configuration to the form of the API.
+// faultsOf converts the faults of a configuration to the type of the API.
 func faultsOf(invalid *catalog.InvalidError) []operator.Fault {
 	faults := make([]operator.Fault, 0, len(invalid.Faults))
 	for _, fault := range invalid.Faults {
@@ -41,7 +41,7 @@
 	return faults
 }
 
-// optional returns nil for an empty text.
+// optional returns a pointer to text, or nil if text is empty.
 func optional(text string) *string {
 	if text == "" {
 		return nil
@@ -58,8 +58,8 @@
 	return body
 }
 
-// Structured converts the body of a rejection that has only a text, as control machines of earlier versions return it,
-// into the form of all rejections. Any other body is returned unchanged.
+// Structured converts a body whose error is a plain text, as control machines of earlier versions return it, into the
+// form of all rejections. Any other body is returned unchanged.
 func Structured(status int, body []byte) []byte {
 	var plain struct {
 		Error string `json:"error"`
@@ -70,7 +70,7 @@
 	return Marshal(operator.RefusalDetail{Code: Code(status), Message: plain.Error})
 }
 
-// Code returns the code of a rejection with an HTTP status.
+// Code returns the code of a rejection with the given HTTP status.
 func Code(status int) string {
 	switch status {
 	case http.StatusBadRequest:
--- a/internal/region/operatorapi/responses.go
+++ b/internal/region/operatorapi/responses.go
@@ -18,7 +18,7 @@
 	maxHTTPStatus = 599
 )
 
-// writeResult responds with the result of an order. A status that is none of HTTP, or none at all, becomes 503.
+// writeResult responds with the result of an order. A status that is missing or is not a final HTTP status becomes 503.
 func (s *Server) writeResult(w http.ResponseWriter, result *pb.OrderResult) {
 	status := int(result.GetStatus())
 	if status < http.StatusOK || status > maxHTTPStatus {
@@ -41,7 +41,7 @@
 	s.reject(w, &ResultError{HTTPStatus: status})
 }
 
-// reject responds with an error. One that is no RejectionError becomes 503.
+// reject responds with an error. An error that is not a RejectionError becomes 503.
 func (s *Server) reject(w http.ResponseWriter, err error) {
 	cause, known := errors.AsType[httpapi.RejectionError](err)
 	if !known {
--- a/internal/region/operatorapi/server.go
+++ b/internal/region/operatorapi/server.go
@@ -1,9 +1,10 @@
 // Package operatorapi serves the operator's API and the directory of a control machine over HTTP, as specified by
-// api/operator.yaml. It checks form, size and freshness of a request, submits its order to the replicated control state
-// and converts the result into a response.
+// api/operator.yaml. It checks the form, size and freshness of a request, submits its order to the replicated control
+// state and converts the result into a response.
 //
-// It is not the place where orders are validated or executed (internal/region/catalog, internal/region/control), and it has no state
-// but counters and the slots of open calls. docs/region/control.md describes its responses.
+// The package neither validates the content of orders (internal/region/catalog) nor executes them
+// (internal/region/control). Its only state is counters and the slots of open calls. docs/region/control.md describes
+// its responses.
 package operatorapi
 
 import (
@@ -23,8 +24,8 @@
 // Server implements the operations of api/operator.yaml. It is safe for concurrent use.
 type Server struct {
 	options        Options
-	orderSlots     httpapi.Slots // one per open order
-	largeBodySlots httpapi.Slots // one per large body in memory
+	orderSlots     httpapi.Slots // slots of open orders
+	largeBodySlots httpapi.Slots // slots of large bodies in memory
 }
 
 // New returns a server with the defaults of options filled in.
@@ -42,14 +43,14 @@
 	}
 }
 
-// Services selects the operations that a handler serves; all others are answered with 404.
+// Services selects the operations that a handler serves; the others are answered with 404.
 type Services struct {
 	Operator  bool // configuration and evacuations
 	Directory bool // lookup of endpoints
 }
 
-// Handler returns a handler of the selected operations. The http.Server that serves it must use ConnContext, else every
-// request counts as possibly delayed.
+// Handler returns a handler of the selected operations. The http.Server that serves it must use ConnContext; without it
+// every request counts as possibly delayed.
 func (s *Server) Handler(services Services) http.Handler {
 	operations := operator.HandlerWithOptions(s, operator.StdHTTPServerOptions{
 		ErrorHandlerFunc: func(w http.ResponseWriter, _ *http.Request, err error) {
--- a/internal/region/operatorapi/server_test.go
+++ b/internal/region/operatorapi/server_test.go
@@ -23,7 +23,7 @@
 	"fieldrelay/internal/region/operatorapi/rejection"
 )
 
-// recordedOrders records the orders and responds to them by a function.
+// recordedOrders is a fake of Orders that records each order and returns the result of the function answer.
 type recordedOrders struct {
 	mutex  sync.Mutex
 	orders []*pb.Order
@@ -37,7 +37,7 @@
 	return r.answer(ctx, order)
 }
 
-// answeringWith returns orders that all get one result.
+// answeringWith returns a fake that gives every order the same result.
 func answeringWith(status uint32, body string) *recordedOrders {
 	return &recordedOrders{answer: func(context.Context, *pb.Order) *pb.OrderResult {
 		return &pb.OrderResult{Status: status, Body: []byte(body)}
@@ -58,7 +58,7 @@
 
 var allServices = Services{Operator: true, Directory: true}
 
-// call sends one request to a server with these options.
+// call sends one request to a new server with the given options and returns the response.
 func call(options Options, method, path, base string, body io.Reader) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, path, body)
 	request = request.WithContext(ConnContext(request.Context(), nil))
@@ -255,7 +255,8 @@
 	})
 }
 
-// Large bodies that are under way keep other large ones out, but not small ones, whether their length is known or not.
+// While the maximum number of large bodies is in memory, another large body is rejected and a small one is accepted,
+// whether its length is known or not.
 func TestLargeBodiesUnderWayLeaveRoomForSmallOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		finish := make(chan struct{})
