--- a/internal/region/coordinationapi/body.go
+++ b/internal/region/coordinationapi/body.go
@@ -20,9 +20,9 @@
 // maxBodyBytes leaves room for a value of which each byte is escaped.
 const maxBodyBytes = 8 * maxValueBytes
 
-// readCall checks the name in the path of a call and reads its body, which must have the required members. The error is a
+// readIDAndBody checks the name in the path of a call and reads its body, which must have the required members. The error is a
 // RejectionError.
-func readCall(w http.ResponseWriter, r *http.Request, id string, into any, required ...string) error {
+func readIDAndBody(w http.ResponseWriter, r *http.Request, id string, into any, required ...string) error {
 	if err := validateID(id); err != nil {
 		return err
 	}
@@ -49,22 +49,22 @@
 	faults := make(validation.Errors)
 	for _, name := range required {
 		if value, found := members[name]; !found || string(value) == "null" {
-			faults[name] = errMemberAbsent
+			faults[name] = errMissing
 		}
 	}
 	if err := invalidFields(faults); err != nil {
 		return err
 	}
-	exact, err := json.Marshal(exactMembers(members))
+	exact, err := json.Marshal(dropInexactMembers(members))
 	if err != nil {
 		return decodeError(err)
 	}
 	return decodeError(json.Unmarshal(exact, into))
 }
 
-// exactMembers drops the members whose names are those of a call but for the case of letters: the decoder of JSON would take
+// dropInexactMembers drops the members whose names are those of a call but for the case of letters: the decoder of JSON would take
 // them for these.
-func exactMembers(members map[string]json.RawMessage) map[string]json.RawMessage {
+func dropInexactMembers(members map[string]json.RawMessage) map[string]json.RawMessage {
 	maps.DeleteFunc(members, func(name string, _ json.RawMessage) bool {
 		return slices.ContainsFunc(bodyFields, func(field string) bool {
 			return name != field && strings.EqualFold(name, field)
--- a/internal/region/coordinationapi/server.go
+++ b/internal/region/coordinationapi/server.go
@@ -18,12 +18,12 @@
 	"fieldrelay/internal/region/httpapi"
 )
 
-// pathPrefixes are the beginnings of the paths that a Server serves.
-var pathPrefixes = []string{"/api/locks/", "/api/numbers/", "/api/cells/", "/api/watch/"}
+// servedPathPrefixes are the beginnings of the paths that a Server serves.
+var servedPathPrefixes = []string{"/api/locks/", "/api/numbers/", "/api/cells/", "/api/watch/"}
 
 // Serves reports whether a path is one of this package.
 func Serves(path string) bool {
-	return slices.ContainsFunc(pathPrefixes, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
+	return slices.ContainsFunc(servedPathPrefixes, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
 }
 
 // Bounds of calls.
@@ -81,9 +81,9 @@
 // AcquireLock acquires a lock.
 func (s *Server) AcquireLock(w http.ResponseWriter, r *http.Request, id coordination.CoordinationID) {
 	var body coordination.LockAcquisition
-	err := readCall(w, r, id, &body, fieldHolder, fieldHold)
+	err := readIDAndBody(w, r, id, &body, fieldHolder, fieldHold)
 	if err == nil {
-		err = validateHold(body.Holder, body.HoldMs)
+		err = validateHolderAndHold(body.Holder, body.HoldMs)
 	}
 	if err != nil {
 		s.reject(w, err)
@@ -99,9 +99,9 @@
 // RenewLock gives the holder of a lock more time.
 func (s *Server) RenewLock(w http.ResponseWriter, r *http.Request, id coordination.CoordinationID) {
 	var body coordination.LockRenewal
-	err := readCall(w, r, id, &body, fieldHolder, fieldFence, fieldHold)
+	err := readIDAndBody(w, r, id, &body, fieldHolder, fieldFence, fieldHold)
 	if err == nil {
-		err = validateHold(body.Holder, body.HoldMs)
+		err = validateHolderAndHold(body.Holder, body.HoldMs)
 	}
 	if err != nil {
 		s.reject(w, err)
@@ -121,7 +121,7 @@
 // ReleaseLock releases a lock.
 func (s *Server) ReleaseLock(w http.ResponseWriter, r *http.Request, id coordination.CoordinationID) {
 	var body coordination.LockRelease
-	err := readCall(w, r, id, &body, fieldHolder, fieldFence)
+	err := readIDAndBody(w, r, id, &body, fieldHolder, fieldFence)
 	if err == nil {
 		err = validateHolder(body.Holder)
 	}
@@ -150,7 +150,7 @@
 // PutKey writes a key.
 func (s *Server) PutKey(w http.ResponseWriter, r *http.Request, id coordination.CoordinationID) {
 	var body coordination.KeyPut
-	err := readCall(w, r, id, &body, fieldValue)
+	err := readIDAndBody(w, r, id, &body, fieldValue)
 	if err == nil {
 		err = validateValue(body.Val)
 	}
--- a/internal/region/coordinationapi/server_test.go
+++ b/internal/region/coordinationapi/server_test.go
@@ -64,7 +64,7 @@
 	watch   = request{"GET", "/api/watch/g1.?after=930&wait-ms=2000", ""}
 )
 
-var everyRequest = []request{begin, renew, finish, number, replace, read, watch}
+var allRequests = []request{begin, renew, finish, number, replace, read, watch}
 
 type request struct{ method, path, body string }
 
@@ -78,27 +78,27 @@
 
 func pointerTo[T any](value T) *T { return &value }
 
-// putWith is the call of replace with an expected revision; nil: none.
-func putWith(expected *uint64) *pb.CoordinationCall {
+// putCall is the call of replace with an expected revision; nil: none.
+func putCall(expected *uint64) *pb.CoordinationCall {
 	return &pb.CoordinationCall{Operation: &pb.CoordinationCall_Put{Put: &pb.PutKey{
 		Name: "g1.2d", Value: "5c0e7a21d94b36f8", ExpectedRevision: expected,
 	}}}
 }
 
-// acquired is the call of begin.
-func acquired() *pb.CoordinationCall {
+// acquireCall is the call of begin.
+func acquireCall() *pb.CoordinationCall {
 	return &pb.CoordinationCall{Operation: &pb.CoordinationCall_Acquire{Acquire: &pb.AcquireLock{
 		Name: "l1f", Holder: "a3.7", HoldMs: 3000,
 	}}}
 }
 
-func renewWith(fence uint64) *pb.CoordinationCall {
+func renewCall(fence uint64) *pb.CoordinationCall {
 	return &pb.CoordinationCall{Operation: &pb.CoordinationCall_Renew{Renew: &pb.RenewLock{
 		Name: "l1f", Holder: "a3.7", Fence: fence, HoldMs: 3000,
 	}}}
 }
 
-func watchFor(after uint64, waitMS uint32) *pb.CoordinationCall {
+func watchCall(after uint64, waitMS uint32) *pb.CoordinationCall {
 	return &pb.CoordinationCall{Operation: &pb.CoordinationCall_Watch{Watch: &pb.WatchGroup{
 		Group: "g1.", After: after, WaitMs: waitMS,
 	}}}
@@ -109,38 +109,38 @@
 		sent request
 		want *pb.CoordinationCall
 	}{
-		"begin": {begin, acquired()},
-		"renew": {renew, renewWith(41)},
+		"begin": {begin, acquireCall()},
+		"renew": {renew, renewCall(41)},
 		"finish": {finish, &pb.CoordinationCall{Operation: &pb.CoordinationCall_Release{Release: &pb.ReleaseLock{
 			Name: "l1f", Holder: "a3.7", Fence: 41,
 		}}}},
 		"number":               {number, &pb.CoordinationCall{Operation: &pb.CoordinationCall_NextNumber{NextNumber: &pb.NextNumber{Name: "n2"}}}},
 		"number without body":  {number.with(""), &pb.CoordinationCall{Operation: &pb.CoordinationCall_NextNumber{NextNumber: &pb.NextNumber{Name: "n2"}}}},
-		"replace":              {replace, putWith(pointerTo(uint64(907)))},
-		"replace of no key":    {replace.with(`{"val":"5c0e7a21d94b36f8","enabled":0}`), putWith(pointerTo(uint64(0)))},
-		"replace of any":       {replace.with(`{"val":"5c0e7a21d94b36f8"}`), putWith(nil)},
+		"replace":              {replace, putCall(pointerTo(uint64(907)))},
+		"replace of no key":    {replace.with(`{"val":"5c0e7a21d94b36f8","enabled":0}`), putCall(pointerTo(uint64(0)))},
+		"replace of any":       {replace.with(`{"val":"5c0e7a21d94b36f8"}`), putCall(nil)},
 		"read":                 {read, &pb.CoordinationCall{Operation: &pb.CoordinationCall_Read{Read: &pb.ReadKey{Name: "g1.2d"}}}},
-		"watch":                {watch, watchFor(930, 2000)},
-		"watch from the start": {watch.at("/api/watch/g1."), watchFor(0, 0)},
-		"watch for too long":   {watch.at("/api/watch/g1.?after=1&wait-ms=1e9"), watchFor(1, 60_000)},
-
-		"unknown members":            {begin.with(`{"holder":"a3.7","hold-ms":3000,"else":[{}]}`), acquired()},
-		"a whole number as a float":  {begin.with(`{"holder":"a3.7","hold-ms":3000.0}`), acquired()},
-		"a fraction is rounded up":   {begin.with(`{"holder":"a3.7","hold-ms":2999.2}`), acquired()},
-		"a fence as a float":         {renew.with(`{"holder":"a3.7","fence":41.0,"hold-ms":3e3}`), renewWith(41)},
-		"a revision as a float":      {replace.with(`{"val":"5c0e7a21d94b36f8","enabled":9.07e2}`), putWith(pointerTo(uint64(907)))},
-		"a fence beyond exact float": {renew.with(`{"holder":"a3.7","fence":9007199254740993,"hold-ms":3000}`), renewWith(1<<53 + 1)},
+		"watch":                {watch, watchCall(930, 2000)},
+		"watch from the start": {watch.at("/api/watch/g1."), watchCall(0, 0)},
+		"watch for too long":   {watch.at("/api/watch/g1.?after=1&wait-ms=1e9"), watchCall(1, 60_000)},
+
+		"unknown members":            {begin.with(`{"holder":"a3.7","hold-ms":3000,"else":[{}]}`), acquireCall()},
+		"a whole number as a float":  {begin.with(`{"holder":"a3.7","hold-ms":3000.0}`), acquireCall()},
+		"a fraction is rounded up":   {begin.with(`{"holder":"a3.7","hold-ms":2999.2}`), acquireCall()},
+		"a fence as a float":         {renew.with(`{"holder":"a3.7","fence":41.0,"hold-ms":3e3}`), renewCall(41)},
+		"a revision as a float":      {replace.with(`{"val":"5c0e7a21d94b36f8","enabled":9.07e2}`), putCall(pointerTo(uint64(907)))},
+		"a fence beyond exact float": {renew.with(`{"holder":"a3.7","fence":9007199254740993,"hold-ms":3000}`), renewCall(1<<53 + 1)},
 		"escaped names": {read.at("/api/cells/g1.%2Fa%20b,c/read"), &pb.CoordinationCall{
 			Operation: &pb.CoordinationCall_Read{Read: &pb.ReadKey{Name: "g1./a b,c"}},
 		}},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			calls := answeringWith(&pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK})
-			recorder := one.sent.to(New(optionsWith(calls)))
+			recorder := test.sent.to(New(optionsWith(calls)))
 			require.Equal(t, http.StatusOK, recorder.Code, recorder.Body.String())
 			require.Len(t, calls.calls, 1)
-			require.Equal(t, one.want.String(), calls.calls[0].String())
+			require.Equal(t, test.want.String(), calls.calls[0].String())
 		})
 	}
 }
@@ -164,13 +164,13 @@
 		},
 		"watch without events": {watch, &pb.CoordinationResult{Revision: 930}, `{"events":[],"revision":930}`},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			one.result.Outcome = pb.CoordinationResult_OUTCOME_OK
-			options := optionsWith(answeringWith(one.result))
-			recorder := one.sent.to(New(options))
+			test.result.Outcome = pb.CoordinationResult_OUTCOME_OK
+			options := optionsWith(answeringWith(test.result))
+			recorder := test.sent.to(New(options))
 			require.Equal(t, http.StatusOK, recorder.Code)
-			require.Equal(t, one.body, recorder.Body.String())
+			require.Equal(t, test.body, recorder.Body.String())
 			require.Equal(t, "application/json", recorder.Header().Get("Content-Type"))
 			require.EqualValues(t, 1, options.Counters.Executed.Load())
 		})
@@ -206,8 +206,8 @@
 			recorder := begin.to(New(options))
 			require.Equal(t, want.status, recorder.Code)
 			require.Equal(t, want.code, detailOf(t, recorder).Code)
-			isPromised := want.status == 429 || want.status == 503
-			require.Equal(t, isPromised, recorder.Header().Get("Retry-After") != "")
+			isNotExecuted := want.status == 429 || want.status == 503
+			require.Equal(t, isNotExecuted, recorder.Header().Get("Retry-After") != "")
 			require.EqualValues(t, 1, want.counter(options.Counters))
 		})
 	}
@@ -221,7 +221,7 @@
 }
 
 // The decoder of JSON would take some of these calls for others.
-func TestInvalidCallsAreRejectedByKeyAndPlace(t *testing.T) {
+func TestInvalidCallsAreRejectedWithFieldOrOffset(t *testing.T) {
 	long := strings.Repeat("x", maxNameBytes+1)
 	cases := map[string]struct {
 		sent   request
@@ -262,15 +262,15 @@
 		"watch for negative time": {watch.at("/api/watch/g1.?after=1&wait-ms=-1"), []string{"wait-ms"}, "no less than 0"},
 		"watch for NaN":           {watch.at("/api/watch/g1.?after=1&wait-ms=NaN"), []string{"wait-ms"}, "no less than 0"},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			calls := answeringWith(&pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK})
-			recorder := one.sent.to(New(optionsWith(calls)))
+			recorder := test.sent.to(New(optionsWith(calls)))
 			require.Equal(t, http.StatusBadRequest, recorder.Code, recorder.Body.String())
 			require.Empty(t, calls.calls)
 			detail := detailOf(t, recorder)
-			require.Contains(t, detail.Message, one.text)
-			if len(one.fields) == 0 {
+			require.Contains(t, detail.Message, test.text)
+			if len(test.fields) == 0 {
 				require.Equal(t, "malformed_body", detail.Code)
 				return
 			}
@@ -280,7 +280,7 @@
 				fields = append(fields, *fault.Field)
 				require.NotEmpty(t, fault.Message)
 			}
-			require.Equal(t, one.fields, fields)
+			require.Equal(t, test.fields, fields)
 		})
 	}
 }
@@ -295,7 +295,7 @@
 	require.Empty(t, calls.calls)
 }
 
-func TestTheLargestValueIsTakenHoweverItIsWritten(t *testing.T) {
+func TestTheLargestValueIsAcceptedHoweverItIsEscaped(t *testing.T) {
 	calls := answeringWith(&pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK})
 	body := `{"val":"` + strings.Repeat(`\u0078`, maxValueBytes) + `"}`
 	recorder := replace.with(body).to(New(optionsWith(calls)))
@@ -307,9 +307,9 @@
 	calls := answeringWith(&pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK})
 	options := optionsWith(calls)
 	options.Ready = func() bool { return false }
-	for _, one := range everyRequest {
-		recorder := one.to(New(options))
-		require.Equal(t, http.StatusServiceUnavailable, recorder.Code, one.path)
+	for _, request := range allRequests {
+		recorder := request.to(New(options))
+		require.Equal(t, http.StatusServiceUnavailable, recorder.Code, request.path)
 		require.Equal(t, "not_ready", detailOf(t, recorder).Code)
 		require.NotEmpty(t, recorder.Header().Get("Retry-After"))
 	}
@@ -317,10 +317,10 @@
 }
 
 // waitingCalls are calls that wait for a channel or for the end of their context.
-func waitingCalls(goOn <-chan struct{}) *recordedCalls {
+func waitingCalls(proceed <-chan struct{}) *recordedCalls {
 	return &recordedCalls{answer: func(ctx context.Context) *pb.CoordinationResult {
 		select {
-		case <-goOn:
+		case <-proceed:
 			return &pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK}
 		case <-ctx.Done():
 			return &pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_UNKNOWN}
@@ -328,24 +328,24 @@
 	}}
 }
 
-func TestOpenCallsAreBoundedAndWatchesTakeNoRoomFromOthers(t *testing.T) {
+func TestOpenCallsAndOpenWatchesAreBoundedSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		goOn := make(chan struct{})
-		server := New(optionsWith(waitingCalls(goOn)))
+		proceed := make(chan struct{})
+		server := New(optionsWith(waitingCalls(proceed)))
 		var open sync.WaitGroup
-		fill := func(one request, count int) {
+		fill := func(call request, count int) {
 			for range count {
-				open.Go(func() { require.Equal(t, http.StatusOK, one.to(server).Code) })
+				open.Go(func() { require.Equal(t, http.StatusOK, call.to(server).Code) })
 			}
 			synctest.Wait()
-			recorder := one.to(server)
+			recorder := call.to(server)
 			require.Equal(t, http.StatusTooManyRequests, recorder.Code)
 			require.Equal(t, "busy", detailOf(t, recorder).Code)
 			require.NotEmpty(t, recorder.Header().Get("Retry-After"))
 		}
 		fill(watch, maxConcurrentWatches)
 		fill(number, maxConcurrentCalls)
-		close(goOn)
+		close(proceed)
 		open.Wait()
 		require.Equal(t, http.StatusOK, number.to(server).Code, "the slots are free again")
 		require.Equal(t, http.StatusOK, watch.to(server).Code)
@@ -370,15 +370,15 @@
 }
 
 func TestOtherPathsAreLeftToTheOperatorsAPI(t *testing.T) {
-	for _, one := range everyRequest {
-		require.True(t, Serves(one.path), one.path)
+	for _, request := range allRequests {
+		require.True(t, Serves(request.path), request.path)
 	}
 	for _, path := range []string{"/", "/api/conf/read", "/api/drain/z/begin", "/api/lookup", "/api/locksmith/x"} {
 		require.False(t, Serves(path), path)
 	}
 }
 
-func TestAValueIsTakenFromItsOwnMemberAlone(t *testing.T) {
+func TestMembersWithOtherCaseOfLettersAreIgnored(t *testing.T) {
 	calls := answeringWith(&pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK})
 	body := `{"val":"5c0e7a21d94b36f8","enabled":907,"Val":"other","ENABLED":1}`
 	require.Equal(t, http.StatusOK, replace.with(body).to(New(optionsWith(calls))).Code)
@@ -387,7 +387,7 @@
 	require.EqualValues(t, 907, calls.calls[0].GetPut().GetExpectedRevision())
 }
 
-func TestTextThatNoDecoderCanKeepIsRejected(t *testing.T) {
+func TestLoneSurrogatesAreRejected(t *testing.T) {
 	calls := answeringWith(&pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK})
 	server := New(optionsWith(calls))
 	for _, value := range []string{`\ud800`, `a\udc00b`, `\ud800\u0041`, `\uD83D\n`, `\\\ud83d`} {
--- a/internal/region/coordinationapi/validate.go
+++ b/internal/region/coordinationapi/validate.go
@@ -15,7 +15,7 @@
 const (
 	maxNameBytes  = 256
 	maxValueBytes = 64 << 10
-	maxHold       = time.Hour
+	maxHoldTime   = time.Hour
 )
 
 // Members of calls, as their faults name them.
@@ -34,11 +34,11 @@
 
 // Faults of members.
 var (
-	errInvalidText  = validation.NewError("validation_utf8", "must be UTF-8")
-	errNoGroup      = validation.NewError("validation_group", "must be a group: the name of a key up to its first dot, dot included")
-	errNotPositive  = validation.NewError("validation_positive", "must be no less than 1")
-	errNegative     = validation.NewError("validation_negative", "must be no less than 0")
-	errMemberAbsent = validation.NewError("validation_absent", "is missing")
+	errInvalidText = validation.NewError("validation_utf8", "must be UTF-8")
+	errNotGroup    = validation.NewError("validation_group", "must be a group: the name of a key up to its first dot, dot included")
+	errNotPositive = validation.NewError("validation_positive", "must be no less than 1")
+	errNegative    = validation.NewError("validation_negative", "must be no less than 0")
+	errMissing     = validation.NewError("validation_absent", "is missing")
 )
 
 // isText accepts UTF-8 alone.
@@ -52,21 +52,21 @@
 // isGroup accepts the names of groups.
 var isGroup = validation.By(func(value any) error {
 	if text, _ := value.(string); engine.GroupOf(text) != text {
-		return errNoGroup
+		return errNotGroup
 	}
 	return nil
 })
 
-// isHold accepts the times for which a lock may be held.
-var isHold = validation.By(func(value any) error {
+// isHoldTime accepts the times for which a lock may be held.
+var isHoldTime = validation.By(func(value any) error {
 	if hold, _ := value.(float64); hold < 1 {
 		return errNotPositive
 	}
-	return validation.Validate(value, validation.Max(float64(maxHold.Milliseconds())))
+	return validation.Validate(value, validation.Max(float64(maxHoldTime.Milliseconds())))
 })
 
-// isWait accepts the times for which a watch may wait; NaN is none.
-var isWait = validation.By(func(value any) error {
+// isWaitTime accepts the times for which a watch may wait; NaN is none.
+var isWaitTime = validation.By(func(value any) error {
 	if wait, _ := value.(*float64); wait != nil && !(*wait >= 0) {
 		return errNegative
 	}
@@ -80,7 +80,7 @@
 func validateWatch(group string, waitMS *float64) error {
 	return invalidFields(validation.Errors{
 		fieldID:   validation.Validate(group, validation.Required, validation.Length(1, maxNameBytes), isText, isGroup),
-		fieldWait: validation.Validate(waitMS, isWait),
+		fieldWait: validation.Validate(waitMS, isWaitTime),
 	})
 }
 
@@ -88,10 +88,10 @@
 	return invalidFields(validation.Errors{fieldHolder: validateName(holder)})
 }
 
-func validateHold(holder string, holdMS float64) error {
+func validateHolderAndHold(holder string, holdMS float64) error {
 	return invalidFields(validation.Errors{
 		fieldHolder: validateName(holder),
-		fieldHold:   validation.Validate(holdMS, isHold),
+		fieldHold:   validation.Validate(holdMS, isHoldTime),
 	})
 }
 
