--- a/internal/region/coordinationapi/body.go
+++ b/internal/region/coordinationapi/body.go
@@ -17,11 +17,12 @@
 	"fieldrelay/internal/region/httpapi"
 )
 
-// maxBodyBytes leaves room for a value of which each byte is escaped.
+// maxBodyBytes bounds the body of a call. It leaves room for the longest value with every byte escaped, which takes six
+// bytes each, and for the other members.
 const maxBodyBytes = 8 * maxValueBytes
 
-// readIDAndBody checks the name in the path of a call and reads its body, which must have the required members. The error is a
-// RejectionError.
+// readIDAndBody checks the name in the path of a call and reads the body, which must have the required members. The error
+// is a RejectionError.
 func readIDAndBody(w http.ResponseWriter, r *http.Request, id string, into any, required ...string) error {
 	if err := validateID(id); err != nil {
 		return err
@@ -29,8 +30,8 @@
 	return readBody(w, r, into, required...)
 }
 
-// readBody reads the body of a call, which must have the required members. Members that are not known are ignored. The
-// error is a RejectionError.
+// readBody reads the body of a call into the value that into points to. The body must have the required members; unknown
+// members are ignored. The error is a RejectionError.
 func readBody(w http.ResponseWriter, r *http.Request, into any, required ...string) error {
 	body, err := io.ReadAll(httpapi.LimitBody(w, r, maxBodyBytes))
 	if err != nil {
@@ -62,8 +63,8 @@
 	return decodeError(json.Unmarshal(exact, into))
 }
 
-// dropInexactMembers drops the members whose names are those of a call but for the case of letters: the decoder of JSON would take
-// them for these.
+// dropInexactMembers removes the members whose names differ from those of a call only in the case of letters: the JSON
+// decoder matches names without regard to case and would decode them as members of the call.
 func dropInexactMembers(members map[string]json.RawMessage) map[string]json.RawMessage {
 	maps.DeleteFunc(members, func(name string, _ json.RawMessage) bool {
 		return slices.ContainsFunc(bodyFields, func(field string) bool {
@@ -73,8 +74,8 @@
 	return members
 }
 
-// invalidTextOffset is the offset of the first byte that is not part of UTF-8 text, negative without one. The decoder of JSON
-// would put another character in its place, and so change a name or a value.
+// invalidTextOffset returns the offset of the first byte that is not valid UTF-8, or a negative number if there is none.
+// The JSON decoder would replace such a byte by another character, and so change a name or a value.
 func invalidTextOffset(body []byte) int {
 	if utf8.Valid(body) {
 		return -1
@@ -93,8 +94,8 @@
 // escapedUnitBytes is the length of an escaped UTF-16 code unit in JSON: \uXXXX.
 const escapedUnitBytes = 6
 
-// loneSurrogateOffset is the offset of the first escape that is half of a surrogate pair, negative without one. It stands for
-// no character, and the decoder of JSON would put another one in its place.
+// loneSurrogateOffset returns the offset of the first escape of a lone surrogate, that is, half of a surrogate pair, or a
+// negative number if there is none. A lone surrogate is not a character, and the JSON decoder would replace it by one.
 func loneSurrogateOffset(body []byte) int {
 	for offset := 0; offset < len(body); offset++ {
 		if body[offset] != '\\' {
@@ -117,7 +118,7 @@
 	return -1
 }
 
-// escapedUnit is the UTF-16 code unit that text begins with an escape of; false: it begins with none.
+// escapedUnit returns the UTF-16 code unit whose escape text begins with, and false if text begins with no such escape.
 func escapedUnit(text []byte) (rune, bool) {
 	if len(text) < escapedUnitBytes || text[0] != '\\' || text[1] != 'u' {
 		return 0, false
@@ -126,7 +127,7 @@
 	return rune(unit), err == nil
 }
 
-// decodeError is the rejection for an error of decoding; nil without one.
+// decodeError converts an error of the JSON decoder into a rejection. It returns nil for nil.
 func decodeError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	var malformed *json.SyntaxError
--- a/internal/region/coordinationapi/counters.go
+++ b/internal/region/coordinationapi/counters.go
@@ -5,12 +5,12 @@
 	"sync/atomic"
 )
 
-// Counters count calls since the start, by response. They are safe for concurrent use.
+// Counters count calls since the start of the process, by response. They are safe for concurrent use.
 type Counters struct {
-	Executed    atomic.Int64 // answered with 2xx
-	Refused     atomic.Int64 // answered with 4xx but 429
-	NotExecuted atomic.Int64 // answered with 429 and 503
-	Unknown     atomic.Int64 // answered with another 5xx
+	Executed    atomic.Int64 // calls answered with 2xx
+	Refused     atomic.Int64 // calls answered with 4xx other than 429
+	NotExecuted atomic.Int64 // calls answered with 429 or 503
+	Unknown     atomic.Int64 // calls answered with 5xx other than 503
 }
 
 func (c *Counters) count(status int) {
--- a/internal/region/coordinationapi/errors.go
+++ b/internal/region/coordinationapi/errors.go
@@ -11,9 +11,9 @@
 	"fieldrelay/api/coordination"
 )
 
-// MalformedBodyError rejects a body that is not JSON.
+// MalformedBodyError rejects a body that is not a JSON object of well-formed text.
 type MalformedBodyError struct {
-	Offset int64 // of the byte before which the fault was found
+	Offset int64 // offset of the byte before which the fault was found
 	Reason string
 }
 
@@ -28,10 +28,10 @@
 // Code returns malformed_body.
 func (*MalformedBodyError) Code() string { return "malformed_body" }
 
-// InvalidCallError rejects a call whose path, query or body has members that are missing or have an impossible value.
+// InvalidCallError rejects a call whose path, query or body has missing or invalid members.
 type InvalidCallError struct{ Faults []coordination.Fault }
 
-// Error returns the message of the response, with all faults.
+// Error returns the message of the response, which lists all faults.
 func (e *InvalidCallError) Error() string {
 	texts := make([]string, 0, len(e.Faults))
 	for _, fault := range e.Faults {
@@ -46,12 +46,13 @@
 // Code returns invalid_call.
 func (*InvalidCallError) Code() string { return "invalid_call" }
 
-// invalidField is the InvalidCallError of one member.
+// invalidField returns an InvalidCallError with one faulty member.
 func invalidField(field, message string) *InvalidCallError {
 	return &InvalidCallError{Faults: []coordination.Fault{{Field: &field, Message: message}}}
 }
 
-// invalidFields is the InvalidCallError of all members that are at fault, by name; nil without any.
+// invalidFields returns an InvalidCallError with all faulty members in the order of their names, or nil if no member is
+// faulty.
 func invalidFields(faults validation.Errors) error {
 	invalid := &InvalidCallError{}
 	for field, fault := range faults {
@@ -66,7 +67,7 @@
 	return invalid
 }
 
-// TooManyCallsError rejects a call because as many as allowed are open at this machine.
+// TooManyCallsError rejects a call because the limit of open calls at this machine is reached.
 type TooManyCallsError struct{}
 
 // Error returns the message of the response.
@@ -78,7 +79,8 @@
 // Code returns busy.
 func (*TooManyCallsError) Code() string { return "busy" }
 
-// NameBusyError rejects a call because too many wait for its name, or because the name has no room for another value.
+// NameBusyError rejects a call because too many calls wait for its name, or because the name has no room for another
+// value.
 type NameBusyError struct{}
 
 // Error returns the message of the response.
@@ -90,7 +92,7 @@
 // Code returns busy_name.
 func (*NameBusyError) Code() string { return "busy_name" }
 
-// LockHeldError rejects a call for a lock that another caller holds, or that the caller has lost.
+// LockHeldError rejects a call for a lock that another caller holds or that this caller no longer holds.
 type LockHeldError struct{}
 
 // Error returns the message of the response.
@@ -102,7 +104,7 @@
 // Code returns lock_held.
 func (*LockHeldError) Code() string { return "lock_held" }
 
-// KeyNotFoundError answers the read of a key that was never written.
+// KeyNotFoundError rejects the read of a key that was never written.
 type KeyNotFoundError struct{}
 
 // Error returns the message of the response.
@@ -114,7 +116,7 @@
 // Code returns not_found.
 func (*KeyNotFoundError) Code() string { return "not_found" }
 
-// CompactedError answers a watch from a revision behind which puts are not kept any more.
+// CompactedError rejects a watch from a revision if the puts that follow it are no longer stored.
 type CompactedError struct{}
 
 // Error returns the message of the response.
@@ -126,7 +128,7 @@
 // Code returns compacted.
 func (*CompactedError) Code() string { return "compacted" }
 
-// NotExecutedError says that a call was not executed and never will be.
+// NotExecutedError reports that a call was not executed and never will be.
 type NotExecutedError struct{}
 
 // Error returns the message of the response.
@@ -138,7 +140,7 @@
 // Code returns unavailable.
 func (*NotExecutedError) Code() string { return "unavailable" }
 
-// UnknownOutcomeError says that a call may or may not be executed.
+// UnknownOutcomeError reports that a call may have been executed or may still be.
 type UnknownOutcomeError struct{}
 
 // Error returns the message of the response.
--- a/internal/region/coordinationapi/interface_test.go
+++ b/internal/region/coordinationapi/interface_test.go
@@ -14,7 +14,7 @@
 
 var update = flag.Bool("update", false, "write the recorded copies")
 
-// Every refusal's status, headers and body are those that were recorded.
+// The status, headers and body of every rejection equal the recorded ones.
 func TestRecordedRefusals(t *testing.T) {
 	server := New(optionsWith(nil))
 	var lines []string
--- a/internal/region/coordinationapi/responses.go
+++ b/internal/region/coordinationapi/responses.go
@@ -14,7 +14,7 @@
 // allows fractions.
 const retryAfterSeconds = "0.1"
 
-// responder gives the body of a response to a call that was executed.
+// responder returns the body of the response to a call that was executed.
 type responder func(result *pb.CoordinationResult) any
 
 func respondDone(*pb.CoordinationResult) any { return struct{}{} }
@@ -59,7 +59,8 @@
 	}
 }
 
-// rejectionOf is the error for an outcome without a value. Only what is known not to be executed gets 429 or 503.
+// rejectionOf returns the error for an outcome without a value. Only a call that is known not to have been executed gets
+// 429 or 503.
 func rejectionOf(outcome pb.CoordinationResult_Outcome) httpapi.RejectionError {
 	switch outcome {
 	case pb.CoordinationResult_OUTCOME_HELD_BY_OTHER:
@@ -77,7 +78,8 @@
 	}
 }
 
-// reject responds with an error. One that is no RejectionError says nothing about the call.
+// reject responds with an error. An error that is not a RejectionError does not tell whether the call was executed, and
+// becomes an UnknownOutcomeError.
 func (s *Server) reject(w http.ResponseWriter, err error) {
 	cause, known := errors.AsType[httpapi.RejectionError](err)
 	if !known {
@@ -95,7 +97,7 @@
 	s.options.Counters.count(status)
 	body, err := json.Marshal(content)
 	if err != nil {
-		body = []byte("{}") // no content of this package fails to marshal
+		body = []byte("{}") // unreachable: the contents in this package can be marshaled
 	}
 	retryAfter := ""
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
--- a/internal/region/coordinationapi/server.go
+++ b/internal/region/coordinationapi/server.go
@@ -1,8 +1,8 @@
-// Package coordinationapi serves the calls of applications at a control machine over HTTP: locks, numbers, keys and watches, as
-// specified by api/operator.yaml. It checks the form of a call, passes it to the coordination engine and converts the
-// result into a response.
+// Package coordinationapi serves the coordination API of a control machine over HTTP: the locks, numbers, keys and watches
+// of applications, as specified by api/operator.yaml. It checks the form of a call, passes it to the coordination engine
+// and converts the result into a response.
 //
-// It has no state but the slots of open calls. docs/region/coordination.md describes its responses.
+// Its only state is counters and the slots of open calls. docs/region/coordination.md describes its responses.
 package coordinationapi
 
 import (
@@ -18,37 +18,37 @@
 	"fieldrelay/internal/region/httpapi"
 )
 
-// servedPathPrefixes are the beginnings of the paths that a Server serves.
+// servedPathPrefixes are the prefixes of the paths that a Server serves.
 var servedPathPrefixes = []string{"/api/locks/", "/api/numbers/", "/api/cells/", "/api/watch/"}
 
-// Serves reports whether a path is one of this package.
+// Serves reports whether a Server serves a path.
 func Serves(path string) bool {
 	return slices.ContainsFunc(servedPathPrefixes, func(prefix string) bool { return strings.HasPrefix(path, prefix) })
 }
 
 // Bounds of calls.
 const (
-	// maxConcurrentCalls bounds the open calls that are not watches.
+	// maxConcurrentCalls bounds the number of open calls other than watches.
 	maxConcurrentCalls = 512
-	// maxConcurrentWatches bounds the open watches.
+	// maxConcurrentWatches bounds the number of open watches.
 	maxConcurrentWatches = 512
-	// maxWatchWait is the longest time for which a watch waits.
+	// maxWatchWait is the longest time that a watch waits for a put.
 	maxWatchWait = time.Minute
 )
 
 // Calls is the coordination engine as this package uses it. It is safe for concurrent use.
 type Calls interface {
-	// Call executes a call and waits for its result. An outcome UNAVAILABLE says that it was not executed and never will
-	// be, UNKNOWN that it may be.
+	// Call executes a call and waits for its result. The outcome UNAVAILABLE means that the call was not executed and
+	// never will be; UNKNOWN means that it may have been executed or may still be.
 	Call(ctx context.Context, call *pb.CoordinationCall) *pb.CoordinationResult
 }
 
-// Options configures a Server. All are required.
+// Options configures a Server. All fields are required.
 type Options struct {
 	Calls Calls
-	// Ready reports whether this machine knows a view. While it does not, calls are rejected at once.
+	// Ready reports whether this machine knows a view. While it reports false, calls are rejected at once.
 	Ready func() bool
-	// ShuttingDown is closed when the machine begins to end: open watches are answered then.
+	// ShuttingDown is closed when the machine begins to shut down; open watches are then answered.
 	ShuttingDown <-chan struct{}
 	Counters     *Counters
 }
@@ -56,8 +56,8 @@
 // Server implements the operations of applications. It is safe for concurrent use.
 type Server struct {
 	options    Options
-	callSlots  httpapi.Slots // one per open call
-	watchSlots httpapi.Slots // one per open watch
+	callSlots  httpapi.Slots // slots of open calls other than watches
+	watchSlots httpapi.Slots // slots of open watches
 }
 
 // New returns a server.
@@ -96,7 +96,7 @@
 	}}}, respondGrant)
 }
 
-// RenewLock gives the holder of a lock more time.
+// RenewLock extends the time for which a caller holds a lock.
 func (s *Server) RenewLock(w http.ResponseWriter, r *http.Request, id coordination.CoordinationID) {
 	var body coordination.LockRenewal
 	err := readIDAndBody(w, r, id, &body, fieldHolder, fieldFence, fieldHold)
@@ -115,7 +115,8 @@
 	}}}, respondDone)
 }
 
-// holdMilliseconds rounds up: the caller takes itself for the holder for all of the time that it names.
+// holdMilliseconds rounds a hold time up to whole milliseconds: the caller assumes that it holds the lock for the whole
+// time that it requested.
 func holdMilliseconds(hold float64) uint32 { return uint32(math.Ceil(hold)) }
 
 // ReleaseLock releases a lock.
@@ -136,7 +137,7 @@
 	}}}, respondDone)
 }
 
-// NextNumber gives a number.
+// NextNumber responds with a number above all that were given under the same name.
 func (s *Server) NextNumber(w http.ResponseWriter, r *http.Request, id coordination.CoordinationID) {
 	if err := validateID(id); err != nil {
 		s.reject(w, err)
@@ -200,8 +201,8 @@
 	s.respond(w, result, respond)
 }
 
-// watch is call for a watch, which ends when the machine does. A watch has no effect, so that one without a result was not
-// executed.
+// watch executes a watch and responds with its result. The watch ends when the machine shuts down. As a watch changes
+// nothing, a watch without a result counts as not executed.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, call *pb.CoordinationCall) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -223,7 +224,8 @@
 	}
 }
 
-// execute executes a call, unless this machine cannot. The error is a RejectionError: the call was not executed.
+// execute executes a call if this machine is ready and a slot is free. Otherwise the call is not executed and the error
+// is a RejectionError.
 func (s *Server) execute(ctx context.Context, slots httpapi.Slots, call *pb.CoordinationCall) (*pb.CoordinationResult, error) {
 	if !s.options.Ready() {
 		return nil, &httpapi.NotReadyError{}
--- a/internal/region/coordinationapi/server_test.go
+++ b/internal/region/coordinationapi/server_test.go
@@ -18,7 +18,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// recordedCalls records the calls and answers them by a function.
+// recordedCalls is a fake of Calls that records each call and returns the result of the function answer.
 type recordedCalls struct {
 	mutex  sync.Mutex
 	calls  []*pb.CoordinationCall
@@ -32,7 +32,7 @@
 	return r.answer(ctx)
 }
 
-// answeringWith returns calls that all get one result.
+// answeringWith returns a fake that gives every call the same result.
 func answeringWith(result *pb.CoordinationResult) *recordedCalls {
 	return &recordedCalls{answer: func(context.Context) *pb.CoordinationResult { return result }}
 }
@@ -46,14 +46,14 @@
 	}
 }
 
-// send sends one request to a server.
+// send sends one request to a server and returns the response.
 func send(server *Server, method, path string, body io.Reader) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	server.Handler().ServeHTTP(recorder, httptest.NewRequest(method, path, body))
 	return recorder
 }
 
-// The calls of the operators' page, with the bodies that it shows.
+// One request of each operation, with the bodies of the examples in the operators' documentation.
 var (
 	begin   = request{"POST", "/api/locks/l1f/begin", `{"holder":"a3.7","hold-ms":3000}`}
 	renew   = request{"POST", "/api/locks/l1f/heartbeat", `{"holder":"a3.7","fence":41,"hold-ms":3000}`}
@@ -78,14 +78,14 @@
 
 func pointerTo[T any](value T) *T { return &value }
 
-// putCall is the call of replace with an expected revision; nil: none.
+// putCall returns the call that replace becomes with an expected revision; nil: without one.
 func putCall(expected *uint64) *pb.CoordinationCall {
 	return &pb.CoordinationCall{Operation: &pb.CoordinationCall_Put{Put: &pb.PutKey{
 		Name: "g1.2d", Value: "5c0e7a21d94b36f8", ExpectedRevision: expected,
 	}}}
 }
 
-// acquireCall is the call of begin.
+// acquireCall returns the call that begin becomes.
 func acquireCall() *pb.CoordinationCall {
 	return &pb.CoordinationCall{Operation: &pb.CoordinationCall_Acquire{Acquire: &pb.AcquireLock{
 		Name: "l1f", Holder: "a3.7", HoldMs: 3000,
@@ -177,7 +177,7 @@
 	}
 }
 
-// detailOf is the error in a response.
+// detailOf returns the error in a response.
 func detailOf(t *testing.T, recorder *httptest.ResponseRecorder) coordination.RefusalDetail {
 	t.Helper()
 	require.Equal(t, "application/json", recorder.Header().Get("Content-Type"))
@@ -220,13 +220,13 @@
 	require.Equal(t, `{"revision":922}`, recorder.Body.String())
 }
 
-// The decoder of JSON would take some of these calls for others.
+// The JSON decoder alone would accept some of these calls with other values than those sent.
 func TestInvalidCallsAreRejectedWithFieldOrOffset(t *testing.T) {
 	long := strings.Repeat("x", maxNameBytes+1)
 	cases := map[string]struct {
 		sent   request
-		fields []string // of the faults; none: the body is malformed
-		text   string   // part of the message
+		fields []string // names of the faulty members; none: the body is malformed
+		text   string   // substring of the message
 	}{
 		"no body":                 {begin.with(""), nil, "at byte 0"},
 		"not JSON":                {begin.with(`{"holder":"a",}`), nil, "at byte 15"},
@@ -316,7 +316,7 @@
 	require.Empty(t, calls.calls)
 }
 
-// waitingCalls are calls that wait for a channel or for the end of their context.
+// waitingCalls returns a fake whose calls wait until proceed is closed or their context ends.
 func waitingCalls(proceed <-chan struct{}) *recordedCalls {
 	return &recordedCalls{answer: func(ctx context.Context) *pb.CoordinationResult {
 		select {
--- a/internal/region/coordinationapi/validate.go
+++ b/internal/region/coordinationapi/validate.go
@@ -11,14 +11,14 @@
 	engine "fieldrelay/internal/region/coordination"
 )
 
-// Bounds of what a call may contain.
+// Upper limits of the members of calls.
 const (
 	maxNameBytes  = 256
 	maxValueBytes = 64 << 10
 	maxHoldTime   = time.Hour
 )
 
-// Members of calls, as their faults name them.
+// Names of the members of calls in bodies, paths and queries, and in faults.
 const (
 	fieldID       = "id"
 	fieldHolder   = "holder"
@@ -29,7 +29,7 @@
 	fieldWait     = "wait-ms"
 )
 
-// bodyFields are the members of the bodies of all calls.
+// bodyFields are the names of the members of the bodies of all calls.
 var bodyFields = []string{fieldHolder, fieldHold, fieldFence, fieldValue, fieldRevision}
 
 // Faults of members.
@@ -41,7 +41,7 @@
 	errMissing     = validation.NewError("validation_absent", "is missing")
 )
 
-// isText accepts UTF-8 alone.
+// isText accepts strings of valid UTF-8.
 var isText = validation.By(func(value any) error {
 	if text, _ := value.(string); !utf8.ValidString(text) {
 		return errInvalidText
@@ -57,7 +57,7 @@
 	return nil
 })
 
-// isHoldTime accepts the times for which a lock may be held.
+// isHoldTime accepts the times, in milliseconds, for which a lock may be held.
 var isHoldTime = validation.By(func(value any) error {
 	if hold, _ := value.(float64); hold < 1 {
 		return errNotPositive
@@ -65,7 +65,7 @@
 	return validation.Validate(value, validation.Max(float64(maxHoldTime.Milliseconds())))
 })
 
-// isWaitTime accepts the times for which a watch may wait; NaN is none.
+// isWaitTime accepts the times, in milliseconds, for which a watch may wait. It rejects NaN.
 var isWaitTime = validation.By(func(value any) error {
 	if wait, _ := value.(*float64); wait != nil && !(*wait >= 0) {
 		return errNegative
@@ -103,7 +103,7 @@
 	return invalidFields(validation.Errors{fieldValue: validation.Validate(value, validation.Length(0, maxValueBytes))})
 }
 
-// parameterError is the rejection for a parameter of a path or query that cannot be read.
+// parameterError returns the rejection for a parameter of a path or query that cannot be parsed.
 func parameterError(err error) error {
 	if invalid, isInvalid := errors.AsType[*coordination.InvalidParamFormatError](err); isInvalid {
 		return invalidField(invalid.ParamName, invalid.Err.Error())
