--- a/internal/region/status/clusterfindings.go
+++ b/internal/region/status/clusterfindings.go
@@ -13,12 +13,12 @@
 		f.add(Alarm, "no machine knows a view: the system was not founded, or these machines have not joined it")
 		return
 	}
-	answered := make(map[string]*pb.ControlStatusReport)
+	reportsByHost := make(map[string]*pb.ControlStatusReport)
 	for _, report := range reports {
-		answered[report.GetSelf().GetHost()] = report
+		reportsByHost[report.GetSelf().GetHost()] = report
 	}
 	f.checkUnreachable(survey, view)
-	f.checkLostDisks(view, answered)
+	f.checkLostDisks(view, reportsByHost)
 	f.checkStaleViews(view, reports)
 	if survey.isComplete() {
 		f.checkAuthority(reports)
@@ -26,7 +26,7 @@
 	if len(view.GetChain()) == 1 && len(view.GetVoters()) > 1 {
 		f.add(Warning, "the chain is %s alone", view.GetChain()[0].GetHost())
 	}
-	f.checkChainLag(view, answered)
+	f.checkChainLag(view, reportsByHost)
 }
 
 // checkUnreachable reports machines that did not answer, and a lost majority.
@@ -45,9 +45,9 @@
 }
 
 // checkLostDisks reports voters whose disk was lost: the machine at the address is another replica now.
-func (f *findings) checkLostDisks(view *pb.View, answered map[string]*pb.ControlStatusReport) {
+func (f *findings) checkLostDisks(view *pb.View, reportsByHost map[string]*pb.ControlStatusReport) {
 	for _, voter := range view.GetVoters() {
-		report := answered[voter.GetHost()]
+		report := reportsByHost[voter.GetHost()]
 		if report != nil && report.GetSelf().GetIdentity() != voter.GetIdentity() {
 			f.add(Warning, "%s lost its disk and waits to be taken in as %s", voter.GetHost(), report.GetSelf().GetIdentity())
 		}
@@ -72,13 +72,13 @@
 
 // checkChainLag reports replicas of the chain whose committed state lags. A lag of one change is ignored: a change that
 // was acknowledged a moment ago may be on its way.
-func (f *findings) checkChainLag(view *pb.View, answered map[string]*pb.ControlStatusReport) {
+func (f *findings) checkChainLag(view *pb.View, reportsByHost map[string]*pb.ControlStatusReport) {
 	var newest uint64
-	for _, report := range answered {
+	for _, report := range reportsByHost {
 		newest = max(newest, report.GetCatalog().GetSequence())
 	}
 	for _, replica := range view.GetChain() {
-		report := answered[replica.GetHost()]
+		report := reportsByHost[replica.GetHost()]
 		if report == nil || report.GetUptimeMs() < milliseconds(startupDuration) {
 			continue
 		}
--- a/internal/region/status/json.go
+++ b/internal/region/status/json.go
@@ -35,11 +35,11 @@
 		document.Findings = append(document.Findings, jsonFinding{Severity: finding.Severity.String(), Text: finding.Text})
 	}
 	for _, machine := range s.Machines {
-		one, err := machineJSON(machine)
+		converted, err := machineJSON(machine)
 		if err != nil {
 			return err
 		}
-		document.Machines = append(document.Machines, one)
+		document.Machines = append(document.Machines, converted)
 	}
 	encoder := json.NewEncoder(output)
 	encoder.SetIndent("", "  ")
@@ -48,14 +48,14 @@
 
 // machineJSON converts a machine to the JSON form, its report by the names of the proto file.
 func machineJSON(machine Machine) (jsonMachine, error) {
-	one := jsonMachine{Host: machine.Host, Address: machine.Address}
+	converted := jsonMachine{Host: machine.Host, Address: machine.Address}
 	if machine.Err != nil {
-		one.Error = machine.Err.Error()
+		converted.Error = machine.Err.Error()
 	}
 	if machine.Report == nil {
-		return one, nil
+		return converted, nil
 	}
 	report, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(machine.Report)
-	one.Report = report
-	return one, errors.Wrap(err, "encode a report")
+	converted.Report = report
+	return converted, errors.Wrap(err, "encode a report")
 }
--- a/internal/region/status/status_test.go
+++ b/internal/region/status/status_test.go
@@ -25,8 +25,8 @@
 	return &pb.Replica{Host: host, Identity: "id-" + host, Address: "10.0.0.1:7660", Zone: "zone-" + host}
 }
 
-// healthy returns the survey of three machines without findings.
-func healthy() *Survey {
+// healthySurvey returns the survey of three machines without findings.
+func healthySurvey() *Survey {
 	view := &pb.View{Number: 4, Cluster: "c1", VotersEpoch: 3}
 	for _, host := range hosts {
 		view.Voters = append(view.Voters, replica(host))
@@ -152,21 +152,21 @@
 			s.Machines[0].Report.Agents = agents
 		}, []string{"WARNING: lost: edge-2", "WARNING: live but not ready for clients: edge-3", "WARNING: more than one change behind: edge-4"}},
 		"no agent is live": {func(s *Survey) {
-			for _, one := range s.Machines[0].Report.Agents {
-				one.Lost = true
+			for _, agent := range s.Machines[0].Report.Agents {
+				agent.Lost = true
 			}
 		}, []string{"ALARM: no edge machine is live", "WARNING: lost: edge-1, edge-2"}},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			survey := healthy()
-			one.change(survey)
+			survey := healthySurvey()
+			test.change(survey)
 			var lines []string
 			for _, finding := range survey.Findings() {
 				lines = append(lines, finding.Severity.String()+": "+finding.Text)
 			}
-			require.Len(t, lines, len(one.want), strings.Join(lines, "\n"))
-			for index, beginning := range one.want {
+			require.Len(t, lines, len(test.want), strings.Join(lines, "\n"))
+			for index, beginning := range test.want {
 				require.True(t, strings.HasPrefix(lines[index], beginning), "%q, wanted %q", lines[index], beginning)
 			}
 		})
@@ -174,7 +174,7 @@
 }
 
 func TestText(t *testing.T) {
-	survey := healthy()
+	survey := healthySurvey()
 	survey.Machines[1] = Machine{Host: "core-b", Err: &UnreachableError{Address: "a", Cause: context.Canceled}}
 	survey.Machines[0].Report.Catalog.EvacuatedZones = []string{"brno-hala"}
 	survey.Machines[0].Report.Agents[1].Lost = true
@@ -204,7 +204,7 @@
 }
 
 func TestJSON(t *testing.T) {
-	survey := healthy()
+	survey := healthySurvey()
 	survey.Machines[1] = Machine{Host: "core-b", Err: &UnreachableError{Address: "a", Cause: context.Canceled}}
 	var output bytes.Buffer
 	require.NoError(t, survey.WriteJSON(&output))
@@ -232,23 +232,23 @@
 	require.NotEmpty(t, read.Machines[1].Error)
 }
 
-// machine serves a report.
-type machine struct {
+// reportServer serves a report.
+type reportServer struct {
 	fieldrelayv1connect.UnimplementedControlStatusHandler
 	report *pb.ControlStatusReport
 }
 
-func (m *machine) Describe(context.Context, *connect.Request[pb.ControlStatusRequest]) (*connect.Response[pb.ControlStatusReport], error) {
+func (m *reportServer) Describe(context.Context, *connect.Request[pb.ControlStatusRequest]) (*connect.Response[pb.ControlStatusReport], error) {
 	return connect.NewResponse(m.report), nil
 }
 
 // serve serves machines on loopback, each knowing the addresses of all, and returns the addresses.
-func serve(t *testing.T, machines []*machine) []string {
+func serve(t *testing.T, machines []*reportServer) []string {
 	t.Helper()
 	var addresses []string
-	for _, one := range machines {
+	for _, served := range machines {
 		mux := http.NewServeMux()
-		mux.Handle(fieldrelayv1connect.NewControlStatusHandler(one))
+		mux.Handle(fieldrelayv1connect.NewControlStatusHandler(served))
 		server := httptest.NewServer(mux)
 		t.Cleanup(server.Close)
 		addresses = append(addresses, server.Listener.Addr().String())
@@ -257,18 +257,18 @@
 }
 
 func TestSurveyQueriesAllVoters(t *testing.T) {
-	var machines []*machine
-	for _, one := range healthy().Machines {
-		machines = append(machines, &machine{report: one.Report})
+	var machines []*reportServer
+	for _, surveyed := range healthySurvey().Machines {
+		machines = append(machines, &reportServer{report: surveyed.Report})
 	}
 	addresses := serve(t, machines)
 	for index, voter := range machines[0].report.View.Voters {
 		voter.Address = addresses[index]
 	}
 	closed := httptest.NewServer(http.NotFoundHandler())
-	gone := closed.Listener.Addr().String()
+	closedAddress := closed.Listener.Addr().String()
 	closed.Close()
-	machines[0].report.View.Voters[2].Address = gone
+	machines[0].report.View.Voters[2].Address = closedAddress
 
 	survey, err := NewSurveyor().Survey(t.Context(), addresses[1])
 	require.NoError(t, err)
@@ -277,7 +277,7 @@
 	require.Equal(t, "core-a", survey.Machines[1].Report.Self.Host)
 	var unreachable *UnreachableError
 	require.True(t, errors.As(survey.Machines[2].Err, &unreachable), "%v", survey.Machines[2].Err)
-	require.Equal(t, gone, unreachable.Address)
+	require.Equal(t, closedAddress, unreachable.Address)
 
 	survey, err = NewSurveyor().SurveyOne(t.Context(), addresses[1])
 	require.NoError(t, err)
