--- a/internal/region/status/clusterfindings.go
+++ b/internal/region/status/clusterfindings.go
@@ -6,7 +6,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// checkViews checks views, voters and the chain.
+// checkViews checks that the machines know the newest view, and checks its voters and its chain.
 func (f *findings) checkViews(survey *Survey, reports []*pb.ControlStatusReport) {
 	view := newestView(reports)
 	if view == nil {
@@ -29,7 +29,7 @@
 	f.checkChainLag(view, reportsByHost)
 }
 
-// checkUnreachable reports machines that did not answer, and a lost majority.
+// checkUnreachable reports the machines that did not answer, and that too few answered for a majority if so.
 func (f *findings) checkUnreachable(survey *Survey, view *pb.View) {
 	unreachable := 0
 	for _, machine := range survey.Machines {
@@ -44,7 +44,7 @@
 	}
 }
 
-// checkLostDisks reports voters whose disk was lost: the machine at the address is another replica now.
+// checkLostDisks reports voters that lost their disk: the machine on a voter's host then has another identity.
 func (f *findings) checkLostDisks(view *pb.View, reportsByHost map[string]*pb.ControlStatusReport) {
 	for _, voter := range view.GetVoters() {
 		report := reportsByHost[voter.GetHost()]
@@ -63,7 +63,7 @@
 	}
 }
 
-// checkAuthority reports that no machine is authoritative.
+// checkAuthority reports if no machine is authoritative.
 func (f *findings) checkAuthority(reports []*pb.ControlStatusReport) {
 	if !slices.ContainsFunc(reports, (*pb.ControlStatusReport).GetAuthoritative) {
 		f.add(Alarm, "no machine holds the agreed state and hears a majority: orders get 503, proxies serve on what they have")
@@ -71,7 +71,7 @@
 }
 
 // checkChainLag reports replicas of the chain whose committed state lags. A lag of one change is ignored: a change that
-// was acknowledged a moment ago may be on its way.
+// was acknowledged a moment ago may not have reached every replica.
 func (f *findings) checkChainLag(view *pb.View, reportsByHost map[string]*pb.ControlStatusReport) {
 	var newest uint64
 	for _, report := range reportsByHost {
--- a/internal/region/status/coordination.go
+++ b/internal/region/status/coordination.go
@@ -7,8 +7,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// checkRegisters checks that a majority of the voters holds the registers of the epoch in force. A machine that has just
-// started may still be collecting them.
+// checkRegisters checks that a majority of the voters holds the registers of the epoch in force. A voter that started less
+// than startupDuration ago gets no finding of its own, since it may still be collecting them.
 func (f *findings) checkRegisters(reports []*pb.ControlStatusReport) {
 	view := newestView(reports)
 	epoch := view.GetVotersEpoch()
@@ -23,7 +23,7 @@
 			continue
 		}
 		lacking++
-		hasLostDisk := report.GetSelf().GetIdentity() != voter.GetIdentity() // which checkLostDisks reports
+		hasLostDisk := report.GetSelf().GetIdentity() != voter.GetIdentity() // checkLostDisks reports a lost disk
 		if !hasLostDisk && report.GetUptimeMs() >= milliseconds(startupDuration) {
 			f.add(Warning, "%s holds the registers of epoch %d, epoch %d is in force: it does not vote on calls of applications",
 				voter.GetHost(), held, epoch)
@@ -35,7 +35,7 @@
 	}
 }
 
-// reportOf returns the report of the machine at which a replica is or was, nil without one.
+// reportOf returns the report of the machine on a replica's host, or nil if there is none.
 func reportOf(reports []*pb.ControlStatusReport, replica *pb.Replica) *pb.ControlStatusReport {
 	for _, report := range reports {
 		if report.GetSelf().GetHost() == replica.GetHost() {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// writeCoordination writes the table of the calls of applications.
+// writeCoordination writes the table of the registers and the calls of applications at each control machine.
 func (s *Survey) writeCoordination(text *strings.Builder) {
 	view := newestView(s.reports())
 	if view == nil {
--- a/internal/region/status/edgefindings.go
+++ b/internal/region/status/edgefindings.go
@@ -8,8 +8,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// checkPollingRole checks that one machine polls the platform's server list, and the age of the list. complete says
-// that all voters were queried.
+// checkPollingRole checks that exactly one machine holds the polling role of the platform's server list, and checks the
+// age of the list. That no machine holds the role is a finding only if complete, that is, if all voters were queried.
 func (f *findings) checkPollingRole(reports []*pb.ControlStatusReport, complete bool) {
 	var owners []string
 	for _, report := range reports {
@@ -45,7 +45,7 @@
 	}
 }
 
-// checkAgents checks the edge machines as one control machine knows them.
+// checkAgents checks the agents of the edge machines in the report of one control machine.
 func (f *findings) checkAgents(report *pb.ControlStatusReport) {
 	newest := report.GetCatalog().GetSequence()
 	var lost, unready, behind []string
@@ -69,7 +69,7 @@
 	}
 }
 
-// checkAgentLag checks how far the proxies of agents lag behind what machines know to be committed.
+// checkAgentLag checks how far agents and their proxies lag behind the committed state of the control machines.
 func (f *findings) checkAgentLag(reports []*pb.ControlStatusReport) {
 	for _, report := range reports {
 		host, lag := report.GetSelf().GetHost(), report.GetLateness()
--- a/internal/region/status/findings.go
+++ b/internal/region/status/findings.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// staleListAge is the age from which the newest server list counts as stale: several polls have failed.
+	// staleListAge is the age from which the newest server list counts as stale: several polls must have failed by then.
 	staleListAge = 5 * time.Second
 
-	// startupDuration is the time after its start in which a machine may lag without a finding.
+	// startupDuration is the time after its start during which a machine may lag without a finding.
 	startupDuration = 10 * time.Second
 )
 
-// Severity is how bad a finding is.
+// Severity is the severity of a finding; a higher value is worse.
 type Severity int
 
 const (
-	// Notice is worth knowing; the system works.
+	// Notice reports something unusual that does not impair the system.
 	Notice Severity = iota
-	// Warning says that the system tolerates fewer failures than it should, or that something lags.
+	// Warning reports that the system tolerates fewer failures than it should, or that a part of it lags.
 	Warning
-	// Alarm says that orders are rejected or traffic suffers.
+	// Alarm reports that orders are rejected or that traffic is impaired.
 	Alarm
 )
 
-// String returns the severity as it is printed, the worse ones in capitals.
+// String returns the severity as it is printed: Warning and Alarm in capitals, Notice in lower case.
 func (s Severity) String() string {
 	switch s {
 	case Alarm:
@@ -41,13 +41,13 @@
 	}
 }
 
-// Finding is one thing that is not as it should be. Its text is for people.
+// Finding is one problem, or one unusual state, of the system. Its text is for people.
 type Finding struct {
 	Severity Severity
 	Text     string
 }
 
-// Findings evaluates a survey. The worst findings come first; there are none if nothing is wrong.
+// Findings evaluates a survey and returns the findings, the worst first. It returns none for a healthy system.
 func (s *Survey) Findings() []Finding {
 	var found findings
 	reports := s.reports()
@@ -62,8 +62,8 @@
 	return found.list
 }
 
-// isComplete reports whether all voters of the newest view were queried. Only then does a state that none of them
-// reports not exist.
+// isComplete reports whether all voters of the newest view were queried. Only then does the absence of a state from all
+// reports mean that no voter is in that state.
 func (s *Survey) isComplete() bool {
 	return len(s.Machines) >= len(newestView(s.reports()).GetVoters())
 }
@@ -90,8 +90,8 @@
 	return newest
 }
 
-// mostReliableMembers returns the report whose agents are most reliable: of a machine whose soft state has converged and
-// that is authoritative, if there is one. It returns nil without reports.
+// mostReliableMembers returns the report whose list of agents is the most reliable: that of a machine whose soft state has
+// converged and that is authoritative, if there is one. It returns nil without reports.
 func mostReliableMembers(reports []*pb.ControlStatusReport) *pb.ControlStatusReport {
 	var chosen *pb.ControlStatusReport
 	for _, report := range reports {
@@ -102,7 +102,8 @@
 	return chosen
 }
 
-// membersReliability orders reports by the reliability of their agents; convergence counts more than authority.
+// membersReliability rates the reliability of a report's list of agents, higher being better. Convergence of the soft
+// state counts more than authority.
 func membersReliability(report *pb.ControlStatusReport) int {
 	points := 0
 	if report.GetMembersSettled() {
@@ -114,7 +115,7 @@
 	return points
 }
 
-// findings collects the findings of a survey.
+// findings accumulates the findings of a survey.
 type findings struct {
 	list []Finding
 }
@@ -124,12 +125,12 @@
 	f.list = append(f.list, Finding{Severity: severity, Text: fmt.Sprintf(format, values...)})
 }
 
-// addHosts adds a finding about machines, if there are any.
+// addHosts adds a finding that names hosts, if there are any. The format has one verb, for their names.
 func (f *findings) addHosts(severity Severity, hosts []string, format string) {
 	if len(hosts) > 0 {
 		f.add(severity, format, strings.Join(hosts, ", "))
 	}
 }
 
-// milliseconds returns a duration in the unit of reports.
+// milliseconds converts a duration to the milliseconds in which reports state times.
 func milliseconds(duration time.Duration) uint64 { return uint64(duration.Milliseconds()) }
--- a/internal/region/status/interface_test.go
+++ b/internal/region/status/interface_test.go
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "write the recorded copies")
 
-// The survey that programs read has the members that were recorded.
+// The survey that programs read equals the recorded one.
 func TestRecordedSurvey(t *testing.T) {
 	survey := &status.Survey{Machines: []status.Machine{
 		{Host: "a", Address: "127.0.0.1:1", Report: &pb.ControlStatusReport{}},
--- a/internal/region/status/json.go
+++ b/internal/region/status/json.go
@@ -8,27 +8,28 @@
 	"google.golang.org/protobuf/encoding/protojson"
 )
 
-// jsonMachine is one machine in the JSON form.
+// jsonMachine is one machine of a survey in JSON.
 type jsonMachine struct {
 	Host    string          `json:"host"`
 	Address string          `json:"address"`
 	Error   string          `json:"error,omitempty"`
-	Report  json.RawMessage `json:"report,omitempty"` // a ControlStatusReport
+	Report  json.RawMessage `json:"report,omitempty"` // ControlStatusReport in the JSON form of protobuf
 }
 
-// jsonFinding is one finding in the JSON form.
+// jsonFinding is one finding of a survey in JSON.
 type jsonFinding struct {
 	Severity string `json:"severity"`
 	Text     string `json:"text"`
 }
 
-// jsonSurvey is a survey in the JSON form.
+// jsonSurvey is a survey in JSON.
 type jsonSurvey struct {
 	Findings []jsonFinding `json:"findings"`
 	Machines []jsonMachine `json:"machines"`
 }
 
-// WriteJSON writes a survey for programs. The members of a report are named as in api/fieldrelay/v1/system.proto.
+// WriteJSON writes a survey as JSON for programs. The members of a report have the names of the fields in
+// api/fieldrelay/v1/system.proto.
 func (s *Survey) WriteJSON(output io.Writer) error {
 	document := jsonSurvey{Findings: []jsonFinding{}, Machines: []jsonMachine{}}
 	for _, finding := range s.Findings() {
@@ -46,7 +47,7 @@
 	return errors.Wrap(encoder.Encode(document), "write the survey")
 }
 
-// machineJSON converts a machine to the JSON form, its report by the names of the proto file.
+// machineJSON converts a machine for WriteJSON, its report with the field names of the proto file.
 func machineJSON(machine Machine) (jsonMachine, error) {
 	converted := jsonMachine{Host: machine.Host, Address: machine.Address}
 	if machine.Err != nil {
@@ -57,5 +58,5 @@
 	}
 	report, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(machine.Report)
 	converted.Report = report
-	return converted, errors.Wrap(err, "encode a report")
+	return converted, errors.Wrap(err, "encode the report of a control machine")
 }
--- a/internal/region/status/status_test.go
+++ b/internal/region/status/status_test.go
@@ -18,14 +18,14 @@
 	"fieldrelay/api/fieldrelay/v1/fieldrelayv1connect"
 )
 
-// hosts are the control machines of the tests, the head of the chain first.
+// hosts are the names of the control machines of the tests, the head of the chain first.
 var hosts = []string{"core-a", "core-b", "core-c"}
 
 func replica(host string) *pb.Replica {
 	return &pb.Replica{Host: host, Identity: "id-" + host, Address: "10.0.0.1:7660", Zone: "zone-" + host}
 }
 
-// healthySurvey returns the survey of three machines without findings.
+// healthySurvey returns a survey of three machines that leads to no findings.
 func healthySurvey() *Survey {
 	view := &pb.View{Number: 4, Cluster: "c1", VotersEpoch: 3}
 	for _, host := range hosts {
@@ -62,7 +62,7 @@
 	unreachable := &UnreachableError{Address: "10.0.0.1:7660", Cause: context.DeadlineExceeded}
 	cases := map[string]struct {
 		change func(s *Survey)
-		want   []string // beginnings, in order
+		want   []string // prefixes of the findings, in order
 	}{
 		"nothing is wrong": {func(*Survey) {}, nil},
 		"one machine is queried": {func(s *Survey) {
@@ -232,7 +232,7 @@
 	require.NotEmpty(t, read.Machines[1].Error)
 }
 
-// reportServer serves a report.
+// reportServer serves the status of a control machine with a fixed report.
 type reportServer struct {
 	fieldrelayv1connect.UnimplementedControlStatusHandler
 	report *pb.ControlStatusReport
@@ -242,7 +242,7 @@
 	return connect.NewResponse(m.report), nil
 }
 
-// serve serves machines on loopback, each knowing the addresses of all, and returns the addresses.
+// serve serves each machine on a loopback address until the test ends, and returns the addresses.
 func serve(t *testing.T, machines []*reportServer) []string {
 	t.Helper()
 	var addresses []string
--- a/internal/region/status/survey.go
+++ b/internal/region/status/survey.go
@@ -1,8 +1,8 @@
 // Package status queries control machines of the regional system for their status and presents it to people on call: one
-// line per machine, one per agent, and findings about what is wrong. For programs there is a JSON form.
+// line per machine, one per agent, and findings about problems. For programs there is a JSON form.
 //
-// It only reads, and needs no majority. A machine that does not answer within Timeout is shown as silent, beside the
-// others. docs/region/control.md describes findings and columns.
+// The package only reads, and works without a majority. A machine that does not answer within Timeout is shown as silent.
+// docs/region/control.md describes findings and columns.
 package status
 
 import (
@@ -22,35 +22,35 @@
 )
 
 const (
-	// Timeout bounds the wait for one machine.
+	// Timeout bounds the wait for the report of one machine.
 	Timeout = 2 * time.Second
 
-	// maxReportBytes bounds one report.
+	// maxReportBytes bounds the size of one report.
 	maxReportBytes = 16 << 20
 
-	// maxMachines bounds the machines that are queried.
+	// maxMachines bounds the number of machines that one survey queries.
 	maxMachines = 64
 )
 
-// UnreachableError says that a machine did not answer.
+// UnreachableError reports that a machine did not answer.
 type UnreachableError struct {
 	Address string
 	Cause   error
 }
 
-// Error names address and cause.
+// Error names the address and the cause.
 func (e *UnreachableError) Error() string { return e.Address + " does not answer: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// NotControlError says that something else than the peer port of a control machine answered at an address.
+// NotControlError reports that an address answered but is not the peer port of a control machine.
 type NotControlError struct {
 	Address string
 	Cause   error
 }
 
-// Error names address, what belongs there, and cause.
+// Error names the address, which port is expected there, and the cause.
 func (e *NotControlError) Error() string {
 	return e.Address + " is not the peer port of a control machine (the first port of its port-range): " + e.Cause.Error()
 }
@@ -58,16 +58,16 @@
 // Unwrap returns the cause.
 func (e *NotControlError) Unwrap() error { return e.Cause }
 
-// Machine is one control machine with its report, or the reason why there is none.
+// Machine is one control machine with its report, or the error of the query.
 type Machine struct {
 	Host    string
-	Address string // ip:port of its peer port
+	Address string // ip:port of the machine's peer port
 	Report  *pb.ControlStatusReport
-	Err     error // an *UnreachableError or a *NotControlError; nil with a report
+	Err     error // *UnreachableError or *NotControlError; nil if there is a report
 }
 
-// Survey has the reports of control machines of about the same time. The machine that was named comes first, the others
-// are sorted by host.
+// Survey has the reports of control machines, queried at about the same time. The machine at the given address comes
+// first; the others are sorted by host.
 type Survey struct {
 	Machines []Machine
 }
@@ -77,7 +77,7 @@
 	client *http.Client
 }
 
-// NewSurveyor returns a surveyor that opens a connection for each query.
+// NewSurveyor returns a surveyor that opens a new connection for each query.
 func NewSurveyor() *Surveyor {
 	return &Surveyor{client: &http.Client{
 		Timeout:   Timeout,
@@ -101,7 +101,7 @@
 	}
 }
 
-// isHTTPResponse reports whether an error is the response of something that speaks HTTP at the address.
+// isHTTPResponse reports whether an error is a response, so that some HTTP server answers at the address.
 func isHTTPResponse(err error) bool {
 	switch connect.CodeOf(err) {
 	case connect.CodeUnavailable, connect.CodeDeadlineExceeded, connect.CodeCanceled:
@@ -115,13 +115,13 @@
 func (s *Surveyor) SurveyOne(ctx context.Context, address string) (*Survey, error) {
 	report, err := s.Describe(ctx, address)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask the control machine")
+		return nil, errors.Wrap(err, "query the control machine")
 	}
 	return &Survey{Machines: []Machine{{Host: report.GetSelf().GetHost(), Address: address, Report: report}}}, nil
 }
 
-// Survey queries the machine at an address and then, in parallel, all voters of the view that it knows. The error is that
-// of the first machine; those of others are in the survey.
+// Survey queries the machine at an address and then, in parallel, all voters of the view that this machine knows. It
+// returns an error only if the first query fails; the errors of the other machines are in the survey.
 func (s *Surveyor) Survey(ctx context.Context, address string) (*Survey, error) {
 	survey, err := s.SurveyOne(ctx, address)
 	if err != nil {
--- a/internal/region/status/text.go
+++ b/internal/region/status/text.go
@@ -10,11 +10,11 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// columnPadding separates the columns of tables.
+// columnPadding is the number of spaces between the columns of tables.
 const columnPadding = 2
 
-// WriteText writes a survey for people: the findings first, then the view, the control machines, the calls of applications
-// and the agents.
+// WriteText writes a survey as text for people: the findings first, then the view, the control machines, the calls of
+// applications and the agents.
 func (s *Survey) WriteText(output io.Writer) error {
 	var text strings.Builder
 	s.writeFindings(&text)
@@ -28,7 +28,7 @@
 	return err
 }
 
-// table writes rows with aligned columns. Its writer is a strings.Builder, which does not fail.
+// table writes rows with aligned columns into a strings.Builder, whose writes do not fail.
 type table struct {
 	writer *tabwriter.Writer
 }
@@ -42,7 +42,7 @@
 	_, _ = fmt.Fprintf(t.writer, format+"\n", values...)
 }
 
-// flush aligns and writes the rows.
+// flush aligns the rows and writes them.
 func (t *table) flush() { _ = t.writer.Flush() }
 
 func (s *Survey) writeFindings(text *strings.Builder) {
@@ -94,7 +94,7 @@
 		orders.GetAcknowledged(), orders.GetRefused(), orders.GetUnavailable())
 }
 
-// machineState returns a machine's role in its view, whether it is authoritative and whether it polls the server list.
+// machineState describes a machine's role in its view, whether it is authoritative and whether it polls the server list.
 func machineState(report *pb.ControlStatusReport) string {
 	state := "outside"
 	for _, voter := range report.GetView().GetVoters() {
@@ -125,7 +125,7 @@
 	return state
 }
 
-// writeAgents writes the table of the agents that one control machine knows.
+// writeAgents writes the table of the agents in the report of one control machine.
 func writeAgents(text *strings.Builder, report *pb.ControlStatusReport) {
 	live := 0
 	for _, agent := range report.GetAgents() {
@@ -198,7 +198,7 @@
 	return fmt.Sprintf("%d, %d failed", polling.GetPolls(), polling.GetPollsFailed())
 }
 
-// duration formats a time to a tenth of a second, or to the second from a minute on.
+// duration formats a time, rounded to a tenth of a second, or to a second from a minute on.
 func duration(milliseconds uint64) string {
 	value := time.Duration(milliseconds) * time.Millisecond
 	if value >= time.Minute {
