--- a/internal/region/settings/interface_test.go
+++ b/internal/region/settings/interface_test.go
@@ -16,12 +16,12 @@
 
 var update = flag.Bool("update", false, "write the recorded copies")
 
-// inSource is how the decoder tells a key's place in the source, which may be named anew.
-var inSource = regexp.MustCompile(`struct field \S+`)
+// structField is how the decoder tells a key's place in the source, which may be named anew.
+var structField = regexp.MustCompile(`struct field \S+`)
 
 // Every key and its default are those that were recorded.
 func TestRecordedDefaults(t *testing.T) {
-	read, err := settings.Parse([]byte(least))
+	read, err := settings.Parse([]byte(minimalFile))
 	require.NoError(t, err)
 	recordedtest.Compare(t, *update, "testdata/defaults.txt", recordedtest.Values(reflect.ValueOf(*read), "toml"))
 }
@@ -31,7 +31,7 @@
 	_, err := settings.Parse(nil)
 	lines := []string{fmt.Sprintf("nothing: %v", err)}
 	for _, key := range recordedtest.Keys(reflect.TypeFor[settings.Settings](), "toml") {
-		if strings.ContainsAny(key.Path, "[*") || strings.Contains(least, key.Path+" =") {
+		if strings.ContainsAny(key.Path, "[*") || strings.Contains(minimalFile, key.Path+" =") {
 			continue
 		}
 		values := []string{"'no such'"}
@@ -44,15 +44,15 @@
 			values = []string{"1"}
 		}
 		for _, value := range values {
-			text := key.Path + " = " + value + "\n" + least // a dotted key names its table
+			text := key.Path + " = " + value + "\n" + minimalFile // a dotted key names its table
 			_, err := settings.Parse([]byte(text))
 			lines = append(lines, fmt.Sprintf("%s = %s: %v", key.Path, value, err))
 		}
 	}
 	for _, value := range []string{"[]", "[1]", "[0, 3]", "[1, 2]", "[1, 3]", "[65533, 65535]", "[65534, 65536]", "[3, 1]", "[1, 2, 3]"} {
-		_, err := settings.Parse([]byte(strings.Replace(least, "[7660, 7662]", value, 1)))
+		_, err := settings.Parse([]byte(strings.Replace(minimalFile, "[7660, 7662]", value, 1)))
 		lines = append(lines, fmt.Sprintf("port-range = %s: %v", value, err))
 	}
-	text := inSource.ReplaceAllString(strings.Join(lines, "\n")+"\n", "a field")
+	text := structField.ReplaceAllString(strings.Join(lines, "\n")+"\n", "a field")
 	recordedtest.Compare(t, *update, "testdata/bounds.txt", text)
 }
--- a/internal/region/settings/settings_test.go
+++ b/internal/region/settings/settings_test.go
@@ -13,18 +13,18 @@
 )
 
 func TestMechanismsThatAreSwitchedOffAreChecked(t *testing.T) {
-	read, err := settings.Parse([]byte(edge + "\n[policy]\noff = [\"spill\",\"walk\"]\n"))
+	read, err := settings.Parse([]byte(exampleFile + "\n[policy]\noff = [\"spill\",\"walk\"]\n"))
 	require.NoError(t, err)
 	require.Equal(t, "walk,spill", read.Policy.Switches().String())
-	_, err = settings.Parse([]byte(edge + "\n[policy]\noff = [\"spil\"]\n"))
+	_, err = settings.Parse([]byte(exampleFile + "\n[policy]\noff = [\"spil\"]\n"))
 	var faults *settings.FaultsError
 	require.ErrorAs(t, err, &faults)
 	require.ErrorContains(t, err, "policy.off")
 	require.ErrorContains(t, err, "spil;")
 }
 
-// edge is the page's example.
-const edge = `hostname = "edge-bdg-hall-a-1"
+// exampleFile is the page's example.
+const exampleFile = `hostname = "edge-bdg-hall-a-1"
 node-role = "my-edge"
 machine-class = "edge"
 roles = ["edge"]
@@ -92,16 +92,16 @@
 max-lag-ms = 800
 `
 
-// least is what no process can do without.
-const least = `hostname = "h"
+// minimalFile is what no process can do without.
+const minimalFile = `hostname = "h"
 machine-class = "core"
 ip-addr = "10.1.0.15"
 az = "a"
 port-range = [7660, 7662]
 `
 
-func TestThePagesExample(t *testing.T) {
-	read, err := settings.Parse([]byte(edge))
+func TestDocumentedExample(t *testing.T) {
+	read, err := settings.Parse([]byte(exampleFile))
 	require.NoError(t, err)
 	require.Equal(t, "edge-bdg-hall-a-1", read.Hostname)
 	require.Equal(t, "my-edge", read.NodeRole)
@@ -130,7 +130,7 @@
 }
 
 func TestBoundsAsDurations(t *testing.T) {
-	read, err := settings.Parse([]byte(edge))
+	read, err := settings.Parse([]byte(exampleFile))
 	require.NoError(t, err)
 	bounds := read.Bounds
 	require.Equal(t, 3.0, bounds.SeedStaleS)
@@ -156,8 +156,8 @@
 	require.Equal(t, 5*time.Second, bounds.TTLMax())
 }
 
-func TestTheLeastGetsDefaults(t *testing.T) {
-	read, err := settings.Parse([]byte(least))
+func TestMinimalFileGetsDefaults(t *testing.T) {
+	read, err := settings.Parse([]byte(minimalFile))
 	require.NoError(t, err)
 	require.Positive(t, read.HeartbeatMS)
 	require.Positive(t, read.Bounds.ApplyWithin())
@@ -165,8 +165,8 @@
 	require.Equal(t, 1, read.FaultBudget.Hosts)
 }
 
-func TestUnknownFieldsAndFractionsAreTaken(t *testing.T) {
-	text := least + `state-dir = "/data/x"
+func TestUnknownFieldsAndFractionsAreAccepted(t *testing.T) {
+	text := minimalFile + `state-dir = "/data/x"
 geo = "r"
 new-field = { a = [1, 2], b = "c" }
 roles = ["ctl", "dir"]
@@ -236,8 +236,8 @@
 		"bounds.heal-s":      18,
 		"fault-budget.zones": 20,
 	}, got)
-	var one *settings.FaultError
-	require.ErrorAs(t, err, &one)
+	var fault *settings.FaultError
+	require.ErrorAs(t, err, &fault)
 	require.Contains(t, err.Error(), "line 2: ip-addr: must be an IP address")
 }
 
@@ -246,19 +246,19 @@
 		text string
 		line int
 	}{
-		"cut off":       {least + "\nroles = [", 7},
+		"cut off":       {minimalFile + "\nroles = [", 7},
 		"no value":      {"a = 1\nhostname =\n", 2},
-		"key twice":     {least + "az = \"b\"\n", 6},
-		"table is text": {least + "bounds = 5\n", 6},
-		"list of lines": {"hostname = [\n\"a\",\n\"b\"\n]\n" + strings.TrimPrefix(least, "hostname = \"h\"\n"), 1},
+		"key twice":     {minimalFile + "az = \"b\"\n", 6},
+		"table is text": {minimalFile + "bounds = 5\n", 6},
+		"list of lines": {"hostname = [\n\"a\",\n\"b\"\n]\n" + strings.TrimPrefix(minimalFile, "hostname = \"h\"\n"), 1},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := settings.Parse([]byte(one.text))
+			_, err := settings.Parse([]byte(test.text))
 			var all *settings.FaultsError
 			require.ErrorAs(t, err, &all)
 			require.Len(t, all.Faults, 1, "%v", err)
-			require.Equal(t, one.line, all.Faults[0].Line, "%v", err)
+			require.Equal(t, test.line, all.Faults[0].Line, "%v", err)
 		})
 	}
 }
@@ -275,11 +275,11 @@
 	}
 	for name, ports := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := settings.Parse([]byte(strings.Replace(least, "[7660, 7662]", ports, 1)))
-			var one *settings.FaultError
-			require.ErrorAs(t, err, &one)
-			require.Equal(t, "port-range", one.Key)
-			require.Equal(t, 5, one.Line)
+			_, err := settings.Parse([]byte(strings.Replace(minimalFile, "[7660, 7662]", ports, 1)))
+			var fault *settings.FaultError
+			require.ErrorAs(t, err, &fault)
+			require.Equal(t, "port-range", fault.Key)
+			require.Equal(t, 5, fault.Line)
 		})
 	}
 }
@@ -295,7 +295,7 @@
 	require.Equal(t, path, named)
 	_, err = settings.Load(named)
 	require.ErrorIs(t, err, os.ErrNotExist)
-	require.NoError(t, os.WriteFile(path, []byte(edge), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(exampleFile), 0o600))
 	read, err := settings.Load(named)
 	require.NoError(t, err)
 	require.Equal(t, "10.1.0.12", read.Address)
--- a/internal/region/settings/validate.go
+++ b/internal/region/settings/validate.go
@@ -20,25 +20,25 @@
 const maxPort = 65535
 
 var (
-	requiredText   = []validation.Rule{validation.Required}
-	ipAddress      = []validation.Rule{validation.Required, validation.By(isIPAddress)}
-	hostPort       = []validation.Rule{validation.By(isHostPort)}
-	hostPorts      = []validation.Rule{validation.Each(validation.Required, validation.By(isHostPort))}
-	ports          = []validation.Rule{validation.Required, validation.By(isPortRange)}
-	figure         = []validation.Rule{validation.By(isFigure), validation.Min(0.0)}
-	positive       = []validation.Rule{validation.By(isFigure), validation.By(isAboveZero)}
-	count          = []validation.Rule{validation.Min(0)}
-	mechanismNames = []validation.Rule{validation.By(areMechanisms)}
-	regionsByZone  = []validation.Rule{validation.Each(validation.Required)}
+	requiredText     = []validation.Rule{validation.Required}
+	ipAddress        = []validation.Rule{validation.Required, validation.By(isIPAddress)}
+	hostPort         = []validation.Rule{validation.By(isHostPort)}
+	hostPorts        = []validation.Rule{validation.Each(validation.Required, validation.By(isHostPort))}
+	ports            = []validation.Rule{validation.Required, validation.By(isPortRange)}
+	nonNegative      = []validation.Rule{validation.By(isFiniteNumber), validation.Min(0.0)}
+	positive         = []validation.Rule{validation.By(isFiniteNumber), validation.By(isPositive)}
+	nonNegativeCount = []validation.Rule{validation.Min(0)}
+	mechanismNames   = []validation.Rule{validation.By(areMechanisms)}
+	regionsByZone    = []validation.Rule{validation.Each(validation.Required)}
 )
 
 // validate returns every fault, without line numbers: package tomlfile adds them.
 func (s *Settings) validate() []*FaultError {
 	var faults []*FaultError
 	for _, group := range [][]check{s.identityChecks(), s.limitChecks(), s.Bounds.checks()} {
-		for _, one := range group {
-			if err := validation.Validate(one.value, one.rules...); err != nil {
-				faults = append(faults, &FaultError{Key: one.key, Reason: err.Error()})
+		for _, check := range group {
+			if err := validation.Validate(check.value, check.rules...); err != nil {
+				faults = append(faults, &FaultError{Key: check.key, Reason: err.Error()})
 			}
 		}
 	}
@@ -71,41 +71,41 @@
 		{"req-limits.cpu-frac", s.Limits.CPUFraction, positive},
 		{"req-limits.ncpu", s.Limits.Cores, positive},
 		{"req-limits.ram-mb", s.Limits.MemoryMB, positive},
-		{"req-limits.max-fds", s.Limits.Descriptors, count},
+		{"req-limits.max-fds", s.Limits.Descriptors, nonNegativeCount},
 		{"req-limits.nic-mbps", s.Limits.LinkMbps, positive},
-		{"req-limits.disk-mb", s.Limits.DiskMB, figure},
-		{"fault-budget.hosts-lost", s.FaultBudget.Hosts, count},
-		{"fault-budget.zones", s.FaultBudget.Zones, count},
-		{"fault-budget.regions-lost", s.FaultBudget.Regions, count},
-		{"cloud-api.rate-s", s.CloudAPI.Rate, figure},
-		{"cloud-api.max-lag-ms", s.CloudAPI.MaxLagMS, figure},
+		{"req-limits.disk-mb", s.Limits.DiskMB, nonNegative},
+		{"fault-budget.hosts-lost", s.FaultBudget.Hosts, nonNegativeCount},
+		{"fault-budget.zones", s.FaultBudget.Zones, nonNegativeCount},
+		{"fault-budget.regions-lost", s.FaultBudget.Regions, nonNegativeCount},
+		{"cloud-api.rate-s", s.CloudAPI.Rate, nonNegative},
+		{"cloud-api.max-lag-ms", s.CloudAPI.MaxLagMS, nonNegative},
 	}
 }
 
 func (b Bounds) checks() []check {
 	return []check{
-		{"bounds.seed-stale-s", b.SeedStaleS, figure},
-		{"bounds.addr-reuse-s", b.AddressReuseS, figure},
-		{"bounds.contact-ms", b.ContactMS, figure},
-		{"bounds.ack-by-ms", b.AckByMS, figure},
-		{"bounds.sync-s", b.SyncS, figure},
-		{"bounds.drain-ms", b.DrainMS, figure},
-		{"bounds.grace-s", b.GraceS, figure},
-		{"bounds.loss-slack-ms", b.LossSlackMS, figure},
-		{"bounds.apply-ms", b.ApplyMS, figure},
-		{"bounds.revert-slack-ms", b.RevertSlackMS, figure},
-		{"bounds.stretch-ms", b.StretchMS, figure},
-		{"bounds.retry-ratio", b.RetryRatio, figure},
-		{"bounds.retry-win-s", b.RetryWindowS, figure},
-		{"bounds.retry-extra", b.RetryExtra, figure},
-		{"bounds.warm-excess", b.WarmExcess, figure},
-		{"bounds.warm-extra", b.WarmExtra, figure},
-		{"bounds.evacuate-ms", b.EvacuateMS, figure},
-		{"bounds.heal-s", b.HealS, figure},
-		{"bounds.pass_ms", b.PassMS, figure},
-		{"bounds.again_s", b.AgainS, figure},
-		{"bounds.ttl_max_s", b.TTLMaxS, figure},
-		{"bounds.retain-s", b.RetainS, figure},
+		{"bounds.seed-stale-s", b.SeedStaleS, nonNegative},
+		{"bounds.addr-reuse-s", b.AddressReuseS, nonNegative},
+		{"bounds.contact-ms", b.ContactMS, nonNegative},
+		{"bounds.ack-by-ms", b.AckByMS, nonNegative},
+		{"bounds.sync-s", b.SyncS, nonNegative},
+		{"bounds.drain-ms", b.DrainMS, nonNegative},
+		{"bounds.grace-s", b.GraceS, nonNegative},
+		{"bounds.loss-slack-ms", b.LossSlackMS, nonNegative},
+		{"bounds.apply-ms", b.ApplyMS, nonNegative},
+		{"bounds.revert-slack-ms", b.RevertSlackMS, nonNegative},
+		{"bounds.stretch-ms", b.StretchMS, nonNegative},
+		{"bounds.retry-ratio", b.RetryRatio, nonNegative},
+		{"bounds.retry-win-s", b.RetryWindowS, nonNegative},
+		{"bounds.retry-extra", b.RetryExtra, nonNegative},
+		{"bounds.warm-excess", b.WarmExcess, nonNegative},
+		{"bounds.warm-extra", b.WarmExtra, nonNegative},
+		{"bounds.evacuate-ms", b.EvacuateMS, nonNegative},
+		{"bounds.heal-s", b.HealS, nonNegative},
+		{"bounds.pass_ms", b.PassMS, nonNegative},
+		{"bounds.again_s", b.AgainS, nonNegative},
+		{"bounds.ttl_max_s", b.TTLMaxS, nonNegative},
+		{"bounds.retain-s", b.RetainS, nonNegative},
 	}
 }
 
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// isFigure accepts every finite number.
-func isFigure(value any) error {
+// isFiniteNumber accepts every finite number.
+func isFiniteNumber(value any) error {
 	number := value.(float64)
 	if math.IsNaN(number) || math.IsInf(number, 0) {
 		return errors.New("must be a finite number")
@@ -159,7 +159,7 @@
 	return nil
 }
 
-func isAboveZero(value any) error {
+func isPositive(value any) error {
 	if value.(float64) <= 0 {
 		return errors.New("must be above 0")
 	}
