--- a/internal/region/settings/control_machine_test.go
+++ b/internal/region/settings/control_machine_test.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// controlMachine is the settings file of a control machine of a deployment with many zones, without the zones.
+// controlMachine is the settings file of a control machine, up to the heading of the table of zones.
 const controlMachine = `hostname = "core-1"
 machine-class = "core"
 roles = ["ctl", "dir"]
--- a/internal/region/settings/interface_test.go
+++ b/internal/region/settings/interface_test.go
@@ -16,17 +16,17 @@
 
 var update = flag.Bool("update", false, "write the recorded copies")
 
-// structField is how the decoder tells a key's place in the source, which may be named anew.
+// structField matches the name of a Go field in messages of the decoder. The name may change, so it is not recorded.
 var structField = regexp.MustCompile(`struct field \S+`)
 
-// Every key and its default are those that were recorded.
+// The keys and their defaults equal the recorded ones.
 func TestRecordedDefaults(t *testing.T) {
 	read, err := settings.Parse([]byte(minimalFile))
 	require.NoError(t, err)
 	recordedtest.Compare(t, *update, "testdata/defaults.txt", recordedtest.Values(reflect.ValueOf(*read), "toml"))
 }
 
-// What is refused, and in which words, is what was recorded.
+// The rejected values and the messages of their faults equal the recorded ones.
 func TestRecordedBounds(t *testing.T) {
 	_, err := settings.Parse(nil)
 	lines := []string{fmt.Sprintf("nothing: %v", err)}
@@ -44,7 +44,7 @@
 			values = []string{"1"}
 		}
 		for _, value := range values {
-			text := key.Path + " = " + value + "\n" + minimalFile // a dotted key names its table
+			text := key.Path + " = " + value + "\n" + minimalFile // a dotted key needs no heading of its table
 			_, err := settings.Parse([]byte(text))
 			lines = append(lines, fmt.Sprintf("%s = %s: %v", key.Path, value, err))
 		}
--- a/internal/region/settings/parse.go
+++ b/internal/region/settings/parse.go
@@ -2,15 +2,16 @@
 
 import "fieldrelay/internal/region/tomlfile"
 
-// FaultError is one thing that is wrong with a settings file.
+// FaultError is one fault of a settings file.
 type FaultError = tomlfile.FaultError
 
-// FaultsError lists everything that is wrong with a settings file, in the order of its lines.
+// FaultsError lists all faults of a settings file, in the order of its lines.
 type FaultsError = tomlfile.FaultsError
 
 const formatName = "settings"
 
-// format ignores unknown keys: a newer file may have keys that this version does not know.
+// format is the format of settings files. It ignores unknown keys: a newer file may have keys that this version does not
+// know.
 var format = tomlfile.Format[Settings]{
 	Name:     formatName,
 	New:      defaults,
--- a/internal/region/settings/settings_test.go
+++ b/internal/region/settings/settings_test.go
@@ -23,7 +23,7 @@
 	require.ErrorContains(t, err, "spil;")
 }
 
-// exampleFile is the page's example.
+// exampleFile is the example in the operators' documentation.
 const exampleFile = `hostname = "edge-bdg-hall-a-1"
 node-role = "my-edge"
 machine-class = "edge"
@@ -92,7 +92,7 @@
 max-lag-ms = 800
 `
 
-// minimalFile is what no process can do without.
+// minimalFile has only the required keys.
 const minimalFile = `hostname = "h"
 machine-class = "core"
 ip-addr = "10.1.0.15"
--- a/internal/region/settings/validate.go
+++ b/internal/region/settings/validate.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/region/policy"
 )
 
-// check is one value of the file with the rules that it must satisfy.
+// check is one value of a settings file with the rules that it must satisfy.
 type check struct {
 	key   string
 	value any
@@ -45,7 +45,7 @@
 	return faults
 }
 
-// identityChecks are those of names and addresses.
+// identityChecks returns the checks of names and addresses.
 func (s *Settings) identityChecks() []check {
 	return []check{
 		{"hostname", s.Hostname, requiredText},
@@ -64,7 +64,7 @@
 	}
 }
 
-// limitChecks are those of figures but the bounds.
+// limitChecks returns the checks of all numbers other than the bounds.
 func (s *Settings) limitChecks() []check {
 	return []check{
 		{"heartbeat-ms", s.HeartbeatMS, positive},
@@ -116,13 +116,13 @@
 	return nil
 }
 
-// areMechanisms accepts names of mechanisms that have a switch.
+// areMechanisms accepts the names of mechanisms that can be switched off.
 func areMechanisms(value any) error {
 	_, err := policy.Parse(value.([]string))
 	return err
 }
 
-// isHostPort accepts an ip:port and the empty text: whether an address is required is another rule.
+// isHostPort accepts an ip:port and the empty string: that an address is required is a separate rule.
 func isHostPort(value any) error {
 	address := value.(string)
 	if address == "" {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// isPortRange accepts the first and the last of at least MinimumPorts ports.
+// isPortRange accepts the first and the last port of a range of at least MinimumPorts ports.
 func isPortRange(value any) error {
 	bounds := value.([]int)
 	if len(bounds) != 2 {
