--- a/internal/region/tomlfile/format.go
+++ b/internal/region/tomlfile/format.go
@@ -28,7 +28,7 @@
 		return nil, Join(f.Name, faults)
 	}
 	for _, fault := range f.Validate(value) {
-		if !index.isBlank(fault.Key) {
+		if !index.isBlankedOut(fault.Key) {
 			fault.Line = index.lineOf(fault.Key)
 			faults = append(faults, fault)
 		}
@@ -44,7 +44,7 @@
 func (f *Format[T]) decode(data []byte, index *keyIndex) (*T, []*FaultError) {
 	remaining := bytes.Clone(data)
 	var faults []*FaultError
-	for range len(index.places) + 1 {
+	for range len(index.entries) + 1 {
 		value := f.New()
 		err := f.decodeOnce(remaining, value)
 		if err == nil {
@@ -59,11 +59,11 @@
 			return nil, []*FaultError{{Reason: err.Error()}}
 		}
 		line, _ := wrongType.Position()
-		broken := index.entryAt(line)
-		broken.blank = true
+		entry := index.entryAt(line)
+		entry.blanked = true
 		reason := strings.TrimPrefix(wrongType.Error(), "toml: ")
-		faults = append(faults, &FaultError{Key: broken.key, Line: line, Reason: reason})
-		blankOut(remaining[broken.start:broken.end])
+		faults = append(faults, &FaultError{Key: entry.key, Line: line, Reason: reason})
+		blankOut(remaining[entry.start:entry.end])
 	}
 	return nil, faults
 }
--- a/internal/region/tomlfile/index.go
+++ b/internal/region/tomlfile/index.go
@@ -14,12 +14,12 @@
 	key        string // with its table, for example "replace[1].old"
 	line       int    // counted from 1
 	start, end int    // offsets of its first line and of the next place
-	blank      bool   // its value is of a wrong type and was blanked out
+	blanked    bool   // its value is of a wrong type and was blanked out
 }
 
 // keyIndex holds the places of a file in the order of its lines.
 type keyIndex struct {
-	places         []keyEntry
+	entries        []keyEntry
 	numberElements bool
 	counts         map[string]int // of the elements so far, by path of an array of tables
 }
@@ -37,7 +37,7 @@
 		if node.Kind == unstable.KeyValue {
 			key = table + strings.Join(parts, ".")
 		} else {
-			key = index.resolve(parts, node.Kind == unstable.ArrayTable)
+			key = index.tablePath(parts, node.Kind == unstable.ArrayTable)
 			table = key + "."
 		}
 		index.add(data, key, offset)
@@ -59,15 +59,15 @@
 	return parts, offset
 }
 
-// resolve names a table by the elements that it lies in; a heading in double brackets begins a new element.
-func (x *keyIndex) resolve(parts []string, begins bool) string {
+// tablePath names a table by the elements that it lies in; a heading in double brackets begins a new element.
+func (x *keyIndex) tablePath(parts []string, beginsElement bool) string {
 	if !x.numberElements {
 		return strings.Join(parts, ".")
 	}
 	path := ""
 	for position, part := range parts {
 		path = strings.TrimPrefix(path+"."+part, ".")
-		if begins && position == len(parts)-1 {
+		if beginsElement && position == len(parts)-1 {
 			x.counts[path]++
 		}
 		if count := x.counts[path]; count > 0 {
@@ -79,11 +79,11 @@
 
 func (x *keyIndex) add(data []byte, key string, offset int) {
 	start := bytes.LastIndexByte(data[:offset], '\n') + 1
-	if last := len(x.places) - 1; last >= 0 {
-		x.places[last].end = start
+	if last := len(x.entries) - 1; last >= 0 {
+		x.entries[last].end = start
 	}
 	line := bytes.Count(data[:start], []byte("\n")) + 1
-	x.places = append(x.places, keyEntry{key: key, line: line, start: start, end: len(data)})
+	x.entries = append(x.entries, keyEntry{key: key, line: line, start: start, end: len(data)})
 }
 
 func syntaxFault(data []byte, err error) *FaultError {
@@ -102,20 +102,20 @@
 
 // entryAt returns the place that a line belongs to.
 func (x *keyIndex) entryAt(line int) *keyEntry {
-	found := &x.places[0]
-	for index := range x.places {
-		if x.places[index].line > line {
+	found := &x.entries[0]
+	for index := range x.entries {
+		if x.entries[index].line > line {
 			break
 		}
-		found = &x.places[index]
+		found = &x.entries[index]
 	}
 	return found
 }
 
-// isBlank reports whether a key was blanked out, alone or with the array that it lies in.
-func (x *keyIndex) isBlank(key string) bool {
-	for _, one := range x.places {
-		if one.blank && (one.key == key || strings.HasPrefix(key, one.key+"[")) {
+// isBlankedOut reports whether a key was blanked out, alone or with the array that it lies in.
+func (x *keyIndex) isBlankedOut(key string) bool {
+	for _, entry := range x.entries {
+		if entry.blanked && (entry.key == key || strings.HasPrefix(key, entry.key+"[")) {
 			return true
 		}
 	}
@@ -125,9 +125,9 @@
 // lineOf returns the line of a key, or of the table or value that it lies in; 0 if there is none.
 func (x *keyIndex) lineOf(key string) int {
 	for key != "" {
-		for _, one := range x.places {
-			if one.key == key {
-				return one.line
+		for _, entry := range x.entries {
+			if entry.key == key {
+				return entry.line
 			}
 		}
 		key = key[:max(strings.LastIndexAny(key, ".["), 0)]
--- a/internal/region/tomlfile/tomlfile_test.go
+++ b/internal/region/tomlfile/tomlfile_test.go
@@ -46,19 +46,19 @@
 	}
 }
 
-// place is the key and the line of a fault.
-type place struct {
+// location is the key and the line of a fault.
+type location struct {
 	key  string
 	line int
 }
 
-func requireFaults(t *testing.T, err error, want ...place) {
+func requireFaults(t *testing.T, err error, want ...location) {
 	t.Helper()
 	var all *tomlfile.FaultsError
 	require.ErrorAs(t, err, &all)
-	got := make([]place, len(all.Faults))
+	got := make([]location, len(all.Faults))
 	for index, fault := range all.Faults {
-		got[index] = place{fault.Key, fault.Line}
+		got[index] = location{fault.Key, fault.Line}
 		require.NotEmpty(t, fault.Reason)
 	}
 	require.Equal(t, want, got, "%v", err)
@@ -104,7 +104,7 @@
 		require.Equal(t, &document{Limit: defaultLimit}, read)
 
 		_, err = newFormat("name").Parse([]byte(content))
-		requireFaults(t, err, place{"name", 0})
+		requireFaults(t, err, location{"name", 0})
 	}
 }
 
@@ -112,13 +112,13 @@
 	_, err := newFormat("group[1].part[0].tags[1]", "group[0].part[1].name", "group[0].part[0].count", "table.count",
 		"table.name", "limit", "group[1].title").Parse([]byte(valid))
 	requireFaults(t, err,
-		place{"limit", 0},
-		place{"table.name", 2}, // not in the file: the line of its table
-		place{"table.count", 3},
-		place{"group[0].part[0].count", 6},
-		place{"group[0].part[1].name", 9},
-		place{"group[1].title", 11},
-		place{"group[1].part[0].tags[1]", 14},
+		location{"limit", 0},
+		location{"table.name", 2}, // not in the file: the line of its table
+		location{"table.count", 3},
+		location{"group[0].part[0].count", 6},
+		location{"group[0].part[1].name", 9},
+		location{"group[1].title", 11},
+		location{"group[1].part[0].tags[1]", 14},
 	)
 }
 
@@ -136,7 +136,7 @@
 		NumberElements: true,
 	}
 	_, err := format.Parse([]byte("[[element]]\n[element.table]\ncount = 1\n[[element]]\n[element.table]\ncount = \"x\"\n"))
-	requireFaults(t, err, place{"element[1].table.count", 6})
+	requireFaults(t, err, location{"element[1].table.count", 6})
 }
 
 func TestEveryValueOfAWrongTypeIsFound(t *testing.T) {
@@ -158,22 +158,22 @@
 `
 	_, err := newFormat("name", "table.tags[1]", "group[0].part[0].count", "group[0].part[0].name").Parse([]byte(content))
 	requireFaults(t, err,
-		place{"name", 1}, // once: what was blanked out isn't validated
-		place{"limit", 2},
-		place{"table.count", 4},
-		place{"table.tags", 7},
-		place{"group[0].part[0].count", 12},
-		place{"group[0].part[0].name", 13},
-		place{"group[0].part[1].name", 15},
+		location{"name", 1}, // once: what was blanked out isn't validated
+		location{"limit", 2},
+		location{"table.count", 4},
+		location{"table.tags", 7},
+		location{"group[0].part[0].count", 12},
+		location{"group[0].part[0].name", 13},
+		location{"group[0].part[1].name", 15},
 	)
 }
 
 func TestATableInPlaceOfAValue(t *testing.T) {
 	_, err := newFormat().Parse([]byte("table = 5\ngroup = \"x\"\n[name]\n"))
-	requireFaults(t, err, place{"table", 1}, place{"group", 2}, place{"name", 3})
+	requireFaults(t, err, location{"table", 1}, location{"group", 2}, location{"name", 3})
 }
 
-func TestAFaultOfSyntaxTellsItsLine(t *testing.T) {
+func TestASyntaxErrorNamesItsLine(t *testing.T) {
 	cases := map[string]struct {
 		content string
 		line    int
@@ -191,17 +191,17 @@
 		"carriage return":   {"name = \"n\"\n\rlimit = 1\n", 2},
 		"control character": {"name = \"n\"\nlimit = 1 # \x01\n", 2},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := newFormat("name").Parse([]byte(one.content))
-			requireFaults(t, err, place{"", one.line})
+			_, err := newFormat("name").Parse([]byte(test.content))
+			requireFaults(t, err, location{"", test.line})
 		})
 	}
 }
 
-func TestAKeyToldTwice(t *testing.T) {
+func TestADuplicateKey(t *testing.T) {
 	_, err := newFormat().Parse([]byte("name = \"n\"\nlimit = 1\nname = \"m\"\n"))
-	requireFaults(t, err, place{"name", 3})
+	requireFaults(t, err, location{"name", 3})
 }
 
 const withUnknownKeys = `name = 5
@@ -219,12 +219,12 @@
 func TestUnknownKeysAreFaults(t *testing.T) {
 	_, err := newFormat("table.count").Parse([]byte(withUnknownKeys))
 	requireFaults(t, err,
-		place{"name", 1},
-		place{"nmae", 2},
-		place{"table.count", 4},
-		place{"table.counts", 5},
-		place{"group[0].part[0].size", 8},
-		place{"other", 9},
+		location{"name", 1},
+		location{"nmae", 2},
+		location{"table.count", 4},
+		location{"table.counts", 5},
+		location{"group[0].part[0].size", 8},
+		location{"other", 9},
 	)
 	var all *tomlfile.FaultsError
 	require.ErrorAs(t, err, &all)
@@ -235,14 +235,14 @@
 	format := newFormat("table.count")
 	format.DenyUnknown = false
 	_, err := format.Parse([]byte(withUnknownKeys))
-	requireFaults(t, err, place{"name", 1}, place{"table.count", 4})
+	requireFaults(t, err, location{"name", 1}, location{"table.count", 4})
 }
 
 func TestElementsWithoutNumbers(t *testing.T) {
 	format := newFormat("name")
 	format.NumberElements = false
 	_, err := format.Parse([]byte("[[name]]\n[[group]]\n[[group.part]]\ncount = \"x\"\n"))
-	requireFaults(t, err, place{"name", 1}, place{"group.part.count", 4})
+	requireFaults(t, err, location{"name", 1}, location{"group.part.count", 4})
 }
 
 func TestTexts(t *testing.T) {
@@ -255,8 +255,8 @@
 	})
 	require.EqualError(t, err, "document: z: is missing; line 1: is no TOML; line 2: a: is first; line 2: a: is also first; "+
 		"line 2: b: is second")
-	var one *tomlfile.FaultError
-	require.True(t, errors.As(err, &one))
-	require.Equal(t, "z", one.Key)
+	var fault *tomlfile.FaultError
+	require.True(t, errors.As(err, &fault))
+	require.Equal(t, "z", fault.Key)
 	require.NoError(t, tomlfile.Join("document", nil))
 }
