--- a/internal/region/tomlfile/faults.go
+++ b/internal/region/tomlfile/faults.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// FaultError is one thing that is wrong with a file.
+// FaultError is one fault of a file.
 type FaultError struct {
-	Key    string // with its table, for example "bounds.contact-ms" or "replace[1].old"; empty if the file is not TOML
-	Line   int    // counted from 1; 0 if neither the key nor what it lies in is in the file
+	Key    string // key with its table, for example "bounds.contact-ms" or "replace[1].old"; empty if the file is not TOML
+	Line   int    // line of the key or else of the enclosing value or table, counted from 1; 0 if none of them is in the file
 	Reason string
 }
 
-// Error names the key, its line and the reason.
+// Error names the line, the key and the reason, each if known.
 func (f *FaultError) Error() string {
 	text := f.Reason
 	if f.Key != "" {
@@ -26,9 +26,9 @@
 	return text
 }
 
-// FaultsError lists everything that is wrong with a file, in the order of its lines.
+// FaultsError lists all faults of a file, in the order of its lines.
 type FaultsError struct {
-	Format string // the name of the file's format, which begins the text
+	Format string // name of the file's format, with which the text begins
 	Faults []*FaultError
 }
 
@@ -50,7 +50,7 @@
 	return all
 }
 
-// Join sorts faults by line and key and makes them one *FaultsError. It returns nil for no faults.
+// Join sorts faults by line and key and returns them as one *FaultsError. It returns nil if there are no faults.
 func Join(format string, faults []*FaultError) error {
 	if len(faults) == 0 {
 		return nil
--- a/internal/region/tomlfile/format.go
+++ b/internal/region/tomlfile/format.go
@@ -8,16 +8,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Format is a kind of file that decodes into a T.
+// Format describes a kind of file whose content decodes into a T.
 type Format[T any] struct {
-	Name           string                 // begins the text of every *FaultsError
-	New            func() *T              // returns a value with the defaults, which is decoded into
-	Validate       func(*T) []*FaultError // returns every fault of a decoded value, by key and without lines
-	DenyUnknown    bool                   // keys that T doesn't have are faults; else they are ignored
-	NumberElements bool                   // keys in arrays of tables tell the element, "replace[1].old"; else "replace.old"
+	Name           string                 // name with which the text of every *FaultsError begins
+	New            func() *T              // returns a value with the defaults, into which a file is decoded
+	Validate       func(*T) []*FaultError // returns all faults of a decoded value, with keys and without lines
+	DenyUnknown    bool                   // whether keys without a field in T are faults; else they are ignored
+	NumberElements bool                   // whether keys in arrays of tables contain the element's index, "replace[1].old"; else "replace.old"
 }
 
-// Parse reads the content of a file. If it is at fault, the error is a *FaultsError that lists all faults.
+// Parse decodes and validates the content of a file. If it has faults, the error is a *FaultsError that lists them all.
 func (f *Format[T]) Parse(data []byte) (*T, error) {
 	index, fault := newKeyIndex(data, f.NumberElements)
 	if fault != nil {
@@ -39,8 +39,9 @@
 	return value, nil
 }
 
-// decode fills in a value. The decoder stops at a value of the wrong type: it is noted as a fault and blanked
-// out, and decoding begins anew, so that all of them are found. Without a value, the faults tell why.
+// decode decodes a file into a new value. The decoder stops at the first value of a wrong type. To find all of them,
+// decode records such a value as a fault, blanks it out and decodes the file again. If the returned value is nil, the
+// file cannot be decoded and the faults say why.
 func (f *Format[T]) decode(data []byte, index *keyIndex) (*T, []*FaultError) {
 	remaining := bytes.Clone(data)
 	var faults []*FaultError
@@ -85,7 +86,7 @@
 	return faults
 }
 
-// blankOut overwrites text with spaces and keeps the lines.
+// blankOut overwrites text with spaces and keeps its line breaks.
 func blankOut(data []byte) {
 	for index, character := range data {
 		if character != '\n' {
--- a/internal/region/tomlfile/index.go
+++ b/internal/region/tomlfile/index.go
@@ -9,22 +9,22 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyEntry is where a "key = value" or a table's heading stands.
+// keyEntry is the position of a "key = value" expression or of a table's heading in a file.
 type keyEntry struct {
-	key        string // with its table, for example "replace[1].old"
-	line       int    // counted from 1
-	start, end int    // offsets of its first line and of the next place
-	blanked    bool   // its value is of a wrong type and was blanked out
+	key        string // key with its table, for example "replace[1].old"
+	line       int    // number of the first line, counted from 1
+	start, end int    // offset of the first line, and of the first line of the next entry
+	blanked    bool   // whether the value had a wrong type and was blanked out
 }
 
-// keyIndex holds the places of a file in the order of its lines.
+// keyIndex has the entries of a file in the order of their lines.
 type keyIndex struct {
 	entries        []keyEntry
 	numberElements bool
-	counts         map[string]int // of the elements so far, by path of an array of tables
+	counts         map[string]int // number of elements found so far, by path of an array of tables
 }
 
-// newKeyIndex finds the place of every key. The fault is that of a file that is not TOML.
+// newKeyIndex finds the position of every key. It returns a fault if the file is not TOML.
 func newKeyIndex(data []byte, numberElements bool) (*keyIndex, *FaultError) {
 	index := &keyIndex{numberElements: numberElements, counts: make(map[string]int)}
 	var parser unstable.Parser
@@ -59,7 +59,8 @@
 	return parts, offset
 }
 
-// tablePath names a table by the elements that it lies in; a heading in double brackets begins a new element.
+// tablePath returns the path of a table, with the indexes of the elements that enclose it if the format numbers elements.
+// beginsElement says that the heading is in double brackets and so begins a new element of an array of tables.
 func (x *keyIndex) tablePath(parts []string, beginsElement bool) string {
 	if !x.numberElements {
 		return strings.Join(parts, ".")
@@ -91,7 +92,7 @@
 	var parserError *unstable.ParserError
 	if errors.As(err, &parserError) {
 		fault.Reason = parserError.Message
-		// The highlight is a part of data: what the two can hold differs by its offset.
+		// The highlight is a subslice of data, so their capacities differ by the offset of the highlight.
 		offset := cap(data) - cap(parserError.Highlight)
 		if offset >= 0 && offset <= len(data) {
 			fault.Line = bytes.Count(data[:offset], []byte("\n")) + 1
@@ -100,7 +101,7 @@
 	return fault
 }
 
-// entryAt returns the place that a line belongs to.
+// entryAt returns the entry that a line belongs to.
 func (x *keyIndex) entryAt(line int) *keyEntry {
 	found := &x.entries[0]
 	for index := range x.entries {
@@ -112,7 +113,7 @@
 	return found
 }
 
-// isBlankedOut reports whether a key was blanked out, alone or with the array that it lies in.
+// isBlankedOut reports whether the value of a key was blanked out, alone or with the array that contains it.
 func (x *keyIndex) isBlankedOut(key string) bool {
 	for _, entry := range x.entries {
 		if entry.blanked && (entry.key == key || strings.HasPrefix(key, entry.key+"[")) {
@@ -122,7 +123,7 @@
 	return false
 }
 
-// lineOf returns the line of a key, or of the table or value that it lies in; 0 if there is none.
+// lineOf returns the line of a key, or else of the innermost enclosing value or table in the file, or 0 if there is none.
 func (x *keyIndex) lineOf(key string) int {
 	for key != "" {
 		for _, entry := range x.entries {
--- a/internal/region/tomlfile/tomlfile_test.go
+++ b/internal/region/tomlfile/tomlfile_test.go
@@ -29,7 +29,7 @@
 
 const defaultLimit = 2.5
 
-// newFormat makes a format whose validation reports the given keys, in this order, for every file.
+// newFormat returns a format whose validation reports faults of the given keys, in this order, for every file.
 func newFormat(faulty ...string) *tomlfile.Format[document] {
 	return &tomlfile.Format[document]{
 		Name: "document",
@@ -113,7 +113,7 @@
 		"table.name", "limit", "group[1].title").Parse([]byte(valid))
 	requireFaults(t, err,
 		location{"limit", 0},
-		location{"table.name", 2}, // not in the file: the line of its table
+		location{"table.name", 2}, // the key is not in the file, so the line is that of its table
 		location{"table.count", 3},
 		location{"group[0].part[0].count", 6},
 		location{"group[0].part[1].name", 9},
@@ -158,7 +158,7 @@
 `
 	_, err := newFormat("name", "table.tags[1]", "group[0].part[0].count", "group[0].part[0].name").Parse([]byte(content))
 	requireFaults(t, err,
-		location{"name", 1}, // once: what was blanked out isn't validated
+		location{"name", 1}, // the only fault of this key: a value that was blanked out is not validated
 		location{"limit", 2},
 		location{"table.count", 4},
 		location{"table.tags", 7},
