--- a/internal/region/runtimelimits/limits.go
+++ b/internal/region/runtimelimits/limits.go
@@ -4,9 +4,9 @@
 import "runtime/debug"
 
 const (
-	// garbagePercent lets the heap grow by half between collections: memory is dearer than the few
+	// gcPercent lets the heap grow by half between collections: memory is dearer than the few
 	// microseconds that collecting a heap of some megabytes takes.
-	garbagePercent = 50
+	gcPercent = 50
 
 	// heapFractionNumerator of heapShareDenominator of a process's memory may be used by the Go runtime before it
 	// collects harder; the rest is for stacks of threads, code and buffers of sockets.
@@ -19,7 +19,7 @@
 // Apply sets the collector's pace and the soft memory limit for a process that may use ramMB megabytes. With
 // ramMB of 0 or less only the pace is set.
 func Apply(ramMB int) {
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 	if ramMB <= 0 {
 		return
 	}
--- a/internal/region/runtimelimits/limits_test.go
+++ b/internal/region/runtimelimits/limits_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// restore puts the runtime's settings back when the test ends.
-func restore(t *testing.T) {
+// restoreRuntimeSettings puts the runtime's settings back when the test ends.
+func restoreRuntimeSettings(t *testing.T) {
 	t.Helper()
 	percent := debug.SetGCPercent(100)
 	limit := debug.SetMemoryLimit(-1)
@@ -19,17 +19,17 @@
 	})
 }
 
-func TestApplySetsPaceAndLimit(t *testing.T) {
-	restore(t)
+func TestApplySetsGCPercentAndMemoryLimit(t *testing.T) {
+	restoreRuntimeSettings(t)
 	Apply(284)
-	require.Equal(t, garbagePercent, debug.SetGCPercent(100))
+	require.Equal(t, gcPercent, debug.SetGCPercent(100))
 	require.Equal(t, int64(213<<20), debug.SetMemoryLimit(-1))
 }
 
 func TestApplyWithoutLimit(t *testing.T) {
-	restore(t)
+	restoreRuntimeSettings(t)
 	debug.SetMemoryLimit(math.MaxInt64)
 	Apply(0)
-	require.Equal(t, garbagePercent, debug.SetGCPercent(100))
+	require.Equal(t, gcPercent, debug.SetGCPercent(100))
 	require.Equal(t, int64(math.MaxInt64), debug.SetMemoryLimit(-1))
 }
