--- a/internal/region/httpapi/body.go
+++ b/internal/region/httpapi/body.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// bodyReadTimeout is the longest time in which a body may arrive.
+// bodyReadTimeout bounds the time from the start of reading a body until its end arrives.
 const bodyReadTimeout = 10 * time.Second
 
-// LimitBody returns the body of a request within the bounds of size and time. BodyError explains the errors of its reads.
+// LimitBody returns a reader of the body of a request that enforces a limit on its size and on the time to read it.
+// BodyError converts the errors of the reader.
 func LimitBody(w http.ResponseWriter, r *http.Request, limitBytes int64) io.Reader {
-	// If the deadline cannot be set, the timeouts of the connection itself stay in force.
+	// If the deadline cannot be set, the timeouts of the connection itself still apply.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	return http.MaxBytesReader(w, r.Body, limitBytes)
 }
 
-// BodyError returns the rejection for an error of reading from LimitBody.
+// BodyError converts an error of a reader from LimitBody into a rejection.
 func BodyError(err error) RejectionError {
 	var tooLarge *http.MaxBytesError
 	switch {
--- a/internal/region/httpapi/errors.go
+++ b/internal/region/httpapi/errors.go
@@ -1,5 +1,5 @@
-// Package httpapi is what the HTTP APIs of a control machine have in common: errors that have their own responses, the
-// reading of bodies, bounds on open calls, and JSON responses.
+// Package httpapi has the common parts of the HTTP APIs of a control machine: errors that have their own responses, the
+// limited reading of request bodies, the limit on open calls, and JSON responses.
 package httpapi
 
 import (
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// RejectionError is an error with its own response: an HTTP status, and a code for programs. Its text, from Error, is
-// the message of the response.
+// RejectionError is an error with its own response: an HTTP status, a code for programs and a message, which Error
+// returns.
 type RejectionError interface {
 	error
 	// Status returns the HTTP status of the response.
@@ -29,7 +29,7 @@
 // Code returns not_ready.
 func (*NotReadyError) Code() string { return "not_ready" }
 
-// BodyTooLargeError rejects a body over the bound.
+// BodyTooLargeError rejects a body that exceeds the size limit.
 type BodyTooLargeError struct{ LimitBytes int64 }
 
 // Error returns the message of the response.
--- a/internal/region/httpapi/responses.go
+++ b/internal/region/httpapi/responses.go
@@ -5,7 +5,8 @@
 	"strconv"
 )
 
-// WriteJSON sends a complete response. retryAfter is its Retry-After in seconds, "" for none.
+// WriteJSON sends a complete response with a JSON body. retryAfter is the value of its Retry-After header in seconds; ""
+// leaves the header out.
 func WriteJSON(w http.ResponseWriter, status int, body []byte, retryAfter string) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
@@ -14,6 +15,6 @@
 		header.Set("Retry-After", retryAfter)
 	}
 	w.WriteHeader(status)
-	// A failed write means that the caller is gone; it retries.
+	// The write fails if the caller has disconnected. The error is ignored, since the caller then retries.
 	_, _ = w.Write(body)
 }
--- a/internal/region/httpapi/slots.go
+++ b/internal/region/httpapi/slots.go
@@ -1,12 +1,12 @@
 package httpapi
 
-// Slots bounds how many calls are open at a time; it holds a token for each. It is safe for concurrent use.
+// Slots is a semaphore that bounds the number of concurrent calls. It is safe for concurrent use.
 type Slots chan struct{}
 
-// NewSlots returns slots for a number of calls.
+// NewSlots returns the slots for at most count concurrent calls.
 func NewSlots(count int) Slots { return make(Slots, count) }
 
-// TryAcquire acquires a slot if one is free.
+// TryAcquire acquires a slot if one is free, and reports whether it did. It does not block.
 func (s Slots) TryAcquire() bool {
 	select {
 	case s <- struct{}{}:
--- a/internal/region/roleprocess/roleprocess.go
+++ b/internal/region/roleprocess/roleprocess.go
@@ -1,5 +1,5 @@
-// Package roleprocess is what all processes of the regional system have in common: they read their settings, fit the
-// runtime to them, log to standard error and work until SIGTERM.
+// Package roleprocess runs the processes of the regional system. Every process reads its settings, sets the limits of the
+// Go runtime accordingly, logs to standard error and runs its role until SIGTERM.
 package roleprocess
 
 import (
@@ -15,12 +15,13 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// Role is the whole work of a process, done when ctx ends.
+// Role is the work of a process. It returns when ctx ends.
 type Role func(ctx context.Context, initial *settings.Settings, logger *zap.Logger) error
 
-// Run reads the settings, fits the runtime to them and runs a role until SIGTERM.
+// Run reads the settings, sets the limits of the Go runtime and runs a role until SIGTERM or an interrupt.
 func Run(run Role) error {
-	// A hangup before the role listens for it must not end the process: the settings are read now anyway.
+	// SIGHUP reloads the settings. Until the role handles it, it must not end the process: the settings are read now
+	// anyway.
 	signal.Ignore(syscall.SIGHUP)
 	path, err := settings.Path()
 	if err != nil {
@@ -49,5 +50,5 @@
 	config.OutputPaths = []string{"stderr"}
 	config.ErrorOutputPaths = []string{"stderr"}
 	logger, err := config.Build()
-	return logger, errors.Wrap(err, "open the log")
+	return logger, errors.Wrap(err, "create the logger")
 }
--- a/internal/region/runtimelimits/limits.go
+++ b/internal/region/runtimelimits/limits.go
@@ -1,23 +1,24 @@
-// Package runtimelimits fits the Go runtime to the memory that a process may use.
+// Package runtimelimits sets the limits of the Go runtime for the memory that a process may use.
 package runtimelimits
 
 import "runtime/debug"
 
 const (
-	// gcPercent lets the heap grow by half between collections: memory is dearer than the few
-	// microseconds that collecting a heap of some megabytes takes.
+	// gcPercent lets the heap grow by half between collections: memory costs more than the few microseconds that the
+	// collection of a heap of some megabytes takes.
 	gcPercent = 50
 
-	// heapFractionNumerator of heapShareDenominator of a process's memory may be used by the Go runtime before it
-	// collects harder; the rest is for stacks of threads, code and buffers of sockets.
+	// heapFractionNumerator / heapFractionDenominator is the fraction of a process's memory that is the soft memory limit
+	// of the Go runtime, above which it collects garbage more often. The rest is for thread stacks, code and socket
+	// buffers.
 	heapFractionNumerator   = 3
 	heapFractionDenominator = 4
 
 	bytesPerMB = 1 << 20
 )
 
-// Apply sets the collector's pace and the soft memory limit for a process that may use ramMB megabytes. With
-// ramMB of 0 or less only the pace is set.
+// Apply sets the GC percent and the soft memory limit for a process that may use ramMB megabytes. If ramMB is 0 or less,
+// it sets only the GC percent.
 func Apply(ramMB int) {
 	debug.SetGCPercent(gcPercent)
 	if ramMB <= 0 {
--- a/internal/region/runtimelimits/limits_test.go
+++ b/internal/region/runtimelimits/limits_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// restoreRuntimeSettings puts the runtime's settings back when the test ends.
+// restoreRuntimeSettings restores the GC percent and the memory limit when the test ends.
 func restoreRuntimeSettings(t *testing.T) {
 	t.Helper()
 	percent := debug.SetGCPercent(100)
--- a/internal/region/splitmix/splitmix_test.go
+++ b/internal/region/splitmix/splitmix_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The generator SplitMix64 adds the golden ratio to its state and mixes the sum: its first numbers from the seed 0 are
-// known.
+// The generator SplitMix64 adds the golden ratio to its state and mixes the sum. The test compares with the known first
+// numbers of the generator from the seed 0.
 func TestMixIsThatOfTheGenerator(t *testing.T) {
 	const goldenRatio = uint64(0x9e3779b97f4a7c15)
 	state := uint64(0)
