--- a/internal/region/operatorapi/errors.go
+++ b/internal/region/operatorapi/errors.go
@@ -31,17 +31,17 @@
 // Code returns busy.
 func (*BusyError) Code() string { return "busy" }
 
-// CallerGoneError rejects an order whose caller closed the connection before the order was submitted.
-type CallerGoneError struct{}
+// CallerDisconnectedError rejects an order whose caller closed the connection before the order was submitted.
+type CallerDisconnectedError struct{}
 
 // Error returns the message of the response.
-func (*CallerGoneError) Error() string { return "the caller has given the order up" }
+func (*CallerDisconnectedError) Error() string { return "the caller has given the order up" }
 
 // Status returns 503.
-func (*CallerGoneError) Status() int { return http.StatusServiceUnavailable }
+func (*CallerDisconnectedError) Status() int { return http.StatusServiceUnavailable }
 
 // Code returns caller_gone.
-func (*CallerGoneError) Code() string { return "caller_gone" }
+func (*CallerDisconnectedError) Code() string { return "caller_gone" }
 
 // NoEndpointsError rejects a lookup because no proxy is known to accept requests.
 type NoEndpointsError struct{}
--- a/internal/region/operatorapi/interface_test.go
+++ b/internal/region/operatorapi/interface_test.go
@@ -29,7 +29,7 @@
 			answer.Header().Get("Content-Length"), answer.Header().Get("Retry-After"), answer.Body))
 	}
 	cause := errors.New("CAUSE")
-	for _, refusal := range []error{&httpapi.NotReadyError{}, &NotAuthoritativeError{}, &BusyError{}, &CallerGoneError{}, &NoEndpointsError{},
+	for _, refusal := range []error{&httpapi.NotReadyError{}, &NotAuthoritativeError{}, &BusyError{}, &CallerDisconnectedError{}, &NoEndpointsError{},
 		&httpapi.BodyTooLargeError{LimitBytes: 7}, &httpapi.BodyTimeoutError{}, &httpapi.BodyIncompleteError{Cause: cause}, &BadParameterError{Cause: cause},
 		&MissingBaseError{}, &UnknownZoneError{Zone: "z"}, cause} {
 		answer := httptest.NewRecorder()
--- a/internal/region/operatorapi/orders.go
+++ b/internal/region/operatorapi/orders.go
@@ -58,7 +58,7 @@
 		return
 	}
 	if !isFresh(r) && !callerStillConnected(r) {
-		s.reject(w, &CallerGoneError{})
+		s.reject(w, &CallerDisconnectedError{})
 		return
 	}
 	s.submit(w, r, order)
