--- a/internal/region/coordinationapi/responses.go
+++ b/internal/region/coordinationapi/responses.go
@@ -10,8 +10,8 @@
 	"fieldrelay/internal/region/httpapi"
 )
 
-// retryAfterSeconds is the Retry-After of calls that were not executed. RFC 9110 knows whole seconds only; api/operator.yaml
-// allows fractions.
+// retryAfterSeconds is the value of the Retry-After header of responses to calls that were not executed. RFC 9110 allows
+// only whole seconds; api/operator.yaml allows fractions.
 const retryAfterSeconds = "0.1"
 
 // responder returns the body of the response to a call that was executed.
--- a/internal/region/httpapi/slots.go
+++ b/internal/region/httpapi/slots.go
@@ -1,6 +1,7 @@
 package httpapi
 
-// Slots is a semaphore that bounds the number of concurrent calls. It is safe for concurrent use.
+// Slots is a semaphore that bounds the number of concurrent calls: the channel has one element for each open call. It is
+// safe for concurrent use.
 type Slots chan struct{}
 
 // NewSlots returns the slots for at most count concurrent calls.
--- a/internal/region/operatorapi/responses.go
+++ b/internal/region/operatorapi/responses.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// retryAfterSeconds is the Retry-After of responses with 503. RFC 9110 knows whole seconds only;
-	// api/operator.yaml allows fractions.
+	// retryAfterSeconds is the value of the Retry-After header of responses with 503. RFC 9110 allows only whole
+	// seconds; api/operator.yaml allows fractions.
 	retryAfterSeconds = "0.2"
 
 	maxHTTPStatus = 599
--- a/internal/region/roleprocess/roleprocess.go
+++ b/internal/region/roleprocess/roleprocess.go
@@ -1,5 +1,5 @@
-// Package roleprocess runs the processes of the regional system. Every process reads its settings, sets the limits of the
-// Go runtime accordingly, logs to standard error and runs its role until SIGTERM.
+// Package roleprocess runs the processes of the regional system. Every process reads its settings, sets the limits of
+// the Go runtime accordingly, logs to standard error and runs its role until SIGTERM.
 package roleprocess
 
 import (
--- a/internal/region/tomlfile/faults.go
+++ b/internal/region/tomlfile/faults.go
@@ -10,7 +10,7 @@
 // FaultError is one fault of a file.
 type FaultError struct {
 	Key    string // key with its table, for example "bounds.contact-ms" or "replace[1].old"; empty if the file is not TOML
-	Line   int    // line of the key or else of the enclosing value or table, counted from 1; 0 if none of them is in the file
+	Line   int    // line of the key, or else of the enclosing value or table, counted from 1; 0: none is in the file
 	Reason string
 }
 
--- a/internal/region/tomlfile/index.go
+++ b/internal/region/tomlfile/index.go
@@ -59,8 +59,8 @@
 	return parts, offset
 }
 
-// tablePath returns the path of a table, with the indexes of the elements that enclose it if the format numbers elements.
-// beginsElement says that the heading is in double brackets and so begins a new element of an array of tables.
+// tablePath returns the path of a table. If the format numbers elements, the path contains the indexes of the enclosing
+// elements. beginsElement says that the heading is in double brackets and so begins a new element of an array of tables.
 func (x *keyIndex) tablePath(parts []string, beginsElement bool) string {
 	if !x.numberElements {
 		return strings.Join(parts, ".")
@@ -101,7 +101,7 @@
 	return fault
 }
 
-// entryAt returns the entry that a line belongs to.
+// entryAt returns the entry that a line belongs to: the last one that begins at the line or before it.
 func (x *keyIndex) entryAt(line int) *keyEntry {
 	found := &x.entries[0]
 	for index := range x.entries {
@@ -123,7 +123,8 @@
 	return false
 }
 
-// lineOf returns the line of a key, or else of the innermost enclosing value or table in the file, or 0 if there is none.
+// lineOf returns the line of a key, or else of the innermost enclosing value or table in the file. It returns 0 if the file
+// has none of them.
 func (x *keyIndex) lineOf(key string) int {
 	for key != "" {
 		for _, entry := range x.entries {
