--- a/internal/region/coordinationapi/validate.go
+++ b/internal/region/coordinationapi/validate.go
@@ -11,14 +11,14 @@
 	engine "fieldrelay/internal/region/coordination"
 )
 
-// Bounds of what a call may contain.
+// Upper limits of the members of calls.
 const (
 	maxNameBytes  = 256
 	maxValueBytes = 64 << 10
-	maxHold       = time.Hour
+	maxHoldTime   = time.Hour
 )
 
-// Members of calls, as their faults name them.
+// Names of the members of calls in bodies, paths and queries, and in faults.
 const (
 	fieldID       = "id"
 	fieldHolder   = "holder"
@@ -29,19 +29,19 @@
 	fieldWait     = "wait-ms"
 )
 
-// bodyFields are the members of the bodies of all calls.
+// bodyFields are the names of the members of the bodies of all calls.
 var bodyFields = []string{fieldHolder, fieldHold, fieldFence, fieldValue, fieldRevision}
 
 // Faults of members.
 var (
-	errInvalidText  = validation.NewError("validation_utf8", "must be UTF-8")
-	errNoGroup      = validation.NewError("validation_group", "must be a group: the name of a key up to its first dot, dot included")
-	errNotPositive  = validation.NewError("validation_positive", "must be no less than 1")
-	errNegative     = validation.NewError("validation_negative", "must be no less than 0")
-	errMemberAbsent = validation.NewError("validation_absent", "is missing")
+	errInvalidText = validation.NewError("validation_utf8", "must be UTF-8")
+	errNotGroup    = validation.NewError("validation_group", "must be a group: the name of a key up to its first dot, dot included")
+	errNotPositive = validation.NewError("validation_positive", "must be no less than 1")
+	errNegative    = validation.NewError("validation_negative", "must be no less than 0")
+	errMissing     = validation.NewError("validation_absent", "is missing")
 )
 
-// isText accepts UTF-8 alone.
+// isText accepts strings of valid UTF-8.
 var isText = validation.By(func(value any) error {
 	if text, _ := value.(string); !utf8.ValidString(text) {
 		return errInvalidText
@@ -52,21 +52,21 @@
 // isGroup accepts the names of groups.
 var isGroup = validation.By(func(value any) error {
 	if text, _ := value.(string); engine.GroupOf(text) != text {
-		return errNoGroup
+		return errNotGroup
 	}
 	return nil
 })
 
-// isHold accepts the times for which a lock may be held.
-var isHold = validation.By(func(value any) error {
+// isHoldTime accepts the times, in milliseconds, for which a lock may be held.
+var isHoldTime = validation.By(func(value any) error {
 	if hold, _ := value.(float64); hold < 1 {
 		return errNotPositive
 	}
-	return validation.Validate(value, validation.Max(float64(maxHold.Milliseconds())))
+	return validation.Validate(value, validation.Max(float64(maxHoldTime.Milliseconds())))
 })
 
-// isWait accepts the times for which a watch may wait; NaN is none.
-var isWait = validation.By(func(value any) error {
+// isWaitTime accepts the times, in milliseconds, for which a watch may wait. It rejects NaN.
+var isWaitTime = validation.By(func(value any) error {
 	if wait, _ := value.(*float64); wait != nil && !(*wait >= 0) {
 		return errNegative
 	}
@@ -80,7 +80,7 @@
 func validateWatch(group string, waitMS *float64) error {
 	return invalidFields(validation.Errors{
 		fieldID:   validation.Validate(group, validation.Required, validation.Length(1, maxNameBytes), isText, isGroup),
-		fieldWait: validation.Validate(waitMS, isWait),
+		fieldWait: validation.Validate(waitMS, isWaitTime),
 	})
 }
 
@@ -88,10 +88,10 @@
 	return invalidFields(validation.Errors{fieldHolder: validateName(holder)})
 }
 
-func validateHold(holder string, holdMS float64) error {
+func validateHolderAndHold(holder string, holdMS float64) error {
 	return invalidFields(validation.Errors{
 		fieldHolder: validateName(holder),
-		fieldHold:   validation.Validate(holdMS, isHold),
+		fieldHold:   validation.Validate(holdMS, isHoldTime),
 	})
 }
 
@@ -103,7 +103,7 @@
 	return invalidFields(validation.Errors{fieldValue: validation.Validate(value, validation.Length(0, maxValueBytes))})
 }
 
-// parameterError is the rejection for a parameter of a path or query that cannot be read.
+// parameterError returns the rejection for a parameter of a path or query that cannot be parsed.
 func parameterError(err error) error {
 	if invalid, isInvalid := errors.AsType[*coordination.InvalidParamFormatError](err); isInvalid {
 		return invalidField(invalid.ParamName, invalid.Err.Error())
--- a/internal/region/operatorapi/freshness_test.go
+++ b/internal/region/operatorapi/freshness_test.go
@@ -19,17 +19,18 @@
 
 const beginEvacuation = "POST /api/drain/brno-hala/begin HTTP/1.1\r\nHost: core\r\n"
 
-// delayedServer serves over TCP as if every request had reached it a delay after its connection was ready.
+// delayedServer is an HTTP server over TCP to which each request seems to arrive a given delay after its connection was
+// ready.
 type delayedServer struct {
 	*httptest.Server
 	orders *recordedOrders
-	done   chan struct{} // gets one element for each call that has ended
+	done   chan struct{} // receives one element for each completed call
 }
 
 func newDelayedServer(t *testing.T, delay time.Duration) *delayedServer {
 	t.Helper()
 	s := &delayedServer{orders: answeringWith(http.StatusOK, "{}"), done: make(chan struct{}, 8)}
-	calls := New(optionsWith(s.orders)).Handler(everything)
+	calls := New(optionsWith(s.orders)).Handler(allServices)
 	s.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		connectionOf(r).readyAt.Add(-int64(delay))
 		calls.ServeHTTP(w, r)
@@ -41,8 +42,8 @@
 	return s
 }
 
-// sendAndGiveUp sends a request and closes the connection.
-func (s *delayedServer) sendAndGiveUp(t *testing.T, request string) {
+// sendAndDisconnect sends a request and closes the connection.
+func (s *delayedServer) sendAndDisconnect(t *testing.T, request string) {
 	t.Helper()
 	connection, err := net.Dial("tcp", s.Listener.Addr().String())
 	require.NoError(t, err)
@@ -52,7 +53,7 @@
 	<-s.done
 }
 
-func TestHeldEvacuationWhoseCallerHasGoneIsNotHandedOver(t *testing.T) {
+func TestDelayedEvacuationOfDisconnectedCallerIsNotSubmitted(t *testing.T) {
 	for name, request := range map[string]string{
 		"without a body":    beginEvacuation + "\r\n",
 		"with a length":     beginEvacuation + "Content-Length: 2\r\n\r\n{}",
@@ -61,22 +62,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newDelayedServer(t, networkDelay)
-			server.sendAndGiveUp(t, request)
+			server.sendAndDisconnect(t, request)
 			require.Empty(t, server.orders.orders)
 		})
 	}
 }
 
-// With the planted fault that a request of any age counts as fresh, the delayed order is submitted.
-func TestAgeIsWhatKeepsHeldEvacuationsBack(t *testing.T) {
+// If a request counts as fresh, its order is submitted although the caller has disconnected: it is the age of a request
+// that TestDelayedEvacuationOfDisconnectedCallerIsNotSubmitted depends on.
+func TestFreshEvacuationOfDisconnectedCallerIsSubmitted(t *testing.T) {
 	server := newDelayedServer(t, 0)
-	server.sendAndGiveUp(t, beginEvacuation+"\r\n")
+	server.sendAndDisconnect(t, beginEvacuation+"\r\n")
 	require.Len(t, server.orders.orders, 1)
 }
 
-func TestHeldEvacuationWhoseCallerWaitsIsTaken(t *testing.T) {
+func TestDelayedEvacuationOfConnectedCallerIsSubmitted(t *testing.T) {
 	server := newDelayedServer(t, networkDelay)
-	for range 2 { // on one connection
+	for range 2 { // both requests use one connection
 		answer, err := server.Client().Post(server.URL+"/api/drain/brno-hala/begin", "", nil)
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, answer.StatusCode)
@@ -97,7 +99,7 @@
 	require.Less(t, time.Since(began), CallerCheckDelay)
 }
 
-func TestOrderOfACallerThatLeavesIsWithdrawn(t *testing.T) {
+func TestOrderOfDisconnectedCallerIsCanceled(t *testing.T) {
 	server := newDelayedServer(t, 0)
 	ended := make(chan error, 1)
 	server.orders.answer = func(ctx context.Context, _ *pb.Order) *pb.OrderResult {
@@ -105,11 +107,11 @@
 		ended <- context.Cause(ctx)
 		return &pb.OrderResult{Status: http.StatusServiceUnavailable}
 	}
-	server.sendAndGiveUp(t, beginEvacuation+"\r\n")
+	server.sendAndDisconnect(t, beginEvacuation+"\r\n")
 	require.ErrorIs(t, <-ended, context.Canceled)
 }
 
-func TestOutOfTouchUnknownZoneIsNotRefused(t *testing.T) {
+func TestUnknownZoneIsNotRejectedWith404WhenNotAuthoritative(t *testing.T) {
 	options := optionsWith(answeringWith(http.StatusOK, ""))
 	options.Authoritative = func() bool { return false }
 	recorder := call(options, "POST", "/api/drain/nowhere/begin", "", nil)
--- a/internal/region/tomlfile/index.go
+++ b/internal/region/tomlfile/index.go
@@ -9,22 +9,22 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyEntry is where a "key = value" or a table's heading stands.
+// keyEntry is the position of a "key = value" expression or of a table's heading in a file.
 type keyEntry struct {
-	key        string // with its table, for example "replace[1].old"
-	line       int    // counted from 1
-	start, end int    // offsets of its first line and of the next place
-	blank      bool   // its value is of a wrong type and was blanked out
+	key        string // key with its table, for example "replace[1].old"
+	line       int    // number of the first line, counted from 1
+	start, end int    // offset of the first line, and of the first line of the next entry
+	blanked    bool   // whether the value had a wrong type and was blanked out
 }
 
-// keyIndex holds the places of a file in the order of its lines.
+// keyIndex has the entries of a file in the order of their lines.
 type keyIndex struct {
-	places         []keyEntry
+	entries        []keyEntry
 	numberElements bool
-	counts         map[string]int // of the elements so far, by path of an array of tables
+	counts         map[string]int // number of elements found so far, by path of an array of tables
 }
 
-// newKeyIndex finds the place of every key. The fault is that of a file that is not TOML.
+// newKeyIndex finds the position of every key. It returns a fault if the file is not TOML.
 func newKeyIndex(data []byte, numberElements bool) (*keyIndex, *FaultError) {
 	index := &keyIndex{numberElements: numberElements, counts: make(map[string]int)}
 	var parser unstable.Parser
@@ -37,7 +37,7 @@
 		if node.Kind == unstable.KeyValue {
 			key = table + strings.Join(parts, ".")
 		} else {
-			key = index.resolve(parts, node.Kind == unstable.ArrayTable)
+			key = index.tablePath(parts, node.Kind == unstable.ArrayTable)
 			table = key + "."
 		}
 		index.add(data, key, offset)
@@ -59,15 +59,16 @@
 	return parts, offset
 }
 
-// resolve names a table by the elements that it lies in; a heading in double brackets begins a new element.
-func (x *keyIndex) resolve(parts []string, begins bool) string {
+// tablePath returns the path of a table. If the format numbers elements, the path contains the indexes of the enclosing
+// elements. beginsElement says that the heading is in double brackets and so begins a new element of an array of tables.
+func (x *keyIndex) tablePath(parts []string, beginsElement bool) string {
 	if !x.numberElements {
 		return strings.Join(parts, ".")
 	}
 	path := ""
 	for position, part := range parts {
 		path = strings.TrimPrefix(path+"."+part, ".")
-		if begins && position == len(parts)-1 {
+		if beginsElement && position == len(parts)-1 {
 			x.counts[path]++
 		}
 		if count := x.counts[path]; count > 0 {
@@ -79,11 +80,11 @@
 
 func (x *keyIndex) add(data []byte, key string, offset int) {
 	start := bytes.LastIndexByte(data[:offset], '\n') + 1
-	if last := len(x.places) - 1; last >= 0 {
-		x.places[last].end = start
+	if last := len(x.entries) - 1; last >= 0 {
+		x.entries[last].end = start
 	}
 	line := bytes.Count(data[:start], []byte("\n")) + 1
-	x.places = append(x.places, keyEntry{key: key, line: line, start: start, end: len(data)})
+	x.entries = append(x.entries, keyEntry{key: key, line: line, start: start, end: len(data)})
 }
 
 func syntaxFault(data []byte, err error) *FaultError {
@@ -91,7 +92,7 @@
 	var parserError *unstable.ParserError
 	if errors.As(err, &parserError) {
 		fault.Reason = parserError.Message
-		// The highlight is a part of data: what the two can hold differs by its offset.
+		// The highlight is a subslice of data, so their capacities differ by the offset of the highlight.
 		offset := cap(data) - cap(parserError.Highlight)
 		if offset >= 0 && offset <= len(data) {
 			fault.Line = bytes.Count(data[:offset], []byte("\n")) + 1
@@ -100,34 +101,35 @@
 	return fault
 }
 
-// entryAt returns the place that a line belongs to.
+// entryAt returns the entry that a line belongs to: the last one that begins at the line or before it.
 func (x *keyIndex) entryAt(line int) *keyEntry {
-	found := &x.places[0]
-	for index := range x.places {
-		if x.places[index].line > line {
+	found := &x.entries[0]
+	for index := range x.entries {
+		if x.entries[index].line > line {
 			break
 		}
-		found = &x.places[index]
+		found = &x.entries[index]
 	}
 	return found
 }
 
-// isBlank reports whether a key was blanked out, alone or with the array that it lies in.
-func (x *keyIndex) isBlank(key string) bool {
-	for _, one := range x.places {
-		if one.blank && (one.key == key || strings.HasPrefix(key, one.key+"[")) {
+// isBlankedOut reports whether the value of a key was blanked out, alone or with the array that contains it.
+func (x *keyIndex) isBlankedOut(key string) bool {
+	for _, entry := range x.entries {
+		if entry.blanked && (entry.key == key || strings.HasPrefix(key, entry.key+"[")) {
 			return true
 		}
 	}
 	return false
 }
 
-// lineOf returns the line of a key, or of the table or value that it lies in; 0 if there is none.
+// lineOf returns the line of a key, or else of the innermost enclosing value or table in the file. It returns 0 if the file
+// has none of them.
 func (x *keyIndex) lineOf(key string) int {
 	for key != "" {
-		for _, one := range x.places {
-			if one.key == key {
-				return one.line
+		for _, entry := range x.entries {
+			if entry.key == key {
+				return entry.line
 			}
 		}
 		key = key[:max(strings.LastIndexAny(key, ".["), 0)]
