--- a/internal/region/ring/append.go
+++ b/internal/region/ring/append.go
@@ -5,15 +5,15 @@
 )
 
 const (
-	// growthBytes is the step in which a file grows.
+	// growthBytes is the unit, in bytes, to which the length of a growing file is rounded up.
 	growthBytes = 256 << 10
-	// maxRetainedBuffer is the largest buffer, in bytes, that is retained for the next append.
+	// maxRetainedBuffer is the largest buffer, in bytes, that is reused for the next append.
 	maxRetainedBuffer = 64 << 10
 )
 
 // Append appends records. It returns nil once all of them are on disk. The error is ErrClosed, a *WriteError or a
-// *TooLargeError; the ring is then as before, but the next recovery may return some of the records, in order from the
-// first, if no later append succeeds.
+// *TooLargeError. After an error the ring is unchanged, but if no later append succeeds, the next recovery may return a
+// prefix of the records.
 func (r *Ring) Append(records ...Record) error {
 	if r.closed {
 		return ErrClosed
@@ -84,12 +84,12 @@
 	return nil
 }
 
-// fileLimit is the bound on the length of one file, in bytes.
+// fileLimit returns the maximum length of one file, in bytes.
 func (r *Ring) fileLimit() int64 {
 	return max(r.options.MaxBytes/int64(r.options.Files), r.options.FileBytes)
 }
 
-// ensureSize grows a file to the needed length, if it is shorter, and returns its length.
+// ensureSize grows a file that is shorter than needed, and returns the file's length.
 func (r *Ring) ensureSize(file File, name string, length, need int64) (int64, error) {
 	if need <= length && length >= r.options.FileBytes {
 		return length, nil
--- a/internal/region/ring/candidate.go
+++ b/internal/region/ring/candidate.go
@@ -10,13 +10,13 @@
 // readBufferBytes is the size of a read during recovery.
 const readBufferBytes = 32 << 10
 
-// Ending is what follows the last valid frame of a file.
+// Ending classifies the data that follows the last valid frame of a file.
 type Ending int
 
 const (
-	// EndingClean means that nothing looks like a frame of this file.
+	// EndingClean means that the data is not a frame of this file's epoch.
 	EndingClean Ending = iota
-	// EndingTorn means an incomplete frame of this file, as a loss of power or a failed write leaves it.
+	// EndingTorn means that an incomplete frame of this file follows, as a power failure or a failed write leaves it.
 	EndingTorn
 )
 
@@ -28,7 +28,7 @@
 	return "clean"
 }
 
-// candidate is the valid part of one file.
+// candidate is the valid content of one file that recovery may choose.
 type candidate struct {
 	slot           int
 	size           int64
@@ -36,7 +36,7 @@
 	headerValid    bool
 	headerChecksum uint64
 	snapshotValid  bool
-	snapshotLost   bool // the snapshot is invalid but was on disk once: a record follows it
+	snapshotLost   bool // the snapshot is invalid but was on disk before: a record follows it
 	snapshot       []byte
 	records        []Record
 	position       position
@@ -101,8 +101,8 @@
 	return errors.Wrapf(c.detectLostSnapshot(file), "read %s", fileName(c.slot))
 }
 
-// detectLostSnapshot sets snapshotLost if the first record follows the invalid snapshot. A record is only appended
-// once the snapshot is on disk, so no loss of power leaves such a file: the disk has damaged it.
+// detectLostSnapshot sets snapshotLost if the first record follows the invalid snapshot. A record is appended only
+// once the snapshot is on disk, so a power failure cannot leave such a file: the snapshot was corrupted later.
 func (c *candidate) detectLostSnapshot(file File) error {
 	var data [frameHeaderBytes]byte
 	complete, err := readFull(io.NewSectionReader(file, fileHeaderBytes, frameHeaderBytes), data[:])
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// accept adds the frame that readFrame has verified.
+// accept adds a frame that readFrame has verified.
 func (c *candidate) accept(record Record) {
 	c.position.end += frameHeaderBytes + int64(len(record.Payload))
 	if c.position.sequence == 0 {
@@ -136,8 +136,8 @@
 	c.position.sequence++
 }
 
-// toRecovered returns the content of the ring if this file is the one to recover. The ring is also fresh with a file
-// that holds nothing but an empty snapshot: the append that began it may have failed.
+// toRecovered returns the ring's content as recovered from this file. A file that holds only an empty snapshot also
+// counts as a fresh ring: the append that created the file may have failed.
 func (c *candidate) toRecovered() *Recovered {
 	return &Recovered{
 		Fresh:    len(c.snapshot) == 0 && len(c.records) == 0,
@@ -146,7 +146,7 @@
 	}
 }
 
-// readFrame reads the next frame and advances the checksum; valid is false after the last valid one.
+// readFrame reads the next frame and advances the checksum; valid is false after the last valid frame.
 func (c *candidate) readFrame(reader *bufio.Reader) (record Record, valid bool, err error) {
 	var data [frameHeaderBytes]byte
 	if complete, err := readFull(reader, data[:]); !complete {
@@ -173,7 +173,7 @@
 	return Record{Kind: frame.kind, Payload: payload}, true, nil
 }
 
-// readFull fills the buffer; complete is false, without an error, if the file ends before.
+// readFull fills the buffer; complete is false, without an error, if the file ends before the buffer is full.
 func readFull(reader io.Reader, buffer []byte) (complete bool, err error) {
 	_, err = io.ReadFull(reader, buffer)
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/region/ring/export_test.go
+++ b/internal/region/ring/export_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// SetVersion rewrites the header of a file with another version of the format.
+// SetVersion rewrites the header of a file with another format version.
 func SetVersion(t *testing.T, path string, version uint32) {
 	t.Helper()
 	file, err := os.OpenFile(path, os.O_RDWR, 0)
@@ -18,18 +18,18 @@
 	require.NoError(t, file.Close())
 }
 
-// SyncBy replaces the function by which a folder syncs.
+// SyncBy replaces the function that syncs a folder.
 func (f *Folder) SyncBy(sync func(path string) (found bool, err error)) { f.sync = sync }
 
 // Stats describes the current file of a ring.
 type Stats struct {
-	Epoch         uint64 // number of files begun so far
-	Records       int    // after the snapshot
+	Epoch         uint64 // number of files written so far
+	Records       int    // number of records after the snapshot
 	SnapshotBytes int64
 	RecordBytes   int64
 }
 
-// Stats returns the figures of the current file.
+// Stats returns the statistics of the current file.
 func (r *Ring) Stats() Stats {
 	stats := Stats{
 		Epoch:         r.current.epoch,
--- a/internal/region/ring/folder.go
+++ b/internal/region/ring/folder.go
@@ -9,23 +9,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Folder is a folder of the operating system. It implements Files, and is not safe for concurrent use.
+// Folder is a folder of the file system. It implements Storage, and is not safe for concurrent use.
 type Folder struct {
 	path         string
 	parentSynced bool                                      // the folder's own entry in its parent is durable
-	sync         func(path string) (found bool, err error) // of one folder
+	sync         func(path string) (found bool, err error) // syncs one folder; found: the folder exists
 }
 
-// NewFolder returns the folder with a path. It is created with its first file.
+// NewFolder returns the folder at a path. A missing folder is created together with its first file.
 func NewFolder(path string) *Folder { return &Folder{path: path, sync: syncFolder} }
 
-// Permissions of what a Folder creates.
+// Permissions of the folders and files that a Folder creates.
 const (
 	folderMode = 0o755
 	fileMode   = 0o644
 )
 
-// List returns the names of the regular files.
+// List returns the names of all entries that are not folders; none if the folder is missing.
 func (f *Folder) List() ([]string, error) {
 	entries, err := os.ReadDir(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -43,7 +43,7 @@
 	return names, nil
 }
 
-// Open opens a file for reading and writing, see Files.
+// Open opens a file for reading and writing, see Storage.
 func (f *Folder) Open(name string, create bool) (File, error) {
 	flags := os.O_RDWR
 	if create {
@@ -59,8 +59,8 @@
 	return osFile{file}, nil
 }
 
-// Sync makes the list of files durable, and the first time the folder's own entry in its parent too. A missing folder
-// has nothing to sync.
+// Sync makes the names of the files durable, and on its first success also the folder's own entry in its parent. If the
+// folder is missing, Sync does nothing.
 func (f *Folder) Sync() error {
 	found, err := f.sync(f.path)
 	if err != nil || !found || f.parentSynced {
@@ -86,7 +86,7 @@
 	return true, errors.CombineErrors(syncErr, folder.Close())
 }
 
-// osFile is a file of the operating system. It implements File.
+// osFile is a file of the file system. It implements File.
 type osFile struct {
 	*os.File
 }
--- a/internal/region/ring/format.go
+++ b/internal/region/ring/format.go
@@ -9,22 +9,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The format is described in the package comment.
+// Constants of the file format, which the package comment describes.
 const (
 	formatVersion    = 1
 	fileHeaderBytes  = 40
-	frameHeaderBytes = 32 // before the payload
+	frameHeaderBytes = 32 // length of a frame's header, which precedes its payload
 	checksumBytes    = 8
 	magic            = "frelring"
 	filePrefix       = "ring-"
-	// maxPayloadBytes bounds what recovery reads because of a damaged length.
+	// maxPayloadBytes bounds the payload that recovery reads if the length in a frame is corrupt.
 	maxPayloadBytes = 1 << 30
 )
 
 // fileName returns the name of the file with a number.
 func fileName(slot int) string { return filePrefix + strconv.Itoa(slot) }
 
-// slotOf returns the number of a file of the ring by its name; false for other files.
+// slotOf parses the number of a ring file from its name; it returns false for other files.
 func slotOf(name string) (int, bool) {
 	digits, found := strings.CutPrefix(name, filePrefix)
 	if !found {
@@ -77,7 +77,7 @@
 // frameHeader is the header of a frame, before its payload.
 type frameHeader struct {
 	checksum uint64
-	epoch    uint32 // the lower half
+	epoch    uint32 // lower half of the file's epoch
 	sequence uint32
 	length   uint32
 	kind     uint8
@@ -99,7 +99,7 @@
 	return buffer, checksum
 }
 
-// parseFrameHeader decodes a header, whose checksum must still be verified.
+// parseFrameHeader decodes a header without verifying its checksum.
 func parseFrameHeader(frame []byte) frameHeader {
 	return frameHeader{
 		checksum: binary.LittleEndian.Uint64(frame),
@@ -111,7 +111,7 @@
 	}
 }
 
-// frameChecksum is the checksum of a frame after one with the previous checksum.
+// frameChecksum returns the checksum of a frame, given the checksum of the previous frame or of the file header.
 func frameChecksum(previous uint64, frame, payload []byte) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -123,7 +123,7 @@
 	return digest.Sum64()
 }
 
-// versionReason is the reason of a CorruptError for a file of another version.
+// versionReason returns the reason of a CorruptError for a file of another format version.
 func versionReason(version uint32) string {
-	return fmt.Sprintf("it is of version %d, this program knows %d", version, formatVersion)
+	return fmt.Sprintf("unsupported format version %d, want %d", version, formatVersion)
 }
--- a/internal/region/ring/golden_test.go
+++ b/internal/region/ring/golden_test.go
@@ -15,9 +15,9 @@
 	"fieldrelay/internal/region/ring"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// goldenFiles are the files of the golden ring. Ring-0 was begun twice: it holds the third epoch.
+// goldenFiles are the files of the golden ring. The file ring-0 was written twice and holds the third epoch.
 var goldenFiles = []string{"ring-0", "ring-1"}
 
 func goldenRecords() []ring.Record {
@@ -29,7 +29,7 @@
 	}
 }
 
-// writeGoldenRing fills a folder with three epochs, each by a writer of its own with a known nonce.
+// writeGoldenRing writes three epochs to a folder, each by a separate writer with a known nonce.
 func writeGoldenRing(t *testing.T, folder string) {
 	t.Helper()
 	nonce := uint64(0x1122334455667700)
@@ -69,8 +69,8 @@
 	return folder
 }
 
-// Guards the format of the files on disk: the same writes give the very bytes that they gave when the golden ring was
-// written. With -update the golden ring is written anew.
+// Guards the on-disk format against unintended changes: the same writes must produce the bytes of the golden ring. The
+// flag -update rewrites the golden ring.
 func TestGoldenRingIsWrittenByteForByte(t *testing.T) {
 	written := t.TempDir()
 	writeGoldenRing(t, written)
@@ -96,8 +96,8 @@
 	}
 }
 
-// Guards what a machine finds after an upgrade: snapshot and records of an earlier program's ring, in order, to which
-// more can be appended.
+// Guards upgrades of a machine: the snapshot and the records that an earlier version of the program wrote are recovered
+// in order, and further records can be appended to them.
 func TestGoldenRingIsRecovered(t *testing.T) {
 	folder := unpackGoldenRing(t)
 	opened, recovered, err := ring.Open(folder, ring.Options{})
@@ -118,8 +118,9 @@
 	requireRecords(t, append(goldenRecords(), more), recovered.Records)
 }
 
-// Guards the choice of what counts: without its last record's sum only that record is lost; without the snapshot
-// before them the ring is corrupt; and a file that was not begun leaves the one before it in force.
+// Guards recovery from damaged files: a last record with an invalid checksum loses only that record; an invalid
+// snapshot that records follow makes the ring corrupt; and if the newest file has no valid header, the file before it
+// is recovered.
 func TestGoldenRingTornIsRecoveredAsFarAsItIsWhole(t *testing.T) {
 	folder := unpackGoldenRing(t)
 	name := filepath.Join(folder, "ring-0")
@@ -142,7 +143,7 @@
 	damage("the third snapshot")
 	_, _, err = ring.Open(folder, ring.Options{})
 	var corrupt *ring.CorruptError
-	require.ErrorAs(t, err, &corrupt, "records follow: they were on disk, so nothing older may take their place")
+	require.ErrorAs(t, err, &corrupt, "acknowledged records follow the snapshot, so an older state must not be recovered")
 	damage("frelring")
 	recovered := reopen()
 	require.Equal(t, "the second snapshot", string(recovered.Snapshot))
--- a/internal/region/ring/harness_test.go
+++ b/internal/region/ring/harness_test.go
@@ -12,15 +12,15 @@
 	"fieldrelay/internal/region/ring/ringtest"
 )
 
-// harness drives a ring on a disk that fails, beside a model of what must be recovered. The state is a list
-// of numbered entries: a snapshot holds all entries so far, a record one more.
+// harness drives a ring on a faulty disk, together with a model of the state that must be recovered. The state is a
+// list of numbered entries: a snapshot holds all entries so far, a record one further entry.
 type harness struct {
 	t        *rapid.T
 	random   *rand.Rand
 	disk     *ringtest.Disk
 	ring     *ring.Ring
-	entries  []string   // whose append succeeded
-	failed   [][]string // batches that failed after the last success, any of which may be recovered
+	entries  []string   // entries whose append succeeded
+	failed   [][]string // batches whose append failed after the last success, any of which may be recovered
 	next     int
 	maxEntry int
 }
@@ -32,7 +32,7 @@
 	return h
 }
 
-// encodeEntries is the payload of a snapshot of the entries.
+// encodeEntries returns the payload of a snapshot of the entries.
 func encodeEntries(entries []string) []byte {
 	var buffer bytes.Buffer
 	for _, entry := range entries {
@@ -65,7 +65,7 @@
 	return entries
 }
 
-// newEntry returns an entry that differs from all others. Some share their length with earlier ones.
+// newEntry returns an entry that differs from all others. Some entries have the same length as earlier ones.
 func (h *harness) newEntry() string {
 	h.next++
 	length := h.random.IntN(h.maxEntry)
@@ -97,7 +97,7 @@
 	}
 }
 
-// reopen opens the ring, without faults of the disk if it must, and checks what is recovered.
+// reopen opens the ring and checks the recovered state. If the faults of the disk prevent that, it ends them first.
 func (h *harness) reopen() {
 	opened, recovered, err := ring.Open("", smallRing(h.disk, h.random))
 	if err != nil {
@@ -112,8 +112,8 @@
 	h.check(recovered)
 }
 
-// check requires exactly the entries whose append succeeded, followed by no more than the beginning of one batch that
-// failed after them.
+// check requires exactly the entries whose append succeeded, optionally followed by a prefix of one batch that failed
+// after them.
 func (h *harness) check(recovered *ring.Recovered) {
 	for _, record := range recovered.Records {
 		require.Equal(h.t, uint8(7), record.Kind)
@@ -123,12 +123,12 @@
 	require.GreaterOrEqual(h.t, len(entries), len(h.entries), "acknowledged entries were lost")
 	require.Equal(h.t, h.entries, entries[:len(h.entries):len(h.entries)])
 	surplus := entries[len(h.entries):]
-	require.True(h.t, h.mayComeBack(surplus), "entries came back that were replaced: %d", len(surplus))
+	require.True(h.t, h.mayComeBack(surplus), "%d superseded entries were recovered", len(surplus))
 	h.entries = entries
 	h.failed = nil
 }
 
-// mayComeBack reports whether entries are the beginning of a batch that failed.
+// mayComeBack reports whether the entries are a prefix of a batch whose append failed, and so may be recovered.
 func (h *harness) mayComeBack(surplus []string) bool {
 	if len(surplus) == 0 {
 		return true
--- a/internal/region/ring/recovery.go
+++ b/internal/region/ring/recovery.go
@@ -12,10 +12,10 @@
 // scan is the result of reading all files.
 type scan struct {
 	candidates []*candidate // newest first
-	best       *candidate   // the file to recover; nil if nothing was written yet
+	best       *candidate   // file to recover; nil if no snapshot was written yet
 }
 
-// syncAll syncs all files and the folder, so that what is read from them now is durable.
+// syncAll syncs all files and the folder, so that all data that is read from them afterwards is durable.
 func syncAll(files Storage) error {
 	slots, err := listSlots(files)
 	if err != nil {
@@ -27,7 +27,7 @@
 			return errors.Wrapf(err, "open %s", fileName(slot))
 		}
 		syncErr := file.Sync()
-		_ = file.Close() // a failed write shows in the error of Sync
+		_ = file.Close() // Sync has already reported any failed write
 		if syncErr != nil {
 			return &WriteError{Operation: "sync", File: fileName(slot), Err: syncErr}
 		}
@@ -38,11 +38,11 @@
 	return nil
 }
 
-// listSlots returns the numbers of the ring's files, sorted.
+// listSlots returns the numbers of the ring's files in ascending order.
 func listSlots(files Storage) ([]int, error) {
 	names, err := files.List()
 	if err != nil {
-		return nil, errors.Wrap(err, "list the ring's files")
+		return nil, errors.Wrap(err, "list the ring files")
 	}
 	var slots []int
 	for _, name := range names {
@@ -55,7 +55,7 @@
 }
 
 // scanFiles finds the newest file with a valid snapshot and reads it. The error is a *CorruptError if a newer state
-// must have been there, or if a file is of another version.
+// must have been lost, or if a file has another format version.
 func scanFiles(files Storage) (*scan, error) {
 	result, err := scanHeaders(files)
 	if err != nil {
@@ -73,7 +73,7 @@
 			break
 		}
 		if file.snapshotLost {
-			return nil, &CorruptError{File: fileName(file.slot), Reason: "records follow a snapshot that is not valid"}
+			return nil, &CorruptError{File: fileName(file.slot), Reason: "records follow an invalid snapshot"}
 		}
 	}
 	if err := result.checkGap(); err != nil {
@@ -82,9 +82,9 @@
 	return result, nil
 }
 
-// checkGap returns a *CorruptError unless the file to recover is the newest or the one before it. A file is only begun
-// when the one before it is on disk, so that only the newest can be torn. If that is the very first file, nothing was
-// acknowledged yet.
+// checkGap returns a *CorruptError unless the file to recover is the newest one or its predecessor. A file is written
+// only once the snapshot of its predecessor is on disk, so only the newest file can be torn. If the newest file is the
+// very first one, no append or snapshot was acknowledged yet.
 func (s *scan) checkGap() error {
 	newest, best := uint64(0), uint64(0)
 	for _, file := range s.candidates {
@@ -96,7 +96,8 @@
 		best = s.best.header.epoch
 	}
 	if newest > best+1 {
-		return &CorruptError{Reason: fmt.Sprintf("file %d was begun, but file %d has no valid snapshot", newest, newest-1)}
+		return &CorruptError{Reason: fmt.Sprintf("the file of epoch %d exists, but that of epoch %d has no valid snapshot",
+			newest, newest-1)}
 	}
 	return nil
 }
--- a/internal/region/ring/report.go
+++ b/internal/region/ring/report.go
@@ -10,36 +10,36 @@
 // Report describes the files of a ring.
 type Report struct {
 	Files     []FileReport // newest first
-	Recovered *Recovered   // what Open would return; nil if Failure is set
-	Failure   error        // the *CorruptError with which Open would fail
+	Recovered *Recovered   // content that Open would return; nil if Failure is set
+	Failure   error        // *CorruptError with which Open would fail; nil if there is none
 }
 
 // FileReport describes one file.
 type FileReport struct {
 	Name          string
 	Bytes         int64  // length of the file
-	HeaderValid   bool   // if not, the file was not begun or its start is torn
-	Epoch         uint64 // 0 without a valid header
+	HeaderValid   bool   // if false, the file was never written or its header is torn
+	Epoch         uint64 // epoch of the file; 0 without a valid header
 	SnapshotValid bool
-	SnapshotBytes int64 // length of its payload
+	SnapshotBytes int64 // length of the snapshot's payload
 	Records       []RecordReport
 	End           int64  // offset after the last valid frame
-	Ending        Ending // what follows there
-	Current       bool   // the file that recovery reads
+	Ending        Ending // kind of the data after End
+	Current       bool   // recovery reads this file
 }
 
 // RecordReport describes one valid record.
 type RecordReport struct {
-	Sequence uint32 // in its file
+	Sequence uint32 // sequence number of the record in its file
 	Kind     uint8
-	Bytes    int64 // length of its payload
+	Bytes    int64 // length of the record's payload
 }
 
-// Check reads every record of the ring in a folder and reports what is there and what Open would recover. It changes
-// nothing. An error means that the files cannot be read.
+// Check reads every record of the ring in a folder and reports the valid content of each file and the state that Open
+// would recover. It changes no file. An error means that the files cannot be read.
 func Check(dir string) (*Report, error) { return CheckStorage(NewFolder(dir)) }
 
-// CheckStorage is Check for any storage.
+// CheckStorage is like Check, but reads from any Storage.
 func CheckStorage(files Storage) (*Report, error) {
 	report := &Report{}
 	found, err := scanFiles(files)
@@ -69,7 +69,7 @@
 	return report, nil
 }
 
-// checkFile reads one file, as far as it is of this version.
+// checkFile reads one file. Of a file with another format version it reads only the header.
 func checkFile(files Storage, slot int) (FileReport, error) {
 	file := &candidate{slot: slot}
 	if err := file.readHeader(files); err != nil && !isCorrupt(err) {
--- a/internal/region/ring/ring.go
+++ b/internal/region/ring/ring.go
@@ -16,14 +16,14 @@
 	minFileBytes     = 4 << 10
 )
 
-// Options of a ring. The zero value gives the defaults; all sizes are in bytes.
+// Options configure a ring. The zero value selects the defaults; all sizes are in bytes.
 type Options struct {
 	Files     int   // number of files, at least 2; DefaultFiles if 0
 	FileBytes int64 // initial length of each file, at least 4 KB; DefaultFileBytes if 0
 	MaxBytes  int64 // bound on the length of all files together; DefaultMaxBytes if 0
-	// Storage holds the files; by default, the folder that Open is given.
+	// Storage stores the files; by default, it is the folder whose path is passed to Open.
 	Storage Storage
-	// Nonce returns a number that differs from all earlier ones; by default, a random one.
+	// Nonce returns a number that differs from all numbers returned before; by default, it returns a random number.
 	Nonce func() uint64
 }
 
@@ -50,11 +50,11 @@
 
 func randomNonce() uint64 {
 	var bytes [8]byte
-	_, _ = rand.Read(bytes[:]) // it never fails
+	_, _ = rand.Read(bytes[:]) // crypto/rand.Read never returns an error
 	return binary.LittleEndian.Uint64(bytes[:])
 }
 
-// Record is one entry of the ring. What its kind means is up to the caller.
+// Record is one entry of the ring. The caller defines the meaning of the kind.
 type Record struct {
 	Kind    uint8
 	Payload []byte
@@ -62,12 +62,12 @@
 
 // Recovered is the content of a ring when it was opened.
 type Recovered struct {
-	// Fresh: the ring is empty. No append and no snapshot has succeeded on this disk.
+	// Fresh reports that the ring is empty: no append and no snapshot has succeeded on this disk.
 	Fresh bool
-	// Snapshot is the payload of the newest snapshot; empty before the first.
+	// Snapshot is the payload of the newest snapshot; empty before the first snapshot.
 	Snapshot []byte
-	// Records are those appended after the snapshot, in order. Every record whose append succeeded is among
-	// them. They may be followed by the first few, or all, of one append that failed or did not return.
+	// Records are the records appended after the snapshot, in order. They include every record whose append
+	// succeeded, and may be followed by a prefix of the records of one append that failed or did not return.
 	Records []Record
 }
 
@@ -77,30 +77,30 @@
 	files   Storage
 
 	current     *position
-	file        File   // of current; nil before the first
-	nonce       uint64 // of the frames written from now on
-	suspectSlot int    // file of a failed snapshot, which might be on disk nevertheless; noSlot if there is none
-	buffer      []byte // of the frames of one append, reused
+	file        File   // open current file; nil before the first snapshot or append
+	nonce       uint64 // nonce of the next frames to be written
+	suspectSlot int    // number of the file of a failed snapshot, which may be on disk nevertheless; noSlot: none
+	buffer      []byte // encoded frames of one append; reused by the next one
 	closed      bool
 }
 
-// noSlot is the number of no file.
+// noSlot stands for the absence of a file number.
 const noSlot = -1
 
-// position is the end of what was written successfully to a file.
+// position is the end of the successfully written data in a file.
 type position struct {
 	slot          int    // number of the file
-	epoch         uint64 // 0 before the first file
-	sequence      uint32 // of the next frame
+	epoch         uint64 // epoch of the file; 0 before the first file
+	sequence      uint32 // sequence number of the next frame
 	end           int64  // offset after the last frame
-	checksum      uint64 // of the last frame
-	length        int64  // of the file
-	snapshotBytes int64  // up to the end of the snapshot
+	checksum      uint64 // checksum of the last frame
+	length        int64  // length of the file
+	snapshotBytes int64  // offset after the snapshot
 }
 
-// Open opens the ring in a folder, which the first append creates if it is missing, and recovers its content. What it
-// returns is durable. The error is a *CorruptError if the files hold something that this version cannot read, a
-// *WriteError if they could not be synced, and another one if they cannot be read.
+// Open opens the ring in a folder and recovers its content, which is durable when Open returns. A missing folder is
+// created by the first append or snapshot. The error is a *CorruptError if the files have content that this version
+// cannot read, a *WriteError if the files could not be synced, and of another type if they cannot be read.
 func Open(dir string, options Options) (*Ring, *Recovered, error) {
 	options = options.withDefaults(dir)
 	ring := &Ring{
@@ -129,7 +129,8 @@
 	return ring, scan.best.toRecovered(), nil
 }
 
-// NeedsSnapshot reports whether so much was appended since the last snapshot that writing a new one pays off.
+// NeedsSnapshot reports whether the records appended since the last snapshot are large enough to justify a new one: at
+// least as large as the snapshot, and half of Options.FileBytes.
 func (r *Ring) NeedsSnapshot() bool {
 	appended := r.current.end - r.current.snapshotBytes
 	return appended >= max(r.options.FileBytes/2, r.current.snapshotBytes)
--- a/internal/region/ring/ring_test.go
+++ b/internal/region/ring/ring_test.go
@@ -17,7 +17,7 @@
 	"fieldrelay/internal/region/ring/ringtest"
 )
 
-// smallRing makes rotation and growth frequent.
+// smallRing returns options with small files, so that rotation and growth are frequent.
 func smallRing(disk *ringtest.Disk, random *rand.Rand) ring.Options {
 	return ring.Options{Files: 3, FileBytes: 4 << 10, MaxBytes: 3 << 20, Storage: disk, Nonce: random.Uint64}
 }
@@ -75,7 +75,7 @@
 	}
 }
 
-// losePowerAt appends and snapshots until the disk loses power at an access, and checks what is recovered.
+// losePowerAt appends and snapshots until the disk loses power at an access, and checks the recovered state.
 func losePowerAt(t *testing.T, seed uint64, instant int) {
 	t.Helper()
 	random := newRandom(seed)
@@ -107,7 +107,8 @@
 	require.LessOrEqual(t, len(entries), len(acknowledged)+1)
 }
 
-// TestFailedSnapshotDoesNotHideLaterRecords: the failed snapshot is on disk nevertheless.
+// TestFailedSnapshotDoesNotHideLaterRecords guards against a snapshot whose write failed but that is on disk
+// nevertheless: records appended after the failure must be recovered.
 func TestFailedSnapshotDoesNotHideLaterRecords(t *testing.T) {
 	for seed := range uint64(200) {
 		random := newRandom(seed)
@@ -125,7 +126,8 @@
 	}
 }
 
-// TestRemainsOfAFailedBatch: a batch that failed is followed by a shorter one of the same bytes.
+// TestRemainsOfAFailedBatch guards against the recovery of a record of a failed batch: a shorter batch with the same
+// bytes is appended over it, and the rest of the failed batch must stay invalid.
 func TestRemainsOfAFailedBatch(t *testing.T) {
 	random := newRandom(3)
 	disk := ringtest.NewDisk(random)
@@ -142,8 +144,9 @@
 	require.Len(t, recovered.Records, 2, "the second record of the failed batch must not come back")
 }
 
-// TestRemainsOfALostBatch: of a batch that a loss of power interrupted, the end may be on disk without the beginning.
-// When the same beginning is appended again, the end must not be recovered with it.
+// TestRemainsOfALostBatch guards against the recovery of a part of a batch that a power failure interrupted: its end
+// may be on disk without its beginning. After the same beginning is appended again, the end must not be recovered with
+// it.
 func TestRemainsOfALostBatch(t *testing.T) {
 	beginning := ring.Record{Kind: 1, Payload: bytes.Repeat([]byte{'b'}, 700)}
 	end := ring.Record{Kind: 1, Payload: bytes.Repeat([]byte{'e'}, 700)}
@@ -219,7 +222,7 @@
 	for _, payload := range []string{"one", "two", "three"} {
 		require.NoError(t, opened.Snapshot([]byte(payload)))
 	}
-	// The newest may be torn, the one before it may not: the oldest must not be recovered.
+	// The newest snapshot may be torn, but not its predecessor: if both are invalid, the oldest must not be recovered.
 	for _, name := range []string{"ring-2", "ring-1"} {
 		_, recovered := openRing(t, options)
 		require.False(t, recovered.Fresh)
@@ -262,9 +265,10 @@
 	}
 }
 
-// TestDamagedSnapshotDoesNotBringBackTheOneBefore: records were acknowledged after the newest snapshot, so the older
-// file must not be recovered. Only if the bytes that locate the snapshot are damaged (the file's header and the frame's
-// epoch, sequence and length), the snapshot looks like one that was never finished.
+// TestDamagedSnapshotDoesNotBringBackTheOneBefore guards against the recovery of an older snapshot after a corruption
+// of the newest one: records were acknowledged after the newest, so recovery must fail. Damage to the bytes that locate
+// the snapshot (the file's header and the frame's epoch, sequence and length) is not covered: the snapshot then looks
+// like one that was never completed.
 func TestDamagedSnapshotDoesNotBringBackTheOneBefore(t *testing.T) {
 	const frame = 40 // offset of the snapshot's frame
 	for offset := int64(frame); offset < frame+32+4; offset++ {
@@ -325,7 +329,7 @@
 	last := make([]byte, 1)
 	_, err = file.ReadAt(last, newest.End-1)
 	require.NoError(t, err)
-	last[0] = ^last[0] // a fixed byte could be the one that is there: the checksum depends on a random nonce
+	last[0] = ^last[0] // a fixed byte could equal the present one, which belongs to the random nonce
 	_, err = file.WriteAt(last, newest.End-1)
 	require.NoError(t, err)
 	require.NoError(t, file.Close())
@@ -366,8 +370,8 @@
 	require.ErrorIs(t, err, fs.ErrNotExist)
 }
 
-// TestAFolderThatWasMadeLastsWithItsFiles: before the first append returns, the new folder and its parent are synced;
-// after that the parent is not synced again.
+// TestAFolderThatWasMadeLastsWithItsFiles guards against the loss of a new folder at a power failure: the folder and
+// its parent are synced before the first append returns, and the parent is not synced again after that.
 func TestAFolderThatWasMadeLastsWithItsFiles(t *testing.T) {
 	state := t.TempDir()
 	path := filepath.Join(state, "control")
@@ -382,7 +386,7 @@
 		return true, fault
 	})
 	opened, _ := openRing(t, ring.Options{Storage: folder})
-	require.Empty(t, synced, "nothing is there yet")
+	require.Empty(t, synced, "the folder does not exist yet")
 
 	fault = syscall.EIO
 	var writeError *ring.WriteError
--- a/internal/region/ring/ringtest/content.go
+++ b/internal/region/ring/ringtest/content.go
@@ -5,24 +5,24 @@
 	"math/rand/v2"
 )
 
-// sectorBytes is the unit of a write that is atomic.
+// sectorBytes is the unit in which the disk writes atomically.
 const sectorBytes = 512
 
 // operation is a write, or a change of length if data is nil.
 type operation struct {
-	offset int // of a write
+	offset int // offset of a write
 	data   []byte
-	length int // of a change of length
+	length int // new length of the file, if data is nil
 }
 
-// content is the content of a file: what the process sees, what is on disk, and the operations in between.
+// content is the content of a file: as the process sees it, as it is on disk, and the operations in between.
 type content struct {
 	visible []byte
 	synced  []byte
 	pending []operation
 }
 
-// apply does an operation as the process sees it.
+// apply performs an operation, which is visible to the process at once and durable after the next sync.
 func (c *content) apply(next operation) {
 	if next.data != nil {
 		next.data = bytes.Clone(next.data)
@@ -43,7 +43,7 @@
 	return file
 }
 
-// setLength cuts a file off, or adds zero bytes.
+// setLength truncates a file, or extends it by zero bytes.
 func setLength(file []byte, length int) []byte {
 	if length <= len(file) {
 		return file[:length:length]
@@ -57,7 +57,8 @@
 	c.synced = append(c.synced[:0], c.visible...)
 }
 
-// losePower leaves what a loss of power may leave: what was synced, and some of what was not unless all of it is lost.
+// losePower simulates a power failure: synced data survives, and so do some of the pending operations unless allLost
+// is set.
 func (c *content) losePower(random *rand.Rand, allLost bool) {
 	if !allLost {
 		c.keepSome(random)
@@ -66,7 +67,7 @@
 	c.visible = bytes.Clone(c.synced)
 }
 
-// keepSome makes some of the pending operations durable: each is done, missing or torn.
+// keepSome applies some of the pending operations to the durable content: each is complete, missing or torn.
 func (c *content) keepSome(random *rand.Rand) {
 	for _, next := range c.pending {
 		switch random.IntN(4) {
@@ -81,7 +82,7 @@
 	}
 }
 
-// applyPrefix makes the start of a write durable.
+// applyPrefix makes a prefix of a write durable.
 func (c *content) applyPrefix(next operation, random *rand.Rand) {
 	if len(next.data) > 0 {
 		next.data = next.data[:random.IntN(len(next.data)+1)]
--- a/internal/region/ring/ringtest/disk.go
+++ b/internal/region/ring/ringtest/disk.go
@@ -1,9 +1,9 @@
-// Package ringtest simulates a disk in memory for tests of state that is stored in a ring: it loses power, fills up,
-// returns errors, stalls, and can be replaced by an empty one. It simulates no corruption by itself, see Disk.Corrupt.
+// Package ringtest simulates a disk in memory for tests of state that is stored in a ring. The disk can lose power, be
+// full, return errors, stall, and be replaced by an empty disk. It corrupts data only upon a call of Disk.Corrupt.
 //
-// When a process dies, its files stay as they are. When power is lost, a file holds what its last sync covered; each
-// later write may be there, missing or torn, and at some losses of power all of them are missing. A new file may be
-// lost until its folder is synced, even if the file itself was synced.
+// A crash of the process leaves the files unchanged. After a power failure, a file has the content of its last sync;
+// each later write may be complete, missing or torn, and at some power failures all of them are missing. A new file may
+// be lost until its folder is synced, even if the file itself was synced.
 package ringtest
 
 import (
@@ -19,17 +19,17 @@
 
 // Faults are the probabilities, 0 to 1, with which an operation fails.
 type Faults struct {
-	Write float64 // some of the bytes may have been written
-	Sync  float64 // some of the writes since the last sync may be on disk
+	Write float64 // probability of a failed write, which may write a prefix of its bytes, or change of length
+	Sync  float64 // probability of a failed sync, after which some writes since the last sync may be on disk
 }
 
-// Disk implements ring.Files in memory. It is safe for concurrent use.
+// Disk implements ring.Storage in memory. It is safe for concurrent use.
 type Disk struct {
 	mutex      sync.Mutex
 	random     *rand.Rand
-	files      map[string]*content // as the process sees them
-	durable    map[string]*content // whose names survive a loss of power
-	generation int                 // of the process; handles of an earlier one are closed
+	files      map[string]*content // files that the process sees, by name
+	durable    map[string]*content // files whose names survive a power failure, by name
+	generation int                 // number of process restarts; handles of an earlier generation are closed
 	full       bool
 	faults     Faults
 	onAccess   func(operation string)
@@ -44,14 +44,14 @@
 	}
 }
 
-// Fill makes every write fail with ENOSPC, or succeed again.
+// Fill makes the disk full, so that every write fails with ENOSPC, or gives it free space again.
 func (d *Disk) Fill(full bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.full = full
 }
 
-// SetFaults sets how often operations fail from now on.
+// SetFaults sets the probabilities with which later operations fail.
 func (d *Disk) SetFaults(faults Faults) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -59,24 +59,24 @@
 }
 
 // OnAccess sets a function that is called before every write ("write"), sync ("sync") and change of length
-// ("truncate"), for example to simulate a stall; nil for none. It is called without the disk being locked.
+// ("truncate"), for example to simulate a stall; nil for none. The disk is not locked during the call.
 func (d *Disk) OnAccess(function func(operation string)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.onAccess = function
 }
 
-// Kill ends the process: its open files are closed, their content stays.
+// Kill simulates a crash of the process: its open files are closed, and their content is kept.
 func (d *Disk) Kill() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.generation++
 }
 
-// allLostProbability is the probability that a loss of power loses every write that was not synced.
+// allLostProbability is the probability that a power failure loses every write that was not synced.
 const allLostProbability = 0.3
 
-// PowerLoss ends the process and loses what a loss of power may lose.
+// PowerLoss simulates a power failure: the process ends, and some or all of the data that was not synced is lost.
 func (d *Disk) PowerLoss() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -95,7 +95,8 @@
 	}
 }
 
-// Save returns a function that rolls the disk back to its durable content of now, as no sound disk does.
+// Save returns a function that rolls the disk back to its present durable content, as a restored backup would; a disk
+// that works never does so.
 func (d *Disk) Save() (restore func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -115,7 +116,7 @@
 	}
 }
 
-// Wipe replaces the disk by an empty one and ends the process.
+// Wipe simulates the replacement of the disk by an empty one; the process ends.
 func (d *Disk) Wipe() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -131,7 +132,7 @@
 	return sortedNames(d.files), nil
 }
 
-// Open opens a file, or creates it, as ring.Files says.
+// Open opens or creates a file as ring.Storage specifies.
 func (d *Disk) Open(name string, create bool) (ring.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -163,7 +164,8 @@
 	return nil
 }
 
-// Corrupt changes one byte of a file at random, as no loss of power does, and reports whether the file has any.
+// Corrupt changes one byte of a file at random, which a power failure never does, and reports whether the file exists
+// and is not empty.
 func (d *Disk) Corrupt(name string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -177,7 +179,7 @@
 	return true
 }
 
-// notifyAccess calls the function of OnAccess.
+// notifyAccess calls the function that OnAccess has set, if any.
 func (d *Disk) notifyAccess(operation string) {
 	d.mutex.Lock()
 	function := d.onAccess
--- a/internal/region/ring/ringtest/handle.go
+++ b/internal/region/ring/ringtest/handle.go
@@ -14,7 +14,8 @@
 	closed     bool
 }
 
-// checkOpen returns fs.ErrClosed after Close and after the end of the process. The disk must be locked.
+// checkOpen returns fs.ErrClosed after Close and after the end of the process that opened the file. The caller holds
+// the disk's lock.
 func (h *handle) checkOpen() error {
 	if h.closed || h.generation != h.disk.generation {
 		return fs.ErrClosed
@@ -22,7 +23,7 @@
 	return nil
 }
 
-// ReadAt reads what the process sees.
+// ReadAt reads the content that the process sees.
 func (h *handle) ReadAt(buffer []byte, offset int64) (int, error) {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
@@ -39,7 +40,7 @@
 	return read, nil
 }
 
-// WriteAt writes some of the bytes if the fault of a write is drawn.
+// WriteAt writes the bytes; if an injected write fault strikes, it writes a prefix of them and returns EIO.
 func (h *handle) WriteAt(data []byte, offset int64) (int, error) {
 	h.disk.notifyAccess("write")
 	h.disk.mutex.Lock()
@@ -64,7 +65,7 @@
 	return len(data), nil
 }
 
-// Size is the length that the process sees.
+// Size returns the length that the process sees.
 func (h *handle) Size() (int64, error) {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
@@ -74,7 +75,7 @@
 	return int64(len(h.file.visible)), nil
 }
 
-// Truncate sets the length, or fails without effect.
+// Truncate sets the length; a failed call has no effect.
 func (h *handle) Truncate(size int64) error {
 	h.disk.notifyAccess("truncate")
 	h.disk.mutex.Lock()
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// Sync makes the file's content durable; its name is once the folder is synced. After a failure the writes stay
-// pending, and some of them may be on disk.
+// Sync makes the file's content durable; the file's name becomes durable with a sync of the folder. After a failure the
+// writes stay pending, and some of them may be on disk.
 func (h *handle) Sync() error {
 	h.disk.notifyAccess("sync")
 	h.disk.mutex.Lock()
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// Close closes the handle; nothing is synced.
+// Close closes the handle without syncing the file.
 func (h *handle) Close() error {
 	h.disk.mutex.Lock()
 	defer h.disk.mutex.Unlock()
--- a/internal/region/ring/snapshot.go
+++ b/internal/region/ring/snapshot.go
@@ -1,8 +1,8 @@
 package ring
 
-// Snapshot begins the next file with a snapshot of the whole state, which must contain everything that was appended.
-// It returns nil once the snapshot is on disk; older files may be overwritten from then on. The error is ErrClosed, a
-// *WriteError or a *TooLargeError; the ring then goes on in its current file.
+// Snapshot starts the next file with a snapshot of the complete state, which must include all appended records. It
+// returns nil once the snapshot is on disk; older files may be overwritten from then on. The error is ErrClosed, a
+// *WriteError or a *TooLargeError; the ring then continues in its current file.
 func (r *Ring) Snapshot(payload []byte) error {
 	if r.closed {
 		return ErrClosed
@@ -17,21 +17,21 @@
 	if err != nil {
 		r.nonce = r.options.Nonce()
 		if file != nil {
-			_ = file.Close() // the cause is err
+			_ = file.Close() // err, the cause, is returned instead
 		}
 		return err
 	}
 	r.suspectSlot = noSlot
 	if r.file != nil {
-		_ = r.file.Close() // all that was acknowledged in it was synced: no data can be lost here
+		_ = r.file.Close() // all acknowledged data in this file is synced, so a failure loses none
 	}
 	r.file = file
 	r.current = &next
 	return nil
 }
 
-// writeSnapshot writes and syncs the start of a file. If it opened the file, it returns it even with an error, and the
-// caller closes it.
+// writeSnapshot writes the header and the snapshot of a file and syncs them. If the file was opened, it is returned
+// even with an error, and the caller must close it.
 func (r *Ring) writeSnapshot(slot int, payload []byte) (File, position, error) {
 	name := fileName(slot)
 	file, err := r.files.Open(name, true)
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// invalidateSuspect invalidates the header of a failed snapshot's file, on disk, so that the snapshot cannot hide
-// what is appended to the current file from now on.
+// invalidateSuspect invalidates the on-disk header of a failed snapshot's file, so that the snapshot cannot hide
+// records that are appended to the current file later.
 func (r *Ring) invalidateSuspect() error {
 	if r.suspectSlot == noSlot {
 		return nil
@@ -97,7 +97,7 @@
 	if err != nil {
 		return &WriteError{Operation: "write", File: name, Err: err}
 	}
-	defer func() { _ = file.Close() }() // a failed write shows in the error of Sync
+	defer func() { _ = file.Close() }() // Sync reports any failed write
 	if _, err := file.WriteAt(make([]byte, fileHeaderBytes), 0); err != nil {
 		return &WriteError{Operation: "write", File: name, Err: err}
 	}
