--- a/internal/region/control/node_test.go
+++ b/internal/region/control/node_test.go
@@ -263,11 +263,11 @@
 				return ringtest.NewDisk(rand.New(rand.NewPCG(1, uint64(index))))
 			})
 			require.EqualValues(t, 200, cluster.order(cluster.machines[0], replaceOrder(0, 3)).GetStatus())
-			cluster.machines[index].disk.Fill(true)
+			cluster.machines[index].disk.SetFull(true)
 			other := cluster.machines[(index+1)%3]
 			require.EqualValues(t, 200, cluster.order(other, replaceOrder(3, 4)).GetStatus())
 			cluster.await(other, 5*time.Second, func(status Status) bool { return len(status.View.GetChain()) == 2 })
-			cluster.machines[index].disk.Fill(false)
+			cluster.machines[index].disk.SetFull(false)
 			cluster.await(other, 5*time.Second, func(status Status) bool { return len(status.View.GetChain()) == 3 })
 			require.EqualValues(t, 200, cluster.order(cluster.machines[index], replaceOrder(4, 5)).GetStatus())
 		})
--- a/internal/region/controlsim/disk_test.go
+++ b/internal/region/controlsim/disk_test.go
@@ -147,5 +147,5 @@
 
 func (h *host) setFull(full bool) {
 	h.full = full
-	h.disk.Fill(full)
+	h.disk.SetFull(full)
 }
--- a/internal/region/ring/harness_test.go
+++ b/internal/region/ring/harness_test.go
@@ -104,7 +104,7 @@
 		var writeError *ring.WriteError
 		require.ErrorAs(h.t, err, &writeError)
 		h.disk.SetFaults(ringtest.Faults{})
-		h.disk.Fill(false)
+		h.disk.SetFull(false)
 		opened, recovered, err = ring.Open("", smallRing(h.disk, h.random))
 	}
 	require.NoError(h.t, err)
--- a/internal/region/ring/ring_test.go
+++ b/internal/region/ring/ring_test.go
@@ -53,9 +53,9 @@
 			case step == 15:
 				h.disk.SetFaults(ringtest.Faults{Sync: 0.6})
 			case step == 16:
-				h.disk.Fill(true)
+				h.disk.SetFull(true)
 			case step == 17:
-				h.disk.Fill(false)
+				h.disk.SetFull(false)
 			case step >= 18:
 				h.disk.SetFaults(ringtest.Faults{})
 			}
@@ -178,12 +178,12 @@
 	disk := ringtest.NewDisk(random)
 	opened, recovered := openRing(t, smallRing(disk, random))
 	require.True(t, recovered.Fresh)
-	disk.Fill(true)
+	disk.SetFull(true)
 	var writeError *ring.WriteError
 	require.ErrorAs(t, opened.Append(ring.Record{Kind: 1}), &writeError)
 	require.ErrorIs(t, writeError, syscall.ENOSPC)
 	require.ErrorAs(t, opened.Snapshot([]byte("s")), &writeError)
-	disk.Fill(false)
+	disk.SetFull(false)
 	require.NoError(t, opened.Append(ring.Record{Kind: 1, Payload: []byte("kept")}))
 	require.Equal(t, 1, opened.Stats().Records)
 	disk.Wipe()
--- a/internal/region/ring/ringtest/disk.go
+++ b/internal/region/ring/ringtest/disk.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Fill makes the disk full, so that every write fails with ENOSPC, or gives it free space again.
-func (d *Disk) Fill(full bool) {
+// SetFull makes the disk full, so that every write fails with ENOSPC, or gives it free space again.
+func (d *Disk) SetFull(full bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.full = full
