--- a/internal/region/ring/candidate.go
+++ b/internal/region/ring/candidate.go
@@ -44,8 +44,8 @@
 }
 
 // readHeader reads the header of the file. The error is a *CorruptError if the file is of another version.
-func (c *candidate) readHeader(files Storage) error {
-	file, err := files.Open(fileName(c.slot), false)
+func (c *candidate) readHeader(storage Storage) error {
+	file, err := storage.Open(fileName(c.slot), false)
 	if err != nil {
 		return errors.Wrapf(err, "open %s", fileName(c.slot))
 	}
@@ -70,8 +70,8 @@
 }
 
 // readFrames reads the snapshot and the records of a file whose header is valid, up to the first invalid frame.
-func (c *candidate) readFrames(files Storage) error {
-	file, err := files.Open(fileName(c.slot), false)
+func (c *candidate) readFrames(storage Storage) error {
+	file, err := storage.Open(fileName(c.slot), false)
 	if err != nil {
 		return errors.Wrapf(err, "open %s", fileName(c.slot))
 	}
--- a/internal/region/ring/export_test.go
+++ b/internal/region/ring/export_test.go
@@ -18,8 +18,8 @@
 	require.NoError(t, file.Close())
 }
 
-// SyncBy replaces the function that syncs a folder.
-func (f *Folder) SyncBy(sync func(path string) (found bool, err error)) { f.sync = sync }
+// SetSync replaces the function that syncs a folder.
+func (f *Folder) SetSync(sync func(path string) (found bool, err error)) { f.sync = sync }
 
 // Stats describes the current file of a ring.
 type Stats struct {
--- a/internal/region/ring/format.go
+++ b/internal/region/ring/format.go
@@ -24,8 +24,8 @@
 // fileName returns the name of the file with a number.
 func fileName(slot int) string { return filePrefix + strconv.Itoa(slot) }
 
-// slotOf parses the number of a ring file from its name; it returns false for other files.
-func slotOf(name string) (int, bool) {
+// parseFileName parses the number of a ring file from its name; it returns false for other files.
+func parseFileName(name string) (int, bool) {
 	digits, found := strings.CutPrefix(name, filePrefix)
 	if !found {
 		return 0, false
--- a/internal/region/ring/harness_test.go
+++ b/internal/region/ring/harness_test.go
@@ -123,13 +123,13 @@
 	require.GreaterOrEqual(h.t, len(entries), len(h.entries), "acknowledged entries were lost")
 	require.Equal(h.t, h.entries, entries[:len(h.entries):len(h.entries)])
 	surplus := entries[len(h.entries):]
-	require.True(h.t, h.mayComeBack(surplus), "%d superseded entries were recovered", len(surplus))
+	require.True(h.t, h.mayBeRecovered(surplus), "%d superseded entries were recovered", len(surplus))
 	h.entries = entries
 	h.failed = nil
 }
 
-// mayComeBack reports whether the entries are a prefix of a batch whose append failed, and so may be recovered.
-func (h *harness) mayComeBack(surplus []string) bool {
+// mayBeRecovered reports whether the entries are a prefix of a batch whose append failed, and so may be recovered.
+func (h *harness) mayBeRecovered(surplus []string) bool {
 	if len(surplus) == 0 {
 		return true
 	}
--- a/internal/region/ring/recovery.go
+++ b/internal/region/ring/recovery.go
@@ -16,13 +16,13 @@
 }
 
 // syncAll syncs all files and the folder, so that all data that is read from them afterwards is durable.
-func syncAll(files Storage) error {
-	slots, err := listSlots(files)
+func syncAll(storage Storage) error {
+	slots, err := listSlots(storage)
 	if err != nil {
 		return err
 	}
 	for _, slot := range slots {
-		file, err := files.Open(fileName(slot), false)
+		file, err := storage.Open(fileName(slot), false)
 		if err != nil {
 			return errors.Wrapf(err, "open %s", fileName(slot))
 		}
@@ -32,21 +32,21 @@
 			return &WriteError{Operation: "sync", File: fileName(slot), Err: syncErr}
 		}
 	}
-	if err := files.Sync(); err != nil {
+	if err := storage.Sync(); err != nil {
 		return &WriteError{Operation: "sync folder", Err: err}
 	}
 	return nil
 }
 
 // listSlots returns the numbers of the ring's files in ascending order.
-func listSlots(files Storage) ([]int, error) {
-	names, err := files.List()
+func listSlots(storage Storage) ([]int, error) {
+	names, err := storage.List()
 	if err != nil {
 		return nil, errors.Wrap(err, "list the ring files")
 	}
 	var slots []int
 	for _, name := range names {
-		if slot, ok := slotOf(name); ok {
+		if slot, ok := parseFileName(name); ok {
 			slots = append(slots, slot)
 		}
 	}
@@ -56,8 +56,8 @@
 
 // scanFiles finds the newest file with a valid snapshot and reads it. The error is a *CorruptError if a newer state
 // must have been lost, or if a file has another format version.
-func scanFiles(files Storage) (*scan, error) {
-	result, err := scanHeaders(files)
+func scanFiles(storage Storage) (*scan, error) {
+	result, err := scanHeaders(storage)
 	if err != nil {
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 		if !file.headerValid {
 			continue
 		}
-		if err := file.readFrames(files); err != nil {
+		if err := file.readFrames(storage); err != nil {
 			return nil, err
 		}
 		if file.snapshotValid {
@@ -103,15 +103,15 @@
 }
 
 // scanHeaders reads the headers of all files and sorts the files by epoch, newest first.
-func scanHeaders(files Storage) (*scan, error) {
-	slots, err := listSlots(files)
+func scanHeaders(storage Storage) (*scan, error) {
+	slots, err := listSlots(storage)
 	if err != nil {
 		return nil, err
 	}
 	result := &scan{}
 	for _, slot := range slots {
 		file := &candidate{slot: slot}
-		if err := file.readHeader(files); err != nil {
+		if err := file.readHeader(storage); err != nil {
 			return nil, err
 		}
 		result.candidates = append(result.candidates, file)
--- a/internal/region/ring/report.go
+++ b/internal/region/ring/report.go
@@ -40,9 +40,9 @@
 func Check(dir string) (*Report, error) { return CheckStorage(NewFolder(dir)) }
 
 // CheckStorage is like Check, but reads from any Storage.
-func CheckStorage(files Storage) (*Report, error) {
+func CheckStorage(storage Storage) (*Report, error) {
 	report := &Report{}
-	found, err := scanFiles(files)
+	found, err := scanFiles(storage)
 	switch {
 	case isCorrupt(err):
 		report.Failure = err
@@ -53,12 +53,12 @@
 	default:
 		report.Recovered = found.best.toRecovered()
 	}
-	slots, err := listSlots(files)
+	slots, err := listSlots(storage)
 	if err != nil {
 		return nil, err
 	}
 	for _, slot := range slots {
-		file, err := checkFile(files, slot)
+		file, err := checkFile(storage, slot)
 		if err != nil {
 			return nil, err
 		}
@@ -70,9 +70,9 @@
 }
 
 // checkFile reads one file. Of a file with another format version it reads only the header.
-func checkFile(files Storage, slot int) (FileReport, error) {
+func checkFile(storage Storage, slot int) (FileReport, error) {
 	file := &candidate{slot: slot}
-	if err := file.readHeader(files); err != nil && !isCorrupt(err) {
+	if err := file.readHeader(storage); err != nil && !isCorrupt(err) {
 		return FileReport{}, err
 	}
 	report := FileReport{Name: fileName(slot), Bytes: file.size, HeaderValid: file.headerValid}
@@ -83,7 +83,7 @@
 	if file.header.version != formatVersion {
 		return report, nil
 	}
-	if err := file.readFrames(files); err != nil {
+	if err := file.readFrames(storage); err != nil {
 		return FileReport{}, err
 	}
 	report.SnapshotValid = file.snapshotValid
--- a/internal/region/ring/ring.go
+++ b/internal/region/ring/ring.go
@@ -74,7 +74,7 @@
 // Ring is an open ring. It is not safe for concurrent use.
 type Ring struct {
 	options Options
-	files   Storage
+	storage Storage
 
 	current     *position
 	file        File   // open current file; nil before the first snapshot or append
@@ -105,14 +105,14 @@
 	options = options.withDefaults(dir)
 	ring := &Ring{
 		options:     options,
-		files:       options.Storage,
+		storage:     options.Storage,
 		nonce:       options.Nonce(),
 		suspectSlot: noSlot,
 	}
-	if err := syncAll(ring.files); err != nil {
+	if err := syncAll(ring.storage); err != nil {
 		return nil, nil, err
 	}
-	scan, err := scanFiles(ring.files)
+	scan, err := scanFiles(ring.storage)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -120,7 +120,7 @@
 		ring.current = &position{slot: noSlot}
 		return ring, &Recovered{Fresh: true}, nil
 	}
-	file, err := ring.files.Open(fileName(scan.best.position.slot), false)
+	file, err := ring.storage.Open(fileName(scan.best.position.slot), false)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "open the current file")
 	}
--- a/internal/region/ring/ring_test.go
+++ b/internal/region/ring/ring_test.go
@@ -378,7 +378,7 @@
 	var synced []string
 	var fault error
 	folder := ring.NewFolder(path)
-	folder.SyncBy(func(path string) (found bool, err error) {
+	folder.SetSync(func(path string) (found bool, err error) {
 		if _, err := os.Stat(path); err != nil {
 			return false, nil
 		}
@@ -402,7 +402,7 @@
 	// A restarted process does not know whether the one before it synced the parent.
 	again := ring.NewFolder(path)
 	synced = nil
-	again.SyncBy(func(path string) (found bool, err error) {
+	again.SetSync(func(path string) (found bool, err error) {
 		synced = append(synced, path)
 		return true, nil
 	})
--- a/internal/region/ring/ringtest/content.go
+++ b/internal/region/ring/ringtest/content.go
@@ -61,14 +61,14 @@
 // is set.
 func (c *content) losePower(random *rand.Rand, allLost bool) {
 	if !allLost {
-		c.keepSome(random)
+		c.applySome(random)
 	}
 	c.pending = nil
 	c.visible = bytes.Clone(c.synced)
 }
 
-// keepSome applies some of the pending operations to the durable content: each is complete, missing or torn.
-func (c *content) keepSome(random *rand.Rand) {
+// applySome applies some of the pending operations to the durable content: each is complete, missing or torn.
+func (c *content) applySome(random *rand.Rand) {
 	for _, next := range c.pending {
 		switch random.IntN(4) {
 		case 0: // missing
--- a/internal/region/ring/snapshot.go
+++ b/internal/region/ring/snapshot.go
@@ -34,7 +34,7 @@
 // even with an error, and the caller must close it.
 func (r *Ring) writeSnapshot(slot int, payload []byte) (File, position, error) {
 	name := fileName(slot)
-	file, err := r.files.Open(name, true)
+	file, err := r.storage.Open(name, true)
 	if err != nil {
 		return nil, position{}, &WriteError{Operation: "create", File: name, Err: err}
 	}
@@ -54,7 +54,7 @@
 	if err := writeAndSync(file, name, headers, payload); err != nil {
 		return file, position{}, err
 	}
-	if err := r.files.Sync(); err != nil {
+	if err := r.storage.Sync(); err != nil {
 		return file, position{}, &WriteError{Operation: "sync folder", Err: err}
 	}
 	return file, position{
@@ -89,7 +89,7 @@
 		return nil
 	}
 	name := fileName(r.suspectSlot)
-	file, err := r.files.Open(name, false)
+	file, err := r.storage.Open(name, false)
 	if isNotExist(err) {
 		r.suspectSlot = noSlot
 		return nil
