--- a/internal/region/registry/agents.go
+++ b/internal/region/registry/agents.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// recordTolerance is by how much a record of a higher incarnation, or of a machine that drains, may be older than
-	// another one and still win: the ages in reports of other control machines leave out the time that a report takes.
-	// Beyond it the later record wins, since incarnations need not rise after a machine's wall clock has jumped back,
-	// and since a proxy may restart beside its agent.
+	// recordTolerance is the maximum age difference at which an older record of a higher incarnation, or of a draining
+	// machine, still supersedes a later record: the ages in reports of other control machines do not include the
+	// transmission time of the report. Beyond the tolerance the later record wins, since incarnations need not rise
+	// after a machine's wall clock has jumped back, and since a proxy may restart while its agent keeps running.
 	recordTolerance = 500 * time.Millisecond
 
-	// peerReportInterval is the time after which an unchanged record is reported to the other control machines again.
+	// peerReportInterval is the interval at which an unchanged record is reported to the other control machines.
 	peerReportInterval = 800 * time.Millisecond
 )
 
-// Agents are the edge machines that one control machine knows, from their own reports or from those of other control
-// machines. It is not safe for concurrent use.
+// Agents are the edge machines known to one control machine, from their own reports or from the reports of other
+// control machines. It is not safe for concurrent use.
 type Agents struct {
 	known   map[string]*knownAgent // by host
 	version uint64
@@ -34,15 +34,15 @@
 	record     *pb.AgentRecord // immutable; age_ms is 0
 	receivedAt time.Duration
 	direct     bool // received from the agent itself, not from another control machine
-	// drainingSince is when the machine first reported that it drains. It counts only while the record says so.
+	// drainingSince is the time of the first report that the machine drains; valid only while the record is draining.
 	drainingSince time.Duration
 
-	reported   *pb.AgentRecord // as last reported to the other control machines
-	reportedAt time.Duration
+	reported   *pb.AgentRecord // record last reported to the other control machines; nil if there is none
+	reportedAt time.Duration   // time of that report
 }
 
-// NewAgents returns a registry without agents. The versions of its members begin above base, which must differ between
-// incarnations of the process, so that a version of one is never mistaken for a version of another.
+// NewAgents returns a registry without agents. The versions of its members start above base, which must differ between
+// incarnations of the process, so that a version of one incarnation is never mistaken for a version of another.
 func NewAgents(base uint64) *Agents {
 	return &Agents{
 		known:   make(map[string]*knownAgent),
@@ -51,14 +51,14 @@
 	}
 }
 
-// Observe takes a record that came from the agent itself. It reports whether the record holds something that matters to
-// clients or other agents.
+// Observe processes a record that came from the agent itself. It reports whether the record has a change that is
+// relevant to clients or other agents.
 func (a *Agents) Observe(now time.Duration, record *pb.AgentRecord) bool {
 	return a.accept(now, record, true)
 }
 
-// Merge takes the records that another control machine received, with their ages. It reports whether they hold
-// something that matters to clients or other agents.
+// Merge processes records that another control machine received, with their ages. It reports whether they have a change
+// that is relevant to clients or other agents.
 func (a *Agents) Merge(now time.Duration, records []*pb.AgentRecord) bool {
 	changed := false
 	for _, record := range records {
@@ -68,7 +68,7 @@
 	return changed
 }
 
-// accept keeps a record if it supersedes the known one of its host, and reports whether its content is new.
+// accept stores a record if it supersedes the known record of its host, and reports whether its content has changed.
 func (a *Agents) accept(receivedAt time.Duration, record *pb.AgentRecord, direct bool) bool {
 	if record.GetHost() == "" {
 		return false
@@ -93,9 +93,9 @@
 	return changed
 }
 
-// supersededBy reports whether a record received at a time replaces the known one. Of two received at about the same time,
-// the one of the higher incarnation does, then the one that drains, since draining ends an incarnation; otherwise the
-// later one does.
+// supersededBy reports whether a record received at receivedAt replaces the known record. Of two records received
+// within recordTolerance of each other, the one of the higher incarnation wins, then the draining one, since draining
+// ends an incarnation; otherwise the later record wins.
 func (k *knownAgent) supersededBy(receivedAt time.Duration, record *pb.AgentRecord) bool {
 	difference := receivedAt - k.receivedAt
 	if difference.Abs() <= recordTolerance {
@@ -124,8 +124,8 @@
 	return copied
 }
 
-// sameContent reports whether two records of a host mean the same to clients and other agents. The sequence and the age
-// change all the time and do not matter to them.
+// sameContent reports whether two records of a host are equivalent for clients and other agents. The sequence and the
+// age, which change all the time, are not relevant to them.
 func sameContent(first, second *pb.AgentRecord) bool {
 	return first.Incarnation == second.Incarnation &&
 		first.Ready == second.Ready &&
@@ -136,8 +136,8 @@
 		first.EdgeAddress == second.EdgeAddress
 }
 
-// Report returns the records to send to the other control machines, with their ages: those of live agents that this
-// machine received from the agents themselves, each after a change and otherwise once in peerReportInterval.
+// Report returns the records to send to the other control machines, with their ages: the records of live agents that
+// this machine received from the agents themselves, each after a change and otherwise once per peerReportInterval.
 func (a *Agents) Report(now time.Duration) []*pb.AgentRecord {
 	var report []*pb.AgentRecord
 	for _, agent := range a.known {
@@ -156,8 +156,8 @@
 	return report
 }
 
-// Refresh removes the agents that have been lost for LostRetention and returns the members as of now. Their version is
-// higher than before if anything changed that matters to agents.
+// Refresh removes the agents whose last report is LostRetention old and returns the members as of now. The version of
+// the members rises if anything changed that is relevant to agents.
 func (a *Agents) Refresh(now time.Duration) *Members {
 	list := make([]Member, 0, len(a.known))
 	for host, agent := range a.known {
@@ -183,8 +183,9 @@
 	return a.members
 }
 
-// sameMembers reports whether two sorted lists of members mean the same to agents. Agents need to know which machines may
-// be sending requests, and where these are, but not which are ready. A lost machine may still be sending.
+// sameMembers reports whether two sorted lists of members are equivalent for agents. Agents need to know the machines
+// that may be sending requests and their locations, but not which of them are ready. A lost machine may still be
+// sending.
 func sameMembers(first, second []Member) bool {
 	return slices.EqualFunc(first, second, func(one, other Member) bool {
 		return one.record.Host == other.record.Host &&
--- a/internal/region/registry/agents_partition_test.go
+++ b/internal/region/registry/agents_partition_test.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// minContact is how long a machine must have been running and not partitioned for the rules to apply (contact-ms).
+	// minContact is the time for which a machine must have been running and not partitioned for the deployment's rules
+	// to apply (contact-ms).
 	minContact = 4 * time.Second
-	// maxNamedAfterEnd is how long after its end an edge machine may still be named.
+	// maxNamedAfterEnd is the maximum time after its end for which the directory may still return an edge machine.
 	maxNamedAfterEnd = minContact + 3*time.Second
-	// maxHeartbeatDelay is the longest delay of a heartbeat that is not lost: it waits for a second, and its call may last
-	// another one.
+	// maxHeartbeatDelay is the maximum delay of a heartbeat that is not lost: it may be queued for a second, and its
+	// call may take another second.
 	maxHeartbeatDelay = 2 * time.Second
-	// partitionedWatchTimeout and partitionedHeartbeatTimeout are how long a partition delays what was sent: then its sender
-	// closes the connection.
+	// partitionedWatchTimeout and partitionedHeartbeatTimeout are the times for which a partition may delay a message
+	// before its sender closes the connection and the message is lost.
 	partitionedWatchTimeout     = 2 * time.Second
 	partitionedHeartbeatTimeout = 1500 * time.Millisecond
 
@@ -34,27 +35,28 @@
 type directoryMachine struct {
 	agents      *Agents
 	partitioned bool
-	joinedAt    time.Duration // since when it is not partitioned
+	joinedAt    time.Duration // time of the last start or end of a partition of this machine
 }
 
 // edgeMachine is an edge machine that is killed and started.
 type edgeMachine struct {
 	host    string
-	started uint64 // counts
+	started uint64 // incarnation number
 	killed  bool
-	at      time.Duration // when it was killed last
+	at      time.Duration // time at which the machine was last killed or started
 }
 
-// delayedReport is a message in transit. At a machine that is partitioned it waits until lost at most.
+// delayedReport is a message in transit. If its receiver is partitioned, the message waits, and is dropped at the time
+// lost.
 type delayedReport struct {
 	at, lost time.Duration
 	to       *directoryMachine
 	do       func(now time.Duration, agents *Agents)
 }
 
-// directory simulates control machines that receive reports of edge machines while some are partitioned. What was sent
-// to a machine that is partitioned for a short time arrives when the partition heals, even if the sender was killed
-// meanwhile.
+// directory simulates control machines that receive reports of edge machines while some control machines are
+// partitioned. A message to a machine that is partitioned for a short time arrives when the partition heals, even if
+// the sender was killed in the meantime.
 type directory struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -62,9 +64,9 @@
 	machines  []*directoryMachine
 	edges     []*edgeMachine
 	inTransit []delayedReport
-	extraAge  time.Duration // fault under test: by how much reports seem younger than they are
+	extraAge  time.Duration // injected fault: reports appear younger by this time
 
-	longestInTouch, longest time.Duration // for which an edge machine was named after its end
+	longestInTouch, longest time.Duration // longest times for which a killed edge machine was still returned
 }
 
 func newDirectory(t *testing.T, seed uint64) *directory {
@@ -97,7 +99,7 @@
 	}
 }
 
-// deliver hands over what has arrived. Nothing arrives at a machine that is partitioned.
+// deliver delivers the messages that are due. A partitioned machine receives none.
 func (d *directory) deliver() {
 	due := d.inTransit
 	d.inTransit = nil
@@ -124,8 +126,8 @@
 	})
 }
 
-// heartbeat sends a report to the other control machines. What a partition delays is lost, since its sender closes the
-// connection.
+// heartbeat sends a report to the other control machines. A heartbeat that a partition delays for
+// partitionedHeartbeatTimeout is lost, since its sender closes the connection.
 func (d *directory) heartbeat(from *directoryMachine) {
 	records := from.agents.Report(d.now)
 	for _, to := range d.machines {
@@ -142,7 +144,7 @@
 	}
 }
 
-// observe takes an answer of each machine.
+// observe evaluates the present response of each control machine.
 func (d *directory) observe() {
 	for _, machine := range d.machines {
 		named := machine.agents.Refresh(d.now).Endpoints(d.now-d.extraAge, Client{}, 0)
@@ -190,10 +192,10 @@
 		require.Less(t, d.longestInTouch, maxNamedAfterEnd, "seed %d", seed)
 		inTouch, longest = max(inTouch, d.longestInTouch), max(longest, d.longest)
 	}
-	t.Logf("dead proxies were named for %v at most by machines in touch, for %v by any", inTouch, longest)
+	t.Logf("dead proxies were returned for at most %v by machines in contact, %v by any machine", inTouch, longest)
 }
 
-// The injected fault: reports count for five seconds longer.
+// Checks that the simulation detects the fault that reports count as fresh for five seconds longer.
 func TestADirectoryThatNamesDeadProxiesForLongIsFound(t *testing.T) {
 	require.GreaterOrEqual(t, runDirectory(t, 1, 5*time.Second).longestInTouch, maxNamedAfterEnd)
 }
--- a/internal/region/registry/agents_test.go
+++ b/internal/region/registry/agents_test.go
@@ -48,8 +48,8 @@
 func TestAgentsVersionFollowsWhatMatters(t *testing.T) {
 	changes := map[string]struct {
 		change  func(*pb.AgentRecord)
-		matters bool // it matters to clients or to agents
-		bumps   bool // it matters to agents
+		matters bool // the change is relevant to clients or agents
+		bumps   bool // the change is relevant to agents, so that the version rises
 	}{
 		"nothing":       {func(*pb.AgentRecord) {}, false, false},
 		"sequence":      {func(r *pb.AgentRecord) { r.Sequence = 9 }, false, false},
@@ -139,8 +139,8 @@
 	require.NoError(t, agents.Check())
 }
 
-// TestAgentsOfSeveralMachinesAgree lets agents report to random control machines that exchange heartbeats of
-// which some are lost: every machine knows the same live agents, and versions only rise.
+// TestAgentsOfSeveralMachinesAgree guards against control machines that know different live agents, and against
+// versions that fall: agents report to random control machines, which exchange heartbeats of which some are lost.
 func TestAgentsOfSeveralMachinesAgree(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -186,8 +186,8 @@
 	}
 }
 
-// TestADrainingAgentIsNotReadyAgainByALateReport: the age in another control machine's report leaves out the time that
-// the report took.
+// TestADrainingAgentIsNotReadyAgainByALateReport guards against a draining agent that a delayed report of another
+// control machine makes ready again: the age in the report does not include its transmission time.
 func TestADrainingAgentIsNotReadyAgainByALateReport(t *testing.T) {
 	const reportedAt, delay = 10 * time.Second, 200 * time.Millisecond
 	draining := agentRecord("a1", 1)
@@ -202,8 +202,8 @@
 
 	agents = NewAgents(0)
 	agents.Merge(reportedAt+delay, []*pb.AgentRecord{before})
-	require.True(t, agents.Observe(reportedAt, draining), "whichever comes first")
+	require.True(t, agents.Observe(reportedAt, draining), "the order of arrival does not matter")
 
-	// A proxy that restarts beside its agent is ready again, a little later.
+	// A proxy that restarts while its agent keeps running is ready again after recordTolerance.
 	require.True(t, agents.Observe(reportedAt+recordTolerance+time.Millisecond, agentRecord("a1", 1)))
 }
--- a/internal/region/registry/capacity_bench_test.go
+++ b/internal/region/registry/capacity_bench_test.go
@@ -51,7 +51,7 @@
 	return agents
 }
 
-// BenchmarkCapacityListMessage makes and writes the whole server list, as it goes to one agent.
+// BenchmarkCapacityListMessage builds and encodes the complete server list, as for one agent.
 func BenchmarkCapacityListMessage(b *testing.B) {
 	for _, count := range []int{100, 1000, 3100} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkCapacityListRead reads the whole server list, as each receiver does.
+// BenchmarkCapacityListRead decodes the complete server list, as each receiver does.
 func BenchmarkCapacityListRead(b *testing.B) {
 	data, err := proto.Marshal(&pb.ServerList{Servers: capacityServers(3100)})
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// BenchmarkCapacityMembersMessage makes and writes all members, as they go to one agent.
+// BenchmarkCapacityMembersMessage builds and encodes all members, as for one agent.
 func BenchmarkCapacityMembersMessage(b *testing.B) {
 	for _, count := range []int{50, 390, 1000} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// BenchmarkCapacitySameServers compares two readings of the platform's list.
+// BenchmarkCapacitySameServers compares the lists of two polls.
 func BenchmarkCapacitySameServers(b *testing.B) {
 	first, second := capacityServers(3100), capacityServers(3100)
 	b.ReportAllocs()
--- a/internal/region/registry/digest_test.go
+++ b/internal/region/registry/digest_test.go
@@ -11,9 +11,9 @@
 	"fieldrelay/internal/testkit/digesttest"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs again")
+var update = flag.Bool("update", false, "rewrite the recorded digests")
 
-// A refactoring leaves as they are the lists that control machines send each other, and the times of their polls.
+// Guards against refactorings that change the lists that control machines send each other, or the times of their polls.
 func TestInventoriesHaveTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "inventories", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(5 * time.Second)
@@ -28,7 +28,7 @@
 			case ListChanged:
 				recorder.Entry(s.now, "changed").Text(host)
 			default:
-				t.Errorf("an action that the digests do not know")
+				t.Errorf("unexpected type of action")
 			}
 		}
 		s.run(60*time.Second, func() {
@@ -43,7 +43,8 @@
 	})
 }
 
-// The directory of a simulated edge: the addresses that each control machine names to clients of each region.
+// Guards against refactorings that change the addresses that each control machine of a simulated deployment returns to
+// clients of each region.
 func TestDirectoryHasTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "directory", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(5 * time.Second)
@@ -66,7 +67,8 @@
 	})
 }
 
-// The actions of a lag monitor over agents that are partitioned, proxies that restart, and one that takes no changes.
+// Guards against refactorings that change the actions of a lag monitor. Agents are partitioned, proxies restart, and
+// one proxy applies no changes.
 func TestLagMonitorHasTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "lateness", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(5 * time.Second)
@@ -76,7 +78,7 @@
 		recorded := 0
 		for e.now < followTime {
 			e.step()
-			// Agents are evaluated in no certain order; the actions of one agent are in order.
+			// The order in which agents are evaluated is unspecified; the actions of one agent are in order.
 			actions := slices.Clone(e.events[recorded:])
 			slices.SortStableFunc(actions, func(a, b Action) int { return strings.Compare(hostOf(a), hostOf(b)) })
 			for _, action := range actions {
@@ -112,6 +114,6 @@
 		recorder.Entry(now, "late").Text(action.Host).Number(action.Reported).Number(action.Committed).
 			Time(action.Lag).Time(action.Bound)
 	default:
-		t.Errorf("an action that the digests do not know")
+		t.Errorf("unexpected type of action")
 	}
 }
--- a/internal/region/registry/endpoints.go
+++ b/internal/region/registry/endpoints.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// MaxEndpoints bounds the addresses in one answer to a client.
+	// MaxEndpoints is the maximum number of addresses in one response to a client.
 	MaxEndpoints = 64
 
-	// sufficientEndpoints is the number of proxies in a client's zone or region with which the search ends there.
+	// sufficientEndpoints is the number of proxies in a client's zone or region from which no larger set is considered.
 	sufficientEndpoints = 2
 
-	// While others are still starting, clients are sent to proxies once one in mostlyServingDivisor of those that are live
-	// takes requests.
+	// mostlyServingDivisor is the divisor of the fraction of live proxies that must accept requests before clients are
+	// sent to proxies while others are still starting.
 	mostlyServingDivisor = 2
 
-	// One in sufficientDivisor of all proxies suffices even if it is a single proxy.
+	// sufficientDivisor is the divisor of the fraction of all proxies that suffices even if it is a single proxy.
 	sufficientDivisor = 3
 
-	// recentLossWindow is how long after a proxy's last report its region counts as having just lost it, if that report
-	// did not say that the proxy drains. During this time proxies of other regions may take over: the rules do not
-	// count such requests for 15 s, and clients may use an answer of the directory for the last three of these.
+	// recentLossWindow is the time after a proxy's last report for which its region counts as having recently lost it,
+	// unless that report said that the proxy was draining. During this time proxies of other regions may take over: the
+	// deployment's rules do not count such requests for 15 s, of which the last 3 s are the time for which clients may
+	// still use a response of the directory.
 	recentLossWindow = 12 * time.Second
 )
 
-// Client describes who requests edge addresses.
+// Client describes a client that requests edge addresses.
 type Client struct {
-	Region string // empty: unknown
-	Zone   string // empty: unknown
-	// HomeRegions are the home regions of the requested host's routes. Requests that have home regions must not be sent to
-	// proxies in regions that are neither one of these nor the client's.
+	Region string // region of the client; empty: unknown
+	Zone   string // zone of the client; empty: unknown
+	// HomeRegions are the home regions of the requested host's routes. A request with home regions must be sent only to
+	// proxies in one of these or in the client's region.
 	HomeRegions route.HomeRegions
-	// DrainGracePeriod is the time for which a draining proxy may still be named if no other one is near.
+	// DrainGracePeriod is the time for which a draining proxy may still be returned if no other proxy is near.
 	DrainGracePeriod time.Duration
 }
 
@@ -44,21 +45,22 @@
 	return !c.HomeRegions.IsRestricted() || region == c.Region || c.HomeRegions.AllAllowedIn(region)
 }
 
-// Endpoints returns the edge addresses that a client is to use: the first of these sets that suffices, which is one with
-// at least two proxies or a third of all.
+// Endpoints returns the edge addresses that a client is to use. They are the first sufficient set of the following; a
+// set is sufficient with at least two proxies or a third of all proxies.
 //
-//  1. The proxies of its zone.
-//  2. Those of its region.
-//  3. Those of all regions that are near, which all its requests may be sent to.
-//  4. Those of all regions, if its region has just lost a proxy without notice.
-//  5. Those that are near, though they do not suffice.
-//  6. Those of its region that have only begun to drain and still take requests.
-//  7. Those in the regions that are home regions of the most routes.
+//  1. The proxies of the client's zone.
+//  2. The proxies of the client's region.
+//  3. The proxies of all near regions, to which all requests of the client may be sent.
+//  4. The proxies of all regions, if the client's region has recently lost a proxy that was not draining.
+//  5. The proxies of all near regions, though they are not sufficient.
+//  6. The proxies of the client's region that have just begun to drain and still accept requests.
+//  7. The proxies in the regions that are home regions of the most routes.
 //
-// From the fourth set on, a single proxy suffices. Except in the sixth, only proxies that are live, ready and not draining
-// count.
-// The order is rotated, so that clients that take the first address spread. The result is empty if no proxy takes
-// requests. There are at most MaxEndpoints addresses.
+// From the fourth set on, a single proxy is sufficient. All sets but the sixth have only proxies that are live, ready
+// and not draining.
+//
+// The order is rotated to spread clients that use the first address. The result has at most MaxEndpoints addresses; it
+// is empty if no proxy accepts requests.
 func (m *Members) Endpoints(now time.Duration, client Client, rotation uint64) []string {
 	all := m.serving(now)
 	inZone := filter(all, func(record *pb.AgentRecord) bool { return record.Zone == client.Zone })
@@ -84,7 +86,8 @@
 	return rotated(inHomeRegions(all, client.HomeRegions), rotation)
 }
 
-// recentlyDraining returns the records of the client's region that began to drain less than Client.DrainGracePeriod ago.
+// recentlyDraining returns the records of proxies in the client's region that began to drain less than
+// Client.DrainGracePeriod ago.
 func (m *Members) recentlyDraining(now time.Duration, client Client) []*pb.AgentRecord {
 	var result []*pb.AgentRecord
 	for _, member := range m.list {
@@ -97,7 +100,8 @@
 	return result
 }
 
-// inHomeRegions returns the records in the regions that are home regions of the most routes, all records if there is none.
+// inHomeRegions returns the records in the regions that are home regions of the most routes; all records if no record
+// is in a home region.
 func inHomeRegions(all []*pb.AgentRecord, homes route.HomeRegions) []*pb.AgentRecord {
 	most := 0
 	for _, record := range all {
@@ -109,8 +113,8 @@
 	return filter(all, func(record *pb.AgentRecord) bool { return homes.ByRegion[record.Region] == most })
 }
 
-// Serves reports whether a proxy of the region takes requests. Any proxy serves clients whose region is
-// unknown.
+// Serves reports whether a proxy of the region accepts requests. Clients whose region is unknown are served by any
+// proxy.
 func (m *Members) Serves(now time.Duration, region string) bool {
 	serving := m.serving(now)
 	if region == "" {
@@ -119,7 +123,7 @@
 	return slices.ContainsFunc(serving, func(record *pb.AgentRecord) bool { return record.Region == region })
 }
 
-// recentLossIn reports whether a proxy of the region that was not draining has just ceased to report.
+// recentLossIn reports whether a proxy of the region that was not draining has recently stopped reporting.
 func (m *Members) recentLossIn(now time.Duration, region string) bool {
 	for _, member := range m.list {
 		if member.record.Region != region || member.record.Draining {
@@ -143,7 +147,7 @@
 	return result
 }
 
-// suffices reports whether a part of all proxies can take the clients of its zone or region.
+// suffices reports whether a subset of all proxies is large enough to serve the clients of its zone or region.
 func suffices(part, all []*pb.AgentRecord) bool {
 	if len(part) == 0 {
 		return false
@@ -151,7 +155,8 @@
 	return len(part) >= sufficientEndpoints || len(part)*sufficientDivisor >= len(all)
 }
 
-// rotated returns the edge addresses of the records, at most MaxEndpoints, starting at another one for each rotation.
+// rotated returns the edge addresses of the records, at most MaxEndpoints, starting with the record at index rotation,
+// modulo their number.
 func rotated(records []*pb.AgentRecord, rotation uint64) []string {
 	count := min(len(records), MaxEndpoints)
 	addresses := make([]string, 0, count)
--- a/internal/region/registry/endpoints_sim_test.go
+++ b/internal/region/registry/endpoints_sim_test.go
@@ -12,35 +12,35 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Figures of the simulated edge.
+// Parameters of the simulated edge.
 const (
 	edgeHosts    = 12
 	edgeRegions  = 4
 	controlHosts = 3
 	stepTime     = 100 * time.Millisecond
-	// watchTime is the longest time between two calls of a running agent.
+	// watchTime is the maximum time between two calls of a running agent.
 	watchTime = time.Second
-	// heartbeatTime is the longest delay of a report here.
+	// heartbeatTime is the maximum delay of a control machine's report.
 	heartbeatTime = 300 * time.Millisecond
 	// warmUp is the time until control machines have received reports of all agents.
 	warmUp = 2 * time.Second
-	// partitionsUntil ends the time in which control machines are partitioned.
+	// partitionsUntil is the time after which no control machine is partitioned.
 	partitionsUntil = 30 * time.Second
 )
 
-// simulatedEdge is an edge whose machines are killed, ended and started. They report to control machines, some of which
-// are partitioned from the others.
+// simulatedEdge is an edge whose machines are killed, shut down and started. They report to control machines, some of
+// which are partitioned from the others.
 type simulatedEdge struct {
 	random      *rand.Rand
 	now         time.Duration
 	control     []*Agents
 	partitioned []bool
 	running     []bool
-	records     []*pb.AgentRecord // what each machine reports of itself
+	records     []*pb.AgentRecord // record that each machine reports about itself
 	reportedAt  []time.Duration
-	linkedTo    []int
-	ended       []time.Duration // when a machine that does not run stopped running
-	killed      []time.Duration // when a machine was last killed, long ago if never
+	linkedTo    []int           // index of the control machine that each machine reports to
+	ended       []time.Duration // time at which each machine last stopped running
+	killed      []time.Duration // time at which each machine was last killed; longAgo if never
 	transit     []report
 }
 
@@ -82,7 +82,7 @@
 	e.control[e.linkedTo[host]].Observe(e.now, e.records[host])
 }
 
-// step lets time pass and something happen.
+// step advances the time by stepTime, injects at most one fault and delivers the reports that are due.
 func (e *simulatedEdge) step() {
 	e.now += stepTime
 	e.injectFault(e.random.IntN(edgeHosts))
@@ -98,7 +98,7 @@
 	}
 }
 
-// injectFault may kill, end, start or reconnect one machine, and partition a control machine or heal its partition.
+// injectFault may kill, shut down, start or reconnect one machine, partition a control machine, or heal partitions.
 func (e *simulatedEdge) injectFault(host int) {
 	switch draw := e.random.IntN(30); {
 	case draw == 0 && e.running[host]:
@@ -123,7 +123,7 @@
 	}
 }
 
-// exchange sends the reports of control machines that are not partitioned to one another.
+// exchange sends and delivers reports between the control machines that are not partitioned.
 func (e *simulatedEdge) exchange() {
 	for from, agents := range e.control {
 		records := agents.Report(e.now)
@@ -144,9 +144,10 @@
 	})
 }
 
-// TestTheDirectoryNamesNoMachineThatIsGoneAndNoneTooFar: whatever is killed, ended or partitioned, a control machine, also
-// a partitioned one, names no machine that has not run for longer than agents count as live. It names machines of other
-// regions only if the client's region has none, or has just lost one by a kill or by the partition.
+// TestTheDirectoryNamesNoMachineThatIsGoneAndNoneTooFar guards against a directory that returns stopped or distant
+// machines while machines are killed, shut down or partitioned. A control machine, even a partitioned one, must not
+// return a machine that stopped longer ago than agents count as live. It may return machines of other regions only if
+// the client's region has none, or has recently lost one by a kill or by the partition.
 func TestTheDirectoryNamesNoMachineThatIsGoneAndNoneTooFar(t *testing.T) {
 	var near, far, spillover, gone int
 	for seed := range uint64(20) {
@@ -175,12 +176,13 @@
 		}
 	}
 	require.Positive(t, near)
-	require.Positive(t, far, "regions without a proxy")
-	require.Positive(t, spillover, "regions that have just lost one")
-	require.Positive(t, gone, "a machine is named until it counts as lost")
+	require.Positive(t, far, "the runs must include regions without a proxy")
+	require.Positive(t, spillover, "the runs must include regions that have recently lost a proxy")
+	require.Positive(t, gone, "a stopped machine must be returned until it counts as lost")
 }
 
-// checkRunning wants no machine among the addresses that has not run for long; it counts those that do not run.
+// checkRunning requires that no machine among the addresses stopped longer ago than a stopped machine may count as
+// live. It returns the number of stopped machines among the addresses.
 func (e *simulatedEdge) checkRunning(t *testing.T, seed uint64, addresses []string) (gone int) {
 	t.Helper()
 	for host, record := range e.records {
@@ -193,17 +195,18 @@
 	return gone
 }
 
-// reach is how far away the machines are that an answer of the directory names, in times without faults.
+// reach classifies the regions of the machines in a response of the directory.
 type reach int
 
 const (
-	reachUnconverged reach = iota // control machines were partitioned just before
-	reachNear                     // all are of the client's region
-	reachFar                      // others too; none of the region's takes requests
-	reachSpillover                // others too, beside those of the region
+	reachUnconverged reach = iota // a control machine was partitioned recently, so the response is not classified
+	reachNear                     // all machines are in the client's region
+	reachFar                      // there are machines of other regions, and none of the client's region
+	reachSpillover                // there are machines of the client's region and of other regions
 )
 
-// checkNear wants a reason if addresses of other regions than the client's are named beside its own.
+// checkNear classifies a response. If it has addresses of the client's region and of other regions, a machine of the
+// client's region must have been killed recently.
 func (e *simulatedEdge) checkNear(t *testing.T, seed uint64, index int, region string, addresses []string, lastPartition time.Duration) reach {
 	t.Helper()
 	if e.now-lastPartition <= recentLossWindow+FailureTimeout {
--- a/internal/region/registry/endpoints_test.go
+++ b/internal/region/registry/endpoints_test.go
@@ -19,15 +19,15 @@
 	return record
 }
 
-// unreadableHomes are home regions that are not known.
+// unreadableHomes are unknown home regions.
 var unreadableHomes = route.HomeRegions{Unreadable: true}
 
-// homes returns the home regions of a number of routes, with the number of routes by region.
+// homes returns the home regions of the given number of routes; byRegion has the number of routes by home region.
 func homes(routes int, byRegion map[string]int) route.HomeRegions {
 	return route.HomeRegions{Routes: routes, ByRegion: byRegion}
 }
 
-// threeRegions are edge machines of which one region has a single one.
+// threeRegions returns edge machines in three regions, one of which has a single machine.
 func threeRegions() []*pb.AgentRecord {
 	return []*pb.AgentRecord{
 		placed("a1", "a", "west"), placed("a2", "a", "west"),
@@ -67,14 +67,14 @@
 	}
 }
 
-// TestOtherRegionsHelpOnlyAfterAnUnplannedLoss: what a region has left takes its clients, unless it has just lost
-// a proxy that said nothing of it.
+// TestOtherRegionsHelpOnlyAfterAnUnplannedLoss guards against clients that are sent to other regions without need: the
+// remaining proxies of a region serve its clients, unless the region has recently lost a proxy that was not draining.
 func TestOtherRegionsHelpOnlyAfterAnUnplannedLoss(t *testing.T) {
 	const now = time.Minute
 	cases := map[string]struct {
-		sinceReport time.Duration // of the region's other proxy
-		draining    bool
-		region      string // of the other proxy
+		sinceReport time.Duration // time since the last report of the other proxy
+		draining    bool          // the other proxy drains
+		region      string        // region of the other proxy
 		helped      bool
 	}{
 		"both are there":            {0, false, "east", false},
@@ -102,8 +102,9 @@
 	}
 }
 
-// TestARegionWithoutAProxyIsHelpedByHomes: the clients of a host whose routes have homes are sent to those of the most of
-// them, as long as their own region has no proxy.
+// TestARegionWithoutAProxyIsHelpedByHomes guards against clients that are sent to regions which may not process their
+// requests: while their own region has no proxy, the clients of a host whose routes have home regions are sent to the
+// home regions of the most routes.
 func TestARegionWithoutAProxyIsHelpedByHomes(t *testing.T) {
 	everyone := []string{"a1:80", "a2:80", "b1:80", "c1:80", "d1:80", "d2:80", "d3:80"}
 	cases := map[string]struct {
@@ -132,8 +133,9 @@
 	}
 }
 
-// TestProxiesThatBeginToDrainAreNamedWhereNothingIsNear: they take requests for a while, and every other region is
-// neither a home of all routes nor the client's.
+// TestProxiesThatBeginToDrainAreNamedWhereNothingIsNear guards against a response without draining proxies if no other
+// proxy is near. Such proxies still accept requests for a while, and no other region is the client's or a home region
+// of all routes.
 func TestProxiesThatBeginToDrainAreNamedWhereNothingIsNear(t *testing.T) {
 	const now, gracePeriod = time.Minute, 2 * time.Second
 	const just, long = now - gracePeriod + time.Millisecond, now - gracePeriod
@@ -142,7 +144,7 @@
 	cases := map[string]struct {
 		region string
 		homes  route.HomeRegions
-		since  time.Duration // when the region's own proxy began to drain
+		since  time.Duration // time at which the proxy of the region south began to drain
 		want   []string
 	}{
 		"no homes":                       {"south", route.HomeRegions{}, just, everyone},
@@ -165,7 +167,7 @@
 			own := placed("s1", "s", "south")
 			own.Draining, own.Ready = true, false
 			agents.Observe(one.since, own)
-			agents.Observe(now, own) // it goes on reporting
+			agents.Observe(now, own) // the draining proxy's agent keeps reporting
 			client := Client{Region: one.region, Zone: "e", HomeRegions: one.homes, DrainGracePeriod: gracePeriod}
 			got := agents.Refresh(now).Endpoints(now, client, 1)
 			slices.Sort(got)
@@ -180,7 +182,7 @@
 	agents.Observe(0, agentRecord("b1", 1))
 	agents.Observe(0, agentRecord("c1", 1))
 	members := agents.Refresh(0)
-	require.Equal(t, []string{"b1:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-b", HomeRegions: unreadableHomes}, 0), "a third of all suffices")
+	require.Equal(t, []string{"b1:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-b", HomeRegions: unreadableHomes}, 0), "a third of all proxies suffices")
 }
 
 func TestServes(t *testing.T) {
@@ -193,8 +195,8 @@
 	members := agents.Refresh(0)
 	require.True(t, members.Serves(0, "east"))
 	require.True(t, members.Serves(0, ""))
-	require.False(t, members.Serves(0, "west"), "its proxy is not ready")
-	require.False(t, members.Serves(FailureTimeout, "east"), "an old snapshot names nobody")
+	require.False(t, members.Serves(0, "west"), "the proxy of the region is not ready")
+	require.False(t, members.Serves(FailureTimeout, "east"), "an old snapshot must yield no proxies")
 }
 
 func TestEndpointsLeaveOutWhatTakesNoRequests(t *testing.T) {
@@ -211,7 +213,7 @@
 	}
 	members := agents.Refresh(0)
 	require.Equal(t, []string{"a4:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-a", HomeRegions: unreadableHomes}, 0))
-	require.Empty(t, members.Endpoints(FailureTimeout, Client{Region: "region", Zone: "zone-a", HomeRegions: unreadableHomes}, 0), "an old snapshot names nobody")
+	require.Empty(t, members.Endpoints(FailureTimeout, Client{Region: "region", Zone: "zone-a", HomeRegions: unreadableHomes}, 0), "an old snapshot must yield no proxies")
 }
 
 func TestEndpointsRotateAndAreBounded(t *testing.T) {
--- a/internal/region/registry/invariants_test.go
+++ b/internal/region/registry/invariants_test.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// InvariantError reports a broken invariant of the state of this package.
+// InvariantError reports a violated invariant of this package's state.
 type InvariantError struct{ Reason string }
 
-// Error says which invariant is broken.
-func (e *InvariantError) Error() string { return "broken invariant: " + e.Reason }
+// Error describes the violated invariant.
+func (e *InvariantError) Error() string { return "invariant violated: " + e.Reason }
 
-// Check returns an *InvariantError if an invariant of the inventory is broken.
+// Check returns an *InvariantError if an invariant of the inventory is violated.
 func (i *ServerInventory) Check() error {
 	if i.current == nil {
 		return nil
@@ -31,18 +31,18 @@
 	return nil
 }
 
-// Check returns an *InvariantError if an invariant of the agents is broken.
+// Check returns an *InvariantError if an invariant of the agents is violated.
 func (a *Agents) Check() error {
 	if len(a.known) > MaxAgents {
-		return &InvariantError{Reason: fmt.Sprintf("%d agents are kept", len(a.known))}
+		return &InvariantError{Reason: fmt.Sprintf("too many agents are tracked: %d", len(a.known))}
 	}
 	for host, agent := range a.known {
 		if agent.record.Host != host || agent.record.AgeMs != 0 {
-			return &InvariantError{Reason: "a record is kept under another name or with an age: " + host}
+			return &InvariantError{Reason: "a record is stored under another host or with an age: " + host}
 		}
 	}
 	if a.members.version != a.version {
-		return &InvariantError{Reason: "the members have another version than the agents"}
+		return &InvariantError{Reason: "the versions of members and agents differ"}
 	}
 	return nil
 }
--- a/internal/region/registry/inventory_partition_test.go
+++ b/internal/region/registry/inventory_partition_test.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// longestPartition is how long a machine may be partitioned.
+	// longestPartition is the maximum time for which a machine is partitioned.
 	longestPartition = 22 * time.Second
-	// maxRegression is how much older the content of a list may be than that of the one which it replaces: an
-	// owner whose polls fail counts until staleThreshold, and a poll takes PollTimeout at most.
+	// maxRegression bounds by how much the content of a list may be older than the content of the list that it
+	// replaces: an owner whose polls fail keeps its role until staleThreshold, and a poll takes at most PollTimeout.
 	maxRegression = staleThreshold + PollTimeout
 )
 
-// contentHistory records when the platform's list had which content.
+// contentHistory records the times at which the platform's list had each content.
 type contentHistory struct {
-	since map[string]time.Duration // by content: until when the platform last had it
-	now   string
+	since map[string]time.Duration // last time at which the platform's list had a content, by former content
+	now   string                   // present content of the platform's list
 }
 
 func contentOf(servers []*pb.Server) string {
@@ -34,7 +34,7 @@
 	return strings.Join(ids, " ")
 }
 
-// lastTrue returns when the platform's list last had the content of a list.
+// lastTrue returns the last time at which the platform's list had the content of the given list.
 func (c *contentHistory) lastTrue(now time.Duration, list *ServerList) time.Duration {
 	content := contentOf(list.servers)
 	if content == c.now {
@@ -43,13 +43,14 @@
 	return c.since[content]
 }
 
-// partitionSimulation is a simulation in which machines are partitioned from the others, with and without the platform.
+// partitionSimulation is a simulation in which machines are partitioned from the others, and sometimes also from the
+// platform.
 type partitionSimulation struct {
 	*simulation
 	contents             contentHistory
 	held                 []*ServerList
-	worstRegression      time.Duration // by which a list was older than the one that it replaced
-	confirmsWithoutPolls bool          // injected fault: a list counts as confirmed though no poll succeeds
+	worstRegression      time.Duration // maximum time by which a list was older than the list that it replaced
+	confirmsWithoutPolls bool          // injected fault: the owner's list counts as confirmed though no poll succeeds
 }
 
 func newPartitionSimulation(t *testing.T, seed uint64) *partitionSimulation {
@@ -59,7 +60,7 @@
 	return c
 }
 
-// observe is called at every step.
+// observe is called at every step. It may change the servers, and records the regressions of all machines' lists.
 func (c *partitionSimulation) observe() {
 	if c.random.IntN(60) == 0 {
 		c.changeServers()
@@ -81,8 +82,8 @@
 	}
 }
 
-// partition separates a machine from the others for a while, in one direction or both. The platform is unreachable for
-// a part of that time, and perhaps beyond it.
+// partition partitions a machine from the others for a while, in one direction or both. The platform may be unreachable
+// for a part of that time, and beyond it.
 func (c *partitionSimulation) partition() {
 	machine := c.machines[c.random.IntN(len(c.machines))]
 	span := time.Duration(c.random.Int64N(int64(longestPartition)))
@@ -112,7 +113,7 @@
 		c.run(12*time.Second, func() {})
 		c.requireAgreement()
 	}
-	t.Logf("lists went back by %v at most", worst)
+	t.Logf("the longest regression of a list was %v", worst)
 }
 
 func TestAgeIsWhatKeepsAnOldListFromReplacingALaterOne(t *testing.T) {
@@ -129,7 +130,8 @@
 	require.Greater(t, worst, maxRegression)
 }
 
-// Each side of a partition polls, and together they keep to the platform's rate.
+// Guards against two sides of a partition that exceed the platform's rate: both sides poll, and together they must stay
+// below the rate.
 func TestAMachineThatIsApartReadsManyPagesLessOften(t *testing.T) {
 	inventory, now := newOwner(t, serverNamed("a"))
 	inventory.lastPages = 28
@@ -140,10 +142,11 @@
 			inventory.Step(now, PollDone{SentAt: now, Pages: 28, Servers: []*pb.Server{serverNamed("a")}})
 		}
 	}
-	require.InDelta(t, 40/8, polls, 1, "28 pages at a twelfth of 42 a second: one poll in eight seconds")
+	require.InDelta(t, 40/8, polls, 1, "28 pages at a twelfth of 42 calls per second take eight seconds per poll")
 }
 
-// A machine that has no list gets even an old one: the platform may be unreachable for all.
+// Guards against a machine that stays without a list while the platform is unreachable for all machines: an owner sends
+// a stale list to machines that have no list, and only to them.
 func TestAnOldListIsSentToAMachineWithoutOneAlone(t *testing.T) {
 	inventory, now := newOwner(t, serverNamed("a"))
 	now += staleThreshold
--- a/internal/region/registry/inventory_sim_test.go
+++ b/internal/region/registry/inventory_sim_test.go
@@ -23,9 +23,9 @@
 	host                string
 	inventory           *ServerInventory
 	frozen              bool
-	receivesNothing     bool // receives from no other machine
-	sendsNothing        bool // no other machine receives from it
-	platformUnreachable bool // its polls fail
+	receivesNothing     bool // the machine receives no messages from others
+	sendsNothing        bool // the other machines receive no messages from this one
+	platformUnreachable bool // the machine's polls fail
 	pollEnds            time.Duration
 	poll                *PollDone
 	last                *pb.ListVersion
@@ -38,7 +38,7 @@
 	what Event
 }
 
-// simulation is several inventories that poll a platform whose servers change.
+// simulation simulates several inventories that poll a platform whose servers change.
 type simulation struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -46,9 +46,9 @@
 	machines     []*simulatedMachine
 	inTransit    []delivery
 	servers      []*pb.Server
-	changed      time.Duration // when the platform's list last changed
-	platformDown bool          // the platform answers nothing
-	lossy        bool          // messages are lost now and then
+	changed      time.Duration // time of the last change of the platform's list
+	platformDown bool          // the polls of all machines fail
+	lossy        bool          // one message in 20 is lost
 	calls        []time.Duration
 	watch        func(host string, action Action) // called with each action, unless nil
 }
@@ -69,7 +69,7 @@
 	s.send(index, VersionObserved{Peer: true}) // the first heartbeat
 }
 
-// order returns the machines that the given one is in contact with, itself included.
+// order returns the hosts that the given machine is in contact with, including its own.
 func (s *simulation) order(self int) []string {
 	var order []string
 	for index, machine := range s.machines {
@@ -106,7 +106,7 @@
 	}
 	require.NoError(s.t, machine.inventory.Check())
 	version := machine.inventory.Current().Version()
-	require.GreaterOrEqual(s.t, serverlist.CompareVersions(version, machine.last), 0, "the version fell at %s", machine.host)
+	require.GreaterOrEqual(s.t, serverlist.CompareVersions(version, machine.last), 0, "the list version of %s decreased", machine.host)
 	machine.last = version
 }
 
@@ -120,7 +120,7 @@
 	}
 }
 
-// advance lets one step of time pass.
+// advance advances the time by one step and delivers the messages and events that are due.
 func (s *simulation) advance() {
 	s.now += simulationStep
 	due := s.inTransit
@@ -152,7 +152,7 @@
 	s.checkCalls()
 }
 
-// checkCalls requires that the calls of one second stay far under the platform's rate.
+// checkCalls requires that the calls within one second stay below half of the platform's rate.
 func (s *simulation) checkCalls() {
 	for len(s.calls) > 0 && s.calls[0] <= s.now-time.Second {
 		s.calls = s.calls[1:]
@@ -198,7 +198,7 @@
 	}
 }
 
-// run lets time pass and calls each at every step.
+// run advances the time by the duration and calls each after every step.
 func (s *simulation) run(duration time.Duration, each func()) {
 	for end := s.now + duration; s.now < end; {
 		s.advance()
@@ -206,7 +206,7 @@
 	}
 }
 
-// requireAgreement requires one owner, and the platform's list at all machines.
+// requireAgreement requires that there is one owner and that all machines have the platform's list.
 func (s *simulation) requireAgreement() {
 	owners := 0
 	for _, machine := range s.machines {
@@ -247,17 +247,18 @@
 	}
 }
 
-// TestListsAreBackSoonAfterAllMachinesRestart: no proxy serves without a list.
+// TestListsAreBackSoonAfterAllMachinesRestart guards against a long time without a list after a restart of all
+// machines, during which no proxy could serve requests.
 func TestListsAreBackSoonAfterAllMachinesRestart(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(t, seed)
 		s.run(10*time.Second, func() {})
 		s.requireAgreement()
-		s.inTransit = nil // they were down for longer than a message is in transit
+		s.inTransit = nil // all machines were down for longer than a message is in transit
 		for index := range s.machines {
 			s.restart(index)
 		}
-		s.run(time.Second, func() {}) // the listen window, a tick, the slowest poll and the messages to the others
+		s.run(time.Second, func() {}) // covers the listen window, a tick, the slowest poll and the messages to the others
 		for _, machine := range s.machines {
 			require.NotNil(t, machine.inventory.Current())
 		}
@@ -266,7 +267,8 @@
 	}
 }
 
-// TestOneMachineRestartsWithoutADispute: its first heartbeat brings it the list of the owner.
+// TestOneMachineRestartsWithoutADispute guards against a restarted machine that replaces the owner's list: in response
+// to its first heartbeat it gets the owner's list.
 func TestOneMachineRestartsWithoutADispute(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(t, seed)
@@ -279,7 +281,8 @@
 	}
 }
 
-// TestASilentHolderIsReplacedInTime: the list of the others grows no older than the drain bounds allow.
+// TestASilentHolderIsReplacedInTime guards against a list that grows older than the bounds on draining allow after the
+// owner froze.
 func TestASilentHolderIsReplacedInTime(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(t, seed)
--- a/internal/region/registry/inventory_test.go
+++ b/internal/region/registry/inventory_test.go
@@ -19,7 +19,7 @@
 	return NewServerInventory(self, 42, rand.New(rand.NewPCG(1, 2)))
 }
 
-// tickThrough steps through the ticks from one time to another and returns their actions.
+// tickThrough steps an inventory with the ticks from one time to another and returns their actions.
 func tickThrough(inventory *ServerInventory, from, to time.Duration, order ...string) []Action {
 	var actions []Action
 	for now := from; now <= to; now += 100 * time.Millisecond {
@@ -28,7 +28,7 @@
 	return actions
 }
 
-// newOwner returns an inventory that is the owner, and the time at which it has polled the servers.
+// newOwner returns an inventory that is the owner, and the time of its last poll.
 func newOwner(t *testing.T, servers ...*pb.Server) (*ServerInventory, time.Duration) {
 	t.Helper()
 	inventory := newTestInventory("m1")
@@ -50,11 +50,12 @@
 	require.NotZero(t, list.Version.Epoch)
 }
 
-// TestMachineWithoutAListPollsAtOnce: nothing is served before the first list.
+// TestMachineWithoutAListPollsAtOnce guards against an unnecessary delay of the first poll: no request is served before
+// the first list.
 func TestMachineWithoutAListPollsAtOnce(t *testing.T) {
 	for rank, order := range [][]string{{"m1"}, {"m2", "m1"}, {"m2", "m3", "m1"}} {
 		inventory := newTestInventory("m1")
-		require.Empty(t, inventory.Step(0, Tick{LiveHosts: order}), "a peer that has a list gets the time to send it")
+		require.Empty(t, inventory.Step(0, Tick{LiveHosts: order}), "a peer that has a list must have time to send it")
 		require.Equal(t, []Action{StartPoll{}}, inventory.Step(startupListenWindow, Tick{LiveHosts: order}), "rank %d", rank)
 		done := PollDone{SentAt: startupListenWindow, Pages: 1, Servers: []*pb.Server{serverNamed("a")}}
 		require.Len(t, inventory.Step(startupListenWindow+20*time.Millisecond, done), 2)
@@ -62,7 +63,8 @@
 	}
 }
 
-// TestMachinesThatStartTogetherKeepToThePlatformsRate: they poll for the first time in groups.
+// TestMachinesThatStartTogetherKeepToThePlatformsRate guards against first polls that together exceed the platform's
+// rate: machines that start together poll in groups.
 func TestMachinesThatStartTogetherKeepToThePlatformsRate(t *testing.T) {
 	for _, rate := range []float64{8, 20, 42} {
 		calls := make(map[time.Duration]float64)
@@ -83,7 +85,8 @@
 	}
 }
 
-// TestFailedFirstPollIsRetriedSoon: not by all machines at the same time.
+// TestFailedFirstPollIsRetriedSoon guards against a long time without a list after a failed first poll. The delay of
+// the retry is random, so that the machines do not retry at the same time.
 func TestFailedFirstPollIsRetriedSoon(t *testing.T) {
 	inventory := newTestInventory("m1")
 	require.Empty(t, inventory.Step(0, Tick{LiveHosts: []string{"m1"}}))
@@ -96,7 +99,8 @@
 	}
 }
 
-// TestRestartedMachineTakesTheListOfItsPeers: a machine that starts beside others takes their list.
+// TestRestartedMachineTakesTheListOfItsPeers guards against a restarted machine that polls although a peer has a list.
+// If the peer's list does not arrive, the machine polls.
 func TestRestartedMachineTakesTheListOfItsPeers(t *testing.T) {
 	inventory := newTestInventory("m1")
 	version := &pb.ListVersion{Epoch: 5, Holder: "m2", Revision: 1}
@@ -108,12 +112,12 @@
 
 	inventory = newTestInventory("m1")
 	inventory.Step(0, VersionObserved{Version: version, Peer: true})
-	require.Equal(t, []Action{StartPoll{}}, tickThrough(inventory, 0, startupGracePeriod, "m1", "m2"), "it never came")
+	require.Equal(t, []Action{StartPoll{}}, tickThrough(inventory, 0, startupGracePeriod, "m1", "m2"), "the advertised list did not arrive")
 }
 
 func TestNoPollWithoutAView(t *testing.T) {
 	require.Empty(t, tickThrough(newTestInventory("m1"), 0, 20*time.Second))
-	require.Empty(t, tickThrough(newTestInventory("m1"), 0, 20*time.Second, "m2", "m3"), "not a voter")
+	require.Empty(t, tickThrough(newTestInventory("m1"), 0, 20*time.Second, "m2", "m3"), "a machine that is not among the live hosts must not poll")
 }
 
 func TestOwnerPollsOnceASecond(t *testing.T) {
@@ -124,7 +128,7 @@
 			polls++
 			actions := inventory.Step(now, PollDone{SentAt: now, Pages: 1, Servers: []*pb.Server{serverNamed("a")}})
 			require.Len(t, actions, 1)
-			require.Empty(t, actions[0].(SendList).List.Servers, "an unchanged list is only confirmed")
+			require.Empty(t, actions[0].(SendList).List.Servers, "an unchanged list must only be confirmed")
 		}
 		require.Less(t, inventory.Current().Age(now), 2*time.Second)
 	}
@@ -134,7 +138,7 @@
 
 func TestManyPagesStretchThePollInterval(t *testing.T) {
 	inventory, now := newOwner(t, serverNamed("a"))
-	inventory.lastPages = 28 // 28 pages at a third of 42 a second: one poll in two seconds
+	inventory.lastPages = 28 // 28 pages at a third of 42 calls per second take two seconds per poll
 	polls := 0
 	for end := now + 20*time.Second; now < end; now += 100 * time.Millisecond {
 		for range inventory.Step(now, Tick{LiveHosts: []string{"m1"}}) {
@@ -238,7 +242,7 @@
 	inventory.Step(0, ListReceived{List: &pb.ServerList{Version: version, Servers: []*pb.Server{serverNamed("a")}}})
 	inventory.Step(4*time.Second, ListReceived{List: &pb.ServerList{Version: version, AgeMs: 300}})
 	require.Equal(t, 300*time.Millisecond, inventory.Current().Age(4*time.Second))
-	require.Equal(t, uint32(4000), inventory.Current().Message(4*time.Second).AgeMs, "remaining times date from the poll")
+	require.Equal(t, uint32(4000), inventory.Current().Message(4*time.Second).AgeMs, "the age of remaining times counts from the poll")
 }
 
 func TestNextMachineTakesOverUnderAHigherEpoch(t *testing.T) {
@@ -292,8 +296,8 @@
 	require.Equal(t, "m2", inventory.Current().Version().Holder)
 }
 
-// TestVersionThatOutlivedItsOwnerIsSuperseded: an agent, or a control machine that observed it there, has a version from
-// before all control machines were restarted.
+// TestVersionThatOutlivedItsOwnerIsSuperseded guards against an owner whose lists are ignored: an agent, or a control
+// machine that observed the agent's version, advertises a higher version from before a restart of all control machines.
 func TestVersionThatOutlivedItsOwnerIsSuperseded(t *testing.T) {
 	for _, higher := range []uint64{0, 1, 1000} {
 		for _, peer := range []bool{false, true} {
@@ -304,10 +308,10 @@
 				observed.Version = &pb.ListVersion{Epoch: epoch + higher + 1}
 			}
 			now := start + 300*time.Millisecond
-			require.Equal(t, []Action{StartPoll{}}, inventory.Step(now, observed), "without waiting for the next interval")
-			require.Empty(t, inventory.Step(now, observed), "one poll is enough")
+			require.Equal(t, []Action{StartPoll{}}, inventory.Step(now, observed), "the poll must not wait for the next interval")
+			require.Empty(t, inventory.Step(now, observed), "a second poll must not be started")
 			actions := inventory.Step(now, PollDone{SentAt: now, Pages: 1, Servers: []*pb.Server{serverNamed("a")}})
-			require.Len(t, actions, 2, "the same servers are a new list")
+			require.Len(t, actions, 2, "unchanged servers must be published as a new list")
 			require.Positive(t, serverlist.CompareVersions(inventory.Current().Version(), observed.Version))
 		}
 	}
@@ -339,12 +343,14 @@
 	}
 }
 
-// TestFencedOwnerPublishesNothingUnderItsEpoch: once it has observed a later owner, whatever becomes of that one's list, a
-// machine polls again only to take the role over, and publishes under an epoch above both.
+// TestFencedOwnerPublishesNothingUnderItsEpoch guards against an earlier owner that publishes under its old epoch: once
+// it has observed a later owner, even if that owner's list never arrives, the machine polls only to take over the role,
+// and publishes under an epoch above both.
 func TestFencedOwnerPublishesNothingUnderItsEpoch(t *testing.T) {
 	inventory, start := newOwner(t, serverNamed("a"))
 	epoch := inventory.Current().Version().Epoch
-	// tick steps through a tick, answers the poll that it may start, and returns the epochs that are published.
+	// tick steps the inventory with a tick, completes the poll that the tick may start, and returns the published
+	// epochs.
 	tick := func(now time.Duration) (epochs []uint64) {
 		for range inventory.Step(now, Tick{LiveHosts: []string{"m1", "m2"}}) {
 			done := PollDone{SentAt: now, Pages: 1, Servers: []*pb.Server{serverNamed("b")}}
@@ -368,7 +374,7 @@
 	for end := now + 20*time.Second; now < end; now += 100 * time.Millisecond {
 		published = append(published, tick(now)...)
 	}
-	require.NotEmpty(t, published, "the later owner's list never came")
+	require.NotEmpty(t, published, "the machine must take over, since the later owner's list did not arrive")
 	for _, number := range published {
 		require.Greater(t, number, epoch+1)
 	}
--- a/internal/region/registry/lag_agent.go
+++ b/internal/region/registry/lag_agent.go
@@ -7,28 +7,27 @@
 	"fieldrelay/internal/region/lag"
 )
 
-// trackedAgent is what a LagMonitor knows about one agent and its proxy, from the agent's reports.
+// trackedAgent is the state of one agent and its proxy in a LagMonitor, as known from the agent's reports.
 type trackedAgent struct {
-	incarnation  uint64 // of the agent
-	sequence     uint64 // that its proxy has, by the last report
-	ready        bool
+	incarnation  uint64        // incarnation of the agent
+	sequence     uint64        // sequence that the proxy has applied, by the last report
+	ready        bool          // the proxy is ready, by the last report
 	direct       bool          // the last report came from the agent itself
-	evaluated    bool          // its lag counts: there is a proxy, and it does not drain
-	receivedAt   time.Duration // of the last report
-	contactSince time.Duration // since then reports came without a gap of FailureTimeout, from one incarnation of agent and proxy
-	overdueTime  time.Duration // by which reports were late (expectedReportInterval), summed up since the proxy last did not lag
+	evaluated    bool          // the lag is evaluated: there is a proxy, and it does not drain
+	receivedAt   time.Duration // time of the last report
+	contactSince time.Duration // start of the reports without a gap of FailureTimeout and without a restart of agent or proxy
+	overdueTime  time.Duration // total delay of reports beyond expectedReportInterval since the proxy last did not lag
 	episode      lag.Episode
-	violated     bool // in this episode
+	violated     bool // the bound was exceeded in the present episode
 }
 
-// mayBeOlder reports whether a report that came through another control machine may be older than the last one, since
-// its age leaves out the time that the message took.
+// mayBeOlder reports whether a report that came through another control machine may be older than the last report,
+// since the age in the message does not include its transmission time.
 func (a *trackedAgent) mayBeOlder(receivedAt time.Duration, record *pb.AgentRecord) bool {
 	return receivedAt <= a.receivedAt+recordTolerance && record.GetSequence() < a.sequence
 }
 
-// update records a report. Another incarnation of the agent or the proxy, or a gap of FailureTimeout, begins a new
-// contact.
+// update records a report. A restart of the agent or the proxy, or a gap of FailureTimeout, begins a new contact.
 func (a *trackedAgent) update(receivedAt time.Duration, record *pb.AgentRecord) {
 	gap := receivedAt - a.receivedAt
 	evaluated := record.GetEdgeAddress() != "" && !record.GetDraining()
@@ -46,7 +45,7 @@
 	a.receivedAt = receivedAt
 }
 
-// endEpisode appends the end of the running episode, if there is one, of an agent that is no longer evaluated.
+// endEpisode ends the episode of an agent that is no longer evaluated, and appends the AgentCaughtUp if there was one.
 func (a *trackedAgent) endEpisode(actions []Action, host string) []Action {
 	if a.episode.Update(0, LagThreshold) != lag.Ended {
 		return actions
--- a/internal/region/registry/lag_monitor.go
+++ b/internal/region/registry/lag_monitor.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	// LagThreshold is how long a proxy may lack a committed change before it counts as lagging.
+	// LagThreshold is the time for which a proxy may lack a committed change before it counts as lagging.
 	LagThreshold = time.Second
 
-	// expectedReportInterval is the time within which an agent that gets its answers reports again: each long poll stays
-	// open for a second at most.
+	// expectedReportInterval is the time within which an agent that receives its responses reports again: each long
+	// poll stays open for at most a second.
 	expectedReportInterval = time.Second
 )
 
 // LagBounds are the deployment's bounds on the delay of an acknowledged change.
 type LagBounds struct {
-	MinContact              time.Duration // for which a machine must have been in contact before the bound applies to it
-	ApplyDelay              time.Duration // from the acknowledgement until the change is in force; 0: there is no bound
-	UnsynchronizedAllowance time.Duration // added while this control machine is not synchronized
+	MinContact              time.Duration // minimum time in contact before the bound applies to a machine
+	ApplyDelay              time.Duration // maximum time from the acknowledgement until the change is in force; 0: no bound
+	UnsynchronizedAllowance time.Duration // addition to ApplyDelay while this control machine is not synchronized
 }
 
 // LagMonitor measures how far proxies lag behind the configuration that is committed at this control machine, from the
-// reports of their agents. It decides nothing: its results are for logs and counters. An agent is evaluated only while
-// its last report came to this machine from itself, so that one machine evaluates it. A LagMonitor is not safe for
-// concurrent use.
+// reports of their agents. Its results are used only for logs and counters. An agent is evaluated only while its last
+// report was sent to this machine by the agent itself, so that only one machine evaluates it. A LagMonitor is not safe
+// for concurrent use.
 type LagMonitor struct {
 	committed        lag.Timeline
 	agents           map[string]*trackedAgent
 	bounds           LagBounds
 	unsynchronized   bool          // this machine has been out of sync with the control state before
-	unsynchronizedAt time.Duration // when it last was
-	violations       uint64
+	unsynchronizedAt time.Duration // last time at which this machine was out of sync
+	violations       uint64        // number of ProxyBoundExceeded since the start
 }
 
 // LagStats summarize the lag of the proxies.
 type LagStats struct {
-	Lagging        int           // proxies that lag by more than LagThreshold
-	LongestLag     time.Duration // the longest lag of a proxy
-	LongestLagHost string
-	Violations     uint64 // ProxyBoundExceeded since the start
+	Lagging        int           // number of proxies that lag by more than LagThreshold
+	LongestLag     time.Duration // longest lag of a proxy
+	LongestLagHost string        // host of that proxy
+	Violations     uint64        // number of ProxyBoundExceeded since the start
 }
 
-// NewLagMonitor returns a monitor that knows no agents and no committed change, and has no bounds.
+// NewLagMonitor returns a monitor without agents, committed changes or bounds.
 func NewLagMonitor() *LagMonitor { return &LagMonitor{agents: make(map[string]*trackedAgent)} }
 
 // SetBounds changes the deployment's bounds.
@@ -108,8 +108,8 @@
 	return stats
 }
 
-// accept records a report and returns its agent. It returns nil for a report that is ignored: a later one is known, or
-// there are MaxAgents already.
+// accept records a report and returns its agent. It returns nil for a report that is ignored: one without a host, one
+// that may be older than the last report, and one of a further agent when MaxAgents are tracked.
 func (l *LagMonitor) accept(receivedAt time.Duration, record *pb.AgentRecord, direct bool) *trackedAgent {
 	if record.GetHost() == "" {
 		return nil
@@ -133,9 +133,9 @@
 	return agent
 }
 
-// lagOf returns for how long an agent's proxy is known to have lacked a committed change, 0 for an agent that is not
-// evaluated. The next report is due expectedReportInterval after the last one. Until then the proxy may have the change
-// while its agent had no occasion to report so.
+// lagOf returns the time for which an agent's proxy is known to have lacked a committed change, 0 for an agent that is
+// not evaluated. The next report is due expectedReportInterval after the last one. Until then the proxy may have
+// applied the change without its agent having had an opportunity to report it.
 func (l *LagMonitor) lagOf(now time.Duration, agent *trackedAgent) time.Duration {
 	if !agent.evaluated || !agent.direct {
 		return 0
@@ -162,7 +162,8 @@
 	return nil
 }
 
-// checkBound appends a ProxyBoundExceeded if a report that has just come from the agent itself shows one.
+// checkBound appends a ProxyBoundExceeded if the report that the agent itself has just sent shows a lag above the
+// bound.
 func (l *LagMonitor) checkBound(actions []Action, now time.Duration, host string, agent *trackedAgent) []Action {
 	lagging := l.lagOf(now, agent)
 	bound := l.boundFor(now, lagging, agent)
@@ -177,8 +178,8 @@
 	})
 }
 
-// boundFor returns the longest lag that is allowed. An agent whose reports were overdue may have been partitioned for that
-// time, and this machine may have been out of sync itself.
+// boundFor returns the maximum lag that is allowed. It includes the time for which the agent's reports were overdue,
+// since the agent may have been partitioned for that time, and an allowance if this machine was recently out of sync.
 func (l *LagMonitor) boundFor(now, lagging time.Duration, agent *trackedAgent) time.Duration {
 	bound := l.bounds.ApplyDelay + agent.overdueTime
 	if l.unsynchronized && now-l.unsynchronizedAt < lagging+l.bounds.MinContact {
--- a/internal/region/registry/lag_monitor_sim_test.go
+++ b/internal/region/registry/lag_monitor_sim_test.go
@@ -13,12 +13,12 @@
 	followHosts = 10
 	followStep  = 50 * time.Millisecond
 	followTime  = 2 * time.Minute
-	// longestDelivery is the longest time that a change takes from control into a proxy here, for an agent in contact.
+	// longestDelivery is the maximum time from the commit of a change until the proxy of an agent in contact has it.
 	longestDelivery = 800 * time.Millisecond
 )
 
-// followingEdge is an edge whose proxies follow the changes of one control machine within longestDelivery while their
-// agents reach it. Agents are partitioned, and proxies restart.
+// followingEdge simulates an edge whose proxies apply the changes of one control machine within longestDelivery while
+// their agents can reach it. Agents are partitioned, and proxies restart.
 type followingEdge struct {
 	random    *rand.Rand
 	now       time.Duration
@@ -33,10 +33,10 @@
 	sequence         uint64
 	partitionedUntil time.Duration
 	reportAt         time.Duration
-	arrivesAt        time.Duration // of the changes in transit, up to arrives; 0: none are
-	arrives          uint64
-	stuck            bool          // injected fault: its proxy takes no changes
-	reportInterval   time.Duration // longest time between two reports
+	arrivesAt        time.Duration // arrival time of the changes in transit; 0: there are none
+	arrives          uint64        // sequence of the last change in transit
+	stuck            bool          // injected fault: the proxy applies no changes
+	reportInterval   time.Duration // maximum time between two reports
 }
 
 func newFollowingEdge(seed uint64) *followingEdge {
@@ -67,7 +67,7 @@
 	e.events = append(e.events, e.monitor.Step(e.now)...)
 }
 
-// injectFault partitions a host at times, or restarts its proxy.
+// injectFault may partition a host or restart its proxy.
 func (e *followingEdge) injectFault(host *followingHost) {
 	switch e.random.IntN(600) {
 	case 0:
@@ -80,7 +80,7 @@
 	}
 }
 
-// follow lets a host in contact receive what is in transit to it and report what its proxy has.
+// follow delivers the changes in transit to a host in contact, and its reports to the monitor.
 func (e *followingEdge) follow(host *followingHost) {
 	if host.arrivesAt > 0 && e.now >= host.arrivesAt {
 		host.sequence = max(host.sequence, host.arrives)
@@ -106,8 +106,8 @@
 	}
 }
 
-// Proxies that take changes while their agents are in contact never exceed the bound, whatever partitions and restarts
-// come.
+// Guards against false violations: proxies that apply changes while their agents are in contact must never exceed the
+// bound, even with partitions and restarts.
 func TestProxiesThatFollowNeverExceedTheBound(t *testing.T) {
 	lagging := 0
 	for seed := range uint64(40) {
@@ -120,10 +120,11 @@
 			}
 		}
 	}
-	require.Positive(t, lagging, "some lagged after a partition")
+	require.Positive(t, lagging, "the runs must include proxies that lag after a partition")
 }
 
-// A proxy that takes no changes is found, also if its agent's calls time out, so that reports are rare.
+// Guards against an undetected violation: a proxy that applies no changes must be detected, even if reports are rare
+// because the calls of its agent time out.
 func TestProxyThatTakesNoChangesIsFound(t *testing.T) {
 	for _, reportedBy := range []time.Duration{time.Second, 2200 * time.Millisecond, 2900 * time.Millisecond} {
 		for seed := range uint64(10) {
@@ -138,7 +139,7 @@
 					found++
 				}
 			}
-			require.Positive(t, found, "seed %d, a report each %s", seed, reportedBy)
+			require.Positive(t, found, "seed %d, report interval %s", seed, reportedBy)
 		}
 	}
 }
--- a/internal/region/registry/lag_monitor_test.go
+++ b/internal/region/registry/lag_monitor_test.go
@@ -11,7 +11,7 @@
 
 var testBounds = LagBounds{MinContact: 4 * time.Second, ApplyDelay: 3 * time.Second, UnsynchronizedAllowance: 6 * time.Second}
 
-// reportingAgent is a LagMonitor with the time and the reports of one agent.
+// reportingAgent drives a LagMonitor with the reports of one agent.
 type reportingAgent struct {
 	t       *testing.T
 	now     time.Duration
@@ -20,7 +20,7 @@
 	events  []Action
 }
 
-// newReportingAgent begins with an agent that has been in contact for as long as is asked, at sequence 1.
+// newReportingAgent returns an agent that has been in contact for the minimum time of the bounds, at sequence 1.
 func newReportingAgent(t *testing.T) *reportingAgent {
 	t.Helper()
 	r := &reportingAgent{t: t, now: time.Second, monitor: NewLagMonitor(), record: agentRecord("edge-1", 1)}
@@ -32,7 +32,7 @@
 	return r
 }
 
-// report lets the agent report what its proxy has.
+// report sends a report of the agent to the monitor.
 func (r *reportingAgent) report() {
 	record := &pb.AgentRecord{
 		Host: r.record.Host, Incarnation: r.record.Incarnation, EdgeAddress: r.record.EdgeAddress,
@@ -41,7 +41,7 @@
 	r.events = append(r.events, r.monitor.Observe(r.now, record)...)
 }
 
-// pass lets time pass with a report each second.
+// pass advances the time by the duration, with a report each second and at the end.
 func (r *reportingAgent) pass(duration time.Duration) {
 	const step = 250 * time.Millisecond
 	for end := r.now + duration; r.now < end; {
@@ -81,7 +81,8 @@
 	require.Zero(t, r.monitor.Stats(r.now))
 }
 
-// An agent calls as soon as it has a change, before its proxy does, and that long poll stays open for a second.
+// Guards against a proxy that counts as lagging because of its agent's long poll: the agent calls as soon as it has a
+// change, before its proxy has it, and the call stays open for a second.
 func TestAgentThatReportsInTimeDoesNotLag(t *testing.T) {
 	r := newReportingAgent(t)
 	r.monitor.RecordCommit(r.now, 2)
@@ -112,7 +113,7 @@
 		committed := episode + 2
 		r.monitor.RecordCommit(r.now, committed)
 		r.pass(testBounds.ApplyDelay)
-		require.Equal(t, episode, r.monitor.Stats(r.now).Violations, "up to the bound")
+		require.Equal(t, episode, r.monitor.Stats(r.now).Violations, "a lag up to the bound is allowed")
 		r.pass(3 * time.Second)
 		require.Equal(t, episode+1, r.monitor.Stats(r.now).Violations)
 		events := r.take()
@@ -174,7 +175,7 @@
 	r.report()
 	for range 2 {
 		r.pass(time.Second)
-		require.Zero(t, r.monitor.Stats(r.now).Violations, "it may have been partitioned")
+		require.Zero(t, r.monitor.Stats(r.now).Violations, "the agent may have been partitioned")
 	}
 	r.pass(time.Second)
 	require.EqualValues(t, 1, r.monitor.Stats(r.now).Violations)
@@ -196,7 +197,7 @@
 
 	r.report()
 	r.monitor.Merge(r.now, []*pb.AgentRecord{aged(merged, time.Second)})
-	require.Equal(t, 1, r.monitor.Stats(r.now).Lagging, "an older report changes nothing")
+	require.Equal(t, 1, r.monitor.Stats(r.now).Lagging, "an older report must be ignored")
 }
 
 func TestLostAgentEndsItsEpisode(t *testing.T) {
--- a/internal/region/registry/members.go
+++ b/internal/region/registry/members.go
@@ -6,8 +6,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Members are the edge machines that are live, or have been lost for less than LostRetention, as of one moment. It is
-// immutable.
+// Members is an immutable snapshot of the edge machines that have reported within LostRetention, live or lost.
 type Members struct {
 	version uint64
 	list    []Member // sorted by host
@@ -19,10 +18,11 @@
 	receivedAt time.Duration
 	lost       bool
 
-	drainingSince time.Duration // counts only while the record says that it drains
+	drainingSince time.Duration // time of the first report that the machine drains; valid only while the record is draining
 }
 
-// Version rises whenever the set changes, or the zone, the region or the address of one of its agents.
+// Version returns the version of the set, which rises whenever the hosts change, or the zone, the region or the agent
+// address of one of them.
 func (m *Members) Version() uint64 { return m.version }
 
 // Len returns the number of members, lost ones included.
@@ -39,13 +39,13 @@
 	return live
 }
 
-// MostlyServing reports whether at least two proxies, and half of those that are live, take requests.
+// MostlyServing reports whether at least two proxies, and at least half of the live ones, accept requests.
 func (m *Members) MostlyServing(now time.Duration) bool {
 	serving := len(m.serving(now))
 	return serving >= sufficientEndpoints && serving*mostlyServingDivisor >= m.Live()
 }
 
-// Message returns the members as they are sent to agents, with their ages at the time now.
+// Message returns the message that is sent to agents: the members with their ages at the time now.
 func (m *Members) Message(now time.Duration) *pb.Members {
 	records := make([]*pb.AgentRecord, 0, len(m.list))
 	for _, member := range m.list {
@@ -54,7 +54,8 @@
 	return &pb.Members{Version: m.version, Agents: records}
 }
 
-// serving returns the members that take requests from clients at the time now, which may be later than the snapshot.
+// serving returns the records of members that accept requests from clients at the time now, which may be later than the
+// snapshot.
 func (m *Members) serving(now time.Duration) []*pb.AgentRecord {
 	result := make([]*pb.AgentRecord, 0, len(m.list))
 	for _, member := range m.list {
--- a/internal/region/registry/ownership.go
+++ b/internal/region/registry/ownership.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// Delays before a machine takes the singleton role. The longer they are, the older the list grows when an owner fails;
-// the shorter they are, the more often two machines poll at once.
+// Delays before a machine assumes the singleton role. Longer delays let the list grow older when an owner fails; with
+// shorter delays two machines poll at the same time more often.
 const (
-	// startupListenWindow is the time after the start in which a machine without a list only listens: whoever has one
-	// sends it with the first heartbeat.
+	// startupListenWindow is the time after the start in which a machine without a list does not poll: a peer that has
+	// a list sends it with its first heartbeat.
 	startupListenWindow = 60 * time.Millisecond
 
-	// startupGracePeriod is the time after the start for which a machine waits for a list that a peer has named, and
-	// before which it does not take the role over.
+	// startupGracePeriod is the time after the start for which a machine waits for a list that a peer has advertised,
+	// and during which it does not take over the role.
 	startupGracePeriod = time.Second
 
-	// callsPerInitialPoll is the number of calls that the first poll of a machine is assumed to take. As many machines
-	// poll at once, right after the listen window, as the platform's rate allows for. A proxy serves nothing without a
-	// list, and a call costs less than one request that is refused.
+	// callsPerInitialPoll is the number of calls that the first poll of a machine is assumed to take. Right after the
+	// listen window, as many machines poll at the same time as the platform's rate allows: a proxy serves no request
+	// without a list, and a call costs less than one rejected request.
 	callsPerInitialPoll = 10
 
-	// initialPollStagger is how long the next group of machines waits for the one before it to read the first list.
+	// initialPollStagger is the delay of the first poll between one group of machines and the next, in which the
+	// earlier group can read the first list.
 	initialPollStagger = 250 * time.Millisecond
 
-	// staleThreshold is the age of the list at which the next machine takes the role over, before its rank and jitter
-	// are added.
+	// staleThreshold is the age of the list from which other machines take over the role, after a further delay by rank
+	// and jitter.
 	staleThreshold = 2 * time.Second
 
-	// rankDelay is how much longer each further machine waits than the one before it.
+	// rankDelay is the additional takeover delay of each machine compared to the machine before it in order.
 	rankDelay = 700 * time.Millisecond
 
-	// maxJitter bounds the random part of a takeover delay.
+	// maxJitter is the upper bound of the random part of a takeover delay.
 	maxJitter = 300 * time.Millisecond
 
-	// preemptionDelay is how long a machine is the first in order, with another one as the owner, before it takes the
-	// role back. It keeps a machine that flaps from moving the role at each turn.
+	// preemptionDelay is the time for which a machine must be the first in order, while another machine is the owner,
+	// before it takes the role back. The delay prevents a flapping machine from moving the role each time.
 	preemptionDelay = 3 * time.Second
 )
 
-// IsOwner reports whether this machine has the singleton role, as far as it knows: the current list is its own, and no
-// peer is known to have a newer one.
+// IsOwner reports whether this machine has the singleton role, as far as it knows: it published the current list, and
+// no peer is known to have a newer list.
 func (i *ServerInventory) IsOwner() bool {
 	return i.current != nil && i.current.version.GetHolder() == i.self && !i.fencedByPeer
 }
 
-// ownsStaleList reports whether this machine is the owner and has not confirmed its list for some time. A peer may have
-// a list that was read later, under a lower epoch, if the two were partitioned.
+// ownsStaleList reports whether this machine is the owner and has not confirmed its list for staleThreshold. A peer
+// that was partitioned from this machine may then have a list that was read later, under a lower epoch.
 func (i *ServerInventory) ownsStaleList(now time.Duration) bool {
 	return i.IsOwner() && now-i.current.confirmedAt >= staleThreshold
 }
@@ -71,7 +72,7 @@
 	return now >= i.current.confirmedAt+i.takeoverDelay()
 }
 
-// trackPreemption records since when this machine is the first in order while another one is the owner.
+// trackPreemption records the time since which this machine is the first in order without being the owner.
 func (i *ServerInventory) trackPreemption(now time.Duration) {
 	first := len(i.liveHosts) > 0 && i.liveHosts[0] == i.self && !i.IsOwner()
 	if first && !i.awaitsPreemption {
@@ -80,8 +81,8 @@
 	i.awaitsPreemption = first
 }
 
-// initialPollDelay is how long after its start a machine without a list polls. Machines that start together poll in
-// groups by their position; the list of the highest version stays.
+// initialPollDelay returns the time after the start at which a machine without a list polls. Machines that start
+// together poll in groups by their position; the list of the highest version wins.
 func (i *ServerInventory) initialPollDelay() time.Duration {
 	if i.epochAnnounced {
 		return startupGracePeriod + time.Duration(i.successionRank())*rankDelay
@@ -90,14 +91,14 @@
 	return startupListenWindow + time.Duration(i.position/groupSize)*initialPollStagger
 }
 
-// takeoverDelay is the age of the list at which this machine takes the role over. Machines that come before it in
-// order have the chance to do so earlier.
+// takeoverDelay returns the age of the list at which this machine takes over the role. The delay is shorter for
+// machines that precede it in order.
 func (i *ServerInventory) takeoverDelay() time.Duration {
 	return staleThreshold + time.Duration(i.successionRank())*rankDelay + i.jitter
 }
 
-// successionRank is the number of live machines that take the role over before this one. The owner does not count: it
-// is the one that has not confirmed its list.
+// successionRank returns the number of live machines that take over the role before this one. The owner is not counted,
+// since it is the machine that has not confirmed its list.
 func (i *ServerInventory) successionRank() int {
 	rank := 0
 	for _, host := range i.liveHosts {
--- a/internal/region/registry/poll.go
+++ b/internal/region/registry/poll.go
@@ -6,31 +6,31 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// Times and rates of polls. Each call to the platform has its price, and all control machines together stay far below
-// its rate.
+// Times and rates of polls. Each call to the platform incurs a cost, and all control machines together must stay far
+// below the platform's rate.
 const (
 	// PollInterval is the time between two polls of the owner.
 	PollInterval = time.Second
 
-	// PollTimeout is the longest time from sending the first call of a poll to the complete receipt of its last
-	// answer. The result of a longer poll is discarded.
+	// PollTimeout is the maximum time from the sending of the first call of a poll to the complete receipt of its last
+	// response. The result of a longer poll is discarded.
 	PollTimeout = 1500 * time.Millisecond
 
-	// minInitialRetryDelay is the shortest wait before a machine without a list polls again. Up to as much again is
-	// added at random.
+	// minInitialRetryDelay is the minimum delay before a machine without a list polls again. A random delay of up to
+	// the same length is added.
 	minInitialRetryDelay = 300 * time.Millisecond
 
-	// maxTakeoverBackoff bounds the backoff of a machine that polls in order to take the role over, and fails.
+	// maxTakeoverBackoff is the backoff interval at which doubling ends for a machine whose takeover polls fail.
 	maxTakeoverBackoff = 2 * time.Second
 
-	// The owner uses at most one rateDivisor-th of the platform's rate.
+	// rateDivisor is the divisor of the fraction of the platform's rate that a polling machine uses at most.
 	rateDivisor = 3
 
-	// A machine without contact with a majority divides its rate by partitionedRateDivisor as well: each side of a
-	// partition polls on its own.
+	// partitionedRateDivisor is a further divisor of the rate for a machine without contact to a majority: each side of
+	// a partition polls independently.
 	partitionedRateDivisor = 4
 
-	// initialEpochRange is the number of epochs out of which the first one is drawn.
+	// initialEpochRange is the size of the range from which the first epoch is drawn.
 	initialEpochRange = 1 << 32
 )
 
@@ -49,14 +49,14 @@
 		return nil
 	}
 	i.polling = true
-	// Late ticks must not stretch the interval, and polls that are long overdue are not made up for.
+	// Late ticks must not lengthen the interval on average, and missed polls are not made up for.
 	interval := i.pollInterval()
 	i.nextPollAt = max(i.nextPollAt+interval, now+interval*3/4)
 	return []Action{StartPoll{}}
 }
 
-// pollInterval is the time between two polls. It is longer than PollInterval if the list has so many pages that the
-// platform's rate would be used up, or if this machine fails to take the role over.
+// pollInterval returns the time between two polls. It is longer than PollInterval if the list has so many pages that
+// polls would exceed the allowed fraction of the platform's rate, or if takeover polls of this machine have failed.
 func (i *ServerInventory) pollInterval() time.Duration {
 	interval := PollInterval
 	if i.rate > 0 {
@@ -79,8 +79,8 @@
 	return interval
 }
 
-// finishPoll processes the result of a poll. It is published if it is complete and in time, and if this machine still may
-// poll: a list of another machine that came meanwhile ends a takeover.
+// finishPoll processes the result of a poll. The list is published if it is complete and in time, and if this machine
+// may still poll: a list of another machine that arrived in the meantime ends a takeover.
 func (i *ServerInventory) finishPoll(now time.Duration, done PollDone) []Action {
 	if !i.polling {
 		return nil
@@ -104,7 +104,7 @@
 }
 
 // publish makes the servers of a poll the current list. If this machine owns the highest epoch, an unchanged list is
-// only confirmed, and a changed one becomes its next revision; otherwise the list begins an epoch of this machine.
+// only confirmed, and a changed list is the next revision; otherwise the list starts a new epoch of this machine.
 func (i *ServerInventory) publish(now time.Duration, done PollDone) []Action {
 	servers := sortServers(done.Servers)
 	ownsHighestEpoch := i.IsOwner() && !i.mustRaiseEpoch && i.current.version.GetEpoch() == i.highestEpoch
@@ -123,9 +123,9 @@
 	return []Action{ListChanged{}, SendList{List: i.current.Message(now)}}
 }
 
-// nextEpoch returns an epoch above every one observed. If none has been observed since the start, it is drawn at
-// random, so that it differs from those of before all control machines were restarted: agents may still have lists
-// of that time.
+// nextEpoch returns an epoch above every observed one. If no epoch has been observed since the start, it is drawn at
+// random, so that it differs from the epochs before a restart of all control machines, from which agents may still have
+// lists.
 func (i *ServerInventory) nextEpoch() uint64 {
 	if i.highestEpoch == 0 {
 		return 1 + i.random.Uint64N(initialEpochRange)
--- a/internal/region/registry/serverlist.go
+++ b/internal/region/registry/serverlist.go
@@ -9,9 +9,9 @@
 	"fieldrelay/internal/region/serverlist"
 )
 
-// pollTolerances is how far the remaining times of two polls may drift before the list counts as changed. Receivers
-// count down by themselves and must not take a server for warm too early, so the warm-up may end only a little later
-// than expected. One that ends earlier only leaves the server unused for a moment.
+// pollTolerances bound how far the remaining times of two polls may drift before the list counts as changed. Receivers
+// count the times down by themselves and must not consider a server warm too early, so the tolerance for a warm-up that
+// ends later than expected is small. One that ends earlier only leaves the server unused for a moment.
 var pollTolerances = serverlist.Tolerances{
 	WarmUpLater:   100 * time.Millisecond,
 	WarmUpEarlier: time.Second,
@@ -23,8 +23,8 @@
 type ServerList struct {
 	version     *pb.ListVersion
 	servers     []*pb.Server
-	readAt      time.Duration // when the first call of the poll that read it was sent
-	confirmedAt time.Duration // when the last poll that found it unchanged was sent; not before readAt
+	readAt      time.Duration // time at which the first call of the poll that read the list was sent
+	confirmedAt time.Duration // time at which the last poll with an unchanged list was sent; not before readAt
 }
 
 // Version returns the version of the list, nil for no list.
@@ -46,18 +46,19 @@
 // Age returns the time since the platform was last known to have this list.
 func (l *ServerList) Age(now time.Duration) time.Duration { return now - l.confirmedAt }
 
-// Message returns the complete list. Its age says how long ago the servers' remaining times were read.
+// Message returns the complete list. Its age is the time since the servers' remaining times were read.
 func (l *ServerList) Message(now time.Duration) *pb.ServerList {
 	return &pb.ServerList{Version: l.version, AgeMs: milliseconds(now - l.readAt), Servers: l.servers}
 }
 
-// Confirmation returns a message without servers, which says to those that have the version already how long ago the
-// platform was last known to have it.
+// Confirmation returns a message without servers, whose age is the time since the platform was last known to have the
+// list. It is meant for receivers that have the version already.
 func (l *ServerList) Confirmation(now time.Duration) *pb.ServerList {
 	return &pb.ServerList{Version: l.version, AgeMs: milliseconds(l.Age(now))}
 }
 
-// confirmed returns the list as confirmed at a time, or unchanged if it was confirmed later.
+// confirmed returns a copy of the list that was confirmed at the given time, or the list itself if it was confirmed at
+// that time or later.
 func (l *ServerList) confirmed(at time.Duration) *ServerList {
 	if at <= l.confirmedAt {
 		return l
--- a/internal/region/registry/versions.go
+++ b/internal/region/registry/versions.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// resendInterval is the shortest time between two sends of the complete list to machines that lag.
+	// resendInterval is the minimum time between two sends of the complete list to machines that lag.
 	resendInterval = 500 * time.Millisecond
 
-	// initialResendInterval replaces resendInterval if the machine that lags has no list at all: it has just started,
-	// after the last send, and its agents wait.
+	// initialResendInterval replaces resendInterval if the lagging machine has no list at all: it started after the
+	// last send, and its agents are waiting.
 	initialResendInterval = 100 * time.Millisecond
 )
 
-// AdvertisedVersion is the version to advertise to the other control machines. It is that of the current list, or an
-// epoch alone, without an owner, if a higher epoch was observed, or if this machine is the owner and can't confirm its
-// list: whoever can poll the platform then goes above that epoch.
+// AdvertisedVersion returns the version to advertise to the other control machines: the version of the current list, or
+// only an epoch, without an owner, if a higher epoch was observed or if this machine is the owner but cannot confirm
+// its list. A machine that can poll the platform then publishes under a higher epoch.
 func (i *ServerInventory) AdvertisedVersion() *pb.ListVersion {
 	if i.highestEpoch > i.current.Version().GetEpoch() || i.ownsStaleList(i.now) {
 		return &pb.ListVersion{Epoch: i.highestEpoch}
@@ -26,8 +26,8 @@
 	return i.current.Version()
 }
 
-// receiveList adopts a list of another control machine, unless it is older than the current one or of a lower epoch
-// than one observed. A list of the current version confirms it, whether it carries the servers or not.
+// receiveList adopts a list of another control machine, unless it is older than the current list or its epoch is lower
+// than an observed one. A list of the current version confirms the current list, with or without servers.
 func (i *ServerInventory) receiveList(now time.Duration, list *pb.ServerList) []Action {
 	version := list.GetVersion()
 	if version.GetEpoch() == 0 || version.GetEpoch() < i.highestEpoch {
@@ -47,8 +47,8 @@
 	return []Action{ListChanged{}}
 }
 
-// observeVersion learns the epoch of a version that another machine advertises. The owner sends the complete list again
-// to control machines that lag, and reacts to versions above its own.
+// observeVersion records the epoch of a version that another machine advertises. The owner sends the complete list
+// again to control machines that lag, and handles versions above its own.
 func (i *ServerInventory) observeVersion(now time.Duration, observed VersionObserved) []Action {
 	i.observeEpoch(observed.Version)
 	if i.current == nil && observed.Peer && observed.Version.GetHolder() != "" {
@@ -68,8 +68,8 @@
 	if difference == 0 || !observed.Peer || now < i.lastSentAt+interval {
 		return nil
 	}
-	// A stale list must not replace one that was read later under a lower epoch; to a machine without any, it is
-	// better than nothing.
+	// A stale list must not replace a list that was read later under a lower epoch, but it is useful to a machine that
+	// has no list.
 	if i.ownsStaleList(now) && observed.Version != nil {
 		return nil
 	}
@@ -77,10 +77,10 @@
 	return []Action{SendList{List: i.current.Message(now)}}
 }
 
-// observeNewerVersion handles a version above that of this machine, which is the owner. If a control machine has such
-// a list, it or a third one took the role over, and its list is on its way. Otherwise the version outlived its owner,
-// and this machine has to publish above it: with a list that it polls now, since it may be this machine that was
-// suspended meanwhile.
+// observeNewerVersion handles a version above that of this machine, which is the owner. If a control machine has a list
+// of that version, that machine or a third one has taken over the role, and the list is in transit. Otherwise the
+// version has outlived its owner, and this machine must publish a higher version. The list is polled now, since this
+// machine may have been suspended and its own list may be outdated.
 func (i *ServerInventory) observeNewerVersion(now time.Duration, observed VersionObserved) []Action {
 	if observed.Peer && observed.Version.GetHolder() != "" {
 		i.fencedByPeer = true
--- a/internal/region/serverlist/serverlist_test.go
+++ b/internal/region/serverlist/serverlist_test.go
@@ -35,19 +35,19 @@
 func TestRemainingTimesMayDriftWithinTheTolerances(t *testing.T) {
 	const elapsed = time.Second
 	cases := map[string]struct {
-		warmLeftMs, expiresMs uint32 // after elapsed; they were 5000 and 9000
+		warmLeftMs, expiresMs uint32 // values after elapsed; the earlier values are 5000 and 9000
 		same                  bool
 	}{
-		"as expected":              {4000, 8000, true},
-		"warm-up at its latest":    {4100, 8000, true},
-		"warm-up too late":         {4101, 8000, false},
-		"warm-up at its earliest":  {3000, 8000, true},
-		"warm-up too early":        {2999, 8000, false},
-		"expiry at its latest":     {4000, 8200, true},
-		"expiry too late":          {4000, 8201, false},
-		"expiry at its earliest":   {4000, 7700, true},
-		"expiry too early":         {4000, 7699, false},
-		"an expiry that is undone": {4000, 0, false},
+		"as expected":             {4000, 8000, true},
+		"warm-up at its latest":   {4100, 8000, true},
+		"warm-up too late":        {4101, 8000, false},
+		"warm-up at its earliest": {3000, 8000, true},
+		"warm-up too early":       {2999, 8000, false},
+		"expiry at its latest":    {4000, 8200, true},
+		"expiry too late":         {4000, 8201, false},
+		"expiry at its earliest":  {4000, 7700, true},
+		"expiry too early":        {4000, 7699, false},
+		"expiry no longer known":  {4000, 0, false},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
