--- a/internal/region/registry/agents_partition_test.go
+++ b/internal/region/registry/agents_partition_test.go
@@ -16,8 +16,8 @@
 	// minContact is the time for which a machine must have been running and not partitioned for the deployment's rules
 	// to apply (contact-ms).
 	minContact = 4 * time.Second
-	// maxNamedAfterEnd is the maximum time after its end for which the directory may still return an edge machine.
-	maxNamedAfterEnd = minContact + 3*time.Second
+	// maxReturnedAfterEnd is the maximum time after its end for which the directory may still return an edge machine.
+	maxReturnedAfterEnd = minContact + 3*time.Second
 	// maxHeartbeatDelay is the maximum delay of a heartbeat that is not lost: it may be queued for a second, and its
 	// call may take another second.
 	maxHeartbeatDelay = 2 * time.Second
@@ -33,25 +33,24 @@
 
 // directoryMachine is a control machine that answers clients.
 type directoryMachine struct {
-	agents      *Agents
-	partitioned bool
-	joinedAt    time.Duration // time of the last start or end of a partition of this machine
+	agents             *Agents
+	partitioned        bool
+	partitionChangedAt time.Duration // time of the last start or end of a partition of this machine
 }
 
 // edgeMachine is an edge machine that is killed and started.
 type edgeMachine struct {
-	host    string
-	started uint64 // incarnation number
-	killed  bool
-	at      time.Duration // time at which the machine was last killed or started
+	host        string
+	incarnation uint64 // raised at each kill and start
+	killed      bool
+	changedAt   time.Duration // time at which the machine was last killed or started
 }
 
-// delayedReport is a message in transit. If its receiver is partitioned, the message waits, and is dropped at the time
-// lost.
+// delayedReport is a message in transit. If its receiver is partitioned, the message waits until dropAt at most.
 type delayedReport struct {
-	at, lost time.Duration
-	to       *directoryMachine
-	do       func(now time.Duration, agents *Agents)
+	deliverAt, dropAt time.Duration
+	to                *directoryMachine
+	apply             func(now time.Duration, agents *Agents)
 }
 
 // directory simulates control machines that receive reports of edge machines while some control machines are
@@ -66,7 +65,7 @@
 	inTransit []delayedReport
 	extraAge  time.Duration // injected fault: reports appear younger by this time
 
-	longestInTouch, longest time.Duration // longest times for which a killed edge machine was still returned
+	longestInContact, longest time.Duration // longest times for which a killed edge machine was still returned
 }
 
 func newDirectory(t *testing.T, seed uint64) *directory {
@@ -75,7 +74,7 @@
 		d.machines = append(d.machines, &directoryMachine{agents: NewAgents(d.random.Uint64N(1000))})
 	}
 	for index := range 8 {
-		d.edges = append(d.edges, &edgeMachine{host: fmt.Sprint("edge-", index), started: 1})
+		d.edges = append(d.edges, &edgeMachine{host: fmt.Sprint("edge-", index), incarnation: 1})
 	}
 	return d
 }
@@ -105,11 +104,11 @@
 	d.inTransit = nil
 	for _, one := range due {
 		switch {
-		case one.at > d.now:
+		case one.deliverAt > d.now:
 			d.inTransit = append(d.inTransit, one)
 		case !one.to.partitioned:
-			one.do(d.now, one.to.agents)
-		case d.now < one.lost:
+			one.apply(d.now, one.to.agents)
+		case d.now < one.dropAt:
 			d.inTransit = append(d.inTransit, one)
 		}
 	}
@@ -117,12 +116,12 @@
 
 // watch sends an edge machine's record to one control machine.
 func (d *directory) watch(edge *edgeMachine) {
-	record := &pb.AgentRecord{Host: edge.host, Incarnation: edge.started, Ready: true, EdgeAddress: edge.host}
+	record := &pb.AgentRecord{Host: edge.host, Incarnation: edge.incarnation, Ready: true, EdgeAddress: edge.host}
 	d.inTransit = append(d.inTransit, delayedReport{
-		at:   d.now + time.Duration(d.random.Int64N(int64(100*time.Millisecond))),
-		lost: d.now + partitionedWatchTimeout,
-		to:   d.machines[d.random.IntN(len(d.machines))],
-		do:   func(now time.Duration, agents *Agents) { agents.Observe(now, record) },
+		deliverAt: d.now + time.Duration(d.random.Int64N(int64(100*time.Millisecond))),
+		dropAt:    d.now + partitionedWatchTimeout,
+		to:        d.machines[d.random.IntN(len(d.machines))],
+		apply:     func(now time.Duration, agents *Agents) { agents.Observe(now, record) },
 	})
 }
 
@@ -136,10 +135,10 @@
 		}
 		delay := time.Duration(d.random.Int64N(int64(maxHeartbeatDelay)))
 		d.inTransit = append(d.inTransit, delayedReport{
-			at:   d.now + delay,
-			lost: d.now + delay + partitionedHeartbeatTimeout,
-			to:   to,
-			do:   func(now time.Duration, agents *Agents) { agents.Merge(now, records) },
+			deliverAt: d.now + delay,
+			dropAt:    d.now + delay + partitionedHeartbeatTimeout,
+			to:        to,
+			apply:     func(now time.Duration, agents *Agents) { agents.Merge(now, records) },
 		})
 	}
 }
@@ -152,9 +151,9 @@
 			if !edge.killed || !slices.Contains(named, edge.host) {
 				continue
 			}
-			d.longest = max(d.longest, d.now-edge.at)
-			if !machine.partitioned && d.now-machine.joinedAt >= minContact {
-				d.longestInTouch = max(d.longestInTouch, d.now-edge.at)
+			d.longest = max(d.longest, d.now-edge.changedAt)
+			if !machine.partitioned && d.now-machine.partitionChangedAt >= minContact {
+				d.longestInContact = max(d.longestInContact, d.now-edge.changedAt)
 			}
 		}
 	}
@@ -165,19 +164,19 @@
 	if d.random.IntN(3) > 0 {
 		edge := d.edges[d.random.IntN(len(d.edges))]
 		edge.killed = !edge.killed
-		edge.started++
-		edge.at = d.now
+		edge.incarnation++
+		edge.changedAt = d.now
 		return
 	}
 	machine := d.machines[d.random.IntN(len(d.machines))]
 	machine.partitioned = !machine.partitioned
-	machine.joinedAt = d.now
+	machine.partitionChangedAt = d.now
 }
 
-func runDirectory(t *testing.T, seed uint64, liveFor time.Duration) *directory {
+func runDirectory(t *testing.T, seed uint64, extraAge time.Duration) *directory {
 	t.Helper()
 	d := newDirectory(t, seed)
-	d.extraAge = liveFor
+	d.extraAge = extraAge
 	for d.now < 5*time.Minute {
 		d.run(time.Duration(d.random.Int64N(int64(6 * time.Second))))
 		d.injectFault()
@@ -185,17 +184,17 @@
 	return d
 }
 
-func TestDirectoryOfAMachineThatWasCutOffNamesNoDeadProxyForLong(t *testing.T) {
-	inTouch, longest := time.Duration(0), time.Duration(0)
+func TestDirectoryOfAPartitionedMachineNamesNoDeadProxyForLong(t *testing.T) {
+	inContact, longest := time.Duration(0), time.Duration(0)
 	for seed := range uint64(10) {
 		d := runDirectory(t, seed, 0)
-		require.Less(t, d.longestInTouch, maxNamedAfterEnd, "seed %d", seed)
-		inTouch, longest = max(inTouch, d.longestInTouch), max(longest, d.longest)
+		require.Less(t, d.longestInContact, maxReturnedAfterEnd, "seed %d", seed)
+		inContact, longest = max(inContact, d.longestInContact), max(longest, d.longest)
 	}
-	t.Logf("dead proxies were returned for at most %v by machines in contact, %v by any machine", inTouch, longest)
+	t.Logf("dead proxies were returned for at most %v by machines in contact, %v by any machine", inContact, longest)
 }
 
 // Checks that the simulation detects the fault that reports count as fresh for five seconds longer.
 func TestADirectoryThatNamesDeadProxiesForLongIsFound(t *testing.T) {
-	require.GreaterOrEqual(t, runDirectory(t, 1, 5*time.Second).longestInTouch, maxNamedAfterEnd)
+	require.GreaterOrEqual(t, runDirectory(t, 1, 5*time.Second).longestInContact, maxReturnedAfterEnd)
 }
--- a/internal/region/registry/endpoints_sim_test.go
+++ b/internal/region/registry/endpoints_sim_test.go
@@ -66,7 +66,7 @@
 			region = 0
 		}
 		zone := fmt.Sprintf("r%d-z%d", region, host%2)
-		e.records = append(e.records, placed(fmt.Sprintf("e%02d", host), zone, fmt.Sprintf("r%d", region)))
+		e.records = append(e.records, recordIn(fmt.Sprintf("e%02d", host), zone, fmt.Sprintf("r%d", region)))
 		e.running = append(e.running, true)
 		e.reportedAt = append(e.reportedAt, longAgo)
 		e.ended = append(e.ended, 0)
@@ -108,7 +108,7 @@
 		e.report(host)
 		e.running[host], e.ended[host] = false, e.now
 	case draw <= 4 && !e.running[host]:
-		e.records[host] = placed(e.records[host].Host, e.records[host].Zone, e.records[host].Region)
+		e.records[host] = recordIn(e.records[host].Host, e.records[host].Zone, e.records[host].Region)
 		e.records[host].Incarnation = uint64(e.now)
 		e.running[host] = true
 		e.report(host)
@@ -144,12 +144,12 @@
 	})
 }
 
-// TestTheDirectoryNamesNoMachineThatIsGoneAndNoneTooFar guards against a directory that returns stopped or distant
+// TestDirectoryNamesNoStoppedMachineAndNoneTooFar guards against a directory that returns stopped or distant
 // machines while machines are killed, shut down or partitioned. A control machine, even a partitioned one, must not
 // return a machine that stopped longer ago than agents count as live. It may return machines of other regions only if
 // the client's region has none, or has recently lost one by a kill or by the partition.
-func TestTheDirectoryNamesNoMachineThatIsGoneAndNoneTooFar(t *testing.T) {
-	var near, far, spillover, gone int
+func TestDirectoryNamesNoStoppedMachineAndNoneTooFar(t *testing.T) {
+	var near, far, spillover, stopped int
 	for seed := range uint64(20) {
 		e := newSimulatedEdge(seed)
 		lastPartition := warmUp - recentLossWindow - FailureTimeout
@@ -162,7 +162,7 @@
 				for region := range edgeRegions {
 					name := fmt.Sprintf("r%d", region)
 					answer := agents.Refresh(e.now).Endpoints(e.now, Client{Region: name, Zone: name + "-z0", HomeRegions: unreadableHomes}, uint64(e.now))
-					gone += e.checkRunning(t, seed, answer)
+					stopped += e.checkRunning(t, seed, answer)
 					switch e.checkNear(t, seed, index, name, answer, lastPartition) {
 					case reachNear:
 						near++
@@ -178,21 +178,21 @@
 	require.Positive(t, near)
 	require.Positive(t, far, "the runs must include regions without a proxy")
 	require.Positive(t, spillover, "the runs must include regions that have recently lost a proxy")
-	require.Positive(t, gone, "a stopped machine must be returned until it counts as lost")
+	require.Positive(t, stopped, "a stopped machine must be returned until it counts as lost")
 }
 
 // checkRunning requires that no machine among the addresses stopped longer ago than a stopped machine may count as
 // live. It returns the number of stopped machines among the addresses.
-func (e *simulatedEdge) checkRunning(t *testing.T, seed uint64, addresses []string) (gone int) {
+func (e *simulatedEdge) checkRunning(t *testing.T, seed uint64, addresses []string) (stopped int) {
 	t.Helper()
 	for host, record := range e.records {
 		if e.running[host] || !slices.Contains(addresses, record.EdgeAddress) {
 			continue
 		}
-		gone++
+		stopped++
 		require.Less(t, e.now-e.ended[host], FailureTimeout+heartbeatTime+stepTime, "seed %d: %s", seed, record.Host)
 	}
-	return gone
+	return stopped
 }
 
 // reach classifies the regions of the machines in a response of the directory.
--- a/internal/region/registry/endpoints_test.go
+++ b/internal/region/registry/endpoints_test.go
@@ -12,8 +12,8 @@
 	"fieldrelay/internal/region/route"
 )
 
-// placed returns the record of an agent in a zone and a region.
-func placed(host, zone, region string) *pb.AgentRecord {
+// recordIn returns the record of an agent in a zone and a region.
+func recordIn(host, zone, region string) *pb.AgentRecord {
 	record := agentRecord(host, 1)
 	record.Zone, record.Region = zone, region
 	return record
@@ -30,14 +30,14 @@
 // threeRegions returns edge machines in three regions, one of which has a single machine.
 func threeRegions() []*pb.AgentRecord {
 	return []*pb.AgentRecord{
-		placed("a1", "a", "west"), placed("a2", "a", "west"),
-		placed("b1", "b", "west"),
-		placed("c1", "c", "east"),
-		placed("d1", "d", "north"), placed("d2", "d", "north"), placed("d3", "d", "north"),
+		recordIn("a1", "a", "west"), recordIn("a2", "a", "west"),
+		recordIn("b1", "b", "west"),
+		recordIn("c1", "c", "east"),
+		recordIn("d1", "d", "north"), recordIn("d2", "d", "north"), recordIn("d3", "d", "north"),
 	}
 }
 
-func TestEndpointsPreferTheClientsPlace(t *testing.T) {
+func TestEndpointsPreferTheClientsZoneAndRegion(t *testing.T) {
 	everyone := []string{"a1:80", "a2:80", "b1:80", "c1:80", "d1:80", "d2:80", "d3:80"}
 	cases := map[string]struct {
 		client Client
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestOtherRegionsHelpOnlyAfterAnUnplannedLoss guards against clients that are sent to other regions without need: the
+// TestOtherRegionsServeOnlyAfterAnUnplannedLoss guards against clients that are sent to other regions without need: the
 // remaining proxies of a region serve its clients, unless the region has recently lost a proxy that was not draining.
-func TestOtherRegionsHelpOnlyAfterAnUnplannedLoss(t *testing.T) {
+func TestOtherRegionsServeOnlyAfterAnUnplannedLoss(t *testing.T) {
 	const now = time.Minute
 	cases := map[string]struct {
 		sinceReport time.Duration // time since the last report of the other proxy
@@ -88,7 +88,7 @@
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			agents := NewAgents(0)
-			other := placed("c2", "c", one.region)
+			other := recordIn("c2", "c", one.region)
 			other.Draining = one.draining
 			agents.Observe(now-one.sinceReport, other)
 			for _, record := range threeRegions() {
@@ -102,10 +102,10 @@
 	}
 }
 
-// TestARegionWithoutAProxyIsHelpedByHomes guards against clients that are sent to regions which may not process their
-// requests: while their own region has no proxy, the clients of a host whose routes have home regions are sent to the
-// home regions of the most routes.
-func TestARegionWithoutAProxyIsHelpedByHomes(t *testing.T) {
+// TestClientsWithoutAProxyInTheirRegionAreSentToHomeRegions guards against clients that are sent to regions which may
+// not process their requests: while their own region has no proxy, the clients of a host whose routes have home regions
+// are sent to the home regions of the most routes.
+func TestClientsWithoutAProxyInTheirRegionAreSentToHomeRegions(t *testing.T) {
 	everyone := []string{"a1:80", "a2:80", "b1:80", "c1:80", "d1:80", "d2:80", "d3:80"}
 	cases := map[string]struct {
 		region string
@@ -163,8 +163,8 @@
 			for _, record := range threeRegions() {
 				agents.Observe(now, record)
 			}
-			agents.Observe(one.since-time.Second, placed("s1", "s", "south"))
-			own := placed("s1", "s", "south")
+			agents.Observe(one.since-time.Second, recordIn("s1", "s", "south"))
+			own := recordIn("s1", "s", "south")
 			own.Draining, own.Ready = true, false
 			agents.Observe(one.since, own)
 			agents.Observe(now, own) // the draining proxy's agent keeps reporting
@@ -187,11 +187,11 @@
 
 func TestServes(t *testing.T) {
 	agents := NewAgents(0)
-	starting := placed("a1", "a", "west")
+	starting := recordIn("a1", "a", "west")
 	starting.Ready = false
 	agents.Observe(0, starting)
 	require.False(t, agents.Refresh(0).Serves(0, ""))
-	agents.Observe(0, placed("c1", "c", "east"))
+	agents.Observe(0, recordIn("c1", "c", "east"))
 	members := agents.Refresh(0)
 	require.True(t, members.Serves(0, "east"))
 	require.True(t, members.Serves(0, ""))
--- a/internal/region/registry/inventory_partition_test.go
+++ b/internal/region/registry/inventory_partition_test.go
@@ -21,8 +21,8 @@
 
 // contentHistory records the times at which the platform's list had each content.
 type contentHistory struct {
-	since map[string]time.Duration // last time at which the platform's list had a content, by former content
-	now   string                   // present content of the platform's list
+	lastPresent map[string]time.Duration // last time at which the platform's list had a content, by former content
+	current     string                   // present content of the platform's list
 }
 
 func contentOf(servers []*pb.Server) string {
@@ -34,13 +34,13 @@
 	return strings.Join(ids, " ")
 }
 
-// lastTrue returns the last time at which the platform's list had the content of the given list.
-func (c *contentHistory) lastTrue(now time.Duration, list *ServerList) time.Duration {
+// lastPresentAt returns the last time at which the platform's list had the content of the given list.
+func (c *contentHistory) lastPresentAt(now time.Duration, list *ServerList) time.Duration {
 	content := contentOf(list.servers)
-	if content == c.now {
+	if content == c.current {
 		return now
 	}
-	return c.since[content]
+	return c.lastPresent[content]
 }
 
 // partitionSimulation is a simulation in which machines are partitioned from the others, and sometimes also from the
@@ -48,15 +48,15 @@
 type partitionSimulation struct {
 	*simulation
 	contents             contentHistory
-	held                 []*ServerList
+	previous             []*ServerList
 	worstRegression      time.Duration // maximum time by which a list was older than the list that it replaced
 	confirmsWithoutPolls bool          // injected fault: the owner's list counts as confirmed though no poll succeeds
 }
 
 func newPartitionSimulation(t *testing.T, seed uint64) *partitionSimulation {
 	c := &partitionSimulation{simulation: newSimulation(t, seed)}
-	c.contents = contentHistory{since: make(map[string]time.Duration), now: contentOf(c.servers)}
-	c.held = make([]*ServerList, len(c.machines))
+	c.contents = contentHistory{lastPresent: make(map[string]time.Duration), current: contentOf(c.servers)}
+	c.previous = make([]*ServerList, len(c.machines))
 	return c
 }
 
@@ -64,20 +64,20 @@
 func (c *partitionSimulation) observe() {
 	if c.random.IntN(60) == 0 {
 		c.changeServers()
-		c.contents.since[c.contents.now] = c.now
-		c.contents.now = contentOf(c.servers)
+		c.contents.lastPresent[c.contents.current] = c.now
+		c.contents.current = contentOf(c.servers)
 	}
 	for index, machine := range c.machines {
 		if c.confirmsWithoutPolls && machine.inventory.IsOwner() {
 			machine.inventory.current = machine.inventory.current.confirmed(c.now)
 		}
 		list := machine.inventory.Current()
-		before := c.held[index]
-		c.held[index] = list
+		before := c.previous[index]
+		c.previous[index] = list
 		if before == nil || list == nil || before.version == list.version {
 			continue
 		}
-		back := c.contents.lastTrue(c.now, before) - c.contents.lastTrue(c.now, list)
+		back := c.contents.lastPresentAt(c.now, before) - c.contents.lastPresentAt(c.now, list)
 		c.worstRegression = max(c.worstRegression, back)
 	}
 }
@@ -87,19 +87,19 @@
 func (c *partitionSimulation) partition() {
 	machine := c.machines[c.random.IntN(len(c.machines))]
 	span := time.Duration(c.random.Int64N(int64(longestPartition)))
-	sighted := time.Duration(c.random.Int64N(int64(longestPartition)))
+	reachableFor := time.Duration(c.random.Int64N(int64(longestPartition)))
 	direction := c.random.IntN(4)
 	machine.sendsNothing, machine.receivesNothing = direction != 0, direction != 1
-	c.run(min(span, sighted), c.observe)
+	c.run(min(span, reachableFor), c.observe)
 	machine.platformUnreachable = c.random.IntN(4) > 0
-	c.run(max(0, span-sighted), c.observe)
+	c.run(max(0, span-reachableFor), c.observe)
 	machine.sendsNothing, machine.receivesNothing = false, false
 	c.run(time.Duration(c.random.Int64N(int64(4*time.Second))), c.observe)
 	machine.platformUnreachable = false
 	c.run(time.Duration(c.random.Int64N(int64(4*time.Second))), c.observe)
 }
 
-func TestAListOfACutOffMachineUndoesNoLaterOne(t *testing.T) {
+func TestListOfAPartitionedMachineReplacesNoLaterList(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(100) {
 		c := newPartitionSimulation(t, seed)
@@ -132,7 +132,7 @@
 
 // Guards against two sides of a partition that exceed the platform's rate: both sides poll, and together they must stay
 // below the rate.
-func TestAMachineThatIsApartReadsManyPagesLessOften(t *testing.T) {
+func TestPartitionedMachinePollsManyPagesLessOften(t *testing.T) {
 	inventory, now := newOwner(t, serverNamed("a"))
 	inventory.lastPages = 28
 	polls := 0
--- a/internal/region/registry/inventory_sim_test.go
+++ b/internal/region/registry/inventory_sim_test.go
@@ -33,9 +33,9 @@
 
 // delivery is a message in transit.
 type delivery struct {
-	at   time.Duration
-	to   int
-	what Event
+	at    time.Duration
+	to    int
+	event Event
 }
 
 // simulation simulates several inventories that poll a platform whose servers change.
@@ -69,8 +69,8 @@
 	s.send(index, VersionObserved{Peer: true}) // the first heartbeat
 }
 
-// order returns the hosts that the given machine is in contact with, including its own.
-func (s *simulation) order(self int) []string {
+// liveHosts returns the hosts that the given machine is in contact with, including its own.
+func (s *simulation) liveHosts(self int) []string {
 	var order []string
 	for index, machine := range s.machines {
 		reachable := !machine.frozen && !machine.sendsNothing && !s.machines[self].receivesNothing
@@ -81,13 +81,13 @@
 	return order
 }
 
-func (s *simulation) send(from int, what Event) {
+func (s *simulation) send(from int, event Event) {
 	for to, machine := range s.machines {
 		if to == from || machine.receivesNothing || s.machines[from].sendsNothing || s.lossy && s.random.IntN(20) == 0 {
 			continue
 		}
 		delay := time.Duration(s.random.IntN(60)) * time.Millisecond
-		s.inTransit = append(s.inTransit, delivery{at: s.now + delay, to: to, what: what})
+		s.inTransit = append(s.inTransit, delivery{at: s.now + delay, to: to, event: event})
 	}
 }
 
@@ -130,7 +130,7 @@
 			s.inTransit = append(s.inTransit, one)
 			continue
 		}
-		s.step(one.to, one.what)
+		s.step(one.to, one.event)
 	}
 	for index, machine := range s.machines {
 		if machine.frozen {
@@ -142,7 +142,7 @@
 			s.step(index, done)
 		}
 		if s.now%(250*time.Millisecond) == 0 {
-			order := s.order(index)
+			order := s.liveHosts(index)
 			s.step(index, Tick{LiveHosts: order, Position: index, Partitioned: 2*len(order) <= len(s.machines)})
 		}
 		if s.now%(500*time.Millisecond) == 0 {
@@ -224,7 +224,7 @@
 	require.Equal(s.t, 1, owners)
 }
 
-func TestInventoriesAgreeAfterTrouble(t *testing.T) {
+func TestInventoriesAgreeAfterFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newSimulation(t, seed)
@@ -267,9 +267,9 @@
 	}
 }
 
-// TestOneMachineRestartsWithoutADispute guards against a restarted machine that replaces the owner's list: in response
+// TestRestartOfOneMachineKeepsTheOwner guards against a restarted machine that replaces the owner's list: in response
 // to its first heartbeat it gets the owner's list.
-func TestOneMachineRestartsWithoutADispute(t *testing.T) {
+func TestRestartOfOneMachineKeepsTheOwner(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(t, seed)
 		s.run(10*time.Second, func() {})
@@ -281,9 +281,9 @@
 	}
 }
 
-// TestASilentHolderIsReplacedInTime guards against a list that grows older than the bounds on draining allow after the
+// TestFrozenOwnerIsReplacedInTime guards against a list that grows older than the bounds on draining allow after the
 // owner froze.
-func TestASilentHolderIsReplacedInTime(t *testing.T) {
+func TestFrozenOwnerIsReplacedInTime(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(t, seed)
 		s.run(10*time.Second, func() {})
--- a/internal/region/registry/inventory_test.go
+++ b/internal/region/registry/inventory_test.go
@@ -320,8 +320,8 @@
 func TestALaggingMachineGetsTheWholeList(t *testing.T) {
 	epoch := func(inventory *ServerInventory) uint64 { return inventory.Current().Version().Epoch }
 	cases := map[string]struct {
-		held     func(inventory *ServerInventory) *pb.ListVersion
-		interval time.Duration
+		advertised func(inventory *ServerInventory) *pb.ListVersion
+		interval   time.Duration
 	}{
 		"one that has just started":  {func(*ServerInventory) *pb.ListVersion { return nil }, initialResendInterval},
 		"one that observed an epoch": {func(i *ServerInventory) *pb.ListVersion { return &pb.ListVersion{Epoch: epoch(i)} }, initialResendInterval},
@@ -330,7 +330,7 @@
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			inventory, start := newOwner(t, serverNamed("a"))
-			lagging := VersionObserved{Version: one.held(inventory), Peer: true}
+			lagging := VersionObserved{Version: one.advertised(inventory), Peer: true}
 			require.Empty(t, inventory.Step(start+one.interval-1, lagging), "the list is still in transit")
 			now := start + one.interval
 			actions := inventory.Step(now, lagging)
--- a/internal/region/registry/lag_monitor_sim_test.go
+++ b/internal/region/registry/lag_monitor_sim_test.go
@@ -34,7 +34,7 @@
 	partitionedUntil time.Duration
 	reportAt         time.Duration
 	arrivesAt        time.Duration // arrival time of the changes in transit; 0: there are none
-	arrives          uint64        // sequence of the last change in transit
+	arriving         uint64        // sequence of the last change in transit
 	stuck            bool          // injected fault: the proxy applies no changes
 	reportInterval   time.Duration // maximum time between two reports
 }
@@ -48,7 +48,7 @@
 	return e
 }
 
-func (e *followingEdge) upTo(limit time.Duration) time.Duration {
+func (e *followingEdge) randomBelow(limit time.Duration) time.Duration {
 	return time.Duration(e.random.Int64N(int64(limit)))
 }
 
@@ -71,9 +71,9 @@
 func (e *followingEdge) injectFault(host *followingHost) {
 	switch e.random.IntN(600) {
 	case 0:
-		host.partitionedUntil = e.now + e.upTo(5*time.Second)
+		host.partitionedUntil = e.now + e.randomBelow(5*time.Second)
 		host.arrivesAt = 0
-		host.reportAt = host.partitionedUntil + e.upTo(300*time.Millisecond)
+		host.reportAt = host.partitionedUntil + e.randomBelow(300*time.Millisecond)
 	case 1:
 		host.sequence = 0
 		host.arrivesAt = 0
@@ -83,13 +83,13 @@
 // follow delivers the changes in transit to a host in contact, and its reports to the monitor.
 func (e *followingEdge) follow(host *followingHost) {
 	if host.arrivesAt > 0 && e.now >= host.arrivesAt {
-		host.sequence = max(host.sequence, host.arrives)
+		host.sequence = max(host.sequence, host.arriving)
 		host.arrivesAt = 0
-		host.reportAt = min(host.reportAt, e.now+e.upTo(100*time.Millisecond))
+		host.reportAt = min(host.reportAt, e.now+e.randomBelow(100*time.Millisecond))
 	}
 	if host.arrivesAt == 0 && host.sequence < e.committed && !host.stuck {
-		host.arrives = e.committed
-		host.arrivesAt = e.now + e.upTo(longestDelivery)
+		host.arriving = e.committed
+		host.arrivesAt = e.now + e.randomBelow(longestDelivery)
 	}
 	if e.now < host.reportAt {
 		return
