--- a/internal/region/gossip/antientropy.go
+++ b/internal/region/gossip/antientropy.go
@@ -8,15 +8,17 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// announcedVersion is a version that a neighbour has announced and that is to be pulled from it. The zero value is none.
+// announcedVersion is a version that a neighbour has announced and that is to be pulled from that neighbour. The zero
+// value stands for no announced version.
 type announcedVersion struct {
-	neighbour shuffle.Neighbour // its host is empty if there is none
-	sequence  uint64
-	list      *pb.ListVersion
-	pullAt    time.Duration
+	neighbour shuffle.Neighbour // source of the version; its host is empty if there is no announced version
+	sequence  uint64            // announced sequence of the control state
+	list      *pb.ListVersion   // announced version of the server list
+	pullAt    time.Duration     // time at which to pull
 }
 
-// tick pulls an announced version that is due, or compares with a neighbour at random when the interval is over.
+// tick pulls an announced version that is due, or starts a comparison with a random neighbour once per CompareInterval
+// on average.
 func (m *Machine) tick(now time.Duration) []Action {
 	if !m.started {
 		m.started = true
@@ -45,13 +47,13 @@
 	return []Action{m.versionComparison(neighbours[m.random.IntN(len(neighbours))])}
 }
 
-// jittered returns a random time between 3/4 and 5/4 of an interval.
+// jittered returns a random duration between 3/4 and 5/4 of an interval.
 func (m *Machine) jittered(interval time.Duration) time.Duration {
 	quarter := int64(interval / 4)
 	return interval - time.Duration(quarter) + time.Duration(m.random.Int64N(2*quarter))
 }
 
-// lacksAnnounced reports whether a version has been announced that the replica still lacks.
+// lacksAnnounced reports whether the replica still lacks an announced version.
 func (m *Machine) lacksAnnounced() bool {
 	return m.announced.neighbour.Host != "" && m.lacks(m.announced.sequence, m.announced.list)
 }
@@ -61,8 +63,8 @@
 	return sequence > m.replica.Sequence() || serverlist.CompareVersions(list, m.replica.ListVersion()) > 0
 }
 
-// observeVersion schedules a pull from a neighbour that is ahead of the replica. The latest neighbour replaces an earlier
-// one, but does not defer the pull.
+// observeVersion schedules a pull from a neighbour that is ahead of the replica. The latest such neighbour replaces an
+// earlier one, but does not defer the pull.
 func (m *Machine) observeVersion(now time.Duration, from shuffle.Neighbour, sequence uint64, list *pb.ListVersion) {
 	if !m.lacks(sequence, list) || from.Host == "" || from.Address == "" {
 		return
@@ -74,7 +76,7 @@
 	m.announced = announcedVersion{neighbour: from, sequence: sequence, list: list, pullAt: pullAt}
 }
 
-// versionComparison returns the cheap comparison, by versions alone. It announces this agent's versions as well.
+// versionComparison returns a comparison by versions only, which is cheap. It also announces this agent's versions.
 func (m *Machine) versionComparison(with shuffle.Neighbour) Compare {
 	snapshot := m.replica.Snapshot()
 	return Compare{
@@ -84,13 +86,13 @@
 	}
 }
 
-// digestComparison returns the comparison by the digests of all ranges, which a repair can answer.
+// digestComparison returns a comparison by the digests of all ranges, in response to which a repair can be sent.
 func (m *Machine) digestComparison(with shuffle.Neighbour) Compare {
 	snapshot := m.replica.Snapshot()
 	return Compare{To: with, Digests: snapshot.Digests(), List: m.replica.ListVersion(), Base: snapshot}
 }
 
-// answerCompare answers a comparison with what is newer here.
+// answerCompare returns the response to a comparison: the state and the list that are newer here than at the neighbour.
 func (m *Machine) answerCompare(now time.Duration, request CompareRequested) []Action {
 	sequence := request.Digests.GetSequence()
 	response := &pb.CompareResponse{Sequence: m.replica.Sequence()}
@@ -104,14 +106,14 @@
 	return []Action{CompareReply{Response: response}}
 }
 
-// addMissingState adds what a neighbour lacks: changes as far as the history reaches, else a repair if the request carries
-// digests. A large update goes as it came, compressed, with the changes that follow it. A neighbour that gets nothing of
-// these compares again, by digests.
+// addMissingState adds the state that a neighbour lacks: changes if the history reaches back far enough, else a repair
+// if the request carries digests. A large update is forwarded in the compressed form in which it was received, with the
+// changes that follow it. A neighbour that gets none of these compares again, by digests.
 func (m *Machine) addMissingState(response *pb.CompareResponse, request CompareRequested) {
 	sequence := request.Digests.GetSequence()
 	changes, complete := m.replica.ChangesSince(sequence)
 	repairable := len(request.Digests.GetDigests()) > 0
-	// A repair brings the complete state, a compressed update may bring only a part of it.
+	// A repair includes all that the neighbour lacks, a compressed update possibly only a part of it.
 	if request.AcceptsCompressed && (!complete && !repairable || isWorthCompressing(changes)) {
 		response.Compressed = m.replica.Compressed(sequence)
 	}
@@ -125,8 +127,8 @@
 	}
 }
 
-// finishCompare applies the answer to a comparison. If that leaves the replica behind the neighbour, a comparison by
-// digests follows, unless this one was by digests.
+// finishCompare applies the response to a comparison. If the replica is still behind the neighbour, a comparison by
+// digests follows, unless this comparison was by digests.
 func (m *Machine) finishCompare(now time.Duration, answer CompareAnswered) []Action {
 	response := answer.Response
 	actions := m.applyUpdate(now, answer.Request.To.Host, UpdateReceived{
--- a/internal/region/gossip/capacity_bench_test.go
+++ b/internal/region/gossip/capacity_bench_test.go
@@ -20,7 +20,7 @@
 	return New(replica, view, rand.New(rand.NewPCG(1, 2)))
 }
 
-// BenchmarkCapacityPushedChange applies one change from a neighbour and passes it on.
+// BenchmarkCapacityPushedChange applies one change from a neighbour and forwards it.
 func BenchmarkCapacityPushedChange(b *testing.B) {
 	machine := capacityMachine()
 	sequence := machine.replica.Sequence()
@@ -44,7 +44,7 @@
 	}
 }
 
-// BenchmarkCapacityNewList takes a complete list of 3,100 servers of which one has changed.
+// BenchmarkCapacityNewList applies a complete list of 3,100 servers of which one has changed.
 func BenchmarkCapacityNewList(b *testing.B) {
 	ids := make([]string, 3100)
 	for i := range ids {
--- a/internal/region/gossip/catchup_test.go
+++ b/internal/region/gossip/catchup_test.go
@@ -13,14 +13,14 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// farDistances reach from what the history keeps to twelve times that.
+// farDistances are numbers of changes to catch up with, up to twelve times the length of the history.
 var farDistances = []uint64{1, catalog.HistoryMaxChanges, catalog.HistoryMaxChanges + 1, 1000, 3000}
 
-// pair is two members that know only each other.
+// pair simulates two members that have only each other as neighbours.
 type pair struct {
 	machines map[string]*Machine
-	compared int                       // comparisons made
-	alter    func(*pb.CompareResponse) // an injected fault
+	compared int                       // number of comparisons
+	alter    func(*pb.CompareResponse) // injected fault in the responses; nil: none
 }
 
 func newPair(behind, ahead uint64) *pair {
@@ -38,7 +38,7 @@
 	return p
 }
 
-// execute carries out the comparisons of a member, and those that follow from them.
+// execute executes the comparisons among the actions of a member, and the comparisons that follow from them.
 func (p *pair) execute(now time.Duration, host string, actions []Action) {
 	for _, action := range actions {
 		compare, isCompare := action.(Compare)
@@ -61,7 +61,8 @@
 
 func (p *pair) sequence(host string) uint64 { return p.machines[host].replica.Sequence() }
 
-// runUntilCaughtUp lets time pass until the member that is behind has caught up, and returns when that was.
+// runUntilCaughtUp advances the time until the lagging member has reached the target sequence, and returns that time,
+// or the limit if it has not.
 func (p *pair) runUntilCaughtUp(limit time.Duration, target uint64) time.Duration {
 	for now := time.Duration(0); now < limit; now += 200 * time.Millisecond {
 		for host, machine := range p.machines {
@@ -74,16 +75,16 @@
 	return limit
 }
 
-// A member that is any number of changes behind has caught up after the first comparison with one that is not: at
-// once as far as the history reaches, else with the ranges that differ.
+// Guards against a lagging member that does not catch up with its first comparison: it gets changes if the neighbour's
+// history reaches back far enough, else the ranges that differ.
 func TestMemberFarBehindCatchesUpWithOneNeighbour(t *testing.T) {
 	for _, distance := range farDistances {
 		t.Run(fmt.Sprint(distance), func(t *testing.T) {
 			members := newPair(10, 10+distance)
 			caughtUp := members.runUntilCaughtUp(2*CompareInterval, 10+distance)
 			require.Less(t, caughtUp, 2*CompareInterval)
-			require.LessOrEqual(t, members.compared, 4, "two for versions, one of them with digests behind it")
-			require.EqualValues(t, 10+distance, members.sequence("ahead"), "it applies nothing older")
+			require.LessOrEqual(t, members.compared, 4, "two comparisons by versions and those by digests that follow")
+			require.EqualValues(t, 10+distance, members.sequence("ahead"), "the member that is ahead must not apply anything older")
 			require.Equal(t, stateAt(10+distance).Digests().GetDigests(), members.machines["behind"].replica.Snapshot().Digests().GetDigests())
 		})
 	}
@@ -95,7 +96,8 @@
 	require.Equal(t, 2*CompareInterval, members.runUntilCaughtUp(2*CompareInterval, 1010))
 }
 
-// A repair that comes late, or from an earlier incarnation of a neighbour, changes nothing.
+// Guards against a replica that goes back: a late repair, or one from an earlier incarnation of a neighbour, must be
+// ignored.
 func TestRepairsOfEarlierLivesAreLeft(t *testing.T) {
 	replica := NewReplica()
 	replica.ApplyChanges(changes(1, 900))
--- a/internal/region/gossip/compressed.go
+++ b/internal/region/gossip/compressed.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// maxCompressed bounds the compressed updates that a Replica keeps to pass on.
+	// maxCompressed is the maximum number of compressed updates that a Replica retains for forwarding.
 	maxCompressed = 4
-	// maxCompressedBytes bounds their total size in bytes, but for the newest, which is kept whatever its size.
+	// maxCompressedBytes is the maximum total size in bytes of the retained compressed updates. The newest one is
+	// retained regardless of its size.
 	maxCompressedBytes = 256 << 10
 )
 
-// compressedUpdates are the last compressed updates that a Replica has applied, the newest last.
+// compressedUpdates are the latest compressed updates that a Replica has applied, oldest first.
 type compressedUpdates []*pb.CompressedUpdate
 
-// AddCompressed keeps a compressed update that the replica has applied, to be passed on as it came.
+// AddCompressed retains a compressed update that the replica has applied, for forwarding without compressing it again.
 func (r *Replica) AddCompressed(update *pb.CompressedUpdate) {
 	if update == nil || update.GetSequence() > r.Sequence() || r.compressed.contains(update) {
 		return
@@ -30,9 +31,9 @@
 	}
 }
 
-// Compressed returns the newest compressed update that moves a replica at a sequence forward, nil if there is none: changes
-// that follow that sequence, or a complete state. A repair of some ranges is of use only to the replica whose digests it
-// was made against.
+// Compressed returns the newest compressed update that advances a replica at the given sequence, nil if there is none:
+// changes that follow that sequence, or a complete state. A repair of some ranges is not returned, since it is usable
+// only by the replica against whose digests it was made.
 func (r *Replica) Compressed(sequence uint64) *pb.CompressedUpdate {
 	for _, update := range slices.Backward(r.compressed) {
 		follows := update.GetBase() <= sequence && sequence < update.GetSequence()
@@ -57,7 +58,7 @@
 	return size
 }
 
-// isWorthCompressing reports whether changes are large enough to be compressed.
+// isWorthCompressing reports whether the size of the changes reaches the threshold for compression.
 func isWorthCompressing(changes []*pb.Change) bool {
 	size := 0
 	for _, change := range changes {
--- a/internal/region/gossip/compressed_test.go
+++ b/internal/region/gossip/compressed_test.go
@@ -10,21 +10,21 @@
 	"fieldrelay/internal/region/packing"
 )
 
-// largeChange is a change that is worth compressing.
+// largeChange returns a change whose size exceeds the threshold for compression.
 func largeChange(sequence uint64) *pb.Change {
 	made := change(sequence)
 	made.Upserts[0].Body = bytes.Repeat([]byte("a"), 2*packing.MinSize)
 	return made
 }
 
-// compressedFrom compresses changes for a replica at the sequence before them.
+// compressedFrom compresses changes for a replica at the sequence before the first of them.
 func compressedFrom(made ...*pb.Change) *pb.CompressedUpdate {
 	var packer packing.Compressor
 	key := packing.Key{Base: made[0].GetSequence() - 1, Sequence: made[len(made)-1].GetSequence()}
 	return packer.Compressed(key, func() *pb.StateUpdate { return &pb.StateUpdate{Changes: made} })
 }
 
-// memberWithLargeUpdate returns a member at sequence 5 whose change 4 is large and came compressed.
+// memberWithLargeUpdate returns a member at sequence 5 that has received change 4, a large one, in compressed form.
 func memberWithLargeUpdate(t *testing.T) *Machine {
 	t.Helper()
 	machine := New(NewReplica(), fixedView{}, nil)
@@ -36,7 +36,7 @@
 	return machine
 }
 
-// answerTo returns the answer to a neighbour at a sequence.
+// answerTo returns the response to a comparison by a neighbour at the given sequence.
 func answerTo(machine *Machine, sequence uint64, acceptsCompressed bool) *pb.CompareResponse {
 	request := CompareRequested{From: neighbour(1), Digests: &pb.RangeDigests{Sequence: sequence}, AcceptsCompressed: acceptsCompressed}
 	return machine.Step(0, request)[0].(CompareReply).Response
@@ -45,7 +45,7 @@
 func TestLargeUpdateIsPassedOnAsItCame(t *testing.T) {
 	answer := answerTo(memberWithLargeUpdate(t), 3, true)
 	require.EqualValues(t, 4, answer.GetCompressed().GetSequence())
-	require.Len(t, answer.GetChanges(), 1, "what follows it comes as it is")
+	require.Len(t, answer.GetChanges(), 1, "the change after the compressed update is sent uncompressed")
 	require.EqualValues(t, 5, answer.GetChanges()[0].GetSequence())
 }
 
@@ -67,7 +67,8 @@
 	require.Len(t, answer.GetChanges(), 1)
 }
 
-// A complete state is of use to every earlier replica, a repair of some ranges only to the one that it was made for.
+// Guards against the forwarding of a repair that the receiver cannot use: a complete state is usable by every earlier
+// replica, a repair of some ranges only by the replica against whose digests it was made.
 func TestOnlyCompleteRepairsArePassedOn(t *testing.T) {
 	replica := NewReplica()
 	replica.ApplyChanges(changes(1, 9))
@@ -87,5 +88,5 @@
 		require.LessOrEqual(t, replica.compressed.bytes(), maxCompressedBytes)
 	}
 	replica.AddCompressed(&pb.CompressedUpdate{Base: 50, Sequence: 51})
-	require.Nil(t, replica.Compressed(50), "what the replica has not applied is not passed on")
+	require.Nil(t, replica.Compressed(50), "an update that the replica has not applied must not be forwarded")
 }
--- a/internal/region/gossip/digest_test.go
+++ b/internal/region/gossip/digest_test.go
@@ -9,9 +9,9 @@
 	"fieldrelay/internal/testkit/digesttest"
 )
 
-var update = flag.Bool("update", false, "record the digests of the runs again")
+var update = flag.Bool("update", false, "rewrite the recorded digests")
 
-// A refactoring leaves as it is what members send each other.
+// Guards against refactorings that change the messages that members send each other.
 func TestSwarmHasTheRecordedDigests(t *testing.T) {
 	digesttest.Compare(t, "swarm", *update, func() *digesttest.Recorder {
 		recorder := digesttest.New(time.Second)
@@ -54,6 +54,6 @@
 	case CompareReply:
 		begin("compare-reply").Message(action.Response)
 	default:
-		t.Errorf("an action that the digests do not know")
+		t.Errorf("unexpected type of action")
 	}
 }
--- a/internal/region/gossip/events.go
+++ b/internal/region/gossip/events.go
@@ -9,41 +9,41 @@
 // Event is an input of a Machine.
 type Event interface{ isEvent() }
 
-// Tick says that time has passed. It is due a few times a second.
+// Tick reports that time has passed. It is due a few times a second.
 type Tick struct{}
 
-// UpdateReceived is an update from outside the gossip: from a control machine.
+// UpdateReceived is an update from a control machine.
 type UpdateReceived struct {
 	Changes    []*pb.Change
-	Base       *catalog.Snapshot // whose digests Repair was made against; nil: none
+	Base       *catalog.Snapshot // state against whose digests Repair was made; nil: none
 	Repair     *pb.Repair
-	Compressed *pb.CompressedUpdate // that Changes or Repair were decompressed from, to be passed on; nil: they came uncompressed
+	Compressed *pb.CompressedUpdate // compressed form of Changes or Repair, for forwarding; nil: received uncompressed
 	List       *pb.ServerList
 }
 
-// PushRequested is a neighbour's push. A PushReply answers it.
+// PushRequested is a push from a neighbour. The response is a PushReply.
 type PushRequested struct {
 	From    shuffle.Neighbour
 	Changes []*pb.Change
 	List    *pb.ServerList
 }
 
-// PushAnswered is a neighbour's answer to a Push, with the versions that it has.
+// PushAnswered is a neighbour's response to a Push, with the neighbour's versions.
 type PushAnswered struct {
 	To       shuffle.Neighbour
 	Sequence uint64
 	List     *pb.ListVersion
 }
 
-// CompareRequested is a neighbour's comparison. A CompareReply answers it.
+// CompareRequested is a comparison from a neighbour. The response is a CompareReply.
 type CompareRequested struct {
 	From              shuffle.Neighbour
 	Digests           *pb.RangeDigests
 	List              *pb.ListVersion
-	AcceptsCompressed bool // the answer may carry a compressed update
+	AcceptsCompressed bool // the response may carry a compressed update
 }
 
-// CompareAnswered is a neighbour's answer to a Compare.
+// CompareAnswered is a neighbour's response to a Compare.
 type CompareAnswered struct {
 	Request  Compare
 	Response *pb.CompareResponse
@@ -56,31 +56,32 @@
 func (CompareRequested) isEvent() {}
 func (CompareAnswered) isEvent()  {}
 
-// Action is an output of a Machine, which the caller of Step has to carry out.
+// Action is an output of a Machine, which the caller of Step has to execute.
 type Action interface{ isAction() }
 
-// Push sends an update to a neighbour. Its answer comes back as PushAnswered.
+// Push sends an update to a neighbour. The response is returned as a PushAnswered event.
 type Push struct {
 	To      shuffle.Neighbour
 	Changes []*pb.Change
 	List    *pb.ServerList
 }
 
-// PushReply answers a PushRequested with the versions of the replica.
+// PushReply is the response to a PushRequested, with the versions of the replica.
 type PushReply struct {
 	Sequence uint64
 	List     *pb.ListVersion
 }
 
-// Compare sends a neighbour the versions of the replica, or also its digests. Its answer comes back as an event.
+// Compare sends a neighbour the versions of the replica, with or without its digests. The response is returned as a
+// CompareAnswered event.
 type Compare struct {
 	To      shuffle.Neighbour
 	Digests *pb.RangeDigests
 	List    *pb.ListVersion
-	Base    *catalog.Snapshot // the state that Digests describes; nil: they hold versions alone
+	Base    *catalog.Snapshot // state that Digests describes; nil: Digests has versions only
 }
 
-// CompareReply answers a CompareRequested.
+// CompareReply is the response to a CompareRequested.
 type CompareReply struct{ Response *pb.CompareResponse }
 
 func (Push) isAction()         {}
--- a/internal/region/gossip/gossip.go
+++ b/internal/region/gossip/gossip.go
@@ -1,16 +1,16 @@
-// Package gossip spreads the control state and the platform's server list among the agents, beside their links to the
-// control machines, in the way of epidemic algorithms (Demers et al., "Epidemic Algorithms for Replicated Database
-// Maintenance", 1987):
+// Package gossip disseminates the control state and the platform's server list among the agents, in addition to the
+// agents' links to the control machines. It uses epidemic algorithms (Demers et al., "Epidemic Algorithms for
+// Replicated Database Maintenance", 1987):
 //
-//   - rumors: an agent that applies an update pushes it to a few neighbours at once if it is small. It announces a large
-//     one by its version, and a neighbour that still lacks it a moment later pulls it, so that an update that control
-//     delivers anyway is not sent three times;
-//   - anti-entropy: now and then an agent compares versions with a neighbour at random, and pulls what it lacks: changes
-//     as far as the history reaches, else a repair of the ranges whose digests differ.
+//   - Rumor mongering: an agent that applies a small update immediately pushes it to a few neighbours. It announces a
+//     large update by version only, and a neighbour that still lacks the update after a short delay pulls it, so that an
+//     update that control delivers anyway is not sent three times.
+//   - Anti-entropy: from time to time an agent compares versions with a random neighbour, and pulls the state that it
+//     lacks: changes if the neighbour's history reaches back far enough, else a repair of the ranges whose digests differ.
 //
-// Replica is the state that is spread, Machine the protocol. Neither decides which update is valid: sequences and list
-// versions are assigned by the control machines, and a replica only moves forward. Nothing here does I/O, reads a clock
-// or starts a goroutine. docs/region/config-delivery.md gives the resulting delays.
+// Replica is the replicated state, Machine the protocol. Neither validates updates: sequences and list versions are
+// assigned by the control machines, and the versions of a replica never decrease. The package does no I/O, reads no
+// clock and starts no goroutine. docs/region/config-delivery.md gives the resulting delays.
 package gossip
 
 import (
@@ -22,41 +22,42 @@
 )
 
 const (
-	// Fanout is the number of neighbours that an update is passed on to. Fewer leave more agents to anti-entropy, more
-	// send each agent more copies.
+	// Fanout is the number of neighbours that an update is forwarded to. With a smaller fanout more agents get an
+	// update only by anti-entropy; with a larger one each agent receives more copies.
 	Fanout = 3
 
-	// CompareInterval is the mean time between two comparisons that an agent begins. It bounds how long an agent that no
-	// push reaches keeps lagging.
+	// CompareInterval is the mean time between two comparisons that an agent starts. It bounds the time for which
+	// an agent that no push reaches keeps lagging.
 	CompareInterval = 3 * time.Second
 
-	// pullDelay is how long an agent waits for an announced update to arrive from control before it pulls it.
+	// pullDelay is the time for which an agent waits for an announced update from control before it pulls the update
+	// from the neighbour.
 	pullDelay = 100 * time.Millisecond
 
-	// maxPushSize is the size in bytes up to which an update is pushed rather than announced.
+	// maxPushSize is the maximum size in bytes of an update that is pushed; a larger update is announced.
 	maxPushSize = 1 << 10
 )
 
-// View is the source of the present neighbours, which is a shuffle.View.
+// View is the source of the present neighbours. shuffle.View implements it.
 type View interface {
-	// Neighbours returns the present neighbours. The result is valid until the view changes and must not be changed.
+	// Neighbours returns the present neighbours. The result is valid until the view changes and must not be modified.
 	Neighbours() []shuffle.Neighbour
 }
 
-// Machine is one agent's part in the gossip. It is a state machine: Step takes an event and returns the actions that the
-// caller has to carry out. It is not safe for concurrent use.
+// Machine is the state machine of one agent in the gossip protocol: Step takes an event and returns the actions that
+// the caller has to execute. It is not safe for concurrent use.
 type Machine struct {
 	replica       *Replica
 	view          View
 	random        *rand.Rand
-	started       bool // since the first Tick
-	nextCompareAt time.Duration
+	started       bool          // the first Tick was handled
+	nextCompareAt time.Duration // time of the next comparison with a random neighbour
 	announced     announcedVersion
-	malformed     uint64
+	malformed     uint64 // number of repairs that could not be used
 }
 
-// New returns a machine that keeps the replica up to date and passes on what is new in it. The caller may
-// read the replica between steps.
+// New returns a machine that keeps the replica up to date and forwards new updates. The caller may read the replica
+// between steps.
 func New(replica *Replica, view View, random *rand.Rand) *Machine {
 	return &Machine{replica: replica, view: view, random: random}
 }
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// applyUpdate applies an update and passes on what was new in it, but not to the host that it came from.
+// applyUpdate applies an update and forwards its new parts to neighbours other than the host from.
 func (m *Machine) applyUpdate(now time.Duration, from string, received UpdateReceived) []Action {
 	before := m.replica.Sequence()
 	repaired := m.restoreRepair(received)
@@ -94,7 +95,7 @@
 		list = m.replica.List(now)
 	}
 	if m.replica.Sequence() < before {
-		panic("gossip: the sequence of the replica fell")
+		panic("gossip: the sequence of the replica decreased")
 	}
 	if len(applied) == 0 && !repaired && list == nil {
 		return nil
@@ -102,7 +103,7 @@
 	return m.disseminate(from, applied, repaired, list)
 }
 
-// restoreRepair applies the repair of an update, if there is one, and reports whether the replica moved.
+// restoreRepair applies the repair of an update, if there is one, and reports whether it advanced the replica.
 func (m *Machine) restoreRepair(received UpdateReceived) bool {
 	if received.Repair == nil {
 		return false
--- a/internal/region/gossip/gossip_test.go
+++ b/internal/region/gossip/gossip_test.go
@@ -20,7 +20,7 @@
 	hop       = 10 * time.Millisecond
 )
 
-// fixedView is a view that doesn't change.
+// fixedView is a view that never changes.
 type fixedView []shuffle.Neighbour
 
 func (v fixedView) Neighbours() []shuffle.Neighbour { return v }
@@ -35,7 +35,8 @@
 	action   Action
 }
 
-// swarm simulates many members. Messages take a hop, may be lost and come in any order.
+// swarm simulates many members. Each message takes the time hop; messages may be lost and are delivered in random
+// order.
 type swarm struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -73,9 +74,9 @@
 	if s.watch != nil {
 		s.watch(i, actions)
 	}
-	require.GreaterOrEqual(s.t, s.replicas[i].Sequence(), s.floor[i], "sequences only rise")
+	require.GreaterOrEqual(s.t, s.replicas[i].Sequence(), s.floor[i], "the sequence of a replica must not decrease")
 	s.floor[i] = s.replicas[i].Sequence()
-	require.GreaterOrEqual(s.t, serverlist.CompareVersions(s.replicas[i].ListVersion(), s.lists[i]), 0, "list versions only rise")
+	require.GreaterOrEqual(s.t, serverlist.CompareVersions(s.replicas[i].ListVersion(), s.lists[i]), 0, "the list version of a replica must not decrease")
 	s.lists[i] = s.replicas[i].ListVersion()
 	return actions
 }
@@ -104,7 +105,7 @@
 	s.inTransit = append(s.inTransit, message{from: from, to: index, action: action})
 }
 
-// round delivers what is in transit and, every quarter of a second, lets every member tick.
+// round delivers the messages in transit and, every quarter of a second, a tick to every member.
 func (s *swarm) round() {
 	s.now += hop
 	due := s.inTransit
@@ -140,7 +141,7 @@
 	}
 }
 
-// answer delivers an answer unless it is lost.
+// answer delivers a response unless it is lost.
 func (s *swarm) answer(to int, event Event) {
 	if s.random.Float64() >= s.loss {
 		s.deliverEvent(to, event)
@@ -175,10 +176,10 @@
 		s := newSwarm(t, seed, swarmSize)
 		s.deliverEvent(0, UpdateReceived{Changes: changes(1, 1), List: list(1, "i-1")})
 		s.rounds(12 * hop)
-		require.GreaterOrEqual(t, s.countAtLeast(1, version(1, "core-1", 1)), swarmSize*9/10, "by pushes alone")
+		require.GreaterOrEqual(t, s.countAtLeast(1, version(1, "core-1", 1)), swarmSize*9/10, "members reached by pushes only")
 		require.LessOrEqual(t, s.pushes, swarmSize*Fanout)
 		s.rounds(8 * time.Second)
-		require.Equal(t, swarmSize, s.countAtLeast(1, version(1, "core-1", 1)), "after comparisons")
+		require.Equal(t, swarmSize, s.countAtLeast(1, version(1, "core-1", 1)), "members reached after comparisons")
 		s.requireAlike()
 	}
 }
@@ -207,7 +208,7 @@
 	s.deliverEvent(0, UpdateReceived{Changes: []*pb.Change{large}})
 	s.rounds(15 * time.Second)
 	require.Equal(t, swarmSize, s.countAtLeast(1, nil))
-	require.Zero(t, s.pushes, "a large update isn't pushed")
+	require.Zero(t, s.pushes, "a large update must not be pushed")
 }
 
 func TestUpdateThatAllHaveCostsNoFurtherMessages(t *testing.T) {
@@ -221,7 +222,7 @@
 	require.Empty(t, s.step(0, UpdateReceived{Changes: changes(1, 1)}))
 	s.rounds(10 * time.Second)
 	require.Zero(t, s.pushes)
-	require.LessOrEqual(t, s.compares, 50*(11/2+1), "about one comparison an interval")
+	require.LessOrEqual(t, s.compares, 50*(11/2+1), "about one comparison per member and interval")
 }
 
 func TestGapIsRepairedByDigests(t *testing.T) {
--- a/internal/region/gossip/partial_update_test.go
+++ b/internal/region/gossip/partial_update_test.go
@@ -10,8 +10,9 @@
 	"fieldrelay/internal/region/packing"
 )
 
-// A neighbour that was repaired keeps a compressed update of before, which moves another replica forward by a part of the
-// way only. The other one compares until it has everything, and doesn't wait for the next interval.
+// Guards against a replica that stays behind after a compressed update: a neighbour that was repaired still has an
+// older compressed update, which advances another replica only partially. That replica must compare again, without
+// waiting for the next interval, until it has the complete state.
 func TestReplicaThatACompressedUpdateMovesInPartPullsTheRest(t *testing.T) {
 	source := catalog.Empty()
 	apply := func(change *pb.Change) {
@@ -47,7 +48,7 @@
 		request := pending[0]
 		pending = pending[1:]
 		answers++
-		require.Less(t, answers, 10, "it compares for ever")
+		require.Less(t, answers, 10, "the comparisons must end")
 		reply := ahead.Step(0, CompareRequested{From: neighbour(2), Digests: request.Digests, AcceptsCompressed: true})[0].(CompareReply)
 		response := reply.Response
 		if compressed := response.GetCompressed(); compressed != nil {
@@ -62,5 +63,5 @@
 			}
 		}
 	}
-	require.EqualValues(t, 40, behind.replica.Sequence(), "after %d answers", answers)
+	require.EqualValues(t, 40, behind.replica.Sequence(), "after %d responses", answers)
 }
--- a/internal/region/gossip/replica_test.go
+++ b/internal/region/gossip/replica_test.go
@@ -15,7 +15,7 @@
 	"fieldrelay/internal/region/serverlist"
 )
 
-// change returns the change of a sequence number. All replicas get the same one.
+// change returns the change with a sequence number, which is the same for all replicas.
 func change(sequence uint64) *pb.Change {
 	item := &pb.Item{
 		Kind:     catalog.KindRoutes,
@@ -53,8 +53,8 @@
 	return message
 }
 
-// What is offered in any order, repeated and reordered, never lowers a version, and the state at a sequence is
-// the one state that this sequence has.
+// Guards against versions that decrease and against diverging states: updates in any order, repeated and reordered,
+// must not lower a version, and the state at a sequence must be the same for all replicas.
 func TestVersionsOnlyRise(t *testing.T) {
 	const last = 40
 	states := make([]*catalog.Snapshot, last+1)
@@ -152,7 +152,7 @@
 	confirmation := &pb.ServerList{Version: version(1, "core-1", 1), AgeMs: 100}
 	require.Equal(t, ListConfirmed, replica.OfferList(3*time.Second, confirmation))
 	require.Equal(t, 2900*time.Millisecond, replica.ListConfirmedAt())
-	require.EqualValues(t, 2000, replica.List(3*time.Second).GetAgeMs(), "read two seconds ago")
+	require.EqualValues(t, 2000, replica.List(3*time.Second).GetAgeMs(), "the list was read two seconds ago")
 	require.Len(t, replica.List(3*time.Second).GetServers(), 1)
 }
 
@@ -163,7 +163,7 @@
 	first.AgeMs = 300
 	replica.OfferList(time.Second, first)
 	require.EqualValues(t, 800, replica.List(1500*time.Millisecond).GetAgeMs())
-	require.EqualValues(t, 300, first.GetAgeMs(), "the message itself isn't changed")
+	require.EqualValues(t, 300, first.GetAgeMs(), "the offered message must not be modified")
 }
 
 func BenchmarkSameContent(b *testing.B) {
--- a/internal/region/gossip/rumor.go
+++ b/internal/region/gossip/rumor.go
@@ -9,8 +9,8 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// answerPush applies a neighbour's push, passes on what was new in it, and answers with this agent's versions. A push that
-// leaves a gap announces its last sequence.
+// answerPush applies a neighbour's push, forwards its new parts, and replies with this agent's versions. If the changes
+// do not directly follow the replica's sequence, the last sequence of the push counts as announced.
 func (m *Machine) answerPush(now time.Duration, push PushRequested) []Action {
 	actions := m.applyUpdate(now, push.From.Host, UpdateReceived{Changes: push.Changes, List: push.List})
 	if last := len(push.Changes) - 1; last >= 0 {
@@ -20,8 +20,8 @@
 	return append(actions, reply)
 }
 
-// disseminate pushes a small update to some neighbours, and announces a large one or a repair to them. The host that it
-// came from is left out.
+// disseminate pushes a small update to random neighbours, or announces a large update or a repair to them. The host
+// from, the source of the update, is excluded.
 func (m *Machine) disseminate(from string, applied []*pb.Change, repaired bool, list *pb.ServerList) []Action {
 	small := !repaired && updateSize(applied, list) <= maxPushSize
 	var actions []Action
@@ -35,7 +35,8 @@
 	return actions
 }
 
-// updateSize returns the size of an update in bytes, or some size above maxPushSize if it is larger than that.
+// updateSize returns the size of an update in bytes. If the size exceeds maxPushSize, the result may be any size above
+// maxPushSize.
 func updateSize(changes []*pb.Change, list *pb.ServerList) int {
 	size := 0
 	for _, change := range changes {
@@ -50,7 +51,7 @@
 	return size
 }
 
-// pickNeighbours returns up to count neighbours at random, without the host except.
+// pickNeighbours returns up to count random neighbours, excluding the host except.
 func (m *Machine) pickNeighbours(count int, except string) []shuffle.Neighbour {
 	neighbours := m.view.Neighbours()
 	picked := make([]shuffle.Neighbour, 0, count)
--- a/internal/region/gossip/serverlist.go
+++ b/internal/region/gossip/serverlist.go
@@ -7,8 +7,8 @@
 	"fieldrelay/internal/region/serverlist"
 )
 
-// listTolerances is how far the remaining times of two lists may drift while the lists count as the same. A warm-up
-// that ends later than expected matters sooner: the server would be taken for warm too early.
+// listTolerances bound how far the remaining times of two lists may drift while the lists count as the same. The
+// tolerance for a warm-up that ends later than expected is smaller: the server would be considered warm too early.
 var listTolerances = serverlist.Tolerances{
 	WarmUpLater:   100 * time.Millisecond,
 	WarmUpEarlier: time.Second,
@@ -16,31 +16,32 @@
 	ExpiryEarlier: time.Second,
 }
 
-// ListOutcome is what became of a server list that was offered to a Replica.
+// ListOutcome is the result of offering a server list to a Replica.
 type ListOutcome int
 
 const (
-	// ListStale is a list that is not newer than the present one, and was ignored.
+	// ListStale means that the list was ignored, since it is not newer than the present one.
 	ListStale ListOutcome = iota
-	// ListConfirmed is a later list with the same content, or a confirmation of the present list.
+	// ListConfirmed means that the list has a newer version with the same content, or confirms the present list.
 	ListConfirmed
-	// ListChanged is a newer list with other content, and was taken.
+	// ListChanged means that the list is newer, has other content, and has replaced the present one.
 	ListChanged
 )
 
 // storedList is a server list with its times by the monotonic clock. The message is immutable.
 type storedList struct {
-	message     *pb.ServerList // nil: there is none
-	readAt      time.Duration  // when the platform was polled: the servers' remaining times count from then
-	confirmedAt time.Duration  // when the platform was last known to have this list
+	message     *pb.ServerList // nil: there is no list
+	readAt      time.Duration  // time of the poll of the platform, from which the servers' remaining times count
+	confirmedAt time.Duration  // time at which the platform was last known to have this list
 }
 
-// readTime returns when the platform was polled for a list that is received now.
+// readTime returns the time at which the platform was polled for a list that is received at the time now.
 func readTime(now time.Duration, list *pb.ServerList) time.Duration {
 	return now - time.Duration(list.GetAgeMs())*time.Millisecond
 }
 
-// messageAt returns the list with its age at the time now, nil if there is none. The servers are shared.
+// messageAt returns the list with its age at the time now, nil if there is none. The result shares the servers with the
+// stored list.
 func (l storedList) messageAt(now time.Duration) *pb.ServerList {
 	if l.message == nil {
 		return nil
@@ -52,7 +53,7 @@
 	}
 }
 
-// sameContent reports whether a list read later differs from an earlier one only by the time that has passed.
+// sameContent reports whether a later list differs from an earlier one only by the elapsed time.
 func sameContent(before, after storedList) bool {
 	if before.message == nil || after.message == nil {
 		return before.message == after.message
