--- a/internal/region/gossip/antientropy.go
+++ b/internal/region/gossip/antientropy.go
@@ -114,7 +114,7 @@
 	changes, complete := m.replica.ChangesSince(sequence)
 	repairable := len(request.Digests.GetDigests()) > 0
 	// A repair includes all that the neighbour lacks, a compressed update possibly only a part of it.
-	if request.AcceptsCompressed && (!complete && !repairable || isWorthCompressing(changes)) {
+	if request.AcceptsCompressed && (!complete && !repairable || reachesCompressionThreshold(changes)) {
 		response.Compressed = m.replica.Compressed(sequence)
 	}
 	switch {
--- a/internal/region/gossip/catchup_test.go
+++ b/internal/region/gossip/catchup_test.go
@@ -13,8 +13,8 @@
 	"fieldrelay/internal/region/shuffle"
 )
 
-// farDistances are numbers of changes to catch up with, up to twelve times the length of the history.
-var farDistances = []uint64{1, catalog.HistoryMaxChanges, catalog.HistoryMaxChanges + 1, 1000, 3000}
+// lagDistances are numbers of changes to catch up with, up to twelve times the length of the history.
+var lagDistances = []uint64{1, catalog.HistoryMaxChanges, catalog.HistoryMaxChanges + 1, 1000, 3000}
 
 // pair simulates two members that have only each other as neighbours.
 type pair struct {
@@ -78,7 +78,7 @@
 // Guards against a lagging member that does not catch up with its first comparison: it gets changes if the neighbour's
 // history reaches back far enough, else the ranges that differ.
 func TestMemberFarBehindCatchesUpWithOneNeighbour(t *testing.T) {
-	for _, distance := range farDistances {
+	for _, distance := range lagDistances {
 		t.Run(fmt.Sprint(distance), func(t *testing.T) {
 			members := newPair(10, 10+distance)
 			caughtUp := members.runUntilCaughtUp(2*CompareInterval, 10+distance)
@@ -98,7 +98,7 @@
 
 // Guards against a replica that goes back: a late repair, or one from an earlier incarnation of a neighbour, must be
 // ignored.
-func TestRepairsOfEarlierLivesAreLeft(t *testing.T) {
+func TestRepairsOfEarlierIncarnationsAreIgnored(t *testing.T) {
 	replica := NewReplica()
 	replica.ApplyChanges(changes(1, 900))
 	machine := New(replica, fixedView{}, rand.New(rand.NewPCG(1, 1)))
--- a/internal/region/gossip/compressed.go
+++ b/internal/region/gossip/compressed.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxCompressed is the maximum number of compressed updates that a Replica retains for forwarding.
-	maxCompressed = 4
+	// maxCompressedUpdates is the maximum number of compressed updates that a Replica retains for forwarding.
+	maxCompressedUpdates = 4
 	// maxCompressedBytes is the maximum total size in bytes of the retained compressed updates. The newest one is
 	// retained regardless of its size.
 	maxCompressedBytes = 256 << 10
@@ -26,7 +26,7 @@
 		return
 	}
 	r.compressed = append(r.compressed, update)
-	for len(r.compressed) > 1 && (len(r.compressed) > maxCompressed || r.compressed.bytes() > maxCompressedBytes) {
+	for len(r.compressed) > 1 && (len(r.compressed) > maxCompressedUpdates || r.compressed.bytes() > maxCompressedBytes) {
 		r.compressed = slices.Delete(r.compressed, 0, 1)
 	}
 }
@@ -58,8 +58,8 @@
 	return size
 }
 
-// isWorthCompressing reports whether the size of the changes reaches the threshold for compression.
-func isWorthCompressing(changes []*pb.Change) bool {
+// reachesCompressionThreshold reports whether the size of the changes reaches the threshold for compression.
+func reachesCompressionThreshold(changes []*pb.Change) bool {
 	size := 0
 	for _, change := range changes {
 		size += proto.Size(change)
--- a/internal/region/gossip/compressed_test.go
+++ b/internal/region/gossip/compressed_test.go
@@ -84,7 +84,7 @@
 	for sequence := range uint64(50) {
 		replica.AddCompressed(&pb.CompressedUpdate{Base: sequence, Sequence: sequence + 1, Deflated: make([]byte, 100<<10)})
 		replica.AddCompressed(&pb.CompressedUpdate{Base: sequence, Sequence: sequence + 1, Deflated: make([]byte, 100<<10)})
-		require.LessOrEqual(t, len(replica.compressed), maxCompressed)
+		require.LessOrEqual(t, len(replica.compressed), maxCompressedUpdates)
 		require.LessOrEqual(t, replica.compressed.bytes(), maxCompressedBytes)
 	}
 	replica.AddCompressed(&pb.CompressedUpdate{Base: 50, Sequence: 51})
--- a/internal/region/gossip/gossip.go
+++ b/internal/region/gossip/gossip.go
@@ -47,13 +47,13 @@
 // Machine is the state machine of one agent in the gossip protocol: Step takes an event and returns the actions that
 // the caller has to execute. It is not safe for concurrent use.
 type Machine struct {
-	replica       *Replica
-	view          View
-	random        *rand.Rand
-	started       bool          // the first Tick was handled
-	nextCompareAt time.Duration // time of the next comparison with a random neighbour
-	announced     announcedVersion
-	malformed     uint64 // number of repairs that could not be used
+	replica          *Replica
+	view             View
+	random           *rand.Rand
+	started          bool          // the first Tick was handled
+	nextCompareAt    time.Duration // time of the next comparison with a random neighbour
+	announced        announcedVersion
+	malformedRepairs uint64 // number of repairs that could not be used
 }
 
 // New returns a machine that keeps the replica up to date and forwards new updates. The caller may read the replica
@@ -63,7 +63,7 @@
 }
 
 // MalformedRepairs returns the number of repairs that could not be used.
-func (m *Machine) MalformedRepairs() uint64 { return m.malformed }
+func (m *Machine) MalformedRepairs() uint64 { return m.malformedRepairs }
 
 // Step handles an event at the time now of a monotonic clock, and returns the actions that follow from it, in order.
 func (m *Machine) Step(now time.Duration, event Event) []Action {
@@ -108,9 +108,9 @@
 	if received.Repair == nil {
 		return false
 	}
-	moved, err := m.replica.Restore(received.Base, received.Repair)
+	advanced, err := m.replica.Restore(received.Base, received.Repair)
 	if err != nil {
-		m.malformed++
+		m.malformedRepairs++
 	}
-	return moved
+	return advanced
 }
--- a/internal/region/gossip/gossip_test.go
+++ b/internal/region/gossip/gossip_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	swarmSize = 400
-	hop       = 10 * time.Millisecond
+	swarmSize    = 400
+	messageDelay = 10 * time.Millisecond
 )
 
 // fixedView is a view that never changes.
@@ -35,26 +35,26 @@
 	action   Action
 }
 
-// swarm simulates many members. Each message takes the time hop; messages may be lost and are delivered in random
+// swarm simulates many members. Each message takes messageDelay; messages may be lost and are delivered in random
 // order.
 type swarm struct {
-	t         *testing.T
-	random    *rand.Rand
-	now       time.Duration
-	loss      float64
-	machines  []*Machine
-	replicas  []*Replica
-	floor     []uint64
-	lists     []*pb.ListVersion
-	inTransit []message
-	pushes    int
-	compares  int
-	watch     func(i int, actions []Action) // called with the actions of each step, unless nil
+	t             *testing.T
+	random        *rand.Rand
+	now           time.Duration
+	loss          float64
+	machines      []*Machine
+	replicas      []*Replica
+	lastSequences []uint64
+	lastLists     []*pb.ListVersion
+	inTransit     []message
+	pushes        int
+	compares      int
+	watch         func(i int, actions []Action) // called with the actions of each step, unless nil
 }
 
 func newSwarm(t *testing.T, seed uint64, size int) *swarm {
-	s := &swarm{t: t, random: rand.New(rand.NewPCG(seed, 1)), floor: make([]uint64, size)}
-	s.lists = make([]*pb.ListVersion, size)
+	s := &swarm{t: t, random: rand.New(rand.NewPCG(seed, 1)), lastSequences: make([]uint64, size)}
+	s.lastLists = make([]*pb.ListVersion, size)
 	for i := range size {
 		var view fixedView
 		for _, other := range s.random.Perm(size) {
@@ -74,10 +74,10 @@
 	if s.watch != nil {
 		s.watch(i, actions)
 	}
-	require.GreaterOrEqual(s.t, s.replicas[i].Sequence(), s.floor[i], "the sequence of a replica must not decrease")
-	s.floor[i] = s.replicas[i].Sequence()
-	require.GreaterOrEqual(s.t, serverlist.CompareVersions(s.replicas[i].ListVersion(), s.lists[i]), 0, "the list version of a replica must not decrease")
-	s.lists[i] = s.replicas[i].ListVersion()
+	require.GreaterOrEqual(s.t, s.replicas[i].Sequence(), s.lastSequences[i], "the sequence of a replica must not decrease")
+	s.lastSequences[i] = s.replicas[i].Sequence()
+	require.GreaterOrEqual(s.t, serverlist.CompareVersions(s.replicas[i].ListVersion(), s.lastLists[i]), 0, "the list version of a replica must not decrease")
+	s.lastLists[i] = s.replicas[i].ListVersion()
 	return actions
 }
 
@@ -107,7 +107,7 @@
 
 // round delivers the messages in transit and, every quarter of a second, a tick to every member.
 func (s *swarm) round() {
-	s.now += hop
+	s.now += messageDelay
 	due := s.inTransit
 	s.inTransit = nil
 	for _, i := range s.random.Perm(len(due)) {
@@ -115,7 +115,7 @@
 			s.deliver(due[i])
 		}
 	}
-	if s.now%(25*hop) == 0 {
+	if s.now%(25*messageDelay) == 0 {
 		for i := range s.machines {
 			s.deliverEvent(i, Tick{})
 		}
@@ -164,7 +164,7 @@
 	return count
 }
 
-func (s *swarm) requireAlike() {
+func (s *swarm) requireSameState() {
 	want := s.replicas[0].Snapshot().Digests()
 	for i, replica := range s.replicas {
 		require.True(s.t, proto.Equal(want, replica.Snapshot().Digests()), "member %d", i)
@@ -175,12 +175,12 @@
 	for seed := range uint64(5) {
 		s := newSwarm(t, seed, swarmSize)
 		s.deliverEvent(0, UpdateReceived{Changes: changes(1, 1), List: list(1, "i-1")})
-		s.rounds(12 * hop)
+		s.rounds(12 * messageDelay)
 		require.GreaterOrEqual(t, s.countAtLeast(1, version(1, "core-1", 1)), swarmSize*9/10, "members reached by pushes only")
 		require.LessOrEqual(t, s.pushes, swarmSize*Fanout)
 		s.rounds(8 * time.Second)
 		require.Equal(t, swarmSize, s.countAtLeast(1, version(1, "core-1", 1)), "members reached after comparisons")
-		s.requireAlike()
+		s.requireSameState()
 	}
 }
 
@@ -197,7 +197,7 @@
 		}
 		s.rounds(30 * time.Second)
 		require.Equal(t, swarmSize, s.countAtLeast(20, version(1, "core-1", 20)))
-		s.requireAlike()
+		s.requireSameState()
 	}
 }
 
@@ -230,10 +230,10 @@
 	s.replicas[0].ApplyChanges(changes(1, 10))
 	s.replicas[0].history.Reset(10)
 	s.replicas[1].ApplyChanges(changes(1, 3))
-	s.floor[0], s.floor[1] = 10, 3
+	s.lastSequences[0], s.lastSequences[1] = 10, 3
 	s.rounds(10 * time.Second)
 	require.EqualValues(t, 10, s.replicas[1].Sequence())
-	s.requireAlike()
+	s.requireSameState()
 }
 
 func TestEqualVersionsAreAnsweredWithNothing(t *testing.T) {
--- a/internal/region/gossip/rumor.go
+++ b/internal/region/gossip/rumor.go
@@ -51,15 +51,15 @@
 	return size
 }
 
-// pickNeighbours returns up to count random neighbours, excluding the host except.
-func (m *Machine) pickNeighbours(count int, except string) []shuffle.Neighbour {
+// pickNeighbours returns up to count random neighbours, without the host excluded.
+func (m *Machine) pickNeighbours(count int, excluded string) []shuffle.Neighbour {
 	neighbours := m.view.Neighbours()
 	picked := make([]shuffle.Neighbour, 0, count)
 	for _, index := range m.random.Perm(len(neighbours)) {
 		if len(picked) == count {
 			break
 		}
-		if neighbours[index].Host != except {
+		if neighbours[index].Host != excluded {
 			picked = append(picked, neighbours[index])
 		}
 	}
