--- a/internal/region/controlserver/bootstrap_test.go
+++ b/internal/region/controlserver/bootstrap_test.go
@@ -13,7 +13,7 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// loneMachine returns the settings of a control machine that is the only seed.
+// loneMachine returns the settings of a single control machine, which is its own seed.
 func loneMachine(folder string) *settings.Settings {
 	own := servingSettings()
 	own.Seeds = []string{own.Binds.Control}
@@ -23,8 +23,8 @@
 	return own
 }
 
-// start serves a control process with a real node and returns the address of its operator's API. The process
-// ends with the function returned.
+// start starts a control process with a real node and returns the address of its operator's API, and a function that
+// shuts the process down.
 func start(t *testing.T, own *settings.Settings) (address string, end func()) {
 	t.Helper()
 	p := newProcess(newSettingsWatcher("", own, zap.NewNop()), zap.NewNop(), 1)
@@ -45,7 +45,7 @@
 	}
 }
 
-// until sends a request again until it gets 200, as the operator does.
+// until repeats a request until the response has status 200, as the operator does, and returns the response's body.
 func until(t *testing.T, method, url, base, body string) string {
 	t.Helper()
 	var answer string
--- a/internal/region/controlserver/compressed_test.go
+++ b/internal/region/controlserver/compressed_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/region/packing"
 )
 
-// addRoutes puts so many routes in force beside those of configuration.
+// addRoutes adds count routes to the configuration in force.
 func addRoutes(t *testing.T, node Node, base, generation, count int) {
 	t.Helper()
 	routes := make([]string, count)
@@ -25,7 +25,8 @@
 	require.Equal(t, uint32(200), result.Status, "%s", result.Body)
 }
 
-// What many agents lack is compressed once, and each response is a fraction of the size of its content.
+// Guards against the compression of the same update for each agent: a large change is compressed once, and each
+// response is less than a quarter of the size of its content.
 func TestLargeChangeIsCompressedOnceForAllAgents(t *testing.T) {
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 7)
@@ -58,7 +59,8 @@
 	require.Len(t, got.answer.GetChanges(), 1)
 }
 
-// An agent with an empty replica gets the complete state compressed, one that lags far behind the ranges that differ.
+// Guards against uncompressed or wrong repairs: an agent with an empty replica gets the complete state compressed, an
+// agent that lags far behind gets the ranges that differ.
 func TestRepairsAreCompressedForTheReplicasThatTheyServe(t *testing.T) {
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 7)
--- a/internal/region/controlserver/directory.go
+++ b/internal/region/controlserver/directory.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// maxEndpointsLifetime bounds how long clients may use an answer of the directory.
+	// maxEndpointsLifetime is the maximum time for which clients may use a response of the directory.
 	maxEndpointsLifetime = time.Second
 
 	// maxDrainingEndpointTime and the grace period divided by drainingGraceDivisor bound the time for which the
-	// directory still names a proxy that drains.
+	// directory still returns a draining proxy.
 	maxDrainingEndpointTime = 2 * time.Second
 	drainingGraceDivisor    = 4
 )
 
-// homeIndexCache has the home regions of hosts by one snapshot of the configuration.
+// homeIndexCache caches the index of the hosts' home regions for one snapshot of the configuration.
 type homeIndexCache struct {
 	snapshot *catalog.Snapshot
 	index    *route.HomeIndex
@@ -44,14 +44,14 @@
 	}
 }
 
-// drainingEndpointTime is how long the directory still names a proxy that drains: it accepts requests for a little
-// longer, and clients cache its address for a second or more.
+// drainingEndpointTime returns the time for which the directory still returns a draining proxy. The time is short,
+// since the proxy accepts requests only a little longer, and clients cache its address for a second or more.
 func (p *process) drainingEndpointTime() time.Duration {
 	return min(maxDrainingEndpointTime, p.settings.Current().Bounds.Grace()/drainingGraceDivisor)
 }
 
-// homeRegionsOf returns the regions that may process requests to a host. While this machine is not authoritative its
-// configuration may be stale; any host may then be restricted to regions.
+// homeRegionsOf returns the regions that may process requests to a host. While this machine is not authoritative, its
+// configuration may be stale, and the home regions of every host count as unknown.
 func (p *process) homeRegionsOf(host string) route.HomeRegions {
 	status := p.node.Status()
 	if !status.Authoritative || status.Committed == nil {
@@ -65,8 +65,8 @@
 	return cached.index.Of(host)
 }
 
-// knowsZone reports whether the deployment has a zone of this name. An evacuated zone is known even if the
-// settings of this machine do not name it, or not yet: the order may be repeated at any control machine.
+// knowsZone reports whether the deployment has a zone of this name. An evacuated zone is known even if the settings of
+// this machine do not have it, or not yet: the operator may repeat the order at any control machine.
 func (p *process) knowsZone(zone string) bool {
 	if p.settings.Current().KnowsZone(zone) {
 		return true
@@ -75,8 +75,8 @@
 	return committed != nil && committed.Evacuated(zone)
 }
 
-// endpointsLifetime is how long clients may use an answer of the directory: maxEndpointsLifetime, or less by the
-// settings.
+// endpointsLifetime returns the time for which clients may use a response of the directory: maxEndpointsLifetime, or
+// less if the settings demand it.
 func endpointsLifetime(current *settings.Settings) time.Duration {
 	limit := current.Bounds.TTLMax()
 	if limit <= 0 {
--- a/internal/region/controlserver/distance_test.go
+++ b/internal/region/controlserver/distance_test.go
@@ -14,19 +14,20 @@
 	"fieldrelay/internal/region/gossip"
 )
 
-// lags, in changes, reach from the length of the history to twelve times that.
+// lags are numbers of changes to catch up with, up to twelve times the length of the history.
 var lags = []uint64{1, catalog.HistoryMaxChanges, catalog.HistoryMaxChanges + 1, 1000, 3000}
 
-// laggingAgent is an agent's replica of the state, which it updates by calls to one machine.
+// laggingAgent is an agent with a replica of the control state, which it updates by calls to one control machine.
 type laggingAgent struct {
 	t       *testing.T
 	process *process
 	replica *gossip.Replica
-	digests bool // the last answer asked for them
-	alter   func(*pb.WatchResponse)
+	digests bool                    // the last response requested digests
+	alter   func(*pb.WatchResponse) // injected fault in the responses; nil: none
 }
 
-// ask makes one call and applies its response.
+// ask makes one call and applies its response. between is called after the request has been composed, before it is
+// sent.
 func (a *laggingAgent) ask(between func()) *pb.WatchResponse {
 	request := current(a.process)
 	request.HoldMs = 0
@@ -59,7 +60,8 @@
 	return proto.Equal(a.replica.Snapshot().Digests(), a.process.node.Status().Committed.Digests())
 }
 
-// newLaggingAgent returns an agent that is so many changes behind a machine, which may have been started anew since.
+// newLaggingAgent returns an agent that lags behind a machine by the given number of changes. If restarted is set, the
+// machine has lost its history.
 func newLaggingAgent(t *testing.T, distance uint64, restarted bool) (*laggingAgent, *fakeNode) {
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 1)
@@ -75,7 +77,7 @@
 	return agent, node
 }
 
-// amend changes one of some routes.
+// amend changes one of 40 services.
 func amend(t *testing.T, node *fakeNode, base uint64) {
 	t.Helper()
 	body := fmt.Sprintf(`{"gen":%d,"upsert":{"backends":[{"name":"far-%d","made-by":%d}]}}`, base+1, base%40, base)
@@ -83,7 +85,8 @@
 	require.EqualValues(t, 200, result.GetStatus())
 }
 
-// An agent has caught up with the second response at the latest, with the first one if the history reaches back.
+// Guards against an agent that does not catch up: it must have the newest state after two responses, and after the
+// first one if the history reaches back far enough.
 func TestAgentFarBehindCatchesUpWithTwoAnswers(t *testing.T) {
 	for _, distance := range lags {
 		for _, restarted := range []bool{false, true} {
@@ -100,8 +103,8 @@
 	}
 }
 
-// Changes between an agent's call and its response, the loss of history, and a machine with an older state than the
-// agent: the replica never goes back, and its content is that of its sequence.
+// Guards against a replica that goes back or diverges: changes are committed between an agent's call and its response,
+// the machine loses its history, and the machine has an older state than the agent.
 func TestAgentFarBehindWhileChangesGoOn(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -125,7 +128,7 @@
 	}
 }
 
-// askOlder makes a call while the machine has an older state.
+// askOlder makes a call while the machine has an older state, which must not change a newer replica.
 func (a *laggingAgent) askOlder(node *fakeNode, older *catalog.Snapshot) {
 	newest := node.Status().Committed
 	digests := a.digests
--- a/internal/region/controlserver/fake_test.go
+++ b/internal/region/controlserver/fake_test.go
@@ -21,7 +21,7 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// fakeNode is the replicated control state of a single machine, in memory.
+// fakeNode implements Node with the control state of a single machine, in memory.
 type fakeNode struct {
 	mutex     sync.Mutex
 	status    control.Status
@@ -29,11 +29,11 @@
 	changed   chan struct{}
 	broadcast []*pb.ServerList
 	delivered int
-	seeds     []string      // as last set
-	block     chan struct{} // orders wait for it, if set
-	waiting   atomic.Int64  // orders that do
-	leaving   chan struct{} // Leave waits for it, if set
-	left      atomic.Int64  // calls of Leave
+	seeds     []string      // seeds of the last call of SetSeeds
+	block     chan struct{} // orders block until it is closed, unless nil
+	waiting   atomic.Int64  // number of orders that have waited for block
+	leaving   chan struct{} // Leave blocks until it is closed, unless nil
+	left      atomic.Int64  // number of calls of Leave
 
 	coordination control.CoordinationStatus
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// commit applies a change. The lock is held.
+// commit applies a change. The caller holds the lock.
 func (n *fakeNode) commit(change *pb.Change) {
 	next, err := n.status.Committed.Apply(change)
 	if err != nil {
@@ -102,13 +102,13 @@
 	n.notify()
 }
 
-// notify closes the channel of Changed. The lock is held.
+// notify closes the channel of Changed. The caller holds the lock.
 func (n *fakeNode) notify() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// alter changes the status.
+// alter changes the status and closes the channel of Changed.
 func (n *fakeNode) alter(change func(*control.Status)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -169,7 +169,7 @@
 	return true
 }
 
-// testSettings are those of a control machine that serves on loopback.
+// testSettings returns the settings of a control machine that serves on loopback.
 func testSettings() *settings.Settings {
 	return &settings.Settings{
 		Hostname:  "control-1",
@@ -183,7 +183,7 @@
 	}
 }
 
-// servingSettings are testSettings with listeners for the operator and the directory.
+// servingSettings returns testSettings with listen addresses for the operator's API and the directory.
 func servingSettings() *settings.Settings {
 	own := testSettings()
 	own.Binds = settings.Binds{Control: "127.0.0.2:0", Directory: "127.0.0.3:0"}
@@ -200,7 +200,7 @@
 	return p, node
 }
 
-// pass lets time go by for a process, with its ticks but without waiting.
+// pass advances the time of a process, with its ticks, without waiting.
 func pass(p *process, duration time.Duration) {
 	const step = 500 * time.Millisecond
 	for ; duration > 0; duration -= step {
@@ -210,7 +210,7 @@
 	}
 }
 
-// linkClient serves the process's peer port and returns a client of it.
+// linkClient serves the process's peer port and returns a client for it.
 func linkClient(t *testing.T, p *process) fieldrelayv1connect.ControlLinkClient {
 	t.Helper()
 	server := httptest.NewServer(p.peerHandler("control-1"))
@@ -218,7 +218,7 @@
 	return fieldrelayv1connect.NewControlLinkClient(server.Client(), server.URL)
 }
 
-// configuration returns a valid configuration of a generation with a number of routes.
+// configuration returns a valid configuration with the given generation and number of routes.
 func configuration(generation, routes int) string {
 	text := fmt.Sprintf(`{"gen":%d,"backends":[{"name":"s"}],"routes":[`, generation)
 	for index := range routes {
@@ -231,7 +231,7 @@
 	return text + `]}`
 }
 
-// replace puts a configuration in force.
+// replace submits a configuration of the given generation, which must be accepted.
 func replace(t *testing.T, node Node, base, generation int) {
 	t.Helper()
 	order := &pb.Order{Kind: pb.Order_KIND_REPLACE, Base: uint64(base), Body: []byte(configuration(generation, 3))}
--- a/internal/region/controlserver/lag.go
+++ b/internal/region/controlserver/lag.go
@@ -7,8 +7,8 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// ObserveCommitted passes the newest snapshot committed at this machine to the lag monitor. For a known snapshot it
-// takes no lock.
+// ObserveCommitted reports the newest snapshot committed at this machine to the lag monitor. It takes no lock if the
+// snapshot is already known.
 func (s *softState) ObserveCommitted(committed *catalog.Snapshot) {
 	if committed == nil || committed.Sequence() <= s.observedSequence.Load() {
 		return
@@ -19,7 +19,8 @@
 	s.observedSequence.Store(max(s.observedSequence.Load(), committed.Sequence()))
 }
 
-// SetLagBounds sets the bounds of the lag monitor. While this machine is not authoritative they are suspended.
+// SetLagBounds sets the bounds of the lag monitor. If this machine is not authoritative, it counts as unsynchronized,
+// and the bounds are extended accordingly.
 func (s *softState) SetLagBounds(bounds registry.LagBounds, authoritative bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -36,7 +37,7 @@
 	return s.lagMonitor.Stats(s.now())
 }
 
-// lagBounds returns the lag monitor's bounds by the settings.
+// lagBounds converts bounds of the settings to bounds of the lag monitor.
 func lagBounds(bounds settings.Bounds) registry.LagBounds {
 	return registry.LagBounds{
 		MinContact:              bounds.ContactFor(),
@@ -45,7 +46,7 @@
 	}
 }
 
-// lagStatus is the part of a status report about lagging agents.
+// lagStatus returns the part of a status report about lagging agents.
 func lagStatus(stats registry.LagStats) *pb.LagStatus {
 	return &pb.LagStatus{
 		AgentsBehind: uint32(stats.Lagging),
--- a/internal/region/controlserver/lag_test.go
+++ b/internal/region/controlserver/lag_test.go
@@ -11,7 +11,7 @@
 	"fieldrelay/internal/region/control"
 )
 
-// observedProcess is a process whose log a test reads, with bounds on the lag.
+// observedProcess returns a process with bounds on the lag, and the log of the process.
 func observedProcess(t *testing.T) (*process, *fakeNode, *observer.ObservedLogs) {
 	p, node := newTestProcess(t)
 	logged, logs := observer.New(zap.DebugLevel)
@@ -25,7 +25,7 @@
 	return p, node, logs
 }
 
-// passObserving lets time go by while an agent reports the sequence of its proxy.
+// passObserving advances the time while an agent reports the sequence of its proxy.
 func passObserving(p *process, duration time.Duration, sequence uint64) {
 	const step = 500 * time.Millisecond
 	for ; duration > 0; duration -= step {
@@ -82,7 +82,7 @@
 	request := current(p)
 	request.Sequence = 0
 	require.NoError(t, watch(p, request).err)
-	require.EqualValues(t, 1, p.soft.observedSequence.Load(), "before the next tick")
+	require.EqualValues(t, 1, p.soft.observedSequence.Load(), "the change must be recorded before the next tick")
 	p.soft.ObserveCommitted(nil)
 	p.soft.ObserveCommitted(node.Status().Committed)
 	require.EqualValues(t, 1, p.soft.observedSequence.Load())
--- a/internal/region/controlserver/leave_test.go
+++ b/internal/region/controlserver/leave_test.go
@@ -17,7 +17,8 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// The others need this machine's node and peer port until they have agreed to go on without it.
+// Guards against a shutdown that ends the node or the peer port too early: the other machines need both until they have
+// agreed on a view without this machine.
 func TestNodeRunsUntilTheOthersGoOnWithoutIt(t *testing.T) {
 	p, node := newTestProcess(t)
 	node.leaving = make(chan struct{})
@@ -56,17 +57,17 @@
 	<-closed[true]
 }
 
-// system is a number of control processes that found a system together.
+// system is a number of control processes that bootstrap a system together.
 type system struct {
 	t         *testing.T
 	machines  []*settings.Settings
-	addresses []string // of the operator's APIs
+	addresses []string // addresses of the operator's APIs
 	ends      []context.CancelFunc
 	ended     []chan error
 	lines     []*observer.ObservedLogs
 }
 
-// newSystem runs machines at loopback addresses of their own, all with the same peer port, as on their hosts.
+// newSystem runs control processes at different loopback addresses, all with the same peer port as on separate hosts.
 func newSystem(t *testing.T, size int) *system {
 	s := &system{t: t}
 	port := freePort(t)
@@ -99,7 +100,8 @@
 	return s
 }
 
-// freePort returns a port that is free, with the next one, at the loopback addresses of a system.
+// freePort returns a port that is free at a loopback address. The next port, and the ports at the other addresses of a
+// system, are expected to be free as well.
 func freePort(t *testing.T) int {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.1.1:0")
@@ -120,8 +122,9 @@
 	s.lines = append(s.lines, lines)
 }
 
-// TestRunLeavesWhenItIsToldToEnd ends one of three processes, as SIGTERM does: it announces that it leaves, the others have a
-// view without it before it has ended, and accept an order.
+// TestRunLeavesWhenItIsToldToEnd guards against a process that ends without leaving the system. It ends one of three
+// processes, as SIGTERM does: before the process has ended, the others must have a view without it, and they must
+// accept an order.
 func TestRunLeavesWhenItIsToldToEnd(t *testing.T) {
 	t.Setenv(settings.PathVariable, filepath.Join(t.TempDir(), "none"))
 	s := newSystem(t, 3)
@@ -138,7 +141,7 @@
 	require.Zero(t, s.lines[1].FilterMessage("leave finished").Len())
 }
 
-// lastChain names the hosts of the chain of the last view that a machine has logged.
+// lastChain returns the hosts in the chain of the last view that a machine has logged.
 func (s *system) lastChain(index int) string {
 	views := s.lines[index].FilterMessage("view").All()
 	require.NotEmpty(s.t, views)
--- a/internal/region/controlserver/linkservice.go
+++ b/internal/region/controlserver/linkservice.go
@@ -14,38 +14,39 @@
 )
 
 const (
-	// maxWatchWait bounds the time for which a long poll of an agent stays open without an update.
+	// maxWatchWait is the maximum time for which a long poll of an agent stays open without an update.
 	maxWatchWait = time.Second
 
-	// maxConcurrentWatches bounds the long polls that are open at this machine.
+	// maxConcurrentWatches is the maximum number of long polls that are open at this machine at the same time.
 	maxConcurrentWatches = 1024
 )
 
 // ShuttingDownError rejects a call because this process is shutting down.
 type ShuttingDownError struct{}
 
-// Error returns the text that the caller gets.
-func (*ShuttingDownError) Error() string { return "this control machine is ending" }
+// Error returns the message sent to the caller.
+func (*ShuttingDownError) Error() string { return "control machine is shutting down" }
 
 // TooManyWatchesError rejects a call because maxConcurrentWatches are open already.
 type TooManyWatchesError struct{}
 
-// Error returns the text that the caller gets.
-func (*TooManyWatchesError) Error() string { return "too many agents wait at this control machine" }
+// Error returns the message sent to the caller.
+func (*TooManyWatchesError) Error() string { return "control machine has too many open long polls" }
 
 // AgentMissingError rejects a call that does not name its agent.
 type AgentMissingError struct{}
 
-// Error returns the text that the caller gets.
-func (*AgentMissingError) Error() string { return "the call names no agent" }
+// Error returns the message sent to the caller.
+func (*AgentMissingError) Error() string { return "watch request has no agent host" }
 
-// linkService implements the ControlLink service, by which agents get updates. Each call is a long poll (RFC 6202):
-// it is answered at once if there is an update for the agent, otherwise with the next one or after the wait that the
-// agent requested. It is safe for concurrent use; each call runs in the goroutine of its HTTP request.
+// linkService implements the ControlLink service, from which agents receive updates. Each call is a long poll (RFC
+// 6202): the response is sent immediately if there is an update for the agent, otherwise with the next update or after
+// the wait that the agent requested. The service is safe for concurrent use; each call runs in the goroutine of its
+// HTTP request.
 type linkService struct {
 	node         Node
 	soft         *softState
-	host         string // of this machine
+	host         string // host name of this machine
 	shuttingDown <-chan struct{}
 	watchSlots   chan struct{} // one token per open call
 	packer       packing.Compressor
@@ -63,8 +64,8 @@
 	}
 }
 
-// Watch records the agent's report and answers when there is an update for it, at the latest after the wait that it
-// requests, which is bounded by maxWatchWait.
+// Watch records the agent's report and responds when there is an update for the agent, at the latest after the wait
+// that the agent requests, which is bounded by maxWatchWait.
 func (l *linkService) Watch(ctx context.Context, request *connect.Request[pb.WatchRequest]) (*connect.Response[pb.WatchResponse], error) {
 	select {
 	case l.watchSlots <- struct{}{}:
@@ -99,17 +100,17 @@
 	return connect.NewError(code, cause)
 }
 
-// composer returns the response as of now, and whether it has an update, that is, must be sent at once.
+// composer returns the response as of now, and whether it has an update and must therefore be sent immediately.
 type composer func(watch *pb.WatchRequest) (response *pb.WatchResponse, hasUpdate bool)
 
-// await composes responses until one has an update or the wait is over. A change of this machine's authority counts
-// as an update. The only error is that of a canceled ctx.
+// await composes responses until one of them has an update or the wait is over, and returns the last one. A change of
+// this machine's authority counts as an update. The only error is that of a canceled ctx.
 func (l *linkService) await(ctx context.Context, watch *pb.WatchRequest, compose composer) (*pb.WatchResponse, error) {
 	wait := time.NewTimer(min(time.Duration(watch.GetHoldMs())*time.Millisecond, maxWatchWait))
 	defer wait.Stop()
 	authoritative := l.node.Status().Authoritative
 	for {
-		// The channels are taken before the response is composed, so that no later change is missed.
+		// The channels are read before the response is composed, so that no change after that is missed.
 		stateChanged, softChanged := l.node.Changed(), l.soft.Changed()
 		response, hasUpdate := compose(watch)
 		if hasUpdate || response.Authoritative != authoritative {
@@ -119,7 +120,7 @@
 		case <-stateChanged:
 		case <-softChanged:
 		case <-wait.C:
-			response, _ = compose(watch) // again, since it carries ages
+			response, _ = compose(watch) // composed again, since the ages in it have changed
 			return response, nil
 		case <-l.shuttingDown:
 			return response, nil
@@ -138,7 +139,8 @@
 	}
 }
 
-// composeProbe answers a probe: an agent looks for an authoritative control machine. It carries no state.
+// composeProbe composes the response to a probe, by which an agent looks for an authoritative control machine. The
+// response carries no state.
 func (l *linkService) composeProbe(watch *pb.WatchRequest) (*pb.WatchResponse, bool) {
 	status := l.node.Status()
 	response := &pb.WatchResponse{Authoritative: status.Authoritative, MembersSource: l.host}
@@ -147,12 +149,12 @@
 		response.Generation = status.Committed.Generation()
 	}
 	if status.View.GetNumber() > watch.GetViewNumber() {
-		response.View = status.View // its voters are further machines to probe
+		response.View = status.View // the agent can probe the voters of the view
 	}
 	return response, status.Authoritative || response.View != nil
 }
 
-// compose returns the response as of now and whether it has something that the agent lacks.
+// compose returns the response as of now, and whether it has an update that the agent lacks.
 func (l *linkService) compose(watch *pb.WatchRequest) (*pb.WatchResponse, bool) {
 	status := l.node.Status()
 	l.soft.ObserveCommitted(status.Committed)
@@ -160,7 +162,7 @@
 	if isFirstRequest(watch) && len(status.View.GetVoters()) > 0 {
 		response.View = status.View
 		if status.Committed != nil {
-			// Without the sequence the agent would take its empty replica for confirmed.
+			// Without the sequence the agent would consider its empty replica up to date.
 			response.Sequence = status.Committed.Sequence()
 			response.Generation = status.Committed.Generation()
 		}
@@ -178,14 +180,16 @@
 	return response, hasUpdate
 }
 
-// isFirstRequest reports whether an agent has neither view nor state yet. It gets the view before anything large: until
-// the first answer it probes other control machines too, and cancels this call for the first of them that answers.
+// isFirstRequest reports whether an agent has neither a view nor state yet. The response to such an agent has the view
+// and no large data: until its first response the agent also probes other control machines, and it cancels this call if
+// one of them responds first.
 func isFirstRequest(watch *pb.WatchRequest) bool {
 	return watch.GetViewNumber() == 0 && watch.GetSequence() == 0
 }
 
-// addState adds what the agent's replica of the control state lacks: the changes since its sequence as long as they
-// are in the history, else a repair by the digests of its ranges, which are requested if it sent none.
+// addState adds the control state that the agent's replica lacks: the changes since its sequence if they are in the
+// history, else a repair by the digests of the replica's ranges. If the agent sent no digests, they are requested. An
+// empty replica gets a complete repair.
 func (l *linkService) addState(response *pb.WatchResponse, watch *pb.WatchRequest, committed *catalog.Snapshot) bool {
 	if committed == nil {
 		return false
@@ -214,8 +218,8 @@
 	return true
 }
 
-// addList adds the server list if it is newer than the agent's; if it is the same version, only its age, which is no
-// update.
+// addList adds the server list if it is newer than the agent's list. For the same version it adds only the age of the
+// list, which does not count as an update.
 func (l *linkService) addList(response *pb.WatchResponse, watch *pb.WatchRequest, list *registry.ServerList) bool {
 	if list == nil {
 		return false
@@ -231,8 +235,8 @@
 	return false
 }
 
-// addMembers adds the members if the agent has an older version of them, or one of another control machine: versions
-// of different machines cannot be compared.
+// addMembers adds the members if the agent has an older version of them, or a version of another control machine, since
+// versions of different machines are not comparable.
 func (l *linkService) addMembers(response *pb.WatchResponse, watch *pb.WatchRequest, snapshot *softSnapshot) bool {
 	if !snapshot.converged {
 		return false
--- a/internal/region/controlserver/linkservice_test.go
+++ b/internal/region/controlserver/linkservice_test.go
@@ -15,14 +15,14 @@
 	"fieldrelay/internal/region/control"
 )
 
-// watched is the result of a Watch in a bubble of synctest.
+// watched is the result of a call of Watch; took is its duration, by the fake clock in tests with synctest.
 type watched struct {
 	answer *pb.WatchResponse
 	err    error
 	took   time.Duration
 }
 
-// watch calls Watch directly.
+// watch calls Watch directly, without HTTP.
 func watch(p *process, request *pb.WatchRequest) watched {
 	return watchWith(context.Background(), newLinkService(p.node, p.soft, "control-1", p.shuttingDown), request)
 }
@@ -37,7 +37,7 @@
 	return result
 }
 
-// current is a request of an agent that has all that the process knows.
+// current returns a request of an agent that is up to date with the process.
 func current(p *process) *pb.WatchRequest {
 	status := p.node.Status()
 	return &pb.WatchRequest{
@@ -159,8 +159,8 @@
 	})
 }
 
-// An agent that starts probes other machines while its first call is under way, and gives that call up for the first one
-// that answers: what is large would be sent in vain.
+// Guards against large data in the first response to an agent: while its first call is open, an agent also probes other
+// machines, and cancels the call if one of them responds first, so that the data would be sent in vain.
 func TestWatchSendsAnAgentThatKnowsNothingTheViewFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
@@ -172,7 +172,7 @@
 		require.NoError(t, first.err)
 		require.Zero(t, first.took)
 		require.Equal(t, view, first.answer.GetView())
-		require.Equal(t, node.Status().Committed.Sequence(), first.answer.GetSequence(), "it learns that it lacks something")
+		require.Equal(t, node.Status().Committed.Sequence(), first.answer.GetSequence(), "the agent must know that its replica is not up to date")
 		require.Nil(t, first.answer.GetRepair())
 		require.Nil(t, first.answer.GetCompressed())
 		require.Nil(t, first.answer.GetMembers())
@@ -180,7 +180,7 @@
 		request.ViewNumber = view.GetNumber()
 		second := watch(p, request)
 		require.Zero(t, second.took)
-		require.NotNil(t, second.answer.GetRepair(), "the state comes with the next call")
+		require.NotNil(t, second.answer.GetRepair(), "the next response must have the state")
 	})
 }
 
@@ -189,7 +189,7 @@
 		p, _ := newTestProcess(t)
 		request := current(p)
 		request.MembersSource = "control-9"
-		require.Nil(t, watch(p, request).answer.Members, "a list that may be incomplete is not sent")
+		require.Nil(t, watch(p, request).answer.Members, "members that may be incomplete must not be sent")
 
 		pass(p, membersConvergenceTime)
 		p.soft.ObserveAgent(testAgent("edge-2"), nil)
@@ -204,12 +204,13 @@
 		time.AfterFunc(100*time.Millisecond, func() { p.soft.ObserveAgent(testAgent("edge-3"), nil) })
 		time.AfterFunc(250*time.Millisecond, p.tick)
 		got = watch(p, request)
-		require.Equal(t, 250*time.Millisecond, got.took, "agents are notified of members at the next tick")
+		require.Equal(t, 250*time.Millisecond, got.took, "agents must be notified of members at the next tick")
 		require.Len(t, got.answer.Members.Agents, 3)
 	})
 }
 
-// TestMembersAreNotifiedOncePerInterval: while many machines start, each change would cost a whole list for every agent.
+// TestMembersAreNotifiedOncePerInterval guards against excessive traffic while many machines start: each notification
+// costs a transfer of the complete list to every agent.
 func TestMembersAreNotifiedOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
@@ -239,7 +240,8 @@
 	})
 }
 
-// TestProbesFindAnAuthoritativeMachine: they are answered as soon as this one does, with little.
+// TestProbesFindAnAuthoritativeMachine guards against late or large responses to probes: a probe must be answered as
+// soon as the machine is authoritative, without state.
 func TestProbesFindAnAuthoritativeMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
@@ -258,7 +260,7 @@
 		node.alter(func(status *control.Status) { status.Authoritative = false })
 		got = watch(p, probe)
 		require.Zero(t, got.took)
-		require.Equal(t, uint64(1), got.answer.View.Number, "its voters are further machines to probe")
+		require.Equal(t, uint64(1), got.answer.View.Number, "the agent needs the voters of the view to probe them")
 		probe.ViewNumber = 1
 		require.Equal(t, 800*time.Millisecond, watch(p, probe).took)
 		time.AfterFunc(100*time.Millisecond, func() {
@@ -282,7 +284,7 @@
 
 		got = watch(p, current(p))
 		require.Equal(t, 800*time.Millisecond, got.took)
-		require.Empty(t, got.answer.List.Servers, "a known version is only confirmed")
+		require.Empty(t, got.answer.List.Servers, "a known version must only be confirmed")
 		require.Equal(t, uint32(850), got.answer.List.AgeMs)
 	})
 }
--- a/internal/region/controlserver/listeners.go
+++ b/internal/region/controlserver/listeners.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	// userTimeout is the TCP user timeout (RFC 5482): it closes a connection whose peer acknowledges nothing, since
-	// the machine has failed or is partitioned.
+	// userTimeout is the TCP user timeout (RFC 5482): it closes a connection whose peer does not acknowledge data
+	// because the peer's machine has failed or is partitioned.
 	userTimeout = 3 * time.Second
 
 	headerTimeout  = 3 * time.Second
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 16 << 10
 
-	// listenAttempts and listenBackoff bound the wait for an address that an earlier process still uses.
+	// listenAttempts and listenBackoff bound the wait for a listen address that an earlier process still uses.
 	listenAttempts = 20
 	listenBackoff  = 250 * time.Millisecond
 
-	// peerPortIndex is the index, in the settings' port range, of the port for control machines and agents.
+	// peerPortIndex is the index in the settings' port range of the port for control machines and agents.
 	peerPortIndex = 0
 
-	// maxMessageBytes bounds one message from a control machine or an agent.
+	// maxMessageBytes is the maximum size of one message from a control machine or an agent.
 	maxMessageBytes = 32 << 20
 )
 
@@ -44,18 +44,18 @@
 type listeningServer struct {
 	server   *http.Server
 	listener net.Listener
-	peers    bool // serves control machines and agents, not callers from outside
+	peers    bool // serves control machines and agents; otherwise operators, clients and applications
 }
 
 // Serve serves until the server is shut down. It always returns an error.
 func (s *listeningServer) Serve() error { return s.server.Serve(s.listener) }
 
-// shutDown closes the listener and waits for the open calls; at the timeout their connections are closed.
+// shutDown closes the listener and waits for the open calls. After the timeout it closes their connections.
 func (s *listeningServer) shutDown(timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if s.server.Shutdown(ctx) != nil {
-		_ = s.server.Close() // the process ends, and nothing can be done about a socket that does not close
+		_ = s.server.Close() // the process is about to exit, so a failure to close has no consequence
 	}
 }
 
@@ -66,7 +66,7 @@
 		listener, err := listen(ctx, address)
 		if err != nil {
 			for _, opened := range servers {
-				_ = opened.listener.Close() // the error that counts is the one returned
+				_ = opened.listener.Close() // the error of listen is returned instead
 			}
 			return nil, err
 		}
@@ -101,7 +101,7 @@
 	return handlers
 }
 
-// withCoordination serves the calls of applications, and everything else by another handler.
+// withCoordination returns a handler that passes the calls of applications to calls and all other requests to others.
 func withCoordination(calls, others http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if coordinationapi.Serves(r.URL.Path) {
@@ -122,8 +122,9 @@
 	}
 }
 
-// peerHandler serves the other control machines and the agents. Responses are not compressed one by one: a compressor
-// takes more memory than everything else here. What is large in them is compressed once for all agents.
+// peerHandler returns the handler for the other control machines and the agents. Responses are not compressed
+// individually, since a compressor takes more memory than all else that a response needs. Large parts of responses are
+// compressed once for all agents.
 func (p *process) peerHandler(host string) http.Handler {
 	options := []connect.HandlerOption{
 		connect.WithCompression("gzip", nil, nil),
@@ -142,7 +143,7 @@
 // setUserTimeout sets the user timeout of a socket; accepted connections inherit it from their listener.
 func setUserTimeout(_, _ string, connection syscall.RawConn) error {
 	return connection.Control(func(descriptor uintptr) {
-		// A system without the option detects failed peers later, by keep-alives.
+		// Without the option, failed peers are detected later, by keep-alives.
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
 	})
 }
@@ -172,8 +173,8 @@
 	return nil, errors.Wrapf(err, "listen on %s", address)
 }
 
-// newHTTPServer returns a server for HTTP/1.1 with small bounds. What net/http itself would log is about single
-// connections and is dropped.
+// newHTTPServer returns a server for HTTP/1.1 with small limits. The log of net/http is discarded, since it concerns
+// only single connections.
 func newHTTPServer(handler http.Handler) *http.Server {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
--- a/internal/region/controlserver/logging.go
+++ b/internal/region/controlserver/logging.go
@@ -9,11 +9,11 @@
 	"fieldrelay/internal/region/registry"
 )
 
-// countersInterval is the time between two log lines with counters.
+// countersInterval is the interval at which the counters are logged.
 const countersInterval = 30 * time.Second
 
-// logRoleChanges logs a change of this machine's authority, or of what it lacks for it, and of its ownership of the
-// polling role.
+// logRoleChanges logs changes of this machine's authority, of the requirement that it lacks for authority, and of its
+// ownership of the polling role.
 func (p *process) logRoleChanges(status control.Status) {
 	if status.Authoritative != p.wasAuthoritative || status.AuthorityGap != p.lastAuthorityGap {
 		p.wasAuthoritative = status.Authoritative
@@ -54,7 +54,7 @@
 	}
 }
 
-// logCounters logs the counters since the start, and present figures.
+// logCounters logs the counters since the start, and present values.
 func (p *process) logCounters() {
 	snapshot := p.soft.Snapshot()
 	fields := []zap.Field{
@@ -72,7 +72,7 @@
 	p.logger.Info("counters", append(fields, p.watchCounters.fields()...)...)
 }
 
-// coordinationFields are the figures about the calls of applications in the line of counters.
+// coordinationFields returns the log fields of the calls of applications for the log line with the counters.
 func (p *process) coordinationFields() []zap.Field {
 	status := p.node.CoordinationStatus()
 	return []zap.Field{
@@ -88,7 +88,7 @@
 	}
 }
 
-// lagFields are the figures of the lag monitor in the line of counters.
+// lagFields returns the log fields of the lag monitor for the log line with the counters.
 func lagFields(stats registry.LagStats) []zap.Field {
 	return []zap.Field{
 		zap.Int("agents_lagging", stats.Lagging),
--- a/internal/region/controlserver/node.go
+++ b/internal/region/controlserver/node.go
@@ -1,10 +1,11 @@
-// Package controlserver is the control process. It connects the replicated control state (internal/region/control), the soft
-// state about edge machines and servers (internal/region/registry) and the operator's API (internal/region/operatorapi): it opens
-// their listeners, polls the platform's server list while this machine owns that role, answers the long polls of
-// agents and shuts everything down in order.
+// Package controlserver implements the control process. It connects the replicated control state
+// (internal/region/control), the soft state about edge machines and servers (internal/region/registry), the operator's
+// API (internal/region/operatorapi) and the API of applications (internal/region/coordinationapi): it opens their
+// listeners, polls the platform's server list while this machine owns that role, serves the long polls of agents and
+// shuts all of them down in order.
 //
-// It decides nothing about agreement, succession or placement; those are the packages that it connects. The design is
-// described in docs/design/regional.md, the operation in docs/region/control.md.
+// Consensus, succession and placement are decided by the packages that it connects. docs/design/regional.md describes
+// the design, docs/region/control.md the operation.
 package controlserver
 
 import (
@@ -16,7 +17,7 @@
 	"fieldrelay/internal/region/control"
 )
 
-// Node is the replicated control state as this package uses it. *control.Node implements it. Its methods are safe for
+// Node is the interface to the replicated control state. *control.Node implements it. Its methods are safe for
 // concurrent use.
 type Node interface {
 	// Submit submits an order of the operator and waits for its result.
@@ -25,19 +26,19 @@
 	Call(ctx context.Context, call *pb.CoordinationCall) *pb.CoordinationResult
 	// Status returns the node's present status.
 	Status() control.Status
-	// CoordinationStatus returns figures about the calls of applications.
+	// CoordinationStatus returns statistics of the calls of applications.
 	CoordinationStatus() control.CoordinationStatus
 	// Changed returns a channel that is closed at the next change of Status.
 	Changed() <-chan struct{}
-	// Since returns the committed changes after a sequence; false if they are no longer in the history.
+	// Since returns the committed changes after a sequence; false if the history no longer has all of them.
 	Since(sequence uint64) ([]*pb.Change, bool)
-	// Deliver receives messages of the other control machines.
+	// Deliver receives messages from the other control machines.
 	Deliver(ctx context.Context, request *connect.Request[pb.DeliverRequest]) (*connect.Response[pb.DeliverResponse], error)
-	// SetSeeds sets the operator addresses of machines to contact when no known one can be reached.
+	// SetSeeds sets the operator addresses of machines to contact when no known machine can be reached.
 	SetSeeds(ctx context.Context, seeds []string)
 	// BroadcastServerList sends a server list to the other control machines.
 	BroadcastServerList(list *pb.ServerList)
-	// Leave has the other control machines go on without this one. It returns when they do, or after a bounded time,
-	// and reports whether they have agreed.
+	// Leave removes this machine from the set of control machines. It returns once the others have agreed on a view
+	// without this machine, or after a bounded time, and reports whether they have agreed.
 	Leave(ctx context.Context) bool
 }
--- a/internal/region/controlserver/platform.go
+++ b/internal/region/controlserver/platform.go
@@ -19,31 +19,32 @@
 )
 
 const (
-	// platformTimeout bounds one call to the platform.
+	// platformTimeout is the maximum duration of one call to the platform.
 	platformTimeout = time.Second
 
-	// maxPages bounds the pages of one poll.
+	// maxPages is the maximum number of pages of one poll.
 	maxPages = 200
 
-	// maxPageBytes bounds one page of the list.
+	// maxPageBytes is the maximum size of one page of the list.
 	maxPageBytes = 4 << 20
 )
 
-// PlatformStatusError is a response of the platform with another status than 200.
+// PlatformStatusError is returned for a response of the platform whose status is not 200.
 type PlatformStatusError struct{ Status int }
 
-// Error names the status.
+// Error returns a message with the status.
 func (e *PlatformStatusError) Error() string {
-	return fmt.Sprintf("the platform answered %d", e.Status)
+	return fmt.Sprintf("platform returned HTTP status %d, want 200", e.Status)
 }
 
-// PlatformListError is a server list of the platform that cannot be used.
+// PlatformListError is returned for a server list of the platform that cannot be used.
 type PlatformListError struct{ Reason string }
 
-// Error names the reason.
-func (e *PlatformListError) Error() string { return "the platform's list is unusable: " + e.Reason }
+// Error returns a message with the reason.
+func (e *PlatformListError) Error() string { return "invalid server list of the platform: " + e.Reason }
 
-// platformClient reads the platform's server list over HTTP. It is safe for concurrent use; its calls share one connection.
+// platformClient reads the platform's server list over HTTP. It is safe for concurrent use; its calls share one
+// connection.
 type platformClient struct {
 	client *http.Client
 }
@@ -64,9 +65,9 @@
 	}}
 }
 
-// Read reads the complete list, page by page, from the platform's address (ip:port). It also returns the number of calls
-// made, failed ones included, since the platform limits their rate. The error is a *PlatformStatusError, a
-// *PlatformListError or that of the connection.
+// Read reads the complete list, page by page, from the platform's address (ip:port). It also returns the number of
+// calls made, failed ones included, since the platform limits their rate. The error is a *PlatformStatusError, a
+// *PlatformListError or an error of the connection.
 func (p *platformClient) Read(ctx context.Context, address string) ([]*pb.Server, int, error) {
 	var servers []*pb.Server
 	token := ""
@@ -85,10 +86,10 @@
 		}
 		token = *page.NextToken
 	}
-	return nil, maxPages, &PlatformListError{Reason: fmt.Sprintf("it has more than %d pages", maxPages)}
+	return nil, maxPages, &PlatformListError{Reason: fmt.Sprintf("list has more than %d pages", maxPages)}
 }
 
-// readPage reads one page; token is that of the previous page, empty for the first.
+// readPage reads one page; token is the next-page token of the previous page, empty for the first page.
 func (p *platformClient) readPage(ctx context.Context, address, token string) (*operator.ServerPage, error) {
 	target := url.URL{Scheme: "http", Host: address, Path: "/servers"}
 	if token != "" {
@@ -96,13 +97,13 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.String(), nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "create a request to the platform")
+		return nil, errors.Wrap(err, "create request to the platform")
 	}
 	response, err := p.client.Do(request)
 	if err != nil {
 		return nil, errors.Wrap(err, "call the platform")
 	}
-	defer func() { _ = response.Body.Close() }() // what counts is the error of reading
+	defer func() { _ = response.Body.Close() }() // a failed read has been reported already
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "read the platform's response")
@@ -111,7 +112,7 @@
 		return nil, &PlatformStatusError{Status: response.StatusCode}
 	}
 	if len(body) > maxPageBytes {
-		return nil, &PlatformListError{Reason: "a page is too long"}
+		return nil, &PlatformListError{Reason: "page exceeds the maximum size"}
 	}
 	page := &operator.ServerPage{}
 	if err := json.Unmarshal(body, page); err != nil {
@@ -120,8 +121,8 @@
 	return page, nil
 }
 
-// serverFrom converts an entry of the list into a message. It reports false for an entry without instance, service or
-// valid address: no request could be sent there.
+// serverFrom converts an entry of the list to a message. It returns false for an entry without instance, service or
+// valid address, to which no request could be sent.
 func serverFrom(entry operator.ServerEntry) (*pb.Server, bool) {
 	if entry.InstID == "" || entry.Backend == "" {
 		return nil, false
@@ -148,7 +149,7 @@
 	return server, true
 }
 
-// valueOrZero returns the value of an optional member, the zero value if it is missing.
+// valueOrZero returns the value of an optional member, or the zero value if the member is missing.
 func valueOrZero[T any](value *T) T {
 	if value == nil {
 		var zero T
@@ -157,7 +158,7 @@
 	return *value
 }
 
-// roundUp rounds a figure of the list up to a whole number and clamps it to the range of uint32; NaN counts as 0.
+// roundUp rounds a number of the list up to an integer and clamps it to the range of uint32; NaN counts as 0.
 func roundUp(figure float64) uint32 {
 	if math.IsNaN(figure) {
 		return 0
--- a/internal/region/controlserver/platform_test.go
+++ b/internal/region/controlserver/platform_test.go
@@ -17,7 +17,8 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// platform serves pages of the list of servers by their tokens, the first one under "".
+// platform serves pages of the server list by page token; the first page has the token "". Requests for unknown pages
+// are rejected as over the rate.
 func platform(t *testing.T, pages map[string]string) (address string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -45,7 +46,7 @@
 	servers, pages, err := newPlatformClient().Read(t.Context(), address)
 	require.NoError(t, err)
 	require.Equal(t, 2, pages)
-	require.Len(t, servers, 2, "an entry without a usable address is left out")
+	require.Len(t, servers, 2, "an entry without a valid address must be skipped")
 	require.Equal(t, (&pb.Server{
 		Id: "i-7f3a91c2", Service: "huvo11a", Address: "10.128.0.9:8080", Zone: "brno-hala", Capacity: 64,
 		WarmLeftMs: 13, Software: "v1", Models: []string{"m"},
@@ -71,7 +72,8 @@
 	}
 }
 
-// TestThePlatformsListReachesAgents lets a process poll the list as owner of that role.
+// TestThePlatformsListReachesAgents checks the path of the list from the poll by the owner of the polling role to the
+// agents and peers.
 func TestThePlatformsListReachesAgents(t *testing.T) {
 	p, node := newTestProcess(t)
 	current := *testSettings()
--- a/internal/region/controlserver/process.go
+++ b/internal/region/controlserver/process.go
@@ -19,30 +19,31 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// pollTimeout bounds one poll of the platform's server list, all pages together.
+// pollTimeout is the maximum duration of one poll of the platform's server list, for all pages together.
 const pollTimeout = registry.PollTimeout
 
 // process is one control process without its sockets.
 //
-// The goroutine of runLoop owns wasOwner, wasAuthoritative and lastAuthorityGap. Polls run in goroutines of the group polls, which
-// shutDown waits for. Everything else is safe for concurrent use once attach has returned.
+// The fields wasOwner, wasAuthoritative and lastAuthorityGap are confined to the goroutine of runLoop. Polls run in
+// goroutines of the group polls, for which shutDown waits. All else is safe for concurrent use once attach has
+// returned.
 type process struct {
 	options          Options
 	logger           *zap.Logger
 	settings         *settingsWatcher
-	node             Node // set by attach
+	node             Node // nil until attach is called
 	soft             *softState
 	platform         *platformClient
 	operatorCounters operatorapi.Counters
 	callCounters     coordinationapi.Counters
 	watchCounters    watchCounters
-	rotation         atomic.Uint64                  // of the endpoints in answers of the directory
+	rotation         atomic.Uint64                  // rotation of the endpoints in the next response of the directory
 	homeIndex        atomic.Pointer[homeIndexCache] // nil until the first lookup
 	shuttingDown     chan struct{}                  // closed when the shutdown begins
 	started          time.Time
 
 	polls          sync.WaitGroup
-	pollContext    context.Context // of all polls; canceled by stopPolls
+	pollContext    context.Context // context of all polls; canceled by stopPolls
 	stopPolls      context.CancelFunc
 	pollsSucceeded atomic.Int64
 	pollsFailed    atomic.Int64
@@ -52,8 +53,8 @@
 	lastAuthorityGap control.AuthorityGap
 }
 
-// newProcess returns a process with empty state. seed determines its epochs, its random waits and the first version of
-// its members; it must differ from start to start.
+// newProcess returns a process with empty state. seed determines the epochs, the random delays and the first version of
+// the members; it must be different at each start.
 func newProcess(watcher *settingsWatcher, logger *zap.Logger, seed uint64) *process {
 	initial := watcher.Current()
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -71,11 +72,11 @@
 	return p
 }
 
-// now returns the monotonic time since the start.
+// now returns the time since the start by the monotonic clock.
 func (p *process) now() time.Duration { return time.Since(p.started) }
 
-// attach sets the node. It must precede every other call but the node's own: the node is started with callbacks of the
-// process, which do not use it.
+// attach sets the node. It must be called before all other methods, except for the callbacks with which the node is
+// started, which do not use the node.
 func (p *process) attach(node Node) { p.node = node }
 
 // execute executes an action of the soft state.
@@ -104,8 +105,8 @@
 	p.soft.PollDone(registry.PollDone{SentAt: sentAt, Pages: pages, Servers: servers, Failed: err != nil})
 }
 
-// tick advances the soft state by the node's present status. Without a view or an address of the platform this machine
-// is no candidate for the polling role: LiveHosts stays empty.
+// tick advances the soft state with the node's present status. Without a view or an address of the platform, this
+// machine is not a candidate for the polling role, and LiveHosts stays empty.
 func (p *process) tick() {
 	status := p.node.Status()
 	var tick registry.Tick
@@ -120,8 +121,8 @@
 	p.logRoleChanges(status)
 }
 
-// successionPosition returns the position of this machine among the voters, by which it takes the polling role over;
-// a machine that does not vote comes last.
+// successionPosition returns the position of this machine among the voters, which determines the order of takeovers of
+// the polling role. A machine that does not vote comes last.
 func successionPosition(status control.Status) int {
 	voters := status.View.GetVoters()
 	position := slices.IndexFunc(voters, func(voter *pb.Replica) bool {
@@ -133,16 +134,16 @@
 	return position
 }
 
-// settingsChanged applies new settings to what does not read them on each use.
+// settingsChanged applies new settings to the components that do not read the settings at each use.
 func (p *process) settingsChanged(ctx context.Context, current *settings.Settings) {
 	p.soft.SetRate(current.CloudAPI.Rate)
 	p.node.SetSeeds(ctx, current.Seeds)
 }
 
-// heartbeatReceived is the node's callback for heartbeats of other control machines.
+// heartbeatReceived is the node's callback for heartbeats from other control machines.
 func (p *process) heartbeatReceived(_ *pb.Replica, heartbeat *pb.Heartbeat) {
 	p.soft.Heartbeat(heartbeat)
 }
 
-// serverListReceived is the node's callback for server lists of other control machines.
+// serverListReceived is the node's callback for server lists from other control machines.
 func (p *process) serverListReceived(list *pb.ServerList) { p.soft.ServerList(list) }
--- a/internal/region/controlserver/run.go
+++ b/internal/region/controlserver/run.go
@@ -17,26 +17,27 @@
 )
 
 const (
-	// shutdownTimeout bounds the time in which open calls of the operator and of clients are answered.
+	// shutdownTimeout is the maximum time that open calls of operators and clients have to complete at the shutdown.
 	shutdownTimeout = 2 * time.Second
 
-	// peersShutdownTimeout bounds the time in which the open long polls of agents are answered.
+	// peersShutdownTimeout is the maximum time that open long polls of agents have to complete at the shutdown.
 	peersShutdownTimeout = 200 * time.Millisecond
 )
 
-// Options replace defaults of a control process. The zero value replaces none.
+// Options override defaults of a control process. The zero value overrides none.
 type Options struct {
 	// Dial opens connections to other control machines.
 	Dial control.Dial
 }
 
-// Run runs the control process until ctx ends, shuts it down gracefully and returns when every accepted call has been
-// answered. The settings file that the environment names is watched meanwhile, and read again upon SIGHUP.
+// Run runs the control process until ctx ends, shuts it down gracefully and returns after the accepted calls have been
+// answered or have timed out. In the meantime it watches the settings file that the environment specifies, and reads
+// the file again upon SIGHUP.
 func Run(ctx context.Context, initial *settings.Settings, logger *zap.Logger) error {
 	return RunWith(ctx, initial, logger, Options{})
 }
 
-// RunWith is Run with options.
+// RunWith is like Run, but with options.
 func RunWith(ctx context.Context, initial *settings.Settings, logger *zap.Logger, options Options) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -48,7 +49,8 @@
 	p := newProcess(newSettingsWatcher(path, initial, logger), logger, rand.Uint64())
 	p.options = options
 
-	// The node outlives ctx, since accepted calls need it. Only its start ends with ctx: it may wait for a failing disk.
+	// The node outlives ctx, since accepted calls need it. Only its start is aborted when ctx ends, since the start may
+	// wait for a failing disk.
 	nodeContext, stopNode := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopNode()
 	cancelStartAbort := context.AfterFunc(ctx, stopNode)
@@ -63,7 +65,7 @@
 	return p.serve(ctx, hangups, stopNode)
 }
 
-// startNode starts the replicated state, which runs until ctx ends.
+// startNode starts the node of the replicated control state, which runs until ctx ends.
 func (p *process) startNode(ctx context.Context) (*control.Node, error) {
 	initial := p.settings.Current()
 	node, err := control.Start(ctx, control.Options{
@@ -75,11 +77,11 @@
 		OnHeartbeat:    p.heartbeatReceived,
 		OnServerList:   p.serverListReceived,
 	})
-	return node, errors.Wrap(err, "start the replicated state")
+	return node, errors.Wrap(err, "start the replicated control state")
 }
 
-// serve opens the listeners, runs the process until ctx ends and shuts it down. The goroutines of the servers end
-// with the shutdown; failed has room for all of their errors, so that none of them blocks.
+// serve opens the listeners, runs the process until ctx ends and shuts it down. The goroutines of the servers end with
+// the shutdown; the capacity of failed is sufficient for all of their errors, so that no goroutine blocks.
 func (p *process) serve(ctx context.Context, hangups <-chan os.Signal, stopNode func()) error {
 	servers, err := p.listenAll(ctx)
 	if err != nil {
@@ -111,7 +113,7 @@
 		case <-ctx.Done():
 			return nil
 		case err := <-failed:
-			return errors.Wrap(err, "serve")
+			return errors.Wrap(err, "serve HTTP")
 		case <-ticks.C:
 			p.tick()
 		case <-startupEnd.C:
@@ -126,15 +128,15 @@
 	}
 }
 
-// checkSettings reads the settings file again if it has changed, or in any case if forced.
+// checkSettings reloads the settings file if it has changed or if forced is set, and applies changed settings.
 func (p *process) checkSettings(ctx context.Context, forced bool) {
 	if p.settings.Check(forced) {
 		p.settingsChanged(ctx, p.settings.Current())
 	}
 }
 
-// shutDown shuts the process down gracefully: it ends the long polls, leaves the cluster and answers the accepted
-// calls. These need the node and its peers, so both are stopped only after them.
+// shutDown shuts the process down gracefully: it ends the long polls, leaves the cluster and completes the accepted
+// calls. The calls and the leave need the node and the peer port, so these are stopped last.
 func (p *process) shutDown(servers []*listeningServer, stopNode func()) {
 	close(p.shuttingDown)
 	p.stopPolls()
@@ -155,7 +157,7 @@
 	p.polls.Wait()
 }
 
-// leave has the other control machines go on without this one; control bounds the time.
+// leave removes this machine from the set of control machines and logs the result. Package control bounds the duration.
 func (p *process) leave() {
 	began := time.Now()
 	agreed := p.node.Leave(context.Background())
--- a/internal/region/controlserver/serve_test.go
+++ b/internal/region/controlserver/serve_test.go
@@ -25,14 +25,14 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// operatorServer serves what the control address serves.
+// operatorServer serves the handler of the control address, which has the operator's API and the directory.
 func operatorServer(t *testing.T, p *process) *httptest.Server {
 	t.Helper()
 	current := *testSettings()
 	current.Binds = settings.Binds{Control: "127.0.0.2:0", Directory: "127.0.0.2:0"}
 	p.settings.current.Store(&current)
 	handlers := p.handlers()
-	require.Len(t, handlers, 2, "both services share an address")
+	require.Len(t, handlers, 2, "both services must share an address")
 	server := httptest.NewServer(handlers["127.0.0.2:0"])
 	t.Cleanup(server.Close)
 	return server
@@ -52,7 +52,8 @@
 	return response.StatusCode, string(answer)
 }
 
-// An evacuation that was accepted at a machine whose settings name the zone is not rejected by one whose do not.
+// Guards against the rejection of an evacuation that another machine has accepted: the settings of this machine do not
+// have the zone, those of the other machine do.
 func TestAnEvacuationThatWasTakenIsNotRefusedElsewhere(t *testing.T) {
 	p, node := newTestProcess(t)
 	server := operatorServer(t, p)
@@ -98,10 +99,11 @@
 	require.Equal(t, []string{"10.0.0.1:8144"}, p.soft.Endpoints(restrictedClient, 0))
 }
 
-// restrictedClient is a client that may be bound to its region.
+// restrictedClient is a client whose requests may be restricted to home regions.
 var restrictedClient = registry.Client{Region: "cz-morava", Zone: "brno-hala", HomeRegions: route.HomeRegions{Unreadable: true}}
 
-// TestTheDirectoryFollowsTheHomesOfTheConfiguration: clients whose region has no proxy are sent to home regions of their host.
+// TestTheDirectoryFollowsTheHomesOfTheConfiguration guards against a directory that ignores home regions: clients whose
+// region has no proxy must be sent to the home regions of the requested host.
 func TestTheDirectoryFollowsTheHomesOfTheConfiguration(t *testing.T) {
 	p, _ := newTestProcess(t)
 	for host, region := range map[string]string{"edge-1": "west", "edge-2": "west", "edge-3": "east", "edge-4": "east"} {
@@ -136,7 +138,7 @@
 	require.Equal(t, []string{"west"}, named("h.example", "south"))
 	require.Equal(t, []string{"west"}, named("H.EXAMPLE:80", "south"))
 	require.Equal(t, []string{"east", "west"}, named("other.example", "south"))
-	require.Equal(t, []string{"east"}, named("h.example", "east"), "the client's own region comes first")
+	require.Equal(t, []string{"east"}, named("h.example", "east"), "the client's own region takes precedence")
 	configure("1", "2", "east")
 	require.Equal(t, []string{"east"}, named("h.example", "south"))
 }
@@ -152,7 +154,8 @@
 	require.Len(t, p.soft.Endpoints(restrictedClient, 0), 2)
 }
 
-// TestServeAnswersWhatItTook starts all listeners and ends the process while an order is under way.
+// TestServeAnswersWhatItTook guards against the loss of an accepted call: it shuts the process down while a call of the
+// operator is in progress.
 func TestServeAnswersWhatItTook(t *testing.T) {
 	p, node := newTestProcess(t)
 	node.block = make(chan struct{})
@@ -230,14 +233,14 @@
 	core, lines := observer.New(zap.InfoLevel)
 	watcher := newSettingsWatcher(path, initial, zap.New(core))
 
-	require.False(t, watcher.Check(false), "the file is as it was")
+	require.False(t, watcher.Check(false), "the file has not changed")
 	require.False(t, watcher.Check(true))
 	info, err := os.Stat(path)
 	require.NoError(t, err)
 	write(strings.Replace(settingsText, "core", "bore", 1))
 	require.NoError(t, os.Chtimes(path, info.ModTime(), info.ModTime()))
-	require.False(t, watcher.Check(false), "the file looks as it was")
-	require.True(t, watcher.Check(true), "upon a signal it is read anyway")
+	require.False(t, watcher.Check(false), "modification time and size have not changed")
+	require.True(t, watcher.Check(true), "the file must be reloaded if forced")
 
 	write(settingsText + "[zones]\nolomouc-hala = \"cz-morava\"\n")
 	require.True(t, watcher.Check(false))
@@ -247,11 +250,12 @@
 	write("hostname = 3")
 	require.False(t, watcher.Check(false))
 	require.False(t, watcher.Check(true))
-	require.Equal(t, 1, lines.Len(), "an error is logged once")
+	require.Equal(t, 1, lines.Len(), "an error must be logged only once")
 	require.True(t, watcher.Current().KnowsZone("olomouc-hala"))
 }
 
-// TestOtherSeedsReachTheNode: the known machines may all have been replaced.
+// TestOtherSeedsReachTheNode guards against a node that keeps outdated seeds: all known machines may have been
+// replaced.
 func TestOtherSeedsReachTheNode(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.toml")
 	seeds := func(address string) string { return settingsText + "seed-nodes = [\"" + address + "\"]\n" }
@@ -261,13 +265,14 @@
 	p, node := newTestProcess(t)
 	p.settings = newSettingsWatcher(path, initial, zap.NewNop())
 	p.checkSettings(t.Context(), true)
-	require.Empty(t, node.seeds, "nothing changed")
+	require.Empty(t, node.seeds, "the seeds have not changed")
 	require.NoError(t, os.WriteFile(path, []byte(seeds("10.0.0.2:80")), 0o600))
 	p.checkSettings(t.Context(), true)
 	require.Equal(t, []string{"10.0.0.2:80"}, node.seeds)
 }
 
-// TestHostsWithHomeRegionsAreKnown: without authority, every host counts as restricted.
+// TestHostsWithHomeRegionsAreKnown guards against requests that are sent outside their home regions: without authority
+// every host counts as restricted.
 func TestHostsWithHomeRegionsAreKnown(t *testing.T) {
 	p, node := newTestProcess(t)
 	node.alter(func(status *control.Status) { status.Committed = nil })
--- a/internal/region/controlserver/settingswatcher.go
+++ b/internal/region/controlserver/settingswatcher.go
@@ -11,20 +11,20 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// settingsCheckInterval is the time between two checks of the settings file.
+// settingsCheckInterval is the interval at which the settings file is checked for changes.
 const settingsCheckInterval = time.Second
 
-// settingsWatcher has the settings in force and follows the file that they came from. Current is safe for concurrent
-// use; Check is called by one goroutine at a time.
+// settingsWatcher has the settings in force and reloads the file from which they were read. Current is safe for
+// concurrent use; Check must be called by one goroutine at a time.
 type settingsWatcher struct {
-	path    string // empty: no file is followed
+	path    string // path of the settings file; empty: no file is watched
 	logger  *zap.Logger
 	current atomic.Pointer[settings.Settings]
 
-	// Of the file as last read.
+	// State of the file when it was last read.
 	modified  time.Time
 	size      int64
-	lastError string // empty if it was valid
+	lastError string // error of the last load; empty if the file was valid
 }
 
 func newSettingsWatcher(path string, initial *settings.Settings, logger *zap.Logger) *settingsWatcher {
@@ -45,8 +45,8 @@
 	return info.ModTime(), info.Size()
 }
 
-// Check reads the file again if its modification time or size has changed, or in any case if forced, and reports
-// whether other settings are in force now. An invalid file is logged once and changes nothing.
+// Check reloads the file if its modification time or size has changed, or if forced is set, and reports whether the
+// settings in force have changed. If the file is invalid, an error is logged once and the settings stay in force.
 func (w *settingsWatcher) Check(forced bool) bool {
 	if w.path == "" {
 		return false
--- a/internal/region/controlserver/softstate.go
+++ b/internal/region/controlserver/softstate.go
@@ -14,52 +14,53 @@
 	// tickInterval is the time between two calls of softState.Tick.
 	tickInterval = 250 * time.Millisecond
 
-	// startupTickInterval replaces tickInterval for startupDuration after the start: views and heartbeats are
-	// just arriving, and the edge machines wait for them.
+	// startupTickInterval replaces tickInterval for startupDuration after the start, when the first views and
+	// heartbeats arrive and edge machines are waiting for them.
 	startupTickInterval = 20 * time.Millisecond
 	startupDuration     = 3 * time.Second
 
-	// directoryConvergenceTime is the time after a start or a stall in which clients get no addresses unless most of the
-	// known proxies take requests and, for requests that have home regions, one of the client's region does. The first
-	// few proxies would otherwise attract all clients, and proxies of other regions would attract clients whose own
-	// proxies have not been observed yet.
+	// directoryConvergenceTime is the time after a start or a stall in which clients get no addresses unless most of
+	// the known proxies accept requests and, for requests that have home regions, a proxy of the client's region does.
+	// Otherwise the first few proxies would attract all clients, and proxies of other regions would attract clients for
+	// whose region no proxy has been observed yet.
 	directoryConvergenceTime = 1500 * time.Millisecond
 
-	// membersConvergenceTime is the time after a start or a stall in which agents do not get the members: with an
-	// incomplete list their quota shares would be too large.
+	// membersConvergenceTime is the time after a start or a stall in which the members are not sent to agents: with an
+	// incomplete list the agents' quota shares would be too large.
 	membersConvergenceTime = 3 * time.Second
 
 	// membersNotifyInterval is the minimum time between two versions of the members that agents are notified of.
-	// Each version costs the whole list for every agent, and while many machines start each of them changes it.
+	// Each version costs a transfer of the complete list to every agent, and while many machines start, each start
+	// changes the version.
 	membersNotifyInterval = time.Second
 
-	// stallThreshold is the time between two ticks from which this process counts as having been stalled, that is
-	// frozen or starved of CPU.
+	// stallThreshold is the minimum time between two ticks at which this process counts as having been stalled, that is
+	// suspended or starved of CPU.
 	stallThreshold = 2 * time.Second
 
-	// stallGracePeriod is the time after a stall in which reports about edge machines are ignored: they may have
-	// been queued here during the stall, and their senders may have failed since.
+	// stallGracePeriod is the time after a stall in which reports about edge machines are ignored: the reports may have
+	// been queued at this machine during the stall, and their senders may have failed since then.
 	stallGracePeriod = 500 * time.Millisecond
 )
 
 // softSnapshot is an immutable copy of the soft state for readers.
 type softSnapshot struct {
 	members   *registry.Members
-	list      *registry.ServerList // nil before the first
-	converged bool                 // enough was received to send the members to agents
+	list      *registry.ServerList // newest server list; nil before the first list
+	converged bool                 // the members are complete enough to be sent to agents
 
-	// notifiedVersion is the version of the members that agents were last notified of; members may be newer.
+	// notifiedVersion is the version of the members that agents were last notified of; the field members may be newer.
 	notifiedVersion uint64
 }
 
-// isCurrent reports whether an agent that has this version of the members needs no other one.
+// isCurrent reports whether an agent with the given version of the members needs no newer version.
 func (s *softSnapshot) isCurrent(version uint64) bool {
 	return version >= s.notifiedVersion && version <= s.members.Version()
 }
 
-// softState is what this machine knows about edge machines and servers without agreement; it is lost with the
-// process. It serializes the access to the state machines of package registry. Its methods are safe for concurrent
-// use. Readers use the current snapshot, which is replaced as a whole and needs no lock.
+// softState is the soft state of this machine about edge machines and servers, which is maintained without consensus
+// and lost when the process ends. It serializes the access to the state machines of package registry. Its methods are
+// safe for concurrent use. Readers use the current snapshot, which is replaced atomically and needs no lock.
 type softState struct {
 	now      func() time.Duration // monotonic clock
 	execute  func(registry.Action)
@@ -67,16 +68,16 @@
 
 	observedSequence atomic.Uint64 // highest committed sequence passed to lagMonitor
 
-	mutex             sync.Mutex // guards what follows and the replacement of snapshot
+	mutex             sync.Mutex // guards the fields below and the replacement of snapshot
 	agents            *registry.Agents
 	inventory         *registry.ServerInventory
 	lagMonitor        *registry.LagMonitor
-	convergingSince   time.Duration // start, or end of the last stall
-	graceEnd          time.Duration // reports before this time may have been queued during a stall
+	convergingSince   time.Duration // time of the start, or of the end of the last stall
+	graceEnd          time.Duration // end of the period after a stall in which reports are ignored
 	lastTick          time.Duration
-	membersNotifiedAt time.Duration // when notifiedVersion last changed
-	lastNotified      *softSnapshot // at the last closing of changed
-	changed           chan struct{}
+	membersNotifiedAt time.Duration // time of the last change of notifiedVersion
+	lastNotified      *softSnapshot // snapshot at the last closing of changed
+	changed           chan struct{} // closed at the next update for agents
 }
 
 // newSoftState returns an empty state. execute is called for every action of the inventory and of the lag monitor,
@@ -100,15 +101,15 @@
 // Snapshot returns the current snapshot.
 func (s *softState) Snapshot() *softSnapshot { return s.snapshot.Load() }
 
-// Changed returns a channel that is closed when there is an update for agents. Changed members close it only at the
-// next tick, so that many changes at once wake the agents once.
+// Changed returns a channel that is closed when there is an update for agents. A change of the members closes it only
+// at the next tick, so that simultaneous changes wake the agents only once.
 func (s *softState) Changed() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.changed
 }
 
-// ObserveAgent records an agent's report about itself and the version of the server list that it has.
+// ObserveAgent records an agent's report about itself and the version of the agent's server list.
 func (s *softState) ObserveAgent(record *pb.AgentRecord, version *pb.ListVersion) {
 	s.update(func(now time.Duration) []registry.Action {
 		var actions []registry.Action
@@ -122,7 +123,7 @@
 	})
 }
 
-// Heartbeat merges the soft part of another control machine's heartbeat.
+// Heartbeat merges the soft state in another control machine's heartbeat.
 func (s *softState) Heartbeat(heartbeat *pb.Heartbeat) {
 	s.update(func(now time.Duration) []registry.Action {
 		if !s.mayBeDelayed(now) {
@@ -156,8 +157,8 @@
 	s.inventory.SetRate(rate)
 }
 
-// Tick advances everything that changes with time alone. It also detects stalls of this process, by the time since
-// the previous tick.
+// Tick advances all state that changes with time. It also detects stalls of this process, by the time since the
+// previous tick.
 func (s *softState) Tick(tick registry.Tick) {
 	s.update(func(now time.Duration) []registry.Action {
 		if now-s.lastTick >= stallThreshold {
@@ -173,15 +174,15 @@
 	})
 }
 
-// Report returns the soft part of this machine's heartbeats.
+// Report returns the soft state for this machine's heartbeats.
 func (s *softState) Report() ([]*pb.AgentRecord, *pb.ListVersion) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.agents.Report(s.now()), s.inventory.AdvertisedVersion()
 }
 
-// Endpoints returns the edge addresses for a client, none while the state has not converged enough. rotation selects
-// among equal candidates.
+// Endpoints returns the edge addresses for a client, none while the state has not converged far enough. rotation
+// determines the order of the addresses.
 func (s *softState) Endpoints(client registry.Client, rotation uint64) []string {
 	now := s.now()
 	s.mutex.Lock()
@@ -202,7 +203,8 @@
 	return s.inventory.IsOwner()
 }
 
-// mayBeDelayed reports whether a message that is processed now may have been queued during a stall. The lock is held.
+// mayBeDelayed reports whether a message that is processed now may have been queued during a stall. The caller holds
+// the lock.
 func (s *softState) mayBeDelayed(now time.Duration) bool {
 	return now < s.graceEnd || now-s.lastTick >= stallThreshold
 }
@@ -230,7 +232,7 @@
 	return actions
 }
 
-// refresh updates the members in the snapshot. The lock is held.
+// refresh updates the members in the snapshot. The caller holds the lock.
 func (s *softState) refresh(now time.Duration) {
 	members := s.agents.Refresh(now)
 	converged := now >= s.convergingSince+membersConvergenceTime
@@ -240,8 +242,8 @@
 	})
 }
 
-// notifyMembers makes the present members the version that agents are to have, at most once per
-// membersNotifyInterval. The lock is held.
+// notifyMembers sets notifiedVersion to the version of the present members, at most once per membersNotifyInterval. The
+// caller holds the lock.
 func (s *softState) notifyMembers(now time.Duration) {
 	snapshot := s.Snapshot()
 	version := snapshot.members.Version()
@@ -252,14 +254,14 @@
 	s.updateSnapshot(func(snapshot *softSnapshot) { snapshot.notifiedVersion = version })
 }
 
-// updateSnapshot replaces the snapshot by a modified copy. The lock is held.
+// updateSnapshot replaces the snapshot by a modified copy. The caller holds the lock.
 func (s *softState) updateSnapshot(modify func(*softSnapshot)) {
 	modified := *s.Snapshot()
 	modify(&modified)
 	s.snapshot.Store(&modified)
 }
 
-// notify closes the channel of Changed if the snapshot has an update for agents. The lock is held.
+// notify closes the channel of Changed if the snapshot has an update for agents. The caller holds the lock.
 func (s *softState) notify() {
 	snapshot := s.Snapshot()
 	unchanged := snapshot.converged == s.lastNotified.converged &&
--- a/internal/region/controlserver/softstate_test.go
+++ b/internal/region/controlserver/softstate_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/region/route"
 )
 
-// heartbeatBetween passes the soft part of a heartbeat from one process to another.
+// heartbeatBetween delivers the soft state in a heartbeat from one process to another.
 func heartbeatBetween(from, to *process) {
 	agents, list := from.soft.Report()
 	to.heartbeatReceived(nil, &pb.Heartbeat{Agents: agents, List: list})
@@ -28,19 +28,19 @@
 	first.settings.current.Store(withPlatform(platform(t, map[string]string{"": `{"servers":[` + entry + `]}`})))
 	first.tick()
 	pass(first, 500*time.Millisecond)
-	require.Len(t, node.broadcast, 1, "the list is read at once")
+	require.Len(t, node.broadcast, 1, "the list must be polled immediately")
 	heartbeatBetween(second, first)
-	require.Len(t, node.broadcast, 1, "the list is still under way")
+	require.Len(t, node.broadcast, 1, "the list is still in transit")
 	pass(first, 500*time.Millisecond)
 	heartbeatBetween(second, first)
-	require.Len(t, node.broadcast, 2, "a machine without the list gets it again")
+	require.Len(t, node.broadcast, 2, "the list must be sent again to a machine without it")
 
 	second.serverListReceived(node.broadcast[1])
 	require.Equal(t, 1, second.soft.Snapshot().list.Len())
 	pass(first, 500*time.Millisecond)
 	heartbeatBetween(second, first)
 	require.Len(t, node.broadcast, 3)
-	require.Empty(t, node.broadcast[2].Servers, "the next reading only confirms it")
+	require.Empty(t, node.broadcast[2].Servers, "the next poll must only confirm the list")
 }
 
 func TestMembersConvergeAgainAfterAStall(t *testing.T) {
@@ -56,14 +56,15 @@
 	pass(p, stallGracePeriod)
 	p.soft.ObserveAgent(testAgent("edge-1"), nil)
 	require.False(t, p.soft.Snapshot().converged)
-	require.Empty(t, p.soft.Endpoints(registry.Client{}, 0), "early addresses would draw all clients")
+	require.Empty(t, p.soft.Endpoints(registry.Client{}, 0), "the first few proxies would attract all clients")
 	pass(p, directoryConvergenceTime)
 	require.NotEmpty(t, p.soft.Endpoints(registry.Client{}, 0))
 	pass(p, membersConvergenceTime)
 	require.True(t, p.soft.Snapshot().converged)
 }
 
-// Reports that were queued while this process was stalled are about machines that may have failed since.
+// Guards against addresses of failed proxies after a stall: reports that were queued during the stall are about
+// machines that may have failed since then.
 func TestWhatWaitedDuringAStandstillBringsNoAddresses(t *testing.T) {
 	p, _ := newTestProcess(t)
 	p.tick()
@@ -74,7 +75,7 @@
 		p.soft.Heartbeat(&pb.Heartbeat{Agents: []*pb.AgentRecord{testAgent("edge-2")}})
 	}
 	report()
-	require.Zero(t, p.soft.Snapshot().members.Len(), "before the first tick")
+	require.Zero(t, p.soft.Snapshot().members.Len(), "reports before the first tick after a stall must be ignored")
 	p.tick()
 	report()
 	require.Zero(t, p.soft.Snapshot().members.Len())
@@ -83,7 +84,8 @@
 	require.Equal(t, 2, p.soft.Snapshot().members.Len())
 }
 
-// TestEarlyAddressesAreOfTheClientsRegion: a control machine that has just started has not observed all proxies.
+// TestEarlyAddressesAreOfTheClientsRegion guards against clients that a recently started control machine, which has not
+// observed all proxies yet, sends to other regions.
 func TestEarlyAddressesAreOfTheClientsRegion(t *testing.T) {
 	p, _ := newTestProcess(t)
 	p.tick()
@@ -93,13 +95,14 @@
 		p.soft.ObserveAgent(record, nil)
 	}
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "west", HomeRegions: route.HomeRegions{Unreadable: true}}, 0), 2)
-	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "east", HomeRegions: route.HomeRegions{Unreadable: true}}, 0), "its own proxies may not have been observed yet")
-	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east"}, 0), 2, "any proxy will do")
+	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "east", HomeRegions: route.HomeRegions{Unreadable: true}}, 0), "the proxies of the client's region may not have been observed yet")
+	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east"}, 0), 2, "any proxy may serve the client")
 	pass(p, directoryConvergenceTime)
-	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east", HomeRegions: route.HomeRegions{Unreadable: true}}, 0), 2, "it has none")
+	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east", HomeRegions: route.HomeRegions{Unreadable: true}}, 0), 2, "the client's region has no proxy")
 }
 
-// TestManyAgentsWakeTheOthersOnce: agents are notified once of members that change together.
+// TestManyAgentsWakeTheOthersOnce guards against repeated notifications: agents must be notified once of members that
+// change between two ticks.
 func TestManyAgentsWakeTheOthersOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
--- a/internal/region/controlserver/statusservice.go
+++ b/internal/region/controlserver/statusservice.go
@@ -12,8 +12,8 @@
 	"fieldrelay/internal/region/registry"
 )
 
-// statusService implements the ControlStatus service, which describes this machine for people on call. It makes no calls
-// to other machines, so it works while they are unreachable.
+// statusService implements the ControlStatus service, which describes this machine to on-call engineers. It makes no
+// calls to other machines, so it works while they are unreachable.
 type statusService struct{ process *process }
 
 // Describe returns a report as of now.
@@ -47,7 +47,7 @@
 	}
 }
 
-// coordinationStatus is the part of a report about the calls of applications.
+// coordinationStatus returns the part of a report about the calls of applications.
 func (p *process) coordinationStatus() *pb.CoordinationStatus {
 	status := p.node.CoordinationStatus()
 	return &pb.CoordinationStatus{
@@ -65,7 +65,7 @@
 	}
 }
 
-// catalogStatus is the part of a report about the committed control state, nil before there is one.
+// catalogStatus returns the part of a report about the committed control state, nil before the first commit.
 func catalogStatus(committed *catalog.Snapshot) *pb.CatalogStatus {
 	if committed == nil {
 		return nil
@@ -79,7 +79,7 @@
 	}
 }
 
-// pollingRoleStatus is the part of a report about the polling of the platform; the wire calls the role a duty.
+// pollingRoleStatus returns the part of a report about polling the platform. In the protocol the role is called a duty.
 func (p *process) pollingRoleStatus(list *registry.ServerList) *pb.PollingRoleStatus {
 	role := &pb.PollingRoleStatus{
 		Holder:      p.soft.IsOwner(),
@@ -100,7 +100,8 @@
 	return role
 }
 
-// agentStatuses describes the edge machines. One without contact for the failure timeout counts as lost.
+// agentStatuses returns the status of each edge machine. A machine without contact for registry.FailureTimeout counts
+// as lost.
 func agentStatuses(members *pb.Members) []*pb.AgentStatus {
 	statuses := make([]*pb.AgentStatus, 0, len(members.GetAgents()))
 	for _, record := range members.GetAgents() {
@@ -113,7 +114,8 @@
 // milliseconds returns a duration in whole milliseconds, 0 for a negative one.
 func milliseconds(duration time.Duration) uint64 { return uint64(max(0, duration.Milliseconds())) }
 
-// buildRevision returns the commit that the program was built from, its version if there is none, or "".
+// buildRevision returns the commit that the program was built from, else the version of its module, or "" if neither is
+// known.
 func buildRevision() string {
 	info, known := debug.ReadBuildInfo()
 	if !known {
--- a/internal/region/controlserver/statusservice_test.go
+++ b/internal/region/controlserver/statusservice_test.go
@@ -17,7 +17,7 @@
 	"fieldrelay/internal/region/registry"
 )
 
-// describe asks a process over its peer port.
+// describe requests the status report of a process from its peer port.
 func describe(t *testing.T, p *process) *pb.ControlStatusReport {
 	t.Helper()
 	server := httptest.NewServer(p.peerHandler("control-1"))
@@ -66,11 +66,12 @@
 	require.Equal(t, uint32(2), report.Duty.Servers)
 	require.Equal(t, uint32(1), report.Duty.Draining)
 	require.Len(t, report.Agents, 2)
-	require.True(t, report.Agents[0].Lost, "edge-1 has had no contact")
+	require.True(t, report.Agents[0].Lost, "edge-1 had no contact for the failure timeout")
 	require.False(t, report.Agents[1].Lost)
 }
 
-// An on-call person sees from outside which machine lacks the registers, and what became of calls.
+// Guards against missing data for on-call engineers: the status report and the counters show the registers and the
+// outcomes of calls.
 func TestStatusAndCountersTellOfCallsAndRegisters(t *testing.T) {
 	p, node := newTestProcess(t)
 	core, logged := observer.New(zap.InfoLevel)
@@ -88,7 +89,7 @@
 		require.Equal(t, call.status, status)
 	}
 	status, _ := request(t, "GET", server.URL+"/api/conf/read", "", "")
-	require.Equal(t, 200, status, "the operator's calls are served at the same address")
+	require.Equal(t, 200, status, "the operator's API must be served at the same address")
 
 	report := describe(t, p).GetCoordination()
 	require.Equal(t, (&pb.CoordinationStatus{
--- a/internal/region/controlserver/watchcounters.go
+++ b/internal/region/controlserver/watchcounters.go
@@ -17,12 +17,12 @@
 	otherUpdates     atomic.Uint64 // responses with a view, a server list or members only
 	unchanged        atomic.Uint64 // responses without an update
 	probes           atomic.Uint64 // responses to probes
-	rejected         atomic.Uint64 // calls answered with an error
-	canceled         atomic.Uint64 // calls whose caller was gone before there was a response
+	rejected         atomic.Uint64 // calls rejected with an error
+	canceled         atomic.Uint64 // calls that were canceled by the caller before there was a response
 	largestBytes     atomic.Int64  // size of the largest response with changes or a repair
 }
 
-// count counts a response, with its size if it carries control state.
+// count counts a response by its content, and observes its size if it carries control state.
 func (c *watchCounters) count(watch *pb.WatchRequest, response *pb.WatchResponse) {
 	switch {
 	case watch.GetProbe():
--- a/internal/region/controlserver/watchcounters_test.go
+++ b/internal/region/controlserver/watchcounters_test.go
@@ -32,7 +32,7 @@
 		part := ask(func(request *pb.WatchRequest) { request.Sequence = 1 })
 		require.Less(t, proto.Size(part), proto.Size(whole))
 		require.EqualValues(t, 1, counted.changes.Load())
-		require.EqualValues(t, proto.Size(whole), counted.largestBytes.Load(), "the largest stays")
+		require.EqualValues(t, proto.Size(whole), counted.largestBytes.Load(), "a smaller response must not change the largest size")
 
 		ask(func(request *pb.WatchRequest) { request.HoldMs = 0 })
 		require.EqualValues(t, 1, counted.unchanged.Load())
