--- a/internal/region/controlserver/bootstrap_test.go
+++ b/internal/region/controlserver/bootstrap_test.go
@@ -13,8 +13,8 @@
 	"fieldrelay/internal/region/settings"
 )
 
-// loneMachine returns the settings of a single control machine, which is its own seed.
-func loneMachine(folder string) *settings.Settings {
+// singleMachineSettings returns the settings of a single control machine, which is its own seed.
+func singleMachineSettings(folder string) *settings.Settings {
 	own := servingSettings()
 	own.Seeds = []string{own.Binds.Control}
 	own.Bootstrap = true
@@ -23,9 +23,9 @@
 	return own
 }
 
-// start starts a control process with a real node and returns the address of its operator's API, and a function that
-// shuts the process down.
-func start(t *testing.T, own *settings.Settings) (address string, end func()) {
+// startProcess starts a control process with a real node and returns the address of its operator's API, and a function
+// that shuts the process down.
+func startProcess(t *testing.T, own *settings.Settings) (address string, end func()) {
 	t.Helper()
 	p := newProcess(newSettingsWatcher("", own, zap.NewNop()), zap.NewNop(), 1)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -45,8 +45,9 @@
 	}
 }
 
-// until repeats a request until the response has status 200, as the operator does, and returns the response's body.
-func until(t *testing.T, method, url, base, body string) string {
+// requestUntilOK repeats a request until the response has status 200, as the operator does, and returns the response's
+// body.
+func requestUntilOK(t *testing.T, method, url, base, body string) string {
 	t.Helper()
 	var answer string
 	require.Eventually(t, func() bool {
@@ -59,20 +60,20 @@
 
 func TestAMachineFoundsAloneAndKeepsAConfiguration(t *testing.T) {
 	folder := t.TempDir()
-	address, end := start(t, loneMachine(folder))
+	address, end := startProcess(t, singleMachineSettings(folder))
 	sent := configuration(7, 5)
-	until(t, "POST", "http://"+address+"/api/conf/replace", "0", sent)
-	until(t, "POST", "http://"+address+"/api/conf/replace", "0", sent)
-	require.JSONEq(t, sent, until(t, "GET", "http://"+address+"/api/conf/read", "", ""))
+	requestUntilOK(t, "POST", "http://"+address+"/api/conf/replace", "0", sent)
+	requestUntilOK(t, "POST", "http://"+address+"/api/conf/replace", "0", sent)
+	require.JSONEq(t, sent, requestUntilOK(t, "GET", "http://"+address+"/api/conf/read", "", ""))
 	status, body := request(t, "POST", "http://"+address+"/api/conf/replace", "0", configuration(9, 1))
 	require.Equal(t, http.StatusPreconditionFailed, status)
 	require.Contains(t, body, `"wrong_base"`)
-	until(t, "POST", "http://"+address+"/api/drain/brno-hala/begin", "", "")
+	requestUntilOK(t, "POST", "http://"+address+"/api/drain/brno-hala/begin", "", "")
 	end()
 
-	again := loneMachine(folder)
+	again := singleMachineSettings(folder)
 	again.Bootstrap = false
-	address, end = start(t, again)
+	address, end = startProcess(t, again)
 	defer end()
-	require.JSONEq(t, sent, until(t, "GET", "http://"+address+"/api/conf/read", "", ""))
+	require.JSONEq(t, sent, requestUntilOK(t, "GET", "http://"+address+"/api/conf/read", "", ""))
 }
--- a/internal/region/controlserver/compressed_test.go
+++ b/internal/region/controlserver/compressed_test.go
@@ -39,12 +39,12 @@
 		request.Agent = testAgent(fmt.Sprint("edge-", agent))
 		got := watchWith(t.Context(), link, request)
 		require.NoError(t, got.err)
-		updates, err := packing.Decompress(got.answer.GetCompressed())
+		updates, err := packing.Decompress(got.response.GetCompressed())
 		require.NoError(t, err)
 		require.Len(t, updates.GetChanges(), 1)
-		require.Empty(t, got.answer.GetChanges())
+		require.Empty(t, got.response.GetChanges())
 		plain = proto.Size(updates)
-		require.Less(t, 4*proto.Size(got.answer.GetCompressed()), plain)
+		require.Less(t, 4*proto.Size(got.response.GetCompressed()), plain)
 	}
 	require.EqualValues(t, 1, link.packer.Compressions())
 }
@@ -55,8 +55,8 @@
 	request := current(p)
 	addRoutes(t, node, 7, 8, 1400)
 	got := watch(p, request)
-	require.Nil(t, got.answer.GetCompressed())
-	require.Len(t, got.answer.GetChanges(), 1)
+	require.Nil(t, got.response.GetCompressed())
+	require.Len(t, got.response.GetChanges(), 1)
 }
 
 // Guards against uncompressed or wrong repairs: an agent with an empty replica gets the complete state compressed, an
@@ -70,13 +70,13 @@
 	request := current(p)
 	request.AcceptsCompressed = true
 	request.Sequence = 0
-	whole := watch(p, request).answer
+	whole := watch(p, request).response
 	require.True(t, whole.GetCompressed().GetWhole())
 	require.Nil(t, whole.GetRepair())
 
 	request.Sequence = behind.Sequence()
 	request.Digests = behind.Digests()
-	partial := watch(p, request).answer
+	partial := watch(p, request).response
 	require.True(t, partial.GetCompressed().GetRepairs())
 	require.False(t, partial.GetCompressed().GetWhole())
 	updates, err := packing.Decompress(partial.GetCompressed())
--- a/internal/region/controlserver/distance_test.go
+++ b/internal/region/controlserver/distance_test.go
@@ -23,12 +23,12 @@
 	process *process
 	replica *gossip.Replica
 	digests bool                    // the last response requested digests
-	alter   func(*pb.WatchResponse) // injected fault in the responses; nil: none
+	fault   func(*pb.WatchResponse) // injected fault in the responses; nil: none
 }
 
-// ask makes one call and applies its response. between is called after the request has been composed, before it is
+// call makes one call and applies its response. between is called after the request has been created, before it is
 // sent.
-func (a *laggingAgent) ask(between func()) *pb.WatchResponse {
+func (a *laggingAgent) call(between func()) *pb.WatchResponse {
 	request := current(a.process)
 	request.HoldMs = 0
 	request.Sequence = a.replica.Sequence()
@@ -39,24 +39,24 @@
 	between()
 	got := watch(a.process, request)
 	require.NoError(a.t, got.err)
-	if a.alter != nil {
-		a.alter(got.answer)
+	if a.fault != nil {
+		a.fault(got.response)
 	}
 	before := a.replica.Sequence()
-	a.replica.ApplyChanges(got.answer.GetChanges())
-	if repair := got.answer.GetRepair(); repair != nil {
+	a.replica.ApplyChanges(got.response.GetChanges())
+	if repair := got.response.GetRepair(); repair != nil {
 		if !a.digests {
 			base = nil
 		}
 		_, err := a.replica.Restore(base, repair)
 		require.NoError(a.t, err)
 	}
-	a.digests = got.answer.GetNeedDigests()
+	a.digests = got.response.GetNeedDigests()
 	require.GreaterOrEqual(a.t, a.replica.Sequence(), before)
-	return got.answer
+	return got.response
 }
 
-func (a *laggingAgent) holdsNewest() bool {
+func (a *laggingAgent) isUpToDate() bool {
 	return proto.Equal(a.replica.Snapshot().Digests(), a.process.node.Status().Committed.Digests())
 }
 
@@ -66,13 +66,13 @@
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 1)
 	agent := &laggingAgent{t: t, process: p, replica: gossip.NewReplica()}
-	agent.ask(func() {})
-	require.True(t, agent.holdsNewest())
+	agent.call(func() {})
+	require.True(t, agent.isUpToDate())
 	for generation := uint64(1); generation <= distance; generation++ {
 		amend(t, node, generation)
 	}
 	if restarted {
-		node.forgetHistory()
+		node.clearHistory()
 	}
 	return agent, node
 }
@@ -92,12 +92,12 @@
 		for _, restarted := range []bool{false, true} {
 			t.Run(fmt.Sprint(distance, " restarted ", restarted), func(t *testing.T) {
 				agent, _ := newLaggingAgent(t, distance, restarted)
-				agent.ask(func() {})
+				agent.call(func() {})
 				if restarted || distance > catalog.HistoryMaxChanges {
-					require.False(t, agent.holdsNewest())
-					agent.ask(func() {})
+					require.False(t, agent.isUpToDate())
+					agent.call(func() {})
 				}
-				require.True(t, agent.holdsNewest())
+				require.True(t, agent.isUpToDate())
 			})
 		}
 	}
@@ -112,42 +112,42 @@
 		var older []*catalog.Snapshot
 		for range 40 {
 			older = append(older, node.Status().Committed)
-			agent.ask(func() {
+			agent.call(func() {
 				for range random.IntN(30) {
 					amend(t, node, node.Status().Committed.Generation())
 				}
 				if random.IntN(5) == 0 {
-					node.forgetHistory()
+					node.clearHistory()
 				}
 			})
-			agent.askOlder(node, older[random.IntN(len(older))])
+			agent.callOlder(node, older[random.IntN(len(older))])
 		}
-		agent.ask(func() {})
-		agent.ask(func() {})
-		require.True(t, agent.holdsNewest(), "seed %d", seed)
+		agent.call(func() {})
+		agent.call(func() {})
+		require.True(t, agent.isUpToDate(), "seed %d", seed)
 	}
 }
 
-// askOlder makes a call while the machine has an older state, which must not change a newer replica.
-func (a *laggingAgent) askOlder(node *fakeNode, older *catalog.Snapshot) {
+// callOlder makes a call while the machine has an older state, which must not change a newer replica.
+func (a *laggingAgent) callOlder(node *fakeNode, older *catalog.Snapshot) {
 	newest := node.Status().Committed
 	digests := a.digests
 	before := a.replica.Snapshot()
-	node.alter(func(status *control.Status) { status.Committed = older })
-	answer := a.ask(func() {})
+	node.updateStatus(func(status *control.Status) { status.Committed = older })
+	answer := a.call(func() {})
 	if older.Sequence() <= before.Sequence() {
 		require.Same(a.t, before, a.replica.Snapshot())
 		require.Nil(a.t, answer.GetRepair())
 		require.Empty(a.t, answer.GetChanges())
 	}
-	node.alter(func(status *control.Status) { status.Committed = newest })
+	node.updateStatus(func(status *control.Status) { status.Committed = newest })
 	a.digests = digests
 }
 
 func TestAnswersWithoutStateLeaveAnAgentBehind(t *testing.T) {
 	agent, _ := newLaggingAgent(t, 1000, false)
-	agent.alter = func(answer *pb.WatchResponse) { answer.Changes, answer.Repair = nil, nil }
-	agent.ask(func() {})
-	agent.ask(func() {})
-	require.False(t, agent.holdsNewest())
+	agent.fault = func(answer *pb.WatchResponse) { answer.Changes, answer.Repair = nil, nil }
+	agent.call(func() {})
+	agent.call(func() {})
+	require.False(t, agent.isUpToDate())
 }
--- a/internal/region/controlserver/fake_test.go
+++ b/internal/region/controlserver/fake_test.go
@@ -108,15 +108,15 @@
 	n.changed = make(chan struct{})
 }
 
-// alter changes the status and closes the channel of Changed.
-func (n *fakeNode) alter(change func(*control.Status)) {
+// updateStatus changes the status and closes the channel of Changed.
+func (n *fakeNode) updateStatus(change func(*control.Status)) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	change(&n.status)
 	n.notify()
 }
 
-func (n *fakeNode) forgetHistory() {
+func (n *fakeNode) clearHistory() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.history.Reset(n.status.Committed.Sequence())
@@ -200,8 +200,8 @@
 	return p, node
 }
 
-// pass advances the time of a process, with its ticks, without waiting.
-func pass(p *process, duration time.Duration) {
+// advance advances the time of a process, with its ticks, without waiting.
+func advance(p *process, duration time.Duration) {
 	const step = 500 * time.Millisecond
 	for ; duration > 0; duration -= step {
 		p.started = p.started.Add(-min(step, duration))
--- a/internal/region/controlserver/lag_test.go
+++ b/internal/region/controlserver/lag_test.go
@@ -25,11 +25,11 @@
 	return p, node, logs
 }
 
-// passObserving advances the time while an agent reports the sequence of its proxy.
-func passObserving(p *process, duration time.Duration, sequence uint64) {
+// advanceObserving advances the time while an agent reports the sequence of its proxy.
+func advanceObserving(p *process, duration time.Duration, sequence uint64) {
 	const step = 500 * time.Millisecond
 	for ; duration > 0; duration -= step {
-		pass(p, step)
+		advance(p, step)
 		record := testAgent("edge-1")
 		record.Sequence = sequence
 		p.soft.ObserveAgent(record, nil)
@@ -39,11 +39,11 @@
 func TestLaggingAgentIsLoggedCountedAndReported(t *testing.T) {
 	p, node, logs := observedProcess(t)
 	replace(t, node, 0, 7)
-	passObserving(p, 2*time.Second, 1)
+	advanceObserving(p, 2*time.Second, 1)
 	require.Zero(t, p.soft.LagStats().Lagging)
 
 	replace(t, node, 7, 9)
-	passObserving(p, 2*time.Second, 1)
+	advanceObserving(p, 2*time.Second, 1)
 	figures := p.soft.LagStats()
 	require.Equal(t, 1, figures.Lagging)
 	require.Equal(t, "edge-1", figures.LongestLagHost)
@@ -54,7 +54,7 @@
 	require.EqualValues(t, 1, late[0].ContextMap()["reported_sequence"])
 	require.EqualValues(t, 2, late[0].ContextMap()["committed_sequence"])
 
-	passObserving(p, 2*time.Second, 1)
+	advanceObserving(p, 2*time.Second, 1)
 	require.Len(t, logs.FilterMessage("proxy exceeded the lag bound").All(), 1)
 	lateness := describe(t, p).GetLateness()
 	require.EqualValues(t, 1, lateness.GetAgentsBehind())
@@ -62,7 +62,7 @@
 	require.Equal(t, "edge-1", lateness.GetOldestHost())
 	require.Greater(t, lateness.GetOldestLagMs(), uint64(3000))
 
-	passObserving(p, 500*time.Millisecond, 2)
+	advanceObserving(p, 500*time.Millisecond, 2)
 	require.Len(t, logs.FilterMessage("agent lag ended").All(), 1)
 	require.Zero(t, p.soft.LagStats().Lagging)
 	p.logCounters()
@@ -88,13 +88,13 @@
 	require.EqualValues(t, 1, p.soft.observedSequence.Load())
 }
 
-func TestLagBoundsAreSuspendedWithoutAuthority(t *testing.T) {
+func TestLagBoundsAreExtendedWithoutAuthority(t *testing.T) {
 	p, node, _ := observedProcess(t)
 	replace(t, node, 0, 7)
-	passObserving(p, 2*time.Second, 1)
+	advanceObserving(p, 2*time.Second, 1)
 	replace(t, node, 7, 9)
-	node.alter(func(status *control.Status) { status.Authoritative = false })
-	passObserving(p, 4*time.Second, 1)
+	node.updateStatus(func(status *control.Status) { status.Authoritative = false })
+	advanceObserving(p, 4*time.Second, 1)
 	figures := p.soft.LagStats()
 	require.Equal(t, 1, figures.Lagging)
 	require.Greater(t, figures.LongestLag, p.settings.Current().Bounds.ApplyWithin())
--- a/internal/region/controlserver/linkservice.go
+++ b/internal/region/controlserver/linkservice.go
@@ -81,11 +81,11 @@
 		return nil, l.reject(connect.CodeUnavailable, &ShuttingDownError{})
 	}
 	l.soft.ObserveAgent(watch.GetAgent(), watch.GetList())
-	compose := l.compose
+	build := l.buildResponse
 	if watch.GetProbe() {
-		compose = l.composeProbe
+		build = l.buildProbeResponse
 	}
-	response, err := l.await(ctx, watch, compose)
+	response, err := l.awaitUpdate(ctx, watch, build)
 	if err != nil {
 		l.counters.canceled.Add(1)
 		return nil, err
@@ -100,19 +100,19 @@
 	return connect.NewError(code, cause)
 }
 
-// composer returns the response as of now, and whether it has an update and must therefore be sent immediately.
-type composer func(watch *pb.WatchRequest) (response *pb.WatchResponse, hasUpdate bool)
+// responseBuilder returns the response as of now and whether it has an update and must therefore be sent immediately.
+type responseBuilder func(watch *pb.WatchRequest) (response *pb.WatchResponse, hasUpdate bool)
 
-// await composes responses until one of them has an update or the wait is over, and returns the last one. A change of
-// this machine's authority counts as an update. The only error is that of a canceled ctx.
-func (l *linkService) await(ctx context.Context, watch *pb.WatchRequest, compose composer) (*pb.WatchResponse, error) {
+// awaitUpdate builds responses until one of them has an update or the wait is over, and returns the last one. A change
+// of this machine's authority counts as an update. The only error is that of a canceled ctx.
+func (l *linkService) awaitUpdate(ctx context.Context, watch *pb.WatchRequest, build responseBuilder) (*pb.WatchResponse, error) {
 	wait := time.NewTimer(min(time.Duration(watch.GetHoldMs())*time.Millisecond, maxWatchWait))
 	defer wait.Stop()
 	authoritative := l.node.Status().Authoritative
 	for {
-		// The channels are read before the response is composed, so that no change after that is missed.
+		// The channels are read before the response is built, so that no change after that is missed.
 		stateChanged, softChanged := l.node.Changed(), l.soft.Changed()
-		response, hasUpdate := compose(watch)
+		response, hasUpdate := build(watch)
 		if hasUpdate || response.Authoritative != authoritative {
 			return response, nil
 		}
@@ -120,7 +120,7 @@
 		case <-stateChanged:
 		case <-softChanged:
 		case <-wait.C:
-			response, _ = compose(watch) // composed again, since the ages in it have changed
+			response, _ = build(watch) // built again, since the ages in it have changed
 			return response, nil
 		case <-l.shuttingDown:
 			return response, nil
@@ -139,9 +139,9 @@
 	}
 }
 
-// composeProbe composes the response to a probe, by which an agent looks for an authoritative control machine. The
+// buildProbeResponse builds the response to a probe, by which an agent looks for an authoritative control machine. The
 // response carries no state.
-func (l *linkService) composeProbe(watch *pb.WatchRequest) (*pb.WatchResponse, bool) {
+func (l *linkService) buildProbeResponse(watch *pb.WatchRequest) (*pb.WatchResponse, bool) {
 	status := l.node.Status()
 	response := &pb.WatchResponse{Authoritative: status.Authoritative, MembersSource: l.host}
 	if status.Committed != nil {
@@ -154,8 +154,8 @@
 	return response, status.Authoritative || response.View != nil
 }
 
-// compose returns the response as of now, and whether it has an update that the agent lacks.
-func (l *linkService) compose(watch *pb.WatchRequest) (*pb.WatchResponse, bool) {
+// buildResponse returns the response as of now and whether it has an update that the agent lacks.
+func (l *linkService) buildResponse(watch *pb.WatchRequest) (*pb.WatchResponse, bool) {
 	status := l.node.Status()
 	l.soft.ObserveCommitted(status.Committed)
 	response := &pb.WatchResponse{Authoritative: status.Authoritative, MembersSource: l.host}
--- a/internal/region/controlserver/linkservice_test.go
+++ b/internal/region/controlserver/linkservice_test.go
@@ -17,9 +17,9 @@
 
 // watched is the result of a call of Watch; took is its duration, by the fake clock in tests with synctest.
 type watched struct {
-	answer *pb.WatchResponse
-	err    error
-	took   time.Duration
+	response *pb.WatchResponse
+	err      error
+	duration time.Duration
 }
 
 // watch calls Watch directly, without HTTP.
@@ -30,9 +30,9 @@
 func watchWith(ctx context.Context, link *linkService, request *pb.WatchRequest) watched {
 	began := time.Now()
 	response, err := link.Watch(ctx, connect.NewRequest(request))
-	result := watched{err: err, took: time.Since(began)}
+	result := watched{err: err, duration: time.Since(began)}
 	if err == nil {
-		result.answer = response.Msg
+		result.response = response.Msg
 	}
 	return result
 }
@@ -57,17 +57,17 @@
 		replace(t, node, 0, 7)
 		got := watch(p, current(p))
 		require.NoError(t, got.err)
-		require.Equal(t, 800*time.Millisecond, got.took)
-		require.True(t, got.answer.Authoritative)
-		require.Equal(t, uint64(7), got.answer.Generation)
-		require.Empty(t, got.answer.Changes)
+		require.Equal(t, 800*time.Millisecond, got.duration)
+		require.True(t, got.response.Authoritative)
+		require.Equal(t, uint64(7), got.response.Generation)
+		require.Empty(t, got.response.Changes)
 
 		long := current(p)
 		long.HoldMs = 60000
-		require.Equal(t, maxWatchWait, watch(p, long).took)
+		require.Equal(t, maxWatchWait, watch(p, long).duration)
 		none := current(p)
 		none.HoldMs = 0
-		require.Zero(t, watch(p, none).took)
+		require.Zero(t, watch(p, none).duration)
 	})
 }
 
@@ -78,10 +78,10 @@
 		request := current(p)
 		time.AfterFunc(300*time.Millisecond, func() { replace(t, node, 7, 9) })
 		got := watch(p, request)
-		require.Equal(t, 300*time.Millisecond, got.took)
-		require.Len(t, got.answer.Changes, 1)
-		require.Equal(t, uint64(9), got.answer.Generation)
-		require.Equal(t, got.answer.Changes[0].Sequence, got.answer.Sequence)
+		require.Equal(t, 300*time.Millisecond, got.duration)
+		require.Len(t, got.response.Changes, 1)
+		require.Equal(t, uint64(9), got.response.Generation)
+		require.Equal(t, got.response.Changes[0].Sequence, got.response.Sequence)
 	})
 }
 
@@ -93,8 +93,8 @@
 		request := current(p)
 		request.Sequence = 1
 		got := watch(p, request)
-		require.Zero(t, got.took)
-		require.Len(t, got.answer.Changes, 1)
+		require.Zero(t, got.duration)
+		require.Len(t, got.response.Changes, 1)
 	})
 }
 
@@ -105,7 +105,7 @@
 		request := current(p)
 		request.Sequence = 0
 		got := watch(p, request)
-		restored, err := catalog.Empty().Restore(got.answer.Repair)
+		restored, err := catalog.Empty().Restore(got.response.Repair)
 		require.NoError(t, err)
 		require.Equal(t, uint64(7), restored.Generation())
 	})
@@ -117,19 +117,19 @@
 		replace(t, node, 0, 7)
 		old := node.Status().Committed
 		replace(t, node, 7, 9)
-		node.forgetHistory()
+		node.clearHistory()
 
 		request := current(p)
 		request.Sequence = old.Sequence()
 		got := watch(p, request)
-		require.Zero(t, got.took)
-		require.True(t, got.answer.NeedDigests)
-		require.Nil(t, got.answer.Repair)
+		require.Zero(t, got.duration)
+		require.True(t, got.response.NeedDigests)
+		require.Nil(t, got.response.Repair)
 
 		request.Digests = old.Digests()
 		got = watch(p, request)
-		require.False(t, got.answer.NeedDigests)
-		restored, err := old.Restore(got.answer.Repair)
+		require.False(t, got.response.NeedDigests)
+		restored, err := old.Restore(got.response.Repair)
 		require.NoError(t, err)
 		require.Equal(t, node.Status().Committed.Digests().String(), restored.Digests().String())
 	})
@@ -139,11 +139,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		time.AfterFunc(100*time.Millisecond, func() {
-			node.alter(func(status *control.Status) { status.Authoritative = false })
+			node.updateStatus(func(status *control.Status) { status.Authoritative = false })
 		})
 		got := watch(p, current(p))
-		require.Equal(t, 100*time.Millisecond, got.took)
-		require.False(t, got.answer.Authoritative)
+		require.Equal(t, 100*time.Millisecond, got.duration)
+		require.False(t, got.response.Authoritative)
 	})
 }
 
@@ -151,11 +151,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
 		request := current(p)
-		require.Nil(t, watch(p, request).answer.View)
-		node.alter(func(status *control.Status) { status.View = &pb.View{Number: 2} })
+		require.Nil(t, watch(p, request).response.View)
+		node.updateStatus(func(status *control.Status) { status.View = &pb.View{Number: 2} })
 		got := watch(p, request)
-		require.Zero(t, got.took)
-		require.Equal(t, uint64(2), got.answer.View.Number)
+		require.Zero(t, got.duration)
+		require.Equal(t, uint64(2), got.response.View.Number)
 	})
 }
 
@@ -166,21 +166,21 @@
 		p, node := newTestProcess(t)
 		replace(t, node, 0, 7)
 		view := &pb.View{Number: 2, Voters: []*pb.Replica{{Identity: "a", Address: "10.0.0.1:7660"}}}
-		node.alter(func(status *control.Status) { status.View = view })
+		node.updateStatus(func(status *control.Status) { status.View = view })
 		request := &pb.WatchRequest{Agent: testAgent("edge-1"), HoldMs: 800}
 		first := watch(p, request)
 		require.NoError(t, first.err)
-		require.Zero(t, first.took)
-		require.Equal(t, view, first.answer.GetView())
-		require.Equal(t, node.Status().Committed.Sequence(), first.answer.GetSequence(), "the agent must know that its replica is not up to date")
-		require.Nil(t, first.answer.GetRepair())
-		require.Nil(t, first.answer.GetCompressed())
-		require.Nil(t, first.answer.GetMembers())
+		require.Zero(t, first.duration)
+		require.Equal(t, view, first.response.GetView())
+		require.Equal(t, node.Status().Committed.Sequence(), first.response.GetSequence(), "the agent must know that its replica is not up to date")
+		require.Nil(t, first.response.GetRepair())
+		require.Nil(t, first.response.GetCompressed())
+		require.Nil(t, first.response.GetMembers())
 
 		request.ViewNumber = view.GetNumber()
 		second := watch(p, request)
-		require.Zero(t, second.took)
-		require.NotNil(t, second.answer.GetRepair(), "the next response must have the state")
+		require.Zero(t, second.duration)
+		require.NotNil(t, second.response.GetRepair(), "the next response must have the state")
 	})
 }
 
@@ -189,23 +189,23 @@
 		p, _ := newTestProcess(t)
 		request := current(p)
 		request.MembersSource = "control-9"
-		require.Nil(t, watch(p, request).answer.Members, "members that may be incomplete must not be sent")
+		require.Nil(t, watch(p, request).response.Members, "members that may be incomplete must not be sent")
 
-		pass(p, membersConvergenceTime)
+		advance(p, membersConvergenceTime)
 		p.soft.ObserveAgent(testAgent("edge-2"), nil)
 		p.tick()
 		got := watch(p, request)
-		require.Zero(t, got.took)
-		require.Len(t, got.answer.Members.Agents, 2)
-		require.Equal(t, "control-1", got.answer.MembersSource)
+		require.Zero(t, got.duration)
+		require.Len(t, got.response.Members.Agents, 2)
+		require.Equal(t, "control-1", got.response.MembersSource)
 
-		pass(p, membersNotifyInterval)
+		advance(p, membersNotifyInterval)
 		request = current(p)
 		time.AfterFunc(100*time.Millisecond, func() { p.soft.ObserveAgent(testAgent("edge-3"), nil) })
 		time.AfterFunc(250*time.Millisecond, p.tick)
 		got = watch(p, request)
-		require.Equal(t, 250*time.Millisecond, got.took, "agents must be notified of members at the next tick")
-		require.Len(t, got.answer.Members.Agents, 3)
+		require.Equal(t, 250*time.Millisecond, got.duration, "agents must be notified of members at the next tick")
+		require.Len(t, got.response.Members.Agents, 3)
 	})
 }
 
@@ -214,7 +214,7 @@
 func TestMembersAreNotifiedOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
-		pass(p, membersConvergenceTime)
+		advance(p, membersConvergenceTime)
 		ticks := time.NewTicker(tickInterval)
 		defer ticks.Stop()
 		ended := make(chan struct{})
@@ -228,7 +228,7 @@
 		}()
 		lists, request := 0, current(p)
 		for began := time.Now(); time.Since(began) < 12*tickInterval; {
-			answer := watch(p, request).answer
+			answer := watch(p, request).response
 			if answer.Members == nil {
 				continue
 			}
@@ -245,28 +245,28 @@
 func TestProbesFindAnAuthoritativeMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, node := newTestProcess(t)
-		pass(p, membersConvergenceTime)
+		advance(p, membersConvergenceTime)
 		replace(t, node, 0, 7)
 		probe := &pb.WatchRequest{Agent: testAgent("edge-1"), HoldMs: 800, Probe: true}
 		got := watch(p, probe)
-		require.Zero(t, got.took)
-		require.True(t, got.answer.Authoritative)
-		require.Equal(t, node.Status().Committed.Sequence(), got.answer.Sequence)
-		require.Equal(t, uint64(1), got.answer.View.Number)
-		require.Nil(t, got.answer.Repair)
-		require.Nil(t, got.answer.Members)
+		require.Zero(t, got.duration)
+		require.True(t, got.response.Authoritative)
+		require.Equal(t, node.Status().Committed.Sequence(), got.response.Sequence)
+		require.Equal(t, uint64(1), got.response.View.Number)
+		require.Nil(t, got.response.Repair)
+		require.Nil(t, got.response.Members)
 		require.Equal(t, 1, p.soft.Snapshot().members.Live())
 
-		node.alter(func(status *control.Status) { status.Authoritative = false })
+		node.updateStatus(func(status *control.Status) { status.Authoritative = false })
 		got = watch(p, probe)
-		require.Zero(t, got.took)
-		require.Equal(t, uint64(1), got.answer.View.Number, "the agent needs the voters of the view to probe them")
+		require.Zero(t, got.duration)
+		require.Equal(t, uint64(1), got.response.View.Number, "the agent needs the voters of the view to probe them")
 		probe.ViewNumber = 1
-		require.Equal(t, 800*time.Millisecond, watch(p, probe).took)
+		require.Equal(t, 800*time.Millisecond, watch(p, probe).duration)
 		time.AfterFunc(100*time.Millisecond, func() {
-			node.alter(func(status *control.Status) { status.Authoritative = true })
+			node.updateStatus(func(status *control.Status) { status.Authoritative = true })
 		})
-		require.Equal(t, 100*time.Millisecond, watch(p, probe).took)
+		require.Equal(t, 100*time.Millisecond, watch(p, probe).duration)
 	})
 }
 
@@ -278,14 +278,14 @@
 		list := &pb.ServerList{Version: version, AgeMs: 50, Servers: []*pb.Server{{Id: "i-1"}}}
 		time.AfterFunc(100*time.Millisecond, func() { p.serverListReceived(list) })
 		got := watch(p, request)
-		require.Equal(t, 100*time.Millisecond, got.took)
-		require.Len(t, got.answer.List.Servers, 1)
-		require.Equal(t, uint32(50), got.answer.List.AgeMs)
+		require.Equal(t, 100*time.Millisecond, got.duration)
+		require.Len(t, got.response.List.Servers, 1)
+		require.Equal(t, uint32(50), got.response.List.AgeMs)
 
 		got = watch(p, current(p))
-		require.Equal(t, 800*time.Millisecond, got.took)
-		require.Empty(t, got.answer.List.Servers, "a known version must only be confirmed")
-		require.Equal(t, uint32(850), got.answer.List.AgeMs)
+		require.Equal(t, 800*time.Millisecond, got.duration)
+		require.Empty(t, got.response.List.Servers, "a known version must only be confirmed")
+		require.Equal(t, uint32(850), got.response.List.AgeMs)
 	})
 }
 
@@ -296,12 +296,12 @@
 		time.AfterFunc(100*time.Millisecond, cancel)
 		got := watchWith(ctx, newLinkService(p.node, p.soft, "control-1", p.shuttingDown), current(p))
 		require.Equal(t, connect.CodeCanceled, connect.CodeOf(got.err))
-		require.Equal(t, 100*time.Millisecond, got.took)
+		require.Equal(t, 100*time.Millisecond, got.duration)
 
 		time.AfterFunc(200*time.Millisecond, func() { close(p.shuttingDown) })
 		got = watch(p, current(p))
 		require.NoError(t, got.err)
-		require.Equal(t, 200*time.Millisecond, got.took)
+		require.Equal(t, 200*time.Millisecond, got.duration)
 		require.Equal(t, connect.CodeUnavailable, connect.CodeOf(watch(p, current(p)).err))
 	})
 }
--- a/internal/region/controlserver/platform_test.go
+++ b/internal/region/controlserver/platform_test.go
@@ -37,11 +37,11 @@
 	`"phase":"up","warm-left-ms":12.3,"phase-name":"both","models":[{"name":"m","gen":1,"loras":[]}],"inst-id":"i-7f3a91c2"}`
 
 func TestReadTakesAllPages(t *testing.T) {
-	leaving := `{"backend":"huvo11a","address":"10.128.0.8:8080","az":"brno-hala","capacity":64.0,` +
+	drainingEntry := `{"backend":"huvo11a","address":"10.128.0.8:8080","az":"brno-hala","capacity":64.0,` +
 		`"phase":"draining","expires-ms":0.4,"inst-id":"i-8"}`
 	address := platform(t, map[string]string{
 		"":    `{"servers":[` + entry + `],"next-token":"p 1"}`,
-		"p 1": `{"servers":[` + leaving + `,{"inst-id":"i-9","backend":"x","address":"nowhere","phase":"up"}],"next-token":null}`,
+		"p 1": `{"servers":[` + drainingEntry + `,{"inst-id":"i-9","backend":"x","address":"nowhere","phase":"up"}],"next-token":null}`,
 	})
 	servers, pages, err := newPlatformClient().Read(t.Context(), address)
 	require.NoError(t, err)
@@ -80,15 +80,15 @@
 	current.CloudAPI.Address = platform(t, map[string]string{"": `{"servers":[` + entry + `],"next-token":null}`})
 	p.settings.current.Store(&current)
 	p.tick()
-	pass(p, time.Second)
+	advance(p, time.Second)
 	require.True(t, p.soft.IsOwner())
 	require.Equal(t, int64(1), p.pollsSucceeded.Load())
 	require.Len(t, node.broadcast, 1)
 	require.Len(t, node.broadcast[0].Servers, 1)
 	response := watch(p, &pb.WatchRequest{Agent: testAgent("edge-1")})
-	require.Equal(t, "i-7f3a91c2", response.answer.List.Servers[0].Id)
+	require.Equal(t, "i-7f3a91c2", response.response.List.Servers[0].Id)
 	_, advertised := p.soft.Report()
-	require.Zero(t, serverlist.CompareVersions(advertised, response.answer.List.Version))
+	require.Zero(t, serverlist.CompareVersions(advertised, response.response.List.Version))
 }
 
 func TestAFailedReadingKeepsTheList(t *testing.T) {
@@ -104,7 +104,7 @@
 	t.Cleanup(server.Close)
 	p.settings.current.Store(withPlatform(strings.TrimPrefix(server.URL, "http://")))
 	p.tick()
-	pass(p, 3*time.Second)
+	advance(p, 3*time.Second)
 	require.Equal(t, int64(3), calls.Load())
 	require.Equal(t, int64(2), p.pollsFailed.Load())
 	require.Equal(t, 1, p.soft.Snapshot().list.Len())
--- a/internal/region/controlserver/serve_test.go
+++ b/internal/region/controlserver/serve_test.go
@@ -54,7 +54,7 @@
 
 // Guards against the rejection of an evacuation that another machine has accepted: the settings of this machine do not
 // have the zone, those of the other machine do.
-func TestAnEvacuationThatWasTakenIsNotRefusedElsewhere(t *testing.T) {
+func TestAcceptedEvacuationIsNotRejectedElsewhere(t *testing.T) {
 	p, node := newTestProcess(t)
 	server := operatorServer(t, p)
 	const zone = "olomouc-hala"
@@ -91,7 +91,7 @@
 	require.JSONEq(t, sent, body)
 }
 
-func TestTheDirectoryWaitsUntilItKnowsEnough(t *testing.T) {
+func TestDirectoryReturnsNothingBeforeConvergence(t *testing.T) {
 	p, _ := newTestProcess(t)
 	p.soft.ObserveAgent(testAgent("edge-1"), nil)
 	require.Empty(t, p.soft.Endpoints(restrictedClient, 0))
@@ -113,7 +113,7 @@
 	}
 	p.started = p.started.Add(-directoryConvergenceTime)
 	server := operatorServer(t, p)
-	named := func(name, region string) []string {
+	lookupRegions := func(name, region string) []string {
 		status, body := request(t, "GET", server.URL+"/api/lookup?name="+name+"&geo="+region, "", "")
 		require.Equal(t, 200, status)
 		var answer struct {
@@ -133,14 +133,14 @@
 		status, _ := request(t, "POST", server.URL+"/api/conf/replace", base, body)
 		require.Equal(t, 200, status)
 	}
-	require.Equal(t, []string{"east", "west"}, named("h.example", "south"), "no configuration is known")
+	require.Equal(t, []string{"east", "west"}, lookupRegions("h.example", "south"), "no configuration is known")
 	configure("0", "1", "west")
-	require.Equal(t, []string{"west"}, named("h.example", "south"))
-	require.Equal(t, []string{"west"}, named("H.EXAMPLE:80", "south"))
-	require.Equal(t, []string{"east", "west"}, named("other.example", "south"))
-	require.Equal(t, []string{"east"}, named("h.example", "east"), "the client's own region takes precedence")
+	require.Equal(t, []string{"west"}, lookupRegions("h.example", "south"))
+	require.Equal(t, []string{"west"}, lookupRegions("H.EXAMPLE:80", "south"))
+	require.Equal(t, []string{"east", "west"}, lookupRegions("other.example", "south"))
+	require.Equal(t, []string{"east"}, lookupRegions("h.example", "east"), "the client's own region takes precedence")
 	configure("1", "2", "east")
-	require.Equal(t, []string{"east"}, named("h.example", "south"))
+	require.Equal(t, []string{"east"}, lookupRegions("h.example", "south"))
 }
 
 func TestTheDirectoryAnswersOnceMostProxiesAreReady(t *testing.T) {
@@ -154,9 +154,9 @@
 	require.Len(t, p.soft.Endpoints(restrictedClient, 0), 2)
 }
 
-// TestServeAnswersWhatItTook guards against the loss of an accepted call: it shuts the process down while a call of the
-// operator is in progress.
-func TestServeAnswersWhatItTook(t *testing.T) {
+// TestServeAnswersAcceptedCalls guards against the loss of an accepted call: it shuts the process down while a call of
+// the operator is in progress.
+func TestServeAnswersAcceptedCalls(t *testing.T) {
 	p, node := newTestProcess(t)
 	node.block = make(chan struct{})
 	p.settings.current.Store(servingSettings())
@@ -188,7 +188,7 @@
 	<-ended
 }
 
-func TestWorkEndsWithItsContext(t *testing.T) {
+func TestRunLoopEndsWithItsContext(t *testing.T) {
 	p, _ := newTestProcess(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -206,7 +206,7 @@
 	core, lines := observer.New(zap.InfoLevel)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, loneMachine(filepath.Join(folder, "state")), zap.New(core)) }()
+	go func() { ended <- Run(ctx, singleMachineSettings(filepath.Join(folder, "state")), zap.New(core)) }()
 	require.Eventually(t, func() bool {
 		return lines.FilterMessage("authority changed").Len() > 0 &&
 			lines.FilterMessage("settings reloaded").Len() > 0
@@ -224,7 +224,7 @@
 port-range = [7660, 7675]
 `
 
-func TestSettingsAreFollowed(t *testing.T) {
+func TestSettingsAreReloaded(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "boot.toml")
 	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
 	write(settingsText)
@@ -275,19 +275,19 @@
 // every host counts as restricted.
 func TestHostsWithHomeRegionsAreKnown(t *testing.T) {
 	p, node := newTestProcess(t)
-	node.alter(func(status *control.Status) { status.Committed = nil })
+	node.updateStatus(func(status *control.Status) { status.Committed = nil })
 	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homeRegionsOf("photos.example"), "no configuration is known")
 	body := []byte(`{"gen":1,"routes":[{"name":"r","vhost":"photos.example","path-prefix":"/a/","deadline-ms":5,"backend":"b","home-regions":["west"]}],"backends":[{"name":"b"}]}`)
 	change, err := catalog.PrepareReplace(catalog.Empty(), 0, body)
 	require.NoError(t, err)
 	committed, err := catalog.Empty().Apply(change)
 	require.NoError(t, err)
-	node.alter(func(status *control.Status) {
+	node.updateStatus(func(status *control.Status) {
 		status.Committed = committed
 		status.Authoritative = true
 	})
 	require.Equal(t, route.HomeRegions{Routes: 1, ByRegion: map[string]int{"west": 1}}, p.homeRegionsOf("photos.example"))
 	require.Equal(t, route.HomeRegions{}, p.homeRegionsOf("tills.example"))
-	node.alter(func(status *control.Status) { status.Authoritative = false })
+	node.updateStatus(func(status *control.Status) { status.Authoritative = false })
 	require.Equal(t, route.HomeRegions{Unreadable: true}, p.homeRegionsOf("tills.example"))
 }
--- a/internal/region/controlserver/softstate_test.go
+++ b/internal/region/controlserver/softstate_test.go
@@ -27,17 +27,17 @@
 
 	first.settings.current.Store(withPlatform(platform(t, map[string]string{"": `{"servers":[` + entry + `]}`})))
 	first.tick()
-	pass(first, 500*time.Millisecond)
+	advance(first, 500*time.Millisecond)
 	require.Len(t, node.broadcast, 1, "the list must be polled immediately")
 	heartbeatBetween(second, first)
 	require.Len(t, node.broadcast, 1, "the list is still in transit")
-	pass(first, 500*time.Millisecond)
+	advance(first, 500*time.Millisecond)
 	heartbeatBetween(second, first)
 	require.Len(t, node.broadcast, 2, "the list must be sent again to a machine without it")
 
 	second.serverListReceived(node.broadcast[1])
 	require.Equal(t, 1, second.soft.Snapshot().list.Len())
-	pass(first, 500*time.Millisecond)
+	advance(first, 500*time.Millisecond)
 	heartbeatBetween(second, first)
 	require.Len(t, node.broadcast, 3)
 	require.Empty(t, node.broadcast[2].Servers, "the next poll must only confirm the list")
@@ -46,29 +46,29 @@
 func TestMembersConvergeAgainAfterAStall(t *testing.T) {
 	p, _ := newTestProcess(t)
 	p.tick()
-	pass(p, membersConvergenceTime)
+	advance(p, membersConvergenceTime)
 	p.soft.ObserveAgent(testAgent("edge-1"), nil)
 	require.True(t, p.soft.Snapshot().converged)
 	require.NotEmpty(t, p.soft.Endpoints(registry.Client{}, 0))
 
 	p.started = p.started.Add(-stallThreshold)
 	p.tick()
-	pass(p, stallGracePeriod)
+	advance(p, stallGracePeriod)
 	p.soft.ObserveAgent(testAgent("edge-1"), nil)
 	require.False(t, p.soft.Snapshot().converged)
 	require.Empty(t, p.soft.Endpoints(registry.Client{}, 0), "the first few proxies would attract all clients")
-	pass(p, directoryConvergenceTime)
+	advance(p, directoryConvergenceTime)
 	require.NotEmpty(t, p.soft.Endpoints(registry.Client{}, 0))
-	pass(p, membersConvergenceTime)
+	advance(p, membersConvergenceTime)
 	require.True(t, p.soft.Snapshot().converged)
 }
 
 // Guards against addresses of failed proxies after a stall: reports that were queued during the stall are about
 // machines that may have failed since then.
-func TestWhatWaitedDuringAStandstillBringsNoAddresses(t *testing.T) {
+func TestReportsQueuedDuringAStallAddNoAddresses(t *testing.T) {
 	p, _ := newTestProcess(t)
 	p.tick()
-	pass(p, membersConvergenceTime)
+	advance(p, membersConvergenceTime)
 	p.started = p.started.Add(-20 * time.Second)
 	report := func() {
 		p.soft.ObserveAgent(testAgent("edge-1"), nil)
@@ -79,7 +79,7 @@
 	p.tick()
 	report()
 	require.Zero(t, p.soft.Snapshot().members.Len())
-	pass(p, stallGracePeriod)
+	advance(p, stallGracePeriod)
 	report()
 	require.Equal(t, 2, p.soft.Snapshot().members.Len())
 }
@@ -97,7 +97,7 @@
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "west", HomeRegions: route.HomeRegions{Unreadable: true}}, 0), 2)
 	require.Empty(t, p.soft.Endpoints(registry.Client{Region: "east", HomeRegions: route.HomeRegions{Unreadable: true}}, 0), "the proxies of the client's region may not have been observed yet")
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east"}, 0), 2, "any proxy may serve the client")
-	pass(p, directoryConvergenceTime)
+	advance(p, directoryConvergenceTime)
 	require.Len(t, p.soft.Endpoints(registry.Client{Region: "east", HomeRegions: route.HomeRegions{Unreadable: true}}, 0), 2, "the client's region has no proxy")
 }
 
@@ -107,7 +107,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p, _ := newTestProcess(t)
 		p.tick()
-		pass(p, membersConvergenceTime)
+		advance(p, membersConvergenceTime)
 		changed := p.soft.Changed()
 		for _, host := range []string{"edge-1", "edge-2", "edge-3"} {
 			p.soft.ObserveAgent(testAgent(host), nil)
@@ -131,14 +131,14 @@
 
 func TestTheListIsNotReadWithoutAViewOrAPlatform(t *testing.T) {
 	p, node := newTestProcess(t)
-	pass(p, 5*time.Second)
+	advance(p, 5*time.Second)
 	require.Zero(t, p.pollsSucceeded.Load()+p.pollsFailed.Load(), "no platform is known")
 	p.settings.current.Store(withPlatform("127.0.0.1:1"))
 	node.status.Founded = false
-	pass(p, 5*time.Second)
+	advance(p, 5*time.Second)
 	require.Zero(t, p.pollsSucceeded.Load()+p.pollsFailed.Load(), "no view is known")
 	node.status.Founded = true
-	pass(p, time.Second)
+	advance(p, time.Second)
 	require.Positive(t, p.pollsFailed.Load())
 	require.Nil(t, p.soft.Snapshot().list)
 }
--- a/internal/region/controlserver/statusservice_test.go
+++ b/internal/region/controlserver/statusservice_test.go
@@ -30,7 +30,7 @@
 
 func TestStatusBeforeAnythingIsKnown(t *testing.T) {
 	p, node := newTestProcess(t)
-	node.alter(func(status *control.Status) { *status = control.Status{} })
+	node.updateStatus(func(status *control.Status) { *status = control.Status{} })
 	report := describe(t, p)
 	require.Nil(t, report.View)
 	require.Nil(t, report.Catalog)
@@ -39,7 +39,7 @@
 	require.False(t, report.MembersSettled)
 }
 
-func TestStatusTellsStateDutyAndAgents(t *testing.T) {
+func TestStatusReportsStatePollingRoleAndAgents(t *testing.T) {
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 7)
 	node.Submit(t.Context(), &pb.Order{Kind: pb.Order_KIND_EVACUATE_BEGIN, Zone: "brno-hala"})
@@ -48,7 +48,7 @@
 		Servers: []*pb.Server{{Id: "i-1"}, {Id: "i-2", Draining: true}},
 	})
 	p.soft.ObserveAgent(testAgent("edge-1"), nil)
-	pass(p, registry.FailureTimeout)
+	advance(p, registry.FailureTimeout)
 	p.soft.ObserveAgent(testAgent("edge-2"), nil)
 	p.tick()
 
--- a/internal/region/controlserver/watchcounters_test.go
+++ b/internal/region/controlserver/watchcounters_test.go
@@ -22,7 +22,7 @@
 		ask := func(alter func(*pb.WatchRequest)) *pb.WatchResponse {
 			request := current(p)
 			alter(request)
-			return watchWith(context.Background(), link, request).answer
+			return watchWith(context.Background(), link, request).response
 		}
 		counted := link.counters
 
@@ -41,7 +41,7 @@
 		ask(func(request *pb.WatchRequest) { request.Probe = true })
 		require.EqualValues(t, 1, counted.probes.Load())
 
-		node.forgetHistory()
+		node.clearHistory()
 		ask(func(request *pb.WatchRequest) { request.Sequence = 1 })
 		require.EqualValues(t, 1, counted.digestsRequested.Load())
 		ask(func(request *pb.WatchRequest) {
