--- a/internal/region/registry/agents_partition_test.go
+++ b/internal/region/registry/agents_partition_test.go
@@ -38,7 +38,7 @@
 	partitionChangedAt time.Duration // time of the last start or end of a partition of this machine
 }
 
-// edgeMachine is an edge machine that is killed and started.
+// edgeMachine is an edge machine that is killed and restarted.
 type edgeMachine struct {
 	host        string
 	incarnation uint64 // raised at each kill and start
--- a/internal/region/registry/endpoints_test.go
+++ b/internal/region/registry/endpoints_test.go
@@ -77,13 +77,13 @@
 		region      string        // region of the other proxy
 		helped      bool
 	}{
-		"both are there":            {0, false, "east", false},
-		"one drains":                {0, true, "east", false},
-		"one drained and ended":     {FailureTimeout, true, "east", false},
-		"one fell silent":           {FailureTimeout, false, "east", true},
-		"one fell silent a while":   {recentLossWindow - time.Millisecond, false, "east", true},
-		"one fell silent long ago":  {recentLossWindow, false, "east", false},
-		"one fell silent elsewhere": {FailureTimeout, false, "north", false},
+		"both report":             {0, false, "east", false},
+		"one drains":              {0, true, "east", false},
+		"one drained and ended":   {FailureTimeout, true, "east", false},
+		"one stopped reporting":   {FailureTimeout, false, "east", true},
+		"one stopped a while ago": {recentLossWindow - time.Millisecond, false, "east", true},
+		"one stopped long ago":    {recentLossWindow, false, "east", false},
+		"one stopped elsewhere":   {FailureTimeout, false, "north", false},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -118,7 +118,7 @@
 		"two homes alike":               {"south", homes(4, map[string]int{"east": 2, "west": 2}), []string{"a1:80", "a2:80", "b1:80", "c1:80"}},
 		"the home of most":              {"south", homes(9, map[string]int{"east": 2, "north": 5, "far": 9}), []string{"d1:80", "d2:80", "d3:80"}},
 		"a region with a proxy is kept": {"east", homes(9, map[string]int{"north": 5}), []string{"c1:80"}},
-		"homes that are not known":      {"south", unreadableHomes, everyone},
+		"unknown homes":                 {"south", unreadableHomes, everyone},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -153,7 +153,7 @@
 		"its own region is the home":     {"south", homes(1, map[string]int{"south": 1}), just, []string{"s1:80"}},
 		"the home of most":               {"south", homes(9, map[string]int{"east": 2, "west": 5}), just, []string{"s1:80"}},
 		"the home of most, and too late": {"south", homes(9, map[string]int{"east": 2, "west": 5}), long, west},
-		"homes that are not known":       {"south", unreadableHomes, just, []string{"s1:80"}},
+		"unknown homes":                  {"south", unreadableHomes, just, []string{"s1:80"}},
 		"a region with a proxy":          {"east", homes(5, map[string]int{"north": 4}), just, []string{"c1:80"}},
 		"an unknown region":              {"", homes(5, map[string]int{"west": 4}), just, west},
 	}
@@ -238,12 +238,12 @@
 		ready, starting, lost int
 		enough                bool
 	}{
-		"none":                     {0, 3, 0, false},
-		"one of one":               {1, 0, 0, false},
-		"two of two":               {2, 0, 0, true},
-		"half":                     {2, 2, 0, true},
-		"less than half":           {2, 3, 0, false},
-		"lost ones are not missed": {2, 0, 9, true},
+		"none":                   {0, 3, 0, false},
+		"one of one":             {1, 0, 0, false},
+		"two of two":             {2, 0, 0, true},
+		"half":                   {2, 2, 0, true},
+		"less than half":         {2, 3, 0, false},
+		"lost ones do not count": {2, 0, 9, true},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/region/registry/inventory_test.go
+++ b/internal/region/registry/inventory_test.go
@@ -161,8 +161,8 @@
 		changes bool
 	}{
 		"the same, a second later": {changed(func(s *pb.Server) { s.WarmLeftMs = 4000 }), false},
-		"colder than expected":     {changed(func(s *pb.Server) { s.WarmLeftMs = 4300 }), true},
-		"warmer by little":         {changed(func(s *pb.Server) { s.WarmLeftMs = 3400 }), false},
+		"warm-up ends later":       {changed(func(s *pb.Server) { s.WarmLeftMs = 4300 }), true},
+		"warm-up ends earlier":     {changed(func(s *pb.Server) { s.WarmLeftMs = 3400 }), false},
 		"warm at once":             {changed(func(s *pb.Server) { s.WarmLeftMs = 0 }), true},
 		"draining":                 {changed(func(s *pb.Server) { s.WarmLeftMs, s.Draining = 4000, true }), true},
 		"going to expire":          {changed(func(s *pb.Server) { s.WarmLeftMs, s.ExpiresMs = 4000, 900 }), true},
