--- a/internal/region/registry/agents_test.go
+++ b/internal/region/registry/agents_test.go
@@ -26,7 +26,7 @@
 	return hosts
 }
 
-func TestAgentsLiveLostForgotten(t *testing.T) {
+func TestAgentsLiveLostRemoved(t *testing.T) {
 	agents := NewAgents(100)
 	require.True(t, agents.Observe(0, agentRecord("a1", 1)))
 	members := agents.Refresh(0)
--- a/internal/region/registry/endpoints_test.go
+++ b/internal/region/registry/endpoints_test.go
@@ -75,7 +75,7 @@
 		sinceReport time.Duration // time since the last report of the other proxy
 		draining    bool          // the other proxy drains
 		region      string        // region of the other proxy
-		helped      bool
+		spillover   bool
 	}{
 		"both report":             {0, false, "east", false},
 		"one drains":              {0, true, "east", false},
@@ -97,7 +97,7 @@
 			got := agents.Refresh(now).Endpoints(now, Client{Region: "east", Zone: "c", HomeRegions: unreadableHomes}, 0)
 			require.Contains(t, got, "c1:80")
 			outside := slices.ContainsFunc(got, func(address string) bool { return address[0] != 'c' })
-			require.Equal(t, one.helped, outside, "%v", got)
+			require.Equal(t, one.spillover, outside, "%v", got)
 		})
 	}
 }
--- a/internal/region/ring/ring_test.go
+++ b/internal/region/ring/ring_test.go
@@ -32,7 +32,7 @@
 
 func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
-func TestRecoveryAfterAnything(t *testing.T) {
+func TestRecoveryAfterRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(t)
 		steps := rapid.SliceOfN(rapid.IntRange(0, 19), 1, 80).Draw(t, "steps")
@@ -370,9 +370,9 @@
 	require.ErrorIs(t, err, fs.ErrNotExist)
 }
 
-// TestAFolderThatWasMadeLastsWithItsFiles guards against the loss of a new folder at a power failure: the folder and
+// TestNewFolderIsDurableWithItsFiles guards against the loss of a new folder at a power failure: the folder and
 // its parent are synced before the first append returns, and the parent is not synced again after that.
-func TestAFolderThatWasMadeLastsWithItsFiles(t *testing.T) {
+func TestNewFolderIsDurableWithItsFiles(t *testing.T) {
 	state := t.TempDir()
 	path := filepath.Join(state, "control")
 	var synced []string
