--- a/internal/region/controlserver/compressed_test.go
+++ b/internal/region/controlserver/compressed_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/region/packing"
 )
 
-// addRoutes puts so many routes in force beside those of configuration.
+// addRoutes adds count routes to the configuration in force.
 func addRoutes(t *testing.T, node Node, base, generation, count int) {
 	t.Helper()
 	routes := make([]string, count)
@@ -25,7 +25,8 @@
 	require.Equal(t, uint32(200), result.Status, "%s", result.Body)
 }
 
-// What many agents lack is compressed once, and each response is a fraction of the size of its content.
+// Guards against the compression of the same update for each agent: a large change is compressed once, and each
+// response is less than a quarter of the size of its content.
 func TestLargeChangeIsCompressedOnceForAllAgents(t *testing.T) {
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 7)
@@ -38,12 +39,12 @@
 		request.Agent = testAgent(fmt.Sprint("edge-", agent))
 		got := watchWith(t.Context(), link, request)
 		require.NoError(t, got.err)
-		updates, err := packing.Decompress(got.answer.GetCompressed())
+		updates, err := packing.Decompress(got.response.GetCompressed())
 		require.NoError(t, err)
 		require.Len(t, updates.GetChanges(), 1)
-		require.Empty(t, got.answer.GetChanges())
+		require.Empty(t, got.response.GetChanges())
 		plain = proto.Size(updates)
-		require.Less(t, 4*proto.Size(got.answer.GetCompressed()), plain)
+		require.Less(t, 4*proto.Size(got.response.GetCompressed()), plain)
 	}
 	require.EqualValues(t, 1, link.packer.Compressions())
 }
@@ -54,11 +55,12 @@
 	request := current(p)
 	addRoutes(t, node, 7, 8, 1400)
 	got := watch(p, request)
-	require.Nil(t, got.answer.GetCompressed())
-	require.Len(t, got.answer.GetChanges(), 1)
+	require.Nil(t, got.response.GetCompressed())
+	require.Len(t, got.response.GetChanges(), 1)
 }
 
-// An agent with an empty replica gets the complete state compressed, one that lags far behind the ranges that differ.
+// Guards against uncompressed or wrong repairs: an agent with an empty replica gets the complete state compressed, an
+// agent that lags far behind gets the ranges that differ.
 func TestRepairsAreCompressedForTheReplicasThatTheyServe(t *testing.T) {
 	p, node := newTestProcess(t)
 	replace(t, node, 0, 7)
@@ -68,13 +70,13 @@
 	request := current(p)
 	request.AcceptsCompressed = true
 	request.Sequence = 0
-	whole := watch(p, request).answer
+	whole := watch(p, request).response
 	require.True(t, whole.GetCompressed().GetWhole())
 	require.Nil(t, whole.GetRepair())
 
 	request.Sequence = behind.Sequence()
 	request.Digests = behind.Digests()
-	partial := watch(p, request).answer
+	partial := watch(p, request).response
 	require.True(t, partial.GetCompressed().GetRepairs())
 	require.False(t, partial.GetCompressed().GetWhole())
 	updates, err := packing.Decompress(partial.GetCompressed())
--- a/internal/region/controlserver/watchcounters_test.go
+++ b/internal/region/controlserver/watchcounters_test.go
@@ -22,7 +22,7 @@
 		ask := func(alter func(*pb.WatchRequest)) *pb.WatchResponse {
 			request := current(p)
 			alter(request)
-			return watchWith(context.Background(), link, request).answer
+			return watchWith(context.Background(), link, request).response
 		}
 		counted := link.counters
 
@@ -32,7 +32,7 @@
 		part := ask(func(request *pb.WatchRequest) { request.Sequence = 1 })
 		require.Less(t, proto.Size(part), proto.Size(whole))
 		require.EqualValues(t, 1, counted.changes.Load())
-		require.EqualValues(t, proto.Size(whole), counted.largestBytes.Load(), "the largest stays")
+		require.EqualValues(t, proto.Size(whole), counted.largestBytes.Load(), "a smaller response must not change the largest size")
 
 		ask(func(request *pb.WatchRequest) { request.HoldMs = 0 })
 		require.EqualValues(t, 1, counted.unchanged.Load())
@@ -41,7 +41,7 @@
 		ask(func(request *pb.WatchRequest) { request.Probe = true })
 		require.EqualValues(t, 1, counted.probes.Load())
 
-		node.forgetHistory()
+		node.clearHistory()
 		ask(func(request *pb.WatchRequest) { request.Sequence = 1 })
 		require.EqualValues(t, 1, counted.digestsRequested.Load())
 		ask(func(request *pb.WatchRequest) {
--- a/internal/region/registry/agents_partition_test.go
+++ b/internal/region/registry/agents_partition_test.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// minContact is how long a machine must have been running and not partitioned for the rules to apply (contact-ms).
+	// minContact is the time for which a machine must have been running and not partitioned for the deployment's rules
+	// to apply (contact-ms).
 	minContact = 4 * time.Second
-	// maxNamedAfterEnd is how long after its end an edge machine may still be named.
-	maxNamedAfterEnd = minContact + 3*time.Second
-	// maxHeartbeatDelay is the longest delay of a heartbeat that is not lost: it waits for a second, and its call may last
-	// another one.
+	// maxReturnedAfterEnd is the maximum time after its end for which the directory may still return an edge machine.
+	maxReturnedAfterEnd = minContact + 3*time.Second
+	// maxHeartbeatDelay is the maximum delay of a heartbeat that is not lost: it may be queued for a second, and its
+	// call may take another second.
 	maxHeartbeatDelay = 2 * time.Second
-	// partitionedWatchTimeout and partitionedHeartbeatTimeout are how long a partition delays what was sent: then its sender
-	// closes the connection.
+	// partitionedWatchTimeout and partitionedHeartbeatTimeout are the times for which a partition may delay a message
+	// before its sender closes the connection and the message is lost.
 	partitionedWatchTimeout     = 2 * time.Second
 	partitionedHeartbeatTimeout = 1500 * time.Millisecond
 
@@ -32,29 +33,29 @@
 
 // directoryMachine is a control machine that answers clients.
 type directoryMachine struct {
-	agents      *Agents
-	partitioned bool
-	joinedAt    time.Duration // since when it is not partitioned
+	agents             *Agents
+	partitioned        bool
+	partitionChangedAt time.Duration // time of the last start or end of a partition of this machine
 }
 
-// edgeMachine is an edge machine that is killed and started.
+// edgeMachine is an edge machine that is killed and restarted.
 type edgeMachine struct {
-	host    string
-	started uint64 // counts
-	killed  bool
-	at      time.Duration // when it was killed last
+	host        string
+	incarnation uint64 // raised at each kill and start
+	killed      bool
+	changedAt   time.Duration // time at which the machine was last killed or started
 }
 
-// delayedReport is a message in transit. At a machine that is partitioned it waits until lost at most.
+// delayedReport is a message in transit. If its receiver is partitioned, the message waits until dropAt at most.
 type delayedReport struct {
-	at, lost time.Duration
-	to       *directoryMachine
-	do       func(now time.Duration, agents *Agents)
+	deliverAt, dropAt time.Duration
+	to                *directoryMachine
+	apply             func(now time.Duration, agents *Agents)
 }
 
-// directory simulates control machines that receive reports of edge machines while some are partitioned. What was sent
-// to a machine that is partitioned for a short time arrives when the partition heals, even if the sender was killed
-// meanwhile.
+// directory simulates control machines that receive reports of edge machines while some control machines are
+// partitioned. A message to a machine that is partitioned for a short time arrives when the partition heals, even if
+// the sender was killed in the meantime.
 type directory struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -62,9 +63,9 @@
 	machines  []*directoryMachine
 	edges     []*edgeMachine
 	inTransit []delayedReport
-	extraAge  time.Duration // fault under test: by how much reports seem younger than they are
+	extraAge  time.Duration // injected fault: reports appear younger by this time
 
-	longestInTouch, longest time.Duration // for which an edge machine was named after its end
+	longestInContact, longest time.Duration // longest times for which a killed edge machine was still returned
 }
 
 func newDirectory(t *testing.T, seed uint64) *directory {
@@ -73,7 +74,7 @@
 		d.machines = append(d.machines, &directoryMachine{agents: NewAgents(d.random.Uint64N(1000))})
 	}
 	for index := range 8 {
-		d.edges = append(d.edges, &edgeMachine{host: fmt.Sprint("edge-", index), started: 1})
+		d.edges = append(d.edges, &edgeMachine{host: fmt.Sprint("edge-", index), incarnation: 1})
 	}
 	return d
 }
@@ -97,17 +98,17 @@
 	}
 }
 
-// deliver hands over what has arrived. Nothing arrives at a machine that is partitioned.
+// deliver delivers the messages that are due. A partitioned machine receives none.
 func (d *directory) deliver() {
 	due := d.inTransit
 	d.inTransit = nil
 	for _, one := range due {
 		switch {
-		case one.at > d.now:
+		case one.deliverAt > d.now:
 			d.inTransit = append(d.inTransit, one)
 		case !one.to.partitioned:
-			one.do(d.now, one.to.agents)
-		case d.now < one.lost:
+			one.apply(d.now, one.to.agents)
+		case d.now < one.dropAt:
 			d.inTransit = append(d.inTransit, one)
 		}
 	}
@@ -115,17 +116,17 @@
 
 // watch sends an edge machine's record to one control machine.
 func (d *directory) watch(edge *edgeMachine) {
-	record := &pb.AgentRecord{Host: edge.host, Incarnation: edge.started, Ready: true, EdgeAddress: edge.host}
+	record := &pb.AgentRecord{Host: edge.host, Incarnation: edge.incarnation, Ready: true, EdgeAddress: edge.host}
 	d.inTransit = append(d.inTransit, delayedReport{
-		at:   d.now + time.Duration(d.random.Int64N(int64(100*time.Millisecond))),
-		lost: d.now + partitionedWatchTimeout,
-		to:   d.machines[d.random.IntN(len(d.machines))],
-		do:   func(now time.Duration, agents *Agents) { agents.Observe(now, record) },
+		deliverAt: d.now + time.Duration(d.random.Int64N(int64(100*time.Millisecond))),
+		dropAt:    d.now + partitionedWatchTimeout,
+		to:        d.machines[d.random.IntN(len(d.machines))],
+		apply:     func(now time.Duration, agents *Agents) { agents.Observe(now, record) },
 	})
 }
 
-// heartbeat sends a report to the other control machines. What a partition delays is lost, since its sender closes the
-// connection.
+// heartbeat sends a report to the other control machines. A heartbeat that a partition delays for
+// partitionedHeartbeatTimeout is lost, since its sender closes the connection.
 func (d *directory) heartbeat(from *directoryMachine) {
 	records := from.agents.Report(d.now)
 	for _, to := range d.machines {
@@ -134,15 +135,15 @@
 		}
 		delay := time.Duration(d.random.Int64N(int64(maxHeartbeatDelay)))
 		d.inTransit = append(d.inTransit, delayedReport{
-			at:   d.now + delay,
-			lost: d.now + delay + partitionedHeartbeatTimeout,
-			to:   to,
-			do:   func(now time.Duration, agents *Agents) { agents.Merge(now, records) },
+			deliverAt: d.now + delay,
+			dropAt:    d.now + delay + partitionedHeartbeatTimeout,
+			to:        to,
+			apply:     func(now time.Duration, agents *Agents) { agents.Merge(now, records) },
 		})
 	}
 }
 
-// observe takes an answer of each machine.
+// observe evaluates the present response of each control machine.
 func (d *directory) observe() {
 	for _, machine := range d.machines {
 		named := machine.agents.Refresh(d.now).Endpoints(d.now-d.extraAge, Client{}, 0)
@@ -150,9 +151,9 @@
 			if !edge.killed || !slices.Contains(named, edge.host) {
 				continue
 			}
-			d.longest = max(d.longest, d.now-edge.at)
-			if !machine.partitioned && d.now-machine.joinedAt >= minContact {
-				d.longestInTouch = max(d.longestInTouch, d.now-edge.at)
+			d.longest = max(d.longest, d.now-edge.changedAt)
+			if !machine.partitioned && d.now-machine.partitionChangedAt >= minContact {
+				d.longestInContact = max(d.longestInContact, d.now-edge.changedAt)
 			}
 		}
 	}
@@ -163,19 +164,19 @@
 	if d.random.IntN(3) > 0 {
 		edge := d.edges[d.random.IntN(len(d.edges))]
 		edge.killed = !edge.killed
-		edge.started++
-		edge.at = d.now
+		edge.incarnation++
+		edge.changedAt = d.now
 		return
 	}
 	machine := d.machines[d.random.IntN(len(d.machines))]
 	machine.partitioned = !machine.partitioned
-	machine.joinedAt = d.now
+	machine.partitionChangedAt = d.now
 }
 
-func runDirectory(t *testing.T, seed uint64, liveFor time.Duration) *directory {
+func runDirectory(t *testing.T, seed uint64, extraAge time.Duration) *directory {
 	t.Helper()
 	d := newDirectory(t, seed)
-	d.extraAge = liveFor
+	d.extraAge = extraAge
 	for d.now < 5*time.Minute {
 		d.run(time.Duration(d.random.Int64N(int64(6 * time.Second))))
 		d.injectFault()
@@ -183,17 +184,17 @@
 	return d
 }
 
-func TestDirectoryOfAMachineThatWasCutOffNamesNoDeadProxyForLong(t *testing.T) {
-	inTouch, longest := time.Duration(0), time.Duration(0)
+func TestDirectoryOfAPartitionedMachineNamesNoDeadProxyForLong(t *testing.T) {
+	inContact, longest := time.Duration(0), time.Duration(0)
 	for seed := range uint64(10) {
 		d := runDirectory(t, seed, 0)
-		require.Less(t, d.longestInTouch, maxNamedAfterEnd, "seed %d", seed)
-		inTouch, longest = max(inTouch, d.longestInTouch), max(longest, d.longest)
+		require.Less(t, d.longestInContact, maxReturnedAfterEnd, "seed %d", seed)
+		inContact, longest = max(inContact, d.longestInContact), max(longest, d.longest)
 	}
-	t.Logf("dead proxies were named for %v at most by machines in touch, for %v by any", inTouch, longest)
+	t.Logf("dead proxies were returned for at most %v by machines in contact, %v by any machine", inContact, longest)
 }
 
-// The injected fault: reports count for five seconds longer.
+// Checks that the simulation detects the fault that reports count as fresh for five seconds longer.
 func TestADirectoryThatNamesDeadProxiesForLongIsFound(t *testing.T) {
-	require.GreaterOrEqual(t, runDirectory(t, 1, 5*time.Second).longestInTouch, maxNamedAfterEnd)
+	require.GreaterOrEqual(t, runDirectory(t, 1, 5*time.Second).longestInContact, maxReturnedAfterEnd)
 }
--- a/internal/region/registry/endpoints_test.go
+++ b/internal/region/registry/endpoints_test.go
@@ -12,32 +12,32 @@
 	"fieldrelay/internal/region/route"
 )
 
-// placed returns the record of an agent in a zone and a region.
-func placed(host, zone, region string) *pb.AgentRecord {
+// recordIn returns the record of an agent in a zone and a region.
+func recordIn(host, zone, region string) *pb.AgentRecord {
 	record := agentRecord(host, 1)
 	record.Zone, record.Region = zone, region
 	return record
 }
 
-// unreadableHomes are home regions that are not known.
+// unreadableHomes are unknown home regions.
 var unreadableHomes = route.HomeRegions{Unreadable: true}
 
-// homes returns the home regions of a number of routes, with the number of routes by region.
+// homes returns the home regions of the given number of routes; byRegion has the number of routes by home region.
 func homes(routes int, byRegion map[string]int) route.HomeRegions {
 	return route.HomeRegions{Routes: routes, ByRegion: byRegion}
 }
 
-// threeRegions are edge machines of which one region has a single one.
+// threeRegions returns edge machines in three regions, one of which has a single machine.
 func threeRegions() []*pb.AgentRecord {
 	return []*pb.AgentRecord{
-		placed("a1", "a", "west"), placed("a2", "a", "west"),
-		placed("b1", "b", "west"),
-		placed("c1", "c", "east"),
-		placed("d1", "d", "north"), placed("d2", "d", "north"), placed("d3", "d", "north"),
+		recordIn("a1", "a", "west"), recordIn("a2", "a", "west"),
+		recordIn("b1", "b", "west"),
+		recordIn("c1", "c", "east"),
+		recordIn("d1", "d", "north"), recordIn("d2", "d", "north"), recordIn("d3", "d", "north"),
 	}
 }
 
-func TestEndpointsPreferTheClientsPlace(t *testing.T) {
+func TestEndpointsPreferTheClientsZoneAndRegion(t *testing.T) {
 	everyone := []string{"a1:80", "a2:80", "b1:80", "c1:80", "d1:80", "d2:80", "d3:80"}
 	cases := map[string]struct {
 		client Client
@@ -67,28 +67,28 @@
 	}
 }
 
-// TestOtherRegionsHelpOnlyAfterAnUnplannedLoss: what a region has left takes its clients, unless it has just lost
-// a proxy that said nothing of it.
-func TestOtherRegionsHelpOnlyAfterAnUnplannedLoss(t *testing.T) {
+// TestOtherRegionsServeOnlyAfterAnUnplannedLoss guards against clients that are sent to other regions without need: the
+// remaining proxies of a region serve its clients, unless the region has recently lost a proxy that was not draining.
+func TestOtherRegionsServeOnlyAfterAnUnplannedLoss(t *testing.T) {
 	const now = time.Minute
 	cases := map[string]struct {
-		sinceReport time.Duration // of the region's other proxy
-		draining    bool
-		region      string // of the other proxy
-		helped      bool
+		sinceReport time.Duration // time since the last report of the other proxy
+		draining    bool          // the other proxy drains
+		region      string        // region of the other proxy
+		spillover   bool
 	}{
-		"both are there":            {0, false, "east", false},
-		"one drains":                {0, true, "east", false},
-		"one drained and ended":     {FailureTimeout, true, "east", false},
-		"one fell silent":           {FailureTimeout, false, "east", true},
-		"one fell silent a while":   {recentLossWindow - time.Millisecond, false, "east", true},
-		"one fell silent long ago":  {recentLossWindow, false, "east", false},
-		"one fell silent elsewhere": {FailureTimeout, false, "north", false},
+		"both report":             {0, false, "east", false},
+		"one drains":              {0, true, "east", false},
+		"one drained and ended":   {FailureTimeout, true, "east", false},
+		"one stopped reporting":   {FailureTimeout, false, "east", true},
+		"one stopped a while ago": {recentLossWindow - time.Millisecond, false, "east", true},
+		"one stopped long ago":    {recentLossWindow, false, "east", false},
+		"one stopped elsewhere":   {FailureTimeout, false, "north", false},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			agents := NewAgents(0)
-			other := placed("c2", "c", one.region)
+			other := recordIn("c2", "c", one.region)
 			other.Draining = one.draining
 			agents.Observe(now-one.sinceReport, other)
 			for _, record := range threeRegions() {
@@ -97,14 +97,15 @@
 			got := agents.Refresh(now).Endpoints(now, Client{Region: "east", Zone: "c", HomeRegions: unreadableHomes}, 0)
 			require.Contains(t, got, "c1:80")
 			outside := slices.ContainsFunc(got, func(address string) bool { return address[0] != 'c' })
-			require.Equal(t, one.helped, outside, "%v", got)
+			require.Equal(t, one.spillover, outside, "%v", got)
 		})
 	}
 }
 
-// TestARegionWithoutAProxyIsHelpedByHomes: the clients of a host whose routes have homes are sent to those of the most of
-// them, as long as their own region has no proxy.
-func TestARegionWithoutAProxyIsHelpedByHomes(t *testing.T) {
+// TestClientsWithoutAProxyInTheirRegionAreSentToHomeRegions guards against clients that are sent to regions which may
+// not process their requests: while their own region has no proxy, the clients of a host whose routes have home regions
+// are sent to the home regions of the most routes.
+func TestClientsWithoutAProxyInTheirRegionAreSentToHomeRegions(t *testing.T) {
 	everyone := []string{"a1:80", "a2:80", "b1:80", "c1:80", "d1:80", "d2:80", "d3:80"}
 	cases := map[string]struct {
 		region string
@@ -117,7 +118,7 @@
 		"two homes alike":               {"south", homes(4, map[string]int{"east": 2, "west": 2}), []string{"a1:80", "a2:80", "b1:80", "c1:80"}},
 		"the home of most":              {"south", homes(9, map[string]int{"east": 2, "north": 5, "far": 9}), []string{"d1:80", "d2:80", "d3:80"}},
 		"a region with a proxy is kept": {"east", homes(9, map[string]int{"north": 5}), []string{"c1:80"}},
-		"homes that are not known":      {"south", unreadableHomes, everyone},
+		"unknown homes":                 {"south", unreadableHomes, everyone},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -132,8 +133,9 @@
 	}
 }
 
-// TestProxiesThatBeginToDrainAreNamedWhereNothingIsNear: they take requests for a while, and every other region is
-// neither a home of all routes nor the client's.
+// TestProxiesThatBeginToDrainAreNamedWhereNothingIsNear guards against a response without draining proxies if no other
+// proxy is near. Such proxies still accept requests for a while, and no other region is the client's or a home region
+// of all routes.
 func TestProxiesThatBeginToDrainAreNamedWhereNothingIsNear(t *testing.T) {
 	const now, gracePeriod = time.Minute, 2 * time.Second
 	const just, long = now - gracePeriod + time.Millisecond, now - gracePeriod
@@ -142,7 +144,7 @@
 	cases := map[string]struct {
 		region string
 		homes  route.HomeRegions
-		since  time.Duration // when the region's own proxy began to drain
+		since  time.Duration // time at which the proxy of the region south began to drain
 		want   []string
 	}{
 		"no homes":                       {"south", route.HomeRegions{}, just, everyone},
@@ -151,7 +153,7 @@
 		"its own region is the home":     {"south", homes(1, map[string]int{"south": 1}), just, []string{"s1:80"}},
 		"the home of most":               {"south", homes(9, map[string]int{"east": 2, "west": 5}), just, []string{"s1:80"}},
 		"the home of most, and too late": {"south", homes(9, map[string]int{"east": 2, "west": 5}), long, west},
-		"homes that are not known":       {"south", unreadableHomes, just, []string{"s1:80"}},
+		"unknown homes":                  {"south", unreadableHomes, just, []string{"s1:80"}},
 		"a region with a proxy":          {"east", homes(5, map[string]int{"north": 4}), just, []string{"c1:80"}},
 		"an unknown region":              {"", homes(5, map[string]int{"west": 4}), just, west},
 	}
@@ -161,11 +163,11 @@
 			for _, record := range threeRegions() {
 				agents.Observe(now, record)
 			}
-			agents.Observe(one.since-time.Second, placed("s1", "s", "south"))
-			own := placed("s1", "s", "south")
+			agents.Observe(one.since-time.Second, recordIn("s1", "s", "south"))
+			own := recordIn("s1", "s", "south")
 			own.Draining, own.Ready = true, false
 			agents.Observe(one.since, own)
-			agents.Observe(now, own) // it goes on reporting
+			agents.Observe(now, own) // the draining proxy's agent keeps reporting
 			client := Client{Region: one.region, Zone: "e", HomeRegions: one.homes, DrainGracePeriod: gracePeriod}
 			got := agents.Refresh(now).Endpoints(now, client, 1)
 			slices.Sort(got)
@@ -180,21 +182,21 @@
 	agents.Observe(0, agentRecord("b1", 1))
 	agents.Observe(0, agentRecord("c1", 1))
 	members := agents.Refresh(0)
-	require.Equal(t, []string{"b1:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-b", HomeRegions: unreadableHomes}, 0), "a third of all suffices")
+	require.Equal(t, []string{"b1:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-b", HomeRegions: unreadableHomes}, 0), "a third of all proxies suffices")
 }
 
 func TestServes(t *testing.T) {
 	agents := NewAgents(0)
-	starting := placed("a1", "a", "west")
+	starting := recordIn("a1", "a", "west")
 	starting.Ready = false
 	agents.Observe(0, starting)
 	require.False(t, agents.Refresh(0).Serves(0, ""))
-	agents.Observe(0, placed("c1", "c", "east"))
+	agents.Observe(0, recordIn("c1", "c", "east"))
 	members := agents.Refresh(0)
 	require.True(t, members.Serves(0, "east"))
 	require.True(t, members.Serves(0, ""))
-	require.False(t, members.Serves(0, "west"), "its proxy is not ready")
-	require.False(t, members.Serves(FailureTimeout, "east"), "an old snapshot names nobody")
+	require.False(t, members.Serves(0, "west"), "the proxy of the region is not ready")
+	require.False(t, members.Serves(FailureTimeout, "east"), "an old snapshot must yield no proxies")
 }
 
 func TestEndpointsLeaveOutWhatTakesNoRequests(t *testing.T) {
@@ -211,7 +213,7 @@
 	}
 	members := agents.Refresh(0)
 	require.Equal(t, []string{"a4:80"}, members.Endpoints(0, Client{Region: "region", Zone: "zone-a", HomeRegions: unreadableHomes}, 0))
-	require.Empty(t, members.Endpoints(FailureTimeout, Client{Region: "region", Zone: "zone-a", HomeRegions: unreadableHomes}, 0), "an old snapshot names nobody")
+	require.Empty(t, members.Endpoints(FailureTimeout, Client{Region: "region", Zone: "zone-a", HomeRegions: unreadableHomes}, 0), "an old snapshot must yield no proxies")
 }
 
 func TestEndpointsRotateAndAreBounded(t *testing.T) {
@@ -236,12 +238,12 @@
 		ready, starting, lost int
 		enough                bool
 	}{
-		"none":                     {0, 3, 0, false},
-		"one of one":               {1, 0, 0, false},
-		"two of two":               {2, 0, 0, true},
-		"half":                     {2, 2, 0, true},
-		"less than half":           {2, 3, 0, false},
-		"lost ones are not missed": {2, 0, 9, true},
+		"none":                   {0, 3, 0, false},
+		"one of one":             {1, 0, 0, false},
+		"two of two":             {2, 0, 0, true},
+		"half":                   {2, 2, 0, true},
+		"less than half":         {2, 3, 0, false},
+		"lost ones do not count": {2, 0, 9, true},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/region/registry/inventory_partition_test.go
+++ b/internal/region/registry/inventory_partition_test.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// longestPartition is how long a machine may be partitioned.
+	// longestPartition is the maximum time for which a machine is partitioned.
 	longestPartition = 22 * time.Second
-	// maxRegression is how much older the content of a list may be than that of the one which it replaces: an
-	// owner whose polls fail counts until staleThreshold, and a poll takes PollTimeout at most.
+	// maxRegression bounds by how much the content of a list may be older than the content of the list that it
+	// replaces: an owner whose polls fail keeps its role until staleThreshold, and a poll takes at most PollTimeout.
 	maxRegression = staleThreshold + PollTimeout
 )
 
-// contentHistory records when the platform's list had which content.
+// contentHistory records the times at which the platform's list had each content.
 type contentHistory struct {
-	since map[string]time.Duration // by content: until when the platform last had it
-	now   string
+	lastPresent map[string]time.Duration // last time at which the platform's list had a content, by former content
+	current     string                   // present content of the platform's list
 }
 
 func contentOf(servers []*pb.Server) string {
@@ -34,71 +34,72 @@
 	return strings.Join(ids, " ")
 }
 
-// lastTrue returns when the platform's list last had the content of a list.
-func (c *contentHistory) lastTrue(now time.Duration, list *ServerList) time.Duration {
+// lastPresentAt returns the last time at which the platform's list had the content of the given list.
+func (c *contentHistory) lastPresentAt(now time.Duration, list *ServerList) time.Duration {
 	content := contentOf(list.servers)
-	if content == c.now {
+	if content == c.current {
 		return now
 	}
-	return c.since[content]
+	return c.lastPresent[content]
 }
 
-// partitionSimulation is a simulation in which machines are partitioned from the others, with and without the platform.
+// partitionSimulation is a simulation in which machines are partitioned from the others, and sometimes also from the
+// platform.
 type partitionSimulation struct {
 	*simulation
 	contents             contentHistory
-	held                 []*ServerList
-	worstRegression      time.Duration // by which a list was older than the one that it replaced
-	confirmsWithoutPolls bool          // injected fault: a list counts as confirmed though no poll succeeds
+	previous             []*ServerList
+	worstRegression      time.Duration // maximum time by which a list was older than the list that it replaced
+	confirmsWithoutPolls bool          // injected fault: the owner's list counts as confirmed though no poll succeeds
 }
 
 func newPartitionSimulation(t *testing.T, seed uint64) *partitionSimulation {
 	c := &partitionSimulation{simulation: newSimulation(t, seed)}
-	c.contents = contentHistory{since: make(map[string]time.Duration), now: contentOf(c.servers)}
-	c.held = make([]*ServerList, len(c.machines))
+	c.contents = contentHistory{lastPresent: make(map[string]time.Duration), current: contentOf(c.servers)}
+	c.previous = make([]*ServerList, len(c.machines))
 	return c
 }
 
-// observe is called at every step.
+// observe is called at every step. It may change the servers, and records the regressions of all machines' lists.
 func (c *partitionSimulation) observe() {
 	if c.random.IntN(60) == 0 {
 		c.changeServers()
-		c.contents.since[c.contents.now] = c.now
-		c.contents.now = contentOf(c.servers)
+		c.contents.lastPresent[c.contents.current] = c.now
+		c.contents.current = contentOf(c.servers)
 	}
 	for index, machine := range c.machines {
 		if c.confirmsWithoutPolls && machine.inventory.IsOwner() {
 			machine.inventory.current = machine.inventory.current.confirmed(c.now)
 		}
 		list := machine.inventory.Current()
-		before := c.held[index]
-		c.held[index] = list
+		before := c.previous[index]
+		c.previous[index] = list
 		if before == nil || list == nil || before.version == list.version {
 			continue
 		}
-		back := c.contents.lastTrue(c.now, before) - c.contents.lastTrue(c.now, list)
+		back := c.contents.lastPresentAt(c.now, before) - c.contents.lastPresentAt(c.now, list)
 		c.worstRegression = max(c.worstRegression, back)
 	}
 }
 
-// partition separates a machine from the others for a while, in one direction or both. The platform is unreachable for
-// a part of that time, and perhaps beyond it.
+// partition partitions a machine from the others for a while, in one direction or both. The platform may be unreachable
+// for a part of that time, and beyond it.
 func (c *partitionSimulation) partition() {
 	machine := c.machines[c.random.IntN(len(c.machines))]
 	span := time.Duration(c.random.Int64N(int64(longestPartition)))
-	sighted := time.Duration(c.random.Int64N(int64(longestPartition)))
+	reachableFor := time.Duration(c.random.Int64N(int64(longestPartition)))
 	direction := c.random.IntN(4)
 	machine.sendsNothing, machine.receivesNothing = direction != 0, direction != 1
-	c.run(min(span, sighted), c.observe)
+	c.run(min(span, reachableFor), c.observe)
 	machine.platformUnreachable = c.random.IntN(4) > 0
-	c.run(max(0, span-sighted), c.observe)
+	c.run(max(0, span-reachableFor), c.observe)
 	machine.sendsNothing, machine.receivesNothing = false, false
 	c.run(time.Duration(c.random.Int64N(int64(4*time.Second))), c.observe)
 	machine.platformUnreachable = false
 	c.run(time.Duration(c.random.Int64N(int64(4*time.Second))), c.observe)
 }
 
-func TestAListOfACutOffMachineUndoesNoLaterOne(t *testing.T) {
+func TestListOfAPartitionedMachineReplacesNoLaterList(t *testing.T) {
 	worst := time.Duration(0)
 	for seed := range uint64(100) {
 		c := newPartitionSimulation(t, seed)
@@ -112,7 +113,7 @@
 		c.run(12*time.Second, func() {})
 		c.requireAgreement()
 	}
-	t.Logf("lists went back by %v at most", worst)
+	t.Logf("the longest regression of a list was %v", worst)
 }
 
 func TestAgeIsWhatKeepsAnOldListFromReplacingALaterOne(t *testing.T) {
@@ -129,8 +130,9 @@
 	require.Greater(t, worst, maxRegression)
 }
 
-// Each side of a partition polls, and together they keep to the platform's rate.
-func TestAMachineThatIsApartReadsManyPagesLessOften(t *testing.T) {
+// Guards against two sides of a partition that exceed the platform's rate: both sides poll, and together they must stay
+// below the rate.
+func TestPartitionedMachinePollsManyPagesLessOften(t *testing.T) {
 	inventory, now := newOwner(t, serverNamed("a"))
 	inventory.lastPages = 28
 	polls := 0
@@ -140,10 +142,11 @@
 			inventory.Step(now, PollDone{SentAt: now, Pages: 28, Servers: []*pb.Server{serverNamed("a")}})
 		}
 	}
-	require.InDelta(t, 40/8, polls, 1, "28 pages at a twelfth of 42 a second: one poll in eight seconds")
+	require.InDelta(t, 40/8, polls, 1, "28 pages at a twelfth of 42 calls per second take eight seconds per poll")
 }
 
-// A machine that has no list gets even an old one: the platform may be unreachable for all.
+// Guards against a machine that stays without a list while the platform is unreachable for all machines: an owner sends
+// a stale list to machines that have no list, and only to them.
 func TestAnOldListIsSentToAMachineWithoutOneAlone(t *testing.T) {
 	inventory, now := newOwner(t, serverNamed("a"))
 	now += staleThreshold
