--- a/internal/region/control/node.go
+++ b/internal/region/control/node.go
@@ -114,7 +114,7 @@
 		select {
 		case n.events <- Received{Message: message}:
 		case <-ctx.Done():
-			return nil, connect.NewError(connect.CodeUnavailable, errors.New("deliver messages: event queue is still full after the enqueue timeout"))
+			return nil, connect.NewError(connect.CodeUnavailable, errors.New("the machine is behind"))
 		}
 	}
 	return connect.NewResponse(&pb.DeliverResponse{}), nil
--- a/internal/region/controlserver/linkservice.go
+++ b/internal/region/controlserver/linkservice.go
@@ -25,19 +25,19 @@
 type ShuttingDownError struct{}
 
 // Error returns the message sent to the caller.
-func (*ShuttingDownError) Error() string { return "control machine is shutting down" }
+func (*ShuttingDownError) Error() string { return "this control machine is ending" }
 
 // TooManyWatchesError rejects a call because maxConcurrentWatches are open already.
 type TooManyWatchesError struct{}
 
 // Error returns the message sent to the caller.
-func (*TooManyWatchesError) Error() string { return "control machine has too many open long polls" }
+func (*TooManyWatchesError) Error() string { return "too many agents wait at this control machine" }
 
 // AgentMissingError rejects a call that does not name its agent.
 type AgentMissingError struct{}
 
 // Error returns the message sent to the caller.
-func (*AgentMissingError) Error() string { return "watch request has no agent host" }
+func (*AgentMissingError) Error() string { return "the call names no agent" }
 
 // linkService implements the ControlLink service, from which agents receive updates. Each call is a long poll (RFC
 // 6202): the response is sent immediately if there is an update for the agent, otherwise with the next update or after
