--- a/cmd/fieldrelayctl/main.go
+++ b/cmd/fieldrelayctl/main.go
@@ -141,7 +141,7 @@
 			fmt.Fprintln(&text, q.Bound())
 		}
 		if r := cfg.Operator.Rules; r.On {
-			for _, line := range versionskew.Bounds(s.LeaseTime(), s.DriftPart()) {
+			for _, line := range versionskew.Bounds(s.LeaseTime(), s.DriftFraction()) {
 				fmt.Fprintln(&text, line)
 			}
 		}
--- a/internal/sidecar/fleet/fleet.go
+++ b/internal/sidecar/fleet/fleet.go
@@ -124,7 +124,7 @@
 		Member: member.Config{Name: set.Name, Addr: cmp.Or(set.Advertise, f.channel.Addr()), Boot: boot, Join: set.Join,
 			Pace: set.PaceTime(), Seed: seed},
 		View: view.Config{Name: set.Name, Boot: boot, Voters: set.Voters, Pace: set.PaceTime(), Lease: set.LeaseTime(),
-			Drift: set.DriftPart(), Seed: seed, Stored: stored, Refound: set.Refounds()},
+			Drift: set.DriftFraction(), Seed: seed, Stored: stored, Refound: set.Refounds()},
 		Limits: limits, Demand: f.limits.demand, Suspensions: opts.Suspensions}
 	if set.Verdicts && f.avoid != nil {
 		f.observations.enabled = true
--- a/internal/sidecar/fleet/settings/settings.go
+++ b/internal/sidecar/fleet/settings/settings.go
@@ -109,8 +109,8 @@
 // LeaseTime is the duration of the lease on a view.
 func (s *Settings) LeaseTime() time.Duration { return time.Duration(s.Lease) * time.Millisecond }
 
-// DriftPart is the allowed drift as a fraction.
-func (s *Settings) DriftPart() float64 { return float64(s.Drift) / 1e6 }
+// DriftFraction is the allowed drift as a fraction.
+func (s *Settings) DriftFraction() float64 { return float64(s.Drift) / 1e6 }
 
 // Refounds reports whether the voters found a new group by themselves where that is provably safe.
 func (s *Settings) Refounds() bool { return s.Recover == safe }
@@ -133,7 +133,7 @@
 
 // Bounds returns the guarantees with the figures of the settings, as lines for the operator.
 func (s *Settings) Bounds() []string {
-	held := time.Duration(float64(s.LeaseTime()) * (1 + s.DriftPart())).Round(time.Microsecond)
+	held := time.Duration(float64(s.LeaseTime()) * (1 + s.DriftFraction())).Round(time.Microsecond)
 	lines := []string{fmt.Sprintf("fleet: nobody holds a view for longer than lease_ms * (1 + drift) = %v after the next one was decided", held)}
 	for _, n := range []int{5, 50, 500} {
 		lines = append(lines, fmt.Sprintf("fleet: among %d members a crash is known to all within n * pace + pace + 12 * max(1, log10 n) * pace = %v, as a rule in a fraction of that",
--- a/internal/testkit/processfleet/agreement.go
+++ b/internal/testkit/processfleet/agreement.go
@@ -26,7 +26,7 @@
 // Bound is how long a view may be held after the next one was decided.
 func (r *Fleet) Bound() time.Duration {
 	defaults := settings.Defaults()
-	return view.Bound(r.opts.Lease, defaults.DriftPart())
+	return view.Bound(r.opts.Lease, defaults.DriftFraction())
 }
 
 // Agreed tells whether each process that runs holds the same view, of as many as run.
