--- a/internal/sidecar/fleet/actions.go
+++ b/internal/sidecar/fleet/actions.go
@@ -26,8 +26,8 @@
 		f.carryOut(action)
 	}
 	f.rules.updateFigures(f.core)
-	if f.allot != nil {
-		f.limits.reportAllotments(f.allot) // on each step: the end of a lease is no action
+	if f.allotmentChanged != nil {
+		f.limits.reportAllotments(f.allotmentChanged) // on each step: the end of a lease is no action
 	}
 	f.wake.Reset(max(0, f.core.Next()-time.Since(f.origin)))
 }
@@ -38,12 +38,12 @@
 	case Transmit:
 		f.transmit(a)
 	case SuspensionsChanged:
-		if f.changed != nil {
-			f.changed(a.All)
+		if f.suspensionsChanged != nil {
+			f.suspensionsChanged(a.All)
 		}
 	case DrainingChanged:
-		if f.drains != nil {
-			f.drains(a.Updates)
+		if f.drainingChanged != nil {
+			f.drainingChanged(a.Updates)
 		}
 	case Avoid:
 		f.avoidedNodes.Store(int64(len(a.Nodes)))
--- a/internal/sidecar/fleet/core.go
+++ b/internal/sidecar/fleet/core.go
@@ -159,7 +159,7 @@
 	case SetLimits:
 		c.holder.SetLimits(event.Limits)
 		c.granter.SetLimits(event.Limits)
-		c.changeShares()
+		c.reportSharesChanged()
 	case Leave:
 		c.handleMember(c.member.Step(now, member.Leave{}))
 	case PushRules:
--- a/internal/sidecar/fleet/corequota.go
+++ b/internal/sidecar/fleet/corequota.go
@@ -62,12 +62,12 @@
 // applyGrant takes in a grant for this member.
 func (c *Core) applyGrant(g quota.Grant) {
 	if c.holder.ReceiveGrant(c.now, g) {
-		c.changeShares()
+		c.reportSharesChanged()
 	}
 }
 
-// changeShares tells the caller that this member's shares may have changed.
-func (c *Core) changeShares() {
+// reportSharesChanged tells the caller that this member's shares may have changed.
+func (c *Core) reportSharesChanged() {
 	c.sharesChanged = true
 	c.out = append(c.out, QuotaSharesChanged{})
 }
--- a/internal/sidecar/fleet/fleet.go
+++ b/internal/sidecar/fleet/fleet.go
@@ -58,10 +58,10 @@
 	refusedPeers map[string]bool // senders that were refused, each of which is logged once
 
 	// The callbacks of Options, called on the actor. They may be nil.
-	changed func(all []verdict.Statement)
-	avoid   func(nodes []string)
-	drains  func(updates []verdict.Statement)
-	allot   func(tenant string, rate float64)
+	suspensionsChanged func(all []verdict.Statement)
+	avoid              func(nodes []string)
+	drainingChanged    func(updates []verdict.Statement)
+	allotmentChanged   func(tenant string, rate float64)
 }
 
 // Options are what a Fleet is started with.
@@ -75,7 +75,7 @@
 		return nil, fmt.Errorf("fleet.name: %w", err)
 	}
 	f := &Fleet{log: log, box: mailbox.New(), done: make(chan struct{}), settings: set, origin: time.Now(),
-		refusedPeers: make(map[string]bool), changed: opts.SuspensionsChanged, avoid: opts.Avoid, drains: opts.DrainingChanged, allot: opts.AllotmentChanged}
+		refusedPeers: make(map[string]bool), suspensionsChanged: opts.SuspensionsChanged, avoid: opts.Avoid, drainingChanged: opts.DrainingChanged, allotmentChanged: opts.AllotmentChanged}
 	f.observations.origin = f.origin
 	f.limits.origin = f.origin
 	f.limits.tenants = opts.Tenants
--- a/internal/sidecar/fleet/limitgates.go
+++ b/internal/sidecar/fleet/limitgates.go
@@ -18,9 +18,9 @@
 	return l.passGates(gates, func(g *limitGate) bool { return g.Applies(class, tenant) }, again, 1, ends)
 }
 
-// claim admits an attempt at an execute node under all limits that it counts for, or under none. Of the limit of a node that is
+// admitAttempt admits an attempt at an execute node under all limits that it counts for, or under none. Of the limit of a node that is
 // warming up, the fraction warm may be used. Nodes that are not listed have no limits of their own. See Fleet.Claim.
-func (l *limits) claim(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
+func (l *limits) admitAttempt(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.attemptGates)+len(l.nodeGates) == 0 {
@@ -87,19 +87,19 @@
 // unlimitedLease is an expiry from which on a share is no lease.
 const unlimitedLease = time.Duration(1 << 62)
 
-// lines returns a line for each limit: its name, this member's share, until when, the fallback after that, and the counts.
-func (l *limits) lines() (lines []string) {
+// statusLines returns a line for each limit: its name, this member's share, until when, the fallback after that, and the counts.
+func (l *limits) statusLines() (lines []string) {
 	now := time.Since(l.origin)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, g := range l.gates {
-		lines = append(lines, g.line(now))
+		lines = append(lines, g.statusLine(now))
 	}
 	return lines
 }
 
-// line is the line of a limit.
-func (g *limitGate) line(now time.Duration) string {
+// statusLine is the statusLine of a limit.
+func (g *limitGate) statusLine(now time.Duration) string {
 	limit := g.Limit()
 	if !g.Leased() {
 		kind := "again_pct"
--- a/internal/sidecar/fleet/limits_test.go
+++ b/internal/sidecar/fleet/limits_test.go
@@ -12,8 +12,8 @@
 	"fieldrelay/internal/sidecar/verdict"
 )
 
-// holds gives all of each limit to the gates, for an hour.
-func holds(l *limits) {
+// grantAll gives all of each limit to the gates, for an hour.
+func grantAll(l *limits) {
 	for _, g := range l.gates {
 		g.gate.SetShare(time.Since(l.origin), g.Limit().Total, 0, time.Hour)
 	}
@@ -29,7 +29,7 @@
 	if len(leased) != 2 {
 		t.Fatalf("%v are leased", leased)
 	}
-	holds(l)
+	grantAll(l)
 	ends := time.Now().Add(time.Second)
 	take := func(class, tenant string, again, want bool) func() {
 		t.Helper()
@@ -58,7 +58,7 @@
 	}
 	take("pay", "", false, true) // the one request that a gate begins with
 	take("pay", "", false, false)
-	if lines := l.lines(); len(lines) != 2 {
+	if lines := l.statusLines(); len(lines) != 2 {
 		t.Error(lines)
 	}
 }
@@ -129,11 +129,11 @@
 	if !changed || len(list) != 2 || list[0].Name != "each/a" {
 		t.Fatalf("%v", list)
 	}
-	holds(l)
+	grantAll(l)
 	ends := time.Now().Add(time.Second)
 	claim := func(node string, again, want bool) func() {
 		t.Helper()
-		done, ok := l.claim(node, "order", "", again, 1, ends)
+		done, ok := l.admitAttempt(node, "order", "", again, 1, ends)
 		if ok != want {
 			t.Errorf("%s, again %v: %v", node, again, ok)
 		}
--- a/internal/sidecar/fleet/manage.go
+++ b/internal/sidecar/fleet/manage.go
@@ -70,7 +70,7 @@
 }
 
 // Quotas returns a line for each limit of the fleet.
-func (f *Fleet) Quotas() []string { return f.limits.lines() }
+func (f *Fleet) Quotas() []string { return f.limits.statusLines() }
 
 // Verdicts returns a line for each execute node that some member rates bad, or that is or was under verdict.
 func (f *Fleet) Verdicts() (lines []string, err error) {
--- a/internal/sidecar/fleet/traffic.go
+++ b/internal/sidecar/fleet/traffic.go
@@ -20,13 +20,13 @@
 // AdmitAttempt admits an attempt at an execute node under the limits of the fleet, or not. warm is the fraction of its capacity that
 // the node has while it warms up. done, if it is not nil, must be called once when the attempt has ended.
 func (f *Fleet) AdmitAttempt(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
-	return f.limits.claim(node, class, tenant, again, warm, ends)
+	return f.limits.admitAttempt(node, class, tenant, again, warm, ends)
 }
 
 // SetDraining takes in that this sidecar's list has a process of an execute node, by its start, as draining or gone, or no longer so.
-func (f *Fleet) SetDraining(node string, since time.Duration, drains bool) {
+func (f *Fleet) SetDraining(node string, since time.Duration, draining bool) {
 	if f.observations.enabled {
-		f.box.Put(func() { f.step(SetDraining{Node: node, Since: since, Draining: drains}) })
+		f.box.Put(func() { f.step(SetDraining{Node: node, Since: since, Draining: draining}) })
 	}
 }
 
