--- a/internal/sidecar/daemon/state.go
+++ b/internal/sidecar/daemon/state.go
@@ -30,7 +30,7 @@
 // newStoredState returns the state in a folder of the sidecar of a name.
 func newStoredState(dir, name string) *storedState {
 	path := filepath.Join(dir, "fieldrelay-"+filepath.Base(name))
-	return &storedState{options: store.Options{Path: path + ".kept", Owner: name, Most: maxStoredBytes, Wait: storeLockTimeout},
+	return &storedState{options: store.Options{Path: path + ".kept", Owner: name, MaxBytes: maxStoredBytes, LockTimeout: storeLockTimeout},
 		legacyFiles: map[string]string{keySuspended: path + ".suspended.json", keyFleetStatements: path + ".fleet.json"}}
 }
 
@@ -40,15 +40,15 @@
 	if _, err := os.Stat(k.options.Path); err == nil {
 		var text []byte
 		ok := false
-		found, err := store.Edit(store.Disk{}, k.options, func(s store.Store) error {
+		found, err := store.Edit(store.OSFileSystem{}, k.options, func(s store.Store) error {
 			text, ok = s.Get(key)
 			return nil
 		})
 		switch {
 		case err != nil:
 			return err
-		case found.Why != "":
-			return errors.New(found.Why)
+		case found.Warning != "":
+			return errors.New(found.Warning)
 		case ok:
 			return unmarshal(k.options.Path, text, v)
 		}
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = store.Edit(store.Disk{}, k.options, func(s store.Store) error {
+	_, err = store.Edit(store.OSFileSystem{}, k.options, func(s store.Store) error {
 		if was, ok := s.Get(key); ok && string(was) == string(text) {
 			return nil
 		}
--- a/internal/sidecar/fleet/rules.go
+++ b/internal/sidecar/fleet/rules.go
@@ -54,16 +54,16 @@
 	if set.State == "" {
 		return push, nil
 	}
-	r.storeOptions = store.Options{Path: filepath.Join(set.State, editionFile), Owner: set.Fleet + "/" + set.Name, Most: maxEditionBytes, Wait: editionOpenTimeout}
-	found, err := store.Edit(store.Disk{}, r.storeOptions, func(s store.Store) error {
+	r.storeOptions = store.Options{Path: filepath.Join(set.State, editionFile), Owner: set.Fleet + "/" + set.Name, MaxBytes: maxEditionBytes, LockTimeout: editionOpenTimeout}
+	found, err := store.Edit(store.OSFileSystem{}, r.storeOptions, func(s store.Store) error {
 		if text, ok := s.Get(editionKey); ok {
 			return cbor.Unmarshal(text, &cfg.Rules.Stored)
 		}
 		return nil
 	})
-	if err != nil || found.Why != "" {
+	if err != nil || found.Warning != "" {
 		cfg.Rules.Stored = rules.Edition{}
-		log.Warn().Err(err).Str("reason", found.Why).Msg("stored edition of rules not used")
+		log.Warn().Err(err).Str("reason", found.Warning).Msg("stored edition of rules not used")
 	}
 	return push, nil
 }
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = store.Edit(store.Disk{}, r.storeOptions, func(s store.Store) error {
+	_, err = store.Edit(store.OSFileSystem{}, r.storeOptions, func(s store.Store) error {
 		if was, ok := s.Get(editionKey); ok && bytes.Equal(was, text) {
 			return nil
 		}
--- a/internal/sidecar/fleet/voterstore.go
+++ b/internal/sidecar/fleet/voterstore.go
@@ -31,7 +31,7 @@
 // openVoterStore opens the state of a member of a fleet and reads it. A store of another member stays as it is. unusable says,
 // as a line for the log, why there is a state that cannot be used; empty: there is none.
 func openVoterStore(folder, fleet, name string) (opened *voterStore, stored *view.StoredState, unusable string, err error) {
-	s, found, err := bolt.Open(store.Options{Path: filepath.Join(folder, voterFile), Owner: fleet + "/" + name, Most: maxVoterBytes, Wait: storeOpenTimeout}, upgradeVoterStore)
+	s, found, err := bolt.Open(store.Options{Path: filepath.Join(folder, voterFile), Owner: fleet + "/" + name, MaxBytes: maxVoterBytes, LockTimeout: storeOpenTimeout}, upgradeVoterStore)
 	if err != nil {
 		return nil, nil, "", err
 	}
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, nil, "", errors.Join(err, s.Close())
 	}
-	return opened, stored, found.Why, nil
+	return opened, stored, found.Warning, nil
 }
 
 // upgradeVoterStore takes over the two buckets in which earlier versions of this program stored the state.
--- a/internal/sidecar/store/bolt/bolt.go
+++ b/internal/sidecar/store/bolt/bolt.go
@@ -37,23 +37,23 @@
 
 // Open opens a store. upgrade, if it is not nil, is called once with a file that an earlier program wrote in a form of
 // its own, to say what of it goes on.
-func Open(o store.Options, upgrade func(tx *bbolt.Tx, b *store.Batch) error) (*Store, store.Found, error) {
+func Open(o store.Options, upgrade func(tx *bbolt.Tx, b *store.Batch) error) (*Store, store.OpenResult, error) {
 	path := o.Path
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
-		return nil, store.Found{}, err
+		return nil, store.OpenResult{}, err
 	}
-	s := &Store{most: o.Most}
+	s := &Store{most: o.MaxBytes}
 	found, err := s.open(o, upgrade)
-	if !errors.Is(err, store.ErrForm) {
+	if !errors.Is(err, store.ErrCorrupt) {
 		return s, found, err
 	}
 	why := err.Error()
 	if err := os.Rename(path, path+store.BadSuffix); err != nil {
-		return nil, store.Found{}, err
+		return nil, store.OpenResult{}, err
 	}
-	s = &Store{most: o.Most}
+	s = &Store{most: o.MaxBytes}
 	_, err = s.open(o, upgrade)
-	return s, store.Found{Blank: true, Why: path + ": " + why + "; it is set aside as " + filepath.Base(path) + store.BadSuffix + " and nothing of it is used"}, err
+	return s, store.OpenResult{Empty: true, Warning: path + ": " + why + "; it is set aside as " + filepath.Base(path) + store.BadSuffix + " and nothing of it is used"}, err
 }
 
 // content is what a file was found to hold.
@@ -65,11 +65,11 @@
 }
 
 // open opens and looks through the whole file: what is torn shows here and not in the middle of an election.
-func (s *Store) open(o store.Options, upgrade func(*bbolt.Tx, *store.Batch) error) (found store.Found, err error) {
+func (s *Store) open(o store.Options, upgrade func(*bbolt.Tx, *store.Batch) error) (found store.OpenResult, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a file cut short is a fault of the memory that maps it
 	defer func() {
 		if fault := recover(); fault != nil {
-			err = fmt.Errorf("%w: %v", store.ErrForm, fault)
+			err = fmt.Errorf("%w: %v", store.ErrCorrupt, fault)
 		}
 		if err != nil && s.db != nil {
 			s.closeTorn()
@@ -83,7 +83,7 @@
 		read, err = readAll(tx, o)
 		return err
 	})
-	found.Blank = read.blank
+	found.Empty = read.blank
 	s.size += read.size
 	if err != nil || read.begun {
 		return found, err
@@ -94,30 +94,30 @@
 // openDatabase opens the file, and says of each way to fail what it means for the store.
 func openDatabase(o store.Options) (*bbolt.DB, error) {
 	if info, err := os.Stat(o.Path); err == nil && info.Size() == 0 {
-		return nil, fmt.Errorf("%w: it is empty", store.ErrForm)
+		return nil, fmt.Errorf("%w: it is empty", store.ErrCorrupt)
 	}
-	db, err := bbolt.Open(o.Path, 0o600, &bbolt.Options{Timeout: max(o.Wait, time.Millisecond)})
+	db, err := bbolt.Open(o.Path, 0o600, &bbolt.Options{Timeout: max(o.LockTimeout, time.Millisecond)})
 	switch {
 	case err == nil:
 		return db, nil
 	case errors.Is(err, bbolterrors.ErrTimeout):
 		return nil, fmt.Errorf("%s: %w", o.Path, store.ErrBusy)
 	case errors.Is(err, bbolterrors.ErrInvalid), errors.Is(err, bbolterrors.ErrChecksum), errors.Is(err, bbolterrors.ErrVersionMismatch):
-		return nil, fmt.Errorf("%w: %w", store.ErrForm, err)
+		return nil, fmt.Errorf("%w: %w", store.ErrCorrupt, err)
 	case errors.Is(err, os.ErrPermission):
 		return nil, err
 	default: // shorter than a page, or a folder
 		if info, err2 := os.Stat(o.Path); err2 != nil || info.IsDir() {
 			return nil, err
 		}
-		return nil, fmt.Errorf("%w: %w", store.ErrForm, err)
+		return nil, fmt.Errorf("%w: %w", store.ErrCorrupt, err)
 	}
 }
 
 // readAll looks through the whole file.
 func readAll(tx *bbolt.Tx, o store.Options) (read content, err error) {
 	for fault := range tx.Check() {
-		return read, fmt.Errorf("%w: %w", store.ErrForm, fault)
+		return read, fmt.Errorf("%w: %w", store.ErrCorrupt, fault)
 	}
 	meta := tx.Bucket(boltMeta)
 	if meta == nil {
@@ -133,20 +133,20 @@
 		read.earlier = true
 		return read, nil
 	case len(format) != 8:
-		return read, fmt.Errorf("%w: its format has no form", store.ErrForm)
+		return read, fmt.Errorf("%w: its format has no form", store.ErrCorrupt)
 	case binary.BigEndian.Uint64(format) > store.Format:
-		return read, fmt.Errorf("%s: %w: %d, this program reads up to %d", o.Path, store.ErrLater, binary.BigEndian.Uint64(format), store.Format)
+		return read, fmt.Errorf("%s: %w: %d, this program reads up to %d", o.Path, store.ErrNewerFormat, binary.BigEndian.Uint64(format), store.Format)
 	}
 	values := tx.Bucket(boltValues)
 	if values == nil {
-		return read, fmt.Errorf("%w: no values", store.ErrForm)
+		return read, fmt.Errorf("%w: no values", store.ErrCorrupt)
 	}
 	read.blank, read.begun = true, true
 	err = values.ForEach(func(k, v []byte) error {
 		read.blank = false
 		value, ok := checked(k, v)
 		if !ok {
-			return fmt.Errorf("%w: the value of %q does not fit its sum", store.ErrForm, k)
+			return fmt.Errorf("%w: the value of %q does not fit its sum", store.ErrCorrupt, k)
 		}
 		read.size += len(k) + len(value)
 		return nil
@@ -155,11 +155,11 @@
 }
 
 // begin gives the file its form, with the values of an earlier one.
-func (s *Store) begin(owner string, earlier bool, upgrade func(*bbolt.Tx, *store.Batch) error) (found store.Found, err error) {
+func (s *Store) begin(owner string, earlier bool, upgrade func(*bbolt.Tx, *store.Batch) error) (found store.OpenResult, err error) {
 	var b store.Batch
 	if earlier && upgrade != nil {
 		if err := s.db.View(func(tx *bbolt.Tx) error { return upgrade(tx, &b) }); err != nil {
-			return found, fmt.Errorf("%w: %w", store.ErrForm, err)
+			return found, fmt.Errorf("%w: %w", store.ErrCorrupt, err)
 		}
 	}
 	err = s.db.Update(func(tx *bbolt.Tx) error {
@@ -170,9 +170,9 @@
 		_, err = tx.CreateBucketIfNotExists(boltValues)
 		return errors.Join(err, meta.Put([]byte("owner"), []byte(owner)), meta.Put([]byte("format"), binary.BigEndian.AppendUint64(nil, store.Format)))
 	})
-	found.Blank = true
+	found.Empty = true
 	if err == nil && !b.Empty() {
-		found.Blank, err = false, s.Commit(&b)
+		found.Empty, err = false, s.Commit(&b)
 	}
 	return found, err
 }
@@ -227,7 +227,7 @@
 // Commit writes a batch and has it synced.
 func (s *Store) Commit(b *store.Batch) error {
 	if s.broken {
-		return store.ErrBroken
+		return store.ErrFailed
 	}
 	ops, err := b.Ops()
 	if err != nil {
--- a/internal/sidecar/store/bolt/bolt_test.go
+++ b/internal/sidecar/store/bolt/bolt_test.go
@@ -17,14 +17,14 @@
 const most = 4 << 10
 
 func options(path, owner string) store.Options {
-	return store.Options{Path: path, Owner: owner, Most: most}
+	return store.Options{Path: path, Owner: owner, MaxBytes: most}
 }
 
 // A process that dies in the middle of a batch leaves what a copy taken meanwhile shows.
 func TestBolt(t *testing.T) {
 	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: most, Begin: func(t contract.T, seed uint64) contract.StorePlace {
 		path := filepath.Join(t.TempDir(), "kept.db")
-		p := contract.DiskPlace(path, seed, func(owner string) (store.Store, store.Found, error) {
+		p := contract.DiskPlace(path, seed, func(owner string) (store.Store, store.OpenResult, error) {
 			return bolt.Open(options(path, owner), nil)
 		})
 		p.Later = func() {
@@ -60,7 +60,7 @@
 			b.Put("hard", tx.Bucket([]byte("meta")).Get([]byte("hard")))
 			return nil
 		})
-		if err != nil || found.Blank || found.Why != "" {
+		if err != nil || found.Empty || found.Warning != "" {
 			t.Fatal(found, err)
 		}
 		if v, ok := s.Get("hard"); !ok || string(v) != "h" {
--- a/internal/sidecar/store/bolt/golden_test.go
+++ b/internal/sidecar/store/bolt/golden_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	opened, found, err := bolt.Open(options(path, goldenOwner), nil)
 	require.NoError(t, err)
-	require.True(t, found.Blank)
+	require.True(t, found.Empty)
 	var first, second store.Batch
 	for _, key := range []string{"entry/0000000000000001", "entry/0000000000000009", "entry/000000000000000b", "gone"} {
 		first.Put(key, []byte("early"))
@@ -79,8 +79,8 @@
 	require.ErrorIs(t, err, store.ErrOwner)
 	opened, found, err := bolt.Open(options(path, goldenOwner), nil)
 	require.NoError(t, err)
-	require.False(t, found.Blank)
-	require.Empty(t, found.Why)
+	require.False(t, found.Empty)
+	require.Empty(t, found.Warning)
 	held := make(map[string]string)
 	require.NoError(t, opened.Each("", func(key string, value []byte) error {
 		held[key] = string(value)
--- a/internal/sidecar/store/file.go
+++ b/internal/sidecar/store/file.go
@@ -16,7 +16,7 @@
 // second one that says how far it had come, so that an older copy put back in its place is known for one.
 type File struct {
 	Memory
-	layer  Layer
+	layer  FileSystem
 	path   string
 	head   head
 	unlock func() error
@@ -46,15 +46,15 @@
 )
 
 // OpenFile opens a store.
-func OpenFile(layer Layer, o Options) (*File, Found, error) {
+func OpenFile(layer FileSystem, o Options) (*File, OpenResult, error) {
 	if err := layer.MakeDir(filepath.Dir(o.Path)); err != nil {
-		return nil, Found{}, err
+		return nil, OpenResult{}, err
 	}
-	unlock, err := lock(layer, o.Path+lockName, o.Wait)
+	unlock, err := lock(layer, o.Path+lockName, o.LockTimeout)
 	if err != nil {
-		return nil, Found{}, err
+		return nil, OpenResult{}, err
 	}
-	f := &File{Memory: *NewMemory(o.Most), layer: layer, path: o.Path, head: head{Format: Format, Owner: o.Owner}, unlock: unlock}
+	f := &File{Memory: *NewMemory(o.MaxBytes), layer: layer, path: o.Path, head: head{Format: Format, Owner: o.Owner}, unlock: unlock}
 	found, err := f.read()
 	if err != nil {
 		return nil, found, errors.Join(err, unlock())
@@ -63,7 +63,7 @@
 }
 
 // lock waits a little for a process that ends.
-func lock(layer Layer, path string, wait time.Duration) (func() error, error) {
+func lock(layer FileSystem, path string, wait time.Duration) (func() error, error) {
 	for end := time.Now().Add(wait); ; <-time.After(busyPace) {
 		unlock, err := layer.Lock(path)
 		if !errors.Is(err, ErrBusy) || !time.Now().Before(end) {
@@ -73,7 +73,7 @@
 }
 
 // Edit opens a plain file for as long as do takes: for what several processes of a sidecar change in turn.
-func Edit(layer Layer, o Options, do func(s Store) error) (Found, error) {
+func Edit(layer FileSystem, o Options, do func(s Store) error) (OpenResult, error) {
 	f, found, err := OpenFile(layer, o)
 	if err != nil {
 		return found, err
@@ -81,46 +81,46 @@
 	return found, errors.Join(do(f), f.Close())
 }
 
-func (f *File) read() (Found, error) {
+func (f *File) read() (OpenResult, error) {
 	far, farErr := f.readHead(f.path+farSuffix, overhead)
 	h, err := f.readHead(f.path, overhead+perByte*f.most)
 	switch {
 	case errors.Is(err, fs.ErrNotExist) && (farErr != nil || far.Owner != f.head.Owner || far.Serial == 0):
-		return Found{Blank: true}, nil
+		return OpenResult{Empty: true}, nil
 	case errors.Is(err, fs.ErrNotExist):
 		f.head.Serial = far.Serial
-		return Found{Blank: true, Why: fmt.Sprintf("%s: gone, though it had come to change %d; nothing of it is known", f.path, far.Serial)}, nil
-	case errors.Is(err, ErrLater):
-		return Found{}, fmt.Errorf("%s: %w", f.path, err)
-	case errors.Is(err, ErrForm):
+		return OpenResult{Empty: true, Warning: fmt.Sprintf("%s: gone, though it had come to change %d; nothing of it is known", f.path, far.Serial)}, nil
+	case errors.Is(err, ErrNewerFormat):
+		return OpenResult{}, fmt.Errorf("%s: %w", f.path, err)
+	case errors.Is(err, ErrCorrupt):
 		return f.setAside(far, fmt.Sprintf("%s: %v", f.path, err))
 	case err != nil:
-		return Found{}, err
+		return OpenResult{}, err
 	case h.Owner != f.head.Owner:
-		return Found{}, fmt.Errorf("%s: %w: %q, not %q", f.path, ErrOwner, h.Owner, f.head.Owner)
+		return OpenResult{}, fmt.Errorf("%s: %w: %q, not %q", f.path, ErrOwner, h.Owner, f.head.Owner)
 	case farErr == nil && far.Owner == h.Owner && far.Serial > h.Serial:
 		return f.setAside(far, fmt.Sprintf("%s: an older copy was put back, of change %d where %d was reached", f.path, h.Serial, far.Serial))
 	}
 	// What a process that died had not synced must not be read now and gone after the next crash.
 	if err := errors.Join(f.layer.Sync(f.path), f.layer.SyncDir(filepath.Dir(f.path))); err != nil {
-		return Found{}, err
+		return OpenResult{}, err
 	}
 	f.head.Serial = h.Serial
 	for k, v := range h.Values {
 		f.values[k] = v
 	}
-	return Found{Blank: len(h.Values) == 0}, nil
+	return OpenResult{Empty: len(h.Values) == 0}, nil
 }
 
 // setAside moves away what cannot be used. The count goes on, so that what was set aside never passes for newer.
-func (f *File) setAside(far head, why string) (Found, error) {
+func (f *File) setAside(far head, why string) (OpenResult, error) {
 	if far.Owner == f.head.Owner {
 		f.head.Serial = far.Serial
 	}
 	if err := f.layer.Rename(f.path, f.path+BadSuffix); err != nil {
-		return Found{}, err
+		return OpenResult{}, err
 	}
-	return Found{Blank: true, Why: why + "; it is set aside as " + filepath.Base(f.path) + BadSuffix + " and nothing of it is used"}, nil
+	return OpenResult{Empty: true, Warning: why + "; it is set aside as " + filepath.Base(f.path) + BadSuffix + " and nothing of it is used"}, nil
 }
 
 func (f *File) readHead(path string, most int) (h head, err error) {
@@ -129,20 +129,20 @@
 		return h, err
 	}
 	if len(text) > most {
-		return h, fmt.Errorf("%w: more than %d bytes", ErrForm, most)
+		return h, fmt.Errorf("%w: more than %d bytes", ErrCorrupt, most)
 	}
 	body, ok := bytes.CutPrefix(text, []byte(magic))
 	if !ok || len(body) < sumBytes {
-		return h, fmt.Errorf("%w: it does not begin as one", ErrForm)
+		return h, fmt.Errorf("%w: it does not begin as one", ErrCorrupt)
 	}
 	if sum(body[sumBytes:]) != [sumBytes]byte(body[:sumBytes]) {
-		return h, fmt.Errorf("%w: its sum does not fit", ErrForm)
+		return h, fmt.Errorf("%w: its sum does not fit", ErrCorrupt)
 	}
 	if err := json.Unmarshal(body[sumBytes:], &h); err != nil {
-		return h, fmt.Errorf("%w: %w", ErrForm, err)
+		return h, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if h.Format > Format {
-		return h, fmt.Errorf("%w: %d, this program reads up to %d", ErrLater, h.Format, Format)
+		return h, fmt.Errorf("%w: %d, this program reads up to %d", ErrNewerFormat, h.Format, Format)
 	}
 	return h, nil
 }
@@ -167,7 +167,7 @@
 // Commit writes a batch. The file is whole at each moment; the word on how far it had come follows it.
 func (f *File) Commit(b *Batch) error {
 	if f.broken {
-		return ErrBroken
+		return ErrFailed
 	}
 	next, err := f.with(b)
 	if err != nil {
@@ -217,8 +217,8 @@
 	return unlock()
 }
 
-// Reformat gives the text of a plain file the number of another format: what a later program would write, for tests.
-func Reformat(text []byte, format int) []byte {
+// WithFormat gives the text of a plain file the number of another format: what a later program would write, for tests.
+func WithFormat(text []byte, format int) []byte {
 	var h head
 	if len(text) < len(magic)+sumBytes || json.Unmarshal(text[len(magic)+sumBytes:], &h) != nil {
 		return text
--- a/internal/sidecar/store/layer.go
+++ b/internal/sidecar/store/layer.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Layer is the files under a File. The contract puts one in that tears, cuts and fills up.
-type Layer interface {
+// FileSystem is the files under a File. The contract puts one in that tears, cuts and fills up.
+type FileSystem interface {
 	// MakeDir makes a folder, and those above it, if it is not there.
 	MakeDir(dir string) error
 	// ReadFile reads a file, most bytes of it at the most.
@@ -26,14 +26,14 @@
 	Lock(path string) (unlock func() error, err error)
 }
 
-// Disk is the system's files.
-type Disk struct{}
+// OSFileSystem is the system's files.
+type OSFileSystem struct{}
 
 // MakeDir makes a folder, if it is not there.
-func (Disk) MakeDir(dir string) error { return os.MkdirAll(dir, 0o700) }
+func (OSFileSystem) MakeDir(dir string) error { return os.MkdirAll(dir, 0o700) }
 
 // ReadFile reads a file.
-func (Disk) ReadFile(path string, most int) ([]byte, error) {
+func (OSFileSystem) ReadFile(path string, most int) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -43,10 +43,10 @@
 }
 
 // WriteFile writes a file.
-func (Disk) WriteFile(path string, text []byte) error { return os.WriteFile(path, text, 0o600) }
+func (OSFileSystem) WriteFile(path string, text []byte) error { return os.WriteFile(path, text, 0o600) }
 
 // Sync has a file kept.
-func (Disk) Sync(path string) error {
+func (OSFileSystem) Sync(path string) error {
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
 		return err
@@ -55,10 +55,10 @@
 }
 
 // Rename renames a file, over one that is there.
-func (Disk) Rename(from, to string) error { return os.Rename(from, to) }
+func (OSFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // SyncDir has the names of a folder kept.
-func (Disk) SyncDir(dir string) error {
+func (OSFileSystem) SyncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 }
 
 // Lock locks a file.
-func (Disk) Lock(path string) (func() error, error) {
+func (OSFileSystem) Lock(path string) (func() error, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
--- a/internal/sidecar/store/store.go
+++ b/internal/sidecar/store/store.go
@@ -24,28 +24,28 @@
 	Close() error
 }
 
-// Found is what was there when a store was opened.
-type Found struct {
-	// Blank tells that nothing was there, or nothing that can be used.
-	Blank bool
-	// Why is a line for the operator where something was there and is not used; it has been set aside. Empty: all is well.
-	Why string
+// OpenResult is what was there when a store was opened.
+type OpenResult struct {
+	// Empty tells that nothing was there, or nothing that can be used.
+	Empty bool
+	// Warning is a line for the operator where something was there and is not used; it has been set aside. Empty: all is well.
+	Warning string
 }
 
 // What keeps a store from being opened or from taking a batch.
 var (
 	// ErrBusy is that another process has the store open.
 	ErrBusy = errors.New("store: in use by another process")
-	// ErrLater is that a later version of the program wrote it. It is not touched.
-	ErrLater = errors.New("store: of a later format")
+	// ErrNewerFormat is that a later version of the program wrote it. It is not touched.
+	ErrNewerFormat = errors.New("store: of a later format")
 	// ErrOwner is that it belongs to somebody else. It is not touched.
 	ErrOwner = errors.New("store: of another owner")
 	// ErrFull is that a batch would make the store larger than it may be. Nothing of it was done.
 	ErrFull = errors.New("store: full")
-	// ErrForm is that what is there is no whole store. Who opens one sets such a thing aside and tells it in Found.
-	ErrForm = errors.New("not a whole store")
-	// ErrBroken is that an earlier batch failed.
-	ErrBroken = errors.New("store: broken by an earlier failure")
+	// ErrCorrupt is that what is there is no whole store. Who opens one sets such a thing aside and tells it in Found.
+	ErrCorrupt = errors.New("not a whole store")
+	// ErrFailed is that an earlier batch failed.
+	ErrFailed = errors.New("store: broken by an earlier failure")
 )
 
 // Format is the form in which stores are written. A store of a higher one is refused.
@@ -53,16 +53,16 @@
 
 // Bounds.
 const (
-	MostKey  = 256 // bytes of a key
-	busyPace = 20 * time.Millisecond
+	MaxKeyBytes = 256 // bytes of a key
+	busyPace    = 20 * time.Millisecond
 )
 
 // Options are what a store is opened with.
 type Options struct {
-	Path  string
-	Owner string        // whose it is, up to 200 bytes; somebody else's is not touched
-	Most  int           // bytes of keys and values that it takes
-	Wait  time.Duration // for a process that ends and still has it; 0: none
+	Path        string
+	Owner       string        // whose it is, up to 200 bytes; somebody else's is not touched
+	MaxBytes    int           // bytes of keys and values that it takes
+	LockTimeout time.Duration // for a process that ends and still has it; 0: none
 }
 
 // Batch is a set of changes. The zero Batch changes nothing.
@@ -98,8 +98,8 @@
 // Ops are the changes, in their order. A key that no store takes is the error.
 func (b *Batch) Ops() ([]Op, error) {
 	for _, o := range b.ops {
-		if o.Key == "" || len(o.Key) > MostKey || len(o.To) > MostKey {
-			return nil, fmt.Errorf("store: a key of %d bytes, 1 to %d are taken", len(o.Key), MostKey)
+		if o.Key == "" || len(o.Key) > MaxKeyBytes || len(o.To) > MaxKeyBytes {
+			return nil, fmt.Errorf("store: a key of %d bytes, 1 to %d are taken", len(o.Key), MaxKeyBytes)
 		}
 	}
 	return b.ops, nil
--- a/internal/sidecar/store/store_test.go
+++ b/internal/sidecar/store/store_test.go
@@ -12,13 +12,13 @@
 const most = 4 << 10
 
 func options(path, owner string) store.Options {
-	return store.Options{Path: path, Owner: owner, Most: most}
+	return store.Options{Path: path, Owner: owner, MaxBytes: most}
 }
 
 func TestMemory(t *testing.T) {
 	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: most, Begin: func(contract.T, uint64) contract.StorePlace {
-		return contract.StorePlace{Open: func(string) (store.Store, store.Found, error) {
-			return store.NewMemory(most), store.Found{Blank: true}, nil
+		return contract.StorePlace{Open: func(string) (store.Store, store.OpenResult, error) {
+			return store.NewMemory(most), store.OpenResult{Empty: true}, nil
 		}}
 	}})
 }
@@ -26,21 +26,21 @@
 // The plain file, on a disk that tears what was not synced.
 func TestFile(t *testing.T) {
 	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: most, Begin: func(t contract.T, seed uint64) contract.StorePlace {
-		return contract.FilePlace(seed, func(l store.Layer, path, owner string) (store.Store, store.Found, error) {
+		return contract.FilePlace(seed, func(l store.FileSystem, path, owner string) (store.Store, store.OpenResult, error) {
 			return store.OpenFile(l, options(path, owner))
 		}, laterFile)
 	}})
 }
 
 // laterFile makes a text say that it is of the next format. The head's first pair is the format.
-func laterFile(text []byte) []byte { return store.Reformat(text, store.Format+1) }
+func laterFile(text []byte) []byte { return store.WithFormat(text, store.Format+1) }
 
 // On the system's files.
 func TestFileOnDisk(t *testing.T) {
 	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: most, Begin: func(t contract.T, seed uint64) contract.StorePlace {
 		path := filepath.Join(t.TempDir(), "kept")
-		p := contract.DiskPlace(path, seed, func(owner string) (store.Store, store.Found, error) {
-			return store.OpenFile(store.Disk{}, options(path, owner))
+		p := contract.DiskPlace(path, seed, func(owner string) (store.Store, store.OpenResult, error) {
+			return store.OpenFile(store.OSFileSystem{}, options(path, owner))
 		})
 		p.KnowsOldCopies, p.Kill = true, nil // its crashes are played on a Layer: it is two files
 		p.Later = func() { p.Spoil(laterFile) }
@@ -71,7 +71,7 @@
 	if err := put(make([]byte, 600)); err == nil || errors.Is(err, store.ErrFull) {
 		t.Errorf("written to a full disk: %v", err)
 	}
-	if err := put([]byte("2")); !errors.Is(err, store.ErrBroken) {
+	if err := put([]byte("2")); !errors.Is(err, store.ErrFailed) {
 		t.Errorf("went on after a failure: %v", err)
 	}
 	if err := f.Close(); err != nil {
--- a/internal/testkit/contract/broken_test.go
+++ b/internal/testkit/contract/broken_test.go
@@ -10,10 +10,10 @@
 )
 
 // broken wraps what a place opens.
-func broken(layer func(store.Layer) store.Layer, wrap func(store.Store) store.Store, redo func(l store.Layer, path string, err error) bool, owner string) StoreMaker {
+func broken(layer func(store.FileSystem) store.FileSystem, wrap func(store.Store) store.Store, redo func(l store.FileSystem, path string, err error) bool, owner string) StoreMaker {
 	const most = 4 << 10
 	return StoreMaker{Most: most, Begin: func(t T, seed uint64) StorePlace {
-		return FilePlace(seed, func(l store.Layer, path, who string) (store.Store, store.Found, error) {
+		return FilePlace(seed, func(l store.FileSystem, path, who string) (store.Store, store.OpenResult, error) {
 			under := l
 			if layer != nil {
 				l = layer(l)
@@ -21,9 +21,9 @@
 			if owner != "" {
 				who = owner
 			}
-			f, found, err := store.OpenFile(l, store.Options{Path: path, Owner: who, Most: most})
+			f, found, err := store.OpenFile(l, store.Options{Path: path, Owner: who, MaxBytes: most})
 			if err != nil && redo != nil && redo(under, path, err) {
-				f, found, err = store.OpenFile(l, store.Options{Path: path, Owner: who, Most: most})
+				f, found, err = store.OpenFile(l, store.Options{Path: path, Owner: who, MaxBytes: most})
 			}
 			if err != nil {
 				return nil, found, err
@@ -32,26 +32,26 @@
 				return wrap(f), found, nil
 			}
 			return f, found, nil
-		}, func(text []byte) []byte { return store.Reformat(text, store.Format+1) })
+		}, func(text []byte) []byte { return store.WithFormat(text, store.Format+1) })
 	}}
 }
 
-type unsynced struct{ store.Layer }
+type unsynced struct{ store.FileSystem }
 
 func (unsynced) Sync(string) error { return nil }
 
-type unlocked struct{ store.Layer }
+type unlocked struct{ store.FileSystem }
 
 func (unlocked) Lock(string) (func() error, error) { return func() error { return nil }, nil }
 
 // forgetful keeps no word on how far it had come.
-type forgetful struct{ store.Layer }
+type forgetful struct{ store.FileSystem }
 
 func (f forgetful) ReadFile(path string, most int) ([]byte, error) {
 	if strings.HasSuffix(path, ".far") {
 		return nil, fs.ErrNotExist
 	}
-	return f.Layer.ReadFile(path, most)
+	return f.FileSystem.ReadFile(path, most)
 }
 
 // trusting reads what is there as if it were whole: what is torn ends the process's start.
@@ -82,10 +82,10 @@
 	m.Begin = func(t T, seed uint64) StorePlace {
 		p := begin(t, seed)
 		open := p.Open
-		p.Open = func(owner string) (store.Store, store.Found, error) {
+		p.Open = func(owner string) (store.Store, store.OpenResult, error) {
 			s, found, err := open(owner)
-			if err == nil && found.Why != "" {
-				return nil, found, errors.Join(errors.New(found.Why), s.Close())
+			if err == nil && found.Warning != "" {
+				return nil, found, errors.Join(errors.New(found.Warning), s.Close())
 			}
 			return s, found, err
 		}
@@ -96,20 +96,20 @@
 
 // Each clause has a store that breaks it, and is the one that is named.
 func TestBrokenStoresAreNamed(t *testing.T) {
-	wipe := func(which error) func(l store.Layer, path string, err error) bool {
-		return func(l store.Layer, path string, err error) bool {
+	wipe := func(which error) func(l store.FileSystem, path string, err error) bool {
+		return func(l store.FileSystem, path string, err error) bool {
 			return errors.Is(err, which) && l.Rename(path, path+".gone") == nil
 		}
 	}
 	for want, m := range map[string]StoreMaker{
 		"a batch is done whole and in order":                         broken(nil, func(s store.Store) store.Store { return lossy{s} }, nil, ""),
 		"a batch over the bound is refused whole":                    broken(nil, func(s store.Store) store.Store { return halving{s} }, nil, ""),
-		"what was acknowledged is there after a crash":               broken(func(l store.Layer) store.Layer { return unsynced{l} }, nil, nil, ""),
+		"what was acknowledged is there after a crash":               broken(func(l store.FileSystem) store.FileSystem { return unsynced{l} }, nil, nil, ""),
 		"torn or foreign bytes are one clear line and a blank store": stubborn(),
-		"a later format is refused untouched":                        broken(nil, nil, wipe(store.ErrLater), ""),
+		"a later format is refused untouched":                        broken(nil, nil, wipe(store.ErrNewerFormat), ""),
 		"another owner's store is refused untouched":                 broken(nil, nil, nil, "anybody"),
-		"an older copy put back is recognised":                       broken(func(l store.Layer) store.Layer { return forgetful{l} }, nil, nil, ""),
-		"one process has it at a time":                               broken(func(l store.Layer) store.Layer { return unlocked{l} }, nil, nil, ""),
+		"an older copy put back is recognised":                       broken(func(l store.FileSystem) store.FileSystem { return forgetful{l} }, nil, nil, ""),
+		"one process has it at a time":                               broken(func(l store.FileSystem) store.FileSystem { return unlocked{l} }, nil, nil, ""),
 	} {
 		names := Broken(t, StoreClauses, m)
 		found := false
--- a/internal/testkit/contract/place.go
+++ b/internal/testkit/contract/place.go
@@ -11,12 +11,12 @@
 )
 
 // FilePlace is a place on a Layer, for a store in plain files. later makes a text say that it is of a later format.
-func FilePlace(seed uint64, open func(l store.Layer, path, owner string) (store.Store, store.Found, error), later func([]byte) []byte) StorePlace {
+func FilePlace(seed uint64, open func(l store.FileSystem, path, owner string) (store.Store, store.OpenResult, error), later func([]byte) []byte) StorePlace {
 	const path = "dir/kept"
 	l := NewLayer(seed)
 	rng := rand.New(rand.NewPCG(seed, 3))
 	p := StorePlace{
-		Open:           func(owner string) (store.Store, store.Found, error) { return open(l, path, owner) },
+		Open:           func(owner string) (store.Store, store.OpenResult, error) { return open(l, path, owner) },
 		Spoil:          func(change func([]byte) []byte) bool { return l.Spoil(path, change) },
 		Bytes:          func() []byte { return l.Text(path) },
 		Later:          func() { l.Spoil(path, later) },
@@ -28,7 +28,7 @@
 		if err == nil {
 			err = work(s)
 		}
-		if err != nil && !errors.Is(err, errKilled) && !errors.Is(err, store.ErrBroken) {
+		if err != nil && !errors.Is(err, errKilled) && !errors.Is(err, store.ErrFailed) {
 			return err
 		}
 		if rng.IntN(4) == 0 {
@@ -43,7 +43,7 @@
 
 // DiskPlace is a place at a path of the system's. Its processes die in the middle of a batch: what the next one finds is a
 // copy that was taken while that was written.
-func DiskPlace(path string, seed uint64, open func(owner string) (store.Store, store.Found, error)) StorePlace {
+func DiskPlace(path string, seed uint64, open func(owner string) (store.Store, store.OpenResult, error)) StorePlace {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	read := func() []byte {
 		b, err := os.ReadFile(path)
@@ -65,8 +65,8 @@
 			if err != nil {
 				return err
 			}
-			if found.Why != "" {
-				return errors.New("told: " + found.Why)
+			if found.Warning != "" {
+				return errors.New("told: " + found.Warning)
 			}
 			k := &dying{Store: s, left: rng.IntN(5), read: read, spins: rng.IntN(20_000)}
 			if err := work(k); err != nil && !errors.Is(err, errKilled) {
--- a/internal/testkit/contract/store.go
+++ b/internal/testkit/contract/store.go
@@ -20,7 +20,7 @@
 
 // StorePlace is where one store is, and what can be done to it.
 type StorePlace struct {
-	Open func(owner string) (store.Store, store.Found, error)
+	Open func(owner string) (store.Store, store.OpenResult, error)
 	// Kill ends the process that has it open at a point drawn by the place, and comes back once it is dead; work is what the
 	// process does meanwhile, to its end or to the first error. Afterwards the store can be opened again. nil: what is in it
 	// ends with the process, and the clauses on that do not apply.
@@ -55,8 +55,8 @@
 
 func open(p StorePlace) (store.Store, error) {
 	s, found, err := p.Open(storeOwner)
-	if err == nil && found.Why != "" {
-		err = errors.New("told: " + found.Why)
+	if err == nil && found.Warning != "" {
+		err = errors.New("told: " + found.Warning)
 	}
 	return s, err
 }
@@ -249,10 +249,10 @@
 		switch {
 		case err != nil:
 			err = fmt.Errorf("%s: %w", name, err)
-		case got == "a=quite-a-value b=quite-a-value c=quite-a-value " && found.Why == "": // nothing of it had been lost
+		case got == "a=quite-a-value b=quite-a-value c=quite-a-value " && found.Warning == "": // nothing of it had been lost
 		case got != "":
 			err = fmt.Errorf("%s: half a store: %q", name, got)
-		case !found.Blank || found.Why == "" || bytes.ContainsRune([]byte(found.Why), '\n'):
+		case !found.Empty || found.Warning == "" || bytes.ContainsRune([]byte(found.Warning), '\n'):
 			err = fmt.Errorf("%s: told %+v", name, found)
 		default:
 			err = put(s, "a", "new")
@@ -288,7 +288,7 @@
 		return err
 	}
 	p.Later()
-	return refused(p, storeOwner, store.ErrLater)
+	return refused(p, storeOwner, store.ErrNewerFormat)
 }
 
 func storeOwners(t T, m StoreMaker) error {
@@ -331,8 +331,8 @@
 		return err
 	}
 	defer func() { _ = s.Close() }() // Commit has kept what counts
-	if v, ok := s.Get("a"); ok || found.Why == "" {
-		return fmt.Errorf("the copy's %q was taken, told %q", v, found.Why)
+	if v, ok := s.Get("a"); ok || found.Warning == "" {
+		return fmt.Errorf("the copy's %q was taken, told %q", v, found.Warning)
 	}
 	return put(s, "a", "4")
 }
