--- a/internal/sidecar/store/bolt/bolt.go
+++ b/internal/sidecar/store/bolt/bolt.go
@@ -21,19 +21,19 @@
 
 // Store is an open file. It is a store.Store.
 type Store struct {
-	db     *bbolt.DB
-	most   int
-	size   int // of keys and values
-	broken bool
+	db       *bbolt.DB
+	maxBytes int
+	size     int // of keys and values
+	failed   bool
 }
 
 var (
-	boltValues = []byte("values")
-	boltMeta   = []byte("meta")
+	valuesBucket = []byte("values")
+	metaBucket   = []byte("meta")
 )
 
 // Each value is followed by a sum of it and its key: bbolt does not see a bit that flips in a value.
-const valueSum = 8
+const checksumBytes = 8
 
 // Open opens a store. upgrade, if it is not nil, is called once with a file that an earlier program wrote in a form of
 // its own, to say what of it goes on.
@@ -42,7 +42,7 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, store.OpenResult{}, err
 	}
-	s := &Store{most: o.MaxBytes}
+	s := &Store{maxBytes: o.MaxBytes}
 	found, err := s.open(o, upgrade)
 	if !errors.Is(err, store.ErrCorrupt) {
 		return s, found, err
@@ -51,17 +51,17 @@
 	if err := os.Rename(path, path+store.BadSuffix); err != nil {
 		return nil, store.OpenResult{}, err
 	}
-	s = &Store{most: o.MaxBytes}
+	s = &Store{maxBytes: o.MaxBytes}
 	_, err = s.open(o, upgrade)
 	return s, store.OpenResult{Empty: true, Warning: path + ": " + why + "; it is set aside as " + filepath.Base(path) + store.BadSuffix + " and nothing of it is used"}, err
 }
 
-// content is what a file was found to hold.
-type content struct {
-	blank   bool // no value
-	begun   bool // it has this program's form
-	earlier bool // it has values in an earlier form
-	size    int  // of keys and values
+// fileContent is what a file was found to hold.
+type fileContent struct {
+	empty       bool // no value
+	initialized bool // it has this program's form
+	legacy      bool // it has values in an earlier form
+	size        int  // of keys and values
 }
 
 // open opens and looks through the whole file: what is torn shows here and not in the middle of an election.
@@ -72,23 +72,23 @@
 			err = fmt.Errorf("%w: %v", store.ErrCorrupt, fault)
 		}
 		if err != nil && s.db != nil {
-			s.closeTorn()
+			s.closeDamaged()
 		}
 	}()
 	if s.db, err = openDatabase(o); err != nil {
 		return found, err
 	}
-	var read content
+	var read fileContent
 	err = s.db.View(func(tx *bbolt.Tx) (err error) {
 		read, err = readAll(tx, o)
 		return err
 	})
-	found.Empty = read.blank
+	found.Empty = read.empty
 	s.size += read.size
-	if err != nil || read.begun {
+	if err != nil || read.initialized {
 		return found, err
 	}
-	return s.begin(o.Owner, read.earlier, upgrade)
+	return s.initialize(o.Owner, read.legacy, upgrade)
 }
 
 // openDatabase opens the file, and says of each way to fail what it means for the store.
@@ -115,13 +115,13 @@
 }
 
 // readAll looks through the whole file.
-func readAll(tx *bbolt.Tx, o store.Options) (read content, err error) {
+func readAll(tx *bbolt.Tx, o store.Options) (read fileContent, err error) {
 	for fault := range tx.Check() {
 		return read, fmt.Errorf("%w: %w", store.ErrCorrupt, fault)
 	}
-	meta := tx.Bucket(boltMeta)
+	meta := tx.Bucket(metaBucket)
 	if meta == nil {
-		read.blank = true
+		read.empty = true
 		return read, nil
 	}
 	if was := meta.Get([]byte("owner")); was != nil && string(was) != o.Owner {
@@ -130,21 +130,21 @@
 	format := meta.Get([]byte("format"))
 	switch {
 	case format == nil:
-		read.earlier = true
+		read.legacy = true
 		return read, nil
 	case len(format) != 8:
 		return read, fmt.Errorf("%w: its format has no form", store.ErrCorrupt)
 	case binary.BigEndian.Uint64(format) > store.Format:
 		return read, fmt.Errorf("%s: %w: %d, this program reads up to %d", o.Path, store.ErrNewerFormat, binary.BigEndian.Uint64(format), store.Format)
 	}
-	values := tx.Bucket(boltValues)
+	values := tx.Bucket(valuesBucket)
 	if values == nil {
 		return read, fmt.Errorf("%w: no values", store.ErrCorrupt)
 	}
-	read.blank, read.begun = true, true
+	read.empty, read.initialized = true, true
 	err = values.ForEach(func(k, v []byte) error {
-		read.blank = false
-		value, ok := checked(k, v)
+		read.empty = false
+		value, ok := verifyValue(k, v)
 		if !ok {
 			return fmt.Errorf("%w: the value of %q does not fit its sum", store.ErrCorrupt, k)
 		}
@@ -154,8 +154,8 @@
 	return read, err
 }
 
-// begin gives the file its form, with the values of an earlier one.
-func (s *Store) begin(owner string, earlier bool, upgrade func(*bbolt.Tx, *store.Batch) error) (found store.OpenResult, err error) {
+// initialize gives the file its form, with the values of an earlier one.
+func (s *Store) initialize(owner string, earlier bool, upgrade func(*bbolt.Tx, *store.Batch) error) (found store.OpenResult, err error) {
 	var b store.Batch
 	if earlier && upgrade != nil {
 		if err := s.db.View(func(tx *bbolt.Tx) error { return upgrade(tx, &b) }); err != nil {
@@ -163,11 +163,11 @@
 		}
 	}
 	err = s.db.Update(func(tx *bbolt.Tx) error {
-		meta, err := tx.CreateBucketIfNotExists(boltMeta)
+		meta, err := tx.CreateBucketIfNotExists(metaBucket)
 		if err != nil {
 			return err
 		}
-		_, err = tx.CreateBucketIfNotExists(boltValues)
+		_, err = tx.CreateBucketIfNotExists(valuesBucket)
 		return errors.Join(err, meta.Put([]byte("owner"), []byte(owner)), meta.Put([]byte("format"), binary.BigEndian.AppendUint64(nil, store.Format)))
 	})
 	found.Empty = true
@@ -177,22 +177,22 @@
 	return found, err
 }
 
-// closeTorn closes a file that may not be what it should.
-func (s *Store) closeTorn() {
+// closeDamaged closes a file that may not be what it should.
+func (s *Store) closeDamaged() {
 	defer func() { _ = recover() }() // its memory may be gone
 	_ = s.db.Close()                 // it is set aside, or not opened for another reason that is told
 	s.db = nil
 }
 
-func checked(key, stored []byte) ([]byte, bool) {
-	if len(stored) < valueSum {
+func verifyValue(key, stored []byte) ([]byte, bool) {
+	if len(stored) < checksumBytes {
 		return nil, false
 	}
-	value := stored[:len(stored)-valueSum]
-	return value, binary.BigEndian.Uint64(stored[len(value):]) == valueHash(key, value)
+	value := stored[:len(stored)-checksumBytes]
+	return value, binary.BigEndian.Uint64(stored[len(value):]) == valueChecksum(key, value)
 }
 
-func valueHash(key, value []byte) uint64 {
+func valueChecksum(key, value []byte) uint64 {
 	d := xxhash.New()
 	for _, part := range [][]byte{key, {0}, value} {
 		_, _ = d.Write(part) // a digest takes everything
@@ -203,8 +203,8 @@
 // Get gives a value.
 func (s *Store) Get(key string) (value []byte, ok bool) {
 	_ = s.db.View(func(tx *bbolt.Tx) error { // it fails once the store is closed: there is no value then
-		if v := tx.Bucket(boltValues).Get([]byte(key)); v != nil {
-			value, ok = append([]byte{}, v[:len(v)-valueSum]...), true
+		if v := tx.Bucket(valuesBucket).Get([]byte(key)); v != nil {
+			value, ok = append([]byte{}, v[:len(v)-checksumBytes]...), true
 		}
 		return nil
 	})
@@ -214,9 +214,9 @@
 // Each goes through the keys with a prefix.
 func (s *Store) Each(prefix string, do func(key string, value []byte) error) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(boltValues).Cursor()
+		c := tx.Bucket(valuesBucket).Cursor()
 		for k, v := c.Seek([]byte(prefix)); k != nil && bytes.HasPrefix(k, []byte(prefix)); k, v = c.Next() {
-			if err := do(string(k), append([]byte{}, v[:len(v)-valueSum]...)); err != nil {
+			if err := do(string(k), append([]byte{}, v[:len(v)-checksumBytes]...)); err != nil {
 				return err
 			}
 		}
@@ -226,7 +226,7 @@
 
 // Commit writes a batch and has it synced.
 func (s *Store) Commit(b *store.Batch) error {
-	if s.broken {
+	if s.failed {
 		return store.ErrFailed
 	}
 	ops, err := b.Ops()
@@ -235,14 +235,14 @@
 	}
 	size := s.size
 	err = s.db.Update(func(tx *bbolt.Tx) error {
-		w := batchWriter{values: tx.Bucket(boltValues), size: size}
+		w := batchWriter{values: tx.Bucket(valuesBucket), size: size}
 		for _, o := range ops {
 			if err := w.apply(o); err != nil {
 				return err
 			}
 		}
 		size = w.size
-		if size > s.most {
+		if size > s.maxBytes {
 			return store.ErrFull
 		}
 		return nil
@@ -251,7 +251,7 @@
 	case err == nil:
 		s.size = size
 	case !errors.Is(err, store.ErrFull):
-		s.broken = true
+		s.failed = true
 	}
 	return err
 }
@@ -276,7 +276,7 @@
 		return nil
 	}
 	w.size += len(key) + len(o.Value)
-	return w.values.Put(key, binary.BigEndian.AppendUint64(append([]byte{}, o.Value...), valueHash(key, o.Value)))
+	return w.values.Put(key, binary.BigEndian.AppendUint64(append([]byte{}, o.Value...), valueChecksum(key, o.Value)))
 }
 
 // removeRange removes the keys from one to below another.
@@ -291,7 +291,7 @@
 }
 
 func (w *batchWriter) remove(key, stored []byte) error {
-	w.size -= len(key) + len(stored) - valueSum
+	w.size -= len(key) + len(stored) - checksumBytes
 	return w.values.Delete(key)
 }
 
@@ -301,6 +301,6 @@
 		return nil
 	}
 	db := s.db
-	s.broken = true
+	s.failed = true
 	return db.Close()
 }
--- a/internal/sidecar/store/file.go
+++ b/internal/sidecar/store/file.go
@@ -18,13 +18,13 @@
 	Memory
 	layer  FileSystem
 	path   string
-	head   head
+	head   header
 	unlock func() error
-	broken bool
+	failed bool
 }
 
-// head is what a file begins with; its sum is of all that follows and of the rest of the head.
-type head struct {
+// header is what a file begins with; its sum is of all that follows and of the rest of the header.
+type header struct {
 	Format  int               `json:"format"`
 	Owner   string            `json:"owner"`
 	Serial  uint64            `json:"serial"`            // of the batch; each is one higher
@@ -36,13 +36,13 @@
 const BadSuffix = ".bad"
 
 const (
-	magic     = "fieldrelay store\n"
-	sumBytes  = 8
-	newSuffix = ".new"  // what is being written
-	farSuffix = ".far"  // how far the store had come
-	lockName  = ".lock" // held by the process that has it open
-	overhead  = 4 << 10 // bytes of a file beside keys and values, at the most,
-	perByte   = 16      // and of one of those: a key of one byte with an empty value is the worst
+	magic             = "fieldrelay store\n"
+	checksumBytes     = 8
+	tempSuffix        = ".new"  // what is being written
+	serialSuffix      = ".far"  // how far the store had come
+	lockSuffix        = ".lock" // held by the process that has it open
+	fixedOverhead     = 4 << 10 // bytes of a file beside keys and values, at the most,
+	maxEncodedPerByte = 16      // and of one of those: a key of one byte with an empty value is the worst
 )
 
 // OpenFile opens a store.
@@ -50,11 +50,11 @@
 	if err := layer.MakeDir(filepath.Dir(o.Path)); err != nil {
 		return nil, OpenResult{}, err
 	}
-	unlock, err := lock(layer, o.Path+lockName, o.LockTimeout)
+	unlock, err := lock(layer, o.Path+lockSuffix, o.LockTimeout)
 	if err != nil {
 		return nil, OpenResult{}, err
 	}
-	f := &File{Memory: *NewMemory(o.MaxBytes), layer: layer, path: o.Path, head: head{Format: Format, Owner: o.Owner}, unlock: unlock}
+	f := &File{Memory: *NewMemory(o.MaxBytes), layer: layer, path: o.Path, head: header{Format: Format, Owner: o.Owner}, unlock: unlock}
 	found, err := f.read()
 	if err != nil {
 		return nil, found, errors.Join(err, unlock())
@@ -64,7 +64,7 @@
 
 // lock waits a little for a process that ends.
 func lock(layer FileSystem, path string, wait time.Duration) (func() error, error) {
-	for end := time.Now().Add(wait); ; <-time.After(busyPace) {
+	for end := time.Now().Add(wait); ; <-time.After(lockRetryInterval) {
 		unlock, err := layer.Lock(path)
 		if !errors.Is(err, ErrBusy) || !time.Now().Before(end) {
 			return unlock, err
@@ -82,8 +82,8 @@
 }
 
 func (f *File) read() (OpenResult, error) {
-	far, farErr := f.readHead(f.path+farSuffix, overhead)
-	h, err := f.readHead(f.path, overhead+perByte*f.most)
+	far, farErr := f.readHeader(f.path+serialSuffix, fixedOverhead)
+	h, err := f.readHeader(f.path, fixedOverhead+maxEncodedPerByte*f.maxBytes)
 	switch {
 	case errors.Is(err, fs.ErrNotExist) && (farErr != nil || far.Owner != f.head.Owner || far.Serial == 0):
 		return OpenResult{Empty: true}, nil
@@ -93,13 +93,13 @@
 	case errors.Is(err, ErrNewerFormat):
 		return OpenResult{}, fmt.Errorf("%s: %w", f.path, err)
 	case errors.Is(err, ErrCorrupt):
-		return f.setAside(far, fmt.Sprintf("%s: %v", f.path, err))
+		return f.quarantine(far, fmt.Sprintf("%s: %v", f.path, err))
 	case err != nil:
 		return OpenResult{}, err
 	case h.Owner != f.head.Owner:
 		return OpenResult{}, fmt.Errorf("%s: %w: %q, not %q", f.path, ErrOwner, h.Owner, f.head.Owner)
 	case farErr == nil && far.Owner == h.Owner && far.Serial > h.Serial:
-		return f.setAside(far, fmt.Sprintf("%s: an older copy was put back, of change %d where %d was reached", f.path, h.Serial, far.Serial))
+		return f.quarantine(far, fmt.Sprintf("%s: an older copy was put back, of change %d where %d was reached", f.path, h.Serial, far.Serial))
 	}
 	// What a process that died had not synced must not be read now and gone after the next crash.
 	if err := errors.Join(f.layer.Sync(f.path), f.layer.SyncDir(filepath.Dir(f.path))); err != nil {
@@ -112,8 +112,8 @@
 	return OpenResult{Empty: len(h.Values) == 0}, nil
 }
 
-// setAside moves away what cannot be used. The count goes on, so that what was set aside never passes for newer.
-func (f *File) setAside(far head, why string) (OpenResult, error) {
+// quarantine moves away what cannot be used. The count goes on, so that what was set aside never passes for newer.
+func (f *File) quarantine(far header, why string) (OpenResult, error) {
 	if far.Owner == f.head.Owner {
 		f.head.Serial = far.Serial
 	}
@@ -123,7 +123,7 @@
 	return OpenResult{Empty: true, Warning: why + "; it is set aside as " + filepath.Base(f.path) + BadSuffix + " and nothing of it is used"}, nil
 }
 
-func (f *File) readHead(path string, most int) (h head, err error) {
+func (f *File) readHeader(path string, most int) (h header, err error) {
 	text, err := f.layer.ReadFile(path, most+1)
 	if err != nil {
 		return h, err
@@ -132,13 +132,13 @@
 		return h, fmt.Errorf("%w: more than %d bytes", ErrCorrupt, most)
 	}
 	body, ok := bytes.CutPrefix(text, []byte(magic))
-	if !ok || len(body) < sumBytes {
+	if !ok || len(body) < checksumBytes {
 		return h, fmt.Errorf("%w: it does not begin as one", ErrCorrupt)
 	}
-	if sum(body[sumBytes:]) != [sumBytes]byte(body[:sumBytes]) {
+	if checksum(body[checksumBytes:]) != [checksumBytes]byte(body[:checksumBytes]) {
 		return h, fmt.Errorf("%w: its sum does not fit", ErrCorrupt)
 	}
-	if err := json.Unmarshal(body[sumBytes:], &h); err != nil {
+	if err := json.Unmarshal(body[checksumBytes:], &h); err != nil {
 		return h, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if h.Format > Format {
@@ -147,29 +147,29 @@
 	return h, nil
 }
 
-func sum(b []byte) (s [sumBytes]byte) {
-	for i, v := 0, xxhash.Sum64(b); i < sumBytes; i, v = i+1, v>>8 {
+func checksum(b []byte) (s [checksumBytes]byte) {
+	for i, v := 0, xxhash.Sum64(b); i < checksumBytes; i, v = i+1, v>>8 {
 		s[i] = byte(v)
 	}
 	return s
 }
 
 // encode is the text of a file.
-func encode(h head) ([]byte, error) {
+func encode(h header) ([]byte, error) {
 	body, err := json.Marshal(h)
 	if err != nil {
 		return nil, err
 	}
-	s := sum(body)
+	s := checksum(body)
 	return append(append([]byte(magic), s[:]...), body...), nil
 }
 
 // Commit writes a batch. The file is whole at each moment; the word on how far it had come follows it.
 func (f *File) Commit(b *Batch) error {
-	if f.broken {
+	if f.failed {
 		return ErrFailed
 	}
-	next, err := f.with(b)
+	next, err := f.valuesAfter(b)
 	if err != nil {
 		return err
 	}
@@ -180,26 +180,26 @@
 	err = f.write(f.path, h)
 	h.Values = nil
 	if err == nil {
-		err = f.write(f.path+farSuffix, h)
+		err = f.write(f.path+serialSuffix, h)
 	}
 	if err != nil {
-		f.broken = true
+		f.failed = true
 		return fmt.Errorf("store: %s: %w", f.path, err)
 	}
 	f.head, f.values = h, next
 	return nil
 }
 
-func (f *File) write(path string, h head) error {
+func (f *File) write(path string, h header) error {
 	text, err := encode(h)
 	if err == nil {
-		err = f.layer.WriteFile(path+newSuffix, text)
+		err = f.layer.WriteFile(path+tempSuffix, text)
 	}
 	if err == nil {
-		err = f.layer.Sync(path + newSuffix)
+		err = f.layer.Sync(path + tempSuffix)
 	}
 	if err == nil {
-		err = f.layer.Rename(path+newSuffix, path)
+		err = f.layer.Rename(path+tempSuffix, path)
 	}
 	if err == nil {
 		err = f.layer.SyncDir(filepath.Dir(path))
@@ -213,14 +213,14 @@
 		return nil
 	}
 	unlock := f.unlock
-	f.unlock, f.broken = nil, true
+	f.unlock, f.failed = nil, true
 	return unlock()
 }
 
 // WithFormat gives the text of a plain file the number of another format: what a later program would write, for tests.
 func WithFormat(text []byte, format int) []byte {
-	var h head
-	if len(text) < len(magic)+sumBytes || json.Unmarshal(text[len(magic)+sumBytes:], &h) != nil {
+	var h header
+	if len(text) < len(magic)+checksumBytes || json.Unmarshal(text[len(magic)+checksumBytes:], &h) != nil {
 		return text
 	}
 	h.Format = format
--- a/internal/sidecar/store/memory.go
+++ b/internal/sidecar/store/memory.go
@@ -9,12 +9,12 @@
 // Memory is a store that ends with the process; what it holds can be handed to the next one. It is for tests and for
 // sidecars that keep nothing.
 type Memory struct {
-	values map[string][]byte
-	most   int
+	values   map[string][]byte
+	maxBytes int
 }
 
 // NewMemory makes a store of up to most bytes of keys and values.
-func NewMemory(most int) *Memory { return &Memory{values: map[string][]byte{}, most: most} }
+func NewMemory(most int) *Memory { return &Memory{values: map[string][]byte{}, maxBytes: most} }
 
 // Get gives a value.
 func (m *Memory) Get(key string) ([]byte, bool) {
@@ -36,15 +36,15 @@
 
 // Commit does a batch.
 func (m *Memory) Commit(b *Batch) error {
-	next, err := m.with(b)
+	next, err := m.valuesAfter(b)
 	if err == nil {
 		m.values = next
 	}
 	return err
 }
 
-// with is what the values are after a batch.
-func (m *Memory) with(b *Batch) (map[string][]byte, error) {
+// valuesAfter is what the values are after a batch.
+func (m *Memory) valuesAfter(b *Batch) (map[string][]byte, error) {
 	ops, err := b.Ops()
 	if err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 	for k, v := range next {
 		size += len(k) + len(v)
 	}
-	if size > m.most {
+	if size > m.maxBytes {
 		return nil, ErrFull
 	}
 	return next, nil
--- a/internal/sidecar/store/store.go
+++ b/internal/sidecar/store/store.go
@@ -53,8 +53,8 @@
 
 // Bounds.
 const (
-	MaxKeyBytes = 256 // bytes of a key
-	busyPace    = 20 * time.Millisecond
+	MaxKeyBytes       = 256 // bytes of a key
+	lockRetryInterval = 20 * time.Millisecond
 )
 
 // Options are what a store is opened with.
