--- a/internal/sidecar/versionskew/check_test.go
+++ b/internal/sidecar/versionskew/check_test.go
@@ -17,26 +17,26 @@
 
 const pace = time.Second
 
-// three is three members of a view, whose messages stay on their links until they are delivered or dropped. What the leader
+// threeMembers is threeMembers members of a view, whose messages stay on their links until they are delivered or dropped. What the leader
 // proposes is decided at once and reaches the others when the exploration says so.
-type three struct {
-	machines [3]*Machine
-	boots    [3]uint64
-	leader   int
-	now      time.Duration
-	decided  view.View
-	adopted  [3]view.View
-	links    map[[2]int][]Message
-	agreedAt map[uint64]time.Duration
-	digests  map[uint64]string
-	odd      func(*rules.Compiled, rules.Case) string // how the third decides cases; nil: as the others
-	restarts int
-	mutate   Mutation
-	broken   error
-	pushed   map[string]bool
+type threeMembers struct {
+	machines        [3]*Machine
+	boots           [3]uint64
+	leader          int
+	now             time.Duration
+	decided         view.View
+	adopted         [3]view.View
+	links           map[[2]int][]Message
+	agreedAt        map[uint64]time.Duration
+	digests         map[uint64]string
+	divergentDecide func(*rules.Compiled, rules.Case) string // how the third decides cases; nil: as the others
+	restarts        int
+	mutate          Mutation
+	violation       error
+	pushed          map[string]bool
 }
 
-func numbered(salt int) rules.Edition {
+func testEdition(salt int) rules.Edition {
 	e, faults := rules.Parse(fmt.Appendf(nil, "version = 1\n[sampling]\nformat = \"2\"\nsalt = %d\nrate = 0.5\nkeep_failed = true\n# end\n", salt))
 	if len(faults) > 0 {
 		panic(faults)
@@ -44,7 +44,7 @@
 	return e
 }
 
-func (w *three) start(i int, odd bool) {
+func (w *threeMembers) start(i int, odd bool) {
 	w.boots[i] += 10
 	cfg := Config{Name: name(i), Boot: w.boots[i], Pace: pace, Bound: 20 * pace, Seed: uint64(i), Reads: rules.Supported(), ReplyTimeout: 1000 * pace, Mutate: w.mutate,
 		View: func() (view.View, bool) { return w.adopted[i], true }, HoldsLease: func() bool { return w.adopted[i].ID == w.decided.ID },
@@ -56,15 +56,15 @@
 			return all
 		}}
 	if odd {
-		cfg.Decide = w.odd
+		cfg.Decide = w.divergentDecide
 	}
 	w.machines[i] = New(cfg, w.now)
 }
 
 func name(i int) string { return string(rune('a' + i)) }
 
-func newThree(odd func(*rules.Compiled, rules.Case) string, mutate Mutation) *three {
-	w := &three{links: map[[2]int][]Message{}, agreedAt: map[uint64]time.Duration{}, digests: map[uint64]string{}, odd: odd, mutate: mutate, pushed: map[string]bool{}}
+func newThreeMembers(odd func(*rules.Compiled, rules.Case) string, mutate Mutation) *threeMembers {
+	w := &threeMembers{links: map[[2]int][]Message{}, agreedAt: map[uint64]time.Duration{}, digests: map[uint64]string{}, divergentDecide: odd, mutate: mutate, pushed: map[string]bool{}}
 	w.decided = view.View{ID: view.ID{Era: 1, Number: 1}}
 	for i := range 3 {
 		w.decided.Members = append(w.decided.Members, view.Member{Name: name(i)})
@@ -74,11 +74,11 @@
 		w.adopted[i] = w.decided
 		w.start(i, i == 2 && odd != nil)
 	}
-	w.step(1, Push{Edition: numbered(1)})
+	w.step(1, Push{Edition: testEdition(1)})
 	return w
 }
 
-func (w *three) step(i int, e Event) {
+func (w *threeMembers) step(i int, e Event) {
 	for _, a := range w.machines[i].Step(w.now, e) {
 		switch a := a.(type) {
 		case Send:
@@ -92,41 +92,41 @@
 		case Enforce:
 			d := editionDigest(a.Compiled.Edition)
 			if was := w.digests[a.Compiled.Edition.Number]; was != d {
-				w.broken = fmt.Errorf("%s goes by edition %d as %.6s, agreed was %.6s", name(i), a.Compiled.Edition.Number, d, was)
+				w.violation = fmt.Errorf("%s goes by edition %d as %.6s, agreed was %.6s", name(i), a.Compiled.Edition.Number, d, was)
 			}
 		}
 	}
 }
 
-func (w *three) propose(r view.Rules) {
+func (w *threeMembers) propose(r view.Rules) {
 	if r.Number <= w.decided.Rules.Number {
 		return
 	}
-	if w.odd != nil {
-		w.broken = errors.New("agreed though one reads it otherwise")
+	if w.divergentDecide != nil {
+		w.violation = errors.New("agreed though one reads it otherwise")
 	}
 	if at, ok := w.agreedAt[r.Number-1]; ok && w.now-at < 20*pace {
-		w.broken = fmt.Errorf("edition %d agreed %v after the one before", r.Number, w.now-at)
+		w.violation = fmt.Errorf("edition %d agreed %v after the one before", r.Number, w.now-at)
 	}
 	w.decided.ID.Number++
 	w.decided.Rules = r
 	w.agreedAt[r.Number], w.digests[r.Number] = w.now, r.Digest
 }
 
-func (w *three) put(from, to int, m Message) {
+func (w *threeMembers) put(from, to int, m Message) {
 	if id := [2]int{from, to}; to >= 0 && from != to && len(w.links[id]) < 4 {
 		w.links[id] = append(w.links[id], m)
 	}
 }
 
-func (w *three) Events() (names []string) {
-	w.each(func(name string, _ func()) { names = append(names, name) })
+func (w *threeMembers) Events() (names []string) {
+	w.forEachEvent(func(name string, _ func()) { names = append(names, name) })
 	return names
 }
 
-func (w *three) Do(event int) {
+func (w *threeMembers) Do(event int) {
 	n := 0
-	w.each(func(_ string, do func()) {
+	w.forEachEvent(func(_ string, do func()) {
 		if n == event {
 			do()
 		}
@@ -134,8 +134,8 @@
 	})
 }
 
-// each goes through what can happen now. do is called for at most one of them.
-func (w *three) each(see func(string, func())) {
+// forEachEvent goes through what can happen now. do is called for at most one of them.
+func (w *threeMembers) forEachEvent(see func(string, func())) {
 	type event struct {
 		name string
 		do   func()
@@ -167,17 +167,17 @@
 		add("b leads", func() { w.leader = 1 })
 	}
 	if w.restarts == 0 {
-		add("c anew", func() { w.restarts++; w.start(2, w.odd != nil) })
+		add("c anew", func() { w.restarts++; w.start(2, w.divergentDecide != nil) })
 	}
 	if !w.pushed["c"] {
-		add("c pushes", func() { w.pushed["c"] = true; w.step(2, Push{Edition: numbered(2)}) })
+		add("c pushes", func() { w.pushed["c"] = true; w.step(2, Push{Edition: testEdition(2)}) })
 	}
 	for _, e := range all {
 		see(e.name, e.do)
 	}
 }
 
-func (w *three) Hash() uint64 {
+func (w *threeMembers) Hash() uint64 {
 	h := xxhash.New()
 	_, _ = fmt.Fprint(h, w.leader, w.boots, w.decided.ID, w.decided.Rules, w.restarts, w.pushed, w.now)
 	for i, m := range w.machines {
@@ -194,14 +194,14 @@
 	return h.Sum64()
 }
 
-func (w *three) Check() error { return w.broken }
+func (w *threeMembers) Check() error { return w.violation }
 
 // Every order of up to six events of three members, one of which may read the rules otherwise, be started anew, or push
 // another edition, while the leader changes: an edition is agreed only once all are compatible, and in force as it was agreed.
 func TestEveryOrder(t *testing.T) {
 	for name, odd := range map[string]func(*rules.Compiled, rules.Case) string{"all alike": nil,
 		"one reads otherwise": func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }} {
-		r, err := explore.All(func() explore.System { return newThree(odd, NoMutation) }, 6, 400_000)
+		r, err := explore.All(func() explore.System { return newThreeMembers(odd, NoMutation) }, 6, 400_000)
 		if err != nil || !r.Full {
 			t.Errorf("%s: %v, %+v", name, err, r)
 		}
@@ -214,7 +214,7 @@
 		"claims believed":    {func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }, TrustsClaims},
 		"silence understood": {func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }, SkipsSilent},
 	} {
-		if _, err := explore.All(func() explore.System { return newThree(c.odd, c.mutate) }, 7, 200_000); err == nil {
+		if _, err := explore.All(func() explore.System { return newThreeMembers(c.odd, c.mutate) }, 7, 200_000); err == nil {
 			t.Errorf("%s: not noticed", name)
 		} else {
 			t.Logf("%s: %v", name, err)
@@ -222,8 +222,8 @@
 	}
 }
 
-// do lets events of some names happen, if they can.
-func (w *three) do(names ...string) {
+// doEvents lets events of some names happen, if they can.
+func (w *threeMembers) doEvents(names ...string) {
 	for _, name := range names {
 		for i, n := range w.Events() {
 			if n == name {
@@ -237,16 +237,16 @@
 // A reply of an earlier process does not count for the one that was started after it, which may be of another version.
 func TestAnswerOfAnEarlierProcess(t *testing.T) {
 	for name, mutate := range map[string]Mutation{"as it is": NoMutation, "any answer of the name": AnyBoot} {
-		w := newThree(nil, mutate)
-		w.do("b>a", "a>c", "c>a") // pushed, offered, read by the third
-		w.odd = func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }
+		w := newThreeMembers(nil, mutate)
+		w.doEvents("b>a", "a>c", "c>a") // pushed, offered, read by the third
+		w.divergentDecide = func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }
 		w.start(2, true)
 		w.links[[2]int{2, 0}] = nil
 		for range 6 {
-			w.do("a>b", "b>a", "three paces")
+			w.doEvents("a>b", "b>a", "three paces")
 		}
-		if noticed := w.broken != nil; noticed != (mutate == AnyBoot) {
-			t.Errorf("%s: %v", name, w.broken)
+		if noticed := w.violation != nil; noticed != (mutate == AnyBoot) {
+			t.Errorf("%s: %v", name, w.violation)
 		}
 	}
 }
@@ -254,10 +254,10 @@
 // An outdated view without a lease takes no member back to an earlier edition.
 func TestEarlierViewTakesNobodyBack(t *testing.T) {
 	for name, mutate := range map[string]Mutation{"as it is": NoMutation, "back": OverwritesNew} {
-		w := newThree(nil, mutate)
+		w := newThreeMembers(nil, mutate)
 		first := w.adopted[2]
 		for n := uint64(1); n <= 2; n++ {
-			e := numbered(int(n))
+			e := testEdition(int(n))
 			e.Number = n
 			w.machines[2].load(e)
 			w.digests[n] = editionDigest(e)
--- a/internal/sidecar/versionskew/configure.go
+++ b/internal/sidecar/versionskew/configure.go
@@ -16,7 +16,7 @@
 	if !s.On {
 		return nil, nil
 	}
-	c := &Config{Reads: rules.Supported(), Lower: s.Policy == "lower", MaxBehind: s.Behind, ReturnTimeout: s.ReturnTime(), ReplyTimeout: s.HearTime()}
+	c := &Config{Reads: rules.Supported(), Lower: s.Policy == "lower", MaxBehind: s.MaxBehind, ReturnTimeout: s.ReturnTimeout(), ReplyTimeout: s.ReplyTimeout()}
 	if len(s.Reads) == 0 {
 		return c, nil
 	}
--- a/internal/sidecar/versionskew/settings/settings.go
+++ b/internal/sidecar/versionskew/settings/settings.go
@@ -10,17 +10,19 @@
 
 // Settings are the section rules of the operator's file. Off unless on is true.
 type Settings struct {
-	On     bool     `toml:"on"`           // this member reads rules and takes part in their trials
-	File   string   `toml:"file"`         // of the rules to push; empty: none
-	Reads  []string `toml:"reads"`        // formats that this member reads, such as "sampling 1"; empty: all that the program reads
-	Policy string   `toml:"policy"`       // wait or lower: what happens to an edition that some members cannot read
-	Behind int      `toml:"leave_behind"` // how many incompatible members may be left behind
-	Return int      `toml:"return_ms"`    // for so long an absent member may return, and is waited for
-	Hear   int      `toml:"hear_ms"`      // after which a member without a reply counts as incompatible
+	On              bool     `toml:"on"`           // this member reads rules and takes part in their trials
+	File            string   `toml:"file"`         // of the rules to push; empty: none
+	Reads           []string `toml:"reads"`        // formats that this member reads, such as "sampling 1"; empty: all that the program reads
+	Policy          string   `toml:"policy"`       // wait or lower: what happens to an edition that some members cannot read
+	MaxBehind       int      `toml:"leave_behind"` // how many incompatible members may be left behind
+	ReturnTimeoutMS int      `toml:"return_ms"`    // for so long an absent member may return, and is waited for
+	ReplyTimeoutMS  int      `toml:"hear_ms"`      // after which a member without a reply counts as incompatible
 }
 
 // Defaults returns the default settings.
-func Defaults() Settings { return Settings{Policy: "wait", Return: 30_000, Hear: 10_000} }
+func Defaults() Settings {
+	return Settings{Policy: "wait", ReturnTimeoutMS: 30_000, ReplyTimeoutMS: 10_000}
+}
 
 const (
 	maxReads   = 16
@@ -48,14 +50,14 @@
 	if s.Policy != "wait" && s.Policy != "lower" {
 		fault("policy", s.Policy, "wait or lower")
 	}
-	if s.Behind < 0 || s.Behind > maxBehind {
-		fault("leave_behind", s.Behind, fmt.Sprintf("0 to %d", maxBehind))
+	if s.MaxBehind < 0 || s.MaxBehind > maxBehind {
+		fault("leave_behind", s.MaxBehind, fmt.Sprintf("0 to %d", maxBehind))
 	}
-	if s.Return < 0 || s.Return > maxTimeout {
-		fault("return_ms", s.Return, fmt.Sprintf("0 to %d", maxTimeout))
+	if s.ReturnTimeoutMS < 0 || s.ReturnTimeoutMS > maxTimeout {
+		fault("return_ms", s.ReturnTimeoutMS, fmt.Sprintf("0 to %d", maxTimeout))
 	}
-	if s.Hear < 0 || s.Hear > maxTimeout {
-		fault("hear_ms", s.Hear, fmt.Sprintf("0 to %d", maxTimeout))
+	if s.ReplyTimeoutMS < 0 || s.ReplyTimeoutMS > maxTimeout {
+		fault("hear_ms", s.ReplyTimeoutMS, fmt.Sprintf("0 to %d", maxTimeout))
 	}
 }
 
@@ -67,12 +69,16 @@
 
 // Equal reports whether nothing differs. The content of the file is not compared.
 func (s Settings) Equal(next Settings) bool {
-	return s.On == next.On && s.File == next.File && slices.Equal(s.Reads, next.Reads) && s.Policy == next.Policy && s.Behind == next.Behind &&
-		s.Return == next.Return && s.Hear == next.Hear
+	return s.On == next.On && s.File == next.File && slices.Equal(s.Reads, next.Reads) && s.Policy == next.Policy && s.MaxBehind == next.MaxBehind &&
+		s.ReturnTimeoutMS == next.ReturnTimeoutMS && s.ReplyTimeoutMS == next.ReplyTimeoutMS
 }
 
-// ReturnTime is for how long an absent member is waited for.
-func (s Settings) ReturnTime() time.Duration { return time.Duration(s.Return) * time.Millisecond }
+// ReturnTimeout is for how long an absent member is waited for.
+func (s Settings) ReturnTimeout() time.Duration {
+	return time.Duration(s.ReturnTimeoutMS) * time.Millisecond
+}
 
-// HearTime is after what time a member without a reply counts as incompatible.
-func (s Settings) HearTime() time.Duration { return time.Duration(s.Hear) * time.Millisecond }
+// ReplyTimeout is after what time a member without a reply counts as incompatible.
+func (s Settings) ReplyTimeout() time.Duration {
+	return time.Duration(s.ReplyTimeoutMS) * time.Millisecond
+}
