--- a/internal/sidecar/fleet/figures.go
+++ b/internal/sidecar/fleet/figures.go
@@ -9,7 +9,7 @@
 // of its last step.
 func (f *Fleet) Figures(prefix string) []string {
 	c := f.channel.Counts()
-	let, refused := f.limits.counts()
+	admitted, rejected := f.limits.counts()
 	figure := func(name, kind string, v int64) string {
 		return strings.Join([]string{prefix, ".fleet.", name, ":", fmt.Sprint(v), "|", kind}, "")
 	}
@@ -18,7 +18,7 @@
 		figure("datagrams_sent", "c", c.SentDatagrams), figure("frames_streamed", "c", c.SentStreamed), figure("bytes_sent", "c", c.SentBytes),
 		figure("frames_got", "c", c.ReceivedFrames), figure("bytes_got", "c", c.ReceivedBytes),
 		figure("rules", "g", f.rules.editionNumber.Load()), figure("rules_behind", "g", f.rules.behind.Load()),
-		figure("nodes_avoided", "g", f.avoidedNodes.Load()), figure("let", "c", let), figure("turned_back", "c", refused),
+		figure("nodes_avoided", "g", f.avoidedNodes.Load()), figure("let", "c", admitted), figure("turned_back", "c", rejected),
 		figure("frames_dropped", "c", c.Dropped+f.droppedFrames.Load()), figure("frames_refused", "c", f.refusedFrames.Load()+c.Refused),
 	}
 }
--- a/internal/sidecar/fleet/limitgates.go
+++ b/internal/sidecar/fleet/limitgates.go
@@ -8,31 +8,31 @@
 )
 
 // admit admits a request under all limits that it counts for, or under none. See Fleet.Admit.
-func (l *limits) admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool) {
+func (l *limits) admit(class, tenant string, isRetry bool, deadline time.Time) (done func(), retryAfter time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	gates := l.generalGates
 	if own := l.tenantGates[tenant]; len(own) > 0 {
 		gates = append(gates[:len(gates):len(gates)], own...)
 	}
-	return l.passGates(gates, func(g *limitGate) bool { return g.Applies(class, tenant) }, again, 1, ends)
+	return l.passGates(gates, func(g *limitGate) bool { return g.Applies(class, tenant) }, isRetry, 1, deadline)
 }
 
 // admitAttempt admits an attempt at an execute node under all limits that it counts for, or under none. Of the limit of a node that is
-// warming up, the fraction warm may be used. Nodes that are not listed have no limits of their own. See Fleet.Claim.
-func (l *limits) admitAttempt(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
+// warming up, the fraction warmFraction may be used. Nodes that are not listed have no limits of their own. See Fleet.Claim.
+func (l *limits) admitAttempt(node, class, tenant string, isRetry bool, warmFraction float64, deadline time.Time) (done func(), ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.attemptGates)+len(l.nodeGates) == 0 {
 		return nil, true
 	}
 	applies := func(g *limitGate) bool { return g.Applies(class, tenant) }
-	done, _, ok = l.passGates(append(l.attemptGates[:len(l.attemptGates):len(l.attemptGates)], l.nodeGates[node]...), applies, again, warm, ends)
+	done, _, ok = l.passGates(append(l.attemptGates[:len(l.attemptGates):len(l.attemptGates)], l.nodeGates[node]...), applies, isRetry, warmFraction, deadline)
 	return done, ok
 }
 
 // passGates passes those of some gates that apply, or none of them. l.mu is held.
-func (l *limits) passGates(gates []*limitGate, applies func(*limitGate) bool, again bool, warm float64, ends time.Time) (done func(), after time.Duration, ok bool) {
+func (l *limits) passGates(gates []*limitGate, applies func(*limitGate) bool, isRetry bool, warmFraction float64, deadline time.Time) (done func(), retryAfter time.Duration, ok bool) {
 	now := time.Since(l.origin)
 	type passedGate struct {
 		g    *limitGate
@@ -43,21 +43,21 @@
 		if !applies(g) {
 			continue
 		}
-		slot, after, ok := quota.NoSlot, time.Duration(0), false
+		slot, retryAfter, ok := quota.NoSlot, time.Duration(0), false
 		switch {
 		case g.Shares: // beyond its allowance a tenant's request has a lower value, and is not rejected
 			g.gate.Take(now, now)
 			continue
 		case g.Leased():
-			slot, after, ok = g.gate.TakeReduced(now, ends.Sub(l.origin), g.Reduced(warm))
+			slot, retryAfter, ok = g.gate.TakeReduced(now, deadline.Sub(l.origin), g.Reduced(warmFraction))
 		default:
-			after, ok = g.gate.CountRetry(again, g.Limit().Total)
+			retryAfter, ok = g.gate.CountRetry(isRetry, g.Limit().Total)
 		}
 		if !ok {
 			for _, p := range passed {
 				p.g.gate.Undo(p.slot)
 			}
-			return nil, after, false
+			return nil, retryAfter, false
 		}
 		passed = append(passed, passedGate{g, slot})
 	}
@@ -75,13 +75,13 @@
 
 // counts returns how many requests and attempts the limits have admitted and rejected. One that counts for several limits is
 // counted by each.
-func (l *limits) counts() (let, refused int64) {
+func (l *limits) counts() (admitted, rejected int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, g := range l.gates {
-		let, refused = let+g.gate.Admitted, refused+g.gate.Rejected
+		admitted, rejected = admitted+g.gate.Admitted, rejected+g.gate.Rejected
 	}
-	return let, refused
+	return admitted, rejected
 }
 
 // unlimitedLease is an expiry from which on a share is no lease.
--- a/internal/sidecar/fleet/limits_test.go
+++ b/internal/sidecar/fleet/limits_test.go
@@ -30,10 +30,10 @@
 		t.Fatalf("%v are leased", leased)
 	}
 	grantAll(l)
-	ends := time.Now().Add(time.Second)
+	deadline := time.Now().Add(time.Second)
 	take := func(class, tenant string, again, want bool) func() {
 		t.Helper()
-		done, after, ok := l.admit(class, tenant, again, ends)
+		done, after, ok := l.admit(class, tenant, again, deadline)
 		if ok != want || !ok && after <= 0 {
 			t.Fatalf("%s of %s: %v, %v", class, tenant, ok, after)
 		}
@@ -81,10 +81,10 @@
 	h := quota.NewHolder(quota.Times{ReportInterval: time.Second, Lease: time.Minute}, 1, 0, quota.NoMutation)
 	h.SetLimits(list)
 	l.updateShares(h)
-	took := heap() - before
-	t.Logf("%d limits, %.1f MB, %d bytes each", len(list), float64(took)/1e6, int(took)/len(list))
-	if len(list) != 10_000 || took > 10<<20 {
-		t.Errorf("%d limits in %d bytes", len(list), took)
+	allocated := heap() - before
+	t.Logf("%d limits, %.1f MB, %d bytes each", len(list), float64(allocated)/1e6, int(allocated)/len(list))
+	if len(list) != 10_000 || allocated > 10<<20 {
+		t.Errorf("%d limits in %d bytes", len(list), allocated)
 	}
 	for i := range 3000 {
 		if _, _, ok := l.admit("look", tenants[i].Name, false, time.Now()); !ok {
@@ -102,22 +102,22 @@
 		t.Errorf("%d claims, %d bytes, %v", len(r.Limits), len(b), err)
 	}
 	t.Logf("a report of %d claims has %d bytes", len(r.Limits), len(b))
-	told := map[string]float64{}
-	tell := func(tenant string, rate float64) { told[tenant] = rate }
-	l.reportAllotments(tell)
-	if len(told) != 10_000 || told["tenant-7"] != 1.25 { // no lease: an equal share
-		t.Errorf("%d told, tenant-7 %g", len(told), told["tenant-7"])
+	reported := map[string]float64{}
+	report := func(tenant string, rate float64) { reported[tenant] = rate }
+	l.reportAllotments(report)
+	if len(reported) != 10_000 || reported["tenant-7"] != 1.25 { // no lease: an equal share
+		t.Errorf("%d reported, tenant-7 %g", len(reported), reported["tenant-7"])
 	}
-	clear(told)
+	clear(reported)
 	h.ReceiveGrant(time.Since(l.origin), quota.Grant{Seq: r.Seq, Shares: []quota.Share{{Limit: "shares/tenant-7", Amount: 9 * quota.PerSecond}}})
 	l.updateShares(h)
-	if l.reportAllotments(tell); len(told) != 1 || told["tenant-7"] != 9 {
-		t.Errorf("%v told by a grant", told)
+	if l.reportAllotments(report); len(reported) != 1 || reported["tenant-7"] != 9 {
+		t.Errorf("%v reported after a grant", reported)
 	}
-	clear(told)
+	clear(reported)
 	l.set(nil) // the table is gone from the settings: equal shares again
-	if l.reportAllotments(tell); len(told) != 10_000 || told["tenant-7"] != -1 {
-		t.Errorf("%d told, tenant-7 %g", len(told), told["tenant-7"])
+	if l.reportAllotments(report); len(reported) != 10_000 || reported["tenant-7"] != -1 {
+		t.Errorf("%d reported, tenant-7 %g", len(reported), reported["tenant-7"])
 	}
 }
 
@@ -130,10 +130,10 @@
 		t.Fatalf("%v", list)
 	}
 	grantAll(l)
-	ends := time.Now().Add(time.Second)
+	deadline := time.Now().Add(time.Second)
 	claim := func(node string, again, want bool) func() {
 		t.Helper()
-		done, ok := l.admitAttempt(node, "order", "", again, 1, ends)
+		done, ok := l.admitAttempt(node, "order", "", again, 1, deadline)
 		if ok != want {
 			t.Errorf("%s, again %v: %v", node, again, ok)
 		}
--- a/internal/sidecar/store/bolt/bolt.go
+++ b/internal/sidecar/store/bolt/bolt.go
@@ -47,13 +47,13 @@
 	if !errors.Is(err, store.ErrCorrupt) {
 		return s, found, err
 	}
-	why := err.Error()
+	reason := err.Error()
 	if err := os.Rename(path, path+store.BadSuffix); err != nil {
 		return nil, store.OpenResult{}, err
 	}
 	s = &Store{maxBytes: o.MaxBytes}
 	_, err = s.open(o, upgrade)
-	return s, store.OpenResult{Empty: true, Warning: path + ": " + why + "; it is set aside as " + filepath.Base(path) + store.BadSuffix + " and nothing of it is used"}, err
+	return s, store.OpenResult{Empty: true, Warning: path + ": " + reason + "; it is set aside as " + filepath.Base(path) + store.BadSuffix + " and nothing of it is used"}, err
 }
 
 // fileContent is what a file was found to hold.
@@ -235,13 +235,13 @@
 	}
 	size := s.size
 	err = s.db.Update(func(tx *bbolt.Tx) error {
-		w := batchWriter{values: tx.Bucket(valuesBucket), size: size}
+		writer := batchWriter{values: tx.Bucket(valuesBucket), size: size}
 		for _, o := range ops {
-			if err := w.apply(o); err != nil {
+			if err := writer.apply(o); err != nil {
 				return err
 			}
 		}
-		size = w.size
+		size = writer.size
 		if size > s.maxBytes {
 			return store.ErrFull
 		}
--- a/internal/sidecar/store/bolt/bolt_test.go
+++ b/internal/sidecar/store/bolt/bolt_test.go
@@ -14,15 +14,15 @@
 	"fieldrelay/internal/testkit/contract"
 )
 
-const most = 4 << 10
+const maxBytes = 4 << 10
 
 func options(path, owner string) store.Options {
-	return store.Options{Path: path, Owner: owner, MaxBytes: most}
+	return store.Options{Path: path, Owner: owner, MaxBytes: maxBytes}
 }
 
 // A process that dies in the middle of a batch leaves what a copy taken meanwhile shows.
 func TestBolt(t *testing.T) {
-	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: most, Begin: func(t contract.T, seed uint64) contract.StorePlace {
+	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(t contract.T, seed uint64) contract.StorePlace {
 		path := filepath.Join(t.TempDir(), "kept.db")
 		p := contract.DiskPlace(path, seed, func(owner string) (store.Store, store.OpenResult, error) {
 			return bolt.Open(options(path, owner), nil)
--- a/internal/sidecar/store/bolt/golden_test.go
+++ b/internal/sidecar/store/bolt/golden_test.go
@@ -52,7 +52,7 @@
 // more, and is refused to another owner. (Its bytes are not compared: they are bbolt's.) With -update it is written
 // anew.
 func TestGoldenFileIsReadBack(t *testing.T) {
-	packed := filepath.Join("testdata", "golden.db.gz")
+	golden := filepath.Join("testdata", "golden.db.gz")
 	if *update {
 		path := filepath.Join(t.TempDir(), "voter.db")
 		writeGolden(t, path)
@@ -63,9 +63,9 @@
 		_, err = packer.Write(content)
 		require.NoError(t, err)
 		require.NoError(t, packer.Close())
-		require.NoError(t, os.WriteFile(packed, buffer.Bytes(), 0o600))
+		require.NoError(t, os.WriteFile(golden, buffer.Bytes(), 0o600))
 	}
-	file, err := os.Open(packed)
+	file, err := os.Open(golden)
 	require.NoError(t, err)
 	unpacked, err := gzip.NewReader(file)
 	require.NoError(t, err)
@@ -81,20 +81,20 @@
 	require.NoError(t, err)
 	require.False(t, found.Empty)
 	require.Empty(t, found.Warning)
-	held := make(map[string]string)
+	values := make(map[string]string)
 	require.NoError(t, opened.Each("", func(key string, value []byte) error {
-		held[key] = string(value)
+		values[key] = string(value)
 		return nil
 	}))
-	require.Equal(t, goldenValues, held)
+	require.Equal(t, goldenValues, values)
 	var more store.Batch
 	more.Put("entry/000000000000000c", []byte("twelve"))
 	require.NoError(t, opened.Commit(&more))
 	require.NoError(t, opened.Close())
 	opened, _, err = bolt.Open(options(path, goldenOwner), nil)
 	require.NoError(t, err)
-	value, found2 := opened.Get("entry/000000000000000c")
-	require.True(t, found2)
+	value, ok := opened.Get("entry/000000000000000c")
+	require.True(t, ok)
 	require.Equal(t, "twelve", string(value))
 	require.NoError(t, opened.Close())
 }
--- a/internal/sidecar/store/file.go
+++ b/internal/sidecar/store/file.go
@@ -16,11 +16,11 @@
 // second one that says how far it had come, so that an older copy put back in its place is known for one.
 type File struct {
 	Memory
-	layer  FileSystem
-	path   string
-	head   header
-	unlock func() error
-	failed bool
+	fileSystem FileSystem
+	path       string
+	head       header
+	unlock     func() error
+	failed     bool
 }
 
 // header is what a file begins with; its sum is of all that follows and of the rest of the header.
@@ -46,15 +46,15 @@
 )
 
 // OpenFile opens a store.
-func OpenFile(layer FileSystem, o Options) (*File, OpenResult, error) {
-	if err := layer.MakeDir(filepath.Dir(o.Path)); err != nil {
+func OpenFile(fileSystem FileSystem, o Options) (*File, OpenResult, error) {
+	if err := fileSystem.MakeDir(filepath.Dir(o.Path)); err != nil {
 		return nil, OpenResult{}, err
 	}
-	unlock, err := lock(layer, o.Path+lockSuffix, o.LockTimeout)
+	unlock, err := lock(fileSystem, o.Path+lockSuffix, o.LockTimeout)
 	if err != nil {
 		return nil, OpenResult{}, err
 	}
-	f := &File{Memory: *NewMemory(o.MaxBytes), layer: layer, path: o.Path, head: header{Format: Format, Owner: o.Owner}, unlock: unlock}
+	f := &File{Memory: *NewMemory(o.MaxBytes), fileSystem: fileSystem, path: o.Path, head: header{Format: Format, Owner: o.Owner}, unlock: unlock}
 	found, err := f.read()
 	if err != nil {
 		return nil, found, errors.Join(err, unlock())
@@ -63,9 +63,9 @@
 }
 
 // lock waits a little for a process that ends.
-func lock(layer FileSystem, path string, wait time.Duration) (func() error, error) {
+func lock(fileSystem FileSystem, path string, wait time.Duration) (func() error, error) {
 	for end := time.Now().Add(wait); ; <-time.After(lockRetryInterval) {
-		unlock, err := layer.Lock(path)
+		unlock, err := fileSystem.Lock(path)
 		if !errors.Is(err, ErrBusy) || !time.Now().Before(end) {
 			return unlock, err
 		}
@@ -73,8 +73,8 @@
 }
 
 // Edit opens a plain file for as long as do takes: for what several processes of a sidecar change in turn.
-func Edit(layer FileSystem, o Options, do func(s Store) error) (OpenResult, error) {
-	f, found, err := OpenFile(layer, o)
+func Edit(fileSystem FileSystem, o Options, do func(s Store) error) (OpenResult, error) {
+	f, found, err := OpenFile(fileSystem, o)
 	if err != nil {
 		return found, err
 	}
@@ -82,27 +82,27 @@
 }
 
 func (f *File) read() (OpenResult, error) {
-	far, farErr := f.readHeader(f.path+serialSuffix, fixedOverhead)
+	recorded, recordedErr := f.readHeader(f.path+serialSuffix, fixedOverhead)
 	h, err := f.readHeader(f.path, fixedOverhead+maxEncodedPerByte*f.maxBytes)
 	switch {
-	case errors.Is(err, fs.ErrNotExist) && (farErr != nil || far.Owner != f.head.Owner || far.Serial == 0):
+	case errors.Is(err, fs.ErrNotExist) && (recordedErr != nil || recorded.Owner != f.head.Owner || recorded.Serial == 0):
 		return OpenResult{Empty: true}, nil
 	case errors.Is(err, fs.ErrNotExist):
-		f.head.Serial = far.Serial
-		return OpenResult{Empty: true, Warning: fmt.Sprintf("%s: gone, though it had come to change %d; nothing of it is known", f.path, far.Serial)}, nil
+		f.head.Serial = recorded.Serial
+		return OpenResult{Empty: true, Warning: fmt.Sprintf("%s: gone, though it had come to change %d; nothing of it is known", f.path, recorded.Serial)}, nil
 	case errors.Is(err, ErrNewerFormat):
 		return OpenResult{}, fmt.Errorf("%s: %w", f.path, err)
 	case errors.Is(err, ErrCorrupt):
-		return f.quarantine(far, fmt.Sprintf("%s: %v", f.path, err))
+		return f.quarantine(recorded, fmt.Sprintf("%s: %v", f.path, err))
 	case err != nil:
 		return OpenResult{}, err
 	case h.Owner != f.head.Owner:
 		return OpenResult{}, fmt.Errorf("%s: %w: %q, not %q", f.path, ErrOwner, h.Owner, f.head.Owner)
-	case farErr == nil && far.Owner == h.Owner && far.Serial > h.Serial:
-		return f.quarantine(far, fmt.Sprintf("%s: an older copy was put back, of change %d where %d was reached", f.path, h.Serial, far.Serial))
+	case recordedErr == nil && recorded.Owner == h.Owner && recorded.Serial > h.Serial:
+		return f.quarantine(recorded, fmt.Sprintf("%s: an older copy was put back, of change %d where %d was reached", f.path, h.Serial, recorded.Serial))
 	}
 	// What a process that died had not synced must not be read now and gone after the next crash.
-	if err := errors.Join(f.layer.Sync(f.path), f.layer.SyncDir(filepath.Dir(f.path))); err != nil {
+	if err := errors.Join(f.fileSystem.Sync(f.path), f.fileSystem.SyncDir(filepath.Dir(f.path))); err != nil {
 		return OpenResult{}, err
 	}
 	f.head.Serial = h.Serial
@@ -113,23 +113,23 @@
 }
 
 // quarantine moves away what cannot be used. The count goes on, so that what was set aside never passes for newer.
-func (f *File) quarantine(far header, why string) (OpenResult, error) {
-	if far.Owner == f.head.Owner {
-		f.head.Serial = far.Serial
+func (f *File) quarantine(recorded header, reason string) (OpenResult, error) {
+	if recorded.Owner == f.head.Owner {
+		f.head.Serial = recorded.Serial
 	}
-	if err := f.layer.Rename(f.path, f.path+BadSuffix); err != nil {
+	if err := f.fileSystem.Rename(f.path, f.path+BadSuffix); err != nil {
 		return OpenResult{}, err
 	}
-	return OpenResult{Empty: true, Warning: why + "; it is set aside as " + filepath.Base(f.path) + BadSuffix + " and nothing of it is used"}, nil
+	return OpenResult{Empty: true, Warning: reason + "; it is set aside as " + filepath.Base(f.path) + BadSuffix + " and nothing of it is used"}, nil
 }
 
-func (f *File) readHeader(path string, most int) (h header, err error) {
-	text, err := f.layer.ReadFile(path, most+1)
+func (f *File) readHeader(path string, maxBytes int) (h header, err error) {
+	text, err := f.fileSystem.ReadFile(path, maxBytes+1)
 	if err != nil {
 		return h, err
 	}
-	if len(text) > most {
-		return h, fmt.Errorf("%w: more than %d bytes", ErrCorrupt, most)
+	if len(text) > maxBytes {
+		return h, fmt.Errorf("%w: more than %d bytes", ErrCorrupt, maxBytes)
 	}
 	body, ok := bytes.CutPrefix(text, []byte(magic))
 	if !ok || len(body) < checksumBytes {
@@ -193,16 +193,16 @@
 func (f *File) write(path string, h header) error {
 	text, err := encode(h)
 	if err == nil {
-		err = f.layer.WriteFile(path+tempSuffix, text)
+		err = f.fileSystem.WriteFile(path+tempSuffix, text)
 	}
 	if err == nil {
-		err = f.layer.Sync(path + tempSuffix)
+		err = f.fileSystem.Sync(path + tempSuffix)
 	}
 	if err == nil {
-		err = f.layer.Rename(path+tempSuffix, path)
+		err = f.fileSystem.Rename(path+tempSuffix, path)
 	}
 	if err == nil {
-		err = f.layer.SyncDir(filepath.Dir(path))
+		err = f.fileSystem.SyncDir(filepath.Dir(path))
 	}
 	return err
 }
--- a/internal/sidecar/store/layer.go
+++ b/internal/sidecar/store/filesystem.go
@@ -13,7 +13,7 @@
 	// MakeDir makes a folder, and those above it, if it is not there.
 	MakeDir(dir string) error
 	// ReadFile reads a file, most bytes of it at the most.
-	ReadFile(path string, most int) ([]byte, error)
+	ReadFile(path string, maxBytes int) ([]byte, error)
 	// WriteFile replaces what is in a file, or makes one. It outlives a crash once Sync has returned.
 	WriteFile(path string, text []byte) error
 	// Sync flushes a file to the disk.
@@ -33,13 +33,13 @@
 func (OSFileSystem) MakeDir(dir string) error { return os.MkdirAll(dir, 0o700) }
 
 // ReadFile reads a file.
-func (OSFileSystem) ReadFile(path string, most int) ([]byte, error) {
+func (OSFileSystem) ReadFile(path string, maxBytes int) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = f.Close() }()
-	return io.ReadAll(io.LimitReader(f, int64(most)))
+	return io.ReadAll(io.LimitReader(f, int64(maxBytes)))
 }
 
 // WriteFile writes a file.
--- a/internal/sidecar/store/memory.go
+++ b/internal/sidecar/store/memory.go
@@ -14,7 +14,7 @@
 }
 
 // NewMemory makes a store of up to most bytes of keys and values.
-func NewMemory(most int) *Memory { return &Memory{values: map[string][]byte{}, maxBytes: most} }
+func NewMemory(maxBytes int) *Memory { return &Memory{values: map[string][]byte{}, maxBytes: maxBytes} }
 
 // Get gives a value.
 func (m *Memory) Get(key string) ([]byte, bool) {
--- a/internal/sidecar/store/store_test.go
+++ b/internal/sidecar/store/store_test.go
@@ -9,23 +9,23 @@
 	"fieldrelay/internal/testkit/contract"
 )
 
-const most = 4 << 10
+const maxBytes = 4 << 10
 
 func options(path, owner string) store.Options {
-	return store.Options{Path: path, Owner: owner, MaxBytes: most}
+	return store.Options{Path: path, Owner: owner, MaxBytes: maxBytes}
 }
 
 func TestMemory(t *testing.T) {
-	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: most, Begin: func(contract.T, uint64) contract.StorePlace {
+	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(contract.T, uint64) contract.StorePlace {
 		return contract.StorePlace{Open: func(string) (store.Store, store.OpenResult, error) {
-			return store.NewMemory(most), store.OpenResult{Empty: true}, nil
+			return store.NewMemory(maxBytes), store.OpenResult{Empty: true}, nil
 		}}
 	}})
 }
 
 // The plain file, on a disk that tears what was not synced.
 func TestFile(t *testing.T) {
-	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: most, Begin: func(t contract.T, seed uint64) contract.StorePlace {
+	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(t contract.T, seed uint64) contract.StorePlace {
 		return contract.FilePlace(seed, func(l store.FileSystem, path, owner string) (store.Store, store.OpenResult, error) {
 			return store.OpenFile(l, options(path, owner))
 		}, laterFile)
@@ -37,7 +37,7 @@
 
 // On the system's files.
 func TestFileOnDisk(t *testing.T) {
-	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: most, Begin: func(t contract.T, seed uint64) contract.StorePlace {
+	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(t contract.T, seed uint64) contract.StorePlace {
 		path := filepath.Join(t.TempDir(), "kept")
 		p := contract.DiskPlace(path, seed, func(owner string) (store.Store, store.OpenResult, error) {
 			return store.OpenFile(store.OSFileSystem{}, options(path, owner))
@@ -59,19 +59,19 @@
 		return f
 	}
 	f := open()
-	put := func(value []byte) error {
+	putA := func(value []byte) error {
 		var b store.Batch
 		b.Put("a", value)
 		return f.Commit(&b)
 	}
-	if err := put([]byte("1")); err != nil {
+	if err := putA([]byte("1")); err != nil {
 		t.Fatal(err)
 	}
 	l.Space = 700
-	if err := put(make([]byte, 600)); err == nil || errors.Is(err, store.ErrFull) {
+	if err := putA(make([]byte, 600)); err == nil || errors.Is(err, store.ErrFull) {
 		t.Errorf("written to a full disk: %v", err)
 	}
-	if err := put([]byte("2")); !errors.Is(err, store.ErrFailed) {
+	if err := putA([]byte("2")); !errors.Is(err, store.ErrFailed) {
 		t.Errorf("went on after a failure: %v", err)
 	}
 	if err := f.Close(); err != nil {
@@ -81,7 +81,7 @@
 	if v, ok := f.Get("a"); !ok || string(v) != "1" {
 		t.Errorf("a is %q afterwards", v)
 	}
-	if err := put([]byte("2")); err != nil {
+	if err := putA([]byte("2")); err != nil {
 		t.Errorf("and takes nothing: %v", err)
 	}
 }
--- a/internal/sidecar/versionskew/check_test.go
+++ b/internal/sidecar/versionskew/check_test.go
@@ -44,7 +44,7 @@
 	return e
 }
 
-func (w *threeMembers) start(i int, odd bool) {
+func (w *threeMembers) start(i int, divergent bool) {
 	w.boots[i] += 10
 	cfg := Config{Name: name(i), Boot: w.boots[i], Pace: pace, Bound: 20 * pace, Seed: uint64(i), Reads: rules.Supported(), ReplyTimeout: 1000 * pace, Mutate: w.mutate,
 		View: func() (view.View, bool) { return w.adopted[i], true }, HoldsLease: func() bool { return w.adopted[i].ID == w.decided.ID },
@@ -55,7 +55,7 @@
 			}
 			return all
 		}}
-	if odd {
+	if divergent {
 		cfg.Decide = w.divergentDecide
 	}
 	w.machines[i] = New(cfg, w.now)
@@ -63,8 +63,8 @@
 
 func name(i int) string { return string(rune('a' + i)) }
 
-func newThreeMembers(odd func(*rules.Compiled, rules.Case) string, mutate Mutation) *threeMembers {
-	w := &threeMembers{links: map[[2]int][]Message{}, agreedAt: map[uint64]time.Duration{}, digests: map[uint64]string{}, divergentDecide: odd, mutate: mutate, pushed: map[string]bool{}}
+func newThreeMembers(divergentDecide func(*rules.Compiled, rules.Case) string, mutate Mutation) *threeMembers {
+	w := &threeMembers{links: map[[2]int][]Message{}, agreedAt: map[uint64]time.Duration{}, digests: map[uint64]string{}, divergentDecide: divergentDecide, mutate: mutate, pushed: map[string]bool{}}
 	w.decided = view.View{ID: view.ID{Era: 1, Number: 1}}
 	for i := range 3 {
 		w.decided.Members = append(w.decided.Members, view.Member{Name: name(i)})
@@ -72,7 +72,7 @@
 	}
 	for i := range 3 {
 		w.adopted[i] = w.decided
-		w.start(i, i == 2 && odd != nil)
+		w.start(i, i == 2 && divergentDecide != nil)
 	}
 	w.step(1, Push{Edition: testEdition(1)})
 	return w
@@ -135,7 +135,7 @@
 }
 
 // forEachEvent goes through what can happen now. do is called for at most one of them.
-func (w *threeMembers) forEachEvent(see func(string, func())) {
+func (w *threeMembers) forEachEvent(visit func(string, func())) {
 	type event struct {
 		name string
 		do   func()
@@ -173,7 +173,7 @@
 		add("c pushes", func() { w.pushed["c"] = true; w.step(2, Push{Edition: testEdition(2)}) })
 	}
 	for _, e := range all {
-		see(e.name, e.do)
+		visit(e.name, e.do)
 	}
 }
 
@@ -199,22 +199,22 @@
 // Every order of up to six events of three members, one of which may read the rules otherwise, be started anew, or push
 // another edition, while the leader changes: an edition is agreed only once all are compatible, and in force as it was agreed.
 func TestEveryOrder(t *testing.T) {
-	for name, odd := range map[string]func(*rules.Compiled, rules.Case) string{"all alike": nil,
+	for name, divergentDecide := range map[string]func(*rules.Compiled, rules.Case) string{"all alike": nil,
 		"one reads otherwise": func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }} {
-		r, err := explore.All(func() explore.System { return newThreeMembers(odd, NoMutation) }, 6, 400_000)
+		r, err := explore.All(func() explore.System { return newThreeMembers(divergentDecide, NoMutation) }, 6, 400_000)
 		if err != nil || !r.Full {
 			t.Errorf("%s: %v, %+v", name, err, r)
 		}
 		t.Logf("%s: %d states, %d orders", name, r.States, r.Paths)
 	}
 	for name, c := range map[string]struct {
-		odd    func(*rules.Compiled, rules.Case) string
-		mutate Mutation
+		divergentDecide func(*rules.Compiled, rules.Case) string
+		mutate          Mutation
 	}{
 		"claims believed":    {func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }, TrustsClaims},
 		"silence understood": {func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }, SkipsSilent},
 	} {
-		if _, err := explore.All(func() explore.System { return newThreeMembers(c.odd, c.mutate) }, 7, 200_000); err == nil {
+		if _, err := explore.All(func() explore.System { return newThreeMembers(c.divergentDecide, c.mutate) }, 7, 200_000); err == nil {
 			t.Errorf("%s: not noticed", name)
 		} else {
 			t.Logf("%s: %v", name, err)
@@ -245,7 +245,7 @@
 		for range 6 {
 			w.doEvents("a>b", "b>a", "three paces")
 		}
-		if noticed := w.violation != nil; noticed != (mutate == AnyBoot) {
+		if violated := w.violation != nil; violated != (mutate == AnyBoot) {
 			t.Errorf("%s: %v", name, w.violation)
 		}
 	}
--- a/internal/sidecar/versionskew/edition.go
+++ b/internal/sidecar/versionskew/edition.go
@@ -75,7 +75,7 @@
 	}
 	if m.enforced != nil && a.Number < m.enforced.Edition.Number && !m.cfg.HoldsLease() && m.cfg.Mutate != OverwritesNew {
 		// The view is outdated: this member has known a later one, and keeps its edition until it has that again.
-		m.fallBehind(fmt.Sprintf("the view has edition %d, this member went by %d", a.Number, m.enforced.Edition.Number))
+		m.reportBehind(fmt.Sprintf("the view has edition %d, this member went by %d", a.Number, m.enforced.Edition.Number))
 		return
 	}
 	cached := m.editions[a.Digest]
@@ -85,14 +85,14 @@
 		m.out = append(m.out, Enforce{Compiled: m.enforced})
 		return
 	case cached == nil:
-		m.fallBehind(fmt.Sprintf("the content of edition %d is not here", a.Number))
+		m.reportBehind(fmt.Sprintf("the content of edition %d is not here", a.Number))
 		if m.contentDue <= m.now {
 			m.contentDue = m.now + contentInterval*m.cfg.Pace/2 + time.Duration(m.rng.Int64N(int64(contentInterval*m.cfg.Pace)))
 			m.send(m.drawMember(), Message{Kind: ContentRequest, Digest: a.Digest})
 		}
 		return
 	case cached.compiled == nil:
-		m.fallBehind(fmt.Sprintf("edition %d: %v", a.Number, cached.err))
+		m.reportBehind(fmt.Sprintf("edition %d: %v", a.Number, cached.err))
 		m.contentDue = m.now + draftInterval*m.cfg.Pace
 		return
 	}
@@ -103,15 +103,15 @@
 	m.log(false, "edition %d (%.12s) in force", a.Number, a.Digest)
 }
 
-// fallBehind reports, once for each reason, that the edition of the view is not in force here.
-func (m *Machine) fallBehind(reason string) {
+// reportBehind reports, once for each reason, that the edition of the view is not in force here.
+func (m *Machine) reportBehind(reason string) {
 	if m.behind != reason {
 		m.behind = reason
-		on := "no edition"
+		present := "no edition"
 		if m.enforced != nil {
-			on = fmt.Sprintf("edition %d", m.enforced.Edition.Number)
+			present = fmt.Sprintf("edition %d", m.enforced.Edition.Number)
 		}
-		m.log(true, "behind: %s; %s goes on", reason, on)
+		m.log(true, "behind: %s; %s goes on", reason, present)
 	}
 }
 
--- a/internal/sidecar/versionskew/evaluate.go
+++ b/internal/sidecar/versionskew/evaluate.go
@@ -14,7 +14,7 @@
 func (m *Machine) Results() (phase Phase, number uint64, all []Result) {
 	v, _ := m.cfg.Decided()
 	if m.offer == nil {
-		return Nothing, m.agreed().Number, nil
+		return Unknown, m.agreed().Number, nil
 	}
 	return m.offer.phase, m.offer.edition.Number, m.results(v)
 }
@@ -22,28 +22,28 @@
 // results returns what became of the trial at each participant.
 func (m *Machine) results(v view.View) (all []Result) {
 	own := m.load(m.offer.edition)
-	for _, one := range m.participants(v) {
-		outcome, reason := m.result(own, one)
-		all = append(all, Result{Name: one.Name, Outcome: outcome, Reason: reason})
+	for _, participant := range m.participants(v) {
+		outcome, reason := m.result(own, participant)
+		all = append(all, Result{Name: participant.Name, Outcome: outcome, Reason: reason})
 	}
 	return all
 }
 
 // result returns what became of the trial at a member, by its reply and by what it says that it reads.
-func (m *Machine) result(own *cachedEdition, one Member) (outcome Outcome, reason string) {
+func (m *Machine) result(own *cachedEdition, participant Member) (outcome Outcome, reason string) {
 	o := m.offer
-	got, replied := o.replies[one.Name]
-	if replied && got.boot != one.Boot && m.cfg.Mutate != AnyBoot {
+	got, replied := o.replies[participant.Name]
+	if replied && got.boot != participant.Boot && m.cfg.Mutate != AnyBoot {
 		replied = false // an earlier process of its name has replied
 	}
-	unread := unreadRule(o.edition, one.Reads)
+	unread := unreadRule(o.edition, participant.Reads)
 	switch {
 	case unread != nil:
-		return Unreadable, fmt.Sprintf("it reads %q, not %s %s, which this program does", one.Reads, unread.Kind, unread.Format)
+		return Unreadable, fmt.Sprintf("it reads %q, not %s %s, which this program does", participant.Reads, unread.Kind, unread.Format)
 	case m.cfg.Mutate == TrustsClaims, !replied && m.cfg.Mutate == SkipsSilent:
 		return Compatible, ""
-	case !replied && one.AbsentFor >= 0:
-		return NoReply, fmt.Sprintf("away for %v, and may return within %v", one.AbsentFor.Round(time.Millisecond), m.cfg.ReturnTimeout)
+	case !replied && participant.AbsentFor >= 0:
+		return NoReply, fmt.Sprintf("away for %v, and may return within %v", participant.AbsentFor.Round(time.Millisecond), m.cfg.ReturnTimeout)
 	case !replied:
 		return NoReply, fmt.Sprintf("for %v", (m.now - o.offeredAt).Round(time.Millisecond))
 	case got.readError != "":
@@ -121,20 +121,20 @@
 // offerLowered puts on trial the edition rewritten in formats that all participants read, if it loses nothing by that.
 func (m *Machine) offerLowered(v view.View) {
 	common := m.cfg.Reads
-	for _, one := range m.participants(v) {
-		reads, err := rules.ParseReads(one.Reads)
+	for _, participant := range m.participants(v) {
+		reads, err := rules.ParseReads(participant.Reads)
 		if err != nil {
 			return
 		}
-		both := rules.Reads{}
+		shared := rules.Reads{}
 		for kind, formats := range common {
 			for _, f := range formats {
 				if reads.Has(kind, f) {
-					both[kind] = append(both[kind], f)
+					shared[kind] = append(shared[kind], f)
 				}
 			}
 		}
-		common = both
+		common = shared
 	}
 	e, lost := rules.Lower(m.offer.edition, common)
 	from := m.offer.digest
--- a/internal/sidecar/versionskew/machine.go
+++ b/internal/sidecar/versionskew/machine.go
@@ -88,7 +88,7 @@
 	case Push:
 		event.Edition.Number = 0
 		m.load(event.Edition)
-		m.pushed, m.pushedDigest, m.draftDue, m.pushedPhase = &event.Edition, editionDigest(event.Edition), m.now, Nothing
+		m.pushed, m.pushedDigest, m.draftDue, m.pushedPhase = &event.Edition, editionDigest(event.Edition), m.now, Unknown
 	}
 	m.enforceAgreed()
 	m.sendDraft()
--- a/internal/sidecar/versionskew/outcome.go
+++ b/internal/sidecar/versionskew/outcome.go
@@ -5,7 +5,7 @@
 
 // The phases.
 const (
-	Nothing  Phase = iota // not known to the leader
+	Unknown  Phase = iota // not known to the leader
 	Offered               // on trial; some members have not replied
 	Read                  // all have replied
 	Agreed                // proposed with a view
--- a/internal/sidecar/versionskew/trial.go
+++ b/internal/sidecar/versionskew/trial.go
@@ -143,10 +143,10 @@
 // participants returns the members whose replies are needed: those present, those of the view, and those that have been absent
 // for less than ReturnTimeout and so may return.
 func (m *Machine) participants(v view.View) (all []Member) {
-	for _, one := range m.cfg.Members() {
-		_, included := v.Find(one.Name)
-		if one.AbsentFor < 0 || included || one.AbsentFor < m.cfg.ReturnTimeout {
-			all = append(all, one)
+	for _, participant := range m.cfg.Members() {
+		_, included := v.Find(participant.Name)
+		if participant.AbsentFor < 0 || included || participant.AbsentFor < m.cfg.ReturnTimeout {
+			all = append(all, participant)
 		}
 	}
 	return all
@@ -163,17 +163,17 @@
 		return
 	}
 	sent := 0
-	for _, one := range m.participants(v) {
-		if r, ok := o.replies[one.Name]; one.AbsentFor >= 0 || ok && r.boot == one.Boot {
+	for _, participant := range m.participants(v) {
+		if r, ok := o.replies[participant.Name]; participant.AbsentFor >= 0 || ok && r.boot == participant.Boot {
 			continue
 		}
-		if at, ok := o.sentAt[one.Name]; ok && m.now-at < directOfferInterval*m.cfg.Pace {
+		if at, ok := o.sentAt[participant.Name]; ok && m.now-at < directOfferInterval*m.cfg.Pace {
 			continue
 		}
 		if sent++; sent > maxDirectOffers {
 			return
 		}
-		o.sentAt[one.Name] = m.now
-		m.send(one.Name, m.offerMessage())
+		o.sentAt[participant.Name] = m.now
+		m.send(participant.Name, m.offerMessage())
 	}
 }
