--- a/internal/sidecar/fleet/actions.go
+++ b/internal/sidecar/fleet/actions.go
@@ -11,12 +11,12 @@
 	"fieldrelay/internal/sidecar/view"
 )
 
-// step steps the Core and carries out its actions. It runs on the actor.
+// step steps the Core and carries out its actions. It runs on the actor's goroutine.
 func (f *Fleet) step(event Event) {
 	for _, action := range f.core.Step(time.Since(f.origin), event) {
 		if save, ok := action.(Save); ok {
 			if err := f.voterStore.save(save.Change); err != nil {
-				// What was not stored must not be answered for: without its state this process is no voter.
+				// A voter must not act on state that it has not stored, so this process stops voting.
 				f.log.Error().Err(err).Msg("voter's state not stored: leaving the fleet")
 				go f.Abandon()
 				return
@@ -27,7 +27,7 @@
 	}
 	f.rules.updateFigures(f.core)
 	if f.allotmentChanged != nil {
-		f.limits.reportAllotments(f.allotmentChanged) // on each step: the end of a lease is no action
+		f.limits.reportAllotments(f.allotmentChanged) // at each step, since the expiry of a lease emits no action
 	}
 	f.wake.Reset(max(0, f.core.Next()-time.Since(f.origin)))
 }
@@ -58,7 +58,7 @@
 		f.logView(a.View, "view adopted")
 	case ModeChanged:
 		f.mode.Store(int32(a.Mode))
-		if a.Mode == Yielded && f.avoid != nil { // this process counts no votes any more
+		if a.Mode == Yielded && f.avoid != nil { // this process no longer evaluates verdicts
 			f.avoid(nil)
 		}
 		f.logAction(action)
@@ -67,7 +67,7 @@
 	}
 }
 
-// logAction logs an action.
+// logAction logs an action that has a log line.
 func (f *Fleet) logAction(action Action) {
 	switch a := action.(type) {
 	case MemberChanged:
@@ -86,12 +86,12 @@
 	}
 }
 
-// logView logs a view.
+// logView logs a view with a message.
 func (f *Fleet) logView(v view.View, message string) {
 	f.log.Info().Stringer("view", v.ID).Int("members", len(v.Members)).Str("sum", fmt.Sprintf("%x", v.Sum())).Msg(message)
 }
 
-// levelOf is the level of a line about which something has to be done, or not.
+// levelOf returns the level of a log line: error if it requires action by the operator.
 func levelOf(alert bool) zerolog.Level {
 	if alert {
 		return zerolog.ErrorLevel
@@ -99,7 +99,7 @@
 	return zerolog.InfoLevel
 }
 
-// transmit sends a frame. One that does not fit a datagram goes over a stream.
+// transmit sends a frame, over a stream if the action says so or if the frame does not fit a datagram.
 func (f *Fleet) transmit(t Transmit) {
 	b, err := peer.Encode(t.Frame)
 	if err != nil {
--- a/internal/sidecar/fleet/core.go
+++ b/internal/sidecar/fleet/core.go
@@ -1,8 +1,9 @@
-// Package fleet is a sidecar's membership in a fleet: it joins the state machines of failure detection (member), agreement
-// (view), quotas (quota), verdicts (verdict) and rules (skew) with the channel between sidecars (peer) and the management
-// address. Core is these machines as one, without I/O or clock; Fleet is the actor around it, with clock, sockets and disk.
+// Package fleet implements a sidecar's membership in a fleet. It connects the state machines of failure detection (member),
+// agreement (view), quotas (quota), verdicts (verdict) and rules (versionskew) with the channel between sidecars (peer) and the
+// management address. Core combines these machines in one, without I/O or clock; Fleet is the actor that runs a Core, with clock,
+// sockets and disk.
 //
-// Nothing that serves requests waits for the fleet: without it, or cut off from it, a sidecar goes on alone.
+// Serving requests never waits for the fleet: a sidecar without a fleet, or partitioned from it, continues alone.
 // docs/design/fleet.md describes the design, docs/sidecar/peers.md is the page for operators.
 package fleet
 
@@ -19,53 +20,53 @@
 	"fieldrelay/internal/sidecar/view"
 )
 
-// CoreConfig is what a Core is made with.
+// CoreConfig configures a Core.
 type CoreConfig struct {
 	Fleet  string
 	Member member.Config
-	View   view.Config // but for Members and Member
+	View   view.Config // all fields except Members and Member, which NewCore sets
 	Limits []quota.Limit
 	// Demand returns how much of a limit this member could use, and how much it has in use. It is called in Step.
 	Demand      func(limit string, now time.Duration) (demand, used quota.Unit)
 	MutateQuota quota.Mutation      // set by tests only
-	Suspensions []verdict.Statement // stored by an earlier process
-	// Observations is what this member observes of execute nodes; nil: there are no verdicts. Its methods are called in Step.
+	Suspensions []verdict.Statement // statements that an earlier process stored
+	// Observations has what this member observes of execute nodes; nil: verdicts are off. Its methods are called in Step.
 	Observations   Observations
-	VerdictPercent int                 // of the listed nodes, and of each zone's, that may be under verdict
+	VerdictPercent int                 // percent of the listed nodes, and of each zone's, that may be under a verdict
 	MutateVerdict  verdict.Mutation    // set by tests only
-	Rules          *versionskew.Config // but for what follows from the other fields; nil: there are no rules
+	Rules          *versionskew.Config // all fields except those that follow from the rest of CoreConfig; nil: rules are off
 }
 
-// gossipFanout is how many other members a frame is gossiped to.
+// gossipFanout is the number of other members that a frame is gossiped to.
 const gossipFanout = 3
 
-// Core is the state machines of a fleet's member as one. It is a state machine itself, without I/O, clock or goroutine, and
+// Core combines the state machines of a fleet's member. It is a deterministic state machine itself, without I/O, clock or goroutine:
 // the same seed and events give the same actions. It is not safe for concurrent use.
 type Core struct {
 	cfg CoreConfig
 	now time.Duration
 	rng *rand.Rand
 	out []Action
-	// sharesChanged is set while out has QuotaSharesChanged.
+	// sharesChanged is set if out contains QuotaSharesChanged.
 	sharesChanged bool
 
 	member    *member.Machine
 	views     *view.Machine
 	holder    *quota.Holder
 	granter   *quota.Granter
-	evaluator *verdict.Evaluator   // nil: there are no verdicts
-	skew      *versionskew.Machine // nil: there are no rules
+	evaluator *verdict.Evaluator   // nil: verdicts are off
+	skew      *versionskew.Machine // nil: rules are off
 
-	pingTimes    map[uint64]time.Duration // when each unanswered ping was sent, by its number
+	pingTimes    map[uint64]time.Duration // send times of unanswered pings, by sequence number
 	suspensions  verdict.Table
 	draining     verdict.Table
-	tableSyncDue time.Duration // both tables are not sent whole before
+	tableSyncDue time.Duration // earliest time at which both tables are sent whole again
 	mode         Mode
-	rejoinAt     time.Duration // when a lease that is held again ends the mode Partitioned; 0: none is
+	rejoinAt     time.Duration // time at which the mode Partitioned ends, after a lease is held again; 0: no lease is held, or the mode is another one
 }
 
-// NewCore makes a Core. now is the present time on the monotonic clock that Step is called with. The error is of the stored
-// state of the voter.
+// NewCore creates a Core. now is the present time on the monotonic clock that Step is called with. An error means that the stored
+// state of the voter cannot be used.
 func NewCore(cfg CoreConfig, now time.Duration) (*Core, error) {
 	pace := cfg.Member.Pace
 	c := &Core{cfg: cfg, member: member.New(cfg.Member, now), pingTimes: make(map[uint64]time.Duration),
@@ -90,7 +91,7 @@
 	return c, err
 }
 
-// Next is the time by which Step has to be called with Tick, if no event comes before.
+// Next returns the time by which Step has to be called with Tick, if no event comes before.
 func (c *Core) Next() time.Duration {
 	if c.mode == Yielded {
 		return math.MaxInt64
@@ -111,7 +112,7 @@
 	return next
 }
 
-// Views returns the machine of the agreement on views.
+// Views returns the state machine of the agreement on views.
 func (c *Core) Views() *view.Machine { return c.views }
 
 // Mode returns the present mode.
@@ -120,7 +121,8 @@
 // Members returns the failure detector.
 func (c *Core) Members() *member.Machine { return c.member }
 
-// Step takes an event at a time, on the clock of NewCore, that is not before that of the last call.
+// Step handles an event at a time, on the clock of NewCore, that is not before that of the last call. It returns the actions to carry
+// out in order.
 func (c *Core) Step(now time.Duration, event Event) []Action {
 	c.out, c.sharesChanged, c.now = nil, false, max(now, c.now)
 	if c.mode == Yielded {
@@ -138,7 +140,7 @@
 	return c.out
 }
 
-// handle takes in an event.
+// handle passes an event to the state machine that it is for.
 func (c *Core) handle(now time.Duration, event Event) {
 	switch event := event.(type) {
 	case Tick:
@@ -169,7 +171,7 @@
 	}
 }
 
-// gossip sends a frame to a few other members, drawn anew each time.
+// gossip sends a frame to up to gossipFanout other members, drawn at random at each call.
 func (c *Core) gossip(f peer.Frame) {
 	others := c.member.PresentRecords()
 	c.rng.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
@@ -185,13 +187,13 @@
 	}
 }
 
-// transmit sends a frame to a process.
+// transmit emits the action that sends a frame to a process.
 func (c *Core) transmit(to member.Record, f peer.Frame, stream bool) {
 	f.Fleet, f.From = c.cfg.Fleet, c.member.Self()
 	c.out = append(c.out, Transmit{To: to, Frame: f, Stream: stream})
 }
 
-// jitter draws a duration of up to a pace, and never 0.
+// jitter returns a random duration from 1 ns to a pace.
 func (c *Core) jitter() time.Duration {
 	return time.Duration(c.rng.Int64N(int64(c.cfg.Member.Pace))) + 1
 }
--- a/internal/sidecar/fleet/coremember.go
+++ b/internal/sidecar/fleet/coremember.go
@@ -9,10 +9,10 @@
 	"fieldrelay/internal/sidecar/view"
 )
 
-// maxPings bounds the unanswered pings whose times are kept.
+// maxPings bounds the number of unanswered pings whose send times are remembered.
 const maxPings = 256
 
-// receive takes in a frame, by the machine that each of its parts is for.
+// receive passes each part of a frame to the state machine that handles it.
 func (c *Core) receive(f peer.Frame) {
 	if f.Member != nil {
 		c.receiveMember(f, *f.Member)
@@ -46,8 +46,8 @@
 	}
 }
 
-// receiveMember takes in a message of the failure detector, with the stamp of its sender's view and the digest of its tables. A
-// stamp counts from when the ping was sent that it answers, whoever answered.
+// receiveMember handles a message of the failure detector, with the stamp of its sender's view and the digest of its sender's tables.
+// The age of a stamp counts from the time at which the ping that it answers was sent, whichever member answered.
 func (c *Core) receiveMember(f peer.Frame, msg member.Message) {
 	c.handleMember(c.member.Step(c.now, member.Received{From: f.From, Message: msg}))
 	if sentAt, ok := c.pingTimes[msg.Seq]; ok && msg.Kind == member.Ack {
@@ -64,7 +64,7 @@
 	}
 }
 
-// stepViews steps the agreement on views and does what it wants.
+// stepViews steps the agreement on views and carries out its actions.
 func (c *Core) stepViews(event view.Event) {
 	for _, a := range c.views.Step(c.now, event) {
 		switch a := a.(type) {
@@ -84,7 +84,8 @@
 	}
 }
 
-// recordPing remembers when a ping was sent.
+// recordPing records when a ping was sent. If maxPings are recorded, it drops those that are older than
+// a lease; if that frees no place, the ping is not recorded.
 func (c *Core) recordPing(seq uint64) {
 	if len(c.pingTimes) >= maxPings {
 		for s, at := range c.pingTimes {
@@ -98,7 +99,8 @@
 	}
 }
 
-// handleMember does what the failure detector wants. Pings and Acks carry the digest of the tables, Acks also the stamp.
+// handleMember carries out the actions of the failure detector. Pings and Acks carry the digest of the tables, Acks also the stamp
+// of this member's view.
 func (c *Core) handleMember(actions []member.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
--- a/internal/sidecar/fleet/corequota.go
+++ b/internal/sidecar/fleet/corequota.go
@@ -7,32 +7,32 @@
 	"fieldrelay/internal/sidecar/quota"
 )
 
-// The constants of the leases on shares of limits: times are in paces.
+// Constants of the leases on shares of limits. Times are in paces.
 const (
-	reportInterval     = 2  // of a holder's reports
-	minReportsPerLease = 4  // a holder reports at least so often in a lease
-	fullRateMembers    = 50 // members up to which the interval holds; beyond, it grows in proportion
-	actTimeout         = 4  // for so long after a majority confirmed that it leads a granter acts
-	// minLease is the shortest lease: longer than the election of another leader (at most 16 paces, unless two campaign at
-	// once), what that one waits, and a report, so that shares outlive their granter.
+	reportInterval     = 2  // interval between two reports of a holder
+	minReportsPerLease = 4  // least number of reports of a holder within a lease
+	fullRateMembers    = 50 // number of members up to which reportInterval applies; with more, the interval grows in proportion
+	actTimeout         = 4  // time for which a granter acts after a majority confirmed its leadership
+	// minLease is the shortest lease. It exceeds the sum of the election of another leader (at most 16 paces, unless two
+	// candidates campaign at once), the new leader's wait before it grants, and a report, so that shares outlive their granter.
 	minLease = 32
 )
 
 // Holder returns the holder of this member's shares of the limits.
 func (c *Core) Holder() *quota.Holder { return c.holder }
 
-// Granter returns the granter of all shares, which acts while this member leads.
+// Granter returns the granter of all members' shares, which acts only while this member leads the voters.
 func (c *Core) Granter() *quota.Granter { return c.granter }
 
-// stepQuotas reports this member's demand when that is due, to the leader or to itself.
+// stepQuotas sends this member's demand to the leader when the report is due. If this member leads, its own granter gets the report.
 func (c *Core) stepQuotas() {
 	if era, term, confirmed, ok := c.views.Leadership(); ok {
 		c.granter.Lead(c.now, quota.Term{Era: era, Term: term}, confirmed)
 	} else {
 		c.granter.Follow()
 	}
-	// What is in use is read only once the caller has carried out a change of the shares: until then it may still grow by the
-	// old ones, beyond what is reported.
+	// The amounts in use are read only after the caller has carried out a change of the shares: until then the gates still admit
+	// by the old shares, and the use may grow beyond the reported one.
 	if c.holder.Next() > c.now || c.sharesChanged {
 		return
 	}
@@ -59,14 +59,14 @@
 	}
 }
 
-// applyGrant takes in a grant for this member.
+// applyGrant applies a grant to this member's shares.
 func (c *Core) applyGrant(g quota.Grant) {
 	if c.holder.ReceiveGrant(c.now, g) {
 		c.reportSharesChanged()
 	}
 }
 
-// reportSharesChanged tells the caller that this member's shares may have changed.
+// reportSharesChanged emits the action that this member's shares may have changed.
 func (c *Core) reportSharesChanged() {
 	c.sharesChanged = true
 	c.out = append(c.out, QuotaSharesChanged{})
--- a/internal/sidecar/fleet/corerules.go
+++ b/internal/sidecar/fleet/corerules.go
@@ -9,7 +9,7 @@
 	"fieldrelay/internal/sidecar/view"
 )
 
-// newSkew makes the check of rules. It reads members and views as they are when it is stepped.
+// newSkew creates the check of rules. The check reads the members and the view at each of its steps.
 func (c *Core) newSkew(cfg versionskew.Config, now time.Duration) {
 	cfg.Name, cfg.Boot, cfg.Pace, cfg.Seed = c.cfg.Member.Name, c.cfg.Member.Boot, c.cfg.Member.Pace, c.cfg.Member.Seed
 	cfg.Bound = view.Bound(c.cfg.View.Lease, c.cfg.View.Drift)
@@ -20,7 +20,8 @@
 	c.skew = versionskew.New(cfg, now)
 }
 
-// rulesMembers returns the members that rules may have to be compatible with: all known ones but those that left.
+// rulesMembers returns the members that an edition of rules may have to be compatible with: all known members except those that
+// left.
 func (c *Core) rulesMembers() []versionskew.Member {
 	self := c.member.Self()
 	all := []versionskew.Member{{Name: self.Name, Boot: self.Boot, Reads: self.Reads, AbsentFor: -1}}
@@ -35,10 +36,10 @@
 	return all
 }
 
-// Skew returns the check of rules; nil: there are no rules.
+// Skew returns the check of rules; nil: rules are off.
 func (c *Core) Skew() *versionskew.Machine { return c.skew }
 
-// stepSkew steps the check of rules, if there is one, and does what it wants.
+// stepSkew steps the check of rules, if rules are on, and carries out its actions.
 func (c *Core) stepSkew(event versionskew.Event) {
 	if c.skew == nil {
 		return
--- a/internal/sidecar/fleet/events.go
+++ b/internal/sidecar/fleet/events.go
@@ -19,11 +19,11 @@
 type (
 	// Tick reports that time has passed.
 	Tick struct{}
-	// Received is a frame of this fleet.
+	// Received delivers a frame of a member of this fleet.
 	Received struct{ Frame peer.Frame }
 	// Leave reports that the process is about to shut down.
 	Leave struct{}
-	// SetSeeds replaces the addresses to join by.
+	// SetSeeds replaces the addresses of the members through which to join.
 	SetSeeds struct{ Join []string }
 	// SetLimits replaces the limits of the fleet.
 	SetLimits struct{ Limits []quota.Limit }
@@ -32,16 +32,16 @@
 		Node      string
 		Suspended bool
 	}
-	// SetDraining reports that this member's list has a process of an execute node, by its start, as draining or gone, or no
-	// longer so.
+	// SetDraining states whether the process of an execute node that started at Since is draining in this member's list or
+	// has been removed from it.
 	SetDraining struct {
 		Node     string
 		Since    time.Duration
 		Draining bool
 	}
-	// PushRules is the edition of this member's file, to be put in force.
+	// PushRules requests that the edition of this member's rules file be put in force.
 	PushRules struct{ Edition rules.Edition }
-	// Recover is the operator's decision that the majority of the voters is lost for good.
+	// Recover reports the operator's decision that the majority of the voters is permanently lost.
 	Recover struct{}
 )
 
@@ -68,35 +68,35 @@
 
 // The actions.
 type (
-	// Transmit sends a frame to a process. To.Name is empty for an address to join by.
+	// Transmit sends a frame to a process. To.Name is empty if To is only an address to join through.
 	Transmit struct {
 		To     member.Record
 		Frame  peer.Frame
 		Stream bool
 	}
-	// MemberChanged reports a new belief about another process.
+	// MemberChanged reports a changed state of another process, as the failure detector sees it.
 	MemberChanged struct{ member.Changed }
 	// Save stores a change of the voter's state. It must be on disk, synced, before a later action is carried out.
 	Save struct{ Change view.Change }
-	// Decided reports a new view that the voters have decided, at a voter.
+	// Decided reports, at a voter, a new view that the voters have decided.
 	Decided struct{ View view.View }
-	// Adopted reports the view that is in force at this member from now on.
+	// Adopted reports the view that is in force at this member from this action on.
 	Adopted struct{ View view.View }
 	// Notice is a line for the operator.
 	Notice struct{ view.Notice }
 	// SuspensionsChanged reports all statements on suspended execute nodes.
 	SuspensionsChanged struct{ All []verdict.Statement }
-	// Avoid names all execute nodes to which this member sends nothing new from now on, by the fleet's verdict.
+	// Avoid lists all execute nodes to which this member must send no new requests from this action on, by the fleet's verdict.
 	Avoid struct{ verdict.Avoid }
-	// VerdictLog is a line on a verdict, for the log.
+	// VerdictLog is a log line about a verdict.
 	VerdictLog struct{ verdict.LogEntry }
 	// DrainingChanged reports new statements on draining execute nodes.
 	DrainingChanged struct{ Updates []verdict.Statement }
 	// QuotaSharesChanged reports that this member's shares of the limits may have changed.
 	QuotaSharesChanged struct{}
-	// RulesEnforced puts an edition of rules in force at this member, all of it at once.
+	// RulesEnforced puts an edition of rules in force at this member, as a whole.
 	RulesEnforced struct{ Compiled *rules.Compiled }
-	// RulesLog is a line on rules, for the operator.
+	// RulesLog is a line about rules, for the operator.
 	RulesLog struct{ versionskew.LogEntry }
 	// ModeChanged reports a new mode.
 	ModeChanged struct {
--- a/internal/sidecar/fleet/figures.go
+++ b/internal/sidecar/fleet/figures.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Figures returns the StatsD lines of the fleet, without line ends. It does not wait for the actor: figures of the Core are as
-// of its last step.
+// Figures returns the StatsD lines of the fleet, without line ends. It does not wait for the actor: the values of the Core are
+// those of its last step.
 func (f *Fleet) Figures(prefix string) []string {
 	c := f.channel.Counts()
 	admitted, rejected := f.limits.counts()
--- a/internal/sidecar/fleet/fleet.go
+++ b/internal/sidecar/fleet/fleet.go
@@ -25,13 +25,13 @@
 
 const (
 	maxQueued       = 4096                   // frames queued for the actor; further ones are dropped
-	maxRefusedPeers = 64                     // refused senders that are logged
-	leaveLinger     = 100 * time.Millisecond // for the last datagrams and streams to leave
-	actorTimeout    = 500 * time.Millisecond // for a caller of the management address
+	maxRefusedPeers = 64                     // bound on the senders whose refusal is logged
+	leaveLinger     = 100 * time.Millisecond // wait after the announcement of the leave, so that the last datagrams and streams are sent
+	actorTimeout    = 500 * time.Millisecond // for which a caller of the management address waits for the actor
 )
 
-// Fleet is the actor around a Core: clock, sockets and disk. Its exported methods are safe for concurrent use; those that serve
-// requests do not wait for the actor.
+// Fleet is the actor that runs a Core, with its clock, sockets and disk. Its exported methods are safe for concurrent use; those
+// on the path of requests do not wait for the actor.
 type Fleet struct {
 	log     zerolog.Logger
 	channel *peer.Channel
@@ -41,33 +41,33 @@
 
 	limits        limits
 	observations  observations
-	droppedFrames atomic.Int64 // since the mailbox was full
-	refusedFrames atomic.Int64 // of another fleet or version, or malformed
+	droppedFrames atomic.Int64 // frames dropped because the mailbox was full
+	refusedFrames atomic.Int64 // frames of another fleet or version, and malformed frames
 	mode          atomic.Int32
-	viewNumber    atomic.Int64 // of the view in force here
-	viewMembers   atomic.Int64 // of that view
-	avoidedNodes  atomic.Int64 // execute nodes, by verdict
+	viewNumber    atomic.Int64 // number of the view in force at this member
+	viewMembers   atomic.Int64 // number of members of the view in force at this member
+	avoidedNodes  atomic.Int64 // number of execute nodes avoided by verdict
 
-	// The following belong to the actor.
+	// The following fields belong to the actor.
 	settings     settings.Settings
 	core         *Core
-	voterStore   *voterStore // nil: nothing is stored
-	origin       time.Time   // of the clock that the Core is stepped by
-	wake         *time.Timer // of the next Tick
+	voterStore   *voterStore // nil: the voter's state is not stored
+	origin       time.Time   // zero of the clock that the Core is stepped with
+	wake         *time.Timer // timer of the next Tick
 	rules        rulesState
-	refusedPeers map[string]bool // senders that were refused, each of which is logged once
+	refusedPeers map[string]bool // senders whose refusal was logged, as fleet/name; each is logged once
 
-	// The callbacks of Options, called on the actor. They may be nil.
+	// The callbacks of Options, called on the actor's goroutine. They may be nil.
 	suspensionsChanged func(all []verdict.Statement)
 	avoid              func(nodes []string)
 	drainingChanged    func(updates []verdict.Statement)
 	allotmentChanged   func(tenant string, rate float64)
 }
 
-// Options are what a Fleet is started with.
+// Options configure a Fleet at its start.
 type Options = options.Options
 
-// Start opens the sockets and the voter's state, and joins the fleet. Its errors name the setting that they are about.
+// Start opens the sockets and the voter's state, and joins the fleet. Its errors name the setting that caused them.
 func Start(opts Options, log zerolog.Logger) (*Fleet, error) {
 	set := opts.Settings
 	set.Name = cmp.Or(set.Name, opts.Name)
@@ -92,7 +92,7 @@
 	}
 	f.wake = time.AfterFunc(time.Hour, func() { f.box.Put(func() { f.step(Tick{}) }) })
 	log.Info().Str("fleet", set.Fleet).Str("name", set.Name).Str("listen", channel.Addr()).Strs("join", set.Join).
-		Dur("pace", set.PaceTime()).Msg("fleet on")
+		Dur("pace", set.PaceTime()).Msg("fleet started")
 	f.limits.updateShares(f.core.Holder())
 	f.box.Put(func() { f.step(Tick{}) })
 	if push != nil {
@@ -105,8 +105,8 @@
 	return f, nil
 }
 
-// newCore makes the Core from the settings and from what an earlier process stored. push is the edition of rules to push; nil:
-// none.
+// newCore creates the Core from the settings and from the state that an earlier process stored. push is the edition of rules to
+// push; nil: none.
 func (f *Fleet) newCore(opts Options, limits []quota.Limit) (push *rules.Edition, err error) {
 	set := f.settings
 	boot, seed := member.NewBoot(time.Now().UnixMilli(), random()), random()
@@ -116,7 +116,7 @@
 		if f.voterStore, stored, unusable, err = openVoterStore(set.State, set.Fleet, set.Name); err != nil {
 			return nil, fmt.Errorf("fleet.state: %w", err)
 		}
-		if unusable != "" { // without its state this process is a new voter, if it is one
+		if unusable != "" { // without its state this process votes, if at all, as a new voter
 			f.log.Error().Msg(unusable)
 		}
 	}
@@ -139,20 +139,20 @@
 	return push, nil
 }
 
-// random draws a number that other processes do not draw.
+// random returns a random number from the operating system, which differs from those of other processes.
 func random() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// Addr is the address on which it listens.
+// Addr returns the address on which the fleet's channel listens.
 func (f *Fleet) Addr() string { return f.channel.Addr() }
 
 // Mode returns the present mode.
 func (f *Fleet) Mode() Mode { return Mode(f.mode.Load()) }
 
-// deliver passes a frame to the actor, unless too many are queued: the mailbox itself has no bound.
+// deliver queues a frame for the actor. It drops the frame if maxQueued are queued, since the mailbox itself is unbounded.
 func (f *Fleet) deliver(b []byte) {
 	if f.box.Len() >= maxQueued {
 		f.droppedFrames.Add(1)
@@ -161,7 +161,7 @@
 	f.box.Put(func() { f.receive(b) })
 }
 
-// receive takes in a frame, or counts it as refused.
+// receive decodes a frame and steps the Core with it. A frame that cannot be decoded is counted as refused.
 func (f *Fleet) receive(b []byte) {
 	frame, err := peer.Decode(b, f.settings.Fleet)
 	if err == nil {
@@ -176,7 +176,8 @@
 	}
 }
 
-// runOnActor runs a function on the actor and waits for its end, up to actorTimeout. It reports whether the function has ended.
+// runOnActor runs a function on the actor and waits up to actorTimeout for its return. It reports whether the function returned in
+// time.
 func (f *Fleet) runOnActor(do func()) bool {
 	ended := make(chan struct{})
 	if !f.box.Put(func() { do(); close(ended) }) {
@@ -190,13 +191,14 @@
 	}
 }
 
-// Close leaves the fleet and waits for the actor's end. It announces that to the others, so that they need not detect it.
+// Close leaves the fleet and waits for the actor's end. It announces the leave to the other members, so that they need not detect a
+// failure.
 func (f *Fleet) Close() { f.close(true) }
 
-// Abandon ends without an announcement, for another process that goes on under this name.
+// Abandon closes the fleet without announcing a leave, so that another process can continue under this member's name.
 func (f *Fleet) Abandon() { f.close(false) }
 
-// close ends the actor, once.
+// close ends the actor. Further calls do nothing.
 func (f *Fleet) close(announce bool) {
 	f.closing.Do(func() {
 		if announce {
--- a/internal/sidecar/fleet/fleet_test.go
+++ b/internal/sidecar/fleet/fleet_test.go
@@ -11,12 +11,12 @@
 	"fieldrelay/internal/sidecar/fleet/settings"
 )
 
-// until waits for a condition, with a bound.
+// until waits up to 20 s for a condition, and fails the test if it does not become true.
 func until(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !cond(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not in time: ", what)
+			t.Fatal("condition not reached within 20 s: ", what)
 		}
 	}
 }
@@ -51,24 +51,24 @@
 	a := start(t, "a")
 	b := start(t, "b", a.Addr())
 	c := start(t, "c", b.Addr())
-	until(t, "all see all", func() bool {
+	until(t, "all members list each other as alive", func() bool {
 		return shows(a, "b", "alive") && shows(a, "c", "alive") && shows(b, "c", "alive") && shows(c, "a", "alive") && a.Mode() == Together
 	})
 	b.Close()
-	until(t, "a planned leaving", func() bool { return shows(a, "b", "left") && shows(c, "b", "left") })
-	c.Abandon() // as a crash
-	until(t, "a crash", func() bool { return shows(a, "c", "failed") })
+	until(t, "b is listed as left after Close", func() bool { return shows(a, "b", "left") && shows(c, "b", "left") })
+	c.Abandon() // other members see no leave, as after a crash
+	until(t, "c is listed as failed after a crash", func() bool { return shows(a, "c", "failed") })
 	if _, err := c.Peers(); err == nil {
-		t.Error("a closed fleet answers")
+		t.Error("Peers of a closed fleet returned no error")
 	}
 	d := start(t, "c", a.Addr()) // a new process under the name
-	until(t, "the name is back", func() bool { return shows(a, "c", "alive") && shows(d, "a", "alive") })
+	until(t, "a new process under the name c is listed as alive", func() bool { return shows(a, "c", "alive") && shows(d, "a", "alive") })
 	if figures := strings.Join(a.Figures("lb"), "\n"); !strings.Contains(figures, "lb.fleet.mode:1|g") {
 		t.Error(figures)
 	}
 }
 
-// A member of another fleet is refused and logged once, and neither learns of the other.
+// A member of another fleet is refused, its refusal is logged once, and neither of the two lists the other.
 func TestAnotherFleetIsRefused(t *testing.T) {
 	lines := make(chan string, 256)
 	s := settings.Defaults()
@@ -89,7 +89,7 @@
 		}
 	}
 	if refusals != 1 || a.core.Members().Present() != 1 {
-		t.Errorf("%d lines, mode %v", refusals, a.Mode())
+		t.Errorf("%d log lines about refused peers instead of 1, or a lists another member; mode %v", refusals, a.Mode())
 	}
 }
 
@@ -100,7 +100,7 @@
 	return len(line), nil
 }
 
-// The name of a zone that is too long for a record is truncated; the member joins all the same.
+// The name of a zone that is too long for a member record is truncated, and the member joins nevertheless.
 func TestLongZone(t *testing.T) {
 	a := start(t, "a")
 	s := settings.Defaults()
--- a/internal/sidecar/fleet/limitgates.go
+++ b/internal/sidecar/fleet/limitgates.go
@@ -7,7 +7,7 @@
 	"fieldrelay/internal/sidecar/quota"
 )
 
-// admit admits a request under all limits that it counts for, or under none. See Fleet.Admit.
+// admit admits a request if all limits that apply to it do; a rejected request counts for none of them. See Fleet.Admit.
 func (l *limits) admit(class, tenant string, isRetry bool, deadline time.Time) (done func(), retryAfter time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -18,8 +18,9 @@
 	return l.passGates(gates, func(g *limitGate) bool { return g.Applies(class, tenant) }, isRetry, 1, deadline)
 }
 
-// admitAttempt admits an attempt at an execute node under all limits that it counts for, or under none. Of the limit of a node that is
-// warming up, the fraction warmFraction may be used. Nodes that are not listed have no limits of their own. See Fleet.Claim.
+// admitAttempt admits an attempt at an execute node if all limits that apply to it do; a rejected attempt counts for none of them.
+// Of the limit of a node that is warming up, only warmFraction may be used. Nodes that are not listed have no limits of their own.
+// See Fleet.AdmitAttempt.
 func (l *limits) admitAttempt(node, class, tenant string, isRetry bool, warmFraction float64, deadline time.Time) (done func(), ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,7 +32,7 @@
 	return done, ok
 }
 
-// passGates passes those of some gates that apply, or none of them. l.mu is held.
+// passGates passes all of the given gates that apply, or none of them. The caller holds l.mu.
 func (l *limits) passGates(gates []*limitGate, applies func(*limitGate) bool, isRetry bool, warmFraction float64, deadline time.Time) (done func(), retryAfter time.Duration, ok bool) {
 	now := time.Since(l.origin)
 	type passedGate struct {
@@ -45,7 +46,7 @@
 		}
 		slot, retryAfter, ok := quota.NoSlot, time.Duration(0), false
 		switch {
-		case g.Shares: // beyond its allowance a tenant's request has a lower value, and is not rejected
+		case g.Shares: // a request beyond its tenant's allowance is not rejected, but gets a lower value
 			g.gate.Take(now, now)
 			continue
 		case g.Leased():
@@ -73,8 +74,8 @@
 	}, 0, true
 }
 
-// counts returns how many requests and attempts the limits have admitted and rejected. One that counts for several limits is
-// counted by each.
+// counts returns how many requests and attempts the limits have admitted and rejected. A request or attempt to which several limits
+// apply is counted once for each of them.
 func (l *limits) counts() (admitted, rejected int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,10 +85,11 @@
 	return admitted, rejected
 }
 
-// unlimitedLease is an expiry from which on a share is no lease.
+// unlimitedLease is the least expiry that stands for a share without a lease.
 const unlimitedLease = time.Duration(1 << 62)
 
-// statusLines returns a line for each limit: its name, this member's share, until when, the fallback after that, and the counts.
+// statusLines returns a line for each limit: its name, this member's share, the time left of its lease, the fallback that applies
+// after the lease, and the counts.
 func (l *limits) statusLines() (lines []string) {
 	now := time.Since(l.origin)
 	l.mu.Lock()
@@ -98,7 +100,7 @@
 	return lines
 }
 
-// statusLine is the statusLine of a limit.
+// statusLine returns the line of one limit. See statusLines.
 func (g *limitGate) statusLine(now time.Duration) string {
 	limit := g.Limit()
 	if !g.Leased() {
--- a/internal/sidecar/fleet/limits.go
+++ b/internal/sidecar/fleet/limits.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/sidecar/verdict"
 )
 
-// limits is the gates of the fleet's limits. It is safe for concurrent use; requests that pass the gates do not wait for the
+// limits has the gates of the fleet's limits. It is safe for concurrent use; requests that pass the gates do not wait for the
 // actor.
 type limits struct {
 	origin time.Time
@@ -18,12 +18,12 @@
 	mu             sync.Mutex
 	gates          []*limitGate
 	byName         map[string]*limitGate
-	generalGates   []*limitGate            // of requests, for all tenants
-	tenantGates    map[string][]*limitGate // of requests, by tenant
-	allowanceGates []*limitGate            // of tenants' allowances; also among tenantGates
+	generalGates   []*limitGate            // gates of requests of all tenants
+	tenantGates    map[string][]*limitGate // gates of requests of one tenant, by tenant
+	allowanceGates []*limitGate            // gates of tenants' allowances, which are also in tenantGates
 	tenants        []logic.Tenant
-	withdrawn      []string     // tenants whose allowance is no longer divided by demand
-	attemptGates   []*limitGate // of attempts, for all nodes
+	withdrawn      []string     // tenants whose allowance is no longer divided by demand; to be reported by reportAllotments
+	attemptGates   []*limitGate // gates of attempts at all nodes
 	nodeGates      map[string][]*limitGate
 	settings       quota.All
 	nodes          []string
@@ -34,7 +34,7 @@
 	quota.Settings
 	gate  *quota.Gate
 	share quotaShare
-	// reportedAllotment is the share of an allowance that was last reported.
+	// reportedAllotment is the share of an allowance that reportAllotments last reported.
 	reportedAllotment quota.Unit
 }
 
@@ -44,7 +44,7 @@
 	expiry           time.Duration
 }
 
-// set replaces the limits. Gates of limits that stay keep their counts. It returns the limits that the fleet divides.
+// set replaces the limits. The gate of a limit that stays keeps its counts. It returns the limits that the fleet divides.
 func (l *limits) set(all quota.All) (list []quota.Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,7 +52,7 @@
 	return l.rebuild()
 }
 
-// setNodes takes in the listed execute nodes. It returns the limits that the fleet divides, and whether they have changed.
+// setNodes replaces the listed execute nodes. It returns the limits that the fleet divides, and whether they may have changed.
 func (l *limits) setNodes(nodes []verdict.Node) (list []quota.Limit, changed bool) {
 	names := make([]string, len(nodes))
 	for i, n := range nodes {
@@ -71,7 +71,8 @@
 	return l.rebuild(), true
 }
 
-// rebuild makes the gates anew from the settings, the nodes and the tenants.
+// rebuild recreates the gates from the settings, the nodes and the tenants. It returns the limits that the fleet divides. The caller
+// holds l.mu.
 func (l *limits) rebuild() (list []quota.Limit) {
 	before, allowancesBefore := l.byName, l.allowanceGates
 	l.gates, l.attemptGates, l.generalGates, l.allowanceGates = nil, nil, nil, nil
@@ -114,7 +115,7 @@
 	return list
 }
 
-// addGate adds the gate of a limit: the one before, if the change of the limit allows that.
+// addGate adds the gate of a limit. It reuses the limit's previous gate g, unless the kind or the burst has changed; nil: none.
 func (l *limits) addGate(s quota.Settings, g *limitGate) *limitGate {
 	if g == nil || g.Limit().Kind != s.Limit().Kind || g.Burst != s.Burst {
 		g = &limitGate{gate: quota.NewGate(s.Limit().Kind, s.BurstTime(), time.Since(l.origin))}
@@ -125,7 +126,7 @@
 	return g
 }
 
-// setTenants takes in the tenants of the settings. It returns the limits that the fleet divides.
+// setTenants replaces the tenants. It returns the limits that the fleet divides.
 func (l *limits) setTenants(tenants []logic.Tenant) (list []quota.Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,8 +134,8 @@
 	return l.rebuild()
 }
 
-// reportAllotments reports this member's share of each tenant's allowance that has changed since the last call, in requests a
-// second; -1: an equal share again.
+// reportAllotments calls report for each tenant whose allowance this member has another share of than at the last call, with the
+// share in requests per second; -1: an equal share, since the allowance is no longer divided by demand.
 func (l *limits) reportAllotments(report func(tenant string, rate float64)) {
 	now := time.Since(l.origin)
 	l.mu.Lock()
@@ -155,7 +156,7 @@
 	}
 }
 
-// updateShares takes this member's shares into the gates.
+// updateShares sets this member's shares at the gates.
 func (l *limits) updateShares(h *quota.Holder) {
 	now := time.Since(l.origin)
 	l.mu.Lock()
--- a/internal/sidecar/fleet/limits_test.go
+++ b/internal/sidecar/fleet/limits_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/sidecar/verdict"
 )
 
-// grantAll gives all of each limit to the gates, for an hour.
+// grantAll gives each gate a share of its whole limit, leased for an hour.
 func grantAll(l *limits) {
 	for _, g := range l.gates {
 		g.gate.SetShare(time.Since(l.origin), g.Limit().Total, 0, time.Hour)
@@ -27,7 +27,7 @@
 		{Name: "repeats", Again: 10},
 	})
 	if len(leased) != 2 {
-		t.Fatalf("%v are leased", leased)
+		t.Fatalf("leased limits are %v instead of the first two", leased)
 	}
 	grantAll(l)
 	deadline := time.Now().Add(time.Second)
@@ -35,35 +35,36 @@
 		t.Helper()
 		done, after, ok := l.admit(class, tenant, again, deadline)
 		if ok != want || !ok && after <= 0 {
-			t.Fatalf("%s of %s: %v, %v", class, tenant, ok, after)
+			t.Fatalf("request of class %s of tenant %s: admitted %v, retry after %v", class, tenant, ok, after)
 		}
 		return done
 	}
 	first := take("order", "a", false, true)
-	take("order", "a", false, false) // over its tenant's limit: it takes nothing of the other one
+	take("order", "a", false, false) // rejected by its tenant's limit, so that it does not count for the other limit
 	take("order", "b", false, true)
 	last := take("look", "a", false, true)
-	take("look", "b", false, false) // three are in flight
+	take("look", "b", false, false) // the limit of three in flight is reached
 	first()
 	last()
 	take("order", "a", false, true)
-	for range 9 + 1 { // what was saved, and no more
+	for range 9 + 1 { // all retries that the gate has saved
 		take("look", "b", true, true)()
 	}
 	take("look", "b", true, false)
-	// A limit that stays keeps its count; a new one has no share at first.
+	// A limit that stays keeps its count; a new limit has no share at first.
 	l.set(quota.All{{Name: "all", InFlight: 3, Members: 1}, {Name: "new", Class: "pay", PerSecond: 5, Members: 1}})
 	if in, _ := l.demand("all", time.Since(l.origin)); in < 2 {
-		t.Errorf("%d in flight after the change", in)
+		t.Errorf("limit all: demand %d after the change of the limits, expected at least 2", in)
 	}
-	take("pay", "", false, true) // the one request that a gate begins with
+	take("pay", "", false, true) // a new gate admits one request
 	take("pay", "", false, false)
 	if lines := l.statusLines(); len(lines) != 2 {
 		t.Error(lines)
 	}
 }
 
-// Ten thousand tenants take fixed memory, a request passes its own tenant's gates alone, and a report has only those in use.
+// Ten thousand tenants take bounded memory, a request passes only the gates of its own tenant, and a report has only the limits in
+// use.
 func TestTenThousandTenants(t *testing.T) {
 	var tenants []logic.Tenant
 	for i := range 10_000 {
@@ -88,7 +89,7 @@
 	}
 	for i := range 3000 {
 		if _, _, ok := l.admit("look", tenants[i].Name, false, time.Now()); !ok {
-			t.Fatal("an allowance turns nothing back")
+			t.Fatal("request rejected by an allowance, which must reject nothing")
 		}
 	}
 	for _, name := range h.Names() {
@@ -105,7 +106,7 @@
 	reported := map[string]float64{}
 	report := func(tenant string, rate float64) { reported[tenant] = rate }
 	l.reportAllotments(report)
-	if len(reported) != 10_000 || reported["tenant-7"] != 1.25 { // no lease: an equal share
+	if len(reported) != 10_000 || reported["tenant-7"] != 1.25 { // without a lease each member has an equal share
 		t.Errorf("%d reported, tenant-7 %g", len(reported), reported["tenant-7"])
 	}
 	clear(reported)
@@ -115,13 +116,13 @@
 		t.Errorf("%v reported after a grant", reported)
 	}
 	clear(reported)
-	l.set(nil) // the table is gone from the settings: equal shares again
+	l.set(nil) // the settings no longer divide allowances, so shares are equal again
 	if l.reportAllotments(report); len(reported) != 10_000 || reported["tenant-7"] != -1 {
 		t.Errorf("%d reported, tenant-7 %g", len(reported), reported["tenant-7"])
 	}
 }
 
-// Limits of attempts: each node has its own, and a node that leaves the list loses them.
+// Limits of attempts: each listed node has its own limit, and a node that is removed from the list has none.
 func TestClaimsAtNodes(t *testing.T) {
 	l := &limits{origin: time.Now()}
 	l.set(quota.All{{Name: "each", Node: 2, Members: 1}, {Name: "retries", Retry: 10}})
@@ -135,7 +136,7 @@
 		t.Helper()
 		done, ok := l.admitAttempt(node, "order", "", again, 1, deadline)
 		if ok != want {
-			t.Errorf("%s, again %v: %v", node, again, ok)
+			t.Errorf("attempt at node %s, retry %v: admitted %v", node, again, ok)
 		}
 		return done
 	}
@@ -143,10 +144,10 @@
 	claim("a", false, true)
 	claim("a", false, false)
 	claim("b", false, true)
-	claim("c", false, true) // not listed: no limit
+	claim("c", false, true) // not listed, so it has no limit
 	first()
 	claim("a", false, true)
-	for range 10 { // saved up
+	for range 10 { // all retries that the gate has saved
 		claim("c", true, true)
 	}
 	claim("c", true, false)
--- a/internal/sidecar/fleet/manage.go
+++ b/internal/sidecar/fleet/manage.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// errBusy is the error of a call that the actor did not carry out in time.
+// errBusy is the error of a call that the actor did not carry out within actorTimeout, or at all because it has ended.
 var errBusy = errors.New("fleet busy or closed")
 
 // Peers returns a line for each known member, this one first: name, state, incarnation, time since the last contact, address,
-// the number of the view in force here if the member belongs to it, boot, and whether it votes or leads.
+// number of the view in force here if the member belongs to that view, boot, and whether the member votes or leads.
 func (f *Fleet) Peers() (lines []string, err error) {
 	if !f.runOnActor(func() { lines = f.core.peerLines(time.Since(f.origin)) }) {
 		return nil, errBusy
@@ -36,7 +36,7 @@
 	return lines
 }
 
-// viewOf returns the number of the view in force here if a process belongs to it, or "none".
+// viewOf returns the number of the view in force here if that view contains a process, else "none".
 func (c *Core) viewOf(name string, boot uint64) string {
 	v, has := c.views.View()
 	if m, ok := v.Find(name); has && ok && m.Boot == boot {
@@ -45,10 +45,10 @@
 	return "none"
 }
 
-// voterRole returns how a line says that a member votes or leads.
+// voterRole returns the suffix of a member's line: " leads", " votes" or nothing.
 func (c *Core) voterRole(name string) string {
 	if name == c.cfg.Member.Name && !c.views.VoteCounts() {
-		return "" // an earlier process of this name voted, and may still count in its place
+		return "" // an earlier process of this name was a voter, and the group may still count that one instead
 	}
 	group, leader := c.views.VoterGroup()
 	for _, voter := range group.Voters {
@@ -61,7 +61,7 @@
 	return ""
 }
 
-// Recover founds a new group of voters with this process alone, by the operator's decision.
+// Recover forms a new group of voters that consists of this process alone, by the operator's decision.
 func (f *Fleet) Recover() error {
 	if !f.runOnActor(func() { f.step(Recover{}) }) {
 		return errBusy
@@ -72,7 +72,7 @@
 // Quotas returns a line for each limit of the fleet.
 func (f *Fleet) Quotas() []string { return f.limits.statusLines() }
 
-// Verdicts returns a line for each execute node that some member rates bad, or that is or was under verdict.
+// Verdicts returns a line for each execute node that some member rates bad, or that is or was under a verdict.
 func (f *Fleet) Verdicts() (lines []string, err error) {
 	if !f.observations.enabled {
 		return nil, errors.New("fleet.verdicts off")
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// Rules returns the state of rules at this member.
+// Rules returns the state of the rules at this member, as lines for the operator.
 func (f *Fleet) Rules() (lines []string, err error) {
 	if !f.rules.enabled {
 		return nil, errors.New("rules off")
--- a/internal/sidecar/fleet/observations.go
+++ b/internal/sidecar/fleet/observations.go
@@ -7,7 +7,7 @@
 	"fieldrelay/internal/sidecar/verdict"
 )
 
-// observations is what this sidecar observes of execute nodes. It is safe for concurrent use, and does not wait for the actor.
+// observations records what this sidecar observes of execute nodes. It is safe for concurrent use and does not wait for the actor.
 type observations struct {
 	origin  time.Time
 	enabled bool // set before the first call
@@ -17,7 +17,7 @@
 	listed []verdict.Node
 }
 
-// count takes in the outcome of an attempt.
+// count records the outcome of an attempt, if verdicts are on.
 func (o *observations) count(node string, failed bool, took time.Duration) {
 	if !o.enabled {
 		return
@@ -27,28 +27,28 @@
 	o.tally.Count(time.Since(o.origin), node, failed, took)
 }
 
-// setNodes takes in the nodes on the list.
+// setNodes replaces the listed nodes.
 func (o *observations) setNodes(nodes []verdict.Node) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.listed = nodes
 }
 
-// Evidence returns what counts at a time.
+// Evidence returns the evidence on each node that is still recent enough at a time.
 func (o *observations) Evidence(now time.Duration) []verdict.Evidence {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.tally.Evidence(now)
 }
 
-// SetNodes returns the execute nodes that take requests.
+// Listed returns the execute nodes that accept requests.
 func (o *observations) Listed() []verdict.Node {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.listed
 }
 
-// Forget drops the outcomes of a node.
+// Forget drops the recorded outcomes of a node.
 func (o *observations) Forget(node string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/sidecar/fleet/options/options.go
+++ b/internal/sidecar/fleet/options/options.go
@@ -1,5 +1,5 @@
-// Package options is what a sidecar starts its fleet with. It is a package of its own so that a sidecar without a fleet does not
-// link what a fleet needs.
+// Package options defines the options that a sidecar starts its fleet with. It is separate from package fleet so that a sidecar
+// without a fleet does not link the dependencies of the fleet.
 package options
 
 import (
@@ -10,22 +10,22 @@
 	rules "fieldrelay/internal/sidecar/versionskew/settings"
 )
 
-// Options are what a fleet is started with.
+// Options configure a fleet at its start.
 type Options struct {
 	Settings    settings.Settings
 	Quotas      quota.All
 	Rules       rules.Settings
-	Name        string              // the sidecar's, if the settings have none
-	Suspensions []verdict.Statement // on suspended execute nodes, stored by an earlier process
-	// SuspensionsChanged is called with all statements on suspended execute nodes when they change, on the actor's goroutine. It must not
-	// block; nor must the other functions, which are called likewise.
+	Name        string              // name of the sidecar, used if the settings name no member
+	Suspensions []verdict.Statement // statements on suspended execute nodes that an earlier process stored
+	// SuspensionsChanged is called with all statements on suspended execute nodes when they change. This callback and the others
+	// run on the actor's goroutine and must not block.
 	SuspensionsChanged func(all []verdict.Statement)
 	Zone               string // failure domain of this sidecar
-	// Avoid is called with all execute nodes to which this sidecar is to send nothing new, by verdict of the fleet.
+	// Avoid is called with all execute nodes to which this sidecar must send no new requests, by the verdict of the fleet.
 	Avoid   func(nodes []string)
-	Tenants []logic.Tenant // of the settings
-	// AllotmentChanged is called with this member's share of a tenant's allowance, in requests a second; -1: an equal share.
+	Tenants []logic.Tenant // tenants of the settings
+	// AllotmentChanged is called with this member's share of a tenant's allowance, in requests per second; -1: an equal share.
 	AllotmentChanged func(tenant string, rate float64)
-	// DrainingChanged is called with new statements of members on draining execute nodes.
+	// DrainingChanged is called with new statements by members on draining execute nodes.
 	DrainingChanged func(updates []verdict.Statement)
 }
--- a/internal/sidecar/fleet/reload.go
+++ b/internal/sidecar/fleet/reload.go
@@ -13,18 +13,18 @@
 func (f *Fleet) SetQuotas(all quota.All) {
 	f.box.Put(func() {
 		f.rules.fileLimits = all
-		if !f.rules.hasEditionLimits { // limits of the edition in force take precedence over the file's
+		if !f.rules.hasEditionLimits { // limits of the edition in force take precedence over those of the operator's file
 			f.step(SetLimits{f.limits.set(all)})
 		}
 	})
 }
 
-// SetTenants replaces the tenants.
+// SetTenants replaces the tenants, whose allowances the fleet may divide.
 func (f *Fleet) SetTenants(tenants []logic.Tenant) {
 	f.box.Put(func() { f.step(SetLimits{f.limits.setTenants(tenants)}) })
 }
 
-// Reload takes over new settings, of which only join and dial may differ.
+// Reload applies new settings, of which only join and dial may differ from the present ones.
 func (f *Fleet) Reload(next settings.Settings) {
 	f.box.Put(func() {
 		f.settings.Join, f.settings.Dial = next.Join, next.Dial
@@ -32,7 +32,7 @@
 	})
 }
 
-// CheckRules returns the faults of the file of rules that new settings name. It changes nothing.
+// CheckRules returns the faults of the rules file that new settings name. It changes nothing.
 func (f *Fleet) CheckRules(next rulesettings.Settings) error {
 	if next.File == "" {
 		return nil
@@ -41,7 +41,7 @@
 	return err
 }
 
-// SetRules pushes the content of the file of rules, if that has changed.
+// SetRules pushes the content of the rules file, if it has changed since the last push.
 func (f *Fleet) SetRules(next rulesettings.Settings) {
 	var e rules.Edition
 	if next.File != "" {
--- a/internal/sidecar/fleet/rules.go
+++ b/internal/sidecar/fleet/rules.go
@@ -16,16 +16,16 @@
 	"fieldrelay/internal/sidecar/versionskew"
 )
 
-// rulesState is the actor's state of rules.
+// rulesState is the actor's state of the rules.
 type rulesState struct {
 	enabled          bool          // set before the actor starts
-	storeOptions     store.Options // of the stored edition in force; without a path none is stored
-	pushedDigest     rules.Digest  // of what was last read from the file of rules
-	fileLimits       quota.All     // those of the operator's file
-	hasEditionLimits bool          // the edition in force has limits, which take precedence
+	storeOptions     store.Options // of the store that has the edition in force; without a path nothing is stored
+	pushedDigest     rules.Digest  // digest of the edition last read from the rules file
+	fileLimits       quota.All     // limits of the operator's file
+	hasEditionLimits bool          // whether the edition in force has limits, which take precedence over fileLimits
 
-	// Figures, read from any goroutine.
-	editionNumber atomic.Int64 // of the edition in force
+	// The following metrics are read from any goroutine.
+	editionNumber atomic.Int64 // number of the edition in force
 	behind        atomic.Int64 // 1: the edition of the view is not in force here
 }
 
@@ -36,8 +36,8 @@
 	editionOpenTimeout = 2 * time.Second
 )
 
-// load reads the edition to push and the stored one. A file with faults is an error, which keeps the sidecar from starting; a
-// stored edition that cannot be used is logged.
+// load reads the edition to push and the stored one. Faults in the rules file are returned as an error, and the sidecar does not
+// start; a stored edition that cannot be used is logged and ignored.
 func (r *rulesState) load(cfg *CoreConfig, set settings.Settings, opts Options, log zerolog.Logger) (push *rules.Edition, err error) {
 	r.enabled, r.fileLimits = opts.Rules.On, opts.Quotas
 	if cfg.Rules, err = versionskew.Configure(opts.Rules); err != nil || cfg.Rules == nil {
@@ -68,7 +68,7 @@
 	return push, nil
 }
 
-// store stores the edition in force.
+// store stores the edition in force, unless it is already stored.
 func (r *rulesState) store(e rules.Edition) error {
 	if r.storeOptions.Path == "" {
 		return nil
@@ -88,7 +88,7 @@
 	return err
 }
 
-// updateFigures takes the figures from the Core.
+// updateFigures updates the metrics from the Core.
 func (r *rulesState) updateFigures(c *Core) {
 	if c.skew == nil {
 		return
@@ -103,7 +103,7 @@
 	r.behind.Store(behind)
 }
 
-// enforceRules stores an edition and puts its limits in force.
+// enforceRules stores an edition and puts its limits in force; without any, those of the operator's file.
 func (f *Fleet) enforceRules(a RulesEnforced) {
 	if err := f.rules.store(a.Compiled.Edition); err != nil {
 		f.log.Error().Err(err).Msg("edition of rules not stored")
--- a/internal/sidecar/fleet/voterstore.go
+++ b/internal/sidecar/fleet/voterstore.go
@@ -15,21 +15,21 @@
 	"fieldrelay/internal/sidecar/view"
 )
 
-// voterStore stores a voter's state in a folder: one bbolt file, synced at each change. A nil voterStore stores nothing.
+// voterStore stores a voter's state in a folder, in one bbolt file that is synced at each change. A nil voterStore stores nothing.
 type voterStore struct {
 	store store.Store
 }
 
 const (
 	voterFile        = "voter.db"
-	maxVoterBytes    = 64 << 20        // the engine's log is compacted long before
-	storeOpenTimeout = 5 * time.Second // for the file, which a process that is shutting down may still have open
-	entryPrefix      = "entry/"        // followed by the index in hexadecimal digits, which sort like it
-	entryRangeEnd    = "entry0"        // follows the last of those keys
+	maxVoterBytes    = 64 << 20        // never reached in practice: the log of the consensus engine is compacted long before
+	storeOpenTimeout = 5 * time.Second // wait for the lock of the file, which a process that is shutting down may still hold
+	entryPrefix      = "entry/"        // followed by the index in 16 hexadecimal digits, so that keys sort by index
+	entryRangeEnd    = "entry0"        // first key after all keys with entryPrefix
 )
 
-// openVoterStore opens the state of a member of a fleet and reads it. A store of another member stays as it is. unusable says,
-// as a line for the log, why there is a state that cannot be used; empty: there is none.
+// openVoterStore opens the stored state of a member of a fleet and reads it. It returns an error for another member's store and
+// leaves that untouched. unusable is a log line that says why a state that was found cannot be used; empty: no such state was found.
 func openVoterStore(folder, fleet, name string) (opened *voterStore, stored *view.StoredState, unusable string, err error) {
 	s, found, err := bolt.Open(store.Options{Path: filepath.Join(folder, voterFile), Owner: fleet + "/" + name, MaxBytes: maxVoterBytes, LockTimeout: storeOpenTimeout}, upgradeVoterStore)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return opened, stored, found.Warning, nil
 }
 
-// upgradeVoterStore takes over the two buckets in which earlier versions of this program stored the state.
+// upgradeVoterStore copies the state from the two buckets in which earlier versions of this program stored it.
 func upgradeVoterStore(tx *bbolt.Tx, b *store.Batch) error {
 	meta, entries := tx.Bucket([]byte("meta")), tx.Bucket([]byte("entries"))
 	for _, key := range []string{"voter", "era", "hard", "snapshot"} {
@@ -63,17 +63,17 @@
 	}
 	return entries.ForEach(func(index, data []byte) error {
 		if len(index) != 8 {
-			return fmt.Errorf("an entry's number of %d bytes", len(index))
+			return fmt.Errorf("upgrade of the voter's state: the index of a log entry has %d bytes instead of 8", len(index))
 		}
 		b.Put(entryKey(binary.BigEndian.Uint64(index)), data)
 		return nil
 	})
 }
 
-// entryKey is the key of a log entry.
+// entryKey returns the key of a log entry.
 func entryKey(index uint64) string { return fmt.Sprintf("%s%016x", entryPrefix, index) }
 
-// readNumber returns a stored number; 0: there is none.
+// readNumber returns the number stored under a key; 0: there is none, or its length is wrong.
 func (v *voterStore) readNumber(key string) uint64 {
 	if data, ok := v.store.Get(key); ok && len(data) == 8 {
 		return binary.BigEndian.Uint64(data)
@@ -81,7 +81,7 @@
 	return 0
 }
 
-// save stores a change. It is on disk when save returns.
+// save stores a change. The change is synced to disk when save returns.
 func (v *voterStore) save(c view.Change) error {
 	if v == nil {
 		return nil
