--- a/internal/sidecar/store/bolt/bolt.go
+++ b/internal/sidecar/store/bolt/bolt.go
@@ -1,5 +1,4 @@
-// Package bolt is a store in a bbolt file, of which a batch writes only what it
-// changes: for a log.
+// Package bolt implements a store in a bbolt file. A batch writes only the pages that it changes, which suits a log.
 package bolt
 
 import (
@@ -19,11 +18,11 @@
 	"fieldrelay/internal/sidecar/store"
 )
 
-// Store is an open file. It is a store.Store.
+// Store is an open bbolt file. It implements store.Store.
 type Store struct {
 	db       *bbolt.DB
 	maxBytes int
-	size     int // of keys and values
+	size     int // total bytes of keys and values
 	failed   bool
 }
 
@@ -32,11 +31,12 @@
 	metaBucket   = []byte("meta")
 )
 
-// Each value is followed by a sum of it and its key: bbolt does not see a bit that flips in a value.
+// checksumBytes is the length of the checksum of key and value that follows each stored value, since bbolt does not detect a flipped
+// bit in a value.
 const checksumBytes = 8
 
-// Open opens a store. upgrade, if it is not nil, is called once with a file that an earlier program wrote in a form of
-// its own, to say what of it goes on.
+// Open opens a store, and creates it if it does not exist. upgrade, if it is not nil, is called once with a file that an earlier
+// version of the program wrote in its own format, and fills the batch with the values to take over.
 func Open(o store.Options, upgrade func(tx *bbolt.Tx, b *store.Batch) error) (*Store, store.OpenResult, error) {
 	path := o.Path
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
@@ -53,20 +53,20 @@
 	}
 	s = &Store{maxBytes: o.MaxBytes}
 	_, err = s.open(o, upgrade)
-	return s, store.OpenResult{Empty: true, Warning: path + ": " + reason + "; it is set aside as " + filepath.Base(path) + store.BadSuffix + " and nothing of it is used"}, err
+	return s, store.OpenResult{Empty: true, Warning: path + ": " + reason + "; the file is renamed to " + filepath.Base(path) + store.BadSuffix + " and none of its values is used"}, err
 }
 
-// fileContent is what a file was found to hold.
+// fileContent describes the content that readAll found in a file.
 type fileContent struct {
-	empty       bool // no value
-	initialized bool // it has this program's form
-	legacy      bool // it has values in an earlier form
-	size        int  // of keys and values
+	empty       bool // the file has no value
+	initialized bool // the file is in this program's format
+	legacy      bool // the file has values in an earlier program's format
+	size        int  // total bytes of keys and values
 }
 
-// open opens and looks through the whole file: what is torn shows here and not in the middle of an election.
+// open opens the file and verifies all of it, so that damage is detected here and not in the middle of an election.
 func (s *Store) open(o store.Options, upgrade func(*bbolt.Tx, *store.Batch) error) (found store.OpenResult, err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a file cut short is a fault of the memory that maps it
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // reading the mapping of a truncated file is a memory fault
 	defer func() {
 		if fault := recover(); fault != nil {
 			err = fmt.Errorf("%w: %v", store.ErrCorrupt, fault)
@@ -91,10 +91,10 @@
 	return s.initialize(o.Owner, read.legacy, upgrade)
 }
 
-// openDatabase opens the file, and says of each way to fail what it means for the store.
+// openDatabase opens the file. It maps the errors of bbolt to those of package store.
 func openDatabase(o store.Options) (*bbolt.DB, error) {
 	if info, err := os.Stat(o.Path); err == nil && info.Size() == 0 {
-		return nil, fmt.Errorf("%w: it is empty", store.ErrCorrupt)
+		return nil, fmt.Errorf("%w: the file is empty", store.ErrCorrupt)
 	}
 	db, err := bbolt.Open(o.Path, 0o600, &bbolt.Options{Timeout: max(o.LockTimeout, time.Millisecond)})
 	switch {
@@ -106,7 +106,7 @@
 		return nil, fmt.Errorf("%w: %w", store.ErrCorrupt, err)
 	case errors.Is(err, os.ErrPermission):
 		return nil, err
-	default: // shorter than a page, or a folder
+	default: // the file is shorter than a page, or is a folder
 		if info, err2 := os.Stat(o.Path); err2 != nil || info.IsDir() {
 			return nil, err
 		}
@@ -114,7 +114,7 @@
 	}
 }
 
-// readAll looks through the whole file.
+// readAll verifies the whole file: the structure, the owner, the version of the format and the checksum of each value.
 func readAll(tx *bbolt.Tx, o store.Options) (read fileContent, err error) {
 	for fault := range tx.Check() {
 		return read, fmt.Errorf("%w: %w", store.ErrCorrupt, fault)
@@ -133,20 +133,20 @@
 		read.legacy = true
 		return read, nil
 	case len(format) != 8:
-		return read, fmt.Errorf("%w: its format has no form", store.ErrCorrupt)
+		return read, fmt.Errorf("%w: the version of its format does not have 8 bytes", store.ErrCorrupt)
 	case binary.BigEndian.Uint64(format) > store.Format:
-		return read, fmt.Errorf("%s: %w: %d, this program reads up to %d", o.Path, store.ErrNewerFormat, binary.BigEndian.Uint64(format), store.Format)
+		return read, fmt.Errorf("%s: %w: version %d, this program reads up to %d", o.Path, store.ErrNewerFormat, binary.BigEndian.Uint64(format), store.Format)
 	}
 	values := tx.Bucket(valuesBucket)
 	if values == nil {
-		return read, fmt.Errorf("%w: no values", store.ErrCorrupt)
+		return read, fmt.Errorf("%w: the bucket of values is missing", store.ErrCorrupt)
 	}
 	read.empty, read.initialized = true, true
 	err = values.ForEach(func(k, v []byte) error {
 		read.empty = false
 		value, ok := verifyValue(k, v)
 		if !ok {
-			return fmt.Errorf("%w: the value of %q does not fit its sum", store.ErrCorrupt, k)
+			return fmt.Errorf("%w: checksum mismatch of the value of %q", store.ErrCorrupt, k)
 		}
 		read.size += len(k) + len(value)
 		return nil
@@ -154,7 +154,7 @@
 	return read, err
 }
 
-// initialize gives the file its form, with the values of an earlier one.
+// initialize writes the owner and the version of the format, and takes over the values of an earlier format.
 func (s *Store) initialize(owner string, earlier bool, upgrade func(*bbolt.Tx, *store.Batch) error) (found store.OpenResult, err error) {
 	var b store.Batch
 	if earlier && upgrade != nil {
@@ -177,13 +177,14 @@
 	return found, err
 }
 
-// closeDamaged closes a file that may not be what it should.
+// closeDamaged closes a file that may be damaged.
 func (s *Store) closeDamaged() {
-	defer func() { _ = recover() }() // its memory may be gone
-	_ = s.db.Close()                 // it is set aside, or not opened for another reason that is told
+	defer func() { _ = recover() }() // the memory mapping may be invalid
+	_ = s.db.Close()                 // the caller reports why the file is not used
 	s.db = nil
 }
 
+// verifyValue returns the value of a stored one without its checksum, and whether the checksum matches.
 func verifyValue(key, stored []byte) ([]byte, bool) {
 	if len(stored) < checksumBytes {
 		return nil, false
@@ -192,17 +193,18 @@
 	return value, binary.BigEndian.Uint64(stored[len(value):]) == valueChecksum(key, value)
 }
 
+// valueChecksum returns the checksum of a value and its key.
 func valueChecksum(key, value []byte) uint64 {
 	d := xxhash.New()
 	for _, part := range [][]byte{key, {0}, value} {
-		_, _ = d.Write(part) // a digest takes everything
+		_, _ = d.Write(part) // xxhash.Digest.Write never fails
 	}
 	return d.Sum64()
 }
 
-// Get gives a value.
+// Get returns a copy of the value of a key.
 func (s *Store) Get(key string) (value []byte, ok bool) {
-	_ = s.db.View(func(tx *bbolt.Tx) error { // it fails once the store is closed: there is no value then
+	_ = s.db.View(func(tx *bbolt.Tx) error { // View fails only once the store is closed: no value is returned then
 		if v := tx.Bucket(valuesBucket).Get([]byte(key)); v != nil {
 			value, ok = append([]byte{}, v[:len(v)-checksumBytes]...), true
 		}
@@ -211,7 +213,7 @@
 	return value, ok
 }
 
-// Each goes through the keys with a prefix.
+// Each calls do for each key with a prefix, in the order of the keys.
 func (s *Store) Each(prefix string, do func(key string, value []byte) error) error {
 	return s.db.View(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(valuesBucket).Cursor()
@@ -224,7 +226,7 @@
 	})
 }
 
-// Commit writes a batch and has it synced.
+// Commit writes a batch in one transaction, which bbolt syncs to the disk.
 func (s *Store) Commit(b *store.Batch) error {
 	if s.failed {
 		return store.ErrFailed
@@ -256,12 +258,13 @@
 	return err
 }
 
-// batchWriter writes the operations of a batch within a transaction, and counts what the file then holds.
+// batchWriter writes the operations of a batch within a transaction, and updates the total bytes of keys and values.
 type batchWriter struct {
 	values *bbolt.Bucket
 	size   int
 }
 
+// apply writes one operation.
 func (w *batchWriter) apply(o store.Op) error {
 	key := []byte(o.Key)
 	if o.To != "" {
@@ -279,7 +282,7 @@
 	return w.values.Put(key, binary.BigEndian.AppendUint64(append([]byte{}, o.Value...), valueChecksum(key, o.Value)))
 }
 
-// removeRange removes the keys from one to below another.
+// removeRange removes the keys from one, included, to another, not included.
 func (w *batchWriter) removeRange(from []byte, to string) error {
 	c := w.values.Cursor()
 	for k, v := c.Seek(from); k != nil && string(k) < to; k, v = c.Seek(from) {
@@ -290,12 +293,13 @@
 	return nil
 }
 
+// remove removes a key. stored is its value with the checksum.
 func (w *batchWriter) remove(key, stored []byte) error {
 	w.size -= len(key) + len(stored) - checksumBytes
 	return w.values.Delete(key)
 }
 
-// Close gives it up.
+// Close closes the file. Afterwards the store accepts no batch.
 func (s *Store) Close() error {
 	if s.db == nil {
 		return nil
--- a/internal/sidecar/store/bolt/bolt_test.go
+++ b/internal/sidecar/store/bolt/bolt_test.go
@@ -20,7 +20,7 @@
 	return store.Options{Path: path, Owner: owner, MaxBytes: maxBytes}
 }
 
-// A process that dies in the middle of a batch leaves what a copy taken meanwhile shows.
+// A process that crashes in the middle of a batch is simulated by a copy of the file that is taken meanwhile.
 func TestBolt(t *testing.T) {
 	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(t contract.T, seed uint64) contract.StorePlace {
 		path := filepath.Join(t.TempDir(), "kept.db")
@@ -35,14 +35,14 @@
 				}), db.Close())
 			}
 			if err != nil {
-				t.Logf("not made later: %v", err)
+				t.Logf("format version not raised: %v", err)
 			}
 		}
 		return p
 	}})
 }
 
-// What an earlier program kept goes on.
+// The values of an earlier program's file are taken over when the file is first opened.
 func TestBoltOfAnEarlierForm(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter.db")
 	db, err := bbolt.Open(path, 0o600, nil)
@@ -55,7 +55,7 @@
 	}), db.Close()); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // once upgraded it is like any other
+	for range 2 { // the second time, the file is already upgraded
 		s, found, err := bolt.Open(options(path, "me"), func(tx *bbolt.Tx, b *store.Batch) error {
 			b.Put("hard", tx.Bucket([]byte("meta")).Get([]byte("hard")))
 			return nil
@@ -64,13 +64,13 @@
 			t.Fatal(found, err)
 		}
 		if v, ok := s.Get("hard"); !ok || string(v) != "h" {
-			t.Errorf("hard is %q", v)
+			t.Errorf("value of hard is %q, expected \"h\"", v)
 		}
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if _, err := os.Stat(path + ".bad"); err == nil {
-		t.Error("it was set aside")
+		t.Error("the file was renamed as one that cannot be used")
 	}
 }
--- a/internal/sidecar/store/bolt/golden_test.go
+++ b/internal/sidecar/store/bolt/golden_test.go
@@ -15,11 +15,11 @@
 	"fieldrelay/internal/sidecar/store/bolt"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 const goldenOwner = "fleet/member"
 
-// goldenValues are what is left in the golden file. Its keys are those of a voter.
+// goldenValues are the values of the golden file. Its keys are those of a voter's store.
 var goldenValues = map[string]string{
 	"voter":                  "\x00\x00\x00\x00\x00\x00\x00\x07",
 	"era":                    "\x00\x00\x00\x00\x00\x00\x00\x02",
@@ -48,9 +48,9 @@
 	require.NoError(t, opened.Close())
 }
 
-// Guards a voter's state over an upgrade: a file of an earlier program opens for its owner with all values, takes
-// more, and is refused to another owner. (Its bytes are not compared: they are bbolt's.) With -update it is written
-// anew.
+// Guards a voter's state over an upgrade of the program: a file of an earlier program opens for its owner with all values, accepts
+// another batch, and is refused to another owner. The bytes of the file are not compared, since bbolt determines them. With -update
+// the file is rewritten.
 func TestGoldenFileIsReadBack(t *testing.T) {
 	golden := filepath.Join("testdata", "golden.db.gz")
 	if *update {
--- a/internal/sidecar/store/file.go
+++ b/internal/sidecar/store/file.go
@@ -12,8 +12,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// File is a store in one plain file, rewritten whole at each batch: for what is small and seldom changes. Beside it lies a
-// second one that says how far it had come, so that an older copy put back in its place is known for one.
+// File is a store in one plain file that is rewritten at each batch, for state that is small and changes seldom. A second file,
+// with the suffix serialSuffix, records the serial of the last batch, so that an older copy that was restored over the store's file
+// is recognised.
 type File struct {
 	Memory
 	fileSystem FileSystem
@@ -23,29 +24,29 @@
 	failed     bool
 }
 
-// header is what a file begins with; its sum is of all that follows and of the rest of the header.
+// header is the content of a file after magic and the checksum. The checksum covers all of its JSON text.
 type header struct {
 	Format  int               `json:"format"`
 	Owner   string            `json:"owner"`
-	Serial  uint64            `json:"serial"`            // of the batch; each is one higher
-	Values  map[string][]byte `json:"values,omitempty"`  // in base64
-	Written int64             `json:"written,omitempty"` // Unix milliseconds, for people alone
+	Serial  uint64            `json:"serial"`            // serial of the last batch; each batch increments it
+	Values  map[string][]byte `json:"values,omitempty"`  // values by key, in base64
+	Written int64             `json:"written,omitempty"` // time of the last batch in Unix milliseconds; informational only
 }
 
-// BadSuffix is what the name of a file that was set aside ends with.
+// BadSuffix is appended to the name of a file that cannot be used as a store.
 const BadSuffix = ".bad"
 
 const (
 	magic             = "fieldrelay store\n"
 	checksumBytes     = 8
-	tempSuffix        = ".new"  // what is being written
-	serialSuffix      = ".far"  // how far the store had come
-	lockSuffix        = ".lock" // held by the process that has it open
-	fixedOverhead     = 4 << 10 // bytes of a file beside keys and values, at the most,
-	maxEncodedPerByte = 16      // and of one of those: a key of one byte with an empty value is the worst
+	tempSuffix        = ".new"  // temporary file that is written before it is renamed
+	serialSuffix      = ".far"  // file that records the serial of the last batch
+	lockSuffix        = ".lock" // file that is locked by the process that has the store open
+	fixedOverhead     = 4 << 10 // bound on the bytes of a file beside keys and values
+	maxEncodedPerByte = 16      // bound on the encoded bytes per byte of key or value; the worst case is a key of one byte with an empty value
 )
 
-// OpenFile opens a store.
+// OpenFile opens a store in a plain file, and creates it if it does not exist.
 func OpenFile(fileSystem FileSystem, o Options) (*File, OpenResult, error) {
 	if err := fileSystem.MakeDir(filepath.Dir(o.Path)); err != nil {
 		return nil, OpenResult{}, err
@@ -62,7 +63,7 @@
 	return f, found, nil
 }
 
-// lock waits a little for a process that ends.
+// lock takes the lock of a store. While another process holds it, lock retries for the time wait.
 func lock(fileSystem FileSystem, path string, wait time.Duration) (func() error, error) {
 	for end := time.Now().Add(wait); ; <-time.After(lockRetryInterval) {
 		unlock, err := fileSystem.Lock(path)
@@ -72,7 +73,8 @@
 	}
 }
 
-// Edit opens a plain file for as long as do takes: for what several processes of a sidecar change in turn.
+// Edit opens a store in a plain file, calls do and closes the store. It is for state that several processes of a sidecar change in
+// turn.
 func Edit(fileSystem FileSystem, o Options, do func(s Store) error) (OpenResult, error) {
 	f, found, err := OpenFile(fileSystem, o)
 	if err != nil {
@@ -81,6 +83,7 @@
 	return found, errors.Join(do(f), f.Close())
 }
 
+// read reads the file, and compares its serial with the recorded one.
 func (f *File) read() (OpenResult, error) {
 	recorded, recordedErr := f.readHeader(f.path+serialSuffix, fixedOverhead)
 	h, err := f.readHeader(f.path, fixedOverhead+maxEncodedPerByte*f.maxBytes)
@@ -89,7 +92,7 @@
 		return OpenResult{Empty: true}, nil
 	case errors.Is(err, fs.ErrNotExist):
 		f.head.Serial = recorded.Serial
-		return OpenResult{Empty: true, Warning: fmt.Sprintf("%s: gone, though it had come to change %d; nothing of it is known", f.path, recorded.Serial)}, nil
+		return OpenResult{Empty: true, Warning: fmt.Sprintf("%s: the store is missing although batch %d was written; its values are lost", f.path, recorded.Serial)}, nil
 	case errors.Is(err, ErrNewerFormat):
 		return OpenResult{}, fmt.Errorf("%s: %w", f.path, err)
 	case errors.Is(err, ErrCorrupt):
@@ -99,9 +102,10 @@
 	case h.Owner != f.head.Owner:
 		return OpenResult{}, fmt.Errorf("%s: %w: %q, not %q", f.path, ErrOwner, h.Owner, f.head.Owner)
 	case recordedErr == nil && recorded.Owner == h.Owner && recorded.Serial > h.Serial:
-		return f.quarantine(recorded, fmt.Sprintf("%s: an older copy was put back, of change %d where %d was reached", f.path, h.Serial, recorded.Serial))
+		return f.quarantine(recorded, fmt.Sprintf("%s: an older copy of the store was restored: it has batch %d, the last one written was %d", f.path, h.Serial, recorded.Serial))
 	}
-	// What a process that died had not synced must not be read now and gone after the next crash.
+	// An earlier process may have crashed before it synced the file: without a sync now, values that are read here could be lost by
+	// the next crash.
 	if err := errors.Join(f.fileSystem.Sync(f.path), f.fileSystem.SyncDir(filepath.Dir(f.path))); err != nil {
 		return OpenResult{}, err
 	}
@@ -112,7 +116,8 @@
 	return OpenResult{Empty: len(h.Values) == 0}, nil
 }
 
-// quarantine moves away what cannot be used. The count goes on, so that what was set aside never passes for newer.
+// quarantine renames a file that cannot be used. The serial continues from the recorded one, so that the renamed file never counts
+// as newer than the store.
 func (f *File) quarantine(recorded header, reason string) (OpenResult, error) {
 	if recorded.Owner == f.head.Owner {
 		f.head.Serial = recorded.Serial
@@ -120,33 +125,35 @@
 	if err := f.fileSystem.Rename(f.path, f.path+BadSuffix); err != nil {
 		return OpenResult{}, err
 	}
-	return OpenResult{Empty: true, Warning: reason + "; it is set aside as " + filepath.Base(f.path) + BadSuffix + " and nothing of it is used"}, nil
+	return OpenResult{Empty: true, Warning: reason + "; the file is renamed to " + filepath.Base(f.path) + BadSuffix + " and none of its values is used"}, nil
 }
 
+// readHeader reads and verifies a file. It returns ErrCorrupt for an invalid one.
 func (f *File) readHeader(path string, maxBytes int) (h header, err error) {
 	text, err := f.fileSystem.ReadFile(path, maxBytes+1)
 	if err != nil {
 		return h, err
 	}
 	if len(text) > maxBytes {
-		return h, fmt.Errorf("%w: more than %d bytes", ErrCorrupt, maxBytes)
+		return h, fmt.Errorf("%w: the file has more than %d bytes", ErrCorrupt, maxBytes)
 	}
 	body, ok := bytes.CutPrefix(text, []byte(magic))
 	if !ok || len(body) < checksumBytes {
-		return h, fmt.Errorf("%w: it does not begin as one", ErrCorrupt)
+		return h, fmt.Errorf("%w: the file does not begin as a store does", ErrCorrupt)
 	}
 	if checksum(body[checksumBytes:]) != [checksumBytes]byte(body[:checksumBytes]) {
-		return h, fmt.Errorf("%w: its sum does not fit", ErrCorrupt)
+		return h, fmt.Errorf("%w: checksum mismatch", ErrCorrupt)
 	}
 	if err := json.Unmarshal(body[checksumBytes:], &h); err != nil {
 		return h, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	if h.Format > Format {
-		return h, fmt.Errorf("%w: %d, this program reads up to %d", ErrNewerFormat, h.Format, Format)
+		return h, fmt.Errorf("%w: version %d, this program reads up to %d", ErrNewerFormat, h.Format, Format)
 	}
 	return h, nil
 }
 
+// checksum returns the xxHash64 of b in little-endian order.
 func checksum(b []byte) (s [checksumBytes]byte) {
 	for i, v := 0, xxhash.Sum64(b); i < checksumBytes; i, v = i+1, v>>8 {
 		s[i] = byte(v)
@@ -154,7 +161,7 @@
 	return s
 }
 
-// encode is the text of a file.
+// encode returns the content of a file with a header.
 func encode(h header) ([]byte, error) {
 	body, err := json.Marshal(h)
 	if err != nil {
@@ -164,7 +171,7 @@
 	return append(append([]byte(magic), s[:]...), body...), nil
 }
 
-// Commit writes a batch. The file is whole at each moment; the word on how far it had come follows it.
+// Commit writes a batch. It replaces the file atomically, and then records the new serial in the second file.
 func (f *File) Commit(b *Batch) error {
 	if f.failed {
 		return ErrFailed
@@ -190,6 +197,7 @@
 	return nil
 }
 
+// write replaces a file atomically: it writes and syncs a temporary file, renames it, and syncs the folder.
 func (f *File) write(path string, h header) error {
 	text, err := encode(h)
 	if err == nil {
@@ -207,7 +215,7 @@
 	return err
 }
 
-// Close gives it up.
+// Close releases the lock of the store. Afterwards the store accepts no batch.
 func (f *File) Close() error {
 	if f.unlock == nil {
 		return nil
@@ -217,7 +225,8 @@
 	return unlock()
 }
 
-// WithFormat gives the text of a plain file the number of another format: what a later program would write, for tests.
+// WithFormat returns the content of a plain file with the version of its format replaced, as a later program would write it. It is
+// for tests.
 func WithFormat(text []byte, format int) []byte {
 	var h header
 	if len(text) < len(magic)+checksumBytes || json.Unmarshal(text[len(magic)+checksumBytes:], &h) != nil {
--- a/internal/sidecar/store/filesystem.go
+++ b/internal/sidecar/store/filesystem.go
@@ -8,31 +8,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// FileSystem is the files under a File. The contract puts one in that tears, cuts and fills up.
+// FileSystem is the interface to the files of a File. The contract tests use an implementation that injects torn writes, crashes and
+// a full disk.
 type FileSystem interface {
-	// MakeDir makes a folder, and those above it, if it is not there.
+	// MakeDir creates a folder and its parents, if they do not exist.
 	MakeDir(dir string) error
-	// ReadFile reads a file, most bytes of it at the most.
+	// ReadFile reads up to maxBytes bytes of a file.
 	ReadFile(path string, maxBytes int) ([]byte, error)
-	// WriteFile replaces what is in a file, or makes one. It outlives a crash once Sync has returned.
+	// WriteFile creates a file or replaces its content. The content is durable once Sync has returned.
 	WriteFile(path string, text []byte) error
-	// Sync flushes a file to the disk.
+	// Sync flushes the content of a file to the disk.
 	Sync(path string) error
-	// Rename replaces to by from. It outlives a crash once SyncDir has returned.
+	// Rename renames from to to, replacing a file of that name. The rename is durable once SyncDir has returned.
 	Rename(from, to string) error
-	// SyncDir flushes the names in a folder to the disk.
+	// SyncDir flushes the entries of a folder to the disk.
 	SyncDir(dir string) error
-	// Lock takes a lock that ends with the process; ErrBusy: another one has it.
+	// Lock takes an exclusive lock, which the end of the process releases. It returns ErrBusy if another process holds the lock.
 	Lock(path string) (unlock func() error, err error)
 }
 
-// OSFileSystem is the system's files.
+// OSFileSystem is the file system of the operating system.
 type OSFileSystem struct{}
 
-// MakeDir makes a folder, if it is not there.
+// MakeDir creates a folder and its parents, if they do not exist.
 func (OSFileSystem) MakeDir(dir string) error { return os.MkdirAll(dir, 0o700) }
 
-// ReadFile reads a file.
+// ReadFile reads up to maxBytes bytes of a file.
 func (OSFileSystem) ReadFile(path string, maxBytes int) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -42,10 +43,10 @@
 	return io.ReadAll(io.LimitReader(f, int64(maxBytes)))
 }
 
-// WriteFile writes a file.
+// WriteFile creates a file, readable by its user only, or replaces its content.
 func (OSFileSystem) WriteFile(path string, text []byte) error { return os.WriteFile(path, text, 0o600) }
 
-// Sync has a file kept.
+// Sync flushes the content of a file to the disk.
 func (OSFileSystem) Sync(path string) error {
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
@@ -54,10 +55,10 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Rename renames a file, over one that is there.
+// Rename renames a file, replacing an existing one.
 func (OSFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
-// SyncDir has the names of a folder kept.
+// SyncDir flushes the entries of a folder to the disk.
 func (OSFileSystem) SyncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -66,14 +67,14 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// Lock locks a file.
+// Lock locks a file by flock, and creates it if it does not exist.
 func (OSFileSystem) Lock(path string) (func() error, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		_ = f.Close() // nothing was written
+		_ = f.Close() // nothing was written that an error could lose
 		if errors.Is(err, unix.EWOULDBLOCK) {
 			return nil, ErrBusy
 		}
--- a/internal/sidecar/store/memory.go
+++ b/internal/sidecar/store/memory.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// Memory is a store that ends with the process; what it holds can be handed to the next one. It is for tests and for
-// sidecars that keep nothing.
+// Memory is a store in memory. Its values are lost when the process ends, unless they are handed to the next process. It is for tests
+// and for sidecars that store nothing; a File reads from a Memory, too.
 type Memory struct {
 	values   map[string][]byte
 	maxBytes int
 }
 
-// NewMemory makes a store of up to most bytes of keys and values.
+// NewMemory creates a store of up to maxBytes bytes of keys and values.
 func NewMemory(maxBytes int) *Memory { return &Memory{values: map[string][]byte{}, maxBytes: maxBytes} }
 
-// Get gives a value.
+// Get returns a copy of the value of a key.
 func (m *Memory) Get(key string) ([]byte, bool) {
 	v, ok := m.values[key]
 	return append([]byte{}, v...), ok
 }
 
-// Each goes through the keys with a prefix.
+// Each calls do for each key with a prefix, in the order of the keys.
 func (m *Memory) Each(prefix string, do func(key string, value []byte) error) error {
 	for _, k := range slices.Sorted(maps.Keys(m.values)) {
 		if strings.HasPrefix(k, prefix) {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Commit does a batch.
+// Commit applies a batch as a whole, or returns ErrFull.
 func (m *Memory) Commit(b *Batch) error {
 	next, err := m.valuesAfter(b)
 	if err == nil {
@@ -43,7 +43,7 @@
 	return err
 }
 
-// valuesAfter is what the values are after a batch.
+// valuesAfter returns the values that a batch would leave, without changing the store.
 func (m *Memory) valuesAfter(b *Batch) (map[string][]byte, error) {
 	ops, err := b.Ops()
 	if err != nil {
@@ -70,5 +70,5 @@
 	return next, nil
 }
 
-// Close does nothing.
+// Close does nothing: the values stay readable.
 func (m *Memory) Close() error { return nil }
--- a/internal/sidecar/store/store.go
+++ b/internal/sidecar/store/store.go
@@ -1,7 +1,6 @@
-// Package store keeps what outlives a process: a voter's log, suspensions,
-// editions of rules. There are three kinds, which all pass the contract of
-// internal/testkit/contract: a plain file, memory for tests, and, in a package of its
-// own so that who keeps little links none of it, a bbolt file.
+// Package store persists state across restarts of a process: a voter's log, suspensions and editions of rules. There are three
+// implementations of Store, which all pass the contract tests of internal/testkit/contract: a plain file, memory for tests, and a
+// bbolt file. The last one is in a package of its own, so that programs with little state do not link bbolt.
 package store
 
 import (
@@ -10,96 +9,98 @@
 	"time"
 )
 
-// Store holds values under keys. It belongs to one goroutine at a time. Keys are 1 to MostKey bytes; values are never nil.
+// Store is a key-value store. Only one goroutine may use it at a time. Keys have 1 to MaxKeyBytes bytes; values are never nil.
 type Store interface {
-	// Get gives the value of a key as it was last committed, a copy.
+	// Get returns a copy of the value last committed under a key.
 	Get(key string) (value []byte, ok bool)
-	// Each calls do for every key that begins with prefix, by key. do must not call the store.
+	// Each calls do for every key with a prefix, in the order of the keys. do must not call the store.
 	Each(prefix string, do func(key string, value []byte) error) error
-	// Commit does all of a batch or nothing. When it returns nil, the batch is there after the end of the process at any
-	// later moment, also one by loss of power; an error other than ErrFull leaves open which of the two it is, and the
-	// store takes nothing more until it is opened again.
+	// Commit applies a batch atomically. Once it has returned nil, the batch is durable: it outlives the process, also after a
+	// loss of power. After an error other than ErrFull it is unknown whether the batch was applied, and the store accepts no
+	// further batch until it is opened again.
 	Commit(b *Batch) error
-	// Close gives the store up to the next process. A second call does nothing.
+	// Close releases the store, so that another process can open it. A second call does nothing.
 	Close() error
 }
 
-// OpenResult is what was there when a store was opened.
+// OpenResult describes the state in which a store was found when it was opened.
 type OpenResult struct {
-	// Empty tells that nothing was there, or nothing that can be used.
+	// Empty is set if there was no value, or none that can be used.
 	Empty bool
-	// Warning is a line for the operator where something was there and is not used; it has been set aside. Empty: all is well.
+	// Warning is a line for the operator if a store was lost, or was found and cannot be used; in the latter case its file was
+	// renamed with BadSuffix. Empty: no problem was found.
 	Warning string
 }
 
-// What keeps a store from being opened or from taking a batch.
+// Errors of opening a store or of committing a batch.
 var (
-	// ErrBusy is that another process has the store open.
+	// ErrBusy means that another process has the store open.
 	ErrBusy = errors.New("store: in use by another process")
-	// ErrNewerFormat is that a later version of the program wrote it. It is not touched.
-	ErrNewerFormat = errors.New("store: of a later format")
-	// ErrOwner is that it belongs to somebody else. It is not touched.
-	ErrOwner = errors.New("store: of another owner")
-	// ErrFull is that a batch would make the store larger than it may be. Nothing of it was done.
-	ErrFull = errors.New("store: full")
-	// ErrCorrupt is that what is there is no whole store. Who opens one sets such a thing aside and tells it in Found.
-	ErrCorrupt = errors.New("not a whole store")
-	// ErrFailed is that an earlier batch failed.
-	ErrFailed = errors.New("store: broken by an earlier failure")
+	// ErrNewerFormat means that a later version of the program wrote the store, which is left untouched.
+	ErrNewerFormat = errors.New("store: written in a newer format")
+	// ErrOwner means that the store belongs to another owner. It is left untouched.
+	ErrOwner = errors.New("store: belongs to another owner")
+	// ErrFull means that a batch would exceed Options.MaxBytes. The batch was not applied.
+	ErrFull = errors.New("store: batch exceeds the size limit of the store")
+	// ErrCorrupt means that a file is not a valid store. The functions that open a store handle this error: they rename the file with
+	// BadSuffix, open an empty store, and set OpenResult.Warning.
+	ErrCorrupt = errors.New("not a valid store")
+	// ErrFailed means that an earlier batch failed or that the store is closed, so that it accepts no further batch.
+	ErrFailed = errors.New("store: no further batch accepted after an earlier failure")
 )
 
-// Format is the form in which stores are written. A store of a higher one is refused.
+// Format is the version of the format in which stores are written. A store of a higher version is refused.
 const Format = 1
 
-// Bounds.
+// The bound on keys, and the interval of attempts to lock a store.
 const (
-	MaxKeyBytes       = 256 // bytes of a key
-	lockRetryInterval = 20 * time.Millisecond
+	MaxKeyBytes       = 256                   // maximum length of a key
+	lockRetryInterval = 20 * time.Millisecond // between two attempts to lock a store that is busy
 )
 
-// Options are what a store is opened with.
+// Options configure a store when it is opened.
 type Options struct {
 	Path        string
-	Owner       string        // whose it is, up to 200 bytes; somebody else's is not touched
-	MaxBytes    int           // bytes of keys and values that it takes
-	LockTimeout time.Duration // for a process that ends and still has it; 0: none
+	Owner       string        // owner of the store, up to 200 bytes; a store of another owner is left untouched
+	MaxBytes    int           // bound on the total bytes of keys and values
+	LockTimeout time.Duration // wait for another process to release the store; 0: no wait
 }
 
-// Batch is a set of changes. The zero Batch changes nothing.
+// Batch is a list of changes that are committed together. The zero Batch changes nothing.
 type Batch struct {
 	ops []Op
 }
 
-// Op is one change.
+// Op is one change of a batch.
 type Op struct {
-	Key   string // or the first of a range
-	To    string // the first key behind the range, all of which is deleted; empty: one key
-	Value []byte // nil: it is deleted
+	Key   string // key to change, or the first key of a range to delete
+	To    string // end of the range to delete, not included; empty: only Key is changed
+	Value []byte // value to set; nil: Key is deleted
 }
 
-// Put sets a value.
+// Put sets the value of a key to a copy of value.
 func (b *Batch) Put(key string, value []byte) {
 	b.ops = append(b.ops, Op{Key: key, Value: append([]byte{}, value...)})
 }
 
-// Delete removes a key, if it is there.
+// Delete deletes a key, if it exists.
 func (b *Batch) Delete(key string) { b.ops = append(b.ops, Op{Key: key}) }
 
-// DeleteRange removes all keys from one on that are before another.
+// DeleteRange deletes all keys from one, included, to another, not included.
 func (b *Batch) DeleteRange(from, to string) {
 	if from < to {
 		b.ops = append(b.ops, Op{Key: from, To: to})
 	}
 }
 
-// Empty tells whether the batch changes nothing.
+// Empty reports whether the batch changes nothing.
 func (b *Batch) Empty() bool { return len(b.ops) == 0 }
 
-// Ops are the changes, in their order. A key that no store takes is the error.
+// Ops returns the changes in their order, or an error if a key has an invalid length.
 func (b *Batch) Ops() ([]Op, error) {
 	for _, o := range b.ops {
 		if o.Key == "" || len(o.Key) > MaxKeyBytes || len(o.To) > MaxKeyBytes {
-			return nil, fmt.Errorf("store: a key of %d bytes, 1 to %d are taken", len(o.Key), MaxKeyBytes)
+			return nil, fmt.Errorf("store: invalid key of %d bytes, expected 1 to %d", len(o.Key), MaxKeyBytes)
 		}
 	}
 	return b.ops, nil
--- a/internal/sidecar/store/store_test.go
+++ b/internal/sidecar/store/store_test.go
@@ -23,7 +23,7 @@
 	}})
 }
 
-// The plain file, on a disk that tears what was not synced.
+// The plain file, on a file system that tears writes that were not synced.
 func TestFile(t *testing.T) {
 	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(t contract.T, seed uint64) contract.StorePlace {
 		return contract.FilePlace(seed, func(l store.FileSystem, path, owner string) (store.Store, store.OpenResult, error) {
@@ -32,23 +32,23 @@
 	}})
 }
 
-// laterFile makes a text say that it is of the next format. The head's first pair is the format.
+// laterFile returns the content of a plain file with the version of the next format.
 func laterFile(text []byte) []byte { return store.WithFormat(text, store.Format+1) }
 
-// On the system's files.
+// The plain file, on the file system of the operating system.
 func TestFileOnDisk(t *testing.T) {
 	contract.Run(t, contract.StoreClauses, contract.StoreMaker{Most: maxBytes, Begin: func(t contract.T, seed uint64) contract.StorePlace {
 		path := filepath.Join(t.TempDir(), "kept")
 		p := contract.DiskPlace(path, seed, func(owner string) (store.Store, store.OpenResult, error) {
 			return store.OpenFile(store.OSFileSystem{}, options(path, owner))
 		})
-		p.KnowsOldCopies, p.Kill = true, nil // its crashes are played on a Layer: it is two files
+		p.KnowsOldCopies, p.Kill = true, nil // crashes are tested in TestFile, on a FileSystem: a copy of the path alone lacks the second file
 		p.Later = func() { p.Spoil(laterFile) }
 		return p
 	}})
 }
 
-// A disk that is full keeps what was there, and says so.
+// A batch that fails because the disk is full leaves the earlier values, and the store accepts no batch until it is opened again.
 func TestFullDisk(t *testing.T) {
 	l := contract.NewLayer(1)
 	open := func() *store.File {
@@ -69,19 +69,19 @@
 	}
 	l.Space = 700
 	if err := putA(make([]byte, 600)); err == nil || errors.Is(err, store.ErrFull) {
-		t.Errorf("written to a full disk: %v", err)
+		t.Errorf("commit on a full disk: error %v, expected one other than ErrFull", err)
 	}
 	if err := putA([]byte("2")); !errors.Is(err, store.ErrFailed) {
-		t.Errorf("went on after a failure: %v", err)
+		t.Errorf("commit after a failed one: error %v, expected ErrFailed", err)
 	}
 	if err := f.Close(); err != nil {
-		t.Errorf("closed after a failure: %v", err)
+		t.Errorf("close after a failed commit: %v", err)
 	}
 	f = open()
 	if v, ok := f.Get("a"); !ok || string(v) != "1" {
-		t.Errorf("a is %q afterwards", v)
+		t.Errorf("value of a after reopening is %q, expected \"1\"", v)
 	}
 	if err := putA([]byte("2")); err != nil {
-		t.Errorf("and takes nothing: %v", err)
+		t.Errorf("commit after reopening: %v", err)
 	}
 }
