--- a/internal/sidecar/versionskew/check_test.go
+++ b/internal/sidecar/versionskew/check_test.go
@@ -17,8 +17,8 @@
 
 const pace = time.Second
 
-// threeMembers is threeMembers members of a view, whose messages stay on their links until they are delivered or dropped. What the leader
-// proposes is decided at once and reaches the others when the exploration says so.
+// threeMembers simulates three members of a view, whose messages stay on their links until they are delivered or dropped. An edition
+// that the leader proposes is decided at once; each member adopts the new view in an event of its own.
 type threeMembers struct {
 	machines        [3]*Machine
 	boots           [3]uint64
@@ -29,7 +29,7 @@
 	links           map[[2]int][]Message
 	agreedAt        map[uint64]time.Duration
 	digests         map[uint64]string
-	divergentDecide func(*rules.Compiled, rules.Case) string // how the third decides cases; nil: as the others
+	divergentDecide func(*rules.Compiled, rules.Case) string // decisions of the third member; nil: as those of the others
 	restarts        int
 	mutate          Mutation
 	violation       error
@@ -92,7 +92,7 @@
 		case Enforce:
 			d := editionDigest(a.Compiled.Edition)
 			if was := w.digests[a.Compiled.Edition.Number]; was != d {
-				w.violation = fmt.Errorf("%s goes by edition %d as %.6s, agreed was %.6s", name(i), a.Compiled.Edition.Number, d, was)
+				w.violation = fmt.Errorf("%s has edition %d with digest %.6s in force, agreed was %.6s", name(i), a.Compiled.Edition.Number, d, was)
 			}
 		}
 	}
@@ -103,10 +103,10 @@
 		return
 	}
 	if w.divergentDecide != nil {
-		w.violation = errors.New("agreed though one reads it otherwise")
+		w.violation = errors.New("edition agreed although one member decides its cases differently")
 	}
 	if at, ok := w.agreedAt[r.Number-1]; ok && w.now-at < 20*pace {
-		w.violation = fmt.Errorf("edition %d agreed %v after the one before", r.Number, w.now-at)
+		w.violation = fmt.Errorf("edition %d agreed %v after the previous one, expected at least 20 paces", r.Number, w.now-at)
 	}
 	w.decided.ID.Number++
 	w.decided.Rules = r
@@ -134,7 +134,8 @@
 	})
 }
 
-// forEachEvent goes through what can happen now. do is called for at most one of them.
+// forEachEvent calls visit for each event that can happen now, with its name and the function that makes it happen. visit calls at
+// most one of these functions.
 func (w *threeMembers) forEachEvent(visit func(string, func())) {
 	type event struct {
 		name string
@@ -196,11 +197,12 @@
 
 func (w *threeMembers) Check() error { return w.violation }
 
-// Every order of up to six events of three members, one of which may read the rules otherwise, be started anew, or push
-// another edition, while the leader changes: an edition is agreed only once all are compatible, and in force as it was agreed.
+// In every order of up to six events of three members, an edition is agreed only once all members are compatible, and comes into
+// force with the digest that was agreed. One member may decide cases differently, restart, or push another edition, and the leader
+// may change. Injected faults must be detected.
 func TestEveryOrder(t *testing.T) {
 	for name, divergentDecide := range map[string]func(*rules.Compiled, rules.Case) string{"all alike": nil,
-		"one reads otherwise": func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }} {
+		"one decides differently": func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }} {
 		r, err := explore.All(func() explore.System { return newThreeMembers(divergentDecide, NoMutation) }, 6, 400_000)
 		if err != nil || !r.Full {
 			t.Errorf("%s: %v, %+v", name, err, r)
@@ -215,14 +217,14 @@
 		"silence understood": {func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }, SkipsSilent},
 	} {
 		if _, err := explore.All(func() explore.System { return newThreeMembers(c.divergentDecide, c.mutate) }, 7, 200_000); err == nil {
-			t.Errorf("%s: not noticed", name)
+			t.Errorf("%s: the fault was not detected", name)
 		} else {
 			t.Logf("%s: %v", name, err)
 		}
 	}
 }
 
-// doEvents lets events of some names happen, if they can.
+// doEvents makes the events of some names happen, in this order; it skips an event that cannot happen.
 func (w *threeMembers) doEvents(names ...string) {
 	for _, name := range names {
 		for i, n := range w.Events() {
@@ -234,11 +236,12 @@
 	}
 }
 
-// A reply of an earlier process does not count for the one that was started after it, which may be of another version.
+// A reply of an earlier process does not count for the process that was started after it under the same name, which may be of
+// another version.
 func TestAnswerOfAnEarlierProcess(t *testing.T) {
 	for name, mutate := range map[string]Mutation{"as it is": NoMutation, "any answer of the name": AnyBoot} {
 		w := newThreeMembers(nil, mutate)
-		w.doEvents("b>a", "a>c", "c>a") // pushed, offered, read by the third
+		w.doEvents("b>a", "a>c", "c>a") // the edition is pushed by b, offered by a, and tried by c
 		w.divergentDecide = func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }
 		w.start(2, true)
 		w.links[[2]int{2, 0}] = nil
@@ -251,7 +254,7 @@
 	}
 }
 
-// An outdated view without a lease takes no member back to an earlier edition.
+// An outdated view without a lease does not put an earlier edition back in force.
 func TestEarlierViewTakesNobodyBack(t *testing.T) {
 	for name, mutate := range map[string]Mutation{"as it is": NoMutation, "back": OverwritesNew} {
 		w := newThreeMembers(nil, mutate)
@@ -272,7 +275,7 @@
 		w.adopted[2] = first
 		w.step(2, Tick{})
 		if got := w.machines[2].Edition().Edition.Number; (got == 1) != (mutate == OverwritesNew) || (w.machines[2].Behind() == "") != (mutate == OverwritesNew) {
-			t.Errorf("%s: goes by edition %d, behind %q", name, got, w.machines[2].Behind())
+			t.Errorf("%s: edition %d in force, behind %q", name, got, w.machines[2].Behind())
 		}
 	}
 }
--- a/internal/sidecar/versionskew/configure.go
+++ b/internal/sidecar/versionskew/configure.go
@@ -10,8 +10,8 @@
 	"fieldrelay/internal/sidecar/versionskew/settings"
 )
 
-// Configure returns the configuration of a machine by the settings; nil if rules are off. The error names a format that this
-// program does not read.
+// Configure returns the configuration of a machine that follows from the settings; nil: rules are off. An error names the format in
+// the settings that this program does not read.
 func Configure(s settings.Settings) (*Config, error) {
 	if !s.On {
 		return nil, nil
@@ -25,7 +25,7 @@
 		kind, format, _ := strings.Cut(text, " ")
 		f, err := rules.ParseFormat(strings.TrimSpace(format))
 		if err != nil || !rules.Supported().Has(rules.Kind(kind), f) {
-			return nil, fmt.Errorf("rules.reads: %q; this program reads %s", text, rules.Supported())
+			return nil, fmt.Errorf("rules.reads: %q is no format that this program reads, which are %s", text, rules.Supported())
 		}
 		reads[rules.Kind(kind)] = append(reads[rules.Kind(kind)], f)
 	}
@@ -33,11 +33,11 @@
 	return c, nil
 }
 
-// ReadFile reads the file of rules that is pushed. The error has a line for each fault.
+// ReadFile reads the rules file that is to be pushed. The error has a line for each fault.
 func ReadFile(path string) (rules.Edition, error) {
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > rules.MaxFileBytes {
-		err = fmt.Errorf("%d bytes, %d at most", info.Size(), rules.MaxFileBytes)
+		err = fmt.Errorf("the file has %d bytes, expected at most %d", info.Size(), rules.MaxFileBytes)
 	}
 	var text []byte
 	if err == nil {
--- a/internal/sidecar/versionskew/edition.go
+++ b/internal/sidecar/versionskew/edition.go
@@ -9,19 +9,20 @@
 	"fieldrelay/internal/sidecar/view"
 )
 
-// cachedEdition is an edition whose content is here, with what reading it came to.
+// cachedEdition is an edition whose content this member has, with the result of reading it.
 type cachedEdition struct {
 	edition  rules.Edition
-	compiled *rules.Compiled // nil: it cannot be read, see err
+	compiled *rules.Compiled // nil: the edition cannot be read, see err
 	err      error
-	trial    rules.Trial
-	usedAt   time.Duration
+	trial    rules.Trial   // this member's decisions of the cases
+	usedAt   time.Duration // time of the last use
 }
 
-// editionDigest is the digest of an edition's content, hexadecimal.
+// editionDigest returns the digest of an edition's content in hexadecimal digits.
 func editionDigest(e rules.Edition) string { d := e.Digest(); return hex.EncodeToString(d[:]) }
 
-// load reads an edition, unless it is cached, and decides its cases. The edition that is in force here stays cached.
+// load reads an edition and decides its cases, unless the edition is cached. If the cache is full, load evicts an edition other than
+// the one in force here.
 func (m *Machine) load(e rules.Edition) *cachedEdition {
 	d := editionDigest(e)
 	if cached := m.editions[d]; cached != nil {
@@ -43,7 +44,7 @@
 	return loaded
 }
 
-// evictEdition drops the cached edition that was used longest ago.
+// evictEdition drops the least recently used edition from the cache, except the one in force here.
 func (m *Machine) evictEdition() {
 	oldest := ""
 	for digest, cached := range m.editions {
@@ -66,7 +67,8 @@
 	return v.Rules
 }
 
-// enforceAgreed puts the edition of the view in force, once its content is here and was read.
+// enforceAgreed puts the edition of the view in force, once this member has its content and can read it. Without the content, it
+// requests that from another member.
 func (m *Machine) enforceAgreed() {
 	a := m.agreed()
 	if a.Number == 0 || m.enforced != nil && m.enforced.Edition.Number == a.Number && m.enforcedDigest == a.Digest {
@@ -74,8 +76,8 @@
 		return
 	}
 	if m.enforced != nil && a.Number < m.enforced.Edition.Number && !m.cfg.HoldsLease() && m.cfg.Mutate != OverwritesNew {
-		// The view is outdated: this member has known a later one, and keeps its edition until it has that again.
-		m.reportBehind(fmt.Sprintf("the view has edition %d, this member went by %d", a.Number, m.enforced.Edition.Number))
+		// The view is outdated: this member has had a later one, and keeps that one's edition until it has the later view again.
+		m.reportBehind(fmt.Sprintf("the view has edition %d, which is older than edition %d of this member", a.Number, m.enforced.Edition.Number))
 		return
 	}
 	cached := m.editions[a.Digest]
@@ -85,7 +87,7 @@
 		m.out = append(m.out, Enforce{Compiled: m.enforced})
 		return
 	case cached == nil:
-		m.reportBehind(fmt.Sprintf("the content of edition %d is not here", a.Number))
+		m.reportBehind(fmt.Sprintf("this member does not have the content of edition %d yet", a.Number))
 		if m.contentDue <= m.now {
 			m.contentDue = m.now + contentInterval*m.cfg.Pace/2 + time.Duration(m.rng.Int64N(int64(contentInterval*m.cfg.Pace)))
 			m.send(m.drawMember(), Message{Kind: ContentRequest, Digest: a.Digest})
@@ -103,7 +105,7 @@
 	m.log(false, "edition %d (%.12s) in force", a.Number, a.Digest)
 }
 
-// reportBehind reports, once for each reason, that the edition of the view is not in force here.
+// reportBehind records why the edition of the view is not in force here, and logs a reason if it differs from the last one.
 func (m *Machine) reportBehind(reason string) {
 	if m.behind != reason {
 		m.behind = reason
@@ -111,11 +113,12 @@
 		if m.enforced != nil {
 			present = fmt.Sprintf("edition %d", m.enforced.Edition.Number)
 		}
-		m.log(true, "behind: %s; %s goes on", reason, present)
+		m.log(true, "behind: %s; %s stays in force", reason, present)
 	}
 }
 
-// drawMember draws a member of the view; half of the time it is the leader, which has the content of what it proposed.
+// drawMember returns a random member of the view to request content from, or nothing if it draws this member. With probability one
+// half it returns the leader, which has the content of the edition that it proposed.
 func (m *Machine) drawMember() string {
 	v, _ := m.cfg.View()
 	if leader := m.cfg.Leader(); leader != "" && leader != m.cfg.Name && m.rng.IntN(2) == 0 {
--- a/internal/sidecar/versionskew/evaluate.go
+++ b/internal/sidecar/versionskew/evaluate.go
@@ -9,8 +9,8 @@
 	"fieldrelay/internal/sidecar/view"
 )
 
-// Results returns what became of the trial that this member runs, with its phase and the number of its edition; without one, the
-// number of the agreed edition.
+// Results returns the results of the trial that this member runs as the leader, with the phase and the number of its edition. Without
+// a trial it returns the number of the agreed edition.
 func (m *Machine) Results() (phase Phase, number uint64, all []Result) {
 	v, _ := m.cfg.Decided()
 	if m.offer == nil {
@@ -19,7 +19,7 @@
 	return m.offer.phase, m.offer.edition.Number, m.results(v)
 }
 
-// results returns what became of the trial at each participant.
+// results returns the result of the trial at each participant.
 func (m *Machine) results(v view.View) (all []Result) {
 	own := m.load(m.offer.edition)
 	for _, participant := range m.participants(v) {
@@ -29,40 +29,41 @@
 	return all
 }
 
-// result returns what became of the trial at a member, by its reply and by what it says that it reads.
+// result returns the outcome of the trial at a participant, by its reply and by the formats that it claims to read, and the reason of
+// the outcome.
 func (m *Machine) result(own *cachedEdition, participant Member) (outcome Outcome, reason string) {
 	o := m.offer
 	got, replied := o.replies[participant.Name]
 	if replied && got.boot != participant.Boot && m.cfg.Mutate != AnyBoot {
-		replied = false // an earlier process of its name has replied
+		replied = false // the reply is of an earlier process of the participant's name
 	}
 	unread := unreadRule(o.edition, participant.Reads)
 	switch {
 	case unread != nil:
-		return Unreadable, fmt.Sprintf("it reads %q, not %s %s, which this program does", participant.Reads, unread.Kind, unread.Format)
+		return Unreadable, fmt.Sprintf("it reads %q, not %s %s, which the leader reads", participant.Reads, unread.Kind, unread.Format)
 	case m.cfg.Mutate == TrustsClaims, !replied && m.cfg.Mutate == SkipsSilent:
 		return Compatible, ""
 	case !replied && participant.AbsentFor >= 0:
-		return NoReply, fmt.Sprintf("away for %v, and may return within %v", participant.AbsentFor.Round(time.Millisecond), m.cfg.ReturnTimeout)
+		return NoReply, fmt.Sprintf("absent for %v, may return within %v", participant.AbsentFor.Round(time.Millisecond), m.cfg.ReturnTimeout)
 	case !replied:
-		return NoReply, fmt.Sprintf("for %v", (m.now - o.offeredAt).Round(time.Millisecond))
+		return NoReply, fmt.Sprintf("no reply for %v", (m.now - o.offeredAt).Round(time.Millisecond))
 	case got.readError != "":
 		return Unreadable, got.readError
 	case len(got.trial) != len(own.trial):
-		return Divergent, "its answer has no form"
+		return Divergent, "its reply has a wrong length"
 	}
 	switch at := rules.FirstDifference(own.trial, rules.Trial(got.trial)); {
 	case at == 0:
-		return Divergent, "in another canonical form"
+		return Divergent, "it has another canonical form of the edition"
 	case at > 0:
 		q := rules.DrawCases(own.compiled)[at-1]
-		return Divergent, fmt.Sprintf("case %d (%s), where this one decides: %s", at, q, own.compiled.Decide(q))
+		return Divergent, fmt.Sprintf("case %d (%s), which the leader decides as: %s", at, q, own.compiled.Decide(q))
 	}
 	return Compatible, ""
 }
 
-// unreadRule returns the first rule of an edition whose format a member does not say that it reads; nil: there is none, or what
-// the member says cannot be parsed.
+// unreadRule returns the first rule of an edition whose format is not among the formats that a member claims to read; nil: there is
+// none, or the member's claim cannot be parsed.
 func unreadRule(e rules.Edition, memberReads string) *rules.Rule {
 	reads, err := rules.ParseReads(memberReads)
 	if err != nil {
@@ -76,7 +77,8 @@
 	return nil
 }
 
-// evaluate proposes the edition once enough members have tried it with the same outcome, by the policy.
+// evaluate proposes the edition once every participant has replied or timed out and at most MaxBehind of them are incompatible. With
+// more, it offers the edition in a format that all read, if Lower is set.
 func (m *Machine) evaluate(v view.View) {
 	o := m.offer
 	incompatible, pending := 0, 0
@@ -107,7 +109,7 @@
 		}
 		return
 	}
-	// Leases on views with the edition before may last.
+	// Members may still hold leases on views with the previous edition.
 	if m.lastAgreed.Number > 0 && m.now-m.agreedAt < m.cfg.Bound && m.cfg.Mutate != NoWait {
 		return
 	}
@@ -118,7 +120,8 @@
 	m.out = append(m.out, Propose{Rules: view.Rules{Number: o.edition.Number, Digest: o.digest}})
 }
 
-// offerLowered puts on trial the edition rewritten in formats that all participants read, if it loses nothing by that.
+// offerLowered begins the trial of the edition rewritten in formats that all participants read. It rejects the edition if that would
+// lose something.
 func (m *Machine) offerLowered(v view.View) {
 	common := m.cfg.Reads
 	for _, participant := range m.participants(v) {
@@ -140,8 +143,8 @@
 	from := m.offer.digest
 	switch {
 	case len(lost) > 0:
-		m.reject(m.offer.edition, "in a format that all read it would lose "+strings.Join(lost, ", "))
-	case editionDigest(e) == from: // the format is not why members are incompatible
+		m.reject(m.offer.edition, "rewritten in a format that all members read it would lose "+strings.Join(lost, ", "))
+	case editionDigest(e) == from: // members are incompatible for another reason than the format
 	default:
 		m.beginTrial(e, from)
 	}
--- a/internal/sidecar/versionskew/lines.go
+++ b/internal/sidecar/versionskew/lines.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Lines returns the state of rules at this member, as lines for the operator.
+// Lines returns the state of the rules at this member, as lines for the operator.
 func (m *Machine) Lines() []string {
 	a := m.agreed()
 	here := "none"
--- a/internal/sidecar/versionskew/machine.go
+++ b/internal/sidecar/versionskew/machine.go
@@ -10,40 +10,40 @@
 	"fieldrelay/internal/sidecar/view"
 )
 
-// Machine is one member's part in the check of rules. It is not safe for concurrent use.
+// Machine is the state machine of the check of rules at one member. It is not safe for concurrent use.
 type Machine struct {
 	cfg Config
 	rng *rand.Rand
 	now time.Duration
 	out []Action
 
-	editions       map[string]*cachedEdition // by digest
-	enforced       *rules.Compiled           // the edition in force here; nil: none so far
+	editions       map[string]*cachedEdition // cached editions by digest
+	enforced       *rules.Compiled           // edition in force at this member; nil: none yet
 	enforcedDigest string
-	behind         string        // why the edition of the view is not in force here; empty: it is
-	contentDue     time.Duration // of the next request for its content
+	behind         string        // reason why the edition of the view is not in force at this member; empty: it is in force
+	contentDue     time.Duration // time of the next request for the content of the view's edition
 
-	// Forwarding of offers. Several trials are remembered: with one alone, the offers of two would be forwarded forever.
+	// Forwarding of offers. Several trials are remembered: with only one, the offers of two trials would be forwarded forever.
 	forwardedTrials []uint64
-	paceStart       time.Duration // begin of the pace in which forwards counts
+	paceStart       time.Duration // start of the pace that forwards counts for
 	forwards        int           // offers forwarded in that pace
 
-	// The edition that is pushed here.
-	pushed       *rules.Edition // nil: none, or it is settled
+	// The edition that is pushed at this member.
+	pushed       *rules.Edition // nil: none is pushed, or the last one is in force or rejected
 	pushedDigest string
-	pushedPhase  Phase // as the leader last reported it
-	draftDue     time.Duration
+	pushedPhase  Phase         // phase that the leader last reported
+	draftDue     time.Duration // time of the next send of the draft to the leader
 
-	// The leader's part.
+	// The state of a leader.
 	isLeader   bool
 	lastAgreed view.Rules
-	agreedAt   time.Duration // when lastAgreed changed, as seen here
+	agreedAt   time.Duration // time at which this member saw lastAgreed change
 	drafts     []rules.Edition
-	offer      *offer            // the trial under way; nil: none
-	rejections map[string]string // reasons by digest
+	offer      *offer            // trial in progress; nil: none
+	rejections map[string]string // reasons of rejections, by digest of the edition
 }
 
-// New makes a machine. now is the present time on the monotonic clock that Step is called with.
+// New creates a machine. now is the present time on the monotonic clock that Step is called with.
 func New(cfg Config, now time.Duration) *Machine {
 	m := &Machine{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Boot^0x5ce0)), now: now,
 		editions: make(map[string]*cachedEdition), rejections: make(map[string]string)}
@@ -53,13 +53,13 @@
 	return m
 }
 
-// Edition returns the edition in force here; nil: none.
+// Edition returns the edition in force at this member; nil: none.
 func (m *Machine) Edition() *rules.Compiled { return m.enforced }
 
-// Behind returns why the edition of this member's view is not in force here; empty: it is.
+// Behind returns why the edition of this member's view is not in force at this member; empty: it is in force.
 func (m *Machine) Behind() string { return m.behind }
 
-// Next is the time by which Step has to be called with Tick, if no event comes before.
+// Next returns the time by which Step has to be called with Tick, if no event comes before.
 func (m *Machine) Next() time.Duration {
 	next := m.now + 4*draftInterval*m.cfg.Pace
 	if m.pushed != nil {
@@ -74,13 +74,13 @@
 	return max(next, m.now+m.cfg.Pace/4)
 }
 
-// Step takes an event at a time that is not before that of the last call.
+// Step handles an event at a time that is not before that of the last call. It returns the actions to carry out in order.
 func (m *Machine) Step(now time.Duration, event Event) []Action {
 	m.out, m.now = nil, max(now, m.now)
-	// Before the event: a draft may be the first sign for a process that it leads.
+	// A change of the leader is handled before the event, since a draft may be the first event after this process became leader.
 	if leads := m.cfg.Leader() == m.cfg.Name; leads != m.isLeader {
 		m.isLeader, m.agreedAt = leads, m.now
-		m.offer, m.drafts = nil, nil // drafts are sent again to the next leader
+		m.offer, m.drafts = nil, nil // members that push an edition send their drafts to the next leader again
 	}
 	switch event := event.(type) {
 	case Received:
@@ -96,12 +96,12 @@
 	return m.out
 }
 
-// log reports something to the operator; alert says that something has to be done about it.
+// log emits a line for the operator. alert is set if the operator has to act on it.
 func (m *Machine) log(alert bool, format string, args ...any) {
 	m.out = append(m.out, LogEntry{Text: fmt.Sprintf(format, args...), Alert: alert})
 }
 
-// send sends a message to a member, which may be this one.
+// send sends a message to a member, which may be this one; empty: to none.
 func (m *Machine) send(to string, msg Message) {
 	if to == m.cfg.Name {
 		m.receive(to, m.cfg.Boot, msg)
@@ -110,7 +110,7 @@
 	}
 }
 
-// receive takes in a message of a member. boot is of the process that sent it.
+// receive handles a message of a member. boot identifies the process that sent it.
 func (m *Machine) receive(from string, boot uint64, msg Message) {
 	switch msg.Kind {
 	case Draft:
@@ -136,7 +136,7 @@
 	}
 }
 
-// reasonSuffix is the end of a line with reasons, if there are any.
+// reasonSuffix returns the suffix of a line that lists reasons; empty: there are none.
 func reasonSuffix(reasons []string) string {
 	if len(reasons) == 0 {
 		return ""
--- a/internal/sidecar/versionskew/outcome.go
+++ b/internal/sidecar/versionskew/outcome.go
@@ -1,40 +1,40 @@
 package versionskew
 
-// Phase is how far an edition has come, at the leader.
+// Phase is the progress of an edition at the leader.
 type Phase uint8
 
 // The phases.
 const (
-	Unknown  Phase = iota // not known to the leader
-	Offered               // on trial; some members have not replied
-	Read                  // all have replied
-	Agreed                // proposed with a view
-	InForce               // part of the decided view
-	Rejected              // the leader cannot read it, or it would lose something in a format that all read
+	Unknown  Phase = iota // the leader does not know the edition
+	Offered               // the edition is on trial, and some members have not replied
+	Read                  // all members have replied or timed out
+	Agreed                // the leader has proposed the edition with a view
+	InForce               // the decided view has the edition
+	Rejected              // the leader cannot read the edition, or the edition would lose something in a format that all members read
 )
 
-// String is the phase as operators see it.
+// String returns the phase's name for operators.
 func (p Phase) String() string {
 	return [...]string{"nothing", "offered", "read", "agreed", "in force", "rejected"}[min(p, Rejected)]
 }
 
-// Outcome is what the trial at a member came to.
+// Outcome is the outcome of a trial at a member.
 type Outcome uint8
 
 // The outcomes.
 const (
-	NoReply    Outcome = iota
-	Compatible         // it decides all cases as the leader does
-	Unreadable         // it cannot read the edition
-	Divergent          // it reads the edition and decides some case otherwise
+	NoReply    Outcome = iota // the member has not replied
+	Compatible                // the member decides all cases as the leader does
+	Unreadable                // the member cannot read the edition
+	Divergent                 // the member reads the edition and decides some case differently
 )
 
-// String is the outcome as operators see it.
+// String returns the outcome's name for operators.
 func (o Outcome) String() string {
 	return [...]string{"not heard of", "understands", "cannot read", "reads otherwise"}[min(o, Divergent)]
 }
 
-// Result is what the trial at a member came to, and why.
+// Result is the outcome of a trial at a member, with its reason.
 type Result struct {
 	Name    string
 	Outcome Outcome
--- a/internal/sidecar/versionskew/push.go
+++ b/internal/sidecar/versionskew/push.go
@@ -7,7 +7,8 @@
 	"fieldrelay/internal/sidecar/rules"
 )
 
-// sendDraft sends the edition that is pushed here to the leader, again and again until it is in force or rejected.
+// sendDraft sends the edition that is pushed at this member to the leader, and repeats that until the edition is in force or
+// rejected.
 func (m *Machine) sendDraft() {
 	if m.pushed == nil {
 		return
@@ -23,19 +24,20 @@
 	m.send(m.cfg.Leader(), Message{Kind: Draft, Edition: m.pushed})
 }
 
-// receiveStatus takes in how far the edition that is pushed here has come.
+// receiveStatus handles the phase of the edition that is pushed at this member.
 func (m *Machine) receiveStatus(msg Message) {
 	if m.pushed == nil || msg.Digest != m.pushedDigest || msg.Phase == m.pushedPhase {
 		return
 	}
 	m.pushedPhase = msg.Phase
-	m.log(msg.Phase == Rejected, "the edition pushed here (%.12s) is %s%s", msg.Digest, msg.Phase, reasonSuffix(msg.Reasons))
+	m.log(msg.Phase == Rejected, "edition %.12s, pushed at this member, is %s%s", msg.Digest, msg.Phase, reasonSuffix(msg.Reasons))
 	if msg.Phase == Rejected || msg.Phase == InForce {
 		m.pushed = nil
 	}
 }
 
-// receiveDraft takes in an edition that is pushed at a member, if this member leads, and answers with its status.
+// receiveDraft queues an edition that is pushed at a member for trial, and answers with the phase of the edition. It ignores the
+// draft unless this member leads.
 func (m *Machine) receiveDraft(from string, e rules.Edition) {
 	if !m.isLeader {
 		return
@@ -49,7 +51,7 @@
 		status.Phase, status.Number, status.Reasons = o.phase, o.edition.Number, o.reasons
 	case m.rejections[d] != "":
 		status.Phase, status.Reasons = Rejected, []string{m.rejections[d]}
-		delete(m.rejections, d) // if it is pushed again later, there is another trial
+		delete(m.rejections, d) // so that a later push of the edition begins another trial
 	default:
 		queued := slices.ContainsFunc(m.drafts, func(draft rules.Edition) bool { return editionDigest(draft) == d })
 		if !queued && len(m.drafts) < maxDrafts {
--- a/internal/sidecar/versionskew/settings/settings.go
+++ b/internal/sidecar/versionskew/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings is the section rules of the operator's file. It is a package of its own so that a sidecar without a fleet
-// does not link what rules need.
+// Package settings defines the section rules of the operator's file. It is separate from package versionskew so that a sidecar
+// without a fleet does not link the dependencies of the rules.
 package settings
 
 import (
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Settings are the section rules of the operator's file. Off unless on is true.
+// Settings are the section rules of the operator's file. Rules are off unless the key on is true.
 type Settings struct {
-	On              bool     `toml:"on"`           // this member reads rules and takes part in their trials
-	File            string   `toml:"file"`         // of the rules to push; empty: none
+	On              bool     `toml:"on"`           // whether this member reads rules and takes part in their trials
+	File            string   `toml:"file"`         // path of the rules file to push; empty: none
 	Reads           []string `toml:"reads"`        // formats that this member reads, such as "sampling 1"; empty: all that the program reads
-	Policy          string   `toml:"policy"`       // wait or lower: what happens to an edition that some members cannot read
-	MaxBehind       int      `toml:"leave_behind"` // how many incompatible members may be left behind
-	ReturnTimeoutMS int      `toml:"return_ms"`    // for so long an absent member may return, and is waited for
-	ReplyTimeoutMS  int      `toml:"hear_ms"`      // after which a member without a reply counts as incompatible
+	Policy          string   `toml:"policy"`       // treatment of an edition that some members cannot read: wait for them, or lower its format
+	MaxBehind       int      `toml:"leave_behind"` // number of incompatible members despite which an edition is agreed
+	ReturnTimeoutMS int      `toml:"return_ms"`    // time for which an absent member is waited for, since it may return
+	ReplyTimeoutMS  int      `toml:"hear_ms"`      // time after which a member without a reply counts as incompatible
 }
 
 // Defaults returns the default settings.
@@ -30,7 +30,8 @@
 	maxTimeout = 3_600_000
 )
 
-// Check calls fault for each key whose value cannot be used. fleet says whether the file names a fleet.
+// Check calls fault for each key whose value is invalid, with the value read and the allowed ones. fleet says whether the file names
+// a fleet.
 func (s *Settings) Check(fleet bool, fault func(key string, read any, allowed string)) {
 	if s.On && !fleet {
 		fault("on", s.On, "true only where the section fleet names a fleet")
@@ -61,24 +62,24 @@
 	}
 }
 
-// Live reports whether the settings differ only in what can change while the fleet runs: the file, which is then read again.
+// Live reports whether the settings differ only in the key that can change while the fleet runs: file.
 func (s Settings) Live(next Settings) bool {
 	next.File = s.File
 	return s.Equal(next)
 }
 
-// Equal reports whether nothing differs. The content of the file is not compared.
+// Equal reports whether all settings are the same. The content of the rules file is not compared.
 func (s Settings) Equal(next Settings) bool {
 	return s.On == next.On && s.File == next.File && slices.Equal(s.Reads, next.Reads) && s.Policy == next.Policy && s.MaxBehind == next.MaxBehind &&
 		s.ReturnTimeoutMS == next.ReturnTimeoutMS && s.ReplyTimeoutMS == next.ReplyTimeoutMS
 }
 
-// ReturnTimeout is for how long an absent member is waited for.
+// ReturnTimeout returns the time for which an absent member is waited for.
 func (s Settings) ReturnTimeout() time.Duration {
 	return time.Duration(s.ReturnTimeoutMS) * time.Millisecond
 }
 
-// ReplyTimeout is after what time a member without a reply counts as incompatible.
+// ReplyTimeout returns the time after which a member without a reply counts as incompatible.
 func (s Settings) ReplyTimeout() time.Duration {
 	return time.Duration(s.ReplyTimeoutMS) * time.Millisecond
 }
--- a/internal/sidecar/versionskew/trial.go
+++ b/internal/sidecar/versionskew/trial.go
@@ -9,31 +9,31 @@
 	"fieldrelay/internal/sidecar/view"
 )
 
-// offer is an edition that the leader has on trial.
+// offer is an edition that the leader has offered to the members for trial.
 type offer struct {
 	edition     rules.Edition
 	digest      string
-	trialID     uint64 // random, so that replies to another trial do not count
+	trialID     uint64 // random number of the trial, so that replies to another trial do not count
 	offeredAt   time.Duration
 	phase       Phase
-	sentAt      map[string]time.Duration // when it was last sent to a member directly
-	replies     map[string]reply         // by member
-	proposedAt  time.Duration            // when it was last proposed; -1: never
-	loweredFrom string                   // digest of the edition that this one was rewritten from; empty: of none
-	reasons     []string                 // what speaks against it
+	sentAt      map[string]time.Duration // time of the last direct send, by member
+	replies     map[string]reply         // replies by member
+	proposedAt  time.Duration            // time of the last proposal; -1: never proposed
+	loweredFrom string                   // digest of the edition that this one was rewritten from; empty: it was not rewritten
+	reasons     []string                 // reasons against agreeing on the edition, by member
 }
 
 // reply is a member's reply to an offer.
 type reply struct {
-	boot      uint64 // of the process that replied
-	trial     []byte // how it decides the cases
-	readError string // why it cannot read the edition
+	boot      uint64 // identifies the process that replied
+	trial     []byte // the member's decisions of the cases
+	readError string // why the member cannot read the edition; empty: it can
 }
 
-// maxReadErrorBytes bounds the text of why an edition cannot be read.
+// maxReadErrorBytes bounds reply.readError.
 const maxReadErrorBytes = 300
 
-// receiveOffer tries an edition, replies to the leader, and forwards the offer.
+// receiveOffer runs the trial of an edition, replies to the leader, and forwards the offer.
 func (m *Machine) receiveOffer(from string, msg Message) {
 	cached := m.load(*msg.Edition)
 	answer := Message{Kind: TrialReply, TrialID: msg.TrialID, Digest: editionDigest(*msg.Edition)}
@@ -49,24 +49,24 @@
 	}
 }
 
-// receiveReply takes in a reply to the offer of this member.
+// receiveReply records a reply to the offer of this member.
 func (m *Machine) receiveReply(from string, boot uint64, msg Message) {
 	o := m.offer
 	if o == nil || msg.TrialID != o.trialID || msg.Digest != o.digest || len(msg.ReadError) > maxReadErrorBytes || len(msg.Trial) > len(rules.Trial{}) {
 		return
 	}
-	if _, known := o.replies[from]; known || len(o.replies) < member.MaxMembers { // a bound on made-up names
+	if _, known := o.replies[from]; known || len(o.replies) < member.MaxMembers { // bound on the number of names, which senders could make up
 		o.replies[from] = reply{boot, msg.Trial, msg.ReadError}
 	}
 }
 
-// forward forwards the offer of each trial once.
+// forward gossips the offer of each trial once, up to maxForwards offers in a pace.
 func (m *Machine) forward(msg Message) {
 	if m.now-m.paceStart >= m.cfg.Pace {
 		m.paceStart, m.forwards = m.now, 0
 	}
 	if slices.Contains(m.forwardedTrials, msg.TrialID) || m.forwards >= maxForwards {
-		return // those that it does not reach so, the leader sends it to directly
+		return // the leader sends the offer directly to members that gossip does not reach
 	}
 	m.forwards++
 	if m.forwardedTrials = append(m.forwardedTrials, msg.TrialID); len(m.forwardedTrials) > maxRememberedTrials {
@@ -75,7 +75,7 @@
 	m.out = append(m.out, Gossip{Message: msg})
 }
 
-// runLeader does what the leader does: one trial after the other.
+// runLeader advances the trials of a leader, one trial at a time.
 func (m *Machine) runLeader() {
 	if !m.isLeader {
 		return
@@ -104,15 +104,15 @@
 	}
 }
 
-// beginTrial begins the trial of an edition under the next number. loweredFrom is the digest of the edition that it was rewritten
-// from, if it was.
+// beginTrial begins the trial of an edition under the next number. loweredFrom is the digest of the edition that this one was
+// rewritten from; empty: it was not rewritten.
 func (m *Machine) beginTrial(e rules.Edition, loweredFrom string) {
 	e.Number = m.lastAgreed.Number + 1
 	if m.enforced != nil {
 		e.Number = max(e.Number, m.enforced.Edition.Number+1)
 	}
 	if err := m.load(e).err; err != nil {
-		m.reject(e, "this member, which leads, cannot read it: "+err.Error())
+		m.reject(e, "the leader cannot read the edition: "+err.Error())
 		return
 	}
 	m.offer = &offer{edition: e, digest: editionDigest(e), trialID: m.rng.Uint64() | 1, offeredAt: m.now, phase: Offered,
@@ -121,12 +121,12 @@
 	m.forward(m.offerMessage())
 }
 
-// offerMessage is the offer as it is sent.
+// offerMessage returns the message of the offer.
 func (m *Machine) offerMessage() Message {
 	return Message{Kind: Offer, Edition: &m.offer.edition, Leader: m.cfg.Name, TrialID: m.offer.trialID}
 }
 
-// reject ends the trial of an edition, for a reason that whoever pushes it gets with its status.
+// reject ends the trial of an edition. The member that pushes the edition gets the reason with the next status.
 func (m *Machine) reject(e rules.Edition, reason string) {
 	d := editionDigest(e)
 	if m.offer != nil && m.offer.loweredFrom != "" {
@@ -140,8 +140,8 @@
 	m.log(true, "edition %.12s rejected: %s", d, reason)
 }
 
-// participants returns the members whose replies are needed: those present, those of the view, and those that have been absent
-// for less than ReturnTimeout and so may return.
+// participants returns the members whose replies are needed: members that are present, members of the view, and members that have
+// been absent for less than ReturnTimeout.
 func (m *Machine) participants(v view.View) (all []Member) {
 	for _, participant := range m.cfg.Members() {
 		_, included := v.Find(participant.Name)
@@ -152,11 +152,12 @@
 	return all
 }
 
-// sendOffers sends the offer directly to members that have not replied, some at a time; first to this member itself.
+// sendOffers sends the offer directly to members that have not replied, up to maxDirectOffers in a step. For the first
+// directOfferInterval it hands the offer to this member alone, while gossip spreads it.
 func (m *Machine) sendOffers(v view.View) {
 	o := m.offer
 	if m.now-o.offeredAt < directOfferInterval*m.cfg.Pace {
-		if _, done := o.sentAt[m.cfg.Name]; !done { // this member's own trial
+		if _, done := o.sentAt[m.cfg.Name]; !done { // this member runs its own trial at once
 			o.sentAt[m.cfg.Name] = m.now
 			m.receive(m.cfg.Name, m.cfg.Boot, m.offerMessage())
 		}
