--- a/internal/sidecar/versionskew/evaluate.go
+++ b/internal/sidecar/versionskew/evaluate.go
@@ -30,7 +30,7 @@
 }
 
 // result returns the outcome of the trial at a participant, by its reply and by the formats that it claims to read, and the reason of
-// the outcome.
+// the outcome. The leader sends the reason to the member that pushes the edition, so its text is part of the messages.
 func (m *Machine) result(own *cachedEdition, participant Member) (outcome Outcome, reason string) {
 	o := m.offer
 	got, replied := o.replies[participant.Name]
@@ -40,24 +40,24 @@
 	unread := unreadRule(o.edition, participant.Reads)
 	switch {
 	case unread != nil:
-		return Unreadable, fmt.Sprintf("it reads %q, not %s %s, which the leader reads", participant.Reads, unread.Kind, unread.Format)
+		return Unreadable, fmt.Sprintf("it reads %q, not %s %s, which this program does", participant.Reads, unread.Kind, unread.Format)
 	case m.cfg.Mutate == TrustsClaims, !replied && m.cfg.Mutate == SkipsSilent:
 		return Compatible, ""
 	case !replied && participant.AbsentFor >= 0:
-		return NoReply, fmt.Sprintf("absent for %v, may return within %v", participant.AbsentFor.Round(time.Millisecond), m.cfg.ReturnTimeout)
+		return NoReply, fmt.Sprintf("away for %v, and may return within %v", participant.AbsentFor.Round(time.Millisecond), m.cfg.ReturnTimeout)
 	case !replied:
-		return NoReply, fmt.Sprintf("no reply for %v", (m.now - o.offeredAt).Round(time.Millisecond))
+		return NoReply, fmt.Sprintf("for %v", (m.now - o.offeredAt).Round(time.Millisecond))
 	case got.readError != "":
 		return Unreadable, got.readError
 	case len(got.trial) != len(own.trial):
-		return Divergent, "its reply has a wrong length"
+		return Divergent, "its answer has no form"
 	}
 	switch at := rules.FirstDifference(own.trial, rules.Trial(got.trial)); {
 	case at == 0:
-		return Divergent, "it has another canonical form of the edition"
+		return Divergent, "in another canonical form"
 	case at > 0:
 		q := rules.DrawCases(own.compiled)[at-1]
-		return Divergent, fmt.Sprintf("case %d (%s), which the leader decides as: %s", at, q, own.compiled.Decide(q))
+		return Divergent, fmt.Sprintf("case %d (%s), where this one decides: %s", at, q, own.compiled.Decide(q))
 	}
 	return Compatible, ""
 }
@@ -143,7 +143,7 @@
 	from := m.offer.digest
 	switch {
 	case len(lost) > 0:
-		m.reject(m.offer.edition, "rewritten in a format that all members read it would lose "+strings.Join(lost, ", "))
+		m.reject(m.offer.edition, "in a format that all read it would lose "+strings.Join(lost, ", "))
 	case editionDigest(e) == from: // members are incompatible for another reason than the format
 	default:
 		m.beginTrial(e, from)
--- a/internal/sidecar/versionskew/message.go
+++ b/internal/sidecar/versionskew/message.go
@@ -26,5 +26,5 @@
 	ReadError string         `cbor:"7,keyasint,omitempty"`  // TrialReply: why the sender cannot read the edition
 	Phase     Phase          `cbor:"8,keyasint,omitempty"`  // Status: phase of the edition
 	Number    uint64         `cbor:"9,keyasint,omitempty"`  // Status: number of the edition
-	Reasons   []string       `cbor:"10,keyasint,omitempty"` // Status: reasons against the edition
+	Reasons   []string       `cbor:"10,keyasint,omitempty"` // Status: reasons against the edition, as text
 }
--- a/internal/sidecar/versionskew/trial.go
+++ b/internal/sidecar/versionskew/trial.go
@@ -112,7 +112,7 @@
 		e.Number = max(e.Number, m.enforced.Edition.Number+1)
 	}
 	if err := m.load(e).err; err != nil {
-		m.reject(e, "the leader cannot read the edition: "+err.Error())
+		m.reject(e, "this member, which leads, cannot read it: "+err.Error())
 		return
 	}
 	m.offer = &offer{edition: e, digest: editionDigest(e), trialID: m.rng.Uint64() | 1, offeredAt: m.now, phase: Offered,
