--- a/internal/sidecar/fleet/fleet_test.go
+++ b/internal/sidecar/fleet/fleet_test.go
@@ -47,7 +47,7 @@
 	return false
 }
 
-func TestMembersComeAndGo(t *testing.T) {
+func TestMembersJoinLeaveAndFail(t *testing.T) {
 	a := start(t, "a")
 	b := start(t, "b", a.Addr())
 	c := start(t, "c", b.Addr())
--- a/internal/sidecar/store/bolt/bolt_test.go
+++ b/internal/sidecar/store/bolt/bolt_test.go
@@ -43,7 +43,7 @@
 }
 
 // The values of an earlier program's file are taken over when the file is first opened.
-func TestBoltOfAnEarlierForm(t *testing.T) {
+func TestBoltUpgradesAnEarlierFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "voter.db")
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
--- a/internal/sidecar/store/file.go
+++ b/internal/sidecar/store/file.go
@@ -19,7 +19,7 @@
 	Memory
 	fileSystem FileSystem
 	path       string
-	head       header
+	header     header
 	unlock     func() error
 	failed     bool
 }
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, OpenResult{}, err
 	}
-	f := &File{Memory: *NewMemory(o.MaxBytes), fileSystem: fileSystem, path: o.Path, head: header{Format: Format, Owner: o.Owner}, unlock: unlock}
+	f := &File{Memory: *NewMemory(o.MaxBytes), fileSystem: fileSystem, path: o.Path, header: header{Format: Format, Owner: o.Owner}, unlock: unlock}
 	found, err := f.read()
 	if err != nil {
 		return nil, found, errors.Join(err, unlock())
@@ -88,10 +88,10 @@
 	recorded, recordedErr := f.readHeader(f.path+serialSuffix, fixedOverhead)
 	h, err := f.readHeader(f.path, fixedOverhead+maxEncodedPerByte*f.maxBytes)
 	switch {
-	case errors.Is(err, fs.ErrNotExist) && (recordedErr != nil || recorded.Owner != f.head.Owner || recorded.Serial == 0):
+	case errors.Is(err, fs.ErrNotExist) && (recordedErr != nil || recorded.Owner != f.header.Owner || recorded.Serial == 0):
 		return OpenResult{Empty: true}, nil
 	case errors.Is(err, fs.ErrNotExist):
-		f.head.Serial = recorded.Serial
+		f.header.Serial = recorded.Serial
 		return OpenResult{Empty: true, Warning: fmt.Sprintf("%s: the store is missing although batch %d was written; its values are lost", f.path, recorded.Serial)}, nil
 	case errors.Is(err, ErrNewerFormat):
 		return OpenResult{}, fmt.Errorf("%s: %w", f.path, err)
@@ -99,8 +99,8 @@
 		return f.quarantine(recorded, fmt.Sprintf("%s: %v", f.path, err))
 	case err != nil:
 		return OpenResult{}, err
-	case h.Owner != f.head.Owner:
-		return OpenResult{}, fmt.Errorf("%s: %w: %q, not %q", f.path, ErrOwner, h.Owner, f.head.Owner)
+	case h.Owner != f.header.Owner:
+		return OpenResult{}, fmt.Errorf("%s: %w: %q, not %q", f.path, ErrOwner, h.Owner, f.header.Owner)
 	case recordedErr == nil && recorded.Owner == h.Owner && recorded.Serial > h.Serial:
 		return f.quarantine(recorded, fmt.Sprintf("%s: an older copy of the store was restored: it has batch %d, the last one written was %d", f.path, h.Serial, recorded.Serial))
 	}
@@ -109,7 +109,7 @@
 	if err := errors.Join(f.fileSystem.Sync(f.path), f.fileSystem.SyncDir(filepath.Dir(f.path))); err != nil {
 		return OpenResult{}, err
 	}
-	f.head.Serial = h.Serial
+	f.header.Serial = h.Serial
 	for k, v := range h.Values {
 		f.values[k] = v
 	}
@@ -119,8 +119,8 @@
 // quarantine renames a file that cannot be used. The serial continues from the recorded one, so that the renamed file never counts
 // as newer than the store.
 func (f *File) quarantine(recorded header, reason string) (OpenResult, error) {
-	if recorded.Owner == f.head.Owner {
-		f.head.Serial = recorded.Serial
+	if recorded.Owner == f.header.Owner {
+		f.header.Serial = recorded.Serial
 	}
 	if err := f.fileSystem.Rename(f.path, f.path+BadSuffix); err != nil {
 		return OpenResult{}, err
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	h := f.head
+	h := f.header
 	h.Serial++
 	h.Written = time.Now().UnixMilli()
 	h.Values = next
@@ -193,7 +193,7 @@
 		f.failed = true
 		return fmt.Errorf("store: %s: %w", f.path, err)
 	}
-	f.head, f.values = h, next
+	f.header, f.values = h, next
 	return nil
 }
 
--- a/internal/sidecar/versionskew/check_test.go
+++ b/internal/sidecar/versionskew/check_test.go
@@ -255,7 +255,7 @@
 }
 
 // An outdated view without a lease does not put an earlier edition back in force.
-func TestEarlierViewTakesNobodyBack(t *testing.T) {
+func TestOutdatedViewKeepsNewerEdition(t *testing.T) {
 	for name, mutate := range map[string]Mutation{"as it is": NoMutation, "back": OverwritesNew} {
 		w := newThreeMembers(nil, mutate)
 		first := w.adopted[2]
