--- a/internal/sidecar/fleet/core.go
+++ b/internal/sidecar/fleet/core.go
@@ -28,12 +28,12 @@
 	Limits []quota.Limit
 	// Demand returns how much of a limit this member could use, and how much it has in use. It is called in Step.
 	Demand      func(limit string, now time.Duration) (demand, used quota.Unit)
-	MutateQuota quota.Mutation      // set by tests only
+	MutateQuota quota.Mutation      // fault that a test injects; none otherwise
 	Suspensions []verdict.Statement // statements that an earlier process stored
 	// Observations has what this member observes of execute nodes; nil: verdicts are off. Its methods are called in Step.
 	Observations   Observations
 	VerdictPercent int                 // percent of the listed nodes, and of each zone's, that may be under a verdict
-	MutateVerdict  verdict.Mutation    // set by tests only
+	MutateVerdict  verdict.Mutation    // fault that a test injects; none otherwise
 	Rules          *versionskew.Config // all fields except those that follow from the rest of CoreConfig; nil: rules are off
 }
 
--- a/internal/sidecar/fleet/fleet.go
+++ b/internal/sidecar/fleet/fleet.go
@@ -27,7 +27,7 @@
 	maxQueued       = 4096                   // frames queued for the actor; further ones are dropped
 	maxRefusedPeers = 64                     // bound on the senders whose refusal is logged
 	leaveLinger     = 100 * time.Millisecond // wait after the announcement of the leave, so that the last datagrams and streams are sent
-	actorTimeout    = 500 * time.Millisecond // for which a caller of the management address waits for the actor
+	actorTimeout    = 500 * time.Millisecond // time for which a caller of the management address waits for the actor
 )
 
 // Fleet is the actor that runs a Core, with its clock, sockets and disk. Its exported methods are safe for concurrent use; those
--- a/internal/sidecar/fleet/observations.go
+++ b/internal/sidecar/fleet/observations.go
@@ -10,7 +10,7 @@
 // observations records what this sidecar observes of execute nodes. It is safe for concurrent use and does not wait for the actor.
 type observations struct {
 	origin  time.Time
-	enabled bool // set before the first call
+	enabled bool // whether verdicts are on; set before the first call
 
 	mu     sync.Mutex
 	tally  verdict.Tally
--- a/internal/sidecar/fleet/rules.go
+++ b/internal/sidecar/fleet/rules.go
@@ -18,8 +18,8 @@
 
 // rulesState is the actor's state of the rules.
 type rulesState struct {
-	enabled          bool          // set before the actor starts
-	storeOptions     store.Options // of the store that has the edition in force; without a path nothing is stored
+	enabled          bool          // whether rules are on; set before the actor starts
+	storeOptions     store.Options // options of the store that has the edition in force; without a path nothing is stored
 	pushedDigest     rules.Digest  // digest of the edition last read from the rules file
 	fileLimits       quota.All     // limits of the operator's file
 	hasEditionLimits bool          // whether the edition in force has limits, which take precedence over fileLimits
--- a/internal/sidecar/store/filesystem.go
+++ b/internal/sidecar/store/filesystem.go
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		_ = f.Close() // nothing was written that an error could lose
+		_ = f.Close() // the file is not written, so its close loses nothing
 		if errors.Is(err, unix.EWOULDBLOCK) {
 			return nil, ErrBusy
 		}
--- a/internal/sidecar/store/store.go
+++ b/internal/sidecar/store/store.go
@@ -52,10 +52,10 @@
 // Format is the version of the format in which stores are written. A store of a higher version is refused.
 const Format = 1
 
-// The bound on keys, and the interval of attempts to lock a store.
+// Constants of stores.
 const (
 	MaxKeyBytes       = 256                   // maximum length of a key
-	lockRetryInterval = 20 * time.Millisecond // between two attempts to lock a store that is busy
+	lockRetryInterval = 20 * time.Millisecond // interval of attempts to lock a store that is busy
 )
 
 // Options configure a store when it is opened.
--- a/internal/sidecar/versionskew/settings/settings.go
+++ b/internal/sidecar/versionskew/settings/settings.go
@@ -14,7 +14,7 @@
 	File            string   `toml:"file"`         // path of the rules file to push; empty: none
 	Reads           []string `toml:"reads"`        // formats that this member reads, such as "sampling 1"; empty: all that the program reads
 	Policy          string   `toml:"policy"`       // treatment of an edition that some members cannot read: wait for them, or lower its format
-	MaxBehind       int      `toml:"leave_behind"` // number of incompatible members despite which an edition is agreed
+	MaxBehind       int      `toml:"leave_behind"` // largest number of incompatible members with which an edition is agreed
 	ReturnTimeoutMS int      `toml:"return_ms"`    // time for which an absent member is waited for, since it may return
 	ReplyTimeoutMS  int      `toml:"hear_ms"`      // time after which a member without a reply counts as incompatible
 }
--- a/internal/sidecar/versionskew/skew.go
+++ b/internal/sidecar/versionskew/skew.go
@@ -73,7 +73,7 @@
 	Seed          uint64
 	Reads         rules.Reads
 	Lower         bool          // whether to rewrite an edition in formats that all members read, if that loses nothing
-	MaxBehind     int           // number of incompatible members despite which an edition is agreed
+	MaxBehind     int           // largest number of incompatible members with which an edition is agreed
 	ReturnTimeout time.Duration // time for which an absent member is waited for, since it may return
 	ReplyTimeout  time.Duration // time after which a member without a reply counts as incompatible
 	Stored        rules.Edition // edition that was in force at this member before its start; number 0: none
@@ -114,14 +114,14 @@
 const (
 	draftInterval       = 4  // upper bound of the interval between two sends of a draft to the leader; half of it is the lower bound
 	directOfferInterval = 2  // time after which an offer is sent directly to a member without a reply, and interval between two such sends
-	maxDirectOffers     = 8  // direct offers sent in one step
+	maxDirectOffers     = 8  // bound on the direct offers sent in one step
 	contentInterval     = 2  // mean interval between two requests for the content of an edition
 	proposalInterval    = 4  // interval between two proposals of an edition
-	maxForwards         = 4  // offers forwarded per pace
-	maxRememberedTrials = 32 // trials that are remembered as forwarded
-	maxEditions         = 6  // cached editions, and remembered rejections
-	maxDrafts           = 4  // queued drafts
-	maxReasons          = 16 // reasons in a status
+	maxForwards         = 4  // bound on the offers forwarded per pace
+	maxRememberedTrials = 32 // bound on the trials that are remembered as forwarded
+	maxEditions         = 6  // bound on the cached editions, and on the remembered rejections
+	maxDrafts           = 4  // bound on the queued drafts
+	maxReasons          = 16 // bound on the reasons in a status
 )
 
 // Bounds returns the guarantees with their values, as lines for the operator.
