--- a/internal/sidecar/versionskew/settings/settings.go
+++ b/internal/sidecar/versionskew/settings/settings.go
@@ -10,19 +10,17 @@
 
 // Settings are the section rules of the operator's file. Rules are off unless the key on is true.
 type Settings struct {
-	On              bool     `toml:"on"`           // whether this member reads rules and takes part in their trials
-	File            string   `toml:"file"`         // path of the rules file to push; empty: none
-	Reads           []string `toml:"reads"`        // formats that this member reads, such as "sampling 1"; empty: all that the program reads
-	Policy          string   `toml:"policy"`       // treatment of an edition that some members cannot read: wait for them, or lower its format
-	MaxBehind       int      `toml:"leave_behind"` // largest number of incompatible members with which an edition is agreed
-	ReturnTimeoutMS int      `toml:"return_ms"`    // time for which an absent member is waited for, since it may return
-	ReplyTimeoutMS  int      `toml:"hear_ms"`      // time after which a member without a reply counts as incompatible
+	On        bool     `toml:"on"`           // whether this member reads rules and takes part in their trials
+	File      string   `toml:"file"`         // path of the rules file to push; empty: none
+	Reads     []string `toml:"reads"`        // formats that this member reads, such as "sampling 1"; empty: all that the program reads
+	Policy    string   `toml:"policy"`       // treatment of an edition that some members cannot read: wait for them, or lower its format
+	MaxBehind int      `toml:"leave_behind"` // largest number of incompatible members with which an edition is agreed
+	ReturnMS  int      `toml:"return_ms"`    // time for which an absent member is waited for, since it may return
+	ReplyMS   int      `toml:"hear_ms"`      // time after which a member without a reply counts as incompatible
 }
 
 // Defaults returns the default settings.
-func Defaults() Settings {
-	return Settings{Policy: "wait", ReturnTimeoutMS: 30_000, ReplyTimeoutMS: 10_000}
-}
+func Defaults() Settings { return Settings{Policy: "wait", ReturnMS: 30_000, ReplyMS: 10_000} }
 
 const (
 	maxReads   = 16
@@ -54,11 +52,11 @@
 	if s.MaxBehind < 0 || s.MaxBehind > maxBehind {
 		fault("leave_behind", s.MaxBehind, fmt.Sprintf("0 to %d", maxBehind))
 	}
-	if s.ReturnTimeoutMS < 0 || s.ReturnTimeoutMS > maxTimeout {
-		fault("return_ms", s.ReturnTimeoutMS, fmt.Sprintf("0 to %d", maxTimeout))
+	if s.ReturnMS < 0 || s.ReturnMS > maxTimeout {
+		fault("return_ms", s.ReturnMS, fmt.Sprintf("0 to %d", maxTimeout))
 	}
-	if s.ReplyTimeoutMS < 0 || s.ReplyTimeoutMS > maxTimeout {
-		fault("hear_ms", s.ReplyTimeoutMS, fmt.Sprintf("0 to %d", maxTimeout))
+	if s.ReplyMS < 0 || s.ReplyMS > maxTimeout {
+		fault("hear_ms", s.ReplyMS, fmt.Sprintf("0 to %d", maxTimeout))
 	}
 }
 
@@ -71,15 +69,11 @@
 // Equal reports whether all settings are the same. The content of the rules file is not compared.
 func (s Settings) Equal(next Settings) bool {
 	return s.On == next.On && s.File == next.File && slices.Equal(s.Reads, next.Reads) && s.Policy == next.Policy && s.MaxBehind == next.MaxBehind &&
-		s.ReturnTimeoutMS == next.ReturnTimeoutMS && s.ReplyTimeoutMS == next.ReplyTimeoutMS
+		s.ReturnMS == next.ReturnMS && s.ReplyMS == next.ReplyMS
 }
 
 // ReturnTimeout returns the time for which an absent member is waited for.
-func (s Settings) ReturnTimeout() time.Duration {
-	return time.Duration(s.ReturnTimeoutMS) * time.Millisecond
-}
+func (s Settings) ReturnTimeout() time.Duration { return time.Duration(s.ReturnMS) * time.Millisecond }
 
 // ReplyTimeout returns the time after which a member without a reply counts as incompatible.
-func (s Settings) ReplyTimeout() time.Duration {
-	return time.Duration(s.ReplyTimeoutMS) * time.Millisecond
-}
+func (s Settings) ReplyTimeout() time.Duration { return time.Duration(s.ReplyMS) * time.Millisecond }
