--- a/internal/sidecar/fleet/limitgates.go
+++ b/internal/sidecar/fleet/limitgates.go
@@ -7,32 +7,33 @@
 	"fieldrelay/internal/sidecar/quota"
 )
 
-// admit admits a request under all limits that it counts for, or under none. See Fleet.Admit.
-func (l *limits) admit(class, tenant string, again bool, ends time.Time) (done func(), after time.Duration, ok bool) {
+// admit admits a request if all limits that apply to it do; a rejected request counts for none of them. See Fleet.Admit.
+func (l *limits) admit(class, tenant string, isRetry bool, deadline time.Time) (done func(), retryAfter time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	gates := l.generalGates
 	if own := l.tenantGates[tenant]; len(own) > 0 {
 		gates = append(gates[:len(gates):len(gates)], own...)
 	}
-	return l.passGates(gates, func(g *limitGate) bool { return g.Applies(class, tenant) }, again, 1, ends)
+	return l.passGates(gates, func(g *limitGate) bool { return g.Applies(class, tenant) }, isRetry, 1, deadline)
 }
 
-// claim admits an attempt at an execute node under all limits that it counts for, or under none. Of the limit of a node that is
-// warming up, the fraction warm may be used. Nodes that are not listed have no limits of their own. See Fleet.Claim.
-func (l *limits) claim(node, class, tenant string, again bool, warm float64, ends time.Time) (done func(), ok bool) {
+// admitAttempt admits an attempt at an execute node if all limits that apply to it do; a rejected attempt counts for none of them.
+// Of the limit of a node that is warming up, only warmFraction may be used. Nodes that are not listed have no limits of their own.
+// See Fleet.AdmitAttempt.
+func (l *limits) admitAttempt(node, class, tenant string, isRetry bool, warmFraction float64, deadline time.Time) (done func(), ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.attemptGates)+len(l.nodeGates) == 0 {
 		return nil, true
 	}
 	applies := func(g *limitGate) bool { return g.Applies(class, tenant) }
-	done, _, ok = l.passGates(append(l.attemptGates[:len(l.attemptGates):len(l.attemptGates)], l.nodeGates[node]...), applies, again, warm, ends)
+	done, _, ok = l.passGates(append(l.attemptGates[:len(l.attemptGates):len(l.attemptGates)], l.nodeGates[node]...), applies, isRetry, warmFraction, deadline)
 	return done, ok
 }
 
-// passGates passes those of some gates that apply, or none of them. l.mu is held.
-func (l *limits) passGates(gates []*limitGate, applies func(*limitGate) bool, again bool, warm float64, ends time.Time) (done func(), after time.Duration, ok bool) {
+// passGates passes all of the given gates that apply, or none of them. The caller holds l.mu.
+func (l *limits) passGates(gates []*limitGate, applies func(*limitGate) bool, isRetry bool, warmFraction float64, deadline time.Time) (done func(), retryAfter time.Duration, ok bool) {
 	now := time.Since(l.origin)
 	type passedGate struct {
 		g    *limitGate
@@ -43,21 +44,21 @@
 		if !applies(g) {
 			continue
 		}
-		slot, after, ok := quota.NoSlot, time.Duration(0), false
+		slot, retryAfter, ok := quota.NoSlot, time.Duration(0), false
 		switch {
-		case g.DividesAllowances: // beyond its allowance a tenant's request has a lower value, and is not rejected
+		case g.DividesAllowances: // a request beyond its tenant's allowance is not rejected, but gets a lower value
 			g.gate.Take(now, now)
 			continue
 		case g.Leased():
-			slot, after, ok = g.gate.TakeReduced(now, ends.Sub(l.origin), g.Reduced(warm))
+			slot, retryAfter, ok = g.gate.TakeReduced(now, deadline.Sub(l.origin), g.Reduced(warmFraction))
 		default:
-			after, ok = g.gate.AdmitByRetryBudget(again, g.Limit().Total)
+			retryAfter, ok = g.gate.AdmitByRetryBudget(isRetry, g.Limit().Total)
 		}
 		if !ok {
 			for _, p := range passed {
 				p.g.gate.Undo(p.slot)
 			}
-			return nil, after, false
+			return nil, retryAfter, false
 		}
 		passed = append(passed, passedGate{g, slot})
 	}
@@ -73,33 +74,34 @@
 	}, 0, true
 }
 
-// counts returns how many requests and attempts the limits have admitted and rejected. One that counts for several limits is
-// counted by each.
-func (l *limits) counts() (let, refused int64) {
+// counts returns how many requests and attempts the limits have admitted and rejected. A request or attempt to which several limits
+// apply is counted once for each of them.
+func (l *limits) counts() (admitted, rejected int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, g := range l.gates {
-		let, refused = let+g.gate.Admitted, refused+g.gate.Rejected
+		admitted, rejected = admitted+g.gate.Admitted, rejected+g.gate.Rejected
 	}
-	return let, refused
+	return admitted, rejected
 }
 
-// unlimitedLease is an expiry from which on a share is no lease.
+// unlimitedLease is the least expiry that stands for a share without a lease.
 const unlimitedLease = time.Duration(1 << 62)
 
-// lines returns a line for each limit: its name, this member's share, until when, the fallback after that, and the counts.
-func (l *limits) lines() (lines []string) {
+// statusLines returns a line for each limit: its name, this member's share, the time left of its lease, the fallback that applies
+// after the lease, and the counts.
+func (l *limits) statusLines() (lines []string) {
 	now := time.Since(l.origin)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, g := range l.gates {
-		lines = append(lines, g.line(now))
+		lines = append(lines, g.statusLine(now))
 	}
 	return lines
 }
 
-// line is the line of a limit.
-func (g *limitGate) line(now time.Duration) string {
+// statusLine returns the line of one limit. See statusLines.
+func (g *limitGate) statusLine(now time.Duration) string {
 	limit := g.Limit()
 	if !g.Leased() {
 		kind := "again_pct"
--- a/internal/sidecar/store/bolt/golden_test.go
+++ b/internal/sidecar/store/bolt/golden_test.go
@@ -15,11 +15,11 @@
 	"fieldrelay/internal/sidecar/store/bolt"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 const goldenOwner = "fleet/member"
 
-// goldenValues are what is left in the golden file. Its keys are those of a voter.
+// goldenValues are the values of the golden file. Its keys are those of a voter's store.
 var goldenValues = map[string]string{
 	"voter":                  "\x00\x00\x00\x00\x00\x00\x00\x07",
 	"era":                    "\x00\x00\x00\x00\x00\x00\x00\x02",
@@ -33,7 +33,7 @@
 	t.Helper()
 	opened, found, err := bolt.Open(options(path, goldenOwner), nil)
 	require.NoError(t, err)
-	require.True(t, found.Blank)
+	require.True(t, found.Empty)
 	var first, second store.Batch
 	for _, key := range []string{"entry/0000000000000001", "entry/0000000000000009", "entry/000000000000000b", "gone"} {
 		first.Put(key, []byte("early"))
@@ -48,11 +48,11 @@
 	require.NoError(t, opened.Close())
 }
 
-// Guards a voter's state over an upgrade: a file of an earlier program opens for its owner with all values, takes
-// more, and is refused to another owner. (Its bytes are not compared: they are bbolt's.) With -update it is written
-// anew.
+// Guards a voter's state over an upgrade of the program: a file of an earlier program opens for its owner with all values, accepts
+// another batch, and is refused to another owner. The bytes of the file are not compared, since bbolt determines them. With -update
+// the file is rewritten.
 func TestGoldenFileIsReadBack(t *testing.T) {
-	packed := filepath.Join("testdata", "golden.db.gz")
+	golden := filepath.Join("testdata", "golden.db.gz")
 	if *update {
 		path := filepath.Join(t.TempDir(), "voter.db")
 		writeGolden(t, path)
@@ -63,9 +63,9 @@
 		_, err = packer.Write(content)
 		require.NoError(t, err)
 		require.NoError(t, packer.Close())
-		require.NoError(t, os.WriteFile(packed, buffer.Bytes(), 0o600))
+		require.NoError(t, os.WriteFile(golden, buffer.Bytes(), 0o600))
 	}
-	file, err := os.Open(packed)
+	file, err := os.Open(golden)
 	require.NoError(t, err)
 	unpacked, err := gzip.NewReader(file)
 	require.NoError(t, err)
@@ -79,22 +79,22 @@
 	require.ErrorIs(t, err, store.ErrOwner)
 	opened, found, err := bolt.Open(options(path, goldenOwner), nil)
 	require.NoError(t, err)
-	require.False(t, found.Blank)
-	require.Empty(t, found.Why)
-	held := make(map[string]string)
+	require.False(t, found.Empty)
+	require.Empty(t, found.Warning)
+	values := make(map[string]string)
 	require.NoError(t, opened.Each("", func(key string, value []byte) error {
-		held[key] = string(value)
+		values[key] = string(value)
 		return nil
 	}))
-	require.Equal(t, goldenValues, held)
+	require.Equal(t, goldenValues, values)
 	var more store.Batch
 	more.Put("entry/000000000000000c", []byte("twelve"))
 	require.NoError(t, opened.Commit(&more))
 	require.NoError(t, opened.Close())
 	opened, _, err = bolt.Open(options(path, goldenOwner), nil)
 	require.NoError(t, err)
-	value, found2 := opened.Get("entry/000000000000000c")
-	require.True(t, found2)
+	value, ok := opened.Get("entry/000000000000000c")
+	require.True(t, ok)
 	require.Equal(t, "twelve", string(value))
 	require.NoError(t, opened.Close())
 }
--- a/internal/sidecar/store/memory.go
+++ b/internal/sidecar/store/memory.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// Memory is a store that ends with the process; what it holds can be handed to the next one. It is for tests and for
-// sidecars that keep nothing.
+// Memory is a store in memory. Its values are lost when the process ends, unless they are handed to the next process. It is for tests
+// and for sidecars that store nothing; a File reads from a Memory, too.
 type Memory struct {
-	values map[string][]byte
-	most   int
+	values   map[string][]byte
+	maxBytes int
 }
 
-// NewMemory makes a store of up to most bytes of keys and values.
-func NewMemory(most int) *Memory { return &Memory{values: map[string][]byte{}, most: most} }
+// NewMemory creates a store of up to maxBytes bytes of keys and values.
+func NewMemory(maxBytes int) *Memory { return &Memory{values: map[string][]byte{}, maxBytes: maxBytes} }
 
-// Get gives a value.
+// Get returns a copy of the value of a key.
 func (m *Memory) Get(key string) ([]byte, bool) {
 	v, ok := m.values[key]
 	return append([]byte{}, v...), ok
 }
 
-// Each goes through the keys with a prefix.
+// Each calls do for each key with a prefix, in the order of the keys.
 func (m *Memory) Each(prefix string, do func(key string, value []byte) error) error {
 	for _, k := range slices.Sorted(maps.Keys(m.values)) {
 		if strings.HasPrefix(k, prefix) {
@@ -34,17 +34,17 @@
 	return nil
 }
 
-// Commit does a batch.
+// Commit applies a batch as a whole, or returns ErrFull.
 func (m *Memory) Commit(b *Batch) error {
-	next, err := m.with(b)
+	next, err := m.valuesAfter(b)
 	if err == nil {
 		m.values = next
 	}
 	return err
 }
 
-// with is what the values are after a batch.
-func (m *Memory) with(b *Batch) (map[string][]byte, error) {
+// valuesAfter returns the values that a batch would leave, without changing the store.
+func (m *Memory) valuesAfter(b *Batch) (map[string][]byte, error) {
 	ops, err := b.Ops()
 	if err != nil {
 		return nil, err
@@ -64,11 +64,11 @@
 	for k, v := range next {
 		size += len(k) + len(v)
 	}
-	if size > m.most {
+	if size > m.maxBytes {
 		return nil, ErrFull
 	}
 	return next, nil
 }
 
-// Close does nothing.
+// Close does nothing: the values stay readable.
 func (m *Memory) Close() error { return nil }
--- a/internal/sidecar/versionskew/check_test.go
+++ b/internal/sidecar/versionskew/check_test.go
@@ -17,26 +17,26 @@
 
 const pace = time.Second
 
-// three is three members of a view, whose messages stay on their links until they are delivered or dropped. What the leader
-// proposes is decided at once and reaches the others when the exploration says so.
-type three struct {
-	machines [3]*Machine
-	boots    [3]uint64
-	leader   int
-	now      time.Duration
-	decided  view.View
-	adopted  [3]view.View
-	links    map[[2]int][]Message
-	agreedAt map[uint64]time.Duration
-	digests  map[uint64]string
-	odd      func(*rules.Compiled, rules.Case) string // how the third decides cases; nil: as the others
-	restarts int
-	mutate   Mutation
-	broken   error
-	pushed   map[string]bool
+// threeMembers simulates three members of a view, whose messages stay on their links until they are delivered or dropped. An edition
+// that the leader proposes is decided at once; each member adopts the new view in an event of its own.
+type threeMembers struct {
+	machines        [3]*Machine
+	boots           [3]uint64
+	leader          int
+	now             time.Duration
+	decided         view.View
+	adopted         [3]view.View
+	links           map[[2]int][]Message
+	agreedAt        map[uint64]time.Duration
+	digests         map[uint64]string
+	divergentDecide func(*rules.Compiled, rules.Case) string // decisions of the third member; nil: as those of the others
+	restarts        int
+	mutate          Mutation
+	violation       error
+	pushed          map[string]bool
 }
 
-func numbered(salt int) rules.Edition {
+func testEdition(salt int) rules.Edition {
 	e, faults := rules.Parse(fmt.Appendf(nil, "version = 1\n[sampling]\nformat = \"2\"\nsalt = %d\nrate = 0.5\nkeep_failed = true\n# end\n", salt))
 	if len(faults) > 0 {
 		panic(faults)
@@ -44,7 +44,7 @@
 	return e
 }
 
-func (w *three) start(i int, odd bool) {
+func (w *threeMembers) start(i int, divergent bool) {
 	w.boots[i] += 10
 	cfg := Config{Name: name(i), Boot: w.boots[i], Pace: pace, Bound: 20 * pace, Seed: uint64(i), Reads: rules.Supported(), ReplyTimeout: 1000 * pace, Mutate: w.mutate,
 		View: func() (view.View, bool) { return w.adopted[i], true }, HoldsLease: func() bool { return w.adopted[i].ID == w.decided.ID },
@@ -55,16 +55,16 @@
 			}
 			return all
 		}}
-	if odd {
-		cfg.Decide = w.odd
+	if divergent {
+		cfg.Decide = w.divergentDecide
 	}
 	w.machines[i] = New(cfg, w.now)
 }
 
 func name(i int) string { return string(rune('a' + i)) }
 
-func newThree(odd func(*rules.Compiled, rules.Case) string, mutate Mutation) *three {
-	w := &three{links: map[[2]int][]Message{}, agreedAt: map[uint64]time.Duration{}, digests: map[uint64]string{}, odd: odd, mutate: mutate, pushed: map[string]bool{}}
+func newThreeMembers(divergentDecide func(*rules.Compiled, rules.Case) string, mutate Mutation) *threeMembers {
+	w := &threeMembers{links: map[[2]int][]Message{}, agreedAt: map[uint64]time.Duration{}, digests: map[uint64]string{}, divergentDecide: divergentDecide, mutate: mutate, pushed: map[string]bool{}}
 	w.decided = view.View{ID: view.ID{Era: 1, Number: 1}}
 	for i := range 3 {
 		w.decided.Members = append(w.decided.Members, view.Member{Name: name(i)})
@@ -72,13 +72,13 @@
 	}
 	for i := range 3 {
 		w.adopted[i] = w.decided
-		w.start(i, i == 2 && odd != nil)
+		w.start(i, i == 2 && divergentDecide != nil)
 	}
-	w.step(1, Push{Edition: numbered(1)})
+	w.step(1, Push{Edition: testEdition(1)})
 	return w
 }
 
-func (w *three) step(i int, e Event) {
+func (w *threeMembers) step(i int, e Event) {
 	for _, a := range w.machines[i].Step(w.now, e) {
 		switch a := a.(type) {
 		case Send:
@@ -92,41 +92,41 @@
 		case Enforce:
 			d := editionDigest(a.Compiled.Edition)
 			if was := w.digests[a.Compiled.Edition.Number]; was != d {
-				w.broken = fmt.Errorf("%s goes by edition %d as %.6s, agreed was %.6s", name(i), a.Compiled.Edition.Number, d, was)
+				w.violation = fmt.Errorf("%s has edition %d with digest %.6s in force, agreed was %.6s", name(i), a.Compiled.Edition.Number, d, was)
 			}
 		}
 	}
 }
 
-func (w *three) propose(r view.Rules) {
+func (w *threeMembers) propose(r view.Rules) {
 	if r.Number <= w.decided.Rules.Number {
 		return
 	}
-	if w.odd != nil {
-		w.broken = errors.New("agreed though one reads it otherwise")
+	if w.divergentDecide != nil {
+		w.violation = errors.New("edition agreed although one member decides its cases differently")
 	}
 	if at, ok := w.agreedAt[r.Number-1]; ok && w.now-at < 20*pace {
-		w.broken = fmt.Errorf("edition %d agreed %v after the one before", r.Number, w.now-at)
+		w.violation = fmt.Errorf("edition %d agreed %v after the previous one, expected at least 20 paces", r.Number, w.now-at)
 	}
 	w.decided.ID.Number++
 	w.decided.Rules = r
 	w.agreedAt[r.Number], w.digests[r.Number] = w.now, r.Digest
 }
 
-func (w *three) put(from, to int, m Message) {
+func (w *threeMembers) put(from, to int, m Message) {
 	if id := [2]int{from, to}; to >= 0 && from != to && len(w.links[id]) < 4 {
 		w.links[id] = append(w.links[id], m)
 	}
 }
 
-func (w *three) Events() (names []string) {
-	w.each(func(name string, _ func()) { names = append(names, name) })
+func (w *threeMembers) Events() (names []string) {
+	w.forEachEvent(func(name string, _ func()) { names = append(names, name) })
 	return names
 }
 
-func (w *three) Do(event int) {
+func (w *threeMembers) Do(event int) {
 	n := 0
-	w.each(func(_ string, do func()) {
+	w.forEachEvent(func(_ string, do func()) {
 		if n == event {
 			do()
 		}
@@ -134,8 +134,9 @@
 	})
 }
 
-// each goes through what can happen now. do is called for at most one of them.
-func (w *three) each(see func(string, func())) {
+// forEachEvent calls visit for each event that can happen now, with its name and the function that makes it happen. visit calls at
+// most one of these functions.
+func (w *threeMembers) forEachEvent(visit func(string, func())) {
 	type event struct {
 		name string
 		do   func()
@@ -167,17 +168,17 @@
 		add("b leads", func() { w.leader = 1 })
 	}
 	if w.restarts == 0 {
-		add("c anew", func() { w.restarts++; w.start(2, w.odd != nil) })
+		add("c anew", func() { w.restarts++; w.start(2, w.divergentDecide != nil) })
 	}
 	if !w.pushed["c"] {
-		add("c pushes", func() { w.pushed["c"] = true; w.step(2, Push{Edition: numbered(2)}) })
+		add("c pushes", func() { w.pushed["c"] = true; w.step(2, Push{Edition: testEdition(2)}) })
 	}
 	for _, e := range all {
-		see(e.name, e.do)
+		visit(e.name, e.do)
 	}
 }
 
-func (w *three) Hash() uint64 {
+func (w *threeMembers) Hash() uint64 {
 	h := xxhash.New()
 	_, _ = fmt.Fprint(h, w.leader, w.boots, w.decided.ID, w.decided.Rules, w.restarts, w.pushed, w.now)
 	for i, m := range w.machines {
@@ -194,36 +195,37 @@
 	return h.Sum64()
 }
 
-func (w *three) Check() error { return w.broken }
+func (w *threeMembers) Check() error { return w.violation }
 
-// Every order of up to six events of three members, one of which may read the rules otherwise, be started anew, or push
-// another edition, while the leader changes: an edition is agreed only once all are compatible, and in force as it was agreed.
+// In every order of up to six events of three members, an edition is agreed only once all members are compatible, and comes into
+// force with the digest that was agreed. One member may decide cases differently, restart, or push another edition, and the leader
+// may change. Injected faults must be detected.
 func TestEveryOrder(t *testing.T) {
-	for name, odd := range map[string]func(*rules.Compiled, rules.Case) string{"all alike": nil,
-		"one reads otherwise": func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }} {
-		r, err := explore.All(func() explore.System { return newThree(odd, NoMutation) }, 6, 400_000)
+	for name, divergentDecide := range map[string]func(*rules.Compiled, rules.Case) string{"all alike": nil,
+		"one decides differently": func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }} {
+		r, err := explore.All(func() explore.System { return newThreeMembers(divergentDecide, NoMutation) }, 6, 400_000)
 		if err != nil || !r.Full {
 			t.Errorf("%s: %v, %+v", name, err, r)
 		}
 		t.Logf("%s: %d states, %d orders", name, r.States, r.Paths)
 	}
 	for name, c := range map[string]struct {
-		odd    func(*rules.Compiled, rules.Case) string
-		mutate Mutation
+		divergentDecide func(*rules.Compiled, rules.Case) string
+		mutate          Mutation
 	}{
 		"claims believed":    {func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }, TrustsClaims},
 		"silence understood": {func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }, SkipsSilent},
 	} {
-		if _, err := explore.All(func() explore.System { return newThree(c.odd, c.mutate) }, 7, 200_000); err == nil {
-			t.Errorf("%s: not noticed", name)
+		if _, err := explore.All(func() explore.System { return newThreeMembers(c.divergentDecide, c.mutate) }, 7, 200_000); err == nil {
+			t.Errorf("%s: the fault was not detected", name)
 		} else {
 			t.Logf("%s: %v", name, err)
 		}
 	}
 }
 
-// do lets events of some names happen, if they can.
-func (w *three) do(names ...string) {
+// doEvents makes the events of some names happen, in this order; it skips an event that cannot happen.
+func (w *threeMembers) doEvents(names ...string) {
 	for _, name := range names {
 		for i, n := range w.Events() {
 			if n == name {
@@ -234,30 +236,31 @@
 	}
 }
 
-// A reply of an earlier process does not count for the one that was started after it, which may be of another version.
+// A reply of an earlier process does not count for the process that was started after it under the same name, which may be of
+// another version.
 func TestAnswerOfAnEarlierProcess(t *testing.T) {
 	for name, mutate := range map[string]Mutation{"as it is": NoMutation, "any answer of the name": AnyBoot} {
-		w := newThree(nil, mutate)
-		w.do("b>a", "a>c", "c>a") // pushed, offered, read by the third
-		w.odd = func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }
+		w := newThreeMembers(nil, mutate)
+		w.doEvents("b>a", "a>c", "c>a") // the edition is pushed by b, offered by a, and tried by c
+		w.divergentDecide = func(c *rules.Compiled, q rules.Case) string { q.Failed = false; return c.Decide(q) }
 		w.start(2, true)
 		w.links[[2]int{2, 0}] = nil
 		for range 6 {
-			w.do("a>b", "b>a", "three paces")
+			w.doEvents("a>b", "b>a", "three paces")
 		}
-		if noticed := w.broken != nil; noticed != (mutate == AnyBoot) {
-			t.Errorf("%s: %v", name, w.broken)
+		if violated := w.violation != nil; violated != (mutate == AnyBoot) {
+			t.Errorf("%s: %v", name, w.violation)
 		}
 	}
 }
 
-// An outdated view without a lease takes no member back to an earlier edition.
-func TestEarlierViewTakesNobodyBack(t *testing.T) {
+// An outdated view without a lease does not put an earlier edition back in force.
+func TestOutdatedViewKeepsNewerEdition(t *testing.T) {
 	for name, mutate := range map[string]Mutation{"as it is": NoMutation, "back": OverwritesNew} {
-		w := newThree(nil, mutate)
+		w := newThreeMembers(nil, mutate)
 		first := w.adopted[2]
 		for n := uint64(1); n <= 2; n++ {
-			e := numbered(int(n))
+			e := testEdition(int(n))
 			e.Number = n
 			w.machines[2].load(e)
 			w.digests[n] = editionDigest(e)
@@ -272,7 +275,7 @@
 		w.adopted[2] = first
 		w.step(2, Tick{})
 		if got := w.machines[2].Edition().Edition.Number; (got == 1) != (mutate == OverwritesNew) || (w.machines[2].Behind() == "") != (mutate == OverwritesNew) {
-			t.Errorf("%s: goes by edition %d, behind %q", name, got, w.machines[2].Behind())
+			t.Errorf("%s: edition %d in force, behind %q", name, got, w.machines[2].Behind())
 		}
 	}
 }
