--- a/internal/region/migration/plan/capacity.go
+++ b/internal/region/migration/plan/capacity.go
@@ -28,12 +28,12 @@
 // group alone.
 func (s *searcher) computeShortage(view *groupView, period int, done, batch counts) *capacity.Shortage {
 	loads := s.input.Demand.Periods[period].Loads
-	if view.untouchedBy(batch) {
+	if view.unaffectedBy(batch) {
 		return s.input.Headroom.Check(view.group, s.servingNodes(view, done, batch, beforeStage), loads)
 	}
-	whole := s.servingNodes(view, done, batch, beforeStage)
+	before := s.servingNodes(view, done, batch, beforeStage)
 	for _, at := range []phase{inPlaceRemoved, surgeTakenOver, afterStage} {
-		grown := capacity.AddLostCachePrefill(loads, whole, s.departedNodes(view, done, batch, at))
+		grown := capacity.AddLostCachePrefill(loads, before, s.departedNodes(view, done, batch, at))
 		if found := s.input.Headroom.Check(view.group, s.servingNodes(view, done, batch, at), grown); found != nil {
 			return found
 		}
@@ -46,7 +46,7 @@
 	var worst *capacity.Shortage
 	for _, period := range s.input.Demand.PeriodsDuring(begin, end) {
 		for group := range s.groups {
-			if s.groups[group].untouchedBy(batch) {
+			if s.groups[group].unaffectedBy(batch) {
 				continue
 			}
 			found := s.shortageOf(group, period, done, batch)
@@ -61,20 +61,20 @@
 // roundingTolerance is the difference of two shortages that may come from rounding alone.
 const roundingTolerance = 1e-6
 
-// checkRest is computeRest with a cache.
-func (s *searcher) checkRest(done counts) *violation {
+// checkIntermediateState is computeRest with a cache.
+func (s *searcher) checkIntermediateState(done counts) *violation {
 	key := string(done)
-	found, known := s.restCache[key]
+	found, known := s.intermediateStateCache[key]
 	if !known {
-		found = s.computeRest(done)
-		s.restCache[key] = found
+		found = s.computeIntermediateState(done)
+		s.intermediateStateCache[key] = found
 	}
 	return found
 }
 
-// computeRest checks that a state between stages serves every period as well as the present fleet does: an operator may
+// computeIntermediateState checks that a state between stages serves every period as well as the present fleet does: an operator may
 // pause the run there for long.
-func (s *searcher) computeRest(done counts) *violation {
+func (s *searcher) computeIntermediateState(done counts) *violation {
 	none := make(counts, len(done))
 	for group := range s.groups {
 		for period := range s.input.Demand.Periods {
@@ -82,8 +82,8 @@
 			if found == nil {
 				continue
 			}
-			today := s.shortageOf(group, period, none, none)
-			if today == nil || found.Fraction > today.Fraction+roundingTolerance {
+			initial := s.shortageOf(group, period, none, none)
+			if initial == nil || found.Fraction > initial.Fraction+roundingTolerance {
 				return &violation{constraint: ConstraintCapacity, shortage: found}
 			}
 		}
--- a/internal/region/migration/plan/constraints.go
+++ b/internal/region/migration/plan/constraints.go
@@ -20,7 +20,7 @@
 		return found
 	}
 	for index := range s.groups {
-		if s.takesLastServer(index, done, batch) {
+		if s.removesLastServer(index, done, batch) {
 			return &violation{constraint: ConstraintLastServer, missing: 1}
 		}
 	}
--- a/internal/region/migration/plan/errors.go
+++ b/internal/region/migration/plan/errors.go
@@ -45,7 +45,7 @@
 }
 
 // String returns what an operator reads if the constraint is violated.
-func (o Constraint) String() string { return constraintNames[o] }
+func (c Constraint) String() string { return constraintNames[c] }
 
 // Spare is additional capacity that would make a plan feasible.
 type Spare struct {
--- a/internal/region/migration/plan/fixture_test.go
+++ b/internal/region/migration/plan/fixture_test.go
@@ -36,28 +36,28 @@
 		kind    capacity.Kind
 		service string
 	}{{capacity.Server, "lm"}, {capacity.Server, "lm"}, {capacity.Server, "plain"}, {capacity.Edge, ""}, {capacity.Core, ""}}
-	left := rapid.IntRange(2, 4).Draw(t, "replacements")
+	remaining := rapid.IntRange(2, 4).Draw(t, "replacements")
 	for number := range rapid.IntRange(6, 12).Draw(t, "nodes") {
-		of := rapid.SampledFrom(kinds).Draw(t, "kind")
+		group := rapid.SampledFrom(kinds).Draw(t, "kind")
 		zone := zones.Draw(t, "zone")
 		slots := float64(rapid.IntRange(5, 7).Draw(t, "slots"))
-		old := node(of.kind, of.service, fmt.Sprintf("old-%d", number), zone, slots)
-		if of.kind == capacity.Core {
+		old := node(group.kind, group.service, fmt.Sprintf("old-%d", number), zone, slots)
+		if group.kind == capacity.Core {
 			input.Core.Voters = append(input.Core.Voters, Voter{ID: old.ID, Zone: zone})
 		}
 		input.Nodes = append(input.Nodes, old)
-		if left == 0 || number > 0 && rapid.IntRange(0, 3).Draw(t, "kept") == 0 {
+		if remaining == 0 || number > 0 && rapid.IntRange(0, 3).Draw(t, "kept") == 0 {
 			continue
 		}
-		left--
-		beside := of.kind == capacity.Core || rapid.IntRange(0, 2).Draw(t, "beside") > 0
+		remaining--
+		surge := group.kind == capacity.Core || rapid.IntRange(0, 2).Draw(t, "beside") > 0
 		newZone := zone
-		if beside && rapid.IntRange(0, 4).Draw(t, "moves") == 0 {
+		if surge && rapid.IntRange(0, 4).Draw(t, "moves") == 0 {
 			newZone = zones.Draw(t, "new zone")
 		}
-		grown := slots + float64(rapid.IntRange(0, 3).Draw(t, "grown")/2) - float64(rapid.IntRange(0, 9).Draw(t, "weaker")/9)
+		newSlots := slots + float64(rapid.IntRange(0, 3).Draw(t, "grown")/2) - float64(rapid.IntRange(0, 9).Draw(t, "weaker")/9)
 		input.Replacements = append(input.Replacements, Replacement{
-			Old: old, New: node(of.kind, of.service, fmt.Sprintf("new-%d", number), newZone, grown), Surge: beside,
+			Old: old, New: node(group.kind, group.service, fmt.Sprintf("new-%d", number), newZone, newSlots), Surge: surge,
 			Times: Times{Warm: time.Duration(rapid.IntRange(1, 3).Draw(t, "warm")) * 10 * time.Second, Drain: 5 * time.Second},
 		})
 	}
@@ -82,11 +82,11 @@
 		for _, group := range []capacity.Group{{Kind: capacity.Server, Service: "lm"}, {Kind: capacity.Server, Service: "plain"}, {Kind: capacity.Edge}} {
 			for _, region := range []string{"west", "east"} {
 				slots := float64(rapid.IntRange(0, 4).Draw(t, label))
-				one := capacity.Load{Region: region, Group: group, Required: capacity.Amount{capacity.Slots: slots, capacity.Prefill: 5 * slots}, CachedPrefill: 3 * slots}
+				load := capacity.Load{Region: region, Group: group, Required: capacity.Amount{capacity.Slots: slots, capacity.Prefill: 5 * slots}, CachedPrefill: 3 * slots}
 				if rapid.IntRange(0, 3).Draw(t, "pinned") == 0 {
-					one.HomeRegions = []string{region}
+					load.HomeRegions = []string{region}
 				}
-				all = append(all, one)
+				all = append(all, load)
 			}
 		}
 		return all
@@ -101,7 +101,7 @@
 }
 
 // smallSite is a site of 11 model servers in 3 zones, with a core machine in each zone.
-func smallSite(beside bool) Input {
+func smallSite(surge bool) Input {
 	input := Input{
 		Headroom: capacity.Headroom{Margin: 0.2, Hosts: 1},
 		Core:     Core{Hosts: 1, Zones: 1},
@@ -111,7 +111,7 @@
 		old := node(capacity.Server, "lm", fmt.Sprintf("old-%02d", index), zone, 64)
 		input.Nodes = append(input.Nodes, old)
 		input.Replacements = append(input.Replacements, Replacement{
-			Old: old, New: node(capacity.Server, "lm", fmt.Sprintf("new-%02d", index), zone, 64), Surge: beside,
+			Old: old, New: node(capacity.Server, "lm", fmt.Sprintf("new-%02d", index), zone, 64), Surge: surge,
 			Times: Times{Start: 10 * time.Second, Warm: 3 * time.Second, Drain: 15 * time.Second, Linger: time.Second, Stop: 5 * time.Second},
 		})
 	}
--- a/internal/region/migration/plan/fleet.go
+++ b/internal/region/migration/plan/fleet.go
@@ -13,8 +13,8 @@
 	classes []int           // of its replacements, by index among all classes
 }
 
-// untouchedBy reports whether a stage replaces no node of the group.
-func (g *groupView) untouchedBy(batch counts) bool {
+// unaffectedBy reports whether a stage replaces no node of the group.
+func (g *groupView) unaffectedBy(batch counts) bool {
 	for _, index := range g.classes {
 		if batch[index] > 0 {
 			return false
--- a/internal/region/migration/plan/greedy.go
+++ b/internal/region/migration/plan/greedy.go
@@ -56,8 +56,8 @@
 	if current.done.total() > g.farthest.done.total() {
 		g.farthest = current
 	}
-	for _, alone := range g.singleStages(current) {
-		for _, next := range []*step{g.enlarge(current, alone), alone} {
+	for _, singleStage := range g.singleStages(current) {
+		for _, next := range []*step{g.enlarge(current, singleStage), singleStage} {
 			g.steps++
 			if g.steps > maxGreedySteps {
 				return nil
@@ -84,8 +84,8 @@
 		}
 		single := make(counts, len(g.goal))
 		single[index] = 1
-		if alone, _ := g.extend(from, single); alone != nil {
-			found = append(found, alone)
+		if stage, _ := g.extend(from, single); stage != nil {
+			found = append(found, stage)
 		}
 	}
 	slices.SortStableFunc(found, func(a, b *step) int {
--- a/internal/region/migration/plan/greedy_test.go
+++ b/internal/region/migration/plan/greedy_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestGreedyOrdersAreSafe(t *testing.T) {
-	stuck, equal, made := 0, 0, 0
+	missed, equal, made := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		input := drawInput(t)
 		if checkInput(&input) != nil {
@@ -19,7 +19,7 @@
 		best, possible := referenceEnd(&input)
 		if !complete {
 			if possible {
-				stuck++
+				missed++
 			}
 			return
 		}
@@ -31,6 +31,6 @@
 		require.GreaterOrEqual(t, last.end, best)
 		requireSafe(t, &input, s.planOf(last))
 	})
-	t.Logf("greedy: of %d made %d are shortest, %d stuck where there is an order", made, equal, stuck)
-	require.Less(t, 10*stuck, made+1)
+	t.Logf("greedy: of %d made %d are shortest, %d stuck where there is an order", made, equal, missed)
+	require.Less(t, 10*missed, made+1)
 }
--- a/internal/region/migration/plan/infeasible_test.go
+++ b/internal/region/migration/plan/infeasible_test.go
@@ -111,14 +111,14 @@
 			},
 		},
 	}
-	for name, one := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
 			input := smallSite(true)
-			one.change(&input)
+			testCase.change(&input)
 			_, err := Make(input)
 			var infeasible *InfeasibleError
 			require.True(t, errors.As(err, &infeasible), "%v", err)
-			one.check(t, infeasible)
+			testCase.check(t, infeasible)
 			t.Log(infeasible)
 		})
 	}
--- a/internal/region/migration/plan/input_test.go
+++ b/internal/region/migration/plan/input_test.go
@@ -26,13 +26,13 @@
 			input := smallSite(true)
 			change(&input)
 			_, err := Make(input)
-			var contradiction *InputError
+			var inputError *InputError
 			if reason == "no contradiction, but no place" {
-				require.False(t, errors.As(err, &contradiction))
+				require.False(t, errors.As(err, &inputError))
 				return
 			}
-			require.True(t, errors.As(err, &contradiction), "%v", err)
-			require.Contains(t, contradiction.Error(), reason)
+			require.True(t, errors.As(err, &inputError), "%v", err)
+			require.Contains(t, inputError.Error(), reason)
 		})
 	}
 }
--- a/internal/region/migration/plan/large_test.go
+++ b/internal/region/migration/plan/large_test.go
@@ -14,7 +14,7 @@
 func TestLargeDeployment(t *testing.T) {
 	input := Input{Headroom: capacity.Headroom{Margin: 0.2, Hosts: 1, Zones: 1}, Core: Core{Hosts: 1, Zones: 1}}
 	lm := capacity.Group{Kind: capacity.Server, Service: "lm"}
-	add := func(kind capacity.Kind, service string, number int, slots float64, beside bool) {
+	add := func(kind capacity.Kind, service string, number int, slots float64, surge bool) {
 		zone := fmt.Sprintf("zone-%d", number%9)
 		old := capacity.Node{
 			ID: fmt.Sprintf("%s-%d", kind, number), Kind: kind, Service: service, Zone: zone, Region: fmt.Sprintf("region-%d", number%9/3),
@@ -23,7 +23,7 @@
 		next := old
 		next.ID += "-new"
 		input.Nodes = append(input.Nodes, old)
-		input.Replacements = append(input.Replacements, Replacement{Old: old, New: next, Surge: beside, Times: Times{
+		input.Replacements = append(input.Replacements, Replacement{Old: old, New: next, Surge: surge, Times: Times{
 			Start: time.Minute, Warm: time.Duration(number%4) * 10 * time.Second, Drain: 15 * time.Second, Stop: 5 * time.Second,
 		}})
 		if kind == capacity.Core {
--- a/internal/region/migration/plan/lastserver.go
+++ b/internal/region/migration/plan/lastserver.go
@@ -10,20 +10,20 @@
 	done, batch string
 }
 
-// takesLastServer reports whether a zone would have no node of a group during a stage, although it has one before the
+// removesLastServer reports whether a zone would have no node of a group during a stage, although it has one before the
 // stage and is to have one when all replacements are made.
-func (s *searcher) takesLastServer(group int, done, batch counts) bool {
+func (s *searcher) removesLastServer(group int, done, batch counts) bool {
 	view := &s.groups[group]
-	if view.untouchedBy(batch) {
+	if view.unaffectedBy(batch) {
 		return false
 	}
 	key := lastServerKey{group, string(done.project(view.classes)), string(batch.project(view.classes))}
-	takes, known := s.lastServerCache[key]
+	removes, known := s.lastServerCache[key]
 	if !known {
-		takes = s.emptiesZone(view, done, batch)
-		s.lastServerCache[key] = takes
+		removes = s.emptiesZone(view, done, batch)
+		s.lastServerCache[key] = removes
 	}
-	return takes
+	return removes
 }
 
 // emptiesZone computes takesLastServer.
--- a/internal/region/migration/plan/plan_test.go
+++ b/internal/region/migration/plan/plan_test.go
@@ -45,9 +45,9 @@
 	for _, stage := range made.Stages {
 		require.GreaterOrEqual(t, stage.Begin, now)
 		chosen := make([]bool, len(done))
-		for _, one := range stage.Replacements {
+		for _, replacement := range stage.Replacements {
 			for index := range input.Replacements {
-				chosen[index] = chosen[index] || input.Replacements[index].Old.ID == one.Old.ID
+				chosen[index] = chosen[index] || input.Replacements[index].Old.ID == replacement.Old.ID
 			}
 		}
 		end, possible := r.stageEnd(done, chosen, stage.Begin)
@@ -72,8 +72,8 @@
 	}
 	end, possible := (&reference{input: input}).stageEnd(make([]bool, len(all)), all, input.Begin)
 	duration := time.Duration(0)
-	for _, one := range input.Replacements {
-		duration = max(duration, one.Times.Total())
+	for _, replacement := range input.Replacements {
+		duration = max(duration, replacement.Times.Total())
 	}
 	err := Verify(*input, []Stage{{Begin: input.Begin, Replacements: input.Replacements}})
 	require.Equal(t, possible && end == input.Begin+duration, err == nil, "%v", err)
--- a/internal/region/migration/plan/reference_test.go
+++ b/internal/region/migration/plan/reference_test.go
@@ -53,13 +53,13 @@
 func (r *reference) stageEnd(done, stage []bool, now time.Duration) (time.Duration, bool) {
 	nodes := r.stageNodes(done, stage)
 	if !r.withinBatchSize(stage) || !r.votersSurvive(done, stage) || !r.hasSurgeCapacity(done, stage) ||
-		!r.keepsServers(nodes) || !r.mayRestAfter(nodes) {
+		!r.keepsServers(nodes) || !r.mayPauseAfter(nodes) {
 		return 0, false
 	}
 	duration := time.Duration(0)
-	for i, one := range r.input.Replacements {
+	for i, replacement := range r.input.Replacements {
 		if stage[i] {
-			duration = max(duration, one.Times.Total())
+			duration = max(duration, replacement.Times.Total())
 		}
 	}
 	for _, begin := range r.input.Demand.ChangesFrom(now) {
@@ -75,17 +75,17 @@
 
 // stageNodes are the serving nodes before a stage, in its phases and at the end of the plan.
 type stageNodes struct {
-	present, without, swapped, final, end []capacity.Node
+	beforeStage, inPlaceRemoved, surgeTakenOver, afterStage, afterPlan []capacity.Node
 }
 
 func (r *reference) stageNodes(done, stage []bool) *stageNodes {
 	surge := func(i int) bool { return r.input.Replacements[i].Surge }
 	return &stageNodes{
-		present: r.nodesIf(func(i int) (bool, bool) { return !done[i], done[i] }),
-		without: r.nodesIf(func(i int) (bool, bool) { return !done[i] && (!stage[i] || surge(i)), done[i] }),
-		swapped: r.nodesIf(func(i int) (bool, bool) { return !done[i] && !stage[i], done[i] || stage[i] && surge(i) }),
-		final:   r.nodesIf(func(i int) (bool, bool) { return !done[i] && !stage[i], done[i] || stage[i] }),
-		end:     r.nodesIf(func(int) (bool, bool) { return false, true }),
+		beforeStage:    r.nodesIf(func(i int) (bool, bool) { return !done[i], done[i] }),
+		inPlaceRemoved: r.nodesIf(func(i int) (bool, bool) { return !done[i] && (!stage[i] || surge(i)), done[i] }),
+		surgeTakenOver: r.nodesIf(func(i int) (bool, bool) { return !done[i] && !stage[i], done[i] || stage[i] && surge(i) }),
+		afterStage:     r.nodesIf(func(i int) (bool, bool) { return !done[i] && !stage[i], done[i] || stage[i] }),
+		afterPlan:      r.nodesIf(func(int) (bool, bool) { return false, true }),
 	}
 }
 
@@ -93,7 +93,7 @@
 func (r *reference) nodesIf(choose func(index int) (old, next bool)) []capacity.Node {
 	var nodes []capacity.Node
 	for _, node := range r.input.Nodes {
-		replaced := slices.IndexFunc(r.input.Replacements, func(one Replacement) bool { return one.Old.ID == node.ID })
+		replaced := slices.IndexFunc(r.input.Replacements, func(replacement Replacement) bool { return replacement.Old.ID == node.ID })
 		if replaced < 0 {
 			nodes = append(nodes, node)
 			continue
@@ -109,8 +109,8 @@
 	return nodes
 }
 
-// survivors returns how many voters more than a majority remain after the worst failure; below 0 there is no majority.
-func survivors(voters []Voter, core Core) int {
+// majorityMargin returns how many voters more than a majority remain after the worst failure; below 0 there is no majority.
+func majorityMargin(voters []Voter, core Core) int {
 	worst := len(voters) - core.Hosts
 	zones := map[string]int{}
 	for _, voter := range voters {
@@ -126,8 +126,8 @@
 
 func (r *reference) groups() []capacity.Group {
 	var groups []capacity.Group
-	for _, one := range r.input.Replacements {
-		if group := one.Old.Group(); group.Kind != capacity.Core && !slices.Contains(groups, group) {
+	for _, replacement := range r.input.Replacements {
+		if group := replacement.Old.Group(); group.Kind != capacity.Core && !slices.Contains(groups, group) {
 			groups = append(groups, group)
 		}
 	}
@@ -137,19 +137,19 @@
 // hasCapacity checks the headroom of the groups that a stage touches, in each of its phases.
 func (r *reference) hasCapacity(stage []bool, nodes *stageNodes, begin, end time.Duration) bool {
 	for _, period := range r.input.Demand.PeriodsDuring(begin, end) {
-		for number, serving := range [][]capacity.Node{nodes.without, nodes.swapped, nodes.final} {
+		for number, serving := range [][]capacity.Node{nodes.inPlaceRemoved, nodes.surgeTakenOver, nodes.afterStage} {
 			var departed []capacity.Node
 			touched := map[capacity.Group]bool{}
-			for i, one := range r.input.Replacements {
+			for i, replacement := range r.input.Replacements {
 				if !stage[i] {
 					continue
 				}
-				touched[one.Old.Group()] = true
-				if !one.Surge || number > 0 {
-					departed = append(departed, one.Old)
+				touched[replacement.Old.Group()] = true
+				if !replacement.Surge || number > 0 {
+					departed = append(departed, replacement.Old)
 				}
 			}
-			loads := capacity.AddLostCachePrefill(r.input.Demand.Periods[period].Loads, nodes.present, departed)
+			loads := capacity.AddLostCachePrefill(r.input.Demand.Periods[period].Loads, nodes.beforeStage, departed)
 			for group := range touched {
 				if group.Kind != capacity.Core && r.input.Headroom.Check(group, serving, loads) != nil {
 					return false
@@ -164,13 +164,13 @@
 func (r *reference) withinBatchSize(stage []bool) bool {
 	cores := 0
 	perPool := map[pool]int{}
-	for i, one := range r.input.Replacements {
+	for i, replacement := range r.input.Replacements {
 		switch {
 		case !stage[i]:
-		case one.Old.Kind == capacity.Core:
+		case replacement.Old.Kind == capacity.Core:
 			cores++
 		default:
-			perPool[poolOf(&one.Old)]++
+			perPool[poolOf(&replacement.Old)]++
 		}
 	}
 	fraction := r.input.BatchFraction
@@ -194,22 +194,22 @@
 // votersSurvive checks the fault budget of the voters for each core machine of a stage.
 func (r *reference) votersSurvive(done, stage []bool) bool {
 	voters := slices.Clone(r.input.Core.Voters)
-	for i, one := range r.input.Replacements {
-		if done[i] && one.Old.Kind == capacity.Core {
-			voters = ExchangeVoter(voters, one.Old.ID, &Voter{ID: one.New.ID, Zone: one.New.Zone})
+	for i, replacement := range r.input.Replacements {
+		if done[i] && replacement.Old.Kind == capacity.Core {
+			voters = ExchangeVoter(voters, replacement.Old.ID, &Voter{ID: replacement.New.ID, Zone: replacement.New.Zone})
 		}
 	}
-	for i, one := range r.input.Replacements {
-		if !stage[i] || one.Old.Kind != capacity.Core {
+	for i, replacement := range r.input.Replacements {
+		if !stage[i] || replacement.Old.Kind != capacity.Core {
 			continue
 		}
-		next := ExchangeVoter(voters, one.Old.ID, nil)
-		spared := 0
-		if one.Surge {
-			next = append(next, Voter{ID: one.New.ID, Zone: one.New.Zone})
-			spared = survivors(voters, r.input.Core)
+		next := ExchangeVoter(voters, replacement.Old.ID, nil)
+		presentMargin := 0
+		if replacement.Surge {
+			next = append(next, Voter{ID: replacement.New.ID, Zone: replacement.New.Zone})
+			presentMargin = majorityMargin(voters, r.input.Core)
 		}
-		if found := survivors(next, r.input.Core); found < min(0, spared) {
+		if found := majorityMargin(next, r.input.Core); found < min(0, presentMargin) {
 			return false
 		}
 	}
@@ -217,13 +217,13 @@
 }
 
 func (r *reference) hasSurgeCapacity(done, stage []bool) bool {
-	for place, free := range r.input.SurgeCapacity {
+	for surgePool, free := range r.input.SurgeCapacity {
 		used := 0
-		for i, one := range r.input.Replacements {
-			if (done[i] || stage[i] && one.Surge) && (SurgePool{one.New.Zone, one.New.Kind}) == place {
+		for i, replacement := range r.input.Replacements {
+			if (done[i] || stage[i] && replacement.Surge) && (SurgePool{replacement.New.Zone, replacement.New.Kind}) == surgePool {
 				used++
 			}
-			if done[i] && (SurgePool{one.Old.Zone, one.Old.Kind}) == place {
+			if done[i] && (SurgePool{replacement.Old.Zone, replacement.Old.Kind}) == surgePool {
 				used--
 			}
 		}
@@ -236,27 +236,27 @@
 
 // keepsServers checks that no zone loses its last node of a group, if it has one in the end.
 func (r *reference) keepsServers(nodes *stageNodes) bool {
-	for _, node := range nodes.present {
+	for _, node := range nodes.beforeStage {
 		in := func(nodes []capacity.Node) bool {
 			return slices.ContainsFunc(nodes, func(other capacity.Node) bool {
 				return other.Group() == node.Group() && other.Zone == node.Zone
 			})
 		}
-		if node.Kind != capacity.Core && in(nodes.end) && (!in(nodes.without) || !in(nodes.swapped)) {
+		if node.Kind != capacity.Core && in(nodes.afterPlan) && (!in(nodes.inPlaceRemoved) || !in(nodes.surgeTakenOver)) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayRestAfter checks that the state after a stage serves every period as well as the present fleet does.
-func (r *reference) mayRestAfter(nodes *stageNodes) bool {
+// mayPauseAfter checks that the state after a stage serves every period as well as the present fleet does.
+func (r *reference) mayPauseAfter(nodes *stageNodes) bool {
 	for period := range r.input.Demand.Periods {
 		loads := r.input.Demand.Periods[period].Loads
 		for _, group := range r.groups() {
-			today := r.input.Headroom.Check(group, r.input.Nodes, loads)
-			then := r.input.Headroom.Check(group, nodes.final, loads)
-			if then != nil && (today == nil || then.Fraction > today.Fraction+roundingTolerance) {
+			initial := r.input.Headroom.Check(group, r.input.Nodes, loads)
+			after := r.input.Headroom.Check(group, nodes.afterStage, loads)
+			if after != nil && (initial == nil || after.Fraction > initial.Fraction+roundingTolerance) {
 				return false
 			}
 		}
--- a/internal/region/migration/plan/remedies.go
+++ b/internal/region/migration/plan/remedies.go
@@ -43,16 +43,16 @@
 }
 
 // addSpare adds a spare to a list that counts equal ones together.
-func addSpare(spares []Spare, one Spare) []Spare {
+func addSpare(spares []Spare, added Spare) []Spare {
 	for index := range spares {
 		same := spares[index]
-		same.Count = one.Count
-		if same == one {
+		same.Count = added.Count
+		if same == added {
 			spares[index].Count++
 			return spares
 		}
 	}
-	return append(spares, one)
+	return append(spares, added)
 }
 
 func spareID(number int) string { return fmt.Sprintf("(spare %d)", number+1) }
@@ -77,7 +77,7 @@
 
 // replacementOf returns the replacement of an old node, which must be in the input.
 func (s *searcher) replacementOf(id string) *Replacement {
-	found := slices.IndexFunc(s.input.Replacements, func(one Replacement) bool { return one.Old.ID == id })
+	found := slices.IndexFunc(s.input.Replacements, func(candidate Replacement) bool { return candidate.Old.ID == id })
 	return &s.input.Replacements[found]
 }
 
--- a/internal/region/migration/plan/search.go
+++ b/internal/region/migration/plan/search.go
@@ -10,28 +10,28 @@
 // searcher looks for an order of stages. A state is the counts of replacements made. Capacity questions depend on the
 // classes of one group only, so their answers are cached by these.
 type searcher struct {
-	input           *Input
-	classes         []class
-	groups          []groupView
-	classPools      []int  // by class: index in poolLimits
-	poolLimits      []int  // by pool: number of nodes that a stage may replace
-	goal            counts // all replacements are made
-	shortageCache   map[shortageKey]*capacity.Shortage
-	lastServerCache map[lastServerKey]bool
-	restCache       map[string]*violation // by state
+	input                  *Input
+	classes                []class
+	groups                 []groupView
+	classPools             []int  // by class: index in poolLimits
+	poolLimits             []int  // by pool: number of nodes that a stage may replace
+	goal                   counts // all replacements are made
+	shortageCache          map[shortageKey]*capacity.Shortage
+	lastServerCache        map[lastServerKey]bool
+	intermediateStateCache map[string]*violation // by state
 }
 
 func newSearcher(input *Input) *searcher {
 	s := &searcher{
-		input:           input,
-		classes:         classify(input.Replacements),
-		shortageCache:   make(map[shortageKey]*capacity.Shortage),
-		lastServerCache: make(map[lastServerKey]bool),
-		restCache:       make(map[string]*violation),
+		input:                  input,
+		classes:                classify(input.Replacements),
+		shortageCache:          make(map[shortageKey]*capacity.Shortage),
+		lastServerCache:        make(map[lastServerKey]bool),
+		intermediateStateCache: make(map[string]*violation),
 	}
 	s.groups = groupsOf(input, s.classes)
-	for _, one := range s.classes {
-		s.goal = append(s.goal, uint8(len(one.members)))
+	for _, current := range s.classes {
+		s.goal = append(s.goal, uint8(len(current.members)))
 	}
 	s.computePoolLimits()
 	return s
@@ -65,7 +65,7 @@
 		return nil, found
 	}
 	next := from.done.plus(batch)
-	if found := s.checkRest(next); found != nil {
+	if found := s.checkIntermediateState(next); found != nil {
 		return nil, found
 	}
 	duration := s.duration(batch)
--- a/internal/region/migration/plan/verify.go
+++ b/internal/region/migration/plan/verify.go
@@ -32,8 +32,8 @@
 	batch := make(counts, len(s.goal))
 	for _, replacement := range stage.Replacements {
 		id := replacement.Old.ID
-		index := slices.IndexFunc(s.classes, func(one class) bool {
-			return slices.ContainsFunc(one.members, func(member Replacement) bool { return member.Old.ID == id })
+		index := slices.IndexFunc(s.classes, func(candidate class) bool {
+			return slices.ContainsFunc(candidate.members, func(member Replacement) bool { return member.Old.ID == id })
 		})
 		if index < 0 || planned[id] {
 			return nil, &InputError{Node: id, Reason: "is in a stage, but not to be replaced, or twice"}
--- a/internal/region/migration/plan/verify_test.go
+++ b/internal/region/migration/plan/verify_test.go
@@ -11,10 +11,10 @@
 	input := smallSite(true)
 	made, err := Make(input)
 	require.NoError(t, err)
-	var contradiction *InputError
-	require.True(t, errors.As(Verify(input, made.Stages[1:]), &contradiction))
-	require.True(t, errors.As(Verify(input, append(made.Stages, made.Stages[0])), &contradiction))
-	require.True(t, errors.As(Verify(input, append([]Stage{{}}, made.Stages...)), &contradiction))
+	var inputError *InputError
+	require.True(t, errors.As(Verify(input, made.Stages[1:]), &inputError))
+	require.True(t, errors.As(Verify(input, append(made.Stages, made.Stages[0])), &inputError))
+	require.True(t, errors.As(Verify(input, append([]Stage{{}}, made.Stages...)), &inputError))
 	var infeasible *InfeasibleError
 	require.True(t, errors.As(Verify(input, []Stage{{Replacements: input.Replacements}}), &infeasible))
 	require.Equal(t, ConstraintBatchSize, infeasible.Violated)
--- a/internal/region/migration/plan/voters.go
+++ b/internal/region/migration/plan/voters.go
@@ -14,8 +14,8 @@
 // the voters survive it.
 func (c *Core) missingVotes(voters []Voter) int {
 	majority := len(voters)/2 + 1
-	left := min(len(voters)-c.Hosts, len(voters)-votersInLargestZones(voters, c.Zones))
-	return max(majority-left, 0)
+	surviving := min(len(voters)-c.Hosts, len(voters)-votersInLargestZones(voters, c.Zones))
+	return max(majority-surviving, 0)
 }
 
 // missingReplicas returns how many machines are missing for a chain that keeps a replica under the fault budget, as many
