--- a/internal/region/migration/plan/capacity.go
+++ b/internal/region/migration/plan/capacity.go
@@ -6,13 +6,13 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// shortageKey is what the answer of shortageOf depends on.
+// shortageKey is the cache key of shortageOf: everything that its result depends on.
 type shortageKey struct {
 	group, period int
 	done, batch   string
 }
 
-// shortageOf returns the shortage of a group during a stage, with the demand of one period, or nil.
+// shortageOf returns the shortage of a group during a stage with the demand of one period, or nil. Results are cached.
 func (s *searcher) shortageOf(group, period int, done, batch counts) *capacity.Shortage {
 	view := &s.groups[group]
 	key := shortageKey{group, period, string(done.project(view.classes)), string(batch.project(view.classes))}
@@ -24,8 +24,8 @@
 	return found
 }
 
-// computeShortage computes shortageOf: in each phase of the stage, or in the state before it if the stage leaves the
-// group alone.
+// computeShortage computes the result of shortageOf: the first shortage in the phases of the stage, or the shortage in the
+// state before the stage if the stage replaces no node of the group.
 func (s *searcher) computeShortage(view *groupView, period int, done, batch counts) *capacity.Shortage {
 	loads := s.input.Demand.Periods[period].Loads
 	if view.unaffectedBy(batch) {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// worstShortage returns the worst shortage during a stage from begin to end, or nil.
+// worstShortage returns the worst shortage of the groups with replacements in a stage that lasts from begin to end, or nil.
 func (s *searcher) worstShortage(done, batch counts, begin, end time.Duration) *capacity.Shortage {
 	var worst *capacity.Shortage
 	for _, period := range s.input.Demand.PeriodsDuring(begin, end) {
@@ -58,7 +58,7 @@
 	return worst
 }
 
-// roundingTolerance is the difference of two shortages that may come from rounding alone.
+// roundingTolerance is the largest difference between the fractions of two shortages that rounding alone may cause.
 const roundingTolerance = 1e-6
 
 // checkIntermediateState is computeRest with a cache.
@@ -72,8 +72,8 @@
 	return found
 }
 
-// computeIntermediateState checks that a state between stages serves every period as well as the present fleet does: an operator may
-// pause the run there for long.
+// computeIntermediateState checks that a state between stages serves every period as well as the present fleet does, since
+// an operator may pause the run in that state for a long time.
 func (s *searcher) computeIntermediateState(done counts) *violation {
 	none := make(counts, len(done))
 	for group := range s.groups {
--- a/internal/region/migration/plan/class.go
+++ b/internal/region/migration/plan/class.go
@@ -4,14 +4,14 @@
 	"slices"
 )
 
-// class is a set of replacements that are equivalent to the planner, so that only their number matters.
+// class is a set of replacements that are equivalent for planning: only their number matters.
 type class struct {
 	members []Replacement // in the order of the input
 }
 
 func (c *class) sample() *Replacement { return &c.members[0] }
 
-// classify sorts the replacements into classes, both in the order of the input.
+// classify groups the replacements into classes. Classes and their members are in the order of the input.
 func classify(replacements []Replacement) []class {
 	var classes []class
 	for _, replacement := range replacements {
@@ -32,10 +32,10 @@
 		a.Old.InterchangeableWith(&b.Old) && a.New.InterchangeableWith(&b.New)
 }
 
-// counts is a number of replacements by class: those already made, or those of one stage.
+// counts holds a number of replacements for each class: those already done, or those of one stage.
 type counts []uint8
 
-// maxReplacements is the largest number of replacements that fits into an element of counts.
+// maxReplacements is the largest number of replacements, limited by the element type of counts.
 const maxReplacements = 255
 
 func (c counts) plus(other counts) counts {
@@ -54,7 +54,7 @@
 	return total
 }
 
-// project returns the counts of the given classes only.
+// project returns the counts of the given classes.
 func (c counts) project(classes []int) counts {
 	selected := make(counts, 0, len(classes))
 	for _, index := range classes {
--- a/internal/region/migration/plan/constraints.go
+++ b/internal/region/migration/plan/constraints.go
@@ -4,11 +4,11 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// violation is a constraint that a stage or a state violates.
+// violation describes a constraint that a stage, or a state between stages, violates.
 type violation struct {
 	constraint Constraint
 	shortage   *capacity.Shortage
-	missing    int
+	missing    int // number of voters, replicas, servers or surge nodes that are missing
 }
 
 // checkStructure checks the constraints of a stage that do not depend on demand.
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// checkSurge checks that all new nodes of a stage that start beside old ones have a place to run. The violation says how
-// many places the pool lacks that lacks most.
+// checkSurge checks that there is surge capacity for all new nodes of a stage that start before the old ones have stopped.
+// The violation has the number of nodes for which capacity is missing in the pool that lacks most.
 func (s *searcher) checkSurge(done, batch counts) *violation {
 	needed := make(map[SurgePool]int)
 	for index, count := range batch {
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// largestSurgeShortage is the number of places missing in the pool that lacks most; 0 if none lacks any. It does
-// not depend on the order of the pools.
+// largestSurgeShortage returns the number of nodes for which surge capacity is missing in the pool that lacks most, or 0
+// if no pool lacks any. The result does not depend on the iteration order of the pools.
 func (s *searcher) largestSurgeShortage(needed map[SurgePool]int) int {
 	most := 0
 	for pool, free := range s.input.SurgeCapacity {
--- a/internal/region/migration/plan/constraints_test.go
+++ b/internal/region/migration/plan/constraints_test.go
@@ -8,7 +8,8 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// TestSurgeViolationIsThatOfThePoolThatLacksMost lets two pools lack places, a different number each.
+// Two pools lack surge capacity for a different number of nodes. The violation has the larger number, whatever the
+// iteration order of the map.
 func TestSurgeViolationIsThatOfThePoolThatLacksMost(t *testing.T) {
 	input := smallSite(true) // five servers of zone c, three of zone b
 	input.SurgeCapacity = map[SurgePool]int{{"c", capacity.Server}: 1, {"b", capacity.Server}: 1}
--- a/internal/region/migration/plan/exhaustive.go
+++ b/internal/region/migration/plan/exhaustive.go
@@ -38,9 +38,9 @@
 	return last
 }
 
-// searchExhaustively finds the order that ends first, by Dijkstra's algorithm over the states. That is exact although
-// stages take different time at different hours: a state may last for any time, so reaching it sooner is never worse.
-// It returns the last step, or the step with the most replacements made.
+// searchExhaustively finds the order that ends first, by Dijkstra's algorithm over the states. The result is
+// exact although a stage can begin only at some times: a run can wait in a state for any time, so that reaching the state
+// sooner is never worse. The result is the last step or, if there is no order, the step with the most replacements done.
 func (s *searcher) searchExhaustively() (last *step, complete bool) {
 	origin := &step{done: make(counts, len(s.goal)), end: s.input.Begin}
 	open := &frontier{origin}
@@ -71,14 +71,14 @@
 	return farthest, false
 }
 
-// eachBatch calls visit for every stage within the pool limits that could follow a state, until visit returns false; it
-// reports whether visit always returned true. The batch is reused between calls: visit must not keep it.
+// eachBatch calls visit for every stage within the pool limits that could follow a state, until visit returns false. It
+// reports whether visit always returned true. The batch is reused between calls, so that visit must not retain it.
 func (s *searcher) eachBatch(done counts, visit func(counts) bool) bool {
 	return s.batchesFrom(0, done, make(counts, len(done)), slices.Clone(s.poolLimits), visit)
 }
 
-// batchesFrom varies the counts of the classes from an index on. remaining is how many nodes may still be replaced, by
-// pool; it is restored before the function returns true.
+// batchesFrom enumerates the counts of the classes from an index on. remaining has the number of nodes of each pool that
+// may still be replaced; it is restored before the function returns true.
 func (s *searcher) batchesFrom(index int, done, batch counts, remaining []int, visit func(counts) bool) bool {
 	if index == len(batch) {
 		return batch.total() == 0 || visit(batch)
--- a/internal/region/migration/plan/fixture_test.go
+++ b/internal/region/migration/plan/fixture_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// drawInput draws a small case: three kinds of nodes, few replacements, one or two periods.
+// drawInput draws a small input: nodes of three kinds, at most four replacements, one or two periods.
 func drawInput(t *rapid.T) Input {
 	zones := rapid.SampledFrom([]string{"a", "b", "c"})
 	input := Input{
@@ -29,7 +29,7 @@
 			Hosts:  rapid.IntRange(0, 1).Draw(t, "hosts"),
 			Zones:  rapid.IntRange(0, 1).Draw(t, "zones"),
 		},
-		BatchFraction: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "share"),
+		BatchFraction: rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "batch fraction"),
 		Begin:         time.Duration(rapid.IntRange(0, 30).Draw(t, "begin")) * time.Second,
 	}
 	kinds := []struct {
@@ -46,16 +46,16 @@
 			input.Core.Voters = append(input.Core.Voters, Voter{ID: old.ID, Zone: zone})
 		}
 		input.Nodes = append(input.Nodes, old)
-		if remaining == 0 || number > 0 && rapid.IntRange(0, 3).Draw(t, "kept") == 0 {
+		if remaining == 0 || number > 0 && rapid.IntRange(0, 3).Draw(t, "not replaced") == 0 {
 			continue
 		}
 		remaining--
-		surge := group.kind == capacity.Core || rapid.IntRange(0, 2).Draw(t, "beside") > 0
+		surge := group.kind == capacity.Core || rapid.IntRange(0, 2).Draw(t, "surge") > 0
 		newZone := zone
 		if surge && rapid.IntRange(0, 4).Draw(t, "moves") == 0 {
 			newZone = zones.Draw(t, "new zone")
 		}
-		newSlots := slots + float64(rapid.IntRange(0, 3).Draw(t, "grown")/2) - float64(rapid.IntRange(0, 9).Draw(t, "weaker")/9)
+		newSlots := slots + float64(rapid.IntRange(0, 3).Draw(t, "more slots")/2) - float64(rapid.IntRange(0, 9).Draw(t, "fewer slots")/9)
 		input.Replacements = append(input.Replacements, Replacement{
 			Old: old, New: node(group.kind, group.service, fmt.Sprintf("new-%d", number), newZone, newSlots), Surge: surge,
 			Times: Times{Warm: time.Duration(rapid.IntRange(1, 3).Draw(t, "warm")) * 10 * time.Second, Drain: 5 * time.Second},
@@ -63,10 +63,10 @@
 	}
 	input.Core.Hosts = rapid.IntRange(0, 1).Draw(t, "core hosts")
 	input.Core.Zones = rapid.IntRange(0, 1).Draw(t, "core zones")
-	if rapid.Bool().Draw(t, "few places") {
+	if rapid.Bool().Draw(t, "limited surge capacity") {
 		input.SurgeCapacity = map[SurgePool]int{}
 		for _, zone := range []string{"a", "b", "c"} {
-			input.SurgeCapacity[SurgePool{zone, capacity.Server}] = rapid.IntRange(0, 2).Draw(t, "places")
+			input.SurgeCapacity[SurgePool{zone, capacity.Server}] = rapid.IntRange(0, 2).Draw(t, "surge capacity")
 		}
 	}
 	input.Demand = drawDemand(t)
@@ -132,7 +132,7 @@
 	return input
 }
 
-// testingT is what a *testing.T and a *rapid.T have in common.
+// testingT has the methods that are common to *testing.T and *rapid.T and used here.
 type testingT interface {
 	require.TestingT
 	Helper()
--- a/internal/region/migration/plan/fleet.go
+++ b/internal/region/migration/plan/fleet.go
@@ -9,8 +9,8 @@
 // groupView is a group of serving nodes, some of which are to be replaced.
 type groupView struct {
 	group   capacity.Group
-	fixed   []capacity.Node // that are not replaced
-	classes []int           // of its replacements, by index among all classes
+	fixed   []capacity.Node // nodes that are not replaced
+	classes []int           // indexes of the classes of the group's replacements
 }
 
 // unaffectedBy reports whether a stage replaces no node of the group.
@@ -23,7 +23,7 @@
 	return true
 }
 
-// groupsOf returns the groups of which nodes are replaced. Core machines do not serve requests and have none.
+// groupsOf returns the groups with nodes to be replaced. Core machines serve no requests and are in no group.
 func groupsOf(input *Input, classes []class) []groupView {
 	var groups []groupView
 	for index := range classes {
@@ -55,15 +55,15 @@
 	return fixed
 }
 
-// phase is a part of a stage, distinguished by which nodes get new requests. A stage is checked in each of its phases, as
-// if it lasted from the beginning of the stage to its end.
+// phase is a part of a stage, distinguished by the nodes that get new requests. Each phase is checked as if it lasted from
+// the beginning of the stage to its end.
 type phase uint8
 
 const (
 	beforeStage    phase = iota // the stage has not begun
-	inPlaceRemoved              // old nodes that are replaced in place are gone, the rest is as before
-	surgeTakenOver              // in addition, new nodes started beside old ones have taken over
-	afterStage                  // all new nodes serve
+	inPlaceRemoved              // the old nodes that are replaced in place have been removed; the other nodes are as before
+	surgeTakenOver              // in addition, the new nodes of surge replacements serve instead of their old ones
+	afterStage                  // all new nodes of the stage serve
 )
 
 // servingNodes returns the nodes of a group that get new requests in a phase of a stage.
@@ -84,7 +84,7 @@
 	return nodes
 }
 
-// departedNodes returns the nodes of a group that no longer serve in a phase of a stage, of those of the stage.
+// departedNodes returns the old nodes of a stage, of one group, that no longer serve in a phase of the stage.
 func (s *searcher) departedNodes(view *groupView, done, batch counts, at phase) []capacity.Node {
 	var nodes []capacity.Node
 	for _, index := range view.classes {
--- a/internal/region/migration/plan/greedy.go
+++ b/internal/region/migration/plan/greedy.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// maxGreedySteps bounds the states that a greedy search visits, backtracking included.
+// maxGreedySteps is the largest number of steps that a greedy search tries, including those after backtracking.
 const maxGreedySteps = 2_000
 
-// searchGreedily runs one greedy search for each duration of a replacement, which prefers stages up to that duration, and
-// returns the last step of the order that ends first. If none finds an order, it returns the step with the most
-// replacements made.
+// searchGreedily runs a greedy search for each distinct duration of a replacement. Each search prefers stages up to its
+// duration. The result is the last step of the order that ends first or, if no search finds an order, the step with the
+// most replacements done.
 func (s *searcher) searchGreedily() (last *step, complete bool) {
 	farthest := &step{done: make(counts, len(s.goal)), end: s.input.Begin}
 	var best *step
@@ -42,13 +42,13 @@
 // greedySearch is a depth-first search with backtracking that tries the most promising stage first.
 type greedySearch struct {
 	*searcher
-	preferred time.Duration   // stages that take no longer come first
+	preferred time.Duration   // stages up to this duration are tried first
 	deadEnds  map[string]bool // states from which no order was found
 	steps     int
-	farthest  *step // with the most replacements made
+	farthest  *step // step with the most replacements done
 }
 
-// complete returns the last step of an order that goes on from a step; nil if none was found.
+// complete returns the last step of an order that continues from a step; nil if none was found.
 func (g *greedySearch) complete(current *step) *step {
 	if slices.Equal(current.done, g.goal) {
 		return current
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// singleStages returns the feasible stages of one replacement: those of the preferred duration first, earlier ones before
-// later ones, and of these the longest, beside which most others have time.
+// singleStages returns the feasible stages with one replacement each, sorted: stages up to the preferred duration first,
+// then by begin, then the longer ones first, since more other replacements fit into their duration.
 func (g *greedySearch) singleStages(from *step) []*step {
 	var found []*step
 	for index := range g.goal {
@@ -106,7 +106,7 @@
 	return 0
 }
 
-// enlarge adds replacements to a stage for as long as it neither begins nor ends later for it.
+// enlarge adds replacements to a stage as long as the stage then neither begins nor ends later.
 func (g *greedySearch) enlarge(from, stage *step) *step {
 	for changed := true; changed; {
 		changed = false
@@ -119,7 +119,8 @@
 	return stage
 }
 
-// enlargeBy returns the stage with one more replacement of a class, or nil if that is infeasible or delays it.
+// enlargeBy returns the stage with one more replacement of a class, or nil if that is infeasible or delays
+// the begin or the end of the stage.
 func (g *greedySearch) enlargeBy(from, stage *step, index int) *step {
 	if from.done[index]+stage.batch[index] >= g.goal[index] {
 		return nil
--- a/internal/region/migration/plan/greedy_test.go
+++ b/internal/region/migration/plan/greedy_test.go
@@ -31,6 +31,6 @@
 		require.GreaterOrEqual(t, last.end, best)
 		requireSafe(t, &input, s.planOf(last))
 	})
-	t.Logf("greedy: of %d made %d are shortest, %d stuck where there is an order", made, equal, missed)
+	t.Logf("greedy search: %d plans, of which %d are the shortest; none found for %d feasible inputs", made, equal, missed)
 	require.Less(t, 10*missed, made+1)
 }
--- a/internal/region/migration/plan/infeasible.go
+++ b/internal/region/migration/plan/infeasible.go
@@ -1,6 +1,7 @@
 package plan
 
-// infeasibility explains why no stage follows the farthest step, by the replacement that is closest to feasible.
+// infeasibility returns the error that explains why no stage follows the farthest step. It is about the replacement that
+// is closest to feasible.
 func (s *searcher) infeasibility(farthest *step) *InfeasibleError {
 	var best *InfeasibleError
 	for index := range s.goal {
@@ -15,8 +16,8 @@
 	return best
 }
 
-// infeasibilityOf explains why no node of a class can be replaced after the farthest step. If no constraint is violated,
-// the search found no order that goes on from there.
+// infeasibilityOf returns the error that explains why no node of a class can be replaced after the farthest step. If no
+// constraint is violated, the search found no order that continues from that step.
 func (s *searcher) infeasibilityOf(farthest *step, index int) *InfeasibleError {
 	single := make(counts, len(s.goal))
 	single[index] = 1
@@ -28,7 +29,7 @@
 	return infeasible
 }
 
-// closerToFeasible reports whether less is missing than for another error, as far as that is known.
+// closerToFeasible reports whether less capacity is missing than for another error, as far as that is known.
 func (e *InfeasibleError) closerToFeasible(other *InfeasibleError) bool {
 	if e.Violated == ConstraintOrder || other.Violated == ConstraintOrder {
 		return e.Violated != ConstraintOrder
@@ -39,7 +40,7 @@
 	return e.Shortage == nil && other.Shortage != nil
 }
 
-// newInfeasible returns the error for a given stage, by its index, that violates a constraint.
+// newInfeasible returns the error for the stage with an index that violates a constraint.
 func newInfeasible(index int, stage *Stage, found *violation) error {
 	old := &stage.Replacements[0].Old
 	return &InfeasibleError{
--- a/internal/region/migration/plan/infeasible_test.go
+++ b/internal/region/migration/plan/infeasible_test.go
@@ -16,7 +16,7 @@
 		change func(*Input)
 		check  func(*testing.T, *InfeasibleError)
 	}{
-		"a region with homes has no room": {
+		"insufficient capacity in a home region": {
 			func(input *Input) {
 				for index := range input.Replacements {
 					input.Replacements[index].Surge = false
@@ -30,14 +30,14 @@
 				require.Equal(t, ConstraintCapacity, infeasible.Violated)
 				require.Equal(t, "east", infeasible.Region)
 				require.Equal(t, capacity.Slots, infeasible.Shortage.Resource)
-				require.InDelta(t, 8, infeasible.Shortage.Missing, 1e-6) // one of 5 away, another one lost
+				require.InDelta(t, 8, infeasible.Shortage.Missing, 1e-6) // of 5 servers one is replaced and one fails
 				require.Equal(t, []Spare{{Count: 1, Kind: capacity.Server, Service: "lm", Zone: "c"}}, infeasible.Spares)
 			},
 		},
-		"the stage that fails is numbered": {
+		"number of the infeasible stage": {
 			func(input *Input) {
 				input.Replacements = input.Replacements[:3]
-				input.Replacements[2].Surge = false // the only one of east that is taken out first
+				input.Replacements[2].Surge = false // the only in-place replacement in region east
 				input.BatchFraction = 1
 				input.Demand = capacity.Constant([]capacity.Load{{
 					Region: "east", Group: lm, HomeRegions: []string{"east"}, Required: capacity.Amount{capacity.Slots: 250},
@@ -48,7 +48,7 @@
 				require.Equal(t, "old-02", infeasible.Node)
 			},
 		},
-		"voters": {
+		"too few voters": {
 			func(input *Input) {
 				input.Replacements = input.Replacements[11:]
 				for index := range input.Replacements {
@@ -65,7 +65,7 @@
 				}, infeasible.Spares)
 			},
 		},
-		"the last server of a zone": {
+		"last server of a zone": {
 			func(input *Input) {
 				plain := node(capacity.Server, "plain", "plain-1", "a", 6)
 				input.Nodes = append(input.Nodes, plain)
@@ -78,7 +78,7 @@
 				require.Equal(t, []Spare{{Count: 1, Kind: capacity.Server, Service: "plain", Zone: "a", Surge: true}}, infeasible.Spares)
 			},
 		},
-		"no place": {
+		"no surge capacity": {
 			func(input *Input) {
 				input.SurgeCapacity = map[SurgePool]int{{"b", capacity.Server}: 0}
 			},
@@ -88,7 +88,7 @@
 				require.Equal(t, []Spare{{Count: 1, Kind: capacity.Server, Service: "lm", Zone: "b", Surge: true}}, infeasible.Spares)
 			},
 		},
-		"a later hour": {
+		"feasible without the time window": {
 			func(input *Input) {
 				quiet := []capacity.Load{{Region: "east", Group: lm, Required: capacity.Amount{capacity.Slots: 100}}}
 				busy := []capacity.Load{{Region: "east", Group: lm, Required: capacity.Amount{capacity.Slots: 640}}}
--- a/internal/region/migration/plan/input.go
+++ b/internal/region/migration/plan/input.go
@@ -1,6 +1,6 @@
 package plan
 
-// checkInput looks for contradictions in the input. Its error is an *InputError.
+// checkInput checks that the input is consistent. The error is an *InputError.
 func checkInput(input *Input) error {
 	present := make(map[string]bool)
 	for index := range input.Nodes {
@@ -11,7 +11,7 @@
 		present[id] = true
 	}
 	if len(input.Replacements) > maxReplacements {
-		return &InputError{Node: input.Replacements[maxReplacements].Old.ID, Reason: "is one too many"}
+		return &InputError{Node: input.Replacements[maxReplacements].Old.ID, Reason: "exceeds the limit of 255 replacements"}
 	}
 	used := make(map[string]bool)
 	for index := range input.Replacements {
@@ -22,14 +22,14 @@
 	return nil
 }
 
-// checkReplacement checks one replacement, given the ids of the present nodes and of those in earlier replacements.
+// checkReplacement checks one replacement, given the IDs of the present nodes and of the nodes in earlier replacements.
 func checkReplacement(replacement *Replacement, present, used map[string]bool) error {
 	old, next := &replacement.Old, &replacement.New
 	switch {
 	case !present[old.ID]:
-		return &InputError{Node: old.ID, Reason: "is to be replaced, but is not there"}
+		return &InputError{Node: old.ID, Reason: "is to be replaced, but does not exist"}
 	case present[next.ID]:
-		return &InputError{Node: next.ID, Reason: "is to come, but is there already"}
+		return &InputError{Node: next.ID, Reason: "is a new node, but already exists"}
 	case used[old.ID]:
 		return &InputError{Node: old.ID, Reason: "is replaced twice"}
 	case used[next.ID]:
@@ -37,9 +37,9 @@
 	case old.Group() != next.Group():
 		return &InputError{Node: next.ID, Reason: "is of another kind or service than " + old.ID}
 	case !replacement.Surge && old.Zone != next.Zone:
-		return &InputError{Node: next.ID, Reason: "is to take the place of a node in another zone"}
+		return &InputError{Node: next.ID, Reason: "replaces a node of another zone in place"}
 	case replacement.Times.Total() <= 0:
-		return &InputError{Node: next.ID, Reason: "is to take no time"}
+		return &InputError{Node: next.ID, Reason: "has no expected replacement time"}
 	}
 	used[old.ID], used[next.ID] = true, true
 	return nil
--- a/internal/region/migration/plan/large_test.go
+++ b/internal/region/migration/plan/large_test.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// A large deployment is beyond trying all orders: the plan that is made is safe, and made in time.
+// A large deployment has too many orders for the exhaustive search. The plan of the greedy search must be safe.
 func TestLargeDeployment(t *testing.T) {
 	input := Input{Headroom: capacity.Headroom{Margin: 0.2, Hosts: 1, Zones: 1}, Core: Core{Hosts: 1, Zones: 1}}
 	lm := capacity.Group{Kind: capacity.Server, Service: "lm"}
--- a/internal/region/migration/plan/lastserver.go
+++ b/internal/region/migration/plan/lastserver.go
@@ -4,14 +4,14 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// lastServerKey is what the answer of takesLastServer depends on.
+// lastServerKey is the cache key of removesLastServer: everything that its result depends on.
 type lastServerKey struct {
 	group       int
 	done, batch string
 }
 
 // removesLastServer reports whether a zone would have no node of a group during a stage, although it has one before the
-// stage and is to have one when all replacements are made.
+// stage and has one when all replacements are done. Results are cached.
 func (s *searcher) removesLastServer(group int, done, batch counts) bool {
 	view := &s.groups[group]
 	if view.unaffectedBy(batch) {
@@ -26,7 +26,7 @@
 	return removes
 }
 
-// emptiesZone computes takesLastServer.
+// emptiesZone computes the result of removesLastServer.
 func (s *searcher) emptiesZone(view *groupView, done, batch counts) bool {
 	present := zonesOf(s.servingNodes(view, done, batch, beforeStage))
 	final := zonesOf(s.servingNodes(view, s.goal, make(counts, len(s.goal)), beforeStage))
--- a/internal/region/migration/plan/plan.go
+++ b/internal/region/migration/plan/plan.go
@@ -5,7 +5,7 @@
 )
 
 // Make returns a plan for all replacements of the input. The error is an *InputError, or an *InfeasibleError if no order
-// was found; of a search that was not exhaustive (see Plan.Shortest) one may exist all the same.
+// was found. If the search was not exhaustive (see Plan.Shortest), a feasible order may exist nevertheless.
 func Make(input Input) (*Plan, error) {
 	if err := checkInput(&input); err != nil {
 		return nil, err
@@ -20,7 +20,7 @@
 	return nil, infeasible
 }
 
-// search returns the last step of an order, or, if it found none, the step with the most replacements made.
+// search returns the last step of an order, or, if it found none, the step with the most replacements done.
 func (s *searcher) search() (last *step, complete bool) {
 	if s.exhaustiveIsAffordable() {
 		return s.searchExhaustively()
@@ -28,7 +28,7 @@
 	return s.searchGreedily()
 }
 
-// planOf lists the stages that lead to a step.
+// planOf returns the plan with the stages that lead to a step.
 func (s *searcher) planOf(last *step) *Plan {
 	plan := &Plan{Begin: s.input.Begin, End: last.end, Shortest: s.exhaustiveIsAffordable()}
 	for current := last; current.parent != nil; current = current.parent {
--- a/internal/region/migration/plan/plan_test.go
+++ b/internal/region/migration/plan/plan_test.go
@@ -36,7 +36,7 @@
 	require.Positive(t, rejected)
 }
 
-// requireSafe checks the stages of a plan by the rules of the reference search.
+// requireSafe checks the stages of a plan against the constraints of the reference search.
 func requireSafe(t testingT, input *Input, made *Plan) {
 	t.Helper()
 	r := &reference{input: input}
@@ -63,7 +63,8 @@
 	require.Equal(t, made.End, now)
 }
 
-// requireVerifyAgrees puts all replacements into one stage: Verify accepts it exactly if the reference search does.
+// requireVerifyAgrees puts all replacements into one stage and requires that Verify accepts it exactly if the reference
+// search does.
 func requireVerifyAgrees(t testingT, input *Input) {
 	t.Helper()
 	all := make([]bool, len(input.Replacements))
--- a/internal/region/migration/plan/pools.go
+++ b/internal/region/migration/plan/pools.go
@@ -4,8 +4,8 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// pool is a set of nodes of which a stage may replace a limited number: those of a group in a region. The core machines
-// of all regions are one pool.
+// pool identifies a set of nodes of which a stage may replace a limited number: the nodes of a group in a region. The core
+// machines of all regions are one pool.
 type pool struct {
 	group  capacity.Group
 	region string
@@ -18,7 +18,8 @@
 	return pool{group: node.Group(), region: node.Region}
 }
 
-// computePoolLimits sets how many nodes of each pool a stage may replace: a fraction of them, but at least one.
+// computePoolLimits sets the number of nodes of each pool that a stage may replace: a fraction of the pool, but at least
+// one node; of the core machines maxCoresPerStage.
 func (s *searcher) computePoolLimits() {
 	fraction := s.input.BatchFraction
 	if fraction <= 0 {
@@ -45,7 +46,7 @@
 	}
 }
 
-// withinPoolLimits reports whether a stage replaces no more nodes of any pool than it may.
+// withinPoolLimits reports whether a stage replaces no more nodes of any pool than the pool's limit.
 func (s *searcher) withinPoolLimits(batch counts) bool {
 	used := make([]int, len(s.poolLimits))
 	for index, count := range batch {
--- a/internal/region/migration/plan/reference_test.go
+++ b/internal/region/migration/plan/reference_test.go
@@ -7,15 +7,15 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// referenceEnd finds the shortest end over all orders of all stages by trying each, with the rules written a second time
-// and neither classes nor caches. It returns false if no order is feasible.
+// referenceEnd finds the earliest end over all orders of all stages by trying each order. It implements the constraints
+// independently of the planner, without classes and caches. It returns false if no order is feasible.
 func referenceEnd(input *Input) (time.Duration, bool) {
 	r := &reference{input: input, best: -1}
 	r.visit(make([]bool, len(input.Replacements)), input.Begin)
 	return r.best, r.best >= 0
 }
 
-// reference is a search through all orders, to compare the planner with.
+// reference is a search through all orders, with which the planner is compared.
 type reference struct {
 	input *Input
 	best  time.Duration
@@ -49,7 +49,8 @@
 	}
 }
 
-// stageEnd returns when a stage ends that begins as early as the demand allows, or false if a rule forbids it.
+// stageEnd returns when a stage ends that begins as early as the demand allows, or false if a
+// constraint forbids it.
 func (r *reference) stageEnd(done, stage []bool, now time.Duration) (time.Duration, bool) {
 	nodes := r.stageNodes(done, stage)
 	if !r.withinBatchSize(stage) || !r.votersSurvive(done, stage) || !r.hasSurgeCapacity(done, stage) ||
@@ -89,7 +90,7 @@
 	}
 }
 
-// nodesIf returns all nodes, of each replacement the old and the new one as choose says.
+// nodesIf returns all nodes that are not replaced and, for each replacement, those of its two nodes that choose selects.
 func (r *reference) nodesIf(choose func(index int) (old, next bool)) []capacity.Node {
 	var nodes []capacity.Node
 	for _, node := range r.input.Nodes {
@@ -109,7 +110,8 @@
 	return nodes
 }
 
-// majorityMargin returns how many voters more than a majority remain after the worst failure; below 0 there is no majority.
+// majorityMargin returns the number of voters in excess of a majority that remain after the worst failure within the fault
+// budget; a negative result means that there is no majority.
 func majorityMargin(voters []Voter, core Core) int {
 	worst := len(voters) - core.Hosts
 	zones := map[string]int{}
@@ -134,7 +136,7 @@
 	return groups
 }
 
-// hasCapacity checks the headroom of the groups that a stage touches, in each of its phases.
+// hasCapacity checks the headroom of the groups with replacements in a stage, in each phase of the stage.
 func (r *reference) hasCapacity(stage []bool, nodes *stageNodes, begin, end time.Duration) bool {
 	for _, period := range r.input.Demand.PeriodsDuring(begin, end) {
 		for number, serving := range [][]capacity.Node{nodes.inPlaceRemoved, nodes.surgeTakenOver, nodes.afterStage} {
@@ -160,7 +162,8 @@
 	return true
 }
 
-// withinBatchSize allows one core machine, and of each pool one node or a fraction of it.
+// withinBatchSize checks that a stage replaces at most one core machine, and of each pool at most one node or the batch
+// fraction.
 func (r *reference) withinBatchSize(stage []bool) bool {
 	cores := 0
 	perPool := map[pool]int{}
@@ -234,7 +237,7 @@
 	return true
 }
 
-// keepsServers checks that no zone loses its last node of a group, if it has one in the end.
+// keepsServers checks that no zone loses its last node of a group during a stage, if it has one at the end of the plan.
 func (r *reference) keepsServers(nodes *stageNodes) bool {
 	for _, node := range nodes.beforeStage {
 		in := func(nodes []capacity.Node) bool {
--- a/internal/region/migration/plan/remedies.go
+++ b/internal/region/migration/plan/remedies.go
@@ -9,11 +9,11 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// maxSpares is the largest number of spare nodes and places that an InfeasibleError proposes.
+// maxSpares is the largest number of spares that an InfeasibleError proposes: nodes and surge capacity for one node each.
 const maxSpares = 4
 
-// addRemedies adds what would make the plan feasible: spare capacity, found by adding one node or place at a time where
-// it is missing, and, if there is a window, a later begin.
+// addRemedies adds to the error what would make the plan feasible: spare capacity, found by adding one node, or surge
+// capacity for one node, at a time where it is missing; and, if there is a window, the begin without a window.
 func (s *searcher) addRemedies(infeasible *InfeasibleError) {
 	infeasible.FeasibleBegin = s.beginWithoutWindow()
 	spares := []Spare{}
@@ -42,7 +42,7 @@
 	return last
 }
 
-// addSpare adds a spare to a list that counts equal ones together.
+// addSpare adds a spare to a list. Spares that differ only in their count share one entry.
 func addSpare(spares []Spare, added Spare) []Spare {
 	for index := range spares {
 		same := spares[index]
@@ -57,7 +57,7 @@
 
 func spareID(number int) string { return fmt.Sprintf("(spare %d)", number+1) }
 
-// spareFor proposes one node or place where it is missing; nil if capacity would not help.
+// spareFor proposes one node, or surge capacity for one node, where it is missing; nil if spare capacity would not help.
 func (s *searcher) spareFor(infeasible *InfeasibleError) *Spare {
 	replacement := s.replacementOf(infeasible.Node)
 	old := &replacement.Old
@@ -81,8 +81,8 @@
 	return &s.input.Replacements[found]
 }
 
-// templateNode returns the node that a spare is to be like: the largest one in the region with the shortage, or else the
-// node that is to be replaced.
+// templateNode returns the node of which a spare is a copy: the largest one in the region with the shortage or, if the
+// region has none, the node that is to be replaced.
 func (s *searcher) templateNode(shortage *capacity.Shortage, old *capacity.Node) *capacity.Node {
 	best := old
 	for index := range s.input.Nodes {
@@ -97,7 +97,7 @@
 	return best
 }
 
-// withSpare returns a copy of the input with a spare node, named by id, or a spare place.
+// withSpare returns a copy of the input with a spare node of the given ID, or with the spare surge capacity.
 func (s *searcher) withSpare(infeasible *InfeasibleError, spare *Spare, id string) *Input {
 	input := *s.input
 	if !spare.Surge {
@@ -121,8 +121,8 @@
 	return &input
 }
 
-// beginWithoutWindow returns when the first stage would begin if the window were unlimited; nil if that is infeasible
-// too, or if there is no window.
+// beginWithoutWindow returns the begin of the first stage with an unlimited window; nil if no plan is feasible with it
+// either, or if there is no window.
 func (s *searcher) beginWithoutWindow() *time.Duration {
 	if s.input.Window <= 0 {
 		return nil
--- a/internal/region/migration/plan/search.go
+++ b/internal/region/migration/plan/search.go
@@ -7,18 +7,18 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// searcher looks for an order of stages. A state is the counts of replacements made. Capacity questions depend on the
-// classes of one group only, so their answers are cached by these.
+// searcher looks for an order of stages. A state is the counts of the replacements done. Capacity checks depend on the
+// classes of one group only, so that their results are cached by the counts of these classes.
 type searcher struct {
 	input                  *Input
 	classes                []class
 	groups                 []groupView
-	classPools             []int  // by class: index in poolLimits
-	poolLimits             []int  // by pool: number of nodes that a stage may replace
-	goal                   counts // all replacements are made
+	classPools             []int  // index in poolLimits for each class
+	poolLimits             []int  // number of nodes that a stage may replace, for each pool
+	goal                   counts // the state in which all replacements are done
 	shortageCache          map[shortageKey]*capacity.Shortage
 	lastServerCache        map[lastServerKey]bool
-	intermediateStateCache map[string]*violation // by state
+	intermediateStateCache map[string]*violation // results of checkIntermediateState for each state
 }
 
 func newSearcher(input *Input) *searcher {
@@ -37,17 +37,17 @@
 	return s
 }
 
-// step is a state that was reached, with the stage that led to it.
+// step is a state that was reached, with the stage (batch, begin, end) that led to it.
 type step struct {
 	done   counts
 	end    time.Duration
 	stages int
-	parent *step // nil: the state before the first stage
+	parent *step // previous step; nil: this is the state before the first stage
 	batch  counts
-	begin  time.Duration // of the stage
+	begin  time.Duration // begin of the stage
 }
 
-// less orders steps by time, then by the number of stages, then by state so that the order is deterministic.
+// less orders steps by end, then by the number of stages, then by state so that the order is deterministic.
 func (s *step) less(other *step) bool {
 	if s.end != other.end {
 		return s.end < other.end
@@ -58,8 +58,8 @@
 	return slices.Compare(s.done, other.done) < 0
 }
 
-// extend adds a stage after a step, beginning as early as the demand allows. If no constraint permits it, it returns the
-// violation with the least shortage instead.
+// extend adds a stage after a step, beginning as early as the demand allows. If a constraint forbids the stage at any time,
+// extend returns the violation instead; of capacity violations, the one with the least shortage.
 func (s *searcher) extend(from *step, batch counts) (*step, *violation) {
 	if found := s.checkStructure(from.done, batch); found != nil {
 		return nil, found
@@ -96,7 +96,7 @@
 	}
 }
 
-// duration returns how long a stage is expected to take: as long as its longest replacement.
+// duration returns the expected duration of a stage, which is that of its longest replacement.
 func (s *searcher) duration(batch counts) time.Duration {
 	longest := time.Duration(0)
 	for index, count := range batch {
--- a/internal/region/migration/plan/verify.go
+++ b/internal/region/migration/plan/verify.go
@@ -4,8 +4,8 @@
 	"slices"
 )
 
-// Verify checks stages that were read from a file. The error is an *InputError if they do not make every replacement of
-// the input exactly once, or an *InfeasibleError for the first stage that violates a constraint. Stages may begin later
+// Verify checks stages that were read from a file. The error is an *InputError if they do not contain every replacement
+// of the input exactly once, or an *InfeasibleError for the first stage that violates a constraint. Stages may begin later
 // than they could.
 func Verify(input Input, stages []Stage) error {
 	if err := checkInput(&input); err != nil {
@@ -36,7 +36,7 @@
 			return slices.ContainsFunc(candidate.members, func(member Replacement) bool { return member.Old.ID == id })
 		})
 		if index < 0 || planned[id] {
-			return nil, &InputError{Node: id, Reason: "is in a stage, but not to be replaced, or twice"}
+			return nil, &InputError{Node: id, Reason: "is in a stage without a replacement, or in more than one place"}
 		}
 		planned[id] = true
 		batch[index]++
@@ -55,18 +55,18 @@
 }
 
 // verifyStage checks a stage that follows a step, and returns the step with it. It moves the end of the given step to the
-// begin of the stage: nothing is replaced in between.
+// begin of the stage, since nothing is replaced between them.
 func (s *searcher) verifyStage(current *step, index int, stage *Stage, planned map[string]bool) (*step, error) {
 	batch, err := s.batchOf(stage, planned)
 	if err != nil {
 		return nil, err
 	}
 	if batch.total() == 0 {
-		return nil, &InputError{Reason: "is missing in an empty stage"}
+		return nil, &InputError{Reason: "is missing: a stage contains no replacement"}
 	}
 	current.end = max(current.end, stage.Begin)
 	next, found := s.extend(current, batch)
-	if next != nil && next.begin != current.end { // feasible, but only later
+	if next != nil && next.begin != current.end { // the stage is feasible, but only later
 		shortage := s.worstShortage(current.done, batch, current.end, current.end+s.duration(batch))
 		found = &violation{constraint: ConstraintCapacity, shortage: shortage}
 	}
--- a/internal/region/migration/plan/voters.go
+++ b/internal/region/migration/plan/voters.go
@@ -6,26 +6,26 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// maxCoresPerStage is the number of core machines that a stage replaces at most: a view change exchanges one voter at a
-// time, and every fault budget allows for the loss of one replica.
+// maxCoresPerStage is the largest number of core machines that a stage replaces: a view change exchanges one voter, and
+// every fault budget allows for the loss of one replica.
 const maxCoresPerStage = 1
 
-// missingVotes returns how many voters are missing for a majority after the worst failure within the fault budget; 0 if
-// the voters survive it.
+// missingVotes returns the number of voters that are missing for a majority after the worst failure within the fault
+// budget; 0 if the voters survive it.
 func (c *Core) missingVotes(voters []Voter) int {
 	majority := len(voters)/2 + 1
 	surviving := min(len(voters)-c.Hosts, len(voters)-votersInLargestZones(voters, c.Zones))
 	return max(majority-surviving, 0)
 }
 
-// missingReplicas returns how many machines are missing for a chain that keeps a replica under the fault budget, as many
-// zones as there are permitting.
+// missingReplicas returns the number of machines that are missing for a chain that keeps a replica under the fault budget.
+// The zone budget is limited by the number of zones in which there are voters.
 func (c *Core) missingReplicas(voters []Voter) int {
 	zones := min(c.Zones+1, countZones(c.Voters))
 	return max(c.Hosts+1-len(voters), zones-countZones(voters), 0)
 }
 
-// votersInLargestZones counts the voters in the given number of zones with the most of them.
+// votersInLargestZones counts the voters in the given number of zones, those with the most voters.
 func votersInLargestZones(voters []Voter, count int) int {
 	sizes := make(map[string]int)
 	for _, voter := range voters {
@@ -52,7 +52,7 @@
 	return len(zones)
 }
 
-// ExchangeVoter returns the voters with one of them replaced by another, or removed if in is nil.
+// ExchangeVoter returns the voters with one of them replaced by another, or removed without a successor if in is nil.
 func ExchangeVoter(voters []Voter, out string, in *Voter) []Voter {
 	next := slices.DeleteFunc(slices.Clone(voters), func(voter Voter) bool { return voter.ID == out })
 	if in != nil {
@@ -61,10 +61,10 @@
 	return next
 }
 
-// CheckExchange returns the constraint that forbids replacing a voter, and how many voters or replicas are missing; 0 if
-// the replacement is allowed. With surge the new machine takes over the vote in one view change, and the new view must
-// survive the fault budget as well as the present one does. In place, the old machine is voted out first, and the rest
-// must survive the budget in full.
+// CheckExchange returns the constraint that forbids replacing a voter, and the number of voters or replicas that are
+// missing; 0 if the replacement is allowed. With surge the new machine takes over the vote in one view change, and the new
+// view must survive the fault budget as well as the present one does. In place, a view change removes the old machine
+// first, and the remaining voters must survive the whole budget.
 func (c *Core) CheckExchange(out string, in Voter, surge bool) (violated Constraint, missing int) {
 	if !slices.ContainsFunc(c.Voters, func(voter Voter) bool { return voter.ID == out }) {
 		return 0, 0
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// exchangeReplaced returns the voters after a replacement; they are the same if the old node is no voter.
+// exchangeReplaced returns the voters after a replacement; they are unchanged if the old node is no voter.
 func exchangeReplaced(voters []Voter, replacement *Replacement) []Voter {
 	isVoter := slices.ContainsFunc(voters, func(voter Voter) bool { return voter.ID == replacement.Old.ID })
 	if !isVoter {
