--- a/internal/region/migration/execute/blocker.go
+++ b/internal/region/migration/execute/blocker.go
@@ -26,8 +26,8 @@
 	BlockNotStopped      BlockReason = "the retired node is still there"
 )
 
-// wholeStage stands for all tasks of a stage instead of the index of one.
-const wholeStage = -1
+// stageWide stands for all tasks of a stage instead of the index of one.
+const stageWide = -1
 
 // lateFactor is the multiple of its planned duration after which a phase counts as late.
 const lateFactor = 3
@@ -45,7 +45,7 @@
 // block records a blocker, once.
 func (m *Machine) block(index int, reason BlockReason, shortage *capacity.Shortage) {
 	blocker := Blocker{Reason: reason, Shortage: shortage}
-	if index != wholeStage {
+	if index != stageWide {
 		replacement := m.replacement(index)
 		blocker.Old, blocker.New = replacement.Old.ID, replacement.New.ID
 	}
--- a/internal/region/migration/execute/capacity.go
+++ b/internal/region/migration/execute/capacity.go
@@ -35,7 +35,7 @@
 // canSpare reports whether the other nodes serve the demand without a node, and prefill anew what was cached there. A
 // node that does not serve can always be spared.
 func (t *transition) canSpare(index int, node *capacity.Node, headroom capacity.Headroom) bool {
-	if !slices.ContainsFunc(t.observation.Fleet, func(one capacity.Node) bool { return one.ID == node.ID }) {
+	if !slices.ContainsFunc(t.observation.Fleet, func(candidate capacity.Node) bool { return candidate.ID == node.ID }) {
 		return true
 	}
 	if t.hadShortage && t.now-t.lastShortageAt < t.config.ShortageBackoff {
@@ -49,7 +49,7 @@
 		return false
 	}
 	departing := slices.Clone(t.observation.Fleet)
-	departing = slices.DeleteFunc(departing, func(one capacity.Node) bool { return !slices.Contains(cordoned, one.ID) })
+	departing = slices.DeleteFunc(departing, func(candidate capacity.Node) bool { return !slices.Contains(cordoned, candidate.ID) })
 	loads := capacity.AddLostCachePrefill(t.observation.Loads, t.observation.Fleet, departing)
 	if shortage := headroom.Check(node.Group(), serving, loads); shortage != nil {
 		t.block(index, BlockCapacity, shortage)
@@ -80,7 +80,7 @@
 		return false
 	}
 	for _, stage := range t.config.Plan.Stages {
-		if slices.ContainsFunc(stage.Replacements, func(one plan.Replacement) bool { return sameZone(&one.New) }) {
+		if slices.ContainsFunc(stage.Replacements, func(replacement plan.Replacement) bool { return sameZone(&replacement.New) }) {
 			return true
 		}
 	}
@@ -96,7 +96,7 @@
 			continue
 		}
 		t.hadShortage, t.lastShortageAt = true, t.now
-		t.block(wholeStage, BlockCapacity, shortage)
+		t.block(stageWide, BlockCapacity, shortage)
 		for index := len(t.next.Tasks) - 1; index >= 0 && shortage != nil; index-- {
 			if t.canUncordon(index, group) {
 				t.uncordon(index)
--- a/internal/region/migration/execute/harness_test.go
+++ b/internal/region/migration/execute/harness_test.go
@@ -18,8 +18,8 @@
 	return capacity.Node{ID: id, Kind: capacity.Server, Service: "lm", Zone: "a", Region: "west", Capacity: capacity.Amount{capacity.Slots: 10}}
 }
 
-// twoStages replaces one server with surge in the first stage, and one in place in the second.
-func twoStages() *plan.Plan {
+// twoStagePlan replaces one server with surge in the first stage, and one in place in the second.
+func twoStagePlan() *plan.Plan {
 	times := plan.Times{Start: time.Second, Warm: time.Second, Drain: 5 * time.Second, Linger: time.Second, Stop: time.Second}
 	return &plan.Plan{Stages: []plan.Stage{
 		{Replacements: []plan.Replacement{{Old: server("old-1"), New: server("new-1"), Surge: true, Times: times}}},
@@ -29,26 +29,26 @@
 
 // harness feeds a machine; its store accepts the states that may follow, and its nodes do what the state says.
 type harness struct {
-	t                 *testing.T
-	migrationPlan     *plan.Plan
-	machine           *Machine
-	now               time.Duration
-	stored            *State
-	inFlight          map[string]int
-	migratable        map[string]int
-	nodes             map[string]bool
-	slots             float64 // demand
-	confirmedRevision func() uint64
-	changes           []string
-	requested         []*State // while stores go unanswered
-	storeUnanswered   bool     // stores are neither answered nor carried out
-	unobserved        bool     // no observation is made
+	t                    *testing.T
+	migrationPlan        *plan.Plan
+	machine              *Machine
+	now                  time.Duration
+	stored               *State
+	inFlight             map[string]int
+	migratable           map[string]int
+	nodes                map[string]bool
+	slots                float64 // demand
+	confirmedRevision    func() uint64
+	changes              []string
+	requested            []*State // while stores go unanswered
+	storeUnanswered      bool     // stores are neither answered nor carried out
+	withholdObservations bool     // no observation is made
 }
 
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	h := &harness{
-		t: t, migrationPlan: twoStages(), inFlight: map[string]int{}, migratable: map[string]int{}, slots: 10,
+		t: t, migrationPlan: twoStagePlan(), inFlight: map[string]int{}, migratable: map[string]int{}, slots: 10,
 		nodes: map[string]bool{"old-1": true, "old-2": true, "kept": true},
 	}
 	h.confirmedRevision = func() uint64 { return h.stored.Revision }
@@ -79,22 +79,22 @@
 	}
 }
 
-// run lets time pass until a condition holds; the test fails if it never does.
-func (h *harness) run(until func() bool) {
+// runUntil lets time pass until a condition holds; the test fails if it never does.
+func (h *harness) runUntil(condition func() bool) {
 	h.t.Helper()
 	for range 1000 {
-		if until() {
+		if condition() {
 			return
 		}
-		h.pass()
+		h.advanceTime()
 	}
 	var text bytes.Buffer
 	require.NoError(h.t, WriteProgress(&text, h.migrationPlan, h.stored, h.machine.Blockers()))
 	require.Fail(h.t, "not reached", "%s", text.String())
 }
 
-// pass lets a fifth of a second pass: nodes start and stop, and the machine gets its events.
-func (h *harness) pass() {
+// advanceTime lets a fifth of a second advanceTime: nodes start and stop, and the machine gets its events.
+func (h *harness) advanceTime() {
 	h.now += 200 * time.Millisecond
 	if h.stored != nil {
 		for _, id := range h.stored.Start {
@@ -108,20 +108,20 @@
 	if h.stored != nil {
 		h.feed(Stored{Revision: h.stored.Revision})
 	}
-	if h.stored != nil && !h.unobserved {
+	if h.stored != nil && !h.withholdObservations {
 		h.feed(Observed{Observation: h.observation()})
 	}
 	h.feed(Tick{})
 }
 
 func (h *harness) observation() *Observation {
-	seen := &Observation{Began: h.now, Elapsed: h.now, Nodes: map[string]NodeStatus{}, ConfirmedRevision: h.confirmedRevision()}
+	observation := &Observation{Began: h.now, Elapsed: h.now, Nodes: map[string]NodeStatus{}, ConfirmedRevision: h.confirmedRevision()}
 	for id := range h.nodes {
-		seen.Nodes[id] = NodeStatus{Ready: true, InFlight: h.inFlight[id], Migratable: h.migratable[id]}
-		seen.Fleet = append(seen.Fleet, server(id))
+		observation.Nodes[id] = NodeStatus{Ready: true, InFlight: h.inFlight[id], Migratable: h.migratable[id]}
+		observation.Fleet = append(observation.Fleet, server(id))
 	}
-	seen.Loads = []capacity.Load{{Region: "west", Group: lm, Required: capacity.Amount{capacity.Slots: h.slots}}}
-	return seen
+	observation.Loads = []capacity.Load{{Region: "west", Group: lm, Required: capacity.Amount{capacity.Slots: h.slots}}}
+	return observation
 }
 
 func (h *harness) phase(phase Phase) func() bool {
@@ -134,8 +134,8 @@
 
 func (h *harness) blockedBy(reason BlockReason) func() bool {
 	return func() bool {
-		for _, hold := range h.machine.Blockers() {
-			if hold.Reason == reason {
+		for _, blocker := range h.machine.Blockers() {
+			if blocker.Reason == reason {
 				return true
 			}
 		}
--- a/internal/region/migration/execute/machine_test.go
+++ b/internal/region/migration/execute/machine_test.go
@@ -11,8 +11,8 @@
 func TestRunToTheEnd(t *testing.T) {
 	h := newHarness(t)
 	h.feed(Loaded{})
-	h.run(h.outcome(Done))
-	h.pass()
+	h.runUntil(h.outcome(Done))
+	h.advanceTime()
 	require.Equal(t, []string{
 		"new-1waiting>starting", "new-1starting>warming", "new-1warming>withholding", "new-1withholding>draining",
 		"new-1draining>stopping", "new-1stopping>finished", "running>finished",
@@ -36,58 +36,58 @@
 	h.inFlight["old-1"] = 2
 	h.confirmedRevision = func() uint64 { return 0 }
 	h.feed(Loaded{})
-	h.run(h.phase(Cordoning))
-	h.run(h.blockedBy(BlockUnconfirmed))
+	h.runUntil(h.phase(Cordoning))
+	h.runUntil(h.blockedBy(BlockUnconfirmed))
 	require.Equal(t, []string{"old-1"}, h.stored.Cordoned)
 	h.confirmedRevision = func() uint64 { return h.stored.Revision }
-	h.run(h.phase(Draining))
-	h.run(h.blockedBy(BlockInFlight))
+	h.runUntil(h.phase(Draining))
+	h.runUntil(h.blockedBy(BlockInFlight))
 	require.Empty(t, h.stored.Migrating)
 	h.migratable["old-1"] = 1
-	h.run(func() bool { return len(h.stored.Migrating) == 1 })
+	h.runUntil(func() bool { return len(h.stored.Migrating) == 1 })
 	require.Equal(t, uint64(1), h.machine.Counters().Migrated)
 	h.inFlight["old-1"] = 0
-	h.run(h.outcome(Done))
+	h.runUntil(h.outcome(Done))
 }
 
 func TestUncordonsOnShortage(t *testing.T) {
 	h := newHarness(t)
 	h.inFlight["old-1"] = 1
 	h.feed(Loaded{})
-	h.run(h.phase(Draining))
+	h.runUntil(h.phase(Draining))
 	h.slots = 25 // three servers remain, one of which may be lost
-	h.run(h.phase(Warming))
+	h.runUntil(h.phase(Warming))
 	require.Empty(t, h.stored.Cordoned)
-	h.run(h.blockedBy(BlockCapacity))
+	h.runUntil(h.blockedBy(BlockCapacity))
 	h.slots = 10
-	h.run(h.blockedBy(BlockShortageBackoff))
-	h.run(h.phase(Draining))
+	h.runUntil(h.blockedBy(BlockShortageBackoff))
+	h.runUntil(h.phase(Draining))
 	require.Equal(t, uint64(1), h.machine.Counters().Uncordoned)
 
 	delete(h.nodes, "new-1") // the replacement fails
-	h.run(h.phase(Warming))
+	h.runUntil(h.phase(Warming))
 	h.inFlight["old-1"] = 0
-	h.run(h.outcome(Done))
+	h.runUntil(h.outcome(Done))
 }
 
 func TestPauseAndResume(t *testing.T) {
 	h := newHarness(t)
 	h.feed(Loaded{})
-	h.run(h.phase(Warming))
+	h.runUntil(h.phase(Warming))
 	h.feed(DirectiveSet{Directive: Pause})
 	before := h.stored
-	h.run(h.blockedBy(BlockPaused))
+	h.runUntil(h.blockedBy(BlockPaused))
 	require.Equal(t, before, h.stored)
 	h.feed(DirectiveSet{Directive: Proceed})
-	h.run(h.outcome(Done))
+	h.runUntil(h.outcome(Done))
 }
 
 func TestAbort(t *testing.T) {
 	cases := map[string]struct {
-		at    Phase
-		stage int
-		end   Phase
-		left  map[string]bool
+		at        Phase
+		stage     int
+		end       Phase
+		remaining map[string]bool
 	}{
 		"not begun":        {Starting, 0, RolledBack, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
 		"warming":          {Warming, 0, RolledBack, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
@@ -96,16 +96,16 @@
 		"in place":         {Draining, 1, RolledBack, map[string]bool{"new-1": true, "old-2": true, "kept": true}},
 		"in place, no way": {Starting, 1, Finished, map[string]bool{"new-1": true, "new-2": true, "kept": true}},
 	}
-	for name, one := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
 			h.feed(Loaded{})
-			h.run(func() bool { return h.stored.Stage == one.stage && h.phase(one.at)() })
+			h.runUntil(func() bool { return h.stored.Stage == testCase.stage && h.phase(testCase.at)() })
 			h.feed(DirectiveSet{Directive: Abort})
-			h.run(h.outcome(Aborted))
-			require.Equal(t, one.end, h.stored.Tasks[0].Phase)
-			require.Equal(t, one.left, h.nodes)
-			require.Equal(t, one.stage, h.stored.Stage)
+			h.runUntil(h.outcome(Aborted))
+			require.Equal(t, testCase.end, h.stored.Tasks[0].Phase)
+			require.Equal(t, testCase.remaining, h.nodes)
+			require.Equal(t, testCase.stage, h.stored.Stage)
 		})
 	}
 }
@@ -113,7 +113,7 @@
 func TestAnotherMachineTakesOver(t *testing.T) {
 	h := newHarness(t)
 	h.feed(Loaded{})
-	h.run(h.phase(Warming))
+	h.runUntil(h.phase(Warming))
 	first := h.machine
 	h.machine = h.newMachine("two")
 	before := h.stored
@@ -125,22 +125,22 @@
 	h.storeUnanswered = true
 	second := h.machine
 	h.machine = first
-	h.run(func() bool { return len(h.requested) > 0 })
+	h.runUntil(func() bool { return len(h.requested) > 0 })
 	require.Error(t, CheckTransition(h.stored, h.requested[0], h.migrationPlan), "it was overtaken")
 	h.feed(Rejected{Current: h.stored})
 	require.True(t, first.Fenced())
 	require.Empty(t, first.Step(h.now+time.Minute, Tick{}))
 
 	h.machine, h.storeUnanswered = second, false
-	h.run(h.outcome(Done))
+	h.runUntil(h.outcome(Done))
 }
 
 func TestClaimsAgainAfterPredecessorsLastWrite(t *testing.T) {
 	h := newHarness(t)
 	h.feed(Loaded{})
-	h.run(h.phase(Warming))
+	h.runUntil(h.phase(Warming))
 	old := h.stored
-	h.run(h.phase(Draining))
+	h.runUntil(h.phase(Draining))
 	h.machine, h.storeUnanswered = h.newMachine("two"), true
 	h.feed(Loaded{State: old})
 	require.Len(t, h.requested, 1)
@@ -163,8 +163,8 @@
 
 	h = newHarness(t)
 	h.feed(Loaded{})
-	h.unobserved = true
-	h.run(h.blockedBy(BlockNoObservation))
+	h.withholdObservations = true
+	h.runUntil(h.blockedBy(BlockNoObservation))
 	require.Equal(t, uint64(1), h.stored.Revision)
 }
 
@@ -178,11 +178,11 @@
 	h.feed(Loaded{State: h.stored})
 	require.Equal(t, uint64(10), h.stored.Revision)
 	require.Equal(t, uint64(5), h.stored.Epoch)
-	h.run(h.outcome(Done))
+	h.runUntil(h.outcome(Done))
 
 	h.machine = h.newMachine("later")
 	before := h.stored
 	h.feed(Loaded{State: h.stored})
-	h.pass()
+	h.advanceTime()
 	require.Equal(t, before, h.stored, "an ended run is left alone")
 }
--- a/internal/region/migration/execute/phases.go
+++ b/internal/region/migration/execute/phases.go
@@ -25,11 +25,11 @@
 // mayBegin reports whether the time of the stage has come and the run is not paused.
 func (t *transition) mayBegin() bool {
 	if t.directive == Pause {
-		t.block(wholeStage, BlockPaused, nil)
+		t.block(stageWide, BlockPaused, nil)
 		return false
 	}
 	if t.observation.Elapsed < t.config.Plan.Stages[t.state.Stage].Begin {
-		t.block(wholeStage, BlockTooEarly, nil)
+		t.block(stageWide, BlockTooEarly, nil)
 		return false
 	}
 	return true
--- a/internal/region/migration/execute/transition.go
+++ b/internal/region/migration/execute/transition.go
@@ -26,7 +26,7 @@
 		}
 		t.finishStage()
 	} else {
-		m.block(wholeStage, BlockNoObservation, nil)
+		m.block(stageWide, BlockNoObservation, nil)
 	}
 	if t.changed {
 		m.propose(t.next)
--- a/internal/region/migration/execute/transitioncheck.go
+++ b/internal/region/migration/execute/transitioncheck.go
@@ -56,7 +56,7 @@
 	}
 	switch {
 	case before.Plan != after.Plan:
-		return checkBeginning(before, after)
+		return checkFirstState(before, after)
 	case before.Outcome.Ended():
 		return transitionErrorf("the run has ended")
 	case before.Outcome == Aborting && after.Outcome != Aborting && after.Outcome != Aborted:
@@ -70,8 +70,8 @@
 // checkOwner checks that a state continues the epoch in force or begins the next one.
 func checkOwner(before, after *State) error {
 	claims := after.Epoch == before.Epoch+1
-	goesOn := after.Epoch == before.Epoch && after.Owner == before.Owner
-	if after.Owner == "" || !claims && !goesOn {
+	continues := after.Epoch == before.Epoch && after.Owner == before.Owner
+	if after.Owner == "" || !claims && !continues {
 		return transitionErrorf("epoch %d of %q does not follow epoch %d of %q", after.Epoch, after.Owner, before.Epoch, before.Owner)
 	}
 	return nil
@@ -91,17 +91,17 @@
 	}
 	derived := state.clone()
 	derived.derive(migrationPlan)
-	same := slices.Equal(derived.Cordoned, state.Cordoned) && slices.Equal(derived.Migrating, state.Migrating) &&
+	consistent := slices.Equal(derived.Cordoned, state.Cordoned) && slices.Equal(derived.Migrating, state.Migrating) &&
 		slices.Equal(derived.Start, state.Start) && slices.Equal(derived.Stop, state.Stop) &&
 		slices.Equal(derived.Swaps, state.Swaps)
-	if !same {
+	if !consistent {
 		return transitionErrorf("what is to be carried out does not follow from the tasks")
 	}
 	return nil
 }
 
-// checkBeginning checks the first state of a run.
-func checkBeginning(before, after *State) error {
+// checkFirstState checks the first state of a run.
+func checkFirstState(before, after *State) error {
 	if before.Plan != "" && !before.Outcome.Ended() {
 		return transitionErrorf("another plan is under way")
 	}
@@ -128,12 +128,12 @@
 func checkTasks(before, after *State, migrationPlan *plan.Plan) error {
 	for index, task := range after.Tasks {
 		replacement := &migrationPlan.Stages[after.Stage].Replacements[index]
-		steps := inPlaceTransitions
+		transitions := inPlaceTransitions
 		if replacement.Surge {
-			steps = surgeTransitions
+			transitions = surgeTransitions
 		}
 		from := before.Tasks[index].Phase
-		if task.Phase != from && !slices.Contains(steps[from], task.Phase) {
+		if task.Phase != from && !slices.Contains(transitions[from], task.Phase) {
 			return transitionErrorf("%s cannot go from %s to %s", replacement.Old.ID, from, task.Phase)
 		}
 		if after.Outcome == Aborted && task.Phase != Finished && task.Phase != RolledBack {
--- a/internal/region/migration/execute/transitioncheck_test.go
+++ b/internal/region/migration/execute/transitioncheck_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestCheckTransition(t *testing.T) {
-	migrationPlan := twoStages()
+	migrationPlan := twoStagePlan()
 	base := &State{Plan: "plan", Epoch: 1, Owner: "one", Revision: 5, Outcome: Running, Tasks: []Task{{Phase: Warming}}}
 	base.derive(migrationPlan)
 	cases := map[string]struct {
@@ -28,22 +28,22 @@
 		"ends early":       {func(s *State) { s.Outcome = Aborted }, "old-1 is warming at the end of an abort"},
 		"is of another":    {func(s *State) { s.Plan = "other" }, "another plan is under way"},
 	}
-	for name, one := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
 			next := base.clone()
 			next.Revision++
-			one.change(next)
+			testCase.change(next)
 			if next.Stage < len(migrationPlan.Stages) {
 				next.derive(migrationPlan)
 			}
 			err := CheckTransition(base, next, migrationPlan)
-			if one.reason == "" {
+			if testCase.reason == "" {
 				require.NoError(t, err)
 				return
 			}
 			var transitionError *TransitionError
 			require.True(t, errors.As(err, &transitionError), "%v", err)
-			require.Contains(t, err.Error(), one.reason)
+			require.Contains(t, err.Error(), testCase.reason)
 		})
 	}
 	tampered := base.clone()
