--- a/internal/region/migration/execute/capacity.go
+++ b/internal/region/migration/execute/capacity.go
@@ -7,7 +7,8 @@
 	"fieldrelay/internal/region/migration/plan"
 )
 
-// mayCordon reports whether the old node of a task can be spared now, with the headroom of the plan.
+// mayCordon reports whether the old node of a task can be cordoned now: without it the headroom of the plan remains, or the
+// voters permit the exchange of the core machine.
 func (t *transition) mayCordon(index int) bool {
 	replacement := t.replacement(index)
 	if replacement.Old.Kind == capacity.Core {
@@ -16,7 +17,7 @@
 	return t.canSpare(index, &replacement.Old, t.config.Headroom)
 }
 
-// mayDrainNew reports whether the new node of a task can be spared for a rollback. No margin is required.
+// mayDrainNew reports whether the new node of a task can be cordoned now for a rollback. The margin is not required.
 func (t *transition) mayDrainNew(index int) bool {
 	replacement := t.replacement(index)
 	if replacement.New.Kind == capacity.Core {
@@ -25,15 +26,15 @@
 	return t.canSpare(index, &replacement.New, t.withoutMargin())
 }
 
-// withoutMargin returns the headroom without its margin for bursts.
+// withoutMargin returns the headroom of the plan without its margin for bursts.
 func (t *transition) withoutMargin() capacity.Headroom {
 	headroom := t.config.Headroom
 	headroom.Margin = 0
 	return headroom
 }
 
-// canSpare reports whether the other nodes serve the demand without a node, and prefill anew what was cached there. A
-// node that does not serve can always be spared.
+// canSpare reports whether the other nodes can serve the demand without a node, including the repeated prefill of the
+// prefixes that are cached there. A node that does not serve can always be spared.
 func (t *transition) canSpare(index int, node *capacity.Node, headroom capacity.Headroom) bool {
 	if !slices.ContainsFunc(t.observation.Fleet, func(candidate capacity.Node) bool { return candidate.ID == node.ID }) {
 		return true
@@ -65,15 +66,15 @@
 	return derived.Cordoned
 }
 
-// serving returns the nodes that get new requests while some are cordoned.
+// serving returns the observed nodes without the cordoned ones.
 func (t *transition) serving(cordoned []string) []capacity.Node {
 	return slices.DeleteFunc(slices.Clone(t.observation.Fleet), func(node capacity.Node) bool {
 		return slices.Contains(cordoned, node.ID)
 	})
 }
 
-// isLast reports whether a node is the last of its group that serves in its zone, and the zone is to keep one: new nodes of
-// the plan are in it.
+// isLast reports whether no other node of the group serves in the zone of a node, although the zone is to keep one: the
+// plan has a new node of the group in it.
 func (t *transition) isLast(node *capacity.Node, serving []capacity.Node) bool {
 	sameZone := func(other *capacity.Node) bool { return other.Group() == node.Group() && other.Zone == node.Zone }
 	if slices.ContainsFunc(serving, func(other capacity.Node) bool { return sameZone(&other) }) {
@@ -87,8 +88,8 @@
 	return false
 }
 
-// resolveShortages uncordons nodes, the last task first, for as long as their group is short of capacity without the
-// margin. It does not ask which of them helps: no capacity is taken from a group that is short anywhere.
+// resolveShortages uncordons nodes, the last task first, as long as their group is short of capacity even without the
+// margin. It does not check which node would help, since a group with any shortage must not give up capacity.
 func (t *transition) resolveShortages() {
 	for _, group := range t.groups() {
 		shortage := t.shortage(group)
@@ -106,12 +107,12 @@
 	}
 }
 
-// shortage returns the shortage of a group in the next state, without the margin, or nil.
+// shortage returns the worst shortage of a group in the next state, without the margin, or nil.
 func (t *transition) shortage(group capacity.Group) *capacity.Shortage {
 	return t.withoutMargin().Check(group, t.serving(t.cordoned()), t.observation.Loads)
 }
 
-// groups returns the groups of serving nodes of which the stage replaces some.
+// groups returns the groups, except core machines, of the nodes that the stage replaces.
 func (t *transition) groups() []capacity.Group {
 	var groups []capacity.Group
 	for index := range t.next.Tasks {
--- a/internal/region/migration/execute/confirm.go
+++ b/internal/region/migration/execute/confirm.go
@@ -6,7 +6,7 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// confirm records which cordons have come into force at all proxies.
+// confirm records the time at which the cordon of each task was first observed in force.
 func (t *transition) confirm() {
 	for index, task := range t.state.Tasks {
 		if t.confirmedAt[index] == 0 && t.isConfirmed(index, task) {
@@ -15,8 +15,8 @@
 	}
 }
 
-// isConfirmed reports whether a task's cordon is in force. Of core machines, the view in force says so: the votes are
-// exchanged.
+// isConfirmed reports whether the cordon of a task is in force: at all proxies or, for core machines, by the exchange of
+// their votes in the view in force.
 func (t *transition) isConfirmed(index int, task Task) bool {
 	switch task.Phase {
 	case Cordoning, Draining, RollbackDraining:
--- a/internal/region/migration/execute/epoch.go
+++ b/internal/region/migration/execute/epoch.go
@@ -4,13 +4,14 @@
 	"time"
 )
 
-// adopt takes over a state that another machine may have written.
+// adopt makes a state that another Machine may have written the acknowledged state.
 func (m *Machine) adopt(state *State) {
 	m.state = state
 	m.pending = nil
 	m.resetTimers()
 }
 
+// acknowledged handles the acknowledgement of the pending state.
 func (m *Machine) acknowledged(revision uint64) {
 	if m.pending == nil || m.pending.Revision != revision {
 		return
@@ -22,8 +23,8 @@
 	m.reportChanges(before)
 }
 
-// rejected handles that another state is in place than the expected one: either another machine owns the role now, or an
-// earlier one stored a last state before this one began its epoch.
+// rejected handles the rejection of the pending state. Either another Machine owns the singleton role now, or the previous
+// owner stored a last state before this Machine began its epoch.
 func (m *Machine) rejected(current *State) {
 	if m.pending == nil || current == nil {
 		return
@@ -36,10 +37,10 @@
 	m.adopt(current)
 }
 
-// ownsEpoch reports whether the acknowledged state is of this machine's epoch.
+// ownsEpoch reports whether the acknowledged state belongs to this Machine's epoch.
 func (m *Machine) ownsEpoch() bool { return m.state != nil && m.state.Owner == m.config.Owner }
 
-// claim begins an epoch of this machine. It changes nothing else, unless the run is a new one.
+// claim begins an epoch of this Machine. It changes nothing else of the run, unless the run is new.
 func (m *Machine) claim() {
 	next := &State{Plan: m.config.Digest, Outcome: Running}
 	switch {
@@ -52,7 +53,7 @@
 	case m.state.Outcome.Ended():
 		next.Epoch, next.Revision = m.state.Epoch, m.state.Revision
 		next.enter(0, m.config.Plan)
-	default: // a run of another plan is under way
+	default: // a run of another plan has not ended
 		m.fenced = true
 		return
 	}
@@ -74,8 +75,8 @@
 	m.actions = append(m.actions, Store{State: m.pending})
 }
 
-// resetTimers starts the timers of all tasks anew. A machine that takes over waits in full for what its predecessor may
-// have waited for already: it knows nothing of that.
+// resetTimers restarts the timers of all tasks. A Machine that takes over waits for the full times, since it does not know
+// for how long its predecessor has waited.
 func (m *Machine) resetTimers() {
 	count := 0
 	if m.state != nil {
--- a/internal/region/migration/execute/harness_test.go
+++ b/internal/region/migration/execute/harness_test.go
@@ -27,7 +27,8 @@
 	}}
 }
 
-// harness feeds a machine; its store accepts the states that may follow, and its nodes do what the state says.
+// harness feeds a Machine with events. Its store accepts valid transitions, and its nodes start and stop as the stored
+// state says.
 type harness struct {
 	t                    *testing.T
 	migrationPlan        *plan.Plan
@@ -37,12 +38,12 @@
 	inFlight             map[string]int
 	migratable           map[string]int
 	nodes                map[string]bool
-	slots                float64 // demand
+	slots                float64 // demand in slots
 	confirmedRevision    func() uint64
 	changes              []string
-	requested            []*State // while stores go unanswered
-	storeUnanswered      bool     // stores are neither answered nor carried out
-	withholdObservations bool     // no observation is made
+	requested            []*State // states requested while storeUnanswered
+	storeUnanswered      bool     // Store actions are neither carried out nor answered
+	withholdObservations bool     // the Machine gets no observations
 }
 
 func newHarness(t *testing.T) *harness {
@@ -79,7 +80,7 @@
 	}
 }
 
-// runUntil lets time pass until a condition holds; the test fails if it never does.
+// runUntil lets time pass until a condition holds, and fails the test after 1000 steps.
 func (h *harness) runUntil(condition func() bool) {
 	h.t.Helper()
 	for range 1000 {
@@ -90,10 +91,10 @@
 	}
 	var text bytes.Buffer
 	require.NoError(h.t, WriteProgress(&text, h.migrationPlan, h.stored, h.machine.Blockers()))
-	require.Fail(h.t, "not reached", "%s", text.String())
+	require.Fail(h.t, "condition not met within 1000 steps", "%s", text.String())
 }
 
-// advanceTime lets a fifth of a second advanceTime: nodes start and stop, and the machine gets its events.
+// advanceTime lets 200 ms pass: nodes start and stop, and the Machine gets its events.
 func (h *harness) advanceTime() {
 	h.now += 200 * time.Millisecond
 	if h.stored != nil {
--- a/internal/region/migration/execute/machine.go
+++ b/internal/region/migration/execute/machine.go
@@ -7,41 +7,41 @@
 	"fieldrelay/internal/region/migration/plan"
 )
 
-// Config is what a Machine is created with.
+// Config is the configuration of a Machine.
 type Config struct {
 	Plan     *plan.Plan
-	Digest   string // of the plan
-	Owner    string // another one after each start
+	Digest   string // digest of the plan file
+	Owner    string // unique name of this Machine, different after each start
 	Headroom capacity.Headroom
-	// MaxObservationAge is the age up to which an observation is acted on.
+	// MaxObservationAge is the largest age of an observation on which the Machine acts.
 	MaxObservationAge time.Duration
-	// ShortageBackoff is the time after a shortage in which no further capacity is taken away.
+	// ShortageBackoff is the time after a shortage during which no further capacity is removed.
 	ShortageBackoff time.Duration
 	// StoreRetryInterval is the time after which an unanswered Store is repeated.
 	StoreRetryInterval time.Duration
-	// MaxStartDelay is the longest time from reading the state that asks for a node until the node has started.
+	// MaxStartDelay is the longest time from reading a state that names a node in Start until the node has started.
 	MaxStartDelay time.Duration
 }
 
-// Machine executes a plan for one control machine while that owns the singleton role. It is a state machine without I/O,
-// clock or goroutine, and is not safe for concurrent use.
+// Machine executes a plan for a control machine that owns the singleton role. It is a state machine without I/O, a clock or
+// goroutines, and is not safe for concurrent use.
 type Machine struct {
 	config Config
 
 	loaded           bool
-	state            *State // acknowledged; nil before the first
-	pending          *State // to be stored, not yet acknowledged; nil if there is none
+	state            *State // newest acknowledged state; nil before the first
+	pending          *State // requested state that is not yet acknowledged; nil if there is none
 	storeRequestedAt time.Duration
 	fenced           bool
 	directive        Directive
-	inputChanged     bool // since the last search for a next state
+	inputChanged     bool // an event other than Tick changed the input since the last search for a next state
 
 	now            time.Duration
 	observation    *Observation
 	hadShortage    bool
-	lastShortageAt time.Duration   // if hadShortage
-	enteredAt      []time.Duration // by task: when its phase was acknowledged
-	confirmedAt    []time.Duration // by task: when its cordon was seen in force at all proxies; 0: not yet
+	lastShortageAt time.Duration   // time of the last shortage, if hadShortage
+	enteredAt      []time.Duration // time at which the phase of each task was acknowledged
+	confirmedAt    []time.Duration // time at which the cordon of each task was observed in force at all proxies; 0: not yet
 	blockers       []Blocker
 	counters       Counters
 	actions        []Action
@@ -49,17 +49,18 @@
 
 // Counters are totals since the start of the machine.
 type Counters struct {
-	Stored     uint64 // states acknowledged
-	Rejected   uint64 // states rejected
-	Cordoned   uint64 // nodes cordoned
-	Uncordoned uint64 // nodes that serve again because of a shortage, an abort or a failed replacement
-	Migrated   uint64 // nodes whose streams were to be resumed elsewhere
+	Stored     uint64 // acknowledged states
+	Rejected   uint64 // rejected states
+	Cordoned   uint64 // cordons of nodes
+	Uncordoned uint64 // cordons lifted because of a shortage, an abort or a failed replacement
+	Migrated   uint64 // nodes whose streams were ordered to be resumed elsewhere
 }
 
-// NewMachine returns a machine that waits for Loaded.
+// NewMachine returns a Machine that does nothing until it gets the event Loaded.
 func NewMachine(config Config) *Machine { return &Machine{config: config} }
 
-// Fenced reports whether another machine has taken over. A fenced machine does nothing more.
+// Fenced reports whether another Machine has taken over, or a run of another plan is in progress. A fenced Machine ignores
+// all events.
 func (m *Machine) Fenced() bool { return m.fenced }
 
 // State returns the newest acknowledged state; nil before the first.
@@ -68,7 +69,7 @@
 // Counters returns the totals since the start.
 func (m *Machine) Counters() Counters { return m.counters }
 
-// Step handles an event and returns what is to be done. now is the time of a monotonic clock.
+// Step handles an event and returns the resulting actions. now is the time of a monotonic clock.
 func (m *Machine) Step(now time.Duration, event Event) []Action {
 	m.now = now
 	m.actions = nil
@@ -96,14 +97,14 @@
 	return m.actions
 }
 
-// observe keeps the newest observation; they may arrive out of order.
+// observe keeps the newest observation. Observations may arrive out of order.
 func (m *Machine) observe(observation *Observation) {
 	if m.observation == nil || observation.Began > m.observation.Began {
 		m.observation = observation
 	}
 }
 
-// proceed requests the next state, if there is one to request.
+// proceed claims the epoch, repeats an unanswered Store or looks for a next state, whichever is due.
 func (m *Machine) proceed() {
 	switch {
 	case !m.loaded:
@@ -119,6 +120,7 @@
 	}
 }
 
+// replacement returns the replacement of a task of the current stage.
 func (m *Machine) replacement(index int) *plan.Replacement {
 	return &m.config.Plan.Stages[m.state.Stage].Replacements[index]
 }
--- a/internal/region/migration/execute/machine_test.go
+++ b/internal/region/migration/execute/machine_test.go
@@ -19,7 +19,7 @@
 		"new-2waiting>withholding", "new-2withholding>draining", "new-2draining>stopping", "new-2stopping>starting",
 		"new-2starting>warming", "new-2warming>finished", "running>done", "running>finished",
 	}, h.changes)
-	require.Greater(t, h.now, 20*time.Second, "the second stage has its hour")
+	require.Greater(t, h.now, 20*time.Second, "the second stage begins at 20 s")
 	require.Equal(t, map[string]bool{"new-1": true, "new-2": true, "kept": true}, h.nodes)
 	require.Equal(t, []string{"old-1", "old-2"}, h.stored.Cordoned)
 	require.Equal(t, uint64(2), h.machine.Counters().Cordoned)
@@ -28,7 +28,7 @@
 	require.Equal(t, "done: stage 2 of 2\n", text.String())
 	text.Reset()
 	require.NoError(t, WriteProgress(&text, h.migrationPlan, nil, []Blocker{{Old: "old-1", Reason: BlockInFlight}}))
-	require.Equal(t, "not begun\n  waits: old-1: replies are still in generation\n", text.String())
+	require.Equal(t, "not started\n  blocked: old-1: requests are still in flight\n", text.String())
 }
 
 func TestWaitsForConfirmationAndInFlightRequests(t *testing.T) {
@@ -64,7 +64,7 @@
 	h.runUntil(h.phase(Draining))
 	require.Equal(t, uint64(1), h.machine.Counters().Uncordoned)
 
-	delete(h.nodes, "new-1") // the replacement fails
+	delete(h.nodes, "new-1") // the new node fails
 	h.runUntil(h.phase(Warming))
 	h.inFlight["old-1"] = 0
 	h.runUntil(h.outcome(Done))
@@ -89,12 +89,12 @@
 		end       Phase
 		remaining map[string]bool
 	}{
-		"not begun":        {Starting, 0, RolledBack, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
-		"warming":          {Warming, 0, RolledBack, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
-		"draining":         {Draining, 0, RolledBack, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
-		"released":         {Stopping, 0, Finished, map[string]bool{"new-1": true, "old-2": true, "kept": true}},
-		"in place":         {Draining, 1, RolledBack, map[string]bool{"new-1": true, "old-2": true, "kept": true}},
-		"in place, no way": {Starting, 1, Finished, map[string]bool{"new-1": true, "new-2": true, "kept": true}},
+		"new node not started":        {Starting, 0, RolledBack, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
+		"warming":                     {Warming, 0, RolledBack, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
+		"draining":                    {Draining, 0, RolledBack, map[string]bool{"old-1": true, "old-2": true, "kept": true}},
+		"old node released":           {Stopping, 0, Finished, map[string]bool{"new-1": true, "old-2": true, "kept": true}},
+		"in place":                    {Draining, 1, RolledBack, map[string]bool{"new-1": true, "old-2": true, "kept": true}},
+		"in place, old node released": {Starting, 1, Finished, map[string]bool{"new-1": true, "new-2": true, "kept": true}},
 	}
 	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -126,7 +126,7 @@
 	second := h.machine
 	h.machine = first
 	h.runUntil(func() bool { return len(h.requested) > 0 })
-	require.Error(t, CheckTransition(h.stored, h.requested[0], h.migrationPlan), "it was overtaken")
+	require.Error(t, CheckTransition(h.stored, h.requested[0], h.migrationPlan), "the first machine was superseded")
 	h.feed(Rejected{Current: h.stored})
 	require.True(t, first.Fenced())
 	require.Empty(t, first.Step(h.now+time.Minute, Tick{}))
@@ -159,7 +159,7 @@
 	require.Len(t, h.requested, 2)
 	require.Equal(t, h.requested[0], h.requested[1])
 	h.feed(Stored{Revision: 7})
-	require.Nil(t, h.machine.State(), "that was another one")
+	require.Nil(t, h.machine.State(), "an acknowledgement of another revision is ignored")
 
 	h = newHarness(t)
 	h.feed(Loaded{})
@@ -184,5 +184,5 @@
 	before := h.stored
 	h.feed(Loaded{State: h.stored})
 	h.advanceTime()
-	require.Equal(t, before, h.stored, "an ended run is left alone")
+	require.Equal(t, before, h.stored, "an ended run is not changed")
 }
--- a/internal/region/migration/execute/phases.go
+++ b/internal/region/migration/execute/phases.go
@@ -4,7 +4,8 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// waiting begins the replacement: with surge by starting the new node, in place by cordoning the old one.
+// waiting begins the replacement: with surge by starting the new node, in place by cordoning the old
+// one.
 func (t *transition) waiting(index int) {
 	if t.aborting() {
 		t.enter(index, RolledBack)
@@ -22,7 +23,7 @@
 	}
 }
 
-// mayBegin reports whether the time of the stage has come and the run is not paused.
+// mayBegin reports whether the begin of the stage has been reached and the run is not paused.
 func (t *transition) mayBegin() bool {
 	if t.directive == Pause {
 		t.block(stageWide, BlockPaused, nil)
@@ -49,8 +50,8 @@
 	t.blockIfLate(index, BlockNotStarted, replacement.Times.Start)
 }
 
-// warming waits for the new node to be ready. With surge the old node is cordoned then, if it can be spared; in place the
-// replacement is finished.
+// warming waits for the new node to be ready. With surge the old node is then cordoned, if it can be spared; in place, the
+// replacement is then finished.
 func (t *transition) warming(index int) {
 	replacement := t.replacement(index)
 	status, _ := t.status(replacement.New.ID)
@@ -70,11 +71,12 @@
 	}
 }
 
-// mustRollBack reports whether a node that is cordoned, but not yet released, has to serve again.
+// mustRollBack reports whether the old node of a task, which is cordoned but not yet released, has to serve again: the run
+// aborts, or the new node of a surge replacement is not ready. An old node that is absent cannot serve.
 func (t *transition) mustRollBack(index int) bool {
 	replacement := t.replacement(index)
 	if _, present := t.status(replacement.Old.ID); !present {
-		return false // it has failed meanwhile
+		return false // the old node has failed
 	}
 	if t.aborting() {
 		return true
@@ -96,7 +98,7 @@
 	t.blockIfLate(index, BlockUnconfirmed, 0)
 }
 
-// draining waits until the old node is idle, and releases it. This is the last phase that can be rolled back.
+// draining waits until the old node is idle, and releases it. Draining is the last phase that can be rolled back.
 func (t *transition) draining(index int) {
 	if t.mustRollBack(index) {
 		t.uncordon(index)
@@ -119,16 +121,17 @@
 	t.enter(index, Stopping)
 }
 
-// idle reports whether no request is on the cordoned node of a task, nor on its way to it: all proxies have confirmed the
-// cordon, a request sent before has had the time to arrive, and an observation begun after that counted none.
+// idle reports whether no request is in progress on the cordoned node of a task or in flight to it: all proxies have
+// confirmed the cordon, requests sent before have had the time to arrive, and an observation begun after that counted no
+// request.
 func (t *transition) idle(index int, status NodeStatus) bool {
 	confirmed := t.confirmedAt[index]
 	linger := t.replacement(index).Times.Linger
 	return confirmed > 0 && t.observation.Began >= confirmed+linger && status.InFlight == 0
 }
 
-// migrateIfLate lets resumable streams be resumed elsewhere if a node takes longer to drain than the longest response
-// should.
+// migrateIfLate orders resumable streams to be resumed elsewhere if a node drains longer than the longest response was
+// expected to take.
 func (t *transition) migrateIfLate(index int, status NodeStatus) {
 	replacement := t.replacement(index)
 	limit := replacement.Times.Drain + replacement.Times.Linger
@@ -143,7 +146,7 @@
 	}
 }
 
-// stopping waits until the old node is gone.
+// stopping waits until the old node has stopped.
 func (t *transition) stopping(index int) {
 	replacement := t.replacement(index)
 	if _, present := t.status(replacement.Old.ID); present {
@@ -157,7 +160,7 @@
 	t.enter(index, Starting)
 }
 
-// rollbackDraining waits until the new node is idle or gone.
+// rollbackDraining waits until the new node is idle or has stopped.
 func (t *transition) rollbackDraining(index int) {
 	status, present := t.status(t.replacement(index).New.ID)
 	if !present || t.idle(index, status) {
@@ -167,8 +170,8 @@
 	t.blockIfLate(index, BlockInFlight, t.replacement(index).Times.Drain)
 }
 
-// rollbackStopping ends when the new node is gone, and only after a start that was requested earlier would have shown:
-// otherwise it could come up afterwards.
+// rollbackStopping waits until the new node has stopped, and at least for MaxStartDelay: until then a start that was
+// requested earlier may still bring the node up.
 func (t *transition) rollbackStopping(index int) {
 	_, present := t.status(t.replacement(index).New.ID)
 	if !present && t.observation.Began >= t.enteredAt[index]+t.config.MaxStartDelay {
--- a/internal/region/migration/execute/progress.go
+++ b/internal/region/migration/execute/progress.go
@@ -8,12 +8,12 @@
 	"fieldrelay/internal/region/migration/plan"
 )
 
-// WriteProgress writes the progress of a run and what it waits for, as text for an operator. state is nil before the first
-// was stored. The error is that of the writer.
+// WriteProgress writes the progress of a run and its blockers as text for operators. state is nil if none has been stored
+// yet. The error is that of the writer.
 func WriteProgress(output io.Writer, migrationPlan *plan.Plan, state *State, blockers []Blocker) error {
 	text := &strings.Builder{}
 	if state == nil {
-		text.WriteString("not begun\n")
+		text.WriteString("not started\n")
 	} else {
 		stages := len(migrationPlan.Stages)
 		fmt.Fprintf(text, "%s: stage %d of %d\n", state.Outcome, min(state.Stage+1, stages), stages)
@@ -23,7 +23,7 @@
 		}
 	}
 	for _, blocker := range blockers {
-		fmt.Fprintf(text, "  waits: %s\n", blocker)
+		fmt.Fprintf(text, "  blocked: %s\n", blocker)
 	}
 	_, err := io.WriteString(output, text.String())
 	return err
--- a/internal/region/migration/execute/report.go
+++ b/internal/region/migration/execute/report.go
@@ -1,6 +1,6 @@
 package execute
 
-// reportChanges reports the changes since the last acknowledged state, and starts the timers of new phases.
+// reportChanges reports the changes from the previous acknowledged state, and starts the timers of new phases.
 func (m *Machine) reportChanges(before *State) {
 	if before == nil || before.Plan != m.state.Plan {
 		m.resetTimers()
--- a/internal/region/migration/execute/state.go
+++ b/internal/region/migration/execute/state.go
@@ -7,20 +7,20 @@
 	"fieldrelay/internal/region/migration/plan"
 )
 
-// Phase is how far a replacement has come. The values are part of the stored state.
+// Phase is the phase of a replacement. The values are part of the stored state.
 type Phase string
 
 // The phases of a replacement, in their order. With surge the new node is started and warmed up before the old one is
-// cordoned; in place it is started after the old one is gone.
+// cordoned; in place, the new node is started after the old one has stopped.
 const (
 	Waiting          Phase = "waiting"
 	Starting         Phase = "starting"    // the new node is to be started
 	Warming          Phase = "warming"     // the new node runs, but has not warmed up or caught up yet
-	Cordoning        Phase = "withholding" // the old node is to get no new requests, until all proxies have confirmed it
-	Draining         Phase = "draining"    // until the old node's last response has ended
-	Stopping         Phase = "stopping"    // the old node may be stopped; there is no rollback from here on
+	Cordoning        Phase = "withholding" // the old node is cordoned, but not all proxies have confirmed the cordon
+	Draining         Phase = "draining"    // the cordon is confirmed, but the old node's last response has not ended
+	Stopping         Phase = "stopping"    // the old node may be stopped; from this phase on there is no rollback
 	Finished         Phase = "finished"
-	RollbackDraining Phase = "emptying" // rollback: the new node is to get no new requests, until none is in flight
+	RollbackDraining Phase = "emptying" // rollback: the new node is cordoned, and requests may be in flight
 	RollbackStopping Phase = "removing" // rollback: the new node may be stopped
 	RolledBack       Phase = "returned" // the old node serves as before
 )
@@ -31,7 +31,7 @@
 // The outcomes.
 const (
 	Running  Outcome = "running"
-	Aborting Outcome = "aborting" // what can be rolled back is, the rest is finished
+	Aborting Outcome = "aborting" // tasks that can be rolled back are rolled back, the others are finished
 	Aborted  Outcome = "aborted"
 	Done     Outcome = "done"
 )
@@ -42,34 +42,35 @@
 // Task is one replacement of the current stage.
 type Task struct {
 	Phase Phase `json:"phase"`
-	// Since is the revision of the state that cordoned a node in this phase; proxies confirm this revision or a later one.
+	// Since is the revision of the state that cordoned the node of the task, in the phases Cordoning, Draining and
+	// RollbackDraining; otherwise 0. Proxies confirm the cordon by reporting this revision or a later one.
 	Since     uint64 `json:"since,omitempty"`
 	Migrating bool   `json:"moving,omitempty"` // the old node's resumable streams are to be resumed elsewhere
 }
 
-// Swap says which of two core machines is to vote and which is not. It is carried out in one view change, once the one
-// that is to vote holds the control state. Either side may be empty.
+// Swap names the core machine that is to vote (In) and the one that is not (Out). It is carried out in one view change,
+// once the machine that is to vote holds the control state. Either may be empty.
 type Swap struct {
 	Out string `json:"out,omitempty"`
 	In  string `json:"in,omitempty"`
 }
 
 // State is the stored state of a run, an item of the control state. Proxies, edge directories, the platform and the voters
-// read it and act on it. It is immutable once it was handed out. The JSON keys are a stored format.
+// read it and act on it. A State is immutable once it was passed to a caller. The JSON keys are a stored format.
 type State struct {
-	Plan     string  `json:"plan"` // digest of the plan
+	Plan     string  `json:"plan"` // digest of the plan file
 	Epoch    uint64  `json:"epoch"`
-	Owner    string  `json:"owner"` // the machine whose epoch it is; another one after each start
+	Owner    string  `json:"owner"` // Config.Owner of the Machine that began the epoch
 	Revision uint64  `json:"revision"`
 	Outcome  Outcome `json:"outcome"`
-	Stage    int     `json:"stage"` // index
-	Tasks    []Task  `json:"tasks"` // of the stage
-
-	// Derived from the tasks, for those who act on it; ids of nodes.
-	Cordoned  []string `json:"withheld,omitempty"` // get no new requests
-	Migrating []string `json:"moving,omitempty"`   // their resumable streams are resumed elsewhere
-	Start     []string `json:"start,omitempty"`    // are to be running
-	Stop      []string `json:"stop,omitempty"`     // may be stopped
+	Stage    int     `json:"stage"` // index of the current stage
+	Tasks    []Task  `json:"tasks"` // one for each replacement of the stage
+
+	// The following fields are derived from the tasks, for the components that act on them. They contain IDs of nodes.
+	Cordoned  []string `json:"withheld,omitempty"` // nodes that get no new requests
+	Migrating []string `json:"moving,omitempty"`   // nodes whose resumable streams are resumed elsewhere
+	Start     []string `json:"start,omitempty"`    // nodes that are to be running
+	Stop      []string `json:"stop,omitempty"`     // nodes that may be stopped
 	Swaps     []Swap   `json:"swaps,omitempty"`
 }
 
@@ -79,7 +80,7 @@
 	return &next
 }
 
-// enter begins a stage; after the last one the run is done.
+// enter begins a stage. After the last stage the run is done.
 func (s *State) enter(stage int, migrationPlan *plan.Plan) {
 	s.Stage = stage
 	s.Tasks = nil
@@ -92,8 +93,8 @@
 	}
 }
 
-// derive computes what follows from the tasks and from the stages that are over. A released node stays cordoned and may be
-// stopped, should it come back.
+// derive computes the derived fields from the tasks and the completed stages. A released node stays cordoned and may be
+// stopped even if it restarts.
 func (s *State) derive(migrationPlan *plan.Plan) {
 	s.Cordoned, s.Migrating, s.Start, s.Stop, s.Swaps = nil, nil, nil, nil, nil
 	for _, stage := range migrationPlan.Stages[:s.Stage] {
@@ -106,7 +107,7 @@
 	}
 }
 
-// release lets a node be stopped.
+// release cordons a node and allows it to be stopped.
 func (s *State) release(id string) {
 	s.Cordoned = append(s.Cordoned, id)
 	s.Stop = append(s.Stop, id)
@@ -139,7 +140,7 @@
 	}
 }
 
-// swapOf returns which core machine of a replacement is to vote.
+// swapOf returns the Swap that says which core machine of a replacement is to vote in the phase of its task.
 func swapOf(task *Task, replacement *plan.Replacement) Swap {
 	old, next := replacement.Old.ID, replacement.New.ID
 	retired := task.Phase == Cordoning || task.Phase == Draining || task.Phase == Stopping || task.Phase == Finished
--- a/internal/region/migration/execute/transition.go
+++ b/internal/region/migration/execute/transition.go
@@ -1,13 +1,13 @@
 package execute
 
-// transition is one attempt to find the next state.
+// transition is one attempt to determine the next state.
 type transition struct {
 	*Machine
 	next    *State
 	changed bool // next differs from the acknowledged state
 }
 
-// advance looks for a next state and requests it to be stored.
+// advance determines the next state, if there is one, and requests it to be stored.
 func (m *Machine) advance() {
 	m.blockers = nil
 	if m.state.Outcome.Ended() {
@@ -51,7 +51,7 @@
 	t.changed = true
 }
 
-// uncordon lets the cordoned node of a task get requests again.
+// uncordon returns a task to the phase in which its cordoned node gets new requests again.
 func (t *transition) uncordon(index int) {
 	t.counters.Uncordoned++
 	if t.next.Tasks[index].Phase == RollbackDraining || t.replacement(index).Surge {
@@ -61,16 +61,17 @@
 	t.enter(index, Waiting)
 }
 
+// status returns the observed status of a node, and whether the node is present.
 func (t *transition) status(id string) (NodeStatus, bool) {
 	status, present := t.observation.Nodes[id]
 	return status, present
 }
 
-// step moves a task on by one phase, if its conditions hold.
+// step moves a task to the next phase, if the conditions for that are met.
 func (t *transition) step(index int) {
 	task := t.next.Tasks[index]
 	if task != t.state.Tasks[index] {
-		return // uncordoned in this transition
+		return // resolveShortages has uncordoned the node in this transition
 	}
 	switch task.Phase {
 	case Waiting:
@@ -94,7 +95,7 @@
 
 func (t *transition) aborting() bool { return t.next.Outcome == Aborting }
 
-// finishStage goes on to the next stage when all tasks of the current one have ended and that is acknowledged.
+// finishStage continues with the next stage, or ends an abort, when the acknowledged state has only ended tasks.
 func (t *transition) finishStage() {
 	if t.changed {
 		return
--- a/internal/region/migration/execute/transitioncheck.go
+++ b/internal/region/migration/execute/transitioncheck.go
@@ -7,7 +7,7 @@
 	"fieldrelay/internal/region/migration/plan"
 )
 
-// TransitionError reports that a state may not follow another one.
+// TransitionError reports that a state must not follow another one.
 type TransitionError struct{ Reason string }
 
 // Error returns the reason.
@@ -39,8 +39,8 @@
 	}
 )
 
-// CheckTransition returns a *TransitionError if a state may not be put in place of another one (nil: of none). The head of
-// the chain is to call it, so that it rejects a machine that was overtaken; tests do.
+// CheckTransition returns a *TransitionError if a state must not replace another one (nil: there is none yet). It is meant
+// for the head of the chain, so that the states of a superseded Machine are rejected; at present only tests call it.
 func CheckTransition(before, after *State, migrationPlan *plan.Plan) error {
 	if before == nil {
 		before = &State{}
@@ -60,7 +60,7 @@
 	case before.Outcome.Ended():
 		return transitionErrorf("the run has ended")
 	case before.Outcome == Aborting && after.Outcome != Aborting && after.Outcome != Aborted:
-		return transitionErrorf("an abort is not taken back")
+		return transitionErrorf("an abort cannot be revoked")
 	case before.Stage != after.Stage:
 		return checkNextStage(before, after)
 	}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// checkShape checks a state by itself.
+// checkShape checks that a state is consistent in itself.
 func checkShape(state *State, migrationPlan *plan.Plan) error {
 	if state.Stage < 0 || state.Stage > len(migrationPlan.Stages) {
 		return transitionErrorf("there is no stage %d", state.Stage)
@@ -95,7 +95,7 @@
 		slices.Equal(derived.Start, state.Start) && slices.Equal(derived.Stop, state.Stop) &&
 		slices.Equal(derived.Swaps, state.Swaps)
 	if !consistent {
-		return transitionErrorf("what is to be carried out does not follow from the tasks")
+		return transitionErrorf("the derived fields of the state do not match the tasks")
 	}
 	return nil
 }
@@ -103,11 +103,11 @@
 // checkFirstState checks the first state of a run.
 func checkFirstState(before, after *State) error {
 	if before.Plan != "" && !before.Outcome.Ended() {
-		return transitionErrorf("another plan is under way")
+		return transitionErrorf("the run of another plan has not ended")
 	}
 	waiting := !slices.ContainsFunc(after.Tasks, func(task Task) bool { return task != Task{Phase: Waiting} })
 	if after.Stage != 0 || !waiting {
-		return transitionErrorf("a run does not begin with stage %d", after.Stage)
+		return transitionErrorf("the first state of a run has stage %d, or a task that is not waiting", after.Stage)
 	}
 	return nil
 }
@@ -116,15 +116,15 @@
 func checkNextStage(before, after *State) error {
 	unfinished := slices.ContainsFunc(before.Tasks, func(task Task) bool { return task.Phase != Finished })
 	if after.Stage != before.Stage+1 || unfinished || after.Outcome == Aborted {
-		return transitionErrorf("stage %d does not follow stage %d as it stands", after.Stage, before.Stage)
+		return transitionErrorf("stage %d does not follow stage %d, or the tasks are unfinished, or the run is aborted", after.Stage, before.Stage)
 	}
 	if slices.ContainsFunc(after.Tasks, func(task Task) bool { return task != Task{Phase: Waiting} }) {
-		return transitionErrorf("a stage does not begin in the middle")
+		return transitionErrorf("the first state of a stage has a task that is not waiting")
 	}
 	return nil
 }
 
-// checkTasks checks the phases within a stage.
+// checkTasks checks the phases of the tasks of a state in the same stage as before.
 func checkTasks(before, after *State, migrationPlan *plan.Plan) error {
 	for index, task := range after.Tasks {
 		replacement := &migrationPlan.Stages[after.Stage].Replacements[index]
--- a/internal/region/migration/execute/transitioncheck_test.go
+++ b/internal/region/migration/execute/transitioncheck_test.go
@@ -15,18 +15,18 @@
 		change func(*State)
 		reason string
 	}{
-		"withholds":        {func(s *State) { s.Tasks[0] = Task{Phase: Cordoning, Since: 6} }, ""},
-		"claims":           {func(s *State) { s.Epoch, s.Owner = 2, "two" }, ""},
-		"aborts":           {func(s *State) { s.Outcome = Aborting }, ""},
-		"of long ago":      {func(s *State) { s.Revision = 5 }, "revision 5 does not follow 5"},
-		"without an epoch": {func(s *State) { s.Owner = "two" }, `epoch 1 of "two" does not follow`},
-		"leaps":            {func(s *State) { s.Tasks[0].Phase = Stopping }, "old-1 cannot go from warming to stopping"},
-		"goes back":        {func(s *State) { s.Tasks[0].Phase = Waiting }, "old-1 cannot go from warming to waiting"},
-		"skips a stage":    {func(s *State) { s.Stage = 1; s.Tasks[0].Phase = Waiting }, "stage 1 does not follow stage 0"},
-		"has no tasks":     {func(s *State) { s.Tasks = nil }, "0 tasks in stage 0"},
-		"is out of range":  {func(s *State) { s.Stage = 3 }, "no stage 3"},
-		"ends early":       {func(s *State) { s.Outcome = Aborted }, "old-1 is warming at the end of an abort"},
-		"is of another":    {func(s *State) { s.Plan = "other" }, "another plan is under way"},
+		"cordons":                     {func(s *State) { s.Tasks[0] = Task{Phase: Cordoning, Since: 6} }, ""},
+		"begins an epoch":             {func(s *State) { s.Epoch, s.Owner = 2, "two" }, ""},
+		"aborts":                      {func(s *State) { s.Outcome = Aborting }, ""},
+		"stale revision":              {func(s *State) { s.Revision = 5 }, "revision 5 does not follow 5"},
+		"new owner in the same epoch": {func(s *State) { s.Owner = "two" }, `epoch 1 of "two" does not follow`},
+		"skips phases":                {func(s *State) { s.Tasks[0].Phase = Stopping }, "old-1 cannot go from warming to stopping"},
+		"returns to an earlier phase": {func(s *State) { s.Tasks[0].Phase = Waiting }, "old-1 cannot go from warming to waiting"},
+		"skips a stage":               {func(s *State) { s.Stage = 1; s.Tasks[0].Phase = Waiting }, "stage 1 does not follow stage 0"},
+		"no tasks":                    {func(s *State) { s.Tasks = nil }, "0 tasks in stage 0"},
+		"stage out of range":          {func(s *State) { s.Stage = 3 }, "no stage 3"},
+		"ends an abort early":         {func(s *State) { s.Outcome = Aborted }, "old-1 is warming at the end of an abort"},
+		"other plan":                  {func(s *State) { s.Plan = "other" }, "the run of another plan has not ended"},
 	}
 	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -49,8 +49,8 @@
 	tampered := base.clone()
 	tampered.Revision++
 	tampered.Stop = []string{"kept"}
-	require.ErrorContains(t, CheckTransition(base, tampered, migrationPlan), "does not follow from the tasks")
+	require.ErrorContains(t, CheckTransition(base, tampered, migrationPlan), "do not match the tasks")
 	ended := base.clone()
 	ended.Outcome = Aborted
-	require.ErrorContains(t, CheckTransition(ended, tampered, migrationPlan), "does not follow")
+	require.ErrorContains(t, CheckTransition(ended, tampered, migrationPlan), "do not match the tasks")
 }
