--- a/internal/region/migration/capacity/failure.go
+++ b/internal/region/migration/capacity/failure.go
@@ -28,9 +28,9 @@
 		if countInterchangeable(nodes[:index], &nodes[index]) >= budget {
 			continue
 		}
-		one := failure{names: []string{nodes[index].ID}, failed: make([]bool, len(nodes))}
-		one.failed[index] = true
-		single = append(single, one)
+		hostFailure := failure{names: []string{nodes[index].ID}, failed: make([]bool, len(nodes))}
+		hostFailure.failed[index] = true
+		single = append(single, hostFailure)
 	}
 	return single
 }
@@ -46,8 +46,8 @@
 		byName[name].failed[index] = true
 	}
 	single := make([]failure, 0, len(byName))
-	for _, one := range byName {
-		single = append(single, *one)
+	for _, domainFailure := range byName {
+		single = append(single, *domainFailure)
 	}
 	slices.SortFunc(single, func(a, b failure) int { return cmp.Compare(a.names[0], b.names[0]) })
 	return single
@@ -55,16 +55,16 @@
 
 // combinations lists the unions of count single failures, or of all of them if there are fewer. Their number grows with
 // the power of count; fault budgets are small (planfile allows up to 3).
-func combinations(single []failure, count int) []failure {
-	if count <= 0 || len(single) == 0 {
+func combinations(failures []failure, count int) []failure {
+	if count <= 0 || len(failures) == 0 {
 		return nil
 	}
-	if count == 1 || len(single) == 1 {
-		return single
+	if count == 1 || len(failures) == 1 {
+		return failures
 	}
 	var all []failure
-	for index, first := range single {
-		for _, rest := range combinations(single[index+1:], count-1) {
+	for index, first := range failures {
+		for _, rest := range combinations(failures[index+1:], count-1) {
 			all = append(all, first.union(rest))
 		}
 	}
--- a/internal/region/migration/capacity/headroom_test.go
+++ b/internal/region/migration/capacity/headroom_test.go
@@ -42,19 +42,19 @@
 		"other groups are passed by":  {Headroom{}, []Load{{Region: "west", Group: Group{Kind: Edge}, Required: Amount{Slots: 99}}}, nil},
 		"no demand, no server needed": {Headroom{Regions: 2}, []Load{load("west", 0)}, nil},
 	}
-	for name, one := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := one.headroom.Check(service, nodes, one.loads)
-			if one.want == nil {
+			got := testCase.headroom.Check(service, nodes, testCase.loads)
+			if testCase.want == nil {
 				require.Nil(t, got)
 				return
 			}
 			require.NotNil(t, got)
-			require.Equal(t, one.want.Region, got.Region)
-			require.Equal(t, one.want.Lost, got.Lost)
-			require.InDelta(t, one.want.Required, got.Required, 1e-6)
-			require.InDelta(t, one.want.Missing, got.Missing, 1e-6)
-			require.InDelta(t, one.want.Fraction, got.Fraction, 1e-6)
+			require.Equal(t, testCase.want.Region, got.Region)
+			require.Equal(t, testCase.want.Lost, got.Lost)
+			require.InDelta(t, testCase.want.Required, got.Required, 1e-6)
+			require.InDelta(t, testCase.want.Missing, got.Missing, 1e-6)
+			require.InDelta(t, testCase.want.Fraction, got.Fraction, 1e-6)
 		})
 	}
 }
@@ -75,14 +75,14 @@
 
 func TestModelsAreServedWhereTheyAre(t *testing.T) {
 	nodes := []Node{server("x", "a", "west", 10, "m"), server("y", "a", "west", 10, "m", "n"), server("z", "c", "east", 10, "n")}
-	of := func(model string, slots float64) Load {
-		one := load("west", slots)
-		one.Model = model
-		return one
+	loadOfModel := func(model string, slots float64) Load {
+		modelLoad := load("west", slots)
+		modelLoad.Model = model
+		return modelLoad
 	}
-	require.Nil(t, Headroom{}.Check(service, nodes, []Load{of("m", 15), of("n", 15)}))
-	require.Equal(t, "m", Headroom{}.Check(service, nodes, []Load{of("m", 21)}).Model)
-	require.Nil(t, Headroom{}.Check(service, nodes, []Load{of("", 30)}))
+	require.Nil(t, Headroom{}.Check(service, nodes, []Load{loadOfModel("m", 15), loadOfModel("n", 15)}))
+	require.Equal(t, "m", Headroom{}.Check(service, nodes, []Load{loadOfModel("m", 21)}).Model)
+	require.Nil(t, Headroom{}.Check(service, nodes, []Load{loadOfModel("", 30)}))
 }
 
 // Loads that are found to fit must be servable: for any set of regions, the loads whose home regions all lie in the set
@@ -120,13 +120,13 @@
 					have += capacity[region]
 				}
 			}
-			for _, one := range loads {
-				inside := len(one.HomeRegions) > 0 || set == 1<<len(regions)-1
-				for _, home := range one.HomeRegions {
+			for _, candidate := range loads {
+				inside := len(candidate.HomeRegions) > 0 || set == 1<<len(regions)-1
+				for _, home := range candidate.HomeRegions {
 					inside = inside && within(home)
 				}
 				if inside {
-					need += one.Required[Slots]
+					need += candidate.Required[Slots]
 				}
 			}
 			if need > have+1e-6 {
--- a/internal/region/migration/capacity/profile_test.go
+++ b/internal/region/migration/capacity/profile_test.go
@@ -25,9 +25,9 @@
 		"a moment":          {20 * time.Hour, 20 * time.Hour, []int{2}},
 		"a moment, day two": {day + 8*time.Hour, day + 8*time.Hour, []int{1}},
 	}
-	for name, one := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, one.want, profile.PeriodsDuring(one.begin, one.end))
+			require.Equal(t, testCase.want, profile.PeriodsDuring(testCase.begin, testCase.end))
 		})
 	}
 	require.Equal(t, []time.Duration{9 * time.Hour, 20 * time.Hour, 24 * time.Hour, 32 * time.Hour}, profile.ChangesFrom(9*time.Hour))
