--- a/internal/region/migration/capacity/allocate.go
+++ b/internal/region/migration/capacity/allocate.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// roundingError is the fraction of a load that may remain unallocated by rounding alone.
+// roundingError is the largest fraction of a load that may remain unallocated because of rounding.
 const roundingError = 1e-9
 
 // bin is the free capacity of the nodes of one region that serve the same models.
@@ -16,8 +16,9 @@
 	free   Amount
 }
 
-// allocate distributes the loads, times a factor, over the nodes that have not failed (by index; nil: none has) and
-// returns the worst shortage, or nil if everything fits. Nodes and loads are of one group.
+// allocate distributes the loads, multiplied by a factor, over the nodes that have not failed. failed is indexed like
+// nodes; nil means that no node has failed. The result is the worst shortage, or nil if all loads fit. Nodes and loads are
+// of one group.
 func allocate(nodes []Node, failed []bool, loads []Load, factor float64) *Shortage {
 	bins := groupIntoBins(nodes, failed)
 	var worst *Shortage
@@ -35,7 +36,7 @@
 	return worst
 }
 
-// groupIntoBins sums the capacity of the nodes by region and models, ordered by both.
+// groupIntoBins sums the capacity of the nodes by region and models. The bins are ordered by region, then models.
 func groupIntoBins(nodes []Node, failed []bool) []*bin {
 	var bins []*bin
 	for index := range nodes {
@@ -58,8 +59,8 @@
 	return bins
 }
 
-// mostConstrainedFirst orders the loads that require anything, those with the fewest eligible bins first. Loads with
-// equally many keep their order.
+// mostConstrainedFirst returns the loads with a non-zero requirement, those with the fewest eligible bins first. Loads with
+// equally many bins keep their order.
 func mostConstrainedFirst(loads []Load, bins []*bin) []*Load {
 	ordered := make([]*Load, 0, len(loads))
 	for index := range loads {
@@ -73,7 +74,7 @@
 	return ordered
 }
 
-// eligibleBins returns the bins that may serve a load, those of its own region first.
+// eligibleBins returns the bins that may serve a load, those of the clients' own region first.
 func eligibleBins(load *Load, bins []*bin) []*bin {
 	var own, others []*bin
 	for _, candidate := range bins {
@@ -118,7 +119,7 @@
 	}
 }
 
-// scarcest returns the required resource of which the smallest fraction is free.
+// scarcest returns the required resource with the smallest ratio of free to required amount.
 func scarcest(free, required Amount) Resource {
 	found, least := Slots, math.Inf(1)
 	for resource, amount := range required {
--- a/internal/region/migration/capacity/cacheloss.go
+++ b/internal/region/migration/capacity/cacheloss.go
@@ -1,9 +1,9 @@
 package capacity
 
-// AddLostCachePrefill returns the loads as they are after nodes have gone: the prompt prefixes cached there must be
-// prefilled anew by the others, which adds to the prefill rate of each load. A load's cached prefixes are assumed to be
-// spread over its nodes in proportion to their memory, in its own region if it has nodes there. The nodes include the
-// departing ones.
+// AddLostCachePrefill returns the loads after the departure of nodes: the other nodes must prefill the prompt prefixes
+// that were cached on the departing ones again, which adds to the prefill rate of each load. The cached prefixes of a load
+// are assumed to be distributed over its nodes in proportion to their memory; if nodes of its own region may serve it, over
+// these only. nodes includes the departing nodes.
 func AddLostCachePrefill(loads []Load, nodes, departing []Node) []Load {
 	changed := make([]Load, 0, len(loads))
 	for _, load := range loads {
@@ -17,7 +17,7 @@
 	return changed
 }
 
-// memoryFor sums the memory of the nodes that may serve a load, in its own region only or in all.
+// memoryFor sums the memory of the nodes that may serve a load, in its own region only or in all regions.
 func memoryFor(load *Load, nodes []Node, inOwnRegion bool) float64 {
 	total := 0.0
 	for index := range nodes {
--- a/internal/region/migration/capacity/cacheloss_test.go
+++ b/internal/region/migration/capacity/cacheloss_test.go
@@ -21,7 +21,7 @@
 	require.InDelta(t, 60, changed[0].Required[Prefill], 1e-9)
 	require.InDelta(t, 50, changed[1].Required[Prefill], 1e-9)
 	require.InDelta(t, 50, changed[2].Required[Prefill], 1e-9)
-	require.InDelta(t, 50, loads[0].Required[Prefill], 1e-9, "the given loads are not changed")
+	require.InDelta(t, 50, loads[0].Required[Prefill], 1e-9, "the argument is not modified")
 	changed = AddLostCachePrefill(loads, nodes, nodes[2:])
 	require.InDelta(t, 90, changed[1].Required[Prefill], 1e-9)
 	require.InDelta(t, 90, changed[2].Required[Prefill], 1e-9)
--- a/internal/region/migration/capacity/doc.go
+++ b/internal/region/migration/capacity/doc.go
@@ -1,16 +1,16 @@
-// Package capacity checks whether the nodes that remain have enough capacity for the demand on them and, if not, reports
-// which resource is short, of which group and for the clients of which region.
+// Package capacity checks whether a set of nodes has enough capacity for the demand and, if not, reports which resource of
+// which group is short for the clients of which region.
 //
-// Capacity is counted per region, service and model as a vector of resources: concurrent requests, tokens held in
-// memory, prefill and decode tokens a second, requests a second, and connections. Demand comes from a region and may
-// be served in any region, or only in its home regions. Loads are allocated to regions as placement does it: the
-// client's own region first, then others, the load with the fewest eligible bins before the rest. A load that is
-// found to fit has been allocated in full, for all resources at once, so a positive answer can be relied on. The
-// allocation is greedy: a negative answer may come although a cleverer split exists.
+// Capacity is a vector of resources per region, service and model: concurrent requests, tokens held in memory, prefill
+// and decode tokens a second, requests a second, and connections. Demand comes from the clients of a region and may be
+// served in any region, or only in its home regions. Loads are allocated to regions in the order that placement uses: the
+// clients' own region first, then others; the load with the fewest eligible bins comes first. A load that fits has been
+// allocated completely, for all resources at once, so that a positive result is reliable. The allocation is greedy: it may
+// report a shortage although another allocation would fit.
 //
-// Headroom adds the capacity that must stay free: a margin for bursts, and the fault budget, every failure within
-// which must still leave capacity for the demand itself.
+// Headroom is the capacity that must stay free: a margin for bursts, and a fault budget. Every failure within the fault
+// budget must leave enough capacity for the demand without the margin.
 //
-// The package does no I/O, reads no clock and never changes the nodes and loads that it is given. It does not measure
-// demand and places no request. Its design is in docs/design/migration.md.
+// The package does no I/O, reads no clock and never modifies the nodes and loads that it is given. It does not measure
+// demand and does not place requests. The design is in docs/design/migration.md.
 package capacity
--- a/internal/region/migration/capacity/failure.go
+++ b/internal/region/migration/capacity/failure.go
@@ -5,13 +5,14 @@
 	"slices"
 )
 
-// failure is a set of nodes that fail at the same time.
+// failure is a set of nodes that fail together.
 type failure struct {
-	names  []string // of the hosts, zones or regions
-	failed []bool   // by index of the node
+	names  []string // names of the failed hosts, zones or regions
+	failed []bool   // whether each node has failed, by index of the node
 }
 
-// failures lists every failure within the fault budget, except those equivalent to another one.
+// failures returns every failure of as many hosts, zones or regions as the fault budget has, except failures that are
+// equivalent to another one.
 func (h Headroom) failures(nodes []Node) []failure {
 	var all []failure
 	all = append(all, combinations(hostFailures(nodes, h.Hosts), h.Hosts)...)
@@ -20,8 +21,8 @@
 	return all
 }
 
-// hostFailures lists the failure of each node by itself. Of interchangeable nodes only the first `budget` are listed:
-// any failure within the budget leaves the same capacity as one of these.
+// hostFailures returns the failure of each single node. Of interchangeable nodes only the first budget ones are included:
+// any failure within the budget leaves the same capacity as a failure of these.
 func hostFailures(nodes []Node, budget int) []failure {
 	var single []failure
 	for index := range nodes {
@@ -35,7 +36,7 @@
 	return single
 }
 
-// domainFailures lists the failure of each failure domain (zone or region) by itself, ordered by name.
+// domainFailures returns the failure of each single failure domain (zone or region), ordered by name.
 func domainFailures(nodes []Node, domainOf func(*Node) string) []failure {
 	byName := make(map[string]*failure)
 	for index := range nodes {
@@ -53,8 +54,8 @@
 	return single
 }
 
-// combinations lists the unions of count single failures, or of all of them if there are fewer. Their number grows with
-// the power of count; fault budgets are small (planfile allows up to 3).
+// combinations returns the unions of count single failures, or of all if there are fewer. The number of unions grows
+// with the count-th power of the number of failures; fault budgets are small (package planfile allows up to 3).
 func combinations(failures []failure, count int) []failure {
 	if count <= 0 || len(failures) == 0 {
 		return nil
--- a/internal/region/migration/capacity/headroom_test.go
+++ b/internal/region/migration/capacity/headroom_test.go
@@ -27,20 +27,20 @@
 		loads    []Load
 		want     *Shortage
 	}{
-		"fits":                        {Headroom{}, []Load{load("west", 30), load("east", 10)}, nil},
-		"spills":                      {Headroom{}, []Load{load("west", 20), load("east", 20)}, nil},
-		"the whole is too much":       {Headroom{}, []Load{load("west", 30), load("east", 20)}, &Shortage{Region: "east", Required: 20, Missing: 10, Fraction: 0.5}},
-		"homes forbid spilling":       {Headroom{}, []Load{load("west", 10), load("east", 20, "east")}, &Shortage{Region: "east", Required: 20, Missing: 10, Fraction: 0.5}},
-		"homes come before the free":  {Headroom{}, []Load{load("west", 30), load("east", 10, "west")}, nil},
-		"margin":                      {Headroom{Margin: 0.5}, []Load{load("east", 10, "east")}, &Shortage{Region: "east", Required: 15, Missing: 5, Fraction: 1.0 / 3}},
-		"loss of a host":              {Headroom{Hosts: 1}, []Load{load("west", 25, "west")}, &Shortage{Region: "west", Required: 25, Missing: 5, Fraction: 0.2, Lost: []string{"a1"}}},
-		"loss of two hosts":           {Headroom{Hosts: 2}, []Load{load("west", 20, "west")}, &Shortage{Region: "west", Required: 20, Missing: 10, Fraction: 0.5, Lost: []string{"a1", "a2"}}},
-		"loss of a zone":              {Headroom{Zones: 1}, []Load{load("west", 15, "west")}, &Shortage{Region: "west", Required: 15, Missing: 5, Fraction: 1.0 / 3, Lost: []string{"a"}}},
-		"loss of a region":            {Headroom{Regions: 1}, []Load{load("east", 15)}, &Shortage{Region: "east", Required: 15, Missing: 5, Fraction: 1.0 / 3, Lost: []string{"west"}}},
-		"a loss that leaves enough":   {Headroom{Hosts: 1, Zones: 1}, []Load{load("west", 20)}, nil},
-		"no home left":                {Headroom{Zones: 1}, []Load{load("east", 1, "east")}, &Shortage{Region: "east", Required: 1, Missing: 1, Fraction: 1, Lost: []string{"c"}}},
-		"other groups are passed by":  {Headroom{}, []Load{{Region: "west", Group: Group{Kind: Edge}, Required: Amount{Slots: 99}}}, nil},
-		"no demand, no server needed": {Headroom{Regions: 2}, []Load{load("west", 0)}, nil},
+		"fits":                               {Headroom{}, []Load{load("west", 30), load("east", 10)}, nil},
+		"spills to another region":           {Headroom{}, []Load{load("west", 20), load("east", 20)}, nil},
+		"total demand exceeds capacity":      {Headroom{}, []Load{load("west", 30), load("east", 20)}, &Shortage{Region: "east", Required: 20, Missing: 10, Fraction: 0.5}},
+		"home regions forbid spilling":       {Headroom{}, []Load{load("west", 10), load("east", 20, "east")}, &Shortage{Region: "east", Required: 20, Missing: 10, Fraction: 0.5}},
+		"loads with home regions come first": {Headroom{}, []Load{load("west", 30), load("east", 10, "west")}, nil},
+		"margin":                             {Headroom{Margin: 0.5}, []Load{load("east", 10, "east")}, &Shortage{Region: "east", Required: 15, Missing: 5, Fraction: 1.0 / 3}},
+		"loss of a host":                     {Headroom{Hosts: 1}, []Load{load("west", 25, "west")}, &Shortage{Region: "west", Required: 25, Missing: 5, Fraction: 0.2, Lost: []string{"a1"}}},
+		"loss of two hosts":                  {Headroom{Hosts: 2}, []Load{load("west", 20, "west")}, &Shortage{Region: "west", Required: 20, Missing: 10, Fraction: 0.5, Lost: []string{"a1", "a2"}}},
+		"loss of a zone":                     {Headroom{Zones: 1}, []Load{load("west", 15, "west")}, &Shortage{Region: "west", Required: 15, Missing: 5, Fraction: 1.0 / 3, Lost: []string{"a"}}},
+		"loss of a region":                   {Headroom{Regions: 1}, []Load{load("east", 15)}, &Shortage{Region: "east", Required: 15, Missing: 5, Fraction: 1.0 / 3, Lost: []string{"west"}}},
+		"tolerated losses":                   {Headroom{Hosts: 1, Zones: 1}, []Load{load("west", 20)}, nil},
+		"home region lost":                   {Headroom{Zones: 1}, []Load{load("east", 1, "east")}, &Shortage{Region: "east", Required: 1, Missing: 1, Fraction: 1, Lost: []string{"c"}}},
+		"other groups are ignored":           {Headroom{}, []Load{{Region: "west", Group: Group{Kind: Edge}, Required: Amount{Slots: 99}}}, nil},
+		"no demand":                          {Headroom{Regions: 2}, []Load{load("west", 0)}, nil},
 	}
 	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -85,8 +85,8 @@
 	require.Nil(t, Headroom{}.Check(service, nodes, []Load{loadOfModel("", 30)}))
 }
 
-// Loads that are found to fit must be servable: for any set of regions, the loads whose home regions all lie in the set
-// fit into its capacity.
+// Guards against an allocation of more than the capacity: if Check reports no shortage, then for each set of regions the
+// loads that only these regions may serve do not exceed the capacity of the set.
 func TestAllocationNeverExceedsCapacity(t *testing.T) {
 	regions := []string{"east", "north", "west"}
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/region/migration/capacity/load.go
+++ b/internal/region/migration/capacity/load.go
@@ -4,13 +4,13 @@
 
 // Load is the demand on a group by the clients of one region.
 type Load struct {
-	Region      string // of the clients
+	Region      string // region of the clients
 	Group       Group
-	Model       string   // empty: any
+	Model       string   // requested model; empty: any
 	HomeRegions []string // regions that may serve it; empty: any
-	Required    Amount   // at the same time, or a second, by resource
-	// CachedPrefill is the rate, in prompt tokens a second, that need no prefill because the prefix is cached at a
-	// server. It is not part of Required. When a server goes, its share must be prefilled by the others.
+	Required    Amount   // amount of each resource, in its unit
+	// CachedPrefill is the rate, in prompt tokens a second, that needs no prefill because the prefix is cached on a
+	// server. It is not part of Required. When a server departs, the other servers must prefill what it had cached.
 	CachedPrefill float64
 }
 
--- a/internal/region/migration/capacity/profile.go
+++ b/internal/region/migration/capacity/profile.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Period is a span of time with the peak demand that is expected in it.
+// Period is a period of time with the peak demand expected in it.
 type Period struct {
 	Begin time.Duration // since midnight, or since the beginning of the profile
 	End   time.Duration
 	Loads []Load
 }
 
-// Profile is demand over time: periods that follow each other without gaps from 0 to Cycle, repeated every Cycle. With a
-// Cycle of 0 the first period applies at any time.
+// Profile is the demand over time: consecutive periods without gaps from 0 to Cycle, repeated every Cycle. With a Cycle
+// of 0 the first period applies at any time.
 type Profile struct {
 	Cycle   time.Duration
 	Periods []Period
@@ -19,8 +19,8 @@
 // Constant returns a profile with the same demand at any time.
 func Constant(loads []Load) Profile { return Profile{Periods: []Period{{Loads: loads}}} }
 
-// PeriodsDuring returns the indexes of the periods that overlap the time from begin to end. The end is exclusive, except
-// that begin == end asks for the period of that moment.
+// PeriodsDuring returns the indexes of the periods that overlap the time from begin to end. The end is exclusive; if
+// begin equals end, the result is the period at that time.
 func (p *Profile) PeriodsDuring(begin, end time.Duration) []int {
 	if p.Cycle <= 0 || end-begin >= p.Cycle {
 		return p.allPeriods()
@@ -42,8 +42,8 @@
 	return all
 }
 
-// overlaps reports whether an occurrence of the period shares time with the span from begin to end, which is shorter than
-// a cycle: so that only the cycle in which it begins and the next one count.
+// overlaps reports whether an occurrence of the period overlaps the time from begin to end. That time must be shorter than
+// a cycle, so that only the cycle that contains begin and the next one matter.
 func (p *Profile) overlaps(period *Period, begin, end time.Duration) bool {
 	cycleStart := begin / p.Cycle * p.Cycle
 	for _, start := range []time.Duration{cycleStart, cycleStart + p.Cycle} {
@@ -54,8 +54,7 @@
 	return begin == end && period.Begin <= begin-cycleStart && begin-cycleStart < period.End
 }
 
-// ChangesFrom returns the moments, from begin to one cycle later, at which the demand changes: begin itself first, then
-// the beginnings of periods in order of time.
+// ChangesFrom returns begin, followed by the times within one cycle after it at which a period begins, in ascending order.
 func (p *Profile) ChangesFrom(begin time.Duration) []time.Duration {
 	changes := []time.Duration{begin}
 	if p.Cycle <= 0 {
--- a/internal/region/migration/capacity/profile_test.go
+++ b/internal/region/migration/capacity/profile_test.go
@@ -16,14 +16,14 @@
 		begin, end time.Duration
 		want       []int
 	}{
-		"within one":        {time.Hour, 2 * time.Hour, []int{0}},
-		"up to a border":    {time.Hour, 8 * time.Hour, []int{0}},
-		"over a border":     {7 * time.Hour, 9 * time.Hour, []int{0, 1}},
-		"over midnight":     {23 * time.Hour, 25 * time.Hour, []int{0, 2}},
-		"on the next day":   {day + 9*time.Hour, day + 10*time.Hour, []int{1}},
-		"a day and more":    {time.Hour, 2 * day, []int{0, 1, 2}},
-		"a moment":          {20 * time.Hour, 20 * time.Hour, []int{2}},
-		"a moment, day two": {day + 8*time.Hour, day + 8*time.Hour, []int{1}},
+		"within one":                       {time.Hour, 2 * time.Hour, []int{0}},
+		"up to a boundary":                 {time.Hour, 8 * time.Hour, []int{0}},
+		"across a boundary":                {7 * time.Hour, 9 * time.Hour, []int{0, 1}},
+		"across midnight":                  {23 * time.Hour, 25 * time.Hour, []int{0, 2}},
+		"on the next day":                  {day + 9*time.Hour, day + 10*time.Hour, []int{1}},
+		"a day and more":                   {time.Hour, 2 * day, []int{0, 1, 2}},
+		"begin equals end":                 {20 * time.Hour, 20 * time.Hour, []int{2}},
+		"begin equals end on the next day": {day + 8*time.Hour, day + 8*time.Hour, []int{1}},
 	}
 	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/region/migration/capacity/resource.go
+++ b/internal/region/migration/capacity/resource.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Resource is something that a node has a limited amount of.
+// Resource is a resource of which a node has a limited amount.
 type Resource uint8
 
 // The resources, with their units.
@@ -16,10 +16,10 @@
 	ResourceCount                 // number of resources
 )
 
-// resourceNames are the keys of the plan file, and part of the texts that operators read.
+// resourceNames are the keys in the plan file, and are part of messages to operators.
 var resourceNames = [ResourceCount]string{"slots", "memory", "reading", "writing", "requests", "connections"}
 
-// String returns the resource's key in the plan file.
+// String returns the key of the resource in the plan file.
 func (r Resource) String() string {
 	if r >= ResourceCount {
 		return "resource " + strconv.Itoa(int(r))
@@ -27,7 +27,7 @@
 	return resourceNames[r]
 }
 
-// Amount is a vector with an amount of each resource, indexed by it.
+// Amount is a vector with the amount of each resource, indexed by Resource.
 type Amount [ResourceCount]float64
 
 // Add returns the sum of two amounts.
@@ -38,7 +38,7 @@
 	return a
 }
 
-// Sub returns the difference of two amounts, not below 0 for any resource.
+// Sub returns the difference of two amounts, with negative results replaced by 0.
 func (a Amount) Sub(b Amount) Amount {
 	for resource := range a {
 		a[resource] = max(a[resource]-b[resource], 0)
@@ -46,7 +46,7 @@
 	return a
 }
 
-// Scale returns the amount times a factor.
+// Scale returns the amount multiplied by a factor.
 func (a Amount) Scale(factor float64) Amount {
 	for resource := range a {
 		a[resource] *= factor
