--- a/internal/region/migration/planfile/defaulttimes.go
+++ b/internal/region/migration/planfile/defaulttimes.go
@@ -17,14 +17,14 @@
 )
 
 // times returns the expected durations of a replacement: those of the file, else the defaults.
-func (b *inputBuilder) times(old *capacity.Node, one *Replacement) plan.Times {
+func (b *inputBuilder) times(old *capacity.Node, entry *Replacement) plan.Times {
 	defaults := b.defaultTimes(old)
 	return plan.Times{
-		Start:  durationOr(one.Start, defaults.Start),
-		Warm:   durationOr(one.Warm, defaults.Warm),
-		Drain:  durationOr(one.Drain, defaults.Drain),
+		Start:  durationOr(entry.Start, defaults.Start),
+		Warm:   durationOr(entry.Warm, defaults.Warm),
+		Drain:  durationOr(entry.Drain, defaults.Drain),
 		Linger: defaults.Linger,
-		Stop:   durationOr(one.Stop, defaults.Stop),
+		Stop:   durationOr(entry.Stop, defaults.Stop),
 	}
 }
 
--- a/internal/region/migration/planfile/fixture_test.go
+++ b/internal/region/migration/planfile/fixture_test.go
@@ -12,7 +12,7 @@
 	"fieldrelay/internal/region/settings"
 )
 
-const wholeFile = `name = "rack-b"
+const exampleFile = `name = "rack-b"
 begin = "21:30"
 window = "6h"
 
@@ -128,20 +128,20 @@
 	}
 }
 
-// parseWholeFile returns the file and the planner's input that it makes of the inventory.
-func parseWholeFile(t *testing.T) (*File, plan.Input) {
+// parseExampleFile returns the file and the planner's input that it makes of the inventory.
+func parseExampleFile(t *testing.T) (*File, plan.Input) {
 	t.Helper()
-	file, err := Parse([]byte(wholeFile))
+	file, err := Parse([]byte(exampleFile))
 	require.NoError(t, err)
 	input, err := file.Input(inventory(t))
 	require.NoError(t, err)
 	return file, input
 }
 
-// planWholeFile returns the file with its input and the plan for it.
-func planWholeFile(t *testing.T) (*File, plan.Input, *plan.Plan) {
+// planExampleFile returns the file with its input and the plan for it.
+func planExampleFile(t *testing.T) (*File, plan.Input, *plan.Plan) {
 	t.Helper()
-	file, input := parseWholeFile(t)
+	file, input := parseExampleFile(t)
 	migrationPlan, err := plan.Make(input)
 	require.NoError(t, err)
 	return file, input, migrationPlan
--- a/internal/region/migration/planfile/golden_test.go
+++ b/internal/region/migration/planfile/golden_test.go
@@ -25,7 +25,7 @@
 // Guards the file as reviewers and earlier programs know it: a plan is written with its comments to the same bytes; a file
 // of an earlier program is read, written again to the same bytes, has the same digest, and its stages are verified.
 func TestGoldenPlanFile(t *testing.T) {
-	file, input, migrationPlan := planWholeFile(t)
+	file, input, migrationPlan := planExampleFile(t)
 	planned := file.WithPlan(migrationPlan)
 	reviewed, err := planned.Write(migrationPlan)
 	require.NoError(t, err)
@@ -53,8 +53,8 @@
 	require.NoError(t, err)
 	var order []string
 	for _, stage := range checked.Stages {
-		for _, one := range stage.Replacements {
-			order = append(order, one.Old.ID+" by "+one.New.ID)
+		for _, replacement := range stage.Replacements {
+			order = append(order, replacement.Old.ID+" by "+replacement.New.ID)
 		}
 	}
 	require.Equal(t, len(file.Replacements), len(order))
--- a/internal/region/migration/planfile/input.go
+++ b/internal/region/migration/planfile/input.go
@@ -45,7 +45,7 @@
 	input := plan.Input{
 		Nodes:         b.nodes,
 		Headroom:      f.RequiredHeadroom(),
-		Core:          b.control(),
+		Core:          b.core(),
 		SurgeCapacity: b.surgeCapacity(),
 		BatchFraction: f.BatchFraction,
 		Begin:         begin,
@@ -126,19 +126,19 @@
 // applyFileCapacity overrides a capacity with the amounts that the file gives for the node.
 func (b *inputBuilder) applyFileCapacity(node *capacity.Node, isNew bool, capacity capacity.Amount) capacity.Amount {
 	for index := range b.file.Capacities {
-		one := &b.file.Capacities[index]
-		if one.Kind != string(node.Kind) || one.Service != node.Service || (one.New && !isNew) {
+		entry := &b.file.Capacities[index]
+		if entry.Kind != string(node.Kind) || entry.Service != node.Service || (entry.New && !isNew) {
 			continue
 		}
-		for resource, amount := range one.amount() {
+		for resource, amount := range entry.amount() {
 			capacity[resource] = cmp.Or(amount, capacity[resource])
 		}
 	}
 	return capacity
 }
 
-// control returns the voters in force with the fault budget of the settings.
-func (b *inputBuilder) control() plan.Core {
+// core returns the voters in force with the fault budget of the settings.
+func (b *inputBuilder) core() plan.Core {
 	budget := b.inventory.Settings.FaultBudget
 	core := plan.Core{Hosts: budget.Hosts, Zones: budget.Zones}
 	for _, voter := range b.inventory.View.GetVoters() {
@@ -148,11 +148,11 @@
 }
 
 func (b *inputBuilder) surgeCapacity() map[plan.SurgePool]int {
-	places := make(map[plan.SurgePool]int)
-	for _, one := range b.file.SurgePools {
-		places[plan.SurgePool{Zone: one.Zone, Kind: capacity.Kind(one.Kind)}] = one.Free
+	free := make(map[plan.SurgePool]int)
+	for _, pool := range b.file.SurgePools {
+		free[plan.SurgePool{Zone: pool.Zone, Kind: capacity.Kind(pool.Kind)}] = pool.Free
 	}
-	return places
+	return free
 }
 
 // demand returns the periods of the file, or the measured loads as constant demand.
@@ -162,12 +162,12 @@
 	}
 	profile := capacity.Profile{Cycle: day}
 	for index := range b.file.Periods {
-		one := &b.file.Periods[index]
+		filePeriod := &b.file.Periods[index]
 		period := capacity.Period{}
-		period.Begin, _ = parseTimeOfDay(one.From)
-		period.End, _ = parseTimeOfDay(one.Until)
-		for position := range one.Loads {
-			period.Loads = append(period.Loads, one.Loads[position].load())
+		period.Begin, _ = parseTimeOfDay(filePeriod.From)
+		period.End, _ = parseTimeOfDay(filePeriod.Until)
+		for position := range filePeriod.Loads {
+			period.Loads = append(period.Loads, filePeriod.Loads[position].load())
 		}
 		profile.Periods = append(profile.Periods, period)
 	}
@@ -186,22 +186,22 @@
 }
 
 // replacement returns a replacement of the file. Its error is a *plan.InputError.
-func (b *inputBuilder) replacement(one *Replacement) (plan.Replacement, error) {
-	id := one.Old
-	if one.Kind == string(capacity.Server) {
-		id = cmp.Or(b.idByAddress[one.Old], one.Old)
+func (b *inputBuilder) replacement(entry *Replacement) (plan.Replacement, error) {
+	id := entry.Old
+	if entry.Kind == string(capacity.Server) {
+		id = cmp.Or(b.idByAddress[entry.Old], entry.Old)
 	}
-	index := slices.IndexFunc(b.nodes, func(node capacity.Node) bool { return node.ID == id && string(node.Kind) == one.Kind })
+	index := slices.IndexFunc(b.nodes, func(node capacity.Node) bool { return node.ID == id && string(node.Kind) == entry.Kind })
 	if index < 0 {
-		return plan.Replacement{}, &plan.InputError{Node: one.Old, Reason: "is to be replaced, but is not there"}
+		return plan.Replacement{}, &plan.InputError{Node: entry.Old, Reason: "is to be replaced, but is not there"}
 	}
 	old := b.nodes[index]
 	next := old
-	next.ID = one.New
-	next.Zone = cmp.Or(one.Zone, old.Zone)
+	next.ID = entry.New
+	next.Zone = cmp.Or(entry.Zone, old.Zone)
 	next.Region = cmp.Or(b.inventory.Settings.RegionOf(next.Zone), old.Region)
 	next.Capacity = b.applyFileCapacity(&next, true, old.Capacity)
-	return plan.Replacement{Old: old, New: next, Surge: one.Surge, Times: b.times(&old, one)}, nil
+	return plan.Replacement{Old: old, New: next, Surge: entry.Surge, Times: b.times(&old, entry)}, nil
 }
 
 // dropUnknownResources removes from the demand the resources for which no capacity of the group is known: otherwise an
--- a/internal/region/migration/planfile/input_test.go
+++ b/internal/region/migration/planfile/input_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestInput(t *testing.T) {
-	file, input := parseWholeFile(t)
+	file, input := parseExampleFile(t)
 
 	require.Len(t, input.Nodes, 8)
 	require.Equal(t, plan.Core{Hosts: 1, Zones: 1, Voters: []plan.Voter{{ID: "core-1", Zone: "hall-a"}, {ID: "core-2", Zone: "hall-b"}, {ID: "core-3", Zone: "hall-c"}}}, input.Core)
@@ -43,7 +43,7 @@
 
 	file.Replacements[0].Old = "nowhere"
 	_, err = file.Input(inventory(t))
-	var contradiction *plan.InputError
-	require.True(t, errors.As(err, &contradiction), "%v", err)
-	require.Equal(t, "nowhere", contradiction.Node)
+	var inputError *plan.InputError
+	require.True(t, errors.As(err, &inputError), "%v", err)
+	require.Equal(t, "nowhere", inputError.Node)
 }
--- a/internal/region/migration/planfile/plan.go
+++ b/internal/region/migration/planfile/plan.go
@@ -12,8 +12,8 @@
 	planned.Stages = nil
 	for _, stage := range migrationPlan.Stages {
 		written := Stage{Begin: formatTime(stage.Begin), Duration: stage.Duration.String()}
-		for _, one := range stage.Replacements {
-			written.Replace = append(written.Replace, f.nameOf(&one))
+		for _, replacement := range stage.Replacements {
+			written.Replace = append(written.Replace, f.nameOf(&replacement))
 		}
 		planned.Stages = append(planned.Stages, written)
 	}
@@ -21,13 +21,13 @@
 }
 
 // nameOf returns the name by which the file calls the old node of a replacement: an address or an id.
-func (f *File) nameOf(one *plan.Replacement) string {
+func (f *File) nameOf(replacement *plan.Replacement) string {
 	for index := range f.Replacements {
-		if f.Replacements[index].New == one.New.ID {
+		if f.Replacements[index].New == replacement.New.ID {
 			return f.Replacements[index].Old
 		}
 	}
-	return one.Old.ID
+	return replacement.Old.ID
 }
 
 // Plan returns the plan of the file's stages after verifying it. The errors are those of plan.Verify.
@@ -51,7 +51,7 @@
 // replacementNamed returns the replacement whose old node has a name in the file, as a slice of one, or nothing. The
 // replacements are in the order of the file, see File.Input.
 func (f *File) replacementNamed(name string, replacements []plan.Replacement) []plan.Replacement {
-	index := slices.IndexFunc(f.Replacements, func(one Replacement) bool { return one.Old == name })
+	index := slices.IndexFunc(f.Replacements, func(entry Replacement) bool { return entry.Old == name })
 	if index < 0 || index >= len(replacements) {
 		return nil
 	}
--- a/internal/region/migration/planfile/plan_test.go
+++ b/internal/region/migration/planfile/plan_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestPlanIsWrittenReadAndVerified(t *testing.T) {
-	file, input, migrationPlan := planWholeFile(t)
+	file, input, migrationPlan := planExampleFile(t)
 
 	planned := file.WithPlan(migrationPlan)
 	content, err := planned.Write(migrationPlan)
--- a/internal/region/migration/planfile/timeformat.go
+++ b/internal/region/migration/planfile/timeformat.go
@@ -10,13 +10,13 @@
 )
 
 // durationOr parses a duration of a validated file; an empty text means the default.
-func durationOr(value string, otherwise time.Duration) time.Duration {
+func durationOr(value string, defaultValue time.Duration) time.Duration {
 	if value == "" {
-		return otherwise
+		return defaultValue
 	}
 	parsed, err := time.ParseDuration(value)
 	if err != nil {
-		return otherwise
+		return defaultValue
 	}
 	return parsed
 }
--- a/internal/region/migration/planfile/validate.go
+++ b/internal/region/migration/planfile/validate.go
@@ -79,22 +79,22 @@
 func (v *validator) replacements(replacements []Replacement) {
 	used := make(map[string]bool)
 	for index := range replacements {
-		one := &replacements[index]
+		entry := &replacements[index]
 		key := fmt.Sprintf("replace[%d].", index)
-		v.check(key+"kind", one.Kind, nodeKind)
-		v.check(key+"old", one.Old, required)
-		v.check(key+"new", one.New, required)
-		v.check(key+"start", one.Start, optionalDuration)
-		v.check(key+"warm", one.Warm, optionalDuration)
-		v.check(key+"drain", one.Drain, optionalDuration)
-		v.check(key+"stop", one.Stop, optionalDuration)
-		for _, named := range []struct{ member, name string }{{"old", one.Old}, {"new", one.New}} {
+		v.check(key+"kind", entry.Kind, nodeKind)
+		v.check(key+"old", entry.Old, required)
+		v.check(key+"new", entry.New, required)
+		v.check(key+"start", entry.Start, optionalDuration)
+		v.check(key+"warm", entry.Warm, optionalDuration)
+		v.check(key+"drain", entry.Drain, optionalDuration)
+		v.check(key+"stop", entry.Stop, optionalDuration)
+		for _, named := range []struct{ member, name string }{{"old", entry.Old}, {"new", entry.New}} {
 			if named.name != "" && used[named.name] {
 				v.add(key+named.member, fmt.Sprintf("%q is named twice", named.name))
 			}
 			used[named.name] = true
 		}
-		if !one.Surge && one.Zone != "" {
+		if !entry.Surge && entry.Zone != "" {
 			v.add(key+"zone", "must not be told of a node that takes the place of the old one")
 		}
 	}
@@ -126,12 +126,12 @@
 	}
 	var planned []string
 	for index := range f.Stages {
-		one := &f.Stages[index]
+		stage := &f.Stages[index]
 		key := fmt.Sprintf("stage[%d].", index)
-		v.check(key+"begin", one.Begin, stageTime)
-		v.check(key+"lasts", one.Duration, optionalDuration)
-		v.check(key+"replace", one.Replace, nonEmptyNames)
-		for _, old := range one.Replace {
+		v.check(key+"begin", stage.Begin, stageTime)
+		v.check(key+"lasts", stage.Duration, optionalDuration)
+		v.check(key+"replace", stage.Replace, nonEmptyNames)
+		for _, old := range stage.Replace {
 			if slices.Contains(planned, old) {
 				v.add(key+"replace", fmt.Sprintf("%q is replaced twice", old))
 			}
--- a/internal/region/migration/planfile/validate_test.go
+++ b/internal/region/migration/planfile/validate_test.go
@@ -14,10 +14,10 @@
 	}{
 		"not TOML":       {"name = \n", []string{"line 1"}},
 		"nothing":        {"", []string{"begin: cannot be blank", "name: cannot be blank", "replace: cannot be blank"}},
-		"a key unknown":  {wholeFile + "[[replace]]\nkind=\"core\"\nold=\"a\"\nnew=\"b\"\nbesides = true\n", []string{"line 82: replace[4].besides: is not known"}},
-		"of wrong types": {"name = 3\nbegin = true\n" + wholeFile[len("name = \"rack-b\"\nbegin = \"21:30\"\n"):], []string{"line 1: name: ", "line 2: begin: "}},
+		"a key unknown":  {exampleFile + "[[replace]]\nkind=\"core\"\nold=\"a\"\nnew=\"b\"\nbesides = true\n", []string{"line 82: replace[4].besides: is not known"}},
+		"of wrong types": {"name = 3\nbegin = true\n" + exampleFile[len("name = \"rack-b\"\nbegin = \"21:30\"\n"):], []string{"line 1: name: ", "line 2: begin: "}},
 		"a wrong value and a wrong type": {
-			wholeFile[:len(wholeFile)-len("slots = 200\n")] + "slots = \"many\"\n[[stage]]\nbegin = \"x\"\nlasts = \"1s\"\nreplace = [\"i-2\", \"i-2\", \"zz\"]\n",
+			exampleFile[:len(exampleFile)-len("slots = 200\n")] + "slots = \"many\"\n[[stage]]\nbegin = \"x\"\nlasts = \"1s\"\nreplace = [\"i-2\", \"i-2\", \"zz\"]\n",
 			[]string{
 				`line 33: replace[0].old: "10.1.0.9:80" is in no stage`,
 				`line 46: replace[2].old: "core-1" is in no stage`,
@@ -52,13 +52,13 @@
 			},
 		},
 	}
-	for name, one := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse([]byte(one.content))
+			_, err := Parse([]byte(testCase.content))
 			var faults *FaultsError
 			require.True(t, errors.As(err, &faults), "%v", err)
-			require.Len(t, faults.Faults, len(one.want), "%v", err)
-			for index, want := range one.want {
+			require.Len(t, faults.Faults, len(testCase.want), "%v", err)
+			for index, want := range testCase.want {
 				require.Contains(t, faults.Faults[index].Error(), want)
 			}
 		})
--- a/internal/region/migration/planfile/write.go
+++ b/internal/region/migration/planfile/write.go
@@ -37,7 +37,7 @@
 	}
 	for index := range f.Stages {
 		if migrationPlan != nil {
-			writeRemarks(buffer, index+1, &migrationPlan.Stages[index])
+			writeStageComment(buffer, index+1, &migrationPlan.Stages[index])
 		}
 		stage, err := toml.Marshal(struct {
 			Stages []Stage `toml:"stage"`
@@ -58,21 +58,21 @@
 	fmt.Fprintf(buffer, "\n# %d stages, done by %s (%s).\n", len(migrationPlan.Stages), formatTime(migrationPlan.End), order)
 }
 
-// writeRemarks writes a comment that explains a stage to its reviewer.
-func writeRemarks(buffer *bytes.Buffer, number int, stage *plan.Stage) {
+// writeStageComment writes a comment that explains a stage to its reviewer.
+func writeStageComment(buffer *bytes.Buffer, number int, stage *plan.Stage) {
 	fmt.Fprintf(buffer, "\n# Stage %d, from %s on, about %s.\n", number, formatTime(stage.Begin), stage.Duration)
 	buffer.WriteString("# Before each step: room as measured then, a warm server left in the zone, voters within the budget.\n")
 	for index := range stage.Replacements {
-		one := &stage.Replacements[index]
-		times := &one.Times
-		fmt.Fprintf(buffer, "#   %s %s -> %s in %s\n", one.Old.Group(), one.Old.ID, one.New.ID, one.New.Zone)
-		if one.Surge {
+		replacement := &stage.Replacements[index]
+		times := &replacement.Times
+		fmt.Fprintf(buffer, "#   %s %s -> %s in %s\n", replacement.Old.Group(), replacement.Old.ID, replacement.New.ID, replacement.New.Zone)
+		if replacement.Surge {
 			fmt.Fprintf(buffer, "#     hand-over: new first, up in %s, warm in %s\n", times.Start, times.Warm)
 		} else {
 			fmt.Fprintf(buffer, "#     hand-over: old first; the new one is up in %s, warm in %s\n", times.Start, times.Warm)
 		}
 		fmt.Fprintf(buffer, "#     drain: replies up to %s, %s on their way\n", times.Drain, times.Linger)
-		fmt.Fprintf(buffer, "#     check: all proxies confirmed, no reply open, new node ready%s\n", checkSuffix(one.Surge))
+		fmt.Fprintf(buffer, "#     check: all proxies confirmed, no reply open, new node ready%s\n", checkSuffix(replacement.Surge))
 		fmt.Fprintf(buffer, "#     way back: the old node serves again at once, until it may be stopped (%s)\n", times.Stop.Round(time.Millisecond))
 	}
 }
