--- a/internal/region/migration/planfile/defaulttimes.go
+++ b/internal/region/migration/planfile/defaulttimes.go
@@ -8,15 +8,15 @@
 	"fieldrelay/internal/region/migration/plan"
 )
 
-// Durations that neither the file nor the configuration gives.
+// Durations that are used if neither the file nor the configuration has them.
 const (
-	defaultStart  = 30 * time.Second // until a new node answers
-	defaultLinger = time.Second      // of a request on its way from a proxy to a server
-	// addressTTLs is for how many times the time to live of an edge address some clients keep using it.
+	defaultStart  = 30 * time.Second // time until a new node answers
+	defaultLinger = time.Second      // time for which a request may be in flight from a proxy to a server
+	// addressTTLs is the number of times to live for which some clients keep using the address of an edge machine.
 	addressTTLs = 3
 )
 
-// times returns the expected durations of a replacement: those of the file, else the defaults.
+// times returns the expected durations of a replacement: those of the file or, where it has none, the defaults.
 func (b *inputBuilder) times(old *capacity.Node, entry *Replacement) plan.Times {
 	defaults := b.defaultTimes(old)
 	return plan.Times{
@@ -28,9 +28,9 @@
 	}
 }
 
-// defaultTimes returns durations that follow from the configuration and the bounds in force. Clients keep the address of
-// an edge machine for a few times its time to live, and the machine lingers that long, so that no response is cut off
-// when it stops.
+// defaultTimes returns the durations that follow from the configuration and the bounds in force. Clients keep using the
+// address of an edge machine for a few times its time to live. The machine lingers for that time, so that no response is
+// cut off when it stops.
 func (b *inputBuilder) defaultTimes(old *capacity.Node) plan.Times {
 	bounds := &b.inventory.Settings.Bounds
 	times := plan.Times{Start: defaultStart, Stop: bounds.Grace()}
@@ -52,7 +52,7 @@
 }
 
 // longestResponse returns the longest deadline of the routes that lead to a service, or of all routes if the name is
-// empty: no response takes longer.
+// empty. No response takes longer than that.
 func (b *inputBuilder) longestResponse(service string) time.Duration {
 	longest := time.Duration(0)
 	for _, item := range b.inventory.Snapshot.Items(catalog.KindRoutes) {
--- a/internal/region/migration/planfile/fixture_test.go
+++ b/internal/region/migration/planfile/fixture_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// parseExampleFile returns the file and the planner's input that it makes of the inventory.
+// parseExampleFile returns the example file and the planner's input from it and the inventory.
 func parseExampleFile(t *testing.T) (*File, plan.Input) {
 	t.Helper()
 	file, err := Parse([]byte(exampleFile))
@@ -138,7 +138,7 @@
 	return file, input
 }
 
-// planExampleFile returns the file with its input and the plan for it.
+// planExampleFile returns the example file, the planner's input and the plan for it.
 func planExampleFile(t *testing.T) (*File, plan.Input, *plan.Plan) {
 	t.Helper()
 	file, input := parseExampleFile(t)
--- a/internal/region/migration/planfile/golden_test.go
+++ b/internal/region/migration/planfile/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func golden(t *testing.T, name string, written []byte) string {
 	t.Helper()
@@ -22,8 +22,8 @@
 	return string(content)
 }
 
-// Guards the file as reviewers and earlier programs know it: a plan is written with its comments to the same bytes; a file
-// of an earlier program is read, written again to the same bytes, has the same digest, and its stages are verified.
+// Guards the file format, which reviewers and other versions of the program read: a plan with comments is written as
+// recorded, and a recorded file is read, written unchanged, has the recorded digest, and its stages pass verification.
 func TestGoldenPlanFile(t *testing.T) {
 	file, input, migrationPlan := planExampleFile(t)
 	planned := file.WithPlan(migrationPlan)
@@ -47,7 +47,7 @@
 	require.NoError(t, err)
 	reviewedDigest, err := fromReview.Digest()
 	require.NoError(t, err)
-	require.Equal(t, digest, reviewedDigest, "remarks do not count")
+	require.Equal(t, digest, reviewedDigest, "comments do not affect the digest")
 
 	checked, err := read.Plan(input)
 	require.NoError(t, err)
--- a/internal/region/migration/planfile/input.go
+++ b/internal/region/migration/planfile/input.go
@@ -13,27 +13,27 @@
 	"fieldrelay/internal/region/tomlfile"
 )
 
-// Inventory is what is known of the deployment.
+// Inventory is the known state of the deployment.
 type Inventory struct {
 	Settings *settings.Settings
 	Snapshot *catalog.Snapshot // the configuration in force
 	Servers  []*pb.Server
 	Agents   []*pb.AgentRecord
 	View     *pb.View
-	Loads    []capacity.Load // as measured; used by a file without periods
+	Loads    []capacity.Load // measured demand, which is used if the file has no periods
 }
 
-// inputBuilder makes the input of a planner from a file and an inventory.
+// inputBuilder builds the input of the planner from a file and an inventory.
 type inputBuilder struct {
 	file        *File
 	inventory   *Inventory
 	table       *route.Table
 	nodes       []capacity.Node
-	idByAddress map[string]string // of servers
+	idByAddress map[string]string // ID of each server by its address
 }
 
-// Input makes the input of a planner. The error is a *plan.InputError if the file names a node that does not exist, or a
-// *FaultsError if the file is at fault.
+// Input returns the input of the planner. The error is a *plan.InputError if the file names a node that does not exist, or
+// a *FaultsError if the file is invalid.
 func (f *File) Input(inventory *Inventory) (plan.Input, error) {
 	if err := tomlfile.Join(formatName, f.validate()); err != nil {
 		return plan.Input{}, err
@@ -68,8 +68,8 @@
 	return capacity.Headroom{Margin: f.Headroom.Margin, Hosts: f.Headroom.Hosts, Zones: f.Headroom.Zones, Regions: f.Headroom.Regions}
 }
 
-// compileRoutes compiles the routes and services in force. Items that cannot be compiled are left out, as the proxies do:
-// they serve nothing.
+// compileRoutes compiles the routes and services in force. As on the proxies, items that cannot be compiled are left out;
+// they serve no requests.
 func (b *inputBuilder) compileRoutes() {
 	var items []*pb.Item
 	for _, kind := range []string{catalog.KindRoutes, catalog.KindBackends} {
@@ -78,7 +78,7 @@
 	b.table, _ = route.FromItems(items)
 }
 
-// addNodes lists the nodes that serve now. A draining server is on its way out and gets nothing new: it is left out.
+// addNodes adds the nodes that serve now. Draining servers are left out, since they get no new requests.
 func (b *inputBuilder) addNodes() {
 	for _, listed := range b.inventory.Servers {
 		if listed.GetDraining() {
@@ -100,8 +100,8 @@
 	}
 }
 
-// serverNode returns the node of a server. Its capacity is what the server list says, overridden by the service's runtime
-// and then by the file.
+// serverNode returns the node of a server. Its capacity is that of the server list, overridden by the service's runtime and
+// then by the file.
 func (b *inputBuilder) serverNode(listed *pb.Server) capacity.Node {
 	node := capacity.Node{
 		ID:      listed.GetId(),
@@ -123,7 +123,8 @@
 	return node
 }
 
-// applyFileCapacity overrides a capacity with the amounts that the file gives for the node.
+// applyFileCapacity overrides a capacity with the amounts that the file gives for the node. isNew selects the entries for
+// new nodes as well.
 func (b *inputBuilder) applyFileCapacity(node *capacity.Node, isNew bool, capacity capacity.Amount) capacity.Amount {
 	for index := range b.file.Capacities {
 		entry := &b.file.Capacities[index]
@@ -137,7 +138,7 @@
 	return capacity
 }
 
-// core returns the voters in force with the fault budget of the settings.
+// core returns the voters of the view in force, with the fault budget of the settings.
 func (b *inputBuilder) core() plan.Core {
 	budget := b.inventory.Settings.FaultBudget
 	core := plan.Core{Hosts: budget.Hosts, Zones: budget.Zones}
@@ -147,6 +148,7 @@
 	return core
 }
 
+// surgeCapacity returns the surge pools of the file.
 func (b *inputBuilder) surgeCapacity() map[plan.SurgePool]int {
 	free := make(map[plan.SurgePool]int)
 	for _, pool := range b.file.SurgePools {
@@ -185,7 +187,7 @@
 	}
 }
 
-// replacement returns a replacement of the file. Its error is a *plan.InputError.
+// replacement returns the planner's replacement for one of the file. The error is a *plan.InputError.
 func (b *inputBuilder) replacement(entry *Replacement) (plan.Replacement, error) {
 	id := entry.Old
 	if entry.Kind == string(capacity.Server) {
@@ -193,7 +195,7 @@
 	}
 	index := slices.IndexFunc(b.nodes, func(node capacity.Node) bool { return node.ID == id && string(node.Kind) == entry.Kind })
 	if index < 0 {
-		return plan.Replacement{}, &plan.InputError{Node: entry.Old, Reason: "is to be replaced, but is not there"}
+		return plan.Replacement{}, &plan.InputError{Node: entry.Old, Reason: "is to be replaced, but does not exist"}
 	}
 	old := b.nodes[index]
 	next := old
@@ -204,8 +206,8 @@
 	return plan.Replacement{Old: old, New: next, Surge: entry.Surge, Times: b.times(&old, entry)}, nil
 }
 
-// dropUnknownResources removes from the demand the resources for which no capacity of the group is known: otherwise an
-// unknown capacity would count as none.
+// dropUnknownResources removes from the demand the resources for which no capacity of the group is known. Otherwise an
+// unknown capacity would count as no capacity.
 func (b *inputBuilder) dropUnknownResources(input *plan.Input) {
 	known := make(map[capacity.Group]capacity.Amount)
 	for index := range b.nodes {
--- a/internal/region/migration/planfile/parse.go
+++ b/internal/region/migration/planfile/parse.go
@@ -4,12 +4,12 @@
 	"fieldrelay/internal/region/tomlfile"
 )
 
-// FaultsError lists everything that is wrong with a file, in the order of its lines.
+// FaultsError lists all faults of a file, in the order of its lines.
 type FaultsError = tomlfile.FaultsError
 
 const formatName = "migration"
 
-// format reads the file strictly: an unknown key is a fault.
+// format is the strict file format: an unknown key is a fault.
 var format = tomlfile.Format[File]{
 	Name:           formatName,
 	New:            func() *File { return &File{} },
@@ -18,5 +18,5 @@
 	NumberElements: true,
 }
 
-// Parse reads the content of a plan file. If the file is at fault, the error is a *FaultsError with all faults.
+// Parse reads the content of a plan file. If the file is invalid, the error is a *FaultsError with all faults.
 func Parse(data []byte) (*File, error) { return format.Parse(data) }
--- a/internal/region/migration/planfile/plan.go
+++ b/internal/region/migration/planfile/plan.go
@@ -20,7 +20,7 @@
 	return &planned
 }
 
-// nameOf returns the name by which the file calls the old node of a replacement: an address or an id.
+// nameOf returns the name of the old node of a replacement in the file: an address, an ID or a host.
 func (f *File) nameOf(replacement *plan.Replacement) string {
 	for index := range f.Replacements {
 		if f.Replacements[index].New == replacement.New.ID {
@@ -30,7 +30,7 @@
 	return replacement.Old.ID
 }
 
-// Plan returns the plan of the file's stages after verifying it. The errors are those of plan.Verify.
+// Plan returns the plan that the file's stages describe, after verifying it. The errors are those of plan.Verify.
 func (f *File) Plan(input plan.Input) (*plan.Plan, error) {
 	migrationPlan := &plan.Plan{Begin: input.Begin, End: input.Begin}
 	for _, written := range f.Stages {
@@ -48,8 +48,8 @@
 	return migrationPlan, nil
 }
 
-// replacementNamed returns the replacement whose old node has a name in the file, as a slice of one, or nothing. The
-// replacements are in the order of the file, see File.Input.
+// replacementNamed returns a slice with the replacement whose old node has the given name in the file, or nil if there is
+// none. The replacements must be in the order of the file, as File.Input returns them.
 func (f *File) replacementNamed(name string, replacements []plan.Replacement) []plan.Replacement {
 	index := slices.IndexFunc(f.Replacements, func(entry Replacement) bool { return entry.Old == name })
 	if index < 0 || index >= len(replacements) {
--- a/internal/region/migration/planfile/plan_test.go
+++ b/internal/region/migration/planfile/plan_test.go
@@ -34,7 +34,7 @@
 		require.InDelta(t, migrationPlan.Stages[index].Begin, stage.Begin, float64(time.Second))
 	}
 
-	// the server that goes before its replacement comes is put into the busy hours
+	// The stage that replaces i-2 in place becomes the first one, in the period of high demand, which must be rejected.
 	for index := range again.Stages {
 		if again.Stages[index].Replace[0] == "i-2" {
 			again.Stages[0], again.Stages[index] = again.Stages[index], again.Stages[0]
--- a/internal/region/migration/planfile/rules.go
+++ b/internal/region/migration/planfile/rules.go
@@ -10,7 +10,7 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// Rules of the values of a file.
+// Validation rules for the values of a file.
 var (
 	required         = []validation.Rule{validation.Required}
 	nodeKind         = []validation.Rule{validation.Required, validation.In(string(capacity.Server), string(capacity.Edge), string(capacity.Core))}
--- a/internal/region/migration/planfile/schema.go
+++ b/internal/region/migration/planfile/schema.go
@@ -4,13 +4,13 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// File is the content of a plan file. Times of day are texts such as "15:04" or "15:04:05", durations are texts such as
-// "1m30s". The keys are an interface to operators; golden_test.go guards them.
+// File is the content of a plan file. Times of day are strings such as "15:04" or "15:04:05", durations are strings
+// such as "1m30s". The keys are an interface to operators; golden_test.go guards them.
 type File struct {
 	Name          string        `toml:"name"`
-	Begin         string        `toml:"begin"`            // time of day
-	Window        string        `toml:"window,omitempty"` // from begin, within which all must be done; empty: no limit
-	BatchFraction float64       `toml:"share,omitempty"`  // of a service in a region that a stage replaces at most; 0: the default of plan
+	Begin         string        `toml:"begin"`            // time of day at which the first stage may begin
+	Window        string        `toml:"window,omitempty"` // time limit for all replacements, from begin; empty: no limit
+	BatchFraction float64       `toml:"share,omitempty"`  // largest replaced fraction of a service in a region; 0: plan.DefaultBatchFraction
 	Headroom      Headroom      `toml:"room"`
 	SurgePools    []SurgePool   `toml:"place,omitempty"`
 	Capacities    []Capacity    `toml:"capacity,omitempty"`
@@ -27,14 +27,14 @@
 	Regions int     `toml:"regions-lost"`
 }
 
-// SurgePool is the number of nodes that can run in a zone beside those that are there.
+// SurgePool is the number of additional nodes of a kind that can run in a zone beside the present ones.
 type SurgePool struct {
 	Zone string `toml:"zone"`
 	Kind string `toml:"kind"`
 	Free int    `toml:"free"`
 }
 
-// Amounts are amounts of the resources of package capacity, in its units; 0 means unknown.
+// Amounts are the amounts of resources, in the units of package capacity; 0 means unknown.
 type Amounts struct {
 	Slots       float64 `toml:"slots,omitempty"`
 	Memory      float64 `toml:"memory,omitempty"`
@@ -56,7 +56,7 @@
 }
 
 // Capacity is the capacity of each server of a service, or of each edge machine, where the configuration does not give it.
-// With New it applies to new nodes only. Of several entries, the last one that gives a resource counts for it.
+// With New it applies to new nodes only. If several entries give the amount of a resource, the last one applies.
 type Capacity struct {
 	Kind    string `toml:"kind"`
 	Service string `toml:"service,omitempty"`
@@ -64,22 +64,22 @@
 	Amounts
 }
 
-// Replacement names an old node and the new one. Servers are named by address (the old one also by incarnation),
+// Replacement names an old node and its new node. Servers are named by address (old ones alternatively by incarnation),
 // machines by host.
 type Replacement struct {
 	Kind  string `toml:"kind"`
 	Old   string `toml:"old"`
 	New   string `toml:"new"`
-	Zone  string `toml:"zone,omitempty"` // of the new node; empty: that of the old one
-	Surge bool   `toml:"beside"`         // both can run at once
-	// Expected durations; empty: the defaults, see defaultTimes.
+	Zone  string `toml:"zone,omitempty"` // zone of the new node; empty: the zone of the old one
+	Surge bool   `toml:"beside"`         // both nodes can run at once
+	// Expected durations; empty: the default, see defaultTimes.
 	Start string `toml:"start,omitempty"`
 	Warm  string `toml:"warm,omitempty"`
 	Drain string `toml:"drain,omitempty"`
 	Stop  string `toml:"stop,omitempty"`
 }
 
-// Period is a part of the day with the peak demand that is expected in it.
+// Period is a part of the day with the peak demand expected in it.
 type Period struct {
 	From  string `toml:"from"`
 	Until string `toml:"until"`
@@ -97,9 +97,9 @@
 	Amounts
 }
 
-// Stage is a stage of a plan. Replacements are named by their old nodes.
+// Stage is a stage of a plan. Replace has the names of the old nodes of its replacements.
 type Stage struct {
-	Begin    string   `toml:"begin"` // since the midnight before the file's begin; may exceed 24:00:00
+	Begin    string   `toml:"begin"` // time since the midnight before the file's begin; may exceed 24:00:00
 	Duration string   `toml:"lasts"`
 	Replace  []string `toml:"replace"`
 }
--- a/internal/region/migration/planfile/timeformat.go
+++ b/internal/region/migration/planfile/timeformat.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// durationOr parses a duration of a validated file; an empty text means the default.
+// durationOr parses a duration of a validated file; an empty string means the default value.
 func durationOr(value string, defaultValue time.Duration) time.Duration {
 	if value == "" {
 		return defaultValue
@@ -38,7 +38,7 @@
 	return total, nil
 }
 
-// formatTime is the inverse of parseTimeOfDay; fractions of a second are rounded up.
+// formatTime is the inverse of parseTimeOfDay. It rounds up to whole seconds.
 func formatTime(at time.Duration) string {
 	seconds := int64((at + time.Second - 1) / time.Second)
 	return fmt.Sprintf("%02d:%02d:%02d", seconds/3600, seconds/60%60, seconds%60)
--- a/internal/region/migration/planfile/validate.go
+++ b/internal/region/migration/planfile/validate.go
@@ -11,10 +11,11 @@
 	"fieldrelay/internal/region/tomlfile"
 )
 
-// maxFailures bounds the fault budget of a file: all combinations of so many failures are checked.
+// maxFailures is the largest number in the fault budget of a file. It is limited because all combinations of that many
+// failures are checked.
 const maxFailures = 3
 
-// validator collects the faults of a file; their lines are added later.
+// validator collects the faults of a file. Their line numbers are added later.
 type validator struct{ faults []*tomlfile.FaultError }
 
 func (v *validator) check(key string, value any, rules []validation.Rule) {
@@ -27,7 +28,7 @@
 	v.faults = append(v.faults, &tomlfile.FaultError{Key: key, Reason: reason})
 }
 
-// validate returns the faults of a file, without their lines.
+// validate returns the faults of a file, without their line numbers.
 func (f *File) validate() []*tomlfile.FaultError {
 	v := &validator{}
 	v.check("name", f.Name, required)
@@ -63,10 +64,10 @@
 	v.amounts(key, &capacity.Amounts)
 }
 
-// service checks that a service is named for servers, and only for them.
+// service checks that a service is given for servers, and only for servers.
 func (v *validator) service(key, kind, service string) {
 	if (kind == string(capacity.Server)) != (service != "") && kind != "" {
-		v.add(key+"service", "must be named for servers, and for nothing else")
+		v.add(key+"service", "is required for servers, and not allowed for other kinds")
 	}
 }
 
@@ -95,7 +96,7 @@
 			used[named.name] = true
 		}
 		if !entry.Surge && entry.Zone != "" {
-			v.add(key+"zone", "must not be told of a node that takes the place of the old one")
+			v.add(key+"zone", "must be empty for an in-place replacement")
 		}
 	}
 }
@@ -119,7 +120,7 @@
 	v.amounts(key, &load.Amounts)
 }
 
-// stages checks that the stages, if there are any, contain every replacement exactly once.
+// stages checks the stages, if there are any: together they must contain every replacement exactly once.
 func (v *validator) stages(f *File) {
 	if len(f.Stages) == 0 {
 		return
@@ -136,7 +137,7 @@
 				v.add(key+"replace", fmt.Sprintf("%q is replaced twice", old))
 			}
 			if !slices.ContainsFunc(f.Replacements, func(known Replacement) bool { return known.Old == old }) {
-				v.add(key+"replace", fmt.Sprintf("%q is not among what is to be replaced", old))
+				v.add(key+"replace", fmt.Sprintf("%q is not the old node of any replacement", old))
 			}
 			planned = append(planned, old)
 		}
@@ -158,7 +159,7 @@
 	from, _ := parseTimeOfDay(period.From)
 	until, _ := parseTimeOfDay(period.Until)
 	if from != previousEnd {
-		v.add(key+"from", "must be where the period before ends; the first begins at 00:00")
+		v.add(key+"from", "must equal the end of the previous period; the first period begins at 00:00")
 	}
 	if until <= from {
 		v.add(key+"until", "must be after from")
--- a/internal/region/migration/planfile/write.go
+++ b/internal/region/migration/planfile/write.go
@@ -13,23 +13,24 @@
 	"fieldrelay/internal/region/migration/plan"
 )
 
-// Digest returns the hexadecimal SHA-256 digest of the file's content, stages included. Comments do not count.
+// Digest returns the hexadecimal SHA-256 digest of the file's content, including the stages. Comments do not affect it.
 func (f *File) Digest() (string, error) {
 	data, err := toml.Marshal(f)
 	if err != nil {
-		return "", errors.Wrap(err, "write the plan")
+		return "", errors.Wrap(err, "encode the plan file as TOML")
 	}
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:]), nil
 }
 
-// Write returns the file as TOML, with comments for the reviewer on each stage if the plan of the stages is given.
+// Write returns the file as TOML, with comments for the reviewer on each stage if migrationPlan, the plan of these
+// stages, is not nil.
 func (f *File) Write(migrationPlan *plan.Plan) ([]byte, error) {
 	head := *f
 	head.Stages = nil
 	data, err := toml.Marshal(&head)
 	if err != nil {
-		return nil, errors.Wrap(err, "write the plan")
+		return nil, errors.Wrap(err, "encode the plan file as TOML")
 	}
 	buffer := bytes.NewBuffer(data)
 	if migrationPlan != nil {
@@ -43,7 +44,7 @@
 			Stages []Stage `toml:"stage"`
 		}{f.Stages[index : index+1]})
 		if err != nil {
-			return nil, errors.Wrap(err, "write a stage")
+			return nil, errors.Wrap(err, "encode a stage as TOML")
 		}
 		buffer.Write(stage)
 	}
@@ -58,7 +59,7 @@
 	fmt.Fprintf(buffer, "\n# %d stages, done by %s (%s).\n", len(migrationPlan.Stages), formatTime(migrationPlan.End), order)
 }
 
-// writeStageComment writes a comment that explains a stage to its reviewer.
+// writeStageComment writes a comment that explains a stage to the reviewer.
 func writeStageComment(buffer *bytes.Buffer, number int, stage *plan.Stage) {
 	fmt.Fprintf(buffer, "\n# Stage %d, from %s on, about %s.\n", number, formatTime(stage.Begin), stage.Duration)
 	buffer.WriteString("# Before each step: room as measured then, a warm server left in the zone, voters within the budget.\n")
@@ -77,8 +78,8 @@
 	}
 }
 
-// checkSuffix completes the line on checks: with surge the new node is ready before the old one is stopped, in place only
-// before the next stage.
+// checkSuffix returns the end of the comment line on checks: with surge the new node must be ready before the old one is
+// stopped; in place, only before the next stage.
 func checkSuffix(surge bool) string {
 	if surge {
 		return ""
