--- a/internal/region/migration/simulate/checker_test.go
+++ b/internal/region/migration/simulate/checker_test.go
@@ -14,14 +14,14 @@
 type rule string
 
 const (
-	ruleLost     rule = "no response is lost by the migration"
-	ruleDoubled  rule = "no response is duplicated"
-	ruleCapacity rule = "no capacity is taken that is needed"
-	ruleReaction rule = "cordoned nodes serve again when capacity falls short"
-	ruleLast     rule = "a zone keeps a warm server"
-	ruleVoters   rule = "the voters survive the fault budget"
-	ruleSteps    rule = "states follow each other by allowed transitions"
-	ruleEnd      rule = "a run ends, with the right nodes"
+	ruleLost        rule = "no response is lost by the migration"
+	ruleDuplicated  rule = "no response is duplicated"
+	ruleCapacity    rule = "no capacity is taken that is needed"
+	ruleReaction    rule = "cordoned nodes serve again when capacity falls short"
+	ruleLastServer  rule = "a zone keeps a warm server"
+	ruleVoters      rule = "the voters survive the fault budget"
+	ruleTransitions rule = "states follow each other by allowed transitions"
+	ruleEnd         rule = "a run ends, with the right nodes"
 )
 
 // violation is a violated rule.
@@ -40,42 +40,42 @@
 // checker checks the rules on a deployment.
 type checker struct {
 	*deployment
-	violations []violation
-	only       rule // the one that is checked; empty: all
-	shortFor   map[capacity.Group]time.Duration
-	phases     map[execute.Phase]int // how often each was entered
+	violations       []violation
+	onlyRule         rule // the one that is checked; empty: all
+	shortageDuration map[capacity.Group]time.Duration
+	phases           map[execute.Phase]int // how often each was entered
 }
 
 func newChecker(d *deployment) *checker {
-	return &checker{deployment: d, shortFor: map[capacity.Group]time.Duration{}, phases: map[execute.Phase]int{}}
+	return &checker{deployment: d, shortageDuration: map[capacity.Group]time.Duration{}, phases: map[execute.Phase]int{}}
 }
 
 // report records a violation, up to ten.
 func (c *checker) report(broken rule, format string, arguments ...any) {
-	if len(c.violations) < 10 && (c.only == "" || c.only == broken) {
+	if len(c.violations) < 10 && (c.onlyRule == "" || c.onlyRule == broken) {
 		c.violations = append(c.violations, violation{broken, c.now, fmt.Sprintf(format, arguments...)})
 	}
 }
 
 // lost records a response that the migration has lost.
-func (c *checker) lost(one *response, why string) {
-	c.report(ruleLost, "from %s by %s: %s", one.edge.spec.ID, one.server.spec.ID, why)
+func (c *checker) lost(response *response, why string) {
+	c.report(ruleLost, "from %s by %s: %s", response.edge.spec.ID, response.server.spec.ID, why)
 }
 
 // completed checks a complete response.
-func (c *checker) completed(one *response) {
-	if one.executions != 1 || one.written > one.length+tick {
-		c.report(ruleDoubled, "%d runs, %s written of %s", one.executions, one.written, one.length)
+func (c *checker) completed(response *response) {
+	if response.executions != 1 || response.written > response.length+tick {
+		c.report(ruleDuplicated, "%d runs, %s written of %s", response.executions, response.written, response.length)
 	}
 }
 
 // stopping checks a node that is about to be stopped.
-func (c *checker) stopping(one *node) {
-	if one.votes {
-		c.report(ruleVoters, "%s is stopped while it votes", one.spec.ID)
+func (c *checker) stopping(node *node) {
+	if node.votes {
+		c.report(ruleVoters, "%s is stopped while it votes", node.spec.ID)
 	}
-	if !slices.Contains(c.store.committed.Stop, one.spec.ID) {
-		c.report(ruleSteps, "%s is stopped, which the state does not say any more", one.spec.ID)
+	if !slices.Contains(c.store.committed.Stop, node.spec.ID) {
+		c.report(ruleTransitions, "%s is stopped, which the state does not say any more", node.spec.ID)
 	}
 }
 
@@ -83,7 +83,7 @@
 func (c *checker) stored(before, after *execute.State) {
 	c.counts.states++
 	if err := execute.CheckTransition(before, after, c.plan); err != nil {
-		c.report(ruleSteps, "%v", err)
+		c.report(ruleTransitions, "%v", err)
 		return
 	}
 	var cordoned []string
@@ -100,9 +100,9 @@
 		}
 	}
 	for _, id := range after.Cordoned {
-		one := c.nodes[id]
-		if one.ready(c.now) && one.spec.Kind != capacity.Core && !slices.Contains(cordoned, id) {
-			c.cordoning(one, after)
+		node := c.nodes[id]
+		if node.ready(c.now) && node.spec.Kind != capacity.Core && !slices.Contains(cordoned, id) {
+			c.cordoning(node, after)
 		}
 	}
 }
@@ -116,34 +116,34 @@
 func (c *checker) checkReleased(before, after *execute.State) {
 	for _, id := range before.Stop {
 		if !slices.Contains(after.Stop, id) {
-			c.report(ruleSteps, "%s is not to be stopped any more", id)
+			c.report(ruleTransitions, "%s is not to be stopped any more", id)
 		}
 	}
 }
 
 // cordoning checks a node that gets no new requests from now on.
-func (c *checker) cordoning(one *node, after *execute.State) {
+func (c *checker) cordoning(node *node, after *execute.State) {
 	serving := c.serving(after.Cordoned)
 	sameZone := func(other capacity.Node) bool {
-		return other.Group() == one.spec.Group() && other.Zone == one.spec.Zone
+		return other.Group() == node.spec.Group() && other.Zone == node.spec.Zone
 	}
 	stable := c.now >= c.faults.unstableUntil
 	if stable && !slices.ContainsFunc(serving, sameZone) {
-		c.report(ruleLast, "%s is cordoned", one.spec.ID)
+		c.report(ruleLastServer, "%s is cordoned", node.spec.ID)
 	}
 	headroom := c.input.Headroom
 	headroom.Margin = 0
-	if shortage := headroom.Check(one.spec.Group(), serving, c.offeredLoads(minMeasuredFraction)); stable && shortage != nil {
-		c.report(ruleCapacity, "%s is cordoned, and %s", one.spec.ID, shortage)
+	if shortage := headroom.Check(node.spec.Group(), serving, c.offeredLoads(minMeasuredFraction)); stable && shortage != nil {
+		c.report(ruleCapacity, "%s is cordoned, and %s", node.spec.ID, shortage)
 	}
 }
 
 // serving returns the nodes that really serve and are not cordoned.
 func (c *checker) serving(cordoned []string) []capacity.Node {
 	var nodes []capacity.Node
-	for _, one := range c.order {
-		if one.ready(c.now) && !slices.Contains(cordoned, one.spec.ID) {
-			nodes = append(nodes, one.spec)
+	for _, node := range c.orderedNodes {
+		if node.ready(c.now) && !slices.Contains(cordoned, node.spec.ID) {
+			nodes = append(nodes, node.spec)
 		}
 	}
 	return nodes
@@ -177,19 +177,19 @@
 
 // checkReaction measures for how long there is a shortage although nodes are cordoned that could serve again.
 func (c *checker) checkReaction(group capacity.Group) {
-	returnable := c.uncordonable(group)
-	works := slices.ContainsFunc(c.store.instances, func(one *instance) bool { return !one.outdated && c.now >= one.frozenUntil })
-	if len(returnable) == 0 || !works || !c.store.majority() {
-		c.shortFor[group] = 0
+	uncordonable := c.uncordonable(group)
+	executorWorks := slices.ContainsFunc(c.store.instances, func(instance *instance) bool { return !instance.outdated && c.now >= instance.frozenUntil })
+	if len(uncordonable) == 0 || !executorWorks || !c.store.hasMajority() {
+		c.shortageDuration[group] = 0
 		return
 	}
 	if (capacity.Headroom{}).Check(group, c.serving(c.store.committed.Cordoned), c.arrivedLoads()) == nil {
-		c.shortFor[group] = 0
+		c.shortageDuration[group] = 0
 		return
 	}
-	c.shortFor[group] += tick
-	if c.shortFor[group] == reactionTimeout {
-		c.report(ruleReaction, "%v are cordoned in %s", returnable, group)
+	c.shortageDuration[group] += tick
+	if c.shortageDuration[group] == reactionTimeout {
+		c.report(ruleReaction, "%v are cordoned in %s", uncordonable, group)
 	}
 }
 
@@ -216,13 +216,13 @@
 // checkVoters checks that the voters survive the fault budget as well as they did at the beginning.
 func (c *checker) checkVoters() {
 	var voters []plan.Voter
-	for _, one := range c.order {
-		if one.votes {
-			voters = append(voters, plan.Voter{ID: one.spec.ID, Zone: one.spec.Zone})
+	for _, node := range c.orderedNodes {
+		if node.votes {
+			voters = append(voters, plan.Voter{ID: node.spec.ID, Zone: node.spec.Zone})
 		}
 	}
 	core := c.input.Core
-	if survivors(voters, core) < min(0, survivors(core.Voters, core)) {
+	if majorityMargin(voters, core) < min(0, majorityMargin(core.Voters, core)) {
 		c.report(ruleVoters, "%v do not bear the budget", voters)
 	}
 }
@@ -232,8 +232,8 @@
 	state := c.store.committed
 	if state == nil || !state.Outcome.Ended() {
 		var blockers []execute.Blocker
-		for _, one := range c.store.instances {
-			blockers = append(blockers, one.machine.Blockers()...)
+		for _, instance := range c.store.instances {
+			blockers = append(blockers, instance.machine.Blockers()...)
 		}
 		c.report(ruleEnd, "it has not ended: %+v; blockers %+v", state, blockers)
 		return
@@ -263,8 +263,8 @@
 	}
 }
 
-// survivors returns how many voters more than a majority remain after the worst failure within the budget.
-func survivors(voters []plan.Voter, core plan.Core) int {
+// majorityMargin returns how many voters more than a majority remain after the worst failure within the budget.
+func majorityMargin(voters []plan.Voter, core plan.Core) int {
 	worst := len(voters) - core.Hosts
 	zones := map[string]int{}
 	for _, voter := range voters {
--- a/internal/region/migration/simulate/deployment_test.go
+++ b/internal/region/migration/simulate/deployment_test.go
@@ -82,19 +82,19 @@
 
 // deployment is the simulated deployment.
 type deployment struct {
-	random    *rand.Rand
-	now       time.Duration
-	input     plan.Input
-	plan      *plan.Plan
-	nodes     map[string]*node
-	order     []*node // all nodes in a fixed order, so that a run can be repeated
-	clients   []*client
-	responses []*response
-	store     *store
-	faults    faults
-	planted   plantedFault
-	checker   *checker
-	counts    counts
+	random       *rand.Rand
+	now          time.Duration
+	input        plan.Input
+	plan         *plan.Plan
+	nodes        map[string]*node
+	orderedNodes []*node // all nodes in a fixed order, so that a run can be repeated
+	clients      []*client
+	responses    []*response
+	store        *store
+	faults       faults
+	planted      plantedFault
+	checker      *checker
+	counts       counts
 }
 
 // counts are totals of a run.
@@ -116,8 +116,8 @@
 	for _, spec := range input.Nodes {
 		d.add(spec, true)
 	}
-	for _, one := range input.Replacements {
-		d.add(one.New, false)
+	for _, replacement := range input.Replacements {
+		d.add(replacement.New, false)
 	}
 	d.store = newStore(d)
 	d.checker = newChecker(d)
@@ -140,14 +140,14 @@
 func (d *deployment) add(spec capacity.Node, present bool) {
 	added := &node{spec: spec, present: present, votes: present && spec.Kind == capacity.Core, state: &execute.State{}}
 	d.nodes[spec.ID] = added
-	d.order = append(d.order, added)
+	d.orderedNodes = append(d.orderedNodes, added)
 }
 
 func (d *deployment) durationBetween(least, most time.Duration) time.Duration {
 	return least + time.Duration(d.random.Int64N(int64(most-least)+1))
 }
 
-func (d *deployment) happens(part float64) bool { return d.random.Float64() < part }
+func (d *deployment) happens(probability float64) bool { return d.random.Float64() < probability }
 
 // step lets one tick pass.
 func (d *deployment) step() {
--- a/internal/region/migration/simulate/executor_test.go
+++ b/internal/region/migration/simulate/executor_test.go
@@ -46,13 +46,13 @@
 
 func newStore(d *deployment) *store { return &store{deployment: d, takeoverAt: tick} }
 
-// majority reports whether a majority of the voters is live and not partitioned.
-func (s *store) majority() bool {
+// hasMajority reports whether a hasMajority of the voters is live and not partitioned.
+func (s *store) hasMajority() bool {
 	voters, live := 0, 0
-	for _, one := range s.order {
-		if one.votes {
+	for _, node := range s.orderedNodes {
+		if node.votes {
 			voters++
-			if one.present {
+			if node.present {
 				live++
 			}
 		}
@@ -62,38 +62,38 @@
 
 // step delivers the messages that are due and feeds the instances.
 func (s *store) step() {
-	if s.takeoverAt > 0 && s.now >= s.takeoverAt && s.majority() {
+	if s.takeoverAt > 0 && s.now >= s.takeoverAt && s.hasMajority() {
 		s.takeoverAt = 0
 		s.startInstance()
 	}
-	due := slices.DeleteFunc(slices.Clone(s.messages), func(one message) bool { return one.at > s.now })
-	s.messages = slices.DeleteFunc(s.messages, func(one message) bool { return one.at <= s.now })
-	for _, one := range due {
-		if one.event != nil {
-			s.feed(one.instance, one.event)
+	due := slices.DeleteFunc(slices.Clone(s.messages), func(message message) bool { return message.at > s.now })
+	s.messages = slices.DeleteFunc(s.messages, func(message message) bool { return message.at <= s.now })
+	for _, message := range due {
+		if message.event != nil {
+			s.feed(message.instance, message.event)
 		} else {
-			s.compareAndSet(one.instance, one.requested)
+			s.compareAndSet(message.instance, message.requested)
 		}
 	}
-	for _, one := range slices.Clone(s.instances) {
-		if one.machine.Fenced() {
-			s.drop(one)
+	for _, instance := range slices.Clone(s.instances) {
+		if instance.machine.Fenced() {
+			s.endInstance(instance)
 			continue
 		}
-		s.feed(one, execute.DirectiveSet{Directive: s.directive})
-		if s.now-one.observedAt >= 300*time.Millisecond {
-			one.observedAt = s.now
+		s.feed(instance, execute.DirectiveSet{Directive: s.directive})
+		if s.now-instance.observedAt >= 300*time.Millisecond {
+			instance.observedAt = s.now
 			observation := s.observe()
-			s.later(one, execute.Observed{Observation: observation}, 400*time.Millisecond)
+			s.deliverLater(instance, execute.Observed{Observation: observation}, 400*time.Millisecond)
 		}
-		s.feed(one, execute.Tick{})
+		s.feed(instance, execute.Tick{})
 	}
 }
 
 // startInstance makes a new instance the owner of the singleton role. It reads the committed state first.
 func (s *store) startInstance() {
-	for _, one := range s.instances {
-		one.outdated = true
+	for _, instance := range s.instances {
+		instance.outdated = true
 	}
 	s.starts++
 	fresh := &instance{machine: execute.NewMachine(execute.Config{
@@ -107,19 +107,19 @@
 		MaxStartDelay:      maxCommandDelay + time.Second,
 	})}
 	s.instances = append(s.instances, fresh)
-	s.later(fresh, execute.Loaded{State: s.committed}, time.Second)
+	s.deliverLater(fresh, execute.Loaded{State: s.committed}, time.Second)
 }
 
-// drop ends an instance; another one takes over if it was the owner.
-func (s *store) drop(one *instance) {
-	s.instances = slices.DeleteFunc(s.instances, func(other *instance) bool { return other == one })
-	if !one.outdated {
+// endInstance ends an instance; another one takes over if it was the owner.
+func (s *store) endInstance(ended *instance) {
+	s.instances = slices.DeleteFunc(s.instances, func(other *instance) bool { return other == ended })
+	if !ended.outdated {
 		s.takeoverAt = s.now + s.durationBetween(500*time.Millisecond, 3*time.Second)
 	}
 }
 
-// later delivers an event after a random delay.
-func (s *store) later(to *instance, event execute.Event, most time.Duration) {
+// deliverLater delivers an event after a random delay.
+func (s *store) deliverLater(to *instance, event execute.Event, most time.Duration) {
 	s.messages = append(s.messages, message{at: s.now + s.durationBetween(0, most), instance: to, event: event})
 }
 
@@ -129,7 +129,7 @@
 		return
 	}
 	if s.now < to.frozenUntil {
-		if _, passing := event.(execute.Tick); !passing {
+		if _, isTick := event.(execute.Tick); !isTick {
 			s.messages = append(s.messages, message{at: to.frozenUntil, instance: to, event: event})
 		}
 		return
@@ -144,7 +144,7 @@
 			s.messages = append(s.messages, message{at: s.now + s.durationBetween(0, 200*time.Millisecond), instance: to, requested: store.State})
 		}
 		if killed {
-			s.drop(to)
+			s.endInstance(to)
 			return
 		}
 	}
@@ -152,7 +152,7 @@
 
 // compareAndSet puts a state in place of the one before, if that is the expected one.
 func (s *store) compareAndSet(from *instance, next *execute.State) {
-	if !s.majority() {
+	if !s.hasMajority() {
 		return
 	}
 	if s.committed != nil && s.committed.Revision == next.Revision && s.committed.Owner == next.Owner {
@@ -176,7 +176,7 @@
 // answer sends an answer that may be lost.
 func (s *store) answer(to *instance, event execute.Event) {
 	if !s.happens(s.faults.lostAnswerFraction) {
-		s.later(to, event, 200*time.Millisecond)
+		s.deliverLater(to, event, 200*time.Millisecond)
 	}
 }
 
@@ -194,9 +194,9 @@
 // directoryAt returns the edge machines that were left out of the directory at a time.
 func (s *store) directoryAt(at time.Duration) []string {
 	var edges []string
-	for _, one := range s.cordons {
-		if one.at <= at {
-			edges = one.edges
+	for _, cordon := range s.cordons {
+		if cordon.at <= at {
+			edges = cordon.edges
 		}
 	}
 	return edges
--- a/internal/region/migration/simulate/faults_test.go
+++ b/internal/region/migration/simulate/faults_test.go
@@ -35,7 +35,7 @@
 	crashCore
 	burstDemand
 	partitionNetwork
-	disturb
+	executorDisruption
 	pauseRun
 	faultKinds = pauseRun
 )
@@ -85,24 +85,24 @@
 // crashOne crashes a node of a kind, unless one is down: the fault budget is one.
 func (d *deployment) crashOne(kind capacity.Kind) {
 	var candidates []*node
-	for _, one := range d.order {
-		if one.spec.Kind != kind {
+	for _, node := range d.orderedNodes {
+		if node.spec.Kind != kind {
 			continue
 		}
-		if one.restartAt > 0 {
+		if node.restartAt > 0 {
 			return
 		}
-		if one.present {
-			candidates = append(candidates, one)
+		if node.present {
+			candidates = append(candidates, node)
 		}
 	}
 	if len(candidates) == 0 {
 		return
 	}
 	d.counts.crashes++
-	back := d.durationBetween(d.faults.maxDowntime/3, d.faults.maxDowntime)
+	downtime := d.durationBetween(d.faults.maxDowntime/3, d.faults.maxDowntime)
 	d.faults.unstableUntil = d.now + stabilization
-	d.crash(candidates[d.random.IntN(len(candidates))], back)
+	d.crash(candidates[d.random.IntN(len(candidates))], downtime)
 }
 
 func (d *deployment) burst() {
@@ -120,26 +120,26 @@
 		d.store.partitionedUntil = d.now + d.durationBetween(time.Second, 5*time.Second)
 		return
 	}
-	for _, one := range d.order {
-		if one.spec.Kind == capacity.Edge && one.present && d.happens(0.3) {
-			one.partitionedUntil = d.now + d.durationBetween(time.Second, 12*time.Second)
+	for _, node := range d.orderedNodes {
+		if node.spec.Kind == capacity.Edge && node.present && d.happens(0.3) {
+			node.partitionedUntil = d.now + d.durationBetween(time.Second, 12*time.Second)
 			return
 		}
 	}
 }
 
-// disturbExecutor kills the executor, freezes it, or lets a second instance take over while it goes on.
-func (d *deployment) disturbExecutor() {
+// disruptExecutor kills the executor, freezes it, or lets a second instance take over while it goes on.
+func (d *deployment) disruptExecutor() {
 	if len(d.store.instances) == 0 {
 		return
 	}
-	one := d.store.instances[d.random.IntN(len(d.store.instances))]
+	instance := d.store.instances[d.random.IntN(len(d.store.instances))]
 	d.counts.kills++
 	switch d.random.IntN(3) {
 	case 0:
-		d.store.drop(one)
+		d.store.endInstance(instance)
 	case 1:
-		one.frozenUntil = d.now + d.durationBetween(time.Second, 8*time.Second)
+		instance.frozenUntil = d.now + d.durationBetween(time.Second, 8*time.Second)
 		fallthrough
 	case 2:
 		if d.store.takeoverAt == 0 {
@@ -172,8 +172,8 @@
 		d.burst()
 	case partitionNetwork:
 		d.partition()
-	case disturb:
-		d.disturbExecutor()
+	case executorDisruption:
+		d.disruptExecutor()
 	case pauseRun:
 		if d.store.directive == execute.Proceed {
 			d.store.directive, d.faults.resumeAt = execute.Pause, d.now+d.durationBetween(time.Second, 10*time.Second)
--- a/internal/region/migration/simulate/observation_test.go
+++ b/internal/region/migration/simulate/observation_test.go
@@ -16,19 +16,19 @@
 		Nodes:             map[string]execute.NodeStatus{},
 		ConfirmedRevision: s.confirmedRevision(),
 		Core:              plan.Core{Hosts: s.input.Core.Hosts, Zones: s.input.Core.Zones},
-		CoreConverged:     s.majority(),
+		CoreConverged:     s.hasMajority(),
 	}
-	for _, one := range s.order {
-		if one.votes {
-			observation.Core.Voters = append(observation.Core.Voters, plan.Voter{ID: one.spec.ID, Zone: one.spec.Zone})
-			observation.CoreConverged = observation.CoreConverged && one.present
+	for _, node := range s.orderedNodes {
+		if node.votes {
+			observation.Core.Voters = append(observation.Core.Voters, plan.Voter{ID: node.spec.ID, Zone: node.spec.Zone})
+			observation.CoreConverged = observation.CoreConverged && node.present
 		}
-		if !one.present {
+		if !node.present {
 			continue
 		}
-		observation.Nodes[one.spec.ID] = s.status(one)
-		if one.spec.Kind != capacity.Core && one.ready(s.now) {
-			observation.Fleet = append(observation.Fleet, one.spec)
+		observation.Nodes[node.spec.ID] = s.status(node)
+		if node.spec.Kind != capacity.Core && node.ready(s.now) {
+			observation.Fleet = append(observation.Fleet, node.spec)
 		}
 	}
 	observation.Loads = s.measuredLoads()
@@ -36,17 +36,17 @@
 	return observation
 }
 
-func (s *store) status(one *node) execute.NodeStatus {
-	status := execute.NodeStatus{Ready: one.ready(s.now), Votes: one.votes, InFlight: len(one.inFlight)}
-	if one.spec.Kind == capacity.Core && !s.input.Replacements[s.replacementOf(one)].Surge {
-		status.Ready = status.Ready && one.votes
+func (s *store) status(node *node) execute.NodeStatus {
+	status := execute.NodeStatus{Ready: node.ready(s.now), Votes: node.votes, InFlight: len(node.inFlight)}
+	if node.spec.Kind == capacity.Core && !s.input.Replacements[s.replacementOf(node)].Surge {
+		status.Ready = status.Ready && node.votes
 	}
-	for _, response := range one.inFlight {
+	for _, response := range node.inFlight {
 		if response.resumable {
 			status.Migratable++
 		}
 		// A partitioned proxy reports nothing, and a server sees only the requests that have arrived.
-		unseen := one.spec.Kind == capacity.Server && s.now < response.edge.partitionedUntil && s.now < response.arrivesAt
+		unseen := node.spec.Kind == capacity.Server && s.now < response.edge.partitionedUntil && s.now < response.arrivesAt
 		if unseen || s.planted == faultArrivedOnly && s.now < response.arrivesAt {
 			status.InFlight--
 		}
@@ -55,9 +55,9 @@
 }
 
 // replacementOf returns the index of the replacement that a node belongs to; 0 if there is none.
-func (s *store) replacementOf(one *node) int {
+func (s *store) replacementOf(node *node) int {
 	return max(slices.IndexFunc(s.input.Replacements, func(r plan.Replacement) bool {
-		return r.New.ID == one.spec.ID || r.Old.ID == one.spec.ID
+		return r.New.ID == node.spec.ID || r.Old.ID == node.spec.ID
 	}), 0)
 }
 
@@ -65,9 +65,9 @@
 // is back.
 func (s *store) confirmedRevision() uint64 {
 	least := ^uint64(0)
-	for _, one := range s.order {
-		if one.spec.Kind == capacity.Edge && (one.present || one.restartAt > 0) {
-			least = min(least, one.state.Revision)
+	for _, edge := range s.orderedNodes {
+		if edge.spec.Kind == capacity.Edge && (edge.present || edge.restartAt > 0) {
+			least = min(least, edge.state.Revision)
 		}
 	}
 	return least
@@ -99,8 +99,8 @@
 // inFlightOf counts the responses of a client that are in flight.
 func (d *deployment) inFlightOf(from *client) int {
 	count := 0
-	for _, one := range d.responses {
-		if one.client == from {
+	for _, response := range d.responses {
+		if response.client == from {
 			count++
 		}
 	}
--- a/internal/region/migration/simulate/plantedfault_test.go
+++ b/internal/region/migration/simulate/plantedfault_test.go
@@ -14,17 +14,17 @@
 type plantedFault uint8
 
 const (
-	faultNone               plantedFault = iota
-	faultFalseConfirmation               // proxies are said to have confirmed what they have not
-	faultNothingInFlight                 // requests in flight are not counted
-	faultArrivedOnly                     // requests on their way are neither counted nor waited for
-	faultStreamsRestart                  // proxies begin migrated streams from their beginning
-	faultLowLoad                         // a tenth of the demand is measured
-	faultStaleLoad                       // the measured demand is that of the plan
-	faultGoneServersListed               // servers that are gone are listed as serving
-	faultFalseVotes                      // voters are said to be exchanged that are not
-	faultUnconditionalStore              // the chain stores any state
-	faultNoConfirmation                  // proxies never confirm
+	faultNone                plantedFault = iota
+	faultFalseConfirmation                // proxies are said to have confirmed what they have not
+	faultNothingInFlight                  // requests in flight are not counted
+	faultArrivedOnly                      // requests on their way are neither counted nor waited for
+	faultStreamsRestart                   // proxies begin migrated streams from their beginning
+	faultLowLoad                          // a tenth of the demand is measured
+	faultStaleLoad                        // the measured demand is that of the plan
+	faultAbsentServersListed              // servers that are gone are listed as serving
+	faultFalseVotes                       // voters are said to be exchanged that are not
+	faultUnconditionalStore               // the chain stores any state
+	faultNoConfirmation                   // proxies never confirm
 )
 
 // distort changes an observation according to the fault.
@@ -43,18 +43,18 @@
 		}
 	case faultStaleLoad:
 		observation.Loads = d.input.Demand.Periods[0].Loads
-	case faultGoneServersListed:
-		for _, one := range d.order {
-			if one.spec.Kind == capacity.Server && !one.ready(d.now) {
-				observation.Fleet = append(observation.Fleet, one.spec)
+	case faultAbsentServersListed:
+		for _, node := range d.orderedNodes {
+			if node.spec.Kind == capacity.Server && !node.ready(d.now) {
+				observation.Fleet = append(observation.Fleet, node.spec)
 			}
 		}
 	case faultFalseVotes:
-		for _, one := range d.order {
-			status, present := observation.Nodes[one.spec.ID]
-			if present && one.spec.Kind == capacity.Core {
-				status.Votes = !isOld(d, one)
-				observation.Nodes[one.spec.ID] = status
+		for _, node := range d.orderedNodes {
+			status, present := observation.Nodes[node.spec.ID]
+			if present && node.spec.Kind == capacity.Core {
+				status.Votes = !isOld(d, node)
+				observation.Nodes[node.spec.ID] = status
 			}
 		}
 	case faultNoConfirmation:
@@ -62,8 +62,8 @@
 	}
 }
 
-func isOld(d *deployment, one *node) bool {
-	return d.input.Replacements[d.store.replacementOf(one)].Old.ID == one.spec.ID
+func isOld(d *deployment, node *node) bool {
+	return d.input.Replacements[d.store.replacementOf(node)].Old.ID == node.spec.ID
 }
 
 // growDemand lets demand grow beyond what was planned for while nodes are cordoned.
@@ -102,20 +102,20 @@
 		"proxies are said to know":              {faultFalseConfirmation, ruleLost, func(f *faults) { f.propagation, f.killFraction = 0.002, 0 }},
 		"open replies are not counted":          {faultNothingInFlight, ruleLost, nil},
 		"requests on their way are passed over": {faultArrivedOnly, ruleLost, func(f *faults) { f.maxSendDelay = 10 * maxSendDelay }},
-		"streams that are moved begin anew":     {faultStreamsRestart, ruleDoubled, withoutFaults},
+		"streams that are moved begin anew":     {faultStreamsRestart, ruleDuplicated, withoutFaults},
 		"little demand is measured":             {faultLowLoad, ruleCapacity, growDemand},
 		"demand is not measured again":          {faultStaleLoad, ruleReaction, growDemandWhileCordoned},
-		"servers that are gone are listed":      {faultGoneServersListed, ruleLast, func(f *faults) { f.rate, f.only, f.maxDowntime = 2, crashServer, time.Minute }},
+		"servers that are gone are listed":      {faultAbsentServersListed, ruleLastServer, func(f *faults) { f.rate, f.only, f.maxDowntime = 2, crashServer, time.Minute }},
 		"voters are said to be exchanged":       {faultFalseVotes, ruleVoters, nil},
-		"the chain takes any state":             {faultUnconditionalStore, ruleSteps, nil},
+		"the chain takes any state":             {faultUnconditionalStore, ruleTransitions, nil},
 		"proxies never confirm":                 {faultNoConfirmation, ruleEnd, nil},
 	}
 	scenarios := scenarioCache{}
-	for name, one := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= maxSeeds; seed++ {
-				d := prepareRun(scenarios.get(seed), seed, one.planted, one.adjust)
-				d.checker.only = one.want
+				d := prepareRun(scenarios.get(seed), seed, testCase.planted, testCase.adjust)
+				d.checker.onlyRule = testCase.want
 				d.run()
 				if len(d.checker.violations) > 0 {
 					t.Logf("seed %d: %s", seed, d.checker.violations[0].text)
--- a/internal/region/migration/simulate/platform_test.go
+++ b/internal/region/migration/simulate/platform_test.go
@@ -10,28 +10,28 @@
 // propagateState brings the committed state to the proxies that are not partitioned.
 func (d *deployment) propagateState() {
 	committed := d.store.committed
-	for _, one := range d.order {
-		if one.spec.Kind != capacity.Edge || !one.present || d.now < one.partitionedUntil || committed == nil {
+	for _, node := range d.orderedNodes {
+		if node.spec.Kind != capacity.Edge || !node.present || d.now < node.partitionedUntil || committed == nil {
 			continue
 		}
-		if one.state.Revision < committed.Revision && d.happens(d.faults.propagation) {
-			one.state = committed
-			d.migrateStreams(one)
+		if node.state.Revision < committed.Revision && d.happens(d.faults.propagation) {
+			node.state = committed
+			d.migrateStreams(node)
 		}
 	}
 }
 
 // runPlatform starts and stops nodes as the committed state says.
 func (d *deployment) runPlatform() {
-	for _, one := range d.order {
-		d.restart(one)
-		if one.startAt > 0 && d.now >= one.startAt {
-			one.startAt = 0
-			d.start(one)
+	for _, node := range d.orderedNodes {
+		d.restart(node)
+		if node.startAt > 0 && d.now >= node.startAt {
+			node.startAt = 0
+			d.start(node)
 		}
-		if one.stopAt > 0 && d.now >= one.stopAt {
-			one.stopAt = 0
-			d.stop(one)
+		if node.stopAt > 0 && d.now >= node.stopAt {
+			node.stopAt = 0
+			d.stop(node)
 		}
 	}
 	committed := d.store.committed
@@ -39,46 +39,46 @@
 		return
 	}
 	for _, id := range committed.Start {
-		if one := d.nodes[id]; !one.present && one.startAt == 0 && one.restartAt == 0 {
-			one.startAt = d.now + d.durationBetween(tick, maxCommandDelay)
+		if node := d.nodes[id]; !node.present && node.startAt == 0 && node.restartAt == 0 {
+			node.startAt = d.now + d.durationBetween(tick, maxCommandDelay)
 		}
 	}
 	for _, id := range committed.Stop {
-		one := d.nodes[id]
-		one.restartAt = 0
-		if one.present && one.stopAt == 0 {
-			one.stopAt = d.now + d.durationBetween(tick, maxCommandDelay)
+		node := d.nodes[id]
+		node.restartAt = 0
+		if node.present && node.stopAt == 0 {
+			node.stopAt = d.now + d.durationBetween(tick, maxCommandDelay)
 		}
 	}
 }
 
-func (d *deployment) restart(one *node) {
-	if one.restartAt > 0 && d.now >= one.restartAt {
-		one.restartAt = 0
+func (d *deployment) restart(node *node) {
+	if node.restartAt > 0 && d.now >= node.restartAt {
+		node.restartAt = 0
 		d.faults.unstableUntil = max(d.faults.unstableUntil, d.now+stabilization)
-		d.start(one)
+		d.start(node)
 	}
 }
 
-func (d *deployment) start(one *node) {
-	if one.present {
+func (d *deployment) start(node *node) {
+	if node.present {
 		return
 	}
-	one.present = true
-	one.readyAt = d.now + d.durationBetween(time.Second, 3*time.Second)
+	node.present = true
+	node.readyAt = d.now + d.durationBetween(time.Second, 3*time.Second)
 	if d.store.committed != nil {
-		one.state = d.store.committed // a proxy is ready once it holds the newest state
+		node.state = d.store.committed // a proxy is ready once it holds the newest state
 	}
 }
 
 // stop stops a node. What is still in flight on it is lost by the migration.
-func (d *deployment) stop(one *node) {
-	if !one.present {
+func (d *deployment) stop(node *node) {
+	if !node.present {
 		return
 	}
-	d.checker.stopping(one)
-	one.present, one.stopped = false, true
-	for _, lost := range slices.Clone(one.inFlight) {
+	d.checker.stopping(node)
+	node.present, node.stopped = false, true
+	for _, lost := range slices.Clone(node.inFlight) {
 		d.checker.lost(lost, "its node was stopped")
 		d.end(lost)
 	}
@@ -87,7 +87,7 @@
 // exchangeVoters carries out the swaps of the committed state, one at a time.
 func (d *deployment) exchangeVoters() {
 	committed := d.store.committed
-	if committed == nil || !d.happens(0.05) || !d.store.majority() {
+	if committed == nil || !d.happens(0.05) || !d.store.hasMajority() {
 		return
 	}
 	for _, swap := range committed.Swaps {
--- a/internal/region/migration/simulate/scenario_test.go
+++ b/internal/region/migration/simulate/scenario_test.go
@@ -103,11 +103,11 @@
 	}
 }
 
-// freshClients returns copies of the clients that have not sent a request yet.
-func (s *scenario) freshClients() []*client {
+// copyClients returns copies of the clients that have not sent a request yet.
+func (s *scenario) copyClients() []*client {
 	fresh := make([]*client, 0, len(s.clients))
-	for _, one := range s.clients {
-		copied := *one
+	for _, original := range s.clients {
+		copied := *original
 		fresh = append(fresh, &copied)
 	}
 	return fresh
@@ -117,7 +117,7 @@
 	var clients []*client
 	for _, region := range []string{"west", "east"} {
 		for number := range 2 {
-			one := &client{
+			drawn := &client{
 				region:       region,
 				rate:         3 + 4*random.Float64(),
 				meanDuration: time.Duration(1000+random.IntN(1500)) * time.Millisecond,
@@ -125,9 +125,9 @@
 				burst:        1,
 			}
 			if random.IntN(3) == 0 {
-				one.homeRegions = []string{region}
+				drawn.homeRegions = []string{region}
 			}
-			clients = append(clients, one)
+			clients = append(clients, drawn)
 		}
 	}
 	return clients
--- a/internal/region/migration/simulate/simulation_test.go
+++ b/internal/region/migration/simulate/simulation_test.go
@@ -19,11 +19,11 @@
 )
 
 // environmentInt reads a number from the environment.
-func environmentInt(name string, otherwise int) int {
+func environmentInt(name string, defaultValue int) int {
 	if value, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return value
 	}
-	return otherwise
+	return defaultValue
 }
 
 // simulateRun simulates a run to its end.
@@ -36,7 +36,7 @@
 // prepareRun sets a run up. The same scenario, seed, planted fault and adjustment give the same run.
 func prepareRun(drawn *scenario, seed uint64, planted plantedFault, adjust func(*faults)) *deployment {
 	random := rand.New(rand.NewPCG(seed, 2))
-	d := newDeployment(random, drawn.input, drawn.plan, drawn.freshClients(), planted)
+	d := newDeployment(random, drawn.input, drawn.plan, drawn.copyClients(), planted)
 	d.faults = defaultFaults()
 	if random.IntN(6) == 0 {
 		d.faults.abortAt = d.durationBetween(5*time.Second, faultsUntil)
@@ -65,11 +65,11 @@
 // withoutFaults lets nothing fail.
 func withoutFaults(f *faults) { *f = faults{propagation: f.propagation, maxSendDelay: f.maxSendDelay} }
 
-// requireNone fails the test with every violation of a run.
-func requireNone(t *testing.T, seed uint64, d *deployment) {
+// requireNoViolations fails the test with every violation of a run.
+func requireNoViolations(t *testing.T, seed uint64, d *deployment) {
 	t.Helper()
-	for _, one := range d.checker.violations {
-		t.Errorf("seed %d at %s: %s: %s", seed, one.at, one.rule, one.text)
+	for _, violation := range d.checker.violations {
+		t.Errorf("seed %d at %s: %s: %s", seed, violation.at, violation.rule, violation.text)
 	}
 	require.Empty(t, d.checker.violations)
 }
@@ -81,7 +81,7 @@
 	outcomes := map[execute.Outcome]int{}
 	for seed := uint64(first); seed < uint64(first+runs); seed++ {
 		d := simulateRun(drawScenario(seed), seed, nil)
-		requireNone(t, seed, d)
+		requireNoViolations(t, seed, d)
 		total.add(&d.counts)
 		outcomes[d.store.committed.Outcome]++
 		for phase, count := range d.checker.phases {
@@ -95,7 +95,7 @@
 	var total counts
 	for seed := uint64(1); seed <= 3; seed++ {
 		d := simulateRun(drawScenario(seed), seed, withoutFaults)
-		requireNone(t, seed, d)
+		requireNoViolations(t, seed, d)
 		require.Equal(t, execute.Done, d.store.committed.Outcome)
 		total.add(&d.counts)
 	}
@@ -114,7 +114,7 @@
 				withoutFaults(f)
 				f.killAt = at
 			})
-			requireNone(t, seed, d)
+			requireNoViolations(t, seed, d)
 			if d.counts.kills == 0 {
 				break
 			}
--- a/internal/region/migration/simulate/traffic_test.go
+++ b/internal/region/migration/simulate/traffic_test.go
@@ -10,30 +10,30 @@
 
 // generateTokens continues the responses whose requests have arrived, and ends complete ones.
 func (d *deployment) generateTokens() {
-	for _, one := range slices.Clone(d.responses) {
-		if d.now < one.arrivesAt {
+	for _, response := range slices.Clone(d.responses) {
+		if d.now < response.arrivesAt {
 			continue
 		}
-		if !one.server.present {
+		if !response.server.present {
 			// The server stopped while the request was on its way: it may have been executed.
-			d.checker.lost(one, "its server ended while it was on its way")
-			d.end(one)
+			d.checker.lost(response, "its server ended while it was on its way")
+			d.end(response)
 			continue
 		}
-		one.remaining -= tick
-		one.written += tick
-		if one.remaining <= 0 {
-			d.checker.completed(one)
+		response.remaining -= tick
+		response.written += tick
+		if response.remaining <= 0 {
+			d.checker.completed(response)
 			d.counts.served++
-			d.end(one)
+			d.end(response)
 		}
 	}
 }
 
-func (d *deployment) end(one *response) {
-	d.responses = slices.DeleteFunc(d.responses, func(other *response) bool { return other == one })
-	one.server.inFlight = slices.DeleteFunc(one.server.inFlight, func(other *response) bool { return other == one })
-	one.edge.inFlight = slices.DeleteFunc(one.edge.inFlight, func(other *response) bool { return other == one })
+func (d *deployment) end(ended *response) {
+	d.responses = slices.DeleteFunc(d.responses, func(other *response) bool { return other == ended })
+	ended.server.inFlight = slices.DeleteFunc(ended.server.inFlight, func(other *response) bool { return other == ended })
+	ended.edge.inFlight = slices.DeleteFunc(ended.edge.inFlight, func(other *response) bool { return other == ended })
 }
 
 // issueRequests issues the requests of this tick, by a Poisson process.
@@ -80,10 +80,10 @@
 	d.send(started, server)
 }
 
-func (d *deployment) send(one *response, server *node) {
-	one.server = server
-	one.arrivesAt = d.now + d.durationBetween(tick, d.faults.maxSendDelay)
-	server.inFlight = append(server.inFlight, one)
+func (d *deployment) send(response *response, server *node) {
+	response.server = server
+	response.arrivesAt = d.now + d.durationBetween(tick, d.faults.maxSendDelay)
+	server.inFlight = append(server.inFlight, response)
 }
 
 // pickEdge returns the edge machine that a client uses: one of its region that was in the directory at some time within
@@ -91,9 +91,9 @@
 func (d *deployment) pickEdge(from *client) *node {
 	cordoned := d.store.directoryAt(d.now - d.durationBetween(0, addressTTL))
 	var near []*node
-	for _, one := range d.order {
-		if one.spec.Kind == capacity.Edge && one.ready(d.now) && one.spec.Region == from.region && !slices.Contains(cordoned, one.spec.ID) {
-			near = append(near, one)
+	for _, node := range d.orderedNodes {
+		if node.spec.Kind == capacity.Edge && node.ready(d.now) && node.spec.Region == from.region && !slices.Contains(cordoned, node.spec.ID) {
+			near = append(near, node)
 		}
 	}
 	if len(near) == 0 {
@@ -108,15 +108,15 @@
 	var best *node
 	bestFree := 0.0
 	for _, own := range []bool{true, false} {
-		for _, one := range d.order {
-			usable := one.spec.Kind == capacity.Server && one.ready(d.now) && from.allowsRegion(one.spec.Region) &&
-				!slices.Contains(edge.state.Cordoned, one.spec.ID)
-			if !usable || own != (one.spec.Region == edge.spec.Region) {
+		for _, node := range d.orderedNodes {
+			usable := node.spec.Kind == capacity.Server && node.ready(d.now) && from.allowsRegion(node.spec.Region) &&
+				!slices.Contains(edge.state.Cordoned, node.spec.ID)
+			if !usable || own != (node.spec.Region == edge.spec.Region) {
 				continue
 			}
-			free := one.spec.Capacity[capacity.Slots] - float64(len(one.inFlight))
+			free := node.spec.Capacity[capacity.Slots] - float64(len(node.inFlight))
 			if free >= 1 && free > bestFree {
-				best, bestFree = one, free
+				best, bestFree = node, free
 			}
 		}
 		if best != nil {
@@ -128,39 +128,39 @@
 
 // migrateStreams resumes elsewhere the streams of a proxy that the state says to migrate and that can be resumed.
 func (d *deployment) migrateStreams(edge *node) {
-	for _, one := range slices.Clone(edge.inFlight) {
-		if !slices.Contains(edge.state.Migrating, one.server.spec.ID) {
+	for _, stream := range slices.Clone(edge.inFlight) {
+		if !slices.Contains(edge.state.Migrating, stream.server.spec.ID) {
 			continue
 		}
-		if !one.resumable || d.now < one.arrivesAt {
+		if !stream.resumable || d.now < stream.arrivesAt {
 			continue
 		}
-		to := d.pickServer(edge, one.client)
+		to := d.pickServer(edge, stream.client)
 		if to == nil {
 			continue
 		}
-		from := one.server
-		from.inFlight = slices.DeleteFunc(from.inFlight, func(other *response) bool { return other == one })
+		from := stream.server
+		from.inFlight = slices.DeleteFunc(from.inFlight, func(other *response) bool { return other == stream })
 		d.counts.migrated++
 		if d.planted == faultStreamsRestart {
-			one.executions++
-			one.remaining = one.length
+			stream.executions++
+			stream.remaining = stream.length
 		}
-		d.send(one, to)
+		d.send(stream, to)
 	}
 }
 
 // crash ends a node without warning. Resumable streams continue elsewhere; the rest is lost to the crash.
-func (d *deployment) crash(one *node, back time.Duration) {
-	if !one.present {
+func (d *deployment) crash(node *node, downtime time.Duration) {
+	if !node.present {
 		return
 	}
-	one.present = false
-	one.restartAt = d.now + back
-	for _, hit := range slices.Clone(one.inFlight) {
-		if one.spec.Kind == capacity.Server && hit.resumable && hit.edge.present {
+	node.present = false
+	node.restartAt = d.now + downtime
+	for _, hit := range slices.Clone(node.inFlight) {
+		if node.spec.Kind == capacity.Server && hit.resumable && hit.edge.present {
 			if to := d.pickServer(hit.edge, hit.client); to != nil {
-				one.inFlight = slices.DeleteFunc(one.inFlight, func(other *response) bool { return other == hit })
+				node.inFlight = slices.DeleteFunc(node.inFlight, func(other *response) bool { return other == hit })
 				d.send(hit, to)
 				continue
 			}
