--- a/internal/region/migration/simulate/checker_test.go
+++ b/internal/region/migration/simulate/checker_test.go
@@ -10,13 +10,13 @@
 	"fieldrelay/internal/region/migration/plan"
 )
 
-// rule is a condition that the checker checks.
+// rule is a condition that the checker checks, in words.
 type rule string
 
 const (
 	ruleLost        rule = "no response is lost by the migration"
 	ruleDuplicated  rule = "no response is duplicated"
-	ruleCapacity    rule = "no capacity is taken that is needed"
+	ruleCapacity    rule = "no capacity is removed that is needed"
 	ruleReaction    rule = "cordoned nodes serve again when capacity falls short"
 	ruleLastServer  rule = "a zone keeps a warm server"
 	ruleVoters      rule = "the voters survive the fault budget"
@@ -24,33 +24,33 @@
 	ruleEnd         rule = "a run ends, with the right nodes"
 )
 
-// violation is a violated rule.
+// violation is the violation of a rule.
 type violation struct {
 	rule rule
 	at   time.Duration
 	text string
 }
 
-// reactionTimeout is how long a working executor may take to uncordon a node.
+// reactionTimeout is the longest time that a working executor may take to uncordon a node.
 const reactionTimeout = 5 * time.Second
 
-// minMeasuredFraction is the fraction of the offered load that measured demand is never below.
+// minMeasuredFraction is the smallest ratio of measured to offered demand that the checker allows for.
 const minMeasuredFraction = 0.75
 
-// checker checks the rules on a deployment.
+// checker checks the rules in a deployment.
 type checker struct {
 	*deployment
 	violations       []violation
-	onlyRule         rule // the one that is checked; empty: all
+	onlyRule         rule // rule that is checked; empty: all rules
 	shortageDuration map[capacity.Group]time.Duration
-	phases           map[execute.Phase]int // how often each was entered
+	phases           map[execute.Phase]int // number of times that each phase was entered
 }
 
 func newChecker(d *deployment) *checker {
 	return &checker{deployment: d, shortageDuration: map[capacity.Group]time.Duration{}, phases: map[execute.Phase]int{}}
 }
 
-// report records a violation, up to ten.
+// report records a violation. At most ten are recorded.
 func (c *checker) report(broken rule, format string, arguments ...any) {
 	if len(c.violations) < 10 && (c.onlyRule == "" || c.onlyRule == broken) {
 		c.violations = append(c.violations, violation{broken, c.now, fmt.Sprintf(format, arguments...)})
@@ -59,13 +59,13 @@
 
 // lost records a response that the migration has lost.
 func (c *checker) lost(response *response, why string) {
-	c.report(ruleLost, "from %s by %s: %s", response.edge.spec.ID, response.server.spec.ID, why)
+	c.report(ruleLost, "response by way of %s from %s: %s", response.edge.spec.ID, response.server.spec.ID, why)
 }
 
 // completed checks a complete response.
 func (c *checker) completed(response *response) {
 	if response.executions != 1 || response.written > response.length+tick {
-		c.report(ruleDuplicated, "%d runs, %s written of %s", response.executions, response.written, response.length)
+		c.report(ruleDuplicated, "response with %d executions, %s written of %s", response.executions, response.written, response.length)
 	}
 }
 
@@ -75,7 +75,7 @@
 		c.report(ruleVoters, "%s is stopped while it votes", node.spec.ID)
 	}
 	if !slices.Contains(c.store.committed.Stop, node.spec.ID) {
-		c.report(ruleTransitions, "%s is stopped, which the state does not say any more", node.spec.ID)
+		c.report(ruleTransitions, "%s is stopped, but is not in the Stop list of the committed state", node.spec.ID)
 	}
 }
 
@@ -112,16 +112,16 @@
 	return cordoned && (to == execute.Warming || to == execute.Waiting)
 }
 
-// checkReleased checks that a released node stays released.
+// checkReleased checks that nodes that may be stopped remain so.
 func (c *checker) checkReleased(before, after *execute.State) {
 	for _, id := range before.Stop {
 		if !slices.Contains(after.Stop, id) {
-			c.report(ruleTransitions, "%s is not to be stopped any more", id)
+			c.report(ruleTransitions, "%s is no longer in the Stop list", id)
 		}
 	}
 }
 
-// cordoning checks a node that gets no new requests from now on.
+// cordoning checks a node that a new state cordons: another server serves in its zone, and the demand fits without it.
 func (c *checker) cordoning(node *node, after *execute.State) {
 	serving := c.serving(after.Cordoned)
 	sameZone := func(other capacity.Node) bool {
@@ -129,7 +129,7 @@
 	}
 	stable := c.now >= c.faults.unstableUntil
 	if stable && !slices.ContainsFunc(serving, sameZone) {
-		c.report(ruleLastServer, "%s is cordoned", node.spec.ID)
+		c.report(ruleLastServer, "%s is cordoned, and no other node of its group serves in the zone", node.spec.ID)
 	}
 	headroom := c.input.Headroom
 	headroom.Margin = 0
@@ -138,7 +138,7 @@
 	}
 }
 
-// serving returns the nodes that really serve and are not cordoned.
+// serving returns the nodes that are in fact ready and are not cordoned.
 func (c *checker) serving(cordoned []string) []capacity.Node {
 	var nodes []capacity.Node
 	for _, node := range c.orderedNodes {
@@ -149,12 +149,13 @@
 	return nodes
 }
 
-// offeredLoads returns the true demand, scaled.
+// offeredLoads returns the offered demand, multiplied by a factor.
 func (c *checker) offeredLoads(scale float64) []capacity.Load {
 	return offeredLoads(c.clients, c.now, scale)
 }
 
-// arrivedLoads returns the demand that has arrived already: a burst takes a while to fill the servers.
+// arrivedLoads returns the offered demand, limited to the responses in flight for clients without recent rejections, since
+// a burst fills the servers only gradually.
 func (c *checker) arrivedLoads() []capacity.Load {
 	return loadsBy(c.clients, func(from *client) float64 {
 		if from.rejectedAt > 0 && c.now-from.rejectedAt < time.Second {
@@ -175,7 +176,8 @@
 	}
 }
 
-// checkReaction measures for how long there is a shortage although nodes are cordoned that could serve again.
+// checkReaction measures for how long a shortage of a group lasts although the group has cordoned nodes that could serve
+// again.
 func (c *checker) checkReaction(group capacity.Group) {
 	uncordonable := c.uncordonable(group)
 	executorWorks := slices.ContainsFunc(c.store.instances, func(instance *instance) bool { return !instance.outdated && c.now >= instance.frozenUntil })
@@ -189,11 +191,11 @@
 	}
 	c.shortageDuration[group] += tick
 	if c.shortageDuration[group] == reactionTimeout {
-		c.report(ruleReaction, "%v are cordoned in %s", uncordonable, group)
+		c.report(ruleReaction, "%v remain cordoned despite a shortage of %s", uncordonable, group)
 	}
 }
 
-// uncordonable lists the nodes of a group that are cordoned and could serve again.
+// uncordonable returns the cordoned nodes of a group that could serve again.
 func (c *checker) uncordonable(group capacity.Group) []string {
 	committed := c.store.committed
 	var ids []string
@@ -213,7 +215,7 @@
 	return ids
 }
 
-// checkVoters checks that the voters survive the fault budget as well as they did at the beginning.
+// checkVoters checks that the voters survive the fault budget, or at least as well as the initial voters did.
 func (c *checker) checkVoters() {
 	var voters []plan.Voter
 	for _, node := range c.orderedNodes {
@@ -223,7 +225,7 @@
 	}
 	core := c.input.Core
 	if majorityMargin(voters, core) < min(0, majorityMargin(core.Voters, core)) {
-		c.report(ruleVoters, "%v do not bear the budget", voters)
+		c.report(ruleVoters, "voters %v do not survive the fault budget", voters)
 	}
 }
 
@@ -235,7 +237,7 @@
 		for _, instance := range c.store.instances {
 			blockers = append(blockers, instance.machine.Blockers()...)
 		}
-		c.report(ruleEnd, "it has not ended: %+v; blockers %+v", state, blockers)
+		c.report(ruleEnd, "the run has not ended: state %+v, blockers %+v", state, blockers)
 		return
 	}
 	for number, stage := range c.plan.Stages {
@@ -253,17 +255,18 @@
 		old, next = next, old
 	}
 	if !old.ready(c.now) || next.present {
-		c.report(ruleEnd, "%s is to serve and %s is to be gone", old.spec.ID, next.spec.ID)
+		c.report(ruleEnd, "%s should serve and %s should have stopped", old.spec.ID, next.spec.ID)
 	}
 	if old.spec.Kind == capacity.Core && (!old.votes || next.votes) {
-		c.report(ruleEnd, "%s is to vote instead of %s", old.spec.ID, next.spec.ID)
+		c.report(ruleEnd, "%s should vote instead of %s", old.spec.ID, next.spec.ID)
 	}
 	if slices.Contains(c.store.committed.Cordoned, old.spec.ID) {
-		c.report(ruleEnd, "%s is cordoned", old.spec.ID)
+		c.report(ruleEnd, "%s should serve, but is cordoned", old.spec.ID)
 	}
 }
 
-// majorityMargin returns how many voters more than a majority remain after the worst failure within the budget.
+// majorityMargin returns the number of voters in excess of a majority that remain after the worst failure within the fault
+// budget.
 func majorityMargin(voters []plan.Voter, core plan.Core) int {
 	worst := len(voters) - core.Hosts
 	zones := map[string]int{}
--- a/internal/region/migration/simulate/deployment_test.go
+++ b/internal/region/migration/simulate/deployment_test.go
@@ -13,44 +13,44 @@
 // Times of the deployment.
 const (
 	tick            = 50 * time.Millisecond
-	addressTTL      = 3 * time.Second        // for which a client keeps an address
-	maxSendDelay    = 300 * time.Millisecond // from a proxy to a server
+	addressTTL      = 3 * time.Second        // time for which a client caches an address
+	maxSendDelay    = 300 * time.Millisecond // longest delay of a request from a proxy to a server
 	longestResponse = 8 * time.Second
-	maxCommandDelay = time.Second // between reading the state and acting on it
+	maxCommandDelay = time.Second // longest delay of the platform between reading the state and acting on it
 )
 
-// node is a server, or a machine with its process.
+// node is a server, or an edge or core machine with its process.
 type node struct {
 	spec      capacity.Node
-	present   bool // it runs, or is frozen
+	present   bool // the node runs
 	readyAt   time.Duration
-	restartAt time.Duration // of a crashed node; 0: it does not come back
-	stopped   bool          // by the migration
-	inFlight  []*response   // on a server: sent to it; on an edge machine: forwarded by it
-	startAt   time.Duration // a start that is under way; 0: none
-	stopAt    time.Duration // a stop that is under way; 0: none
+	restartAt time.Duration // time of the restart of a crashed node; 0: the node is not about to restart
+	stopped   bool          // the migration has stopped the node
+	inFlight  []*response   // responses that a server generates or is about to get, or that an edge machine forwards
+	startAt   time.Duration // time of a pending start; 0: none
+	stopAt    time.Duration // time of a pending stop; 0: none
 
-	// Of an edge machine.
-	state            *execute.State // in force at its proxy
-	partitionedUntil time.Duration  // from the control machines
+	// Fields of an edge machine.
+	state            *execute.State // state in force at its proxy
+	partitionedUntil time.Duration  // end of the machine's partition from the control machines
 
-	// Of a core machine.
+	// Fields of a core machine.
 	votes bool
 }
 
 func (n *node) ready(now time.Duration) bool { return n.present && now >= n.readyAt }
 
-// response is a response that is being generated.
+// response is a response in progress, from the sending of its request on.
 type response struct {
 	client     *client
 	edge       *node
 	server     *node
-	arrivesAt  time.Duration // of the request at the server
-	remaining  time.Duration // to be generated
+	arrivesAt  time.Duration // time at which the request arrives at the server
+	remaining  time.Duration // generation time that remains
 	written    time.Duration
 	length     time.Duration
 	resumable  bool
-	executions int // servers that began it from its beginning
+	executions int // number of times that generation began at the start of the response
 }
 
 // client is the source of one kind of requests in one region.
@@ -60,14 +60,14 @@
 	rate         float64 // requests a second
 	meanDuration time.Duration
 	resumable    bool
-	burst        float64 // factor on the rate
+	burst        float64 // factor on the rate until burstEnds
 	burstEnds    time.Duration
-	samples      []int         // by observation: responses in flight, and requests rejected since the one before
+	samples      []int         // for each of the last observations: responses in flight plus newly rejected requests
 	rejected     int           // requests rejected for lack of capacity since the last observation
-	rejectedAt   time.Duration // when the last one was
+	rejectedAt   time.Duration // time of the last rejection
 }
 
-// offered returns the mean number of concurrent responses that the client requests now.
+// offered returns the mean number of concurrent responses at the client's present request rate.
 func (c *client) offered(now time.Duration) float64 {
 	factor := 1.0
 	if now < c.burstEnds {
@@ -87,7 +87,7 @@
 	input        plan.Input
 	plan         *plan.Plan
 	nodes        map[string]*node
-	orderedNodes []*node // all nodes in a fixed order, so that a run can be repeated
+	orderedNodes []*node // all nodes in a fixed order, so that runs are reproducible
 	clients      []*client
 	responses    []*response
 	store        *store
@@ -102,7 +102,7 @@
 	requests, served          int
 	rejected, noEdge          int
 	crashed                   int // responses lost to crashes
-	migrated                  int // streams resumed elsewhere because the executor asked for it
+	migrated                  int // streams resumed elsewhere by order of the executor
 	crashes, bursts           int
 	partitions, kills, states int
 	uncordoned                int
@@ -149,7 +149,7 @@
 
 func (d *deployment) happens(probability float64) bool { return d.random.Float64() < probability }
 
-// step lets one tick pass.
+// step advances the deployment by one tick.
 func (d *deployment) step() {
 	d.now += tick
 	d.applyFaults()
--- a/internal/region/migration/simulate/executor_test.go
+++ b/internal/region/migration/simulate/executor_test.go
@@ -9,31 +9,32 @@
 	"fieldrelay/internal/region/migration/execute"
 )
 
-// store is the chain: it keeps one state by compare-and-set, and its answers may be lost.
+// store simulates the chain, which stores one state by compare-and-set and whose answers may be lost, and the executor
+// instances that use it.
 type store struct {
 	*deployment
 	committed        *execute.State
-	cordons          []cordon      // of edge machines, for the directory
-	partitionedUntil time.Duration // the core machines
+	cordons          []cordon      // cordons of edge machines over time, for the directory
+	partitionedUntil time.Duration // end of the partition of the core machines
 	directive        execute.Directive
 	instances        []*instance
-	starts           int           // of instances, for their names
-	takeoverAt       time.Duration // when the next instance takes the singleton role; 0: it has an owner
+	starts           int           // number of instances started, for their names
+	takeoverAt       time.Duration // time at which the next instance takes the singleton role; 0: the role has an owner
 	messages         []message
 }
 
-// cordon is the edge machines that are cordoned from a time on.
+// cordon lists the edge machines that are cordoned from a time on, until the next cordon.
 type cordon struct {
 	at    time.Duration
 	edges []string
 }
 
-// message is an event on its way to an instance, or a state on its way to the chain.
+// message is an event in flight to an instance, or a state in flight to the chain.
 type message struct {
 	at        time.Duration
 	instance  *instance
-	event     execute.Event  // nil: requested is to be stored
-	requested *execute.State // to be stored
+	event     execute.Event  // event for the instance; nil: requested is to be stored
+	requested *execute.State // state to be stored
 }
 
 // instance is one executor process.
@@ -46,7 +47,7 @@
 
 func newStore(d *deployment) *store { return &store{deployment: d, takeoverAt: tick} }
 
-// hasMajority reports whether a hasMajority of the voters is live and not partitioned.
+// hasMajority reports whether a majority of the voters is live and not partitioned.
 func (s *store) hasMajority() bool {
 	voters, live := 0, 0
 	for _, node := range s.orderedNodes {
@@ -60,7 +61,7 @@
 	return 2*live > voters && s.now >= s.partitionedUntil
 }
 
-// step delivers the messages that are due and feeds the instances.
+// step delivers the due messages and passes events to the instances.
 func (s *store) step() {
 	if s.takeoverAt > 0 && s.now >= s.takeoverAt && s.hasMajority() {
 		s.takeoverAt = 0
@@ -90,7 +91,7 @@
 	}
 }
 
-// startInstance makes a new instance the owner of the singleton role. It reads the committed state first.
+// startInstance makes a new instance the owner of the singleton role. The instance first reads the committed state.
 func (s *store) startInstance() {
 	for _, instance := range s.instances {
 		instance.outdated = true
@@ -110,7 +111,7 @@
 	s.deliverLater(fresh, execute.Loaded{State: s.committed}, time.Second)
 }
 
-// endInstance ends an instance; another one takes over if it was the owner.
+// endInstance ends an instance; another one takes over later if the ended one was the owner.
 func (s *store) endInstance(ended *instance) {
 	s.instances = slices.DeleteFunc(s.instances, func(other *instance) bool { return other == ended })
 	if !ended.outdated {
@@ -118,12 +119,13 @@
 	}
 }
 
-// deliverLater delivers an event after a random delay.
+// deliverLater delivers an event after a random delay; most is the longest delay.
 func (s *store) deliverLater(to *instance, event execute.Event, most time.Duration) {
 	s.messages = append(s.messages, message{at: s.now + s.durationBetween(0, most), instance: to, event: event})
 }
 
-// feed passes an event to an instance and carries out its actions, unless it is killed in between.
+// feed passes an event to an instance and carries out its actions, until the instance is killed. Events for a frozen
+// instance are delivered when it continues, except for ticks.
 func (s *store) feed(to *instance, event execute.Event) {
 	if !slices.Contains(s.instances, to) {
 		return
@@ -150,13 +152,13 @@
 	}
 }
 
-// compareAndSet puts a state in place of the one before, if that is the expected one.
+// compareAndSet replaces the committed state by its successor, if the committed state is the expected one.
 func (s *store) compareAndSet(from *instance, next *execute.State) {
 	if !s.hasMajority() {
 		return
 	}
 	if s.committed != nil && s.committed.Revision == next.Revision && s.committed.Owner == next.Owner {
-		s.answer(from, execute.Stored{Revision: next.Revision}) // a repeated request
+		s.answer(from, execute.Stored{Revision: next.Revision}) // the request is a repetition
 		return
 	}
 	expected := next.Revision == 1
@@ -173,14 +175,14 @@
 	s.answer(from, execute.Stored{Revision: next.Revision})
 }
 
-// answer sends an answer that may be lost.
+// answer sends an answer, which may be lost.
 func (s *store) answer(to *instance, event execute.Event) {
 	if !s.happens(s.faults.lostAnswerFraction) {
 		s.deliverLater(to, event, 200*time.Millisecond)
 	}
 }
 
-// recordCordons records the edge machines that the committed state cordons.
+// recordCordons records which edge machines the committed state cordons from now on.
 func (s *store) recordCordons() {
 	var edges []string
 	for _, id := range s.committed.Cordoned {
@@ -191,7 +193,7 @@
 	s.cordons = append(s.cordons, cordon{at: s.now, edges: edges})
 }
 
-// directoryAt returns the edge machines that were left out of the directory at a time.
+// directoryAt returns the edge machines that were excluded from the directory at a time.
 func (s *store) directoryAt(at time.Duration) []string {
 	var edges []string
 	for _, cordon := range s.cordons {
--- a/internal/region/migration/simulate/faults_test.go
+++ b/internal/region/migration/simulate/faults_test.go
@@ -7,24 +7,24 @@
 	"fieldrelay/internal/region/migration/execute"
 )
 
-// faults is what fails in a run, and what the operator does.
+// faults is the configuration and state of the faults in a run, and of the operator's actions.
 type faults struct {
-	until              time.Duration // no new fault after it
-	rate               float64       // faults a second
-	lostAnswerFraction float64       // of the chain's answers
-	killFraction       float64       // of the stores at which the executor is killed
-	killAt             int           // the store, counted from 1, at which it is killed as well; 0: none
-	abortAt            time.Duration // 0: never
-	stores             int           // so far
-	only               int           // the one kind of fault that occurs; allKinds: any
-	maxBurst           float64       // factor on the rate of a client
-	growAt             time.Duration // when all demand grows for good; 0: never
-	growth             float64       // by which factor
-	maxDowntime        time.Duration // of a crashed node
-	maxSendDelay       time.Duration // from a proxy to a server
-	propagation        float64       // probability that a proxy gets a new state in a tick
-	unstableUntil      time.Duration // until which an executor may not have observed the last fault
-	resumeAt           time.Duration // when the operator resumes the run; 0: it is not paused
+	until              time.Duration // time after which no new fault occurs
+	rate               float64       // number of faults a second
+	lostAnswerFraction float64       // fraction of the chain's answers that are lost
+	killFraction       float64       // fraction of the stores at which the executor is killed
+	killAt             int           // number, from 1, of a store at which the executor is always killed; 0: none
+	abortAt            time.Duration // time at which the operator aborts the run; 0: never
+	stores             int           // number of stores so far
+	only               int           // the only kind of fault that occurs; allKinds: any kind
+	maxBurst           float64       // largest factor on the rate of a client in a burst
+	growAt             time.Duration // time at which all demand grows permanently; 0: never
+	growth             float64       // factor by which the demand grows
+	maxDowntime        time.Duration // longest downtime of a crashed node
+	maxSendDelay       time.Duration // longest delay of a request from a proxy to a server
+	propagation        float64       // probability for each tick that a proxy gets a new state
+	unstableUntil      time.Duration // time until which an executor may not have observed the last fault
+	resumeAt           time.Duration // time at which the operator resumes the run; 0: the run is not paused
 }
 
 // The kinds of faults.
@@ -40,7 +40,7 @@
 	faultKinds = pauseRun
 )
 
-// defaultFaults is what fails in most runs.
+// defaultFaults returns the faults of most runs.
 func defaultFaults() faults {
 	return faults{
 		until: faultsUntil, rate: 0.25, lostAnswerFraction: 0.1, killFraction: 0.1, propagation: 0.15,
@@ -48,10 +48,10 @@
 	}
 }
 
-// stabilization is how long it may take an executor to observe a fault, and a state to be stored.
+// stabilization is the longest time in which an executor observes a fault and a resulting state is stored.
 const stabilization = 5 * time.Second
 
-// killAfterStore decides whether the executor is killed at a store.
+// killAfterStore decides whether the executor is killed at the present store, and counts the store.
 func (f *faults) killAfterStore(d *deployment) bool {
 	f.stores++
 	if f.stores == f.killAt || d.now < f.until && d.happens(f.killFraction) {
@@ -61,7 +61,7 @@
 	return false
 }
 
-// applyFaults lets faults occur at random, and the operator act.
+// applyFaults applies the due actions of the operator and random faults.
 func (d *deployment) applyFaults() {
 	f := &d.faults
 	d.applyOperator()
@@ -82,7 +82,7 @@
 	d.applyFault(kind)
 }
 
-// crashOne crashes a node of a kind, unless one is down: the fault budget is one.
+// crashOne crashes a random node of a kind, unless a crashed one is down: the fault budget is one host.
 func (d *deployment) crashOne(kind capacity.Kind) {
 	var candidates []*node
 	for _, node := range d.orderedNodes {
@@ -113,7 +113,7 @@
 	d.counts.bursts++
 }
 
-// partition separates a proxy, or the core machines, from the others.
+// partition separates a proxy, or all core machines, from the other nodes for some time.
 func (d *deployment) partition() {
 	d.counts.partitions++
 	if d.happens(0.3) {
@@ -128,7 +128,8 @@
 	}
 }
 
-// disruptExecutor kills the executor, freezes it, or lets a second instance take over while it goes on.
+// disruptExecutor kills an executor instance, freezes it while another one takes over, or lets another instance take over
+// while it keeps running.
 func (d *deployment) disruptExecutor() {
 	if len(d.store.instances) == 0 {
 		return
@@ -148,7 +149,7 @@
 	}
 }
 
-// applyOperator lets the operator abort or resume the run.
+// applyOperator aborts or resumes the run if that is due.
 func (d *deployment) applyOperator() {
 	f := &d.faults
 	if f.abortAt > 0 && d.now >= f.abortAt {
@@ -159,7 +160,7 @@
 	}
 }
 
-// applyFault lets a fault of a kind occur.
+// applyFault applies a fault of a kind.
 func (d *deployment) applyFault(kind int) {
 	switch kind {
 	case crashServer:
--- a/internal/region/migration/simulate/observation_test.go
+++ b/internal/region/migration/simulate/observation_test.go
@@ -8,7 +8,7 @@
 	"fieldrelay/internal/region/migration/plan"
 )
 
-// observe observes the deployment as the caller of an executor does.
+// observe returns an observation of the deployment as the caller of an executor makes it.
 func (s *store) observe() *execute.Observation {
 	observation := &execute.Observation{
 		Began:             s.now,
@@ -54,15 +54,15 @@
 	return status
 }
 
-// replacementOf returns the index of the replacement that a node belongs to; 0 if there is none.
+// replacementOf returns the index of the replacement that a node belongs to; 0 if it belongs to none.
 func (s *store) replacementOf(node *node) int {
 	return max(slices.IndexFunc(s.input.Replacements, func(r plan.Replacement) bool {
 		return r.New.ID == node.spec.ID || r.Old.ID == node.spec.ID
 	}), 0)
 }
 
-// confirmedRevision returns the revision in force at every edge machine that may be sending. A crashed one counts until it
-// is back.
+// confirmedRevision returns the revision in force at every edge machine that may be sending. A crashed machine that is to
+// restart counts with its last revision.
 func (s *store) confirmedRevision() uint64 {
 	least := ^uint64(0)
 	for _, edge := range s.orderedNodes {
@@ -73,7 +73,7 @@
 	return least
 }
 
-// measuredLoads returns the demand as measured: the most that was in flight at once in the last seconds.
+// measuredLoads returns the measured demand: for each client the largest of its last ten samples.
 func (s *store) measuredLoads() []capacity.Load {
 	edges := map[string]float64{}
 	var loads []capacity.Load
--- a/internal/region/migration/simulate/plantedfault_test.go
+++ b/internal/region/migration/simulate/plantedfault_test.go
@@ -10,20 +10,21 @@
 	"fieldrelay/internal/region/migration/execute"
 )
 
-// plantedFault is a fault in what an executor relies on, planted to see that the checker finds its effect.
+// plantedFault is a deliberate fault in the components on which an executor relies. It shows that the checker finds the
+// effect of such a fault.
 type plantedFault uint8
 
 const (
 	faultNone                plantedFault = iota
-	faultFalseConfirmation                // proxies are said to have confirmed what they have not
+	faultFalseConfirmation                // proxies are reported to have confirmed every revision
 	faultNothingInFlight                  // requests in flight are not counted
-	faultArrivedOnly                      // requests on their way are neither counted nor waited for
-	faultStreamsRestart                   // proxies begin migrated streams from their beginning
-	faultLowLoad                          // a tenth of the demand is measured
-	faultStaleLoad                        // the measured demand is that of the plan
-	faultAbsentServersListed              // servers that are gone are listed as serving
-	faultFalseVotes                       // voters are said to be exchanged that are not
-	faultUnconditionalStore               // the chain stores any state
+	faultArrivedOnly                      // requests in flight to a server are neither counted nor waited for
+	faultStreamsRestart                   // proxies restart migrated streams from the beginning
+	faultLowLoad                          // the measured demand is a tenth of the real one
+	faultStaleLoad                        // the measured demand is always that of the plan
+	faultAbsentServersListed              // servers that are not ready are listed as serving
+	faultFalseVotes                       // voters are reported as exchanged although they are not
+	faultUnconditionalStore               // the chain stores a state without comparing revisions
 	faultNoConfirmation                   // proxies never confirm
 )
 
@@ -66,23 +67,23 @@
 	return d.input.Replacements[d.store.replacementOf(node)].Old.ID == node.spec.ID
 }
 
-// growDemand lets demand grow beyond what was planned for while nodes are cordoned.
+// growDemand makes the demand grow beyond the planned demand while nodes are cordoned.
 func growDemand(f *faults) {
 	withoutFaults(f)
 	f.growAt, f.growth = 7*time.Second, 2.5
 }
 
-// growDemandWhileCordoned delays new states at the proxies, so that demand grows while cordons wait for confirmation.
+// growDemandWhileCordoned delays new states at the proxies, so that the demand grows while cordons wait for confirmation.
 func growDemandWhileCordoned(f *faults) {
 	withoutFaults(f)
 	f.propagation = 0.01
 	f.growAt, f.growth = 12*time.Second, 5
 }
 
-// maxSeeds is the number of runs within which a planted fault must be found.
+// maxSeeds is the number of seeds within which a planted fault must be found.
 const maxSeeds = 40
 
-// scenarioCache keeps drawn scenarios by seed.
+// scenarioCache caches scenarios by seed.
 type scenarioCache map[uint64]*scenario
 
 func (c scenarioCache) get(seed uint64) *scenario {
@@ -92,23 +93,24 @@
 	return c[seed]
 }
 
-// Every rule is seen to catch a fault that is planted in what the executor relies on.
+// Guards against a checker that misses violations: for each planted fault, the expected rule must be violated within
+// maxSeeds runs.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	cases := map[string]struct {
 		planted plantedFault
 		want    rule
 		adjust  func(*faults) // nil: the default faults
 	}{
-		"proxies are said to know":              {faultFalseConfirmation, ruleLost, func(f *faults) { f.propagation, f.killFraction = 0.002, 0 }},
-		"open replies are not counted":          {faultNothingInFlight, ruleLost, nil},
-		"requests on their way are passed over": {faultArrivedOnly, ruleLost, func(f *faults) { f.maxSendDelay = 10 * maxSendDelay }},
-		"streams that are moved begin anew":     {faultStreamsRestart, ruleDuplicated, withoutFaults},
-		"little demand is measured":             {faultLowLoad, ruleCapacity, growDemand},
-		"demand is not measured again":          {faultStaleLoad, ruleReaction, growDemandWhileCordoned},
-		"servers that are gone are listed":      {faultAbsentServersListed, ruleLastServer, func(f *faults) { f.rate, f.only, f.maxDowntime = 2, crashServer, time.Minute }},
-		"voters are said to be exchanged":       {faultFalseVotes, ruleVoters, nil},
-		"the chain takes any state":             {faultUnconditionalStore, ruleTransitions, nil},
-		"proxies never confirm":                 {faultNoConfirmation, ruleEnd, nil},
+		"false confirmation by proxies":       {faultFalseConfirmation, ruleLost, func(f *faults) { f.propagation, f.killFraction = 0.002, 0 }},
+		"responses in flight not counted":     {faultNothingInFlight, ruleLost, nil},
+		"requests in flight not counted":      {faultArrivedOnly, ruleLost, func(f *faults) { f.maxSendDelay = 10 * maxSendDelay }},
+		"migrated streams restarted":          {faultStreamsRestart, ruleDuplicated, withoutFaults},
+		"measured demand too low":             {faultLowLoad, ruleCapacity, growDemand},
+		"measured demand stale":               {faultStaleLoad, ruleReaction, growDemandWhileCordoned},
+		"absent servers listed":               {faultAbsentServersListed, ruleLastServer, func(f *faults) { f.rate, f.only, f.maxDowntime = 2, crashServer, time.Minute }},
+		"exchange of voters falsely reported": {faultFalseVotes, ruleVoters, nil},
+		"unconditional store":                 {faultUnconditionalStore, ruleTransitions, nil},
+		"no confirmation by proxies":          {faultNoConfirmation, ruleEnd, nil},
 	}
 	scenarios := scenarioCache{}
 	for name, testCase := range cases {
@@ -122,7 +124,7 @@
 					return
 				}
 			}
-			require.Fail(t, "not found")
+			require.Fail(t, "planted fault not found within maxSeeds runs")
 		})
 	}
 }
--- a/internal/region/migration/simulate/platform_test.go
+++ b/internal/region/migration/simulate/platform_test.go
@@ -7,7 +7,7 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// propagateState brings the committed state to the proxies that are not partitioned.
+// propagateState delivers the committed state to proxies that are not partitioned.
 func (d *deployment) propagateState() {
 	committed := d.store.committed
 	for _, node := range d.orderedNodes {
@@ -67,11 +67,11 @@
 	node.present = true
 	node.readyAt = d.now + d.durationBetween(time.Second, 3*time.Second)
 	if d.store.committed != nil {
-		node.state = d.store.committed // a proxy is ready once it holds the newest state
+		node.state = d.store.committed // a proxy is ready only when it has the newest state
 	}
 }
 
-// stop stops a node. What is still in flight on it is lost by the migration.
+// stop stops a node. The checker counts the responses that are still in flight on the node as lost by the migration.
 func (d *deployment) stop(node *node) {
 	if !node.present {
 		return
@@ -84,7 +84,7 @@
 	}
 }
 
-// exchangeVoters carries out the swaps of the committed state, one at a time.
+// exchangeVoters carries out a swap of the committed state, at most one at a time.
 func (d *deployment) exchangeVoters() {
 	committed := d.store.committed
 	if committed == nil || !d.happens(0.05) || !d.store.hasMajority() {
--- a/internal/region/migration/simulate/scenario_test.go
+++ b/internal/region/migration/simulate/scenario_test.go
@@ -14,7 +14,7 @@
 
 var regionOf = map[string]string{"a": "west", "b": "west", "c": "east"}
 
-// zonesOf lists the zone of every node of a kind: two zones in one region, one in the other.
+// zonesOf returns the zone of each node of a kind. There are two zones in one region and one zone in the other.
 func zonesOf(random *rand.Rand, kind capacity.Kind) []string {
 	switch kind {
 	case capacity.Server:
@@ -29,7 +29,7 @@
 	return []string{"a", "b", "c", "a", "b"}
 }
 
-// drawCase draws a deployment, its clients and what is to be replaced.
+// drawCase draws a deployment, its clients and the replacements.
 func drawCase(random *rand.Rand) (plan.Input, []*client) {
 	input := plan.Input{
 		Headroom:      capacity.Headroom{Margin: 0.1, Hosts: 1},
@@ -52,7 +52,7 @@
 			if random.IntN(2) == 0 {
 				replacement := drawReplacement(random, spec)
 				if kind == capacity.Core && input.Core.Zones > 0 || kind == capacity.Edge && zone == "b" {
-					replacement.Surge = true // in place is infeasible
+					replacement.Surge = true // an in-place replacement would be infeasible
 				}
 				input.Replacements = append(input.Replacements, replacement)
 			}
@@ -63,7 +63,8 @@
 	return input, clients
 }
 
-// measuredPeaks returns the demand as a long measurement shows it: the mean with the fluctuation of a Poisson process.
+// measuredPeaks returns the demand that a long measurement would show: the mean plus 2.5 standard deviations of a Poisson
+// distribution.
 func measuredPeaks(clients []*client) []capacity.Load {
 	loads := offeredLoads(clients, 0, 1)
 	for index := range loads {
@@ -103,7 +104,7 @@
 	}
 }
 
-// copyClients returns copies of the clients that have not sent a request yet.
+// copyClients returns copies of the clients in their initial state, for one run.
 func (s *scenario) copyClients() []*client {
 	fresh := make([]*client, 0, len(s.clients))
 	for _, original := range s.clients {
--- a/internal/region/migration/simulate/simulation_test.go
+++ b/internal/region/migration/simulate/simulation_test.go
@@ -12,13 +12,13 @@
 	"fieldrelay/internal/region/migration/execute"
 )
 
-// Times of a run: faults stop, and the run must end within what remains.
+// Times of a run: new faults occur until faultsUntil, and the run must end within longestRun.
 const (
 	faultsUntil = 60 * time.Second
 	longestRun  = 400 * time.Second
 )
 
-// environmentInt reads a number from the environment.
+// environmentInt reads an integer from an environment variable.
 func environmentInt(name string, defaultValue int) int {
 	if value, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return value
@@ -33,7 +33,7 @@
 	return d
 }
 
-// prepareRun sets a run up. The same scenario, seed, planted fault and adjustment give the same run.
+// prepareRun sets up a run. The same scenario, seed, planted fault and adjustment result in the same run.
 func prepareRun(drawn *scenario, seed uint64, planted plantedFault, adjust func(*faults)) *deployment {
 	random := rand.New(rand.NewPCG(seed, 2))
 	d := newDeployment(random, drawn.input, drawn.plan, drawn.copyClients(), planted)
@@ -47,7 +47,8 @@
 	return d
 }
 
-// run advances the deployment until the run ends, or until the first violation.
+// run advances the deployment until the run has ended and no further faults occur, or until the first violation, and then
+// for another 20 s.
 func (d *deployment) run() {
 	for d.now < longestRun && len(d.checker.violations) == 0 {
 		d.step()
@@ -62,7 +63,7 @@
 	d.checker.end()
 }
 
-// withoutFaults lets nothing fail.
+// withoutFaults removes all faults.
 func withoutFaults(f *faults) { *f = faults{propagation: f.propagation, maxSendDelay: f.maxSendDelay} }
 
 // requireNoViolations fails the test with every violation of a run.
@@ -104,7 +105,8 @@
 	require.Less(t, float64(total.rejected), 0.001*float64(total.requests))
 }
 
-// The executor is killed at every store of a run in turn, before or after the store was sent.
+// The executor is killed at each store of a run in turn, before or after the store was sent, and its successor must
+// complete the run without a violation.
 func TestKillAtEveryStep(t *testing.T) {
 	kills := 0
 	for seed := uint64(1); seed <= uint64(environmentInt("MIGRATION_KILL_SEEDS", 1)); seed++ {
--- a/internal/region/migration/simulate/traffic_test.go
+++ b/internal/region/migration/simulate/traffic_test.go
@@ -8,15 +8,15 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// generateTokens continues the responses whose requests have arrived, and ends complete ones.
+// generateTokens advances the responses whose requests have arrived, and ends completed ones.
 func (d *deployment) generateTokens() {
 	for _, response := range slices.Clone(d.responses) {
 		if d.now < response.arrivesAt {
 			continue
 		}
 		if !response.server.present {
-			// The server stopped while the request was on its way: it may have been executed.
-			d.checker.lost(response, "its server ended while it was on its way")
+			// The server stopped while the request was in flight. The proxy cannot know whether it was executed.
+			d.checker.lost(response, "its server stopped while the request was in flight")
 			d.end(response)
 			continue
 		}
@@ -36,7 +36,7 @@
 	ended.edge.inFlight = slices.DeleteFunc(ended.edge.inFlight, func(other *response) bool { return other == ended })
 }
 
-// issueRequests issues the requests of this tick, by a Poisson process.
+// issueRequests issues the requests of this tick. The requests of each client are a Poisson process.
 func (d *deployment) issueRequests() {
 	for _, from := range d.clients {
 		expected := from.offered(d.now) / from.meanDuration.Seconds() * tick.Seconds()
@@ -46,7 +46,7 @@
 	}
 }
 
-// poisson draws from a Poisson distribution by multiplication (Knuth).
+// poisson draws from a Poisson distribution by Knuth's multiplication method.
 func poisson(d *deployment, mean float64) int {
 	limit, product, count := math.Exp(-mean), d.random.Float64(), 0
 	for product > limit {
@@ -65,14 +65,14 @@
 	}
 	server := d.pickServer(edge, from)
 	if server == nil {
-		d.counts.rejected++ // 503: not executed
+		d.counts.rejected++ // status 503: the request was not executed
 		from.rejected++
 		from.rejectedAt = d.now
 		return
 	}
 	length := min(time.Duration(d.random.ExpFloat64()*float64(from.meanDuration)), longestResponse)
 	if from.resumable && d.happens(0.01) {
-		length = 4 * longestResponse // longer than any plan expects
+		length = 4 * longestResponse // longer than the drain time of every plan
 	}
 	started := &response{client: from, edge: edge, remaining: length, length: length, resumable: from.resumable, executions: 1}
 	edge.inFlight = append(edge.inFlight, started)
@@ -86,8 +86,8 @@
 	server.inFlight = append(server.inFlight, response)
 }
 
-// pickEdge returns the edge machine that a client uses: one of its region that was in the directory at some time within
-// the last address TTL.
+// pickEdge returns the edge machine that a client uses: a machine of its region that was in the directory at some time
+// within the last address TTL.
 func (d *deployment) pickEdge(from *client) *node {
 	cordoned := d.store.directoryAt(d.now - d.durationBetween(0, addressTTL))
 	var near []*node
@@ -102,8 +102,8 @@
 	return near[d.random.IntN(len(near))]
 }
 
-// pickServer returns the server with the most free slots, in the proxy's own region if there is one, of those that the
-// proxy's state permits.
+// pickServer returns the server with the most free slots among those that the proxy's state does not cordon. Servers in the
+// proxy's own region take precedence.
 func (d *deployment) pickServer(edge *node, from *client) *node {
 	var best *node
 	bestFree := 0.0
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// migrateStreams resumes elsewhere the streams of a proxy that the state says to migrate and that can be resumed.
+// migrateStreams resumes on other servers the resumable streams of a proxy whose servers the state lists in Migrating.
 func (d *deployment) migrateStreams(edge *node) {
 	for _, stream := range slices.Clone(edge.inFlight) {
 		if !slices.Contains(edge.state.Migrating, stream.server.spec.ID) {
@@ -150,7 +150,8 @@
 	}
 }
 
-// crash ends a node without warning. Resumable streams continue elsewhere; the rest is lost to the crash.
+// crash stops a node without warning. Resumable streams on a server continue on other servers if possible; the other
+// responses are lost to the crash.
 func (d *deployment) crash(node *node, downtime time.Duration) {
 	if !node.present {
 		return
