--- a/internal/region/migration/capacity/headroom_test.go
+++ b/internal/region/migration/capacity/headroom_test.go
@@ -27,34 +27,34 @@
 		loads    []Load
 		want     *Shortage
 	}{
-		"fits":                        {Headroom{}, []Load{load("west", 30), load("east", 10)}, nil},
-		"spills":                      {Headroom{}, []Load{load("west", 20), load("east", 20)}, nil},
-		"the whole is too much":       {Headroom{}, []Load{load("west", 30), load("east", 20)}, &Shortage{Region: "east", Required: 20, Missing: 10, Fraction: 0.5}},
-		"homes forbid spilling":       {Headroom{}, []Load{load("west", 10), load("east", 20, "east")}, &Shortage{Region: "east", Required: 20, Missing: 10, Fraction: 0.5}},
-		"homes come before the free":  {Headroom{}, []Load{load("west", 30), load("east", 10, "west")}, nil},
-		"margin":                      {Headroom{Margin: 0.5}, []Load{load("east", 10, "east")}, &Shortage{Region: "east", Required: 15, Missing: 5, Fraction: 1.0 / 3}},
-		"loss of a host":              {Headroom{Hosts: 1}, []Load{load("west", 25, "west")}, &Shortage{Region: "west", Required: 25, Missing: 5, Fraction: 0.2, Lost: []string{"a1"}}},
-		"loss of two hosts":           {Headroom{Hosts: 2}, []Load{load("west", 20, "west")}, &Shortage{Region: "west", Required: 20, Missing: 10, Fraction: 0.5, Lost: []string{"a1", "a2"}}},
-		"loss of a zone":              {Headroom{Zones: 1}, []Load{load("west", 15, "west")}, &Shortage{Region: "west", Required: 15, Missing: 5, Fraction: 1.0 / 3, Lost: []string{"a"}}},
-		"loss of a region":            {Headroom{Regions: 1}, []Load{load("east", 15)}, &Shortage{Region: "east", Required: 15, Missing: 5, Fraction: 1.0 / 3, Lost: []string{"west"}}},
-		"a loss that leaves enough":   {Headroom{Hosts: 1, Zones: 1}, []Load{load("west", 20)}, nil},
-		"no home left":                {Headroom{Zones: 1}, []Load{load("east", 1, "east")}, &Shortage{Region: "east", Required: 1, Missing: 1, Fraction: 1, Lost: []string{"c"}}},
-		"other groups are passed by":  {Headroom{}, []Load{{Region: "west", Group: Group{Kind: Edge}, Required: Amount{Slots: 99}}}, nil},
-		"no demand, no server needed": {Headroom{Regions: 2}, []Load{load("west", 0)}, nil},
+		"fits":                               {Headroom{}, []Load{load("west", 30), load("east", 10)}, nil},
+		"spills to another region":           {Headroom{}, []Load{load("west", 20), load("east", 20)}, nil},
+		"total demand exceeds capacity":      {Headroom{}, []Load{load("west", 30), load("east", 20)}, &Shortage{Region: "east", Required: 20, Missing: 10, Fraction: 0.5}},
+		"home regions forbid spilling":       {Headroom{}, []Load{load("west", 10), load("east", 20, "east")}, &Shortage{Region: "east", Required: 20, Missing: 10, Fraction: 0.5}},
+		"loads with home regions come first": {Headroom{}, []Load{load("west", 30), load("east", 10, "west")}, nil},
+		"margin":                             {Headroom{Margin: 0.5}, []Load{load("east", 10, "east")}, &Shortage{Region: "east", Required: 15, Missing: 5, Fraction: 1.0 / 3}},
+		"loss of a host":                     {Headroom{Hosts: 1}, []Load{load("west", 25, "west")}, &Shortage{Region: "west", Required: 25, Missing: 5, Fraction: 0.2, Lost: []string{"a1"}}},
+		"loss of two hosts":                  {Headroom{Hosts: 2}, []Load{load("west", 20, "west")}, &Shortage{Region: "west", Required: 20, Missing: 10, Fraction: 0.5, Lost: []string{"a1", "a2"}}},
+		"loss of a zone":                     {Headroom{Zones: 1}, []Load{load("west", 15, "west")}, &Shortage{Region: "west", Required: 15, Missing: 5, Fraction: 1.0 / 3, Lost: []string{"a"}}},
+		"loss of a region":                   {Headroom{Regions: 1}, []Load{load("east", 15)}, &Shortage{Region: "east", Required: 15, Missing: 5, Fraction: 1.0 / 3, Lost: []string{"west"}}},
+		"tolerated losses":                   {Headroom{Hosts: 1, Zones: 1}, []Load{load("west", 20)}, nil},
+		"home region lost":                   {Headroom{Zones: 1}, []Load{load("east", 1, "east")}, &Shortage{Region: "east", Required: 1, Missing: 1, Fraction: 1, Lost: []string{"c"}}},
+		"other groups are ignored":           {Headroom{}, []Load{{Region: "west", Group: Group{Kind: Edge}, Required: Amount{Slots: 99}}}, nil},
+		"no demand":                          {Headroom{Regions: 2}, []Load{load("west", 0)}, nil},
 	}
-	for name, one := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
-			got := one.headroom.Check(service, nodes, one.loads)
-			if one.want == nil {
+			got := testCase.headroom.Check(service, nodes, testCase.loads)
+			if testCase.want == nil {
 				require.Nil(t, got)
 				return
 			}
 			require.NotNil(t, got)
-			require.Equal(t, one.want.Region, got.Region)
-			require.Equal(t, one.want.Lost, got.Lost)
-			require.InDelta(t, one.want.Required, got.Required, 1e-6)
-			require.InDelta(t, one.want.Missing, got.Missing, 1e-6)
-			require.InDelta(t, one.want.Fraction, got.Fraction, 1e-6)
+			require.Equal(t, testCase.want.Region, got.Region)
+			require.Equal(t, testCase.want.Lost, got.Lost)
+			require.InDelta(t, testCase.want.Required, got.Required, 1e-6)
+			require.InDelta(t, testCase.want.Missing, got.Missing, 1e-6)
+			require.InDelta(t, testCase.want.Fraction, got.Fraction, 1e-6)
 		})
 	}
 }
@@ -75,18 +75,18 @@
 
 func TestModelsAreServedWhereTheyAre(t *testing.T) {
 	nodes := []Node{server("x", "a", "west", 10, "m"), server("y", "a", "west", 10, "m", "n"), server("z", "c", "east", 10, "n")}
-	of := func(model string, slots float64) Load {
-		one := load("west", slots)
-		one.Model = model
-		return one
+	loadOfModel := func(model string, slots float64) Load {
+		modelLoad := load("west", slots)
+		modelLoad.Model = model
+		return modelLoad
 	}
-	require.Nil(t, Headroom{}.Check(service, nodes, []Load{of("m", 15), of("n", 15)}))
-	require.Equal(t, "m", Headroom{}.Check(service, nodes, []Load{of("m", 21)}).Model)
-	require.Nil(t, Headroom{}.Check(service, nodes, []Load{of("", 30)}))
+	require.Nil(t, Headroom{}.Check(service, nodes, []Load{loadOfModel("m", 15), loadOfModel("n", 15)}))
+	require.Equal(t, "m", Headroom{}.Check(service, nodes, []Load{loadOfModel("m", 21)}).Model)
+	require.Nil(t, Headroom{}.Check(service, nodes, []Load{loadOfModel("", 30)}))
 }
 
-// Loads that are found to fit must be servable: for any set of regions, the loads whose home regions all lie in the set
-// fit into its capacity.
+// Guards against an allocation of more than the capacity: if Check reports no shortage, then for each set of regions the
+// loads that only these regions may serve do not exceed the capacity of the set.
 func TestAllocationNeverExceedsCapacity(t *testing.T) {
 	regions := []string{"east", "north", "west"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -120,13 +120,13 @@
 					have += capacity[region]
 				}
 			}
-			for _, one := range loads {
-				inside := len(one.HomeRegions) > 0 || set == 1<<len(regions)-1
-				for _, home := range one.HomeRegions {
+			for _, candidate := range loads {
+				inside := len(candidate.HomeRegions) > 0 || set == 1<<len(regions)-1
+				for _, home := range candidate.HomeRegions {
 					inside = inside && within(home)
 				}
 				if inside {
-					need += one.Required[Slots]
+					need += candidate.Required[Slots]
 				}
 			}
 			if need > have+1e-6 {
--- a/internal/region/migration/plan/capacity.go
+++ b/internal/region/migration/plan/capacity.go
@@ -6,13 +6,13 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// shortageKey is what the answer of shortageOf depends on.
+// shortageKey is the cache key of shortageOf: everything that its result depends on.
 type shortageKey struct {
 	group, period int
 	done, batch   string
 }
 
-// shortageOf returns the shortage of a group during a stage, with the demand of one period, or nil.
+// shortageOf returns the shortage of a group during a stage with the demand of one period, or nil. Results are cached.
 func (s *searcher) shortageOf(group, period int, done, batch counts) *capacity.Shortage {
 	view := &s.groups[group]
 	key := shortageKey{group, period, string(done.project(view.classes)), string(batch.project(view.classes))}
@@ -24,16 +24,16 @@
 	return found
 }
 
-// computeShortage computes shortageOf: in each phase of the stage, or in the state before it if the stage leaves the
-// group alone.
+// computeShortage computes the result of shortageOf: the first shortage in the phases of the stage, or the shortage in the
+// state before the stage if the stage replaces no node of the group.
 func (s *searcher) computeShortage(view *groupView, period int, done, batch counts) *capacity.Shortage {
 	loads := s.input.Demand.Periods[period].Loads
-	if view.untouchedBy(batch) {
+	if view.unaffectedBy(batch) {
 		return s.input.Headroom.Check(view.group, s.servingNodes(view, done, batch, beforeStage), loads)
 	}
-	whole := s.servingNodes(view, done, batch, beforeStage)
+	before := s.servingNodes(view, done, batch, beforeStage)
 	for _, at := range []phase{inPlaceRemoved, surgeTakenOver, afterStage} {
-		grown := capacity.AddLostCachePrefill(loads, whole, s.departedNodes(view, done, batch, at))
+		grown := capacity.AddLostCachePrefill(loads, before, s.departedNodes(view, done, batch, at))
 		if found := s.input.Headroom.Check(view.group, s.servingNodes(view, done, batch, at), grown); found != nil {
 			return found
 		}
@@ -41,12 +41,12 @@
 	return nil
 }
 
-// worstShortage returns the worst shortage during a stage from begin to end, or nil.
+// worstShortage returns the worst shortage of the groups with replacements in a stage that lasts from begin to end, or nil.
 func (s *searcher) worstShortage(done, batch counts, begin, end time.Duration) *capacity.Shortage {
 	var worst *capacity.Shortage
 	for _, period := range s.input.Demand.PeriodsDuring(begin, end) {
 		for group := range s.groups {
-			if s.groups[group].untouchedBy(batch) {
+			if s.groups[group].unaffectedBy(batch) {
 				continue
 			}
 			found := s.shortageOf(group, period, done, batch)
@@ -58,23 +58,23 @@
 	return worst
 }
 
-// roundingTolerance is the difference of two shortages that may come from rounding alone.
+// roundingTolerance is the largest difference between the fractions of two shortages that rounding alone may cause.
 const roundingTolerance = 1e-6
 
-// checkRest is computeRest with a cache.
-func (s *searcher) checkRest(done counts) *violation {
+// checkIntermediateState is computeRest with a cache.
+func (s *searcher) checkIntermediateState(done counts) *violation {
 	key := string(done)
-	found, known := s.restCache[key]
+	found, known := s.intermediateStateCache[key]
 	if !known {
-		found = s.computeRest(done)
-		s.restCache[key] = found
+		found = s.computeIntermediateState(done)
+		s.intermediateStateCache[key] = found
 	}
 	return found
 }
 
-// computeRest checks that a state between stages serves every period as well as the present fleet does: an operator may
-// pause the run there for long.
-func (s *searcher) computeRest(done counts) *violation {
+// computeIntermediateState checks that a state between stages serves every period as well as the present fleet does, since
+// an operator may pause the run in that state for a long time.
+func (s *searcher) computeIntermediateState(done counts) *violation {
 	none := make(counts, len(done))
 	for group := range s.groups {
 		for period := range s.input.Demand.Periods {
@@ -82,8 +82,8 @@
 			if found == nil {
 				continue
 			}
-			today := s.shortageOf(group, period, none, none)
-			if today == nil || found.Fraction > today.Fraction+roundingTolerance {
+			initial := s.shortageOf(group, period, none, none)
+			if initial == nil || found.Fraction > initial.Fraction+roundingTolerance {
 				return &violation{constraint: ConstraintCapacity, shortage: found}
 			}
 		}
--- a/internal/region/migration/plan/lastserver.go
+++ b/internal/region/migration/plan/lastserver.go
@@ -4,29 +4,29 @@
 	"fieldrelay/internal/region/migration/capacity"
 )
 
-// lastServerKey is what the answer of takesLastServer depends on.
+// lastServerKey is the cache key of removesLastServer: everything that its result depends on.
 type lastServerKey struct {
 	group       int
 	done, batch string
 }
 
-// takesLastServer reports whether a zone would have no node of a group during a stage, although it has one before the
-// stage and is to have one when all replacements are made.
-func (s *searcher) takesLastServer(group int, done, batch counts) bool {
+// removesLastServer reports whether a zone would have no node of a group during a stage, although it has one before the
+// stage and has one when all replacements are done. Results are cached.
+func (s *searcher) removesLastServer(group int, done, batch counts) bool {
 	view := &s.groups[group]
-	if view.untouchedBy(batch) {
+	if view.unaffectedBy(batch) {
 		return false
 	}
 	key := lastServerKey{group, string(done.project(view.classes)), string(batch.project(view.classes))}
-	takes, known := s.lastServerCache[key]
+	removes, known := s.lastServerCache[key]
 	if !known {
-		takes = s.emptiesZone(view, done, batch)
-		s.lastServerCache[key] = takes
+		removes = s.emptiesZone(view, done, batch)
+		s.lastServerCache[key] = removes
 	}
-	return takes
+	return removes
 }
 
-// emptiesZone computes takesLastServer.
+// emptiesZone computes the result of removesLastServer.
 func (s *searcher) emptiesZone(view *groupView, done, batch counts) bool {
 	present := zonesOf(s.servingNodes(view, done, batch, beforeStage))
 	final := zonesOf(s.servingNodes(view, s.goal, make(counts, len(s.goal)), beforeStage))
--- a/internal/region/migration/plan/plan_test.go
+++ b/internal/region/migration/plan/plan_test.go
@@ -36,7 +36,7 @@
 	require.Positive(t, rejected)
 }
 
-// requireSafe checks the stages of a plan by the rules of the reference search.
+// requireSafe checks the stages of a plan against the constraints of the reference search.
 func requireSafe(t testingT, input *Input, made *Plan) {
 	t.Helper()
 	r := &reference{input: input}
@@ -45,9 +45,9 @@
 	for _, stage := range made.Stages {
 		require.GreaterOrEqual(t, stage.Begin, now)
 		chosen := make([]bool, len(done))
-		for _, one := range stage.Replacements {
+		for _, replacement := range stage.Replacements {
 			for index := range input.Replacements {
-				chosen[index] = chosen[index] || input.Replacements[index].Old.ID == one.Old.ID
+				chosen[index] = chosen[index] || input.Replacements[index].Old.ID == replacement.Old.ID
 			}
 		}
 		end, possible := r.stageEnd(done, chosen, stage.Begin)
@@ -63,7 +63,8 @@
 	require.Equal(t, made.End, now)
 }
 
-// requireVerifyAgrees puts all replacements into one stage: Verify accepts it exactly if the reference search does.
+// requireVerifyAgrees puts all replacements into one stage and requires that Verify accepts it exactly if the reference
+// search does.
 func requireVerifyAgrees(t testingT, input *Input) {
 	t.Helper()
 	all := make([]bool, len(input.Replacements))
@@ -72,8 +73,8 @@
 	}
 	end, possible := (&reference{input: input}).stageEnd(make([]bool, len(all)), all, input.Begin)
 	duration := time.Duration(0)
-	for _, one := range input.Replacements {
-		duration = max(duration, one.Times.Total())
+	for _, replacement := range input.Replacements {
+		duration = max(duration, replacement.Times.Total())
 	}
 	err := Verify(*input, []Stage{{Begin: input.Begin, Replacements: input.Replacements}})
 	require.Equal(t, possible && end == input.Begin+duration, err == nil, "%v", err)
--- a/internal/region/migration/planfile/golden_test.go
+++ b/internal/region/migration/planfile/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func golden(t *testing.T, name string, written []byte) string {
 	t.Helper()
@@ -22,10 +22,10 @@
 	return string(content)
 }
 
-// Guards the file as reviewers and earlier programs know it: a plan is written with its comments to the same bytes; a file
-// of an earlier program is read, written again to the same bytes, has the same digest, and its stages are verified.
+// Guards the file format, which reviewers and other versions of the program read: a plan with comments is written as
+// recorded, and a recorded file is read, written unchanged, has the recorded digest, and its stages pass verification.
 func TestGoldenPlanFile(t *testing.T) {
-	file, input, migrationPlan := planWholeFile(t)
+	file, input, migrationPlan := planExampleFile(t)
 	planned := file.WithPlan(migrationPlan)
 	reviewed, err := planned.Write(migrationPlan)
 	require.NoError(t, err)
@@ -47,14 +47,14 @@
 	require.NoError(t, err)
 	reviewedDigest, err := fromReview.Digest()
 	require.NoError(t, err)
-	require.Equal(t, digest, reviewedDigest, "remarks do not count")
+	require.Equal(t, digest, reviewedDigest, "comments do not affect the digest")
 
 	checked, err := read.Plan(input)
 	require.NoError(t, err)
 	var order []string
 	for _, stage := range checked.Stages {
-		for _, one := range stage.Replacements {
-			order = append(order, one.Old.ID+" by "+one.New.ID)
+		for _, replacement := range stage.Replacements {
+			order = append(order, replacement.Old.ID+" by "+replacement.New.ID)
 		}
 	}
 	require.Equal(t, len(file.Replacements), len(order))
--- a/internal/region/migration/planfile/validate.go
+++ b/internal/region/migration/planfile/validate.go
@@ -11,10 +11,11 @@
 	"fieldrelay/internal/region/tomlfile"
 )
 
-// maxFailures bounds the fault budget of a file: all combinations of so many failures are checked.
+// maxFailures is the largest number in the fault budget of a file. It is limited because all combinations of that many
+// failures are checked.
 const maxFailures = 3
 
-// validator collects the faults of a file; their lines are added later.
+// validator collects the faults of a file. Their line numbers are added later.
 type validator struct{ faults []*tomlfile.FaultError }
 
 func (v *validator) check(key string, value any, rules []validation.Rule) {
@@ -27,7 +28,7 @@
 	v.faults = append(v.faults, &tomlfile.FaultError{Key: key, Reason: reason})
 }
 
-// validate returns the faults of a file, without their lines.
+// validate returns the faults of a file, without their line numbers.
 func (f *File) validate() []*tomlfile.FaultError {
 	v := &validator{}
 	v.check("name", f.Name, required)
@@ -63,10 +64,10 @@
 	v.amounts(key, &capacity.Amounts)
 }
 
-// service checks that a service is named for servers, and only for them.
+// service checks that a service is given for servers, and only for servers.
 func (v *validator) service(key, kind, service string) {
 	if (kind == string(capacity.Server)) != (service != "") && kind != "" {
-		v.add(key+"service", "must be named for servers, and for nothing else")
+		v.add(key+"service", "is required for servers, and not allowed for other kinds")
 	}
 }
 
@@ -79,23 +80,23 @@
 func (v *validator) replacements(replacements []Replacement) {
 	used := make(map[string]bool)
 	for index := range replacements {
-		one := &replacements[index]
+		entry := &replacements[index]
 		key := fmt.Sprintf("replace[%d].", index)
-		v.check(key+"kind", one.Kind, nodeKind)
-		v.check(key+"old", one.Old, required)
-		v.check(key+"new", one.New, required)
-		v.check(key+"start", one.Start, optionalDuration)
-		v.check(key+"warm", one.Warm, optionalDuration)
-		v.check(key+"drain", one.Drain, optionalDuration)
-		v.check(key+"stop", one.Stop, optionalDuration)
-		for _, named := range []struct{ member, name string }{{"old", one.Old}, {"new", one.New}} {
+		v.check(key+"kind", entry.Kind, nodeKind)
+		v.check(key+"old", entry.Old, required)
+		v.check(key+"new", entry.New, required)
+		v.check(key+"start", entry.Start, optionalDuration)
+		v.check(key+"warm", entry.Warm, optionalDuration)
+		v.check(key+"drain", entry.Drain, optionalDuration)
+		v.check(key+"stop", entry.Stop, optionalDuration)
+		for _, named := range []struct{ member, name string }{{"old", entry.Old}, {"new", entry.New}} {
 			if named.name != "" && used[named.name] {
 				v.add(key+named.member, fmt.Sprintf("%q is named twice", named.name))
 			}
 			used[named.name] = true
 		}
-		if !one.Surge && one.Zone != "" {
-			v.add(key+"zone", "must not be told of a node that takes the place of the old one")
+		if !entry.Surge && entry.Zone != "" {
+			v.add(key+"zone", "must be empty for an in-place replacement")
 		}
 	}
 }
@@ -119,24 +120,24 @@
 	v.amounts(key, &load.Amounts)
 }
 
-// stages checks that the stages, if there are any, contain every replacement exactly once.
+// stages checks the stages, if there are any: together they must contain every replacement exactly once.
 func (v *validator) stages(f *File) {
 	if len(f.Stages) == 0 {
 		return
 	}
 	var planned []string
 	for index := range f.Stages {
-		one := &f.Stages[index]
+		stage := &f.Stages[index]
 		key := fmt.Sprintf("stage[%d].", index)
-		v.check(key+"begin", one.Begin, stageTime)
-		v.check(key+"lasts", one.Duration, optionalDuration)
-		v.check(key+"replace", one.Replace, nonEmptyNames)
-		for _, old := range one.Replace {
+		v.check(key+"begin", stage.Begin, stageTime)
+		v.check(key+"lasts", stage.Duration, optionalDuration)
+		v.check(key+"replace", stage.Replace, nonEmptyNames)
+		for _, old := range stage.Replace {
 			if slices.Contains(planned, old) {
 				v.add(key+"replace", fmt.Sprintf("%q is replaced twice", old))
 			}
 			if !slices.ContainsFunc(f.Replacements, func(known Replacement) bool { return known.Old == old }) {
-				v.add(key+"replace", fmt.Sprintf("%q is not among what is to be replaced", old))
+				v.add(key+"replace", fmt.Sprintf("%q is not the old node of any replacement", old))
 			}
 			planned = append(planned, old)
 		}
@@ -158,7 +159,7 @@
 	from, _ := parseTimeOfDay(period.From)
 	until, _ := parseTimeOfDay(period.Until)
 	if from != previousEnd {
-		v.add(key+"from", "must be where the period before ends; the first begins at 00:00")
+		v.add(key+"from", "must equal the end of the previous period; the first period begins at 00:00")
 	}
 	if until <= from {
 		v.add(key+"until", "must be after from")
--- a/internal/region/migration/simulate/plantedfault_test.go
+++ b/internal/region/migration/simulate/plantedfault_test.go
@@ -10,21 +10,22 @@
 	"fieldrelay/internal/region/migration/execute"
 )
 
-// plantedFault is a fault in what an executor relies on, planted to see that the checker finds its effect.
+// plantedFault is a deliberate fault in the components on which an executor relies. It shows that the checker finds the
+// effect of such a fault.
 type plantedFault uint8
 
 const (
-	faultNone               plantedFault = iota
-	faultFalseConfirmation               // proxies are said to have confirmed what they have not
-	faultNothingInFlight                 // requests in flight are not counted
-	faultArrivedOnly                     // requests on their way are neither counted nor waited for
-	faultStreamsRestart                  // proxies begin migrated streams from their beginning
-	faultLowLoad                         // a tenth of the demand is measured
-	faultStaleLoad                       // the measured demand is that of the plan
-	faultGoneServersListed               // servers that are gone are listed as serving
-	faultFalseVotes                      // voters are said to be exchanged that are not
-	faultUnconditionalStore              // the chain stores any state
-	faultNoConfirmation                  // proxies never confirm
+	faultNone                plantedFault = iota
+	faultFalseConfirmation                // proxies are reported to have confirmed every revision
+	faultNothingInFlight                  // requests in flight are not counted
+	faultArrivedOnly                      // requests in flight to a server are neither counted nor waited for
+	faultStreamsRestart                   // proxies restart migrated streams from the beginning
+	faultLowLoad                          // the measured demand is a tenth of the real one
+	faultStaleLoad                        // the measured demand is always that of the plan
+	faultAbsentServersListed              // servers that are not ready are listed as serving
+	faultFalseVotes                       // voters are reported as exchanged although they are not
+	faultUnconditionalStore               // the chain stores a state without comparing revisions
+	faultNoConfirmation                   // proxies never confirm
 )
 
 // distort changes an observation according to the fault.
@@ -43,18 +44,18 @@
 		}
 	case faultStaleLoad:
 		observation.Loads = d.input.Demand.Periods[0].Loads
-	case faultGoneServersListed:
-		for _, one := range d.order {
-			if one.spec.Kind == capacity.Server && !one.ready(d.now) {
-				observation.Fleet = append(observation.Fleet, one.spec)
+	case faultAbsentServersListed:
+		for _, node := range d.orderedNodes {
+			if node.spec.Kind == capacity.Server && !node.ready(d.now) {
+				observation.Fleet = append(observation.Fleet, node.spec)
 			}
 		}
 	case faultFalseVotes:
-		for _, one := range d.order {
-			status, present := observation.Nodes[one.spec.ID]
-			if present && one.spec.Kind == capacity.Core {
-				status.Votes = !isOld(d, one)
-				observation.Nodes[one.spec.ID] = status
+		for _, node := range d.orderedNodes {
+			status, present := observation.Nodes[node.spec.ID]
+			if present && node.spec.Kind == capacity.Core {
+				status.Votes = !isOld(d, node)
+				observation.Nodes[node.spec.ID] = status
 			}
 		}
 	case faultNoConfirmation:
@@ -62,27 +63,27 @@
 	}
 }
 
-func isOld(d *deployment, one *node) bool {
-	return d.input.Replacements[d.store.replacementOf(one)].Old.ID == one.spec.ID
+func isOld(d *deployment, node *node) bool {
+	return d.input.Replacements[d.store.replacementOf(node)].Old.ID == node.spec.ID
 }
 
-// growDemand lets demand grow beyond what was planned for while nodes are cordoned.
+// growDemand makes the demand grow beyond the planned demand while nodes are cordoned.
 func growDemand(f *faults) {
 	withoutFaults(f)
 	f.growAt, f.growth = 7*time.Second, 2.5
 }
 
-// growDemandWhileCordoned delays new states at the proxies, so that demand grows while cordons wait for confirmation.
+// growDemandWhileCordoned delays new states at the proxies, so that the demand grows while cordons wait for confirmation.
 func growDemandWhileCordoned(f *faults) {
 	withoutFaults(f)
 	f.propagation = 0.01
 	f.growAt, f.growth = 12*time.Second, 5
 }
 
-// maxSeeds is the number of runs within which a planted fault must be found.
+// maxSeeds is the number of seeds within which a planted fault must be found.
 const maxSeeds = 40
 
-// scenarioCache keeps drawn scenarios by seed.
+// scenarioCache caches scenarios by seed.
 type scenarioCache map[uint64]*scenario
 
 func (c scenarioCache) get(seed uint64) *scenario {
@@ -92,37 +93,38 @@
 	return c[seed]
 }
 
-// Every rule is seen to catch a fault that is planted in what the executor relies on.
+// Guards against a checker that misses violations: for each planted fault, the expected rule must be violated within
+// maxSeeds runs.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	cases := map[string]struct {
 		planted plantedFault
 		want    rule
 		adjust  func(*faults) // nil: the default faults
 	}{
-		"proxies are said to know":              {faultFalseConfirmation, ruleLost, func(f *faults) { f.propagation, f.killFraction = 0.002, 0 }},
-		"open replies are not counted":          {faultNothingInFlight, ruleLost, nil},
-		"requests on their way are passed over": {faultArrivedOnly, ruleLost, func(f *faults) { f.maxSendDelay = 10 * maxSendDelay }},
-		"streams that are moved begin anew":     {faultStreamsRestart, ruleDoubled, withoutFaults},
-		"little demand is measured":             {faultLowLoad, ruleCapacity, growDemand},
-		"demand is not measured again":          {faultStaleLoad, ruleReaction, growDemandWhileCordoned},
-		"servers that are gone are listed":      {faultGoneServersListed, ruleLast, func(f *faults) { f.rate, f.only, f.maxDowntime = 2, crashServer, time.Minute }},
-		"voters are said to be exchanged":       {faultFalseVotes, ruleVoters, nil},
-		"the chain takes any state":             {faultUnconditionalStore, ruleSteps, nil},
-		"proxies never confirm":                 {faultNoConfirmation, ruleEnd, nil},
+		"false confirmation by proxies":       {faultFalseConfirmation, ruleLost, func(f *faults) { f.propagation, f.killFraction = 0.002, 0 }},
+		"responses in flight not counted":     {faultNothingInFlight, ruleLost, nil},
+		"requests in flight not counted":      {faultArrivedOnly, ruleLost, func(f *faults) { f.maxSendDelay = 10 * maxSendDelay }},
+		"migrated streams restarted":          {faultStreamsRestart, ruleDuplicated, withoutFaults},
+		"measured demand too low":             {faultLowLoad, ruleCapacity, growDemand},
+		"measured demand stale":               {faultStaleLoad, ruleReaction, growDemandWhileCordoned},
+		"absent servers listed":               {faultAbsentServersListed, ruleLastServer, func(f *faults) { f.rate, f.only, f.maxDowntime = 2, crashServer, time.Minute }},
+		"exchange of voters falsely reported": {faultFalseVotes, ruleVoters, nil},
+		"unconditional store":                 {faultUnconditionalStore, ruleTransitions, nil},
+		"no confirmation by proxies":          {faultNoConfirmation, ruleEnd, nil},
 	}
 	scenarios := scenarioCache{}
-	for name, one := range cases {
+	for name, testCase := range cases {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= maxSeeds; seed++ {
-				d := prepareRun(scenarios.get(seed), seed, one.planted, one.adjust)
-				d.checker.only = one.want
+				d := prepareRun(scenarios.get(seed), seed, testCase.planted, testCase.adjust)
+				d.checker.onlyRule = testCase.want
 				d.run()
 				if len(d.checker.violations) > 0 {
 					t.Logf("seed %d: %s", seed, d.checker.violations[0].text)
 					return
 				}
 			}
-			require.Fail(t, "not found")
+			require.Fail(t, "planted fault not found within maxSeeds runs")
 		})
 	}
 }
--- a/internal/region/migration/simulate/simulation_test.go
+++ b/internal/region/migration/simulate/simulation_test.go
@@ -12,18 +12,18 @@
 	"fieldrelay/internal/region/migration/execute"
 )
 
-// Times of a run: faults stop, and the run must end within what remains.
+// Times of a run: new faults occur until faultsUntil, and the run must end within longestRun.
 const (
 	faultsUntil = 60 * time.Second
 	longestRun  = 400 * time.Second
 )
 
-// environmentInt reads a number from the environment.
-func environmentInt(name string, otherwise int) int {
+// environmentInt reads an integer from an environment variable.
+func environmentInt(name string, defaultValue int) int {
 	if value, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return value
 	}
-	return otherwise
+	return defaultValue
 }
 
 // simulateRun simulates a run to its end.
@@ -33,10 +33,10 @@
 	return d
 }
 
-// prepareRun sets a run up. The same scenario, seed, planted fault and adjustment give the same run.
+// prepareRun sets up a run. The same scenario, seed, planted fault and adjustment result in the same run.
 func prepareRun(drawn *scenario, seed uint64, planted plantedFault, adjust func(*faults)) *deployment {
 	random := rand.New(rand.NewPCG(seed, 2))
-	d := newDeployment(random, drawn.input, drawn.plan, drawn.freshClients(), planted)
+	d := newDeployment(random, drawn.input, drawn.plan, drawn.copyClients(), planted)
 	d.faults = defaultFaults()
 	if random.IntN(6) == 0 {
 		d.faults.abortAt = d.durationBetween(5*time.Second, faultsUntil)
@@ -47,7 +47,8 @@
 	return d
 }
 
-// run advances the deployment until the run ends, or until the first violation.
+// run advances the deployment until the run has ended and no further faults occur, or until the first violation, and then
+// for another 20 s.
 func (d *deployment) run() {
 	for d.now < longestRun && len(d.checker.violations) == 0 {
 		d.step()
@@ -62,14 +63,14 @@
 	d.checker.end()
 }
 
-// withoutFaults lets nothing fail.
+// withoutFaults removes all faults.
 func withoutFaults(f *faults) { *f = faults{propagation: f.propagation, maxSendDelay: f.maxSendDelay} }
 
-// requireNone fails the test with every violation of a run.
-func requireNone(t *testing.T, seed uint64, d *deployment) {
+// requireNoViolations fails the test with every violation of a run.
+func requireNoViolations(t *testing.T, seed uint64, d *deployment) {
 	t.Helper()
-	for _, one := range d.checker.violations {
-		t.Errorf("seed %d at %s: %s: %s", seed, one.at, one.rule, one.text)
+	for _, violation := range d.checker.violations {
+		t.Errorf("seed %d at %s: %s: %s", seed, violation.at, violation.rule, violation.text)
 	}
 	require.Empty(t, d.checker.violations)
 }
@@ -81,7 +82,7 @@
 	outcomes := map[execute.Outcome]int{}
 	for seed := uint64(first); seed < uint64(first+runs); seed++ {
 		d := simulateRun(drawScenario(seed), seed, nil)
-		requireNone(t, seed, d)
+		requireNoViolations(t, seed, d)
 		total.add(&d.counts)
 		outcomes[d.store.committed.Outcome]++
 		for phase, count := range d.checker.phases {
@@ -95,7 +96,7 @@
 	var total counts
 	for seed := uint64(1); seed <= 3; seed++ {
 		d := simulateRun(drawScenario(seed), seed, withoutFaults)
-		requireNone(t, seed, d)
+		requireNoViolations(t, seed, d)
 		require.Equal(t, execute.Done, d.store.committed.Outcome)
 		total.add(&d.counts)
 	}
@@ -104,7 +105,8 @@
 	require.Less(t, float64(total.rejected), 0.001*float64(total.requests))
 }
 
-// The executor is killed at every store of a run in turn, before or after the store was sent.
+// The executor is killed at each store of a run in turn, before or after the store was sent, and its successor must
+// complete the run without a violation.
 func TestKillAtEveryStep(t *testing.T) {
 	kills := 0
 	for seed := uint64(1); seed <= uint64(environmentInt("MIGRATION_KILL_SEEDS", 1)); seed++ {
@@ -114,7 +116,7 @@
 				withoutFaults(f)
 				f.killAt = at
 			})
-			requireNone(t, seed, d)
+			requireNoViolations(t, seed, d)
 			if d.counts.kills == 0 {
 				break
 			}
