--- a/internal/common/selection/selection_test.go
+++ b/internal/common/selection/selection_test.go
@@ -165,7 +165,7 @@
 
 func TestSlackStartsAtItsInitialValue(t *testing.T) {
 	slack := NewSlack(PaperBands)
-	require.Equal(t, 0.8, slack.Share)
+	require.Equal(t, 0.8, slack.Fraction)
 	tau, walk := slack.Temperature()
 	require.False(t, walk)
 	require.Equal(t, 0.2, tau)
@@ -192,7 +192,7 @@
 		{own, 0.61, 0.5, false},
 	} {
 		slack := NewSlack(c.bands)
-		slack.Share = c.share
+		slack.Fraction = c.share
 		tau, walk := slack.Temperature()
 		require.Equal(t, c.walk, walk, "%+v", c)
 		if !walk {
@@ -207,17 +207,17 @@
 	require.False(t, slack.Begin(2*time.Minute), "the aging has started already")
 	alpha := 1 - math.Exp(-0.1)
 	slack.Observe(time.Minute+300*time.Millisecond, false)
-	require.InDelta(t, 0.8*(1-alpha), slack.Share, 1e-12)
+	require.InDelta(t, 0.8*(1-alpha), slack.Fraction, 1e-12)
 	slack.Observe(time.Minute+600*time.Millisecond, true)
-	require.InDelta(t, 0.8*(1-alpha)*(1-alpha)+alpha, slack.Share, 1e-12)
+	require.InDelta(t, 0.8*(1-alpha)*(1-alpha)+alpha, slack.Fraction, 1e-12)
 }
 
 func TestOneRequestMovesTheSlackHalfWayAtMost(t *testing.T) {
 	slack := NewSlack(PaperBands)
 	slack.Observe(time.Hour, false)
-	require.InDelta(t, 0.4, slack.Share, 1e-12)
+	require.InDelta(t, 0.4, slack.Fraction, 1e-12)
 	slack.Observe(2*time.Hour, true)
-	require.InDelta(t, 0.7, slack.Share, 1e-12)
+	require.InDelta(t, 0.7, slack.Fraction, 1e-12)
 }
 
 func TestSlackStaysAShare(t *testing.T) {
@@ -226,8 +226,8 @@
 		for range rapid.IntRange(1, 100).Draw(t, "requests") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "gap"))
 			slack.Observe(now, rapid.Bool().Draw(t, "in time"))
-			if slack.Share < 0 || slack.Share > 1 {
-				t.Fatalf("slack %v, want a value from 0 to 1", slack.Share)
+			if slack.Fraction < 0 || slack.Fraction > 1 {
+				t.Fatalf("slack %v, want a value from 0 to 1", slack.Fraction)
 			}
 		}
 	})
@@ -246,11 +246,11 @@
 	}
 	speeds["b"] = 0 // the walk stays at b until it is left, whatever its speed
 	require.Equal(t, "b", walk.Pick(names, names, speeds.speed))
-	walk.Leave("b")
+	walk.MovePast("b")
 	require.Equal(t, "c", walk.Pick(names, names, speeds.speed))
-	walk.Leave("b") // the walk is already past b
+	walk.MovePast("b") // the walk is already past b
 	require.Equal(t, "c", walk.Pick(names, names, speeds.speed))
-	walk.Leave("c")
+	walk.MovePast("c")
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed))
 }
 
@@ -258,10 +258,10 @@
 	speeds, names := serverSpeeds{"a": 2, "b": 1}, []string{"a", "b"}
 	var walk Walk[string]
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed))
-	walk.Leave("a")
+	walk.MovePast("a")
 	require.Equal(t, "b", walk.Pick(names, names, speeds.speed))
 	speeds["a"], speeds["b"] = 3, 4
-	walk.Leave("b")
+	walk.MovePast("b")
 	require.Equal(t, "b", walk.Pick(names, names, speeds.speed), "sorted by the present speeds")
 }
 
@@ -270,7 +270,7 @@
 	var walk Walk[string]
 	require.Equal(t, "b", walk.Pick(names, []string{"c", "b"}, speeds.speed))
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed), "skipping a server does not leave it")
-	walk.Leave("c") // c is the last of the list, so the servers before it are left too
+	walk.MovePast("c") // c is the last of the list, so the servers before it are left too
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed), "the list is sorted again at its end")
 }
 
@@ -285,7 +285,7 @@
 	var walk Walk[string]
 	for _, name := range names {
 		require.Equal(t, name, walk.Pick(names, names, serverSpeeds{}.speed))
-		walk.Leave(name)
+		walk.MovePast(name)
 	}
 }
 
@@ -293,11 +293,11 @@
 	speeds, names := serverSpeeds{"a": 2, "b": 1}, []string{"a", "b"}
 	var walk Walk[string]
 	walk.Pick(names, names, speeds.speed)
-	walk.Leave("a")
+	walk.MovePast("a")
 	walk.Reset()
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed))
 	walk.Reset()
-	walk.Leave("a") // the list is empty after the reset
+	walk.MovePast("a") // the list is empty after the reset
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed))
 }
 
@@ -315,9 +315,9 @@
 			}
 			switch random.IntN(4) {
 			case 0:
-				walk.Leave(picked)
+				walk.MovePast(picked)
 			case 1:
-				walk.Leave(servers[random.IntN(len(servers))])
+				walk.MovePast(servers[random.IntN(len(servers))])
 			case 2:
 				walk.Reset()
 			}
--- a/internal/common/selection/slack.go
+++ b/internal/common/selection/slack.go
@@ -23,12 +23,12 @@
 // Slack is the aged share of requests that were answered in time.
 type Slack struct {
 	Bands
-	Share     float64 // from 0 to 1
+	Fraction  float64 // from 0 to 1
 	sampledAt time.Duration
 }
 
 // NewSlack returns a slack with the given bands and the initial share, 0.8.
-func NewSlack(bands Bands) Slack { return Slack{Bands: bands, Share: initialSlack} }
+func NewSlack(bands Bands) Slack { return Slack{Bands: bands, Fraction: initialSlack} }
 
 // Begin starts the aging at now unless it has started, and reports whether it did. A caller may call it
 // with each request.
@@ -43,15 +43,15 @@
 // Observe counts a request that ended at now, answered in time or not.
 func (s *Slack) Observe(now time.Duration, inTime bool) {
 	alpha := min(Alpha(now-s.sampledAt), MaxSlackAlpha)
-	if s.Share, s.sampledAt = (1-alpha)*s.Share, now; inTime {
-		s.Share += alpha
+	if s.Fraction, s.sampledAt = (1-alpha)*s.Fraction, now; inTime {
+		s.Fraction += alpha
 	}
 }
 
 // Temperature returns the temperature of the softmax. If walk is true, the sorted walk replaces the softmax.
 func (s *Slack) Temperature() (tau float64, walk bool) {
-	if s.Share > s.High {
+	if s.Fraction > s.High {
 		return s.TauFull, false
 	}
-	return s.TauTarget, s.Share < s.Low
+	return s.TauTarget, s.Fraction < s.Low
 }
--- a/internal/common/selection/walk.go
+++ b/internal/common/selection/walk.go
@@ -33,9 +33,9 @@
 	return candidates[0]
 }
 
-// Leave moves the walk past a server that failed or did not answer in time, unless the walk is already past
+// MovePast moves the walk past a server that failed or did not answer in time, unless the walk is already past
 // it.
-func (w *Walk[K]) Leave(server K) {
+func (w *Walk[K]) MovePast(server K) {
 	if i := slices.Index(w.order, server); i >= w.position {
 		w.position = i + 1
 	}
--- a/internal/region/placement/admission.go
+++ b/internal/region/placement/admission.go
@@ -90,7 +90,7 @@
 // overloaded reports whether answers are late and there is evidence that requests queue at servers. Late answers alone
 // can have other causes, and rejecting requests while servers have capacity gains nothing.
 func (p *Placer) overloaded(now time.Duration, owner *service) bool {
-	if owner.slack.Share >= admitAllSlack {
+	if owner.slack.Fraction >= admitAllSlack {
 		return false
 	}
 	rejected := owner.rejectedAt > 0 && now-owner.rejectedAt < rejectionWindow
--- a/internal/region/placement/ejection.go
+++ b/internal/region/placement/ejection.go
@@ -46,7 +46,7 @@
 // eject counts a failure, and ejects the server if its consecutive failures reach ejectionThreshold. After a long
 // ejection the server may have been restarted: it is treated as warming up until the server list shows whether it is.
 func (p *Placer) eject(now time.Duration, s *server, weight int) {
-	s.service.walk.Leave(s)
+	s.service.walk.MovePast(s)
 	if p.off(policy.Ejection) {
 		return
 	}
--- a/internal/region/placement/outcome.go
+++ b/internal/region/placement/outcome.go
@@ -42,7 +42,7 @@
 	s.estimate.Observe(now, a.speedSample(now-a.sentAt))
 	s.failures = 0
 	if !s.service.inTime(a.request.Route, now-a.request.Arrived) {
-		s.service.walk.Leave(s)
+		s.service.walk.MovePast(s)
 	}
 }
 
@@ -51,7 +51,7 @@
 // time that requests queue at the servers.
 func (p *Placer) learnPrefillRate(a *attempt, latency time.Duration) {
 	owner := a.server.service
-	if !a.unqueued || !owner.servesModel() || owner.slack.Share < admitAllSlack || p.off(policy.PrefillRate) {
+	if !a.unqueued || !owner.servesModel() || owner.slack.Fraction < admitAllSlack || p.off(policy.PrefillRate) {
 		return
 	}
 	owner.prefill.learn(a.sentAt+latency, a.prefillTokens, latency)
@@ -143,7 +143,7 @@
 		a.server.cooldownUntil = max(a.server.cooldownUntil, now+rejectionCooldown)
 	}
 	a.server.service.rejectedAt = now
-	a.server.service.walk.Leave(a.server)
+	a.server.service.walk.MovePast(a.server)
 }
 
 // failed records a failure: a speed sample of zero, and an ejection after several consecutive failures.
@@ -169,7 +169,7 @@
 		return
 	}
 	a.server.estimate.Observe(now, float64(a.nominalLatency)/float64(waited))
-	a.server.service.walk.Leave(a.server)
+	a.server.service.walk.MovePast(a.server)
 }
 
 // RequestDone records the end of a client's request that was admitted: whether it was answered, and the latency of its
--- a/internal/region/placement/placer.go
+++ b/internal/region/placement/placer.go
@@ -136,15 +136,15 @@
 
 // Slack returns the exponentially weighted share, from 0 to 1, of this proxy's requests that were answered in time, over
 // all services.
-func (p *Placer) Slack() float64 { return p.slack.Share }
+func (p *Placer) Slack() float64 { return p.slack.Fraction }
 
 // ServiceSlack returns the exponentially weighted share, from 0 to 1, of the requests for one service that were answered
 // in time. It determines how the service's servers are selected. For an unknown service it returns Slack.
 func (p *Placer) ServiceSlack(name string) float64 {
 	if known := p.services[name]; known != nil {
-		return known.slack.Share
+		return known.slack.Fraction
 	}
-	return p.slack.Share
+	return p.slack.Fraction
 }
 
 // service returns the state of a service, and creates it if the service is new.
--- a/internal/sidecar/budget/gate.go
+++ b/internal/sidecar/budget/gate.go
@@ -44,8 +44,8 @@
 	holders atomic.Int32
 }
 
-// Hold adds a holder. Only a present holder may call it.
-func (c *Charge) Hold() {
+// Retain adds a holder. Only a present holder may call it.
+func (c *Charge) Retain() {
 	if c != nil && c.holders.Add(1) < 2 {
 		panic("budget: Hold of a charge that was already released by all holders")
 	}
--- a/internal/sidecar/budget/gate_test.go
+++ b/internal/sidecar/budget/gate_test.go
@@ -60,7 +60,7 @@
 func TestChargeIsReturnedOnce(t *testing.T) {
 	g := NewGate(mb, 1)
 	c := g.ForceReserve(Lists, 10)
-	c.Hold()
+	c.Retain()
 	c.Release()
 	if s := g.State(); s.Reserved[Lists] != 10 {
 		t.Errorf("state %+v with one holder left, want 10 bytes of lists", s)
@@ -90,7 +90,7 @@
 				c, err := g.Reserve(Reservation{Kind: kind, Bytes: rng.Int64N(64 << 10), Value: rng.Float64() + 0.1},
 					time.Now().Add(time.Duration(rng.IntN(2000))*time.Microsecond), nil)
 				if err == nil {
-					c.Hold()
+					c.Retain()
 					go c.Release()
 					c.Release()
 				}
--- a/internal/sidecar/logic/admission.go
+++ b/internal/sidecar/logic/admission.go
@@ -63,7 +63,7 @@
 // proportion to their value. Equal shedding would cost requests of high value as much as those of low value;
 // shedding only the latter would leave none of them served during an overload.
 func (b *Balancer) admitProbability(c *class, tenant string) float64 {
-	admitted := admitSlackFactor * b.slack.Share
+	admitted := admitSlackFactor * b.slack.Fraction
 	if admitted >= 1 {
 		return 1
 	}
@@ -111,10 +111,10 @@
 		return
 	}
 	b.slack.Observe(b.now, served && early)
-	admitted := admitSlackFactor * b.slack.Share
-	if (b.shedding && b.slack.Share > b.slack.High) || (!b.shedding && admitted < 1) {
+	admitted := admitSlackFactor * b.slack.Fraction
+	if (b.shedding && b.slack.Fraction > b.slack.High) || (!b.shedding && admitted < 1) {
 		b.shedding = !b.shedding
-		b.logf("shedding %t: slack %.2f", b.shedding, b.slack.Share)
+		b.logf("shedding %t: slack %.2f", b.shedding, b.slack.Fraction)
 	}
 }
 
@@ -124,7 +124,7 @@
 	if b.now+b.cfg.Tick >= r.target {
 		return b.cfg.Limits.MaxRetryAfter
 	}
-	wait := time.Duration((1 - min(admitSlackFactor*b.slack.Share, 1)) * float64(agingTime))
+	wait := time.Duration((1 - min(admitSlackFactor*b.slack.Fraction, 1)) * float64(agingTime))
 	if c := r.class; b.isPersistentlyLate(c) {
 		wait = c.lastAdmitted + agingTime - b.now
 	}
--- a/internal/sidecar/logic/admission_test.go
+++ b/internal/sidecar/logic/admission_test.go
@@ -59,7 +59,7 @@
 	for id := range uint64(100) {
 		r.serve(id, func(uint64) time.Duration { return 100 * ms })
 	}
-	slack := r.b.slack.Share
+	slack := r.b.slack.Fraction
 	for id := uint64(1000); id < 1100; id++ {
 		r.step(Event{Kind: EvRequest, Request: id, Class: "c", Expires: r.now + 120*ms})
 		if _, sent := r.find(ActSend); !sent {
@@ -69,9 +69,9 @@
 		r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerExpire, ID: id}})
 		r.outcome(id, 0, 115*ms, Canceled)
 	}
-	if r.b.slack.Share < slack-0.01 || r.b.servers[0].consecutiveLate > 0 {
+	if r.b.slack.Fraction < slack-0.01 || r.b.servers[0].consecutiveLate > 0 {
 		t.Errorf("canceled attempts changed the slack from %.2f to %.2f; consecutive late outcomes: %d, want 0",
-			slack, r.b.slack.Share, r.b.servers[0].consecutiveLate)
+			slack, r.b.slack.Fraction, r.b.servers[0].consecutiveLate)
 	}
 	r.step(Event{Kind: EvRequest, Request: 2000, Class: "c", Expires: r.now + 20*ms})
 	if _, rejected := r.find(ActReject); !rejected {
@@ -119,7 +119,7 @@
 	}
 	var got [][2]float64
 	for _, slack := range []float64{1 / admitSlackFactor, 0.9 / admitSlackFactor, 0.5 / admitSlackFactor, 0} {
-		r.b.slack.Share = slack
+		r.b.slack.Fraction = slack
 		got = append(got, [2]float64{r.b.admitProbability(r.b.classOrder[0], ""), r.b.admitProbability(r.b.classOrder[1], "")})
 	}
 	// The admitted share of all work is the square of admitSlackFactor times the slack: for the last three
@@ -148,7 +148,7 @@
 		r.b.accounts.Count(at, "within")
 	}
 	r.b.classOrder[0].recordDemand(r.now, 1)
-	r.b.slack.Share = 0.8 / admitSlackFactor // 0.36 of the work is shed
+	r.b.slack.Fraction = 0.8 / admitSlackFactor // 0.36 of the work is shed
 	over, within := r.b.admitProbability(r.b.classOrder[0], "over"), r.b.admitProbability(r.b.classOrder[0], "within")
 	// Half of the requests of "over" have a twentieth of the value, so one of its requests has 0.525 of the
 	// value of one of "within" on average. Shedding in inverse proportion to value, at a level of 0.248,
@@ -166,14 +166,14 @@
 	r.serveAndCount(10, 20)
 	// The slack is a tenth below 1/admitSlackFactor, which admits all: the wait is a tenth of the aging
 	// time, 0.3 s.
-	r.b.slack.Share = 0.6
+	r.b.slack.Fraction = 0.6
 	for id := uint64(100); !r.has(ActReject); id++ {
 		r.request(id)
 	}
 	if a, _ := r.find(ActReject); a.After < 250*ms || a.After > 350*ms {
 		t.Errorf("with little load shed, a rejection says to retry after %v, want about 300ms", a.After)
 	}
-	r.b.slack.Share = 1
+	r.b.slack.Fraction = 1
 	r.request(1000)
 	r.now += 396 * ms
 	r.step(Event{Kind: EvWake, Timer: Timer{Kind: TimerTarget, ID: 1000}})
--- a/internal/sidecar/logic/candidates_test.go
+++ b/internal/sidecar/logic/candidates_test.go
@@ -74,7 +74,7 @@
 	r := newHarness(t, settings(Safe), fleet(3)...)
 	slow := 0
 	for id := range uint64(400) {
-		r.b.slack.Share = 1 // nothing is shed
+		r.b.slack.Fraction = 1 // nothing is shed
 		s := r.serve(id, func(s uint64) time.Duration {
 			if s == 1 {
 				return 300 * ms
@@ -90,7 +90,7 @@
 	}
 	// With all servers equally slow, there is no better one, so all requests are still sent.
 	for id := uint64(1000); id < 1040; id++ {
-		r.b.slack.Share = 1
+		r.b.slack.Fraction = 1
 		r.serve(id, func(uint64) time.Duration { return 300 * ms })
 	}
 }
--- a/internal/sidecar/logic/ejection_test.go
+++ b/internal/sidecar/logic/ejection_test.go
@@ -50,7 +50,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	play := func(first uint64, broken *server) {
 		for id := first; id < first+20000 && broken.ejectedUntil == 0; id++ {
-			r.b.slack.Share = 1 // no load shedding
+			r.b.slack.Fraction = 1 // no load shedding
 			r.request(id)
 			for attempt := 0; ; attempt++ {
 				a, sent := r.find(ActSend)
--- a/internal/sidecar/logic/outcome.go
+++ b/internal/sidecar/logic/outcome.go
@@ -77,7 +77,7 @@
 	r.class.recordLatency(took, onTime)
 	b.adjustLimit(a, took, serverAtFault)
 	if b.now > r.target {
-		b.walk.Leave(s)
+		b.walk.MovePast(s)
 	}
 }
 
@@ -138,7 +138,7 @@
 	}
 	if !a.request.isAtFault() {
 		s.Observe(b.now, 0)
-		b.walk.Leave(s)
+		b.walk.MovePast(s)
 	}
 	b.shrinkLimit(a)
 	if kind == failure {
--- a/internal/sidecar/logic/outcome_test.go
+++ b/internal/sidecar/logic/outcome_test.go
@@ -12,11 +12,11 @@
 	for id := range uint64(50) {
 		r.serve(id, func(uint64) time.Duration { return 20 * ms })
 	}
-	was := r.b.slack.Share
+	was := r.b.slack.Fraction
 	r.now += time.Minute
 	r.serve(100, func(uint64) time.Duration { return 500 * ms })
-	if r.b.slack.Share < was-selection.MaxSlackAlpha-0.01 {
-		t.Errorf("slack fell from %.2f to %.2f after one late answer", was, r.b.slack.Share)
+	if r.b.slack.Fraction < was-selection.MaxSlackAlpha-0.01 {
+		t.Errorf("slack fell from %.2f to %.2f after one late answer", was, r.b.slack.Fraction)
 	}
 	if s := r.b.servers[0]; s.Speed() < 1/0.05 {
 		t.Errorf("speed fell to %.1f after one late answer, want at least 20", s.Speed())
--- a/internal/sidecar/logic/retry_test.go
+++ b/internal/sidecar/logic/retry_test.go
@@ -31,7 +31,7 @@
 	}
 	r := newHarness(t, settings(Keyed), list...)
 	for id := range uint64(10) {
-		r.b.slack.Share = 1 // no load shedding
+		r.b.slack.Fraction = 1 // no load shedding
 		r.request(id)
 		first := r.sent()
 		r.now += 10 * ms
@@ -187,7 +187,7 @@
 	r.outcome(100, 1, 2*ms, Done)
 	again := 0
 	for id := uint64(200); id < 230; id++ {
-		r.b.slack.Share = 1
+		r.b.slack.Fraction = 1
 		r.request(id)
 		for n := 0; r.has(ActSend); n++ {
 			again += min(n, 1)
--- a/internal/sidecar/transport/http/attempt.go
+++ b/internal/sidecar/transport/http/attempt.go
@@ -89,7 +89,7 @@
 	parts := net.Buffers{encodeHead(a, s.member.Addr, now), a.Payload.Body}
 	// An attempt that is abandoned meanwhile, and with it its request, may be forgotten while its bytes are still in use.
 	charge := a.Payload.Charge
-	charge.Hold()
+	charge.Retain()
 	go func() {
 		err := conn.send(parts, a, until)
 		charge.Release()
