--- a/internal/sidecar/logic/admission.go
+++ b/internal/sidecar/logic/admission.go
@@ -41,7 +41,7 @@
 // newRequest returns the state of the request of ev, which has class c.
 func (b *Balancer) newRequest(ev *Event, c *class) *request {
 	r := &request{id: ev.Request, class: c, key: ev.Key, hasKey: ev.HasKey, work: 1, arrived: b.now,
-		expires: ev.Expires, tenantShares: sharesOf(b.tenants, ev.Tenant)}
+		expires: ev.Expires, tenantFaultRates: faultRatesOf(b.tenants, ev.Tenant)}
 	target := c.LatencyTarget
 	if ev.ExpectedWork > 0 {
 		r.work = ev.ExpectedWork.Seconds()
--- a/internal/sidecar/logic/balancer.go
+++ b/internal/sidecar/logic/balancer.go
@@ -42,10 +42,10 @@
 	weights    []float64 // scratch of pickSoftmax
 
 	// Aged shares of faults attributed to what servers or requests have in common.
-	overall faultShares
-	zones   map[string]*faultShares
-	cells   map[int]*faultShares
-	tenants map[string]*faultShares
+	overall faultRates
+	zones   map[string]*faultRates
+	cells   map[int]*faultRates
+	tenants map[string]*faultRates
 }
 
 // New returns a balancer whose random source is seeded with seed. Unusable settings yield a *SettingsError.
@@ -57,7 +57,7 @@
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		byID: map[uint64]*server{}, requests: map[uint64]*request{}, seed: seed,
 		slack: selection.NewSlack(selection.PaperBands),
-		zones: map[string]*faultShares{}, cells: map[int]*faultShares{}, tenants: map[string]*faultShares{},
+		zones: map[string]*faultRates{}, cells: map[int]*faultRates{}, tenants: map[string]*faultRates{},
 		accounts: allowance.New(cfg.Tenants, cfg.Balancers, cfg.OverShareValue, agingTime),
 	}
 	return b, b.SetClasses(cfg.Classes, cfg.Limits.MaxAttempts)
--- a/internal/sidecar/logic/candidates.go
+++ b/internal/sidecar/logic/candidates.go
@@ -70,7 +70,7 @@
 			probe = s
 		}
 	}
-	if probe != nil && b.rng.Float64() < lateProbeShare {
+	if probe != nil && b.rng.Float64() < lateProbeProbability {
 		b.candidates = append(b.candidates[:0], probe)
 		return
 	}
--- a/internal/sidecar/logic/class.go
+++ b/internal/sidecar/logic/class.go
@@ -17,7 +17,7 @@
 	requestRate      float64 // requests per second, aged as of ratesUpdated
 	workRate         float64 // work of these requests per second, aged alike
 	ratesUpdated     time.Duration
-	faultShares
+	faultRates
 	lastAdmitted time.Duration // when a request was last admitted
 	missedTarget time.Duration // latest full target of the requests that ended unserved
 }
@@ -64,7 +64,7 @@
 // not: its attempts would occupy servers without any value. Once per aging time it reports false, so that
 // one request probes the class.
 func (b *Balancer) isPersistentlyLate(c *class) bool {
-	return c.faultShares[lateness] > max(lateClassThreshold, b.overall[lateness]) &&
+	return c.faultRates[lateness] > max(lateClassThreshold, b.overall[lateness]) &&
 		b.now < c.lastAdmitted+agingTime
 }
 
--- a/internal/sidecar/logic/ejection.go
+++ b/internal/sidecar/logic/ejection.go
@@ -11,12 +11,12 @@
 // few consecutive failures at any server. A fixed threshold of three ejected four of six servers in this
 // case and overloaded the other two.
 func (b *Balancer) ejectThreshold() int {
-	shares := []float64{0} // there may be no servers left
+	rates := []float64{0} // there may be no servers left
 	for _, s := range b.servers {
-		shares = append(shares, s.failureShare)
+		rates = append(rates, s.failureRate)
 	}
-	slices.Sort(shares)
-	median := min(max(shares[len(shares)/2], 1e-3), 0.5) // hardly affected by a few faulty servers
+	slices.Sort(rates)
+	median := min(max(rates[len(rates)/2], 1e-3), 0.5) // hardly affected by a few faulty servers
 	return max(minEjectFailures, int(math.Ceil(math.Log(ejectChance)/math.Log(median))))
 }
 
@@ -28,6 +28,6 @@
 	}
 	s.ejectedUntil, s.limit = b.now+time.Duration(s.ejectBackoff*float64(agingTime)), 1
 	b.logf("server %d ejected for %.1fs: %d failures, errors %.2f", s.ID,
-		(s.ejectedUntil - b.now).Seconds(), s.consecutiveFailures, s.faultShares[failure])
+		(s.ejectedUntil - b.now).Seconds(), s.consecutiveFailures, s.faultRates[failure])
 	s.ejectBackoff = min(2*s.ejectBackoff, maxEjectBackoff)
 }
--- a/internal/sidecar/logic/ejection_test.go
+++ b/internal/sidecar/logic/ejection_test.go
@@ -88,7 +88,7 @@
 	r.request(1)
 	s := r.b.byID[r.sent()]
 	for _, o := range r.b.servers {
-		o.failureShare = 0.1
+		o.failureRate = 0.1
 	}
 	s.State = Gone
 	if r.outcome(1, 0, ms, Reset); s.ejectedUntil == 0 {
--- a/internal/sidecar/logic/fault.go
+++ b/internal/sidecar/logic/fault.go
@@ -15,8 +15,8 @@
 	numFaultKinds // number of kinds
 )
 
-// faultShares are the aged shares of outcomes that are bad and attributed to one suspect, by kind.
-type faultShares [numFaultKinds]float64
+// faultRates are the aged shares of outcomes that are bad and attributed to one suspect, by kind.
+type faultRates [numFaultKinds]float64
 
 // suspect is what a bad outcome may be attributed to.
 type suspect int
@@ -31,10 +31,10 @@
 	numSuspects
 )
 
-// sharesOf returns the shares of key k in m, and adds them if there are none yet.
-func sharesOf[K comparable](m map[K]*faultShares, k K) *faultShares {
+// faultRatesOf returns the shares of key k in m, and adds them if there are none yet.
+func faultRatesOf[K comparable](m map[K]*faultRates, k K) *faultRates {
 	if m[k] == nil {
-		m[k] = &faultShares{}
+		m[k] = &faultRates{}
 	}
 	return m[k]
 }
@@ -45,13 +45,13 @@
 // a bad outcome; attribute reports whether that is the server, and true for a good outcome.
 func (b *Balancer) attribute(a *attempt, kind faultKind, bad bool) (toServer bool) {
 	s, r := a.server, a.request
-	shares := [numSuspects]*faultShares{&b.overall, &s.faultShares, s.cellShares, s.zoneShares,
-		&r.class.faultShares, r.tenantShares}
+	rates := [numSuspects]*faultRates{&b.overall, &s.faultRates, s.cellFaultRates, s.zoneFaultRates,
+		&r.class.faultRates, r.tenantFaultRates}
 	total, highest := serverFaultPrior-sharedFaultPrior, 0.0
-	for _, x := range shares {
+	for _, x := range rates {
 		total += x[kind] + sharedFaultPrior
 	}
-	for i, x := range shares {
+	for i, x := range rates {
 		step, part := sharedFaultStep, x[kind]+sharedFaultPrior
 		if suspect(i) == suspectServer {
 			step, part = serverFaultStep, x[kind]+serverFaultPrior
--- a/internal/sidecar/logic/listrequest.go
+++ b/internal/sidecar/logic/listrequest.go
@@ -14,7 +14,7 @@
 
 // maxListWait is the longest wait before the list is requested again, except where the service needs longer.
 func (b *Balancer) maxListWait() time.Duration {
-	return max(time.Duration(listWaitShare*float64(b.cfg.Contract.ListInterval)), time.Second)
+	return max(time.Duration(listWaitFraction*float64(b.cfg.Contract.ListInterval)), time.Second)
 }
 
 // listServiceTime is the time that the list's service may need to answer one call from each sidecar. The
--- a/internal/sidecar/logic/outcome.go
+++ b/internal/sidecar/logic/outcome.go
@@ -68,7 +68,7 @@
 	serverAtFault := b.attribute(a, lateness, !onTime)
 	s.Observe(b.now, r.work/took)
 	s.consecutiveFailures, s.lastResponse = 0, b.now
-	s.failureShare -= meanStep * s.failureShare
+	s.failureRate -= meanStep * s.failureRate
 	// The answer to an attempt sent before the end of an ejection does not reset the backoff.
 	if s.ejectBackoff > minEjectBackoff && a.sentAt >= s.ejectedUntil && onTime {
 		b.logf("server %d recovered", s.ID)
@@ -100,7 +100,7 @@
 	s, r := a.server, a.request
 	quick := r.class.quickLatency
 	targetRange := max((r.fullTarget-r.arrived).Seconds()-quick, 0) // range from quick latency to target
-	s.slowShare -= slowStep * s.slowShare
+	s.slowFraction -= slowStep * s.slowFraction
 	if took > quick+shrinkAbove*targetRange {
 		// A slow answer in time, with much of the limit in use, is a queue, which the lower limit corrects.
 		if serverAtFault && (!a.limitUsed || b.now > r.fullTarget) {
@@ -117,8 +117,8 @@
 // queue, which makes most answers slow, lowers it a lot.
 func (b *Balancer) shrinkLimit(a *attempt) {
 	s := a.server
-	if s.slowShare += slowStep; a.sentAt >= s.limitShrunkAt && !a.request.isAtFault() {
-		s.limit, s.limitShrunkAt = max(1, s.limit*(1-s.slowShare*limitCut)), b.now
+	if s.slowFraction += slowStep; a.sentAt >= s.limitShrunkAt && !a.request.isAtFault() {
+		s.limit, s.limitShrunkAt = max(1, s.limit*(1-s.slowFraction*limitDecreaseFactor)), b.now
 	}
 }
 
@@ -130,7 +130,7 @@
 		kind = lateness
 	}
 	serverAtFault := b.attribute(a, kind, true)
-	s.failureShare += meanStep * (1 - s.failureShare)
+	s.failureRate += meanStep * (1 - s.failureRate)
 	// A late server that has responded to other attempts since is not hung but has a queue, which a lower
 	// limit corrects.
 	if serverAtFault && (kind == failure || s.lastResponse <= a.sentAt) {
@@ -151,7 +151,7 @@
 	if s.State == Gone && outcome != Errored && outcome != Busy {
 		s.consecutiveFailures, s.ejectBackoff = threshold, maxEjectBackoff
 	}
-	if s.consecutiveFailures >= threshold || s.faultShares[failure] > ejectFailureShare {
+	if s.consecutiveFailures >= threshold || s.faultRates[failure] > ejectFailureRate {
 		b.eject(s)
 	}
 }
--- a/internal/sidecar/logic/pick.go
+++ b/internal/sidecar/logic/pick.go
@@ -18,7 +18,7 @@
 	if b.findCandidates(r); len(b.candidates) == 0 {
 		return false
 	}
-	s, sendBefore := b.pick(r, b.candidates), b.repeatDeadline(r)
+	s, sendBefore := b.pick(r, b.candidates), b.dedupDeadline(r)
 	a := &attempt{request: r, number: len(r.attempts), server: s, sentAt: b.now, inFlight: true}
 	a.limitUsed = float64(len(s.inFlight)+1) >= limitUsedFraction*s.limit
 	r.attempts = append(r.attempts, a)
@@ -94,7 +94,7 @@
 			v = min(v, s.inFlight[0].request.work/silent.Seconds())
 		}
 	}
-	v *= (1 - s.faultShares[failure]) * (1 - s.cellShares[failure]) * (1 - s.zoneShares[failure])
+	v *= (1 - s.faultRates[failure]) * (1 - s.cellFaultRates[failure]) * (1 - s.zoneFaultRates[failure])
 	// Answers reveal a queue only later; this sidecar's own attempts in flight reveal it at once.
 	return v / (1 + float64(len(s.inFlight)))
 }
--- a/internal/sidecar/logic/request.go
+++ b/internal/sidecar/logic/request.go
@@ -8,22 +8,22 @@
 // request is the state of a client's request from its arrival until it has a final answer and no attempt in
 // flight. All times are on the caller's clock.
 type request struct {
-	id           uint64
-	class        *class
-	key          uint64
-	hasKey       bool
-	work         float64       // expected work in seconds; 1 if not known
-	target       time.Duration // when an answer loses its full value, at most expires
-	fullTarget   time.Duration // the target without the bound of expires, by which servers are measured
-	arrived      time.Duration
-	expires      time.Duration // when the client stops waiting
-	tenantShares *faultShares
-	attempts     []*attempt
-	closed       bool // it has its final answer, or its client has gone
-	started      bool // its streamed answer has begun
-	queued       bool
-	lastBusy     bool    // the outcome of its last attempt was Busy
-	fault        suspect // likeliest cause of its last bad outcome
+	id               uint64
+	class            *class
+	key              uint64
+	hasKey           bool
+	work             float64       // expected work in seconds; 1 if not known
+	target           time.Duration // when an answer loses its full value, at most expires
+	fullTarget       time.Duration // the target without the bound of expires, by which servers are measured
+	arrived          time.Duration
+	expires          time.Duration // when the client stops waiting
+	tenantFaultRates *faultRates
+	attempts         []*attempt
+	closed           bool // it has its final answer, or its client has gone
+	started          bool // its streamed answer has begun
+	queued           bool
+	lastBusy         bool    // the outcome of its last attempt was Busy
+	fault            suspect // likeliest cause of its last bad outcome
 }
 
 // attempt is one send of a request to a server.
--- a/internal/sidecar/logic/retry.go
+++ b/internal/sidecar/logic/retry.go
@@ -7,7 +7,7 @@
 
 // mayAttemptAt reports whether the class of r permits a further attempt at s now.
 func (b *Balancer) mayAttemptAt(r *request, s *server) bool {
-	deadline := b.repeatDeadline(r)
+	deadline := b.dedupDeadline(r)
 	return (deadline == 0 || b.now < deadline) && !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		return a.possiblyExecuted() && (r.class.Effect == Unsafe ||
 			(a.inFlight && !b.cfg.Limits.ParallelAttempts) ||
@@ -15,9 +15,9 @@
 	})
 }
 
-// repeatDeadline is the end of the window in which servers drop repeats of r, or 0 if it has none. An attempt
+// dedupDeadline is the end of the window in which servers drop repeats of r, or 0 if it has none. An attempt
 // whose connection is established later must not be written.
-func (b *Balancer) repeatDeadline(r *request) time.Duration {
+func (b *Balancer) dedupDeadline(r *request) time.Duration {
 	if i := slices.IndexFunc(r.attempts, (*attempt).possiblyExecuted); i >= 0 && r.class.Effect == Keyed {
 		return r.attempts[i].sentAt + time.Duration(windowSafety*float64(r.class.Window))
 	}
--- a/internal/sidecar/logic/server.go
+++ b/internal/sidecar/logic/server.go
@@ -17,17 +17,17 @@
 	goneAt              time.Duration // since when it has been listed as gone
 	lastResponse        time.Duration // time of its last answer or error
 	consecutiveFailures int
-	failureShare        float64 // aged share of its attempts that failed
-	faultShares
-	cellShares, zoneShares *faultShares // of its cell, and of the path to its zone
-	ejectedUntil           time.Duration
-	ejectBackoff           float64 // length of the next ejection, in aging times
-	limit                  float64 // bound on this sidecar's attempts in flight there
-	limitShrunkAt          time.Duration
-	slowShare              float64       // aged share of slow answers
-	consecutiveLate        int           // consecutive late outcomes
-	slowStartCredit        float64       // number of sends that it may get during slow start
-	closeIdleAt            time.Duration // when its idle connections are to be closed
+	failureRate         float64 // aged share of its attempts that failed
+	faultRates
+	cellFaultRates, zoneFaultRates *faultRates // of its cell, and of the path to its zone
+	ejectedUntil                   time.Duration
+	ejectBackoff                   float64 // length of the next ejection, in aging times
+	limit                          float64 // bound on this sidecar's attempts in flight there
+	limitShrunkAt                  time.Duration
+	slowFraction                   float64       // aged share of slow answers
+	consecutiveLate                int           // consecutive late outcomes
+	slowStartCredit                float64       // number of sends that it may get during slow start
+	closeIdleAt                    time.Duration // when its idle connections are to be closed
 }
 
 // addServer initializes a new server and inserts it into this sidecar's own order. The order is by a hash of
--- a/internal/sidecar/logic/serverlist.go
+++ b/internal/sidecar/logic/serverlist.go
@@ -25,7 +25,7 @@
 			}
 		}
 	}
-	b.listDistrusted = float64(gone) > listDistrustShare*float64(len(b.servers))
+	b.listDistrusted = float64(gone) > listDistrustFraction*float64(len(b.servers))
 	if !ev.Stored {
 		b.listRequestAt, b.listBackoff = 0, 0
 	} else if b.cfg.Subscribe {
@@ -59,7 +59,7 @@
 	if s.Server, s.Since = *e, since; staysDraining {
 		s.State = Draining
 	}
-	s.zoneShares, s.cellShares = sharesOf(b.zones, e.Zone), sharesOf(b.cells, e.Cell)
+	s.zoneFaultRates, s.cellFaultRates = faultRatesOf(b.zones, e.Zone), faultRatesOf(b.cells, e.Cell)
 }
 
 // markGone records that s is listed as gone or left out of a complete list. If gone is advisory, s stays in
--- a/internal/sidecar/logic/slowstart.go
+++ b/internal/sidecar/logic/slowstart.go
@@ -33,6 +33,6 @@
 	}
 	for _, s := range warming {
 		part := b.capacityFraction(s) / max(capacity[b.zoneSide(s)], slowStartMinSubset*float64(size))
-		s.slowStartCredit = min(s.slowStartCredit+slowStartShare*part, slowStartMaxCredit)
+		s.slowStartCredit = min(s.slowStartCredit+slowStartFactor*part, slowStartMaxCredit)
 	}
 }
--- a/internal/sidecar/logic/slowstart_test.go
+++ b/internal/sidecar/logic/slowstart_test.go
@@ -18,7 +18,7 @@
 		}
 		r.outcome(id, 0, ms, Done) // the time stands still, so the server keeps its initial capacity
 	}
-	if most := 400*slowStartShare*0.2/3.2 + slowStartMaxCredit; float64(sends) > most {
+	if most := 400*slowStartFactor*0.2/3.2 + slowStartMaxCredit; float64(sends) > most {
 		t.Errorf("a server in slow start got %d of 400 sends, want at most %v", sends, most)
 	}
 	if sends == 0 {
--- a/internal/sidecar/logic/tuning.go
+++ b/internal/sidecar/logic/tuning.go
@@ -19,16 +19,16 @@
 
 // Choice of a server.
 const (
-	usableTimeLeft    = 0.7  // a server expected to need more than this part of the time left is dropped
-	lateDropThreshold = 2    // consecutive late outcomes after which a server is dropped
-	lateProbeShare    = 0.05 // share of this sidecar's requests that probes servers dropped as late
-	affinityWeight    = 2.0  // weight of a key's affinity server, relative to all candidates together
-	crossZoneScale    = 40.0 // exponential decay of a weight per unit of the price of crossing zones
+	usableTimeLeft       = 0.7  // a server expected to need more than this part of the time left is dropped
+	lateDropThreshold    = 2    // consecutive late outcomes after which a server is dropped
+	lateProbeProbability = 0.05 // share of this sidecar's requests that probes servers dropped as late
+	affinityWeight       = 2.0  // weight of a key's affinity server, relative to all candidates together
+	crossZoneScale       = 40.0 // exponential decay of a weight per unit of the price of crossing zones
 )
 
 // Slow start.
 const (
-	slowStartShare     = 1.3  // of a server's part of the capacity, per request: queues absorb bursts
+	slowStartFactor    = 1.3  // of a server's part of the capacity, per request: queues absorb bursts
 	slowStartMinSubset = 0.65 // least share of its full capacity that a subset is assumed to have
 	slowStartMaxCredit = 1.5  // sends that a server can accumulate as credit
 )
@@ -36,13 +36,13 @@
 // Limits of attempts in flight at a server. The way from quick to target is the range from a class's quick
 // latency to its latency target.
 const (
-	initialLimit      = 2.0   // attempts in flight at a server without samples
-	growBelow         = 0.1   // an answer within this part of the way from quick to target raises a limit
-	shrinkAbove       = 0.3   // an answer past this part of the way from quick to target lowers a limit
-	minLimitGrowth    = 0.25  // least increase per quick answer, so that large limits adapt as fast
-	limitCut          = 0.5   // multiple of the share of slow answers cut from a limit, once per answer time
-	slowStep          = 0.125 // EWMA weight of an answer in the share of slow answers
-	limitUsedFraction = 0.5   // share of a limit that must be in use before the limit grows
+	initialLimit        = 2.0   // attempts in flight at a server without samples
+	growBelow           = 0.1   // an answer within this part of the way from quick to target raises a limit
+	shrinkAbove         = 0.3   // an answer past this part of the way from quick to target lowers a limit
+	minLimitGrowth      = 0.25  // least increase per quick answer, so that large limits adapt as fast
+	limitDecreaseFactor = 0.5   // multiple of the share of slow answers cut from a limit, once per answer time
+	slowStep            = 0.125 // EWMA weight of an answer in the share of slow answers
+	limitUsedFraction   = 0.5   // share of a limit that must be in use before the limit grows
 )
 
 // Latency and work of a class.
@@ -64,11 +64,11 @@
 
 // Ejection.
 const (
-	minEjectFailures  = 3    // least number of consecutive failures that ejects a server
-	ejectChance       = 1e-5 // a run of failures that is at most this likely by chance ejects a server
-	ejectFailureShare = 0.3  // share of failures attributed to a server that ejects it
-	minEjectBackoff   = 1.0  // first ejection, in aging times; it doubles up to maxEjectBackoff
-	maxEjectBackoff   = 4.0
+	minEjectFailures = 3    // least number of consecutive failures that ejects a server
+	ejectChance      = 1e-5 // a run of failures that is at most this likely by chance ejects a server
+	ejectFailureRate = 0.3  // share of failures attributed to a server that ejects it
+	minEjectBackoff  = 1.0  // first ejection, in aging times; it doubles up to maxEjectBackoff
+	maxEjectBackoff  = 4.0
 )
 
 // Admission and queueing.
@@ -84,9 +84,9 @@
 
 // The server list.
 const (
-	goneRetention     = 20.0 // aging times without a response after which a gone server is forgotten
-	listDistrustShare = 0.5  // with more than this part of the servers gone, the list is taken to be wrong
-	listWaitShare     = 0.25 // longest wait before the list is requested again, as a share of its interval
+	goneRetention        = 20.0 // aging times without a response after which a gone server is forgotten
+	listDistrustFraction = 0.5  // with more than this part of the servers gone, the list is taken to be wrong
+	listWaitFraction     = 0.25 // longest wait before the list is requested again, as a share of its interval
 )
 
 // pricedConnections is the number of connections per server to which Prices.Connection refers.
