--- a/internal/common/selection/selection_test.go
+++ b/internal/common/selection/selection_test.go
@@ -109,7 +109,7 @@
 }
 
 func TestSoftmaxPicksByTheSpeedOverTheBest(t *testing.T) {
-	for _, tau := range []float64{PaperBands.TauTarget, PaperBands.TauFull} {
+	for _, tau := range []float64{DefaultBands.TauTarget, DefaultBands.TauFull} {
 		for _, speeds := range [][]float64{{1}, {10, 10, 10}, {10, 5, 1, 0}, {0, 0, 3}, {400, 399}} {
 			expect := paperWeights(speeds, tau)
 			got := sweep(speeds, tau, 20_000)
@@ -126,7 +126,7 @@
 
 func TestTheNarrowTemperaturePicksTheBestMoreOften(t *testing.T) {
 	speeds := []float64{10, 8, 6}
-	narrow, wide := sweep(speeds, PaperBands.TauTarget, 1000), sweep(speeds, PaperBands.TauFull, 1000)
+	narrow, wide := sweep(speeds, DefaultBands.TauTarget, 1000), sweep(speeds, DefaultBands.TauFull, 1000)
 	require.Greater(t, narrow[0], wide[0])
 	require.Less(t, narrow[2], wide[2])
 }
@@ -164,7 +164,7 @@
 }
 
 func TestSlackStartsAtItsInitialValue(t *testing.T) {
-	slack := NewSlack(PaperBands)
+	slack := NewSlack(DefaultBands)
 	require.Equal(t, 0.8, slack.Fraction)
 	tau, walk := slack.Temperature()
 	require.False(t, walk)
@@ -179,13 +179,13 @@
 		tau   float64
 		walk  bool
 	}{
-		{PaperBands, 0, 0, true},
-		{PaperBands, 0.299, 0, true},
-		{PaperBands, 0.3, 0.2, false},
-		{PaperBands, 0.5, 0.2, false},
-		{PaperBands, 0.8, 0.2, false},
-		{PaperBands, 0.801, 0.333, false},
-		{PaperBands, 1, 0.333, false},
+		{DefaultBands, 0, 0, true},
+		{DefaultBands, 0.299, 0, true},
+		{DefaultBands, 0.3, 0.2, false},
+		{DefaultBands, 0.5, 0.2, false},
+		{DefaultBands, 0.8, 0.2, false},
+		{DefaultBands, 0.801, 0.333, false},
+		{DefaultBands, 1, 0.333, false},
 		{own, 0.39, 0, true},
 		{own, 0.4, 0.1, false},
 		{own, 0.6, 0.1, false},
@@ -202,7 +202,7 @@
 }
 
 func TestSlackIsTheAgedShareInTime(t *testing.T) {
-	slack := NewSlack(PaperBands)
+	slack := NewSlack(DefaultBands)
 	require.True(t, slack.Begin(time.Minute))
 	require.False(t, slack.Begin(2*time.Minute), "the aging has started already")
 	alpha := 1 - math.Exp(-0.1)
@@ -213,7 +213,7 @@
 }
 
 func TestOneRequestMovesTheSlackHalfWayAtMost(t *testing.T) {
-	slack := NewSlack(PaperBands)
+	slack := NewSlack(DefaultBands)
 	slack.Observe(time.Hour, false)
 	require.InDelta(t, 0.4, slack.Fraction, 1e-12)
 	slack.Observe(2*time.Hour, true)
@@ -222,7 +222,7 @@
 
 func TestSlackStaysAShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		slack, now := NewSlack(PaperBands), time.Duration(0)
+		slack, now := NewSlack(DefaultBands), time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(t, "requests") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "gap"))
 			slack.Observe(now, rapid.Bool().Draw(t, "in time"))
--- a/internal/common/selection/slack.go
+++ b/internal/common/selection/slack.go
@@ -17,8 +17,8 @@
 	TauFull   float64 // temperature above High (the paper's τ_full)
 }
 
-// PaperBands are the paper's bands and temperatures.
-var PaperBands = Bands{Low: 0.3, High: 0.8, TauTarget: 0.2, TauFull: 0.333}
+// DefaultBands are the paper's bands and temperatures.
+var DefaultBands = Bands{Low: 0.3, High: 0.8, TauTarget: 0.2, TauFull: 0.333}
 
 // Slack is the aged share of requests that were answered in time.
 type Slack struct {
--- a/internal/region/placement/service.go
+++ b/internal/region/placement/service.go
@@ -29,8 +29,8 @@
 // bands are the bands of the slack. They have the edges of the paper (see package selection) and lower temperatures, so
 // that requests stay at servers with a cached prefix. Temperatures of half or a quarter of these values gain nothing.
 var bands = selection.Bands{
-	Low:       selection.PaperBands.Low,
-	High:      selection.PaperBands.High,
+	Low:       selection.DefaultBands.Low,
+	High:      selection.DefaultBands.High,
 	TauTarget: 0.08,
 	TauFull:   0.1,
 }
--- a/internal/sidecar/logic/balancer.go
+++ b/internal/sidecar/logic/balancer.go
@@ -56,7 +56,7 @@
 	b := &Balancer{
 		cfg: cfg, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		byID: map[uint64]*server{}, requests: map[uint64]*request{}, seed: seed,
-		slack: selection.NewSlack(selection.PaperBands),
+		slack: selection.NewSlack(selection.DefaultBands),
 		zones: map[string]*faultRates{}, cells: map[int]*faultRates{}, tenants: map[string]*faultRates{},
 		accounts: allowance.New(cfg.Tenants, cfg.Balancers, cfg.OverShareValue, agingTime),
 	}
