--- a/internal/common/selection/estimate.go
+++ b/internal/common/selection/estimate.go
@@ -1,6 +1,6 @@
 // Package selection implements the server selection of Bouten et al., "Dynamic Server Selection Strategy for
 // Multi-server HTTP Adaptive Streaming Services": an aged, exponentially weighted moving average (EWMA) of
-// each server's speed, a softmax over the speeds relative to the best, and a slack, the share of requests
+// each server's speed, a softmax over the speeds relative to the best, and a slack, the fraction of requests
 // answered in time, which sets the softmax's temperature or, when low, replaces it by a walk down a sorted
 // list.
 //
--- a/internal/common/selection/selection_test.go
+++ b/internal/common/selection/selection_test.go
@@ -270,7 +270,7 @@
 	var walk Walk[string]
 	require.Equal(t, "b", walk.Pick(names, []string{"c", "b"}, speeds.speed))
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed), "skipping a server does not leave it")
-	walk.MovePast("c") // c is the last of the list, so the servers before it are left too
+	walk.MovePast("c") // c is the last of the list, so the walk moves past the servers before it too
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed), "the list is sorted again at its end")
 }
 
--- a/internal/common/selection/slack.go
+++ b/internal/common/selection/slack.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// initialSlack is the share assumed before the first request.
+// initialSlack is the slack assumed before the first request.
 const initialSlack = 0.8
 
 // MaxSlackAlpha bounds the weight of one request in the slack, so that the slack of a caller with few
@@ -11,23 +11,23 @@
 
 // Bands are the edges of the slack's bands and the temperatures of the softmax in them.
 type Bands struct {
-	Low       float64 // below this slack the sorted walk is used (the paper's B_crit)
-	High      float64 // above this slack the temperature is TauFull (the paper's B_high)
-	TauTarget float64 // temperature from Low to High (the paper's τ_target)
-	TauFull   float64 // temperature above High (the paper's τ_full)
+	Low       float64 // below this slack the sorted walk is used (B_crit in Bouten et al.)
+	High      float64 // above this slack the temperature is TauFull (B_high in Bouten et al.)
+	TauTarget float64 // temperature from Low to High (τ_target in Bouten et al.)
+	TauFull   float64 // temperature above High (τ_full in Bouten et al.)
 }
 
-// DefaultBands are the paper's bands and temperatures.
+// DefaultBands are the bands and temperatures that Bouten et al. propose.
 var DefaultBands = Bands{Low: 0.3, High: 0.8, TauTarget: 0.2, TauFull: 0.333}
 
-// Slack is the aged share of requests that were answered in time.
+// Slack is the aged fraction of requests that were answered in time.
 type Slack struct {
 	Bands
-	Fraction  float64 // from 0 to 1
+	Fraction  float64 // fraction of requests answered in time, from 0 to 1
 	sampledAt time.Duration
 }
 
-// NewSlack returns a slack with the given bands and the initial share, 0.8.
+// NewSlack returns a slack with the given bands and the initial fraction, 0.8.
 func NewSlack(bands Bands) Slack { return Slack{Bands: bands, Fraction: initialSlack} }
 
 // Begin starts the aging at now unless it has started, and reports whether it did. A caller may call it
--- a/internal/common/selection/walk.go
+++ b/internal/common/selection/walk.go
@@ -10,7 +10,7 @@
 // for use.
 type Walk[K comparable] struct {
 	order    []K
-	position int // index in order; at len(order) the next pick sorts again
+	position int // index in order of the server to try next; at len(order) the next pick sorts again
 }
 
 // Pick returns the first candidate at or after the walk's position. If no server is a candidate, it returns
@@ -33,8 +33,8 @@
 	return candidates[0]
 }
 
-// MovePast moves the walk past a server that failed or did not answer in time, unless the walk is already past
-// it.
+// MovePast moves the walk past a server that failed or did not answer in time, unless the walk is already
+// past it.
 func (w *Walk[K]) MovePast(server K) {
 	if i := slices.Index(w.order, server); i >= w.position {
 		w.position = i + 1
--- a/internal/sidecar/logic/admission.go
+++ b/internal/sidecar/logic/admission.go
@@ -9,7 +9,7 @@
 // onRequest admits a request, and then sends or queues it, or gives it a final answer at once.
 func (b *Balancer) onRequest(ev *Event) {
 	c := b.classes[ev.Class]
-	if c == nil { // without a known effect, a retry after a rejection may not be safe
+	if c == nil { // unknown class: its requests may not be safe to retry after a rejection
 		b.emit(Action{Kind: ActFail, Request: ev.Request})
 		return
 	}
@@ -58,10 +58,10 @@
 	return r
 }
 
-// admitProbability is the share of the requests of class c from tenant that is admitted. The slack measures
-// how much can be answered in time. Classes, and tenants beyond their quota share, are shed in inverse
-// proportion to their value. Equal shedding would cost requests of high value as much as those of low value;
-// shedding only the latter would leave none of them served during an overload.
+// admitProbability is the probability with which a request of class c from tenant is admitted. The slack
+// measures how much can be answered in time. Classes, and tenants beyond their quota share, are shed in
+// inverse proportion to their value. Equal shedding would cost requests of high value as much as those of low
+// value; shedding only the latter would leave none of them served during an overload.
 func (b *Balancer) admitProbability(c *class, tenant string) float64 {
 	admitted := admitSlackFactor * b.slack.Fraction
 	if admitted >= 1 {
@@ -71,8 +71,9 @@
 	return max(1-level/(b.valuePerWork(c)*b.accounts.Value(tenant)), minAdmitProbability)
 }
 
-// sheddingLevel finds, by bisection, the level at which the square of admitted is the share of all work that
-// is not shed. Of the requests of a class and tenant, the level divided by their value is shed, at most all.
+// sheddingLevel finds, by bisection, the level at which the square of admitted is the fraction of all work
+// that is not shed. Of the requests of a class and tenant, the level divided by their value is shed, at most
+// all.
 func (b *Balancer) sheddingLevel(admitted float64) float64 {
 	mix := b.accounts.Mix(b.now, b.requestRate*(1-selection.Alpha(b.now-b.rateUpdated)))
 	all, high := b.workRate(), 0.0
@@ -102,9 +103,9 @@
 	return end < r.fullTarget && b.now+seconds(r.class.quickLatency) >= end
 }
 
-// observeSlack updates the slack, the aged share of requests that are answered early (within earlyFraction of
-// their target). A request that ended early for another reason, such as an error or a client that has gone,
-// says nothing about overload and is not counted.
+// observeSlack updates the slack, the aged fraction of requests that are answered early (within earlyFraction
+// of their target). A request that ended early for another reason, such as an error or a client that has
+// disconnected, says nothing about overload and is not counted.
 func (b *Balancer) observeSlack(r *request, served bool) {
 	early := b.now <= r.arrived+time.Duration(earlyFraction*float64(r.fullTarget-r.arrived))
 	if good := served && early; !good && (r.isAtFault() || (early && !r.lastBusy)) {
--- a/internal/sidecar/logic/api.go
+++ b/internal/sidecar/logic/api.go
@@ -6,7 +6,7 @@
 //
 // This file is the interface: settings, events and actions. The steps of a decision are
 //
-//   - admission (admission.go): load shedding by an aged share of requests answered well in time;
+//   - admission (admission.go): load shedding by the aged fraction of requests answered well in time;
 //   - candidates (candidates.go): the subset of servers in use, less those at their limit, ejected or late;
 //   - the pick (pick.go): a server of the candidates, chosen by speed as package selection defines;
 //   - outcomes (outcome.go): updates of estimates, limits, attribution of faults and ejections;
@@ -28,11 +28,11 @@
 // The three effects of a class.
 const (
 	Safe   Effect = iota // idempotent
-	Keyed                // a group of servers drops repeats by key for Class.Window
+	Keyed                // a group of servers deduplicates requests by key for Class.Window
 	Unsafe               // must never run twice
 )
 
-// Group names the servers that drop repeats of a keyed request.
+// Group is the set of servers that deduplicate a keyed request together.
 type Group uint8
 
 // The groups of a keyed class.
@@ -46,29 +46,29 @@
 type Class struct {
 	Name          string
 	Effect        Effect
-	Group         Group         // of a Keyed class
-	Window        time.Duration // how long repeats are dropped, from the first attempt that may have run
+	Group         Group         // servers that deduplicate a Keyed class
+	Window        time.Duration // how long servers deduplicate, from the first attempt that may have run
 	LatencyTarget time.Duration // an answer within it has its full value; 0: within Deadline
-	TargetPerWork float64       // the target grows by this multiple of the request's own work
+	TargetPerWork float64       // multiple of a request's own work that is added to its latency target
 	Deadline      time.Duration
-	LateValue     float64 // of an answer after the target; 0: none
-	Value         float64 // of a request, or of a unit of its work if Config.ValuePerWork; 0: not set
+	LateValue     float64 // value of an answer after the latency target; 0: none
+	Value         float64 // value of a request, or of a unit of its work if Config.ValuePerWork; 0: not set
 	Stream        bool    // answers are streamed
 }
 
 // Prices are costs as fractions of a request's value.
 type Prices struct {
-	CrossZone  float64 // of a request sent to another zone
-	Connection float64 // of a mean of 100 open connections per server
-	Handshake  float64 // of one new connection per request
+	CrossZone  float64 // cost of a request sent to another zone
+	Connection float64 // cost of a mean of 100 open connections per server
+	Handshake  float64 // cost of one new connection per request
 }
 
 // Contract holds the guarantees and requirements of the servers and of the server list's service.
 type Contract struct {
 	AnswerGrace          time.Duration // how long after a request's expiry its final answer is still in time
 	ListInterval         time.Duration // how often the server list must be requested
-	SlowStartMinCapacity float64       // least fraction (0 to 1) of its full capacity at a server's start
-	SlowStartWindow      time.Duration // from a server's start until it has its full capacity
+	SlowStartMinCapacity float64       // least capacity of a starting server, as a fraction (0 to 1)
+	SlowStartWindow      time.Duration // time from a server's start until it has its full capacity
 	BusyMayHaveRun       bool          // a busy answer does not prove that the attempt never ran
 	// GoneIsAdvisory: requests may still be sent to a server that is listed as gone or left out of the list,
 	// unless it was listed as draining.
@@ -77,17 +77,17 @@
 
 // Limits says what a sidecar may do.
 type Limits struct {
-	MaxAttempts      int           // of a request
+	MaxAttempts      int           // maximum number of attempts of a request
 	Cancel           bool          // attempts may be canceled
 	ParallelAttempts bool          // two attempts of a request may be in flight at once
-	RetryAfter       bool          // a rejection may say when to retry
-	MaxRetryAfter    time.Duration // longest such time
+	RetryAfter       bool          // a rejection may carry a retry delay
+	MaxRetryAfter    time.Duration // longest retry delay of a rejection
 }
 
 // Config is the configuration of a Balancer.
 type Config struct {
-	Zone         string // of this sidecar
-	Balancers    int    // sidecars that use the same servers
+	Zone         string // zone of this sidecar
+	Balancers    int    // number of sidecars that use the same servers
 	Subscribe    bool   // the server list must be subscribed to
 	Classes      []Class
 	ValuePerWork bool          // Class.Value is per unit of work: heavy requests have more value
@@ -108,7 +108,7 @@
 
 // SettingsError reports settings that a balancer cannot use.
 type SettingsError struct {
-	Class  string // with the unusable settings; "": the error is not in a class
+	Class  string // class with the unusable settings; "": the error is not in a class
 	Reason string
 }
 
@@ -151,8 +151,8 @@
 	TimedOut                // no answer in time
 	Refused                 // no connection could be made
 	Reset                   // the connection broke
-	Canceled                // by ActCancel
-	Skipped                 // not sent
+	Canceled                // canceled by ActCancel
+	Skipped                 // never sent to the server
 )
 
 // EventKind is the kind of an Event.
@@ -185,19 +185,19 @@
 	Stored       bool // Servers was stored before this sidecar's start, and may be outdated
 	Request      uint64
 	Class        string
-	Tenant       string // "": none
+	Tenant       string // "": the request has no tenant
 	Retry        bool   // the client retries a request that was not served
 	Key          uint64
 	HasKey       bool
-	ExpectedWork time.Duration // 0: not known
+	ExpectedWork time.Duration // work that the request is expected to cause; 0: not known
 	// Expires is when the client stops waiting. With EvListLost it is when a missed change of the list counts
 	// as received by this sidecar; 0: not known, so that only Contract.ListInterval applies.
 	Expires time.Duration
 	Attempt int
-	Latency time.Duration // since the attempt was sent
+	Latency time.Duration // time since the attempt was sent
 	Outcome Outcome
 	Final   bool  // the request has its final answer
-	Timer   Timer // of the wake-up, as given in ActWake
+	Timer   Timer // timer of the wake-up, as given in ActWake
 }
 
 // TimerKind is the purpose of a wake-up.
@@ -215,7 +215,7 @@
 // Timer identifies a wake-up. EvWake returns it as ActWake gave it.
 type Timer struct {
 	Kind TimerKind
-	ID   uint64 // of the request or the server; 0 with TimerList
+	ID   uint64 // id of the request or the server; 0 with TimerList
 }
 
 // ActionKind is the kind of an Action.
@@ -242,7 +242,7 @@
 	ActLog
 )
 
-// Action is one action.
+// Action is one action. ActionKind says which fields a kind uses.
 type Action struct {
 	Kind    ActionKind
 	Request uint64
--- a/internal/sidecar/logic/balancer.go
+++ b/internal/sidecar/logic/balancer.go
@@ -38,10 +38,10 @@
 	listBackoff    time.Duration
 
 	walk       selection.Walk[*server]
-	candidates []*server // scratch of findCandidates
-	weights    []float64 // scratch of pickSoftmax
+	candidates []*server // buffer of findCandidates
+	weights    []float64 // buffer of pickSoftmax
 
-	// Aged shares of faults attributed to what servers or requests have in common.
+	// Fault rates of what servers or requests have in common: the fleet, a zone, a cell, a tenant.
 	overall faultRates
 	zones   map[string]*faultRates
 	cells   map[int]*faultRates
@@ -71,7 +71,7 @@
 		return &SettingsError{Reason: "name no class"}
 	case min(c.SlowStartMinCapacity, 1-c.SlowStartMinCapacity) < 0,
 		min(c.ListInterval, c.SlowStartWindow, cfg.Tick) < 0, cfg.Limits.MaxAttempts < 0:
-		return &SettingsError{Reason: "contain a negative time or count, or a share outside of 0 to 1"}
+		return &SettingsError{Reason: "contain a negative time or count, or a fraction outside of 0 to 1"}
 	}
 	return nil
 }
@@ -138,7 +138,7 @@
 	return actions
 }
 
-// onWake handles a wake-up. A timer is never canceled, so its request or server may be gone or have changed.
+// onWake handles a wake-up. A timer is never canceled, so its request or server may have ended or changed.
 func (b *Balancer) onWake(t Timer) {
 	switch s, r := b.byID[t.ID], b.requests[t.ID]; {
 	case t.Kind == TimerList:
@@ -167,8 +167,8 @@
 }
 
 // isDue reports whether a wake-up for t is due, with a tolerance of one tick, since the host may round t
-// down. Without the tolerance a sidecar that was woken early did not subscribe and sent to servers that were
-// gone.
+// down. Without the tolerance a sidecar that was woken early did not subscribe and sent to servers that had
+// stopped.
 func (b *Balancer) isDue(t time.Duration) bool { return b.now+b.cfg.Tick >= t }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/sidecar/logic/candidates.go
+++ b/internal/sidecar/logic/candidates.go
@@ -22,11 +22,11 @@
 
 // findSubset sets b.candidates to the subset of r: the first servers in this sidecar's own order that the
 // rules allow and that are neither ejected nor tried by r before. If there is none, it is the server whose
-// ejection ends first, so that the others get no requests and recover.
+// ejection ends first, so that the other ejected servers get no requests and recover.
 func (b *Balancer) findSubset(r *request) {
 	b.candidates = b.candidates[:0]
 	var fallback *server
-	var found [2]int // by zoneSide
+	var found [2]int // number of servers found, by zoneSide
 	size := b.subsetSize()
 	if b.cfg.Prices.CrossZone <= 0 {
 		found[1] = size
@@ -53,9 +53,9 @@
 }
 
 // dropLateServers removes the candidates that are expected to answer too late for r, unless all are. A small
-// share of the requests probes the least recently sampled late server instead. Without the removal, the price
-// of crossing zones keeps requests at late servers of the same zone. Without the bound on probes, a thousand
-// sidecars that each try a late server again after some time sustain its overload.
+// fraction of the requests probes the least recently sampled late server instead. Without the removal, the
+// price of crossing zones keeps requests at late servers of the same zone. Without the bound on probes, a
+// thousand sidecars that each try a late server again after some time sustain its overload.
 func (b *Balancer) dropLateServers(r *request) {
 	left := (r.usefulUntil() - b.now).Seconds() * usableTimeLeft
 	tooLate := func(s *server) bool {
--- a/internal/sidecar/logic/class.go
+++ b/internal/sidecar/logic/class.go
@@ -11,11 +11,11 @@
 // class is a class of requests with what this sidecar has measured for it.
 type class struct {
 	Class
-	meanLatency      float64 // of answers within the full target, in seconds, aged
+	meanLatency      float64 // mean latency of answers within the full target, in seconds, aged
 	latencyDeviation float64 // mean absolute deviation from meanLatency
 	quickLatency     float64 // seconds to an answer without queueing, about the tenth percentile
 	requestRate      float64 // requests per second, aged as of ratesUpdated
-	workRate         float64 // work of these requests per second, aged alike
+	workRate         float64 // work of these requests per second, aged as of ratesUpdated
 	ratesUpdated     time.Duration
 	faultRates
 	lastAdmitted time.Duration // when a request was last admitted
--- a/internal/sidecar/logic/fault.go
+++ b/internal/sidecar/logic/fault.go
@@ -15,7 +15,7 @@
 	numFaultKinds // number of kinds
 )
 
-// faultRates are the aged shares of outcomes that are bad and attributed to one suspect, by kind.
+// faultRates are the aged fractions of outcomes that are bad and attributed to one suspect, by kind.
 type faultRates [numFaultKinds]float64
 
 // suspect is what a bad outcome may be attributed to.
@@ -31,7 +31,7 @@
 	numSuspects
 )
 
-// faultRatesOf returns the shares of key k in m, and adds them if there are none yet.
+// faultRatesOf returns the fault rates of key k in m, and adds them if there are none yet.
 func faultRatesOf[K comparable](m map[K]*faultRates, k K) *faultRates {
 	if m[k] == nil {
 		m[k] = &faultRates{}
@@ -39,10 +39,10 @@
 	return m[k]
 }
 
-// attribute updates the shares of all suspects of an attempt's outcome. A bad outcome is attributed to them
-// in proportion to their shares so far, so that faults seen at several servers accumulate at the suspect
-// that these have in common. A good outcome lowers all shares. The request records the likeliest suspect of
-// a bad outcome; attribute reports whether that is the server, and true for a good outcome.
+// attribute updates the fault rates of all suspects of an attempt's outcome. A bad outcome is attributed to
+// them in proportion to their fault rates so far, so that faults seen at several servers accumulate at the
+// suspect that these have in common. A good outcome lowers all rates. The request records the likeliest
+// suspect of a bad outcome. attribute returns true if that suspect is the server or if the outcome is good.
 func (b *Balancer) attribute(a *attempt, kind faultKind, bad bool) (toServer bool) {
 	s, r := a.server, a.request
 	rates := [numSuspects]*faultRates{&b.overall, &s.faultRates, s.cellFaultRates, s.zoneFaultRates,
--- a/internal/sidecar/logic/outcome.go
+++ b/internal/sidecar/logic/outcome.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// shrinkLimit lowers the limit of a slow server by half the share of its slow answers, as DCTCP does, and
+// shrinkLimit lowers the limit of a slow server by half the fraction of its slow answers, as DCTCP does, and
 // only once for all attempts in flight at that time. Occasional slow answers lower the limit a little; a
 // queue, which makes most answers slow, lowers it a lot.
 func (b *Balancer) shrinkLimit(a *attempt) {
@@ -123,7 +123,7 @@
 }
 
 // recordFailure records a failure as a sample of speed zero, since a server that fails quickly would
-// otherwise look idle. Enough consecutive failures, or a high share of failures, eject the server.
+// otherwise look idle. Enough consecutive failures, or a high failure rate, eject the server.
 func (b *Balancer) recordFailure(a *attempt, outcome Outcome) {
 	s, kind := a.server, failure
 	if outcome == TimedOut || outcome == Canceled {
@@ -147,7 +147,7 @@
 		s.consecutiveLate++
 	}
 	threshold := b.ejectThreshold()
-	// A server that is listed as gone and does not respond is gone indeed: eject it for the longest time.
+	// A server that is listed as gone and does not respond has stopped: eject it for the longest time.
 	if s.State == Gone && outcome != Errored && outcome != Busy {
 		s.consecutiveFailures, s.ejectBackoff = threshold, maxEjectBackoff
 	}
--- a/internal/sidecar/logic/pick.go
+++ b/internal/sidecar/logic/pick.go
@@ -85,7 +85,8 @@
 }
 
 // effectiveSpeed is the expected speed of s for the next request: its estimate, bounded by the time since its
-// last response, and scaled down by its failure shares and by the attempts in flight there.
+// last response, and scaled down by the failure rates of the server, its cell and its zone,
+// and by the attempts in flight there.
 func (b *Balancer) effectiveSpeed(s *server) float64 {
 	v := s.Speed()
 	if len(s.inFlight) > 0 {
--- a/internal/sidecar/logic/request.go
+++ b/internal/sidecar/logic/request.go
@@ -14,16 +14,16 @@
 	hasKey           bool
 	work             float64       // expected work in seconds; 1 if not known
 	target           time.Duration // when an answer loses its full value, at most expires
-	fullTarget       time.Duration // the target without the bound of expires, by which servers are measured
+	fullTarget       time.Duration // target not bounded by expires, by which servers are measured
 	arrived          time.Duration
 	expires          time.Duration // when the client stops waiting
 	tenantFaultRates *faultRates
 	attempts         []*attempt
-	closed           bool // it has its final answer, or its client has gone
-	started          bool // its streamed answer has begun
+	closed           bool // the request has its final answer, or its client no longer waits
+	started          bool // the streamed answer has begun
 	queued           bool
-	lastBusy         bool    // the outcome of its last attempt was Busy
-	fault            suspect // likeliest cause of its last bad outcome
+	lastBusy         bool    // the outcome of the last attempt was Busy
+	fault            suspect // likeliest cause of the last bad outcome
 }
 
 // attempt is one send of a request to a server.
@@ -32,10 +32,10 @@
 	number       int
 	server       *server
 	sentAt       time.Duration
-	inFlight     bool // no outcome yet
-	mayHaveRun   bool // its outcome does not prove that it never ran
-	limitUsed    bool // at least limitUsedFraction of the server's limit was in use when it was sent
-	canceledLate bool // canceled because no answer came in time
+	inFlight     bool // the attempt has no outcome yet
+	mayHaveRun   bool // the outcome does not prove that the attempt never ran
+	limitUsed    bool // at least limitUsedFraction of the server's limit was in use at sentAt
+	canceledLate bool // the attempt was canceled because no answer came in time
 }
 
 func (a *attempt) isInFlight() bool { return a.inFlight }
--- a/internal/sidecar/logic/retry.go
+++ b/internal/sidecar/logic/retry.go
@@ -15,8 +15,8 @@
 	})
 }
 
-// dedupDeadline is the end of the window in which servers drop repeats of r, or 0 if it has none. An attempt
-// whose connection is established later must not be written.
+// dedupDeadline is the end of the window in which servers deduplicate r, or 0 if r has no such window. An
+// attempt whose connection is established later must not be written.
 func (b *Balancer) dedupDeadline(r *request) time.Duration {
 	if i := slices.IndexFunc(r.attempts, (*attempt).possiblyExecuted); i >= 0 && r.class.Effect == Keyed {
 		return r.attempts[i].sentAt + time.Duration(windowSafety*float64(r.class.Window))
@@ -24,7 +24,7 @@
 	return 0
 }
 
-// sameGroup reports whether x and y are in one group of servers that drops repeats.
+// sameGroup reports whether servers x and y deduplicate requests together.
 func sameGroup(g Group, x, y *server) bool {
 	return g == GroupAll || (g == GroupZone && x.Zone == y.Zone) || (g == GroupCell && x.Cell == y.Cell)
 }
--- a/internal/sidecar/logic/server.go
+++ b/internal/sidecar/logic/server.go
@@ -11,23 +11,23 @@
 // server is what this sidecar knows about one server.
 type server struct {
 	Server
-	selection.Estimate         // of its speed: work divided by answer time
+	selection.Estimate         // estimated speed: work divided by answer time
 	order               uint64 // position in this sidecar's own order
 	inFlight            []*attempt
-	goneAt              time.Duration // since when it has been listed as gone
-	lastResponse        time.Duration // time of its last answer or error
+	goneAt              time.Duration // since when the server has been listed as gone
+	lastResponse        time.Duration // time of the server's last answer or error
 	consecutiveFailures int
-	failureRate         float64 // aged share of its attempts that failed
+	failureRate         float64 // aged fraction of attempts that failed
 	faultRates
-	cellFaultRates, zoneFaultRates *faultRates // of its cell, and of the path to its zone
+	cellFaultRates, zoneFaultRates *faultRates // fault rates of its cell, and of the path to its zone
 	ejectedUntil                   time.Duration
 	ejectBackoff                   float64 // length of the next ejection, in aging times
-	limit                          float64 // bound on this sidecar's attempts in flight there
+	limit                          float64 // bound on this sidecar's attempts in flight at the server
 	limitShrunkAt                  time.Duration
-	slowFraction                   float64       // aged share of slow answers
+	slowFraction                   float64       // aged fraction of slow answers
 	consecutiveLate                int           // consecutive late outcomes
-	slowStartCredit                float64       // number of sends that it may get during slow start
-	closeIdleAt                    time.Duration // when its idle connections are to be closed
+	slowStartCredit                float64       // number of sends that the server may get during slow start
+	closeIdleAt                    time.Duration // when idle connections to the server are to be closed
 }
 
 // addServer initializes a new server and inserts it into this sidecar's own order. The order is by a hash of
--- a/internal/sidecar/logic/serverlist.go
+++ b/internal/sidecar/logic/serverlist.go
@@ -48,7 +48,7 @@
 		s = &server{Server: *e}
 		b.byID[e.ID] = s
 		b.addServer(s)
-	case e.Since > s.Since: // restarted: the measurements are of the previous process
+	case e.Since > s.Since: // the server has restarted: the measurements are of its previous process
 		b.removeFromOrder(s)
 		*s = server{Server: Server{ID: e.ID}, inFlight: s.inFlight}
 		b.addServer(s)
--- a/internal/sidecar/logic/slowstart.go
+++ b/internal/sidecar/logic/slowstart.go
@@ -11,14 +11,15 @@
 	return c.SlowStartMinCapacity + warmedUp
 }
 
-// grantSlowStartCredit gives each server of the subset that is in slow start its part of one request as
-// credit. Each server is in about as many subsets as any other, so the sum over all sidecars is in
-// proportion to its capacity. Credit is granted per request and not per send: with most of a fleet in slow
-// start, each send costs a credit but would grant less than one, and credit would run out.
+// grantSlowStartCredit gives each server of the subset that is in slow start a fraction of one request as
+// credit: its fraction of the subset's capacity. Each server is in about as many subsets as any other, so the
+// sum over all sidecars is in proportion to its capacity. Credit is granted per request and not per send:
+// with most of a fleet in slow start, each send costs a credit but would grant less than one, and credit
+// would run out.
 func (b *Balancer) grantSlowStartCredit() {
 	size := min(b.subsetSize(), len(b.servers))
-	var found [2]int        // by zoneSide
-	var capacity [2]float64 // of the subset, in servers
+	var found [2]int        // number of servers found, by zoneSide
+	var capacity [2]float64 // capacity of the subset, in servers, by zoneSide
 	var warming []*server
 	for _, s := range b.servers {
 		side := b.zoneSide(s)
