--- a/internal/sidecar/allowance/accounts.go
+++ b/internal/sidecar/allowance/accounts.go
@@ -16,8 +16,8 @@
 	Allowance float64 // requests per second within the share, over all sidecars; 0: not set
 }
 
-// Part describes the requests of one tenant.
-type Part struct {
+// MixEntry describes the requests of one tenant.
+type MixEntry struct {
 	Fraction float64 // of this sidecar's requests, 0 to 1
 	Value    float64 // of one of these requests, as a fraction of its class's value
 }
@@ -40,7 +40,7 @@
 	sidecars       float64
 	overShareValue float64
 	agingTime      time.Duration
-	mix            []Part // buffer of Mix
+	mix            []MixEntry // buffer of Mix
 }
 
 // New returns the accounts of tenants at one of a number of sidecars. A request beyond its tenant's share has
@@ -93,7 +93,7 @@
 // Mix returns the parts of the tenants at now in the order of the settings and, last, the part of all other requests,
 // which have full value. total is this sidecar's requests per second, aged like the rates of the tenants. The slice is
 // valid until the next call.
-func (a *Accounts) Mix(now time.Duration, total float64) []Part {
+func (a *Accounts) Mix(now time.Duration, total float64) []MixEntry {
 	a.mix = a.mix[:0]
 	rest := 1.0
 	for _, t := range a.named {
@@ -104,9 +104,9 @@
 		}
 		fraction := min(t.rate/max(total, 1e-9), 1)
 		rest -= fraction
-		a.mix = append(a.mix, Part{fraction, t.value})
+		a.mix = append(a.mix, MixEntry{fraction, t.value})
 	}
-	return append(a.mix, Part{max(rest, 0), 1})
+	return append(a.mix, MixEntry{max(rest, 0), 1})
 }
 
 // allowedRate is this sidecar's part of a tenant's allowance: the part given to SetAllowance, or else an equal part over
--- a/internal/sidecar/allowance/accounts_test.go
+++ b/internal/sidecar/allowance/accounts_test.go
@@ -28,7 +28,7 @@
 	now, own := fill(a, map[string]float64{"novakovi": 40, "kucerovi": 10, "horakovi": 10, "": 10})
 	mix := a.Mix(now, own)
 	// horakovi has no allowance, and less than its share of this sidecar's requests.
-	want := []Part{{40.0 / 70, 1 - 0.95*0.5}, {10.0 / 70, 1}, {10.0 / 70, 1}, {10.0 / 70, 1}}
+	want := []MixEntry{{40.0 / 70, 1 - 0.95*0.5}, {10.0 / 70, 1}, {10.0 / 70, 1}, {10.0 / 70, 1}}
 	if len(mix) != len(want) {
 		t.Fatalf("parts %v, want %v", mix, want)
 	}
--- a/internal/sidecar/budget/ledger.go
+++ b/internal/sidecar/budget/ledger.go
@@ -11,11 +11,11 @@
 	// reservedFraction is reserved for answers and lists, so that admitted requests can be answered even while no
 	// further requests are admitted.
 	reservedFraction = 0.2
-	// maxLargeFraction is the part of the capacity that large reservations may use, and maxLargeShare the part that they
+	// maxLargeFraction is the part of the capacity that large reservations may use, and maxLargeAvailableFraction the part that they
 	// may use of the capacity without the bytes of connections and lists. The rest is for small reservations, which are
 	// most of the traffic and need little, and for new connections.
-	maxLargeFraction, maxLargeShare = 0.45, 0.75
-	maxConnFraction                 = 0.9 // of the capacity that may be in use after a connection is accepted
+	maxLargeFraction, maxLargeAvailableFraction = 0.45, 0.75
+	maxConnFraction                             = 0.9 // of the capacity that may be in use after a connection is accepted
 )
 
 const (
@@ -90,8 +90,8 @@
 	}
 	free := l.capacity() - l.sum()
 	if r.isLarge() {
-		share := int64(maxLargeShare * float64(l.capacity()-l.reserved[Conns]-l.reserved[Lists]))
-		return r.Bytes <= free && l.large+r.Bytes <= min(share, l.largeCapacity())
+		available := int64(maxLargeAvailableFraction * float64(l.capacity()-l.reserved[Conns]-l.reserved[Lists]))
+		return r.Bytes <= free && l.large+r.Bytes <= min(available, l.largeCapacity())
 	}
 	return r.Bytes <= free
 }
--- a/internal/sidecar/quota/holder.go
+++ b/internal/sidecar/quota/holder.go
@@ -11,7 +11,7 @@
 type Holder struct {
 	times       Times
 	mutate      Mutation
-	limits      map[string]*heldLimit
+	limits      map[string]*leasedLimit
 	names       []string      // names of the limits, sorted
 	seq         uint64        // sequence number of the last report
 	sentAt      time.Duration // when the last report was sent
@@ -20,8 +20,8 @@
 	reportDue   time.Duration
 }
 
-// heldLimit is a limit with the member's share of it.
-type heldLimit struct {
+// leasedLimit is a limit with the member's share of it.
+type leasedLimit struct {
 	Limit
 	amount Unit // leased until expiry
 	expiry time.Duration
@@ -32,18 +32,18 @@
 // NewHolder returns a holder without leases. seq is a random number from which reports are numbered, so that grants to an
 // earlier process of the member are ignored.
 func NewHolder(times Times, seq uint64, now time.Duration, mutate Mutation) *Holder {
-	return &Holder{times: times, limits: make(map[string]*heldLimit), seq: seq, reportDue: now, mutate: mutate}
+	return &Holder{times: times, limits: make(map[string]*leasedLimit), seq: seq, reportDue: now, mutate: mutate}
 }
 
 // SetLimits replaces the limits. A lease on a limit that remains stays in force, capped by the new pool.
 func (h *Holder) SetLimits(limits []Limit) {
 	was := h.limits
-	h.limits, h.names = make(map[string]*heldLimit), nil
+	h.limits, h.names = make(map[string]*leasedLimit), nil
 	for _, l := range limits {
 		if len(h.limits) >= MaxLimits || h.limits[l.Name] != nil {
 			continue
 		}
-		k := &heldLimit{Limit: l}
+		k := &leasedLimit{Limit: l}
 		if old := was[l.Name]; old != nil {
 			k.amount, k.expiry, k.demand, k.inUse = min(old.amount, l.pool()), old.expiry, old.demand, old.inUse
 		}
--- a/internal/sidecar/verdict/evaluator.go
+++ b/internal/sidecar/verdict/evaluator.go
@@ -14,7 +14,7 @@
 	evaluationInterval = 0.25 // between evaluations of the evidence
 	forwardInterval    = 0.25 // before a received opinion is forwarded
 	forwardTimes       = 3    // rounds in which an opinion is sent, each to other members, so that it reaches almost all of them
-	repeatInterval     = 12   // after which an unchanged opinion is sent again
+	resendInterval     = 12   // after which an unchanged opinion is sent again
 	opinionLifetime    = 48   // after which an opinion no longer counts
 	minTerm            = 16   // duration of a first verdict
 	maxTerm            = 240  // maximum duration of repeated verdicts
--- a/internal/sidecar/verdict/opinion.go
+++ b/internal/sidecar/verdict/opinion.go
@@ -109,7 +109,7 @@
 	}
 	if own != nil && slices.Equal(own.Ratings, ratings) {
 		own.madeAt = now // the unchanged opinion is still current
-		if len(ratings) == 0 || now-e.publishedAt < e.paces(repeatInterval) {
+		if len(ratings) == 0 || now-e.publishedAt < e.paces(resendInterval) {
 			return
 		}
 	}
--- a/internal/sidecar/verdict/rating.go
+++ b/internal/sidecar/verdict/rating.go
@@ -25,14 +25,14 @@
 	if len(all) < minCompared && mutate != OwnFaults {
 		return nil, nil
 	}
-	var shares, times []float64
+	var rates, times []float64
 	for _, e := range all {
-		shares = append(shares, failureRate(e))
+		rates = append(rates, failureRate(e))
 		if e.LatencySamples >= minSamples {
 			times = append(times, e.Latency.Seconds())
 		}
 	}
-	everywhere := median(shares)
+	everywhere := median(rates)
 	usual := median(times)
 	for i, e := range all {
 		own := max(everywhere, concurrentFailureRate(all, i)) // failures that occur at all nodes are not the node's own
