--- a/internal/sidecar/budget/gate.go
+++ b/internal/sidecar/budget/gate.go
@@ -44,10 +44,10 @@
 	holders atomic.Int32
 }
 
-// Retain adds a holder. Only a present holder may call it.
+// Retain adds a holder of the charge. Only a present holder may call it.
 func (c *Charge) Retain() {
 	if c != nil && c.holders.Add(1) < 2 {
-		panic("budget: Hold of a charge that was already released by all holders")
+		panic("budget: Retain of a charge that was already released by all holders")
 	}
 }
 
@@ -184,7 +184,7 @@
 	Pressure Pressure
 	Total    int64
 	Reserved [numKinds]int64
-	Waiting  int // queued reservations
+	Waiting  int // number of queued reservations
 }
 
 // Sum is the number of bytes reserved for all kinds.
--- a/internal/sidecar/budget/ledger.go
+++ b/internal/sidecar/budget/ledger.go
@@ -8,14 +8,14 @@
 
 // Fractions of the budget.
 const (
-	// reservedFraction is reserved for answers and lists, so that admitted requests can be answered even while no
+	// reservedFraction of the budget is reserved for answers and lists, so that admitted requests can be answered even while no
 	// further requests are admitted.
 	reservedFraction = 0.2
-	// maxLargeFraction is the part of the capacity that large reservations may use, and maxLargeAvailableFraction the part that they
-	// may use of the capacity without the bytes of connections and lists. The rest is for small reservations, which are
-	// most of the traffic and need little, and for new connections.
+	// maxLargeFraction is the fraction of the capacity that large reservations may use, and maxLargeAvailableFraction the
+	// fraction that they may use of the capacity without the bytes of connections and lists. The rest is for small
+	// reservations, which are most of the traffic and need little, and for new connections.
 	maxLargeFraction, maxLargeAvailableFraction = 0.45, 0.75
-	maxConnFraction                             = 0.9 // of the capacity that may be in use after a connection is accepted
+	maxConnFraction                             = 0.9 // fraction of the capacity that may be in use after a connection is accepted
 )
 
 const (
@@ -26,10 +26,10 @@
 // Ledger counts the reserved bytes and decides on reservations. It is not safe for concurrent use. The caller passes
 // times of a monotonic clock.
 type Ledger struct {
-	size     int64 // configured size
-	total    int64 // present size, at most size; see Resize
+	size     int64 // configured size of the budget in bytes
+	total    int64 // present size of the budget in bytes, at most size; see Resize
 	reserved [numKinds]int64
-	large    int64          // bytes of large reservations, which are part of the requests' bytes
+	large    int64          // bytes of large reservations, included in reserved[Requests]
 	requests []*Reservation // queued reservations for requests, in the order of function before
 	maxQueue int            // bound on the length of requests
 	answers  []*Reservation // queued reservations for answers and lists, in order of arrival
@@ -181,8 +181,8 @@
 	l.updatePressure()
 }
 
-// isBehind reports whether r must wait for a queued reservation that is to be granted first. Large requests, which wait
-// for bytes of their own share, do not delay small ones.
+// isBehind reports whether r must wait for a queued reservation that is to be granted first. Large requests do not delay
+// small ones: they wait for the bytes that large reservations may use.
 func (l *Ledger) isBehind(r *Reservation) bool {
 	behind := func(o *Reservation) bool { return o.isLarge() == r.isLarge() && !before(r, o) }
 	return slices.ContainsFunc(l.requests, behind) || len(l.answers) > 0 && r.isLarge() // answers come first
--- a/internal/sidecar/budget/queue.go
+++ b/internal/sidecar/budget/queue.go
@@ -12,7 +12,7 @@
 		if before(r, o) {
 			return 1
 		}
-		return -1 // after all requests of equal rank
+		return -1 // insert r after all requests of equal rank
 	})
 	l.requests = slices.Insert(l.requests, at, r)
 	if len(l.requests) <= l.maxQueue {
@@ -47,7 +47,7 @@
 		return false
 	}
 	l.dequeue(r)
-	l.grantQueued(now) // r may have delayed others
+	l.grantQueued(now) // r may have delayed other reservations
 	l.updatePressure()
 	return true
 }
@@ -60,12 +60,12 @@
 	for i := 0; i < len(l.requests); {
 		r := l.requests[i]
 		switch {
-		case r.Until <= now: // Reserve is about to give it up
+		case r.Until <= now: // Gate.Reserve is about to cancel r
 			i++
 		case l.fits(r) && (!r.isLarge() || len(l.answers) == 0):
 			l.grant(r)
 		case r.isLarge():
-			i++ // small requests behind it do not need the share of large ones
+			i++ // small requests behind r do not need the bytes that large ones may use
 		default:
 			return
 		}
--- a/internal/sidecar/budget/reservation.go
+++ b/internal/sidecar/budget/reservation.go
@@ -5,10 +5,10 @@
 // Kind is the use of reserved bytes.
 type Kind uint8
 
-// The numKinds of use.
+// The kinds of use.
 const (
 	Conns    Kind = iota
-	Requests      // bodies and state of admitted requests
+	Requests      // bytes for bodies and state of admitted requests
 	Answers
 	Lists
 	numKinds // number of kinds
@@ -24,11 +24,11 @@
 type Reservation struct {
 	Kind    Kind
 	Bytes   int64
-	Value   float64       // value of granting it, relative to Bytes; used for Requests only
+	Value   float64       // value of the request; the queue is ordered by value per byte; used for Requests only
 	Until   time.Duration // end of the wait, on the ledger's clock
-	Extends bool          // for a request that has reserved bytes already: it precedes new requests
+	Extends bool          // the request has reserved bytes already, so it precedes new requests
 
-	granted func() // called when it is granted or dropped, on the goroutine that caused it
+	granted func() // called when the reservation is granted or dropped, on the goroutine that caused this
 	waiting bool
 }
 
