--- a/internal/sidecar/allowance/accounts.go
+++ b/internal/sidecar/allowance/accounts.go
@@ -12,20 +12,20 @@
 // Tenant is a caller with a quota share of the fleet's capacity. Its requests beyond the share have a reduced value.
 type Tenant struct {
 	Name      string
-	Share     float64 // of the fleet's capacity, 0 to 1
+	Share     float64 // quota share: a fraction of the fleet's capacity, 0 to 1
 	Allowance float64 // requests per second within the share, over all sidecars; 0: not set
 }
 
-// MixEntry describes the requests of one tenant.
+// MixEntry describes the requests of one tenant, or all requests without an account.
 type MixEntry struct {
-	Fraction float64 // of this sidecar's requests, 0 to 1
-	Value    float64 // of one of these requests, as a fraction of its class's value
+	Fraction float64 // the tenant's fraction of this sidecar's requests, 0 to 1
+	Value    float64 // value of one of these requests, as a fraction of its class's value
 }
 
 // tenant is the account of one tenant.
 type tenant struct {
 	Tenant
-	rate        float64 // requests per second, aged as of rateUpdated
+	rate        float64 // requests per second at this sidecar, aged as of rateUpdated
 	rateUpdated time.Duration
 	allotted    float64 // this sidecar's part of the allowance, requests per second; below 0: an equal part
 	value       float64 // value of a request, as of the last call of Mix
@@ -90,7 +90,7 @@
 	t.rateUpdated = now
 }
 
-// Mix returns the parts of the tenants at now in the order of the settings and, last, the part of all other requests,
+// Mix returns the entries of the tenants at now in the order of the settings and, last, the entry of all other requests,
 // which have full value. total is this sidecar's requests per second, aged like the rates of the tenants. The slice is
 // valid until the next call.
 func (a *Accounts) Mix(now time.Duration, total float64) []MixEntry {
