--- a/internal/sidecar/verdict/evaluator.go
+++ b/internal/sidecar/verdict/evaluator.go
@@ -11,16 +11,16 @@
 
 // Intervals and durations of the evaluation, in multiples of Config.Pace.
 const (
-	evaluationInterval = 0.25 // between evaluations of the evidence
-	forwardInterval    = 0.25 // before a received opinion is forwarded
+	evaluationInterval = 0.25 // interval between two evaluations of the evidence
+	forwardInterval    = 0.25 // delay before a received opinion is forwarded
 	forwardTimes       = 3    // rounds in which an opinion is sent, each to other members, so that it reaches almost all of them
-	resendInterval     = 12   // after which an unchanged opinion is sent again
-	opinionLifetime    = 48   // after which an opinion no longer counts
+	resendInterval     = 12   // interval after which an unchanged opinion is sent again
+	opinionLifetime    = 48   // age after which an opinion no longer counts
 	minTerm            = 16   // duration of a first verdict
 	maxTerm            = 240  // maximum duration of repeated verdicts
 	trialStage         = 8    // duration of each stage of a trial
-	trialGrace         = 4    // after the start of a trial; opinions formed earlier than that rest on attempts before the trial
-	memoryTerms        = 8    // multiple of the term for which an ended verdict is remembered; a verdict after that counts as a first one
+	trialGrace         = 4    // time after the start of a trial in which opinions formed rest on attempts before the trial, and do not count
+	memoryTerms        = 8    // multiple of the term for which an ended verdict is remembered; a later verdict counts as a first one
 )
 
 // Mutation is a fault that a test injects to check that the invariants detect it.
@@ -43,7 +43,7 @@
 	paces := func(n float64) time.Duration { return time.Duration(n * float64(pace)) }
 	return []string{
 		fmt.Sprintf("verdicts: at most %d%% of the listed execute nodes, and of each zone's, are avoided at once (one where that is less than one)", pct),
-		fmt.Sprintf("verdicts: what was seen counts for %v after it was said last, a verdict lasts %v to %v, a trial %v more, whatever fails",
+		fmt.Sprintf("verdicts: an opinion counts for %v after it was last sent, a verdict lasts %v to %v, a trial %v more, whatever fails",
 			paces(opinionLifetime), paces(minTerm), paces(maxTerm), paces(2*trialStage)),
 	}
 }
@@ -119,21 +119,21 @@
 
 	// Membership as of the last evaluation.
 	peers  []Peer
-	panels map[string][]string // by zone, the observers whose opinions count
+	panels map[string][]string // observers whose opinions count, by zone
 	zoneOf map[string]string   // zone of each observer of a panel
 	nodes  map[string]Node
 	zones  map[string]int // number of nodes by zone
 
 	// Opinions.
-	opinions    map[string]*receivedOpinion // by author, this member included
+	opinions    map[string]*receivedOpinion // latest opinion of each observer, this member included, by author
 	ratedBad    map[string]bool             // nodes that this member's own evidence rates bad
-	seq         uint64                      // of this member's last opinion
+	seq         uint64                      // sequence number of this member's last opinion
 	publishedAt time.Duration               // when this member's opinion was last published
 	toForward   map[string]int              // remaining rounds by author of the opinions still to be sent
 	forwardDue  time.Duration
 
-	verdicts map[string]*verdict // by node
-	avoided  []string            // as last reported by Avoid
+	verdicts map[string]*verdict // current and remembered verdicts, by node
+	avoided  []string            // nodes that the last Avoid listed
 }
 
 // NewEvaluator returns an evaluator without nodes. now is the current time on the clock whose times are passed to Step.
--- a/internal/sidecar/verdict/evidence.go
+++ b/internal/sidecar/verdict/evidence.go
@@ -16,7 +16,7 @@
 // sample is the outcome of one attempt.
 type sample struct {
 	at      time.Duration
-	latency time.Duration // of a successful attempt
+	latency time.Duration // latency of a successful attempt
 	failed  bool
 	present bool // false in a slot of the ring that was never written
 }
@@ -59,9 +59,9 @@
 	Node                string
 	Succeeded           int
 	Failed              int
-	ConsecutiveFailures int           // since the last success
-	Recent              []Outcome     // latest first
-	Latency             time.Duration // mean of the successful attempts
+	ConsecutiveFailures int           // number of failures since the last success
+	Recent              []Outcome     // outcomes that count, latest first
+	Latency             time.Duration // mean latency of the successful attempts
 	LatencySamples      int           // number of attempts in that mean
 }
 
--- a/internal/sidecar/verdict/opinion.go
+++ b/internal/sidecar/verdict/opinion.go
@@ -19,17 +19,17 @@
 	Author  string        `cbor:"1,keyasint"`
 	Boot    uint64        `cbor:"2,keyasint"`
 	Seq     uint64        `cbor:"3,keyasint"`
-	Age     time.Duration `cbor:"4,keyasint,omitempty"` // since it was formed, excluding time in transit
+	Age     time.Duration `cbor:"4,keyasint,omitempty"` // time since the opinion was formed, excluding time in transit
 	Ratings []Rating      `cbor:"5,keyasint,omitempty"`
 }
 
 // Bounds of opinions.
 const (
-	MaxRatings   = 16  // ratings in an opinion
-	MaxPanel     = 16  // observers of a zone whose opinions count
-	MaxZones     = 16  // zones of observers; the observers of further zones have no vote
-	MaxForwarded = 32  // opinions in one Send action, and so in one frame
-	maxVerdicts  = 256 // nodes with a current or remembered verdict
+	MaxRatings   = 16  // maximum number of ratings in an opinion
+	MaxPanel     = 16  // maximum number of observers of a zone whose opinions count
+	MaxZones     = 16  // maximum number of zones of observers; the observers of further zones have no vote
+	MaxForwarded = 32  // maximum number of opinions in one Send action, and so in one frame
+	maxVerdicts  = 256 // maximum number of nodes with a current or remembered verdict
 )
 
 // receivedOpinion is an opinion and the time on this member's clock at which it was formed.
--- a/internal/sidecar/verdict/statement.go
+++ b/internal/sidecar/verdict/statement.go
@@ -22,7 +22,7 @@
 	Node      string `cbor:"1,keyasint" json:"node"`
 	Version   uint64 `cbor:"2,keyasint" json:"count"` // a Lamport clock
 	Author    string `cbor:"3,keyasint" json:"by"`
-	Suspended bool   `cbor:"4,keyasint,omitempty" json:"suspended,omitempty"` // or draining
+	Suspended bool   `cbor:"4,keyasint,omitempty" json:"suspended,omitempty"` // the node is suspended or draining
 	// Since is the start time of the draining node. A statement about a later process of the node supersedes this one.
 	Since time.Duration `cbor:"5,keyasint,omitempty" json:"since,omitempty"`
 }
--- a/internal/sidecar/verdict/verdict.go
+++ b/internal/sidecar/verdict/verdict.go
@@ -21,8 +21,8 @@
 const (
 	stageAvoided stage = iota // no member sends to the node
 	stageFew                  // a few members send to the node, as a trial
-	stageHalf                 // half of the members send to it
-	stagePast                 // all members send to it; the verdict is remembered so that a repeated one lasts longer
+	stageHalf                 // half of the members send to the node
+	stagePast                 // all members send to the node; the verdict is remembered so that a repeated one lasts longer
 )
 
 // String returns the stage's name in the operator's output.
@@ -37,7 +37,7 @@
 	trialStart time.Duration
 	term       time.Duration // how long the node is avoided
 	count      uint64        // how many times in a row the node was avoided
-	observers  []string      // members that voted against it
+	observers  []string      // members that voted against the node
 }
 
 // decide advances all verdicts, and emits Avoid if the nodes to avoid have changed.
