--- a/internal/sidecar/quota/gate.go
+++ b/internal/sidecar/quota/gate.go
@@ -8,17 +8,17 @@
 // safe for concurrent use.
 type Gate struct {
 	kind  Kind
-	burst time.Duration // of a rate: the time over which unused tokens accumulate
+	burst time.Duration // for a rate: the time over which unused tokens accumulate
 
 	share, fallback Unit
 	expiry          time.Duration // of the lease on share; from then on fallback applies
 
-	tokens           int64 // of a rate, in units times microseconds, where a request costs requestCost; of retries, in units
-	filledAt         time.Duration
-	leasedInFlight   int64 // requests in flight on slots of the lease
-	fallbackInFlight int64 // requests in flight on slots of the fallback
+	tokens           int64         // unused tokens: for a rate in units times microseconds, where a request costs requestCost; for retries in units
+	filledAt         time.Duration // time up to which tokens were earned
+	leasedInFlight   int64         // requests in flight on slots of the lease
+	fallbackInFlight int64         // requests in flight on slots of the fallback
 
-	demand   float64       // of a rate: number of requests, weighted by age; of requests in flight: their recent maximum
+	demand   float64       // recent demand: for a rate the number of requests, weighted by age; for requests in flight their recent maximum
 	demandAt time.Duration // when demand was last aged
 	Admitted int64         // requests admitted since the start
 	Rejected int64         // requests rejected since the start
@@ -116,7 +116,7 @@
 	NoSlot Slot = iota
 	LeasedSlot
 	FallbackSlot
-	TokenSlot // of a rate
+	TokenSlot // a token of a rate, which is consumed
 )
 
 // Take admits one request, or returns the time after which a retry is likely to be admitted. ends is the latest time at which
--- a/internal/sidecar/quota/gate_test.go
+++ b/internal/sidecar/quota/gate_test.go
@@ -114,7 +114,7 @@
 			t.Errorf("%s: faults for the keys %q", name, keys)
 		}
 	}
-	if b := good.Bound(); !strings.Contains(b, "2.5 a second of it for each of 8 members") || !strings.Contains(b, "never over") {
+	if b := good.Bound(); !strings.Contains(b, "2.5 a second of it for each of 8 members") || !strings.Contains(b, "never exceeded") {
 		t.Error(b)
 	}
 }
--- a/internal/sidecar/quota/granter.go
+++ b/internal/sidecar/quota/granter.go
@@ -36,7 +36,7 @@
 	expiry time.Duration
 	seq    uint64 // sequence number of the last report
 	demand Unit
-	total  Unit // the limit in the holder's settings
+	total  Unit // total of the limit in the holder's settings
 }
 
 // NewGranter returns a granter that does not act until Lead is called.
@@ -44,7 +44,7 @@
 	return &Granter{times: times, limits: make(map[string]Limit), outstanding: make(map[string]map[Process]*outstandingGrant), mutate: mutate}
 }
 
-// SetLimits replaces the limits by those of this member's settings, and drops the grants of limits that are gone.
+// SetLimits replaces the limits by those of this member's settings, and drops the grants of limits that are no longer in the settings.
 func (g *Granter) SetLimits(limits []Limit) {
 	clear(g.limits)
 	for _, l := range limits {
--- a/internal/sidecar/quota/holder.go
+++ b/internal/sidecar/quota/holder.go
@@ -20,13 +20,13 @@
 	reportDue   time.Duration
 }
 
-// leasedLimit is a limit with the member's share of it.
+// leasedLimit is a limit with the share of it that the member has leased.
 type leasedLimit struct {
 	Limit
-	amount Unit // leased until expiry
+	amount Unit // amount leased until expiry, in addition to the floor
 	expiry time.Duration
 	demand Unit
-	inUse  Unit // in flight
+	inUse  Unit // number of requests in flight
 }
 
 // NewHolder returns a holder without leases. seq is a random number from which reports are numbered, so that grants to an
@@ -60,7 +60,7 @@
 	}
 }
 
-// SetInUse sets how much of a limit is in flight. Reports never give that amount up.
+// SetInUse sets how much of a limit is in flight. A report never gives up the amount in flight.
 func (h *Holder) SetInUse(limit string, amount Unit) {
 	if k := h.limits[limit]; k != nil {
 		k.inUse = amount
--- a/internal/sidecar/quota/settings.go
+++ b/internal/sidecar/quota/settings.go
@@ -16,10 +16,10 @@
 	AttemptRetryPercent float64 `toml:"retry_pct"`      // limit on attempts after the first, in percent of first attempts
 	NodeInFlight        int     `toml:"node_in_flight"` // limit on attempts in flight at each execute node
 	DividesAllowances   bool    `toml:"allowances"`     // divides the allowance of each tenant in the settings; no request is rejected
-	Floor               int     `toml:"floor_pct"`      // percent that is reserved in equal shares for the members
+	Floor               int     `toml:"floor_pct"`      // percent of the limit that is reserved in equal shares for the members
 	Members             int     `toml:"members"`        // maximum number of sidecars
 	Policy              string  `toml:"policy"`         // strict or available (see Limit.Available)
-	Burst               int     `toml:"burst_ms"`       // of a rate: the time over which unused requests accumulate
+	Burst               int     `toml:"burst_ms"`       // for a rate: the time over which unused requests accumulate
 }
 
 const (
@@ -141,13 +141,13 @@
 func (s Settings) Bound() string {
 	l := s.Limit()
 	if s.AttemptRetryPercent > 0 {
-		return fmt.Sprintf("quota %s: attempts after the first are %g%% of those at the most, and %d for each member, whatever fails", s.Name, s.AttemptRetryPercent, maxSavedRetries)
+		return fmt.Sprintf("quota %s: attempts after the first are at most %g%% of first attempts, and %d for each member, whatever fails", s.Name, s.AttemptRetryPercent, maxSavedRetries)
 	}
 	if s.DividesAllowances {
-		return fmt.Sprintf("quota %s: the parts of each tenant's allowance sum to it, and with cut members without a lease to cut/%d of its pool more", s.Name, s.Members)
+		return fmt.Sprintf("quota %s: the parts of each tenant's allowance sum to the allowance, and with n members cut off without a lease to at most n/%d of its pool more", s.Name, s.Members)
 	}
 	if l.Kind == Retries {
-		return fmt.Sprintf("quota %s: repeats are let through as %g%% of the other requests, and %d for each member, whatever fails", s.Name, s.ClientRetryPercent, maxSavedRetries)
+		return fmt.Sprintf("quota %s: retries are at most %g%% of the other requests, and %d for each member, whatever fails", s.Name, s.ClientRetryPercent, maxSavedRetries)
 	}
 	show := func(u Unit) string {
 		if l.Kind == Rate {
@@ -161,9 +161,9 @@
 	}
 	line := fmt.Sprintf("quota %s: %s%s for the fleet, %s of it for each of %d members whatever fails; ", s.Name, show(l.Total), each, show(l.floor()), l.MaxMembers)
 	if l.Available {
-		line += fmt.Sprintf("over by cut * pool / members at the most, with cut members without a lease: by %s each", show(l.pool()/max(1, l.MaxMembers)))
+		line += fmt.Sprintf("exceeded by at most n * pool / members with n members cut off without a lease: by %s each", show(l.pool()/max(1, l.MaxMembers)))
 	} else {
-		line += "never over"
+		line += "never exceeded"
 	}
 	if l.Kind == Rate {
 		line += fmt.Sprintf("; in any time w at most per_second * (w + %v) and one request a member", s.BurstTime())
