--- a/internal/sidecar/verdict/evaluator.go
+++ b/internal/sidecar/verdict/evaluator.go
@@ -19,7 +19,7 @@
 	minTerm            = 16   // duration of a first verdict
 	maxTerm            = 240  // maximum duration of repeated verdicts
 	trialStage         = 8    // duration of each stage of a trial
-	trialGrace         = 4    // time after the start of a trial in which opinions formed rest on attempts before the trial, and do not count
+	trialGrace         = 4    // time after a trial's start; opinions formed in it do not count: they rest on attempts before the trial
 	memoryTerms        = 8    // multiple of the term for which an ended verdict is remembered; a later verdict counts as a first one
 )
 
--- a/internal/sidecar/verdict/limit.go
+++ b/internal/sidecar/verdict/limit.go
@@ -20,7 +20,8 @@
 // With fewer listed nodes than these, in total and in a zone, no node is avoided.
 const minNodes, minNodesInZone = 3, 2
 
-// maxAvoided returns how many of a number of nodes may be under verdict: none if there are fewer than least, else at least one.
+// maxAvoided returns how many of a number of nodes may be under verdict: none if there are fewer than least, else at least
+// one.
 func (e *Evaluator) maxAvoided(nodes, least int) int {
 	if nodes < least {
 		return 0
--- a/internal/sidecar/verdict/rating.go
+++ b/internal/sidecar/verdict/rating.go
@@ -13,8 +13,8 @@
 	minCompared            = 3    // nodes with minSamples outcomes that are needed to rate any node
 	minConcurrent          = 8    // outcomes at other nodes since a node began to fail that are needed to rate it bad
 	badFailureRate         = 0.75 // a node is bad if its failure rate exceeds that of the other nodes by this much
-	goodFailureRate        = 0.25 // absolute failure rate at which a node that was bad stays bad; if the other nodes exceed it, no node is rated bad
-	badConsecutiveFailures = 4    // a node is bad after this many failures in a row, whatever came before, since the module soon stops sending to it
+	goodFailureRate        = 0.25 // a node that was bad stays bad at this failure rate; if the other nodes exceed it, no node is rated bad
+	badConsecutiveFailures = 4    // failures in a row that make a node bad, whatever came before, since the module soon stops sending to it
 	slowFactor             = 4    // a node is bad at this multiple of the median latency
 	recoveredFactor        = 2    // a node that was bad stays bad at this multiple of the median latency
 )
--- a/internal/sidecar/verdict/statement.go
+++ b/internal/sidecar/verdict/statement.go
@@ -56,8 +56,8 @@
 // Table holds the statements that a member knows, one per node: a map of last-writer-wins registers. The zero Table is empty.
 // It is not safe for concurrent use.
 type Table struct {
-	// EvictsOldest lets a full table evict its oldest statement, whatever it declares. If it is false, only a statement that a
-	// node is not suspended is evicted.
+	// EvictsOldest lets a full table evict its oldest statement, whatever it declares. If it is false, only a statement that
+	// a node is not suspended is evicted.
 	EvictsOldest bool
 	statements   map[string]Statement
 	highest      uint64 // highest version seen
@@ -68,8 +68,8 @@
 	return t.declare(Statement{Node: node, Author: author, Suspended: suspended})
 }
 
-// DeclareDraining adds a statement by the author, which is this member, that the node process started at since is draining, or
-// no longer is. It reports whether the statement is new and was added.
+// DeclareDraining adds a statement by the author, which is this member, that the node process started at since is draining,
+// or no longer is. It reports whether the statement is new and was added.
 func (t *Table) DeclareDraining(node, author string, since time.Duration, drains bool) (Statement, bool) {
 	was, known := t.statements[node]
 	if known && (was.Since > since || was.Since == since && was.Suspended == drains) || !known && !drains {
