--- a/internal/sidecar/rules/file.go
+++ b/internal/sidecar/rules/file.go
@@ -90,7 +90,7 @@
 		return Edition{}, p.faults
 	}
 	if f.Version != FileVersion {
-		p.fault("version", "%d; this program reads %d", f.Version, FileVersion)
+		p.fault("version", "version %d is not supported; this program reads version %d", f.Version, FileVersion)
 	}
 	var e Edition
 	if f.Sampling != nil {
@@ -101,7 +101,7 @@
 	}
 	slices.SortFunc(e.Rules, func(a, b Rule) int { return cmp.Compare(a.Kind, b.Kind) })
 	if size := len(encode(e.Rules)); size > MaxBytes {
-		p.faults = append(p.faults, Fault{Text: fmt.Sprintf("%d bytes of rules, %d at most", size, MaxBytes)})
+		p.faults = append(p.faults, Fault{Text: fmt.Sprintf("the file encodes to %d bytes of rules, %d at most", size, MaxBytes)})
 	}
 	if len(p.faults) > 0 {
 		return Edition{}, p.faults
@@ -109,7 +109,7 @@
 	return e, nil
 }
 
-// fault records a fault in the value of a key.
+// fault records a fault in the value of a key, with the key's position in the file.
 func (p *parser) fault(key, format string, args ...any) {
 	line, column := findKey(p.text, key)
 	p.faults = append(p.faults, Fault{line, column, key, fmt.Sprintf(format, args...)})
@@ -185,7 +185,7 @@
 	for i, n := range from {
 		k := fmt.Sprintf("%s[%d]", key, i)
 		if n.Name == "" || len(n.Name) > maxNameBytes || seen[n.Name] {
-			p.fault(k+".name", "%q; a name of 1 to %d bytes, once", n.Name, maxNameBytes)
+			p.fault(k+".name", "%q is empty, too long or a duplicate; allowed: a name of 1 to %d bytes, once", n.Name, maxNameBytes)
 		}
 		seen[n.Name] = true
 		rates = append(rates, NamedRate{n.Name, p.rate(k+".rate", n.Rate)})
--- a/internal/sidecar/rules/limits.go
+++ b/internal/sidecar/rules/limits.go
@@ -17,7 +17,7 @@
 	Name                string `cbor:"1,keyasint"`
 	Class               string `cbor:"2,keyasint,omitempty"`
 	Tenant              string `cbor:"3,keyasint,omitempty"`
-	PerSecond           int64  `cbor:"4,keyasint,omitempty"` // thousandths
+	PerSecond           int64  `cbor:"4,keyasint,omitempty"` // thousandths of a request per second
 	InFlight            int    `cbor:"5,keyasint,omitempty"`
 	ClientRetryPercent  int64  `cbor:"6,keyasint,omitempty"` // thousandths of a percent
 	AttemptRetryPercent int64  `cbor:"7,keyasint,omitempty"` // thousandths of a percent
--- a/internal/sidecar/rules/rules.go
+++ b/internal/sidecar/rules/rules.go
@@ -17,9 +17,9 @@
 
 // Size limits of editions.
 const (
-	MaxBytes          = 64 << 10 // size of an edition's canonical encoding
-	MaxFormatSetBytes = 128      // size of the text that lists the formats that a member reads
-	maxKinds          = 8
+	MaxBytes          = 64 << 10 // maximum size of an edition's canonical encoding
+	MaxFormatSetBytes = 128      // maximum size of the text that lists the formats that a member reads
+	maxKinds          = 8        // maximum number of kinds in an edition or a list of formats
 )
 
 // Kind is the subject of a rule.
@@ -174,7 +174,7 @@
 type ReadError struct {
 	Kind   Kind
 	Format Format
-	Reason string // "kind not known", "format not read", "feature ...", ...
+	Reason string // such as "kind not known" or "format not read, only sampling 1.0"
 }
 
 // Error formats the error for operators.
@@ -183,8 +183,8 @@
 // Compiled is an edition with its rules decoded.
 type Compiled struct {
 	Edition  Edition
-	Sampling *SamplingRules // nil: none
-	Limits   *LimitRules    // nil: none
+	Sampling *SamplingRules // nil: the edition has no such rule
+	Limits   *LimitRules    // nil: the edition has no such rule
 }
 
 // Read decodes an edition as a program that reads the given formats does. The error is a *ReadError, or a plain error if the
@@ -192,7 +192,7 @@
 func Read(e Edition, reads FormatSet) (*Compiled, error) {
 	c := &Compiled{Edition: e}
 	if size := len(encode(e.Rules)); size > MaxBytes {
-		return nil, fmt.Errorf("rules: %d bytes, %d at most", size, MaxBytes)
+		return nil, fmt.Errorf("rules: edition has %d bytes, %d at most", size, MaxBytes)
 	}
 	if len(e.Rules) > maxKinds || !slices.IsSortedFunc(e.Rules, func(a, b Rule) int { return cmp.Compare(a.Kind, b.Kind) }) {
 		return nil, errors.New("rules: edition has too many rules, or they are not sorted by kind")
@@ -202,7 +202,7 @@
 			return &ReadError{r.Kind, r.Format, fmt.Sprintf(format, args...)}
 		}
 		if i > 0 && e.Rules[i-1].Kind == r.Kind {
-			return nil, bad("twice")
+			return nil, bad("kind occurs twice")
 		}
 		if _, known := reads[r.Kind]; !known {
 			return nil, bad("kind not known")
@@ -226,13 +226,14 @@
 	return c, nil
 }
 
-// decodeBody decodes a body into v. It rejects a body that is not in canonical form, since that would have another digest.
+// decodeBody decodes a body into v. It rejects a body that is not in canonical form, since the same rules in another form have
+// another digest.
 func decodeBody(r Rule, v any) error {
 	if err := strict.Unmarshal(r.Body, v); err != nil {
-		return fmt.Errorf("not read: %w", err)
+		return fmt.Errorf("body cannot be decoded: %w", err)
 	}
 	if !slices.Equal(encode(v), r.Body) {
-		return errors.New("not in its canonical form")
+		return errors.New("body is not in its canonical form")
 	}
 	return nil
 }
--- a/internal/sidecar/rules/rules_test.go
+++ b/internal/sidecar/rules/rules_test.go
@@ -98,7 +98,7 @@
 		"of a later format":  {`format = "2"`, `format = "1"`, "2:1: sampling: tenants, keep_failed and keep_slow_ms need format 2"},
 		"a limit's fault":    {"floor_pct = 20", "floor_pct = 120", "23:1: limits.quota[0].floor_pct: 120"},
 		"the second limit's": {`policy = "available"`, `policy = "lax"`, "29:1: limits.quota[1].policy: lax"},
-		"another version":    {"version = 1", "version = 2", "1:1: version: 2; this program reads 1"},
+		"another version":    {"version = 1", "version = 2", "1:1: version: version 2 is not supported; this program reads version 1"},
 	} {
 		text := strings.Replace(validFile, c.from, c.to, 1)
 		_, faults := Parse([]byte(text))
@@ -167,10 +167,10 @@
 		"a later major":            {e, one, "rules sampling 2.0: format not read, only sampling 1.0"},
 		"a later minor":            {later, Supported(), "rules sampling 2.1: format not read, only sampling 1.0,2.0"},
 		"a kind that is not known": {unknown, Supported(), "rules affinity 1.0: kind not known"},
-		"an unknown key":           {key, Supported(), "rules sampling 2.0: not read: cbor: found unknown field"},
-		"another order of keys":    {Edition{Rules: []Rule{{Sampling, Format{2, 0}, loose}}}, Supported(), "not in its canonical form"},
-		"a kind twice":             {Edition{Rules: []Rule{e.Rules[0], e.Rules[0]}}, Supported(), "twice"},
-		"cut in the middle":        {Edition{Rules: []Rule{{Sampling, Format{2, 0}, e.Rules[1].Body[:9]}}}, Supported(), "not read"},
+		"an unknown key":           {key, Supported(), "rules sampling 2.0: body cannot be decoded: cbor: found unknown field"},
+		"another order of keys":    {Edition{Rules: []Rule{{Sampling, Format{2, 0}, loose}}}, Supported(), "body is not in its canonical form"},
+		"a kind twice":             {Edition{Rules: []Rule{e.Rules[0], e.Rules[0]}}, Supported(), "kind occurs twice"},
+		"cut in the middle":        {Edition{Rules: []Rule{{Sampling, Format{2, 0}, e.Rules[1].Body[:9]}}}, Supported(), "body cannot be decoded"},
 		"a program before rules":   {e, FormatSet{}, "kind not known"},
 	} {
 		_, err := Read(c.e, c.reads)
--- a/internal/sidecar/rules/sampling.go
+++ b/internal/sidecar/rules/sampling.go
@@ -11,16 +11,16 @@
 // SamplingRules determine which traces are captured. Rates are fractions in units of 1/RateUnit.
 type SamplingRules struct {
 	Salt              uint64      `cbor:"1,keyasint"`
-	Rate              uint32      `cbor:"2,keyasint"`           // of traces whose class and tenant have no rate of their own
+	Rate              uint32      `cbor:"2,keyasint"`           // rate of traces whose class and tenant have no rate of their own
 	Classes           []NamedRate `cbor:"3,keyasint,omitempty"` // sorted by name
-	MaxRecords        uint32      `cbor:"4,keyasint"`           // per second and sidecar
-	MaxBytes          uint32      `cbor:"5,keyasint"`           // per second and sidecar
-	MaxRecordsPerNode uint32      `cbor:"6,keyasint"`           // per second, execute node and sidecar
-	MinPerMinute      uint32      `cbor:"7,keyasint,omitempty"` // traces per minute of each class that are captured, if there are that many
+	MaxRecords        uint32      `cbor:"4,keyasint"`           // maximum number of records per second and sidecar
+	MaxBytes          uint32      `cbor:"5,keyasint"`           // maximum number of bytes of records per second and sidecar
+	MaxRecordsPerNode uint32      `cbor:"6,keyasint"`           // maximum number of records per second, execute node and sidecar
+	MinPerMinute      uint32      `cbor:"7,keyasint,omitempty"` // least number of traces per minute that are captured of each class, if there are so many
 	// Fields of format 2.
 	Tenants    []NamedRate `cbor:"8,keyasint,omitempty"`  // sorted by name; a tenant's rate takes precedence over its class's
 	KeepFailed bool        `cbor:"9,keyasint,omitempty"`  // failed traces are kept once they have ended
-	KeepSlow   uint32      `cbor:"10,keyasint,omitempty"` // in milliseconds: slower traces are kept once they have ended; 0: none
+	KeepSlow   uint32      `cbor:"10,keyasint,omitempty"` // latency in milliseconds above which traces are kept once they have ended; 0: none
 }
 
 // NamedRate is the rate of a class or a tenant.
@@ -35,7 +35,7 @@
 const (
 	maxNamedRates = 512
 	maxNameBytes  = 64
-	maxCap        = 1 << 20
+	maxCap        = 1 << 20 // maximum of a cap on records per second
 )
 
 // check returns an error if the rules are invalid in a format.
@@ -44,7 +44,7 @@
 		return errors.New("tenants, keep_failed and keep_slow_ms need format 2")
 	}
 	if s.Rate > RateUnit {
-		return fmt.Errorf("rate %d, %d at most", s.Rate, RateUnit)
+		return fmt.Errorf("default rate is %d, %d at most", s.Rate, RateUnit)
 	}
 	for what, v := range map[string]uint32{"records": s.MaxRecords, "bytes": s.MaxBytes, "per_node": s.MaxRecordsPerNode} {
 		if v == 0 || v > maxCap && what != "bytes" {
@@ -53,7 +53,7 @@
 	}
 	for _, all := range [][]NamedRate{s.Classes, s.Tenants} {
 		if len(all) > maxNamedRates {
-			return fmt.Errorf("%d rates, %d at most", len(all), maxNamedRates)
+			return fmt.Errorf("%d rates of classes or of tenants, %d at most", len(all), maxNamedRates)
 		}
 		for i, n := range all {
 			if n.Name == "" || len(n.Name) > maxNameBytes || n.Rate > RateUnit {
--- a/internal/sidecar/rules/trial.go
+++ b/internal/sidecar/rules/trial.go
@@ -21,7 +21,7 @@
 	Class, Tenant, Node string
 	ID                  string
 	Retry, Failed       bool
-	Latency             uint32 // milliseconds
+	Latency             uint32 // latency in milliseconds
 }
 
 // String formats the case for operators.
