--- a/internal/sidecar/sampling/sampler.go
+++ b/internal/sidecar/sampling/sampler.go
@@ -103,7 +103,7 @@
 	all                     window
 	nodes                   map[string]*window
 	dropped                 uint64  // records rejected since the last call of NextLevel
-	peakUse                 float64 // highest requested use of any cap since then, as a fraction of the cap
+	peakUse                 float64 // highest requested use of any cap since the last call of NextLevel, as a fraction of the cap
 }
 
 // maxNodes is the number of nodes that are counted separately; further nodes share one count.
@@ -162,7 +162,7 @@
 	if node != "" {
 		if at = c.nodes[node]; at == nil {
 			if len(c.nodes) >= maxNodes {
-				node = "" // the shared count of the nodes beyond maxNodes
+				node = "" // key of the shared count of the nodes beyond maxNodes
 			}
 			if at = c.nodes[node]; at == nil {
 				at = &window{}
@@ -188,7 +188,7 @@
 
 // NextLevel returns the throttle level that this member requests after an epoch at a level, and starts a new epoch. The level
 // rises by one if a record was rejected. It falls by one if less than a third of every cap was used: a lower level doubles the
-// rates, which then still fits the caps, so the levels do not oscillate.
+// rates, which still meets the caps, so the levels do not oscillate.
 func (c *Limiter) NextLevel(level ThrottleLevel) ThrottleLevel {
 	dropped, peakUse := c.dropped, c.peakUse
 	c.dropped, c.peakUse = 0, 0
