--- a/internal/sidecar/member/broadcast.go
+++ b/internal/sidecar/member/broadcast.go
@@ -6,13 +6,13 @@
 // in turn. The cost of taking updates is proportional to their number, independent of the length of the queue.
 type broadcastQueue struct {
 	fresh, transmitted []broadcast    // updates never transmitted, and those transmitted at least once
-	counts             map[string]int // queued updates by process: most have none, which saves a search of the queue
+	counts             map[string]int // number of queued updates by process: most have none, which saves a search of the queue
 }
 
 // broadcast is an update that is transmitted a limited number of times.
 type broadcast struct {
 	Record
-	transmits int
+	transmits int // how many times the update was transmitted
 }
 
 func (q *broadcastQueue) empty() bool { return len(q.fresh)+len(q.transmitted) == 0 }
--- a/internal/sidecar/member/machine.go
+++ b/internal/sidecar/member/machine.go
@@ -43,7 +43,7 @@
 	seedNames   map[string]string // name of the process that answered at each seed address; its record may have another address
 	seedSyncDue time.Duration
 	joinBackoff time.Duration
-	joinAddr    string // seed address of the last request; empty: it was answered
+	joinAddr    string // seed address that the last request was sent to; empty: the request was answered
 	joinSeq     uint64 // number of the last request to a seed address
 
 	// State exchange with members whose digests differ.
@@ -61,7 +61,7 @@
 	stateSince  time.Duration   // time of the last change of the state
 	lastContact time.Duration   // time of the last message received from the process; -1: none was received
 	suspicion   *suspicion      // nil: the process is not suspect
-	returns     []time.Duration // times of its recent returns
+	returns     []time.Duration // times of the process's returns within returnWindow
 	dampedUntil time.Duration   // time until which a return is not reported; 0: no return is damped
 	damping     time.Duration   // duration of the last damping
 }
--- a/internal/sidecar/member/member.go
+++ b/internal/sidecar/member/member.go
@@ -87,23 +87,23 @@
 // Constants of the failure detector. Durations are in units of Config.Pace unless stated otherwise.
 const (
 	ackTimeoutFraction   = 0.4            // timeout of a direct probe, after which indirect probes are requested
-	indirectProbers      = 3              // members asked for an indirect probe, and further suspecting members that shorten a suspicion
-	suspicionMult        = 3              // shortest suspicion: this * max(1, log10 n)
-	suspicionMaxMult     = 4              // longest suspicion: this * the shortest one
+	indirectProbers      = 3              // number of members asked for an indirect probe, and of further suspecting members that shorten a suspicion
+	suspicionMult        = 3              // duration of the shortest suspicion among n members: this * max(1, log10 n)
+	suspicionMaxMult     = 4              // duration of the longest suspicion: this * the shortest duration
 	suspectProbers       = 6              // expected number of members that themselves probe a suspect that they learn of
 	maxHealthScore       = 8              // health score at which this process trusts its own observations the least
 	gossipFraction       = 0.25           // interval between two rounds of gossip
 	gossipNodes          = 3              // number of receivers of a round of gossip
-	retransmitMult       = 3              // each update is transmitted this * ceil(log2(n+1)) times
-	maxUpdates           = 6              // updates per datagram, so that a datagram stays within 1,400 bytes
+	retransmitMult       = 3              // number of transmissions of an update among n members: this * ceil(log2(n+1))
+	maxUpdates           = 6              // maximum number of updates per datagram, so that a datagram stays within 1,400 bytes
 	maxQueued            = 4 * MaxMembers // maximum number of queued updates
 	failedPingInterval   = 8              // interval of the pings of failed processes, which may have returned
 	seedSyncInterval     = 64             // interval of state exchanges with a seed address while other processes are present
 	joinBackoffMin       = 1              // initial interval of state exchanges with a seed address while no other process is present
 	joinBackoffMax       = 16             // upper limit of the interval of state exchanges while no other process is present, which doubles each time
-	convergenceThreshold = 3              // consecutive equal digests after which the tables count as converged
+	convergenceThreshold = 3              // number of consecutive equal digests after which the tables count as converged
 	syncAfter            = 4              // how long digests may differ before the tables are exchanged
-	maxFullSyncs         = 4              // full tables sent per pace; further requesters are referred to other members
+	maxFullSyncs         = 4              // maximum number of full tables sent per pace; further requesters are referred to other members
 	referrals            = 6              // number of members that a requester is referred to once maxFullSyncs is exceeded
 	reapAfter            = 2400           // time after which a process that failed or left is removed from the table
 	stallThreshold       = 0.5            // delay of a step beyond which this process counts as having been stalled
--- a/internal/sidecar/member/probe.go
+++ b/internal/sidecar/member/probe.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// probe is the probe of the current protocol period.
+// probe is the probe of one process in the current protocol period.
 type probe struct {
 	name          string
 	seq           uint64
@@ -19,7 +19,7 @@
 type relayedProbe struct {
 	seq          uint64 // number of the ping to the target
 	requester    Record
-	requesterSeq uint64
+	requesterSeq uint64        // number of the requester's PingReq
 	nackDue      time.Duration // time at which a Nack is sent to the requester; 0: it was sent
 	endDue       time.Duration // time at which the relayed probe is removed
 }
--- a/internal/sidecar/member/suspicion.go
+++ b/internal/sidecar/member/suspicion.go
@@ -22,7 +22,7 @@
 	p.suspicion = &suspicion{begunAt: m.now, suspectedBy: []string{r.SuspectedBy}}
 	m.setDeadline(p.suspicion)
 	m.watchTimers(p)
-	// On average suspectProbers members probe the suspect next themselves, independent of the number of members.
+	// On average suspectProbers members probe the suspect next, whatever the number of members.
 	if r.SuspectedBy != m.self.Name && m.rng.IntN(max(1, m.Present())) < suspectProbers {
 		m.probeOrder = slices.Insert(m.probeOrder, 0, p.Name)
 	}
--- a/internal/sidecar/member/sync.go
+++ b/internal/sidecar/member/sync.go
@@ -5,8 +5,8 @@
 )
 
 // syncWithSeed exchanges records with a random seed address at which no known process is present. While no other process is
-// present, it repeats the exchange with a growing backoff. Afterwards it does so rarely: that reconnects two sides of a
-// partition whose members have removed each other from their tables.
+// present, it repeats the exchange with a growing backoff. Afterwards it repeats the exchange rarely, which reconnects two sides of
+// a partition whose members have removed each other from their tables.
 func (m *Machine) syncWithSeed() {
 	if m.Present() > 1 {
 		m.joinBackoff = joinBackoffMin * m.cfg.Pace
