--- a/internal/sidecar/view/apply.go
+++ b/internal/sidecar/view/apply.go
@@ -83,8 +83,8 @@
 			continue
 		}
 		if em.GetType() == raftpb.MsgSnap {
-			// Without a report the engine would wait, also if the snapshot is lost. The answer to the next append tells the engine
-			// which entries the receiver lacks.
+			// Without a report the engine would wait, also if the snapshot is lost. The answer to the next append tells the
+			// engine which entries the receiver lacks.
 			defer v.node.ReportSnapshot(em.GetTo(), raft.SnapshotFinish)
 		}
 		m.send(name, Message{Kind: Raft, Voter: v.id, To: em.GetTo(), Group: Group{Era: v.decided.Group.Era}, Raft: marshal(em)})
@@ -96,7 +96,7 @@
 	v := m.voter
 	var d decidedState
 	if err := cbor.Unmarshal(s.GetData(), &d); err != nil {
-		panic(fmt.Errorf("decode snapshot: %w", err))
+		panic(fmt.Errorf("view: decode snapshot from another voter: %w", err))
 	}
 	v.appliedIndex, v.snapshotIndex, v.confState = s.GetMetadata().GetIndex(), s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
 	m.applyDecision(d, -1)
@@ -121,7 +121,7 @@
 	v := m.voter
 	var c command
 	if err := cbor.Unmarshal(data, &c); err != nil {
-		panic(fmt.Errorf("decode log entry: %w", err))
+		panic(fmt.Errorf("view: decode committed log entry: %w", err))
 	}
 	last := v.decided.View.ID
 	if c.View == nil || c.View.ID.Era != last.Era || c.View.ID.Number != last.Number+1 {
@@ -140,7 +140,7 @@
 	v := m.voter
 	var change raftpb.ConfChangeV2
 	if err := proto.Unmarshal(data, &change); err != nil {
-		panic(fmt.Errorf("decode change of voters: %w", err))
+		panic(fmt.Errorf("view: decode committed change of voters: %w", err))
 	}
 	v.confState = v.node.ApplyConfChange(&change)
 	v.changeProposedAt = -1
--- a/internal/sidecar/view/founding.go
+++ b/internal/sidecar/view/founding.go
@@ -16,7 +16,7 @@
 	due         time.Duration     // time of the next attempt
 	promisedEra uint64            // era of the last attempt that this process has promised to join
 	afterSurvey bool              // the current attempt follows a survey that proved that no earlier group can decide again
-	lastView    View              // last view that the survey found; its rules remain in force
+	lastView    View              // last view that the survey found; the rules of that view remain in force
 }
 
 // isFounder reports whether this process is responsible for founding a group: it is the first, by name, of the configured
--- a/internal/sidecar/view/machine.go
+++ b/internal/sidecar/view/machine.go
@@ -24,9 +24,9 @@
 	isConfirmed   bool
 	everHeldLease bool // this member has held a lease on some view
 
-	// The voters, as far as this member knows.
+	// The group of voters and the queries to them, as far as this member knows.
 	group                Group
-	leader               string
+	leader               string                   // name of the voters' leader; empty: not known
 	seq                  uint64                   // number of the last request
 	queries              map[uint64]time.Duration // time at which each unanswered query was sent, by its number
 	queryDue             time.Duration
--- a/internal/sidecar/view/message.go
+++ b/internal/sidecar/view/message.go
@@ -26,14 +26,14 @@
 // Message is a message between members.
 type Message struct {
 	Kind        Kind   `cbor:"1,keyasint"`
-	Seq         uint64 `cbor:"2,keyasint,omitempty"` // number of the request, chosen by the requester; of a founding message: the era
-	Have        ID     `cbor:"3,keyasint,omitzero"`  // Query, FoundingReply: ID of the sender's view
-	Voter       uint64 `cbor:"4,keyasint,omitempty"` // identity of a voter without a group; Raft, SurveyReply: identity of the sender
-	To          uint64 `cbor:"5,keyasint,omitempty"` // Raft: identity of the receiver
-	Group       Group  `cbor:"6,keyasint,omitzero"`
-	View        *View  `cbor:"7,keyasint,omitempty"` // QueryReply: the sender's view, if the requester has another; SurveyReply: without members
-	Stamp       Stamp  `cbor:"8,keyasint,omitzero"`  // QueryReply, SurveyReply: stamp of the sender's view
-	Leader      string `cbor:"9,keyasint,omitempty"` // in answers: name of the voters' leader; empty: not known
-	Raft        []byte `cbor:"10,keyasint,omitempty"`
+	Seq         uint64 `cbor:"2,keyasint,omitempty"`  // number of the request, chosen by the requester; of a founding message: the era
+	Have        ID     `cbor:"3,keyasint,omitzero"`   // Query, FoundingReply: ID of the sender's view
+	Voter       uint64 `cbor:"4,keyasint,omitempty"`  // identity of a voter without a group; Raft, SurveyReply: identity of the sender
+	To          uint64 `cbor:"5,keyasint,omitempty"`  // Raft: identity of the receiver
+	Group       Group  `cbor:"6,keyasint,omitzero"`   // group of voters that the sender knows; Raft: its era only
+	View        *View  `cbor:"7,keyasint,omitempty"`  // QueryReply: the sender's view, if the requester has another; SurveyReply: the view without its members
+	Stamp       Stamp  `cbor:"8,keyasint,omitzero"`   // QueryReply, SurveyReply: stamp of the sender's view
+	Leader      string `cbor:"9,keyasint,omitempty"`  // in answers: name of the voters' leader; empty: not known
+	Raft        []byte `cbor:"10,keyasint,omitempty"` // Raft: encoded message of the Raft engine
 	AfterSurvey bool   `cbor:"11,keyasint,omitempty"` // FoundingRequest, FoundingReply: the founding follows a survey
 }
--- a/internal/sidecar/view/replacement.go
+++ b/internal/sidecar/view/replacement.go
@@ -11,8 +11,8 @@
 
 // candidate is a process that offers to become a voter and belongs to no group.
 type candidate struct {
-	id        uint64
-	offeredAt time.Duration
+	id        uint64        // identity under which the process would vote
+	offeredAt time.Duration // time of the last offer
 }
 
 // maxCandidates limits the number of candidates, and of senders of Raft messages, that a voter stores.
@@ -40,8 +40,8 @@
 }
 
 // dropAdmittedCandidates removes the offers under the names of voters that the next group newly includes. Such an offer was made
-// before the voter was added, so an offer under another identity may come from an earlier process of that name: to accept it
-// would replace a live voter by one that no longer exists. A process that still wants to vote repeats its offer.
+// before the voter was added, so an offer under another identity may come from an earlier process of that name: accepting
+// the offer would replace a live voter by one that no longer exists. A process that still wants to vote repeats its offer.
 func (v *voter) dropAdmittedCandidates(next Group) {
 	for _, admitted := range next.Voters {
 		if _, known := v.decided.Group.voter(admitted.ID); !known {
--- a/internal/sidecar/view/survey.go
+++ b/internal/sidecar/view/survey.go
@@ -153,8 +153,8 @@
 	m.foundIfPromised()
 }
 
-// evaluateSurvey returns the latest era, the last known view, and the reason why a new group must not be founded; empty: it may be
-// founded.
+// evaluateSurvey returns the latest era, the last known view, and the reason why a new group must not be founded; empty: it may
+// be founded.
 func (m *Machine) evaluateSurvey() (era uint64, last View, missing string) {
 	if missing = m.missingReplies(); missing != "" {
 		return 0, View{}, missing
--- a/internal/sidecar/view/view.go
+++ b/internal/sidecar/view/view.go
@@ -40,7 +40,7 @@
 	Addr        string `cbor:"2,keyasint"`
 	Boot        uint64 `cbor:"3,keyasint"`
 	Incarnation uint64 `cbor:"4,keyasint"` // incarnation of the member when the view was proposed
-	FractionPPM uint32 `cbor:"5,keyasint"` // the member's fraction, in parts per million, of what is divided among the members
+	FractionPPM uint32 `cbor:"5,keyasint"` // the member's equal fraction of any divided quantity, in parts per million
 }
 
 // View is an agreed version of the membership.
@@ -146,7 +146,7 @@
 	Name   string
 	Boot   uint64
 	Voters []string      // names of the configured voters, which found the group: 1, 3 or 5
-	Pace   time.Duration // unit of the protocol's timeouts and intervals, see member.Config
+	Pace   time.Duration // unit of the protocol's timeouts and intervals, see member.Config.Pace
 	Lease  time.Duration // duration of a lease
 	Drift  float64       // largest relative difference between the rates of two members' clocks
 	Seed   uint64
--- a/internal/sidecar/view/voter.go
+++ b/internal/sidecar/view/voter.go
@@ -26,7 +26,7 @@
 	campaignDue      time.Duration            // this voter campaigns at this time, unless a message from a leader arrives before
 	readDue          time.Duration            // time of the next read index request
 	pendingReads     map[uint64]time.Duration // time of each unconfirmed read index request, by its number
-	readStates       []raft.ReadState         // requests confirmed by a majority; the log may not be applied up to their index yet
+	readStates       []raft.ReadState         // read index requests confirmed by a majority; the log may not be applied up to their index yet
 	leadConfirmedAt  time.Duration            // the last time at which this voter certainly led; -1: never
 	confirmNotBefore time.Duration            // no view is confirmed before this time: leases of an earlier group may still be valid
 	differsSince     time.Duration            // since when the leader's opinion differs from the view; -1: it does not differ
