--- a/internal/sidecar/peer/channel.go
+++ b/internal/sidecar/peer/channel.go
@@ -17,9 +17,9 @@
 
 // Limits and timeouts of the channel.
 const (
-	maxInbound   = 256                    // maximum number of inbound streams; a further one is closed unread
-	maxLinks     = 128                    // maximum number of outbound streams; a frame for a further one is dropped
-	maxQueued    = 64                     // maximum number of frames queued for a stream; the oldest one is dropped for a further one
+	maxInbound   = 256                    // maximum number of inbound streams; a further stream is closed unread
+	maxLinks     = 128                    // maximum number of outbound streams; a frame for a further stream is dropped
+	maxQueued    = 64                     // maximum number of frames queued for a stream; a further frame replaces the oldest one
 	dialTimeout  = time.Second            // timeout of a connection attempt
 	writeTimeout = 2 * time.Second        // timeout of a write, for peers that do not read
 	readTimeout  = 2 * time.Second        // time for a frame to arrive completely after its length
@@ -140,7 +140,7 @@
 			return
 		default:
 		}
-		select { // the queue is full: drop its oldest frame
+		select { // the queue is full: drop the oldest frame in it
 		case <-l.frames:
 			c.dropped.Add(1)
 		default:
--- a/internal/sidecar/peer/frame.go
+++ b/internal/sidecar/peer/frame.go
@@ -34,17 +34,17 @@
 
 // Frame is the unit that sidecars send to each other. A receiver ignores unknown fields.
 type Frame struct {
-	Version      uint8               `cbor:"1,keyasint"`            // highest version that the sender supports
-	MinVersion   uint8               `cbor:"2,keyasint"`            // lowest version that the sender supports
+	Version      uint8               `cbor:"1,keyasint"`            // highest protocol version that the sender supports
+	MinVersion   uint8               `cbor:"2,keyasint"`            // lowest protocol version that the sender supports
 	Fleet        string              `cbor:"3,keyasint"`            // name of the sender's fleet; frames of other fleets are rejected
 	From         member.Record       `cbor:"4,keyasint"`            // the sender's record of itself
 	Member       *member.Message     `cbor:"5,keyasint,omitempty"`  // message of package member
 	View         *view.Message       `cbor:"6,keyasint,omitempty"`  // message of package view
-	Stamp        *view.Stamp         `cbor:"7,keyasint,omitempty"`  // with an Ack: stamp of the sender's view
+	Stamp        *view.Stamp         `cbor:"7,keyasint,omitempty"`  // stamp of the sender's view, sent with an Ack
 	Report       *quota.Report       `cbor:"8,keyasint,omitempty"`  // report from a holder of quota shares
 	Grant        *quota.Grant        `cbor:"9,keyasint,omitempty"`  // grant to a holder of quota shares
 	Suspensions  []verdict.Statement `cbor:"10,keyasint,omitempty"` // statements on suspended execute nodes
-	TablesDigest uint64              `cbor:"11,keyasint,omitempty"` // with a Ping and an Ack: digest of the sender's statements
+	TablesDigest uint64              `cbor:"11,keyasint,omitempty"` // digest of the sender's statements, sent with a Ping or Ack
 	// Opinions are members' ratings of execute nodes.
 	Opinions []verdict.Opinion `cbor:"12,keyasint,omitempty"`
 	// Draining holds statements on draining execute nodes.
