--- a/internal/common/selection/selection_test.go
+++ b/internal/common/selection/selection_test.go
@@ -88,24 +88,24 @@
 // paperWeights are the probabilities of the softmax as the paper defines them.
 func paperWeights(speeds []float64, tau float64) []float64 {
 	best, total := slices.Max(speeds), 0.0
-	shares := make([]float64, len(speeds))
+	fractions := make([]float64, len(speeds))
 	for i, speed := range speeds {
-		shares[i] = math.Exp(speed / best / tau)
-		total += shares[i]
+		fractions[i] = math.Exp(speed / best / tau)
+		total += fractions[i]
 	}
-	for i := range shares {
-		shares[i] /= total
+	for i := range fractions {
+		fractions[i] /= total
 	}
-	return shares
+	return fractions
 }
 
-// sweep returns the share of each index in the picks of evenly spread draws.
+// sweep returns the fraction of each index in the picks of evenly spread draws.
 func sweep(speeds []float64, tau float64, draws int) []float64 {
-	shares := make([]float64, len(speeds))
+	fractions := make([]float64, len(speeds))
 	for i := range draws {
-		shares[Softmax(slices.Clone(speeds), tau, (float64(i)+0.5)/float64(draws))] += 1 / float64(draws)
+		fractions[Softmax(slices.Clone(speeds), tau, (float64(i)+0.5)/float64(draws))] += 1 / float64(draws)
 	}
-	return shares
+	return fractions
 }
 
 func TestSoftmaxPicksByTheSpeedOverTheBest(t *testing.T) {
@@ -132,8 +132,8 @@
 }
 
 func TestSoftmaxIsUniformWhenNoSpeedIsAboveZero(t *testing.T) {
-	for _, share := range sweep([]float64{0, 0, 0, 0}, 0.2, 1000) {
-		require.InDelta(t, 0.25, share, 1e-9)
+	for _, fraction := range sweep([]float64{0, 0, 0, 0}, 0.2, 1000) {
+		require.InDelta(t, 0.25, fraction, 1e-9)
 	}
 	speeds := []float64{0, 0}
 	require.False(t, Weigh(speeds, 0.2))
@@ -174,10 +174,10 @@
 func TestSlackSelectsTheTemperatureOrTheWalk(t *testing.T) {
 	own := Bands{Low: 0.4, High: 0.6, TauTarget: 0.1, TauFull: 0.5}
 	for _, c := range []struct {
-		bands Bands
-		share float64
-		tau   float64
-		walk  bool
+		bands    Bands
+		fraction float64
+		tau      float64
+		walk     bool
 	}{
 		{DefaultBands, 0, 0, true},
 		{DefaultBands, 0.299, 0, true},
@@ -192,7 +192,7 @@
 		{own, 0.61, 0.5, false},
 	} {
 		slack := NewSlack(c.bands)
-		slack.Fraction = c.share
+		slack.Fraction = c.fraction
 		tau, walk := slack.Temperature()
 		require.Equal(t, c.walk, walk, "%+v", c)
 		if !walk {
--- a/internal/sidecar/logic/admission_test.go
+++ b/internal/sidecar/logic/admission_test.go
@@ -122,7 +122,7 @@
 		r.b.slack.Fraction = slack
 		got = append(got, [2]float64{r.b.admitProbability(r.b.classOrder[0], ""), r.b.admitProbability(r.b.classOrder[1], "")})
 	}
-	// The admitted share of all work is the square of admitSlackFactor times the slack: for the last three
+	// The admitted fraction of all work is the square of admitSlackFactor times the slack: for the last three
 	// slacks, 2.43, 0.75 and 0 of three equal parts.
 	want := [][2]float64{{1, 1}, {0.525, 0.9525}, {minAdmitProbability, 0.375}, {minAdmitProbability, minAdmitProbability}}
 	for i := range want {
--- a/internal/sidecar/logic/api.go
+++ b/internal/sidecar/logic/api.go
@@ -48,7 +48,7 @@
 	Effect        Effect
 	Group         Group         // servers that deduplicate a Keyed class
 	Window        time.Duration // how long servers deduplicate, from the first attempt that may have run
-	LatencyTarget time.Duration // an answer within it has its full value; 0: within Deadline
+	LatencyTarget time.Duration // an answer within this time has its full value; 0: within Deadline
 	TargetPerWork float64       // multiple of a request's own work that is added to its latency target
 	Deadline      time.Duration
 	LateValue     float64 // value of an answer after the latency target; 0: none
--- a/internal/sidecar/logic/server.go
+++ b/internal/sidecar/logic/server.go
@@ -56,8 +56,8 @@
 }
 
 // isExcluded reports whether s gets no new requests because of its state in the list. If gone is advisory, a
-// server with samples that is listed as gone stays in use until it fails. One without a sample is excluded,
-// unless so many servers are listed as gone that the others would be overloaded.
+// server with samples that is listed as gone stays in use until it fails. A server without a sample is
+// excluded, unless so many servers are listed as gone that the others would be overloaded.
 func (b *Balancer) isExcluded(s *server) bool {
 	return s.State == Draining || (s.State == Gone && !s.Seeded() && !b.listDistrusted)
 }
--- a/internal/sidecar/logic/tuning.go
+++ b/internal/sidecar/logic/tuning.go
@@ -11,9 +11,11 @@
 
 // Size of the subset of servers in use, and the bound on attempts in flight.
 const (
-	freshSamples       = 4.0 // samples of a server within agingTime that keep its estimate current
-	minSubsetSize      = 2   // one server may fail while the other is being probed
-	boundMinBalancers  = 16  // least sidecars for the bound; smaller fleets do better with server limits alone
+	freshSamples  = 4.0 // samples of a server within agingTime that keep its estimate current
+	minSubsetSize = 2   // one server may fail while the other is being probed
+	// boundMinBalancers is the number of sidecars from which maxInFlight applies. Smaller fleets do better
+	// with per-server limits alone.
+	boundMinBalancers  = 16
 	inFlightFactor     = 1.8 // attempts in flight per occupied server: a standard core is faster than most
 	inFlightRootFactor = 2.5 // attempts in flight per square root of occupied servers: random variation
 )
@@ -29,7 +31,7 @@
 
 // Slow start.
 const (
-	slowStartFactor    = 1.3  // credit per request, in fractions of the capacity: queues absorb bursts
+	slowStartFactor    = 1.3  // credit per request, relative to a server's capacity: queues absorb bursts
 	slowStartMinSubset = 0.65 // least fraction of its full capacity that a subset is assumed to have
 	slowStartMaxCredit = 1.5  // sends that a server can accumulate as credit
 )
@@ -48,16 +50,18 @@
 
 // Latency and work of a class.
 const (
-	meanStep          = 0.02  // EWMA weight of an answer in a mean: about fifty answers smooth the variation
-	quickStep         = 0.1   // EWMA weight of a quicker answer in the quick latency; of a slower one a tenth
-	heavyFactor       = 100.0 // multiple of a class's mean work; 20 did worse with busy, uniform loads
-	minRecentRequests = 0.3   // aged requests of a class in recent use: one within about agingTime
+	meanStep  = 0.02 // EWMA weight of an answer in a mean: about fifty answers smooth the variation
+	quickStep = 0.1  // EWMA weight of a quicker answer in the quick latency; of a slower one a tenth
+	// A request with more than heavyFactor times the mean work of a class in recent use is heavy. 20 did
+	// worse with busy, uniform loads.
+	heavyFactor       = 100.0
+	minRecentRequests = 0.3 // least aged requests of a class in recent use: one within about agingTime
 )
 
 // Attribution of faults: the fault rate of each suspect.
 const (
 	serverFaultStep    = 0.15 // EWMA weight of an outcome in the fault rate of its server
-	sharedFaultStep    = 0.4  // EWMA weight for other suspects, to be known before a failure run ejects
+	sharedFaultStep    = 0.4  // EWMA weight for other suspects: found before a failure run ejects servers
 	serverFaultPrior   = 0.05 // prior fault rate of a server, the most frequent cause
 	sharedFaultPrior   = 0.03 // prior fault rate of each other suspect
 	lateClassThreshold = 0.3  // fault rate above which a class or tenant is taken to be at fault
@@ -76,7 +80,7 @@
 const (
 	earlyFraction       = 0.4  // fraction of the target within which an answer is early: overload shows soon
 	admitSlackFactor    = 1.5  // admitted fraction of the work: the square of this multiple of the slack
-	minAdmitProbability = 0.05 // least, however low the slack, so that a recovery is noticed
+	minAdmitProbability = 0.05 // least probability, whatever the slack, so that a recovery is noticed
 	bisectionSteps      = 20   // bisection steps in the search for the shedding level
 	minValue            = 1e-3 // value of a class whose value is not set
 	queueDeviations     = 4.0  // a queued request needs the mean latency and this many deviations left
@@ -87,7 +91,7 @@
 const (
 	goneRetention        = 20.0 // aging times without a response until a server listed as gone is forgotten
 	listDistrustFraction = 0.5  // fraction of servers listed as gone above which the list is distrusted
-	listWaitFraction     = 0.25 // longest wait before another list request, in Contract.ListInterval
+	listWaitFraction     = 0.25 // longest wait for a list request, as a fraction of Contract.ListInterval
 )
 
 // pricedConnections is the number of connections per server to which Prices.Connection refers.
