--- a/internal/sidecar/member/broadcast.go
+++ b/internal/sidecar/member/broadcast.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// broadcastQueue is the queue of updates to piggyback on messages: first the updates that were never transmitted, then the others
-// in turn. The cost of taking updates is proportional to their number, independent of the length of the queue.
+// broadcastQueue is the queue of updates to piggyback on messages: first the updates that were never transmitted, then the
+// transmitted ones in turn. The cost of taking updates is proportional to their number, independent of the length of the queue.
 type broadcastQueue struct {
 	fresh, transmitted []broadcast    // updates never transmitted, and those transmitted at least once
 	counts             map[string]int // number of queued updates by process: most have none, which saves a search of the queue
--- a/internal/sidecar/member/record.go
+++ b/internal/sidecar/member/record.go
@@ -49,7 +49,7 @@
 	Incarnation uint64 `cbor:"4,keyasint,omitempty"`
 	// State is the believed state of the process in that incarnation.
 	State State `cbor:"5,keyasint,omitempty"`
-	// SuspectedBy is the name of the process that suspects this one; empty unless the state is Suspect.
+	// SuspectedBy is the name of a process that suspects the recorded process; empty unless the state is Suspect.
 	SuspectedBy string `cbor:"6,keyasint,omitempty"`
 	// Supersedes is the boot of another process of the same name, whose incarnation this process has exceeded. Only a process
 	// that has received a record of the other process can set it.
--- a/internal/sidecar/quota/quota.go
+++ b/internal/sidecar/quota/quota.go
@@ -46,7 +46,7 @@
 // Times are the intervals and timeouts of a fleet's leases. They must be the same at all members.
 type Times struct {
 	ReportInterval time.Duration // interval between a holder's reports
-	Lease          time.Duration // duration of a lease, from when the report was sent that its grant answers
+	Lease          time.Duration // duration of a lease, counted from the sending of the report that the grant answers
 	ActTimeout     time.Duration // for how long a granter acts after a majority confirmed its leadership
 	Drift          float64       // maximum relative drift between two clocks
 }
@@ -78,5 +78,5 @@
 	LeaseFromReply          // a lease runs from the receipt of the grant
 	AnyGrant                // a grant that answers an earlier report is accepted
 	NoWait                  // a new granter grants without waiting
-	TakeAtOnce              // an amount is granted to another holder before its holder has confirmed that it gave it up
+	TakeAtOnce              // an amount is granted to another holder before its present holder has confirmed giving it up
 )
--- a/internal/sidecar/verdict/evaluator.go
+++ b/internal/sidecar/verdict/evaluator.go
@@ -13,7 +13,7 @@
 const (
 	evaluationInterval = 0.25 // interval between two evaluations of the evidence
 	forwardInterval    = 0.25 // delay before a received opinion is forwarded
-	forwardTimes       = 3    // rounds in which an opinion is sent, each to other members, so that it reaches almost all of them
+	forwardTimes       = 3    // number of rounds in which an opinion is sent, each to other members, so that it reaches almost all of them
 	resendInterval     = 12   // interval after which an unchanged opinion is sent again
 	opinionLifetime    = 48   // age after which an opinion no longer counts
 	minTerm            = 16   // duration of a first verdict
@@ -54,7 +54,7 @@
 // Node is an execute node on the member's list that accepts requests.
 type Node struct {
 	Name, Zone string
-	Since      time.Duration // start time of its process; evidence about an earlier process of the same name does not count
+	Since      time.Duration // start time of the node's process; evidence about an earlier process of the same name does not count
 }
 
 // Config configures an Evaluator.
@@ -71,7 +71,7 @@
 
 // The events.
 type (
-	// Evaluate triggers an evaluation of what this member knows. It is due at the time that Next returns.
+	// Evaluate triggers an evaluation of this member's evidence and opinions. The event is due at the time that Next returns.
 	Evaluate struct {
 		Evidence []Evidence
 		Peers    []Peer // this member, the members that are present, and the other members of its view
@@ -96,7 +96,7 @@
 	// Forget discards the evidence about a node.
 	Forget struct{ Node string }
 	// LogEntry is a log record of a change to the verdict on a node. Observers are the members that voted against the node,
-	// Term is how long it is avoided; both are set only when the node is avoided.
+	// Term is how long the node is avoided; both are set only when the node is avoided.
 	LogEntry struct {
 		Node, Event string
 		Observers   []string
--- a/internal/sidecar/verdict/evidence.go
+++ b/internal/sidecar/verdict/evidence.go
@@ -62,7 +62,7 @@
 	ConsecutiveFailures int           // number of failures since the last success
 	Recent              []Outcome     // outcomes that count, latest first
 	Latency             time.Duration // mean latency of the successful attempts
-	LatencySamples      int           // number of attempts in that mean
+	LatencySamples      int           // number of attempts that Latency is the mean of
 }
 
 // Outcome is the time at which an attempt ended and whether it failed.
--- a/internal/sidecar/verdict/rating.go
+++ b/internal/sidecar/verdict/rating.go
@@ -9,9 +9,9 @@
 // Thresholds by which a member rates a node. A node that was rated bad before has lower thresholds (hysteresis), so that its
 // rating does not flap.
 const (
-	minSamples             = 3    // outcomes that a node needs to be rated
-	minCompared            = 3    // nodes with minSamples outcomes that are needed to rate any node
-	minConcurrent          = 8    // outcomes at other nodes since a node began to fail that are needed to rate it bad
+	minSamples             = 3    // number of outcomes that a node needs to be rated
+	minCompared            = 3    // number of nodes with minSamples outcomes that are needed to rate any node
+	minConcurrent          = 8    // number of outcomes at other nodes since a node began to fail that are needed to rate that node bad
 	badFailureRate         = 0.75 // a node is bad if its failure rate exceeds that of the other nodes by this much
 	goodFailureRate        = 0.25 // a node that was bad stays bad at this failure rate; if the other nodes exceed it, no node is rated bad
 	badConsecutiveFailures = 4    // failures in a row that make a node bad, whatever came before, since the module soon stops sending to it
--- a/internal/sidecar/view/machine.go
+++ b/internal/sidecar/view/machine.go
@@ -215,7 +215,7 @@
 }
 
 // watchLeader alerts the operator when the voters have had no leader for leaderlessAlert: their majority may be permanently
-// lost. It also reports the end of such a time.
+// lost. It also reports when the voters have a leader again.
 func (m *Machine) watchLeader() {
 	led := m.voter != nil && m.leaderName() != "" || m.voter == nil && (m.isConfirmed && m.now < m.confirmedAt+m.cfg.Lease || !m.everHeldLease && m.group.Era == 0)
 	switch {
--- a/internal/sidecar/view/stored.go
+++ b/internal/sidecar/view/stored.go
@@ -12,12 +12,12 @@
 
 // Change is a change of a voter's stored state. Empty fields change nothing.
 type Change struct {
-	Forget    bool   // discard the stored state before the other fields are applied
-	Voter     uint64 // identity under which this process votes
-	Era       uint64 // era of the voter's group
-	HardState []byte // Raft's term, vote and commit index
-	Snapshot  []byte // snapshot that replaces the entries up to its index
-	Entries   []Entry
+	Forget    bool    // discard the stored state before the other fields are applied
+	Voter     uint64  // identity under which this process votes
+	Era       uint64  // era of the voter's group
+	HardState []byte  // Raft's term, vote and commit index
+	Snapshot  []byte  // snapshot that replaces the entries up to its index
+	Entries   []Entry // log entries to append
 }
 
 // Entry is an entry of the engine's log. It replaces the stored entries with the same and higher indexes.
