--- a/internal/sidecar/logic/api.go
+++ b/internal/sidecar/logic/api.go
@@ -65,9 +65,11 @@
 
 // Contract holds the guarantees and requirements of the servers and of the server list's service.
 type Contract struct {
-	AnswerGrace          time.Duration // how long after a request's expiry its final answer is still in time
-	ListInterval         time.Duration // how often the server list must be requested
-	SlowStartMinCapacity float64       // least capacity of a starting server, as a fraction (0 to 1)
+	AnswerGrace  time.Duration // how long after a request's expiry its final answer is still in time
+	ListInterval time.Duration // how often the server list must be requested
+	// SlowStartMinCapacity is the least capacity of a server at its start, as a fraction (0 to 1) of its full
+	// capacity.
+	SlowStartMinCapacity float64
 	SlowStartWindow      time.Duration // time from a server's start until it has its full capacity
 	BusyMayHaveRun       bool          // a busy answer does not prove that the attempt never ran
 	// GoneIsAdvisory: requests may still be sent to a server that is listed as gone or left out of the list,
--- a/internal/sidecar/logic/slowstart.go
+++ b/internal/sidecar/logic/slowstart.go
@@ -12,10 +12,10 @@
 }
 
 // grantSlowStartCredit gives each server of the subset that is in slow start a fraction of one request as
-// credit: its fraction of the subset's capacity. Each server is in about as many subsets as any other, so the
-// sum over all sidecars is in proportion to its capacity. Credit is granted per request and not per send:
-// with most of a fleet in slow start, each send costs a credit but would grant less than one, and credit
-// would run out.
+// credit: its fraction of the subset's capacity, times slowStartFactor. Each server is in about as many
+// subsets as any other, so the sum over all sidecars is in proportion to its capacity. Credit is granted per
+// request and not per send: with most of a fleet in slow start, each send costs a credit but would grant less
+// than one, and credit would run out.
 func (b *Balancer) grantSlowStartCredit() {
 	size := min(b.subsetSize(), len(b.servers))
 	var found [2]int        // number of servers found, by zoneSide
--- a/internal/sidecar/logic/tuning.go
+++ b/internal/sidecar/logic/tuning.go
@@ -22,7 +22,7 @@
 
 // Choice of a server.
 const (
-	usableTimeLeft       = 0.7  // a server expected to need more than this fraction of the time is dropped
+	usableTimeLeft       = 0.7  // a server expected to need more than this fraction of time left is dropped
 	lateDropThreshold    = 2    // consecutive late outcomes after which a server is dropped
 	lateProbeProbability = 0.05 // probability that a request probes a server dropped as late
 	affinityWeight       = 2.0  // weight of a key's affinity server, relative to all candidates together
@@ -31,7 +31,9 @@
 
 // Slow start.
 const (
-	slowStartFactor    = 1.3  // credit per request, relative to a server's capacity: queues absorb bursts
+	// A request gives each server in slow start slowStartFactor times its fraction of the subset's capacity
+	// as credit. The factor may be above 1 because queues absorb bursts.
+	slowStartFactor    = 1.3
 	slowStartMinSubset = 0.65 // least fraction of its full capacity that a subset is assumed to have
 	slowStartMaxCredit = 1.5  // sends that a server can accumulate as credit
 )
--- a/internal/sidecar/verdict/opinion.go
+++ b/internal/sidecar/verdict/opinion.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// publish forms this member's own opinion and queues it if it has changed or if repeatInterval has passed. It also discards
+// publish forms this member's own opinion and queues it if it has changed or if resendInterval has passed. It also discards
 // opinions that have expired or whose author no longer has a vote.
 func (e *Evaluator) publish(now time.Duration, evidence []Evidence) {
 	for author, o := range e.opinions {
