--- a/internal/common/selection/selection_test.go
+++ b/internal/common/selection/selection_test.go
@@ -88,28 +88,28 @@
 // paperWeights are the probabilities of the softmax as the paper defines them.
 func paperWeights(speeds []float64, tau float64) []float64 {
 	best, total := slices.Max(speeds), 0.0
-	shares := make([]float64, len(speeds))
+	fractions := make([]float64, len(speeds))
 	for i, speed := range speeds {
-		shares[i] = math.Exp(speed / best / tau)
-		total += shares[i]
+		fractions[i] = math.Exp(speed / best / tau)
+		total += fractions[i]
 	}
-	for i := range shares {
-		shares[i] /= total
+	for i := range fractions {
+		fractions[i] /= total
 	}
-	return shares
+	return fractions
 }
 
-// sweep returns the share of each index in the picks of evenly spread draws.
+// sweep returns the fraction of each index in the picks of evenly spread draws.
 func sweep(speeds []float64, tau float64, draws int) []float64 {
-	shares := make([]float64, len(speeds))
+	fractions := make([]float64, len(speeds))
 	for i := range draws {
-		shares[Softmax(slices.Clone(speeds), tau, (float64(i)+0.5)/float64(draws))] += 1 / float64(draws)
+		fractions[Softmax(slices.Clone(speeds), tau, (float64(i)+0.5)/float64(draws))] += 1 / float64(draws)
 	}
-	return shares
+	return fractions
 }
 
 func TestSoftmaxPicksByTheSpeedOverTheBest(t *testing.T) {
-	for _, tau := range []float64{PaperBands.TauTarget, PaperBands.TauFull} {
+	for _, tau := range []float64{DefaultBands.TauTarget, DefaultBands.TauFull} {
 		for _, speeds := range [][]float64{{1}, {10, 10, 10}, {10, 5, 1, 0}, {0, 0, 3}, {400, 399}} {
 			expect := paperWeights(speeds, tau)
 			got := sweep(speeds, tau, 20_000)
@@ -126,14 +126,14 @@
 
 func TestTheNarrowTemperaturePicksTheBestMoreOften(t *testing.T) {
 	speeds := []float64{10, 8, 6}
-	narrow, wide := sweep(speeds, PaperBands.TauTarget, 1000), sweep(speeds, PaperBands.TauFull, 1000)
+	narrow, wide := sweep(speeds, DefaultBands.TauTarget, 1000), sweep(speeds, DefaultBands.TauFull, 1000)
 	require.Greater(t, narrow[0], wide[0])
 	require.Less(t, narrow[2], wide[2])
 }
 
 func TestSoftmaxIsUniformWhenNoSpeedIsAboveZero(t *testing.T) {
-	for _, share := range sweep([]float64{0, 0, 0, 0}, 0.2, 1000) {
-		require.InDelta(t, 0.25, share, 1e-9)
+	for _, fraction := range sweep([]float64{0, 0, 0, 0}, 0.2, 1000) {
+		require.InDelta(t, 0.25, fraction, 1e-9)
 	}
 	speeds := []float64{0, 0}
 	require.False(t, Weigh(speeds, 0.2))
@@ -164,8 +164,8 @@
 }
 
 func TestSlackStartsAtItsInitialValue(t *testing.T) {
-	slack := NewSlack(PaperBands)
-	require.Equal(t, 0.8, slack.Share)
+	slack := NewSlack(DefaultBands)
+	require.Equal(t, 0.8, slack.Fraction)
 	tau, walk := slack.Temperature()
 	require.False(t, walk)
 	require.Equal(t, 0.2, tau)
@@ -174,25 +174,25 @@
 func TestSlackSelectsTheTemperatureOrTheWalk(t *testing.T) {
 	own := Bands{Low: 0.4, High: 0.6, TauTarget: 0.1, TauFull: 0.5}
 	for _, c := range []struct {
-		bands Bands
-		share float64
-		tau   float64
-		walk  bool
+		bands    Bands
+		fraction float64
+		tau      float64
+		walk     bool
 	}{
-		{PaperBands, 0, 0, true},
-		{PaperBands, 0.299, 0, true},
-		{PaperBands, 0.3, 0.2, false},
-		{PaperBands, 0.5, 0.2, false},
-		{PaperBands, 0.8, 0.2, false},
-		{PaperBands, 0.801, 0.333, false},
-		{PaperBands, 1, 0.333, false},
+		{DefaultBands, 0, 0, true},
+		{DefaultBands, 0.299, 0, true},
+		{DefaultBands, 0.3, 0.2, false},
+		{DefaultBands, 0.5, 0.2, false},
+		{DefaultBands, 0.8, 0.2, false},
+		{DefaultBands, 0.801, 0.333, false},
+		{DefaultBands, 1, 0.333, false},
 		{own, 0.39, 0, true},
 		{own, 0.4, 0.1, false},
 		{own, 0.6, 0.1, false},
 		{own, 0.61, 0.5, false},
 	} {
 		slack := NewSlack(c.bands)
-		slack.Share = c.share
+		slack.Fraction = c.fraction
 		tau, walk := slack.Temperature()
 		require.Equal(t, c.walk, walk, "%+v", c)
 		if !walk {
@@ -202,32 +202,32 @@
 }
 
 func TestSlackIsTheAgedShareInTime(t *testing.T) {
-	slack := NewSlack(PaperBands)
+	slack := NewSlack(DefaultBands)
 	require.True(t, slack.Begin(time.Minute))
 	require.False(t, slack.Begin(2*time.Minute), "the aging has started already")
 	alpha := 1 - math.Exp(-0.1)
 	slack.Observe(time.Minute+300*time.Millisecond, false)
-	require.InDelta(t, 0.8*(1-alpha), slack.Share, 1e-12)
+	require.InDelta(t, 0.8*(1-alpha), slack.Fraction, 1e-12)
 	slack.Observe(time.Minute+600*time.Millisecond, true)
-	require.InDelta(t, 0.8*(1-alpha)*(1-alpha)+alpha, slack.Share, 1e-12)
+	require.InDelta(t, 0.8*(1-alpha)*(1-alpha)+alpha, slack.Fraction, 1e-12)
 }
 
 func TestOneRequestMovesTheSlackHalfWayAtMost(t *testing.T) {
-	slack := NewSlack(PaperBands)
+	slack := NewSlack(DefaultBands)
 	slack.Observe(time.Hour, false)
-	require.InDelta(t, 0.4, slack.Share, 1e-12)
+	require.InDelta(t, 0.4, slack.Fraction, 1e-12)
 	slack.Observe(2*time.Hour, true)
-	require.InDelta(t, 0.7, slack.Share, 1e-12)
+	require.InDelta(t, 0.7, slack.Fraction, 1e-12)
 }
 
 func TestSlackStaysAShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		slack, now := NewSlack(PaperBands), time.Duration(0)
+		slack, now := NewSlack(DefaultBands), time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(t, "requests") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "gap"))
 			slack.Observe(now, rapid.Bool().Draw(t, "in time"))
-			if slack.Share < 0 || slack.Share > 1 {
-				t.Fatalf("slack %v, want a value from 0 to 1", slack.Share)
+			if slack.Fraction < 0 || slack.Fraction > 1 {
+				t.Fatalf("slack %v, want a value from 0 to 1", slack.Fraction)
 			}
 		}
 	})
@@ -246,11 +246,11 @@
 	}
 	speeds["b"] = 0 // the walk stays at b until it is left, whatever its speed
 	require.Equal(t, "b", walk.Pick(names, names, speeds.speed))
-	walk.Leave("b")
+	walk.MovePast("b")
 	require.Equal(t, "c", walk.Pick(names, names, speeds.speed))
-	walk.Leave("b") // the walk is already past b
+	walk.MovePast("b") // the walk is already past b
 	require.Equal(t, "c", walk.Pick(names, names, speeds.speed))
-	walk.Leave("c")
+	walk.MovePast("c")
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed))
 }
 
@@ -258,10 +258,10 @@
 	speeds, names := serverSpeeds{"a": 2, "b": 1}, []string{"a", "b"}
 	var walk Walk[string]
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed))
-	walk.Leave("a")
+	walk.MovePast("a")
 	require.Equal(t, "b", walk.Pick(names, names, speeds.speed))
 	speeds["a"], speeds["b"] = 3, 4
-	walk.Leave("b")
+	walk.MovePast("b")
 	require.Equal(t, "b", walk.Pick(names, names, speeds.speed), "sorted by the present speeds")
 }
 
@@ -270,7 +270,7 @@
 	var walk Walk[string]
 	require.Equal(t, "b", walk.Pick(names, []string{"c", "b"}, speeds.speed))
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed), "skipping a server does not leave it")
-	walk.Leave("c") // c is the last of the list, so the servers before it are left too
+	walk.MovePast("c") // c is the last of the list, so the walk moves past the servers before it too
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed), "the list is sorted again at its end")
 }
 
@@ -285,7 +285,7 @@
 	var walk Walk[string]
 	for _, name := range names {
 		require.Equal(t, name, walk.Pick(names, names, serverSpeeds{}.speed))
-		walk.Leave(name)
+		walk.MovePast(name)
 	}
 }
 
@@ -293,11 +293,11 @@
 	speeds, names := serverSpeeds{"a": 2, "b": 1}, []string{"a", "b"}
 	var walk Walk[string]
 	walk.Pick(names, names, speeds.speed)
-	walk.Leave("a")
+	walk.MovePast("a")
 	walk.Reset()
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed))
 	walk.Reset()
-	walk.Leave("a") // the list is empty after the reset
+	walk.MovePast("a") // the list is empty after the reset
 	require.Equal(t, "a", walk.Pick(names, names, speeds.speed))
 }
 
@@ -315,9 +315,9 @@
 			}
 			switch random.IntN(4) {
 			case 0:
-				walk.Leave(picked)
+				walk.MovePast(picked)
 			case 1:
-				walk.Leave(servers[random.IntN(len(servers))])
+				walk.MovePast(servers[random.IntN(len(servers))])
 			case 2:
 				walk.Reset()
 			}
--- a/internal/sidecar/allowance/accounts.go
+++ b/internal/sidecar/allowance/accounts.go
@@ -12,20 +12,20 @@
 // Tenant is a caller with a quota share of the fleet's capacity. Its requests beyond the share have a reduced value.
 type Tenant struct {
 	Name      string
-	Share     float64 // of the fleet's capacity, 0 to 1
+	Share     float64 // quota share: a fraction of the fleet's capacity, 0 to 1
 	Allowance float64 // requests per second within the share, over all sidecars; 0: not set
 }
 
-// Part describes the requests of one tenant.
-type Part struct {
-	Fraction float64 // of this sidecar's requests, 0 to 1
-	Value    float64 // of one of these requests, as a fraction of its class's value
+// MixEntry describes the requests of one tenant, or all requests without an account.
+type MixEntry struct {
+	Fraction float64 // the tenant's fraction of this sidecar's requests, 0 to 1
+	Value    float64 // value of one of these requests, as a fraction of its class's value
 }
 
 // tenant is the account of one tenant.
 type tenant struct {
 	Tenant
-	rate        float64 // requests per second, aged as of rateUpdated
+	rate        float64 // requests per second at this sidecar, aged as of rateUpdated
 	rateUpdated time.Duration
 	allotted    float64 // this sidecar's part of the allowance, requests per second; below 0: an equal part
 	value       float64 // value of a request, as of the last call of Mix
@@ -40,7 +40,7 @@
 	sidecars       float64
 	overShareValue float64
 	agingTime      time.Duration
-	mix            []Part // buffer of Mix
+	mix            []MixEntry // buffer of Mix
 }
 
 // New returns the accounts of tenants at one of a number of sidecars. A request beyond its tenant's share has
@@ -90,10 +90,10 @@
 	t.rateUpdated = now
 }
 
-// Mix returns the parts of the tenants at now in the order of the settings and, last, the part of all other requests,
+// Mix returns the entries of the tenants at now in the order of the settings and, last, the entry of all other requests,
 // which have full value. total is this sidecar's requests per second, aged like the rates of the tenants. The slice is
 // valid until the next call.
-func (a *Accounts) Mix(now time.Duration, total float64) []Part {
+func (a *Accounts) Mix(now time.Duration, total float64) []MixEntry {
 	a.mix = a.mix[:0]
 	rest := 1.0
 	for _, t := range a.named {
@@ -104,9 +104,9 @@
 		}
 		fraction := min(t.rate/max(total, 1e-9), 1)
 		rest -= fraction
-		a.mix = append(a.mix, Part{fraction, t.value})
+		a.mix = append(a.mix, MixEntry{fraction, t.value})
 	}
-	return append(a.mix, Part{max(rest, 0), 1})
+	return append(a.mix, MixEntry{max(rest, 0), 1})
 }
 
 // allowedRate is this sidecar's part of a tenant's allowance: the part given to SetAllowance, or else an equal part over
--- a/internal/sidecar/logic/class.go
+++ b/internal/sidecar/logic/class.go
@@ -11,13 +11,13 @@
 // class is a class of requests with what this sidecar has measured for it.
 type class struct {
 	Class
-	meanLatency      float64 // of answers within the full target, in seconds, aged
+	meanLatency      float64 // mean latency of answers within the full target, in seconds, aged
 	latencyDeviation float64 // mean absolute deviation from meanLatency
 	quickLatency     float64 // seconds to an answer without queueing, about the tenth percentile
 	requestRate      float64 // requests per second, aged as of ratesUpdated
-	workRate         float64 // work of these requests per second, aged alike
+	workRate         float64 // work of these requests per second, aged as of ratesUpdated
 	ratesUpdated     time.Duration
-	faultShares
+	faultRates
 	lastAdmitted time.Duration // when a request was last admitted
 	missedTarget time.Duration // latest full target of the requests that ended unserved
 }
@@ -64,7 +64,7 @@
 // not: its attempts would occupy servers without any value. Once per aging time it reports false, so that
 // one request probes the class.
 func (b *Balancer) isPersistentlyLate(c *class) bool {
-	return c.faultShares[lateness] > max(lateClassThreshold, b.overall[lateness]) &&
+	return c.faultRates[lateness] > max(lateClassThreshold, b.overall[lateness]) &&
 		b.now < c.lastAdmitted+agingTime
 }
 
--- a/internal/sidecar/logic/fault.go
+++ b/internal/sidecar/logic/fault.go
@@ -15,8 +15,8 @@
 	numFaultKinds // number of kinds
 )
 
-// faultShares are the aged shares of outcomes that are bad and attributed to one suspect, by kind.
-type faultShares [numFaultKinds]float64
+// faultRates are the aged fractions of outcomes that are bad and attributed to one suspect, by kind.
+type faultRates [numFaultKinds]float64
 
 // suspect is what a bad outcome may be attributed to.
 type suspect int
@@ -31,27 +31,27 @@
 	numSuspects
 )
 
-// sharesOf returns the shares of key k in m, and adds them if there are none yet.
-func sharesOf[K comparable](m map[K]*faultShares, k K) *faultShares {
+// faultRatesOf returns the fault rates of key k in m, and adds them if there are none yet.
+func faultRatesOf[K comparable](m map[K]*faultRates, k K) *faultRates {
 	if m[k] == nil {
-		m[k] = &faultShares{}
+		m[k] = &faultRates{}
 	}
 	return m[k]
 }
 
-// attribute updates the shares of all suspects of an attempt's outcome. A bad outcome is attributed to them
-// in proportion to their shares so far, so that faults seen at several servers accumulate at the suspect
-// that these have in common. A good outcome lowers all shares. The request records the likeliest suspect of
-// a bad outcome; attribute reports whether that is the server, and true for a good outcome.
+// attribute updates the fault rates of all suspects of an attempt's outcome. A bad outcome is attributed to
+// them in proportion to their fault rates so far, so that faults seen at several servers accumulate at the
+// suspect that these have in common. A good outcome lowers all rates. The request records the likeliest
+// suspect of a bad outcome. attribute returns true if that suspect is the server or if the outcome is good.
 func (b *Balancer) attribute(a *attempt, kind faultKind, bad bool) (toServer bool) {
 	s, r := a.server, a.request
-	shares := [numSuspects]*faultShares{&b.overall, &s.faultShares, s.cellShares, s.zoneShares,
-		&r.class.faultShares, r.tenantShares}
+	rates := [numSuspects]*faultRates{&b.overall, &s.faultRates, s.cellFaultRates, s.zoneFaultRates,
+		&r.class.faultRates, r.tenantFaultRates}
 	total, highest := serverFaultPrior-sharedFaultPrior, 0.0
-	for _, x := range shares {
+	for _, x := range rates {
 		total += x[kind] + sharedFaultPrior
 	}
-	for i, x := range shares {
+	for i, x := range rates {
 		step, part := sharedFaultStep, x[kind]+sharedFaultPrior
 		if suspect(i) == suspectServer {
 			step, part = serverFaultStep, x[kind]+serverFaultPrior
--- a/internal/sidecar/logic/outcome.go
+++ b/internal/sidecar/logic/outcome.go
@@ -68,7 +68,7 @@
 	serverAtFault := b.attribute(a, lateness, !onTime)
 	s.Observe(b.now, r.work/took)
 	s.consecutiveFailures, s.lastResponse = 0, b.now
-	s.failureShare -= meanStep * s.failureShare
+	s.failureRate -= meanStep * s.failureRate
 	// The answer to an attempt sent before the end of an ejection does not reset the backoff.
 	if s.ejectBackoff > minEjectBackoff && a.sentAt >= s.ejectedUntil && onTime {
 		b.logf("server %d recovered", s.ID)
@@ -77,7 +77,7 @@
 	r.class.recordLatency(took, onTime)
 	b.adjustLimit(a, took, serverAtFault)
 	if b.now > r.target {
-		b.walk.Leave(s)
+		b.walk.MovePast(s)
 	}
 }
 
@@ -100,7 +100,7 @@
 	s, r := a.server, a.request
 	quick := r.class.quickLatency
 	targetRange := max((r.fullTarget-r.arrived).Seconds()-quick, 0) // range from quick latency to target
-	s.slowShare -= slowStep * s.slowShare
+	s.slowFraction -= slowStep * s.slowFraction
 	if took > quick+shrinkAbove*targetRange {
 		// A slow answer in time, with much of the limit in use, is a queue, which the lower limit corrects.
 		if serverAtFault && (!a.limitUsed || b.now > r.fullTarget) {
@@ -112,25 +112,25 @@
 	}
 }
 
-// shrinkLimit lowers the limit of a slow server by half the share of its slow answers, as DCTCP does, and
+// shrinkLimit lowers the limit of a slow server by half the fraction of its slow answers, as DCTCP does, and
 // only once for all attempts in flight at that time. Occasional slow answers lower the limit a little; a
 // queue, which makes most answers slow, lowers it a lot.
 func (b *Balancer) shrinkLimit(a *attempt) {
 	s := a.server
-	if s.slowShare += slowStep; a.sentAt >= s.limitShrunkAt && !a.request.isAtFault() {
-		s.limit, s.limitShrunkAt = max(1, s.limit*(1-s.slowShare*limitCut)), b.now
+	if s.slowFraction += slowStep; a.sentAt >= s.limitShrunkAt && !a.request.isAtFault() {
+		s.limit, s.limitShrunkAt = max(1, s.limit*(1-s.slowFraction*limitDecreaseFactor)), b.now
 	}
 }
 
 // recordFailure records a failure as a sample of speed zero, since a server that fails quickly would
-// otherwise look idle. Enough consecutive failures, or a high share of failures, eject the server.
+// otherwise look idle. Enough consecutive failures, or a high failure rate, eject the server.
 func (b *Balancer) recordFailure(a *attempt, outcome Outcome) {
 	s, kind := a.server, failure
 	if outcome == TimedOut || outcome == Canceled {
 		kind = lateness
 	}
 	serverAtFault := b.attribute(a, kind, true)
-	s.failureShare += meanStep * (1 - s.failureShare)
+	s.failureRate += meanStep * (1 - s.failureRate)
 	// A late server that has responded to other attempts since is not hung but has a queue, which a lower
 	// limit corrects.
 	if serverAtFault && (kind == failure || s.lastResponse <= a.sentAt) {
@@ -138,7 +138,7 @@
 	}
 	if !a.request.isAtFault() {
 		s.Observe(b.now, 0)
-		b.walk.Leave(s)
+		b.walk.MovePast(s)
 	}
 	b.shrinkLimit(a)
 	if kind == failure {
@@ -147,11 +147,11 @@
 		s.consecutiveLate++
 	}
 	threshold := b.ejectThreshold()
-	// A server that is listed as gone and does not respond is gone indeed: eject it for the longest time.
+	// A server that is listed as gone and does not respond has stopped: eject it for the longest time.
 	if s.State == Gone && outcome != Errored && outcome != Busy {
 		s.consecutiveFailures, s.ejectBackoff = threshold, maxEjectBackoff
 	}
-	if s.consecutiveFailures >= threshold || s.faultShares[failure] > ejectFailureShare {
+	if s.consecutiveFailures >= threshold || s.faultRates[failure] > ejectFailureRate {
 		b.eject(s)
 	}
 }
--- a/internal/sidecar/logic/retry.go
+++ b/internal/sidecar/logic/retry.go
@@ -7,7 +7,7 @@
 
 // mayAttemptAt reports whether the class of r permits a further attempt at s now.
 func (b *Balancer) mayAttemptAt(r *request, s *server) bool {
-	deadline := b.repeatDeadline(r)
+	deadline := b.dedupDeadline(r)
 	return (deadline == 0 || b.now < deadline) && !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
 		return a.possiblyExecuted() && (r.class.Effect == Unsafe ||
 			(a.inFlight && !b.cfg.Limits.ParallelAttempts) ||
@@ -15,16 +15,16 @@
 	})
 }
 
-// repeatDeadline is the end of the window in which servers drop repeats of r, or 0 if it has none. An attempt
-// whose connection is established later must not be written.
-func (b *Balancer) repeatDeadline(r *request) time.Duration {
+// dedupDeadline is the end of the window in which servers deduplicate r, or 0 if r has no such window. An
+// attempt whose connection is established later must not be written.
+func (b *Balancer) dedupDeadline(r *request) time.Duration {
 	if i := slices.IndexFunc(r.attempts, (*attempt).possiblyExecuted); i >= 0 && r.class.Effect == Keyed {
 		return r.attempts[i].sentAt + time.Duration(windowSafety*float64(r.class.Window))
 	}
 	return 0
 }
 
-// sameGroup reports whether x and y are in one group of servers that drops repeats.
+// sameGroup reports whether servers x and y deduplicate requests together.
 func sameGroup(g Group, x, y *server) bool {
 	return g == GroupAll || (g == GroupZone && x.Zone == y.Zone) || (g == GroupCell && x.Cell == y.Cell)
 }
--- a/internal/sidecar/quota/holder.go
+++ b/internal/sidecar/quota/holder.go
@@ -11,7 +11,7 @@
 type Holder struct {
 	times       Times
 	mutate      Mutation
-	limits      map[string]*heldLimit
+	limits      map[string]*leasedLimit
 	names       []string      // names of the limits, sorted
 	seq         uint64        // sequence number of the last report
 	sentAt      time.Duration // when the last report was sent
@@ -20,30 +20,30 @@
 	reportDue   time.Duration
 }
 
-// heldLimit is a limit with the member's share of it.
-type heldLimit struct {
+// leasedLimit is a limit with the share of it that the member has leased.
+type leasedLimit struct {
 	Limit
-	amount Unit // leased until expiry
+	amount Unit // amount leased until expiry, in addition to the floor
 	expiry time.Duration
 	demand Unit
-	inUse  Unit // in flight
+	inUse  Unit // number of requests in flight
 }
 
 // NewHolder returns a holder without leases. seq is a random number from which reports are numbered, so that grants to an
 // earlier process of the member are ignored.
 func NewHolder(times Times, seq uint64, now time.Duration, mutate Mutation) *Holder {
-	return &Holder{times: times, limits: make(map[string]*heldLimit), seq: seq, reportDue: now, mutate: mutate}
+	return &Holder{times: times, limits: make(map[string]*leasedLimit), seq: seq, reportDue: now, mutate: mutate}
 }
 
 // SetLimits replaces the limits. A lease on a limit that remains stays in force, capped by the new pool.
 func (h *Holder) SetLimits(limits []Limit) {
 	was := h.limits
-	h.limits, h.names = make(map[string]*heldLimit), nil
+	h.limits, h.names = make(map[string]*leasedLimit), nil
 	for _, l := range limits {
 		if len(h.limits) >= MaxLimits || h.limits[l.Name] != nil {
 			continue
 		}
-		k := &heldLimit{Limit: l}
+		k := &leasedLimit{Limit: l}
 		if old := was[l.Name]; old != nil {
 			k.amount, k.expiry, k.demand, k.inUse = min(old.amount, l.pool()), old.expiry, old.demand, old.inUse
 		}
@@ -60,7 +60,7 @@
 	}
 }
 
-// SetInUse sets how much of a limit is in flight. Reports never give that amount up.
+// SetInUse sets how much of a limit is in flight. A report never gives up the amount in flight.
 func (h *Holder) SetInUse(limit string, amount Unit) {
 	if k := h.limits[limit]; k != nil {
 		k.inUse = amount
--- a/internal/sidecar/verdict/rating.go
+++ b/internal/sidecar/verdict/rating.go
@@ -9,14 +9,14 @@
 // Thresholds by which a member rates a node. A node that was rated bad before has lower thresholds (hysteresis), so that its
 // rating does not flap.
 const (
-	minSamples             = 3    // outcomes that a node needs to be rated
-	minCompared            = 3    // nodes with minSamples outcomes that are needed to rate any node
-	minConcurrent          = 8    // outcomes at other nodes since a node began to fail that are needed to rate it bad
-	badFailureRate         = 0.75 // a node is bad if its rate exceeds that of the other nodes by this much
-	goodFailureRate        = 0.25 // absolute threshold for a node that was bad; if the other nodes exceed it, no node is rated bad
-	badConsecutiveFailures = 4    // a node is bad whatever came before, since the module soon stops sending to it
+	minSamples             = 3    // number of outcomes that a node needs to be rated
+	minCompared            = 3    // number of nodes with minSamples outcomes that are needed to rate any node
+	minConcurrent          = 8    // number of outcomes at other nodes since a node began to fail that are needed to rate that node bad
+	badFailureRate         = 0.75 // a node is bad if its failure rate exceeds that of the other nodes by this much
+	goodFailureRate        = 0.25 // a node that was bad stays bad at this failure rate; if the other nodes exceed it, no node is rated bad
+	badConsecutiveFailures = 4    // failures in a row that make a node bad, whatever came before, since the module soon stops sending to it
 	slowFactor             = 4    // a node is bad at this multiple of the median latency
-	recoveredFactor        = 2    // the same for a node that was bad before
+	recoveredFactor        = 2    // a node that was bad stays bad at this multiple of the median latency
 )
 
 // rate compares each node that has enough evidence with the other nodes. wasBad holds the nodes that were rated bad before.
@@ -25,14 +25,14 @@
 	if len(all) < minCompared && mutate != OwnFaults {
 		return nil, nil
 	}
-	var shares, times []float64
+	var rates, times []float64
 	for _, e := range all {
-		shares = append(shares, failureRate(e))
+		rates = append(rates, failureRate(e))
 		if e.LatencySamples >= minSamples {
 			times = append(times, e.Latency.Seconds())
 		}
 	}
-	everywhere := median(shares)
+	everywhere := median(rates)
 	usual := median(times)
 	for i, e := range all {
 		own := max(everywhere, concurrentFailureRate(all, i)) // failures that occur at all nodes are not the node's own
--- a/internal/sidecar/view/machine.go
+++ b/internal/sidecar/view/machine.go
@@ -24,9 +24,9 @@
 	isConfirmed   bool
 	everHeldLease bool // this member has held a lease on some view
 
-	// The voters, as far as this member knows.
+	// The group of voters and the queries to them, as far as this member knows.
 	group                Group
-	leader               string
+	leader               string                   // name of the voters' leader; empty: not known
 	seq                  uint64                   // number of the last request
 	queries              map[uint64]time.Duration // time at which each unanswered query was sent, by its number
 	queryDue             time.Duration
@@ -215,7 +215,7 @@
 }
 
 // watchLeader alerts the operator when the voters have had no leader for leaderlessAlert: their majority may be permanently
-// lost. It also reports the end of such a time.
+// lost. It also reports when the voters have a leader again.
 func (m *Machine) watchLeader() {
 	led := m.voter != nil && m.leaderName() != "" || m.voter == nil && (m.isConfirmed && m.now < m.confirmedAt+m.cfg.Lease || !m.everHeldLease && m.group.Era == 0)
 	switch {
