--- a/internal/region/control/assemble.go
+++ b/internal/region/control/assemble.go
@@ -24,7 +24,7 @@
 		local:   local,
 		replica: chain.NewReplica(local.identity(), state.chain, local.incarnation),
 	}
-	machine.wireParts()
+	machine.wireComponents()
 	machine.voter.acceptor = state.restoreAcceptor()
 	machine.disk.schedule = snapshotSchedule{
 		// a snapshot at the start replaces all records of an earlier version of this program
@@ -57,8 +57,8 @@
 	return local, isNew
 }
 
-// wireParts creates the parts and gives each the other parts that it uses.
-func (m *Machine) wireParts() {
+// wireComponents creates the parts and gives each the other parts that it uses.
+func (m *Machine) wireComponents() {
 	m.wirePeers()
 	m.wireAgreement()
 	m.wireOrders()
--- a/internal/region/control/node.go
+++ b/internal/region/control/node.go
@@ -17,8 +17,8 @@
 // Limits of a Node.
 const (
 	eventQueueLength = 256
-	// leaveSlack is added to LeaveTimeout, to end the wait for a Machine that does not respond.
-	leaveSlack = 200 * time.Millisecond
+	// leaveTimeoutMargin is added to LeaveTimeout, to end the wait for a Machine that does not respond.
+	leaveTimeoutMargin = 200 * time.Millisecond
 	// enqueueTimeout is how long a delivery waits for room in the event queue.
 	enqueueTimeout = 300 * time.Millisecond
 )
@@ -139,7 +139,7 @@
 // cannot, or LeaveTimeout has passed. It reports whether they agreed on a view without it. It may be called once; the
 // node works on until its context ends.
 func (n *Node) Leave(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, LeaveTimeout+leaveSlack)
+	ctx, cancel := context.WithTimeout(ctx, LeaveTimeout+leaveTimeoutMargin)
 	defer cancel()
 	n.post(ctx, Leave{})
 	select {
--- a/internal/region/control/originorders.go
+++ b/internal/region/control/originorders.go
@@ -35,8 +35,8 @@
 	target   string // identity of the machine that the order was last forwarded to; empty: none
 	// earlierTargets are the members that a read was forwarded to before target, in the view in force.
 	earlierTargets []string
-	// heldState is the committed state that this machine held when it last forwarded a read; nil: none.
-	heldState *catalog.Snapshot
+	// localState is the committed state that this machine held when it last forwarded a read; nil: none.
+	localState *catalog.Snapshot
 }
 
 // submit accepts an order of the operator and forwards it. While orders may have waited for a stalled process they are
@@ -90,7 +90,7 @@
 	target := o.replica.Head()
 	if pending.order.GetKind() == pb.Order_KIND_READ {
 		target = o.readTarget(len(pending.earlierTargets))
-		o.attachHeldState(pending)
+		o.attachLocalSequence(pending)
 	}
 	pending.target = target.GetIdentity()
 	if target != nil {
@@ -122,14 +122,14 @@
 	return 1
 }
 
-// attachHeldState sets in a read the sequence of the committed state that this machine holds. If that state is the
+// attachLocalSequence sets in a read the sequence of the committed state that this machine holds. If that state is the
 // newest, the member does not send the configuration, which may be large.
-func (o *originOrders) attachHeldState(pending *pendingOrder) {
-	pending.heldState = o.replica.Committed()
+func (o *originOrders) attachLocalSequence(pending *pendingOrder) {
+	pending.localState = o.replica.Committed()
 	pending.order = &pb.Order{
 		Id:   pending.order.GetId(),
 		Kind: pb.Order_KIND_READ,
-		Held: pending.heldState.Sequence(),
+		Held: pending.localState.Sequence(),
 	}
 }
 
@@ -175,10 +175,10 @@
 	case pending == nil || !pending.isTarget(from):
 	case result.GetStatus() == statusConfirm:
 		o.confirm(pending, result.GetBody())
-	case result.GetHeldIsNewest() && pending.heldState == nil:
+	case result.GetHeldIsNewest() && pending.localState == nil:
 		// the result belongs to another order, since this one named no state
 	case result.GetHeldIsNewest():
-		o.answer(pending, readResult(result.GetId(), pending.heldState))
+		o.answer(pending, readResult(result.GetId(), pending.localState))
 	case isUnansweredRead(pending, result) && pending.target != from.GetIdentity():
 		// the member that the read was last forwarded to may still answer
 	case isUnansweredRead(pending, result) && o.hasUntriedMember(pending):
--- a/internal/region/control/submit.go
+++ b/internal/region/control/submit.go
@@ -7,8 +7,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// submitSlack is added to an order's timeout, to end the wait for a Machine that does not respond.
-const submitSlack = time.Second
+// submitTimeoutMargin is added to an order's timeout, to end the wait for a Machine that does not respond.
+const submitTimeoutMargin = time.Second
 
 // Submit passes an order of the operator to the Machine and waits for its result. The status is 503 if the result is
 // not known within about a second, or longer for a large body. Submit never returns nil. It is safe for concurrent use.
@@ -23,7 +23,7 @@
 	answer := make(chan Reply, 1) // so that the loop never waits for a caller
 	request := n.registerReply(answer)
 	defer n.unregisterReply(request)
-	ctx, cancel := context.WithTimeout(ctx, orderTimeoutOf(order)+submitSlack)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeoutOf(order)+submitTimeoutMargin)
 	defer cancel()
 	select {
 	case n.events <- OrderSubmitted{Request: request, Order: order}:
--- a/internal/region/control/submitcall.go
+++ b/internal/region/control/submitcall.go
@@ -17,7 +17,7 @@
 	request := n.registerCall(answer)
 	defer n.unregisterCall(request)
 	wait := time.Duration(call.GetWatch().GetWaitMs()) * time.Millisecond
-	ctx, cancel := context.WithTimeout(ctx, coordination.CallTimeout+submitSlack+wait)
+	ctx, cancel := context.WithTimeout(ctx, coordination.CallTimeout+submitTimeoutMargin+wait)
 	defer cancel()
 	select {
 	case n.events <- CallSubmitted{Request: request, Call: call}:
