--- a/internal/region/control/actions.go
+++ b/internal/region/control/actions.go
@@ -15,8 +15,8 @@
 	Message *pb.Message
 }
 
-// Persist asks the shell to write records to disk, after those of all earlier Persist actions. If Snapshot is set, it
-// replaces everything so far, including Records.
+// Persist asks the shell to write records to disk, after those of all earlier Persist actions. If Snapshot is set, the
+// snapshot replaces everything written so far and contains the state of Records, which then need not be written.
 type Persist struct {
 	Token    uint64
 	Records  []ring.Record
@@ -27,7 +27,7 @@
 type Reply struct {
 	Request uint64
 	Result  *pb.OrderResult
-	Cause   UnavailableCause // of a 503; empty otherwise
+	Cause   UnavailableCause // cause of a result with status 503; empty for other results
 }
 
 // CallReply answers a CallSubmitted. Each CallSubmitted is answered exactly once unless a CallCanceled follows it.
@@ -39,8 +39,8 @@
 // Committed reports a newer committed state.
 type Committed struct {
 	Snapshot *catalog.Snapshot
-	// Changes lead from the state of the previous Committed to this one; nil if they are not retained any more. In the
-	// first Committed, they are all the retained changes.
+	// Changes lead from the state of the previous Committed action to this one; nil if the changes are not retained
+	// any more. In the first Committed action, Changes holds all the retained changes.
 	Changes []*pb.Change
 }
 
@@ -58,7 +58,7 @@
 
 // Left reports, once after Leave, that the process may end.
 type Left struct {
-	Agreed bool // a view without it is in force, and the replicas required are elsewhere
+	Agreed bool // a view without this machine is in force, and the other machines hold the required replicas
 }
 
 func (Send) isAction()               {}
--- a/internal/region/control/assemble.go
+++ b/internal/region/control/assemble.go
@@ -37,7 +37,8 @@
 	return machine, nil
 }
 
-// newLocalMachine uses the identity on disk, or draws a new one if the disk is empty; isNew reports the latter.
+// newLocalMachine uses the identity on disk, or draws a random identity if the disk is empty; isNew reports whether the
+// identity is new.
 func newLocalMachine(config Config, state durableState) (local *localMachine, isNew bool) {
 	local = &localMachine{bootstrap: state.bootstrap, incarnation: config.Random.Uint64()}
 	identity := state.identity
@@ -57,7 +58,7 @@
 	return local, isNew
 }
 
-// wireComponents creates the parts and gives each the other parts that it uses.
+// wireComponents creates the components of the Machine and passes each component its dependencies.
 func (m *Machine) wireComponents() {
 	m.wirePeers()
 	m.wireAgreement()
--- a/internal/region/control/authoritygap.go
+++ b/internal/region/control/authoritygap.go
@@ -1,6 +1,6 @@
 package control
 
-// AuthorityGap names what a machine lacks to be authoritative; empty: nothing.
+// AuthorityGap is the reason why a machine is not authoritative; empty: the machine is authoritative.
 type AuthorityGap string
 
 // Reasons why a machine is not authoritative, in the order in which they are checked.
@@ -11,7 +11,7 @@
 	GapView AuthorityGap = "view"
 	// GapState: the state of the view in force has not arrived from the predecessor in the chain yet.
 	GapState AuthorityGap = "state"
-	// GapCommit: the machine holds the state, but does not know how much of it is committed.
+	// GapCommit: the machine holds the state, but does not know up to which sequence the state is committed.
 	GapCommit AuthorityGap = "commit"
 	// GapMajority: heartbeats of a majority of the voters are missing.
 	GapMajority AuthorityGap = "majority heartbeats"
@@ -19,7 +19,7 @@
 	GapChain AuthorityGap = "chain heartbeats"
 	// GapLaterView: heartbeats advertise a later view.
 	GapLaterView AuthorityGap = "later view"
-	// GapChanges: committed changes that heartbeats advertise are missing.
+	// GapChanges: the machine lacks committed changes that heartbeats advertise.
 	GapChanges AuthorityGap = "changes"
 	// GapLoopStalled: the loop of the node is stalled.
 	GapLoopStalled AuthorityGap = "tick"
--- a/internal/region/control/chainreads.go
+++ b/internal/region/control/chainreads.go
@@ -6,7 +6,7 @@
 )
 
 // chainReads handles the reads that arrive at this machine as a member of the chain. Every member has each acknowledged
-// change on disk, so any of them can answer; a quorum check before the answer ensures that no later view, with another
+// change on disk, so any member can answer; a quorum check before the answer ensures that no later view, with another
 // chain, exists.
 type chainReads struct {
 	local   *localMachine
@@ -15,8 +15,8 @@
 	checks  *quorumChecks
 }
 
-// receive begins a read that was forwarded to this machine. An origin that holds the newest committed state itself is
-// told only that, and does not get the configuration.
+// receive begins a read that was forwarded to this machine. If the origin already holds the newest committed state, the
+// result only says so and does not contain the configuration.
 func (r *chainReads) receive(from *pb.Replica, order *pb.Order) {
 	if r.checks.contains(from, order.GetId()) {
 		return
@@ -29,9 +29,10 @@
 	r.checks.beginRead(from, order, minSequence)
 }
 
-// minSequence returns the sequence from which on a state contains everything that was acknowledged until now; false if
-// this machine cannot tell. At the tail it is the committed sequence. Another member also holds changes that may not be
-// committed yet, so it uses the sequence of its newest change, which must be committed before the read is answered.
+// minSequence returns a sequence such that every state at or above it contains everything acknowledged until now; false
+// if this machine knows no such sequence. The tail returns its committed sequence. Any other member also holds changes
+// that may not be committed yet, so it returns the sequence of its newest change, which must be committed before the
+// read is answered.
 func (r *chainReads) minSequence() (uint64, bool) {
 	if viewInForce(r.replica) == nil || !r.replica.IsMember() || !r.replica.Synchronized() {
 		return 0, false
--- a/internal/region/control/compression.go
+++ b/internal/region/control/compression.go
@@ -11,11 +11,12 @@
 
 const (
 	gzipName = "gzip"
-	// minCompressedBytes is the size from which on a delivery is compressed. Configurations shrink to about a tenth.
+	// minCompressedBytes is the minimum size of a delivery that is compressed. Compression reduces a configuration to
+	// about a tenth of its size.
 	minCompressedBytes = 16 << 10
 )
 
-// newCompressor returns a compressor at the fastest level, which also uses little memory.
+// newCompressor returns a gzip compressor at the fastest level, which also uses little memory.
 func newCompressor() connect.Compressor {
 	compressor, err := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed)
 	if err != nil {
--- a/internal/region/control/confirmation.go
+++ b/internal/region/control/confirmation.go
@@ -15,23 +15,23 @@
 // confirmations protects evacuations against late duplicates. Unlike other orders, an evacuation leaves no record of
 // its execution in the state, so a copy of it that arrives long after it was answered would undo later orders. The head
 // therefore issues a single-use token for each evacuation, in a result of status 100, and executes the order only when
-// it returns with that token; an origin resends it only while its caller waits for the answer. A token becomes invalid
-// when another order on the same zone is executed after it was issued: the caller of that order may have given up
-// waiting for this one.
+// the origin sends the order again with that token, which an origin does only while its caller waits for the answer. A
+// token becomes invalid when another order on the same zone is executed after the token was issued: the operator may
+// have given up waiting for the first order before submitting the other one.
 type confirmations struct {
 	clock  *clock
 	output *stepOutput
 	ids    *idSequence
 
 	issued []confirmation
-	// executedAt holds, by zone, the newest number of ids at the last execution of an order on the zone. Tokens up to
-	// that number are superseded.
+	// executedAt holds, by zone, the last number that ids had generated when an order on the zone was last executed.
+	// Tokens up to that number are superseded.
 	executedAt map[string]uint64
 }
 
 // confirmation is a token that was issued for an order.
 type confirmation struct {
-	origin  string // identity
+	origin  string // identity of the machine that forwarded the order
 	id      uint64
 	zone    string
 	token   []byte
@@ -44,9 +44,10 @@
 	return kind == pb.Order_KIND_EVACUATE_BEGIN || kind == pb.Order_KIND_EVACUATE_FINISH
 }
 
-// redeem reports whether an order needs no confirmation or carries the token issued for it, which it uses up. Otherwise
-// it sends the origin a token. A copy of the order without a token gets the same token again instead of invalidating
-// it: two copies in flight would otherwise invalidate each other's tokens until the order expires.
+// redeem reports whether an order needs no confirmation or carries the token that was issued for the order; the token
+// then becomes invalid. Otherwise redeem sends the origin a token. For another copy of the order without a token,
+// redeem sends the same token again instead of issuing a new one: two copies in flight would otherwise invalidate each
+// other's tokens until the order expires.
 func (c *confirmations) redeem(from *pb.Replica, order *pb.Order) bool {
 	if !needsConfirmation(order) {
 		return true
@@ -115,7 +116,7 @@
 	c.executedAt[order.GetZone()] = c.ids.last
 }
 
-// reset removes all tokens at a view change: another machine may have been the head in between.
+// reset removes all tokens at a view change: another machine may have been the head since they were issued.
 func (c *confirmations) reset() {
 	c.issued = nil
 	c.executedAt = nil
--- a/internal/region/control/coordination.go
+++ b/internal/region/control/coordination.go
@@ -8,8 +8,8 @@
 	"fieldrelay/internal/region/coordination"
 )
 
-// coordinationHost is the host of this machine's coordination engine: it gives the engine the connections, the disk,
-// the identity and the view of this machine.
+// coordinationHost implements coordination.Host for this machine's coordination engine: it provides the connections,
+// the disk, the identity and the view of this machine.
 type coordinationHost struct {
 	clock   *clock
 	peers   *peerTable
@@ -65,7 +65,7 @@
 	h.disk.persistSnapshot(pendingWrite{forRegisters: true, activeEpoch: h.engine.ActiveEpoch()})
 }
 
-// persisted records that a write of registers is on disk; it reports whether the durable epoch has changed.
+// persisted records that a write is on disk; it reports whether the write has changed the durable epoch.
 func (h *coordinationHost) persisted(done pendingWrite) bool {
 	if done.activeEpoch <= h.durableEpoch {
 		return false
--- a/internal/region/control/counters.go
+++ b/internal/region/control/counters.go
@@ -14,7 +14,7 @@
 type counters struct {
 	sent        atomic.Uint64 // messages that were delivered
 	received    atomic.Uint64 // messages that arrived
-	dropped     atomic.Uint64 // messages that were not sent because the queue was full or they had waited for too long
+	dropped     atomic.Uint64 // messages not sent because the queue was full or because they waited for longer than maxQueueDelay
 	failedCalls atomic.Uint64 // failed deliveries, each of one or more messages
 
 	writes       atomic.Uint64 // writes to the ring, each of one or more records
@@ -22,8 +22,8 @@
 
 	calls     atomic.Uint64 // calls of applications that were submitted here
 	orders    atomic.Uint64 // orders that were submitted here
-	committed atomic.Uint64 // newer committed states
-	views     atomic.Uint64 // later views
+	committed atomic.Uint64 // advances of the committed state
+	views     atomic.Uint64 // view changes
 }
 
 func (c *counters) log(logger *zap.Logger, status Status) {
--- a/internal/region/control/diskqueue.go
+++ b/internal/region/control/diskqueue.go
@@ -12,23 +12,24 @@
 const (
 	// slowWriteThreshold is the time after which a pending write makes the disk count as unhealthy.
 	slowWriteThreshold = time.Second
-	// maxUnpersistedWrites is the number of pending writes, not counting those of registers, from which on no promise
-	// about views is given.
+	// maxUnpersistedWrites is the maximum number of pending writes, not counting those of registers. At the limit, the
+	// acceptor for views makes no promises.
 	maxUnpersistedWrites = 16
-	// maxUnpersistedRegisterWrites is the corresponding limit on the pending writes of registers.
+	// maxUnpersistedRegisterWrites is the maximum number of pending writes of registers.
 	maxUnpersistedRegisterWrites = 256
-	// snapshotBytes and snapshotRecords bound what is written after a snapshot before the next one is due.
+	// snapshotBytes and snapshotRecords bound the records that are written after a snapshot before the next snapshot is
+	// due.
 	snapshotBytes   = 256 << 10
 	snapshotRecords = 4096
 )
 
-// diskQueue holds the writes that are not on disk yet, oldest first. It enforces write-ahead: the answer of an acceptor
-// and the acknowledgement of a replica are sent only once the record behind them is on disk, since a machine must not
-// forget over a restart what others rely on.
+// diskQueue holds the writes that are not on disk yet, oldest first. It enforces write-ahead logging: the answer of an
+// acceptor and the acknowledgement of a replica are sent only once the corresponding record is on disk, since a machine
+// must not lose in a restart the state that other machines rely on.
 type diskQueue struct {
 	clock  *clock
 	output *stepOutput
-	// snapshot encodes everything that must be on disk once all writes so far are there.
+	// snapshot encodes the complete state that the disk must contain once all pending writes are on disk.
 	snapshot func() []byte
 
 	pending   []pendingWrite
@@ -40,10 +41,10 @@
 type pendingWrite struct {
 	token    uint64
 	started  time.Duration
-	forChain bool                    // the replica of the chain waits for the write
-	replies  []chain.OutgoingMessage // may leave once the write is on disk
-	// forRegisters: the write contains registers. activeEpoch is then the epoch that becomes durable with it; 0 if the
-	// write does not change it.
+	forChain bool                    // the replica of the chain waits for this write
+	replies  []chain.OutgoingMessage // messages to send once the write is on disk
+	// forRegisters: the write contains registers. activeEpoch is then the epoch that becomes durable with the write; 0
+	// if the write does not change the epoch.
 	forRegisters bool
 	activeEpoch  uint64
 }
@@ -53,7 +54,7 @@
 	d.enqueue(records, pendingWrite{forChain: forChain, replies: replies})
 }
 
-// enqueue requests a write of records, and keeps what depends on the write.
+// enqueue requests a write of records, and adds the write to the pending ones.
 func (d *diskQueue) enqueue(records []ring.Record, write pendingWrite) {
 	d.lastToken++
 	write.token = d.lastToken
@@ -80,7 +81,7 @@
 	}
 }
 
-// next removes and returns the oldest write if a token covers it.
+// next removes and returns the oldest pending write if its token is not above the given one.
 func (d *diskQueue) next(token uint64) (pendingWrite, bool) {
 	if len(d.pending) == 0 || d.pending[0].token > token {
 		return pendingWrite{}, false
@@ -119,7 +120,7 @@
 	return count
 }
 
-// persistSnapshot writes a snapshot now.
+// persistSnapshot requests a write of a snapshot, whether one is due or not.
 func (d *diskQueue) persistSnapshot(write pendingWrite) {
 	d.schedule.due = true
 	d.enqueue(nil, write)
--- a/internal/region/control/electorate.go
+++ b/internal/region/control/electorate.go
@@ -16,7 +16,7 @@
 	peerAddress func(controlAddress string) string
 }
 
-// decidingView is the view whose voters decide on the next one.
+// decidingView returns the view whose voters decide on the next view.
 func (e *electorate) decidingView() *pb.View {
 	if view := viewInForce(e.replica); view != nil {
 		return view
@@ -25,7 +25,7 @@
 }
 
 // includesSelf reports whether this machine votes on the next view. Before the first view exists, a seed votes only if
-// it was started with an empty disk and the bootstrap setting: one that has lost its disk may have voted before.
+// it was started with an empty disk and the bootstrap setting: a seed that has lost its disk may have voted before.
 func (e *electorate) includesSelf() bool {
 	if viewInForce(e.replica) == nil && !e.local.bootstrap {
 		return false
@@ -40,7 +40,8 @@
 	}
 }
 
-// sendTo sends a message to one voter. Before the first view exists, a voter is known by its operator API address only.
+// sendTo sends a message to one voter. Before the first view exists, the only known field of a voter is the address of
+// its operator API.
 func (e *electorate) sendTo(voter *pb.Replica, message *pb.Message) {
 	switch {
 	case e.local.is(voter):
--- a/internal/region/control/events.go
+++ b/internal/region/control/events.go
@@ -11,7 +11,7 @@
 // Tick reports that time has passed; the shell sends one every TickInterval.
 type Tick struct{}
 
-// Received is a message of another control machine. The Machine may retain the message.
+// Received is a message from another control machine. The Machine may retain the message.
 type Received struct{ Message *pb.Message }
 
 // Undelivered reports that the message of a Send may not have reached its receiver. It only speeds up the next attempt:
@@ -30,8 +30,8 @@
 	Order   *pb.Order
 }
 
-// OrderCanceled reports that the caller of an OrderSubmitted has gone. The order may still be executed if it has been
-// forwarded; this machine does not resend it.
+// OrderCanceled reports that the caller of an OrderSubmitted no longer waits for the answer. The order may still be
+// executed if it has been forwarded; this machine does not resend it.
 type OrderCanceled struct{ Request uint64 }
 
 // CallSubmitted is a call of an application that arrived at this machine. Its id and origin are set by the Machine.
@@ -40,7 +40,8 @@
 	Call    *pb.CoordinationCall
 }
 
-// CallCanceled reports that the caller of a CallSubmitted has gone. The call may still be executed.
+// CallCanceled reports that the caller of a CallSubmitted no longer waits for the answer. The call may still be
+// executed.
 type CallCanceled struct{ Request uint64 }
 
 // BroadcastServerList requests that a server list be sent to the other control machines.
@@ -50,8 +51,8 @@
 // bootstrap the cluster.
 type SeedsChanged struct{ Seeds []string }
 
-// Leave begins a graceful shutdown: the machine works on, for LeaveTimeout at most, until the others can continue
-// without it.
+// Leave begins a graceful shutdown: the machine continues to serve, for LeaveTimeout at most, until the other machines
+// can continue without it.
 type Leave struct{}
 
 func (Started) isEvent()             {}
--- a/internal/region/control/founding.go
+++ b/internal/region/control/founding.go
@@ -14,10 +14,11 @@
 
 // Timing of the bootstrap, from the start of a machine.
 const (
-	// founderGatherWindow is how long the seeds wait for heartbeats of machines that are not seeds, so that these are
-	// voters of the first view.
+	// founderGatherWindow is how long the seeds wait for heartbeats of machines that are not seeds, so that those
+	// machines become voters of the first view.
 	founderGatherWindow = 450 * time.Millisecond
-	// partialFoundingDelay is the time after which a majority of the seeds proposes the first view without the others.
+	// partialFoundingDelay is the time after which a majority of the seeds proposes the first view without the other
+	// seeds.
 	partialFoundingDelay = 1500 * time.Millisecond
 )
 
@@ -35,7 +36,7 @@
 }
 
 // founders returns the live machines that start for the first time, this one included, in the order of their hosts. If
-// a host has two identities, the one with the latest message counts.
+// a host has two identities, the list contains the identity whose message is the latest.
 func (f *founding) founders() []*pb.Replica {
 	latest := make(map[string]*peer)
 	for _, identity := range f.peers.identities() {
@@ -58,7 +59,7 @@
 	return founders
 }
 
-// founderAt returns the founder with an operator API address; nil if there is none.
+// founderAt returns the founder with the given operator API address; nil if there is none.
 func (f *founding) founderAt(controlAddress string) *pb.Replica {
 	for _, founder := range f.founders() {
 		if founder.GetControlAddress() == controlAddress {
@@ -100,7 +101,7 @@
 	}
 }
 
-// seedPosition is the index of a machine in the list of seeds; machines that are no seeds come after all seeds.
+// seedPosition is the index of a machine in the list of seeds; machines that are not seeds come after all seeds.
 func (f *founding) seedPosition(replica *pb.Replica) int {
 	position := slices.Index(f.seeds, replica.GetControlAddress())
 	if position < 0 {
--- a/internal/region/control/headorders.go
+++ b/internal/region/control/headorders.go
@@ -11,13 +11,14 @@
 	"fieldrelay/internal/region/operatorapi/rejection"
 )
 
-// earlyOrderTimeout is how long an order is kept that arrived before the view in which this machine is the head.
+// earlyOrderTimeout is how long an order is kept that has arrived before this machine entered the view in which it is
+// the head.
 const earlyOrderTimeout = orderResendInterval
 
 // headOrders handles the orders that arrive at this machine as the head of the chain. One order at a time passes
-// through the chain: it is validated against the newest state, all of which is committed by then, proposed as a change,
-// and answered once the change is committed. A view change drops all orders here; their origins send them to the new
-// head.
+// through the chain: the order is validated against the newest state, all of which is committed by then, proposed as a
+// change, and answered once the change is committed. A view change drops all orders here; their origins send them to
+// the new head.
 type headOrders struct {
 	clock         *clock
 	local         *localMachine
@@ -29,7 +30,7 @@
 	requirement   chain.Requirement
 
 	queue  headQueue
-	active *headOrder   // the order whose change is in flight in the chain; nil if there is none
+	active *headOrder   // order whose change is in flight in the chain; nil if there is none
 	early  []*headOrder // orders that arrived while another machine was the head
 }
 
@@ -54,8 +55,9 @@
 	})
 }
 
-// bufferEarly keeps an order that arrived before the view in which this machine is the head. It also sends the view in
-// force to the origin, which may be the one that is behind.
+// bufferEarly keeps an order that arrived at a machine that is not the head of the view in force. The origin may know a
+// later view in which this machine is the head, or may know only an earlier view. For the second case, bufferEarly
+// sends the view in force to the origin.
 func (h *headOrders) bufferEarly(from *pb.Replica, order *pb.Order) {
 	if len(h.early) < maxPendingOrders {
 		h.early = append(h.early, &headOrder{from: from, order: order, expires: h.clock.now + earlyOrderTimeout})
@@ -87,7 +89,7 @@
 	return view != nil && h.isHead() && h.requirement.MetBy(view.GetChain(), view.GetVoters())
 }
 
-// contains reports whether an order is already here: origins send an unanswered order repeatedly.
+// contains reports whether an order is already being processed: origins send an unanswered order repeatedly.
 func (h *headOrders) contains(from *pb.Replica, id uint64) bool {
 	return h.active.is(from, id) || h.checks.contains(from, id) || h.queue.contains(from, id)
 }
@@ -134,7 +136,7 @@
 	h.replication.perform(output)
 }
 
-// prepareChange returns the change that an order makes; nil if it changes nothing.
+// prepareChange returns the change that an order makes; nil if the order changes nothing.
 func prepareChange(snapshot *catalog.Snapshot, order *pb.Order) (*pb.Change, error) {
 	switch order.GetKind() {
 	case pb.Order_KIND_REPLACE:
--- a/internal/region/control/headqueue.go
+++ b/internal/region/control/headqueue.go
@@ -10,16 +10,16 @@
 const (
 	// maxSmallOrderBytes is the body length up to which an order may overtake larger ones.
 	maxSmallOrderBytes = 16 << 10
-	// maxOvertakes is the number of consecutive orders that may overtake an older one.
+	// maxOvertakes is the maximum number of consecutive orders that overtake an older order.
 	maxOvertakes = 4
 )
 
 // headOrder is an order at the head of the chain.
 type headOrder struct {
-	from     *pb.Replica // origin
+	from     *pb.Replica // machine at which the order was submitted
 	order    *pb.Order
 	expires  time.Duration
-	sequence uint64 // of its change; 0 before it is proposed
+	sequence uint64 // sequence of the order's change; 0 before the change is proposed
 }
 
 func (o *headOrder) is(from *pb.Replica, id uint64) bool {
@@ -29,15 +29,15 @@
 // headQueue holds the orders that wait at the head, oldest first.
 type headQueue struct {
 	orders    []*headOrder
-	overtakes int // consecutive orders that were taken before an older one
+	overtakes int // number of consecutive orders that were taken before an older order
 }
 
 func (q *headQueue) contains(from *pb.Replica, id uint64) bool {
 	return slices.ContainsFunc(q.orders, func(queued *headOrder) bool { return queued.is(from, id) })
 }
 
-// next removes and returns the next order to execute: the oldest small one, or after maxOvertakes consecutive overtakes
-// the oldest of all. So neither large nor small orders are starved.
+// next removes and returns the next order to execute: the oldest small order, or the oldest of all orders after
+// maxOvertakes consecutive overtakes or if no order is small. So neither large nor small orders are starved.
 func (q *headQueue) next() *headOrder {
 	position := slices.IndexFunc(q.orders, func(queued *headOrder) bool {
 		return len(queued.order.GetBody()) <= maxSmallOrderBytes
--- a/internal/region/control/health.go
+++ b/internal/region/control/health.go
@@ -4,7 +4,7 @@
 	"fieldrelay/internal/region/chain"
 )
 
-// localHealth judges whether this machine itself works. Its heartbeats advertise canServe.
+// localHealth determines whether this machine itself is healthy. The heartbeats of this machine advertise canServe.
 type localHealth struct {
 	clock   *clock
 	disk    *diskQueue
@@ -22,8 +22,8 @@
 	return h.disk.isHealthy() && hasContact
 }
 
-// canServe reports whether this machine can be a member of the chain. A machine that is leaving can until
-// leaveUnhealthyAfter.
+// canServe reports whether this machine can be a member of the chain. A machine that is leaving remains able to serve
+// until leaveUnhealthyAfter.
 func (h *localHealth) canServe() bool {
 	return h.isHealthy() && !h.leaving.isOverdue()
 }
--- a/internal/region/control/heartbeat.go
+++ b/internal/region/control/heartbeat.go
@@ -18,9 +18,9 @@
 	health  *localHealth
 	leaving *leaving
 	output  *stepOutput
-	// coordination holds the epoch of the registers that this machine has on disk.
+	// coordination provides the epoch of the registers that this machine has on disk.
 	coordination *coordinationHost
-	contacts     []string // operator API addresses of the seeds, contacted until isConnectedVoter
+	contacts     []string // operator API addresses of the seeds, which are contacted until isConnectedVoter
 	peerAddress  func(controlAddress string) string
 }
 
@@ -29,8 +29,8 @@
 	return viewInForce(h.replica) == nil || h.clock.ticks%uint64(HeartbeatInterval/TickInterval) == 0
 }
 
-// sendAll sends a heartbeat to the voters, then to the other live peers, then to the seeds while they are still needed;
-// one to each address.
+// sendAll sends one heartbeat to each address: those of the voters, then those of the other live peers, then those of
+// the seeds unless isConnectedVoter.
 func (h *heartbeats) sendAll() {
 	message := h.message()
 	sent := make(map[string]bool)
@@ -72,8 +72,8 @@
 	}}}
 }
 
-// isConnectedVoter reports whether this machine is a voter in contact with a majority, so that it need not contact the
-// seeds.
+// isConnectedVoter reports whether this machine is a voter in contact with a majority of the voters, so that it need
+// not contact the seeds.
 func (h *heartbeats) isConnectedVoter() bool {
 	view := viewInForce(h.replica)
 	return quorum.VoterIndex(view, h.local.replica) != quorum.NotFound && h.peers.hasMajority(view)
--- a/internal/region/control/inspect.go
+++ b/internal/region/control/inspect.go
@@ -13,17 +13,17 @@
 )
 
 // Inspection describes the state that a control machine would have if it started on a state folder. Inspecting writes
-// nothing, so a machine may be using the folder; a record that this machine is writing at that time may look torn.
+// nothing, so the machine may be running; a record that the machine is writing at that time may look torn.
 type Inspection struct {
 	Ring *ring.Report
-	// Failure is why a machine could not start: a *ring.CorruptError or a *RecordError. The fields below then contain
-	// only what could be read before the fault.
+	// Failure is the error with which a machine would fail to start: a *ring.CorruptError or a *RecordError. The fields
+	// below then contain only the state from the records before the faulty one.
 	Failure          error
-	Identity         string      // empty on an empty disk
+	Identity         string      // identity of the machine; empty if the disk is empty
 	Bootstrap        bool        // the disk was empty when the cluster started for the first time
-	View             *pb.View    // nil while none is known
-	SynchronizedView uint64      // State contains everything committed in views up to this one
-	Promise          *pb.Promise // promise for the next view; nil: none
+	View             *pb.View    // newest view on disk; nil if there is none
+	SynchronizedView uint64      // number of the last view whose committed changes are all in State
+	Promise          *pb.Promise // promise and accepted proposal for the next view; nil: there are none
 	State            *catalog.Snapshot
 }
 
--- a/internal/region/control/leaving.go
+++ b/internal/region/control/leaving.go
@@ -13,12 +13,13 @@
 	// LeaveTimeout is the maximum duration of a graceful shutdown.
 	LeaveTimeout = 2 * time.Second
 	// leaveUnhealthyAfter is the time after which a leaving machine counts as unhealthy for the chain, even if the
-	// required replicas are not elsewhere yet.
+	// other machines do not hold the required replicas yet.
 	leaveUnhealthyAfter = 1500 * time.Millisecond
 )
 
-// leaving is the graceful shutdown of this machine. Its heartbeats announce the shutdown, and it works on. It ends when
-// the others can continue without it, when no machine is there to do so, or at LeaveTimeout.
+// leaving is the graceful shutdown of this machine. The machine announces the shutdown in its heartbeats and continues
+// to serve. The shutdown ends when the other machines can continue without this one, when there is no other machine
+// that could, or at LeaveTimeout.
 type leaving struct {
 	clock    *clock
 	begun    bool
@@ -26,7 +27,7 @@
 	reported bool // the Left action was emitted
 }
 
-// begin starts the shutdown; it returns false if that has been started before.
+// begin starts the shutdown; it returns false if the shutdown has been started before.
 func (l *leaving) begin() bool {
 	if l.begun {
 		return false
@@ -51,8 +52,9 @@
 	}
 }
 
-// hasLeft reports whether the others can continue without this machine: it is no member of the chain, enough members
-// have the view on disk and hold its state to survive a further failure, and no voter is to be elected in its place.
+// hasLeft reports whether the other machines can continue without this one: this machine is not a member of the chain,
+// enough members have the view and its state on disk to survive a further failure, and no voter remains to be elected
+// in place of this machine.
 func (p *viewPlanner) hasLeft() bool {
 	view := viewInForce(p.replica)
 	if view == nil {
--- a/internal/region/control/local.go
+++ b/internal/region/control/local.go
@@ -8,9 +8,9 @@
 // localMachine describes this machine to the others. It does not change while the process runs.
 type localMachine struct {
 	replica     *pb.Replica
-	incarnation uint64 // random, differs between runs of the process
+	incarnation uint64 // random number that differs between runs of the process
 	// bootstrap: this machine was started with an empty disk and the bootstrap setting, so it may take part in the
-	// bootstrap of the cluster. The flag is kept on disk.
+	// bootstrap of the cluster. The flag is persisted.
 	bootstrap bool
 }
 
@@ -25,5 +25,5 @@
 	return voter.GetIdentity() == l.identity()
 }
 
-// viewInForce is the newest view that a replica has adopted; nil while none is known.
+// viewInForce returns the newest view that a replica has adopted; nil if the replica has adopted none.
 func viewInForce(replica *chain.Replica) *pb.View { return replica.State().View }
--- a/internal/region/control/machine.go
+++ b/internal/region/control/machine.go
@@ -8,19 +8,19 @@
 	"fieldrelay/internal/region/chain"
 )
 
-// Machine is a control machine's part in agreement and replication, as a state machine without I/O. It consists of
-// parts with one concern each, which wireParts connects; the first fields of a part are the other parts that it uses. A
-// Machine is not safe for concurrent use.
+// Machine implements consensus and replication for one control machine, as a state machine without I/O. It consists of
+// components with one concern each, which wireComponents connects; the first fields of a component are the other
+// components that it uses. A Machine is not safe for concurrent use.
 type Machine struct {
 	config Config
 
-	// Shared by all parts.
+	// Components that all others share.
 	clock  *clock
 	local  *localMachine
 	output *stepOutput
 	ids    *idSequence
 
-	// Knowledge about the machines.
+	// Failure detection and health.
 	peers     *peerTable
 	heartbeat *heartbeats
 	staleness *staleness
@@ -54,17 +54,17 @@
 // Self describes this machine, with its identity.
 func (m *Machine) Self() *pb.Replica { return m.local.replica }
 
-// View is the view in force; nil before the machine knows a view.
+// View returns the view in force; nil before the machine knows a view.
 func (m *Machine) View() *pb.View { return viewInForce(m.replica) }
 
-// Committed is the newest state known to be committed; nil before the first is known.
+// Committed returns the newest state known to be committed; nil before the first committed state is known.
 func (m *Machine) Committed() *catalog.Snapshot { return m.replica.Committed() }
 
 // Authoritative reports whether the machine holds the state of the view in force, has received heartbeats of a majority
 // of the voters within FailureTimeout, and knows neither of a later view nor of committed changes that do not arrive.
 func (m *Machine) Authoritative() bool { return m.AuthorityGap() == GapNone }
 
-// AuthorityGap names what the machine lacks to be authoritative.
+// AuthorityGap returns the reason why the machine is not authoritative; GapNone if it is.
 func (m *Machine) AuthorityGap() AuthorityGap { return m.staleness.gap() }
 
 // Live lists the hosts of the live voters in the order of the view.
@@ -131,8 +131,8 @@
 	m.replication.perform(m.replica.Tick())
 }
 
-// tick lets each part act on the time that has passed. The order of the calls is part of the recorded runs of the
-// simulation: the parts draw from one source of random numbers and send messages in this order.
+// tick lets each component act on the time that has passed. The recorded runs of the simulation depend on the order of
+// the calls: the components draw from one source of random numbers and send messages in this order.
 func (m *Machine) tick() {
 	if gap, stalled := m.clock.tick(); stalled {
 		m.peers.compensateStall(gap)
@@ -166,7 +166,7 @@
 	if cluster != "" && message.GetCluster() != "" && message.GetCluster() != cluster {
 		return
 	}
-	m.staleness.update() // must run before this message restores contact that was lost since the last tick
+	m.staleness.update() // must precede observe: this message may restore contact that was lost since the last tick
 	found := m.peers.observe(from)
 	if heartbeat := message.GetHeartbeat(); heartbeat != nil &&
 		!found.acceptHeartbeat(heartbeat, m.clock.now, m.clock.isStalled()) {
@@ -176,7 +176,7 @@
 }
 
 // observeMisaddressed records the sender of a message to an earlier identity of this machine. A machine that has lost
-// its disk, and whose seeds are gone, finds the other machines by these messages.
+// its disk, and whose seeds no longer exist, discovers the other machines by these messages.
 func (m *Machine) observeMisaddressed(from *pb.Replica) {
 	if m.View() == nil {
 		m.peers.observe(from)
@@ -218,7 +218,8 @@
 	}
 }
 
-// receiveHeartbeat handles what a peer advertises, and sends the view in force to a peer that is behind.
+// receiveHeartbeat processes the heartbeat of a peer, and sends the view in force to a peer that knows only an earlier
+// view.
 func (m *Machine) receiveHeartbeat(from *pb.Replica, heartbeat *pb.Heartbeat) {
 	m.output.add(HeartbeatReceived{From: from, Heartbeat: heartbeat})
 	if view := m.View(); view != nil && heartbeat.GetViewNumber() < view.GetNumber() {
@@ -271,7 +272,8 @@
 	}
 }
 
-// leave announces the graceful shutdown of this machine, and proposes a view without it when that is wanted.
+// leave announces the graceful shutdown of this machine, and proposes a view without this machine if the proposer wants
+// a change.
 func (m *Machine) leave() {
 	if !m.leaving.begin() {
 		return
--- a/internal/region/control/node.go
+++ b/internal/region/control/node.go
@@ -17,7 +17,8 @@
 // Limits of a Node.
 const (
 	eventQueueLength = 256
-	// leaveTimeoutMargin is added to LeaveTimeout, to end the wait for a Machine that does not respond.
+	// leaveTimeoutMargin is the time after LeaveTimeout at which Node.Leave stops waiting for a Machine that does not
+	// respond.
 	leaveTimeoutMargin = 200 * time.Millisecond
 	// enqueueTimeout is how long a delivery waits for room in the event queue.
 	enqueueTimeout = 300 * time.Millisecond
@@ -48,8 +49,8 @@
 
 	status       atomic.Pointer[Status]
 	coordination atomic.Pointer[CoordinationStatus] // nil before the first tick
-	lastTickAt   atomic.Int64                       // when the loop last handled a tick, in nanoseconds since startedAt
-	left         chan bool                          // receives once, when the Machine has left: whether the others agreed
+	lastTickAt   atomic.Int64                       // time of the last tick that the loop handled, in nanoseconds since startedAt
+	left         chan bool                          // receives once, when the Machine has left: Left.Agreed
 
 	mu          sync.Mutex // guards the fields below
 	changed     chan struct{}
@@ -100,8 +101,8 @@
 	return node, nil
 }
 
-// Wait returns when the loop has ended and the ring is closed, after the end of Start's context. Until then the state
-// folder may still be written.
+// Wait returns when the loop has ended and the ring is closed, after the end of Start's context. Until Wait returns,
+// the node may still write to the state folder.
 func (n *Node) Wait() { n.running.Wait() }
 
 // Deliver implements fieldrelayv1connect.ControlPeerHandler: it queues the messages of another control machine.
@@ -135,9 +136,9 @@
 	}
 }
 
-// Leave begins a graceful shutdown, and returns when this process may end: the other machines continue without it, or
-// cannot, or LeaveTimeout has passed. It reports whether they agreed on a view without it. It may be called once; the
-// node works on until its context ends.
+// Leave begins a graceful shutdown, and returns when this process may end: the other machines can continue without this
+// machine, there is no other machine that could, or LeaveTimeout has passed. It reports whether the other machines have
+// agreed on a view without this machine. It may be called once; the node continues to serve until its context ends.
 func (n *Node) Leave(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, LeaveTimeout+leaveTimeoutMargin)
 	defer cancel()
--- a/internal/region/control/nodeloop.go
+++ b/internal/region/control/nodeloop.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// addSoftState adds the soft state to a heartbeat. All messages of one step share the heartbeat, so once per step is
-// enough.
+// addSoftState adds the soft state to a heartbeat. All messages of one step share the heartbeat, so one call for each
+// step is enough.
 func (n *Node) addSoftState(heartbeat *pb.Heartbeat) {
 	if n.options.SoftState == nil {
 		return
--- a/internal/region/control/nodeoptions.go
+++ b/internal/region/control/nodeoptions.go
@@ -25,7 +25,8 @@
 	Logger   *zap.Logger
 	// ControlAddress is the ip:port of this machine's operator API.
 	ControlAddress string
-	// SoftState returns what each heartbeat carries in addition to the agreed state; nil: nothing.
+	// SoftState returns the agent records and the version of the server list that each heartbeat carries in addition to
+	// the agreed state; nil: heartbeats carry neither.
 	SoftState func() ([]*pb.AgentRecord, *pb.ListVersion)
 	// OnHeartbeat is called with each heartbeat of another control machine; it may be nil.
 	OnHeartbeat func(from *pb.Replica, heartbeat *pb.Heartbeat)
@@ -71,7 +72,7 @@
 // newRandom returns a random source that is seeded differently at each start.
 func newRandom() *rand.Rand {
 	var seed [16]byte
-	_, _ = crand.Read(seed[:]) // it never fails
+	_, _ = crand.Read(seed[:]) // crypto/rand.Read never returns an error
 	return rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:]), binary.LittleEndian.Uint64(seed[8:])))
 }
 
--- a/internal/region/control/openring.go
+++ b/internal/region/control/openring.go
@@ -29,8 +29,8 @@
 // RingsCorruptError is returned by Start when maxRingFolders rings are corrupt: the disk must be examined before
 // another ring is created.
 type RingsCorruptError struct {
-	Folder string // of the last ring
-	Err    error  // why that one cannot be read
+	Folder string // folder of the last ring
+	Err    error  // reason why the last ring cannot be read
 }
 
 // Error names the last ring, the number of rings before it, and the cause.
@@ -42,9 +42,9 @@
 func (e *RingsCorruptError) Unwrap() error { return e.Err }
 
 // openRing opens the ring in use, retrying while the disk fails. A corrupt ring is left as it is, and a new one is
-// created beside it: the machine then starts like one that has lost its disk, with a new identity, which is not bound
-// by promises of the old one. The result replaced says that the ring is not the first on its disk; such a machine must
-// not bootstrap a cluster.
+// created beside it: the machine then starts like a machine that has lost its disk, with a new identity, which is not
+// bound by promises of the old identity. The result replaced is true if the ring is not the first on its disk; the
+// machine must then not bootstrap a cluster.
 func openRing(ctx context.Context, options Options) (opened *ring.Ring, recovered *ring.Recovered, replaced bool, err error) {
 	if options.Storage != nil {
 		opened, recovered, err = openWithRetry(ctx, "", options)
@@ -77,8 +77,8 @@
 	return errors.As(err, &corrupt) && corrupt.Version == 0
 }
 
-// openWithRetry opens a ring, retrying while the disk fails. The error is a *ring.CorruptError, or that of the last
-// attempt before ctx ended.
+// openWithRetry opens a ring, retrying while the disk fails. The error is a *ring.CorruptError, or the error of the
+// last attempt before ctx ended.
 func openWithRetry(ctx context.Context, folder string, options Options) (*ring.Ring, *ring.Recovered, error) {
 	ringOptions := ring.Options{Files: ringFiles, FileBytes: ringBytes, Storage: options.Storage}
 	for {
--- a/internal/region/control/orders.go
+++ b/internal/region/control/orders.go
@@ -10,13 +10,14 @@
 
 // Timeouts and limits of orders.
 const (
-	// orderTimeout is the time after which an order is answered 503; a large body adds its transferTime.
+	// orderTimeout is the time after which an order is answered 503; the transferTime of the body is added.
 	orderTimeout = 900 * time.Millisecond
-	// orderResendInterval is the time after which an unanswered order is resent; a large body adds its transferTime.
+	// orderResendInterval is the time after which an unanswered order is resent; the transferTime of the body is added.
 	orderResendInterval = 300 * time.Millisecond
-	// minLinkRate is the rate, in bytes per second, that a message is assumed to get on a link at least.
+	// minLinkRate is the minimum rate, in bytes per second, at which a link is assumed to transfer a message.
 	minLinkRate = 250_000
-	// maxPendingOrders bounds the pending orders of one machine, separately as their origin and as the head.
+	// maxPendingOrders is the maximum number of pending orders of one machine as their origin, and separately as the
+	// head.
 	maxPendingOrders = 64
 )
 
--- a/internal/region/control/originorders.go
+++ b/internal/region/control/originorders.go
@@ -11,9 +11,9 @@
 	"fieldrelay/internal/region/chain"
 )
 
-// originOrders handles the orders that were submitted at this machine, oldest first. It forwards each to the head of
-// the chain, or to one chain member after another if it is a read, repeatedly until a result arrives or the deadline
-// passes, and answers it exactly once.
+// originOrders handles the orders that were submitted at this machine, oldest first. It forwards each order repeatedly
+// until a result arrives or the deadline passes, to the head of the chain, or for a read to one chain member after
+// another. It answers each order exactly once.
 type originOrders struct {
 	clock   *clock
 	local   *localMachine
@@ -32,14 +32,14 @@
 	order    *pb.Order
 	deadline time.Duration
 	sentAt   time.Duration
-	target   string // identity of the machine that the order was last forwarded to; empty: none
+	target   string // identity of the machine that the order was last forwarded to; empty: there was no target
 	// earlierTargets are the members that a read was forwarded to before target, in the view in force.
 	earlierTargets []string
-	// localState is the committed state that this machine held when it last forwarded a read; nil: none.
+	// localState is the committed state that this machine held when it last forwarded a read; nil: there was none.
 	localState *catalog.Snapshot
 }
 
-// submit accepts an order of the operator and forwards it. While orders may have waited for a stalled process they are
+// submit accepts an order of the operator and forwards it. Orders that may have waited for a stalled process are
 // rejected: their callers may have given up and submitted other orders since.
 func (o *originOrders) submit(event OrderSubmitted) {
 	if cause := o.rejectionCause(); cause != "" {
@@ -63,7 +63,7 @@
 	o.forward(pending)
 }
 
-// rejectionCause returns why no order is accepted now; empty: orders are accepted.
+// rejectionCause returns the reason why no order is accepted now; empty: orders are accepted.
 func (o *originOrders) rejectionCause() UnavailableCause {
 	switch {
 	case !o.peers.hasMajority(viewInForce(o.replica)):
@@ -77,7 +77,7 @@
 	}
 }
 
-// cancel drops an order whose caller has gone: it is neither resent nor confirmed any more.
+// cancel drops an order whose caller no longer waits: the order is neither resent nor confirmed any more.
 func (o *originOrders) cancel(request uint64) {
 	o.pending = slices.DeleteFunc(o.pending, func(pending *pendingOrder) bool {
 		return pending.request == request
@@ -98,9 +98,9 @@
 	}
 }
 
-// readTarget returns the chain member to send a read to at an attempt, counted from 0: first the tail, which knows
-// first what is committed, then this machine if it is a member, then the other members. Attempts differ in their
-// targets because the link of a member may be so congested that its answer is too late.
+// readTarget returns the chain member to send a read to at an attempt, counted from 0: first the tail, which is the
+// first member to know that a change is committed, then this machine if it is a member, then the other members.
+// Attempts differ in their targets because the link of a member may be so congested that its answer is too late.
 func (o *originOrders) readTarget(attempt int) *pb.Replica {
 	members := slices.Clone(viewInForce(o.replica).GetChain())
 	if len(members) == 0 {
@@ -114,7 +114,7 @@
 	return append([]*pb.Replica{tail}, others...)[attempt%len(members)]
 }
 
-// readRank sorts this machine before the other members.
+// readRank is the sort key by which this machine precedes the other members.
 func (o *originOrders) readRank(member *pb.Replica) int {
 	if o.local.is(member) {
 		return 0
@@ -123,7 +123,7 @@
 }
 
 // attachLocalSequence sets in a read the sequence of the committed state that this machine holds. If that state is the
-// newest, the member does not send the configuration, which may be large.
+// newest, the chain member that answers omits the configuration, which may be large.
 func (o *originOrders) attachLocalSequence(pending *pendingOrder) {
 	pending.localState = o.replica.Committed()
 	pending.order = &pb.Order{
@@ -176,7 +176,7 @@
 	case result.GetStatus() == statusConfirm:
 		o.confirm(pending, result.GetBody())
 	case result.GetHeldIsNewest() && pending.localState == nil:
-		// the result belongs to another order, since this one named no state
+		// the result belongs to another order, since this order named no state
 	case result.GetHeldIsNewest():
 		o.answer(pending, readResult(result.GetId(), pending.localState))
 	case isUnansweredRead(pending, result) && pending.target != from.GetIdentity():
@@ -198,8 +198,8 @@
 	return len(pending.earlierTargets)+1 < len(viewInForce(o.replica).GetChain())
 }
 
-// confirm resends an order with the token that the head issued for it. After the order's deadline it does not: a token
-// may only be returned while the caller waits.
+// confirm resends an order with the token that the head issued for it. After the order's deadline, confirm does
+// nothing: a token may only be returned while the caller waits.
 func (o *originOrders) confirm(pending *pendingOrder, token []byte) {
 	if o.clock.now >= pending.deadline {
 		return
--- a/internal/region/control/peerclient.go
+++ b/internal/region/control/peerclient.go
@@ -14,8 +14,8 @@
 // compressed one, before compression is tried again: the machine may have been upgraded by then.
 const maxPlainDeliveries = 8
 
-// peerClient delivers messages to one machine. It compresses large deliveries unless that machine's version cannot read
-// them. It is not safe for concurrent use.
+// peerClient delivers messages to one machine. It compresses large deliveries unless the version that the machine runs
+// cannot read compressed deliveries. It is not safe for concurrent use.
 type peerClient struct {
 	compressed      fieldrelayv1connect.ControlPeerClient
 	plain           fieldrelayv1connect.ControlPeerClient
--- a/internal/region/control/peers.go
+++ b/internal/region/control/peers.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// FailureTimeout is the time without a message from a peer after which it is suspected to have failed.
+	// FailureTimeout is the time without a message from a peer after which the peer is suspected to have failed.
 	FailureTimeout = 1200 * time.Millisecond
 	// peerRetention is how long a peer that is not a voter stays in the table after its last message.
 	peerRetention = 30 * time.Second
 	// maxPeers bounds the table of peers.
 	maxPeers = 64
-	// stableAfter is how long a peer must have been live before it is added to a chain that has enough members without
-	// it.
+	// stableAfter is how long a peer must have been live before it is added to a chain that already has enough
+	// members.
 	stableAfter = time.Second
 )
 
@@ -26,15 +26,16 @@
 	replica     *pb.Replica // the newest description that the peer sent of itself
 	lastContact time.Duration
 	liveSince   time.Duration
-	heartbeat   *pb.Heartbeat // the last one; nil before the first
-	// lastPromptHeartbeat is when the last heartbeat arrived that had not waited while this process was stalled.
+	heartbeat   *pb.Heartbeat // last heartbeat received; nil before the first
+	// lastPromptHeartbeat is the time of the last heartbeat that had not waited while this process was stalled.
 	lastPromptHeartbeat time.Duration
-	// leavingIncarnation is the last incarnation that announced its graceful shutdown; 0: none has.
+	// leavingIncarnation is the last incarnation of the peer that announced its graceful shutdown; 0: there is none.
 	leavingIncarnation uint64
 }
 
-// acceptHeartbeat stores a heartbeat. It returns false for one that was sent before a heartbeat already stored: an
-// incarnation that has announced its shutdown never withdraws that, and never succeeds its own successor.
+// acceptHeartbeat stores a heartbeat. It returns false for a heartbeat that was sent before one already stored: an
+// incarnation that has announced its shutdown never withdraws the announcement, and sends nothing after the next
+// incarnation has started.
 //
 // A machine that restarts after a graceful shutdown counts as stable at once, so that it can serve in the chain as soon
 // as it is synchronized.
@@ -59,13 +60,13 @@
 	return true
 }
 
-// peerTable is the failure detector: it records the messages of the other machines, and suspects those that sent none
-// within FailureTimeout. A suspicion only causes proposals of views and rejections of orders; the guarantees for orders
-// do not depend on it.
+// peerTable is the failure detector: it records the messages of the other machines, and suspects the machines that have
+// sent none within FailureTimeout. A suspicion only causes proposals of views and rejections of orders; the guarantees
+// for orders do not depend on it.
 type peerTable struct {
 	clock *clock
 	local *localMachine
-	known map[string]*peer // by identity; never this machine
+	known map[string]*peer // the other machines, by identity
 }
 
 // observe records a message of a machine. If the table is full, it returns a peer that is not stored.
@@ -116,7 +117,8 @@
 	return known && t.clock.now-found.lastContact <= FailureTimeout
 }
 
-// sinceContact is the time since the last message of a machine; for an unknown machine, since the start of this one.
+// sinceContact returns the time since the last message of a machine. For an unknown machine, it returns the time since
+// this machine started.
 func (t *peerTable) sinceContact(identity string) time.Duration {
 	if identity == t.local.identity() {
 		return 0
@@ -155,7 +157,7 @@
 }
 
 // addressOf returns the address of a replica's peer service. An address that the replica itself sent takes precedence
-// over the one in the view.
+// over its address in the view.
 func (t *peerTable) addressOf(replica *pb.Replica) string {
 	if found, known := t.known[replica.GetIdentity()]; known {
 		return found.replica.GetAddress()
--- a/internal/region/control/peersender.go
+++ b/internal/region/control/peersender.go
@@ -23,7 +23,7 @@
 	// maxQueueDelay is how long a message may wait in the queue before it is dropped.
 	maxQueueDelay = time.Second
 	dialTimeout   = 700 * time.Millisecond
-	// deliverTimeout limits one call; a large delivery adds its transferTime.
+	// deliverTimeout limits one call; the transferTime of the delivery is added.
 	deliverTimeout = time.Second
 	// unacknowledgedTimeout closes a connection whose peer acknowledges nothing (TCP_USER_TIMEOUT, RFC 5482).
 	unacknowledgedTimeout = 1500 * time.Millisecond
@@ -56,7 +56,7 @@
 	owner  *peerSenders
 	key    senderKey
 	client *peerClient   // used by the sender's goroutine only
-	ready  chan struct{} // holds an item when the queue may have messages
+	ready  chan struct{} // holds an element while the queue may have messages
 
 	queue []queuedMessage // guarded by the owner's mu
 }
@@ -174,8 +174,8 @@
 	return true
 }
 
-// takeQueued empties the queue and returns the messages that have waited for no longer than maxQueueDelay. The others
-// are reported as undelivered.
+// takeQueued empties the queue and returns the messages that have waited for no longer than maxQueueDelay. The other
+// messages are reported as undelivered.
 func (s *peerSender) takeQueued() []*pb.Message {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
@@ -195,8 +195,8 @@
 	return messages
 }
 
-// deliver sends messages in one call. If the call fails, they are reported as undelivered and dropped: whoever needs an
-// answer resends.
+// deliver sends messages in one call. If the call fails, the messages are reported as undelivered and dropped: a
+// component that needs an answer sends its message again.
 func (s *peerSender) deliver(messages []*pb.Message) {
 	if len(messages) == 0 {
 		return
--- a/internal/region/control/proposer.go
+++ b/internal/region/control/proposer.go
@@ -24,7 +24,8 @@
 	// proposalBackoff is the minimum delay between two proposals of a machine; a random delay of up to the same length
 	// is added.
 	proposalBackoff = 200 * time.Millisecond
-	// undecidedTimeout is the time after which another voter completes an accepted proposal that is still undecided.
+	// undecidedTimeout is the time after which a voter other than the proposer completes an accepted proposal that is
+	// still undecided.
 	undecidedTimeout = 800 * time.Millisecond
 )
 
@@ -47,22 +48,22 @@
 	// spurious reports whether to propose now although no change is needed; nil: never. See Config.SpuriousProposals.
 	spurious func() bool
 
-	proposal    *quorum.Proposer // nil when none is in flight
-	begunAt     time.Duration    // when the proposal in flight began
+	proposal    *quorum.Proposer // proposal in flight; nil if there is none
+	begunAt     time.Duration    // start of the proposal in flight
 	retryAt     time.Duration
-	wantedSince time.Duration // since when a view change has been wanted; 0: none is
+	wantedSince time.Duration // time since which a view change has been wanted; 0: none is wanted
 	highest     *pb.Ballot    // highest proposal number observed for the next view
 }
 
-// enterView discards the state of proposals for the view that has been decided now.
+// enterView discards the state of proposals for the view that has just been decided.
 func (p *proposer) enterView() {
 	p.proposal = nil
 	p.wantedSince = 0
 	p.highest = nil
 }
 
-// observeStall restarts the delay by rank after a stall of this process: the peers whose silence made a change wanted
-// may have been live.
+// observeStall restarts the delay by rank after a stall of this process: the peers that appeared to have failed, and so
+// made a change wanted, may have been live.
 func (p *proposer) observeStall() { p.wantedSince = 0 }
 
 // tick begins a proposal when it is this machine's turn, or resends the messages of the proposal in flight.
@@ -132,7 +133,7 @@
 }
 
 // proposingOrder lists the voters in the order in which they propose: first the members of the chain that are leaving,
-// which know best why a change is wanted, then the other members, then the other voters.
+// since their shutdown is the reason for a change, then the other members, then the other voters.
 func (p *proposer) proposingOrder() []*pb.Replica {
 	base := p.electorate.decidingView()
 	var leaving, members, others []*pb.Replica
@@ -158,9 +159,9 @@
 	return p.peers.isLive(voter.GetIdentity())
 }
 
-// begin sends Prepare with a new proposal number. The name in that number contains the host, the identity and the
-// incarnation, so it differs between machines and between runs of a process; so no number is used twice, although
-// proposers keep no numbers on disk.
+// begin sends Prepare with a new proposal number. The proposer's name in that number contains the host, the identity
+// and the incarnation, and therefore differs between machines and between runs of a process. So no number is used
+// twice, although proposers keep no numbers on disk.
 func (p *proposer) begin() {
 	if !p.disk.acceptsPromises() {
 		return
@@ -176,8 +177,8 @@
 	p.electorate.sendToAll(&pb.Message{Body: &pb.Message_Prepare{Prepare: proposal.Prepare()}})
 }
 
-// resend sends the current step again to the live voters that have not answered it, and abandons the proposal after
-// proposalTimeout.
+// resend sends the message of the current phase again to the live voters that have not answered it, and abandons the
+// proposal after proposalTimeout.
 func (p *proposer) resend() {
 	if p.clock.now-p.begunAt > proposalTimeout {
 		p.abandon()
@@ -194,8 +195,9 @@
 	}
 }
 
-// receivePromise handles a voter's answer to Prepare. Once a majority has promised, it sends Accept: for the proposal
-// that one of them accepted earlier, since that one may have been decided, else for the view that this machine wants.
+// receivePromise handles a voter's answer to Prepare. Once a majority has promised, it sends Accept. If a voter of that
+// majority has accepted an earlier proposal, Accept carries the view of that proposal, since the view may have been
+// decided; otherwise it carries the view that this machine wants.
 func (p *proposer) receivePromise(from *pb.Replica, promise *pb.Promise) {
 	proposal := p.proposal
 	if proposal == nil {
@@ -231,7 +233,8 @@
 	return wanted
 }
 
-// receiveAccepted handles a voter's answer to Accept. It returns the view if this answer has decided it, else nil.
+// receiveAccepted handles a voter's answer to Accept. It returns the proposed view if this answer has
+// decided the view, otherwise nil.
 func (p *proposer) receiveAccepted(from *pb.Replica, accepted *pb.Accepted) *pb.View {
 	proposal := p.proposal
 	if proposal == nil {
@@ -248,7 +251,7 @@
 	return proposal.Value()
 }
 
-// abandon gives the proposal in flight up, and sets a random backoff before the next one.
+// abandon gives up the proposal in flight, and sets a random backoff before the next proposal.
 func (p *proposer) abandon() {
 	if p.proposal != nil {
 		p.highest = p.proposal.HighestObserved()
--- a/internal/region/control/quorumcheck.go
+++ b/internal/region/control/quorumcheck.go
@@ -19,8 +19,8 @@
 
 // quorumChecks holds results back until a majority of the voters has confirmed that it knows of no later view, like
 // Raft's ReadIndex for reads. A later view that was decided before the check began was accepted by a majority, which
-// shares a voter with the confirming majority; that voter would not have confirmed. So the view was the newest one when
-// the check began, and so was the state that the result depends on.
+// shares a voter with the confirming majority; that voter would not have confirmed. So the view in force was the newest
+// view when the check began, and the state that the result depends on was the newest state.
 type quorumChecks struct {
 	clock      *clock
 	replica    *chain.Replica
@@ -36,8 +36,8 @@
 	id      uint64
 	to      *pb.Replica
 	result  *pb.OrderResult
-	read    *checkedRead // nil: not a read, the result is complete
-	votes   map[int]bool // by the index of the voter in the view
+	read    *checkedRead // the read that the result answers; nil: the result does not answer a read and is complete
+	votes   map[int]bool // voters that have confirmed, by their index in the view
 	agreed  bool         // a majority has confirmed
 	expires time.Duration
 	sentAt  time.Duration
@@ -46,7 +46,7 @@
 // checkedRead describes a read that waits for its quorum check; its result is the committed state at the time when the
 // check completes.
 type checkedRead struct {
-	minSequence    uint64 // sequence that the committed state must have reached
+	minSequence    uint64 // sequence that the committed state must reach before the read is answered
 	originSequence uint64 // sequence of the committed state that the origin holds
 }
 
@@ -87,14 +87,14 @@
 	}}})
 }
 
-// contains reports whether the result of an order of an origin waits for its check.
+// contains reports whether the result of an order, identified by origin and id, waits for its check.
 func (c *quorumChecks) contains(from *pb.Replica, id uint64) bool {
 	return slices.ContainsFunc(c.pending, func(check *quorumCheck) bool {
 		return check.to.GetIdentity() == from.GetIdentity() && check.result.GetId() == id
 	})
 }
 
-// reset drops all checks at a view change: they were made in the previous view.
+// reset drops all checks at a view change, since they belong to the previous view.
 func (c *quorumChecks) reset() { c.pending = nil }
 
 // receive handles a voter's answer to a quorum check.
@@ -148,8 +148,8 @@
 	return readResult(check.result.GetId(), committed)
 }
 
-// tick drops the expired checks and queries the voters again for the others. This machine's own answer is handled at
-// once and may complete a check, so the loop iterates over a copy of the list.
+// tick drops the expired checks and queries the voters again for the remaining checks. This machine's own answer is
+// handled at once and may complete a check, so the loop iterates over a copy of the list.
 func (c *quorumChecks) tick() {
 	c.pending = slices.DeleteFunc(c.pending, func(check *quorumCheck) bool { return c.clock.now >= check.expires })
 	for _, check := range slices.Clone(c.pending) {
--- a/internal/region/control/record.go
+++ b/internal/region/control/record.go
@@ -15,18 +15,18 @@
 
 // Kinds of records in the ring.
 const (
-	recordIdentity         uint8 = 1 // pb.Message: From and, in a Heartbeat, Bootstrap
-	recordPromise          uint8 = 2 // pb.Promise: the acceptor
-	recordView             uint8 = 3 // synchronized view, pb.View
-	recordChange           uint8 = 4 // synchronized view, pb.Change
-	recordRepair           uint8 = 5 // synchronized view, pb.Repair
-	recordSynchronizedView uint8 = 6 // synchronized view
+	recordIdentity         uint8 = 1 // pb.Message with the identity in From and the bootstrap flag in a Heartbeat
+	recordPromise          uint8 = 2 // pb.Promise with the state of the acceptor
+	recordView             uint8 = 3 // number of the synchronized view, then pb.View
+	recordChange           uint8 = 4 // number of the synchronized view, then pb.Change
+	recordRepair           uint8 = 5 // number of the synchronized view, then pb.Repair
+	recordSynchronizedView uint8 = 6 // number of the synchronized view
 	recordRegister         uint8 = 7 // pb.RegisterRecord
 )
 
 // RecordError is returned for a record of the ring that cannot be decoded.
 type RecordError struct {
-	Kind  uint8 // see RecordName
+	Kind  uint8 // kind of the record, which RecordName converts to a name
 	Cause error
 }
 
@@ -49,7 +49,7 @@
 func newDurableState() durableState { return durableState{chain: chain.EmptyState()} }
 
 // recoverState decodes the content of a ring: the records of its snapshot, then those after it. On an error, the state
-// is that of the records before the faulty one.
+// contains the records before the faulty one.
 func recoverState(recovered *ring.Recovered) (durableState, error) {
 	state := newDurableState()
 	records, err := splitSnapshot(recovered.Snapshot)
@@ -65,7 +65,7 @@
 	return state, nil
 }
 
-// apply adds one record; later records supersede earlier ones of their kind.
+// apply adds one record. A record of the identity, the acceptor or the view supersedes the earlier records of its kind.
 func (d *durableState) apply(record ring.Record) error {
 	switch record.Kind {
 	case recordIdentity:
@@ -92,7 +92,7 @@
 	}
 }
 
-// restoreAcceptor returns the acceptor for the view after the one in force. Promises for earlier views have no effect
+// restoreAcceptor returns the acceptor for the view after the view in force. Promises for earlier views have no effect
 // any more.
 func (d *durableState) restoreAcceptor() *quorum.Acceptor {
 	next := d.chain.View.GetNumber() + 1
--- a/internal/region/control/rejoin.go
+++ b/internal/region/control/rejoin.go
@@ -20,10 +20,10 @@
 // delays orders.
 type rejoinBackoff struct {
 	clock    *clock
-	removals map[string]removal // by identity
+	removals map[string]removal // last removal of each removed machine, by identity
 }
 
-// removal records how often a machine was removed from the chain, and when last.
+// removal records the number of times that a machine was removed from the chain, and the time of the last removal.
 type removal struct {
 	count int
 	at    time.Duration
--- a/internal/region/control/replication.go
+++ b/internal/region/control/replication.go
@@ -15,7 +15,7 @@
 	disk      *diskQueue
 	staleness *staleness
 
-	reported *catalog.Snapshot // state of the last Committed action
+	reported *catalog.Snapshot // state that the last Committed action reported
 }
 
 // perform carries out the output of the replica: messages, writes and commits.
@@ -73,7 +73,8 @@
 	}
 }
 
-// fence sends the view in force to the sender of a chain message of an earlier view.
+// fence tells the sender of a chain message of an earlier view that the view has been superseded, by sending it the
+// view in force. number is the view number in the message.
 func (r *replication) fence(to *pb.Replica, number uint64) {
 	if view := viewInForce(r.replica); view != nil && number < view.GetNumber() {
 		r.output.send(to, &pb.Message{Body: &pb.Message_Fenced{Fenced: &pb.Fenced{View: view}}})
--- a/internal/region/control/ringwriter.go
+++ b/internal/region/control/ringwriter.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// write retries until the batch is on disk; it returns false if ctx ends before.
+// write retries until the batch is on disk; it returns false if ctx ends earlier.
 func (w *ringWriter) write(ctx context.Context, batch Persist) bool {
 	for {
 		err := w.writeOnce(&batch)
@@ -71,7 +71,8 @@
 	}
 }
 
-// writeOnce writes the batch. It clears the batch's snapshot once that is written, so that a retry continues after it.
+// writeOnce writes the batch. It clears the batch's snapshot once the snapshot is written, so that a retry writes only
+// the records.
 func (w *ringWriter) writeOnce(batch *Persist) error {
 	if batch.Snapshot != nil {
 		if err := w.ring.Snapshot(batch.Snapshot); err != nil {
--- a/internal/region/control/snapshot.go
+++ b/internal/region/control/snapshot.go
@@ -9,7 +9,7 @@
 	"fieldrelay/internal/region/ring"
 )
 
-// snapshot encodes everything that must be on disk once all writes so far are there.
+// snapshot encodes the complete state that the disk must contain once all pending writes are on disk.
 func (m *Machine) snapshot() []byte {
 	state := m.replica.State()
 	records := []ring.Record{identityRecord(m.local.identity(), m.local.bootstrap)}
@@ -27,7 +27,7 @@
 	return joinSnapshot(records)
 }
 
-// joinSnapshot encodes records as one payload: for each record its kind, its length and its payload.
+// joinSnapshot encodes records as one payload: for each record its kind, the length of its payload and the payload.
 func joinSnapshot(records []ring.Record) []byte {
 	size := 0
 	for _, record := range records {
--- a/internal/region/control/status.go
+++ b/internal/region/control/status.go
@@ -11,13 +11,13 @@
 
 // Status is an immutable description of the state of a Node.
 type Status struct {
-	View      *pb.View          // agreed view; nil while none is known
+	View      *pb.View          // agreed view; nil if no view is known
 	Self      *pb.Replica       // this machine
 	Committed *catalog.Snapshot // newest committed state known here; nil before the first is known
 	// Authoritative: this machine holds the state of the agreed view and has received heartbeats from a majority of the
 	// voters within FailureTimeout.
 	Authoritative bool
-	AuthorityGap  AuthorityGap // what the machine lacks to be authoritative
+	AuthorityGap  AuthorityGap // reason why this machine is not authoritative; empty if it is
 	Live          []string     // hosts of the live voters, this one included, in the order of the view
 	Founded       bool         // a view is known
 }
@@ -32,11 +32,11 @@
 // CoordinationStatus describes the calls of applications and the registers behind them.
 type CoordinationStatus struct {
 	coordination.Stats
-	// Epoch is the newest epoch of voters whose registers are on this machine's disk; 0: none.
+	// Epoch is the newest epoch of voters whose registers are on this machine's disk; 0: there is none.
 	Epoch uint64
 }
 
-// CoordinationStatus returns the figures of the last tick. It is safe for concurrent use.
+// CoordinationStatus returns the status at the last tick. It is safe for concurrent use.
 func (n *Node) CoordinationStatus() CoordinationStatus {
 	if status := n.coordination.Load(); status != nil {
 		return *status
@@ -94,7 +94,7 @@
 	old := n.status.Load()
 	if old != nil && old.equal(status) {
 		if old.AuthorityGap != gap {
-			n.status.Store(status) // Changed does not report a change of the reason alone
+			n.status.Store(status) // Changed does not report a change of the AuthorityGap alone
 		}
 		return
 	}
--- a/internal/region/control/stepoutput.go
+++ b/internal/region/control/stepoutput.go
@@ -11,7 +11,7 @@
 	local   *localMachine
 	peers   *peerTable
 	replica *chain.Replica
-	// deliverLocally handles a message of this machine to itself before send returns.
+	// deliverLocally handles a message that this machine sends to itself; it is called before send returns.
 	deliverLocally func(*pb.Message)
 
 	actions []Action
@@ -41,8 +41,8 @@
 	o.deliverLocally(message)
 }
 
-// sendTo sends a message to an address. The receiver drops the message if its identity is another one; an empty
-// identity matches any. Nothing is sent to an empty address or to this machine's own.
+// sendTo sends a message to an address. The receiver drops the message if the given identity is not its own;
+// an empty identity matches any receiver. Nothing is sent to an empty address or to the address of this machine.
 func (o *stepOutput) sendTo(address, identity string, message *pb.Message) {
 	if address == "" || address == o.local.replica.GetAddress() {
 		return
@@ -55,7 +55,7 @@
 	}})
 }
 
-// sendView sends the view in force to a machine that acted in an earlier one.
+// sendView sends the view in force to a machine that acted in an earlier view.
 func (o *stepOutput) sendView(to *pb.Replica) {
 	o.send(to, decidedMessage(viewInForce(o.replica)))
 }
--- a/internal/region/control/submit.go
+++ b/internal/region/control/submit.go
@@ -7,7 +7,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// submitTimeoutMargin is added to an order's timeout, to end the wait for a Machine that does not respond.
+// submitTimeoutMargin is the time after the timeout of an order or a call at which its caller stops waiting for a
+// Machine that does not respond.
 const submitTimeoutMargin = time.Second
 
 // Submit passes an order of the operator to the Machine and waits for its result. The status is 503 if the result is
@@ -20,7 +21,7 @@
 }
 
 func (n *Node) submit(ctx context.Context, order *pb.Order) Reply {
-	answer := make(chan Reply, 1) // so that the loop never waits for a caller
+	answer := make(chan Reply, 1) // buffered, so that the loop never waits for a caller
 	request := n.registerReply(answer)
 	defer n.unregisterReply(request)
 	ctx, cancel := context.WithTimeout(ctx, orderTimeoutOf(order)+submitTimeoutMargin)
@@ -39,8 +40,8 @@
 	}
 }
 
-// cancelOrder reports to the Machine that the caller of an order has gone. If the queue is full, the report is dropped:
-// the order ends at its deadline.
+// cancelOrder reports to the Machine that the caller of an order no longer waits. If the event queue is full, the
+// report is dropped: the order then ends at its deadline.
 func (n *Node) cancelOrder(request uint64) {
 	select {
 	case n.events <- OrderCanceled{Request: request}:
@@ -62,7 +63,7 @@
 	delete(n.replies, request)
 }
 
-// reply carries out a Reply action; the caller may have gone already.
+// reply carries out a Reply action; the caller may no longer be waiting.
 func (n *Node) reply(action Reply) {
 	n.mu.Lock()
 	answer := n.replies[action.Request]
--- a/internal/region/control/submitcall.go
+++ b/internal/region/control/submitcall.go
@@ -8,12 +8,13 @@
 	"fieldrelay/internal/region/coordination"
 )
 
-// Call passes a call of an application to the Machine and waits for its result, for about a second longer than a watch
-// waits. It never returns nil: the outcome is UNAVAILABLE if the call was not executed and never will be, UNKNOWN if it
-// may be executed. The Machine modifies the call. Call is safe for concurrent use.
+// Call passes a call of an application to the Machine and waits for its result, for at most CallTimeout and
+// submitTimeoutMargin, and for a watch also its wait time. It never returns nil: the outcome is UNAVAILABLE if the call
+// was not executed and never will be, UNKNOWN if the call may have been or may still be executed. The Machine modifies
+// the call. Call is safe for concurrent use.
 func (n *Node) Call(ctx context.Context, call *pb.CoordinationCall) *pb.CoordinationResult {
 	n.counters.calls.Add(1)
-	answer := make(chan *pb.CoordinationResult, 1) // so that the loop never waits for a caller
+	answer := make(chan *pb.CoordinationResult, 1) // buffered, so that the loop never waits for a caller
 	request := n.registerCall(answer)
 	defer n.unregisterCall(request)
 	wait := time.Duration(call.GetWatch().GetWaitMs()) * time.Millisecond
@@ -33,8 +34,8 @@
 	}
 }
 
-// cancelCall reports to the Machine that the caller of a call has gone. If the queue is full, the report is dropped:
-// the call ends at its deadline.
+// cancelCall reports to the Machine that the caller of a call no longer waits. If the event queue is full, the report
+// is dropped: the call then ends at its deadline.
 func (n *Node) cancelCall(request uint64) {
 	select {
 	case n.events <- CallCanceled{Request: request}:
@@ -56,7 +57,7 @@
 	delete(n.callReplies, request)
 }
 
-// replyToCall carries out a CallReply action; the caller may have gone already.
+// replyToCall carries out a CallReply action; the caller may no longer be waiting.
 func (n *Node) replyToCall(action CallReply) {
 	n.mu.Lock()
 	answer := n.callReplies[action.Request]
--- a/internal/region/control/trafficclass.go
+++ b/internal/region/control/trafficclass.go
@@ -2,15 +2,15 @@
 
 import pb "fieldrelay/api/fieldrelay/v1"
 
-// trafficClass selects the connection to a peer that a message uses. Separate connections keep heartbeats, by which the
-// others judge this machine, from waiting behind a configuration, and calls from waiting behind registers of other
-// calls.
+// trafficClass selects the connection to a peer that a message uses. Separate connections prevent head-of-line
+// blocking: heartbeats, by which other machines detect whether this machine has failed, do not wait behind a
+// configuration, and calls do not wait behind the register messages of other calls.
 type trafficClass int
 
 const (
 	// classUrgent carries heartbeats, votes, acknowledgements and other short messages.
 	classUrgent trafficClass = iota
-	// classBulk carries the state and its changes, in the order in which they were sent, and all other long messages.
+	// classBulk carries the state and its changes, in the order in which they were sent, and other long messages.
 	classBulk
 	// classRegisters carries the messages that read and write registers.
 	classRegisters
@@ -20,7 +20,7 @@
 	trafficClasses
 )
 
-// maxUrgentBytes is the body length up to which an order or its result counts as short.
+// maxUrgentBytes is the maximum body length of an order or a result that counts as short.
 const maxUrgentBytes = 4 << 10
 
 // classOf returns the class of a message. Messages of one kind whose order matters have the same class.
--- a/internal/region/control/unavailability.go
+++ b/internal/region/control/unavailability.go
@@ -9,10 +9,10 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// UnavailableCause is the reason why an order was answered 503; empty: it was not.
+// UnavailableCause is the reason why an order was answered 503; empty: the order was answered with another status.
 type UnavailableCause string
 
-// Reasons for a 503.
+// Reasons for an answer with status 503.
 const (
 	// CauseNoMajority: no majority of the voters is live, as far as this machine knows.
 	CauseNoMajority UnavailableCause = "no majority"
@@ -20,11 +20,13 @@
 	CauseStalled UnavailableCause = "stalled"
 	// CauseTooManyPending: too many orders are pending on this machine.
 	CauseTooManyPending UnavailableCause = "full"
-	// CauseTimeout: the head, or a chain member for a read, has not answered in time, or the caller has gone.
+	// CauseTimeout: the head, or a chain member for a read, has not answered in time, or the caller no longer
+	// waits.
 	CauseTimeout UnavailableCause = "timeout"
 	// CauseRejected: the head, or a chain member for a read, could not give a definite answer.
 	CauseRejected UnavailableCause = "rejected"
-	// CauseEventQueueFull: the event queue had no room before the order's timeout, or the caller has gone.
+	// CauseEventQueueFull: the event queue had no room before the order's timeout, or the caller stopped waiting for
+	// room.
 	CauseEventQueueFull UnavailableCause = "loop"
 )
 
@@ -34,8 +36,8 @@
 	logger *zap.Logger
 
 	mu           sync.Mutex
-	failingSince time.Time // time of the first of these failures
-	failures     int       // consecutive failures; 0: the last read was answered
+	failingSince time.Time // time of the first of the consecutive failures
+	failures     int       // number of consecutive failures; 0: the last read was answered
 }
 
 // observe records the outcome of an order if the order is a read.
--- a/internal/region/control/viewchange.go
+++ b/internal/region/control/viewchange.go
@@ -33,7 +33,7 @@
 }
 
 // enterView enters a decided view if it is later than the view in force. Views of a cluster are decided one after
-// another, so a later view supersedes everything that this machine did in earlier ones; a machine may skip views.
+// another, so a later view supersedes everything that this machine did in earlier views; a machine may skip views.
 func (m *Machine) enterView(view *pb.View) {
 	before := m.View()
 	if view.GetNumber() <= before.GetNumber() {
--- a/internal/region/control/viewplan.go
+++ b/internal/region/control/viewplan.go
@@ -9,8 +9,8 @@
 	"fieldrelay/internal/region/register"
 )
 
-// viewPlanner computes the next view from what this machine knows of the others. Machines may compute different views;
-// the voters decide on one of those that were proposed.
+// viewPlanner computes the next view from what this machine knows of the other machines. Machines may compute different
+// views; the voters decide on one of the proposed views.
 type viewPlanner struct {
 	clock       *clock
 	local       *localMachine
@@ -20,17 +20,17 @@
 	leaving     *leaving
 	rejoin      *rejoinBackoff
 	requirement chain.Requirement
-	// votingSince records, by identity, when a view change made a machine a voter. It lacks the voters of the view that
-	// this machine started with.
+	// votingSince holds, by identity, the time at which a view change made a machine a voter. The time is 0 or
+	// absent for the voters of the first view that this machine knew.
 	votingSince map[string]time.Duration
-	// coordination holds the epoch of the registers that this machine has on disk.
+	// coordination provides the epoch of the registers that this machine has on disk.
 	coordination *coordinationHost
 }
 
 // viewChange lists the differences between a wanted view and the view in force.
 type viewChange struct {
 	chain.Change
-	Voters bool // the voters differ
+	Voters bool // the voters of the two views differ
 }
 
 func (c viewChange) any() bool { return c.Removal || c.Addition || c.Voters }
@@ -56,7 +56,7 @@
 
 // nextVoters returns the voters of the next view, and whether they differ from the present ones. The voters do not
 // change until a majority of them holds the registers of their epoch, because the next voters collect the registers
-// from these.
+// from that majority.
 func (p *viewPlanner) nextVoters() ([]*pb.Replica, bool) {
 	view := viewInForce(p.replica)
 	if !p.majorityHoldsRegisters() {
@@ -78,8 +78,8 @@
 	return holders >= quorum.Majority(view)
 }
 
-// registerEpoch is the newest epoch whose registers a machine is known to have on disk: from its heartbeat, or for this
-// machine from its own disk; 0: none is known.
+// registerEpoch returns the newest epoch whose registers a machine is known to have on disk, according to its
+// heartbeat, or for this machine according to its own disk; 0: no epoch is known.
 func (p *viewPlanner) registerEpoch(identity string) uint64 {
 	if identity == p.local.identity() {
 		return p.coordination.durableEpoch
@@ -91,8 +91,8 @@
 }
 
 // isOptimal reports, without computing the next view, whether the view in force cannot be improved: the chain has its
-// maximum length, all voters are live, none is leaving or reports an unhealthy disk, and no live machine is without a
-// vote.
+// maximum length, all voters are live, no voter is leaving or reports an unhealthy disk, and every live machine is a
+// voter.
 func (p *viewPlanner) isOptimal() bool {
 	view := viewInForce(p.replica)
 	if len(view.GetChain()) != min(len(view.GetVoters()), chain.MaxLength) {
@@ -130,7 +130,7 @@
 	return known && found.heartbeat.GetLeaving()
 }
 
-// hasLeftChain reports whether a machine that is leaving is no member of the chain in force.
+// hasLeftChain reports whether a machine is leaving and is not a member of the chain in force.
 func (p *viewPlanner) hasLeftChain(identity string) bool {
 	inChain := quorum.IndexOf(viewInForce(p.replica).GetChain(), identity) != quorum.NotFound
 	return !inChain && p.isLeaving(identity)
@@ -162,8 +162,8 @@
 	}
 }
 
-// sinceContact is the time since the last message of a machine. If no message of it has arrived yet, the time is at
-// most that since the machine became a voter.
+// sinceContact returns the time since the last message of a machine. If no message of the machine has arrived yet, the
+// result is at most the time since the machine became a voter.
 func (p *viewPlanner) sinceContact(identity string) time.Duration {
 	silence := p.peers.sinceContact(identity)
 	if _, known := p.peers.known[identity]; known {
@@ -172,7 +172,7 @@
 	return min(silence, p.clock.now-p.votingSince[identity])
 }
 
-// enterView records since when the voters of a new view have been voters.
+// enterView records the times since which the voters of a new view have been voters.
 func (p *viewPlanner) enterView(before, view *pb.View) {
 	if before == nil {
 		return // the voters of the first view that this machine learns of were elected at an unknown time
@@ -188,7 +188,7 @@
 	p.votingSince = votingSince
 }
 
-// knowsView reports whether a heartbeat advertises the view in force, or the one before it.
+// knowsView reports whether a heartbeat advertises the view in force, the view before it, or a later one.
 func (p *viewPlanner) knowsView(heartbeat *pb.Heartbeat) bool {
 	number := heartbeat.GetViewNumber()
 	return number > 0 && number+1 >= viewInForce(p.replica).GetNumber()
--- a/internal/region/control/voter.go
+++ b/internal/region/control/voter.go
@@ -17,15 +17,15 @@
 	planner    *viewPlanner
 	disk       *diskQueue
 	output     *stepOutput
-	// spuriousProposals is set in simulations that propose views without need; no promise is withheld then.
+	// spuriousProposals is set in simulations that propose views without need; the voter then withholds no promise.
 	spuriousProposals bool
 
 	acceptor   *quorum.Acceptor
-	acceptedAt time.Duration // when this voter last accepted a proposal
+	acceptedAt time.Duration // time at which this voter last accepted a proposal
 }
 
-// enterView replaces the acceptor by one for the view after a decided one. Promises for the decided view have no effect
-// any more.
+// enterView replaces the acceptor by an acceptor for the view that follows a decided view. Promises for the decided
+// view have no effect any more.
 func (v *voter) enterView(view *pb.View) { v.acceptor = quorum.NewAcceptor(view.GetNumber() + 1) }
 
 // hasUndecided reports whether a proposal that was accepted here has stayed undecided for longer than undecidedTimeout.
@@ -73,8 +73,8 @@
 	v.disk.persistThenSend(promiseRecord(v.acceptor), to, message)
 }
 
-// answersFor reports whether this machine answers proposals for a view. It sends the view in force to a proposer that
-// is behind.
+// answersFor reports whether this machine answers proposals for a view. It sends the view in force to a proposer whose
+// proposal is for that view or an earlier one.
 func (v *voter) answersFor(from *pb.Replica, number uint64) bool {
 	if view := viewInForce(v.replica); view != nil && number <= view.GetNumber() {
 		v.output.sendView(from)
@@ -83,9 +83,10 @@
 	return number == v.acceptor.ViewNumber() && v.electorate.includesSelf() && v.disk.acceptsPromises()
 }
 
-// agreesToChange reports whether this voter promises to a proposer. It keeps a proposer outside the chain, which may
-// merely be partitioned from one member, from changing a chain whose members are all healthy. Withholding a promise
-// never harms safety. A proposal that was accepted here may be completed by any proposer.
+// agreesToChange reports whether this voter gives a promise to a proposer. The voter withholds the promise if the
+// proposer is outside the chain and all members of the chain are healthy: such a proposer may merely be partitioned
+// from one member. Withholding a promise never harms safety. A proposal that was accepted here may be completed by any
+// proposer.
 func (v *voter) agreesToChange(from *pb.Replica) bool {
 	view := viewInForce(v.replica)
 	if view == nil || v.acceptor.HasAccepted() || v.spuriousProposals {
@@ -103,7 +104,7 @@
 	return false
 }
 
-// checkQuorum answers whether this voter knows of no view, decided or accepted, later than the one that a quorum check
+// checkQuorum answers whether this voter knows of no view, decided or accepted, later than the view that a quorum check
 // names. A proposal that was promised here but not accepted cannot have been decided with the vote of this machine.
 func (v *voter) checkQuorum(from *pb.Replica, check *pb.ViewCheck) {
 	number := check.GetViewNumber()
--- a/internal/region/control/writequeue.go
+++ b/internal/region/control/writequeue.go
@@ -51,7 +51,7 @@
 	return write
 }
 
-// mergeWrites appends a write to a batch; a snapshot replaces what precedes it.
+// mergeWrites appends a write to a batch; a snapshot replaces all writes before it.
 func mergeWrites(batch, next Persist) Persist {
 	if next.Snapshot != nil {
 		return dropCoveredRecords(next)
@@ -67,8 +67,8 @@
 	ready chan struct{} // holds an element while there may be results
 
 	mu        sync.Mutex
-	token     uint64 // newest durable token since the last take; 0: none
-	hasFailed bool   // a write after token has failed
+	token     uint64 // newest token that became durable since the last take; 0: there is none
+	hasFailed bool   // the write after token has failed
 }
 
 func newWriteResults() *writeResults { return &writeResults{ready: make(chan struct{}, 1)} }
@@ -105,7 +105,7 @@
 	return events
 }
 
-// notify puts an element into a channel of capacity 1 unless it holds one.
+// notify puts an element into a channel of capacity 1 unless the channel is full.
 func notify(ready chan struct{}) {
 	select {
 	case ready <- struct{}{}:
