--- a/internal/region/coordination/conditions_test.go
+++ b/internal/region/coordination/conditions_test.go
@@ -8,5 +8,5 @@
 )
 
 func (o *testRegister) conditions(left time.Duration) register.Conditions {
-	return register.Conditions{HoldRemaining: left, Round: strconv.Itoa(o.executions)}
+	return register.Conditions{LeaseRemaining: left, BatchID: strconv.Itoa(o.executions)}
 }
--- a/internal/region/coordination/lock.go
+++ b/internal/region/coordination/lock.go
@@ -16,7 +16,7 @@
 // acquire grants a lock that is free or that the caller already holds. Every acquisition gets a new fence, even one by
 // the current holder, so that a delayed release with an earlier fence has no effect.
 func acquire(lock *pb.LockState, call string, wanted *pb.AcquireLock, conditions register.Conditions) register.Outcome {
-	remaining := conditions.HoldRemaining
+	remaining := conditions.LeaseRemaining
 	isHeld := lock.GetHolder() != "" && remaining > 0
 	isHolder := lock.GetHolder() == wanted.GetHolder()
 	switch {
@@ -36,13 +36,13 @@
 	} else {
 		remaining = 0
 	}
-	return grant(next, conditions.Round, wanted.GetHoldMs(), remaining)
+	return grant(next, conditions.BatchID, wanted.GetHoldMs(), remaining)
 }
 
 // renew extends the hold time. The holder may present the fence of any acquisition within its current uninterrupted
 // hold: if it sent two acquisitions, it may have received only the answer to the first.
 func renew(lock *pb.LockState, wanted *pb.RenewLock, conditions register.Conditions) register.Outcome {
-	remaining := conditions.HoldRemaining
+	remaining := conditions.LeaseRemaining
 	isHolder := lock.GetHolder() != "" && lock.GetHolder() == wanted.GetHolder()
 	isOwnFence := wanted.GetFence() >= lock.GetFirstFence() && wanted.GetFence() <= lock.GetFence()
 	if !isHolder || !isOwnFence || remaining <= 0 {
@@ -54,7 +54,7 @@
 		AcquiredBy: lock.GetAcquiredBy(),
 		FirstFence: lock.GetFirstFence(),
 	}
-	return grant(next, conditions.Round, wanted.GetHoldMs(), remaining)
+	return grant(next, conditions.BatchID, wanted.GetHoldMs(), remaining)
 }
 
 // release frees the lock if it is held with the given fence; otherwise it changes nothing.
@@ -70,13 +70,13 @@
 // time of the previous grant: the caller may not have received the answer to this call yet and still rely on the
 // previous grant. A grant is identified by its round, not by its call, because a call that is executed again grants the
 // time that remains then, counted from then.
-func grant(next *pb.LockState, round string, holdMs uint32, remaining time.Duration) register.Outcome {
+func grant(next *pb.LockState, batchID string, holdMs uint32, remaining time.Duration) register.Outcome {
 	hold := max(time.Duration(holdMs)*time.Millisecond, remaining)
 	next.HoldMs = uint32(hold.Milliseconds()) + 1 // rounded up
-	next.GrantedBy = round
+	next.GrantedBy = batchID
 	outcome := okWithFence(next.GetFence())
 	outcome.Change = wholeChange(lockValue(next))
-	outcome.HoldFor = hold
+	outcome.LeaseDuration = hold
 	return outcome
 }
 
--- a/internal/region/coordination/lock_test.go
+++ b/internal/region/coordination/lock_test.go
@@ -70,7 +70,7 @@
 	first := lock.execute(0, acquireCall("a", hold))
 	requireOutcome(t, outcomeOK, first)
 	assert.Equal(t, uint64(1), first.Result.GetFence())
-	assert.Equal(t, hold, first.HoldFor)
+	assert.Equal(t, hold, first.LeaseDuration)
 	requireOutcome(t, outcomeHeld, lock.execute(time.Millisecond, acquireCall("b", hold)))
 	second := lock.execute(0, acquireCall("b", hold))
 	requireOutcome(t, outcomeOK, second)
@@ -104,7 +104,7 @@
 		lock := &testRegister{}
 		lock.execute(0, acquireCall("a", hold))
 		outcome := lock.execute(2*time.Second, shorter)
-		assert.Equal(t, 2*time.Second, outcome.HoldFor, name)
+		assert.Equal(t, 2*time.Second, outcome.LeaseDuration, name)
 		assert.GreaterOrEqual(t, lock.value.GetLock().GetHoldMs(), uint32(2000), name)
 	}
 }
--- a/internal/region/coordination/simulationplanted_test.go
+++ b/internal/region/coordination/simulationplanted_test.go
@@ -106,7 +106,7 @@
 }
 
 func reuseFence(value *pb.RegisterValue, call *pb.CoordinationCall, conditions register.Conditions) register.Outcome {
-	if call.GetAcquire() != nil && value.GetLock().GetFence() > 0 && conditions.HoldRemaining <= 0 {
+	if call.GetAcquire() != nil && value.GetLock().GetFence() > 0 && conditions.LeaseRemaining <= 0 {
 		value = proto.CloneOf(value)
 		value.GetLock().Fence--
 	}
@@ -114,7 +114,7 @@
 }
 
 func grantEarly(value *pb.RegisterValue, call *pb.CoordinationCall, conditions register.Conditions) register.Outcome {
-	conditions.HoldRemaining -= 150 * time.Millisecond
+	conditions.LeaseRemaining -= 150 * time.Millisecond
 	return Execute(value, call, conditions)
 }
 
--- a/internal/region/register/call.go
+++ b/internal/region/register/call.go
@@ -8,12 +8,12 @@
 
 // Conditions are the inputs of a call's execution other than the register's value.
 type Conditions struct {
-	// HoldRemaining is an upper bound on how much longer the holder of a lock may consider itself the holder; it is
+	// LeaseRemaining is an upper bound on how much longer the holder of a lock may consider itself the holder; it is
 	// negative after that time has passed.
-	HoldRemaining time.Duration
-	// Round identifies the round uniquely among the rounds of all proposers. A call that is executed again is executed
+	LeaseRemaining time.Duration
+	// BatchID identifies the round uniquely among the rounds of all proposers. A call that is executed again is executed
 	// in a different round.
-	Round string
+	BatchID string
 }
 
 // Outcome is the result of executing a call on a value.
@@ -22,8 +22,8 @@
 	Result *pb.CoordinationResult
 	// Change produces the new value; nil if the call changes nothing.
 	Change *pb.RegisterChange
-	// HoldFor is how long, from now, the new value grants a lock to its holder. It is set only with a Change of a lock.
-	HoldFor time.Duration
+	// LeaseDuration is how long, from now, the new value grants a lock to its holder. It is set only with a Change of a lock.
+	LeaseDuration time.Duration
 	// Wait means that the call, a watch, has nothing to report yet and waits for a later value; Result is then unset.
 	Wait bool
 }
--- a/internal/region/register/proposer.go
+++ b/internal/region/register/proposer.go
@@ -22,8 +22,8 @@
 	phaseTimeout = 1500 * time.Millisecond
 	// retryInterval is the minimum time between two prepares that follow a rejection by a higher proposal number.
 	retryInterval = 100 * time.Millisecond
-	// holdMargin is added to the hold time of a lock, to allow for clocks that run at slightly different rates.
-	holdMargin = 20 * time.Millisecond
+	// clockDriftMargin is added to the hold time of a lock, to allow for clocks that run at slightly different rates.
+	clockDriftMargin = 20 * time.Millisecond
 )
 
 type phase int
@@ -50,11 +50,11 @@
 	highestRound uint64        // round of the highest known proposal number
 	position     *pb.RegisterPosition
 	value        *pb.RegisterValue // value at position
-	// heldUntil is the latest time at which the holder of a lock may consider itself the holder.
-	heldUntil time.Duration
-	promises  *promises         // set while preparing
-	round     *round            // round in flight; nil if there is none
-	lastSent  map[string]uint64 // by voter, the sequence of the value last sent to it
+	// leaseExpiresAt is the latest time at which the holder of a lock may consider itself the holder.
+	leaseExpiresAt time.Duration
+	promises       *promises         // set while preparing
+	batch          *batch            // round in flight; nil if there is none
+	lastSent       map[string]uint64 // by voter, the sequence of the value last sent to it
 
 	queue    []*operation
 	watchers []*operation
@@ -68,8 +68,8 @@
 	grantedAt time.Duration // latest time at which the newest grant of a lock can have been requested
 }
 
-// round asks a majority to accept one new value, or to confirm the previous one.
-type round struct {
+// batch asks a majority to accept one new value, or to confirm the previous one.
+type batch struct {
 	poll       uint64
 	operations []*operation
 	results    []*pb.CoordinationResult // nil for a watch that keeps waiting
@@ -105,7 +105,7 @@
 	isSame := func(known *operation) bool {
 		return known.call.GetId() == id && known.from.GetIdentity() == from.GetIdentity()
 	}
-	if p.round != nil && slices.ContainsFunc(p.round.operations, isSame) {
+	if p.batch != nil && slices.ContainsFunc(p.batch.operations, isSame) {
 		return true
 	}
 	return slices.ContainsFunc(p.queue, isSame) || slices.ContainsFunc(p.watchers, isSame)
@@ -123,15 +123,15 @@
 	switch {
 	case p.phase == phaseIdle:
 		p.prepare(now)
-	case p.phase == phaseLeading && p.round == nil:
+	case p.phase == phaseLeading && p.batch == nil:
 		p.propose(now)
 	}
 }
 
 // prepare chooses a new proposal number and asks all voters to promise it.
 func (p *proposer) prepare(now time.Duration) {
-	held := p.proposers.replica.held(p.name)
-	p.highestRound = p.proposers.nextRound(max(p.highestRound, held.promised.GetRound()))
+	local := p.proposers.replica.localState(p.name)
+	p.highestRound = p.proposers.nextRound(max(p.highestRound, local.promised.GetRound()))
 	p.phase = phasePreparing
 	p.startedAt = now
 	p.position = &pb.RegisterPosition{
@@ -141,9 +141,9 @@
 	}
 	p.promises = &promises{
 		granted:   make(map[string]bool),
-		accepted:  held.accepted,
-		value:     held.value,
-		grantedAt: held.grantedAt,
+		accepted:  local.accepted,
+		value:     local.value,
+		grantedAt: local.grantedAt,
 	}
 	p.sendPrepare(now)
 }
@@ -204,7 +204,7 @@
 	p.phase = phaseLeading
 	p.value = p.promises.value
 	hold := time.Duration(p.value.GetLock().GetHoldMs()) * time.Millisecond
-	p.heldUntil = p.promises.grantedAt + hold + holdMargin
+	p.leaseExpiresAt = p.promises.grantedAt + hold + clockDriftMargin
 	p.promises = nil
 	p.lastSent = make(map[string]uint64)
 	p.advance(now)
@@ -217,7 +217,7 @@
 		return
 	}
 	p.proposers.lastPoll++
-	next := &round{
+	next := &batch{
 		poll:     p.proposers.lastPoll,
 		base:     p.position,
 		position: p.position,
@@ -244,7 +244,7 @@
 			contained.proposed = true
 		}
 	}
-	p.round = next
+	p.batch = next
 	p.startedAt = now
 	p.sendAccept(now)
 }
@@ -269,17 +269,17 @@
 // currentValue returns the value at the position. It prefers this machine's replica, which omits the events that the
 // replica has already compacted.
 func (p *proposer) currentValue() *pb.RegisterValue {
-	held := p.proposers.replica.held(p.name)
-	if p.value != nil && ComparePositions(held.accepted, p.position) == 0 {
-		return held.value
+	local := p.proposers.replica.localState(p.name)
+	if p.value != nil && ComparePositions(local.accepted, p.position) == 0 {
+		return local.value
 	}
 	return p.value
 }
 
-func (p *proposer) execute(now time.Duration, next *round, waiting *operation) {
+func (p *proposer) execute(now time.Duration, next *batch, waiting *operation) {
 	outcome := p.proposers.execute(next.value, waiting.call, Conditions{
-		HoldRemaining: p.heldUntil - now,
-		Round:         p.proposers.name + "/" + strconv.FormatUint(next.poll, 36),
+		LeaseRemaining: p.leaseExpiresAt - now,
+		BatchID:        p.proposers.name + "/" + strconv.FormatUint(next.poll, 36),
 	})
 	next.operations = append(next.operations, waiting)
 	if outcome.Wait {
@@ -293,16 +293,16 @@
 	value := ApplyChange(next.value, outcome.Change)
 	next.change = mergeChanges(next.change, outcome.Change, value)
 	next.value = value
-	p.heldUntil = now + outcome.HoldFor + holdMargin
+	p.leaseExpiresAt = now + outcome.LeaseDuration + clockDriftMargin
 }
 
 // sendAccept sends the round in flight to the voters that have not accepted it. A voter that was sent the base value
 // gets only the change, every other voter the whole value.
 func (p *proposer) sendAccept(now time.Duration) {
 	p.sentAt = now
-	current := p.round
+	current := p.batch
 	for _, voter := range p.voters() {
-		if p.round != current {
+		if p.batch != current {
 			return // this machine's own acceptance has completed a majority meanwhile
 		}
 		identity := voter.GetIdentity()
@@ -322,9 +322,9 @@
 func (p *proposer) sendChange(voter *pb.Replica, change *pb.RegisterChange) {
 	p.proposers.output.Send(voter, &pb.Message{Body: &pb.Message_RegisterAccept{RegisterAccept: &pb.RegisterAccept{
 		Name:     p.name,
-		Position: p.round.position,
-		Poll:     p.round.poll,
-		Base:     p.round.base,
+		Position: p.batch.position,
+		Poll:     p.batch.poll,
+		Base:     p.batch.base,
 		Change:   change,
 	}}})
 }
@@ -342,11 +342,11 @@
 			p.repair(from, answer)
 		}
 	case pb.RegisterAccepted_OUTCOME_ACCEPTED:
-		if !isOwn || p.round == nil || answer.GetPoll() != p.round.poll {
+		if !isOwn || p.batch == nil || answer.GetPoll() != p.batch.poll {
 			return
 		}
-		p.round.accepted[from.GetIdentity()] = true
-		if len(p.round.accepted) >= p.majority() {
+		p.batch.accepted[from.GetIdentity()] = true
+		if len(p.batch.accepted) >= p.majority() {
 			p.commit(now)
 		}
 	}
@@ -356,19 +356,19 @@
 // whole value in the next round instead.
 func (p *proposer) repair(voter *pb.Replica, answer *pb.RegisterAccepted) {
 	identity := voter.GetIdentity()
-	if p.round == nil || answer.GetPoll() != p.round.poll || p.round.repaired[identity] {
+	if p.batch == nil || answer.GetPoll() != p.batch.poll || p.batch.repaired[identity] {
 		delete(p.lastSent, identity)
 		return
 	}
-	p.round.repaired[identity] = true
-	p.lastSent[identity] = p.round.position.GetSequence()
-	p.sendChange(voter, wholeChange(p.round.value))
+	p.batch.repaired[identity] = true
+	p.lastSent[identity] = p.batch.position.GetSequence()
+	p.sendChange(voter, wholeChange(p.batch.value))
 }
 
 // commit answers the calls of a round that a majority has accepted, and starts the next round.
 func (p *proposer) commit(now time.Duration) {
-	done := p.round
-	p.round = nil
+	done := p.batch
+	p.batch = nil
 	p.position = done.position
 	p.value = done.value
 	for index, contained := range done.operations {
@@ -426,10 +426,10 @@
 	}
 	p.lastRetry = now
 	waiting := p.queue
-	if p.round != nil {
-		waiting = slices.Concat(p.round.operations, waiting)
+	if p.batch != nil {
+		waiting = slices.Concat(p.batch.operations, waiting)
 	}
-	p.round = nil
+	p.batch = nil
 	p.queue = nil
 	p.stop()
 	p.queue = slices.Concat(waiting, p.queue)
@@ -439,12 +439,12 @@
 // stop abandons all work on the register and answers all of its calls.
 func (p *proposer) stop() {
 	var open []*operation
-	if p.round != nil {
-		open = p.round.operations
+	if p.batch != nil {
+		open = p.batch.operations
 	}
 	open = slices.Concat(open, p.queue, p.watchers)
 	p.phase = phaseIdle
-	p.round = nil
+	p.batch = nil
 	p.promises = nil
 	p.value = nil
 	p.queue = nil
@@ -457,7 +457,7 @@
 // tick handles timeouts and resends requests to voters that have not answered.
 func (p *proposer) tick(now time.Duration) {
 	p.expireWatchers(now)
-	isWorking := p.phase == phasePreparing || p.round != nil
+	isWorking := p.phase == phasePreparing || p.batch != nil
 	switch {
 	case !isWorking:
 		p.advance(now)
@@ -482,6 +482,6 @@
 
 // isIdle reports whether the proposer may be discarded.
 func (p *proposer) isIdle(now time.Duration) bool {
-	hasWork := p.round != nil || p.phase == phasePreparing || len(p.queue) > 0 || len(p.watchers) > 0
+	hasWork := p.batch != nil || p.phase == phasePreparing || len(p.queue) > 0 || len(p.watchers) > 0
 	return !hasWork && now-p.lastCallAt > idleTimeout
 }
--- a/internal/region/register/register_test.go
+++ b/internal/region/register/register_test.go
@@ -96,7 +96,7 @@
 	promise := c.wire[0].message
 	c.wire = nil
 	first.receive(c.members["b"].self, promise) // a also accepts its own round, which no other machine receives
-	require.Equal(t, uint64(101), first.replica.held("x").value.GetCounter().GetValue())
+	require.Equal(t, uint64(101), first.replica.localState("x").value.GetCounter().GetValue())
 	c.wire = nil
 
 	c.members["b"].submit(conditionalCall(3, 1))
@@ -120,7 +120,7 @@
 	}}})
 	answer := c.wire[len(c.wire)-1].message.GetRegisterAccepted()
 	assert.Equal(t, pb.RegisterAccepted_OUTCOME_SUPERSEDED, answer.GetOutcome())
-	assert.Equal(t, uint64(2), restarted.replica.held("x").value.GetCounter().GetValue())
+	assert.Equal(t, uint64(2), restarted.replica.localState("x").value.GetCounter().GetValue())
 }
 
 func TestRecordsRestoreAnEqualReplica(t *testing.T) {
@@ -182,8 +182,8 @@
 			c.deliver("a", "b", "c")
 		}
 	}
-	assert.Equal(t, uint64(4), c.members["c"].replica.held("x").value.GetGroup().GetRevision())
-	assert.Len(t, c.members["c"].replica.held("x").value.GetGroup().GetEvents(), 4)
+	assert.Equal(t, uint64(4), c.members["c"].replica.localState("x").value.GetGroup().GetRevision())
+	assert.Len(t, c.members["c"].replica.localState("x").value.GetGroup().GetEvents(), 4)
 }
 
 func TestOldEventsAreDroppedWithoutFurtherWrites(t *testing.T) {
@@ -211,7 +211,7 @@
 	c.deliver("a", "b", "c")
 	c.members["b"].submit(eventCall(7, "next"))
 	c.deliver("a", "b", "c")
-	events := c.members["a"].replica.held("x").value.GetGroup().GetEvents()
+	events := c.members["a"].replica.localState("x").value.GetGroup().GetEvents()
 	require.Len(t, events, 2)
 	assert.Equal(t, "other", events[0].GetValue())
 }
@@ -259,7 +259,7 @@
 	c.tick("a")
 	c.deliver("a", "b", "c")
 	assert.Equal(t, unavailable, c.members["a"].result(t, 1).GetOutcome())
-	assert.Nil(t, c.members["a"].replica.held("x").value)
+	assert.Nil(t, c.members["a"].replica.localState("x").value)
 }
 
 func TestStoppedProposerAnswersAllCalls(t *testing.T) {
--- a/internal/region/register/replica.go
+++ b/internal/region/register/replica.go
@@ -181,7 +181,7 @@
 	case !isNewer:
 		// The value was accepted before, either itself or as part of a later value under the same number.
 		return pb.RegisterAccepted_OUTCOME_ACCEPTED, nil
-	case accept.GetChange() == nil || !a.holdsBase(accept):
+	case accept.GetChange() == nil || !a.hasBase(accept):
 		return pb.RegisterAccepted_OUTCOME_BASE_MISSING, nil
 	default:
 		record.Accepted = position
@@ -191,8 +191,8 @@
 	return pb.RegisterAccepted_OUTCOME_ACCEPTED, record
 }
 
-// holdsBase reports whether the change of an accept message can be applied to the local value.
-func (a *acceptor) holdsBase(accept *pb.RegisterAccept) bool {
+// hasBase reports whether the change of an accept message can be applied to the local value.
+func (a *acceptor) hasBase(accept *pb.RegisterAccept) bool {
 	return accept.GetChange().GetWhole() != nil || ComparePositions(accept.GetBase(), a.accepted) == 0
 }
 
@@ -260,8 +260,8 @@
 	return &pb.RegisterRecord{Name: name, Promised: a.promised, Accepted: a.accepted, Change: wholeChange(a.value)}
 }
 
-// held returns a copy of this machine's state of a register.
-func (r *Replica) held(name string) acceptor {
+// localState returns a copy of this machine's state of a register.
+func (r *Replica) localState(name string) acceptor {
 	if found := r.registers[name]; found != nil {
 		return *found
 	}
--- a/internal/region/register/transfer.go
+++ b/internal/region/register/transfer.go
@@ -91,7 +91,7 @@
 // positions that it lists as held are durable, because the answers omit those registers.
 func (r *Replica) requestTransfer() {
 	request := &pb.Message{Body: &pb.Message_RegisterTransferRequest{
-		RegisterTransferRequest: &pb.RegisterTransferRequest{Epoch: r.membership.Epoch, Held: r.heldPositions()},
+		RegisterTransferRequest: &pb.RegisterTransferRequest{Epoch: r.membership.Epoch, Held: r.localPositions()},
 	}}
 	asked := make(map[string]bool)
 	for _, voters := range [][]*pb.Replica{r.membership.Voters, r.membership.PreviousVoters} {
@@ -110,8 +110,8 @@
 	return r.activeEpoch == r.membership.PreviousEpoch && r.membership.votedBefore(r.identity)
 }
 
-// heldPositions returns the positions of this machine's registers, or nil if they are not valid for the current epoch.
-func (r *Replica) heldPositions() []*pb.RegisterRecord {
+// localPositions returns the positions of this machine's registers, or nil if they are not valid for the current epoch.
+func (r *Replica) localPositions() []*pb.RegisterRecord {
 	if !r.votedInPreviousEpoch() {
 		return nil
 	}
@@ -123,9 +123,9 @@
 }
 
 // recordsNewerThan returns the registers that are newer here than in a list of positions.
-func (r *Replica) recordsNewerThan(held []*pb.RegisterRecord) []*pb.RegisterRecord {
-	known := make(map[string]*pb.RegisterPosition, len(held))
-	for _, record := range held {
+func (r *Replica) recordsNewerThan(positions []*pb.RegisterRecord) []*pb.RegisterRecord {
+	known := make(map[string]*pb.RegisterPosition, len(positions))
+	for _, record := range positions {
 		known[record.GetName()] = record.GetAccepted()
 	}
 	return slices.DeleteFunc(r.registerRecords(), func(record *pb.RegisterRecord) bool {
--- a/internal/region/register/transfer_test.go
+++ b/internal/region/register/transfer_test.go
@@ -56,7 +56,7 @@
 	c.enter(secondEpoch([]string{"a", "b", "c"}, "b", "c", "d"), "b", "c", "d")
 	c.deliver("b", "c", "d")
 	require.True(t, c.members["d"].replica.IsActive())
-	assert.Equal(t, uint64(1), c.members["d"].replica.held("x").value.GetCounter().GetValue())
+	assert.Equal(t, uint64(1), c.members["d"].replica.localState("x").value.GetCounter().GetValue())
 }
 
 func TestVoterAcceptsNothingInAnEarlierEpoch(t *testing.T) {
@@ -66,7 +66,7 @@
 	c.enter(secondEpoch([]string{"a", "b", "c"}, "b", "c", "d"), "b", "c", "d")
 	c.deliver("a", "b", "c", "d")
 	assert.Empty(t, c.members["a"].results)
-	assert.Nil(t, c.members["b"].replica.held("x").value)
+	assert.Nil(t, c.members["b"].replica.localState("x").value)
 }
 
 func TestVoterOfAnOlderEpochGivesUpWhatItHolds(t *testing.T) {
@@ -83,7 +83,7 @@
 	c.enter(third, "a", "b", "c", "d")
 	c.deliver("a", "b", "c", "d")
 	require.True(t, c.members["d"].replica.IsActive())
-	assert.Equal(t, uint64(1), c.members["d"].replica.held("x").value.GetCounter().GetValue())
+	assert.Equal(t, uint64(1), c.members["d"].replica.localState("x").value.GetCounter().GetValue())
 }
 
 func TestMachineWithRegistersDoesNotBeginEmpty(t *testing.T) {
@@ -92,7 +92,7 @@
 	c.deliver("a", "b", "c")
 	c.enter(Membership{Epoch: 7, Voters: replicasOf("a", "b", "c")}, "a")
 	assert.False(t, c.members["a"].replica.IsActive())
-	assert.NotNil(t, c.members["a"].replica.held("x").value)
+	assert.NotNil(t, c.members["a"].replica.localState("x").value)
 }
 
 // The answer to a transfer request omits the registers that the request lists. The request must therefore not list a
