--- a/internal/region/coordination/engine.go
+++ b/internal/region/coordination/engine.go
@@ -7,8 +7,8 @@
 	"fieldrelay/internal/region/register"
 )
 
-// retentionFactor is how many times longer the puts of a group are kept than watches may ask for them. The puts that
-// are kept also identify a put that is sent again.
+// retentionFactor is the ratio of the time for which the puts of a group are retained to the time for which watches may
+// request them. The retained puts also serve to recognize a put that is sent again.
 const retentionFactor = 2
 
 // Host is the control machine that runs an Engine.
@@ -26,17 +26,17 @@
 	ReplyToCaller(request uint64, result *pb.CoordinationResult)
 	// HasMajority reports whether a majority of the voters is live.
 	HasMajority() bool
-	// IsStalled reports whether a message that arrives now may have been delayed by a pause of this process.
+	// IsStalled reports whether a message that arrives now may have been delayed by a stall of this process.
 	IsStalled() bool
 }
 
 // Config is the configuration of an Engine.
 type Config struct {
 	Self        *pb.Replica
-	Incarnation string // differs between process starts
+	Incarnation string // identifies the run of the process; differs between starts
 	// Retention is how long a watch may resume from an earlier revision.
 	Retention time.Duration
-	// FirstID is one less than the id of the first call. It is chosen at random.
+	// FirstID is one less than the id of the first call. It is a random number.
 	FirstID uint64
 }
 
@@ -126,7 +126,8 @@
 // Cancel drops a call whose result is no longer awaited. The call may still be executed.
 func (e *Engine) Cancel(request uint64) { e.origin.cancel(request) }
 
-// canSubmit reports whether a new call may succeed.
+// canSubmit reports whether a new call can succeed: the voters are known, a majority of them is live, and this process
+// was not stalled.
 func (e *Engine) canSubmit() bool {
 	return e.replica.Membership().Epoch > 0 && e.host.HasMajority() && !e.host.IsStalled()
 }
@@ -166,9 +167,9 @@
 	return true
 }
 
-// receiveCall handles a call that another machine has forwarded. A call that may have been delayed by a pause of this
-// process is dropped, since its origin has asked another machine meanwhile. A call of an unknown kind is refused as
-// UNAVAILABLE.
+// receiveCall handles a call that another machine has forwarded. A call that may have been delayed by a stall of this
+// process is dropped, since its origin has sent the call to another machine by then. A call of an unknown kind is
+// refused as UNAVAILABLE.
 func (e *Engine) receiveCall(now time.Duration, from *pb.Replica, call *pb.CoordinationCall) {
 	if e.host.IsStalled() {
 		return
--- a/internal/region/coordination/execute.go
+++ b/internal/region/coordination/execute.go
@@ -37,7 +37,7 @@
 	return unchanged(&pb.CoordinationResult{Outcome: outcome})
 }
 
-// wholeChange returns the change that sets a register to value regardless of its previous value.
+// wholeChange returns the change that replaces the whole value of a register.
 func wholeChange(value *pb.RegisterValue) *pb.RegisterChange {
 	return &pb.RegisterChange{Kind: &pb.RegisterChange_Whole{Whole: value}}
 }
--- a/internal/region/coordination/group.go
+++ b/internal/region/coordination/group.go
@@ -9,10 +9,10 @@
 
 // Limits of one group.
 const (
-	// maxKeys limits the keys of a group.
+	// maxKeys is the maximum number of keys in a group.
 	maxKeys = 4096
-	// maxEvents limits the puts that are kept for watches. At the limit, puts are refused until older ones have
-	// expired.
+	// maxEvents is the maximum number of puts that are retained for watches. At the limit, new puts are refused until
+	// older puts have expired.
 	maxEvents = 16384
 )
 
@@ -43,7 +43,7 @@
 	return unchanged(&pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_OK, Revision: revision})
 }
 
-// findPut returns the earlier put of the same value to the same key; nil if there is none or it is no longer kept.
+// findPut returns the earlier put of the same value to the same key; nil if there is none or it is no longer retained.
 func findPut(group *pb.KeyGroupState, wanted *pb.PutKey) *pb.KeyEvent {
 	for _, events := range [][]*pb.KeyEvent{group.GetKeys(), group.GetEvents()} {
 		for _, event := range events {
--- a/internal/region/coordination/lock.go
+++ b/internal/region/coordination/lock.go
@@ -13,15 +13,15 @@
 	return call.GetOrigin() + "/" + strconv.FormatUint(call.GetId(), 36)
 }
 
-// acquire grants a lock that is free or that the caller already holds. Every acquisition gets a new fence, even one by
-// the current holder, so that a delayed release with an earlier fence has no effect.
+// acquire grants a lock that is free or that the caller already holds. Every acquisition gets a new fencing token
+// (fence), even one by the current holder, so that a delayed release with an earlier token has no effect.
 func acquire(lock *pb.LockState, call string, wanted *pb.AcquireLock, conditions register.Conditions) register.Outcome {
 	remaining := conditions.LeaseRemaining
 	isHeld := lock.GetHolder() != "" && remaining > 0
 	isHolder := lock.GetHolder() == wanted.GetHolder()
 	switch {
 	case lock.GetAcquiredBy() == call:
-		return okWithFence(lock.GetFence()) // executed before, and possibly released since
+		return okWithFence(lock.GetFence()) // the call was executed before, and the lock possibly released since
 	case isHeld && !isHolder:
 		return outcomeOnly(pb.CoordinationResult_OUTCOME_HELD_BY_OTHER)
 	}
@@ -39,8 +39,8 @@
 	return grant(next, conditions.BatchID, wanted.GetHoldMs(), remaining)
 }
 
-// renew extends the hold time. The holder may present the fence of any acquisition within its current uninterrupted
-// hold: if it sent two acquisitions, it may have received only the answer to the first.
+// renew extends the lease. The holder may present the fencing token of any acquisition since it last became the holder:
+// if it sent two acquisitions, it may have received only the answer to the first.
 func renew(lock *pb.LockState, wanted *pb.RenewLock, conditions register.Conditions) register.Outcome {
 	remaining := conditions.LeaseRemaining
 	isHolder := lock.GetHolder() != "" && lock.GetHolder() == wanted.GetHolder()
@@ -57,7 +57,7 @@
 	return grant(next, conditions.BatchID, wanted.GetHoldMs(), remaining)
 }
 
-// release frees the lock if it is held with the given fence; otherwise it changes nothing.
+// release frees the lock if the given holder holds it with the given fencing token; otherwise it changes nothing.
 func release(lock *pb.LockState, wanted *pb.ReleaseLock) register.Outcome {
 	outcome := outcomeOnly(pb.CoordinationResult_OUTCOME_OK)
 	if lock.GetHolder() != "" && lock.GetHolder() == wanted.GetHolder() && lock.GetFence() == wanted.GetFence() {
@@ -67,9 +67,9 @@
 }
 
 // grant completes a state that grants a lock to its holder, for the requested time but not for less than the remaining
-// time of the previous grant: the caller may not have received the answer to this call yet and still rely on the
-// previous grant. A grant is identified by its round, not by its call, because a call that is executed again grants the
-// time that remains then, counted from then.
+// time of the previous lease: the caller may not have received the answer to this call yet and still rely on the
+// previous lease. A grant is identified by its batch, not by its call, because a call that is executed again grants a
+// new lease, which begins with the second execution.
 func grant(next *pb.LockState, batchID string, holdMs uint32, remaining time.Duration) register.Outcome {
 	hold := max(time.Duration(holdMs)*time.Millisecond, remaining)
 	next.HoldMs = uint32(hold.Milliseconds()) + 1 // rounded up
--- a/internal/region/coordination/lock_test.go
+++ b/internal/region/coordination/lock_test.go
@@ -28,7 +28,7 @@
 	executions int
 }
 
-// execute executes a new call while the holder has the given hold time left.
+// execute executes a new call while the holder's lease has the given remaining time.
 func (o *testRegister) execute(left time.Duration, call *pb.CoordinationCall) register.Outcome {
 	o.lastID++
 	call.Id = o.lastID
@@ -109,8 +109,8 @@
 	}
 }
 
-// A renewal that is executed again must be a separate grant. A replica that accepted the first execution counts the
-// hold time from there, but the time granted by the second execution counts from the second.
+// A renewal that is executed again must be a separate grant. For a replica that accepted the first execution, the
+// lease begins at that time, but the lease granted by the second execution begins at the second.
 func TestRenewalThatIsExecutedAgainIsAnotherGrant(t *testing.T) {
 	lock := &testRegister{}
 	lock.execute(0, acquireCall("a", hold))
--- a/internal/region/coordination/origin.go
+++ b/internal/region/coordination/origin.go
@@ -11,12 +11,12 @@
 const (
 	// CallTimeout is how long a call may take. Callers retry at another machine after one second.
 	CallTimeout = 900 * time.Millisecond
-	// attemptTimeout is how long a proposer may take to answer before another machine is asked.
+	// attemptTimeout is how long a proposer may take to answer before the call is sent to another machine.
 	attemptTimeout = 300 * time.Millisecond
-	// maxWatchSegment is how long a watch stays at one proposer before it is sent again to the machine that proposes
-	// then.
+	// maxWatchSegment is how long a watch stays at one proposer before it is sent again, to the machine that should
+	// then propose for the register.
 	maxWatchSegment = time.Second
-	// maxPendingCalls limits the calls that arrived at this machine and have no result yet.
+	// maxPendingCalls is the maximum number of calls that arrived at this machine and have no result yet.
 	maxPendingCalls = 1024
 )
 
@@ -32,15 +32,15 @@
 	request  uint64
 	call     *pb.CoordinationCall
 	deadline time.Duration
-	watchEnd time.Duration // for a watch, the end of its wait time
+	watchEnd time.Duration // end of the wait time of a watch
 	sentAt   time.Duration
-	target   string // identity of the machine asked last; empty if it has answered or none was asked
-	// maybeExecuted is set if a machine that was asked has not confirmed that it did not execute the call.
+	target   string // identity of the machine whose answer the call awaits; empty: there is none
+	// maybeExecuted is set if a machine that the call was sent to has not confirmed that it did not execute the call.
 	maybeExecuted bool
 }
 
-// submit processes a call. It refuses the call if a pause of this process may have delayed it, since the caller may
-// have given up.
+// submit processes a call. It refuses the call if a stall of this process may have delayed the call, since the caller
+// may have given up, and if no call can succeed now.
 func (o *origin) submit(now time.Duration, request uint64, call *pb.CoordinationCall) {
 	if !o.engine.canSubmit() || len(o.pending) >= maxPendingCalls {
 		o.engine.host.ReplyToCaller(request, &pb.CoordinationResult{Outcome: pb.CoordinationResult_OUTCOME_UNAVAILABLE})
@@ -91,8 +91,8 @@
 	}
 }
 
-// receive handles a result. A call that the machine asked last has not finished is sent again, at the latest at the
-// next tick.
+// receive handles a result. If the machine that the call was last sent to has answered without finishing the call, the
+// call is sent again, at the latest at the next tick.
 func (o *origin) receive(now time.Duration, from *pb.Replica, result *pb.CoordinationResult) {
 	index := slices.IndexFunc(o.pending, func(pending *pendingCall) bool { return pending.call.GetId() == result.GetId() })
 	if index < 0 {
@@ -129,12 +129,12 @@
 }
 
 // maySucceedLater reports whether a put that was rejected for its expected revision may still succeed: another machine
-// that was asked may execute it once the key has reached that revision.
+// that the call was sent to may execute the put once the key has reached that revision.
 func (p *pendingCall) maySucceedLater(mismatch *pb.CoordinationResult) bool {
 	return p.maybeExecuted && mismatch.GetRevision() < p.call.GetPut().GetExpectedRevision()
 }
 
-// answered clears the target if the answer came from the machine asked last.
+// answered clears the target if the answer came from the machine that the call was last sent to.
 func (p *pendingCall) answered(isLast bool) {
 	if isLast {
 		p.target = ""
@@ -153,7 +153,7 @@
 	o.engine.host.ReplyToCaller(pending.request, result)
 }
 
-// tick answers the calls whose deadline has passed, and sends the calls again that were not executed or not answered in
+// tick answers the calls whose deadline has passed, and resends the calls that were not executed or not answered in
 // time.
 func (o *origin) tick(now time.Duration) {
 	for _, pending := range slices.Clone(o.pending) {
@@ -170,7 +170,7 @@
 	}
 }
 
-// timeoutOf returns how long the machine asked last may take to answer.
+// timeoutOf returns how long the machine that a call was last sent to may take to answer.
 func (o *origin) timeoutOf(pending *pendingCall) time.Duration {
 	if pending.call.GetWatch() == nil {
 		return attemptTimeout
--- a/internal/region/coordination/routing.go
+++ b/internal/region/coordination/routing.go
@@ -22,10 +22,10 @@
 }
 
 // routing chooses the proposer of a register. All origins choose the same machine as long as they have the same
-// information about the others. Otherwise, two machines supersede each other, which costs only time.
+// information about the other machines. Otherwise two proposers may supersede each other, which costs only time.
 type routing struct {
 	peers          Peers
-	suspectedUntil map[string]time.Duration // by identity
+	suspectedUntil map[string]time.Duration // end of the suspicion of a machine, by identity
 }
 
 func newRouting(peers Peers) *routing {
@@ -40,7 +40,7 @@
 // clearSuspicion records that a machine has answered.
 func (r *routing) clearSuspicion(identity string) { delete(r.suspectedUntil, identity) }
 
-// retainVoters drops the suspicions of machines that no longer vote.
+// retainVoters drops the suspicions of machines that are not voters.
 func (r *routing) retainVoters(voters []*pb.Replica) {
 	for identity := range r.suspectedUntil {
 		votes := slices.ContainsFunc(voters, func(voter *pb.Replica) bool { return voter.GetIdentity() == identity })
@@ -51,7 +51,7 @@
 }
 
 // proposerFor returns the voter that should propose for a register; nil if there are no voters. It uses rendezvous
-// hashing among the available voters of the region that has the most of them, since a majority is closest there.
+// hashing among the available voters of the region with the most available voters, since a majority is closest there.
 func (r *routing) proposerFor(now time.Duration, register string, voters []*pb.Replica) *pb.Replica {
 	candidates := slices.DeleteFunc(slices.Clone(voters), func(voter *pb.Replica) bool {
 		return !r.isAvailable(now, voter.GetIdentity())
@@ -76,7 +76,7 @@
 	return r.peers.IsLive(identity) && !r.peers.IsLeaving(identity) && !isSuspected
 }
 
-// largestRegion returns the region with the most voters; of several such regions, the first by name.
+// largestRegion returns the region with the most voters; among several such regions, the first by name.
 func largestRegion(voters []*pb.Replica) string {
 	counts := make(map[string]int)
 	for _, voter := range voters {
--- a/internal/region/coordination/stats.go
+++ b/internal/region/coordination/stats.go
@@ -2,10 +2,10 @@
 
 // Stats are statistics of an Engine, for display to operators.
 type Stats struct {
-	Registers int // registers that this machine holds
-	Proposing int // registers that this machine proposes for, or has recently proposed for
-	Pending   int // calls other than watches that arrived at this machine and have no result yet
-	Watches   int // watches that arrived at this machine and have no result yet
+	Registers int // number of registers that this machine stores
+	Proposing int // number of registers that this machine proposes for, or has recently proposed for
+	Pending   int // number of calls other than watches that arrived at this machine and have no result yet
+	Watches   int // number of watches that arrived at this machine and have no result yet
 }
 
 // Stats returns the current statistics.
--- a/internal/region/register/doc.go
+++ b/internal/region/register/doc.go
@@ -5,14 +5,15 @@
 //
 // A Replica stores what one machine has promised and accepted for each register. A Proposer writes one register: it
 // obtains promises for its proposal number from a majority (prepare), adopts the newest value that any of those voters
-// has accepted, and then has a majority accept a sequence of values under that number (Multi-Paxos). Any machine may
+// has accepted, and then has a majority accept a sequence of values under that number, without further promises
+// (Multi-Paxos). Any machine may
 // become the proposer of any register at any time; a higher proposal number supersedes a lower one. The choice of the
 // proposer affects only performance and is made elsewhere (package coordination).
 //
-// In each round, a proposer executes all queued calls on the newest value and has a majority accept the outcome. It
-// sends the results only after a majority has accepted, so every result, including that of a read or a rejection, is
-// based on a chosen value that no later proposer can miss. A round that changes nothing is a confirmation: the majority
-// confirms that it has promised no higher number (comparable to ReadIndex in Raft).
+// A proposer executes all queued calls on the newest value as one batch, and has a majority accept the outcome. It
+// sends the results only after a majority has accepted the outcome, so every result, including that of a read or a
+// rejection, is based on a chosen value that no later proposer can miss. A batch that changes nothing is a
+// confirmation: the majority confirms that it has promised no higher number (comparable to ReadIndex in Raft).
 //
 // # Epochs
 //
--- a/internal/region/register/membership.go
+++ b/internal/region/register/membership.go
@@ -8,10 +8,10 @@
 
 // Membership lists the voters of one epoch and of the epoch before it.
 type Membership struct {
-	Epoch          uint64 // 0 if no epoch is known
+	Epoch          uint64 // number of the epoch; 0 if no epoch is known
 	Voters         []*pb.Replica
 	PreviousEpoch  uint64
-	PreviousVoters []*pb.Replica // empty in the first epoch
+	PreviousVoters []*pb.Replica // voters of PreviousEpoch; empty in the first epoch
 }
 
 // MembershipOf returns the membership that a view defines. It is the zero Membership for a nil view and for a view
--- a/internal/region/register/output.go
+++ b/internal/region/register/output.go
@@ -5,7 +5,8 @@
 // Output performs the actions that a Replica or a Proposer requests. If a message is addressed to this machine, a
 // method may deliver it before the method returns.
 type Output interface {
-	// Send sends a message, which may be lost. The messages of one kind to one machine that do arrive, arrive in order.
+	// Send sends a message, which may be lost. Messages of the same kind to the same machine are not
+	// reordered.
 	Send(to *pb.Replica, message *pb.Message)
 	// Persist writes the records, if any, and sends the message once these and all earlier records are durable.
 	Persist(records []*pb.RegisterRecord, to *pb.Replica, message *pb.Message)
--- a/internal/region/register/position.go
+++ b/internal/region/register/position.go
@@ -30,7 +30,7 @@
 	return &pb.RegisterPosition{Epoch: position.GetEpoch(), Round: position.GetRound(), Proposer: position.GetProposer()}
 }
 
-// successor returns the position of the next value under the same proposal number.
+// successor returns the position of the value after the given position, under the same proposal number.
 func successor(position *pb.RegisterPosition) *pb.RegisterPosition {
 	next := numberOf(position)
 	next.Sequence = position.GetSequence() + 1
--- a/internal/region/register/proposer.go
+++ b/internal/region/register/proposer.go
@@ -10,19 +10,19 @@
 
 // Limits and timeouts of a proposer.
 const (
-	// maxQueuedCalls limits the calls that wait at one register.
+	// maxQueuedCalls is the maximum number of calls that wait for execution on one register.
 	maxQueuedCalls = 128
-	// maxWatchers limits the watches that wait at one register.
+	// maxWatchers is the maximum number of watches that wait for a later value of one register.
 	maxWatchers = 256
-	// callLifetime is how long a call may wait for execution. By then its caller has given up.
+	// callLifetime is how long a call may wait for execution. After that time the caller has given up.
 	callLifetime = 900 * time.Millisecond
-	// resendInterval is how long the proposer waits before it asks a voter again.
+	// resendInterval is how long the proposer waits for answers before it sends its request again.
 	resendInterval = 250 * time.Millisecond
 	// phaseTimeout is how long a majority may take to answer before the proposer gives up its proposal number.
 	phaseTimeout = 1500 * time.Millisecond
 	// retryInterval is the minimum time between two prepares that follow a rejection by a higher proposal number.
 	retryInterval = 100 * time.Millisecond
-	// clockDriftMargin is added to the hold time of a lock, to allow for clocks that run at slightly different rates.
+	// clockDriftMargin is added to the duration of a lease, to allow for clocks that run at slightly different rates.
 	clockDriftMargin = 20 * time.Millisecond
 )
 
@@ -43,18 +43,18 @@
 	name      string
 
 	phase        phase
-	startedAt    time.Duration // start of the phase, or of the round in flight
-	sentAt       time.Duration // when the voters were last sent a request
-	lastCallAt   time.Duration // when the last call arrived
-	lastRetry    time.Duration // when it last prepared again after another proposer's higher number
-	highestRound uint64        // round of the highest known proposal number
-	position     *pb.RegisterPosition
-	value        *pb.RegisterValue // value at position
-	// leaseExpiresAt is the latest time at which the holder of a lock may consider itself the holder.
+	startedAt    time.Duration        // start of the phase, or of the batch in flight
+	sentAt       time.Duration        // time of the last request to the voters
+	lastCallAt   time.Duration        // arrival of the last call
+	lastRetry    time.Duration        // time of the last prepare that followed a rejection by a higher proposal number
+	highestRound uint64               // round in the highest known proposal number
+	position     *pb.RegisterPosition // proposal number, and sequence of the last value accepted under it
+	value        *pb.RegisterValue    // value at position; nil if the register was never written
+	// leaseExpiresAt is the time by which the holder of a lock no longer considers itself the holder.
 	leaseExpiresAt time.Duration
-	promises       *promises         // set while preparing
-	batch          *batch            // round in flight; nil if there is none
-	lastSent       map[string]uint64 // by voter, the sequence of the value last sent to it
+	promises       *promises         // answers to the prepare in progress; nil in other phases
+	batch          *batch            // batch in flight; nil if there is none
+	lastSent       map[string]uint64 // sequence of the value last sent to each voter, by identity
 
 	queue    []*operation
 	watchers []*operation
@@ -62,23 +62,24 @@
 
 // promises collects the answers to a prepare.
 type promises struct {
-	granted   map[string]bool
-	accepted  *pb.RegisterPosition
-	value     *pb.RegisterValue
-	grantedAt time.Duration // latest time at which the newest grant of a lock can have been requested
+	granted   map[string]bool      // voters that have promised, by identity
+	accepted  *pb.RegisterPosition // newest known position of an accepted value
+	value     *pb.RegisterValue    // value at accepted
+	grantedAt time.Duration        // upper bound on the time at which the newest grant of a lock was requested
 }
 
-// batch asks a majority to accept one new value, or to confirm the previous one.
+// batch is a set of calls that are executed together. A majority is asked to accept the resulting value or, if the
+// calls change nothing, to confirm the previous value.
 type batch struct {
-	poll       uint64
+	poll       uint64 // number of the batch, repeated in the answers of the voters
 	operations []*operation
-	results    []*pb.CoordinationResult // nil for a watch that keeps waiting
-	change     *pb.RegisterChange
-	base       *pb.RegisterPosition
-	position   *pb.RegisterPosition
-	value      *pb.RegisterValue
-	accepted   map[string]bool
-	repaired   map[string]bool // voters that were sent the whole value after they lacked its base
+	results    []*pb.CoordinationResult // results of the operations; nil for a watch that keeps waiting
+	change     *pb.RegisterChange       // change from the value at base to value; nil for a confirmation
+	base       *pb.RegisterPosition     // position of the value on which the calls are executed
+	position   *pb.RegisterPosition     // position of value
+	value      *pb.RegisterValue        // value after all calls of the batch
+	accepted   map[string]bool          // voters that have accepted the batch, by identity
+	repaired   map[string]bool          // voters that were sent the whole value because they lacked the base, by identity
 }
 
 func (p *proposer) voters() []*pb.Replica { return p.proposers.replica.membership.Voters }
@@ -115,7 +116,7 @@
 	p.proposers.output.Reply(done.from, result)
 }
 
-// advance prepares or proposes if calls are queued and no phase or round is in progress.
+// advance prepares or proposes if calls are queued and neither a prepare nor a batch is in progress.
 func (p *proposer) advance(now time.Duration) {
 	if len(p.queue) == 0 {
 		return
@@ -180,8 +181,8 @@
 	p.startLeading(now)
 }
 
-// merge adopts the value that a voter has accepted, if it is newer, and the voter's bound on the time of the newest
-// grant.
+// merge adopts the value that a voter has accepted, if it is newer than the value known so far, and the voter's bound
+// on the time of the newest grant.
 func (p *promises) merge(now time.Duration, promise *pb.RegisterPromise) {
 	grantedAt := now - time.Duration(promise.GetAgeMs())*time.Millisecond
 	switch order := ComparePositions(promise.GetAccepted(), p.accepted); {
@@ -233,7 +234,7 @@
 		next.value = &pb.RegisterValue{}
 	}
 	if next.change == nil && p.position.GetSequence() == 0 {
-		// The first round under a new number always proposes a value. If an earlier proposer may have had a value
+		// The first batch under a new number always proposes a value. If an earlier proposer may have had a value
 		// accepted, a majority must hold that value before a result depends on it. If no value can have been accepted
 		// by a majority, the value of an earlier proposer must not be adopted later.
 		next.change = wholeChange(next.value)
@@ -296,14 +297,14 @@
 	p.leaseExpiresAt = now + outcome.LeaseDuration + clockDriftMargin
 }
 
-// sendAccept sends the round in flight to the voters that have not accepted it. A voter that was sent the base value
-// gets only the change, every other voter the whole value.
+// sendAccept sends the batch in flight to the voters that have not accepted it. A voter that was sent the base value
+// gets only the change; any other voter gets the whole value.
 func (p *proposer) sendAccept(now time.Duration) {
 	p.sentAt = now
 	current := p.batch
 	for _, voter := range p.voters() {
 		if p.batch != current {
-			return // this machine's own acceptance has completed a majority meanwhile
+			return // this machine's own acceptance has completed a majority, so that the batch has ended
 		}
 		identity := voter.GetIdentity()
 		if current.accepted[identity] {
@@ -352,8 +353,8 @@
 	}
 }
 
-// repair sends the whole value to a voter that lacks the base of a change. If the round has ended, the voter gets the
-// whole value in the next round instead.
+// repair sends the whole value to a voter that lacks the base of a change. If the batch has ended, the voter gets the
+// whole value with the next batch instead.
 func (p *proposer) repair(voter *pb.Replica, answer *pb.RegisterAccepted) {
 	identity := voter.GetIdentity()
 	if p.batch == nil || answer.GetPoll() != p.batch.poll || p.batch.repaired[identity] {
@@ -365,7 +366,7 @@
 	p.sendChange(voter, wholeChange(p.batch.value))
 }
 
-// commit answers the calls of a round that a majority has accepted, and starts the next round.
+// commit answers the calls of a batch that a majority has accepted, and starts the next batch.
 func (p *proposer) commit(now time.Duration) {
 	done := p.batch
 	p.batch = nil
@@ -382,7 +383,8 @@
 	p.advance(now)
 }
 
-// answerWatchers answers the watches for which the value at the position has news, and those whose wait time is over.
+// answerWatchers answers the watches that have events to report in the value at the position, and the watches whose
+// wait time is over.
 func (p *proposer) answerWatchers(now time.Duration) {
 	waiting := p.watchers
 	p.watchers = nil
@@ -407,7 +409,7 @@
 	}
 }
 
-// emptyWatchResult returns the result of a watch whose wait time ended without news.
+// emptyWatchResult returns the result of a watch whose wait time ended without an event.
 func emptyWatchResult(watcher *operation) *pb.CoordinationResult {
 	return &pb.CoordinationResult{
 		Outcome:  pb.CoordinationResult_OUTCOME_OK,
@@ -415,9 +417,9 @@
 	}
 }
 
-// superseded gives up the proposal number because another proposer has a higher one. For the waiting calls, it prepares
-// again with a still higher number. If it has already done so within retryInterval, it returns the calls to the
-// machines that forwarded them, which then choose a proposer anew.
+// superseded gives up the proposal number because another proposer has a higher number. If calls are waiting, it
+// prepares again with a still higher number. If the last such prepare was within retryInterval, it returns the calls to
+// the machines that forwarded them, which then choose a proposer again.
 func (p *proposer) superseded(now time.Duration, by *pb.RegisterPosition) {
 	p.highestRound = max(p.highestRound, by.GetRound())
 	if now-p.lastRetry < retryInterval {
@@ -454,7 +456,7 @@
 	}
 }
 
-// tick handles timeouts and resends requests to voters that have not answered.
+// tick handles timeouts, and resends the request in progress to the voters that have not answered.
 func (p *proposer) tick(now time.Duration) {
 	p.expireWatchers(now)
 	isWorking := p.phase == phasePreparing || p.batch != nil
@@ -473,7 +475,7 @@
 }
 
 // expireWatchers ends the watches whose wait time is over. It does not confirm the value first, because an empty answer
-// reports nothing about it.
+// says nothing about the value.
 func (p *proposer) expireWatchers(now time.Duration) {
 	if p.phase == phaseLeading && len(p.watchers) > 0 {
 		p.answerWatchers(now)
--- a/internal/region/register/proposers.go
+++ b/internal/region/register/proposers.go
@@ -12,7 +12,7 @@
 	// idleTimeout is how long a proposer without calls is kept. A call that arrives within this time needs no new
 	// prepare.
 	idleTimeout = time.Minute
-	// maxProposers limits the registers that one machine proposes for at a time.
+	// maxProposers is the maximum number of registers that one machine proposes for at a time.
 	maxProposers = 16384
 )
 
@@ -21,13 +21,13 @@
 	replica *Replica
 	output  Output
 	execute Execute
-	// name identifies the proposer in its proposal numbers. It must differ between process starts, because a machine
+	// name identifies this machine in its proposal numbers. It must differ between process starts, because a machine
 	// does not persist the numbers that it has used.
 	name      string
-	lastRound uint64 // shared by all registers, so that no register sees a number twice
-	lastPoll  uint64
-	epoch     uint64
-	active    map[string]*proposer
+	lastRound uint64               // last used round; shared by all registers, so that no register sees a number twice
+	lastPoll  uint64               // number of the last batch of any register
+	epoch     uint64               // epoch of the proposers in active
+	active    map[string]*proposer // proposers by name of the register
 }
 
 // NewProposers returns the proposers of the machine that owns the given replica.
@@ -38,9 +38,9 @@
 // Len returns the number of registers that this machine proposes for or has recently proposed for.
 func (s *Proposers) Len() int { return len(s.active) }
 
-// Submit processes a call on a register for the machine from, which received it from the caller. It answers the call
-// once, unless this process ends first. The outcome UNAVAILABLE means that the call was not executed here and never
-// will be; UNKNOWN means that it may have been or may still be executed.
+// Submit processes a call on a register for the machine from, which received the call from the caller. Submit answers
+// the call once, unless this process ends first. The outcome UNAVAILABLE means that the call was not executed here and
+// never will be; UNKNOWN means that the call may have been or may still be executed.
 func (s *Proposers) Submit(now time.Duration, name string, from *pb.Replica, call *pb.CoordinationCall) {
 	s.followEpoch()
 	found := s.active[name]
@@ -56,7 +56,8 @@
 	found.submit(now, from, call)
 }
 
-// nextRound returns a round above the known one and above all rounds that this machine has used since its start.
+// nextRound returns a round for a proposal number, above the known round and above all rounds that this machine has
+// used since its start.
 func (s *Proposers) nextRound(known uint64) uint64 {
 	s.lastRound = max(s.lastRound, known) + 1
 	return s.lastRound
--- a/internal/region/register/register_test.go
+++ b/internal/region/register/register_test.go
@@ -95,7 +95,7 @@
 	c.members["b"].receive(first.self, prepare)
 	promise := c.wire[0].message
 	c.wire = nil
-	first.receive(c.members["b"].self, promise) // a also accepts its own round, which no other machine receives
+	first.receive(c.members["b"].self, promise) // a also accepts its own batch, which no other machine receives
 	require.Equal(t, uint64(101), first.replica.localState("x").value.GetCounter().GetValue())
 	c.wire = nil
 
--- a/internal/region/register/replica.go
+++ b/internal/region/register/replica.go
@@ -8,7 +8,8 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// MaxRegisters limits the registers of a system. Once it is reached, no new name can be written.
+// MaxRegisters is the maximum number of registers of a system. At the limit, no register with a new name can be
+// written.
 const MaxRegisters = 65536
 
 // Replica stores what one machine has promised and accepted for each register.
@@ -19,8 +20,8 @@
 	retention time.Duration
 
 	membership  Membership
-	activeEpoch uint64
-	registers   map[string]*acceptor
+	activeEpoch uint64               // newest epoch whose registers this machine holds; 0: none
+	registers   map[string]*acceptor // registers by name
 	transfer    transfer
 	// earlyRequests are requests for epochs that this machine has not learnt of yet.
 	earlyRequests []earlyRequest
@@ -28,10 +29,11 @@
 
 // acceptor is the state of one register on one machine.
 type acceptor struct {
-	promised *pb.RegisterPosition // its sequence is always 0
-	accepted *pb.RegisterPosition
-	value    *pb.RegisterValue // value at accepted; nil if the register was never written
-	// grantedAt is when the newest grant of a lock was accepted here, or read from disk or from another machine.
+	promised *pb.RegisterPosition // highest promised proposal number; its sequence is always 0
+	accepted *pb.RegisterPosition // position of the newest accepted value
+	value    *pb.RegisterValue    // value at accepted; nil if the register was never written
+	// grantedAt is the time at which the newest grant of a lock was accepted here, read from disk or received from
+	// another machine.
 	grantedAt time.Duration
 	// eventTimes holds, for each event of a group, the time at which it was accepted here.
 	eventTimes []time.Duration
@@ -52,8 +54,8 @@
 	r.register(record.GetName()).apply(0, record)
 }
 
-// FinishRestore ends the restore. All grants and events that were read count as accepted now, which is later than they
-// really were.
+// FinishRestore ends the restore. All grants and events that were read from disk count as accepted now, which is later
+// than their actual acceptance.
 func (r *Replica) FinishRestore(now time.Duration) {
 	for _, found := range r.registers {
 		found.grantedAt = now
@@ -113,7 +115,8 @@
 	return r.registers[name] != nil || len(r.registers) < MaxRegisters
 }
 
-// Prepare handles the first phase of a proposal.
+// Prepare handles the first phase of a proposal: it answers with a promise, or with the higher promise that prevents
+// it.
 func (r *Replica) Prepare(now time.Duration, from *pb.Replica, prepare *pb.RegisterPrepare) {
 	number := prepare.GetNumber()
 	if !r.shouldAnswer(number) || !r.output.CanPersist() || !r.hasCapacity(prepare.GetName()) {
@@ -169,7 +172,8 @@
 	r.output.Persist([]*pb.RegisterRecord{record}, from, message)
 }
 
-// accept returns the outcome, and a record of the change; the record is nil if nothing has changed.
+// accept handles the second phase for one register. It returns the outcome, and a record of the change; the record is
+// nil if nothing has changed.
 func (a *acceptor) accept(now time.Duration, accept *pb.RegisterAccept) (pb.RegisterAccepted_Outcome, *pb.RegisterRecord) {
 	position := accept.GetPosition()
 	if compareNumbers(position, a.promised) < 0 {
@@ -179,7 +183,7 @@
 	record := &pb.RegisterRecord{Name: accept.GetName(), Promised: numberOf(position)}
 	switch {
 	case !isNewer:
-		// The value was accepted before, either itself or as part of a later value under the same number.
+		// The value was accepted before, either by itself or as part of a later value under the same number.
 		return pb.RegisterAccepted_OUTCOME_ACCEPTED, nil
 	case accept.GetChange() == nil || !a.hasBase(accept):
 		return pb.RegisterAccepted_OUTCOME_BASE_MISSING, nil
@@ -236,7 +240,7 @@
 }
 
 // isSameEvent reports whether two events of one revision are the same put. They differ if a proposal that was not
-// chosen gave the revision to another put.
+// chosen assigned the revision to another put.
 func isSameEvent(a, b *pb.KeyEvent) bool {
 	return a.GetName() == b.GetName() && a.GetValue() == b.GetValue()
 }
@@ -260,7 +264,7 @@
 	return &pb.RegisterRecord{Name: name, Promised: a.promised, Accepted: a.accepted, Change: wholeChange(a.value)}
 }
 
-// localState returns a copy of this machine's state of a register.
+// localState returns a copy of the state of a register on this machine.
 func (r *Replica) localState(name string) acceptor {
 	if found := r.registers[name]; found != nil {
 		return *found
--- a/internal/region/register/transfer.go
+++ b/internal/region/register/transfer.go
@@ -8,7 +8,7 @@
 	pb "fieldrelay/api/fieldrelay/v1"
 )
 
-// maxEarlyRequests limits the stored requests for epochs that this machine has not learnt of yet.
+// maxEarlyRequests is the maximum number of stored requests for epochs that this machine has not learnt of yet.
 const maxEarlyRequests = 16
 
 // transferInterval is how long a voter waits before it requests the registers of the current epoch again.
@@ -16,8 +16,8 @@
 
 // transfer is the state of collecting the registers of the current epoch, which this machine does not hold yet.
 type transfer struct {
-	requestedAt time.Duration
-	requested   bool
+	requestedAt time.Duration // time of the last request
+	requested   bool          // the registers have been requested at least once
 	// received holds the answers of the previous epoch's voters, by identity.
 	received map[string]*pb.RegisterTransfer
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// Tick requests the registers of the current epoch if this machine is a voter that does not hold them yet.
+// Tick requests the registers of the current epoch if this machine is a voter that does not hold the registers yet.
 func (r *Replica) Tick(now time.Duration) {
 	if r.membership.Epoch == 0 || r.IsActive() || !r.membership.includes(r.identity) {
 		return
@@ -122,7 +122,7 @@
 	return records
 }
 
-// recordsNewerThan returns the registers that are newer here than in a list of positions.
+// recordsNewerThan returns the registers whose position on this machine is above that in a list of positions.
 func (r *Replica) recordsNewerThan(positions []*pb.RegisterRecord) []*pb.RegisterRecord {
 	known := make(map[string]*pb.RegisterPosition, len(positions))
 	for _, record := range positions {
@@ -156,7 +156,7 @@
 		}
 	}
 	message := &pb.Message{Body: &pb.Message_RegisterTransfer{RegisterTransfer: answer}}
-	// Both the registers that are sent and the view must be durable first.
+	// Both the registers in the message and the view must be durable before the message is sent.
 	r.output.Persist(nil, from, message)
 }
 
@@ -201,8 +201,8 @@
 	return false
 }
 
-// install adopts the newest of the collected values, combined with this machine's own registers if they are valid, and
-// activates the epoch.
+// install adopts the newest value of each register among the collected registers and, if they are valid, this machine's
+// own registers, and activates the epoch.
 func (r *Replica) install(now time.Duration, collected []*pb.RegisterTransfer) {
 	if !r.output.CanPersist() {
 		return
--- a/internal/region/register/value.go
+++ b/internal/region/register/value.go
@@ -64,8 +64,8 @@
 	return &pb.RegisterValue{Kind: &pb.RegisterValue_Group{Group: group}}
 }
 
-// wholeChange returns the change that sets a register to value regardless of its previous value; nil for a nil value,
-// which stands for a register that was never written.
+// wholeChange returns the change that replaces the whole value of a register; nil for a nil value, which stands for a
+// register that was never written.
 func wholeChange(value *pb.RegisterValue) *pb.RegisterChange {
 	if value == nil {
 		return nil
@@ -73,7 +73,7 @@
 	return &pb.RegisterChange{Kind: &pb.RegisterChange_Whole{Whole: value}}
 }
 
-// mergeChanges combines two consecutive changes into one, where value is the value that results from both.
+// mergeChanges combines two consecutive changes into one; value is the value after both changes.
 func mergeChanges(earlier, change *pb.RegisterChange, value *pb.RegisterValue) *pb.RegisterChange {
 	if earlier == nil {
 		return change
