--- a/internal/region/agent/agent_test.go
+++ b/internal/region/agent/agent_test.go
@@ -138,8 +138,8 @@
 		{Host: "edge-4", AgeMs: 61_000},
 	}}
 	startAgent(t, "edge-1", proxy.address, control.address)
-	proxy.waitFor("shares", func() bool { return proxy.shares.GetProxies() == 3 })
-	require.Len(t, proxy.shares.GetMembers(), 3)
+	proxy.waitFor("shares", func() bool { return proxy.quotaMembers.GetProxies() == 3 })
+	require.Len(t, proxy.quotaMembers.GetMembers(), 3)
 }
 
 func TestAgentsPassUpdatesOnToThoseWithoutControl(t *testing.T) {
--- a/internal/region/agent/core.go
+++ b/internal/region/agent/core.go
@@ -150,7 +150,7 @@
 		zap.Uint64("generation", c.replica.Snapshot().Generation()),
 		zap.Uint64("malformed_repairs", c.gossip.MalformedRepairs()),
 		zap.Int("neighbours", len(c.partialView.Neighbours())),
-		zap.Uint32("members", c.members.shares.GetProxies()),
+		zap.Uint32("members", c.members.quotaMembers.GetProxies()),
 		zap.Bool("proxy_ready", c.proxy.ready()))
 	fields = append(fields, c.lag.fields(now)...)
 	fields = append(fields, zap.Uint64("violations", c.violations.total()))
--- a/internal/region/agent/fakes_test.go
+++ b/internal/region/agent/fakes_test.go
@@ -174,7 +174,7 @@
 	incarnation  uint64
 	ready        bool
 	needsDigests bool // the proxy cannot use changes, and reports its digests
-	shares       *pb.QuotaMembers
+	quotaMembers *pb.QuotaMembers
 	confirmed    bool
 	repairs      int
 	exchanges    chan struct{} // signaled after an exchange
@@ -195,7 +195,7 @@
 	defer f.mu.Unlock()
 	f.replica = gossip.NewReplica()
 	f.incarnation++
-	f.shares = nil
+	f.quotaMembers = nil
 	f.confirmed = false
 	f.ready = false
 }
@@ -229,7 +229,7 @@
 		f.t.Errorf("received a stale server list: version %v", list.GetVersion())
 	}
 	if shares := request.Msg.GetQuotaMembers(); shares != nil {
-		f.shares = shares
+		f.quotaMembers = shares
 	}
 	f.confirmed = f.confirmed || request.Msg.GetConfirmed()
 	return f.status(), nil
@@ -248,7 +248,7 @@
 		List:        f.replica.ListVersion(),
 		Ready:       f.ready,
 		EdgeAddress: "10.0.0.1:8144",
-		Shares:      f.shares.GetVersion(),
+		Shares:      f.quotaMembers.GetVersion(),
 	}
 	if f.needsDigests {
 		status.Digests = f.replica.Snapshot().Digests()
--- a/internal/region/agent/membership.go
+++ b/internal/region/agent/membership.go
@@ -20,14 +20,14 @@
 // membership holds the known edge machines, and the quota shares derived from them. A quota is shared by the proxies of
 // all members, of the members lost recently and of this machine itself.
 type membership struct {
-	self          *pb.Neighbour
-	source        string // control machine that assigned version
-	version       uint64
-	received      bool                  // a list has been received
-	members       []*pb.Neighbour       // members of the last list
-	lost          map[string]lostMember // members lost recently, by host
-	shares        *pb.QuotaMembers
-	sharesVersion *pb.QuotaMembersVersion
+	self                *pb.Neighbour
+	source              string // control machine that assigned version
+	version             uint64
+	received            bool                  // a list has been received
+	members             []*pb.Neighbour       // members of the last list
+	lost                map[string]lostMember // members lost recently, by host
+	quotaMembers        *pb.QuotaMembers
+	quotaMembersVersion *pb.QuotaMembersVersion
 }
 
 // lostMember is a member of an earlier list that is not in the last list.
@@ -38,9 +38,9 @@
 
 func newMembership(self shuffle.Neighbour, incarnation uint64) membership {
 	return membership{
-		self:          neighbourMessage(self),
-		lost:          make(map[string]lostMember),
-		sharesVersion: &pb.QuotaMembersVersion{Agent: incarnation},
+		self:                neighbourMessage(self),
+		lost:                make(map[string]lostMember),
+		quotaMembersVersion: &pb.QuotaMembersVersion{Agent: incarnation},
 	}
 }
 
@@ -60,7 +60,7 @@
 	for _, member := range previous {
 		m.retain(now, member)
 	}
-	m.updateShares()
+	m.updateQuotaMembers()
 	return true
 }
 
@@ -103,12 +103,12 @@
 		}
 	}
 	if expired {
-		m.updateShares()
+		m.updateQuotaMembers()
 	}
 }
 
-// updateShares recomputes the quota shares, and gives them a new revision if they have changed.
-func (m *membership) updateShares() {
+// updateQuotaMembers recomputes the quota shares, and gives them a new revision if they have changed.
+func (m *membership) updateQuotaMembers() {
 	members := slices.Clone(m.members)
 	for _, lost := range m.lost {
 		members = append(members, lost.member)
@@ -117,11 +117,11 @@
 		members = append(members, m.self)
 	}
 	slices.SortFunc(members, func(a, b *pb.Neighbour) int { return strings.Compare(a.GetHost(), b.GetHost()) })
-	if m.shares != nil && slices.EqualFunc(m.shares.GetMembers(), members, sameMember) {
+	if m.quotaMembers != nil && slices.EqualFunc(m.quotaMembers.GetMembers(), members, sameMember) {
 		return
 	}
-	m.sharesVersion = &pb.QuotaMembersVersion{Agent: m.sharesVersion.GetAgent(), Revision: m.sharesVersion.GetRevision() + 1}
-	m.shares = &pb.QuotaMembers{Proxies: uint32(len(members)), Members: members, Version: m.sharesVersion}
+	m.quotaMembersVersion = &pb.QuotaMembersVersion{Agent: m.quotaMembersVersion.GetAgent(), Revision: m.quotaMembersVersion.GetRevision() + 1}
+	m.quotaMembers = &pb.QuotaMembers{Proxies: uint32(len(members)), Members: members, Version: m.quotaMembersVersion}
 }
 
 func containsHost(members []*pb.Neighbour, host string) bool {
--- a/internal/region/agent/membership_test.go
+++ b/internal/region/agent/membership_test.go
@@ -20,7 +20,7 @@
 
 func sharingHosts(m *membership) []string {
 	var hosts []string
-	for _, member := range m.shares.GetMembers() {
+	for _, member := range m.quotaMembers.GetMembers() {
 		hosts = append(hosts, member.GetHost())
 	}
 	return hosts
@@ -31,14 +31,14 @@
 	require.True(t, m.update(0, "core-1", members(1, "a", "b", "self")))
 	require.True(t, m.update(time.Second, "core-2", members(1, "a")), "each control machine numbers its lists independently")
 	require.Equal(t, []string{"a", "b", "self"}, sharingHosts(&m))
-	require.EqualValues(t, 3, m.shares.GetProxies())
-	require.EqualValues(t, 1, m.shares.GetVersion().GetRevision(), "the set of proxies has not changed")
+	require.EqualValues(t, 3, m.quotaMembers.GetProxies())
+	require.EqualValues(t, 1, m.quotaMembers.GetVersion().GetRevision(), "the set of proxies has not changed")
 
 	m.expireLost(time.Second + lostMemberRetention - 1)
 	require.Len(t, sharingHosts(&m), 3)
 	m.expireLost(time.Second + lostMemberRetention)
 	require.Equal(t, []string{"a", "self"}, sharingHosts(&m))
-	require.EqualValues(t, 2, m.shares.GetVersion().GetRevision())
+	require.EqualValues(t, 2, m.quotaMembers.GetVersion().GetRevision())
 }
 
 func TestMemberThatComesBackIsNoLongerLost(t *testing.T) {
@@ -53,7 +53,7 @@
 func TestSameListIsNoUpdate(t *testing.T) {
 	m := newMembership(shuffle.Neighbour{Host: "self"}, 5)
 	require.False(t, m.update(0, "core-1", nil))
-	require.Nil(t, m.shares)
+	require.Nil(t, m.quotaMembers)
 	require.True(t, m.update(0, "core-1", members(0)), "the first list, whatever its version")
 	require.Equal(t, []string{"self"}, sharingHosts(&m))
 	require.False(t, m.update(0, "core-1", members(0)))
--- a/internal/region/agent/proxy_link.go
+++ b/internal/region/agent/proxy_link.go
@@ -22,35 +22,35 @@
 	proxyRetryInterval = 50 * time.Millisecond
 	// exchangeTimeout is the time within which the response of the proxy has to start.
 	exchangeTimeout = 2 * time.Second
-	// minSharesInterval is the minimum time between two deliveries of quota shares.
-	minSharesInterval = time.Second
+	// minQuotaMembersInterval is the minimum time between two deliveries of quota shares.
+	minQuotaMembersInterval = time.Second
 )
 
 // proxyLink keeps the proxy of this agent up to date. One exchange at a time sends the proxy what its last status
 // lacks, or requests the status when the proxy lacks nothing.
 type proxyLink struct {
-	inFlight              bool
-	nextExchange          time.Duration   // time of the next exchange when there is no update
-	status                *pb.ProxyStatus // the last status received; nil: none yet
-	reachable             bool            // the last exchange succeeded
-	unreachableSince      time.Duration   // time of the first of the consecutive failures
-	connectionRefused     bool            // the last exchange failed because no process listened at the proxy's address
-	shuttingDown          bool            // this agent is shutting down
-	discoveredAt          time.Duration   // time at which the proxy process of status was first observed
-	confirmed             bool            // a request to a control machine sent since discoveredAt has confirmed the state
-	confirmationDelivered bool
-	sharesDeliveredAt     time.Duration // time at which this proxy process was last sent quota shares; 0: never
-	lastAttempt           deliveryAttempt
+	inFlight                bool
+	nextExchange            time.Duration   // time of the next exchange when there is no update
+	status                  *pb.ProxyStatus // the last status received; nil: none yet
+	reachable               bool            // the last exchange succeeded
+	unreachableSince        time.Duration   // time of the first of the consecutive failures
+	connectionRefused       bool            // the last exchange failed because no process listened at the proxy's address
+	shuttingDown            bool            // this agent is shutting down
+	discoveredAt            time.Duration   // time at which the proxy process of status was first observed
+	confirmed               bool            // a request to a control machine sent since discoveredAt has confirmed the state
+	confirmationDelivered   bool
+	quotaMembersDeliveredAt time.Duration // time at which this proxy process was last sent quota shares; 0: never
+	lastAttempt             deliveryAttempt
 }
 
 // deliveryAttempt identifies the contents of an Apply. Contents that the proxy did not apply are not sent again before
 // the next exchange is due; anything newer is sent at once.
 type deliveryAttempt struct {
-	sequence  uint64
-	list      *pb.ListVersion
-	shares    uint64
-	confirmed bool
-	digests   bool
+	sequence             uint64
+	list                 *pb.ListVersion
+	quotaMembersRevision uint64
+	confirmed            bool
+	digests              bool
 }
 
 // nextCall returns the call that is due, nil if none is.
@@ -97,9 +97,9 @@
 		attempt.list = replica.ListVersion()
 		pending = true
 	}
-	if l.sharesDue(now, members) {
-		apply.QuotaMembers = members.shares
-		attempt.shares = members.shares.GetVersion().GetRevision()
+	if l.quotaMembersDue(now, members) {
+		apply.QuotaMembers = members.quotaMembers
+		attempt.quotaMembersRevision = members.quotaMembers.GetVersion().GetRevision()
 		pending = true
 	}
 	if l.confirmed && !l.confirmationDelivered && replica.Sequence() >= l.status.GetSequence() {
@@ -128,12 +128,12 @@
 	return true
 }
 
-// sharesDue reports whether the proxy lacks the current quota shares and minSharesInterval allows sending them.
-func (l *proxyLink) sharesDue(now time.Duration, members *membership) bool {
-	if !members.received || proto.Equal(l.status.GetShares(), members.shares.GetVersion()) {
+// quotaMembersDue reports whether the proxy lacks the current quota shares and minSharesInterval allows sending them.
+func (l *proxyLink) quotaMembersDue(now time.Duration, members *membership) bool {
+	if !members.received || proto.Equal(l.status.GetShares(), members.quotaMembers.GetVersion()) {
 		return false
 	}
-	return l.sharesDeliveredAt == 0 || now >= l.sharesDeliveredAt+minSharesInterval
+	return l.quotaMembersDeliveredAt == 0 || now >= l.quotaMembersDeliveredAt+minQuotaMembersInterval
 }
 
 // handleDone processes the result of an exchange, and reports whether the exchange discovered another proxy process.
@@ -152,12 +152,12 @@
 		l.discoveredAt = now
 		l.confirmed = false
 		l.confirmationDelivered = false
-		l.sharesDeliveredAt = 0
+		l.quotaMembersDeliveredAt = 0
 		l.lastAttempt = deliveryAttempt{}
 		return true
 	}
 	if done.call.apply.GetQuotaMembers() != nil {
-		l.sharesDeliveredAt = now
+		l.quotaMembersDeliveredAt = now
 	}
 	l.confirmationDelivered = l.confirmationDelivered || done.call.apply.GetConfirmed()
 	return false
--- a/internal/region/agent/proxy_link_test.go
+++ b/internal/region/agent/proxy_link_test.go
@@ -136,7 +136,7 @@
 	require.EqualValues(t, 2, f.exchange(status).GetQuotaMembers().GetProxies())
 	f.members.update(f.now, "core-1", members(2, "a", "b"))
 	require.Nil(t, f.nextCall())
-	f.now += minSharesInterval
+	f.now += minQuotaMembersInterval
 	require.EqualValues(t, 3, f.exchange(status).GetQuotaMembers().GetProxies())
 }
 
@@ -150,13 +150,13 @@
 	f.exchange(&pb.ProxyStatus{Incarnation: 7})
 	f.members.update(f.now, "core-1", members(1, "a"))
 	require.NotNil(t, f.exchange(holds(1)).GetQuotaMembers())
-	f.now += minSharesInterval
+	f.now += minQuotaMembersInterval
 	f.members.update(f.now, "core-1", members(2, "a", "b"))
 	require.NotNil(t, f.exchange(holds(1)).GetQuotaMembers(), "applied, and then overwritten by the previous shares")
 	require.Nil(t, f.nextCall(), "not at once")
-	f.now += minSharesInterval
+	f.now += minQuotaMembersInterval
 	require.EqualValues(t, 2, f.exchange(holds(2)).GetQuotaMembers().GetVersion().GetRevision())
-	f.now += minSharesInterval
+	f.now += minQuotaMembersInterval
 	require.Nil(t, f.exchange(holds(2)), "a status")
 }
 
@@ -173,8 +173,8 @@
 	f.now += exchangeInterval
 	f.fail()
 	require.False(t, e.finished(f.now, &f.link, 0), "the proxy may become reachable again")
-	require.False(t, e.finished(f.now+proxyGoneTimeout, &f.link, 1), "a notice to a control machine is in flight")
-	require.True(t, e.finished(f.now+proxyGoneTimeout, &f.link, 0))
+	require.False(t, e.finished(f.now+proxyExitTimeout, &f.link, 1), "a notice to a control machine is in flight")
+	require.True(t, e.finished(f.now+proxyExitTimeout, &f.link, 0))
 
 	f.now += proxyRetryInterval
 	f.exchange(&pb.ProxyStatus{Incarnation: 8})
--- a/internal/region/agent/shutdown.go
+++ b/internal/region/agent/shutdown.go
@@ -5,9 +5,9 @@
 const (
 	// graceMargin is the part of the platform's grace period that is kept as a reserve.
 	graceMargin = time.Second
-	// proxyGoneTimeout is how long the proxy must have been unreachable before it counts as exited. A refused
+	// proxyExitTimeout is how long the proxy must have been unreachable before it counts as exited. A refused
 	// connection counts at once: the proxy has exited, and proxy and agent are restarted together.
-	proxyGoneTimeout = 300 * time.Millisecond
+	proxyExitTimeout = 300 * time.Millisecond
 )
 
 // shutdown is the state of a graceful shutdown: the agent notifies control machines at once, and keeps updating the
@@ -47,5 +47,5 @@
 	if link.reachable {
 		return link.status.GetIncarnation() != s.proxyIncarnation
 	}
-	return link.unreachableSince > 0 && (link.connectionRefused || now-link.unreachableSince >= proxyGoneTimeout)
+	return link.unreachableSince > 0 && (link.connectionRefused || now-link.unreachableSince >= proxyExitTimeout)
 }
