--- a/internal/region/agent/fakes_test.go
+++ b/internal/region/agent/fakes_test.go
@@ -228,8 +228,8 @@
 	if list := request.Msg.GetList(); list != nil && f.replica.OfferList(time.Minute, list) == gossip.ListStale {
 		f.t.Errorf("received a stale server list: version %v", list.GetVersion())
 	}
-	if shares := request.Msg.GetQuotaMembers(); shares != nil {
-		f.quotaMembers = shares
+	if members := request.Msg.GetQuotaMembers(); members != nil {
+		f.quotaMembers = members
 	}
 	f.confirmed = f.confirmed || request.Msg.GetConfirmed()
 	return f.status(), nil
